--- /dev/null
+++ b/logic/golden_test.go
@@ -0,0 +1,673 @@
+package logic
+
+import (
+	"bytes"
+	"container/heap"
+	"crypto/sha256"
+	"encoding/binary"
+	"flag"
+	"fmt"
+	"hash"
+	"math/rand/v2"
+	"os"
+	"strings"
+	"testing"
+	"time"
+)
+
+var updateGolden = flag.Bool("update", false, "write the golden files anew")
+
+const decisionsFile = "testdata/decisions.txt"
+
+// TestDecisionsUnchanged feeds the dispatcher long sequences of events and compares a hash of all its actions, and of
+// its snapshots every so often, with the one that an earlier build left in testdata/decisions.txt. A change of the code
+// that is meant to change no decision keeps every line. The figures beside each hash show what a sequence covers.
+func TestDecisionsUnchanged(t *testing.T) {
+	t.Parallel()
+	var got bytes.Buffer
+	for seed := range uint64(120) {
+		h := newDecisionHash()
+		steps := 0
+		playBeside(seed, 400, func(d *Dispatcher, _ time.Duration, _ []Event, actions []Action) {
+			if actions == nil {
+				return
+			}
+			h.actions(actions)
+			if steps++; steps%25 == 0 {
+				h.snapshot(d)
+			}
+		})
+		fmt.Fprintf(&got, "random-events-%d %s\n", seed, h)
+	}
+	for _, c := range decisionCases() {
+		fmt.Fprintf(&got, "%s %s\n", c.name, c.play(t))
+	}
+	if *updateGolden {
+		if err := os.WriteFile(decisionsFile, got.Bytes(), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	want, err := os.ReadFile(decisionsFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(got.String(), "\n")
+	if len(wantLines) != len(gotLines) {
+		t.Fatalf("%d sequences, expected %d", len(gotLines), len(wantLines))
+	}
+	for i, line := range gotLines {
+		if line != wantLines[i] {
+			t.Errorf("decisions changed:\ngot  %s\nwant %s", line, wantLines[i])
+		}
+	}
+}
+
+// decisionHash is a hash of actions and snapshots. It names no Go type or field, so that a rename leaves it as it is.
+type decisionHash struct {
+	sum    hash.Hash
+	counts map[string]int
+	state  []byte
+}
+
+func newDecisionHash() *decisionHash {
+	return &decisionHash{sum: sha256.New(), counts: map[string]int{}}
+}
+
+func (h *decisionHash) add(label string, figures ...uint64) {
+	h.counts[label]++
+	h.sum.Write([]byte(label))
+	for _, x := range figures {
+		h.sum.Write(binary.LittleEndian.AppendUint64(nil, x))
+	}
+}
+
+func (h *decisionHash) actions(actions []Action) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case Send:
+			h.add("send", a.Job, a.Worker, uint64(a.Patience))
+		case Refuse:
+			h.add("refuse", a.Job, uint64(a.After))
+		case Fail:
+			h.add("fail", a.Job)
+		case Cancel:
+			h.add("cancel", a.Job, uint64(a.Attempt))
+		case Probe:
+			h.add("probe", a.Worker)
+		case FreeLinks:
+			h.add("free-links", a.Worker)
+		case SetTimer:
+			h.add("timer", uint64(a.After))
+		case Subscribe:
+			h.add("subscribe")
+		case Log:
+			h.add("log")
+			h.sum.Write([]byte(a.Text))
+		}
+	}
+}
+
+func (h *decisionHash) snapshot(d *Dispatcher) {
+	h.state = d.Snapshot(h.state[:0])
+	h.sum.Write(h.state)
+	h.sum.Write(d.Lesson(4096, nil))
+	h.add("snapshot", uint64(d.Avoided()), uint64(1000*d.Room()))
+}
+
+func (h *decisionHash) String() string {
+	var b strings.Builder
+	fmt.Fprintf(&b, "%x", h.sum.Sum(nil))
+	for _, label := range []string{"send", "second", "refuse", "fail", "cancel", "probe", "free-links", "subscribe", "log"} {
+		if n := h.counts[label]; n > 0 {
+			fmt.Fprintf(&b, " %s=%d", label, n)
+		}
+	}
+	return b.String()
+}
+
+// decisionCase is one simulated service of a dispatcher: its settings and its workload, and the faults of its fleet.
+type decisionCase struct {
+	name     string
+	set      Settings
+	workers  int
+	slots    int
+	rate     float64 // jobs a second
+	noise    float64 // of run times, as a part of them
+	span     time.Duration
+	cold     bool // workers start, and restart, while it lasts
+	faults   bool // workers fail, hang, break connections and refuse
+	cordons  bool
+	handover bool // jobs and what was learnt come from another dispatcher
+	assigned bool // the list says which dispatchers may use a cold worker
+	idle     bool // pauses in which connections go idle, and some of these break
+}
+
+func decisionSettings(replicas int) Settings {
+	return Settings{
+		Replicas: replicas, Me: replicas / 2, Zone: 1, TryLimit: 4, SecondCopies: true, Cancelling: true, TellsStart: true,
+		Progress: 100 * ms, MaxRetryAfter: time.Second, ConnectTimeout: 40 * ms, ConnIdle: 5 * time.Second, AskEvery: 10 * time.Second,
+		Probes: true, ProbePrice: 0.004, CrossPrice: 0.02, HandshakePrice: 0.05, TailPart: 0.3, BorneMisses: 0.02,
+		Cold: 8 * time.Second, ColdFrom: 0.2, Overload: 1.5, OverloadSpan: time.Second,
+		Report: []Field{FieldOther, FieldFreeSlots}, MustSubscribe: true,
+		TenantQuota: []float64{0, 40 * float64(replicas), 10 * float64(replicas)},
+		Classes: []Class{
+			{Aim: 200 * ms, Stretch: 3, GiveUp: 3 * time.Second, Effect: Safe, LateShare: 0.3, Worth: 1},
+			{Aim: 400 * ms, Stretch: 2, GiveUp: 5 * time.Second, Effect: Unsafe, LateShare: 0.2, Worth: 2},
+			{Aim: 300 * ms, Stretch: 2, GiveUp: 4 * time.Second, Effect: Keyed, Group: GroupZone, Window: 2 * time.Second, Worth: 1},
+			{Aim: 100 * ms, Stretch: 2, GiveUp: 2 * time.Second, Effect: Safe, Worth: 3, Kinds: []int{0, 1}},
+			{Aim: 2 * time.Second, Stretch: 2, GiveUp: 8 * time.Second, Effect: Keyed, Group: GroupAll, Window: 4 * time.Second, LateShare: 0.5, Worth: 1},
+		},
+	}
+}
+
+func decisionCases() []*decisionCase {
+	with := func(replicas int, change func(s *Settings)) Settings {
+		s := decisionSettings(replicas)
+		change(&s)
+		return s
+	}
+	keep := func(*Settings) {}
+	return []*decisionCase{
+		{name: "steady", set: with(1, keep), workers: 8, slots: 4, rate: 120, noise: 0.3, span: 12 * time.Second},
+		{name: "overload", set: with(1, keep), workers: 4, slots: 2, rate: 150, noise: 0.5, span: 12 * time.Second},
+		{name: "cold", set: with(3, keep), workers: 10, slots: 4, rate: 60, noise: 0.3, span: 20 * time.Second, cold: true},
+		{name: "assigned", set: with(6, keep), workers: 10, slots: 4, rate: 60, noise: 0.3, span: 20 * time.Second, cold: true, assigned: true},
+		{name: "faults", set: with(2, keep), workers: 12, slots: 4, rate: 90, noise: 0.5, span: 20 * time.Second, faults: true},
+		{name: "idle", set: with(1, func(s *Settings) { s.CrossPrice = 0 }), workers: 20, slots: 2, rate: 40, noise: 0.3, span: 30 * time.Second, idle: true},
+		{name: "blind", set: with(4, func(s *Settings) { s.Report, s.TellsStart, s.Progress, s.Probes = nil, false, 0, false }), workers: 10, slots: 3,
+			rate: 90, noise: 0.4, span: 15 * time.Second, faults: true},
+		{name: "no-hedges", set: with(3, func(s *Settings) { s.SecondCopies, s.Report = false, nil }), workers: 8, slots: 2, rate: 70, noise: 0.6,
+			span: 15 * time.Second, faults: true, cold: true},
+		{name: "many-replicas", set: with(40, func(s *Settings) { s.Report = nil }), workers: 30, slots: 2, rate: 80, noise: 0.5, span: 20 * time.Second, cold: true,
+			faults: true},
+		{name: "cordons", set: with(2, keep), workers: 5, slots: 3, rate: 70, noise: 0.3, span: 25 * time.Second, cordons: true, faults: true},
+		{name: "handover", set: with(12, keep), workers: 12, slots: 3, rate: 90, noise: 0.4, span: 20 * time.Second, handover: true, cold: true, faults: true},
+		{name: "everything", set: with(9, keep), workers: 16, slots: 4, rate: 140, noise: 0.6, span: 30 * time.Second, handover: true, cold: true,
+			faults: true, cordons: true, idle: true},
+		{name: "crowded", set: with(1, func(s *Settings) { s.Report, s.Probes = nil, false }), workers: 3, slots: 2, rate: 45, noise: 0.2, span: 20 * time.Second},
+		{name: "wide-overload", set: with(1, keep), workers: 300, slots: 2, rate: 4000, noise: 0.3, span: 3 * time.Second},
+		{name: "wide", set: with(1, func(s *Settings) { s.Report = nil }), workers: 300, slots: 2, rate: 400, noise: 0.3, span: 8 * time.Second},
+	}
+}
+
+// decisionPlay simulates the fleet of a case: workers with slots and a queue, each job's run drawn beforehand.
+type decisionPlay struct {
+	*decisionCase
+	t      *testing.T
+	d      *Dispatcher
+	rng    *rand.Rand
+	hash   *decisionHash
+	now    time.Duration
+	end    time.Duration
+	due    dueHeap
+	seq    int
+	fleet  []*playWorker
+	jobs   map[uint64]*playJob
+	lastID uint64
+	timer  time.Duration
+	steps  int
+	acts   []Action
+}
+
+type playWorker struct {
+	Worker
+	speed   float64
+	running int
+	queue   []*playAttempt
+	hung    bool
+	failing bool
+	broken  bool
+	life    int           // counts restarts
+	endedAt time.Duration // the end of its last attempt: since then its connections are idle
+}
+
+type playJob struct {
+	Job
+	run    time.Duration
+	tries  []*playAttempt
+	closed bool
+}
+
+type playAttempt struct {
+	job    *playJob
+	number int
+	worker *playWorker
+	life   int
+	ended  bool
+	runs   bool
+}
+
+// dueItem is something that happens at an instant; those of one instant happen in the order in which they were set.
+type dueItem struct {
+	at  time.Duration
+	seq int
+	do  func()
+}
+
+type dueHeap []dueItem
+
+func (h dueHeap) Len() int { return len(h) }
+func (h dueHeap) Less(i, k int) bool {
+	return h[i].at < h[k].at || h[i].at == h[k].at && h[i].seq < h[k].seq
+}
+func (h dueHeap) Swap(i, k int) { h[i], h[k] = h[k], h[i] }
+func (h *dueHeap) Push(x any)   { *h = append(*h, x.(dueItem)) }
+func (h *dueHeap) Pop() any {
+	last := len(*h) - 1
+	x := (*h)[last]
+	*h = (*h)[:last]
+	return x
+}
+
+func (c *decisionCase) play(t *testing.T) *decisionHash {
+	t.Helper()
+	p := &decisionPlay{decisionCase: c, t: t, d: New(c.set, 7), rng: rand.New(rand.NewPCG(11, uint64(len(c.name)))), hash: newDecisionHash(),
+		now: time.Hour, jobs: map[uint64]*playJob{}}
+	p.end = p.now + c.span
+	for i := range c.workers {
+		w := &playWorker{Worker: Worker{ID: uint64(i + 1), Kind: i % 3, Zone: i % 3, Cell: i % 5, Ready: true, Size: float64(1 + i%2)}, speed: []float64{1, 1.3, 0.7}[i%3]}
+		if c.cold && i%4 == 3 {
+			w.BootAt = p.now - time.Duration(p.rng.IntN(6000))*ms
+		}
+		p.fleet = append(p.fleet, w)
+	}
+	p.step(p.list(ListCached))
+	p.after(20*ms, func() { p.step(p.list(ListFull)) })
+	p.later(p.arrival)
+	if c.faults {
+		p.after(time.Second, p.fault)
+	}
+	if c.cold {
+		p.after(time.Second, p.restart)
+	}
+	if c.cordons {
+		p.after(2*time.Second, p.cordon)
+	}
+	if c.handover {
+		p.after(3*time.Second, p.takeOver)
+	}
+	for len(p.due) > 0 {
+		x := heap.Pop(&p.due).(dueItem)
+		p.now = max(p.now, x.at)
+		x.do()
+	}
+	p.hash.snapshot(p.d)
+	return p.hash
+}
+
+func (p *decisionPlay) after(d time.Duration, do func()) {
+	p.seq++
+	heap.Push(&p.due, dueItem{p.now + d, p.seq, do})
+}
+
+// later does something after the random time between two jobs, and never past the end.
+func (p *decisionPlay) later(do func()) {
+	gap := time.Duration(p.rng.ExpFloat64() / p.rate * float64(time.Second))
+	if p.idle && p.rng.IntN(150) == 0 {
+		gap += time.Duration(p.rng.IntN(6000)) * ms
+	}
+	if p.now+gap < p.end {
+		p.after(gap, do)
+	}
+}
+
+func (p *decisionPlay) list(kind ListKind) WorkerList {
+	l := WorkerList{Kind: kind, Generation: int64(p.steps)}
+	for i, w := range p.fleet {
+		if kind == ListCached && i == len(p.fleet)-1 {
+			continue
+		}
+		l.Workers = append(l.Workers, w.Worker)
+	}
+	return l
+}
+
+func (p *decisionPlay) step(events ...Event) {
+	p.acts = p.d.Step(p.now, events, p.acts[:0])
+	acts := append([]Action(nil), p.acts...)
+	p.hash.actions(acts)
+	if p.steps++; p.steps%300 == 0 {
+		p.hash.snapshot(p.d)
+	}
+	for _, a := range acts {
+		switch a := a.(type) {
+		case Send:
+			p.send(a)
+		case Refuse:
+			p.jobs[a.Job].closed = true
+		case Fail:
+			p.jobs[a.Job].closed = true
+		case Cancel:
+			p.cancel(p.jobs[a.Job].tries[a.Attempt])
+		case Probe:
+			p.probe(a.Worker)
+		case FreeLinks:
+			p.fleet[a.Worker-1].endedAt = 0
+		case SetTimer:
+			p.setTimer(a.After)
+		case Subscribe:
+			p.subscribe()
+		}
+	}
+}
+
+func (p *decisionPlay) setTimer(span time.Duration) {
+	at := p.now + span
+	p.timer = at
+	if p.now > p.end+10*time.Second {
+		return
+	}
+	p.after(span, func() {
+		if p.timer == at {
+			p.timer = 0
+			if p.rng.IntN(200) == 0 {
+				p.now += 45 * ms // the process itself is late
+			}
+			p.step(TimerFired{})
+		}
+	})
+}
+
+func (p *decisionPlay) subscribe() {
+	if p.rng.IntN(3) == 0 {
+		p.after(30*ms, func() { p.step(WorkerList{Kind: ListLost}) })
+		return
+	}
+	p.after(30*ms, func() { p.step(p.list(ListFull)) })
+}
+
+func (p *decisionPlay) arrival() {
+	p.lastID++
+	class := p.rng.IntN(len(p.set.Classes))
+	c := &p.set.Classes[class]
+	run := time.Duration((0.2 + p.rng.ExpFloat64()) * float64(c.Aim) / 4)
+	slots := 1.0
+	if p.rng.IntN(12) == 0 {
+		slots = float64(1 + p.rng.IntN(p.slots))
+	}
+	hint := time.Duration(float64(run) * (1 + p.noise*(2*p.rng.Float64()-1)))
+	if p.rng.IntN(15) == 0 {
+		hint = 0
+	}
+	if p.rng.IntN(40) == 0 {
+		run *= 6 // far heavier than hinted
+	}
+	j := Job{ID: p.lastID, Class: class, Tenant: p.rng.IntN(3), Key: uint64(p.rng.IntN(40)), Hint: hint, Slots: slots,
+		Memory: p.rng.Float64(), Left: c.GiveUp}
+	if p.rng.IntN(10) == 0 {
+		j.Retry, j.Left = true, c.GiveUp/2
+	}
+	job := &playJob{Job: j, run: run}
+	p.jobs[j.ID] = job
+	if p.handover && p.rng.IntN(8) == 0 {
+		p.resume(job)
+	} else {
+		p.step(j)
+	}
+	if p.rng.IntN(60) == 0 {
+		p.after(time.Duration(p.rng.IntN(500))*ms, func() { p.clientGone(job) })
+	}
+	p.later(p.arrival)
+}
+
+func (p *decisionPlay) clientGone(j *playJob) {
+	if !j.closed {
+		j.closed = true
+		p.step(ClientGone{Job: j.ID})
+	}
+}
+
+func (p *decisionPlay) resume(j *playJob) {
+	e := Resumed{Job: j.Job, Waited: time.Duration(p.rng.IntN(400)) * ms, Counted: p.rng.IntN(2) == 0}
+	for range p.rng.IntN(3) {
+		w := p.fleet[p.rng.IntN(len(p.fleet))]
+		past := Past{Worker: w.ID, Ago: time.Duration(p.rng.IntN(300)) * ms, Ended: p.rng.IntN(2) == 0, Result: Result(p.rng.IntN(8))}
+		if p.rng.IntN(5) == 0 {
+			past.Worker = 9000 + w.ID
+		}
+		a := &playAttempt{job: j, number: len(j.tries), worker: w, life: w.life, ended: past.Ended}
+		for _, other := range j.tries {
+			if other.worker == w && !other.ended {
+				past.Ended, a.ended = true, true
+			}
+		}
+		if past.Ended && past.Result == OK {
+			past.Result = Failed
+		}
+		if !past.Ended && past.Worker < 9000 && p.rng.IntN(2) == 0 {
+			past.Began = past.Ago / 2
+		}
+		e.Attempts = append(e.Attempts, past)
+		j.tries = append(j.tries, a)
+		if !past.Ended {
+			at, began := past.Worker, past.Began
+			p.after(j.run, func() {
+				a.ended = true
+				result := OK
+				if began == 0 && p.rng.IntN(3) == 0 {
+					result = Reset
+				}
+				p.outcome(a, at, result)
+			})
+		}
+	}
+	p.step(e)
+}
+
+func (p *decisionPlay) send(s Send) {
+	j := p.jobs[s.Job]
+	w := p.fleet[s.Worker-1]
+	a := &playAttempt{job: j, number: len(j.tries), worker: w, life: w.life}
+	for _, other := range j.tries {
+		if !other.ended {
+			p.hash.counts["second"]++
+			break
+		}
+	}
+	j.tries = append(j.tries, a)
+	switch {
+	case p.idle && w.endedAt > 0 && p.now-w.endedAt > 300*ms && p.rng.IntN(4) > 0: // dropped unseen on the way
+		p.after(time.Duration(20+p.rng.IntN(100))*ms, func() { p.finish(a, Reset) })
+	case w.broken:
+		result := NoConnect
+		if p.rng.IntN(3) == 0 {
+			result = Reset
+		}
+		p.after(15*ms, func() { p.finish(a, result) })
+	case w.failing && p.rng.IntN(2) == 0:
+		p.after(5*ms, func() { p.finish(a, Failed) })
+	case p.faults && len(w.queue) > 3:
+		p.after(4*ms, func() { p.finish(a, Full) })
+	default:
+		p.after(2*ms, func() {
+			w.queue = append(w.queue, a)
+			p.serve(w)
+		})
+		p.after(j.Left+100*ms, func() { p.finish(a, TimedOut) })
+	}
+}
+
+// serve starts what is queued at a worker while it has slots.
+func (p *decisionPlay) serve(w *playWorker) {
+	for !w.hung && w.running < p.slots && len(w.queue) > 0 {
+		a := w.queue[0]
+		w.queue = w.queue[1:]
+		if a.ended || a.life != w.life {
+			continue
+		}
+		a.runs = true
+		w.running++
+		run := time.Duration(float64(a.job.run) / (w.speed * p.warmth(w)))
+		if p.set.TellsStart && p.rng.IntN(50) > 0 {
+			p.after(2*ms, func() { p.tell(a, Started{Job: a.job.ID, Attempt: a.number, Worker: w.ID}) })
+		}
+		if p.set.Progress > 0 {
+			for at := p.set.Progress; at < run; at += p.set.Progress {
+				share := float64(at) / float64(run)
+				p.after(at, func() { p.tell(a, Progressed{Job: a.job.ID, Attempt: a.number, Worker: w.ID, Share: share}) })
+			}
+		}
+		if p.rng.IntN(30) == 0 {
+			p.after(run/2, func() { p.tell(a, StreamBegun{Job: a.job.ID, Attempt: a.number, Worker: w.ID}) })
+		}
+		life := w.life
+		p.after(run, func() {
+			if w.life == life {
+				w.running--
+				p.serve(w)
+				p.after(2*ms, func() { p.finish(a, OK) })
+			}
+		})
+	}
+}
+
+// warmth is the part of its speed that a worker has so long after its start.
+func (p *decisionPlay) warmth(w *playWorker) float64 {
+	if w.BootAt == 0 || p.now-w.BootAt > p.set.Cold {
+		return 1
+	}
+	return p.set.ColdFrom + (1-p.set.ColdFrom)*float64(p.now-w.BootAt)/float64(p.set.Cold)
+}
+
+func (p *decisionPlay) tell(a *playAttempt, e Event) {
+	if !a.ended && a.life == a.worker.life {
+		p.step(e)
+	}
+}
+
+func (p *decisionPlay) finish(a *playAttempt, r Result) {
+	if a.ended {
+		return
+	}
+	a.ended = true
+	p.outcome(a, a.worker.ID, r)
+}
+
+func (p *decisionPlay) outcome(a *playAttempt, at uint64, r Result) {
+	o := Outcome{Job: a.job.ID, Attempt: a.number, Worker: at, Result: r, Closed: r == OK || a.job.closed}
+	a.job.closed = o.Closed
+	a.worker.endedAt = p.now
+	if len(p.set.Report) > 0 && (r == OK || r == Full) {
+		o.Report = []float64{1, float64(p.slots - a.worker.running)}
+	}
+	p.step(o)
+}
+
+func (p *decisionPlay) cancel(a *playAttempt) {
+	if !a.runs && p.rng.IntN(2) == 0 {
+		p.after(3*ms, func() { p.finish(a, NotSent) })
+		return
+	}
+	p.after(3*ms, func() { p.finish(a, Cancelled) })
+}
+
+func (p *decisionPlay) probe(id uint64) {
+	w := p.fleet[id-1]
+	result, delay := OK, 2*ms
+	switch {
+	case w.broken:
+		result, delay = NoConnect, 15*ms
+	case w.hung:
+		result, delay = TimedOut, 300*ms
+	case p.rng.IntN(20) == 0:
+		result = NotSent
+	}
+	p.after(delay, func() {
+		e := Probed{Worker: id, Result: result}
+		if result == OK {
+			e.Report = []float64{0, float64(p.slots - w.running)}
+		}
+		p.step(e)
+	})
+}
+
+// fault gives a worker a fault for a while.
+func (p *decisionPlay) fault() {
+	if p.now > p.end {
+		return
+	}
+	w := p.fleet[p.rng.IntN(len(p.fleet))]
+	span := time.Duration(200+p.rng.IntN(2500)) * ms
+	switch p.rng.IntN(3) {
+	case 0:
+		w.hung = true
+		p.after(span, func() {
+			w.hung = false
+			p.serve(w)
+		})
+	case 1:
+		w.failing = true
+		p.after(span, func() { w.failing = false })
+	case 2:
+		w.broken = true
+		p.after(span, func() { w.broken = false })
+	}
+	p.after(time.Duration(300+p.rng.IntN(1500))*ms, p.fault)
+}
+
+// restart has a worker drain, go away or restart. What it ran is lost.
+func (p *decisionPlay) restart() {
+	if p.now > p.end {
+		return
+	}
+	w := p.fleet[p.rng.IntN(len(p.fleet))]
+	w.Ready = false
+	gone := p.rng.IntN(3) == 0
+	entry := w.Worker
+	entry.Gone = gone
+	p.step(WorkerList{Kind: ListDelta, Workers: []Worker{entry}})
+	p.after(time.Duration(200+p.rng.IntN(1500))*ms, func() {
+		w.life++
+		w.running, w.queue = 0, nil
+		w.Ready, w.BootAt = true, p.now
+		if p.assigned {
+			w.Of, w.Rank = 1+p.rng.IntN(3), p.rng.IntN(4)
+		}
+		p.step(WorkerList{Kind: ListDelta, Workers: []Worker{w.Worker}})
+	})
+	if p.rng.IntN(4) == 0 {
+		p.step(p.list(ListFull))
+	}
+	p.after(time.Duration(700+p.rng.IntN(1500))*ms, p.restart)
+}
+
+// cordon takes workers out by hand, at times all of them, and brings them back.
+func (p *decisionPlay) cordon() {
+	if p.now > p.end {
+		return
+	}
+	n := 1
+	if p.rng.IntN(4) == 0 {
+		n = len(p.fleet)
+	}
+	for range n {
+		id := uint64(p.rng.IntN(len(p.fleet)) + 1)
+		if n > 1 {
+			id = uint64(n)
+			n--
+		}
+		p.step(Suspended{Worker: id})
+		p.after(time.Duration(500+p.rng.IntN(2000))*ms, func() { p.step(Restored{Worker: id}) })
+	}
+	p.after(time.Duration(1000+p.rng.IntN(3000))*ms, p.cordon)
+}
+
+// takeOver has the number of dispatchers change, and brings what another one has learnt.
+func (p *decisionPlay) takeOver() {
+	if p.now > p.end {
+		return
+	}
+	p.step(Shared{Of: 1 + p.rng.IntN(p.set.Replicas), Me: p.rng.IntN(p.set.Replicas), Part: p.rng.Float64() * float64(p.rng.IntN(2))})
+	p.step(Taught{Lesson: p.d.Lesson(2000, nil), Age: time.Duration(p.rng.IntN(5000)) * ms, Part: p.rng.Float64()})
+	state := p.d.Snapshot(nil)
+	d, err := Restore(p.set, state)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	for key, work := range p.d.keyWork { // their order decides nothing
+		d.Recall(key, work)
+	}
+	p.d = d
+	p.after(time.Duration(3000+p.rng.IntN(3000))*ms, p.takeOver)
+}
