--- a/internal/ledger/estate.go
+++ b/internal/ledger/estate.go
@@ -9,41 +9,47 @@
 	"valvecove/logic"
 )
 
-// What is here hands a ledger's memory to that of another process, and takes it over. Instants are Unix time in both.
+// What is here hands a ledger's memory to that of another process, and takes it over. Instants are Unix time in both. The
+// other process may be of another build: the names in the tags, and the order of the fields, are part of the form.
 
 // Estate is what a ledger has besides queries.
 type Estate struct {
-	LastID     uint64
-	Timer      time.Duration // the module's; 0: none
-	Generation int64
-	Hosts      []Host   // all that were ever listed
-	Listed     []string // those that are listed now
-	Out        []string // those that are out by hand
+	LastID     uint64        `json:"LastID"`
+	Timer      time.Duration `json:"Timer"` // the module's; 0: none
+	Generation int64         `json:"Generation"`
+	Hosts      []Host        `json:"Hosts"`  // all that were ever listed
+	Listed     []string      `json:"Listed"` // those that are listed now
+	Out        []string      `json:"Out"`    // those that are out by hand
 }
 
 // OpenQuery is a query that is owed an answer, or has attempts out.
 type OpenQuery struct {
-	ID                   uint64
-	Call                 string
-	Parcel               Parcel
-	Job                  logic.Job
-	Deadline, Came, Sent time.Duration
-	Attempts             []OpenAttempt
-	Noted                []string
-	Closed, Left, Over   bool
-	Outcome              Outcome
-	Answer               Answer
+	ID       uint64        `json:"ID"`
+	Call     string        `json:"Call"`
+	Parcel   Parcel        `json:"Parcel"`
+	Job      logic.Job     `json:"Job"`
+	Deadline time.Duration `json:"Deadline"`
+	Came     time.Duration `json:"Came"`
+	Sent     time.Duration `json:"Sent"`
+	Attempts []OpenAttempt `json:"Attempts"`
+	Noted    []string      `json:"Noted"`
+	Closed   bool          `json:"Closed"`
+	Left     bool          `json:"Left"`
+	Over     bool          `json:"Over"`
+	Outcome  Outcome       `json:"Outcome"`
+	Answer   Answer        `json:"Answer"`
 }
 
 // OpenAttempt is one of its attempts, by number.
 type OpenAttempt struct {
-	Worker      uint64
-	From        string
-	Until       time.Duration // it is waited for until then
-	Stage       Stage
-	Sent, Ended bool
-	Withdrawing bool         // its worker node has not been told yet
-	Outcome     logic.Result // if it has ended
+	Worker      uint64        `json:"Worker"`
+	From        string        `json:"From"`
+	Until       time.Duration `json:"Until"` // it is waited for until then
+	Stage       Stage         `json:"Stage"`
+	Sent        bool          `json:"Sent"`
+	Ended       bool          `json:"Ended"`
+	Withdrawing bool          `json:"Withdrawing"` // its worker node has not been told yet
+	Outcome     logic.Result  `json:"Outcome"`     // if it has ended
 }
 
 // Settle has the module hear all that has come in, and tells whether nothing is left: what the module had not heard would
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -42,8 +42,10 @@
 
 // Parcel is what the worker node is handed for a query, as it came.
 type Parcel struct {
-	Verb, Path, Key string
-	Body            []byte
+	Verb string `json:"Verb"`
+	Path string `json:"Path"`
+	Key  string `json:"Key"`
+	Body []byte `json:"Body"`
 }
 
 // Arrival is a query as it comes in.
--- a/internal/succession/frames.go
+++ b/internal/succession/frames.go
@@ -64,59 +64,79 @@
 // carries tells which frames come with a descriptor.
 func (k Kind) carries() bool { return k == KindWelcome || k == KindClient || k == KindServer }
 
-// The bodies of frames; those of the module are its bytes, and KindBegin and KindTaken have none.
+// The bodies of frames; those of the module are its bytes, and KindBegin and KindTaken have none. The other process may be
+// of another build: the names in the tags, and the order of the fields, are part of the form.
 type (
 	// Hello opens the talk.
-	Hello struct{ Form int }
+	Hello struct {
+		Form int `json:"Form"`
+	}
 	// Welcome answers it.
 	Welcome struct {
-		Form int
-		Out  []string // worker nodes that are out by hand
+		Form int      `json:"Form"`
+		Out  []string `json:"Out"` // worker nodes that are out by hand
 	}
 	// Denied says why not.
-	Denied struct{ Why string }
+	Denied struct {
+		Why string `json:"Why"`
+	}
 	// Ban is an operator's call that came to the process that does not serve.
 	Ban struct {
-		Seq uint64
-		ID  string
-		Out bool
+		Seq uint64 `json:"Seq"`
+		ID  string `json:"ID"`
+		Out bool   `json:"Out"`
 	}
 	// Banned is how its caller is to be answered.
 	Banned struct {
-		Seq  uint64
-		Code int
-		What string
+		Seq  uint64 `json:"Seq"`
+		Code int    `json:"Code"`
+		What string `json:"What"`
 	}
 	// Bans are the ids of all worker nodes that are out.
-	Bans struct{ Out []string }
+	Bans struct {
+		Out []string `json:"Out"`
+	}
 	// ClientLink is one accepted connection.
 	ClientLink struct {
-		In, Out                                                 []byte
-		Turns                                                   []Turn
-		Last, Ended, Half, Continued, Spoke, Useful, Introduced bool
-		Since                                                   time.Duration // as Unix time
-		Client, Via                                             string        // addresses; none: empty
+		In         []byte        `json:"In"`
+		Out        []byte        `json:"Out"`
+		Turns      []Turn        `json:"Turns"`
+		Last       bool          `json:"Last"`
+		Ended      bool          `json:"Ended"`
+		Half       bool          `json:"Half"`
+		Continued  bool          `json:"Continued"`
+		Spoke      bool          `json:"Spoke"`
+		Useful     bool          `json:"Useful"`
+		Introduced bool          `json:"Introduced"`
+		Since      time.Duration `json:"Since"`  // as Unix time
+		Client     string        `json:"Client"` // an address, as the next
+		Via        string        `json:"Via"`    // none: empty
 	}
 	// Turn is a request's place in the order of a link's answers.
 	Turn struct {
-		Query      uint64 // 0: none, or left
-		Keep, Done bool
-		Status     int
-		Body       []byte
-		Retry      time.Duration
+		Query  uint64        `json:"Query"` // 0: none, or left
+		Keep   bool          `json:"Keep"`
+		Done   bool          `json:"Done"`
+		Status int           `json:"Status"`
+		Body   []byte        `json:"Body"`
+		Retry  time.Duration `json:"Retry"`
 	}
 	// ServerLink is a connection to a worker node: idle, or with an attempt.
 	ServerLink struct {
-		Host           string
-		State          int
-		Query          uint64 // of the attempt; 0: none
-		Attempt        int
-		Stage          ledger.Stage
-		In, Out        []byte
-		Rested, IdleAt time.Duration
+		Host    string        `json:"Host"`
+		State   int           `json:"State"`
+		Query   uint64        `json:"Query"` // of the attempt; 0: none
+		Attempt int           `json:"Attempt"`
+		Stage   ledger.Stage  `json:"Stage"`
+		In      []byte        `json:"In"`
+		Out     []byte        `json:"Out"`
+		Rested  time.Duration `json:"Rested"`
+		IdleAt  time.Duration `json:"IdleAt"`
 	}
 	// End counts the frames since KindBegin, itself left out.
-	End struct{ Frames int }
+	End struct {
+		Frames int `json:"Frames"`
+	}
 )
 
 // Frame is one of them. Its body lies in the bytes that were read.
--- a/logic/api.go
+++ b/logic/api.go
@@ -88,20 +88,21 @@
 // Event is something the dispatcher is told.
 type Event interface{ event() }
 
-// Worker is one entry of a worker list.
+// Worker is one entry of a worker list. Captures hold it under the names in the tags.
 type Worker struct {
-	ID     uint64
-	Kind   int
-	Ready  bool // false: draining
-	Gone   bool
-	Size   float64 // for comparison with other workers' figures; 0: unknown
-	Cell   int
-	Zone   int
-	BootAt time.Duration // latest start; 0: long past
+	ID     uint64        `json:"ID"`
+	Kind   int           `json:"Kind"`
+	Ready  bool          `json:"Ready"` // false: draining
+	Gone   bool          `json:"Gone"`
+	Size   float64       `json:"Size"` // for comparison with other workers' figures; 0: unknown
+	Cell   int           `json:"Cell"`
+	Zone   int           `json:"Zone"`
+	BootAt time.Duration `json:"BootAt"` // latest start; 0: long past
 	// Rank is this dispatcher's place, from 0, among the Of that may send it work while it is cold: few may where jobs
 	// are large, those of the lowest ranks, and one whose rank is Of or more may not at all. Of 0: all that share the
 	// workers may, in an order that follows from its id.
-	Rank, Of int
+	Rank int `json:"Rank"`
+	Of   int `json:"Of"`
 }
 
 // ListKind says what a WorkerList holds.
@@ -138,17 +139,18 @@
 		Workers    []Worker
 		Generation int64 // of the list, as discovery counts; 0: not told
 	}
-	// Job arrives and is owed exactly one final answer within Left.
+	// Job arrives and is owed exactly one final answer within Left. Captures and hand-overs hold it under the names in
+	// the tags.
 	Job struct {
-		ID     uint64
-		Class  int
-		Tenant int
-		Key    uint64 // 0: none
-		Left   time.Duration
-		Hint   time.Duration // expected work on a standard core; 0: unknown
-		Slots  float64
-		Memory float64 // in units of one slot's memory
-		Retry  bool
+		ID     uint64        `json:"ID"`
+		Class  int           `json:"Class"`
+		Tenant int           `json:"Tenant"`
+		Key    uint64        `json:"Key"` // 0: none
+		Left   time.Duration `json:"Left"`
+		Hint   time.Duration `json:"Hint"` // expected work on a standard core; 0: unknown
+		Slots  float64       `json:"Slots"`
+		Memory float64       `json:"Memory"` // in units of one slot's memory
+		Retry  bool          `json:"Retry"`
 	}
 	// Outcome ends one attempt. Closed is set once the job has had its final answer.
 	Outcome struct {
