--- a/cmd/covelab/common.go
+++ b/cmd/covelab/common.go
@@ -59,16 +59,16 @@
 
 // subject is what a play is played with, as flags say it.
 type subject struct {
-	Policy string   `help:"Policy: logic, or a yardstick; +aperture behind it narrows what its schedulers look at, with keys as in logic+aperture:least=20:cover=3. Virtual only." default:"logic"`
-	Set    []string `help:"Change a key of the scenario, as in load.of=0.7; may be given again." sep:"none" placeholder:"KEY=VALUE"`
-	Binary string   `help:"The scheduler's program; live only. Default: valvecove beside this one, or else built." type:"path"`
+	Policy string   `name:"policy" help:"Policy: logic, or a yardstick; +aperture behind it narrows what its schedulers look at, with keys as in logic+aperture:least=20:cover=3. Virtual only." default:"logic"`
+	Set    []string `name:"set" help:"Change a key of the scenario, as in load.of=0.7; may be given again." sep:"none" placeholder:"KEY=VALUE"`
+	Binary string   `name:"binary" help:"The scheduler's program; live only. Default: valvecove beside this one, or else built." type:"path"`
 }
 
 // seeds are the plays of an experiment.
 type seeds struct {
-	Seeds int    `help:"Plays of each kind, on seeds that follow each other." default:"10"`
-	First uint64 `help:"The first seed." default:"1"`
-	At    int    `help:"Plays at once; 0: as many as there are processors, live always one." default:"0"`
+	Seeds int    `name:"seeds" help:"Plays of each kind, on seeds that follow each other." default:"10"`
+	First uint64 `name:"first" help:"The first seed." default:"1"`
+	At    int    `name:"at" help:"Plays at once; 0: as many as there are processors, live always one." default:"0"`
 }
 
 func (o *seeds) list() []uint64 { return experiment.Seeds(o.First, max(1, o.Seeds)) }
--- a/cmd/covelab/experiments.go
+++ b/cmd/covelab/experiments.go
@@ -19,16 +19,16 @@
 )
 
 type compare struct {
-	Scenarios []string `arg:"" optional:"" help:"Names or files; none: the library."`
-	Driver    string   `help:"virtual or live." enum:"virtual,live" default:"virtual"`
-	A         string   `help:"One side: a policy, or (live) a scheduler's program." default:"logic"`
-	B         string   `help:"The other side; the same kinds." default:""`
-	ASet      []string `help:"Change a key of the scenario for A." sep:"none" placeholder:"KEY=VALUE"`
-	BSet      []string `help:"Change a key of the scenario for B." sep:"none" placeholder:"KEY=VALUE"`
-	ALab      string   `help:"A is played by another build's covelab." type:"existingfile"`
-	BLab      string   `help:"B is played by another build's covelab." type:"existingfile"`
+	Scenarios []string `arg:"" name:"scenarios" optional:"" help:"Names or files; none: the library."`
+	Driver    string   `name:"driver" help:"virtual or live." enum:"virtual,live" default:"virtual"`
+	A         string   `name:"a" help:"One side: a policy, or (live) a scheduler's program." default:"logic"`
+	B         string   `name:"b" help:"The other side; the same kinds." default:""`
+	ASet      []string `name:"a-set" help:"Change a key of the scenario for A." sep:"none" placeholder:"KEY=VALUE"`
+	BSet      []string `name:"b-set" help:"Change a key of the scenario for B." sep:"none" placeholder:"KEY=VALUE"`
+	ALab      string   `name:"a-lab" help:"A is played by another build's covelab." type:"existingfile"`
+	BLab      string   `name:"b-lab" help:"B is played by another build's covelab." type:"existingfile"`
 	JSON      string   `name:"json" help:"Write all as JSON to a file, or to standard output for -." placeholder:"FILE"`
-	Report    string   `help:"Write a page of HTML for each scenario into this folder." type:"path" placeholder:"DIR"`
+	Report    string   `name:"report" help:"Write a page of HTML for each scenario into this folder." type:"path" placeholder:"DIR"`
 	seeds
 }
 
@@ -118,13 +118,13 @@
 }
 
 type sweep struct {
-	Scenario string `arg:"" help:"Name, file or -."`
-	Vary     string `help:"The key and its values: load.of=0.3,0.5,0.7 or load.of=0.2..1.2/11." required:""`
-	Curves   string `help:"A second key; a curve for each of its values."`
-	Figure   string `help:"The figure that is drawn." default:"mix"`
-	Driver   string `help:"virtual or live." enum:"virtual,live" default:"virtual"`
+	Scenario string `arg:"" name:"scenario" help:"Name, file or -."`
+	Vary     string `name:"vary" help:"The key and its values: load.of=0.3,0.5,0.7 or load.of=0.2..1.2/11." required:""`
+	Curves   string `name:"curves" help:"A second key; a curve for each of its values."`
+	Figure   string `name:"figure" help:"The figure that is drawn." default:"mix"`
+	Driver   string `name:"driver" help:"virtual or live." enum:"virtual,live" default:"virtual"`
 	JSON     string `name:"json" help:"Write all as JSON to a file, or to standard output for -." placeholder:"FILE"`
-	Report   string `help:"Write a page of HTML into this folder." type:"path" placeholder:"DIR"`
+	Report   string `name:"report" help:"Write a page of HTML into this folder." type:"path" placeholder:"DIR"`
 	subject
 	seeds
 }
@@ -186,15 +186,15 @@
 }
 
 type hunt struct {
-	For    time.Duration `help:"Hunt for so long." default:"1m"`
-	Most   int           `help:"At most so many plays; 0: as many as there is time for." default:"0"`
-	Seed   uint64        `help:"Seed of the draws." default:"1"`
-	Keep   int           `help:"Keep so many of the worst." default:"8"`
-	Out    string        `help:"Keep them in this folder, as scenario files to be played by play --from." type:"path" placeholder:"DIR"`
-	At     int           `help:"Plays at once; 0: as many as there are processors." default:"0"`
-	Policy string        `help:"Policy that is hunted." default:"logic"`
-	Top    string        `help:"Yardstick that it is held against." default:"all-seeing"`
-	Starve bool          `help:"Hunt for tries that wait or are refused while worker nodes are idle; no yardstick is played."`
+	For    time.Duration `name:"for" help:"Hunt for so long." default:"1m"`
+	Most   int           `name:"most" help:"At most so many plays; 0: as many as there is time for." default:"0"`
+	Seed   uint64        `name:"seed" help:"Seed of the draws." default:"1"`
+	Keep   int           `name:"keep" help:"Keep so many of the worst." default:"8"`
+	Out    string        `name:"out" help:"Keep them in this folder, as scenario files to be played by play --from." type:"path" placeholder:"DIR"`
+	At     int           `name:"at" help:"Plays at once; 0: as many as there are processors." default:"0"`
+	Policy string        `name:"policy" help:"Policy that is hunted." default:"logic"`
+	Top    string        `name:"top" help:"Yardstick that it is held against." default:"all-seeing"`
+	Starve bool          `name:"starve" help:"Hunt for tries that wait or are refused while worker nodes are idle; no yardstick is played."`
 }
 
 // Run hunts.
@@ -239,12 +239,12 @@
 	"errors", "eid_swell"}
 
 type agree struct {
-	Scenarios []string `arg:"" optional:"" help:"Names or files; none: ten of the library."`
-	Seeds     int      `help:"Live plays of each." default:"3"`
-	First     uint64   `help:"The first seed." default:"1"`
-	More      int      `help:"Further plays in virtual time, for its spread." default:"27"`
-	At        int      `help:"Live plays at once; those that were late are void." default:"1"`
-	Binary    string   `help:"The scheduler's program." type:"path"`
+	Scenarios []string `arg:"" name:"scenarios" optional:"" help:"Names or files; none: ten of the library."`
+	Seeds     int      `name:"seeds" help:"Live plays of each." default:"3"`
+	First     uint64   `name:"first" help:"The first seed." default:"1"`
+	More      int      `name:"more" help:"Further plays in virtual time, for its spread." default:"27"`
+	At        int      `name:"at" help:"Live plays at once; those that were late are void." default:"1"`
+	Binary    string   `name:"binary" help:"The scheduler's program." type:"path"`
 	JSON      string   `name:"json" help:"Write all as JSON to a file, or to standard output for -." placeholder:"FILE"`
 }
 
@@ -285,11 +285,11 @@
 }
 
 type yardsticks struct {
-	Scenarios []string `arg:"" optional:"" help:"Names or files; none: the library."`
-	Fleets    []int    `help:"Instead: the calm and the busy play at these numbers of worker nodes." placeholder:"N,N"`
-	Jobs      float64  `help:"With --fleets: jobs of each play." default:"20000"`
-	Policies  []string `help:"Policies; none: all." placeholder:"NAME,NAME"`
-	Figure    string   `help:"The figure that is shown." default:"mix"`
+	Scenarios []string `arg:"" name:"scenarios" optional:"" help:"Names or files; none: the library."`
+	Fleets    []int    `name:"fleets" help:"Instead: the calm and the busy play at these numbers of worker nodes." placeholder:"N,N"`
+	Jobs      float64  `name:"jobs" help:"With --fleets: jobs of each play." default:"20000"`
+	Policies  []string `name:"policies" help:"Policies; none: all." placeholder:"NAME,NAME"`
+	Figure    string   `name:"figure" help:"The figure that is shown." default:"mix"`
 	JSON      string   `name:"json" help:"Write all as JSON to a file, or to standard output for -." placeholder:"FILE"`
 	seeds
 }
@@ -350,11 +350,11 @@
 }
 
 type speed struct {
-	Scenario string  `arg:"" optional:"" help:"Name or file." default:"calm"`
-	Fleets   []int   `help:"Numbers of worker nodes." default:"10,100,1000,10000"`
-	Jobs     float64 `help:"Jobs of each play." default:"100000"`
-	Policy   string  `help:"Policy." default:"logic"`
-	Runs     int     `help:"Plays of each, of which the median counts." default:"3"`
+	Scenario string  `arg:"" name:"scenario" optional:"" help:"Name or file." default:"calm"`
+	Fleets   []int   `name:"fleets" help:"Numbers of worker nodes." default:"10,100,1000,10000"`
+	Jobs     float64 `name:"jobs" help:"Jobs of each play." default:"100000"`
+	Policy   string  `name:"policy" help:"Policy." default:"logic"`
+	Runs     int     `name:"runs" help:"Plays of each, of which the median counts." default:"3"`
 }
 
 // Run measures it, on one core.
@@ -390,8 +390,8 @@
 }
 
 type mutants struct {
-	Names []string `arg:"" optional:"" help:"Of seeded faults; none: all."`
-	Seeds int      `help:"Plays of each." default:"1"`
+	Names []string `arg:"" name:"names" optional:"" help:"Of seeded faults; none: all."`
+	Seeds int      `name:"seeds" help:"Plays of each." default:"1"`
 }
 
 // Run plays them, and says whether each was found by its rule.
@@ -448,7 +448,7 @@
 }
 
 type check struct {
-	Files []string `arg:"" help:"Scenario files."`
+	Files []string `arg:"" name:"files" help:"Scenario files."`
 }
 
 // Run checks files, all of them.
--- a/cmd/covelab/fleet.go
+++ b/cmd/covelab/fleet.go
@@ -16,26 +16,26 @@
 
 // fleetTable measures schedulers before large fleets, and is the processes that it starts for that.
 type fleetTable struct {
-	Nodes      []int         `help:"Worker nodes." default:"10,100,1000,3000"`
-	Notices    []string      `help:"Whether worker nodes tell of starts." enum:"on,off" default:"on,off"`
-	Hints      []string      `help:"Factors that hints of the work are wrong by: 1, 1/30, 30; none: no hints." default:"1,1/30,30"`
-	Binary     []string      `help:"The scheduler's program, as PATH or NAME=PATH; may be given again. Default: valvecove beside this one, or else built." sep:"none" placeholder:"NAME=PATH"`
-	Yardsticks []string      `help:"Also played at each number of worker nodes: the reverse proxy, and clients that ask worker nodes directly. none: neither." enum:"proxy,direct,none" default:"proxy,direct"`
-	For        time.Duration `help:"How long is measured." default:"10s"`
-	Warm       time.Duration `help:"And what goes before that." default:"3s"`
-	Runs       int           `help:"Plays of each row." default:"1"`
-	Clients    int           `help:"Clients that each wait for their answer." default:"200"`
-	Work       time.Duration `help:"What a job takes." default:"20ms"`
-	Burst      int           `help:"So many further jobs in the first second, while the whole list arrives; nothing is warm then." default:"0"`
+	Nodes      []int         `name:"nodes" help:"Worker nodes." default:"10,100,1000,3000"`
+	Notices    []string      `name:"notices" help:"Whether worker nodes tell of starts." enum:"on,off" default:"on,off"`
+	Hints      []string      `name:"hints" help:"Factors that hints of the work are wrong by: 1, 1/30, 30; none: no hints." default:"1,1/30,30"`
+	Binary     []string      `name:"binary" help:"The scheduler's program, as PATH or NAME=PATH; may be given again. Default: valvecove beside this one, or else built." sep:"none" placeholder:"NAME=PATH"`
+	Yardsticks []string      `name:"yardsticks" help:"Also played at each number of worker nodes: the reverse proxy, and clients that ask worker nodes directly. none: neither." enum:"proxy,direct,none" default:"proxy,direct"`
+	For        time.Duration `name:"for" help:"How long is measured." default:"10s"`
+	Warm       time.Duration `name:"warm" help:"And what goes before that." default:"3s"`
+	Runs       int           `name:"runs" help:"Plays of each row." default:"1"`
+	Clients    int           `name:"clients" help:"Clients that each wait for their answer." default:"200"`
+	Work       time.Duration `name:"work" help:"What a job takes." default:"20ms"`
+	Burst      int           `name:"burst" help:"So many further jobs in the first second, while the whole list arrives; nothing is warm then." default:"0"`
 	Restart    bool          `name:"restart-third" help:"A third of the worker nodes restart within 10 s."`
-	Silent     float64       `help:"This part of the worker nodes, all in one place, is silent for a third of the time." default:"0"`
-	Freeze     time.Duration `help:"The scheduler is stopped for so long." default:"0s"`
-	Seconds    bool          `help:"Also print what was served second by second. So it is with any of the four above."`
+	Silent     float64       `name:"silent" help:"This part of the worker nodes, all in one place, is silent for a third of the time." default:"0"`
+	Freeze     time.Duration `name:"freeze" help:"The scheduler is stopped for so long." default:"0s"`
+	Seconds    bool          `name:"seconds" help:"Also print what was served second by second. So it is with any of the four above."`
 	JSON       string        `name:"json" help:"Write all figures as JSON to a file, or to standard output for -, with nothing else there." placeholder:"FILE"`
-	With       []string      `help:"Take in the plays of an earlier --json FILE; may be given again. With --runs=0 nothing is played." sep:"none" placeholder:"FILE" type:"existingfile"`
-	Logs       string        `help:"Keep schedulers' configurations and logs under this folder." type:"path"`
-	Seed       uint64        `help:"Seed of ids." default:"1"`
-	As         string        `hidden:"" enum:",rig,proxy" default:"" help:"Be one of the processes that this starts, as standard input says."`
+	With       []string      `name:"with" help:"Take in the plays of an earlier --json FILE; may be given again. With --runs=0 nothing is played." sep:"none" placeholder:"FILE" type:"existingfile"`
+	Logs       string        `name:"logs" help:"Keep schedulers' configurations and logs under this folder." type:"path"`
+	Seed       uint64        `name:"seed" help:"Seed of ids." default:"1"`
+	As         string        `name:"as" hidden:"" enum:",rig,proxy" default:"" help:"Be one of the processes that this starts, as standard input says."`
 }
 
 // Help is what its help adds.
--- a/cmd/covelab/load.go
+++ b/cmd/covelab/load.go
@@ -9,12 +9,12 @@
 )
 
 type load struct {
-	Target string        `help:"Address and port on 127.0.0.0/8; empty: a responder of the lab's own, which answers all at once." default:""`
-	Rate   float64       `help:"Requests a second." default:"30000"`
-	Conns  int           `help:"Connections." default:"256"`
-	Cores  int           `help:"Threads that make the load." default:"2"`
-	For    time.Duration `help:"How long requests fall due." default:"10s"`
-	Seed   uint64        `help:"Seed of the moments." default:"1"`
+	Target string        `name:"target" help:"Address and port on 127.0.0.0/8; empty: a responder of the lab's own, which answers all at once." default:""`
+	Rate   float64       `name:"rate" help:"Requests a second." default:"30000"`
+	Conns  int           `name:"conns" help:"Connections." default:"256"`
+	Cores  int           `name:"cores" help:"Threads that make the load." default:"2"`
+	For    time.Duration `name:"for" help:"How long requests fall due." default:"10s"`
+	Seed   uint64        `name:"seed" help:"Seed of the moments." default:"1"`
 }
 
 // Run puts the load on, and shows latency from when requests were due.
--- a/cmd/covelab/main.go
+++ b/cmd/covelab/main.go
@@ -25,20 +25,20 @@
 
 // commands are the command line.
 type commands struct {
-	Demo       demo       `cmd:"" help:"Bring up discovery, worker nodes, a scheduler and clients, kill a worker node on the way, and judge."`
-	Play       play       `cmd:"" help:"Play a scenario once, judge it, and show its figures."`
-	Compare    compare    `cmd:"" help:"Play two builds, configurations or policies in the same plays, paired by seed."`
-	Sweep      sweep      `cmd:"" help:"Play a scenario with one key, or two, taking several values."`
-	Hunt       hunt       `cmd:"" help:"Draw scenarios and faults at random, and keep the plays that go worst, shrunk."`
-	Agree      agree      `cmd:"" help:"Play scenarios with both drivers, and set them side by side."`
-	Yardsticks yardsticks `cmd:"" help:"Hold the module against reference policies, scenario by scenario."`
-	Speed      speed      `cmd:"" help:"Measure how fast virtual time runs on one core, by fleet."`
-	Load       load       `cmd:"" help:"Put an open load on an address, or on a responder of the lab's own."`
-	Fleet      fleetTable `cmd:"" help:"Measure a scheduler before large fleets on sockets, beside the standard library's reverse proxy."`
-	Mutants    mutants    `cmd:"" help:"Play each seeded fault, and say whether the judge finds it."`
-	List       list       `cmd:"" help:"List the scenarios of the library."`
-	Check      check      `cmd:"" help:"Check scenario files."`
-	Version    version    `cmd:"" help:"Say which build this is."`
+	Demo       demo       `cmd:"" name:"demo" help:"Bring up discovery, worker nodes, a scheduler and clients, kill a worker node on the way, and judge."`
+	Play       play       `cmd:"" name:"play" help:"Play a scenario once, judge it, and show its figures."`
+	Compare    compare    `cmd:"" name:"compare" help:"Play two builds, configurations or policies in the same plays, paired by seed."`
+	Sweep      sweep      `cmd:"" name:"sweep" help:"Play a scenario with one key, or two, taking several values."`
+	Hunt       hunt       `cmd:"" name:"hunt" help:"Draw scenarios and faults at random, and keep the plays that go worst, shrunk."`
+	Agree      agree      `cmd:"" name:"agree" help:"Play scenarios with both drivers, and set them side by side."`
+	Yardsticks yardsticks `cmd:"" name:"yardsticks" help:"Hold the module against reference policies, scenario by scenario."`
+	Speed      speed      `cmd:"" name:"speed" help:"Measure how fast virtual time runs on one core, by fleet."`
+	Load       load       `cmd:"" name:"load" help:"Put an open load on an address, or on a responder of the lab's own."`
+	Fleet      fleetTable `cmd:"" name:"fleet" help:"Measure a scheduler before large fleets on sockets, beside the standard library's reverse proxy."`
+	Mutants    mutants    `cmd:"" name:"mutants" help:"Play each seeded fault, and say whether the judge finds it."`
+	List       list       `cmd:"" name:"list" help:"List the scenarios of the library."`
+	Check      check      `cmd:"" name:"check" help:"Check scenario files."`
+	Version    version    `cmd:"" name:"version" help:"Say which build this is."`
 }
 
 const about = `The lab of valvecove. SCENARIO is a name of the library ("covelab list"), a file, or - for standard input.
--- a/cmd/covelab/play.go
+++ b/cmd/covelab/play.go
@@ -20,7 +20,7 @@
 // output is where a play's report goes.
 type output struct {
 	JSON   string `name:"json" help:"Write all figures as JSON to a file, or to standard output for -, with nothing else there." placeholder:"FILE" optional:""`
-	Report string `help:"Write the report into this folder: index.html, which needs no network, figures.json and scenario.toml." placeholder:"DIR" type:"path"`
+	Report string `name:"report" help:"Write the report into this folder: index.html, which needs no network, figures.json and scenario.toml." placeholder:"DIR" type:"path"`
 }
 
 func (o *output) write(p *experiment.Played, s *streams) error {
@@ -93,14 +93,14 @@
 }
 
 type play struct {
-	Scenario string `arg:"" optional:"" help:"Name, file or -."`
-	From     string `help:"Play a kept file again, exactly: with the seed that it names." placeholder:"FILE" type:"existingfile"`
-	Driver   string `help:"virtual or live." enum:"virtual,live" default:"virtual"`
-	Seed     uint64 `help:"Seed; 0: that of the scenario, or else 1." default:"0"`
-	Mutant   string `help:"Put a seeded fault before each scheduler; virtual only. See covelab mutants."`
-	Starve   bool   `help:"Look for tries that wait or are refused while worker nodes are idle."`
-	Quiet    bool   `short:"q" help:"No progress."`
-	Logs     string `help:"Keep the schedulers' configuration and logs in this folder; live only." type:"path"`
+	Scenario string `arg:"" name:"scenario" optional:"" help:"Name, file or -."`
+	From     string `name:"from" help:"Play a kept file again, exactly: with the seed that it names." placeholder:"FILE" type:"existingfile"`
+	Driver   string `name:"driver" help:"virtual or live." enum:"virtual,live" default:"virtual"`
+	Seed     uint64 `name:"seed" help:"Seed; 0: that of the scenario, or else 1." default:"0"`
+	Mutant   string `name:"mutant" help:"Put a seeded fault before each scheduler; virtual only. See covelab mutants."`
+	Starve   bool   `name:"starve" help:"Look for tries that wait or are refused while worker nodes are idle."`
+	Quiet    bool   `name:"quiet" short:"q" help:"No progress."`
+	Logs     string `name:"logs" help:"Keep the schedulers' configuration and logs in this folder; live only." type:"path"`
 	subject
 	output
 }
@@ -197,10 +197,10 @@
 }
 
 type demo struct {
-	Stay   bool   `help:"Keep everything up at the end, with lines to try, until interrupted."`
-	Binary string `help:"The scheduler's program. Default: valvecove beside this one, or else built." type:"path"`
-	Seed   uint64 `help:"Seed." default:"1"`
-	Length string `help:"How long jobs come for." default:"20s"`
+	Stay   bool   `name:"stay" help:"Keep everything up at the end, with lines to try, until interrupted."`
+	Binary string `name:"binary" help:"The scheduler's program. Default: valvecove beside this one, or else built." type:"path"`
+	Seed   uint64 `name:"seed" help:"Seed." default:"1"`
+	Length string `name:"length" help:"How long jobs come for." default:"20s"`
 	output
 }
 
--- a/cmd/valvecove/check.go
+++ b/cmd/valvecove/check.go
@@ -22,7 +22,7 @@
 )
 
 type check struct {
-	Platform string `placeholder:"FILE" help:"The platform's file, in place of the one that PROXY_CONFIG names."`
+	Platform string `name:"platform" placeholder:"FILE" help:"The platform's file, in place of the one that PROXY_CONFIG names."`
 }
 
 // Help is what its help adds.
--- a/cmd/valvecove/main.go
+++ b/cmd/valvecove/main.go
@@ -33,12 +33,12 @@
 `
 
 type commands struct {
-	Config string `placeholder:"FILE" help:"The operators' own file, which turns features on. Without it all are off."`
+	Config string `name:"config" placeholder:"FILE" help:"The operators' own file, which turns features on. Without it all are off."`
 
-	Serve   serve   `cmd:"" default:"1" help:"Serve until SIGTERM. This is also what no command means."`
-	Check   check   `cmd:"" help:"Read both configuration files, and say what is wrong or what serve would do."`
-	Replay  replay  `cmd:"" help:"Feed a capture to the decision module again and print each difference."`
-	Version version `cmd:"" help:"Print the version."`
+	Serve   serve   `cmd:"" name:"serve" default:"1" help:"Serve until SIGTERM. This is also what no command means."`
+	Check   check   `cmd:"" name:"check" help:"Read both configuration files, and say what is wrong or what serve would do."`
+	Replay  replay  `cmd:"" name:"replay" help:"Feed a capture to the decision module again and print each difference."`
+	Version version `cmd:"" name:"version" help:"Print the version."`
 }
 
 // process is what a command has of its process.
@@ -103,7 +103,7 @@
 }
 
 type replay struct {
-	Capture string `required:"" placeholder:"FILE" help:"The capture to replay."`
+	Capture string `name:"capture" required:"" placeholder:"FILE" help:"The capture to replay."`
 }
 
 // Help is what its help adds.
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -148,12 +148,12 @@
 	text, source := page(t, "lab.md"), page(t, "../cmd/covelab/main.go")
 	_, source, _ = strings.Cut(source, "type commands struct {")
 	source, _, _ = strings.Cut(source, "\n}")
-	found := regexp.MustCompile(`(?m)^\t([A-Z]\w+) +\w+ +.cmd:"`).FindAllStringSubmatch(source, -1)
+	found := regexp.MustCompile(`(?m)^\t[A-Z]\w+ +\w+ +.cmd:""(?: name:"([a-z]+)")?`).FindAllStringSubmatch(source, -1)
 	if len(found) < 10 {
 		t.Fatalf("%d commands found", len(found))
 	}
 	for _, m := range found {
-		if name := strings.ToLower(m[1]); !strings.Contains(text, "\n### covelab "+name+"\n") {
+		if name := m[1]; name == "" || !strings.Contains(text, "\n### covelab "+name+"\n") {
 			t.Errorf("lab.md has no part on covelab %s", name)
 		}
 	}
