--- a/internal/storedform/storedform.go
+++ b/internal/storedform/storedform.go
@@ -17,8 +17,11 @@
 // Untagged walks the types of the roots, and all types that encoding reaches from them. It lists each exported field
 // without a name in a json tag, as a rename would change what is written, and each field whose type says nothing of what
 // is written there, as an interface does. A field that is tagged "-" is none of the form.
-func Untagged(roots ...any) []string {
-	w := walk{seen: map[reflect.Type]bool{}}
+func Untagged(roots ...any) []string { return UntaggedBy("json", roots...) }
+
+// UntaggedBy is Untagged for another reader's tags, such as toml, or name for those of the command line.
+func UntaggedBy(key string, roots ...any) []string {
+	w := walk{key: key, seen: map[reflect.Type]bool{}}
 	for _, root := range roots {
 		w.visit(reflect.TypeOf(root), "a root")
 	}
@@ -28,12 +31,19 @@
 // CheckTags fails a test for what Untagged lists.
 func CheckTags(t testing.TB, roots ...any) {
 	t.Helper()
-	for _, fault := range Untagged(roots...) {
+	CheckTagsBy(t, "json", roots...)
+}
+
+// CheckTagsBy fails a test for what UntaggedBy lists.
+func CheckTagsBy(t testing.TB, key string, roots ...any) {
+	t.Helper()
+	for _, fault := range UntaggedBy(key, roots...) {
 		t.Error(fault)
 	}
 }
 
 type walk struct {
+	key    string // of the tags
 	seen   map[reflect.Type]bool
 	faults []string
 }
@@ -68,13 +78,13 @@
 func (w *walk) fields(t reflect.Type) {
 	for i := range t.NumField() {
 		field := t.Field(i)
-		name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
+		name, _, _ := strings.Cut(field.Tag.Get(w.key), ",")
 		embedded := field.Anonymous && name == ""
 		switch {
-		case !field.IsExported() && !embedded, field.Tag.Get("json") == "-":
+		case !field.IsExported() && !embedded, field.Tag.Get(w.key) == "-":
 			continue
 		case name == "" && !embedded:
-			w.faults = append(w.faults, fmt.Sprintf("%v.%s: no name in a json tag", t, field.Name))
+			w.faults = append(w.faults, fmt.Sprintf("%v.%s: no name in a %s tag", t, field.Name, w.key))
 		}
 		w.visit(field.Type, fmt.Sprintf("%v.%s", t, field.Name))
 	}
--- a/internal/storedform/storedform_test.go
+++ b/internal/storedform/storedform_test.go
@@ -41,6 +41,25 @@
 	}
 }
 
+type base struct{ Bare int }
+
+type options struct {
+	base                  // its fields are promoted, though it is not exported
+	List    []base        `name:"list"`
+	Wait    time.Duration `name:"wait"`
+	At      time.Time     `name:"at"` // which has a form of its own
+	Unnamed int           `json:"unnamed" name:""`
+	Out     outer         `name:"-"`
+}
+
+// So it is by the tags of another reader, and an embedded struct's fields count though its type is not exported.
+func TestUntaggedBy(t *testing.T) {
+	want := []string{"storedform.base.Bare: no name in a name tag", "storedform.options.Unnamed: no name in a name tag"}
+	if got := UntaggedBy("name", []options{}); !slices.Equal(got, want) {
+		t.Errorf("%q, expected %q", got, want)
+	}
+}
+
 func TestZero(t *testing.T) {
 	value := outer{Embedded: Embedded{"b"}, List: []inner{{Named: 1, hidden: 1}}, Raw: json.RawMessage("1")}
 	want := []string{"storedform.outer.List[0].Unnamed", "storedform.outer.Table", "storedform.outer.Any", "storedform.outer.Itself"}
