--- a/cmd/valvecove/replace_test.go
+++ b/cmd/valvecove/replace_test.go
@@ -23,8 +23,16 @@
 const settings = `{"classes":[{"name":"pay","promise":30000000,"give_up":60000000,"idempotency":"side_effect"}],
 "discovery":"subscribe","domain":{"tells_start":true,"class_stretch":[2]},"bounds":{"try_limit":3,"connect_timeout":250000}}`
 
-func launch(t *testing.T, p *plant.Plant, dir string) *plant.Process {
-	s, err := p.Start(os.Args[:1], []string{"VALVECOVE_SERVES=1"}, t.TempDir(), dir, settings)
+// thisTest names the test's own program in place of a scheduler's file.
+const thisTest = ""
+
+// launch starts a scheduler from a file, or from the test's own program.
+func launch(t *testing.T, p *plant.Plant, dir, file string) *plant.Process {
+	command, env := []string{file, "serve"}, []string(nil)
+	if file == thisTest {
+		command, env = os.Args[:1], []string{"VALVECOVE_SERVES=1"}
+	}
+	s, err := p.Start(command, env, t.TempDir(), dir, settings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,11 +60,29 @@
 // the process which sent them and whose nodes tell the next; a worker node taken out by a call to the process that stands
 // by is sent nothing more, whoever serves, until one call back.
 func TestReplacedUnderLoad(t *testing.T) {
-	t.Run("by a directory", func(t *testing.T) { replacedUnderLoad(t, t.TempDir()) })
-	t.Run("by a name", func(t *testing.T) { replacedUnderLoad(t, "") })
+	files := []string{thisTest, thisTest, thisTest, thisTest}
+	t.Run("by a directory", func(t *testing.T) { replacedUnderLoad(t, t.TempDir(), files) })
+	t.Run("by a name", func(t *testing.T) { replacedUnderLoad(t, "", files) })
+}
+
+// The same between the schedulers of two builds, in turns, so that each takes over from the other.
+// scripts/handover-between-builds builds them and names their files.
+func TestReplacedByOtherBuild(t *testing.T) {
+	before, after := os.Getenv("VALVECOVE_BEFORE"), os.Getenv("VALVECOVE_AFTER")
+	if before == "" || after == "" {
+		t.Skip("VALVECOVE_BEFORE and VALVECOVE_AFTER name no files; run scripts/handover-between-builds")
+	}
+	for name, files := range map[string][]string{
+		"the earlier build first": {before, after, before, after},
+		"the later build first":   {after, before, after, before},
+	} {
+		t.Run(name+", by a directory", func(t *testing.T) { replacedUnderLoad(t, t.TempDir(), files) })
+		t.Run(name+", by a name", func(t *testing.T) { replacedUnderLoad(t, "", files) })
+	}
 }
 
-func replacedUnderLoad(t *testing.T, dir string) {
+// replacedUnderLoad starts a scheduler from the first file, and replaces it by those of the others, one after another.
+func replacedUnderLoad(t *testing.T, dir string, files []string) {
 	p, err := plant.New(3)
 	if err != nil {
 		t.Fatal(err)
@@ -68,7 +94,8 @@
 	var sent, answered atomic.Int64
 	var all sync.WaitGroup
 	stop := make(chan struct{})
-	now := launch(t, p, dir)
+	now := launch(t, p, dir, files[0])
+	served := []*plant.Process{now}
 	for c := range 12 {
 		client, err := p.Dial()
 		if err != nil {
@@ -103,8 +130,9 @@
 	}
 	more(50)
 	until(t, "a job at the first node", func() bool { return runs(0) > 0 })
-	for k := range 3 {
-		next := launch(t, p, dir)
+	for k, file := range files[1:] {
+		next := launch(t, p, dir, file)
+		served = append(served, next)
 		if k == 1 { // by a call to the process that does not serve
 			if next.Suspend("s-2") != 200 || next.Suspend("s-2") != 200 || next.Suspend("s-9") != 404 || now.Figure("hosts_down") != 1 {
 				t.Error("calls at a process that stands by")
@@ -141,4 +169,22 @@
 			}
 		}
 	}
+	for k, process := range served {
+		process.Kill() // the last one; its log is whole then, as are those of the others
+		checkHandOvers(t, process.Log.String(), k > 0, k < len(served)-1)
+	}
+}
+
+// checkHandOvers checks by a process's log that it took over and handed over what it should, all of it: to go on without
+// what was learnt, or without what was open, is a failure here, though clients may not notice.
+func checkHandOvers(t *testing.T, log string, tookOver, handedOver bool) {
+	for _, line := range []struct {
+		text string
+		want bool
+	}{{`msg="taken over"`, tookOver}, {`msg="handed over"`, handedOver}, {"of no use here", false}, {"serving without what it had", false},
+		{"begins anew", false}, {"panic", false}, {"level=ERROR", false}} {
+		if strings.Contains(log, line.text) != line.want {
+			t.Errorf("%q in the log: expected %v", line.text, line.want)
+		}
+	}
 }
