--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -8,8 +8,8 @@
 	"io"
 	"os"
 
+	"valvecove/dispatch"
 	"valvecove/internal/wire"
-	"valvecove/logic"
 )
 
 func main() {
@@ -22,8 +22,8 @@
 // run answers batches until the end of input.
 func run(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), wire.NewWriter(out)
-	instances := map[int]*logic.Dispatcher{}
-	pending := map[int][]logic.Event{}
+	instances := map[int]*dispatch.Dispatcher{}
+	pending := map[int][]dispatch.Event{}
 	var order []int // instances with events, in the order of their first
 	var batch wire.Batch
 	for {
@@ -39,7 +39,7 @@
 				delete(instances, e.Instance)
 				pending[e.Instance] = pending[e.Instance][:0]
 			case wire.KindStart:
-				instances[e.Instance] = logic.New(e.Settings, e.Seed)
+				instances[e.Instance] = dispatch.New(e.Settings, e.Seed)
 				pending[e.Instance] = pending[e.Instance][:0]
 			case wire.KindEvent:
 				if instances[e.Instance] == nil {
@@ -67,7 +67,7 @@
 }
 
 // step lets one instance act. A panic is reported on the wire and goes no further.
-func step(d *logic.Dispatcher, i int, batch wire.Batch, events []logic.Event, w *wire.Writer) {
+func step(d *dispatch.Dispatcher, i int, batch wire.Batch, events []dispatch.Event, w *wire.Writer) {
 	defer func() {
 		if p := recover(); p != nil {
 			w.Fault(i, fmt.Sprint(p))
--- a/cmd/valvecove/check.go
+++ b/cmd/valvecove/check.go
@@ -15,10 +15,10 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/dispatch"
 	"valvecove/internal/config"
 	"valvecove/internal/link"
 	"valvecove/internal/run"
-	"valvecove/logic"
 )
 
 type check struct {
@@ -119,8 +119,8 @@
 		watch = "subscribed to"
 	}
 	p.line("discovery", c.Discovery.String()+", "+watch)
-	if n := len(c.Known.Hosts); n > 0 {
-		p.line("known", fmt.Sprintf("%d worker nodes, generation %d", n, c.Known.Generation))
+	if n := len(c.Known.Endpoints); n > 0 {
+		p.line("known", fmt.Sprintf("%d worker nodes, generation %d", n, c.Known.Revision))
 	} else {
 		p.line("known", "no worker nodes: not ready until discovery answers")
 	}
@@ -131,16 +131,16 @@
 	p.line("memory", fmt.Sprintf("heap held to %d MB; client links' buffers %d MB, bodies of queries %d MB",
 		run.HeapLimit(c.Limits)>>20, s.Buffers>>20, s.Buffers>>20))
 	p.line("attempts", fmt.Sprintf("%d a query at most, connecting within %v, second copies %s, cancelling %s, probes %s",
-		c.Settings.TryLimit, c.Settings.ConnectTimeout, onOff(c.Settings.SecondCopies), onOff(c.Settings.Cancelling),
-		onOff(c.Settings.Probes)))
-	p.line("schedulers", fmt.Sprintf("number %d of %d, numbered from 0", c.Settings.Me, max(1, c.Settings.Replicas)))
+		c.Settings.AttemptLimit, c.Settings.ConnectTimeout, onOff(c.Settings.Hedging), onOff(c.Settings.Cancellation),
+		onOff(c.Settings.HealthChecks)))
+	p.line("schedulers", fmt.Sprintf("number %d of %d, numbered from 0", c.Settings.ReplicaIndex, max(1, c.Settings.Replicas)))
 	p.line("stop", fmt.Sprintf("%v after SIGTERM", run.KilledAfter(c.Settings)))
 	p.line("log", log(ops.Log))
 	p.line()
 	p.line("class", "effect", "aim", "stretch", "deadline", "worth", "late", "kinds", "zones")
 	for i, k := range c.Settings.Classes {
-		p.line(c.Settings.Names.Classes[i], effect(k), k.Aim.String(), number(k.Stretch), k.GiveUp.String(), number(k.Worth),
-			number(k.LateShare), names(k.Kinds, c.Settings.Names.Kinds), names(k.Zones, c.Settings.Names.Zones))
+		p.line(c.Settings.Names.Classes[i], effect(k), k.LatencyObjective.String(), number(k.ObjectiveStretch), k.ClientTimeout.String(), number(k.PriorityWeight),
+			number(k.LateValue), names(k.Kinds, c.Settings.Names.MachineTypes), names(k.Zones, c.Settings.Names.Zones))
 	}
 	p.line()
 	p.line("tenant", "quota a second")
@@ -187,12 +187,12 @@
 	}
 	if f := ops.Aperture; f != nil {
 		what["aperture"] = fmt.Sprintf("%d worker nodes at least, each at %d schedulers at least, up to %s times as many under "+
-			"load; fleets under %d whole", f.Least, f.Cover, number(f.Most), f.OffBelow)
+			"load; fleets under %d whole", f.MinWorkers, f.Coverage, number(f.MaxWidening), f.MinFleet)
 		switch {
 		case c.Settings.Replicas < 2:
 			what["aperture"] = "nothing to do, as there is one scheduler"
-		case !f.On(c.Settings.Replicas):
-			what["aperture"] = fmt.Sprintf("off, as there are %d schedulers, and it is from %d on", c.Settings.Replicas, f.From)
+		case !f.Enabled(c.Settings.Replicas):
+			what["aperture"] = fmt.Sprintf("off, as there are %d schedulers, and it is from %d on", c.Settings.Replicas, f.MinSchedulers)
 		}
 	}
 	for _, name := range []string{"status", "capture", "figures", "addresses", "aperture"} {
@@ -225,13 +225,13 @@
 }
 
 // effect says what running a query of the class twice does.
-func effect(c logic.Class) string {
-	switch c.Effect {
-	case logic.Safe:
+func effect(c dispatch.Class) string {
+	switch c.Idempotency {
+	case dispatch.Idempotent:
 		return "pure"
-	case logic.Keyed:
-		within := [...]string{logic.GroupCell: "cell", logic.GroupZone: "zone", logic.GroupAll: "all"}[c.Group]
-		return fmt.Sprintf("token (%s, %v)", within, c.Window.Round(time.Millisecond))
+	case dispatch.IdempotentWithKey:
+		within := [...]string{dispatch.ScopeCell: "cell", dispatch.ScopeZone: "zone", dispatch.ScopeAll: "all"}[c.DeduplicationScope]
+		return fmt.Sprintf("token (%s, %v)", within, c.DeduplicationWindow.Round(time.Millisecond))
 	}
 	return "never twice"
 }
--- a/logic/golden_test.go
+++ b/dispatch/golden_test.go
@@ -1,4 +1,4 @@
-package logic
+package dispatch
 
 import (
 	"bytes"
@@ -20,11 +20,11 @@
 
 func goldenSettings() Settings {
 	set := testSettings()
-	set.Classes[2].Effect, set.Classes[2].Group, set.Classes[2].Window = Keyed, GroupZone, 10*time.Second
+	set.Classes[2].Idempotency, set.Classes[2].DeduplicationScope, set.Classes[2].DeduplicationWindow = IdempotentWithKey, ScopeZone, 10*time.Second
 	set.TenantQuota = []float64{0, 40}
-	set.Probes, set.ProbePrice, set.CrossPrice = true, 0.01, 0.05
-	set.Cold, set.ColdFrom, set.Overload, set.OverloadSpan = 5*time.Second, 0.25, 2, time.Second
-	set.Progress, set.ConnIdle = 100*ms, 30*time.Second
+	set.HealthChecks, set.HealthCheckCost, set.CrossZoneCost = true, 0.01, 0.05
+	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 5*time.Second, 0.25, 2, time.Second
+	set.ProgressInterval, set.ConnIdleTimeout = 100*ms, 30*time.Second
 	set.MaxRetryAfter = 2 * time.Second
 	return set
 }
@@ -34,15 +34,15 @@
 // cold, and two rest.
 func goldenScene(t *testing.T) *scene {
 	s := newScene(t, goldenSettings())
-	list := WorkerList{Kind: ListFull, Generation: 42}
+	list := WorkerList{Kind: ListFull, Revision: 42}
 	for id := range uint64(8) {
 		list.Workers = append(list.Workers, Worker{ID: (id + 1) << 40, Kind: int(id % 2), Ready: id != 6, Size: 2 + float64(id%3),
 			Cell: int(id / 2), Zone: int(id / 4)})
 	}
 	list.Workers[7].BootAt = s.now - time.Second
-	list.Workers[5].Rank, list.Workers[5].Of = 1, 3
-	s.step(list, Shared{Of: 3, Me: 1, Part: 0.4})
-	s.step(Suspended{Worker: 3 << 40})
+	list.Workers[5].AssigneeRank, list.Workers[5].Assignees = 1, 3
+	s.step(list, ReplicasChanged{Replicas: 3, ReplicaIndex: 1, QuotaShare: 0.4})
+	s.step(Cordoned{Worker: 3 << 40})
 	job := func(id uint64, class int) Job {
 		j := s.job(id, class, time.Duration(20+5*(id%7))*ms)
 		j.Tenant, j.Key, j.Memory, j.Slots = int(id%2), id%5, 0.5, 1+float64(id%3)/2
@@ -58,7 +58,7 @@
 			case a.Job%37 == 5:
 				s.after(3*ms, s.done(a.Job, number, a.Worker, Failed))
 			case a.Job%41 == 6:
-				s.after(2*ms, s.done(a.Job, number, a.Worker, Full))
+				s.after(2*ms, s.done(a.Job, number, a.Worker, WorkerFull))
 			default:
 				s.after(2*ms, Started{Job: a.Job, Attempt: number, Worker: a.Worker})
 				s.after(span/2, Progressed{Job: a.Job, Attempt: number, Worker: a.Worker, Share: 0.5})
@@ -69,7 +69,7 @@
 		}
 		s.wait(9 * ms)
 	}
-	s.step(WorkerList{Kind: ListDelta, Generation: 43, Workers: []Worker{{ID: 9 << 40, Kind: 1, Ready: true, Zone: 1, Cell: 4, Size: 4,
+	s.step(WorkerList{Kind: ListDelta, Revision: 43, Workers: []Worker{{ID: 9 << 40, Kind: 1, Ready: true, Zone: 1, Cell: 4, Size: 4,
 		BootAt: s.now - 100*ms}}})
 	for ; id < 150; id++ { // of these some start, and nothing ends
 		s.step(job(id+1, int(id%3)))
@@ -84,8 +84,8 @@
 	large.Slots = 6
 	s.step(large)
 	s.wait(130 * ms)
-	s.step(ClientGone{Job: 125}, Resumed{Job: job(500, 0), Waited: 20 * ms, Counted: true,
-		Attempts: []Past{{Worker: 1 << 40, Ago: 15 * ms, Ended: true, Result: Reset}, {Worker: 2 << 40, Ago: 10 * ms, Began: 8 * ms}}})
+	s.step(ClientDisconnected{Job: 125}, JobResumed{Job: job(500, 0), Age: 20 * ms, QuotaCharged: true,
+		Attempts: []PastAttempt{{Worker: 1 << 40, SentAgo: 15 * ms, Ended: true, Result: ConnectionReset}, {Worker: 2 << 40, SentAgo: 10 * ms, StartedAgo: 8 * ms}}})
 	return s
 }
 
@@ -94,7 +94,7 @@
 func TestGoldenSnapshotIsWritten(t *testing.T) {
 	s := goldenScene(t)
 	storedform.CheckGolden(t, goldenSnapshot, s.d.Snapshot(nil))
-	storedform.CheckGolden(t, goldenLesson, s.d.Lesson(4000, nil))
+	storedform.CheckGolden(t, goldenLesson, s.d.ModelSnapshot(4000, nil))
 }
 
 // A snapshot of a build before is read, bit by bit, and what is restored goes on from it.
@@ -107,14 +107,14 @@
 	if again := d.Snapshot(nil); !bytes.Equal(again, state) {
 		t.Error("restored, it has another snapshot")
 	}
-	if len(d.jobs) != 68 || d.roll.n != 59 || len(d.workers) != 9 || len(d.keyWork) != 4 || d.now != time.Hour+1270*ms {
-		t.Errorf("%d jobs, %d held, %d workers, %d keys, at %v", len(d.jobs), d.roll.n, len(d.workers), len(d.keyWork), d.now)
+	if len(d.jobs) != 68 || d.queue.length != 59 || len(d.workers) != 9 || len(d.keyWork) != 4 || d.now != time.Hour+1270*ms {
+		t.Errorf("%d jobs, %d held, %d workers, %d keys, at %v", len(d.jobs), d.queue.length, len(d.workers), len(d.keyWork), d.now)
 	}
-	if d.shared != (Shared{Of: 3, Me: 1, Part: 0.4}) || len(d.banned) != 1 || d.banned[3<<40] != time.Hour {
-		t.Errorf("shared by %+v, out by hand %v", d.shared, d.banned)
+	if d.sharing != (ReplicasChanged{Replicas: 3, ReplicaIndex: 1, QuotaShare: 0.4}) || len(d.cordoned) != 1 || d.cordoned[3<<40] != time.Hour {
+		t.Errorf("shared by %+v, out by hand %v", d.sharing, d.cordoned)
 	}
-	if d.kept == nil || d.kept.ID != 1<<40 || d.keptFor.ID != 11 || d.keptFor.Slots != 2 {
-		t.Errorf("kept %+v for %+v", d.kept, d.keptFor)
+	if d.reserved == nil || d.reserved.ID != 1<<40 || d.reservedFor.ID != 11 || d.reservedFor.Slots != 2 {
+		t.Errorf("kept %+v for %+v", d.reserved, d.reservedFor)
 	}
 	started, unstarted, ended := 0, 0, 0
 	for _, j := range d.jobs {
@@ -132,8 +132,8 @@
 	if started != 5 || unstarted != 4 || ended != 5 {
 		t.Errorf("%d attempts have started, %d have not, %d have ended", started, unstarted, ended)
 	}
-	if j := d.jobs[500]; j == nil || len(j.attempts) != 2 || j.attempts[0].result != Reset || j.attempts[1].worker.ID != 2<<40 ||
-		!j.attempts[1].started || j.arrived != d.now-20*ms {
+	if j := d.jobs[500]; j == nil || len(j.attempts) != 2 || j.attempts[0].result != ConnectionReset || j.attempts[1].worker.ID != 2<<40 ||
+		!j.attempts[1].started || j.arrivedAt != d.now-20*ms {
 		t.Errorf("job 500: %+v", j)
 	}
 	for i, want := range []struct {
@@ -145,12 +145,12 @@
 		{ready: true, room: 4, used: 3, seen: 24, of: 4, out: 2}, {room: 1, of: 2}, {ready: true, room: 5.5, of: 3, cold: 4},
 		{ready: true, room: 1, of: 4}} {
 		w := d.workers[uint64(i+1)<<40]
-		if w == nil || w.Ready != want.ready || (w.restUntil > d.now) != want.resting || w.room != want.room || w.used != want.used ||
-			w.seen != want.seen || w.Size != want.of || len(w.out) != want.out || len(w.ledger) != want.cold {
+		if w == nil || w.Ready != want.ready || (w.backoffUntil > d.now) != want.resting || w.limit != want.room || w.usedSlots != want.used ||
+			w.runs != want.seen || w.Size != want.of || len(w.inFlight) != want.out || len(w.warmUpSpends) != want.cold {
 			t.Errorf("worker %d: %+v", i+1, w)
 		}
 	}
-	storedform.CheckGolden(t, goldenLesson, d.Lesson(4000, nil))
+	storedform.CheckGolden(t, goldenLesson, d.ModelSnapshot(4000, nil))
 	acts := d.Step(d.now+ms, []Event{Outcome{Job: 121, Worker: 6 << 40, Result: OK, Closed: true}}, nil)
 	if want := []Action{Send{Job: 144, Worker: 6 << 40}, Send{Job: 124, Worker: 6 << 40}}; !slices.Equal(acts, want) {
 		t.Errorf("it goes on with %+v, expected %+v", acts, want)
@@ -169,12 +169,12 @@
 	}
 	d := New(goldenSettings(), 1)
 	d.Step(time.Hour, []Event{list}, nil)
-	d.Step(time.Hour, []Event{Taught{Lesson: storedform.Golden(t, goldenLesson), Part: 1}}, nil)
-	j := &job{Job: Job{Slots: 1, Hint: 100 * ms}, class: &d.set.Classes[0]}
+	d.Step(time.Hour, []Event{ModelUpdate{Snapshot: storedform.Golden(t, goldenLesson), LoadShare: 1}}, nil)
+	j := &job{Job: Job{Slots: 1, Hint: 100 * ms}, class: &d.settings.Classes[0]}
 	if got, want := d.expectedWork(j), teacher.expectedWork(j); got != want || got == New(goldenSettings(), 1).expectedWork(j) {
 		t.Errorf("it expects %v, the teacher %v", got, want)
 	}
-	if *d.kinds[0] != *teacher.kinds[0] || *d.kinds[1] != *teacher.kinds[1] || d.kinds[1].seen != 47 || d.kinds[1].slots != 5 {
+	if *d.kinds[0] != *teacher.kinds[0] || *d.kinds[1] != *teacher.kinds[1] || d.kinds[1].runs != 47 || d.kinds[1].maxSlots != 5 {
 		t.Errorf("kinds %+v, %+v", d.kinds[0], d.kinds[1])
 	}
 	for _, want := range []struct {
@@ -182,8 +182,8 @@
 		seen, room float64
 	}{{1, 3, 2}, {2, 3, 5}, {3, 0, 1}, {4, 3, 2}, {5, 3, 5}, {6, 3, 4}, {7, 0, 1}, {8, 0, 5}} {
 		w := d.workers[want.worker<<40]
-		if off := math.Abs(w.speed - teacher.workers[w.ID].speed); want.seen > 0 && off > 1.0/speedSteps || w.seen != want.seen || w.room != want.room {
-			t.Errorf("worker %d: speed off by %v, seen %v, room %v", want.worker, off, w.seen, w.room)
+		if off := math.Abs(w.logSpeed - teacher.workers[w.ID].logSpeed); want.seen > 0 && off > 1.0/speedSteps || w.runs != want.seen || w.limit != want.room {
+			t.Errorf("worker %d: speed off by %v, seen %v, room %v", want.worker, off, w.runs, w.limit)
 		}
 	}
 }
--- a/logic/handover_test.go
+++ b/dispatch/handover_test.go
@@ -1,4 +1,4 @@
-package logic
+package dispatch
 
 import (
 	"fmt"
@@ -13,51 +13,53 @@
 // A resumed job goes on as it would have where it was: one that is out is not sent again, its outcome is known by its
 // number, and one that may have run goes only where rule 2 lets it.
 func TestResumed(t *testing.T) {
-	out := Past{Worker: 1, Ago: 100 * ms}
-	runs := Past{Worker: 1, Ago: 100 * ms, Began: 90 * ms}
-	ended := func(worker uint64, r Result) Past { return Past{Worker: worker, Ago: 100 * ms, Ended: true, Result: r} }
+	out := PastAttempt{Worker: 1, SentAgo: 100 * ms}
+	runs := PastAttempt{Worker: 1, SentAgo: 100 * ms, StartedAgo: 90 * ms}
+	ended := func(worker uint64, r Result) PastAttempt {
+		return PastAttempt{Worker: worker, SentAgo: 100 * ms, Ended: true, Result: r}
+	}
 	cases := []struct {
 		name  string
 		class int
-		pasts []Past
+		pasts []PastAttempt
 		want  string // of the step that resumes it
 		used  float64
 	}{
 		{"nothing was sent", 0, nil, "sent to 2", 1},
-		{"turned away before", 0, []Past{ended(1, Full)}, "sent to 2", 1},
-		{"out", 0, []Past{out}, "", 1},
-		{"runs", 0, []Past{ended(2, Full), runs}, "", 1},
-		{"out at a worker not known", 0, []Past{{Worker: 77}}, "", 1},
-		{"unsafe, out", 1, []Past{out}, "", 1},
-		{"unsafe, may have run", 1, []Past{ended(1, Reset)}, "failed", 0},
-		{"unsafe, never ran", 1, []Past{ended(1, NoConnect)}, "sent to 2", 1},
-		{"out of tries", 0, slices.Repeat([]Past{ended(1, Full)}, 5), "refused", 0},
-		{"of a group, at a worker not known", 2, []Past{ended(77, Reset)}, "", 0},
-		{"of a group, at one known", 2, []Past{ended(2, Reset)}, "sent to 2", 1},
+		{"turned away before", 0, []PastAttempt{ended(1, WorkerFull)}, "sent to 2", 1},
+		{"out", 0, []PastAttempt{out}, "", 1},
+		{"runs", 0, []PastAttempt{ended(2, WorkerFull), runs}, "", 1},
+		{"out at a worker not known", 0, []PastAttempt{{Worker: 77}}, "", 1},
+		{"unsafe, out", 1, []PastAttempt{out}, "", 1},
+		{"unsafe, may have run", 1, []PastAttempt{ended(1, ConnectionReset)}, "failed", 0},
+		{"unsafe, never ran", 1, []PastAttempt{ended(1, ConnectFailed)}, "sent to 2", 1},
+		{"out of tries", 0, slices.Repeat([]PastAttempt{ended(1, WorkerFull)}, 5), "refused", 0},
+		{"of a group, at a worker not known", 2, []PastAttempt{ended(77, ConnectionReset)}, "", 0},
+		{"of a group, at one known", 2, []PastAttempt{ended(2, ConnectionReset)}, "sent to 2", 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
-			set.Classes[2] = Class{Aim: 400 * ms, GiveUp: 5 * time.Second, Effect: Keyed, Group: GroupCell, Window: time.Minute, LateShare: 0.3}
+			set.Classes[2] = Class{LatencyObjective: 400 * ms, ClientTimeout: 5 * time.Second, Idempotency: IdempotentWithKey, DeduplicationScope: ScopeCell, DeduplicationWindow: time.Minute, LateValue: 0.3}
 			s := newScene(t, set)
 			s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 1, Cell: 1}, {ID: 2, Cell: 2, Ready: true}}})
 			s.take()
 			job := s.job(9, c.class, 300*ms)
 			s.jobs[9] = &sceneJob{Job: job}
-			s.step(Resumed{Job: job, Waited: 200 * ms, Attempts: c.pasts})
+			s.step(JobResumed{Job: job, Age: 200 * ms, Attempts: c.pasts})
 			got := ""
 			for _, a := range s.take() {
 				switch a := a.(type) {
 				case Send:
 					got = fmt.Sprintf("sent to %d", a.Worker)
-				case Refuse:
+				case Reject:
 					got = "refused"
 				case Fail:
 					got = "failed"
 				}
 			}
-			if got != c.want || s.d.used != c.used {
-				t.Fatalf("%q with %v in use, expected %q with %v", got, s.d.used, c.want, c.used)
+			if got != c.want || s.d.usedSlots != c.used {
+				t.Fatalf("%q with %v in use, expected %q with %v", got, s.d.usedSlots, c.want, c.used)
 			}
 			n := len(c.pasts)
 			if got != "" && got[0] == 's' {
@@ -66,10 +68,10 @@
 			} else if n > 0 && !c.pasts[n-1].Ended {
 				s.step(Started{Job: 9, Attempt: n - 1, Worker: c.pasts[n-1].Worker}, s.done(9, n-1, c.pasts[n-1].Worker, OK))
 			} else {
-				s.step(ClientGone{Job: 9})
+				s.step(ClientDisconnected{Job: 9})
 			}
-			if s.d.used != 0 || len(s.d.jobs) != 0 || len(s.d.workers) != 2 {
-				t.Errorf("in the end %v in use, %d jobs, %d workers", s.d.used, len(s.d.jobs), len(s.d.workers))
+			if s.d.usedSlots != 0 || len(s.d.jobs) != 0 || len(s.d.workers) != 2 {
+				t.Errorf("in the end %v in use, %d jobs, %d workers", s.d.usedSlots, len(s.d.jobs), len(s.d.workers))
 			}
 		})
 	}
@@ -81,19 +83,19 @@
 	s := newScene(t, testSettings())
 	s.workers(2)
 	s.busy(1)
-	s.d.workers[1].room = 1
+	s.d.workers[1].limit = 1
 	s.step(WorkerList{Kind: ListDelta, Workers: []Worker{{ID: 2}}})
 	s.d.muShort = 0.1 // tau 0.3 s
 	late := s.job(9, 1, 300*ms)
-	late.Left -= 500 * ms
+	late.Remaining -= 500 * ms
 	s.jobs[8], s.jobs[9] = &sceneJob{}, &sceneJob{}
-	s.step(s.job(2, 1, 100*ms), Resumed{Job: late, Waited: 500 * ms})
-	if aim := s.d.jobs[9].aim - s.now; aim != 500*ms {
+	s.step(s.job(2, 1, 100*ms), JobResumed{Job: late, Age: 500 * ms})
+	if aim := s.d.jobs[9].objectiveAt - s.now; aim != 500*ms {
 		t.Errorf("its aim lies %v off", aim)
 	}
 	s.step(s.done(1, 0, 1, OK))
 	expectJobs(t, taken[Send](s), 9)
-	s.step(Resumed{Job: s.job(8, 0, 50*ms), Attempts: []Past{{Worker: 2, Ago: 10 * ms}}})
+	s.step(JobResumed{Job: s.job(8, 0, 50*ms), Attempts: []PastAttempt{{Worker: 2, SentAgo: 10 * ms}}})
 	s.step(WorkerList{Kind: ListDelta, Workers: []Worker{{ID: 2, Ready: true}}})
 	s.step(s.done(9, 0, 1, OK))
 	s.step(s.done(2, 0, 1, OK))
@@ -106,18 +108,18 @@
 // A resumed job takes from its tenant's quota what was not taken yet, and counts against a cold worker's budget.
 func TestResumedIsCountedOnce(t *testing.T) {
 	set := testSettings()
-	set.TenantQuota, set.Cold, set.ColdFrom, set.Overload, set.OverloadSpan = []float64{1}, time.Minute, 0.2, 1.5, time.Second
+	set.TenantQuota, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = []float64{1}, time.Minute, 0.2, 1.5, time.Second
 	s := newScene(t, set)
 	s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 1, Ready: true, BootAt: s.now - time.Second}}})
-	quota := s.d.quota[0]
+	quota := s.d.quotaTokens[0]
 	for id := range uint64(20) {
-		s.step(Resumed{Job: s.job(id+1, 0, 50*ms), Attempts: []Past{{Worker: 1, Ago: 10 * ms, Ended: true, Result: Full}}})
-		s.step(Resumed{Job: s.job(id+100, 0, 50*ms), Waited: time.Second, Counted: true})
+		s.step(JobResumed{Job: s.job(id+1, 0, 50*ms), Attempts: []PastAttempt{{Worker: 1, SentAgo: 10 * ms, Ended: true, Result: WorkerFull}}})
+		s.step(JobResumed{Job: s.job(id+100, 0, 50*ms), Age: time.Second, QuotaCharged: true})
 	}
-	if s.d.quota[0] != quota || len(s.d.workers[1].ledger) != 20 {
-		t.Errorf("quota %v of %v, %d pieces of work at the cold worker", s.d.quota[0], quota, len(s.d.workers[1].ledger))
+	if s.d.quotaTokens[0] != quota || len(s.d.workers[1].warmUpSpends) != 20 {
+		t.Errorf("quota %v of %v, %d pieces of work at the cold worker", s.d.quotaTokens[0], quota, len(s.d.workers[1].warmUpSpends))
 	}
-	if s.step(Resumed{Job: s.job(200, 0, 50*ms), Waited: time.Second}); s.d.quotaAt[0] != s.now {
+	if s.step(JobResumed{Job: s.job(200, 0, 50*ms), Age: time.Second}); s.d.quotaRefilledAt[0] != s.now {
 		t.Error("one that has waited elsewhere takes nothing from the quota")
 	}
 }
@@ -126,25 +128,25 @@
 // and so does the part of a quota.
 func TestShared(t *testing.T) {
 	set := testSettings()
-	set.Replicas, set.Me, set.TenantQuota = 4, 1, []float64{8}
+	set.Replicas, set.ReplicaIndex, set.TenantQuota = 4, 1, []float64{8}
 	s := newScene(t, set)
 	check := func(w Worker, rank, of int, part float64) {
 		t.Helper()
-		if r, o := s.d.rank(&worker{Worker: w}); r != rank || o != of || s.d.part() != part {
-			t.Errorf("rank %d of %d, part %v, expected %d of %d and %v", r, o, s.d.part(), rank, of, part)
+		if r, o := s.d.assigneeRank(&worker{Worker: w}); r != rank || o != of || s.d.quotaShare() != part {
+			t.Errorf("rank %d of %d, part %v, expected %d of %d and %v", r, o, s.d.quotaShare(), rank, of, part)
 		}
 	}
 	check(Worker{}, 1, 4, 0.25)
-	check(Worker{Rank: 2, Of: 2}, 2, 2, 0.25)
-	s.step(Shared{Of: 2, Me: 1})
+	check(Worker{AssigneeRank: 2, Assignees: 2}, 2, 2, 0.25)
+	s.step(ReplicasChanged{Replicas: 2, ReplicaIndex: 1})
 	check(Worker{}, 1, 2, 0.5)
-	s.step(Shared{Of: 1, Part: 0.125})
+	s.step(ReplicasChanged{Replicas: 1, QuotaShare: 0.125})
 	check(Worker{}, 0, 1, 0.125)
-	s.step(Shared{Of: -1, Me: -1, Part: math.NaN()})
+	s.step(ReplicasChanged{Replicas: -1, ReplicaIndex: -1, QuotaShare: math.NaN()})
 	check(Worker{}, 0, 1, 1)
 	again, err := Restore(set, s.d.Snapshot(nil))
-	if err != nil || again.shared != s.d.shared {
-		t.Errorf("%v, restored as %+v", err, again.shared)
+	if err != nil || again.sharing != s.d.sharing {
+		t.Errorf("%v, restored as %+v", err, again.sharing)
 	}
 }
 
@@ -168,30 +170,30 @@
 		s.wait(4 * ms)
 	}
 	for _, most := range []int{0, 700, 1000, 4000} {
-		if got := len(s.d.Lesson(most, nil)); got > max(most, 400) {
+		if got := len(s.d.ModelSnapshot(most, nil)); got > max(most, 400) {
 			t.Errorf("%d bytes, %d allowed", got, most)
 		}
 	}
-	lesson := s.d.Lesson(4000, nil)
-	fresh := func(e Taught) *Dispatcher {
+	lesson := s.d.ModelSnapshot(4000, nil)
+	fresh := func(e ModelUpdate) *Dispatcher {
 		d := New(set, 1)
 		d.Step(s.now, []Event{list}, nil)
 		d.Step(s.now, []Event{e}, nil)
 		return d
 	}
-	d := fresh(Taught{Lesson: lesson, Part: 0.5})
+	d := fresh(ModelUpdate{Snapshot: lesson, LoadShare: 0.5})
 	j := &job{Job: Job{Slots: 1, Hint: 100 * ms}, class: &set.Classes[0]}
 	if got, want := d.expectedWork(j), s.d.expectedWork(j); got != want {
 		t.Errorf("it expects %v, the teacher %v", got, want)
 	}
 	for id, w := range s.d.workers {
 		x := d.workers[id]
-		if off := math.Abs(w.speed - x.speed); w.seen > 0 && off > 2.0/speedSteps || x.room != max(1, math.Floor(w.room/2)) {
-			t.Errorf("worker %d: speed off by %v, room %v of %v", id, off, x.room, w.room)
+		if off := math.Abs(w.logSpeed - x.logSpeed); w.runs > 0 && off > 2.0/speedSteps || x.limit != max(1, math.Floor(w.limit/2)) {
+			t.Errorf("worker %d: speed off by %v, room %v of %v", id, off, x.limit, w.limit)
 		}
 	}
 	for n := range lesson {
-		if d := fresh(Taught{Lesson: lesson[:n], Part: 1}); !reflect.DeepEqual(d.sizeLog, New(set, 1).sizeLog) || len(d.kinds) > 2 {
+		if d := fresh(ModelUpdate{Snapshot: lesson[:n], LoadShare: 1}); !reflect.DeepEqual(d.sizeCorrection, New(set, 1).sizeCorrection) || len(d.kinds) > 2 {
 			t.Fatalf("%d bytes of %d taught something", n, len(lesson))
 		}
 	}
@@ -200,7 +202,7 @@
 // No bytes make a dispatcher panic, nor leave it with figures that are none.
 func FuzzTaught(f *testing.F) {
 	_, d, _ := play(5, 300)
-	whole := d.Lesson(1000, nil)
+	whole := d.ModelSnapshot(1000, nil)
 	f.Add(whole, int64(time.Second), 0.5)
 	for i := range whole {
 		spoilt := slices.Clone(whole)
@@ -208,16 +210,16 @@
 		f.Add(spoilt, int64(-1), math.Inf(1))
 	}
 	f.Fuzz(func(t *testing.T, b []byte, age int64, part float64) {
-		d := New(d.set, 1)
+		d := New(d.settings, 1)
 		list := WorkerList{Kind: ListFull}
 		for id := range uint64(8) {
 			list.Workers = append(list.Workers, Worker{ID: id + 1, Kind: int(id % 3), Ready: true})
 		}
-		d.Step(time.Hour, []Event{list, Taught{b, time.Duration(age), part}}, nil)
-		d.Step(time.Hour+time.Second, []Event{Job{ID: 1, Left: time.Second, Slots: 1}, TimerFired{}}, nil)
-		for _, w := range d.order {
-			if !(w.room >= 1 && w.room <= mostRoom) || !sound(w.speed, w.pace) {
-				t.Fatalf("worker %d: room %v, speed %v", w.ID, w.room, w.speed)
+		d.Step(time.Hour, []Event{list, ModelUpdate{b, time.Duration(age), part}}, nil)
+		d.Step(time.Hour+time.Second, []Event{Job{ID: 1, Remaining: time.Second, Slots: 1}, TimerFired{}}, nil)
+		for _, w := range d.workerList {
+			if !(w.limit >= 1 && w.limit <= maxModelLimit) || !isPlausible(w.logSpeed, w.speed) {
+				t.Fatalf("worker %d: room %v, speed %v", w.ID, w.limit, w.logSpeed)
 			}
 		}
 	})
--- a/logic/logic_test.go
+++ b/dispatch/logic_test.go
@@ -1,4 +1,4 @@
-package logic
+package dispatch
 
 import (
 	"math"
@@ -31,12 +31,12 @@
 }
 
 func testSettings() Settings {
-	return Settings{Replicas: 1, TryLimit: 5, SecondCopies: true, Cancelling: true, TellsStart: true,
-		ConnectTimeout: 40 * ms, AskEvery: 10 * time.Second, Report: []Field{FieldFreeSlots},
+	return Settings{Replicas: 1, AttemptLimit: 5, Hedging: true, Cancellation: true, StartNotifications: true,
+		ConnectTimeout: 40 * ms, PollInterval: 10 * time.Second, ReportFields: []ReportField{ReportFieldFreeSlots},
 		Classes: []Class{
-			{Aim: 400 * ms, Stretch: 2, GiveUp: 5 * time.Second, Effect: Safe, LateShare: 0.3},
-			{Aim: 400 * ms, Stretch: 2, GiveUp: 5 * time.Second, Effect: Unsafe, LateShare: 0.3},
-			{Aim: 400 * ms, Stretch: 2, GiveUp: 5 * time.Second, Effect: Safe},
+			{LatencyObjective: 400 * ms, ObjectiveStretch: 2, ClientTimeout: 5 * time.Second, Idempotency: Idempotent, LateValue: 0.3},
+			{LatencyObjective: 400 * ms, ObjectiveStretch: 2, ClientTimeout: 5 * time.Second, Idempotency: NonIdempotent, LateValue: 0.3},
+			{LatencyObjective: 400 * ms, ObjectiveStretch: 2, ClientTimeout: 5 * time.Second, Idempotency: Idempotent},
 		}}
 }
 
@@ -119,7 +119,7 @@
 }
 
 func (s *scene) job(id uint64, class int, hint time.Duration) Job {
-	return Job{ID: id, Class: class, Left: s.d.set.Classes[class].GiveUp, Hint: hint, Slots: 1}
+	return Job{ID: id, Class: class, Remaining: s.d.settings.Classes[class].ClientTimeout, Hint: hint, Slots: 1}
 }
 
 func (s *scene) done(id uint64, attempt int, worker uint64, r Result) Outcome {
@@ -167,7 +167,7 @@
 			s := newScene(t, testSettings())
 			s.workers(1)
 			s.busy(1)
-			s.d.workers[1].room = 1
+			s.d.workers[1].limit = 1
 			s.d.muShort = c.mu
 			for n, h := range c.hints {
 				s.now += ms
@@ -188,7 +188,7 @@
 	s := newScene(t, testSettings())
 	s.workers(1)
 	s.busy(1)
-	s.d.workers[1].room = 1
+	s.d.workers[1].limit = 1
 	s.step(s.job(10, 1, 100*ms))
 	s.wait(2 * time.Second)
 	s.step(s.job(11, 1, 200*ms))
@@ -209,23 +209,23 @@
 	s.step(Started{Job: 1, Worker: 1})
 	s.take()
 	s.wait(1500 * ms)
-	if got := taken[Refuse](s); len(got) > 0 {
+	if got := taken[Reject](s); len(got) > 0 {
 		t.Fatal("it was refused as it ran")
 	}
 	s.step(s.done(1, 0, 1, Failed))
 	s.wait(2 * ms)
-	if got := taken[Refuse](s); len(got) != 1 || got[0].Job != 1 {
+	if got := taken[Reject](s); len(got) != 1 || got[0].Job != 1 {
 		t.Fatalf("its run has failed past its aim: %v, expected a refusal", got)
 	}
 }
 
 func TestWorthyJobsArePromotedSooner(t *testing.T) {
 	set := testSettings()
-	set.Classes[0].Worth, set.Classes[1].Worth, set.Classes[2].Worth = 1, 8, 1
+	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight, set.Classes[2].PriorityWeight = 1, 8, 1
 	s := newScene(t, set)
 	s.workers(1)
 	s.busy(1)
-	s.d.workers[1].room, s.d.muShort = 1, 0.1 // tau 0.3 s, less than half that where worth is 8
+	s.d.workers[1].limit, s.d.muShort = 1, 0.1 // tau 0.3 s, less than half that where worth is 8
 	s.step(s.job(10, 0, 400*ms), s.job(11, 1, 800*ms))
 	s.wait(200 * ms)
 	s.step(s.done(1, 0, 1, OK))
@@ -254,7 +254,7 @@
 	s.workers(1)
 	room := func(want float64) {
 		t.Helper()
-		if got := s.d.workers[1].room; got != want {
+		if got := s.d.workers[1].limit; got != want {
 			t.Fatalf("room %v, expected %v", got, want)
 		}
 	}
@@ -266,7 +266,7 @@
 	s.busy(3)
 	room(4)
 	s.now += ms
-	s.step(s.done(1, 0, 1, Reset), s.done(2, 0, 1, Reset), s.done(3, 0, 1, Reset))
+	s.step(s.done(1, 0, 1, ConnectionReset), s.done(2, 0, 1, ConnectionReset), s.done(3, 0, 1, ConnectionReset))
 	room(2) // one crash with three attempts out is one piece of news
 }
 
@@ -277,7 +277,7 @@
 	s.step(s.job(2, 1, 300*ms))
 	s.wait(400 * ms)
 	s.step(Started{Job: 2, Worker: 1})
-	if got := s.d.workers[1].room; got != 1 {
+	if got := s.d.workers[1].limit; got != 1 {
 		t.Fatalf("room %v after a late start, expected 1", got)
 	}
 }
@@ -294,7 +294,7 @@
 		s.step(Started{Job: id, Worker: 1}, s.done(id, 0, 1, OK))
 		delay += delay / 5
 	}
-	if got := s.d.promptBy(&job{class: &s.d.set.Classes[1]}); got > 120*ms {
+	if got := s.d.promptStart(&job{class: &s.d.settings.Classes[1]}); got > 120*ms {
 		t.Fatalf("a start within %v counts as prompt", got)
 	}
 }
@@ -320,7 +320,7 @@
 func TestNoSendBehindAnUnstartedJob(t *testing.T) {
 	s := newScene(t, testSettings())
 	s.workers(1)
-	s.d.workers[1].room = 8
+	s.d.workers[1].limit = 8
 	s.step(s.job(1, 1, 100*ms))
 	s.wait(300 * ms)
 	s.take()
@@ -342,10 +342,10 @@
 
 func TestFreshReportOfNoSlotsBlocks(t *testing.T) {
 	set := testSettings()
-	set.Probes = true
+	set.HealthChecks = true
 	s := newScene(t, set)
 	s.workers(1)
-	s.step(Probed{Worker: 1, Result: OK, Report: []float64{0}}, s.job(1, 0, 100*ms))
+	s.step(HealthChecked{Worker: 1, Result: OK, Report: []float64{0}}, s.job(1, 0, 100*ms))
 	expectJobs(t, taken[Send](s))
 	s.wait(2 * time.Second) // the report has grown old
 	expectJobs(t, taken[Send](s), 1)
@@ -394,7 +394,7 @@
 			sends++
 		case Fail:
 			fails++
-		case Refuse:
+		case Reject:
 			refusals++
 		}
 	}
@@ -420,16 +420,16 @@
 			s := newScene(t, testSettings())
 			s.workers(c.workers)
 			j := s.job(1, 0, 100*ms)
-			j.Left = c.left
+			j.Remaining = c.left
 			s.step(j)
 			s.wait(c.wait)
-			if got := taken[Refuse](s); len(got) != 1 {
+			if got := taken[Reject](s); len(got) != 1 {
 				t.Fatalf("%d final answers by the deadline", len(got))
 			}
 			s.wait(10 * time.Second)
 			for _, a := range s.take() {
 				switch a.(type) {
-				case Send, Refuse, Fail:
+				case Send, Reject, Fail:
 					t.Fatalf("%T after the final answer", a)
 				}
 			}
@@ -439,7 +439,7 @@
 
 func TestTryLimitEndsInAnAnswer(t *testing.T) {
 	set := testSettings()
-	set.TryLimit = 2
+	set.AttemptLimit = 2
 	s := newScene(t, set)
 	s.workers(4)
 	s.step(s.job(1, 0, 100*ms))
@@ -449,9 +449,9 @@
 			t.Fatalf("attempt %d: %v", n, send)
 		}
 		s.now += ms
-		s.step(s.done(1, n, send[0].Worker, NoConnect))
+		s.step(s.done(1, n, send[0].Worker, ConnectFailed))
 	}
-	if got := taken[Refuse](s); len(got) != 1 {
+	if got := taken[Reject](s); len(got) != 1 {
 		t.Fatalf("expected a refusal after two tries, got %v", got)
 	}
 }
@@ -462,54 +462,54 @@
 	all, none := answer{true, true, true, true}, answer{}
 	cases := []struct {
 		name   string
-		effect Effect
-		group  Group
+		effect Idempotency
+		group  DeduplicationScope
 		state  []Result // of the earlier attempts; -1: still out
 		age    time.Duration
 		want   answer
 	}{
-		{"unsafe, first", Unsafe, 0, nil, 0, all},
-		{"unsafe, turned away", Unsafe, 0, []Result{Full}, 0, all},
-		{"unsafe, no connection", Unsafe, 0, []Result{NoConnect}, 0, all},
-		{"unsafe, not sent", Unsafe, 0, []Result{NotSent}, 0, all},
-		{"unsafe, out", Unsafe, 0, []Result{-1}, 0, none},
-		{"unsafe, error", Unsafe, 0, []Result{Failed}, 0, none},
-		{"unsafe, time-out", Unsafe, 0, []Result{TimedOut}, 0, none},
-		{"unsafe, reset", Unsafe, 0, []Result{Reset}, 0, none},
-		{"unsafe, cancelled", Unsafe, 0, []Result{Cancelled}, 0, none},
-		{"unsafe, error then turned away", Unsafe, 0, []Result{Failed, Full}, 0, none},
-		{"safe, out", Safe, 0, []Result{-1}, 0, all},
-		{"safe, reset", Safe, 0, []Result{Reset}, 0, all},
-		{"keyed cell, turned away", Keyed, GroupCell, []Result{Full}, 0, all},
-		{"keyed cell, reset", Keyed, GroupCell, []Result{Reset}, 0, answer{cell: true}},
-		{"keyed cell, out", Keyed, GroupCell, []Result{-1}, 0, answer{cell: true}},
-		{"keyed cell, too old", Keyed, GroupCell, []Result{Reset}, 3 * time.Second, none},
-		{"keyed zone, reset", Keyed, GroupZone, []Result{Reset}, 0, answer{cell: true, zone: true}},
-		{"keyed all, reset", Keyed, GroupAll, []Result{Reset}, 0, all},
-		{"keyed all, too old", Keyed, GroupAll, []Result{Reset}, 3 * time.Second, answer{refuse: true}},
+		{"unsafe, first", NonIdempotent, 0, nil, 0, all},
+		{"unsafe, turned away", NonIdempotent, 0, []Result{WorkerFull}, 0, all},
+		{"unsafe, no connection", NonIdempotent, 0, []Result{ConnectFailed}, 0, all},
+		{"unsafe, not sent", NonIdempotent, 0, []Result{NotSent}, 0, all},
+		{"unsafe, out", NonIdempotent, 0, []Result{-1}, 0, none},
+		{"unsafe, error", NonIdempotent, 0, []Result{Failed}, 0, none},
+		{"unsafe, time-out", NonIdempotent, 0, []Result{TimedOut}, 0, none},
+		{"unsafe, reset", NonIdempotent, 0, []Result{ConnectionReset}, 0, none},
+		{"unsafe, cancelled", NonIdempotent, 0, []Result{Cancelled}, 0, none},
+		{"unsafe, error then turned away", NonIdempotent, 0, []Result{Failed, WorkerFull}, 0, none},
+		{"safe, out", Idempotent, 0, []Result{-1}, 0, all},
+		{"safe, reset", Idempotent, 0, []Result{ConnectionReset}, 0, all},
+		{"keyed cell, turned away", IdempotentWithKey, ScopeCell, []Result{WorkerFull}, 0, all},
+		{"keyed cell, reset", IdempotentWithKey, ScopeCell, []Result{ConnectionReset}, 0, answer{cell: true}},
+		{"keyed cell, out", IdempotentWithKey, ScopeCell, []Result{-1}, 0, answer{cell: true}},
+		{"keyed cell, too old", IdempotentWithKey, ScopeCell, []Result{ConnectionReset}, 3 * time.Second, none},
+		{"keyed zone, reset", IdempotentWithKey, ScopeZone, []Result{ConnectionReset}, 0, answer{cell: true, zone: true}},
+		{"keyed all, reset", IdempotentWithKey, ScopeAll, []Result{ConnectionReset}, 0, all},
+		{"keyed all, too old", IdempotentWithKey, ScopeAll, []Result{ConnectionReset}, 3 * time.Second, answer{refuse: true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
-			set.Classes[0] = Class{Effect: c.effect, Group: c.group, Window: 2 * time.Second, GiveUp: time.Minute}
+			set.Classes[0] = Class{Idempotency: c.effect, DeduplicationScope: c.group, DeduplicationWindow: 2 * time.Second, ClientTimeout: time.Minute}
 			d := New(set, 1)
 			d.now = time.Hour
-			j := &job{class: &d.set.Classes[0], deadline: d.now + time.Minute, index: -1}
+			j := &job{class: &d.settings.Classes[0], deadline: d.now + time.Minute, heapIndex: -1}
 			for _, r := range c.state {
-				a := &attempt{worker: &worker{}, zone: 1, cell: 1, sent: d.now - c.age, ended: r >= 0, result: r}
+				a := &attempt{worker: &worker{}, zone: 1, cell: 1, sentAt: d.now - c.age, ended: r >= 0, result: r}
 				if r < 0 {
-					j.out++
+					j.inFlight++
 				}
 				j.attempts = append(j.attempts, a)
 			}
-			got := answer{d.maySend(j, &worker{Worker: Worker{Zone: 1, Cell: 1}}),
-				d.maySend(j, &worker{Worker: Worker{Zone: 1, Cell: 2}}),
-				d.maySend(j, &worker{Worker: Worker{Zone: 2, Cell: 3}}), d.mayRefuse(j)}
+			got := answer{d.mayAttempt(j, &worker{Worker: Worker{Zone: 1, Cell: 1}}),
+				d.mayAttempt(j, &worker{Worker: Worker{Zone: 1, Cell: 2}}),
+				d.mayAttempt(j, &worker{Worker: Worker{Zone: 2, Cell: 3}}), d.mayReject(j)}
 			if got != c.want {
 				t.Fatalf("got %+v, expected %+v", got, c.want)
 			}
-			d.set.SecondCopies = false
-			if j.out > 0 && d.maySend(j, &worker{Worker: Worker{Zone: 1, Cell: 1}}) {
+			d.settings.Hedging = false
+			if j.inFlight > 0 && d.mayAttempt(j, &worker{Worker: Worker{Zone: 1, Cell: 1}}) {
 				t.Fatal("second copy where none is allowed")
 			}
 		})
@@ -522,7 +522,7 @@
 		list WorkerList
 	}{
 		{"told that it drains", WorkerList{Kind: ListDelta, Workers: []Worker{{ID: 1}}}},
-		{"told that it is gone", WorkerList{Kind: ListDelta, Workers: []Worker{{ID: 1, Gone: true}}}},
+		{"told that it is gone", WorkerList{Kind: ListDelta, Workers: []Worker{{ID: 1, Removed: true}}}},
 		{"missing from a full list", WorkerList{Kind: ListFull}},
 	}
 	for _, c := range cases {
@@ -539,7 +539,7 @@
 // Incident: jobs far heavier than their hint pushed a cold worker over; their class is budgeted by what they did.
 func TestHeavyClassIsKeptFromColdWorkers(t *testing.T) {
 	set := testSettings()
-	set.Cold, set.ColdFrom, set.Overload, set.OverloadSpan = 20*time.Second, 0.2, 3, 2*time.Second
+	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
 	s := newScene(t, set)
 	boot := s.now
 	cold := func(id uint64) bool {
@@ -574,7 +574,7 @@
 			s := newScene(t, testSettings())
 			s.workers(1)
 			j := s.job(1, 2, 2*time.Second)
-			j.Left = c.left
+			j.Remaining = c.left
 			s.step(j)
 			s.wait(100 * ms)
 			if got := len(taken[Send](s)); got != c.sent {
@@ -587,18 +587,18 @@
 // A worker whose connections broke and that answers again is treated as cold before any list says that it restarted.
 func TestWorkerBackUnannouncedIsCold(t *testing.T) {
 	set := testSettings()
-	set.Cold, set.ColdFrom, set.Overload, set.OverloadSpan = 20*time.Second, 0.2, 3, 2*time.Second
+	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
 	s := newScene(t, set)
 	s.workers(1)
 	s.busy(1)
-	s.step(s.done(1, 0, 1, Reset))
+	s.step(s.done(1, 0, 1, ConnectionReset))
 	s.wait(6 * time.Second)
-	s.step(Probed{Worker: 1, Result: OK})
-	if got := s.d.coldShare(s.d.workers[1]); got > 0.21 {
+	s.step(HealthChecked{Worker: 1, Result: OK})
+	if got := s.d.warmUpShare(s.d.workers[1]); got > 0.21 {
 		t.Fatalf("a worker that came back is taken to have %v of its capacity", got)
 	}
 	s.wait(21 * time.Second)
-	if got := s.d.coldShare(s.d.workers[1]); got != 1 {
+	if got := s.d.warmUpShare(s.d.workers[1]); got != 1 {
 		t.Fatalf("it is taken to have %v of its capacity after the cold time", got)
 	}
 }
@@ -637,15 +637,15 @@
 		news  func(s *scene)
 		aside bool
 	}{
-		{func(s *scene) { s.step(Probed{Worker: 1, Result: NotSent}) }, false},
-		{func(s *scene) { s.step(s.done(1, 0, 1, Reset)) }, false},
-		{func(s *scene) { s.step(Started{Job: 1, Worker: 1}); s.step(s.done(1, 0, 1, Reset)) }, true},
-		{func(s *scene) { s.step(s.done(1, 0, 1, Reset)); s.step(s.done(1, 1, 1, NoConnect)) }, true},
+		{func(s *scene) { s.step(HealthChecked{Worker: 1, Result: NotSent}) }, false},
+		{func(s *scene) { s.step(s.done(1, 0, 1, ConnectionReset)) }, false},
+		{func(s *scene) { s.step(Started{Job: 1, Worker: 1}); s.step(s.done(1, 0, 1, ConnectionReset)) }, true},
+		{func(s *scene) { s.step(s.done(1, 0, 1, ConnectionReset)); s.step(s.done(1, 1, 1, ConnectFailed)) }, true},
 	} {
 		s := newScene(t, testSettings())
 		s.workers(1)
 		s.step(s.job(1, 0, 10*ms))
-		if c.news(s); s.d.workers[1].pause > 0 != c.aside {
+		if c.news(s); s.d.workers[1].ejectionTime > 0 != c.aside {
 			t.Errorf("set aside %v, expected %v", !c.aside, c.aside)
 		}
 	}
@@ -656,10 +656,10 @@
 	s := newScene(t, testSettings())
 	s.workers(4)
 	for id := uint64(1); id <= 4; id++ {
-		s.d.blame(s.d.workers[id], id == 1, "test")
+		s.d.eject(s.d.workers[id], id == 1, "test")
 	}
 	s.wait(300 * ms)
-	if !s.d.suspect(s.d.workers[1]) || s.d.suspect(s.d.workers[2]) {
+	if !s.d.isEjected(s.d.workers[1]) || s.d.isEjected(s.d.workers[2]) {
 		t.Fatal("expected only the broken worker to stay suspect")
 	}
 }
@@ -673,9 +673,9 @@
 	s.now += ms
 	s.step(Started{Job: 1, Worker: slow})
 	s.wait(5 * time.Second)
-	before := s.d.workers[slow].speed
+	before := s.d.workers[slow].logSpeed
 	for range 4 {
-		s.d.learn(&attempt{job: s.d.jobs[1], worker: s.d.workers[slow], expect: 500 * ms}, 2500*ms)
+		s.d.learnFromRun(&attempt{job: s.d.jobs[1], worker: s.d.workers[slow], expectedRun: 500 * ms}, 2500*ms)
 	}
 	if before >= 0 {
 		t.Fatal("a run far too long did not show before it ended")
@@ -694,7 +694,7 @@
 		t.Fatalf("the slow worker got %d of 30 jobs that would miss their aim on it", tried[slow])
 	}
 	s.wait(time.Minute)
-	if math.Abs(s.d.workers[slow].speed-s.d.kind(0).speed) > 0.1 {
+	if math.Abs(s.d.workers[slow].logSpeed-s.d.machineKind(0).logSpeed) > 0.1 {
 		t.Fatal("a minute without news has not brought the slow worker back")
 	}
 }
@@ -702,15 +702,15 @@
 func TestPredictor(t *testing.T) {
 	d := New(testSettings(), 1)
 	mk := func(class int, hint time.Duration) *job {
-		j := &job{Job: Job{Class: class, Hint: hint, Slots: 1}, class: &d.set.Classes[class]}
+		j := &job{Job: Job{Class: class, Hint: hint, Slots: 1}, class: &d.settings.Classes[class]}
 		j.work = d.expectedWork(j)
 		return j
 	}
-	if d.chanceLong(mk(0, 100*ms)) >= d.chanceLong(mk(0, 200*ms)) {
+	if d.longChance(mk(0, 100*ms)) >= d.longChance(mk(0, 200*ms)) {
 		t.Fatal("untrained, a longer hint does not raise the chance of running long")
 	}
 	for _, hint := range []time.Duration{0, 1, math.MaxInt64} {
-		if p := d.chanceLong(mk(0, hint)); math.IsNaN(p) || p < 0 || p > 1 {
+		if p := d.longChance(mk(0, hint)); math.IsNaN(p) || p < 0 || p > 1 {
 			t.Fatalf("hint %v gives chance %v", hint, p)
 		}
 	}
@@ -718,18 +718,18 @@
 	w := &worker{}
 	keyed := mk(0, 0)
 	keyed.Key = 5
-	d.learn(&attempt{job: keyed, worker: w}, 5*time.Second)
+	d.learnFromRun(&attempt{job: keyed, worker: w}, 5*time.Second)
 	other := mk(0, 0)
-	if keyed.work = d.expectedWork(keyed); d.chanceLong(keyed) <= d.chanceLong(other) {
+	if keyed.work = d.expectedWork(keyed); d.longChance(keyed) <= d.longChance(other) {
 		t.Fatal("a key that ran long does not raise the chance of running long")
 	}
 	for range 300 {
 		for class, run := range []time.Duration{100 * ms, 2 * time.Second} {
 			a := &attempt{job: mk(class, 0), worker: w}
-			d.learn(a, run)
+			d.learnFromRun(a, run)
 		}
 	}
-	if d.chanceLong(mk(0, 0)) >= d.chanceLong(mk(1, 0)) {
+	if d.longChance(mk(0, 0)) >= d.longChance(mk(1, 0)) {
 		t.Fatal("without hints the class that runs long is not ranked as long")
 	}
 }
@@ -739,7 +739,7 @@
 	s := newScene(t, testSettings())
 	s.workers(1)
 	s.busy(1)
-	s.d.workers[1].room = 1
+	s.d.workers[1].limit = 1
 	for id := uint64(10); id < 20; id++ {
 		s.step(s.job(id, 0, 100*ms))
 	}
@@ -747,15 +747,15 @@
 		s.wait(ms)
 	}
 	n := 0
-	for _, sh := range s.d.roll.shapes {
-		n += len(sh.oldest.items)
+	for _, sh := range s.d.queue.shapes {
+		n += len(sh.byPromotion.items)
 	}
 	if n > 10 {
 		t.Fatalf("%d entries for 10 held jobs", n)
 	}
 	s.wait(10 * time.Second)
-	if len(s.d.jobs) != 1 || s.d.roll.n != 0 { // job 1 has its answer but is still out
-		t.Fatalf("%d jobs and %d held ones remembered after all deadlines", len(s.d.jobs), s.d.roll.n)
+	if len(s.d.jobs) != 1 || s.d.queue.length != 0 { // job 1 has its answer but is still out
+		t.Fatalf("%d jobs and %d held ones remembered after all deadlines", len(s.d.jobs), s.d.queue.length)
 	}
 }
 
@@ -763,7 +763,7 @@
 func TestLargeJobIsNotStarved(t *testing.T) {
 	s := newScene(t, testSettings())
 	s.workers(1)
-	s.d.workers[1].room = 4
+	s.d.workers[1].limit = 4
 	big := s.job(1, 1, 2*time.Second)
 	big.Slots = 4
 	next := uint64(100)
@@ -793,7 +793,7 @@
 	s := newScene(t, testSettings())
 	s.workers(2)
 	for id := uint64(1); id <= 2; id++ {
-		s.d.workers[id].room = 4
+		s.d.workers[id].limit = 4
 		s.step(s.job(id, 1, 300*ms))
 		at := taken[Send](s)[0].Worker
 		s.step(Started{Job: id, Worker: at})
@@ -807,11 +807,11 @@
 		s.step(s.job(id, 0, 20*ms))
 	}
 	for _, a := range taken[Send](s) {
-		if s.d.workers[a.Worker] == s.d.kept {
+		if s.d.workers[a.Worker] == s.d.reserved {
 			t.Fatalf("job %d went to the worker kept for the large one", a.Job)
 		}
 	}
-	for _, a := range slices.Clone(s.d.kept.out) {
+	for _, a := range slices.Clone(s.d.reserved.inFlight) {
 		s.step(s.done(a.job.ID, a.number, a.worker.ID, OK))
 	}
 	if sends := taken[Send](s); len(sends) == 0 || sends[0].Job != 3 {
@@ -825,20 +825,20 @@
 	s := newScene(t, testSettings())
 	s.workers(1)
 	w := s.d.workers[1]
-	w.room = 9
+	w.limit = 9
 	for id := uint64(1); id <= 4; id++ {
 		s.busy(id)
 	}
-	for late := uint64(0); late < overTries; late++ {
-		if w.restUntil, w.room = 0, 9; s.d.slots(w) < 9 {
-			t.Fatalf("room ends at %v before anything was late", s.d.slots(w))
+	for late := uint64(0); late < minLateOverflows; late++ {
+		if w.backoffUntil, w.limit = 0, 9; s.d.maxSlots(w) < 9 {
+			t.Fatalf("room ends at %v before anything was late", s.d.maxSlots(w))
 		}
 		s.step(s.job(10+late, 1, 20*ms))
 		expectJobs(t, taken[Send](s), 10+late)
 		s.wait(200 * ms)
 		s.step(s.done(10+late, 0, 1, TimedOut))
 	}
-	if got := s.d.slots(w); got != 4 {
+	if got := s.d.maxSlots(w); got != 4 {
 		t.Fatalf("room ends at %v, with four seen running", got)
 	}
 }
@@ -852,7 +852,7 @@
 		s.wait(10 * ms)
 		if len(taken[Subscribe](s)) > 0 {
 			at = append(at, s.now)
-			s.step(WorkerList{Kind: ListLost})
+			s.step(WorkerList{Kind: ListUnavailable})
 		}
 	}
 	if len(at) < 5 || len(at) > 60 {
@@ -868,8 +868,8 @@
 	set := testSettings()
 	set.MustSubscribe = true
 	s := newScene(t, set)
-	s.wait(sweepEvery)
-	s.step(WorkerList{Kind: ListFull, Generation: 1}, WorkerList{Kind: ListLost}, WorkerList{Kind: ListDelta, Generation: 2})
+	s.wait(recheckInterval)
+	s.step(WorkerList{Kind: ListFull, Revision: 1}, WorkerList{Kind: ListUnavailable}, WorkerList{Kind: ListDelta, Revision: 2})
 	taken[Subscribe](s)
 	if s.wait(10 * time.Second); len(taken[Subscribe](s)) > 0 {
 		t.Error("asked for beside the watch that goes on")
@@ -882,15 +882,15 @@
 	s.workers(2)
 	s.step(s.job(1, 0, 100*ms))
 	s.step(s.job(1, 0, 100*ms)) // the id is open
-	s.step(Job{ID: 2, Class: 99}, Job{ID: 3, Class: -1}, Job{ID: 4, Class: 0, Tenant: -5, Left: -time.Hour, Hint: -1,
+	s.step(Job{ID: 2, Class: 99}, Job{ID: 3, Class: -1}, Job{ID: 4, Class: 0, Tenant: -5, Remaining: -time.Hour, Hint: -1,
 		Slots: nan, Memory: math.Inf(1)})
-	s.step(TimerFired{}, TimerFired{}, ClientGone{Job: 77}, Probed{Worker: 77, Report: []float64{nan}},
+	s.step(TimerFired{}, TimerFired{}, ClientDisconnected{Job: 77}, HealthChecked{Worker: 77, Report: []float64{nan}},
 		Started{Job: 1, Attempt: 5, Worker: 1}, Started{Job: 77}, Progressed{Job: 1, Attempt: -1, Share: nan},
 		Outcome{Job: 77}, Outcome{Job: 1, Attempt: 9}, Outcome{Job: 1, Worker: 555})
 	s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 1, Ready: true, Kind: -3, Size: nan, BootAt: -5},
-		{ID: 1, Ready: true}, {ID: 2, Ready: true}, {ID: 9, Gone: true}}})
-	if len(s.d.order) != 2 {
-		t.Fatalf("%d workers known, expected 2", len(s.d.order))
+		{ID: 1, Ready: true}, {ID: 2, Ready: true}, {ID: 9, Removed: true}}})
+	if len(s.d.workerList) != 2 {
+		t.Fatalf("%d workers known, expected 2", len(s.d.workerList))
 	}
 	s.now -= time.Minute // the clock steps back
 	s.step()
@@ -904,8 +904,8 @@
 			t.Fatalf("job %d was sent", a.Job)
 		}
 	}
-	if sends == 0 || s.d.roll.n != 0 {
-		t.Fatalf("%d sends of job 1, %d jobs held at the end", sends, s.d.roll.n)
+	if sends == 0 || s.d.queue.length != 0 {
+		t.Fatalf("%d sends of job 1, %d jobs held at the end", sends, s.d.queue.length)
 	}
 }
 
@@ -915,7 +915,7 @@
 	s := newScene(t, set)
 	s.workers(1)
 	s.busy(1)
-	s.d.workers[1].room = 1
+	s.d.workers[1].limit = 1
 	for id := uint64(10); id < 20; id++ {
 		j := s.job(id, 1, 100*ms)
 		s.step(j)
@@ -924,15 +924,15 @@
 	j.Tenant = 1
 	s.step(j)
 	over := 0
-	for _, sh := range s.d.roll.shapes {
-		for _, h := range sh.held.items {
-			if h.spare {
+	for _, sh := range s.d.queue.shapes {
+		for _, h := range sh.byScore.items {
+			if h.demoted {
 				over++
 			}
 		}
 	}
-	if over == 0 || s.d.jobs[50].spare {
-		t.Fatalf("%d jobs over their tenant's share, tenant without a quota over share: %v", over, s.d.jobs[50].spare)
+	if over == 0 || s.d.jobs[50].demoted {
+		t.Fatalf("%d jobs over their tenant's share, tenant without a quota over share: %v", over, s.d.jobs[50].demoted)
 	}
 }
 
@@ -967,8 +967,8 @@
 	s.take()
 	s.step(s.job(103, 1, 50*ms))
 	acts := s.take()
-	at := slices.IndexFunc(acts, func(a Action) bool { _, ok := a.(FreeLinks); return ok })
-	if at < 0 || at+1 >= len(acts) || acts[at+1] != (Send{Job: 103, Worker: acts[at].(FreeLinks).Worker}) {
+	at := slices.IndexFunc(acts, func(a Action) bool { _, ok := a.(CloseIdleConnections); return ok })
+	if at < 0 || at+1 >= len(acts) || acts[at+1] != (Send{Job: 103, Worker: acts[at].(CloseIdleConnections).Worker}) {
 		t.Fatalf("expected idle links to be closed before the send, got %v", acts)
 	}
 }
@@ -976,7 +976,7 @@
 // A zone with more traffic than its workers can start is left for another, though crossing has a price.
 func TestFullZoneIsLeft(t *testing.T) {
 	set := testSettings()
-	set.CrossPrice = 0.05
+	set.CrossZoneCost = 0.05
 	s := newScene(t, set)
 	list := WorkerList{Kind: ListFull}
 	for id := range uint64(30) {
@@ -996,7 +996,7 @@
 				s.after(ms, Started{Job: a.Job, Attempt: s.jobs[a.Job].tries - 1, Worker: a.Worker})
 				s.after(50*ms, s.done(a.Job, s.jobs[a.Job].tries-1, a.Worker, OK))
 			} else {
-				s.after(ms, s.done(a.Job, s.jobs[a.Job].tries-1, a.Worker, Full))
+				s.after(ms, s.done(a.Job, s.jobs[a.Job].tries-1, a.Worker, WorkerFull))
 			}
 		}
 		s.wait(100 * ms)
@@ -1016,7 +1016,7 @@
 	}
 	within := 0
 	for _, j := range s.d.jobs {
-		if !j.spare {
+		if !j.demoted {
 			within++
 		}
 	}
@@ -1043,11 +1043,11 @@
 	var ends []Action
 	for _, a := range s.take() {
 		switch a.(type) {
-		case Cancel, Refuse:
+		case Cancel, Reject:
 			ends = append(ends, a)
 		}
 	}
-	if len(ends) != 1 || ends[0] != (Refuse{Job: 1}) {
+	if len(ends) != 1 || ends[0] != (Reject{Job: 1}) {
 		t.Fatalf("expected the unstarted job to be refused, got %v", ends)
 	}
 }
@@ -1057,21 +1057,21 @@
 func TestManyKeepWhatIsOut(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		set := testSettings()
-		set.Replicas = many + 1
+		set.Replicas = manyReplicas + 1
 		s := newScene(t, set)
 		s.workers(1)
 		s.step(s.job(1, 2, 300*ms))
 		s.wait(1500 * ms)
-		if n := len(taken[Refuse](s)); n > 0 {
+		if n := len(taken[Reject](s)); n > 0 {
 			t.Fatalf("refused %d times while it waits", n)
 		}
 		if full {
-			s.step(Outcome{Job: 1, Worker: 1, Result: Full})
+			s.step(Outcome{Job: 1, Worker: 1, Result: WorkerFull})
 			s.wait(100 * ms)
 		} else {
 			s.wait(4 * time.Second)
 		}
-		if n := len(taken[Refuse](s)); n != 1 {
+		if n := len(taken[Reject](s)); n != 1 {
 			t.Fatalf("turned away by its worker %v: refused %d times", full, n)
 		}
 	}
@@ -1082,11 +1082,11 @@
 func TestLongJobsWaitWhileOursWait(t *testing.T) {
 	for _, of := range []int{0, 2} {
 		set := testSettings()
-		set.Replicas = many + 1
+		set.Replicas = manyReplicas + 1
 		s := newScene(t, set)
 		list := WorkerList{Kind: ListFull}
 		for id := uint64(1); id <= 6; id++ {
-			list.Workers = append(list.Workers, Worker{ID: id, Ready: true, Of: of})
+			list.Workers = append(list.Workers, Worker{ID: id, Ready: true, Assignees: of})
 		}
 		s.step(list)
 		for id := uint64(1); id <= 3; id++ { // three run
@@ -1116,7 +1116,7 @@
 		copied bool
 	}{{0, 50 * ms, true}, {0, 3 * time.Second, false}, {1, 50 * ms, false}} {
 		set := testSettings()
-		set.Replicas, set.Report = many+1, nil
+		set.Replicas, set.ReportFields = manyReplicas+1, nil
 		s := newScene(t, set)
 		s.workers(3)
 		s.step(s.job(1, c.class, c.hint))
@@ -1125,7 +1125,7 @@
 		other := taken[Send](s)
 		for range 8 { // whoever has the first gets on with others
 			s.step(Progressed{Job: 2, Worker: other[0].Worker, Share: 0.1})
-			s.d.workers[w].worked = s.d.now
+			s.d.workers[w].progressAt = s.d.now
 			s.wait(50 * ms)
 		}
 		copied := false
@@ -1144,10 +1144,10 @@
 	for _, works := range []bool{true, false} {
 		s := newScene(t, testSettings())
 		s.workers(2)
-		s.d.leave(s.d.workers[2], 200*ms)
+		s.d.backOff(s.d.workers[2], 200*ms)
 		s.busy(1)
-		s.d.workers[1].room = 5
-		s.d.touch(s.d.workers[1])
+		s.d.workers[1].limit = 5
+		s.d.markDirty(s.d.workers[1])
 		s.step(s.job(2, 0, 300*ms))
 		expectJobs(t, taken[Send](s), 2)
 		s.wait(100 * ms)
@@ -1171,8 +1171,8 @@
 func TestLongRunIsNotCopied(t *testing.T) {
 	for _, tells := range []bool{true, false} {
 		set := testSettings()
-		set.Progress = 500 * ms
-		set.Classes[0].Aim = 4 * time.Second
+		set.ProgressInterval = 500 * ms
+		set.Classes[0].LatencyObjective = 4 * time.Second
 		s := newScene(t, set)
 		s.workers(2)
 		s.busy(1)
@@ -1192,7 +1192,7 @@
 // brings one: thought to be fifty times too slow, jobs would be refused with all workers idle until it looks again.
 func TestFirstListIsKnownAtOnce(t *testing.T) {
 	set := testSettings()
-	set.Classes[2].Aim = 80 * ms
+	set.Classes[2].LatencyObjective = 80 * ms
 	s := newScene(t, set)
 	s.step() // no worker yet
 	s.wait(time.Second)
@@ -1202,7 +1202,7 @@
 	}
 	s.wait(5 * ms)
 	for _, a := range s.take() {
-		if r, ok := a.(Refuse); ok {
+		if r, ok := a.(Reject); ok {
 			t.Fatalf("job %d was refused with workers idle", r.Job)
 		}
 	}
@@ -1213,11 +1213,11 @@
 	f := newFleet(100, scaleSettings())
 	f.serve(100, time.Second)
 	for range 30 {
-		a := &attempt{idle: 8 * ms}
-		f.d.linkNews(a, false)
+		a := &attempt{connIdle: 8 * ms}
+		f.d.observeIdleConnection(a, false)
 	}
-	if f.d.idleMost != 0 {
-		t.Fatalf("links are trusted for %v", f.d.idleMost)
+	if f.d.maxIdle != 0 {
+		t.Fatalf("links are trusted for %v", f.d.maxIdle)
 	}
 }
 
@@ -1226,19 +1226,19 @@
 func TestRestoredWorkerIsColdAndUsed(t *testing.T) {
 	for _, told := range []bool{false, true} {
 		set := testSettings()
-		set.Cold, set.ColdFrom, set.Overload, set.OverloadSpan = 20*time.Second, 0.2, 3, 2*time.Second
+		set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
 		s := newScene(t, set)
 		s.workers(1)
 		s.busy(1)
-		s.step(Suspended{Worker: 1}, Suspended{Worker: 1})
+		s.step(Cordoned{Worker: 1}, Cordoned{Worker: 1})
 		s.wait(3 * time.Second)
 		if told {
 			s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 1, Ready: true, BootAt: s.now}}})
 			s.wait(4 * time.Second)
 		}
 		s.take()
-		s.step(Restored{Worker: 1})
-		share := s.d.coldShare(s.d.workers[1])
+		s.step(Uncordoned{Worker: 1})
+		share := s.d.warmUpShare(s.d.workers[1])
 		if told && (share < 0.35 || share > 0.37) || !told && share > 0.21 {
 			t.Errorf("told of the start: %v; taken to have %v of its capacity", told, share)
 		}
@@ -1252,11 +1252,11 @@
 func TestAllTakenOut(t *testing.T) {
 	s := newScene(t, testSettings())
 	s.workers(2)
-	s.step(Suspended{Worker: 1}, Suspended{Worker: 2}, s.job(1, 0, 10*ms))
-	if got := taken[Refuse](s); len(got) != 1 || got[0].Job != 1 {
+	s.step(Cordoned{Worker: 1}, Cordoned{Worker: 2}, s.job(1, 0, 10*ms))
+	if got := taken[Reject](s); len(got) != 1 || got[0].Job != 1 {
 		t.Fatalf("refused %v", got)
 	}
-	s.step(Restored{Worker: 2}, s.job(2, 0, 10*ms))
+	s.step(Uncordoned{Worker: 2}, s.job(2, 0, 10*ms))
 	expectJobs(t, taken[Send](s), 2)
 }
 
@@ -1264,16 +1264,16 @@
 // a job that would be late there if no other comes.
 func TestRestoredWorkerIsNotLeftIdle(t *testing.T) {
 	set := testSettings()
-	set.Cold, set.ColdFrom, set.Overload, set.OverloadSpan = 20*time.Second, 0.2, 3, 2*time.Second
+	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
 	set.Replicas = 2
 	for me := range 2 {
-		set.Me = me
+		set.ReplicaIndex = me
 		s := newScene(t, set)
 		s.workers(1)
 		s.wait(3 * time.Second)
-		s.step(Suspended{Worker: 1})
-		s.step(Restored{Worker: 1})
-		s.wait(freedWait + 10*ms)
+		s.step(Cordoned{Worker: 1})
+		s.step(Uncordoned{Worker: 1})
+		s.wait(uncordonedWait + 10*ms)
 		s.take()
 		s.step(s.job(1, 0, 300*ms)) // far too long for its aim on a cold worker
 		expectJobs(t, taken[Send](s), 1)
@@ -1291,7 +1291,7 @@
 		list     []Worker
 	}{{40, 12, []Worker{{ID: 1, Ready: true}}}, {2, 40, []Worker{{ID: 1, Ready: true}}}, {40, 40, nil}} {
 		set := testSettings()
-		set.Replicas, set.MustSubscribe, set.AskEvery = c.of, true, 6*time.Second
+		set.Replicas, set.MustSubscribe, set.PollInterval = c.of, true, 6*time.Second
 		soon := 0
 		for seed := range uint64(40) {
 			s := newScene(t, set)
@@ -1311,8 +1311,8 @@
 	for of, want := range map[int]float64{1: 10, 3: 10, 6: 5, 36: 1} {
 		set := testSettings()
 		set.Replicas = of
-		if d := New(set, 1); d.copies != want || d.copiesSaved() != want {
-			t.Errorf("of %d: %v copies at first, %v saved up, expected %v", of, d.copies, d.copiesSaved(), want)
+		if d := New(set, 1); d.hedgeTokens != want || d.maxHedgeTokens() != want {
+			t.Errorf("of %d: %v copies at first, %v saved up, expected %v", of, d.hedgeTokens, d.maxHedgeTokens(), want)
 		}
 	}
 }
--- a/logic/rules_test.go
+++ b/dispatch/rules_test.go
@@ -1,4 +1,4 @@
-package logic
+package dispatch
 
 import (
 	"fmt"
@@ -55,15 +55,15 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case Job:
-			r.jobs[e.ID] = &heardJob{Job: e, deadline: r.now + e.Left}
-		case Resumed:
-			j := &heardJob{Job: e.Job, deadline: r.now + e.Job.Left}
+			r.jobs[e.ID] = &heardJob{Job: e, deadline: r.now + e.Remaining}
+		case JobResumed:
+			j := &heardJob{Job: e.Job, deadline: r.now + e.Job.Remaining}
 			for _, p := range e.Attempts {
 				w, known := r.last[p.Worker]
 				if !known {
 					w = Worker{ID: p.Worker, Zone: -1, Cell: -1}
 				}
-				j.tries = append(j.tries, heardTry{worker: w, sent: r.now - p.Ago, started: p.Began > 0, ended: p.Ended, result: p.Result})
+				j.tries = append(j.tries, heardTry{worker: w, sent: r.now - p.SentAgo, started: p.StartedAgo > 0, ended: p.Ended, result: p.Result})
 			}
 			r.jobs[e.Job.ID] = j
 		case Outcome:
@@ -71,19 +71,19 @@
 			t := &j.tries[e.Attempt]
 			t.ended, t.result = true, e.Result
 			j.closed = j.closed || e.Closed
-		case StreamBegun:
+		case ResponseStarted:
 			r.jobs[e.Job].stream = true
-		case ClientGone:
+		case ClientDisconnected:
 			r.jobs[e.Job].closed = true
 			r.leaving[e.Job] = true
-		case Probed:
+		case HealthChecked:
 			r.probing[e.Worker] = false
-		case Suspended:
+		case Cordoned:
 			r.out[e.Worker] = true
-		case Restored:
+		case Uncordoned:
 			delete(r.out, e.Worker)
 		case WorkerList:
-			if e.Kind == ListLost {
+			if e.Kind == ListUnavailable {
 				continue
 			}
 			if e.Kind != ListDelta {
@@ -91,7 +91,7 @@
 			}
 			for _, w := range e.Workers {
 				delete(r.ready, w.ID)
-				if w.Ready && !w.Gone {
+				if w.Ready && !w.Removed {
 					r.ready[w.ID] = w
 				}
 				r.named[w.ID], r.last[w.ID] = true, w
@@ -102,7 +102,7 @@
 
 // mayHaveRun is the wire's table of completion codes: only these three prove that nothing ran.
 func (t heardTry) mayHaveRun() bool {
-	return !t.ended || t.result != Full && t.result != NoConnect && t.result != NotSent
+	return !t.ended || t.result != WorkerFull && t.result != ConnectFailed && t.result != NotSent
 }
 
 func (r *referee) judge(actions []Action) {
@@ -110,13 +110,13 @@
 		switch a := a.(type) {
 		case Send:
 			r.judgeSend(a)
-		case Refuse:
+		case Reject:
 			j := r.final("refuse", a.Job)
 			if j == nil {
 				continue
 			}
 			c := r.set.Classes[j.Class]
-			harmless := c.Effect == Safe || c.Effect == Keyed && c.Group == GroupAll
+			harmless := c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DeduplicationScope == ScopeAll
 			if !harmless && slices.ContainsFunc(j.tries, heardTry.mayHaveRun) {
 				r.fault("job %d refused though it may have run", a.Job)
 			}
@@ -124,13 +124,13 @@
 			r.final("fail", a.Job)
 		case Cancel:
 			j := r.jobs[a.Job]
-			if !r.set.Cancelling || j == nil || a.Attempt < 0 || a.Attempt >= len(j.tries) {
+			if !r.set.Cancellation || j == nil || a.Attempt < 0 || a.Attempt >= len(j.tries) {
 				r.fault("cancel of job %d attempt %d", a.Job, a.Attempt)
 				continue
 			}
 			j.tries[a.Attempt].revoked = true
-		case Probe:
-			if !r.set.Probes || !r.named[a.Worker] {
+		case HealthCheck:
+			if !r.set.HealthChecks || !r.named[a.Worker] {
 				r.fault("probe of worker %d", a.Worker)
 			}
 			r.probing[a.Worker] = true
@@ -179,23 +179,23 @@
 		r.fault("job %d of class %d sent to kind %d in zone %d", a.Job, j.Class, w.Kind, w.Zone)
 	}
 	for _, t := range j.tries {
-		if !t.ended && !r.set.SecondCopies {
+		if !t.ended && !r.set.Hedging {
 			r.fault("second copy of job %d", a.Job)
 		}
 		if !t.ended && t.worker.ID == a.Worker {
 			r.fault("job %d sent to worker %d, which has it", a.Job, a.Worker)
 		}
-		if !t.mayHaveRun() || c.Effect == Safe {
+		if !t.mayHaveRun() || c.Idempotency == Idempotent {
 			continue
 		}
-		same := c.Group == GroupAll || c.Group == GroupZone && t.worker.Zone == w.Zone ||
-			c.Group == GroupCell && t.worker.Cell == w.Cell
-		if c.Effect == Unsafe || !same || r.now-t.sent+r.set.ConnectTimeout > c.Window { // it may wait for its connection
+		same := c.DeduplicationScope == ScopeAll || c.DeduplicationScope == ScopeZone && t.worker.Zone == w.Zone ||
+			c.DeduplicationScope == ScopeCell && t.worker.Cell == w.Cell
+		if c.Idempotency == NonIdempotent || !same || r.now-t.sent+r.set.ConnectTimeout > c.DeduplicationWindow { // it may wait for its connection
 			r.fault("job %d sent again though it may have run", a.Job)
 		}
 	}
 	j.tries = append(j.tries, heardTry{worker: w, sent: r.now})
-	if len(j.tries) > r.set.TryLimit {
+	if len(j.tries) > r.set.AttemptLimit {
 		r.fault("job %d has %d attempts", a.Job, len(j.tries))
 	}
 }
@@ -204,15 +204,15 @@
 func randomSettings(rng *rand.Rand) Settings {
 	flip := func() bool { return rng.IntN(2) == 0 }
 	ms := func(n int) time.Duration { return time.Duration(rng.IntN(n)) * time.Millisecond }
-	set := Settings{Replicas: rng.IntN(6), Me: rng.IntN(5), Zone: rng.IntN(3), MustSubscribe: flip(), TryLimit: 1 + rng.IntN(5),
-		SecondCopies: flip(), Cancelling: flip(), Probes: flip(), TellsStart: flip(), MaxRetryAfter: ms(2000),
-		Report: []Field{FieldOther, FieldFreeSlots}[:rng.IntN(3)], ProbePrice: rng.Float64() * 0.01,
-		CrossPrice: rng.Float64() * 0.1, ConnectTimeout: ms(300), AskEvery: ms(10000), Cold: ms(20000),
-		ColdFrom: rng.Float64(), Overload: 1 + 3*rng.Float64(), OverloadSpan: ms(3000)}
+	set := Settings{Replicas: rng.IntN(6), ReplicaIndex: rng.IntN(5), Zone: rng.IntN(3), MustSubscribe: flip(), AttemptLimit: 1 + rng.IntN(5),
+		Hedging: flip(), Cancellation: flip(), HealthChecks: flip(), StartNotifications: flip(), MaxRetryAfter: ms(2000),
+		ReportFields: []ReportField{ReportFieldOther, ReportFieldFreeSlots}[:rng.IntN(3)], HealthCheckCost: rng.Float64() * 0.01,
+		CrossZoneCost: rng.Float64() * 0.1, ConnectTimeout: ms(300), PollInterval: ms(10000), WarmUp: ms(20000),
+		WarmUpCapacity: rng.Float64(), OverloadFactor: 1 + 3*rng.Float64(), OverloadWindow: ms(3000)}
 	for range 1 + rng.IntN(4) {
-		set.Classes = append(set.Classes, Class{Aim: ms(1000), Stretch: 3 * rng.Float64(), GiveUp: ms(8000),
-			Effect: Effect(rng.IntN(3)), Group: Group(rng.IntN(3)), Window: ms(3000),
-			LateShare: max(0, rng.Float64()-0.5), Worth: 5 * rng.Float64(), Kinds: randomNames(rng), Zones: randomNames(rng)})
+		set.Classes = append(set.Classes, Class{LatencyObjective: ms(1000), ObjectiveStretch: 3 * rng.Float64(), ClientTimeout: ms(8000),
+			Idempotency: Idempotency(rng.IntN(3)), DeduplicationScope: DeduplicationScope(rng.IntN(3)), DeduplicationWindow: ms(3000),
+			LateValue: max(0, rng.Float64()-0.5), PriorityWeight: 5 * rng.Float64(), Kinds: randomNames(rng), Zones: randomNames(rng)})
 	}
 	for range rng.IntN(3) {
 		set.TenantQuota = append(set.TenantQuota, 20*rng.Float64())
@@ -262,25 +262,25 @@
 		for range rng.IntN(3) {
 			id++
 			j := Job{ID: id, Class: rng.IntN(len(set.Classes)), Tenant: rng.IntN(3),
-				Left: time.Duration(rng.IntN(8000)) * time.Millisecond, Slots: float64(rng.IntN(5)),
+				Remaining: time.Duration(rng.IntN(8000)) * time.Millisecond, Slots: float64(rng.IntN(5)),
 				Memory: 3 * rng.Float64(), Hint: time.Duration(rng.IntN(3)) * time.Duration(rng.IntN(2e9)), Key: id % 7}
 			if rng.IntN(4) == 0 {
-				events = append(events, Resumed{Job: j, Waited: time.Duration(rng.IntN(3000)) * time.Millisecond, Counted: id%2 == 0, Attempts: randomPasts(rng)})
+				events = append(events, JobResumed{Job: j, Age: time.Duration(rng.IntN(3000)) * time.Millisecond, QuotaCharged: id%2 == 0, Attempts: randomPasts(rng)})
 			} else {
 				events = append(events, j)
 			}
 		}
 		if rng.IntN(20) == 0 {
-			events = append(events, Suspended{Worker: uint64(rng.IntN(10) + 1)}) // repeated, not listed yet, or any
+			events = append(events, Cordoned{Worker: uint64(rng.IntN(10) + 1)}) // repeated, not listed yet, or any
 		}
 		for n := range rng.IntN(3) / 2 * 3 {
-			events = append(events, Restored{Worker: uint64(rng.IntN(10) + n + 1)})
+			events = append(events, Uncordoned{Worker: uint64(rng.IntN(10) + n + 1)})
 		}
 		if rng.IntN(60) == 0 {
-			events = append(events, Shared{Of: rng.IntN(4), Me: rng.IntN(4), Part: rng.Float64() * float64(rng.IntN(2))})
+			events = append(events, ReplicasChanged{Replicas: rng.IntN(4), ReplicaIndex: rng.IntN(4), QuotaShare: rng.Float64() * float64(rng.IntN(2))})
 		}
 		if rng.IntN(100) == 0 {
-			events = append(events, Taught{Lesson: d.Lesson(rng.IntN(600), nil), Age: time.Duration(rng.IntN(1e10)), Part: rng.Float64()})
+			events = append(events, ModelUpdate{Snapshot: d.ModelSnapshot(rng.IntN(600), nil), Age: time.Duration(rng.IntN(1e10)), LoadShare: rng.Float64()})
 		}
 		events = append(events, randomNews(rng, r)...)
 		r.hear(events)
@@ -294,15 +294,15 @@
 }
 
 // randomPasts draws what came of a job before. Some of the workers are not listed, or not known.
-func randomPasts(rng *rand.Rand) (pasts []Past) {
+func randomPasts(rng *rand.Rand) (pasts []PastAttempt) {
 	for range rng.IntN(4) {
-		p := Past{Worker: uint64(rng.IntN(10) + 1), Ago: time.Duration(rng.IntN(3000)) * time.Millisecond, Ended: rng.IntN(2) == 0,
+		p := PastAttempt{Worker: uint64(rng.IntN(10) + 1), SentAgo: time.Duration(rng.IntN(3000)) * time.Millisecond, Ended: rng.IntN(2) == 0,
 			Result: Result(rng.IntN(9))}
-		if slices.ContainsFunc(pasts, func(o Past) bool { return o.Worker == p.Worker }) {
+		if slices.ContainsFunc(pasts, func(o PastAttempt) bool { return o.Worker == p.Worker }) {
 			p.Ended = true // no worker has two
 		}
 		if rng.IntN(2) == 0 {
-			p.Began = time.Duration(rng.Int64N(int64(p.Ago + 1)))
+			p.StartedAgo = time.Duration(rng.Int64N(int64(p.SentAgo + 1)))
 		}
 		pasts = append(pasts, p)
 	}
@@ -314,18 +314,18 @@
 		return nil
 	}
 	list := WorkerList{Kind: ListKind(rng.IntN(4))}
-	if list.Kind == ListLost {
+	if list.Kind == ListUnavailable {
 		return []Event{list}
 	}
 	for n := range rng.IntN(8) {
 		w := Worker{ID: uint64(n + 1), Kind: n % 3, Zone: n % 2, Cell: n % 4, Ready: rng.IntN(4) > 0}
 		if rng.IntN(6) == 0 {
-			w.Rank, w.Of = rng.IntN(3), rng.IntN(3)
+			w.AssigneeRank, w.Assignees = rng.IntN(3), rng.IntN(3)
 		}
 		if rng.IntN(4) == 0 {
 			w.BootAt = r.now - time.Duration(rng.IntN(1e9))
 		}
-		w.Gone = list.Kind == ListDelta && rng.IntN(5) == 0
+		w.Removed = list.Kind == ListDelta && rng.IntN(5) == 0
 		list.Workers = append(list.Workers, w)
 	}
 	return []Event{list}
@@ -349,7 +349,7 @@
 			if !overdue && !t.revoked && rng.IntN(8) > 0 {
 				continue
 			}
-			if !t.started && r.set.TellsStart && rng.IntN(2) == 0 && !overdue {
+			if !t.started && r.set.StartNotifications && rng.IntN(2) == 0 && !overdue {
 				t.started = true
 				events = append(events, Started{Job: id, Attempt: n, Worker: t.worker.ID})
 				continue
@@ -372,7 +372,7 @@
 			}
 		}
 		if !j.closed && rng.IntN(200) == 0 {
-			events = append(events, ClientGone{Job: id})
+			events = append(events, ClientDisconnected{Job: id})
 			j.closed = true
 		}
 		if j.closed && !slices.ContainsFunc(j.tries, func(t heardTry) bool { return !t.ended }) && rng.IntN(20) == 0 &&
@@ -382,7 +382,7 @@
 	}
 	for id := uint64(1); id < 9; id++ {
 		if r.probing[id] && rng.IntN(3) == 0 {
-			events = append(events, Probed{Worker: id, Result: Result(rng.IntN(8)), Report: []float64{1, rng.Float64()}})
+			events = append(events, HealthChecked{Worker: id, Result: Result(rng.IntN(8)), Report: []float64{1, rng.Float64()}})
 		}
 	}
 	return events
@@ -392,7 +392,7 @@
 	switch e := e.(type) {
 	case Outcome:
 		return e.Job == id
-	case ClientGone:
+	case ClientDisconnected:
 		return e.Job == id
 	}
 	return false
@@ -447,7 +447,7 @@
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		set := testSettings()
-		set.Replicas, set.Cold, set.ColdFrom, set.Overload, set.OverloadSpan = 3, 20*time.Second, 0.1, 3, 2*time.Second
+		set.Replicas, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 3, 20*time.Second, 0.1, 3, 2*time.Second
 		s := newScene(t, set)
 		boot := map[uint64]time.Duration{}
 		list := WorkerList{Kind: ListFull}
@@ -477,7 +477,7 @@
 				return over
 			})
 			hint := time.Duration(20+rng.IntN(600)) * time.Millisecond
-			s.step(Job{ID: id, Class: 0, Left: 5 * time.Second, Hint: hint, Slots: 1})
+			s.step(Job{ID: id, Class: 0, Remaining: 5 * time.Second, Hint: hint, Slots: 1})
 			for _, a := range s.take() {
 				send, ok := a.(Send)
 				if !ok {
@@ -491,11 +491,11 @@
 				s.after(2*time.Millisecond+j.Hint, Outcome{Job: send.Job, Attempt: j.tries - 1, Worker: send.Worker,
 					Result: OK, Closed: true, Report: []float64{3}})
 				b, ok := boot[send.Worker]
-				if age := s.now - b; ok && age < set.Cold {
+				if age := s.now - b; ok && age < set.WarmUp {
 					spent[send.Worker] = append(spent[send.Worker], spend{s.now, j.Hint.Seconds()})
 					sum := 0.0
 					for _, x := range spent[send.Worker] {
-						if s.now-x.at <= set.OverloadSpan {
+						if s.now-x.at <= set.OverloadWindow {
 							sum += x.work
 						}
 					}
@@ -520,13 +520,13 @@
 	for _, replicas := range []int{3, 40, 300} {
 		rng := rand.New(rand.NewPCG(uint64(replicas), 3))
 		set := testSettings()
-		set.Replicas, set.Cold, set.ColdFrom, set.Overload, set.OverloadSpan = replicas, 20*time.Second, 0.12, 3, 2*time.Second
+		set.Replicas, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = replicas, 20*time.Second, 0.12, 3, 2*time.Second
 		start := time.Hour
 		lists := []Event{WorkerList{Kind: ListFull, Workers: []Worker{{ID: 77, Ready: true, BootAt: start}}}}
 		all := make([]*Dispatcher, replicas)
 		begin := func(i int) {
 			own := set
-			own.Me = i
+			own.ReplicaIndex = i
 			all[i] = New(own, uint64(i))
 		}
 		for i := range all {
@@ -555,7 +555,7 @@
 				}
 				id++
 				hint := time.Duration(20+rng.ExpFloat64()*250) * time.Millisecond
-				events := append(slices.Clone(lists), Job{ID: id, Class: 0, Left: 5 * time.Second, Hint: hint, Slots: 1})
+				events := append(slices.Clone(lists), Job{ID: id, Class: 0, Remaining: 5 * time.Second, Hint: hint, Slots: 1})
 				for _, a := range all[i].Step(now, events, nil) {
 					s, ok := a.(Send)
 					if !ok || s.Job != id {
@@ -567,7 +567,7 @@
 					all[i].Step(now+time.Millisecond, []Event{Started{Job: id, Worker: 77}}, nil)
 					ends = append(ends, end{now + 2*hint, i, id})
 				}
-				spent = slices.DeleteFunc(spent, func(s spend) bool { return now-s.at > set.OverloadSpan })
+				spent = slices.DeleteFunc(spent, func(s spend) bool { return now-s.at > set.OverloadWindow })
 				sum := 0.0
 				for _, s := range spent {
 					sum += s.work
@@ -617,7 +617,7 @@
 				switch a := a.(type) {
 				case Send:
 					used = append(used, a.Worker)
-				case Refuse, Fail:
+				case Reject, Fail:
 					ended++
 				}
 			}
@@ -640,7 +640,7 @@
 	const replicas, warm, cold, slots = 300, 24, 8, 4
 	rng := rand.New(rand.NewPCG(5, 6))
 	set := testSettings()
-	set.Replicas, set.Cold, set.ColdFrom, set.Overload, set.OverloadSpan = replicas, 8*time.Second, 0.4, 3, 2*time.Second
+	set.Replicas, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = replicas, 8*time.Second, 0.4, 3, 2*time.Second
 	start := time.Hour
 	list := WorkerList{Kind: ListFull}
 	for id := range uint64(warm + cold) {
@@ -653,7 +653,7 @@
 	all := make([]*Dispatcher, replicas)
 	begin := func(i int) {
 		own := set
-		own.Me = i
+		own.ReplicaIndex = i
 		all[i] = New(own, uint64(i))
 		all[i].Step(start-time.Second, []Event{list}, nil)
 	}
@@ -720,13 +720,13 @@
 		for n := rng.Float64() * 2 * offered / 100; n > 0; n-- {
 			i := int(float64(replicas) * rng.Float64() * rng.Float64()) // some get several times the mean
 			id++
-			job := Job{ID: id, Class: 0, Left: 5 * time.Second, Hint: work, Slots: 1}
+			job := Job{ID: id, Class: 0, Remaining: 5 * time.Second, Hint: work, Slots: 1}
 			take(i, now, all[i].Step(now, []Event{job, TimerFired{}}, nil), numbers[i])
 		}
 		for w := range spent {
-			spent[w] = slices.DeleteFunc(spent[w], func(at time.Duration) bool { return now-at > set.OverloadSpan })
+			spent[w] = slices.DeleteFunc(spent[w], func(at time.Duration) bool { return now-at > set.OverloadWindow })
 			share := 0.4 + 0.6*(now-start).Seconds()/8
-			most := set.Overload * share * slots / work.Seconds() * set.OverloadSpan.Seconds()
+			most := set.OverloadFactor * share * slots / work.Seconds() * set.OverloadWindow.Seconds()
 			if n := float64(len(spent[w])); n > most+2*math.Sqrt(most)+2 {
 				t.Fatalf("worker %d got %v jobs within a span at %v, of %.0f", w, n, now-start, most)
 			}
--- a/logic/scale_test.go
+++ b/dispatch/scale_test.go
@@ -1,4 +1,4 @@
-package logic
+package dispatch
 
 import (
 	"fmt"
@@ -40,7 +40,7 @@
 }
 
 func newFleet(nodes int, set Settings) *fleet {
-	f := &fleet{d: New(set, 1), rng: rand.New(rand.NewPCG(1, 1)), now: time.Hour, run: 20 * ms, hint: 1, notice: set.TellsStart, jobs: map[uint64]*fleetJob{},
+	f := &fleet{d: New(set, 1), rng: rand.New(rand.NewPCG(1, 1)), now: time.Hour, run: 20 * ms, hint: 1, notice: set.StartNotifications, jobs: map[uint64]*fleetJob{},
 		at: map[uint64]int{}, delay: 200 * time.Microsecond}
 	list := WorkerList{Kind: ListFull}
 	for id := range nodes {
@@ -52,8 +52,8 @@
 
 func scaleSettings() Settings {
 	set := testSettings()
-	set.Report, set.Probes, set.ProbePrice = nil, true, 0.004
-	set.Classes = []Class{{Aim: 80 * ms, Stretch: 2.5, GiveUp: 5 * time.Second, Effect: Safe, Worth: 1}}
+	set.ReportFields, set.HealthChecks, set.HealthCheckCost = nil, true, 0.004
+	set.Classes = []Class{{LatencyObjective: 80 * ms, ObjectiveStretch: 2.5, ClientTimeout: 5 * time.Second, Idempotency: Idempotent, PriorityWeight: 1}}
 	return set
 }
 
@@ -77,9 +77,9 @@
 			}
 			run := time.Duration(float64(f.run) * (1 + f.noise*(2*f.rng.Float64()-1)))
 			f.later(1, 2*f.delay+run, Outcome{Job: a.Job, Attempt: n, Worker: a.Worker, Result: OK, Closed: true})
-		case Probe:
-			f.later(2, 2*f.delay, Probed{Worker: a.Worker, Result: OK})
-		case Refuse:
+		case HealthCheck:
+			f.later(2, 2*f.delay, HealthChecked{Worker: a.Worker, Result: OK})
+		case Reject:
 			f.turned++
 			f.close(a.Job)
 		case Fail:
@@ -130,7 +130,7 @@
 func (f *fleet) job() {
 	f.lastID++
 	f.jobs[f.lastID] = &fleetJob{}
-	f.step(Job{ID: f.lastID, Class: 0, Left: 5 * time.Second, Hint: time.Duration(float64(f.run) * f.hint), Slots: 1})
+	f.step(Job{ID: f.lastID, Class: 0, Remaining: 5 * time.Second, Hint: time.Duration(float64(f.run) * f.hint), Slots: 1})
 }
 
 // BenchmarkStep is the whole life of one job: it comes, goes, starts and ends. A tenth of the fleet's slots are in use.
@@ -155,7 +155,7 @@
 	for _, held := range []int{0, 100, 10000} {
 		b.Run(fmt.Sprintf("held=%d", held), func(b *testing.B) {
 			set := scaleSettings()
-			set.Classes[0].Aim, set.Classes[0].GiveUp = time.Hour, 2*time.Hour
+			set.Classes[0].LatencyObjective, set.Classes[0].ClientTimeout = time.Hour, 2*time.Hour
 			f := newFleet(100, set)
 			for range 400 + held {
 				f.job()
@@ -224,7 +224,7 @@
 		for _, hint := range []float64{1, 1.0 / 30, 30} {
 			for _, notice := range []bool{true, false} {
 				set := scaleSettings()
-				set.TellsStart = notice
+				set.StartNotifications = notice
 				f := newFleet(nodes, set)
 				f.hint = hint
 				clients := min(nodes*2, 400)
@@ -258,16 +258,16 @@
 		f := newFleet(max(1, c.out/2), scaleSettings())
 		f.hint, f.noise = c.hint, 0.3
 		f.serve(c.out, c.length)
-		j := &job{Job: Job{Hint: time.Duration(float64(f.run) * c.hint), Slots: 1}, class: &f.d.set.Classes[0]}
+		j := &job{Job: Job{Hint: time.Duration(float64(f.run) * c.hint), Slots: 1}, class: &f.d.settings.Classes[0]}
 		mean := 0.0
-		for _, w := range f.d.order {
-			mean += w.speed / float64(len(f.d.order))
-			believed := math.Log(f.d.expectedWork(j)) - w.speed - math.Log(f.run.Seconds())
-			if w.seen >= 5 && math.Abs(believed) > 1 {
+		for _, w := range f.d.workerList {
+			mean += w.logSpeed / float64(len(f.d.workerList))
+			believed := math.Log(f.d.expectedWork(j)) - w.logSpeed - math.Log(f.run.Seconds())
+			if w.runs >= 5 && math.Abs(believed) > 1 {
 				t.Fatalf("%+v: a run is believed to take %.2f times its time", c, math.Exp(believed))
 			}
 		}
-		if c.length > 8*time.Second && math.Abs(mean) > speedBand+0.1 {
+		if c.length > 8*time.Second && math.Abs(mean) > maxMeanSpeed+0.1 {
 			t.Errorf("%+v: the mean speed is %.2f", c, math.Exp(mean))
 		}
 	}
@@ -281,10 +281,10 @@
 		f := newFleet(nodes, scaleSettings())
 		f.serve(nodes, time.Second)
 		for _, k := range f.d.kinds {
-			k.speed = -6
+			k.logSpeed = -6
 		}
-		for _, w := range f.d.order {
-			w.speed, w.learned = -6, f.now
+		for _, w := range f.d.workerList {
+			w.logSpeed, w.learnedAt = -6, f.now
 		}
 		f.serve(nodes, time.Second)
 		if served, _ := f.serve(nodes, 2*time.Second); float64(served) < 0.95*float64(nodes)/(f.run+2*f.delay).Seconds() {
@@ -312,9 +312,9 @@
 // A class that only one worker in a hundred may run, and more of it than those can take, holds up nothing else.
 func TestBoundClassHoldsUpNothingElse(t *testing.T) {
 	set := scaleSettings()
-	set.Probes = false
+	set.HealthChecks = false
 	bound := set.Classes[0]
-	bound.Kinds, bound.Aim, bound.GiveUp = []int{7}, time.Hour, 2*time.Hour
+	bound.Kinds, bound.LatencyObjective, bound.ClientTimeout = []int{7}, time.Hour, 2*time.Hour
 	set.Classes = append(set.Classes, bound)
 	s := newScene(t, set)
 	list := WorkerList{Kind: ListFull}
@@ -343,7 +343,7 @@
 func TestOwnLatenessSaysNothingOfWorkers(t *testing.T) {
 	f := newFleet(20, scaleSettings())
 	f.serve(40, 2*time.Second)
-	before := f.d.order[3].speed
+	before := f.d.workerList[3].logSpeed
 	f.now += 2 * time.Second // frozen: what came meanwhile is told late, with our own timer
 	events := []Event{TimerFired{}}
 	for i := range f.out[:2] {
@@ -352,9 +352,9 @@
 		}
 	}
 	f.step(events...)
-	for _, w := range f.d.order {
-		if math.Abs(w.speed-before) > 0.5 || w.pause > 0 || w.room < 2 {
-			t.Fatalf("worker %d: speed %.2f (%.2f before), set aside for %v, room %.0f", w.ID, w.speed, before, w.pause, w.room)
+	for _, w := range f.d.workerList {
+		if math.Abs(w.logSpeed-before) > 0.5 || w.ejectionTime > 0 || w.limit < 2 {
+			t.Fatalf("worker %d: speed %.2f (%.2f before), set aside for %v, room %.0f", w.ID, w.logSpeed, before, w.ejectionTime, w.limit)
 		}
 	}
 }
--- a/logic/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -1,4 +1,4 @@
-package logic
+package dispatch
 
 import (
 	"bytes"
@@ -30,7 +30,7 @@
 			if copied == nil || rng.IntN(1+10*int(often%5)) == 0 {
 				state := d.Snapshot(nil)
 				var err error
-				if copied, err = Restore(d.set, state); err != nil {
+				if copied, err = Restore(d.settings, state); err != nil {
 					t.Fatal(err)
 				}
 				if again := copied.Snapshot(nil); !bytes.Equal(again, state) {
@@ -39,12 +39,12 @@
 			}
 			for _, e := range events {
 				j, ok := e.(Job)
-				if r, resumed := e.(Resumed); resumed {
+				if r, resumed := e.(JobResumed); resumed {
 					j, ok = r.Job, true
 				}
 				if ok {
-					if work, known := d.Past(j.Key); known {
-						copied.Recall(j.Key, work)
+					if work, known := d.KeyWork(j.Key); known {
+						copied.RecallKeyWork(j.Key, work)
 					}
 				}
 			}
@@ -59,7 +59,7 @@
 func TestSnapshotKeys(t *testing.T) {
 	set := testSettings()
 	d := New(set, 1)
-	for key := range uint64(keysKept) {
+	for key := range uint64(maxKeys) {
 		d.keyWork[key+1] = 1
 	}
 	state := d.Snapshot(nil)
@@ -73,14 +73,14 @@
 	for _, d := range []*Dispatcher{d, r} {
 		s := &scene{t: t, d: d, now: time.Hour, jobs: map[uint64]*sceneJob{}}
 		s.workers(1)
-		if work, known := d.Past(9); known {
-			r.Recall(9, work)
+		if work, known := d.KeyWork(9); known {
+			r.RecallKeyWork(9, work)
 		}
-		s.step(Job{ID: 1, Key: 9, Left: time.Second})
+		s.step(Job{ID: 1, Key: 9, Remaining: time.Second})
 		s.step(Started{Job: 1, Worker: 1})
 		s.step(Outcome{Job: 1, Worker: 1, Closed: true})
-		if len(d.keyWork)+d.keysAway != 1 {
-			t.Errorf("%d keys known and %d away, where the limit was reached", len(d.keyWork), d.keysAway)
+		if len(d.keyWork)+d.keysOmitted != 1 {
+			t.Errorf("%d keys known and %d away, where the limit was reached", len(d.keyWork), d.keysOmitted)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 	d := New(set, 1)
 	s := &scene{d: d, now: time.Hour, jobs: map[uint64]*sceneJob{}}
 	s.workers(2)
-	s.step(Job{ID: 1, Key: 9, Left: time.Second}, Job{ID: 2, Left: time.Second})
+	s.step(Job{ID: 1, Key: 9, Remaining: time.Second}, Job{ID: 2, Remaining: time.Second})
 	whole := d.Snapshot(nil)
 	if _, err := Restore(Settings{Classes: set.Classes[:1]}, whole); err == nil {
 		f.Error("a snapshot of other classes was taken")
--- a/logic/starve_test.go
+++ b/dispatch/starve_test.go
@@ -1,4 +1,4 @@
-package logic
+package dispatch
 
 import (
 	"testing"
@@ -31,13 +31,13 @@
 // that were too low all were, and each worker was left alone for longer each time.
 func TestLowHintsLeaveNoWorkerAlone(t *testing.T) {
 	set := scaleSettings()
-	set.TellsStart = false
+	set.StartNotifications = false
 	f := newFleet(20, set)
 	f.run, f.hint = 400*ms, 1.0/20
 	served, _ := f.serve(15, 6*time.Second)
 	rest := 0
-	for _, w := range f.d.order {
-		if w.restUntil > f.now {
+	for _, w := range f.d.workerList {
+		if w.backoffUntil > f.now {
 			rest++
 		}
 	}
@@ -50,7 +50,7 @@
 // same instant, as its aim had passed. It goes on instead.
 func TestRunningJobPastItsAimIsNotGivenUp(t *testing.T) {
 	set := testSettings()
-	set.SecondCopies = false
+	set.Hedging = false
 	s := newScene(t, set)
 	s.workers(3)
 	s.step(s.job(1, 2, 400*ms))
@@ -58,7 +58,7 @@
 	s.wait(ms)
 	s.step(Started{Job: 1, Worker: at})
 	s.wait(4 * time.Second)
-	if cancels, turned := taken[Cancel](s), taken[Refuse](s); len(cancels)+len(turned) > 0 {
+	if cancels, turned := taken[Cancel](s), taken[Reject](s); len(cancels)+len(turned) > 0 {
 		t.Fatalf("%v, %v: it was running", cancels, turned)
 	}
 }
@@ -78,15 +78,15 @@
 // or refused though there were workers for them. The next release looks at others first.
 func TestJobsThatFitNowhereHideNoOthers(t *testing.T) {
 	set := testSettings()
-	set.Report = nil
+	set.ReportFields = nil
 	s := newScene(t, set)
 	s.workers(3)
 	s.step(s.job(1, 0, 300*ms), s.job(2, 0, 300*ms)) // and are not known to have started, so that no more go there
 	sick := s.d.workers[6-s.d.jobs[1].attempts[0].worker.ID-s.d.jobs[2].attempts[0].worker.ID]
 	// It takes short jobs that are safe to repeat, as a trial.
-	sick.pause, sick.badUntil, sick.broken, sick.heard = time.Second, s.now, true, s.now-time.Minute
-	s.d.touch(sick)
-	for id := uint64(10); id < 10+2*skipLimit; id++ {
+	sick.ejectionTime, sick.ejectedUntil, sick.broken, sick.heardAt = time.Second, s.now, true, s.now-time.Minute
+	s.d.markDirty(sick)
+	for id := uint64(10); id < 10+2*maxDeferred; id++ {
 		s.step(s.job(id, 1, 10*ms))
 	}
 	s.step(s.job(50, 0, 40*ms))
@@ -103,7 +103,7 @@
 	s.workers(2)
 	s.step(s.job(1, 1, 300*ms)) // unsafe: never moved
 	slow := s.d.workers[3-taken[Send](s)[0].Worker]
-	slow.speed, slow.pace, slow.learned = -2, 0.13, s.now+time.Minute
+	slow.logSpeed, slow.speed, slow.learnedAt = -2, 0.13, s.now+time.Minute
 	big := s.job(2, 1, 1500*ms)
 	big.Slots = 4
 	s.step(big)
@@ -129,10 +129,10 @@
 // like a queue, and its worker was sent nothing more: in a cell with one worker that hung, all others idled.
 func TestRepeatLooksLikeNoQueue(t *testing.T) {
 	set := testSettings()
-	set.Classes[1].Effect, set.Classes[1].Group, set.Classes[1].Window = Keyed, GroupAll, 20*time.Second
+	set.Classes[1].Idempotency, set.Classes[1].DeduplicationScope, set.Classes[1].DeduplicationWindow = IdempotentWithKey, ScopeAll, 20*time.Second
 	s := newScene(t, set)
 	s.workers(2)
-	s.d.workers[1].room, s.d.workers[2].room = 4, 4
+	s.d.workers[1].limit, s.d.workers[2].limit = 4, 4
 	s.step(s.job(1, 1, 100*ms))
 	sick := taken[Send](s)[0].Worker
 	s.wait(600 * ms)
--- a/logic/tools.go
+++ b/dispatch/tools.go
@@ -1,34 +1,34 @@
-package logic
+package dispatch
 
 import (
 	"math"
 	"time"
 )
 
-// pile is a min-heap. place, where set, is told where in it each item stands, and -1 when it leaves. It is written
+// minHeap is a min-heap. place, where set, is told where in it each item stands, and -1 when it leaves. It is written
 // out, as the library's heap boxes each item that it takes or gives.
-type pile[T any] struct {
+type minHeap[T any] struct {
 	items []T
 	less  func(a, b T) bool
-	place func(item T, index int)
+	moved func(item T, index int)
 }
 
-func (p *pile[T]) empty() bool { return len(p.items) == 0 }
-func (p *pile[T]) first() T    { return p.items[0] }
+func (p *minHeap[T]) empty() bool { return len(p.items) == 0 }
+func (p *minHeap[T]) first() T    { return p.items[0] }
 
-func (p *pile[T]) add(x T) {
+func (p *minHeap[T]) push(x T) {
 	p.items = append(p.items, x)
-	p.tell(len(p.items) - 1)
+	p.notify(len(p.items) - 1)
 	p.up(len(p.items) - 1)
 }
 
-func (p *pile[T]) take() T {
+func (p *minHeap[T]) pop() T {
 	x := p.items[0]
 	p.remove(0)
 	return x
 }
 
-func (p *pile[T]) remove(i int) {
+func (p *minHeap[T]) remove(i int) {
 	last := len(p.items) - 1
 	x := p.items[i]
 	if i != last {
@@ -37,21 +37,21 @@
 	var none T
 	p.items[last] = none // the heap must not keep alive what has left it
 	p.items = p.items[:last]
-	if p.place != nil {
-		p.place(x, -1)
+	if p.moved != nil {
+		p.moved(x, -1)
 	}
 	if i != last {
-		p.reorder(i)
+		p.fix(i)
 	}
 }
 
-func (p *pile[T]) reorder(i int) {
+func (p *minHeap[T]) fix(i int) {
 	if !p.down(i) {
 		p.up(i)
 	}
 }
 
-func (p *pile[T]) up(i int) {
+func (p *minHeap[T]) up(i int) {
 	for i > 0 {
 		above := (i - 1) / 2
 		if !p.less(p.items[i], p.items[above]) {
@@ -62,7 +62,7 @@
 	}
 }
 
-func (p *pile[T]) down(i int) (moved bool) {
+func (p *minHeap[T]) down(i int) (moved bool) {
 	for {
 		least := 2*i + 1
 		if least >= len(p.items) {
@@ -79,15 +79,15 @@
 	}
 }
 
-func (p *pile[T]) swap(i, k int) {
+func (p *minHeap[T]) swap(i, k int) {
 	p.items[i], p.items[k] = p.items[k], p.items[i]
-	p.tell(i)
-	p.tell(k)
+	p.notify(i)
+	p.notify(k)
 }
 
-func (p *pile[T]) tell(i int) {
-	if p.place != nil {
-		p.place(p.items[i], i)
+func (p *minHeap[T]) notify(i int) {
+	if p.moved != nil {
+		p.moved(p.items[i], i)
 	}
 }
 
@@ -96,7 +96,7 @@
 	return time.Duration(min(max(s, 0), 1e6) * float64(time.Second))
 }
 
-func clip(x, most float64) float64 { return min(max(x, -most), most) }
+func clamp(x, most float64) float64 { return min(max(x, -most), most) }
 
 // finite reads a figure that makes no sense as absent.
 func finite(x float64) float64 {
--- a/internal/aperture/fleet.go
+++ b/internal/aperture/fleet.go
@@ -6,259 +6,261 @@
 	"slices"
 	"time"
 
-	"valvecove/logic"
+	"valvecove/dispatch"
 )
 
 const (
-	rings     = 2  // that schedulers take turns on; each has an order of its own
-	boundPart = 10 // of Config.Least, what each class that is bound to kinds or zones finds in the aperture
+	ringCount          = 2  // that schedulers take turns on; each has an order of its own
+	constrainedDivisor = 10 // of Config.Least, what each class that is bound to kinds or zones finds in the aperture
 )
 
-// node is what is known of a worker node.
-type node struct {
-	logic.Worker       // as discovery has it
-	unit         *unit // nil: it is not listed
-	told         bool  // the module holds it
-	toldReady    bool  // and takes it for ready
-	toldShare    share
-	changed      bool   // discovery has said more since
-	out          int    // attempts of ours
-	stamp        uint64 // of the last list that it was in
-	asked        time.Duration
-	owes         bool // it is among those asked
-	strikes      int  // in a row, without a sign of life between them
-	silent       bool
+// worker is what is known of a worker node.
+type worker struct {
+	dispatch.Worker       // as discovery has it
+	unit            *unit // nil: it is not listed
+	reported        bool  // the module holds it
+	reportedReady   bool  // and takes it for ready
+	reportedRank    slowStartRank
+	changed         bool   // discovery has said more since
+	inFlight        int    // attempts of ours
+	listVersion     uint64 // of the last list that it was in
+	awaitingSince   time.Duration
+	awaited         bool // it is among those asked
+	failures        int  // in a row, without a sign of life between them
+	unresponsive    bool
 }
 
 // unit is what an aperture holds whole or not at all: a cell, where there are jobs whose repeats only their cell
 // knows, else one worker node.
 type unit struct {
-	key, id uint64 // its place on the ring; the cell or the worker
-	nodes   []*node
-	sum     []sum // by need
-	one     [1]*node
-	own     bool // on this scheduler's own segment of the ring
-	wanted  bool // in the aperture as it should be now
-	held    bool // in the aperture
-	share   share
-	left    time.Duration
-}
-
-// share is who may send work to a worker while it is cold: anybody, or of one scheduler on each ring the one of this
+	position, id uint64 // its place on the ring; the cell or the worker
+	workers      []*worker
+	counts       []workerCounts // by need
+	single       [1]*worker
+	inSegment    bool // on this scheduler's own segment of the ring
+	desired      bool // in the aperture as it should be now
+	selected     bool // in the aperture
+	rank         slowStartRank
+	lastDesired  time.Duration
+}
+
+// slowStartRank is who may send work to a worker while it is cold: anybody, or of one scheduler on each ring the one of this
 // rank, from 1, or others.
-type share uint8
+type slowStartRank uint8
 
-const anybody, others share = 0, rings + 1
+const anyScheduler, otherSchedulers slowStartRank = 0, ringCount + 1
 
-func (s share) mark(w *logic.Worker) {
-	if w.Rank, w.Of = 0, 0; s != anybody {
-		w.Rank, w.Of = int(s)-1, rings
+func (s slowStartRank) apply(w *dispatch.Worker) {
+	if w.AssigneeRank, w.Assignees = 0, 0; s != anyScheduler {
+		w.AssigneeRank, w.Assignees = int(s)-1, ringCount
 	}
 }
 
-// sum counts worker nodes. Those up are ready, and those well not silent besides.
-type sum struct{ listed, up, well int }
+// workerCounts counts worker nodes. Those up are ready, and those well not silent besides.
+type workerCounts struct{ listed, ready, responsive int }
 
-func (s *sum) add(o sum, times int) {
+func (s *workerCounts) add(o workerCounts, times int) {
 	s.listed += times * o.listed
-	s.up += times * o.up
-	s.well += times * o.well
+	s.ready += times * o.ready
+	s.responsive += times * o.responsive
 }
 
 // weight is a unit's length on the ring: its worker nodes, rounded up to a power of two, so that restarts within a
 // cell move nothing.
 func (u *unit) weight(k int) int {
-	if n := u.sum[k].listed; n > 0 {
+	if n := u.counts[k].listed; n > 0 {
 		return 1 << bits.Len(uint(n-1))
 	}
 	return 0
 }
 
-// need is whom an aperture must hold worker nodes for: all jobs, those of a class that is bound, or those that had
+// requirement is whom an aperture must hold worker nodes for: all jobs, those of a class that is bound, or those that had
 // better stay in their zone.
-type need struct {
+type requirement struct {
 	kinds, zones []int // nil: any
-	bound        bool
-	total        sum
+	constrained  bool
+	total        workerCounts
 }
 
-func (n *need) takes(w *logic.Worker) bool {
+func (n *requirement) matches(w *dispatch.Worker) bool {
 	return (n.kinds == nil || slices.Contains(n.kinds, w.Kind)) && (n.zones == nil || slices.Contains(n.zones, w.Zone))
 }
 
 // fleet is the worker nodes.
 type fleet struct {
-	cells     bool // units are cells
-	needs     []need
-	nodes     map[uint64]*node // listed, or with attempts out
-	byCell    map[uint64]*unit // where units are cells
-	units     []*unit          // round the ring; at the end those that came since the last refresh
-	owing     []*node          // a sign of life
-	newNodes  slab[node]
-	newUnits  slab[unit]
-	newSums   slab[sum]
-	stamp     uint64
-	stale     bool // the aperture is to be found anew
-	mixed     bool // units are not in order
-	full      bool // nobody who is ready is left out
-	refreshed time.Duration
+	groupByCell  bool // units are cells
+	requirements []requirement
+	workers      map[uint64]*worker // listed, or with attempts out
+	unitsByCell  map[uint64]*unit   // where units are cells
+	units        []*unit            // round the ring; at the end those that came since the last refresh
+	awaited      []*worker          // a sign of life
+	workerSlab   slab[worker]
+	unitSlab     slab[unit]
+	countSlab    slab[workerCounts]
+	listVersion  uint64
+	needsRefresh bool // the aperture is to be found anew
+	unsorted     bool // units are not in order
+	allSelected  bool // nobody who is ready is left out
+	refreshedAt  time.Duration
 }
 
 // slab makes things a hundred at a time: a first list of thousands must not hold up the loop.
-type slab[T any] struct{ left []T }
+type slab[T any] struct{ free []T }
 
-func (s *slab[T]) take() *T { return &s.takeMany(1)[0] }
+func (s *slab[T]) allocate() *T { return &s.allocateMany(1)[0] }
 
-func (s *slab[T]) takeMany(n int) []T {
-	if len(s.left) < n {
-		s.left = make([]T, max(n, 100))
+func (s *slab[T]) allocateMany(n int) []T {
+	if len(s.free) < n {
+		s.free = make([]T, max(n, 100))
 	}
-	some := s.left[:n:n]
-	s.left = s.left[n:]
+	some := s.free[:n:n]
+	s.free = s.free[n:]
 	return some
 }
 
-func newFleet(set logic.Settings) fleet {
-	f := fleet{needs: []need{{}}, nodes: map[uint64]*node{}, byCell: map[uint64]*unit{}, refreshed: -refreshEvery}
+func newFleet(set dispatch.Settings) fleet {
+	f := fleet{requirements: []requirement{{}}, workers: map[uint64]*worker{}, unitsByCell: map[uint64]*unit{}, refreshedAt: -refreshInterval}
 	for _, c := range set.Classes {
-		f.cells = f.cells || c.Effect == logic.Keyed && c.Group == logic.GroupCell
-		same := func(n need) bool { return slices.Equal(n.kinds, c.Kinds) && slices.Equal(n.zones, c.Zones) }
-		if (c.Kinds != nil || c.Zones != nil) && !slices.ContainsFunc(f.needs, same) {
-			f.needs = append(f.needs, need{kinds: c.Kinds, zones: c.Zones, bound: true})
+		f.groupByCell = f.groupByCell || c.Idempotency == dispatch.IdempotentWithKey && c.DeduplicationScope == dispatch.ScopeCell
+		same := func(n requirement) bool { return slices.Equal(n.kinds, c.Kinds) && slices.Equal(n.zones, c.Zones) }
+		if (c.Kinds != nil || c.Zones != nil) && !slices.ContainsFunc(f.requirements, same) {
+			f.requirements = append(f.requirements, requirement{kinds: c.Kinds, zones: c.Zones, constrained: true})
 		}
 	}
-	if set.CrossPrice > 0 {
-		f.needs = append(f.needs, need{zones: []int{set.Zone}})
+	if set.CrossZoneCost > 0 {
+		f.requirements = append(f.requirements, requirement{zones: []int{set.Zone}})
 	}
 	return f
 }
 
-// whole tells whether all worker nodes are looked at.
-func (a *Aperture) whole() bool { return a.of < 2 || a.needs[0].total.listed < a.conf.OffBelow }
+// coversFleet tells whether all worker nodes are looked at.
+func (a *Aperture) coversFleet() bool {
+	return a.schedulers < 2 || a.requirements[0].total.listed < a.config.MinFleet
+}
 
 // ---- What discovery tells ----
 
-// list takes discovery's word and gives what of it the module is told.
-func (a *Aperture) list(e logic.WorkerList) logic.WorkerList {
-	if e.Kind == logic.ListLost {
-		a.missing = true
+// applyList takes discovery's word and gives what of it the module is told.
+func (a *Aperture) applyList(e dispatch.WorkerList) dispatch.WorkerList {
+	if e.Kind == dispatch.ListUnavailable {
+		a.awaitingList = true
 		return e
 	}
-	a.missing = a.missing && e.Kind == logic.ListCached
-	if len(a.nodes) == 0 {
-		a.nodes = make(map[uint64]*node, len(e.Workers))
+	a.awaitingList = a.awaitingList && e.Kind == dispatch.ListCached
+	if len(a.workers) == 0 {
+		a.workers = make(map[uint64]*worker, len(e.Workers))
 	}
-	a.stamp++
+	a.listVersion++
 	for _, w := range e.Workers {
-		a.enter(w)
+		a.applyWorker(w)
 	}
 	told := e
 	told.Workers = nil
-	if e.Kind == logic.ListDelta {
+	if e.Kind == dispatch.ListDelta {
 		for _, w := range e.Workers {
-			if n := a.nodes[w.ID]; n != nil {
-				told.Workers = a.sync(n, told.Workers)
+			if n := a.workers[w.ID]; n != nil {
+				told.Workers = a.appendStatus(n, told.Workers)
 			}
 		}
 		return told
 	}
 	for _, u := range a.units {
-		for i := len(u.nodes) - 1; i >= 0; i-- { // backwards, as the last takes the place of one that leaves
-			if n := u.nodes[i]; n.stamp != a.stamp {
+		for i := len(u.workers) - 1; i >= 0; i-- { // backwards, as the last takes the place of one that leaves
+			if n := u.workers[i]; n.listVersion != a.listVersion {
 				a.unlist(n)
-				a.release(n)
+				a.forget(n)
 			}
 		}
 	}
 	a.refresh()
 	for _, u := range a.units {
-		a.tell(u)
+		a.reportUnit(u)
 	}
-	a.news = a.news[:0] // it is in the whole list
-	told.Workers = a.all()
+	a.updates = a.updates[:0] // it is in the whole list
+	told.Workers = a.reportedWorkers()
 	return told
 }
 
-func (a *Aperture) enter(w logic.Worker) {
-	n := a.nodes[w.ID]
-	if w.Gone {
+func (a *Aperture) applyWorker(w dispatch.Worker) {
+	n := a.workers[w.ID]
+	if w.Removed {
 		if n != nil && n.unit != nil {
-			if a.unlist(n); !n.told {
-				a.release(n)
+			if a.unlist(n); !n.reported {
+				a.forget(n)
 			}
 		}
 		return
 	}
 	if n == nil {
-		n = a.newNodes.take()
-		a.nodes[w.ID] = n
+		n = a.workerSlab.allocate()
+		a.workers[w.ID] = n
 	}
 	if n.unit != nil {
-		a.count(n, -1)
-		a.stale = a.stale || n.Ready != w.Ready || n.Kind != w.Kind || n.Zone != w.Zone
+		a.addCounts(n, -1)
+		a.needsRefresh = a.needsRefresh || n.Ready != w.Ready || n.Kind != w.Kind || n.Zone != w.Zone
 	}
 	if w.BootAt > n.BootAt { // what was seen of the process before it is void
-		n.asked, n.strikes, n.silent = 0, 0, false
+		n.awaitingSince, n.failures, n.unresponsive = 0, 0, false
 	}
 	n.changed = n.changed || n.Worker != w
-	n.Worker, n.stamp = w, a.stamp
+	n.Worker, n.listVersion = w, a.listVersion
 	if id := a.unitOf(&w); n.unit == nil || n.unit.id != id {
-		a.move(n, id)
+		a.assignUnit(n, id)
 	}
-	a.count(n, 1)
+	a.addCounts(n, 1)
 }
 
-func (a *Aperture) unitOf(w *logic.Worker) uint64 {
-	if a.cells {
+func (a *Aperture) unitOf(w *dispatch.Worker) uint64 {
+	if a.groupByCell {
 		return uint64(w.Cell)
 	}
 	return w.ID
 }
 
-// move puts a worker node into a unit.
-func (a *Aperture) move(n *node, id uint64) {
-	a.leave(n)
-	u := a.byCell[id]
+// assignUnit puts a worker node into a unit.
+func (a *Aperture) assignUnit(n *worker, id uint64) {
+	a.leaveUnit(n)
+	u := a.unitsByCell[id]
 	if u == nil {
-		u = a.newUnits.take()
-		u.key, u.id, u.nodes, u.sum = a.keyOf(id), id, u.one[:0], a.newSums.takeMany(len(a.needs))
-		if a.cells {
-			a.byCell[id] = u
+		u = a.unitSlab.allocate()
+		u.position, u.id, u.workers, u.counts = a.positionOf(id), id, u.single[:0], a.countSlab.allocateMany(len(a.requirements))
+		if a.groupByCell {
+			a.unitsByCell[id] = u
 		}
 		a.units = append(a.units, u)
-		a.mixed = true
+		a.unsorted = true
 	}
-	u.nodes = append(u.nodes, n)
-	n.unit, a.stale = u, true
+	u.workers = append(u.workers, n)
+	n.unit, a.needsRefresh = u, true
 }
 
-// leave takes it out of its unit.
-func (a *Aperture) leave(n *node) {
+// leaveUnit takes it out of its unit.
+func (a *Aperture) leaveUnit(n *worker) {
 	if u := n.unit; u != nil {
-		i, last := slices.Index(u.nodes, n), len(u.nodes)-1
-		u.nodes[i], u.nodes[last] = u.nodes[last], nil
-		u.nodes = u.nodes[:last]
+		i, last := slices.Index(u.workers, n), len(u.workers)-1
+		u.workers[i], u.workers[last] = u.workers[last], nil
+		u.workers = u.workers[:last]
 	}
-	n.unit, a.stale = nil, true
+	n.unit, a.needsRefresh = nil, true
 }
 
-func (a *Aperture) unlist(n *node) {
-	a.count(n, -1)
-	a.leave(n)
-	n.asked, n.strikes, n.silent = 0, 0, false
+func (a *Aperture) unlist(n *worker) {
+	a.addCounts(n, -1)
+	a.leaveUnit(n)
+	n.awaitingSince, n.failures, n.unresponsive = 0, 0, false
 }
 
-// count enters a worker node in the sums of its unit and the fleet, or takes it out of them.
-func (a *Aperture) count(n *node, times int) {
-	one := sum{listed: 1}
+// addCounts enters a worker node in the sums of its unit and the fleet, or takes it out of them.
+func (a *Aperture) addCounts(n *worker, times int) {
+	one := workerCounts{listed: 1}
 	if n.Ready {
-		if one.up = 1; !n.silent {
-			one.well = 1
+		if one.ready = 1; !n.unresponsive {
+			one.responsive = 1
 		}
 	}
-	for k := range a.needs {
-		if need := &a.needs[k]; need.takes(&n.Worker) {
-			n.unit.sum[k].add(one, times)
+	for k := range a.requirements {
+		if need := &a.requirements[k]; need.matches(&n.Worker) {
+			n.unit.counts[k].add(one, times)
 			need.total.add(one, times)
 		}
 	}
@@ -266,70 +268,70 @@
 
 // ---- What the module is told ----
 
-// tell brings the module's word of a unit up to date.
-func (a *Aperture) tell(u *unit) {
-	for _, n := range u.nodes {
-		a.news = a.sync(n, a.news)
+// reportUnit brings the module's word of a unit up to date.
+func (a *Aperture) reportUnit(u *unit) {
+	for _, n := range u.workers {
+		a.updates = a.appendStatus(n, a.updates)
 	}
 }
 
-// sync adds what the module must be told of a worker node, if anything.
-func (a *Aperture) sync(n *node, dst []logic.Worker) []logic.Worker {
+// appendStatus adds what the module must be told of a worker node, if anything.
+func (a *Aperture) appendStatus(n *worker, dst []dispatch.Worker) []dispatch.Worker {
 	w := n.Worker
-	switch held := n.unit != nil && n.unit.held; {
+	switch held := n.unit != nil && n.unit.selected; {
 	case held:
-	case n.unit != nil && n.out > 0:
+	case n.unit != nil && n.inFlight > 0:
 		w.Ready = false
-	case !n.told:
+	case !n.reported:
 		return dst
 	default:
-		if w.Ready, w.Gone = false, true; n.unit != nil {
-			a.freed = append(a.freed, n.ID)
-			a.hush(n, false) // it will not be heard of, and is as good as another
-			n.asked, n.strikes = 0, 0
+		if w.Ready, w.Removed = false, true; n.unit != nil {
+			a.removed = append(a.removed, n.ID)
+			a.setUnresponsive(n, false) // it will not be heard of, and is as good as another
+			n.awaitingSince, n.failures = 0, 0
 		}
-		a.release(n)
+		a.forget(n)
 		return append(dst, w)
 	}
-	if !n.told || n.changed || n.toldReady != w.Ready || n.toldShare != n.unit.share {
-		dst = append(dst, n.tell(w.Ready))
+	if !n.reported || n.changed || n.reportedReady != w.Ready || n.reportedRank != n.unit.rank {
+		dst = append(dst, n.report(w.Ready))
 	}
 	return dst
 }
 
-// tell gives the word of a listed worker node that the module holds from now on.
-func (n *node) tell(ready bool) logic.Worker {
-	n.told, n.toldReady, n.toldShare, n.changed = true, ready, n.unit.share, false
-	return n.word()
+// report gives the word of a listed worker node that the module holds from now on.
+func (n *worker) report(ready bool) dispatch.Worker {
+	n.reported, n.reportedReady, n.reportedRank, n.changed = true, ready, n.unit.rank, false
+	return n.status()
 }
 
-func (n *node) word() logic.Worker {
+func (n *worker) status() dispatch.Worker {
 	w := n.Worker
-	w.Ready = n.toldReady
-	n.toldShare.mark(&w)
+	w.Ready = n.reportedReady
+	n.reportedRank.apply(&w)
 	return w
 }
 
-// release is when the module holds a worker node no more. What is out there is still counted.
-func (a *Aperture) release(n *node) {
-	if n.told = false; n.unit == nil && n.out == 0 {
-		delete(a.nodes, n.ID)
+// forget is when the module holds a worker node no more. What is out there is still counted.
+func (a *Aperture) forget(n *worker) {
+	if n.reported = false; n.unit == nil && n.inFlight == 0 {
+		delete(a.workers, n.ID)
 	}
 }
 
-// all is the list that the module holds.
-func (a *Aperture) all() (list []logic.Worker) {
+// reportedWorkers is the list that the module holds.
+func (a *Aperture) reportedWorkers() (list []dispatch.Worker) {
 	held := 0
 	for _, u := range a.units {
-		if u.held {
-			held += len(u.nodes)
+		if u.selected {
+			held += len(u.workers)
 		}
 	}
-	list = make([]logic.Worker, 0, held)
+	list = make([]dispatch.Worker, 0, held)
 	for _, u := range a.units {
-		for _, n := range u.nodes {
-			if n.told {
-				list = append(list, n.word())
+		for _, n := range u.workers {
+			if n.reported {
+				list = append(list, n.status())
 			}
 		}
 	}
@@ -338,96 +340,96 @@
 
 // ---- What is looked at ----
 
-// mix spreads the bits of a number.
-func mix(x uint64) uint64 {
+// hash spreads the bits of a number.
+func hash(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// seat is this scheduler's ring, and its number among those on it.
-func (a *Aperture) seat() (ring, seat, seats int) {
-	ring = a.me % rings
-	return ring, a.me / rings, (a.of - ring + rings - 1) / rings
+// ringPosition is this scheduler's ring, and its number among those on it.
+func (a *Aperture) ringPosition() (ring, seat, seats int) {
+	ring = a.index % ringCount
+	return ring, a.index / ringCount, (a.schedulers - ring + ringCount - 1) / ringCount
 }
 
-// keyOf is a unit's place on this scheduler's ring.
-func (a *Aperture) keyOf(id uint64) uint64 {
-	ring, _, _ := a.seat()
-	return mix(mix(id) + uint64(ring))
+// positionOf is a unit's place on this scheduler's ring.
+func (a *Aperture) positionOf(id uint64) uint64 {
+	ring, _, _ := a.ringPosition()
+	return hash(hash(id) + uint64(ring))
 }
 
-// reorder is for another ring.
-func (a *Aperture) reorder() {
+// reposition is for another ring.
+func (a *Aperture) reposition() {
 	for _, u := range a.units {
-		u.key = a.keyOf(u.id)
+		u.position = a.positionOf(u.id)
 	}
-	a.mixed, a.stale = true, true
+	a.unsorted, a.needsRefresh = true, true
 }
 
 // refresh finds the aperture anew. What is wanted is held at once; what is wanted no more is let go by and by.
 func (a *Aperture) refresh() {
-	a.stale, a.refreshed = false, a.now
+	a.needsRefresh, a.refreshedAt = false, a.now
 	a.units = slices.DeleteFunc(a.units, func(u *unit) bool {
-		if len(u.nodes) == 0 {
-			delete(a.byCell, u.id)
+		if len(u.workers) == 0 {
+			delete(a.unitsByCell, u.id)
 		}
-		return len(u.nodes) == 0
+		return len(u.workers) == 0
 	})
-	if a.mixed {
-		a.sort()
+	if a.unsorted {
+		a.sortUnits()
 	}
-	whole := a.whole()
+	whole := a.coversFleet()
 	for _, u := range a.units {
-		if u.wanted {
-			u.left = a.now
+		if u.desired {
+			u.lastDesired = a.now
 		}
-		u.wanted, u.own = whole, false
+		u.desired, u.inSegment = whole, false
 	}
-	for k := range a.needs {
+	for k := range a.requirements {
 		// A need that every worker node meets is that of all jobs.
-		if !whole && (k == 0 || a.needs[k].total.listed < a.needs[0].total.listed) {
-			a.walk(k)
+		if !whole && (k == 0 || a.requirements[k].total.listed < a.requirements[0].total.listed) {
+			a.selectUnits(k)
 		}
 	}
-	ring, _, _ := a.seat()
-	a.full = true
+	ring, _, _ := a.ringPosition()
+	a.allSelected = true
 	for _, u := range a.units {
-		a.full = a.full && (u.wanted || u.sum[0].up == 0)
-		may := others
+		a.allSelected = a.allSelected && (u.desired || u.counts[0].ready == 0)
+		may := otherSchedulers
 		if whole {
-			may = anybody
-		} else if u.own {
-			may = 1 + share(uint64(ring)^mix(^u.id)&1) // neither ring is the first for all
+			may = anyScheduler
+		} else if u.inSegment {
+			may = 1 + slowStartRank(uint64(ring)^hash(^u.id)&1) // neither ring is the first for all
 		}
-		told := u.held && u.share == may
-		u.held, u.share = u.held || u.wanted, may
-		if u.held && !told {
-			a.tell(u)
+		told := u.selected && u.rank == may
+		u.selected, u.rank = u.selected || u.desired, may
+		if u.selected && !told {
+			a.reportUnit(u)
 		}
 	}
 }
 
-// sort puts the units in order. Their keys are spread evenly, so that each is near its place once it is in its bucket.
-func (a *Aperture) sort() {
-	a.mixed = false
+// sortUnits puts the units in order. Their keys are spread evenly, so that each is near its place once it is in its bucket.
+func (a *Aperture) sortUnits() {
+	a.unsorted = false
 	width := bits.Len(uint(len(a.units)))
 	from := make([]int, 1<<width+1)
 	for _, u := range a.units {
-		from[u.key>>(64-width)+1]++
+		from[u.position>>(64-width)+1]++
 	}
 	for i := range 1 << width {
 		from[i+1] += from[i]
 	}
 	sorted := make([]*unit, len(a.units))
 	for _, u := range a.units {
-		bucket := u.key >> (64 - width)
+		bucket := u.position >> (64 - width)
 		sorted[from[bucket]] = u
 		from[bucket]++
 	}
 	for i, u := range sorted {
-		for ; i > 0 && u.before(sorted[i-1]); i-- {
+		for ; i > 0 && u.isBefore(sorted[i-1]); i-- {
 			sorted[i] = sorted[i-1]
 		}
 		sorted[i] = u
@@ -435,12 +437,14 @@
 	a.units = sorted
 }
 
-func (u *unit) before(o *unit) bool { return u.key < o.key || u.key == o.key && u.id < o.id }
+func (u *unit) isBefore(o *unit) bool {
+	return u.position < o.position || u.position == o.position && u.id < o.id
+}
 
-// walk goes round the ring from this scheduler's place on until a need is met. All take places at even distances, by
+// selectUnits goes round the ring from this scheduler's place on until a need is met. All take places at even distances, by
 // the weight that meets the need. For all jobs, its own segment, up to the place of the next scheduler, is in it in
 // any case: so each worker node is in the aperture of one scheduler on each ring at least.
-func (a *Aperture) walk(k int) {
+func (a *Aperture) selectUnits(k int) {
 	all := 0
 	for _, u := range a.units {
 		all += u.weight(k)
@@ -448,48 +452,48 @@
 	if all == 0 {
 		return
 	}
-	_, seat, seats := a.seat()
+	_, seat, seats := a.ringPosition()
 	segment := func(before int, u *unit) int { return (2*before + u.weight(k)) * seats / (2 * all) } // its middle's
 	from, before := 0, 0
 	for from < len(a.units) && (a.units[from].weight(k) == 0 || segment(before, a.units[from]) < seat) {
 		before += a.units[from].weight(k)
 		from++
 	}
-	want, most := a.wants(k)
-	got := sum{}
+	want, most := a.targets(k)
+	got := workerCounts{}
 	for i := range a.units {
 		u := a.units[(from+i)%len(a.units)]
-		if u.sum[k].listed == 0 {
+		if u.counts[k].listed == 0 {
 			continue
 		}
 		own := k == 0 && before < all && segment(before, u) == seat
 		before += u.weight(k)
-		if left := want - got.well; !own {
+		if left := want - got.responsive; !own {
 			// Units are taken whole, so to the nearest; a class that is bound must have its part.
-			if left <= 0 || got.up >= most || !a.needs[k].bound && got.well > 0 && 2*left <= u.sum[k].well {
+			if left <= 0 || got.ready >= most || !a.requirements[k].constrained && got.responsive > 0 && 2*left <= u.counts[k].responsive {
 				return
 			}
-			if u.sum[k].up == 0 {
+			if u.counts[k].ready == 0 {
 				continue
 			}
 		}
-		u.wanted = true
-		u.own = u.own || own
-		got.add(u.sum[k], 1)
+		u.desired = true
+		u.inSegment = u.inSegment || own
+		got.add(u.counts[k], 1)
 	}
 }
 
-// wants is how many worker nodes that are well meet a need now, and how many that are up are the most, should they all
+// targets is how many worker nodes that are well meet a need now, and how many that are up are the most, should they all
 // be silent.
-func (a *Aperture) wants(k int) (want, most int) {
-	need, least := &a.needs[k], a.conf.Least
-	count := need.total.up
-	if need.bound {
-		least = (least + boundPart - 1) / boundPart
+func (a *Aperture) targets(k int) (want, most int) {
+	need, least := &a.requirements[k], a.config.MinWorkers
+	count := need.total.ready
+	if need.constrained {
+		least = (least + constrainedDivisor - 1) / constrainedDivisor
 	} else {
-		count = a.needs[0].total.up
+		count = a.requirements[0].total.ready
 	}
-	plain := max(least, (a.conf.Cover*count+a.of-1)/a.of)
+	plain := max(least, (a.config.Coverage*count+a.schedulers-1)/a.schedulers)
 	times := func(x float64) int { return int(math.Ceil(min(float64(plain)*x, math.MaxInt32))) }
-	return min(times(a.factor), need.total.well), times(a.conf.Most)
+	return min(times(a.widening), need.total.responsive), times(a.config.MaxWidening)
 }
--- a/internal/aperture/load.go
+++ b/internal/aperture/load.go
@@ -4,66 +4,66 @@
 	"math"
 	"time"
 
-	"valvecove/logic"
+	"valvecove/dispatch"
 )
 
 const (
-	promptPart   = 4           // a job that is held for longer than this part of its class's aim finds no room
-	recent       = time.Second // how far back load is looked at
-	fewest       = 8           // jobs that say something
-	widening     = 1.5         // a step of it
-	widenEvery   = time.Second // each shows its effect first
-	calmPart     = 4           // under this part of Config.WidenAt there is no load to speak of
-	mostPatience = 8           // Dwells of calm before a narrowing, where earlier ones were undone
-	undone       = 4           // a widening within so many Dwells undoes a narrowing
-	silentAfter  = time.Second // a worker node that was asked is silent after so long without a word
-	strikesMost  = 2           // or after so many failures to reach it
+	promptDelayDivisor = 4           // a job that is held for longer than this part of its class's aim finds no room
+	loadWindow         = time.Second // how far back load is looked at
+	minSamples         = 8           // jobs that say something
+	wideningStep       = 1.5         // a step of it
+	wideningInterval   = time.Second // each shows its effect first
+	calmDivisor        = 4           // under this part of Config.WidenAt there is no load to speak of
+	maxNarrowingDelay  = 8           // Dwells of calm before a narrowing, where earlier ones were undone
+	undoneWithin       = 4           // a widening within so many Dwells undoes a narrowing
+	responseTimeout    = time.Second // a worker node that was asked is silent after so long without a word
+	maxFailures        = 2           // or after so many failures to reach it
 )
 
-// decay is what of the load remains from tick to tick.
-var decay = math.Exp(-tickEvery.Seconds() / recent.Seconds())
+// sampleDecay is what of the load remains from tick to tick.
+var sampleDecay = math.Exp(-evaluationInterval.Seconds() / loadWindow.Seconds())
 
-// job is one that has not been sent yet.
-type job struct {
-	id     uint64
-	class  int
-	came   time.Duration
-	open   bool // it is among the jobs
-	queued bool // and in its class's queue
+// unsentJob is one that has not been sent yet.
+type unsentJob struct {
+	id        uint64
+	class     int
+	arrivedAt time.Duration
+	unsent    bool // it is among the jobs
+	queued    bool // and in its class's queue
 }
 
-// load is how jobs fare, and what follows. What counts is whether there was room for them: whether the module held them
+// loadMonitor is how jobs fare, and what follows. What counts is whether there was room for them: whether the module held them
 // for long, or worker nodes turned them away. Late starts say nothing of the kind. They come of schedulers that meet at
 // a worker node, which they do the more often, the wider they all look.
-type load struct {
-	jobs     map[uint64]*job
-	queues   []queue         // by class, of jobs as they came
-	prompt   []time.Duration // by class
-	spare    []*job
-	hard     float64 // jobs that found no room in time, and all; both fade
-	judged   float64
-	factor   float64
-	widened  time.Duration // when that last happened
-	narrowed time.Duration
-	calm     time.Duration // since when there has been no load to speak of
-	patience float64       // Dwells of calm before a narrowing
+type loadMonitor struct {
+	jobs           map[uint64]*unsentJob
+	queues         []jobQueue      // by class, of jobs as they came
+	promptDelays   []time.Duration // by class
+	freeJobs       []*unsentJob
+	delayed        float64 // jobs that found no room in time, and all; both fade
+	samples        float64
+	widening       float64
+	widenedAt      time.Duration // when that last happened
+	narrowedAt     time.Duration
+	calmSince      time.Duration // since when there has been no load to speak of
+	narrowingDelay float64       // Dwells of calm before a narrowing
 }
 
-func newLoad(set logic.Settings) load {
-	l := load{jobs: map[uint64]*job{}, queues: make([]queue, len(set.Classes)), factor: 1, patience: 1}
+func newLoadMonitor(set dispatch.Settings) loadMonitor {
+	l := loadMonitor{jobs: map[uint64]*unsentJob{}, queues: make([]jobQueue, len(set.Classes)), widening: 1, narrowingDelay: 1}
 	for _, c := range set.Classes {
-		l.prompt = append(l.prompt, c.Aim/promptPart)
+		l.promptDelays = append(l.promptDelays, c.LatencyObjective/promptDelayDivisor)
 	}
 	return l
 }
 
-// queue holds jobs in the order in which they came.
-type queue struct {
-	jobs []*job
+// jobQueue holds jobs in the order in which they came.
+type jobQueue struct {
+	jobs []*unsentJob
 	head int
 }
 
-func (q *queue) put(j *job) {
+func (q *jobQueue) push(j *unsentJob) {
 	if q.head > len(q.jobs)/2 {
 		n := copy(q.jobs, q.jobs[q.head:])
 		clear(q.jobs[n:])
@@ -72,217 +72,217 @@
 	q.jobs = append(q.jobs, j)
 }
 
-// came takes in a job.
-func (a *Aperture) came(e logic.Job) {
+// jobArrived takes in a job.
+func (a *Aperture) jobArrived(e dispatch.Job) {
 	if a.jobs[e.ID] != nil || e.Class < 0 || e.Class >= len(a.queues) {
 		return
 	}
-	j := &job{}
-	if last := len(a.spare) - 1; last >= 0 {
-		j, a.spare = a.spare[last], a.spare[:last]
+	j := &unsentJob{}
+	if last := len(a.freeJobs) - 1; last >= 0 {
+		j, a.freeJobs = a.freeJobs[last], a.freeJobs[:last]
 	}
-	*j = job{id: e.ID, class: e.Class, came: a.now, open: true, queued: true}
+	*j = unsentJob{id: e.ID, class: e.Class, arrivedAt: a.now, unsent: true, queued: true}
 	a.jobs[e.ID] = j
-	a.queues[e.Class].put(j)
+	a.queues[e.Class].push(j)
 }
 
-// settle ends the look at a job.
-func (a *Aperture) settle(id uint64) *job {
+// removeJob ends the look at a job.
+func (a *Aperture) removeJob(id uint64) *unsentJob {
 	j := a.jobs[id]
 	if j != nil {
 		delete(a.jobs, id)
-		j.open = false
+		j.unsent = false
 		a.recycle(j)
 	}
 	return j
 }
 
-func (a *Aperture) recycle(j *job) {
-	if !j.open && !j.queued {
-		a.spare = append(a.spare, j)
+func (a *Aperture) recycle(j *unsentJob) {
+	if !j.unsent && !j.queued {
+		a.freeJobs = append(a.freeJobs, j)
 	}
 }
 
-func (a *Aperture) judge(hard bool) {
-	if a.judged++; hard {
-		a.hard++
+func (a *Aperture) addSample(hard bool) {
+	if a.samples++; hard {
+		a.delayed++
 	}
 }
 
-// sent takes in an attempt.
-func (a *Aperture) sent(id, worker uint64) {
-	if n := a.nodes[worker]; n != nil {
-		n.out++
-		if a.set.TellsStart {
-			a.ask(n)
+// attemptSent takes in an attempt.
+func (a *Aperture) attemptSent(id, worker uint64) {
+	if n := a.workers[worker]; n != nil {
+		n.inFlight++
+		if a.settings.StartNotifications {
+			a.expectResponse(n)
 		}
 	}
-	if j := a.settle(id); j != nil {
-		a.judge(a.now-j.came > a.prompt[j.class])
+	if j := a.removeJob(id); j != nil {
+		a.addSample(a.now-j.arrivedAt > a.promptDelays[j.class])
 	}
 }
 
-// resumed takes in a job that comes with attempts at worker nodes, wherever these are. The module must know the cells
+// jobResumed takes in a job that comes with attempts at worker nodes, wherever these are. The module must know the cells
 // and zones of all of them before it hears of the job. It gives those that it is to be told of again afterwards.
-func (a *Aperture) resumed(e logic.Resumed) (after []*node) {
+func (a *Aperture) jobResumed(e dispatch.JobResumed) (after []*worker) {
 	for _, p := range e.Attempts {
-		n := a.nodes[p.Worker]
+		n := a.workers[p.Worker]
 		if n == nil {
 			if p.Ended {
 				continue
 			}
-			n = a.newNodes.take()
+			n = a.workerSlab.allocate()
 			n.ID = p.Worker
-			a.nodes[p.Worker] = n
+			a.workers[p.Worker] = n
 		}
 		if !p.Ended {
-			n.out++
+			n.inFlight++
 		}
-		if n.unit != nil && !n.told {
-			a.news = append(a.news, n.tell(false))
+		if n.unit != nil && !n.reported {
+			a.updates = append(a.updates, n.report(false))
 			after = append(after, n)
 		}
 	}
 	return after
 }
 
-// ended takes in the end of an attempt.
-func (a *Aperture) ended(e logic.Outcome) {
-	if n := a.nodes[e.Worker]; n != nil && n.out > 0 {
-		switch n.out--; {
-		case n.out > 0:
-		case n.told:
-			a.news = a.sync(n, a.news)
+// attemptEnded takes in the end of an attempt.
+func (a *Aperture) attemptEnded(e dispatch.Outcome) {
+	if n := a.workers[e.Worker]; n != nil && n.inFlight > 0 {
+		switch n.inFlight--; {
+		case n.inFlight > 0:
+		case n.reported:
+			a.updates = a.appendStatus(n, a.updates)
 		default:
-			a.release(n)
+			a.forget(n)
 		}
 	}
 	switch e.Result {
-	case logic.OK, logic.Failed:
-		a.heard(e.Worker)
-	case logic.Full:
-		a.judge(true)
-		a.heard(e.Worker)
-	case logic.TimedOut, logic.NoConnect, logic.Reset:
-		a.strike(e.Worker)
+	case dispatch.OK, dispatch.Failed:
+		a.responseReceived(e.Worker)
+	case dispatch.WorkerFull:
+		a.addSample(true)
+		a.responseReceived(e.Worker)
+	case dispatch.TimedOut, dispatch.ConnectFailed, dispatch.ConnectionReset:
+		a.failureObserved(e.Worker)
 	}
 }
 
-// probed takes in the end of a probe.
-func (a *Aperture) probed(e logic.Probed) {
+// healthChecked takes in the end of a probe.
+func (a *Aperture) healthChecked(e dispatch.HealthChecked) {
 	switch e.Result {
-	case logic.NotSent, logic.Cancelled:
-	case logic.TimedOut, logic.NoConnect, logic.Reset:
-		a.strike(e.Worker)
+	case dispatch.NotSent, dispatch.Cancelled:
+	case dispatch.TimedOut, dispatch.ConnectFailed, dispatch.ConnectionReset:
+		a.failureObserved(e.Worker)
 	default:
-		a.heard(e.Worker)
+		a.responseReceived(e.Worker)
 	}
 }
 
 // ---- Width ----
 
-// weigh looks at how jobs have fared, and widens or narrows. Narrowing waits for a Dwell without load, and longer each
+// adjustWidening looks at how jobs have fared, and widens or narrows. Narrowing waits for a Dwell without load, and longer each
 // time that the one before had to be undone: where load hovers at the bound, the aperture stays wide.
-func (a *Aperture) weigh(late bool) {
+func (a *Aperture) adjustWidening(late bool) {
 	for class := range a.queues {
 		q := &a.queues[class]
-		for q.head < len(q.jobs) && a.now-q.jobs[q.head].came > a.prompt[class] {
+		for q.head < len(q.jobs) && a.now-q.jobs[q.head].arrivedAt > a.promptDelays[class] {
 			j := q.jobs[q.head]
 			q.jobs[q.head] = nil
 			q.head++
-			if j.queued = false; !j.open {
+			if j.queued = false; !j.unsent {
 				a.recycle(j)
 				continue
 			}
-			if a.settle(j.id); !late { // else nobody could have sent it
-				a.judge(true)
+			if a.removeJob(j.id); !late { // else nobody could have sent it
+				a.addSample(true)
 			}
 		}
 	}
 	share := 0.0
-	if a.judged >= fewest {
-		share = a.hard / a.judged
+	if a.samples >= minSamples {
+		share = a.delayed / a.samples
 	}
-	a.hard, a.judged = a.hard*decay, a.judged*decay
-	dwell := time.Duration(a.patience * float64(a.conf.Dwell))
+	a.delayed, a.samples = a.delayed*sampleDecay, a.samples*sampleDecay
+	dwell := time.Duration(a.narrowingDelay * float64(a.config.Retention))
 	switch {
-	case a.whole():
-		a.factor, a.calm = 1, a.now
-	case share >= a.conf.WidenAt:
-		a.calm = a.now
-		if a.full || a.factor >= a.conf.Most || a.widened > 0 && a.now-a.widened < widenEvery {
+	case a.coversFleet():
+		a.widening, a.calmSince = 1, a.now
+	case share >= a.config.WidenThreshold:
+		a.calmSince = a.now
+		if a.allSelected || a.widening >= a.config.MaxWidening || a.widenedAt > 0 && a.now-a.widenedAt < wideningInterval {
 			return
 		}
-		if a.narrowed > 0 && a.now-a.narrowed < undone*dwell {
-			a.patience = min(2*a.patience, mostPatience)
+		if a.narrowedAt > 0 && a.now-a.narrowedAt < undoneWithin*dwell {
+			a.narrowingDelay = min(2*a.narrowingDelay, maxNarrowingDelay)
 		}
-		a.factor, a.widened, a.stale = min(widening*a.factor, a.conf.Most), a.now, true
-		a.why = "wider, as jobs find no room in time"
-	case share >= a.conf.WidenAt/calmPart:
-		a.calm = a.now
-	case a.factor > 1 && a.now-a.calm >= dwell:
-		a.factor, a.narrowed, a.calm, a.stale = max(a.factor/widening, 1), a.now, a.now, true
-		a.why = "narrower, as jobs find room"
-	case a.factor == 1 && a.patience > 1 && a.now-a.calm >= undone*dwell:
-		a.patience = 1
+		a.widening, a.widenedAt, a.needsRefresh = min(wideningStep*a.widening, a.config.MaxWidening), a.now, true
+		a.logReason = "wider, as jobs find no room in time"
+	case share >= a.config.WidenThreshold/calmDivisor:
+		a.calmSince = a.now
+	case a.widening > 1 && a.now-a.calmSince >= dwell:
+		a.widening, a.narrowedAt, a.calmSince, a.needsRefresh = max(a.widening/wideningStep, 1), a.now, a.now, true
+		a.logReason = "narrower, as jobs find room"
+	case a.widening == 1 && a.narrowingDelay > 1 && a.now-a.calmSince >= undoneWithin*dwell:
+		a.narrowingDelay = 1
 	}
 }
 
 // ---- Silence ----
 
-// ask notes that a worker node owes a sign of life.
-func (a *Aperture) ask(n *node) {
-	if n.asked > 0 || n.unit == nil {
+// expectResponse notes that a worker node owes a sign of life.
+func (a *Aperture) expectResponse(n *worker) {
+	if n.awaitingSince > 0 || n.unit == nil {
 		return
 	}
-	if n.asked = max(a.now, 1); !n.owes {
-		n.owes = true
-		a.owing = append(a.owing, n)
+	if n.awaitingSince = max(a.now, 1); !n.awaited {
+		n.awaited = true
+		a.awaited = append(a.awaited, n)
 	}
 }
 
-func (a *Aperture) heard(worker uint64) {
-	if n := a.nodes[worker]; n != nil {
-		n.asked, n.strikes = 0, 0
-		a.hush(n, false)
+func (a *Aperture) responseReceived(worker uint64) {
+	if n := a.workers[worker]; n != nil {
+		n.awaitingSince, n.failures = 0, 0
+		a.setUnresponsive(n, false)
 	}
 }
 
-func (a *Aperture) strike(worker uint64) {
-	if n := a.nodes[worker]; n != nil && n.told {
-		if n.strikes++; n.strikes >= strikesMost {
-			a.hush(n, true)
+func (a *Aperture) failureObserved(worker uint64) {
+	if n := a.workers[worker]; n != nil && n.reported {
+		if n.failures++; n.failures >= maxFailures {
+			a.setUnresponsive(n, true)
 		}
 	}
 }
 
-// hush enters whether a worker node is silent. One that is stays in the aperture, so that it can be heard again, and
+// setUnresponsive enters whether a worker node is silent. One that is stays in the aperture, so that it can be heard again, and
 // others come in its place.
-func (a *Aperture) hush(n *node, silent bool) {
-	if n.unit == nil || n.silent == silent {
+func (a *Aperture) setUnresponsive(n *worker, silent bool) {
+	if n.unit == nil || n.unresponsive == silent {
 		return
 	}
-	a.count(n, -1)
-	n.silent = silent
-	a.count(n, 1)
-	a.stale = true
+	a.addCounts(n, -1)
+	n.unresponsive = silent
+	a.addCounts(n, 1)
+	a.needsRefresh = true
 }
 
-// listen finds who has been silent for too long.
-func (a *Aperture) listen(late bool) {
-	owing := a.owing[:0]
-	for _, n := range a.owing {
-		if n.asked == 0 {
-			n.owes = false
+// checkResponses finds who has been silent for too long.
+func (a *Aperture) checkResponses(late bool) {
+	owing := a.awaited[:0]
+	for _, n := range a.awaited {
+		if n.awaitingSince == 0 {
+			n.awaited = false
 			continue
 		}
 		if late {
-			n.asked = a.now
-		} else if n.told && a.now-n.asked >= silentAfter {
-			a.hush(n, true)
+			n.awaitingSince = a.now
+		} else if n.reported && a.now-n.awaitingSince >= responseTimeout {
+			a.setUnresponsive(n, true)
 		}
 		owing = append(owing, n)
 	}
-	clear(a.owing[len(owing):])
-	a.owing = owing
+	clear(a.awaited[len(owing):])
+	a.awaited = owing
 }
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -15,10 +15,10 @@
 	"testing"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 	"valvecove/internal/steps/sides"
-	"valvecove/logic"
 )
 
 const platform = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964","settings":{
@@ -37,11 +37,11 @@
 	rng  *rand.Rand
 	rec  *Recorder
 	jobs int
-	set  logic.Settings
+	set  dispatch.Settings
 }
 
-func (p *play) Probe(w uint64) { p.Ledger.Probed(w, nil) }
-func (p *play) Watch(int64)    { p.hosts() }
+func (p *play) CheckHealth(w uint64) { p.Ledger.HealthChecked(w, nil) }
+func (p *play) Watch(int64)          { p.hosts() }
 
 func newPlay(t testing.TB, seed uint64, conf config.Capture) *play {
 	c, err := config.Decode([]byte(platform), func(string) string { return "" })
@@ -54,26 +54,26 @@
 		t.Fatal(err)
 	}
 	next := c.Seed
-	p.Ledger = ledger.New(6, c.Settings.Names, func() ledger.Module {
+	p.Ledger = requests.New(6, c.Settings.Names, func() requests.Policy {
 		next++
-		return p.rec.Wrap(logic.New(c.Settings.Settings, next))
-	}, ledger.HostGroup{}, p, slog.New(slog.DiscardHandler))
-	p.rec.Host = p.Ledger.Host
-	p.Ledger.Attach(p.rec)
+		return p.rec.Wrap(dispatch.New(c.Settings.Settings, next))
+	}, requests.EndpointList{}, p, slog.New(slog.DiscardHandler))
+	p.rec.Host = p.Ledger.Endpoint
+	p.Ledger.AddObserver(p.rec)
 	return p
 }
 
 func (p *play) hosts() {
-	g := ledger.HostGroup{Generation: 1, Reset: p.rng.IntN(2) == 0}
+	g := requests.EndpointList{Revision: 1, Reset: p.rng.IntN(2) == 0}
 	for n := range 4 + p.rng.IntN(5) {
-		h := ledger.Host{ID: "s-" + strconv.Itoa(n), Addr: "127.0.0.1:1", Zone: "z", Kind: "m", Weight: 1,
-			State: []string{"up", "up", "up", "draining"}[p.rng.IntN(4)]}
+		h := requests.Endpoint{ID: "s-" + strconv.Itoa(n), Addr: "127.0.0.1:1", Zone: "z", MachineType: "m", Weight: 1,
+			Lifecycle: []string{"up", "up", "up", "draining"}[p.rng.IntN(4)]}
 		if p.rng.IntN(6) == 0 {
-			h.StartedMs = p.Now.Milliseconds() - int64(p.rng.IntN(20000))
+			h.StartedAtMs = p.Now.Milliseconds() - int64(p.rng.IntN(20000))
 		}
-		g.Hosts = append(g.Hosts, h)
+		g.Endpoints = append(g.Endpoints, h)
 	}
-	p.Ledger.Hosts(g)
+	p.Ledger.UpdateEndpoints(g)
 }
 
 // run plays so many steps.
@@ -83,14 +83,14 @@
 		for range p.rng.IntN(3) {
 			p.jobs++
 			class := p.rng.IntN(3)
-			q, err := p.Ledger.Take(p.Now, ledger.Arrival{Call: fmt.Sprintf("%016x", p.jobs), Asker: p, Job: logic.Job{Class: class,
-				Key: uint64(p.rng.IntN(40)), Left: time.Duration(1+p.rng.IntN(5)) * time.Second, Slots: float64(1 + p.rng.IntN(2)),
-				Hint: time.Duration(1 + p.rng.IntN(400_000_000))}, Parcel: ledger.Parcel{Verb: "POST", Path: "/x", Body: []byte("secret")}})
+			q, err := p.Ledger.Admit(p.Now, requests.Arrival{CallID: fmt.Sprintf("%016x", p.jobs), Responder: p, Job: dispatch.Job{Class: class,
+				Key: uint64(p.rng.IntN(40)), Remaining: time.Duration(1+p.rng.IntN(5)) * time.Second, Slots: float64(1 + p.rng.IntN(2)),
+				Hint: time.Duration(1 + p.rng.IntN(400_000_000))}, Payload: requests.Payload{Method: "POST", Path: "/x", Body: []byte("secret")}})
 			if err != nil {
 				p.t.Fatal(err)
 			}
 			if p.rng.IntN(30) == 0 {
-				p.Ledger.Gone(q)
+				p.Ledger.ClientDisconnected(q)
 			}
 		}
 		result := "secret"
@@ -98,7 +98,7 @@
 			state := []string{"started", "started", "running", "done", "done", "failed", "returned", "lost"}[p.rng.IntN(8)]
 			if p.rng.IntN(4) == 0 {
 				a := p.Out[i]
-				p.Ledger.Tell(ledger.Note{ID: a.Query.Call, From: a.From, State: state, Share: p.rng.Float64(), Result: &result})
+				p.Ledger.HandleCallback(requests.Callback{CallID: a.Request.CallID, EndpointID: a.EndpointID, State: state, Progress: p.rng.Float64(), Result: &result})
 			}
 		}
 		if len(p.Out) > 20 {
@@ -108,10 +108,10 @@
 			p.hosts()
 		}
 		if p.rng.IntN(60) == 0 {
-			p.Ledger.Suspend("s-" + strconv.Itoa(p.rng.IntN(9)))
+			p.Ledger.Cordon("s-" + strconv.Itoa(p.rng.IntN(9)))
 		}
 		if p.rng.IntN(30) == 0 {
-			p.Ledger.Restore("s-" + strconv.Itoa(p.rng.IntN(9)))
+			p.Ledger.Uncordon("s-" + strconv.Itoa(p.rng.IntN(9)))
 		}
 		p.Ledger.Step(p.Now)
 	}
@@ -122,16 +122,16 @@
 	for seed := range uint64(6) {
 		p, next := newPlay(t, seed, config.Capture{MemoryKB: 512}), newPlay(t, seed+100, config.Capture{MemoryKB: 512})
 		p.run(150)
-		if next.Now = p.Now; !p.Ledger.Settle(p.Now) {
+		if next.Now = p.Now; !p.Ledger.FlushEvents(p.Now) {
 			t.Fatal("it never settles")
 		}
-		book, open := p.Ledger.Estate()
-		askers := map[uint64]ledger.Asker{}
+		book, open := p.Ledger.Snapshot()
+		askers := map[uint64]requests.Responder{}
 		for _, q := range open {
 			askers[q.ID] = next
 		}
-		next.Ledger.TakeOver(next.Now, book, open, askers, func() ledger.Module {
-			d, err := logic.Restore(p.set, p.rec.edge.Snapshot(nil))
+		next.Ledger.TakeOver(next.Now, book, open, askers, func() requests.Policy {
+			d, err := dispatch.Restore(p.set, p.rec.edge.Snapshot(nil))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -301,8 +301,8 @@
 func TestReplayPanic(t *testing.T) {
 	p := newPlay(t, 1, config.Capture{MemoryKB: 1 << 10})
 	p.run(100)
-	p.rec.edge.Dispatcher = &logic.Dispatcher{} // panics whatever it is told
-	p.Ledger.HostsLost()
+	p.rec.edge.Dispatcher = &dispatch.Dispatcher{} // panics whatever it is told
+	p.Ledger.DiscoveryFailed()
 	p.Ledger.Step(p.Now)
 	p.run(100)
 	text := p.rec.Dump()
@@ -363,7 +363,7 @@
 			continue
 		}
 		small := float64(rng.IntN(1e9)) / 1e6
-		was := Line{T: int64(rng.Uint64() >> 1), Share: small, Past: &x, Number: rng.Uint64(), Arrived: &logic.Job{Key: rng.Uint64(), Slots: x, Memory: small}}
+		was := Line{T: int64(rng.Uint64() >> 1), Share: small, Past: &x, Number: rng.Uint64(), Arrived: &dispatch.Job{Key: rng.Uint64(), Slots: x, Memory: small}}
 		text, err := json.Marshal(was)
 		var is Line
 		if err == nil {
--- a/internal/capture/golden_test.go
+++ b/internal/capture/golden_test.go
@@ -92,7 +92,7 @@
 	}
 	if !slices.ContainsFunc(goldenLines(t), func(l Line) bool { return l.Arrived != nil && l.Arrived.Retry && l.Arrived.Memory > 0 }) ||
 		!slices.ContainsFunc(goldenLines(t), func(l Line) bool {
-			return slices.ContainsFunc(l.Workers, func(w listed) bool { return w.As.BootAt > 0 || w.As.Of > 0 && w.As.Rank > 0 })
+			return slices.ContainsFunc(l.Workers, func(w listed) bool { return w.As.BootAt > 0 || w.As.Assignees > 0 && w.As.AssigneeRank > 0 })
 		}) {
 		t.Error("a field of a job or of a worker is always zero")
 	}
--- a/internal/capture/line.go
+++ b/internal/capture/line.go
@@ -7,7 +7,7 @@
 import (
 	jsoniter "github.com/json-iterator/go"
 
-	"valvecove/logic"
+	"valvecove/dispatch"
 )
 
 // Line is one line of a capture. In says what came in, Out what was decided.
@@ -21,30 +21,30 @@
 	ID  string `json:"id,omitempty"` // the client's, X-Call-Id
 
 	// A request's head, and what became of the request.
-	Method  string         `json:"method,omitempty"`
-	Path    string         `json:"path,omitempty"`
-	Class   string         `json:"class,omitempty"`
-	Tenant  string         `json:"tenant,omitempty"`
-	Key     string         `json:"key,omitempty"` // Idempotency-Key
-	Length  int            `json:"length,omitempty"`
-	Status  int            `json:"status,omitempty"`
-	State   string         `json:"state,omitempty"`
-	Outcome string         `json:"outcome,omitempty"`
-	Unknown bool           `json:"unknown,omitempty"` // a note on no attempt that is out
-	Skipped int            `json:"skipped,omitempty"` // such lines left out before this one, in a flood
-	Share   float64        `json:"share,omitempty"`
-	Worker  string         `json:"worker,omitempty"` // instanceId
-	Number  uint64         `json:"number,omitempty"` // the worker's, where a segment first names it
-	Job     uint64         `json:"job,omitempty"`    // the job's number
-	Attempt int            `json:"attempt,omitempty"`
-	Result  logic.Result   `json:"result,omitempty"`
-	Closed  bool           `json:"closed,omitempty"`
-	Report  []float64      `json:"report,omitempty"`
-	After   int64          `json:"after_ns,omitempty"` // patience of a send, advice of a refusal
-	Arrived *logic.Job     `json:"arrived,omitempty"`
-	Past    *float64       `json:"past,omitempty"` // what the module had learnt of the job's key
-	Kind    logic.ListKind `json:"kind,omitempty"`
-	Workers []listed       `json:"workers,omitempty"`
+	Method  string            `json:"method,omitempty"`
+	Path    string            `json:"path,omitempty"`
+	Class   string            `json:"class,omitempty"`
+	Tenant  string            `json:"tenant,omitempty"`
+	Key     string            `json:"key,omitempty"` // Idempotency-Key
+	Length  int               `json:"length,omitempty"`
+	Status  int               `json:"status,omitempty"`
+	State   string            `json:"state,omitempty"`
+	Outcome string            `json:"outcome,omitempty"`
+	Unknown bool              `json:"unknown,omitempty"` // a note on no attempt that is out
+	Skipped int               `json:"skipped,omitempty"` // such lines left out before this one, in a flood
+	Share   float64           `json:"share,omitempty"`
+	Worker  string            `json:"worker,omitempty"` // instanceId
+	Number  uint64            `json:"number,omitempty"` // the worker's, where a segment first names it
+	Job     uint64            `json:"job,omitempty"`    // the job's number
+	Attempt int               `json:"attempt,omitempty"`
+	Result  dispatch.Result   `json:"result,omitempty"`
+	Closed  bool              `json:"closed,omitempty"`
+	Report  []float64         `json:"report,omitempty"`
+	After   int64             `json:"after_ns,omitempty"` // patience of a send, advice of a refusal
+	Arrived *dispatch.Job     `json:"arrived,omitempty"`
+	Past    *float64          `json:"past,omitempty"` // what the module had learnt of the job's key
+	Kind    dispatch.ListKind `json:"kind,omitempty"`
+	Workers []listed          `json:"workers,omitempty"`
 
 	// The opening of a segment.
 	Why      string              `json:"why,omitempty"`
@@ -57,10 +57,10 @@
 
 // listed is one entry of a host group.
 type listed struct {
-	Name  string       `json:"instanceId"`
-	Addr  string       `json:"hostPort,omitempty"`
-	State string       `json:"lifecycle,omitempty"`
-	As    logic.Worker `json:"as"` // as the module was told
+	Name  string          `json:"instanceId"`
+	Addr  string          `json:"hostPort,omitempty"`
+	State string          `json:"lifecycle,omitempty"`
+	As    dispatch.Worker `json:"as"` // as the module was told
 }
 
 // What lines are.
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -9,9 +9,9 @@
 
 	jsoniter "github.com/json-iterator/go"
 
+	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/internal/ledger"
-	"valvecove/logic"
+	"valvecove/internal/requests"
 )
 
 const (
@@ -29,10 +29,10 @@
 // Recorder writes the capture. It is an observer of the ledger, and wraps its modules.
 type Recorder struct {
 	sink     sink
-	names    ledger.Names
+	names    requests.NameTable
 	now      func() time.Duration
 	log      *slog.Logger
-	Host     func(worker uint64) ledger.Host // to be set once there is a ledger
+	Host     func(worker uint64) requests.Endpoint // to be set once there is a ledger
 	seed     uint64
 	settings jsoniter.RawMessage
 	modules  uint64
@@ -78,12 +78,12 @@
 
 // edge is a module whose steps are recorded.
 type edge struct {
-	*logic.Dispatcher
+	*dispatch.Dispatcher
 	r *Recorder
 }
 
 // Wrap records a module from its start on.
-func (r *Recorder) Wrap(m *logic.Dispatcher) ledger.Module {
+func (r *Recorder) Wrap(m *dispatch.Dispatcher) requests.Policy {
 	r.modules++
 	why := whyStart
 	if r.modules > 1 {
@@ -93,19 +93,19 @@
 }
 
 // Continue records a module that goes on from a state which another process had.
-func (r *Recorder) Continue(m *logic.Dispatcher) ledger.Module {
+func (r *Recorder) Continue(m *dispatch.Dispatcher) requests.Policy {
 	r.modules++
 	return r.begin(m, whyTaken)
 }
 
-func (r *Recorder) begin(m *logic.Dispatcher, why string) ledger.Module {
+func (r *Recorder) begin(m *dispatch.Dispatcher, why string) requests.Policy {
 	r.edge = &edge{m, r}
 	r.guard(func() { r.open(why) })
 	return r.edge
 }
 
 // Step has the module step, and records that.
-func (e *edge) Step(now time.Duration, events []logic.Event, dst []logic.Action) []logic.Action {
+func (e *edge) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	e.r.guard(func() { e.r.before(now, events) })
 	from, whole := len(dst), false
 	defer func() {
@@ -143,7 +143,7 @@
 }
 
 // before begins a new segment where it is time to, and asks what the module knows of the keys that come.
-func (r *Recorder) before(now time.Duration, events []logic.Event) {
+func (r *Recorder) before(now time.Duration, events []dispatch.Event) {
 	switch {
 	case r.lost && now-r.tried >= retryAfter:
 		r.open(whyGap)
@@ -152,9 +152,9 @@
 	}
 	r.pasts = r.pasts[:0]
 	for _, e := range events {
-		if j, ok := e.(logic.Job); ok {
+		if j, ok := e.(dispatch.Job); ok {
 			var past *float64
-			if work, known := r.edge.Past(j.Key); known {
+			if work, known := r.edge.KeyWork(j.Key); known {
 				past = &work
 			}
 			r.pasts = append(r.pasts, past)
@@ -163,7 +163,7 @@
 }
 
 // step writes a step: what the module was told, and what it decided.
-func (r *Recorder) step(now time.Duration, events []logic.Event, actions []logic.Action, panicked bool) {
+func (r *Recorder) step(now time.Duration, events []dispatch.Event, actions []dispatch.Action, panicked bool) {
 	lines, pasts := make([]Line, 0, len(events)+len(actions)), r.pasts
 	for _, e := range events {
 		l := r.event(e)
@@ -203,31 +203,31 @@
 	return l
 }
 
-func (r *Recorder) event(e logic.Event) Line {
+func (r *Recorder) event(e dispatch.Event) Line {
 	switch e := e.(type) {
-	case logic.Job:
+	case dispatch.Job:
 		return Line{In: inJob, Job: e.ID, Arrived: &e}
-	case logic.Outcome:
+	case dispatch.Outcome:
 		return r.at(e.Worker, Line{In: inOutcome, Job: e.Job, Attempt: e.Attempt, Result: e.Result, Closed: e.Closed, Report: e.Report})
-	case logic.Started:
+	case dispatch.Started:
 		return r.at(e.Worker, Line{In: inStarted, Job: e.Job, Attempt: e.Attempt})
-	case logic.Progressed:
+	case dispatch.Progressed:
 		return r.at(e.Worker, Line{In: inProgress, Job: e.Job, Attempt: e.Attempt, Share: e.Share})
-	case logic.ClientGone:
+	case dispatch.ClientDisconnected:
 		return Line{In: inGone, Job: e.Job}
-	case logic.Probed:
+	case dispatch.HealthChecked:
 		return r.at(e.Worker, Line{In: inProbed, Result: e.Result, Report: e.Report})
-	case logic.TimerFired:
+	case dispatch.TimerFired:
 		return Line{In: inTimer}
-	case logic.Suspended:
+	case dispatch.Cordoned:
 		return r.at(e.Worker, Line{In: inOut})
-	case logic.Restored:
+	case dispatch.Uncordoned:
 		return r.at(e.Worker, Line{In: inBack})
-	case logic.WorkerList:
+	case dispatch.WorkerList:
 		l := Line{In: inHosts, Kind: e.Kind}
 		for _, w := range e.Workers {
 			h := r.host(w.ID)
-			l.Workers = append(l.Workers, listed{Name: h.ID, Addr: h.Addr, State: h.State, As: w})
+			l.Workers = append(l.Workers, listed{Name: h.ID, Addr: h.Addr, State: h.Lifecycle, As: w})
 			r.named[w.ID] = true
 		}
 		return l
@@ -236,21 +236,21 @@
 }
 
 // action gives a decision its line. Timers and log lines are none.
-func (r *Recorder) action(a logic.Action) Line {
+func (r *Recorder) action(a dispatch.Action) Line {
 	switch a := a.(type) {
-	case logic.Send:
-		return r.at(a.Worker, Line{Out: outSend, Job: a.Job, After: int64(a.Patience)})
-	case logic.Refuse:
-		return Line{Out: outRefuse, Job: a.Job, After: int64(a.After)}
-	case logic.Fail:
+	case dispatch.Send:
+		return r.at(a.Worker, Line{Out: outSend, Job: a.Job, After: int64(a.AttemptTimeout)})
+	case dispatch.Reject:
+		return Line{Out: outRefuse, Job: a.Job, After: int64(a.RetryAfter)}
+	case dispatch.Fail:
 		return Line{Out: outFail, Job: a.Job}
-	case logic.Cancel:
+	case dispatch.Cancel:
 		return Line{Out: outCancel, Job: a.Job, Attempt: a.Attempt}
-	case logic.Probe:
+	case dispatch.HealthCheck:
 		return r.at(a.Worker, Line{Out: outProbe})
-	case logic.FreeLinks:
+	case dispatch.CloseIdleConnections:
 		return r.at(a.Worker, Line{Out: outFree})
-	case logic.Subscribe:
+	case dispatch.Subscribe:
 		return Line{Out: outWatch}
 	}
 	return Line{}
@@ -265,9 +265,9 @@
 	return l
 }
 
-func (r *Recorder) host(worker uint64) ledger.Host {
+func (r *Recorder) host(worker uint64) requests.Endpoint {
 	if r.Host == nil {
-		return ledger.Host{}
+		return requests.Endpoint{}
 	}
 	return r.Host(worker)
 }
@@ -293,41 +293,41 @@
 }
 
 // Observe records what the module does not see, or not in the clients' words.
-func (r *Recorder) Observe(n ledger.News) {
+func (r *Recorder) Observe(n requests.Notification) {
 	r.guard(func() { r.observe(n) })
 }
 
-func (r *Recorder) observe(n ledger.News) {
+func (r *Recorder) observe(n requests.Notification) {
 	l := Line{}
-	switch n.What {
-	case ledger.NewsDropped:
-		r.dropped = append(r.dropped, n.Query.ID)
+	switch n.Kind {
+	case requests.RequestForgotten:
+		r.dropped = append(r.dropped, n.Request.ID)
 		return
-	case ledger.NewsTaken:
-		r.calls[n.Query.ID] = n.Query.Call
-		l = r.head(n.Query)
+	case requests.RequestAdmitted:
+		r.calls[n.Request.ID] = n.Request.CallID
+		l = r.head(n.Request)
 		l.In = inHead
-	case ledger.NewsRefused:
+	case requests.RequestRejected:
 		if !r.may() {
 			return
 		}
-		if n.Query != nil {
-			l = r.head(n.Query)
+		if n.Request != nil {
+			l = r.head(n.Request)
 		}
 		l.Out, l.Status = outRefused, n.Status
-	case ledger.NewsAnswer:
-		l = Line{In: inAnswer, ID: n.Query.Call, Worker: n.Attempt.From, Status: n.Status}
-	case ledger.NewsNote:
+	case requests.ResponseReceived:
+		l = Line{In: inAnswer, ID: n.Request.CallID, Worker: n.Attempt.EndpointID, Status: n.Status}
+	case requests.CallbackReceived:
 		if n.Attempt == nil && !r.may() {
 			return
 		}
-		l = Line{In: inNote, ID: short(n.Note.ID), Worker: short(n.Note.From), State: short(n.Note.State),
-			Share: n.Note.Share, Unknown: n.Attempt == nil}
-		if n.Note.Result != nil {
-			l.Length = len(*n.Note.Result)
+		l = Line{In: inNote, ID: short(n.Callback.CallID), Worker: short(n.Callback.EndpointID), State: short(n.Callback.State),
+			Share: n.Callback.Progress, Unknown: n.Attempt == nil}
+		if n.Callback.Result != nil {
+			l.Length = len(*n.Callback.Result)
 		}
-	case ledger.NewsOver:
-		l = Line{Out: outOver, ID: n.Query.Call, Outcome: string(n.Query.Outcome())}
+	case requests.RequestEnded:
+		l = Line{Out: outOver, ID: n.Request.CallID, Outcome: string(n.Request.Outcome())}
 	default:
 		return
 	}
@@ -339,8 +339,8 @@
 	r.flush()
 }
 
-func (r *Recorder) head(q *ledger.Query) Line {
-	l := Line{ID: q.Call, Method: q.Parcel.Verb, Path: short(q.Parcel.Path), Key: q.Parcel.Key, Length: len(q.Parcel.Body)}
+func (r *Recorder) head(q *requests.Request) Line {
+	l := Line{ID: q.CallID, Method: q.Payload.Method, Path: short(q.Payload.Path), Key: q.Payload.IdempotencyKey, Length: len(q.Payload.Body)}
 	if q.Job.Class < len(r.names.Classes) {
 		l.Class = r.names.Classes[q.Job.Class]
 	}
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -10,8 +10,8 @@
 	"strconv"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/logic"
 )
 
 // Replay feeds a capture's inputs to the module again and writes a line for each decision that comes out
@@ -28,7 +28,7 @@
 	out, warnings io.Writer
 	differences   int
 	line          int
-	module        *logic.Dispatcher // nil: before the first segment, or after a panic
+	module        *dispatch.Dispatcher // nil: before the first segment, or after a panic
 	begun         bool
 	passed        int               // steps for which there was no module
 	batch         []numbered        // the step that is being read
@@ -164,8 +164,8 @@
 		return fmt.Errorf("seed: %w", err)
 	}
 	if l.Why == whyStart || l.Why == whyRestart {
-		p.module = logic.New(set.Settings, seed+l.Module)
-	} else if p.module, err = logic.Restore(set.Settings, l.Snapshot); err != nil {
+		p.module = dispatch.New(set.Settings, seed+l.Module)
+	} else if p.module, err = dispatch.Restore(set.Settings, l.Snapshot); err != nil {
 		return err
 	}
 	p.begun, p.numbers, p.names, p.calls = true, map[string]uint64{}, map[uint64]string{}, l.Calls
@@ -183,11 +183,11 @@
 
 func (p *player) step(batch []numbered) {
 	now := time.Duration(batch[0].T)*time.Millisecond + time.Duration(batch[0].NS)
-	var events []logic.Event
+	var events []dispatch.Event
 	var was, is []decision
 	for _, l := range batch {
 		if l.Past != nil && l.Arrived != nil {
-			p.module.Recall(l.Arrived.Key, *l.Past)
+			p.module.RecallKeyWork(l.Arrived.Key, *l.Past)
 		}
 		if l.Out == "" {
 			events = append(events, l.event())
@@ -211,7 +211,7 @@
 }
 
 // run has the module step. What it does after a difference may be more than it can take.
-func (p *player) run(now time.Duration, events []logic.Event) (actions []logic.Action, fine bool) {
+func (p *player) run(now time.Duration, events []dispatch.Event) (actions []dispatch.Action, fine bool) {
 	defer func() {
 		if recover() != nil {
 			actions, fine = nil, false
@@ -249,32 +249,32 @@
 }
 
 // event is the line's input as the module was told it.
-func (l *Line) event() logic.Event {
+func (l *Line) event() dispatch.Event {
 	switch l.In {
 	case inJob:
 		return *l.Arrived
 	case inOutcome:
-		return logic.Outcome{Job: l.Job, Attempt: l.Attempt, Worker: l.Number, Result: l.Result, Closed: l.Closed, Report: l.Report}
+		return dispatch.Outcome{Job: l.Job, Attempt: l.Attempt, Worker: l.Number, Result: l.Result, Closed: l.Closed, Report: l.Report}
 	case inStarted:
-		return logic.Started{Job: l.Job, Attempt: l.Attempt, Worker: l.Number}
+		return dispatch.Started{Job: l.Job, Attempt: l.Attempt, Worker: l.Number}
 	case inProgress:
-		return logic.Progressed{Job: l.Job, Attempt: l.Attempt, Worker: l.Number, Share: l.Share}
+		return dispatch.Progressed{Job: l.Job, Attempt: l.Attempt, Worker: l.Number, Share: l.Share}
 	case inGone:
-		return logic.ClientGone{Job: l.Job}
+		return dispatch.ClientDisconnected{Job: l.Job}
 	case inProbed:
-		return logic.Probed{Worker: l.Number, Result: l.Result, Report: l.Report}
+		return dispatch.HealthChecked{Worker: l.Number, Result: l.Result, Report: l.Report}
 	case inOut:
-		return logic.Suspended{Worker: l.Number}
+		return dispatch.Cordoned{Worker: l.Number}
 	case inBack:
-		return logic.Restored{Worker: l.Number}
+		return dispatch.Uncordoned{Worker: l.Number}
 	case inHosts:
-		list := logic.WorkerList{Kind: l.Kind}
+		list := dispatch.WorkerList{Kind: l.Kind}
 		for _, w := range l.Workers {
 			list.Workers = append(list.Workers, w.As)
 		}
 		return list
 	}
-	return logic.TimerFired{}
+	return dispatch.TimerFired{}
 }
 
 // recorded is the decision of a line.
@@ -299,21 +299,21 @@
 }
 
 // decided is the decision of an action; none for timers and log lines.
-func (p *player) decided(a logic.Action) decision {
+func (p *player) decided(a dispatch.Action) decision {
 	switch a := a.(type) {
-	case logic.Send:
-		return p.send(0, a.Job, a.Worker, a.Patience)
-	case logic.Refuse:
-		return p.refuse(0, a.Job, a.After)
-	case logic.Fail:
+	case dispatch.Send:
+		return p.send(0, a.Job, a.Worker, a.AttemptTimeout)
+	case dispatch.Reject:
+		return p.refuse(0, a.Job, a.RetryAfter)
+	case dispatch.Fail:
 		return decision{p.job(a.Job), "failed", 0}
-	case logic.Cancel:
+	case dispatch.Cancel:
 		return decision{p.job(a.Job), cancelled(a.Attempt), 0}
-	case logic.Probe:
+	case dispatch.HealthCheck:
 		return decision{p.worker(a.Worker), "probed", 0}
-	case logic.FreeLinks:
+	case dispatch.CloseIdleConnections:
 		return decision{p.worker(a.Worker), "links closed", 0}
-	case logic.Subscribe:
+	case dispatch.Subscribe:
 		return decision{"the host group", "watched", 0}
 	}
 	return decision{}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,7 +14,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 )
 
 // Limits are what the machine allows.
@@ -35,7 +35,7 @@
 	Dir      string
 	Seed     uint64
 	Limits   Limits
-	Known    ledger.HostGroup // as it was last seen, perhaps long ago
+	Known    requests.EndpointList // as it was last seen, perhaps long ago
 	Settings Settings
 	Platform []byte // the settings as the platform's text has them
 }
@@ -201,8 +201,8 @@
 	if len(s.Classes) == 0 {
 		fault(keyError(key("classes"), "expected one class at least"))
 	}
-	if s.TryLimit < 1 {
-		fault(keyError(key("bounds", "try_limit"), "expected 1 at least, got %d", s.TryLimit))
+	if s.AttemptLimit < 1 {
+		fault(keyError(key("bounds", "try_limit"), "expected 1 at least, got %d", s.AttemptLimit))
 	}
 	if s.ConnectTimeout <= 0 {
 		fault(keyError(key("bounds", "connect_timeout"), "expected more than 0, got %v", s.ConnectTimeout))
@@ -212,8 +212,8 @@
 		if s.Names.Classes[i] == "" {
 			fault(keyError(key("classes", at, "name"), "missing"))
 		}
-		if class.GiveUp <= 0 {
-			fault(keyError(key("classes", at, "give_up"), "expected more than 0, got %v", class.GiveUp))
+		if class.ClientTimeout <= 0 {
+			fault(keyError(key("classes", at, "give_up"), "expected more than 0, got %v", class.ClientTimeout))
 		}
 	}
 	for i, name := range s.Names.Tenants {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"valvecove/logic"
+	"valvecove/dispatch"
 )
 
 const sound = `{"name":"n3","listen":"127.0.0.1:9000","discovery":"127.0.0.1:8500","seed":"8c1f","later":[1,{"x":2}],
@@ -29,13 +29,13 @@
 	}
 	s := c.Settings
 	a, b := s.Classes[0], s.Classes[1]
-	if c.Seed != 0x8c1f || c.Listen.Port() != 9000 || c.Limits != (Limits{1, 192, 1024}) || c.Known.Hosts[0].StartedMs != 7 ||
+	if c.Seed != 0x8c1f || c.Listen.Port() != 9000 || c.Limits != (Limits{1, 192, 1024}) || c.Known.Endpoints[0].StartedAtMs != 7 ||
 		s.Names.Classes[1] != "b" || s.Names.Tenants[0] != "t" {
 		t.Errorf("read %+v", c)
 	}
-	if a.Aim != 80*time.Millisecond || a.Effect != logic.Safe || a.Kinds != nil || a.Stretch != 2.5 ||
-		b.Effect != logic.Keyed || b.Group != logic.GroupCell || b.Stretch != 1.5 || len(b.Kinds) != 1 ||
-		!s.MustSubscribe || s.MaxRetryAfter != 2*time.Second || s.Report[1] != logic.FieldFreeSlots {
+	if a.LatencyObjective != 80*time.Millisecond || a.Idempotency != dispatch.Idempotent || a.Kinds != nil || a.ObjectiveStretch != 2.5 ||
+		b.Idempotency != dispatch.IdempotentWithKey || b.DeduplicationScope != dispatch.ScopeCell || b.ObjectiveStretch != 1.5 || len(b.Kinds) != 1 ||
+		!s.MustSubscribe || s.MaxRetryAfter != 2*time.Second || s.ReportFields[1] != dispatch.ReportFieldFreeSlots {
 		t.Errorf("settings %+v", s)
 	}
 }
@@ -101,7 +101,7 @@
 		`"try_limit":6`, `"try_limit":5`).Replace(sound))
 	next, kept, err := c.Reload(env)
 	if err != nil || next.Discovery.Port() != 8501 || next.Limits.Sockets != 512 || next.Listen != c.Listen ||
-		next.Settings.TryLimit != 6 || next.Seed != c.Seed || strings.Join(kept, " ") != "listen settings" {
+		next.Settings.AttemptLimit != 6 || next.Seed != c.Seed || strings.Join(kept, " ") != "listen settings" {
 		t.Errorf("%+v, kept %v, %v", next, kept, err)
 	}
 	put(strings.Replace(sound, `"127.0.0.1:8500"`, `"there"`, 1))
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/ledger"
+	"valvecove/dispatch"
+	"valvecove/internal/requests"
 	"valvecove/internal/storedform"
-	"valvecove/logic"
 )
 
 // The platform writes this file, and its form is the platform's: the file holds every key that is read, and some that are
@@ -32,31 +32,31 @@
 		Management: netip.MustParseAddrPort("127.0.0.1:9001"),
 		Seed:       0x8c1f30d27a5be964,
 		Limits:     Limits{Cores: 1.5, MemoryMB: 512, Sockets: 4096},
-		Known: ledger.HostGroup{Generation: 41, Reset: true, Hosts: []ledger.Host{{ID: "w-1", Addr: "127.0.0.2:7001",
-			Zone: "b", Kind: "slow-4c", Cell: 2, State: "draining", Weight: 0.75, StartedMs: 1718000000123}}},
-		Settings: Settings{Names: ledger.Names{
-			Classes: []string{"status-check", "cash-payout", "account-credit", "statement"},
-			Tenants: []string{"swat-society", "kurram-society"},
-			Zones:   []string{"a", "b"},
-			Kinds:   []string{"std-4c", "slow-4c", "big-16c"},
-		}, Settings: logic.Settings{
-			Replicas: 3, Me: 2, Zone: 1,
-			Classes: []logic.Class{
-				{Aim: 80 * time.Millisecond, Stretch: 2.5, GiveUp: 5 * time.Second, Effect: logic.Safe, Worth: 2,
-					LateShare: 0.25, Zones: []int{1}},
-				{Aim: 500 * time.Millisecond, Stretch: 2, GiveUp: 7500 * time.Millisecond, Effect: logic.Unsafe, Worth: 2.5,
+		Known: requests.EndpointList{Revision: 41, Reset: true, Endpoints: []requests.Endpoint{{ID: "w-1", Addr: "127.0.0.2:7001",
+			Zone: "b", MachineType: "slow-4c", Cell: 2, Lifecycle: "draining", Weight: 0.75, StartedAtMs: 1718000000123}}},
+		Settings: Settings{Names: requests.NameTable{
+			Classes:      []string{"status-check", "cash-payout", "account-credit", "statement"},
+			Tenants:      []string{"swat-society", "kurram-society"},
+			Zones:        []string{"a", "b"},
+			MachineTypes: []string{"std-4c", "slow-4c", "big-16c"},
+		}, Settings: dispatch.Settings{
+			Replicas: 3, ReplicaIndex: 2, Zone: 1,
+			Classes: []dispatch.Class{
+				{LatencyObjective: 80 * time.Millisecond, ObjectiveStretch: 2.5, ClientTimeout: 5 * time.Second, Idempotency: dispatch.Idempotent, PriorityWeight: 2,
+					LateValue: 0.25, Zones: []int{1}},
+				{LatencyObjective: 500 * time.Millisecond, ObjectiveStretch: 2, ClientTimeout: 7500 * time.Millisecond, Idempotency: dispatch.NonIdempotent, PriorityWeight: 2.5,
 					Kinds: []int{0, 2}},
-				{Aim: 500 * time.Millisecond, Stretch: 1.5, GiveUp: 12 * time.Second, Effect: logic.Keyed,
-					Group: logic.GroupZone, Window: 20 * time.Second, Worth: 3, Kinds: []int{1}},
-				{Aim: 900 * time.Millisecond, Stretch: 1.25, GiveUp: 30 * time.Second, Effect: logic.Keyed,
-					Group: logic.GroupAll, Window: time.Minute, Worth: 1},
+				{LatencyObjective: 500 * time.Millisecond, ObjectiveStretch: 1.5, ClientTimeout: 12 * time.Second, Idempotency: dispatch.IdempotentWithKey,
+					DeduplicationScope: dispatch.ScopeZone, DeduplicationWindow: 20 * time.Second, PriorityWeight: 3, Kinds: []int{1}},
+				{LatencyObjective: 900 * time.Millisecond, ObjectiveStretch: 1.25, ClientTimeout: 30 * time.Second, Idempotency: dispatch.IdempotentWithKey,
+					DeduplicationScope: dispatch.ScopeAll, DeduplicationWindow: time.Minute, PriorityWeight: 1},
 			},
-			TenantQuota: []float64{6, 12.5}, MustSubscribe: true, TryLimit: 6, SecondCopies: true, Cancelling: true,
-			Probes: true, TellsStart: true, Progress: 2 * time.Second, MaxRetryAfter: 2 * time.Second,
-			Report:     []logic.Field{logic.FieldOther, logic.FieldFreeSlots, logic.FieldOther},
-			ProbePrice: 0.004, CrossPrice: 0.01, HandshakePrice: 0.02, TailPart: 0.2, BorneMisses: 0.01,
-			ConnectTimeout: 250 * time.Millisecond, ConnIdle: 30 * time.Second, AskEvery: 10 * time.Second,
-			Cold: 8800 * time.Millisecond, ColdFrom: 0.3, Overload: 3, OverloadSpan: 2 * time.Second,
+			TenantQuota: []float64{6, 12.5}, MustSubscribe: true, AttemptLimit: 6, Hedging: true, Cancellation: true,
+			HealthChecks: true, StartNotifications: true, ProgressInterval: 2 * time.Second, MaxRetryAfter: 2 * time.Second,
+			ReportFields:    []dispatch.ReportField{dispatch.ReportFieldOther, dispatch.ReportFieldFreeSlots, dispatch.ReportFieldOther},
+			HealthCheckCost: 0.004, CrossZoneCost: 0.01, HandshakeCost: 0.02, TailShare: 0.2, MissBudget: 0.01,
+			ConnectTimeout: 250 * time.Millisecond, ConnIdleTimeout: 30 * time.Second, PollInterval: 10 * time.Second,
+			WarmUp: 8800 * time.Millisecond, WarmUpCapacity: 0.3, OverloadFactor: 3, OverloadWindow: 2 * time.Second,
 		}},
 	}
 	if !reflect.DeepEqual(got, want) {
--- a/internal/config/ops.go
+++ b/internal/config/ops.go
@@ -154,12 +154,12 @@
 		t.end()
 	}
 	if t := top.table("aperture"); t != nil {
-		d := aperture.Defaults()
-		o.Aperture = &aperture.Config{Least: t.whole("least", d.Least, 1, 1_000_000),
-			Cover: t.whole("cover", d.Cover, 2, 1000), OffBelow: t.whole("off_below", d.OffBelow, 0, 1_000_000),
-			From: t.whole("from_schedulers", d.From, 2, 1_000_000),
-			Most: t.number("most", d.Most, 1, 1000), WidenAt: t.number("widen_at", d.WidenAt, 0.01, 1),
-			Dwell: time.Duration(t.number("dwell_s", d.Dwell.Seconds(), 1, 3600) * float64(time.Second))}
+		d := aperture.DefaultConfig()
+		o.Aperture = &aperture.Config{MinWorkers: t.whole("least", d.MinWorkers, 1, 1_000_000),
+			Coverage: t.whole("cover", d.Coverage, 2, 1000), MinFleet: t.whole("off_below", d.MinFleet, 0, 1_000_000),
+			MinSchedulers: t.whole("from_schedulers", d.MinSchedulers, 2, 1_000_000),
+			MaxWidening:   t.number("most", d.MaxWidening, 1, 1000), WidenThreshold: t.number("widen_at", d.WidenThreshold, 0.01, 1),
+			Retention: time.Duration(t.number("dwell_s", d.Retention.Seconds(), 1, 3600) * float64(time.Second))}
 		t.end()
 	}
 	if t := top.table("replay"); t != nil {
--- a/internal/config/ops_test.go
+++ b/internal/config/ops_test.go
@@ -83,8 +83,8 @@
 	if o.Capture.MemoryKB = 192<<10/8 + 1; o.Check(c) == nil {
 		t.Error("a ring that takes up much of the memory")
 	}
-	if o, err = DecodeOps("[aperture]\nleast = 30\ndwell_s = 1.5"); err != nil || o.Aperture.Least != 30 ||
-		o.Aperture.Dwell != 1500*time.Millisecond || o.Aperture.Cover != aperture.Defaults().Cover {
+	if o, err = DecodeOps("[aperture]\nleast = 30\ndwell_s = 1.5"); err != nil || o.Aperture.MinWorkers != 30 ||
+		o.Aperture.Retention != 1500*time.Millisecond || o.Aperture.Coverage != aperture.DefaultConfig().Coverage {
 		t.Errorf("aperture: %+v, %v", o.Aperture, err)
 	}
 	o, err = DecodeOps("[figures]\n")
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -6,15 +6,15 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"valvecove/internal/ledger"
-	"valvecove/logic"
+	"valvecove/dispatch"
+	"valvecove/internal/requests"
 )
 
 // Settings is what the platform tells of a deployment: the module's settings, and the words by which messages
 // name classes, tenants, zones and kinds.
 type Settings struct {
-	logic.Settings
-	Names ledger.Names
+	dispatch.Settings
+	Names requests.NameTable
 }
 
 // DecodeSettings reads the settings object in the platform's words, with times in microseconds. Keys that are
@@ -43,9 +43,9 @@
 	reportX0, reportX1 string
 }
 
-var effects = map[string]logic.Effect{"pure": logic.Safe, "token": logic.Keyed}
+var effects = map[string]dispatch.Idempotency{"pure": dispatch.Idempotent, "token": dispatch.IdempotentWithKey}
 
-var groups = map[string]logic.Group{"zone": logic.GroupZone, "all": logic.GroupAll}
+var groups = map[string]dispatch.DeduplicationScope{"zone": dispatch.ScopeZone, "all": dispatch.ScopeAll}
 
 func (d *decoder) settings() {
 	s := &d.set.Settings
@@ -54,13 +54,13 @@
 		case "replicas_of_me":
 			s.Replicas = d.whole()
 		case "me":
-			s.Me = d.whole()
+			s.ReplicaIndex = d.whole()
 		case "zone":
 			s.Zone = d.whole()
 		case "zones":
 			d.set.Names.Zones = d.texts()
 		case "kinds":
-			d.set.Names.Kinds = d.texts()
+			d.set.Names.MachineTypes = d.texts()
 		case "discovery":
 			s.MustSubscribe = d.text() == "subscribe"
 		case "classes":
@@ -79,9 +79,9 @@
 			d.object(func(key string) {
 				switch key {
 				case "tail_part":
-					s.TailPart = d.number()
+					s.TailShare = d.number()
 				case "borne_misses":
-					s.BorneMisses = d.number()
+					s.MissBudget = d.number()
 				default:
 					d.skip()
 				}
@@ -102,13 +102,13 @@
 }
 
 func (d *decoder) class(i int) {
-	c, name := logic.Class{}, ""
+	c, name := dispatch.Class{}, ""
 	d.object(func(key string) {
 		switch key {
 		case "name":
 			name = d.text()
 		case "promise":
-			c.Aim = d.span()
+			c.LatencyObjective = d.span()
 		case "aim_stretch":
 			if d.present() {
 				if d.aimStretch == nil {
@@ -117,17 +117,17 @@
 				d.aimStretch[i] = d.number()
 			}
 		case "give_up":
-			c.GiveUp = d.span()
+			c.ClientTimeout = d.span()
 		case "idempotency":
-			c.Effect = effects[d.text()] // one that is not known is taken as the strictest
+			c.Idempotency = effects[d.text()] // one that is not known is taken as the strictest
 		case "dedup_scope":
-			c.Group = groups[d.text()]
+			c.DeduplicationScope = groups[d.text()]
 		case "window":
-			c.Window = d.span()
+			c.DeduplicationWindow = d.span()
 		case "late_share":
-			c.LateShare = d.number()
+			c.LateValue = d.number()
 		case "gain":
-			c.Worth = d.number()
+			c.PriorityWeight = d.number()
 		case "bound_to":
 			c.Kinds = d.wholes()
 		case "allowed_in":
@@ -160,13 +160,13 @@
 	s := &d.set.Settings
 	switch key {
 	case "try_limit":
-		s.TryLimit = d.whole()
+		s.AttemptLimit = d.whole()
 	case "second_copies":
-		s.SecondCopies = d.flag()
+		s.Hedging = d.flag()
 	case "cancelling":
-		s.Cancelling = d.flag()
+		s.Cancellation = d.flag()
 	case "probes":
-		s.Probes = d.flag()
+		s.HealthChecks = d.flag()
 	case "retry_after":
 		d.retryAfter = d.flag()
 	case "max_retry_after":
@@ -174,7 +174,7 @@
 	case "connect_timeout":
 		s.ConnectTimeout = d.span()
 	case "conn_idle":
-		s.ConnIdle = d.span()
+		s.ConnIdleTimeout = d.span()
 	default:
 		d.skip()
 	}
@@ -187,9 +187,9 @@
 	case "class_stretch":
 		d.classStretch = d.numbers()
 	case "progress":
-		d.set.Progress = d.span()
+		d.set.ProgressInterval = d.span()
 	case "tells_start":
-		d.set.TellsStart = d.flag()
+		d.set.StartNotifications = d.flag()
 	case "report_x0":
 		d.reportX0 = d.text()
 	case "report_x1":
@@ -202,11 +202,11 @@
 func (d *decoder) price(key string) {
 	switch key {
 	case "probe":
-		d.set.ProbePrice = d.number()
+		d.set.HealthCheckCost = d.number()
 	case "cross_zone":
-		d.set.CrossPrice = d.number()
+		d.set.CrossZoneCost = d.number()
 	case "handshake":
-		d.set.HandshakePrice = d.number()
+		d.set.HandshakeCost = d.number()
 	default:
 		d.skip()
 	}
@@ -216,15 +216,15 @@
 	s := &d.set.Settings
 	switch key {
 	case "ask_every":
-		s.AskEvery = d.span()
+		s.PollInterval = d.span()
 	case "cold":
-		s.Cold = d.span()
+		s.WarmUp = d.span()
 	case "cold_from":
-		s.ColdFrom = d.number()
+		s.WarmUpCapacity = d.number()
 	case "overload_factor":
-		s.Overload = d.number()
+		s.OverloadFactor = d.number()
 	case "fall":
-		s.OverloadSpan = d.span()
+		s.OverloadWindow = d.span()
 	default:
 		d.skip()
 	}
@@ -246,17 +246,17 @@
 			c.Kinds = []int{only}
 		}
 		if i < len(d.classStretch) {
-			c.Stretch = d.classStretch[i]
+			c.ObjectiveStretch = d.classStretch[i]
 		}
 		if x, ok := d.aimStretch[i]; ok {
-			c.Stretch = x
+			c.ObjectiveStretch = x
 		}
 	}
 	for _, name := range d.fields {
-		field := logic.FieldOther
+		field := dispatch.ReportFieldOther
 		if name == "x0" && d.reportX0 == "free slots" || name == "x1" && d.reportX1 == "free slots" {
-			field = logic.FieldFreeSlots
+			field = dispatch.ReportFieldFreeSlots
 		}
-		s.Report = append(s.Report, field)
+		s.ReportFields = append(s.ReportFields, field)
 	}
 }
--- a/internal/frame/frame.go
+++ b/internal/control/codec/frame.go
@@ -21,7 +21,7 @@
 //
 // What a Reader gives is what a Writer was given, or nothing: bytes that were changed on the way end the stream. It
 // holds one frame's length at most, which it believes only as bytes come.
-package frame
+package codec
 
 import (
 	"errors"
@@ -41,52 +41,52 @@
 	magic0     = 'v'
 	magic1     = 'C'
 
-	// Longest is the longest payload: a snapshot of a large fleet has room in it.
-	Longest = 8 << 20
-	batch   = 64 << 10 // a frame is closed before it grows longer: what is read is checked only once it is whole
-	reused  = 1 << 20  // buffers that have grown longer are not kept
+	// MaxPayloadSize is the longest payload: a snapshot of a large fleet has room in it.
+	MaxPayloadSize    = 8 << 20
+	batchSize         = 64 << 10 // a frame is closed before it grows longer: what is read is checked only once it is whole
+	maxReusedCapacity = 1 << 20  // buffers that have grown longer are not kept
 
-	longestText  = 255
-	mostAttempts = 255
-	mostNames    = 64
+	maxTextLength    = 255
+	maxAttempts      = 255
+	maxInternedNames = 64
 )
 
 // What ends a stream.
 var (
-	ErrNotFrames = errors.New("frame: the peer does not speak in frames")
-	ErrTooLong   = errors.New("frame: longer than is allowed")
+	ErrBadMagic  = errors.New("frame: the peer does not speak in frames")
+	ErrTooLarge  = errors.New("frame: longer than is allowed")
 	ErrCorrupt   = errors.New("frame: changed on its way")
 	ErrMalformed = errors.New("frame: a message that makes no sense")
 )
 
 // VersionError refuses a peer whose major version is another one.
-type VersionError struct{ Theirs, Ours int }
+type VersionError struct{ Peer, Local int }
 
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("frame: the peer speaks version %d.%d, this is %d.%d: one of the two must be updated",
-		e.Theirs>>8, e.Theirs&0xff, e.Ours>>8, e.Ours&0xff)
+		e.Peer>>8, e.Peer&0xff, e.Local>>8, e.Local&0xff)
 }
 
 // What ends Add alone: nothing of such a message is written.
 var (
-	ErrKind  = errors.New("frame: no such kind of message")
-	ErrField = errors.New("frame: a field is missing or out of range")
+	ErrUnknownKind  = errors.New("frame: no such kind of message")
+	ErrInvalidField = errors.New("frame: a field is missing or out of range")
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// seal fills in the header of a frame whose payload is in place.
-func seal(f []byte, major, minor byte) {
+// sealFrame fills in the header of a frame whose payload is in place.
+func sealFrame(f []byte, major, minor byte) {
 	n := len(f) - headerSize
 	f[0], f[1], f[2], f[3] = magic0, magic1, major, minor
 	f[4], f[5], f[6] = byte(n), byte(n>>8), byte(n>>16)
-	f[7] = check(f)
-	sum := checksum(f)
+	f[7] = headerChecksum(f)
+	sum := frameChecksum(f)
 	f[8], f[9], f[10], f[11] = byte(sum), byte(sum>>8), byte(sum>>16), byte(sum>>24)
 }
 
-func check(header []byte) byte { return byte(crc32.Checksum(header[:7], table)) }
+func headerChecksum(header []byte) byte { return byte(crc32.Checksum(header[:7], castagnoli)) }
 
-func checksum(f []byte) uint32 {
-	return crc32.Update(crc32.Checksum(f[:8], table), table, f[headerSize:])
+func frameChecksum(f []byte) uint32 {
+	return crc32.Update(crc32.Checksum(f[:8], castagnoli), castagnoli, f[headerSize:])
 }
--- a/internal/frame/frame_test.go
+++ b/internal/control/codec/frame_test.go
@@ -1,4 +1,4 @@
-package frame
+package codec
 
 import (
 	"bytes"
@@ -15,17 +15,17 @@
 	"testing"
 	"time"
 
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
 	"valvecove/internal/steps"
-	"valvecove/internal/tier"
-	"valvecove/logic"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
 // kinds are all that there are.
-var kinds = []tier.Kind{tier.Hello, tier.Head, tier.Ended, tier.Started, tier.Progress, tier.Over, tier.Probed,
-	tier.Asked, tier.Welcome, tier.Credit, tier.Send, tier.Refuse, tier.Fail, tier.Cancel, tier.Probe, tier.Free,
-	tier.Move, tier.Here, tier.Snapshot, tier.Bye, tier.Word, tier.Greet, tier.Load}
+var kinds = []message.Kind{message.KindHandshake, message.KindRequestOffer, message.KindAttemptEnded, message.KindAttemptStarted, message.KindAttemptProgress, message.KindRequestClosed, message.KindHealthCheckResult,
+	message.KindHeartbeat, message.KindHandshakeAccept, message.KindCreditUpdate, message.KindSendCommand, message.KindRejectCommand, message.KindFailCommand, message.KindCancelCommand, message.KindHealthCheckCommand, message.KindCloseIdleCommand,
+	message.KindTransferCommand, message.KindHeartbeatReply, message.KindModelSnapshot, message.KindGoodbye, message.KindWorkerStatus, message.KindPeerHandshake, message.KindLoadReport}
 
 // draw is what random messages are made of.
 type draw interface{ Pick(n int) int }
@@ -51,70 +51,70 @@
 func name(d draw) string { return strings.Repeat("p", d.Pick(3)) + []string{"", "0", "7"}[d.Pick(3)] }
 
 // random makes a message of a kind, with the fields that it has by the words of package tier.
-func random(d draw, kind tier.Kind) tier.Message {
-	m := tier.Message{Kind: kind, Epoch: tier.Epoch(wide(d))}
+func random(d draw, kind message.Kind) message.Message {
+	m := message.Message{Kind: kind, Epoch: message.Epoch(wide(d))}
 	switch kind {
-	case tier.Hello, tier.Greet, tier.Welcome:
+	case message.KindHandshake, message.KindPeerHandshake, message.KindHandshakeAccept:
 		m.Name, m.Process, m.Version = name(d), wide(d), small(d)
-		if kind == tier.Welcome {
+		if kind == message.KindHandshakeAccept {
 			m.Credit = small(d)
 		}
-	case tier.Head:
+	case message.KindRequestOffer:
 		m.Query = wide(d)
-		h := &tier.HeadOf{Class: small(d), Tenant: small(d), Key: wide(d), Left: span(d), Waited: span(d),
+		h := &message.RequestSummary{Class: small(d), Tenant: small(d), Key: wide(d), Left: span(d), Waited: span(d),
 			Hint:  span(d),
 			Slots: float(d), Memory: float(d), Retry: d.Pick(2) == 0, Moves: small(d)}
 		for range d.Pick(4) {
-			h.Attempts = append(h.Attempts, tier.Past{Worker: wide(d), Ago: span(d), Began: span(d),
+			h.Attempts = append(h.Attempts, message.PastAttempt{Worker: wide(d), Ago: span(d), Began: span(d),
 				Ended:  d.Pick(2) == 0,
-				Result: logic.Result(d.Pick(9)), MayRun: d.Pick(2) == 0})
+				Result: dispatch.Result(d.Pick(9)), MayRun: d.Pick(2) == 0})
 		}
 		m.Head = h
-	case tier.Ended:
-		m.Query, m.Attempt, m.Result = wide(d), small(d), logic.Result(d.Pick(9))
-		m.Why = tier.Why(d.Pick(int(tier.Reasons) + 1))
-	case tier.Started, tier.Cancel:
+	case message.KindAttemptEnded:
+		m.Query, m.Attempt, m.Result = wide(d), small(d), dispatch.Result(d.Pick(9))
+		m.Why = message.RejectReason(d.Pick(int(message.ReasonCount) + 1))
+	case message.KindAttemptStarted, message.KindCancelCommand:
 		m.Query, m.Attempt = wide(d), small(d)
-	case tier.Progress:
+	case message.KindAttemptProgress:
 		m.Query, m.Attempt, m.Share = wide(d), small(d), float(d)
-	case tier.Over, tier.Fail:
+	case message.KindRequestClosed, message.KindFailCommand:
 		m.Query = wide(d)
-	case tier.Probed:
-		m.Worker, m.Result = wide(d), logic.Result(d.Pick(9))
-	case tier.Asked:
+	case message.KindHealthCheckResult:
+		m.Worker, m.Result = wide(d), dispatch.Result(d.Pick(9))
+	case message.KindHeartbeat:
 		m.Number = wide(d)
-	case tier.Credit:
+	case message.KindCreditUpdate:
 		m.Credit = small(d)
-	case tier.Send:
+	case message.KindSendCommand:
 		m.Query, m.Attempt, m.Worker, m.Patience = wide(d), small(d), wide(d), span(d)
-	case tier.Refuse:
+	case message.KindRejectCommand:
 		m.Query, m.After = wide(d), span(d)
-	case tier.Probe, tier.Free:
+	case message.KindHealthCheckCommand, message.KindCloseIdleCommand:
 		m.Worker = wide(d)
-	case tier.Move:
+	case message.KindTransferCommand:
 		m.Query, m.Name = wide(d), name(d)
-	case tier.Here:
+	case message.KindHeartbeatReply:
 		m.Number, m.Late = wide(d), span(d)
-	case tier.Snapshot:
+	case message.KindModelSnapshot:
 		m.Age = span(d)
 		if n := d.Pick(5); n > 0 {
 			m.Bytes = bytes.Repeat([]byte{byte(d.Pick(256))}, []int{1, 2, 300, 4000, 1 << 17}[n])
 		}
-	case tier.Word:
-		m.Word = &tier.WordOf{Worker: wide(d), StartedMs: int64(wide(d)), Generation: int64(wide(d)),
-			State: tier.State(d.Pick(4))}
-	case tier.Load:
-		m.Load = &tier.LoadOf{Heads: small(d), Held: small(d), Forwarders: small(d), Late: span(d), Slots: float(d),
+	case message.KindWorkerStatus:
+		m.Word = &message.WorkerStatus{Worker: wide(d), StartedMs: int64(wide(d)), Generation: int64(wide(d)),
+			State: message.WorkerState(d.Pick(4))}
+	case message.KindLoadReport:
+		m.Load = &message.LoadReport{Heads: small(d), Held: small(d), Forwarders: small(d), Late: span(d), Slots: float(d),
 			Room: float(d)}
 	}
 	return m
 }
 
 // own is a copy that does not point into the reader.
-func own(m tier.Message) tier.Message {
+func own(m message.Message) message.Message {
 	if m.Head != nil {
 		h := *m.Head
-		h.Attempts = append([]tier.Past(nil), h.Attempts...)
+		h.Attempts = append([]message.PastAttempt(nil), h.Attempts...)
 		m.Head = &h
 	}
 	if m.Word != nil {
@@ -130,8 +130,8 @@
 }
 
 // read feeds b in pieces and returns what came of it.
-func read(r *Reader, b []byte, piece func(left int) int) (got []tier.Message, err error) {
-	var m tier.Message
+func read(r *Reader, b []byte, piece func(left int) int) (got []message.Message, err error) {
+	var m message.Message
 	for first := true; first || len(b) > 0; first = false {
 		n := min(len(b), max(piece(len(b)), 1))
 		r.Feed(b[:n])
@@ -150,7 +150,7 @@
 	return got, err
 }
 
-func same(a, b []tier.Message) bool {
+func same(a, b []message.Message) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -169,7 +169,7 @@
 func runFrames(s *steps.Steps) {
 	var w Writer
 	var wire []byte
-	var sent []tier.Message
+	var sent []message.Message
 	for s.More() {
 		if s.Pick(4) == 0 {
 			wire = w.Take(wire)
@@ -186,7 +186,7 @@
 	r := NewReader(0)
 	got, err := read(r, wire, piece)
 	s.Check(err == nil && same(got, sent), "%d of %d came, %v", len(got), len(sent), err)
-	s.Check(cap(r.buf) <= 4*reused, "%d bytes held", cap(r.buf))
+	s.Check(cap(r.buffer) <= 4*maxReusedCapacity, "%d bytes held", cap(r.buffer))
 	if len(wire) == 0 {
 		return
 	}
@@ -222,7 +222,7 @@
 		if body { // so that the fuzzer gets past the checksum
 			f := append(make([]byte, headerSize), byte(min(len(b), 127)))
 			f = append(f, b[:min(len(b), 127)]...)
-			seal(f, Major, Minor)
+			sealFrame(f, Major, Minor)
 			b = f
 		}
 		r := NewReader(limit)
@@ -259,7 +259,7 @@
 		fmt.Fprintf(out, "%s\n  %s %s\n", describe(m), hex.EncodeToString(b[:headerSize]),
 			hex.EncodeToString(b[headerSize:]))
 		got, err := read(NewReader(0), b, func(int) int { return 5 })
-		if err != nil || !same(got, []tier.Message{m}) {
+		if err != nil || !same(got, []message.Message{m}) {
 			t.Errorf("%+v came as %+v, %v", m, got, err)
 		}
 	}
@@ -290,7 +290,7 @@
 	}
 }
 
-func describe(m tier.Message) string {
+func describe(m message.Message) string {
 	parts := []string{}
 	v := reflect.ValueOf(m)
 	for i := range v.NumField() {
@@ -306,42 +306,42 @@
 	return strings.Join(parts, ", ")
 }
 
-func samples() []tier.Message {
+func samples() []message.Message {
 	const epoch = 1718000000000000001
-	return []tier.Message{
-		{Kind: tier.Hello, Epoch: epoch, Name: "f-3", Process: 1718000000000000000, Version: Version},
-		{Kind: tier.Head, Epoch: epoch, Query: 1000, Head: &tier.HeadOf{Class: 2, Tenant: 1, Key: 0x0123456789abcdef,
+	return []message.Message{
+		{Kind: message.KindHandshake, Epoch: epoch, Name: "f-3", Process: 1718000000000000000, Version: Version},
+		{Kind: message.KindRequestOffer, Epoch: epoch, Query: 1000, Head: &message.RequestSummary{Class: 2, Tenant: 1, Key: 0x0123456789abcdef,
 			Left: 4 * time.Second, Waited: 3 * time.Millisecond, Hint: 120 * time.Millisecond, Slots: 1}},
-		{Kind: tier.Head, Epoch: epoch, Query: 1001, Head: &tier.HeadOf{Left: time.Second, Slots: 2, Memory: 1.5,
+		{Kind: message.KindRequestOffer, Epoch: epoch, Query: 1001, Head: &message.RequestSummary{Left: time.Second, Slots: 2, Memory: 1.5,
 			Retry: true,
-			Moves: 1, Attempts: []tier.Past{{Worker: 77, Ago: 20 * time.Millisecond, Began: 5 * time.Millisecond,
+			Moves: 1, Attempts: []message.PastAttempt{{Worker: 77, Ago: 20 * time.Millisecond, Began: 5 * time.Millisecond,
 				Ended:  true,
-				Result: logic.Reset, MayRun: true}, {Worker: 78, Ago: time.Millisecond}}}},
-		{Kind: tier.Ended, Epoch: epoch, Query: 1000, Attempt: 0},
-		{Kind: tier.Ended, Epoch: epoch, Query: 1000, Attempt: 1, Result: logic.NotSent, Why: tier.NodeDrains},
-		{Kind: tier.Started, Epoch: epoch, Query: 1000, Attempt: 1},
-		{Kind: tier.Progress, Epoch: epoch, Query: 1000, Attempt: 1, Share: 0.25},
-		{Kind: tier.Over, Epoch: epoch, Query: 1000},
-		{Kind: tier.Probed, Epoch: epoch, Worker: 0xfedcba9876543210, Result: logic.Full},
-		{Kind: tier.Asked, Epoch: epoch, Number: 12},
-		{Kind: tier.Welcome, Epoch: epoch, Name: "p-1", Process: 1717999999000000000, Version: Version, Credit: 512},
-		{Kind: tier.Credit, Epoch: epoch, Credit: 300},
-		{Kind: tier.Send, Epoch: epoch, Query: 1000, Worker: 0xfedcba9876543210, Attempt: 1,
+				Result: dispatch.ConnectionReset, MayRun: true}, {Worker: 78, Ago: time.Millisecond}}}},
+		{Kind: message.KindAttemptEnded, Epoch: epoch, Query: 1000, Attempt: 0},
+		{Kind: message.KindAttemptEnded, Epoch: epoch, Query: 1000, Attempt: 1, Result: dispatch.NotSent, Why: message.ReasonWorkerDraining},
+		{Kind: message.KindAttemptStarted, Epoch: epoch, Query: 1000, Attempt: 1},
+		{Kind: message.KindAttemptProgress, Epoch: epoch, Query: 1000, Attempt: 1, Share: 0.25},
+		{Kind: message.KindRequestClosed, Epoch: epoch, Query: 1000},
+		{Kind: message.KindHealthCheckResult, Epoch: epoch, Worker: 0xfedcba9876543210, Result: dispatch.WorkerFull},
+		{Kind: message.KindHeartbeat, Epoch: epoch, Number: 12},
+		{Kind: message.KindHandshakeAccept, Epoch: epoch, Name: "p-1", Process: 1717999999000000000, Version: Version, Credit: 512},
+		{Kind: message.KindCreditUpdate, Epoch: epoch, Credit: 300},
+		{Kind: message.KindSendCommand, Epoch: epoch, Query: 1000, Worker: 0xfedcba9876543210, Attempt: 1,
 			Patience: 80 * time.Millisecond},
-		{Kind: tier.Refuse, Epoch: epoch, Query: 1000, After: 250 * time.Millisecond},
-		{Kind: tier.Fail, Epoch: epoch, Query: 1000},
-		{Kind: tier.Cancel, Epoch: epoch, Query: 1000, Attempt: 2},
-		{Kind: tier.Probe, Epoch: epoch, Worker: 1},
-		{Kind: tier.Free, Epoch: epoch, Worker: 1},
-		{Kind: tier.Move, Epoch: epoch, Query: 1000, Name: "p-2"},
-		{Kind: tier.Move, Epoch: epoch, Query: 1000},
-		{Kind: tier.Here, Epoch: epoch, Number: 12, Late: 80 * time.Millisecond},
-		{Kind: tier.Snapshot, Epoch: epoch, Age: time.Second, Bytes: []byte("what it knows")},
-		{Kind: tier.Bye, Epoch: epoch},
-		{Kind: tier.Word, Epoch: epoch, Word: &tier.WordOf{Worker: 5, StartedMs: 1718000000000, Generation: 41,
-			State: tier.Draining}},
-		{Kind: tier.Greet, Epoch: epoch, Name: "p-2", Process: 1717999999000000000, Version: Version},
-		{Kind: tier.Load, Epoch: epoch, Load: &tier.LoadOf{Heads: 90, Held: 4, Forwarders: 10, Late: time.Millisecond,
+		{Kind: message.KindRejectCommand, Epoch: epoch, Query: 1000, After: 250 * time.Millisecond},
+		{Kind: message.KindFailCommand, Epoch: epoch, Query: 1000},
+		{Kind: message.KindCancelCommand, Epoch: epoch, Query: 1000, Attempt: 2},
+		{Kind: message.KindHealthCheckCommand, Epoch: epoch, Worker: 1},
+		{Kind: message.KindCloseIdleCommand, Epoch: epoch, Worker: 1},
+		{Kind: message.KindTransferCommand, Epoch: epoch, Query: 1000, Name: "p-2"},
+		{Kind: message.KindTransferCommand, Epoch: epoch, Query: 1000},
+		{Kind: message.KindHeartbeatReply, Epoch: epoch, Number: 12, Late: 80 * time.Millisecond},
+		{Kind: message.KindModelSnapshot, Epoch: epoch, Age: time.Second, Bytes: []byte("what it knows")},
+		{Kind: message.KindGoodbye, Epoch: epoch},
+		{Kind: message.KindWorkerStatus, Epoch: epoch, Word: &message.WorkerStatus{Worker: 5, StartedMs: 1718000000000, Generation: 41,
+			State: message.WorkerDraining}},
+		{Kind: message.KindPeerHandshake, Epoch: epoch, Name: "p-2", Process: 1717999999000000000, Version: Version},
+		{Kind: message.KindLoadReport, Epoch: epoch, Load: &message.LoadReport{Heads: 90, Held: 4, Forwarders: 10, Late: time.Millisecond,
 			Slots: 86, Room: 20.5}},
 	}
 }
@@ -352,12 +352,12 @@
 	for _, b := range bodies {
 		f = append(append(f, byte(len(b))), b...)
 	}
-	seal(f, major, minor)
+	sealFrame(f, major, minor)
 	return f
 }
 
 // plain is a message as this version writes it, without its length.
-func plain(t *testing.T, m tier.Message) []byte {
+func plain(t *testing.T, m message.Message) []byte {
 	var w Writer
 	if err := w.Add(&m); err != nil {
 		t.Fatal(err)
@@ -369,10 +369,10 @@
 // comes of it.
 func TestOtherVersions(t *testing.T) {
 	hello := plain(t, samples()[0])
-	over := plain(t, tier.Message{Kind: tier.Over, Query: 9})
-	longer := append(plain(t, tier.Message{Kind: tier.Send, Query: 9, Attempt: 1, Worker: 7, Patience: 5}), 1, 2, 3)
-	kind, past := []byte{30, 0, 1, 2, 3}, plain(t, tier.Message{Kind: tier.Head, Query: 9, Head: &tier.HeadOf{
-		Attempts: []tier.Past{{Worker: 1, Began: 3}}}})
+	over := plain(t, message.Message{Kind: message.KindRequestClosed, Query: 9})
+	longer := append(plain(t, message.Message{Kind: message.KindSendCommand, Query: 9, Attempt: 1, Worker: 7, Patience: 5}), 1, 2, 3)
+	kind, past := []byte{30, 0, 1, 2, 3}, plain(t, message.Message{Kind: message.KindRequestOffer, Query: 9, Head: &message.RequestSummary{
+		Attempts: []message.PastAttempt{{Worker: 1, Began: 3}}}})
 	past[len(past)-12]++ // its attempt has a field more
 	past = append(past, 42)
 	out := &strings.Builder{}
@@ -385,7 +385,7 @@
 		{"and", foreign(Major, Minor, longer)},
 		{"a later minor version: a field more of an attempt", foreign(Major, Minor+1, past)},
 		{"an older one: fields that it does not know are zero", foreign(Major, 0,
-			plain(t, tier.Message{Kind: tier.Send, Query: 9}))},
+			plain(t, message.Message{Kind: message.KindSendCommand, Query: 9}))},
 		{"a later major version says hello", foreign(Major+1, 3, append(hello, 9, 9), append(hello, 9, 9))},
 		{"and something else", append(foreign(Major+1, 3, hello), foreign(Major+1, 3, []byte{2, 0, 1}, hello)...)},
 		{"an earlier major version", foreign(0, 9, over)},
@@ -405,48 +405,48 @@
 func TestBounds(t *testing.T) {
 	var w Writer
 	for _, c := range []struct {
-		m    tier.Message
+		m    message.Message
 		want error
 	}{
-		{tier.Message{}, ErrKind},
-		{tier.Message{Kind: tier.Head}, ErrField},
-		{tier.Message{Kind: tier.Word}, ErrField},
-		{tier.Message{Kind: tier.Load}, ErrField},
-		{tier.Message{Kind: tier.Move, Name: strings.Repeat("x", 256)}, ErrField},
-		{tier.Message{Kind: tier.Ended, Result: 256}, ErrField},
-		{tier.Message{Kind: tier.Cancel, Attempt: math.MaxInt32 + 1}, ErrField},
-		{tier.Message{Kind: tier.Head, Head: &tier.HeadOf{Attempts: make([]tier.Past, 256)}}, ErrField},
-		{tier.Message{Kind: tier.Snapshot, Bytes: make([]byte, Longest)}, ErrTooLong},
+		{message.Message{}, ErrUnknownKind},
+		{message.Message{Kind: message.KindRequestOffer}, ErrInvalidField},
+		{message.Message{Kind: message.KindWorkerStatus}, ErrInvalidField},
+		{message.Message{Kind: message.KindLoadReport}, ErrInvalidField},
+		{message.Message{Kind: message.KindTransferCommand, Name: strings.Repeat("x", 256)}, ErrInvalidField},
+		{message.Message{Kind: message.KindAttemptEnded, Result: 256}, ErrInvalidField},
+		{message.Message{Kind: message.KindCancelCommand, Attempt: math.MaxInt32 + 1}, ErrInvalidField},
+		{message.Message{Kind: message.KindRequestOffer, Head: &message.RequestSummary{Attempts: make([]message.PastAttempt, 256)}}, ErrInvalidField},
+		{message.Message{Kind: message.KindModelSnapshot, Bytes: make([]byte, MaxPayloadSize)}, ErrTooLarge},
 	} {
 		if err := w.Add(&c.m); err != c.want || w.Len() > 0 {
 			t.Errorf("%v: %v, expected %v; %d bytes", describe(c.m), err, c.want, w.Len())
 		}
 	}
-	long := tier.Message{Kind: tier.Snapshot, Bytes: make([]byte, Longest-1000)}
+	long := message.Message{Kind: message.KindModelSnapshot, Bytes: make([]byte, MaxPayloadSize-1000)}
 	if err := w.Add(&long); err != nil {
 		t.Fatal(err)
 	}
 	wire := w.Take(nil)
-	if cap(w.buf)+cap(w.body) > 2*reused {
+	if cap(w.buffer)+cap(w.body) > 2*maxReusedCapacity {
 		t.Error("a writer keeps what it needed once")
 	}
 	r := NewReader(0)
-	if got, err := read(r, wire, func(int) int { return 1 << 16 }); err != nil || !same(got, []tier.Message{long}) {
+	if got, err := read(r, wire, func(int) int { return 1 << 16 }); err != nil || !same(got, []message.Message{long}) {
 		t.Errorf("%d messages, %v", len(got), err)
 	}
-	if r.Feed([]byte{magic0}); cap(r.buf) > reused {
+	if r.Feed([]byte{magic0}); cap(r.buffer) > maxReusedCapacity {
 		t.Error("a reader keeps what it needed once")
 	}
-	if _, err := read(NewReader(1<<16), wire, func(int) int { return 100 }); err != ErrTooLong {
+	if _, err := read(NewReader(1<<16), wire, func(int) int { return 100 }); err != ErrTooLarge {
 		t.Errorf("over the limit: %v", err)
 	}
 	// Many small messages are many frames, none of which has to be long.
 	for i := range 20000 {
-		if err := w.Add(&tier.Message{Kind: tier.Send, Query: uint64(i), Worker: 1}); err != nil {
+		if err := w.Add(&message.Message{Kind: message.KindSendCommand, Query: uint64(i), Worker: 1}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	got, err := read(NewReader(batch), w.Take(nil), func(int) int { return 4096 })
+	got, err := read(NewReader(batchSize), w.Take(nil), func(int) int { return 4096 })
 	if len(got) != 20000 || err != nil || got[19999].Query != 19999 {
 		t.Errorf("%d came, %v", len(got), err)
 	}
@@ -455,7 +455,7 @@
 // In a steady state nothing is allocated.
 func TestNothingIsAllocated(t *testing.T) {
 	var w Writer
-	r, all, wire, m := NewReader(0), samples(), []byte(nil), tier.Message{}
+	r, all, wire, m := NewReader(0), samples(), []byte(nil), message.Message{}
 	turn := func() {
 		for i := range all {
 			if err := w.Add(&all[i]); err != nil {
@@ -481,7 +481,7 @@
 		m := samples()[i]
 		b.Run(m.Kind.String(), func(b *testing.B) {
 			var w Writer
-			r, wire, got := NewReader(0), []byte(nil), tier.Message{}
+			r, wire, got := NewReader(0), []byte(nil), message.Message{}
 			const turn = 50
 			b.ReportAllocs()
 			for b.Loop() {
--- /dev/null
+++ b/internal/control/forwarder/bench_test.go
@@ -0,0 +1,164 @@
+package forwarder
+
+import (
+	"fmt"
+	"runtime"
+	"testing"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
+)
+
+// wired is a follower with planners that have taken it in, without a ledger.
+func wired(tb testing.TB, planners ...string) (f *Forwarder, dst []dispatch.Action) {
+	tb.Helper()
+	set := dispatch.Settings{AttemptLimit: 4, Hedging: true, Classes: []dispatch.Class{{LatencyObjective: time.Second,
+		Idempotency: dispatch.Idempotent}}}
+	f = New(set, Config{Name: "f", Incarnation: 1, MaxWaiting: 1 << 20}, &inOrder{best: planners}, nil)
+	list := dispatch.WorkerList{Kind: dispatch.ListFull}
+	for id := range uint64(1000) {
+		list.Workers = append(list.Workers, dispatch.Worker{ID: id + 1, Ready: true})
+	}
+	f.SetPlanners(1, planners)
+	for _, p := range planners {
+		f.SessionChanged(1, p, true)
+	}
+	dst = f.Step(1, []dispatch.Event{list}, nil)
+	for _, e := range f.Outbox() {
+		f.Receive(2, e.Planner, &message.Message{Kind: message.KindHandshakeAccept, Epoch: e.Message.Epoch, Credit: 1 << 20})
+	}
+	return f, f.Step(2, nil, dst[:0])
+}
+
+// One query, offered, ordered to be sent, and served: three steps with one thing each, which is the most that it takes.
+func BenchmarkQuery(b *testing.B) {
+	f, dst := wired(b, "p1", "p2")
+	now, id := time.Duration(3), uint64(0)
+	events := make([]dispatch.Event, 1)
+	b.ReportAllocs()
+	for b.Loop() {
+		id++
+		now += time.Microsecond
+		events[0] = dispatch.Job{ID: id, Remaining: 10 * time.Second, Slots: 1}
+		dst = f.Step(now, events, dst[:0])
+		order := message.Message{Kind: message.KindSendCommand, Query: id, Worker: 1 + id%1000}
+		for _, e := range f.Outbox() {
+			order.Epoch = e.Message.Epoch
+			if e.Message.Kind == message.KindHeartbeat {
+				f.Receive(now, e.Planner, &message.Message{Kind: message.KindHeartbeatReply, Epoch: e.Message.Epoch, Number: e.Message.Number})
+			}
+		}
+		f.Receive(now, "p1", &order)
+		dst = f.Step(now, nil, dst[:0])
+		events[0] = dispatch.Outcome{Job: id, Worker: order.Worker, Closed: true}
+		dst = f.Step(now, events, dst[:0])
+	}
+	if f.Stats().Open > 0 {
+		b.Fatal("queries are left")
+	}
+}
+
+// The same, 50 of each in a step, as under load.
+func BenchmarkQueries(b *testing.B) {
+	const lot = 50
+	f, dst := wired(b, "p1", "p2")
+	now, id := time.Duration(3), uint64(0)
+	var events, ends []dispatch.Event
+	orders := make([]message.Message, lot)
+	b.ReportAllocs()
+	for b.Loop() {
+		now += 50 * time.Microsecond
+		events, ends = events[:0], ends[:0]
+		for i := range orders {
+			id++
+			events = append(events, dispatch.Job{ID: id, Remaining: 10 * time.Second, Slots: 1})
+			ends = append(ends, dispatch.Outcome{Job: id, Worker: 1 + id%1000, Closed: true})
+			orders[i] = message.Message{Kind: message.KindSendCommand, Query: id, Worker: 1 + id%1000}
+		}
+		dst = f.Step(now, events, dst[:0])
+		for _, e := range f.Outbox() {
+			if e.Message.Kind == message.KindHeartbeat {
+				f.Receive(now, e.Planner, &message.Message{Kind: message.KindHeartbeatReply, Epoch: e.Message.Epoch, Number: e.Message.Number})
+			} else if e.Message.Kind == message.KindRequestOffer {
+				for i := range orders {
+					orders[i].Epoch = e.Message.Epoch
+				}
+			}
+		}
+		for i := range orders {
+			f.Receive(now, "p1", &orders[i])
+		}
+		dst = f.Step(now, nil, dst[:0])
+		dst = f.Step(now, ends, dst[:0])
+	}
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*lot), "ns/query")
+}
+
+// A planner is lost with so many queries open: how long until all are offered to the next.
+func BenchmarkFailOver(b *testing.B) {
+	for _, open := range []int{300, 3000} {
+		b.Run(fmt.Sprint(open), func(b *testing.B) {
+			f, dst := wired(b, "p1", "p2")
+			var events []dispatch.Event
+			for id := range uint64(open) {
+				events = append(events, dispatch.Job{ID: id + 1, Remaining: 1 << 62, Slots: 1})
+			}
+			now := time.Duration(3)
+			step := func(events ...dispatch.Event) (heads int) {
+				dst = f.Step(now, events, dst[:0])
+				for _, e := range f.Outbox() {
+					switch e.Message.Kind {
+					case message.KindRequestOffer:
+						heads++
+					case message.KindHandshake:
+						f.Receive(now, e.Planner, &message.Message{Kind: message.KindHandshakeAccept, Epoch: e.Message.Epoch, Credit: 1 << 20})
+					case message.KindHeartbeat:
+						f.Receive(now, e.Planner, &message.Message{Kind: message.KindHeartbeatReply, Epoch: e.Message.Epoch, Number: e.Message.Number})
+					}
+				}
+				now += 5 * time.Millisecond
+				return heads
+			}
+			step(events...)
+			lost, other := "p1", "p2"
+			for b.Loop() {
+				b.StopTimer()
+				for range 30 { // the one that has them says that it has read of all
+					step()
+				}
+				b.StartTimer()
+				f.SessionChanged(now, lost, false)
+				if n := step(); n != open {
+					b.Fatalf("%d offered", n)
+				}
+				b.StopTimer()
+				f.SessionChanged(now, lost, true)
+				lost, other = other, lost
+				b.StartTimer()
+			}
+		})
+	}
+}
+
+// What a forwarder holds for one open query.
+func TestMemoryByQuery(t *testing.T) {
+	const n = 20000
+	f, dst := wired(t, "p1")
+	var before, after runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&before)
+	for id := range uint64(n) {
+		dst = f.Step(3, []dispatch.Event{dispatch.Job{ID: id + 1, Remaining: time.Hour, Slots: 1}}, dst[:0])
+	}
+	runtime.GC()
+	runtime.ReadMemStats(&after)
+	bytes := int(after.HeapAlloc-before.HeapAlloc) / n
+	t.Logf("%d bytes by open query", bytes)
+	if bytes > 2048 {
+		t.Errorf("%d bytes by open query", bytes)
+	}
+	if f.Stats().Open != n {
+		t.Fatal("not all are open")
+	}
+}
