--- a/internal/follow/joined_test.go
+++ b/internal/control/forwarder/joined_test.go
@@ -1,4 +1,4 @@
-package follow
+package forwarder
 
 import (
 	"maps"
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/ledger"
-	"valvecove/internal/membership"
-	plan "valvecove/internal/planner"
-	"valvecove/internal/tier"
-	"valvecove/logic"
+	"valvecove/dispatch"
+	"valvecove/internal/control/membership"
+	"valvecove/internal/control/message"
+	plan "valvecove/internal/control/planner"
+	"valvecove/internal/requests"
 )
 
 // company is the planners that there are for a forwarder, with books and modules as they are, and the membership that
@@ -19,7 +19,7 @@
 type company struct {
 	w       *world
 	all     []*booked
-	members *membership.Follower
+	members *membership.ForwarderMembership
 	process uint64
 	seed    uint64
 }
@@ -28,28 +28,28 @@
 type booked struct {
 	seat
 	c       *company
-	book    *plan.Book // nil: it is dead
-	born    int        // counts its processes
-	session plan.Session
-	held    []plan.In // come while it was frozen
+	book    *plan.Planner // nil: it is dead
+	born    int           // counts its processes
+	session plan.SessionID
+	held    []plan.Event // come while it was frozen
 	peers   map[string]bool
 }
 
 func newCompany(t *testing.T, seed uint64, planners int) *company {
-	members := membership.NewFollower(membership.Member{Name: "f", Process: 1}, membership.Config{})
+	members := membership.NewForwarderMembership(membership.Member{Name: "f", Incarnation: 1}, membership.Config{})
 	c := &company{w: newWorld(t, seed, members), members: members, process: 100, seed: seed}
 	for i := range planners {
 		p := &booked{seat: seat{w: c.w, name: "p" + strconv.Itoa(i)}, c: c, peers: map[string]bool{}}
-		p.seat.read = func(m tier.Message) {
-			p.step(plan.In{Kind: plan.FromForwarder, Session: p.session, Msg: &m})
+		p.seat.read = func(m message.Message) {
+			p.step(plan.Event{Kind: plan.ForwarderMessage, Session: p.session, Message: &m})
 		}
 		c.all = append(c.all, p)
 		c.w.plans = append(c.w.plans, &p.seat)
 	}
-	c.w.changed = func(h ledger.Host) {
+	c.w.changed = func(h requests.Endpoint) {
 		for _, p := range c.all {
-			list := logic.WorkerList{Kind: logic.ListDelta, Workers: []logic.Worker{workerOf(h)}, Generation: c.w.gen}
-			c.w.after(c.w.ms(0, 40), func() { p.step(plan.In{Kind: plan.Hosts, List: list}) })
+			list := dispatch.WorkerList{Kind: dispatch.ListDelta, Workers: []dispatch.Worker{workerOf(h)}, Revision: c.w.gen}
+			c.w.after(c.w.ms(0, 40), func() { p.step(plan.Event{Kind: plan.EndpointsChanged, Endpoints: list}) })
 		}
 	}
 	return c
@@ -57,17 +57,17 @@
 
 // ample leaves the time to serve all.
 func (c *company) ample() {
-	c.w.every, c.w.leastLeft, c.w.f.conf.MostWaiting = 30*ms, 1500*ms, 1000
+	c.w.every, c.w.leastLeft, c.w.f.config.MaxWaiting = 30*ms, 1500*ms, 1000
 	for i := range c.w.set.Classes {
 		x := &c.w.set.Classes[i]
-		x.Aim, x.Kinds = time.Second, nil
+		x.LatencyObjective, x.Kinds = time.Second, nil
 	}
 }
 
-func workerOf(h ledger.Host) logic.Worker {
+func workerOf(h requests.Endpoint) dispatch.Worker {
 	last := func(s string) int { return int(s[len(s)-1] - '0') }
-	return logic.Worker{ID: number(h.ID), Kind: last(h.Kind), Zone: last(h.Zone), Cell: h.Cell, Ready: h.State == "up",
-		Gone: h.State == "removed", BootAt: time.Duration(h.StartedMs) * ms}
+	return dispatch.Worker{ID: number(h.ID), Kind: last(h.MachineType), Zone: last(h.Zone), Cell: h.Cell, Ready: h.Lifecycle == "up",
+		Removed: h.Lifecycle == "removed", BootAt: time.Duration(h.StartedAtMs) * ms}
 }
 
 func (c *company) open() {
@@ -82,10 +82,10 @@
 func (c *company) tell(events ...membership.Event) {
 	for _, a := range c.members.Step(c.w.now, events, nil) {
 		switch a := a.(type) {
-		case membership.Planners:
-			c.w.f.Planners(c.w.now, a.Names)
-		case membership.Number:
-			c.w.f.Members(a.Me, a.Of)
+		case membership.SetPlanners:
+			c.w.f.SetPlanners(c.w.now, a.Names)
+		case membership.SetForwarderIndex:
+			c.w.f.SetSchedulers(a.Index, a.Count)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 // turn looks after membership, and closes connections to planners that stop.
 func (c *company) turn() {
 	c.tell()
-	for _, name := range c.w.f.Leaves() {
+	for _, name := range c.w.f.DrainingPlanners() {
 		for _, p := range c.all {
 			if p.name == name {
 				p.cut()
@@ -118,23 +118,23 @@
 	if len(names) == 0 {
 		return
 	}
-	owner := func(w *logic.Worker) string { return names[w.Cell%len(names)] }
+	owner := func(w *dispatch.Worker) string { return names[w.Cell%len(names)] }
 	for _, p := range c.all {
 		if p.book == nil {
 			continue
 		}
 		for _, o := range c.all {
 			if is := o.book != nil; o != p && p.peers[o.name] != is {
-				kind := plan.PeerDown
+				kind := plan.PeerDisconnected
 				if p.peers[o.name] = is; is {
-					kind = plan.PeerUp
+					kind = plan.PeerConnected
 				}
-				p.step(plan.In{Kind: kind, Peer: o.name})
+				p.step(plan.Event{Kind: kind, Peer: o.name})
 			}
 		}
-		p.step(plan.In{Kind: plan.Peers, Names: slices.DeleteFunc(slices.Clone(names), func(n string) bool {
+		p.step(plan.Event{Kind: plan.PeersChanged, Names: slices.DeleteFunc(slices.Clone(names), func(n string) bool {
 			return n == p.name
-		})}, plan.In{Kind: plan.Part, Owner: owner})
+		})}, plan.Event{Kind: plan.PartitionChanged, Owner: owner})
 	}
 }
 
@@ -147,18 +147,18 @@
 	p.born++
 	p.frozen, p.held = false, nil
 	clear(p.peers)
-	p.book = plan.New(plan.Config{Name: p.name, Process: p.c.process, Settings: p.w.set, StopWithin: 300 * ms,
-		Start: func() plan.Module { return logic.New(p.w.set, p.c.seed) }})
-	list := logic.WorkerList{Kind: logic.ListFull, Generation: p.w.gen}
+	p.book = plan.New(plan.Config{Name: p.name, Incarnation: p.c.process, Settings: p.w.set, StopTimeout: 300 * ms,
+		NewPolicy: func() plan.Policy { return dispatch.New(p.w.set, p.c.seed) }})
+	list := dispatch.WorkerList{Kind: dispatch.ListFull, Revision: p.w.gen}
 	for _, h := range p.w.nodes {
-		if h.State != "removed" {
+		if h.Lifecycle != "removed" {
 			list.Workers = append(list.Workers, workerOf(h))
 		}
 	}
-	p.step(plan.In{Kind: plan.Hosts, List: list})
+	p.step(plan.Event{Kind: plan.EndpointsChanged, Endpoints: list})
 	process := p.c.process
 	p.w.after(p.w.ms(1, 30), func() {
-		p.c.tell(membership.Joined{Member: membership.Member{Name: p.name, Role: membership.Planner, Process: process}})
+		p.c.tell(membership.MemberJoined{Member: membership.Member{Name: p.name, Role: membership.RolePlanner, Incarnation: process}})
 		p.c.alive()
 		p.connect()
 	})
@@ -170,7 +170,7 @@
 	}
 	p.session++
 	p.seat.connect()
-	p.step(plan.In{Kind: plan.SessionUp, Session: p.session})
+	p.step(plan.Event{Kind: plan.SessionOpened, Session: p.session})
 }
 
 // cut ends the connection, and soon there is another one.
@@ -179,7 +179,7 @@
 		return
 	}
 	p.seat.down()
-	p.step(plan.In{Kind: plan.SessionDown, Session: p.session})
+	p.step(plan.Event{Kind: plan.SessionClosed, Session: p.session})
 	p.w.after(p.w.ms(5, 100), p.connect)
 }
 
@@ -193,13 +193,13 @@
 	process := p.c.process
 	p.seat.down()
 	p.w.after(p.w.ms(20, 400), func() {
-		p.c.tell(membership.Died{Name: p.name, Process: process})
+		p.c.tell(membership.MemberDied{Name: p.name, Incarnation: process})
 		p.c.alive()
 	})
 	p.w.after(p.w.ms(100, 1500), p.start)
 }
 
-func (p *booked) step(ins ...plan.In) {
+func (p *booked) step(ins ...plan.Event) {
 	switch {
 	case p.book == nil:
 		return
@@ -212,21 +212,21 @@
 	}
 }
 
-func (p *booked) does(o plan.Out) {
+func (p *booked) does(o plan.Action) {
 	born := p.born
 	switch o.Kind {
-	case plan.Say:
+	case plan.SendToForwarder:
 		if p.up && o.Session == p.session {
-			p.seat.send(o.Msg)
+			p.seat.send(o.Message)
 		}
-	case plan.SayPeer:
+	case plan.SendToPeer:
 		for _, q := range p.c.all {
 			if q.name == o.Peer {
-				m := o.Msg
-				p.w.after(way, func() { q.step(plan.In{Kind: plan.FromPeer, Peer: p.name, Msg: &m}) })
+				m := o.Message
+				p.w.after(way, func() { q.step(plan.Event{Kind: plan.PeerMessage, Peer: p.name, Message: &m}) })
 			}
 		}
-	case plan.Close:
+	case plan.CloseSession:
 		if o.Session == p.session {
 			conn := p.conn
 			p.w.after(way, func() { // after what was said before
@@ -239,16 +239,16 @@
 	case plan.SetTimer:
 		p.w.after(o.After, func() {
 			if p.born == born {
-				p.step(plan.In{Kind: plan.Timer})
+				p.step(plan.Event{Kind: plan.TimerFired})
 			}
 		})
-	case plan.Watch:
+	case plan.WatchEndpoints:
 		p.w.after(p.w.ms(1, 20), func() {
 			if p.born == born {
-				p.step(plan.In{Kind: plan.Hosts, List: logic.WorkerList{Kind: logic.ListDelta, Generation: p.w.gen}})
+				p.step(plan.Event{Kind: plan.EndpointsChanged, Endpoints: dispatch.WorkerList{Kind: dispatch.ListDelta, Revision: p.w.gen}})
 			}
 		})
-	case plan.Done:
+	case plan.Stopped:
 		p.w.after(2*way, p.kill)
 	}
 }
@@ -271,7 +271,7 @@
 				c.w.after(c.w.ms(20, 1200), p.thaw)
 			}
 		case 2:
-			p.step(plan.In{Kind: plan.Stop})
+			p.step(plan.Event{Kind: plan.StopRequested})
 		case 3:
 			p.cut()
 		case 4: // all of them
@@ -311,8 +311,8 @@
 		if n := c.w.stats["refused"] + c.w.stats["failed"]; n > 0 || c.w.stats["served"] < 50 {
 			t.Errorf("seed %d: %d served, %d not", seed, c.w.stats["served"], n)
 		}
-		for why := range tier.Reasons {
-			if n := c.w.f.guard.Refused(why); n > 0 {
+		for why := range message.ReasonCount {
+			if n := c.w.f.validator.RejectedCount(why); n > 0 {
 				t.Errorf("seed %d: %d orders refused as %q", seed, n, why)
 			}
 		}
--- a/internal/follow/model_test.go
+++ b/internal/control/forwarder/model_test.go
@@ -1,4 +1,4 @@
-package follow
+package forwarder
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/ledger"
-	"valvecove/internal/tier"
-	"valvecove/logic"
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
+	"valvecove/internal/requests"
 )
 
 const ms = time.Millisecond
@@ -30,22 +30,22 @@
 	*rig
 	t         *testing.T
 	rng       *rand.Rand
-	set       logic.Settings
+	set       dispatch.Settings
 	over      bool // no more is to happen
-	nodes     []ledger.Host
+	nodes     []requests.Endpoint
 	gen       int64
-	list      map[uint64]ledger.Host // as the forwarder was told
-	words     map[uint64]tier.WordOf // the newest that it heard
+	list      map[uint64]requests.Endpoint    // as the forwarder was told
+	words     map[uint64]message.WorkerStatus // the newest that it heard
 	wordAt    map[uint64]time.Duration
 	byCall    map[string]*judged
 	byID      map[uint64]*judged
 	ids       uint64
 	plans     []*seat
-	every     time.Duration       // a query comes, at most
-	leastLeft time.Duration       // of a query
-	changed   func(h ledger.Host) // at a worker node
-	calm      bool                // worker nodes do what they are told, and stay
-	heads     []Envelope          // of this step
+	every     time.Duration             // a query comes, at most
+	leastLeft time.Duration             // of a query
+	changed   func(h requests.Endpoint) // at a worker node
+	calm      bool                      // worker nodes do what they are told, and stay
+	heads     []Envelope                // of this step
 	sends     int
 	stats     map[string]int
 	faults    []string
@@ -54,15 +54,15 @@
 // judged is a query as the referee knows it.
 type judged struct {
 	*asker
-	class    *logic.Class
+	class    *dispatch.Class
 	deadline time.Duration
 	gone     bool
 	tries    []*judgedTry
-	with     tier.Epoch // the session that it was offered in last; 0: none
+	with     message.Epoch // the session that it was offered in last; 0: none
 }
 
 type judgedTry struct {
-	a          *ledger.Attempt
+	a          *requests.Attempt
 	worker     uint64
 	cell, zone string
 	sent       time.Duration
@@ -76,36 +76,36 @@
 }
 
 // newWorld is one of nodes and clients, without planners.
-func newWorld(t *testing.T, seed uint64, choose Chooser) *world {
+func newWorld(t *testing.T, seed uint64, choose PlannerSelector) *world {
 	rng := rand.New(rand.NewPCG(seed, 21))
-	w := &world{t: t, rng: rng, list: map[uint64]ledger.Host{}, words: map[uint64]tier.WordOf{},
+	w := &world{t: t, rng: rng, list: map[uint64]requests.Endpoint{}, words: map[uint64]message.WorkerStatus{},
 		wordAt: map[uint64]time.Duration{}, byCall: map[string]*judged{}, byID: map[uint64]*judged{},
 		stats: map[string]int{}, every: 25 * ms}
-	w.set = logic.Settings{Replicas: 1, TryLimit: 1 + rng.IntN(4), SecondCopies: rng.IntN(2) == 0,
-		Cancelling: rng.IntN(2) == 0, Probes: rng.IntN(2) == 0, TellsStart: true, MaxRetryAfter: time.Second,
-		ConnectTimeout: 50 * ms, AskEvery: 4 * time.Second, MustSubscribe: rng.IntN(2) == 0}
+	w.set = dispatch.Settings{Replicas: 1, AttemptLimit: 1 + rng.IntN(4), Hedging: rng.IntN(2) == 0,
+		Cancellation: rng.IntN(2) == 0, HealthChecks: rng.IntN(2) == 0, StartNotifications: true, MaxRetryAfter: time.Second,
+		ConnectTimeout: 50 * ms, PollInterval: 4 * time.Second, MustSubscribe: rng.IntN(2) == 0}
 	for range 1 + rng.IntN(4) {
-		c := logic.Class{Aim: w.ms(50, 500), Stretch: 1, GiveUp: 2 * time.Second, Worth: 1,
-			Effect: logic.Effect(rng.IntN(3)), Group: logic.Group(rng.IntN(3)), Window: w.ms(100, 1000)}
+		c := dispatch.Class{LatencyObjective: w.ms(50, 500), ObjectiveStretch: 1, ClientTimeout: 2 * time.Second, PriorityWeight: 1,
+			Idempotency: dispatch.Idempotency(rng.IntN(3)), DeduplicationScope: dispatch.DeduplicationScope(rng.IntN(3)), DeduplicationWindow: w.ms(100, 1000)}
 		if rng.IntN(4) == 0 {
 			c.Kinds = []int{rng.IntN(3)}
 		}
 		w.set.Classes = append(w.set.Classes, c)
 	}
-	conf := Config{Seed: seed, MostWaiting: 4 + rng.IntN(40), Alone: w.ms(50, 800)}
-	w.rig = newRig(w.set, conf, choose, func() Module { return logic.New(w.set, seed) })
+	conf := Config{Seed: seed, MaxWaiting: 4 + rng.IntN(40), StandaloneAfter: w.ms(50, 800)}
+	w.rig = newRig(w.set, conf, choose, func() Policy { return dispatch.New(w.set, seed) })
 	for n := range 4 + rng.IntN(5) {
-		w.nodes = append(w.nodes, ledger.Host{ID: "w" + strconv.Itoa(n), Addr: "a", State: "up", Cell: n % 2,
-			Zone: "z" + strconv.Itoa(n%3), Kind: "k" + strconv.Itoa(n%3),
-			StartedMs: rigStart.Milliseconds() - 3600000})
+		w.nodes = append(w.nodes, requests.Endpoint{ID: "w" + strconv.Itoa(n), Addr: "a", Lifecycle: "up", Cell: n % 2,
+			Zone: "z" + strconv.Itoa(n%3), MachineType: "k" + strconv.Itoa(n%3),
+			StartedAtMs: rigStart.Milliseconds() - 3600000})
 	}
 	w.carry, w.giveUp, w.answer, w.tell = w.carried, w.gaveUp, w.answered, w.said
-	w.probe = func(worker uint64) { w.after(w.ms(0, 20), func() { w.l.Probed(worker, nil) }) }
+	w.probe = func(worker uint64) { w.after(w.ms(0, 20), func() { w.l.HealthChecked(worker, nil) }) }
 	w.free, w.stepped = func(uint64) {}, w.check
 	w.watched = func(int64) {
 		w.after(w.ms(0, 30), func() {
 			if w.rng.IntN(4) == 0 && !w.calm {
-				w.l.HostsLost()
+				w.l.DiscoveryFailed()
 			} else {
 				w.tellList(true)
 			}
@@ -116,13 +116,13 @@
 
 // open begins a play.
 func (w *world) open() {
-	w.begin(ledger.HostGroup{})
+	w.begin(requests.EndpointList{})
 	w.tellList(true)
 	names := []string{}
 	for _, p := range w.plans {
 		names = append(names, p.name)
 	}
-	w.f.Planners(w.now, names)
+	w.f.SetPlanners(w.now, names)
 	w.arrivals()
 	if !w.calm {
 		w.changes()
@@ -133,23 +133,23 @@
 type seat struct {
 	w    *world
 	name string
-	read func(m tier.Message)
+	read func(m message.Message)
 
 	conn       int                     // counts connections; what belongs to another one is lost
 	up         bool                    // there is one
-	session    tier.Epoch              // as the forwarder has it; 0: none, or it stops
-	greeted    tier.Epoch              // the newest on this connection
+	session    message.Epoch           // as the forwarder has it; 0: none, or it stops
+	greeted    message.Epoch           // the newest on this connection
 	welcomed   bool                    // and it was taken in
 	mostCredit int                     // that it was told
 	ends       map[uint64]map[int]bool // attempts whose end was told, by query, since its head
 	frozen     bool
-	inbox      []tier.Message // not read, being frozen
+	inbox      []message.Message // not read, being frozen
 }
 
 func (p *seat) connect() {
 	p.conn++
 	p.up, p.ends, p.inbox = true, map[uint64]map[int]bool{}, nil
-	p.w.f.Session(p.w.now, p.name, true)
+	p.w.f.SessionChanged(p.w.now, p.name, true)
 }
 
 func (p *seat) down() {
@@ -159,14 +159,14 @@
 	p.up, p.welcomed, p.greeted = false, false, 0
 	p.conn++
 	p.w.ends(p)
-	p.w.f.Session(p.w.now, p.name, false)
+	p.w.f.SessionChanged(p.w.now, p.name, false)
 }
 
 const way = 500 * time.Microsecond
 
 // gets is a message that leaves the forwarder for it.
-func (p *seat) gets(m tier.Message) {
-	if m.Kind == tier.Hello {
+func (p *seat) gets(m message.Message) {
+	if m.Kind == message.KindHandshake {
 		p.session, p.greeted, p.welcomed, p.mostCredit = m.Epoch, m.Epoch, false, 0
 	}
 	conn := p.conn
@@ -182,7 +182,7 @@
 }
 
 // send is one of its own.
-func (p *seat) send(m tier.Message) {
+func (p *seat) send(m message.Message) {
 	conn := p.conn
 	p.w.after(way, func() {
 		if p.conn == conn {
@@ -205,16 +205,16 @@
 		}
 		w.ids++
 		class := w.rng.IntN(len(w.set.Classes))
-		job := logic.Job{Class: class, Left: w.leastLeft + w.ms(30, 1800), Slots: 1, Hint: w.ms(0, 100), Key: w.ids % 5}
+		job := dispatch.Job{Class: class, Remaining: w.leastLeft + w.ms(30, 1800), Slots: 1, Hint: w.ms(0, 100), Key: w.ids % 5}
 		a := w.take("q"+strconv.FormatUint(w.ids, 10), job)
-		j := &judged{asker: a, class: &w.set.Classes[class], deadline: w.now + job.Left}
+		j := &judged{asker: a, class: &w.set.Classes[class], deadline: w.now + job.Remaining}
 		w.byCall[a.name], w.byID[a.q.ID] = j, j
 		if w.rng.IntN(15) == 0 && !w.calm {
 			w.after(w.ms(0, 500), func() {
 				if len(a.answers) == 0 {
 					j.gone = true
 				}
-				w.l.Gone(a.q)
+				w.l.ClientDisconnected(a.q)
 			})
 		}
 		w.arrivals()
@@ -237,7 +237,7 @@
 	if w.now > j.deadline {
 		w.fault("%s is answered %v late", a.name, w.now-j.deadline)
 	}
-	harmless := j.class.Effect == logic.Safe || j.class.Effect == logic.Keyed && j.class.Group == logic.GroupAll
+	harmless := j.class.Idempotency == dispatch.Idempotent || j.class.Idempotency == dispatch.IdempotentWithKey && j.class.DeduplicationScope == dispatch.ScopeAll
 	if what == "refused" && !harmless && slices.ContainsFunc(j.tries, func(t *judgedTry) bool { return !t.never }) {
 		w.fault("%s is refused, though it may have run", a.name)
 	}
@@ -245,40 +245,40 @@
 
 // ---- Worker nodes ----
 
-func (w *world) carried(a *ledger.Attempt) {
-	j, host := w.byID[a.Query.ID], w.list[a.Worker]
+func (w *world) carried(a *requests.Attempt) {
+	j, host := w.byID[a.Request.ID], w.list[a.Worker]
 	w.sends++
 	if len(j.answers) > 0 || j.gone {
 		w.fault("%s is sent after its end", j.name)
 	}
-	if len(j.tries) >= w.set.TryLimit {
+	if len(j.tries) >= w.set.AttemptLimit {
 		w.fault("%s is sent %d times", j.name, len(j.tries)+1)
 	}
-	if host.State != "up" {
-		w.fault("%s is sent to %s, which is %q by the own list", j.name, host.ID, host.State)
+	if host.Lifecycle != "up" {
+		w.fault("%s is sent to %s, which is %q by the own list", j.name, host.ID, host.Lifecycle)
 	}
-	if x, ok := w.words[a.Worker]; ok && x.State != tier.Up && w.wordAt[a.Worker] < w.now {
-		own := tier.WordOf{StartedMs: host.StartedMs, Generation: w.genOf(host)}
+	if x, ok := w.words[a.Worker]; ok && x.State != message.WorkerUp && w.wordAt[a.Worker] < w.now {
+		own := message.WorkerStatus{StartedMs: host.StartedAtMs, Generation: w.genOf(host)}
 		if !own.Newer(x) {
 			w.fault("%s is sent to %s, which drains by the newest word", j.name, host.ID)
 		}
 	}
-	if j.class.Kinds != nil && host.Kind != "k"+strconv.Itoa(j.class.Kinds[0]) {
-		w.fault("%s is sent to a %s", j.name, host.Kind)
+	if j.class.Kinds != nil && host.MachineType != "k"+strconv.Itoa(j.class.Kinds[0]) {
+		w.fault("%s is sent to a %s", j.name, host.MachineType)
 	}
 	zone, cell := host.Zone, strconv.Itoa(host.Cell)
 	for _, t := range j.tries {
 		if !t.ended && t.worker == a.Worker {
 			w.fault("%s is sent twice to %s", j.name, host.ID)
 		}
-		if !t.ended && !w.set.SecondCopies {
+		if !t.ended && !w.set.Hedging {
 			w.fault("%s has a second copy", j.name)
 		}
-		if t.never || j.class.Effect == logic.Safe {
+		if t.never || j.class.Idempotency == dispatch.Idempotent {
 			continue
 		}
-		if j.class.Effect == logic.Unsafe || j.class.Group == logic.GroupCell && t.cell != cell ||
-			j.class.Group == logic.GroupZone && t.zone != zone || w.now-t.sent >= j.class.Window {
+		if j.class.Idempotency == dispatch.NonIdempotent || j.class.DeduplicationScope == dispatch.ScopeCell && t.cell != cell ||
+			j.class.DeduplicationScope == dispatch.ScopeZone && t.zone != zone || w.now-t.sent >= j.class.DeduplicationWindow {
 			w.fault("%s of %+v is sent to %s, though it may have run at %x, %v ago", j.name, *j.class, host.ID,
 				t.worker, w.now-t.sent)
 		}
@@ -292,53 +292,55 @@
 func (w *world) run(t *judgedTry, host string) {
 	a := t.a
 	note := func(state string) {
-		_, err := w.l.Tell(ledger.Note{ID: a.Query.Call, From: host, State: state, Share: 0.5, Result: new(string)})
+		_, err := w.l.HandleCallback(requests.Callback{CallID: a.Request.CallID, EndpointID: host, State: state, Progress: 0.5, Result: new(string)})
 		if err != nil {
 			panic(err)
 		}
 	}
 	end := func(after time.Duration, never bool, how func()) {
 		w.after(after, func() {
-			if !t.ended && !a.Ended() {
+			if !t.ended && !a.HasEnded() {
 				t.ended, t.never = true, never
-				if how(); !a.Ended() { // by a note that may be of an attempt before it there, so it is out as far as anybody knows
+				if how(); !a.HasEnded() { // by a note that may be of an attempt before it there, so it is out as far as anybody knows
 					t.ended, t.never = false, false
 				}
 			}
 		})
 	}
-	cut := func(stage ledger.Stage) func() {
-		return func() { w.l.End(a, nil, &ledger.Fault{Stage: stage, Reason: ledger.Cut}) }
+	cut := func(stage requests.Stage) func() {
+		return func() {
+			w.l.EndAttempt(a, nil, &requests.AttemptError{Stage: stage, Reason: requests.ReasonConnectionLost})
+		}
 	}
 	kind := w.rng.IntN(9)
 	if w.calm {
 		kind = 8
 	}
 	if kind > 0 {
-		a.Stage = ledger.AllWritten
+		a.Stage = requests.StageWritten
 	}
 	switch kind {
 	case 0:
-		end(w.ms(0, 10), true, cut(ledger.NotConnected))
+		end(w.ms(0, 10), true, cut(requests.StageNotConnected))
 	case 1:
-		end(w.ms(0, 60), false, cut(ledger.AllWritten))
+		end(w.ms(0, 60), false, cut(requests.StageWritten))
 	case 2:
 		end(w.ms(0, 10), true, func() {
-			w.l.End(a, nil, &ledger.Fault{Stage: ledger.AllWritten,
-				Reason: ledger.Rejected})
+			w.l.EndAttempt(a, nil, &requests.AttemptError{Stage: requests.StageWritten,
+				Reason: requests.ReasonRejected})
 		})
 	case 3: // nothing is heard of it
 	case 4:
 		if w.rng.IntN(6) == 0 {
 			end(w.ms(0, 10), true, func() {
-				w.l.End(a, nil, &ledger.Fault{Stage: ledger.AllWritten,
-					Reason: ledger.Unusable})
+				w.l.EndAttempt(a, nil, &requests.AttemptError{Stage: requests.StageWritten,
+					Reason: requests.ReasonInvalidRequest})
 			})
 			return
 		}
 		fallthrough
 	default:
-		a.Stage = ledger.Accepted
+		a.Stage = requests.StageAccepted
 		start, run := w.ms(0, 60), w.ms(1, 250)
 		w.after(start, func() { note("started") })
 		w.after(start+run/2, func() { note("running") })
@@ -350,11 +352,11 @@
 	}
 }
 
-func (w *world) gaveUp(a *ledger.Attempt) {
-	for _, t := range w.byID[a.Query.ID].tries {
+func (w *world) gaveUp(a *requests.Attempt) {
+	for _, t := range w.byID[a.Request.ID].tries {
 		if t.a == a {
 			t.ended = true // and may be running
-			t.recalled = a.Query.Over() && a.Stage < ledger.AllWritten
+			t.recalled = a.Request.IsClosed() && a.Stage < requests.StageWritten
 			t.never = t.never || t.recalled
 		}
 	}
@@ -363,36 +365,36 @@
 // ---- Discovery ----
 
 // genOf is the generation of the list that told of a host last; it is kept in its weight, which nobody else uses here.
-func (w *world) genOf(h ledger.Host) int64 { return int64(h.Weight) }
+func (w *world) genOf(h requests.Endpoint) int64 { return int64(h.Weight) }
 
 func (w *world) tellList(whole bool) {
 	if w.gen++; whole {
 		clear(w.list)
-		g := ledger.HostGroup{Reset: true, Generation: w.gen}
+		g := requests.EndpointList{Reset: true, Revision: w.gen}
 		for i := range w.nodes {
 			w.nodes[i].Weight = float64(w.gen)
-			if w.nodes[i].State != "removed" {
-				g.Hosts = append(g.Hosts, w.nodes[i])
+			if w.nodes[i].Lifecycle != "removed" {
+				g.Endpoints = append(g.Endpoints, w.nodes[i])
 				w.list[number(w.nodes[i].ID)] = w.nodes[i]
 			}
 		}
-		w.l.Hosts(g)
+		w.l.UpdateEndpoints(g)
 		return
 	}
 	h := &w.nodes[w.rng.IntN(len(w.nodes))]
 	switch w.rng.IntN(4) {
 	case 0:
-		h.State = "draining"
+		h.Lifecycle = "draining"
 	case 1:
-		h.State = "removed"
+		h.Lifecycle = "removed"
 	case 2:
-		h.State, h.StartedMs = "up", w.now.Milliseconds()
+		h.Lifecycle, h.StartedAtMs = "up", w.now.Milliseconds()
 	default:
-		h.State = "up"
+		h.Lifecycle = "up"
 	}
 	h.Weight = float64(w.gen)
 	w.list[number(h.ID)] = *h
-	w.l.Hosts(ledger.HostGroup{Generation: w.gen, Hosts: []ledger.Host{*h}})
+	w.l.UpdateEndpoints(requests.EndpointList{Revision: w.gen, Endpoints: []requests.Endpoint{*h}})
 	if w.changed != nil {
 		w.changed(*h)
 	}
@@ -405,7 +407,7 @@
 		}
 		switch w.rng.IntN(8) {
 		case 0:
-			w.l.HostsLost()
+			w.l.DiscoveryFailed()
 		case 1:
 			w.tellList(true)
 		default:
@@ -423,43 +425,43 @@
 
 // said is an envelope that the forwarder wants carried.
 func (w *world) said(e Envelope) {
-	p := w.seat(e.To)
-	j := w.byID[e.M.Query]
-	switch e.M.Kind {
-	case tier.Head:
+	p := w.seat(e.Planner)
+	j := w.byID[e.Message.Query]
+	switch e.Message.Kind {
+	case message.KindRequestOffer:
 		if j.with != 0 {
-			w.fault("%s is offered to %s while it is with %d", j.name, e.To, j.with)
+			w.fault("%s is offered to %s while it is with %d", j.name, e.Planner, j.with)
 		}
-		j.with = e.M.Epoch
-		delete(p.ends, e.M.Query)
-		if n := w.openWith(e.M.Epoch); n > p.mostCredit {
-			w.fault("%s has %d queries, of a credit of %d", e.To, n, p.mostCredit)
+		j.with = e.Message.Epoch
+		delete(p.ends, e.Message.Query)
+		if n := w.openWith(e.Message.Epoch); n > p.mostCredit {
+			w.fault("%s has %d queries, of a credit of %d", e.Planner, n, p.mostCredit)
 		}
 		w.heads = append(w.heads, e)
-	case tier.Over:
-		if j.with == e.M.Epoch {
+	case message.KindRequestClosed:
+		if j.with == e.Message.Epoch {
 			j.with = 0
 		}
-	case tier.Ended:
-		if stray := e.M.Why == tier.NoSuchQuery || e.M.Why == tier.NotYours; e.M.Attempt >= 0 && j != nil && !stray {
-			if p.ends[e.M.Query] == nil {
-				p.ends[e.M.Query] = map[int]bool{}
+	case message.KindAttemptEnded:
+		if stray := e.Message.Why == message.ReasonUnknownRequest || e.Message.Why == message.ReasonNotOwner; e.Message.Attempt >= 0 && j != nil && !stray {
+			if p.ends[e.Message.Query] == nil {
+				p.ends[e.Message.Query] = map[int]bool{}
 			}
-			if p.ends[e.M.Query][e.M.Attempt] {
-				w.fault("attempt %d of %s ends twice for %s", e.M.Attempt, j.name, p.name)
+			if p.ends[e.Message.Query][e.Message.Attempt] {
+				w.fault("attempt %d of %s ends twice for %s", e.Message.Attempt, j.name, p.name)
 			}
-			p.ends[e.M.Query][e.M.Attempt] = true
+			p.ends[e.Message.Query][e.Message.Attempt] = true
 		}
-		if e.M.Result == logic.OK && j.with == e.M.Epoch {
+		if e.Message.Result == dispatch.OK && j.with == e.Message.Epoch {
 			j.with = 0
 		}
-	case tier.Hello:
+	case message.KindHandshake:
 		w.ends(p) // of its session before, if it has one still
 	}
-	p.gets(e.M)
+	p.gets(e.Message)
 }
 
-func (w *world) openWith(e tier.Epoch) (n int) {
+func (w *world) openWith(e message.Epoch) (n int) {
 	for _, j := range w.byID {
 		if j.with == e {
 			n++
@@ -479,18 +481,18 @@
 }
 
 // hears has a planner's message reach the forwarder.
-func (w *world) hears(p *seat, m tier.Message) {
+func (w *world) hears(p *seat, m message.Message) {
 	j := w.byID[m.Query]
 	switch m.Kind {
-	case tier.Welcome:
+	case message.KindHandshakeAccept:
 		if m.Epoch == p.session && !p.welcomed {
 			p.welcomed, p.mostCredit = true, m.Credit
 		}
-	case tier.Credit:
+	case message.KindCreditUpdate:
 		if m.Epoch == p.session {
 			p.mostCredit = max(p.mostCredit, m.Credit)
 		}
-	case tier.Word:
+	case message.KindWorkerStatus:
 		x := *m.Word
 		if m.Epoch != p.greeted || !p.welcomed || x.StartedMs > (w.now+time.Minute).Milliseconds() || x.StartedMs < 0 {
 			break
@@ -498,35 +500,35 @@
 		if was, ok := w.words[x.Worker]; !ok || x.Newer(was) {
 			w.words[x.Worker], w.wordAt[x.Worker] = x, w.now
 		}
-	case tier.Move, tier.Refuse, tier.Fail:
+	case message.KindTransferCommand, message.KindRejectCommand, message.KindFailCommand:
 		if j != nil && j.with == m.Epoch && m.Epoch == p.session {
 			j.with = 0 // it is the planner's wish at least; the forwarder has its own book
 		}
-	case tier.Bye:
+	case message.KindGoodbye:
 		if m.Epoch == p.session {
 			w.ends(p)
 		}
 	}
-	w.f.Hear(w.now, p.name, &m)
+	w.f.Receive(w.now, p.name, &m)
 }
 
 // check looks at what was offered in a step, once its actions are carried out.
 func (w *world) check() {
 	for _, e := range w.heads {
-		j, h := w.byID[e.M.Query], e.M.Head
+		j, h := w.byID[e.Message.Query], e.Message.Head
 		// What the ledger did not send, as a note from that host had ended one, or has recalled, counts as an attempt that
 		// never ran.
-		sent := slices.DeleteFunc(slices.Clone(h.Attempts), func(p tier.Past) bool {
-			return p.Ended && p.Result == logic.NotSent && !p.MayRun
+		sent := slices.DeleteFunc(slices.Clone(h.Attempts), func(p message.PastAttempt) bool {
+			return p.Ended && p.Result == dispatch.NotSent && !p.MayRun
 		})
 		tries := slices.DeleteFunc(slices.Clone(j.tries), func(t *judgedTry) bool { return t.recalled })
 		if len(sent) != len(tries) {
-			w.fault("%s is told of %d attempts of %s, of %d", e.To, len(sent), j.name, len(tries))
+			w.fault("%s is told of %d attempts of %s, of %d", e.Planner, len(sent), j.name, len(tries))
 			continue
 		}
 		for i, p := range sent {
 			if t := tries[i]; p.Worker != t.worker || p.Ago != w.now-t.sent || p.MayRun == t.never {
-				w.fault("%s is told %+v of %s, which is %+v", e.To, p, j.name, t)
+				w.fault("%s is told %+v of %s, which is %+v", e.Planner, p, j.name, t)
 			}
 		}
 	}
@@ -549,30 +551,30 @@
 			w.fault("%s has no answer", j.name)
 		}
 	}
-	x := w.f.Figures()
-	if w.l.Open() != 0 || x.Open+x.Waiting+x.Mine != 0 || w.f.guard.Queries() != 0 ||
-		w.f.alarms.Len()+w.f.back.Len() != 0 {
-		w.fault("something is left: %+v, %d in the ledger, %d with the guard", x, w.l.Open(), w.f.guard.Queries())
+	x := w.f.Stats()
+	if w.l.OpenCount() != 0 || x.Open+x.Waiting+x.Local != 0 || w.f.validator.RequestCount() != 0 ||
+		w.f.deadlines.Len()+w.f.returning.Len() != 0 {
+		w.fault("something is left: %+v, %d in the ledger, %d with the guard", x, w.l.OpenCount(), w.f.validator.RequestCount())
 	}
 	for _, p := range w.f.planners {
-		if len(p.queries) > 0 || p.suspect != nil {
-			w.fault("%s has %d queries still", p.name, len(p.queries))
+		if len(p.requests) > 0 || p.poisonSuspect != nil {
+			w.fault("%s has %d queries still", p.name, len(p.requests))
 		}
 	}
-	if w.f.own != nil && !w.f.on {
+	if w.f.localPolicy != nil && !w.f.standaloneMode {
 		w.fault("the own module is kept with nothing in hand")
 	}
-	for why := range tier.Reasons {
-		w.stats["refused as "+why.String()] += w.f.guard.Refused(why)
+	for why := range message.ReasonCount {
+		w.stats["refused as "+why.String()] += w.f.validator.RejectedCount(why)
 	}
-	w.stats["alone"] += x.Alone
-	w.stats["poisonous"] += x.Poisonous
-	w.stats["unheard"] += x.Unheard
-	w.stats["frozen"] += x.Frozen
+	w.stats["alone"] += x.Standalone
+	w.stats["poisonous"] += x.Poison
+	w.stats["unheard"] += x.Revoked
+	w.stats["frozen"] += x.Unresponsive
 	w.stats["reoffered"] += x.Reoffered
-	w.stats["moves"] += x.Moves
+	w.stats["moves"] += x.Transfers
 	w.stats["expired"] += x.Expired
 	w.stats["unplaced"] += x.Unplaced
-	w.stats["crowded"] += x.Crowded
+	w.stats["crowded"] += x.QueueFull
 	w.stats["sent"] += w.sends
 }
--- /dev/null
+++ b/internal/control/forwarder/planner.go
@@ -0,0 +1,448 @@
+package forwarder
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"slices"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
+)
+
+// plannerLink is one to whom there is a connection.
+type plannerLink struct {
+	name            string
+	epoch           message.Epoch // of the session; 0: there is none
+	accepted        bool          // it has taken us in
+	leaving         bool          // it has said that it stops
+	suspected       bool          // it has not answered for some time
+	overrun         bool          // it has said more than can be taken in
+	credit          int
+	requests        []*request // that are with it
+	heartbeatSeq    uint64     // of the last question whether it is there
+	acknowledgedSeq uint64     // the last one that it answered: it has read all that was told before
+	heartbeatAt     time.Duration
+	lastHeartbeatAt time.Duration
+	ignoreLatency   bool          // we were late ourselves since we asked
+	needsHeartbeat  bool          // it was offered queries since we asked
+	latency         time.Duration // to answer, of late
+	minLatency      time.Duration // and the least in this session; 0: it has not answered
+	poisonSuspect   *request      // of which it has perhaps not read yet
+	rejected        [message.ReasonCount]int
+	rejectedTotal   int // of these, since they were last told
+}
+
+// noEpoch is the epoch of no session.
+const noEpoch = message.Epoch(math.MaxUint64)
+
+// acceptsRequests tells whether new queries may go to a planner.
+func (p *plannerLink) acceptsRequests() bool { return p.accepted && !p.leaving }
+
+func (f *Forwarder) findPlanner(name string) *plannerLink {
+	if i, ok := f.searchPlanner(name); ok {
+		return f.planners[i]
+	}
+	return nil
+}
+
+func (f *Forwarder) searchPlanner(name string) (int, bool) {
+	return slices.BinarySearchFunc(f.planners, name, func(p *plannerLink, name string) int {
+		return cmp.Compare(p.name,
+			name)
+	})
+}
+
+func (f *Forwarder) plannerByEpoch(e message.Epoch) *plannerLink {
+	for _, p := range f.planners {
+		if p.accepted && p.epoch == e {
+			return p
+		}
+	}
+	return nil
+}
+
+// addPlanner takes in that there is a connection to a planner; nil: to too many.
+func (f *Forwarder) addPlanner(name string) *plannerLink {
+	i, ok := f.searchPlanner(name)
+	if !ok {
+		if len(f.planners) >= maxPlanners {
+			return nil
+		}
+		f.planners = slices.Insert(f.planners, i, &plannerLink{name: name})
+		f.orderStale = true
+	}
+	return f.planners[i]
+}
+
+// removePlanner takes in that there is none any more.
+func (f *Forwarder) removePlanner(p *plannerLink) {
+	if i, ok := f.searchPlanner(p.name); ok {
+		f.planners = slices.Delete(f.planners, i, i+1)
+		f.orderStale = true
+	}
+}
+
+func (f *Forwarder) updatePlanners(in *input) {
+	f.knownPlanners = len(in.names)
+	f.selector.PlannersKnown(f.now, in.names)
+	f.orderStale = true
+}
+
+// refreshOrder finds the order of planners anew, if it may have changed.
+func (f *Forwarder) refreshOrder() {
+	if at := f.selector.Next(); !f.orderStale && (at == 0 || at > f.now) {
+		return
+	}
+	f.orderStale = false
+	f.orderNames = f.selector.AppendOrder(f.now, f.orderNames[:0])
+	f.preferred = f.preferred[:0]
+	for _, name := range f.orderNames {
+		if p := f.findPlanner(name); p != nil && !slices.Contains(f.preferred, p) {
+			f.preferred = append(f.preferred, p)
+		}
+	}
+	for _, p := range f.planners {
+		if !slices.Contains(f.preferred, p) {
+			f.preferred = append(f.preferred, p)
+		}
+	}
+}
+
+// ---- Sessions ----
+
+// startSession begins a session on a connection that is there.
+func (f *Forwarder) startSession(p *plannerLink) {
+	if p == nil {
+		return
+	}
+	f.loseSession(p)
+	f.lastEpoch++
+	p.epoch, p.leaving, p.overrun, p.suspected, p.ignoreLatency = f.lastEpoch, false, false, false, false
+	p.heartbeatSeq, p.acknowledgedSeq, p.heartbeatAt, p.lastHeartbeatAt, p.needsHeartbeat, p.minLatency = 0, 0, 0, f.now, false, 0
+	f.outbox = append(f.outbox, Envelope{p.name, message.Message{Kind: message.KindHandshake, Epoch: p.epoch, Name: f.config.Name,
+		Process: f.config.Incarnation, Version: f.config.Version}})
+}
+
+func (f *Forwarder) acceptSession(p *plannerLink, m *message.Message) {
+	if p.accepted {
+		return
+	}
+	if m.Version>>8 != f.config.Version>>8 {
+		f.logLine(fmt.Sprintf("planner %s is not used: it speaks version %d.%d, this is %d.%d", p.name,
+			m.Version>>8, m.Version&0xff, f.config.Version>>8, f.config.Version&0xff))
+		return
+	}
+	p.accepted, p.credit = true, max(0, m.Credit)
+	f.validator.OpenSession(p.epoch)
+	f.hadPlanner, f.orderStale = true, true
+	f.selector.SessionChanged(f.now, p.name, true)
+	f.sendUnavailable(p)
+	f.logLine(fmt.Sprintf("planner %s takes queries: session %d, credit %d", p.name, p.epoch, p.credit))
+}
+
+// loseSession ends a session. All that it had is offered elsewhere in this step. What it had not read of when it ended may
+// have been what ended it.
+func (f *Forwarder) loseSession(p *plannerLink) {
+	f.endSession(p, !p.leaving)
+}
+
+func (f *Forwarder) endSession(p *plannerLink, suddenly bool) {
+	if p.epoch == 0 {
+		return
+	}
+	f.validator.CloseSession(p.epoch)
+	out := 0
+	open, had := p.accepted, len(p.requests)
+	for len(p.requests) > 0 {
+		q := p.requests[len(p.requests)-1]
+		if f.validator.InFlight(q.job.ID) > 0 {
+			out++
+		}
+		// What came of it can't be here sooner than any answer.
+		may := q.offeredSeq > p.acknowledgedSeq && !q.commanded && f.now-q.awaitingSince >= p.minLatency/2
+		if f.unassign(q); suddenly && may {
+			f.recordFailure(q, p)
+		} else {
+			f.enqueue(q)
+		}
+	}
+	p.epoch, p.accepted, p.poisonSuspect, f.orderStale = 0, false, nil, true
+	if open {
+		if !p.leaving {
+			f.selector.SessionChanged(f.now, p.name, false)
+		}
+		f.logLine(fmt.Sprintf("planner %s is lost: %d queries go elsewhere, %d of them with attempts out", p.name, had,
+			out))
+	}
+}
+
+// recordFailure takes in that a planner's session has ended on a query, or that it has given it back as one that makes its
+// module panic. A query that has done so twice is offered to nobody any more.
+func (f *Forwarder) recordFailure(q *request, p *plannerLink) {
+	if q.failures++; q.failures < maxSessionFailures {
+		q.transferredBy = p
+		f.enqueue(q)
+		return
+	}
+	f.stats.Poison++
+	f.logLine(fmt.Sprintf("query %d of class %d is given up: it has ended %d planners' sessions or modules", q.job.ID,
+		q.job.Class,
+		q.failures))
+	f.giveUp(q)
+}
+
+// resetSession gives a planner up that does not answer, or can't be followed, though its connection is there. It may have a
+// new session at once: it takes that up when it has read of it, and all that it says before is void.
+func (f *Forwarder) resetSession(p *plannerLink) {
+	f.stats.Unresponsive++
+	f.endSession(p, false)
+	f.startSession(p)
+}
+
+// plannerLeaving takes in that a planner stops. It decides nothing any more, and what it has ordered stands.
+func (f *Forwarder) plannerLeaving(p *plannerLink) {
+	if p.leaving {
+		return
+	}
+	p.leaving, f.orderStale = true, true
+	f.selector.SessionChanged(f.now, p.name, false)
+	f.logLine(fmt.Sprintf("planner %s stops: %d queries go elsewhere", p.name, len(p.requests)))
+	for len(p.requests) > 0 {
+		q := p.requests[len(p.requests)-1]
+		f.unassign(q)
+		f.enqueue(q)
+	}
+}
+
+// DrainingPlanners names the planners that stop and have nothing of this forwarder's. Their connections are to be closed.
+func (f *Forwarder) DrainingPlanners() (names []string) {
+	for _, p := range f.planners {
+		if p.leaving {
+			names = append(names, p.name)
+		}
+	}
+	return names
+}
+
+// checkSessions looks after sessions, and finds out whether there is a planner at all.
+func (f *Forwarder) checkSessions() {
+	for _, p := range f.planners {
+		if p.overrun {
+			f.resetSession(p)
+		}
+		if !p.accepted || p.heartbeatAt == 0 {
+			continue
+		}
+		switch since := f.now - p.heartbeatAt; {
+		case since >= f.unresponsiveAfter(p):
+			f.resetSession(p)
+		case since >= f.suspectAfter(p) && !p.suspected:
+			p.suspected = true
+			for _, q := range p.requests {
+				if !q.commanded && f.validator.InFlight(q.job.ID) == 0 {
+					q.silentAt = f.objectiveAtRisk(q)
+					f.scheduleCheck(q)
+				}
+			}
+		}
+	}
+	f.plannerPresent = slices.ContainsFunc(f.planners, (*plannerLink).acceptsRequests)
+	f.updateMode()
+}
+
+func (f *Forwarder) suspectAfter(p *plannerLink) time.Duration {
+	return max(f.config.SuspectAfter, 4*p.latency)
+}
+func (f *Forwarder) unresponsiveAfter(p *plannerLink) time.Duration {
+	return max(f.config.UnresponsiveAfter, 8*p.latency)
+}
+
+// nextHeartbeat is when a planner is to be asked next.
+func (f *Forwarder) nextHeartbeat(p *plannerLink) time.Duration {
+	switch {
+	case p.poisonSuspect != nil && p.poisonSuspect.offeredSeq > p.heartbeatSeq:
+		return f.now
+	case p.needsHeartbeat:
+		return p.lastHeartbeatAt + min(confirmHeartbeatDelay, f.config.HeartbeatInterval)
+	}
+	return p.lastHeartbeatAt + f.config.HeartbeatInterval
+}
+
+// sendHeartbeats asks planners whether they are there, and by that whether they have read what was told.
+func (f *Forwarder) sendHeartbeats() {
+	for _, p := range f.planners {
+		if p.accepted && p.heartbeatAt == 0 && f.now >= f.nextHeartbeat(p) {
+			p.heartbeatSeq++
+			p.heartbeatAt, p.lastHeartbeatAt, p.needsHeartbeat, p.ignoreLatency = max(f.now, 1), f.now, false, false
+			f.send(p, message.Message{Kind: message.KindHeartbeat, Number: p.heartbeatSeq})
+		}
+	}
+}
+
+// nextPlannerDeadline is when something is due by a planner; 0: nothing.
+func (f *Forwarder) nextPlannerDeadline(p *plannerLink) time.Duration {
+	switch {
+	case !p.accepted:
+		return 0
+	case p.heartbeatAt == 0:
+		return max(f.nextHeartbeat(p), 1)
+	case p.suspected:
+		return p.heartbeatAt + f.unresponsiveAfter(p)
+	}
+	return p.heartbeatAt + f.suspectAfter(p)
+}
+
+func (f *Forwarder) heartbeatReply(p *plannerLink, in *input) {
+	if p.heartbeatAt == 0 || in.message.Number != p.heartbeatSeq {
+		return
+	}
+	p.acknowledgedSeq, p.suspected = p.heartbeatSeq, false
+	if took := max(0, in.at-p.heartbeatAt); !p.ignoreLatency {
+		p.latency += (took - p.latency) / 4
+		if p.minLatency == 0 || took < p.minLatency {
+			p.minLatency = took
+		}
+		f.selector.ReplyReceived(f.now, p.name, took, max(0, in.message.Late))
+		f.orderStale = true
+	}
+	if p.heartbeatAt = 0; p.poisonSuspect != nil && p.poisonSuspect.offeredSeq <= p.acknowledgedSeq {
+		p.poisonSuspect = nil
+	}
+}
+
+// ---- What planners say ----
+
+func (f *Forwarder) receive(in *input) {
+	p, m := f.findPlanner(in.planner), &in.message
+	switch {
+	case p == nil || p.epoch == 0 || m.Epoch != p.epoch || !p.accepted && m.Kind != message.KindHandshakeAccept:
+		if m.Kind >= message.KindSendCommand && m.Kind <= message.KindTransferCommand {
+			f.validator.Validate(f.now, noEpoch, m) // which counts it
+		} else {
+			f.stats.StrayMessages++
+		}
+		return
+	case p.overrun: // what comes after a gap may mean something else
+		return
+	}
+	switch m.Kind {
+	case message.KindHandshakeAccept:
+		f.acceptSession(p, m)
+	case message.KindCreditUpdate:
+		p.credit = max(0, m.Credit)
+	case message.KindHeartbeatReply:
+		f.heartbeatReply(p, in)
+	case message.KindGoodbye:
+		f.plannerLeaving(p)
+	case message.KindWorkerStatus:
+		f.workerStatus(p, in.status)
+	case message.KindSendCommand, message.KindRejectCommand, message.KindFailCommand, message.KindCancelCommand, message.KindTransferCommand, message.KindHealthCheckCommand, message.KindCloseIdleCommand:
+		f.execute(p, m)
+	default:
+		f.stats.StrayMessages++
+	}
+}
+
+// send says something to a planner that has a session.
+func (f *Forwarder) send(p *plannerLink, m message.Message) {
+	if p.accepted {
+		m.Epoch = p.epoch
+		f.outbox = append(f.outbox, Envelope{p.name, m})
+	}
+}
+
+// sendAbout says something of a query to the planner that has it, or had it last, while that session lives.
+func (f *Forwarder) sendAbout(q *request, m message.Message) {
+	if q.session == q.planner.epoch {
+		f.send(q.planner, m)
+	}
+}
+
+// execute carries out what a planner wants, if it may be.
+func (f *Forwarder) execute(p *plannerLink, m *message.Message) {
+	f.stats.Commands++
+	if why := f.validator.Validate(f.now, p.epoch, m); why != message.ReasonNone {
+		f.rejectCommand(p, m, why)
+		return
+	}
+	q := f.requests[m.Query]
+	switch m.Kind {
+	case message.KindHealthCheckCommand:
+		if !f.healthCheck(m.Worker, p.epoch) {
+			f.send(p, message.Message{Kind: message.KindHealthCheckResult, Worker: m.Worker, Result: dispatch.NotSent})
+		}
+		return
+	case message.KindCloseIdleCommand:
+		f.emit(dispatch.CloseIdleConnections{Worker: m.Worker})
+		return
+	}
+	q.commanded, q.silentAt = true, 0
+	switch m.Kind {
+	case message.KindSendCommand:
+		f.sendAttempt(q, m.Worker, m.Patience)
+	case message.KindRejectCommand:
+		f.respond(dispatch.Reject{Job: m.Query, RetryAfter: min(max(0, m.After), f.settings.MaxRetryAfter)})
+		f.closeRequest(q, false)
+	case message.KindFailCommand:
+		f.respond(dispatch.Fail{Job: m.Query})
+		f.closeRequest(q, false)
+	case message.KindCancelCommand:
+		if n, ok := f.validator.AttemptIndex(m.Query, m.Attempt); ok {
+			f.emit(dispatch.Cancel{Job: m.Query, Attempt: n})
+		}
+	case message.KindTransferCommand:
+		f.transfer(q, p, m.Name)
+	}
+}
+
+// sendAttempt has the ledger send a query. An order to wait for a time that is over, or over the deadline, is one to wait
+// until that: what is sent may run, and whether it does is worth knowing.
+func (f *Forwarder) sendAttempt(q *request, worker uint64, patience time.Duration) {
+	if patience < 0 || patience >= q.deadline-f.now {
+		patience = 0
+	}
+	f.respond(dispatch.Send{Job: q.job.ID, Worker: worker, AttemptTimeout: patience})
+	f.stats.Sent++
+	f.scheduleCheck(q)
+}
+
+// transfer hands a query on. One that is handed on and on waits in between: planners do not agree on whose it is.
+func (f *Forwarder) transfer(q *request, p *plannerLink, to string) {
+	f.unassign(q)
+	f.stats.Transfers++
+	if to == "" {
+		f.recordFailure(q, p)
+		return
+	}
+	q.transfers++
+	q.transferredBy, q.transferTarget = p, to
+	if extra := q.transfers - maxImmediateTransfers; extra > 0 {
+		q.notBefore = f.now + transferBackoff<<min(extra-1, 6)
+	}
+	f.enqueue(q)
+}
+
+// rejectCommand tells a planner that its order was not followed.
+func (f *Forwarder) rejectCommand(p *plannerLink, m *message.Message, why message.RejectReason) {
+	p.rejected[why]++
+	p.rejectedTotal++
+	switch {
+	case m.Kind == message.KindSendCommand && why != message.ReasonDuplicateCommand: // that number has its end, or will have
+		if w, ok := f.validator.BlockingStatus(m.Worker); ok && why == message.ReasonWorkerDraining {
+			f.send(p, message.Message{Kind: message.KindWorkerStatus, Word: &w})
+		}
+		f.send(p, message.Message{Kind: message.KindAttemptEnded, Query: m.Query, Attempt: m.Attempt, Result: dispatch.NotSent, Why: why})
+		if q := f.requests[m.Query]; q != nil && q.state == stateOffered && q.planner == p && f.validator.InFlight(m.Query) == 0 {
+			f.awaitCommand(q)
+		}
+	case m.Kind == message.KindRejectCommand && why == message.ReasonUnsafeRejection:
+		// To the planner the query is over. A failure promises nothing, and is always harmless.
+		f.send(p, message.Message{Kind: message.KindAttemptEnded, Query: m.Query, Attempt: -1, Result: dispatch.NotSent, Why: why})
+		f.respond(dispatch.Fail{Job: m.Query})
+		f.closeRequest(f.requests[m.Query], false)
+	case m.Kind == message.KindHealthCheckCommand:
+		f.send(p, message.Message{Kind: message.KindHealthCheckResult, Worker: m.Worker, Result: dispatch.NotSent})
+	}
+}
--- a/internal/follow/play_test.go
+++ b/internal/control/forwarder/play_test.go
@@ -1,4 +1,4 @@
-package follow
+package forwarder
 
 import (
 	"flag"
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/ledger"
-	"valvecove/internal/tier"
-	"valvecove/logic"
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
+	"valvecove/internal/requests"
 )
 
 var update = flag.Bool("update", false, "write what is seen to the golden files")
@@ -50,14 +50,14 @@
 type stage struct {
 	t       *testing.T
 	r       *rig
-	set     logic.Settings
+	set     dispatch.Settings
 	conf    Config
 	chooser *inOrder
 	out     strings.Builder
 	queries map[string]*asker
-	tries   map[string]*ledger.Attempt // the last of a query at a node, "q1 w2"
+	tries   map[string]*requests.Attempt // the last of a query at a node, "q1 w2"
 	actors  map[string]*actor
-	epochs  []tier.Epoch // of sessions, in order
+	epochs  []message.Epoch // of sessions, in order
 	workers map[uint64]string
 	known   []string
 	version int    // of planners
@@ -67,13 +67,13 @@
 
 // actor is a planner of a play.
 type actor struct {
-	epoch  tier.Epoch
+	epoch  message.Epoch
 	frozen bool
-	asked  []tier.Message // that it has not answered
+	asked  []message.Message // that it has not answered
 }
 
 func newStage(t *testing.T) *stage {
-	return &stage{t: t, chooser: &inOrder{}, queries: map[string]*asker{}, tries: map[string]*ledger.Attempt{},
+	return &stage{t: t, chooser: &inOrder{}, queries: map[string]*asker{}, tries: map[string]*requests.Attempt{},
 		actors: map[string]*actor{}, version: 1 << 8, workers: map[uint64]string{}}
 }
 
@@ -128,11 +128,11 @@
 			}
 		}
 	}
-	x := s.r.f.Figures()
-	fmt.Fprintf(&s.out, "open %d, of these waiting %d, mine %d", x.Open, x.Waiting, x.Mine)
-	for why, n := range x.ByWhy {
+	x := s.r.f.Stats()
+	fmt.Fprintf(&s.out, "open %d, of these waiting %d, mine %d", x.Open, x.Waiting, x.Local)
+	for why, n := range x.ByReason {
 		if n > 0 {
-			fmt.Fprintf(&s.out, "; refused as %s %d", tier.Why(why), n)
+			fmt.Fprintf(&s.out, "; refused as %s %d", message.RejectReason(why), n)
 		}
 	}
 	s.out.WriteString("\n")
@@ -142,15 +142,15 @@
 func (s *stage) setting(what string, f []string) {
 	switch what {
 	case "tries":
-		s.set.TryLimit = s.count(f[0])
+		s.set.AttemptLimit = s.count(f[0])
 	case "copies":
-		s.set.SecondCopies = true
+		s.set.Hedging = true
 	case "cancelling":
-		s.set.Cancelling = true
+		s.set.Cancellation = true
 	case "probes":
-		s.set.Probes = true
+		s.set.HealthChecks = true
 	case "subscribe":
-		s.set.MustSubscribe, s.set.AskEvery = true, time.Second
+		s.set.MustSubscribe, s.set.PollInterval = true, time.Second
 	case "retry":
 		s.set.MaxRetryAfter = s.span(f[0])
 	case "order":
@@ -158,7 +158,7 @@
 	case "planners":
 		s.known = f
 	case "waiting":
-		s.conf.MostWaiting = s.count(f[0])
+		s.conf.MaxWaiting = s.count(f[0])
 	case "version":
 		s.version = 2<<8 | 1
 	case "spoilt":
@@ -166,17 +166,17 @@
 	case "poison":
 		s.poison = f[0]
 	case "class":
-		c := logic.Class{Effect: map[string]logic.Effect{"unsafe": logic.Unsafe, "keyed": logic.Keyed,
-			"safe": logic.Safe}[f[0]]}
+		c := dispatch.Class{Idempotency: map[string]dispatch.Idempotency{"unsafe": dispatch.NonIdempotent, "keyed": dispatch.IdempotentWithKey,
+			"safe": dispatch.Idempotent}[f[0]]}
 		for _, x := range f[1:] {
 			switch name, value, _ := strings.Cut(x, "="); name {
 			case "aim":
-				c.Aim = s.span(value)
+				c.LatencyObjective = s.span(value)
 			case "window":
-				c.Window = s.span(value)
+				c.DeduplicationWindow = s.span(value)
 			default:
-				c.Group = map[string]logic.Group{"cell": logic.GroupCell, "zone": logic.GroupZone,
-					"all": logic.GroupAll}[x]
+				c.DeduplicationScope = map[string]dispatch.DeduplicationScope{"cell": dispatch.ScopeCell, "zone": dispatch.ScopeZone,
+					"all": dispatch.ScopeAll}[x]
 			}
 		}
 		s.set.Classes = append(s.set.Classes, c)
@@ -186,25 +186,25 @@
 }
 
 func (s *stage) begin() {
-	own := func() Module {
-		return &plain{jobs: map[uint64]*plainJob{}, tell: s.ownHears, panic: func(e logic.Event) bool {
-			j, ok := e.(logic.Resumed)
+	own := func() Policy {
+		return &plain{jobs: map[uint64]*plainJob{}, tell: s.ownHears, panic: func(e dispatch.Event) bool {
+			j, ok := e.(dispatch.JobResumed)
 			return ok && "q"+strconv.FormatUint(j.Job.ID, 10) == s.poison
 		}}
 	}
 	r := newRig(s.set, s.conf, s.chooser, own)
 	s.r = r
-	r.f.conf.Version = 1 << 8
-	name := func(a *ledger.Attempt) string { return a.Query.Call + " " + s.worker(a.Worker) }
-	r.carry = func(a *ledger.Attempt) {
+	r.f.config.Version = 1 << 8
+	name := func(a *requests.Attempt) string { return a.Request.CallID + " " + s.worker(a.Worker) }
+	r.carry = func(a *requests.Attempt) {
 		s.tries[name(a)] = a
 		s.note("sent %s for %v", name(a), a.At-r.now)
 		if s.worker(a.Worker) == s.spoilt {
-			r.l.End(a, nil, &ledger.Fault{Reason: ledger.Unusable})
+			r.l.EndAttempt(a, nil, &requests.AttemptError{Reason: requests.ReasonInvalidRequest})
 		}
-		a.Stage = ledger.AllWritten // plays have no links: what is sent is there at once
+		a.Stage = requests.StageWritten // plays have no links: what is sent is there at once
 	}
-	r.giveUp = func(a *ledger.Attempt) { s.note("given up %s", name(a)) }
+	r.giveUp = func(a *requests.Attempt) { s.note("given up %s", name(a)) }
 	r.probe = func(w uint64) { s.note("probe %s", s.worker(w)) }
 	r.free = func(w uint64) { s.note("free links to %s", s.worker(w)) }
 	r.watched = func(after int64) { s.note("watch from generation %d", after) }
@@ -214,8 +214,8 @@
 		}
 		s.note("%s is %s", a.name, what)
 	}
-	r.did = func(a logic.Action) {
-		if l, ok := a.(logic.Log); ok {
+	r.did = func(a dispatch.Action) {
+		if l, ok := a.(dispatch.Log); ok {
 			text := l.Text
 			if i := strings.Index(text, "panic"); i >= 0 { // the stack is not for golden files
 				text = text[:i+5]
@@ -224,8 +224,8 @@
 		}
 	}
 	r.tell = s.told
-	s.r.begin(ledger.HostGroup{})
-	r.f.Planners(r.now, s.known)
+	s.r.begin(requests.EndpointList{})
+	r.f.SetPlanners(r.now, s.known)
 	r.settle()
 }
 
@@ -244,7 +244,7 @@
 	return "w?"
 }
 
-func (s *stage) epoch(e tier.Epoch) string {
+func (s *stage) epoch(e message.Epoch) string {
 	for i, x := range s.epochs {
 		if x == e {
 			return "s" + strconv.Itoa(i+1)
@@ -254,18 +254,18 @@
 }
 
 func (s *stage) told(e Envelope) {
-	a := s.actors[e.To]
-	switch e.M.Kind {
-	case tier.Hello:
-		s.epochs = append(s.epochs, e.M.Epoch)
-		a.epoch, a.asked = e.M.Epoch, nil
-	case tier.Asked:
-		if a.asked = append(a.asked, e.M); !a.frozen {
-			s.r.after(time.Millisecond, func() { s.here(e.To) })
+	a := s.actors[e.Planner]
+	switch e.Message.Kind {
+	case message.KindHandshake:
+		s.epochs = append(s.epochs, e.Message.Epoch)
+		a.epoch, a.asked = e.Message.Epoch, nil
+	case message.KindHeartbeat:
+		if a.asked = append(a.asked, e.Message); !a.frozen {
+			s.r.after(time.Millisecond, func() { s.here(e.Planner) })
 		}
 		return
 	}
-	s.note("to %s: %s", e.To, text(&e.M, s.epoch, s.worker))
+	s.note("to %s: %s", e.Planner, text(&e.Message, s.epoch, s.worker))
 }
 
 // here has a planner answer all that it was asked.
@@ -275,28 +275,28 @@
 		return
 	}
 	for _, m := range a.asked {
-		s.r.f.Hear(s.r.now, name, &tier.Message{Kind: tier.Here, Epoch: m.Epoch, Number: m.Number})
+		s.r.f.Receive(s.r.now, name, &message.Message{Kind: message.KindHeartbeatReply, Epoch: m.Epoch, Number: m.Number})
 	}
 	a.asked = nil
 }
 
-func (s *stage) ownHears(e logic.Event) {
+func (s *stage) ownHears(e dispatch.Event) {
 	switch e := e.(type) {
-	case logic.Job:
+	case dispatch.Job:
 		s.note("own module: job q%d", e.ID)
-	case logic.Resumed:
-		s.note("own module: resumed q%d left=%v waited=%v, %d attempts", e.Job.ID, e.Job.Left, e.Waited,
+	case dispatch.JobResumed:
+		s.note("own module: resumed q%d left=%v waited=%v, %d attempts", e.Job.ID, e.Job.Remaining, e.Age,
 			len(e.Attempts))
-	case logic.Outcome:
+	case dispatch.Outcome:
 		s.note("own module: ended q%d #%d %s, closed %v", e.Job, e.Attempt, resultNames[e.Result], e.Closed)
-	case logic.ClientGone:
+	case dispatch.ClientDisconnected:
 		s.note("own module: gone q%d", e.Job)
-	case logic.Shared:
-		s.note("own module: shared, %d of %d", e.Me, e.Of)
-	case logic.Taught:
-		s.note("own module: taught %q, %v old, part %v", e.Lesson, e.Age, e.Part)
-	case logic.WorkerList:
-		if e.Kind == logic.ListLost {
+	case dispatch.ReplicasChanged:
+		s.note("own module: shared, %d of %d", e.ReplicaIndex, e.Replicas)
+	case dispatch.ModelUpdate:
+		s.note("own module: taught %q, %v old, part %v", e.Snapshot, e.Age, e.LoadShare)
+	case dispatch.WorkerList:
+		if e.Kind == dispatch.ListUnavailable {
 			s.note("own module: list lost")
 			return
 		}
@@ -317,40 +317,40 @@
 	switch what {
 	case "wait", "late":
 	case "list":
-		r.l.Hosts(s.group(f))
+		r.l.UpdateEndpoints(s.group(f))
 	case "lost":
-		r.l.HostsLost()
+		r.l.DiscoveryFailed()
 	case "planners":
-		r.f.Planners(now, f)
+		r.f.SetPlanners(now, f)
 	case "members":
-		r.f.Members(s.count(f[0]), s.count(f[1]))
+		r.f.SetSchedulers(s.count(f[0]), s.count(f[1]))
 	case "up":
 		s.actors[f[0]] = &actor{}
-		r.f.Session(now, f[0], true)
+		r.f.SessionChanged(now, f[0], true)
 	case "down":
-		r.f.Session(now, f[0], false)
+		r.f.SessionChanged(now, f[0], false)
 	case "ask":
-		s.queries[f[0]] = r.take(f[0], logic.Job{Class: s.count(f[1]), Left: s.span(f[2]), Slots: 1})
+		s.queries[f[0]] = r.take(f[0], dispatch.Job{Class: s.count(f[1]), Remaining: s.span(f[2]), Slots: 1})
 	case "gone":
-		r.l.Gone(s.queries[f[0]].q)
+		r.l.ClientDisconnected(s.queries[f[0]].q)
 	case "node": // node w1 started q1
-		n := ledger.Note{ID: f[2], From: f[0], State: f[1], Result: new(string)}
+		n := requests.Callback{CallID: f[2], EndpointID: f[0], State: f[1], Result: new(string)}
 		if f[1] == "running" {
-			n.Share = 0.5
+			n.Progress = 0.5
 		}
-		if _, err := r.l.Tell(n); err != nil {
+		if _, err := r.l.HandleCallback(n); err != nil {
 			s.t.Fatal(err)
 		}
 	case "cut": // cut q1 w1 connecting, or written, or unusable
 		a := s.tries[f[0]+" "+f[1]]
-		fault := &ledger.Fault{Reason: ledger.Cut}
+		fault := &requests.AttemptError{Reason: requests.ReasonConnectionLost}
 		switch f[2] {
 		case "written":
-			fault.Stage = ledger.AllWritten
+			fault.Stage = requests.StageWritten
 		case "unusable":
-			fault.Reason = ledger.Unusable
+			fault.Reason = requests.ReasonInvalidRequest
 		}
-		r.l.End(a, nil, fault)
+		r.l.EndAttempt(a, nil, fault)
 	case "freeze":
 		s.actors[f[0]].frozen = true
 	case "wake":
@@ -362,20 +362,20 @@
 }
 
 // group is "full 41 w1 draining w2 start=5s ...".
-func (s *stage) group(f []string) ledger.HostGroup {
-	g := ledger.HostGroup{Reset: f[0] == "full", Generation: int64(s.count(f[1]))}
+func (s *stage) group(f []string) requests.EndpointList {
+	g := requests.EndpointList{Reset: f[0] == "full", Revision: int64(s.count(f[1]))}
 	for _, x := range f[2:] {
-		last := len(g.Hosts) - 1
+		last := len(g.Endpoints) - 1
 		switch name, value, _ := strings.Cut(x, "="); name {
 		case "draining", "removed":
-			g.Hosts[last].State = x
+			g.Endpoints[last].Lifecycle = x
 		case "start":
-			g.Hosts[last].StartedMs = s.span(value).Milliseconds()
+			g.Endpoints[last].StartedAtMs = s.span(value).Milliseconds()
 		case "cell":
-			g.Hosts[last].Cell = s.count(value)
+			g.Endpoints[last].Cell = s.count(value)
 		default:
 			s.workers[number(x)] = x
-			g.Hosts = append(g.Hosts, ledger.Host{ID: x, Addr: "a", State: "up", Kind: "k0", Zone: "z0"})
+			g.Endpoints = append(g.Endpoints, requests.Endpoint{ID: x, Addr: "a", Lifecycle: "up", MachineType: "k0", Zone: "z0"})
 		}
 	}
 	return g
@@ -383,7 +383,7 @@
 
 // speak has a planner say something, in its present session or, with @s1, in another.
 func (s *stage) speak(name string, f []string) {
-	m := tier.Message{Epoch: s.actors[name].epoch, Version: s.version}
+	m := message.Message{Epoch: s.actors[name].epoch, Version: s.version}
 	for _, k := range allKinds {
 		if k.String() == f[0] {
 			m.Kind = k
@@ -402,30 +402,30 @@
 			m.Query = uint64(s.count(x))
 		case x[0] == 'w':
 			m.Worker = number(x)
-		case m.Kind == tier.Move:
+		case m.Kind == message.KindTransferCommand:
 			m.Name = x
-		case m.Kind == tier.Welcome || m.Kind == tier.Credit:
+		case m.Kind == message.KindHandshakeAccept || m.Kind == message.KindCreditUpdate:
 			m.Credit = s.count(x)
-		case m.Kind == tier.Send:
+		case m.Kind == message.KindSendCommand:
 			m.Patience = s.span(x)
-		case m.Kind == tier.Refuse:
+		case m.Kind == message.KindRejectCommand:
 			m.After = s.span(x)
-		case m.Kind == tier.Snapshot:
+		case m.Kind == message.KindModelSnapshot:
 			m.Age, m.Bytes = s.span(x), []byte(f[i+2])
-			s.r.f.Hear(s.r.now, name, &m)
+			s.r.f.Receive(s.r.now, name, &m)
 			return
-		case m.Kind == tier.Word:
-			m.Word = &tier.WordOf{Worker: m.Worker, StartedMs: s.span(x).Milliseconds(),
+		case m.Kind == message.KindWorkerStatus:
+			m.Word = &message.WorkerStatus{Worker: m.Worker, StartedMs: s.span(x).Milliseconds(),
 				Generation: int64(s.count(f[i+2])),
-				State:      map[string]tier.State{"up": tier.Up, "draining": tier.Draining, "gone": tier.Gone}[f[i+3]]}
+				State:      map[string]message.WorkerState{"up": message.WorkerUp, "draining": message.WorkerDraining, "gone": message.WorkerGone}[f[i+3]]}
 			m.Worker = 0
-			s.r.f.Hear(s.r.now, name, &m)
+			s.r.f.Receive(s.r.now, name, &m)
 			return
 		}
 	}
-	s.r.f.Hear(s.r.now, name, &m)
+	s.r.f.Receive(s.r.now, name, &m)
 }
 
-var allKinds = []tier.Kind{tier.Welcome, tier.Credit, tier.Send, tier.Refuse, tier.Fail, tier.Cancel, tier.Probe,
-	tier.Free,
-	tier.Move, tier.Here, tier.Snapshot, tier.Bye, tier.Word, tier.Hello, tier.Load}
+var allKinds = []message.Kind{message.KindHandshakeAccept, message.KindCreditUpdate, message.KindSendCommand, message.KindRejectCommand, message.KindFailCommand, message.KindCancelCommand, message.KindHealthCheckCommand,
+	message.KindCloseIdleCommand,
+	message.KindTransferCommand, message.KindHeartbeatReply, message.KindModelSnapshot, message.KindGoodbye, message.KindWorkerStatus, message.KindHandshake, message.KindLoadReport}
--- a/internal/follow/random_test.go
+++ b/internal/control/forwarder/random_test.go
@@ -1,4 +1,4 @@
-package follow
+package forwarder
 
 import (
 	"flag"
--- a/internal/follow/rig_test.go
+++ b/internal/control/forwarder/rig_test.go
@@ -1,4 +1,4 @@
-package follow
+package forwarder
 
 import (
 	"container/heap"
@@ -10,28 +10,28 @@
 	"strings"
 	"time"
 
-	"valvecove/internal/ledger"
-	"valvecove/internal/tier"
-	"valvecove/logic"
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
+	"valvecove/internal/requests"
 )
 
 // rig is a forwarder in virtual time: a ledger, the follower as its module, and this in place of clients, worker nodes
 // and connections. What it does with them is for those who use it.
 type rig struct {
 	now    time.Duration
-	f      *Follower
-	l      *ledger.Ledger
+	f      *Forwarder
+	l      *requests.Table
 	agenda agenda
 	turns  int
 	seq    uint64
 
-	carry   func(a *ledger.Attempt)
-	giveUp  func(a *ledger.Attempt)
+	carry   func(a *requests.Attempt)
+	giveUp  func(a *requests.Attempt)
 	probe   func(worker uint64)
 	free    func(worker uint64)
 	answer  func(q *asker, what string, after time.Duration)
 	tell    func(e Envelope) // an envelope that leaves
-	did     func(a logic.Action)
+	did     func(a dispatch.Action)
 	watched func(after int64)
 	stepped func()
 }
@@ -39,7 +39,7 @@
 // spy is the follower as the ledger has it, with a look at its actions.
 type spy struct{ r *rig }
 
-func (s spy) Step(now time.Duration, events []logic.Event, dst []logic.Action) []logic.Action {
+func (s spy) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	from := len(dst)
 	dst = s.r.f.Step(now, events, dst)
 	for _, a := range dst[from:] {
@@ -47,7 +47,7 @@
 			s.r.did(a)
 		}
 	}
-	for _, e := range s.r.f.Out() {
+	for _, e := range s.r.f.Outbox() {
 		s.r.tell(keep(e))
 	}
 	return dst
@@ -55,48 +55,48 @@
 
 // keep is an envelope that outlives the step.
 func keep(e Envelope) Envelope {
-	if e.M.Head != nil {
-		h := *e.M.Head
+	if e.Message.Head != nil {
+		h := *e.Message.Head
 		h.Attempts = slices.Clone(h.Attempts)
-		e.M.Head = &h
+		e.Message.Head = &h
 	}
 	return e
 }
 
 const rigStart = 1000 * time.Hour // worker nodes have started before
 
-func newRig(set logic.Settings, conf Config, choose Chooser, own func() Module) *rig {
+func newRig(set dispatch.Settings, conf Config, choose PlannerSelector, own func() Policy) *rig {
 	r := &rig{now: rigStart}
-	conf.Name, conf.Process = "f", 1000
+	conf.Name, conf.Incarnation = "f", 1000
 	r.f = New(set, conf, choose, own)
 	return r
 }
 
 // begin starts the ledger, once all is in place.
-func (r *rig) begin(known ledger.HostGroup) {
-	r.l = ledger.New(max(1, r.f.set.TryLimit), ledger.Names{Zones: []string{"z0", "z1", "z2"},
-		Kinds: []string{"k0", "k1", "k2"}},
-		func() ledger.Module { return spy{r} }, known, r, slog.New(slog.DiscardHandler))
+func (r *rig) begin(known requests.EndpointList) {
+	r.l = requests.New(max(1, r.f.settings.AttemptLimit), requests.NameTable{Zones: []string{"z0", "z1", "z2"},
+		MachineTypes: []string{"k0", "k1", "k2"}},
+		func() requests.Policy { return spy{r} }, known, r, slog.New(slog.DiscardHandler))
 }
 
-func (r *rig) Carry(a *ledger.Attempt)  { r.carry(a) }
-func (r *rig) GiveUp(a *ledger.Attempt) { r.giveUp(a) }
+func (r *rig) Start(a *requests.Attempt)   { r.carry(a) }
+func (r *rig) Abandon(a *requests.Attempt) { r.giveUp(a) }
 
-func (r *rig) Withdraw(a *ledger.Attempt) { // its worker node is told at once
-	r.l.Withdrawn(a, true)
+func (r *rig) Cancel(a *requests.Attempt) { // its worker node is told at once
+	r.l.CancelCompleted(a, true)
 	r.giveUp(a)
 }
-func (r *rig) Probe(worker uint64)     { r.probe(worker) }
-func (r *rig) FreeLinks(worker uint64) { r.free(worker) }
-func (r *rig) Watch(after int64)       { r.watched(after) }
+func (r *rig) CheckHealth(worker uint64)          { r.probe(worker) }
+func (r *rig) CloseIdleConnections(worker uint64) { r.free(worker) }
+func (r *rig) Watch(after int64)                  { r.watched(after) }
 
 // settle turns the loop until nothing is left to do at this instant.
 func (r *rig) settle() {
 	for n := 0; ; n++ {
-		if r.f.Pending() {
+		if r.f.HasPending() {
 			r.l.Wake()
 		}
-		at, ok := r.l.Next()
+		at, ok := r.l.NextStep()
 		if !ok || at > r.now {
 			return
 		}
@@ -114,7 +114,7 @@
 	r.settle()
 	for {
 		next := end
-		if at, ok := r.l.Next(); ok && at < next {
+		if at, ok := r.l.NextStep(); ok && at < next {
 			next = at
 		}
 		if len(r.agenda) > 0 && r.agenda[0].at < next {
@@ -159,16 +159,16 @@
 // asker is a client's side of a query.
 type asker struct {
 	r       *rig
-	q       *ledger.Query
+	q       *requests.Request
 	name    string
 	answers []string
 }
 
-func (a *asker) Serve([]byte) { a.got("served", 0) }
+func (a *asker) RespondResult([]byte) { a.got("served", 0) }
 
-func (a *asker) Throttle(after time.Duration) { a.got("refused", after) }
+func (a *asker) RespondRejected(after time.Duration) { a.got("refused", after) }
 
-func (a *asker) Fail() { a.got("failed", 0) }
+func (a *asker) RespondFailed() { a.got("failed", 0) }
 
 func (a *asker) got(what string, after time.Duration) {
 	a.answers = append(a.answers, what)
@@ -176,9 +176,9 @@
 }
 
 // take has a query come.
-func (r *rig) take(name string, job logic.Job) *asker {
+func (r *rig) take(name string, job dispatch.Job) *asker {
 	a := &asker{r: r, name: name}
-	q, err := r.l.Take(r.now, ledger.Arrival{Call: name, Job: job, Asker: a})
+	q, err := r.l.Admit(r.now, requests.Arrival{CallID: name, Job: job, Responder: a})
 	if err != nil {
 		panic(err)
 	}
@@ -198,19 +198,19 @@
 	told []string // what it heard, for tests
 }
 
-func (c *inOrder) Known(_ time.Duration, names []string) {
+func (c *inOrder) PlannersKnown(_ time.Duration, names []string) {
 	c.told = append(c.told, "known "+strings.Join(names, " "))
 }
 
-func (c *inOrder) Session(_ time.Duration, name string, up bool) {
+func (c *inOrder) SessionChanged(_ time.Duration, name string, up bool) {
 	c.told = append(c.told, fmt.Sprintf("%s %v", name, up))
 }
 
-func (c *inOrder) Answered(_ time.Duration, name string, took, late time.Duration) {
+func (c *inOrder) ReplyReceived(_ time.Duration, name string, took, late time.Duration) {
 	c.told = append(c.told, fmt.Sprintf("%s took %v late %v", name, took, late))
 }
 
-func (c *inOrder) Order(_ time.Duration, dst []string) []string { return append(dst, c.best...) }
+func (c *inOrder) AppendOrder(_ time.Duration, dst []string) []string { return append(dst, c.best...) }
 
 func (c *inOrder) Next() time.Duration { return 0 }
 
@@ -219,8 +219,8 @@
 type plain struct {
 	ready []uint64
 	jobs  map[uint64]*plainJob
-	tell  func(e logic.Event)
-	panic func(e logic.Event) bool
+	tell  func(e dispatch.Event)
+	panic func(e dispatch.Event) bool
 }
 
 type plainJob struct {
@@ -228,33 +228,33 @@
 	out   int
 }
 
-func (m *plain) Step(_ time.Duration, events []logic.Event, dst []logic.Action) []logic.Action {
+func (m *plain) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	for _, e := range events {
 		m.tell(e)
 		if m.panic != nil && m.panic(e) {
 			panic("scripted")
 		}
 		switch e := e.(type) {
-		case logic.WorkerList:
-			if e.Kind == logic.ListDelta {
+		case dispatch.WorkerList:
+			if e.Kind == dispatch.ListDelta {
 				for _, w := range e.Workers {
 					m.ready = slices.DeleteFunc(m.ready, func(id uint64) bool { return id == w.ID })
 				}
-			} else if e.Kind != logic.ListLost {
+			} else if e.Kind != dispatch.ListUnavailable {
 				m.ready = m.ready[:0]
 			}
 			for _, w := range e.Workers {
-				if w.Ready && !w.Gone {
+				if w.Ready && !w.Removed {
 					m.ready = append(m.ready, w.ID)
 				}
 			}
 			for _, id := range slices.Sorted(maps.Keys(m.jobs)) {
 				dst = m.try(id, dst)
 			}
-		case logic.Job:
+		case dispatch.Job:
 			m.jobs[e.ID] = &plainJob{}
 			dst = m.try(e.ID, dst)
-		case logic.Resumed:
+		case dispatch.JobResumed:
 			j := &plainJob{}
 			for _, p := range e.Attempts {
 				if j.tries = append(j.tries, p.Worker); !p.Ended {
@@ -263,7 +263,7 @@
 			}
 			m.jobs[e.Job.ID] = j
 			dst = m.try(e.Job.ID, dst)
-		case logic.Outcome:
+		case dispatch.Outcome:
 			if j := m.jobs[e.Job]; j != nil && e.Attempt < len(j.tries) {
 				if j.out--; e.Closed {
 					delete(m.jobs, e.Job)
@@ -271,14 +271,14 @@
 					dst = m.try(e.Job, dst)
 				}
 			}
-		case logic.ClientGone:
+		case dispatch.ClientDisconnected:
 			delete(m.jobs, e.Job)
 		}
 	}
 	return dst
 }
 
-func (m *plain) try(id uint64, dst []logic.Action) []logic.Action {
+func (m *plain) try(id uint64, dst []dispatch.Action) []dispatch.Action {
 	j := m.jobs[id]
 	if j.out > 0 || len(m.ready) == 0 {
 		return dst
@@ -287,20 +287,20 @@
 		if !slices.Contains(j.tries, w) {
 			j.tries = append(j.tries, w)
 			j.out++
-			return append(dst, logic.Send{Job: id, Worker: w})
+			return append(dst, dispatch.Send{Job: id, Worker: w})
 		}
 	}
 	delete(m.jobs, id)
-	return append(dst, logic.Refuse{Job: id})
+	return append(dst, dispatch.Reject{Job: id})
 }
 
 // text is a message as plays have it.
-func text(m *tier.Message, epoch func(tier.Epoch) string, worker func(uint64) string) string {
+func text(m *message.Message, epoch func(message.Epoch) string, worker func(uint64) string) string {
 	s := &strings.Builder{}
 	fmt.Fprintf(s, "%v %s", m.Kind, epoch(m.Epoch))
 	put := func(format string, args ...any) { fmt.Fprintf(s, " "+format, args...) }
 	switch m.Kind {
-	case tier.Head:
+	case message.KindRequestOffer:
 		h := m.Head
 		put("q%d left=%v", m.Query, h.Left)
 		if h.Waited > 0 {
@@ -324,26 +324,26 @@
 			}
 			s.WriteString("]")
 		}
-	case tier.Ended:
+	case message.KindAttemptEnded:
 		put("q%d #%d %s", m.Query, m.Attempt, resultNames[m.Result])
-		if m.Why != tier.NotRefused {
+		if m.Why != message.ReasonNone {
 			put("as %v", m.Why)
 		}
-	case tier.Started, tier.Cancel:
+	case message.KindAttemptStarted, message.KindCancelCommand:
 		put("q%d #%d", m.Query, m.Attempt)
-	case tier.Progress:
+	case message.KindAttemptProgress:
 		put("q%d #%d %v", m.Query, m.Attempt, m.Share)
-	case tier.Over, tier.Fail, tier.Refuse:
+	case message.KindRequestClosed, message.KindFailCommand, message.KindRejectCommand:
 		put("q%d", m.Query)
-	case tier.Move:
+	case message.KindTransferCommand:
 		put("q%d to %q", m.Query, m.Name)
-	case tier.Send:
+	case message.KindSendCommand:
 		put("q%d #%d %s", m.Query, m.Attempt, worker(m.Worker))
-	case tier.Probed:
+	case message.KindHealthCheckResult:
 		put("%s %s", worker(m.Worker), resultNames[m.Result])
-	case tier.Asked, tier.Here:
+	case message.KindHeartbeat, message.KindHeartbeatReply:
 		put("%d", m.Number)
-	case tier.Word:
+	case message.KindWorkerStatus:
 		put("%s start=%v gen=%d %s", worker(m.Word.Worker), time.Duration(m.Word.StartedMs)*time.Millisecond,
 			m.Word.Generation,
 			[]string{"up", "draining", "gone"}[m.Word.State])
--- a/internal/follow/scripted_test.go
+++ b/internal/control/forwarder/scripted_test.go
@@ -1,12 +1,12 @@
-package follow
+package forwarder
 
 import (
 	"slices"
 	"strconv"
 	"time"
 
-	"valvecove/internal/tier"
-	"valvecove/logic"
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
 )
 
 // scripted is a planner of a random play: one that does its work in a simple way, and whatever its temper adds.
@@ -14,15 +14,15 @@
 	seat
 	temper
 
-	outbox  []tier.Message // thought of while it was frozen, and not said
-	epoch   tier.Epoch     // as it has read
-	old     tier.Epoch     // the one before
+	outbox  []message.Message // thought of while it was frozen, and not said
+	epoch   message.Epoch     // as it has read
+	old     message.Epoch     // the one before
 	heads   map[uint64]*scriptedHead
 	stopped bool
 }
 
 type scriptedHead struct {
-	head  tier.HeadOf
+	head  message.RequestSummary
 	next  int
 	out   int
 	tried []uint64
@@ -46,16 +46,16 @@
 			p.frozen = true
 			w.after(w.ms(20, 1200), p.thaw)
 		case what == 3 && p.up && !p.frozen && p.epoch != 0:
-			p.say(tier.Message{Kind: tier.Bye})
+			p.say(message.Message{Kind: message.KindGoodbye})
 			p.stopped = true
 			w.after(w.ms(5, 200), func() {
 				p.down()
 				w.after(w.ms(1, 300), p.connect)
 			})
 		case what == 4:
-			p.say(tier.Message{Kind: tier.Credit, Credit: w.rng.IntN(30)})
+			p.say(message.Message{Kind: message.KindCreditUpdate, Credit: w.rng.IntN(30)})
 		case what == 5:
-			p.say(tier.Message{Kind: tier.Snapshot, Age: w.ms(0, 3000), Bytes: []byte("no lesson")})
+			p.say(message.Message{Kind: message.KindModelSnapshot, Age: w.ms(0, 3000), Bytes: []byte("no lesson")})
 		case what == 6 || p.liar:
 			p.gossip()
 		}
@@ -89,7 +89,7 @@
 	}
 }
 
-func (p *scripted) say(m tier.Message) {
+func (p *scripted) say(m message.Message) {
 	if m.Epoch == 0 {
 		m.Epoch = p.epoch
 	}
@@ -104,29 +104,29 @@
 func (p *scripted) gossip() {
 	w := p.w
 	h := w.nodes[w.rng.IntN(len(w.nodes))]
-	x := tier.WordOf{Worker: number(h.ID), StartedMs: h.StartedMs, Generation: w.gen}
-	if x.State = tier.Up; h.State != "up" {
-		x.State = tier.Draining
+	x := message.WorkerStatus{Worker: number(h.ID), StartedMs: h.StartedAtMs, Generation: w.gen}
+	if x.State = message.WorkerUp; h.Lifecycle != "up" {
+		x.State = message.WorkerDraining
 	}
 	if w.rng.IntN(2) == 0 { // an old one
 		x.Generation -= int64(w.rng.IntN(5))
-		x.State = tier.State(w.rng.IntN(3))
+		x.State = message.WorkerState(w.rng.IntN(3))
 	}
 	if p.liar {
-		x = tier.WordOf{Worker: []uint64{x.Worker, x.Worker, 77}[w.rng.IntN(3)], Generation: int64(w.rng.IntN(100)),
-			State:     tier.State(w.rng.IntN(3)),
-			StartedMs: []int64{h.StartedMs, h.StartedMs + 5, w.now.Milliseconds() + 120000, -5, 1 << 62}[w.rng.IntN(5)]}
+		x = message.WorkerStatus{Worker: []uint64{x.Worker, x.Worker, 77}[w.rng.IntN(3)], Generation: int64(w.rng.IntN(100)),
+			State:     message.WorkerState(w.rng.IntN(3)),
+			StartedMs: []int64{h.StartedAtMs, h.StartedAtMs + 5, w.now.Milliseconds() + 120000, -5, 1 << 62}[w.rng.IntN(5)]}
 	}
-	p.say(tier.Message{Kind: tier.Word, Word: &x})
+	p.say(message.Message{Kind: message.KindWorkerStatus, Word: &x})
 }
 
 // reads takes in what the forwarder says.
-func (p *scripted) reads(m tier.Message) {
+func (p *scripted) reads(m message.Message) {
 	w := p.w
-	if m.Kind == tier.Hello {
+	if m.Kind == message.KindHandshake {
 		p.old, p.epoch = p.epoch, m.Epoch
 		clear(p.heads)
-		p.say(tier.Message{Kind: tier.Welcome, Name: p.name, Credit: w.rng.IntN(60), Version: 0})
+		p.say(message.Message{Kind: message.KindHandshakeAccept, Name: p.name, Credit: w.rng.IntN(60), Version: 0})
 		return
 	}
 	if m.Epoch != p.epoch || p.stopped {
@@ -134,9 +134,9 @@
 	}
 	h := p.heads[m.Query]
 	switch m.Kind {
-	case tier.Asked:
-		p.say(tier.Message{Kind: tier.Here, Number: m.Number, Late: w.ms(0, 3)})
-	case tier.Head:
+	case message.KindHeartbeat:
+		p.say(message.Message{Kind: message.KindHeartbeatReply, Number: m.Number, Late: w.ms(0, 3)})
+	case message.KindRequestOffer:
 		if p.forgets && w.rng.IntN(5) == 0 {
 			return
 		}
@@ -149,17 +149,17 @@
 		}
 		p.heads[m.Query] = h
 		p.soon(m.Query)
-	case tier.Ended:
+	case message.KindAttemptEnded:
 		if h == nil || m.Attempt < 0 {
 			return
 		}
-		if h.out--; m.Result == logic.OK {
+		if h.out--; m.Result == dispatch.OK {
 			delete(p.heads, m.Query)
 			return
 		}
-		h.may = h.may || m.Result != logic.Full && m.Result != logic.NoConnect && m.Result != logic.NotSent
+		h.may = h.may || m.Result != dispatch.WorkerFull && m.Result != dispatch.ConnectFailed && m.Result != dispatch.NotSent
 		p.soon(m.Query)
-	case tier.Over:
+	case message.KindRequestClosed:
 		delete(p.heads, m.Query)
 	}
 }
@@ -189,23 +189,23 @@
 	switch {
 	case h.out > 0:
 		return
-	case h.may && c.Effect != logic.Safe || len(h.tried) >= w.set.TryLimit || w.now >= h.till:
-		kind := tier.Refuse
-		if h.may && c.Effect != logic.Safe {
-			kind = tier.Fail
+	case h.may && c.Idempotency != dispatch.Idempotent || len(h.tried) >= w.set.AttemptLimit || w.now >= h.till:
+		kind := message.KindRejectCommand
+		if h.may && c.Idempotency != dispatch.Idempotent {
+			kind = message.KindFailCommand
 		}
 		delete(p.heads, query)
-		p.say(tier.Message{Kind: kind, Query: query, After: w.ms(0, 3000)})
+		p.say(message.Message{Kind: kind, Query: query, After: w.ms(0, 3000)})
 		return
 	case w.rng.IntN(25) == 0:
 		delete(p.heads, query)
-		p.say(tier.Message{Kind: tier.Move, Query: query, Name: []string{"p0", "p1", "p2", ""}[w.rng.IntN(4)]})
+		p.say(message.Message{Kind: message.KindTransferCommand, Query: query, Name: []string{"p0", "p1", "p2", ""}[w.rng.IntN(4)]})
 		return
 	}
 	var may []uint64
 	for _, n := range w.nodes {
-		fits := c.Kinds == nil || n.Kind == "k"+strconv.Itoa(c.Kinds[0])
-		if id := number(n.ID); n.State == "up" && fits && !slices.Contains(h.tried, id) {
+		fits := c.Kinds == nil || n.MachineType == "k"+strconv.Itoa(c.Kinds[0])
+		if id := number(n.ID); n.Lifecycle == "up" && fits && !slices.Contains(h.tried, id) {
 			may = append(may, id)
 		}
 	}
@@ -213,7 +213,7 @@
 		p.soon(query)
 		return
 	}
-	m := tier.Message{Kind: tier.Send, Query: query, Attempt: h.next, Worker: may[w.rng.IntN(len(may))]}
+	m := message.Message{Kind: message.KindSendCommand, Query: query, Attempt: h.next, Worker: may[w.rng.IntN(len(may))]}
 	if w.rng.IntN(3) == 0 {
 		m.Patience = w.ms(10, 300)
 	}
@@ -221,14 +221,14 @@
 	h.out++
 	h.tried = append(h.tried, m.Worker)
 	p.say(m)
-	if w.set.SecondCopies && c.Effect == logic.Safe && w.rng.IntN(4) == 0 && len(may) > 1 {
+	if w.set.Hedging && c.Idempotency == dispatch.Idempotent && w.rng.IntN(4) == 0 && len(may) > 1 {
 		m.Attempt, m.Worker = h.next, may[w.rng.IntN(len(may))]
 		h.next++
 		h.out++
 		p.say(m)
 	}
-	if w.set.Probes && w.rng.IntN(10) == 0 {
-		p.say(tier.Message{Kind: tier.Probe, Worker: m.Worker})
+	if w.set.HealthChecks && w.rng.IntN(10) == 0 {
+		p.say(message.Message{Kind: message.KindHealthCheckCommand, Worker: m.Worker})
 	}
 }
 
@@ -236,7 +236,7 @@
 func (p *scripted) err(query uint64, h *scriptedHead) {
 	w := p.w
 	node := func() uint64 { return number("w" + strconv.Itoa(w.rng.IntN(10))) }
-	m := tier.Message{Kind: tier.Send, Query: query, Attempt: h.next, Worker: node()}
+	m := message.Message{Kind: message.KindSendCommand, Query: query, Attempt: h.next, Worker: node()}
 	switch w.rng.IntN(9) {
 	case 0: // twice, by one number
 		p.say(m)
@@ -246,16 +246,16 @@
 		m.Attempt++
 		h.next += 2
 	case 2:
-		m.Epoch = []tier.Epoch{p.old, p.epoch + 1, p.epoch + 2, 7}[w.rng.IntN(4)]
+		m.Epoch = []message.Epoch{p.old, p.epoch + 1, p.epoch + 2, 7}[w.rng.IntN(4)]
 	case 3:
 		m.Query = w.rng.Uint64N(w.ids + 5)
 	case 4: // anywhere, whatever has been
 		h.next++
 	case 5:
-		m.Kind = []tier.Kind{tier.Refuse, tier.Fail, tier.Cancel, tier.Probe, tier.Free, tier.Move, tier.Bye, tier.Head,
-			tier.Hello, tier.Over, 250}[w.rng.IntN(11)]
-		if m.Kind == tier.Bye && w.rng.IntN(10) > 0 {
-			m.Kind = tier.Refuse
+		m.Kind = []message.Kind{message.KindRejectCommand, message.KindFailCommand, message.KindCancelCommand, message.KindHealthCheckCommand, message.KindCloseIdleCommand, message.KindTransferCommand, message.KindGoodbye, message.KindRequestOffer,
+			message.KindHandshake, message.KindRequestClosed, 250}[w.rng.IntN(11)]
+		if m.Kind == message.KindGoodbye && w.rng.IntN(10) > 0 {
+			m.Kind = message.KindRejectCommand
 		}
 	case 6:
 		m.Attempt = []int{-1, h.next - 1, h.next + 7, 1 << 40}[w.rng.IntN(4)]
@@ -264,7 +264,7 @@
 		m.Patience = -w.ms(0, 500)
 		h.next++
 	case 8:
-		m = tier.Message{Kind: tier.Welcome, Credit: w.rng.IntN(100) - 50}
+		m = message.Message{Kind: message.KindHandshakeAccept, Credit: w.rng.IntN(100) - 50}
 	}
 	p.say(m)
 	p.soon(query)
--- a/internal/membership/deal_test.go
+++ b/internal/control/membership/deal_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-func someTakers(seed, n int) (takers []taker) {
+func someTakers(seed, n int) (takers []owner) {
 	for i := range n {
-		takers = append(takers, taker{keyOf(fmt.Sprint("p", seed, i)), 1})
+		takers = append(takers, owner{nameKey(fmt.Sprint("p", seed, i)), 1})
 	}
 	return takers
 }
@@ -18,10 +18,10 @@
 func TestDealIsEven(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for play := range 400 {
-		pieces, takers := make([]piece, rng.IntN(80)), someTakers(play, 1+rng.IntN(8))
+		pieces, takers := make([]item, rng.IntN(80)), someTakers(play, 1+rng.IntN(8))
 		all, sum, heaviest := 0, 0, 1
 		for i := range pieces {
-			pieces[i] = piece{mix(rng.Uint64()), 1}
+			pieces[i] = item{mixBits(rng.Uint64()), 1}
 			if play%2 == 1 {
 				pieces[i].weight <<= rng.IntN(4)
 			}
@@ -34,7 +34,7 @@
 			}
 			sum += takers[i].weight
 		}
-		of, load := deal(pieces, takers), make([]int, len(takers))
+		of, load := assign(pieces, takers), make([]int, len(takers))
 		for i, k := range of {
 			if sum == 0 {
 				if k != -1 {
@@ -53,11 +53,11 @@
 			}
 		}
 		order := rng.Perm(len(pieces))
-		shuffled := make([]piece, len(pieces))
+		shuffled := make([]item, len(pieces))
 		for i, k := range order {
 			shuffled[i] = pieces[k]
 		}
-		for i, k := range deal(shuffled, takers) {
+		for i, k := range assign(shuffled, takers) {
 			if k != of[order[i]] {
 				t.Fatalf("play %d: another order, another taker", play)
 			}
@@ -75,12 +75,12 @@
 		{2500, 8, 0.02}, {2500, 64, 0.06}} {
 		moved, least, all := 0, 0, 0
 		for seed := range 40 {
-			pieces := make([]piece, x.pieces)
+			pieces := make([]item, x.pieces)
 			for i := range pieces {
-				pieces[i] = piece{mix(uint64(seed<<20 + i + 1)), 1}
+				pieces[i] = item{mixBits(uint64(seed<<20 + i + 1)), 1}
 			}
 			takers := someTakers(seed, x.takers)
-			with, without := deal(pieces, takers), deal(pieces, takers[:x.takers-1])
+			with, without := assign(pieces, takers), assign(pieces, takers[:x.takers-1])
 			for i := range pieces {
 				if with[i] != without[i] {
 					moved++
@@ -103,21 +103,21 @@
 
 // A newer process of a name is heard of; whatever comes late of the one before means nothing.
 func TestNewerProcessCounts(t *testing.T) {
-	f := NewFollower(Member{Name: "f"}, Config{})
-	f.Step(1, []Event{Joined{Member{Name: "p", Role: Planner, Process: 5}}}, nil)
-	f.Step(2, []Event{Died{"p", 4}, Left{"p", 4}, Joined{Member{Name: "p", Role: Planner, Process: 4, Addr: "old"}}}, nil)
-	if m := f.find("p"); !m.told || m.Process != 5 || m.Addr != "" {
+	f := NewForwarderMembership(Member{Name: "f"}, Config{})
+	f.Step(1, []Event{MemberJoined{Member{Name: "p", Role: RolePlanner, Incarnation: 5}}}, nil)
+	f.Step(2, []Event{MemberDied{"p", 4}, MemberLeft{"p", 4}, MemberJoined{Member{Name: "p", Role: RolePlanner, Incarnation: 4, Addr: "old"}}}, nil)
+	if m := f.find("p"); !m.inGossip || m.Incarnation != 5 || m.Addr != "" {
 		t.Errorf("%+v", m)
 	}
-	f.Step(3, []Event{Left{"p", 5}, Joined{Member{Name: "p", Role: Planner, Process: 5}}}, nil)
-	if m := f.find("p"); m.told {
+	f.Step(3, []Event{MemberLeft{"p", 5}, MemberJoined{Member{Name: "p", Role: RolePlanner, Incarnation: 5}}}, nil)
+	if m := f.find("p"); m.inGossip {
 		t.Error("one that has left is there again")
 	}
-	for i := range 2 * mostPlanners {
-		f.Step(4, []Event{Joined{Member{Name: fmt.Sprint("p", i), Role: Planner, Process: 1}}}, nil)
+	for i := range 2 * maxPlanners {
+		f.Step(4, []Event{MemberJoined{Member{Name: fmt.Sprint("p", i), Role: RolePlanner, Incarnation: 1}}}, nil)
 	}
-	if n := len(f.all); n != mostPlanners || f.Overflow == 0 || !slices.IsSortedFunc(f.all, func(a, b *member) int {
-		return byName(a, b.Name)
+	if n := len(f.members); n != maxPlanners || f.Overflow == 0 || !slices.IsSortedFunc(f.members, func(a, b *memberState) int {
+		return compareMember(a, b.Name)
 	}) {
 		t.Errorf("%d members", n)
 	}
@@ -126,12 +126,12 @@
 func BenchmarkDeal(b *testing.B) {
 	for _, x := range [][2]int{{25, 3}, {2500, 3}, {2500, 64}} {
 		b.Run(fmt.Sprint(x), func(b *testing.B) {
-			pieces, takers := make([]piece, x[0]), someTakers(1, x[1])
+			pieces, takers := make([]item, x[0]), someTakers(1, x[1])
 			for i := range pieces {
-				pieces[i] = piece{mix(uint64(i + 1)), 4}
+				pieces[i] = item{mixBits(uint64(i + 1)), 4}
 			}
 			for b.Loop() {
-				deal(pieces, takers)
+				assign(pieces, takers)
 			}
 		})
 	}
--- a/internal/membership/story_test.go
+++ b/internal/control/membership/story_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"valvecove/logic"
+	"valvecove/dispatch"
 )
 
 var update = flag.Bool("update", false, "write what is seen to the golden files")
@@ -70,11 +70,11 @@
 		}
 		if f[0] == "me" {
 			s.out.WriteString(line)
-			me := Member{Name: f[2], Process: 1, Addr: f[2]}
+			me := Member{Name: f[2], Incarnation: 1, Addr: f[2]}
 			if f[1] == "planner" {
-				s.me = NewParter(me, Config{})
+				s.me = NewPlannerMembership(me, Config{})
 			} else {
-				s.me = NewFollower(me, Config{})
+				s.me = NewForwarderMembership(me, Config{})
 			}
 			continue
 		}
@@ -112,7 +112,7 @@
 		if s.at <= s.now {
 			s.at = s.now + 100*time.Millisecond
 			for _, name := range s.names {
-				events = append(events, Answered{Name: name, Took: s.answers[name]})
+				events = append(events, ReplyReceived{Name: name, Latency: s.answers[name]})
 			}
 		}
 		s.step(events...)
@@ -123,23 +123,23 @@
 	for _, a := range s.me.Step(s.now, events, nil) {
 		text := ""
 		switch a := a.(type) {
-		case Planners:
+		case SetPlanners:
 			text = "sessions with " + strings.Join(a.Names, " ")
-		case Peers:
+		case SetPeers:
 			text = "peers " + strings.Join(a.Names, " ")
-		case Say:
+		case Announce:
 			text = "says that it follows " + strconv.Quote(a.Member.Home)
-			if a.Member.Role == Planner {
-				text = fmt.Sprintf("says that it is there, and knows %d worker nodes", a.Member.Nodes)
+			if a.Member.Role == RolePlanner {
+				text = fmt.Sprintf("says that it is there, and knows %d worker nodes", a.Member.Workers)
 			}
-		case Number:
-			text = fmt.Sprintf("number %d of %d", a.Me, a.Of)
-		case Log:
+		case SetForwarderIndex:
+			text = fmt.Sprintf("number %d of %d", a.Index, a.Count)
+		case LogLine:
 			text = "log: " + a.Text
-		case Part:
+		case SetPartition:
 			text = "part:"
 			for cell := range s.cells + 1 { // and one that is not known
-				text += " " + a.Owner(&logic.Worker{Cell: cell})
+				text += " " + a.Owner(&dispatch.Worker{Cell: cell})
 			}
 		}
 		fmt.Fprintf(&s.out, "    %v %s\n", s.now-storyStart, text)
@@ -149,13 +149,13 @@
 func (s *story) events(f []string) (events []Event) {
 	// p1, p1@2 for its second process, p1/10 for one that knows ten worker nodes, f1=p1 for one that follows p1
 	member := func(x string) Member {
-		m := Member{Name: x, Process: 1}
+		m := Member{Name: x, Incarnation: 1}
 		if name, nodes, ok := strings.Cut(m.Name, "/"); ok {
 			n, err := strconv.Atoi(nodes)
 			if err != nil {
 				s.t.Fatal(err)
 			}
-			m.Name, m.Nodes = name, weigh(n)
+			m.Name, m.Workers = name, cellWeight(n)
 		}
 		m.Name, m.Home, _ = strings.Cut(m.Name, "=")
 		if name, process, ok := strings.Cut(m.Name, "@"); ok {
@@ -163,25 +163,25 @@
 			if err != nil {
 				s.t.Fatal(err)
 			}
-			m.Name, m.Process = name, uint64(n)
+			m.Name, m.Incarnation = name, uint64(n)
 		}
 		if m.Name[0] == 'p' {
-			m.Role = Planner
+			m.Role = RolePlanner
 		}
 		return m
 	}
 	for i, x := range f {
 		switch {
 		case f[0] == "joined" && i > 0:
-			events = append(events, Joined{member(x)})
+			events = append(events, MemberJoined{member(x)})
 		case f[0] == "left" && i > 0:
-			events = append(events, Left{member(x).Name, member(x).Process})
+			events = append(events, MemberLeft{member(x).Name, member(x).Incarnation})
 		case f[0] == "died" && i > 0:
-			events = append(events, Died{member(x).Name, member(x).Process})
+			events = append(events, MemberDied{member(x).Name, member(x).Incarnation})
 		case f[0] == "linked" && i > 0:
-			events = append(events, Linked{x})
+			events = append(events, PlannerConnected{x})
 		case (f[0] == "lost" || f[0] == "silent") && i > 0:
-			events = append(events, Unlinked{x, f[0] == "silent"})
+			events = append(events, PlannerDisconnected{x, f[0] == "silent"})
 			s.names = without(s.names, x)
 		case f[0] == "cells" && i == 1:
 			n, err := strconv.Atoi(x)
@@ -189,7 +189,7 @@
 				s.t.Fatal(err)
 			}
 			s.cells = n
-			events = append(events, Listed{logic.WorkerList{Kind: logic.ListFull, Workers: fleet(n, 4)}})
+			events = append(events, EndpointsChanged{dispatch.WorkerList{Kind: dispatch.ListFull, Workers: fleet(n, 4)}})
 		case i == 1 && x == "answers":
 			took, err := time.ParseDuration(f[2])
 			if err != nil {
@@ -212,9 +212,9 @@
 }
 
 // fleet is so many cells of worker nodes.
-func fleet(cells, size int) (list []logic.Worker) {
+func fleet(cells, size int) (list []dispatch.Worker) {
 	for i := range cells * size {
-		list = append(list, logic.Worker{ID: uint64(i + 1), Cell: i / size, Ready: true})
+		list = append(list, dispatch.Worker{ID: uint64(i + 1), Cell: i / size, Ready: true})
 	}
 	return list
 }
--- a/internal/membership/town_test.go
+++ b/internal/control/membership/town_test.go
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
-	"valvecove/logic"
+	"valvecove/dispatch"
 )
 
 const ms = time.Millisecond
 
 // townConf has things settle sooner.
-var townConf = Config{Remember: 8 * time.Second, Well: 500 * ms}
+var townConf = Config{Retention: 8 * time.Second, RecoveryTime: 500 * ms}
 
 // town is some forwarders and planners with a model of an engine and of sessions between them: what is told takes its
 // time and comes in order from each, deaths are noticed late, and some are told that are none.
@@ -43,7 +43,7 @@
 	links   map[string]bool
 	dialing map[string]bool
 	cuts    map[string]bool
-	owner   func(w *logic.Worker) string
+	owner   func(w *dispatch.Worker) string
 	slow    time.Duration
 	at      time.Duration // of its next timer
 }
@@ -70,7 +70,7 @@
 		c := &citizen{town: w, said: Member{Name: fmt.Sprint("f", i-planners+1)}, cuts: map[string]bool{},
 			told: map[string]time.Duration{}}
 		if i < planners {
-			c.said.Name, c.said.Role = fmt.Sprint("p", i+1), Planner
+			c.said.Name, c.said.Role = fmt.Sprint("p", i+1), RolePlanner
 		}
 		w.all = append(w.all, c)
 	}
@@ -106,19 +106,19 @@
 	w := c.town
 	c.up, c.links, c.dialing, c.wanted, c.at = true, map[string]bool{}, map[string]bool{}, nil, 0
 	clear(c.told)
-	c.said.Process, c.said.Home = uint64(w.now), ""
-	if c.said.Role == Planner {
-		c.me = NewParter(c.said, townConf)
-		c.step(Listed{logic.WorkerList{Kind: logic.ListFull, Workers: fleet(w.cells, 4)}})
+	c.said.Incarnation, c.said.Home = uint64(w.now), ""
+	if c.said.Role == RolePlanner {
+		c.me = NewPlannerMembership(c.said, townConf)
+		c.step(EndpointsChanged{dispatch.WorkerList{Kind: dispatch.ListFull, Workers: fleet(w.cells, 4)}})
 	} else {
-		c.me = NewFollower(c.said, townConf)
+		c.me = NewForwarderMembership(c.said, townConf)
 	}
 	for _, o := range w.all {
 		if o != c && o.up {
-			c.hears(o, 0, Joined{o.said})
+			c.hears(o, 0, MemberJoined{o.said})
 		}
 	}
-	c.tellAll(0, Joined{c.said})
+	c.tellAll(0, MemberJoined{c.said})
 	c.step()
 }
 
@@ -129,9 +129,9 @@
 	}
 	c.up = false
 	if inOrder {
-		c.tellAll(0, Left{c.said.Name, c.said.Process})
+		c.tellAll(0, MemberLeft{c.said.Name, c.said.Incarnation})
 	} else {
-		c.tellAll(c.town.span(1000, 3000), Died{c.said.Name, c.said.Process})
+		c.tellAll(c.town.span(1000, 3000), MemberDied{c.said.Name, c.said.Incarnation})
 	}
 	for _, o := range c.town.all {
 		if o.up && o.links[c.said.Name] {
@@ -150,10 +150,10 @@
 
 // hears brings news of another, in order.
 func (c *citizen) hears(of *citizen, late time.Duration, e Event) {
-	process := c.said.Process
+	process := c.said.Incarnation
 	at := max(c.town.now+late+c.town.span(5, 300), c.told[of.said.Name])
 	c.town.after(at-c.town.now, func() {
-		if c.up && c.said.Process == process {
+		if c.up && c.said.Incarnation == process {
 			c.step(e)
 		}
 	})
@@ -167,16 +167,16 @@
 	w := c.town
 	for _, a := range c.me.Step(w.now, events, nil) {
 		switch a := a.(type) {
-		case Planners:
+		case SetPlanners:
 			c.wanted = a.Names
-		case Say:
+		case Announce:
 			if a.Member.Home != c.said.Home && c.said.Home != "" && a.Member.Home != "" {
 				w.homes++
 				w.leaving[w.now/time.Second]++
 			}
 			c.said = a.Member
-			c.tellAll(0, Joined{c.said})
-		case Part:
+			c.tellAll(0, MemberJoined{c.said})
+		case SetPartition:
 			c.owner = a.Owner
 		}
 	}
@@ -212,7 +212,7 @@
 			c.dialing[name] = false
 			if o := w.find(name); c.up && o.up && !c.cuts[name] && !c.links[name] {
 				c.links[name] = true
-				c.step(Linked{name})
+				c.step(PlannerConnected{name})
 				c.ask(name)
 			} else if c.up {
 				w.after(200*ms, func() { c.step() })
@@ -224,14 +224,14 @@
 func (c *citizen) unlink(name string, silent bool) {
 	if c.up && c.links[name] {
 		delete(c.links, name)
-		c.step(Unlinked{name, silent})
+		c.step(PlannerDisconnected{name, silent})
 	}
 }
 
 // ask has a forwarder see every 100 ms how long a planner takes to answer.
 func (c *citizen) ask(name string) {
 	w, me := c.town, c.me
-	if c.said.Role == Planner {
+	if c.said.Role == RolePlanner {
 		return
 	}
 	w.after(w.span(95, 105), func() {
@@ -242,14 +242,14 @@
 		if n := w.followers(name); w.room > 0 && n > w.room {
 			took += 40 * ms * time.Duration(n-w.room)
 		}
-		c.step(Answered{Name: name, Took: took})
+		c.step(ReplyReceived{Name: name, Latency: took})
 		c.ask(name)
 	})
 }
 
 func (w *town) followers(name string) (n int) {
 	for _, c := range w.all {
-		if f, ok := c.me.(*Follower); ok && c.up && f.Home() == name {
+		if f, ok := c.me.(*ForwarderMembership); ok && c.up && f.Home() == name {
 			n++
 		}
 	}
@@ -283,10 +283,10 @@
 			w.after(w.span(600, 8000), func() { delete(c.cuts, b); delete(o.cuts, a) })
 		case 2: // gossip errs
 			said := c.said
-			c.tellAll(0, Died{said.Name, said.Process})
+			c.tellAll(0, MemberDied{said.Name, said.Incarnation})
 			w.after(w.span(100, 1600), func() {
-				if c.up && c.said.Process == said.Process {
-					c.tellAll(0, Joined{c.said})
+				if c.up && c.said.Incarnation == said.Incarnation {
+					c.tellAll(0, MemberJoined{c.said})
 				}
 			})
 		case 3:
@@ -315,17 +315,17 @@
 	for _, c := range w.all {
 		c.start()
 	}
-	w.run(townConf.Remember + townConf.Well<<relapseMax + 10*time.Second)
+	w.run(townConf.Retention + townConf.RecoveryTime<<maxRelapses + 10*time.Second)
 }
 
 // check holds a town in which all is well to what must be so.
 func (w *town) check(what string) {
 	w.t.Helper()
-	living := w.living(Planner)
+	living := w.living(RolePlanner)
 	if len(living) == 0 {
 		return
 	}
-	all, least, most, followed := len(w.living(Forwarder)), len(w.all), 0, 0
+	all, least, most, followed := len(w.living(RoleForwarder)), len(w.all), 0, 0
 	for _, name := range living {
 		if n := w.followers(name); n > 0 {
 			least, most = min(least, n), max(most, n)
@@ -334,13 +334,13 @@
 	}
 	may := len(living) // the others stand by
 	if w.cells > 0 {
-		may = min(may, max(1, weigh(4*w.cells)/Defaults().Least))
+		may = min(may, max(1, cellWeight(4*w.cells)/Defaults().MinWorkersPerPlanner))
 	}
 	if followed != min(may, all) || most > least+1 {
 		w.t.Errorf("%s: %d planners are followed, by %d to %d forwarders", what, followed, least, most)
 	}
 	for _, c := range w.all {
-		if f, ok := c.me.(*Follower); ok && c.up && !c.links[f.Home()] {
+		if f, ok := c.me.(*ForwarderMembership); ok && c.up && !c.links[f.Home()] {
 			w.t.Errorf("%s: %s follows %q, which it has no session with", what, c.said.Name, f.Home())
 		}
 	}
@@ -348,7 +348,7 @@
 	for cell := range w.cells {
 		owner := ""
 		for _, name := range living {
-			is := w.find(name).owner(&logic.Worker{Cell: cell})
+			is := w.find(name).owner(&dispatch.Worker{Cell: cell})
 			if owner == "" {
 				owner = is
 			}
@@ -385,7 +385,7 @@
 			for range 300 {
 				w.run(100 * ms)
 				for _, c := range w.all {
-					if f, ok := c.me.(*Follower); ok && c.up && len(c.links) > 0 && f.Home() == "" {
+					if f, ok := c.me.(*ForwarderMembership); ok && c.up && len(c.links) > 0 && f.Home() == "" {
 						t.Errorf("%s follows nobody, and has sessions", c.said.Name)
 					}
 				}
--- /dev/null
+++ b/internal/control/planner/bad_test.go
@@ -0,0 +1,108 @@
+package planner
+
+import (
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
+)
+
+// Whatever anybody says: nothing panics but what the module must not be told, the book stays true to what it counts, its
+// tables stay bounded, and in the end nothing is left.
+func TestBadInput(t *testing.T) {
+	for seed := range uint64(80) {
+		rng := rand.New(rand.NewPCG(seed, 3))
+		b := newBook(Config{MaxOpenRequests: 30, MaxSessions: 6})
+		now := time.Hour
+		for n := range 400 {
+			var ins []Event
+			for range rng.IntN(6) {
+				ins = append(ins, badIn(rng))
+			}
+			now += time.Duration(rng.IntN(60)-5) * ms // at times it steps back
+			b.Step(now, ins, nil)
+			if err := checkBook(b); err != nil {
+				t.Fatalf("seed %d, step %d: %v", seed, n, err)
+			}
+			s := b.Status()
+			if s.Sessions > 6 || s.Open > 60 || len(b.requests) > 150 || len(b.peerTable.peers) > maxPeers || len(b.tombstones) > maxTombstones || len(b.forwarders) > 14 {
+				t.Fatalf("seed %d, step %d: %+v, %d jobs, %d peers, %d names", seed, n, s, len(b.requests), len(b.peerTable.peers), len(b.forwarders))
+			}
+		}
+		for id := range SessionID(12) {
+			b.Step(now, []Event{{Kind: SessionClosed, Session: id}}, nil)
+		}
+		for range 100 {
+			now += time.Second
+			b.Step(now, nil, nil)
+		}
+		if s := b.Status(); s.Open+s.Closing+s.Sessions+len(b.forwarders)+len(b.healthChecks) > 0 {
+			t.Fatalf("seed %d: left in the end: %+v", seed, s)
+		}
+	}
+}
+
+func badNumber(rng *rand.Rand) int64 {
+	odd := [...]int64{0, 1, -1, 2, 3, 5, math.MaxInt64, math.MinInt64, 1 << 40, int64(time.Second), int64(3 * time.Millisecond)}
+	return odd[rng.IntN(len(odd))]
+}
+
+func badFloat(rng *rand.Rand) float64 {
+	odd := [...]float64{0, 1, 2.5, -1, math.NaN(), math.Inf(1), math.Inf(-1), 1e300}
+	return odd[rng.IntN(len(odd))]
+}
+
+func badIn(rng *rand.Rand) Event {
+	num := func() int { return int(badNumber(rng)) }
+	span := func() time.Duration { return time.Duration(badNumber(rng)) }
+	name := [...]string{"f1", "f2", "f3", "plan-b", me, "", string(make([]byte, 300))}[rng.IntN(7)]
+	word := message.WorkerStatus{Worker: uint64(rng.IntN(9)), StartedMs: badNumber(rng), Generation: badNumber(rng), State: message.WorkerState(rng.IntN(5))}
+	m := &message.Message{Kind: message.Kind(rng.IntN(90)), Epoch: message.Epoch(rng.IntN(4)), Query: uint64(rng.IntN(30)), Worker: uint64(rng.IntN(9)),
+		Number: rng.Uint64(), Process: uint64(rng.IntN(3)), Attempt: num(), Credit: num(), Version: 0x100 + rng.IntN(20)/19*0x100,
+		Result: dispatch.Result(num()), Why: message.RejectReason(rng.IntN(40) * rng.IntN(2)), Share: badFloat(rng), Name: name}
+	if rng.IntN(3) == 0 {
+		m.Kind = [...]message.Kind{message.KindRequestOffer, message.KindAttemptEnded, message.KindHandshake}[rng.IntN(3)]
+		m.Attempt, m.Why = rng.IntN(3), 0
+	}
+	if rng.IntN(4) > 0 {
+		m.Word = &word
+		m.Load = &message.LoadReport{Heads: num(), Held: num(), Forwarders: num(), Late: span(), Slots: badFloat(rng), Room: badFloat(rng)}
+		m.Head = &message.RequestSummary{Class: rng.IntN(7) - 1, Tenant: num(), Key: rng.Uint64(), Left: span(), Waited: span(), Hint: span(),
+			Slots: badFloat(rng), Memory: badFloat(rng), Moves: num()}
+		for range rng.IntN(4) {
+			m.Head.Attempts = append(m.Head.Attempts, message.PastAttempt{Worker: uint64(rng.IntN(20)), Ago: span(), Began: span(),
+				Ended: rng.IntN(2) == 0, Result: dispatch.Result(num()), MayRun: rng.IntN(2) == 0})
+		}
+		if rng.IntN(30) == 0 {
+			m.Head.Attempts = make([]message.PastAttempt, 300)
+		}
+	}
+	session := SessionID(rng.IntN(10))
+	switch rng.IntN(14) {
+	case 0:
+		return Event{Kind: SessionOpened, Session: session}
+	case 1:
+		return Event{Kind: SessionClosed, Session: session}
+	case 2:
+		return Event{Kind: EventKind(rng.IntN(int(StopRequested))), Session: session, Peer: name} // nothing that it points to is there
+	case 3:
+		return Event{Kind: PeerConnected, Peer: name}
+	case 4:
+		return Event{Kind: PeerMessage, Peer: name, Message: m}
+	case 5:
+		return Event{Kind: PeersChanged, Names: []string{name, "plan-c", name}}
+	case 6:
+		l := dispatch.WorkerList{Kind: dispatch.ListKind(rng.IntN(4)), Revision: badNumber(rng)}
+		for range rng.IntN(5) {
+			l.Workers = append(l.Workers, dispatch.Worker{ID: uint64(rng.IntN(9)), Kind: num(), Zone: num(), Cell: rng.IntN(4), Ready: rng.IntN(2) == 0,
+				Removed: rng.IntN(4) == 0, Size: badFloat(rng), BootAt: span()})
+		}
+		return Event{Kind: EndpointsChanged, Endpoints: l}
+	case 7:
+		return Event{Kind: PartitionChanged, Owner: ownerByCell([]string{me, "plan-b", name}[:1+rng.IntN(3)]...)}
+	}
+	return Event{Kind: ForwarderMessage, Session: session, Message: m}
+}
--- a/internal/planner/bench_test.go
+++ b/internal/control/planner/bench_test.go
@@ -5,24 +5,24 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/tier"
-	"valvecove/logic"
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
 )
 
 // rig drives a book with forwarders that follow every order: each attempt starts after one delay and ends OK after
 // another. Its queues are rings in order of time, as the model must cost next to nothing beside what it drives.
 type rig struct {
-	b      *Book
+	b      *Planner
 	now    time.Duration
 	fwds   int
 	last   []uint64 // query by forwarder
-	outs   []Out
-	ins    []In
+	outs   []Action
+	ins    []Event
 	starts []rigDue
 	ends   []rigDue
 	s, e   int
-	head   tier.HeadOf
-	msgs   []tier.Message
+	head   message.RequestSummary
+	msgs   []message.Message
 	served int
 	others int
 	orders int
@@ -30,7 +30,7 @@
 
 type rigDue struct {
 	at    time.Duration
-	f     Session
+	f     SessionID
 	query uint64
 	n     int
 }
@@ -42,50 +42,50 @@
 
 func newRig(nodes, forwarders int) *rig {
 	set := testSettings()
-	set.Probes, set.Cold, set.TenantQuota = false, 0, nil
-	set.Classes = []logic.Class{{Aim: 80 * ms, Stretch: 2.5, GiveUp: 5 * time.Second, Effect: logic.Safe, Worth: 1}}
-	conf := Config{Settings: set, Heads: 1 << 20, Most: 1 << 18, Start: func() Module { return logic.New(set, 1) }}
-	r := &rig{b: newBook(conf), now: time.Hour, fwds: forwarders, last: make([]uint64, forwarders+1), msgs: make([]tier.Message, 4096)}
-	r.head = tier.HeadOf{Left: 5 * time.Second, Hint: rigRun, Slots: 1}
-	list := logic.WorkerList{Kind: logic.ListFull, Generation: 1}
+	set.HealthChecks, set.WarmUp, set.TenantQuota = false, 0, nil
+	set.Classes = []dispatch.Class{{LatencyObjective: 80 * ms, ObjectiveStretch: 2.5, ClientTimeout: 5 * time.Second, Idempotency: dispatch.Idempotent, PriorityWeight: 1}}
+	conf := Config{Settings: set, MaxOpenRequests: 1 << 20, MaxCredit: 1 << 18, NewPolicy: func() Policy { return dispatch.New(set, 1) }}
+	r := &rig{b: newBook(conf), now: time.Hour, fwds: forwarders, last: make([]uint64, forwarders+1), msgs: make([]message.Message, 4096)}
+	r.head = message.RequestSummary{Left: 5 * time.Second, Hint: rigRun, Slots: 1}
+	list := dispatch.WorkerList{Kind: dispatch.ListFull, Revision: 1}
 	for id := range nodes {
-		list.Workers = append(list.Workers, logic.Worker{ID: uint64(id+1) * 0x9e3779b97f4a7c15, Kind: id % 3, Zone: id % 2, Cell: id / 4, Ready: true})
+		list.Workers = append(list.Workers, dispatch.Worker{ID: uint64(id+1) * 0x9e3779b97f4a7c15, Kind: id % 3, Zone: id % 2, Cell: id / 4, Ready: true})
 	}
-	ins := []In{{Kind: Hosts, List: list}}
+	ins := []Event{{Kind: EndpointsChanged, Endpoints: list}}
 	for f := range forwarders {
-		ins = append(ins, In{Kind: SessionUp, Session: Session(f + 1)},
-			In{Kind: FromForwarder, Session: Session(f + 1), Msg: &tier.Message{Kind: tier.Hello, Epoch: 1, Name: fmt.Sprint("f", f), Version: 0x100}})
+		ins = append(ins, Event{Kind: SessionOpened, Session: SessionID(f + 1)},
+			Event{Kind: ForwarderMessage, Session: SessionID(f + 1), Message: &message.Message{Kind: message.KindHandshake, Epoch: 1, Name: fmt.Sprint("f", f), Version: 0x100}})
 	}
 	r.step(ins)
 	return r
 }
 
-func (r *rig) say(f Session, m tier.Message) {
+func (r *rig) say(f SessionID, m message.Message) {
 	m.Epoch = 1
 	at := &r.msgs[len(r.ins)]
 	*at = m
-	r.ins = append(r.ins, In{Kind: FromForwarder, Session: f, Msg: at})
+	r.ins = append(r.ins, Event{Kind: ForwarderMessage, Session: f, Message: at})
 }
 
 func (r *rig) offer() {
-	f := Session(r.orders%r.fwds + 1)
+	f := SessionID(r.orders%r.fwds + 1)
 	r.orders++
 	r.last[f]++
-	r.say(f, tier.Message{Kind: tier.Head, Query: r.last[f], Head: &r.head})
+	r.say(f, message.Message{Kind: message.KindRequestOffer, Query: r.last[f], Head: &r.head})
 }
 
-func (r *rig) step(ins []In) {
+func (r *rig) step(ins []Event) {
 	r.outs = r.b.Step(r.now, ins, r.outs[:0])
 	for i := range r.outs {
 		o := &r.outs[i]
-		if o.Kind != Say {
+		if o.Kind != SendToForwarder {
 			continue
 		}
-		switch o.Msg.Kind {
-		case tier.Send:
-			r.starts = append(r.starts, rigDue{r.now + 2*rigDelay, o.Session, o.Msg.Query, o.Msg.Attempt})
-			r.ends = append(r.ends, rigDue{r.now + 2*rigDelay + rigRun, o.Session, o.Msg.Query, o.Msg.Attempt})
-		case tier.Refuse, tier.Fail:
+		switch o.Message.Kind {
+		case message.KindSendCommand:
+			r.starts = append(r.starts, rigDue{r.now + 2*rigDelay, o.Session, o.Message.Query, o.Message.Attempt})
+			r.ends = append(r.ends, rigDue{r.now + 2*rigDelay + rigRun, o.Session, o.Message.Query, o.Message.Attempt})
+		case message.KindRejectCommand, message.KindFailCommand:
 			r.others++
 		}
 	}
@@ -99,7 +99,7 @@
 			d := r.starts[r.s]
 			r.s++
 			r.now = max(r.now, d.at)
-			r.say(d.f, tier.Message{Kind: tier.Started, Query: d.query, Attempt: d.n})
+			r.say(d.f, message.Message{Kind: message.KindAttemptStarted, Query: d.query, Attempt: d.n})
 			continue
 		}
 		if r.e >= len(r.ends) {
@@ -109,7 +109,7 @@
 		d := r.ends[r.e]
 		r.e++
 		r.now = max(r.now, d.at)
-		r.say(d.f, tier.Message{Kind: tier.Ended, Query: d.query, Attempt: d.n, Result: logic.OK})
+		r.say(d.f, message.Message{Kind: message.KindAttemptEnded, Query: d.query, Attempt: d.n, Result: dispatch.OK})
 		r.offer()
 		r.served++
 	}
--- a/internal/planner/golden_test.go
+++ b/internal/control/planner/golden_test.go
@@ -10,20 +10,20 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/tier"
-	"valvecove/logic"
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
 )
 
 var update = flag.Bool("update", false, "write what golden plays give into their files")
 
 // script is a module that does as it is told, and notes what it hears.
 type script struct {
-	next   []logic.Action
+	next   []dispatch.Action
 	heard  *[]string
 	panics *int // so many steps, of whichever module
 }
 
-func (s *script) Step(_ time.Duration, events []logic.Event, dst []logic.Action) []logic.Action {
+func (s *script) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	if *s.panics > 0 {
 		*s.panics--
 		panic("script")
@@ -31,41 +31,41 @@
 	for _, e := range events {
 		line := fmt.Sprintf("module: %T %+v", e, e)
 		switch e := e.(type) {
-		case logic.WorkerList:
+		case dispatch.WorkerList:
 			line = fmt.Sprintf("module: list %s", [...]string{"delta", "full", "cached", "lost"}[e.Kind])
 			for _, w := range e.Workers {
 				state := map[bool]string{true: "ready", false: "not ready"}[w.Ready]
-				if w.Gone {
+				if w.Removed {
 					state = "gone"
-				} else if w.Rank > 0 {
+				} else if w.AssigneeRank > 0 {
 					state += ", no cold work"
 				}
 				line += fmt.Sprintf(" [w%d %s]", w.ID, state)
 			}
-		case logic.Job:
-			if line = fmt.Sprintf("module: job %d, left %v", e.ID, e.Left); e.Tenant == poison {
+		case dispatch.Job:
+			if line = fmt.Sprintf("module: job %d, left %v", e.ID, e.Remaining); e.Tenant == poison {
 				panic("poison")
 			}
-		case logic.Resumed:
+		case dispatch.JobResumed:
 			if e.Job.Tenant == poison {
 				panic("poison")
 			}
-			line = fmt.Sprintf("module: resumed job %d, left %v, waited %v", e.Job.ID, e.Job.Left, e.Waited)
+			line = fmt.Sprintf("module: resumed job %d, left %v, waited %v", e.Job.ID, e.Job.Remaining, e.Age)
 			for _, p := range e.Attempts {
 				fate := "out"
 				if p.Ended {
 					fate = resultNames[p.Result]
 				}
-				line += fmt.Sprintf(" [w%d ago %v, began %v, %s]", p.Worker, p.Ago, p.Began, fate)
+				line += fmt.Sprintf(" [w%d ago %v, began %v, %s]", p.Worker, p.SentAgo, p.StartedAgo, fate)
 			}
-		case logic.Outcome:
+		case dispatch.Outcome:
 			line = fmt.Sprintf("module: job %d, attempt %d at w%d: %s", e.Job, e.Attempt, e.Worker, resultNames[e.Result])
 			if e.Closed {
 				line += ", closed"
 			}
-		case logic.ClientGone:
+		case dispatch.ClientDisconnected:
 			line = fmt.Sprintf("module: job %d is over", e.Job)
-		case logic.Started:
+		case dispatch.Started:
 			line = fmt.Sprintf("module: job %d, attempt %d at w%d started", e.Job, e.Attempt, e.Worker)
 		}
 		*s.heard = append(*s.heard, line)
@@ -75,11 +75,11 @@
 	return dst
 }
 
-// Overlong gives each attempt half a second.
-func (s *script) Overlong(uint64, int) (time.Duration, bool) { return 500 * ms, true }
+// TimeUntilOverdue gives each attempt half a second.
+func (s *script) TimeUntilOverdue(uint64, int) (time.Duration, bool) { return 500 * ms, true }
 
-// Lesson is never the same, and short.
-func (s *script) Lesson(int, []byte) []byte { return []byte("lesson") }
+// ModelSnapshot is never the same, and short.
+func (s *script) ModelSnapshot(int, []byte) []byte { return []byte("lesson") }
 
 // Golden plays: "> " lines are what happens, in one step up to the next empty line; "< " lines are what that gave.
 func TestGolden(t *testing.T) {
@@ -109,26 +109,26 @@
 // stage is where golden plays are performed.
 type stage struct {
 	t     *testing.T
-	b     *Book
+	b     *Planner
 	m     *script
 	heard []string
 	now   time.Duration
 	timer time.Duration
-	ins   []In
-	epoch map[Session]tier.Epoch
+	ins   []Event
+	epoch map[SessionID]message.Epoch
 
 	panics int
 }
 
 func newStage(t *testing.T) *stage {
-	s := &stage{t: t, now: time.Hour, epoch: map[Session]tier.Epoch{}}
-	conf := Config{Heads: 40, Least: 4, Most: 30, LoadEvery: time.Hour, LessonEvery: time.Hour}
-	conf.Start = func() Module {
+	s := &stage{t: t, now: time.Hour, epoch: map[SessionID]message.Epoch{}}
+	conf := Config{MaxOpenRequests: 40, MinCredit: 4, MaxCredit: 30, LoadReportInterval: time.Hour, SnapshotInterval: time.Hour}
+	conf.NewPolicy = func() Policy {
 		s.m = &script{heard: &s.heard, panics: &s.panics}
 		return s.m
 	}
 	s.b = newBook(conf)
-	s.ins = []In{{Kind: Part, Owner: ownerByCell(me, "plan-b", "plan-c")}}
+	s.ins = []Event{{Kind: PartitionChanged, Owner: ownerByCell(me, "plan-b", "plan-c")}}
 	s.step()
 	s.heard = nil
 	return s
@@ -174,45 +174,45 @@
 	s.ins = nil
 	for i := range outs {
 		switch o := &outs[i]; o.Kind {
-		case Say:
-			s.heard = append(s.heard, fmt.Sprintf("to %d: %s", o.Session, text(&o.Msg)))
-		case SayPeer:
-			s.heard = append(s.heard, fmt.Sprintf("to %s: %s", o.Peer, text(&o.Msg)))
-		case Close:
+		case SendToForwarder:
+			s.heard = append(s.heard, fmt.Sprintf("to %d: %s", o.Session, text(&o.Message)))
+		case SendToPeer:
+			s.heard = append(s.heard, fmt.Sprintf("to %s: %s", o.Peer, text(&o.Message)))
+		case CloseSession:
 			s.heard = append(s.heard, fmt.Sprintf("close %d", o.Session))
 		case SetTimer:
 			if at := s.now + o.After; s.timer == 0 || at < s.timer {
 				s.timer = at
 			}
-		case Watch:
-			s.heard = append(s.heard, fmt.Sprintf("watch after generation %d", o.Generation))
-		case Log:
+		case WatchEndpoints:
+			s.heard = append(s.heard, fmt.Sprintf("watch after generation %d", o.Revision))
+		case LogLine:
 			line, _, _ := strings.Cut(o.Text, ", at planner.")
 			s.heard = append(s.heard, "log: "+line)
-		case Done:
+		case Stopped:
 			s.heard = append(s.heard, "done")
 		}
 	}
 }
 
 // text is a message without what is zero.
-func text(m *tier.Message) string {
+func text(m *message.Message) string {
 	line := m.Kind.String()
 	add := func(name string, x any) {
 		if t := fmt.Sprint(x); t != "0" && t != "0s" && t != "" {
 			line += fmt.Sprintf(" %s=%s", name, t)
 		}
 	}
-	if m.Kind == tier.Welcome {
+	if m.Kind == message.KindHandshakeAccept {
 		add("epoch", m.Epoch)
 	}
 	add("q", m.Query)
-	if m.Kind == tier.Send || m.Kind == tier.Cancel {
+	if m.Kind == message.KindSendCommand || m.Kind == message.KindCancelCommand {
 		line += fmt.Sprintf(" n=%d", m.Attempt)
 	}
 	add("w", m.Worker)
 	add("number", m.Number)
-	if m.Kind == tier.Welcome || m.Kind == tier.Credit {
+	if m.Kind == message.KindHandshakeAccept || m.Kind == message.KindCreditUpdate {
 		line += fmt.Sprintf(" credit=%d", m.Credit)
 	}
 	add("version", m.Version)
@@ -265,14 +265,14 @@
 		}
 		return d
 	}
-	word := func() *tier.WordOf {
-		return &tier.WordOf{Worker: uint64(num("w")), StartedMs: int64(num("start")), Generation: int64(num("generation")),
-			State: tier.State(max(0, index(stateNames[:], args["state"])))}
+	word := func() *message.WorkerStatus {
+		return &message.WorkerStatus{Worker: uint64(num("w")), StartedMs: int64(num("start")), Generation: int64(num("generation")),
+			State: message.WorkerState(max(0, index(stateNames[:], args["state"])))}
 	}
 	if who, isPeer := strings.CutSuffix(words[0], ":"); isPeer && strings.HasPrefix(who, "plan") {
-		m := &tier.Message{Kind: kindOf(words[1]), Epoch: tier.Epoch(num("epoch")), Name: who, Version: 0x100, Word: word(),
-			Load: &tier.LoadOf{Heads: num("heads"), Held: num("held"), Room: float64(num("room"))}}
-		s.ins = append(s.ins, In{Kind: FromPeer, Peer: who, Msg: m})
+		m := &message.Message{Kind: kindOf(words[1]), Epoch: message.Epoch(num("epoch")), Name: who, Version: 0x100, Word: word(),
+			Load: &message.LoadReport{Heads: num("heads"), Held: num("held"), Room: float64(num("room"))}}
+		s.ins = append(s.ins, Event{Kind: PeerMessage, Peer: who, Message: m})
 		return
 	} else if isPeer {
 		n, _ := strconv.Atoi(who)
@@ -282,7 +282,7 @@
 		if words[1] == "heads" {
 			return
 		}
-		s.ins = append(s.ins, In{Kind: FromForwarder, Session: Session(n), Msg: s.message(Session(n), words, args, num, span, word())})
+		s.ins = append(s.ins, Event{Kind: ForwarderMessage, Session: SessionID(n), Message: s.message(SessionID(n), words, args, num, span, word())})
 		return
 	}
 	switch words[0] {
@@ -303,46 +303,46 @@
 		s.now += mustSpan(s.t, words[1])
 	case "up", "down":
 		n, _ := strconv.Atoi(words[1])
-		s.ins = append(s.ins, In{Kind: map[string]InKind{"up": SessionUp, "down": SessionDown}[words[0]], Session: Session(n)})
+		s.ins = append(s.ins, Event{Kind: map[string]EventKind{"up": SessionOpened, "down": SessionClosed}[words[0]], Session: SessionID(n)})
 	case "link", "unlink":
-		s.ins = append(s.ins, In{Kind: map[string]InKind{"link": PeerUp, "unlink": PeerDown}[words[0]], Peer: words[1]})
+		s.ins = append(s.ins, Event{Kind: map[string]EventKind{"link": PeerConnected, "unlink": PeerDisconnected}[words[0]], Peer: words[1]})
 	case "alive":
-		s.ins = append(s.ins, In{Kind: Peers, Names: words[1:]})
+		s.ins = append(s.ins, Event{Kind: PeersChanged, Names: words[1:]})
 	case "part":
-		s.ins = append(s.ins, In{Kind: Part, Owner: ownerByCell(words[1:]...)})
+		s.ins = append(s.ins, Event{Kind: PartitionChanged, Owner: ownerByCell(words[1:]...)})
 	case "hosts": // hosts delta generation=3 2:up 3:draining 4:up:500 (its cell is 4%3, its start 500 ms ago)
-		l := logic.WorkerList{Kind: logic.ListKind(index([]string{"delta", "full", "cached", "lost"}, words[1])), Generation: int64(num("generation"))}
+		l := dispatch.WorkerList{Kind: dispatch.ListKind(index([]string{"delta", "full", "cached", "lost"}, words[1])), Revision: int64(num("generation"))}
 		for _, x := range words[3:] {
 			part := strings.Split(x, ":")
 			id, _ := strconv.Atoi(part[0])
-			w := logic.Worker{ID: uint64(id), Cell: id % 3, Kind: id / 10, Ready: part[1] == "up", Gone: part[1] == "gone"}
+			w := dispatch.Worker{ID: uint64(id), Cell: id % 3, Kind: id / 10, Ready: part[1] == "up", Removed: part[1] == "gone"}
 			if len(part) > 2 {
 				ago, _ := strconv.Atoi(part[2])
 				w.BootAt = (s.now - time.Duration(ago)*ms).Truncate(ms)
 			}
 			l.Workers = append(l.Workers, w)
 		}
-		s.ins = append(s.ins, In{Kind: Hosts, List: l})
+		s.ins = append(s.ins, Event{Kind: EndpointsChanged, Endpoints: l})
 	case "send":
-		s.m.next = append(s.m.next, logic.Send{Job: uint64(num("job")), Worker: uint64(num("w"))})
+		s.m.next = append(s.m.next, dispatch.Send{Job: uint64(num("job")), Worker: uint64(num("w"))})
 	case "refuse":
-		s.m.next = append(s.m.next, logic.Refuse{Job: uint64(num("job")), After: span("after")})
+		s.m.next = append(s.m.next, dispatch.Reject{Job: uint64(num("job")), RetryAfter: span("after")})
 	case "fail":
-		s.m.next = append(s.m.next, logic.Fail{Job: uint64(num("job"))})
+		s.m.next = append(s.m.next, dispatch.Fail{Job: uint64(num("job"))})
 	case "cancel":
-		s.m.next = append(s.m.next, logic.Cancel{Job: uint64(num("job")), Attempt: num("n")})
+		s.m.next = append(s.m.next, dispatch.Cancel{Job: uint64(num("job")), Attempt: num("n")})
 	case "probe":
-		s.m.next = append(s.m.next, logic.Probe{Worker: uint64(num("w"))})
+		s.m.next = append(s.m.next, dispatch.HealthCheck{Worker: uint64(num("w"))})
 	case "free":
-		s.m.next = append(s.m.next, logic.FreeLinks{Worker: uint64(num("w"))})
+		s.m.next = append(s.m.next, dispatch.CloseIdleConnections{Worker: uint64(num("w"))})
 	case "timer":
-		s.m.next = append(s.m.next, logic.SetTimer{After: span("after")})
+		s.m.next = append(s.m.next, dispatch.SetTimer{After: span("after")})
 	case "panics":
 		s.panics = num("n")
 	case "subscribe":
-		s.m.next = append(s.m.next, logic.Subscribe{})
+		s.m.next = append(s.m.next, dispatch.Subscribe{})
 	case "stop":
-		s.ins = append(s.ins, In{Kind: Stop})
+		s.ins = append(s.ins, Event{Kind: StopRequested})
 	default:
 		s.t.Fatalf("%q is nothing that happens", words[0])
 	}
@@ -356,8 +356,8 @@
 	return d
 }
 
-func kindOf(name string) tier.Kind {
-	for k := range tier.Kind(128) {
+func kindOf(name string) message.Kind {
+	for k := range message.Kind(128) {
 		if k.String() == name {
 			return k
 		}
@@ -367,30 +367,30 @@
 
 // message is what a forwarder says: "1: head q=7 class=1 w1:ago=20ms,reset". Its epoch is that of its last hello, if none
 // is given.
-func (s *stage) message(id Session, words []string, args map[string]string, num func(string) int,
-	span func(string) time.Duration, word *tier.WordOf) *tier.Message {
-	m := &tier.Message{Kind: kindOf(words[1]), Epoch: tier.Epoch(num("epoch")), Query: uint64(num("q")), Worker: uint64(num("w")),
+func (s *stage) message(id SessionID, words []string, args map[string]string, num func(string) int,
+	span func(string) time.Duration, word *message.WorkerStatus) *message.Message {
+	m := &message.Message{Kind: kindOf(words[1]), Epoch: message.Epoch(num("epoch")), Query: uint64(num("q")), Worker: uint64(num("w")),
 		Number: uint64(num("number")), Attempt: num("n"), Process: uint64(num("process")), Name: args["name"], Version: 0x101}
-	if m.Kind == tier.Hello {
+	if m.Kind == message.KindHandshake {
 		if s.epoch[id] = m.Epoch; args["version"] != "" {
 			m.Version = num("version")
 		}
 	} else if m.Epoch == 0 {
 		m.Epoch = s.epoch[id]
 	}
-	m.Result = logic.Result(max(0, index(resultNames[:], args["result"])))
-	for why := range tier.Reasons {
+	m.Result = dispatch.Result(max(0, index(resultNames[:], args["result"])))
+	for why := range message.ReasonCount {
 		if args["why"] != "" && strings.ReplaceAll(why.String(), " ", "-") == args["why"] {
 			m.Why = why
 		}
 	}
-	if m.Kind == tier.Word || args["state"] != "" {
+	if m.Kind == message.KindWorkerStatus || args["state"] != "" {
 		m.Word = word
 	}
-	if m.Kind != tier.Head {
+	if m.Kind != message.KindRequestOffer {
 		return m
 	}
-	m.Head = &tier.HeadOf{Class: num("class"), Tenant: num("tenant"), Left: 3*time.Second - span("waited"), Waited: span("waited"),
+	m.Head = &message.RequestSummary{Class: num("class"), Tenant: num("tenant"), Left: 3*time.Second - span("waited"), Waited: span("waited"),
 		Hint: 100 * ms, Slots: 1, Moves: num("moves")}
 	for _, x := range words[2:] {
 		name, fate, ok := strings.Cut(x, ":")
@@ -398,7 +398,7 @@
 			continue
 		}
 		worker, _ := strconv.Atoi(strings.TrimPrefix(name, "w"))
-		p := tier.Past{Worker: uint64(worker), MayRun: true}
+		p := message.PastAttempt{Worker: uint64(worker), MayRun: true}
 		for _, f := range strings.Split(fate, ",") {
 			switch what, d, _ := strings.Cut(f, "="); what {
 			case "ago":
@@ -408,8 +408,8 @@
 			case "mayrun", "norun": // by the forwarder's book, whatever the result
 				p.MayRun = f == "mayrun"
 			default:
-				p.Ended, p.Result = true, logic.Result(index(resultNames[:], f))
-				p.MayRun = !provesNothingRan(p.Result)
+				p.Ended, p.Result = true, dispatch.Result(index(resultNames[:], f))
+				p.MayRun = !provesNotExecuted(p.Result)
 			}
 		}
 		m.Head.Attempts = append(m.Head.Attempts, p)
--- a/internal/planner/model_test.go
+++ b/internal/control/planner/model_test.go
@@ -12,28 +12,28 @@
 
 	"pgregory.net/rapid"
 
-	"valvecove/internal/tier"
-	"valvecove/logic"
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
 )
 
 // play is a book with forwarders, peers and a fleet round it, in virtual time, and all of it by chance.
 type play struct {
 	t     *rapid.T
 	rng   *rand.Rand // all but how much there is of everything: rapid would have nearly all of it happen at once
-	b     *Book
+	b     *Planner
 	conf  Config
 	now   time.Duration
 	timer time.Duration // 0: none
-	ins   []In
+	ins   []Event
 	steps []step
 	fwds  []*mForwarder
-	conns map[Session]*mConn
-	last  Session
-	shut  map[Session]bool // by the book
-	nodes []logic.Worker
-	lists int64                   // generations
-	words map[uint64]tier.WordOf  // the newest that the book was told
-	list  map[uint64]logic.Worker // and discovery's word
+	conns map[SessionID]*mConn
+	last  SessionID
+	shut  map[SessionID]bool // by the book
+	nodes []dispatch.Worker
+	lists int64                           // generations
+	words map[uint64]message.WorkerStatus // the newest that the book was told
+	list  map[uint64]dispatch.Worker      // and discovery's word
 	peers map[string]bool
 	owner []string
 	stops bool
@@ -46,31 +46,31 @@
 
 type step struct {
 	now  time.Duration
-	ins  []In
-	outs []Out
+	ins  []Event
+	outs []Action
 }
 
 // mConn is a connection: what was said arrives in order, and what is on its way when it ends is lost.
 type mConn struct {
-	id     Session
+	id     SessionID
 	who    *mForwarder
 	f      *mForwarder // the same; nil: it has another by now
 	toBook []said
 	toFwd  []said
-	epoch  tier.Epoch // the newest that the book was told, or will be in its next step
+	epoch  message.Epoch // the newest that the book was told, or will be in its next step
 	credit int
 }
 
 type said struct {
 	at time.Duration
-	m  tier.Message
+	m  message.Message
 }
 
 type mForwarder struct {
 	p       *play
 	name    string
 	process uint64
-	epoch   tier.Epoch
+	epoch   message.Epoch
 	conn    *mConn
 	open    bool // welcomed
 	leaving bool
@@ -82,15 +82,15 @@
 
 type mQuery struct {
 	id       uint64
-	head     tier.HeadOf
+	head     message.RequestSummary
 	came     time.Duration
 	deadline time.Duration
-	with     tier.Epoch // the session that has it; 0: none
-	next     int        // number of the next order
+	with     message.Epoch // the session that has it; 0: none
+	next     int           // number of the next order
 	over     bool
-	answered tier.Epoch // by an order of this session
+	answered message.Epoch // by an order of this session
 	attempts []mAttempt
-	barred   tier.Epoch
+	barred   message.Epoch
 }
 
 type mAttempt struct {
@@ -98,7 +98,7 @@
 	sent   time.Duration
 	began  time.Duration
 	ended  bool
-	result logic.Result
+	result dispatch.Result
 	number int // in the count of who has the query now, or had it last
 }
 
@@ -108,7 +108,7 @@
 	query   uint64
 	attempt int
 	starts  bool
-	result  logic.Result
+	result  dispatch.Result
 }
 
 func (p *play) pick(n int) int { return p.rng.IntN(n) }
@@ -121,55 +121,55 @@
 
 func newPlay(t *rapid.T) *play {
 	draw := func(what string, n int) int { return rapid.IntRange(0, n-1).Draw(t, what) }
-	p := &play{t: t, rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), now: time.Hour, conns: map[Session]*mConn{}, words: map[uint64]tier.WordOf{},
-		list: map[uint64]logic.Worker{}, peers: map[string]bool{}, shut: map[Session]bool{}, owner: []string{me}}
-	p.conf = Config{Heads: 6 + draw("heads", 60), Least: 1 + draw("least", 4), Most: 4 + draw("most", 40), Sessions: 8}
+	p := &play{t: t, rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), now: time.Hour, conns: map[SessionID]*mConn{}, words: map[uint64]message.WorkerStatus{},
+		list: map[uint64]dispatch.Worker{}, peers: map[string]bool{}, shut: map[SessionID]bool{}, owner: []string{me}}
+	p.conf = Config{MaxOpenRequests: 6 + draw("heads", 60), MinCredit: 1 + draw("least", 4), MaxCredit: 4 + draw("most", 40), MaxSessions: 8}
 	p.calm = draw("calm", 30) + 1
 	p.b = newBook(p.conf)
 	for n := range 1 + draw("forwarders", 4) {
 		p.fwds = append(p.fwds, &mForwarder{p: p, name: fmt.Sprintf("fwd-%d", n), process: 1, queries: map[uint64]*mQuery{}})
 	}
 	for n := range 1 + draw("nodes", 8) {
-		p.nodes = append(p.nodes, logic.Worker{ID: uint64(n + 1), Kind: n % 2, Zone: n % 2, Cell: n / 2, Ready: true})
+		p.nodes = append(p.nodes, dispatch.Worker{ID: uint64(n + 1), Kind: n % 2, Zone: n % 2, Cell: n / 2, Ready: true})
 	}
 	p.lists = 1
-	p.tellList(logic.ListFull)
+	p.tellList(dispatch.ListFull)
 	return p
 }
 
 // tellList has discovery speak.
-func (p *play) tellList(kind logic.ListKind, which ...logic.Worker) {
-	l := logic.WorkerList{Kind: kind, Generation: p.lists, Workers: which}
-	if kind != logic.ListDelta {
+func (p *play) tellList(kind dispatch.ListKind, which ...dispatch.Worker) {
+	l := dispatch.WorkerList{Kind: kind, Revision: p.lists, Workers: which}
+	if kind != dispatch.ListDelta {
 		l.Workers = nil
 		for _, w := range p.nodes {
-			if !w.Gone {
+			if !w.Removed {
 				l.Workers = append(l.Workers, w)
 			}
 		}
 		for _, id := range slices.Sorted(maps.Keys(p.list)) {
-			if !slices.ContainsFunc(l.Workers, func(w logic.Worker) bool { return w.ID == id }) {
+			if !slices.ContainsFunc(l.Workers, func(w dispatch.Worker) bool { return w.ID == id }) {
 				p.gone(p.list[id])
 			}
 		}
 	}
 	for _, w := range l.Workers {
-		if w.Gone {
+		if w.Removed {
 			p.gone(w)
 			continue
 		}
 		p.list[w.ID] = w
-		p.newest(wordOf(&w, p.lists))
+		p.newest(workerStatusOf(&w, p.lists))
 	}
-	p.ins = append(p.ins, In{Kind: Hosts, List: l})
+	p.ins = append(p.ins, Event{Kind: EndpointsChanged, Endpoints: l})
 }
 
-func (p *play) gone(w logic.Worker) {
+func (p *play) gone(w dispatch.Worker) {
 	if known, ok := p.list[w.ID]; ok {
-		x := wordOf(&w, p.lists)
+		x := workerStatusOf(&w, p.lists)
 		x.StartedMs = max(x.StartedMs, known.BootAt.Milliseconds())
-		x.State = tier.Gone
-		if was := p.words[w.ID]; was.Newer(x) && was.State != tier.Gone {
+		x.State = message.WorkerGone
+		if was := p.words[w.ID]; was.Newer(x) && was.State != message.WorkerGone {
 			return
 		}
 		delete(p.list, w.ID)
@@ -177,7 +177,7 @@
 	}
 }
 
-func (p *play) newest(w tier.WordOf) {
+func (p *play) newest(w message.WorkerStatus) {
 	if was, ok := p.words[w.Worker]; !ok || w.Newer(was) {
 		p.words[w.Worker] = w
 	}
@@ -192,7 +192,7 @@
 	p.now = next
 	if p.timer > 0 && p.timer <= p.now {
 		p.timer = 0
-		p.ins = append(p.ins, In{Kind: Timer})
+		p.ins = append(p.ins, Event{Kind: TimerFired})
 	}
 	for _, id := range slices.Sorted(maps.Keys(p.conns)) {
 		c := p.conns[id]
@@ -212,15 +212,15 @@
 		for len(c.toBook) > 0 && c.toBook[0].at <= p.now {
 			m := c.toBook[0].m
 			c.toBook = c.toBook[1:]
-			if m.Kind == tier.Hello {
+			if m.Kind == message.KindHandshake {
 				c.epoch, c.credit = m.Epoch, 0 // what was told in the session before is void
 			}
-			if m.Kind == tier.Word && c.who.welcomedAs(id, m.Epoch) {
-				if _, listed := p.list[m.Word.Worker]; listed || m.Word.State != tier.Up || p.words[m.Word.Worker].Worker != 0 {
+			if m.Kind == message.KindWorkerStatus && c.who.welcomedAs(id, m.Epoch) {
+				if _, listed := p.list[m.Word.Worker]; listed || m.Word.State != message.WorkerUp || p.words[m.Word.Worker].Worker != 0 {
 					p.newest(*m.Word)
 				}
 			}
-			p.ins = append(p.ins, In{Kind: FromForwarder, Session: id, Msg: &m})
+			p.ins = append(p.ins, Event{Kind: ForwarderMessage, Session: id, Message: &m})
 		}
 	}
 	ins := p.ins
@@ -236,31 +236,31 @@
 }
 
 // welcomedAs tells whether the book has this forwarder's session under an epoch.
-func (f *mForwarder) welcomedAs(id Session, epoch tier.Epoch) bool {
-	known := f.p.b.names[f.name]
-	return known != nil && known.s != nil && known.s.id == id && known.epoch == epoch
+func (f *mForwarder) welcomedAs(id SessionID, epoch message.Epoch) bool {
+	known := f.p.b.forwarders[f.name]
+	return known != nil && known.session != nil && known.session.id == id && known.epoch == epoch
 }
 
 // carry takes in what the book wants done.
-func (p *play) carry(outs []Out) {
+func (p *play) carry(outs []Action) {
 	for i := range outs {
 		o := &outs[i]
 		if p.done {
 			p.t.Fatalf("%v after it was done", o.Kind)
 		}
 		switch o.Kind {
-		case Say:
+		case SendToForwarder:
 			c := p.conns[o.Session]
 			if c == nil {
-				p.t.Fatalf("%v said to session %d, which is over", o.Msg.Kind, o.Session)
+				p.t.Fatalf("%v said to session %d, which is over", o.Message.Kind, o.Session)
 			}
-			p.heed(c, &o.Msg)
-			c.toFwd = append(c.toFwd, said{p.later(c.toFwd), o.Msg})
-		case SayPeer:
+			p.heed(c, &o.Message)
+			c.toFwd = append(c.toFwd, said{p.later(c.toFwd), o.Message})
+		case SendToPeer:
 			if !p.peers[o.Peer] {
 				p.t.Fatalf("said to peer %q, to which there is no connection", o.Peer)
 			}
-		case Close:
+		case CloseSession:
 			if p.shut[o.Session] {
 				p.t.Fatalf("session %d closed twice", o.Session)
 			}
@@ -271,16 +271,16 @@
 			if at := p.now + o.After; p.timer == 0 || at < p.timer {
 				p.timer = at
 			}
-		case Done:
+		case Stopped:
 			p.done = true
 		}
 	}
 }
 
 // heed checks what the book says, as it says it.
-func (p *play) heed(c *mConn, m *tier.Message) {
+func (p *play) heed(c *mConn, m *message.Message) {
 	switch m.Kind {
-	case tier.Welcome, tier.Credit:
+	case message.KindHandshakeAccept, message.KindCreditUpdate:
 		if m.Epoch == c.epoch {
 			c.credit = m.Credit
 		}
@@ -288,19 +288,19 @@
 		for _, c := range p.conns {
 			sum += c.credit
 		}
-		if sum > p.conf.Heads {
-			p.t.Fatalf("credits told come to %d of %d", sum, p.conf.Heads)
+		if sum > p.conf.MaxOpenRequests {
+			p.t.Fatalf("credits told come to %d of %d", sum, p.conf.MaxOpenRequests)
 		}
-	case tier.Send:
+	case message.KindSendCommand:
 		p.sends++
 		w, listed := p.list[m.Worker]
-		if !listed || p.words[m.Worker].State != tier.Up {
+		if !listed || p.words[m.Worker].State != message.WorkerUp {
 			p.t.Fatalf("order to worker %d, of which the newest word is %+v", m.Worker, p.words[m.Worker])
 		}
 		if who := p.owner[w.Cell%len(p.owner)]; who != me {
 			p.t.Fatalf("order to worker %d, which is %s's", m.Worker, who)
 		}
-	case tier.Move:
+	case message.KindTransferCommand:
 		if p.moves++; m.Name != "" && !p.peers[m.Name] {
 			p.t.Fatalf("moved to %q, which is not alive", m.Name)
 		}
@@ -320,7 +320,7 @@
 func (p *play) cut(c *mConn, heard bool) {
 	delete(p.conns, c.id)
 	if heard {
-		p.ins = append(p.ins, In{Kind: SessionDown, Session: c.id})
+		p.ins = append(p.ins, Event{Kind: SessionClosed, Session: c.id})
 	}
 	if f := c.f; f != nil && f.conn == c {
 		f.conn = nil
@@ -336,8 +336,8 @@
 }
 
 // tell says something to the book.
-func (f *mForwarder) tell(m tier.Message) {
-	if f.conn != nil && (f.open || m.Kind == tier.Hello) {
+func (f *mForwarder) tell(m message.Message) {
+	if f.conn != nil && (f.open || m.Kind == message.KindHandshake) {
 		m.Epoch = f.epoch
 		f.conn.toBook = append(f.conn.toBook, said{f.p.later(f.conn.toBook), m})
 	}
@@ -350,7 +350,7 @@
 		p.last++
 		c := &mConn{id: p.last, who: f, f: f}
 		p.conns[c.id] = c
-		p.ins = append(p.ins, In{Kind: SessionUp, Session: c.id})
+		p.ins = append(p.ins, Event{Kind: SessionOpened, Session: c.id})
 		if f.conn != nil { // the old one is not known to have ended yet
 			f.conn.f = nil
 		}
@@ -358,39 +358,39 @@
 	}
 	f.lose()
 	f.epoch++
-	f.tell(tier.Message{Kind: tier.Hello, Name: f.name, Process: f.process, Version: 0x101})
+	f.tell(message.Message{Kind: message.KindHandshake, Name: f.name, Process: f.process, Version: 0x101})
 }
 
 // hear takes what the planner says.
-func (f *mForwarder) hear(c *mConn, m *tier.Message) {
+func (f *mForwarder) hear(c *mConn, m *message.Message) {
 	p := f.p
 	if c != f.conn || m.Epoch != f.epoch {
 		return
 	}
 	q := f.queries[m.Query]
 	switch m.Kind {
-	case tier.Welcome:
+	case message.KindHandshakeAccept:
 		f.open, f.credit = true, m.Credit
-	case tier.Credit:
+	case message.KindCreditUpdate:
 		f.credit = m.Credit
-	case tier.Bye:
+	case message.KindGoodbye:
 		f.leaving = true
 		for _, q := range f.inOrder() {
 			if q.with == f.epoch {
-				f.tell(tier.Message{Kind: tier.Over, Query: q.id})
+				f.tell(message.Message{Kind: message.KindRequestClosed, Query: q.id})
 				q.with = 0
 			}
 		}
-	case tier.Send:
+	case message.KindSendCommand:
 		f.obey(q, m)
-	case tier.Refuse, tier.Fail, tier.Move:
+	case message.KindRejectCommand, message.KindFailCommand, message.KindTransferCommand:
 		if q == nil || q.over && q.answered != f.epoch || q.barred == f.epoch || f.leaving {
 			return // it was ordered before the book read of that
 		}
 		if q.with != f.epoch {
 			p.t.Fatalf("%v of query %d, which is not with the planner", m.Kind, q.id)
 		}
-		if m.Kind == tier.Move {
+		if m.Kind == message.KindTransferCommand {
 			q.with, q.barred = 0, f.epoch
 			if m.Name != "" && q.head.Moves >= 2 {
 				p.t.Fatalf("query %d moved %d times", q.id, q.head.Moves)
@@ -402,14 +402,14 @@
 		}
 		q.answered = f.epoch
 		f.close(q)
-	case tier.Cancel:
+	case message.KindCancelCommand:
 		for i := range q.attemptsOf() {
 			if a := &q.attempts[i]; a.number == m.Attempt && !a.ended && q.with == f.epoch {
-				f.end(q, i, logic.Cancelled)
+				f.end(q, i, dispatch.Cancelled)
 			}
 		}
-	case tier.Probe:
-		f.tell(tier.Message{Kind: tier.Probed, Worker: m.Worker, Result: logic.Result(p.pick(9))})
+	case message.KindHealthCheckCommand:
+		f.tell(message.Message{Kind: message.KindHealthCheckResult, Worker: m.Worker, Result: dispatch.Result(p.pick(9))})
 	}
 }
 
@@ -421,17 +421,17 @@
 }
 
 // obey carries out an order to send, or refuses it as a guard may.
-func (f *mForwarder) obey(q *mQuery, m *tier.Message) {
+func (f *mForwarder) obey(q *mQuery, m *message.Message) {
 	p := f.p
-	refuse := func(why tier.Why) {
-		f.tell(tier.Message{Kind: tier.Ended, Query: m.Query, Attempt: m.Attempt, Result: logic.NotSent, Why: why})
+	refuse := func(why message.RejectReason) {
+		f.tell(message.Message{Kind: message.KindAttemptEnded, Query: m.Query, Attempt: m.Attempt, Result: dispatch.NotSent, Why: why})
 	}
 	switch {
 	case q == nil || q.over:
-		refuse(tier.NoSuchQuery)
+		refuse(message.ReasonUnknownRequest)
 		return
 	case q.with != f.epoch:
-		refuse(tier.NotYours)
+		refuse(message.ReasonNotOwner)
 		return
 	case m.Attempt != q.next:
 		p.t.Fatalf("query %d: order of number %d, expected %d", q.id, m.Attempt, q.next)
@@ -441,49 +441,49 @@
 		if !a.ended && a.worker == m.Worker {
 			p.t.Fatalf("query %d goes twice to worker %d", q.id, m.Worker)
 		}
-		c := &p.b.conf.Settings.Classes[q.head.Class]
-		if c.Effect == logic.Unsafe && (!a.ended || !provesNothingRan(a.result)) {
+		c := &p.b.config.Settings.Classes[q.head.Class]
+		if c.Idempotency == dispatch.NonIdempotent && (!a.ended || !provesNotExecuted(a.result)) {
 			p.t.Fatalf("query %d is sent again though it may have run", q.id)
 		}
 	}
 	if p.one(12) {
-		refuse([]tier.Why{tier.NodeDrains, tier.NoSuchNode, tier.PastDeadline}[p.pick(3)])
+		refuse([]message.RejectReason{message.ReasonWorkerDraining, message.ReasonUnknownWorker, message.ReasonDeadlineExceeded}[p.pick(3)])
 		return
 	}
 	q.attempts = append(q.attempts, mAttempt{worker: m.Worker, sent: p.now, number: m.Attempt})
 	n := len(q.attempts) - 1
 	at := p.now + p.span(40*ms)
 	if p.one(8) { // nothing is heard of it
-		f.later(q.deadline, q, n, false, logic.TimedOut)
+		f.later(q.deadline, q, n, false, dispatch.TimedOut)
 		return
 	}
-	result := logic.OK
+	result := dispatch.OK
 	if p.one(4) {
-		result = logic.Result(1 + p.pick(6))
+		result = dispatch.Result(1 + p.pick(6))
 	}
-	if result == logic.OK || result == logic.Failed || p.one(2) {
+	if result == dispatch.OK || result == dispatch.Failed || p.one(2) {
 		f.later(at, q, n, true, 0)
 		at += p.span(300 * ms)
 	}
 	f.later(min(at, q.deadline), q, n, false, result)
 }
 
-func (f *mForwarder) later(at time.Duration, q *mQuery, attempt int, starts bool, r logic.Result) {
+func (f *mForwarder) later(at time.Duration, q *mQuery, attempt int, starts bool, r dispatch.Result) {
 	f.due = append(f.due, mDue{max(at, f.p.now+1), f.process, q.id, attempt, starts, r})
 	slices.SortStableFunc(f.due, func(a, b mDue) int { return cmp.Compare(a.at, b.at) })
 }
 
 // end is an attempt's end, which the session that has the query hears of, or had it until its answer.
-func (f *mForwarder) end(q *mQuery, i int, r logic.Result) {
+func (f *mForwarder) end(q *mQuery, i int, r dispatch.Result) {
 	a := &q.attempts[i]
 	if a.ended {
 		return
 	}
 	a.ended, a.result = true, r
 	if q.with == f.epoch {
-		f.tell(tier.Message{Kind: tier.Ended, Query: q.id, Attempt: a.number, Result: r})
+		f.tell(message.Message{Kind: message.KindAttemptEnded, Query: q.id, Attempt: a.number, Result: r})
 	}
-	if r == logic.OK && !q.over {
+	if r == dispatch.OK && !q.over {
 		f.close(q)
 	}
 }
@@ -507,7 +507,7 @@
 		if a := &q.attempts[d.attempt]; !d.starts {
 			f.end(q, d.attempt, d.result)
 		} else if a.began = p.now; q.with == f.epoch {
-			f.tell(tier.Message{Kind: tier.Started, Query: q.id, Attempt: a.number})
+			f.tell(message.Message{Kind: message.KindAttemptStarted, Query: q.id, Attempt: a.number})
 		}
 	}
 	open := 0
@@ -515,7 +515,7 @@
 		out := slices.ContainsFunc(q.attempts, func(a mAttempt) bool { return !a.ended })
 		if !q.over && (p.now >= q.deadline || p.one(400)) {
 			if q.with == f.epoch {
-				f.tell(tier.Message{Kind: tier.Over, Query: q.id})
+				f.tell(message.Message{Kind: message.KindRequestClosed, Query: q.id})
 			}
 			f.close(q)
 		}
@@ -537,8 +537,8 @@
 	}
 	for !p.quiet && open < f.credit && p.one(2) {
 		f.lastID++
-		c := p.pick(len(p.b.conf.Settings.Classes))
-		q := &mQuery{id: f.lastID, came: p.now, deadline: p.now + 3*time.Second, head: tier.HeadOf{Class: c, Tenant: p.pick(3),
+		c := p.pick(len(p.b.config.Settings.Classes))
+		q := &mQuery{id: f.lastID, came: p.now, deadline: p.now + 3*time.Second, head: message.RequestSummary{Class: c, Tenant: p.pick(3),
 			Hint: time.Duration(p.pick(4)) * 50 * ms, Slots: float64(p.pick(4)), Key: uint64(p.pick(5))}}
 		if p.one(60) {
 			q.head.Tenant = poison
@@ -555,15 +555,15 @@
 	for i := range q.attempts {
 		a := &q.attempts[i]
 		a.number = i
-		past := tier.Past{Worker: a.worker, Ago: f.p.now - a.sent, Ended: a.ended, Result: a.result,
-			MayRun: !a.ended || !provesNothingRan(a.result)}
+		past := message.PastAttempt{Worker: a.worker, Ago: f.p.now - a.sent, Ended: a.ended, Result: a.result,
+			MayRun: !a.ended || !provesNotExecuted(a.result)}
 		if a.began > 0 {
 			past.Began = f.p.now - a.began + 1
 		}
 		h.Attempts = append(h.Attempts, past)
 	}
 	q.next, q.with = len(q.attempts), f.epoch
-	f.tell(tier.Message{Kind: tier.Head, Query: q.id, Head: &h})
+	f.tell(message.Message{Kind: message.KindRequestOffer, Query: q.id, Head: &h})
 }
 
 // mischief is what happens to them all.
@@ -593,48 +593,48 @@
 		case 0:
 			w.Ready = false
 		case 1:
-			w.Gone, w.Ready = true, false
+			w.Removed, w.Ready = true, false
 		default:
-			w.Gone, w.Ready = false, true
+			w.Removed, w.Ready = false, true
 			if p.one(2) {
 				w.BootAt = (p.now - p.span(time.Second)).Truncate(ms)
 			}
 		}
 		if p.one(4) {
-			p.tellList(logic.ListFull)
+			p.tellList(dispatch.ListFull)
 		} else {
-			p.tellList(logic.ListDelta, *w)
+			p.tellList(dispatch.ListDelta, *w)
 		}
 	case 8, 9: // a word, of the list that is or one to come, or of one before
 		w := p.nodes[p.pick(len(p.nodes))]
-		x := tier.WordOf{Worker: w.ID, StartedMs: w.BootAt.Milliseconds(), Generation: p.lists + int64(p.pick(3)) - 1,
-			State: tier.State(p.pick(3))}
+		x := message.WorkerStatus{Worker: w.ID, StartedMs: w.BootAt.Milliseconds(), Generation: p.lists + int64(p.pick(3)) - 1,
+			State: message.WorkerState(p.pick(3))}
 		if p.one(2) {
-			f.tell(tier.Message{Kind: tier.Word, Word: &x})
+			f.tell(message.Message{Kind: message.KindWorkerStatus, Word: &x})
 		}
 	case 10: // planners come and go
 		name := []string{"plan-b", "plan-c"}[p.pick(2)]
-		kind := PeerUp
+		kind := PeerConnected
 		if p.peers[name] {
-			kind = PeerDown
+			kind = PeerDisconnected
 			delete(p.peers, name)
 		} else {
 			p.peers[name] = true
 		}
 		names := slices.Sorted(maps.Keys(p.peers))
-		p.ins = append(p.ins, In{Kind: kind, Peer: name}, In{Kind: Peers, Names: names})
+		p.ins = append(p.ins, Event{Kind: kind, Peer: name}, Event{Kind: PeersChanged, Names: names})
 		p.owner = append([]string{me}, names...)
-		p.ins = append(p.ins, In{Kind: Part, Owner: ownerByCell(p.owner...)})
-		if kind == PeerUp {
-			p.ins = append(p.ins, In{Kind: FromPeer, Peer: name, Msg: &tier.Message{Kind: tier.Greet, Epoch: 1, Name: name, Version: 0x100}})
+		p.ins = append(p.ins, Event{Kind: PartitionChanged, Owner: ownerByCell(p.owner...)})
+		if kind == PeerConnected {
+			p.ins = append(p.ins, Event{Kind: PeerMessage, Peer: name, Message: &message.Message{Kind: message.KindPeerHandshake, Epoch: 1, Name: name, Version: 0x100}})
 		}
 	case 11:
 		for _, name := range slices.Sorted(maps.Keys(p.peers)) {
-			p.ins = append(p.ins, In{Kind: FromPeer, Peer: name, Msg: &tier.Message{Kind: tier.Load, Epoch: 1,
-				Load: &tier.LoadOf{Heads: p.pick(20), Held: p.pick(3), Room: float64(p.pick(20))}}})
+			p.ins = append(p.ins, Event{Kind: PeerMessage, Peer: name, Message: &message.Message{Kind: message.KindLoadReport, Epoch: 1,
+				Load: &message.LoadReport{Heads: p.pick(20), Held: p.pick(3), Room: float64(p.pick(20))}}})
 		}
 	case 12:
-		p.ins = append(p.ins, In{Kind: Hosts, List: logic.WorkerList{Kind: logic.ListLost}})
+		p.ins = append(p.ins, Event{Kind: EndpointsChanged, Endpoints: dispatch.WorkerList{Kind: dispatch.ListUnavailable}})
 	}
 }
 
@@ -646,7 +646,7 @@
 	sends, moves, panics, plays := 0, 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		p := randomPlay(t)
-		sends, moves, panics, plays = sends+p.sends, moves+p.moves, panics+p.b.Counts().Panics, plays+1
+		sends, moves, panics, plays = sends+p.sends, moves+p.moves, panics+p.b.Stats().Panics, plays+1
 	})
 	if t.Logf("%d plays: %d orders to send, %d moves, %d panics", plays, sends, moves, panics); sends < 10*plays || moves < plays || panics < plays/10 {
 		t.Error("the plays see too little")
@@ -671,7 +671,7 @@
 	}
 	p.quiet = true
 	if p.stops = p.one(3); p.stops {
-		p.ins = append(p.ins, In{Kind: Stop})
+		p.ins = append(p.ins, Event{Kind: StopRequested})
 	}
 	for range 50 {
 		p.step(50 * ms)
@@ -702,15 +702,15 @@
 		}
 		return
 	}
-	if s := b.Standing(); s.Heads+s.Over+s.Sessions+s.Credit > 0 || s.Slots != 0 || len(b.names)+len(b.probes)+len(b.thaws)+len(b.tombs) > 0 {
-		p.t.Fatalf("left in the end: %+v, %d names, %d probes", s, len(b.names), len(b.probes))
+	if s := b.Status(); s.Open+s.Closing+s.Sessions+s.Credit > 0 || s.Slots != 0 || len(b.forwarders)+len(b.healthChecks)+len(b.takeovers)+len(b.tombstones) > 0 {
+		p.t.Fatalf("left in the end: %+v, %d names, %d probes", s, len(b.forwarders), len(b.healthChecks))
 	}
-	for _, h := range b.order {
+	for _, h := range b.workerList {
 		if !h.listed {
 			p.t.Fatalf("worker %d is still known", h.ID)
 		}
 	}
-	if c := b.module.(*contract); len(c.jobs) > 0 {
+	if c := b.policy.(*contract); len(c.jobs) > 0 {
 		p.t.Fatalf("the module still has %d jobs", len(c.jobs))
 	}
 }
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"valvecove/internal/config"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 )
 
 // Target takes batches. It does not wait for anything: what it can't take now is an error.
@@ -23,7 +23,7 @@
 // Figures are the counters, gauges and timers since the last flush.
 type Figures struct {
 	conf    config.Figures
-	names   ledger.Names
+	names   requests.NameTable
 	now     func() time.Duration
 	targets []Target
 	gauges  []gauge  // by tenant and class
@@ -44,51 +44,51 @@
 type counts struct{ jobs, attempts uint64 }
 
 // New returns figures that start at nothing.
-func New(conf config.Figures, names ledger.Names, now func() time.Duration, targets ...Target) *Figures {
+func New(conf config.Figures, names requests.NameTable, now func() time.Duration, targets ...Target) *Figures {
 	pairs := max(1, len(names.Tenants)) * len(names.Classes)
 	return &Figures{conf: conf, names: names, now: now, targets: targets, gauges: make([]gauge, pairs),
-		counts: make([]counts, pairs*len(ledger.Outcomes))}
+		counts: make([]counts, pairs*len(requests.Outcomes))}
 }
 
 // pair is the place of a query's tenant and class.
-func (f *Figures) pair(q *ledger.Query) int {
+func (f *Figures) pair(q *requests.Request) int {
 	return max(0, min(q.Job.Tenant, len(f.names.Tenants)-1))*len(f.names.Classes) + q.Job.Class
 }
 
-func (f *Figures) count(q *ledger.Query, o ledger.Outcome) *counts {
-	return &f.counts[f.pair(q)*len(ledger.Outcomes)+slices.Index(ledger.Outcomes[:], o)]
+func (f *Figures) count(q *requests.Request, o requests.Outcome) *counts {
+	return &f.counts[f.pair(q)*len(requests.Outcomes)+slices.Index(requests.Outcomes[:], o)]
 }
 
 // Observe takes in news of a query.
-func (f *Figures) Observe(n ledger.News) {
-	switch n.What {
-	case ledger.NewsTaken:
-		g := &f.gauges[f.pair(n.Query)]
+func (f *Figures) Observe(n requests.Notification) {
+	switch n.Kind {
+	case requests.RequestAdmitted:
+		g := &f.gauges[f.pair(n.Request)]
 		g.seen = true
 		g.open++
-	case ledger.NewsRefused:
-		if n.Query == nil || n.Status != 503 {
+	case requests.RequestRejected:
+		if n.Request == nil || n.Status != 503 {
 			f.bad++
 		} else {
-			f.count(n.Query, n.Query.Outcome()).jobs++
+			f.count(n.Request, n.Request.Outcome()).jobs++
 		}
-	case ledger.NewsSent:
-		f.gauges[f.pair(n.Query)].out++
-	case ledger.NewsEnded:
-		f.count(n.Query, n.Fault.Outcome()).attempts++
-		f.gauges[f.pair(n.Query)].out--
-	case ledger.NewsOver:
-		q := n.Query
+	case requests.AttemptStarted:
+		f.gauges[f.pair(n.Request)].out++
+	case requests.AttemptEnded:
+		f.count(n.Request, n.Err.Outcome()).attempts++
+		f.gauges[f.pair(n.Request)].out--
+	case requests.RequestEnded:
+		q := n.Request
 		f.gauges[f.pair(q)].open--
 		f.count(q, q.Outcome()).jobs++
-		f.time("time", q, f.now()-q.Came)
-		if q.Sent > 0 {
-			f.time("held", q, q.Sent-q.Came)
+		f.time("time", q, f.now()-q.ArrivedAt)
+		if q.FirstSentAt > 0 {
+			f.time("held", q, q.FirstSentAt-q.ArrivedAt)
 		}
 	}
 }
 
-func (f *Figures) time(name string, q *ledger.Query, span time.Duration) {
+func (f *Figures) time(name string, q *requests.Request, span time.Duration) {
 	f.add(name, "ms", strconv.FormatFloat(float64(span)/float64(time.Millisecond), 'f', 3, 64), f.pair(q), string(q.Outcome()))
 }
 
@@ -168,7 +168,7 @@
 func (f *Figures) Gather() {
 	whole := func(n uint64) string { return strconv.FormatUint(n, 10) }
 	for i := range f.counts {
-		c, pair, outcome := &f.counts[i], i/len(ledger.Outcomes), string(ledger.Outcomes[i%len(ledger.Outcomes)])
+		c, pair, outcome := &f.counts[i], i/len(requests.Outcomes), string(requests.Outcomes[i%len(requests.Outcomes)])
 		if c.jobs > 0 {
 			f.add("jobs", "c", whole(c.jobs), pair, outcome)
 		}
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 	"valvecove/internal/steps"
 	"valvecove/internal/steps/sides"
-	"valvecove/logic"
 )
 
 // target keeps the batches that it takes.
@@ -42,10 +42,10 @@
 	target  *target
 }
 
-func newWorld(conf config.Figures, names ledger.Names) *world {
+func newWorld(conf config.Figures, names requests.NameTable) *world {
 	w := &world{World: sides.New(names, slog.New(slog.DiscardHandler)), target: &target{}}
 	w.figures = New(conf, names, func() time.Duration { return w.Now }, w.target)
-	w.Ledger.Attach(w.figures)
+	w.Ledger.AddObserver(w.figures)
 	return w
 }
 
@@ -56,7 +56,7 @@
 	}
 }
 
-var names = ledger.Names{Tenants: []string{"khyber-society", "mardan-society"}, Classes: []string{"status-check", "account-credit"}}
+var names = requests.NameTable{Tenants: []string{"khyber-society", "mardan-society"}, Classes: []string{"status-check", "account-credit"}}
 
 // A job that is served, in both forms, with all the figures that it makes.
 func TestForms(t *testing.T) {
@@ -88,13 +88,13 @@
 
 // Names with anything in them can't end a tag or a line, in either form.
 func TestEscapes(t *testing.T) {
-	odd := ledger.Names{Tenants: []string{"a,b=c d|e#f:g\nh\\"}, Classes: []string{strings.Repeat("x", 300)}}
+	odd := requests.NameTable{Tenants: []string{"a,b=c d|e#f:g\nh\\"}, Classes: []string{strings.Repeat("x", 300)}}
 	for format, want := range map[string]string{
 		"statsd": "valvecove.jobs:1|c|#tenant:a_b=c_d_e_f_g_h\\,class:" + strings.Repeat("x", longestTag) + ",outcome:turned_away",
 		"influx": `valvecove.jobs,tenant=a\,b\=c\ d|e#f:g_h_,class=` + strings.Repeat("x", longestTag) + `,outcome=turned\ away count=1i`,
 	} {
 		w := newWorld(config.Figures{Format: format, MaxBatch: 1400}, odd)
-		w.Ledger.Refuse(&ledger.Arrival{Call: "a"}, 503)
+		w.Ledger.ReportRejection(&requests.Arrival{CallID: "a"}, 503)
 		if w.flush(); len(w.target.lines()) != 1 || !strings.HasPrefix(w.target.lines()[0], want) {
 			t.Errorf("%s: %q, expected %q", format, w.target.lines(), want)
 		}
@@ -129,7 +129,7 @@
 		}
 		type job struct {
 			id   string
-			q    *ledger.Query
+			q    *requests.Request
 			tags string
 			out  bool
 		}
@@ -167,11 +167,11 @@
 				want["valvecove.attemptsc|#"+j.tags+",outcome:served"]++
 				want["valvecove.outg|#"+j.tags]--
 				over("served", true)
-			case what == 5 && !j.out && j.q.Sent == 0:
-				w.Do(logic.Refuse{Job: j.q.ID})
+			case what == 5 && !j.out && j.q.FirstSentAt == 0:
+				w.Do(dispatch.Reject{Job: j.q.ID})
 				over("turned_away", false)
 			case what == 6:
-				w.Ledger.Refuse(nil, 400)
+				w.Ledger.ReportRejection(nil, 400)
 				want["valvecove.bad_requestsc"]++
 			case what == 7:
 				w.flush()
@@ -203,7 +203,7 @@
 	for n := range jobs {
 		q := w.Take(strconv.Itoa(n), 0, 0)
 		w.Now += time.Duration(n) * time.Microsecond
-		w.Do(logic.Refuse{Job: q.ID})
+		w.Do(dispatch.Reject{Job: q.ID})
 		if waits := len(w.figures.pending) - w.figures.from; waits > mostPending || cap(w.figures.pending) > 4*mostPending {
 			t.Fatalf("%d bytes wait, in %d", waits, cap(w.figures.pending))
 		}
--- a/internal/lab/edge/edge.go
+++ b/internal/lab/edge/edge.go
@@ -13,7 +13,7 @@
 import (
 	"time"
 
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 )
 
 // Conn is the number of a connection; never used twice in a play. Those of clients are given by the world, those to
@@ -87,8 +87,8 @@
 	Conn     Conn
 	NoteID   uint64
 	Ask      *Ask
-	Note     *ledger.Note
-	List     *ledger.HostGroup
+	Note     *requests.Callback
+	List     *requests.EndpointList
 	Boot     *Boot
 	Odd      *OddDoing
 	Late     time.Duration
@@ -98,8 +98,8 @@
 type Boot struct {
 	Name  string
 	Seed  uint64
-	Known ledger.HostGroup // as it last had it; perhaps old
-	Disco int              // index of the discovery address in its configuration
+	Known requests.EndpointList // as it last had it; perhaps old
+	Disco int                   // index of the discovery address in its configuration
 }
 
 // Ask is a client's query as it stands on the wire.
--- a/internal/lab/experiment/aperture_test.go
+++ b/internal/lab/experiment/aperture_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/aperture"
 	"valvecove/internal/capture"
 	"valvecove/internal/config"
@@ -17,8 +18,7 @@
 	"valvecove/internal/lab/seen"
 	"valvecove/internal/lab/virtual"
 	"valvecove/internal/lab/yardstick"
-	"valvecove/internal/ledger"
-	"valvecove/logic"
+	"valvecove/internal/requests"
 )
 
 // An aperture is asked for behind a policy's name or in the operators' file, and is the same either way; with one,
@@ -79,11 +79,11 @@
 	}
 	var rec *capture.Recorder
 	var now time.Duration
-	conf := aperture.Config{Least: 8, Cover: 2, Most: 4, WidenAt: 0.1, Dwell: time.Second}
-	module := func(set logic.Settings, seed uint64, _ yardstick.Oracle) ledger.Module {
-		m := logic.New(set, seed)
-		if set.Me > 0 || rec != nil {
-			return aperture.Wrap(m, set, conf)
+	conf := aperture.Config{MinWorkers: 8, Coverage: 2, MaxWidening: 4, WidenThreshold: 0.1, Retention: time.Second}
+	module := func(set dispatch.Settings, seed uint64, _ yardstick.Oracle) requests.Policy {
+		m := dispatch.New(set, seed)
+		if set.ReplicaIndex > 0 || rec != nil {
+			return aperture.New(m, set, conf)
 		}
 		c.Seed = seed - 1
 		rec, err = capture.New(config.Capture{MemoryKB: 16 << 10}, c, func() time.Duration { return now },
@@ -91,7 +91,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return aperture.Wrap(rec.Wrap(m), set, conf)
+		return aperture.New(rec.Wrap(m), set, conf)
 	}
 	opt := virtual.Options{Model: virtual.Model{Module: module}}
 	if _, err := virtual.Play(spec, 1, opt); err != nil {
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -15,6 +15,7 @@
 	"sync/atomic"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/aperture"
 	"valvecove/internal/config"
 	"valvecove/internal/lab/edge"
@@ -28,8 +29,7 @@
 	"valvecove/internal/lab/starve"
 	"valvecove/internal/lab/virtual"
 	"valvecove/internal/lab/yardstick"
-	"valvecove/internal/ledger"
-	"valvecove/logic"
+	"valvecove/internal/requests"
 )
 
 // Logic is the name of the policy that is in service; the others are yardsticks.
@@ -286,7 +286,9 @@
 			return opt, fmt.Errorf("policy %q is none of %v", name, Policies())
 		}
 		maker := policy.ForPlay()
-		opt.Module = func(set logic.Settings, seed uint64, o yardstick.Oracle) ledger.Module { return maker(set, seed, o) }
+		opt.Module = func(set dispatch.Settings, seed uint64, o yardstick.Oracle) requests.Policy {
+			return maker(set, seed, o)
+		}
 	}
 	if s.Mutant != "" {
 		all := mutant.All()
@@ -299,19 +301,21 @@
 			opt.Wrap = func(e edge.Scheduler) edge.Scheduler { return m.Wrap(spec, e) }
 		}
 		if m.Module != nil {
-			opt.Module = func(set logic.Settings, seed uint64, _ yardstick.Oracle) ledger.Module { return m.Module(set, seed) }
+			opt.Module = func(set dispatch.Settings, seed uint64, _ yardstick.Oracle) requests.Policy {
+				return m.Module(set, seed)
+			}
 		}
 	}
 	if inner := opt.Module; narrowed != nil {
-		opt.Module = func(set logic.Settings, seed uint64, o yardstick.Oracle) ledger.Module {
-			m := ledger.Module(logic.New(set, seed))
+		opt.Module = func(set dispatch.Settings, seed uint64, o yardstick.Oracle) requests.Policy {
+			m := requests.Policy(dispatch.New(set, seed))
 			if inner != nil {
 				m = inner(set, seed, o)
 			}
-			if !narrowed.On(set.Replicas) {
+			if !narrowed.Enabled(set.Replicas) {
 				return m
 			}
-			return aperture.Wrap(m, set, *narrowed)
+			return aperture.New(m, set, *narrowed)
 		}
 	}
 	return opt, nil
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 )
 
 // The test's program is also the processes that plays start.
@@ -74,14 +74,14 @@
 func TestNode(t *testing.T) {
 	for _, notices := range []bool{true, false} {
 		r := testRig(t, Spec{Nodes: 2, Notices: notices, Work: time.Millisecond, Slots: 1})
-		notes := make(chan ledger.Note, 100)
+		notes := make(chan requests.Callback, 100)
 		at, err := net.Listen("tcp", r.Places().Scheduler)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var refused atomic.Int32
 		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-			var n ledger.Note
+			var n requests.Callback
 			if err := json.NewDecoder(q.Body).Decode(&n); err != nil || q.URL.Path != "/v1/job-events" {
 				t.Errorf("%s: %v", q.URL, err)
 			}
@@ -110,10 +110,10 @@
 		}
 		for range len(want) {
 			n := <-notes
-			if want[n.ID+" "+n.State]--; want[n.ID+" "+n.State] != 0 || n.From != "w-1" {
+			if want[n.CallID+" "+n.State]--; want[n.CallID+" "+n.State] != 0 || n.EndpointID != "w-1" {
 				t.Errorf("told twice, or not asked for: %+v", n)
 			}
-			if done := n.State == "done"; done != (n.Result != nil) || done && *n.Result != n.ID+" ran on w-1" {
+			if done := n.State == "done"; done != (n.Result != nil) || done && *n.Result != n.CallID+" ran on w-1" {
 				t.Errorf("result of %+v", n)
 			}
 		}
@@ -169,7 +169,7 @@
 	}
 	defer a.Body.Close()
 	lines := bufio.NewScanner(a.Body)
-	next := func() (g ledger.HostGroup) {
+	next := func() (g requests.EndpointList) {
 		for lines.Scan() {
 			if text := lines.Bytes(); len(text) > 0 {
 				if err := json.Unmarshal(text, &g); err != nil {
@@ -181,15 +181,15 @@
 		t.Fatal(lines.Err())
 		return g
 	}
-	for i, g := range []ledger.HostGroup{next(), func() (g ledger.HostGroup) {
+	for i, g := range []requests.EndpointList{next(), func() (g requests.EndpointList) {
 		_, text := do(t, "GET", at, "")
 		if err := json.Unmarshal([]byte(text), &g); err != nil {
 			t.Fatal(err)
 		}
 		return g
 	}()} {
-		if !g.Reset || g.Generation != 1 || len(g.Hosts) != 7 || g.Hosts[6].ID != "w-6" || g.Hosts[6].StartedMs != 0 ||
-			g.Hosts[6].Addr != r.Places().Nodes[6] {
+		if !g.Reset || g.Revision != 1 || len(g.Endpoints) != 7 || g.Endpoints[6].ID != "w-6" || g.Endpoints[6].StartedAtMs != 0 ||
+			g.Endpoints[6].Addr != r.Places().Nodes[6] {
 			t.Errorf("list %d: %+v", i, g)
 		}
 	}
@@ -197,8 +197,8 @@
 		r.nodes[3].die()
 		r.nodes[3].restart()
 	})
-	if g := next(); g.Reset || g.Generation != 2 || len(g.Hosts) != 1 || g.Hosts[0].ID != "w-3" ||
-		g.Hosts[0].StartedMs == 0 {
+	if g := next(); g.Reset || g.Revision != 2 || len(g.Endpoints) != 1 || g.Endpoints[0].ID != "w-3" ||
+		g.Endpoints[0].StartedAtMs == 0 {
 		t.Errorf("a start: %+v", g)
 	}
 }
--- a/internal/lab/judge/play_test.go
+++ b/internal/lab/judge/play_test.go
@@ -22,7 +22,7 @@
 			if in.Boot == nil {
 				continue
 			}
-			for _, h := range in.Boot.Known.Hosts {
+			for _, h := range in.Boot.Known.Endpoints {
 				n, _ := scenario.NodeIndex(h.ID, spec.Fleet.Nodes)
 				if listed++; cells[n] != h.Cell || spec.Fleet.Zones[zones[n]] != h.Zone {
 					t.Errorf("%s is of cell %d in zone %s, the judge says %d in %d", h.ID, h.Cell, h.Zone, cells[n], zones[n])
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -20,7 +20,7 @@
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/scenario"
 	"valvecove/internal/lab/seen"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 )
 
 // rig is a driver whose world is the test: it gets what comes, and says what is done.
@@ -431,7 +431,7 @@
 	r := newRig(t, Options{})
 	result := "made"
 	tell := func(id uint64, state string) {
-		n := &ledger.Note{ID: "c", From: "w-1", State: state}
+		n := &requests.Callback{CallID: "c", EndpointID: "w-1", State: state}
 		if state == "done" {
 			n.Result = &result
 		}
@@ -503,8 +503,8 @@
 		}
 		return a, bufio.NewReader(a.Body)
 	}
-	list := &ledger.HostGroup{Generation: 43, Hosts: []ledger.Host{
-		{ID: "w-1.1", Zone: "a", Kind: "m", State: "up", Weight: 1}}}
+	list := &requests.EndpointList{Revision: 43, Endpoints: []requests.Endpoint{
+		{ID: "w-1.1", Zone: "a", MachineType: "m", Lifecycle: "up", Weight: 1}}}
 	want := fmt.Sprintf(`{"generation":43,"reset":false,"instances":[{"instanceId":"w-1.1","hostPort":"%v","zone":"a",`+
 		`"machineType":"m","cell":0,"lifecycle":"up","weight":1,"startedAtMs":0}]}`,
 		r.d.places.node(2+1, 0)) // after the first two
@@ -643,7 +643,7 @@
 				close(looked)
 			}
 		}})
-		known := ledger.HostGroup{Generation: 9, Hosts: []ledger.Host{{ID: "w-1", State: "up"}}}
+		known := requests.EndpointList{Revision: 9, Endpoints: []requests.Endpoint{{ID: "w-1", Lifecycle: "up"}}}
 		boot := &edge.Boot{Name: "s1", Seed: 5, Known: known}
 		start := edge.In{Kind: edge.Start, Boot: boot}
 		asks := func(after int64, ready bool) { // in any order
@@ -671,7 +671,7 @@
 		if o := r.want(edge.Exited); o.Status != 7 {
 			t.Errorf("%+v", o)
 		}
-		boot.Known.Generation = 10
+		boot.Known.Revision = 10
 		r.do(start)
 		asks(10, true)
 		r.do(edge.In{Kind: edge.Freeze}, edge.In{Kind: edge.Kill}) // of which nothing is told
--- a/internal/lab/live/nodes.go
+++ b/internal/lab/live/nodes.go
@@ -10,7 +10,7 @@
 
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/virtual"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 )
 
 // node is the stand-in for a worker node, and for the machines that take its place. What it does is the world's to
@@ -84,7 +84,7 @@
 }
 
 // nodeOf finds the worker node that an entry of the list stands for, and which of its machines; nil: there is none.
-func (d *driver) nodeOf(h *ledger.Host) (n *node, which int) {
+func (d *driver) nodeOf(h *requests.Endpoint) (n *node, which int) {
 	i, which := virtual.NodeOf(h.ID)
 	if i < 0 || i >= len(d.nodes) {
 		return nil, 0
@@ -311,7 +311,7 @@
 	d, node, sched := k.node.d, k.node, k.sched
 	k.answered(202, "", nil)
 	say := func(state, result string) {
-		n := &ledger.Note{ID: call, From: node.id, State: state}
+		n := &requests.Callback{CallID: call, EndpointID: node.id, State: state}
 		if result != "" {
 			n.Result = &result
 		}
--- a/internal/lab/live/notes.go
+++ b/internal/lab/live/notes.go
@@ -45,7 +45,7 @@
 // note calls a scheduler with a note.
 func (d *driver) note(in *edge.In) {
 	n := in.Note
-	body, err := jsoniter.ConfigDefault.Marshal(noteForm{n.ID, n.From, n.State, n.Share, n.Result})
+	body, err := jsoniter.ConfigDefault.Marshal(noteForm{n.CallID, n.EndpointID, n.State, n.Progress, n.Result})
 	if err != nil {
 		d.fail(err)
 		return
--- a/internal/lab/live/processes.go
+++ b/internal/lab/live/processes.go
@@ -22,7 +22,7 @@
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/platform"
 	"valvecove/internal/lab/scenario"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 )
 
 const (
@@ -492,9 +492,9 @@
 }
 
 // localHosts gives a list as a scheduler is told it: with the addresses at which it reaches the worker nodes.
-func (d *driver) localHosts(sched int, g ledger.HostGroup) ledger.HostGroup {
-	hosts := make([]ledger.Host, len(g.Hosts))
-	for i, h := range g.Hosts {
+func (d *driver) localHosts(sched int, g requests.EndpointList) requests.EndpointList {
+	hosts := make([]requests.Endpoint, len(g.Endpoints))
+	for i, h := range g.Endpoints {
 		if n, machine := d.nodeOf(&h); n != nil {
 			if h.Addr = n.addr(machine, sched).String(); machine == len(n.machines)-1 {
 				n.id = h.ID
@@ -502,6 +502,6 @@
 		}
 		hosts[i] = h
 	}
-	g.Hosts = hosts
+	g.Endpoints = hosts
 	return g
 }
--- a/internal/lab/mutant/doc.go
+++ b/internal/lab/mutant/doc.go
@@ -7,10 +7,10 @@
 package mutant
 
 import (
+	"valvecove/dispatch"
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/scenario"
-	"valvecove/internal/ledger"
-	"valvecove/logic"
+	"valvecove/internal/requests"
 )
 
 // Mutant is a scheduler with one fault.
@@ -23,7 +23,7 @@
 	// Wrap puts the fault round a scheduler; nil: there is none.
 	Wrap func(spec *scenario.Scenario, inner edge.Scheduler) edge.Scheduler
 	// Module makes the decision module with the fault in it; nil: there is none.
-	Module func(set logic.Settings, seed uint64) ledger.Module
+	Module func(set dispatch.Settings, seed uint64) requests.Policy
 }
 
 // Scenario is a short play in which the mutant shows.
--- a/internal/lab/mutant/mutant_test.go
+++ b/internal/lab/mutant/mutant_test.go
@@ -9,13 +9,13 @@
 	"testing"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/judge"
 	"valvecove/internal/lab/scenario"
 	"valvecove/internal/lab/virtual"
 	"valvecove/internal/lab/yardstick"
-	"valvecove/internal/ledger"
-	"valvecove/logic"
+	"valvecove/internal/requests"
 	"valvecove/scenarios"
 )
 
@@ -42,7 +42,9 @@
 		opt.Wrap = func(s edge.Scheduler) edge.Scheduler { return m.Wrap(spec, s) }
 	}
 	if m != nil && m.Module != nil {
-		opt.Module = func(set logic.Settings, seed uint64, _ yardstick.Oracle) ledger.Module { return m.Module(set, seed) }
+		opt.Module = func(set dispatch.Settings, seed uint64, _ yardstick.Oracle) requests.Policy {
+			return m.Module(set, seed)
+		}
 	}
 	if _, err := virtual.Play(spec, seed, opt); err != nil {
 		t.Fatalf("%s, seed %d: %v", spec.Name, seed, err)
--- a/internal/lab/mutant/mutants.go
+++ b/internal/lab/mutant/mutants.go
@@ -4,9 +4,9 @@
 	"net/http"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/scenario"
-	"valvecove/logic"
 )
 
 const (
@@ -89,11 +89,11 @@
 					On: scenario.Target{Share: 0.6}}, scenario.Fault{What: "crash", At: scenario.Span(4 * sec),
 					On: scenario.Target{Share: 0.5}})(s)
 			},
-			Module: lying(forgive(logic.Reset), nil)},
+			Module: lying(forgive(dispatch.ConnectionReset), nil)},
 		{Name: "payout-after-timeout", Rule: "payout-once",
 			About:  "gives a payout up after 800 ms and takes it for never begun",
 			Tweak:  faults(scenario.Fault{What: "hang", At: scenario.Span(2 * sec), On: scenario.Target{Share: 0.3}}),
-			Module: lying(forgive(logic.TimedOut), hurry(800*ms))},
+			Module: lying(forgive(dispatch.TimedOut), hurry(800*ms))},
 		{Name: "payout-copied", Rule: "payout-once",
 			About: "sends some payouts to a second worker node while the first has them",
 			Wrap: wrap(nil, func(b *border, o *edge.Out) bool {
@@ -109,9 +109,9 @@
 				faults(scenario.Fault{What: "hang", At: scenario.Span(2 * sec), On: scenario.Target{Share: 0.3}},
 					scenario.Fault{What: "crash", At: scenario.Span(4 * sec), On: scenario.Target{Share: 0.5}})(s)
 			},
-			Module: changed(func(set *logic.Settings) {
+			Module: changed(func(set *dispatch.Settings) {
 				for i := range set.Classes {
-					set.Classes[i].Effect = logic.Safe
+					set.Classes[i].Idempotency = dispatch.Idempotent
 				}
 			})},
 
@@ -121,7 +121,7 @@
 				patient(s, "keyed")
 				faults(scenario.Fault{What: "hang", At: scenario.Span(2 * sec), On: scenario.Target{Share: 0.3}})(s)
 			},
-			Module: changed(keyed(func(c *logic.Class) { c.Group = logic.GroupAll }))},
+			Module: changed(keyed(func(c *dispatch.Class) { c.DeduplicationScope = dispatch.ScopeAll }))},
 		{Name: "key-after-window", Rule: "key-scope",
 			About: "never minds how long a key is remembered",
 			Tweak: func(s *scenario.Scenario) {
@@ -133,7 +133,7 @@
 					}
 				}
 			},
-			Module: changed(keyed(func(c *logic.Class) { c.Window = time.Hour }))},
+			Module: changed(keyed(func(c *dispatch.Class) { c.DeduplicationWindow = time.Hour }))},
 		{Name: "key-changed", Rule: "key-scope",
 			About: "sends some keyed queries under a key of its own",
 			Wrap: wrap(nil, func(b *border, o *edge.Out) bool {
@@ -188,8 +188,8 @@
 			Wrap: wrap(func(b *border, in *edge.In) bool {
 				switch {
 				case in.Kind == edge.Listed:
-					for _, h := range in.List.Hosts {
-						if n, ok := scenario.NodeIndex(h.ID, b.spec.Fleet.Nodes); ok && h.State == "up" && h.StartedMs > 0 {
+					for _, h := range in.List.Endpoints {
+						if n, ok := scenario.NodeIndex(h.ID, b.spec.Fleet.Nodes); ok && h.Lifecycle == "up" && h.StartedAtMs > 0 {
 							b.count, b.told = n, true
 						}
 					}
--- a/internal/lab/platform/golden_test.go
+++ b/internal/lab/platform/golden_test.go
@@ -6,7 +6,7 @@
 
 	"valvecove/internal/config"
 	"valvecove/internal/lab/scenario"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 	"valvecove/internal/storedform"
 )
 
@@ -20,8 +20,8 @@
 	spec.Classes[2].Kind = "slow-4c"
 	spec.Clients.MarkRetry = true
 	return spec, Options{Name: "s1", Listen: "127.0.0.1:9000", Discovery: "127.0.0.1:8500", Seed: 0xfe,
-		Known: ledger.HostGroup{Generation: 4, Reset: true, Hosts: []ledger.Host{{ID: "w-1", Addr: "127.0.0.2:1", Zone: "b",
-			Kind: "slow-4c", Cell: 1, State: "up", Weight: 0.5, StartedMs: 1718000000123}}}}
+		Known: requests.EndpointList{Revision: 4, Reset: true, Endpoints: []requests.Endpoint{{ID: "w-1", Addr: "127.0.0.2:1", Zone: "b",
+			MachineType: "slow-4c", Cell: 1, Lifecycle: "up", Weight: 0.5, StartedAtMs: 1718000000123}}}}
 }
 
 func TestGoldenConfigIsWrittenToTheSameBytes(t *testing.T) {
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -14,7 +14,7 @@
 
 	"valvecove/internal/config"
 	"valvecove/internal/lab/scenario"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 )
 
 // Options are what is told of one process, beyond what follows from the scenario.
@@ -23,7 +23,7 @@
 	Listen    string // address and port
 	Discovery string // address and port
 	Seed      uint64
-	Known     ledger.HostGroup // as it last had it; perhaps old
+	Known     requests.EndpointList // as it last had it; perhaps old
 }
 
 // Prices that the co-operative puts on what schedulers do, as parts of the result. Modules weigh by them; the lab's
@@ -42,13 +42,13 @@
 )
 
 type conf struct {
-	Name      string           `json:"name"`
-	Listen    string           `json:"listen"`
-	Discovery string           `json:"discovery"`
-	Seed      string           `json:"seed"`
-	Limits    limits           `json:"limits"`
-	Known     ledger.HostGroup `json:"known"`
-	Settings  settings         `json:"settings"`
+	Name      string                `json:"name"`
+	Listen    string                `json:"listen"`
+	Discovery string                `json:"discovery"`
+	Seed      string                `json:"seed"`
+	Limits    limits                `json:"limits"`
+	Known     requests.EndpointList `json:"known"`
+	Settings  settings              `json:"settings"`
 }
 
 type limits struct {
@@ -171,8 +171,8 @@
 	if opt.Name == "" {
 		opt.Name = "n" + strconv.Itoa(me)
 	}
-	if opt.Known.Hosts == nil {
-		opt.Known.Hosts = []ledger.Host{}
+	if opt.Known.Endpoints == nil {
+		opt.Known.Endpoints = []requests.Endpoint{}
 	}
 	c := conf{Name: opt.Name, Listen: opt.Listen, Discovery: opt.Discovery, Seed: fmt.Sprintf("%016x", opt.Seed),
 		Limits: limits{spec.Schedulers.Cores, spec.Schedulers.MemoryMB, spec.Schedulers.Sockets},
--- a/internal/lab/starve/play_test.go
+++ b/internal/lab/starve/play_test.go
@@ -5,28 +5,28 @@
 	"testing"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/lab/scenario"
 	"valvecove/internal/lab/seen"
 	"valvecove/internal/lab/starve"
 	"valvecove/internal/lab/virtual"
 	"valvecove/internal/lab/yardstick"
-	"valvecove/internal/ledger"
-	"valvecove/logic"
+	"valvecove/internal/requests"
 )
 
 // spoiled is the module in service, but for jobs of one class, of which it hears nothing, so that they are held, or of
 // which it refuses each at once.
 type spoiled struct {
-	*logic.Dispatcher
+	*dispatch.Dispatcher
 	refuses bool
 }
 
-func (m spoiled) Step(now time.Duration, events []logic.Event, dst []logic.Action) []logic.Action {
-	var turned []logic.Action
-	events = slices.DeleteFunc(slices.Clone(events), func(e logic.Event) bool {
-		j, ok := e.(logic.Job)
+func (m spoiled) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+	var turned []dispatch.Action
+	events = slices.DeleteFunc(slices.Clone(events), func(e dispatch.Event) bool {
+		j, ok := e.(dispatch.Job)
 		if ok && j.Class == 0 && m.refuses {
-			turned = append(turned, logic.Refuse{Job: j.ID})
+			turned = append(turned, dispatch.Reject{Job: j.ID})
 		}
 		return ok && j.Class == 0
 	})
@@ -46,8 +46,8 @@
 		{name: "refused", spoils: true, refuses: true, refused: true}} {
 		w := starve.New(spec)
 		opt := virtual.Options{Watch: []seen.Watcher{w.Watch}}
-		opt.Module = func(set logic.Settings, seed uint64, _ yardstick.Oracle) ledger.Module {
-			if d := logic.New(set, seed); c.spoils {
+		opt.Module = func(set dispatch.Settings, seed uint64, _ yardstick.Oracle) requests.Policy {
+			if d := dispatch.New(set, seed); c.spoils {
 				return spoiled{d, c.refuses}
 			} else {
 				return d
--- a/internal/lab/virtual/forwarder.go
+++ b/internal/lab/virtual/forwarder.go
@@ -3,24 +3,24 @@
 import (
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/aperture"
-	"valvecove/internal/follow"
-	"valvecove/internal/frame"
-	"valvecove/internal/ledger"
-	"valvecove/internal/membership"
-	"valvecove/internal/tier"
-	"valvecove/logic"
+	"valvecove/internal/control/codec"
+	"valvecove/internal/control/forwarder"
+	"valvecove/internal/control/membership"
+	"valvecove/internal/control/message"
+	"valvecove/internal/requests"
 )
 
-// forwarder is what a scheduler's process has besides, where there are planners: package follow as the ledger's
+// forwarderProcess is what a scheduler's process has besides, where there are planners: package follow as the ledger's
 // module, connections to planners, and what gossip tells.
-type forwarder struct {
+type forwarderProcess struct {
 	p       *process
 	t       *tiers
 	seat    int
 	name    string
-	follow  *follow.Follower
-	members *membership.Follower
+	follow  *forwarder.Forwarder
+	members *membership.ForwarderMembership
 	links   []*upLink // by planner
 	names   []string  // of the planners that it is to be connected to
 	events  []membership.Event
@@ -38,8 +38,8 @@
 	backoff time.Duration
 	retry   timer
 	waits   bool // for the retry
-	out     frame.Writer
-	in      *frame.Reader
+	out     codec.Writer
+	in      *codec.Reader
 }
 
 const (
@@ -49,12 +49,12 @@
 
 // alone is what a forwarder without planners looks at: as little of the fleet as may be, as all the others have lost their
 // planners too, and what many share they push over.
-var alone = aperture.Config{Least: 8, Cover: 2, OffBelow: 2, Most: 8, WidenAt: 0.1, Dwell: 30 * time.Second}
+var alone = aperture.Config{MinWorkers: 8, Coverage: 2, MinFleet: 2, MaxWidening: 8, WidenThreshold: 0.1, Retention: 30 * time.Second}
 
-func newForwarder(p *process, name string, seed uint64) *forwarder {
+func newForwarder(p *process, name string, seed uint64) *forwarderProcess {
 	s := p.s
-	f := &forwarder{p: p, t: s.tiers, seat: s.n, name: name, seed: seed}
-	f.members = membership.NewFollower(f.me(), membership.Config{})
+	f := &forwarderProcess{p: p, t: s.tiers, seat: s.n, name: name, seed: seed}
+	f.members = membership.NewForwarderMembership(f.me(), membership.Config{})
 	for n := range s.spec.Planners.Count {
 		k := &upLink{seat: s.spec.Schedulers.Count + n, name: plannerName(n)}
 		k.retry.act = func() {
@@ -66,42 +66,42 @@
 	return f
 }
 
-func (f *forwarder) me() membership.Member {
-	return membership.Member{Name: f.name, Process: uint64(f.p.s.epoch + f.p.s.now)}
+func (f *forwarderProcess) me() membership.Member {
+	return membership.Member{Name: f.name, Incarnation: uint64(f.p.s.epoch + f.p.s.now)}
 }
 
 // join begins to take part in gossip.
-func (f *forwarder) join() { f.t.gossip.join(f.seat, f.me()) }
+func (f *forwarderProcess) join() { f.t.gossip.join(f.seat, f.me()) }
 
 // module makes the ledger's module: at the start, and after one has panicked.
-func (f *forwarder) module() ledger.Module {
+func (f *forwarderProcess) module() requests.Policy {
 	set := f.p.s.set.Settings
 	f.seed++
-	conf := follow.Config{Name: f.name, Process: uint64(f.p.now), Version: frame.Version, Seed: f.seed}
+	conf := forwarder.Config{Name: f.name, Incarnation: uint64(f.p.now), Version: codec.Version, Seed: f.seed}
 	if f.follow != nil {
 		f.p.s.figures.addForwarder(f)
-		conf.After = f.follow.Last()
+		conf.LastEpoch = f.follow.LastEpoch()
 	}
-	f.follow = follow.New(set, conf, f.members, func() follow.Module {
+	f.follow = forwarder.New(set, conf, f.members, func() forwarder.Policy {
 		f.seed++
-		return aperture.Wrap(logic.New(set, f.seed), set, alone)
+		return aperture.New(dispatch.New(set, f.seed), set, alone)
 	})
-	f.follow.Planners(f.p.now, f.names)
+	f.follow.SetPlanners(f.p.now, f.names)
 	for _, k := range f.links {
 		if k.up {
-			f.follow.Session(f.p.now, k.name, true)
+			f.follow.SessionChanged(f.p.now, k.name, true)
 		}
 	}
 	return f
 }
 
 // Step has the follower decide, and gathers what it says to planners.
-func (f *forwarder) Step(now time.Duration, events []logic.Event, dst []logic.Action) []logic.Action {
+func (f *forwarderProcess) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	dst = f.follow.Step(now, events, dst)
-	for _, e := range f.follow.Out() {
+	for _, e := range f.follow.Outbox() {
 		for _, k := range f.links {
-			if k.name == e.To && k.up {
-				f.p.s.say(&k.out, &e.M)
+			if k.name == e.Planner && k.up {
+				f.p.s.say(&k.out, &e.Message)
 			}
 		}
 	}
@@ -109,27 +109,27 @@
 }
 
 // before is what comes first in a turn: what planners and gossip have brought.
-func (f *forwarder) before(news []tierNews) {
+func (f *forwarderProcess) before(news []tierNews) {
 	for i := range news {
 		f.take(&news[i])
 	}
 	if at := f.members.Next(); len(f.events) > 0 || at > 0 && at <= f.p.now {
 		f.meet()
 	}
-	if f.follow.Pending() {
+	if f.follow.HasPending() {
 		f.p.ledger.Wake()
 	}
 }
 
 // after is what comes last: what is to be written is.
-func (f *forwarder) after() {
+func (f *forwarderProcess) after() {
 	f.carryOut(f.members.Step(f.p.now, nil, f.actions[:0]))
 	for _, k := range f.links {
 		if k.up && k.out.Len() > 0 {
 			f.t.send(k.wire, 0, k.out.Take(f.t.buffer()))
 		}
 	}
-	for _, name := range f.follow.Leaves() {
+	for _, name := range f.follow.DrainingPlanners() {
 		for _, k := range f.links {
 			if k.name == name && k.up {
 				f.t.hangUp(k.wire, 0)
@@ -137,12 +137,12 @@
 			}
 		}
 	}
-	if f.follow.Pending() {
+	if f.follow.HasPending() {
 		f.p.ledger.Wake()
 	}
 }
 
-func (f *forwarder) take(n *tierNews) {
+func (f *forwarderProcess) take(n *tierNews) {
 	if n.what == gossiped {
 		f.events = append(f.events, n.event)
 		return
@@ -159,14 +159,14 @@
 	switch n.what {
 	case wireUp:
 		k.up, k.backoff = true, 0
-		k.in, k.out = frame.NewReader(0), frame.Writer{}
-		f.follow.Session(f.p.now, k.name, true)
+		k.in, k.out = codec.NewReader(0), codec.Writer{}
+		f.follow.SessionChanged(f.p.now, k.name, true)
 	case wireNone, wireLost:
 		f.lost(k)
 	case wireData:
 		k.in.Feed(n.bytes)
 		f.t.done(n.bytes)
-		var m tier.Message
+		var m message.Message
 		for {
 			ok, err := k.in.Next(&m)
 			if err != nil {
@@ -176,17 +176,17 @@
 			if err != nil || !ok {
 				return
 			}
-			f.follow.Hear(f.p.now, k.name, &m)
+			f.follow.Receive(f.p.now, k.name, &m)
 		}
 	}
 }
 
 // lost is the end of a connection, or of an attempt at one.
-func (f *forwarder) lost(k *upLink) {
+func (f *forwarderProcess) lost(k *upLink) {
 	was := k.up
 	k.wire, k.up = nil, false
 	if was {
-		f.follow.Session(f.p.now, k.name, false)
+		f.follow.SessionChanged(f.p.now, k.name, false)
 	}
 	if k.wanted && !k.waits {
 		k.backoff = min(max(2*k.backoff, redialFirst), redialMost)
@@ -196,34 +196,34 @@
 }
 
 // connect dials a planner, if there is no connection yet and one is wanted.
-func (f *forwarder) connect(k *upLink) {
+func (f *forwarderProcess) connect(k *upLink) {
 	if k.wanted && k.wire == nil {
 		k.wire = f.t.dial(f.seat, k.seat)
 	}
 }
 
 // meet takes in what gossip has told.
-func (f *forwarder) meet() {
+func (f *forwarderProcess) meet() {
 	f.carryOut(f.members.Step(f.p.now, f.events, f.actions[:0]))
 	clear(f.events)
 	f.events = f.events[:0]
-	f.follow.Planners(f.p.now, f.names) // the order of planners may be another one now
+	f.follow.SetPlanners(f.p.now, f.names) // the order of planners may be another one now
 }
 
-func (f *forwarder) carryOut(actions []membership.Action) {
+func (f *forwarderProcess) carryOut(actions []membership.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case membership.Planners:
+		case membership.SetPlanners:
 			f.names = a.Names
-			f.follow.Planners(f.p.now, a.Names)
+			f.follow.SetPlanners(f.p.now, a.Names)
 			for _, k := range f.links {
 				f.want(k, a.Names)
 			}
-		case membership.Number:
-			f.follow.Members(a.Me, a.Of)
-		case membership.Say:
+		case membership.SetForwarderIndex:
+			f.follow.SetSchedulers(a.Index, a.Count)
+		case membership.Announce:
 			f.t.gossip.say(f.seat, a.Member)
-		case membership.Log:
+		case membership.LogLine:
 			f.p.s.model.log(f.seat).Info(a.Text)
 		}
 	}
@@ -232,7 +232,7 @@
 }
 
 // want notes whether there ought to be a connection to a planner.
-func (f *forwarder) want(k *upLink, names []string) {
+func (f *forwarderProcess) want(k *upLink, names []string) {
 	was := k.wanted
 	k.wanted = false
 	for _, name := range names {
--- a/internal/lab/virtual/gossip.go
+++ b/internal/lab/virtual/gossip.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"valvecove/internal/membership"
+	"valvecove/internal/control/membership"
 )
 
 // gossip is a model of the engine that tells forwarders and planners of each other: what each says of itself spreads
@@ -52,8 +52,8 @@
 	switch {
 	case !o.known || !r.known:
 		return r.known
-	case r.member.Process != o.member.Process:
-		return r.member.Process > o.member.Process
+	case r.member.Incarnation != o.member.Incarnation:
+		return r.member.Incarnation > o.member.Incarnation
 	case r.state == rumorLeft || o.state == rumorLeft:
 		return r.state > o.state
 	case r.version != o.version:
@@ -174,7 +174,7 @@
 	for o := range what {
 		r, had := &what[o], &n.knows[o]
 		if o == seat {
-			if r.known && r.member.Process == had.member.Process && r.state == rumorDead && r.version >= had.version &&
+			if r.known && r.member.Incarnation == had.member.Incarnation && r.state == rumorDead && r.version >= had.version &&
 				had.state == rumorAlive {
 				had.version = r.version + 1 // not so
 			}
@@ -198,11 +198,11 @@
 		if had.known && had.state == rumorAlive && had.member == r.member {
 			return
 		}
-		e = membership.Joined{Member: r.member}
+		e = membership.MemberJoined{Member: r.member}
 	case rumorLeft:
-		e = membership.Left{Name: r.member.Name, Process: r.member.Process}
+		e = membership.MemberLeft{Name: r.member.Name, Incarnation: r.member.Incarnation}
 	case rumorDead:
-		e = membership.Died{Name: r.member.Name, Process: r.member.Process}
+		e = membership.MemberDied{Name: r.member.Name, Incarnation: r.member.Incarnation}
 	}
 	g.t.reach(seat, tierNews{what: gossiped, event: e})
 }
@@ -248,7 +248,7 @@
 // reaches tells whether a process answers, straight or through some others.
 func (g *gossip) reaches(seat, to int, others []int) bool {
 	answers := func(from int) bool {
-		return g.runs(to) && g.nodes[to].knows[to].member.Process == g.nodes[seat].knows[to].member.Process &&
+		return g.runs(to) && g.nodes[to].knows[to].member.Incarnation == g.nodes[seat].knows[to].member.Incarnation &&
 			!g.t.cut(from, to) && !g.t.cut(to, from)
 	}
 	if answers(seat) {
--- a/internal/lab/virtual/links.go
+++ b/internal/lab/virtual/links.go
@@ -8,7 +8,7 @@
 
 	"valvecove/internal/due"
 	"valvecove/internal/lab/edge"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 )
 
 // The figures of internal/link's server links.
@@ -44,9 +44,9 @@
 	hosts   map[uint64]*hostLinks
 	order   []*hostLinks // map order decides nothing
 	links   map[edge.Conn]*serverLink
-	carried map[*ledger.Attempt]*serverLink // until the worker node has accepted
+	carried map[*requests.Attempt]*serverLink // until the worker node has accepted
 	// withdrawals are the attempts whose worker node is being told, and how many connections were tried for that.
-	withdrawals map[*ledger.Attempt]int
+	withdrawals map[*requests.Attempt]int
 	most        int
 	resting     int           // idle links, over all hosts
 	victim      int           // where in order evict looks first
@@ -88,7 +88,7 @@
 // errand is what a link is used for, one at a time.
 type errand struct {
 	kind    errandKind
-	attempt *ledger.Attempt // nil for a probe
+	attempt *requests.Attempt // nil for a probe
 }
 
 // serverLink is a connection to a worker node.
@@ -101,7 +101,7 @@
 	conn   edge.Conn // 0: never dialled
 	epoch  int
 	state  linkState
-	stage  ledger.Stage
+	stage  requests.Stage
 	came   bool // part of an answer has come
 	cut    bool // the other side has ended it
 	errand errand
@@ -112,24 +112,24 @@
 
 func newServerLinks(p *process, most int, dial, idleFor time.Duration) *serverLinks {
 	s := &serverLinks{p: p, hosts: map[uint64]*hostLinks{}, links: map[edge.Conn]*serverLink{},
-		carried: map[*ledger.Attempt]*serverLink{}, withdrawals: map[*ledger.Attempt]int{}, most: most, dial: dial, idleFor: idleFor * 3 / 4}
+		carried: map[*requests.Attempt]*serverLink{}, withdrawals: map[*requests.Attempt]int{}, most: most, dial: dial, idleFor: idleFor * 3 / 4}
 	s.retire()
 	return s
 }
 
 // host finds the links to a worker, and drops those to a process that has been replaced.
 func (s *serverLinks) host(worker uint64) *hostLinks {
-	h, now := s.hosts[worker], s.p.ledger.Host(worker)
+	h, now := s.hosts[worker], s.p.ledger.Endpoint(worker)
 	if h == nil {
 		h = &hostLinks{worker: worker}
 		h.node, h.machine = NodeOf(now.ID)
 		s.hosts[worker] = h
 		s.order = append(s.order, h)
 	}
-	if h.started != now.StartedMs || h.addr != now.Addr {
-		h.addr, h.started = now.Addr, now.StartedMs
+	if h.started != now.StartedAtMs || h.addr != now.Addr {
+		h.addr, h.started = now.Addr, now.StartedAtMs
 		h.epoch++
-		s.FreeLinks(worker)
+		s.CloseIdleConnections(worker)
 	}
 	return h
 }
@@ -151,20 +151,20 @@
 
 // ---- What the ledger wants ----
 
-// Carry starts an attempt.
-func (s *serverLinks) Carry(a *ledger.Attempt) { s.start(a.Worker, errand{carrying, a}) }
+// Start starts an attempt.
+func (s *serverLinks) Start(a *requests.Attempt) { s.start(a.Worker, errand{carrying, a}) }
 
-// GiveUp lets the worker node know: before it has accepted by closing the link, after that by a DELETE.
-func (s *serverLinks) GiveUp(a *ledger.Attempt) {
+// Abandon lets the worker node know: before it has accepted by closing the link, after that by a DELETE.
+func (s *serverLinks) Abandon(a *requests.Attempt) {
 	if k := s.carried[a]; k != nil {
 		k.end(nil)
-	} else if a.Stage == ledger.Accepted {
-		s.Withdraw(a)
+	} else if a.Stage == requests.StageAccepted {
+		s.Cancel(a)
 	}
 }
 
-// Withdraw sends a DELETE, unless one is on its way.
-func (s *serverLinks) Withdraw(a *ledger.Attempt) {
+// Cancel sends a DELETE, unless one is on its way.
+func (s *serverLinks) Cancel(a *requests.Attempt) {
 	if _, is := s.withdrawals[a]; !is {
 		s.withdrawals[a] = 1
 		s.start(a.Worker, errand{withdrawing, a})
@@ -172,16 +172,16 @@
 }
 
 // withdrew takes in how a DELETE ended. What broke is tried again, on another connection.
-func (s *serverLinks) withdrew(a *ledger.Attempt, fault *ledger.Fault) {
-	broke := fault != nil && fault.Reason == ledger.Cut
-	wanted := !a.Ended() || fault != nil && fault.Stage >= ledger.AllWritten
-	if !broke || !wanted || a.Told() || s.withdrawals[a] >= withdrawTimes {
+func (s *serverLinks) withdrew(a *requests.Attempt, fault *requests.AttemptError) {
+	broke := fault != nil && fault.Reason == requests.ReasonConnectionLost
+	wanted := !a.HasEnded() || fault != nil && fault.Stage >= requests.StageWritten
+	if !broke || !wanted || a.EndedByWorker() || s.withdrawals[a] >= withdrawTimes {
 		delete(s.withdrawals, a)
-		s.p.ledger.Withdrawn(a, !broke)
+		s.p.ledger.CancelCompleted(a, !broke)
 		return
 	}
 	s.p.after(withdrawAgain, func() {
-		if a.Told() {
+		if a.EndedByWorker() {
 			delete(s.withdrawals, a)
 			return
 		}
@@ -190,11 +190,11 @@
 	})
 }
 
-// Probe asks a worker node for a sign of life.
-func (s *serverLinks) Probe(worker uint64) { s.start(worker, errand{kind: probing}) }
+// CheckHealth asks a worker node for a sign of life.
+func (s *serverLinks) CheckHealth(worker uint64) { s.start(worker, errand{kind: probing}) }
 
-// FreeLinks closes the idle links to a worker node.
-func (s *serverLinks) FreeLinks(worker uint64) {
+// CloseIdleConnections closes the idle links to a worker node.
+func (s *serverLinks) CloseIdleConnections(worker uint64) {
 	h := s.hosts[worker]
 	for h != nil && len(h.idle) > 0 {
 		h.idle[0].end(nil)
@@ -292,7 +292,7 @@
 
 // take gives the link its errand.
 func (k *serverLink) take(e errand) {
-	k.errand, k.last, k.stage, k.came = e, e.kind, ledger.NotConnected, false
+	k.errand, k.last, k.stage, k.came = e, e.kind, requests.StageNotConnected, false
 	if e.kind == carrying {
 		k.home.carried[e.attempt] = k
 	}
@@ -332,25 +332,25 @@
 		return
 	}
 	k.state = asking
-	k.reach(ledger.AllWritten)
+	k.reach(requests.StageWritten)
 	o := edge.Out{Conn: k.conn, Node: k.host.node, First: p.now - p.s.epoch}
 	switch k.errand.kind {
 	case carrying:
 		left := a.At - p.now
-		o.Kind, o.Call, o.Key = edge.Sent, a.Query.Call, a.Query.Parcel.Key
+		o.Kind, o.Call, o.Key = edge.Sent, a.Request.CallID, a.Request.Payload.IdempotencyKey
 		o.Budget = max(time.Millisecond, left.Truncate(time.Millisecond))
 		k.await(left + graceFor)
 	case probing:
 		o.Kind = edge.Probe
 		k.await(probeFor)
 	case withdrawing:
-		o.Kind, o.Call = edge.Delete, a.Query.Call
+		o.Kind, o.Call = edge.Delete, a.Request.CallID
 		k.await(withdrawFor)
 	}
 	p.emit(o)
 }
 
-func (k *serverLink) reach(stage ledger.Stage) {
+func (k *serverLink) reach(stage requests.Stage) {
 	if k.stage = stage; k.errand.kind == carrying {
 		k.errand.attempt.Stage = stage
 	}
@@ -360,8 +360,8 @@
 func (k *serverLink) up() {
 	switch {
 	case k.state != connecting:
-	case k.errand.kind == carrying && k.errand.attempt.Ended(), // by a late note of an attempt before
-		k.errand.kind == withdrawing && k.errand.attempt.Told():
+	case k.errand.kind == carrying && k.errand.attempt.HasEnded(), // by a late note of an attempt before
+		k.errand.kind == withdrawing && k.errand.attempt.EndedByWorker():
 		k.end(nil)
 	default:
 		k.write()
@@ -393,26 +393,26 @@
 		k.end(errReset)
 		return
 	}
-	reason, well := ledger.Errored, in.Status/100 == 2
+	reason, well := requests.ReasonWorkerError, in.Status/100 == 2
 	switch refused := in.Status == 503 || in.Status == 504; {
 	case refused && (k.errand.kind == probing || in.Rejected):
-		reason = ledger.Rejected
+		reason = requests.ReasonRejected
 	case in.Status/100 == 4 && k.errand.kind == carrying:
-		reason = ledger.Unusable
+		reason = requests.ReasonInvalidRequest
 	}
 	switch a := k.errand.attempt; {
 	case k.errand.kind == carrying && well:
-		k.home.p.ledger.Answered(a, in.Status)
-		k.reach(ledger.Accepted)
+		k.home.p.ledger.ReportResponse(a, in.Status)
+		k.reach(requests.StageAccepted)
 		delete(k.home.carried, a)
 		k.errand = errand{}
 	case well:
 		k.settle(nil)
 	default:
 		if k.errand.kind == carrying {
-			k.home.p.ledger.Answered(a, in.Status)
+			k.home.p.ledger.ReportResponse(a, in.Status)
 		}
-		k.settle(&ledger.Fault{Stage: k.stage, Reason: reason, Cause: errStatus})
+		k.settle(&requests.AttemptError{Stage: k.stage, Reason: reason, Cause: errStatus})
 	}
 	if k.state != asking { // what it ended has ended the link too
 		return
@@ -425,15 +425,15 @@
 }
 
 // settle ends the errand.
-func (k *serverLink) settle(fault *ledger.Fault) {
+func (k *serverLink) settle(fault *requests.AttemptError) {
 	e := k.errand
 	k.errand = errand{}
 	switch e.kind {
 	case carrying:
 		delete(k.home.carried, e.attempt)
-		k.home.p.ledger.End(e.attempt, nil, fault)
+		k.home.p.ledger.EndAttempt(e.attempt, nil, fault)
 	case probing:
-		k.home.p.ledger.Probed(k.host.worker, fault)
+		k.home.p.ledger.HealthChecked(k.host.worker, fault)
 	case withdrawing:
 		k.home.withdrew(e.attempt, fault)
 	}
@@ -477,14 +477,14 @@
 	if k.errand.kind == nothing {
 		return
 	}
-	reason := ledger.Cut
+	reason := requests.ReasonConnectionLost
 	if dropped && k.errand.kind == probing {
-		reason = ledger.Unsent // it says nothing of the worker node
+		reason = requests.ReasonNotSent // it says nothing of the worker node
 	}
-	if k.stage >= ledger.AllWritten && cause == errLate {
-		reason = ledger.Expired
+	if k.stage >= requests.StageWritten && cause == errLate {
+		reason = requests.ReasonTimeout
 	}
-	k.settle(&ledger.Fault{Stage: k.stage, Reason: reason, Cause: cause})
+	k.settle(&requests.AttemptError{Stage: k.stage, Reason: reason, Cause: cause})
 }
 
 // timer calls act once it is due.
