--- a/internal/lab/virtual/links_test.go
+++ b/internal/lab/virtual/links_test.go
@@ -8,12 +8,12 @@
 	"testing"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/scenario"
 	"valvecove/internal/lab/yardstick"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 	"valvecove/internal/steps"
-	"valvecove/logic"
 )
 
 // bench is a scheduler whose module is scripted, and what the far side of its connections knows.
@@ -61,7 +61,7 @@
 	}
 	b := &bench{script: &steps.Script{}, conns: map[edge.Conn]*farConn{}, resting: map[int][]edge.Conn{}}
 	var err error
-	b.s, err = NewScheduler(spec, 0, Epoch, Model{Module: func(logic.Settings, uint64, yardstick.Oracle) ledger.Module {
+	b.s, err = NewScheduler(spec, 0, Epoch, Model{Module: func(dispatch.Settings, uint64, yardstick.Oracle) requests.Policy {
 		return b.script
 	}}, nil)
 	if err != nil {
@@ -71,9 +71,9 @@
 }
 
 func (b *bench) start() []edge.Out {
-	known := ledger.HostGroup{Generation: 7}
+	known := requests.EndpointList{Revision: 7}
 	for n := range benchNodes {
-		known.Hosts = append(known.Hosts, ledger.Host{ID: "w-" + strconv.Itoa(n), Addr: "a:" + strconv.Itoa(n), State: "up"})
+		known.Endpoints = append(known.Endpoints, requests.Endpoint{ID: "w-" + strconv.Itoa(n), Addr: "a:" + strconv.Itoa(n), Lifecycle: "up"})
 	}
 	return b.step(edge.In{Kind: edge.Start, Boot: &edge.Boot{Name: "n0", Known: known}})
 }
@@ -94,9 +94,9 @@
 }
 
 // act has the module do something.
-func (b *bench) act(actions ...logic.Action) []edge.Out {
+func (b *bench) act(actions ...dispatch.Action) []edge.Out {
 	b.script.Next = actions
-	b.s.p.ledger.HostsLost() // something to step for
+	b.s.p.ledger.DiscoveryFailed() // something to step for
 	return b.step()
 }
 
@@ -160,7 +160,7 @@
 	node    int
 	until   time.Duration
 	written bool
-	may     map[logic.Result]bool // how it may end, by what has happened to it
+	may     map[dispatch.Result]bool // how it may end, by what has happened to it
 	ended   bool
 }
 
@@ -181,22 +181,22 @@
 	// hear checks the outcomes that the module has been told of.
 	hear := func() {
 		for ; heard < len(b.script.Heard); heard++ {
-			o, ok := b.script.Heard[heard].(logic.Outcome)
+			o, ok := b.script.Heard[heard].(dispatch.Outcome)
 			if !ok {
 				continue
 			}
 			a := byJob[[2]uint64{o.Job, uint64(o.Attempt)}]
-			if last := byJob[[2]uint64{o.Job, uint64(attempts[o.Job] - 1)}]; a.ended && o.Result == logic.NotSent && o.Closed {
+			if last := byJob[[2]uint64{o.Job, uint64(attempts[o.Job] - 1)}]; a.ended && o.Result == dispatch.NotSent && o.Closed {
 				a = last // of a query that has ended and been dropped: that attempt has no number of its own
 			}
 			s.Check(a != nil && !a.ended, "job %d attempt %d: an outcome %v for none that is out", o.Job, o.Attempt, o.Result)
 			a.ended = true
 			switch o.Result {
-			case logic.NoConnect:
+			case dispatch.ConnectFailed:
 				s.Check(!a.written, "could not connect, though it was written")
-			case logic.TimedOut:
+			case dispatch.TimedOut:
 				s.Check(b.now >= a.until, "timed out at %v, before %v", b.now, a.until)
-			case logic.Cancelled:
+			case dispatch.Cancelled:
 			default:
 				s.Check(a.may[o.Result], "ended with %v; written %v, may %v", o.Result, a.written, a.may)
 			}
@@ -208,7 +208,7 @@
 				return a
 			}
 		}
-		return &sending{may: map[logic.Result]bool{}}
+		return &sending{may: map[dispatch.Result]bool{}}
 	}
 	step := func(ins ...edge.In) {
 		b.step(ins...)
@@ -221,9 +221,9 @@
 		s.Check(b.wrong == "", "%s", b.wrong)
 		s.Check(len(b.conns) <= 8, "%d links are open", len(b.conns))
 	}
-	act := func(actions ...logic.Action) {
+	act := func(actions ...dispatch.Action) {
 		b.script.Next = actions
-		b.s.p.ledger.HostsLost()
+		b.s.p.ledger.DiscoveryFailed()
 		step()
 	}
 	for s.More() {
@@ -243,21 +243,21 @@
 		case what <= 3 && calls > 0:
 			id := uint64(1 + s.Pick(calls))
 			patience := time.Duration(s.Pick(3)) * 150 * time.Millisecond
-			a := &sending{call: strconv.Itoa(int(id)), node: node, may: map[logic.Result]bool{logic.NotSent: true}}
+			a := &sending{call: strconv.Itoa(int(id)), node: node, may: map[dispatch.Result]bool{dispatch.NotSent: true}}
 			if a.until = deadlines[id]; patience > 0 {
 				a.until = min(a.until, b.now+patience)
 			}
 			jobs = append(jobs, a)
 			byJob[[2]uint64{id, uint64(attempts[id])}] = a
 			attempts[id]++
-			act(logic.Send{Job: id, Worker: worker, Patience: patience})
+			act(dispatch.Send{Job: id, Worker: worker, AttemptTimeout: patience})
 			s.Did("send")
 		case what == 4:
-			act(logic.Probe{Worker: worker})
+			act(dispatch.HealthCheck{Worker: worker})
 			s.Did("probe")
 		case what == 5 && calls > 0:
 			id := 1 + s.Pick(calls)
-			act(logic.Cancel{Job: uint64(id), Attempt: s.Pick(3)}, logic.FreeLinks{Worker: worker})
+			act(dispatch.Cancel{Job: uint64(id), Attempt: s.Pick(3)}, dispatch.CloseIdleConnections{Worker: worker})
 			s.Did("cancel")
 		case what == 6 && calls > 0:
 			states := []string{"started", "done", "failed", "returned", "lost"}
@@ -266,9 +266,9 @@
 			if !about.written {
 				continue // what has not reached a worker node it tells nothing of
 			}
-			about.may[map[string]logic.Result{"started": logic.OK, "done": logic.OK, "failed": logic.Failed,
-				"returned": logic.Full, "lost": logic.Reset}[state]] = true
-			step(edge.In{Kind: edge.Told, Node: node, NoteID: 5, Note: &ledger.Note{ID: call, From: "w-" + strconv.Itoa(node),
+			about.may[map[string]dispatch.Result{"started": dispatch.OK, "done": dispatch.OK, "failed": dispatch.Failed,
+				"returned": dispatch.WorkerFull, "lost": dispatch.ConnectionReset}[state]] = true
+			step(edge.In{Kind: edge.Told, Node: node, NoteID: 5, Note: &requests.Callback{CallID: call, EndpointID: "w-" + strconv.Itoa(node),
 				State: state, Result: &result}})
 			i := slices.IndexFunc(b.outs, func(o edge.Out) bool { return o.Kind == edge.Acked })
 			s.Check(i >= 0 && b.outs[i].Status == 204 && b.outs[i].NoteID == 5, "a note was answered by %+v", b.outs)
@@ -285,7 +285,7 @@
 			}
 		case what <= 9 && c != nil && c.up && (c.asked == nil || s.Pick(4) == 0):
 			if c.asked != nil && c.asked.Kind == edge.Sent {
-				find(c.asked.Call, c.node).may[logic.Reset] = true
+				find(c.asked.Call, c.node).may[dispatch.ConnectionReset] = true
 			}
 			b.forget(c)
 			step(edge.In{Kind: edge.LinkDown, Conn: c.conn, Node: c.node, Reset: s.Pick(2) == 0})
@@ -295,9 +295,9 @@
 				status   int
 				rejected bool
 				bytes    int
-				result   logic.Result
-			}{{202, false, 0, logic.OK}, {503, true, 0, logic.Full}, {503, false, 0, logic.Failed},
-				{500, false, 0, logic.Failed}, {404, false, 0, logic.NotSent}, {202, false, 9, logic.Reset}}
+				result   dispatch.Result
+			}{{202, false, 0, dispatch.OK}, {503, true, 0, dispatch.WorkerFull}, {503, false, 0, dispatch.Failed},
+				{500, false, 0, dispatch.Failed}, {404, false, 0, dispatch.NotSent}, {202, false, 9, dispatch.ConnectionReset}}
 			a := answers[s.Pick(len(answers))]
 			if c.asked.Kind == edge.Sent {
 				find(c.asked.Call, c.node).may[a.result] = true
@@ -335,43 +335,43 @@
 	for _, c := range []struct {
 		name string
 		far  func(b *bench, conn edge.Conn) // after the dial
-		want logic.Result
+		want dispatch.Result
 	}{
-		{"refused", func(b *bench, conn edge.Conn) { b.step(edge.In{Kind: edge.LinkDown, Conn: conn}) }, logic.NoConnect},
-		{"never up", func(b *bench, _ edge.Conn) { b.now += 250 * time.Millisecond; b.step() }, logic.NoConnect},
+		{"refused", func(b *bench, conn edge.Conn) { b.step(edge.In{Kind: edge.LinkDown, Conn: conn}) }, dispatch.ConnectFailed},
+		{"never up", func(b *bench, _ edge.Conn) { b.now += 250 * time.Millisecond; b.step() }, dispatch.ConnectFailed},
 		{"reset once written", func(b *bench, conn edge.Conn) {
 			b.step(edge.In{Kind: edge.LinkUp, Conn: conn})
 			b.step(edge.In{Kind: edge.LinkDown, Conn: conn, Reset: true})
-		}, logic.Reset},
+		}, dispatch.ConnectionReset},
 		{"reset in the answer", func(b *bench, conn edge.Conn) {
 			b.step(edge.In{Kind: edge.LinkUp, Conn: conn})
 			b.step(edge.In{Kind: edge.Answered, Conn: conn, Status: 202, Bytes: 3})
-		}, logic.Reset},
+		}, dispatch.ConnectionReset},
 		{"lost once accepted", func(b *bench, conn edge.Conn) {
 			b.step(edge.In{Kind: edge.LinkUp, Conn: conn})
 			b.step(edge.In{Kind: edge.Answered, Conn: conn, Status: 202})
 			b.step(edge.In{Kind: edge.LinkDown, Conn: conn, Reset: true}) // means nothing any more
-			b.step(edge.In{Kind: edge.Told, Note: &ledger.Note{ID: "c", From: "w-1", State: "lost"}})
-		}, logic.Reset},
+			b.step(edge.In{Kind: edge.Told, Note: &requests.Callback{CallID: "c", EndpointID: "w-1", State: "lost"}})
+		}, dispatch.ConnectionReset},
 		{"told late of an attempt before", func(b *bench, conn edge.Conn) {
-			b.step(edge.In{Kind: edge.Told, Note: &ledger.Note{ID: "c", From: "w-1", State: "returned"}})
+			b.step(edge.In{Kind: edge.Told, Note: &requests.Callback{CallID: "c", EndpointID: "w-1", State: "returned"}})
 			if b.step(edge.In{Kind: edge.LinkUp, Conn: conn}); len(b.order) > 0 || b.outs[0].Kind != edge.Hangup {
 				b.fail("it is sent all the same: %+v", b.outs)
 			}
-		}, logic.Full},
+		}, dispatch.WorkerFull},
 		{"silent", func(b *bench, conn edge.Conn) {
 			b.step(edge.In{Kind: edge.LinkUp, Conn: conn})
 			b.now += time.Second
 			b.step()
-		}, logic.TimedOut},
+		}, dispatch.TimedOut},
 	} {
 		b := newBench(t, nil)
 		b.start()
 		b.step(edge.In{Kind: edge.Asked, Conn: 1, Ask: &edge.Ask{Call: "c", Budget: time.Second}})
-		b.act(logic.Send{Job: 1, Worker: hostNumber("w-1")})
+		b.act(dispatch.Send{Job: 1, Worker: hostNumber("w-1")})
 		b.order[0].up = true // where the story says so
 		c.far(b, b.order[0].conn)
-		o, _ := b.script.Heard[len(b.script.Heard)-1].(logic.Outcome)
+		o, _ := b.script.Heard[len(b.script.Heard)-1].(dispatch.Outcome)
 		if o.Result != c.want || b.wrong != "" {
 			t.Errorf("%s: %v, expected %v; %s", c.name, o.Result, c.want, b.wrong)
 		}
@@ -383,7 +383,7 @@
 	b := newBench(t, nil)
 	b.start()
 	probe := func() edge.Out {
-		b.act(logic.Probe{Worker: hostNumber("w-0")})
+		b.act(dispatch.HealthCheck{Worker: hostNumber("w-0")})
 		for _, o := range b.outs {
 			if o.Kind == edge.Dial {
 				b.conns[o.Conn].up = true
@@ -405,7 +405,7 @@
 	if got := b.s.p.servers.trust; got != time.Second {
 		t.Errorf("trusted for %v after 2 s went wrong", got)
 	}
-	if p, _ := b.script.Heard[len(b.script.Heard)-1].(logic.Probed); p.Result != logic.NotSent {
+	if p, _ := b.script.Heard[len(b.script.Heard)-1].(dispatch.HealthChecked); p.Result != dispatch.NotSent {
 		t.Errorf("a probe on a dropped link ended with %v", p.Result)
 	}
 	for range 11 {
@@ -422,10 +422,10 @@
 func TestWithdrawnOnceWritten(t *testing.T) {
 	for name, c := range map[string]struct {
 		far  func(b *bench)
-		want []logic.Result
+		want []dispatch.Result
 	}{
 		"comes up": {func(b *bench) { b.up() }, nil},
-		"answered": {func(b *bench) { b.answered() }, []logic.Result{logic.Cancelled}},
+		"answered": {func(b *bench) { b.answered() }, []dispatch.Result{dispatch.Cancelled}},
 		"late": {func(b *bench) {
 			b.now += 250*ms + withdrawAgain
 			b.step()
@@ -433,20 +433,20 @@
 		"late, then on another": {func(b *bench) {
 			b.until(b.now + 250*ms + withdrawAgain)
 			b.answered()
-		}, []logic.Result{logic.Cancelled}},
+		}, []dispatch.Result{dispatch.Cancelled}},
 		"never":        {func(b *bench) { b.until(b.now + 4*sec) }, nil},
-		"till its end": {func(b *bench) { b.until(b.now + 10*sec) }, []logic.Result{logic.TimedOut}},
+		"till its end": {func(b *bench) { b.until(b.now + 10*sec) }, []dispatch.Result{dispatch.TimedOut}},
 		"handed back": {func(b *bench) {
-			b.step(edge.In{Kind: edge.Told, Note: &ledger.Note{ID: "c", From: "w-1", State: "returned"}})
+			b.step(edge.In{Kind: edge.Told, Note: &requests.Callback{CallID: "c", EndpointID: "w-1", State: "returned"}})
 			if b.up(); slices.ContainsFunc(b.outs, func(o edge.Out) bool { return o.Kind == edge.Delete }) {
 				b.fail("a DELETE for what has ended")
 			}
-		}, []logic.Result{logic.Full}},
+		}, []dispatch.Result{dispatch.WorkerFull}},
 	} {
 		b := newBench(t, nil)
 		b.start()
 		b.step(edge.In{Kind: edge.Asked, Conn: 1, Ask: &edge.Ask{Call: "c", Budget: 9 * sec}})
-		b.act(logic.Send{Job: 1, Worker: hostNumber("w-1")})
+		b.act(dispatch.Send{Job: 1, Worker: hostNumber("w-1")})
 		conn := b.order[0].conn
 		b.up()
 		b.conns[conn].asked = nil
@@ -454,11 +454,11 @@
 		b.forget(b.conns[conn])
 		b.step(edge.In{Kind: edge.LinkDown, Conn: conn, Reset: true})
 		b.script.Heard = nil
-		b.act(logic.Cancel{Job: 1})
+		b.act(dispatch.Cancel{Job: 1})
 		c.far(b)
-		var got []logic.Result
+		var got []dispatch.Result
 		for _, e := range b.script.Heard {
-			if o, ok := e.(logic.Outcome); ok {
+			if o, ok := e.(dispatch.Outcome); ok {
 				got = append(got, o.Result)
 			}
 		}
--- a/internal/lab/virtual/planner.go
+++ b/internal/lab/virtual/planner.go
@@ -5,16 +5,16 @@
 	"strconv"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/internal/frame"
+	"valvecove/internal/control/codec"
+	"valvecove/internal/control/membership"
+	"valvecove/internal/control/message"
+	"valvecove/internal/control/planner"
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/platform"
 	"valvecove/internal/lab/scenario"
-	"valvecove/internal/ledger"
-	"valvecove/internal/membership"
-	"valvecove/internal/planner"
-	"valvecove/internal/tier"
-	"valvecove/logic"
+	"valvecove/internal/requests"
 )
 
 func plannerName(n int) string { return "p" + strconv.Itoa(n+1) }
@@ -53,7 +53,7 @@
 
 func newPlanSeat(spec *scenario.Scenario, n int, opt *Options, t *tiers, f *TierFigures) (*planSeat, error) {
 	set, err := platform.Settings(spec, 0)
-	set.Replicas, set.Me, set.Zone = 1, 0, spec.ZoneOf(n)
+	set.Replicas, set.ReplicaIndex, set.Zone = 1, 0, spec.ZoneOf(n)
 	return &planSeat{n: n, name: plannerName(n - spec.Schedulers.Count), spec: spec, set: set, epoch: Epoch,
 		model: opt.Model, opt: opt, t: t, figures: f}, err
 }
@@ -139,23 +139,23 @@
 type planProcess struct {
 	s        *planSeat
 	now      time.Duration
-	book     *planner.Book
-	members  *membership.Parter
-	lists    *ledger.Ledger // for its words of the host group alone
-	news     []logic.WorkerList
+	book     *planner.Planner
+	members  *membership.PlannerMembership
+	lists    *requests.Table // for its words of the host group alone
+	news     []dispatch.WorkerList
 	asks     bool // the book wants the watch
 	timer    time.Duration
 	disco    int
 	watching bool
 	silence  time.Duration // when the watch counts as lost; 0: never
-	links    map[planner.Session]*planLink
+	links    map[planner.SessionID]*planLink
 	order    []*planLink // map order decides nothing
 	wanted   []string    // peers to be connected to
 	redial   []time.Duration
 	backoff  []time.Duration
-	ins      []planner.In
-	outs     []planner.Out
-	texts    []*tier.Message // of the ins
+	ins      []planner.Event
+	outs     []planner.Action
+	texts    []*message.Message // of the ins
 	used     int
 	events   []membership.Event
 	actions  []membership.Action
@@ -169,21 +169,21 @@
 	seat int
 	peer string // empty: a forwarder's
 	up   bool
-	out  frame.Writer
-	in   *frame.Reader
+	out  codec.Writer
+	in   *codec.Reader
 }
 
 func newPlanProcess(s *planSeat, boot *edge.Boot) *planProcess {
-	p := &planProcess{s: s, now: s.epoch + s.now, disco: boot.Disco, links: map[planner.Session]*planLink{},
+	p := &planProcess{s: s, now: s.epoch + s.now, disco: boot.Disco, links: map[planner.SessionID]*planLink{},
 		redial: make([]time.Duration, s.spec.Planners.Count), backoff: make([]time.Duration, s.spec.Planners.Count)}
-	me := membership.Member{Name: s.name, Role: membership.Planner, Process: uint64(p.now), Addr: s.name}
-	p.members = membership.NewParter(me, membership.Config{})
-	p.lists = ledger.New(1, s.set.Names, func() ledger.Module { return p }, boot.Known, p, slog.New(slog.DiscardHandler))
+	me := membership.Member{Name: s.name, Role: membership.RolePlanner, Incarnation: uint64(p.now), Addr: s.name}
+	p.members = membership.NewPlannerMembership(me, membership.Config{})
+	p.lists = requests.New(1, s.set.Names, func() requests.Policy { return p }, boot.Known, p, slog.New(slog.DiscardHandler))
 	seed := boot.Seed
-	p.book = planner.New(planner.Config{Name: s.name, Process: uint64(p.now), Version: frame.Version,
-		Settings: s.set.Settings, Start: func() planner.Module {
+	p.book = planner.New(planner.Config{Name: s.name, Incarnation: uint64(p.now), Version: codec.Version,
+		Settings: s.set.Settings, NewPolicy: func() planner.Policy {
 			seed++
-			var m planner.Module = logic.New(s.set.Settings, seed)
+			var m planner.Policy = dispatch.New(s.set.Settings, seed)
 			if s.opt.Plan != nil {
 				m = s.opt.Plan(s.n-s.spec.Schedulers.Count, m)
 			}
@@ -223,7 +223,7 @@
 		}
 	}
 	for i := range p.news {
-		p.ins = append(p.ins, planner.In{Kind: planner.Hosts, List: p.news[i]})
+		p.ins = append(p.ins, planner.Event{Kind: planner.EndpointsChanged, Endpoints: p.news[i]})
 	}
 	clear(p.news)
 	p.news = p.news[:0]
@@ -288,23 +288,23 @@
 		p.events = append(p.events, n.event)
 	case wireCame:
 		seat, end := n.wire.far(p.s.n)
-		k := &planLink{wire: n.wire, end: end, seat: seat, up: true, in: frame.NewReader(0)}
+		k := &planLink{wire: n.wire, end: end, seat: seat, up: true, in: codec.NewReader(0)}
 		if p.s.t.isPlanner(seat) {
 			k.peer = plannerName(seat - p.s.spec.Schedulers.Count)
 		}
 		p.enter(k)
 	case wireUp:
-		if k := p.links[planner.Session(n.wire.id)]; k != nil {
+		if k := p.links[planner.SessionID(n.wire.id)]; k != nil {
 			k.up = true
 			p.backoff[k.seat-p.s.spec.Schedulers.Count] = 0
 			p.comes(k)
 		}
 	case wireNone, wireLost:
-		if k := p.links[planner.Session(n.wire.id)]; k != nil {
+		if k := p.links[planner.SessionID(n.wire.id)]; k != nil {
 			p.drop(k, n.silent)
 		}
 	case wireData:
-		k := p.links[planner.Session(n.wire.id)]
+		k := p.links[planner.SessionID(n.wire.id)]
 		if k == nil || !k.up {
 			return
 		}
@@ -323,28 +323,28 @@
 			}
 			p.keep(m)
 			if k.peer == "" {
-				p.ins = append(p.ins, planner.In{Kind: planner.FromForwarder, Session: planner.Session(k.wire.id), Msg: m})
+				p.ins = append(p.ins, planner.Event{Kind: planner.ForwarderMessage, Session: planner.SessionID(k.wire.id), Message: m})
 			} else {
-				p.ins = append(p.ins, planner.In{Kind: planner.FromPeer, Peer: k.peer, Msg: m})
+				p.ins = append(p.ins, planner.Event{Kind: planner.PeerMessage, Peer: k.peer, Message: m})
 			}
 		}
 	}
 }
 
 // text is a message for what is read now, which holds until the book has stepped.
-func (p *planProcess) text() *tier.Message {
+func (p *planProcess) text() *message.Message {
 	if p.used == len(p.texts) {
-		p.texts = append(p.texts, &tier.Message{})
+		p.texts = append(p.texts, &message.Message{})
 	}
 	p.used++
 	return p.texts[p.used-1]
 }
 
 // keep has a message outlive its reader's next one.
-func (p *planProcess) keep(m *tier.Message) {
+func (p *planProcess) keep(m *message.Message) {
 	if m.Head != nil {
 		h := *m.Head
-		h.Attempts = append([]tier.Past(nil), h.Attempts...)
+		h.Attempts = append([]message.PastAttempt(nil), h.Attempts...)
 		m.Head = &h
 	}
 	if m.Word != nil {
@@ -362,7 +362,7 @@
 
 // enter takes a connection into the books.
 func (p *planProcess) enter(k *planLink) {
-	p.links[planner.Session(k.wire.id)] = k
+	p.links[planner.SessionID(k.wire.id)] = k
 	p.order = append(p.order, k)
 	if k.up {
 		p.comes(k)
@@ -372,7 +372,7 @@
 // comes tells that a connection is up. Of two with one peer the newer one counts.
 func (p *planProcess) comes(k *planLink) {
 	if k.peer == "" {
-		p.ins = append(p.ins, planner.In{Kind: planner.SessionUp, Session: planner.Session(k.wire.id)})
+		p.ins = append(p.ins, planner.Event{Kind: planner.SessionOpened, Session: planner.SessionID(k.wire.id)})
 		return
 	}
 	for _, o := range append([]*planLink(nil), p.order...) {
@@ -381,13 +381,13 @@
 			p.drop(o, false)
 		}
 	}
-	p.ins = append(p.ins, planner.In{Kind: planner.PeerUp, Peer: k.peer})
-	p.events = append(p.events, membership.Linked{Name: k.peer})
+	p.ins = append(p.ins, planner.Event{Kind: planner.PeerConnected, Peer: k.peer})
+	p.events = append(p.events, membership.PlannerConnected{Name: k.peer})
 }
 
 // drop takes a connection out of the books.
 func (p *planProcess) drop(k *planLink, silent bool) {
-	delete(p.links, planner.Session(k.wire.id))
+	delete(p.links, planner.SessionID(k.wire.id))
 	for i, o := range p.order {
 		if o == k {
 			p.order = append(p.order[:i], p.order[i+1:]...)
@@ -396,10 +396,10 @@
 	}
 	switch {
 	case k.peer == "":
-		p.ins = append(p.ins, planner.In{Kind: planner.SessionDown, Session: planner.Session(k.wire.id)})
+		p.ins = append(p.ins, planner.Event{Kind: planner.SessionClosed, Session: planner.SessionID(k.wire.id)})
 	case k.up:
-		p.ins = append(p.ins, planner.In{Kind: planner.PeerDown, Peer: k.peer})
-		p.events = append(p.events, membership.Unlinked{Name: k.peer, Silent: silent})
+		p.ins = append(p.ins, planner.Event{Kind: planner.PeerDisconnected, Peer: k.peer})
+		p.events = append(p.events, membership.PlannerDisconnected{Name: k.peer, Silent: silent})
 	}
 	k.up = false
 	if i := k.seat - p.s.spec.Schedulers.Count; k.peer != "" && k.seat > p.s.n {
@@ -420,7 +420,7 @@
 		wanted = wanted && k.peer != name
 	}
 	if wanted && seat > p.s.n {
-		p.enter(&planLink{wire: p.s.t.dial(p.s.n, seat), seat: seat, peer: name, in: frame.NewReader(0)})
+		p.enter(&planLink{wire: p.s.t.dial(p.s.n, seat), seat: seat, peer: name, in: codec.NewReader(0)})
 	}
 }
 
@@ -430,7 +430,7 @@
 	case edge.Listed:
 		if p.watching {
 			p.silence = p.now + nextLine
-			p.lists.Hosts(*in.List)
+			p.lists.UpdateEndpoints(*in.List)
 		}
 	case edge.Quiet:
 		if p.watching {
@@ -445,12 +445,12 @@
 	case edge.Reload:
 		if in.Disco != p.disco {
 			p.disco = in.Disco
-			p.lists.NewSource()
-			p.ins = append(p.ins, planner.In{Kind: planner.NewSource})
+			p.lists.ResetRevision()
+			p.ins = append(p.ins, planner.Event{Kind: planner.EndpointSourceChanged})
 			p.Watch(0)
 		}
 	case edge.Terminate:
-		p.ins = append(p.ins, planner.In{Kind: planner.Stop})
+		p.ins = append(p.ins, planner.Event{Kind: planner.StopRequested})
 		p.s.t.gossip.leave(p.s.n)
 	}
 }
@@ -458,22 +458,22 @@
 // ---- The host group: a ledger of no queries reads it, as in a scheduler ----
 
 // Step is the ledger's module: it takes its lists.
-func (p *planProcess) Step(_ time.Duration, events []logic.Event, dst []logic.Action) []logic.Action {
+func (p *planProcess) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	for _, e := range events {
-		if l, ok := e.(logic.WorkerList); ok {
+		if l, ok := e.(dispatch.WorkerList); ok {
 			p.news = append(p.news, l)
-			p.events = append(p.events, membership.Listed{List: l})
+			p.events = append(p.events, membership.EndpointsChanged{List: l})
 		}
 	}
 	if p.asks {
 		p.asks = false
-		dst = append(dst, logic.Subscribe{})
+		dst = append(dst, dispatch.Subscribe{})
 	}
 	return dst
 }
 
 func (p *planProcess) list() {
-	if at, ok := p.lists.Next(); ok && at <= p.now {
+	if at, ok := p.lists.NextStep(); ok && at <= p.now {
 		p.lists.Step(p.now)
 	}
 }
@@ -481,7 +481,7 @@
 func (p *planProcess) lost() {
 	if p.watching {
 		p.watching, p.silence = false, 0
-		p.lists.HostsLost()
+		p.lists.DiscoveryFailed()
 	}
 }
 
@@ -491,12 +491,12 @@
 	p.s.emit(edge.Out{Kind: edge.Watch, After: time.Duration(after)})
 }
 
-// Carry and the others are for queries, of which there are none.
-func (p *planProcess) Carry(*ledger.Attempt)    {}
-func (p *planProcess) GiveUp(*ledger.Attempt)   {}
-func (p *planProcess) Withdraw(*ledger.Attempt) {}
-func (p *planProcess) Probe(uint64)             {}
-func (p *planProcess) FreeLinks(uint64)         {}
+// Start and the others are for queries, of which there are none.
+func (p *planProcess) Start(*requests.Attempt)     {}
+func (p *planProcess) Abandon(*requests.Attempt)   {}
+func (p *planProcess) Cancel(*requests.Attempt)    {}
+func (p *planProcess) CheckHealth(uint64)          {}
+func (p *planProcess) CloseIdleConnections(uint64) {}
 
 // ---- What is to be done ----
 
@@ -507,20 +507,20 @@
 	p.events = p.events[:0]
 	for _, a := range actions {
 		switch a := a.(type) {
-		case membership.Planners:
+		case membership.SetPlanners:
 			p.wanted = a.Names
 			for i := range p.redial {
 				if p.redial[i] == 0 {
 					p.connect(i)
 				}
 			}
-		case membership.Peers:
-			p.ins = append(p.ins, planner.In{Kind: planner.Peers, Names: a.Names})
-		case membership.Part:
-			p.ins = append(p.ins, planner.In{Kind: planner.Part, Owner: a.Owner})
-		case membership.Say:
+		case membership.SetPeers:
+			p.ins = append(p.ins, planner.Event{Kind: planner.PeersChanged, Names: a.Names})
+		case membership.SetPartition:
+			p.ins = append(p.ins, planner.Event{Kind: planner.PartitionChanged, Owner: a.Owner})
+		case membership.Announce:
 			p.s.t.gossip.say(p.s.n, a.Member)
-		case membership.Log:
+		case membership.LogLine:
 			p.s.model.log(p.s.n).Info(a.Text)
 		}
 	}
@@ -528,19 +528,19 @@
 	p.actions = actions[:0]
 }
 
-func (p *planProcess) carryOut(o *planner.Out) {
+func (p *planProcess) carryOut(o *planner.Action) {
 	switch o.Kind {
-	case planner.Say:
+	case planner.SendToForwarder:
 		if k := p.links[o.Session]; k != nil && k.up {
-			p.s.say(&k.out, &o.Msg)
+			p.s.say(&k.out, &o.Message)
 		}
-	case planner.SayPeer:
+	case planner.SendToPeer:
 		for _, k := range p.order {
 			if k.peer == o.Peer && k.up {
-				p.s.say(&k.out, &o.Msg)
+				p.s.say(&k.out, &o.Message)
 			}
 		}
-	case planner.Close:
+	case planner.CloseSession:
 		if k := p.links[o.Session]; k != nil && k.peer == "" {
 			if k.out.Len() > 0 {
 				p.s.t.send(k.wire, k.end, k.out.Take(p.s.t.buffer()))
@@ -552,18 +552,18 @@
 		if at := p.now + o.After; p.timer == 0 || at < p.timer {
 			p.timer = at
 		}
-	case planner.Watch:
+	case planner.WatchEndpoints:
 		p.asks = true
 		p.lists.Wake()
-	case planner.Log:
+	case planner.LogLine:
 		p.s.model.log(p.s.n).Info(o.Text)
-	case planner.Done:
+	case planner.Stopped:
 		p.done = true
 	}
 }
 
 // say writes a message. What can't be written is left out, as it would be in a real process.
-func (s *planSeat) say(w *frame.Writer, m *tier.Message) {
+func (s *planSeat) say(w *codec.Writer, m *message.Message) {
 	if w.Add(m) != nil {
 		s.figures.Unwritten++
 	}
--- a/internal/lab/virtual/play.go
+++ b/internal/lab/virtual/play.go
@@ -8,11 +8,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"valvecove/internal/control/planner"
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/scenario"
 	"valvecove/internal/lab/seen"
 	"valvecove/internal/lab/world"
-	"valvecove/internal/planner"
 )
 
 // Epoch is the Unix time at which every play starts: 2026-01-01.
@@ -34,9 +34,9 @@
 	Trace  func(now time.Duration, ins []edge.In, outs []edge.Out)
 	Digest bool // sum up all that crossed the border
 	// Spoil is what a planner says instead of what it decided; nil: that. It may change the list that it is given.
-	Spoil func(planner int, outs []planner.Out) []planner.Out
+	Spoil func(planner int, outs []planner.Action) []planner.Action
 	// Plan puts something before a module of a planner; nil: nothing.
-	Plan func(planner int, m planner.Module) planner.Module
+	Plan func(planner int, m planner.Policy) planner.Policy
 }
 
 // Outcome counts what a play came to.
--- a/internal/lab/virtual/process.go
+++ b/internal/lab/virtual/process.go
@@ -4,11 +4,11 @@
 	"strconv"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/due"
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/world"
-	"valvecove/internal/ledger"
-	"valvecove/logic"
+	"valvecove/internal/requests"
 )
 
 // The figures of internal/run's stop, and of internal/link's descriptors, memory and patience with discovery.
@@ -30,7 +30,7 @@
 type process struct {
 	s        *Scheduler
 	now      time.Duration
-	ledger   *ledger.Ledger
+	ledger   *requests.Table
 	servers  *serverLinks
 	timers   due.Queue[*timer]
 	clients  map[edge.Conn]*clientLink
@@ -44,10 +44,10 @@
 	ready    bool // /up answers 200
 	told     bool // the host group may have changed
 	draining bool
-	closing  bool       // takes no query any more
-	over     bool       // there is nothing more to stay for
-	up       *forwarder // nil: there are no planners
-	taken    []string   // the calls of the queries taken since the last step, by their numbers from first on
+	closing  bool              // takes no query any more
+	over     bool              // there is nothing more to stay for
+	up       *forwarderProcess // nil: there are no planners
+	taken    []string          // the calls of the queries taken since the last step, by their numbers from first on
 	first    uint64
 }
 
@@ -60,22 +60,22 @@
 	servers := max(8, most/6)
 	p.most, p.budget = most-servers, sch.MemoryMB<<20/6
 	p.queries = p.most - max(8, p.most/10)
-	p.servers = newServerLinks(p, servers, s.set.ConnectTimeout, s.set.ConnIdle)
+	p.servers = newServerLinks(p, servers, s.set.ConnectTimeout, s.set.ConnIdleTimeout)
 	seed := boot.Seed
-	module := func() ledger.Module {
+	module := func() requests.Policy {
 		if p.up != nil {
 			return p.up.module()
 		}
 		seed++
 		if s.model.Module == nil {
-			return logic.New(s.set.Settings, seed)
+			return dispatch.New(s.set.Settings, seed)
 		}
 		return s.model.Module(s.set.Settings, seed, p)
 	}
 	if s.tiers != nil {
 		p.up = newForwarder(p, boot.Name, seed)
 	}
-	p.ledger = ledger.New(s.set.TryLimit, s.set.Names, module, boot.Known, p.servers, s.model.log(s.n))
+	p.ledger = requests.New(s.set.AttemptLimit, s.set.Names, module, boot.Known, p.servers, s.model.log(s.n))
 	if p.up != nil {
 		p.up.join()
 	}
@@ -105,14 +105,14 @@
 		}
 	case edge.Told:
 		status := 204
-		if _, err := p.ledger.Tell(*in.Note); err != nil {
+		if _, err := p.ledger.HandleCallback(*in.Note); err != nil {
 			status = 400
 		}
 		p.emit(edge.Out{Kind: edge.Acked, Node: in.Node, NoteID: in.NoteID, Status: status})
 	case edge.Listed:
 		if p.watching {
 			p.expect(nextLine)
-			p.ledger.Hosts(*in.List)
+			p.ledger.UpdateEndpoints(*in.List)
 			p.told = true
 		}
 	case edge.Quiet:
@@ -128,7 +128,7 @@
 	case edge.Reload:
 		if in.Disco != p.disco {
 			p.disco = in.Disco
-			p.ledger.NewSource()
+			p.ledger.ResetRevision()
 			p.watch(0)
 		}
 	case edge.Terminate:
@@ -150,7 +150,7 @@
 		p.timers.Remove(t)
 		t.act()
 	}
-	if at, ok := p.ledger.Next(); ok && at <= p.now {
+	if at, ok := p.ledger.NextStep(); ok && at <= p.now {
 		p.ledger.Step(p.now)
 		p.taken = p.taken[:0]
 	}
@@ -161,7 +161,7 @@
 		p.told = false
 		p.tellReady()
 	}
-	if p.over && p.ledger.Open() == 0 {
+	if p.over && p.ledger.OpenCount() == 0 {
 		if p.up != nil {
 			p.s.tiers.gossip.leave(p.s.n)
 		}
@@ -173,7 +173,7 @@
 
 // next is when a turn is due at the latest.
 func (p *process) next() (at time.Duration, ok bool) {
-	at, ok = p.ledger.Next()
+	at, ok = p.ledger.NextStep()
 	if p.timers.Len() > 0 && (!ok || p.timers.First().At < at) {
 		at, ok = p.timers.First().At, true
 	}
@@ -186,7 +186,7 @@
 }
 
 func (p *process) tellReady() {
-	if ready := !p.draining && p.ledger.CanServe(); ready != p.ready {
+	if ready := !p.draining && p.ledger.HasReadyWorker(); ready != p.ready {
 		p.ready = ready
 		kind := edge.Unready
 		if ready {
@@ -236,7 +236,7 @@
 	if p.watching {
 		p.watching = false
 		p.stop(&p.silence)
-		p.ledger.HostsLost()
+		p.ledger.DiscoveryFailed()
 	}
 }
 
@@ -247,14 +247,14 @@
 	p.draining, p.told = true, true
 	killed := killSpare
 	for _, c := range p.s.set.Classes {
-		killed = max(killed, killSpare+min(c.GiveUp, killAfter))
+		killed = max(killed, killSpare+min(c.ClientTimeout, killAfter))
 	}
 	p.after(max(killed-lastTaken, killed/2), p.close)
 	p.after(killed-lastWords, func() {
-		p.ledger.Finish(p.now - (killed - lastWords - killSpare))
-		p.ledger.RefuseHeld()
+		p.ledger.CloseSince(p.now - (killed - lastWords - killSpare))
+		p.ledger.RejectQueued()
 	})
-	p.after(killed-lastOfAll, func() { p.ledger.Finish(0) })
+	p.after(killed-lastOfAll, func() { p.ledger.CloseSince(0) })
 	p.after(killed, func() { p.over = true })
 }
 
@@ -272,7 +272,7 @@
 type clientLink struct {
 	p          *process
 	conn       edge.Conn
-	query      *ledger.Query // in hand
+	query      *requests.Request // in hand
 	call       string
 	prev, next *clientLink // among the idle
 }
@@ -298,14 +298,14 @@
 	case p.closing:
 		k.answer(503, 0, "")
 		return
-	case p.ledger.Open() >= p.queries || p.ledger.Bytes()+a.Body > p.budget:
+	case p.ledger.OpenCount() >= p.queries || p.ledger.PayloadBytes()+a.Body > p.budget:
 		k.answer(503, min(fullFor, p.s.set.MaxRetryAfter), "")
 		return
 	}
-	q, err := p.ledger.Take(p.now, ledger.Arrival{Call: a.Call, Asker: k,
-		Job: logic.Job{Class: a.Class, Tenant: a.Tenant, Left: a.Budget.Truncate(time.Millisecond),
+	q, err := p.ledger.Admit(p.now, requests.Arrival{CallID: a.Call, Responder: k,
+		Job: dispatch.Job{Class: a.Class, Tenant: a.Tenant, Remaining: a.Budget.Truncate(time.Millisecond),
 			Hint: a.Hint.Truncate(time.Microsecond), Slots: max(1, a.Slots), Retry: a.Again},
-		Parcel: ledger.Parcel{Verb: "POST", Key: a.Key, Body: zeros[:min(a.Body, len(zeros))]}})
+		Payload: requests.Payload{Method: "POST", IdempotencyKey: a.Key, Body: zeros[:min(a.Body, len(zeros))]}})
 	if err != nil {
 		k.answer(409, 0, "")
 		return
@@ -320,14 +320,16 @@
 // zeros is every body: the ledger counts its bytes, and nobody reads it.
 var zeros [64 << 10]byte
 
-// Serve hands on what a worker node made.
-func (k *clientLink) Serve(result []byte) { k.answer(200, 0, string(result)) }
+// RespondResult hands on what a worker node made.
+func (k *clientLink) RespondResult(result []byte) { k.answer(200, 0, string(result)) }
 
-// Throttle refuses; the client may come back.
-func (k *clientLink) Throttle(after time.Duration) { k.answer(503, after.Round(time.Millisecond), "") }
+// RespondRejected refuses; the client may come back.
+func (k *clientLink) RespondRejected(after time.Duration) {
+	k.answer(503, after.Round(time.Millisecond), "")
+}
 
-// Fail promises nothing.
-func (k *clientLink) Fail() { k.answer(500, 0, "") }
+// RespondFailed promises nothing.
+func (k *clientLink) RespondFailed() { k.answer(500, 0, "") }
 
 func (k *clientLink) answer(status int, after time.Duration, result string) {
 	k.p.emit(edge.Out{Kind: edge.Replied, Conn: k.conn, Call: k.call, Status: status, After: after, Result: result})
@@ -359,7 +361,7 @@
 	delete(k.p.clients, k.conn)
 	if q := k.query; q != nil {
 		k.query = nil
-		k.p.ledger.Gone(q)
+		k.p.ledger.ClientDisconnected(q)
 	}
 }
 
@@ -367,7 +369,7 @@
 
 // Node is the world's number of a worker's machine.
 func (p *process) Node(worker uint64) (node int, ok bool) {
-	node, machine := NodeOf(p.ledger.Host(worker).ID)
+	node, machine := NodeOf(p.ledger.Endpoint(worker).ID)
 	all := p.s.spec.Fleet.Nodes
 	return node + machine*all, node >= 0 && node < all && p.s.model.see != nil
 }
--- a/internal/lab/virtual/process_test.go
+++ b/internal/lab/virtual/process_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/scenario"
-	"valvecove/internal/ledger"
-	"valvecove/logic"
+	"valvecove/internal/requests"
 )
 
 // ask has a client ask on a connection of its own.
@@ -62,11 +62,11 @@
 	expect(t, "start", said(b.start(), edge.Ready), line(edge.Ready, "", 0))
 	b.now = sec
 	b.ask(1, 12*sec)
-	b.act(logic.Send{Job: 1, Worker: hostNumber("w-0")})
+	b.act(dispatch.Send{Job: 1, Worker: hostNumber("w-0")})
 	b.ask(5, 12*sec)
 	expect(t, "SIGTERM", said(b.step(edge.In{Kind: edge.Terminate}), edge.Unready), line(edge.Unready, "", 0))
 	b.step(edge.In{Kind: edge.Asked, Conn: 9, Ask: &edge.Ask{Call: "c9", Budget: ms}})
-	expect(t, "an answer", said(b.act(logic.Fail{Job: 3}), edge.Replied, edge.Cut), line(edge.Replied, "c9", 500))
+	expect(t, "an answer", said(b.act(dispatch.Fail{Job: 3}), edge.Replied, edge.Cut), line(edge.Replied, "c9", 500))
 	b.now = 2 * sec
 	b.ask(2, 12*sec)
 	b.step(edge.In{Kind: edge.Terminate}) // a second one changes nothing
@@ -91,7 +91,7 @@
 	b := newBench(t, nil)
 	b.start()
 	b.ask(1, sec)
-	b.act(logic.Send{Job: 1, Worker: hostNumber("w-0")})
+	b.act(dispatch.Send{Job: 1, Worker: hostNumber("w-0")})
 	b.step(edge.In{Kind: edge.Freeze})
 	b.step(edge.In{Kind: edge.LinkUp, Conn: b.order[0].conn})
 	b.ask(2, sec)
@@ -100,14 +100,14 @@
 	}
 	b.script.Heard = nil
 	outs := b.step(edge.In{Kind: edge.Resume})
-	late := slices.ContainsFunc(b.script.Heard, func(e logic.Event) bool {
-		o, ok := e.(logic.Outcome)
-		return ok && o.Result == logic.TimedOut
+	late := slices.ContainsFunc(b.script.Heard, func(e dispatch.Event) bool {
+		o, ok := e.(dispatch.Outcome)
+		return ok && o.Result == dispatch.TimedOut
 	})
 	if !late || len(said(outs, edge.Hangup)) != 1 {
 		t.Errorf("heard %v, and did %v", b.script.Heard, outs)
 	}
-	if q := b.script.Heard[0].(logic.Job); q.ID != 2 {
+	if q := b.script.Heard[0].(dispatch.Job); q.ID != 2 {
 		t.Errorf("first of what waited: %+v", q)
 	}
 }
@@ -117,7 +117,7 @@
 	b := newBench(t, nil)
 	b.start()
 	probe := func() edge.Conn {
-		return b.act(logic.Probe{Worker: hostNumber("w-1")})[0].Conn
+		return b.act(dispatch.HealthCheck{Worker: hostNumber("w-1")})[0].Conn
 	}
 	first := probe()
 	b.ask(1, sec)
@@ -133,8 +133,8 @@
 	if second := probe(); second == first || !second.Link() {
 		t.Errorf("connection %x after %x", second, first)
 	}
-	list, ok := b.script.Heard[0].(logic.WorkerList)
-	if !ok || list.Kind != logic.ListCached || len(list.Workers) != benchNodes {
+	list, ok := b.script.Heard[0].(dispatch.WorkerList)
+	if !ok || list.Kind != dispatch.ListCached || len(list.Workers) != benchNodes {
 		t.Errorf("first heard: %+v", b.script.Heard[0])
 	}
 }
@@ -143,7 +143,7 @@
 func TestReload(t *testing.T) {
 	b := newBench(t, nil)
 	b.start()
-	if outs := b.act(logic.Subscribe{}); len(outs) != 1 || outs[0].Kind != edge.Watch || outs[0].After != 7 {
+	if outs := b.act(dispatch.Subscribe{}); len(outs) != 1 || outs[0].Kind != edge.Watch || outs[0].After != 7 {
 		t.Errorf("watching: %+v", outs)
 	}
 	if outs := b.step(edge.In{Kind: edge.Reload}); len(outs) > 0 {
@@ -154,9 +154,9 @@
 		t.Errorf("another discovery: %+v", outs)
 	}
 	b.script.Heard = nil
-	b.step(edge.In{Kind: edge.Listed, List: &ledger.HostGroup{Generation: 3, Reset: true}})
+	b.step(edge.In{Kind: edge.Listed, List: &requests.EndpointList{Revision: 3, Reset: true}})
 	outs = b.step(edge.In{Kind: edge.Unlisted})
-	if len(b.script.Heard) != 2 || b.script.Heard[1].(logic.WorkerList).Kind != logic.ListLost || len(outs) > 0 {
+	if len(b.script.Heard) != 2 || b.script.Heard[1].(dispatch.WorkerList).Kind != dispatch.ListUnavailable || len(outs) > 0 {
 		t.Errorf("heard %+v", b.script.Heard)
 	}
 	b.script.Heard = nil
@@ -169,7 +169,7 @@
 		span time.Duration
 	}{{nil, upWithin}, {[]edge.In{{Kind: edge.WatchUp}}, firstLine},
 		{[]edge.In{{Kind: edge.WatchUp}, {Kind: edge.Quiet}}, nextLine}} {
-		b.act(logic.Subscribe{})
+		b.act(dispatch.Subscribe{})
 		b.step(c.ins...)
 		b.script.Heard = nil
 		b.until(b.now + c.span - 1)
@@ -184,10 +184,10 @@
 func TestReady(t *testing.T) {
 	b := newBench(t, nil)
 	b.start()
-	b.act(logic.Subscribe{})
+	b.act(dispatch.Subscribe{})
 	list := func(state string) []edge.Out {
-		return b.step(edge.In{Kind: edge.Listed, List: &ledger.HostGroup{Generation: 8, Reset: true,
-			Hosts: []ledger.Host{{ID: "w-0", State: state}}}})
+		return b.step(edge.In{Kind: edge.Listed, List: &requests.EndpointList{Revision: 8, Reset: true,
+			Endpoints: []requests.Endpoint{{ID: "w-0", Lifecycle: state}}}})
 	}
 	expect(t, "all drain", said(list("draining"), edge.Ready, edge.Unready), line(edge.Unready, "", 0))
 	expect(t, "one is back", said(list("up"), edge.Ready, edge.Unready), line(edge.Ready, "", 0))
--- a/internal/lab/virtual/scheduler.go
+++ b/internal/lab/virtual/scheduler.go
@@ -15,16 +15,16 @@
 	"log/slog"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/internal/frame"
+	"valvecove/internal/control/codec"
+	"valvecove/internal/control/message"
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/platform"
 	"valvecove/internal/lab/scenario"
 	"valvecove/internal/lab/world"
 	"valvecove/internal/lab/yardstick"
-	"valvecove/internal/ledger"
-	"valvecove/internal/tier"
-	"valvecove/logic"
+	"valvecove/internal/requests"
 )
 
 // Seer is the world as far as yardsticks may see it; *world.World is one.
@@ -36,7 +36,7 @@
 // Model says what a scheduler runs.
 type Model struct {
 	// Module makes a module that knows nothing; nil: logic.New.
-	Module func(set logic.Settings, seed uint64, o yardstick.Oracle) ledger.Module
+	Module func(set dispatch.Settings, seed uint64, o yardstick.Oracle) requests.Policy
 	// Log is where scheduler n writes its lines; nil: nowhere.
 	Log func(n int) *slog.Logger
 
@@ -144,7 +144,7 @@
 }
 
 // say writes a message. What can't be written is left out, as it would be in a real process.
-func (s *Scheduler) say(w *frame.Writer, m *tier.Message) {
+func (s *Scheduler) say(w *codec.Writer, m *message.Message) {
 	if w.Add(m) != nil {
 		s.figures.Unwritten++
 	}
--- a/internal/lab/virtual/tier_figures.go
+++ b/internal/lab/virtual/tier_figures.go
@@ -3,8 +3,8 @@
 import (
 	"reflect"
 
-	"valvecove/internal/planner"
-	"valvecove/internal/tier"
+	"valvecove/internal/control/message"
+	"valvecove/internal/control/planner"
 )
 
 // TierFigures count what forwarders and planners did over a play, over all their processes.
@@ -13,7 +13,7 @@
 	Reoffered int // offers to a planner of queries that had come before
 	Orders    int // of planners, as forwarders heard them
 	Refused   int // of these, by forwarders' guards
-	ByWhy     [tier.Reasons]int
+	ByWhy     [message.ReasonCount]int
 	Moves     int // queries that planners handed on
 	Unheard   int // queries taken from a planner that said nothing of them
 	Expired   int // answered by forwarders at their deadline
@@ -30,32 +30,32 @@
 	Unwritten int // messages that could not be written
 }
 
-func (x *TierFigures) addForwarder(f *forwarder) {
-	y := f.follow.Figures()
-	x.Queries += y.Queries
+func (x *TierFigures) addForwarder(f *forwarderProcess) {
+	y := f.follow.Stats()
+	x.Queries += y.Requests
 	x.Reoffered += y.Reoffered
-	x.Orders += y.Orders
-	for why, n := range y.ByWhy {
+	x.Orders += y.Commands
+	for why, n := range y.ByReason {
 		x.ByWhy[why] += n
 		x.Refused += n
 	}
-	x.Moves += y.Moves
-	x.Unheard += y.Unheard
+	x.Moves += y.Transfers
+	x.Unheard += y.Revoked
 	x.Expired += y.Expired
 	x.Unplaced += y.Unplaced
-	x.Poisonous += y.Poisonous
-	x.Frozen += y.Frozen
-	x.Alone += y.Alone
+	x.Poisonous += y.Poison
+	x.Frozen += y.Unresponsive
+	x.Alone += y.Standalone
 	x.OwnPanics += y.Panics
-	x.Changes += f.members.Moves()
+	x.Changes += f.members.PlannerChanges()
 }
 
-func (x *TierFigures) addPlanner(b *planner.Book) {
-	y := b.Counts()
-	x.Lapsed += y.Lapsed
+func (x *TierFigures) addPlanner(b *planner.Planner) {
+	y := b.Stats()
+	x.Lapsed += y.Expired
 	x.Panics += y.Panics
-	x.GivenBack += y.GivenBack
-	x.Bad += y.Bad
+	x.GivenBack += y.Poison
+	x.Bad += y.InvalidMessages
 }
 
 // Sum adds another play's figures.
--- a/internal/lab/virtual/tiers.go
+++ b/internal/lab/virtual/tiers.go
@@ -8,8 +8,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"valvecove/internal/control/membership"
 	"valvecove/internal/lab/scenario"
-	"valvecove/internal/membership"
 )
 
 // tiers is what lies between forwarders and planners: connections that carry bytes in order, and gossip. It stands
--- a/internal/lab/virtual/tiers_test.go
+++ b/internal/lab/virtual/tiers_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
+	"valvecove/internal/control/planner"
 	"valvecove/internal/lab/seen"
-	"valvecove/internal/planner"
-	"valvecove/internal/tier"
-	"valvecove/logic"
 )
 
 // busyTiers has something of most of what may go wrong among forwarders and planners.
@@ -64,61 +64,61 @@
 
 // spoiler is a fault that is seeded in a planner: what it says besides an order to send, or in place of it.
 type spoiler struct {
-	stopped []tier.Why // for any of these reasons
-	say     func(d *spoiled, o planner.Out, dst []planner.Out) []planner.Out
+	stopped []message.RejectReason // for any of these reasons
+	say     func(d *spoiled, o planner.Action, dst []planner.Action) []planner.Action
 }
 
 // spoiled is what a spoiler knows of a play.
 type spoiled struct {
-	drained uint64        // a worker node that drains, by all lists
-	last    []planner.Out // orders to send, a while ago
+	drained uint64           // a worker node that drains, by all lists
+	last    []planner.Action // orders to send, a while ago
 	n       int
 }
 
-func again(o planner.Out, change func(m *tier.Message)) planner.Out {
-	change(&o.Msg)
+func again(o planner.Action, change func(m *message.Message)) planner.Action {
+	change(&o.Message)
 	return o
 }
 
 var spoilers = map[string]spoiler{
-	"each order twice": {[]tier.Why{tier.Repeated}, func(_ *spoiled, o planner.Out, dst []planner.Out) []planner.Out {
+	"each order twice": {[]message.RejectReason{message.ReasonDuplicateCommand}, func(_ *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
 		return append(dst, o, o)
 	}},
-	"a copy at the same worker node": {[]tier.Why{tier.TwiceAtNode},
-		func(_ *spoiled, o planner.Out, dst []planner.Out) []planner.Out {
-			return append(dst, o, again(o, func(m *tier.Message) { m.Attempt++ }))
+	"a copy at the same worker node": {[]message.RejectReason{message.ReasonDuplicateAtWorker},
+		func(_ *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
+			return append(dst, o, again(o, func(m *message.Message) { m.Attempt++ }))
 		}},
-	"to a worker node that drains": {[]tier.Why{tier.NodeDrains, tier.NoSuchNode},
-		func(d *spoiled, o planner.Out, dst []planner.Out) []planner.Out {
+	"to a worker node that drains": {[]message.RejectReason{message.ReasonWorkerDraining, message.ReasonUnknownWorker},
+		func(d *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
 			if d.drained > 0 {
-				o.Msg.Worker = d.drained
+				o.Message.Worker = d.drained
 			}
 			return append(dst, o)
 		}},
-	"of an old epoch": {[]tier.Why{tier.OldEpoch}, func(_ *spoiled, o planner.Out, dst []planner.Out) []planner.Out {
-		return append(dst, again(o, func(m *tier.Message) { m.Epoch-- }), o)
+	"of an old epoch": {[]message.RejectReason{message.ReasonStaleEpoch}, func(_ *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
+		return append(dst, again(o, func(m *message.Message) { m.Epoch-- }), o)
 	}},
 	// A second order for whatever was sent a while ago: it is out, may have run, or is over.
-	"for what may have run": {[]tier.Why{tier.MayHaveRun, tier.OutsideGroup}, func(d *spoiled, o planner.Out,
-		dst []planner.Out) []planner.Out {
+	"for what may have run": {[]message.RejectReason{message.ReasonPossiblyExecuted, message.ReasonOutsideScope}, func(d *spoiled, o planner.Action,
+		dst []planner.Action) []planner.Action {
 		if len(d.last) > 6 {
 			old := d.last[0]
 			d.last = d.last[1:]
-			dst = append(dst, again(old, func(m *tier.Message) { m.Attempt++; m.Worker = o.Msg.Worker }))
+			dst = append(dst, again(old, func(m *message.Message) { m.Attempt++; m.Worker = o.Message.Worker }))
 		}
 		d.last = append(d.last, o)
 		return append(dst, o)
 	}},
-	"a refusal of what may have run": {[]tier.Why{tier.NotHarmless},
-		func(d *spoiled, o planner.Out, dst []planner.Out) []planner.Out {
+	"a refusal of what may have run": {[]message.RejectReason{message.ReasonUnsafeRejection},
+		func(d *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
 			if dst = append(dst, o); d.n%5 == 0 {
-				dst = append(dst, again(o, func(m *tier.Message) { m.Kind = tier.Refuse }))
+				dst = append(dst, again(o, func(m *message.Message) { m.Kind = message.KindRejectCommand }))
 			}
 			return dst
 		}},
-	"of another forwarder's query": {[]tier.Why{tier.NoSuchQuery},
-		func(_ *spoiled, o planner.Out, dst []planner.Out) []planner.Out {
-			return append(dst, again(o, func(m *tier.Message) { m.Query += 1 << 20 }), o)
+	"of another forwarder's query": {[]message.RejectReason{message.ReasonUnknownRequest},
+		func(_ *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
+			return append(dst, again(o, func(m *message.Message) { m.Query += 1 << 20 }), o)
 		}},
 }
 
@@ -142,9 +142,9 @@
 				}
 			}
 			got, verdict := judged(t, spec, 1, Options{Watch: []seen.Watcher{watch},
-				Spoil: func(_ int, outs []planner.Out) (dst []planner.Out) {
+				Spoil: func(_ int, outs []planner.Action) (dst []planner.Action) {
 					for _, o := range outs {
-						if o.Kind == planner.Say && o.Msg.Kind == tier.Send {
+						if o.Kind == planner.SendToForwarder && o.Message.Kind == message.KindSendCommand {
 							d.n++
 							dst = s.say(d, o, dst)
 						} else {
@@ -168,25 +168,25 @@
 }
 
 // poisoned is a module that panics at some queries, whichever planner has it.
-type poisoned struct{ planner.Module }
+type poisoned struct{ planner.Policy }
 
 // So few that no planner comes to the six panics in 10 s at which it lets all its heads go, none given back.
-func poisonous(j logic.Job) bool { return j.Class == 0 && j.Hint%37 == 0 && j.Hint > 0 }
+func poisonous(j dispatch.Job) bool { return j.Class == 0 && j.Hint%37 == 0 && j.Hint > 0 }
 
-func (m poisoned) Step(now time.Duration, events []logic.Event, dst []logic.Action) []logic.Action {
+func (m poisoned) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	for _, e := range events {
 		switch e := e.(type) {
-		case logic.Job:
+		case dispatch.Job:
 			if poisonous(e) {
 				panic("poisonous")
 			}
-		case logic.Resumed:
+		case dispatch.JobResumed:
 			if poisonous(e.Job) {
 				panic("poisonous")
 			}
 		}
 	}
-	return m.Module.Step(now, events, dst)
+	return m.Policy.Step(now, events, dst)
 }
 
 // Queries at which every planner's module panics cost each planner that has them a module, and no other query
@@ -202,7 +202,7 @@
 clients = { retries = 0 }`)
 	failed, served := 0, 0
 	got, verdict := judged(t, spec, 2, Options{
-		Plan: func(_ int, m planner.Module) planner.Module { return poisoned{m} },
+		Plan: func(_ int, m planner.Policy) planner.Policy { return poisoned{m} },
 		Watch: []seen.Watcher{func(x *seen.Sight) {
 			switch {
 			case x.What == seen.Answered && x.Status == 200:
--- a/internal/lab/virtual/transcript.go
+++ b/internal/lab/virtual/transcript.go
@@ -19,22 +19,22 @@
 			flag(a.Again))
 	}
 	if n := in.Note; n != nil {
-		b = text(b, n.ID, n.From, n.State)
-		if b = number(b, bits(n.Share)); n.Result != nil {
+		b = text(b, n.CallID, n.EndpointID, n.State)
+		if b = number(b, bits(n.Progress)); n.Result != nil {
 			b = text(b, *n.Result)
 		}
 	}
 	if g := in.List; g != nil {
-		b = number(b, g.Generation, flag(g.Reset))
-		for i := range g.Hosts {
-			h := &g.Hosts[i]
-			b = text(b, h.ID, h.Addr, h.Zone, h.Kind, h.State)
-			b = number(b, int64(h.Cell), bits(h.Weight), h.StartedMs)
+		b = number(b, g.Revision, flag(g.Reset))
+		for i := range g.Endpoints {
+			h := &g.Endpoints[i]
+			b = text(b, h.ID, h.Addr, h.Zone, h.MachineType, h.Lifecycle)
+			b = number(b, int64(h.Cell), bits(h.Weight), h.StartedAtMs)
 		}
 	}
 	if t := in.Boot; t != nil {
 		b = text(b, t.Name)
-		b = number(b, int64(t.Seed), int64(t.Disco), t.Known.Generation, int64(len(t.Known.Hosts)))
+		b = number(b, int64(t.Seed), int64(t.Disco), t.Known.Revision, int64(len(t.Known.Endpoints)))
 	}
 	if o := in.Odd; o != nil {
 		b = text(b, o.Kind, o.Call)
--- a/internal/lab/world/discovery.go
+++ b/internal/lab/world/discovery.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"valvecove/internal/lab/edge"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 )
 
 // discovery is the list of worker nodes, as one service for all schedulers (views.go has what each of these knows).
@@ -44,7 +44,7 @@
 
 // listing is a worker node's line in the list.
 type listing struct {
-	host   ledger.Host // but for what changes
+	host   requests.Endpoint // but for what changes
 	node   int
 	gen    int64   // of its last change; 0: never listed
 	listed version // as it is in the list
@@ -151,15 +151,15 @@
 		zone = zones[n.zone]
 	}
 	d.of[n.n] = len(d.list)
-	d.list = append(d.list, listing{node: n.n, host: ledger.Host{ID: n.id, Addr: d.w.NodeAddr(n.place()), Zone: zone,
-		Kind: n.kind.Name, Cell: n.cell, Weight: weight}})
+	d.list = append(d.list, listing{node: n.n, host: requests.Endpoint{ID: n.id, Addr: d.w.NodeAddr(n.place()), Zone: zone,
+		MachineType: n.kind.Name, Cell: n.cell, Weight: weight}})
 	return &d.list[len(d.list)-1]
 }
 
 // line is an entry as it is told.
-func (e *listing) line(v version) ledger.Host {
+func (e *listing) line(v version) requests.Endpoint {
 	h := e.host
-	h.State, h.StartedMs = hostWords[v.state], v.ms
+	h.Lifecycle, h.StartedAtMs = hostWords[v.state], v.ms
 	return h
 }
 
--- a/internal/lab/world/discovery_test.go
+++ b/internal/lab/world/discovery_test.go
@@ -8,7 +8,7 @@
 
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/seen"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 	"valvecove/internal/steps"
 )
 
@@ -91,13 +91,13 @@
 		f.do(undo)
 	}
 	f.run(100 * time.Second) // the longest drain is 30 s, and lists a line each 50 ms
-	want := map[string]ledger.Host{}
+	want := map[string]requests.Endpoint{}
 	for _, n := range f.w.nodes {
 		e := &d.list[d.of[n.n]]
 		if up := n.state == nodeUp && !n.gone; up {
 			state := map[bool]string{false: "up", true: "draining"}[n.draining]
-			want[n.id] = ledger.Host{ID: n.id, Addr: f.w.NodeAddr(n.place()), Zone: "a", Kind: n.kind.Name, Cell: n.cell,
-				State: state, Weight: e.host.Weight, StartedMs: n.startedMs()}
+			want[n.id] = requests.Endpoint{ID: n.id, Addr: f.w.NodeAddr(n.place()), Zone: "a", MachineType: n.kind.Name, Cell: n.cell,
+				Lifecycle: state, Weight: e.host.Weight, StartedAtMs: n.startedMs()}
 		}
 	}
 	for i, x := range f.scheds {
@@ -119,8 +119,8 @@
 		for _, n := range f.w.nodes {
 			h, listed := want[n.id]
 			s.Check(!listed || d.told(i, n), "scheduler %d was not told of %s", i, n.id)
-			s.Check((told[n.n] == seen.Drained) == (!listed && told[n.n] != 0 || h.State == "draining"),
-				"scheduler %d: %s is %q, and was last told of by sight %d", i, n.id, h.State, told[n.n])
+			s.Check((told[n.n] == seen.Drained) == (!listed && told[n.n] != 0 || h.Lifecycle == "draining"),
+				"scheduler %d: %s is %q, and was last told of by sight %d", i, n.id, h.Lifecycle, told[n.n])
 		}
 	}
 	s.Check(len(d.held) == 0 && len(d.line) == 0 && d.serving == nil && d.behind == 0, "something is left over")
@@ -203,7 +203,7 @@
 				f.run(10 * time.Millisecond)
 			}
 			lists := f.came(from, edge.Listed)
-			if len(lists) != 1 || len(lists[0].List.Hosts) != 1 || lists[0].List.Hosts[0].State != x.state ||
+			if len(lists) != 1 || len(lists[0].List.Endpoints) != 1 || lists[0].List.Endpoints[0].Lifecycle != x.state ||
 				(f.w.now-at).Milliseconds() < int64(x.from) || (f.w.now-at).Milliseconds() > int64(x.to) {
 				t.Errorf("%s: after %v: %v", name, f.w.now-at, lists)
 			}
@@ -249,11 +249,11 @@
 				got += "failed "
 			case in.Kind == edge.Listed && in.List.Reset:
 				got += "whole "
-			case in.Kind == edge.Listed && len(in.List.Hosts) == 1:
-				if h := in.List.Hosts[0]; h.State != "up" {
-					got += h.State + " "
+			case in.Kind == edge.Listed && len(in.List.Endpoints) == 1:
+				if h := in.List.Endpoints[0]; h.Lifecycle != "up" {
+					got += h.Lifecycle + " "
 				} else {
-					got += map[bool]string{true: "up1 ", false: "up2 "}[h.StartedMs == 0]
+					got += map[bool]string{true: "up1 ", false: "up2 "}[h.StartedAtMs == 0]
 				}
 			}
 		}
--- a/internal/lab/world/harness_fate_test.go
+++ b/internal/lab/world/harness_fate_test.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/scenario"
 	"valvecove/internal/lab/seen"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 )
 
 // fate is a whole world with hardly a client, and schedulers that do nothing but follow discovery.
@@ -25,7 +25,7 @@
 // follower is a scheduler that keeps a list by what it is told.
 type follower struct {
 	up, frozen bool
-	list       map[string]ledger.Host
+	list       map[string]requests.Endpoint
 	gen        int64
 	heard      time.Duration // when its watch spoke last
 	mute       bool          // it never asks
@@ -101,8 +101,8 @@
 	}
 	switch in.Kind {
 	case edge.Start:
-		s.up, s.frozen, s.list, s.gen = true, false, map[string]ledger.Host{}, in.Boot.Known.Generation
-		for _, h := range in.Boot.Known.Hosts {
+		s.up, s.frozen, s.list, s.gen = true, false, map[string]requests.Endpoint{}, in.Boot.Known.Revision
+		for _, h := range in.Boot.Known.Endpoints {
 			s.list[h.ID] = h
 		}
 		f.outs = append(f.outs, edge.Out{Kind: edge.Ready, Sched: in.Sched})
@@ -129,13 +129,13 @@
 			return
 		}
 		if in.List.Reset {
-			s.list = map[string]ledger.Host{}
-		} else if g := in.List.Generation; g < s.gen || g == s.gen && len(in.List.Hosts) > 0 {
+			s.list = map[string]requests.Endpoint{}
+		} else if g := in.List.Revision; g < s.gen || g == s.gen && len(in.List.Endpoints) > 0 {
 			f.t.Fatalf("at %v, generation %d follows %d", f.w.now, g, s.gen)
 		}
-		s.gen = in.List.Generation
-		for _, h := range in.List.Hosts {
-			if s.list[h.ID] = h; h.State == "removed" {
+		s.gen = in.List.Revision
+		for _, h := range in.List.Endpoints {
+			if s.list[h.ID] = h; h.Lifecycle == "removed" {
 				delete(s.list, h.ID)
 			}
 		}
--- a/internal/lab/world/harness_nodes_test.go
+++ b/internal/lab/world/harness_nodes_test.go
@@ -164,7 +164,7 @@
 	r.t.Helper()
 	var got []string
 	for _, in := range r.ins {
-		if in.Kind == edge.Told && in.Note.ID == call {
+		if in.Kind == edge.Told && in.Note.CallID == call {
 			got = append(got, in.Note.State)
 		}
 	}
--- a/internal/lab/world/node_notes.go
+++ b/internal/lab/world/node_notes.go
@@ -6,7 +6,7 @@
 
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/seen"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 )
 
 // post is the notes that a worker node owes schedulers. Each is told by calls of its own until one is answered, by
@@ -28,7 +28,7 @@
 	agent  bool // told by the machine's agent: no matter what becomes of the process
 	waits  bool // for the answer to a call
 	over   bool // answered or given up
-	body   ledger.Note
+	body   requests.Callback
 	result string
 }
 
@@ -50,7 +50,7 @@
 // notes tells something of an attempt: at once, or with its 202 if that is still to come.
 func (n *node) notes(a *attempt, state string, share float64) {
 	t := n.newNote(a, state)
-	t.body.Share = share
+	t.body.Progress = share
 	n.post.owed++
 	switch {
 	case n.muted:
@@ -72,7 +72,7 @@
 func (n *node) newNote(a *attempt, state string) *note {
 	p := &n.post
 	t := &note{id: uint64(n.n)<<32 | (p.first + uint64(len(p.notes))), sched: a.sched,
-		body: ledger.Note{ID: a.call, From: n.id, State: state}}
+		body: requests.Callback{CallID: a.call, EndpointID: n.id, State: state}}
 	if state == "done" {
 		t.result = a.result
 		t.body.Result = &t.result
@@ -148,7 +148,7 @@
 		n.inbox = append(n.inbox, func() { n.answered(id, status) })
 	case status == 200 || status == 204:
 		n.close(t)
-		n.w.tell(seen.Sight{What: seen.Noted, Call: t.body.ID, Node: n.n, Sched: t.sched, Text: t.body.State,
+		n.w.tell(seen.Sight{What: seen.Noted, Call: t.body.CallID, Node: n.n, Sched: t.sched, Text: t.body.State,
 			Status: status, Try: t.tries})
 		if twice := n.kind.NoteTwice; twice > 0 && n.fleet.dice.roll(id, 0).Float64() < twice {
 			n.w.after(noteAgain, func() { n.bear(t) })
@@ -209,7 +209,7 @@
 // lose gives up a note.
 func (n *node) lose(t *note) {
 	n.close(t)
-	n.w.tell(seen.Sight{What: seen.NoteLost, Call: t.body.ID, Node: n.n, Text: t.body.State})
+	n.w.tell(seen.Sight{What: seen.NoteLost, Call: t.body.CallID, Node: n.n, Text: t.body.State})
 	n.rested()
 }
 
--- a/internal/lab/world/nodes_test.go
+++ b/internal/lab/world/nodes_test.go
@@ -158,7 +158,7 @@
 		t.Fatalf("its result is %q", s.Text)
 	}
 	r.notes("a", "started", "done")
-	if in := r.ins[len(r.ins)-1]; in.Note.From != "w-0" || *in.Note.Result != "d w-0/1#4" {
+	if in := r.ins[len(r.ins)-1]; in.Note.EndpointID != "w-0" || *in.Note.Result != "d w-0/1#4" {
 		t.Fatalf("told %+v", in.Note)
 	}
 }
--- a/internal/lab/world/scheds_test.go
+++ b/internal/lab/world/scheds_test.go
@@ -82,8 +82,8 @@
 		t.Fatalf("boots: %v", boots)
 	}
 	states := map[string]string{}
-	for _, h := range boots[2].Boot.Known.Hosts {
-		states[h.ID] = h.State
+	for _, h := range boots[2].Boot.Known.Endpoints {
+		states[h.ID] = h.Lifecycle
 	}
 	if len(states) != 29 || states["w-3"] != "draining" || states["w-7"] != "" || states["w-4"] != "up" {
 		t.Errorf("known: %v", states)
--- a/internal/lab/world/views.go
+++ b/internal/lab/world/views.go
@@ -5,7 +5,7 @@
 
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/seen"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 )
 
 // view is what a scheduler has been told by discovery, and what counts as told.
@@ -53,11 +53,11 @@
 }
 
 // known is the list as the scheduler last had it.
-func (v *view) known() ledger.HostGroup {
-	g := ledger.HostGroup{Generation: v.gen, Reset: true, Hosts: make([]ledger.Host, 0, len(v.d.of))}
+func (v *view) known() requests.EndpointList {
+	g := requests.EndpointList{Revision: v.gen, Reset: true, Endpoints: make([]requests.Endpoint, 0, len(v.d.of))}
 	for i, x := range v.has {
 		if x.state != hostAbsent {
-			g.Hosts = append(g.Hosts, v.d.list[i].line(x))
+			g.Endpoints = append(g.Endpoints, v.d.list[i].line(x))
 		}
 	}
 	return g
@@ -108,9 +108,9 @@
 	in := edge.In{Kind: m.what, Sched: v.sched}
 	switch m.what {
 	case edge.Listed:
-		in.List = &ledger.HostGroup{Generation: m.gen, Reset: m.reset, Hosts: make([]ledger.Host, len(m.entries))}
+		in.List = &requests.EndpointList{Revision: m.gen, Reset: m.reset, Endpoints: make([]requests.Endpoint, len(m.entries))}
 		for i, e := range m.entries {
-			in.List.Hosts[i] = v.d.list[e].line(m.as[i])
+			in.List.Endpoints[i] = v.d.list[e].line(m.as[i])
 		}
 		v.failed = false
 		v.take(m)
--- a/internal/lab/yardstick/base.go
+++ b/internal/lab/yardstick/base.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/due"
-	"valvecove/logic"
 )
 
 const (
@@ -28,10 +28,10 @@
 // base is what all yardsticks have in common.
 type base struct {
 	policy
-	set       logic.Settings
+	set       dispatch.Settings
 	rng       *rand.Rand
 	now       time.Duration
-	dst       []logic.Action
+	dst       []dispatch.Action
 	jobs      map[uint64]*job
 	workers   map[uint64]*worker
 	ready     []*worker // to which something new may go
@@ -49,8 +49,8 @@
 // job is owed an answer, or has attempts that are still out. Its due.Item is its deadline.
 type job struct {
 	due.Item
-	logic.Job
-	class    *logic.Class
+	dispatch.Job
+	class    *dispatch.Class
 	came     time.Duration // its client's first try
 	aim      time.Duration // an answer later than that earns nothing
 	attempts []*attempt
@@ -71,11 +71,11 @@
 	place   int // among those out
 	started bool
 	ended   bool
-	result  logic.Result
+	result  dispatch.Result
 }
 
 type worker struct {
-	logic.Worker
+	dispatch.Worker
 	place int // among the ready, from 1; 0: it is not
 	out   int // attempts
 	level int // of leastOutstanding: attempts out, from 1; 0: it is in none
@@ -83,27 +83,27 @@
 	view      // of seeing
 }
 
-func newBase(set logic.Settings, seed uint64) *base {
+func newBase(set dispatch.Settings, seed uint64) *base {
 	return &base{set: set, rng: rand.New(rand.NewPCG(seed, 1)), jobs: map[uint64]*job{}, workers: map[uint64]*worker{},
 		fullLeft: make([]time.Duration, len(set.Classes))}
 }
 
 // Step is a ledger.Module's.
-func (b *base) Step(now time.Duration, events []logic.Event, dst []logic.Action) []logic.Action {
+func (b *base) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	b.now, b.dst = max(now, b.now), dst
 	for _, e := range events {
 		switch e := e.(type) {
-		case logic.WorkerList:
+		case dispatch.WorkerList:
 			b.list(e)
-		case logic.Job:
+		case dispatch.Job:
 			b.arrive(e)
-		case logic.Outcome:
+		case dispatch.Outcome:
 			b.outcome(e)
-		case logic.Started:
+		case dispatch.Started:
 			b.start(e.Job, e.Attempt)
-		case logic.Progressed:
+		case dispatch.Progressed:
 			b.start(e.Job, e.Attempt) // the note of its start may have been lost
-		case logic.ClientGone:
+		case dispatch.ClientDisconnected:
 			b.close(b.jobs[e.Job])
 		}
 	}
@@ -118,7 +118,7 @@
 	return dst
 }
 
-func (b *base) do(a logic.Action) { b.dst = append(b.dst, a) }
+func (b *base) do(a dispatch.Action) { b.dst = append(b.dst, a) }
 
 // arm asks for a step at the next thing that is due.
 func (b *base) arm() {
@@ -134,24 +134,24 @@
 	}
 	if next > 0 && (b.timer == 0 || next < b.timer) {
 		b.timer = max(next, b.now+1)
-		b.do(logic.SetTimer{After: b.timer - b.now})
+		b.do(dispatch.SetTimer{After: b.timer - b.now})
 	}
 }
 
 // ---- Jobs ----
 
-func (b *base) arrive(e logic.Job) {
+func (b *base) arrive(e dispatch.Job) {
 	if b.jobs[e.ID] != nil || e.Class < 0 || e.Class >= len(b.set.Classes) {
 		return
 	}
 	j := &job{Job: e, class: &b.set.Classes[e.Class]}
-	j.At = b.now + max(e.Left, 0)
+	j.At = b.now + max(e.Remaining, 0)
 	j.Slots = max(1, e.Slots)
 	// A further try of a client leaves less time than a first one does, and its aim is that of the first.
 	full := &b.fullLeft[e.Class]
-	*full = max(*full, min(e.Left, j.class.GiveUp))
-	j.came = b.now - max(0, *full-max(e.Left, 0))
-	j.aim = min(j.came+j.class.Aim+seconds(j.class.Stretch*b.guess(j)), j.At)
+	*full = max(*full, min(e.Remaining, j.class.ClientTimeout))
+	j.came = b.now - max(0, *full-max(e.Remaining, 0))
+	j.aim = min(j.came+j.class.LatencyObjective+seconds(j.class.ObjectiveStretch*b.guess(j)), j.At)
 	b.jobs[e.ID] = j
 	b.deadlines.Add(j)
 	b.offer(j)
@@ -163,14 +163,14 @@
 	if j.Hint > 0 {
 		return j.Hint.Seconds()
 	}
-	return j.class.GiveUp.Seconds() / 2 / max(j.class.Stretch, 1)
+	return j.class.ClientTimeout.Seconds() / 2 / max(j.class.ObjectiveStretch, 1)
 }
 
 // follow sees to a job of which an attempt has ended.
 func (b *base) follow(j *job) {
 	switch {
 	case j.out > 0 || j.held > 0:
-	case !b.open(j) || j.class.Effect == logic.Unsafe && j.risked():
+	case !b.open(j) || j.class.Idempotency == dispatch.NonIdempotent && j.risked():
 		b.end(j)
 	default:
 		b.offer(j)
@@ -182,10 +182,10 @@
 	if j.closed {
 		return
 	}
-	if j.class.Effect == logic.Safe || j.class.Effect == logic.Keyed && j.class.Group == logic.GroupAll || !j.risked() {
-		b.do(logic.Refuse{Job: j.ID, After: min(comeBack, b.set.MaxRetryAfter)})
+	if j.class.Idempotency == dispatch.Idempotent || j.class.Idempotency == dispatch.IdempotentWithKey && j.class.DeduplicationScope == dispatch.ScopeAll || !j.risked() {
+		b.do(dispatch.Reject{Job: j.ID, RetryAfter: min(comeBack, b.set.MaxRetryAfter)})
 	} else {
-		b.do(logic.Fail{Job: j.ID})
+		b.do(dispatch.Fail{Job: j.ID})
 	}
 	b.close(j)
 }
@@ -210,7 +210,7 @@
 func (j *job) risked() bool { return slices.ContainsFunc(j.attempts, (*attempt).mayHaveRun) }
 
 func (a *attempt) mayHaveRun() bool {
-	return !a.ended || a.result != logic.Full && a.result != logic.NoConnect && a.result != logic.NotSent
+	return !a.ended || a.result != dispatch.WorkerFull && a.result != dispatch.ConnectFailed && a.result != dispatch.NotSent
 }
 
 // had tells whether a job has been sent to a worker before.
@@ -227,18 +227,18 @@
 	if len(j.attempts) == 0 {
 		return true
 	}
-	if j.out > 0 && !b.set.SecondCopies {
+	if j.out > 0 && !b.set.Hedging {
 		return false
 	}
 	for _, a := range j.attempts {
 		if !a.ended && a.worker == w {
 			return false
 		}
-		if !a.mayHaveRun() || c.Effect == logic.Safe {
+		if !a.mayHaveRun() || c.Idempotency == dispatch.Idempotent {
 			continue
 		}
-		if c.Effect == logic.Unsafe || b.now-a.sent >= c.Window-c.Window/keepsOff ||
-			c.Group == logic.GroupZone && a.zone != w.Zone || c.Group == logic.GroupCell && a.cell != w.Cell {
+		if c.Idempotency == dispatch.NonIdempotent || b.now-a.sent >= c.DeduplicationWindow-c.DeduplicationWindow/keepsOff ||
+			c.DeduplicationScope == dispatch.ScopeZone && a.zone != w.Zone || c.DeduplicationScope == dispatch.ScopeCell && a.cell != w.Cell {
 			return false
 		}
 	}
@@ -247,7 +247,7 @@
 
 // open tells whether a job may have a further attempt, and one could still earn.
 func (b *base) open(j *job) bool {
-	return !j.closed && b.now < j.aim && len(j.attempts) < b.set.TryLimit
+	return !j.closed && b.now < j.aim && len(j.attempts) < b.set.AttemptLimit
 }
 
 func (b *base) send(j *job, w *worker) *attempt {
@@ -256,7 +256,7 @@
 	j.out++
 	w.out++
 	b.out = append(b.out, a)
-	b.do(logic.Send{Job: j.ID, Worker: w.ID})
+	b.do(dispatch.Send{Job: j.ID, Worker: w.ID})
 	b.track(w)
 	return a
 }
@@ -270,7 +270,7 @@
 	}
 }
 
-func (b *base) outcome(e logic.Outcome) {
+func (b *base) outcome(e dispatch.Outcome) {
 	j := b.jobs[e.Job]
 	if j == nil || e.Attempt < 0 || e.Attempt >= len(j.attempts) || j.attempts[e.Attempt].ended {
 		return
@@ -285,7 +285,7 @@
 	a.worker.out--
 	b.track(a.worker)
 	b.over(a)
-	if e.Closed || j.closed || e.Result == logic.OK {
+	if e.Closed || j.closed || e.Result == dispatch.OK {
 		b.close(j)
 		return
 	}
@@ -297,10 +297,10 @@
 // warm is the share of its capacity that a worker has at least, by when it started.
 func (b *base) warm(w *worker) float64 {
 	age := b.now - w.BootAt
-	if w.BootAt <= 0 || b.set.Cold <= 0 || age >= b.set.Cold {
+	if w.BootAt <= 0 || b.set.WarmUp <= 0 || age >= b.set.WarmUp {
 		return 1
 	}
-	return b.set.ColdFrom + (1-b.set.ColdFrom)*max(0, age.Seconds())/b.set.Cold.Seconds()
+	return b.set.WarmUpCapacity + (1-b.set.WarmUpCapacity)*max(0, age.Seconds())/b.set.WarmUp.Seconds()
 }
 
 // passes draws whether a worker is passed over this time, as it is cold. That has no more out than the others have on
@@ -310,20 +310,20 @@
 	return share < 1 && (b.rng.Float64() >= share || float64(w.out) > share*float64(len(b.out))/float64(len(b.ready)))
 }
 
-func (b *base) list(e logic.WorkerList) {
-	if e.Kind == logic.ListLost {
+func (b *base) list(e dispatch.WorkerList) {
+	if e.Kind == dispatch.ListUnavailable {
 		if b.follows = false; b.asked || b.askWait == 0 {
-			b.askWait = min(max(b.set.AskEvery/20, 2*b.askWait), b.set.AskEvery/4)
+			b.askWait = min(max(b.set.PollInterval/20, 2*b.askWait), b.set.PollInterval/4)
 		}
 		b.asked = false
 		b.askAt = b.now + b.askWait/2 + time.Duration(b.rng.Int64N(int64(b.askWait)+1))
 		return
 	}
 	b.listed = true
-	if e.Kind != logic.ListCached && b.asked {
+	if e.Kind != dispatch.ListCached && b.asked {
 		b.asked, b.follows, b.askWait = false, true, 0
 	}
-	if e.Kind != logic.ListDelta {
+	if e.Kind != dispatch.ListDelta {
 		listed := make(map[uint64]bool, len(e.Workers))
 		for _, x := range e.Workers {
 			listed[x.ID] = true
@@ -341,7 +341,7 @@
 			b.workers[x.ID] = w
 		}
 		w.Worker = x
-		b.setReady(w, x.Ready && !x.Gone)
+		b.setReady(w, x.Ready && !x.Removed)
 	}
 }
 
@@ -367,7 +367,7 @@
 func (b *base) subscribe() {
 	if b.mustAsk() && b.now >= b.askAt {
 		b.asked = true
-		b.do(logic.Subscribe{})
+		b.do(dispatch.Subscribe{})
 	}
 }
 
--- a/internal/lab/yardstick/seeing.go
+++ b/internal/lab/yardstick/seeing.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/due"
 	"valvecove/internal/lab/world"
-	"valvecove/logic"
 )
 
 const (
@@ -147,7 +147,7 @@
 		if j.work = work; slots >= 1 {
 			j.Slots = slots
 		}
-		j.aim = min(j.came+j.class.Aim+seconds(j.class.Stretch*work), j.At)
+		j.aim = min(j.came+j.class.LatencyObjective+seconds(j.class.ObjectiveStretch*work), j.At)
 		j.beyond = j.came == p.now && p.flight.over(p.base, j) // of further tries nobody knows
 	}
 	p.held = append(p.held, j)
@@ -228,8 +228,8 @@
 // rescueAll has jobs that are out at a worker node which answers nothing go elsewhere too, where they may.
 func (p *seeing) rescueAll() {
 	for _, a := range p.out {
-		if j := a.job; a.worker.node >= 0 && !j.closed && j.held == 0 && j.out == 1 && p.set.SecondCopies &&
-			j.class.Effect != logic.Unsafe && p.open(j) && !reached(p.see.View(a.worker.node)) {
+		if j := a.job; a.worker.node >= 0 && !j.closed && j.held == 0 && j.out == 1 && p.set.Hedging &&
+			j.class.Idempotency != dispatch.NonIdempotent && p.open(j) && !reached(p.see.View(a.worker.node)) {
 			p.offer(j)
 		}
 	}
@@ -342,11 +342,11 @@
 		return true
 	}
 	f, sum := p.of(w), j.work*j.Slots
-	f.spent = slices.DeleteFunc(f.spent, func(s spend) bool { return p.now-s.at > p.set.OverloadSpan })
+	f.spent = slices.DeleteFunc(f.spent, func(s spend) bool { return p.now-s.at > p.set.OverloadWindow })
 	for _, s := range f.spent {
 		sum += s.work
 	}
-	return sum <= spared*p.set.Overload*w.now.Cores*w.now.Speed*p.set.OverloadSpan.Seconds()
+	return sum <= spared*p.set.OverloadFactor*w.now.Cores*w.now.Speed*p.set.OverloadWindow.Seconds()
 }
 
 // keep holds the worker that has least to do free for a large job, past which smaller ones would slip for ever.
--- a/internal/lab/yardstick/yardstick.go
+++ b/internal/lab/yardstick/yardstick.go
@@ -11,9 +11,9 @@
 import (
 	"slices"
 
+	"valvecove/dispatch"
 	"valvecove/internal/lab/world"
-	"valvecove/internal/ledger"
-	"valvecove/logic"
+	"valvecove/internal/requests"
 )
 
 // Oracle is what only a yardstick in the lab may know.
@@ -28,7 +28,7 @@
 }
 
 // Maker makes a module that knows nothing.
-type Maker func(set logic.Settings, seed uint64, o Oracle) ledger.Module
+type Maker func(set dispatch.Settings, seed uint64, o Oracle) requests.Policy
 
 // Policy is one yardstick.
 type Policy struct {
@@ -50,7 +50,7 @@
 		{"all-seeing", "the query first whose start can wait least, to a worker node that truly can start it now and" +
 			" be in time; what can't be in time is refused", func() Maker {
 			flight := &inFlight{}
-			return func(set logic.Settings, seed uint64, o Oracle) ledger.Module {
+			return func(set dispatch.Settings, seed uint64, o Oracle) requests.Policy {
 				b := newBase(set, seed)
 				b.policy = newSeeing(b, o, flight)
 				return b
@@ -71,7 +71,7 @@
 
 func simple(choose func(b *base) chooser) func() Maker {
 	return func() Maker {
-		return func(set logic.Settings, seed uint64, _ Oracle) ledger.Module {
+		return func(set dispatch.Settings, seed uint64, _ Oracle) requests.Policy {
 			b := newBase(set, seed)
 			b.policy = &atOnce{base: b, chooser: choose(b)}
 			return b
--- a/internal/lab/yardstick/yardstick_test.go
+++ b/internal/lab/yardstick/yardstick_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/lab/world"
-	"valvecove/internal/ledger"
-	"valvecove/logic"
+	"valvecove/internal/requests"
 )
 
 // glass is an Oracle over worker nodes that a test sets: worker n+1 is node n.
@@ -35,35 +35,35 @@
 	return g
 }
 
-var plain = logic.Settings{Replicas: 1, TryLimit: 4, SecondCopies: true, Cold: 10 * time.Second, ColdFrom: 0.25,
-	MaxRetryAfter: time.Second, Classes: []logic.Class{{Aim: time.Second, GiveUp: 5 * time.Second, Effect: logic.Safe}}}
+var plain = dispatch.Settings{Replicas: 1, AttemptLimit: 4, Hedging: true, WarmUp: 10 * time.Second, WarmUpCapacity: 0.25,
+	MaxRetryAfter: time.Second, Classes: []dispatch.Class{{LatencyObjective: time.Second, ClientTimeout: 5 * time.Second, Idempotency: dispatch.Idempotent}}}
 
-func listOf(n int) logic.WorkerList {
-	l := logic.WorkerList{Kind: logic.ListFull}
+func listOf(n int) dispatch.WorkerList {
+	l := dispatch.WorkerList{Kind: dispatch.ListFull}
 	for i := range n {
-		l.Workers = append(l.Workers, logic.Worker{ID: uint64(i + 1), Ready: true, Cell: i / 4, Kind: i % 2, Zone: i % 2})
+		l.Workers = append(l.Workers, dispatch.Worker{ID: uint64(i + 1), Ready: true, Cell: i / 4, Kind: i % 2, Zone: i % 2})
 	}
 	return l
 }
 
-func jobs(from, n int) (all []logic.Event) {
+func jobs(from, n int) (all []dispatch.Event) {
 	for i := range n {
-		all = append(all, logic.Job{ID: uint64(from + i), Left: 5 * time.Second, Slots: 1})
+		all = append(all, dispatch.Job{ID: uint64(from + i), Remaining: 5 * time.Second, Slots: 1})
 	}
 	return all
 }
 
 // sends is where a step sent what.
-func sends(actions []logic.Action) (all []logic.Send) {
+func sends(actions []dispatch.Action) (all []dispatch.Send) {
 	for _, a := range actions {
-		if s, ok := a.(logic.Send); ok {
+		if s, ok := a.(dispatch.Send); ok {
 			all = append(all, s)
 		}
 	}
 	return all
 }
 
-func module(t *testing.T, name string, set logic.Settings, o Oracle) ledger.Module {
+func module(t *testing.T, name string, set dispatch.Settings, o Oracle) requests.Policy {
 	t.Helper()
 	p, ok := Find(name)
 	if !ok {
@@ -80,7 +80,7 @@
 	}{{"random", 25, 80}, {"round-robin", each, each}, {"two-choices", each - 4, each + 4},
 		{"least-outstanding", each, each}} {
 		m, at := module(t, c.name, plain, nil), map[uint64]int{}
-		m.Step(1, []logic.Event{listOf(nodes)}, nil)
+		m.Step(1, []dispatch.Event{listOf(nodes)}, nil)
 		for _, s := range sends(m.Step(2, jobs(1, nodes*each), nil)) {
 			at[s.Worker]++
 		}
@@ -97,7 +97,7 @@
 	m := module(t, "random", plain, nil)
 	list := listOf(2)
 	list.Workers[0].BootAt = time.Second
-	m.Step(time.Second, []logic.Event{list}, nil)
+	m.Step(time.Second, []dispatch.Event{list}, nil)
 	cold := 0
 	for _, s := range sends(m.Step(time.Second+1, jobs(1, 1000), nil)) {
 		if s.Worker == 1 {
@@ -108,9 +108,9 @@
 		t.Errorf("%d of 1000 jobs at a worker with a quarter of its capacity", cold)
 	}
 	m = module(t, "least-outstanding", plain, nil)
-	m.Step(1, []logic.Event{listOf(3)}, nil)
+	m.Step(1, []dispatch.Event{listOf(3)}, nil)
 	first := sends(m.Step(2, jobs(1, 3), nil))[1]
-	m.Step(3, []logic.Event{logic.Outcome{Job: first.Job, Worker: first.Worker, Closed: true}}, nil)
+	m.Step(3, []dispatch.Event{dispatch.Outcome{Job: first.Job, Worker: first.Worker, Closed: true}}, nil)
 	if next := sends(m.Step(4, jobs(4, 1), nil)); next[0].Worker != first.Worker {
 		t.Errorf("sent to %d, though %d has nothing out", next[0].Worker, first.Worker)
 	}
@@ -123,11 +123,11 @@
 	g.work = func(job uint64) float64 { return 1 / float64(job) } // a later one can wait longer
 	maker := All()[4].ForPlay()
 	a, b := maker(plain, 1, g), maker(plain, 2, g)
-	a.Step(1, []logic.Event{listOf(3)}, nil)
-	b.Step(1, []logic.Event{listOf(3)}, nil)
+	a.Step(1, []dispatch.Event{listOf(3)}, nil)
+	b.Step(1, []dispatch.Event{listOf(3)}, nil)
 	// Four slots are free at one node, so the four that can wait least go there; the next are held.
 	got := sends(a.Step(2, jobs(2, 6), nil))
-	if len(got) != 4 || slices.ContainsFunc(got, func(s logic.Send) bool { return s.Worker != 3 }) ||
+	if len(got) != 4 || slices.ContainsFunc(got, func(s dispatch.Send) bool { return s.Worker != 3 }) ||
 		got[0].Job != 2 || got[3].Job != 5 {
 		t.Fatalf("sent %+v", got)
 	}
@@ -137,17 +137,17 @@
 	}
 	g.truth[2].Free = 0
 	for _, s := range got {
-		a.Step(4, []logic.Event{logic.Started{Job: s.Job, Worker: s.Worker}}, nil)
+		a.Step(4, []dispatch.Event{dispatch.Started{Job: s.Job, Worker: s.Worker}}, nil)
 	}
 	g.truth[2].Free = 1
 	later := 3*time.Millisecond + 5
-	if next := sends(a.Step(later, []logic.Event{logic.TimerFired{}}, nil)); len(next) != 1 || next[0].Job != 6 {
+	if next := sends(a.Step(later, []dispatch.Event{dispatch.TimerFired{}}, nil)); len(next) != 1 || next[0].Job != 6 {
 		t.Errorf("with one slot free: %+v", next)
 	}
 	// Job 7 has a seventh of a second of work, and a second from its arrival: then it is refused.
 	g.truth[2].Free = 0
-	acts := a.Step(900*time.Millisecond, []logic.Event{logic.TimerFired{}}, nil)
-	if !slices.ContainsFunc(acts, func(a logic.Action) bool { r, ok := a.(logic.Refuse); return ok && r.Job == 7 }) {
+	acts := a.Step(900*time.Millisecond, []dispatch.Event{dispatch.TimerFired{}}, nil)
+	if !slices.ContainsFunc(acts, func(a dispatch.Action) bool { r, ok := a.(dispatch.Reject); return ok && r.Job == 7 }) {
 		t.Errorf("a job that can't be in time is held on: %v", acts)
 	}
 }
@@ -157,16 +157,16 @@
 	g := newGlass(2)
 	g.truth[0].Free, g.truth[0].Backlog, g.truth[1].Free, g.truth[1].Backlog = 2, 0.1, 1, 0.3
 	m := module(t, "all-seeing", plain, g)
-	m.Step(1, []logic.Event{listOf(2)}, nil)
-	m.Step(2, []logic.Event{logic.Job{ID: 1, Left: 5 * time.Second, Slots: 3}}, nil)
+	m.Step(1, []dispatch.Event{listOf(2)}, nil)
+	m.Step(2, []dispatch.Event{dispatch.Job{ID: 1, Remaining: 5 * time.Second, Slots: 3}}, nil)
 	now := 850 * time.Millisecond // most of its slack is gone
-	m.Step(now, []logic.Event{logic.TimerFired{}}, nil)
+	m.Step(now, []dispatch.Event{dispatch.TimerFired{}}, nil)
 	small := sends(m.Step(now+5*time.Millisecond, jobs(2, 2), nil))
 	if len(small) != 1 || small[0].Worker != 2 {
 		t.Errorf("small jobs went to %+v", small)
 	}
 	g.truth[0].Free = 3
-	got := sends(m.Step(now+10*time.Millisecond, []logic.Event{logic.TimerFired{}}, nil))
+	got := sends(m.Step(now+10*time.Millisecond, []dispatch.Event{dispatch.TimerFired{}}, nil))
 	if len(got) != 1 || got[0].Job != 1 {
 		t.Errorf("with room for the large one: %+v", got)
 	}
@@ -174,14 +174,14 @@
 
 // A job at a worker node that has stopped answering goes elsewhere too, if it may run twice.
 func TestAllSeeingRescues(t *testing.T) {
-	for effect, want := range map[logic.Effect]int{logic.Safe: 1, logic.Unsafe: 0} {
+	for effect, want := range map[dispatch.Idempotency]int{dispatch.Idempotent: 1, dispatch.NonIdempotent: 0} {
 		g, set := newGlass(2), plain
-		set.Classes = []logic.Class{{Aim: time.Second, GiveUp: 5 * time.Second, Effect: effect}}
+		set.Classes = []dispatch.Class{{LatencyObjective: time.Second, ClientTimeout: 5 * time.Second, Idempotency: effect}}
 		m := module(t, "all-seeing", set, g)
-		m.Step(1, []logic.Event{listOf(2)}, nil)
+		m.Step(1, []dispatch.Event{listOf(2)}, nil)
 		first := sends(m.Step(2, jobs(1, 1), nil))[0]
 		g.truth[first.Worker-1].Up = false
-		again := sends(m.Step(100*time.Millisecond, []logic.Event{logic.TimerFired{}}, nil))
+		again := sends(m.Step(100*time.Millisecond, []dispatch.Event{dispatch.TimerFired{}}, nil))
 		if len(again) != want || want == 1 && again[0].Worker == first.Worker {
 			t.Errorf("effect %d: sent %+v after %+v", effect, again, first)
 		}
@@ -191,21 +191,21 @@
 // ---- The rules, for all of them, against random events ----
 
 type ruled struct {
-	logic.Job
+	dispatch.Job
 	deadline time.Duration
 	over     bool
 	tries    []try
 }
 
 type try struct {
-	w      logic.Worker
+	w      dispatch.Worker
 	sent   time.Duration
 	ended  bool
-	result logic.Result
+	result dispatch.Result
 }
 
 func (x try) risky() bool {
-	return !x.ended || x.result != logic.Full && x.result != logic.NoConnect && x.result != logic.NotSent
+	return !x.ended || x.result != dispatch.WorkerFull && x.result != dispatch.ConnectFailed && x.result != dispatch.NotSent
 }
 
 func TestRules(t *testing.T) {
@@ -219,11 +219,11 @@
 func checkRules(t *testing.T, p Policy, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	set := plain
-	set.SecondCopies, set.MustSubscribe, set.AskEvery = seed%2 == 0, seed%3 == 0, time.Second
+	set.Hedging, set.MustSubscribe, set.PollInterval = seed%2 == 0, seed%3 == 0, time.Second
 	set.Classes = nil
-	for _, e := range []logic.Effect{logic.Safe, logic.Keyed, logic.Unsafe} {
-		c := logic.Class{Aim: 300 * time.Millisecond, Stretch: 1, GiveUp: 2 * time.Second, Effect: e,
-			Group: logic.Group(seed % 3), Window: time.Second}
+	for _, e := range []dispatch.Idempotency{dispatch.Idempotent, dispatch.IdempotentWithKey, dispatch.NonIdempotent} {
+		c := dispatch.Class{LatencyObjective: 300 * time.Millisecond, ObjectiveStretch: 1, ClientTimeout: 2 * time.Second, Idempotency: e,
+			DeduplicationScope: dispatch.DeduplicationScope(seed % 3), DeduplicationWindow: time.Second}
 		if seed%5 == 0 {
 			c.Kinds = []int{0}
 		}
@@ -232,19 +232,19 @@
 	const nodes = 6
 	g := newGlass(nodes)
 	m := p.ForPlay()(set, seed, g)
-	now, all, ready := time.Second, map[uint64]*ruled{}, map[uint64]logic.Worker{}
+	now, all, ready := time.Second, map[uint64]*ruled{}, map[uint64]dispatch.Worker{}
 	list := listOf(nodes)
 	var ids []uint64
 	wrong := func(format string, args ...any) {
 		t.Helper()
 		t.Fatalf("%s, seed %d, at %v: "+format, append([]any{p.Name, seed, now}, args...)...)
 	}
-	step := func(events ...logic.Event) {
+	step := func(events ...dispatch.Event) {
 		for _, a := range m.Step(now, events, nil) {
 			switch a := a.(type) {
-			case logic.Send:
+			case dispatch.Send:
 				j, w := all[a.Job], ready[a.Worker]
-				if j.over || w.ID == 0 || len(j.tries) >= set.TryLimit || now >= j.deadline {
+				if j.over || w.ID == 0 || len(j.tries) >= set.AttemptLimit || now >= j.deadline {
 					wrong("job %+v sent to worker %+v", j, w)
 				}
 				c := set.Classes[j.Class]
@@ -252,30 +252,30 @@
 					wrong("a job sent to a kind that its class may not go to")
 				}
 				for _, x := range j.tries {
-					if !x.ended && (!set.SecondCopies || x.w.ID == w.ID) {
+					if !x.ended && (!set.Hedging || x.w.ID == w.ID) {
 						wrong("a second copy")
 					}
-					same := c.Group == logic.GroupAll || c.Group == logic.GroupZone && x.w.Zone == w.Zone ||
-						c.Group == logic.GroupCell && x.w.Cell == w.Cell
-					if x.risky() && (c.Effect == logic.Unsafe || c.Effect == logic.Keyed && (!same || now-x.sent > c.Window)) {
+					same := c.DeduplicationScope == dispatch.ScopeAll || c.DeduplicationScope == dispatch.ScopeZone && x.w.Zone == w.Zone ||
+						c.DeduplicationScope == dispatch.ScopeCell && x.w.Cell == w.Cell
+					if x.risky() && (c.Idempotency == dispatch.NonIdempotent || c.Idempotency == dispatch.IdempotentWithKey && (!same || now-x.sent > c.DeduplicationWindow)) {
 						wrong("class %d sent again though it may have run", j.Class)
 					}
 				}
 				j.tries = append(j.tries, try{w: w, sent: now})
-			case logic.Refuse:
+			case dispatch.Reject:
 				j := all[a.Job]
 				c := set.Classes[j.Class]
-				if j.over || c.Effect != logic.Safe && (c.Effect != logic.Keyed || c.Group != logic.GroupAll) &&
+				if j.over || c.Idempotency != dispatch.Idempotent && (c.Idempotency != dispatch.IdempotentWithKey || c.DeduplicationScope != dispatch.ScopeAll) &&
 					slices.ContainsFunc(j.tries, try.risky) {
 					wrong("job %+v refused", j)
 				}
 				j.over = true
-			case logic.Fail:
+			case dispatch.Fail:
 				if all[a.Job].over {
 					wrong("job %d answered twice", a.Job)
 				}
 				all[a.Job].over = true
-			case logic.SetTimer:
+			case dispatch.SetTimer:
 				if a.After <= 0 {
 					wrong("timer of %v", a.After)
 				}
@@ -306,11 +306,11 @@
 			tell(n, rng.IntN(3) > 0)
 			step(list)
 		case 1:
-			step(logic.WorkerList{Kind: logic.ListLost})
+			step(dispatch.WorkerList{Kind: dispatch.ListUnavailable})
 		case 2, 3:
 			id := uint64(len(ids) + 1)
-			j := &ruled{Job: logic.Job{ID: id, Class: rng.IntN(3), Left: 2 * time.Second, Slots: float64(1 + rng.IntN(2))}}
-			j.deadline = now + j.Left
+			j := &ruled{Job: dispatch.Job{ID: id, Class: rng.IntN(3), Remaining: 2 * time.Second, Slots: float64(1 + rng.IntN(2))}}
+			j.deadline = now + j.Remaining
 			all[id], ids = j, append(ids, id)
 			step(j.Job)
 		default:
@@ -320,17 +320,17 @@
 			j := all[ids[max(0, len(ids)-1-rng.IntN(12))]]
 			i := slices.IndexFunc(j.tries, func(x try) bool { return !x.ended })
 			if i < 0 {
-				step(logic.TimerFired{})
+				step(dispatch.TimerFired{})
 				continue
 			}
 			x := &j.tries[i]
-			x.ended, x.result = true, logic.Result(rng.IntN(int(logic.NotSent)+1))
-			j.over = j.over || x.result == logic.OK
-			step(logic.Outcome{Job: j.ID, Attempt: i, Worker: x.w.ID, Result: x.result, Closed: j.over})
+			x.ended, x.result = true, dispatch.Result(rng.IntN(int(dispatch.NotSent)+1))
+			j.over = j.over || x.result == dispatch.OK
+			step(dispatch.Outcome{Job: j.ID, Attempt: i, Worker: x.w.ID, Result: x.result, Closed: j.over})
 		}
 	}
 	for range 100 { // all deadlines pass
 		now += 30 * time.Millisecond
-		step(logic.TimerFired{})
+		step(dispatch.TimerFired{})
 	}
 }
--- a/internal/link/attempts_test.go
+++ b/internal/link/attempts_test.go
@@ -11,9 +11,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"valvecove/internal/ledger"
+	"valvecove/dispatch"
+	"valvecove/internal/requests"
 	"valvecove/internal/steps"
-	"valvecove/logic"
 )
 
 // late is a far end whose connection is not up yet: the loop's side takes nothing until release.
@@ -61,7 +61,7 @@
 // attempts is a world with queries that are sent to its one worker node.
 type attempts struct {
 	*world
-	queries []*ledger.Query
+	queries []*requests.Request
 }
 
 func newAttempts(t *testing.T) *attempts {
@@ -69,29 +69,29 @@
 }
 
 // act has the module do something in one turn.
-func (w *attempts) act(actions ...logic.Action) {
+func (w *attempts) act(actions ...dispatch.Action) {
 	w.module.Next = append(w.module.Next, actions...)
 	w.loop.Ledger.Wake()
 	w.turn()
 }
 
 // send has an attempt made of a new query.
-func (w *attempts) send(size int) *ledger.Query {
+func (w *attempts) send(size int) *requests.Request {
 	w.T.Helper()
-	q, err := w.loop.Ledger.Take(w.now, ledger.Arrival{Call: fmt.Sprint("q", len(w.queries)), Job: logic.Job{Left: 5 * time.Second},
-		Parcel: ledger.Parcel{Verb: "POST", Path: "/a", Body: make([]byte, size)}, Asker: nobody{}})
+	q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: fmt.Sprint("q", len(w.queries)), Job: dispatch.Job{Remaining: 5 * time.Second},
+		Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{}})
 	if err != nil {
 		w.T.Fatal(err)
 	}
 	w.queries = append(w.queries, q)
-	w.act(logic.Send{Job: q.ID, Worker: w.worker()})
+	w.act(dispatch.Send{Job: q.ID, Worker: w.worker()})
 	return q
 }
 
 const accepted = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
 // accepted has an attempt made and accepted, and then loses its link, so that what follows needs another.
-func (w *attempts) accepted() *ledger.Query {
+func (w *attempts) accepted() *requests.Request {
 	q := w.send(0)
 	p := w.dialed[len(w.dialed)-1]
 	p.read(1 << 12)
@@ -103,35 +103,35 @@
 }
 
 // outcomes are the results that the module has heard of a query's attempts.
-func (w *attempts) outcomes(q *ledger.Query) (results []logic.Result) {
+func (w *attempts) outcomes(q *requests.Request) (results []dispatch.Result) {
 	for _, e := range w.module.Heard {
-		if o, ok := e.(logic.Outcome); ok && o.Job == q.ID {
+		if o, ok := e.(dispatch.Outcome); ok && o.Job == q.ID {
 			results = append(results, o.Result)
 		}
 	}
 	return results
 }
 
-func (w *attempts) expect(what string, q *ledger.Query, want ...logic.Result) {
+func (w *attempts) expect(what string, q *requests.Request, want ...dispatch.Result) {
 	w.T.Helper()
 	if got := w.outcomes(q); !slices.Equal(got, want) {
 		w.T.Errorf("%s: outcomes %v, expected %v", what, got, want)
 	}
 }
 
-func (w *attempts) note(q *ledger.Query, state string) {
+func (w *attempts) note(q *requests.Request, state string) {
 	w.T.Helper()
 	result := "r"
-	if _, err := w.loop.Ledger.Tell(ledger.Note{ID: q.Call, From: "s-0", State: state, Result: &result}); err != nil {
+	if _, err := w.loop.Ledger.HandleCallback(requests.Callback{CallID: q.CallID, EndpointID: "s-0", State: state, Result: &result}); err != nil {
 		w.T.Fatal(err)
 	}
 	w.turn()
 }
 
 // deletes tells whether a far end got a DELETE for a query.
-func (p *peer) deletes(q *ledger.Query) bool {
+func (p *peer) deletes(q *requests.Request) bool {
 	p.read(1 << 12)
-	return strings.HasPrefix(string(p.got), "DELETE /jobs/"+q.Call+" ")
+	return strings.HasPrefix(string(p.got), "DELETE /jobs/"+q.CallID+" ")
 }
 
 // answer has a far end answer a DELETE.
@@ -147,7 +147,7 @@
 		w := newAttempts(t)
 		q := w.accepted()
 		links := w.hold()
-		w.act(logic.Cancel{Job: q.ID})
+		w.act(dispatch.Cancel{Job: q.ID})
 		w.expect("not written yet", q)
 		if len(*links) != 1 {
 			t.Fatalf("%d connections for a DELETE", len(*links))
@@ -158,13 +158,13 @@
 		}
 		w.expect("not answered yet", q)
 		w.answer((*links)[0].peer)
-		w.expect("answered", q, logic.Cancelled)
+		w.expect("answered", q, dispatch.Cancelled)
 	})
 	t.Run("late, then on another", func(t *testing.T) {
 		w := newAttempts(t)
 		q := w.accepted()
 		links := w.hold()
-		w.act(logic.Cancel{Job: q.ID})
+		w.act(dispatch.Cancel{Job: q.ID})
 		w.now += w.loop.servers.dial
 		w.turn()
 		w.now += withdrawAgain
@@ -180,13 +180,13 @@
 		}
 		w.expect("not answered yet", q)
 		w.answer((*links)[1].peer)
-		w.expect("answered", q, logic.Cancelled)
+		w.expect("answered", q, dispatch.Cancelled)
 	})
 	t.Run("refused, or reset on its way", func(t *testing.T) {
 		w := newAttempts(t)
 		q := w.accepted()
 		links := w.hold()
-		w.act(logic.Cancel{Job: q.ID})
+		w.act(dispatch.Cancel{Job: q.ID})
 		(*links)[0].close()
 		w.turn()
 		w.expect("reset before its last byte", q)
@@ -209,13 +209,13 @@
 		}
 		w.expect("written again", q)
 		w.answer((*links)[2].peer)
-		w.expect("at the end", q, logic.Cancelled)
+		w.expect("at the end", q, dispatch.Cancelled)
 	})
 	t.Run("hangs", func(t *testing.T) {
 		w := newAttempts(t)
 		q := w.accepted()
 		links := w.hold()
-		w.act(logic.Cancel{Job: q.ID})
+		w.act(dispatch.Cancel{Job: q.ID})
 		(*links)[0].release()
 		w.turn()
 		w.expect("not answered yet", q)
@@ -224,13 +224,13 @@
 		w.expect("it may be cut off, and run it", q)
 		w.now = q.Deadline
 		w.turn()
-		w.expect("at the deadline", q, logic.TimedOut)
+		w.expect("at the deadline", q, dispatch.TimedOut)
 	})
 	t.Run("never", func(t *testing.T) {
 		w := newAttempts(t)
 		q := w.accepted()
 		links := w.hold()
-		w.act(logic.Cancel{Job: q.ID})
+		w.act(dispatch.Cancel{Job: q.ID})
 		for range 2 * withdrawTimes {
 			w.now += w.loop.servers.dial
 			w.turn()
@@ -241,20 +241,20 @@
 		if len(*links) != withdrawTimes || w.loop.servers.open != 0 || len(w.loop.servers.withdrawals) != 0 {
 			t.Errorf("%d connections, %d open, %d withdrawals", len(*links), w.loop.servers.open, len(w.loop.servers.withdrawals))
 		}
-		w.act(logic.Cancel{Job: q.ID}) // which may be asked for again
+		w.act(dispatch.Cancel{Job: q.ID}) // which may be asked for again
 		if len(*links) != withdrawTimes+1 {
 			t.Error("it is not withdrawn again")
 		}
 		w.now += 5 * time.Second
 		w.turn()
-		w.expect("at its deadline", q, logic.TimedOut)
+		w.expect("at its deadline", q, dispatch.TimedOut)
 	})
 	t.Run("no descriptor", func(t *testing.T) {
 		w := newAttempts(t)
 		q := w.accepted()
 		most := w.loop.servers.most
 		w.loop.servers.most = 0
-		w.act(logic.Cancel{Job: q.ID})
+		w.act(dispatch.Cancel{Job: q.ID})
 		w.expect("no descriptor left", q)
 		w.loop.servers.most = most
 		w.now += withdrawAgain
@@ -263,15 +263,15 @@
 		}
 		w.expect("not answered yet", q)
 		w.answer(w.dialed[len(w.dialed)-1])
-		w.expect("answered", q, logic.Cancelled)
+		w.expect("answered", q, dispatch.Cancelled)
 	})
 	t.Run("done meanwhile", func(t *testing.T) {
 		w := newAttempts(t)
 		q := w.accepted()
 		links := w.hold()
-		w.act(logic.Cancel{Job: q.ID})
+		w.act(dispatch.Cancel{Job: q.ID})
 		w.note(q, "done")
-		w.expect("done", q, logic.OK)
+		w.expect("done", q, dispatch.OK)
 		(*links)[0].release()
 		if w.turn(); (*links)[0].deletes(q) || !(*links)[0].ended {
 			t.Errorf("a worker node that is done got %q", (*links)[0].got)
@@ -285,10 +285,10 @@
 		q := w.accepted()
 		w.now = q.Deadline - 10*time.Millisecond
 		links := w.hold()
-		w.act(logic.Cancel{Job: q.ID})
+		w.act(dispatch.Cancel{Job: q.ID})
 		w.now = q.Deadline
 		w.turn()
-		w.expect("its time is over", q, logic.TimedOut)
+		w.expect("its time is over", q, dispatch.TimedOut)
 		(*links)[0].release()
 		if w.turn(); len(*links) != 1 || !(*links)[0].deletes(q) { // it may still be in a queue there
 			t.Errorf("%d connections, the worker node got %q", len(*links), (*links)[0].got)
@@ -298,8 +298,8 @@
 		w := newAttempts(t)
 		q := w.accepted()
 		links := w.hold()
-		w.act(logic.Cancel{Job: q.ID})
-		w.loop.Ledger.Gone(q)
+		w.act(dispatch.Cancel{Job: q.ID})
+		w.loop.Ledger.ClientDisconnected(q)
 		w.turn()
 		(*links)[0].release()
 		if w.turn(); !(*links)[0].deletes(q) {
@@ -307,21 +307,21 @@
 		}
 		w.expect("not answered yet", q)
 		w.answer((*links)[0].peer)
-		w.expect("answered", q, logic.Cancelled)
+		w.expect("answered", q, dispatch.Cancelled)
 	})
 }
 
 // A DELETE that waits for its connection when a process is replaced is sent by the one that goes on.
-func TestWithdrawalIsHandedOver(t *testing.T) {
+func TestWithdrawalSurvivesHotRestart(t *testing.T) {
 	s := &steps.Steps{T: t}
 	dir := t.TempDir()
-	base, at := elderWorld(s, dir)
+	base, at := newPredecessorWorld(s, dir)
 	w := &attempts{world: base}
 	q := w.accepted()
 	w.hold()
-	w.act(logic.Cancel{Job: q.ID})
-	next := &attempts{world: w.succeeds(dir, at)}
-	if err := w.replacedBy(next.world); err != nil {
+	w.act(dispatch.Cancel{Job: q.ID})
+	next := &attempts{world: w.startSuccessor(dir, at)}
+	if err := w.handOverTo(next.world); err != nil {
 		t.Fatal(err)
 	}
 	next.turn()
@@ -330,7 +330,7 @@
 	}
 	next.expect("not answered yet", q)
 	next.answer(next.dialed[len(next.dialed)-1])
-	next.expect("answered", q, logic.Cancelled)
+	next.expect("answered", q, dispatch.Cancelled)
 }
 
 // An attempt that was given up before its connection was up, or before it was accepted, is given up by closing that: what comes
@@ -349,8 +349,8 @@
 			w.turn()
 			p.read(1 << 12)
 			sent := len(p.got)
-			w.act(logic.Cancel{Job: q.ID})
-			w.expect("given up", q, logic.Cancelled)
+			w.act(dispatch.Cancel{Job: q.ID})
+			w.expect("given up", q, dispatch.Cancelled)
 			p.release()
 			w.turn()
 			if p.read(1 << 12); !p.ended || len(p.got) != sent || len(*links) != 1 {
@@ -365,17 +365,17 @@
 	w := newAttempts(t)
 	q := w.send(0)
 	p := w.dialed[0]
-	again := logic.Send{Job: q.ID, Worker: w.worker()}
+	again := dispatch.Send{Job: q.ID, Worker: w.worker()}
 	w.act(again)
-	w.expect("before the 202", q, logic.NotSent)
+	w.expect("before the 202", q, dispatch.NotSent)
 	p.read(1 << 12)
 	p.write([]byte(accepted))
 	w.turn()
 	w.act(again)
 	links := w.hold()
 	p.close()
-	w.act(logic.Cancel{Job: q.ID}, again)
-	w.expect("while it is withdrawn", q, logic.NotSent, logic.NotSent, logic.NotSent)
+	w.act(dispatch.Cancel{Job: q.ID}, again)
+	w.expect("while it is withdrawn", q, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)
 	if len(*links) != 1 {
 		t.Fatalf("%d connections", len(*links))
 	}
@@ -383,12 +383,12 @@
 	w.turn()
 	(*links)[0].read(1 << 12)
 	w.act(again)
-	w.expect("not answered yet", q, logic.NotSent, logic.NotSent, logic.NotSent, logic.NotSent)
+	w.expect("not answered yet", q, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)
 	w.answer((*links)[0].peer)
 	(*links)[0].close()
 	w.turn()
 	w.act(again)
-	w.expect("once it is withdrawn", q, logic.NotSent, logic.NotSent, logic.NotSent, logic.NotSent, logic.Cancelled)
+	w.expect("once it is withdrawn", q, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent, dispatch.Cancelled)
 	if len(*links) != 2 {
 		t.Errorf("%d connections: it is not sent again", len(*links))
 	}
@@ -442,14 +442,14 @@
 		links := w.hold()
 		q := w.send(0)
 		p := (*links)[0]
-		w.loop.servers.carried[w.loop.Ledger.Attempt(q.ID, 0)].await(time.Hour) // a connection may take as long as a query
+		w.loop.servers.carried[w.loop.Ledger.InFlightAttempt(q.ID, 0)].await(time.Hour) // a connection may take as long as a query
 		w.now = q.Deadline
 		p.release()
 		w.turn()
 		if p.read(1 << 12); len(p.got) > 0 || !p.ended {
 			t.Errorf("with no time left %q was sent, closed %v", p.got, p.ended)
 		}
-		w.expect("out of time", q, logic.TimedOut)
+		w.expect("out of time", q, dispatch.TimedOut)
 	})
 	t.Run("goes in parts", func(t *testing.T) {
 		w := newAttempts(t)
@@ -483,7 +483,7 @@
 		if _, err := m.ParseRequest(p.got); err == nil || !p.ended {
 			t.Errorf("the rest came too, closed %v", p.ended)
 		}
-		w.expect("never whole", q, logic.NoConnect)
+		w.expect("never whole", q, dispatch.ConnectFailed)
 	})
 }
 
@@ -491,24 +491,24 @@
 func TestResetRoundTheLastByte(t *testing.T) {
 	for name, x := range map[string]struct {
 		size int
-		far  func(w *attempts, q *ledger.Query, p *peer)
-		want []logic.Result
+		far  func(w *attempts, q *requests.Request, p *peer)
+		want []dispatch.Result
 	}{
-		"before it": {maxBody, func(_ *attempts, _ *ledger.Query, p *peer) { p.read(4000); p.close() }, []logic.Result{logic.NoConnect}},
-		"after it":  {0, func(_ *attempts, _ *ledger.Query, p *peer) { p.read(4000); p.close() }, []logic.Result{logic.Reset}},
-		"in the answer": {0, func(_ *attempts, _ *ledger.Query, p *peer) {
+		"before it": {maxBody, func(_ *attempts, _ *requests.Request, p *peer) { p.read(4000); p.close() }, []dispatch.Result{dispatch.ConnectFailed}},
+		"after it":  {0, func(_ *attempts, _ *requests.Request, p *peer) { p.read(4000); p.close() }, []dispatch.Result{dispatch.ConnectionReset}},
+		"in the answer": {0, func(_ *attempts, _ *requests.Request, p *peer) {
 			p.read(4000)
 			p.write([]byte(accepted[:20]))
 			p.close()
-		}, []logic.Result{logic.Reset}},
-		"behind the 202": {0, func(_ *attempts, _ *ledger.Query, p *peer) { p.read(4000); p.write([]byte(accepted)); p.close() }, nil},
-		"behind the 202, told as lost": {0, func(w *attempts, q *ledger.Query, p *peer) {
+		}, []dispatch.Result{dispatch.ConnectionReset}},
+		"behind the 202": {0, func(_ *attempts, _ *requests.Request, p *peer) { p.read(4000); p.write([]byte(accepted)); p.close() }, nil},
+		"behind the 202, told as lost": {0, func(w *attempts, q *requests.Request, p *peer) {
 			p.read(4000)
 			p.write([]byte(accepted))
 			p.close()
 			w.turn()
 			w.note(q, "lost")
-		}, []logic.Result{logic.Reset}},
+		}, []dispatch.Result{dispatch.ConnectionReset}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newAttempts(t)
@@ -525,7 +525,7 @@
 
 // A call-back may come before the 202, and twice. It counts once, and the link is free with the 202 all the same.
 func TestCallBackBeforeTheAcceptance(t *testing.T) {
-	for state, want := range map[string]logic.Result{"done": logic.OK, "returned": logic.Full, "failed": logic.Failed, "lost": logic.Reset} {
+	for state, want := range map[string]dispatch.Result{"done": dispatch.OK, "returned": dispatch.WorkerFull, "failed": dispatch.Failed, "lost": dispatch.ConnectionReset} {
 		t.Run(state, func(t *testing.T) {
 			w := newAttempts(t)
 			q := w.send(0)
@@ -540,7 +540,7 @@
 			w.expect("and accepted", q, want)
 			w.now += settleFor
 			next := w.send(0)
-			if p.read(1 << 12); len(w.dialed) != 1 || !strings.Contains(string(p.got), "X-Call-Id: "+next.Call+"\r\n") {
+			if p.read(1 << 12); len(w.dialed) != 1 || !strings.Contains(string(p.got), "X-Call-Id: "+next.CallID+"\r\n") {
 				t.Errorf("%d links, the free one carries %q", len(w.dialed), p.got)
 			}
 			w.expect("of the next", next)
@@ -566,9 +566,9 @@
 			w.turn()
 			w.now += settleFor
 			w.loop.now = w.now
-			q, _ := w.loop.Ledger.Take(w.now, ledger.Arrival{Call: "between", Job: logic.Job{Left: 5 * time.Second},
-				Parcel: ledger.Parcel{Verb: "POST", Path: "/a"}, Asker: nobody{}})
-			w.module.Next = append(w.module.Next, logic.Send{Job: q.ID, Worker: w.worker()})
+			q, _ := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: "between", Job: dispatch.Job{Remaining: 5 * time.Second},
+				Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: nobody{}})
+			w.module.Next = append(w.module.Next, dispatch.Send{Job: q.ID, Worker: w.worker()})
 			p.write([]byte(refused))
 			w.loop.Ledger.Step(w.now)
 		},
@@ -598,19 +598,19 @@
 				t.Error("the link goes on")
 			}
 			last := w.dialed[len(w.dialed)-1]
-			if last.read(1 << 12); !strings.Contains(string(last.got), "X-Call-Id: "+next.Call+"\r\n") {
+			if last.read(1 << 12); !strings.Contains(string(last.got), "X-Call-Id: "+next.CallID+"\r\n") {
 				t.Errorf("the next went as %q", last.got)
 			}
 			last.write([]byte("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"))
 			w.turn()
-			w.expect("the next by its own answer", next, logic.Failed)
+			w.expect("the next by its own answer", next, dispatch.Failed)
 		})
 	}
 	// What a link was used for before has a word of its own, so its second answer is known for what it is.
 	t.Run("to a probe", func(t *testing.T) {
 		w := newAttempts(t)
 		const alive = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-		w.act(logic.Probe{Worker: w.worker()})
+		w.act(dispatch.HealthCheck{Worker: w.worker()})
 		p := w.dialed[0]
 		p.read(1 << 12)
 		p.write([]byte(alive))
@@ -621,7 +621,7 @@
 		}
 		p.write([]byte(alive))
 		w.turn()
-		w.expect("no word of its own", q, logic.Reset)
+		w.expect("no word of its own", q, dispatch.ConnectionReset)
 		if p.read(1 << 12); !p.ended {
 			t.Error("the link goes on")
 		}
@@ -633,10 +633,10 @@
 		p.read(1 << 12)
 		p.write([]byte(accepted))
 		w.turn()
-		w.act(logic.Probe{Worker: w.worker()})
+		w.act(dispatch.HealthCheck{Worker: w.worker()})
 		p.write([]byte(accepted))
 		w.turn()
-		if got, _ := w.module.Heard[len(w.module.Heard)-1].(logic.Probed); got.Result != logic.NotSent || len(w.dialed) != 1 {
+		if got, _ := w.module.Heard[len(w.module.Heard)-1].(dispatch.HealthChecked); got.Result != dispatch.NotSent || len(w.dialed) != 1 {
 			t.Errorf("the probe ended as %v on %d links", got.Result, len(w.dialed))
 		}
 	})
@@ -644,19 +644,19 @@
 
 // A close with a part of an answer is no answer. One without a length lasts until the close, and is whole with that.
 func TestAnswerCutShort(t *testing.T) {
-	for text, want := range map[string][]logic.Result{
-		"":                                    {logic.Reset},
-		"HTTP/1.1 20":                         {logic.Reset},
-		"HTTP/1.1 202 Accepted":               {logic.Reset},
-		"HTTP/1.1 202 Accepted\r\n":           {logic.Reset},
-		"HTTP/1.1 202 Accepted\r\nContent-Le": {logic.Reset},
-		"HTTP/1.1 202 Accepted\r\nContent-Length: 5\r\n\r\nhalf":             {logic.Reset},
-		"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nha": {logic.Reset},
-		"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n":   {logic.Reset},
-		"HTTP/1.1 100 Continue\r\n\r\n":                                      {logic.Reset},
-		"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\n":                             {logic.Reset},
+	for text, want := range map[string][]dispatch.Result{
+		"":                                    {dispatch.ConnectionReset},
+		"HTTP/1.1 20":                         {dispatch.ConnectionReset},
+		"HTTP/1.1 202 Accepted":               {dispatch.ConnectionReset},
+		"HTTP/1.1 202 Accepted\r\n":           {dispatch.ConnectionReset},
+		"HTTP/1.1 202 Accepted\r\nContent-Le": {dispatch.ConnectionReset},
+		"HTTP/1.1 202 Accepted\r\nContent-Length: 5\r\n\r\nhalf":             {dispatch.ConnectionReset},
+		"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nha": {dispatch.ConnectionReset},
+		"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n":   {dispatch.ConnectionReset},
+		"HTTP/1.1 100 Continue\r\n\r\n":                                      {dispatch.ConnectionReset},
+		"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\n":                             {dispatch.ConnectionReset},
 		"HTTP/1.1 202 Accepted\r\n\r\nuntil the cl":                          nil,
-		"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\n\r\nuntil the cl":             {logic.Full},
+		"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\n\r\nuntil the cl":             {dispatch.WorkerFull},
 	} {
 		w := newAttempts(t)
 		q := w.send(0)
@@ -691,7 +691,7 @@
 			p := w.dialed[0]
 			p.read(1 << 12)
 			p.write([]byte(x.head))
-			k := w.loop.servers.carried[w.loop.Ledger.Attempt(q.ID, 0)]
+			k := w.loop.servers.carried[w.loop.Ledger.InFlightAttempt(q.ID, 0)]
 			piece, most := strings.Repeat(x.again, 4096/len(x.again)), 0
 			for n := 0; n < 4*mostAnswer && !p.ended; n += len(piece) {
 				p.write([]byte(piece))
@@ -702,25 +702,25 @@
 			if !p.ended || most > mostAnswer+64<<10 {
 				t.Fatalf("ended %v, %d bytes were kept", p.ended, most)
 			}
-			w.expect("spoilt", q, logic.Reset)
+			w.expect("spoilt", q, dispatch.ConnectionReset)
 			next := w.send(0)
 			last := w.dialed[len(w.dialed)-1]
 			last.read(1 << 12)
 			last.write([]byte("HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"))
 			w.turn()
-			w.expect("the next", next, logic.Full)
+			w.expect("the next", next, dispatch.WorkerFull)
 		})
 	}
 }
 
 // An answer that comes before our last byte is written ends the link, so the worker node never has it whole and can't run it.
 func TestAnswerBeforeTheLastByte(t *testing.T) {
-	for text, want := range map[string]logic.Result{
-		accepted: logic.NoConnect,
-		"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n":                 logic.NoConnect,
-		"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n": logic.Full,
-		"HTTP/1.1 413 Too large\r\nContent-Length: 0\r\n\r\n":             logic.NotSent,
-		"garbage\r\n\r\n": logic.NoConnect,
+	for text, want := range map[string]dispatch.Result{
+		accepted: dispatch.ConnectFailed,
+		"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n":                 dispatch.ConnectFailed,
+		"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n": dispatch.WorkerFull,
+		"HTTP/1.1 413 Too large\r\nContent-Length: 0\r\n\r\n":             dispatch.NotSent,
+		"garbage\r\n\r\n": dispatch.ConnectFailed,
 	} {
 		w := newAttempts(t)
 		q := w.send(maxBody)
--- a/internal/link/channel.go
+++ b/internal/link/channel.go
@@ -10,31 +10,31 @@
 
 	"golang.org/x/sys/unix"
 
-	"valvecove/internal/succession"
+	"valvecove/internal/hotrestart"
 )
 
-// socketFile is where an elder can be reached by its heir, in the directory of what outlives a process.
-const socketFile = "successor.sock"
+// successorSocketFile is where an elder can be reached by its heir, in the directory of what outlives a process.
+const successorSocketFile = "successor.sock"
 
-// meetingPoints are where an elder can be reached, the better first: in the directory, and by a name that needs none, which
+// successorAddresses are where an elder can be reached, the better first: in the directory, and by a name that needs none, which
 // lives as long as its socket and is seen by all processes of the machine; whose they are is asked in either case.
-func meetingPoints(dir string, listen netip.AddrPort) []string {
+func successorAddresses(dir string, listen netip.AddrPort) []string {
 	name := "@valvecove/" + listen.String()
 	if dir == "" {
 		return []string{name}
 	}
-	return []string{filepath.Join(dir, socketFile), name}
+	return []string{filepath.Join(dir, successorSocketFile), name}
 }
 
-// channel is one end of the Unix socket between an elder and its heir: a stream whose frames may carry descriptors.
-type channel struct {
+// frameChannel is one end of the Unix socket between an elder and its heir: a stream whose frames may carry descriptors.
+type frameChannel struct {
 	stream
-	fds []int // that have come, and belong to frames that are not taken yet
+	descriptors []int // that have come, and belong to frames that are not taken yet
 }
 
-// unixName is an address for a path; longer ones than an address holds go by the directory's descriptor, which must stay
+// unixSockaddr is an address for a path; longer ones than an address holds go by the directory's descriptor, which must stay
 // open until it has been used.
-func unixName(path string) (sa *unix.SockaddrUnix, done func(), err error) {
+func unixSockaddr(path string) (sa *unix.SockaddrUnix, done func(), err error) {
 	if len(path) < 100 {
 		return &unix.SockaddrUnix{Name: path}, func() {}, nil
 	}
@@ -46,8 +46,8 @@
 		func() { _ = unix.Close(dir) }, nil
 }
 
-func unixSocket(path string, act func(fd int, sa unix.Sockaddr) error) (int, error) {
-	sa, done, err := unixName(path)
+func openUnixSocket(path string, act func(fd int, sa unix.Sockaddr) error) (int, error) {
+	sa, done, err := unixSockaddr(path)
 	if err != nil {
 		return -1, err
 	}
@@ -63,23 +63,23 @@
 	return fd, nil
 }
 
-// reach connects to an elder; an error means that there is none.
-func reach(points []string) (fd int, err error) {
+// dialPredecessor connects to an elder; an error means that there is none.
+func dialPredecessor(points []string) (fd int, err error) {
 	for _, at := range points {
-		if fd, err = unixSocket(at, unix.Connect); err == nil {
+		if fd, err = openUnixSocket(at, unix.Connect); err == nil {
 			return fd, nil
 		}
 	}
 	return -1, err
 }
 
-// await listens for an heir at the first point that serves. What an earlier process has left at a path makes room.
-func await(points []string) (fd int, err error) {
+// listenForSuccessor listens for an heir at the first point that serves. What an earlier process has left at a path makes room.
+func listenForSuccessor(points []string) (fd int, err error) {
 	for _, at := range points {
 		if at[0] != '@' {
 			_ = os.Remove(at) // if it can't be, that shows below
 		}
-		fd, err = unixSocket(at, func(fd int, sa unix.Sockaddr) error {
+		fd, err = openUnixSocket(at, func(fd int, sa unix.Sockaddr) error {
 			if err := unix.Bind(fd, sa); err != nil {
 				return err
 			}
@@ -92,14 +92,14 @@
 	return -1, err
 }
 
-// ours tells whether the peer is a process of our own user.
-func ours(fd int) bool {
+// isPeerOwnUser tells whether the peer is a process of our own user.
+func isPeerOwnUser(fd int) bool {
 	cred, err := unix.GetsockoptUcred(fd, unix.SOL_SOCKET, unix.SO_PEERCRED)
 	return err == nil && int(cred.Uid) == os.Geteuid()
 }
 
-// fill reads what has come, with the descriptors.
-func (c *channel) fill() (ended bool, err error) {
+// receive reads what has come, with the descriptors.
+func (c *frameChannel) receive() (ended bool, err error) {
 	var control [256]byte
 	for {
 		n, on, flags, _, err := unix.Recvmsg(c.fd, c.loop.scratch, control[:], unix.MSG_CMSG_CLOEXEC|unix.MSG_DONTWAIT)
@@ -118,7 +118,7 @@
 			}
 			for i := range messages {
 				if fds, err := unix.ParseUnixRights(&messages[i]); err == nil {
-					c.fds = append(c.fds, fds...)
+					c.descriptors = append(c.descriptors, fds...)
 				}
 			}
 		}
@@ -133,41 +133,41 @@
 	}
 }
 
-// drop closes the channel, and the descriptors that nobody has taken.
-func (c *channel) drop() {
-	for _, fd := range c.fds {
+// closeWithDescriptors closes the channel, and the descriptors that nobody has taken.
+func (c *frameChannel) closeWithDescriptors() {
+	for _, fd := range c.descriptors {
 		_ = unix.Close(fd)
 	}
-	c.fds = nil
+	c.descriptors = nil
 	c.close()
 }
 
-// next is the next whole frame that has come, with its descriptor, or -1.
-func (c *channel) next() (f succession.Frame, fd, n int, err error) {
-	f, n, err = succession.Read(c.in)
-	if err != nil || f.FDs == 0 {
+// nextFrame is the next whole frame that has come, with its descriptor, or -1.
+func (c *frameChannel) nextFrame() (f hotrestart.Frame, fd, n int, err error) {
+	f, n, err = hotrestart.ReadFrame(c.in)
+	if err != nil || f.DescriptorCount == 0 {
 		return f, -1, n, err
 	}
-	if len(c.fds) == 0 {
+	if len(c.descriptors) == 0 {
 		return f, -1, 0, fmt.Errorf("%v without its descriptor", f.Kind)
 	}
-	fd, c.fds = c.fds[0], c.fds[1:]
+	fd, c.descriptors = c.descriptors[0], c.descriptors[1:]
 	return f, fd, n, nil
 }
 
-// say sends a frame that carries no descriptor.
-func (c *channel) say(kind succession.Kind, body any) error {
-	b, err := succession.Append(nil, kind, body)
+// sendFrame sends a frame that carries no descriptor.
+func (c *frameChannel) sendFrame(kind hotrestart.FrameKind, body any) error {
+	b, err := hotrestart.AppendFrame(nil, kind, body)
 	if err != nil {
 		return err
 	}
 	return c.send(b)
 }
 
-// press sends a frame until a moment of the loop's clock, waiting for the peer to take it in; fd -1 is none. Only a process
+// sendFrameBefore sends a frame until a moment of the loop's clock, waiting for the peer to take it in; fd -1 is none. Only a process
 // that does nothing else meanwhile does so.
-func (c *channel) press(until time.Duration, fd int, kind succession.Kind, body any) error {
-	b, err := succession.Append(nil, kind, body)
+func (c *frameChannel) sendFrameBefore(until time.Duration, fd int, kind hotrestart.FrameKind, body any) error {
+	b, err := hotrestart.AppendFrame(nil, kind, body)
 	if err != nil {
 		return err
 	}
@@ -191,7 +191,7 @@
 				return errors.New("the peer does not take in")
 			}
 		case errors.Is(err, unix.EAGAIN):
-			if err := c.wait(until, unix.POLLOUT); err != nil {
+			if err := c.waitUntilReady(until, unix.POLLOUT); err != nil {
 				return err
 			}
 		case err != nil:
@@ -203,8 +203,8 @@
 	return nil
 }
 
-// wait waits until the channel is ready, or the moment has come.
-func (c *channel) wait(until time.Duration, events int16) error {
+// waitUntilReady waits until the channel is ready, or the moment has come.
+func (c *frameChannel) waitUntilReady(until time.Duration, events int16) error {
 	for {
 		left := until - c.loop.clock()
 		if left <= 0 {
--- a/internal/link/clients.go
+++ b/internal/link/clients.go
@@ -14,8 +14,8 @@
 	jsoniter "github.com/json-iterator/go"
 	"golang.org/x/sys/unix"
 
-	"valvecove/internal/ledger"
-	"valvecove/logic"
+	"valvecove/dispatch"
+	"valvecove/internal/requests"
 )
 
 // Paths that are no query's.
@@ -56,12 +56,12 @@
 	again                        *timer
 	draining                     bool
 	closing                      bool // takes no query any more
-	set                          *logic.Settings
+	set                          *dispatch.Settings
 	classes                      map[string]int
 	tenants                      map[string]int
 }
 
-func (l *Loop) accept(most, budget int, set *logic.Settings, names ledger.Names) {
+func (l *Loop) accept(most, budget int, set *dispatch.Settings, names requests.NameTable) {
 	l.clients = &clientLinks{loop: l, fd: -1, links: map[*clientLink]struct{}{}, set: set,
 		classes: index(names.Classes), tenants: index(names.Tenants)}
 	l.clients.limit(most, budget)
@@ -303,9 +303,9 @@
 // turn is one request's place in the order of answers. It is the Asker of a query.
 type turn struct {
 	link   *clientLink
-	query  *ledger.Query // while it is served
-	asked  uint64        // its number, between two processes
-	keep   bool          // the request lets the link live on
+	query  *requests.Request // while it is served
+	asked  uint64            // its number, between two processes
+	keep   bool              // the request lets the link live on
 	done   bool
 	status int
 	body   []byte
@@ -382,10 +382,10 @@
 	for _, t := range k.turns {
 		if q := t.query; q != nil {
 			if k.tells(slog.LevelInfo) {
-				k.tell(slog.LevelInfo, "query left by its client", slog.String("query", q.Call))
+				k.tell(slog.LevelInfo, "query left by its client", slog.String("query", q.CallID))
 			}
 			t.query = nil
-			k.loop.Ledger.Gone(q)
+			k.loop.Ledger.ClientDisconnected(q)
 		}
 	}
 	k.turns = nil
@@ -555,15 +555,15 @@
 }
 
 // turnAway answers a request that is no query, or may not be one.
-func (k *clientLink) turnAway(t *turn, in *ledger.Arrival, status int, what string) {
-	k.loop.Ledger.Refuse(in, status)
+func (k *clientLink) turnAway(t *turn, in *requests.Arrival, status int, what string) {
+	k.loop.Ledger.ReportRejection(in, status)
 	t.reply(status, what+"\n")
 }
 
 // refuse answers what can't be read any further; the link ends with that.
 func (k *clientLink) refuse(status int, what string) {
 	k.busy()
-	k.loop.Ledger.Refuse(nil, status)
+	k.loop.Ledger.ReportRejection(nil, status)
 	k.add(false).reply(status, what)
 }
 
@@ -648,7 +648,7 @@
 func (t *turn) settle(status int, body []byte, retry time.Duration) {
 	k := t.link
 	if t.query != nil && k.tells(slog.LevelInfo) {
-		k.tell(slog.LevelInfo, "query answered", slog.String("query", t.query.Call), slog.Int("status", status))
+		k.tell(slog.LevelInfo, "query answered", slog.String("query", t.query.CallID), slog.Int("status", status))
 	}
 	if t.query = nil; t.done || k.closed {
 		return
@@ -694,7 +694,7 @@
 		switch {
 		case string(m.Method) != "GET":
 			t.reply(405, "GET only\n")
-		case k.home.draining || !k.loop.Ledger.CanServe():
+		case k.home.draining || !k.loop.Ledger.HasReadyWorker():
 			t.reply(503, "not ready\n")
 		default:
 			t.reply(200, "ready\n")
@@ -720,11 +720,11 @@
 
 // tellNote hands a note on.
 func (k *clientLink) tellNote(body []byte) error {
-	var n ledger.Note
+	var n requests.Callback
 	if err := jsoniter.ConfigDefault.Unmarshal(body, &n); err != nil {
 		return err
 	}
-	known, err := k.loop.Ledger.Tell(n)
+	known, err := k.loop.Ledger.HandleCallback(n)
 	k.useful, k.tellsNotes = k.useful || known, k.tellsNotes || known
 	return err
 }
@@ -753,19 +753,19 @@
 		// It was sent nowhere, so another try is harmless; after a flood has passed, or elsewhere if this one stops.
 		switch c := k.home; {
 		case c.closing:
-			k.loop.Ledger.Refuse(&in, 503)
-			t.Throttle(0)
+			k.loop.Ledger.ReportRejection(&in, 503)
+			t.RespondRejected(0)
 			return
-		case k.loop.Ledger.Open() >= c.queries || k.loop.Ledger.Bytes()+len(m.Body) > c.budget:
-			k.loop.Ledger.Refuse(&in, 503)
-			t.Throttle(min(fullFor, c.set.MaxRetryAfter))
+		case k.loop.Ledger.OpenCount() >= c.queries || k.loop.Ledger.PayloadBytes()+len(m.Body) > c.budget:
+			k.loop.Ledger.ReportRejection(&in, 503)
+			t.RespondRejected(min(fullFor, c.set.MaxRetryAfter))
 			return
 		}
 		if waited := k.loop.now - k.came; waited > 0 { // its client counts from when it sent it
-			in.Job.Left = max(in.Job.Left-waited, time.Millisecond)
+			in.Job.Remaining = max(in.Job.Remaining-waited, time.Millisecond)
 		}
-		in.Asker = t
-		q, err := k.loop.Ledger.Take(k.loop.now, in)
+		in.Responder = t
+		q, err := k.loop.Ledger.Admit(k.loop.now, in)
 		if err != nil {
 			k.turnAway(t, &in, 409, "X-Call-Id: "+err.Error())
 			return
@@ -783,7 +783,7 @@
 	"X-Call-Info", "X-Again", "Host"}
 
 // read makes a query of a request. fault names what is wrong with it.
-func (c *clientLinks) read(m *Message, class int, rest []byte) (in ledger.Arrival, fault string) {
+func (c *clientLinks) read(m *Message, class int, rest []byte) (in requests.Arrival, fault string) {
 	for _, name := range once {
 		if m.Count(name) > 1 {
 			return in, name + ": given more than once"
@@ -793,14 +793,14 @@
 	if !isToken(id) || len(id) > maxID {
 		return in, "X-Call-Id: missing or malformed"
 	}
-	if len(idem) > maxKey || !isVisible(idem) || idem == nil && c.set.Classes[class].Effect == logic.Keyed {
+	if len(idem) > maxKey || !isVisible(idem) || idem == nil && c.set.Classes[class].Idempotency == dispatch.IdempotentWithKey {
 		return in, "Idempotency-Key: missing or malformed" // without one, repeats would not be dropped
 	}
 	tenant, known := c.tenants[string(m.Get("X-Caller"))]
 	if !known && len(c.tenants) > 0 {
 		return in, "X-Caller: not a tenant"
 	}
-	left := c.set.Classes[class].GiveUp
+	left := c.set.Classes[class].ClientTimeout
 	if text := m.Get("X-Budget-Ms"); text != nil {
 		n, ok := decimal(text)
 		if !ok {
@@ -808,9 +808,9 @@
 		}
 		left = time.Duration(n) * time.Millisecond
 	}
-	in = ledger.Arrival{Call: string(id), Job: logic.Job{Class: class, Tenant: tenant, Left: left, Slots: 1,
+	in = requests.Arrival{CallID: string(id), Job: dispatch.Job{Class: class, Tenant: tenant, Remaining: left, Slots: 1,
 		Hint: time.Duration(figure(m.Get("X-Call-Cost")) * float64(time.Microsecond)), Retry: string(m.Get("X-Again")) == "1"},
-		Parcel: ledger.Parcel{Verb: string(m.Method), Path: string(m.Target), Key: string(idem),
+		Payload: requests.Payload{Method: string(m.Method), Path: string(m.Target), IdempotencyKey: string(idem),
 			Body: bytes.Clone(m.Body)}}
 	if at := bytes.LastIndexByte(rest, '/'); len(rest) > 0 {
 		h := fnv.New64a()
@@ -842,11 +842,11 @@
 
 // ---- The three final answers ----
 
-// Serve hands on what a worker node made.
-func (t *turn) Serve(result []byte) { t.settle(200, result, 0) }
+// RespondResult hands on what a worker node made.
+func (t *turn) RespondResult(result []byte) { t.settle(200, result, 0) }
 
-// Throttle refuses; the client may come back.
-func (t *turn) Throttle(after time.Duration) { t.settle(503, nil, after) }
+// RespondRejected refuses; the client may come back.
+func (t *turn) RespondRejected(after time.Duration) { t.settle(503, nil, after) }
 
-// Fail promises nothing.
-func (t *turn) Fail() { t.settle(500, nil, 0) }
+// RespondFailed promises nothing.
+func (t *turn) RespondFailed() { t.settle(500, nil, 0) }
--- a/internal/link/clients_test.go
+++ b/internal/link/clients_test.go
@@ -10,8 +10,8 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/dispatch"
 	"valvecove/internal/steps"
-	"valvecove/logic"
 )
 
 // asks are the requests of a client, and the status that each gets; 0: it is a query, and waits.
@@ -71,13 +71,13 @@
 		case what < 10 && len(due) > 0:
 			// The module answers any open query, whichever came first.
 			if d := &due[s.Pick(len(due))]; d.status == 0 && s.Pick(2) == 0 {
-				w.module.Next = append(w.module.Next, logic.Refuse{Job: d.query, After: time.Second})
+				w.module.Next = append(w.module.Next, dispatch.Reject{Job: d.query, RetryAfter: time.Second})
 				d.status = 503
 			} else if d.status == 0 {
-				w.module.Next = append(w.module.Next, logic.Fail{Job: d.query})
+				w.module.Next = append(w.module.Next, dispatch.Fail{Job: d.query})
 				d.status = 500
 			}
-			w.loop.Ledger.HostsLost() // something to step for
+			w.loop.Ledger.DiscoveryFailed() // something to step for
 			s.Did("answer")
 		case what == 10 && unsent == "" && !last && s.Pick(4) == 0:
 			_ = unix.Shutdown(p.fd, unix.SHUT_WR) // it still listens, so it is still owed its answers
@@ -91,7 +91,7 @@
 		before := len(w.module.Heard)
 		w.turn()
 		for _, e := range w.module.Heard[before:] {
-			if j, ok := e.(logic.Job); ok {
+			if j, ok := e.(dispatch.Job); ok {
 				s.Check(len(due) > 0 && due[len(due)-1] == owed{}, "query %d came of nothing", j.ID)
 				due[len(due)-1].query = j.ID
 			}
@@ -101,7 +101,7 @@
 	}
 	gone, open := 0, 0
 	for _, e := range w.module.Heard {
-		if _, ok := e.(logic.ClientGone); ok {
+		if _, ok := e.(dispatch.ClientDisconnected); ok {
 			gone++
 		}
 	}
@@ -234,7 +234,7 @@
 	usual, fd := w.pair()
 	c.adopt(fd, netip.AddrPort{})
 	usual.write([]byte(numbered(asks[0].text, 1)))
-	if w.turn(); w.loop.Ledger.Open() != 1 {
+	if w.turn(); w.loop.Ledger.OpenCount() != 1 {
 		t.Error("a usual query is not taken")
 	}
 	sum := 0
@@ -264,7 +264,7 @@
 	if bad.read(1); !bad.ended || !strings.HasPrefix(string(good.got), "HTTP/1.1 200 ") {
 		t.Errorf("after a panic: its link ended %v, another got %q", bad.ended, good.got)
 	}
-	if last := w.module.Heard[len(w.module.Heard)-1]; last != (logic.ClientGone{Job: 1}) {
+	if last := w.module.Heard[len(w.module.Heard)-1]; last != (dispatch.ClientDisconnected{Job: 1}) {
 		t.Errorf("after a panic the module heard %v last", last)
 	}
 }
@@ -281,8 +281,8 @@
 		w.turn()
 		peers = append(peers, p)
 	}
-	w.module.Next = append(w.module.Next, logic.Fail{Job: 1}, logic.Fail{Job: 2})
-	w.loop.Ledger.HostsLost()
+	w.module.Next = append(w.module.Next, dispatch.Fail{Job: 1}, dispatch.Fail{Job: 2})
+	w.loop.Ledger.DiscoveryFailed()
 	w.turn()
 	for n := range peers {
 		if n == 1 { // a link that has just begun may be a usual client's
@@ -351,8 +351,8 @@
 	w.turn()
 	resting.write([]byte(numbered(asks[0].text, 2)))
 	w.turn()
-	w.module.Next = append(w.module.Next, logic.Refuse{Job: 2, After: time.Second})
-	w.loop.Ledger.HostsLost()
+	w.module.Next = append(w.module.Next, dispatch.Reject{Job: 2, RetryAfter: time.Second})
+	w.loop.Ledger.DiscoveryFailed()
 	w.turn()
 	answered(resting, 503, false)
 	answered(connect(numbered(asks[6].text, 1)), 503, false)
--- a/internal/link/closing_test.go
+++ b/internal/link/closing_test.go
@@ -10,9 +10,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"valvecove/internal/ledger"
+	"valvecove/dispatch"
+	"valvecove/internal/requests"
 	"valvecove/internal/steps"
-	"valvecove/logic"
 )
 
 // connectsSlowly gives a client that takes that is not connected yet take in little at a time, so that answers wait in the loop's kernel.
@@ -56,11 +56,11 @@
 
 // serves answers query 1 with so many bytes.
 func (w *world) serves(t *testing.T, id string, size int) {
-	w.module.Next = append(w.module.Next, logic.Send{Job: 1, Worker: w.worker()})
+	w.module.Next = append(w.module.Next, dispatch.Send{Job: 1, Worker: w.worker()})
 	w.loop.Ledger.Wake()
 	w.turn()
 	result := strings.Repeat("r", size)
-	if known, err := w.loop.Ledger.Tell(ledger.Note{ID: id, From: "s-0", State: "done", Result: &result}); !known || err != nil {
+	if known, err := w.loop.Ledger.HandleCallback(requests.Callback{CallID: id, EndpointID: "s-0", State: "done", Result: &result}); !known || err != nil {
 		t.Fatalf("the note is known %v, %v", known, err)
 	}
 }
@@ -114,7 +114,7 @@
 				t.Errorf("of the answer %d bytes came (%v)", len(p.got), err)
 			}
 			for _, e := range w.module.Heard {
-				if j, ok := e.(logic.Job); ok && j.ID > 1 {
+				if j, ok := e.(dispatch.Job); ok && j.ID > 1 {
 					t.Error("a request that crossed the close was taken")
 				}
 			}
@@ -155,8 +155,8 @@
 			if got := before.answers(t); len(got) != 1 || got[0] != 200 {
 				t.Errorf("answered %v", got)
 			}
-			if err := w.readsToTheEnd(after); err != nil || len(after.got) > 0 || w.loop.Ledger.Open() != 0 {
-				t.Errorf("got %q, %v, %d queries taken", after.got, err, w.loop.Ledger.Open())
+			if err := w.readsToTheEnd(after); err != nil || len(after.got) > 0 || w.loop.Ledger.OpenCount() != 0 {
+				t.Errorf("got %q, %v, %d queries taken", after.got, err, w.loop.Ledger.OpenCount())
 			}
 		})
 	}
@@ -177,7 +177,7 @@
 	w.loop.Close()
 	w.turn()
 	for n := range mostTurns {
-		w.module.Next = append(w.module.Next, logic.Fail{Job: uint64(n + 1)})
+		w.module.Next = append(w.module.Next, dispatch.Fail{Job: uint64(n + 1)})
 	}
 	w.loop.Ledger.Wake()
 	w.settles()
@@ -206,7 +206,7 @@
 	query := w.connects()
 	query.write([]byte(sized(1, 0)))
 	w.turn()
-	w.module.Next = append(w.module.Next, logic.Send{Job: 1, Worker: w.worker()})
+	w.module.Next = append(w.module.Next, dispatch.Send{Job: 1, Worker: w.worker()})
 	w.loop.Ledger.Wake()
 	w.turn()
 	full := false
--- a/internal/link/drain_test.go
+++ b/internal/link/drain_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/steps"
-	"valvecove/logic"
 )
 
 // noted is a worker node's note, as it comes in.
@@ -17,7 +17,7 @@
 
 // sends has the module send a query to the one host.
 func (w *world) sends(job uint64) {
-	w.module.Next = append(w.module.Next, logic.Send{Job: job, Worker: w.worker()})
+	w.module.Next = append(w.module.Next, dispatch.Send{Job: job, Worker: w.worker()})
 	w.loop.Ledger.Wake()
 	w.turn()
 }
--- a/internal/link/golden_test.go
+++ b/internal/link/golden_test.go
@@ -14,8 +14,8 @@
 
 // The file of the worker nodes that are out by hand is written as the build of form 1 wrote it.
 func TestGoldenBansAreWritten(t *testing.T) {
-	path := filepath.Join(t.TempDir(), bansFile)
-	if err := writeBans(path, goldenBans); err != nil {
+	path := filepath.Join(t.TempDir(), cordonFileName)
+	if err := writeCordonFile(path, goldenBans); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(path)
@@ -31,9 +31,9 @@
 	if err := os.WriteFile(filepath.Join(dir, "worker-nodes-out.json"), storedform.Golden(t, "worker-nodes-out.json"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := readBans(dir); err != nil || !slices.Equal(got, goldenBans) {
+	if got, err := readCordonFile(dir); err != nil || !slices.Equal(got, goldenBans) {
 		t.Errorf("%q, %v, expected %q", got, err, goldenBans)
 	}
 }
 
-func TestKeptFilesAreTagged(t *testing.T) { storedform.CheckTags(t, keptBans{}) }
+func TestKeptFilesAreTagged(t *testing.T) { storedform.CheckTags(t, cordonFile{}) }
--- a/internal/link/heir.go
+++ b/internal/link/heir.go
@@ -9,69 +9,69 @@
 
 	"golang.org/x/sys/unix"
 
-	"valvecove/internal/ledger"
-	"valvecove/internal/succession"
-	"valvecove/logic"
+	"valvecove/dispatch"
+	"valvecove/internal/hotrestart"
+	"valvecove/internal/requests"
 )
 
 const (
-	welcomeWithin = 3 * time.Second // an elder that does not say so much serves nobody either
-	listWithin    = 2 * time.Second // a list of our own is waited for before we say that we are ready
+	handshakeTimeout    = 3 * time.Second // an elder that does not say so much serves nobody either
+	endpointListTimeout = 2 * time.Second // a list of our own is waited for before we say that we are ready
 )
 
-// heir is the side of a process that is to replace another one: it stands by, and then takes over.
-type heir struct {
-	channel
-	decides succession.Heir
-	dir     string
-	listen  netip.AddrPort
-	fd      int // the socket that clients connect to, from the elder; -1: not yet
-	seq     uint64
-	asked   []handedOn // operators' calls that the elder was asked to carry out, in order
-	came    estate
-	late    *timer
-	began   time.Duration
+// successorRole is the side of a process that is to replace another one: it stands by, and then takes over.
+type successorRole struct {
+	frameChannel
+	protocol       hotrestart.Successor
+	stateDir       string
+	listenAddress  netip.AddrPort
+	listenerFD     int // the socket that clients connect to, from the elder; -1: not yet
+	lastSequence   uint64
+	pendingCalls   []forwardedCall // operators' calls that the elder was asked to carry out, in order
+	received       receivedState
+	handshakeTimer *timer
+	startedAt      time.Duration
 }
 
-// handedOn is an operator's call that another process was asked to carry out.
-type handedOn struct {
-	seq  uint64
-	id   string
-	out  bool
-	done func(code int, what string)
+// forwardedCall is an operator's call that another process was asked to carry out.
+type forwardedCall struct {
+	sequence uint64
+	workerID string
+	cordoned bool
+	respond  func(code int, what string)
 }
 
-// estate is what has come from an elder so far.
-type estate struct {
-	module  []byte
-	book    ledger.Estate
-	queries []ledger.OpenQuery
-	clients []succession.ClientLink
-	servers []succession.ServerLink
-	sockets []int // of the client links, then of the server links
+// receivedState is what has come from an elder so far.
+type receivedState struct {
+	policySnapshot    []byte
+	state             requests.State
+	requests          []requests.OpenRequest
+	clientConnections []hotrestart.ClientConnection
+	workerConnections []hotrestart.WorkerConnection
+	descriptors       []int // of the client links, then of the server links
 }
 
-// succeed tells whether there is a process to take over from; this one stands by then.
-func (l *Loop) succeed(dir string, listen netip.AddrPort) bool {
-	h := &heir{dir: dir, listen: listen, fd: -1, began: l.now}
+// joinPredecessor tells whether there is a process to take over from; this one stands by then.
+func (l *Loop) joinPredecessor(dir string, listen netip.AddrPort) bool {
+	h := &successorRole{stateDir: dir, listenAddress: listen, listenerFD: -1, startedAt: l.now}
 	h.loop = l
-	if h.join() != nil {
+	if h.connect() != nil {
 		return false
 	}
-	l.heir = h
+	l.successorRole = h
 	l.divide(true)
-	l.Ledger.Follow() // at once: the first call of one of many may wait a while, and what it is told binds soon
+	l.Ledger.WatchEndpoints() // at once: the first call of one of many may wait a while, and what it is told binds soon
 	return true
 }
 
-// join opens the talk with the elder.
-func (h *heir) join() error {
+// connect opens the talk with the elder.
+func (h *successorRole) connect() error {
 	l := h.loop
-	fd, err := reach(meetingPoints(h.dir, h.listen))
+	fd, err := dialPredecessor(successorAddresses(h.stateDir, h.listenAddress))
 	if err != nil {
 		return err
 	}
-	if !ours(fd) {
+	if !isPeerOwnUser(fd) {
 		_ = unix.Close(fd)
 		l.log.Warn("another user's process has the place of the one to be replaced, and is left alone")
 		return unix.EPERM
@@ -81,58 +81,58 @@
 		_ = unix.Close(fd)
 		return err
 	}
-	if err := h.say(succession.KindHello, succession.Hello{Form: succession.Form}); err != nil {
-		h.drop()
+	if err := h.sendFrame(hotrestart.KindHandshake, hotrestart.Handshake{Version: hotrestart.ProtocolVersion}); err != nil {
+		h.closeWithDescriptors()
 		return err
 	}
-	h.late = l.after(welcomeWithin, h, func() { h.end(errors.New("it does not say a word")) })
+	h.handshakeTimer = l.after(handshakeTimeout, h, func() { h.handleDisconnect(errors.New("it does not say a word")) })
 	return nil
 }
 
-// unready tells what an heir still waits for.
-func (h *heir) unready() string {
+// notReadyReason tells what an heir still waits for.
+func (h *successorRole) notReadyReason() string {
 	switch {
-	case h.decides.Stand() == succession.Joining:
+	case h.protocol.State() == hotrestart.SuccessorJoining:
 		return "the process to be replaced has not answered"
-	case h.decides.Stand() == succession.Standing && !h.loop.watch.spoke && h.loop.now-h.began < listWithin:
+	case h.protocol.State() == hotrestart.SuccessorStandby && !h.loop.watch.receivedEvent && h.loop.now-h.startedAt < endpointListTimeout:
 		return "no word from discovery yet"
 	}
 	return ""
 }
 
-func (h *heir) broken() { h.end(errors.New("panic")) }
+func (h *successorRole) broken() { h.handleDisconnect(errors.New("panic")) }
 
-func (h *heir) ready(events uint32) {
+func (h *successorRole) ready(events uint32) {
 	if events&unix.EPOLLOUT != 0 {
 		if err := h.flush(); err != nil {
-			h.end(err)
+			h.handleDisconnect(err)
 			return
 		}
 	}
 	// What it brings at a hand-over nobody is served meanwhile: it is taken in at once.
 	for !h.closed {
 		before := len(h.in)
-		ended, err := h.channel.fill()
+		ended, err := h.frameChannel.receive()
 		read := len(h.in) > before
 		at := 0
 		for err == nil {
-			var f succession.Frame
+			var f hotrestart.Frame
 			var fd, n int
-			f, fd, n, err = h.peek(at)
-			if errors.Is(err, succession.ErrShort) {
+			f, fd, n, err = h.nextFrameAt(at)
+			if errors.Is(err, hotrestart.ErrIncomplete) {
 				err = nil
 				break
 			}
 			if err == nil {
 				at += n
-				err = h.take(f, fd)
+				err = h.handleFrame(f, fd)
 			}
 		}
 		if h.closed {
 			return
 		}
 		if h.took(at); err != nil || ended {
-			h.end(err)
+			h.handleDisconnect(err)
 			return
 		}
 		if !read {
@@ -141,237 +141,237 @@
 	}
 }
 
-// peek is next, further on in what has come.
-func (h *heir) peek(at int) (succession.Frame, int, int, error) {
+// nextFrameAt is next, further on in what has come.
+func (h *successorRole) nextFrameAt(at int) (hotrestart.Frame, int, int, error) {
 	whole := h.in
 	h.in = whole[at:]
-	f, fd, n, err := h.next()
+	f, fd, n, err := h.nextFrame()
 	h.in = whole
 	return f, fd, n, err
 }
 
-// take takes in what the elder says.
-func (h *heir) take(f succession.Frame, fd int) (err error) {
+// handleFrame takes in what the elder says.
+func (h *successorRole) handleFrame(f hotrestart.Frame, fd int) (err error) {
 	defer func() {
 		if err != nil && fd >= 0 {
 			_ = unix.Close(fd)
 		}
 	}()
-	step, err := h.decides.Frame(f)
+	step, err := h.protocol.HandleFrame(f)
 	if err != nil {
 		return err
 	}
 	switch step {
-	case succession.GiveUp:
-		var d succession.Denied
+	case hotrestart.ActionGiveUp:
+		var d hotrestart.Reject
 		_ = f.Decode(&d)
-		h.loop.onFail(fmt.Errorf("the process that serves turns this one away: %s", d.Why))
+		h.loop.onFail(fmt.Errorf("the process that serves turns this one away: %s", d.Reason))
 		return nil
-	case succession.Take:
-		return h.own()
+	case hotrestart.ActionTakeOver:
+		return h.takeOver()
 	}
 	switch f.Kind {
-	case succession.KindWelcome:
-		var w succession.Welcome
+	case hotrestart.KindAccept:
+		var w hotrestart.Accept
 		if err := f.Decode(&w); err != nil {
 			return err
 		}
-		h.loop.stop(h.late)
-		h.forget() // of a talk before
-		h.fd = fd
-		h.loop.Ledger.SetBans(w.Out)
-		for _, call := range h.asked {
-			if err := h.say(succession.KindBan, succession.Ban{Seq: call.seq, ID: call.id, Out: call.out}); err != nil {
+		h.loop.stop(h.handshakeTimer)
+		h.discardReceived() // of a talk before
+		h.listenerFD = fd
+		h.loop.Ledger.SetCordoned(w.CordonedWorkers)
+		for _, call := range h.pendingCalls {
+			if err := h.sendFrame(hotrestart.KindSetCordon, hotrestart.SetCordon{Sequence: call.sequence, WorkerID: call.workerID, Cordoned: call.cordoned}); err != nil {
 				return err
 			}
 		}
-		h.loop.log.Info("standing by", "out", strings.Join(w.Out, " "))
-	case succession.KindBans:
-		var b succession.Bans
+		h.loop.log.Info("standing by", "out", strings.Join(w.CordonedWorkers, " "))
+	case hotrestart.KindCordonedWorkers:
+		var b hotrestart.CordonedWorkers
 		if err := f.Decode(&b); err != nil {
 			return err
 		}
-		h.loop.Ledger.SetBans(b.Out)
-	case succession.KindBanned:
-		var b succession.Banned
+		h.loop.Ledger.SetCordoned(b.WorkerIDs)
+	case hotrestart.KindCordonResult:
+		var b hotrestart.CordonResult
 		if err := f.Decode(&b); err != nil {
 			return err
 		}
-		if len(h.asked) > 0 && h.asked[0].seq == b.Seq { // they are answered in order
-			call := h.asked[0]
-			h.asked = h.asked[1:]
-			call.done(b.Code, b.What)
+		if len(h.pendingCalls) > 0 && h.pendingCalls[0].sequence == b.Sequence { // they are answered in order
+			call := h.pendingCalls[0]
+			h.pendingCalls = h.pendingCalls[1:]
+			call.respond(b.StatusCode, b.Message)
 		}
-	case succession.KindBan: // the elder was called after it had handed over
-		var b succession.Ban
+	case hotrestart.KindSetCordon: // the elder was called after it had handed over
+		var b hotrestart.SetCordon
 		if err := f.Decode(&b); err != nil {
 			return err
 		}
-		h.loop.ban(b.ID, b.Out, func(code int, what string) {
+		h.loop.ban(b.WorkerID, b.Cordoned, func(code int, what string) {
 			if !h.closed {
-				_ = h.say(succession.KindBanned, succession.Banned{Seq: b.Seq, Code: code, What: what})
+				_ = h.sendFrame(hotrestart.KindCordonResult, hotrestart.CordonResult{Sequence: b.Sequence, StatusCode: code, Message: what})
 			}
 		})
-	case succession.KindModule:
-		h.came.module = append(h.came.module, f.Body...)
-	case succession.KindBook:
-		return f.Decode(&h.came.book)
-	case succession.KindQuery:
-		var q ledger.OpenQuery
+	case hotrestart.KindSnapshotChunk:
+		h.received.policySnapshot = append(h.received.policySnapshot, f.Body...)
+	case hotrestart.KindRequestTable:
+		return f.Decode(&h.received.state)
+	case hotrestart.KindOpenRequest:
+		var q requests.OpenRequest
 		if err := f.Decode(&q); err != nil {
 			return err
 		}
-		h.came.queries = append(h.came.queries, q)
-	case succession.KindClient:
-		var c succession.ClientLink
+		h.received.requests = append(h.received.requests, q)
+	case hotrestart.KindClientConnection:
+		var c hotrestart.ClientConnection
 		if err := f.Decode(&c); err != nil {
 			return err
 		}
-		h.came.clients = append(h.came.clients, c)
-		h.came.sockets = append(h.came.sockets, fd)
-	case succession.KindServer:
-		var s succession.ServerLink
+		h.received.clientConnections = append(h.received.clientConnections, c)
+		h.received.descriptors = append(h.received.descriptors, fd)
+	case hotrestart.KindWorkerConnection:
+		var s hotrestart.WorkerConnection
 		if err := f.Decode(&s); err != nil {
 			return err
 		}
-		h.came.servers = append(h.came.servers, s)
-		h.came.sockets = append(h.came.sockets, fd)
+		h.received.workerConnections = append(h.received.workerConnections, s)
+		h.received.descriptors = append(h.received.descriptors, fd)
 	}
 	return nil
 }
 
-// own makes this process the owner of all that has come. It says so first: from here on the elder lets go, and nothing
+// takeOver makes this process the owner of all that has come. It says so first: from here on the elder lets go, and nothing
 // below can fail but by ending this process.
-func (h *heir) own() error {
-	l, c := h.loop, h.came
-	if len(c.sockets) != len(c.clients)+len(c.servers) {
+func (h *successorRole) takeOver() error {
+	l, c := h.loop, h.received
+	if len(c.descriptors) != len(c.clientConnections)+len(c.workerConnections) {
 		return errors.New("not all descriptors have come")
 	}
-	if err := h.say(succession.KindTaken, nil); err != nil {
+	if err := h.sendFrame(hotrestart.KindTakenOver, nil); err != nil {
 		return err
 	}
-	h.decides.Took()
-	h.came = estate{}
+	h.protocol.TookOver()
+	h.received = receivedState{}
 	l.takeOver(c)
-	h.settle()
-	l.log.Info("taken over", "queries", len(c.queries), "client_links", len(c.clients), "server_links", len(c.servers))
+	h.startServing()
+	l.log.Info("taken over", "queries", len(c.requests), "client_links", len(c.clientConnections), "server_links", len(c.workerConnections))
 	return nil
 }
 
-// StandDown has a process that stands by leave the one that serves alone, and tells whether it was one: it has nothing to
+// LeaveStandby has a process that stands by leave the one that serves alone, and tells whether it was one: it has nothing to
 // stay for.
-func (l *Loop) StandDown() bool {
-	h := l.heir
-	if h == nil || h.decides.Stand() == succession.Serving {
+func (l *Loop) LeaveStandby() bool {
+	h := l.successorRole
+	if h == nil || h.protocol.State() == hotrestart.SuccessorServing {
 		return false
 	}
-	l.stop(h.late)
-	h.drop()
-	h.forget()
-	l.heir = nil
+	l.stop(h.handshakeTimer)
+	h.closeWithDescriptors()
+	h.discardReceived()
+	l.successorRole = nil
 	return true
 }
 
-// forget lets go of what an elder has sent.
-func (h *heir) forget() {
-	for _, fd := range h.came.sockets {
+// discardReceived lets go of what an elder has sent.
+func (h *successorRole) discardReceived() {
+	for _, fd := range h.received.descriptors {
 		_ = unix.Close(fd)
 	}
-	if h.came = (estate{}); h.fd >= 0 {
-		_ = unix.Close(h.fd)
-		h.fd = -1
+	if h.received = (receivedState{}); h.listenerFD >= 0 {
+		_ = unix.Close(h.listenerFD)
+		h.listenerFD = -1
 	}
 }
 
-// settle takes the elder's place: clients connect here from now on, and the next heir comes here.
-func (h *heir) settle() {
+// startServing takes the elder's place: clients connect here from now on, and the next heir comes here.
+func (h *successorRole) startServing() {
 	l := h.loop
-	if h.fd < 0 {
-		fd, err := l.listen(h.listen, l.clients, unix.SO_REUSEPORT)
+	if h.listenerFD < 0 {
+		fd, err := l.listen(h.listenAddress, l.clients, unix.SO_REUSEPORT)
 		if err != nil {
 			l.onFail(err)
 			return
 		}
 		l.clients.fd = fd
-	} else if l.clients.fd = h.fd; l.add(h.fd, unix.EPOLLIN, l.clients) != nil {
+	} else if l.clients.fd = h.listenerFD; l.add(h.listenerFD, unix.EPOLLIN, l.clients) != nil {
 		h.loop.onFail(errors.New("the socket that clients connect to can't be used"))
 		return
 	}
-	h.fd = -1
-	l.awaitHeir(meetingPoints(h.dir, h.listen))
+	h.listenerFD = -1
+	l.awaitSuccessor(successorAddresses(h.stateDir, h.listenAddress))
 	l.divide(false)
-	asked := h.asked // the elder may have carried them out, or not: both ways they hold from here on
-	h.asked = nil
+	asked := h.pendingCalls // the elder may have carried them out, or not: both ways they hold from here on
+	h.pendingCalls = nil
 	for _, call := range asked {
-		l.ban(call.id, call.out, call.done)
+		l.ban(call.workerID, call.cordoned, call.respond)
 	}
 }
 
-// end takes in that the elder has gone, or makes no sense.
-func (h *heir) end(cause error) {
+// handleDisconnect takes in that the elder has gone, or makes no sense.
+func (h *successorRole) handleDisconnect(cause error) {
 	if h.closed {
 		return
 	}
 	l := h.loop
-	l.stop(h.late)
-	step := h.decides.Ended()
-	for _, fd := range h.came.sockets {
+	l.stop(h.handshakeTimer)
+	step := h.protocol.HandleDisconnect()
+	for _, fd := range h.received.descriptors {
 		_ = unix.Close(fd)
 	}
-	h.came = estate{}
-	h.drop()
-	if step == succession.Again {
-		if h.join() == nil { // it lives, and has what it had: beside it we would get the call-backs that are meant for it
+	h.received = receivedState{}
+	h.closeWithDescriptors()
+	if step == hotrestart.ActionReconnect {
+		if h.connect() == nil { // it lives, and has what it had: beside it we would get the call-backs that are meant for it
 			l.log.Warn("the talk with the process to be replaced has broken off, and begins anew", "cause", cause)
 			return
 		}
-		step = h.decides.Ended()
+		step = h.protocol.HandleDisconnect()
 	}
-	if l.heir = nil; step == succession.Nothing {
-		h.forget()
+	if l.successorRole = nil; step == hotrestart.ActionNone {
+		h.discardReceived()
 		return
 	}
 	// It died, or never got so far: what outlives it is in the file.
-	out, err := readBans(h.dir)
+	out, err := readCordonFile(h.stateDir)
 	if err != nil {
 		l.log.Error("worker nodes out by hand can't be read", "error", err)
 	} else {
-		l.Ledger.SetBans(out)
+		l.Ledger.SetCordoned(out)
 	}
 	l.log.Warn("the process to be replaced has gone: serving without what it had", "cause", cause)
-	h.settle()
+	h.startServing()
 }
 
-// handOn has the elder set or end a ban.
-func (h *heir) handOn(id string, out bool, done func(code int, what string)) {
-	h.seq++
-	h.asked = append(h.asked, handedOn{h.seq, id, out, done})
-	if h.say(succession.KindBan, succession.Ban{Seq: h.seq, ID: id, Out: out}) != nil {
-		h.end(errors.New("it does not listen"))
+// forwardCordon has the elder set or end a ban.
+func (h *successorRole) forwardCordon(id string, out bool, done func(code int, what string)) {
+	h.lastSequence++
+	h.pendingCalls = append(h.pendingCalls, forwardedCall{h.lastSequence, id, out, done})
+	if h.sendFrame(hotrestart.KindSetCordon, hotrestart.SetCordon{Sequence: h.lastSequence, WorkerID: id, Cordoned: out}) != nil {
+		h.handleDisconnect(errors.New("it does not listen"))
 	}
 }
 
 // ---- What is handed over ----
 
 // takeOver goes on with all that an elder had.
-func (l *Loop) takeOver(c estate) {
-	askers := map[uint64]ledger.Asker{}
-	links := make([]*clientLink, len(c.clients))
-	for i, r := range c.clients {
-		links[i] = l.clients.inherit(c.sockets[i], r, askers)
+func (l *Loop) takeOver(c receivedState) {
+	askers := map[uint64]requests.Responder{}
+	links := make([]*clientLink, len(c.clientConnections))
+	for i, r := range c.clientConnections {
+		links[i] = l.clients.restore(c.descriptors[i], r, askers)
 	}
-	l.Ledger.TakeOver(l.now, c.book, c.queries, askers, func() ledger.Module { return l.resume(c.module) })
+	l.Ledger.TakeOver(l.now, c.state, c.requests, askers, func() requests.Policy { return l.restorePolicy(c.policySnapshot) })
 	for _, k := range links {
 		for _, t := range k.turns {
 			if t.asked != 0 {
-				t.query, t.asked = l.Ledger.Query(t.asked), 0
+				t.query, t.asked = l.Ledger.Request(t.asked), 0
 			}
 		}
 	}
-	for i, r := range c.servers {
-		l.servers.inherit(c.sockets[len(c.clients)+i], r)
+	for i, r := range c.workerConnections {
+		l.servers.restore(c.descriptors[len(c.clientConnections)+i], r)
 	}
-	l.Ledger.Follow()         // the module that goes on believes that the host group is watched
+	l.Ledger.WatchEndpoints() // the module that goes on believes that the host group is watched
 	for _, k := range links { // what had come in before is read now
 		if !k.closed {
 			l.guard(k, func() { k.ready(unix.EPOLLIN) })
@@ -379,12 +379,12 @@
 	}
 }
 
-// resume makes the module that goes on from a state; nil: the state is of no use to this build.
-func (l *Loop) resume(state []byte) ledger.Module {
+// restorePolicy makes the module that goes on from a state; nil: the state is of no use to this build.
+func (l *Loop) restorePolicy(state []byte) requests.Policy {
 	if l.wrap == nil {
 		return nil
 	}
-	d, err := logic.Restore(*l.clients.set, state)
+	d, err := dispatch.Restore(*l.clients.set, state)
 	if err != nil {
 		l.log.Warn("what the process before had learnt is of no use here", "bytes", len(state), "error", err)
 		return nil
@@ -393,28 +393,28 @@
 	return l.wrap(d)
 }
 
-func (k *clientLink) record() succession.ClientLink {
-	r := succession.ClientLink{In: k.in, Out: k.out, Last: k.last, Ended: k.ended, Half: k.sounded, Continued: k.continued,
-		Spoke: k.spoke, Useful: k.useful, Introduced: k.introduced, Since: k.since, Client: k.client.String()}
+func (k *clientLink) transferRecord() hotrestart.ClientConnection {
+	r := hotrestart.ClientConnection{Input: k.in, Output: k.out, LastRequestRead: k.last, InputConsumed: k.ended, HalfClosed: k.sounded, ContinueSent: k.continued,
+		RequestSeen: k.spoke, UsefulRequestSeen: k.useful, ProxyHeaderDone: k.introduced, LastActivity: k.since, ClientAddress: k.client.String()}
 	if k.via.IsValid() {
-		r.Via = k.via.String()
+		r.ProxyAddress = k.via.String()
 	}
 	for _, t := range k.turns {
-		x := succession.Turn{Keep: t.keep, Done: t.done, Status: t.status, Body: t.body, Retry: t.retry}
+		x := hotrestart.ResponseSlot{KeepAlive: t.keep, Complete: t.done, Status: t.status, Body: t.body, RetryAfter: t.retry}
 		if t.query != nil {
-			x.Query = t.query.ID
+			x.RequestID = t.query.ID
 		}
-		r.Turns = append(r.Turns, x)
+		r.ResponseSlots = append(r.ResponseSlots, x)
 	}
 	return r
 }
 
-// inherit makes a link of a connection that another process had.
-func (c *clientLinks) inherit(fd int, r succession.ClientLink, askers map[uint64]ledger.Asker) *clientLink {
-	k := &clientLink{home: c, last: r.Last, ended: r.Ended, half: r.Half, sounded: r.Half, continued: r.Continued, spoke: r.Spoke, useful: r.Useful,
-		introduced: r.Introduced, since: r.Since}
-	k.client, _ = netip.ParseAddrPort(r.Client)
-	k.via, _ = netip.ParseAddrPort(r.Via)
+// restore makes a link of a connection that another process had.
+func (c *clientLinks) restore(fd int, r hotrestart.ClientConnection, askers map[uint64]requests.Responder) *clientLink {
+	k := &clientLink{home: c, last: r.LastRequestRead, ended: r.InputConsumed, half: r.HalfClosed, sounded: r.HalfClosed, continued: r.ContinueSent, spoke: r.RequestSeen, useful: r.UsefulRequestSeen,
+		introduced: r.ProxyHeaderDone, since: r.LastActivity}
+	k.client, _ = netip.ParseAddrPort(r.ClientAddress)
+	k.via, _ = netip.ParseAddrPort(r.ProxyAddress)
 	events := uint32(streamEvents)
 	if k.half { // else it is told anew
 		events = 0 // what is left to read, if anything is, is asked for with the first look at it
@@ -426,14 +426,14 @@
 		_ = unix.Close(fd)
 		return k
 	}
-	k.in, k.out = r.In, r.Out
+	k.in, k.out = r.Input, r.Output
 	k.want()
 	c.links[k] = struct{}{}
-	for _, x := range r.Turns {
-		t := &turn{link: k, keep: x.Keep, done: x.Done, status: x.Status, body: x.Body, retry: x.Retry, asked: x.Query}
+	for _, x := range r.ResponseSlots {
+		t := &turn{link: k, keep: x.KeepAlive, done: x.Complete, status: x.Status, body: x.Body, retry: x.RetryAfter, asked: x.RequestID}
 		k.turns = append(k.turns, t)
-		if x.Query != 0 {
-			askers[x.Query] = t
+		if x.RequestID != 0 {
+			askers[x.RequestID] = t
 		}
 	}
 	if k.count(); len(k.turns) == 0 && len(k.in) == 0 {
@@ -442,8 +442,8 @@
 	return k
 }
 
-// handed are the links that a hand-over takes along: those that carry an attempt, and idle ones.
-func (s *serverLinks) handed() (links []*serverLink) {
+// transferable are the links that a hand-over takes along: those that carry an attempt, and idle ones.
+func (s *serverLinks) transferable() (links []*serverLink) {
 	for _, k := range s.carried {
 		if !k.closed && k.loop != nil {
 			links = append(links, k)
@@ -455,25 +455,25 @@
 	return links
 }
 
-func (k *serverLink) record() succession.ServerLink {
-	r := succession.ServerLink{Host: k.host.id, State: int(k.state), Stage: k.stage, In: k.in, Out: k.out, Rested: k.rested,
-		IdleAt: k.idleAt}
+func (k *serverLink) transferRecord() hotrestart.WorkerConnection {
+	r := hotrestart.WorkerConnection{WorkerID: k.host.id, State: int(k.state), Stage: k.stage, Input: k.in, Output: k.out, IdleBefore: k.rested,
+		IdleSince: k.idleAt}
 	if k.errand.kind == carrying && k.errand.attempt != nil {
-		r.Query, r.Attempt = k.errand.attempt.Query.ID, k.errand.attempt.Number
+		r.RequestID, r.Attempt = k.errand.attempt.Request.ID, k.errand.attempt.Number
 	}
 	return r
 }
 
-// inherit makes a link of a connection that another process had to a worker node.
-func (s *serverLinks) inherit(fd int, r succession.ServerLink) {
-	worker, known := s.loop.Ledger.Number(r.Host)
-	a := s.loop.Ledger.Attempt(r.Query, r.Attempt)
+// restore makes a link of a connection that another process had to a worker node.
+func (s *serverLinks) restore(fd int, r hotrestart.WorkerConnection) {
+	worker, known := s.loop.Ledger.WorkerNumber(r.WorkerID)
+	a := s.loop.Ledger.InFlightAttempt(r.RequestID, r.Attempt)
 	if !known || linkState(r.State) != idle && a == nil {
 		_ = unix.Close(fd)
 		return
 	}
 	h := s.host(worker)
-	k := &serverLink{home: s, host: h, epoch: h.epoch, state: linkState(r.State), stage: r.Stage, rested: r.Rested, idleAt: r.IdleAt}
+	k := &serverLink{home: s, host: h, epoch: h.epoch, state: linkState(r.State), stage: r.Stage, rested: r.IdleBefore, idleAt: r.IdleSince}
 	k.errand = errand{kind: withdrawing}
 	events := uint32(streamEvents)
 	if k.state == connecting {
@@ -483,12 +483,12 @@
 	if k.stream, err = s.loop.stream(fd, events, k); err != nil {
 		_ = unix.Close(fd)
 		if a != nil {
-			s.loop.Ledger.End(a, nil, &ledger.Fault{Stage: r.Stage, Reason: ledger.Cut, Cause: err})
+			s.loop.Ledger.EndAttempt(a, nil, &requests.AttemptError{Stage: r.Stage, Reason: requests.ReasonConnectionLost, Cause: err})
 		}
 		return
 	}
 	s.open++
-	k.in, k.out = r.In, r.Out
+	k.in, k.out = r.Input, r.Output
 	switch k.state {
 	case idle:
 		h.idle = append(h.idle, k)
--- a/internal/link/keeper.go
+++ b/internal/link/keeper.go
@@ -12,74 +12,74 @@
 
 // What outlives this process and the one before it is kept in files of the directory that $TMPDIR names.
 const (
-	bansFile = "worker-nodes-out.json"
-	bansForm = 1
-	mostKept = 1 << 20 // bytes of such a file
+	cordonFileName    = "worker-nodes-out.json"
+	cordonFileVersion = 1
+	maxCordonFileSize = 1 << 20 // bytes of such a file
 )
 
-type keptBans struct {
-	Form int      `json:"form"`
-	Out  []string `json:"out"` // ids of the worker nodes that are out by hand
+type cordonFile struct {
+	Version   int      `json:"form"`
+	WorkerIDs []string `json:"out"` // ids of the worker nodes that are out by hand
 }
 
-// keeper writes the bans, whole and renamed, so that a reader finds the old ones or the new ones. A goroutine does it:
+// cordonStore writes the bans, whole and renamed, so that a reader finds the old ones or the new ones. A goroutine does it:
 // the loop waits for no disk. What is asked for while it writes is written next, the newest only.
-type keeper struct {
-	loop    *Loop
-	path    string
-	work    chan []string
-	writing bool
-	next    []string
-	waiting []func(error) // told when what they asked for is written; the first now are of the write under way
-	now     int
+type cordonStore struct {
+	loop             *Loop
+	path             string
+	writes           chan []string
+	writing          bool
+	newest           []string
+	callbacks        []func(error) // told when what they asked for is written; the first now are of the write under way
+	callbacksOfWrite int
 }
 
-// keep starts a keeper for a directory; without one nothing is kept.
-func (l *Loop) keep(dir string) {
+// openCordonStore starts a keeper for a directory; without one nothing is kept.
+func (l *Loop) openCordonStore(dir string) {
 	if dir == "" {
 		return
 	}
-	k := &keeper{loop: l, path: filepath.Join(dir, bansFile), work: make(chan []string, 1)}
-	l.keeper = k
+	k := &cordonStore{loop: l, path: filepath.Join(dir, cordonFileName), writes: make(chan []string, 1)}
+	l.cordonStore = k
 	go func() {
-		for ids := range k.work {
-			err := writeBans(k.path, ids)
-			l.post(func() { k.written(err) })
+		for ids := range k.writes {
+			err := writeCordonFile(k.path, ids)
+			l.post(func() { k.writeFinished(err) })
 		}
 	}()
 }
 
-// errSlow is what is said while the directory takes in nothing.
-var errSlow = errors.New("too many calls wait for the directory")
+// errTooManyWaiting is what is said while the directory takes in nothing.
+var errTooManyWaiting = errors.New("too many calls wait for the directory")
 
 // save has the bans written, and tells done once that is so.
-func (k *keeper) save(ids []string, done func(error)) {
-	if k.next = ids; len(k.waiting) >= operatorsMost {
-		done(errSlow)
+func (k *cordonStore) save(ids []string, done func(error)) {
+	if k.newest = ids; len(k.callbacks) >= operatorsMost {
+		done(errTooManyWaiting)
 		return
 	}
-	k.waiting = append(k.waiting, done)
-	k.start()
+	k.callbacks = append(k.callbacks, done)
+	k.startWrite()
 }
 
-func (k *keeper) start() {
-	if !k.writing && len(k.waiting) > 0 {
-		k.writing, k.now = true, len(k.waiting)
-		k.work <- k.next
+func (k *cordonStore) startWrite() {
+	if !k.writing && len(k.callbacks) > 0 {
+		k.writing, k.callbacksOfWrite = true, len(k.callbacks)
+		k.writes <- k.newest
 	}
 }
 
-func (k *keeper) written(err error) {
-	told := k.waiting[:k.now:k.now]
-	k.waiting, k.writing = k.waiting[k.now:], false
+func (k *cordonStore) writeFinished(err error) {
+	told := k.callbacks[:k.callbacksOfWrite:k.callbacksOfWrite]
+	k.callbacks, k.writing = k.callbacks[k.callbacksOfWrite:], false
 	for _, done := range told {
 		done(err)
 	}
-	k.start()
+	k.startWrite()
 }
 
-func writeBans(path string, ids []string) error {
-	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(keptBans{bansForm, ids})
+func writeCordonFile(path string, ids []string) error {
+	text, err := jsoniter.ConfigCompatibleWithStandardLibrary.Marshal(cordonFile{cordonFileVersion, ids})
 	if err != nil {
 		return err
 	}
@@ -93,32 +93,32 @@
 	return nil
 }
 
-// readBans reads what a process before this one has kept; none, if none has.
-func readBans(dir string) ([]string, error) {
+// readCordonFile reads what a process before this one has kept; none, if none has.
+func readCordonFile(dir string) ([]string, error) {
 	if dir == "" {
 		return nil, nil
 	}
-	path := filepath.Join(dir, bansFile)
+	path := filepath.Join(dir, cordonFileName)
 	info, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
-	if err == nil && info.Size() > mostKept {
-		err = fmt.Errorf("%s: larger than %d bytes", path, mostKept)
+	if err == nil && info.Size() > maxCordonFileSize {
+		err = fmt.Errorf("%s: larger than %d bytes", path, maxCordonFileSize)
 	}
 	if err != nil {
 		return nil, err
 	}
 	text, err := os.ReadFile(path)
-	var kept keptBans
+	var kept cordonFile
 	if err == nil {
 		err = jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(text, &kept)
 	}
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("%s: %w", path, err)
-	case kept.Form != bansForm:
-		return nil, fmt.Errorf("%s: form %d, expected %d", path, kept.Form, bansForm)
+	case kept.Version != cordonFileVersion:
+		return nil, fmt.Errorf("%s: form %d, expected %d", path, kept.Version, cordonFileVersion)
 	}
-	return kept.Out, nil
+	return kept.WorkerIDs, nil
 }
--- a/internal/link/leaving_test.go
+++ b/internal/link/leaving_test.go
@@ -9,9 +9,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"valvecove/internal/ledger"
+	"valvecove/dispatch"
+	"valvecove/internal/requests"
 	"valvecove/internal/steps"
-	"valvecove/logic"
 )
 
 // A client that leaves is gone for the module before that turn's sends, wherever its requests are by then: nothing of
@@ -49,24 +49,24 @@
 				w.turn()
 				w.writesAll(p, []byte(c.before))
 				w.settles()
-				if open := w.loop.Ledger.Open(); open != c.taken {
+				if open := w.loop.Ledger.OpenCount(); open != c.taken {
 					t.Fatalf("%d queries taken, expected %d", open, c.taken)
 				}
 				p.write([]byte(c.last))
 				leave(p)
 				for id := range uint64(c.taken + 2*mostTurns) {
-					w.module.Next = append(w.module.Next, logic.Send{Job: id + 1, Worker: w.worker()})
+					w.module.Next = append(w.module.Next, dispatch.Send{Job: id + 1, Worker: w.worker()})
 				}
 				w.loop.Ledger.Wake()
-				if w.oneTurn(); len(w.dialed) != 0 || w.loop.Ledger.Open() != 0 {
-					t.Errorf("%d attempts begun, %d queries open", len(w.dialed), w.loop.Ledger.Open())
+				if w.oneTurn(); len(w.dialed) != 0 || w.loop.Ledger.OpenCount() != 0 {
+					t.Errorf("%d attempts begun, %d queries open", len(w.dialed), w.loop.Ledger.OpenCount())
 				}
 				jobs, gone := 0, 0
 				for _, e := range w.module.Heard {
 					switch e.(type) {
-					case logic.Job:
+					case dispatch.Job:
 						jobs++
-					case logic.ClientGone:
+					case dispatch.ClientDisconnected:
 						gone++
 					}
 				}
@@ -86,15 +86,15 @@
 	client, worker := w.connects(), w.connects()
 	client.write([]byte(sized(7, 0)))
 	w.turn()
-	w.module.Next = append(w.module.Next, logic.Send{Job: 1, Worker: w.worker()})
+	w.module.Next = append(w.module.Next, dispatch.Send{Job: 1, Worker: w.worker()})
 	w.loop.Ledger.Wake()
 	w.turn()
 	note := `{"id":"7","from":"s-0","state":"done","result":"r"}`
 	worker.write(fmt.Appendf(nil, "POST /v1/job-events HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s%s", len(note), note, sized(8, 0)))
 	worker.resets()
 	w.turn()
-	if got := client.answers(t); len(got) != 1 || got[0] != 200 || w.loop.Ledger.Open() != 0 {
-		t.Errorf("answered %v, %d queries open", got, w.loop.Ledger.Open())
+	if got := client.answers(t); len(got) != 1 || got[0] != 200 || w.loop.Ledger.OpenCount() != 0 {
+		t.Errorf("answered %v, %d queries open", got, w.loop.Ledger.OpenCount())
 	}
 }
 
@@ -114,10 +114,10 @@
 			p.halfCloses()
 			w.settles()
 			for n := 0; n < requests; n++ { // the last first, as far as they are in
-				if open := w.loop.Ledger.Open(); open != min(mostTurns, requests-n) {
+				if open := w.loop.Ledger.OpenCount(); open != min(mostTurns, requests-n) {
 					t.Fatalf("%d queries open after %d answers", open, n)
 				}
-				w.module.Next = append(w.module.Next, logic.Refuse{Job: uint64(n + 1)})
+				w.module.Next = append(w.module.Next, dispatch.Reject{Job: uint64(n + 1)})
 				w.loop.Ledger.Wake()
 				w.settles()
 			}
@@ -150,8 +150,8 @@
 		}
 	}
 	answered := 0
-	for ; w.loop.Ledger.Open() > 0; answered++ {
-		w.module.Next = append(w.module.Next, logic.Fail{Job: uint64(answered + 1)})
+	for ; w.loop.Ledger.OpenCount() > 0; answered++ {
+		w.module.Next = append(w.module.Next, dispatch.Fail{Job: uint64(answered + 1)})
 		w.loop.Ledger.Wake()
 		w.settles()
 	}
@@ -193,14 +193,14 @@
 			t.Run(stage+", "+how, func(t *testing.T) {
 				w := newWorld(&steps.Steps{T: t})
 				w.listens()
-				w.loop.Ledger.Hosts(ledger.HostGroup{Reset: true, Hosts: []ledger.Host{{ID: "s-0", Addr: "127.0.0.1:1", State: "up"},
-					{ID: "s-1", Addr: "127.0.0.1:2", State: "up"}}})
+				w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
+					{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"}}})
 				p := w.connects()
 				w.turn()
 				w.writesAll(p, []byte(sized(1, size)))
 				w.settles()
-				workers := w.module.Heard[1].(logic.WorkerList).Workers
-				w.module.Next = append(w.module.Next, logic.Send{Job: 1, Worker: workers[0].ID})
+				workers := w.module.Heard[1].(dispatch.WorkerList).Workers
+				w.module.Next = append(w.module.Next, dispatch.Send{Job: 1, Worker: workers[0].ID})
 				w.loop.Ledger.Wake()
 				w.oneTurn()
 				if len(w.dialed) != 1 {
@@ -215,7 +215,7 @@
 					w.turn()
 				}
 				leave(p)
-				w.module.Next = append(w.module.Next, logic.Send{Job: 1, Worker: workers[1].ID})
+				w.module.Next = append(w.module.Next, dispatch.Send{Job: 1, Worker: workers[1].ID})
 				w.loop.Ledger.Wake()
 				w.settles()
 				far.read(1 << 20)
@@ -250,15 +250,15 @@
 	w.now += time.Second
 	p.write([]byte(sized(100, 0)))
 	for n := range 4 {
-		w.module.Next = append(w.module.Next, logic.Fail{Job: uint64(n + 1)})
+		w.module.Next = append(w.module.Next, dispatch.Fail{Job: uint64(n + 1)})
 	}
 	w.loop.Ledger.Wake()
 	w.settles()
 	const all = 5 * time.Second // of the class
 	left := map[uint64]time.Duration{}
 	for _, e := range w.module.Heard {
-		if j, ok := e.(logic.Job); ok {
-			left[j.ID] = j.Left
+		if j, ok := e.(dispatch.Job); ok {
+			left[j.ID] = j.Remaining
 		}
 	}
 	for id, want := range map[uint64]time.Duration{1: all, 16: all, 17: all - 2*time.Second, 18: all - 2*time.Second,
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -15,13 +15,13 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/dispatch"
 	"valvecove/internal/address"
 	"valvecove/internal/capture"
 	"valvecove/internal/config"
 	"valvecove/internal/due"
 	"valvecove/internal/figures"
-	"valvecove/internal/ledger"
-	"valvecove/logic"
+	"valvecove/internal/requests"
 )
 
 // handler is one descriptor's side of the loop.
@@ -33,45 +33,45 @@
 
 // Loop is the one loop. Everything in this package runs on the goroutine that calls Run, but for Wake.
 type Loop struct {
-	epoll     int
-	wakeFD    int
-	now       time.Duration // of the present turn
-	clock     func() time.Duration
-	dial      func(to netip.AddrPort) (fd int, err error)
-	handlers  []handler         // by descriptor
-	events    []unix.EpollEvent // as many as there may be descriptors: a turn gathers all that is ready
-	gathering bool              // the turn's events are being handed out
-	dying     []int             // closed once they are, so that no event of this turn meets a reused descriptor
-	timers    due.Queue[*timer]
-	scratch   []byte
-	writing   []byte
-	message   Message
-	Ledger    *ledger.Ledger
-	log       *slog.Logger
-	linkLog   *slog.Logger // on client links, whose lines must not crowd out the others
-	onWake    func()
-	clients   *clientLinks
-	servers   *serverLinks
-	watch     *watch
-	status    *statusLinks                          // nil: off
-	operators *operatorLinks                        // nil: off
-	decides   *logic.Dispatcher                     // the module that runs, under whatever wraps it
-	side      int                                   // descriptors for features
-	Capture   *capture.Recorder                     // nil: off
-	figures   *figures.Figures                      // nil: off
-	lists     *address.Lists                        // nil: off
-	wrap      func(*logic.Dispatcher) ledger.Module // what stands round a module that goes on from another process; nil: none can
-	elder     *elder                                // nil: no successor can come
-	heir      *heir                                 // nil: nothing is to be taken over
-	limits    config.Limits
-	halved    bool            // another process runs beside this one, and has half of them
-	onDivide  func(half bool) // does the same for memory
-	onHeir    func()          // told whenever one stands by to replace this process
-	ceded     bool            // a successor owns all that was here
-	onFail    func(error)     // ends the process
-	keeper    *keeper         // nil: nothing outlives this process
-	posted    []func()        // by other goroutines, for the loop to call
-	posting   sync.Mutex
+	epoll           int
+	wakeFD          int
+	now             time.Duration // of the present turn
+	clock           func() time.Duration
+	dial            func(to netip.AddrPort) (fd int, err error)
+	handlers        []handler         // by descriptor
+	events          []unix.EpollEvent // as many as there may be descriptors: a turn gathers all that is ready
+	gathering       bool              // the turn's events are being handed out
+	dying           []int             // closed once they are, so that no event of this turn meets a reused descriptor
+	timers          due.Queue[*timer]
+	scratch         []byte
+	writing         []byte
+	message         Message
+	Ledger          *requests.Table
+	log             *slog.Logger
+	linkLog         *slog.Logger // on client links, whose lines must not crowd out the others
+	onWake          func()
+	clients         *clientLinks
+	servers         *serverLinks
+	watch           *watchConnection
+	status          *statusLinks                               // nil: off
+	operators       *operatorLinks                             // nil: off
+	decides         *dispatch.Dispatcher                       // the module that runs, under whatever wraps it
+	side            int                                        // descriptors for features
+	Capture         *capture.Recorder                          // nil: off
+	figures         *figures.Figures                           // nil: off
+	lists           *address.Lists                             // nil: off
+	wrap            func(*dispatch.Dispatcher) requests.Policy // what stands round a module that goes on from another process; nil: none can
+	predecessorRole *predecessorRole                           // nil: no successor can come
+	successorRole   *successorRole                             // nil: nothing is to be taken over
+	limits          config.Limits
+	halved          bool            // another process runs beside this one, and has half of them
+	onDivide        func(half bool) // does the same for memory
+	onSuccessor     func()          // told whenever one stands by to replace this process
+	relinquished    bool            // a successor owns all that was here
+	onFail          func(error)     // ends the process
+	cordonStore     *cordonStore    // nil: nothing outlives this process
+	posted          []func()        // by other goroutines, for the loop to call
+	posting         sync.Mutex
 }
 
 // newLoop returns a loop that counts time from the Unix epoch, so that any start time that discovery tells is
@@ -150,7 +150,7 @@
 		l.timers.Remove(t)
 		l.guard(t.of, t.act)
 	}
-	if at, ok := l.Ledger.Next(); ok && at <= l.now && !l.ceded {
+	if at, ok := l.Ledger.NextStep(); ok && at <= l.now && !l.relinquished {
 		l.Ledger.Step(l.now)
 	}
 	return nil
@@ -185,8 +185,8 @@
 
 // patience is how long the loop may sleep, in milliseconds. It rounds up: what is due is not due earlier.
 func (l *Loop) patience() int {
-	next, ok := l.Ledger.Next()
-	if l.ceded {
+	next, ok := l.Ledger.NextStep()
+	if l.relinquished {
 		next, ok = 0, false
 	}
 	if l.timers.Len() > 0 && (!ok || l.timers.First().At < next) {
--- a/internal/link/loop_test.go
+++ b/internal/link/loop_test.go
@@ -7,8 +7,8 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/dispatch"
 	"valvecove/internal/steps"
-	"valvecove/logic"
 )
 
 // A burst of clients that leave is taken in whole before the turn's sends, however many they are.
@@ -24,15 +24,15 @@
 		peers = append(peers, p)
 	}
 	w.turn()
-	if open := w.loop.Ledger.Open(); open != clients {
+	if open := w.loop.Ledger.OpenCount(); open != clients {
 		t.Fatalf("%d queries taken", open)
 	}
 	for n, p := range peers {
 		p.close()
-		w.module.Next = append(w.module.Next, logic.Send{Job: uint64(n + 1), Worker: w.worker()})
+		w.module.Next = append(w.module.Next, dispatch.Send{Job: uint64(n + 1), Worker: w.worker()})
 	}
-	if w.oneTurn(); len(w.dialed) != 0 || w.loop.Ledger.Open() != 0 {
-		t.Errorf("%d attempts begun, %d queries open", len(w.dialed), w.loop.Ledger.Open())
+	if w.oneTurn(); len(w.dialed) != 0 || w.loop.Ledger.OpenCount() != 0 {
+		t.Errorf("%d attempts begun, %d queries open", len(w.dialed), w.loop.Ledger.OpenCount())
 	}
 }
 
@@ -55,7 +55,7 @@
 		}
 		return dial(at)
 	}
-	w.module.Next = append(w.module.Next, logic.Send{Job: 1, Worker: w.worker()})
+	w.module.Next = append(w.module.Next, dispatch.Send{Job: 1, Worker: w.worker()})
 	w.loop.Ledger.Wake()
 	if w.oneTurn(); !dialed {
 		t.Error("nothing was sent")
--- a/internal/link/operators.go
+++ b/internal/link/operators.go
@@ -9,7 +9,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"valvecove/internal/succession"
+	"valvecove/internal/hotrestart"
 	"valvecove/internal/tally"
 )
 
@@ -159,7 +159,7 @@
 		}
 	case pathMetrics:
 		o := k.home
-		o.text = o.count.Append(o.text[:0], tally.Now{Inflight: k.loop.inflight(), Listed: k.loop.Ledger.Listed(),
+		o.text = o.count.Append(o.text[:0], tally.Now{Inflight: k.loop.inflight(), Listed: k.loop.Ledger.ListedCount(),
 			Down: k.loop.avoided()})
 		k.answer(200, "Content-Type: text/plain; charset=utf-8\r\nCache-Control: no-store\r\n", o.text)
 	default:
@@ -176,21 +176,21 @@
 // ban sets or ends a ban, and tells done how a caller is to be answered.
 func (l *Loop) ban(id string, out bool, done func(code int, what string)) {
 	switch { // whoever serves has the bans
-	case l.ceded && l.elder.heir == nil:
+	case l.relinquished && l.predecessorRole.successor == nil:
 		done(503, "this process has been replaced")
 		return
-	case l.ceded:
-		l.elder.heir.handOn(id, out, done)
+	case l.relinquished:
+		l.predecessorRole.successor.forwardCordon(id, out, done)
 		return
-	case l.heir != nil && l.heir.decides.Stand() != succession.Serving:
-		l.heir.handOn(id, out, done)
+	case l.successorRole != nil && l.successorRole.protocol.State() != hotrestart.SuccessorServing:
+		l.successorRole.forwardCordon(id, out, done)
 		return
 	}
 	known, full := true, false
 	if out {
-		known, full = l.Ledger.Suspend(id)
+		known, full = l.Ledger.Cordon(id)
 	} else {
-		known = l.Ledger.Restore(id)
+		known = l.Ledger.Uncordon(id)
 	}
 	switch {
 	case !known:
@@ -205,14 +205,14 @@
 		word = "out"
 	}
 	l.log.Info("worker node by hand", "host", id, "now", word)
-	if l.elder != nil && l.elder.heir != nil && l.elder.heir.greeted {
-		_ = l.elder.heir.say(succession.KindBans, succession.Bans{Out: l.Ledger.Bans()}) // so that its figures are right
+	if l.predecessorRole != nil && l.predecessorRole.successor != nil && l.predecessorRole.successor.accepted {
+		_ = l.predecessorRole.successor.sendFrame(hotrestart.KindCordonedWorkers, hotrestart.CordonedWorkers{WorkerIDs: l.Ledger.Cordoned()}) // so that its figures are right
 	}
-	if l.keeper == nil {
+	if l.cordonStore == nil {
 		done(200, word)
 		return
 	}
-	l.keeper.save(l.Ledger.Bans(), func(err error) {
+	l.cordonStore.save(l.Ledger.Cordoned(), func(err error) {
 		if err != nil { // the ban holds all the same, for as long as this process lives
 			l.log.Error("worker nodes out by hand are not kept", "error", err)
 			done(503, "not kept: "+err.Error())
@@ -233,13 +233,13 @@
 // unready tells why this process is not ready to serve; nothing if it is.
 func (l *Loop) unready() string {
 	switch {
-	case l.ceded:
+	case l.relinquished:
 		return "replaced"
 	case l.clients.draining:
 		return "draining"
-	case l.heir != nil && l.heir.unready() != "":
-		return l.heir.unready()
-	case !l.Ledger.CanServe():
+	case l.successorRole != nil && l.successorRole.notReadyReason() != "":
+		return l.successorRole.notReadyReason()
+	case !l.Ledger.HasReadyWorker():
 		return "no worker node known"
 	}
 	return ""
@@ -250,13 +250,13 @@
 	if l.decides == nil {
 		return 0
 	}
-	return l.decides.Avoided()
+	return l.decides.AvoidedWorkers()
 }
 
 // inflight counts the jobs that this process has taken and that have not ended.
 func (l *Loop) inflight() int {
-	if l.ceded {
+	if l.relinquished {
 		return 0
 	}
-	return l.Ledger.Open()
+	return l.Ledger.OpenCount()
 }
--- a/internal/link/operators_test.go
+++ b/internal/link/operators_test.go
@@ -20,7 +20,7 @@
 	if err := w.loop.serveOperators(netip.MustParseAddrPort("127.0.0.1:0"), count); err != nil {
 		s.T.Fatal(err)
 	}
-	w.loop.Ledger.Attach(count)
+	w.loop.Ledger.AddObserver(count)
 	return w
 }
 
@@ -168,7 +168,7 @@
 	dir := t.TempDir()
 	s := &steps.Steps{T: t}
 	w := withOperators(s)
-	w.loop.keep(dir)
+	w.loop.openCordonStore(dir)
 	put := func(what, id string) string {
 		p := w.operator()
 		p.write([]byte("PUT /v1/worker-nodes/" + id + "/" + what + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n"))
@@ -192,7 +192,7 @@
 		if got := put(c.what, c.id); got != c.want {
 			t.Errorf("%s %s: %q, expected %q", c.what, c.id, got, c.want)
 		}
-		if out, err := readBans(dir); err != nil || strings.Join(out, " ") != c.kept {
+		if out, err := readCordonFile(dir); err != nil || strings.Join(out, " ") != c.kept {
 			t.Errorf("%s %s: kept %v, %v", c.what, c.id, out, err)
 		}
 	}
@@ -200,15 +200,15 @@
 		t.Error("ready with its only worker node out")
 	}
 	next := newWorld(s)
-	out, _ := readBans(dir)
-	if next.loop.Ledger.SetBans(out); next.loop.Ledger.CanServe() {
+	out, _ := readCordonFile(dir)
+	if next.loop.Ledger.SetCordoned(out); next.loop.Ledger.HasReadyWorker() {
 		t.Error("the next process sends to a worker node that is out")
 	}
-	for _, text := range []string{"", "{", `{"form":2,"out":["s-0"]}`, strings.Repeat(" ", mostKept+1)} {
-		if err := os.WriteFile(filepath.Join(dir, bansFile), []byte(text), 0o600); err != nil {
+	for _, text := range []string{"", "{", `{"form":2,"out":["s-0"]}`, strings.Repeat(" ", maxCordonFileSize+1)} {
+		if err := os.WriteFile(filepath.Join(dir, cordonFileName), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if out, err := readBans(dir); err == nil || out != nil {
+		if out, err := readCordonFile(dir); err == nil || out != nil {
 			t.Errorf("of a spoilt file: %v, %v", out, err)
 		}
 	}
--- a/internal/link/servers.go
+++ b/internal/link/servers.go
@@ -9,7 +9,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 )
 
 const (
@@ -32,9 +32,9 @@
 type serverLinks struct {
 	loop    *Loop
 	hosts   map[uint64]*hostLinks
-	carried map[*ledger.Attempt]*serverLink // until the worker node has accepted
+	carried map[*requests.Attempt]*serverLink // until the worker node has accepted
 	// withdrawals are the attempts whose worker node is being told, and how many connections were tried for that.
-	withdrawals map[*ledger.Attempt]int
+	withdrawals map[*requests.Attempt]int
 	open        int
 	most        int
 	dial        time.Duration // a connection comes up within this or not at all
@@ -56,8 +56,8 @@
 func (l *Loop) serve(most int, dial, idleFor time.Duration) {
 	// The worker node closes an idle link at its limit, and a request that crosses the close is lost: keep well
 	// clear of it.
-	l.servers = &serverLinks{loop: l, hosts: map[uint64]*hostLinks{}, carried: map[*ledger.Attempt]*serverLink{},
-		withdrawals: map[*ledger.Attempt]int{}, most: most, dial: dial, idleFor: idleFor * 3 / 4}
+	l.servers = &serverLinks{loop: l, hosts: map[uint64]*hostLinks{}, carried: map[*requests.Attempt]*serverLink{},
+		withdrawals: map[*requests.Attempt]int{}, most: most, dial: dial, idleFor: idleFor * 3 / 4}
 	l.servers.retire()
 }
 
@@ -68,31 +68,33 @@
 		h = &hostLinks{worker: worker}
 		s.hosts[worker] = h
 	}
-	now := s.loop.Ledger.Host(worker)
-	if h.id = now.ID; now.Addr != "" && (h.started != now.StartedMs || h.addr.String() != now.Addr) {
+	now := s.loop.Ledger.Endpoint(worker)
+	if h.id = now.ID; now.Addr != "" && (h.started != now.StartedAtMs || h.addr.String() != now.Addr) {
 		h.addr, _ = netip.ParseAddrPort(now.Addr)
-		h.started = now.StartedMs
+		h.started = now.StartedAtMs
 		h.epoch++
-		s.FreeLinks(worker)
+		s.CloseIdleConnections(worker)
 	}
 	return h
 }
 
 // ---- What the ledger wants ----
 
-func (s *serverLinks) Carry(a *ledger.Attempt) { s.start(a.Worker, errand{kind: carrying, attempt: a}) }
+func (s *serverLinks) Start(a *requests.Attempt) {
+	s.start(a.Worker, errand{kind: carrying, attempt: a})
+}
 
-// GiveUp lets the worker node know: before it has accepted by closing the link, after that by a DELETE.
-func (s *serverLinks) GiveUp(a *ledger.Attempt) {
+// Abandon lets the worker node know: before it has accepted by closing the link, after that by a DELETE.
+func (s *serverLinks) Abandon(a *requests.Attempt) {
 	if k := s.carried[a]; k != nil {
 		k.end(nil)
-	} else if a.Stage == ledger.Accepted {
-		s.Withdraw(a)
+	} else if a.Stage == requests.StageAccepted {
+		s.Cancel(a)
 	}
 }
 
-// Withdraw sends a DELETE, unless one is on its way.
-func (s *serverLinks) Withdraw(a *ledger.Attempt) {
+// Cancel sends a DELETE, unless one is on its way.
+func (s *serverLinks) Cancel(a *requests.Attempt) {
 	if _, is := s.withdrawals[a]; !is {
 		s.withdrawals[a] = 1
 		s.start(a.Worker, errand{kind: withdrawing, attempt: a})
@@ -102,16 +104,16 @@
 // withdrew takes in how a DELETE ended. What broke is tried again, on another connection: the first may not have come up
 // in time, or may have been reset or dropped unseen, and the DELETE with it. Its worker node is told once it answers. Where it
 // does not, it may be cut off, and run what it has: the attempt is out as before.
-func (s *serverLinks) withdrew(a *ledger.Attempt, fault *ledger.Fault) {
-	broke := fault != nil && fault.Reason == ledger.Cut
-	wanted := !a.Ended() || fault != nil && fault.Stage >= ledger.AllWritten
-	if !broke || !wanted || a.Told() || s.withdrawals[a] >= withdrawTimes {
+func (s *serverLinks) withdrew(a *requests.Attempt, fault *requests.AttemptError) {
+	broke := fault != nil && fault.Reason == requests.ReasonConnectionLost
+	wanted := !a.HasEnded() || fault != nil && fault.Stage >= requests.StageWritten
+	if !broke || !wanted || a.EndedByWorker() || s.withdrawals[a] >= withdrawTimes {
 		delete(s.withdrawals, a)
-		s.loop.Ledger.Withdrawn(a, !broke && (fault == nil || fault.Reason != ledger.Expired))
+		s.loop.Ledger.CancelCompleted(a, !broke && (fault == nil || fault.Reason != requests.ReasonTimeout))
 		return
 	}
 	s.loop.after(withdrawAgain, s, func() {
-		if a.Told() || s.loop.ceded {
+		if a.EndedByWorker() || s.loop.relinquished {
 			delete(s.withdrawals, a)
 			return
 		}
@@ -120,9 +122,9 @@
 	})
 }
 
-func (s *serverLinks) Probe(worker uint64) { s.start(worker, errand{kind: probing}) }
+func (s *serverLinks) CheckHealth(worker uint64) { s.start(worker, errand{kind: probing}) }
 
-func (s *serverLinks) FreeLinks(worker uint64) {
+func (s *serverLinks) CloseIdleConnections(worker uint64) {
 	h := s.hosts[worker]
 	for h != nil && len(h.idle) > 0 {
 		h.idle[0].end(nil)
@@ -219,7 +221,7 @@
 // errand is what a link is used for, one at a time.
 type errand struct {
 	kind    errandKind
-	attempt *ledger.Attempt // nil for a probe
+	attempt *requests.Attempt // nil for a probe
 }
 
 // serverLink is a connection to a worker node.
@@ -231,7 +233,7 @@
 	state  linkState
 	errand errand
 	last   errandKind // what it was used for
-	stage  ledger.Stage
+	stage  requests.Stage
 	timer  *timer
 	idleAt time.Duration
 	rested time.Duration // how long it had been idle before its errand; 0: it is new
@@ -276,7 +278,7 @@
 
 // take gives the link its errand.
 func (k *serverLink) take(e errand) {
-	k.errand, k.last, k.stage = e, e.kind, ledger.NotConnected
+	k.errand, k.last, k.stage = e, e.kind, requests.StageNotConnected
 	if e.kind == carrying {
 		k.home.carried[e.attempt] = k
 	}
@@ -300,13 +302,13 @@
 			l.stop(k.timer)
 			return
 		}
-		p := &a.Query.Parcel
+		p := &a.Request.Payload
 		if parts = min(k.home.dial, left/2); len(p.Body) > mostAtOnce {
 			left -= parts
 		}
-		b = appendCall(b, p.Verb, p.Path, host)
-		b = appendField(b, "X-Call-Id", a.Query.Call)
-		b = appendField(b, "Idempotency-Key", p.Key)
+		b = appendCall(b, p.Method, p.Path, host)
+		b = appendField(b, "X-Call-Id", a.Request.CallID)
+		b = appendField(b, "Idempotency-Key", p.IdempotencyKey)
 		b = append(b, "X-Budget-Ms: "...)
 		b = strconv.AppendInt(b, max(1, left.Milliseconds()), 10)
 		b = append(b, "\r\nContent-Length: "...)
@@ -318,12 +320,12 @@
 		b = append(appendCall(b, "GET", "/alive", host), "\r\n"...)
 		k.await(probeFor)
 	case withdrawing:
-		b = append(appendCall(b, "DELETE", "/jobs/"+a.Query.Call, host), "\r\n"...)
+		b = append(appendCall(b, "DELETE", "/jobs/"+a.Request.CallID, host), "\r\n"...)
 		k.await(withdrawFor)
 	}
 	l.writing = b
 	k.state = asking
-	k.reach(ledger.PartWritten)
+	k.reach(requests.StagePartlyWritten)
 	if err := k.send(b); err != nil {
 		k.end(err)
 		return
@@ -333,16 +335,16 @@
 
 // written notes once the last byte has left: from there on it may run.
 func (k *serverLink) written() {
-	if len(k.out) == 0 && k.stage < ledger.AllWritten {
-		k.reach(ledger.AllWritten)
+	if len(k.out) == 0 && k.stage < requests.StageWritten {
+		k.reach(requests.StageWritten)
 		if a := k.errand.attempt; k.errand.kind == carrying {
 			k.await(a.At - k.loop.now + graceFor)
-			k.loop.Ledger.Written(a)
+			k.loop.Ledger.ReportWritten(a)
 		}
 	}
 }
 
-func (k *serverLink) reach(stage ledger.Stage) {
+func (k *serverLink) reach(stage requests.Stage) {
 	if k.stage = stage; k.errand.kind == carrying {
 		k.errand.attempt.Stage = stage
 	}
@@ -353,7 +355,7 @@
 // DELETE of any use once the worker node has told how the attempt ended.
 func (k *serverLink) needless() bool {
 	a := k.errand.attempt
-	return k.stage < ledger.AllWritten && a != nil && (k.errand.kind == carrying && a.Ended() || a.Told())
+	return k.stage < requests.StageWritten && a != nil && (k.errand.kind == carrying && a.HasEnded() || a.EndedByWorker())
 }
 
 func (k *serverLink) ready(events uint32) {
@@ -444,24 +446,24 @@
 
 // answered settles the errand by the answer's status.
 func (k *serverLink) answered(m *Message) {
-	fault := &ledger.Fault{Stage: k.stage, Reason: ledger.Errored, Cause: fmt.Errorf("status %d", m.Status)}
+	fault := &requests.AttemptError{Stage: k.stage, Reason: requests.ReasonWorkerError, Cause: fmt.Errorf("status %d", m.Status)}
 	switch refused := m.Status == 503 || m.Status == 504; {
 	case m.Status/100 == 2:
 		fault = nil
 	case refused && (k.errand.kind == probing || string(m.Get("X-Rejected")) == "1"):
-		fault.Reason = ledger.Rejected
+		fault.Reason = requests.ReasonRejected
 	case m.Status/100 == 4 && k.errand.kind == carrying:
-		fault.Reason = ledger.Unusable
+		fault.Reason = requests.ReasonInvalidRequest
 	}
 	if k.errand.kind == carrying {
-		k.loop.Ledger.Answered(k.errand.attempt, m.Status)
-		if k.stage < ledger.AllWritten && (fault == nil || fault.Reason == ledger.Errored) {
+		k.loop.Ledger.ReportResponse(k.errand.attempt, m.Status)
+		if k.stage < requests.StageWritten && (fault == nil || fault.Reason == requests.ReasonWorkerError) {
 			// It never has all of it, as the link ends with this answer. So it can't run, whatever the answer says.
-			fault = &ledger.Fault{Stage: k.stage, Reason: ledger.Cut, Cause: errEarly}
+			fault = &requests.AttemptError{Stage: k.stage, Reason: requests.ReasonConnectionLost, Cause: errEarly}
 		}
 	}
 	if k.errand.kind == carrying && fault == nil {
-		k.reach(ledger.Accepted)
+		k.reach(requests.StageAccepted)
 		delete(k.home.carried, k.errand.attempt)
 		k.errand = errand{kind: withdrawing} // nothing hangs on it any more
 		return
@@ -470,15 +472,15 @@
 }
 
 // settle ends the errand.
-func (k *serverLink) settle(fault *ledger.Fault) {
+func (k *serverLink) settle(fault *requests.AttemptError) {
 	e := k.errand
 	k.errand = errand{kind: withdrawing}
 	switch e.kind {
 	case carrying:
 		delete(k.home.carried, e.attempt)
-		k.home.loop.Ledger.End(e.attempt, nil, fault)
+		k.home.loop.Ledger.EndAttempt(e.attempt, nil, fault)
 	case probing:
-		k.home.loop.Ledger.Probed(k.host.worker, fault)
+		k.home.loop.Ledger.HealthChecked(k.host.worker, fault)
 	case withdrawing:
 		if e.attempt != nil {
 			k.home.withdrew(e.attempt, fault)
@@ -513,20 +515,20 @@
 		k.close()
 		k.home.open--
 	}
-	reason := ledger.Cut
+	reason := requests.ReasonConnectionLost
 	if dropped {
 		k.home.doubt(k.rested)
 		if k.errand.kind == probing {
-			reason = ledger.Unsent // it says nothing of the worker node
+			reason = requests.ReasonNotSent // it says nothing of the worker node
 		}
 	}
 	switch {
-	case k.stage >= ledger.AllWritten && errors.Is(cause, errLate):
-		reason = ledger.Expired
+	case k.stage >= requests.StageWritten && errors.Is(cause, errLate):
+		reason = requests.ReasonTimeout
 	case k.errand.kind == probing && errors.Is(cause, errStray):
-		reason = ledger.Unsent // it says nothing of the worker node
+		reason = requests.ReasonNotSent // it says nothing of the worker node
 	}
-	k.settle(&ledger.Fault{Stage: k.stage, Reason: reason, Cause: cause})
+	k.settle(&requests.AttemptError{Stage: k.stage, Reason: reason, Cause: cause})
 }
 
 func (k *serverLink) broken() { k.end(errors.New("panic")) }
