--- a/internal/link/servers_test.go
+++ b/internal/link/servers_test.go
@@ -8,25 +8,25 @@
 	"testing"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 	"valvecove/internal/steps"
-	"valvecove/logic"
 )
 
 // answers are what a worker node may say to a request, and how an attempt ends by it; -1: it goes on.
 var answers = []struct {
 	text string
-	want logic.Result
+	want dispatch.Result
 }{
 	{"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n", -1},
 	{"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", -1},
-	{"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", logic.Full},
-	{"HTTP/1.1 504 Late\r\nX-Rejected: 1\r\nConnection: close\r\n\r\n", logic.Full},
-	{"HTTP/1.1 503 Trouble\r\nContent-Length: 2\r\n\r\nno", logic.Failed},
-	{"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n", logic.Failed},
-	{"HTTP/1.1 400 Unusable\r\nContent-Length: 0\r\n\r\n", logic.NotSent},
-	{"garbage\r\n\r\n", logic.Reset},
+	{"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", dispatch.WorkerFull},
+	{"HTTP/1.1 504 Late\r\nX-Rejected: 1\r\nConnection: close\r\n\r\n", dispatch.WorkerFull},
+	{"HTTP/1.1 503 Trouble\r\nContent-Length: 2\r\n\r\nno", dispatch.Failed},
+	{"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
+	{"HTTP/1.1 400 Unusable\r\nContent-Length: 0\r\n\r\n", dispatch.NotSent},
+	{"garbage\r\n\r\n", dispatch.ConnectionReset},
 }
 
 // tried is what the model knows of an attempt.
@@ -36,7 +36,7 @@
 	accepted bool
 	taken    bool // and that was read while it was out: from then on only a DELETE gives it up
 	deleted  bool
-	want     logic.Result // once settled
+	want     dispatch.Result // once settled
 	settled  bool
 }
 
@@ -65,11 +65,11 @@
 		switch what := s.Pick(10); {
 		case what < 2 && len(queries) < 8:
 			id := fmt.Sprint("q", len(queries))
-			q, err := w.loop.Ledger.Take(w.now, ledger.Arrival{Call: id, Job: logic.Job{Left: 5 * time.Second},
-				Parcel: ledger.Parcel{Verb: "POST", Path: "/a", Body: bytes.Repeat([]byte{'x'}, sizes[s.Pick(3)])}, Asker: nobody{}})
+			q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: id, Job: dispatch.Job{Remaining: 5 * time.Second},
+				Payload: requests.Payload{Method: "POST", Path: "/a", Body: bytes.Repeat([]byte{'x'}, sizes[s.Pick(3)])}, Responder: nobody{}})
 			s.Check(err == nil, "not taken: %v", err)
 			queries = append(queries, q.ID)
-			w.module.Next = append(w.module.Next, logic.Send{Job: q.ID, Worker: w.worker()})
+			w.module.Next = append(w.module.Next, dispatch.Send{Job: q.ID, Worker: w.worker()})
 			attempts[id] = &tried{}
 			s.Did("send")
 		case what < 6 && len(w.dialed) > 0:
@@ -80,12 +80,12 @@
 				w.workerActs(p, attempts)
 			}
 		case what == 6 && len(queries) > 0:
-			w.module.Next = append(w.module.Next, logic.Cancel{Job: queries[s.Pick(len(queries))]})
-			w.loop.Ledger.HostsLost()
+			w.module.Next = append(w.module.Next, dispatch.Cancel{Job: queries[s.Pick(len(queries))]})
+			w.loop.Ledger.DiscoveryFailed()
 			s.Did("cancel")
 		case what == 7:
-			w.module.Next = append(w.module.Next, logic.Probe{Worker: w.worker()})
-			w.loop.Ledger.HostsLost()
+			w.module.Next = append(w.module.Next, dispatch.HealthCheck{Worker: w.worker()})
+			w.loop.Ledger.DiscoveryFailed()
 			probes++
 			s.Did("probe")
 		case what == 8:
@@ -143,7 +143,7 @@
 			}
 		}
 		if t != nil && !t.settled {
-			t.want, t.settled = logic.Reset, true
+			t.want, t.settled = dispatch.ConnectionReset, true
 		}
 		p.close()
 		w.Did("close")
@@ -161,7 +161,7 @@
 // carries tells whether an attempt of a query is on its way.
 func (w *world) carries(call string) bool {
 	for a := range w.loop.servers.carried {
-		if a.Query.Call == call && !a.Ended() {
+		if a.Request.CallID == call && !a.HasEnded() {
 			return true
 		}
 	}
@@ -170,12 +170,12 @@
 
 // judge checks what the module heard against what the worker node saw.
 func (w *world) judge(queries []uint64, attempts map[string]*tried, probes int) {
-	heard := map[uint64][]logic.Result{}
+	heard := map[uint64][]dispatch.Result{}
 	for _, e := range w.module.Heard {
 		switch e := e.(type) {
-		case logic.Outcome:
+		case dispatch.Outcome:
 			heard[e.Job] = append(heard[e.Job], e.Result)
-		case logic.Probed:
+		case dispatch.HealthChecked:
 			probes--
 		}
 	}
@@ -183,16 +183,16 @@
 	for n, q := range queries {
 		t, got := attempts[fmt.Sprint("q", n)], heard[q]
 		w.Check(len(got) == 1, "outcomes %v for one attempt", got)
-		gaveUp := got[0] == logic.TimedOut || got[0] == logic.Cancelled
-		w.Check(got[0] != logic.Cancelled || !t.taken || t.deleted, "given up, and its worker node does not know")
+		gaveUp := got[0] == dispatch.TimedOut || got[0] == dispatch.Cancelled
+		w.Check(got[0] != dispatch.Cancelled || !t.taken || t.deleted, "given up, and its worker node does not know")
 		switch {
 		case gaveUp: // at any time
-		case got[0] == logic.NoConnect:
+		case got[0] == dispatch.ConnectFailed:
 			w.Check(!t.whole, "could not connect, though its last byte had come")
 		case t.settled:
 			w.Check(got[0] == t.want, "ended as %v, expected %v", got[0], t.want)
 		default:
-			w.Check(got[0] == logic.Reset && t.whole && !t.accepted, "ended as %v, whole %v, and no word of it", got[0], t.whole)
+			w.Check(got[0] == dispatch.ConnectionReset && t.whole && !t.accepted, "ended as %v, whole %v, and no word of it", got[0], t.whole)
 		}
 	}
 	w.Check(len(w.loop.servers.carried) == 0, "an attempt is still carried")
@@ -203,20 +203,20 @@
 
 type nobody struct{}
 
-func (nobody) Serve([]byte)           {}
-func (nobody) Throttle(time.Duration) {}
-func (nobody) Fail()                  {}
+func (nobody) RespondResult([]byte)          {}
+func (nobody) RespondRejected(time.Duration) {}
+func (nobody) RespondFailed()                {}
 
 // A link that breaks after it was idle says nothing of its worker node. From then on links are not used again when
 // they have been idle for nearly as long, until all has gone well for a while.
 func TestTrustInIdleLinks(t *testing.T) {
 	w := newWorld(&steps.Steps{T: t})
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-	probe := func(idle time.Duration, answer string, wantLinks int, want logic.Result) {
+	probe := func(idle time.Duration, answer string, wantLinks int, want dispatch.Result) {
 		t.Helper()
 		w.now += idle
-		w.module.Next = append(w.module.Next, logic.Probe{Worker: w.worker()})
-		w.loop.Ledger.HostsLost()
+		w.module.Next = append(w.module.Next, dispatch.HealthCheck{Worker: w.worker()})
+		w.loop.Ledger.DiscoveryFailed()
 		w.turn()
 		if len(w.dialed) != wantLinks {
 			t.Errorf("%d links opened, expected %d", len(w.dialed), wantLinks)
@@ -228,40 +228,40 @@
 			p.write([]byte(answer))
 		}
 		w.turn()
-		if got, _ := w.module.Heard[len(w.module.Heard)-1].(logic.Probed); got.Result != want {
+		if got, _ := w.module.Heard[len(w.module.Heard)-1].(dispatch.HealthChecked); got.Result != want {
 			t.Errorf("probe ended as %v, expected %v", got.Result, want)
 		}
 	}
-	probe(0, ok, 1, logic.OK)
-	probe(4*trustLeast, ok, 1, logic.OK)
-	probe(4*trustLeast, "", 1, logic.NotSent)
-	probe(0, ok, 2, logic.OK)
-	probe(trustLeast, ok, 2, logic.OK)
-	probe(3*trustLeast, ok, 3, logic.OK)
-	probe(0, ok, 3, logic.OK)
+	probe(0, ok, 1, dispatch.OK)
+	probe(4*trustLeast, ok, 1, dispatch.OK)
+	probe(4*trustLeast, "", 1, dispatch.NotSent)
+	probe(0, ok, 2, dispatch.OK)
+	probe(trustLeast, ok, 2, dispatch.OK)
+	probe(3*trustLeast, ok, 3, dispatch.OK)
+	probe(0, ok, 3, dispatch.OK)
 	for range 3 {
 		w.now += trustGrows
 		w.turn()
 	}
-	probe(0, ok, 4, logic.OK)
-	probe(3*trustLeast, ok, 4, logic.OK)
-	probe(trustGrows*100, "", 5, logic.Reset) // a new one does say something
+	probe(0, ok, 4, dispatch.OK)
+	probe(3*trustLeast, ok, 4, dispatch.OK)
+	probe(trustGrows*100, "", 5, dispatch.ConnectionReset) // a new one does say something
 }
 
 // A link to a process that has been replaced is not used again, nor one that is about to be closed as idle; an
 // attempt given up after it was accepted is withdrawn by name.
 func TestLinksAreRetired(t *testing.T) {
 	w := newWorld(&steps.Steps{T: t})
-	host := ledger.Host{ID: "s-0", Addr: "127.0.0.1:1", State: "up", StartedMs: 5}
+	host := requests.Endpoint{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up", StartedAtMs: 5}
 	sent := 0
 	send := func() *peer {
 		sent++
-		q, err := w.loop.Ledger.Take(w.now, ledger.Arrival{Call: fmt.Sprint("q", sent), Job: logic.Job{Left: 5 * time.Second},
-			Parcel: ledger.Parcel{Verb: "POST", Path: "/a"}, Asker: nobody{}})
+		q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: fmt.Sprint("q", sent), Job: dispatch.Job{Remaining: 5 * time.Second},
+			Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: nobody{}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.module.Next = append(w.module.Next, logic.Send{Job: q.ID, Worker: w.worker()})
+		w.module.Next = append(w.module.Next, dispatch.Send{Job: q.ID, Worker: w.worker()})
 		w.turn()
 		p := w.dialed[len(w.dialed)-1]
 		p.read(1 << 12)
@@ -275,8 +275,8 @@
 	if second := send(); second != first {
 		t.Fatal("a link that was free was not used")
 	}
-	w.module.Next = append(w.module.Next, logic.Cancel{Job: 2})
-	w.loop.Ledger.Hosts(ledger.HostGroup{Hosts: []ledger.Host{host}})
+	w.module.Next = append(w.module.Next, dispatch.Cancel{Job: 2})
+	w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Endpoints: []requests.Endpoint{host}})
 	w.turn()
 	last := w.dialed[len(w.dialed)-1]
 	if last.read(1 << 12); last == first || !strings.HasPrefix(string(last.got), "DELETE /jobs/q2 ") {
@@ -292,8 +292,8 @@
 	// Closed since the turn's events were gathered: nothing may be written to it.
 	idle, links := send(), len(w.dialed)
 	idle.close()
-	w.module.Next = append(w.module.Next, logic.Probe{Worker: w.worker()})
-	w.loop.Ledger.HostsLost()
+	w.module.Next = append(w.module.Next, dispatch.HealthCheck{Worker: w.worker()})
+	w.loop.Ledger.DiscoveryFailed()
 	if w.loop.Ledger.Step(w.now); len(w.dialed) != links+1 {
 		t.Error("a link that had just been closed was used")
 	}
@@ -305,16 +305,16 @@
 	for name, size := range map[string]int{"connecting": 0, "partly written": maxBody} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(&steps.Steps{T: t})
-			q, err := w.loop.Ledger.Take(w.now, ledger.Arrival{Call: "q", Job: logic.Job{Left: 5 * time.Second},
-				Parcel: ledger.Parcel{Verb: "POST", Path: "/a", Body: make([]byte, size)}, Asker: nobody{}})
+			q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
+				Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{}})
 			if err != nil {
 				t.Fatal(err)
 			}
-			w.module.Next = append(w.module.Next, logic.Send{Job: q.ID, Worker: w.worker()})
+			w.module.Next = append(w.module.Next, dispatch.Send{Job: q.ID, Worker: w.worker()})
 			if w.loop.Ledger.Step(w.now); size > 0 {
 				w.turn()
 			}
-			if known, err := w.loop.Ledger.Tell(ledger.Note{ID: "q", From: "s-0", State: "returned"}); !known || err != nil {
+			if known, err := w.loop.Ledger.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "returned"}); !known || err != nil {
 				t.Fatalf("the note is known %v, %v", known, err)
 			}
 			p, m := w.dialed[0], Message{}
@@ -339,34 +339,34 @@
 // not up yet or has taken a part, and whoever ended the query.
 func TestQueryThatIsOverIsNotSentOn(t *testing.T) {
 	result := "r"
-	ends := map[string]func(w *world, q *ledger.Query){
-		"client left": func(w *world, q *ledger.Query) { w.loop.Ledger.Gone(q) },
-		"served by another copy": func(w *world, _ *ledger.Query) {
-			if known, err := w.loop.Ledger.Tell(ledger.Note{ID: "q", From: "s-1", State: "done", Result: &result}); !known || err != nil {
+	ends := map[string]func(w *world, q *requests.Request){
+		"client left": func(w *world, q *requests.Request) { w.loop.Ledger.ClientDisconnected(q) },
+		"served by another copy": func(w *world, _ *requests.Request) {
+			if known, err := w.loop.Ledger.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-1", State: "done", Result: &result}); !known || err != nil {
 				t.Errorf("the note is known %v, %v", known, err)
 			}
 		},
-		"refused": func(w *world, q *ledger.Query) {
-			w.module.Next = append(w.module.Next, logic.Refuse{Job: q.ID})
+		"refused": func(w *world, q *requests.Request) {
+			w.module.Next = append(w.module.Next, dispatch.Reject{Job: q.ID})
 			w.loop.Ledger.Wake()
 			w.loop.Ledger.Step(w.now)
 		},
-		"finished": func(w *world, _ *ledger.Query) { w.loop.Ledger.Finish(0) },
+		"finished": func(w *world, _ *requests.Request) { w.loop.Ledger.CloseSince(0) },
 	}
 	for name, end := range ends {
 		for stage, size := range map[string]int{"connecting": 0, "partly written": maxBody} {
 			t.Run(name+", "+stage, func(t *testing.T) {
 				w := newWorld(&steps.Steps{T: t})
-				w.loop.Ledger.Hosts(ledger.HostGroup{Reset: true, Hosts: []ledger.Host{{ID: "s-0", Addr: "127.0.0.1:1", State: "up"},
-					{ID: "s-1", Addr: "127.0.0.1:2", State: "up"}}})
+				w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
+					{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"}}})
 				w.turn()
-				q, err := w.loop.Ledger.Take(w.now, ledger.Arrival{Call: "q", Job: logic.Job{Left: 5 * time.Second},
-					Parcel: ledger.Parcel{Verb: "POST", Path: "/a", Body: make([]byte, size)}, Asker: nobody{}})
+				q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
+					Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{}})
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, worker := range w.module.Heard[len(w.module.Heard)-1].(logic.WorkerList).Workers {
-					w.module.Next = append(w.module.Next, logic.Send{Job: q.ID, Worker: worker.ID})
+				for _, worker := range w.module.Heard[len(w.module.Heard)-1].(dispatch.WorkerList).Workers {
+					w.module.Next = append(w.module.Next, dispatch.Send{Job: q.ID, Worker: worker.ID})
 				}
 				if w.loop.Ledger.Step(w.now); size > 0 {
 					w.turn()
@@ -396,8 +396,8 @@
 	steps.Fuzz(f, func(s *steps.Steps) {
 		w := newWorld(s)
 		told := []int{}
-		w.module.Next = append(w.module.Next, logic.Subscribe{})
-		w.loop.Ledger.HostsLost()
+		w.module.Next = append(w.module.Next, dispatch.Subscribe{})
+		w.loop.Ledger.DiscoveryFailed()
 		w.turn()
 		p := w.dialed[0]
 		p.read(1 << 12)
@@ -459,10 +459,10 @@
 		p.write([]byte(unsent))
 		w.turn()
 		for _, e := range w.module.Heard[before:] {
-			if list := e.(logic.WorkerList); list.Kind == logic.ListLost {
+			if list := e.(dispatch.WorkerList); list.Kind == dispatch.ListUnavailable {
 				s.Check(lost, "told as lost")
 				lost = false
-			} else if s.Check(len(told) > 0, "an unknown list was told"); w.loop.Ledger.Host(list.Workers[0].ID).ID == fmt.Sprint("s-", told[0]) {
+			} else if s.Check(len(told) > 0, "an unknown list was told"); w.loop.Ledger.Endpoint(list.Workers[0].ID).ID == fmt.Sprint("s-", told[0]) {
 				told = told[1:]
 			}
 		}
--- a/internal/link/settings_test.go
+++ b/internal/link/settings_test.go
@@ -16,11 +16,11 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/internal/freshness"
-	"valvecove/internal/ledger"
+	"valvecove/internal/discovery"
+	"valvecove/internal/requests"
 	"valvecove/internal/steps"
-	"valvecove/logic"
 )
 
 // deployment is a world round a loop with the module that decides in service, both by settings that a seed draws:
@@ -43,7 +43,7 @@
 
 // workerNode is one host of the generated host group.
 type workerNode struct {
-	ledger.Host
+	requests.Endpoint
 	at          netip.AddrPort
 	zone, kind  int
 	drainsSince time.Duration // told so; 0: it does not drain
@@ -159,9 +159,9 @@
 	for _, name := range names(rng, rng.IntN(4)) {
 		tenants = append(tenants, object{"name": name, "quota_per_s": float64(rng.IntN(3)) * 40 * rng.Float64()})
 	}
-	var hosts []ledger.Host
+	var hosts []requests.Endpoint
 	for _, n := range nodes {
-		hosts = append(hosts, n.Host)
+		hosts = append(hosts, n.Endpoint)
 	}
 	of := 1 + rng.IntN(5)
 	settings := object{"replicas_of_me": of, "me": rng.IntN(of), "zone": rng.IntN(len(zones)), "zones": zones, "kinds": kinds,
@@ -176,7 +176,7 @@
 	set(settings)
 	text, err := json.Marshal(object{"name": "n0", "listen": "127.0.0.1:0", "discovery": "10.9.9.9:8500", "seed": strconv.FormatUint(rng.Uint64(), 16),
 		"limits": object{"sockets": 64 + rng.IntN(900), "memory_mb": 16 + rng.IntN(170)},
-		"known":  ledger.HostGroup{Generation: 1, Reset: true, Hosts: hosts}, "settings": settings})
+		"known":  requests.EndpointList{Revision: 1, Reset: true, Endpoints: hosts}, "settings": settings})
 	if err != nil {
 		panic(err)
 	}
@@ -193,10 +193,10 @@
 	for i := range 2 + rng.IntN(7) {
 		n := &workerNode{zone: rng.IntN(len(zones)), kind: rng.IntN(len(kinds))}
 		n.at = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i), byte(1 + rng.IntN(250))}), uint16(1000+rng.IntN(60000)))
-		n.Host = ledger.Host{ID: fmt.Sprintf("s-%08x", rng.Uint32()), Addr: n.at.String(), Zone: zones[n.zone], Kind: kinds[n.kind],
-			Cell: rng.IntN(3), State: "up", Weight: float64(rng.IntN(3))}
+		n.Endpoint = requests.Endpoint{ID: fmt.Sprintf("s-%08x", rng.Uint32()), Addr: n.at.String(), Zone: zones[n.zone], MachineType: kinds[n.kind],
+			Cell: rng.IntN(3), Lifecycle: "up", Weight: float64(rng.IntN(3))}
 		if rng.IntN(3) == 0 {
-			n.StartedMs = (w.now - time.Duration(rng.IntN(int(20*time.Second)))).Milliseconds()
+			n.StartedAtMs = (w.now - time.Duration(rng.IntN(int(20*time.Second)))).Milliseconds()
 		}
 		d.nodes = append(d.nodes, n)
 	}
@@ -224,13 +224,13 @@
 	c := d.conf
 	servers, clients := share(c.Limits.Sockets, 0)
 	l.limits, l.onWake = c.Limits, func() {}
-	l.serve(servers, c.Settings.ConnectTimeout, c.Settings.ConnIdle)
-	l.watch = l.newWatch(c.Discovery, freshness.Rules{AskEvery: c.Settings.AskEvery, Pushed: !c.Settings.MustSubscribe,
-		Callers: c.Settings.Replicas}, rand.New(rand.NewPCG(c.Seed, freshSeed)).Int64N)
-	l.Ledger = ledger.New(c.Settings.TryLimit, c.Settings.Names, func() ledger.Module { return logic.New(c.Settings.Settings, c.Seed) },
+	l.serve(servers, c.Settings.ConnectTimeout, c.Settings.ConnIdleTimeout)
+	l.watch = l.newWatchConnection(c.Discovery, discovery.Config{PollInterval: c.Settings.PollInterval, Pushed: !c.Settings.MustSubscribe,
+		Schedulers: c.Settings.Replicas}, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
+	l.Ledger = requests.New(c.Settings.AttemptLimit, c.Settings.Names, func() requests.Policy { return dispatch.New(c.Settings.Settings, c.Seed) },
 		c.Known, l.servers, log)
 	l.accept(clients, bufferBudget(c), &c.Settings.Settings, c.Settings.Names)
-	l.watch.begin(len(c.Known.Hosts) > 0)
+	l.watch.start(len(c.Known.Endpoints) > 0)
 	d.T.Cleanup(func() {
 		for fd, h := range l.handlers {
 			if h != nil {
@@ -357,7 +357,7 @@
 		}
 		p.write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 	case string(m.Method) == "GET":
-		d.Check(d.conf.Settings.Probes, "a probe, and the settings allow none")
+		d.Check(d.conf.Settings.HealthChecks, "a probe, and the settings allow none")
 		if d.rng.IntN(4) > 0 {
 			p.write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 		}
@@ -386,25 +386,25 @@
 	for i, t := range q.tries {
 		out := !t.ended && !t.givenUp
 		d.Check(!out || t.node != n, "%s went twice to %s", q.id, n.ID)
-		d.Check(!out || set.SecondCopies, "%s: a second copy after attempt %d", q.id, i)
-		if t.never || class.Effect == logic.Safe {
+		d.Check(!out || set.Hedging, "%s: a second copy after attempt %d", q.id, i)
+		if t.never || class.Idempotency == dispatch.Idempotent {
 			continue
 		}
-		d.Check(class.Effect == logic.Keyed, "%s may run twice: attempt %d, ended %v, given up %v", q.id, i, t.ended, t.givenUp)
-		same := class.Group == logic.GroupAll || class.Group == logic.GroupZone && t.node.zone == n.zone ||
-			class.Group == logic.GroupCell && t.node.Cell == n.Cell
+		d.Check(class.Idempotency == dispatch.IdempotentWithKey, "%s may run twice: attempt %d, ended %v, given up %v", q.id, i, t.ended, t.givenUp)
+		same := class.DeduplicationScope == dispatch.ScopeAll || class.DeduplicationScope == dispatch.ScopeZone && t.node.zone == n.zone ||
+			class.DeduplicationScope == dispatch.ScopeCell && t.node.Cell == n.Cell
 		d.Check(same, "%s went to another group after attempt %d", q.id, i)
-		d.Check(d.now-t.at <= class.Window+50*time.Millisecond, "%s went again %v after attempt %d, window %v", q.id, d.now-t.at, i, class.Window)
+		d.Check(d.now-t.at <= class.DeduplicationWindow+50*time.Millisecond, "%s went again %v after attempt %d, window %v", q.id, d.now-t.at, i, class.DeduplicationWindow)
 	}
 	t := &try{of: q, node: n, at: d.now}
 	q.tries, d.out = append(q.tries, t), append(d.out, t)
-	d.Check(len(q.tries) <= set.TryLimit, "%s has %d attempts", q.id, len(q.tries))
+	d.Check(len(q.tries) <= set.AttemptLimit, "%s has %d attempts", q.id, len(q.tries))
 	if p.ended { // given up as soon as it was written
 		t.givenUp = true
 		return
 	}
 	f.try = t
-	work := time.Duration(1+d.rng.IntN(int(class.GiveUp.Milliseconds()))) * time.Millisecond / time.Duration(1+d.rng.IntN(40))
+	work := time.Duration(1+d.rng.IntN(int(class.ClientTimeout.Milliseconds()))) * time.Millisecond / time.Duration(1+d.rng.IntN(40))
 	switch d.rng.IntN(18) {
 	case 0:
 		d.answer(p, f, "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
@@ -426,7 +426,7 @@
 		t.accepted = true
 		t.ends = d.now + work
 		t.state = []string{"done", "done", "done", "done", "done", "failed", "returned", "lost"}[d.rng.IntN(8)]
-		if set.TellsStart && t.state != "returned" {
+		if set.StartNotifications && t.state != "returned" {
 			t.start = d.now + work/3
 		}
 		if d.rng.IntN(10) == 0 {
@@ -450,8 +450,8 @@
 func (d *deployment) crash(n *workerNode) {
 	d.settle()
 	n.down = d.now + time.Duration(d.rng.IntN(800))*time.Millisecond
-	if n.State == "up" {
-		n.StartedMs = n.down.Milliseconds()
+	if n.Lifecycle == "up" {
+		n.StartedAtMs = n.down.Milliseconds()
 	}
 	for _, p := range d.dialed {
 		if f := d.known[p]; f.node == n {
@@ -505,9 +505,9 @@
 
 // list tells the whole list on a watch.
 func (d *deployment) list(p *peer) {
-	g := ledger.HostGroup{Generation: int64(d.told), Reset: true}
+	g := requests.EndpointList{Revision: int64(d.told), Reset: true}
 	for _, n := range d.nodes {
-		g.Hosts = append(g.Hosts, n.Host)
+		g.Endpoints = append(g.Endpoints, n.Endpoint)
 	}
 	text, err := json.Marshal(g)
 	if err != nil {
@@ -521,11 +521,11 @@
 	set := &d.conf.Settings
 	q := &asked{id: fmt.Sprintf("%016x", d.rng.Uint64()), class: d.rng.IntN(len(set.Classes))}
 	class, name := set.Classes[q.class], set.Names.Classes[q.class]
-	budget := class.GiveUp / time.Duration(1+d.rng.IntN(3))
+	budget := class.ClientTimeout / time.Duration(1+d.rng.IntN(3))
 	budget = max(budget.Truncate(time.Millisecond), time.Millisecond)
 	q.deadline = d.now + budget
 	head := fmt.Sprintf("POST /%s/%x HTTP/1.1\r\nHost: h\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget-Ms: %d\r\n", name, d.rng.IntN(9), q.id, name, budget.Milliseconds())
-	if class.Effect == logic.Keyed {
+	if class.Idempotency == dispatch.IdempotentWithKey {
 		q.key = fmt.Sprintf("%032x", d.rng.Uint64())
 		head += "Idempotency-Key: " + q.key + "\r\n"
 	}
@@ -591,7 +591,7 @@
 		d.change()
 		d.settle()
 	}
-	for d.loop.Ledger.Open() > 0 {
+	for d.loop.Ledger.OpenCount() > 0 {
 		d.now += 25 * time.Millisecond
 		d.tell()
 		d.settle()
@@ -608,7 +608,7 @@
 			again++
 		}
 	}
-	d.Check(d.loop.Ledger.Open() == 0 && d.loop.Ledger.Bytes() == 0, "%d queries open, with %d bytes", d.loop.Ledger.Open(), d.loop.Ledger.Bytes())
+	d.Check(d.loop.Ledger.OpenCount() == 0 && d.loop.Ledger.PayloadBytes() == 0, "%d queries open, with %d bytes", d.loop.Ledger.OpenCount(), d.loop.Ledger.PayloadBytes())
 	d.T.Logf("%d queries, %d with a result, %d with further attempts", len(d.asked), served, again)
 }
 
@@ -616,10 +616,10 @@
 func (d *deployment) change() {
 	changed := d.rng.IntN(60) == 0
 	if n := d.nodes[d.rng.IntN(len(d.nodes))]; changed {
-		if d.told++; n.State == "up" {
-			n.State = "draining"
+		if d.told++; n.Lifecycle == "up" {
+			n.Lifecycle = "draining"
 		} else {
-			n.State, n.StartedMs = "up", d.now.Milliseconds()
+			n.Lifecycle, n.StartedAtMs = "up", d.now.Milliseconds()
 		}
 	}
 	d.discovery = slices.DeleteFunc(d.discovery, func(p *peer) bool { return p.closed || p.ended })
@@ -636,7 +636,7 @@
 	}
 	for _, n := range d.nodes { // told only where a watch is open
 		switch {
-		case n.State == "up":
+		case n.Lifecycle == "up":
 			n.drainsSince = 0
 		case n.drainsSince == 0 && changed && len(d.discovery) == 1:
 			n.drainsSince = d.now
--- a/internal/link/start.go
+++ b/internal/link/start.go
@@ -9,24 +9,24 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/dispatch"
 	"valvecove/internal/address"
 	"valvecove/internal/aperture"
 	"valvecove/internal/capture"
 	"valvecove/internal/config"
+	"valvecove/internal/discovery"
 	"valvecove/internal/figures"
-	"valvecove/internal/freshness"
-	"valvecove/internal/ledger"
 	"valvecove/internal/oplog"
+	"valvecove/internal/requests"
 	"valvecove/internal/status"
 	"valvecove/internal/tally"
-	"valvecove/logic"
 )
 
 // Own descriptors besides links: standard ones, epoll, eventfd, listener, watch, and what the runtime opens.
 const ownDescriptors = 24
 
-// freshSeed keeps the instants of calls to discovery apart from what else is drawn from a scheduler's seed.
-const freshSeed = 0x66726573
+// watchSeed keeps the instants of calls to discovery apart from what else is drawn from a scheduler's seed.
+const watchSeed = 0x66726573
 
 // Open returns a loop that listens and is ready to run, with the features that are on. figuresTo are targets of figures
 // besides a collector.
@@ -41,9 +41,9 @@
 	l.side, l.limits = forFeatures(c, ops), c.Limits
 	l.events = make([]unix.EpollEvent, max(c.Limits.Sockets, len(l.events)))
 	servers, clients := share(c.Limits.Sockets, l.side)
-	l.serve(servers, c.Settings.ConnectTimeout, c.Settings.ConnIdle)
-	l.watch = l.newWatch(c.Discovery, freshness.Rules{AskEvery: c.Settings.AskEvery, Pushed: !c.Settings.MustSubscribe,
-		Callers: c.Settings.Replicas}, rand.New(rand.NewPCG(c.Seed, freshSeed)).Int64N)
+	l.serve(servers, c.Settings.ConnectTimeout, c.Settings.ConnIdleTimeout)
+	l.watch = l.newWatchConnection(c.Discovery, discovery.Config{PollInterval: c.Settings.PollInterval, Pushed: !c.Settings.MustSubscribe,
+		Schedulers: c.Settings.Replicas}, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
 	decisions := log.Kind()
 	if ops.Capture != nil {
 		if l.Capture, err = capture.New(*ops.Capture, c, l.Now, decisions); err != nil {
@@ -51,32 +51,32 @@
 		}
 	}
 	seed := c.Seed
-	narrowed := ops.Aperture != nil && ops.Aperture.On(c.Settings.Replicas)
+	narrowed := ops.Aperture != nil && ops.Aperture.Enabled(c.Settings.Replicas)
 	if !narrowed { // else what stands round the module has a state of its own
-		l.wrap = func(d *logic.Dispatcher) ledger.Module {
+		l.wrap = func(d *dispatch.Dispatcher) requests.Policy {
 			if l.Capture != nil {
 				return l.Capture.Continue(d)
 			}
 			return d
 		}
 	}
-	module := func() ledger.Module {
+	module := func() requests.Policy {
 		seed++
-		d := logic.New(c.Settings.Settings, seed)
+		d := dispatch.New(c.Settings.Settings, seed)
 		l.decides = d
-		m := ledger.Module(d)
+		m := requests.Policy(d)
 		if l.Capture != nil {
 			m = l.Capture.Wrap(d)
 		}
 		if narrowed { // before the capture: that records what the module itself was told, and replays alone
-			m = aperture.Wrap(m, c.Settings.Settings, *ops.Aperture)
+			m = aperture.New(m, c.Settings.Settings, *ops.Aperture)
 		}
 		return m
 	}
-	l.Ledger = ledger.New(c.Settings.TryLimit, c.Settings.Names, module, c.Known, l.servers, decisions)
+	l.Ledger = requests.New(c.Settings.AttemptLimit, c.Settings.Names, module, c.Known, l.servers, decisions)
 	if l.Capture != nil {
-		l.Capture.Host = l.Ledger.Host
-		l.Ledger.Attach(l.Capture)
+		l.Capture.Host = l.Ledger.Endpoint
+		l.Ledger.AddObserver(l.Capture)
 	}
 	l.accept(clients, bufferBudget(c), &c.Settings.Settings, c.Settings.Names)
 	if !c.Management.IsValid() {
@@ -92,14 +92,14 @@
 		if err := l.serveOperators(c.Management, count); err != nil {
 			return nil, fmt.Errorf("key \"management\": %w", err)
 		}
-		l.Ledger.Attach(count)
+		l.Ledger.AddObserver(count)
 	}
 	if ops.Status != nil {
-		table := status.New(*ops.Status, c.Settings.Names, c.Settings.TellsStart, l.Now)
+		table := status.New(*ops.Status, c.Settings.Names, c.Settings.StartNotifications, l.Now)
 		if err := l.serveStatus(ops.StatusAddr(c), table); err != nil {
 			return nil, fmt.Errorf("key \"status.listen_port\": %w", err)
 		}
-		l.Ledger.Attach(table)
+		l.Ledger.AddObserver(table)
 	}
 	if ops.Figures != nil {
 		targets := figuresTo
@@ -107,12 +107,12 @@
 			targets = append(targets, &collector{to: ops.Figures.To, fd: -1})
 		}
 		l.figures = figures.New(*ops.Figures, c.Settings.Names, l.Now, targets...)
-		l.Ledger.Attach(l.figures)
+		l.Ledger.AddObserver(l.figures)
 		l.sendFigures(l.figures)
 	}
-	l.watch.begin(len(c.Known.Hosts) > 0)
-	if wait := l.watch.fresh.FirstWait(); wait > 0 && l.Ledger.CanServe() {
-		l.Ledger.Await(l.now + wait)
+	l.watch.start(len(c.Known.Endpoints) > 0)
+	if wait := l.watch.machine.InitialWait(); wait > 0 && l.Ledger.HasReadyWorker() {
+		l.Ledger.AwaitEndpoints(l.now + wait)
 	}
 	return l, nil
 }
@@ -121,19 +121,19 @@
 // at the clients' address, so that one that can't be reached by its successor can be replaced too.
 func (l *Loop) begin(c config.Config) error {
 	l.onFail = func(err error) { l.log.Error("can't go on", "error", err) }
-	out, err := readBans(c.Dir)
+	out, err := readCordonFile(c.Dir)
 	if err != nil { // served on: a worker node that should be out is out again with the next call
 		l.log.Error("worker nodes out by hand can't be read", "error", err)
 	}
-	if l.Ledger.SetBans(out); len(out) > 0 {
+	if l.Ledger.SetCordoned(out); len(out) > 0 {
 		l.log.Info("worker nodes out by hand", "hosts", strings.Join(out, " "))
 	}
-	l.keep(c.Dir)
-	if l.succeed(c.Dir, c.Listen) {
+	l.openCordonStore(c.Dir)
+	if l.joinPredecessor(c.Dir, c.Listen) {
 		return nil
 	}
 	if l.clients.fd, err = l.listen(c.Listen, l.clients, unix.SO_REUSEPORT); err == nil {
-		l.awaitHeir(meetingPoints(c.Dir, c.Listen))
+		l.awaitSuccessor(successorAddresses(c.Dir, c.Listen))
 	}
 	return err
 }
@@ -219,8 +219,8 @@
 func (l *Loop) Reload(c config.Config) {
 	l.limits = c.Limits
 	l.divide(l.halved)
-	if c.Discovery != l.watch.to {
-		l.watch.move(c.Discovery)
+	if c.Discovery != l.watch.server {
+		l.watch.changeServer(c.Discovery)
 	}
 }
 
@@ -248,8 +248,8 @@
 
 // RefuseHeld refuses the queries of which nothing was sent yet.
 func (l *Loop) RefuseHeld() {
-	if !l.ceded {
-		l.Ledger.RefuseHeld()
+	if !l.relinquished {
+		l.Ledger.RejectQueued()
 	}
 }
 
@@ -258,10 +258,12 @@
 
 // Finish gives final answers to the queries that came within the last span and are still open.
 func (l *Loop) Finish(span time.Duration) {
-	if !l.ceded {
-		l.Ledger.Finish(l.now - span)
+	if !l.relinquished {
+		l.Ledger.CloseSince(l.now - span)
 	}
 }
 
 // Quiet tells whether every query is answered and every answer has left.
-func (l *Loop) Quiet() bool { return (l.ceded || l.Ledger.Open() == 0) && l.clients.quiet() }
+func (l *Loop) Quiet() bool {
+	return (l.relinquished || l.Ledger.OpenCount() == 0) && l.clients.quiet()
+}
--- a/internal/link/status_test.go
+++ b/internal/link/status_test.go
@@ -7,22 +7,22 @@
 	"testing"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 	"valvecove/internal/status"
 	"valvecove/internal/steps"
-	"valvecove/logic"
 )
 
 // withStatus is a world with a status call that knows one job, "a".
 func withStatus(s *steps.Steps) *world {
 	w := newWorld(s)
-	table := status.New(config.Status{Retain: time.Minute, MaxEntries: 10}, ledger.Names{Classes: []string{"a"}}, true, w.loop.Now)
+	table := status.New(config.Status{Retain: time.Minute, MaxEntries: 10}, requests.NameTable{Classes: []string{"a"}}, true, w.loop.Now)
 	if err := w.loop.serveStatus(netip.MustParseAddrPort("127.0.0.1:0"), table); err != nil {
 		s.T.Fatal(err)
 	}
-	w.loop.Ledger.Attach(table)
-	if _, err := w.loop.Ledger.Take(w.now, ledger.Arrival{Call: "a", Job: logic.Job{Left: time.Hour}}); err != nil {
+	w.loop.Ledger.AddObserver(table)
+	if _, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: "a", Job: dispatch.Job{Remaining: time.Hour}}); err != nil {
 		s.T.Fatal(err)
 	}
 	return w
--- a/internal/link/succession_test.go
+++ b/internal/link/succession_test.go
@@ -9,43 +9,43 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/internal/ledger"
+	"valvecove/internal/hotrestart"
+	"valvecove/internal/requests"
 	"valvecove/internal/steps"
-	"valvecove/internal/succession"
-	"valvecove/logic"
 )
 
-// replaceable makes a world one whose process can be replaced, or can replace another.
-func (w *world) replaceable() {
-	w.loop.decides = logic.New(*w.loop.clients.set, 1)
-	w.loop.wrap = func(*logic.Dispatcher) ledger.Module { return w.module } // what it does is scripted, before and after
+// enableHotRestart makes a world one whose process can be replaced, or can replace another.
+func (w *world) enableHotRestart() {
+	w.loop.decides = dispatch.New(*w.loop.clients.set, 1)
+	w.loop.wrap = func(*dispatch.Dispatcher) requests.Policy { return w.module } // what it does is scripted, before and after
 	w.loop.onFail = func(err error) { w.T.Errorf("a process fails: %v", err) }
 }
 
-// succeeds makes a new world that stands by to replace this one.
-func (w *world) succeeds(dir string, at netip.AddrPort) *world {
+// startSuccessor makes a new world that stands by to replace this one.
+func (w *world) startSuccessor(dir string, at netip.AddrPort) *world {
 	next := newWorld(w.Steps)
-	next.replaceable()
+	next.enableHotRestart()
 	next.now, next.loop.clients.set = w.now, w.loop.clients.set
-	w.Check(next.loop.succeed(dir, at), "no elder")
-	for next.loop.heir.decides.Stand() == succession.Joining {
+	w.Check(next.loop.joinPredecessor(dir, at), "no elder")
+	for next.loop.successorRole.protocol.State() == hotrestart.SuccessorJoining {
 		w.turn()
 		next.turn()
 	}
 	return next
 }
 
-// replacedBy hands over to it.
-func (w *world) replacedBy(next *world) error {
-	ended, heir := make(chan struct{}), next.loop.heir
+// handOverTo hands over to it.
+func (w *world) handOverTo(next *world) error {
+	ended, heir := make(chan struct{}), next.loop.successorRole
 	go func() {
 		defer close(ended)
-		for heir.decides.Stand() == succession.Standing || heir.decides.Stand() == succession.Receiving {
+		for heir.protocol.State() == hotrestart.SuccessorStandby || heir.protocol.State() == hotrestart.SuccessorReceiving {
 			_ = next.loop.turn(1000) // the elder does nothing else meanwhile, so this is another goroutine's
 		}
 	}()
-	err := w.loop.Cede()
+	err := w.loop.Relinquish()
 	if err != nil { // its channel is closed with that
 		_ = w.loop.turn(0)
 	}
@@ -55,23 +55,23 @@
 	return err
 }
 
-func elderWorld(s *steps.Steps, dir string) (*world, netip.AddrPort) {
+func newPredecessorWorld(s *steps.Steps, dir string) (*world, netip.AddrPort) {
 	w := newWorld(s)
-	w.replaceable()
+	w.enableHotRestart()
 	var err error
 	if w.loop.clients.fd, err = w.loop.listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients); err != nil {
 		s.T.Fatal(err)
 	}
-	w.loop.awaitHeir(meetingPoints(dir, w.loop.Addr()))
+	w.loop.awaitSuccessor(successorAddresses(dir, w.loop.Addr()))
 	return w, w.loop.Addr()
 }
 
 // Wherever a hand-over cuts the bytes of a request, of an attempt, of a worker node's answer or of what has been answered, one
 // client on one connection gets each answer once, and worker nodes get each attempt once and whole.
-func FuzzHandOver(f *testing.F) {
+func FuzzHotRestart(f *testing.F) {
 	steps.Fuzz(f, func(s *steps.Steps) {
 		dir := s.T.TempDir()
-		w, at := elderWorld(s, dir)
+		w, at := newPredecessorWorld(s, dir)
 		worker := w.worker()
 		client, fd := w.pair()
 		w.loop.clients.adopt(fd, netip.MustParseAddrPort("127.0.0.1:9"))
@@ -85,9 +85,9 @@
 		body, want := func() string { return fmt.Sprintf("made of q%d", n) }, ""
 		look := func(reads int) {
 			w.turn()
-			s.Check((len(w.loop.Ledger.Bans()) == 1) == out, "bans %v", w.loop.Ledger.Bans())
+			s.Check((len(w.loop.Ledger.Cordoned()) == 1) == out, "bans %v", w.loop.Ledger.Cordoned())
 			for _, p := range w.dialed {
-				if p.at != w.loop.watch.to { // who takes over calls discovery too
+				if p.at != w.loop.watch.server { // who takes over calls discovery too
 					nodes = append(nodes, p)
 				}
 			}
@@ -111,10 +111,10 @@
 		for s.More() {
 			switch what := s.Pick(10); {
 			case what == 0:
-				next := w.succeeds(dir, at)
-				err := w.replacedBy(next)
+				next := w.startSuccessor(dir, at)
+				err := w.handOverTo(next)
 				s.Check(err == nil, "hand-over: %v", err)
-				s.Check(w.loop.ceded && next.loop.elder != nil, "not replaced")
+				s.Check(w.loop.relinquished && next.loop.predecessorRole != nil, "not replaced")
 				w = next
 				s.Did("hand over")
 			case what < 4 && unsent == "" && answer == "" && !sent && seen == n:
@@ -126,9 +126,9 @@
 				client.write([]byte(unsent[:i]))
 				unsent = unsent[i:]
 				s.Did(fmt.Sprint("write ", i))
-			case what < 6 && !out && unsent == "" && seen < n && !sent && w.loop.Ledger.Open() == 1:
-				s.Check(w.loop.Ledger.Query(uint64(n)) != nil, "query %d has another number", n)
-				w.module.Next = []logic.Action{logic.Send{Job: uint64(n), Worker: worker}}
+			case what < 6 && !out && unsent == "" && seen < n && !sent && w.loop.Ledger.OpenCount() == 1:
+				s.Check(w.loop.Ledger.Request(uint64(n)) != nil, "query %d has another number", n)
+				w.module.Next = []dispatch.Action{dispatch.Send{Job: uint64(n), Worker: worker}}
 				w.loop.Ledger.Wake()
 				sent = true
 				s.Did("send")
@@ -139,7 +139,7 @@
 				s.Did("answer")
 			case what >= 6 && answer == "" && sent && seen == n:
 				result := body()
-				_, _ = w.loop.Ledger.Tell(ledger.Note{ID: fmt.Sprint("q", n), From: "s-0", State: "done", Result: &result})
+				_, _ = w.loop.Ledger.HandleCallback(requests.Callback{CallID: fmt.Sprint("q", n), EndpointID: "s-0", State: "done", Result: &result})
 				want += fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body()), body())
 				sent = false
 				answered++
@@ -148,9 +148,9 @@
 				w.now += 20 * time.Millisecond
 			case what == 9 && !sent:
 				if out = !out; out {
-					w.loop.Ledger.Suspend("s-0")
+					w.loop.Ledger.Cordon("s-0")
 				} else {
-					w.loop.Ledger.Restore("s-0")
+					w.loop.Ledger.Uncordon("s-0")
 				}
 				s.Did("ban or end it")
 			}
@@ -160,12 +160,12 @@
 			look(1 << 16)
 		}
 		s.Check(!sent || seen == n, "an attempt did not come whole")
-		s.Check(unsent != "" || n == answered || w.loop.Ledger.Open() == 1, "a query is lost")
+		s.Check(unsent != "" || n == answered || w.loop.Ledger.OpenCount() == 1, "a query is lost")
 	})
 }
 
-// asks has a client of the world, on a link of its own, bring query "q".
-func (w *world) asks(at netip.AddrPort) *peer {
+// sendRequest has a client of the world, on a link of its own, bring query "q".
+func (w *world) sendRequest(at netip.AddrPort) *peer {
 	client, fd := w.pair()
 	w.loop.clients.adopt(fd, at)
 	client.write([]byte("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: q\r\nX-Caller: t\r\nContent-Length: 0\r\n\r\n"))
@@ -175,48 +175,48 @@
 
 // A hand-over that breaks off changes nothing: the elder still has all, and serves; the heir has nothing of it, and asks anew,
 // so that the next one succeeds. A second heir is turned away, and takes nobody's place by that.
-func TestHandOverFails(t *testing.T) {
+func TestFailedTransferChangesNothing(t *testing.T) {
 	s := &steps.Steps{T: t}
 	dir := t.TempDir()
-	w, at := elderWorld(s, dir)
-	if err := w.loop.Cede(); err != ErrNoHeir {
+	w, at := newPredecessorWorld(s, dir)
+	if err := w.loop.Relinquish(); err != ErrNoSuccessor {
 		t.Errorf("with no heir: %v", err)
 	}
-	client := w.asks(at)
-	next := w.succeeds(dir, at)
+	client := w.sendRequest(at)
+	next := w.startSuccessor(dir, at)
 	if both := w.loop.clients.most + next.loop.clients.most; both > 1024-2*ownDescriptors {
 		t.Errorf("two processes hold %d client links", both)
 	}
 	second, denied := newWorld(s), false
-	second.replaceable()
+	second.enableHotRestart()
 	second.loop.onFail = func(error) { denied = true }
-	if !second.loop.succeed(dir, at) {
+	if !second.loop.joinPredecessor(dir, at) {
 		t.Error("the second heir finds no elder")
 	}
 	for !denied {
 		w.turn()
 		second.turn()
 	}
-	if second.loop.elder != nil || second.loop.clients.fd >= 0 {
+	if second.loop.predecessorRole != nil || second.loop.clients.fd >= 0 {
 		t.Error("the second heir serves, or has the elder's place")
 	}
-	heir := next.loop.heir
+	heir := next.loop.successorRole
 	_, stray := w.pair()
-	heir.came.sockets = []int{stray} // what has come makes no sense, but to the end
-	if err := w.replacedBy(next); err == nil || w.loop.ceded || w.loop.Ledger.Open() != 1 {
+	heir.received.descriptors = []int{stray} // what has come makes no sense, but to the end
+	if err := w.handOverTo(next); err == nil || w.loop.relinquished || w.loop.Ledger.OpenCount() != 1 {
 		t.Fatalf("handed over to one that did not take it: %v", err)
 	}
-	for heir.decides.Stand() == succession.Joining || w.loop.elder.heir == nil {
+	for heir.protocol.State() == hotrestart.SuccessorJoining || w.loop.predecessorRole.successor == nil {
 		w.turn()
 		next.turn()
 	}
-	if next.loop.Ledger.Open() != 0 || len(next.loop.clients.links) != 0 || next.loop.clients.fd >= 0 {
+	if next.loop.Ledger.OpenCount() != 0 || len(next.loop.clients.links) != 0 || next.loop.clients.fd >= 0 {
 		t.Error("the heir has something of a hand-over that failed")
 	}
-	if err := w.replacedBy(next); err != nil || next.loop.halved {
+	if err := w.handOverTo(next); err != nil || next.loop.halved {
 		t.Fatalf("the second time: %v", err)
 	}
-	next.module.Next = []logic.Action{logic.Refuse{Job: 1}}
+	next.module.Next = []dispatch.Action{dispatch.Reject{Job: 1}}
 	next.loop.Ledger.Wake()
 	next.turn()
 	if client.read(1 << 16); !strings.HasPrefix(string(client.got), "HTTP/1.1 503 ") {
@@ -225,49 +225,49 @@
 }
 
 // An elder that dies leaves its bans, in the file; what is left at the path of its socket is in nobody's way.
-func TestElderDies(t *testing.T) {
+func TestPredecessorDies(t *testing.T) {
 	s := &steps.Steps{T: t}
 	dir := t.TempDir()
-	w, at := elderWorld(s, dir)
-	next := w.succeeds(dir, at)
-	if err := writeBans(dir+"/"+bansFile, []string{"s-0"}); err != nil {
+	w, at := newPredecessorWorld(s, dir)
+	next := w.startSuccessor(dir, at)
+	if err := writeCordonFile(dir+"/"+cordonFileName, []string{"s-0"}); err != nil {
 		t.Fatal(err)
 	}
-	w.loop.remove(w.loop.elder.fd)
+	w.loop.remove(w.loop.predecessorRole.listenerFD)
 	w.turn()
-	w.loop.elder.heir.drop()
+	w.loop.predecessorRole.successor.closeWithDescriptors()
 	w.turn()
 	next.turn()
-	if got := next.loop.Ledger.Bans(); len(got) != 1 || got[0] != "s-0" || next.loop.clients.fd < 0 || next.loop.unready() == "" {
+	if got := next.loop.Ledger.Cordoned(); len(got) != 1 || got[0] != "s-0" || next.loop.clients.fd < 0 || next.loop.unready() == "" {
 		t.Errorf("after its elder's death: bans %v", got)
 	}
-	third := next.succeeds(dir, at)
-	if err := next.replacedBy(third); err != nil || len(third.loop.Ledger.Bans()) != 1 {
+	third := next.startSuccessor(dir, at)
+	if err := next.handOverTo(third); err != nil || len(third.loop.Ledger.Cordoned()) != 1 {
 		t.Errorf("the next one: %v", err)
 	}
 }
 
 // A module's state that is of no use to the next build costs what was learnt, and no query: its module is told of each query
 // and what became of its attempts.
-func TestOtherModule(t *testing.T) {
+func TestIncompatibleSnapshotKeepsRequests(t *testing.T) {
 	s := &steps.Steps{T: t}
 	dir := t.TempDir()
-	w, at := elderWorld(s, dir)
-	client := w.asks(at)
-	w.module.Next = []logic.Action{logic.Send{Job: 1, Worker: w.worker()}}
+	w, at := newPredecessorWorld(s, dir)
+	client := w.sendRequest(at)
+	w.module.Next = []dispatch.Action{dispatch.Send{Job: 1, Worker: w.worker()}}
 	w.loop.Ledger.Wake()
 	w.turn()
-	next := w.succeeds(dir, at)
+	next := w.startSuccessor(dir, at)
 	set := *w.loop.clients.set
 	set.Classes = append(set.Classes, set.Classes[0]) // a snapshot for other classes is none for these
 	next.loop.clients.set = &set
-	if err := w.replacedBy(next); err != nil {
+	if err := w.handOverTo(next); err != nil {
 		t.Fatal(err)
 	}
 	next.turn()
-	var told []logic.Resumed
+	var told []dispatch.JobResumed
 	for _, e := range next.module.Heard {
-		if r, ok := e.(logic.Resumed); ok {
+		if r, ok := e.(dispatch.JobResumed); ok {
 			told = append(told, r)
 		}
 	}
@@ -275,7 +275,7 @@
 		t.Fatalf("told of %+v", told)
 	}
 	result := "made"
-	_, _ = next.loop.Ledger.Tell(ledger.Note{ID: "q", From: "s-0", State: "done", Result: &result})
+	_, _ = next.loop.Ledger.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result})
 	next.turn()
 	if client.read(1 << 16); !strings.HasSuffix(string(client.got), "made") {
 		t.Errorf("the client got %q", client.got)
@@ -284,66 +284,66 @@
 
 // A call that was handed on, and that the elder had not read when it handed over, is carried out by the new owner. The heir's
 // word counts if it was said before the elder gave up, also behind such a call, and can't be said after that.
-func TestCallCrossesHandOver(t *testing.T) {
+func TestCordonCallCrossesTransfer(t *testing.T) {
 	s := &steps.Steps{T: t}
 	dir := t.TempDir()
-	w, at := elderWorld(s, dir)
-	next := w.succeeds(dir, at)
+	w, at := newPredecessorWorld(s, dir)
+	next := w.startSuccessor(dir, at)
 	code := 0
 	next.loop.ban("s-0", true, func(got int, _ string) { code = got })
-	if err := w.replacedBy(next); err != nil || code != 200 || len(next.loop.Ledger.Bans()) != 1 {
-		t.Errorf("%v, answered %d, bans %v", err, code, next.loop.Ledger.Bans())
+	if err := w.handOverTo(next); err != nil || code != 200 || len(next.loop.Ledger.Cordoned()) != 1 {
+		t.Errorf("%v, answered %d, bans %v", err, code, next.loop.Ledger.Cordoned())
 	}
 	for _, said := range []bool{false, true} {
-		heir := next.succeeds(dir, at).loop.heir
-		_ = heir.say(succession.KindBan, succession.Ban{Seq: 1, ID: "s-0"})
+		heir := next.startSuccessor(dir, at).loop.successorRole
+		_ = heir.sendFrame(hotrestart.KindSetCordon, hotrestart.SetCordon{Sequence: 1, WorkerID: "s-0"})
 		if said {
-			_ = heir.say(succession.KindTaken, nil)
+			_ = heir.sendFrame(hotrestart.KindTakenOver, nil)
 		}
-		if next.loop.elder.heir.taken() != said || heir.say(succession.KindTaken, nil) == nil {
+		if next.loop.predecessorRole.successor.takenOverBeforeShutdown() != said || heir.sendFrame(hotrestart.KindTakenOver, nil) == nil {
 			t.Errorf("said %v, not heard so, or said too late", said)
 		}
-		next.loop.elder.heir.end(nil)
+		next.loop.predecessorRole.successor.disconnect(nil)
 	}
 }
 
 // A process that is told to end while it stands by takes nothing along, and the next can stand by.
-func TestStandDown(t *testing.T) {
+func TestLeaveStandby(t *testing.T) {
 	s := &steps.Steps{T: t}
 	dir := t.TempDir()
-	w, at := elderWorld(s, dir)
-	next := w.succeeds(dir, at)
-	if w.loop.StandDown() || !next.loop.StandDown() || next.loop.StandDown() {
+	w, at := newPredecessorWorld(s, dir)
+	next := w.startSuccessor(dir, at)
+	if w.loop.LeaveStandby() || !next.loop.LeaveStandby() || next.loop.LeaveStandby() {
 		t.Error("one that serves stands down, or one that stands by does not, or does twice")
 	}
 	next.turn()
 	w.turn()
-	if err := w.loop.Cede(); err != ErrNoHeir || w.loop.halved {
+	if err := w.loop.Relinquish(); err != ErrNoSuccessor || w.loop.halved {
 		t.Errorf("handed over to nobody: %v", err)
 	}
 	// Nor does one that connects and never says a word keep others out.
-	mute, err := reach(meetingPoints(dir, at))
+	mute, err := dialPredecessor(successorAddresses(dir, at))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer unix.Close(mute)
 	w.turn()
-	w.now += welcomeWithin
+	w.now += handshakeTimeout
 	w.turn()
-	if err := w.replacedBy(w.succeeds(dir, at)); err != nil {
+	if err := w.handOverTo(w.startSuccessor(dir, at)); err != nil {
 		t.Error(err)
 	}
 }
 
 // Who takes over watches the host group itself, from before it says that it is ready, and goes on to if that had just ended.
-func TestHeirWatches(t *testing.T) {
+func TestSuccessorWatchesEndpoints(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		s := &steps.Steps{T: t}
 		dir := t.TempDir()
-		w, at := elderWorld(s, dir)
+		w, at := newPredecessorWorld(s, dir)
 		w.loop.clients.set.MustSubscribe = true // an heir has its elder's settings
-		next := w.succeeds(dir, at)
-		s.Check(next.loop.watch.on, "it stands by without a watch")
+		next := w.startSuccessor(dir, at)
+		s.Check(next.loop.watch.open, "it stands by without a watch")
 		if lost {
 			next.loop.watch.stop()
 		}
@@ -352,9 +352,9 @@
 		w.loop.Reload(conf)
 		next.loop.Reload(conf)
 		half := next.loop.clients.most
-		if err := w.replacedBy(next); err != nil || !next.loop.watch.on || next.loop.watch.to != conf.Discovery ||
+		if err := w.handOverTo(next); err != nil || !next.loop.watch.open || next.loop.watch.server != conf.Discovery ||
 			next.loop.clients.most < 2*half {
-			t.Errorf("lost %v: %v, watched %v at %v, %d client links, %d before", lost, err, next.loop.watch.on, next.loop.watch.to,
+			t.Errorf("lost %v: %v, watched %v at %v, %d client links, %d before", lost, err, next.loop.watch.open, next.loop.watch.server,
 				next.loop.clients.most, half)
 		}
 	}
--- a/internal/link/watch.go
+++ b/internal/link/watch.go
@@ -9,76 +9,76 @@
 	jsoniter "github.com/json-iterator/go"
 	"golang.org/x/sys/unix"
 
-	"valvecove/internal/freshness"
-	"valvecove/internal/ledger"
+	"valvecove/internal/discovery"
+	"valvecove/internal/requests"
 )
 
-// maxGroup bounds what is kept of one piece of news.
-const maxGroup = 4 << 20
+// maxEventSize bounds what is kept of one piece of news.
+const maxEventSize = 4 << 20
 
-// watch follows the host group. When it calls, and how long it waits, is for its freshness to say.
-type watch struct {
+// watchConnection follows the host group. When it calls, and how long it waits, is for its freshness to say.
+type watchConnection struct {
 	stream
-	to        netip.AddrPort
-	fresh     *freshness.State
-	after     int64
-	on        bool // a call or a watch is open
-	asked     bool
-	spoke     bool
-	streaming bool
-	body      chunks
-	news      newsReader
-	due       *timer
+	server        netip.AddrPort
+	machine       *discovery.Watch
+	revision      int64
+	open          bool // a call or a watch is open
+	requested     bool
+	receivedEvent bool
+	streaming     bool
+	body          chunks
+	scanner       eventScanner
+	timer         *timer
 }
 
-func (l *Loop) newWatch(to netip.AddrPort, rules freshness.Rules, draw func(n int64) int64) *watch {
-	return &watch{stream: stream{loop: l, closed: true}, to: to, fresh: freshness.New(rules, draw, l.now)}
+func (l *Loop) newWatchConnection(to netip.AddrPort, rules discovery.Config, draw func(n int64) int64) *watchConnection {
+	return &watchConnection{stream: stream{loop: l, closed: true}, server: to, machine: discovery.New(rules, draw, l.now)}
 }
 
 // Watch has the host group followed from now on. Whatever is planned or open already goes on.
 func (s *serverLinks) Watch(int64) {
 	w := s.loop.watch
 	s.loop.guard(w, func() {
-		w.fresh.Follow(s.loop.now)
-		w.tick()
+		w.machine.Ensure(s.loop.now)
+		w.runAction()
 	})
 }
 
-// begin plans the first call of the process.
-func (w *watch) begin(listed bool) {
-	w.fresh.Begin(w.loop.now, listed)
-	w.arm()
+// start plans the first call of the process.
+func (w *watchConnection) start(listed bool) {
+	w.machine.Start(w.loop.now, listed)
+	w.resetTimer()
 }
 
-// arm sets the timer for when something is to be done next.
-func (w *watch) arm() {
-	w.loop.stop(w.due)
-	if at, ok := w.fresh.Next(); ok {
-		w.due = w.loop.after(at-w.loop.now, w, w.tick)
+// resetTimer sets the timer for when something is to be done next.
+func (w *watchConnection) resetTimer() {
+	w.loop.stop(w.timer)
+	if at, ok := w.machine.NextDeadline(); ok {
+		w.timer = w.loop.after(at-w.loop.now, w, w.runAction)
 	}
 }
 
-// tick does what is due.
-func (w *watch) tick() {
-	switch w.fresh.Due(w.loop.now) {
-	case freshness.Call:
-		w.call()
-	case freshness.GiveUp:
-		w.over(errSilent)
+// runAction does what is due.
+func (w *watchConnection) runAction() {
+	switch w.machine.NextAction(w.loop.now) {
+	case discovery.ActionConnect:
+		w.connect()
+	case discovery.ActionAbort:
+		w.end(errWatchSilent)
 	default:
-		w.arm()
+		w.resetTimer()
 	}
 }
 
-// call opens the watch anew, from the list at hand on.
-func (w *watch) call() {
+// connect opens the watch anew, from the list at hand on.
+func (w *watchConnection) connect() {
 	l := w.loop
-	w.leave()
-	w.fresh.Called(l.now)
-	w.arm()
-	w.after, w.on, w.asked, w.spoke, w.streaming = l.Ledger.Generation(), true, false, false, false
-	w.body, w.news = chunks{}, newsReader{}
-	fd, err := l.dial(w.to)
+	w.disconnect()
+	w.machine.Connecting(l.now)
+	w.resetTimer()
+	w.revision, w.open, w.requested, w.receivedEvent, w.streaming = l.Ledger.Revision(), true, false, false, false
+	w.body, w.scanner = chunks{}, eventScanner{}
+	fd, err := l.dial(w.server)
 	if err == nil {
 		if w.stream, err = l.stream(fd, streamEvents|unix.EPOLLOUT, w); err != nil {
 			_ = unix.Close(fd)
@@ -86,78 +86,78 @@
 	}
 	if err != nil {
 		w.stream = stream{loop: l, closed: true}
-		w.over(err)
+		w.end(err)
 	}
 }
 
-// move follows another discovery from now on. The one before it is left at once, so that its end, or whatever
+// changeServer follows another discovery from now on. The one before it is left at once, so that its end, or whatever
 // it still says, is not taken for the new one's. Its generations need not mean anything to the new one: from 0
 // on, all is told that the new one knows.
-func (w *watch) move(to netip.AddrPort) {
-	w.to = to
-	w.loop.Ledger.NewSource()
+func (w *watchConnection) changeServer(to netip.AddrPort) {
+	w.server = to
+	w.loop.Ledger.ResetRevision()
 	w.loop.guard(w, func() {
-		w.leave()
-		w.fresh.Move(w.loop.now)
-		w.tick()
+		w.disconnect()
+		w.machine.ServerChanged(w.loop.now)
+		w.runAction()
 	})
 }
 
 // stop follows the host group no longer.
-func (w *watch) stop() {
-	w.leave()
-	w.fresh.Stop()
-	w.arm()
+func (w *watchConnection) stop() {
+	w.disconnect()
+	w.machine.Stop()
+	w.resetTimer()
 }
 
-func (w *watch) leave() {
-	if w.on {
-		w.on = false
+func (w *watchConnection) disconnect() {
+	if w.open {
+		w.open = false
 		w.close()
 	}
 }
 
-var errSilent = errors.New("silent")
+var errWatchSilent = errors.New("silent")
 
-// over ends the call or the watch, and plans the next one.
-func (w *watch) over(why error) {
-	if !w.on {
+// end ends the call or the watch, and plans the next one.
+func (w *watchConnection) end(why error) {
+	if !w.open {
 		return
 	}
 	l := w.loop
-	w.leave()
-	told := w.fresh.ToldBy()
-	w.fresh.Over(l.now, errors.Is(why, errSilent))
-	w.arm()
-	again, _ := w.fresh.Next()
-	l.log.Warn("watch lost", "discovery", w.to.String(), "why", why, "told_in", told-l.now, "again_in", again-l.now)
-	l.Ledger.HostsLost()
+	w.disconnect()
+	told := w.machine.StalenessDeadline()
+	w.machine.Ended(l.now, errors.Is(why, errWatchSilent))
+	w.resetTimer()
+	again, _ := w.machine.NextDeadline()
+	l.log.Warn("watch lost", "discovery", w.server.String(), "why", why, "told_in", told-l.now, "again_in", again-l.now)
+	l.Ledger.DiscoveryFailed()
 }
 
-func (w *watch) broken() {
-	w.over(errors.New("panic"))
-	w.arm()
+func (w *watchConnection) broken() {
+	w.end(errors.New("panic"))
+	w.resetTimer()
 }
 
-func (w *watch) ready(events uint32) {
-	if err := w.proceed(events); err != nil {
-		w.over(err)
+func (w *watchConnection) ready(events uint32) {
+	if err := w.handleEvents(events); err != nil {
+		w.end(err)
 	}
 }
 
-func (w *watch) proceed(events uint32) error {
-	if !w.asked {
+func (w *watchConnection) handleEvents(events uint32) error {
+	if !w.requested {
 		if err := w.connected(); err != nil {
 			return err
 		}
 		if events&unix.EPOLLOUT == 0 {
 			return nil
 		}
-		w.asked = true
-		w.fresh.Connected(w.loop.now)
-		w.arm()
-		target := "/discovery/hosts?stream=1&index=" + strconv.FormatInt(w.after, 10)
-		return w.send(append(appendCall(nil, "GET", target, w.to.String()), "\r\n"...))
+		w.requested = true
+		w.machine.Connected(w.loop.now)
+		w.resetTimer()
+		target := "/discovery/hosts?stream=1&index=" + strconv.FormatInt(w.revision, 10)
+		return w.send(append(appendCall(nil, "GET", target, w.server.String()), "\r\n"...))
 	}
 	if events&unix.EPOLLOUT != 0 {
 		if err := w.flush(); err != nil {
@@ -168,7 +168,7 @@
 	if err != nil {
 		return err
 	}
-	if err := w.read(); err != nil {
+	if err := w.readResponse(); err != nil {
 		return err
 	}
 	if ended {
@@ -177,8 +177,8 @@
 	return nil
 }
 
-// read takes the answer's head, and then its body piece by piece.
-func (w *watch) read() error {
+// readResponse takes the answer's head, and then its body piece by piece.
+func (w *watchConnection) readResponse() error {
 	at := 0
 	for !w.streaming {
 		m := &w.loop.message
@@ -205,7 +205,7 @@
 		if at += n; n == 0 {
 			break
 		}
-		if err := w.text(piece); err != nil {
+		if err := w.readEvents(piece); err != nil {
 			return err
 		}
 	}
@@ -216,46 +216,46 @@
 	return nil
 }
 
-// text takes a piece of the body, which may hold any part of any number of lines.
-func (w *watch) text(piece []byte) error {
+// readEvents takes a piece of the body, which may hold any part of any number of lines.
+func (w *watchConnection) readEvents(piece []byte) error {
 	for len(piece) > 0 {
-		group, line, n, err := w.news.next(piece)
+		group, line, n, err := w.scanner.scan(piece)
 		if err != nil {
 			return err
 		}
 		piece = piece[n:]
 		if line || group != nil {
-			w.fresh.Heard(w.loop.now)
-			w.arm()
+			w.machine.Received(w.loop.now)
+			w.resetTimer()
 		}
 		if group == nil {
 			continue
 		}
-		var g ledger.HostGroup
+		var g requests.EndpointList
 		if err := jsoniter.ConfigDefault.Unmarshal(group, &g); err != nil {
 			return fmt.Errorf("host group: %w", err)
 		}
-		if !w.spoke {
-			w.spoke = true
-			w.loop.log.Info("watch began", "discovery", w.to.String(), "after", w.after, "generation", g.Generation,
-				"whole", g.Reset, "entries", len(g.Hosts))
+		if !w.receivedEvent {
+			w.receivedEvent = true
+			w.loop.log.Info("watch began", "discovery", w.server.String(), "after", w.revision, "generation", g.Revision,
+				"whole", g.Reset, "entries", len(g.Endpoints))
 		}
-		w.loop.Ledger.Hosts(g)
+		w.loop.Ledger.UpdateEndpoints(g)
 	}
 	return nil
 }
 
-// newsReader finds the objects in what discovery writes. Each is whole with its last brace, be it indented over many
+// eventScanner finds the objects in what discovery writes. Each is whole with its last brace, be it indented over many
 // lines or on one; what stands between them is space, and a line end there is a line by itself.
-type newsReader struct {
+type eventScanner struct {
 	object  []byte
 	depth   int
 	quoted  bool
 	escaped bool
 }
 
-// next takes up to the next object's end or line end, and tells how many bytes that took.
-func (r *newsReader) next(b []byte) (object []byte, line bool, n int, err error) {
+// scan takes up to the next object's end or line end, and tells how many bytes that took.
+func (r *eventScanner) scan(b []byte) (object []byte, line bool, n int, err error) {
 	if r.depth == 0 {
 		r.object = r.object[:0]
 	}
@@ -281,7 +281,7 @@
 			}
 		}
 	}
-	if r.object = append(r.object, b...); len(r.object) > maxGroup {
+	if r.object = append(r.object, b...); len(r.object) > maxEventSize {
 		return nil, false, 0, errors.New("host group: too long")
 	}
 	return nil, false, len(b), nil
--- a/internal/link/watch_test.go
+++ b/internal/link/watch_test.go
@@ -7,19 +7,19 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/freshness"
+	"valvecove/dispatch"
+	"valvecove/internal/discovery"
 	"valvecove/internal/steps"
-	"valvecove/logic"
 )
 
 const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// watching is a world whose watch has been asked for, and discovery's side of it.
-func watching(t *testing.T) (*world, *peer) {
+// newWatchedWorld is a world whose watch has been asked for, and discovery's side of it.
+func newWatchedWorld(t *testing.T) (*world, *peer) {
 	w := newWorld(&steps.Steps{T: t})
-	w.loop.Ledger.Follow()
+	w.loop.Ledger.WatchEndpoints()
 	w.turn()
 	p := w.dialed[0]
 	p.read(1 << 12)
@@ -30,10 +30,10 @@
 // lists are the generations of the lists that the module was told, -1 for a lost one.
 func (w *world) lists() (all []int64) {
 	for _, e := range w.module.Heard {
-		if list, ok := e.(logic.WorkerList); ok && list.Kind == logic.ListLost {
+		if list, ok := e.(dispatch.WorkerList); ok && list.Kind == dispatch.ListUnavailable {
 			all = append(all, -1)
 		} else if ok {
-			all = append(all, list.Generation)
+			all = append(all, list.Revision)
 		}
 	}
 	w.module.Heard = nil
@@ -42,7 +42,7 @@
 
 // News is read in any form of JSON: on a line or indented over several, with line ends between or none, in one piece or
 // byte by byte, each in a chunk of its own. It is told once its last brace has come.
-func TestWatchReadsEveryForm(t *testing.T) {
+func TestWatchReadsAnyEventLayout(t *testing.T) {
 	const host = `{"instanceId":"s-}{\"]\\","hostPort":"127.0.0.1:1","lifecycle":"up"}`
 	for name, text := range map[string]string{
 		"lines":       `{"generation":1,"reset":true,"instances":[` + host + "]}\n" + `{"generation":2,"instances":[]}` + "\n",
@@ -51,7 +51,7 @@
 		"no line end": `{"generation":1,"instances":[` + host + `]}{"generation":2}`,
 	} {
 		for _, size := range []int{len(text), 7, 1} {
-			w, p := watching(t)
+			w, p := newWatchedWorld(t)
 			p.write([]byte(watchHead))
 			for at := 0; at < len(text); at += size {
 				p.write([]byte(chunk(text[at:min(at+size, len(text))])))
@@ -69,16 +69,16 @@
 
 // What can't be read ends the watch at once; half an object, and then silence, ends it when a line was due; and one without
 // end is not kept without end.
-func TestWatchBadNews(t *testing.T) {
+func TestWatchRejectsMalformedEvents(t *testing.T) {
 	for name, text := range map[string]string{"brace": "}\n", "word": "generation\n", "mixed": "{\"generation\":1]\n", "array": "[]\n"} {
-		w, p := watching(t)
+		w, p := newWatchedWorld(t)
 		p.write([]byte(watchHead + chunk(text)))
 		w.turn()
 		if got := fmt.Sprint(w.lists()); got != "[-1]" {
 			t.Errorf("%s: told %v", name, got)
 		}
 	}
-	w, p := watching(t)
+	w, p := newWatchedWorld(t)
 	p.write([]byte(watchHead + chunk("\n")))
 	w.turn()
 	w.now += 2 * time.Second
@@ -92,28 +92,28 @@
 	if w.turn(); fmt.Sprint(w.lists()) != "[-1]" {
 		t.Error("half an object keeps a silent watch")
 	}
-	w, p = watching(t)
+	w, p = newWatchedWorld(t)
 	p.write([]byte(watchHead + chunk("{\"a\":\"")))
 	many := []byte(chunk(strings.Repeat("x", 32<<10)))
-	for n := 0; n < maxGroup/(32<<10)+2 && w.loop.watch.on; n++ {
-		for left := many; len(left) > 0 && w.loop.watch.on; left = left[min(len(left), 4<<10):] {
+	for n := 0; n < maxEventSize/(32<<10)+2 && w.loop.watch.open; n++ {
+		for left := many; len(left) > 0 && w.loop.watch.open; left = left[min(len(left), 4<<10):] {
 			p.write(left[:min(len(left), 4<<10)])
 			w.turn()
 		}
 	}
 	if got := fmt.Sprint(w.lists()); got != "[-1]" {
-		t.Errorf("an object without end: told %v, %d bytes kept", got, len(w.loop.watch.news.object))
+		t.Errorf("an object without end: told %v, %d bytes kept", got, len(w.loop.watch.scanner.object))
 	}
 }
 
 // A watch that has fallen silent is opened anew, without anybody's asking, while what it missed does not yet count as told,
 // however many schedulers there are; from the list at hand on; and what comes late on the one before is not heard.
-func TestSilentWatchIsOpenedAnew(t *testing.T) {
+func TestSilentWatchReconnects(t *testing.T) {
 	for _, callers := range []int{1, 300} {
 		w := newWorld(&steps.Steps{T: t})
-		w.loop.watch = w.loop.newWatch(netip.AddrPort{}, freshness.Rules{AskEvery: 10 * time.Second, Callers: callers},
+		w.loop.watch = w.loop.newWatchConnection(netip.AddrPort{}, discovery.Config{PollInterval: 10 * time.Second, Schedulers: callers},
 			func(n int64) int64 { return n - 1 }) // the latest that may be drawn
-		w.loop.Ledger.Follow()
+		w.loop.Ledger.WatchEndpoints()
 		w.turn()
 		first := w.dialed[0]
 		first.write([]byte(watchHead + chunk(`{"generation":7,"instances":[]}`+"\n")))
@@ -132,8 +132,8 @@
 		if got := string(w.dialed[1].got); !strings.HasPrefix(got, "GET /discovery/hosts?stream=1&index=7 ") {
 			t.Errorf("asked %q", got)
 		}
-		w.module.Next = append(w.module.Next, logic.Subscribe{}) // the module's own call, late: the list is followed
-		w.loop.Ledger.HostsLost()
+		w.module.Next = append(w.module.Next, dispatch.Subscribe{}) // the module's own call, late: the list is followed
+		w.loop.Ledger.DiscoveryFailed()
 		if w.turn(); len(w.dialed) != 2 {
 			t.Error("a call beside one that is out")
 		}
@@ -145,9 +145,9 @@
 }
 
 // Calls that are refused, answered with an error, or not at all are made again, by themselves, at waits that have a bound.
-func TestFailedCallsAreMadeAgain(t *testing.T) {
+func TestFailedConnectionsAreRetried(t *testing.T) {
 	for name, answer := range map[string]string{"503": "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "reset": "", "hang": "-"} {
-		w, _ := watching(t)
+		w, _ := newWatchedWorld(t)
 		for n := 1; n <= 12; n++ {
 			p := w.dialed[n-1]
 			p.read(1 << 12)
--- a/internal/link/world_test.go
+++ b/internal/link/world_test.go
@@ -11,11 +11,11 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/internal/freshness"
-	"valvecove/internal/ledger"
+	"valvecove/internal/discovery"
+	"valvecove/internal/requests"
 	"valvecove/internal/steps"
-	"valvecove/logic"
 )
 
 // world is a loop whose links lead to the test itself: their other ends are sockets that it reads and writes
@@ -52,12 +52,12 @@
 		w.dialed = append(w.dialed, p)
 		return fd, nil
 	}
-	names := ledger.Names{Classes: []string{"a"}, Tenants: []string{"t"}}
+	names := requests.NameTable{Classes: []string{"a"}, Tenants: []string{"t"}}
 	l.serve(50, 250*time.Millisecond, time.Minute)
-	l.watch = l.newWatch(netip.AddrPort{}, freshness.Rules{AskEvery: 10 * time.Second}, func(int64) int64 { return 0 })
-	l.Ledger = ledger.New(6, names, func() ledger.Module { return w.module }, ledger.HostGroup{Hosts: []ledger.Host{
-		{ID: "s-0", Addr: "127.0.0.1:1", State: "up"}}}, l.servers, silent)
-	l.accept(50, 1<<20, &logic.Settings{Classes: []logic.Class{{GiveUp: 5 * time.Second}}}, names)
+	l.watch = l.newWatchConnection(netip.AddrPort{}, discovery.Config{PollInterval: 10 * time.Second}, func(int64) int64 { return 0 })
+	l.Ledger = requests.New(6, names, func() requests.Policy { return w.module }, requests.EndpointList{Endpoints: []requests.Endpoint{
+		{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}, l.servers, silent)
+	l.accept(50, 1<<20, &dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: 5 * time.Second}}}, names)
 	l.onWake = func() {}
 	l.limits = config.Limits{Sockets: 1024, MemoryMB: 64}
 	w.loop = l
@@ -97,7 +97,7 @@
 // worker is the number of the one host.
 func (w *world) worker() uint64 {
 	for _, e := range w.module.Heard {
-		if list, ok := e.(logic.WorkerList); ok {
+		if list, ok := e.(dispatch.WorkerList); ok {
 			return list.Workers[0].ID
 		}
 	}
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -127,7 +127,7 @@
 		debug.SetMemoryLimit(most)
 	})
 	loop.OnFail(func(err error) { s.failed = err })
-	loop.OnHeir(func() {
+	loop.OnSuccessor(func() {
 		if s.draining { // it has come late, but not too late
 			s.loop.After(0, s.handOver)
 		}
@@ -156,7 +156,7 @@
 		s.dump()
 	case !s.draining: // once: a second SIGTERM must not begin the drain anew
 		s.draining = true
-		if s.loop.StandDown() {
+		if s.loop.LeaveStandby() {
 			s.log.Info("standing down")
 			s.over = true
 			return
@@ -198,12 +198,12 @@
 // handOver gives all that is here to the process that is to replace this one, if one stands by. Should it fail, this one
 // drains on.
 func (s *scheduler) handOver() {
-	switch err := s.loop.Cede(); {
+	switch err := s.loop.Relinquish(); {
 	case err == nil:
 		s.loop.After(lastCalls, func() { s.over = true })
-	case errors.Is(err, link.ErrBusy):
+	case errors.Is(err, link.ErrNotSettled):
 		s.loop.After(time.Millisecond, s.handOver)
-	case !errors.Is(err, link.ErrNoHeir):
+	case !errors.Is(err, link.ErrNoSuccessor):
 		s.log.Error("still the owner", "error", err)
 	}
 }
@@ -240,7 +240,7 @@
 func KilledAfter(s config.Settings) time.Duration {
 	killed := killSpare
 	for _, c := range s.Classes {
-		killed = max(killed, killSpare+min(c.GiveUp, killAfter))
+		killed = max(killed, killSpare+min(c.ClientTimeout, killAfter))
 	}
 	return killed
 }
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -12,7 +12,7 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"valvecove/internal/config"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 )
 
 // Path is where the status call is; the client's id for the query follows it.
@@ -21,7 +21,7 @@
 // Table holds an entry for each query that is open, and for each that ended lately.
 type Table struct {
 	conf        config.Status
-	names       ledger.Names
+	names       requests.NameTable
 	tellsStart  bool // worker nodes say when a job starts
 	now         func() time.Duration
 	entries     map[string]*entry
@@ -37,7 +37,7 @@
 	tries  []try // that are out, in the order of their sending
 	worker string
 	ended  time.Duration
-	how    ledger.Outcome // none while it is open
+	how    requests.Outcome // none while it is open
 	place  *list.Element
 }
 
@@ -51,68 +51,68 @@
 
 // answer is the JSON of the status call.
 type answer struct {
-	ID      string         `json:"id"`
-	Class   string         `json:"class"`
-	Tenant  string         `json:"tenant,omitempty"`
-	State   string         `json:"state"`
-	Worker  string         `json:"worker,omitempty"`
-	Share   *float64       `json:"share,omitempty"`
-	Outcome ledger.Outcome `json:"outcome,omitempty"`
+	ID      string           `json:"id"`
+	Class   string           `json:"class"`
+	Tenant  string           `json:"tenant,omitempty"`
+	State   string           `json:"state"`
+	Worker  string           `json:"worker,omitempty"`
+	Share   *float64         `json:"share,omitempty"`
+	Outcome requests.Outcome `json:"outcome,omitempty"`
 }
 
 // New returns an empty table. tellsStart says whether worker nodes tell when a job starts; where they don't, it
 // counts as running once its worker node has accepted it.
-func New(conf config.Status, names ledger.Names, tellsStart bool, now func() time.Duration) *Table {
+func New(conf config.Status, names requests.NameTable, tellsStart bool, now func() time.Duration) *Table {
 	return &Table{conf: conf, names: names, tellsStart: tellsStart, now: now, entries: map[string]*entry{}}
 }
 
 // Observe takes in news of a query.
-func (t *Table) Observe(n ledger.News) {
-	switch n.What {
-	case ledger.NewsTaken:
-		t.enter(n.Query)
+func (t *Table) Observe(n requests.Notification) {
+	switch n.Kind {
+	case requests.RequestAdmitted:
+		t.enter(n.Request)
 		return
-	case ledger.NewsRefused:
+	case requests.RequestRejected:
 		// One with the id of a query that is known says nothing of that one.
-		if n.Query != nil && n.Status == 503 && t.entries[n.Query.Call] == nil {
-			t.end(t.enter(n.Query), n.Query.Outcome())
+		if n.Request != nil && n.Status == 503 && t.entries[n.Request.CallID] == nil {
+			t.end(t.enter(n.Request), n.Request.Outcome())
 		}
 		return
-	case ledger.NewsNote:
+	case requests.CallbackReceived:
 		if n.Attempt == nil {
 			return
 		}
-		n.Query = n.Attempt.Query
+		n.Request = n.Attempt.Request
 	}
-	e := t.entries[n.Query.Call]
-	if e == nil || e.query != n.Query.ID || e.how != "" {
+	e := t.entries[n.Request.CallID]
+	if e == nil || e.query != n.Request.ID || e.how != "" {
 		return // dropped from the table, replaced by a later query with this id, or over
 	}
-	switch n.What {
-	case ledger.NewsSent:
-		e.tries = append(e.tries, try{number: n.Attempt.Number, worker: n.Attempt.From})
-	case ledger.NewsAnswer:
+	switch n.Kind {
+	case requests.AttemptStarted:
+		e.tries = append(e.tries, try{number: n.Attempt.Number, worker: n.Attempt.EndpointID})
+	case requests.ResponseReceived:
 		if k := e.try(n.Attempt); k != nil && n.Status/100 == 2 && !t.tellsStart {
 			k.running = true
 		}
-	case ledger.NewsNote:
-		if k := e.try(n.Attempt); k != nil && n.Note.State == "started" {
+	case requests.CallbackReceived:
+		if k := e.try(n.Attempt); k != nil && n.Callback.State == "started" {
 			k.running = true
-		} else if k != nil && n.Note.State == "running" {
-			share := min(max(n.Note.Share, 0), 1)
+		} else if k != nil && n.Callback.State == "running" {
+			share := min(max(n.Callback.Progress, 0), 1)
 			k.running, k.share = true, &share
 		}
-	case ledger.NewsEnded:
-		e.worker = n.Attempt.From
+	case requests.AttemptEnded:
+		e.worker = n.Attempt.EndpointID
 		e.tries = slices.DeleteFunc(e.tries, func(k try) bool { return k.number == n.Attempt.Number })
-	case ledger.NewsOver:
-		t.end(e, n.Query.Outcome())
+	case requests.RequestEnded:
+		t.end(e, n.Request.Outcome())
 	}
 }
 
 // enter makes an entry for a query, in place of one for an earlier query with the same id.
-func (t *Table) enter(q *ledger.Query) *entry {
-	t.drop(t.entries[q.Call])
+func (t *Table) enter(q *requests.Request) *entry {
+	t.drop(t.entries[q.CallID])
 	t.expire()
 	for len(t.entries) >= t.conf.MaxEntries {
 		if t.ended.Len() > 0 {
@@ -121,13 +121,13 @@
 			t.drop(t.open.Front().Value.(*entry))
 		}
 	}
-	e := &entry{call: q.Call, query: q.ID, class: q.Job.Class, tenant: q.Job.Tenant}
+	e := &entry{call: q.CallID, query: q.ID, class: q.Job.Class, tenant: q.Job.Tenant}
 	e.place = t.open.PushBack(e)
 	t.entries[e.call] = e
 	return e
 }
 
-func (t *Table) end(e *entry, how ledger.Outcome) {
+func (t *Table) end(e *entry, how requests.Outcome) {
 	t.open.Remove(e.place)
 	if len(e.tries) > 0 {
 		e.worker = e.shown().worker
@@ -158,7 +158,7 @@
 	}
 }
 
-func (e *entry) try(a *ledger.Attempt) *try {
+func (e *entry) try(a *requests.Attempt) *try {
 	for i := range e.tries {
 		if e.tries[i].number == a.Number {
 			return &e.tries[i]
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -9,16 +9,16 @@
 
 	jsoniter "github.com/json-iterator/go"
 
+	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 	"valvecove/internal/steps"
 	"valvecove/internal/steps/sides"
-	"valvecove/logic"
 )
 
 // modelJob is what a branch should be told of one job.
 type modelJob struct {
-	q       *ledger.Query
+	q       *requests.Request
 	open    bool              // in the table's eyes
 	left    bool              // by its client
 	tries   map[string]string // by worker node: "sent", "started", or the share told last
@@ -42,10 +42,10 @@
 }
 
 func newWorld(s *steps.Steps, conf config.Status) *world {
-	names := ledger.Names{Classes: []string{"cash-payout"}, Tenants: []string{"swat-society"}}
+	names := requests.NameTable{Classes: []string{"cash-payout"}, Tenants: []string{"swat-society"}}
 	w := &world{Steps: s, World: sides.New(names, slog.New(slog.NewTextHandler(faults{s}, &slog.HandlerOptions{Level: slog.LevelError})))}
 	w.table = New(conf, names, true, func() time.Duration { return w.Now })
-	w.Ledger.Attach(w.table)
+	w.Ledger.AddObserver(w.table)
 	return w
 }
 
@@ -100,7 +100,7 @@
 					}
 				}
 			case what == 9:
-				w.Do([]logic.Action{logic.Refuse{Job: j.q.ID}, logic.Fail{Job: j.q.ID}}[s.Pick(2)])
+				w.Do([]dispatch.Action{dispatch.Reject{Job: j.q.ID}, dispatch.Fail{Job: j.q.ID}}[s.Pick(2)])
 				s.Did("give up " + id)
 				switch {
 				case !j.open || j.left:
@@ -112,7 +112,7 @@
 					end(j.outcome)
 				}
 			case what == 10:
-				w.Ledger.Gone(j.q)
+				w.Ledger.ClientDisconnected(j.q)
 				s.Did("the client of " + id + " leaves")
 				if j.left = j.left || j.open; j.open && len(j.tries) == 0 {
 					if end(j.outcome); j.outcome == "" {
@@ -165,16 +165,16 @@
 	}
 	a, b := w.Take("a", 0, 0), w.Take("b", 0, 0)
 	w.Take("c", 0, 0)
-	w.Do(logic.Fail{Job: b.ID})
+	w.Do(dispatch.Fail{Job: b.ID})
 	w.Take("d", 0, 0)
 	known("a:waiting c:waiting d:waiting ")
 	w.Take("e", 0, 0)
 	known("c:waiting d:waiting e:waiting ")
-	w.Do(logic.Fail{Job: a.ID})
+	w.Do(dispatch.Fail{Job: a.ID})
 	known("c:waiting d:waiting e:waiting ")
-	w.Ledger.Refuse(&ledger.Arrival{Call: "c"}, 503) // with an open query's id, at the door
+	w.Ledger.ReportRejection(&requests.Arrival{CallID: "c"}, 503) // with an open query's id, at the door
 	known("c:waiting d:waiting e:waiting ")
-	w.Ledger.Refuse(&ledger.Arrival{Call: "a"}, 503)
+	w.Ledger.ReportRejection(&requests.Arrival{CallID: "a"}, 503)
 	known("a:endedturned away d:waiting e:waiting ")
 }
 
@@ -184,8 +184,8 @@
 	w := newWorld(&steps.Steps{T: t}, config.Status{Retain: time.Minute, MaxEntries: 3})
 	first := w.Take("a", 0, 0)
 	w.Send(first, "s-0")
-	w.Do(logic.Refuse{Job: first.ID})
-	if a, _ := w.find("a"); a.Outcome != ledger.TimedOut || a.Worker != "s-0" {
+	w.Do(dispatch.Reject{Job: first.ID})
+	if a, _ := w.find("a"); a.Outcome != requests.OutcomeTimedOut || a.Worker != "s-0" {
 		t.Errorf("answered with an attempt out: %+v", a)
 	}
 	second := w.Take("a", 0, 0)
--- a/internal/steps/sides/sides.go
+++ b/internal/steps/sides/sides.go
@@ -6,73 +6,73 @@
 	"strconv"
 	"time"
 
-	"valvecove/internal/ledger"
+	"valvecove/dispatch"
+	"valvecove/internal/requests"
 	"valvecove/internal/steps"
-	"valvecove/logic"
 )
 
 // World is a ledger with all that is around it. Its worker nodes are s-0 and s-1.
 type World struct {
-	Ledger *ledger.Ledger
+	Ledger *requests.Table
 	Module *steps.Script
-	Out    []*ledger.Attempt // that were sent, in order
+	Out    []*requests.Attempt // that were sent, in order
 	Now    time.Duration
-	hosts  []logic.Worker
+	hosts  []dispatch.Worker
 }
 
 // New returns a world in which nothing has happened.
-func New(names ledger.Names, log *slog.Logger) *World {
+func New(names requests.NameTable, log *slog.Logger) *World {
 	w := &World{Module: &steps.Script{}, Now: 1718000000 * time.Second}
-	group := ledger.HostGroup{}
+	group := requests.EndpointList{}
 	for n := range 2 {
-		group.Hosts = append(group.Hosts, ledger.Host{ID: "s-" + strconv.Itoa(n), Addr: "127.0.0.1:1", State: "up"})
+		group.Endpoints = append(group.Endpoints, requests.Endpoint{ID: "s-" + strconv.Itoa(n), Addr: "127.0.0.1:1", Lifecycle: "up"})
 	}
-	w.Ledger = ledger.New(6, names, func() ledger.Module { return w.Module }, group, w, log)
+	w.Ledger = requests.New(6, names, func() requests.Policy { return w.Module }, group, w, log)
 	w.Ledger.Step(w.Now)
-	w.hosts = w.Module.Heard[0].(logic.WorkerList).Workers
+	w.hosts = w.Module.Heard[0].(dispatch.WorkerList).Workers
 	return w
 }
 
-// Serve and the others are the client's side, and then the worker nodes'.
-func (w *World) Serve([]byte) {}
+// RespondResult and the others are the client's side, and then the worker nodes'.
+func (w *World) RespondResult([]byte) {}
 
-// Throttle does nothing.
-func (w *World) Throttle(time.Duration) {}
+// RespondRejected does nothing.
+func (w *World) RespondRejected(time.Duration) {}
 
-// Fail does nothing.
-func (w *World) Fail() {}
+// RespondFailed does nothing.
+func (w *World) RespondFailed() {}
 
-// Carry remembers an attempt; its worker node has it whole at once.
-func (w *World) Carry(a *ledger.Attempt) {
-	a.Stage = ledger.AllWritten
+// Start remembers an attempt; its worker node has it whole at once.
+func (w *World) Start(a *requests.Attempt) {
+	a.Stage = requests.StageWritten
 	w.Out = append(w.Out, a)
 }
 
-// GiveUp does nothing.
-func (w *World) GiveUp(*ledger.Attempt) {}
+// Abandon does nothing.
+func (w *World) Abandon(*requests.Attempt) {}
 
-// Withdraw tells the worker node at once.
-func (w *World) Withdraw(a *ledger.Attempt) { w.Ledger.Withdrawn(a, true) }
+// Cancel tells the worker node at once.
+func (w *World) Cancel(a *requests.Attempt) { w.Ledger.CancelCompleted(a, true) }
 
-// Probe does nothing.
-func (w *World) Probe(uint64) {}
+// CheckHealth does nothing.
+func (w *World) CheckHealth(uint64) {}
 
-// FreeLinks does nothing.
-func (w *World) FreeLinks(uint64) {}
+// CloseIdleConnections does nothing.
+func (w *World) CloseIdleConnections(uint64) {}
 
 // Watch does nothing.
 func (w *World) Watch(int64) {}
 
 // Do has the module act.
-func (w *World) Do(a logic.Action) {
+func (w *World) Do(a dispatch.Action) {
 	w.Module.Next = append(w.Module.Next, a)
-	w.Ledger.HostsLost() // something to step for
+	w.Ledger.DiscoveryFailed() // something to step for
 	w.Ledger.Step(w.Now)
 }
 
 // Take enters a query whose id is not that of an open one.
-func (w *World) Take(id string, tenant, class int) *ledger.Query {
-	q, err := w.Ledger.Take(w.Now, ledger.Arrival{Call: id, Asker: w, Job: logic.Job{Tenant: tenant, Class: class, Left: time.Hour}})
+func (w *World) Take(id string, tenant, class int) *requests.Request {
+	q, err := w.Ledger.Admit(w.Now, requests.Arrival{CallID: id, Responder: w, Job: dispatch.Job{Tenant: tenant, Class: class, Remaining: time.Hour}})
 	if err != nil {
 		panic(err)
 	}
@@ -80,16 +80,16 @@
 }
 
 // Send has the module send a query to a worker node, and tells whether it went.
-func (w *World) Send(q *ledger.Query, host string) bool {
+func (w *World) Send(q *requests.Request, host string) bool {
 	before := len(w.Out)
-	w.Do(logic.Send{Job: q.ID, Worker: w.hosts[host[2]-'0'].ID})
+	w.Do(dispatch.Send{Job: q.ID, Worker: w.hosts[host[2]-'0'].ID})
 	return len(w.Out) > before
 }
 
 // Tell plays a worker node's note.
 func (w *World) Tell(id, host, state string, share float64) {
 	result := "r"
-	if _, err := w.Ledger.Tell(ledger.Note{ID: id, From: host, State: state, Share: share, Result: &result}); err != nil {
+	if _, err := w.Ledger.HandleCallback(requests.Callback{CallID: id, EndpointID: host, State: state, Progress: share, Result: &result}); err != nil {
 		panic(err)
 	}
 }
--- a/internal/steps/steps.go
+++ b/internal/steps/steps.go
@@ -7,18 +7,18 @@
 	"testing"
 	"time"
 
-	"valvecove/logic"
+	"valvecove/dispatch"
 )
 
 // Script is a decision module that does as it is told, and remembers what it has heard.
 type Script struct {
-	Next  []logic.Action // for the next step
-	Heard []logic.Event
+	Next  []dispatch.Action // for the next step
+	Heard []dispatch.Event
 	Panic bool // instead, once
 }
 
 // Step hands out what was scripted.
-func (m *Script) Step(_ time.Duration, events []logic.Event, dst []logic.Action) []logic.Action {
+func (m *Script) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	if m.Panic {
 		m.Panic = false
 		panic("scripted")
--- a/internal/tally/tally.go
+++ b/internal/tally/tally.go
@@ -6,7 +6,7 @@
 import (
 	"strconv"
 
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 )
 
 // Tally holds the counts. It is used by the goroutine that has the ledger.
@@ -17,7 +17,7 @@
 }
 
 // words are the names of the figures by answer.
-var words = [...]string{ledger.AnsweredServed: "success", ledger.AnsweredBusy: "busy", ledger.AnsweredFailed: "failure"}
+var words = [...]string{requests.ResponseResult: "success", requests.ResponseRejected: "busy", requests.ResponseFailed: "failure"}
 
 // New returns a tally of the classes, each at nothing.
 func New(classes []string) *Tally {
@@ -30,29 +30,29 @@
 
 // Observe takes in news of a query. One that its client left is counted nowhere; one that was refused at the door for
 // want of room is busy; what could not be read as a query is no job.
-func (t *Tally) Observe(n ledger.News) {
-	switch n.What {
-	case ledger.NewsOver:
-		if a := n.Query.Answer(); a != ledger.Unanswered {
-			t.count(a, n.Query.Job.Class)
+func (t *Tally) Observe(n requests.Notification) {
+	switch n.Kind {
+	case requests.RequestEnded:
+		if a := n.Request.Response(); a != requests.ResponseNone {
+			t.count(a, n.Request.Job.Class)
 		}
-	case ledger.NewsRefused:
-		if n.Query != nil && n.Status == 503 {
-			t.count(ledger.AnsweredBusy, n.Query.Job.Class)
+	case requests.RequestRejected:
+		if n.Request != nil && n.Status == 503 {
+			t.count(requests.ResponseRejected, n.Request.Job.Class)
 		}
-	case ledger.NewsWritten:
+	case requests.AttemptWritten:
 		t.attempts++
 	}
 }
 
-func (t *Tally) count(a ledger.Answer, class int) {
+func (t *Tally) count(a requests.Response, class int) {
 	if class >= 0 && class < len(t.names) {
 		t.ended[a][class]++
 	}
 }
 
 // Ended tells how many jobs of a class got that answer.
-func (t *Tally) Ended(a ledger.Answer, class int) uint64 { return t.ended[a][class] }
+func (t *Tally) Ended(a requests.Response, class int) uint64 { return t.ended[a][class] }
 
 // Now are the figures that hold at the moment of a call.
 type Now struct {
--- a/internal/tally/tally_test.go
+++ b/internal/tally/tally_test.go
@@ -7,20 +7,20 @@
 	"testing"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/config"
 	"valvecove/internal/figures"
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 	"valvecove/internal/steps"
 	"valvecove/internal/steps/sides"
-	"valvecove/logic"
 )
 
 // answers counts what clients are told, by class 0.
 type answers [4]int
 
-func (a *answers) Serve([]byte)           { a[ledger.AnsweredServed]++ }
-func (a *answers) Throttle(time.Duration) { a[ledger.AnsweredBusy]++ }
-func (a *answers) Fail()                  { a[ledger.AnsweredFailed]++ }
+func (a *answers) RespondResult([]byte)          { a[requests.ResponseResult]++ }
+func (a *answers) RespondRejected(time.Duration) { a[requests.ResponseRejected]++ }
+func (a *answers) RespondFailed()                { a[requests.ResponseFailed]++ }
 
 // kept is a target of figures that keeps them.
 type kept []byte
@@ -36,42 +36,42 @@
 // at the door is busy. The other figures count the same jobs, and those that left once nothing of them is out.
 func FuzzTally(f *testing.F) {
 	steps.Fuzz(f, func(s *steps.Steps) {
-		names := ledger.Names{Classes: []string{"a"}, Tenants: []string{"t"}}
+		names := requests.NameTable{Classes: []string{"a"}, Tenants: []string{"t"}}
 		w := sides.New(names, slog.New(slog.DiscardHandler))
 		count, told, others := New(names.Classes), answers{}, kept{}
 		all := figures.New(config.Figures{Format: "statsd", MaxBatch: 1400}, names, func() time.Duration { return w.Now }, &others)
-		w.Ledger.Attach(count)
-		w.Ledger.Attach(all)
+		w.Ledger.AddObserver(count)
+		w.Ledger.AddObserver(all)
 		taken, left, written, seen := 0, 0, 0, 0
-		var open []*ledger.Query
+		var open []*requests.Request
 		for s.More() {
-			var q *ledger.Query
+			var q *requests.Request
 			if len(open) > 0 {
 				q = open[s.Pick(len(open))]
 			}
 			switch what := s.Pick(7); {
 			case what == 0 || q == nil:
 				taken++
-				q, err := w.Ledger.Take(w.Now, ledger.Arrival{Call: strconv.Itoa(taken), Job: logic.Job{Left: time.Hour}, Asker: &told})
+				q, err := w.Ledger.Admit(w.Now, requests.Arrival{CallID: strconv.Itoa(taken), Job: dispatch.Job{Remaining: time.Hour}, Responder: &told})
 				if err != nil {
 					s.T.Fatal(err)
 				}
 				open = append(open, q)
 			case what == 1:
-				w.Module.Next = append(w.Module.Next, []logic.Action{logic.Refuse{Job: q.ID}, logic.Fail{Job: q.ID}}[s.Pick(2)])
+				w.Module.Next = append(w.Module.Next, []dispatch.Action{dispatch.Reject{Job: q.ID}, dispatch.Fail{Job: q.ID}}[s.Pick(2)])
 			case what < 4:
-				number, _ := w.Ledger.Number("s-" + strconv.Itoa(s.Pick(2)))
-				w.Module.Next = append(w.Module.Next, logic.Send{Job: q.ID, Worker: number})
+				number, _ := w.Ledger.WorkerNumber("s-" + strconv.Itoa(s.Pick(2)))
+				w.Module.Next = append(w.Module.Next, dispatch.Send{Job: q.ID, Worker: number})
 			case what == 4 && len(w.Out) > 0:
 				a := w.Out[s.Pick(len(w.Out))]
-				w.Ledger.Written(a)
+				w.Ledger.ReportWritten(a)
 				written++
-				w.Ledger.End(a, []byte("x"), []*ledger.Fault{nil, {Reason: ledger.Rejected}}[s.Pick(2)])
+				w.Ledger.EndAttempt(a, []byte("x"), []*requests.AttemptError{nil, {Reason: requests.ReasonRejected}}[s.Pick(2)])
 			case what == 5:
-				if q.Answer() == ledger.Unanswered && w.Ledger.Query(q.ID) != nil {
+				if q.Response() == requests.ResponseNone && w.Ledger.Request(q.ID) != nil {
 					left++
 				}
-				w.Ledger.Gone(q)
+				w.Ledger.ClientDisconnected(q)
 				open = append(open[:0:0], open...)
 				for i := range open {
 					if open[i] == q {
@@ -80,19 +80,19 @@
 					}
 				}
 			case what == 6:
-				w.Ledger.Refuse(&ledger.Arrival{}, 503)
-				w.Ledger.Refuse(nil, 400) // no job
-				told[ledger.AnsweredBusy]++
+				w.Ledger.ReportRejection(&requests.Arrival{}, 503)
+				w.Ledger.ReportRejection(nil, 400) // no job
+				told[requests.ResponseRejected]++
 				taken++
 			}
 			w.Ledger.Wake()
 			w.Ledger.Step(w.Now)
 			ended := 0
-			for _, a := range []ledger.Answer{ledger.AnsweredServed, ledger.AnsweredBusy, ledger.AnsweredFailed} {
+			for _, a := range []requests.Response{requests.ResponseResult, requests.ResponseRejected, requests.ResponseFailed} {
 				ended += int(count.Ended(a, 0))
 				s.Check(int(count.Ended(a, 0)) == told[a], "answer %d: %d counted, %d told", a, count.Ended(a, 0), told[a])
 			}
-			s.Check(taken == ended+left+w.Ledger.Open(), "%d taken, %d ended, %d left, %d open", taken, ended, left, w.Ledger.Open())
+			s.Check(taken == ended+left+w.Ledger.OpenCount(), "%d taken, %d ended, %d left, %d open", taken, ended, left, w.Ledger.OpenCount())
 			s.Check(int(count.attempts) == written, "%d attempts counted, %d written", count.attempts, written)
 			all.Gather()
 			for all.Send(100) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/logic"
 )
 
 // Kind tells what an Input is.
@@ -30,8 +30,8 @@
 type Input struct {
 	Instance int
 	Kind     Kind
-	Event    logic.Event
-	Settings logic.Settings
+	Event    dispatch.Event
+	Settings dispatch.Settings
 	Seed     uint64
 }
 
@@ -109,11 +109,11 @@
 	}
 }
 
-var results = map[int64]logic.Result{200: logic.OK, 500: logic.Failed, 503: logic.Full, 504: logic.TimedOut,
-	502: logic.NoConnect, 598: logic.Reset, 499: logic.Cancelled, 410: logic.NotSent}
+var results = map[int64]dispatch.Result{200: dispatch.OK, 500: dispatch.Failed, 503: dispatch.WorkerFull, 504: dispatch.TimedOut,
+	502: dispatch.ConnectFailed, 598: dispatch.ConnectionReset, 499: dispatch.Cancelled, 410: dispatch.NotSent}
 
-var listKinds = map[string]logic.ListKind{"incr": logic.ListDelta, "total": logic.ListFull,
-	"warm_copy": logic.ListCached, "lost": logic.ListLost}
+var listKinds = map[string]dispatch.ListKind{"incr": dispatch.ListDelta, "total": dispatch.ListFull,
+	"warm_copy": dispatch.ListCached, "lost": dispatch.ListUnavailable}
 
 // input decodes one event line and, for a worker list, the entries that follow it.
 func (r *Reader) input(line string) (Input, error) {
@@ -144,35 +144,35 @@
 		if err != nil {
 			return in, err
 		}
-		in.Event = logic.WorkerList{Kind: kind, Workers: list}
+		in.Event = dispatch.WorkerList{Kind: kind, Workers: list}
 	case "REQUEST":
-		in.Event = logic.Job{ID: f.id("txn"), Class: int(f.whole("service", true)),
+		in.Event = dispatch.Job{ID: f.id("txn"), Class: int(f.whole("service", true)),
 			Tenant: int(f.whole("client_group", false)), Key: uint64(f.whole("key", false)),
-			Left: f.span("left", true), Hint: f.span("effort", false), Slots: f.number("slots"),
+			Remaining: f.span("left", true), Hint: f.span("effort", false), Slots: f.number("slots"),
 			Memory: f.number("mem"), Retry: f.flag("retry")}
 	case "RESOLVED":
 		attempt()
-		in.Event = logic.Outcome{Job: id, Attempt: shot, Worker: worker, Result: f.result("verdict"),
+		in.Event = dispatch.Outcome{Job: id, Attempt: shot, Worker: worker, Result: f.result("verdict"),
 			Closed: f.flag("terminal"), Report: f.row("telemetry")}
 	case "CHECKED":
-		in.Event = logic.Probed{Worker: f.id("worker"), Result: f.result("verdict"), Report: f.row("telemetry")}
+		in.Event = dispatch.HealthChecked{Worker: f.id("worker"), Result: f.result("verdict"), Report: f.row("telemetry")}
 	case "PROGRESS":
 		attempt()
 		switch f.whole("what", true) {
 		case 1:
-			in.Event = logic.Started{Job: id, Attempt: shot, Worker: worker}
+			in.Event = dispatch.Started{Job: id, Attempt: shot, Worker: worker}
 		case 2:
-			in.Event = logic.Progressed{Job: id, Attempt: shot, Worker: worker, Share: f.number("level")}
+			in.Event = dispatch.Progressed{Job: id, Attempt: shot, Worker: worker, Share: f.number("level")}
 		default:
 			in.Kind = KindOther
 		}
 	case "FIRST":
 		attempt()
-		in.Event = logic.StreamBegun{Job: id, Attempt: shot, Worker: worker}
+		in.Event = dispatch.ResponseStarted{Job: id, Attempt: shot, Worker: worker}
 	case "CANCELLED_BY_CLIENT":
-		in.Event = logic.ClientGone{Job: f.id("txn")}
+		in.Event = dispatch.ClientDisconnected{Job: f.id("txn")}
 	case "WAKEUP":
-		in.Event = logic.TimerFired{}
+		in.Event = dispatch.TimerFired{}
 	case "PEER_DATA":
 		in.Kind = KindOther
 	default:
@@ -184,8 +184,8 @@
 	return in, nil
 }
 
-func (r *Reader) entries(rows int64) ([]logic.Worker, error) {
-	var list []logic.Worker
+func (r *Reader) entries(rows int64) ([]dispatch.Worker, error) {
+	var list []dispatch.Worker
 	for n := range rows {
 		line, err := r.next()
 		if errors.Is(err, errEnd) {
@@ -198,14 +198,14 @@
 		if name != "M" {
 			return nil, r.fault(fmt.Errorf("expected entry %d of %d, got %q", n+1, rows, short(line)))
 		}
-		w := logic.Worker{ID: f.id("worker"), Kind: int(f.whole("model", false)), Size: f.number("power_hint"),
+		w := dispatch.Worker{ID: f.id("worker"), Kind: int(f.whole("model", false)), Size: f.number("power_hint"),
 			Cell: int(f.whole("cohort", false)), Zone: int(f.whole("dc", false)), BootAt: f.span("boot_time", false)}
 		switch s := f.text("state"); s {
 		case "Ready":
 			w.Ready = true
 		case "Terminating":
 		case "Gone":
-			w.Gone = true
+			w.Removed = true
 		default:
 			f.fail("state", "Ready, Terminating or Gone", s)
 		}
@@ -312,7 +312,7 @@
 	}
 }
 
-func (f *fields) result(name string) logic.Result {
+func (f *fields) result(name string) dispatch.Result {
 	code := f.whole(name, true)
 	r, ok := results[code]
 	if !ok {
@@ -341,11 +341,11 @@
 	return row
 }
 
-func (f *fields) settings(name string) logic.Settings {
+func (f *fields) settings(name string) dispatch.Settings {
 	_, object, ok := strings.Cut(" "+f.rest, " "+name+"=")
 	if !ok {
 		f.fail(name, "an object", "")
-		return logic.Settings{}
+		return dispatch.Settings{}
 	}
 	s, err := config.DecodeSettings([]byte(object))
 	if err != nil && f.err == nil {
@@ -364,27 +364,27 @@
 func NewWriter(w io.Writer) *Writer { return &Writer{out: bufio.NewWriterSize(w, 1<<16)} }
 
 // Actions adds what one instance wants done to the reply.
-func (w *Writer) Actions(instance int, actions []logic.Action) {
+func (w *Writer) Actions(instance int, actions []dispatch.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
-		case logic.Send:
-			w.line("FORWARD", instance, field{"txn", a.Job}, field{"patience", us(a.Patience)}, field{"worker", a.Worker})
-		case logic.Refuse:
-			w.line("REFUSE", instance, field{"txn", a.Job}, field{"not_before_for", us(a.After)})
-		case logic.Fail:
+		case dispatch.Send:
+			w.line("FORWARD", instance, field{"txn", a.Job}, field{"patience", us(a.AttemptTimeout)}, field{"worker", a.Worker})
+		case dispatch.Reject:
+			w.line("REFUSE", instance, field{"txn", a.Job}, field{"not_before_for", us(a.RetryAfter)})
+		case dispatch.Fail:
 			w.line("END_FAILED", instance, field{"txn", a.Job})
-		case logic.Cancel:
+		case dispatch.Cancel:
 			w.line("REVOKE", instance, field{"txn", a.Job}, field{"shot", uint64(a.Attempt)})
-		case logic.Probe:
+		case dispatch.HealthCheck:
 			w.line("TOUCH", instance, field{"worker", a.Worker})
-		case logic.FreeLinks:
+		case dispatch.CloseIdleConnections:
 			w.line("FREE_LINKS", instance, field{"worker", a.Worker})
-		case logic.SetTimer:
+		case dispatch.SetTimer:
 			// Timers round up, so that one is never early; the text of the tag carries nothing.
 			w.line("ARM", instance, field{"tag", 1}, field{"offset", us(a.After + time.Microsecond - 1)})
-		case logic.Subscribe:
+		case dispatch.Subscribe:
 			w.line("SUBSCRIBE", instance, field{"on", 1})
-		case logic.Log:
+		case dispatch.Log:
 			w.text("LOG", instance, a.Text)
 		}
 	}
