--- a/logic/golden_test.go
+++ b/dispatch/decisions_test.go
@@ -1,4 +1,4 @@
-package logic
+package dispatch
 
 import (
 	"bytes"
@@ -86,16 +86,16 @@
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
-			h.add("send", a.Job, a.Worker, uint64(a.Patience))
-		case Refuse:
-			h.add("refuse", a.Job, uint64(a.After))
+			h.add("send", a.Job, a.Worker, uint64(a.AttemptTimeout))
+		case Reject:
+			h.add("refuse", a.Job, uint64(a.RetryAfter))
 		case Fail:
 			h.add("fail", a.Job)
 		case Cancel:
 			h.add("cancel", a.Job, uint64(a.Attempt))
-		case Probe:
+		case HealthCheck:
 			h.add("probe", a.Worker)
-		case FreeLinks:
+		case CloseIdleConnections:
 			h.add("free-links", a.Worker)
 		case SetTimer:
 			h.add("timer", uint64(a.After))
@@ -111,8 +111,8 @@
 func (h *decisionHash) snapshot(d *Dispatcher) {
 	h.state = d.Snapshot(h.state[:0])
 	h.sum.Write(h.state)
-	h.sum.Write(d.Lesson(4096, nil))
-	h.add("snapshot", uint64(d.Avoided()), uint64(1000*d.Room()))
+	h.sum.Write(d.ModelSnapshot(4096, nil))
+	h.add("snapshot", uint64(d.AvoidedWorkers()), uint64(1000*d.AvailableSlots()))
 }
 
 func (h *decisionHash) String() string {
@@ -145,18 +145,18 @@
 
 func decisionSettings(replicas int) Settings {
 	return Settings{
-		Replicas: replicas, Me: replicas / 2, Zone: 1, TryLimit: 4, SecondCopies: true, Cancelling: true, TellsStart: true,
-		Progress: 100 * ms, MaxRetryAfter: time.Second, ConnectTimeout: 40 * ms, ConnIdle: 5 * time.Second, AskEvery: 10 * time.Second,
-		Probes: true, ProbePrice: 0.004, CrossPrice: 0.02, HandshakePrice: 0.05, TailPart: 0.3, BorneMisses: 0.02,
-		Cold: 8 * time.Second, ColdFrom: 0.2, Overload: 1.5, OverloadSpan: time.Second,
-		Report: []Field{FieldOther, FieldFreeSlots}, MustSubscribe: true,
+		Replicas: replicas, ReplicaIndex: replicas / 2, Zone: 1, AttemptLimit: 4, Hedging: true, Cancellation: true, StartNotifications: true,
+		ProgressInterval: 100 * ms, MaxRetryAfter: time.Second, ConnectTimeout: 40 * ms, ConnIdleTimeout: 5 * time.Second, PollInterval: 10 * time.Second,
+		HealthChecks: true, HealthCheckCost: 0.004, CrossZoneCost: 0.02, HandshakeCost: 0.05, TailShare: 0.3, MissBudget: 0.02,
+		WarmUp: 8 * time.Second, WarmUpCapacity: 0.2, OverloadFactor: 1.5, OverloadWindow: time.Second,
+		ReportFields: []ReportField{ReportFieldOther, ReportFieldFreeSlots}, MustSubscribe: true,
 		TenantQuota: []float64{0, 40 * float64(replicas), 10 * float64(replicas)},
 		Classes: []Class{
-			{Aim: 200 * ms, Stretch: 3, GiveUp: 3 * time.Second, Effect: Safe, LateShare: 0.3, Worth: 1},
-			{Aim: 400 * ms, Stretch: 2, GiveUp: 5 * time.Second, Effect: Unsafe, LateShare: 0.2, Worth: 2},
-			{Aim: 300 * ms, Stretch: 2, GiveUp: 4 * time.Second, Effect: Keyed, Group: GroupZone, Window: 2 * time.Second, Worth: 1},
-			{Aim: 100 * ms, Stretch: 2, GiveUp: 2 * time.Second, Effect: Safe, Worth: 3, Kinds: []int{0, 1}},
-			{Aim: 2 * time.Second, Stretch: 2, GiveUp: 8 * time.Second, Effect: Keyed, Group: GroupAll, Window: 4 * time.Second, LateShare: 0.5, Worth: 1},
+			{LatencyObjective: 200 * ms, ObjectiveStretch: 3, ClientTimeout: 3 * time.Second, Idempotency: Idempotent, LateValue: 0.3, PriorityWeight: 1},
+			{LatencyObjective: 400 * ms, ObjectiveStretch: 2, ClientTimeout: 5 * time.Second, Idempotency: NonIdempotent, LateValue: 0.2, PriorityWeight: 2},
+			{LatencyObjective: 300 * ms, ObjectiveStretch: 2, ClientTimeout: 4 * time.Second, Idempotency: IdempotentWithKey, DeduplicationScope: ScopeZone, DeduplicationWindow: 2 * time.Second, PriorityWeight: 1},
+			{LatencyObjective: 100 * ms, ObjectiveStretch: 2, ClientTimeout: 2 * time.Second, Idempotency: Idempotent, PriorityWeight: 3, Kinds: []int{0, 1}},
+			{LatencyObjective: 2 * time.Second, ObjectiveStretch: 2, ClientTimeout: 8 * time.Second, Idempotency: IdempotentWithKey, DeduplicationScope: ScopeAll, DeduplicationWindow: 4 * time.Second, LateValue: 0.5, PriorityWeight: 1},
 		},
 	}
 }
@@ -174,20 +174,22 @@
 		{name: "cold", set: with(3, keep), workers: 10, slots: 4, rate: 60, noise: 0.3, span: 20 * time.Second, cold: true},
 		{name: "assigned", set: with(6, keep), workers: 10, slots: 4, rate: 60, noise: 0.3, span: 20 * time.Second, cold: true, assigned: true},
 		{name: "faults", set: with(2, keep), workers: 12, slots: 4, rate: 90, noise: 0.5, span: 20 * time.Second, faults: true},
-		{name: "idle", set: with(1, func(s *Settings) { s.CrossPrice = 0 }), workers: 20, slots: 2, rate: 40, noise: 0.3, span: 30 * time.Second, idle: true},
-		{name: "blind", set: with(4, func(s *Settings) { s.Report, s.TellsStart, s.Progress, s.Probes = nil, false, 0, false }), workers: 10, slots: 3,
+		{name: "idle", set: with(1, func(s *Settings) { s.CrossZoneCost = 0 }), workers: 20, slots: 2, rate: 40, noise: 0.3, span: 30 * time.Second, idle: true},
+		{name: "blind", set: with(4, func(s *Settings) {
+			s.ReportFields, s.StartNotifications, s.ProgressInterval, s.HealthChecks = nil, false, 0, false
+		}), workers: 10, slots: 3,
 			rate: 90, noise: 0.4, span: 15 * time.Second, faults: true},
-		{name: "no-hedges", set: with(3, func(s *Settings) { s.SecondCopies, s.Report = false, nil }), workers: 8, slots: 2, rate: 70, noise: 0.6,
+		{name: "no-hedges", set: with(3, func(s *Settings) { s.Hedging, s.ReportFields = false, nil }), workers: 8, slots: 2, rate: 70, noise: 0.6,
 			span: 15 * time.Second, faults: true, cold: true},
-		{name: "many-replicas", set: with(40, func(s *Settings) { s.Report = nil }), workers: 30, slots: 2, rate: 80, noise: 0.5, span: 20 * time.Second, cold: true,
+		{name: "many-replicas", set: with(40, func(s *Settings) { s.ReportFields = nil }), workers: 30, slots: 2, rate: 80, noise: 0.5, span: 20 * time.Second, cold: true,
 			faults: true},
 		{name: "cordons", set: with(2, keep), workers: 5, slots: 3, rate: 70, noise: 0.3, span: 25 * time.Second, cordons: true, faults: true},
 		{name: "handover", set: with(12, keep), workers: 12, slots: 3, rate: 90, noise: 0.4, span: 20 * time.Second, handover: true, cold: true, faults: true},
 		{name: "everything", set: with(9, keep), workers: 16, slots: 4, rate: 140, noise: 0.6, span: 30 * time.Second, handover: true, cold: true,
 			faults: true, cordons: true, idle: true},
-		{name: "crowded", set: with(1, func(s *Settings) { s.Report, s.Probes = nil, false }), workers: 3, slots: 2, rate: 45, noise: 0.2, span: 20 * time.Second},
+		{name: "crowded", set: with(1, func(s *Settings) { s.ReportFields, s.HealthChecks = nil, false }), workers: 3, slots: 2, rate: 45, noise: 0.2, span: 20 * time.Second},
 		{name: "wide-overload", set: with(1, keep), workers: 300, slots: 2, rate: 4000, noise: 0.3, span: 3 * time.Second},
-		{name: "wide", set: with(1, func(s *Settings) { s.Report = nil }), workers: 300, slots: 2, rate: 400, noise: 0.3, span: 8 * time.Second},
+		{name: "wide", set: with(1, func(s *Settings) { s.ReportFields = nil }), workers: 300, slots: 2, rate: 400, noise: 0.3, span: 8 * time.Second},
 	}
 }
 
@@ -313,7 +315,7 @@
 }
 
 func (p *decisionPlay) list(kind ListKind) WorkerList {
-	l := WorkerList{Kind: kind, Generation: int64(p.steps)}
+	l := WorkerList{Kind: kind, Revision: int64(p.steps)}
 	for i, w := range p.fleet {
 		if kind == ListCached && i == len(p.fleet)-1 {
 			continue
@@ -334,15 +336,15 @@
 		switch a := a.(type) {
 		case Send:
 			p.send(a)
-		case Refuse:
+		case Reject:
 			p.jobs[a.Job].closed = true
 		case Fail:
 			p.jobs[a.Job].closed = true
 		case Cancel:
 			p.cancel(p.jobs[a.Job].tries[a.Attempt])
-		case Probe:
+		case HealthCheck:
 			p.probe(a.Worker)
-		case FreeLinks:
+		case CloseIdleConnections:
 			p.fleet[a.Worker-1].endedAt = 0
 		case SetTimer:
 			p.setTimer(a.After)
@@ -371,7 +373,7 @@
 
 func (p *decisionPlay) subscribe() {
 	if p.rng.IntN(3) == 0 {
-		p.after(30*ms, func() { p.step(WorkerList{Kind: ListLost}) })
+		p.after(30*ms, func() { p.step(WorkerList{Kind: ListUnavailable}) })
 		return
 	}
 	p.after(30*ms, func() { p.step(p.list(ListFull)) })
@@ -381,7 +383,7 @@
 	p.lastID++
 	class := p.rng.IntN(len(p.set.Classes))
 	c := &p.set.Classes[class]
-	run := time.Duration((0.2 + p.rng.ExpFloat64()) * float64(c.Aim) / 4)
+	run := time.Duration((0.2 + p.rng.ExpFloat64()) * float64(c.LatencyObjective) / 4)
 	slots := 1.0
 	if p.rng.IntN(12) == 0 {
 		slots = float64(1 + p.rng.IntN(p.slots))
@@ -394,9 +396,9 @@
 		run *= 6 // far heavier than hinted
 	}
 	j := Job{ID: p.lastID, Class: class, Tenant: p.rng.IntN(3), Key: uint64(p.rng.IntN(40)), Hint: hint, Slots: slots,
-		Memory: p.rng.Float64(), Left: c.GiveUp}
+		Memory: p.rng.Float64(), Remaining: c.ClientTimeout}
 	if p.rng.IntN(10) == 0 {
-		j.Retry, j.Left = true, c.GiveUp/2
+		j.Retry, j.Remaining = true, c.ClientTimeout/2
 	}
 	job := &playJob{Job: j, run: run}
 	p.jobs[j.ID] = job
@@ -414,15 +416,15 @@
 func (p *decisionPlay) clientGone(j *playJob) {
 	if !j.closed {
 		j.closed = true
-		p.step(ClientGone{Job: j.ID})
+		p.step(ClientDisconnected{Job: j.ID})
 	}
 }
 
 func (p *decisionPlay) resume(j *playJob) {
-	e := Resumed{Job: j.Job, Waited: time.Duration(p.rng.IntN(400)) * ms, Counted: p.rng.IntN(2) == 0}
+	e := JobResumed{Job: j.Job, Age: time.Duration(p.rng.IntN(400)) * ms, QuotaCharged: p.rng.IntN(2) == 0}
 	for range p.rng.IntN(3) {
 		w := p.fleet[p.rng.IntN(len(p.fleet))]
-		past := Past{Worker: w.ID, Ago: time.Duration(p.rng.IntN(300)) * ms, Ended: p.rng.IntN(2) == 0, Result: Result(p.rng.IntN(8))}
+		past := PastAttempt{Worker: w.ID, SentAgo: time.Duration(p.rng.IntN(300)) * ms, Ended: p.rng.IntN(2) == 0, Result: Result(p.rng.IntN(8))}
 		if p.rng.IntN(5) == 0 {
 			past.Worker = 9000 + w.ID
 		}
@@ -436,17 +438,17 @@
 			past.Result = Failed
 		}
 		if !past.Ended && past.Worker < 9000 && p.rng.IntN(2) == 0 {
-			past.Began = past.Ago / 2
+			past.StartedAgo = past.SentAgo / 2
 		}
 		e.Attempts = append(e.Attempts, past)
 		j.tries = append(j.tries, a)
 		if !past.Ended {
-			at, began := past.Worker, past.Began
+			at, began := past.Worker, past.StartedAgo
 			p.after(j.run, func() {
 				a.ended = true
 				result := OK
 				if began == 0 && p.rng.IntN(3) == 0 {
-					result = Reset
+					result = ConnectionReset
 				}
 				p.outcome(a, at, result)
 			})
@@ -468,23 +470,23 @@
 	j.tries = append(j.tries, a)
 	switch {
 	case p.idle && w.endedAt > 0 && p.now-w.endedAt > 300*ms && p.rng.IntN(4) > 0: // dropped unseen on the way
-		p.after(time.Duration(20+p.rng.IntN(100))*ms, func() { p.finish(a, Reset) })
+		p.after(time.Duration(20+p.rng.IntN(100))*ms, func() { p.finish(a, ConnectionReset) })
 	case w.broken:
-		result := NoConnect
+		result := ConnectFailed
 		if p.rng.IntN(3) == 0 {
-			result = Reset
+			result = ConnectionReset
 		}
 		p.after(15*ms, func() { p.finish(a, result) })
 	case w.failing && p.rng.IntN(2) == 0:
 		p.after(5*ms, func() { p.finish(a, Failed) })
 	case p.faults && len(w.queue) > 3:
-		p.after(4*ms, func() { p.finish(a, Full) })
+		p.after(4*ms, func() { p.finish(a, WorkerFull) })
 	default:
 		p.after(2*ms, func() {
 			w.queue = append(w.queue, a)
 			p.serve(w)
 		})
-		p.after(j.Left+100*ms, func() { p.finish(a, TimedOut) })
+		p.after(j.Remaining+100*ms, func() { p.finish(a, TimedOut) })
 	}
 }
 
@@ -499,17 +501,17 @@
 		a.runs = true
 		w.running++
 		run := time.Duration(float64(a.job.run) / (w.speed * p.warmth(w)))
-		if p.set.TellsStart && p.rng.IntN(50) > 0 {
+		if p.set.StartNotifications && p.rng.IntN(50) > 0 {
 			p.after(2*ms, func() { p.tell(a, Started{Job: a.job.ID, Attempt: a.number, Worker: w.ID}) })
 		}
-		if p.set.Progress > 0 {
-			for at := p.set.Progress; at < run; at += p.set.Progress {
+		if p.set.ProgressInterval > 0 {
+			for at := p.set.ProgressInterval; at < run; at += p.set.ProgressInterval {
 				share := float64(at) / float64(run)
 				p.after(at, func() { p.tell(a, Progressed{Job: a.job.ID, Attempt: a.number, Worker: w.ID, Share: share}) })
 			}
 		}
 		if p.rng.IntN(30) == 0 {
-			p.after(run/2, func() { p.tell(a, StreamBegun{Job: a.job.ID, Attempt: a.number, Worker: w.ID}) })
+			p.after(run/2, func() { p.tell(a, ResponseStarted{Job: a.job.ID, Attempt: a.number, Worker: w.ID}) })
 		}
 		life := w.life
 		p.after(run, func() {
@@ -524,10 +526,10 @@
 
 // warmth is the part of its speed that a worker has so long after its start.
 func (p *decisionPlay) warmth(w *playWorker) float64 {
-	if w.BootAt == 0 || p.now-w.BootAt > p.set.Cold {
+	if w.BootAt == 0 || p.now-w.BootAt > p.set.WarmUp {
 		return 1
 	}
-	return p.set.ColdFrom + (1-p.set.ColdFrom)*float64(p.now-w.BootAt)/float64(p.set.Cold)
+	return p.set.WarmUpCapacity + (1-p.set.WarmUpCapacity)*float64(p.now-w.BootAt)/float64(p.set.WarmUp)
 }
 
 func (p *decisionPlay) tell(a *playAttempt, e Event) {
@@ -548,7 +550,7 @@
 	o := Outcome{Job: a.job.ID, Attempt: a.number, Worker: at, Result: r, Closed: r == OK || a.job.closed}
 	a.job.closed = o.Closed
 	a.worker.endedAt = p.now
-	if len(p.set.Report) > 0 && (r == OK || r == Full) {
+	if len(p.set.ReportFields) > 0 && (r == OK || r == WorkerFull) {
 		o.Report = []float64{1, float64(p.slots - a.worker.running)}
 	}
 	p.step(o)
@@ -567,14 +569,14 @@
 	result, delay := OK, 2*ms
 	switch {
 	case w.broken:
-		result, delay = NoConnect, 15*ms
+		result, delay = ConnectFailed, 15*ms
 	case w.hung:
 		result, delay = TimedOut, 300*ms
 	case p.rng.IntN(20) == 0:
 		result = NotSent
 	}
 	p.after(delay, func() {
-		e := Probed{Worker: id, Result: result}
+		e := HealthChecked{Worker: id, Result: result}
 		if result == OK {
 			e.Report = []float64{0, float64(p.slots - w.running)}
 		}
@@ -615,14 +617,14 @@
 	w.Ready = false
 	gone := p.rng.IntN(3) == 0
 	entry := w.Worker
-	entry.Gone = gone
+	entry.Removed = gone
 	p.step(WorkerList{Kind: ListDelta, Workers: []Worker{entry}})
 	p.after(time.Duration(200+p.rng.IntN(1500))*ms, func() {
 		w.life++
 		w.running, w.queue = 0, nil
 		w.Ready, w.BootAt = true, p.now
 		if p.assigned {
-			w.Of, w.Rank = 1+p.rng.IntN(3), p.rng.IntN(4)
+			w.Assignees, w.AssigneeRank = 1+p.rng.IntN(3), p.rng.IntN(4)
 		}
 		p.step(WorkerList{Kind: ListDelta, Workers: []Worker{w.Worker}})
 	})
@@ -647,8 +649,8 @@
 			id = uint64(n)
 			n--
 		}
-		p.step(Suspended{Worker: id})
-		p.after(time.Duration(500+p.rng.IntN(2000))*ms, func() { p.step(Restored{Worker: id}) })
+		p.step(Cordoned{Worker: id})
+		p.after(time.Duration(500+p.rng.IntN(2000))*ms, func() { p.step(Uncordoned{Worker: id}) })
 	}
 	p.after(time.Duration(1000+p.rng.IntN(3000))*ms, p.cordon)
 }
@@ -658,15 +660,15 @@
 	if p.now > p.end {
 		return
 	}
-	p.step(Shared{Of: 1 + p.rng.IntN(p.set.Replicas), Me: p.rng.IntN(p.set.Replicas), Part: p.rng.Float64() * float64(p.rng.IntN(2))})
-	p.step(Taught{Lesson: p.d.Lesson(2000, nil), Age: time.Duration(p.rng.IntN(5000)) * ms, Part: p.rng.Float64()})
+	p.step(ReplicasChanged{Replicas: 1 + p.rng.IntN(p.set.Replicas), ReplicaIndex: p.rng.IntN(p.set.Replicas), QuotaShare: p.rng.Float64() * float64(p.rng.IntN(2))})
+	p.step(ModelUpdate{Snapshot: p.d.ModelSnapshot(2000, nil), Age: time.Duration(p.rng.IntN(5000)) * ms, LoadShare: p.rng.Float64()})
 	state := p.d.Snapshot(nil)
 	d, err := Restore(p.set, state)
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	for key, work := range p.d.keyWork { // their order decides nothing
-		d.Recall(key, work)
+		d.RecallKeyWork(key, work)
 	}
 	p.d = d
 	p.after(time.Duration(3000+p.rng.IntN(3000))*ms, p.takeOver)
--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,87 @@
+package config
+
+import (
+	"bytes"
+	"net/netip"
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/requests"
+	"valvecove/internal/storedform"
+)
+
+// The platform writes this file, and its form is the platform's: the file holds every key that is read, and some that are
+// passed over. It is never regenerated except under a new form number.
+const goldenPlatform = "platform-1.json"
+
+func TestGoldenPlatformFile(t *testing.T) {
+	text := storedform.Golden(t, goldenPlatform)
+	got, err := Decode(text, none)
+	if err != nil {
+		t.Fatal(err)
+	}
+	platform := got.Platform
+	got.Platform = nil
+	want := Config{
+		Name:       "s-eu-3",
+		Listen:     netip.MustParseAddrPort("127.0.0.1:9000"),
+		Discovery:  netip.MustParseAddrPort("127.0.0.1:8500"),
+		Management: netip.MustParseAddrPort("127.0.0.1:9001"),
+		Seed:       0x8c1f30d27a5be964,
+		Limits:     Limits{Cores: 1.5, MemoryMB: 512, Sockets: 4096},
+		Known: requests.EndpointList{Revision: 41, Reset: true, Endpoints: []requests.Endpoint{{ID: "w-1", Addr: "127.0.0.2:7001",
+			Zone: "b", MachineType: "slow-4c", Cell: 2, Lifecycle: "draining", Weight: 0.75, StartedAtMs: 1718000000123}}},
+		Settings: Settings{Names: requests.NameTable{
+			Classes:      []string{"status-check", "cash-payout", "account-credit", "statement"},
+			Tenants:      []string{"swat-society", "kurram-society"},
+			Zones:        []string{"a", "b"},
+			MachineTypes: []string{"std-4c", "slow-4c", "big-16c"},
+		}, Settings: dispatch.Settings{
+			Replicas: 3, ReplicaIndex: 2, Zone: 1,
+			Classes: []dispatch.Class{
+				{LatencyObjective: 80 * time.Millisecond, ObjectiveStretch: 2.5, ClientTimeout: 5 * time.Second, Idempotency: dispatch.Idempotent, PriorityWeight: 2,
+					LateValue: 0.25, Zones: []int{1}},
+				{LatencyObjective: 500 * time.Millisecond, ObjectiveStretch: 2, ClientTimeout: 7500 * time.Millisecond, Idempotency: dispatch.NonIdempotent, PriorityWeight: 2.5,
+					Kinds: []int{0, 2}},
+				{LatencyObjective: 500 * time.Millisecond, ObjectiveStretch: 1.5, ClientTimeout: 12 * time.Second, Idempotency: dispatch.IdempotentWithKey,
+					DeduplicationScope: dispatch.ScopeZone, DeduplicationWindow: 20 * time.Second, PriorityWeight: 3, Kinds: []int{1}},
+				{LatencyObjective: 900 * time.Millisecond, ObjectiveStretch: 1.25, ClientTimeout: 30 * time.Second, Idempotency: dispatch.IdempotentWithKey,
+					DeduplicationScope: dispatch.ScopeAll, DeduplicationWindow: time.Minute, PriorityWeight: 1},
+			},
+			TenantQuota: []float64{6, 12.5}, MustSubscribe: true, AttemptLimit: 6, Hedging: true, Cancellation: true,
+			HealthChecks: true, StartNotifications: true, ProgressInterval: 2 * time.Second, MaxRetryAfter: 2 * time.Second,
+			ReportFields:    []dispatch.ReportField{dispatch.ReportFieldOther, dispatch.ReportFieldFreeSlots, dispatch.ReportFieldOther},
+			HealthCheckCost: 0.004, CrossZoneCost: 0.01, HandshakeCost: 0.02, TailShare: 0.2, MissBudget: 0.01,
+			ConnectTimeout: 250 * time.Millisecond, ConnIdleTimeout: 30 * time.Second, PollInterval: 10 * time.Second,
+			WarmUp: 8800 * time.Millisecond, WarmUpCapacity: 0.3, OverloadFactor: 3, OverloadWindow: 2 * time.Second,
+		}},
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, expected %+v", got, want)
+	}
+	checkNoneIsZero(t, reflect.ValueOf(got.Settings.Settings))
+	checkNoneIsZero(t, reflect.ValueOf(got.Settings.Classes[0]), reflect.ValueOf(got.Settings.Classes[1]),
+		reflect.ValueOf(got.Settings.Classes[2]))
+	// A capture keeps the settings as the text has them.
+	if !bytes.Contains(text, platform) {
+		t.Errorf("the settings are kept as %s", platform)
+	}
+	again, err := DecodeSettings(platform)
+	if err != nil || !reflect.DeepEqual(again, got.Settings) {
+		t.Errorf("the kept settings read as %+v, %v", again, err)
+	}
+}
+
+// checkNoneIsZero expects that each field has a value in one of the structs at least: each key is in the file. A field that
+// is added gets its key in a file of a further form number.
+func checkNoneIsZero(t *testing.T, structs ...reflect.Value) {
+	t.Helper()
+	for i, field := range reflect.VisibleFields(structs[0].Type()) {
+		if !slices.ContainsFunc(structs, func(v reflect.Value) bool { return !v.Field(i).IsZero() }) {
+			t.Errorf("no key of the golden file gives %s a value", field.Name)
+		}
+	}
+}
