--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -28,7 +28,7 @@
 	for seed := range uint64(120) {
 		h := newDecisionHash()
 		steps := 0
-		playBeside(seed, 400, func(d *Dispatcher, _ time.Duration, _ []Event, actions []Action) {
+		observedRandomRun(seed, 400, func(d *Dispatcher, _ time.Duration, _ []Event, actions []Action) {
 			if actions == nil {
 				return
 			}
--- a/dispatch/golden_test.go
+++ b/dispatch/golden_test.go
@@ -32,8 +32,8 @@
 // goldenScene brings a dispatcher to where it has learnt of sizes, kinds and workers, and has jobs of all classes: some run,
 // some have not started, many wait, and one of them keeps a worker for itself; one worker is out by hand, one drains, one is
 // cold, and two rest.
-func goldenScene(t *testing.T) *scene {
-	s := newScene(t, goldenSettings())
+func goldenScene(t *testing.T) *harness {
+	s := newHarness(t, goldenSettings())
 	list := WorkerList{Kind: ListFull, Revision: 42}
 	for id := range uint64(8) {
 		list.Workers = append(list.Workers, Worker{ID: (id + 1) << 40, Kind: int(id % 2), Ready: id != 6, Size: 2 + float64(id%3),
@@ -170,7 +170,7 @@
 	d := New(goldenSettings(), 1)
 	d.Step(time.Hour, []Event{list}, nil)
 	d.Step(time.Hour, []Event{ModelUpdate{Snapshot: storedform.Golden(t, goldenLesson), LoadShare: 1}}, nil)
-	j := &job{Job: Job{Slots: 1, Hint: 100 * ms}, class: &d.settings.Classes[0]}
+	j := &jobInfo{Job: Job{Slots: 1, Hint: 100 * ms}, class: &d.settings.Classes[0]}
 	if got, want := d.expectedWork(j), teacher.expectedWork(j); got != want || got == New(goldenSettings(), 1).expectedWork(j) {
 		t.Errorf("it expects %v, the teacher %v", got, want)
 	}
--- a/dispatch/handover.go
+++ b/dispatch/handover.go
@@ -28,7 +28,7 @@
 }
 
 // assigneeRank is this dispatcher's place among those that may send work to a cold worker: all agree on it.
-func (d *Dispatcher) assigneeRank(w *worker) (rank, of int) {
+func (d *Dispatcher) assigneeRank(w *workerInfo) (rank, of int) {
 	if w.Assignees > 0 {
 		return max(0, w.AssigneeRank), w.Assignees
 	}
@@ -64,10 +64,10 @@
 
 // adoptAttempt enters an attempt that another dispatcher has made. What it has told so far was told to that one; whether it
 // is late, or lost, counts from now on.
-func (d *Dispatcher) adoptAttempt(j *job, p PastAttempt) {
+func (d *Dispatcher) adoptAttempt(j *jobInfo, p PastAttempt) {
 	w := d.workers[p.Worker]
 	if w == nil {
-		w = &worker{Worker: Worker{ID: p.Worker, Kind: -1, Cell: math.MinInt, Zone: math.MinInt}, limit: 1}
+		w = &workerInfo{Worker: Worker{ID: p.Worker, Kind: -1, Cell: math.MinInt, Zone: math.MinInt}, limit: 1}
 		w.machine, w.speed, w.timer = d.machineKind(w.Kind), math.Exp(d.machineKind(w.Kind).logSpeed), timer{purpose: workerAvailable, worker: w}
 		if !p.Ended {
 			w.position = len(d.workerList)
@@ -76,7 +76,7 @@
 		}
 	}
 	sent := d.now - max(0, p.SentAgo)
-	a := &attempt{job: j, number: len(j.attempts), worker: w, zone: w.Zone, cell: w.Cell, sentAt: sent, startedAt: sent,
+	a := &attemptInfo{job: j, number: len(j.attempts), worker: w, zone: w.Zone, cell: w.Cell, sentAt: sent, startedAt: sent,
 		expectedRun: d.expectedRun(j, w), started: !d.settings.StartNotifications, ended: p.Ended, result: p.Result}
 	a.timer = timer{purpose: attemptOverdue, attempt: a}
 	if p.StartedAgo > 0 {
@@ -106,7 +106,7 @@
 }
 
 // insert puts an attempt among those that have not started, which lie by when they were sent.
-func (l *startTracker) insert(class int, a *attempt) {
+func (l *startTracker) insert(class int, a *attemptInfo) {
 	q := append(l.pending[class], a)
 	i := len(q) - 1
 	for ; i > l.first[class] && q[i-1].sentAt > a.sentAt; i-- {
@@ -153,7 +153,7 @@
 type model struct {
 	figures   []*float64 // in an order that both sides know
 	durations []*time.Duration
-	kinds     map[int]*machineKind
+	kinds     map[int]*machineInfo
 	busy      map[int]float64
 	workers   []workerModel
 }
@@ -224,9 +224,9 @@
 	c.int(&form)
 	fixedList(c, l.figures, func(x **float64) { c.float(*x) })
 	fixedList(c, l.durations, func(x **time.Duration) { c.duration(*x) })
-	sortedMap(c, l.kinds, func(i *int, k **machineKind) {
+	sortedMap(c, l.kinds, func(i *int, k **machineInfo) {
 		if *k == nil {
-			*k = &machineKind{}
+			*k = &machineInfo{}
 		}
 		c.int(i)
 		c.float(&(*k).logSpeed, &(*k).runs, &(*k).maxSlots)
--- a/dispatch/handover_test.go
+++ b/dispatch/handover_test.go
@@ -12,7 +12,7 @@
 
 // A resumed job goes on as it would have where it was: one that is out is not sent again, its outcome is known by its
 // number, and one that may have run goes only where rule 2 lets it.
-func TestResumed(t *testing.T) {
+func TestJobResumed(t *testing.T) {
 	out := PastAttempt{Worker: 1, SentAgo: 100 * ms}
 	runs := PastAttempt{Worker: 1, SentAgo: 100 * ms, StartedAgo: 90 * ms}
 	ended := func(worker uint64, r Result) PastAttempt {
@@ -41,11 +41,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
 			set.Classes[2] = Class{LatencyObjective: 400 * ms, ClientTimeout: 5 * time.Second, Idempotency: IdempotentWithKey, DeduplicationScope: ScopeCell, DeduplicationWindow: time.Minute, LateValue: 0.3}
-			s := newScene(t, set)
+			s := newHarness(t, set)
 			s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 1, Cell: 1}, {ID: 2, Cell: 2, Ready: true}}})
 			s.take()
 			job := s.job(9, c.class, 300*ms)
-			s.jobs[9] = &sceneJob{Job: job}
+			s.jobs[9] = &harnessJob{Job: job}
 			s.step(JobResumed{Job: job, Age: 200 * ms, Attempts: c.pasts})
 			got := ""
 			for _, a := range s.take() {
@@ -79,8 +79,8 @@
 
 // What came to another dispatcher long ago keeps its place: it leaves before what comes now, and its aim is that of its
 // first try. An attempt that hangs is found lost here too.
-func TestResumedKeepsItsPlace(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestResumedJobKeepsItsQueuePosition(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(2)
 	s.busy(1)
 	s.d.workers[1].limit = 1
@@ -88,7 +88,7 @@
 	s.d.muShort = 0.1 // tau 0.3 s
 	late := s.job(9, 1, 300*ms)
 	late.Remaining -= 500 * ms
-	s.jobs[8], s.jobs[9] = &sceneJob{}, &sceneJob{}
+	s.jobs[8], s.jobs[9] = &harnessJob{}, &harnessJob{}
 	s.step(s.job(2, 1, 100*ms), JobResumed{Job: late, Age: 500 * ms})
 	if aim := s.d.jobs[9].objectiveAt - s.now; aim != 500*ms {
 		t.Errorf("its aim lies %v off", aim)
@@ -106,10 +106,10 @@
 }
 
 // A resumed job takes from its tenant's quota what was not taken yet, and counts against a cold worker's budget.
-func TestResumedIsCountedOnce(t *testing.T) {
+func TestResumedJobIsChargedOnce(t *testing.T) {
 	set := testSettings()
 	set.TenantQuota, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = []float64{1}, time.Minute, 0.2, 1.5, time.Second
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 1, Ready: true, BootAt: s.now - time.Second}}})
 	quota := s.d.quotaTokens[0]
 	for id := range uint64(20) {
@@ -126,13 +126,13 @@
 
 // Who may send work to a cold worker follows from its entry where that says so, else from the number of dispatchers;
 // and so does the part of a quota.
-func TestShared(t *testing.T) {
+func TestReplicasChanged(t *testing.T) {
 	set := testSettings()
 	set.Replicas, set.ReplicaIndex, set.TenantQuota = 4, 1, []float64{8}
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	check := func(w Worker, rank, of int, part float64) {
 		t.Helper()
-		if r, o := s.d.assigneeRank(&worker{Worker: w}); r != rank || o != of || s.d.quotaShare() != part {
+		if r, o := s.d.assigneeRank(&workerInfo{Worker: w}); r != rank || o != of || s.d.quotaShare() != part {
 			t.Errorf("rank %d of %d, part %v, expected %d of %d and %v", r, o, s.d.quotaShare(), rank, of, part)
 		}
 	}
@@ -152,9 +152,9 @@
 
 // One that was taught expects what the teacher does, knows its slow workers, and has its part of the rooms; a lesson
 // keeps to its size, and one that is cut or spoilt teaches nothing.
-func TestTaught(t *testing.T) {
+func TestModelUpdate(t *testing.T) {
 	set := testSettings()
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	list := WorkerList{Kind: ListFull}
 	for id := range uint64(100) {
 		list.Workers = append(list.Workers, Worker{ID: (id + 1) << 40, Kind: int(id % 2), Ready: true})
@@ -182,7 +182,7 @@
 		return d
 	}
 	d := fresh(ModelUpdate{Snapshot: lesson, LoadShare: 0.5})
-	j := &job{Job: Job{Slots: 1, Hint: 100 * ms}, class: &set.Classes[0]}
+	j := &jobInfo{Job: Job{Slots: 1, Hint: 100 * ms}, class: &set.Classes[0]}
 	if got, want := d.expectedWork(j), s.d.expectedWork(j); got != want {
 		t.Errorf("it expects %v, the teacher %v", got, want)
 	}
@@ -200,8 +200,8 @@
 }
 
 // No bytes make a dispatcher panic, nor leave it with figures that are none.
-func FuzzTaught(f *testing.F) {
-	_, d, _ := play(5, 300)
+func FuzzModelUpdate(f *testing.F) {
+	_, d, _ := randomRun(5, 300)
 	whole := d.ModelSnapshot(1000, nil)
 	f.Add(whole, int64(time.Second), 0.5)
 	for i := range whole {
--- a/dispatch/index.go
+++ b/dispatch/index.go
@@ -12,9 +12,9 @@
 // bucket holds workers of one zone and kind that may have room, by our slots in use there.
 type bucket struct {
 	bucketKey
-	rows     [][]*worker // by slots in use, rounded down; mostRows and more are one row
-	nextRow  int         // the row that comes next in the walk at hand
-	baseCost float64     // and what all its workers cost there beyond their slots in use; infinite: left out
+	rows     [][]*workerInfo // by slots in use, rounded down; mostRows and more are one row
+	nextRow  int             // the row that comes next in the walk at hand
+	baseCost float64         // and what all its workers cost there beyond their slots in use; infinite: left out
 }
 
 type bucketKey struct {
@@ -42,7 +42,7 @@
 }
 
 // put has a worker in the row of its slots in use, and nowhere else.
-func (s *workerIndex) put(w *worker, key bucketKey) {
+func (s *workerIndex) put(w *workerInfo, key bucketKey) {
 	row := min(int(w.usedSlots), maxRows-1)
 	if w.bucket != nil && w.row == row && w.bucket.bucketKey == key {
 		return
@@ -58,7 +58,7 @@
 }
 
 // drop takes a worker out, if it is there. The last of its row takes its place.
-func (s *workerIndex) drop(w *worker) {
+func (s *workerIndex) drop(w *workerInfo) {
 	if w.bucket == nil {
 		return
 	}
@@ -71,7 +71,7 @@
 	w.bucket = nil
 }
 
-func (s *workerIndex) count(w *worker, n int) {
+func (s *workerIndex) count(w *workerInfo, n int) {
 	if w.row == 0 && !w.bucket.warmingUp && !w.bucket.suspect {
 		s.idle += n
 	}
@@ -79,7 +79,7 @@
 
 // cheapest is the row that costs least of those not yet gone through, and what its workers cost at least; nil: there is
 // none. Each lane's next and base are set before the first call.
-func (s *workerIndex) cheapest() (row []*worker, least float64) {
+func (s *workerIndex) cheapest() (row []*workerInfo, least float64) {
 	var pick *bucket
 	least = math.Inf(1)
 	for _, l := range s.buckets {
@@ -106,9 +106,9 @@
 }
 
 type shape struct {
-	byScore     minHeap[*job] // by chance of running long, what can earn in full first
-	byPromotion minHeap[*job] // the same by arrival; may hold jobs that have left
-	blocked     bool          // in this step
+	byScore     minHeap[*jobInfo] // by chance of running long, what can earn in full first
+	byPromotion minHeap[*jobInfo] // the same by arrival; may hold jobs that have left
+	blocked     bool              // in this step
 }
 
 const (
@@ -139,15 +139,15 @@
 
 // startTracker keeps the attempts that have not started, oldest first by class, and those of them that are late by now.
 type startTracker struct {
-	pending [][]*attempt // by class; may hold attempts that have started or ended
-	first   []int        // where each begins
-	late    []*attempt   // late ones
+	pending [][]*attemptInfo // by class; may hold attempts that have started or ended
+	first   []int            // where each begins
+	late    []*attemptInfo   // late ones
 }
 
-func (l *startTracker) add(class int, a *attempt) { l.pending[class] = append(l.pending[class], a) }
+func (l *startTracker) add(class int, a *attemptInfo) { l.pending[class] = append(l.pending[class], a) }
 
 // update moves on what is late by limit of its class, and drops what is no longer waited for, as gone says.
-func (l *startTracker) update(now time.Duration, limit func(class int) time.Duration, gone func(a *attempt) bool) {
+func (l *startTracker) update(now time.Duration, limit func(class int) time.Duration, gone func(a *attemptInfo) bool) {
 	for class := range l.pending {
 		q, i := l.pending[class], l.first[class]
 		for within := limit(class); i < len(q) && (q[i].started || q[i].ended || now-q[i].sentAt > within); i++ {
--- a/dispatch/logic.go
+++ b/dispatch/logic.go
@@ -67,7 +67,7 @@
 )
 
 // leavesBefore is the order in which held jobs leave, older that of those over tau.
-func leavesBefore(a, b *job) bool {
+func leavesBefore(a, b *jobInfo) bool {
 	if a.deferrals == b.deferrals && a.demoted != b.demoted {
 		return b.demoted
 	}
@@ -75,7 +75,7 @@
 		cmp.Compare(a.arrivedAt, b.arrivedAt)) < 0
 }
 
-func promotedBefore(a, b *job) bool {
+func promotedBefore(a, b *jobInfo) bool {
 	return cmp.Or(cmp.Compare(a.deferrals, b.deferrals), cmp.Compare(a.promoteAt, b.promoteAt)) < 0
 }
 
@@ -140,12 +140,12 @@
 }
 
 // admit takes in a job that came so long ago, with all but what was made of it since.
-func (d *Dispatcher) admit(e Job, waited time.Duration) *job {
+func (d *Dispatcher) admit(e Job, waited time.Duration) *jobInfo {
 	if d.jobs[e.ID] != nil || e.Class < 0 || e.Class >= len(d.settings.Classes) {
 		return nil
 	}
 	c := &d.settings.Classes[e.Class]
-	j := &job{Job: e, class: c, heapIndex: -1, arrivedAt: d.now - waited, deadline: d.now + max(e.Remaining, 0)}
+	j := &jobInfo{Job: e, class: c, heapIndex: -1, arrivedAt: d.now - waited, deadline: d.now + max(e.Remaining, 0)}
 	j.Slots, j.Hint = max(1, finite(e.Slots)), max(0, e.Hint)
 	j.demand = max(j.Slots, finite(e.Memory))
 	j.work = d.expectedWork(j)
@@ -165,7 +165,7 @@
 	return j
 }
 
-func (d *Dispatcher) enqueue(j *job) {
+func (d *Dispatcher) enqueue(j *jobInfo) {
 	if j.heapIndex >= 0 || j.closed || j.streaming {
 		return
 	}
@@ -238,8 +238,8 @@
 }
 
 // nextJob is the job that leaves next, of those whose shape has not been found to fit nowhere.
-func (d *Dispatcher) nextJob() (first *job) {
-	var old *job
+func (d *Dispatcher) nextJob() (first *jobInfo) {
+	var old *jobInfo
 	for i := range d.queue.shapes {
 		sh := &d.queue.shapes[i]
 		if sh.blocked || sh.byScore.empty() {
@@ -262,7 +262,7 @@
 }
 
 // reindex puts a worker where choices find it, if it may have room, and out of their way if not.
-func (d *Dispatcher) reindex(w *worker) {
+func (d *Dispatcher) reindex(w *workerInfo) {
 	w.dirty = false
 	cold := d.warmUpShare(w) < 1
 	if d.workers[w.ID] == w && w.Ready && d.now >= w.backoffUntil && (w.usedSlots == 0 || w.usedSlots+1 <= w.limit) {
@@ -281,7 +281,7 @@
 
 // reserveWorker holds a worker free for a large job that is over tau and fits nowhere, the one with least to finish:
 // else smaller jobs would slip past it for ever. Sent before it fits, it would hold up a worker's queue.
-func (d *Dispatcher) reserveWorker(j *job) {
+func (d *Dispatcher) reserveWorker(j *jobInfo) {
 	if d.reserved != nil && d.reserved.Ready {
 		return
 	}
@@ -305,7 +305,7 @@
 // ties are drawn by strength. Departures: one on which the job would miss its aim is passed over while the
 // aim can still be met; crossings, new connections and workers likely to be busy weigh like slots in use.
 // Of many that are alike some are looked at, drawn anew each time. roomless: nothing but room is wanting.
-func (d *Dispatcher) chooseWorker(j *job) (pick *worker, roomless bool) {
+func (d *Dispatcher) chooseWorker(j *jobInfo) (pick *workerInfo, roomless bool) {
 	reports := len(d.settings.ReportFields) > 0
 	for _, l := range d.available.buckets {
 		if l.nextRow, l.baseCost = 0, 0; !classAllows(j, l.kind, l.zone) {
@@ -320,7 +320,7 @@
 		}
 	}
 	best, sum, known, looks := math.Inf(1), 0.0, true, 0
-	var lucky *worker // cold, and drawn by the job
+	var lucky *workerInfo // cold, and drawn by the job
 	roomless = true
 	for looks < maxLooks {
 		row, base := d.available.cheapest()
@@ -385,13 +385,13 @@
 
 // ---- Predictor: chance of running long, and size ----
 
-func (d *Dispatcher) longChance(j *job) float64 {
+func (d *Dispatcher) longChance(j *jobInfo) float64 {
 	h, s := d.features(j)
 	n := len(d.settings.Classes)
 	return 1 / (1 + math.Exp(-(d.weights[j.Class] + d.weights[n]*h + d.weights[n+1]*s)))
 }
 
-func (d *Dispatcher) expectedWork(j *job) float64 {
+func (d *Dispatcher) expectedWork(j *jobInfo) float64 {
 	guess := j.class.LatencyObjective // without a hint the aim stands in, and the correction does the rest
 	if j.Hint > 0 {
 		guess = j.Hint
@@ -405,7 +405,7 @@
 
 // learnFromRun takes in a finished run. Size corrections are slow while speeds are quick, so that a slow spell is
 // laid to the worker. Runs on cold workers teach nothing.
-func (d *Dispatcher) learnFromRun(a *attempt, run time.Duration) {
+func (d *Dispatcher) learnFromRun(a *attemptInfo, run time.Duration) {
 	j, w := a.job, a.worker
 	r := math.Log(max(run.Seconds(), 1e-4))
 	if d.spansStall(a) {
@@ -446,18 +446,18 @@
 	d.longCut += step * (1 - longJobShare)
 }
 
-func (d *Dispatcher) expectedRun(j *job, w *worker) time.Duration {
+func (d *Dispatcher) expectedRun(j *jobInfo, w *workerInfo) time.Duration {
 	return seconds(j.work / (w.speed * d.warmUpShare(w)))
 }
 
 // maxPlausibleRun is a run time that noise in hints and runs, as seen so far, does not explain.
-func (d *Dispatcher) maxPlausibleRun(a *attempt) time.Duration {
+func (d *Dispatcher) maxPlausibleRun(a *attemptInfo) time.Duration {
 	return seconds(a.expectedRun.Seconds() * math.Exp(overrunSpreads*d.spread))
 }
 
 // ---- Rooms: how much of ours a worker can start at once ----
 
-func (d *Dispatcher) hasCapacity(j *job, w *worker) bool {
+func (d *Dispatcher) hasCapacity(j *jobInfo, w *workerInfo) bool {
 	if w.rejectedDemand > 0 && j.demand >= w.rejectedDemand || w.usedSlots > 0 && w.usedSlots+j.demand > min(w.limit, d.maxSlots(w)) ||
 		w == d.reserved && j != d.reservedFor {
 		return false
@@ -477,7 +477,7 @@
 }
 
 // promptStart is how soon a start comes where there is room, by the least delay seen: a mean follows queues.
-func (d *Dispatcher) promptStart(j *job) time.Duration { return d.promptStartOf(j.class) }
+func (d *Dispatcher) promptStart(j *jobInfo) time.Duration { return d.promptStartOf(j.class) }
 
 func (d *Dispatcher) promptStartOf(c *Class) time.Duration {
 	return 2*d.minStartDelay + c.LatencyObjective/promptPart
@@ -485,7 +485,7 @@
 
 // adjustLimit answers a start. The paper's design says nothing of a late one; without an answer a room that has
 // grown too far stays so, and the worker's own queue brings back head-of-line blocking.
-func (d *Dispatcher) adjustLimit(w *worker, a *attempt, prompt bool) {
+func (d *Dispatcher) adjustLimit(w *workerInfo, a *attemptInfo, prompt bool) {
 	d.observeBusy(w, !prompt)
 	d.markDirty(w)
 	if prompt {
@@ -505,7 +505,7 @@
 	}
 }
 
-func (d *Dispatcher) backOff(w *worker, least time.Duration) {
+func (d *Dispatcher) backOff(w *workerInfo, least time.Duration) {
 	w.backoff = min(max(least, 2*w.backoff), maxEjection)
 	w.backoffUntil = d.now + w.backoff
 	d.markDirty(w) // held jobs are looked at again then
@@ -522,7 +522,7 @@
 // maxSlots is what a worker of this kind can run at once: the most of ours that was seen to run on one, once a
 // few that were sent beyond it have come late. Room alone drifts past it: where one job ends as the next
 // comes, the next starts promptly.
-func (d *Dispatcher) maxSlots(w *worker) float64 {
+func (d *Dispatcher) maxSlots(w *workerInfo) float64 {
 	if k := d.machineKind(w.Kind); k.lateOverflows >= minLateOverflows {
 		return k.maxSlots
 	}
@@ -533,13 +533,13 @@
 
 // isEjected tells whether a worker is to be left alone. Where most look bad, the load or we ourselves are at
 // fault and silence proves nothing; a broken connection still does, unless no worker is left at all.
-func (d *Dispatcher) isEjected(w *worker) bool {
+func (d *Dispatcher) isEjected(w *workerInfo) bool {
 	return w.ejectionTime > 0 && (w.broken && !d.allBroken || !w.broken && !d.mostSuspect)
 }
 
 // healthAllows lets a suspect have one short job that is safe to repeat once its pause is over, and lets no
 // two suspects be tried at once: where a whole zone is gone, its empty workers would draw all that is sent.
-func (d *Dispatcher) healthAllows(j *job, w *worker) bool {
+func (d *Dispatcher) healthAllows(j *jobInfo, w *workerInfo) bool {
 	if !d.isEjected(w) {
 		return true
 	}
@@ -547,7 +547,7 @@
 	return trial && d.now >= max(w.ejectedUntil, d.nextTrialAt) && len(w.inFlight) == 0
 }
 
-func (d *Dispatcher) eject(w *worker, broken bool, why string) {
+func (d *Dispatcher) eject(w *workerInfo, broken bool, why string) {
 	w.broken = w.broken || broken
 	if d.now < w.ejectedUntil {
 		return
@@ -560,7 +560,7 @@
 }
 
 // onOverdue looks at an attempt that has not started, or not ended, when it should have.
-func (d *Dispatcher) onOverdue(a *attempt) {
+func (d *Dispatcher) onOverdue(a *attemptInfo) {
 	j, w := a.job, a.worker
 	if a.ended || a.orphaned || !a.started && a.mayBeDropped() { // an ended job's still show how a worker fares
 		return
@@ -594,7 +594,7 @@
 
 // warmUpAllows keeps what we sent to a cold worker, refused work too, under our equal part of what would push
 // it over.
-func (d *Dispatcher) warmUpAllows(j *job, w *worker) bool {
+func (d *Dispatcher) warmUpAllows(j *jobInfo, w *workerInfo) bool {
 	share := d.warmUpShare(w)
 	if share >= 1 {
 		w.warmUpSpends = nil
@@ -629,7 +629,7 @@
 
 // drawsWorker tells whether a job has drawn a cold worker. One heavier than most has to come closer, as work counts
 // by its mean; one that would use up what the guess at the worker's capacity allows it never goes.
-func (d *Dispatcher) drawsWorker(j *job, w *worker) bool {
+func (d *Dispatcher) drawsWorker(j *jobInfo, w *workerInfo) bool {
 	if w.lotWidth == 0 || j.wasSentTo(w) || len(w.warmUpSpends) > 0 || d.warmUpCost(j) > d.warmUpBudget(w) {
 		return false
 	}
@@ -675,7 +675,7 @@
 }
 
 // mayTryUncordoned lets a job that would be late go to a worker that was brought back, if nothing else has for a while.
-func (d *Dispatcher) mayTryUncordoned(j *job, w *worker) bool {
+func (d *Dispatcher) mayTryUncordoned(j *jobInfo, w *workerInfo) bool {
 	return w.uncordonedAt > 0 && d.now-w.uncordonedAt > uncordonedWait && j.class.Idempotency == Idempotent
 }
 
@@ -683,12 +683,12 @@
 
 var provesNotExecuted = [...]bool{WorkerFull: true, ConnectFailed: true, NotSent: true}
 
-func (a *attempt) possiblyExecuted() bool {
+func (a *attemptInfo) possiblyExecuted() bool {
 	return !a.ended || int(a.result) >= len(provesNotExecuted) || !provesNotExecuted[a.result]
 }
 
 // mayAttempt is rule 2 for a further attempt, and says yes to any first one.
-func (d *Dispatcher) mayAttempt(j *job, w *worker) bool {
+func (d *Dispatcher) mayAttempt(j *jobInfo, w *workerInfo) bool {
 	if j.closed || j.streaming || len(j.attempts) >= max(1, d.settings.AttemptLimit) || d.now >= j.deadline {
 		return false
 	}
@@ -712,22 +712,22 @@
 }
 
 // mayReject is rule 2 for telling the client that another try is harmless.
-func (d *Dispatcher) mayReject(j *job) bool {
+func (d *Dispatcher) mayReject(j *jobInfo) bool {
 	return j.class.Idempotency == Idempotent || j.class.Idempotency == IdempotentWithKey && j.class.DeduplicationScope == ScopeAll ||
-		!slices.ContainsFunc(j.attempts, (*attempt).possiblyExecuted)
+		!slices.ContainsFunc(j.attempts, (*attemptInfo).possiblyExecuted)
 }
 
 // placementAllows is rule 5: a class bound to kinds or zones goes nowhere else, at no attempt, whatever is down or full.
-func placementAllows(j *job, w *worker) bool { return classAllows(j, w.Kind, w.Zone) }
+func placementAllows(j *jobInfo, w *workerInfo) bool { return classAllows(j, w.Kind, w.Zone) }
 
-func classAllows(j *job, kind, zone int) bool {
+func classAllows(j *jobInfo, kind, zone int) bool {
 	c := j.class
 	return (c.Kinds == nil || slices.Contains(c.Kinds, kind)) &&
 		(c.Zones == nil || slices.Contains(c.Zones, zone))
 }
 
-func (d *Dispatcher) send(j *job, w *worker) {
-	a := &attempt{job: j, number: len(j.attempts), worker: w, zone: w.Zone, cell: w.Cell, sentAt: d.now,
+func (d *Dispatcher) send(j *jobInfo, w *workerInfo) {
+	a := &attemptInfo{job: j, number: len(j.attempts), worker: w, zone: w.Zone, cell: w.Cell, sentAt: d.now,
 		startedAt: d.now, expectedRun: d.expectedRun(j, w), started: !d.settings.StartNotifications}
 	d.addAttempt(a)
 	a.limitBound = w.usedSlots+1 > w.limit
@@ -757,7 +757,7 @@
 
 // guardConnection guards against connections dropped unseen while idle: what is sent on one gets no answer, or breaks.
 // Those idle for longer than has lately gone well are closed first; jobs not safe to repeat take more care.
-func (d *Dispatcher) guardConnection(a *attempt) {
+func (d *Dispatcher) guardConnection(a *attemptInfo) {
 	w, most := a.worker, d.maxIdle
 	if a.job.class.Idempotency != Idempotent {
 		most /= 4
@@ -773,7 +773,7 @@
 	}
 }
 
-func (d *Dispatcher) onStarted(a *attempt) {
+func (d *Dispatcher) onStarted(a *attemptInfo) {
 	if a == nil || a.started {
 		return
 	}
@@ -808,7 +808,7 @@
 // isStuck tells whether an overdue attempt may be lost. One that waits at a worker which gets on with others
 // is queued there, one that tells of progress is long: copies of them add to the load that made them late,
 // and many dispatchers on one fleet would copy each other's jobs into the ground.
-func (d *Dispatcher) isStuck(a *attempt) bool {
+func (d *Dispatcher) isStuck(a *attemptInfo) bool {
 	if !a.started {
 		return a.worker.progressAt <= a.sentAt
 	}
@@ -817,7 +817,7 @@
 
 // shouldHedge tells whether a short job of one of many dispatchers tries its luck elsewhere, though its worker
 // gets on with others: none knows what others have queued there, and its copy costs little.
-func (d *Dispatcher) shouldHedge(a *attempt) bool {
+func (d *Dispatcher) shouldHedge(a *attemptInfo) bool {
 	return d.settings.Replicas > manyReplicas && !a.started && a.job.class.Idempotency == Idempotent && d.isShort(a.job)
 }
 
@@ -827,7 +827,7 @@
 }
 
 // retryElsewhere puts a job that is stuck on one worker back among the held, to be started elsewhere.
-func (d *Dispatcher) retryElsewhere(j *job) {
+func (d *Dispatcher) retryElsewhere(j *jobInfo) {
 	if j.closed || j.inFlight > 1 || d.hedgeTokens < d.hedgeCost(j) || j.class.Idempotency == NonIdempotent ||
 		len(j.attempts) >= max(2, d.settings.AttemptLimit-1) {
 		return
@@ -918,7 +918,7 @@
 }
 
 // requeue holds a job for a further attempt, where none is out and one may be made.
-func (d *Dispatcher) requeue(j *job) {
+func (d *Dispatcher) requeue(j *jobInfo) {
 	switch {
 	case j.heapIndex >= 0 || j.inFlight > 0:
 	case len(j.attempts) >= max(1, d.settings.AttemptLimit) || j.class.Idempotency == NonIdempotent && !d.mayReject(j):
@@ -931,7 +931,7 @@
 // ---- Refusals ----
 
 // finish gives the final answer.
-func (d *Dispatcher) finish(j *job) {
+func (d *Dispatcher) finish(j *jobInfo) {
 	if j.closed || j.streaming {
 		return
 	}
@@ -945,8 +945,8 @@
 
 // onObjectivePassed acts when no worker could meet an unstarted job's aim any more. It gives way to jobs that can still
 // earn in full (else all would wait past tau); where being late earns nothing it is refused in time.
-func (d *Dispatcher) onObjectivePassed(j *job) {
-	j.recheckOnEnd = slices.ContainsFunc(j.attempts, func(a *attempt) bool { return !a.ended && a.started }) ||
+func (d *Dispatcher) onObjectivePassed(j *jobInfo) {
+	j.recheckOnEnd = slices.ContainsFunc(j.attempts, func(a *attemptInfo) bool { return !a.ended && a.started }) ||
 		d.settings.Replicas > manyReplicas && j.inFlight > 0 // it runs all the same, and its client would come again elsewhere
 	if j.closed || j.recheckOnEnd || j.unreachable && !d.lateIsWorthless(j) {
 		return
@@ -970,13 +970,13 @@
 }
 
 // lateIsWorthless tells whether an answer past the aim earns less than its miss costs where few misses are borne.
-func (d *Dispatcher) lateIsWorthless(j *job) bool {
+func (d *Dispatcher) lateIsWorthless(j *jobInfo) bool {
 	tail, late := d.settings.TailShare, j.class.LateValue
 	return late <= 0 || tail > 0 && late*(1-tail)*missCostSlope*d.settings.MissBudget <= tail
 }
 
 // overQuota tells whether a tenant is beyond this dispatcher's part of its quota: such jobs are worth little.
-func (d *Dispatcher) overQuota(j *job) bool {
+func (d *Dispatcher) overQuota(j *jobInfo) bool {
 	if j.Tenant < 0 || j.Tenant >= len(d.quotaTokens) || d.settings.TenantQuota[j.Tenant] <= 0 {
 		return false
 	}
@@ -1051,9 +1051,9 @@
 
 // requestChecks probes a few workers for a job, of those drawn at random the ones not asked for longest: an order
 // common to all dispatchers would have them ask the same ones. The job waits a moment for an answer.
-func (d *Dispatcher) requestChecks(j *job) {
+func (d *Dispatcher) requestChecks(j *jobInfo) {
 	for n := 0; n < checksPerJob && d.settings.HealthChecks && d.checkTokens >= 1; n++ {
-		var pick *worker
+		var pick *workerInfo
 		for range min(len(d.workerList), checkSamples) {
 			w := d.workerList[d.rng.IntN(len(d.workerList))]
 			near := w.Zone == d.settings.Zone || d.rng.Float64() < d.zoneBusy[d.settings.Zone]*(1-d.zoneBusy[w.Zone])
--- a/dispatch/logic_test.go
+++ b/dispatch/logic_test.go
@@ -9,18 +9,18 @@
 
 const ms = time.Millisecond
 
-// scene drives one dispatcher: time, events due later, and the actions not looked at yet.
-type scene struct {
+// harness drives one dispatcher: time, events due later, and the actions not looked at yet.
+type harness struct {
 	t     *testing.T
 	d     *Dispatcher
 	now   time.Duration
 	due   []dueEvent
 	acts  []Action
-	jobs  map[uint64]*sceneJob
+	jobs  map[uint64]*harnessJob
 	timer time.Duration
 }
 
-type sceneJob struct {
+type harnessJob struct {
 	Job
 	tries int
 }
@@ -40,12 +40,12 @@
 		}}
 }
 
-func newScene(t *testing.T, set Settings) *scene {
-	return &scene{t: t, d: New(set, 1), now: time.Hour, jobs: map[uint64]*sceneJob{}}
+func newHarness(t *testing.T, set Settings) *harness {
+	return &harness{t: t, d: New(set, 1), now: time.Hour, jobs: map[uint64]*harnessJob{}}
 }
 
 // workers tells of n warm ready workers, 1 to n.
-func (s *scene) workers(n int) {
+func (s *harness) workers(n int) {
 	list := WorkerList{Kind: ListFull}
 	for id := range n {
 		list.Workers = append(list.Workers, Worker{ID: uint64(id + 1), Ready: true})
@@ -53,10 +53,10 @@
 	s.step(list)
 }
 
-func (s *scene) step(events ...Event) {
+func (s *harness) step(events ...Event) {
 	for _, e := range events {
 		if j, ok := e.(Job); ok {
-			s.jobs[j.ID] = &sceneJob{Job: j}
+			s.jobs[j.ID] = &harnessJob{Job: j}
 		}
 	}
 	n := len(s.acts)
@@ -71,10 +71,10 @@
 	}
 }
 
-func (s *scene) after(d time.Duration, e Event) { s.due = append(s.due, dueEvent{s.now + d, e}) }
+func (s *harness) after(d time.Duration, e Event) { s.due = append(s.due, dueEvent{s.now + d, e}) }
 
 // wait lets time pass, with timers and what is due.
-func (s *scene) wait(d time.Duration) {
+func (s *harness) wait(d time.Duration) {
 	for end := s.now + d; ; {
 		slices.SortStableFunc(s.due, func(a, b dueEvent) int { return int(a.at - b.at) })
 		next := end
@@ -103,13 +103,13 @@
 	}
 }
 
-func (s *scene) take() []Action {
+func (s *harness) take() []Action {
 	a := s.acts
 	s.acts = nil
 	return a
 }
 
-func taken[T Action](s *scene) (found []T) {
+func taken[T Action](s *harness) (found []T) {
 	for _, a := range s.take() {
 		if x, ok := a.(T); ok {
 			found = append(found, x)
@@ -118,16 +118,16 @@
 	return found
 }
 
-func (s *scene) job(id uint64, class int, hint time.Duration) Job {
+func (s *harness) job(id uint64, class int, hint time.Duration) Job {
 	return Job{ID: id, Class: class, Remaining: s.d.settings.Classes[class].ClientTimeout, Hint: hint, Slots: 1}
 }
 
-func (s *scene) done(id uint64, attempt int, worker uint64, r Result) Outcome {
+func (s *harness) done(id uint64, attempt int, worker uint64, r Result) Outcome {
 	return Outcome{Job: id, Attempt: attempt, Worker: worker, Result: r, Closed: r == OK}
 }
 
 // busy fills worker 1 with job id and tells its prompt start.
-func (s *scene) busy(id uint64) {
+func (s *harness) busy(id uint64) {
 	s.step(s.job(id, 0, 300*ms))
 	if got := taken[Send](s); len(got) != 1 || got[0].Worker != 1 {
 		s.t.Fatalf("expected job %d to go to worker 1, got %v", id, got)
@@ -150,7 +150,7 @@
 	}
 }
 
-func TestReleaseOrder(t *testing.T) {
+func TestDispatchOrder(t *testing.T) {
 	cases := []struct {
 		name  string
 		hints []time.Duration // jobs 10, 11, ... arrive a millisecond apart
@@ -164,7 +164,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := newScene(t, testSettings())
+			s := newHarness(t, testSettings())
 			s.workers(1)
 			s.busy(1)
 			s.d.workers[1].limit = 1
@@ -184,8 +184,8 @@
 }
 
 // Under overload all would wait past tau and leave in order of arrival; what cannot earn in full gives way.
-func TestJobPastItsAimGivesWay(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestJobPastItsObjectiveIsDemoted(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(1)
 	s.busy(1)
 	s.d.workers[1].limit = 1
@@ -201,8 +201,8 @@
 // Under overload jobs worth more than most are held over tau sooner.
 // A job that runs when its aim is looked at has its look when that run fails: past reach of its aim it is refused then,
 // and not at its deadline, seconds later.
-func TestJobWhoseRunFailsPastItsAimIsAnsweredAtOnce(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestJobWhoseRunFailsPastItsObjectiveIsAnsweredAtOnce(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(1)
 	s.step(s.job(1, 2, 300*ms)) // an answer past its aim of 1 s earns nothing
 	s.now += ms
@@ -219,10 +219,10 @@
 	}
 }
 
-func TestWorthyJobsArePromotedSooner(t *testing.T) {
+func TestHigherPriorityWeightIsPromotedSooner(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight, set.Classes[2].PriorityWeight = 1, 8, 1
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	s.workers(1)
 	s.busy(1)
 	s.d.workers[1].limit, s.d.muShort = 1, 0.1 // tau 0.3 s, less than half that where worth is 8
@@ -234,8 +234,8 @@
 	}
 }
 
-func TestFewestInUse(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestWorkerWithFewestSlotsInUseIsChosen(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(3)
 	used := map[uint64]bool{}
 	for id := uint64(1); id <= 3; id++ {
@@ -249,8 +249,8 @@
 	}
 }
 
-func TestRoom(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestConcurrencyLimit(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(1)
 	room := func(want float64) {
 		t.Helper()
@@ -270,8 +270,8 @@
 	room(2) // one crash with three attempts out is one piece of news
 }
 
-func TestLateStartShrinksRoom(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestLateStartDecreasesLimit(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(1)
 	s.busy(1)
 	s.step(s.job(2, 1, 300*ms))
@@ -283,8 +283,8 @@
 }
 
 // Incident: a mean of start delays rose with the queues it was to show, so that no start ever counted as late.
-func TestPromptnessDoesNotRiseWithDelays(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestPromptStartBoundDoesNotRiseWithDelays(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(1)
 	delay := 5 * ms
 	for id := uint64(1); id < 40; id++ {
@@ -294,16 +294,16 @@
 		s.step(Started{Job: id, Worker: 1}, s.done(id, 0, 1, OK))
 		delay += delay / 5
 	}
-	if got := s.d.promptStart(&job{class: &s.d.settings.Classes[1]}); got > 120*ms {
+	if got := s.d.promptStart(&jobInfo{class: &s.d.settings.Classes[1]}); got > 120*ms {
 		t.Fatalf("a start within %v counts as prompt", got)
 	}
 }
 
 // Incident: with many dispatchers a room of one each is still a long queue at the worker.
-func TestRestAfterLateStartWithRoomOfOne(t *testing.T) {
+func TestBackoffAfterLateStartAtLimitOfOne(t *testing.T) {
 	set := testSettings()
 	set.Replicas = 2
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	s.workers(1)
 	s.step(s.job(1, 1, 100*ms))
 	s.wait(150 * ms)
@@ -317,8 +317,8 @@
 }
 
 // A worker that leaves one of ours unstarted has a queue.
-func TestNoSendBehindAnUnstartedJob(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestNoSendBehindAnUnstartedAttempt(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(1)
 	s.d.workers[1].limit = 8
 	s.step(s.job(1, 1, 100*ms))
@@ -329,8 +329,8 @@
 }
 
 // Incident: a report that rides on an outcome predates it, and the freed slot read as taken blocked the worker.
-func TestReportPredatesTheEndItComesWith(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestLoadReportPredatesTheOutcomeItComesWith(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(1)
 	s.busy(1)
 	s.wait(300 * ms)
@@ -340,10 +340,10 @@
 	expectJobs(t, taken[Send](s), 2)
 }
 
-func TestFreshReportOfNoSlotsBlocks(t *testing.T) {
+func TestFreshLoadReportWithoutFreeSlotsBlocks(t *testing.T) {
 	set := testSettings()
 	set.HealthChecks = true
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	s.workers(1)
 	s.step(HealthChecked{Worker: 1, Result: OK, Report: []float64{0}}, s.job(1, 0, 100*ms))
 	expectJobs(t, taken[Send](s))
@@ -352,8 +352,8 @@
 }
 
 // Incident: moving a job at the first sign of a late start withdrew one attempt in six.
-func TestUnstartedJobMovesOnlyWhenItsAimIsInDanger(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestUnstartedJobIsHedgedOnlyWhenItsObjectiveIsAtRisk(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(2)
 	s.step(s.job(1, 0, 600*ms))
 	first := taken[Send](s)[0].Worker
@@ -382,8 +382,8 @@
 	}
 }
 
-func TestUnsafeJobIsNeverCopied(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestNonIdempotentJobIsNeverHedged(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(3)
 	s.step(s.job(1, 1, 100*ms))
 	s.wait(6 * time.Second)
@@ -417,7 +417,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := newScene(t, testSettings())
+			s := newHarness(t, testSettings())
 			s.workers(c.workers)
 			j := s.job(1, 0, 100*ms)
 			j.Remaining = c.left
@@ -437,10 +437,10 @@
 	}
 }
 
-func TestTryLimitEndsInAnAnswer(t *testing.T) {
+func TestAttemptLimitEndsInAnAnswer(t *testing.T) {
 	set := testSettings()
 	set.AttemptLimit = 2
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	s.workers(4)
 	s.step(s.job(1, 0, 100*ms))
 	for n := range 2 {
@@ -457,7 +457,7 @@
 }
 
 // Rule 2, whole: may the job be sent to a worker of the same cell, of the same zone, of another; be refused?
-func TestRuleTwo(t *testing.T) {
+func TestRetryRules(t *testing.T) {
 	type answer struct{ cell, zone, other, refuse bool }
 	all, none := answer{true, true, true, true}, answer{}
 	cases := []struct {
@@ -494,29 +494,29 @@
 			set.Classes[0] = Class{Idempotency: c.effect, DeduplicationScope: c.group, DeduplicationWindow: 2 * time.Second, ClientTimeout: time.Minute}
 			d := New(set, 1)
 			d.now = time.Hour
-			j := &job{class: &d.settings.Classes[0], deadline: d.now + time.Minute, heapIndex: -1}
+			j := &jobInfo{class: &d.settings.Classes[0], deadline: d.now + time.Minute, heapIndex: -1}
 			for _, r := range c.state {
-				a := &attempt{worker: &worker{}, zone: 1, cell: 1, sentAt: d.now - c.age, ended: r >= 0, result: r}
+				a := &attemptInfo{worker: &workerInfo{}, zone: 1, cell: 1, sentAt: d.now - c.age, ended: r >= 0, result: r}
 				if r < 0 {
 					j.inFlight++
 				}
 				j.attempts = append(j.attempts, a)
 			}
-			got := answer{d.mayAttempt(j, &worker{Worker: Worker{Zone: 1, Cell: 1}}),
-				d.mayAttempt(j, &worker{Worker: Worker{Zone: 1, Cell: 2}}),
-				d.mayAttempt(j, &worker{Worker: Worker{Zone: 2, Cell: 3}}), d.mayReject(j)}
+			got := answer{d.mayAttempt(j, &workerInfo{Worker: Worker{Zone: 1, Cell: 1}}),
+				d.mayAttempt(j, &workerInfo{Worker: Worker{Zone: 1, Cell: 2}}),
+				d.mayAttempt(j, &workerInfo{Worker: Worker{Zone: 2, Cell: 3}}), d.mayReject(j)}
 			if got != c.want {
 				t.Fatalf("got %+v, expected %+v", got, c.want)
 			}
 			d.settings.Hedging = false
-			if j.inFlight > 0 && d.mayAttempt(j, &worker{Worker: Worker{Zone: 1, Cell: 1}}) {
+			if j.inFlight > 0 && d.mayAttempt(j, &workerInfo{Worker: Worker{Zone: 1, Cell: 1}}) {
 				t.Fatal("second copy where none is allowed")
 			}
 		})
 	}
 }
 
-func TestDrainsAreKept(t *testing.T) {
+func TestDrainingWorkersGetNoWork(t *testing.T) {
 	cases := []struct {
 		name string
 		list WorkerList
@@ -527,7 +527,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := newScene(t, testSettings())
+			s := newHarness(t, testSettings())
 			s.workers(1)
 			s.step(c.list, s.job(1, 0, 100*ms))
 			s.wait(time.Second)
@@ -537,10 +537,10 @@
 }
 
 // Incident: jobs far heavier than their hint pushed a cold worker over; their class is budgeted by what they did.
-func TestHeavyClassIsKeptFromColdWorkers(t *testing.T) {
+func TestHeavyClassAvoidsWarmingWorkers(t *testing.T) {
 	set := testSettings()
 	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	boot := s.now
 	cold := func(id uint64) bool {
 		s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 2, Ready: true, BootAt: boot}}}, s.job(id, 1, 100*ms))
@@ -560,7 +560,7 @@
 }
 
 // Incident: jobs worth most were refused unsent on a hint known to be rough while a worker stood idle.
-func TestJobJustPastReachIsOfferedAFreeWorker(t *testing.T) {
+func TestJobJustOutOfReachIsOfferedAFreeWorker(t *testing.T) {
 	cases := []struct {
 		name string
 		left time.Duration
@@ -571,7 +571,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := newScene(t, testSettings())
+			s := newHarness(t, testSettings())
 			s.workers(1)
 			j := s.job(1, 2, 2*time.Second)
 			j.Remaining = c.left
@@ -585,10 +585,10 @@
 }
 
 // A worker whose connections broke and that answers again is treated as cold before any list says that it restarted.
-func TestWorkerBackUnannouncedIsCold(t *testing.T) {
+func TestWorkerBackUnannouncedWarmsUp(t *testing.T) {
 	set := testSettings()
 	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	s.workers(1)
 	s.busy(1)
 	s.step(s.done(1, 0, 1, ConnectionReset))
@@ -603,8 +603,8 @@
 	}
 }
 
-func TestFailingFastDrawsNoWork(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestFastFailuresAttractNoWork(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(3)
 	sent := map[uint64]int{}
 	for id := uint64(1); id <= 100; id++ {
@@ -632,17 +632,17 @@
 
 // Where links break now and then, a worker is not set aside for one of them, nor for a probe that a stale link
 // swallowed; two in a row, or one under a job that had started, are its own.
-func TestLoneBreakSetsNoWorkerAside(t *testing.T) {
+func TestSingleConnectionFailureEjectsNoWorker(t *testing.T) {
 	for _, c := range []struct {
-		news  func(s *scene)
+		news  func(s *harness)
 		aside bool
 	}{
-		{func(s *scene) { s.step(HealthChecked{Worker: 1, Result: NotSent}) }, false},
-		{func(s *scene) { s.step(s.done(1, 0, 1, ConnectionReset)) }, false},
-		{func(s *scene) { s.step(Started{Job: 1, Worker: 1}); s.step(s.done(1, 0, 1, ConnectionReset)) }, true},
-		{func(s *scene) { s.step(s.done(1, 0, 1, ConnectionReset)); s.step(s.done(1, 1, 1, ConnectFailed)) }, true},
+		{func(s *harness) { s.step(HealthChecked{Worker: 1, Result: NotSent}) }, false},
+		{func(s *harness) { s.step(s.done(1, 0, 1, ConnectionReset)) }, false},
+		{func(s *harness) { s.step(Started{Job: 1, Worker: 1}); s.step(s.done(1, 0, 1, ConnectionReset)) }, true},
+		{func(s *harness) { s.step(s.done(1, 0, 1, ConnectionReset)); s.step(s.done(1, 1, 1, ConnectFailed)) }, true},
 	} {
-		s := newScene(t, testSettings())
+		s := newHarness(t, testSettings())
 		s.workers(1)
 		s.step(s.job(1, 0, 10*ms))
 		if c.news(s); s.d.workers[1].ejectionTime > 0 != c.aside {
@@ -652,8 +652,8 @@
 }
 
 // Incident: late starts made most workers suspects, so the dead ones lost their mark too and drew all work.
-func TestBrokenStaysSuspectWhenMostLookBad(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestBrokenWorkerStaysEjectedWhenMostAreSuspect(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(4)
 	for id := uint64(1); id <= 4; id++ {
 		s.d.eject(s.d.workers[id], id == 1, "test")
@@ -665,8 +665,8 @@
 }
 
 // A slow worker is passed over while its runs would miss their aims, and tried again once its news is old.
-func TestSlowWorkerIsPassedOver(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestSlowWorkerIsAvoided(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(4)
 	s.step(s.job(1, 0, 500*ms))
 	slow := taken[Send](s)[0].Worker
@@ -675,7 +675,7 @@
 	s.wait(5 * time.Second)
 	before := s.d.workers[slow].logSpeed
 	for range 4 {
-		s.d.learnFromRun(&attempt{job: s.d.jobs[1], worker: s.d.workers[slow], expectedRun: 500 * ms}, 2500*ms)
+		s.d.learnFromRun(&attemptInfo{job: s.d.jobs[1], worker: s.d.workers[slow], expectedRun: 500 * ms}, 2500*ms)
 	}
 	if before >= 0 {
 		t.Fatal("a run far too long did not show before it ended")
@@ -701,8 +701,8 @@
 
 func TestPredictor(t *testing.T) {
 	d := New(testSettings(), 1)
-	mk := func(class int, hint time.Duration) *job {
-		j := &job{Job: Job{Class: class, Hint: hint, Slots: 1}, class: &d.settings.Classes[class]}
+	mk := func(class int, hint time.Duration) *jobInfo {
+		j := &jobInfo{Job: Job{Class: class, Hint: hint, Slots: 1}, class: &d.settings.Classes[class]}
 		j.work = d.expectedWork(j)
 		return j
 	}
@@ -715,17 +715,17 @@
 		}
 	}
 	d.now = time.Hour
-	w := &worker{}
+	w := &workerInfo{}
 	keyed := mk(0, 0)
 	keyed.Key = 5
-	d.learnFromRun(&attempt{job: keyed, worker: w}, 5*time.Second)
+	d.learnFromRun(&attemptInfo{job: keyed, worker: w}, 5*time.Second)
 	other := mk(0, 0)
 	if keyed.work = d.expectedWork(keyed); d.longChance(keyed) <= d.longChance(other) {
 		t.Fatal("a key that ran long does not raise the chance of running long")
 	}
 	for range 300 {
 		for class, run := range []time.Duration{100 * ms, 2 * time.Second} {
-			a := &attempt{job: mk(class, 0), worker: w}
+			a := &attemptInfo{job: mk(class, 0), worker: w}
 			d.learnFromRun(a, run)
 		}
 	}
@@ -735,8 +735,8 @@
 }
 
 // Jobs looked past at each release once left an entry each time in the pile by arrival.
-func TestHeldJobsLeaveNoTrace(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestQueuedJobsLeaveNoTrace(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(1)
 	s.busy(1)
 	s.d.workers[1].limit = 1
@@ -761,7 +761,7 @@
 
 // A job of many slots over tau must not be starved by small ones that slip past it.
 func TestLargeJobIsNotStarved(t *testing.T) {
-	s := newScene(t, testSettings())
+	s := newHarness(t, testSettings())
 	s.workers(1)
 	s.d.workers[1].limit = 4
 	big := s.job(1, 1, 2*time.Second)
@@ -789,8 +789,8 @@
 
 // Incident: a job of four slots, over tau, was sent to a worker with room for one. It waited at the head of that
 // worker's queue and held up all behind it. Now a worker is kept free for it, and others go elsewhere meanwhile.
-func TestLargeJobWaitsForItsRoom(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestLargeJobWaitsForCapacity(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(2)
 	for id := uint64(1); id <= 2; id++ {
 		s.d.workers[id].limit = 4
@@ -821,8 +821,8 @@
 
 // Where one job ends as the next comes, the next starts promptly though no slot was free when it was sent: room
 // drifted past what a worker can run, and jobs waited behind long ones.
-func TestRoomEndsAtTheSlotsSeen(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestLimitIsBoundedByObservedSlots(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(1)
 	w := s.d.workers[1]
 	w.limit = 9
@@ -843,10 +843,10 @@
 	}
 }
 
-func TestSubscriptionIsRetriedWithGrowingWaits(t *testing.T) {
+func TestSubscriptionIsRetriedWithBackoff(t *testing.T) {
 	set := testSettings()
 	set.MustSubscribe = true
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	var at []time.Duration
 	for range 4000 {
 		s.wait(10 * ms)
@@ -864,10 +864,10 @@
 }
 
 // A list that comes though it was not asked for anew is from a watch that goes on: none is asked for beside it.
-func TestListNotAskedFor(t *testing.T) {
+func TestUnsolicitedList(t *testing.T) {
 	set := testSettings()
 	set.MustSubscribe = true
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	s.wait(recheckInterval)
 	s.step(WorkerList{Kind: ListFull, Revision: 1}, WorkerList{Kind: ListUnavailable}, WorkerList{Kind: ListDelta, Revision: 2})
 	taken[Subscribe](s)
@@ -878,7 +878,7 @@
 
 func TestBadInputIsHarmless(t *testing.T) {
 	nan := math.NaN()
-	s := newScene(t, testSettings())
+	s := newHarness(t, testSettings())
 	s.workers(2)
 	s.step(s.job(1, 0, 100*ms))
 	s.step(s.job(1, 0, 100*ms)) // the id is open
@@ -909,10 +909,10 @@
 	}
 }
 
-func TestOverShareJobsGiveWay(t *testing.T) {
+func TestOverQuotaJobsAreDemoted(t *testing.T) {
 	set := testSettings()
 	set.TenantQuota = []float64{2, 0}
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	s.workers(1)
 	s.busy(1)
 	s.d.workers[1].limit = 1
@@ -937,8 +937,8 @@
 }
 
 // Links dropped unseen while idle: two jobs that got no answer on idle links are enough, and others are closed first.
-func TestIdleLinksThatSwallowJobsAreClosed(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestIdleConnectionsThatLoseRequestsAreClosed(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(3)
 	run := func(id uint64, answered bool) uint64 {
 		s.step(s.job(id, 1, 50*ms))
@@ -974,10 +974,10 @@
 }
 
 // A zone with more traffic than its workers can start is left for another, though crossing has a price.
-func TestFullZoneIsLeft(t *testing.T) {
+func TestBusyZoneIsAvoided(t *testing.T) {
 	set := testSettings()
 	set.CrossZoneCost = 0.05
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	list := WorkerList{Kind: ListFull}
 	for id := range uint64(30) {
 		list.Workers = append(list.Workers, Worker{ID: id + 1, Ready: true, Zone: int(id % 2)})
@@ -1007,10 +1007,10 @@
 }
 
 // Our part of a tenant's quota may be less than one job among hundreds of dispatchers: a few jobs are within it.
-func TestSmallQuotaPartHoldsJobs(t *testing.T) {
+func TestSmallQuotaShareAdmitsWholeJobs(t *testing.T) {
 	set := testSettings()
 	set.Replicas, set.TenantQuota = 400, []float64{100}
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	for id := uint64(1); id <= 20; id++ {
 		s.step(s.job(id, 0, 200*ms))
 	}
@@ -1026,8 +1026,8 @@
 }
 
 // While many of our jobs wait at workers no more leave; hopeless ones are refused where late earns nothing.
-func TestJobsDoNotPileUpAtWorkers(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestJobsDoNotQueueAtWorkers(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(30)
 	for id := uint64(1); id <= 10; id++ {
 		s.step(s.job(id, 1, 300*ms)) // unsafe: never moved
@@ -1036,7 +1036,7 @@
 	if n := len(taken[Send](s)); n > 6 {
 		t.Fatalf("%d jobs left though none started", n)
 	}
-	s = newScene(t, testSettings())
+	s = newHarness(t, testSettings())
 	s.workers(1)
 	s.step(s.job(1, 2, 300*ms))
 	s.wait(1500 * ms)
@@ -1054,11 +1054,11 @@
 
 // Of many dispatchers none refuses what is out and unstarted past its aim: it runs all the same, and its client would
 // come again at another. It ends by its deadline, or once its attempt has ended.
-func TestManyKeepWhatIsOut(t *testing.T) {
+func TestManyReplicasKeepAttemptsInFlight(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		set := testSettings()
 		set.Replicas = manyReplicas + 1
-		s := newScene(t, set)
+		s := newHarness(t, set)
 		s.workers(1)
 		s.step(s.job(1, 2, 300*ms))
 		s.wait(1500 * ms)
@@ -1079,11 +1079,11 @@
 
 // Where each dispatcher has a few workers dealt to it, and a job of ours waits late at one, short jobs go to the others and
 // long ones are kept back: room is scarce. Where all share all workers, both go.
-func TestLongJobsWaitWhileOursWait(t *testing.T) {
+func TestLongJobsWaitWhileAttemptsAreLate(t *testing.T) {
 	for _, of := range []int{0, 2} {
 		set := testSettings()
 		set.Replicas = manyReplicas + 1
-		s := newScene(t, set)
+		s := newHarness(t, set)
 		list := WorkerList{Kind: ListFull}
 		for id := uint64(1); id <= 6; id++ {
 			list.Workers = append(list.Workers, Worker{ID: id, Ready: true, Assignees: of})
@@ -1109,7 +1109,7 @@
 
 // Of many dispatchers, a short job that may run twice is copied when its start is late, also where its worker gets on with
 // others: nobody knows what others have queued there. A long one is not, and one that may not run twice never is.
-func TestShortJobsTryElsewhere(t *testing.T) {
+func TestShortJobsAreHedgedWithManyReplicas(t *testing.T) {
 	for _, c := range []struct {
 		class  int
 		hint   time.Duration
@@ -1117,7 +1117,7 @@
 	}{{0, 50 * ms, true}, {0, 3 * time.Second, false}, {1, 50 * ms, false}} {
 		set := testSettings()
 		set.Replicas, set.ReportFields = manyReplicas+1, nil
-		s := newScene(t, set)
+		s := newHarness(t, set)
 		s.workers(3)
 		s.step(s.job(1, c.class, c.hint))
 		w := taken[Send](s)[0].Worker
@@ -1140,9 +1140,9 @@
 
 // A job that waits at a worker which gets on with others is queued there, not lost: it is not copied, however late.
 // Only where the worker has given no sign of work since is it sent elsewhere.
-func TestQueuedJobIsNotCopied(t *testing.T) {
+func TestAttemptQueuedAtABusyWorkerIsNotHedged(t *testing.T) {
 	for _, works := range []bool{true, false} {
-		s := newScene(t, testSettings())
+		s := newHarness(t, testSettings())
 		s.workers(2)
 		s.d.backOff(s.d.workers[2], 200*ms)
 		s.busy(1)
@@ -1168,12 +1168,12 @@
 }
 
 // A run that takes longer than expected and tells of its progress is but long; one that falls silent is copied.
-func TestLongRunIsNotCopied(t *testing.T) {
+func TestLongRunIsNotHedged(t *testing.T) {
 	for _, tells := range []bool{true, false} {
 		set := testSettings()
 		set.ProgressInterval = 500 * ms
 		set.Classes[0].LatencyObjective = 4 * time.Second
-		s := newScene(t, set)
+		s := newHarness(t, set)
 		s.workers(2)
 		s.busy(1)
 		for range 6 {
@@ -1193,7 +1193,7 @@
 func TestFirstListIsKnownAtOnce(t *testing.T) {
 	set := testSettings()
 	set.Classes[2].LatencyObjective = 80 * ms
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	s.step() // no worker yet
 	s.wait(time.Second)
 	s.workers(5)
@@ -1209,11 +1209,11 @@
 }
 
 // A part of the fleet that falls silent at once says nothing of idle links, as those to the others do well.
-func TestSilentRackIsNotTheLinksFault(t *testing.T) {
+func TestSilentRackIsNotBlamedOnConnections(t *testing.T) {
 	f := newFleet(100, scaleSettings())
 	f.serve(100, time.Second)
 	for range 30 {
-		a := &attempt{connIdle: 8 * ms}
+		a := &attemptInfo{connIdle: 8 * ms}
 		f.d.observeIdleConnection(a, false)
 	}
 	if f.d.maxIdle != 0 {
@@ -1223,11 +1223,11 @@
 
 // A worker that comes back by hand is cold from then on, if the list tells of no later start, and what was out there takes
 // up none of its room: else it would stay unused until that has timed out.
-func TestRestoredWorkerIsColdAndUsed(t *testing.T) {
+func TestUncordonedWorkerWarmsUpAndIsUsed(t *testing.T) {
 	for _, told := range []bool{false, true} {
 		set := testSettings()
 		set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
-		s := newScene(t, set)
+		s := newHarness(t, set)
 		s.workers(1)
 		s.busy(1)
 		s.step(Cordoned{Worker: 1}, Cordoned{Worker: 1})
@@ -1249,8 +1249,8 @@
 }
 
 // With every listed worker out nobody is left to wait for: a query is refused at once, and served again after a call back.
-func TestAllTakenOut(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestAllWorkersCordoned(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(2)
 	s.step(Cordoned{Worker: 1}, Cordoned{Worker: 2}, s.job(1, 0, 10*ms))
 	if got := taken[Reject](s); len(got) != 1 || got[0].Job != 1 {
@@ -1262,13 +1262,13 @@
 
 // A worker that was brought back is used soon, also by a dispatcher that is not among the owners of its cold budget, and by
 // a job that would be late there if no other comes.
-func TestRestoredWorkerIsNotLeftIdle(t *testing.T) {
+func TestUncordonedWorkerIsNotLeftIdle(t *testing.T) {
 	set := testSettings()
 	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
 	set.Replicas = 2
 	for me := range 2 {
 		set.ReplicaIndex = me
-		s := newScene(t, set)
+		s := newHarness(t, set)
 		s.workers(1)
 		s.wait(3 * time.Second)
 		s.step(Cordoned{Worker: 1})
@@ -1285,7 +1285,7 @@
 
 // Many dispatchers that start together with a list as it was once known, or lose it together, do not all ask for it at once:
 // the service that answers in turn would have all of them wait too long. Few ask at once, and so does one without any list.
-func TestManyAskApart(t *testing.T) {
+func TestManyReplicasSubscribeAtDifferentTimes(t *testing.T) {
 	for _, c := range []struct {
 		of, soon int // of 40 dispatchers so many ask within half a second, at most
 		list     []Worker
@@ -1294,7 +1294,7 @@
 		set.Replicas, set.MustSubscribe, set.PollInterval = c.of, true, 6*time.Second
 		soon := 0
 		for seed := range uint64(40) {
-			s := newScene(t, set)
+			s := newHarness(t, set)
 			s.d = New(set, seed)
 			s.step(WorkerList{Kind: ListCached, Workers: c.list})
 			s.wait(500 * ms)
@@ -1307,7 +1307,7 @@
 }
 
 // The copies saved up by many dispatchers together are no more than those of a few: each would else feed an overload.
-func TestCopiesSavedByMany(t *testing.T) {
+func TestHedgeTokensOfManyReplicas(t *testing.T) {
 	for of, want := range map[int]float64{1: 10, 3: 10, 6: 5, 36: 1} {
 		set := testSettings()
 		set.Replicas = of
--- a/dispatch/members.go
+++ b/dispatch/members.go
@@ -13,8 +13,8 @@
 // New returns a dispatcher that knows nothing but its settings.
 func New(set Settings, seed uint64) *Dispatcher {
 	src := rand.NewPCG(seed, 0)
-	d := &Dispatcher{settings: set, rng: rand.New(src), source: src, jobs: map[uint64]*job{},
-		workers: map[uint64]*worker{}, kinds: map[int]*machineKind{}, cordoned: map[uint64]time.Duration{},
+	d := &Dispatcher{settings: set, rng: rand.New(src), source: src, jobs: map[uint64]*jobInfo{},
+		workers: map[uint64]*workerInfo{}, kinds: map[int]*machineInfo{}, cordoned: map[uint64]time.Duration{},
 		zoneBusy: map[int]float64{}, keyWork: map[uint64]float64{}, spread: initialSpread}
 	d.initIndexes()
 	d.hedgeTokens = d.maxHedgeTokens()
@@ -52,14 +52,14 @@
 	}
 }
 
-func (d *Dispatcher) markDirty(w *worker) {
+func (d *Dispatcher) markDirty(w *workerInfo) {
 	if !w.dirty {
 		w.dirty = true
 		d.dirty = append(d.dirty, w)
 	}
 }
 
-func (d *Dispatcher) forgetWorker(w *worker) {
+func (d *Dispatcher) forgetWorker(w *workerInfo) {
 	if w.listed || len(w.inFlight)+w.orphans > 0 || d.workers[w.ID] != w {
 		return
 	}
@@ -72,7 +72,7 @@
 	d.workerList = d.workerList[:len(d.workerList)-1]
 }
 
-func (d *Dispatcher) closeJob(j *job) {
+func (d *Dispatcher) closeJob(j *jobInfo) {
 	if j == nil {
 		return
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-func (d *Dispatcher) dequeue(j *job) {
+func (d *Dispatcher) dequeue(j *jobInfo) {
 	if j.heapIndex >= 0 {
 		d.queue.shapes[j.shape].byScore.remove(j.heapIndex)
 		d.queue.length--
@@ -93,7 +93,7 @@
 }
 
 // addAttempt enters an attempt that is out with its job and its worker.
-func (d *Dispatcher) addAttempt(a *attempt) {
+func (d *Dispatcher) addAttempt(a *attemptInfo) {
 	j, w := a.job, a.worker
 	j.attempts = append(j.attempts, a)
 	j.inFlight++
@@ -103,7 +103,7 @@
 }
 
 // findInFlight returns an attempt that is still out; an event about any other is void.
-func (d *Dispatcher) findInFlight(id uint64, number int, at uint64) *attempt {
+func (d *Dispatcher) findInFlight(id uint64, number int, at uint64) *attemptInfo {
 	if j := d.jobs[id]; j != nil && number >= 0 && number < len(j.attempts) {
 		if a := j.attempts[number]; !a.ended && a.worker.ID == at {
 			return a
@@ -112,9 +112,9 @@
 	return nil
 }
 
-func (d *Dispatcher) machineKind(i int) *machineKind {
+func (d *Dispatcher) machineKind(i int) *machineInfo {
 	if d.kinds[i] == nil {
-		d.kinds[i] = &machineKind{}
+		d.kinds[i] = &machineInfo{}
 	}
 	return d.kinds[i]
 }
@@ -127,17 +127,21 @@
 }
 
 // spansStall tells whether we ourselves were late while an attempt was out.
-func (d *Dispatcher) spansStall(a *attempt) bool { return a.sentAt < d.stalledAt && d.stalledAt > 0 }
+func (d *Dispatcher) spansStall(a *attemptInfo) bool {
+	return a.sentAt < d.stalledAt && d.stalledAt > 0
+}
 
 // mayBeDropped tells whether its worker may drop an attempt as a repeat: it is told no start then, and waits for another's run.
-func (a *attempt) mayBeDropped() bool {
-	return a.job.class.Idempotency == IdempotentWithKey && slices.ContainsFunc(a.job.attempts[:a.number], (*attempt).possiblyExecuted)
+func (a *attemptInfo) mayBeDropped() bool {
+	return a.job.class.Idempotency == IdempotentWithKey && slices.ContainsFunc(a.job.attempts[:a.number], (*attemptInfo).possiblyExecuted)
 }
 
 // countLateAttempts counts those that wait; a wide one is one, as it waits more often than others.
 func (d *Dispatcher) countLateAttempts() {
 	d.unstarted.update(d.now, func(class int) time.Duration { return d.promptStartOf(&d.settings.Classes[class]) },
-		func(a *attempt) bool { return a.started || a.ended || d.now-a.sentAt >= silenceFactor*d.meanLateStart })
+		func(a *attemptInfo) bool {
+			return a.started || a.ended || d.now-a.sentAt >= silenceFactor*d.meanLateStart
+		})
 	d.lateCount = 0
 	for _, a := range d.unstarted.late {
 		if a.job.heapIndex < 0 && !a.job.closed && a.number == len(a.job.attempts)-1 && !a.mayBeDropped() {
@@ -147,7 +151,7 @@
 }
 
 // reportedFreeSlots is what a worker's last report leaves after what we sent since, and whether that is news still.
-func (d *Dispatcher) reportedFreeSlots(w *worker) (free float64, fresh bool) {
+func (d *Dispatcher) reportedFreeSlots(w *workerInfo) (free float64, fresh bool) {
 	free = w.freeSlots
 	for _, a := range w.inFlight {
 		if a.sentAt > w.reportedAt-reportLag {
@@ -171,7 +175,7 @@
 				continue
 			}
 			speed := d.machineKind(x.Kind).logSpeed
-			w = &worker{limit: 1, logSpeed: speed, speed: math.Exp(speed), position: len(d.workerList)}
+			w = &workerInfo{limit: 1, logSpeed: speed, speed: math.Exp(speed), position: len(d.workerList)}
 			w.timer = timer{purpose: workerAvailable, worker: w}
 			d.workers[x.ID] = w
 			d.workerList = append(d.workerList, w)
@@ -201,14 +205,14 @@
 }
 
 // resetProcess forgets what was known of a worker's process.
-func (w *worker) resetProcess() {
+func (w *workerInfo) resetProcess() {
 	w.limit, w.ejectionTime, w.ejectedUntil, w.failures, w.rejectedDemand, w.reportedAt = 1, 0, 0, 0, 0, 0
 	w.connLost, w.learnedAt = false, 0
 }
 
 // orphanAttempts frees the slots of what is out at a worker whose process has gone; the attempts themselves are still out, and
 // come back for each that may be lost.
-func (d *Dispatcher) orphanAttempts(w *worker) (out []*attempt) {
+func (d *Dispatcher) orphanAttempts(w *workerInfo) (out []*attemptInfo) {
 	for _, a := range w.inFlight {
 		a.orphaned = true
 		d.usedSlots = max(0, d.usedSlots-a.job.demand)
@@ -230,7 +234,7 @@
 }
 
 // isCordoned tells whether a worker is taken out by hand.
-func (d *Dispatcher) isCordoned(w *worker) bool {
+func (d *Dispatcher) isCordoned(w *workerInfo) bool {
 	_, out := d.cordoned[w.ID]
 	return out
 }
@@ -264,19 +268,19 @@
 	d.queue.shapes = make([]shape, perClass*len(d.settings.Classes))
 	for i := range d.queue.shapes {
 		sh := &d.queue.shapes[i]
-		sh.byScore.less, sh.byScore.moved = leavesBefore, func(j *job, i int) { j.heapIndex = i }
+		sh.byScore.less, sh.byScore.moved = leavesBefore, func(j *jobInfo, i int) { j.heapIndex = i }
 		sh.byPromotion.less = promotedBefore
 	}
-	d.unstarted.pending, d.unstarted.first = make([][]*attempt, len(d.settings.Classes)), make([]int, len(d.settings.Classes))
+	d.unstarted.pending, d.unstarted.first = make([][]*attemptInfo, len(d.settings.Classes)), make([]int, len(d.settings.Classes))
 }
 
 // bindTimers tells a job's alarms what they are part of.
-func (j *job) bindTimers() {
+func (j *jobInfo) bindTimers() {
 	j.deadlineTimer, j.objectiveTimer, j.checksTimer = timer{purpose: jobDeadline, job: j}, timer{purpose: jobObjective, job: j}, timer{job: j}
 }
 
 // wasSentTo tells whether a worker was sent the job before.
-func (j *job) wasSentTo(w *worker) bool {
+func (j *jobInfo) wasSentTo(w *workerInfo) bool {
 	for _, a := range j.attempts {
 		if a.worker == w {
 			return true
@@ -286,7 +290,7 @@
 }
 
 // awaitsCheck tells whether a worker was asked by a probe and has said nothing since.
-func (w *worker) awaitsCheck() bool { return w.checking && w.heardAt < w.checkedAt }
+func (w *workerInfo) awaitsCheck() bool { return w.checking && w.heardAt < w.checkedAt }
 
 // rescaleSpeeds takes so much, in logs, off all speeds and all sizes: expected runs stay what they are.
 func (d *Dispatcher) rescaleSpeeds(by float64) {
@@ -309,7 +313,7 @@
 	d.topSpeed -= by
 }
 
-func (d *Dispatcher) applyReport(w *worker, r []float64) {
+func (d *Dispatcher) applyReport(w *workerInfo, r []float64) {
 	for i, f := range d.settings.ReportFields {
 		if f == ReportFieldFreeSlots && i < len(r) && !math.IsNaN(r[i]) {
 			w.freeSlots, w.reportedAt = max(0, r[i]), d.now
@@ -319,14 +323,14 @@
 	}
 }
 
-func (d *Dispatcher) observeSlots(w *worker, n float64) {
+func (d *Dispatcher) observeSlots(w *workerInfo, n float64) {
 	if k := d.machineKind(w.Kind); d.warmUpShare(w) == 1 && n > k.maxSlots {
 		k.maxSlots, k.lateOverflows = n, 0
 	}
 }
 
 // onProgressed takes in a share done: its start notice may have been lost.
-func (d *Dispatcher) onProgressed(a *attempt) {
+func (d *Dispatcher) onProgressed(a *attemptInfo) {
 	if a != nil {
 		d.onStarted(a)
 		a.progressAt, a.worker.progressAt = d.now, d.now
@@ -335,7 +339,7 @@
 
 // observeBusy learns by zone how likely a worker is to have no free slot, as we see too little of each worker.
 // It weighs like slots in use, so that a crossing is paid where the own zone is the fuller.
-func (d *Dispatcher) observeBusy(w *worker, busy bool) {
+func (d *Dispatcher) observeBusy(w *workerInfo, busy bool) {
 	if d.zoneBusy[w.Zone] *= 1 - busyRate; busy {
 		d.zoneBusy[w.Zone] += busyRate
 	}
@@ -343,7 +347,7 @@
 
 // observeOverrun remembers for a while by how much a job has outrun its expectation. One far heavier than its hint
 // can push a cold worker over alone: its class is budgeted as if each were.
-func (d *Dispatcher) observeOverrun(a *attempt, run time.Duration) {
+func (d *Dispatcher) observeOverrun(a *attemptInfo, run time.Duration) {
 	d.overrunFactor[a.job.Class] = max(d.overrunFactor[a.job.Class], run.Seconds()/max(a.expectedRun.Seconds(), 1e-3))
 }
 
@@ -434,24 +438,26 @@
 
 // warmUpBudget is the work that all dispatchers may send a cold worker within a span. Its full capacity is guessed from
 // the slots that its kind has been seen to have free or in use.
-func (d *Dispatcher) warmUpBudget(w *worker) float64 {
+func (d *Dispatcher) warmUpBudget(w *workerInfo) float64 {
 	k := d.machineKind(w.Kind)
 	capacity := max(1, k.maxSlots) * math.Exp(k.logSpeed) * d.warmUpShare(w)
 	return warmUpMargin * d.settings.OverloadFactor * capacity * d.settings.OverloadWindow.Seconds()
 }
 
-func (d *Dispatcher) features(j *job) (hint, slots float64) {
+func (d *Dispatcher) features(j *jobInfo) (hint, slots float64) {
 	return clamp(math.Log(j.work)-d.longCut, featureClip), clamp(math.Log2(j.Slots), featureClip)
 }
 
-func slotBucket(j *job) int { return min(3, int(math.Log2(j.Slots))) }
+func slotBucket(j *jobInfo) int { return min(3, int(math.Log2(j.Slots))) }
 
-func (d *Dispatcher) warmUpCost(j *job) float64 { return j.work * j.Slots * d.overrunFactor[j.Class] }
+func (d *Dispatcher) warmUpCost(j *jobInfo) float64 {
+	return j.work * j.Slots * d.overrunFactor[j.Class]
+}
 
 // observeIdleConnection takes in how an attempt on an idle link went. Where of links idle for so long or longer two fared
 // badly of late, and more than did well, it is the links' fault and not the workers': a rack that is silent
 // has but its part of them. Forgotten by and by in upkeep.
-func (d *Dispatcher) observeIdleConnection(a *attempt, well bool) {
+func (d *Dispatcher) observeIdleConnection(a *attemptInfo, well bool) {
 	if a.connIdle == 0 {
 		return
 	}
@@ -468,7 +474,7 @@
 }
 
 // warmUpShare is the least part of its capacity that a worker has, by when it started.
-func (d *Dispatcher) warmUpShare(w *worker) float64 {
+func (d *Dispatcher) warmUpShare(w *workerInfo) float64 {
 	boot := max(w.BootAt, w.returnedAt)
 	if boot <= 0 || d.settings.WarmUp <= 0 || d.now-boot >= d.settings.WarmUp {
 		return 1
@@ -477,7 +483,7 @@
 	return max(0.01, d.settings.WarmUpCapacity+(1-d.settings.WarmUpCapacity)*age/d.settings.WarmUp.Seconds())
 }
 
-func (d *Dispatcher) learnSpeed(w *worker, got float64) {
+func (d *Dispatcher) learnSpeed(w *workerInfo, got float64) {
 	k := d.machineKind(w.Kind)
 	k.runs++
 	k.logSpeed += max(sizeRate, 1/(k.runs+2)) * clamp(got-k.logSpeed, 1)
@@ -502,7 +508,7 @@
 	}
 }
 
-func (d *Dispatcher) markAlive(w *worker) {
+func (d *Dispatcher) markAlive(w *workerInfo) {
 	w.heardAt, w.connFailures = d.now, 0
 	// A worker that was lost and answers again has most likely restarted, though no list has said so yet.
 	if w.connLost {
@@ -514,7 +520,7 @@
 	d.markDirty(w)
 }
 
-func (d *Dispatcher) decreaseLimit(w *worker, a *attempt) {
+func (d *Dispatcher) decreaseLimit(w *workerInfo, a *attemptInfo) {
 	if a.sentAt >= w.decreasedAt { // what is older is the same piece of news: one crash, one full queue
 		w.decreasedAt, w.limit = d.now, max(1, math.Floor(w.limit/2))
 		d.markDirty(w)
@@ -525,10 +531,10 @@
 func (d *Dispatcher) isSharded() bool { return len(d.workerList) > 0 && d.workerList[0].Assignees > 1 }
 
 // isShort tells whether a job is expected to run for less than the cut between short and long.
-func (d *Dispatcher) isShort(j *job) bool { return math.Log(j.work) < d.longCut }
+func (d *Dispatcher) isShort(j *jobInfo) bool { return math.Log(j.work) < d.longCut }
 
 // hedgeCost is what a copy takes of those saved up: of one of many dispatchers, by its work.
-func (d *Dispatcher) hedgeCost(j *job) float64 {
+func (d *Dispatcher) hedgeCost(j *jobInfo) float64 {
 	if d.settings.Replicas <= manyReplicas {
 		return 1
 	}
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -9,79 +9,79 @@
 	"time"
 )
 
-// referee checks the rules from events and actions alone. It shares no code and no state with the module.
-type referee struct {
-	set     Settings
-	now     time.Duration
-	jobs    map[uint64]*heardJob
-	ready   map[uint64]Worker
-	last    map[uint64]Worker // as it was last listed
-	named   map[uint64]bool
-	probing map[uint64]bool
-	out     map[uint64]bool // taken out by hand
-	leaving map[uint64]bool // clients gone in this batch: what was decided before that is disregarded
-	timers  []time.Duration
-	faults  []string
+// ruleChecker checks the rules from events and actions alone. It shares no code and no state with the module.
+type ruleChecker struct {
+	set          Settings
+	now          time.Duration
+	jobs         map[uint64]*observedJob
+	ready        map[uint64]Worker
+	listed       map[uint64]Worker // as it was last listed
+	everListed   map[uint64]bool
+	probing      map[uint64]bool
+	cordoned     map[uint64]bool // taken out by hand
+	disconnected map[uint64]bool // clients gone in this batch: what was decided before that is disregarded
+	timers       []time.Duration
+	violations   []string
 }
 
-type heardJob struct {
+type observedJob struct {
 	Job
-	deadline       time.Duration
-	closed, stream bool
-	tries          []heardTry
+	deadline          time.Duration
+	closed, streaming bool
+	attempts          []observedAttempt
 }
 
-type heardTry struct {
-	worker  Worker
-	sent    time.Duration
-	ended   bool
-	started bool
-	result  Result
-	revoked bool
+type observedAttempt struct {
+	worker    Worker
+	sentAt    time.Duration
+	ended     bool
+	started   bool
+	result    Result
+	cancelled bool
 }
 
-func newReferee(set Settings) *referee {
-	return &referee{set: set, jobs: map[uint64]*heardJob{}, ready: map[uint64]Worker{}, last: map[uint64]Worker{}, named: map[uint64]bool{},
-		probing: map[uint64]bool{}, out: map[uint64]bool{}, leaving: map[uint64]bool{}}
+func newRuleChecker(set Settings) *ruleChecker {
+	return &ruleChecker{set: set, jobs: map[uint64]*observedJob{}, ready: map[uint64]Worker{}, listed: map[uint64]Worker{}, everListed: map[uint64]bool{},
+		probing: map[uint64]bool{}, cordoned: map[uint64]bool{}, disconnected: map[uint64]bool{}}
 }
 
-func (r *referee) fault(format string, args ...any) {
-	r.faults = append(r.faults, fmt.Sprintf("%v: ", r.now)+fmt.Sprintf(format, args...))
+func (r *ruleChecker) violation(format string, args ...any) {
+	r.violations = append(r.violations, fmt.Sprintf("%v: ", r.now)+fmt.Sprintf(format, args...))
 }
 
-// hear follows what the dispatcher has been told.
-func (r *referee) hear(events []Event) {
-	clear(r.leaving)
+// observe follows what the dispatcher has been told.
+func (r *ruleChecker) observe(events []Event) {
+	clear(r.disconnected)
 	for _, e := range events {
 		switch e := e.(type) {
 		case Job:
-			r.jobs[e.ID] = &heardJob{Job: e, deadline: r.now + e.Remaining}
+			r.jobs[e.ID] = &observedJob{Job: e, deadline: r.now + e.Remaining}
 		case JobResumed:
-			j := &heardJob{Job: e.Job, deadline: r.now + e.Job.Remaining}
+			j := &observedJob{Job: e.Job, deadline: r.now + e.Job.Remaining}
 			for _, p := range e.Attempts {
-				w, known := r.last[p.Worker]
+				w, known := r.listed[p.Worker]
 				if !known {
 					w = Worker{ID: p.Worker, Zone: -1, Cell: -1}
 				}
-				j.tries = append(j.tries, heardTry{worker: w, sent: r.now - p.SentAgo, started: p.StartedAgo > 0, ended: p.Ended, result: p.Result})
+				j.attempts = append(j.attempts, observedAttempt{worker: w, sentAt: r.now - p.SentAgo, started: p.StartedAgo > 0, ended: p.Ended, result: p.Result})
 			}
 			r.jobs[e.Job.ID] = j
 		case Outcome:
 			j := r.jobs[e.Job]
-			t := &j.tries[e.Attempt]
+			t := &j.attempts[e.Attempt]
 			t.ended, t.result = true, e.Result
 			j.closed = j.closed || e.Closed
 		case ResponseStarted:
-			r.jobs[e.Job].stream = true
+			r.jobs[e.Job].streaming = true
 		case ClientDisconnected:
 			r.jobs[e.Job].closed = true
-			r.leaving[e.Job] = true
+			r.disconnected[e.Job] = true
 		case HealthChecked:
 			r.probing[e.Worker] = false
 		case Cordoned:
-			r.out[e.Worker] = true
+			r.cordoned[e.Worker] = true
 		case Uncordoned:
-			delete(r.out, e.Worker)
+			delete(r.cordoned, e.Worker)
 		case WorkerList:
 			if e.Kind == ListUnavailable {
 				continue
@@ -94,22 +94,22 @@
 				if w.Ready && !w.Removed {
 					r.ready[w.ID] = w
 				}
-				r.named[w.ID], r.last[w.ID] = true, w
+				r.everListed[w.ID], r.listed[w.ID] = true, w
 			}
 		}
 	}
 }
 
-// mayHaveRun is the wire's table of completion codes: only these three prove that nothing ran.
-func (t heardTry) mayHaveRun() bool {
+// possiblyExecuted is the wire's table of completion codes: only these three prove that nothing ran.
+func (t observedAttempt) possiblyExecuted() bool {
 	return !t.ended || t.result != WorkerFull && t.result != ConnectFailed && t.result != NotSent
 }
 
-func (r *referee) judge(actions []Action) {
+func (r *ruleChecker) check(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
-			r.judgeSend(a)
+			r.checkSend(a)
 		case Reject:
 			j := r.final("refuse", a.Job)
 			if j == nil {
@@ -117,86 +117,86 @@
 			}
 			c := r.set.Classes[j.Class]
 			harmless := c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DeduplicationScope == ScopeAll
-			if !harmless && slices.ContainsFunc(j.tries, heardTry.mayHaveRun) {
-				r.fault("job %d refused though it may have run", a.Job)
+			if !harmless && slices.ContainsFunc(j.attempts, observedAttempt.possiblyExecuted) {
+				r.violation("job %d refused though it may have run", a.Job)
 			}
 		case Fail:
 			r.final("fail", a.Job)
 		case Cancel:
 			j := r.jobs[a.Job]
-			if !r.set.Cancellation || j == nil || a.Attempt < 0 || a.Attempt >= len(j.tries) {
-				r.fault("cancel of job %d attempt %d", a.Job, a.Attempt)
+			if !r.set.Cancellation || j == nil || a.Attempt < 0 || a.Attempt >= len(j.attempts) {
+				r.violation("cancel of job %d attempt %d", a.Job, a.Attempt)
 				continue
 			}
-			j.tries[a.Attempt].revoked = true
+			j.attempts[a.Attempt].cancelled = true
 		case HealthCheck:
-			if !r.set.HealthChecks || !r.named[a.Worker] {
-				r.fault("probe of worker %d", a.Worker)
+			if !r.set.HealthChecks || !r.everListed[a.Worker] {
+				r.violation("probe of worker %d", a.Worker)
 			}
 			r.probing[a.Worker] = true
 		case SetTimer:
 			if a.After <= 0 {
-				r.fault("timer of %v", a.After)
+				r.violation("timer of %v", a.After)
 			}
 			r.timers = append(r.timers, r.now+a.After)
 		}
 	}
 	for id, j := range r.jobs {
-		if !j.closed && !j.stream && r.now > j.deadline {
-			r.fault("job %d is open past its deadline", id)
+		if !j.closed && !j.streaming && r.now > j.deadline {
+			r.violation("job %d is open past its deadline", id)
 		}
 	}
 }
 
-func (r *referee) final(what string, id uint64) *heardJob {
+func (r *ruleChecker) final(what string, id uint64) *observedJob {
 	j := r.jobs[id]
-	if r.leaving[id] {
+	if r.disconnected[id] {
 		return nil
 	}
 	if j == nil || j.closed {
-		r.fault("%s of job %d, unknown or answered already", what, id)
+		r.violation("%s of job %d, unknown or answered already", what, id)
 		return nil
 	}
 	j.closed = true
 	return j
 }
 
-func (r *referee) judgeSend(a Send) {
+func (r *ruleChecker) checkSend(a Send) {
 	j := r.jobs[a.Job]
 	w, ready := r.ready[a.Worker]
-	if j == nil || j.closed && !r.leaving[a.Job] {
-		r.fault("send of job %d, unknown or closed", a.Job)
+	if j == nil || j.closed && !r.disconnected[a.Job] {
+		r.violation("send of job %d, unknown or closed", a.Job)
 		return
 	}
 	if !ready {
-		r.fault("send to worker %d, which drains or is gone", a.Worker)
+		r.violation("send to worker %d, which drains or is gone", a.Worker)
 	}
-	if r.out[a.Worker] {
-		r.fault("send to worker %d, which is taken out", a.Worker)
+	if r.cordoned[a.Worker] {
+		r.violation("send to worker %d, which is taken out", a.Worker)
 	}
 	c := r.set.Classes[j.Class]
 	if c.Kinds != nil && !slices.Contains(c.Kinds, w.Kind) || c.Zones != nil && !slices.Contains(c.Zones, w.Zone) {
-		r.fault("job %d of class %d sent to kind %d in zone %d", a.Job, j.Class, w.Kind, w.Zone)
+		r.violation("job %d of class %d sent to kind %d in zone %d", a.Job, j.Class, w.Kind, w.Zone)
 	}
-	for _, t := range j.tries {
+	for _, t := range j.attempts {
 		if !t.ended && !r.set.Hedging {
-			r.fault("second copy of job %d", a.Job)
+			r.violation("second copy of job %d", a.Job)
 		}
 		if !t.ended && t.worker.ID == a.Worker {
-			r.fault("job %d sent to worker %d, which has it", a.Job, a.Worker)
+			r.violation("job %d sent to worker %d, which has it", a.Job, a.Worker)
 		}
-		if !t.mayHaveRun() || c.Idempotency == Idempotent {
+		if !t.possiblyExecuted() || c.Idempotency == Idempotent {
 			continue
 		}
 		same := c.DeduplicationScope == ScopeAll || c.DeduplicationScope == ScopeZone && t.worker.Zone == w.Zone ||
 			c.DeduplicationScope == ScopeCell && t.worker.Cell == w.Cell
-		if c.Idempotency == NonIdempotent || !same || r.now-t.sent+r.set.ConnectTimeout > c.DeduplicationWindow { // it may wait for its connection
-			r.fault("job %d sent again though it may have run", a.Job)
+		if c.Idempotency == NonIdempotent || !same || r.now-t.sentAt+r.set.ConnectTimeout > c.DeduplicationWindow { // it may wait for its connection
+			r.violation("job %d sent again though it may have run", a.Job)
 		}
 	}
-	j.tries = append(j.tries, heardTry{worker: w, sent: r.now})
-	if len(j.tries) > r.set.AttemptLimit {
-		r.fault("job %d has %d attempts", a.Job, len(j.tries))
+	j.attempts = append(j.attempts, observedAttempt{worker: w, sentAt: r.now})
+	if len(j.attempts) > r.set.AttemptLimit {
+		r.violation("job %d has %d attempts", a.Job, len(j.attempts))
 	}
 }
 
@@ -212,7 +212,7 @@
 	for range 1 + rng.IntN(4) {
 		set.Classes = append(set.Classes, Class{LatencyObjective: ms(1000), ObjectiveStretch: 3 * rng.Float64(), ClientTimeout: ms(8000),
 			Idempotency: Idempotency(rng.IntN(3)), DeduplicationScope: DeduplicationScope(rng.IntN(3)), DeduplicationWindow: ms(3000),
-			LateValue: max(0, rng.Float64()-0.5), PriorityWeight: 5 * rng.Float64(), Kinds: randomNames(rng), Zones: randomNames(rng)})
+			LateValue: max(0, rng.Float64()-0.5), PriorityWeight: 5 * rng.Float64(), Kinds: randomPlacement(rng), Zones: randomPlacement(rng)})
 	}
 	for range rng.IntN(3) {
 		set.TenantQuota = append(set.TenantQuota, 20*rng.Float64())
@@ -220,8 +220,8 @@
 	return set
 }
 
-// randomNames draws what a class is bound to: mostly nothing, at times none or only what does not exist.
-func randomNames(rng *rand.Rand) []int {
+// randomPlacement draws what a class is bound to: mostly nothing, at times none or only what does not exist.
+func randomPlacement(rng *rand.Rand) []int {
 	if rng.IntN(3) > 0 {
 		return nil
 	}
@@ -234,16 +234,16 @@
 	return names
 }
 
-// play feeds a dispatcher a random legal sequence of events; nothing models a worker.
-func play(seed uint64, steps int) (*referee, *Dispatcher, []Action) {
-	return playBeside(seed, steps, func(*Dispatcher, time.Duration, []Event, []Action) {})
+// randomRun feeds a dispatcher a random legal sequence of events; nothing models a worker.
+func randomRun(seed uint64, steps int) (*ruleChecker, *Dispatcher, []Action) {
+	return observedRandomRun(seed, steps, func(*Dispatcher, time.Duration, []Event, []Action) {})
 }
 
-// playBeside shows each step's events to someone before the dispatcher gets them, and its actions after that.
-func playBeside(seed uint64, steps int, beside func(*Dispatcher, time.Duration, []Event, []Action)) (*referee, *Dispatcher, []Action) {
+// observedRandomRun shows each step's events to someone before the dispatcher gets them, and its actions after that.
+func observedRandomRun(seed uint64, steps int, beside func(*Dispatcher, time.Duration, []Event, []Action)) (*ruleChecker, *Dispatcher, []Action) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := randomSettings(rng)
-	d, r := New(set, seed), newReferee(set)
+	d, r := New(set, seed), newRuleChecker(set)
 	r.now = time.Duration(rng.IntN(1e9))
 	var log []Action
 	id := uint64(0)
@@ -265,7 +265,7 @@
 				Remaining: time.Duration(rng.IntN(8000)) * time.Millisecond, Slots: float64(rng.IntN(5)),
 				Memory: 3 * rng.Float64(), Hint: time.Duration(rng.IntN(3)) * time.Duration(rng.IntN(2e9)), Key: id % 7}
 			if rng.IntN(4) == 0 {
-				events = append(events, JobResumed{Job: j, Age: time.Duration(rng.IntN(3000)) * time.Millisecond, QuotaCharged: id%2 == 0, Attempts: randomPasts(rng)})
+				events = append(events, JobResumed{Job: j, Age: time.Duration(rng.IntN(3000)) * time.Millisecond, QuotaCharged: id%2 == 0, Attempts: randomPastAttempts(rng)})
 			} else {
 				events = append(events, j)
 			}
@@ -282,19 +282,19 @@
 		if rng.IntN(100) == 0 {
 			events = append(events, ModelUpdate{Snapshot: d.ModelSnapshot(rng.IntN(600), nil), Age: time.Duration(rng.IntN(1e10)), LoadShare: rng.Float64()})
 		}
-		events = append(events, randomNews(rng, r)...)
-		r.hear(events)
+		events = append(events, randomOutcomes(rng, r)...)
+		r.observe(events)
 		beside(d, r.now, events, nil)
 		actions := d.Step(r.now, events, []Action{})
 		beside(d, r.now, events, actions)
-		r.judge(actions)
+		r.check(actions)
 		log = append(log, actions...)
 	}
 	return r, d, log
 }
 
-// randomPasts draws what came of a job before. Some of the workers are not listed, or not known.
-func randomPasts(rng *rand.Rand) (pasts []PastAttempt) {
+// randomPastAttempts draws what came of a job before. Some of the workers are not listed, or not known.
+func randomPastAttempts(rng *rand.Rand) (pasts []PastAttempt) {
 	for range rng.IntN(4) {
 		p := PastAttempt{Worker: uint64(rng.IntN(10) + 1), SentAgo: time.Duration(rng.IntN(3000)) * time.Millisecond, Ended: rng.IntN(2) == 0,
 			Result: Result(rng.IntN(9))}
@@ -309,8 +309,8 @@
 	return pasts
 }
 
-func randomList(rng *rand.Rand, r *referee) []Event {
-	if len(r.named) > 0 && rng.IntN(15) > 0 {
+func randomList(rng *rand.Rand, r *ruleChecker) []Event {
+	if len(r.everListed) > 0 && rng.IntN(15) > 0 {
 		return nil
 	}
 	list := WorkerList{Kind: ListKind(rng.IntN(4))}
@@ -331,8 +331,8 @@
 	return []Event{list}
 }
 
-// randomNews ends or starts attempts that are out, lets clients go and answers probes.
-func randomNews(rng *rand.Rand, r *referee) (events []Event) {
+// randomOutcomes ends or starts attempts that are out, lets clients go and answers probes.
+func randomOutcomes(rng *rand.Rand, r *ruleChecker) (events []Event) {
 	ids := make([]uint64, 0, len(r.jobs))
 	for id := range r.jobs {
 		ids = append(ids, id)
@@ -340,13 +340,13 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		j := r.jobs[id]
-		for n := range j.tries {
-			t := &j.tries[n]
+		for n := range j.attempts {
+			t := &j.attempts[n]
 			if t.ended {
 				continue
 			}
-			overdue := !j.stream && r.now >= j.deadline
-			if !overdue && !t.revoked && rng.IntN(8) > 0 {
+			overdue := !j.streaming && r.now >= j.deadline
+			if !overdue && !t.cancelled && rng.IntN(8) > 0 {
 				continue
 			}
 			if !t.started && r.set.StartNotifications && rng.IntN(2) == 0 && !overdue {
@@ -361,7 +361,7 @@
 			result := Result(rng.IntN(8))
 			if overdue {
 				result = TimedOut
-			} else if t.revoked {
+			} else if t.cancelled {
 				result = Cancelled
 			}
 			closed := j.closed || result == OK
@@ -375,7 +375,7 @@
 			events = append(events, ClientDisconnected{Job: id})
 			j.closed = true
 		}
-		if j.closed && !slices.ContainsFunc(j.tries, func(t heardTry) bool { return !t.ended }) && rng.IntN(20) == 0 &&
+		if j.closed && !slices.ContainsFunc(j.attempts, func(t observedAttempt) bool { return !t.ended }) && rng.IntN(20) == 0 &&
 			!slices.ContainsFunc(events, func(e Event) bool { return concerns(e, id) }) {
 			delete(r.jobs, id)
 		}
@@ -398,11 +398,11 @@
 	return false
 }
 
-func checkPlay(t *testing.T, seed uint64, steps int) (sends int) {
+func checkRandomRun(t *testing.T, seed uint64, steps int) (sends int) {
 	t.Helper()
-	r, _, log := play(seed, steps)
-	if len(r.faults) > 0 {
-		t.Fatalf("seed %d: %d faults, the first: %s", seed, len(r.faults), r.faults[0])
+	r, _, log := randomRun(seed, steps)
+	if len(r.violations) > 0 {
+		t.Fatalf("seed %d: %d faults, the first: %s", seed, len(r.violations), r.violations[0])
 	}
 	for _, a := range log {
 		if _, ok := a.(Send); ok {
@@ -416,7 +416,7 @@
 	t.Parallel()
 	sends := 0
 	for seed := range uint64(300) {
-		sends += checkPlay(t, seed, 300)
+		sends += checkRandomRun(t, seed, 300)
 	}
 	if sends < 5000 {
 		t.Fatalf("only %d attempts made: the test sees too little", sends)
@@ -426,8 +426,8 @@
 func TestSameEventsSameActions(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(20) {
-		_, _, a := play(seed, 200)
-		_, _, b := play(seed, 200)
+		_, _, a := randomRun(seed, 200)
+		_, _, b := randomRun(seed, 200)
 		if !slices.Equal(a, b) {
 			t.Fatalf("seed %d: two plays differ", seed)
 		}
@@ -437,18 +437,18 @@
 func FuzzRules(f *testing.F) {
 	f.Add(uint64(1), uint16(100))
 	f.Add(uint64(77), uint16(400))
-	f.Fuzz(func(t *testing.T, seed uint64, steps uint16) { checkPlay(t, seed, int(steps%1000)) })
+	f.Fuzz(func(t *testing.T, seed uint64, steps uint16) { checkRandomRun(t, seed, int(steps%1000)) })
 }
 
 // Rule 4 by an independent ledger: workers of three slots whose runs take just what was hinted.
-func TestColdBudget(t *testing.T) {
+func TestWarmUpBudget(t *testing.T) {
 	t.Parallel()
 	cold := 0
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		set := testSettings()
 		set.Replicas, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 3, 20*time.Second, 0.1, 3, 2*time.Second
-		s := newScene(t, set)
+		s := newHarness(t, set)
 		boot := map[uint64]time.Duration{}
 		list := WorkerList{Kind: ListFull}
 		for id := uint64(1); id <= 6; id++ {
@@ -515,7 +515,7 @@
 
 // Rule 4 with hundreds of dispatchers on one cold worker: what they send together in any span stays under the
 // budget, also where each of them restarts at random, and the worker is not left idle either.
-func TestColdBudgetSharedByHundreds(t *testing.T) {
+func TestWarmUpBudgetSharedByHundreds(t *testing.T) {
 	t.Parallel()
 	for _, replicas := range []int{3, 40, 300} {
 		rng := rand.New(rand.NewPCG(uint64(replicas), 3))
@@ -603,7 +603,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
 			set.Classes[0].Kinds, set.Classes[0].Zones = c.kinds, c.zones
-			s := newScene(t, set)
+			s := newHarness(t, set)
 			s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 1, Ready: true}, {ID: 2, Ready: true, Zone: 1},
 				{ID: 3, Ready: true, Kind: 1}, {ID: 4, Ready: true, Kind: 1, Zone: 1}}})
 			for id := uint64(1); id <= 8; id++ {
@@ -635,7 +635,7 @@
 // Rule 4 with hundreds of dispatchers that draw lots for the cold workers of a fleet whose other workers are offered
 // more than they can do: each cold worker gets its share of what the others get, in any span no more than the budget
 // with what chance adds to it, and none is left unused.
-func TestColdWorkersAreDrawnByLot(t *testing.T) {
+func TestWarmingWorkersAreChosenByLottery(t *testing.T) {
 	t.Parallel()
 	const replicas, warm, cold, slots = 300, 24, 8, 4
 	rng := rand.New(rand.NewPCG(5, 6))
--- a/dispatch/scale_test.go
+++ b/dispatch/scale_test.go
@@ -11,32 +11,32 @@
 // fleet is a fleet of workers in which every job takes the same time, and the dispatcher that serves it. Its queue is
 // a ring of instants: the model must cost next to nothing beside what it drives.
 type fleet struct {
-	d      *Dispatcher
-	now    time.Duration
-	run    time.Duration // of a job
-	noise  float64       // runs vary evenly by so much, as a part of it
-	rng    *rand.Rand
-	hint   float64 // what is hinted, as a multiple of it
-	notice bool    // starts are told
-	out    [3]line // starts, ends, and the rest: each in order of time, or nearly
-	acts   []Action
-	lastID uint64
-	jobs   map[uint64]*fleetJob
-	at     map[uint64]int // jobs by worker
-	most   int
-	done   int
-	turned int
-	delay  time.Duration
+	d           *Dispatcher
+	now         time.Duration
+	run         time.Duration // of a job
+	noise       float64       // runs vary evenly by so much, as a part of it
+	rng         *rand.Rand
+	hint        float64      // what is hinted, as a multiple of it
+	notice      bool         // starts are told
+	events      [3]eventLine // starts, ends, and the rest: each in order of time, or nearly
+	acts        []Action
+	lastID      uint64
+	jobs        map[uint64]*fleetJob
+	at          map[uint64]int // jobs by worker
+	maxAtWorker int
+	done        int
+	rejected    int
+	delay       time.Duration
 }
 
 type fleetJob struct {
-	sent, out int
-	closed    bool
+	sent, inFlight int
+	closed         bool
 }
 
-type line struct {
-	due  []dueEvent
-	from int
+type eventLine struct {
+	due   []dueEvent
+	first int
 }
 
 func newFleet(nodes int, set Settings) *fleet {
@@ -58,7 +58,7 @@
 }
 
 func (f *fleet) later(which int, d time.Duration, e Event) {
-	f.out[which].due = append(f.out[which].due, dueEvent{f.now + d, e})
+	f.events[which].due = append(f.events[which].due, dueEvent{f.now + d, e})
 }
 
 func (f *fleet) step(events ...Event) {
@@ -69,9 +69,9 @@
 			j := f.jobs[a.Job]
 			n := j.sent
 			j.sent++
-			j.out++
+			j.inFlight++
 			f.at[a.Worker]++
-			f.most = max(f.most, f.at[a.Worker])
+			f.maxAtWorker = max(f.maxAtWorker, f.at[a.Worker])
 			if f.notice {
 				f.later(0, 2*f.delay, Started{Job: a.Job, Attempt: n, Worker: a.Worker})
 			}
@@ -80,10 +80,10 @@
 		case HealthCheck:
 			f.later(2, 2*f.delay, HealthChecked{Worker: a.Worker, Result: OK})
 		case Reject:
-			f.turned++
+			f.rejected++
 			f.close(a.Job)
 		case Fail:
-			f.turned++
+			f.rejected++
 			f.close(a.Job)
 		}
 	}
@@ -91,9 +91,9 @@
 
 // next lets time pass to what is due next, and tells the dispatcher of it. Where a job ended it says at which worker.
 func (f *fleet) next() (worker uint64) {
-	var q *line
-	for i := range f.out {
-		if o := &f.out[i]; o.from < len(o.due) && (q == nil || o.due[o.from].at < q.due[q.from].at) {
+	var q *eventLine
+	for i := range f.events {
+		if o := &f.events[i]; o.first < len(o.due) && (q == nil || o.due[o.first].at < q.due[q.first].at) {
 			q = o
 		}
 	}
@@ -102,9 +102,9 @@
 		f.step(TimerFired{})
 		return 0
 	}
-	e := q.due[q.from]
-	if q.from++; q.from > 4096 {
-		q.due, q.from = q.due[:copy(q.due, q.due[q.from:])], 0
+	e := q.due[q.first]
+	if q.first++; q.first > 4096 {
+		q.due, q.first = q.due[:copy(q.due, q.due[q.first:])], 0
 	}
 	f.now = max(f.now, e.at)
 	if o, ok := e.e.(Outcome); ok {
@@ -113,7 +113,7 @@
 			f.done++
 			worker = o.Worker
 		}
-		f.jobs[o.Job].out--
+		f.jobs[o.Job].inFlight--
 		f.close(o.Job)
 	}
 	f.step(e.e)
@@ -122,7 +122,7 @@
 
 func (f *fleet) close(id uint64) {
 	j := f.jobs[id]
-	if j.closed = true; j.out == 0 {
+	if j.closed = true; j.inFlight == 0 {
 		delete(f.jobs, id)
 	}
 }
@@ -149,7 +149,7 @@
 			for b.Loop() {
 				f.pass()
 			}
-			b.ReportMetric(float64(f.turned)/float64(max(1, f.done+f.turned)), "refused/job")
+			b.ReportMetric(float64(f.rejected)/float64(max(1, f.done+f.rejected)), "refused/job")
 		})
 	}
 	for _, held := range []int{0, 100, 10000} {
@@ -203,9 +203,9 @@
 			waiting++
 			f.job()
 		}
-		done, turned := f.done, f.turned
+		done, turned := f.done, f.rejected
 		w := f.next()
-		if waiting -= f.done - done + f.turned - turned; f.turned > turned {
+		if waiting -= f.done - done + f.rejected - turned; f.rejected > turned {
 			f.later(2, 10*ms, TimerFired{})
 		}
 		if f.now >= from && f.done > done {
@@ -218,7 +218,7 @@
 
 // However many nodes there are, whatever hints are worth, and whether starts are told or not: a fleet that is under half
 // full refuses nothing, serves each client as fast as it works, and spreads what it does.
-func TestIdleFleetRefusesNothing(t *testing.T) {
+func TestIdleFleetRejectsNothing(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{10, 90, 600} {
 		for _, hint := range []float64{1, 1.0 / 30, 30} {
@@ -235,9 +235,9 @@
 					most = max(most, n)
 				}
 				even := float64(served) / float64(nodes)
-				if float64(served) < 0.98*possible || f.turned > 0 || float64(most) > 1.6*even+4 {
+				if float64(served) < 0.98*possible || f.rejected > 0 || float64(most) > 1.6*even+4 {
 					t.Errorf("%d nodes, hints x %.2f, notices %v: %.3f of what is possible, %d refused, the busiest has %.2f times "+
-						"its even part", nodes, hint, notice, float64(served)/possible, f.turned, float64(most)/even)
+						"its even part", nodes, hint, notice, float64(served)/possible, f.rejected, float64(most)/even)
 				}
 			}
 		}
@@ -247,7 +247,7 @@
 // The gain of learning does not grow with what is out: from 1 job out to 10,000, with runs that vary, what is believed of
 // speeds and works stays near the truth. Corrected against what held when they were sent, each of n jobs out corrects the
 // same error, a gain of n x sizeRate, and from some 60 out on beliefs swung over factors of thousands.
-func TestLearningHoldsWhateverIsOut(t *testing.T) {
+func TestLearningIsStableWhateverIsInFlight(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		out    int
@@ -258,7 +258,7 @@
 		f := newFleet(max(1, c.out/2), scaleSettings())
 		f.hint, f.noise = c.hint, 0.3
 		f.serve(c.out, c.length)
-		j := &job{Job: Job{Hint: time.Duration(float64(f.run) * c.hint), Slots: 1}, class: &f.d.settings.Classes[0]}
+		j := &jobInfo{Job: Job{Hint: time.Duration(float64(f.run) * c.hint), Slots: 1}, class: &f.d.settings.Classes[0]}
 		mean := 0.0
 		for _, w := range f.d.workerList {
 			mean += w.logSpeed / float64(len(f.d.workerList))
@@ -275,7 +275,7 @@
 
 // A belief does not shut off its own correction: where all workers are thought far too slow for any aim, some jobs go all
 // the same, and within a second all do.
-func TestWrongBeliefIsCorrected(t *testing.T) {
+func TestWrongEstimateIsCorrected(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{5, 300} {
 		f := newFleet(nodes, scaleSettings())
@@ -288,13 +288,13 @@
 		}
 		f.serve(nodes, time.Second)
 		if served, _ := f.serve(nodes, 2*time.Second); float64(served) < 0.95*float64(nodes)/(f.run+2*f.delay).Seconds() {
-			t.Errorf("%d workers, believed 400 times too slow: %d served in a second, and %d refused", nodes, served, f.turned)
+			t.Errorf("%d workers, believed 400 times too slow: %d served in a second, and %d refused", nodes, served, f.rejected)
 		}
 	}
 }
 
 // Jobs that take ten times as long for a while miss their aims; once they no longer do, service is back within a second.
-func TestStepInCostIsFollowed(t *testing.T) {
+func TestCostStepIsFollowed(t *testing.T) {
 	t.Parallel()
 	f := newFleet(50, scaleSettings())
 	f.serve(100, 2*time.Second)
@@ -302,21 +302,21 @@
 	f.serve(100, 3*time.Second)
 	f.run /= 10
 	f.serve(100, time.Second)
-	turned := f.turned
+	turned := f.rejected
 	served, _ := f.serve(100, 2*time.Second)
 	if possible := 100 / (f.run + 2*f.delay).Seconds(); float64(served) < 0.95*possible {
-		t.Errorf("%d served of %.0f possible, %d refused", served, possible, f.turned-turned)
+		t.Errorf("%d served of %.0f possible, %d refused", served, possible, f.rejected-turned)
 	}
 }
 
 // A class that only one worker in a hundred may run, and more of it than those can take, holds up nothing else.
-func TestBoundClassHoldsUpNothingElse(t *testing.T) {
+func TestBoundClassBlocksNothingElse(t *testing.T) {
 	set := scaleSettings()
 	set.HealthChecks = false
 	bound := set.Classes[0]
 	bound.Kinds, bound.LatencyObjective, bound.ClientTimeout = []int{7}, time.Hour, 2*time.Hour
 	set.Classes = append(set.Classes, bound)
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	list := WorkerList{Kind: ListFull}
 	for id := range 200 {
 		w := Worker{ID: uint64(id + 1), Ready: true}
@@ -340,15 +340,15 @@
 }
 
 // A process that was late itself learns nothing of workers from that time, and blames none for it.
-func TestOwnLatenessSaysNothingOfWorkers(t *testing.T) {
+func TestOwnStallsSayNothingAboutWorkers(t *testing.T) {
 	f := newFleet(20, scaleSettings())
 	f.serve(40, 2*time.Second)
 	before := f.d.workerList[3].logSpeed
 	f.now += 2 * time.Second // frozen: what came meanwhile is told late, with our own timer
 	events := []Event{TimerFired{}}
-	for i := range f.out[:2] {
-		for q := &f.out[i]; q.from < len(q.due); q.from++ {
-			events = append(events, q.due[q.from].e)
+	for i := range f.events[:2] {
+		for q := &f.events[i]; q.first < len(q.due); q.first++ {
+			events = append(events, q.due[q.first].e)
 		}
 	}
 	f.step(events...)
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -62,10 +62,10 @@
 	writing      bool
 	invalid      bool          // what was read makes no sense
 	now          time.Duration // instants are held as distances from it
-	jobs         []*job        // by their place in the snapshot
-	jobPlaces    map[*job]int
-	workers      []*worker
-	workerPlaces map[*worker]int
+	jobs         []*jobInfo    // by their place in the snapshot
+	jobPlaces    map[*jobInfo]int
+	workers      []*workerInfo
+	workerPlaces map[*workerInfo]int
 }
 
 func (c *codec) int64(x *int64) {
@@ -188,7 +188,7 @@
 }
 
 // job is a reference to a job; one that is forgotten comes back as a closed one.
-func (c *codec) job(j **job) {
+func (c *codec) job(j **jobInfo) {
 	place := -1
 	if at, ok := c.jobPlaces[*j]; ok {
 		place = at
@@ -199,13 +199,13 @@
 	if place >= 0 && place < len(c.jobs) {
 		*j = c.jobs[place]
 	} else {
-		*j = &job{heapIndex: -1, closed: true, class: &Class{}}
+		*j = &jobInfo{heapIndex: -1, closed: true, class: &Class{}}
 		(*j).bindTimers()
 	}
 }
 
 // worker is a reference to a worker; one that is forgotten comes back as one that is none of those known.
-func (c *codec) worker(w **worker) {
+func (c *codec) worker(w **workerInfo) {
 	rank := -1
 	if at, ok := c.workerPlaces[*w]; ok {
 		rank = at
@@ -216,14 +216,14 @@
 	if rank >= 0 && rank < len(c.workers) {
 		*w = c.workers[rank]
 	} else {
-		*w = &worker{}
+		*w = &workerInfo{}
 		(*w).timer = timer{purpose: workerAvailable, worker: *w}
 	}
 }
 
 // attempt is a reference to one; one that has ended for good comes back as such.
-func (c *codec) attempt(a **attempt) {
-	var j *job
+func (c *codec) attempt(a **attemptInfo) {
+	var j *jobInfo
 	number := -1
 	if c.writing && !(*a).ended {
 		j, number = (*a).job, (*a).number
@@ -235,7 +235,7 @@
 	if number >= 0 && number < len(j.attempts) {
 		*a = j.attempts[number]
 	} else {
-		*a = &attempt{job: j, ended: true, worker: &worker{}}
+		*a = &attemptInfo{job: j, ended: true, worker: &workerInfo{}}
 		(*a).timer = timer{purpose: attemptOverdue, attempt: *a}
 	}
 }
@@ -258,9 +258,9 @@
 	}
 	fixedList(c, d.fullTimeout, func(x *time.Duration) { c.duration(x) })
 	fixedList(c, d.quotaRefilledAt, func(x *time.Duration) { c.instant(x) })
-	sortedMap(c, d.kinds, func(i *int, k **machineKind) {
+	sortedMap(c, d.kinds, func(i *int, k **machineInfo) {
 		if *k == nil {
-			*k = &machineKind{}
+			*k = &machineInfo{}
 		}
 		c.int(i)
 		c.float(&(*k).logSpeed, &(*k).runs, &(*k).maxSlots)
@@ -281,8 +281,8 @@
 	c.shelf(d)
 	// Heaps are held as they lie: jobs that are equal in rank leave by their place.
 	fixedList(c, d.queue.shapes, func(sh *shape) {
-		list(c, &sh.byScore.items, func(j **job) { c.job(j) })
-		list(c, &sh.byPromotion.items, func(j **job) {
+		list(c, &sh.byScore.items, func(j **jobInfo) { c.job(j) })
+		list(c, &sh.byPromotion.items, func(j **jobInfo) {
 			c.job(j)
 			c.instant(&(*j).promoteAt)
 			c.int(&(*j).deferrals)
@@ -294,10 +294,10 @@
 	list(c, &d.timers.items, func(a **timer) { c.alarm(d, a) })
 	for class := range d.unstarted.pending {
 		young := d.unstarted.pending[class][d.unstarted.first[class]:]
-		list(c, &young, func(a **attempt) { c.attempt(a) })
+		list(c, &young, func(a **attemptInfo) { c.attempt(a) })
 		d.unstarted.pending[class], d.unstarted.first[class] = young, 0
 	}
-	list(c, &d.unstarted.late, func(a **attempt) { c.attempt(a) })
+	list(c, &d.unstarted.late, func(a **attemptInfo) { c.attempt(a) })
 	keeps := d.reserved != nil
 	if c.flags(&keeps); keeps {
 		c.worker(&d.reserved)
@@ -326,7 +326,7 @@
 	}
 	c.instant(&x.at)
 	c.int((*int)(&x.purpose))
-	var j *job
+	var j *jobInfo
 	w := x.worker
 	switch x.purpose {
 	case reviewQueue, jobDeadline, jobObjective:
@@ -369,8 +369,8 @@
 		c.int(&(*l).zone)
 		c.int(&(*l).kind)
 		c.flags(&(*l).warmingUp, &(*l).suspect)
-		list(c, &(*l).rows, func(row *[]*worker) {
-			list(c, row, func(w **worker) { c.worker(w) })
+		list(c, &(*l).rows, func(row *[]*workerInfo) {
+			list(c, row, func(w **workerInfo) { c.worker(w) })
 		})
 		for r, row := range (*l).rows {
 			for spot, w := range row {
@@ -382,7 +382,7 @@
 			}
 		}
 	})
-	list(c, &d.dirty, func(w **worker) { c.worker(w) })
+	list(c, &d.dirty, func(w **workerInfo) { c.worker(w) })
 }
 
 func (c *codec) random(d *Dispatcher) {
@@ -399,30 +399,30 @@
 
 // population walks workers and jobs: first that they are there, then what they are, as each refers to others.
 func (c *codec) population(d *Dispatcher) {
-	c.workerPlaces, c.jobPlaces = map[*worker]int{}, map[*job]int{}
+	c.workerPlaces, c.jobPlaces = map[*workerInfo]int{}, map[*jobInfo]int{}
 	for i, w := range d.workerList {
 		c.workerPlaces[w] = i
 	}
-	list(c, &d.workerList, func(w **worker) {
+	list(c, &d.workerList, func(w **workerInfo) {
 		if !c.writing {
-			*w = &worker{}
+			*w = &workerInfo{}
 		}
 	})
 	for _, id := range slices.Sorted(maps.Keys(d.jobs)) {
 		c.jobPlaces[d.jobs[id]] = len(c.jobs)
 		c.jobs = append(c.jobs, d.jobs[id])
 	}
-	list(c, &c.jobs, func(j **job) {
+	list(c, &c.jobs, func(j **jobInfo) {
 		if !c.writing {
-			*j = &job{heapIndex: -1}
+			*j = &jobInfo{heapIndex: -1}
 		}
 		c.oneJob(d, *j)
 	})
 	c.workers = d.workerList
 	for _, j := range c.jobs {
-		list(c, &j.attempts, func(a **attempt) {
+		list(c, &j.attempts, func(a **attemptInfo) {
 			if !c.writing {
-				*a = &attempt{job: j}
+				*a = &attemptInfo{job: j}
 				(*a).timer = timer{purpose: attemptOverdue, attempt: *a}
 			}
 			c.oneAttempt(*a)
@@ -436,7 +436,7 @@
 	}
 }
 
-func (c *codec) oneJob(d *Dispatcher, j *job) {
+func (c *codec) oneJob(d *Dispatcher, j *jobInfo) {
 	if !c.writing {
 		j.bindTimers()
 		defer func() { d.jobs[j.ID] = j }()
@@ -457,7 +457,7 @@
 	j.class = &d.settings.Classes[j.Class]
 }
 
-func (c *codec) oneAttempt(a *attempt) {
+func (c *codec) oneAttempt(a *attemptInfo) {
 	c.int(&a.number)
 	c.worker(&a.worker)
 	c.int(&a.zone)
@@ -468,7 +468,7 @@
 	c.int((*int)(&a.result))
 }
 
-func (c *codec) oneWorker(w *worker) {
+func (c *codec) oneWorker(w *workerInfo) {
 	c.uint(&w.ID)
 	c.int(&w.Kind)
 	c.int(&w.Cell)
@@ -484,7 +484,7 @@
 	c.int(&w.connFailures)
 	c.int(&w.connections)
 	c.int(&w.orphans)
-	list(c, &w.inFlight, func(a **attempt) { c.attempt(a) })
+	list(c, &w.inFlight, func(a **attemptInfo) { c.attempt(a) })
 	list(c, &w.warmUpSpends, func(s *spend) {
 		c.instant(&s.at)
 		c.float(&s.work)
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -19,7 +19,7 @@
 		rng := rand.New(rand.NewPCG(seed, 2))
 		var copied *Dispatcher
 		step := 0
-		_, _, cut := playBeside(seed, 400, func(d *Dispatcher, now time.Duration, events []Event, actions []Action) {
+		_, _, cut := observedRandomRun(seed, 400, func(d *Dispatcher, now time.Duration, events []Event, actions []Action) {
 			if actions != nil {
 				if got := copied.Step(now, events, []Action{}); !reflect.DeepEqual(got, actions) {
 					t.Fatalf("step %d: %v, expected %v", step, got, actions)
@@ -49,7 +49,7 @@
 				}
 			}
 		})
-		if _, _, whole := play(seed, 400); !reflect.DeepEqual(cut, whole) {
+		if _, _, whole := randomRun(seed, 400); !reflect.DeepEqual(cut, whole) {
 			t.Fatal("one of which snapshots were taken acted otherwise")
 		}
 	})
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	for _, d := range []*Dispatcher{d, r} {
-		s := &scene{t: t, d: d, now: time.Hour, jobs: map[uint64]*sceneJob{}}
+		s := &harness{t: t, d: d, now: time.Hour, jobs: map[uint64]*harnessJob{}}
 		s.workers(1)
 		if work, known := d.KeyWork(9); known {
 			r.RecallKeyWork(9, work)
@@ -89,7 +89,7 @@
 func FuzzRestore(f *testing.F) {
 	set := testSettings()
 	d := New(set, 1)
-	s := &scene{d: d, now: time.Hour, jobs: map[uint64]*sceneJob{}}
+	s := &harness{d: d, now: time.Hour, jobs: map[uint64]*harnessJob{}}
 	s.workers(2)
 	s.step(Job{ID: 1, Key: 9, Remaining: time.Second}, Job{ID: 2, Remaining: time.Second})
 	whole := d.Snapshot(nil)
@@ -112,7 +112,7 @@
 }
 
 func BenchmarkSnapshot(b *testing.B) {
-	_, d, _ := play(3, 2000)
+	_, d, _ := randomRun(3, 2000)
 	var state []byte
 	for b.Loop() {
 		state = d.Snapshot(state[:0])
--- a/dispatch/starve_test.go
+++ b/dispatch/starve_test.go
@@ -10,8 +10,8 @@
 // Found: of 351 workers five hung. The jobs out there were more than half of all that ran, which looked like a fleet
 // whose queues are full, and for a second nothing was sent to the others. One goes all the same, and once that has
 // started the next.
-func TestFewSickWorkersDoNotStopTheFleet(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestFewFaultyWorkersDoNotStopTheFleet(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(20)
 	for id := uint64(1); id <= 4; id++ {
 		s.step(s.job(id, 1, 300*ms)) // unsafe: never moved
@@ -29,7 +29,7 @@
 
 // Found: where starts are not told, an answer later than the aim as its hint had it counted as late, so that with hints
 // that were too low all were, and each worker was left alone for longer each time.
-func TestLowHintsLeaveNoWorkerAlone(t *testing.T) {
+func TestLowHintsCauseNoBackoff(t *testing.T) {
 	set := scaleSettings()
 	set.StartNotifications = false
 	f := newFleet(20, set)
@@ -42,16 +42,16 @@
 		}
 	}
 	if possible := 15 * 5 / f.run.Seconds(); float64(served) < 0.9*possible || rest > 0 {
-		t.Errorf("%d served of %.0f, %d refused, %d of 20 workers left alone", served, possible, f.turned, rest)
+		t.Errorf("%d served of %.0f, %d refused, %d of 20 workers left alone", served, possible, f.rejected, rest)
 	}
 }
 
 // Found: where no copies are allowed, a job that ran for too long was cancelled so that it could move, and refused in the
 // same instant, as its aim had passed. It goes on instead.
-func TestRunningJobPastItsAimIsNotGivenUp(t *testing.T) {
+func TestRunningJobPastItsObjectiveIsNotGivenUp(t *testing.T) {
 	set := testSettings()
 	set.Hedging = false
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	s.workers(3)
 	s.step(s.job(1, 2, 400*ms))
 	at := taken[Send](s)[0].Worker
@@ -64,8 +64,8 @@
 }
 
 // Found: a first job of two slots left a worker with a room of two, and nothing more was sent there until it ended.
-func TestRoomGrowsBeyondWhatRuns(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestLimitGrowsBeyondRunningSlots(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(1)
 	wide := s.job(1, 0, 300*ms)
 	wide.Slots = 2
@@ -76,10 +76,10 @@
 
 // Found: a dozen held jobs that no free worker might have took all looks of each release, and those behind them were held
 // or refused though there were workers for them. The next release looks at others first.
-func TestJobsThatFitNowhereHideNoOthers(t *testing.T) {
+func TestJobsThatFitNowhereBlockNoOthers(t *testing.T) {
 	set := testSettings()
 	set.ReportFields = nil
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	s.workers(3)
 	s.step(s.job(1, 0, 300*ms), s.job(2, 0, 300*ms)) // and are not known to have started, so that no more go there
 	sick := s.d.workers[6-s.d.jobs[1].attempts[0].worker.ID-s.d.jobs[2].attempts[0].worker.ID]
@@ -98,8 +98,8 @@
 }
 
 // Found: a worker was kept for a large job that waited for a faster one, and idled for seconds while small ones were held.
-func TestNoWorkerIsKeptThatIsTooSlow(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestNoTooSlowWorkerIsReserved(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(2)
 	s.step(s.job(1, 1, 300*ms)) // unsafe: never moved
 	slow := s.d.workers[3-taken[Send](s)[0].Worker]
@@ -113,8 +113,8 @@
 }
 
 // Found: one job of four slots that waited at a worker stopped all sends, as if most of what was out did.
-func TestWideJobThatWaitsIsOne(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestLateWideJobCountsOnce(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(10)
 	wide := s.job(1, 1, 300*ms) // unsafe: never moved
 	wide.Slots = 4
@@ -127,10 +127,10 @@
 
 // Found: copies of keyed jobs were dropped as repeats by the cells that had the first ones, and told no start. Each looked
 // like a queue, and its worker was sent nothing more: in a cell with one worker that hung, all others idled.
-func TestRepeatLooksLikeNoQueue(t *testing.T) {
+func TestDeduplicatedAttemptIsNoSignOfAQueue(t *testing.T) {
 	set := testSettings()
 	set.Classes[1].Idempotency, set.Classes[1].DeduplicationScope, set.Classes[1].DeduplicationWindow = IdempotentWithKey, ScopeAll, 20*time.Second
-	s := newScene(t, set)
+	s := newHarness(t, set)
 	s.workers(2)
 	s.d.workers[1].limit, s.d.workers[2].limit = 4, 4
 	s.step(s.job(1, 1, 100*ms))
@@ -149,8 +149,8 @@
 
 // Found: the only dispatcher of a fleet left an idle worker alone for seconds after a late start, though nobody else's
 // jobs can have been in its way.
-func TestLoneDispatcherLeavesNoWorkerAlone(t *testing.T) {
-	s := newScene(t, testSettings())
+func TestSingleDispatcherNeverBacksOff(t *testing.T) {
+	s := newHarness(t, testSettings())
 	s.workers(1)
 	s.step(s.job(1, 1, 100*ms))
 	s.wait(150 * ms)
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -12,16 +12,16 @@
 	source                        *rand.PCG     // under rng: all of its state
 	now, bornAt                   time.Duration // born: the first step
 	actions                       []Action
-	jobs                          map[uint64]*job
-	workers                       map[uint64]*worker
-	workerList                    []*worker // map order decides nothing
-	maintenance                   timer     // of the upkeep
-	queue                         jobQueue  // the held jobs
-	placementGroups               []int     // by class: the first that may go to the same workers
+	jobs                          map[uint64]*jobInfo
+	workers                       map[uint64]*workerInfo
+	workerList                    []*workerInfo // map order decides nothing
+	maintenance                   timer         // of the upkeep
+	queue                         jobQueue      // the held jobs
+	placementGroups               []int         // by class: the first that may go to the same workers
 	timers                        minHeap[*timer]
 	available                     workerIndex   // the workers that may have room
-	dirty                         []*worker     // to be put in their place there before the next choice
-	deferred                      []*job        // that fit nowhere, in this step
+	dirty                         []*workerInfo // to be put in their place there before the next choice
+	deferred                      []*jobInfo    // that fit nowhere, in this step
 	timerAt                       time.Duration // when the caller's timer is due; 0: none
 	sizeCorrection                [][4]float64  // correction to sizes, by class and slots
 	overrunFactor                 []float64     // by class: how far jobs have lately outrun what was expected
@@ -34,7 +34,7 @@
 	fullTimeout                   []time.Duration    // by class: the time that a first try leaves
 	spread                        float64            // mean distance, in logs, of run times from what was expected
 	minStartDelay                 time.Duration      // least delay of any start notice: the way there and back
-	kinds                         map[int]*machineKind
+	kinds                         map[int]*machineInfo
 	topSpeed                      float64         // log speed of the fastest ready worker
 	usedSlots                     float64         // our slots in use at all workers
 	unstarted                     startTracker    // attempts that are out and have not started
@@ -42,8 +42,8 @@
 	lateCount                     float64         // those that are late, as of this step
 	meanLateStart                 time.Duration   // mean delay of late starts
 	zoneBusy                      map[int]float64 // by zone: how likely a worker has no free slot
-	reserved                      *worker         // takes nothing but keptFor, a large job
-	reservedFor                   *job
+	reserved                      *workerInfo     // takes nothing but keptFor, a large job
+	reservedFor                   *jobInfo
 	nextTrialAt                   time.Duration // no suspect is tried before
 	mostSuspect, allBroken        bool          // most workers look bad; every worker looks broken
 	hedgeTokens, checkTokens      float64       // budgets
@@ -62,8 +62,8 @@
 	sharing                       ReplicasChanged          // in place of the settings'; Of 0: not told
 }
 
-// job is a request that is owed a final answer, or whose attempts are still out.
-type job struct {
+// jobInfo is a request that is owed a final answer, or whose attempts are still out.
+type jobInfo struct {
 	Job
 	class                                      *Class
 	demand                                     float64 // slots, or memory where that is more
@@ -75,17 +75,17 @@
 	closed, streaming, inPromotions            bool    // aged: it has an entry in the pile by arrival
 	heapIndex, shape                           int     // in the heap of held jobs of its shape, or -1
 	deadlineTimer, objectiveTimer, checksTimer timer   // at its deadline; its aim; when workers asked for it should have answered
-	attempts                                   []*attempt
+	attempts                                   []*attemptInfo
 	promoteAt                                  time.Duration // when it counts as held over tau
 	inFlight, deferrals                        int           // attempts outstanding; releases that looked at others first for its sake
 	checksUntil                                time.Duration // workers asked for it answer until then
 }
 
-// attempt is one sending of a job.
-type attempt struct {
-	job               *job
+// attemptInfo is one sending of a job.
+type attemptInfo struct {
+	job               *jobInfo
 	number            int
-	worker            *worker
+	worker            *workerInfo
 	zone, cell        int // of the worker when sent
 	sentAt, startedAt time.Duration
 	progressAt        time.Duration // when it last told of itself
@@ -98,8 +98,8 @@
 	timer             timer         // when it should have started, or ended
 }
 
-// worker is what is known of one worker.
-type worker struct {
+// workerInfo is what is known of one worker.
+type workerInfo struct {
 	Worker
 	listed                     bool
 	listedReady                bool // ready by the list; Ready besides asks that it is not banned
@@ -119,7 +119,7 @@
 	reportedAt, checkedAt      time.Duration
 	checking, broken           bool    // broken: suspected on more than late starts
 	rejectedDemand             float64 // refused a job of this size while idle; 0: none
-	inFlight                   []*attempt
+	inFlight                   []*attemptInfo
 	uncordonedAt               time.Duration // when it was brought back by hand, and sent nothing since; 0: never
 	orphans                    int           // attempts out that take no slots any more
 	warmUpSpends               []spend
@@ -127,7 +127,7 @@
 	connections                int           // connections that we have open
 	lastEndAt                  time.Duration // when an attempt last ended
 	timer                      timer         // when it may have room again by itself, or is warm
-	machine                    *machineKind
+	machine                    *machineInfo
 	bucket                     *bucket // where it is on the shelf; nil: it is not
 	row, slot, position        int     // there, and in the order
 	dirty                      bool
@@ -139,9 +139,9 @@
 	work float64
 }
 
-// machineKind is what is known of one kind of machine: log speed, runs it was learnt from, slots seen, and late starts
+// machineInfo is what is known of one kind of machine: log speed, runs it was learnt from, slots seen, and late starts
 // where one more was tried.
-type machineKind struct {
+type machineInfo struct {
 	logSpeed, runs, maxSlots float64
 	lateOverflows            int
 }
@@ -151,9 +151,9 @@
 	at        time.Duration
 	heapIndex int // in the heap and one more; 0: not set
 	purpose   timerPurpose
-	job       *job
-	attempt   *attempt
-	worker    *worker
+	job       *jobInfo
+	attempt   *attemptInfo
+	worker    *workerInfo
 }
 
 // timerPurpose is what an alarm is for.
