--- a/internal/capture/golden_test.go
+++ b/internal/capture/golden_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"valvecove/internal/ledger"
 	"valvecove/internal/storedform"
 )
 
@@ -97,3 +98,15 @@
 		t.Error("a field of a job or of a worker is always zero")
 	}
 }
+
+// How a query ended is told in the protocol's words, which the golden files have.
+func TestGoldenCapturesHaveKnownOutcomes(t *testing.T) {
+	if want := [...]ledger.Outcome{"served", "error", "turned away", "could not connect", "reset", "timed out"}; ledger.Outcomes != want {
+		t.Errorf("outcomes are %q, expected %q", ledger.Outcomes, want)
+	}
+	for _, line := range goldenLines(t) {
+		if line.Outcome != "" && !slices.Contains(ledger.Outcomes[:], ledger.Outcome(line.Outcome)) {
+			t.Errorf("outcome %q", line.Outcome)
+		}
+	}
+}
--- /dev/null
+++ b/internal/lab/live/tags_test.go
@@ -0,0 +1,11 @@
+package live
+
+import (
+	"testing"
+
+	"valvecove/internal/ledger"
+	"valvecove/internal/storedform"
+)
+
+// What the lab's worker nodes and discovery send is written by names in tags.
+func TestWireIsTagged(t *testing.T) { storedform.CheckTags(t, noteForm{}, ledger.HostGroup{}) }
