--- a/internal/capture/golden_test.go
+++ b/internal/capture/golden_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 	"valvecove/internal/storedform"
 )
 
@@ -101,11 +101,11 @@
 
 // How a query ended is told in the protocol's words, which the golden files have.
 func TestGoldenCapturesHaveKnownOutcomes(t *testing.T) {
-	if want := [...]ledger.Outcome{"served", "error", "turned away", "could not connect", "reset", "timed out"}; ledger.Outcomes != want {
-		t.Errorf("outcomes are %q, expected %q", ledger.Outcomes, want)
+	if want := [...]requests.Outcome{"served", "error", "turned away", "could not connect", "reset", "timed out"}; requests.Outcomes != want {
+		t.Errorf("outcomes are %q, expected %q", requests.Outcomes, want)
 	}
 	for _, line := range goldenLines(t) {
-		if line.Outcome != "" && !slices.Contains(ledger.Outcomes[:], ledger.Outcome(line.Outcome)) {
+		if line.Outcome != "" && !slices.Contains(requests.Outcomes[:], requests.Outcome(line.Outcome)) {
 			t.Errorf("outcome %q", line.Outcome)
 		}
 	}
--- a/internal/lab/live/tags_test.go
+++ b/internal/lab/live/tags_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"valvecove/internal/ledger"
+	"valvecove/internal/requests"
 	"valvecove/internal/storedform"
 )
 
 // What the lab's worker nodes and discovery send is written by names in tags.
-func TestWireIsTagged(t *testing.T) { storedform.CheckTags(t, noteForm{}, ledger.HostGroup{}) }
+func TestWireIsTagged(t *testing.T) { storedform.CheckTags(t, noteForm{}, requests.EndpointList{}) }
