--- a/internal/control/codec/bytes_test.go
+++ b/internal/control/codec/bytes_test.go
@@ -15,34 +15,34 @@
 // are among them where the form allows them.
 func complete() []message.Message {
 	return []message.Message{
-		{Kind: message.KindHandshake, Epoch: 1, Name: "forwarder-1", Process: 11, Version: Version},
-		{Kind: message.KindRequestOffer, Epoch: 2, Query: 12, Head: &message.RequestSummary{Class: 13, Tenant: 14, Key: 15, Left: 16, Waited: 17,
-			Hint: 18, Slots: 19.5, Memory: 20.25, Retry: true, Moves: 2, Attempts: []message.PastAttempt{
-				{Worker: 21, Ago: 22, Began: 23, Ended: true, Result: dispatch.ConnectionReset, MayRun: true},
-				{Worker: 24, Ago: 25, Began: 26, Ended: true, Result: dispatch.WorkerFull},
-				{Worker: 27, Ago: 28, MayRun: true}}}},
-		{Kind: message.KindAttemptEnded, Epoch: 3, Query: 29, Attempt: 30, Result: dispatch.NotSent, Why: message.ReasonNotPermitted},
-		{Kind: message.KindAttemptStarted, Epoch: 4, Query: 31, Attempt: 32},
-		{Kind: message.KindAttemptProgress, Epoch: 5, Query: 33, Attempt: 34, Share: 0.375},
-		{Kind: message.KindRequestClosed, Epoch: 6, Query: 35},
-		{Kind: message.KindHealthCheckResult, Epoch: 7, Worker: 36, Result: dispatch.ConnectFailed},
-		{Kind: message.KindHeartbeat, Epoch: 8, Number: 37},
-		{Kind: message.KindHandshakeAccept, Epoch: 9, Name: "planner-1", Process: 38, Version: Version, Credit: 39},
+		{Kind: message.KindHandshake, Epoch: 1, Name: "forwarder-1", Incarnation: 11, Version: Version},
+		{Kind: message.KindRequestOffer, Epoch: 2, RequestID: 12, Summary: &message.RequestSummary{Class: 13, Tenant: 14, Key: 15, Remaining: 16, Waited: 17,
+			Hint: 18, Slots: 19.5, Memory: 20.25, Retry: true, Transfers: 2, Attempts: []message.PastAttempt{
+				{WorkerID: 21, SentAgo: 22, StartedAgo: 23, Ended: true, Result: dispatch.ConnectionReset, PossiblyExecuted: true},
+				{WorkerID: 24, SentAgo: 25, StartedAgo: 26, Ended: true, Result: dispatch.WorkerFull},
+				{WorkerID: 27, SentAgo: 28, PossiblyExecuted: true}}}},
+		{Kind: message.KindAttemptEnded, Epoch: 3, RequestID: 29, Attempt: 30, Result: dispatch.NotSent, Reason: message.ReasonNotPermitted},
+		{Kind: message.KindAttemptStarted, Epoch: 4, RequestID: 31, Attempt: 32},
+		{Kind: message.KindAttemptProgress, Epoch: 5, RequestID: 33, Attempt: 34, Fraction: 0.375},
+		{Kind: message.KindRequestClosed, Epoch: 6, RequestID: 35},
+		{Kind: message.KindHealthCheckResult, Epoch: 7, WorkerID: 36, Result: dispatch.ConnectFailed},
+		{Kind: message.KindHeartbeat, Epoch: 8, Sequence: 37},
+		{Kind: message.KindHandshakeAccept, Epoch: 9, Name: "planner-1", Incarnation: 38, Version: Version, Credit: 39},
 		{Kind: message.KindCreditUpdate, Epoch: 10, Credit: 40},
-		{Kind: message.KindSendCommand, Epoch: 11, Query: 41, Attempt: 42, Worker: 43, Patience: 44 * time.Microsecond},
-		{Kind: message.KindRejectCommand, Epoch: 12, Query: 45, After: 46 * time.Millisecond},
-		{Kind: message.KindFailCommand, Epoch: 13, Query: 47},
-		{Kind: message.KindCancelCommand, Epoch: 14, Query: 48, Attempt: 49},
-		{Kind: message.KindHealthCheckCommand, Epoch: 15, Worker: 50},
-		{Kind: message.KindCloseIdleCommand, Epoch: 16, Worker: 51},
-		{Kind: message.KindTransferCommand, Epoch: 17, Query: 52, Name: "planner-2"},
-		{Kind: message.KindHeartbeatReply, Epoch: 18, Number: 53, Late: 54 * time.Millisecond},
-		{Kind: message.KindModelSnapshot, Epoch: 19, Age: 55 * time.Second, Bytes: []byte{56, 0, 57}},
+		{Kind: message.KindSendCommand, Epoch: 11, RequestID: 41, Attempt: 42, WorkerID: 43, Timeout: 44 * time.Microsecond},
+		{Kind: message.KindRejectCommand, Epoch: 12, RequestID: 45, RetryAfter: 46 * time.Millisecond},
+		{Kind: message.KindFailCommand, Epoch: 13, RequestID: 47},
+		{Kind: message.KindCancelCommand, Epoch: 14, RequestID: 48, Attempt: 49},
+		{Kind: message.KindHealthCheckCommand, Epoch: 15, WorkerID: 50},
+		{Kind: message.KindCloseIdleCommand, Epoch: 16, WorkerID: 51},
+		{Kind: message.KindTransferCommand, Epoch: 17, RequestID: 52, Name: "planner-2"},
+		{Kind: message.KindHeartbeatReply, Epoch: 18, Sequence: 53, TimerLag: 54 * time.Millisecond},
+		{Kind: message.KindModelSnapshot, Epoch: 19, Age: 55 * time.Second, Data: []byte{56, 0, 57}},
 		{Kind: message.KindGoodbye, Epoch: 20},
-		{Kind: message.KindWorkerStatus, Epoch: 21, Word: &message.WorkerStatus{Worker: 58, StartedMs: 59, Generation: 60, State: message.WorkerGone}},
-		{Kind: message.KindPeerHandshake, Epoch: 22, Name: "planner-3", Process: 61, Version: Version},
-		{Kind: message.KindLoadReport, Epoch: 23, Load: &message.LoadReport{Heads: 62, Held: 63, Forwarders: 64, Late: 65, Slots: 66.5,
-			Room: -67}},
+		{Kind: message.KindWorkerStatus, Epoch: 21, Status: &message.WorkerStatus{WorkerID: 58, StartedMs: 59, Revision: 60, State: message.WorkerGone}},
+		{Kind: message.KindPeerHandshake, Epoch: 22, Name: "planner-3", Incarnation: 61, Version: Version},
+		{Kind: message.KindLoadReport, Epoch: 23, LoadReport: &message.LoadReport{OpenRequests: 62, QueuedRequests: 63, Forwarders: 64, TimerLag: 65, UsedSlots: 66.5,
+			FreeSlots: -67}},
 	}
 }
 
@@ -52,11 +52,11 @@
 		m := message.Message{Kind: kind}
 		switch kind {
 		case message.KindRequestOffer:
-			m.Head = &message.RequestSummary{}
+			m.Summary = &message.RequestSummary{}
 		case message.KindWorkerStatus:
-			m.Word = &message.WorkerStatus{}
+			m.Status = &message.WorkerStatus{}
 		case message.KindLoadReport:
-			m.Load = &message.LoadReport{}
+			m.LoadReport = &message.LoadReport{}
 		}
 		all = append(all, m)
 	}
@@ -110,10 +110,10 @@
 		t.Errorf("%d reasons, expected %d", len(reasons), message.ReasonCount)
 	}
 	for i, why := range reasons {
-		write(fmt.Sprintf("kind 3, reason %d", i), message.Message{Kind: message.KindAttemptEnded, Why: why})
+		write(fmt.Sprintf("kind 3, reason %d", i), message.Message{Kind: message.KindAttemptEnded, Reason: why})
 	}
 	for i, state := range []message.WorkerState{message.WorkerUp, message.WorkerDraining, message.WorkerGone} {
-		write(fmt.Sprintf("kind 64, state %d", i), message.Message{Kind: message.KindWorkerStatus, Word: &message.WorkerStatus{State: state}})
+		write(fmt.Sprintf("kind 64, state %d", i), message.Message{Kind: message.KindWorkerStatus, Status: &message.WorkerStatus{State: state}})
 	}
 	results := []dispatch.Result{dispatch.OK, dispatch.Failed, dispatch.WorkerFull, dispatch.TimedOut, dispatch.ConnectFailed, dispatch.ConnectionReset, dispatch.Cancelled,
 		dispatch.NotSent}
--- a/internal/control/codec/frame_test.go
+++ b/internal/control/codec/frame_test.go
@@ -55,77 +55,77 @@
 	m := message.Message{Kind: kind, Epoch: message.Epoch(wide(d))}
 	switch kind {
 	case message.KindHandshake, message.KindPeerHandshake, message.KindHandshakeAccept:
-		m.Name, m.Process, m.Version = name(d), wide(d), small(d)
+		m.Name, m.Incarnation, m.Version = name(d), wide(d), small(d)
 		if kind == message.KindHandshakeAccept {
 			m.Credit = small(d)
 		}
 	case message.KindRequestOffer:
-		m.Query = wide(d)
-		h := &message.RequestSummary{Class: small(d), Tenant: small(d), Key: wide(d), Left: span(d), Waited: span(d),
+		m.RequestID = wide(d)
+		h := &message.RequestSummary{Class: small(d), Tenant: small(d), Key: wide(d), Remaining: span(d), Waited: span(d),
 			Hint:  span(d),
-			Slots: float(d), Memory: float(d), Retry: d.Pick(2) == 0, Moves: small(d)}
+			Slots: float(d), Memory: float(d), Retry: d.Pick(2) == 0, Transfers: small(d)}
 		for range d.Pick(4) {
-			h.Attempts = append(h.Attempts, message.PastAttempt{Worker: wide(d), Ago: span(d), Began: span(d),
+			h.Attempts = append(h.Attempts, message.PastAttempt{WorkerID: wide(d), SentAgo: span(d), StartedAgo: span(d),
 				Ended:  d.Pick(2) == 0,
-				Result: dispatch.Result(d.Pick(9)), MayRun: d.Pick(2) == 0})
+				Result: dispatch.Result(d.Pick(9)), PossiblyExecuted: d.Pick(2) == 0})
 		}
-		m.Head = h
+		m.Summary = h
 	case message.KindAttemptEnded:
-		m.Query, m.Attempt, m.Result = wide(d), small(d), dispatch.Result(d.Pick(9))
-		m.Why = message.RejectReason(d.Pick(int(message.ReasonCount) + 1))
+		m.RequestID, m.Attempt, m.Result = wide(d), small(d), dispatch.Result(d.Pick(9))
+		m.Reason = message.RejectReason(d.Pick(int(message.ReasonCount) + 1))
 	case message.KindAttemptStarted, message.KindCancelCommand:
-		m.Query, m.Attempt = wide(d), small(d)
+		m.RequestID, m.Attempt = wide(d), small(d)
 	case message.KindAttemptProgress:
-		m.Query, m.Attempt, m.Share = wide(d), small(d), float(d)
+		m.RequestID, m.Attempt, m.Fraction = wide(d), small(d), float(d)
 	case message.KindRequestClosed, message.KindFailCommand:
-		m.Query = wide(d)
+		m.RequestID = wide(d)
 	case message.KindHealthCheckResult:
-		m.Worker, m.Result = wide(d), dispatch.Result(d.Pick(9))
+		m.WorkerID, m.Result = wide(d), dispatch.Result(d.Pick(9))
 	case message.KindHeartbeat:
-		m.Number = wide(d)
+		m.Sequence = wide(d)
 	case message.KindCreditUpdate:
 		m.Credit = small(d)
 	case message.KindSendCommand:
-		m.Query, m.Attempt, m.Worker, m.Patience = wide(d), small(d), wide(d), span(d)
+		m.RequestID, m.Attempt, m.WorkerID, m.Timeout = wide(d), small(d), wide(d), span(d)
 	case message.KindRejectCommand:
-		m.Query, m.After = wide(d), span(d)
+		m.RequestID, m.RetryAfter = wide(d), span(d)
 	case message.KindHealthCheckCommand, message.KindCloseIdleCommand:
-		m.Worker = wide(d)
+		m.WorkerID = wide(d)
 	case message.KindTransferCommand:
-		m.Query, m.Name = wide(d), name(d)
+		m.RequestID, m.Name = wide(d), name(d)
 	case message.KindHeartbeatReply:
-		m.Number, m.Late = wide(d), span(d)
+		m.Sequence, m.TimerLag = wide(d), span(d)
 	case message.KindModelSnapshot:
 		m.Age = span(d)
 		if n := d.Pick(5); n > 0 {
-			m.Bytes = bytes.Repeat([]byte{byte(d.Pick(256))}, []int{1, 2, 300, 4000, 1 << 17}[n])
+			m.Data = bytes.Repeat([]byte{byte(d.Pick(256))}, []int{1, 2, 300, 4000, 1 << 17}[n])
 		}
 	case message.KindWorkerStatus:
-		m.Word = &message.WorkerStatus{Worker: wide(d), StartedMs: int64(wide(d)), Generation: int64(wide(d)),
+		m.Status = &message.WorkerStatus{WorkerID: wide(d), StartedMs: int64(wide(d)), Revision: int64(wide(d)),
 			State: message.WorkerState(d.Pick(4))}
 	case message.KindLoadReport:
-		m.Load = &message.LoadReport{Heads: small(d), Held: small(d), Forwarders: small(d), Late: span(d), Slots: float(d),
-			Room: float(d)}
+		m.LoadReport = &message.LoadReport{OpenRequests: small(d), QueuedRequests: small(d), Forwarders: small(d), TimerLag: span(d), UsedSlots: float(d),
+			FreeSlots: float(d)}
 	}
 	return m
 }
 
 // own is a copy that does not point into the reader.
 func own(m message.Message) message.Message {
-	if m.Head != nil {
-		h := *m.Head
+	if m.Summary != nil {
+		h := *m.Summary
 		h.Attempts = append([]message.PastAttempt(nil), h.Attempts...)
-		m.Head = &h
+		m.Summary = &h
 	}
-	if m.Word != nil {
-		w := *m.Word
-		m.Word = &w
+	if m.Status != nil {
+		w := *m.Status
+		m.Status = &w
 	}
-	if m.Load != nil {
-		l := *m.Load
-		m.Load = &l
+	if m.LoadReport != nil {
+		l := *m.LoadReport
+		m.LoadReport = &l
 	}
-	m.Bytes = append([]byte(nil), m.Bytes...)
+	m.Data = append([]byte(nil), m.Data...)
 	return m
 }
 
@@ -309,40 +309,40 @@
 func samples() []message.Message {
 	const epoch = 1718000000000000001
 	return []message.Message{
-		{Kind: message.KindHandshake, Epoch: epoch, Name: "f-3", Process: 1718000000000000000, Version: Version},
-		{Kind: message.KindRequestOffer, Epoch: epoch, Query: 1000, Head: &message.RequestSummary{Class: 2, Tenant: 1, Key: 0x0123456789abcdef,
-			Left: 4 * time.Second, Waited: 3 * time.Millisecond, Hint: 120 * time.Millisecond, Slots: 1}},
-		{Kind: message.KindRequestOffer, Epoch: epoch, Query: 1001, Head: &message.RequestSummary{Left: time.Second, Slots: 2, Memory: 1.5,
-			Retry: true,
-			Moves: 1, Attempts: []message.PastAttempt{{Worker: 77, Ago: 20 * time.Millisecond, Began: 5 * time.Millisecond,
+		{Kind: message.KindHandshake, Epoch: epoch, Name: "f-3", Incarnation: 1718000000000000000, Version: Version},
+		{Kind: message.KindRequestOffer, Epoch: epoch, RequestID: 1000, Summary: &message.RequestSummary{Class: 2, Tenant: 1, Key: 0x0123456789abcdef,
+			Remaining: 4 * time.Second, Waited: 3 * time.Millisecond, Hint: 120 * time.Millisecond, Slots: 1}},
+		{Kind: message.KindRequestOffer, Epoch: epoch, RequestID: 1001, Summary: &message.RequestSummary{Remaining: time.Second, Slots: 2, Memory: 1.5,
+			Retry:     true,
+			Transfers: 1, Attempts: []message.PastAttempt{{WorkerID: 77, SentAgo: 20 * time.Millisecond, StartedAgo: 5 * time.Millisecond,
 				Ended:  true,
-				Result: dispatch.ConnectionReset, MayRun: true}, {Worker: 78, Ago: time.Millisecond}}}},
-		{Kind: message.KindAttemptEnded, Epoch: epoch, Query: 1000, Attempt: 0},
-		{Kind: message.KindAttemptEnded, Epoch: epoch, Query: 1000, Attempt: 1, Result: dispatch.NotSent, Why: message.ReasonWorkerDraining},
-		{Kind: message.KindAttemptStarted, Epoch: epoch, Query: 1000, Attempt: 1},
-		{Kind: message.KindAttemptProgress, Epoch: epoch, Query: 1000, Attempt: 1, Share: 0.25},
-		{Kind: message.KindRequestClosed, Epoch: epoch, Query: 1000},
-		{Kind: message.KindHealthCheckResult, Epoch: epoch, Worker: 0xfedcba9876543210, Result: dispatch.WorkerFull},
-		{Kind: message.KindHeartbeat, Epoch: epoch, Number: 12},
-		{Kind: message.KindHandshakeAccept, Epoch: epoch, Name: "p-1", Process: 1717999999000000000, Version: Version, Credit: 512},
+				Result: dispatch.ConnectionReset, PossiblyExecuted: true}, {WorkerID: 78, SentAgo: time.Millisecond}}}},
+		{Kind: message.KindAttemptEnded, Epoch: epoch, RequestID: 1000, Attempt: 0},
+		{Kind: message.KindAttemptEnded, Epoch: epoch, RequestID: 1000, Attempt: 1, Result: dispatch.NotSent, Reason: message.ReasonWorkerDraining},
+		{Kind: message.KindAttemptStarted, Epoch: epoch, RequestID: 1000, Attempt: 1},
+		{Kind: message.KindAttemptProgress, Epoch: epoch, RequestID: 1000, Attempt: 1, Fraction: 0.25},
+		{Kind: message.KindRequestClosed, Epoch: epoch, RequestID: 1000},
+		{Kind: message.KindHealthCheckResult, Epoch: epoch, WorkerID: 0xfedcba9876543210, Result: dispatch.WorkerFull},
+		{Kind: message.KindHeartbeat, Epoch: epoch, Sequence: 12},
+		{Kind: message.KindHandshakeAccept, Epoch: epoch, Name: "p-1", Incarnation: 1717999999000000000, Version: Version, Credit: 512},
 		{Kind: message.KindCreditUpdate, Epoch: epoch, Credit: 300},
-		{Kind: message.KindSendCommand, Epoch: epoch, Query: 1000, Worker: 0xfedcba9876543210, Attempt: 1,
-			Patience: 80 * time.Millisecond},
-		{Kind: message.KindRejectCommand, Epoch: epoch, Query: 1000, After: 250 * time.Millisecond},
-		{Kind: message.KindFailCommand, Epoch: epoch, Query: 1000},
-		{Kind: message.KindCancelCommand, Epoch: epoch, Query: 1000, Attempt: 2},
-		{Kind: message.KindHealthCheckCommand, Epoch: epoch, Worker: 1},
-		{Kind: message.KindCloseIdleCommand, Epoch: epoch, Worker: 1},
-		{Kind: message.KindTransferCommand, Epoch: epoch, Query: 1000, Name: "p-2"},
-		{Kind: message.KindTransferCommand, Epoch: epoch, Query: 1000},
-		{Kind: message.KindHeartbeatReply, Epoch: epoch, Number: 12, Late: 80 * time.Millisecond},
-		{Kind: message.KindModelSnapshot, Epoch: epoch, Age: time.Second, Bytes: []byte("what it knows")},
+		{Kind: message.KindSendCommand, Epoch: epoch, RequestID: 1000, WorkerID: 0xfedcba9876543210, Attempt: 1,
+			Timeout: 80 * time.Millisecond},
+		{Kind: message.KindRejectCommand, Epoch: epoch, RequestID: 1000, RetryAfter: 250 * time.Millisecond},
+		{Kind: message.KindFailCommand, Epoch: epoch, RequestID: 1000},
+		{Kind: message.KindCancelCommand, Epoch: epoch, RequestID: 1000, Attempt: 2},
+		{Kind: message.KindHealthCheckCommand, Epoch: epoch, WorkerID: 1},
+		{Kind: message.KindCloseIdleCommand, Epoch: epoch, WorkerID: 1},
+		{Kind: message.KindTransferCommand, Epoch: epoch, RequestID: 1000, Name: "p-2"},
+		{Kind: message.KindTransferCommand, Epoch: epoch, RequestID: 1000},
+		{Kind: message.KindHeartbeatReply, Epoch: epoch, Sequence: 12, TimerLag: 80 * time.Millisecond},
+		{Kind: message.KindModelSnapshot, Epoch: epoch, Age: time.Second, Data: []byte("what it knows")},
 		{Kind: message.KindGoodbye, Epoch: epoch},
-		{Kind: message.KindWorkerStatus, Epoch: epoch, Word: &message.WorkerStatus{Worker: 5, StartedMs: 1718000000000, Generation: 41,
+		{Kind: message.KindWorkerStatus, Epoch: epoch, Status: &message.WorkerStatus{WorkerID: 5, StartedMs: 1718000000000, Revision: 41,
 			State: message.WorkerDraining}},
-		{Kind: message.KindPeerHandshake, Epoch: epoch, Name: "p-2", Process: 1717999999000000000, Version: Version},
-		{Kind: message.KindLoadReport, Epoch: epoch, Load: &message.LoadReport{Heads: 90, Held: 4, Forwarders: 10, Late: time.Millisecond,
-			Slots: 86, Room: 20.5}},
+		{Kind: message.KindPeerHandshake, Epoch: epoch, Name: "p-2", Incarnation: 1717999999000000000, Version: Version},
+		{Kind: message.KindLoadReport, Epoch: epoch, LoadReport: &message.LoadReport{OpenRequests: 90, QueuedRequests: 4, Forwarders: 10, TimerLag: time.Millisecond,
+			UsedSlots: 86, FreeSlots: 20.5}},
 	}
 }
 
@@ -369,10 +369,10 @@
 // comes of it.
 func TestOtherVersions(t *testing.T) {
 	hello := plain(t, samples()[0])
-	over := plain(t, message.Message{Kind: message.KindRequestClosed, Query: 9})
-	longer := append(plain(t, message.Message{Kind: message.KindSendCommand, Query: 9, Attempt: 1, Worker: 7, Patience: 5}), 1, 2, 3)
-	kind, past := []byte{30, 0, 1, 2, 3}, plain(t, message.Message{Kind: message.KindRequestOffer, Query: 9, Head: &message.RequestSummary{
-		Attempts: []message.PastAttempt{{Worker: 1, Began: 3}}}})
+	over := plain(t, message.Message{Kind: message.KindRequestClosed, RequestID: 9})
+	longer := append(plain(t, message.Message{Kind: message.KindSendCommand, RequestID: 9, Attempt: 1, WorkerID: 7, Timeout: 5}), 1, 2, 3)
+	kind, past := []byte{30, 0, 1, 2, 3}, plain(t, message.Message{Kind: message.KindRequestOffer, RequestID: 9, Summary: &message.RequestSummary{
+		Attempts: []message.PastAttempt{{WorkerID: 1, StartedAgo: 3}}}})
 	past[len(past)-12]++ // its attempt has a field more
 	past = append(past, 42)
 	out := &strings.Builder{}
@@ -385,7 +385,7 @@
 		{"and", foreign(Major, Minor, longer)},
 		{"a later minor version: a field more of an attempt", foreign(Major, Minor+1, past)},
 		{"an older one: fields that it does not know are zero", foreign(Major, 0,
-			plain(t, message.Message{Kind: message.KindSendCommand, Query: 9}))},
+			plain(t, message.Message{Kind: message.KindSendCommand, RequestID: 9}))},
 		{"a later major version says hello", foreign(Major+1, 3, append(hello, 9, 9), append(hello, 9, 9))},
 		{"and something else", append(foreign(Major+1, 3, hello), foreign(Major+1, 3, []byte{2, 0, 1}, hello)...)},
 		{"an earlier major version", foreign(0, 9, over)},
@@ -415,14 +415,14 @@
 		{message.Message{Kind: message.KindTransferCommand, Name: strings.Repeat("x", 256)}, ErrInvalidField},
 		{message.Message{Kind: message.KindAttemptEnded, Result: 256}, ErrInvalidField},
 		{message.Message{Kind: message.KindCancelCommand, Attempt: math.MaxInt32 + 1}, ErrInvalidField},
-		{message.Message{Kind: message.KindRequestOffer, Head: &message.RequestSummary{Attempts: make([]message.PastAttempt, 256)}}, ErrInvalidField},
-		{message.Message{Kind: message.KindModelSnapshot, Bytes: make([]byte, MaxPayloadSize)}, ErrTooLarge},
+		{message.Message{Kind: message.KindRequestOffer, Summary: &message.RequestSummary{Attempts: make([]message.PastAttempt, 256)}}, ErrInvalidField},
+		{message.Message{Kind: message.KindModelSnapshot, Data: make([]byte, MaxPayloadSize)}, ErrTooLarge},
 	} {
 		if err := w.Add(&c.m); err != c.want || w.Len() > 0 {
 			t.Errorf("%v: %v, expected %v; %d bytes", describe(c.m), err, c.want, w.Len())
 		}
 	}
-	long := message.Message{Kind: message.KindModelSnapshot, Bytes: make([]byte, MaxPayloadSize-1000)}
+	long := message.Message{Kind: message.KindModelSnapshot, Data: make([]byte, MaxPayloadSize-1000)}
 	if err := w.Add(&long); err != nil {
 		t.Fatal(err)
 	}
@@ -442,12 +442,12 @@
 	}
 	// Many small messages are many frames, none of which has to be long.
 	for i := range 20000 {
-		if err := w.Add(&message.Message{Kind: message.KindSendCommand, Query: uint64(i), Worker: 1}); err != nil {
+		if err := w.Add(&message.Message{Kind: message.KindSendCommand, RequestID: uint64(i), WorkerID: 1}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	got, err := read(NewReader(batchSize), w.Take(nil), func(int) int { return 4096 })
-	if len(got) != 20000 || err != nil || got[19999].Query != 19999 {
+	if len(got) != 20000 || err != nil || got[19999].RequestID != 19999 {
 		t.Errorf("%d came, %v", len(got), err)
 	}
 }
--- a/internal/control/codec/walk.go
+++ b/internal/control/codec/walk.go
@@ -195,48 +195,48 @@
 		w.handshake(m)
 		w.int(&m.Credit)
 	case message.KindRequestOffer:
-		w.unsigned(&m.Query)
+		w.unsigned(&m.RequestID)
 		w.requestSummary(m)
 	case message.KindAttemptEnded:
-		w.unsigned(&m.Query)
+		w.unsigned(&m.RequestID)
 		w.int(&m.Attempt)
 		w.result(&m.Result)
-		w.byte((*uint8)(&m.Why))
+		w.byte((*uint8)(&m.Reason))
 	case message.KindAttemptStarted, message.KindCancelCommand:
-		w.unsigned(&m.Query)
+		w.unsigned(&m.RequestID)
 		w.int(&m.Attempt)
 	case message.KindAttemptProgress:
-		w.unsigned(&m.Query)
+		w.unsigned(&m.RequestID)
 		w.int(&m.Attempt)
-		w.float(&m.Share)
+		w.float(&m.Fraction)
 	case message.KindRequestClosed, message.KindFailCommand:
-		w.unsigned(&m.Query)
+		w.unsigned(&m.RequestID)
 	case message.KindHealthCheckResult:
-		w.fixed(&m.Worker)
+		w.fixed(&m.WorkerID)
 		w.result(&m.Result)
 	case message.KindHeartbeat:
-		w.unsigned(&m.Number)
+		w.unsigned(&m.Sequence)
 	case message.KindCreditUpdate:
 		w.int(&m.Credit)
 	case message.KindSendCommand:
-		w.unsigned(&m.Query)
+		w.unsigned(&m.RequestID)
 		w.int(&m.Attempt)
-		w.fixed(&m.Worker)
-		w.duration(&m.Patience)
+		w.fixed(&m.WorkerID)
+		w.duration(&m.Timeout)
 	case message.KindRejectCommand:
-		w.unsigned(&m.Query)
-		w.duration(&m.After)
+		w.unsigned(&m.RequestID)
+		w.duration(&m.RetryAfter)
 	case message.KindHealthCheckCommand, message.KindCloseIdleCommand:
-		w.fixed(&m.Worker)
+		w.fixed(&m.WorkerID)
 	case message.KindTransferCommand:
-		w.unsigned(&m.Query)
+		w.unsigned(&m.RequestID)
 		w.text(&m.Name)
 	case message.KindHeartbeatReply:
-		w.unsigned(&m.Number)
-		w.duration(&m.Late)
+		w.unsigned(&m.Sequence)
+		w.duration(&m.TimerLag)
 	case message.KindModelSnapshot:
 		w.duration(&m.Age)
-		w.bytes(&m.Bytes)
+		w.bytes(&m.Data)
 	case message.KindGoodbye:
 	case message.KindWorkerStatus:
 		w.workerStatus(m)
@@ -251,24 +251,24 @@
 // handshake is what all versions write alike.
 func (w *fieldCodec) handshake(m *message.Message) {
 	w.text(&m.Name)
-	w.fixed(&m.Process)
+	w.fixed(&m.Incarnation)
 	w.int(&m.Version)
 }
 
 func (w *fieldCodec) requestSummary(m *message.Message) {
 	if w.writing {
-		if m.Head == nil {
+		if m.Summary == nil {
 			w.failed = true
 			return
 		}
 	} else {
 		w.storage.head = message.RequestSummary{}
-		m.Head = &w.storage.head
+		m.Summary = &w.storage.head
 	}
-	h := m.Head
+	h := m.Summary
 	keyed := h.Key != 0
 	w.int(&h.Class)
-	w.duration(&h.Left)
+	w.duration(&h.Remaining)
 	w.float(&h.Slots)
 	w.duration(&h.Hint)
 	if w.flags(&h.Retry, &keyed); keyed {
@@ -277,7 +277,7 @@
 	w.int(&h.Tenant)
 	w.float(&h.Memory)
 	w.duration(&h.Waited)
-	w.int(&h.Moves)
+	w.int(&h.Transfers)
 	w.attempts(h)
 }
 
@@ -319,43 +319,43 @@
 }
 
 func (w *fieldCodec) pastAttempt(p *message.PastAttempt) {
-	w.fixed(&p.Worker)
-	w.duration(&p.Ago)
-	w.flags(&p.Ended, &p.MayRun)
+	w.fixed(&p.WorkerID)
+	w.duration(&p.SentAgo)
+	w.flags(&p.Ended, &p.PossiblyExecuted)
 	w.result(&p.Result)
-	w.duration(&p.Began)
+	w.duration(&p.StartedAgo)
 }
 
 func (w *fieldCodec) workerStatus(m *message.Message) {
 	if w.writing {
-		if m.Word == nil {
+		if m.Status == nil {
 			w.failed = true
 			return
 		}
 	} else {
 		w.storage.word = message.WorkerStatus{}
-		m.Word = &w.storage.word
+		m.Status = &w.storage.word
 	}
-	w.fixed(&m.Word.Worker)
-	w.byte((*uint8)(&m.Word.State))
-	w.signed(&m.Word.StartedMs)
-	w.signed(&m.Word.Generation)
+	w.fixed(&m.Status.WorkerID)
+	w.byte((*uint8)(&m.Status.State))
+	w.signed(&m.Status.StartedMs)
+	w.signed(&m.Status.Revision)
 }
 
 func (w *fieldCodec) loadReport(m *message.Message) {
 	if w.writing {
-		if m.Load == nil {
+		if m.LoadReport == nil {
 			w.failed = true
 			return
 		}
 	} else {
 		w.storage.load = message.LoadReport{}
-		m.Load = &w.storage.load
+		m.LoadReport = &w.storage.load
 	}
-	w.int(&m.Load.Heads)
-	w.int(&m.Load.Held)
-	w.int(&m.Load.Forwarders)
-	w.duration(&m.Load.Late)
-	w.float(&m.Load.Slots)
-	w.float(&m.Load.Room)
+	w.int(&m.LoadReport.OpenRequests)
+	w.int(&m.LoadReport.QueuedRequests)
+	w.int(&m.LoadReport.Forwarders)
+	w.duration(&m.LoadReport.TimerLag)
+	w.float(&m.LoadReport.UsedSlots)
+	w.float(&m.LoadReport.FreeSlots)
 }
--- a/internal/control/forwarder/alone.go
+++ b/internal/control/forwarder/alone.go
@@ -64,12 +64,12 @@
 // keepSnapshot keeps what planners' modules know, the newest of it.
 func (f *Forwarder) keepSnapshot(now time.Duration, planner string, m *message.Message) {
 	p, at := f.findPlanner(planner), now-max(0, m.Age)
-	if p == nil || !p.accepted || p.epoch != m.Epoch || len(m.Bytes) > f.config.MaxSnapshotBytes || len(f.modelSnapshot) > 0 &&
+	if p == nil || !p.accepted || p.epoch != m.Epoch || len(m.Data) > f.config.MaxSnapshotBytes || len(f.modelSnapshot) > 0 &&
 		at < f.snapshotAt {
 		f.stats.StrayMessages++
 		return
 	}
-	f.modelSnapshot, f.snapshotAt = append(f.modelSnapshot[:0], m.Bytes...), at
+	f.modelSnapshot, f.snapshotAt = append(f.modelSnapshot[:0], m.Data...), at
 }
 
 // updateMode decides who decides.
@@ -179,7 +179,7 @@
 	f.pastAttempts = f.validator.AppendAttempts(f.now, id, f.pastAttempts[:0])
 	var past []dispatch.PastAttempt
 	for _, p := range f.pastAttempts {
-		past = append(past, dispatch.PastAttempt{Worker: p.Worker, SentAgo: p.Ago, StartedAgo: p.Began, Ended: p.Ended, Result: p.Result})
+		past = append(past, dispatch.PastAttempt{Worker: p.WorkerID, SentAgo: p.SentAgo, StartedAgo: p.StartedAgo, Ended: p.Ended, Result: p.Result})
 	}
 	f.notifyLocal(dispatch.JobResumed{Job: job, Age: f.now - q.arrivedAt, Attempts: past})
 }
@@ -283,17 +283,17 @@
 	case dispatch.Send:
 		f.sendLocal(a)
 	case dispatch.Reject:
-		f.respondLocal(message.Message{Kind: message.KindRejectCommand, Query: a.Job}, action)
+		f.respondLocal(message.Message{Kind: message.KindRejectCommand, RequestID: a.Job}, action)
 	case dispatch.Fail:
-		f.respondLocal(message.Message{Kind: message.KindFailCommand, Query: a.Job}, action)
+		f.respondLocal(message.Message{Kind: message.KindFailCommand, RequestID: a.Job}, action)
 	case dispatch.Cancel:
-		m := message.Message{Kind: message.KindCancelCommand, Query: a.Job, Attempt: a.Attempt}
+		m := message.Message{Kind: message.KindCancelCommand, RequestID: a.Job, Attempt: a.Attempt}
 		if f.validator.Validate(f.now, validator.LocalEpoch, &m) == message.ReasonNone {
 			a.Attempt, _ = f.validator.AttemptIndex(a.Job, a.Attempt)
 			f.emit(a)
 		}
 	case dispatch.HealthCheck:
-		m := message.Message{Kind: message.KindHealthCheckCommand, Worker: a.Worker}
+		m := message.Message{Kind: message.KindHealthCheckCommand, WorkerID: a.Worker}
 		if f.validator.Validate(f.now, validator.LocalEpoch, &m) != message.ReasonNone || !f.healthCheck(a.Worker, validator.LocalEpoch) {
 			f.notifyLocal(dispatch.HealthChecked{Worker: a.Worker, Result: dispatch.NotSent})
 		}
@@ -312,7 +312,7 @@
 	if q == nil || q.state != stateLocal {
 		return // its end, or that it is a planner's, is on the way to the module
 	}
-	m := message.Message{Kind: message.KindSendCommand, Query: a.Job, Attempt: f.validator.NextCommandNumber(a.Job), Worker: a.Worker}
+	m := message.Message{Kind: message.KindSendCommand, RequestID: a.Job, Attempt: f.validator.NextCommandNumber(a.Job), WorkerID: a.Worker}
 	if f.validator.Validate(f.now, validator.LocalEpoch, &m) == message.ReasonNone {
 		f.sendAttempt(q, a.Worker, a.AttemptTimeout)
 		return
@@ -321,12 +321,12 @@
 }
 
 func (f *Forwarder) respondLocal(m message.Message, action dispatch.Action) {
-	q := f.requests[m.Query]
+	q := f.requests[m.RequestID]
 	switch why := f.validator.Validate(f.now, validator.LocalEpoch, &m); {
 	case q == nil || q.state != stateLocal:
 		return
 	case why == message.ReasonUnsafeRejection:
-		action = dispatch.Fail{Job: m.Query}
+		action = dispatch.Fail{Job: m.RequestID}
 	case why != message.ReasonNone:
 		return
 	}
--- a/internal/control/forwarder/bench_test.go
+++ b/internal/control/forwarder/bench_test.go
@@ -42,16 +42,16 @@
 		now += time.Microsecond
 		events[0] = dispatch.Job{ID: id, Remaining: 10 * time.Second, Slots: 1}
 		dst = f.Step(now, events, dst[:0])
-		order := message.Message{Kind: message.KindSendCommand, Query: id, Worker: 1 + id%1000}
+		order := message.Message{Kind: message.KindSendCommand, RequestID: id, WorkerID: 1 + id%1000}
 		for _, e := range f.Outbox() {
 			order.Epoch = e.Message.Epoch
 			if e.Message.Kind == message.KindHeartbeat {
-				f.Receive(now, e.Planner, &message.Message{Kind: message.KindHeartbeatReply, Epoch: e.Message.Epoch, Number: e.Message.Number})
+				f.Receive(now, e.Planner, &message.Message{Kind: message.KindHeartbeatReply, Epoch: e.Message.Epoch, Sequence: e.Message.Sequence})
 			}
 		}
 		f.Receive(now, "p1", &order)
 		dst = f.Step(now, nil, dst[:0])
-		events[0] = dispatch.Outcome{Job: id, Worker: order.Worker, Closed: true}
+		events[0] = dispatch.Outcome{Job: id, Worker: order.WorkerID, Closed: true}
 		dst = f.Step(now, events, dst[:0])
 	}
 	if f.Stats().Open > 0 {
@@ -74,12 +74,12 @@
 			id++
 			events = append(events, dispatch.Job{ID: id, Remaining: 10 * time.Second, Slots: 1})
 			ends = append(ends, dispatch.Outcome{Job: id, Worker: 1 + id%1000, Closed: true})
-			orders[i] = message.Message{Kind: message.KindSendCommand, Query: id, Worker: 1 + id%1000}
+			orders[i] = message.Message{Kind: message.KindSendCommand, RequestID: id, WorkerID: 1 + id%1000}
 		}
 		dst = f.Step(now, events, dst[:0])
 		for _, e := range f.Outbox() {
 			if e.Message.Kind == message.KindHeartbeat {
-				f.Receive(now, e.Planner, &message.Message{Kind: message.KindHeartbeatReply, Epoch: e.Message.Epoch, Number: e.Message.Number})
+				f.Receive(now, e.Planner, &message.Message{Kind: message.KindHeartbeatReply, Epoch: e.Message.Epoch, Sequence: e.Message.Sequence})
 			} else if e.Message.Kind == message.KindRequestOffer {
 				for i := range orders {
 					orders[i].Epoch = e.Message.Epoch
@@ -114,7 +114,7 @@
 					case message.KindHandshake:
 						f.Receive(now, e.Planner, &message.Message{Kind: message.KindHandshakeAccept, Epoch: e.Message.Epoch, Credit: 1 << 20})
 					case message.KindHeartbeat:
-						f.Receive(now, e.Planner, &message.Message{Kind: message.KindHeartbeatReply, Epoch: e.Message.Epoch, Number: e.Message.Number})
+						f.Receive(now, e.Planner, &message.Message{Kind: message.KindHeartbeatReply, Epoch: e.Message.Epoch, Sequence: e.Message.Sequence})
 					}
 				}
 				now += 5 * time.Millisecond
--- a/internal/control/forwarder/follow.go
+++ b/internal/control/forwarder/follow.go
@@ -202,13 +202,13 @@
 		return
 	}
 	in := input{kind: messageInput, at: now, planner: planner, message: *m}
-	in.message.Head, in.message.Load, in.message.Word, in.message.Bytes = nil, nil, nil, nil
+	in.message.Summary, in.message.LoadReport, in.message.Status, in.message.Data = nil, nil, nil, nil
 	switch m.Kind {
 	case message.KindWorkerStatus:
-		if m.Word == nil {
+		if m.Status == nil {
 			return
 		}
-		in.status = *m.Word
+		in.status = *m.Status
 	case message.KindGoodbye:
 		f.sessionsChange = true
 	case message.KindModelSnapshot:
--- a/internal/control/forwarder/list.go
+++ b/internal/control/forwarder/list.go
@@ -58,7 +58,7 @@
 }
 
 func workerStatusOf(w dispatch.Worker, generation int64) message.WorkerStatus {
-	x := message.WorkerStatus{Worker: w.ID, StartedMs: w.BootAt.Milliseconds(), Generation: generation}
+	x := message.WorkerStatus{WorkerID: w.ID, StartedMs: w.BootAt.Milliseconds(), Revision: generation}
 	switch {
 	case w.Removed:
 		x.State = message.WorkerGone
@@ -91,12 +91,12 @@
 // workerStatus takes in what a planner says of a worker node. The other planners hear of it if it is news: they may not see
 // each other.
 func (f *Forwarder) workerStatus(p *plannerLink, w message.WorkerStatus) {
-	was := f.validator.Blocked(w.Worker)
+	was := f.validator.Blocked(w.WorkerID)
 	if !f.validator.ObserveStatus(f.now, w) {
 		return
 	}
 	f.broadcastStatus(w, p)
-	if is, known := f.validator.Blocked(w.Worker), f.workers[w.Worker]; is != was && f.localPolicy != nil {
+	if is, known := f.validator.Blocked(w.WorkerID), f.workers[w.WorkerID]; is != was && f.localPolicy != nil {
 		known.Ready = known.Ready && !is
 		f.notifyLocal(dispatch.WorkerList{Kind: dispatch.ListDelta, Workers: []dispatch.Worker{known}, Revision: f.revision})
 	}
@@ -106,7 +106,7 @@
 func (f *Forwarder) broadcastStatus(w message.WorkerStatus, but *plannerLink) {
 	for _, p := range f.planners {
 		if p != but && p.accepted {
-			f.send(p, message.Message{Kind: message.KindWorkerStatus, Word: &w})
+			f.send(p, message.Message{Kind: message.KindWorkerStatus, Status: &w})
 		}
 	}
 }
@@ -118,7 +118,7 @@
 		if w := f.workers[id]; !w.Ready && n < maxInitialStatuses {
 			n++
 			word := workerStatusOf(w, f.revision)
-			f.send(p, message.Message{Kind: message.KindWorkerStatus, Word: &word})
+			f.send(p, message.Message{Kind: message.KindWorkerStatus, Status: &word})
 		}
 	}
 }
--- a/internal/control/forwarder/model_test.go
+++ b/internal/control/forwarder/model_test.go
@@ -258,8 +258,8 @@
 		w.fault("%s is sent to %s, which is %q by the own list", j.name, host.ID, host.Lifecycle)
 	}
 	if x, ok := w.words[a.Worker]; ok && x.State != message.WorkerUp && w.wordAt[a.Worker] < w.now {
-		own := message.WorkerStatus{StartedMs: host.StartedAtMs, Generation: w.genOf(host)}
-		if !own.Newer(x) {
+		own := message.WorkerStatus{StartedMs: host.StartedAtMs, Revision: w.genOf(host)}
+		if !own.Supersedes(x) {
 			w.fault("%s is sent to %s, which drains by the newest word", j.name, host.ID)
 		}
 	}
@@ -426,14 +426,14 @@
 // said is an envelope that the forwarder wants carried.
 func (w *world) said(e Envelope) {
 	p := w.seat(e.Planner)
-	j := w.byID[e.Message.Query]
+	j := w.byID[e.Message.RequestID]
 	switch e.Message.Kind {
 	case message.KindRequestOffer:
 		if j.with != 0 {
 			w.fault("%s is offered to %s while it is with %d", j.name, e.Planner, j.with)
 		}
 		j.with = e.Message.Epoch
-		delete(p.ends, e.Message.Query)
+		delete(p.ends, e.Message.RequestID)
 		if n := w.openWith(e.Message.Epoch); n > p.mostCredit {
 			w.fault("%s has %d queries, of a credit of %d", e.Planner, n, p.mostCredit)
 		}
@@ -443,14 +443,14 @@
 			j.with = 0
 		}
 	case message.KindAttemptEnded:
-		if stray := e.Message.Why == message.ReasonUnknownRequest || e.Message.Why == message.ReasonNotOwner; e.Message.Attempt >= 0 && j != nil && !stray {
-			if p.ends[e.Message.Query] == nil {
-				p.ends[e.Message.Query] = map[int]bool{}
+		if stray := e.Message.Reason == message.ReasonUnknownRequest || e.Message.Reason == message.ReasonNotOwner; e.Message.Attempt >= 0 && j != nil && !stray {
+			if p.ends[e.Message.RequestID] == nil {
+				p.ends[e.Message.RequestID] = map[int]bool{}
 			}
-			if p.ends[e.Message.Query][e.Message.Attempt] {
+			if p.ends[e.Message.RequestID][e.Message.Attempt] {
 				w.fault("attempt %d of %s ends twice for %s", e.Message.Attempt, j.name, p.name)
 			}
-			p.ends[e.Message.Query][e.Message.Attempt] = true
+			p.ends[e.Message.RequestID][e.Message.Attempt] = true
 		}
 		if e.Message.Result == dispatch.OK && j.with == e.Message.Epoch {
 			j.with = 0
@@ -482,7 +482,7 @@
 
 // hears has a planner's message reach the forwarder.
 func (w *world) hears(p *seat, m message.Message) {
-	j := w.byID[m.Query]
+	j := w.byID[m.RequestID]
 	switch m.Kind {
 	case message.KindHandshakeAccept:
 		if m.Epoch == p.session && !p.welcomed {
@@ -493,12 +493,12 @@
 			p.mostCredit = max(p.mostCredit, m.Credit)
 		}
 	case message.KindWorkerStatus:
-		x := *m.Word
+		x := *m.Status
 		if m.Epoch != p.greeted || !p.welcomed || x.StartedMs > (w.now+time.Minute).Milliseconds() || x.StartedMs < 0 {
 			break
 		}
-		if was, ok := w.words[x.Worker]; !ok || x.Newer(was) {
-			w.words[x.Worker], w.wordAt[x.Worker] = x, w.now
+		if was, ok := w.words[x.WorkerID]; !ok || x.Supersedes(was) {
+			w.words[x.WorkerID], w.wordAt[x.WorkerID] = x, w.now
 		}
 	case message.KindTransferCommand, message.KindRejectCommand, message.KindFailCommand:
 		if j != nil && j.with == m.Epoch && m.Epoch == p.session {
@@ -515,11 +515,11 @@
 // check looks at what was offered in a step, once its actions are carried out.
 func (w *world) check() {
 	for _, e := range w.heads {
-		j, h := w.byID[e.Message.Query], e.Message.Head
+		j, h := w.byID[e.Message.RequestID], e.Message.Summary
 		// What the ledger did not send, as a note from that host had ended one, or has recalled, counts as an attempt that
 		// never ran.
 		sent := slices.DeleteFunc(slices.Clone(h.Attempts), func(p message.PastAttempt) bool {
-			return p.Ended && p.Result == dispatch.NotSent && !p.MayRun
+			return p.Ended && p.Result == dispatch.NotSent && !p.PossiblyExecuted
 		})
 		tries := slices.DeleteFunc(slices.Clone(j.tries), func(t *judgedTry) bool { return t.recalled })
 		if len(sent) != len(tries) {
@@ -527,7 +527,7 @@
 			continue
 		}
 		for i, p := range sent {
-			if t := tries[i]; p.Worker != t.worker || p.Ago != w.now-t.sent || p.MayRun == t.never {
+			if t := tries[i]; p.WorkerID != t.worker || p.SentAgo != w.now-t.sent || p.PossiblyExecuted == t.never {
 				w.fault("%s is told %+v of %s, which is %+v", e.Planner, p, j.name, t)
 			}
 		}
--- a/internal/control/forwarder/planner.go
+++ b/internal/control/forwarder/planner.go
@@ -122,7 +122,7 @@
 	p.epoch, p.leaving, p.overrun, p.suspected, p.ignoreLatency = f.lastEpoch, false, false, false, false
 	p.heartbeatSeq, p.acknowledgedSeq, p.heartbeatAt, p.lastHeartbeatAt, p.needsHeartbeat, p.minLatency = 0, 0, 0, f.now, false, 0
 	f.outbox = append(f.outbox, Envelope{p.name, message.Message{Kind: message.KindHandshake, Epoch: p.epoch, Name: f.config.Name,
-		Process: f.config.Incarnation, Version: f.config.Version}})
+		Incarnation: f.config.Incarnation, Version: f.config.Version}})
 }
 
 func (f *Forwarder) acceptSession(p *plannerLink, m *message.Message) {
@@ -276,7 +276,7 @@
 		if p.accepted && p.heartbeatAt == 0 && f.now >= f.nextHeartbeat(p) {
 			p.heartbeatSeq++
 			p.heartbeatAt, p.lastHeartbeatAt, p.needsHeartbeat, p.ignoreLatency = max(f.now, 1), f.now, false, false
-			f.send(p, message.Message{Kind: message.KindHeartbeat, Number: p.heartbeatSeq})
+			f.send(p, message.Message{Kind: message.KindHeartbeat, Sequence: p.heartbeatSeq})
 		}
 	}
 }
@@ -295,7 +295,7 @@
 }
 
 func (f *Forwarder) heartbeatReply(p *plannerLink, in *input) {
-	if p.heartbeatAt == 0 || in.message.Number != p.heartbeatSeq {
+	if p.heartbeatAt == 0 || in.message.Sequence != p.heartbeatSeq {
 		return
 	}
 	p.acknowledgedSeq, p.suspected = p.heartbeatSeq, false
@@ -304,7 +304,7 @@
 		if p.minLatency == 0 || took < p.minLatency {
 			p.minLatency = took
 		}
-		f.selector.ReplyReceived(f.now, p.name, took, max(0, in.message.Late))
+		f.selector.ReplyReceived(f.now, p.name, took, max(0, in.message.TimerLag))
 		f.orderStale = true
 	}
 	if p.heartbeatAt = 0; p.poisonSuspect != nil && p.poisonSuspect.offeredSeq <= p.acknowledgedSeq {
@@ -367,30 +367,30 @@
 		f.rejectCommand(p, m, why)
 		return
 	}
-	q := f.requests[m.Query]
+	q := f.requests[m.RequestID]
 	switch m.Kind {
 	case message.KindHealthCheckCommand:
-		if !f.healthCheck(m.Worker, p.epoch) {
-			f.send(p, message.Message{Kind: message.KindHealthCheckResult, Worker: m.Worker, Result: dispatch.NotSent})
+		if !f.healthCheck(m.WorkerID, p.epoch) {
+			f.send(p, message.Message{Kind: message.KindHealthCheckResult, WorkerID: m.WorkerID, Result: dispatch.NotSent})
 		}
 		return
 	case message.KindCloseIdleCommand:
-		f.emit(dispatch.CloseIdleConnections{Worker: m.Worker})
+		f.emit(dispatch.CloseIdleConnections{Worker: m.WorkerID})
 		return
 	}
 	q.commanded, q.silentAt = true, 0
 	switch m.Kind {
 	case message.KindSendCommand:
-		f.sendAttempt(q, m.Worker, m.Patience)
+		f.sendAttempt(q, m.WorkerID, m.Timeout)
 	case message.KindRejectCommand:
-		f.respond(dispatch.Reject{Job: m.Query, RetryAfter: min(max(0, m.After), f.settings.MaxRetryAfter)})
+		f.respond(dispatch.Reject{Job: m.RequestID, RetryAfter: min(max(0, m.RetryAfter), f.settings.MaxRetryAfter)})
 		f.closeRequest(q, false)
 	case message.KindFailCommand:
-		f.respond(dispatch.Fail{Job: m.Query})
+		f.respond(dispatch.Fail{Job: m.RequestID})
 		f.closeRequest(q, false)
 	case message.KindCancelCommand:
-		if n, ok := f.validator.AttemptIndex(m.Query, m.Attempt); ok {
-			f.emit(dispatch.Cancel{Job: m.Query, Attempt: n})
+		if n, ok := f.validator.AttemptIndex(m.RequestID, m.Attempt); ok {
+			f.emit(dispatch.Cancel{Job: m.RequestID, Attempt: n})
 		}
 	case message.KindTransferCommand:
 		f.transfer(q, p, m.Name)
@@ -430,19 +430,19 @@
 	p.rejectedTotal++
 	switch {
 	case m.Kind == message.KindSendCommand && why != message.ReasonDuplicateCommand: // that number has its end, or will have
-		if w, ok := f.validator.BlockingStatus(m.Worker); ok && why == message.ReasonWorkerDraining {
-			f.send(p, message.Message{Kind: message.KindWorkerStatus, Word: &w})
+		if w, ok := f.validator.BlockingStatus(m.WorkerID); ok && why == message.ReasonWorkerDraining {
+			f.send(p, message.Message{Kind: message.KindWorkerStatus, Status: &w})
 		}
-		f.send(p, message.Message{Kind: message.KindAttemptEnded, Query: m.Query, Attempt: m.Attempt, Result: dispatch.NotSent, Why: why})
-		if q := f.requests[m.Query]; q != nil && q.state == stateOffered && q.planner == p && f.validator.InFlight(m.Query) == 0 {
+		f.send(p, message.Message{Kind: message.KindAttemptEnded, RequestID: m.RequestID, Attempt: m.Attempt, Result: dispatch.NotSent, Reason: why})
+		if q := f.requests[m.RequestID]; q != nil && q.state == stateOffered && q.planner == p && f.validator.InFlight(m.RequestID) == 0 {
 			f.awaitCommand(q)
 		}
 	case m.Kind == message.KindRejectCommand && why == message.ReasonUnsafeRejection:
 		// To the planner the query is over. A failure promises nothing, and is always harmless.
-		f.send(p, message.Message{Kind: message.KindAttemptEnded, Query: m.Query, Attempt: -1, Result: dispatch.NotSent, Why: why})
-		f.respond(dispatch.Fail{Job: m.Query})
-		f.closeRequest(f.requests[m.Query], false)
+		f.send(p, message.Message{Kind: message.KindAttemptEnded, RequestID: m.RequestID, Attempt: -1, Result: dispatch.NotSent, Reason: why})
+		f.respond(dispatch.Fail{Job: m.RequestID})
+		f.closeRequest(f.requests[m.RequestID], false)
 	case m.Kind == message.KindHealthCheckCommand:
-		f.send(p, message.Message{Kind: message.KindHealthCheckResult, Worker: m.Worker, Result: dispatch.NotSent})
+		f.send(p, message.Message{Kind: message.KindHealthCheckResult, WorkerID: m.WorkerID, Result: dispatch.NotSent})
 	}
 }
--- a/internal/control/forwarder/play_test.go
+++ b/internal/control/forwarder/play_test.go
@@ -275,7 +275,7 @@
 		return
 	}
 	for _, m := range a.asked {
-		s.r.f.Receive(s.r.now, name, &message.Message{Kind: message.KindHeartbeatReply, Epoch: m.Epoch, Number: m.Number})
+		s.r.f.Receive(s.r.now, name, &message.Message{Kind: message.KindHeartbeatReply, Epoch: m.Epoch, Sequence: m.Sequence})
 	}
 	a.asked = nil
 }
@@ -399,26 +399,26 @@
 		case x[0] == '#':
 			m.Attempt = s.count(x)
 		case x[0] == 'q':
-			m.Query = uint64(s.count(x))
+			m.RequestID = uint64(s.count(x))
 		case x[0] == 'w':
-			m.Worker = number(x)
+			m.WorkerID = number(x)
 		case m.Kind == message.KindTransferCommand:
 			m.Name = x
 		case m.Kind == message.KindHandshakeAccept || m.Kind == message.KindCreditUpdate:
 			m.Credit = s.count(x)
 		case m.Kind == message.KindSendCommand:
-			m.Patience = s.span(x)
+			m.Timeout = s.span(x)
 		case m.Kind == message.KindRejectCommand:
-			m.After = s.span(x)
+			m.RetryAfter = s.span(x)
 		case m.Kind == message.KindModelSnapshot:
-			m.Age, m.Bytes = s.span(x), []byte(f[i+2])
+			m.Age, m.Data = s.span(x), []byte(f[i+2])
 			s.r.f.Receive(s.r.now, name, &m)
 			return
 		case m.Kind == message.KindWorkerStatus:
-			m.Word = &message.WorkerStatus{Worker: m.Worker, StartedMs: s.span(x).Milliseconds(),
-				Generation: int64(s.count(f[i+2])),
-				State:      map[string]message.WorkerState{"up": message.WorkerUp, "draining": message.WorkerDraining, "gone": message.WorkerGone}[f[i+3]]}
-			m.Worker = 0
+			m.Status = &message.WorkerStatus{WorkerID: m.WorkerID, StartedMs: s.span(x).Milliseconds(),
+				Revision: int64(s.count(f[i+2])),
+				State:    map[string]message.WorkerState{"up": message.WorkerUp, "draining": message.WorkerDraining, "gone": message.WorkerGone}[f[i+3]]}
+			m.WorkerID = 0
 			s.r.f.Receive(s.r.now, name, &m)
 			return
 		}
--- a/internal/control/forwarder/query.go
+++ b/internal/control/forwarder/query.go
@@ -237,7 +237,7 @@
 	case stateOffered:
 		f.removeFromPlanner(q)
 		if tell {
-			f.send(q.planner, message.Message{Kind: message.KindRequestClosed, Query: q.job.ID})
+			f.send(q.planner, message.Message{Kind: message.KindRequestClosed, RequestID: q.job.ID})
 		}
 	case stateLocal:
 		if tell {
@@ -283,9 +283,9 @@
 	j := &q.job
 	h.Class, h.Tenant, h.Key, h.Hint = j.Class, j.Tenant, j.Key, j.Hint
 	h.Slots, h.Memory, h.Retry = j.Slots, j.Memory, j.Retry
-	h.Left, h.Waited, h.Moves = q.deadline-f.now, f.now-q.arrivedAt, q.transfers
+	h.Remaining, h.Waited, h.Transfers = q.deadline-f.now, f.now-q.arrivedAt, q.transfers
 	h.Attempts = f.validator.AppendAttempts(f.now, id, h.Attempts)
-	if f.send(p, message.Message{Kind: message.KindRequestOffer, Query: id, Head: h}); f.now > q.arrivedAt {
+	if f.send(p, message.Message{Kind: message.KindRequestOffer, RequestID: id, Summary: h}); f.now > q.arrivedAt {
 		f.stats.Reoffered++
 	}
 	f.reofferTokens = min(f.reofferTokens+reofferTokensPerRequest, maxReofferTokens)
@@ -323,7 +323,7 @@
 // revoke takes an open query back from a planner whose session lives, for good.
 func (f *Forwarder) revoke(q *request) {
 	p := q.planner
-	f.send(p, message.Message{Kind: message.KindRequestClosed, Query: q.job.ID})
+	f.send(p, message.Message{Kind: message.KindRequestClosed, RequestID: q.job.ID})
 	if len(q.revokedEpochs) == maxRevokedSessions {
 		q.revokedEpochs = append(q.revokedEpochs[:0], q.revokedEpochs[1:]...)
 	}
@@ -476,7 +476,7 @@
 	case dispatch.Started:
 		f.validator.Observe(f.now, e)
 		if q, n := f.requestOfAttempt(e.Job, e.Attempt); q != nil && q.planner != nil {
-			f.sendAbout(q, message.Message{Kind: message.KindAttemptStarted, Query: e.Job, Attempt: n})
+			f.sendAbout(q, message.Message{Kind: message.KindAttemptStarted, RequestID: e.Job, Attempt: n})
 		} else if q != nil && q.knownLocally {
 			e.Attempt = n
 			f.notifyLocal(e)
@@ -484,7 +484,7 @@
 	case dispatch.Progressed:
 		f.validator.Observe(f.now, e)
 		if q, n := f.requestOfAttempt(e.Job, e.Attempt); q != nil && q.planner != nil {
-			f.sendAbout(q, message.Message{Kind: message.KindAttemptProgress, Query: e.Job, Attempt: n, Share: e.Share})
+			f.sendAbout(q, message.Message{Kind: message.KindAttemptProgress, RequestID: e.Job, Attempt: n, Fraction: e.Share})
 		} else if q != nil && q.knownLocally {
 			e.Attempt = n
 			f.notifyLocal(e)
@@ -520,7 +520,7 @@
 		return
 	}
 	if ended && q.planner != nil {
-		f.sendAbout(q, message.Message{Kind: message.KindAttemptEnded, Query: e.Job, Attempt: n, Result: e.Result})
+		f.sendAbout(q, message.Message{Kind: message.KindAttemptEnded, RequestID: e.Job, Attempt: n, Result: e.Result})
 	} else if ended && q.knownLocally {
 		e.Attempt = n
 		f.notifyLocal(e)
@@ -571,7 +571,7 @@
 	if asker == validator.LocalEpoch {
 		f.notifyLocal(e)
 	} else if p := f.plannerByEpoch(asker); p != nil {
-		f.send(p, message.Message{Kind: message.KindHealthCheckResult, Worker: e.Worker, Result: e.Result})
+		f.send(p, message.Message{Kind: message.KindHealthCheckResult, WorkerID: e.Worker, Result: e.Result})
 	}
 }
 
--- a/internal/control/forwarder/rig_test.go
+++ b/internal/control/forwarder/rig_test.go
@@ -55,10 +55,10 @@
 
 // keep is an envelope that outlives the step.
 func keep(e Envelope) Envelope {
-	if e.Message.Head != nil {
-		h := *e.Message.Head
+	if e.Message.Summary != nil {
+		h := *e.Message.Summary
 		h.Attempts = slices.Clone(h.Attempts)
-		e.Message.Head = &h
+		e.Message.Summary = &h
 	}
 	return e
 }
@@ -301,52 +301,52 @@
 	put := func(format string, args ...any) { fmt.Fprintf(s, " "+format, args...) }
 	switch m.Kind {
 	case message.KindRequestOffer:
-		h := m.Head
-		put("q%d left=%v", m.Query, h.Left)
+		h := m.Summary
+		put("q%d left=%v", m.RequestID, h.Remaining)
 		if h.Waited > 0 {
 			put("waited=%v", h.Waited)
 		}
-		if h.Moves > 0 {
-			put("moves=%d", h.Moves)
+		if h.Transfers > 0 {
+			put("moves=%d", h.Transfers)
 		}
 		for i, p := range h.Attempts {
-			put("[#%d %s %v ago", i, worker(p.Worker), p.Ago)
-			if p.Began > 0 {
-				put("began %v ago", p.Began)
+			put("[#%d %s %v ago", i, worker(p.WorkerID), p.SentAgo)
+			if p.StartedAgo > 0 {
+				put("began %v ago", p.StartedAgo)
 			}
 			if p.Ended {
 				put("%s", resultNames[p.Result])
 			} else {
 				put("out")
 			}
-			if p.MayRun {
+			if p.PossiblyExecuted {
 				put("may have run")
 			}
 			s.WriteString("]")
 		}
 	case message.KindAttemptEnded:
-		put("q%d #%d %s", m.Query, m.Attempt, resultNames[m.Result])
-		if m.Why != message.ReasonNone {
-			put("as %v", m.Why)
+		put("q%d #%d %s", m.RequestID, m.Attempt, resultNames[m.Result])
+		if m.Reason != message.ReasonNone {
+			put("as %v", m.Reason)
 		}
 	case message.KindAttemptStarted, message.KindCancelCommand:
-		put("q%d #%d", m.Query, m.Attempt)
+		put("q%d #%d", m.RequestID, m.Attempt)
 	case message.KindAttemptProgress:
-		put("q%d #%d %v", m.Query, m.Attempt, m.Share)
+		put("q%d #%d %v", m.RequestID, m.Attempt, m.Fraction)
 	case message.KindRequestClosed, message.KindFailCommand, message.KindRejectCommand:
-		put("q%d", m.Query)
+		put("q%d", m.RequestID)
 	case message.KindTransferCommand:
-		put("q%d to %q", m.Query, m.Name)
+		put("q%d to %q", m.RequestID, m.Name)
 	case message.KindSendCommand:
-		put("q%d #%d %s", m.Query, m.Attempt, worker(m.Worker))
+		put("q%d #%d %s", m.RequestID, m.Attempt, worker(m.WorkerID))
 	case message.KindHealthCheckResult:
-		put("%s %s", worker(m.Worker), resultNames[m.Result])
+		put("%s %s", worker(m.WorkerID), resultNames[m.Result])
 	case message.KindHeartbeat, message.KindHeartbeatReply:
-		put("%d", m.Number)
+		put("%d", m.Sequence)
 	case message.KindWorkerStatus:
-		put("%s start=%v gen=%d %s", worker(m.Word.Worker), time.Duration(m.Word.StartedMs)*time.Millisecond,
-			m.Word.Generation,
-			[]string{"up", "draining", "gone"}[m.Word.State])
+		put("%s start=%v gen=%d %s", worker(m.Status.WorkerID), time.Duration(m.Status.StartedMs)*time.Millisecond,
+			m.Status.Revision,
+			[]string{"up", "draining", "gone"}[m.Status.State])
 	}
 	return s.String()
 }
--- a/internal/control/forwarder/scripted_test.go
+++ b/internal/control/forwarder/scripted_test.go
@@ -55,7 +55,7 @@
 		case what == 4:
 			p.say(message.Message{Kind: message.KindCreditUpdate, Credit: w.rng.IntN(30)})
 		case what == 5:
-			p.say(message.Message{Kind: message.KindModelSnapshot, Age: w.ms(0, 3000), Bytes: []byte("no lesson")})
+			p.say(message.Message{Kind: message.KindModelSnapshot, Age: w.ms(0, 3000), Data: []byte("no lesson")})
 		case what == 6 || p.liar:
 			p.gossip()
 		}
@@ -104,20 +104,20 @@
 func (p *scripted) gossip() {
 	w := p.w
 	h := w.nodes[w.rng.IntN(len(w.nodes))]
-	x := message.WorkerStatus{Worker: number(h.ID), StartedMs: h.StartedAtMs, Generation: w.gen}
+	x := message.WorkerStatus{WorkerID: number(h.ID), StartedMs: h.StartedAtMs, Revision: w.gen}
 	if x.State = message.WorkerUp; h.Lifecycle != "up" {
 		x.State = message.WorkerDraining
 	}
 	if w.rng.IntN(2) == 0 { // an old one
-		x.Generation -= int64(w.rng.IntN(5))
+		x.Revision -= int64(w.rng.IntN(5))
 		x.State = message.WorkerState(w.rng.IntN(3))
 	}
 	if p.liar {
-		x = message.WorkerStatus{Worker: []uint64{x.Worker, x.Worker, 77}[w.rng.IntN(3)], Generation: int64(w.rng.IntN(100)),
+		x = message.WorkerStatus{WorkerID: []uint64{x.WorkerID, x.WorkerID, 77}[w.rng.IntN(3)], Revision: int64(w.rng.IntN(100)),
 			State:     message.WorkerState(w.rng.IntN(3)),
 			StartedMs: []int64{h.StartedAtMs, h.StartedAtMs + 5, w.now.Milliseconds() + 120000, -5, 1 << 62}[w.rng.IntN(5)]}
 	}
-	p.say(message.Message{Kind: message.KindWorkerStatus, Word: &x})
+	p.say(message.Message{Kind: message.KindWorkerStatus, Status: &x})
 }
 
 // reads takes in what the forwarder says.
@@ -132,35 +132,35 @@
 	if m.Epoch != p.epoch || p.stopped {
 		return
 	}
-	h := p.heads[m.Query]
+	h := p.heads[m.RequestID]
 	switch m.Kind {
 	case message.KindHeartbeat:
-		p.say(message.Message{Kind: message.KindHeartbeatReply, Number: m.Number, Late: w.ms(0, 3)})
+		p.say(message.Message{Kind: message.KindHeartbeatReply, Sequence: m.Sequence, TimerLag: w.ms(0, 3)})
 	case message.KindRequestOffer:
 		if p.forgets && w.rng.IntN(5) == 0 {
 			return
 		}
-		h = &scriptedHead{head: *m.Head, next: len(m.Head.Attempts), till: w.now + m.Head.Left}
-		for _, a := range m.Head.Attempts {
-			h.tried = append(h.tried, a.Worker)
-			if h.may = h.may || a.MayRun; !a.Ended {
+		h = &scriptedHead{head: *m.Summary, next: len(m.Summary.Attempts), till: w.now + m.Summary.Remaining}
+		for _, a := range m.Summary.Attempts {
+			h.tried = append(h.tried, a.WorkerID)
+			if h.may = h.may || a.PossiblyExecuted; !a.Ended {
 				h.out++
 			}
 		}
-		p.heads[m.Query] = h
-		p.soon(m.Query)
+		p.heads[m.RequestID] = h
+		p.soon(m.RequestID)
 	case message.KindAttemptEnded:
 		if h == nil || m.Attempt < 0 {
 			return
 		}
 		if h.out--; m.Result == dispatch.OK {
-			delete(p.heads, m.Query)
+			delete(p.heads, m.RequestID)
 			return
 		}
 		h.may = h.may || m.Result != dispatch.WorkerFull && m.Result != dispatch.ConnectFailed && m.Result != dispatch.NotSent
-		p.soon(m.Query)
+		p.soon(m.RequestID)
 	case message.KindRequestClosed:
-		delete(p.heads, m.Query)
+		delete(p.heads, m.RequestID)
 	}
 }
 
@@ -195,11 +195,11 @@
 			kind = message.KindFailCommand
 		}
 		delete(p.heads, query)
-		p.say(message.Message{Kind: kind, Query: query, After: w.ms(0, 3000)})
+		p.say(message.Message{Kind: kind, RequestID: query, RetryAfter: w.ms(0, 3000)})
 		return
 	case w.rng.IntN(25) == 0:
 		delete(p.heads, query)
-		p.say(message.Message{Kind: message.KindTransferCommand, Query: query, Name: []string{"p0", "p1", "p2", ""}[w.rng.IntN(4)]})
+		p.say(message.Message{Kind: message.KindTransferCommand, RequestID: query, Name: []string{"p0", "p1", "p2", ""}[w.rng.IntN(4)]})
 		return
 	}
 	var may []uint64
@@ -213,22 +213,22 @@
 		p.soon(query)
 		return
 	}
-	m := message.Message{Kind: message.KindSendCommand, Query: query, Attempt: h.next, Worker: may[w.rng.IntN(len(may))]}
+	m := message.Message{Kind: message.KindSendCommand, RequestID: query, Attempt: h.next, WorkerID: may[w.rng.IntN(len(may))]}
 	if w.rng.IntN(3) == 0 {
-		m.Patience = w.ms(10, 300)
+		m.Timeout = w.ms(10, 300)
 	}
 	h.next++
 	h.out++
-	h.tried = append(h.tried, m.Worker)
+	h.tried = append(h.tried, m.WorkerID)
 	p.say(m)
 	if w.set.Hedging && c.Idempotency == dispatch.Idempotent && w.rng.IntN(4) == 0 && len(may) > 1 {
-		m.Attempt, m.Worker = h.next, may[w.rng.IntN(len(may))]
+		m.Attempt, m.WorkerID = h.next, may[w.rng.IntN(len(may))]
 		h.next++
 		h.out++
 		p.say(m)
 	}
 	if w.set.HealthChecks && w.rng.IntN(10) == 0 {
-		p.say(message.Message{Kind: message.KindHealthCheckCommand, Worker: m.Worker})
+		p.say(message.Message{Kind: message.KindHealthCheckCommand, WorkerID: m.WorkerID})
 	}
 }
 
@@ -236,7 +236,7 @@
 func (p *scripted) err(query uint64, h *scriptedHead) {
 	w := p.w
 	node := func() uint64 { return number("w" + strconv.Itoa(w.rng.IntN(10))) }
-	m := message.Message{Kind: message.KindSendCommand, Query: query, Attempt: h.next, Worker: node()}
+	m := message.Message{Kind: message.KindSendCommand, RequestID: query, Attempt: h.next, WorkerID: node()}
 	switch w.rng.IntN(9) {
 	case 0: // twice, by one number
 		p.say(m)
@@ -248,7 +248,7 @@
 	case 2:
 		m.Epoch = []message.Epoch{p.old, p.epoch + 1, p.epoch + 2, 7}[w.rng.IntN(4)]
 	case 3:
-		m.Query = w.rng.Uint64N(w.ids + 5)
+		m.RequestID = w.rng.Uint64N(w.ids + 5)
 	case 4: // anywhere, whatever has been
 		h.next++
 	case 5:
@@ -261,7 +261,7 @@
 		m.Attempt = []int{-1, h.next - 1, h.next + 7, 1 << 40}[w.rng.IntN(4)]
 		h.next += 8
 	case 7:
-		m.Patience = -w.ms(0, 500)
+		m.Timeout = -w.ms(0, 500)
 		h.next++
 	case 8:
 		m = message.Message{Kind: message.KindHandshakeAccept, Credit: w.rng.IntN(100) - 50}
--- a/internal/control/message/tier.go
+++ b/internal/control/message/tier.go
@@ -88,61 +88,61 @@
 
 // Message is any of them. Fields that its kind does not name are zero.
 type Message struct {
-	Kind     Kind
-	Epoch    Epoch
-	Query    uint64
-	Worker   uint64 // by the number that its id hashes to; all schedulers agree on it
-	Number   uint64
-	Process  uint64 // when the sender's process started, Unix time in ns: tells one from the one before
-	Attempt  int
-	Credit   int
-	Version  int
-	Result   dispatch.Result
-	Why      RejectReason
-	Share    float64
-	Patience time.Duration
-	After    time.Duration
-	Late     time.Duration
-	Age      time.Duration
-	Name     string
-	Head     *RequestSummary
-	Word     *WorkerStatus
-	Load     *LoadReport
-	Bytes    []byte
+	Kind        Kind
+	Epoch       Epoch
+	RequestID   uint64
+	WorkerID    uint64 // by the number that its id hashes to; all schedulers agree on it
+	Sequence    uint64
+	Incarnation uint64 // when the sender's process started, Unix time in ns: tells one from the one before
+	Attempt     int
+	Credit      int
+	Version     int
+	Result      dispatch.Result
+	Reason      RejectReason
+	Fraction    float64
+	Timeout     time.Duration
+	RetryAfter  time.Duration
+	TimerLag    time.Duration
+	Age         time.Duration
+	Name        string
+	Summary     *RequestSummary
+	Status      *WorkerStatus
+	LoadReport  *LoadReport
+	Data        []byte
 }
 
 // RequestSummary is what a planner hears of a query.
 type RequestSummary struct {
-	Class    int
-	Tenant   int
-	Key      uint64 // of what it is about; 0: none
-	Left     time.Duration
-	Waited   time.Duration // since it came to the forwarder
-	Hint     time.Duration
-	Slots    float64
-	Memory   float64
-	Retry    bool
-	Moves    int           // orders of planners to move it that were followed so far; none orders a third
-	Attempts []PastAttempt // made so far, by whomever, in order
+	Class     int
+	Tenant    int
+	Key       uint64 // of what it is about; 0: none
+	Remaining time.Duration
+	Waited    time.Duration // since it came to the forwarder
+	Hint      time.Duration
+	Slots     float64
+	Memory    float64
+	Retry     bool
+	Transfers int           // orders of planners to move it that were followed so far; none orders a third
+	Attempts  []PastAttempt // made so far, by whomever, in order
 }
 
 // PastAttempt is an attempt that was made before the head was offered.
 type PastAttempt struct {
-	Worker uint64
-	Ago    time.Duration // since it was sent
-	Began  time.Duration // since it was told to have started; 0: it was not
-	Ended  bool
-	Result dispatch.Result // if it has
-	MayRun bool            // it may have run, or may yet; the forwarder's book says so
+	WorkerID         uint64
+	SentAgo          time.Duration // since it was sent
+	StartedAgo       time.Duration // since it was told to have started; 0: it was not
+	Ended            bool
+	Result           dispatch.Result // if it has
+	PossiblyExecuted bool            // it may have run, or may yet; the forwarder's book says so
 }
 
 // WorkerStatus is what somebody knows of a worker node. Of two words about one worker node the one with the later start of its
 // process is the newer, then the one with the higher list generation; on a tie the one that allows less wins.
 type WorkerStatus struct {
-	Worker     uint64
-	StartedMs  int64 // the node's own start time by the list
-	Generation int64 // of the list that said so; 0: not by a list
-	State      WorkerState
+	WorkerID  uint64
+	StartedMs int64 // the node's own start time by the list
+	Revision  int64 // of the list that said so; 0: not by a list
+	State     WorkerState
 }
 
 // WorkerState of a worker node, those that allow less being greater.
@@ -155,25 +155,25 @@
 	WorkerGone
 )
 
-// Newer tells whether w takes the place of o.
-func (w WorkerStatus) Newer(o WorkerStatus) bool {
+// Supersedes tells whether w takes the place of o.
+func (w WorkerStatus) Supersedes(o WorkerStatus) bool {
 	if w.StartedMs != o.StartedMs {
 		return w.StartedMs > o.StartedMs
 	}
-	if w.Generation != o.Generation {
-		return w.Generation > o.Generation
+	if w.Revision != o.Revision {
+		return w.Revision > o.Revision
 	}
 	return w.State > o.State
 }
 
 // LoadReport is how a planner stands.
 type LoadReport struct {
-	Heads      int           // open
-	Held       int           // of them without an attempt out
-	Forwarders int           // that have a session with it
-	Late       time.Duration // how late it is for its own timers, of late
-	Slots      float64       // in use by its orders
-	Room       float64       // slots that it takes to be free
+	OpenRequests   int           // open
+	QueuedRequests int           // of them without an attempt out
+	Forwarders     int           // that have a session with it
+	TimerLag       time.Duration // how late it is for its own timers, of late
+	UsedSlots      float64       // in use by its orders
+	FreeSlots      float64       // slots that it takes to be free
 }
 
 // RejectReason is why a guard refused an order.
--- a/internal/control/planner/bad_test.go
+++ b/internal/control/planner/bad_test.go
@@ -59,25 +59,25 @@
 	num := func() int { return int(badNumber(rng)) }
 	span := func() time.Duration { return time.Duration(badNumber(rng)) }
 	name := [...]string{"f1", "f2", "f3", "plan-b", me, "", string(make([]byte, 300))}[rng.IntN(7)]
-	word := message.WorkerStatus{Worker: uint64(rng.IntN(9)), StartedMs: badNumber(rng), Generation: badNumber(rng), State: message.WorkerState(rng.IntN(5))}
-	m := &message.Message{Kind: message.Kind(rng.IntN(90)), Epoch: message.Epoch(rng.IntN(4)), Query: uint64(rng.IntN(30)), Worker: uint64(rng.IntN(9)),
-		Number: rng.Uint64(), Process: uint64(rng.IntN(3)), Attempt: num(), Credit: num(), Version: 0x100 + rng.IntN(20)/19*0x100,
-		Result: dispatch.Result(num()), Why: message.RejectReason(rng.IntN(40) * rng.IntN(2)), Share: badFloat(rng), Name: name}
+	word := message.WorkerStatus{WorkerID: uint64(rng.IntN(9)), StartedMs: badNumber(rng), Revision: badNumber(rng), State: message.WorkerState(rng.IntN(5))}
+	m := &message.Message{Kind: message.Kind(rng.IntN(90)), Epoch: message.Epoch(rng.IntN(4)), RequestID: uint64(rng.IntN(30)), WorkerID: uint64(rng.IntN(9)),
+		Sequence: rng.Uint64(), Incarnation: uint64(rng.IntN(3)), Attempt: num(), Credit: num(), Version: 0x100 + rng.IntN(20)/19*0x100,
+		Result: dispatch.Result(num()), Reason: message.RejectReason(rng.IntN(40) * rng.IntN(2)), Fraction: badFloat(rng), Name: name}
 	if rng.IntN(3) == 0 {
 		m.Kind = [...]message.Kind{message.KindRequestOffer, message.KindAttemptEnded, message.KindHandshake}[rng.IntN(3)]
-		m.Attempt, m.Why = rng.IntN(3), 0
+		m.Attempt, m.Reason = rng.IntN(3), 0
 	}
 	if rng.IntN(4) > 0 {
-		m.Word = &word
-		m.Load = &message.LoadReport{Heads: num(), Held: num(), Forwarders: num(), Late: span(), Slots: badFloat(rng), Room: badFloat(rng)}
-		m.Head = &message.RequestSummary{Class: rng.IntN(7) - 1, Tenant: num(), Key: rng.Uint64(), Left: span(), Waited: span(), Hint: span(),
-			Slots: badFloat(rng), Memory: badFloat(rng), Moves: num()}
+		m.Status = &word
+		m.LoadReport = &message.LoadReport{OpenRequests: num(), QueuedRequests: num(), Forwarders: num(), TimerLag: span(), UsedSlots: badFloat(rng), FreeSlots: badFloat(rng)}
+		m.Summary = &message.RequestSummary{Class: rng.IntN(7) - 1, Tenant: num(), Key: rng.Uint64(), Remaining: span(), Waited: span(), Hint: span(),
+			Slots: badFloat(rng), Memory: badFloat(rng), Transfers: num()}
 		for range rng.IntN(4) {
-			m.Head.Attempts = append(m.Head.Attempts, message.PastAttempt{Worker: uint64(rng.IntN(20)), Ago: span(), Began: span(),
-				Ended: rng.IntN(2) == 0, Result: dispatch.Result(num()), MayRun: rng.IntN(2) == 0})
+			m.Summary.Attempts = append(m.Summary.Attempts, message.PastAttempt{WorkerID: uint64(rng.IntN(20)), SentAgo: span(), StartedAgo: span(),
+				Ended: rng.IntN(2) == 0, Result: dispatch.Result(num()), PossiblyExecuted: rng.IntN(2) == 0})
 		}
 		if rng.IntN(30) == 0 {
-			m.Head.Attempts = make([]message.PastAttempt, 300)
+			m.Summary.Attempts = make([]message.PastAttempt, 300)
 		}
 	}
 	session := SessionID(rng.IntN(10))
--- a/internal/control/planner/bench_test.go
+++ b/internal/control/planner/bench_test.go
@@ -46,7 +46,7 @@
 	set.Classes = []dispatch.Class{{LatencyObjective: 80 * ms, ObjectiveStretch: 2.5, ClientTimeout: 5 * time.Second, Idempotency: dispatch.Idempotent, PriorityWeight: 1}}
 	conf := Config{Settings: set, MaxOpenRequests: 1 << 20, MaxCredit: 1 << 18, NewPolicy: func() Policy { return dispatch.New(set, 1) }}
 	r := &rig{b: newBook(conf), now: time.Hour, fwds: forwarders, last: make([]uint64, forwarders+1), msgs: make([]message.Message, 4096)}
-	r.head = message.RequestSummary{Left: 5 * time.Second, Hint: rigRun, Slots: 1}
+	r.head = message.RequestSummary{Remaining: 5 * time.Second, Hint: rigRun, Slots: 1}
 	list := dispatch.WorkerList{Kind: dispatch.ListFull, Revision: 1}
 	for id := range nodes {
 		list.Workers = append(list.Workers, dispatch.Worker{ID: uint64(id+1) * 0x9e3779b97f4a7c15, Kind: id % 3, Zone: id % 2, Cell: id / 4, Ready: true})
@@ -71,7 +71,7 @@
 	f := SessionID(r.orders%r.fwds + 1)
 	r.orders++
 	r.last[f]++
-	r.say(f, message.Message{Kind: message.KindRequestOffer, Query: r.last[f], Head: &r.head})
+	r.say(f, message.Message{Kind: message.KindRequestOffer, RequestID: r.last[f], Summary: &r.head})
 }
 
 func (r *rig) step(ins []Event) {
@@ -83,8 +83,8 @@
 		}
 		switch o.Message.Kind {
 		case message.KindSendCommand:
-			r.starts = append(r.starts, rigDue{r.now + 2*rigDelay, o.Session, o.Message.Query, o.Message.Attempt})
-			r.ends = append(r.ends, rigDue{r.now + 2*rigDelay + rigRun, o.Session, o.Message.Query, o.Message.Attempt})
+			r.starts = append(r.starts, rigDue{r.now + 2*rigDelay, o.Session, o.Message.RequestID, o.Message.Attempt})
+			r.ends = append(r.ends, rigDue{r.now + 2*rigDelay + rigRun, o.Session, o.Message.RequestID, o.Message.Attempt})
 		case message.KindRejectCommand, message.KindFailCommand:
 			r.others++
 		}
@@ -99,7 +99,7 @@
 			d := r.starts[r.s]
 			r.s++
 			r.now = max(r.now, d.at)
-			r.say(d.f, message.Message{Kind: message.KindAttemptStarted, Query: d.query, Attempt: d.n})
+			r.say(d.f, message.Message{Kind: message.KindAttemptStarted, RequestID: d.query, Attempt: d.n})
 			continue
 		}
 		if r.e >= len(r.ends) {
@@ -109,7 +109,7 @@
 		d := r.ends[r.e]
 		r.e++
 		r.now = max(r.now, d.at)
-		r.say(d.f, message.Message{Kind: message.KindAttemptEnded, Query: d.query, Attempt: d.n, Result: dispatch.OK})
+		r.say(d.f, message.Message{Kind: message.KindAttemptEnded, RequestID: d.query, Attempt: d.n, Result: dispatch.OK})
 		r.offer()
 		r.served++
 	}
--- a/internal/control/planner/fleet.go
+++ b/internal/control/planner/fleet.go
@@ -161,8 +161,8 @@
 
 // workerRemoved takes in that a list has a worker node no more.
 func (b *Planner) workerRemoved(h *worker, generation int64) {
-	w := message.WorkerStatus{Worker: h.ID, StartedMs: max(h.BootAt.Milliseconds(), 0), Generation: generation, State: message.WorkerGone}
-	if h.hasStatus && h.status.Newer(w) && h.status.State != message.WorkerGone {
+	w := message.WorkerStatus{WorkerID: h.ID, StartedMs: max(h.BootAt.Milliseconds(), 0), Revision: generation, State: message.WorkerGone}
+	if h.hasStatus && h.status.Supersedes(w) && h.status.State != message.WorkerGone {
 		return // by a newer word it is there
 	}
 	h.listed = false
@@ -172,7 +172,7 @@
 }
 
 func workerStatusOf(x *dispatch.Worker, generation int64) message.WorkerStatus {
-	w := message.WorkerStatus{Worker: x.ID, StartedMs: max(x.BootAt.Milliseconds(), 0), Generation: generation}
+	w := message.WorkerStatus{WorkerID: x.ID, StartedMs: max(x.BootAt.Milliseconds(), 0), Revision: generation}
 	if !x.Ready {
 		w.State = message.WorkerDraining
 	}
@@ -181,7 +181,7 @@
 
 func (b *Planner) endpointSourceChanged() {
 	for _, h := range b.workerList {
-		h.status.Generation = 0
+		h.status.Revision = 0
 	}
 	b.revision = 0
 }
@@ -194,12 +194,12 @@
 		b.statistics.InvalidMessages++
 		return
 	}
-	h := b.workers[w.Worker]
+	h := b.workers[w.WorkerID]
 	if h == nil {
 		if w.State == message.WorkerUp { // the list will say what it is
 			return
 		}
-		h = b.workerByID(w.Worker)
+		h = b.workerByID(w.WorkerID)
 	}
 	if b.updateStatus(h, w, by, from); h.listed {
 		b.syncWorker(h)
@@ -211,7 +211,7 @@
 // gone, is back, or has started again. What a peer says goes to forwarders alone: it tells the other peers itself.
 func (b *Planner) updateStatus(h *worker, w message.WorkerStatus, by *forwarder, from *peer) {
 	was, worded := h.status, h.hasStatus
-	if worded && !w.Newer(was) {
+	if worded && !w.Supersedes(was) {
 		return
 	}
 	if h.status, h.hasStatus = w, true; !h.listed {
@@ -224,12 +224,12 @@
 	b.statistics.StatusUpdates++
 	for _, f := range b.connected {
 		if f != by {
-			b.sendTo(f, message.Message{Kind: message.KindWorkerStatus, Word: &w})
+			b.sendTo(f, message.Message{Kind: message.KindWorkerStatus, Status: &w})
 		}
 	}
 	if from == nil {
 		for _, p := range b.peerTable.peers {
-			b.sendToPeer(p, message.Message{Kind: message.KindWorkerStatus, Word: &w})
+			b.sendToPeer(p, message.Message{Kind: message.KindWorkerStatus, Status: &w})
 		}
 	}
 }
@@ -257,7 +257,7 @@
 	for _, h := range b.workerList {
 		if h.hasStatus && h.status.State != message.WorkerUp {
 			w := h.status
-			b.sendTo(f, message.Message{Kind: message.KindWorkerStatus, Word: &w})
+			b.sendTo(f, message.Message{Kind: message.KindWorkerStatus, Status: &w})
 		}
 	}
 }
--- a/internal/control/planner/golden_test.go
+++ b/internal/control/planner/golden_test.go
@@ -206,26 +206,26 @@
 	if m.Kind == message.KindHandshakeAccept {
 		add("epoch", m.Epoch)
 	}
-	add("q", m.Query)
+	add("q", m.RequestID)
 	if m.Kind == message.KindSendCommand || m.Kind == message.KindCancelCommand {
 		line += fmt.Sprintf(" n=%d", m.Attempt)
 	}
-	add("w", m.Worker)
-	add("number", m.Number)
+	add("w", m.WorkerID)
+	add("number", m.Sequence)
 	if m.Kind == message.KindHandshakeAccept || m.Kind == message.KindCreditUpdate {
 		line += fmt.Sprintf(" credit=%d", m.Credit)
 	}
 	add("version", m.Version)
-	add("patience", m.Patience)
-	add("after", m.After)
-	add("late", m.Late)
+	add("patience", m.Timeout)
+	add("after", m.RetryAfter)
+	add("late", m.TimerLag)
 	add("name", m.Name)
-	add("bytes", string(m.Bytes))
-	if w := m.Word; w != nil {
-		line += fmt.Sprintf(" w=%d start=%d generation=%d %s", w.Worker, w.StartedMs, w.Generation, stateNames[w.State])
+	add("bytes", string(m.Data))
+	if w := m.Status; w != nil {
+		line += fmt.Sprintf(" w=%d start=%d generation=%d %s", w.WorkerID, w.StartedMs, w.Revision, stateNames[w.State])
 	}
-	if l := m.Load; l != nil {
-		line += fmt.Sprintf(" heads=%d held=%d forwarders=%d slots=%v room=%v", l.Heads, l.Held, l.Forwarders, l.Slots, l.Room)
+	if l := m.LoadReport; l != nil {
+		line += fmt.Sprintf(" heads=%d held=%d forwarders=%d slots=%v room=%v", l.OpenRequests, l.QueuedRequests, l.Forwarders, l.UsedSlots, l.FreeSlots)
 	}
 	return line
 }
@@ -266,12 +266,12 @@
 		return d
 	}
 	word := func() *message.WorkerStatus {
-		return &message.WorkerStatus{Worker: uint64(num("w")), StartedMs: int64(num("start")), Generation: int64(num("generation")),
+		return &message.WorkerStatus{WorkerID: uint64(num("w")), StartedMs: int64(num("start")), Revision: int64(num("generation")),
 			State: message.WorkerState(max(0, index(stateNames[:], args["state"])))}
 	}
 	if who, isPeer := strings.CutSuffix(words[0], ":"); isPeer && strings.HasPrefix(who, "plan") {
-		m := &message.Message{Kind: kindOf(words[1]), Epoch: message.Epoch(num("epoch")), Name: who, Version: 0x100, Word: word(),
-			Load: &message.LoadReport{Heads: num("heads"), Held: num("held"), Room: float64(num("room"))}}
+		m := &message.Message{Kind: kindOf(words[1]), Epoch: message.Epoch(num("epoch")), Name: who, Version: 0x100, Status: word(),
+			LoadReport: &message.LoadReport{OpenRequests: num("heads"), QueuedRequests: num("held"), FreeSlots: float64(num("room"))}}
 		s.ins = append(s.ins, Event{Kind: PeerMessage, Peer: who, Message: m})
 		return
 	} else if isPeer {
@@ -369,8 +369,8 @@
 // is given.
 func (s *stage) message(id SessionID, words []string, args map[string]string, num func(string) int,
 	span func(string) time.Duration, word *message.WorkerStatus) *message.Message {
-	m := &message.Message{Kind: kindOf(words[1]), Epoch: message.Epoch(num("epoch")), Query: uint64(num("q")), Worker: uint64(num("w")),
-		Number: uint64(num("number")), Attempt: num("n"), Process: uint64(num("process")), Name: args["name"], Version: 0x101}
+	m := &message.Message{Kind: kindOf(words[1]), Epoch: message.Epoch(num("epoch")), RequestID: uint64(num("q")), WorkerID: uint64(num("w")),
+		Sequence: uint64(num("number")), Attempt: num("n"), Incarnation: uint64(num("process")), Name: args["name"], Version: 0x101}
 	if m.Kind == message.KindHandshake {
 		if s.epoch[id] = m.Epoch; args["version"] != "" {
 			m.Version = num("version")
@@ -381,38 +381,38 @@
 	m.Result = dispatch.Result(max(0, index(resultNames[:], args["result"])))
 	for why := range message.ReasonCount {
 		if args["why"] != "" && strings.ReplaceAll(why.String(), " ", "-") == args["why"] {
-			m.Why = why
+			m.Reason = why
 		}
 	}
 	if m.Kind == message.KindWorkerStatus || args["state"] != "" {
-		m.Word = word
+		m.Status = word
 	}
 	if m.Kind != message.KindRequestOffer {
 		return m
 	}
-	m.Head = &message.RequestSummary{Class: num("class"), Tenant: num("tenant"), Left: 3*time.Second - span("waited"), Waited: span("waited"),
-		Hint: 100 * ms, Slots: 1, Moves: num("moves")}
+	m.Summary = &message.RequestSummary{Class: num("class"), Tenant: num("tenant"), Remaining: 3*time.Second - span("waited"), Waited: span("waited"),
+		Hint: 100 * ms, Slots: 1, Transfers: num("moves")}
 	for _, x := range words[2:] {
 		name, fate, ok := strings.Cut(x, ":")
 		if !ok {
 			continue
 		}
 		worker, _ := strconv.Atoi(strings.TrimPrefix(name, "w"))
-		p := message.PastAttempt{Worker: uint64(worker), MayRun: true}
+		p := message.PastAttempt{WorkerID: uint64(worker), PossiblyExecuted: true}
 		for _, f := range strings.Split(fate, ",") {
 			switch what, d, _ := strings.Cut(f, "="); what {
 			case "ago":
-				p.Ago = mustSpan(s.t, d)
+				p.SentAgo = mustSpan(s.t, d)
 			case "began":
-				p.Began = mustSpan(s.t, d)
+				p.StartedAgo = mustSpan(s.t, d)
 			case "mayrun", "norun": // by the forwarder's book, whatever the result
-				p.MayRun = f == "mayrun"
+				p.PossiblyExecuted = f == "mayrun"
 			default:
 				p.Ended, p.Result = true, dispatch.Result(index(resultNames[:], f))
-				p.MayRun = !provesNotExecuted(p.Result)
+				p.PossiblyExecuted = !provesNotExecuted(p.Result)
 			}
 		}
-		m.Head.Attempts = append(m.Head.Attempts, p)
+		m.Summary.Attempts = append(m.Summary.Attempts, p)
 	}
 	return m
 }
--- a/internal/control/planner/heads.go
+++ b/internal/control/planner/heads.go
@@ -123,14 +123,14 @@
 	if b.stopDeadline > 0 {
 		return // it offers all of them elsewhere once it reads that
 	}
-	x := m.Head
+	x := m.Summary
 	if x == nil {
 		b.statistics.InvalidMessages++
 		return
 	}
 	b.statistics.Offers++
 	var onTheWay []attempt
-	if old := f.requests[m.Query]; old != nil {
+	if old := f.requests[m.RequestID]; old != nil {
 		if old.epoch == f.epoch { // what was ordered in this session and was not read yet will be
 			for i := len(x.Attempts); i < len(old.attempts); i++ {
 				if a := old.attempts[i]; a.commanded && !a.acknowledged && !a.ended {
@@ -153,7 +153,7 @@
 		return
 	}
 	b.enqueue(h)
-	if len(h.attempts) == 0 && x.Moves == 0 && x.Waited < resumedThreshold {
+	if len(h.attempts) == 0 && x.Transfers == 0 && x.Waited < resumedThreshold {
 		b.notifyPolicy(h.job)
 		h.knownToPolicy = true
 		return
@@ -165,15 +165,15 @@
 
 // addRequest makes a head of what was told.
 func (b *Planner) addRequest(f *forwarder, m *message.Message) *request {
-	x := m.Head
+	x := m.Summary
 	h := &request{}
 	if last := len(b.freeRequests) - 1; last >= 0 {
 		h, b.freeRequests = b.freeRequests[last], b.freeRequests[:last]
 	}
 	b.lastRequestID++
-	*h = request{id: b.lastRequestID, forwarderID: m.Query, forwarder: f, epoch: f.epoch, open: true, arrivedAt: b.now - clampSpan(x.Waited),
-		deadline: b.now + clampSpan(x.Left), transfers: max(0, x.Moves), attempts: h.attempts[:0]}
-	h.job = dispatch.Job{ID: h.id, Class: x.Class, Tenant: x.Tenant, Key: x.Key, Remaining: clampSpan(x.Left), Hint: clampSpan(x.Hint),
+	*h = request{id: b.lastRequestID, forwarderID: m.RequestID, forwarder: f, epoch: f.epoch, open: true, arrivedAt: b.now - clampSpan(x.Waited),
+		deadline: b.now + clampSpan(x.Remaining), transfers: max(0, x.Transfers), attempts: h.attempts[:0]}
+	h.job = dispatch.Job{ID: h.id, Class: x.Class, Tenant: x.Tenant, Key: x.Key, Remaining: clampSpan(x.Remaining), Hint: clampSpan(x.Hint),
 		Slots: x.Slots, Memory: x.Memory, Retry: x.Retry}
 	h.slots = 1
 	for _, s := range []float64{x.Slots, x.Memory} {
@@ -187,12 +187,12 @@
 	b.openCount++
 	for i := range x.Attempts {
 		p := &x.Attempts[i]
-		a := attempt{worker: b.workerByID(p.Worker), sentAt: b.now - clampSpan(p.Ago), ended: p.Ended, result: knownResult(p.Result)}
-		if p.Began > 0 {
-			a.startedAt = max(b.now-clampSpan(p.Began), a.sentAt)
+		a := attempt{worker: b.workerByID(p.WorkerID), sentAt: b.now - clampSpan(p.SentAgo), ended: p.Ended, result: knownResult(p.Result)}
+		if p.StartedAgo > 0 {
+			a.startedAt = max(b.now-clampSpan(p.StartedAgo), a.sentAt)
 		}
-		if a.ended && p.MayRun == provesNotExecuted(a.result) { // the forwarder's book knows better than a word
-			if a.result = dispatch.NotSent; p.MayRun {
+		if a.ended && p.PossiblyExecuted == provesNotExecuted(a.result) { // the forwarder's book knows better than a word
+			if a.result = dispatch.NotSent; p.PossiblyExecuted {
 				a.result = dispatch.ConnectionReset
 			}
 		}
@@ -312,7 +312,7 @@
 
 // openAttempt is an attempt that is out, by what a forwarder says; nil: there is none.
 func (b *Planner) openAttempt(f *forwarder, m *message.Message) (*request, *attempt) {
-	h := f.requests[m.Query]
+	h := f.requests[m.RequestID]
 	if h == nil || m.Attempt < 0 || m.Attempt >= len(h.attempts) || h.attempts[m.Attempt].ended {
 		return h, nil
 	}
@@ -321,23 +321,23 @@
 
 // attemptEnded takes in how an attempt has ended, or why its guard did not let it go.
 func (b *Planner) attemptEnded(f *forwarder, m *message.Message) {
-	if m.Why != message.ReasonNone {
-		b.recordRejection(f, m.Why)
-		if m.Word != nil {
-			b.statusReceived(*m.Word, f, nil)
+	if m.Reason != message.ReasonNone {
+		b.recordRejection(f, m.Reason)
+		if m.Status != nil {
+			b.statusReceived(*m.Status, f, nil)
 		}
 	}
 	h, a := b.openAttempt(f, m)
-	if a == nil || m.Why != message.ReasonNone && (!a.commanded || a.acknowledged) {
+	if a == nil || m.Reason != message.ReasonNone && (!a.commanded || a.acknowledged) {
 		b.statistics.StrayMessages++
 		return
 	}
 	result := knownResult(m.Result)
-	if m.Why != message.ReasonNone {
+	if m.Reason != message.ReasonNone {
 		result = dispatch.NotSent
 	}
 	b.endAttempt(h, m.Attempt, result)
-	lost := m.Why == message.ReasonUnknownRequest || m.Why == message.ReasonNotOwner
+	lost := m.Reason == message.ReasonUnknownRequest || m.Reason == message.ReasonNotOwner
 	b.notifyPolicy(dispatch.Outcome{Job: h.id, Attempt: m.Attempt, Worker: a.worker.ID, Result: result,
 		Closed: !h.open || result == dispatch.OK})
 	switch {
@@ -375,14 +375,14 @@
 	if a.acknowledged = true; a.startedAt == 0 {
 		a.startedAt = b.now
 	}
-	if share := m.Share; share >= 0 && share <= 1 { // else it says nothing
+	if share := m.Fraction; share >= 0 && share <= 1 { // else it says nothing
 		b.notifyPolicy(dispatch.Progressed{Job: h.id, Attempt: m.Attempt, Worker: a.worker.ID, Share: share})
 	}
 }
 
 // requestClosed takes in that nothing is owed for a query any more, or that it is not this planner's.
 func (b *Planner) requestClosed(f *forwarder, m *message.Message) {
-	if h := f.requests[m.Query]; h != nil && h.open {
+	if h := f.requests[m.RequestID]; h != nil && h.open {
 		b.notifyPolicy(dispatch.ClientDisconnected{Job: h.id})
 		if b.closeRequest(h); h.inFlight > 0 { // where it is another's now, nothing more is told of it
 			b.expireUnobserved(h)
@@ -442,20 +442,20 @@
 			b.sendAttempt(a)
 		case dispatch.Reject:
 			if h := b.requests[a.Job]; h != nil && h.open {
-				b.sendTo(h.forwarder, message.Message{Kind: message.KindRejectCommand, Query: h.forwarderID, After: a.RetryAfter})
+				b.sendTo(h.forwarder, message.Message{Kind: message.KindRejectCommand, RequestID: h.forwarderID, RetryAfter: a.RetryAfter})
 				b.statistics.Rejected++
 				b.closeRequest(h)
 			}
 		case dispatch.Fail:
 			if h := b.requests[a.Job]; h != nil && h.open {
-				b.sendTo(h.forwarder, message.Message{Kind: message.KindFailCommand, Query: h.forwarderID})
+				b.sendTo(h.forwarder, message.Message{Kind: message.KindFailCommand, RequestID: h.forwarderID})
 				b.statistics.Failed++
 				b.closeRequest(h)
 			}
 		case dispatch.Cancel:
 			if h := b.requests[a.Job]; h != nil && h.forwarder != nil && a.Attempt >= 0 && a.Attempt < len(h.attempts) &&
 				!h.attempts[a.Attempt].ended {
-				b.sendTo(h.forwarder, message.Message{Kind: message.KindCancelCommand, Query: h.forwarderID, Attempt: a.Attempt})
+				b.sendTo(h.forwarder, message.Message{Kind: message.KindCancelCommand, RequestID: h.forwarderID, Attempt: a.Attempt})
 			}
 		case dispatch.HealthCheck:
 			b.startHealthCheck(a.Worker)
@@ -492,7 +492,7 @@
 	b.addAttempt(h, attempt{worker: b.workerByID(a.Worker), sentAt: b.now, commanded: true})
 	b.queued.remove(h, queuedList)
 	b.statistics.Commands++
-	b.sendTo(h.forwarder, message.Message{Kind: message.KindSendCommand, Query: h.forwarderID, Attempt: n, Worker: a.Worker, Patience: a.AttemptTimeout})
+	b.sendTo(h.forwarder, message.Message{Kind: message.KindSendCommand, RequestID: h.forwarderID, Attempt: n, WorkerID: a.Worker, Timeout: a.AttemptTimeout})
 }
 
 // closeIdle closes idle links to a worker node: those of the forwarder that is to send there next, if that is why; else all.
@@ -500,30 +500,30 @@
 	if len(then) > 0 {
 		if s, ok := then[0].(dispatch.Send); ok && s.Worker == worker {
 			if h := b.requests[s.Job]; h != nil && h.open {
-				b.sendTo(h.forwarder, message.Message{Kind: message.KindCloseIdleCommand, Worker: worker})
+				b.sendTo(h.forwarder, message.Message{Kind: message.KindCloseIdleCommand, WorkerID: worker})
 				return
 			}
 		}
 	}
 	for _, f := range b.connected {
-		b.sendTo(f, message.Message{Kind: message.KindCloseIdleCommand, Worker: worker})
+		b.sendTo(f, message.Message{Kind: message.KindCloseIdleCommand, WorkerID: worker})
 	}
 }
 
 // rejectOffer ends a query that can't be taken in: there is no room for it, or its class is not known here.
 func (b *Planner) rejectOffer(f *forwarder, m *message.Message) {
 	b.statistics.OffersRejected++
-	x := m.Head
-	if to := b.peerWithMostRoom(1); to != "" && x.Moves < maxTransfers {
+	x := m.Summary
+	if to := b.peerWithMostRoom(1); to != "" && x.Transfers < maxTransfers {
 		b.statistics.Transferred++
-		b.sendTo(f, message.Message{Kind: message.KindTransferCommand, Query: m.Query, Name: to})
+		b.sendTo(f, message.Message{Kind: message.KindTransferCommand, RequestID: m.RequestID, Name: to})
 		return
 	}
 	for i := range x.Attempts {
-		if x.Attempts[i].MayRun {
-			b.sendTo(f, message.Message{Kind: message.KindFailCommand, Query: m.Query})
+		if x.Attempts[i].PossiblyExecuted {
+			b.sendTo(f, message.Message{Kind: message.KindFailCommand, RequestID: m.RequestID})
 			return
 		}
 	}
-	b.sendTo(f, message.Message{Kind: message.KindRejectCommand, Query: m.Query})
+	b.sendTo(f, message.Message{Kind: message.KindRejectCommand, RequestID: m.RequestID})
 }
--- a/internal/control/planner/members.go
+++ b/internal/control/planner/members.go
@@ -162,15 +162,15 @@
 	case message.KindRequestClosed:
 		b.requestClosed(f, m)
 	case message.KindHealthCheckResult:
-		if b.healthChecks[m.Worker].forwarder == f {
-			delete(b.healthChecks, m.Worker)
-			b.notifyPolicy(dispatch.HealthChecked{Worker: m.Worker, Result: knownResult(m.Result)})
+		if b.healthChecks[m.WorkerID].forwarder == f {
+			delete(b.healthChecks, m.WorkerID)
+			b.notifyPolicy(dispatch.HealthChecked{Worker: m.WorkerID, Result: knownResult(m.Result)})
 		}
 	case message.KindHeartbeat:
-		b.heartbeats = append(b.heartbeats, heartbeat{s.id, f.epoch, m.Number})
+		b.heartbeats = append(b.heartbeats, heartbeat{s.id, f.epoch, m.Sequence})
 	case message.KindWorkerStatus:
-		if m.Word != nil {
-			b.statusReceived(*m.Word, f, nil)
+		if m.Status != nil {
+			b.statusReceived(*m.Status, f, nil)
 		}
 	default:
 		b.statistics.InvalidMessages++
@@ -204,7 +204,7 @@
 		return
 	}
 	if f == nil {
-		f = &forwarder{name: m.Name, incarnation: m.Process, requests: map[uint64]*request{}}
+		f = &forwarder{name: m.Name, incarnation: m.Incarnation, requests: map[uint64]*request{}}
 		b.forwarders[m.Name] = f
 	}
 	if old := f.session; old != nil {
@@ -214,9 +214,9 @@
 			b.closeSession(old)
 		}
 	}
-	if f.incarnation != m.Process {
+	if f.incarnation != m.Incarnation {
 		b.detachRequests(f)
-		f.incarnation = m.Process
+		f.incarnation = m.Incarnation
 	}
 	f.epoch, f.session, s.forwarder = m.Epoch, s, f
 	at, _ := slices.BinarySearchFunc(b.connected, f.name, compareForwarder)
@@ -231,7 +231,7 @@
 }
 
 func (b *Planner) handshakeAccept(epoch message.Epoch, credit int) message.Message {
-	return message.Message{Kind: message.KindHandshakeAccept, Epoch: epoch, Name: b.config.Name, Process: b.config.Incarnation,
+	return message.Message{Kind: message.KindHandshakeAccept, Epoch: epoch, Name: b.config.Name, Incarnation: b.config.Incarnation,
 		Version: b.config.Version, Credit: credit}
 }
 
@@ -350,7 +350,7 @@
 			b.modelSnapshot, b.snapshotAt = m.ModelSnapshot(b.config.MaxSnapshotBytes, nil), b.now
 		}
 		f.snapshotDue = b.now + b.config.SnapshotInterval
-		b.sendTo(f, message.Message{Kind: message.KindModelSnapshot, Age: b.now - b.snapshotAt, Bytes: b.modelSnapshot})
+		b.sendTo(f, message.Message{Kind: message.KindModelSnapshot, Age: b.now - b.snapshotAt, Data: b.modelSnapshot})
 	}
 }
 
@@ -365,5 +365,5 @@
 	b.nextHealthChecker++
 	f := b.connected[b.nextHealthChecker%len(b.connected)]
 	b.healthChecks[worker] = healthCheck{f, b.now}
-	b.sendTo(f, message.Message{Kind: message.KindHealthCheckCommand, Worker: worker})
+	b.sendTo(f, message.Message{Kind: message.KindHealthCheckCommand, WorkerID: worker})
 }
--- a/internal/control/planner/model_test.go
+++ b/internal/control/planner/model_test.go
@@ -169,7 +169,7 @@
 		x := workerStatusOf(&w, p.lists)
 		x.StartedMs = max(x.StartedMs, known.BootAt.Milliseconds())
 		x.State = message.WorkerGone
-		if was := p.words[w.ID]; was.Newer(x) && was.State != message.WorkerGone {
+		if was := p.words[w.ID]; was.Supersedes(x) && was.State != message.WorkerGone {
 			return
 		}
 		delete(p.list, w.ID)
@@ -178,8 +178,8 @@
 }
 
 func (p *play) newest(w message.WorkerStatus) {
-	if was, ok := p.words[w.Worker]; !ok || w.Newer(was) {
-		p.words[w.Worker] = w
+	if was, ok := p.words[w.WorkerID]; !ok || w.Supersedes(was) {
+		p.words[w.WorkerID] = w
 	}
 }
 
@@ -216,8 +216,8 @@
 				c.epoch, c.credit = m.Epoch, 0 // what was told in the session before is void
 			}
 			if m.Kind == message.KindWorkerStatus && c.who.welcomedAs(id, m.Epoch) {
-				if _, listed := p.list[m.Word.Worker]; listed || m.Word.State != message.WorkerUp || p.words[m.Word.Worker].Worker != 0 {
-					p.newest(*m.Word)
+				if _, listed := p.list[m.Status.WorkerID]; listed || m.Status.State != message.WorkerUp || p.words[m.Status.WorkerID].WorkerID != 0 {
+					p.newest(*m.Status)
 				}
 			}
 			p.ins = append(p.ins, Event{Kind: ForwarderMessage, Session: id, Message: &m})
@@ -293,12 +293,12 @@
 		}
 	case message.KindSendCommand:
 		p.sends++
-		w, listed := p.list[m.Worker]
-		if !listed || p.words[m.Worker].State != message.WorkerUp {
-			p.t.Fatalf("order to worker %d, of which the newest word is %+v", m.Worker, p.words[m.Worker])
+		w, listed := p.list[m.WorkerID]
+		if !listed || p.words[m.WorkerID].State != message.WorkerUp {
+			p.t.Fatalf("order to worker %d, of which the newest word is %+v", m.WorkerID, p.words[m.WorkerID])
 		}
 		if who := p.owner[w.Cell%len(p.owner)]; who != me {
-			p.t.Fatalf("order to worker %d, which is %s's", m.Worker, who)
+			p.t.Fatalf("order to worker %d, which is %s's", m.WorkerID, who)
 		}
 	case message.KindTransferCommand:
 		if p.moves++; m.Name != "" && !p.peers[m.Name] {
@@ -358,7 +358,7 @@
 	}
 	f.lose()
 	f.epoch++
-	f.tell(message.Message{Kind: message.KindHandshake, Name: f.name, Process: f.process, Version: 0x101})
+	f.tell(message.Message{Kind: message.KindHandshake, Name: f.name, Incarnation: f.process, Version: 0x101})
 }
 
 // hear takes what the planner says.
@@ -367,7 +367,7 @@
 	if c != f.conn || m.Epoch != f.epoch {
 		return
 	}
-	q := f.queries[m.Query]
+	q := f.queries[m.RequestID]
 	switch m.Kind {
 	case message.KindHandshakeAccept:
 		f.open, f.credit = true, m.Credit
@@ -377,7 +377,7 @@
 		f.leaving = true
 		for _, q := range f.inOrder() {
 			if q.with == f.epoch {
-				f.tell(message.Message{Kind: message.KindRequestClosed, Query: q.id})
+				f.tell(message.Message{Kind: message.KindRequestClosed, RequestID: q.id})
 				q.with = 0
 			}
 		}
@@ -392,10 +392,10 @@
 		}
 		if m.Kind == message.KindTransferCommand {
 			q.with, q.barred = 0, f.epoch
-			if m.Name != "" && q.head.Moves >= 2 {
-				p.t.Fatalf("query %d moved %d times", q.id, q.head.Moves)
+			if m.Name != "" && q.head.Transfers >= 2 {
+				p.t.Fatalf("query %d moved %d times", q.id, q.head.Transfers)
 			}
-			if q.head.Moves++; m.Name == "" || p.one(2) {
+			if q.head.Transfers++; m.Name == "" || p.one(2) {
 				f.close(q)
 			}
 			return
@@ -409,7 +409,7 @@
 			}
 		}
 	case message.KindHealthCheckCommand:
-		f.tell(message.Message{Kind: message.KindHealthCheckResult, Worker: m.Worker, Result: dispatch.Result(p.pick(9))})
+		f.tell(message.Message{Kind: message.KindHealthCheckResult, WorkerID: m.WorkerID, Result: dispatch.Result(p.pick(9))})
 	}
 }
 
@@ -424,7 +424,7 @@
 func (f *mForwarder) obey(q *mQuery, m *message.Message) {
 	p := f.p
 	refuse := func(why message.RejectReason) {
-		f.tell(message.Message{Kind: message.KindAttemptEnded, Query: m.Query, Attempt: m.Attempt, Result: dispatch.NotSent, Why: why})
+		f.tell(message.Message{Kind: message.KindAttemptEnded, RequestID: m.RequestID, Attempt: m.Attempt, Result: dispatch.NotSent, Reason: why})
 	}
 	switch {
 	case q == nil || q.over:
@@ -438,8 +438,8 @@
 	}
 	q.next++
 	for _, a := range q.attempts {
-		if !a.ended && a.worker == m.Worker {
-			p.t.Fatalf("query %d goes twice to worker %d", q.id, m.Worker)
+		if !a.ended && a.worker == m.WorkerID {
+			p.t.Fatalf("query %d goes twice to worker %d", q.id, m.WorkerID)
 		}
 		c := &p.b.config.Settings.Classes[q.head.Class]
 		if c.Idempotency == dispatch.NonIdempotent && (!a.ended || !provesNotExecuted(a.result)) {
@@ -450,7 +450,7 @@
 		refuse([]message.RejectReason{message.ReasonWorkerDraining, message.ReasonUnknownWorker, message.ReasonDeadlineExceeded}[p.pick(3)])
 		return
 	}
-	q.attempts = append(q.attempts, mAttempt{worker: m.Worker, sent: p.now, number: m.Attempt})
+	q.attempts = append(q.attempts, mAttempt{worker: m.WorkerID, sent: p.now, number: m.Attempt})
 	n := len(q.attempts) - 1
 	at := p.now + p.span(40*ms)
 	if p.one(8) { // nothing is heard of it
@@ -481,7 +481,7 @@
 	}
 	a.ended, a.result = true, r
 	if q.with == f.epoch {
-		f.tell(message.Message{Kind: message.KindAttemptEnded, Query: q.id, Attempt: a.number, Result: r})
+		f.tell(message.Message{Kind: message.KindAttemptEnded, RequestID: q.id, Attempt: a.number, Result: r})
 	}
 	if r == dispatch.OK && !q.over {
 		f.close(q)
@@ -507,7 +507,7 @@
 		if a := &q.attempts[d.attempt]; !d.starts {
 			f.end(q, d.attempt, d.result)
 		} else if a.began = p.now; q.with == f.epoch {
-			f.tell(message.Message{Kind: message.KindAttemptStarted, Query: q.id, Attempt: a.number})
+			f.tell(message.Message{Kind: message.KindAttemptStarted, RequestID: q.id, Attempt: a.number})
 		}
 	}
 	open := 0
@@ -515,7 +515,7 @@
 		out := slices.ContainsFunc(q.attempts, func(a mAttempt) bool { return !a.ended })
 		if !q.over && (p.now >= q.deadline || p.one(400)) {
 			if q.with == f.epoch {
-				f.tell(message.Message{Kind: message.KindRequestClosed, Query: q.id})
+				f.tell(message.Message{Kind: message.KindRequestClosed, RequestID: q.id})
 			}
 			f.close(q)
 		}
@@ -551,19 +551,19 @@
 
 func (f *mForwarder) offer(q *mQuery) {
 	h := q.head
-	h.Left, h.Waited = q.deadline-f.p.now, f.p.now-q.came
+	h.Remaining, h.Waited = q.deadline-f.p.now, f.p.now-q.came
 	for i := range q.attempts {
 		a := &q.attempts[i]
 		a.number = i
-		past := message.PastAttempt{Worker: a.worker, Ago: f.p.now - a.sent, Ended: a.ended, Result: a.result,
-			MayRun: !a.ended || !provesNotExecuted(a.result)}
+		past := message.PastAttempt{WorkerID: a.worker, SentAgo: f.p.now - a.sent, Ended: a.ended, Result: a.result,
+			PossiblyExecuted: !a.ended || !provesNotExecuted(a.result)}
 		if a.began > 0 {
-			past.Began = f.p.now - a.began + 1
+			past.StartedAgo = f.p.now - a.began + 1
 		}
 		h.Attempts = append(h.Attempts, past)
 	}
 	q.next, q.with = len(q.attempts), f.epoch
-	f.tell(message.Message{Kind: message.KindRequestOffer, Query: q.id, Head: &h})
+	f.tell(message.Message{Kind: message.KindRequestOffer, RequestID: q.id, Summary: &h})
 }
 
 // mischief is what happens to them all.
@@ -607,10 +607,10 @@
 		}
 	case 8, 9: // a word, of the list that is or one to come, or of one before
 		w := p.nodes[p.pick(len(p.nodes))]
-		x := message.WorkerStatus{Worker: w.ID, StartedMs: w.BootAt.Milliseconds(), Generation: p.lists + int64(p.pick(3)) - 1,
+		x := message.WorkerStatus{WorkerID: w.ID, StartedMs: w.BootAt.Milliseconds(), Revision: p.lists + int64(p.pick(3)) - 1,
 			State: message.WorkerState(p.pick(3))}
 		if p.one(2) {
-			f.tell(message.Message{Kind: message.KindWorkerStatus, Word: &x})
+			f.tell(message.Message{Kind: message.KindWorkerStatus, Status: &x})
 		}
 	case 10: // planners come and go
 		name := []string{"plan-b", "plan-c"}[p.pick(2)]
@@ -631,7 +631,7 @@
 	case 11:
 		for _, name := range slices.Sorted(maps.Keys(p.peers)) {
 			p.ins = append(p.ins, Event{Kind: PeerMessage, Peer: name, Message: &message.Message{Kind: message.KindLoadReport, Epoch: 1,
-				Load: &message.LoadReport{Heads: p.pick(20), Held: p.pick(3), Room: float64(p.pick(20))}}})
+				LoadReport: &message.LoadReport{OpenRequests: p.pick(20), QueuedRequests: p.pick(3), FreeSlots: float64(p.pick(20))}}})
 		}
 	case 12:
 		p.ins = append(p.ins, Event{Kind: EndpointsChanged, Endpoints: dispatch.WorkerList{Kind: dispatch.ListUnavailable}})
--- a/internal/control/planner/peers.go
+++ b/internal/control/planner/peers.go
@@ -79,12 +79,12 @@
 	}
 	b.peerEpoch++
 	p.connected, p.remoteEpoch, p.epoch = true, 0, b.peerEpoch
-	b.sendToPeer(p, message.Message{Kind: message.KindPeerHandshake, Name: b.config.Name, Process: b.config.Incarnation, Version: b.config.Version})
+	b.sendToPeer(p, message.Message{Kind: message.KindPeerHandshake, Name: b.config.Name, Incarnation: b.config.Incarnation, Version: b.config.Version})
 	b.sendToPeer(p, b.loadReport())
 	for _, h := range b.workerList {
 		if h.hasStatus && h.status.State != message.WorkerUp {
 			w := h.status
-			b.sendToPeer(p, message.Message{Kind: message.KindWorkerStatus, Word: &w})
+			b.sendToPeer(p, message.Message{Kind: message.KindWorkerStatus, Status: &w})
 		}
 	}
 }
@@ -117,17 +117,17 @@
 		p.remoteEpoch = m.Epoch
 	case p.remoteEpoch == 0 || m.Epoch != p.remoteEpoch:
 		b.statistics.StrayMessages++
-	case m.Kind == message.KindWorkerStatus && m.Word != nil:
-		b.statusReceived(*m.Word, nil, p)
-	case m.Kind == message.KindLoadReport && m.Load != nil && isValidLoadReport(m.Load):
-		p.load, p.loadAt, p.claimedSlots = *m.Load, b.now, 0
+	case m.Kind == message.KindWorkerStatus && m.Status != nil:
+		b.statusReceived(*m.Status, nil, p)
+	case m.Kind == message.KindLoadReport && m.LoadReport != nil && isValidLoadReport(m.LoadReport):
+		p.load, p.loadAt, p.claimedSlots = *m.LoadReport, b.now, 0
 	default:
 		b.statistics.InvalidMessages++
 	}
 }
 
 func isValidLoadReport(l *message.LoadReport) bool {
-	return l.Heads >= 0 && l.Held >= 0 && l.Slots >= 0 && l.Slots < 1e9 && l.Room >= 0 && l.Room < 1e9 && l.Late >= 0
+	return l.OpenRequests >= 0 && l.QueuedRequests >= 0 && l.UsedSlots >= 0 && l.UsedSlots < 1e9 && l.FreeSlots >= 0 && l.FreeSlots < 1e9 && l.TimerLag >= 0
 }
 
 // loadReport is how this planner does.
@@ -136,8 +136,8 @@
 	for h := b.queued.first; h != nil; h = h.links[queuedList].next {
 		held++
 	}
-	return message.Message{Kind: message.KindLoadReport, Load: &message.LoadReport{Heads: b.openCount, Held: held, Forwarders: len(b.connected),
-		Late: b.timerLag, Slots: max(0, b.slotsInUse), Room: b.freeSlots()}}
+	return message.Message{Kind: message.KindLoadReport, LoadReport: &message.LoadReport{OpenRequests: b.openCount, QueuedRequests: held, Forwarders: len(b.connected),
+		TimerLag: b.timerLag, UsedSlots: max(0, b.slotsInUse), FreeSlots: b.freeSlots()}}
 }
 
 // freeSlots is how many slots are free, as far as is known: the module's word, or the worker nodes at which nothing is.
@@ -179,7 +179,7 @@
 		switch {
 		case !p.alive:
 		case p.loadAt > 0 && b.now-p.loadAt <= loadReportValidity:
-			sum += float64(p.load.Heads) + 1
+			sum += float64(p.load.OpenRequests) + 1
 		default:
 			sum += mine
 		}
@@ -196,7 +196,7 @@
 func (b *Planner) peerWithMostRoom(slots float64) string {
 	best, most := "", slots+transferSlotMargin
 	for _, p := range b.peerTable.peers {
-		free := p.load.Room - float64(p.load.Held) - p.claimedSlots
+		free := p.load.FreeSlots - float64(p.load.QueuedRequests) - p.claimedSlots
 		if p.alive && p.loadAt > 0 && b.now-p.loadAt <= loadReportValidity && free > most {
 			best, most = p.name, free
 		}
@@ -247,7 +247,7 @@
 // transfer hands a head on. told: the module has it.
 func (b *Planner) transfer(h *request, to string, told bool) {
 	b.statistics.Transferred++
-	b.sendTo(h.forwarder, message.Message{Kind: message.KindTransferCommand, Query: h.forwarderID, Name: to})
+	b.sendTo(h.forwarder, message.Message{Kind: message.KindTransferCommand, RequestID: h.forwarderID, Name: to})
 	if told {
 		b.notifyPolicy(dispatch.ClientDisconnected{Job: h.id})
 	}
--- a/internal/control/planner/planner.go
+++ b/internal/control/planner/planner.go
@@ -223,7 +223,7 @@
 	b.runPolicy()
 	for _, q := range b.heartbeats {
 		if s := b.sessions[q.session]; s != nil && s.forwarder != nil && s.forwarder.epoch == q.epoch {
-			b.sendTo(s.forwarder, message.Message{Kind: message.KindHeartbeatReply, Number: q.sequence, Late: b.timerLag})
+			b.sendTo(s.forwarder, message.Message{Kind: message.KindHeartbeatReply, Sequence: q.sequence, TimerLag: b.timerLag})
 		}
 	}
 	b.heartbeats = b.heartbeats[:0]
--- a/internal/control/validator/guard.go
+++ b/internal/control/validator/guard.go
@@ -209,8 +209,8 @@
 			g.statuses.markUnlisted(w.ID)
 			continue
 		}
-		n := listedWorker{w.Kind, w.Cell, w.Zone, message.WorkerStatus{Worker: w.ID, StartedMs: w.BootAt.Milliseconds(),
-			Generation: e.Revision}}
+		n := listedWorker{w.Kind, w.Cell, w.Zone, message.WorkerStatus{WorkerID: w.ID, StartedMs: w.BootAt.Milliseconds(),
+			Revision: e.Revision}}
 		if !w.Ready {
 			n.status.State = message.WorkerDraining
 		}
@@ -313,7 +313,7 @@
 	default:
 		return message.ReasonNotPermitted
 	}
-	q := g.requests[m.Query]
+	q := g.requests[m.RequestID]
 	switch {
 	case q == nil || q.closed || q.streaming:
 		return message.ReasonUnknownRequest
@@ -326,7 +326,7 @@
 			return message.ReasonDuplicateCommand
 		}
 		q.nextCommand, q.validatedCommand = m.Attempt+1, m.Attempt
-		return g.validateSend(q, m.Worker)
+		return g.validateSend(q, m.WorkerID)
 	case message.KindRejectCommand:
 		if !q.canReject() {
 			return message.ReasonUnsafeRejection
@@ -335,7 +335,7 @@
 		if !g.settings.Cancellation {
 			return message.ReasonNotPermitted
 		}
-		i, ok := g.AttemptIndex(m.Query, m.Attempt)
+		i, ok := g.AttemptIndex(m.RequestID, m.Attempt)
 		if !ok || q.attempts[i].ended {
 			return message.ReasonUnknownRequest
 		}
@@ -344,7 +344,7 @@
 }
 
 func (g *Validator) validateWorker(m *message.Message) message.RejectReason {
-	if _, listed := g.workers[m.Worker]; !listed {
+	if _, listed := g.workers[m.WorkerID]; !listed {
 		return message.ReasonUnknownWorker
 	}
 	if m.Kind == message.KindHealthCheckCommand && !g.settings.HealthChecks {
@@ -480,9 +480,9 @@
 	}
 	for i := range q.attempts {
 		a := &q.attempts[i]
-		p := message.PastAttempt{Worker: a.workerID, Ago: g.now - a.sentAt, Ended: a.ended, Result: a.result, MayRun: a.possiblyExecuted()}
+		p := message.PastAttempt{WorkerID: a.workerID, SentAgo: g.now - a.sentAt, Ended: a.ended, Result: a.result, PossiblyExecuted: a.possiblyExecuted()}
 		if a.startedAt > 0 {
-			p.Began = max(g.now-a.startedAt, 1)
+			p.StartedAgo = max(g.now-a.startedAt, 1)
 		}
 		dst = append(dst, p)
 	}
@@ -495,8 +495,8 @@
 	if time.Duration(w.StartedMs) > (g.now+maxClockSkew)/time.Millisecond || w.StartedMs < 0 {
 		return false
 	}
-	n, listed := g.workers[w.Worker]
-	return g.statuses.update(w, listed) && (!listed || w.Newer(n.status))
+	n, listed := g.workers[w.WorkerID]
+	return g.statuses.update(w, listed) && (!listed || w.Supersedes(n.status))
 }
 
 // BlockingStatus is the newest word by which a worker node gets nothing.
--- a/internal/control/validator/guard_test.go
+++ b/internal/control/validator/guard_test.go
@@ -188,8 +188,8 @@
 	case "give":
 		p.g.Assign(p.number(f[0]), message.Epoch(p.number(f[1])))
 	case "word":
-		w := message.WorkerStatus{Worker: p.number(f[0]), StartedMs: p.span(f[1]).Milliseconds(),
-			Generation: int64(p.number("=" + f[2]))}
+		w := message.WorkerStatus{WorkerID: p.number(f[0]), StartedMs: p.span(f[1]).Milliseconds(),
+			Revision: int64(p.number("=" + f[2]))}
 		w.State = map[string]message.WorkerState{"up": message.WorkerUp, "draining": message.WorkerDraining, "gone": message.WorkerGone}[f[3]]
 		p.g.ObserveStatus(p.now, w)
 	default:
@@ -206,11 +206,11 @@
 	for _, x := range f[1:] {
 		switch x[0] {
 		case 'q':
-			m.Query = p.number(x)
+			m.RequestID = p.number(x)
 		case '#':
 			m.Attempt = int(p.number(x))
 		case 'w':
-			m.Worker = p.number(x)
+			m.WorkerID = p.number(x)
 		}
 	}
 	why := p.g.Validate(p.now, message.Epoch(p.number(f[0])), &m)
@@ -219,11 +219,11 @@
 	}
 	switch m.Kind {
 	case message.KindSendCommand:
-		p.g.Apply(p.now, dispatch.Send{Job: m.Query, Worker: m.Worker})
+		p.g.Apply(p.now, dispatch.Send{Job: m.RequestID, Worker: m.WorkerID})
 	case message.KindRejectCommand:
-		p.g.Apply(p.now, dispatch.Reject{Job: m.Query})
+		p.g.Apply(p.now, dispatch.Reject{Job: m.RequestID})
 	case message.KindFailCommand:
-		p.g.Apply(p.now, dispatch.Fail{Job: m.Query})
+		p.g.Apply(p.now, dispatch.Fail{Job: m.RequestID})
 	}
 	return why
 }
@@ -239,7 +239,7 @@
 		}
 		g.Observe(time.Hour, list)
 		for id := uint64(1); id <= 20000; id++ {
-			if !g.ObserveStatus(time.Hour, message.WorkerStatus{Worker: id, Generation: 2, State: message.WorkerDraining}) {
+			if !g.ObserveStatus(time.Hour, message.WorkerStatus{WorkerID: id, Revision: 2, State: message.WorkerDraining}) {
 				t.Fatalf("word of %d is no news", id)
 			}
 		}
@@ -253,7 +253,7 @@
 		}
 		g.Observe(time.Hour, dispatch.WorkerList{Kind: dispatch.ListFull}) // strangers all
 		for id := uint64(30001); id <= 30003; id++ {
-			g.ObserveStatus(time.Hour, message.WorkerStatus{Worker: id, State: message.WorkerGone})
+			g.ObserveStatus(time.Hour, message.WorkerStatus{WorkerID: id, State: message.WorkerGone})
 		}
 		for id := range g.statuses.latest {
 			held = append(held, id)
@@ -272,7 +272,7 @@
 	now := 1000 * time.Hour
 	g.Observe(now, dispatch.WorkerList{Kind: dispatch.ListFull, Revision: 9, Workers: []dispatch.Worker{{ID: 1, Ready: true}}})
 	for _, at := range []int64{(now + 2*time.Minute).Milliseconds(), -1, 1 << 62} {
-		if g.ObserveStatus(now, message.WorkerStatus{Worker: 1, StartedMs: at, Generation: 10, State: message.WorkerDraining}) || g.Blocked(1) {
+		if g.ObserveStatus(now, message.WorkerStatus{WorkerID: 1, StartedMs: at, Revision: 10, State: message.WorkerDraining}) || g.Blocked(1) {
 			t.Errorf("a start at %d is believed", at)
 		}
 	}
@@ -296,7 +296,7 @@
 		id++
 		g.Observe(1, dispatch.Job{ID: id, Remaining: time.Second})
 		g.Assign(id, 1)
-		m := message.Message{Kind: message.KindSendCommand, Query: id, Worker: id % 1000}
+		m := message.Message{Kind: message.KindSendCommand, RequestID: id, WorkerID: id % 1000}
 		if why := g.Validate(1, 1, &m); why != message.ReasonNone {
 			b.Fatal(why)
 		}
--- a/internal/control/validator/model_test.go
+++ b/internal/control/validator/model_test.go
@@ -39,13 +39,13 @@
 	}
 	against(message.ReasonStaleEpoch, epoch != LocalEpoch && !open[epoch])
 	list, words := h.list(), h.words()
-	w, listed := list[m.Worker]
+	w, listed := list[m.WorkerID]
 	if m.Kind == message.KindHealthCheckCommand || m.Kind == message.KindCloseIdleCommand {
 		against(message.ReasonUnknownWorker, !listed)
 		against(message.ReasonNotPermitted, m.Kind == message.KindHealthCheckCommand && !h.set.HealthChecks)
 		return why
 	}
-	q := h.query(m.Query)
+	q := h.query(m.RequestID)
 	if q == nil || q.over {
 		return append(why, message.ReasonUnknownRequest)
 	}
@@ -69,11 +69,11 @@
 		against(message.ReasonUnknownWorker, !listed)
 		against(message.ReasonClassMismatch, c.Kinds != nil && !slices.Contains(c.Kinds, w.Kind) || c.Zones != nil &&
 			!slices.Contains(c.Zones, w.Zone))
-		newest := words[m.Worker]
-		own := message.WorkerStatus{Worker: w.ID, StartedMs: w.BootAt.Milliseconds(), Generation: w.gen}
-		against(message.ReasonWorkerDraining, !w.Ready || newest != nil && newest.State != message.WorkerUp && !own.Newer(*newest))
+		newest := words[m.WorkerID]
+		own := message.WorkerStatus{WorkerID: w.ID, StartedMs: w.BootAt.Milliseconds(), Revision: w.gen}
+		against(message.ReasonWorkerDraining, !w.Ready || newest != nil && newest.State != message.WorkerUp && !own.Supersedes(*newest))
 		for _, t := range q.tries {
-			against(message.ReasonDuplicateAtWorker, !t.ended && t.worker == m.Worker)
+			against(message.ReasonDuplicateAtWorker, !t.ended && t.worker == m.WorkerID)
 			against(message.ReasonHedgingDisabled, !t.ended && !h.set.Hedging)
 			if !t.mayHaveRun() {
 				continue
@@ -115,8 +115,8 @@
 func (h *history) words() map[uint64]*message.WorkerStatus {
 	words := map[uint64]*message.WorkerStatus{}
 	for _, x := range h.past {
-		if x.word != nil && (words[x.word.Worker] == nil || x.word.Newer(*words[x.word.Worker])) {
-			words[x.word.Worker] = x.word
+		if x.word != nil && (words[x.word.WorkerID] == nil || x.word.Supersedes(*words[x.word.WorkerID])) {
+			words[x.word.WorkerID] = x.word
 		}
 	}
 	return words
@@ -172,8 +172,8 @@
 		}
 		switch {
 		case x.sent != nil && x.sent.Kind == message.KindSendCommand:
-			at := h.listAt(i)[x.sent.Worker]
-			q.tries = append(q.tries, modelTry{worker: x.sent.Worker, cell: at.Cell, zone: at.Zone, num: x.sent.Attempt,
+			at := h.listAt(i)[x.sent.WorkerID]
+			q.tries = append(q.tries, modelTry{worker: x.sent.WorkerID, cell: at.Cell, zone: at.Zone, num: x.sent.Attempt,
 				at: x.at})
 		case x.sent != nil:
 			q.over = true
@@ -227,11 +227,11 @@
 			hear(modelList(s, h, dispatch.ListKind(s.Pick(4))))
 			s.Did("list")
 		case what == 2:
-			w := message.WorkerStatus{Worker: uint64(s.Pick(6)), StartedMs: int64(s.Pick(3)) * 1000,
-				Generation: int64(s.Pick(6)), State: message.WorkerState(s.Pick(3))}
-			before, own := h.words()[w.Worker], h.list()
-			x, listed := own[w.Worker]
-			news := (before == nil || w.Newer(*before)) && (!listed || w.Newer(modelWord(x)))
+			w := message.WorkerStatus{WorkerID: uint64(s.Pick(6)), StartedMs: int64(s.Pick(3)) * 1000,
+				Revision: int64(s.Pick(6)), State: message.WorkerState(s.Pick(3))}
+			before, own := h.words()[w.WorkerID], h.list()
+			x, listed := own[w.WorkerID]
+			news := (before == nil || w.Supersedes(*before)) && (!listed || w.Supersedes(modelWord(x)))
 			note(happening{word: &w})
 			s.Check(g.ObserveStatus(h.now, w) == news, "news of %+v: expected %v", w, news)
 			s.Did("word")
@@ -260,7 +260,7 @@
 		default:
 			m := &message.Message{Kind: []message.Kind{message.KindSendCommand, message.KindSendCommand, message.KindSendCommand, message.KindSendCommand, message.KindRejectCommand, message.KindFailCommand,
 				message.KindCancelCommand,
-				message.KindHealthCheckCommand, message.KindCloseIdleCommand}[s.Pick(9)], Query: id, Worker: uint64(s.Pick(6))}
+				message.KindHealthCheckCommand, message.KindCloseIdleCommand}[s.Pick(9)], RequestID: id, WorkerID: uint64(s.Pick(6))}
 			if q != nil {
 				if epoch = q.owner; s.Pick(8) == 0 {
 					epoch = message.Epoch(s.Pick(4))
@@ -282,7 +282,7 @@
 			switch m.Kind {
 			case message.KindSendCommand:
 				note(happening{query: id, sent: m})
-				g.Apply(h.now, dispatch.Send{Job: id, Worker: m.Worker})
+				g.Apply(h.now, dispatch.Send{Job: id, Worker: m.WorkerID})
 			case message.KindRejectCommand:
 				note(happening{query: id, sent: m})
 				g.Apply(h.now, dispatch.Reject{Job: id})
@@ -296,8 +296,8 @@
 		q := h.query(id)
 		for n, a := range g.AppendAttempts(h.now, id, nil) {
 			t := q.tries[n]
-			s.Check(a == message.PastAttempt{Worker: t.worker, Ago: h.now - t.at, Ended: t.ended, Result: t.result,
-				MayRun: t.mayHaveRun()},
+			s.Check(a == message.PastAttempt{WorkerID: t.worker, SentAgo: h.now - t.at, Ended: t.ended, Result: t.result,
+				PossiblyExecuted: t.mayHaveRun()},
 				"fate %+v of %+v", a, t)
 		}
 		for n, t := range q.tries {
@@ -311,7 +311,7 @@
 }
 
 func modelWord(n modelNode) message.WorkerStatus {
-	w := message.WorkerStatus{Worker: n.ID, StartedMs: n.BootAt.Milliseconds(), Generation: n.gen}
+	w := message.WorkerStatus{WorkerID: n.ID, StartedMs: n.BootAt.Milliseconds(), Revision: n.gen}
 	if !n.Ready {
 		w.State = message.WorkerDraining
 	}
@@ -392,7 +392,7 @@
 		g.Observe(now, list)
 		d.Step(now-time.Millisecond, []dispatch.Event{list}, nil)
 		g.Assign(1, LocalEpoch)
-		may := g.Validate(now, LocalEpoch, &message.Message{Kind: message.KindSendCommand, Query: 1, Attempt: n, Worker: 9})
+		may := g.Validate(now, LocalEpoch, &message.Message{Kind: message.KindSendCommand, RequestID: 1, Attempt: n, WorkerID: 9})
 		for _, a := range d.Step(now, []dispatch.Event{dispatch.JobResumed{Job: job, Attempts: pasts}}, nil) {
 			switch a.(type) {
 			case dispatch.Send:
@@ -480,19 +480,19 @@
 				m := message.Message{}
 				switch a := a.(type) {
 				case dispatch.Send:
-					m = message.Message{Kind: message.KindSendCommand, Query: a.Job, Attempt: tries[a.Job], Worker: a.Worker}
+					m = message.Message{Kind: message.KindSendCommand, RequestID: a.Job, Attempt: tries[a.Job], WorkerID: a.Worker}
 					outs = append(outs, out{a.Job, a.Worker, tries[a.Job]})
 					tries[a.Job]++
 				case dispatch.Reject:
-					m = message.Message{Kind: message.KindRejectCommand, Query: a.Job}
+					m = message.Message{Kind: message.KindRejectCommand, RequestID: a.Job}
 				case dispatch.Fail:
-					m = message.Message{Kind: message.KindFailCommand, Query: a.Job}
+					m = message.Message{Kind: message.KindFailCommand, RequestID: a.Job}
 				case dispatch.Cancel:
-					m = message.Message{Kind: message.KindCancelCommand, Query: a.Job, Attempt: a.Attempt}
+					m = message.Message{Kind: message.KindCancelCommand, RequestID: a.Job, Attempt: a.Attempt}
 				case dispatch.HealthCheck:
-					m = message.Message{Kind: message.KindHealthCheckCommand, Worker: a.Worker}
+					m = message.Message{Kind: message.KindHealthCheckCommand, WorkerID: a.Worker}
 				case dispatch.CloseIdleConnections:
-					m = message.Message{Kind: message.KindCloseIdleCommand, Worker: a.Worker}
+					m = message.Message{Kind: message.KindCloseIdleCommand, WorkerID: a.Worker}
 				case dispatch.SetTimer:
 					if at := now + a.After; timer == 0 || at < timer {
 						timer = at
--- a/internal/control/validator/words.go
+++ b/internal/control/validator/words.go
@@ -20,15 +20,15 @@
 
 // update keeps a word that is newer than the last one of its node.
 func (w *statusTable) update(x message.WorkerStatus, listed bool) bool {
-	was, known := w.latest[x.Worker]
-	if known && !x.Newer(was) {
+	was, known := w.latest[x.WorkerID]
+	if known && !x.Supersedes(was) {
 		return false
 	}
-	w.latest[x.Worker] = x
+	w.latest[x.WorkerID] = x
 	if listed {
-		w.markListed(x.Worker)
+		w.markListed(x.WorkerID)
 	} else {
-		w.markUnlisted(x.Worker)
+		w.markUnlisted(x.WorkerID)
 	}
 	return true
 }
@@ -76,12 +76,12 @@
 // blocks tells whether a node that the own list has as up gets nothing by the word of others. A word that the list has
 // caught up with is forgotten.
 func (w *statusTable) blocks(own message.WorkerStatus) bool {
-	x, known := w.latest[own.Worker]
+	x, known := w.latest[own.WorkerID]
 	if !known {
 		return false
 	}
-	if own.Newer(x) {
-		delete(w.latest, own.Worker)
+	if own.Supersedes(x) {
+		delete(w.latest, own.WorkerID)
 		return false
 	}
 	return x.State != message.WorkerUp
--- a/internal/lab/virtual/planner.go
+++ b/internal/lab/virtual/planner.go
@@ -342,21 +342,21 @@
 
 // keep has a message outlive its reader's next one.
 func (p *planProcess) keep(m *message.Message) {
-	if m.Head != nil {
-		h := *m.Head
+	if m.Summary != nil {
+		h := *m.Summary
 		h.Attempts = append([]message.PastAttempt(nil), h.Attempts...)
-		m.Head = &h
+		m.Summary = &h
 	}
-	if m.Word != nil {
-		w := *m.Word
-		m.Word = &w
+	if m.Status != nil {
+		w := *m.Status
+		m.Status = &w
 	}
-	if m.Load != nil {
-		l := *m.Load
-		m.Load = &l
+	if m.LoadReport != nil {
+		l := *m.LoadReport
+		m.LoadReport = &l
 	}
-	if m.Bytes != nil {
-		m.Bytes = append([]byte(nil), m.Bytes...)
+	if m.Data != nil {
+		m.Data = append([]byte(nil), m.Data...)
 	}
 }
 
--- a/internal/lab/virtual/tiers_test.go
+++ b/internal/lab/virtual/tiers_test.go
@@ -91,7 +91,7 @@
 	"to a worker node that drains": {[]message.RejectReason{message.ReasonWorkerDraining, message.ReasonUnknownWorker},
 		func(d *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
 			if d.drained > 0 {
-				o.Message.Worker = d.drained
+				o.Message.WorkerID = d.drained
 			}
 			return append(dst, o)
 		}},
@@ -104,7 +104,7 @@
 		if len(d.last) > 6 {
 			old := d.last[0]
 			d.last = d.last[1:]
-			dst = append(dst, again(old, func(m *message.Message) { m.Attempt++; m.Worker = o.Message.Worker }))
+			dst = append(dst, again(old, func(m *message.Message) { m.Attempt++; m.WorkerID = o.Message.WorkerID }))
 		}
 		d.last = append(d.last, o)
 		return append(dst, o)
@@ -118,7 +118,7 @@
 		}},
 	"of another forwarder's query": {[]message.RejectReason{message.ReasonUnknownRequest},
 		func(_ *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
-			return append(dst, again(o, func(m *message.Message) { m.Query += 1 << 20 }), o)
+			return append(dst, again(o, func(m *message.Message) { m.RequestID += 1 << 20 }), o)
 		}},
 }
 
