--- /dev/null
+++ b/internal/control/codec/errors.go
@@ -0,0 +1,31 @@
+package codec
+
+import (
+	"errors"
+	"fmt"
+)
+
+// Errors by which a Reader ends a stream.
+var (
+	ErrBadMagic  = errors.New("codec: not a frame of the control protocol")
+	ErrTooLarge  = errors.New("codec: frame exceeds the size limit")
+	ErrCorrupt   = errors.New("codec: checksum mismatch")
+	ErrMalformed = errors.New("codec: malformed message")
+)
+
+// Errors of Writer.Add, besides ErrTooLarge. The message was not written, and the writer may still be used.
+var (
+	ErrUnknownKind  = errors.New("codec: unknown kind of message")
+	ErrInvalidField = errors.New("codec: field missing or out of range")
+)
+
+// VersionError ends the stream of a peer whose major version differs. Versions are major << 8 | minor.
+type VersionError struct {
+	Peer  int
+	Local int
+}
+
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("codec: the peer has protocol version %d.%d, this process %d.%d: one of the two must be updated",
+		e.Peer>>8, e.Peer&0xff, e.Local>>8, e.Local&0xff)
+}
--- a/internal/control/codec/reader.go
+++ b/internal/control/codec/reader.go
@@ -6,20 +6,21 @@
 	"valvecove/internal/control/message"
 )
 
-// Reader takes frames apart. It is used by one goroutine.
+// Reader decodes messages from one peer. It is used by one goroutine.
 type Reader struct {
 	buffer     []byte
-	offset     int // the first byte that was not read
-	payloadEnd int // of the payload at hand; at or before at: there is none
-	limit      int
+	offset     int // of the first byte that is not decoded yet
+	payloadEnd int // of the frame at hand; at or before offset: there is none
+	limit      int // of a frame's payload
 	major      byte
 	minor      byte
-	epoch      message.Epoch
+	epoch      message.Epoch // of the frame's last message
 	err        error
-	storage    messageStorage
+	fields     fieldCodec
+	messages   [len(formats)]message.Message // by kind, allocated on first use and reused
 }
 
-// NewReader returns a reader of frames whose payload is no longer than limit; 0 is Longest.
+// NewReader returns a reader of frames whose payload is at most limit bytes; 0 stands for MaxPayloadSize.
 func NewReader(limit int) *Reader {
 	if limit <= 0 || limit > MaxPayloadSize {
 		limit = MaxPayloadSize
@@ -27,99 +28,140 @@
 	return &Reader{limit: limit}
 }
 
-// Feed takes in what came, in pieces of any size, and keeps nothing of b. Each Feed wants Next until it has no more.
-func (r *Reader) Feed(b []byte) {
+// Feed takes in received bytes, in pieces of any size, and keeps no reference to data. After each Feed, Next is to be
+// called until it has no more messages.
+func (r *Reader) Feed(data []byte) {
 	if r.err != nil {
 		return
 	}
-	switch rest := len(r.buffer) - r.offset; {
+	r.compact()
+	r.buffer = append(r.buffer, data...)
+}
+
+// compact frees the decoded part of the buffer, so that each byte is moved at most once on average.
+func (r *Reader) compact() {
+	rest := len(r.buffer) - r.offset
+	switch {
 	case rest == 0:
-		if r.buffer = r.buffer[:0]; cap(r.buffer) > maxReusedCapacity {
+		r.buffer = r.buffer[:0]
+		if cap(r.buffer) > maxReusedCapacity {
 			r.buffer = nil
 		}
-		r.offset, r.payloadEnd = 0, 0
-	case r.offset >= rest: // so that no byte is moved more than once, on the mean
+		r.offset = 0
+		r.payloadEnd = 0
+	case r.offset >= rest:
 		copy(r.buffer, r.buffer[r.offset:])
 		r.buffer = r.buffer[:rest]
 		r.payloadEnd = max(r.payloadEnd-r.offset, 0)
 		r.offset = 0
 	}
-	r.buffer = append(r.buffer, b...)
 }
 
-// Next gives the next message, if there is a whole one. What m points to, and its Bytes, hold until the next call of
-// either. An error ends the stream, and is given again and again.
-func (r *Reader) Next(m *message.Message) (ok bool, err error) {
+// Next returns the next message; not ok: there is no whole one. The message belongs to the reader, and holds until the
+// next call of Next or Feed. An error ends the stream, and is returned by all further calls.
+func (r *Reader) Next() (envelope message.Envelope, ok bool, err error) {
 	for r.err == nil {
-		if r.offset < r.payloadEnd {
-			if known := r.readMessage(m); r.err == nil && known {
-				return true, nil
+		if r.offset >= r.payloadEnd {
+			if !r.beginFrame() {
+				break
 			}
 			continue
 		}
-		if !r.beginFrame() {
-			break
+		m, known := r.readMessage()
+		if r.err == nil && known {
+			return message.Envelope{Epoch: r.epoch, Message: m}, true, nil
 		}
 	}
-	return false, r.err
+	return message.Envelope{}, false, r.err
 }
 
-// beginFrame begins the next one, if it is there whole and is right.
+// beginFrame begins the next frame. It reports whether that is there as a whole and intact.
 func (r *Reader) beginFrame() bool {
-	f := r.buffer[r.offset:]
-	switch {
-	case len(f) > 0 && f[0] != magic0 || len(f) > 1 && f[1] != magic1:
+	frame := r.buffer[r.offset:]
+	if len(frame) > 0 && frame[0] != magic0 || len(frame) > 1 && frame[1] != magic1 {
 		r.err = ErrBadMagic
-	case len(f) < headerSize:
 		return false
-	case f[7] != headerChecksum(f):
-		r.err = ErrCorrupt
 	}
-	if r.err != nil {
+	if len(frame) < headerSize {
 		return false
 	}
-	n := int(f[4]) | int(f[5])<<8 | int(f[6])<<16
-	switch whole := len(f) >= headerSize+n; {
-	case n > r.limit:
+	if frame[checkOffset] != headerChecksum(frame) {
+		r.err = ErrCorrupt
+		return false
+	}
+	length := payloadLength(frame)
+	if length > r.limit {
 		r.err = ErrTooLarge
-	case whole && frameChecksum(f[:headerSize+n]) != binary.LittleEndian.Uint32(f[8:]):
+		return false
+	}
+	if len(frame) < headerSize+length {
+		return false
+	}
+	frame = frame[:headerSize+length]
+	if frameChecksum(frame) != binary.LittleEndian.Uint32(frame[checksumOffset:]) {
 		r.err = ErrCorrupt
-	case whole:
-		r.major, r.minor, r.epoch = f[2], f[3], 0
-		r.offset += headerSize
-		r.payloadEnd = r.offset + n
-		return true
+		return false
 	}
-	return false
+	r.major = frame[majorOffset]
+	r.minor = frame[minorOffset]
+	r.epoch = 0
+	r.offset += headerSize
+	r.payloadEnd = r.offset + length
+	return true
 }
 
-// readMessage takes the next one of the payload at hand. known is false for one that is to be skipped.
-func (r *Reader) readMessage(m *message.Message) (known bool) {
-	left := r.buffer[r.offset:r.payloadEnd]
-	size, n := binary.Uvarint(left)
-	if n <= 0 || size == 0 || size > uint64(len(left)-n) {
+// readMessage decodes the next message of the frame at hand. Unless known, it is to be skipped.
+func (r *Reader) readMessage() (m message.Message, known bool) {
+	body, ok := r.nextBody()
+	if !ok {
 		r.err = ErrMalformed
-		return false
+		return nil, false
 	}
-	body := left[n : n+int(size)]
-	r.offset += n + int(size)
-	*m = message.Message{Kind: message.Kind(body[0])}
-	if r.major != Major && m.Kind != message.KindHandshake && m.Kind != message.KindHandshakeAccept && m.Kind != message.KindPeerHandshake {
+	kind := message.Kind(body[0])
+	if r.major != Major && !isHandshake(kind) {
 		r.err = &VersionError{Peer: int(r.major)<<8 | int(r.minor), Local: Version}
-		return false
+		return nil, false
 	}
-	ahead, n := binary.Varint(body[1:])
-	if n <= 0 {
+	epochDelta, size := binary.Varint(body[1:])
+	if size <= 0 {
 		r.err = ErrMalformed
-		return false
+		return nil, false
 	}
-	r.epoch += message.Epoch(ahead)
-	m.Epoch = r.epoch
-	c := fieldCodec{buffer: body[1+n:], storage: &r.storage}
-	known = c.message(m)
-	newer := r.major != Major || r.minor > Minor
-	if c.failed || !newer && (!known || len(c.buffer) > 0) {
+	r.epoch += message.Epoch(epochDelta)
+	r.fields.startDecoding(body[1+size:])
+	m = r.decode(kind)
+	known = m != nil
+	isNewer := r.major != Major || r.minor > Minor
+	isComplete := known && len(r.fields.buffer) == 0
+	if r.fields.invalid || !isNewer && !isComplete {
 		r.err = ErrMalformed
 	}
-	return known
+	return m, known
+}
+
+// nextBody takes the bytes of the next message from the frame at hand; not ok: their length makes no sense.
+func (r *Reader) nextBody() (body []byte, ok bool) {
+	rest := r.buffer[r.offset:r.payloadEnd]
+	size, prefix := binary.Uvarint(rest)
+	if prefix <= 0 || size == 0 || size > uint64(len(rest)-prefix) {
+		return nil, false
+	}
+	end := prefix + int(size)
+	r.offset += end
+	return rest[prefix:end], true
+}
+
+// decode decodes the fields of a message of a kind; nil: this version does not know the kind.
+func (r *Reader) decode(kind message.Kind) message.Message {
+	form := formatOfKind(kind)
+	if form == nil {
+		return nil
+	}
+	if r.messages[kind] == nil {
+		r.messages[kind] = form.newMessage()
+	}
+	m := r.messages[kind]
+	form.reset(m)
+	form.visit(&r.fields, m)
+	return m
 }
--- a/internal/control/codec/writer.go
+++ b/internal/control/codec/writer.go
@@ -2,66 +2,97 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 
 	"valvecove/internal/control/message"
 )
 
-// Writer gathers messages for one peer. Its zero value is ready. It is used by one goroutine.
+// maxPrefixSize bounds what precedes a message's fields: its length, kind and epoch.
+const maxPrefixSize = 32
+
+// Writer encodes messages to one peer. Its zero value is ready for use. It is used by one goroutine.
 type Writer struct {
-	buffer     []byte // whole frames, and the one at hand
-	frameStart int    // of the one at hand; its header is filled in when it is closed
+	buffer     []byte // whole frames, and the open one
+	frameStart int    // of the open frame, whose header is filled in when it is closed
 	frameOpen  bool
-	epoch      message.Epoch // of its last message
-	body       []byte        // of the message at hand
+	epoch      message.Epoch // of the frame's last message
+	fields     fieldCodec
+	body       []byte // the encoded fields of a message; reused
 }
 
-// Add adds a message. It keeps nothing of it. A message that can't be written is left out, and the error says why.
-func (w *Writer) Add(m *message.Message) error {
-	c := fieldCodec{buffer: w.body[:0], writing: true}
-	if !c.message(m) {
-		return ErrUnknownKind
+// Add encodes a message and keeps nothing of it. A message that can't be encoded is left out, and the error, which wraps
+// ErrUnknownKind, ErrInvalidField or ErrTooLarge, says why.
+func (w *Writer) Add(envelope message.Envelope) error {
+	if envelope.Message == nil {
+		return fmt.Errorf("encode an empty envelope: %w", ErrUnknownKind)
 	}
-	w.body = c.buffer[:0]
-	switch {
-	case c.failed:
-		return ErrInvalidField
-	case c.significant > MaxPayloadSize-32: // what stands before it is shorter
-		return ErrTooLarge
+	kind := envelope.Message.Kind()
+	body, err := w.encode(kind, envelope.Message)
+	if err != nil {
+		return fmt.Errorf("encode %v message: %w", kind, err)
 	}
-	body := c.buffer[:c.significant]
 	if w.frameOpen && len(w.buffer)-w.frameStart+len(body) > batchSize {
 		w.closeFrame()
 	}
 	if !w.frameOpen {
-		w.frameStart, w.frameOpen, w.epoch = len(w.buffer), true, 0
-		w.buffer = append(w.buffer, make([]byte, headerSize)...)
+		w.openFrame()
 	}
-	var epoch [binary.MaxVarintLen64]byte
-	n := binary.PutVarint(epoch[:], int64(m.Epoch-w.epoch))
-	w.epoch = m.Epoch
-	w.buffer = binary.AppendUvarint(w.buffer, uint64(1+n+len(body)))
-	w.buffer = append(w.buffer, byte(m.Kind))
-	w.buffer = append(w.buffer, epoch[:n]...)
+	var prefix [1 + binary.MaxVarintLen64]byte
+	prefix[0] = byte(kind)
+	prefixSize := 1 + binary.PutVarint(prefix[1:], int64(envelope.Epoch-w.epoch))
+	w.epoch = envelope.Epoch
+	w.buffer = binary.AppendUvarint(w.buffer, uint64(prefixSize+len(body)))
+	w.buffer = append(w.buffer, prefix[:prefixSize]...)
 	w.buffer = append(w.buffer, body...)
 	return nil
 }
 
-// Len counts the bytes that Take would give.
+// encode returns the encoded fields of a message, which hold until the next call.
+func (w *Writer) encode(kind message.Kind, m message.Message) ([]byte, error) {
+	form := formatOfKind(kind)
+	if form == nil {
+		return nil, ErrUnknownKind
+	}
+	fields := &w.fields
+	fields.startEncoding(w.body[:0])
+	isOfKind := form.visit(fields, m)
+	w.body = fields.buffer[:0]
+	switch {
+	case !isOfKind:
+		return nil, ErrUnknownKind
+	case fields.invalid:
+		return nil, ErrInvalidField
+	case fields.significant > MaxPayloadSize-maxPrefixSize:
+		return nil, ErrTooLarge
+	}
+	return fields.buffer[:fields.significant], nil
+}
+
+// Len returns the number of bytes that Take would append.
 func (w *Writer) Len() int { return len(w.buffer) }
 
-// Take appends to dst what was added since the last call: one frame, or several where it is more than one should hold.
+// Take appends to dst the frames of the messages added since the last call.
 func (w *Writer) Take(dst []byte) []byte {
 	w.closeFrame()
 	dst = append(dst, w.buffer...)
-	if w.buffer = w.buffer[:0]; cap(w.buffer) > maxReusedCapacity {
+	w.buffer = w.buffer[:0]
+	if cap(w.buffer) > maxReusedCapacity {
 		w.buffer = nil
 	}
 	if cap(w.body) > maxReusedCapacity {
 		w.body = nil
+		w.fields.buffer = nil
 	}
 	return dst
 }
 
+func (w *Writer) openFrame() {
+	w.frameStart = len(w.buffer)
+	w.frameOpen = true
+	w.epoch = 0
+	w.buffer = append(w.buffer, make([]byte, headerSize)...)
+}
+
 func (w *Writer) closeFrame() {
 	if w.frameOpen {
 		sealFrame(w.buffer[w.frameStart:], Major, Minor)
--- a/internal/control/forwarder/alone.go
+++ b/internal/control/forwarder/alone.go
@@ -62,9 +62,9 @@
 }
 
 // keepSnapshot keeps what planners' modules know, the newest of it.
-func (f *Forwarder) keepSnapshot(now time.Duration, planner string, m *message.Message) {
+func (f *Forwarder) keepSnapshot(now time.Duration, planner string, epoch message.Epoch, m *message.ModelSnapshot) {
 	p, at := f.findPlanner(planner), now-max(0, m.Age)
-	if p == nil || !p.accepted || p.epoch != m.Epoch || len(m.Data) > f.config.MaxSnapshotBytes || len(f.modelSnapshot) > 0 &&
+	if p == nil || !p.accepted || p.epoch != epoch || len(m.Data) > f.config.MaxSnapshotBytes || len(f.modelSnapshot) > 0 &&
 		at < f.snapshotAt {
 		f.stats.StrayMessages++
 		return
@@ -283,18 +283,18 @@
 	case dispatch.Send:
 		f.sendLocal(a)
 	case dispatch.Reject:
-		f.respondLocal(message.Message{Kind: message.KindRejectCommand, RequestID: a.Job}, action)
+		f.respondLocal(a.Job, &message.RejectCommand{RequestID: a.Job}, action)
 	case dispatch.Fail:
-		f.respondLocal(message.Message{Kind: message.KindFailCommand, RequestID: a.Job}, action)
+		f.respondLocal(a.Job, &message.FailCommand{RequestID: a.Job}, action)
 	case dispatch.Cancel:
-		m := message.Message{Kind: message.KindCancelCommand, RequestID: a.Job, Attempt: a.Attempt}
-		if f.validator.Validate(f.now, validator.LocalEpoch, &m) == message.ReasonNone {
+		m := &message.CancelCommand{RequestID: a.Job, Attempt: a.Attempt}
+		if f.validator.Validate(f.now, validator.LocalEpoch, m) == message.ReasonNone {
 			a.Attempt, _ = f.validator.AttemptIndex(a.Job, a.Attempt)
 			f.emit(a)
 		}
 	case dispatch.HealthCheck:
-		m := message.Message{Kind: message.KindHealthCheckCommand, WorkerID: a.Worker}
-		if f.validator.Validate(f.now, validator.LocalEpoch, &m) != message.ReasonNone || !f.healthCheck(a.Worker, validator.LocalEpoch) {
+		m := &message.HealthCheckCommand{WorkerID: a.Worker}
+		if f.validator.Validate(f.now, validator.LocalEpoch, m) != message.ReasonNone || !f.healthCheck(a.Worker, validator.LocalEpoch) {
 			f.notifyLocal(dispatch.HealthChecked{Worker: a.Worker, Result: dispatch.NotSent})
 		}
 	case dispatch.SetTimer:
@@ -312,22 +312,24 @@
 	if q == nil || q.state != stateLocal {
 		return // its end, or that it is a planner's, is on the way to the module
 	}
-	m := message.Message{Kind: message.KindSendCommand, RequestID: a.Job, Attempt: f.validator.NextCommandNumber(a.Job), WorkerID: a.Worker}
-	if f.validator.Validate(f.now, validator.LocalEpoch, &m) == message.ReasonNone {
+	m := &message.SendCommand{RequestID: a.Job, Attempt: f.validator.NextCommandNumber(a.Job), WorkerID: a.Worker}
+	if f.validator.Validate(f.now, validator.LocalEpoch, m) == message.ReasonNone {
 		f.sendAttempt(q, a.Worker, a.AttemptTimeout)
 		return
 	}
 	f.notifyLocal(dispatch.Outcome{Job: a.Job, Attempt: m.Attempt, Worker: a.Worker, Result: dispatch.NotSent})
 }
 
-func (f *Forwarder) respondLocal(m message.Message, action dispatch.Action) {
-	q := f.requests[m.RequestID]
-	switch why := f.validator.Validate(f.now, validator.LocalEpoch, &m); {
+// respondLocal has the local policy's command to reject or fail a request executed, if it is valid.
+func (f *Forwarder) respondLocal(id uint64, command message.Command, action dispatch.Action) {
+	q := f.requests[id]
+	reason := f.validator.Validate(f.now, validator.LocalEpoch, command)
+	switch {
 	case q == nil || q.state != stateLocal:
 		return
-	case why == message.ReasonUnsafeRejection:
-		action = dispatch.Fail{Job: m.RequestID}
-	case why != message.ReasonNone:
+	case reason == message.ReasonUnsafeRejection:
+		action = dispatch.Fail{Job: id}
+	case reason != message.ReasonNone:
 		return
 	}
 	f.respond(action)
--- a/internal/control/forwarder/bench_test.go
+++ b/internal/control/forwarder/bench_test.go
@@ -26,11 +26,18 @@
 	}
 	dst = f.Step(1, []dispatch.Event{list}, nil)
 	for _, e := range f.Outbox() {
-		f.Receive(2, e.Planner, &message.Message{Kind: message.KindHandshakeAccept, Epoch: e.Message.Epoch, Credit: 1 << 20})
+		f.Receive(2, e.Planner, message.Envelope{Epoch: e.Epoch, Message: &message.HandshakeAccept{Credit: 1 << 20}})
 	}
 	return f, f.Step(2, nil, dst[:0])
 }
 
+// replyToHeartbeat answers a message that is a heartbeat.
+func replyToHeartbeat(f *Forwarder, now time.Duration, e Outgoing) {
+	if m, ok := e.Message.(*message.Heartbeat); ok {
+		f.Receive(now, e.Planner, message.Envelope{Epoch: e.Epoch, Message: &message.HeartbeatReply{Sequence: m.Sequence}})
+	}
+}
+
 // One query, offered, ordered to be sent, and served: three steps with one thing each, which is the most that it takes.
 func BenchmarkQuery(b *testing.B) {
 	f, dst := wired(b, "p1", "p2")
@@ -42,14 +49,13 @@
 		now += time.Microsecond
 		events[0] = dispatch.Job{ID: id, Remaining: 10 * time.Second, Slots: 1}
 		dst = f.Step(now, events, dst[:0])
-		order := message.Message{Kind: message.KindSendCommand, RequestID: id, WorkerID: 1 + id%1000}
+		order := message.SendCommand{RequestID: id, WorkerID: 1 + id%1000}
+		var epoch message.Epoch
 		for _, e := range f.Outbox() {
-			order.Epoch = e.Message.Epoch
-			if e.Message.Kind == message.KindHeartbeat {
-				f.Receive(now, e.Planner, &message.Message{Kind: message.KindHeartbeatReply, Epoch: e.Message.Epoch, Sequence: e.Message.Sequence})
-			}
+			epoch = e.Epoch
+			replyToHeartbeat(f, now, e)
 		}
-		f.Receive(now, "p1", &order)
+		f.Receive(now, "p1", message.Envelope{Epoch: epoch, Message: &order})
 		dst = f.Step(now, nil, dst[:0])
 		events[0] = dispatch.Outcome{Job: id, Worker: order.WorkerID, Closed: true}
 		dst = f.Step(now, events, dst[:0])
@@ -65,7 +71,7 @@
 	f, dst := wired(b, "p1", "p2")
 	now, id := time.Duration(3), uint64(0)
 	var events, ends []dispatch.Event
-	orders := make([]message.Message, lot)
+	orders := make([]message.SendCommand, lot)
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 50 * time.Microsecond
@@ -74,20 +80,18 @@
 			id++
 			events = append(events, dispatch.Job{ID: id, Remaining: 10 * time.Second, Slots: 1})
 			ends = append(ends, dispatch.Outcome{Job: id, Worker: 1 + id%1000, Closed: true})
-			orders[i] = message.Message{Kind: message.KindSendCommand, RequestID: id, WorkerID: 1 + id%1000}
+			orders[i] = message.SendCommand{RequestID: id, WorkerID: 1 + id%1000}
 		}
 		dst = f.Step(now, events, dst[:0])
+		var epoch message.Epoch
 		for _, e := range f.Outbox() {
-			if e.Message.Kind == message.KindHeartbeat {
-				f.Receive(now, e.Planner, &message.Message{Kind: message.KindHeartbeatReply, Epoch: e.Message.Epoch, Sequence: e.Message.Sequence})
-			} else if e.Message.Kind == message.KindRequestOffer {
-				for i := range orders {
-					orders[i].Epoch = e.Message.Epoch
-				}
+			replyToHeartbeat(f, now, e)
+			if _, ok := e.Message.(*message.RequestOffer); ok {
+				epoch = e.Epoch
 			}
 		}
 		for i := range orders {
-			f.Receive(now, "p1", &orders[i])
+			f.Receive(now, "p1", message.Envelope{Epoch: epoch, Message: &orders[i]})
 		}
 		dst = f.Step(now, nil, dst[:0])
 		dst = f.Step(now, ends, dst[:0])
@@ -108,13 +112,12 @@
 			step := func(events ...dispatch.Event) (heads int) {
 				dst = f.Step(now, events, dst[:0])
 				for _, e := range f.Outbox() {
-					switch e.Message.Kind {
-					case message.KindRequestOffer:
+					replyToHeartbeat(f, now, e)
+					switch e.Message.(type) {
+					case *message.RequestOffer:
 						heads++
-					case message.KindHandshake:
-						f.Receive(now, e.Planner, &message.Message{Kind: message.KindHandshakeAccept, Epoch: e.Message.Epoch, Credit: 1 << 20})
-					case message.KindHeartbeat:
-						f.Receive(now, e.Planner, &message.Message{Kind: message.KindHeartbeatReply, Epoch: e.Message.Epoch, Sequence: e.Message.Sequence})
+					case *message.Handshake:
+						f.Receive(now, e.Planner, message.Envelope{Epoch: e.Epoch, Message: &message.HandshakeAccept{Credit: 1 << 20}})
 					}
 				}
 				now += 5 * time.Millisecond
--- a/internal/control/forwarder/follow.go
+++ b/internal/control/forwarder/follow.go
@@ -96,10 +96,10 @@
 	logInterval             = time.Second
 )
 
-// Envelope is a message to a planner.
-type Envelope struct {
-	Planner string
-	Message message.Message
+// Outgoing is a message to a planner.
+type Outgoing struct {
+	Planner string // its name
+	message.Envelope
 }
 
 // Forwarder is one forwarder's. It is used by one goroutine.
@@ -118,8 +118,8 @@
 
 	inputs         []input
 	sessionsChange bool // among them are some by which planners come and go
-	outbox         []Envelope
-	summaries      summaryPool
+	outbox         []Outgoing
+	offers         offerPool
 	pastAttempts   []message.PastAttempt
 
 	planners      []*plannerLink // by name
@@ -156,8 +156,7 @@
 	at        time.Duration
 	planner   string
 	connected bool
-	message   message.Message
-	status    message.WorkerStatus
+	envelope  message.Envelope
 	names     []string
 }
 
@@ -191,31 +190,24 @@
 
 // ---- What is noted ----
 
-// Receive takes a message of a planner, and keeps nothing that it points to.
-func (f *Forwarder) Receive(now time.Duration, planner string, m *message.Message) {
+// Receive takes in a message of a planner, and keeps nothing that it points to.
+func (f *Forwarder) Receive(now time.Duration, planner string, envelope message.Envelope) {
 	if len(f.inputs) >= maxInputs {
-		// Nobody says so much between two turns. The session has missed something now, and is worth nothing.
+		// Nobody sends so much between two steps. The session has missed a message now, and can't be relied on.
 		f.stats.Overruns++
 		if p := f.findPlanner(planner); p != nil {
 			p.overrun = true
 		}
 		return
 	}
-	in := input{kind: messageInput, at: now, planner: planner, message: *m}
-	in.message.Summary, in.message.LoadReport, in.message.Status, in.message.Data = nil, nil, nil, nil
-	switch m.Kind {
-	case message.KindWorkerStatus:
-		if m.Status == nil {
-			return
-		}
-		in.status = *m.Status
-	case message.KindGoodbye:
-		f.sessionsChange = true
-	case message.KindModelSnapshot:
-		f.keepSnapshot(now, planner, m)
+	switch m := envelope.Message.(type) {
+	case *message.ModelSnapshot:
+		f.keepSnapshot(now, planner, envelope.Epoch, m)
 		return
+	case *message.Goodbye:
+		f.sessionsChange = true
 	}
-	f.inputs = append(f.inputs, in)
+	f.inputs = append(f.inputs, input{kind: messageInput, at: now, planner: planner, envelope: envelope.Clone()})
 }
 
 // SessionChanged tells that a connection to a planner is there, or was lost.
@@ -235,7 +227,7 @@
 func (f *Forwarder) HasPending() bool { return len(f.inputs) > 0 }
 
 // Outbox is what the last Step wants told, in order. It holds until the next one.
-func (f *Forwarder) Outbox() []Envelope { return f.outbox }
+func (f *Forwarder) Outbox() []Outgoing { return f.outbox }
 
 // ---- A step ----
 
@@ -244,7 +236,7 @@
 	f.now, f.actions = max(now, f.now), dst
 	clear(f.outbox)
 	f.outbox = f.outbox[:0]
-	f.summaries.reset()
+	f.offers.reset()
 	if !f.started {
 		f.started, f.plannersLostAt = true, f.now
 	}
--- a/internal/control/forwarder/joined_test.go
+++ b/internal/control/forwarder/joined_test.go
@@ -40,8 +40,8 @@
 	c := &company{w: newWorld(t, seed, members), members: members, process: 100, seed: seed}
 	for i := range planners {
 		p := &booked{seat: seat{w: c.w, name: "p" + strconv.Itoa(i)}, c: c, peers: map[string]bool{}}
-		p.seat.read = func(m message.Message) {
-			p.step(plan.Event{Kind: plan.ForwarderMessage, Session: p.session, Message: &m})
+		p.seat.read = func(e message.Envelope) {
+			p.step(plan.Event{Kind: plan.ForwarderMessage, Session: p.session, Envelope: e})
 		}
 		c.all = append(c.all, p)
 		c.w.plans = append(c.w.plans, &p.seat)
@@ -217,13 +217,12 @@
 	switch o.Kind {
 	case plan.SendToForwarder:
 		if p.up && o.Session == p.session {
-			p.seat.send(o.Message)
+			p.seat.send(o.Envelope)
 		}
 	case plan.SendToPeer:
 		for _, q := range p.c.all {
 			if q.name == o.Peer {
-				m := o.Message
-				p.w.after(way, func() { q.step(plan.Event{Kind: plan.PeerMessage, Peer: p.name, Message: &m}) })
+				p.w.after(way, func() { q.step(plan.Event{Kind: plan.PeerMessage, Peer: p.name, Envelope: o.Envelope}) })
 			}
 		}
 	case plan.CloseSession:
--- a/internal/control/forwarder/list.go
+++ b/internal/control/forwarder/list.go
@@ -106,7 +106,7 @@
 func (f *Forwarder) broadcastStatus(w message.WorkerStatus, but *plannerLink) {
 	for _, p := range f.planners {
 		if p != but && p.accepted {
-			f.send(p, message.Message{Kind: message.KindWorkerStatus, Status: &w})
+			f.send(p, &w)
 		}
 	}
 }
@@ -118,7 +118,7 @@
 		if w := f.workers[id]; !w.Ready && n < maxInitialStatuses {
 			n++
 			word := workerStatusOf(w, f.revision)
-			f.send(p, message.Message{Kind: message.KindWorkerStatus, Status: &word})
+			f.send(p, &word)
 		}
 	}
 }
--- a/internal/control/forwarder/model_test.go
+++ b/internal/control/forwarder/model_test.go
@@ -45,7 +45,7 @@
 	leastLeft time.Duration             // of a query
 	changed   func(h requests.Endpoint) // at a worker node
 	calm      bool                      // worker nodes do what they are told, and stay
-	heads     []Envelope                // of this step
+	heads     []Outgoing                // of this step
 	sends     int
 	stats     map[string]int
 	faults    []string
@@ -133,7 +133,7 @@
 type seat struct {
 	w    *world
 	name string
-	read func(m message.Message)
+	read func(e message.Envelope)
 
 	conn       int                     // counts connections; what belongs to another one is lost
 	up         bool                    // there is one
@@ -143,7 +143,7 @@
 	mostCredit int                     // that it was told
 	ends       map[uint64]map[int]bool // attempts whose end was told, by query, since its head
 	frozen     bool
-	inbox      []message.Message // not read, being frozen
+	inbox      []message.Envelope // not read, being frozen
 }
 
 func (p *seat) connect() {
@@ -165,28 +165,28 @@
 const way = 500 * time.Microsecond
 
 // gets is a message that leaves the forwarder for it.
-func (p *seat) gets(m message.Message) {
-	if m.Kind == message.KindHandshake {
-		p.session, p.greeted, p.welcomed, p.mostCredit = m.Epoch, m.Epoch, false, 0
+func (p *seat) gets(e message.Envelope) {
+	if _, ok := e.Message.(*message.Handshake); ok {
+		p.session, p.greeted, p.welcomed, p.mostCredit = e.Epoch, e.Epoch, false, 0
 	}
 	conn := p.conn
 	p.w.after(way, func() {
 		switch {
 		case p.conn != conn:
 		case p.frozen:
-			p.inbox = append(p.inbox, m)
+			p.inbox = append(p.inbox, e)
 		default:
-			p.read(m)
+			p.read(e)
 		}
 	})
 }
 
 // send is one of its own.
-func (p *seat) send(m message.Message) {
+func (p *seat) send(e message.Envelope) {
 	conn := p.conn
 	p.w.after(way, func() {
 		if p.conn == conn {
-			p.w.hears(p, m)
+			p.w.hears(p, e)
 		}
 	})
 }
@@ -423,42 +423,49 @@
 	return w.plans[slices.IndexFunc(w.plans, func(p *seat) bool { return p.name == name })]
 }
 
-// said is an envelope that the forwarder wants carried.
-func (w *world) said(e Envelope) {
+// said is a message that the forwarder wants carried.
+func (w *world) said(e Outgoing) {
 	p := w.seat(e.Planner)
-	j := w.byID[e.Message.RequestID]
-	switch e.Message.Kind {
-	case message.KindRequestOffer:
+	switch m := e.Message.(type) {
+	case *message.RequestOffer:
+		j := w.byID[m.RequestID]
 		if j.with != 0 {
 			w.fault("%s is offered to %s while it is with %d", j.name, e.Planner, j.with)
 		}
-		j.with = e.Message.Epoch
-		delete(p.ends, e.Message.RequestID)
-		if n := w.openWith(e.Message.Epoch); n > p.mostCredit {
+		j.with = e.Epoch
+		delete(p.ends, m.RequestID)
+		if n := w.openWith(e.Epoch); n > p.mostCredit {
 			w.fault("%s has %d queries, of a credit of %d", e.Planner, n, p.mostCredit)
 		}
 		w.heads = append(w.heads, e)
-	case message.KindRequestClosed:
-		if j.with == e.Message.Epoch {
+	case *message.RequestClosed:
+		if j := w.byID[m.RequestID]; j.with == e.Epoch {
 			j.with = 0
 		}
-	case message.KindAttemptEnded:
-		if stray := e.Message.Reason == message.ReasonUnknownRequest || e.Message.Reason == message.ReasonNotOwner; e.Message.Attempt >= 0 && j != nil && !stray {
-			if p.ends[e.Message.RequestID] == nil {
-				p.ends[e.Message.RequestID] = map[int]bool{}
-			}
-			if p.ends[e.Message.RequestID][e.Message.Attempt] {
-				w.fault("attempt %d of %s ends twice for %s", e.Message.Attempt, j.name, p.name)
-			}
-			p.ends[e.Message.RequestID][e.Message.Attempt] = true
+	case *message.AttemptEnded:
+		w.saidEnd(p, e.Epoch, m)
+	case *message.Handshake:
+		w.ends(p) // of its session before, if it has one still
+	}
+	p.gets(e.Envelope)
+}
+
+// saidEnd is an attempt's end that the forwarder tells a planner of.
+func (w *world) saidEnd(p *seat, epoch message.Epoch, m *message.AttemptEnded) {
+	j := w.byID[m.RequestID]
+	stray := m.Reason == message.ReasonUnknownRequest || m.Reason == message.ReasonNotOwner
+	if m.Attempt >= 0 && j != nil && !stray {
+		if p.ends[m.RequestID] == nil {
+			p.ends[m.RequestID] = map[int]bool{}
 		}
-		if e.Message.Result == dispatch.OK && j.with == e.Message.Epoch {
-			j.with = 0
+		if p.ends[m.RequestID][m.Attempt] {
+			w.fault("attempt %d of %s ends twice for %s", m.Attempt, j.name, p.name)
 		}
-	case message.KindHandshake:
-		w.ends(p) // of its session before, if it has one still
+		p.ends[m.RequestID][m.Attempt] = true
+	}
+	if m.Result == dispatch.OK && j.with == epoch {
+		j.with = 0
 	}
-	p.gets(e.Message)
 }
 
 func (w *world) openWith(e message.Epoch) (n int) {
@@ -481,41 +488,50 @@
 }
 
 // hears has a planner's message reach the forwarder.
-func (w *world) hears(p *seat, m message.Message) {
-	j := w.byID[m.RequestID]
-	switch m.Kind {
-	case message.KindHandshakeAccept:
-		if m.Epoch == p.session && !p.welcomed {
+func (w *world) hears(p *seat, e message.Envelope) {
+	switch m := e.Message.(type) {
+	case *message.HandshakeAccept:
+		if e.Epoch == p.session && !p.welcomed {
 			p.welcomed, p.mostCredit = true, m.Credit
 		}
-	case message.KindCreditUpdate:
-		if m.Epoch == p.session {
+	case *message.CreditUpdate:
+		if e.Epoch == p.session {
 			p.mostCredit = max(p.mostCredit, m.Credit)
 		}
-	case message.KindWorkerStatus:
-		x := *m.Status
-		if m.Epoch != p.greeted || !p.welcomed || x.StartedMs > (w.now+time.Minute).Milliseconds() || x.StartedMs < 0 {
+	case *message.WorkerStatus:
+		x := *m
+		if e.Epoch != p.greeted || !p.welcomed || x.StartedMs > (w.now+time.Minute).Milliseconds() || x.StartedMs < 0 {
 			break
 		}
 		if was, ok := w.words[x.WorkerID]; !ok || x.Supersedes(was) {
 			w.words[x.WorkerID], w.wordAt[x.WorkerID] = x, w.now
 		}
-	case message.KindTransferCommand, message.KindRejectCommand, message.KindFailCommand:
-		if j != nil && j.with == m.Epoch && m.Epoch == p.session {
-			j.with = 0 // it is the planner's wish at least; the forwarder has its own book
-		}
-	case message.KindGoodbye:
-		if m.Epoch == p.session {
+	case *message.TransferCommand:
+		w.letsGo(p, e.Epoch, m.RequestID)
+	case *message.RejectCommand:
+		w.letsGo(p, e.Epoch, m.RequestID)
+	case *message.FailCommand:
+		w.letsGo(p, e.Epoch, m.RequestID)
+	case *message.Goodbye:
+		if e.Epoch == p.session {
 			w.ends(p)
 		}
 	}
-	w.f.Receive(w.now, p.name, &m)
+	w.f.Receive(w.now, p.name, e)
+}
+
+// letsGo has a query be with a planner no more: it is the planner's wish at least; the forwarder has its own book.
+func (w *world) letsGo(p *seat, epoch message.Epoch, id uint64) {
+	if j := w.byID[id]; j != nil && j.with == epoch && epoch == p.session {
+		j.with = 0
+	}
 }
 
 // check looks at what was offered in a step, once its actions are carried out.
 func (w *world) check() {
 	for _, e := range w.heads {
-		j, h := w.byID[e.Message.RequestID], e.Message.Summary
+		offer := e.Message.(*message.RequestOffer)
+		j, h := w.byID[offer.RequestID], &offer.Summary
 		// What the ledger did not send, as a note from that host had ended one, or has recalled, counts as an attempt that
 		// never ran.
 		sent := slices.DeleteFunc(slices.Clone(h.Attempts), func(p message.PastAttempt) bool {
--- a/internal/control/forwarder/planner.go
+++ b/internal/control/forwarder/planner.go
@@ -121,11 +121,10 @@
 	f.lastEpoch++
 	p.epoch, p.leaving, p.overrun, p.suspected, p.ignoreLatency = f.lastEpoch, false, false, false, false
 	p.heartbeatSeq, p.acknowledgedSeq, p.heartbeatAt, p.lastHeartbeatAt, p.needsHeartbeat, p.minLatency = 0, 0, 0, f.now, false, 0
-	f.outbox = append(f.outbox, Envelope{p.name, message.Message{Kind: message.KindHandshake, Epoch: p.epoch, Name: f.config.Name,
-		Incarnation: f.config.Incarnation, Version: f.config.Version}})
+	f.post(p, &message.Handshake{Name: f.config.Name, Incarnation: f.config.Incarnation, Version: f.config.Version})
 }
 
-func (f *Forwarder) acceptSession(p *plannerLink, m *message.Message) {
+func (f *Forwarder) acceptSession(p *plannerLink, m *message.HandshakeAccept) {
 	if p.accepted {
 		return
 	}
@@ -276,7 +275,7 @@
 		if p.accepted && p.heartbeatAt == 0 && f.now >= f.nextHeartbeat(p) {
 			p.heartbeatSeq++
 			p.heartbeatAt, p.lastHeartbeatAt, p.needsHeartbeat, p.ignoreLatency = max(f.now, 1), f.now, false, false
-			f.send(p, message.Message{Kind: message.KindHeartbeat, Sequence: p.heartbeatSeq})
+			f.send(p, &message.Heartbeat{Sequence: p.heartbeatSeq})
 		}
 	}
 }
@@ -294,17 +293,18 @@
 	return p.heartbeatAt + f.suspectAfter(p)
 }
 
-func (f *Forwarder) heartbeatReply(p *plannerLink, in *input) {
-	if p.heartbeatAt == 0 || in.message.Sequence != p.heartbeatSeq {
+// heartbeatReply takes in a reply that was received at an instant.
+func (f *Forwarder) heartbeatReply(p *plannerLink, at time.Duration, m *message.HeartbeatReply) {
+	if p.heartbeatAt == 0 || m.Sequence != p.heartbeatSeq {
 		return
 	}
 	p.acknowledgedSeq, p.suspected = p.heartbeatSeq, false
-	if took := max(0, in.at-p.heartbeatAt); !p.ignoreLatency {
+	if took := max(0, at-p.heartbeatAt); !p.ignoreLatency {
 		p.latency += (took - p.latency) / 4
 		if p.minLatency == 0 || took < p.minLatency {
 			p.minLatency = took
 		}
-		f.selector.ReplyReceived(f.now, p.name, took, max(0, in.message.TimerLag))
+		f.selector.ReplyReceived(f.now, p.name, took, max(0, m.TimerLag))
 		f.orderStale = true
 	}
 	if p.heartbeatAt = 0; p.poisonSuspect != nil && p.poisonSuspect.offeredSeq <= p.acknowledgedSeq {
@@ -314,89 +314,106 @@
 
 // ---- What planners say ----
 
+// receive takes in a message. What belongs to no session, or comes before the session is accepted, is void.
 func (f *Forwarder) receive(in *input) {
-	p, m := f.findPlanner(in.planner), &in.message
-	switch {
-	case p == nil || p.epoch == 0 || m.Epoch != p.epoch || !p.accepted && m.Kind != message.KindHandshakeAccept:
-		if m.Kind >= message.KindSendCommand && m.Kind <= message.KindTransferCommand {
-			f.validator.Validate(f.now, noEpoch, m) // which counts it
-		} else {
-			f.stats.StrayMessages++
-		}
+	p := f.findPlanner(in.planner)
+	epoch := in.envelope.Epoch
+	_, isAccept := in.envelope.Message.(*message.HandshakeAccept)
+	if p == nil || p.epoch == 0 || epoch != p.epoch || !p.accepted && !isAccept {
+		f.receiveStray(in.envelope.Message)
 		return
-	case p.overrun: // what comes after a gap may mean something else
+	}
+	if p.overrun { // what comes after a gap may mean something else
 		return
 	}
-	switch m.Kind {
-	case message.KindHandshakeAccept:
+	switch m := in.envelope.Message.(type) {
+	case *message.HandshakeAccept:
 		f.acceptSession(p, m)
-	case message.KindCreditUpdate:
+	case *message.CreditUpdate:
 		p.credit = max(0, m.Credit)
-	case message.KindHeartbeatReply:
-		f.heartbeatReply(p, in)
-	case message.KindGoodbye:
+	case *message.HeartbeatReply:
+		f.heartbeatReply(p, in.at, m)
+	case *message.Goodbye:
 		f.plannerLeaving(p)
-	case message.KindWorkerStatus:
-		f.workerStatus(p, in.status)
-	case message.KindSendCommand, message.KindRejectCommand, message.KindFailCommand, message.KindCancelCommand, message.KindTransferCommand, message.KindHealthCheckCommand, message.KindCloseIdleCommand:
+	case *message.WorkerStatus:
+		f.workerStatus(p, *m)
+	case message.Command:
 		f.execute(p, m)
 	default:
 		f.stats.StrayMessages++
 	}
 }
 
-// send says something to a planner that has a session.
+// receiveStray counts a message that belongs to no session.
+func (f *Forwarder) receiveStray(m message.Message) {
+	if command, ok := m.(message.Command); ok {
+		f.validator.Validate(f.now, noEpoch, command) // which counts it
+	} else {
+		f.stats.StrayMessages++
+	}
+}
+
+// post has a message sent in a planner's session, accepted or not.
+func (f *Forwarder) post(p *plannerLink, m message.Message) {
+	f.outbox = append(f.outbox, Outgoing{p.name, message.Envelope{Epoch: p.epoch, Message: m}})
+}
+
+// send has a message sent to a planner that has a session.
 func (f *Forwarder) send(p *plannerLink, m message.Message) {
 	if p.accepted {
-		m.Epoch = p.epoch
-		f.outbox = append(f.outbox, Envelope{p.name, m})
+		f.post(p, m)
 	}
 }
 
-// sendAbout says something of a query to the planner that has it, or had it last, while that session lives.
+// sendAbout sends a message about a request to the planner that has it, or had it last, while that session lives.
 func (f *Forwarder) sendAbout(q *request, m message.Message) {
 	if q.session == q.planner.epoch {
 		f.send(q.planner, m)
 	}
 }
 
-// execute carries out what a planner wants, if it may be.
-func (f *Forwarder) execute(p *plannerLink, m *message.Message) {
+// execute executes a planner's command, if it is valid.
+func (f *Forwarder) execute(p *plannerLink, command message.Command) {
 	f.stats.Commands++
-	if why := f.validator.Validate(f.now, p.epoch, m); why != message.ReasonNone {
-		f.rejectCommand(p, m, why)
+	if reason := f.validator.Validate(f.now, p.epoch, command); reason != message.ReasonNone {
+		f.rejectCommand(p, command, reason)
 		return
 	}
-	q := f.requests[m.RequestID]
-	switch m.Kind {
-	case message.KindHealthCheckCommand:
+	switch m := command.(type) {
+	case *message.HealthCheckCommand:
 		if !f.healthCheck(m.WorkerID, p.epoch) {
-			f.send(p, message.Message{Kind: message.KindHealthCheckResult, WorkerID: m.WorkerID, Result: dispatch.NotSent})
+			f.send(p, &message.HealthCheckResult{WorkerID: m.WorkerID, Result: dispatch.NotSent})
 		}
-		return
-	case message.KindCloseIdleCommand:
+	case *message.CloseIdleCommand:
 		f.emit(dispatch.CloseIdleConnections{Worker: m.WorkerID})
-		return
-	}
-	q.commanded, q.silentAt = true, 0
-	switch m.Kind {
-	case message.KindSendCommand:
-		f.sendAttempt(q, m.WorkerID, m.Timeout)
-	case message.KindRejectCommand:
+	case *message.SendCommand:
+		f.sendAttempt(f.commandedRequest(m.RequestID), m.WorkerID, m.Timeout)
+	case *message.RejectCommand:
+		q := f.commandedRequest(m.RequestID)
 		f.respond(dispatch.Reject{Job: m.RequestID, RetryAfter: min(max(0, m.RetryAfter), f.settings.MaxRetryAfter)})
 		f.closeRequest(q, false)
-	case message.KindFailCommand:
+	case *message.FailCommand:
+		q := f.commandedRequest(m.RequestID)
 		f.respond(dispatch.Fail{Job: m.RequestID})
 		f.closeRequest(q, false)
-	case message.KindCancelCommand:
-		if n, ok := f.validator.AttemptIndex(m.RequestID, m.Attempt); ok {
-			f.emit(dispatch.Cancel{Job: m.RequestID, Attempt: n})
+	case *message.CancelCommand:
+		f.commandedRequest(m.RequestID)
+		if index, ok := f.validator.AttemptIndex(m.RequestID, m.Attempt); ok {
+			f.emit(dispatch.Cancel{Job: m.RequestID, Attempt: index})
 		}
-	case message.KindTransferCommand:
-		f.transfer(q, p, m.Name)
+	case *message.TransferCommand:
+		f.transfer(f.commandedRequest(m.RequestID), p, m.Planner)
 	}
 }
 
+// commandedRequest returns the request of a valid command, and notes that its planner has decided on it.
+func (f *Forwarder) commandedRequest(id uint64) *request {
+	q := f.requests[id]
+	q.commanded = true
+	q.silentAt = 0
+	return q
+}
+
 // sendAttempt has the ledger send a query. An order to wait for a time that is over, or over the deadline, is one to wait
 // until that: what is sent may run, and whether it does is worth knowing.
 func (f *Forwarder) sendAttempt(q *request, worker uint64, patience time.Duration) {
@@ -424,25 +441,34 @@
 	f.enqueue(q)
 }
 
-// rejectCommand tells a planner that its order was not followed.
-func (f *Forwarder) rejectCommand(p *plannerLink, m *message.Message, why message.RejectReason) {
-	p.rejected[why]++
+// rejectCommand tells a planner that its command was not executed.
+func (f *Forwarder) rejectCommand(p *plannerLink, command message.Command, reason message.RejectReason) {
+	p.rejected[reason]++
 	p.rejectedTotal++
-	switch {
-	case m.Kind == message.KindSendCommand && why != message.ReasonDuplicateCommand: // that number has its end, or will have
-		if w, ok := f.validator.BlockingStatus(m.WorkerID); ok && why == message.ReasonWorkerDraining {
-			f.send(p, message.Message{Kind: message.KindWorkerStatus, Status: &w})
+	switch m := command.(type) {
+	case *message.SendCommand:
+		if reason != message.ReasonDuplicateCommand { // that number has its end, or will have
+			f.rejectSend(p, m, reason)
 		}
-		f.send(p, message.Message{Kind: message.KindAttemptEnded, RequestID: m.RequestID, Attempt: m.Attempt, Result: dispatch.NotSent, Reason: why})
-		if q := f.requests[m.RequestID]; q != nil && q.state == stateOffered && q.planner == p && f.validator.InFlight(m.RequestID) == 0 {
-			f.awaitCommand(q)
+	case *message.RejectCommand:
+		if reason == message.ReasonUnsafeRejection {
+			// To the planner the request is closed. A failure promises nothing, and is always safe.
+			f.send(p, &message.AttemptEnded{RequestID: m.RequestID, Attempt: -1, Result: dispatch.NotSent, Reason: reason})
+			f.respond(dispatch.Fail{Job: m.RequestID})
+			f.closeRequest(f.requests[m.RequestID], false)
 		}
-	case m.Kind == message.KindRejectCommand && why == message.ReasonUnsafeRejection:
-		// To the planner the query is over. A failure promises nothing, and is always harmless.
-		f.send(p, message.Message{Kind: message.KindAttemptEnded, RequestID: m.RequestID, Attempt: -1, Result: dispatch.NotSent, Reason: why})
-		f.respond(dispatch.Fail{Job: m.RequestID})
-		f.closeRequest(f.requests[m.RequestID], false)
-	case m.Kind == message.KindHealthCheckCommand:
-		f.send(p, message.Message{Kind: message.KindHealthCheckResult, WorkerID: m.WorkerID, Result: dispatch.NotSent})
+	case *message.HealthCheckCommand:
+		f.send(p, &message.HealthCheckResult{WorkerID: m.WorkerID, Result: dispatch.NotSent})
+	}
+}
+
+func (f *Forwarder) rejectSend(p *plannerLink, m *message.SendCommand, reason message.RejectReason) {
+	if status, ok := f.validator.BlockingStatus(m.WorkerID); ok && reason == message.ReasonWorkerDraining {
+		f.send(p, &status)
+	}
+	f.send(p, &message.AttemptEnded{RequestID: m.RequestID, Attempt: m.Attempt, Result: dispatch.NotSent, Reason: reason})
+	q := f.requests[m.RequestID]
+	if q != nil && q.state == stateOffered && q.planner == p && f.validator.InFlight(m.RequestID) == 0 {
+		f.awaitCommand(q)
 	}
 }
--- a/internal/control/forwarder/play_test.go
+++ b/internal/control/forwarder/play_test.go
@@ -69,7 +69,7 @@
 type actor struct {
 	epoch  message.Epoch
 	frozen bool
-	asked  []message.Message // that it has not answered
+	asked  []uint64 // heartbeats that it has not answered
 }
 
 func newStage(t *testing.T) *stage {
@@ -253,29 +253,29 @@
 	return "s?"
 }
 
-func (s *stage) told(e Envelope) {
+func (s *stage) told(e Outgoing) {
 	a := s.actors[e.Planner]
-	switch e.Message.Kind {
-	case message.KindHandshake:
-		s.epochs = append(s.epochs, e.Message.Epoch)
-		a.epoch, a.asked = e.Message.Epoch, nil
-	case message.KindHeartbeat:
-		if a.asked = append(a.asked, e.Message); !a.frozen {
+	switch m := e.Message.(type) {
+	case *message.Handshake:
+		s.epochs = append(s.epochs, e.Epoch)
+		a.epoch, a.asked = e.Epoch, nil
+	case *message.Heartbeat:
+		if a.asked = append(a.asked, m.Sequence); !a.frozen {
 			s.r.after(time.Millisecond, func() { s.here(e.Planner) })
 		}
 		return
 	}
-	s.note("to %s: %s", e.Planner, text(&e.Message, s.epoch, s.worker))
+	s.note("to %s: %s", e.Planner, text(e.Envelope, s.epoch, s.worker))
 }
 
-// here has a planner answer all that it was asked.
+// here has a planner answer all that it was asked, which was in its newest session.
 func (s *stage) here(name string) {
 	a := s.actors[name]
 	if a.frozen {
 		return
 	}
-	for _, m := range a.asked {
-		s.r.f.Receive(s.r.now, name, &message.Message{Kind: message.KindHeartbeatReply, Epoch: m.Epoch, Sequence: m.Sequence})
+	for _, sequence := range a.asked {
+		s.r.f.Receive(s.r.now, name, message.Envelope{Epoch: a.epoch, Message: &message.HeartbeatReply{Sequence: sequence}})
 	}
 	a.asked = nil
 }
@@ -383,49 +383,85 @@
 
 // speak has a planner say something, in its present session or, with @s1, in another.
 func (s *stage) speak(name string, f []string) {
-	m := message.Message{Epoch: s.actors[name].epoch, Version: s.version}
-	for _, k := range allKinds {
-		if k.String() == f[0] {
-			m.Kind = k
+	epoch := s.actors[name].epoch
+	var args []string
+	for _, x := range f[1:] {
+		if x[0] == '@' {
+			epoch = s.epochs[s.count(x)-1]
+		} else {
+			args = append(args, x)
 		}
 	}
-	if m.Kind == 0 {
+	m := s.message(f[0], args)
+	if m == nil {
 		s.t.Fatalf("%s %v", name, f)
 	}
-	for i, x := range f[1:] {
-		switch {
-		case x[0] == '@':
-			m.Epoch = s.epochs[s.count(x)-1]
-		case x[0] == '#':
-			m.Attempt = s.count(x)
-		case x[0] == 'q':
-			m.RequestID = uint64(s.count(x))
-		case x[0] == 'w':
-			m.WorkerID = number(x)
-		case m.Kind == message.KindTransferCommand:
-			m.Name = x
-		case m.Kind == message.KindHandshakeAccept || m.Kind == message.KindCreditUpdate:
-			m.Credit = s.count(x)
-		case m.Kind == message.KindSendCommand:
-			m.Timeout = s.span(x)
-		case m.Kind == message.KindRejectCommand:
-			m.RetryAfter = s.span(x)
-		case m.Kind == message.KindModelSnapshot:
-			m.Age, m.Data = s.span(x), []byte(f[i+2])
-			s.r.f.Receive(s.r.now, name, &m)
-			return
-		case m.Kind == message.KindWorkerStatus:
-			m.Status = &message.WorkerStatus{WorkerID: m.WorkerID, StartedMs: s.span(x).Milliseconds(),
-				Revision: int64(s.count(f[i+2])),
-				State:    map[string]message.WorkerState{"up": message.WorkerUp, "draining": message.WorkerDraining, "gone": message.WorkerGone}[f[i+3]]}
-			m.WorkerID = 0
-			s.r.f.Receive(s.r.now, name, &m)
-			return
+	s.r.f.Receive(s.r.now, name, message.Envelope{Epoch: epoch, Message: m})
+}
+
+// message is what a planner says, by the name of its kind: "send q1 #0 w2 80ms", say.
+func (s *stage) message(kind string, args []string) message.Message {
+	var id, worker uint64
+	var attempt int
+	var rest []string
+	for _, x := range args {
+		switch x[0] {
+		case '#':
+			attempt = s.count(x)
+		case 'q':
+			id = uint64(s.count(x))
+		case 'w':
+			worker = number(x)
+		default:
+			rest = append(rest, x)
 		}
 	}
-	s.r.f.Receive(s.r.now, name, &m)
+	span := func() time.Duration {
+		if len(rest) == 0 {
+			return 0
+		}
+		return s.span(rest[0])
+	}
+	credit := func() int {
+		if len(rest) == 0 {
+			return 0
+		}
+		return s.count(rest[0])
+	}
+	switch kind {
+	case "handshake-accept":
+		return &message.HandshakeAccept{Version: s.version, Credit: credit()}
+	case "credit-update":
+		return &message.CreditUpdate{Credit: credit()}
+	case "send":
+		return &message.SendCommand{RequestID: id, Attempt: attempt, WorkerID: worker, Timeout: span()}
+	case "reject":
+		return &message.RejectCommand{RequestID: id, RetryAfter: span()}
+	case "fail":
+		return &message.FailCommand{RequestID: id}
+	case "cancel":
+		return &message.CancelCommand{RequestID: id, Attempt: attempt}
+	case "health-check":
+		return &message.HealthCheckCommand{WorkerID: worker}
+	case "close-idle":
+		return &message.CloseIdleCommand{WorkerID: worker}
+	case "transfer":
+		return &message.TransferCommand{RequestID: id, Planner: strings.Join(rest, "")}
+	case "heartbeat-reply":
+		return &message.HeartbeatReply{}
+	case "model-snapshot": // model-snapshot AGE DATA
+		return &message.ModelSnapshot{Age: s.span(args[0]), Data: []byte(args[1])}
+	case "goodbye":
+		return &message.Goodbye{}
+	case "worker-status": // worker-status WORKER START REVISION STATE
+		states := map[string]message.WorkerState{"up": message.WorkerUp, "draining": message.WorkerDraining, "gone": message.WorkerGone}
+		return &message.WorkerStatus{
+			WorkerID: worker, StartedMs: s.span(args[1]).Milliseconds(), Revision: int64(s.count(args[2])), State: states[args[3]],
+		}
+	case "handshake":
+		return &message.Handshake{Version: s.version}
+	case "load-report":
+		return &message.LoadReport{}
+	}
+	return nil
 }
-
-var allKinds = []message.Kind{message.KindHandshakeAccept, message.KindCreditUpdate, message.KindSendCommand, message.KindRejectCommand, message.KindFailCommand, message.KindCancelCommand, message.KindHealthCheckCommand,
-	message.KindCloseIdleCommand,
-	message.KindTransferCommand, message.KindHeartbeatReply, message.KindModelSnapshot, message.KindGoodbye, message.KindWorkerStatus, message.KindHandshake, message.KindLoadReport}
--- a/internal/control/forwarder/query.go
+++ b/internal/control/forwarder/query.go
@@ -237,7 +237,7 @@
 	case stateOffered:
 		f.removeFromPlanner(q)
 		if tell {
-			f.send(q.planner, message.Message{Kind: message.KindRequestClosed, RequestID: q.job.ID})
+			f.send(q.planner, &message.RequestClosed{RequestID: q.job.ID})
 		}
 	case stateLocal:
 		if tell {
@@ -279,13 +279,15 @@
 	if q.failures > 0 {
 		p.poisonSuspect = q
 	}
-	h := f.summaries.next()
+	offer := f.offers.next()
+	offer.RequestID = id
+	h := &offer.Summary
 	j := &q.job
 	h.Class, h.Tenant, h.Key, h.Hint = j.Class, j.Tenant, j.Key, j.Hint
 	h.Slots, h.Memory, h.Retry = j.Slots, j.Memory, j.Retry
 	h.Remaining, h.Waited, h.Transfers = q.deadline-f.now, f.now-q.arrivedAt, q.transfers
 	h.Attempts = f.validator.AppendAttempts(f.now, id, h.Attempts)
-	if f.send(p, message.Message{Kind: message.KindRequestOffer, RequestID: id, Summary: h}); f.now > q.arrivedAt {
+	if f.send(p, offer); f.now > q.arrivedAt {
 		f.stats.Reoffered++
 	}
 	f.reofferTokens = min(f.reofferTokens+reofferTokensPerRequest, maxReofferTokens)
@@ -323,7 +325,7 @@
 // revoke takes an open query back from a planner whose session lives, for good.
 func (f *Forwarder) revoke(q *request) {
 	p := q.planner
-	f.send(p, message.Message{Kind: message.KindRequestClosed, RequestID: q.job.ID})
+	f.send(p, &message.RequestClosed{RequestID: q.job.ID})
 	if len(q.revokedEpochs) == maxRevokedSessions {
 		q.revokedEpochs = append(q.revokedEpochs[:0], q.revokedEpochs[1:]...)
 	}
@@ -443,25 +445,27 @@
 	f.deferred = f.deferred[:0]
 }
 
-// summaryPool holds the heads of a step's envelopes, and their attempts.
-type summaryPool struct {
-	batches [][]message.RequestSummary
+// offerPool holds the offers of a step's outgoing messages, with their lists of attempts.
+type offerPool struct {
+	batches [][]message.RequestOffer
 	used    int
 }
 
-const summaryBatch = 64
+const offerBatch = 64
 
-func (s *summaryPool) reset() { s.used = 0 }
+// reset takes all offers back.
+func (s *offerPool) reset() { s.used = 0 }
 
-func (s *summaryPool) next() *message.RequestSummary {
-	lot := s.used / summaryBatch
-	if lot == len(s.batches) {
-		s.batches = append(s.batches, make([]message.RequestSummary, summaryBatch))
+// next returns an offer that is zero but for the capacity of its list of attempts.
+func (s *offerPool) next() *message.RequestOffer {
+	batch := s.used / offerBatch
+	if batch == len(s.batches) {
+		s.batches = append(s.batches, make([]message.RequestOffer, offerBatch))
 	}
-	h := &s.batches[lot][s.used%summaryBatch]
+	offer := &s.batches[batch][s.used%offerBatch]
 	s.used++
-	*h = message.RequestSummary{Attempts: h.Attempts[:0]}
-	return h
+	*offer = message.RequestOffer{Summary: message.RequestSummary{Attempts: offer.Summary.Attempts[:0]}}
+	return offer
 }
 
 // ---- What the ledger tells ----
@@ -476,7 +480,7 @@
 	case dispatch.Started:
 		f.validator.Observe(f.now, e)
 		if q, n := f.requestOfAttempt(e.Job, e.Attempt); q != nil && q.planner != nil {
-			f.sendAbout(q, message.Message{Kind: message.KindAttemptStarted, RequestID: e.Job, Attempt: n})
+			f.sendAbout(q, &message.AttemptStarted{RequestID: e.Job, Attempt: n})
 		} else if q != nil && q.knownLocally {
 			e.Attempt = n
 			f.notifyLocal(e)
@@ -484,7 +488,7 @@
 	case dispatch.Progressed:
 		f.validator.Observe(f.now, e)
 		if q, n := f.requestOfAttempt(e.Job, e.Attempt); q != nil && q.planner != nil {
-			f.sendAbout(q, message.Message{Kind: message.KindAttemptProgress, RequestID: e.Job, Attempt: n, Fraction: e.Share})
+			f.sendAbout(q, &message.AttemptProgress{RequestID: e.Job, Attempt: n, Fraction: e.Share})
 		} else if q != nil && q.knownLocally {
 			e.Attempt = n
 			f.notifyLocal(e)
@@ -520,7 +524,7 @@
 		return
 	}
 	if ended && q.planner != nil {
-		f.sendAbout(q, message.Message{Kind: message.KindAttemptEnded, RequestID: e.Job, Attempt: n, Result: e.Result})
+		f.sendAbout(q, &message.AttemptEnded{RequestID: e.Job, Attempt: n, Result: e.Result})
 	} else if ended && q.knownLocally {
 		e.Attempt = n
 		f.notifyLocal(e)
@@ -571,7 +575,7 @@
 	if asker == validator.LocalEpoch {
 		f.notifyLocal(e)
 	} else if p := f.plannerByEpoch(asker); p != nil {
-		f.send(p, message.Message{Kind: message.KindHealthCheckResult, WorkerID: e.Worker, Result: e.Result})
+		f.send(p, &message.HealthCheckResult{WorkerID: e.Worker, Result: e.Result})
 	}
 }
 
--- a/internal/control/forwarder/rig_test.go
+++ b/internal/control/forwarder/rig_test.go
@@ -30,7 +30,7 @@
 	probe   func(worker uint64)
 	free    func(worker uint64)
 	answer  func(q *asker, what string, after time.Duration)
-	tell    func(e Envelope) // an envelope that leaves
+	tell    func(e Outgoing) // a message that leaves
 	did     func(a dispatch.Action)
 	watched func(after int64)
 	stepped func()
@@ -53,13 +53,9 @@
 	return dst
 }
 
-// keep is an envelope that outlives the step.
-func keep(e Envelope) Envelope {
-	if e.Message.Summary != nil {
-		h := *e.Message.Summary
-		h.Attempts = slices.Clone(h.Attempts)
-		e.Message.Summary = &h
-	}
+// keep is a message that outlives the step.
+func keep(e Outgoing) Outgoing {
+	e.Envelope = e.Envelope.Clone()
 	return e
 }
 
@@ -295,58 +291,58 @@
 }
 
 // text is a message as plays have it.
-func text(m *message.Message, epoch func(message.Epoch) string, worker func(uint64) string) string {
+func text(e message.Envelope, epoch func(message.Epoch) string, worker func(uint64) string) string {
 	s := &strings.Builder{}
-	fmt.Fprintf(s, "%v %s", m.Kind, epoch(m.Epoch))
+	fmt.Fprintf(s, "%v %s", e.Message.Kind(), epoch(e.Epoch))
 	put := func(format string, args ...any) { fmt.Fprintf(s, " "+format, args...) }
-	switch m.Kind {
-	case message.KindRequestOffer:
-		h := m.Summary
-		put("q%d left=%v", m.RequestID, h.Remaining)
-		if h.Waited > 0 {
-			put("waited=%v", h.Waited)
-		}
-		if h.Transfers > 0 {
-			put("moves=%d", h.Transfers)
-		}
-		for i, p := range h.Attempts {
-			put("[#%d %s %v ago", i, worker(p.WorkerID), p.SentAgo)
-			if p.StartedAgo > 0 {
-				put("began %v ago", p.StartedAgo)
-			}
-			if p.Ended {
-				put("%s", resultNames[p.Result])
-			} else {
-				put("out")
-			}
-			if p.PossiblyExecuted {
-				put("may have run")
-			}
-			s.WriteString("]")
-		}
-	case message.KindAttemptEnded:
+	switch m := e.Message.(type) {
+	case *message.RequestOffer:
+		put("q%d left=%v", m.RequestID, m.Summary.Remaining)
+		s.WriteString(summaryText(&m.Summary, worker))
+	case *message.AttemptEnded:
 		put("q%d #%d %s", m.RequestID, m.Attempt, resultNames[m.Result])
 		if m.Reason != message.ReasonNone {
 			put("as %v", m.Reason)
 		}
-	case message.KindAttemptStarted, message.KindCancelCommand:
+	case *message.AttemptStarted:
 		put("q%d #%d", m.RequestID, m.Attempt)
-	case message.KindAttemptProgress:
+	case *message.AttemptProgress:
 		put("q%d #%d %v", m.RequestID, m.Attempt, m.Fraction)
-	case message.KindRequestClosed, message.KindFailCommand, message.KindRejectCommand:
+	case *message.RequestClosed:
 		put("q%d", m.RequestID)
-	case message.KindTransferCommand:
-		put("q%d to %q", m.RequestID, m.Name)
-	case message.KindSendCommand:
-		put("q%d #%d %s", m.RequestID, m.Attempt, worker(m.WorkerID))
-	case message.KindHealthCheckResult:
+	case *message.HealthCheckResult:
 		put("%s %s", worker(m.WorkerID), resultNames[m.Result])
-	case message.KindHeartbeat, message.KindHeartbeatReply:
+	case *message.Heartbeat:
 		put("%d", m.Sequence)
-	case message.KindWorkerStatus:
-		put("%s start=%v gen=%d %s", worker(m.Status.WorkerID), time.Duration(m.Status.StartedMs)*time.Millisecond,
-			m.Status.Revision,
-			[]string{"up", "draining", "gone"}[m.Status.State])
+	case *message.WorkerStatus:
+		put("%s start=%v gen=%d %v", worker(m.WorkerID), time.Duration(m.StartedMs)*time.Millisecond, m.Revision, m.State)
+	}
+	return s.String()
+}
+
+func summaryText(h *message.RequestSummary, worker func(uint64) string) string {
+	s := &strings.Builder{}
+	put := func(format string, args ...any) { fmt.Fprintf(s, " "+format, args...) }
+	if h.Waited > 0 {
+		put("waited=%v", h.Waited)
+	}
+	if h.Transfers > 0 {
+		put("moves=%d", h.Transfers)
+	}
+	for i, p := range h.Attempts {
+		put("[#%d %s %v ago", i, worker(p.WorkerID), p.SentAgo)
+		if p.StartedAgo > 0 {
+			put("began %v ago", p.StartedAgo)
+		}
+		if p.Ended {
+			put("%s", resultNames[p.Result])
+		} else {
+			put("out")
+		}
+		if p.PossiblyExecuted {
+			put("may have run")
+		}
+		s.WriteString("]")
 	}
 	return s.String()
 }
--- a/internal/control/forwarder/scripted_test.go
+++ b/internal/control/forwarder/scripted_test.go
@@ -14,9 +14,9 @@
 	seat
 	temper
 
-	outbox  []message.Message // thought of while it was frozen, and not said
-	epoch   message.Epoch     // as it has read
-	old     message.Epoch     // the one before
+	outbox  []message.Envelope // thought of while it was frozen, and not said
+	epoch   message.Epoch      // as it has read
+	old     message.Epoch      // the one before
 	heads   map[uint64]*scriptedHead
 	stopped bool
 }
@@ -46,16 +46,16 @@
 			p.frozen = true
 			w.after(w.ms(20, 1200), p.thaw)
 		case what == 3 && p.up && !p.frozen && p.epoch != 0:
-			p.say(message.Message{Kind: message.KindGoodbye})
+			p.say(&message.Goodbye{})
 			p.stopped = true
 			w.after(w.ms(5, 200), func() {
 				p.down()
 				w.after(w.ms(1, 300), p.connect)
 			})
 		case what == 4:
-			p.say(message.Message{Kind: message.KindCreditUpdate, Credit: w.rng.IntN(30)})
+			p.say(&message.CreditUpdate{Credit: w.rng.IntN(30)})
 		case what == 5:
-			p.say(message.Message{Kind: message.KindModelSnapshot, Age: w.ms(0, 3000), Data: []byte("no lesson")})
+			p.say(&message.ModelSnapshot{Age: w.ms(0, 3000), Data: []byte("no lesson")})
 		case what == 6 || p.liar:
 			p.gossip()
 		}
@@ -89,15 +89,19 @@
 	}
 }
 
-func (p *scripted) say(m message.Message) {
-	if m.Epoch == 0 {
-		m.Epoch = p.epoch
+// say says something in the session that it has read of.
+func (p *scripted) say(m message.Message) { p.sayIn(p.epoch, m) }
+
+func (p *scripted) sayIn(epoch message.Epoch, m message.Message) {
+	if epoch == 0 {
+		epoch = p.epoch
 	}
+	e := message.Envelope{Epoch: epoch, Message: m}
 	if p.frozen {
-		p.outbox = append(p.outbox, m)
+		p.outbox = append(p.outbox, e)
 		return
 	}
-	p.send(m)
+	p.send(e)
 }
 
 // gossip says something about a worker node, true as far as it goes or not.
@@ -117,30 +121,29 @@
 			State:     message.WorkerState(w.rng.IntN(3)),
 			StartedMs: []int64{h.StartedAtMs, h.StartedAtMs + 5, w.now.Milliseconds() + 120000, -5, 1 << 62}[w.rng.IntN(5)]}
 	}
-	p.say(message.Message{Kind: message.KindWorkerStatus, Status: &x})
+	p.say(&x)
 }
 
 // reads takes in what the forwarder says.
-func (p *scripted) reads(m message.Message) {
+func (p *scripted) reads(e message.Envelope) {
 	w := p.w
-	if m.Kind == message.KindHandshake {
-		p.old, p.epoch = p.epoch, m.Epoch
+	if _, ok := e.Message.(*message.Handshake); ok {
+		p.old, p.epoch = p.epoch, e.Epoch
 		clear(p.heads)
-		p.say(message.Message{Kind: message.KindHandshakeAccept, Name: p.name, Credit: w.rng.IntN(60), Version: 0})
+		p.say(&message.HandshakeAccept{Name: p.name, Credit: w.rng.IntN(60), Version: 0})
 		return
 	}
-	if m.Epoch != p.epoch || p.stopped {
+	if e.Epoch != p.epoch || p.stopped {
 		return
 	}
-	h := p.heads[m.RequestID]
-	switch m.Kind {
-	case message.KindHeartbeat:
-		p.say(message.Message{Kind: message.KindHeartbeatReply, Sequence: m.Sequence, TimerLag: w.ms(0, 3)})
-	case message.KindRequestOffer:
+	switch m := e.Message.(type) {
+	case *message.Heartbeat:
+		p.say(&message.HeartbeatReply{Sequence: m.Sequence, TimerLag: w.ms(0, 3)})
+	case *message.RequestOffer:
 		if p.forgets && w.rng.IntN(5) == 0 {
 			return
 		}
-		h = &scriptedHead{head: *m.Summary, next: len(m.Summary.Attempts), till: w.now + m.Summary.Remaining}
+		h := &scriptedHead{head: m.Summary, next: len(m.Summary.Attempts), till: w.now + m.Summary.Remaining}
 		for _, a := range m.Summary.Attempts {
 			h.tried = append(h.tried, a.WorkerID)
 			if h.may = h.may || a.PossiblyExecuted; !a.Ended {
@@ -149,7 +152,8 @@
 		}
 		p.heads[m.RequestID] = h
 		p.soon(m.RequestID)
-	case message.KindAttemptEnded:
+	case *message.AttemptEnded:
+		h := p.heads[m.RequestID]
 		if h == nil || m.Attempt < 0 {
 			return
 		}
@@ -159,7 +163,7 @@
 		}
 		h.may = h.may || m.Result != dispatch.WorkerFull && m.Result != dispatch.ConnectFailed && m.Result != dispatch.NotSent
 		p.soon(m.RequestID)
-	case message.KindRequestClosed:
+	case *message.RequestClosed:
 		delete(p.heads, m.RequestID)
 	}
 }
@@ -190,16 +194,17 @@
 	case h.out > 0:
 		return
 	case h.may && c.Idempotency != dispatch.Idempotent || len(h.tried) >= w.set.AttemptLimit || w.now >= h.till:
-		kind := message.KindRejectCommand
+		delete(p.heads, query)
+		retryAfter := w.ms(0, 3000)
 		if h.may && c.Idempotency != dispatch.Idempotent {
-			kind = message.KindFailCommand
+			p.say(&message.FailCommand{RequestID: query})
+		} else {
+			p.say(&message.RejectCommand{RequestID: query, RetryAfter: retryAfter})
 		}
-		delete(p.heads, query)
-		p.say(message.Message{Kind: kind, RequestID: query, RetryAfter: w.ms(0, 3000)})
 		return
 	case w.rng.IntN(25) == 0:
 		delete(p.heads, query)
-		p.say(message.Message{Kind: message.KindTransferCommand, RequestID: query, Name: []string{"p0", "p1", "p2", ""}[w.rng.IntN(4)]})
+		p.say(&message.TransferCommand{RequestID: query, Planner: []string{"p0", "p1", "p2", ""}[w.rng.IntN(4)]})
 		return
 	}
 	var may []uint64
@@ -213,50 +218,54 @@
 		p.soon(query)
 		return
 	}
-	m := message.Message{Kind: message.KindSendCommand, RequestID: query, Attempt: h.next, WorkerID: may[w.rng.IntN(len(may))]}
+	m := message.SendCommand{RequestID: query, Attempt: h.next, WorkerID: may[w.rng.IntN(len(may))]}
 	if w.rng.IntN(3) == 0 {
 		m.Timeout = w.ms(10, 300)
 	}
 	h.next++
 	h.out++
 	h.tried = append(h.tried, m.WorkerID)
-	p.say(m)
+	p.say(m.Clone())
 	if w.set.Hedging && c.Idempotency == dispatch.Idempotent && w.rng.IntN(4) == 0 && len(may) > 1 {
 		m.Attempt, m.WorkerID = h.next, may[w.rng.IntN(len(may))]
 		h.next++
 		h.out++
-		p.say(m)
+		p.say(m.Clone())
 	}
 	if w.set.HealthChecks && w.rng.IntN(10) == 0 {
-		p.say(message.Message{Kind: message.KindHealthCheckCommand, WorkerID: m.WorkerID})
+		p.say(&message.HealthCheckCommand{WorkerID: m.WorkerID})
 	}
 }
 
+// unknownMessage is of a kind that no version has.
+type unknownMessage struct{}
+
+func (unknownMessage) Kind() message.Kind { return 250 }
+
+func (m unknownMessage) Clone() message.Message { return m }
+
 // err orders something that it may not, most likely.
 func (p *scripted) err(query uint64, h *scriptedHead) {
 	w := p.w
-	node := func() uint64 { return number("w" + strconv.Itoa(w.rng.IntN(10))) }
-	m := message.Message{Kind: message.KindSendCommand, RequestID: query, Attempt: h.next, WorkerID: node()}
+	epoch := p.epoch
+	m := &message.SendCommand{RequestID: query, Attempt: h.next, WorkerID: number("w" + strconv.Itoa(w.rng.IntN(10)))}
+	var said message.Message = m
 	switch w.rng.IntN(9) {
 	case 0: // twice, by one number
-		p.say(m)
+		p.say(m.Clone())
 		h.next++
 	case 1: // and by two
-		p.say(m)
+		p.say(m.Clone())
 		m.Attempt++
 		h.next += 2
 	case 2:
-		m.Epoch = []message.Epoch{p.old, p.epoch + 1, p.epoch + 2, 7}[w.rng.IntN(4)]
+		epoch = []message.Epoch{p.old, p.epoch + 1, p.epoch + 2, 7}[w.rng.IntN(4)]
 	case 3:
 		m.RequestID = w.rng.Uint64N(w.ids + 5)
 	case 4: // anywhere, whatever has been
 		h.next++
 	case 5:
-		m.Kind = []message.Kind{message.KindRejectCommand, message.KindFailCommand, message.KindCancelCommand, message.KindHealthCheckCommand, message.KindCloseIdleCommand, message.KindTransferCommand, message.KindGoodbye, message.KindRequestOffer,
-			message.KindHandshake, message.KindRequestClosed, 250}[w.rng.IntN(11)]
-		if m.Kind == message.KindGoodbye && w.rng.IntN(10) > 0 {
-			m.Kind = message.KindRejectCommand
-		}
+		said = p.other(m)
 	case 6:
 		m.Attempt = []int{-1, h.next - 1, h.next + 7, 1 << 40}[w.rng.IntN(4)]
 		h.next += 8
@@ -264,8 +273,30 @@
 		m.Timeout = -w.ms(0, 500)
 		h.next++
 	case 8:
-		m = message.Message{Kind: message.KindHandshakeAccept, Credit: w.rng.IntN(100) - 50}
+		said = &message.HandshakeAccept{Credit: w.rng.IntN(100) - 50}
 	}
-	p.say(m)
+	p.sayIn(epoch, said)
 	p.soon(query)
 }
+
+// other is a message of any other kind in the place of an order to send.
+func (p *scripted) other(m *message.SendCommand) message.Message {
+	all := []message.Message{
+		&message.RejectCommand{RequestID: m.RequestID},
+		&message.FailCommand{RequestID: m.RequestID},
+		&message.CancelCommand{RequestID: m.RequestID, Attempt: m.Attempt},
+		&message.HealthCheckCommand{WorkerID: m.WorkerID},
+		&message.CloseIdleCommand{WorkerID: m.WorkerID},
+		&message.TransferCommand{RequestID: m.RequestID},
+		&message.Goodbye{},
+		&message.RequestOffer{RequestID: m.RequestID},
+		&message.Handshake{},
+		&message.RequestClosed{RequestID: m.RequestID},
+		unknownMessage{},
+	}
+	other := all[p.w.rng.IntN(len(all))]
+	if _, stops := other.(*message.Goodbye); stops && p.w.rng.IntN(10) > 0 {
+		return all[0]
+	}
+	return other
+}
--- /dev/null
+++ b/internal/control/message/reject_reason.go
@@ -0,0 +1,55 @@
+package message
+
+// RejectReason is why a forwarder's validator rejected a command. The codec writes it as one byte, so the values are part
+// of the protocol and must not change.
+type RejectReason uint8
+
+// Reasons for which a command is rejected.
+const (
+	ReasonNone              RejectReason = iota // it was not rejected
+	ReasonStaleEpoch                            // its session is over
+	ReasonUnknownRequest                        // the request is closed, or was never offered to this planner
+	ReasonNotOwner                              // the request is assigned to another planner
+	ReasonPossiblyExecuted                      // a non-idempotent request may have been executed already
+	ReasonOutsideScope                          // the worker is outside the deduplication scope of the attempt that may have been executed
+	ReasonWindowExpired                         // the deduplication window is over
+	ReasonWorkerDraining                        // the worker drains, by its newest status
+	ReasonUnknownWorker                         // the worker is not on the forwarder's endpoint list
+	ReasonDuplicateAtWorker                     // the worker has an attempt of the request in flight
+	ReasonHedgingDisabled                       // an attempt is in flight, and the settings allow no second one
+	ReasonAttemptLimit                          // the request has had as many attempts as the settings allow
+	ReasonDeadlineExceeded                      // the request's deadline is over
+	ReasonUnsafeRejection                       // a rejection would promise that the request was not executed
+	ReasonDuplicateCommand                      // a command of that number was given before
+	ReasonClassMismatch                         // the request's class may not go to the worker's kind or zone
+	ReasonNotPermitted                          // the settings rule the command out
+	ReasonCount                                 // number of reasons
+)
+
+var reasonNames = [ReasonCount]string{
+	ReasonNone:              "",
+	ReasonStaleEpoch:        "stale epoch",
+	ReasonUnknownRequest:    "unknown request",
+	ReasonNotOwner:          "not the owner",
+	ReasonPossiblyExecuted:  "possibly executed",
+	ReasonOutsideScope:      "outside deduplication scope",
+	ReasonWindowExpired:     "deduplication window expired",
+	ReasonWorkerDraining:    "worker draining",
+	ReasonUnknownWorker:     "unknown worker",
+	ReasonDuplicateAtWorker: "duplicate at worker",
+	ReasonHedgingDisabled:   "hedging disabled",
+	ReasonAttemptLimit:      "attempt limit",
+	ReasonDeadlineExceeded:  "deadline exceeded",
+	ReasonUnsafeRejection:   "unsafe rejection",
+	ReasonDuplicateCommand:  "duplicate command",
+	ReasonClassMismatch:     "class mismatch",
+	ReasonNotPermitted:      "not permitted",
+}
+
+// String returns the reason in words, "" for ReasonNone, or "unknown".
+func (r RejectReason) String() string {
+	if r < ReasonCount {
+		return reasonNames[r]
+	}
+	return "unknown"
+}
--- a/internal/control/planner/bad_test.go
+++ b/internal/control/planner/bad_test.go
@@ -60,26 +60,28 @@
 	span := func() time.Duration { return time.Duration(badNumber(rng)) }
 	name := [...]string{"f1", "f2", "f3", "plan-b", me, "", string(make([]byte, 300))}[rng.IntN(7)]
 	word := message.WorkerStatus{WorkerID: uint64(rng.IntN(9)), StartedMs: badNumber(rng), Revision: badNumber(rng), State: message.WorkerState(rng.IntN(5))}
-	m := &message.Message{Kind: message.Kind(rng.IntN(90)), Epoch: message.Epoch(rng.IntN(4)), RequestID: uint64(rng.IntN(30)), WorkerID: uint64(rng.IntN(9)),
-		Sequence: rng.Uint64(), Incarnation: uint64(rng.IntN(3)), Attempt: num(), Credit: num(), Version: 0x100 + rng.IntN(20)/19*0x100,
-		Result: dispatch.Result(num()), Reason: message.RejectReason(rng.IntN(40) * rng.IntN(2)), Fraction: badFloat(rng), Name: name}
+	kind, epoch := message.Kind(rng.IntN(90)), message.Epoch(rng.IntN(4))
+	x := badFields{id: uint64(rng.IntN(30)), worker: uint64(rng.IntN(9)), number: rng.Uint64(), process: uint64(rng.IntN(3)),
+		attempt: num(), credit: num(), version: 0x100 + rng.IntN(20)/19*0x100, result: dispatch.Result(num()),
+		reason: message.RejectReason(rng.IntN(40) * rng.IntN(2)), share: badFloat(rng), name: name}
 	if rng.IntN(3) == 0 {
-		m.Kind = [...]message.Kind{message.KindRequestOffer, message.KindAttemptEnded, message.KindHandshake}[rng.IntN(3)]
-		m.Attempt, m.Reason = rng.IntN(3), 0
+		kind = [...]message.Kind{message.KindRequestOffer, message.KindAttemptEnded, message.KindHandshake}[rng.IntN(3)]
+		x.attempt, x.reason = rng.IntN(3), 0
 	}
 	if rng.IntN(4) > 0 {
-		m.Status = &word
-		m.LoadReport = &message.LoadReport{OpenRequests: num(), QueuedRequests: num(), Forwarders: num(), TimerLag: span(), UsedSlots: badFloat(rng), FreeSlots: badFloat(rng)}
-		m.Summary = &message.RequestSummary{Class: rng.IntN(7) - 1, Tenant: num(), Key: rng.Uint64(), Remaining: span(), Waited: span(), Hint: span(),
+		x.status = word
+		x.load = message.LoadReport{OpenRequests: num(), QueuedRequests: num(), Forwarders: num(), TimerLag: span(), UsedSlots: badFloat(rng), FreeSlots: badFloat(rng)}
+		x.summary = message.RequestSummary{Class: rng.IntN(7) - 1, Tenant: num(), Key: rng.Uint64(), Remaining: span(), Waited: span(), Hint: span(),
 			Slots: badFloat(rng), Memory: badFloat(rng), Transfers: num()}
 		for range rng.IntN(4) {
-			m.Summary.Attempts = append(m.Summary.Attempts, message.PastAttempt{WorkerID: uint64(rng.IntN(20)), SentAgo: span(), StartedAgo: span(),
+			x.summary.Attempts = append(x.summary.Attempts, message.PastAttempt{WorkerID: uint64(rng.IntN(20)), SentAgo: span(), StartedAgo: span(),
 				Ended: rng.IntN(2) == 0, Result: dispatch.Result(num()), PossiblyExecuted: rng.IntN(2) == 0})
 		}
 		if rng.IntN(30) == 0 {
-			m.Summary.Attempts = make([]message.PastAttempt, 300)
+			x.summary.Attempts = make([]message.PastAttempt, 300)
 		}
 	}
+	e := message.Envelope{Epoch: epoch, Message: x.message(kind)}
 	session := SessionID(rng.IntN(10))
 	switch rng.IntN(14) {
 	case 0:
@@ -91,7 +93,7 @@
 	case 3:
 		return Event{Kind: PeerConnected, Peer: name}
 	case 4:
-		return Event{Kind: PeerMessage, Peer: name, Message: m}
+		return Event{Kind: PeerMessage, Peer: name, Envelope: e}
 	case 5:
 		return Event{Kind: PeersChanged, Names: []string{name, "plan-c", name}}
 	case 6:
@@ -104,5 +106,78 @@
 	case 7:
 		return Event{Kind: PartitionChanged, Owner: ownerByCell([]string{me, "plan-b", name}[:1+rng.IntN(3)]...)}
 	}
-	return Event{Kind: ForwarderMessage, Session: session, Message: m}
+	return Event{Kind: ForwarderMessage, Session: session, Envelope: e}
+}
+
+// badFields are what a message of any kind may have.
+type badFields struct {
+	id, worker, number, process uint64
+	attempt, credit, version    int
+	result                      dispatch.Result
+	reason                      message.RejectReason
+	share                       float64
+	name                        string
+	status                      message.WorkerStatus
+	load                        message.LoadReport
+	summary                     message.RequestSummary
+}
+
+// message is one of a kind; nil: there is no such kind.
+func (x *badFields) message(kind message.Kind) message.Message {
+	switch kind {
+	case message.KindHandshake:
+		return &message.Handshake{Name: x.name, Incarnation: x.process, Version: x.version}
+	case message.KindRequestOffer:
+		return &message.RequestOffer{RequestID: x.id, Summary: x.summary}
+	case message.KindAttemptEnded:
+		return &message.AttemptEnded{RequestID: x.id, Attempt: x.attempt, Result: x.result, Reason: x.reason}
+	case message.KindAttemptStarted:
+		return &message.AttemptStarted{RequestID: x.id, Attempt: x.attempt}
+	case message.KindAttemptProgress:
+		return &message.AttemptProgress{RequestID: x.id, Attempt: x.attempt, Fraction: x.share}
+	case message.KindRequestClosed:
+		return &message.RequestClosed{RequestID: x.id}
+	case message.KindHealthCheckResult:
+		return &message.HealthCheckResult{WorkerID: x.worker, Result: x.result}
+	case message.KindHeartbeat:
+		return &message.Heartbeat{Sequence: x.number}
+	case message.KindWorkerStatus:
+		return &x.status
+	case message.KindPeerHandshake:
+		return &message.PeerHandshake{Name: x.name, Incarnation: x.process, Version: x.version}
+	case message.KindLoadReport:
+		return &x.load
+	}
+	return x.ofPlanner(kind)
+}
+
+// ofPlanner is a message that planners send to forwarders.
+func (x *badFields) ofPlanner(kind message.Kind) message.Message {
+	switch kind {
+	case message.KindHandshakeAccept:
+		return &message.HandshakeAccept{Name: x.name, Incarnation: x.process, Version: x.version, Credit: x.credit}
+	case message.KindCreditUpdate:
+		return &message.CreditUpdate{Credit: x.credit}
+	case message.KindSendCommand:
+		return &message.SendCommand{RequestID: x.id, Attempt: x.attempt, WorkerID: x.worker}
+	case message.KindRejectCommand:
+		return &message.RejectCommand{RequestID: x.id}
+	case message.KindFailCommand:
+		return &message.FailCommand{RequestID: x.id}
+	case message.KindCancelCommand:
+		return &message.CancelCommand{RequestID: x.id, Attempt: x.attempt}
+	case message.KindHealthCheckCommand:
+		return &message.HealthCheckCommand{WorkerID: x.worker}
+	case message.KindCloseIdleCommand:
+		return &message.CloseIdleCommand{WorkerID: x.worker}
+	case message.KindTransferCommand:
+		return &message.TransferCommand{RequestID: x.id, Planner: x.name}
+	case message.KindHeartbeatReply:
+		return &message.HeartbeatReply{Sequence: x.number}
+	case message.KindModelSnapshot:
+		return &message.ModelSnapshot{}
+	case message.KindGoodbye:
+		return &message.Goodbye{}
+	}
+	return nil
 }
--- a/internal/control/planner/bench_test.go
+++ b/internal/control/planner/bench_test.go
@@ -22,7 +22,9 @@
 	ends   []rigDue
 	s, e   int
 	head   message.RequestSummary
-	msgs   []message.Message
+	ended  []message.AttemptEnded // reused, as are the others
+	began  []message.AttemptStarted
+	offers []message.RequestOffer
 	served int
 	others int
 	orders int
@@ -45,7 +47,8 @@
 	set.HealthChecks, set.WarmUp, set.TenantQuota = false, 0, nil
 	set.Classes = []dispatch.Class{{LatencyObjective: 80 * ms, ObjectiveStretch: 2.5, ClientTimeout: 5 * time.Second, Idempotency: dispatch.Idempotent, PriorityWeight: 1}}
 	conf := Config{Settings: set, MaxOpenRequests: 1 << 20, MaxCredit: 1 << 18, NewPolicy: func() Policy { return dispatch.New(set, 1) }}
-	r := &rig{b: newBook(conf), now: time.Hour, fwds: forwarders, last: make([]uint64, forwarders+1), msgs: make([]message.Message, 4096)}
+	r := &rig{b: newBook(conf), now: time.Hour, fwds: forwarders, last: make([]uint64, forwarders+1),
+		ended: make([]message.AttemptEnded, 4096), began: make([]message.AttemptStarted, 4096), offers: make([]message.RequestOffer, 4096)}
 	r.head = message.RequestSummary{Remaining: 5 * time.Second, Hint: rigRun, Slots: 1}
 	list := dispatch.WorkerList{Kind: dispatch.ListFull, Revision: 1}
 	for id := range nodes {
@@ -54,24 +57,23 @@
 	ins := []Event{{Kind: EndpointsChanged, Endpoints: list}}
 	for f := range forwarders {
 		ins = append(ins, Event{Kind: SessionOpened, Session: SessionID(f + 1)},
-			Event{Kind: ForwarderMessage, Session: SessionID(f + 1), Message: &message.Message{Kind: message.KindHandshake, Epoch: 1, Name: fmt.Sprint("f", f), Version: 0x100}})
+			Event{Kind: ForwarderMessage, Session: SessionID(f + 1), Envelope: message.Envelope{Epoch: 1, Message: &message.Handshake{Name: fmt.Sprint("f", f), Version: 0x100}}})
 	}
 	r.step(ins)
 	return r
 }
 
 func (r *rig) say(f SessionID, m message.Message) {
-	m.Epoch = 1
-	at := &r.msgs[len(r.ins)]
-	*at = m
-	r.ins = append(r.ins, Event{Kind: ForwarderMessage, Session: f, Message: at})
+	r.ins = append(r.ins, Event{Kind: ForwarderMessage, Session: f, Envelope: message.Envelope{Epoch: 1, Message: m}})
 }
 
 func (r *rig) offer() {
 	f := SessionID(r.orders%r.fwds + 1)
 	r.orders++
 	r.last[f]++
-	r.say(f, message.Message{Kind: message.KindRequestOffer, RequestID: r.last[f], Summary: &r.head})
+	m := &r.offers[len(r.ins)]
+	*m = message.RequestOffer{RequestID: r.last[f], Summary: r.head}
+	r.say(f, m)
 }
 
 func (r *rig) step(ins []Event) {
@@ -81,11 +83,11 @@
 		if o.Kind != SendToForwarder {
 			continue
 		}
-		switch o.Message.Kind {
-		case message.KindSendCommand:
-			r.starts = append(r.starts, rigDue{r.now + 2*rigDelay, o.Session, o.Message.RequestID, o.Message.Attempt})
-			r.ends = append(r.ends, rigDue{r.now + 2*rigDelay + rigRun, o.Session, o.Message.RequestID, o.Message.Attempt})
-		case message.KindRejectCommand, message.KindFailCommand:
+		switch m := o.Envelope.Message.(type) {
+		case *message.SendCommand:
+			r.starts = append(r.starts, rigDue{r.now + 2*rigDelay, o.Session, m.RequestID, m.Attempt})
+			r.ends = append(r.ends, rigDue{r.now + 2*rigDelay + rigRun, o.Session, m.RequestID, m.Attempt})
+		case *message.RejectCommand, *message.FailCommand:
 			r.others++
 		}
 	}
@@ -99,7 +101,9 @@
 			d := r.starts[r.s]
 			r.s++
 			r.now = max(r.now, d.at)
-			r.say(d.f, message.Message{Kind: message.KindAttemptStarted, RequestID: d.query, Attempt: d.n})
+			m := &r.began[len(r.ins)]
+			*m = message.AttemptStarted{RequestID: d.query, Attempt: d.n}
+			r.say(d.f, m)
 			continue
 		}
 		if r.e >= len(r.ends) {
@@ -109,7 +113,9 @@
 		d := r.ends[r.e]
 		r.e++
 		r.now = max(r.now, d.at)
-		r.say(d.f, message.Message{Kind: message.KindAttemptEnded, RequestID: d.query, Attempt: d.n, Result: dispatch.OK})
+		m := &r.ended[len(r.ins)]
+		*m = message.AttemptEnded{RequestID: d.query, Attempt: d.n, Result: dispatch.OK}
+		r.say(d.f, m)
 		r.offer()
 		r.served++
 	}
--- a/internal/control/planner/fleet.go
+++ b/internal/control/planner/fleet.go
@@ -224,12 +224,12 @@
 	b.statistics.StatusUpdates++
 	for _, f := range b.connected {
 		if f != by {
-			b.sendTo(f, message.Message{Kind: message.KindWorkerStatus, Status: &w})
+			b.sendTo(f, &w)
 		}
 	}
 	if from == nil {
 		for _, p := range b.peerTable.peers {
-			b.sendToPeer(p, message.Message{Kind: message.KindWorkerStatus, Status: &w})
+			b.sendToPeer(p, &w)
 		}
 	}
 }
@@ -257,7 +257,7 @@
 	for _, h := range b.workerList {
 		if h.hasStatus && h.status.State != message.WorkerUp {
 			w := h.status
-			b.sendTo(f, message.Message{Kind: message.KindWorkerStatus, Status: &w})
+			b.sendTo(f, &w)
 		}
 	}
 }
--- a/internal/control/planner/golden_test.go
+++ b/internal/control/planner/golden_test.go
@@ -175,9 +175,9 @@
 	for i := range outs {
 		switch o := &outs[i]; o.Kind {
 		case SendToForwarder:
-			s.heard = append(s.heard, fmt.Sprintf("to %d: %s", o.Session, text(&o.Message)))
+			s.heard = append(s.heard, fmt.Sprintf("to %d: %s", o.Session, text(o.Envelope)))
 		case SendToPeer:
-			s.heard = append(s.heard, fmt.Sprintf("to %s: %s", o.Peer, text(&o.Message)))
+			s.heard = append(s.heard, fmt.Sprintf("to %s: %s", o.Peer, text(o.Envelope)))
 		case CloseSession:
 			s.heard = append(s.heard, fmt.Sprintf("close %d", o.Session))
 		case SetTimer:
@@ -196,36 +196,54 @@
 }
 
 // text is a message without what is zero.
-func text(m *message.Message) string {
-	line := m.Kind.String()
+func text(e message.Envelope) string {
+	line := e.Message.Kind().String()
 	add := func(name string, x any) {
 		if t := fmt.Sprint(x); t != "0" && t != "0s" && t != "" {
 			line += fmt.Sprintf(" %s=%s", name, t)
 		}
 	}
-	if m.Kind == message.KindHandshakeAccept {
-		add("epoch", m.Epoch)
-	}
-	add("q", m.RequestID)
-	if m.Kind == message.KindSendCommand || m.Kind == message.KindCancelCommand {
-		line += fmt.Sprintf(" n=%d", m.Attempt)
-	}
-	add("w", m.WorkerID)
-	add("number", m.Sequence)
-	if m.Kind == message.KindHandshakeAccept || m.Kind == message.KindCreditUpdate {
+	switch m := e.Message.(type) {
+	case *message.HandshakeAccept:
+		add("epoch", e.Epoch)
 		line += fmt.Sprintf(" credit=%d", m.Credit)
-	}
-	add("version", m.Version)
-	add("patience", m.Timeout)
-	add("after", m.RetryAfter)
-	add("late", m.TimerLag)
-	add("name", m.Name)
-	add("bytes", string(m.Data))
-	if w := m.Status; w != nil {
-		line += fmt.Sprintf(" w=%d start=%d generation=%d %s", w.WorkerID, w.StartedMs, w.Revision, stateNames[w.State])
-	}
-	if l := m.LoadReport; l != nil {
-		line += fmt.Sprintf(" heads=%d held=%d forwarders=%d slots=%v room=%v", l.OpenRequests, l.QueuedRequests, l.Forwarders, l.UsedSlots, l.FreeSlots)
+		add("version", m.Version)
+		add("name", m.Name)
+	case *message.CreditUpdate:
+		line += fmt.Sprintf(" credit=%d", m.Credit)
+	case *message.SendCommand:
+		add("q", m.RequestID)
+		line += fmt.Sprintf(" n=%d", m.Attempt)
+		add("w", m.WorkerID)
+		add("patience", m.Timeout)
+	case *message.CancelCommand:
+		add("q", m.RequestID)
+		line += fmt.Sprintf(" n=%d", m.Attempt)
+	case *message.RejectCommand:
+		add("q", m.RequestID)
+		add("after", m.RetryAfter)
+	case *message.FailCommand:
+		add("q", m.RequestID)
+	case *message.TransferCommand:
+		add("q", m.RequestID)
+		add("name", m.Planner)
+	case *message.HealthCheckCommand:
+		add("w", m.WorkerID)
+	case *message.CloseIdleCommand:
+		add("w", m.WorkerID)
+	case *message.HeartbeatReply:
+		add("number", m.Sequence)
+		add("late", m.TimerLag)
+	case *message.ModelSnapshot:
+		add("bytes", string(m.Data))
+	case *message.PeerHandshake:
+		add("version", m.Version)
+		add("name", m.Name)
+	case *message.WorkerStatus:
+		line += fmt.Sprintf(" w=%d start=%d generation=%d %v", m.WorkerID, m.StartedMs, m.Revision, m.State)
+	case *message.LoadReport:
+		line += fmt.Sprintf(" heads=%d held=%d forwarders=%d slots=%v room=%v", m.OpenRequests, m.QueuedRequests, m.Forwarders,
+			m.UsedSlots, m.FreeSlots)
 	}
 	return line
 }
@@ -265,24 +283,8 @@
 		}
 		return d
 	}
-	word := func() *message.WorkerStatus {
-		return &message.WorkerStatus{WorkerID: uint64(num("w")), StartedMs: int64(num("start")), Revision: int64(num("generation")),
-			State: message.WorkerState(max(0, index(stateNames[:], args["state"])))}
-	}
-	if who, isPeer := strings.CutSuffix(words[0], ":"); isPeer && strings.HasPrefix(who, "plan") {
-		m := &message.Message{Kind: kindOf(words[1]), Epoch: message.Epoch(num("epoch")), Name: who, Version: 0x100, Status: word(),
-			LoadReport: &message.LoadReport{OpenRequests: num("heads"), QueuedRequests: num("held"), FreeSlots: float64(num("room"))}}
-		s.ins = append(s.ins, Event{Kind: PeerMessage, Peer: who, Message: m})
-		return
-	} else if isPeer {
-		n, _ := strconv.Atoi(who)
-		for q := num("from"); words[1] == "heads" && q <= num("to"); q++ {
-			s.do([]string{words[0], "head", fmt.Sprint("q=", q)})
-		}
-		if words[1] == "heads" {
-			return
-		}
-		s.ins = append(s.ins, Event{Kind: ForwarderMessage, Session: SessionID(n), Message: s.message(SessionID(n), words, args, num, span, word())})
+	if who, isMessage := strings.CutSuffix(words[0], ":"); isMessage {
+		s.says(who, words[1], words[2:], scriptArgs{args, num, span})
 		return
 	}
 	switch words[0] {
@@ -356,43 +358,114 @@
 	return d
 }
 
-func kindOf(name string) message.Kind {
-	for k := range message.Kind(128) {
-		if k.String() == name {
-			return k
+// scriptArgs are the arguments of a line by their names, as text, numbers and spans.
+type scriptArgs struct {
+	text map[string]string
+	num  func(name string) int
+	span func(name string) time.Duration
+}
+
+// says is what a forwarder, by the number of its session, or a peer says.
+func (s *stage) says(who, kind string, words []string, args scriptArgs) {
+	epoch := message.Epoch(args.num("epoch"))
+	if strings.HasPrefix(who, "plan") {
+		e := message.Envelope{Epoch: epoch, Message: s.peerMessage(who, kind, args)}
+		s.ins = append(s.ins, Event{Kind: PeerMessage, Peer: who, Envelope: e})
+		return
+	}
+	n, err := strconv.Atoi(who)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	if kind == "heads" {
+		for q := args.num("from"); q <= args.num("to"); q++ {
+			s.do([]string{who + ":", "request-offer", fmt.Sprint("q=", q)})
 		}
+		return
+	}
+	id := SessionID(n)
+	if kind == "handshake" {
+		s.epoch[id] = epoch
+	} else if epoch == 0 {
+		epoch = s.epoch[id]
 	}
-	return 0
+	e := message.Envelope{Epoch: epoch, Message: s.forwarderMessage(kind, words, args)}
+	s.ins = append(s.ins, Event{Kind: ForwarderMessage, Session: id, Envelope: e})
+}
+
+func (a scriptArgs) status() *message.WorkerStatus {
+	return &message.WorkerStatus{
+		WorkerID: uint64(a.num("w")), StartedMs: int64(a.num("start")), Revision: int64(a.num("generation")),
+		State: message.WorkerState(max(0, index(stateNames[:], a.text["state"]))),
+	}
+}
+
+func (a scriptArgs) result() dispatch.Result {
+	return dispatch.Result(max(0, index(resultNames[:], a.text["result"])))
 }
 
-// message is what a forwarder says: "1: head q=7 class=1 w1:ago=20ms,reset". Its epoch is that of its last hello, if none
-// is given.
-func (s *stage) message(id SessionID, words []string, args map[string]string, num func(string) int,
-	span func(string) time.Duration, word *message.WorkerStatus) *message.Message {
-	m := &message.Message{Kind: kindOf(words[1]), Epoch: message.Epoch(num("epoch")), RequestID: uint64(num("q")), WorkerID: uint64(num("w")),
-		Sequence: uint64(num("number")), Attempt: num("n"), Incarnation: uint64(num("process")), Name: args["name"], Version: 0x101}
-	if m.Kind == message.KindHandshake {
-		if s.epoch[id] = m.Epoch; args["version"] != "" {
-			m.Version = num("version")
+func (a scriptArgs) reason() message.RejectReason {
+	for reason := range message.ReasonCount {
+		if a.text["why"] != "" && strings.ReplaceAll(reason.String(), " ", "-") == a.text["why"] {
+			return reason
 		}
-	} else if m.Epoch == 0 {
-		m.Epoch = s.epoch[id]
 	}
-	m.Result = dispatch.Result(max(0, index(resultNames[:], args["result"])))
-	for why := range message.ReasonCount {
-		if args["why"] != "" && strings.ReplaceAll(why.String(), " ", "-") == args["why"] {
-			m.Reason = why
+	return message.ReasonNone
+}
+
+func (s *stage) peerMessage(who, kind string, args scriptArgs) message.Message {
+	switch kind {
+	case "peer-handshake":
+		return &message.PeerHandshake{Name: who, Version: 0x100}
+	case "worker-status":
+		return args.status()
+	case "load-report":
+		return &message.LoadReport{
+			OpenRequests: args.num("heads"), QueuedRequests: args.num("held"), FreeSlots: float64(args.num("room")),
 		}
 	}
-	if m.Kind == message.KindWorkerStatus || args["state"] != "" {
-		m.Status = word
+	s.t.Fatalf("a peer says no %q", kind)
+	return nil
+}
+
+// forwarderMessage is what a forwarder says: "1: request-offer q=7 class=1 w1:ago=20ms,reset". Its epoch is that of its
+// last handshake, if none is given.
+func (s *stage) forwarderMessage(kind string, words []string, args scriptArgs) message.Message {
+	id, attempt := uint64(args.num("q")), args.num("n")
+	switch kind {
+	case "handshake":
+		version := 0x101
+		if args.text["version"] != "" {
+			version = args.num("version")
+		}
+		return &message.Handshake{Name: args.text["name"], Incarnation: uint64(args.num("process")), Version: version}
+	case "request-offer":
+		return &message.RequestOffer{RequestID: id, Summary: s.summary(words, args)}
+	case "attempt-ended":
+		return &message.AttemptEnded{RequestID: id, Attempt: attempt, Result: args.result(), Reason: args.reason()}
+	case "attempt-started":
+		return &message.AttemptStarted{RequestID: id, Attempt: attempt}
+	case "attempt-progress":
+		return &message.AttemptProgress{RequestID: id, Attempt: attempt}
+	case "request-closed":
+		return &message.RequestClosed{RequestID: id}
+	case "health-check-result":
+		return &message.HealthCheckResult{WorkerID: uint64(args.num("w")), Result: args.result()}
+	case "heartbeat":
+		return &message.Heartbeat{Sequence: uint64(args.num("number"))}
+	case "worker-status":
+		return args.status()
 	}
-	if m.Kind != message.KindRequestOffer {
-		return m
+	s.t.Fatalf("a forwarder says no %q", kind)
+	return nil
+}
+
+func (s *stage) summary(words []string, args scriptArgs) message.RequestSummary {
+	summary := message.RequestSummary{
+		Class: args.num("class"), Tenant: args.num("tenant"), Remaining: 3*time.Second - args.span("waited"),
+		Waited: args.span("waited"), Hint: 100 * ms, Slots: 1, Transfers: args.num("moves"),
 	}
-	m.Summary = &message.RequestSummary{Class: num("class"), Tenant: num("tenant"), Remaining: 3*time.Second - span("waited"), Waited: span("waited"),
-		Hint: 100 * ms, Slots: 1, Transfers: num("moves")}
-	for _, x := range words[2:] {
+	for _, x := range words {
 		name, fate, ok := strings.Cut(x, ":")
 		if !ok {
 			continue
@@ -412,7 +485,7 @@
 				p.PossiblyExecuted = !provesNotExecuted(p.Result)
 			}
 		}
-		m.Summary.Attempts = append(m.Summary.Attempts, p)
+		summary.Attempts = append(summary.Attempts, p)
 	}
-	return m
+	return summary
 }
--- a/internal/control/planner/heads.go
+++ b/internal/control/planner/heads.go
@@ -119,15 +119,11 @@
 
 // requestOffered takes in a head. One that is known comes again: its forwarder has reason to think that the two know
 // different things, and its word wins.
-func (b *Planner) requestOffered(f *forwarder, m *message.Message) {
+func (b *Planner) requestOffered(f *forwarder, m *message.RequestOffer) {
 	if b.stopDeadline > 0 {
 		return // it offers all of them elsewhere once it reads that
 	}
-	x := m.Summary
-	if x == nil {
-		b.statistics.InvalidMessages++
-		return
-	}
+	x := &m.Summary
 	b.statistics.Offers++
 	var onTheWay []attempt
 	if old := f.requests[m.RequestID]; old != nil {
@@ -164,8 +160,8 @@
 }
 
 // addRequest makes a head of what was told.
-func (b *Planner) addRequest(f *forwarder, m *message.Message) *request {
-	x := m.Summary
+func (b *Planner) addRequest(f *forwarder, m *message.RequestOffer) *request {
+	x := &m.Summary
 	h := &request{}
 	if last := len(b.freeRequests) - 1; last >= 0 {
 		h, b.freeRequests = b.freeRequests[last], b.freeRequests[:last]
@@ -310,24 +306,21 @@
 	b.slotsInUse -= h.slots
 }
 
-// openAttempt is an attempt that is out, by what a forwarder says; nil: there is none.
-func (b *Planner) openAttempt(f *forwarder, m *message.Message) (*request, *attempt) {
-	h := f.requests[m.RequestID]
-	if h == nil || m.Attempt < 0 || m.Attempt >= len(h.attempts) || h.attempts[m.Attempt].ended {
+// openAttempt is a request of a forwarder and an attempt of it that is in flight; nil: there is none.
+func (f *forwarder) openAttempt(requestID uint64, number int) (*request, *attempt) {
+	h := f.requests[requestID]
+	if h == nil || number < 0 || number >= len(h.attempts) || h.attempts[number].ended {
 		return h, nil
 	}
-	return h, &h.attempts[m.Attempt]
+	return h, &h.attempts[number]
 }
 
 // attemptEnded takes in how an attempt has ended, or why its guard did not let it go.
-func (b *Planner) attemptEnded(f *forwarder, m *message.Message) {
+func (b *Planner) attemptEnded(f *forwarder, m *message.AttemptEnded) {
 	if m.Reason != message.ReasonNone {
 		b.recordRejection(f, m.Reason)
-		if m.Status != nil {
-			b.statusReceived(*m.Status, f, nil)
-		}
 	}
-	h, a := b.openAttempt(f, m)
+	h, a := f.openAttempt(m.RequestID, m.Attempt)
 	if a == nil || m.Reason != message.ReasonNone && (!a.commanded || a.acknowledged) {
 		b.statistics.StrayMessages++
 		return
@@ -354,8 +347,8 @@
 	}
 }
 
-func (b *Planner) attemptStarted(f *forwarder, m *message.Message) {
-	h, a := b.openAttempt(f, m)
+func (b *Planner) attemptStarted(f *forwarder, m *message.AttemptStarted) {
+	h, a := f.openAttempt(m.RequestID, m.Attempt)
 	if a == nil {
 		b.statistics.StrayMessages++
 		return
@@ -366,8 +359,8 @@
 	b.notifyPolicy(dispatch.Started{Job: h.id, Attempt: m.Attempt, Worker: a.worker.ID})
 }
 
-func (b *Planner) attemptProgressed(f *forwarder, m *message.Message) {
-	h, a := b.openAttempt(f, m)
+func (b *Planner) attemptProgressed(f *forwarder, m *message.AttemptProgress) {
+	h, a := f.openAttempt(m.RequestID, m.Attempt)
 	if a == nil {
 		b.statistics.StrayMessages++
 		return
@@ -381,7 +374,7 @@
 }
 
 // requestClosed takes in that nothing is owed for a query any more, or that it is not this planner's.
-func (b *Planner) requestClosed(f *forwarder, m *message.Message) {
+func (b *Planner) requestClosed(f *forwarder, m *message.RequestClosed) {
 	if h := f.requests[m.RequestID]; h != nil && h.open {
 		b.notifyPolicy(dispatch.ClientDisconnected{Job: h.id})
 		if b.closeRequest(h); h.inFlight > 0 { // where it is another's now, nothing more is told of it
@@ -442,20 +435,20 @@
 			b.sendAttempt(a)
 		case dispatch.Reject:
 			if h := b.requests[a.Job]; h != nil && h.open {
-				b.sendTo(h.forwarder, message.Message{Kind: message.KindRejectCommand, RequestID: h.forwarderID, RetryAfter: a.RetryAfter})
+				b.sendTo(h.forwarder, &message.RejectCommand{RequestID: h.forwarderID, RetryAfter: a.RetryAfter})
 				b.statistics.Rejected++
 				b.closeRequest(h)
 			}
 		case dispatch.Fail:
 			if h := b.requests[a.Job]; h != nil && h.open {
-				b.sendTo(h.forwarder, message.Message{Kind: message.KindFailCommand, RequestID: h.forwarderID})
+				b.sendTo(h.forwarder, &message.FailCommand{RequestID: h.forwarderID})
 				b.statistics.Failed++
 				b.closeRequest(h)
 			}
 		case dispatch.Cancel:
 			if h := b.requests[a.Job]; h != nil && h.forwarder != nil && a.Attempt >= 0 && a.Attempt < len(h.attempts) &&
 				!h.attempts[a.Attempt].ended {
-				b.sendTo(h.forwarder, message.Message{Kind: message.KindCancelCommand, RequestID: h.forwarderID, Attempt: a.Attempt})
+				b.sendTo(h.forwarder, &message.CancelCommand{RequestID: h.forwarderID, Attempt: a.Attempt})
 			}
 		case dispatch.HealthCheck:
 			b.startHealthCheck(a.Worker)
@@ -492,7 +485,7 @@
 	b.addAttempt(h, attempt{worker: b.workerByID(a.Worker), sentAt: b.now, commanded: true})
 	b.queued.remove(h, queuedList)
 	b.statistics.Commands++
-	b.sendTo(h.forwarder, message.Message{Kind: message.KindSendCommand, RequestID: h.forwarderID, Attempt: n, WorkerID: a.Worker, Timeout: a.AttemptTimeout})
+	b.sendTo(h.forwarder, &message.SendCommand{RequestID: h.forwarderID, Attempt: n, WorkerID: a.Worker, Timeout: a.AttemptTimeout})
 }
 
 // closeIdle closes idle links to a worker node: those of the forwarder that is to send there next, if that is why; else all.
@@ -500,30 +493,30 @@
 	if len(then) > 0 {
 		if s, ok := then[0].(dispatch.Send); ok && s.Worker == worker {
 			if h := b.requests[s.Job]; h != nil && h.open {
-				b.sendTo(h.forwarder, message.Message{Kind: message.KindCloseIdleCommand, WorkerID: worker})
+				b.sendTo(h.forwarder, &message.CloseIdleCommand{WorkerID: worker})
 				return
 			}
 		}
 	}
 	for _, f := range b.connected {
-		b.sendTo(f, message.Message{Kind: message.KindCloseIdleCommand, WorkerID: worker})
+		b.sendTo(f, &message.CloseIdleCommand{WorkerID: worker})
 	}
 }
 
 // rejectOffer ends a query that can't be taken in: there is no room for it, or its class is not known here.
-func (b *Planner) rejectOffer(f *forwarder, m *message.Message) {
+func (b *Planner) rejectOffer(f *forwarder, m *message.RequestOffer) {
 	b.statistics.OffersRejected++
-	x := m.Summary
+	x := &m.Summary
 	if to := b.peerWithMostRoom(1); to != "" && x.Transfers < maxTransfers {
 		b.statistics.Transferred++
-		b.sendTo(f, message.Message{Kind: message.KindTransferCommand, RequestID: m.RequestID, Name: to})
+		b.sendTo(f, &message.TransferCommand{RequestID: m.RequestID, Planner: to})
 		return
 	}
 	for i := range x.Attempts {
 		if x.Attempts[i].PossiblyExecuted {
-			b.sendTo(f, message.Message{Kind: message.KindFailCommand, RequestID: m.RequestID})
+			b.sendTo(f, &message.FailCommand{RequestID: m.RequestID})
 			return
 		}
 	}
-	b.sendTo(f, message.Message{Kind: message.KindRejectCommand, RequestID: m.RequestID})
+	b.sendTo(f, &message.RejectCommand{RequestID: m.RequestID})
 }
--- a/internal/control/planner/members.go
+++ b/internal/control/planner/members.go
@@ -134,44 +134,39 @@
 	return n
 }
 
-// receive takes what a forwarder says.
-func (b *Planner) receive(id SessionID, m *message.Message) {
+// receive takes in a message of a forwarder.
+func (b *Planner) receive(id SessionID, envelope message.Envelope) {
 	s := b.sessions[id]
 	if s == nil {
-		b.statistics.StrayMessages++ // said before it read that it is closed
+		b.statistics.StrayMessages++ // sent before the forwarder read that the session is closed
 		return
 	}
-	if m.Kind == message.KindHandshake {
-		b.handshake(s, m)
+	if m, ok := envelope.Message.(*message.Handshake); ok {
+		b.handshake(s, envelope.Epoch, m)
 		return
 	}
 	f := s.forwarder
-	if f == nil || m.Epoch != f.epoch {
+	if f == nil || envelope.Epoch != f.epoch {
 		b.statistics.StrayMessages++
 		return
 	}
-	switch m.Kind {
-	case message.KindRequestOffer:
+	switch m := envelope.Message.(type) {
+	case *message.RequestOffer:
 		b.requestOffered(f, m)
-	case message.KindAttemptEnded:
+	case *message.AttemptEnded:
 		b.attemptEnded(f, m)
-	case message.KindAttemptStarted:
+	case *message.AttemptStarted:
 		b.attemptStarted(f, m)
-	case message.KindAttemptProgress:
+	case *message.AttemptProgress:
 		b.attemptProgressed(f, m)
-	case message.KindRequestClosed:
+	case *message.RequestClosed:
 		b.requestClosed(f, m)
-	case message.KindHealthCheckResult:
-		if b.healthChecks[m.WorkerID].forwarder == f {
-			delete(b.healthChecks, m.WorkerID)
-			b.notifyPolicy(dispatch.HealthChecked{Worker: m.WorkerID, Result: knownResult(m.Result)})
-		}
-	case message.KindHeartbeat:
+	case *message.HealthCheckResult:
+		b.healthChecked(f, m)
+	case *message.Heartbeat:
 		b.heartbeats = append(b.heartbeats, heartbeat{s.id, f.epoch, m.Sequence})
-	case message.KindWorkerStatus:
-		if m.Status != nil {
-			b.statusReceived(*m.Status, f, nil)
-		}
+	case *message.WorkerStatus:
+		b.statusReceived(*m, f, nil)
 	default:
 		b.statistics.InvalidMessages++
 	}
@@ -179,26 +174,26 @@
 
 // handshake opens a session. A newer one of the same forwarder ends the one before; one that is not newer is of a
 // connection that was overtaken on its way, or of another forwarder by the same name, and is turned away.
-func (b *Planner) handshake(s *session, m *message.Message) {
+func (b *Planner) handshake(s *session, epoch message.Epoch, m *message.Handshake) {
 	switch {
 	case m.Version>>8 != b.config.Version>>8:
 		b.log("forwarder %q is turned away: it speaks version %d.%d, this is %d.%d", m.Name, m.Version>>8, m.Version&0xff,
 			b.config.Version>>8, b.config.Version&0xff)
-		b.send(s.id, b.handshakeAccept(m.Epoch, 0))
+		b.send(s.id, epoch, b.handshakeAccept(0))
 		b.closeSession(s)
 		return
-	case m.Name == "" || len(m.Name) > maxNameLength || m.Epoch == 0:
+	case m.Name == "" || len(m.Name) > maxNameLength || epoch == 0:
 		b.statistics.InvalidMessages++
 		b.closeSession(s)
 		return
 	case b.stopDeadline > 0:
-		b.send(s.id, message.Message{Kind: message.KindGoodbye, Epoch: m.Epoch})
+		b.send(s.id, epoch, &message.Goodbye{})
 		b.closeSession(s)
 		return
 	}
 	f := b.forwarders[m.Name]
-	if f != nil && m.Epoch <= f.epoch || s.forwarder != nil && s.forwarder.name != m.Name {
-		b.log("forwarder %q is turned away: session %d is not its newest", m.Name, m.Epoch)
+	if f != nil && epoch <= f.epoch || s.forwarder != nil && s.forwarder.name != m.Name {
+		b.log("forwarder %q is turned away: session %d is not its newest", m.Name, epoch)
 		b.statistics.StaleSessions++
 		b.closeSession(s)
 		return
@@ -218,21 +213,22 @@
 		b.detachRequests(f)
 		f.incarnation = m.Incarnation
 	}
-	f.epoch, f.session, s.forwarder = m.Epoch, s, f
+	f.epoch, f.session, s.forwarder = epoch, s, f
 	at, _ := slices.BinarySearchFunc(b.connected, f.name, compareForwarder)
 	b.connected = slices.Insert(b.connected, at, f)
 	b.assignCredit(true)
 	f.snapshotDue = b.now + b.config.SnapshotInterval*time.Duration(b.snapshotPhase%16)/16
 	b.snapshotPhase++
-	b.sendTo(f, b.handshakeAccept(f.epoch, f.credit))
+	b.sendTo(f, b.handshakeAccept(f.credit))
 	f.accepted = true
 	b.sendUnavailable(f)
 	b.log("forwarder %s: session %d, credit %d", f.name, f.epoch, f.credit)
 }
 
-func (b *Planner) handshakeAccept(epoch message.Epoch, credit int) message.Message {
-	return message.Message{Kind: message.KindHandshakeAccept, Epoch: epoch, Name: b.config.Name, Incarnation: b.config.Incarnation,
-		Version: b.config.Version, Credit: credit}
+func (b *Planner) handshakeAccept(credit int) *message.HandshakeAccept {
+	return &message.HandshakeAccept{
+		Name: b.config.Name, Incarnation: b.config.Incarnation, Version: b.config.Version, Credit: credit,
+	}
 }
 
 // detachRequests takes in that a forwarder's process is another one: the queries of the one before have no numbers any more,
@@ -330,7 +326,7 @@
 // setCredit tells a forwarder's credit, unless its Welcome will.
 func (b *Planner) setCredit(f *forwarder, credit int) {
 	if f.credit = credit; f.accepted {
-		b.sendTo(f, message.Message{Kind: message.KindCreditUpdate, Credit: credit})
+		b.sendTo(f, &message.CreditUpdate{Credit: credit})
 	}
 }
 
@@ -350,12 +346,20 @@
 			b.modelSnapshot, b.snapshotAt = m.ModelSnapshot(b.config.MaxSnapshotBytes, nil), b.now
 		}
 		f.snapshotDue = b.now + b.config.SnapshotInterval
-		b.sendTo(f, message.Message{Kind: message.KindModelSnapshot, Age: b.now - b.snapshotAt, Data: b.modelSnapshot})
+		b.sendTo(f, &message.ModelSnapshot{Age: b.now - b.snapshotAt, Data: b.modelSnapshot})
 	}
 }
 
 // ---- Probes ----
 
+// healthChecked takes in the result of a health check, if it is the one that the forwarder was to make.
+func (b *Planner) healthChecked(f *forwarder, m *message.HealthCheckResult) {
+	if b.healthChecks[m.WorkerID].forwarder == f {
+		delete(b.healthChecks, m.WorkerID)
+		b.notifyPolicy(dispatch.HealthChecked{Worker: m.WorkerID, Result: knownResult(m.Result)})
+	}
+}
+
 // startHealthCheck has a forwarder ask a worker node for a sign of life, each in its turn.
 func (b *Planner) startHealthCheck(worker uint64) {
 	if len(b.connected) == 0 || b.healthChecks[worker].forwarder != nil {
@@ -365,5 +369,5 @@
 	b.nextHealthChecker++
 	f := b.connected[b.nextHealthChecker%len(b.connected)]
 	b.healthChecks[worker] = healthCheck{f, b.now}
-	b.sendTo(f, message.Message{Kind: message.KindHealthCheckCommand, WorkerID: worker})
+	b.sendTo(f, &message.HealthCheckCommand{WorkerID: worker})
 }
--- a/internal/control/planner/model_test.go
+++ b/internal/control/planner/model_test.go
@@ -63,7 +63,7 @@
 
 type said struct {
 	at time.Duration
-	m  message.Message
+	e  message.Envelope
 }
 
 type mForwarder struct {
@@ -197,10 +197,10 @@
 	for _, id := range slices.Sorted(maps.Keys(p.conns)) {
 		c := p.conns[id]
 		for len(c.toFwd) > 0 && c.toFwd[0].at <= p.now && p.conns[id] == c {
-			m := c.toFwd[0].m
+			e := c.toFwd[0].e
 			c.toFwd = c.toFwd[1:]
 			if c.f != nil {
-				c.f.hear(c, &m)
+				c.f.hear(c, e)
 			}
 		}
 	}
@@ -210,17 +210,18 @@
 	for _, id := range slices.Sorted(maps.Keys(p.conns)) {
 		c := p.conns[id]
 		for len(c.toBook) > 0 && c.toBook[0].at <= p.now {
-			m := c.toBook[0].m
+			e := c.toBook[0].e
 			c.toBook = c.toBook[1:]
-			if m.Kind == message.KindHandshake {
-				c.epoch, c.credit = m.Epoch, 0 // what was told in the session before is void
-			}
-			if m.Kind == message.KindWorkerStatus && c.who.welcomedAs(id, m.Epoch) {
-				if _, listed := p.list[m.Status.WorkerID]; listed || m.Status.State != message.WorkerUp || p.words[m.Status.WorkerID].WorkerID != 0 {
-					p.newest(*m.Status)
+			switch m := e.Message.(type) {
+			case *message.Handshake:
+				c.epoch, c.credit = e.Epoch, 0 // what was told in the session before is void
+			case *message.WorkerStatus:
+				_, listed := p.list[m.WorkerID]
+				if c.who.welcomedAs(id, e.Epoch) && (listed || m.State != message.WorkerUp || p.words[m.WorkerID].WorkerID != 0) {
+					p.newest(*m)
 				}
 			}
-			p.ins = append(p.ins, Event{Kind: ForwarderMessage, Session: id, Message: &m})
+			p.ins = append(p.ins, Event{Kind: ForwarderMessage, Session: id, Envelope: e})
 		}
 	}
 	ins := p.ins
@@ -252,10 +253,10 @@
 		case SendToForwarder:
 			c := p.conns[o.Session]
 			if c == nil {
-				p.t.Fatalf("%v said to session %d, which is over", o.Message.Kind, o.Session)
+				p.t.Fatalf("%v said to session %d, which is over", o.Envelope.Message.Kind(), o.Session)
 			}
-			p.heed(c, &o.Message)
-			c.toFwd = append(c.toFwd, said{p.later(c.toFwd), o.Message})
+			p.heed(c, o.Envelope)
+			c.toFwd = append(c.toFwd, said{p.later(c.toFwd), o.Envelope})
 		case SendToPeer:
 			if !p.peers[o.Peer] {
 				p.t.Fatalf("said to peer %q, to which there is no connection", o.Peer)
@@ -278,20 +279,13 @@
 }
 
 // heed checks what the book says, as it says it.
-func (p *play) heed(c *mConn, m *message.Message) {
-	switch m.Kind {
-	case message.KindHandshakeAccept, message.KindCreditUpdate:
-		if m.Epoch == c.epoch {
-			c.credit = m.Credit
-		}
-		sum := 0
-		for _, c := range p.conns {
-			sum += c.credit
-		}
-		if sum > p.conf.MaxOpenRequests {
-			p.t.Fatalf("credits told come to %d of %d", sum, p.conf.MaxOpenRequests)
-		}
-	case message.KindSendCommand:
+func (p *play) heed(c *mConn, e message.Envelope) {
+	switch m := e.Message.(type) {
+	case *message.HandshakeAccept:
+		p.heedCredit(c, e.Epoch, m.Credit)
+	case *message.CreditUpdate:
+		p.heedCredit(c, e.Epoch, m.Credit)
+	case *message.SendCommand:
 		p.sends++
 		w, listed := p.list[m.WorkerID]
 		if !listed || p.words[m.WorkerID].State != message.WorkerUp {
@@ -300,13 +294,26 @@
 		if who := p.owner[w.Cell%len(p.owner)]; who != me {
 			p.t.Fatalf("order to worker %d, which is %s's", m.WorkerID, who)
 		}
-	case message.KindTransferCommand:
-		if p.moves++; m.Name != "" && !p.peers[m.Name] {
-			p.t.Fatalf("moved to %q, which is not alive", m.Name)
+	case *message.TransferCommand:
+		if p.moves++; m.Planner != "" && !p.peers[m.Planner] {
+			p.t.Fatalf("moved to %q, which is not alive", m.Planner)
 		}
 	}
 }
 
+func (p *play) heedCredit(c *mConn, epoch message.Epoch, credit int) {
+	if epoch == c.epoch {
+		c.credit = credit
+	}
+	sum := 0
+	for _, c := range p.conns {
+		sum += c.credit
+	}
+	if sum > p.conf.MaxOpenRequests {
+		p.t.Fatalf("credits told come to %d of %d", sum, p.conf.MaxOpenRequests)
+	}
+}
+
 // later is when something arrives that is said now, behind what was said before.
 func (p *play) later(queue []said) time.Duration {
 	at := p.now + p.span(20*ms)
@@ -337,9 +344,10 @@
 
 // tell says something to the book.
 func (f *mForwarder) tell(m message.Message) {
-	if f.conn != nil && (f.open || m.Kind == message.KindHandshake) {
-		m.Epoch = f.epoch
-		f.conn.toBook = append(f.conn.toBook, said{f.p.later(f.conn.toBook), m})
+	_, opens := m.(*message.Handshake)
+	if f.conn != nil && (f.open || opens) {
+		e := message.Envelope{Epoch: f.epoch, Message: m}
+		f.conn.toBook = append(f.conn.toBook, said{f.p.later(f.conn.toBook), e})
 	}
 }
 
@@ -358,58 +366,80 @@
 	}
 	f.lose()
 	f.epoch++
-	f.tell(message.Message{Kind: message.KindHandshake, Name: f.name, Incarnation: f.process, Version: 0x101})
+	f.tell(&message.Handshake{Name: f.name, Incarnation: f.process, Version: 0x101})
 }
 
 // hear takes what the planner says.
-func (f *mForwarder) hear(c *mConn, m *message.Message) {
+func (f *mForwarder) hear(c *mConn, e message.Envelope) {
 	p := f.p
-	if c != f.conn || m.Epoch != f.epoch {
+	if c != f.conn || e.Epoch != f.epoch {
 		return
 	}
-	q := f.queries[m.RequestID]
-	switch m.Kind {
-	case message.KindHandshakeAccept:
+	switch m := e.Message.(type) {
+	case *message.HandshakeAccept:
 		f.open, f.credit = true, m.Credit
-	case message.KindCreditUpdate:
+	case *message.CreditUpdate:
 		f.credit = m.Credit
-	case message.KindGoodbye:
+	case *message.Goodbye:
 		f.leaving = true
 		for _, q := range f.inOrder() {
 			if q.with == f.epoch {
-				f.tell(message.Message{Kind: message.KindRequestClosed, RequestID: q.id})
+				f.tell(&message.RequestClosed{RequestID: q.id})
 				q.with = 0
 			}
 		}
-	case message.KindSendCommand:
-		f.obey(q, m)
-	case message.KindRejectCommand, message.KindFailCommand, message.KindTransferCommand:
-		if q == nil || q.over && q.answered != f.epoch || q.barred == f.epoch || f.leaving {
-			return // it was ordered before the book read of that
-		}
-		if q.with != f.epoch {
-			p.t.Fatalf("%v of query %d, which is not with the planner", m.Kind, q.id)
-		}
-		if m.Kind == message.KindTransferCommand {
-			q.with, q.barred = 0, f.epoch
-			if m.Name != "" && q.head.Transfers >= 2 {
-				p.t.Fatalf("query %d moved %d times", q.id, q.head.Transfers)
-			}
-			if q.head.Transfers++; m.Name == "" || p.one(2) {
-				f.close(q)
-			}
-			return
-		}
-		q.answered = f.epoch
-		f.close(q)
-	case message.KindCancelCommand:
+	case *message.SendCommand:
+		f.obey(f.queries[m.RequestID], m)
+	case *message.RejectCommand:
+		f.answer(f.queries[m.RequestID], m)
+	case *message.FailCommand:
+		f.answer(f.queries[m.RequestID], m)
+	case *message.TransferCommand:
+		f.handOn(f.queries[m.RequestID], m)
+	case *message.CancelCommand:
+		q := f.queries[m.RequestID]
 		for i := range q.attemptsOf() {
 			if a := &q.attempts[i]; a.number == m.Attempt && !a.ended && q.with == f.epoch {
 				f.end(q, i, dispatch.Cancelled)
 			}
 		}
-	case message.KindHealthCheckCommand:
-		f.tell(message.Message{Kind: message.KindHealthCheckResult, WorkerID: m.WorkerID, Result: dispatch.Result(p.pick(9))})
+	case *message.HealthCheckCommand:
+		f.tell(&message.HealthCheckResult{WorkerID: m.WorkerID, Result: dispatch.Result(p.pick(9))})
+	}
+}
+
+// mayDecide tells whether the planner may give a final order for a query. It is none if it was given before the book read
+// of what has become of the query.
+func (f *mForwarder) mayDecide(q *mQuery, m message.Command) bool {
+	if q == nil || q.over && q.answered != f.epoch || q.barred == f.epoch || f.leaving {
+		return false
+	}
+	if q.with != f.epoch {
+		f.p.t.Fatalf("%v of query %d, which is not with the planner", m.Kind(), q.id)
+	}
+	return true
+}
+
+// answer carries out an order to reject or fail a query.
+func (f *mForwarder) answer(q *mQuery, m message.Command) {
+	if f.mayDecide(q, m) {
+		q.answered = f.epoch
+		f.close(q)
+	}
+}
+
+// handOn carries out an order to move a query to another planner.
+func (f *mForwarder) handOn(q *mQuery, m *message.TransferCommand) {
+	p := f.p
+	if !f.mayDecide(q, m) {
+		return
+	}
+	q.with, q.barred = 0, f.epoch
+	if m.Planner != "" && q.head.Transfers >= 2 {
+		p.t.Fatalf("query %d moved %d times", q.id, q.head.Transfers)
+	}
+	if q.head.Transfers++; m.Planner == "" || p.one(2) {
+		f.close(q)
 	}
 }
 
@@ -421,10 +451,10 @@
 }
 
 // obey carries out an order to send, or refuses it as a guard may.
-func (f *mForwarder) obey(q *mQuery, m *message.Message) {
+func (f *mForwarder) obey(q *mQuery, m *message.SendCommand) {
 	p := f.p
 	refuse := func(why message.RejectReason) {
-		f.tell(message.Message{Kind: message.KindAttemptEnded, RequestID: m.RequestID, Attempt: m.Attempt, Result: dispatch.NotSent, Reason: why})
+		f.tell(&message.AttemptEnded{RequestID: m.RequestID, Attempt: m.Attempt, Result: dispatch.NotSent, Reason: why})
 	}
 	switch {
 	case q == nil || q.over:
@@ -481,7 +511,7 @@
 	}
 	a.ended, a.result = true, r
 	if q.with == f.epoch {
-		f.tell(message.Message{Kind: message.KindAttemptEnded, RequestID: q.id, Attempt: a.number, Result: r})
+		f.tell(&message.AttemptEnded{RequestID: q.id, Attempt: a.number, Result: r})
 	}
 	if r == dispatch.OK && !q.over {
 		f.close(q)
@@ -507,7 +537,7 @@
 		if a := &q.attempts[d.attempt]; !d.starts {
 			f.end(q, d.attempt, d.result)
 		} else if a.began = p.now; q.with == f.epoch {
-			f.tell(message.Message{Kind: message.KindAttemptStarted, RequestID: q.id, Attempt: a.number})
+			f.tell(&message.AttemptStarted{RequestID: q.id, Attempt: a.number})
 		}
 	}
 	open := 0
@@ -515,7 +545,7 @@
 		out := slices.ContainsFunc(q.attempts, func(a mAttempt) bool { return !a.ended })
 		if !q.over && (p.now >= q.deadline || p.one(400)) {
 			if q.with == f.epoch {
-				f.tell(message.Message{Kind: message.KindRequestClosed, RequestID: q.id})
+				f.tell(&message.RequestClosed{RequestID: q.id})
 			}
 			f.close(q)
 		}
@@ -563,7 +593,7 @@
 		h.Attempts = append(h.Attempts, past)
 	}
 	q.next, q.with = len(q.attempts), f.epoch
-	f.tell(message.Message{Kind: message.KindRequestOffer, RequestID: q.id, Summary: &h})
+	f.tell(&message.RequestOffer{RequestID: q.id, Summary: h})
 }
 
 // mischief is what happens to them all.
@@ -610,7 +640,7 @@
 		x := message.WorkerStatus{WorkerID: w.ID, StartedMs: w.BootAt.Milliseconds(), Revision: p.lists + int64(p.pick(3)) - 1,
 			State: message.WorkerState(p.pick(3))}
 		if p.one(2) {
-			f.tell(message.Message{Kind: message.KindWorkerStatus, Status: &x})
+			f.tell(&x)
 		}
 	case 10: // planners come and go
 		name := []string{"plan-b", "plan-c"}[p.pick(2)]
@@ -626,12 +656,12 @@
 		p.owner = append([]string{me}, names...)
 		p.ins = append(p.ins, Event{Kind: PartitionChanged, Owner: ownerByCell(p.owner...)})
 		if kind == PeerConnected {
-			p.ins = append(p.ins, Event{Kind: PeerMessage, Peer: name, Message: &message.Message{Kind: message.KindPeerHandshake, Epoch: 1, Name: name, Version: 0x100}})
+			p.ins = append(p.ins, Event{Kind: PeerMessage, Peer: name, Envelope: message.Envelope{Epoch: 1, Message: &message.PeerHandshake{Name: name, Version: 0x100}}})
 		}
 	case 11:
 		for _, name := range slices.Sorted(maps.Keys(p.peers)) {
-			p.ins = append(p.ins, Event{Kind: PeerMessage, Peer: name, Message: &message.Message{Kind: message.KindLoadReport, Epoch: 1,
-				LoadReport: &message.LoadReport{OpenRequests: p.pick(20), QueuedRequests: p.pick(3), FreeSlots: float64(p.pick(20))}}})
+			p.ins = append(p.ins, Event{Kind: PeerMessage, Peer: name, Envelope: message.Envelope{Epoch: 1,
+				Message: &message.LoadReport{OpenRequests: p.pick(20), QueuedRequests: p.pick(3), FreeSlots: float64(p.pick(20))}}})
 		}
 	case 12:
 		p.ins = append(p.ins, Event{Kind: EndpointsChanged, Endpoints: dispatch.WorkerList{Kind: dispatch.ListUnavailable}})
--- a/internal/control/planner/peers.go
+++ b/internal/control/planner/peers.go
@@ -79,12 +79,12 @@
 	}
 	b.peerEpoch++
 	p.connected, p.remoteEpoch, p.epoch = true, 0, b.peerEpoch
-	b.sendToPeer(p, message.Message{Kind: message.KindPeerHandshake, Name: b.config.Name, Incarnation: b.config.Incarnation, Version: b.config.Version})
+	b.sendToPeer(p, &message.PeerHandshake{Name: b.config.Name, Incarnation: b.config.Incarnation, Version: b.config.Version})
 	b.sendToPeer(p, b.loadReport())
 	for _, h := range b.workerList {
 		if h.hasStatus && h.status.State != message.WorkerUp {
 			w := h.status
-			b.sendToPeer(p, message.Message{Kind: message.KindWorkerStatus, Status: &w})
+			b.sendToPeer(p, &w)
 		}
 	}
 }
@@ -96,48 +96,75 @@
 	}
 }
 
+// sendToPeer has a message sent to a peer, if there is a connection.
 func (b *Planner) sendToPeer(p *peer, m message.Message) {
 	if p.connected {
-		m.Epoch = p.epoch
-		b.output = append(b.output, Action{Kind: SendToPeer, Peer: p.name, Message: m})
+		b.output = append(b.output, Action{Kind: SendToPeer, Peer: p.name, Envelope: message.Envelope{Epoch: p.epoch, Message: m}})
 	}
 }
 
-// receiveFromPeer takes what a peer says.
-func (b *Planner) receiveFromPeer(name string, m *message.Message) {
+// receiveFromPeer takes in a message of a peer.
+func (b *Planner) receiveFromPeer(name string, envelope message.Envelope) {
 	p := b.findPeer(name)
-	switch {
-	case p == nil || !p.connected:
+	if p == nil || !p.connected {
 		b.statistics.StrayMessages++
-	case m.Kind == message.KindPeerHandshake && m.Version>>8 != b.config.Version>>8:
-		p.remoteEpoch = 0
-		b.log("planner %q is not listened to: it speaks version %d.%d, this is %d.%d", name, m.Version>>8, m.Version&0xff,
-			b.config.Version>>8, b.config.Version&0xff)
-	case m.Kind == message.KindPeerHandshake && m.Epoch > p.remoteEpoch && m.Name == name:
-		p.remoteEpoch = m.Epoch
-	case p.remoteEpoch == 0 || m.Epoch != p.remoteEpoch:
+		return
+	}
+	if m, ok := envelope.Message.(*message.PeerHandshake); ok && b.peerHandshake(p, envelope.Epoch, m) {
+		return
+	}
+	if p.remoteEpoch == 0 || envelope.Epoch != p.remoteEpoch {
 		b.statistics.StrayMessages++
-	case m.Kind == message.KindWorkerStatus && m.Status != nil:
-		b.statusReceived(*m.Status, nil, p)
-	case m.Kind == message.KindLoadReport && m.LoadReport != nil && isValidLoadReport(m.LoadReport):
-		p.load, p.loadAt, p.claimedSlots = *m.LoadReport, b.now, 0
+		return
+	}
+	switch m := envelope.Message.(type) {
+	case *message.WorkerStatus:
+		b.statusReceived(*m, nil, p)
+	case *message.LoadReport:
+		if !isValidLoadReport(m) {
+			b.statistics.InvalidMessages++
+			return
+		}
+		p.load, p.loadAt, p.claimedSlots = *m, b.now, 0
 	default:
 		b.statistics.InvalidMessages++
 	}
 }
 
+// peerHandshake opens a peer's session. It reports whether the handshake was valid or of another version; any other one is
+// treated like a message that is not a handshake.
+func (b *Planner) peerHandshake(p *peer, epoch message.Epoch, m *message.PeerHandshake) bool {
+	switch {
+	case m.Version>>8 != b.config.Version>>8:
+		p.remoteEpoch = 0
+		b.log("planner %q is not listened to: it speaks version %d.%d, this is %d.%d", p.name, m.Version>>8, m.Version&0xff,
+			b.config.Version>>8, b.config.Version&0xff)
+		return true
+	case epoch > p.remoteEpoch && m.Name == p.name:
+		p.remoteEpoch = epoch
+		return true
+	}
+	return false
+}
+
 func isValidLoadReport(l *message.LoadReport) bool {
 	return l.OpenRequests >= 0 && l.QueuedRequests >= 0 && l.UsedSlots >= 0 && l.UsedSlots < 1e9 && l.FreeSlots >= 0 && l.FreeSlots < 1e9 && l.TimerLag >= 0
 }
 
 // loadReport is how this planner does.
-func (b *Planner) loadReport() message.Message {
-	held := 0
+func (b *Planner) loadReport() *message.LoadReport {
+	queued := 0
 	for h := b.queued.first; h != nil; h = h.links[queuedList].next {
-		held++
+		queued++
+	}
+	return &message.LoadReport{
+		OpenRequests:   b.openCount,
+		QueuedRequests: queued,
+		Forwarders:     len(b.connected),
+		TimerLag:       b.timerLag,
+		UsedSlots:      max(0, b.slotsInUse),
+		FreeSlots:      b.freeSlots(),
 	}
-	return message.Message{Kind: message.KindLoadReport, LoadReport: &message.LoadReport{OpenRequests: b.openCount, QueuedRequests: held, Forwarders: len(b.connected),
-		TimerLag: b.timerLag, UsedSlots: max(0, b.slotsInUse), FreeSlots: b.freeSlots()}}
 }
 
 // freeSlots is how many slots are free, as far as is known: the module's word, or the worker nodes at which nothing is.
@@ -247,7 +274,7 @@
 // transfer hands a head on. told: the module has it.
 func (b *Planner) transfer(h *request, to string, told bool) {
 	b.statistics.Transferred++
-	b.sendTo(h.forwarder, message.Message{Kind: message.KindTransferCommand, RequestID: h.forwarderID, Name: to})
+	b.sendTo(h.forwarder, &message.TransferCommand{RequestID: h.forwarderID, Planner: to})
 	if told {
 		b.notifyPolicy(dispatch.ClientDisconnected{Job: h.id})
 	}
--- a/internal/control/planner/planner.go
+++ b/internal/control/planner/planner.go
@@ -111,10 +111,10 @@
 const (
 	SessionOpened         EventKind = iota + 1 // a forwarder has connected: Session
 	SessionClosed                              // its connection has ended, whoever ended it: Session
-	ForwarderMessage                           // Session, Msg
+	ForwarderMessage                           // Session, Envelope
 	PeerConnected                              // there is a connection to another planner: Peer
 	PeerDisconnected                           // there is none any more: Peer
-	PeerMessage                                // Peer, Msg
+	PeerMessage                                // Peer, Envelope
 	EndpointsChanged                           // news of the host group: List, with its generation
 	EndpointSourceChanged                      // it comes from elsewhere from now on, and generations count anew
 	PartitionChanged                           // which worker nodes are whose: Owner. Until that is told, all are this planner's
@@ -128,7 +128,7 @@
 	Kind      EventKind
 	Session   SessionID
 	Peer      string
-	Message   *message.Message
+	Envelope  message.Envelope
 	Endpoints dispatch.WorkerList
 	Owner     func(w *dispatch.Worker) string // a planner's name; nil: all are this one's. It may change with another Part only
 	Names     []string
@@ -139,8 +139,8 @@
 
 // Kinds.
 const (
-	SendToForwarder ActionKind = iota + 1 // to a forwarder: Session, Msg
-	SendToPeer                            // to another planner: Peer, Msg; of no matter where there is no connection
+	SendToForwarder ActionKind = iota + 1 // to a forwarder: Session, Envelope
+	SendToPeer                            // to another planner: Peer, Envelope; of no matter where there is no connection
 	CloseSession                          // the connection of Session, after what was said there
 	SetTimer                              // Timer is wanted after After at the latest; an earlier one that was asked for holds
 	WatchEndpoints                        // follow the host group from Generation on
@@ -148,12 +148,12 @@
 	Stopped                               // the planner has stopped; nothing follows
 )
 
-// Action is one thing to be done. Msg.Bytes may be shared by several, and is not to be changed.
+// Action is one thing to be done. The messages may be shared by several actions, and are not to be changed.
 type Action struct {
 	Kind     ActionKind
 	Session  SessionID
 	Peer     string
-	Message  message.Message
+	Envelope message.Envelope
 	After    time.Duration
 	Revision int64
 	Text     string
@@ -223,7 +223,7 @@
 	b.runPolicy()
 	for _, q := range b.heartbeats {
 		if s := b.sessions[q.session]; s != nil && s.forwarder != nil && s.forwarder.epoch == q.epoch {
-			b.sendTo(s.forwarder, message.Message{Kind: message.KindHeartbeatReply, Sequence: q.sequence, TimerLag: b.timerLag})
+			b.sendTo(s.forwarder, &message.HeartbeatReply{Sequence: q.sequence, TimerLag: b.timerLag})
 		}
 	}
 	b.heartbeats = b.heartbeats[:0]
@@ -250,16 +250,16 @@
 	case SessionClosed:
 		b.sessionClosed(in.Session)
 	case ForwarderMessage:
-		if in.Message != nil {
-			b.receive(in.Session, in.Message)
+		if in.Envelope.Message != nil {
+			b.receive(in.Session, in.Envelope)
 		}
 	case PeerConnected:
 		b.peerConnected(in.Peer)
 	case PeerDisconnected:
 		b.peerDisconnected(in.Peer)
 	case PeerMessage:
-		if in.Message != nil {
-			b.receiveFromPeer(in.Peer, in.Message)
+		if in.Envelope.Message != nil {
+			b.receiveFromPeer(in.Peer, in.Envelope)
 		}
 	case EndpointsChanged:
 		b.endpointsChanged(in.Endpoints)
@@ -354,7 +354,7 @@
 	b.stopDeadline = b.now + b.config.StopTimeout
 	b.log("stopping: %d forwarders are told to offer their %d queries elsewhere", len(b.connected), b.openCount)
 	for _, f := range b.connected {
-		b.sendTo(f, message.Message{Kind: message.KindGoodbye})
+		b.sendTo(f, &message.Goodbye{})
 	}
 	for _, f := range b.connected {
 		b.closeRequestsOf(f)
@@ -374,14 +374,14 @@
 	}
 }
 
-func (b *Planner) send(s SessionID, m message.Message) {
-	b.output = append(b.output, Action{Kind: SendToForwarder, Session: s, Message: m})
+// send has a message sent in a session of an epoch.
+func (b *Planner) send(s SessionID, epoch message.Epoch, m message.Message) {
+	b.output = append(b.output, Action{Kind: SendToForwarder, Session: s, Envelope: message.Envelope{Epoch: epoch, Message: m}})
 }
 
-// sendTo says something to a forwarder that has a session.
+// sendTo has a message sent to a forwarder, if that has a session.
 func (b *Planner) sendTo(f *forwarder, m message.Message) {
 	if f.session != nil {
-		m.Epoch = f.epoch
-		b.send(f.session.id, m)
+		b.send(f.session.id, f.epoch, m)
 	}
 }
--- a/internal/control/planner/trouble.go
+++ b/internal/control/planner/trouble.go
@@ -150,7 +150,7 @@
 	if h.open {
 		b.statistics.Poison++
 		b.log("query %d of forwarder %s is given back: the module panics at it", h.forwarderID, h.forwarder.name)
-		b.sendTo(h.forwarder, message.Message{Kind: message.KindTransferCommand, RequestID: h.forwarderID})
+		b.sendTo(h.forwarder, &message.TransferCommand{RequestID: h.forwarderID})
 	}
 	for i := range h.attempts {
 		if !h.attempts[i].ended {
--- a/internal/control/validator/guard.go
+++ b/internal/control/validator/guard.go
@@ -283,78 +283,121 @@
 
 // ---- What may be done ----
 
-// Validate says why an order that came by a session, or Mine, may not be followed, and counts it. Each Send uses up its
-// number, if the query is its sender's. What is allowed is to be done at once, and told by Did.
-func (g *Validator) Validate(now time.Duration, epoch message.Epoch, m *message.Message) message.RejectReason {
+// Validate reports why a command that came by a session, or from the local policy, may not be executed, and counts it.
+// Each SendCommand uses up its number, if the request is its sender's. What is allowed is to be executed at once, and
+// reported by Apply.
+func (g *Validator) Validate(now time.Duration, epoch message.Epoch, m message.Message) message.RejectReason {
 	g.advance(now)
-	why := g.validate(epoch, m)
-	if why != message.ReasonNone {
-		g.rejected[why]++
+	reason := g.validate(epoch, m)
+	if reason != message.ReasonNone {
+		g.rejected[reason]++
 	}
-	return why
+	return reason
 }
 
-// RejectedCount counts the orders that were refused for a reason.
-func (g *Validator) RejectedCount(why message.RejectReason) int {
-	if why < message.ReasonCount {
-		return g.rejected[why]
+// RejectedCount counts the commands that were rejected for a reason.
+func (g *Validator) RejectedCount(reason message.RejectReason) int {
+	if reason < message.ReasonCount {
+		return g.rejected[reason]
 	}
 	return 0
 }
 
-func (g *Validator) validate(epoch message.Epoch, m *message.Message) message.RejectReason {
+func (g *Validator) validate(epoch message.Epoch, m message.Message) message.RejectReason {
 	if epoch != LocalEpoch && !g.openSessions[epoch] {
 		return message.ReasonStaleEpoch
 	}
-	switch m.Kind {
-	case message.KindHealthCheckCommand, message.KindCloseIdleCommand:
-		return g.validateWorker(m)
-	case message.KindSendCommand, message.KindRejectCommand, message.KindFailCommand, message.KindCancelCommand, message.KindTransferCommand:
-	default:
+	switch m := m.(type) {
+	case *message.HealthCheckCommand:
+		return g.validateHealthCheck(m)
+	case *message.CloseIdleCommand:
+		return g.validateListed(m.WorkerID)
+	case *message.SendCommand:
+		return g.validateSend(epoch, m)
+	case *message.RejectCommand:
+		return g.validateReject(epoch, m)
+	case *message.FailCommand:
+		_, reason := g.ownedRequest(epoch, m.RequestID)
+		return reason
+	case *message.CancelCommand:
+		return g.validateCancel(epoch, m)
+	case *message.TransferCommand:
+		_, reason := g.ownedRequest(epoch, m.RequestID)
+		return reason
+	}
+	return message.ReasonNotPermitted
+}
+
+// ownedRequest returns an open request that is assigned to a session, or the reason why there is none.
+func (g *Validator) ownedRequest(epoch message.Epoch, id uint64) (*request, message.RejectReason) {
+	r := g.requests[id]
+	switch {
+	case r == nil || r.closed || r.streaming:
+		return nil, message.ReasonUnknownRequest
+	case !r.owned || r.owner != epoch:
+		return nil, message.ReasonNotOwner
+	}
+	return r, message.ReasonNone
+}
+
+func (g *Validator) validateSend(epoch message.Epoch, m *message.SendCommand) message.RejectReason {
+	r, reason := g.ownedRequest(epoch, m.RequestID)
+	if reason != message.ReasonNone {
+		return reason
+	}
+	if m.Attempt < r.nextCommand || m.Attempt >= math.MaxInt32 {
+		return message.ReasonDuplicateCommand
+	}
+	r.nextCommand = m.Attempt + 1
+	r.validatedCommand = m.Attempt
+	return g.validateAttempt(r, m.WorkerID)
+}
+
+func (g *Validator) validateReject(epoch message.Epoch, m *message.RejectCommand) message.RejectReason {
+	r, reason := g.ownedRequest(epoch, m.RequestID)
+	if reason != message.ReasonNone {
+		return reason
+	}
+	if !r.canReject() {
+		return message.ReasonUnsafeRejection
+	}
+	return message.ReasonNone
+}
+
+func (g *Validator) validateCancel(epoch message.Epoch, m *message.CancelCommand) message.RejectReason {
+	r, reason := g.ownedRequest(epoch, m.RequestID)
+	if reason != message.ReasonNone {
+		return reason
+	}
+	if !g.settings.Cancellation {
 		return message.ReasonNotPermitted
 	}
-	q := g.requests[m.RequestID]
-	switch {
-	case q == nil || q.closed || q.streaming:
+	index, ok := g.AttemptIndex(m.RequestID, m.Attempt)
+	if !ok || r.attempts[index].ended {
 		return message.ReasonUnknownRequest
-	case !q.owned || q.owner != epoch:
-		return message.ReasonNotOwner
-	}
-	switch m.Kind {
-	case message.KindSendCommand:
-		if m.Attempt < q.nextCommand || m.Attempt >= math.MaxInt32 {
-			return message.ReasonDuplicateCommand
-		}
-		q.nextCommand, q.validatedCommand = m.Attempt+1, m.Attempt
-		return g.validateSend(q, m.WorkerID)
-	case message.KindRejectCommand:
-		if !q.canReject() {
-			return message.ReasonUnsafeRejection
-		}
-	case message.KindCancelCommand:
-		if !g.settings.Cancellation {
-			return message.ReasonNotPermitted
-		}
-		i, ok := g.AttemptIndex(m.RequestID, m.Attempt)
-		if !ok || q.attempts[i].ended {
-			return message.ReasonUnknownRequest
-		}
 	}
 	return message.ReasonNone
 }
 
-func (g *Validator) validateWorker(m *message.Message) message.RejectReason {
-	if _, listed := g.workers[m.WorkerID]; !listed {
-		return message.ReasonUnknownWorker
+func (g *Validator) validateHealthCheck(m *message.HealthCheckCommand) message.RejectReason {
+	if reason := g.validateListed(m.WorkerID); reason != message.ReasonNone {
+		return reason
 	}
-	if m.Kind == message.KindHealthCheckCommand && !g.settings.HealthChecks {
+	if !g.settings.HealthChecks {
 		return message.ReasonNotPermitted
 	}
 	return message.ReasonNone
 }
 
-// validateSend holds a further attempt against all rules.
-func (g *Validator) validateSend(q *request, worker uint64) message.RejectReason {
+func (g *Validator) validateListed(workerID uint64) message.RejectReason {
+	if _, listed := g.workers[workerID]; !listed {
+		return message.ReasonUnknownWorker
+	}
+	return message.ReasonNone
+}
+
+// validateAttempt holds a further attempt against all rules.
+func (g *Validator) validateAttempt(q *request, worker uint64) message.RejectReason {
 	switch n, listed := g.workers[worker]; {
 	case g.now >= q.deadline:
 		return message.ReasonDeadlineExceeded
--- a/internal/control/validator/guard_test.go
+++ b/internal/control/validator/guard_test.go
@@ -200,30 +200,30 @@
 
 // order is "send eEPOCH qQUERY #NUMBER wWORKER" and the like.
 func (p *stage) order(what string, f []string) message.RejectReason {
-	m := message.Message{Kind: map[string]message.Kind{"send": message.KindSendCommand, "refuse": message.KindRejectCommand, "fail": message.KindFailCommand,
+	m := &modelCommand{kind: map[string]message.Kind{"send": message.KindSendCommand, "refuse": message.KindRejectCommand, "fail": message.KindFailCommand,
 		"cancel": message.KindCancelCommand,
 		"move":   message.KindTransferCommand, "probe": message.KindHealthCheckCommand, "free": message.KindCloseIdleCommand, "hello": message.KindHandshake}[what]}
 	for _, x := range f[1:] {
 		switch x[0] {
 		case 'q':
-			m.RequestID = p.number(x)
+			m.request = p.number(x)
 		case '#':
-			m.Attempt = int(p.number(x))
+			m.attempt = int(p.number(x))
 		case 'w':
-			m.WorkerID = p.number(x)
+			m.worker = p.number(x)
 		}
 	}
-	why := p.g.Validate(p.now, message.Epoch(p.number(f[0])), &m)
+	why := p.g.Validate(p.now, message.Epoch(p.number(f[0])), m.message())
 	if why != message.ReasonNone {
 		return why
 	}
-	switch m.Kind {
+	switch m.kind {
 	case message.KindSendCommand:
-		p.g.Apply(p.now, dispatch.Send{Job: m.RequestID, Worker: m.WorkerID})
+		p.g.Apply(p.now, dispatch.Send{Job: m.request, Worker: m.worker})
 	case message.KindRejectCommand:
-		p.g.Apply(p.now, dispatch.Reject{Job: m.RequestID})
+		p.g.Apply(p.now, dispatch.Reject{Job: m.request})
 	case message.KindFailCommand:
-		p.g.Apply(p.now, dispatch.Fail{Job: m.RequestID})
+		p.g.Apply(p.now, dispatch.Fail{Job: m.request})
 	}
 	return why
 }
@@ -296,8 +296,8 @@
 		id++
 		g.Observe(1, dispatch.Job{ID: id, Remaining: time.Second})
 		g.Assign(id, 1)
-		m := message.Message{Kind: message.KindSendCommand, RequestID: id, WorkerID: id % 1000}
-		if why := g.Validate(1, 1, &m); why != message.ReasonNone {
+		m := &message.SendCommand{RequestID: id, WorkerID: id % 1000}
+		if why := g.Validate(1, 1, m); why != message.ReasonNone {
 			b.Fatal(why)
 		}
 		g.Apply(1, dispatch.Send{Job: id, Worker: id % 1000})
--- a/internal/control/validator/model_test.go
+++ b/internal/control/validator/model_test.go
@@ -22,7 +22,7 @@
 type happening struct {
 	at    time.Duration
 	event dispatch.Event        // or
-	sent  *message.Message      // a send that was allowed, or
+	sent  *modelCommand         // that was allowed, or
 	word  *message.WorkerStatus // or
 	owner message.Epoch         // of query
 	query uint64
@@ -30,8 +30,37 @@
 	num   int
 }
 
+// modelCommand is a command of any kind.
+type modelCommand struct {
+	kind    message.Kind
+	request uint64
+	worker  uint64
+	attempt int
+}
+
+// message is the command as the validator has it.
+func (m *modelCommand) message() message.Message {
+	switch m.kind {
+	case message.KindSendCommand:
+		return &message.SendCommand{RequestID: m.request, Attempt: m.attempt, WorkerID: m.worker}
+	case message.KindRejectCommand:
+		return &message.RejectCommand{RequestID: m.request}
+	case message.KindFailCommand:
+		return &message.FailCommand{RequestID: m.request}
+	case message.KindCancelCommand:
+		return &message.CancelCommand{RequestID: m.request, Attempt: m.attempt}
+	case message.KindTransferCommand:
+		return &message.TransferCommand{RequestID: m.request}
+	case message.KindHealthCheckCommand:
+		return &message.HealthCheckCommand{WorkerID: m.worker}
+	case message.KindCloseIdleCommand:
+		return &message.CloseIdleCommand{WorkerID: m.worker}
+	}
+	return &message.Handshake{}
+}
+
 // broken is every reason that there is against an order.
-func (h *history) broken(epoch message.Epoch, open map[message.Epoch]bool, m *message.Message) (why []message.RejectReason) {
+func (h *history) broken(epoch message.Epoch, open map[message.Epoch]bool, m *modelCommand) (why []message.RejectReason) {
 	against := func(w message.RejectReason, ok bool) {
 		if ok {
 			why = append(why, w)
@@ -39,41 +68,41 @@
 	}
 	against(message.ReasonStaleEpoch, epoch != LocalEpoch && !open[epoch])
 	list, words := h.list(), h.words()
-	w, listed := list[m.WorkerID]
-	if m.Kind == message.KindHealthCheckCommand || m.Kind == message.KindCloseIdleCommand {
+	w, listed := list[m.worker]
+	if m.kind == message.KindHealthCheckCommand || m.kind == message.KindCloseIdleCommand {
 		against(message.ReasonUnknownWorker, !listed)
-		against(message.ReasonNotPermitted, m.Kind == message.KindHealthCheckCommand && !h.set.HealthChecks)
+		against(message.ReasonNotPermitted, m.kind == message.KindHealthCheckCommand && !h.set.HealthChecks)
 		return why
 	}
-	q := h.query(m.RequestID)
+	q := h.query(m.request)
 	if q == nil || q.over {
 		return append(why, message.ReasonUnknownRequest)
 	}
 	against(message.ReasonNotOwner, !q.owned || q.owner != epoch)
 	c := h.set.Classes[q.job.Class]
 	may := slices.ContainsFunc(q.tries, modelTry.mayHaveRun)
-	switch m.Kind {
+	switch m.kind {
 	case message.KindRejectCommand:
 		against(message.ReasonUnsafeRejection, may && c.Idempotency != dispatch.Idempotent && (c.Idempotency != dispatch.IdempotentWithKey ||
 			c.DeduplicationScope != dispatch.ScopeAll))
 	case message.KindCancelCommand:
 		against(message.ReasonNotPermitted, !h.set.Cancellation)
 		against(message.ReasonUnknownRequest, !slices.ContainsFunc(q.tries, func(t modelTry) bool {
-			return t.num == m.Attempt &&
+			return t.num == m.attempt &&
 				!t.ended
 		}))
 	case message.KindSendCommand:
-		against(message.ReasonDuplicateCommand, m.Attempt < 0 || slices.ContainsFunc(q.used, func(n int) bool { return n >= m.Attempt }))
+		against(message.ReasonDuplicateCommand, m.attempt < 0 || slices.ContainsFunc(q.used, func(n int) bool { return n >= m.attempt }))
 		against(message.ReasonDeadlineExceeded, h.now >= q.came+q.job.Remaining)
 		against(message.ReasonAttemptLimit, len(q.tries) >= h.set.AttemptLimit)
 		against(message.ReasonUnknownWorker, !listed)
 		against(message.ReasonClassMismatch, c.Kinds != nil && !slices.Contains(c.Kinds, w.Kind) || c.Zones != nil &&
 			!slices.Contains(c.Zones, w.Zone))
-		newest := words[m.WorkerID]
+		newest := words[m.worker]
 		own := message.WorkerStatus{WorkerID: w.ID, StartedMs: w.BootAt.Milliseconds(), Revision: w.gen}
 		against(message.ReasonWorkerDraining, !w.Ready || newest != nil && newest.State != message.WorkerUp && !own.Supersedes(*newest))
 		for _, t := range q.tries {
-			against(message.ReasonDuplicateAtWorker, !t.ended && t.worker == m.WorkerID)
+			against(message.ReasonDuplicateAtWorker, !t.ended && t.worker == m.worker)
 			against(message.ReasonHedgingDisabled, !t.ended && !h.set.Hedging)
 			if !t.mayHaveRun() {
 				continue
@@ -171,9 +200,9 @@
 			continue
 		}
 		switch {
-		case x.sent != nil && x.sent.Kind == message.KindSendCommand:
-			at := h.listAt(i)[x.sent.WorkerID]
-			q.tries = append(q.tries, modelTry{worker: x.sent.WorkerID, cell: at.Cell, zone: at.Zone, num: x.sent.Attempt,
+		case x.sent != nil && x.sent.kind == message.KindSendCommand:
+			at := h.listAt(i)[x.sent.worker]
+			q.tries = append(q.tries, modelTry{worker: x.sent.worker, cell: at.Cell, zone: at.Zone, num: x.sent.attempt,
 				at: x.at})
 		case x.sent != nil:
 			q.over = true
@@ -258,31 +287,31 @@
 				s.Did("ended")
 			}
 		default:
-			m := &message.Message{Kind: []message.Kind{message.KindSendCommand, message.KindSendCommand, message.KindSendCommand, message.KindSendCommand, message.KindRejectCommand, message.KindFailCommand,
+			m := &modelCommand{kind: []message.Kind{message.KindSendCommand, message.KindSendCommand, message.KindSendCommand, message.KindSendCommand, message.KindRejectCommand, message.KindFailCommand,
 				message.KindCancelCommand,
-				message.KindHealthCheckCommand, message.KindCloseIdleCommand}[s.Pick(9)], RequestID: id, WorkerID: uint64(s.Pick(6))}
+				message.KindHealthCheckCommand, message.KindCloseIdleCommand}[s.Pick(9)], request: id, worker: uint64(s.Pick(6))}
 			if q != nil {
 				if epoch = q.owner; s.Pick(8) == 0 {
 					epoch = message.Epoch(s.Pick(4))
 				}
-				m.Attempt = len(q.used) + s.Pick(2) - s.Pick(2)*s.Pick(2)
+				m.attempt = len(q.used) + s.Pick(2) - s.Pick(2)*s.Pick(2)
 			}
 			why := h.broken(epoch, open, m)
-			got := g.Validate(h.now, epoch, m)
+			got := g.Validate(h.now, epoch, m.message())
 			s.Check(got == message.ReasonNone && len(why) == 0 || slices.Contains(why, got),
 				"%+v of %d: %q; broken %v", m, epoch, got, why)
-			if m.Kind == message.KindSendCommand && !slices.Contains(why, message.ReasonStaleEpoch) && !slices.Contains(why, message.ReasonUnknownRequest) &&
+			if m.kind == message.KindSendCommand && !slices.Contains(why, message.ReasonStaleEpoch) && !slices.Contains(why, message.ReasonUnknownRequest) &&
 				!slices.Contains(why, message.ReasonNotOwner) && !slices.Contains(why, message.ReasonDuplicateCommand) {
-				note(happening{query: id, used: true, num: m.Attempt})
+				note(happening{query: id, used: true, num: m.attempt})
 			}
 			s.Did(got.String())
 			if got != message.ReasonNone {
 				continue
 			}
-			switch m.Kind {
+			switch m.kind {
 			case message.KindSendCommand:
 				note(happening{query: id, sent: m})
-				g.Apply(h.now, dispatch.Send{Job: id, Worker: m.WorkerID})
+				g.Apply(h.now, dispatch.Send{Job: id, Worker: m.worker})
 			case message.KindRejectCommand:
 				note(happening{query: id, sent: m})
 				g.Apply(h.now, dispatch.Reject{Job: id})
@@ -392,7 +421,7 @@
 		g.Observe(now, list)
 		d.Step(now-time.Millisecond, []dispatch.Event{list}, nil)
 		g.Assign(1, LocalEpoch)
-		may := g.Validate(now, LocalEpoch, &message.Message{Kind: message.KindSendCommand, RequestID: 1, Attempt: n, WorkerID: 9})
+		may := g.Validate(now, LocalEpoch, &message.SendCommand{RequestID: 1, Attempt: n, WorkerID: 9})
 		for _, a := range d.Step(now, []dispatch.Event{dispatch.JobResumed{Job: job, Attempts: pasts}}, nil) {
 			switch a.(type) {
 			case dispatch.Send:
@@ -477,22 +506,22 @@
 				}
 			}
 			for _, a := range d.Step(now, events, nil) {
-				m := message.Message{}
+				var m message.Message
 				switch a := a.(type) {
 				case dispatch.Send:
-					m = message.Message{Kind: message.KindSendCommand, RequestID: a.Job, Attempt: tries[a.Job], WorkerID: a.Worker}
+					m = &message.SendCommand{RequestID: a.Job, Attempt: tries[a.Job], WorkerID: a.Worker}
 					outs = append(outs, out{a.Job, a.Worker, tries[a.Job]})
 					tries[a.Job]++
 				case dispatch.Reject:
-					m = message.Message{Kind: message.KindRejectCommand, RequestID: a.Job}
+					m = &message.RejectCommand{RequestID: a.Job}
 				case dispatch.Fail:
-					m = message.Message{Kind: message.KindFailCommand, RequestID: a.Job}
+					m = &message.FailCommand{RequestID: a.Job}
 				case dispatch.Cancel:
-					m = message.Message{Kind: message.KindCancelCommand, RequestID: a.Job, Attempt: a.Attempt}
+					m = &message.CancelCommand{RequestID: a.Job, Attempt: a.Attempt}
 				case dispatch.HealthCheck:
-					m = message.Message{Kind: message.KindHealthCheckCommand, WorkerID: a.Worker}
+					m = &message.HealthCheckCommand{WorkerID: a.Worker}
 				case dispatch.CloseIdleConnections:
-					m = message.Message{Kind: message.KindCloseIdleCommand, WorkerID: a.Worker}
+					m = &message.CloseIdleCommand{WorkerID: a.Worker}
 				case dispatch.SetTimer:
 					if at := now + a.After; timer == 0 || at < timer {
 						timer = at
@@ -501,8 +530,8 @@
 				default:
 					continue
 				}
-				if orders++; g.Validate(now, LocalEpoch, &m) != message.ReasonNone {
-					t.Fatalf("seed %d: %+v: %q", seed, a, g.Validate(now, LocalEpoch, &m))
+				if orders++; g.Validate(now, LocalEpoch, m) != message.ReasonNone {
+					t.Fatalf("seed %d: %+v: %q", seed, a, g.Validate(now, LocalEpoch, m))
 				}
 				g.Apply(now, a)
 			}
--- a/internal/lab/virtual/forwarder.go
+++ b/internal/lab/virtual/forwarder.go
@@ -8,7 +8,6 @@
 	"valvecove/internal/control/codec"
 	"valvecove/internal/control/forwarder"
 	"valvecove/internal/control/membership"
-	"valvecove/internal/control/message"
 	"valvecove/internal/requests"
 )
 
@@ -101,7 +100,7 @@
 	for _, e := range f.follow.Outbox() {
 		for _, k := range f.links {
 			if k.name == e.Planner && k.up {
-				f.p.s.say(&k.out, &e.Message)
+				f.p.s.say(&k.out, e.Envelope)
 			}
 		}
 	}
@@ -166,9 +165,8 @@
 	case wireData:
 		k.in.Feed(n.bytes)
 		f.t.done(n.bytes)
-		var m message.Message
 		for {
-			ok, err := k.in.Next(&m)
+			envelope, ok, err := k.in.Next()
 			if err != nil {
 				f.t.hangUp(k.wire, 0)
 				f.lost(k)
@@ -176,7 +174,7 @@
 			if err != nil || !ok {
 				return
 			}
-			f.follow.Receive(f.p.now, k.name, &m)
+			f.follow.Receive(f.p.now, k.name, envelope)
 		}
 	}
 }
--- a/internal/lab/virtual/planner.go
+++ b/internal/lab/virtual/planner.go
@@ -155,8 +155,6 @@
 	backoff  []time.Duration
 	ins      []planner.Event
 	outs     []planner.Action
-	texts    []*message.Message // of the ins
-	used     int
 	events   []membership.Event
 	actions  []membership.Action
 	done     bool
@@ -236,7 +234,7 @@
 			outs = s.opt.Spoil(s.n-s.spec.Schedulers.Count, outs)
 		}
 		clear(p.ins)
-		p.ins, p.used = p.ins[:0], 0
+		p.ins = p.ins[:0]
 		for i := range outs {
 			p.carryOut(&outs[i])
 		}
@@ -311,55 +309,24 @@
 		k.in.Feed(n.bytes)
 		p.s.t.done(n.bytes)
 		for {
-			m := p.text()
-			ok, err := k.in.Next(m)
+			envelope, ok, err := k.in.Next()
 			if err != nil {
 				p.s.t.hangUp(k.wire, k.end)
 				p.drop(k, false)
 			}
 			if err != nil || !ok {
-				p.used--
 				return
 			}
-			p.keep(m)
+			envelope = envelope.Clone() // it is to outlive the reader's next one
 			if k.peer == "" {
-				p.ins = append(p.ins, planner.Event{Kind: planner.ForwarderMessage, Session: planner.SessionID(k.wire.id), Message: m})
+				p.ins = append(p.ins, planner.Event{Kind: planner.ForwarderMessage, Session: planner.SessionID(k.wire.id), Envelope: envelope})
 			} else {
-				p.ins = append(p.ins, planner.Event{Kind: planner.PeerMessage, Peer: k.peer, Message: m})
+				p.ins = append(p.ins, planner.Event{Kind: planner.PeerMessage, Peer: k.peer, Envelope: envelope})
 			}
 		}
 	}
 }
 
-// text is a message for what is read now, which holds until the book has stepped.
-func (p *planProcess) text() *message.Message {
-	if p.used == len(p.texts) {
-		p.texts = append(p.texts, &message.Message{})
-	}
-	p.used++
-	return p.texts[p.used-1]
-}
-
-// keep has a message outlive its reader's next one.
-func (p *planProcess) keep(m *message.Message) {
-	if m.Summary != nil {
-		h := *m.Summary
-		h.Attempts = append([]message.PastAttempt(nil), h.Attempts...)
-		m.Summary = &h
-	}
-	if m.Status != nil {
-		w := *m.Status
-		m.Status = &w
-	}
-	if m.LoadReport != nil {
-		l := *m.LoadReport
-		m.LoadReport = &l
-	}
-	if m.Data != nil {
-		m.Data = append([]byte(nil), m.Data...)
-	}
-}
-
 // enter takes a connection into the books.
 func (p *planProcess) enter(k *planLink) {
 	p.links[planner.SessionID(k.wire.id)] = k
@@ -532,12 +499,12 @@
 	switch o.Kind {
 	case planner.SendToForwarder:
 		if k := p.links[o.Session]; k != nil && k.up {
-			p.s.say(&k.out, &o.Message)
+			p.s.say(&k.out, o.Envelope)
 		}
 	case planner.SendToPeer:
 		for _, k := range p.order {
 			if k.peer == o.Peer && k.up {
-				p.s.say(&k.out, &o.Message)
+				p.s.say(&k.out, o.Envelope)
 			}
 		}
 	case planner.CloseSession:
@@ -563,8 +530,8 @@
 }
 
 // say writes a message. What can't be written is left out, as it would be in a real process.
-func (s *planSeat) say(w *codec.Writer, m *message.Message) {
-	if w.Add(m) != nil {
+func (s *planSeat) say(w *codec.Writer, envelope message.Envelope) {
+	if w.Add(envelope) != nil {
 		s.figures.Unwritten++
 	}
 }
--- a/internal/lab/virtual/scheduler.go
+++ b/internal/lab/virtual/scheduler.go
@@ -144,8 +144,8 @@
 }
 
 // say writes a message. What can't be written is left out, as it would be in a real process.
-func (s *Scheduler) say(w *codec.Writer, m *message.Message) {
-	if w.Add(m) != nil {
+func (s *Scheduler) say(w *codec.Writer, envelope message.Envelope) {
+	if w.Add(envelope) != nil {
 		s.figures.Unwritten++
 	}
 }
--- a/internal/lab/virtual/tiers_test.go
+++ b/internal/lab/virtual/tiers_test.go
@@ -75,8 +75,16 @@
 	n       int
 }
 
-func again(o planner.Action, change func(m *message.Message)) planner.Action {
-	change(&o.Message)
+// again is an order to send that was changed.
+func again(o planner.Action, change func(m *message.SendCommand)) planner.Action {
+	o.Envelope = o.Envelope.Clone()
+	change(o.Envelope.Message.(*message.SendCommand))
+	return o
+}
+
+// insteadOf is another message in the place of an order to send.
+func insteadOf(o planner.Action, m message.Message) planner.Action {
+	o.Envelope.Message = m
 	return o
 }
 
@@ -86,17 +94,19 @@
 	}},
 	"a copy at the same worker node": {[]message.RejectReason{message.ReasonDuplicateAtWorker},
 		func(_ *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
-			return append(dst, o, again(o, func(m *message.Message) { m.Attempt++ }))
+			return append(dst, o, again(o, func(m *message.SendCommand) { m.Attempt++ }))
 		}},
 	"to a worker node that drains": {[]message.RejectReason{message.ReasonWorkerDraining, message.ReasonUnknownWorker},
 		func(d *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
 			if d.drained > 0 {
-				o.Message.WorkerID = d.drained
+				o = again(o, func(m *message.SendCommand) { m.WorkerID = d.drained })
 			}
 			return append(dst, o)
 		}},
 	"of an old epoch": {[]message.RejectReason{message.ReasonStaleEpoch}, func(_ *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
-		return append(dst, again(o, func(m *message.Message) { m.Epoch-- }), o)
+		old := o
+		old.Envelope.Epoch--
+		return append(dst, old, o)
 	}},
 	// A second order for whatever was sent a while ago: it is out, may have run, or is over.
 	"for what may have run": {[]message.RejectReason{message.ReasonPossiblyExecuted, message.ReasonOutsideScope}, func(d *spoiled, o planner.Action,
@@ -104,7 +114,10 @@
 		if len(d.last) > 6 {
 			old := d.last[0]
 			d.last = d.last[1:]
-			dst = append(dst, again(old, func(m *message.Message) { m.Attempt++; m.WorkerID = o.Message.WorkerID }))
+			dst = append(dst, again(old, func(m *message.SendCommand) {
+				m.Attempt++
+				m.WorkerID = o.Envelope.Message.(*message.SendCommand).WorkerID
+			}))
 		}
 		d.last = append(d.last, o)
 		return append(dst, o)
@@ -112,13 +125,13 @@
 	"a refusal of what may have run": {[]message.RejectReason{message.ReasonUnsafeRejection},
 		func(d *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
 			if dst = append(dst, o); d.n%5 == 0 {
-				dst = append(dst, again(o, func(m *message.Message) { m.Kind = message.KindRejectCommand }))
+				dst = append(dst, insteadOf(o, &message.RejectCommand{RequestID: o.Envelope.Message.(*message.SendCommand).RequestID}))
 			}
 			return dst
 		}},
 	"of another forwarder's query": {[]message.RejectReason{message.ReasonUnknownRequest},
 		func(_ *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
-			return append(dst, again(o, func(m *message.Message) { m.RequestID += 1 << 20 }), o)
+			return append(dst, again(o, func(m *message.SendCommand) { m.RequestID += 1 << 20 }), o)
 		}},
 }
 
@@ -144,7 +157,7 @@
 			got, verdict := judged(t, spec, 1, Options{Watch: []seen.Watcher{watch},
 				Spoil: func(_ int, outs []planner.Action) (dst []planner.Action) {
 					for _, o := range outs {
-						if o.Kind == planner.SendToForwarder && o.Message.Kind == message.KindSendCommand {
+						if _, sends := o.Envelope.Message.(*message.SendCommand); o.Kind == planner.SendToForwarder && sends {
 							d.n++
 							dst = s.say(d, o, dst)
 						} else {
