--- /dev/null
+++ b/internal/discovery/model_test.go
@@ -0,0 +1,327 @@
+package discovery
+
+import (
+	"testing"
+	"time"
+
+	"valvecove/internal/steps"
+)
+
+// Short units for tables of instants.
+const (
+	msec = time.Millisecond
+	sec  = time.Second
+)
+
+// The figures of the protocol's page, stated once more and apart from the code under test.
+const (
+	specStaleness             = 6 * sec    // "counts as told 6 s after discovery had it and could be reached"
+	specServerChangeStaleness = 4 * sec    // "After SIGHUP it counts 4 s later"
+	specStopGrace             = 500 * msec // the least time to stop sending that any settings give
+)
+
+const (
+	maxDelayAfterRecovery       = 2500 * msec // what is known already is received so soon after the server can be reached again
+	maxDelayAfterRecoveryPushed = 800 * msec  // and where lists are pushed
+	serverTimeout               = 3 * sec     // a request that is queued at the server for longer fails there
+	never                       = time.Duration(1) << 62
+	startTime                   = 1000 * time.Hour
+	modelStep                   = 10 * msec
+)
+
+// listChange is a change of the list at the server.
+type listChange struct {
+	madeAt          time.Duration
+	reachableAt     time.Duration // when the server had it and could be reached first; never: not yet
+	recoveredAt     time.Duration // when it could be reached again last
+	silentAt        time.Duration // when the watch fell silent that missed it; never: none did
+	serverChangedAt time.Duration // when another server was named, after it; never: none was
+	queueDelay      time.Duration // how long requests have been queued at the server since
+}
+
+// stalenessDeadline is the deadline of the change by the protocol, by what has happened so far.
+func (c listChange) stalenessDeadline(config Config) time.Duration {
+	limit := specStaleness
+	if config.PollInterval > 0 {
+		limit = min(limit, config.PollInterval)
+	}
+	deadline := never
+	if c.reachableAt < never {
+		deadline = c.reachableAt + limit
+		if config.Pushed && c.silentAt == never {
+			deadline = c.reachableAt
+		}
+	}
+	if c.silentAt < never {
+		deadline = min(deadline, max(c.madeAt, c.silentAt+limit))
+	}
+	if c.serverChangedAt < never {
+		deadline = min(deadline, c.serverChangedAt+specServerChangeStaleness)
+	}
+	return deadline
+}
+
+// discoveryModel is a model of the server, of the network, and of one scheduler that follows the list.
+type discoveryModel struct {
+	*steps.Steps
+	config      Config
+	watch       *Watch
+	now         time.Duration
+	down        bool // the server refuses connections
+	partitioned bool // nothing passes
+	silentAt    time.Duration
+	watching    bool // lines are sent, unless it has fallen silent
+	lastLine    time.Duration
+	connecting  bool
+	connected   bool
+	queueDelay  time.Duration // of the next request
+	answerAt    time.Duration // of the present request
+	pending     []listChange  // not received yet
+	connects    []time.Duration
+}
+
+func newDiscoveryModel(choices *steps.Steps) *discoveryModel {
+	model := &discoveryModel{Steps: choices, now: startTime, silentAt: never}
+	model.config = Config{
+		PollInterval: []time.Duration{0, 0, 10 * sec, 3 * sec}[choices.Pick(4)],
+		Pushed:       choices.Pick(3) == 0,
+		Schedulers:   []int{1, 6, 300}[choices.Pick(3)],
+	}
+	model.watch = New(model.config, model.random, model.now)
+	if model.config.PollInterval == 10*sec { // longer than the limit of the protocol, which holds then
+		model.config.PollInterval = 0
+	}
+	model.watch.Start(model.now, choices.Pick(2) == 0)
+	return model
+}
+
+func (d *discoveryModel) random(n int64) int64 {
+	return []int64{0, n - 1, n / 2, n / 3, n / 5}[d.Pick(5)]
+}
+
+func (d *discoveryModel) isReachable() bool { return !d.down && !d.partitioned }
+
+// runActions carries out what is due.
+func (d *discoveryModel) runActions() {
+	for range 3 {
+		switch d.watch.NextAction(d.now) {
+		case ActionConnect:
+			d.connect()
+		case ActionAbort:
+			d.connecting = false
+			d.watching = false
+			d.watch.Ended(d.now, true)
+		case ActionNone:
+			return
+		}
+	}
+	d.Check(false, "%v: it never rests", d.now)
+}
+
+func (d *discoveryModel) connect() {
+	d.watching = false
+	d.connecting = true
+	d.connected = false
+	d.silentAt = never
+	d.connects = append(d.connects, d.now)
+	d.watch.Connect(d.now)
+	if d.down && !d.partitioned {
+		d.connecting = false
+		d.watch.Ended(d.now, false)
+	}
+}
+
+// breakConnection ends the connection. A request that fails has not reached the server.
+func (d *discoveryModel) breakConnection() {
+	if d.connecting {
+		for i := range d.pending {
+			d.pending[i].recoveredAt = d.now
+		}
+	}
+	if d.watching || d.connecting {
+		d.watching = false
+		d.connecting = false
+		d.watch.Ended(d.now, false)
+	}
+}
+
+func (d *discoveryModel) advance(span time.Duration) {
+	for until := d.now + span; d.now < until; {
+		d.now += modelStep
+		for i := range d.pending {
+			change := &d.pending[i]
+			if change.reachableAt == never && d.isReachable() {
+				change.reachableAt = d.now
+			}
+		}
+		d.advanceRequest()
+		if d.watching && d.silentAt == never && d.now-d.lastLine >= 2*sec {
+			d.receive()
+		}
+		d.runActions()
+		d.checkDeadlines()
+	}
+}
+
+// advanceRequest lets the request of a new watch come up, be queued, and be answered.
+func (d *discoveryModel) advanceRequest() {
+	if d.connecting && !d.connected && d.isReachable() {
+		d.connected = true
+		d.answerAt = d.now + d.queueDelay
+		d.watch.Connected(d.now)
+	}
+	if d.connecting && d.connected && !d.partitioned && d.now >= d.answerAt {
+		if d.queueDelay > serverTimeout {
+			d.breakConnection()
+		} else {
+			d.connecting = false
+			d.watching = true
+			d.receive()
+		}
+	}
+	if d.connecting && d.connected {
+		for i := range d.pending {
+			d.pending[i].queueDelay += modelStep
+		}
+	}
+}
+
+func (d *discoveryModel) receive() {
+	d.lastLine = d.now
+	d.watch.Received(d.now)
+	d.pending = d.pending[:0]
+}
+
+// checkDeadlines compares the staleness deadline, and when changes are received, with the protocol.
+func (d *discoveryModel) checkDeadlines() {
+	for _, change := range d.pending {
+		deadline := change.stalenessDeadline(d.config)
+		got := d.watch.StalenessDeadline()
+		d.Check(got <= deadline, "%v: a change of %v counts as known at %v, and the watch has %v", d.now, change.madeAt, deadline, got)
+		if deadline == never || !d.isReachable() || d.config.PollInterval > 0 {
+			continue
+		}
+		recovery := maxDelayAfterRecovery
+		if d.config.Pushed {
+			recovery = maxDelayAfterRecoveryPushed
+		}
+		latest := max(deadline+specStopGrace, change.recoveredAt+recovery) + change.queueDelay
+		d.Check(d.now <= latest, "%v: a change of %v, known at %v, in reach since %v, has not been received by %v; connections %v, %+v",
+			d.now, change.madeAt, deadline, change.recoveredAt, latest, d.connects[max(0, len(d.connects)-6):], d.config)
+	}
+}
+
+// change changes the list; a watch that is not silent sends it at once.
+func (d *discoveryModel) change() {
+	if d.watching && d.silentAt == never {
+		d.receive()
+		return
+	}
+	change := listChange{madeAt: d.now, reachableAt: never, recoveredAt: d.now, silentAt: never, serverChangedAt: never}
+	if d.isReachable() {
+		change.reachableAt = d.now
+	}
+	if d.watching {
+		change.silentAt = d.silentAt
+	}
+	d.pending = append(d.pending, change)
+}
+
+func (d *discoveryModel) markRecovered() {
+	if !d.isReachable() {
+		return
+	}
+	for i := range d.pending {
+		d.pending[i].recoveredAt = d.now
+	}
+}
+
+// fallSilent has the server send nothing more.
+func (d *discoveryModel) fallSilent() {
+	if d.watching && d.silentAt == never {
+		d.silentAt = d.now
+	}
+}
+
+func (d *discoveryModel) toggleDown() {
+	d.down = !d.down
+	if d.down && !d.partitioned {
+		d.breakConnection()
+	}
+	d.markRecovered()
+}
+
+func (d *discoveryModel) togglePartition() {
+	d.partitioned = !d.partitioned
+	if d.partitioned {
+		d.fallSilent()
+	}
+	d.markRecovered()
+}
+
+func (d *discoveryModel) changeServer() {
+	d.watching = false
+	d.connecting = false
+	for i := range d.pending {
+		change := &d.pending[i]
+		if change.serverChangedAt == never {
+			change.serverChangedAt = d.now
+		}
+	}
+	d.watch.ChangeServer(d.now)
+}
+
+// step does one thing at random.
+func (d *discoveryModel) step() {
+	switch d.Pick(12) {
+	case 0, 1:
+		d.Did("change")
+		d.change()
+	case 2:
+		d.Did("down or up")
+		d.toggleDown()
+	case 3:
+		d.Did("partitioned or mended")
+		d.togglePartition()
+	case 4:
+		d.Did("silent")
+		d.fallSilent()
+	case 5:
+		d.Did("reset")
+		d.breakConnection()
+	case 6:
+		d.queueDelay = []time.Duration{0, 0, sec, 2500 * msec, 3100 * msec, time.Hour}[d.Pick(6)]
+		d.Did("queue delay " + d.queueDelay.String())
+	case 7:
+		d.Did("other server")
+		d.changeServer()
+	default:
+		span := []time.Duration{10 * msec, 300 * msec, sec, 3 * sec}[d.Pick(4)]
+		d.Did(span.String())
+		d.advance(span)
+	}
+	d.runActions()
+	d.checkDeadlines()
+}
+
+// Whatever happens to the server and the network, the staleness deadline is never later than the protocol's; and whenever
+// the server can be reached, and requests are not queued there, every change is received by then and the time to stop
+// sending.
+func FuzzStalenessDeadline(f *testing.F) {
+	steps.Fuzz(f, func(choices *steps.Steps) {
+		model := newDiscoveryModel(choices)
+		model.runActions()
+		for choices.More() {
+			model.step()
+		}
+		model.queueDelay = 0
+		model.down = false
+		model.partitioned = false
+		if len(model.pending) > 0 {
+			model.markRecovered()
+		}
+		model.advance(10 * sec) // in reach to the end: all is received
+		choices.Check(len(model.pending) == 0 || model.config.PollInterval > 0, "never received: %v", model.pending)
+		choices.Check(model.watch.State() == Watching, "it is %v at the end", model.watch.State())
+	})
+}
--- /dev/null
+++ b/internal/discovery/scanner.go
@@ -0,0 +1,128 @@
+package discovery
+
+import "errors"
+
+// MaxEventSize bounds, in bytes, how much of an unfinished event is kept.
+const MaxEventSize = 4 << 20
+
+// Errors of EventScanner.Scan.
+var (
+	ErrNotAnEvent    = errors.New("watch event: not a JSON object")
+	ErrEventTooLarge = errors.New("watch event: too large")
+)
+
+// TokenKind is what Scan has found.
+type TokenKind uint8
+
+// Kinds of tokens.
+const (
+	TokenNone    TokenKind = iota // the data ends within an event or between two
+	TokenLineEnd                  // a line end outside of an event
+	TokenEvent                    // a whole event
+)
+
+// Token is a piece of a watch's response body.
+type Token struct {
+	Kind  TokenKind
+	Event []byte // the JSON object of TokenEvent, valid until the next Scan
+}
+
+// EventScanner finds the events in the body of a watch's response: JSON objects, each complete with its last brace, be it
+// indented over many lines or on one, with space and line ends between them. It checks braces and strings only, and leaves
+// the rest to a JSON decoder. The zero value is ready for the beginning of a body.
+type EventScanner struct {
+	event    []byte // what has come of the present one
+	depth    int    // open braces and brackets
+	position lexicalPosition
+}
+
+// lexicalPosition is where in a JSON text the scanner is.
+type lexicalPosition uint8
+
+const (
+	outsideString lexicalPosition = iota
+	insideString
+	afterBackslash
+)
+
+// Scan takes data up to the end of the next event or line end, and returns how many bytes that took. An error is final.
+func (s *EventScanner) Scan(data []byte) (token Token, consumed int, err error) {
+	if s.depth == 0 {
+		s.event = s.event[:0]
+	}
+	for i, char := range data {
+		kind, err := s.scanByte(char)
+		if err != nil {
+			return Token{}, i, err
+		}
+		switch kind {
+		case TokenLineEnd:
+			return Token{Kind: TokenLineEnd}, i + 1, nil
+		case TokenEvent:
+			s.event = append(s.event, data[:i+1]...)
+			return Token{Kind: TokenEvent, Event: s.event}, i + 1, nil
+		case TokenNone:
+		}
+	}
+	s.event = append(s.event, data...)
+	if len(s.event) > MaxEventSize {
+		return Token{}, len(data), ErrEventTooLarge
+	}
+	return Token{}, len(data), nil
+}
+
+// Buffered is how many bytes are kept of an unfinished event.
+func (s *EventScanner) Buffered() int { return len(s.event) }
+
+// scanByte takes one byte, and returns the token that it completes.
+func (s *EventScanner) scanByte(char byte) (TokenKind, error) {
+	switch s.position {
+	case afterBackslash:
+		s.position = insideString
+		return TokenNone, nil
+	case insideString:
+		switch char {
+		case '\\':
+			s.position = afterBackslash
+		case '"':
+			s.position = outsideString
+		}
+		return TokenNone, nil
+	case outsideString:
+	}
+	if s.depth == 0 {
+		return s.scanBetweenEvents(char)
+	}
+	return s.scanStructure(char), nil
+}
+
+// scanBetweenEvents takes a byte where no event is open.
+func (s *EventScanner) scanBetweenEvents(char byte) (TokenKind, error) {
+	switch char {
+	case '\n':
+		return TokenLineEnd, nil
+	case ' ', '\t', '\r':
+		return TokenNone, nil
+	case '{':
+		s.depth = 1
+		return TokenNone, nil
+	default:
+		return TokenNone, ErrNotAnEvent
+	}
+}
+
+// scanStructure takes a byte within an event, outside of strings.
+func (s *EventScanner) scanStructure(char byte) TokenKind {
+	switch char {
+	case '"':
+		s.position = insideString
+	case '{', '[':
+		s.depth++
+	case '}', ']':
+		s.depth--
+		if s.depth == 0 {
+			return TokenEvent
+		}
+	}
+	return TokenNone
+}
--- /dev/null
+++ b/internal/discovery/watch_test.go
@@ -0,0 +1,177 @@
+package discovery
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// drawMax is the source of the latest instants that may be drawn, and drawMin of the earliest.
+func drawMax(n int64) int64 { return n - 1 }
+func drawMin(int64) int64   { return 0 }
+
+// newWatching returns a watch that has received a line at startTime.
+func newWatching(config Config, random func(n int64) int64) *Watch {
+	w := New(config, random, startTime)
+	w.Restart(startTime)
+	w.Connect(startTime)
+	w.Connected(startTime)
+	w.Received(startTime)
+	return w
+}
+
+// refuse has the next connections fail at once, and returns when the last one did.
+func refuse(w *Watch, times int) (last time.Duration) {
+	for range times {
+		last, _ = w.NextDeadline()
+		w.Connect(last)
+		w.Ended(last, false)
+	}
+	return last
+}
+
+// However a watch is lost, at the worst draw the next connection is so early that its answer, waited for as long as one ever
+// is, still comes before a change counts as known; or, after silence, that one more connection has time.
+func TestWorstCaseBackoff(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		lose   func(w *Watch) (since time.Duration)
+		within time.Duration // from then, to the next connection
+	}{
+		{"reset", func(w *Watch) time.Duration { w.Ended(startTime+sec, false); return startTime }, 3 * sec},
+		{"silent", func(w *Watch) time.Duration { w.Ended(startTime+3*sec, true); return startTime }, 5 * sec},
+		{"refused", func(w *Watch) time.Duration {
+			w.Ended(startTime, false)
+			return refuse(w, 12)
+		}, 2 * sec},
+		{"silent, then refused", func(w *Watch) time.Duration { // what was missed counts whether or not the server is up
+			w.Ended(startTime+3*sec, true)
+			return refuse(w, 1)
+		}, 750 * msec},
+		{"other server", func(w *Watch) time.Duration { w.ChangeServer(startTime); return startTime }, sec},
+	} {
+		for _, schedulers := range []int{1, 9, 300} {
+			w := newWatching(Config{PollInterval: 10 * sec, Schedulers: schedulers}, drawMax)
+			since := test.lose(w)
+			if next, ok := w.NextDeadline(); !ok || next-since > test.within {
+				t.Errorf("%s, %d schedulers: the next connection after %v, wanted within %v", test.name, schedulers, next-since, test.within)
+			}
+		}
+	}
+}
+
+// Many schedulers that lose their watches together, or start together, do not connect together.
+func TestManySchedulersSpreadConnections(t *testing.T) {
+	const schedulers = 300
+	config := Config{PollInterval: 10 * sec, Schedulers: schedulers}
+	for name, start := range map[string]func(random func(n int64) int64) *Watch{
+		"silent": func(random func(n int64) int64) *Watch {
+			w := newWatching(config, random)
+			w.Ended(startTime+3*sec, true)
+			return w
+		},
+		"reset": func(random func(n int64) int64) *Watch {
+			w := newWatching(config, random)
+			w.Ended(startTime+sec, false)
+			return w
+		},
+		"other server": func(random func(n int64) int64) *Watch {
+			w := newWatching(config, random)
+			w.ChangeServer(startTime)
+			return w
+		},
+		"started": func(random func(n int64) int64) *Watch {
+			w := New(config, random, startTime)
+			w.Start(startTime, true)
+			return w
+		},
+	} {
+		connections := map[time.Duration]int{} // by tenth of a second
+		for seed := range uint64(schedulers) {
+			at, _ := start(rand.New(rand.NewPCG(seed, 1)).Int64N).NextDeadline()
+			connections[at/(100*msec)]++
+		}
+		for at, n := range connections {
+			if n > schedulers/5 {
+				t.Errorf("%s: %d of %d connect within a tenth of a second, at %v", name, n, schedulers, at*100*msec)
+			}
+		}
+	}
+}
+
+// A server that fails all connections is not connected to in a loop.
+func TestConnectionsToFailedServerAreBounded(t *testing.T) {
+	for _, schedulers := range []int{1, 300} {
+		w := New(Config{PollInterval: 10 * sec, Schedulers: schedulers}, drawMin, startTime)
+		w.Restart(startTime)
+		connections := 0
+		for now := startTime; now < startTime+60*sec; connections++ {
+			now = refuse(w, 1)
+		}
+		if connections > 400 {
+			t.Errorf("%d schedulers: %d connections each in a minute", schedulers, connections)
+		}
+	}
+}
+
+// A process without any list connects at once, however many others do; so does one whose list is pushed to its server.
+func TestFirstConnection(t *testing.T) {
+	for _, test := range []struct {
+		config  Config
+		hasList bool
+		want    time.Duration
+	}{
+		{Config{Schedulers: 300}, false, 0},
+		{Config{Schedulers: 300, Pushed: true}, true, 0},
+		{Config{Schedulers: 3}, true, 0},
+		{Config{Schedulers: 300}, true, 750 * msec},
+	} {
+		w := New(test.config, drawMax, startTime)
+		w.Start(startTime, test.hasList)
+		if at, ok := w.NextDeadline(); !ok || at != startTime+test.want {
+			t.Errorf("%+v, has a list %v: the first connection after %v, wanted %v", test.config, test.hasList, at-startTime, test.want)
+		}
+	}
+}
+
+// Where many connect one after the other, each has its first list within its initial wait: its connection, put off as long as
+// it may be, and an answer that comes at once.
+func TestInitialWait(t *testing.T) {
+	for _, test := range []struct {
+		config Config
+		waits  bool
+	}{
+		{Config{PollInterval: 10 * sec, Schedulers: 300}, true},
+		{Config{PollInterval: 10 * sec, Schedulers: maxSimultaneousSchedulers}, false},
+		{Config{PollInterval: 10 * sec, Schedulers: 300, Pushed: true}, false},
+	} {
+		w := New(test.config, drawMax, startTime)
+		w.Start(startTime, true)
+		at, _ := w.NextDeadline()
+		wait := w.InitialWait()
+		if (wait > 0) != test.waits || wait > 0 && startTime+wait < at+200*msec || wait > 3*sec {
+			t.Errorf("%+v: waits %v, connects after %v", test.config, wait, at-startTime)
+		}
+	}
+}
+
+// The states that follow each other, and the events that have no meaning in one.
+func TestTransitions(t *testing.T) {
+	const invalid = State(99)
+	for occurrence, want := range map[event][Watching + 1]State{ // by state: Disconnected, BackingOff, Connecting, AwaitingFirstLine, Watching
+		eventStart:        {BackingOff, invalid, invalid, invalid, invalid},
+		eventStop:         {},
+		eventChangeServer: {BackingOff, BackingOff, BackingOff, BackingOff, BackingOff},
+		eventConnect:      {invalid, Connecting, invalid, invalid, invalid},
+		eventConnected:    {invalid, invalid, AwaitingFirstLine, invalid, invalid},
+		eventReceived:     {invalid, invalid, invalid, Watching, Watching},
+		eventEnd:          {invalid, invalid, BackingOff, BackingOff, BackingOff},
+	} {
+		for from := Disconnected; from <= Watching; from++ {
+			next, valid := from.after(occurrence)
+			if valid != (want[from] != invalid) || valid && next != want[from] {
+				t.Errorf("%v, event %d: %v, valid %v", from, occurrence, next, valid)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/link/discovery_watch.go
@@ -0,0 +1,285 @@
+package link
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+	"strconv"
+
+	jsoniter "github.com/json-iterator/go"
+	"golang.org/x/sys/unix"
+
+	"valvecove/internal/discovery"
+	"valvecove/internal/requests"
+)
+
+// Why a watch ends. Errors of the network and of the parsers are passed on as they are.
+var (
+	errWatchTimedOut = errors.New("nothing received in time")
+	errWatchClosed   = errors.New("closed by the discovery service")
+	errWatchRejected = errors.New("watch rejected")
+	errWatchPanicked = errors.New("panic")
+)
+
+// watchConnection carries the watch on the endpoint list: it opens connections when the state machine has one due, reports to
+// it what happens, and hands watch events to the request table. It runs on the loop's goroutine.
+type watchConnection struct {
+	stream        // closed unless the machine's state is open
+	server        netip.AddrPort
+	machine       *discovery.Watch
+	timer         *timer // of the machine's next deadline
+	revision      int64  // of the list at hand when the connection was opened
+	streaming     bool   // the response has begun, and its body is read
+	receivedEvent bool   // since the last connection was opened
+	body          chunks
+	scanner       discovery.EventScanner
+}
+
+func (l *Loop) newWatchConnection(server netip.AddrPort, config discovery.Config, random func(n int64) int64) *watchConnection {
+	return &watchConnection{
+		stream:  stream{loop: l, closed: true},
+		server:  server,
+		machine: discovery.New(config, random, l.now),
+	}
+}
+
+// Watch has the endpoint list followed from now on. A connection that is planned or open goes on.
+func (s *serverLinks) Watch(int64) {
+	w := s.loop.watch
+	s.loop.guard(w, func() {
+		w.machine.Restart(s.loop.now)
+		w.runAction()
+	})
+}
+
+// start plans the first connection of the process. hasList reports that it has a list to serve by until then.
+func (w *watchConnection) start(hasList bool) {
+	w.machine.Start(w.loop.now, hasList)
+	w.resetTimer()
+}
+
+// stop follows the endpoint list no longer.
+func (w *watchConnection) stop() {
+	w.close()
+	w.machine.Stop()
+	w.resetTimer()
+}
+
+// changeServer follows the list of another server from now on. The connection to the one before is closed at once, so that
+// its end, or what it still sends, is not taken for the new one's. Its revisions need not mean anything to the new one: from
+// 0 on, the new one sends all that it has.
+func (w *watchConnection) changeServer(server netip.AddrPort) {
+	w.server = server
+	w.loop.Ledger.ResetRevision()
+	w.loop.guard(w, func() {
+		w.close()
+		w.machine.ChangeServer(w.loop.now)
+		w.runAction()
+	})
+}
+
+// isOpen reports whether there is a connection, be it one that is not up yet.
+func (w *watchConnection) isOpen() bool { return w.machine.State().IsOpen() }
+
+// resetTimer sets the timer to the machine's next deadline.
+func (w *watchConnection) resetTimer() {
+	w.loop.stop(w.timer)
+	if at, ok := w.machine.NextDeadline(); ok {
+		w.timer = w.loop.after(at-w.loop.now, w, w.runAction)
+	}
+}
+
+// runAction does what is due.
+func (w *watchConnection) runAction() {
+	switch w.machine.NextAction(w.loop.now) {
+	case discovery.ActionConnect:
+		w.connect()
+	case discovery.ActionAbort:
+		w.end(errWatchTimedOut)
+	case discovery.ActionNone:
+		w.resetTimer()
+	}
+}
+
+// connect opens a connection, for changes since the list at hand.
+func (w *watchConnection) connect() {
+	w.machine.Connect(w.loop.now)
+	w.resetTimer()
+	w.revision = w.loop.Ledger.Revision()
+	w.streaming = false
+	w.receivedEvent = false
+	w.body = chunks{}
+	w.scanner = discovery.EventScanner{}
+	if err := w.dial(); err != nil {
+		w.stream = stream{loop: w.loop, closed: true}
+		w.end(err)
+	}
+}
+
+func (w *watchConnection) dial() error {
+	fd, err := w.loop.dial(w.server)
+	if err != nil {
+		return err
+	}
+	w.stream, err = w.loop.stream(fd, streamEvents|unix.EPOLLOUT, w)
+	if err != nil {
+		_ = unix.Close(fd)
+	}
+	return err
+}
+
+// end closes the connection, and plans the next one.
+func (w *watchConnection) end(reason error) {
+	if !w.isOpen() {
+		return
+	}
+	w.close()
+	now := w.loop.now
+	staleAt := w.machine.StalenessDeadline()
+	w.machine.Ended(now, errors.Is(reason, errWatchTimedOut))
+	w.resetTimer()
+	retryAt, _ := w.machine.NextDeadline()
+	w.loop.log.Warn("watch lost", "discovery", w.server.String(), "error", reason, "stale_in", staleAt-now, "retry_in", retryAt-now)
+	w.loop.Ledger.DiscoveryFailed()
+}
+
+// broken implements handler.
+func (w *watchConnection) broken() {
+	w.end(errWatchPanicked)
+	w.resetTimer()
+}
+
+// ready implements handler.
+func (w *watchConnection) ready(events uint32) {
+	if err := w.handleEvents(events); err != nil {
+		w.end(err)
+	}
+}
+
+func (w *watchConnection) handleEvents(events uint32) error {
+	if w.machine.State() == discovery.Connecting {
+		return w.completeConnect(events)
+	}
+	if events&unix.EPOLLOUT != 0 {
+		if err := w.flush(); err != nil {
+			return err
+		}
+	}
+	ended, err := w.fill()
+	if err != nil {
+		return err
+	}
+	if err := w.readResponse(); err != nil {
+		return err
+	}
+	if ended {
+		return errWatchClosed
+	}
+	return nil
+}
+
+// completeConnect sends the request once the connection is up.
+func (w *watchConnection) completeConnect(events uint32) error {
+	if err := w.connected(); err != nil {
+		return err
+	}
+	if events&unix.EPOLLOUT == 0 {
+		return nil
+	}
+	w.machine.Connected(w.loop.now)
+	w.resetTimer()
+	target := "/discovery/hosts?stream=1&index=" + strconv.FormatInt(w.revision, 10)
+	request := appendCall(nil, "GET", target, w.server.String())
+	return w.send(append(request, "\r\n"...))
+}
+
+// readResponse reads what has come of the response.
+func (w *watchConnection) readResponse() error {
+	for !w.streaming {
+		complete, err := w.readResponseHeader()
+		if err != nil || !complete {
+			return err
+		}
+	}
+	return w.readBody()
+}
+
+// readResponseHeader takes one response header, be it an interim one; complete is false if it is not all there yet.
+func (w *watchConnection) readResponseHeader() (complete bool, err error) {
+	message := &w.loop.message
+	size, err := message.parseStatus(w.in)
+	if errors.Is(err, errShort) {
+		return false, nil
+	}
+	if err != nil {
+		return false, err
+	}
+	w.took(size)
+	if message.Status < 200 {
+		return true, nil
+	}
+	if message.Status != 200 || !message.Chunked {
+		return false, fmt.Errorf("%w: status %d, chunked %v", errWatchRejected, message.Status, message.Chunked)
+	}
+	w.streaming = true
+	return true, nil
+}
+
+func (w *watchConnection) readBody() error {
+	taken := 0
+	for {
+		piece, size, err := w.body.next(w.in[taken:])
+		if err != nil {
+			return err
+		}
+		if size == 0 {
+			break
+		}
+		taken += size
+		if err := w.readPiece(piece); err != nil {
+			return err
+		}
+	}
+	w.took(taken)
+	if w.body.done {
+		return errWatchClosed
+	}
+	return nil
+}
+
+// readPiece takes a piece of the body, which may hold any part of any number of events.
+func (w *watchConnection) readPiece(piece []byte) error {
+	for len(piece) > 0 {
+		token, consumed, err := w.scanner.Scan(piece)
+		if err != nil {
+			return err
+		}
+		piece = piece[consumed:]
+		if token.Kind == discovery.TokenNone {
+			continue
+		}
+		w.machine.Received(w.loop.now)
+		w.resetTimer()
+		if token.Kind == discovery.TokenEvent {
+			if err := w.applyEvent(token.Event); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// applyEvent hands an event, which is JSON, to the request table.
+func (w *watchConnection) applyEvent(event []byte) error {
+	var list requests.EndpointList
+	if err := jsoniter.ConfigDefault.Unmarshal(event, &list); err != nil {
+		return fmt.Errorf("watch event: %w", err)
+	}
+	if !w.receivedEvent {
+		w.receivedEvent = true
+		w.loop.log.Info("watch began", "discovery", w.server.String(), "after", w.revision, "revision", list.Revision,
+			"snapshot", list.Reset, "entries", len(list.Endpoints))
+	}
+	w.loop.Ledger.UpdateEndpoints(list)
+	return nil
+}
--- /dev/null
+++ b/internal/link/discovery_watch_test.go
@@ -0,0 +1,206 @@
+package link
+
+import (
+	"fmt"
+	"net/netip"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/discovery"
+	"valvecove/internal/steps"
+)
+
+const watchResponse = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+// watchLost stands for the loss of the list among revisions.
+const watchLost = -1
+
+func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
+
+// newWatchedWorld returns a world that has requested the watch, and the discovery service's end of the connection.
+func newWatchedWorld(t *testing.T) (*world, *peer) {
+	t.Helper()
+	watched := newWorld(&steps.Steps{T: t})
+	watched.loop.Ledger.WatchEndpoints()
+	watched.turn()
+	server := watched.dialed[0]
+	server.read(1 << 12)
+	watched.module.Heard = nil
+	return watched, server
+}
+
+// takeRevisions returns the revisions of the list updates that the policy has received since the last call, and watchLost for each
+// loss.
+func (w *world) takeRevisions() (revisions []int64) {
+	for _, event := range w.module.Heard {
+		list, ok := event.(dispatch.WorkerList)
+		switch {
+		case !ok:
+		case list.Kind == dispatch.ListUnavailable:
+			revisions = append(revisions, watchLost)
+		default:
+			revisions = append(revisions, list.Revision)
+		}
+	}
+	w.module.Heard = nil
+	return revisions
+}
+
+// expectRevisions checks and takes the revisions received.
+func (w *world) expectRevisions(t *testing.T, what string, want ...int64) {
+	t.Helper()
+	if got := w.takeRevisions(); !slices.Equal(got, want) {
+		t.Errorf("%s: revisions %v, wanted %v", what, got, want)
+	}
+}
+
+// Events are read in any layout of JSON: on a line or indented over several, with line ends between or none, in one piece or
+// byte by byte, each in a chunk of its own. Each is applied once its last brace has come.
+func TestWatchReadsAnyEventLayout(t *testing.T) {
+	const entry = `{"instanceId":"s-}{\"]\\","hostPort":"127.0.0.1:1","lifecycle":"up"}`
+	for name, text := range map[string]string{
+		"lines":       `{"generation":1,"reset":true,"instances":[` + entry + "]}\n" + `{"generation":2,"instances":[]}` + "\n",
+		"indented":    "{\n  \"generation\": 1,\n  \"reset\": true,\n  \"instances\": [\n    " + entry + "\n  ]\n}\n{\n\t\"generation\": 2\n}\n",
+		"CRLF":        "{\r\n\"generation\": 1,\r\n\"instances\": [" + entry + "]}\r\n\r\n  {\r\n\"generation\": 2}\r\n",
+		"no line end": `{"generation":1,"instances":[` + entry + `]}{"generation":2}`,
+	} {
+		for _, size := range []int{len(text), 7, 1} {
+			watched, server := newWatchedWorld(t)
+			server.write([]byte(watchResponse))
+			for at := 0; at < len(text); at += size {
+				server.write([]byte(chunk(text[at:min(at+size, len(text))])))
+				if size > 1 || at%16 == 0 { // so that the socket never fills
+					watched.turn()
+				}
+			}
+			watched.turn()
+			watched.expectRevisions(t, fmt.Sprintf("%s, %d bytes a chunk", name, size), 1, 2)
+		}
+	}
+}
+
+// What can't be read ends the watch at once.
+func TestWatchRejectsMalformedEvents(t *testing.T) {
+	for name, text := range map[string]string{
+		"brace": "}\n",
+		"word":  "generation\n",
+		"mixed": "{\"generation\":1]\n",
+		"array": "[]\n",
+	} {
+		watched, server := newWatchedWorld(t)
+		server.write([]byte(watchResponse + chunk(text)))
+		watched.turn()
+		watched.expectRevisions(t, name, watchLost)
+	}
+}
+
+// Half an event, and then silence, ends the watch when a line was due, and not before.
+func TestHalfAnEventKeepsNoWatch(t *testing.T) {
+	watched, server := newWatchedWorld(t)
+	server.write([]byte(watchResponse + chunk("\n")))
+	watched.turn()
+	watched.now += 2 * time.Second
+	server.write([]byte(chunk("{\n\"generation\":1,\n")))
+	watched.turn()
+	watched.now += time.Second - 1
+	watched.turn()
+	watched.expectRevisions(t, "half an event, before a line was due")
+	watched.now++
+	watched.turn()
+	watched.expectRevisions(t, "half an event, and silence", watchLost)
+}
+
+// An event without end is not kept without end.
+func TestWatchBoundsEventSize(t *testing.T) {
+	const chunkSize, writeSize = 32 << 10, 4 << 10
+	watched, server := newWatchedWorld(t)
+	server.write([]byte(watchResponse + chunk("{\"a\":\"")))
+	endless := []byte(chunk(strings.Repeat("x", chunkSize)))
+	for n := 0; n < discovery.MaxEventSize/chunkSize+2 && watched.loop.watch.isOpen(); n++ {
+		for piece := range slices.Chunk(endless, writeSize) {
+			if !watched.loop.watch.isOpen() {
+				break
+			}
+			server.write(piece)
+			watched.turn()
+		}
+	}
+	watched.expectRevisions(t, fmt.Sprintf("an event without end, of which %d bytes are kept", watched.loop.watch.scanner.Buffered()), watchLost)
+}
+
+// A watch that has fallen silent is opened anew, unasked, while what it missed does not yet count as known, however many
+// schedulers there are; from the list at hand on; and what comes late on the one before is not read.
+func TestSilentWatchReconnects(t *testing.T) {
+	for _, schedulers := range []int{1, 300} {
+		watched := newWorld(&steps.Steps{T: t})
+		config := discovery.Config{PollInterval: 10 * time.Second, Schedulers: schedulers}
+		latest := func(n int64) int64 { return n - 1 } // that may be drawn
+		watched.loop.watch = watched.loop.newWatchConnection(netip.AddrPort{}, config, latest)
+		watched.loop.Ledger.WatchEndpoints()
+		watched.turn()
+		first := watched.dialed[0]
+		first.write([]byte(watchResponse + chunk(`{"generation":7,"instances":[]}`+"\n")))
+		watched.turn()
+		watched.now += 3 * time.Second
+		watched.turn()
+		first.read(1 << 12)
+		if got := watched.takeRevisions()[1:]; !first.ended || !slices.Equal(got, []int64{7, watchLost}) {
+			t.Errorf("not taken for broken after 3 s: revisions %v", got)
+		}
+		first.write([]byte(chunk(`{"generation":8}` + "\n")))
+		watched.now += 2 * time.Second // 5 s after the last line
+		watched.turn()
+		if len(watched.dialed) != 2 {
+			t.Fatalf("%d schedulers: %d connections by 5 s after the last line", schedulers, len(watched.dialed))
+		}
+		second := watched.dialed[1]
+		second.read(1 << 12)
+		if got := string(second.got); !strings.HasPrefix(got, "GET /discovery/hosts?stream=1&index=7 ") {
+			t.Errorf("requested %q", got)
+		}
+		watched.module.Next = append(watched.module.Next, dispatch.Subscribe{}) // the policy's own, late: the list is followed
+		watched.loop.Ledger.DiscoveryFailed()
+		watched.turn()
+		if len(watched.dialed) != 2 {
+			t.Error("a connection beside one that is open")
+		}
+		second.write([]byte(watchResponse + chunk(`{"generation":9}`)))
+		watched.turn()
+		watched.expectRevisions(t, "the new watch", watchLost, 9)
+	}
+}
+
+// Connections that are refused, answered with an error, or not answered at all are made again, unasked, after a bounded
+// backoff.
+func TestFailedConnectionsAreRetried(t *testing.T) {
+	const (
+		connections = 12
+		maxBackoff  = 2 * time.Second
+		step        = 50 * time.Millisecond
+	)
+	for name, test := range map[string]struct {
+		fail   func(server *peer)
+		within time.Duration
+	}{
+		"503":   {func(server *peer) { server.write([]byte("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")) }, maxBackoff},
+		"reset": {(*peer).close, maxBackoff},
+		"hang":  {func(*peer) {}, 4*time.Second + maxBackoff},
+	} {
+		watched, _ := newWatchedWorld(t)
+		for n := 1; n <= connections; n++ {
+			server := watched.dialed[n-1]
+			server.read(1 << 12)
+			test.fail(server)
+			for until := watched.now + test.within; watched.now < until && len(watched.dialed) == n; watched.now += step {
+				watched.turn()
+			}
+			watched.turn()
+			if len(watched.dialed) != n+1 {
+				t.Fatalf("%s: after %d connections none within %v", name, n, test.within)
+			}
+		}
+	}
+}
--- a/internal/link/servers_test.go
+++ b/internal/link/servers_test.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"valvecove/dispatch"
-	"valvecove/internal/config"
 	"valvecove/internal/requests"
 	"valvecove/internal/steps"
 )
@@ -389,83 +388,3 @@
 		}
 	}
 }
-
-// A watch takes lines in any pieces and tells each group once, in order; one that ends, breaks off or falls
-// silent is told as lost.
-func FuzzWatch(f *testing.F) {
-	steps.Fuzz(f, func(s *steps.Steps) {
-		w := newWorld(s)
-		told := []int{}
-		w.module.Next = append(w.module.Next, dispatch.Subscribe{})
-		w.loop.Ledger.DiscoveryFailed()
-		w.turn()
-		p := w.dialed[0]
-		p.read(1 << 12)
-		s.Check(strings.HasPrefix(string(p.got), "GET /discovery/hosts?stream=1&index=0 "), "asked %q", p.got)
-		before := len(w.module.Heard)
-		unsent := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-		lost := false
-		for gen := 1; s.More() && !lost; {
-			switch s.Pick(7) {
-			case 0, 1:
-				line := fmt.Sprintf(`{"generation":%d,"reset":false,"instances":[{"instanceId":"s-%d"}]}`+"\n", gen, gen)
-				cut := s.Pick(len(line)-1) + 1
-				unsent += fmt.Sprintf("%x\r\n%s\r\n%x\r\n%s\r\n", cut, line[:cut], len(line)-cut, line[cut:])
-				told = append(told, gen)
-				gen++
-			case 2: // while lines come in time, a watch lives on
-				p.write([]byte(unsent + "1\r\n\n\r\n"))
-				unsent = ""
-				w.turn()
-				w.now += 2 * time.Second
-			case 3, 4:
-				n := min(len(unsent), s.Pick(90))
-				p.write([]byte(unsent[:n]))
-				unsent = unsent[n:]
-			case 6: // to another discovery: whatever the one before still does or says is not the new one's
-				p.write([]byte(unsent))
-				w.turn()
-				old, at := p, netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(len(w.dialed)))
-				w.loop.Reload(config.Config{Discovery: at, Limits: config.Limits{Sockets: 100}})
-				if old.write([]byte("1\r\n{\r\n1\r\n\n\r\n")); s.Pick(2) == 0 {
-					old.close()
-				}
-				w.turn()
-				p = w.dialed[len(w.dialed)-1]
-				p.read(1 << 12)
-				old.read(1 << 12)
-				s.Check(p != old && p.at == at && strings.Contains(string(p.got), "&index=0 "), "moved to %v, asked %q", p.at, p.got)
-				s.Check(old.closed || old.ended, "the old watch goes on")
-				unsent = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-			case 5:
-				if lost = s.Pick(3) == 0; lost {
-					p.write([]byte(unsent))
-					w.turn()
-					if end := s.Pick(3); end == 0 {
-						p.write([]byte("1\r\n\n\r\n"))
-						w.turn()
-						w.now += 3 * time.Second // a line is due every 2 s
-					} else if end == 1 {
-						p.close()
-					} else {
-						p.write([]byte("1\r\n}\r\n1\r\n\n\r\n")) // a brace that opens might be an indented list
-					}
-					unsent = ""
-				}
-			}
-			w.now += time.Millisecond
-			w.turn()
-		}
-		p.write([]byte(unsent))
-		w.turn()
-		for _, e := range w.module.Heard[before:] {
-			if list := e.(dispatch.WorkerList); list.Kind == dispatch.ListUnavailable {
-				s.Check(lost, "told as lost")
-				lost = false
-			} else if s.Check(len(told) > 0, "an unknown list was told"); w.loop.Ledger.Endpoint(list.Workers[0].ID).ID == fmt.Sprint("s-", told[0]) {
-				told = told[1:]
-			}
-		}
-		s.Check(!lost && len(told) == 0, "lost not told %v, lists not told %v", lost, told)
-	})
-}
--- a/internal/link/start.go
+++ b/internal/link/start.go
@@ -25,7 +25,7 @@
 // Own descriptors besides links: standard ones, epoll, eventfd, listener, watch, and what the runtime opens.
 const ownDescriptors = 24
 
-// watchSeed keeps the instants of calls to discovery apart from what else is drawn from a scheduler's seed.
+// watchSeed keeps the random backoffs of the watch apart from what else is drawn from a scheduler's seed.
 const watchSeed = 0x66726573
 
 // Open returns a loop that listens and is ready to run, with the features that are on. figuresTo are targets of figures
--- a/internal/link/succession_test.go
+++ b/internal/link/succession_test.go
@@ -343,7 +343,7 @@
 		w, at := newPredecessorWorld(s, dir)
 		w.loop.clients.set.MustSubscribe = true // an heir has its elder's settings
 		next := w.startSuccessor(dir, at)
-		s.Check(next.loop.watch.open, "it stands by without a watch")
+		s.Check(next.loop.watch.isOpen(), "it stands by without a watch")
 		if lost {
 			next.loop.watch.stop()
 		}
@@ -352,9 +352,9 @@
 		w.loop.Reload(conf)
 		next.loop.Reload(conf)
 		half := next.loop.clients.most
-		if err := w.handOverTo(next); err != nil || !next.loop.watch.open || next.loop.watch.server != conf.Discovery ||
+		if err := w.handOverTo(next); err != nil || !next.loop.watch.isOpen() || next.loop.watch.server != conf.Discovery ||
 			next.loop.clients.most < 2*half {
-			t.Errorf("lost %v: %v, watched %v at %v, %d client links, %d before", lost, err, next.loop.watch.open, next.loop.watch.server,
+			t.Errorf("lost %v: %v, watched %v at %v, %d client links, %d before", lost, err, next.loop.watch.isOpen(), next.loop.watch.server,
 				next.loop.clients.most, half)
 		}
 	}
