--- a/internal/link/tags_test.go
+++ b/internal/link/tags_test.go
@@ -8,4 +8,6 @@
 )
 
 // What worker nodes and discovery send is read by names in tags.
-func TestWireIsTagged(t *testing.T) { storedform.CheckTags(t, requests.Callback{}, requests.EndpointList{}) }
+func TestWireIsTagged(t *testing.T) {
+	storedform.CheckTags(t, requests.Callback{}, requests.EndpointList{})
+}
