--- /dev/null
+++ b/dispatch/capacity.go
@@ -0,0 +1,98 @@
+package dispatch
+
+import (
+	"math"
+	"time"
+)
+
+// Concurrency limits: one slot more with each prompt start that they bound, half on rejection or failure.
+const (
+	promptDivisor    = 4                      // a start within the objective divided by this is prompt
+	minLateOverflows = 2                      // late starts with as many slots running as a kind ever had
+	silenceFactor    = 3                      // unstarted for so many mean late starts: lost, not queued
+	lateStartDivisor = 10                     // the mean of late starts follows the last ten or so
+	minBackoff       = 500 * time.Millisecond // after a rejection
+	maxBackoff       = 8 * time.Second
+	maxLateShare     = 0.5 // late attempts in the fleet, as a part of our other slots in use
+	manyReplicas     = 8   // more dispatchers than these are many: most have little work each
+)
+
+// hasCapacity tells whether a worker can start a job now, as far as is known.
+func (d *Dispatcher) hasCapacity(job *jobInfo, worker *workerInfo) bool {
+	if worker.rejects(job) || worker == d.reserved && job != d.reservedFor ||
+		worker.usedSlots > 0 && worker.usedSlots+job.demand > min(worker.limit, d.maxSlots(worker)) {
+		return false
+	}
+	promptStart := d.promptStart(job.class)
+	for _, attempt := range worker.inFlight { // one that does not start shows a queue at the worker
+		if !attempt.started && d.now-attempt.sentAt > promptStart && !attempt.mayBeDropped() {
+			return false
+		}
+	}
+	free, fresh := d.reportedFreeSlots(worker)
+	return !fresh || free >= min(job.demand, 1)
+}
+
+// rejects tells whether a worker has rejected a job as large as this while idle.
+func (w *workerInfo) rejects(j *jobInfo) bool {
+	return w.rejectedDemand > 0 && j.demand >= w.rejectedDemand
+}
+
+// promptStart is how soon a start comes where there is capacity, by the least delay: a mean follows queues.
+func (d *Dispatcher) promptStart(c *Class) time.Duration {
+	return 2*d.minStartDelay + c.LatencyObjective/promptDivisor
+}
+
+// maxSlots is the most of our slots seen running on a worker of the kind, once a few sent beyond have started
+// late. The limit alone drifts past it: where one job ends as the next comes, the next starts promptly.
+func (d *Dispatcher) maxSlots(w *workerInfo) float64 {
+	if k := d.machineKind(w.Kind); k.lateOverflows >= minLateOverflows {
+		return k.maxSlots
+	}
+	return math.Inf(1)
+}
+
+// adjustLimit answers a start. The paper's design says nothing of a late one; without an answer a limit that
+// has grown too far stays so, and the worker's own queue brings back head-of-line blocking.
+func (d *Dispatcher) adjustLimit(attempt *attemptInfo, prompt bool) {
+	worker := attempt.worker
+	d.observeBusy(worker, !prompt)
+	d.markDirty(worker)
+	if prompt {
+		worker.backoff = 0
+		if attempt.limitBound {
+			worker.limit = max(worker.limit, worker.runningSlots+attempt.job.demand) + 1
+		}
+		return
+	}
+	if attempt.sentAt < worker.decreasedAt { // an older attempt tells nothing new
+		return
+	}
+	if k := d.machineKind(worker.Kind); worker.runningSlots >= k.maxSlots {
+		k.lateOverflows++
+	}
+	// One slot for each of several dispatchers is still a queue: back off for as long as this attempt waited.
+	if worker.limit <= 1 && d.settings.Replicas > 1 {
+		d.backOff(worker, d.now-attempt.sentAt)
+	}
+	worker.decreasedAt, worker.limit = d.now, max(1, worker.limit-1)
+}
+
+// backOff leaves a worker alone, longer each time until an attempt starts promptly there.
+func (d *Dispatcher) backOff(w *workerInfo, least time.Duration) {
+	w.backoff = min(max(least, 2*w.backoff), maxBackoff)
+	w.backoffUntil = d.now + w.backoff
+	d.markDirty(w)
+}
+
+// isBackedUp is the limit of the fleet: several dispatchers with few jobs each fill all queues though every
+// limit is one. A pilot goes all the same, and the next when that has started or is as late as others are.
+func (d *Dispatcher) isBackedUp() bool {
+	return d.settings.Replicas <= manyReplicas && d.lateCount > maxLateShare*(d.usedSlots-d.lateCount) &&
+		d.now-d.pilotSentAt < d.meanLateStart
+}
+
+// mayHaveCapacity tells whether searches need to see a worker.
+func (d *Dispatcher) mayHaveCapacity(w *workerInfo) bool {
+	return w.Ready && d.now >= w.backoffUntil && (w.usedSlots == 0 || w.usedSlots+1 <= w.limit)
+}
--- /dev/null
+++ b/dispatch/connections.go
@@ -0,0 +1,80 @@
+package dispatch
+
+import (
+	"math/bits"
+	"time"
+)
+
+const (
+	idleBuckets    = 20               // of idle times
+	idleMemory     = 10 * time.Second // outcomes on idle connections are forgotten after this
+	maxIdleSpan    = 10 * time.Second // after this a bound on idle times is doubled
+	minIdleFailing = 1.5              // recent failures: two, less what is forgotten of them
+)
+
+// idleHistory counts how attempts fared by how long their connections had been idle: bucket n is from 2^n to 2^(n+1)
+// milliseconds.
+type idleHistory [idleBuckets]outcomeCounts
+
+type outcomeCounts struct{ succeeded, failed float64 }
+
+func (c *outcomeCounts) add(success bool) {
+	if success {
+		c.succeeded++
+	} else {
+		c.failed++
+	}
+}
+
+// sumFrom is the sum over a bucket and all that are longer.
+func (h *idleHistory) sumFrom(bucket int) outcomeCounts {
+	var sum outcomeCounts
+	for _, counts := range h[bucket:] {
+		sum.succeeded += counts.succeeded
+		sum.failed += counts.failed
+	}
+	return sum
+}
+
+func (h *idleHistory) decay(factor float64) {
+	for i := range h {
+		h[i].succeeded *= factor
+		h[i].failed *= factor
+	}
+}
+
+// idleBucket is the bucket of an idle time, and minIdleOf the least that a bucket stands for.
+func idleBucket(idle time.Duration) int {
+	return min(max(bits.Len64(uint64(idle/time.Millisecond))-1, 0), idleBuckets-1)
+}
+
+func minIdleOf(bucket int) time.Duration { return time.Millisecond << bucket }
+
+// observeIdleConnection takes in how an attempt on an idle connection went. Where of connections idle for so long or longer
+// two have failed of late, and more than succeeded, the connections are at fault and not the workers: a rack that is silent
+// has but its part of them.
+func (d *Dispatcher) observeIdleConnection(a *attemptInfo, success bool) {
+	if a.connIdle == 0 {
+		return
+	}
+	bucket := idleBucket(a.connIdle)
+	d.idleOutcomes[bucket].add(success)
+	if success {
+		return
+	}
+	for ; bucket >= 0; bucket-- {
+		sum := d.idleOutcomes.sumFrom(bucket)
+		if sum.failed > minIdleFailing && sum.failed > sum.succeeded {
+			d.maxIdle, d.maxIdleSetAt = minIdleOf(bucket), d.now
+			return
+		}
+	}
+}
+
+// decayIdleConnections forgets by and by what was observed of them.
+func (d *Dispatcher) decayIdleConnections() {
+	d.idleOutcomes.decay(1 - maintenanceInterval.Seconds()/idleMemory.Seconds())
+	if d.maxIdle > 0 && d.now-d.maxIdleSetAt > maxIdleSpan {
+		d.maxIdle, d.maxIdleSetAt = 2*d.maxIdle, d.now
+	}
+}
--- /dev/null
+++ b/dispatch/doc.go
@@ -0,0 +1,18 @@
+// Package dispatch decides for one dispatcher that pushes jobs to workers: which job leaves the queue next, which worker
+// it is sent to, when it is sent again, and when it is answered without an attempt.
+//
+// It owns the queue, what is known of workers and attempts, and what has been learnt of run times and speeds. It never
+// does I/O, reads no clock, starts no goroutine and keeps no globals: the caller feeds events to Dispatcher.Step and
+// carries out the actions that this returns, in order. All instants and spans are time.Duration, counted from an origin of
+// the caller's choice. A Dispatcher is for one goroutine. Its randomness comes from one seed, so that the same events give
+// the same actions.
+//
+// Contradictory input is tolerated: an event about a job, attempt or worker that is unknown or already done with is
+// ignored; a second arrival of an open job's id is ignored; the last of several entries for one worker in a list counts;
+// negative, infinite or missing figures are read as absent; a clock that steps back is held at its highest value.
+//
+// The decisions are in queue.go (order of jobs), picker.go (choice of a worker), predictor.go (expected run times),
+// capacity.go (concurrency limits), outlier.go (ejection), slowstart.go (warming workers), attempts.go (retries and hedged
+// requests), admission.go (quotas, objectives, answers without an attempt) and endpoints.go (the list of workers, cordons,
+// health checks). The other files hold the interface, state, indexes and estimates, and decide nothing.
+package dispatch
--- a/dispatch/handover_test.go
+++ b/dispatch/handover_test.go
@@ -218,7 +218,7 @@
 		d.Step(time.Hour, []Event{list, ModelUpdate{b, time.Duration(age), part}}, nil)
 		d.Step(time.Hour+time.Second, []Event{Job{ID: 1, Remaining: time.Second, Slots: 1}, TimerFired{}}, nil)
 		for _, w := range d.workerList {
-			if !(w.limit >= 1 && w.limit <= maxModelLimit) || !isPlausible(w.logSpeed, w.speed) {
+			if !(w.limit >= 1 && w.limit <= maxModelLimit) || !isPlausible(w.logSpeed) || !isPlausible(w.speed) {
 				t.Fatalf("worker %d: room %v, speed %v", w.ID, w.limit, w.logSpeed)
 			}
 		}
--- /dev/null
+++ b/dispatch/jobqueue.go
@@ -0,0 +1,139 @@
+package dispatch
+
+import "slices"
+
+// jobQueue holds queued jobs by shape: those that the same workers can start share one, so that where one of them fits
+// nowhere for want of capacity, the others need not be tried.
+type jobQueue struct {
+	shapes []shape
+	length int
+}
+
+// shape holds the queued jobs of one shape in two orders.
+type shape struct {
+	byScore     minHeap[*jobInfo] // by leavesBefore
+	byPromotion minHeap[*jobInfo] // by promotedBefore; may hold jobs that have left
+	blocked     bool              // no worker has capacity for one, in this step
+}
+
+const (
+	slotBuckets    = 4 // 1, 2 and 3, 4 to 7, more
+	shapesPerClass = 2 * slotBuckets
+)
+
+func newJobQueue(classes int) jobQueue {
+	q := jobQueue{shapes: make([]shape, shapesPerClass*classes)}
+	for i := range q.shapes {
+		s := &q.shapes[i]
+		s.byScore.less, s.byScore.moved = leavesBefore, func(j *jobInfo, index int) { j.heapIndex = index }
+		s.byPromotion.less = promotedBefore
+	}
+	return q
+}
+
+// shapeOf is the shape of a job of a class that may go where only the others of its group may. restricted are jobs whose
+// attempts restrict them further.
+func shapeOf(group, bucket int, restricted bool) int {
+	s := (group*slotBuckets + bucket) * 2
+	if restricted {
+		s++
+	}
+	return s
+}
+
+// placementGroups gives each class the first one that may go to the same kinds and zones.
+func placementGroups(classes []Class) []int {
+	groups := make([]int, 0, len(classes))
+	for _, c := range classes {
+		groups = append(groups, slices.IndexFunc(classes, func(o Class) bool {
+			return slices.Equal(o.Kinds, c.Kinds) && (o.Kinds == nil) == (c.Kinds == nil) &&
+				slices.Equal(o.Zones, c.Zones) && (o.Zones == nil) == (c.Zones == nil)
+		}))
+	}
+	return groups
+}
+
+// push adds a job to its shape.
+func (q *jobQueue) push(j *jobInfo) {
+	q.shapes[j.shape].byScore.push(j)
+	q.length++
+}
+
+// pushPromotion adds a job to its shape by promotion. Its entry stays there when the job leaves.
+func (q *jobQueue) pushPromotion(j *jobInfo) {
+	j.inPromotions = true
+	q.shapes[j.shape].byPromotion.push(j)
+}
+
+// remove takes out a job that is queued.
+func (q *jobQueue) remove(j *jobInfo) {
+	q.shapes[j.shape].byScore.remove(j.heapIndex)
+	q.length--
+}
+
+// reorder has a queued job stand where it belongs after a change.
+func (q *jobQueue) reorder(j *jobInfo) { q.shapes[j.shape].byScore.fix(j.heapIndex) }
+
+// unblock begins a pass: all shapes are tried.
+func (q *jobQueue) unblock() {
+	for i := range q.shapes {
+		q.shapes[i].blocked = false
+	}
+}
+
+// firstByPromotion is the first job by promotion; nil: there is none. Void entries are dropped.
+func (s *shape) firstByPromotion() *jobInfo {
+	for !s.byPromotion.empty() {
+		j := s.byPromotion.first()
+		if !j.losesPromotion() {
+			return j
+		}
+		s.byPromotion.pop()
+		j.inPromotions = false
+	}
+	return nil
+}
+
+// startTracker keeps the attempts that have not started, and those of them that are late by now.
+type startTracker struct {
+	pending [][]*attemptInfo // by class, oldest first; may hold attempts that have started or ended
+	first   []int            // where each begins
+	late    []*attemptInfo
+}
+
+// add keeps an attempt in its place by when it was sent.
+func (t *startTracker) add(class int, a *attemptInfo) {
+	pending := append(t.pending[class], a) //nolint:gocritic // it goes back below
+	i := len(pending) - 1
+	for ; i > t.first[class] && pending[i-1].sentAt > a.sentAt; i-- {
+		pending[i] = pending[i-1]
+	}
+	pending[i] = a
+	t.pending[class] = pending
+}
+
+// update moves what is late by the limit of its class to the late ones, and drops those of them that are over.
+func (t *startTracker) update(isLate func(class int, a *attemptInfo) bool, isOver func(a *attemptInfo) bool) {
+	for class := range t.pending {
+		pending, i := t.pending[class], t.first[class]
+		for ; i < len(pending); i++ {
+			a := pending[i]
+			if a.started || a.ended {
+				pending[i] = nil
+				continue
+			}
+			if !isLate(class, a) {
+				break
+			}
+			t.late = append(t.late, a)
+			pending[i] = nil
+		}
+		if i > len(pending)/2 {
+			n := copy(pending, pending[i:])
+			clear(pending[n:])
+			t.pending[class], i = pending[:n], 0
+		}
+		t.first[class] = i
+	}
+	t.late = slices.DeleteFunc(t.late, isOver)
+}
--- /dev/null
+++ b/dispatch/jobs.go
@@ -0,0 +1,86 @@
+package dispatch
+
+import "slices"
+
+// isRunning tells whether an attempt of a job has started and not ended.
+func (j *jobInfo) isRunning() bool {
+	return slices.ContainsFunc(j.attempts, func(a *attemptInfo) bool { return !a.ended && a.started })
+}
+
+// wasSentTo tells whether a worker was sent the job before.
+func (j *jobInfo) wasSentTo(w *workerInfo) bool {
+	for _, a := range j.attempts {
+		if a.worker == w {
+			return true
+		}
+	}
+	return false
+}
+
+// dequeue takes a job out of the queue, if it is there.
+func (d *Dispatcher) dequeue(j *jobInfo) {
+	if j.heapIndex >= 0 {
+		d.queue.remove(j)
+	}
+}
+
+// deferJob sets a job aside for the rest of this pass over the queue.
+func (d *Dispatcher) deferJob(j *jobInfo) {
+	d.dequeue(j)
+	d.deferred = append(d.deferred, j)
+}
+
+// closeJob ends a job that has had its final answer, or needs none. It is forgotten once nothing is in flight.
+func (d *Dispatcher) closeJob(j *jobInfo) {
+	if j == nil {
+		return
+	}
+	d.dequeue(j)
+	d.cancelTimer(&j.deadlineTimer)
+	d.cancelTimer(&j.objectiveTimer)
+	d.cancelTimer(&j.checksTimer)
+	j.closed = true
+	if j.inFlight == 0 {
+		delete(d.jobs, j.ID)
+	}
+}
+
+// prepareDispatch brings up to date what a pass over the queue goes by.
+func (d *Dispatcher) prepareDispatch() {
+	for _, w := range d.dirty {
+		d.reindex(w)
+	}
+	d.dirty = d.dirty[:0]
+	if d.allCordoned {
+		d.finishQueued()
+	}
+	if d.queue.length == 0 {
+		return
+	}
+	d.countLateAttempts()
+	if d.reserved != nil && d.reservedFor.heapIndex < 0 {
+		d.reserved, d.reservedFor = nil, nil
+	}
+	d.queue.unblock()
+}
+
+// finishQueued answers all queued jobs that have nothing in flight: there is nobody to send them to.
+func (d *Dispatcher) finishQueued() {
+	for i := range d.queue.shapes {
+		for queued := &d.queue.shapes[i].byScore; !queued.empty(); {
+			j := queued.first()
+			d.dequeue(j)
+			if j.inFlight == 0 {
+				d.finish(j)
+			}
+		}
+	}
+}
+
+// onResponseStarted takes in that a response has begun: nothing else can be sent to the client any more.
+func (d *Dispatcher) onResponseStarted(a *attemptInfo) {
+	if a != nil {
+		a.job.streaming = true
+		d.dequeue(a.job)
+	}
+}
--- a/dispatch/logic_test.go
+++ b/dispatch/logic_test.go
@@ -294,7 +294,7 @@
 		s.step(Started{Job: id, Worker: 1}, s.done(id, 0, 1, OK))
 		delay += delay / 5
 	}
-	if got := s.d.promptStart(&jobInfo{class: &s.d.settings.Classes[1]}); got > 120*ms {
+	if got := s.d.promptStart(&s.d.settings.Classes[1]); got > 120*ms {
 		t.Fatalf("a start within %v counts as prompt", got)
 	}
 }
@@ -706,11 +706,11 @@
 		j.work = d.expectedWork(j)
 		return j
 	}
-	if d.longChance(mk(0, 100*ms)) >= d.longChance(mk(0, 200*ms)) {
+	if d.longScore(mk(0, 100*ms)) >= d.longScore(mk(0, 200*ms)) {
 		t.Fatal("untrained, a longer hint does not raise the chance of running long")
 	}
 	for _, hint := range []time.Duration{0, 1, math.MaxInt64} {
-		if p := d.longChance(mk(0, hint)); math.IsNaN(p) || p < 0 || p > 1 {
+		if p := d.longScore(mk(0, hint)); math.IsNaN(p) || p < 0 || p > 1 {
 			t.Fatalf("hint %v gives chance %v", hint, p)
 		}
 	}
@@ -720,7 +720,7 @@
 	keyed.Key = 5
 	d.learnFromRun(&attemptInfo{job: keyed, worker: w}, 5*time.Second)
 	other := mk(0, 0)
-	if keyed.work = d.expectedWork(keyed); d.longChance(keyed) <= d.longChance(other) {
+	if keyed.work = d.expectedWork(keyed); d.longScore(keyed) <= d.longScore(other) {
 		t.Fatal("a key that ran long does not raise the chance of running long")
 	}
 	for range 300 {
@@ -729,7 +729,7 @@
 			d.learnFromRun(a, run)
 		}
 	}
-	if d.longChance(mk(0, 0)) >= d.longChance(mk(1, 0)) {
+	if d.longScore(mk(0, 0)) >= d.longScore(mk(1, 0)) {
 		t.Fatal("without hints the class that runs long is not ranked as long")
 	}
 }
@@ -868,7 +868,7 @@
 	set := testSettings()
 	set.MustSubscribe = true
 	s := newHarness(t, set)
-	s.wait(recheckInterval)
+	s.wait(objectiveRecheck)
 	s.step(WorkerList{Kind: ListFull, Revision: 1}, WorkerList{Kind: ListUnavailable}, WorkerList{Kind: ListDelta, Revision: 2})
 	taken[Subscribe](s)
 	if s.wait(10 * time.Second); len(taken[Subscribe](s)) > 0 {
@@ -926,13 +926,13 @@
 	over := 0
 	for _, sh := range s.d.queue.shapes {
 		for _, h := range sh.byScore.items {
-			if h.demoted {
+			if h.demoted() {
 				over++
 			}
 		}
 	}
-	if over == 0 || s.d.jobs[50].demoted {
-		t.Fatalf("%d jobs over their tenant's share, tenant without a quota over share: %v", over, s.d.jobs[50].demoted)
+	if over == 0 || s.d.jobs[50].demoted() {
+		t.Fatalf("%d jobs over their tenant's share, tenant without a quota over share: %v", over, s.d.jobs[50].demoted())
 	}
 }
 
@@ -1016,7 +1016,7 @@
 	}
 	within := 0
 	for _, j := range s.d.jobs {
-		if !j.demoted {
+		if !j.demoted() {
 			within++
 		}
 	}
--- /dev/null
+++ b/dispatch/model.go
@@ -0,0 +1,202 @@
+package dispatch
+
+import (
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	modelVersion  = 1   // of what ModelSnapshot gives
+	speedSteps    = 64  // of a worker's speed, in one unit of its log
+	maxModelLimit = 256 // concurrency limit that a model holds
+	maxModelRuns  = 3   // runs that a worker's speed counts as learnt from, at most
+	maxModelLog   = 20  // absolute value of a figure that is a logarithm
+	maxModelValue = 1e9 // absolute value of any figure
+	maxModelSpan  = 1e6 * time.Second
+	maxSpeedShift = 8.0 // log, of a worker's speed against its kind
+	workerBytes   = 14  // of a worker in a snapshot, at most
+)
+
+// model is what a dispatcher has learnt, but for single jobs and keys.
+type model struct {
+	figures   []*float64 // in an order that both sides know
+	durations []*time.Duration
+	kinds     map[int]*machineInfo
+	zoneBusy  map[int]float64
+	workers   []workerModel
+}
+
+type workerModel struct {
+	id          uint64
+	speedOffset int // log speed beyond that of its kind, in speedSteps
+	runs        int
+	limit       int
+}
+
+// rank orders workers by what is known of them.
+func (m *workerModel) rank() int { return m.runs*(maxModelLimit+1) + m.limit }
+
+// model refers to the learnt figures of a dispatcher, but for those of workers.
+func (d *Dispatcher) model() model {
+	learnt := model{
+		figures:   []*float64{&d.longCut, &d.muShort, &d.meanWeight, &d.meanCost, &d.spread},
+		durations: []*time.Duration{&d.meanLateStart, &d.minStartDelay, &d.minCheckDelay},
+		kinds:     d.kinds,
+		zoneBusy:  d.zoneBusy,
+	}
+	for class := range d.sizeCorrection {
+		for bucket := range d.sizeCorrection[class] {
+			learnt.figures = append(learnt.figures, &d.sizeCorrection[class][bucket])
+		}
+	}
+	for _, part := range [][]float64{d.overrunFactor, d.weights} {
+		for i := range part {
+			learnt.figures = append(learnt.figures, &part[i])
+		}
+	}
+	for class := range d.fullTimeout {
+		learnt.durations = append(learnt.durations, &d.fullTimeout[class])
+	}
+	return learnt
+}
+
+// ModelSnapshot appends what this dispatcher has learnt of sizes, kinds of machines and workers to b, in size bytes or little
+// more: of too many workers those that it knows best. ModelUpdate brings it to another dispatcher.
+func (d *Dispatcher) ModelSnapshot(size int, b []byte) []byte {
+	learnt := d.model()
+	from := len(b)
+	writer := &codec{b: b, writing: true}
+	writer.model(&learnt)
+	for _, w := range d.workerList {
+		known := workerModel{
+			id:          w.ID,
+			speedOffset: int(math.Round((w.logSpeed - w.machine.logSpeed) * speedSteps)),
+			runs:        int(min(w.runs, maxModelRuns)),
+			limit:       int(min(w.limit, maxModelLimit)),
+		}
+		if w.listed && (known.runs > 0 || known.limit > 1) {
+			learnt.workers = append(learnt.workers, known)
+		}
+	}
+	learnt.keepBest(max(0, size-(len(writer.b)-from)) / workerBytes)
+	writer.workerModels(&learnt)
+	return writer.b
+}
+
+// keepBest keeps so many workers, those that most is known of. It counts them by rank: sorting thousands would hold up a
+// planner for milliseconds.
+func (m *model) keepBest(count int) {
+	if len(m.workers) <= count {
+		return
+	}
+	var byRank [(maxModelRuns + 1) * (maxModelLimit + 1)]int
+	for i := range m.workers {
+		byRank[m.workers[i].rank()]++
+	}
+	cut := len(byRank) - 1
+	for ; byRank[cut] <= count; cut-- {
+		count -= byRank[cut]
+	}
+	m.workers = slices.DeleteFunc(m.workers, func(w workerModel) bool {
+		rank := w.rank()
+		if rank == cut {
+			count--
+		}
+		return rank < cut || rank == cut && count < 0
+	})
+}
+
+func (c *codec) model(learnt *model) {
+	version := modelVersion
+	c.int(&version)
+	fixedList(c, learnt.figures, func(x **float64) { c.float(*x) })
+	fixedList(c, learnt.durations, func(x **time.Duration) { c.duration(*x) })
+	sortedMap(c, learnt.kinds, func(kind *int, k **machineInfo) {
+		c.machine(kind, k)
+		c.check(isPlausible((*k).runs) && isPlausible((*k).maxSlots) && math.Abs((*k).logSpeed) <= maxModelLog)
+	})
+	sortedMap(c, learnt.zoneBusy, func(zone *int, chance *float64) {
+		c.int(zone)
+		c.float(chance)
+		c.check(isPlausible(*chance))
+	})
+	c.check(version == modelVersion)
+	for _, x := range learnt.figures {
+		c.check(isPlausible(*x))
+	}
+	for _, x := range learnt.durations {
+		c.check(*x >= 0 && *x <= maxModelSpan)
+	}
+}
+
+func (c *codec) workerModels(m *model) {
+	list(c, &m.workers, func(w *workerModel) {
+		c.uint(&w.id)
+		c.int(&w.speedOffset)
+		c.int(&w.runs)
+		c.int(&w.limit)
+	})
+}
+
+// isPlausible tells a figure that may have been learnt from one that cannot.
+func isPlausible(x float64) bool { return math.Abs(x) <= maxModelValue }
+
+// hasPlausibleModel tells whether all figures are such as a dispatcher could have learnt itself.
+func (d *Dispatcher) hasPlausibleModel() bool {
+	logs := append([]float64{d.longCut}, d.weights...)
+	for _, corrections := range d.sizeCorrection {
+		logs = append(logs, corrections[:]...)
+	}
+	isWide := func(x float64) bool { return math.Abs(x) > maxModelLog }
+	isBelowOne := func(x float64) bool { return x < 1 }
+	if slices.ContainsFunc(logs, isWide) || slices.ContainsFunc(d.overrunFactor, isBelowOne) {
+		return false
+	}
+	return d.spread > 0 && d.spread <= maxFeature && d.muShort > 0 && d.meanCost >= 0 &&
+		d.meanLateStart > 0 && d.minStartDelay > 0 && d.minCheckDelay > 0
+}
+
+// onModelUpdate takes over a model, whole or not at all.
+func (d *Dispatcher) onModelUpdate(update ModelUpdate) {
+	reader := New(d.settings, 0)
+	learnt := reader.model()
+	c := &codec{b: update.Snapshot}
+	c.model(&learnt)
+	c.workerModels(&learnt)
+	if c.invalid || len(c.b) > 0 || !reader.hasPlausibleModel() {
+		return
+	}
+	own := d.model()
+	for i, x := range learnt.figures {
+		*own.figures[i] = *x
+	}
+	for i, x := range learnt.durations {
+		*own.durations[i] = *x
+	}
+	for kind, k := range learnt.kinds {
+		*d.machineKind(kind) = *k
+	}
+	for zone, chance := range learnt.zoneBusy {
+		d.zoneBusy[zone] = chance
+	}
+	for i := range learnt.workers {
+		d.applyWorkerModel(&learnt.workers[i], update)
+	}
+}
+
+// applyWorkerModel takes over what a model says of a worker. Its speed has drifted by now as it would have here, and its
+// limit is shared like the load.
+func (d *Dispatcher) applyWorkerModel(m *workerModel, e ModelUpdate) {
+	w := d.workers[m.id]
+	if w == nil || w.runs > 0 || m.runs < 0 || m.runs > maxModelRuns {
+		return
+	}
+	if m.runs > 0 {
+		kept := math.Exp(-max(0, e.Age).Seconds() / speedMemory.Seconds())
+		w.logSpeed = w.machine.logSpeed + clamp(float64(m.speedOffset)/speedSteps, maxSpeedShift)*kept
+		w.speed, w.runs, w.learnedAt = math.Exp(w.logSpeed), float64(m.runs), d.now
+	}
+	w.limit = max(w.limit, math.Floor(min(float64(m.limit), maxModelLimit)*clamp(finite(e.LoadShare), 1)))
+	d.markDirty(w)
+}
--- /dev/null
+++ b/dispatch/peers.go
@@ -0,0 +1,97 @@
+package dispatch
+
+import (
+	"cmp"
+	"math"
+)
+
+const (
+	hashFactor  = 0x9e3779b97f4a7c15 // golden ratio in 64 bits: spreads ids
+	unknownKind = -1                 // of the worker of a past attempt that is not listed
+)
+
+func (d *Dispatcher) onReplicasChanged(e ReplicasChanged) {
+	d.sharing = ReplicasChanged{
+		Replicas:     max(1, e.Replicas),
+		ReplicaIndex: max(0, e.ReplicaIndex),
+		QuotaShare:   clamp(finite(e.QuotaShare), 1),
+	}
+}
+
+// assigneeRank is this dispatcher's place among those that may send jobs to a warming worker: all agree on it.
+func (d *Dispatcher) assigneeRank(w *workerInfo) (rank, assignees int) {
+	if w.Assignees > 0 {
+		return max(0, w.AssigneeRank), w.Assignees
+	}
+	index, replicas := d.settings.ReplicaIndex, max(1, d.settings.Replicas)
+	if d.sharing.Replicas > 0 {
+		index, replicas = d.sharing.ReplicaIndex, d.sharing.Replicas
+	}
+	return int((uint64(index) + w.ID*hashFactor>>32) % uint64(replicas)), replicas
+}
+
+// quotaShare is this dispatcher's of each tenant's quota.
+func (d *Dispatcher) quotaShare() float64 {
+	if d.sharing.QuotaShare > 0 {
+		return d.sharing.QuotaShare
+	}
+	return 1 / float64(max(1, cmp.Or(d.sharing.Replicas, d.settings.Replicas)))
+}
+
+// onJobResumed takes in a job with its attempts so far.
+func (d *Dispatcher) onJobResumed(e JobResumed) {
+	j := d.admit(e.Job, max(0, e.Age))
+	if j == nil {
+		return
+	}
+	for _, past := range e.Attempts {
+		d.adoptAttempt(j, past)
+	}
+	if len(e.Attempts) == 0 && !e.QuotaCharged {
+		d.chargeQuota(j)
+	}
+	d.requeue(j)
+}
+
+// adoptAttempt enters an attempt that another dispatcher has made. Its notifications so far went there; whether it is late,
+// or lost, counts from now on.
+func (d *Dispatcher) adoptAttempt(job *jobInfo, past PastAttempt) {
+	worker := d.workers[past.Worker]
+	if worker == nil {
+		worker = d.newUnlistedWorker(past)
+	}
+	attempt := d.newAttempt(job, worker, d.now-max(0, past.SentAgo))
+	attempt.ended, attempt.result = past.Ended, past.Result
+	isNotified := past.StartedAgo > 0
+	if isNotified {
+		attempt.started, attempt.startedAt, attempt.progressAt = true, max(attempt.sentAt, d.now-past.StartedAgo), d.now
+		worker.aliveAt = max(worker.aliveAt, attempt.startedAt)
+		worker.progressAt = max(worker.progressAt, attempt.startedAt)
+	}
+	d.chargeWarmUp(attempt)
+	if attempt.ended {
+		job.attempts = append(job.attempts, attempt)
+		return
+	}
+	d.addAttempt(attempt)
+	worker.connections = max(worker.connections, len(worker.inFlight))
+	d.markDirty(worker)
+	if isNotified {
+		worker.runningSlots += job.Slots
+		d.observeSlots(worker, worker.runningSlots)
+	}
+	d.setTimer(&attempt.timer, d.dueAt(attempt))
+}
+
+// newUnlistedWorker is the worker of a past attempt that no list has named. It is known while the attempt is in flight.
+func (d *Dispatcher) newUnlistedWorker(past PastAttempt) *workerInfo {
+	machine := d.machineKind(unknownKind)
+	w := &workerInfo{
+		Worker: Worker{ID: past.Worker, Kind: unknownKind, Cell: math.MinInt, Zone: math.MinInt},
+		limit:  1, machine: machine, speed: math.Exp(machine.logSpeed),
+	}
+	if !past.Ended {
+		d.addWorker(w.ID, w)
+	}
+	return w
+}
--- /dev/null
+++ b/dispatch/picker.go
@@ -0,0 +1,142 @@
+package dispatch
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// Costs of a worker, in slots in use: the fewest of ours decide, and what else speaks against it adds.
+const (
+	busyZoneCost         = 3.0    // times the chance in its zone that a worker has no free slot
+	retriedWorkerCost    = 1000.0 // of a worker that was sent the job before: it comes last
+	uncordonedBonus      = 0.5    // off for an uncordoned worker: among equals it is tried first
+	crossCostPerSlot     = 0.05   // this much of Settings.CrossZoneCost weighs like one slot
+	handshakeCostPerSlot = 0.2    // so does this much of Settings.HandshakeCost
+	maxLevelScan         = 48     // workers of one level of the index that are all looked at
+	levelSample          = 16     // and of a longer one, as a random sample is as good
+	maxScanned           = 256    // and in one search
+)
+
+// chooseWorker picks the ready worker with the lowest cost of those that can start the job now, drawn among
+// equals by strength. lacksCapacity: it has looked at all, and nothing but capacity is missing.
+func (d *Dispatcher) chooseWorker(job *jobInfo) (worker *workerInfo, lacksCapacity bool) {
+	search := choice{cost: math.Inf(1), lacksCapacity: true}
+	d.priceBuckets(job)
+	for search.scanned < maxScanned {
+		level, levelCost := d.available.cheapest()
+		if level == nil || levelCost > search.cost { // no other level holds a better one
+			break
+		}
+		from, n := d.sample(len(level), maxLevelScan, levelSample)
+		for i := range n {
+			d.consider(&search, job, level[(from+i)%len(level)], levelCost)
+		}
+		search.scanned += n
+	}
+	switch {
+	case search.worker == nil:
+		return nil, search.lacksCapacity && search.scanned < maxScanned
+	case search.warming != nil: // it takes its part only of jobs that could go elsewhere now
+		return search.warming, false
+	case d.now < job.checksUntil && !search.isInformed: // the workers checked for the job may answer yet
+		return nil, false
+	}
+	return search.worker, false
+}
+
+// priceBuckets prices what the workers of a bucket have in common, and leaves out those barred to the job.
+func (d *Dispatcher) priceBuckets(j *jobInfo) {
+	for _, b := range d.available.buckets {
+		b.nextLevel, b.baseCost = 0, 0
+		if !j.class.allows(b.kind, b.zone) {
+			b.baseCost = math.Inf(1)
+			continue
+		}
+		if b.zone != d.settings.Zone {
+			b.baseCost = d.settings.CrossZoneCost / crossCostPerSlot
+		}
+		if len(d.settings.ReportFields) == 0 {
+			b.baseCost += busyZoneCost * d.zoneBusy[b.zone]
+		}
+	}
+}
+
+// consider compares one candidate with the best so far: cost, filters, draw.
+func (d *Dispatcher) consider(search *choice, job *jobInfo, worker *workerInfo, levelCost float64) {
+	cost, weight, fresh := d.price(job, worker, levelCost)
+	if cost > search.cost || !d.hasCapacity(job, worker) {
+		return
+	}
+	search.lacksCapacity = false
+	if !d.canEarn(job, worker) || !d.mayAttempt(job, worker) || !d.healthAllows(job, worker) {
+		return
+	}
+	if !d.warmUpAllows(job, worker) {
+		if d.drawsWorker(job, worker) {
+			search.warming = worker
+		}
+		return
+	}
+	if worker.uncordonedAt > 0 {
+		cost -= uncordonedBonus
+	}
+	if cost < search.cost {
+		search.cost, search.weights = cost, 0
+	}
+	search.weights += weight
+	if d.rng.Float64()*search.weights < weight {
+		search.worker = worker
+		search.isInformed = fresh || len(d.settings.ReportFields) == 0 && !worker.awaitsCheck()
+	}
+}
+
+// price is the cost of a worker for a job, its weight among equals, and whether its load report is fresh.
+func (d *Dispatcher) price(job *jobInfo, worker *workerInfo, base float64) (cost, weight float64, fresh bool) {
+	cost = base - math.Floor(worker.usedSlots) + worker.usedSlots
+	weight = cmp.Or(finite(worker.Size), 1) * worker.speed
+	if len(worker.inFlight) >= worker.connections { // none is idle
+		cost += d.settings.HandshakeCost / handshakeCostPerSlot
+	}
+	if len(d.settings.ReportFields) > 0 {
+		var free float64
+		if free, fresh = d.reportedFreeSlots(worker); fresh {
+			weight *= max(free, 1)
+		} else {
+			cost += busyZoneCost * d.zoneBusy[worker.Zone]
+		}
+	}
+	if job.wasSentTo(worker) {
+		cost += retriedWorkerCost
+	}
+	return cost, weight, fresh
+}
+
+// canEarn tells whether a job would meet its objective on a worker, or has no such hope on any.
+func (d *Dispatcher) canEarn(j *jobInfo, w *workerInfo) bool {
+	return j.demoted() || d.mayTryUncordoned(j, w) || d.now+d.expectedRun(j, w) <= j.objectiveAt
+}
+
+// reserveWorker keeps the worker with least to finish free for a large job that is over tau and fits nowhere:
+// smaller jobs would backfill it for ever. Sent before it fits, the job would block the worker's own queue.
+func (d *Dispatcher) reserveWorker(j *jobInfo) {
+	if d.reserved != nil && d.reserved.Ready {
+		return
+	}
+	d.reserved, d.reservedFor = nil, j
+	from, n := d.sample(len(d.workerList), maxScanned, maxScanned)
+	for i := range n {
+		w := d.workerList[(from+i)%len(d.workerList)]
+		isFit := w.Ready && !w.rejects(j) && j.class.allows(w.Kind, w.Zone) && d.mayAttempt(j, w) &&
+			!d.isEjected(w) && (j.demoted() || d.now+d.expectedRun(j, w) <= j.objectiveAt)
+		if isFit && (d.reserved == nil || w.usedSlots/w.speed < d.reserved.usedSlots/d.reserved.speed) {
+			d.reserved = w
+		}
+	}
+}
+
+// allows binds a class to kinds and zones of workers at every attempt, whatever is down or full.
+func (c *Class) allows(kind, zone int) bool {
+	return (c.Kinds == nil || slices.Contains(c.Kinds, kind)) &&
+		(c.Zones == nil || slices.Contains(c.Zones, zone))
+}
--- /dev/null
+++ b/dispatch/queue.go
@@ -0,0 +1,105 @@
+package dispatch
+
+import "cmp"
+
+// The queue, by the paper: shortest predicted job first, with a starvation timeout tau.
+const (
+	tauFactor   = 3.0 // tau is so many mean sojourns of short jobs, as in the paper
+	maxDeferred = 12  // jobs that fit nowhere and are set aside in one pass
+)
+
+// leavesBefore is the order of queued jobs: first those that can earn in full, by their chance to run long.
+func leavesBefore(a, b *jobInfo) bool {
+	if a.deferrals == b.deferrals && a.demoted() != b.demoted() {
+		return b.demoted()
+	}
+	return cmp.Or(cmp.Compare(a.deferrals, b.deferrals), cmp.Compare(a.longChance, b.longChance),
+		cmp.Compare(a.arrivedAt, b.arrivedAt)) < 0
+}
+
+// promotedBefore is the order of jobs queued for longer than tau.
+func promotedBefore(a, b *jobInfo) bool {
+	return cmp.Or(cmp.Compare(a.deferrals, b.deferrals), cmp.Compare(a.promoteAt, b.promoteAt)) < 0
+}
+
+func (d *Dispatcher) enqueue(job *jobInfo) {
+	if job.heapIndex >= 0 || job.closed || job.streaming {
+		return
+	}
+	job.shape = shapeOf(d.placementGroups[job.Class], slotBucket(job), len(job.attempts) > 0)
+	d.queue.push(job)
+	if job.inPromotions { // its entry has stayed
+		return
+	}
+	// Valuable jobs are promoted sooner: under overload capacity goes to what earns most.
+	urgency := min(1, (d.meanWeight+1e-9)/(max(job.class.PriorityWeight, 0)+1e-9))
+	job.promoteAt = job.arrivedAt + seconds(tauFactor*d.muShort*urgency)
+	d.queue.pushPromotion(job)
+}
+
+// dispatchQueued sends queued jobs, in order, while some worker can start them now.
+func (d *Dispatcher) dispatchQueued() {
+	d.prepareDispatch()
+	for len(d.deferred) < maxDeferred && !d.isBackedUp() {
+		j := d.nextJob()
+		if j == nil {
+			break
+		}
+		d.place(j)
+	}
+	for i, j := range d.deferred {
+		if len(d.deferred) == maxDeferred { // the next pass tries other jobs first: they may fit
+			j.deferrals++
+		}
+		d.enqueue(j)
+		d.deferred[i] = nil
+	}
+	d.deferred = d.deferred[:0]
+}
+
+// nextJob is the job to leave next: the oldest over tau, else the first by score. Blocked shapes wait.
+func (d *Dispatcher) nextJob() *jobInfo {
+	var first, oldest *jobInfo
+	for i := range d.queue.shapes {
+		s := &d.queue.shapes[i]
+		if s.blocked || s.byScore.empty() {
+			continue
+		}
+		if j := s.byScore.first(); first == nil || leavesBefore(j, first) {
+			first = j
+		}
+		if j := s.firstByPromotion(); j != nil && (oldest == nil || promotedBefore(j, oldest)) {
+			oldest = j
+		}
+	}
+	if oldest != nil && d.now > oldest.promoteAt && !d.queue.shapes[oldest.shape].blocked {
+		return oldest
+	}
+	return first
+}
+
+// losesPromotion tells whether a job's place by promotion is void: it has left, or cannot earn in full.
+func (j *jobInfo) losesPromotion() bool { return j.heapIndex < 0 || j.demoted() }
+
+// place sends a job to the worker chosen for it. One that fits nowhere is deferred; where only capacity is
+// missing, no other job of its shape is tried in this pass.
+func (d *Dispatcher) place(job *jobInfo) {
+	if d.lateCount > 0 && d.isSharded() && !d.isShort(job) { // our few workers have little capacity
+		d.deferJob(job)
+		return
+	}
+	worker, lacksCapacity := d.chooseWorker(job)
+	if worker == nil && job.demand > 1 && d.now > job.promoteAt {
+		d.reserveWorker(job)
+	}
+	switch {
+	case worker != nil:
+		d.dequeue(job)
+		d.send(job, worker)
+		d.reindex(worker)
+	case lacksCapacity:
+		d.queue.shapes[job.shape].blocked = true
+	default:
+		d.deferJob(job)
+	}
+}
--- /dev/null
+++ b/dispatch/settings.go
@@ -0,0 +1,103 @@
+package dispatch
+
+import "time"
+
+// Idempotency says what executing a job twice does.
+type Idempotency int
+
+// The idempotency of a class of jobs.
+const (
+	NonIdempotent     Idempotency = iota // must never be executed twice
+	IdempotentWithKey                    // repeats are dropped by a group of workers for a while
+	Idempotent                           // may be repeated freely
+)
+
+// DeduplicationScope names the workers that share knowledge of the keys that they have executed.
+type DeduplicationScope int
+
+// The scopes of deduplication.
+const (
+	ScopeCell DeduplicationScope = iota
+	ScopeZone
+	ScopeAll
+)
+
+// ReportField is the meaning of one figure of a load report.
+type ReportField int
+
+// The fields of a load report that decisions use; others are ReportFieldOther.
+const (
+	ReportFieldOther ReportField = iota
+	ReportFieldFreeSlots
+)
+
+// Class describes one class of jobs.
+type Class struct {
+	// LatencyObjective and ObjectiveStretch: an answer within LatencyObjective + ObjectiveStretch x the job's own work
+	// earns its full worth.
+	LatencyObjective time.Duration
+	ObjectiveStretch float64
+	// ClientTimeout is the client's whole wait, over all its tries.
+	ClientTimeout time.Duration
+	Idempotency   Idempotency
+	// DeduplicationScope and DeduplicationWindow: where, and for how long, a repeat with the same key is dropped.
+	// They are for classes that are IdempotentWithKey.
+	DeduplicationScope  DeduplicationScope
+	DeduplicationWindow time.Duration
+	// LateValue is the share of the worth, from 0 to 1, that a late answer still earns.
+	LateValue float64
+	// PriorityWeight is the worth of an answer, relative to other classes.
+	PriorityWeight float64
+	// Kinds and Zones are the only machine kinds and zones that a job may go to; nil: any.
+	Kinds []int
+	Zones []int
+}
+
+// Settings are what a dispatcher knows at start-up. It keeps the slices, which must not change afterwards.
+type Settings struct {
+	// Replicas counts the dispatchers that share the workers, this one included; ReplicaIndex is its number among
+	// them, from 0.
+	Replicas     int
+	ReplicaIndex int
+	Zone         int
+	Classes      []Class
+	// TenantQuota is by tenant the jobs a second within its quota, over all dispatchers; 0: no limit.
+	TenantQuota []float64
+	// MustSubscribe tells that the list of workers has to be requested, by Subscribe.
+	MustSubscribe bool
+	// AttemptLimit bounds the attempts of a job; less than 1 counts as 1.
+	AttemptLimit int
+	// Hedging allows a second attempt while one is in flight, Cancellation allows Cancel, HealthChecks HealthCheck.
+	Hedging      bool
+	Cancellation bool
+	HealthChecks bool
+	// StartNotifications tells that workers notify of starts. Else an attempt counts as started when it is sent.
+	StartNotifications bool
+	// ProgressInterval is how often workers notify of progress; 0: never.
+	ProgressInterval time.Duration
+	// MaxRetryAfter bounds Reject.RetryAfter; 0: clients follow no such advice.
+	MaxRetryAfter time.Duration
+	// ReportFields are the meanings of the figures of a load report, in its order.
+	ReportFields []ReportField
+	// The costs are the shares of the result that are lost by one health check for each job, when each job crosses
+	// zones once, and when each opens a connection.
+	HealthCheckCost float64
+	CrossZoneCost   float64
+	HandshakeCost   float64
+	// TailShare is the share of the result that counts in full only while the share of misses is up to MissBudget.
+	TailShare  float64
+	MissBudget float64
+	// ConnectTimeout bounds the time that a connection takes to open.
+	ConnectTimeout time.Duration
+	// ConnIdleTimeout is when an idle connection closes; 0: never.
+	ConnIdleTimeout time.Duration
+	// PollInterval is the longest interval between two requests for the list. The backoff of requests follows from it.
+	PollInterval time.Duration
+	// WarmUp is how long a worker warms up from its start, from WarmUpCapacity, a share of its capacity, to all of it.
+	WarmUp         time.Duration
+	WarmUpCapacity float64
+	// OverloadFactor is the multiple of its present capacity that pushes a warming worker over when it is sustained
+	// for OverloadWindow.
+	OverloadFactor float64
+	OverloadWindow time.Duration
+}
--- /dev/null
+++ b/dispatch/slowstart.go
@@ -0,0 +1,58 @@
+package dispatch
+
+import "slices"
+
+// Slow start: what a warming worker may be sent within Settings.OverloadWindow.
+const (
+	warmUpMargin = 0.4 // of the budget is used, as sizes have heavy tails
+	jobsPerOwner = 2.0 // mean jobs that one owner's part of a budget holds
+)
+
+// warmUpAllows keeps what was sent to a warming worker, rejected jobs too, under our part of its budget.
+func (d *Dispatcher) warmUpAllows(job *jobInfo, worker *workerInfo) bool {
+	if d.warmUpShare(worker) >= 1 {
+		worker.warmUpSpends = nil
+		return true
+	}
+	window := d.settings.OverloadWindow
+	isPast := func(s spend) bool { return d.now-s.at > window }
+	worker.warmUpSpends = slices.DeleteFunc(worker.warmUpSpends, isPast)
+	work := d.warmUpCost(job)
+	for _, s := range worker.warmUpSpends {
+		work += s.work
+	}
+	budget := d.warmUpBudget(worker)
+	rank, assignees := d.assigneeRank(worker)
+	// Equal parts for many dispatchers would hold no job: all agree on a few owners of each worker.
+	owners := max(1, min(assignees, int(budget/(jobsPerOwner*d.meanCost+1e-9))))
+	isOwner := rank < owners || worker.uncordonedAt > 0
+	return isOwner && d.now-d.bornAt > window && work <= budget/float64(owners)
+}
+
+// assignLots gives each warming worker an interval of the numbers from 0 to 1 that jobs draw: its part of an
+// even spread of jobs, or less where its budget allows less. Only jobs that could go elsewhere go by it, so
+// that the sum over dispatchers that know nothing of each other follows what the rest of the fleet is given.
+func (d *Dispatcher) assignLots() {
+	from, ready := 0.0, d.countReady()
+	for _, w := range d.workerList {
+		w.lotStart, w.lotWidth = from, 0
+		if share := d.warmUpShare(w); w.Ready && share < 1 && w.Assignees == 0 && d.settings.Replicas > 1 {
+			w.lotWidth = min(1, warmUpMargin*d.settings.OverloadFactor) * share / float64(ready)
+		}
+		from += w.lotWidth
+	}
+}
+
+// drawsWorker tells whether a job has drawn a warming worker. The heavier the job, the narrower the interval;
+// one that would use up the worker's whole budget never goes.
+func (d *Dispatcher) drawsWorker(j *jobInfo, w *workerInfo) bool {
+	cost := d.warmUpCost(j)
+	if w.lotWidth == 0 || j.wasSentTo(w) || len(w.warmUpSpends) > 0 || cost > d.warmUpBudget(w) {
+		return false
+	}
+	if j.warmUpDraw == 0 {
+		j.warmUpDraw = 1 - d.rng.Float64()
+	}
+	distance := j.warmUpDraw - w.lotStart
+	return distance > 0 && distance*max(1, cost/(d.meanCost+1e-9)) <= w.lotWidth
+}
--- a/dispatch/starve_test.go
+++ b/dispatch/starve_test.go
@@ -84,7 +84,7 @@
 	s.step(s.job(1, 0, 300*ms), s.job(2, 0, 300*ms)) // and are not known to have started, so that no more go there
 	sick := s.d.workers[6-s.d.jobs[1].attempts[0].worker.ID-s.d.jobs[2].attempts[0].worker.ID]
 	// It takes short jobs that are safe to repeat, as a trial.
-	sick.ejectionTime, sick.ejectedUntil, sick.broken, sick.heardAt = time.Second, s.now, true, s.now-time.Minute
+	sick.ejectionTime, sick.ejectedUntil, sick.broken, sick.aliveAt = time.Second, s.now, true, s.now-time.Minute
 	s.d.markDirty(sick)
 	for id := uint64(10); id < 10+2*maxDeferred; id++ {
 		s.step(s.job(id, 1, 10*ms))
--- /dev/null
+++ b/dispatch/workers.go
@@ -0,0 +1,221 @@
+package dispatch
+
+import "math"
+
+// applyList takes in the entries of a list. A worker that is removed is forgotten once nothing of ours is in flight there.
+func (d *Dispatcher) applyList(e WorkerList) {
+	isDelta := e.Kind == ListDelta
+	if !isDelta {
+		for _, w := range d.workerList {
+			w.listed = false
+		}
+	}
+	for _, entry := range e.Workers {
+		w := d.applyEntry(entry)
+		if w != nil && isDelta {
+			d.forgetWorker(w)
+		}
+	}
+	for i := len(d.workerList) - 1; i >= 0 && !isDelta; i-- { // each that goes leaves its place to the last
+		if w := d.workerList[i]; !w.listed {
+			w.Ready, w.listedReady = false, false
+			d.markDirty(w)
+			d.forgetWorker(w)
+		}
+	}
+	d.updateAllCordoned()
+}
+
+// applyEntry takes in one entry of a list, and returns its worker; nil: it is removed and was not known.
+func (d *Dispatcher) applyEntry(entry Worker) *workerInfo {
+	worker := d.workers[entry.ID]
+	switch {
+	case worker == nil && entry.Removed:
+		return nil
+	case worker == nil:
+		logSpeed := d.machineKind(entry.Kind).logSpeed
+		worker = &workerInfo{limit: 1, logSpeed: logSpeed, speed: math.Exp(logSpeed)}
+		d.addWorker(entry.ID, worker)
+	case entry.BootAt > worker.BootAt && worker.ID != 0: // a new process: what was known of the old one is void
+		worker.resetProcess()
+		worker.returnedAt = 0
+	}
+	worker.Worker, worker.listed, worker.listedReady = entry, !entry.Removed, entry.Ready && !entry.Removed
+	worker.Ready = worker.listedReady && !d.isCordoned(worker)
+	worker.machine = d.machineKind(entry.Kind)
+	d.markDirty(worker)
+	if worker.Ready {
+		d.topSpeed = max(d.topSpeed, worker.logSpeed) // known at once: a job thought out of reach is rejected
+	}
+	return worker
+}
+
+// addWorker has a worker known by an id.
+func (d *Dispatcher) addWorker(id uint64, w *workerInfo) {
+	w.position = len(d.workerList)
+	w.timer = timer{purpose: workerAvailable, worker: w}
+	d.workers[id] = w
+	d.workerList = append(d.workerList, w)
+}
+
+// forgetWorker drops a worker that is not listed any more, once nothing of ours is in flight there.
+func (d *Dispatcher) forgetWorker(w *workerInfo) {
+	if w.listed || len(w.inFlight)+w.orphans > 0 || d.workers[w.ID] != w {
+		return
+	}
+	delete(d.workers, w.ID)
+	d.available.drop(w)
+	d.cancelTimer(&w.timer)
+	last := d.workerList[len(d.workerList)-1]
+	d.workerList[w.position], last.position = last, w.position
+	d.workerList[len(d.workerList)-1] = nil
+	d.workerList = d.workerList[:len(d.workerList)-1]
+}
+
+// resetProcess forgets what was known of a worker's process.
+func (w *workerInfo) resetProcess() {
+	w.limit, w.rejectedDemand = 1, 0
+	w.ejectionTime, w.ejectedUntil = 0, 0
+	w.failures, w.connLost = 0, false
+	w.reportedAt, w.learnedAt = 0, 0
+}
+
+// forgetFaults forgets what was known of a worker's process, and whatever kept jobs from it.
+func (w *workerInfo) forgetFaults() {
+	w.resetProcess()
+	w.broken = false
+	w.backoff, w.backoffUntil = 0, 0
+	w.returnedAt = 0
+}
+
+// orphanAttempts frees the slots of what is in flight at a worker whose process is gone, and returns it. The attempts are
+// still in flight: their outcomes are yet to come.
+func (d *Dispatcher) orphanAttempts(w *workerInfo) []*attemptInfo {
+	orphans := w.inFlight
+	for _, a := range orphans {
+		a.orphaned = true
+		d.usedSlots = max(0, d.usedSlots-a.job.demand)
+	}
+	w.inFlight, w.usedSlots, w.runningSlots, w.connections = nil, 0, 0, 0
+	w.orphans += len(orphans)
+	return orphans
+}
+
+// countReady counts the workers that may be sent jobs.
+func (d *Dispatcher) countReady() int {
+	ready := 0
+	for _, w := range d.workerList {
+		if w.Ready {
+			ready++
+		}
+	}
+	return ready
+}
+
+// fleetSummary is what maintenance goes by, of the ready workers.
+type fleetSummary struct {
+	ready, ejected, broken int
+	speeds                 float64 // sum of their log speeds
+	topSpeed               float64 // the greatest
+}
+
+func (d *Dispatcher) summarise() fleetSummary {
+	fleet := fleetSummary{topSpeed: -maxFeature}
+	for _, w := range d.workerList {
+		if !w.Ready {
+			continue
+		}
+		fleet.ready++
+		fleet.speeds += w.logSpeed
+		fleet.topSpeed = max(fleet.topSpeed, w.logSpeed)
+		if w.broken {
+			fleet.broken++
+		}
+		if w.ejectionTime > 0 {
+			fleet.ejected++
+		}
+	}
+	return fleet
+}
+
+// isCordoned tells whether a worker is kept from jobs by the operators.
+func (d *Dispatcher) isCordoned(w *workerInfo) bool {
+	_, is := d.cordoned[w.ID]
+	return is
+}
+
+// updateAllCordoned notes whether all listed workers are cordoned.
+func (d *Dispatcher) updateAllCordoned() {
+	d.allCordoned = len(d.cordoned) > 0 && len(d.workerList) > 0
+	for _, w := range d.workerList {
+		d.allCordoned = d.allCordoned && (!w.listed || d.isCordoned(w))
+	}
+}
+
+// AvoidedWorkers counts the listed workers that this dispatcher avoids now, as cordoned or as ejected.
+func (d *Dispatcher) AvoidedWorkers() int {
+	avoided := 0
+	for _, w := range d.workerList {
+		if w.listed && (d.isCordoned(w) || w.Ready && d.isEjected(w)) {
+			avoided++
+		}
+	}
+	return avoided
+}
+
+// AvailableSlots is how many slots of ours workers could start now, as far as is known.
+func (d *Dispatcher) AvailableSlots() float64 {
+	slots := 0.0
+	for _, w := range d.workerList {
+		if w.Ready && d.now >= w.backoffUntil && !d.isEjected(w) {
+			slots += max(0, min(w.limit, d.maxSlots(w))*d.warmUpShare(w)-w.usedSlots)
+		}
+	}
+	return slots
+}
+
+// isSharded tells whether each worker is assigned to a few dispatchers, so that how our own jobs fare there tells of their
+// capacity.
+func (d *Dispatcher) isSharded() bool { return len(d.workerList) > 0 && d.workerList[0].Assignees > 1 }
+
+// awaitsCheck tells whether a worker is being checked and has given no sign of life since.
+func (w *workerInfo) awaitsCheck() bool { return w.checking && w.aliveAt < w.checkedAt }
+
+// markAlive takes in a sign of life.
+func (d *Dispatcher) markAlive(w *workerInfo) {
+	w.aliveAt, w.connFailures = d.now, 0
+	// A worker that was lost and answers again has most likely restarted, though no list has said so yet.
+	if w.connLost {
+		w.connLost, w.returnedAt = false, d.now
+	}
+	if w.failures == 0 && w.ejectionTime > 0 {
+		w.ejectionTime, w.ejectedUntil, w.broken = 0, 0, false
+	}
+	d.markDirty(w)
+}
+
+// halveLimit answers a rejection or failure. What was sent before the last decrease tells of the same event.
+func (d *Dispatcher) halveLimit(a *attemptInfo) {
+	if w := a.worker; a.sentAt >= w.decreasedAt {
+		w.decreasedAt, w.limit = d.now, max(1, math.Floor(w.limit/2))
+		d.markDirty(w)
+	}
+}
+
+// onHealthChecked takes in the end of a health check.
+func (d *Dispatcher) onHealthChecked(e HealthChecked) {
+	worker := d.workers[e.Worker]
+	if worker == nil {
+		return
+	}
+	worker.checking = false
+	switch e.Result {
+	case OK:
+		d.minCheckDelay = min(d.minCheckDelay, d.now-worker.checkedAt)
+		d.markAlive(worker)
+		d.applyReport(worker, e.Report)
+	case WorkerFull, NotSent: // it tells nothing of the worker's health
+	default:
+		d.eject(worker, true, "does not answer a probe")
+	}
+}
