--- a/dispatch/picker.go
+++ b/dispatch/picker.go
@@ -64,7 +64,10 @@
 
 // consider compares one candidate with the best so far: cost, filters, draw.
 func (d *Dispatcher) consider(search *choice, job *jobInfo, worker *workerInfo, levelCost float64) {
-	cost, weight, fresh := d.price(job, worker, levelCost)
+	cost, weight, fresh := d.price(worker, levelCost)
+	if job.wasSentTo(worker) {
+		cost += retriedWorkerCost
+	}
 	if cost > search.cost || !d.hasCapacity(job, worker) {
 		return
 	}
@@ -91,8 +94,8 @@
 	}
 }
 
-// price is the cost of a worker for a job, its weight among equals, and whether its load report is fresh.
-func (d *Dispatcher) price(job *jobInfo, worker *workerInfo, base float64) (cost, weight float64, fresh bool) {
+// price is the cost of a worker, its weight among equals, and whether its load report is fresh.
+func (d *Dispatcher) price(worker *workerInfo, base float64) (cost, weight float64, fresh bool) {
 	cost = base - math.Floor(worker.usedSlots) + worker.usedSlots
 	weight = cmp.Or(finite(worker.Size), 1) * worker.speed
 	if len(worker.inFlight) >= worker.connections { // none is idle
@@ -106,9 +109,6 @@
 			cost += busyZoneCost * d.zoneBusy[worker.Zone]
 		}
 	}
-	if job.wasSentTo(worker) {
-		cost += retriedWorkerCost
-	}
 	return cost, weight, fresh
 }
 
