--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -18,10 +18,12 @@
 	`"rules":{"ask_every":10000000,"cold":6000000,"cold_from":0.2,"overload_factor":3,"fall":2000000}}`
 
 func enlist(i int) []string {
-	return []string{fmt.Sprintf("ENLIST i=%d seed=%d boot_info=%s", i, 100+i, settings),
+	return []string{
+		fmt.Sprintf("ENLIST i=%d seed=%d boot_info=%s", i, 100+i, settings),
 		fmt.Sprintf("DISCOVERY i=%d kind=warm_copy gen=4 rows=2", i),
 		"M worker=7 model=0 state=Ready power_hint=1 cohort=0 dc=0 colour=red",
-		"M worker=8 model=0 state=Ready power_hint=1.5 cohort=1 boot_time=5 dc=1"}
+		"M worker=8 model=0 state=Ready power_hint=1.5 cohort=1 boot_time=5 dc=1",
+	}
 }
 
 // transcript is a few batches for the instances named; each batch is a list of event lines.
--- a/cmd/covelab/experiments.go
+++ b/cmd/covelab/experiments.go
@@ -82,8 +82,10 @@
 			}
 		}
 	}
-	contest := experiment.Contest{Specs: specs, Seeds: c.list(), Subjects: []experiment.Subject{a, b}, Driver: c.Driver,
-		At: c.at(c.Driver), Job: job}
+	contest := experiment.Contest{
+		Specs: specs, Seeds: c.list(), Subjects: []experiment.Subject{a, b}, Driver: c.Driver,
+		At: c.at(c.Driver), Job: job,
+	}
 	results, err := contest.Run(ctx, counter(s.err, "compare"))
 	if err != nil {
 		return err
@@ -154,9 +156,11 @@
 		return err
 	}
 	defer done()
-	work := experiment.Sweep{Spec: spec, Over: over, Curves: curves, Seeds: c.list(), Driver: c.Driver, Figure: c.Figure,
+	work := experiment.Sweep{
+		Spec: spec, Over: over, Curves: curves, Seeds: c.list(), Driver: c.Driver, Figure: c.Figure,
 		Subject: experiment.Subject{Name: c.Policy, Policy: c.Policy, Set: c.Set, Binary: job.Subject.Binary},
-		At:      c.at(c.Driver), Job: job}
+		At:      c.at(c.Driver), Job: job,
+	}
 	r, err := work.Run(ctx, counter(s.err, "sweep"))
 	if err != nil {
 		return err
@@ -201,8 +205,10 @@
 func (c *hunt) Run(ctx context.Context, s *streams) error {
 	ctx, cancel := context.WithTimeout(ctx, c.For)
 	defer cancel()
-	h := experiment.Hunt{Seed: c.Seed, Subject: experiment.Subject{Name: c.Policy, Policy: c.Policy}, Top: c.Top,
-		Keep: c.Keep, At: c.At, Most: c.Most, Starve: c.Starve}
+	h := experiment.Hunt{
+		Seed: c.Seed, Subject: experiment.Subject{Name: c.Policy, Policy: c.Policy}, Top: c.Top,
+		Keep: c.Keep, At: c.At, Most: c.Most, Starve: c.Starve,
+	}
 	from := time.Now()
 	got, err := h.Run(ctx, func(f *experiment.Find, plays int) {
 		fmt.Fprintf(s.err, "%6.0fs  play %d, draw %d: %s; %d of %d faults left\n", time.Since(from).Seconds(), plays, f.Draw,
@@ -235,8 +241,10 @@
 }
 
 // agreeing are the scenarios that both drivers are held against each other by, unless others are named.
-var agreeing = []string{"calm", "busy", "crash_cold", "hang", "society_rush", "drain", "planned_restart", "stale_list",
-	"errors", "eid_swell"}
+var agreeing = []string{
+	"calm", "busy", "crash_cold", "hang", "society_rush", "drain", "planned_restart", "stale_list",
+	"errors", "eid_swell",
+}
 
 type agree struct {
 	Scenarios []string `arg:"" name:"scenarios" optional:"" help:"Names or files; none: ten of the library."`
@@ -264,8 +272,10 @@
 		return err
 	}
 	defer done()
-	work := experiment.Agreement{Specs: specs, Seeds: experiment.Seeds(c.First, max(1, c.Seeds)), MoreVirtual: c.More, LiveAt: c.At,
-		Subject: experiment.Subject{Name: "valvecove", Binary: job.Subject.Binary}, Job: job}
+	work := experiment.Agreement{
+		Specs: specs, Seeds: experiment.Seeds(c.First, max(1, c.Seeds)), MoreVirtual: c.More, LiveAt: c.At,
+		Subject: experiment.Subject{Name: "valvecove", Binary: job.Subject.Binary}, Job: job,
+	}
 	table, err := work.Run(ctx, counter(s.err, "agree"))
 	if err != nil {
 		return err
@@ -371,8 +381,10 @@
 			var all []float64
 			for range max(1, c.Runs) {
 				from := time.Now()
-				p, err := experiment.Run(ctx, experiment.Job{Spec: spec, Seed: 1, Driver: scenario.Virtual, Unjudged: unjudged,
-					Subject: experiment.Subject{Policy: c.Policy}})
+				p, err := experiment.Run(ctx, experiment.Job{
+					Spec: spec, Seed: 1, Driver: scenario.Virtual, Unjudged: unjudged,
+					Subject: experiment.Subject{Policy: c.Policy},
+				})
 				if err != nil {
 					return err
 				}
@@ -403,8 +415,10 @@
 		}
 		found, others := 0, map[string]int{}
 		for seed := range uint64(max(1, c.Seeds)) {
-			p, err := experiment.Run(ctx, experiment.Job{Spec: m.Scenario(), Seed: seed + 1, Driver: scenario.Virtual,
-				Subject: experiment.Subject{Name: m.Name, Mutant: m.Name}})
+			p, err := experiment.Run(ctx, experiment.Job{
+				Spec: m.Scenario(), Seed: seed + 1, Driver: scenario.Virtual,
+				Subject: experiment.Subject{Name: m.Name, Mutant: m.Name},
+			})
 			if err != nil {
 				return err
 			}
--- a/cmd/covelab/fleet.go
+++ b/cmd/covelab/fleet.go
@@ -101,9 +101,11 @@
 	if err != nil {
 		return err
 	}
-	o := fleet.Options{Rig: []string{self, "fleet", "--as=rig"}, Proxy: []string{self, "fleet", "--as=proxy"},
+	o := fleet.Options{
+		Rig: []string{self, "fleet", "--as=rig"}, Proxy: []string{self, "fleet", "--as=proxy"},
 		Clients: c.Clients, Warm: c.Warm, Length: c.For, Work: c.Work, Burst: c.Burst, Restart: c.Restart, Silent: c.Silent,
-		Freeze: c.Freeze}
+		Freeze: c.Freeze,
+	}
 	if c.Burst > 0 {
 		o.Warm = 0
 	}
--- a/cmd/covelab/load.go
+++ b/cmd/covelab/load.go
@@ -28,8 +28,10 @@
 		defer r.Close()
 		target = r.Addr
 	}
-	got, err := live.Load(ctx, live.LoadOptions{Target: target, Rate: c.Rate, Conns: c.Conns, Cores: c.Cores, Length: c.For,
-		Warm: time.Second, Seed: c.Seed})
+	got, err := live.Load(ctx, live.LoadOptions{
+		Target: target, Rate: c.Rate, Conns: c.Conns, Cores: c.Cores, Length: c.For,
+		Warm: time.Second, Seed: c.Seed,
+	})
 	if err != nil {
 		return err
 	}
--- a/cmd/covelab/play.go
+++ b/cmd/covelab/play.go
@@ -129,8 +129,10 @@
 	case seed == 0:
 		seed = max(1, uint64(spec.Seed))
 	}
-	job := experiment.Job{Spec: spec, Seed: seed, Driver: c.Driver, Starve: c.Starve,
-		Subject: experiment.Subject{Name: c.Policy, Policy: c.Policy, Mutant: c.Mutant, Set: c.Set, Binary: c.Binary}}
+	job := experiment.Job{
+		Spec: spec, Seed: seed, Driver: c.Driver, Starve: c.Starve,
+		Subject: experiment.Subject{Name: c.Policy, Policy: c.Policy, Mutant: c.Mutant, Set: c.Set, Binary: c.Binary},
+	}
 	if c.Driver == scenario.Live {
 		job.Subject.Name, job.Subject.Policy = "valvecove", ""
 	}
@@ -223,14 +225,16 @@
 	show := newShow(s.err)
 	var played *experiment.Played
 	var places live.Places
-	job := experiment.Job{Spec: spec, Seed: c.Seed, Driver: scenario.Live,
+	job := experiment.Job{
+		Spec: spec, Seed: c.Seed, Driver: scenario.Live,
 		Subject: experiment.Subject{Name: "valvecove", Binary: path}, Tally: show.tally,
 		Watch: func(x *seen.Sight) {
 			if line := told(x); line != "" {
 				show.say(s.err, line)
 			}
 		},
-		Live: live.Options{Stay: c.Stay, Guests: c.Stay, Begun: func(p live.Places) { places = p }}}
+		Live: live.Options{Stay: c.Stay, Guests: c.Stay, Begun: func(p live.Places) { places = p }},
+	}
 	if c.Stay {
 		job.Watch = c.staying(job.Watch, show, s, &places, spec)
 	}
--- a/cmd/valvecove/main.go
+++ b/cmd/valvecove/main.go
@@ -160,6 +160,8 @@
 	if at := set["vcs.time"]; at != "" {
 		revision += ", " + at
 	}
-	return strings.Join([]string{"valvecove " + known(info.Main.Version), "revision  " + revision,
-		"go        " + known(strings.TrimPrefix(info.GoVersion, "go")) + " " + set["GOOS"] + "/" + set["GOARCH"]}, "\n")
+	return strings.Join([]string{
+		"valvecove " + known(info.Main.Version), "revision  " + revision,
+		"go        " + known(strings.TrimPrefix(info.GoVersion, "go")) + " " + set["GOOS"] + "/" + set["GOARCH"],
+	}, "\n")
 }
--- a/cmd/valvecove/main_test.go
+++ b/cmd/valvecove/main_test.go
@@ -24,10 +24,12 @@
 // on the one that it has nothing for.
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
-	for name, text := range map[string]string{"sound": platform, "ours": ours, "text": "no capture", "port": "[status]\nlisten_port = 9000",
+	for name, text := range map[string]string{
+		"sound": platform, "ours": ours, "text": "no capture", "port": "[status]\nlisten_port = 9000",
 		"few": strings.Replace(platform, `"sockets":256`, `"sockets":6`, 1), "level": "[log]\nlevel = 'all'\n[capture]\ndir = 'none'",
 		"dirs":  "[capture]\ndir = 'none'\n[figures]\nfile = '/'",
-		"wrong": strings.NewReplacer(`"give_up":9000000`, `"give_up":0`, `"127.0.0.1:8500"`, `"there"`).Replace(platform)} {
+		"wrong": strings.NewReplacer(`"give_up":9000000`, `"give_up":0`, `"127.0.0.1:8500"`, `"there"`).Replace(platform),
+	} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -105,8 +107,12 @@
 
 // The version says what the build noted, and what it did not.
 func TestVersion(t *testing.T) {
-	info := &debug.BuildInfo{GoVersion: "go1.26.8", Settings: []debug.BuildSetting{{Key: "vcs.revision", Value: "8c1f"}, {Key: "vcs.modified", Value: "true"},
-		{Key: "GOOS", Value: "linux"}, {Key: "GOARCH", Value: "amd64"}}}
+	info := &debug.BuildInfo{GoVersion: "go1.26.8", Settings: []debug.BuildSetting{
+		{Key: "vcs.revision", Value: "8c1f"},
+		{Key: "vcs.modified", Value: "true"},
+		{Key: "GOOS", Value: "linux"},
+		{Key: "GOARCH", Value: "amd64"},
+	}}
 	if got := versionOf(info); got != "valvecove unknown\nrevision  8c1f, modified\ngo        1.26.8 linux/amd64" {
 		t.Errorf("%q", got)
 	}
--- a/cmd/valvecove/replace_test.go
+++ b/cmd/valvecove/replace_test.go
@@ -181,8 +181,15 @@
 	for _, line := range []struct {
 		text string
 		want bool
-	}{{`msg="taken over"`, tookOver}, {`msg="handed over"`, handedOver}, {"of no use here", false}, {"serving without what it had", false},
-		{"begins anew", false}, {"panic", false}, {"level=ERROR", false}} {
+	}{
+		{`msg="taken over"`, tookOver},
+		{`msg="handed over"`, handedOver},
+		{"of no use here", false},
+		{"serving without what it had", false},
+		{"begins anew", false},
+		{"panic", false},
+		{"level=ERROR", false},
+	} {
 		if strings.Contains(log, line.text) != line.want {
 			t.Errorf("%q in the log: expected %v", line.text, line.want)
 		}
--- a/docs/ci_test.go
+++ b/docs/ci_test.go
@@ -59,8 +59,10 @@
 		says   []string
 	}{
 		{"", false, []string{"bad in a", "bad too", "bad in b"}},
-		{badA + tooA + tooB, true, []string{"known red, and it fails: " + badA, "known red, and it fails: " + tooA,
-			"known red, and it fails: " + tooB, "bad in a", "PASS: TestGood ", "PASS: TestGoodToo ", "PASS: TestFine "}},
+		{badA + tooA + tooB, true, []string{
+			"known red, and it fails: " + badA, "known red, and it fails: " + tooA,
+			"known red, and it fails: " + tooB, "bad in a", "PASS: TestGood ", "PASS: TestGoodToo ", "PASS: TestFine ",
+		}},
 		{badA + tooA, false, []string{"bad in b"}},
 		{badA + tooB, false, []string{"--- FAIL: TestBadToo", "bad too"}},
 		{badA + tooA + goodA, false, []string{"known red, but it passes now, so take it from the list: " + goodA}},
--- a/internal/address/address_test.go
+++ b/internal/address/address_test.go
@@ -17,8 +17,10 @@
 		}
 		return list
 	}
-	lists := New(config.Addresses{Allow: prefixes("10.20.0.0/16", "fd00:5a::/48"), Deny: prefixes("10.20.9.0/24"),
-		Fronts: prefixes("10.20.0.9/32")})
+	lists := New(config.Addresses{
+		Allow: prefixes("10.20.0.0/16", "fd00:5a::/48"), Deny: prefixes("10.20.9.0/24"),
+		Fronts: prefixes("10.20.0.9/32"),
+	})
 	open := New(config.Addresses{Deny: prefixes("10.0.0.0/8", "::/0")})
 	for a, want := range map[string][2]string{
 		"10.20.0.1":        {"", "in addresses.deny"},
@@ -56,12 +58,17 @@
 
 // headers and what each says: a client, "own", or what is wrong with it.
 var headers = map[string][]string{
-	"203.0.113.7:51514": {"PROXY TCP4 203.0.113.7 10.20.0.1 51514 9000\r\n", "PROXY TCP6 ::ffff:203.0.113.7 ::1 51514 9000\r\n",
-		v2(0x21, 0x11, four), v2(0x21, 0x11, four+"\x03\x00\x04abcd"), v2(0x21, 0x21, mapped+"\x04\x00\x00")},
+	"203.0.113.7:51514": {
+		"PROXY TCP4 203.0.113.7 10.20.0.1 51514 9000\r\n", "PROXY TCP6 ::ffff:203.0.113.7 ::1 51514 9000\r\n",
+		v2(0x21, 0x11, four), v2(0x21, 0x11, four+"\x03\x00\x04abcd"), v2(0x21, 0x21, mapped+"\x04\x00\x00"),
+	},
 	"[2001:db8::7]:51514": {"PROXY TCP6 2001:db8::7 2001:db8::1 51514 9000\r\n", v2(0x21, 0x21, six)},
-	"own": {"PROXY UNKNOWN\r\n", "PROXY UNKNOWN ffff::1 whatever 1 2\r\n", "PROXY UNKNOWN " + strings.Repeat("x", textMost-16) + "\r\n",
-		v2(0x20, 0x00, ""), v2(0x20, 0x11, four), v2(0x20, 0x77, "whatever"), v2(0x21, 0x00, ""), v2(0x20, 0x00, strings.Repeat("x", binaryMost))},
-	"bad": {"PROXY TCP4 203.0.113.7 10.20.0.1 51514 9000\n", "PROXY TCP4 203.0.113.7 10.20.0.1 51514\r\n",
+	"own": {
+		"PROXY UNKNOWN\r\n", "PROXY UNKNOWN ffff::1 whatever 1 2\r\n", "PROXY UNKNOWN " + strings.Repeat("x", textMost-16) + "\r\n",
+		v2(0x20, 0x00, ""), v2(0x20, 0x11, four), v2(0x20, 0x77, "whatever"), v2(0x21, 0x00, ""), v2(0x20, 0x00, strings.Repeat("x", binaryMost)),
+	},
+	"bad": {
+		"PROXY TCP4 203.0.113.7 10.20.0.1 51514 9000\n", "PROXY TCP4 203.0.113.7 10.20.0.1 51514\r\n",
 		"PROXY TCP4 203.0.113.7  10.20.0.1 51514 9000\r\n", "PROXY TCP4 203.0.113.7 10.20.0.1 51514 9000 \r\n",
 		"PROXY TCP4 203.0.113.7 10.20.0.1 65536 9000\r\n", "PROXY TCP4 203.0.113.7 10.20.0.1 +1 9000\r\n",
 		"PROXY TCP4 203.0.113.7 10.20.0.1 01 9000\r\n", "PROXY TCP4 203.0.113.256 10.20.0.1 1 9000\r\n",
@@ -69,7 +76,8 @@
 		"PROXY TCP6 fe80::1%eth0 ::1 1 9000\r\n", "PROXY UDP4 203.0.113.7 10.20.0.1 1 9000\r\n", "PROXY \r\n",
 		"PROXY UNKNOWN " + strings.Repeat("x", textMost), "PROXY UNKNOWN " + strings.Repeat("x", textMost-15) + "\r\n",
 		v2(0x21, 0x11, four[:11]), v2(0x21, 0x21, four), v2(0x21, 0x12, four), v2(0x21, 0x31, strings.Repeat("x", 216)),
-		v2(0x11, 0x11, four), v2(0x22, 0x11, four), v2(0x21, 0x11, four+strings.Repeat("x", binaryMost))},
+		v2(0x11, 0x11, four), v2(0x22, 0x11, four), v2(0x21, 0x11, four+strings.Repeat("x", binaryMost)),
+	},
 	"none": {"POST /a HTTP/1.1\r\n\r\n", "\r\n\r\nGET /up HTTP/1.1\r\n", "PROXYX", "proxy TCP4", "X"},
 }
 
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -66,8 +66,10 @@
 func (p *play) hosts() {
 	g := requests.EndpointList{Revision: 1, Reset: p.rng.IntN(2) == 0}
 	for n := range 4 + p.rng.IntN(5) {
-		h := requests.Endpoint{ID: "s-" + strconv.Itoa(n), Addr: "127.0.0.1:1", Zone: "z", MachineType: "m", Weight: 1,
-			Lifecycle: []string{"up", "up", "up", "draining"}[p.rng.IntN(4)]}
+		h := requests.Endpoint{
+			ID: "s-" + strconv.Itoa(n), Addr: "127.0.0.1:1", Zone: "z", MachineType: "m", Weight: 1,
+			Lifecycle: []string{"up", "up", "up", "draining"}[p.rng.IntN(4)],
+		}
 		if p.rng.IntN(6) == 0 {
 			h.StartedAtMs = p.Now.Milliseconds() - int64(p.rng.IntN(20000))
 		}
@@ -83,9 +85,11 @@
 		for range p.rng.IntN(3) {
 			p.jobs++
 			class := p.rng.IntN(3)
-			q, err := p.Ledger.Admit(p.Now, requests.Arrival{CallID: fmt.Sprintf("%016x", p.jobs), Responder: p, Job: dispatch.Job{Class: class,
-				Key: uint64(p.rng.IntN(40)), Remaining: time.Duration(1+p.rng.IntN(5)) * time.Second, Slots: float64(1 + p.rng.IntN(2)),
-				Hint: time.Duration(1 + p.rng.IntN(400_000_000))}, Payload: requests.Payload{Method: "POST", Path: "/x", Body: []byte("secret")}})
+			q, err := p.Ledger.Admit(p.Now, requests.Arrival{CallID: fmt.Sprintf("%016x", p.jobs), Responder: p, Job: dispatch.Job{
+				Class: class,
+				Key:   uint64(p.rng.IntN(40)), Remaining: time.Duration(1+p.rng.IntN(5)) * time.Second, Slots: float64(1 + p.rng.IntN(2)),
+				Hint: time.Duration(1 + p.rng.IntN(400_000_000)),
+			}, Payload: requests.Payload{Method: "POST", Path: "/x", Body: []byte("secret")}})
 			if err != nil {
 				p.t.Fatal(err)
 			}
--- a/internal/capture/line.go
+++ b/internal/capture/line.go
@@ -94,9 +94,11 @@
 )
 
 // atEdge tells which lines belong to a step.
-var atEdge = map[string]bool{inJob: true, inOutcome: true, inStarted: true, inProgress: true, inGone: true,
+var atEdge = map[string]bool{
+	inJob: true, inOutcome: true, inStarted: true, inProgress: true, inGone: true,
 	inHosts: true, inProbed: true, inTimer: true, inOut: true, inBack: true, outSend: true, outRefuse: true, outFail: true, outCancel: true,
-	outProbe: true, outFree: true, outWatch: true, outPanic: true}
+	outProbe: true, outFree: true, outWatch: true, outPanic: true,
+}
 
 var known = map[string]bool{inStart: true, inHead: true, inAnswer: true, inNote: true, outRefused: true, outOver: true}
 
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -52,8 +52,10 @@
 
 // New returns a recorder; seed and settings are those of the scheduler's start.
 func New(conf config.Capture, c config.Config, now func() time.Duration, log *slog.Logger) (*Recorder, error) {
-	r := &Recorder{names: c.Settings.Names, now: now, log: log, seed: c.Seed, calls: map[uint64]string{},
-		named: map[uint64]bool{}, flood: floodBurst}
+	r := &Recorder{
+		names: c.Settings.Names, now: now, log: log, seed: c.Seed, calls: map[uint64]string{},
+		named: map[uint64]bool{}, flood: floodBurst,
+	}
 	var tree any
 	err := jsoniter.Config{UseNumber: true, SortMapKeys: true}.Froze().Unmarshal(c.Platform, &tree)
 	if err == nil {
@@ -136,8 +138,10 @@
 func (r *Recorder) open(why string) {
 	clear(r.named)
 	r.tried, r.lines = r.now(), r.lines[:0]
-	r.put(stamped(r.now(), Line{In: inStart, Why: why, Seed: strconv.FormatUint(r.seed, 16), Module: r.modules,
-		Settings: r.settings, Snapshot: r.edge.Snapshot(nil), Calls: r.calls}))
+	r.put(stamped(r.now(), Line{
+		In: inStart, Why: why, Seed: strconv.FormatUint(r.seed, 16), Module: r.modules,
+		Settings: r.settings, Snapshot: r.edge.Snapshot(nil), Calls: r.calls,
+	}))
 	r.lost = !r.sink.open(r.lines)
 	r.lines = r.lines[:0]
 }
@@ -321,8 +325,10 @@
 		if n.Attempt == nil && !r.may() {
 			return
 		}
-		l = Line{In: inNote, ID: short(n.Callback.CallID), Worker: short(n.Callback.EndpointID), State: short(n.Callback.State),
-			Share: n.Callback.Progress, Unknown: n.Attempt == nil}
+		l = Line{
+			In: inNote, ID: short(n.Callback.CallID), Worker: short(n.Callback.EndpointID), State: short(n.Callback.State),
+			Share: n.Callback.Progress, Unknown: n.Attempt == nil,
+		}
 		if n.Callback.Result != nil {
 			l.Length = len(*n.Callback.Result)
 		}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -32,8 +32,10 @@
 		Management: netip.MustParseAddrPort("127.0.0.1:9001"),
 		Seed:       0x8c1f30d27a5be964,
 		Limits:     Limits{Cores: 1.5, MemoryMB: 512, Sockets: 4096},
-		Known: requests.EndpointList{Revision: 41, Reset: true, Endpoints: []requests.Endpoint{{ID: "w-1", Addr: "127.0.0.2:7001",
-			Zone: "b", MachineType: "slow-4c", Cell: 2, Lifecycle: "draining", Weight: 0.75, StartedAtMs: 1718000000123}}},
+		Known: requests.EndpointList{Revision: 41, Reset: true, Endpoints: []requests.Endpoint{{
+			ID: "w-1", Addr: "127.0.0.2:7001",
+			Zone: "b", MachineType: "slow-4c", Cell: 2, Lifecycle: "draining", Weight: 0.75, StartedAtMs: 1718000000123,
+		}}},
 		Settings: Settings{Names: requests.NameTable{
 			Classes:      []string{"status-check", "cash-payout", "account-credit", "statement"},
 			Tenants:      []string{"swat-society", "kurram-society"},
@@ -42,14 +44,22 @@
 		}, Settings: dispatch.Settings{
 			Replicas: 3, ReplicaIndex: 2, Zone: 1,
 			Classes: []dispatch.Class{
-				{LatencyObjective: 80 * time.Millisecond, ObjectiveStretch: 2.5, ClientTimeout: 5 * time.Second, Idempotency: dispatch.Idempotent, PriorityWeight: 2,
-					LateValue: 0.25, Zones: []int{1}},
-				{LatencyObjective: 500 * time.Millisecond, ObjectiveStretch: 2, ClientTimeout: 7500 * time.Millisecond, Idempotency: dispatch.NonIdempotent, PriorityWeight: 2.5,
-					Kinds: []int{0, 2}},
-				{LatencyObjective: 500 * time.Millisecond, ObjectiveStretch: 1.5, ClientTimeout: 12 * time.Second, Idempotency: dispatch.IdempotentWithKey,
-					DeduplicationScope: dispatch.ScopeZone, DeduplicationWindow: 20 * time.Second, PriorityWeight: 3, Kinds: []int{1}},
-				{LatencyObjective: 900 * time.Millisecond, ObjectiveStretch: 1.25, ClientTimeout: 30 * time.Second, Idempotency: dispatch.IdempotentWithKey,
-					DeduplicationScope: dispatch.ScopeAll, DeduplicationWindow: time.Minute, PriorityWeight: 1},
+				{
+					LatencyObjective: 80 * time.Millisecond, ObjectiveStretch: 2.5, ClientTimeout: 5 * time.Second, Idempotency: dispatch.Idempotent, PriorityWeight: 2,
+					LateValue: 0.25, Zones: []int{1},
+				},
+				{
+					LatencyObjective: 500 * time.Millisecond, ObjectiveStretch: 2, ClientTimeout: 7500 * time.Millisecond, Idempotency: dispatch.NonIdempotent, PriorityWeight: 2.5,
+					Kinds: []int{0, 2},
+				},
+				{
+					LatencyObjective: 500 * time.Millisecond, ObjectiveStretch: 1.5, ClientTimeout: 12 * time.Second, Idempotency: dispatch.IdempotentWithKey,
+					DeduplicationScope: dispatch.ScopeZone, DeduplicationWindow: 20 * time.Second, PriorityWeight: 3, Kinds: []int{1},
+				},
+				{
+					LatencyObjective: 900 * time.Millisecond, ObjectiveStretch: 1.25, ClientTimeout: 30 * time.Second, Idempotency: dispatch.IdempotentWithKey,
+					DeduplicationScope: dispatch.ScopeAll, DeduplicationWindow: time.Minute, PriorityWeight: 1,
+				},
 			},
 			TenantQuota: []float64{6, 12.5}, MustSubscribe: true, AttemptLimit: 6, Hedging: true, Cancellation: true,
 			HealthChecks: true, StartNotifications: true, ProgressInterval: 2 * time.Second, MaxRetryAfter: 2 * time.Second,
--- a/internal/config/ops.go
+++ b/internal/config/ops.go
@@ -133,20 +133,26 @@
 		t.end()
 	}
 	if t := top.table("status"); t != nil {
-		o.Status = &Status{Port: uint16(t.must("listen_port").whole("listen_port", 0, 1, 65535)),
+		o.Status = &Status{
+			Port:       uint16(t.must("listen_port").whole("listen_port", 0, 1, 65535)),
 			Retain:     time.Duration(t.number("retain_s", 600, 0, 1e7) * float64(time.Second)),
-			MaxEntries: t.whole("max_entries", 20_000, 1, 1_000_000)}
+			MaxEntries: t.whole("max_entries", 20_000, 1, 1_000_000),
+		}
 		t.end()
 	}
 	if t := top.table("capture"); t != nil {
-		o.Capture = &Capture{MemoryKB: t.whole("memory_kb", 512, 64, 1<<20), Dir: t.text("dir"),
-			FileMB: t.whole("file_mb", 8, 1, 1<<10), Files: t.whole("files", 4, 1, 1000)}
+		o.Capture = &Capture{
+			MemoryKB: t.whole("memory_kb", 512, 64, 1<<20), Dir: t.text("dir"),
+			FileMB: t.whole("file_mb", 8, 1, 1<<10), Files: t.whole("files", 4, 1, 1000),
+		}
 		t.end()
 	}
 	if t := top.table("figures"); t != nil {
-		o.Figures = &Figures{Format: t.choice("format", "statsd", "statsd", "influx"),
-			Every: time.Duration(t.whole("flush_ms", 10_000, 10, 3_600_000)) * time.Millisecond,
-			To:    t.target("udp_target"), File: t.text("file"), MaxBatch: t.whole("max_batch_bytes", 1400, 1, 65_000)}
+		o.Figures = &Figures{
+			Format: t.choice("format", "statsd", "statsd", "influx"),
+			Every:  time.Duration(t.whole("flush_ms", 10_000, 10, 3_600_000)) * time.Millisecond,
+			To:     t.target("udp_target"), File: t.text("file"), MaxBatch: t.whole("max_batch_bytes", 1400, 1, 65_000),
+		}
 		t.end()
 	}
 	if t := top.table("addresses"); t != nil {
@@ -155,11 +161,13 @@
 	}
 	if t := top.table("aperture"); t != nil {
 		d := aperture.DefaultConfig()
-		o.Aperture = &aperture.Config{MinWorkers: t.whole("least", d.MinWorkers, 1, 1_000_000),
-			Coverage: t.whole("cover", d.Coverage, 2, 1000), MinFleet: t.whole("off_below", d.MinFleet, 0, 1_000_000),
+		o.Aperture = &aperture.Config{
+			MinWorkers: t.whole("least", d.MinWorkers, 1, 1_000_000),
+			Coverage:   t.whole("cover", d.Coverage, 2, 1000), MinFleet: t.whole("off_below", d.MinFleet, 0, 1_000_000),
 			MinSchedulers: t.whole("from_schedulers", d.MinSchedulers, 2, 1_000_000),
 			MaxWidening:   t.number("most", d.MaxWidening, 1, 1000), WidenThreshold: t.number("widen_at", d.WidenThreshold, 0.01, 1),
-			Retention: time.Duration(t.number("dwell_s", d.Retention.Seconds(), 1, 3600) * float64(time.Second))}
+			Retention: time.Duration(t.number("dwell_s", d.Retention.Seconds(), 1, 3600) * float64(time.Second)),
+		}
 		t.end()
 	}
 	if t := top.table("replay"); t != nil {
@@ -173,8 +181,10 @@
 	return o, all
 }
 
-var levels = map[string]slog.Level{"debug": slog.LevelDebug, "info": slog.LevelInfo, "warn": slog.LevelWarn,
-	"error": slog.LevelError}
+var levels = map[string]slog.Level{
+	"debug": slog.LevelDebug, "info": slog.LevelInfo, "warn": slog.LevelWarn,
+	"error": slog.LevelError,
+}
 
 // Check refuses what does not go together with the platform's configuration.
 func (o Ops) Check(c Config) error { return o.check(c).first() }
--- a/internal/config/ops_test.go
+++ b/internal/config/ops_test.go
@@ -133,18 +133,31 @@
 		ops      string
 		want     string
 	}{
-		{[]string{`"listen":"127.0.0.1:9000"`, `"listen":"here"`, `"memory_mb":192`, `"memory_mb":"all"`, `"sockets":1024`, `"sockets":7`,
-			`"give_up":5000000`, `"give_up":0`, `"name":"b"`, `"nom":"b"`, `"try_limit":6`, `"try_limit":"x"`}, "[no]",
+		{
+			[]string{
+				`"listen":"127.0.0.1:9000"`, `"listen":"here"`, `"memory_mb":192`, `"memory_mb":"all"`, `"sockets":1024`, `"sockets":7`,
+				`"give_up":5000000`, `"give_up":0`, `"name":"b"`, `"nom":"b"`, `"try_limit":6`, `"try_limit":"x"`,
+			},
+			"[no]",
 			`c: key "limits.memory_mb": expected a number; c: key "settings.bounds.try_limit": expected a number; ` +
 				`c: key "listen": expected an address and port, got "here"; c: key "limits.sockets": expected 64 at least, got 7; ` +
-				`c: key "settings.classes[0].give_up": expected more than 0, got 0s; c: key "settings.classes[1].name": missing; o: key "no": not known`},
-		{[]string{`"settings":{`, `"settings":[],"x":{`, `:8500"`, `"`}, "[status]\nlisten_port = 9000",
-			`c: key "settings": expected an object; c: key "discovery": expected an address and port, got "127.0.0.1"`},
-		{[]string{`"listen":"127.0.0.1:9000"`, `"listen":9`, `"seed":"8c1f"`, `"seed":`}, "",
-			`c: key "listen": expected text; c: key "seed": expected text`},
-		{nil, "[status]\nlisten_port = 9000\n[log]\nlevel = 1\n[capture]\nmemory_kb = 1048577\nmore = 1\nless = 1",
+				`c: key "settings.classes[0].give_up": expected more than 0, got 0s; c: key "settings.classes[1].name": missing; o: key "no": not known`,
+		},
+		{
+			[]string{`"settings":{`, `"settings":[],"x":{`, `:8500"`, `"`},
+			"[status]\nlisten_port = 9000",
+			`c: key "settings": expected an object; c: key "discovery": expected an address and port, got "127.0.0.1"`,
+		},
+		{
+			[]string{`"listen":"127.0.0.1:9000"`, `"listen":9`, `"seed":"8c1f"`, `"seed":`},
+			"",
+			`c: key "listen": expected text; c: key "seed": expected text`,
+		},
+		{
+			nil, "[status]\nlisten_port = 9000\n[log]\nlevel = 1\n[capture]\nmemory_kb = 1048577\nmore = 1\nless = 1",
 			`o: key "log.level": expected text; o: key "capture.memory_kb": expected 64 to 1048576, got 1048577; ` +
-				`o: key "capture.less": not known; o: key "capture.more": not known; o: key "status.listen_port": 9000 is the port of PROXY_LISTEN`},
+				`o: key "capture.less": not known; o: key "capture.more": not known; o: key "status.listen_port": 9000 is the port of PROXY_LISTEN`,
+		},
 		{nil, many, strings.Repeat("o; ", mostFaults-1) + "o"},
 	} {
 		path, ops := put("c", strings.NewReplacer(c.platform...).Replace(sound)), put("o", c.ops)
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -46,8 +46,10 @@
 // New returns figures that start at nothing.
 func New(conf config.Figures, names requests.NameTable, now func() time.Duration, targets ...Target) *Figures {
 	pairs := max(1, len(names.Tenants)) * len(names.Classes)
-	return &Figures{conf: conf, names: names, now: now, targets: targets, gauges: make([]gauge, pairs),
-		counts: make([]counts, pairs*len(requests.Outcomes))}
+	return &Figures{
+		conf: conf, names: names, now: now, targets: targets, gauges: make([]gauge, pairs),
+		counts: make([]counts, pairs*len(requests.Outcomes)),
+	}
 }
 
 // pair is the place of a query's tenant and class.
--- a/internal/lab/experiment/aperture_test.go
+++ b/internal/lab/experiment/aperture_test.go
@@ -32,12 +32,14 @@
 	}
 	met := func(spec *scenario.Scenario, policy string) (pairs int, text string) {
 		all := map[[2]int]bool{}
-		p, err := Run(context.Background(), Job{Spec: spec, Seed: 1, Driver: scenario.Virtual,
+		p, err := Run(context.Background(), Job{
+			Spec: spec, Seed: 1, Driver: scenario.Virtual,
 			Subject: Subject{Policy: policy}, Watch: func(x *seen.Sight) {
 				if x.What == seen.Linked {
 					all[[2]int{x.Sched, x.Node}] = true
 				}
-			}})
+			},
+		})
 		if err != nil || p.Broken() > 0 {
 			t.Fatalf("%s: %v, %v", policy, err, p)
 		}
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/lab/experiment/experiment_test.go
@@ -33,8 +33,12 @@
 
 func TestChangeNamesWhatIsWrong(t *testing.T) {
 	for _, c := range []struct{ change, want string }{
-		{"load.of", "key=value"}, {"=3", "key=value"}, {"load.off=3", "load.off"}, {"load.of=many", "load.of"},
-		{"fleet.nodes=0", "fleet.nodes"}, {"fault[0].size=3", "fault"},
+		{"load.of", "key=value"},
+		{"=3", "key=value"},
+		{"load.off=3", "load.off"},
+		{"load.of=many", "load.of"},
+		{"fleet.nodes=0", "fleet.nodes"},
+		{"fault[0].size=3", "fault"},
 	} {
 		_, err := Change(base(), []string{c.change})
 		if err == nil || !strings.Contains(err.Error(), c.want) {
@@ -123,8 +127,10 @@
 
 // Both sides of a contest meet the same world; one that is the same twice differs by nothing.
 func TestContestIsPaired(t *testing.T) {
-	c := Contest{Specs: []*scenario.Scenario{small(t), small(t, "load.of=0.8")}, Seeds: Seeds(3, 3), Driver: scenario.Virtual,
-		Subjects: []Subject{{Name: "a", Policy: Logic}, {Name: "b", Policy: Logic}, {Name: "random", Policy: "random"}}}
+	c := Contest{
+		Specs: []*scenario.Scenario{small(t), small(t, "load.of=0.8")}, Seeds: Seeds(3, 3), Driver: scenario.Virtual,
+		Subjects: []Subject{{Name: "a", Policy: Logic}, {Name: "b", Policy: Logic}, {Name: "random", Policy: "random"}},
+	}
 	got, err := c.Run(context.Background(), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -148,8 +154,10 @@
 }
 
 func TestSweepPoints(t *testing.T) {
-	s := Sweep{Spec: small(t), Over: Vary{"load.of", []string{"0.9", "0.3"}}, Curves: Vary{"fleet.nodes", []string{"3", "6"}},
-		Seeds: Seeds(1, 2), Driver: scenario.Virtual, Figure: "mix", Subject: Subject{Name: Logic}}
+	s := Sweep{
+		Spec: small(t), Over: Vary{"load.of", []string{"0.9", "0.3"}}, Curves: Vary{"fleet.nodes", []string{"3", "6"}},
+		Seeds: Seeds(1, 2), Driver: scenario.Virtual, Figure: "mix", Subject: Subject{Name: Logic},
+	}
 	got, err := s.Run(context.Background(), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -255,8 +263,10 @@
 
 // Yardsticks make a table: a line for each scenario, a cell for each policy, over all seeds.
 func TestYardsticksTable(t *testing.T) {
-	y := Yardsticks{Specs: []*scenario.Scenario{small(t), small(t, "load.of=0.9")}, Policies: []string{"random", "all-seeing"},
-		Seeds: Seeds(1, 3)}
+	y := Yardsticks{
+		Specs: []*scenario.Scenario{small(t), small(t, "load.of=0.9")}, Policies: []string{"random", "all-seeing"},
+		Seeds: Seeds(1, 3),
+	}
 	y.Figure = mustHeadline(t, "in_time")
 	table, err := y.Run(context.Background(), nil)
 	if err != nil {
@@ -291,8 +301,10 @@
 
 // Whatever panics in a play is an error that names the play.
 func TestPanicNamesThePlay(t *testing.T) {
-	_, err := Run(context.Background(), Job{Spec: small(t), Seed: 77, Driver: scenario.Virtual,
-		Watch: func(*seen.Sight) { panic("on purpose") }})
+	_, err := Run(context.Background(), Job{
+		Spec: small(t), Seed: 77, Driver: scenario.Virtual,
+		Watch: func(*seen.Sight) { panic("on purpose") },
+	})
 	if !errors.Is(err, ErrStopped) || !strings.Contains(err.Error(), "seed 77") || !strings.Contains(err.Error(), "on purpose") {
 		t.Errorf("got %v", err)
 	}
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/lab/experiment/golden_test.go
@@ -31,7 +31,8 @@
 	checkWritten(t, goldenAgreement, []Agreed{
 		{Scenario: "calm", Void: 1, Broken: 2, Figures: []Both{
 			{Figure: "in_time", Virtual: goldenCells[0], Live: goldenCells[2], Bound: 0.03125, Within: true},
-			{Figure: "lost", Virtual: goldenCells[1], Live: goldenCells[1]}}},
+			{Figure: "lost", Virtual: goldenCells[1], Live: goldenCells[1]},
+		}},
 		{Scenario: "busy"},
 	})
 }
--- a/internal/lab/experiment/hunt.go
+++ b/internal/lab/experiment/hunt.go
@@ -191,8 +191,10 @@
 // look plays a scenario, and the yardstick beside it.
 func (h *Hunt) look(ctx context.Context, spec *scenario.Scenario, draw int) (*Find, error) {
 	f := &Find{Spec: spec, Draw: draw, Drawn: len(spec.Faults), Faults: len(spec.Faults)}
-	p, err := Run(ctx, Job{Spec: spec, Seed: uint64(spec.Seed), Driver: scenario.Virtual, Subject: h.Subject,
-		Starve: h.Starve})
+	p, err := Run(ctx, Job{
+		Spec: spec, Seed: uint64(spec.Seed), Driver: scenario.Virtual, Subject: h.Subject,
+		Starve: h.Starve,
+	})
 	if err != nil {
 		f.Error = err.Error()
 		return f, nil
@@ -213,8 +215,10 @@
 	if top == "" {
 		top = "all-seeing"
 	}
-	t, err := Run(ctx, Job{Spec: spec, Seed: uint64(spec.Seed), Driver: scenario.Virtual, Unjudged: true,
-		Subject: Subject{Name: top, Policy: top}})
+	t, err := Run(ctx, Job{
+		Spec: spec, Seed: uint64(spec.Seed), Driver: scenario.Virtual, Unjudged: true,
+		Subject: Subject{Name: top, Policy: top},
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -317,10 +321,12 @@
 }
 
 // huntable are faults that virtual time shows well.
-var huntable = []string{"crash", "vanish", "hang", "pause", "slow", "errors", "full", "drain", "restart", "replace", "gone",
+var huntable = []string{
+	"crash", "vanish", "hang", "pause", "slow", "errors", "full", "drain", "restart", "replace", "gone",
 	"no_notes", "early_202_crash", "handback", "cut", "cut_one_way", "delay", "refuse", "never_up", "half_open", "drop_idle",
 	"slow_read", "disco_down", "disco_late", "disco_wrong", "disco_old", "disco_slow", "disco_moves", "burst", "storm",
-	"sched_kill", "sched_term", "sched_freeze", "sched_reload"}
+	"sched_kill", "sched_term", "sched_freeze", "sched_reload",
+}
 
 func draw(rng *rand.Rand) *scenario.Scenario {
 	s := scenario.Default()
@@ -410,8 +416,10 @@
 		}
 	}
 	if one(8) {
-		s.Load = scenario.Load{Closed: 1 + rng.IntN(3*s.Fleet.Nodes), Shape: "steady", Hints: s.Load.Hints,
-			HintFactor: s.Load.HintFactor, OverWorth: s.Load.OverWorth, Quota: s.Load.Quota}
+		s.Load = scenario.Load{
+			Closed: 1 + rng.IntN(3*s.Fleet.Nodes), Shape: "steady", Hints: s.Load.Hints,
+			HintFactor: s.Load.HintFactor, OverWorth: s.Load.OverWorth, Quota: s.Load.Quota,
+		}
 	}
 }
 
--- a/internal/lab/experiment/sweep.go
+++ b/internal/lab/experiment/sweep.go
@@ -90,8 +90,10 @@
 	if len(second) == 0 {
 		second = []string{""}
 	}
-	out := &report.Sweep{Title: s.Spec.Name, About: s.Spec.About, Param: s.Over.Key, Second: s.Curves.Key, Figure: s.Figure,
-		Scenario: string(scenario.Encode(s.Spec)), Build: s.Subject.Name}
+	out := &report.Sweep{
+		Title: s.Spec.Name, About: s.Spec.About, Param: s.Over.Key, Second: s.Curves.Key, Figure: s.Figure,
+		Scenario: string(scenario.Encode(s.Spec)), Build: s.Subject.Name,
+	}
 	numbers := true
 	for _, a := range s.Over.Values {
 		_, err := strconv.ParseFloat(a, 64)
--- a/internal/lab/fleet/discovery.go
+++ b/internal/lab/fleet/discovery.go
@@ -31,8 +31,10 @@
 }
 
 func newDiscovery(r *Rig, e *engine, at netip.AddrPort) (*discovery, error) {
-	d := &discovery{e: e, rig: r, generation: 1, started: make([]int64, r.spec.Nodes),
-		calls: map[*discoveryCall]struct{}{}}
+	d := &discovery{
+		e: e, rig: r, generation: 1, started: make([]int64, r.spec.Nodes),
+		calls: map[*discoveryCall]struct{}{},
+	}
 	e.set(&d.alarm, quietFor, d)
 	var err error
 	d.door, err = e.listenAt(at, func(fd int) {
--- a/internal/lab/fleet/engine.go
+++ b/internal/lab/fleet/engine.go
@@ -69,8 +69,10 @@
 }
 
 func newEngine(core int, began time.Time) (*engine, error) {
-	e := &engine{core: core, began: began, epoll: -1, timer: -1, bell: -1, late: newHistogram(),
-		ended: make(chan struct{})}
+	e := &engine{
+		core: core, began: began, epoll: -1, timer: -1, bell: -1, late: newHistogram(),
+		ended: make(chan struct{}),
+	}
 	var err error
 	if e.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err == nil {
 		// A timer of its own: epoll's is in milliseconds.
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -98,8 +98,14 @@
 		for _, x := range []struct {
 			method, path, call string
 			status             int
-		}{{"GET", "/alive", "", 200}, {"GET", "/metrics/load", "", 404}, {"POST", "/status-check/1", "", 404},
-			{"POST", "/status-check/1", "a1", 202}, {"POST", "/status-check/2", "a2", 202}, {"DELETE", "/jobs/a2", "", 204}} {
+		}{
+			{"GET", "/alive", "", 200},
+			{"GET", "/metrics/load", "", 404},
+			{"POST", "/status-check/1", "", 404},
+			{"POST", "/status-check/1", "a1", 202},
+			{"POST", "/status-check/2", "a2", 202},
+			{"DELETE", "/jobs/a2", "", 204},
+		} {
 			if got, _ := do(t, x.method, node+x.path, x.call); got != x.status {
 				t.Errorf("%s %s: %d, expected %d", x.method, x.path, got, x.status)
 			}
@@ -205,8 +211,10 @@
 
 // Each of the clients' requests is answered once, and counted as what it was answered with, whatever the server does.
 func TestClients(t *testing.T) {
-	r := testRig(t, Spec{Nodes: 1, Clients: 3, Burst: 2, Jobs: 60, Length: time.Minute, Work: time.Millisecond,
-		Hint: 30 * time.Millisecond})
+	r := testRig(t, Spec{
+		Nodes: 1, Clients: 3, Burst: 2, Jobs: 60, Length: time.Minute, Work: time.Millisecond,
+		Hint: 30 * time.Millisecond,
+	})
 	at, err := net.Listen("tcp", r.Places().Scheduler)
 	if err != nil {
 		t.Fatal(err)
@@ -258,9 +266,11 @@
 	if n, err := readMessage([]byte(text+"more"), &m); n != len(text) || err != nil || string(m.body) != "abc" || !m.last {
 		t.Errorf("%d, %v, %+v", n, err, m)
 	}
-	for _, bad := range []string{"GET\r\n\r\n", "HTTP/1.1 abc OK\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n",
+	for _, bad := range []string{
+		"GET\r\n\r\n", "HTTP/1.1 abc OK\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n",
 		"POST / HTTP/1.1\r\nno field\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
-		"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", strings.Repeat("x", 17<<10)} {
+		"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", strings.Repeat("x", 17<<10),
+	} {
 		if n, err := readMessage([]byte(bad), &m); err == nil {
 			t.Errorf("%.40q was taken: %d", bad, n)
 		}
@@ -348,8 +358,10 @@
 	if got := p.Back(); got != -1 {
 		t.Errorf("%d", got)
 	}
-	for text, want := range map[string]string{"1": "right", "1/30": "30 times too low", "30": "30 times too high",
-		"none": "none"} {
+	for text, want := range map[string]string{
+		"1": "right", "1/30": "30 times too low", "30": "30 times too high",
+		"none": "none",
+	} {
 		if f, err := ParseHint(text); err != nil || hintText(f) != want {
 			t.Errorf("%s: %v, %v", text, f, err)
 		}
--- a/internal/lab/fleet/message.go
+++ b/internal/lab/fleet/message.go
@@ -118,8 +118,10 @@
 	return n
 }
 
-var reasons = map[int]string{200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 404: "Not Found",
-	500: "Internal Server Error", 503: "Service Unavailable"}
+var reasons = map[int]string{
+	200: "OK", 202: "Accepted", 204: "No Content", 400: "Bad Request", 404: "Not Found",
+	500: "Internal Server Error", 503: "Service Unavailable",
+}
 
 // appendAnswer writes an answer; fields are whole lines of its head.
 func appendAnswer(b []byte, status int, fields string, body []byte) []byte {
--- a/internal/lab/fleet/nodes.go
+++ b/internal/lab/fleet/nodes.go
@@ -47,8 +47,10 @@
 }
 
 func newNode(r *Rig, e *engine, number int) (*node, error) {
-	n := &node{e: e, rig: r, number: number, id: "w-" + strconv.Itoa(number), at: r.places.node(number),
-		links: map[*nodeLink]struct{}{}, free: r.spec.Slots}
+	n := &node{
+		e: e, rig: r, number: number, id: "w-" + strconv.Itoa(number), at: r.places.node(number),
+		links: map[*nodeLink]struct{}{}, free: r.spec.Slots,
+	}
 	n.calls.node = n
 	return n, n.up()
 }
--- a/internal/lab/fleet/play.go
+++ b/internal/lab/fleet/play.go
@@ -129,9 +129,11 @@
 // spec is what the rig is to play.
 func (o *Options) spec(row Row) Spec {
 	work := cmp.Or(o.Work, 20*time.Millisecond)
-	s := Spec{Nodes: row.Nodes, Notices: row.Notices, Clients: o.Clients, Work: work, Jobs: o.Jobs, Burst: o.Burst,
+	s := Spec{
+		Nodes: row.Nodes, Notices: row.Notices, Clients: o.Clients, Work: work, Jobs: o.Jobs, Burst: o.Burst,
 		Warm: o.Warm, Length: o.Length, Seed: o.Seed, Cores: o.Cores[1:],
-		TroublesAt: o.Warm + troublesAfter, Silent: o.Silent, SilentFor: o.Length / 3}
+		TroublesAt: o.Warm + troublesAfter, Silent: o.Silent, SilentFor: o.Length / 3,
+	}
 	s.Hint = time.Duration(row.Hint * float64(work))
 	switch row.Subject {
 	case Proxy, Direct:
@@ -437,8 +439,10 @@
 	}
 	c := exec.CommandContext(ctx, "/bin/sh", "-c", `ulimit -n "$0" && exec "$@"`,
 		strconv.Itoa(int(min(l.Max, sockets))), d.o.Binary)
-	c.Env = []string{"PATH=" + os.Getenv("PATH"), "GOMAXPROCS=1", "PROXY_NAME=s1", "PROXY_LISTEN=" + d.places.Scheduler,
-		"PROXY_DISCOVERY=" + d.places.Discovery, "PROXY_CONFIG=" + conf}
+	c.Env = []string{
+		"PATH=" + os.Getenv("PATH"), "GOMAXPROCS=1", "PROXY_NAME=s1", "PROXY_LISTEN=" + d.places.Scheduler,
+		"PROXY_DISCOVERY=" + d.places.Discovery, "PROXY_CONFIG=" + conf,
+	}
 	c.Stdout, c.Stderr, c.Dir = log, log, d.dir
 	var err error
 	d.subject, err = d.start(c, d.o.Cores[:1])
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -350,8 +350,10 @@
 }
 
 func (r *Rig) result(length time.Duration) Result {
-	res := Result{Why: map[string]int{}, NotesLost: int(r.notesLost.Load()), Limit: r.room.limit,
-		Descriptors: files("self"), Window: length.Seconds()}
+	res := Result{
+		Why: map[string]int{}, NotesLost: int(r.notesLost.Load()), Limit: r.room.limit,
+		Descriptors: files("self"), Window: length.Seconds(),
+	}
 	latency, late := newHistogram(), newHistogram()
 	most := 0
 	r.all(func(i int, e *engine) {
--- a/internal/lab/fleet/table.go
+++ b/internal/lab/fleet/table.go
@@ -73,8 +73,10 @@
 	return r.Subject != Proxy && r.Subject != Direct && r.Subject != Ceiling
 }
 
-var columns = []string{"subject", "worker nodes", "start notices", "hint", "served/s", "p50 ms", "p90 ms", "p99 ms",
-	"CPU µs", "refused", "failed", "runs", "busiest", "memory MB", "descriptors", "rig"}
+var columns = []string{
+	"subject", "worker nodes", "start notices", "hint", "served/s", "p50 ms", "p90 ms", "p99 ms",
+	"CPU µs", "refused", "failed", "runs", "busiest", "memory MB", "descriptors", "rig",
+}
 
 // Legend says what the columns are.
 const Legend = "Several plays of a row: least / median / most, where they differ. CPU µs: of the scheduler's or proxy's " +
--- a/internal/lab/judge/books.go
+++ b/internal/lab/judge/books.go
@@ -254,8 +254,10 @@
 	list := make([]class, len(spec.Classes))
 	for i := range spec.Classes {
 		c := &spec.Classes[i]
-		list[i] = class{name: c.Name, safe: c.Effect == "safe", keyed: c.Effect == "keyed", unsafe: c.Effect == "unsafe",
-			group: c.Group, window: c.Window.D(), aim: c.Aim.D(), stretch: c.Stretch, mean: c.Work.D()}
+		list[i] = class{
+			name: c.Name, safe: c.Effect == "safe", keyed: c.Effect == "keyed", unsafe: c.Effect == "unsafe",
+			group: c.Group, window: c.Window.D(), aim: c.Aim.D(), stretch: c.Stretch, mean: c.Work.D(),
+		}
 	}
 	return list
 }
--- a/internal/lab/judge/judge.go
+++ b/internal/lab/judge/judge.go
@@ -156,10 +156,12 @@
 	if opt.Late <= 0 {
 		opt.Late = 50 * time.Millisecond // as long as clients listen beyond a deadline: an answer in time may go unheard
 	}
-	j := &Judge{spec: spec, opt: opt, classes: classes(spec), jobs: make(map[uint64]*job, 1024),
+	j := &Judge{
+		spec: spec, opt: opt, classes: classes(spec), jobs: make(map[uint64]*job, 1024),
 		calls: make(map[string]*job, 1024),
 		conns: map[uint64]int32{}, bad: map[uint64]badClient{}, pushes: map[int][]push{},
-		words: words{[]string{""}, map[string]uint16{}}}
+		words: words{[]string{""}, map[string]uint16{}},
+	}
 	j.cells, j.zones = racks(spec)
 	j.figures = newFigures(spec, opt.Live)
 	for range max(1, spec.Schedulers.Count) {
@@ -175,10 +177,12 @@
 	// Delays are log-normal; no play is so long that one lies six deviations out.
 	far := math.Exp(6 * math.Sqrt(math.Log1p(n.Jitter*n.Jitter)))
 	long := func(d time.Duration) time.Duration { return time.Duration(far * float64(d)) }
-	f := figures{slack: r.Slack.D(), way: time.Millisecond + long(n.Client.D()),
+	f := figures{
+		slack: r.Slack.D(), way: time.Millisecond + long(n.Client.D()),
 		link: time.Millisecond + long(max(n.Delay.D(), n.Cross.D())), grace: r.DrainGrace.D(),
 		giveUp: r.GiveUpWithin.D(), keep: retention(spec), fastest: 1,
-		tries: max(1, spec.Schedulers.TryLimit), copies: spec.Schedulers.SecondCopies}
+		tries: max(1, spec.Schedulers.TryLimit), copies: spec.Schedulers.SecondCopies,
+	}
 	f.dial = spec.Schedulers.ConnTimeout.D() + 2*f.link + long(n.Handshake.D())
 	wait := 16 * time.Millisecond
 	if live {
@@ -248,8 +252,10 @@
 
 // prolongs are the faults by which runs look longer to schedulers than they are, or are so for a while: what they
 // expect of others follows that.
-var prolongs = map[string]bool{"cut": true, "cut_one_way": true, "delay": true, "hang": true, "no_notes": true,
-	"pause": true, "sched_freeze": true, "slow": true, "slow_read": true}
+var prolongs = map[string]bool{
+	"cut": true, "cut_one_way": true, "delay": true, "hang": true, "no_notes": true,
+	"pause": true, "sched_freeze": true, "slow": true, "slow_read": true,
+}
 
 // prolonged tells whether anything in a scenario does that. Where starts are not told, waiting looks like running.
 func prolonged(spec *scenario.Scenario) bool {
@@ -258,8 +264,10 @@
 }
 
 // muffles are the faults by which words between schedulers and worker nodes are lost or come very late.
-var muffles = map[string]bool{"cut": true, "cut_one_way": true, "delay": true, "drop_idle": true, "half_open": true,
-	"never_up": true, "refuse": true, "reset_at": true, "slow_read": true}
+var muffles = map[string]bool{
+	"cut": true, "cut_one_way": true, "delay": true, "drop_idle": true, "half_open": true,
+	"never_up": true, "refuse": true, "reset_at": true, "slow_read": true,
+}
 
 // unmet are the faults by which connections to worker nodes do not come up.
 var unmet = map[string]bool{"cut": true, "cut_one_way": true, "never_up": true, "vanish": true, "replace": true}
--- a/internal/lab/judge/legal_test.go
+++ b/internal/lab/judge/legal_test.go
@@ -39,12 +39,16 @@
 	class := h.draw(len(h.spec.Classes))
 	c := &h.spec.Classes[class]
 	h.wait(3 * time.Second)
-	h.see(seen.Sight{What: seen.Due, Job: h.job, Class: class, Work: c.Work.D().Seconds(), Slots: 1,
-		Aim: c.Aim.D() + time.Duration(c.Stretch*float64(c.Work)), Deadline: c.Deadline.D()})
+	h.see(seen.Sight{
+		What: seen.Due, Job: h.job, Class: class, Work: c.Work.D().Seconds(), Slots: 1,
+		Aim: c.Aim.D() + time.Duration(c.Stretch*float64(c.Work)), Deadline: c.Deadline.D(),
+	})
 	for n := range 3 {
 		call := fmt.Sprintf("%d-%d", h.job, n)
-		h.see(seen.Sight{What: seen.Asked, Call: call, Job: h.job, Try: n, Conn: h.job<<8 | uint64(n), Key: "k" + call,
-			Budget: c.Deadline.D()})
+		h.see(seen.Sight{
+			What: seen.Asked, Call: call, Job: h.job, Try: n, Conn: h.job<<8 | uint64(n), Key: "k" + call,
+			Budget: c.Deadline.D(),
+		})
 		if !h.try(c, call, h.at) {
 			break
 		}
@@ -198,10 +202,16 @@
 	j := New(spec, Options{})
 	watch := func(at time.Duration, n uint64) {
 		call := strconv.FormatUint(n, 16)
-		for _, s := range []seen.Sight{{What: seen.Due, Job: n, Class: 2}, {What: seen.Asked, Job: n, Call: call,
-			Conn: n % 50, Budget: time.Second}, {What: seen.Reached, Call: call, First: at},
+		for _, s := range []seen.Sight{
+			{What: seen.Due, Job: n, Class: 2},
+			{
+				What: seen.Asked, Job: n, Call: call,
+				Conn: n % 50, Budget: time.Second,
+			},
+			{What: seen.Reached, Call: call, First: at},
 			{What: seen.Answered, Call: call, Status: 503},
-			{What: seen.Settled, Job: n}} {
+			{What: seen.Settled, Job: n},
+		} {
 			s.At = at
 			j.Watch(&s)
 		}
--- a/internal/lab/judge/play_test.go
+++ b/internal/lab/judge/play_test.go
@@ -38,10 +38,18 @@
 // The cost of a request, all its sights together, among 256 that are out at a time.
 func BenchmarkWatch(b *testing.B) {
 	const out = 256
-	story := []seen.Sight{{What: seen.Due, Deadline: 5 * time.Second}, {What: seen.Asked, Budget: 5 * time.Second},
-		{What: seen.Reached}, {What: seen.Accepted}, {What: seen.Began}, {What: seen.Noted, Text: "started", Status: 204},
-		{What: seen.Finished, Status: 200, Text: "r"}, {What: seen.Noted, Text: "done", Status: 204},
-		{What: seen.Answered, Status: 200, Text: "r"}, {What: seen.Settled, Status: 200}}
+	story := []seen.Sight{
+		{What: seen.Due, Deadline: 5 * time.Second},
+		{What: seen.Asked, Budget: 5 * time.Second},
+		{What: seen.Reached},
+		{What: seen.Accepted},
+		{What: seen.Began},
+		{What: seen.Noted, Text: "started", Status: 204},
+		{What: seen.Finished, Status: 200, Text: "r"},
+		{What: seen.Noted, Text: "done", Status: 204},
+		{What: seen.Answered, Status: 200, Text: "r"},
+		{What: seen.Settled, Status: 200},
+	}
 	calls := make([]string, b.N+out)
 	for i := range calls {
 		calls[i] = fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15)
--- a/internal/lab/judge/rules.go
+++ b/internal/lab/judge/rules.go
@@ -30,8 +30,10 @@
 )
 
 // Names are the names of the rules.
-var Names = [rules]string{"one-answer", "payout-once", "key-scope", "refusal-harmless", "drain", "cold",
-	"one-attempt-per-node", "attempts", "made-by-node", "prompt-refusal", "id-unknown", "bad-clients", "limits", "crash"}
+var Names = [rules]string{
+	"one-answer", "payout-once", "key-scope", "refusal-harmless", "drain", "cold",
+	"one-attempt-per-node", "attempts", "made-by-node", "prompt-refusal", "id-unknown", "bad-clients", "limits", "crash",
+}
 
 func (r rule) String() string { return Names[r] }
 
--- a/internal/lab/judge/rules_test.go
+++ b/internal/lab/judge/rules_test.go
@@ -141,8 +141,10 @@
 			spec.Fleet.Kinds[0].StartMute = true
 		case "clients", "nodes": // are cut off for a second
 			from, _ := time.ParseDuration(value)
-			spec.Faults = append(spec.Faults, scenario.Fault{What: "cut", Between: "schedulers", And: key,
-				At: scenario.Span(from), For: scenario.Span(time.Second)})
+			spec.Faults = append(spec.Faults, scenario.Fault{
+				What: "cut", Between: "schedulers", And: key,
+				At: scenario.Span(from), For: scenario.Span(time.Second),
+			})
 		default:
 			t.Fatalf("set %s is unknown", f)
 		}
--- a/internal/lab/judge/story.go
+++ b/internal/lab/judge/story.go
@@ -299,8 +299,10 @@
 		return fmt.Sprintf("scheduler %d ends by itself with %d", e.sched, e.status)
 	case seen.SchedUp, seen.SchedReady, seen.SchedTerm, seen.SchedKill, seen.SchedFroze, seen.SchedWoke, seen.SchedHup,
 		seen.SchedReplace:
-		return fmt.Sprintf("scheduler %d %s", e.sched, [...]string{"starts", "is ready", "gets SIGTERM", "gets SIGKILL",
-			"is frozen", "goes on", "gets SIGHUP"}[e.what-seen.SchedUp])
+		return fmt.Sprintf("scheduler %d %s", e.sched, [...]string{
+			"starts", "is ready", "gets SIGTERM", "gets SIGKILL",
+			"is frozen", "goes on", "gets SIGHUP",
+		}[e.what-seen.SchedUp])
 	case seen.FaultOn:
 		return "fault: " + text
 	case seen.FaultOff:
--- a/internal/lab/live/clients.go
+++ b/internal/lab/live/clients.go
@@ -74,8 +74,10 @@
 }
 
 func (c *client) answered(a *http.Response, body []byte) {
-	o := edge.Out{Kind: edge.Replied, Sched: c.sched, Conn: c.id, Call: c.ask.Call, Status: a.StatusCode,
-		Result: string(body), After: retryAfter(a.Header)}
+	o := edge.Out{
+		Kind: edge.Replied, Sched: c.sched, Conn: c.id, Call: c.ask.Call, Status: a.StatusCode,
+		Result: string(body), After: retryAfter(a.Header),
+	}
 	c.ask = nil
 	c.d.out(o)
 }
--- a/internal/lab/live/driver.go
+++ b/internal/lab/live/driver.go
@@ -73,10 +73,12 @@
 	if opt.Watch == nil {
 		opt.Watch = func(*seen.Sight) {}
 	}
-	d = &driver{spec: spec, opt: opt, watch: opt.Watch, http: newReader(), letters: make(chan func(), mostLetters),
+	d = &driver{
+		spec: spec, opt: opt, watch: opt.Watch, http: newReader(), letters: make(chan func(), mostLetters),
 		gone: make(chan struct{}), late: newLateMeter(), processes: &starter{orders: make(chan func())},
 		watches: map[int]*watch{}, callers: map[*watch]struct{}{}, clients: map[edge.Conn]*client{},
-		links: map[edge.Conn]*link{}, odds: map[edge.Conn]*odd{}, patience: noteWithin}
+		links: map[edge.Conn]*link{}, odds: map[edge.Conn]*odd{}, patience: noteWithin,
+	}
 	d.places.lock = -1
 	d.processes.run()
 	defer func() {
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -126,9 +126,11 @@
 	mux.HandleFunc("POST /account-credit/{key}", func(w http.ResponseWriter, q *http.Request) {
 		call := q.Header.Get("X-Call-Id")
 		body, _ := io.ReadAll(q.Body)
-		for name, value := range map[string]string{"X-Call-Class": "account-credit", "X-Caller": "mardan-society",
+		for name, value := range map[string]string{
+			"X-Call-Class": "account-credit", "X-Caller": "mardan-society",
 			"X-Budget-Ms": "480", "Idempotency-Key": q.PathValue("key"), "X-Call-Cost": "12000",
-			"X-Call-Info": "slots=2", "X-Again": "1"} {
+			"X-Call-Info": "slots=2", "X-Again": "1",
+		} {
 			if got := q.Header.Get(name); got != value {
 				t.Errorf("%s: %q, expected %q", name, got, value)
 			}
@@ -158,8 +160,10 @@
 	})
 	r := newRig(t, Options{})
 	ask := func(conn edge.Conn, call string) {
-		r.do(edge.In{Kind: edge.Asked, Conn: conn, Ask: &edge.Ask{Call: call, Class: 3, Tenant: 1, Key: "k-" + call,
-			Budget: 480*time.Millisecond + 700, Hint: 12 * time.Millisecond, Slots: 2, Body: 300, Again: true}})
+		r.do(edge.In{Kind: edge.Asked, Conn: conn, Ask: &edge.Ask{
+			Call: call, Class: 3, Tenant: 1, Key: "k-" + call,
+			Budget: 480*time.Millisecond + 700, Hint: 12 * time.Millisecond, Slots: 2, Body: 300, Again: true,
+		}})
 	}
 	ask(1, "nobody")
 	r.want(edge.Unmet)
@@ -504,7 +508,8 @@
 		return a, bufio.NewReader(a.Body)
 	}
 	list := &requests.EndpointList{Revision: 43, Endpoints: []requests.Endpoint{
-		{ID: "w-1.1", Zone: "a", MachineType: "m", Lifecycle: "up", Weight: 1}}}
+		{ID: "w-1.1", Zone: "a", MachineType: "m", Lifecycle: "up", Weight: 1},
+	}}
 	want := fmt.Sprintf(`{"generation":43,"reset":false,"instances":[{"instanceId":"w-1.1","hostPort":"%v","zone":"a",`+
 		`"machineType":"m","cell":0,"lifecycle":"up","weight":1,"startedAtMs":0}]}`,
 		r.d.places.node(2+1, 0)) // after the first two
--- a/internal/lab/live/load.go
+++ b/internal/lab/live/load.go
@@ -88,8 +88,10 @@
 		all.Go(func() { t.fault = t.run(ctx) })
 	}
 	all.Wait()
-	r := LoadResult{Status: map[int]uint64{}, Length: o.Length, Latency: newLateMeter().spans,
-		Late: newLateMeter().spans}
+	r := LoadResult{
+		Status: map[int]uint64{}, Length: o.Length, Latency: newLateMeter().spans,
+		Late: newLateMeter().spans,
+	}
 	for _, t := range threads {
 		err = errors.Join(err, t.fault)
 		r.add(&t.got)
@@ -149,8 +151,10 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &loadThread{poller: p, o: o, to: to, n: n, rng: rand.New(rand.NewPCG(o.Seed, uint64(n))), http: newReader(),
-		gap: float64(time.Second) * float64(o.Cores) / o.Rate}
+	t := &loadThread{
+		poller: p, o: o, to: to, n: n, rng: rand.New(rand.NewPCG(o.Seed, uint64(n))), http: newReader(),
+		gap: float64(time.Second) * float64(o.Cores) / o.Rate,
+	}
 	t.got = LoadResult{Status: map[int]uint64{}, Latency: newLateMeter().spans, Late: newLateMeter().spans}
 	for range max(1, o.Conns/o.Cores) {
 		c := &loadConn{t: t}
--- a/internal/lab/live/nodes.go
+++ b/internal/lab/live/nodes.go
@@ -253,8 +253,10 @@
 		}
 	}
 	k.asked = true
-	k.tell(edge.Out{Kind: edge.Sent, Call: call, Key: key, Budget: time.Duration(ms) * time.Millisecond,
-		First: k.first})
+	k.tell(edge.Out{
+		Kind: edge.Sent, Call: call, Key: key, Budget: time.Duration(ms) * time.Millisecond,
+		First: k.first,
+	})
 }
 
 // mostAltered is how many queries that came otherwise than a client sent them are named.
--- a/internal/lab/live/odd.go
+++ b/internal/lab/live/odd.go
@@ -66,8 +66,10 @@
 
 // odd begins a bad client.
 func (d *driver) odd(in *edge.In) {
-	o := &odd{d: d, id: in.Conn, sched: in.Sched, kind: in.Odd.Kind,
-		rng: rand.New(rand.NewPCG(in.Odd.N, xxhash.Sum64String(in.Odd.Kind))), until: d.now + insistFor}
+	o := &odd{
+		d: d, id: in.Conn, sched: in.Sched, kind: in.Odd.Kind,
+		rng: rand.New(rand.NewPCG(in.Odd.N, xxhash.Sum64String(in.Odd.Kind))), until: d.now + insistFor,
+	}
 	d.odds[o.id] = o
 	o.timer = d.after(oddStays, o.close)
 	o.begin(in.Odd)
@@ -209,8 +211,10 @@
 	spec := o.d.spec
 	c := &spec.Classes[o.rng.IntN(len(spec.Classes))]
 	name := oddName + strconv.FormatUint(uint64(o.id), 36) + "-" + strconv.Itoa(n)
-	q := oddQuery{class: c.Name, path: "/" + c.Name + "/" + name, call: name,
-		budget: strconv.FormatInt(c.Deadline.D().Milliseconds(), 10), body: strings.Repeat("x", 1+o.rng.IntN(200))}
+	q := oddQuery{
+		class: c.Name, path: "/" + c.Name + "/" + name, call: name,
+		budget: strconv.FormatInt(c.Deadline.D().Milliseconds(), 10), body: strings.Repeat("x", 1+o.rng.IntN(200)),
+	}
 	if len(spec.Tenants) > 0 {
 		q.caller = spec.Tenants[o.rng.IntN(len(spec.Tenants))].Name
 	}
@@ -223,8 +227,14 @@
 
 func (q oddQuery) text(host string) []byte {
 	b := appendCall(nil, "POST", q.path, host)
-	for _, f := range [][2]string{{"X-Call-Id", q.call}, {"X-Call-Class", q.class}, {"X-Caller", q.caller},
-		{"X-Budget-Ms", q.budget}, {"Idempotency-Key", q.key}, {"Content-Length", q.length}} {
+	for _, f := range [][2]string{
+		{"X-Call-Id", q.call},
+		{"X-Call-Class", q.class},
+		{"X-Caller", q.caller},
+		{"X-Budget-Ms", q.budget},
+		{"Idempotency-Key", q.key},
+		{"Content-Length", q.length},
+	} {
 		b = appendField(b, f[0], f[1])
 	}
 	b = append(b, q.more...)
--- a/internal/lab/live/play.go
+++ b/internal/lab/live/play.go
@@ -76,7 +76,8 @@
 
 // play plays a world. begins is told of the instant from which its time counts.
 func play(ctx context.Context, spec *scenario.Scenario, opt Options, w model, begins func(time.Time)) (
-	_ *Outcome, err error) {
+	_ *Outcome, err error,
+) {
 	temporary := opt.Dir == ""
 	if temporary {
 		if opt.Dir, err = os.MkdirTemp("", "covelab-"); err != nil {
@@ -144,8 +145,10 @@
 }
 
 func (d *driver) outcome() *Outcome {
-	o := &Outcome{Length: d.worldTime(d.now), Over: d.over, Late: d.late.lateness(), Unseen: Unseen(d.spec),
-		Altered: d.altered}
+	o := &Outcome{
+		Length: d.worldTime(d.now), Over: d.over, Late: d.late.lateness(), Unseen: Unseen(d.spec),
+		Altered: d.altered,
+	}
 	o.Void = o.Late.Void()
 	for _, s := range d.scheds {
 		o.Schedulers = append(o.Schedulers, Process{Name: s.name, Starts: s.started, Exits: s.exits, Log: s.log.path})
--- a/internal/lab/live/play_test.go
+++ b/internal/lab/live/play_test.go
@@ -45,7 +45,8 @@
 	settled, open := map[uint64]int{}, map[string]bool{}
 	last, due := time.Duration(0), 0
 	var progress atomic.Int32
-	o, err := Play(t.Context(), testSpec(t, calm+"[[fault]]\nwhat = \"sched_replace\"\nat = \"500ms\"\n"), 3, Options{Binary: binary,
+	o, err := Play(t.Context(), testSpec(t, calm+"[[fault]]\nwhat = \"sched_replace\"\nat = \"500ms\"\n"), 3, Options{
+		Binary:   binary,
 		Progress: func(Progress) { progress.Add(1) },
 		Watch: func(s *seen.Sight) {
 			if s.At < last {
@@ -64,7 +65,8 @@
 				}
 				delete(open, s.Call)
 			}
-		}})
+		},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,8 +159,10 @@
 	}))
 	defer rude.Close()
 	for target, status := range map[string][]int{r.Addr: {200}, rude.Listener.Addr().String(): {200, 503}} {
-		got, err := Load(t.Context(), LoadOptions{Target: target, Rate: 2000, Conns: 8, Length: 300 * time.Millisecond,
-			Warm: 50 * time.Millisecond, Grace: 20 * time.Second, Seed: 1})
+		got, err := Load(t.Context(), LoadOptions{
+			Target: target, Rate: 2000, Conns: 8, Length: 300 * time.Millisecond,
+			Warm: 50 * time.Millisecond, Grace: 20 * time.Second, Seed: 1,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -172,8 +176,11 @@
 			t.Errorf("%s: %+v", target, got)
 		}
 	}
-	for _, o := range []LoadOptions{{Target: "here"}, {Target: "10.0.0.1:80", Rate: 1, Length: 1},
-		{Target: "127.0.0.1:80", Rate: 1}} {
+	for _, o := range []LoadOptions{
+		{Target: "here"},
+		{Target: "10.0.0.1:80", Rate: 1, Length: 1},
+		{Target: "127.0.0.1:80", Rate: 1},
+	} {
 		if _, err := Load(t.Context(), o); err == nil {
 			t.Errorf("%+v was taken", o)
 		}
--- a/internal/lab/live/processes.go
+++ b/internal/lab/live/processes.go
@@ -109,8 +109,10 @@
 }
 
 func newScheduler(d *driver, n int) *scheduler {
-	s := &scheduler{d: d, n: n, name: "s" + strconv.Itoa(n+1), listen: d.places.sched(n),
-		orders: make(chan func(), mostOrders), calls: map[int]*callPool{}}
+	s := &scheduler{
+		d: d, n: n, name: "s" + strconv.Itoa(n+1), listen: d.places.sched(n),
+		orders: make(chan func(), mostOrders), calls: map[int]*callPool{},
+	}
 	s.conf = filepath.Join(d.opt.Dir, s.name+".json")
 	s.log = &logFile{path: filepath.Join(d.opt.Dir, s.name+".log")}
 	s.idle.Go(func() {
@@ -156,8 +158,10 @@
 }
 
 func (s *scheduler) text(disco int) []byte {
-	return platform.Config(s.d.spec, s.n, platform.Options{Name: s.name, Listen: s.listen.String(),
-		Discovery: s.d.places.disco(disco, s.n).String(), Seed: s.boot.Seed, Known: s.d.localHosts(s.n, s.boot.Known)})
+	return platform.Config(s.d.spec, s.n, platform.Options{
+		Name: s.name, Listen: s.listen.String(),
+		Discovery: s.d.places.disco(disco, s.n).String(), Seed: s.boot.Seed, Known: s.d.localHosts(s.n, s.boot.Known),
+	})
 }
 
 // start starts a process; the one before it has been killed or has ended.
@@ -181,9 +185,11 @@
 func (s *scheduler) command() *exec.Cmd {
 	args := s.args()
 	c := exec.Command(args[0], args[1:]...)
-	c.Env = append([]string{"PATH=" + os.Getenv("PATH"), "TMPDIR=" + s.d.opt.Dir, "PROXY_NAME=" + s.name,
+	c.Env = append([]string{
+		"PATH=" + os.Getenv("PATH"), "TMPDIR=" + s.d.opt.Dir, "PROXY_NAME=" + s.name,
 		"PROXY_LISTEN=" + s.listen.String(), "PROXY_DISCOVERY=" + s.d.places.disco(s.boot.Disco, s.n).String(),
-		"PROXY_CONFIG=" + s.conf}, s.d.opt.Env...)
+		"PROXY_CONFIG=" + s.conf,
+	}, s.d.opt.Env...)
 	if s.replaced() {
 		s.manage = s.d.places.manage(s.n, s.started)
 		c.Env = append(c.Env, "TMPDIR="+s.temp(), "PROXY_MANAGEMENT="+s.manage.String())
@@ -333,8 +339,10 @@
 }
 
 // signals of the orders that are signals and nothing else.
-var signals = map[edge.InKind]syscall.Signal{edge.Terminate: syscall.SIGTERM, edge.Freeze: syscall.SIGSTOP,
-	edge.Resume: syscall.SIGCONT}
+var signals = map[edge.InKind]syscall.Signal{
+	edge.Terminate: syscall.SIGTERM, edge.Freeze: syscall.SIGSTOP,
+	edge.Resume: syscall.SIGCONT,
+}
 
 func (s *scheduler) signal(kind edge.InKind) {
 	if kind == edge.Kill {
--- a/internal/lab/mutant/border.go
+++ b/internal/lab/mutant/border.go
@@ -53,8 +53,10 @@
 func wrap(in func(b *border, in *edge.In) bool, out func(b *border, out *edge.Out) bool) func(*scenario.Scenario,
 	edge.Scheduler) edge.Scheduler {
 	return func(spec *scenario.Scenario, inner edge.Scheduler) edge.Scheduler {
-		return &border{spec: spec, inner: inner, in: in, out: out, asked: map[string]*query{},
-			owns: map[edge.Conn]*errand{}}
+		return &border{
+			spec: spec, inner: inner, in: in, out: out, asked: map[string]*query{},
+			owns: map[edge.Conn]*errand{},
+		}
 	}
 }
 
@@ -183,8 +185,10 @@
 	switch in.Kind {
 	case edge.LinkUp:
 		left := max(time.Millisecond, e.q.at+e.q.Budget-b.now).Truncate(time.Millisecond)
-		b.dst = append(b.dst, edge.Out{Kind: edge.Sent, Sched: b.sched, Conn: in.Conn, Node: e.node, Call: e.q.Call,
-			Key: e.q.Key, Budget: left, First: b.now})
+		b.dst = append(b.dst, edge.Out{
+			Kind: edge.Sent, Sched: b.sched, Conn: in.Conn, Node: e.node, Call: e.q.Call,
+			Key: e.q.Key, Budget: left, First: b.now,
+		})
 	case edge.Answered:
 		b.dst = append(b.dst, edge.Out{Kind: edge.Hangup, Sched: b.sched, Conn: in.Conn, Node: e.node})
 		delete(b.owns, in.Conn)
--- a/internal/lab/mutant/mutants.go
+++ b/internal/lab/mutant/mutants.go
@@ -17,20 +17,25 @@
 // All are the mutants, in the order of the rules that they break. Each call makes them anew.
 func All() []Mutant {
 	return []Mutant{
-		{Name: "answers-twice", Rule: "one-answer",
+		{
+			Name: "answers-twice", Rule: "one-answer",
 			About: "writes some answers twice",
 			Wrap: wrap(nil, func(b *border, o *edge.Out) bool {
 				if o.Kind == edge.Replied && b.every(10) {
 					b.dst = append(b.dst, *o)
 				}
 				return true
-			})},
-		{Name: "answers-none", Rule: "one-answer",
+			}),
+		},
+		{
+			Name: "answers-none", Rule: "one-answer",
 			About: "forgets to write some answers",
 			Wrap: wrap(nil, func(b *border, o *edge.Out) bool {
 				return o.Kind != edge.Replied || !b.every(10)
-			})},
-		{Name: "answers-late", Rule: "one-answer",
+			}),
+		},
+		{
+			Name: "answers-late", Rule: "one-answer",
 			About: "writes some answers 100 ms after the query's time is up",
 			Wrap: wrap(nil, func(b *border, o *edge.Out) bool {
 				q := b.asked[o.Call]
@@ -40,8 +45,10 @@
 				late := *o
 				b.at(q.at+q.Budget+100*ms, func() { b.dst = append(b.dst, late) })
 				return false
-			})},
-		{Name: "cuts-unanswered", Rule: "one-answer",
+			}),
+		},
+		{
+			Name: "cuts-unanswered", Rule: "one-answer",
 			About: "closes some connections in place of an answer",
 			Wrap: wrap(nil, func(b *border, o *edge.Out) bool {
 				if o.Kind != edge.Replied || !b.every(10) {
@@ -50,16 +57,20 @@
 				b.dst = append(b.dst, edge.Out{Kind: edge.Cut, Sched: o.Sched, Conn: o.Conn})
 				b.feed(edge.In{Kind: edge.Left, Conn: o.Conn})
 				return false
-			})},
-		{Name: "sends-when-over", Rule: "one-answer",
+			}),
+		},
+		{
+			Name: "sends-when-over", Rule: "one-answer",
 			About: "sends some queries on 600 ms after their final answer",
 			Wrap: wrap(nil, func(b *border, o *edge.Out) bool {
 				if q := b.asked[o.Call]; o.Kind == edge.Replied && q != nil && b.every(10) {
 					b.at(b.now+600*ms, func() { b.send(q, b.other(b.count, 0)) })
 				}
 				return true
-			})},
-		{Name: "quits-on-term", Rule: "one-answer",
+			}),
+		},
+		{
+			Name: "quits-on-term", Rule: "one-answer",
 			About: "exits on SIGTERM with queries in hand",
 			Tweak: faults(scenario.Fault{What: "sched_term", At: scenario.Span(3 * sec), For: scenario.Span(500 * ms)}),
 			Wrap: wrap(func(b *border, in *edge.In) bool {
@@ -70,8 +81,10 @@
 					return false
 				}
 				return true
-			}, nil)},
-		{Name: "deaf-after-term", Rule: "one-answer",
+			}, nil),
+		},
+		{
+			Name: "deaf-after-term", Rule: "one-answer",
 			About: "takes queries after SIGTERM that it never answers",
 			Tweak: faults(scenario.Fault{What: "sched_term", At: scenario.Span(3 * sec), For: scenario.Span(500 * ms)}),
 			Wrap: wrap(func(b *border, in *edge.In) bool {
@@ -79,30 +92,42 @@
 					b.told = in.Kind == edge.Terminate
 				}
 				return in.Kind != edge.Asked || !b.told
-			}, nil)},
+			}, nil),
+		},
 
-		{Name: "payout-after-reset", Rule: "payout-once",
+		{
+			Name: "payout-after-reset", Rule: "payout-once",
 			About: "takes a connection that broke under a payout for one that never came up",
 			Tweak: func(s *scenario.Scenario) {
 				patient(s, "unsafe")
-				faults(scenario.Fault{What: "crash", At: scenario.Span(2 * sec), For: scenario.Span(sec),
-					On: scenario.Target{Share: 0.6}}, scenario.Fault{What: "crash", At: scenario.Span(4 * sec),
-					On: scenario.Target{Share: 0.5}})(s)
+				faults(scenario.Fault{
+					What: "crash", At: scenario.Span(2 * sec), For: scenario.Span(sec),
+					On: scenario.Target{Share: 0.6},
+				}, scenario.Fault{
+					What: "crash", At: scenario.Span(4 * sec),
+					On: scenario.Target{Share: 0.5},
+				})(s)
 			},
-			Module: lying(forgive(dispatch.ConnectionReset), nil)},
-		{Name: "payout-after-timeout", Rule: "payout-once",
+			Module: lying(forgive(dispatch.ConnectionReset), nil),
+		},
+		{
+			Name: "payout-after-timeout", Rule: "payout-once",
 			About:  "gives a payout up after 800 ms and takes it for never begun",
 			Tweak:  faults(scenario.Fault{What: "hang", At: scenario.Span(2 * sec), On: scenario.Target{Share: 0.3}}),
-			Module: lying(forgive(dispatch.TimedOut), hurry(800*ms))},
-		{Name: "payout-copied", Rule: "payout-once",
+			Module: lying(forgive(dispatch.TimedOut), hurry(800*ms)),
+		},
+		{
+			Name: "payout-copied", Rule: "payout-once",
 			About: "sends some payouts to a second worker node while the first has them",
 			Wrap: wrap(nil, func(b *border, o *edge.Out) bool {
 				if q := b.asked[o.Call]; o.Kind == edge.Sent && q != nil && b.effect(q) == "unsafe" && b.every(10) {
 					b.send(q, b.other(o.Node, 1))
 				}
 				return true
-			})},
-		{Name: "payout-for-safe", Rule: "payout-once",
+			}),
+		},
+		{
+			Name: "payout-for-safe", Rule: "payout-once",
 			About: "takes payouts for safe to repeat",
 			Tweak: func(s *scenario.Scenario) {
 				patient(s, "unsafe")
@@ -113,16 +138,20 @@
 				for i := range set.Classes {
 					set.Classes[i].Idempotency = dispatch.Idempotent
 				}
-			})},
+			}),
+		},
 
-		{Name: "key-outside-cell", Rule: "key-scope",
+		{
+			Name: "key-outside-cell", Rule: "key-scope",
 			About: "takes all worker nodes for one cell",
 			Tweak: func(s *scenario.Scenario) {
 				patient(s, "keyed")
 				faults(scenario.Fault{What: "hang", At: scenario.Span(2 * sec), On: scenario.Target{Share: 0.3}})(s)
 			},
-			Module: changed(keyed(func(c *dispatch.Class) { c.DeduplicationScope = dispatch.ScopeAll }))},
-		{Name: "key-after-window", Rule: "key-scope",
+			Module: changed(keyed(func(c *dispatch.Class) { c.DeduplicationScope = dispatch.ScopeAll })),
+		},
+		{
+			Name: "key-after-window", Rule: "key-scope",
 			About: "never minds how long a key is remembered",
 			Tweak: func(s *scenario.Scenario) {
 				faults(scenario.Fault{What: "hang", At: scenario.Span(2 * sec), On: scenario.Target{Share: 0.4}})(s)
@@ -133,23 +162,31 @@
 					}
 				}
 			},
-			Module: changed(keyed(func(c *dispatch.Class) { c.DeduplicationWindow = time.Hour }))},
-		{Name: "key-changed", Rule: "key-scope",
+			Module: changed(keyed(func(c *dispatch.Class) { c.DeduplicationWindow = time.Hour })),
+		},
+		{
+			Name: "key-changed", Rule: "key-scope",
 			About: "sends some keyed queries under a key of its own",
 			Wrap: wrap(nil, func(b *border, o *edge.Out) bool {
 				if o.Kind == edge.Sent && o.Key != "" && b.every(10) {
 					o.Key = "0" + o.Key
 				}
 				return true
-			})},
+			}),
+		},
 
-		{Name: "refuses-run-payout", Rule: "refusal-harmless",
+		{
+			Name: "refuses-run-payout", Rule: "refusal-harmless",
 			About: "refuses payouts that have been out for 150 ms",
-			Wrap:  wrap(nil, refuseAfter("unsafe", 150*ms))},
-		{Name: "refuses-run-credit", Rule: "refusal-harmless",
+			Wrap:  wrap(nil, refuseAfter("unsafe", 150*ms)),
+		},
+		{
+			Name: "refuses-run-credit", Rule: "refusal-harmless",
 			About: "refuses keyed queries that have been out for 150 ms",
-			Wrap:  wrap(nil, refuseAfter("keyed", 150*ms))},
-		{Name: "refuses-for-failure", Rule: "refusal-harmless",
+			Wrap:  wrap(nil, refuseAfter("keyed", 150*ms)),
+		},
+		{
+			Name: "refuses-for-failure", Rule: "refusal-harmless",
 			About: "words failures as refusals",
 			Tweak: faults(scenario.Fault{What: "errors", At: scenario.Span(sec), Size: 0.5}),
 			Wrap: wrap(nil, func(_ *border, o *edge.Out) bool {
@@ -157,9 +194,11 @@
 					o.Status = http.StatusServiceUnavailable
 				}
 				return true
-			})},
+			}),
+		},
 
-		{Name: "drain-late", Rule: "drain",
+		{
+			Name: "drain-late", Rule: "drain",
 			About: "acts on news of the fleet 1.2 s after it was told",
 			Tweak: faults(scenario.Fault{What: "drain", At: scenario.Span(2 * sec), On: scenario.Target{Share: 0.5}}),
 			Wrap: wrap(func(b *border, in *edge.In) bool {
@@ -169,20 +208,26 @@
 				late := *in
 				b.at(b.now+1200*ms, func() { b.fed = append(b.fed, late) })
 				return false
-			}, nil)},
-		{Name: "sends-to-removed", Rule: "drain",
+			}, nil),
+		},
+		{
+			Name: "sends-to-removed", Rule: "drain",
 			About: "never hears that a worker node has left the list",
 			Tweak: func(s *scenario.Scenario) {
 				faults(scenario.Fault{What: "gone", At: scenario.Span(2 * sec), On: scenario.Target{Share: 0.8}})(s)
 				s.Load.Of, s.Discovery.Notice, s.Length = 0.9, scenario.Span(100*ms), scenario.Span(10*sec)
 			},
-			Module: lying(deaf, nil)},
+			Module: lying(deaf, nil),
+		},
 
-		{Name: "cold-flooded", Rule: "cold",
+		{
+			Name: "cold-flooded", Rule: "cold",
 			About: "sends a copy of each safe query to whichever worker node started last",
 			Tweak: func(s *scenario.Scenario) {
-				faults(scenario.Fault{What: "crash", At: scenario.Span(sec), For: scenario.Span(sec),
-					On: scenario.Target{Share: 0.1}})(s)
+				faults(scenario.Fault{
+					What: "crash", At: scenario.Span(sec), For: scenario.Span(sec),
+					On: scenario.Target{Share: 0.1},
+				})(s)
 				s.Load.Of = 0.9
 			},
 			Wrap: wrap(func(b *border, in *edge.In) bool {
@@ -199,18 +244,22 @@
 					}
 				}
 				return true
-			}, nil)},
+			}, nil),
+		},
 
-		{Name: "two-on-one-node", Rule: "one-attempt-per-node",
+		{
+			Name: "two-on-one-node", Rule: "one-attempt-per-node",
 			About: "sends some safe queries to the same worker node twice",
 			Wrap: wrap(nil, func(b *border, o *edge.Out) bool {
 				if q := b.asked[o.Call]; o.Kind == edge.Sent && q != nil && b.effect(q) == "safe" && b.every(2) {
 					b.send(q, o.Node)
 				}
 				return true
-			})},
+			}),
+		},
 
-		{Name: "tries-on", Rule: "attempts",
+		{
+			Name: "tries-on", Rule: "attempts",
 			About: "sends some safe queries more often than is allowed",
 			Tweak: func(s *scenario.Scenario) { s.Schedulers.TryLimit = 3 },
 			Wrap: wrap(nil, func(b *border, o *edge.Out) bool {
@@ -220,8 +269,10 @@
 					}
 				}
 				return true
-			})},
-		{Name: "copies-forbidden", Rule: "attempts",
+			}),
+		},
+		{
+			Name: "copies-forbidden", Rule: "attempts",
 			About: "sends second copies where there may be none",
 			Tweak: func(s *scenario.Scenario) { s.Schedulers.SecondCopies = false },
 			Wrap: wrap(nil, func(b *border, o *edge.Out) bool {
@@ -229,17 +280,21 @@
 					b.send(q, b.other(o.Node, 1))
 				}
 				return true
-			})},
+			}),
+		},
 
-		{Name: "makes-results", Rule: "made-by-node",
+		{
+			Name: "makes-results", Rule: "made-by-node",
 			About: "serves some queries with a result of its own",
 			Wrap: wrap(nil, func(b *border, o *edge.Out) bool {
 				if o.Kind == edge.Replied && o.Status == http.StatusOK && b.every(10) {
 					o.Result = "paid"
 				}
 				return true
-			})},
-		{Name: "mixes-results", Rule: "made-by-node",
+			}),
+		},
+		{
+			Name: "mixes-results", Rule: "made-by-node",
 			About: "serves some queries with the result of the one before",
 			Wrap: wrap(nil, func(b *border, o *edge.Out) bool {
 				if o.Kind == edge.Replied && o.Status == http.StatusOK {
@@ -249,27 +304,35 @@
 					}
 				}
 				return true
-			})},
+			}),
+		},
 
-		{Name: "holds-refusals", Rule: "prompt-refusal",
+		{
+			Name: "holds-refusals", Rule: "prompt-refusal",
 			About: "holds refusals back until nine tenths of a query's time are over",
 			Tweak: func(s *scenario.Scenario) { s.Load.Of, s.Load.Hints = 1.6, "exact" },
-			Wrap:  wrap(nil, holdBack(http.StatusServiceUnavailable))},
-		{Name: "holds-failures", Rule: "prompt-refusal",
+			Wrap:  wrap(nil, holdBack(http.StatusServiceUnavailable)),
+		},
+		{
+			Name: "holds-failures", Rule: "prompt-refusal",
 			About: "holds failures back until nine tenths of a query's time are over",
 			Tweak: faults(scenario.Fault{What: "errors", At: scenario.Span(sec), Size: 0.5}),
-			Wrap:  wrap(nil, holdBack(http.StatusInternalServerError))},
+			Wrap:  wrap(nil, holdBack(http.StatusInternalServerError)),
+		},
 
-		{Name: "changes-ids", Rule: "id-unknown",
+		{
+			Name: "changes-ids", Rule: "id-unknown",
 			About: "sends some queries on under an id of its own",
 			Wrap: wrap(nil, func(b *border, o *edge.Out) bool {
 				if o.Kind == edge.Sent && b.every(20) {
 					o.Call = "f" + o.Call[1:] + "0"
 				}
 				return true
-			})},
+			}),
+		},
 
-		{Name: "crashes", Rule: "crash",
+		{
+			Name: "crashes", Rule: "crash",
 			About: "ends by itself in the midst of things",
 			Wrap: wrap(func(b *border, in *edge.In) bool {
 				if in.Kind == edge.Start && !b.told {
@@ -281,7 +344,8 @@
 					})
 				}
 				return true
-			}, nil)},
+			}, nil),
+		},
 	}
 }
 
--- a/internal/lab/platform/golden_test.go
+++ b/internal/lab/platform/golden_test.go
@@ -19,9 +19,13 @@
 	spec.Schedulers.Count, spec.Fleet.Zones = 3, []string{"a", "b"}
 	spec.Classes[2].Kind = "slow-4c"
 	spec.Clients.MarkRetry = true
-	return spec, Options{Name: "s1", Listen: "127.0.0.1:9000", Discovery: "127.0.0.1:8500", Seed: 0xfe,
-		Known: requests.EndpointList{Revision: 4, Reset: true, Endpoints: []requests.Endpoint{{ID: "w-1", Addr: "127.0.0.2:1", Zone: "b",
-			MachineType: "slow-4c", Cell: 1, Lifecycle: "up", Weight: 0.5, StartedAtMs: 1718000000123}}}}
+	return spec, Options{
+		Name: "s1", Listen: "127.0.0.1:9000", Discovery: "127.0.0.1:8500", Seed: 0xfe,
+		Known: requests.EndpointList{Revision: 4, Reset: true, Endpoints: []requests.Endpoint{{
+			ID: "w-1", Addr: "127.0.0.2:1", Zone: "b",
+			MachineType: "slow-4c", Cell: 1, Lifecycle: "up", Weight: 0.5, StartedAtMs: 1718000000123,
+		}}},
+	}
 }
 
 func TestGoldenConfigIsWrittenToTheSameBytes(t *testing.T) {
--- a/internal/lab/platform/platform.go
+++ b/internal/lab/platform/platform.go
@@ -174,9 +174,11 @@
 	if opt.Known.Endpoints == nil {
 		opt.Known.Endpoints = []requests.Endpoint{}
 	}
-	c := conf{Name: opt.Name, Listen: opt.Listen, Discovery: opt.Discovery, Seed: fmt.Sprintf("%016x", opt.Seed),
+	c := conf{
+		Name: opt.Name, Listen: opt.Listen, Discovery: opt.Discovery, Seed: fmt.Sprintf("%016x", opt.Seed),
 		Limits: limits{spec.Schedulers.Cores, spec.Schedulers.MemoryMB, spec.Schedulers.Sockets},
-		Known:  opt.Known, Settings: settingsOf(spec, me)}
+		Known:  opt.Known, Settings: settingsOf(spec, me),
+	}
 	return encode(c)
 }
 
@@ -203,12 +205,16 @@
 		Family: "jobs", Tiers: []string{"workers"}, Replicas: sch.Count, Me: me, Zone: spec.ZoneOf(me),
 		Zones: spec.Fleet.Zones, Discovery: "subscribe", Round: micros(cycle), WeightSource: spec.Fleet.Weights,
 		WorthBy: "work", OverShare: spec.Load.OverWorth,
-		Bounds: bounds{TryLimit: sch.TryLimit, SecondCopies: sch.SecondCopies, Cancelling: sch.Cancelling,
+		Bounds: bounds{
+			TryLimit: sch.TryLimit, SecondCopies: sch.SecondCopies, Cancelling: sch.Cancelling,
 			Probes: sch.Probes, RetryAfter: sch.MaxRetryAfter > 0, MaxRetryAfter: micros(sch.MaxRetryAfter),
-			ConnectTimeout: micros(sch.ConnTimeout), ConnIdle: micros(sch.ConnIdle), Multiplex: 1},
+			ConnectTimeout: micros(sch.ConnTimeout), ConnIdle: micros(sch.ConnIdle), Multiplex: 1,
+		},
 		Prices: prices{LateFail: priceLateFail, Probe: priceProbe, Waste: priceWaste},
-		Rules: rules{AnswerSlack: micros(cmp.Or(rule.Slack, slack)), AskEvery: micros(rule.AskEvery), Fall: micros(rule.Fall),
-			OverloadFactor: rule.FallFactor, StopSendingWithin: micros(rule.DrainGrace)},
+		Rules: rules{
+			AnswerSlack: micros(cmp.Or(rule.Slack, slack)), AskEvery: micros(rule.AskEvery), Fall: micros(rule.Fall),
+			OverloadFactor: rule.FallFactor, StopSendingWithin: micros(rule.DrainGrace),
+		},
 		Goal:      goal{Whole: 0.4, WorstClass: 0.2, WorstTenant: 0.25, WorstWindow: 0.15},
 		Telemetry: telemetry{Fields: []string{}, Via: "off"},
 	}
@@ -254,8 +260,10 @@
 		only = slices.Index(s.Kinds, c.Kind)
 		bound = []int{only}
 	}
-	s.Classes = append(s.Classes, class{Name: c.Name, Promise: micros(c.Aim), GiveUp: micros(c.Deadline),
-		Idempotency: effectWords[c.Effect], DedupScope: scope, Window: micros(c.Window), Gain: c.Worth, BoundTo: bound})
+	s.Classes = append(s.Classes, class{
+		Name: c.Name, Promise: micros(c.Aim), GiveUp: micros(c.Deadline),
+		Idempotency: effectWords[c.Effect], DedupScope: scope, Window: micros(c.Window), Gain: c.Worth, BoundTo: bound,
+	})
 	s.Domain.ClassKind = append(s.Domain.ClassKind, only)
 	s.Domain.ClassStretch = append(s.Domain.ClassStretch, c.Stretch)
 }
--- a/internal/lab/platform/platform_test.go
+++ b/internal/lab/platform/platform_test.go
@@ -19,8 +19,10 @@
 	spec := scenario.Default()
 	spec.Schedulers.Count, spec.Fleet.Zones = 3, []string{"a", "b"}
 	spec.Classes[2].Kind = "slow-4c"
-	text := Config(spec, 1, Options{Listen: "127.0.0.1:9000", Discovery: "127.0.0.1:8500", Seed: 0xfe,
-		Known: requests.EndpointList{Revision: 4, Endpoints: []requests.Endpoint{{ID: "w-1", Addr: "127.0.0.2:1"}}}})
+	text := Config(spec, 1, Options{
+		Listen: "127.0.0.1:9000", Discovery: "127.0.0.1:8500", Seed: 0xfe,
+		Known: requests.EndpointList{Revision: 4, Endpoints: []requests.Endpoint{{ID: "w-1", Addr: "127.0.0.2:1"}}},
+	})
 	c, err := config.Decode(text, none)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -247,14 +247,20 @@
 	figures.row("plays", plays...)
 	figures.row("plays that were void, left out", void...)
 	d.Sections = append(d.Sections, section{ID: "figures", Title: "Side by side", Tables: []table{figures}})
-	over := section{ID: "seconds", Title: "Over time",
-		Text: []string{"Means over the seeds. Faults strike whom the seed draws; their bands are those of the first."}}
+	over := section{
+		ID: "seconds", Title: "Over time",
+		Text: []string{"Means over the seeds. Faults strike whom the seed draws; their bands are those of the first."},
+	}
 	if t.end > 0 {
 		over.Plots = []*plot{
-			t.plot(overTime{id: "goodput", title: "Goodput", yName: "worth a second", height: 300, text: figure, labels: true,
-				lines: lines}),
-			t.plot(overTime{id: "kept", title: "Share of the worth due in a second that was earned",
-				yName: "mean of two seconds", height: 240, top: 1, text: percent, lines: kept}),
+			t.plot(overTime{
+				id: "goodput", title: "Goodput", yName: "worth a second", height: 300, text: figure, labels: true,
+				lines: lines,
+			}),
+			t.plot(overTime{
+				id: "kept", title: "Share of the worth due in a second that was earned",
+				yName: "mean of two seconds", height: 240, top: 1, text: percent, lines: kept,
+			}),
 		}
 		d.Sections = append(d.Sections, over)
 	}
@@ -265,8 +271,10 @@
 			x.row(p.Figure, figure(p.Mean), figure(p.Low)+" to "+figure(p.High), figure(p.SD), figure(p.P), p.Says)
 			x.mark(strings.TrimSpace("text "+c.class(p)), 5)
 		}
-		s := section{ID: fmt.Sprint("pairs-", i+1), Title: c.Sides[i+1].Name + " against " + c.Sides[0].Name,
-			Tables: []table{x}}
+		s := section{
+			ID: fmt.Sprint("pairs-", i+1), Title: c.Sides[i+1].Name + " against " + c.Sides[0].Name,
+			Tables: []table{x},
+		}
 		s.Text = []string{"Differences are of plays with the same seed. " + chance}
 		d.Sections = append(d.Sections, s)
 	}
@@ -463,10 +471,12 @@
 	if s.Build != "" {
 		d.Gist = append(d.Gist, "Played with "+s.Build)
 	}
-	curves := section{ID: "curve", Title: "The curve and its knee", Plots: []*plot{s.plot(h)},
+	curves := section{
+		ID: "curve", Title: "The curve and its knee", Plots: []*plot{s.plot(h)},
 		Text: []string{"Each point is the mean over the seeds, with its 95% interval. With both axes brought to 0 to 1, " +
 			"the knee is the point farthest from the straight line between the first point and the last, on its better " +
-			"side; a curve that does not leave that line by a tenth there has none."}}
+			"side; a curve that does not leave that line by a tenth there has none."},
+	}
 	for i := range s.Curves {
 		text := s.knee(&s.Curves[i])
 		curves.Text = append(curves.Text, strings.ToUpper(text[:1])+text[1:]+".")
@@ -533,8 +543,10 @@
 				ys[k] = math.NaN()
 				continue
 			}
-			p.Dots = append(p.Dots, dot{p.x.at(pt.X), p.y.at(sp.Mean), p.y.at(sp.Low), p.y.at(sp.High), class,
-				strings.TrimSpace(c.Name + " " + pt.label() + ": " + withSpread(h.Name, sp)), ok && k == knee})
+			p.Dots = append(p.Dots, dot{
+				p.x.at(pt.X), p.y.at(sp.Mean), p.y.at(sp.Low), p.y.at(sp.High), class,
+				strings.TrimSpace(c.Name + " " + pt.label() + ": " + withSpread(h.Name, sp)), ok && k == knee,
+			})
 		}
 		name := c.Name
 		if name == "" {
--- a/internal/lab/report/golden_test.go
+++ b/internal/lab/report/golden_test.go
@@ -98,11 +98,17 @@
 }
 
 func goldenSweep(t *testing.T) *Sweep {
-	points := []Point{{X: 0.25, Plays: goldenPlays(t, 0.25)}, {X: 0.5, Broken: 3, Plays: goldenPlays(t, 0.25)},
-		{X: 0.75, Plays: goldenPlays(t, 0.125)}, {X: 1, Plays: goldenPlays(t, 0)}}
+	points := []Point{
+		{X: 0.25, Plays: goldenPlays(t, 0.25)},
+		{X: 0.5, Broken: 3, Plays: goldenPlays(t, 0.25)},
+		{X: 0.75, Plays: goldenPlays(t, 0.125)},
+		{X: 1, Plays: goldenPlays(t, 0)},
+	}
 	labelled := []Point{{X: 1, Label: "fifo", Plays: goldenPlays(t, 0)}, {X: 2, Label: "backfill", Plays: goldenPlays(t, 0.125)}}
-	return &Sweep{Title: "load", About: "What a sweep says.", Param: "load.of", Second: "fleet.kind[0].order", Build: "d2a7518",
-		Curves: []Curve{{Name: "a", Points: points}, {Name: "b", Points: labelled}}}
+	return &Sweep{
+		Title: "load", About: "What a sweep says.", Param: "load.of", Second: "fleet.kind[0].order", Build: "d2a7518",
+		Curves: []Curve{{Name: "a", Points: points}, {Name: "b", Points: labelled}},
+	}
 }
 
 func TestGoldenSweepIsWrittenToTheSameBytes(t *testing.T) {
--- a/internal/lab/report/html.go
+++ b/internal/lab/report/html.go
@@ -255,20 +255,36 @@
 		flight = append(flight, line{name: c.Name, of: c.InFlight})
 	}
 	out := section{ID: "seconds", Title: "Over time", Plots: []*plot{
-		t.plot(overTime{id: "goodput", title: "Asked for and answered in time", yName: "worth a second", height: 300,
-			text: figure, labels: true, lines: []line{{name: "asked for, when due", of: s.Asked, area: true},
-				{name: "answered in time, when answered", of: s.Goodput, strong: true}}}),
-		t.plot(overTime{id: "kept", title: "Share of the worth due in a second that was earned",
-			yName: "mean of two seconds", height: 220, top: 1, text: percent, lines: kept}),
-		t.plot(overTime{id: "latency", title: "Latency of answers", yName: "from when the job was due, logarithmic",
-			height: 260, log: true, text: span, lines: []line{{name: "p50", of: s.P50, gaps: true, how: most},
+		t.plot(overTime{
+			id: "goodput", title: "Asked for and answered in time", yName: "worth a second", height: 300,
+			text: figure, labels: true, lines: []line{
+				{name: "asked for, when due", of: s.Asked, area: true},
+				{name: "answered in time, when answered", of: s.Goodput, strong: true},
+			},
+		}),
+		t.plot(overTime{
+			id: "kept", title: "Share of the worth due in a second that was earned",
+			yName: "mean of two seconds", height: 220, top: 1, text: percent, lines: kept,
+		}),
+		t.plot(overTime{
+			id: "latency", title: "Latency of answers", yName: "from when the job was due, logarithmic",
+			height: 260, log: true, text: span, lines: []line{
+				{name: "p50", of: s.P50, gaps: true, how: most},
 				{name: "p99", of: s.P99, gaps: true, how: most, strong: true},
-				{name: "slowest", of: s.Slowest, gaps: true, how: most}}}),
-		t.plot(overTime{id: "flight", title: "In flight", yName: "jobs due and not over", height: 220, text: figure,
-			lines: flight}),
-		t.plot(overTime{id: "refusals", title: "Refusals and attempts", yName: "a second", height: 200, text: figure,
-			lines: []line{{name: "jobs due", of: s.AskedJobs, area: true}, {name: "tries refused by schedulers",
-				of: s.Refused, strong: true}, {name: "attempts at worker nodes", of: s.Attempts}}}),
+				{name: "slowest", of: s.Slowest, gaps: true, how: most},
+			},
+		}),
+		t.plot(overTime{
+			id: "flight", title: "In flight", yName: "jobs due and not over", height: 220, text: figure,
+			lines: flight,
+		}),
+		t.plot(overTime{
+			id: "refusals", title: "Refusals and attempts", yName: "a second", height: 200, text: figure,
+			lines: []line{{name: "jobs due", of: s.AskedJobs, area: true}, {
+				name: "tries refused by schedulers",
+				of:   s.Refused, strong: true,
+			}, {name: "attempts at worker nodes", of: s.Attempts}},
+		}),
 	}}
 	if len(s.Classes) > 5 {
 		out.Text = []string{"Of the classes the first five are drawn."}
@@ -277,8 +293,10 @@
 }
 
 func parts(r *score.Result) []table {
-	outcome := table{Caption: "Jobs by what became of them, and worth earned over worth asked for",
-		Head: []string{"", "jobs", "worth", "earned", "in share"}}
+	outcome := table{
+		Caption: "Jobs by what became of them, and worth earned over worth asked for",
+		Head:    []string{"", "jobs", "worth", "earned", "in share"},
+	}
 	var shown []int // the usual outcomes, and the others where there are any
 	for i, name := range score.OutcomeNames {
 		if i < int(score.Lost) || r.Whole.Outcomes[i] > 0 {
@@ -290,8 +308,10 @@
 		outcome.Head = append(outcome.Head, "open")
 	}
 	outcome.Head = append(outcome.Head, "attempts a job")
-	times := table{Caption: "Latency of served jobs, from when they were due",
-		Head: []string{"", "served", "p50", "p90", "p99", "p99.9", "slowest"}}
+	times := table{
+		Caption: "Latency of served jobs, from when they were due",
+		Head:    []string{"", "served", "p50", "p90", "p99", "p99.9", "slowest"},
+	}
 	row := func(g *score.Group) {
 		cells := []string{count(g.Due), figure(g.Asked), percent(g.Share), percent(g.Within)}
 		for _, i := range shown {
@@ -319,8 +339,10 @@
 }
 
 func troubles(r *score.Result) (section, bool) {
-	back := table{Caption: "Disturbances and when goodput was back",
-		Head: []string{"faults", "from", "to", "share before", "at its lowest", "back, from its start", "from its end"}}
+	back := table{
+		Caption: "Disturbances and when goodput was back",
+		Head:    []string{"faults", "from", "to", "share before", "at its lowest", "back, from its start", "from its end"},
+	}
 	for i := range r.Troubles {
 		d := &r.Troubles[i]
 		low, start, end := "no dip", "0 s", "0 s"
@@ -339,8 +361,10 @@
 			back.mark("poor", 6)
 		}
 	}
-	list := table{Caption: "The timeline, as numbered in the plots", Head: []string{"fault", "from", "to"},
-		Fold: plural(len(r.Faults), "fault", "faults") + " of the timeline"}
+	list := table{
+		Caption: "The timeline, as numbered in the plots", Head: []string{"fault", "from", "to"},
+		Fold: plural(len(r.Faults), "fault", "faults") + " of the timeline",
+	}
 	for i, f := range r.Faults[:min(len(r.Faults), mostBands)] {
 		off := "the end"
 		if f.Off >= 0 {
@@ -348,8 +372,10 @@
 		}
 		list.row(fmt.Sprintf("%d. %s", i+1, f.Text), instant(f.On), off)
 	}
-	marks := table{Caption: "What befell schedulers, and worker nodes that were pushed over",
-		Head: []string{"what", "when"}, Fold: plural(len(r.Marks), "mark", "marks")}
+	marks := table{
+		Caption: "What befell schedulers, and worker nodes that were pushed over",
+		Head:    []string{"what", "when"}, Fold: plural(len(r.Marks), "mark", "marks"),
+	}
 	for _, m := range r.Marks[:min(len(r.Marks), mostBands)] {
 		marks.row(m.Text, instant(m.At))
 	}
@@ -372,13 +398,19 @@
 		up[i] = n / float64(max(1, len(o.Nodes)))
 	}
 	s := section{ID: "fleet", Title: "Worker nodes", Strip: t.strip(o), Plots: []*plot{
-		t.plot(overTime{id: "occupancy", title: "Occupancy of the fleet, and worker nodes up",
+		t.plot(overTime{
+			id: "occupancy", title: "Occupancy of the fleet, and worker nodes up",
 			yName: "of slots up, and of all", height: 180, top: 1, text: percent, lines: []line{
-				{name: "occupancy", of: r.Seconds.Occupancy, area: true}, {name: "worker nodes up", of: up}}})}}
+				{name: "occupancy", of: r.Seconds.Occupancy, area: true}, {name: "worker nodes up", of: up},
+			},
+		}),
+	}}
 	s.Text = []string{fmt.Sprintf("Occupancy of the fleet %s; of the busiest, w-%d, %s, which is %s times the mean.",
 		percent(o.Whole), o.BusiestNode, percent(o.Busiest), figure(o.OverMean))}
-	nodes := table{Head: []string{"", "occupancy", "up", "slots", "attempts", "full", "pushed over"},
-		Fold: plural(len(o.Nodes), "worker node", "worker nodes") + ", the busiest first"}
+	nodes := table{
+		Head: []string{"", "occupancy", "up", "slots", "attempts", "full", "pushed over"},
+		Fold: plural(len(o.Nodes), "worker node", "worker nodes") + ", the busiest first",
+	}
 	if len(o.Nodes) > mostNodes {
 		nodes.Fold = fmt.Sprintf("The %d busiest of %s worker nodes", mostNodes, count(len(o.Nodes)))
 	}
@@ -406,15 +438,30 @@
 	for _, x := range []struct {
 		name string
 		n    int
-	}{{"tries of clients", e.Tries}, {"retries of clients", e.Retries}, {"tries that found no scheduler", e.Unreached},
+	}{
+		{"tries of clients", e.Tries},
+		{"retries of clients", e.Retries},
+		{"tries that found no scheduler", e.Unreached},
 		{"sent once more on a new connection", e.Resent},
-		{"tries served", e.Served}, {"tries refused by schedulers", e.Refused}, {"tries failed", e.Failed},
-		{"attempts at worker nodes", e.Attempts}, {"second copies", e.SecondCopies}, {"accepted", e.Accepted},
-		{"turned away by worker nodes", e.Turned}, {"of these, full", e.Full}, {"handed back unstarted", e.Returned},
-		{"withdrawn", e.Withdrawn}, {"repeats that a cell dropped", e.Dropped}, {"notes", e.Notes},
-		{"notes lost", e.NotesLost}, {"probes", e.Probes}, {"connections opened to worker nodes", e.Links},
-		{"cold worker nodes pushed over", e.Falls}, {"attempts of queries long over", e.Strays},
-		{"sights of what is not open", e.Unknown}} {
+		{"tries served", e.Served},
+		{"tries refused by schedulers", e.Refused},
+		{"tries failed", e.Failed},
+		{"attempts at worker nodes", e.Attempts},
+		{"second copies", e.SecondCopies},
+		{"accepted", e.Accepted},
+		{"turned away by worker nodes", e.Turned},
+		{"of these, full", e.Full},
+		{"handed back unstarted", e.Returned},
+		{"withdrawn", e.Withdrawn},
+		{"repeats that a cell dropped", e.Dropped},
+		{"notes", e.Notes},
+		{"notes lost", e.NotesLost},
+		{"probes", e.Probes},
+		{"connections opened to worker nodes", e.Links},
+		{"cold worker nodes pushed over", e.Falls},
+		{"attempts of queries long over", e.Strays},
+		{"sights of what is not open", e.Unknown},
+	} {
 		a.row(x.name, count(x.n), figure(float64(x.n)/float64(max(1, r.Whole.Due))))
 	}
 	a.row("most attempts of one job", count(e.MostAttempts), "")
@@ -422,12 +469,20 @@
 	for _, x := range []struct {
 		name string
 		work float64
-	}{{"asked for", e.WorkAsked}, {"run by worker nodes", e.WorkRun}, {"of which an answer came", e.WorkUseful},
-		{"of which it came after the aim", e.AfterAim}, {"waste", w.Work},
-		{"waste: another run had given the answer", w.Repeated}, {"waste: the client's time was up", w.TooLate},
+	}{
+		{"asked for", e.WorkAsked},
+		{"run by worker nodes", e.WorkRun},
+		{"of which an answer came", e.WorkUseful},
+		{"of which it came after the aim", e.AfterAim},
+		{"waste", w.Work},
+		{"waste: another run had given the answer", w.Repeated},
+		{"waste: the client's time was up", w.TooLate},
 		{"waste: the client had gone", w.Left},
-		{"waste: the client was refused, failed or cut off", w.Unused}, {"waste: it ended with an error", w.Errors},
-		{"waste: it died on the way", w.Killed}, {"for tries that were open at the end", e.WorkPending}} {
+		{"waste: the client was refused, failed or cut off", w.Unused},
+		{"waste: it ended with an error", w.Errors},
+		{"waste: it died on the way", w.Killed},
+		{"for tries that were open at the end", e.WorkPending},
+	} {
 		b.row(x.name, figure(x.work), percent(x.work/max(e.WorkAsked, 1e-9)))
 	}
 	return section{ID: "effort", Title: "Attempts, waste, refusals", Tables: []table{b, a}}
@@ -435,8 +490,10 @@
 
 func processes(r *score.Result, t *timeline) (section, bool) {
 	s := section{ID: "processes", Title: "Processes"}
-	list := table{Head: []string{"", "CPU", "cores", "peak memory", "peak descriptors", "tries", "attempts", "starts",
-		"kills", "SIGTERM", "freezes", "reloads", "exits"}}
+	list := table{Head: []string{
+		"", "CPU", "cores", "peak memory", "peak descriptors", "tries", "attempts", "starts",
+		"kills", "SIGTERM", "freezes", "reloads", "exits",
+	}}
 	drawn := slices.Clone(r.Procs)
 	drawn = slices.DeleteFunc(drawn, func(p score.Process) bool { return len(p.CPUs) == 0 })
 	slices.SortStableFunc(drawn, func(a, b score.Process) int {
@@ -483,8 +540,10 @@
 }
 
 func badClients(r *score.Result) (section, bool) {
-	t := table{Head: []string{"kind", "connected", "answered with an error", "closed", "answered otherwise",
-		"left waiting", "longest"}}
+	t := table{Head: []string{
+		"kind", "connected", "answered with an error", "closed", "answered otherwise",
+		"left waiting", "longest",
+	}}
 	for _, b := range r.Bad {
 		t.row(b.Kind, count(b.Connected), count(b.Errors), count(b.Closed), count(b.Served), count(b.Open),
 			span(b.LongestMs))
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -134,8 +134,10 @@
 )
 
 func newPlot(id, title, xName, yName string, height px) *plot {
-	return &plot{ID: id, Title: title, XName: xName, YName: yName, W: plotW, H: height, L: 62, R: plotW - 12, T: 24,
-		B: height - 34}
+	return &plot{
+		ID: id, Title: title, XName: xName, YName: yName, W: plotW, H: height, L: 62, R: plotW - 12, T: 24,
+		B: height - 34,
+	}
 }
 
 // axes sets the scales and their ticks. The area must have its borders by then.
@@ -385,8 +387,10 @@
 	if len(lines) > 100 {
 		high = 3
 	}
-	s := &strip{ID: "strip", Title: "Occupancy of worker nodes over time", W: plotW, L: 62, T: 8, AreaW: plotW - 74,
-		AreaH: high * px(len(lines))}
+	s := &strip{
+		ID: "strip", Title: "Occupancy of worker nodes over time", W: plotW, L: 62, T: 8, AreaW: plotW - 74,
+		AreaH: high * px(len(lines)),
+	}
 	s.H = s.T + s.AreaH + 34
 	cell := o.CellSpan * float64(each)
 	wide := s.AreaW / px(columns)
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -75,8 +75,10 @@
 	put(20_000, seen.Sight{What: seen.SchedKill})
 	put(20_500, seen.Sight{What: seen.SchedUp})
 	for i := range 40 {
-		put(i*1000, seen.Sight{What: seen.Usage, CPU: time.Duration(i) * 100 * time.Millisecond, Memory: 10 << 20,
-			Files: 50 + i})
+		put(i*1000, seen.Sight{
+			What: seen.Usage, CPU: time.Duration(i) * 100 * time.Millisecond, Memory: 10 << 20,
+			Files: 50 + i,
+		})
 	}
 	put(30_000, seen.Sight{What: seen.OddBegan, Conn: 1, Text: "garbage"})
 	put(30_100, seen.Sight{What: seen.OddEnded, Conn: 1, Status: 400})
@@ -87,8 +89,10 @@
 		if at := due / 1000; at >= 12 && at < 18 && i%3 == 0 {
 			took, status = 60, 503
 		}
-		put(due, seen.Sight{What: seen.Due, Job: job, Class: i % 4, Tenant: i % 3, Work: 0.25, Slots: float64(1 + i%2),
-			Aim: 500 * time.Millisecond})
+		put(due, seen.Sight{
+			What: seen.Due, Job: job, Class: i % 4, Tenant: i % 3, Work: 0.25, Slots: float64(1 + i%2),
+			Aim: 500 * time.Millisecond,
+		})
 		put(due, seen.Sight{What: seen.Asked, Job: job, Call: call})
 		if status == 200 {
 			put(due+2, seen.Sight{What: seen.Reached, Call: call, Node: node})
@@ -107,15 +111,21 @@
 }
 
 func expected(r *score.Result, broken int) []score.Met {
-	return score.Check([]scenario.Expectation{{Figure: "in_time", Op: ">=", Bound: 0.5},
-		{Figure: "p99_ms", Op: "<=", Bound: 100}, {Figure: "recovered_within", Op: "<=", Bound: 5},
-		{Figure: "rules_broken", Op: "=", Bound: 0}}, r, broken)
+	return score.Check([]scenario.Expectation{
+		{Figure: "in_time", Op: ">=", Bound: 0.5},
+		{Figure: "p99_ms", Op: "<=", Bound: 100},
+		{Figure: "recovered_within", Op: "<=", Bound: 5},
+		{Figure: "rules_broken", Op: "=", Bound: 0},
+	}, r, broken)
 }
 
 var verdictOf = Verdict{
-	Broken: []Breach{{Rule: "answered twice", At: 12_345 * time.Millisecond, Text: "two answers to c7",
-		Story: []string{"12.000 s  due", "12.345 s  answered <again>"}}},
-	LeftOut: []string{"Bytes on sockets are not seen."}}
+	Broken: []Breach{{
+		Rule: "answered twice", At: 12_345 * time.Millisecond, Text: "two answers to c7",
+		Story: []string{"12.000 s  due", "12.345 s  answered <again>"},
+	}},
+	LeftOut: []string{"Bytes on sockets are not seen."},
+}
 
 func TestPage(t *testing.T) {
 	var b bytes.Buffer
@@ -166,8 +176,10 @@
 		p := NewProgress(&b)
 		p.tty = onTerminal
 		for ms := 0; ms <= 90_000; ms += 250 {
-			x := score.Tally{At: time.Duration(ms) * time.Millisecond, Due: ms / 10, InTime: ms / 20, Refused: ms / 1000,
-				InFlight: 12, NodesUp: 9, Nodes: 10}
+			x := score.Tally{
+				At: time.Duration(ms) * time.Millisecond, Due: ms / 10, InTime: ms / 20, Refused: ms / 1000,
+				InFlight: 12, NodesUp: 9, Nodes: 10,
+			}
 			if ms >= 2000 && ms < 3000 {
 				x.Faults = []string{"crash: w-3, for 1s", "burst 4: swat-society, for 9s"}
 			}
@@ -190,8 +202,10 @@
 // for columns. It refuses what refers to anything outside, and plots that are not described.
 func outline(t *testing.T, text string) string {
 	t.Helper()
-	for _, refers := range []string{"http://", "https://", "src=", "url(", "@import", "<script", "<link", "<iframe",
-		"srcset", "ZgotmplZ"} {
+	for _, refers := range []string{
+		"http://", "https://", "src=", "url(", "@import", "<script", "<link", "<iframe",
+		"srcset", "ZgotmplZ",
+	} {
 		if strings.Contains(text, refers) {
 			t.Errorf("%s is in the page", refers)
 		}
@@ -256,8 +270,10 @@
 		t.Fatal(err)
 	}
 	golden(t, "play.outline", outline(t, b.String()))
-	for _, want := range []string{"answered &lt;again&gt;", "name = &#34;&lt;b&gt;&#34;", "1 crash: w-3, for 5s",
-		"a rule broken once", "prefers-color-scheme: dark", "scheduler 0 killed"} {
+	for _, want := range []string{
+		"answered &lt;again&gt;", "name = &#34;&lt;b&gt;&#34;", "1 crash: w-3, for 5s",
+		"a rule broken once", "prefers-color-scheme: dark", "scheduler 0 killed",
+	} {
 		if !strings.Contains(b.String(), want) {
 			t.Errorf("%q is not in the page", want)
 		}
@@ -278,8 +294,10 @@
 	s := score.New(spec, score.Options{})
 	for sec := 0; sec < 3600; sec += 10 {
 		for k := range 40 {
-			x := seen.Sight{At: time.Duration(sec) * time.Second, Node: (sec*31 + k*251) % 10_000, Call: fmt.Sprint(sec, k),
-				Job: uint64(sec*100 + k), Work: 1, Slots: 4, Aim: time.Second}
+			x := seen.Sight{
+				At: time.Duration(sec) * time.Second, Node: (sec*31 + k*251) % 10_000, Call: fmt.Sprint(sec, k),
+				Job: uint64(sec*100 + k), Work: 1, Slots: 4, Aim: time.Second,
+			}
 			for _, what := range []seen.What{seen.Due, seen.Asked, seen.Reached, seen.Began} {
 				x.What = what
 				s.Watch(&x)
--- a/internal/lab/scenario/capacity_test.go
+++ b/internal/lab/scenario/capacity_test.go
@@ -9,10 +9,14 @@
 // What is offered, what a tenant may have and what the fleet can do fit together.
 func TestCapacity(t *testing.T) {
 	s := &Scenario{
-		Fleet: Fleet{Nodes: 10, Zones: []string{"a", "b"}, Kinds: []Kind{{Share: 3, Cores: 4, Slots: 4, Speed: 1},
-			{Share: 1, Cores: 8, Slots: 2, Speed: 0.5}}},
-		Classes: []Class{{Share: 1, Work: Span(time.Second), Slots: []float64{1, 1}},
-			{Share: 3, Work: Span(100 * time.Millisecond)}},
+		Fleet: Fleet{Nodes: 10, Zones: []string{"a", "b"}, Kinds: []Kind{
+			{Share: 3, Cores: 4, Slots: 4, Speed: 1},
+			{Share: 1, Cores: 8, Slots: 2, Speed: 0.5},
+		}},
+		Classes: []Class{
+			{Share: 1, Work: Span(time.Second), Slots: []float64{1, 1}},
+			{Share: 3, Work: Span(100 * time.Millisecond)},
+		},
 		Tenants: []Tenant{{Share: 1}, {Share: 3}},
 		Load:    Load{Of: 0.5, Quota: 0.8},
 	}
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -64,12 +64,20 @@
 }
 
 // pairs of crowds that speak to each other.
-var pairs = [][2]string{{"schedulers", "nodes"}, {"schedulers", "discovery"}, {"schedulers", "clients"},
-	{"nodes", "discovery"}}
+var pairs = [][2]string{
+	{"schedulers", "nodes"},
+	{"schedulers", "discovery"},
+	{"schedulers", "clients"},
+	{"nodes", "discovery"},
+}
 
 // plannerPairs are those with planners, and forwarders among each other.
-var plannerPairs = [][2]string{{"planners", "schedulers"}, {"planners", "planners"}, {"planners", "discovery"},
-	{"schedulers", "schedulers"}}
+var plannerPairs = [][2]string{
+	{"planners", "schedulers"},
+	{"planners", "planners"},
+	{"planners", "discovery"},
+	{"schedulers", "schedulers"},
+}
 
 // Check says what is wrong with a scenario: each faulty key, one to a line; nil: nothing.
 func (s *Scenario) Check() error {
@@ -105,8 +113,15 @@
 	for _, l := range []struct {
 		key string
 		n   int
-	}{{"fault", len(s.Faults)}, {"expect", len(s.Expect)}, {"bad", len(s.Bad)}, {"class", len(s.Classes)},
-		{"tenant", len(s.Tenants)}, {"fleet.kind", len(s.Fleet.Kinds)}, {"fleet.zones", len(s.Fleet.Zones)}} {
+	}{
+		{"fault", len(s.Faults)},
+		{"expect", len(s.Expect)},
+		{"bad", len(s.Bad)},
+		{"class", len(s.Classes)},
+		{"tenant", len(s.Tenants)},
+		{"fleet.kind", len(s.Fleet.Kinds)},
+		{"fleet.zones", len(s.Fleet.Zones)},
+	} {
 		if l.n > maxEntries {
 			c.fault(l.key, "expected %d entries at most, got %d", maxEntries, l.n)
 		}
@@ -155,9 +170,17 @@
 		for _, x := range []struct {
 			key string
 			s   Span
-		}{{"cold", k.Cold}, {"pause_every", k.PauseEvery}, {"pause", k.Pause}, {"handshake", k.Handshake},
-			{"idle", k.Idle}, {"progress", k.Progress}, {"probe_work", k.ProbeWork}, {"accept", k.Accept},
-			{"note_late", k.NoteLate}} {
+		}{
+			{"cold", k.Cold},
+			{"pause_every", k.PauseEvery},
+			{"pause", k.Pause},
+			{"handshake", k.Handshake},
+			{"idle", k.Idle},
+			{"progress", k.Progress},
+			{"probe_work", k.ProbeWork},
+			{"accept", k.Accept},
+			{"note_late", k.NoteLate},
+		} {
 			c.spanIn(key+"."+x.key, x.s, 0, maxSpan)
 		}
 		if k.PauseEvery > 0 && k.Pause == 0 {
@@ -286,17 +309,27 @@
 		s         Span
 		low, high Span
 	}{
-		{"net.delay", n.Delay, 0, 10 * s1}, {"net.cross", n.Cross, 0, 10 * s1}, {"net.client", n.Client, 0, 10 * s1},
-		{"net.handshake", n.Handshake, 0, 10 * s1}, {"net.drops_idle", n.DropsIdle, 0, maxSpan},
-		{"discovery.notice", d.Notice, 0, maxSpan}, {"discovery.silent_notice", d.SilentNotice, 0, maxSpan},
-		{"discovery.add", d.Add, 0, maxSpan}, {"discovery.period", d.Period, ms, maxSpan},
-		{"discovery.timeout", d.Timeout, ms, maxSpan}, {"front.notice", s.Front.Notice, 0, maxSpan},
+		{"net.delay", n.Delay, 0, 10 * s1},
+		{"net.cross", n.Cross, 0, 10 * s1},
+		{"net.client", n.Client, 0, 10 * s1},
+		{"net.handshake", n.Handshake, 0, 10 * s1},
+		{"net.drops_idle", n.DropsIdle, 0, maxSpan},
+		{"discovery.notice", d.Notice, 0, maxSpan},
+		{"discovery.silent_notice", d.SilentNotice, 0, maxSpan},
+		{"discovery.add", d.Add, 0, maxSpan},
+		{"discovery.period", d.Period, ms, maxSpan},
+		{"discovery.timeout", d.Timeout, ms, maxSpan},
+		{"front.notice", s.Front.Notice, 0, maxSpan},
 		{"schedulers.max_retry_after", p.MaxRetryAfter, 0, maxSpan},
-		{"schedulers.conn_idle", p.ConnIdle, 0, maxSpan}, {"schedulers.conn_timeout", p.ConnTimeout, ms, maxSpan},
+		{"schedulers.conn_idle", p.ConnIdle, 0, maxSpan},
+		{"schedulers.conn_timeout", p.ConnTimeout, ms, maxSpan},
 		{"schedulers.start_over", p.StartOver, 0, s.Length},
-		{"rules.slack", r.Slack, 0, maxSpan}, {"rules.drain_grace", r.DrainGrace, ms, maxSpan},
-		{"rules.ask_every", r.AskEvery, ms, maxSpan}, {"rules.fall", r.Fall, ms, maxSpan},
-		{"rules.bad_answered", r.BadAnswered, ms, maxSpan}, {"rules.give_up_within", r.GiveUpWithin, ms, maxSpan},
+		{"rules.slack", r.Slack, 0, maxSpan},
+		{"rules.drain_grace", r.DrainGrace, ms, maxSpan},
+		{"rules.ask_every", r.AskEvery, ms, maxSpan},
+		{"rules.fall", r.Fall, ms, maxSpan},
+		{"rules.bad_answered", r.BadAnswered, ms, maxSpan},
+		{"rules.give_up_within", r.GiveUpWithin, ms, maxSpan},
 	} {
 		c.spanIn(x.key, x.s, x.low, x.high)
 	}
--- a/internal/lab/scenario/defaults.go
+++ b/internal/lab/scenario/defaults.go
@@ -22,18 +22,26 @@
 		Drivers: []string{Virtual, Live},
 		Fleet:   Fleet{Nodes: 10, Zones: []string{"a"}, CellSize: 4, Weights: "rough", Kinds: defaultKinds()},
 		Classes: []Class{
-			{Name: "status-check", Share: 0.43, Work: 160 * ms, Dist: "lognormal", CV: 0.7, Noise: 0.1,
+			{
+				Name: "status-check", Share: 0.43, Work: 160 * ms, Dist: "lognormal", CV: 0.7, Noise: 0.1,
 				Slots: []float64{1}, Aim: 80 * ms, Stretch: 2.5, Deadline: 5 * s1, Worth: 2, Effect: "safe",
-				Group: "all", Window: 5 * s1},
-			{Name: "recipient-screen", Share: 0.21, Work: 950 * ms, Dist: "lognormal", CV: 0.7, Noise: 0.1,
+				Group: "all", Window: 5 * s1,
+			},
+			{
+				Name: "recipient-screen", Share: 0.21, Work: 950 * ms, Dist: "lognormal", CV: 0.7, Noise: 0.1,
 				Slots: []float64{0.5, 0.3, 0.2}, Aim: 300 * ms, Stretch: 2.5, Deadline: 12 * s1, Worth: 1, Effect: "safe",
-				Group: "all", Window: 5 * s1},
-			{Name: "cash-payout", Share: 0.19, Work: 640 * ms, Dist: "lognormal", CV: 0.7, Noise: 0.1,
+				Group: "all", Window: 5 * s1,
+			},
+			{
+				Name: "cash-payout", Share: 0.19, Work: 640 * ms, Dist: "lognormal", CV: 0.7, Noise: 0.1,
 				Slots: []float64{0.7, 0.3}, Aim: 500 * ms, Stretch: 2, Deadline: 7500 * ms, Worth: 2, Effect: "unsafe",
-				Group: "all", Window: 5 * s1},
-			{Name: "account-credit", Share: 0.17, Work: 950 * ms, Dist: "lognormal", CV: 0.7, Noise: 0.1,
+				Group: "all", Window: 5 * s1,
+			},
+			{
+				Name: "account-credit", Share: 0.17, Work: 950 * ms, Dist: "lognormal", CV: 0.7, Noise: 0.1,
 				Slots: []float64{0.7, 0.3}, Aim: 500 * ms, Stretch: 1.75, Deadline: 12 * s1, Worth: 3, Effect: "keyed",
-				Group: "cell", Window: 20 * s1},
+				Group: "cell", Window: 20 * s1,
+			},
 		},
 		Tenants: []Tenant{
 			{Name: "khyber-society", Share: 0.43, Usage: 1},
@@ -43,14 +51,20 @@
 		Load:    Load{Shape: "steady", Swing: 0.3, Hints: "rough", OverWorth: 0.1, Quota: 0.8},
 		Clients: Clients{Retries: 2, Backoff: 500 * ms, Honour: 0.8, TryShare: 1},
 		Net:     Net{Delay: 200 * us, Cross: ms, Client: 500 * us, Jitter: 0.2, Handshake: 200 * us},
-		Discovery: Discovery{Notice: s1, SilentNotice: 8 * s1, Add: s1, Period: 400 * ms,
-			Timeout: 3 * s1},
+		Discovery: Discovery{
+			Notice: s1, SilentNotice: 8 * s1, Add: s1, Period: 400 * ms,
+			Timeout: 3 * s1,
+		},
 		Front: Front{Notice: 2 * s1},
-		Schedulers: Schedulers{Count: 1, Cores: 1, MemoryMB: 64, Sockets: 384, TryLimit: 6, SecondCopies: true,
+		Schedulers: Schedulers{
+			Count: 1, Cores: 1, MemoryMB: 64, Sockets: 384, TryLimit: 6, SecondCopies: true,
 			Cancelling: true, Probes: true, MaxRetryAfter: 2 * s1, ConnIdle: 60 * s1, ConnTimeout: 250 * ms,
-			StartOver: 200 * ms},
-		Rules: Rules{DrainGrace: 500 * ms, AskEvery: 10 * s1, FallFactor: 3, Fall: 2 * s1, BadAnswered: 3 * s1,
-			GiveUpWithin: 250 * ms},
+			StartOver: 200 * ms,
+		},
+		Rules: Rules{
+			DrainGrace: 500 * ms, AskEvery: 10 * s1, FallFactor: 3, Fall: 2 * s1, BadAnswered: 3 * s1,
+			GiveUpWithin: 250 * ms,
+		},
 	}
 	s.derive(func(string) bool { return false })
 	return s
@@ -65,15 +79,19 @@
 
 // plainKind is a kind of worker node that says nothing of itself but its name.
 func plainKind() Kind {
-	return Kind{Share: 1, Cores: 4, Speed: 1, Spread: 0.08, Slots: 4, Queue: 24, Order: "fifo", ColdFrom: 0.35,
+	return Kind{
+		Share: 1, Cores: 4, Speed: 1, Spread: 0.08, Slots: 4, Queue: 24, Order: "fifo", ColdFrom: 0.35,
 		Cold: 8 * s1, WarmBy: "time", Conns: 128, Handshake: ms, Idle: 60 * s1, Expired: "run", Progress: 2 * s1,
-		ProbeWork: 50 * us, Accept: ms, NoteLate: 2 * ms, NoteEarly: 0.02, NoteTwice: 0.005, NoteLost: 0.002}
+		ProbeWork: 50 * us, Accept: ms, NoteLate: 2 * ms, NoteEarly: 0.02, NoteTwice: 0.005, NoteLost: 0.002,
+	}
 }
 
 // plainClass is a class of jobs that says nothing of itself but its name.
 func plainClass() Class {
-	return Class{Share: 1, Work: 200 * ms, Dist: "lognormal", CV: 0.7, Noise: 0.1, Slots: []float64{1}, Aim: 200 * ms,
-		Stretch: 2, Deadline: 5 * s1, Worth: 1, Effect: "safe", Group: "all", Window: 5 * s1}
+	return Class{
+		Share: 1, Work: 200 * ms, Dist: "lognormal", CV: 0.7, Noise: 0.1, Slots: []float64{1}, Aim: 200 * ms,
+		Stretch: 2, Deadline: 5 * s1, Worth: 1, Effect: "safe", Group: "all", Window: 5 * s1,
+	}
 }
 
 // derive fills in what follows from other keys, where it was not given.
--- a/internal/lab/scenario/expect.go
+++ b/internal/lab/scenario/expect.go
@@ -27,13 +27,17 @@
 	{Name: "failed", About: "jobs whose last answer was a failure, over jobs", Share: true, Parts: true},
 	{Name: "lost", About: "jobs whose last try ended with its connection, over jobs", Share: true, Parts: true},
 	{Name: "unanswered", About: "jobs whose clients gave up without an answer, over jobs", Share: true, Parts: true},
-	{Name: "p50_ms", About: "median time from when a job fell due to its served answer, in ms", Parts: true, Time: true,
-		Unit: time.Millisecond},
+	{
+		Name: "p50_ms", About: "median time from when a job fell due to its served answer, in ms", Parts: true, Time: true,
+		Unit: time.Millisecond,
+	},
 	{Name: "p99_ms", About: "its 99th percentile, in ms", Parts: true, Time: true, Unit: time.Millisecond},
 	{Name: "waste", About: "work done that no client got an answer from, over work asked for"},
 	{Name: "attempts", About: "attempts that reached worker nodes, over jobs"},
-	{Name: "recovered_within", About: "seconds from the end of the last fault until goodput is back where it was",
-		Time: true, Unit: time.Second},
+	{
+		Name: "recovered_within", About: "seconds from the end of the last fault until goodput is back where it was",
+		Time: true, Unit: time.Second,
+	},
 	{Name: "rules_broken", About: "how often a rule was broken"},
 }
 
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -129,9 +129,11 @@
 }
 
 // BadKinds are the kinds of bad clients.
-var BadKinds = []string{"garbage", "endless_head", "wrong_length", "negative_length", "huge_length", "huge_body",
+var BadKinds = []string{
+	"garbage", "endless_head", "wrong_length", "negative_length", "huge_length", "huge_body",
 	"unknown_class", "bad_deadline", "no_id", "stolen_id", "half_then_close", "flood", "insist", "silent", "smuggle",
-	"slow_head", "slow_reader"}
+	"slow_head", "slow_reader",
+}
 
 // Bad is a crowd of bad clients. Live only.
 type Bad struct {
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/lab/scenario/scenario_test.go
@@ -261,8 +261,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []struct{ key, value string }{{"fault[0].size", "3.5"}, {"load.rate", "40"},
-		{"fleet.nodes", "12"}, {"class[2].deadline", `"3s"`}, {"fault[0].on.names", `["w-11"]`}} {
+	for _, x := range []struct{ key, value string }{
+		{"fault[0].size", "3.5"},
+		{"load.rate", "40"},
+		{"fleet.nodes", "12"},
+		{"class[2].deadline", `"3s"`},
+		{"fault[0].on.names", `["w-11"]`},
+	} {
 		if err := s.Set(x.key, x.value); err != nil {
 			t.Error(err)
 		}
@@ -273,8 +278,16 @@
 		t.Errorf("set to %s", Encode(s))
 	}
 	before := s.Clone()
-	for _, x := range []struct{ key, value string }{{"fault[1].size", "3"}, {"fault[0].sise", "3"}, {"load", "3"},
-		{"load.of.x", "3"}, {"fleet.nodes", "none"}, {"fleet.nodes", "0"}, {"fleet.nodes", "1\nx = 2"}, {"", "1"}} {
+	for _, x := range []struct{ key, value string }{
+		{"fault[1].size", "3"},
+		{"fault[0].sise", "3"},
+		{"load", "3"},
+		{"load.of.x", "3"},
+		{"fleet.nodes", "none"},
+		{"fleet.nodes", "0"},
+		{"fleet.nodes", "1\nx = 2"},
+		{"", "1"},
+	} {
 		if err := s.Set(x.key, x.value); err == nil || !strings.Contains(err.Error(), "key ") {
 			t.Errorf("%s = %s: got %v", x.key, x.value, err)
 		}
--- a/internal/lab/score/headline.go
+++ b/internal/lab/score/headline.go
@@ -12,13 +12,17 @@
 
 // Headlines are all of them, the most telling first.
 var Headlines = []Headline{
-	{"mix", "40% the whole play, 15% its worst 10 s, 20% the worst class, 25% the worst tenant within its share", Higher,
-		func(r *Result) float64 { return r.Worth.Mix }},
+	{
+		"mix", "40% the whole play, 15% its worst 10 s, 20% the worst class, 25% the worst tenant within its share", Higher,
+		func(r *Result) float64 { return r.Worth.Mix },
+	},
 	{"in_time", "worth answered in time over worth asked for", Higher, func(r *Result) float64 { return r.Worth.Whole }},
 	{"worst_10s", "the same in its worst 10 s", Higher, func(r *Result) float64 { return r.Worth.Worst10 }},
 	{"worst_class", "the same of the worst class", Higher, func(r *Result) float64 { return r.Worth.WorstClass.Value }},
-	{"worst_tenant", "the same of the worst tenant, within its share", Higher,
-		func(r *Result) float64 { return r.Worth.WorstTenant.Value }},
+	{
+		"worst_tenant", "the same of the worst tenant, within its share", Higher,
+		func(r *Result) float64 { return r.Worth.WorstTenant.Value },
+	},
 	{"served", "jobs served, late ones included, over jobs", Higher, figure("served")},
 	{"refused", "jobs whose last answer was a refusal, over jobs", Lower, figure("refused")},
 	{"failed", "jobs whose last answer was a failure, over jobs", Lower, figure("failed")},
@@ -34,10 +38,14 @@
 	}},
 	{"attempts", "attempts that reached worker nodes, over jobs", Lower, figure("attempts")},
 	{"waste", "work done that no client got an answer from, over work asked for", Lower, figure("waste")},
-	{"recovered_within", "seconds from the end of a disturbance until goodput was back, the worst of them", Lower,
-		figure("recovered_within")},
-	{"busiest_over_mean", "occupancy of the busiest worker node over the mean", Lower,
-		func(r *Result) float64 { return r.Fleet.OverMean }},
+	{
+		"recovered_within", "seconds from the end of a disturbance until goodput was back, the worst of them", Lower,
+		figure("recovered_within"),
+	},
+	{
+		"busiest_over_mean", "occupancy of the busiest worker node over the mean", Lower,
+		func(r *Result) float64 { return r.Fleet.OverMean },
+	},
 }
 
 func figure(name string) func(*Result) float64 {
--- a/internal/lab/score/result.go
+++ b/internal/lab/score/result.go
@@ -308,9 +308,11 @@
 
 // Result takes stock. The play may go on; what is open counts as open.
 func (s *Score) Result() *Result {
-	r := &Result{Name: s.spec.Name, About: s.spec.About, Driver: s.opt.Driver, Seed: s.opt.Seed,
+	r := &Result{
+		Name: s.spec.Name, About: s.spec.About, Driver: s.opt.Driver, Seed: s.opt.Seed,
 		Length: s.length.Seconds(), End: s.now.Seconds(), Capacity: s.spec.Capacity(),
-		Faults: slices.Clone(s.faults), Marks: slices.Clone(s.marks), Unlisted: s.dropped}
+		Faults: slices.Clone(s.faults), Marks: slices.Clone(s.marks), Unlisted: s.dropped,
+	}
 	if r.Length == 0 {
 		r.Length = r.End
 	}
@@ -340,8 +342,10 @@
 }
 
 func (g *group) result(name string) Group {
-	out := Group{Name: name, Asked: g.worth.asked, Earned: g.worth.earned, Due: g.due, Outcomes: g.outcomes,
-		Latency: latency(g.hist), AskedWithin: g.within.asked, EarnedWithin: g.within.earned, of: g.hist}
+	out := Group{
+		Name: name, Asked: g.worth.asked, Earned: g.worth.earned, Due: g.due, Outcomes: g.outcomes,
+		Latency: latency(g.hist), AskedWithin: g.within.asked, EarnedWithin: g.within.earned, of: g.hist,
+	}
 	out.finish(g.attempts)
 	return out
 }
@@ -355,8 +359,10 @@
 	g.Share, g.Within = share(g.Earned, g.Asked), share(g.EarnedWithin, g.AskedWithin)
 	of := func(n int) float64 { return share(float64(n), float64(g.Due)) }
 	o := &g.Outcomes
-	g.Shares = OutcomeShares{of(o[InTime] + o[Late]), of(o[InTime]), of(o[Refused]), of(o[Failed]), of(o[Unanswered]),
-		of(o[Lost]), of(o[Left])}
+	g.Shares = OutcomeShares{
+		of(o[InTime] + o[Late]), of(o[InTime]), of(o[Refused]), of(o[Failed]), of(o[Unanswered]),
+		of(o[Lost]), of(o[Left]),
+	}
 	g.Attempts = share(float64(attempts), float64(settled))
 }
 
@@ -436,13 +442,17 @@
 		n = max(n, len(s.classes[i].bins))
 	}
 	series := func() Series { return make(Series, n) }
-	out := Seconds{AskedJobs: series(), Asked: series(), Earned: series(), Goodput: series(), GoodputJobs: series(),
+	out := Seconds{
+		AskedJobs: series(), Asked: series(), Earned: series(), Goodput: series(), GoodputJobs: series(),
 		Served: series(), Refused: series(), Attempts: series(), InFlight: series(), P50: series(), P99: series(),
-		Slowest: series(), Classes: make([]ClassSeries, len(s.classes))}
+		Slowest: series(), Classes: make([]ClassSeries, len(s.classes)),
+	}
 	for i := range s.classes {
 		g := &s.classes[i]
-		c := ClassSeries{Name: s.spec.Classes[i].Name, AskedJobs: series(), Asked: series(), Earned: series(),
-			Goodput: series(), GoodputJobs: series(), Refused: series(), InFlight: series()}
+		c := ClassSeries{
+			Name: s.spec.Classes[i].Name, AskedJobs: series(), Asked: series(), Earned: series(),
+			Goodput: series(), GoodputJobs: series(), Refused: series(), InFlight: series(),
+		}
 		for k := range g.bins {
 			b := &g.bins[k]
 			c.AskedJobs[k], c.Asked[k], c.Earned[k] = float64(b.due), b.asked, b.earned
@@ -495,8 +505,10 @@
 	e.PerJob = share(float64(e.Attempts), float64(s.due))
 	e.WorkAsked, e.WorkRun, e.WorkUseful = s.effort.asked, s.effort.ran, s.effort.useful
 	w := &s.effort.wasted
-	out := Waste{Repeated: w[repeated], TooLate: w[tooLate], Left: w[clientLeft], Unused: w[unused], Errors: w[errored],
-		Killed: w[killed]}
+	out := Waste{
+		Repeated: w[repeated], TooLate: w[tooLate], Left: w[clientLeft], Unused: w[unused], Errors: w[errored],
+		Killed: w[killed],
+	}
 	for _, work := range w {
 		out.Work += work
 	}
@@ -520,8 +532,10 @@
 		n.upTime.until(within)
 		use += n.use.sum
 		up += n.upTime.sum
-		line := NodeUse{Node: i, Use: share(n.use.sum, n.upTime.sum), Slots: n.slots, Attempts: n.attempts, Full: n.full,
-			Falls: n.falls, Up: share(n.upTime.sum, n.slots*within.Seconds())}
+		line := NodeUse{
+			Node: i, Use: share(n.use.sum, n.upTime.sum), Slots: n.slots, Attempts: n.attempts, Full: n.full,
+			Falls: n.falls, Up: share(n.upTime.sum, n.slots*within.Seconds()),
+		}
 		out.Nodes = append(out.Nodes, line)
 		if n.upTime.sum >= n.slots {
 			counted++
@@ -562,8 +576,10 @@
 
 // Tally takes one. It keeps the room of t.Faults.
 func (s *Score) Tally(t *Tally) {
-	*t = Tally{At: s.now, Due: s.due, InTime: s.inTime, Settled: s.settled, Refused: s.answered[refusedTry-servedTry],
-		InFlight: len(s.jobs), NodesUp: s.nodesUp, Nodes: max(len(s.nodes), s.spec.Fleet.Nodes), Faults: t.Faults[:0]}
+	*t = Tally{
+		At: s.now, Due: s.due, InTime: s.inTime, Settled: s.settled, Refused: s.answered[refusedTry-servedTry],
+		InFlight: len(s.jobs), NodesUp: s.nodesUp, Nodes: max(len(s.nodes), s.spec.Fleet.Nodes), Faults: t.Faults[:0],
+	}
 	for i := range s.faults {
 		if s.faults[i].Off < 0 {
 			t.Faults = append(t.Faults, s.faults[i].Text)
--- a/internal/lab/score/score.go
+++ b/internal/lab/score/score.go
@@ -336,8 +336,10 @@
 		s.idleJobs = j.next
 	}
 	c := &s.spec.Classes[x.Class]
-	*j = job{id: x.Job, due: x.At, aim: x.Aim, work: x.Work * x.Slots, slots: x.Slots, class: x.Class, tenant: x.Tenant,
-		over: x.Over}
+	*j = job{
+		id: x.Job, due: x.At, aim: x.Aim, work: x.Work * x.Slots, slots: x.Slots, class: x.Class, tenant: x.Tenant,
+		over: x.Over,
+	}
 	j.worth = c.Worth * j.work
 	if j.over {
 		j.worth *= s.spec.Load.OverWorth
--- a/internal/lab/score/score_test.go
+++ b/internal/lab/score/score_test.go
@@ -120,12 +120,16 @@
 	pick := func(n int, what string) int { return rapid.IntRange(0, n-1).Draw(t, what) }
 	switch pick(8, "what") {
 	case 0, 1:
-		j := &mJob{id: uint64(len(m.open) + len(m.over) + 1), due: m.now, aim: time.Duration(100+pick(1500, "aim")) * ms,
+		j := &mJob{
+			id: uint64(len(m.open) + len(m.over) + 1), due: m.now, aim: time.Duration(100+pick(1500, "aim")) * ms,
 			class: pick(2, "class"), tenant: pick(2, "tenant"), over: pick(4, "over") == 0,
-			work: float64(1+pick(20, "work")) / 10, slots: float64(1 + pick(2, "slots"))}
+			work: float64(1+pick(20, "work")) / 10, slots: float64(1 + pick(2, "slots")),
+		}
 		m.open = append(m.open, j)
-		m.tell(seen.Sight{What: seen.Due, Job: j.id, Class: j.class, Tenant: j.tenant, Over: j.over, Work: j.work,
-			Slots: j.slots, Aim: j.aim})
+		m.tell(seen.Sight{
+			What: seen.Due, Job: j.id, Class: j.class, Tenant: j.tenant, Over: j.over, Work: j.work,
+			Slots: j.slots, Aim: j.aim,
+		})
 	case 2, 3:
 		if len(m.open) == 0 {
 			return
@@ -184,8 +188,15 @@
 			what   seen.What
 			status int
 			out    Outcome
-		}{{seen.Answered, 200, InTime}, {seen.Answered, 503, Refused}, {seen.Answered, 429, Refused},
-			{seen.Answered, 504, Failed}, {seen.Lost, 0, Lost}, {seen.Left, 0, Left}, {seen.GaveUp, 0, Unanswered}}
+		}{
+			{seen.Answered, 200, InTime},
+			{seen.Answered, 503, Refused},
+			{seen.Answered, 429, Refused},
+			{seen.Answered, 504, Failed},
+			{seen.Lost, 0, Lost},
+			{seen.Left, 0, Left},
+			{seen.GaveUp, 0, Unanswered},
+		}
 		e := ends[rapid.IntRange(0, len(ends)-1).Draw(m.t, "end")]
 		m.tell(seen.Sight{What: e.what, Call: j.call, Status: e.status})
 		j.call, j.end, status = "", e.out, e.status
@@ -419,10 +430,13 @@
 	if r.Whole.Latency.P50 < 99 || r.Whole.Latency.P50 > 101 || r.Whole.Latency.Max < 599 || r.Seconds.P99[12] < 590 {
 		t.Errorf("latency %+v, in the 12th second %v", r.Whole.Latency, r.Seconds.P99[12])
 	}
-	met := Check([]scenario.Expectation{{Figure: "in_time", Op: ">=", Bound: 0.5},
+	met := Check([]scenario.Expectation{
+		{Figure: "in_time", Op: ">=", Bound: 0.5},
 		{Figure: "rules_broken", Op: "=", Bound: 0},
 		{Figure: "in_time", Of: r.Tenants[1].Name, Op: ">", Bound: r.Tenants[1].Share},
-		{Figure: "p99_ms", Op: "<=", Bound: 10}, {Figure: "refused", Of: "nobody", Op: "<=", Bound: 1}}, r, 1)
+		{Figure: "p99_ms", Op: "<=", Bound: 10},
+		{Figure: "refused", Of: "nobody", Op: "<=", Bound: 1},
+	}, r, 1)
 	for i, want := range []bool{true, false, true, false, false} {
 		if met[i].OK != want {
 			t.Errorf("%v: got %v %s", met[i].Expectation, met[i].Got, met[i].Note)
@@ -467,19 +481,45 @@
 		want   []Disturbance // Faults by number only
 	}{
 		{"no dip", []Fault{{"a", 10, 15}}, nil, []Disturbance{{From: 10, To: 15, Recovered: true}}},
-		{"back before its end", []Fault{{"a", 10, 20}}, [][2]int{{10, 13}},
-			[]Disturbance{{From: 10, To: 20, Dip: true, FromStart: 3, Recovered: true}}},
-		{"back after its end", []Fault{{"a", 10.5, 15.5}}, [][2]int{{10, 18}},
-			[]Disturbance{{From: 10.5, To: 15.5, Dip: true, FromStart: 7.5, FromEnd: 2.5, Recovered: true}}},
-		{"for good", []Fault{{"a", 10, -1}}, [][2]int{{11, 14}},
-			[]Disturbance{{From: 10, To: 10, Lasting: true, Dip: true, FromStart: 4, FromEnd: 4, Recovered: true}}},
-		{"never back", []Fault{{"a", 10, 12}}, [][2]int{{10, 40}},
-			[]Disturbance{{From: 10, To: 12, Dip: true, FromStart: 30, FromEnd: 28}}},
-		{"one into the other", []Fault{{"a", 10, 12}, {"b", 11, 13}, {"c", 15, 16}}, [][2]int{{10, 19}},
-			[]Disturbance{{From: 10, To: 16, Dip: true, FromStart: 9, FromEnd: 3, Recovered: true}}},
-		{"two", []Fault{{"a", 10, 12}, {"b", 20, 22}}, [][2]int{{10, 14}, {20, 21}},
-			[]Disturbance{{From: 10, To: 12, Dip: true, FromStart: 4, FromEnd: 2, Recovered: true},
-				{From: 20, To: 22, Dip: true, FromStart: 1, Recovered: true}}},
+		{
+			"back before its end",
+			[]Fault{{"a", 10, 20}},
+			[][2]int{{10, 13}},
+			[]Disturbance{{From: 10, To: 20, Dip: true, FromStart: 3, Recovered: true}},
+		},
+		{
+			"back after its end",
+			[]Fault{{"a", 10.5, 15.5}},
+			[][2]int{{10, 18}},
+			[]Disturbance{{From: 10.5, To: 15.5, Dip: true, FromStart: 7.5, FromEnd: 2.5, Recovered: true}},
+		},
+		{
+			"for good",
+			[]Fault{{"a", 10, -1}},
+			[][2]int{{11, 14}},
+			[]Disturbance{{From: 10, To: 10, Lasting: true, Dip: true, FromStart: 4, FromEnd: 4, Recovered: true}},
+		},
+		{
+			"never back",
+			[]Fault{{"a", 10, 12}},
+			[][2]int{{10, 40}},
+			[]Disturbance{{From: 10, To: 12, Dip: true, FromStart: 30, FromEnd: 28}},
+		},
+		{
+			"one into the other",
+			[]Fault{{"a", 10, 12}, {"b", 11, 13}, {"c", 15, 16}},
+			[][2]int{{10, 19}},
+			[]Disturbance{{From: 10, To: 16, Dip: true, FromStart: 9, FromEnd: 3, Recovered: true}},
+		},
+		{
+			"two",
+			[]Fault{{"a", 10, 12}, {"b", 20, 22}},
+			[][2]int{{10, 14}, {20, 21}},
+			[]Disturbance{
+				{From: 10, To: 12, Dip: true, FromStart: 4, FromEnd: 2, Recovered: true},
+				{From: 20, To: 22, Dip: true, FromStart: 1, Recovered: true},
+			},
+		},
 		{"after the load", []Fault{{"a", 41, 42}}, nil, []Disturbance{}},
 	}
 	for _, c := range cases {
@@ -603,8 +643,10 @@
 func (p *steady) request() {
 	p.n++
 	p.now += 500 * time.Microsecond
-	p.x = seen.Sight{Job: p.n, Call: p.calls[p.n%uint64(len(p.calls))], Class: int(p.n % 2), Tenant: int(p.n / 2 % 2),
-		Work: 0.2, Slots: 1, Aim: time.Second, Node: int(p.n*7919) % len(p.s.nodes)}
+	p.x = seen.Sight{
+		Job: p.n, Call: p.calls[p.n%uint64(len(p.calls))], Class: int(p.n % 2), Tenant: int(p.n / 2 % 2),
+		Work: 0.2, Slots: 1, Aim: time.Second, Node: int(p.n*7919) % len(p.s.nodes),
+	}
 	p.tell(seen.Due, 0)
 	p.tell(seen.Asked, 0)
 	p.tell(seen.Reached, 0)
--- a/internal/lab/starve/model_test.go
+++ b/internal/lab/starve/model_test.go
@@ -224,8 +224,10 @@
 		boots := []int{1, 1, 1}
 		jobs := uint64(0)
 		for range rapid.IntRange(20, 60).Draw(t, "steps") {
-			now += rapid.SampledFrom([]time.Duration{0, 7 * ms, 250 * ms, 800 * ms,
-				2 * time.Second}).Draw(t, "passes")
+			now += rapid.SampledFrom([]time.Duration{
+				0, 7 * ms, 250 * ms, 800 * ms,
+				2 * time.Second,
+			}).Draw(t, "passes")
 			s := m.state(len(m.past))
 			node := rapid.IntRange(0, 2).Draw(t, "node")
 			about := seen.Sight{Node: node, Boot: boots[node], Slots: 4, Text: spec.Fleet.Kinds[node%2].Name, Status: 200}
@@ -261,9 +263,11 @@
 			}
 			due := func() seen.Sight {
 				jobs++
-				x := seen.Sight{What: seen.Due, Job: jobs, Class: rapid.IntRange(0, 3).Draw(t, "class"),
+				x := seen.Sight{
+					What: seen.Due, Job: jobs, Class: rapid.IntRange(0, 3).Draw(t, "class"),
 					Slots: rapid.SampledFrom([]float64{1, 2, 4}).Draw(t, "slots"), Call: fmt.Sprint("c", jobs),
-					Work: rapid.SampledFrom([]float64{0.1, 2, 5}).Draw(t, "work"), Aim: 3 * time.Second, Deadline: 9 * time.Second}
+					Work: rapid.SampledFrom([]float64{0.1, 2, 5}).Draw(t, "work"), Aim: 3 * time.Second, Deadline: 9 * time.Second,
+				}
 				tell(x)
 				x.What = seen.Asked
 				tell(x)
--- a/internal/lab/starve/play_test.go
+++ b/internal/lab/starve/play_test.go
@@ -42,8 +42,11 @@
 		name            string
 		spoils, refuses bool
 		held, refused   bool
-	}{{name: "as it is"}, {name: "held", spoils: true, held: true},
-		{name: "refused", spoils: true, refuses: true, refused: true}} {
+	}{
+		{name: "as it is"},
+		{name: "held", spoils: true, held: true},
+		{name: "refused", spoils: true, refuses: true, refused: true},
+	} {
 		w := starve.New(spec)
 		opt := virtual.Options{Watch: []seen.Watcher{w.Watch}}
 		opt.Module = func(set dispatch.Settings, seed uint64, _ yardstick.Oracle) requests.Policy {
--- a/internal/lab/starve/starve.go
+++ b/internal/lab/starve/starve.go
@@ -88,9 +88,11 @@
 
 // New returns a watcher of a play of a checked scenario.
 func New(spec *scenario.Scenario) *Watcher {
-	w := &Watcher{spec: spec, jobs: map[uint64]*job{}, tries: map[string]*try{}, dialled: map[uint64]bool{},
+	w := &Watcher{
+		spec: spec, jobs: map[uint64]*job{}, tries: map[string]*try{}, dialled: map[uint64]bool{},
 		nodes: make([]node, spec.Fleet.Nodes), scheds: make([]sched, max(1, spec.Schedulers.Count)),
-		idle: make([][buckets][]int32, len(spec.Fleet.Kinds)), old: make([][buckets][]*try, len(spec.Fleet.Kinds)+1)}
+		idle: make([][buckets][]int32, len(spec.Fleet.Kinds)), old: make([][buckets][]*try, len(spec.Fleet.Kinds)+1),
+	}
 	for i := range spec.Fleet.Kinds {
 		k := &spec.Fleet.Kinds[i]
 		most := k.Speed * math.Sqrt(3) * k.Spread // that a node of it is slower or faster
@@ -100,9 +102,11 @@
 	}
 	for i := range spec.Classes {
 		c := &spec.Classes[i]
-		w.classes = append(w.classes, class{unsafe: c.Effect == "unsafe", keyed: c.Effect == "keyed", group: c.Group,
+		w.classes = append(w.classes, class{
+			unsafe: c.Effect == "unsafe", keyed: c.Effect == "keyed", group: c.Group,
 			window: c.Window.D(), stretch: c.Stretch, kind: slices.IndexFunc(spec.Fleet.Kinds,
-				func(k scenario.Kind) bool { return c.Kind != "" && k.Name == c.Kind })})
+				func(k scenario.Kind) bool { return c.Kind != "" && k.Name == c.Kind }),
+		})
 	}
 	for i := range w.scheds {
 		w.scheds[i].ends = make([]int, len(spec.Classes))
@@ -142,8 +146,10 @@
 	switch s.What {
 	case seen.Due:
 		if s.Class >= 0 && s.Class < len(w.classes) {
-			w.jobs[s.Job] = &job{class: s.Class, need: bucketOf(s.Slots), slots: max(1, s.Slots), work: s.Work,
-				aim: s.At + s.Aim, deadline: s.At + s.Deadline}
+			w.jobs[s.Job] = &job{
+				class: s.Class, need: bucketOf(s.Slots), slots: max(1, s.Slots), work: s.Work,
+				aim: s.At + s.Aim, deadline: s.At + s.Deadline,
+			}
 		}
 	case seen.Settled:
 		delete(w.jobs, s.Job)
@@ -759,11 +765,13 @@
 		what = "refused"
 	}
 	class := w.spec.Classes[t.job.class].Name
-	w.got.Cases = append(w.got.Cases, Case{At: w.now, Job: t.id, Call: t.call, Class: class, Sched: t.sched, Node: n.n,
+	w.got.Cases = append(w.got.Cases, Case{
+		At: w.now, Job: t.id, Call: t.call, Class: class, Sched: t.sched, Node: n.n,
 		Refused: refused, Text: fmt.Sprintf("try %s of job %d (%s, %g slots) was %s by scheduler %d after %.2f s without "+
 			"an attempt out, its %d so far ended, while w-%d had %g of %g slots free for %.1f s", t.call, t.id, class,
 			t.job.slots, what, t.sched, (w.now - t.since).Seconds(), len(t.attempts), n.n, n.slots-n.used, n.slots,
-			(w.now - n.since[t.job.need]).Seconds())})
+			(w.now - n.since[t.job.need]).Seconds()),
+	})
 }
 
 // String is the verdict in a few words.
--- a/internal/lab/starve/starve_test.go
+++ b/internal/lab/starve/starve_test.go
@@ -118,10 +118,12 @@
 		{"failed", "5 due;5.1 answered status=500", "0 0 0"},
 		{"none idle", busy(0, 1, 2, 3) + "5 due;9 answered status=503", "0 0 0"},
 		{"one idle", busy(0, 1, 3) + "5 due;5.1 answered status=503", "0 1 0"},
-		{"one idle for less than a second", busy(0, 1, 3) + "3 due job=7 slots=4;3 sent job=7 node=2;" +
-			"4.6 noted job=7 node=2 text=done;4.6 answered job=7;5 due slots=4;5.5 answered status=503;" +
-			"6 due job=2 slots=4;6 answered job=2 status=503",
-			"0 1 0"},
+		{
+			"one idle for less than a second", busy(0, 1, 3) + "3 due job=7 slots=4;3 sent job=7 node=2;" +
+				"4.6 noted job=7 node=2 text=done;4.6 answered job=7;5 due slots=4;5.5 answered status=503;" +
+				"6 due job=2 slots=4;6 answered job=2 status=503",
+			"0 1 0",
+		},
 		{"no room for so many slots", "5 due job=2;5 sent job=2 node=0;5 due job=3;5 sent job=3 node=1;5 due job=4;" +
 			"5 sent job=4 node=2;5 due job=5;5 sent job=5 node=3;6 due slots=4;9 answered status=503", "0 0 0"},
 		{"a larger one waits too", busy(0, 1, 3) + "5 due job=2 slots=4;5 due slots=2;5.9 answered status=503", "0 0 0"},
@@ -163,9 +165,11 @@
 			"2 spared node=1;" +
 			"2 spared node=2;2 spared node=3;11 due;12.9 answered status=503;13.1 due job=2;" +
 			"13.1 answered job=2 status=503", "0 1 0"},
-		{"it turned one away", busy(0, 1, 2) + "3 due job=7;3 sent job=7 node=3;3 rejected job=7 node=3;5 due;" +
-			"9 answered status=503",
-			"0 0 0"},
+		{
+			"it turned one away", busy(0, 1, 2) + "3 due job=7;3 sent job=7 node=3;3 rejected job=7 node=3;5 due;" +
+				"9 answered status=503",
+			"0 0 0",
+		},
 		{"a start told late", busy(0, 1, 2) + "3 due job=7;3 sent job=7 node=3;3 began job=7 node=3 text=;" +
 			"3.5 noted job=7 node=3 text=started;5 due;9 answered status=503", "0 0 0"},
 		{"a start told", busy(0, 1, 2) + "3 due job=7;3 sent job=7 node=3;3 began job=7 node=3 text=;" +
@@ -204,23 +208,33 @@
 		change              func(s *scenario.Scenario)
 	}{
 		{"clients cut off", "5 due;5.5 answered status=503", "0 0 1", func(s *scenario.Scenario) {
-			s.Faults = []scenario.Fault{{What: "cut", At: scenario.Span(4 * time.Second), For: scenario.Span(time.Second),
-				Between: "schedulers", And: "clients"}}
+			s.Faults = []scenario.Fault{{
+				What: "cut", At: scenario.Span(4 * time.Second), For: scenario.Span(time.Second),
+				Between: "schedulers", And: "clients",
+			}}
 		}},
-		{"as many as it has descriptors for", "5 due;5.5 answered status=503", "0 0 1",
-			func(s *scenario.Scenario) { s.Schedulers.Sockets = 42 }},
+		{
+			"as many as it has descriptors for", "5 due;5.5 answered status=503", "0 0 1",
+			func(s *scenario.Scenario) { s.Schedulers.Sockets = 42 },
+		},
 		{"hints exact", low, "0 1 0", func(*scenario.Scenario) {}},
 		{"hints a fifth", low, "0 0 0", func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "wrong", 0.2 }},
 		{"hints rough", low, "0 0 0", func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "rough", 1 }},
 		{"hints twenty times", low, "0 0 0", func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "wrong", 20 }},
 		{"no hints", "5 due work=1;5.1 answered status=503", "0 1 0", func(s *scenario.Scenario) { s.Load.Hints = "none" }},
-		{"no starts told, room beside", "3 due job=7;3 sent job=7 node=0;3 due job=6;3 sent job=6 node=1;3 due job=5;" +
-			"3 sent job=5 node=2;3 due job=4;3 sent job=4 node=3;5 due;9 answered status=503", "0 0 0",
-			func(s *scenario.Scenario) { s.Fleet.Kinds[0].StartMute = true }},
-		{"few idle where schedulers share", "0 schedup sched=1;5 due;5.1 answered status=503", "0 0 0",
-			func(s *scenario.Scenario) { s.Fleet.Nodes = 80 }},
-		{"one idle where there is one scheduler", "5 due;5.1 answered status=503", "0 1 0",
-			func(s *scenario.Scenario) { s.Fleet.Nodes = 80 }},
+		{
+			"no starts told, room beside", "3 due job=7;3 sent job=7 node=0;3 due job=6;3 sent job=6 node=1;3 due job=5;" +
+				"3 sent job=5 node=2;3 due job=4;3 sent job=4 node=3;5 due;9 answered status=503", "0 0 0",
+			func(s *scenario.Scenario) { s.Fleet.Kinds[0].StartMute = true },
+		},
+		{
+			"few idle where schedulers share", "0 schedup sched=1;5 due;5.1 answered status=503", "0 0 0",
+			func(s *scenario.Scenario) { s.Fleet.Nodes = 80 },
+		},
+		{
+			"one idle where there is one scheduler", "5 due;5.1 answered status=503", "0 1 0",
+			func(s *scenario.Scenario) { s.Fleet.Nodes = 80 },
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := spec()
@@ -238,11 +252,19 @@
 func BenchmarkWatch(b *testing.B) {
 	const out, nodes = 256, 1000
 	text := spec().Fleet.Kinds[0].Name
-	story := []seen.Sight{{What: seen.Due, Deadline: 5 * time.Second, Slots: 1, Work: 0.1}, {What: seen.Asked},
-		{What: seen.Sent}, {What: seen.Reached}, {What: seen.Accepted}, {What: seen.Began},
-		{What: seen.Noted, Text: "started", Status: 204, Try: 1}, {What: seen.Finished, Status: 200, Text: "r"},
-		{What: seen.Noted, Text: "done", Status: 204, Try: 1}, {What: seen.Answered, Status: 200, Text: "r"},
-		{What: seen.Settled, Status: 200}}
+	story := []seen.Sight{
+		{What: seen.Due, Deadline: 5 * time.Second, Slots: 1, Work: 0.1},
+		{What: seen.Asked},
+		{What: seen.Sent},
+		{What: seen.Reached},
+		{What: seen.Accepted},
+		{What: seen.Began},
+		{What: seen.Noted, Text: "started", Status: 204, Try: 1},
+		{What: seen.Finished, Status: 200, Text: "r"},
+		{What: seen.Noted, Text: "done", Status: 204, Try: 1},
+		{What: seen.Answered, Status: 200, Text: "r"},
+		{What: seen.Settled, Status: 200},
+	}
 	calls := make([]string, b.N+out)
 	for i := range calls {
 		calls[i] = fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15)
--- a/internal/lab/virtual/links.go
+++ b/internal/lab/virtual/links.go
@@ -111,8 +111,10 @@
 }
 
 func newServerLinks(p *process, most int, dial, idleFor time.Duration) *serverLinks {
-	s := &serverLinks{p: p, hosts: map[uint64]*hostLinks{}, links: map[edge.Conn]*serverLink{},
-		carried: map[*requests.Attempt]*serverLink{}, withdrawals: map[*requests.Attempt]int{}, most: most, dial: dial, idleFor: idleFor * 3 / 4}
+	s := &serverLinks{
+		p: p, hosts: map[uint64]*hostLinks{}, links: map[edge.Conn]*serverLink{},
+		carried: map[*requests.Attempt]*serverLink{}, withdrawals: map[*requests.Attempt]int{}, most: most, dial: dial, idleFor: idleFor * 3 / 4,
+	}
 	s.retire()
 	return s
 }
--- a/internal/lab/virtual/links_test.go
+++ b/internal/lab/virtual/links_test.go
@@ -266,10 +266,14 @@
 			if !about.written {
 				continue // what has not reached a worker node it tells nothing of
 			}
-			about.may[map[string]dispatch.Result{"started": dispatch.OK, "done": dispatch.OK, "failed": dispatch.Failed,
-				"returned": dispatch.WorkerFull, "lost": dispatch.ConnectionReset}[state]] = true
-			step(edge.In{Kind: edge.Told, Node: node, NoteID: 5, Note: &requests.Callback{CallID: call, EndpointID: "w-" + strconv.Itoa(node),
-				State: state, Result: &result}})
+			about.may[map[string]dispatch.Result{
+				"started": dispatch.OK, "done": dispatch.OK, "failed": dispatch.Failed,
+				"returned": dispatch.WorkerFull, "lost": dispatch.ConnectionReset,
+			}[state]] = true
+			step(edge.In{Kind: edge.Told, Node: node, NoteID: 5, Note: &requests.Callback{
+				CallID: call, EndpointID: "w-" + strconv.Itoa(node),
+				State: state, Result: &result,
+			}})
 			i := slices.IndexFunc(b.outs, func(o edge.Out) bool { return o.Kind == edge.Acked })
 			s.Check(i >= 0 && b.outs[i].Status == 204 && b.outs[i].NoteID == 5, "a note was answered by %+v", b.outs)
 			s.Did(state)
@@ -296,8 +300,14 @@
 				rejected bool
 				bytes    int
 				result   dispatch.Result
-			}{{202, false, 0, dispatch.OK}, {503, true, 0, dispatch.WorkerFull}, {503, false, 0, dispatch.Failed},
-				{500, false, 0, dispatch.Failed}, {404, false, 0, dispatch.NotSent}, {202, false, 9, dispatch.ConnectionReset}}
+			}{
+				{202, false, 0, dispatch.OK},
+				{503, true, 0, dispatch.WorkerFull},
+				{503, false, 0, dispatch.Failed},
+				{500, false, 0, dispatch.Failed},
+				{404, false, 0, dispatch.NotSent},
+				{202, false, 9, dispatch.ConnectionReset},
+			}
 			a := answers[s.Pick(len(answers))]
 			if c.asked.Kind == edge.Sent {
 				find(c.asked.Call, c.node).may[a.result] = true
@@ -307,8 +317,10 @@
 			} else {
 				b.resting[c.node], c.since = append(b.resting[c.node], c.conn), b.now
 			}
-			step(edge.In{Kind: edge.Answered, Conn: c.conn, Node: c.node, Status: a.status, Rejected: a.rejected,
-				Bytes: a.bytes})
+			step(edge.In{
+				Kind: edge.Answered, Conn: c.conn, Node: c.node, Status: a.status, Rejected: a.rejected,
+				Bytes: a.bytes,
+			})
 			s.Did("answer " + strconv.Itoa(a.status))
 		default:
 			b.now += time.Duration(1+s.Pick(200)) * 10 * time.Millisecond
--- a/internal/lab/virtual/planner.go
+++ b/internal/lab/virtual/planner.go
@@ -54,8 +54,10 @@
 func newPlanSeat(spec *scenario.Scenario, n int, opt *Options, t *tiers, f *TierFigures) (*planSeat, error) {
 	set, err := platform.Settings(spec, 0)
 	set.Replicas, set.ReplicaIndex, set.Zone = 1, 0, spec.ZoneOf(n)
-	return &planSeat{n: n, name: plannerName(n - spec.Schedulers.Count), spec: spec, set: set, epoch: Epoch,
-		model: opt.Model, opt: opt, t: t, figures: f}, err
+	return &planSeat{
+		n: n, name: plannerName(n - spec.Schedulers.Count), spec: spec, set: set, epoch: Epoch,
+		model: opt.Model, opt: opt, t: t, figures: f,
+	}, err
 }
 
 func (s *planSeat) alive() (sprout int, runs, frozen bool) { return s.sprout, s.p != nil, s.frozen }
@@ -172,13 +174,16 @@
 }
 
 func newPlanProcess(s *planSeat, boot *edge.Boot) *planProcess {
-	p := &planProcess{s: s, now: s.epoch + s.now, disco: boot.Disco, links: map[planner.SessionID]*planLink{},
-		redial: make([]time.Duration, s.spec.Planners.Count), backoff: make([]time.Duration, s.spec.Planners.Count)}
+	p := &planProcess{
+		s: s, now: s.epoch + s.now, disco: boot.Disco, links: map[planner.SessionID]*planLink{},
+		redial: make([]time.Duration, s.spec.Planners.Count), backoff: make([]time.Duration, s.spec.Planners.Count),
+	}
 	me := membership.Member{Name: s.name, Role: membership.RolePlanner, Incarnation: uint64(p.now), Addr: s.name}
 	p.members = membership.NewPlannerMembership(me, membership.Config{})
 	p.lists = requests.New(1, s.set.Names, func() requests.Policy { return p }, boot.Known, p, slog.New(slog.DiscardHandler))
 	seed := boot.Seed
-	p.book = planner.New(planner.Config{Name: s.name, Incarnation: uint64(p.now), Version: codec.Version,
+	p.book = planner.New(planner.Config{
+		Name: s.name, Incarnation: uint64(p.now), Version: codec.Version,
 		Settings: s.set.Settings, NewPolicy: func() planner.Policy {
 			seed++
 			var m planner.Policy = dispatch.New(s.set.Settings, seed)
@@ -186,7 +191,8 @@
 				m = s.opt.Plan(s.n-s.spec.Schedulers.Count, m)
 			}
 			return m
-		}})
+		},
+	})
 	s.t.gossip.join(s.n, me)
 	p.timer = p.now
 	return p
--- a/internal/lab/virtual/process.go
+++ b/internal/lab/virtual/process.go
@@ -302,10 +302,14 @@
 		k.answer(503, min(fullFor, p.s.set.MaxRetryAfter), "")
 		return
 	}
-	q, err := p.ledger.Admit(p.now, requests.Arrival{CallID: a.Call, Responder: k,
-		Job: dispatch.Job{Class: a.Class, Tenant: a.Tenant, Remaining: a.Budget.Truncate(time.Millisecond),
-			Hint: a.Hint.Truncate(time.Microsecond), Slots: max(1, a.Slots), Retry: a.Again},
-		Payload: requests.Payload{Method: "POST", IdempotencyKey: a.Key, Body: zeros[:min(a.Body, len(zeros))]}})
+	q, err := p.ledger.Admit(p.now, requests.Arrival{
+		CallID: a.Call, Responder: k,
+		Job: dispatch.Job{
+			Class: a.Class, Tenant: a.Tenant, Remaining: a.Budget.Truncate(time.Millisecond),
+			Hint: a.Hint.Truncate(time.Microsecond), Slots: max(1, a.Slots), Retry: a.Again,
+		},
+		Payload: requests.Payload{Method: "POST", IdempotencyKey: a.Key, Body: zeros[:min(a.Body, len(zeros))]},
+	})
 	if err != nil {
 		k.answer(409, 0, "")
 		return
--- a/internal/lab/virtual/process_test.go
+++ b/internal/lab/virtual/process_test.go
@@ -167,8 +167,11 @@
 	for _, c := range []struct {
 		ins  []edge.In
 		span time.Duration
-	}{{nil, upWithin}, {[]edge.In{{Kind: edge.WatchUp}}, firstLine},
-		{[]edge.In{{Kind: edge.WatchUp}, {Kind: edge.Quiet}}, nextLine}} {
+	}{
+		{nil, upWithin},
+		{[]edge.In{{Kind: edge.WatchUp}}, firstLine},
+		{[]edge.In{{Kind: edge.WatchUp}, {Kind: edge.Quiet}}, nextLine},
+	} {
 		b.act(dispatch.Subscribe{})
 		b.step(c.ins...)
 		b.script.Heard = nil
@@ -186,8 +189,10 @@
 	b.start()
 	b.act(dispatch.Subscribe{})
 	list := func(state string) []edge.Out {
-		return b.step(edge.In{Kind: edge.Listed, List: &requests.EndpointList{Revision: 8, Reset: true,
-			Endpoints: []requests.Endpoint{{ID: "w-0", Lifecycle: state}}}})
+		return b.step(edge.In{Kind: edge.Listed, List: &requests.EndpointList{
+			Revision: 8, Reset: true,
+			Endpoints: []requests.Endpoint{{ID: "w-0", Lifecycle: state}},
+		}})
 	}
 	expect(t, "all drain", said(list("draining"), edge.Ready, edge.Unready), line(edge.Unready, "", 0))
 	expect(t, "one is back", said(list("up"), edge.Ready, edge.Unready), line(edge.Ready, "", 0))
--- a/internal/lab/virtual/tiers_random_test.go
+++ b/internal/lab/virtual/tiers_random_test.go
@@ -56,17 +56,24 @@
 		k.NoteTwice, k.NoteLost, k.NoteEarly = 0.1*rng.Float64(), 0.05*rng.Float64(), 0.3*rng.Float64()
 		k.HandsBack, k.StartMute = rng.IntN(3) == 0, rng.IntN(6) == 0
 	}
-	kinds := []string{"planner_kill", "planner_term", "planner_freeze", "planner_start", "planner_slow", "planner_drop",
+	kinds := []string{
+		"planner_kill", "planner_term", "planner_freeze", "planner_start", "planner_slow", "planner_drop",
 		"planner_cut", "planner_cut_one_way", "planner_kill", "planner_freeze", "planner_cut", "sched_kill", "sched_term",
-		"sched_freeze", "crash", "restart", "drain", "hang", "cut", "disco_down", "disco_old", "no_notes", "burst", "handback"}
+		"sched_freeze", "crash", "restart", "drain", "hang", "cut", "disco_down", "disco_old", "no_notes", "burst", "handback",
+	}
 	for range rng.IntN(9) {
 		f := scenario.Fault{What: kinds[rng.IntN(len(kinds))], At: span(100, int(s.Length/msSpan)), For: span(20, 3000)}
 		switch scenario.FaultKinds[f.What] {
 		case "planner":
 			f.On.Planners = []int{rng.IntN(s.Planners.Count)}
 		case "planners":
-			ends := [][2]string{{"planners", "schedulers"}, {"schedulers", "planners"}, {"planners", "planners"},
-				{"planners", "discovery"}, {"schedulers", "schedulers"}}[rng.IntN(5)]
+			ends := [][2]string{
+				{"planners", "schedulers"},
+				{"schedulers", "planners"},
+				{"planners", "planners"},
+				{"planners", "discovery"},
+				{"schedulers", "schedulers"},
+			}[rng.IntN(5)]
 			f.Between, f.And = ends[0], ends[1]
 			if f.Between == "planners" || f.And == "planners" {
 				f.On.Planners = []int{rng.IntN(s.Planners.Count)}
--- a/internal/lab/virtual/tiers_test.go
+++ b/internal/lab/virtual/tiers_test.go
@@ -92,17 +92,21 @@
 	"each order twice": {[]message.RejectReason{message.ReasonDuplicateCommand}, func(_ *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
 		return append(dst, o, o)
 	}},
-	"a copy at the same worker node": {[]message.RejectReason{message.ReasonDuplicateAtWorker},
+	"a copy at the same worker node": {
+		[]message.RejectReason{message.ReasonDuplicateAtWorker},
 		func(_ *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
 			return append(dst, o, again(o, func(m *message.SendCommand) { m.Attempt++ }))
-		}},
-	"to a worker node that drains": {[]message.RejectReason{message.ReasonWorkerDraining, message.ReasonUnknownWorker},
+		},
+	},
+	"to a worker node that drains": {
+		[]message.RejectReason{message.ReasonWorkerDraining, message.ReasonUnknownWorker},
 		func(d *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
 			if d.drained > 0 {
 				o = again(o, func(m *message.SendCommand) { m.WorkerID = d.drained })
 			}
 			return append(dst, o)
-		}},
+		},
+	},
 	"of an old epoch": {[]message.RejectReason{message.ReasonStaleEpoch}, func(_ *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
 		old := o
 		old.Envelope.Epoch--
@@ -110,7 +114,8 @@
 	}},
 	// A second order for whatever was sent a while ago: it is out, may have run, or is over.
 	"for what may have run": {[]message.RejectReason{message.ReasonPossiblyExecuted, message.ReasonOutsideScope}, func(d *spoiled, o planner.Action,
-		dst []planner.Action) []planner.Action {
+		dst []planner.Action,
+	) []planner.Action {
 		if len(d.last) > 6 {
 			old := d.last[0]
 			d.last = d.last[1:]
@@ -122,17 +127,21 @@
 		d.last = append(d.last, o)
 		return append(dst, o)
 	}},
-	"a refusal of what may have run": {[]message.RejectReason{message.ReasonUnsafeRejection},
+	"a refusal of what may have run": {
+		[]message.RejectReason{message.ReasonUnsafeRejection},
 		func(d *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
 			if dst = append(dst, o); d.n%5 == 0 {
 				dst = append(dst, insteadOf(o, &message.RejectCommand{RequestID: o.Envelope.Message.(*message.SendCommand).RequestID}))
 			}
 			return dst
-		}},
-	"of another forwarder's query": {[]message.RejectReason{message.ReasonUnknownRequest},
+		},
+	},
+	"of another forwarder's query": {
+		[]message.RejectReason{message.ReasonUnknownRequest},
 		func(_ *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
 			return append(dst, again(o, func(m *message.SendCommand) { m.RequestID += 1 << 20 }), o)
-		}},
+		},
+	},
 }
 
 // Whatever a planner orders, its forwarders' guards let nothing through that breaks a rule.
@@ -154,7 +163,8 @@
 					d.drained = hostNumber("w-3")
 				}
 			}
-			got, verdict := judged(t, spec, 1, Options{Watch: []seen.Watcher{watch},
+			got, verdict := judged(t, spec, 1, Options{
+				Watch: []seen.Watcher{watch},
 				Spoil: func(_ int, outs []planner.Action) (dst []planner.Action) {
 					for _, o := range outs {
 						if _, sends := o.Envelope.Message.(*message.SendCommand); o.Kind == planner.SendToForwarder && sends {
@@ -165,7 +175,8 @@
 						}
 					}
 					return dst
-				}})
+				},
+			})
 			for _, b := range verdict.Broken {
 				t.Errorf("%v\n%s", b, b.Story)
 			}
@@ -223,7 +234,8 @@
 			case x.What == seen.Answered:
 				failed++
 			}
-		}}})
+		}},
+	})
 	for _, b := range verdict.Broken {
 		t.Errorf("%v\n%s", b, b.Story)
 	}
--- a/internal/lab/world/agenda_test.go
+++ b/internal/lab/world/agenda_test.go
@@ -49,9 +49,36 @@
 // The case that once failed, laid out as the heap holds it: under the ninth entry the scan for the least child ran on,
 // from one that was less to the next, until it came to the thirteenth's children, which are less than what had gone up.
 func TestAgendaTakesAChild(t *testing.T) {
-	rows := []struct{ n, at int }{{1, 0}, {1, 1}, {1, 2}, {1, 3}, {1, 4}, {1, 50}, {1, 51}, {1, 52}, {1, 40}, {1, 60}, {1, 61},
-		{1, 62}, {1, 5}, {8, 70}, {12, 80}, {1, 99}, {1, 98}, {1, 97}, {1, 96}, {3, 95}, {1, 94}, {2, 95}, {1, 93},
-		{2, 95}, {1, 92}, {2, 95}, {4, 6}, {4, 200}}
+	rows := []struct{ n, at int }{
+		{1, 0},
+		{1, 1},
+		{1, 2},
+		{1, 3},
+		{1, 4},
+		{1, 50},
+		{1, 51},
+		{1, 52},
+		{1, 40},
+		{1, 60},
+		{1, 61},
+		{1, 62},
+		{1, 5},
+		{8, 70},
+		{12, 80},
+		{1, 99},
+		{1, 98},
+		{1, 97},
+		{1, 96},
+		{3, 95},
+		{1, 94},
+		{2, 95},
+		{1, 93},
+		{2, 95},
+		{1, 92},
+		{2, 95},
+		{4, 6},
+		{4, 200},
+	}
 	var a agenda
 	for _, r := range rows {
 		for range r.n {
--- a/internal/lab/world/arrivals.go
+++ b/internal/lab/world/arrivals.go
@@ -87,8 +87,10 @@
 			}
 			sum += part
 			a.reach = append(a.reach, sum)
-			a.cells = append(a.cells, &cell{class: i, tenant: j, rate: part * spec.Rate(),
-				drop: c.w.rng("quiet", i*len(spec.Tenants)+j)})
+			a.cells = append(a.cells, &cell{
+				class: i, tenant: j, rate: part * spec.Rate(),
+				drop: c.w.rng("quiet", i*len(spec.Tenants)+j),
+			})
 		}
 	}
 	for i := range a.reach {
--- a/internal/lab/world/clients.go
+++ b/internal/lab/world/clients.go
@@ -180,8 +180,10 @@
 		j.key = c.keyOf(j.n)
 	}
 	aim := min(k.Aim.D()+time.Duration(k.Stretch*j.work*float64(time.Second)), k.Deadline.D())
-	c.w.tell(seen.Sight{What: seen.Due, Job: j.n, Class: j.class, Tenant: j.tenant, Work: j.work, Slots: j.slots,
-		Key: j.key, Aim: aim, Deadline: k.Deadline.D(), Over: c.arrivals.over(j.tenant, c.w.now), Span: c.w.now - meant})
+	c.w.tell(seen.Sight{
+		What: seen.Due, Job: j.n, Class: j.class, Tenant: j.tenant, Work: j.work, Slots: j.slots,
+		Key: j.key, Aim: aim, Deadline: k.Deadline.D(), Over: c.arrivals.over(j.tenant, c.w.now), Span: c.w.now - meant,
+	})
 	k.deadlines.add(j.n)
 	if j.leaves > 0 {
 		c.w.after(j.leaves, func() { c.leave(j) })
@@ -194,8 +196,10 @@
 	if j.over {
 		return
 	}
-	t := &try{job: j.n, n: j.tries, class: j.class, tenant: int32(j.tenant), key: j.key, work: j.work,
-		slots: j.slots, of: j}
+	t := &try{
+		job: j.n, n: j.tries, class: j.class, tenant: int32(j.tenant), key: j.key, work: j.work,
+		slots: j.slots, of: j,
+	}
 	t.call = c.callOf(j.n, j.tries)
 	t.before = c.book.tried(t)
 	j.tries++
@@ -217,10 +221,14 @@
 	if k.tryTime < k.Deadline.D() && j.deadline-now > k.tryTime {
 		k.ends.add(t.job<<tryBits | uint64(t.n))
 	}
-	a := &edge.Ask{Call: t.call, Class: t.class, Tenant: j.tenant, Key: t.key, Budget: budget, Hint: j.hint,
-		Slots: t.slots, Body: j.body, Again: t.n > 0 && c.w.Spec.Clients.MarkRetry}
-	c.w.tell(c.about(t, seen.Sight{What: seen.Asked, Sched: l.conn.sched, Conn: uint64(l.conn.id), Budget: budget,
-		Again: a.Again}))
+	a := &edge.Ask{
+		Call: t.call, Class: t.class, Tenant: j.tenant, Key: t.key, Budget: budget, Hint: j.hint,
+		Slots: t.slots, Body: j.body, Again: t.n > 0 && c.w.Spec.Clients.MarkRetry,
+	}
+	c.w.tell(c.about(t, seen.Sight{
+		What: seen.Asked, Sched: l.conn.sched, Conn: uint64(l.conn.id), Budget: budget,
+		Again: a.Again,
+	}))
 	l.send(a)
 	return true
 }
@@ -273,8 +281,10 @@
 	c.unsettled--
 	c.book.settle(j.n)
 	c.classes[j.class].known.add(j.n)
-	c.w.tell(seen.Sight{What: seen.Settled, Job: j.n, Class: j.class, Tenant: j.tenant, Try: j.tries - 1,
-		Status: j.status})
+	c.w.tell(seen.Sight{
+		What: seen.Settled, Job: j.n, Class: j.class, Tenant: j.tenant, Try: j.tries - 1,
+		Status: j.status,
+	})
 	if j.asker != nil {
 		j.asker.again()
 	}
@@ -409,8 +419,10 @@
 // connection carries ends nothing.
 func (l *line) answered(a answer) {
 	c, t := l.pool.c, l.try
-	s := seen.Sight{What: seen.Answered, Status: a.status, After: a.after, Text: a.text, Sched: l.conn.sched,
-		Conn: uint64(l.conn.id)}
+	s := seen.Sight{
+		What: seen.Answered, Status: a.status, After: a.after, Text: a.text, Sched: l.conn.sched,
+		Conn: uint64(l.conn.id),
+	}
 	mine := t != nil && t.call == a.call
 	if mine {
 		s = c.about(t, s)
--- a/internal/lab/world/discovery.go
+++ b/internal/lab/world/discovery.go
@@ -100,8 +100,10 @@
 )
 
 func newDiscovery(w *World) *discovery {
-	d := &discovery{w: w, dice: newDice(w.seed, "discovery"), gen: firstGen, of: make([]int, len(w.nodes)),
-		wrongs: make([]int, len(w.nodes)), cuts: make([]int, len(w.nodes))}
+	d := &discovery{
+		w: w, dice: newDice(w.seed, "discovery"), gen: firstGen, of: make([]int, len(w.nodes)),
+		wrongs: make([]int, len(w.nodes)), cuts: make([]int, len(w.nodes)),
+	}
 	d.phase = time.Duration(d.dice.roll(0, 0).Float64() * float64(w.Spec.Discovery.Period))
 	return d
 }
@@ -151,8 +153,10 @@
 		zone = zones[n.zone]
 	}
 	d.of[n.n] = len(d.list)
-	d.list = append(d.list, listing{node: n.n, host: requests.Endpoint{ID: n.id, Addr: d.w.NodeAddr(n.place()), Zone: zone,
-		MachineType: n.kind.Name, Cell: n.cell, Weight: weight}})
+	d.list = append(d.list, listing{node: n.n, host: requests.Endpoint{
+		ID: n.id, Addr: d.w.NodeAddr(n.place()), Zone: zone,
+		MachineType: n.kind.Name, Cell: n.cell, Weight: weight,
+	}})
 	return &d.list[len(d.list)-1]
 }
 
--- a/internal/lab/world/discovery_test.go
+++ b/internal/lab/world/discovery_test.go
@@ -96,8 +96,10 @@
 		e := &d.list[d.of[n.n]]
 		if up := n.state == nodeUp && !n.gone; up {
 			state := map[bool]string{false: "up", true: "draining"}[n.draining]
-			want[n.id] = requests.Endpoint{ID: n.id, Addr: f.w.NodeAddr(n.place()), Zone: "a", MachineType: n.kind.Name, Cell: n.cell,
-				Lifecycle: state, Weight: e.host.Weight, StartedAtMs: n.startedMs()}
+			want[n.id] = requests.Endpoint{
+				ID: n.id, Addr: f.w.NodeAddr(n.place()), Zone: "a", MachineType: n.kind.Name, Cell: n.cell,
+				Lifecycle: state, Weight: e.host.Weight, StartedAtMs: n.startedMs(),
+			}
 		}
 	}
 	for i, x := range f.scheds {
@@ -137,19 +139,29 @@
 		from, until time.Duration // of when it was listed
 	}{
 		"over a watch": {from: 0, until: 5 * time.Millisecond},
-		"on a watch that is cut off": {before: func(f *fate) { f.w.net.cut(disco, scheds, true) },
-			from: 6 * time.Second, until: 6 * time.Second},
-		"without a watch": {before: func(f *fate) { f.scheds[0].mute = true; f.w.disco.down()() },
-			from: 9 * time.Second, until: 10 * time.Second}, // ask_every, from when it had the watch
-		"after a call that failed": {before: func(f *fate) {
-			f.w.disco.down()
-			f.w.after(2*time.Second, func() { f.scheds[0].mute = true })
+		"on a watch that is cut off": {
+			before: func(f *fate) { f.w.net.cut(disco, scheds, true) },
+			from:   6 * time.Second, until: 6 * time.Second,
+		},
+		"without a watch": {
+			before: func(f *fate) { f.scheds[0].mute = true; f.w.disco.down()() },
+			from:   9 * time.Second, until: 10 * time.Second,
+		}, // ask_every, from when it had the watch
+		"after a call that failed": {
+			before: func(f *fate) {
+				f.w.disco.down()
+				f.w.after(2*time.Second, func() { f.scheds[0].mute = true })
+			},
+			from: 38 * time.Second, until: 40 * time.Second,
+		},
+		"after SIGHUP": {
+			before: func(f *fate) { f.w.disco.down() }, after: func(f *fate) { f.w.scheds[0].reload() },
+			from: 8 * time.Second, until: 8100 * time.Millisecond,
+		},
+		"by the next process": {
+			before: func(f *fate) { f.w.scheds[0].kill(10 * time.Second) },
+			from:   5 * time.Second, until: 6 * time.Second,
 		},
-			from: 38 * time.Second, until: 40 * time.Second},
-		"after SIGHUP": {before: func(f *fate) { f.w.disco.down() }, after: func(f *fate) { f.w.scheds[0].reload() },
-			from: 8 * time.Second, until: 8100 * time.Millisecond},
-		"by the next process": {before: func(f *fate) { f.w.scheds[0].kill(10 * time.Second) },
-			from: 5 * time.Second, until: 6 * time.Second},
 		"frozen": {before: func(f *fate) { f.w.scheds[0].freeze(time.Minute) }, from: 0, until: 5 * time.Millisecond},
 	} {
 		f := newFate(t, quiet(4, 1), 1)
@@ -226,13 +238,19 @@
 		"wrong":        {[]act{func(f *fate) { undo = f.w.disco.wrong([]int{1}) }, crash, start, crash, off}, "up2 removed "},
 		"wrong, later": {[]act{crash, func(f *fate) { undo = f.w.disco.wrong([]int{1}) }, off}, "removed up1 removed "},
 		"old":          {[]act{func(f *fate) { undo = f.w.disco.old() }, crash, off}, "removed "},
-		"down": {[]act{func(f *fate) { undo = f.w.disco.down() }, crash, func(f *fate) { f.scheds[0].mute = true; undo() }},
-			"end failed "},
+		"down": {
+			[]act{func(f *fate) { undo = f.w.disco.down() }, crash, func(f *fate) { f.scheds[0].mute = true; undo() }},
+			"end failed ",
+		},
 		"cut": {[]act{func(f *fate) { f.w.after(9*time.Second, f.w.disco.cutOff([]int{1})) }}, "removed up1 "},
-		"cut, then drains unseen": {[]act{func(f *fate) { undo = f.w.disco.cutOff([]int{1}) },
-			func(f *fate) { one(f).drain() }, off}, "removed draining "},
-		"moved": {[]act{func(f *fate) { f.w.disco.move() }, func(f *fate) { f.scheds[0].mute = true; f.w.scheds[0].reload() },
-			crash}, "end failed whole removed "},
+		"cut, then drains unseen": {[]act{
+			func(f *fate) { undo = f.w.disco.cutOff([]int{1}) },
+			func(f *fate) { one(f).drain() }, off,
+		}, "removed draining "},
+		"moved": {[]act{
+			func(f *fate) { f.w.disco.move() }, func(f *fate) { f.scheds[0].mute = true; f.w.scheds[0].reload() },
+			crash,
+		}, "end failed whole removed "},
 	} {
 		f := newFate(t, quiet(4, 1), 2)
 		f.run(10 * time.Second)
--- a/internal/lab/world/faults_test.go
+++ b/internal/lab/world/faults_test.go
@@ -148,14 +148,24 @@
 	spec := quiet(1, 1)
 	spec.Name = "overlap"
 	spec.Faults = []scenario.Fault{
-		{What: "slow", At: 2 * s, For: 4 * s, Size: 2}, {What: "slow", At: 4 * s, For: 4 * s, Size: 3},
-		{What: "errors", At: 2 * s, For: 4 * s, Size: 0.7}, {What: "errors", At: 4 * s, For: 4 * s, Size: 0.2},
-		{What: "reset_at", At: 2 * s, For: 6 * s, Size: 9}, {What: "reset_at", At: 4 * s, For: 2 * s, Size: -5},
-		{What: "refuse", At: 2 * s, For: 4 * s}, {What: "refuse", At: 4 * s, For: 4 * s}}
+		{What: "slow", At: 2 * s, For: 4 * s, Size: 2},
+		{What: "slow", At: 4 * s, For: 4 * s, Size: 3},
+		{What: "errors", At: 2 * s, For: 4 * s, Size: 0.7},
+		{What: "errors", At: 4 * s, For: 4 * s, Size: 0.2},
+		{What: "reset_at", At: 2 * s, For: 6 * s, Size: 9},
+		{What: "reset_at", At: 4 * s, For: 2 * s, Size: -5},
+		{What: "refuse", At: 2 * s, For: 4 * s},
+		{What: "refuse", At: 4 * s, For: 4 * s},
+	}
 	f := newFate(t, spec, 1)
 	n := f.w.nodes[0]
-	for _, want := range [][]any{{1.0, -1.0, 0, false}, {2.0, 0.7, 9, true}, {6.0, 0.7, -5, true}, {3.0, 0.2, 9, true},
-		{1.0, -1.0, 0, false}} {
+	for _, want := range [][]any{
+		{1.0, -1.0, 0, false},
+		{2.0, 0.7, 9, true},
+		{6.0, 0.7, -5, true},
+		{3.0, 0.2, 9, true},
+		{1.0, -1.0, 0, false},
+	} {
 		f.run(time.Second)
 		if got := []any{n.drag, n.errors, n.resets, n.refusing}; !slices.Equal(got, want) {
 			t.Errorf("at %v it is %v, and should be %v", f.w.now, got, want)
@@ -169,9 +179,11 @@
 	s := scenario.Span(time.Second)
 	spec := quiet(4, 1)
 	spec.Name = "spread"
-	spec.Faults = []scenario.Fault{{What: "hang", At: 2 * s, For: 3 * s, Spread: 8 * s},
+	spec.Faults = []scenario.Fault{
+		{What: "hang", At: 2 * s, For: 3 * s, Spread: 8 * s},
 		{What: "crash", At: 20 * s, For: 2 * s, On: scenario.Target{Names: []string{"w-1"}}},
-		{What: "crash", At: 30 * s, On: scenario.Target{Names: []string{"w-1"}}}}
+		{What: "crash", At: 30 * s, On: scenario.Target{Names: []string{"w-1"}}},
+	}
 	f := newFate(t, spec, 1)
 	f.run(time.Minute)
 	var got []int
--- a/internal/lab/world/front.go
+++ b/internal/lab/world/front.go
@@ -29,8 +29,10 @@
 
 func newFront(w *World) *front {
 	n := len(w.scheds)
-	f := &front{w: w, admitted: make([]bool, n), drops: make([]time.Duration, n), load: make([]int, n),
-		turn: make([]int, max(1, len(w.Spec.Fleet.Zones)))}
+	f := &front{
+		w: w, admitted: make([]bool, n), drops: make([]time.Duration, n), load: make([]int, n),
+		turn: make([]int, max(1, len(w.Spec.Fleet.Zones))),
+	}
 	for i := range f.drops {
 		f.drops[i] = -1
 	}
--- a/internal/lab/world/harness_clients_test.go
+++ b/internal/lab/world/harness_clients_test.go
@@ -94,8 +94,10 @@
 
 // reply has a query answered.
 func (t *stage) reply(in *edge.In, status int, after time.Duration) {
-	t.outs = append(t.outs, edge.Out{Kind: edge.Replied, Sched: in.Sched, Conn: in.Conn, Call: in.Ask.Call,
-		Status: status, After: after, Result: "r"})
+	t.outs = append(t.outs, edge.Out{
+		Kind: edge.Replied, Sched: in.Sched, Conn: in.Conn, Call: in.Ask.Call,
+		Status: status, After: after, Result: "r",
+	})
 }
 
 // serve answers everything at once.
--- a/internal/lab/world/harness_nodes_test.go
+++ b/internal/lab/world/harness_nodes_test.go
@@ -90,8 +90,10 @@
 	for i := range r.ins[from:] {
 		if in := &r.ins[from+i]; in.Kind == edge.Told {
 			if status, ok := r.ack(in); ok {
-				r.outs = append(r.outs, edge.Out{Kind: edge.Acked, Sched: in.Sched, Node: in.Node, NoteID: in.NoteID,
-					Status: status})
+				r.outs = append(r.outs, edge.Out{
+					Kind: edge.Acked, Sched: in.Sched, Node: in.Node, NoteID: in.NoteID,
+					Status: status,
+				})
 			}
 		}
 	}
--- a/internal/lab/world/network_test.go
+++ b/internal/lab/world/network_test.go
@@ -15,8 +15,10 @@
 func TestDelays(t *testing.T) {
 	spec, _ := plain(4)
 	spec.Fleet.Zones = []string{"a", "b"}
-	spec.Net = scenario.Net{Delay: scenario.Span(ms), Cross: scenario.Span(10 * ms), Client: scenario.Span(2 * ms),
-		Jitter: 0.5}
+	spec.Net = scenario.Net{
+		Delay: scenario.Span(ms), Cross: scenario.Span(10 * ms), Client: scenario.Span(2 * ms),
+		Jitter: 0.5,
+	}
 	r := newRig(t, spec, 1)
 	check := func(from, to party, want, cv float64) {
 		t.Helper()
--- a/internal/lab/world/node_cold.go
+++ b/internal/lab/world/node_cold.go
@@ -73,8 +73,10 @@
 		return false
 	}
 	capacity, now := n.size()*share, n.w.now
-	n.w.tell(seen.Sight{What: seen.Pushed, Call: a.call, Node: n.n, Sched: a.sched, Slots: a.slots,
-		Work: work / a.slots, Share: capacity})
+	n.w.tell(seen.Sight{
+		What: seen.Pushed, Call: a.call, Node: n.n, Sched: a.sched, Slots: a.slots,
+		Work: work / a.slots, Share: capacity,
+	})
 	for c.first < len(c.arrived) && c.arrived[c.first].at <= now-rules.Fall.D() {
 		old := c.arrived[c.first]
 		if c.sum -= old.work; old.told {
--- a/internal/lab/world/node_links.go
+++ b/internal/lab/world/node_links.go
@@ -205,8 +205,10 @@
 	c, bytes := l.c, max(0, -l.resets)
 	n.w.toSched(c, func() {
 		l.unread = nil
-		n.w.in(edge.In{Kind: edge.Answered, Sched: c.sched, Node: n.n, Conn: c.id, Status: status, Rejected: rejected,
-			Bytes: bytes})
+		n.w.in(edge.In{
+			Kind: edge.Answered, Sched: c.sched, Node: n.n, Conn: c.id, Status: status, Rejected: rejected,
+			Bytes: bytes,
+		})
 	})
 	if bytes > 0 {
 		n.hangUp(l)
--- a/internal/lab/world/node_notes.go
+++ b/internal/lab/world/node_notes.go
@@ -71,8 +71,10 @@
 
 func (n *node) newNote(a *attempt, state string) *note {
 	p := &n.post
-	t := &note{id: uint64(n.n)<<32 | (p.first + uint64(len(p.notes))), sched: a.sched,
-		body: requests.Callback{CallID: a.call, EndpointID: n.id, State: state}}
+	t := &note{
+		id: uint64(n.n)<<32 | (p.first + uint64(len(p.notes))), sched: a.sched,
+		body: requests.Callback{CallID: a.call, EndpointID: n.id, State: state},
+	}
 	if state == "done" {
 		t.result = a.result
 		t.body.Result = &t.result
@@ -148,8 +150,10 @@
 		n.inbox = append(n.inbox, func() { n.answered(id, status) })
 	case status == 200 || status == 204:
 		n.close(t)
-		n.w.tell(seen.Sight{What: seen.Noted, Call: t.body.CallID, Node: n.n, Sched: t.sched, Text: t.body.State,
-			Status: status, Try: t.tries})
+		n.w.tell(seen.Sight{
+			What: seen.Noted, Call: t.body.CallID, Node: n.n, Sched: t.sched, Text: t.body.State,
+			Status: status, Try: t.tries,
+		})
 		if twice := n.kind.NoteTwice; twice > 0 && n.fleet.dice.roll(id, 0).Float64() < twice {
 			n.w.after(noteAgain, func() { n.bear(t) })
 		}
--- a/internal/lab/world/node_work.go
+++ b/internal/lab/world/node_work.go
@@ -71,8 +71,10 @@
 	if l.sent == a {
 		l.sent = nil
 	}
-	n.w.tell(seen.Sight{What: seen.Reached, Call: a.call, Node: n.n, Boot: n.boot, Sched: a.sched,
-		Conn: uint64(l.c.id), Key: a.key, Budget: a.budget, First: a.first})
+	n.w.tell(seen.Sight{
+		What: seen.Reached, Call: a.call, Node: n.n, Boot: n.boot, Sched: a.sched,
+		Conn: uint64(l.c.id), Key: a.key, Budget: a.budget, First: a.first,
+	})
 	t := f.find(a.call)
 	switch {
 	case a.call == "":
--- a/internal/lab/world/nodes.go
+++ b/internal/lab/world/nodes.go
@@ -115,24 +115,30 @@
 
 func newNodes(w *World) []*node {
 	spec := w.Spec
-	f := &fleet{w: w, dice: newDice(w.seed, "attempts"), keys: newKeyMemory(len(spec.Classes)),
-		slack: fallSlack * spec.MeanCost()}
+	f := &fleet{
+		w: w, dice: newDice(w.seed, "attempts"), keys: newKeyMemory(len(spec.Classes)),
+		slack: fallSlack * spec.MeanCost(),
+	}
 	f.find = func(call string) *try { return w.clients.find(call) }
 	f.told = func(sched int, n *node) bool { return w.disco.told(sched, n) }
 	f.saw = func(n *node, what lifeEvent) { w.disco.saw(n, what) }
 	for i := range spec.Classes {
 		c := &spec.Classes[i]
-		f.classes = append(f.classes, classRules{keyed: c.Effect == "keyed", group: c.Group, window: c.Window.D(),
+		f.classes = append(f.classes, classRules{
+			keyed: c.Effect == "keyed", group: c.Group, window: c.Window.D(),
 			kind:  slices.IndexFunc(spec.Fleet.Kinds, func(k scenario.Kind) bool { return c.Kind != "" && k.Name == c.Kind }),
-			noise: c.Noise})
+			noise: c.Noise,
+		})
 	}
 	kinds := dealKinds(spec, w.rng("kinds", 0))
 	zones, size := max(1, len(spec.Fleet.Zones)), max(1, spec.Fleet.CellSize)
 	nodes := make([]*node, spec.Fleet.Nodes)
 	for i := range nodes {
-		n := &node{w: w, fleet: f, n: i, id: "w-" + strconv.Itoa(i), boot: 1, which: kinds[i],
+		n := &node{
+			w: w, fleet: f, n: i, id: "w-" + strconv.Itoa(i), boot: 1, which: kinds[i],
 			kind: &spec.Fleet.Kinds[kinds[i]], zone: i % zones, rng: w.rng("node", i), drag: 1, errors: -1, sinceOld: true,
-			hand: map[string]*attempt{}}
+			hand: map[string]*attempt{},
+		}
 		// Cells are racks: each takes its worker nodes from one zone, apart from those in which a zone ends.
 		place := i / zones
 		for z := range n.zone {
--- a/internal/lab/world/scheds.go
+++ b/internal/lab/world/scheds.go
@@ -85,9 +85,11 @@
 	s.alive, s.ready, s.frozen, s.draining, s.termed, s.reloads = true, false, false, false, false, false
 	s.since, s.thawAt, s.disco = s.w.now, 0, s.w.disco.index
 	s.tell(seen.SchedUp, 0)
-	s.w.in(edge.In{Kind: edge.Start, Sched: s.n, Boot: &edge.Boot{Name: s.name(),
+	s.w.in(edge.In{Kind: edge.Start, Sched: s.n, Boot: &edge.Boot{
+		Name:  s.name(),
 		Seed:  s.w.rng("boot", s.n<<20|s.sprout).Uint64(), // whatever else was drawn
-		Known: v.known(), Disco: s.disco}})
+		Known: v.known(), Disco: s.disco,
+	}})
 	v.begins()
 	waits := s.onStart
 	s.onStart = nil
--- a/internal/lab/world/scheds_test.go
+++ b/internal/lab/world/scheds_test.go
@@ -19,26 +19,42 @@
 		do   func(f *fate)
 		want []step
 	}{
-		"kill": {func(f *fate) { f.w.scheds[0].kill(2 * time.Second) },
-			[]step{{seen.SchedKill, 0}, {seen.SchedUp, 2000}, {seen.SchedReady, 2000}}},
+		"kill": {
+			func(f *fate) { f.w.scheds[0].kill(2 * time.Second) },
+			[]step{{seen.SchedKill, 0}, {seen.SchedUp, 2000}, {seen.SchedReady, 2000}},
+		},
 		"kill for good": {func(f *fate) { f.w.scheds[0].kill(0) }, []step{{seen.SchedKill, 0}}},
 		"planned restart": {func(f *fate) { f.w.scheds[0].term(time.Second) }, // the longest deadline counts as 3 s
-			[]step{{seen.SchedTerm, 0}, {seen.SchedKill, 3700}, {seen.SchedUp, 4700},
-				{seen.SchedReady, 4700}}},
-		"planned restart, ends by itself": {func(f *fate) { f.exit = true; f.w.scheds[0].term(time.Second) },
-			append([]step{{seen.SchedTerm, 0}, {seen.SchedExit, 0}}, again...)},
+			[]step{
+				{seen.SchedTerm, 0},
+				{seen.SchedKill, 3700},
+				{seen.SchedUp, 4700},
+				{seen.SchedReady, 4700},
+			}},
+		"planned restart, ends by itself": {
+			func(f *fate) { f.exit = true; f.w.scheds[0].term(time.Second) },
+			append([]step{{seen.SchedTerm, 0}, {seen.SchedExit, 0}}, again...),
+		},
 		"crash": {func(f *fate) {
 			f.outs = append(f.outs, edge.Out{Kind: edge.Exited, Status: 2})
 			f.scheds[0].up = false
 		}, append([]step{{seen.SchedExit, 0}}, again...)},
-		"freeze twice": {func(f *fate) { f.w.scheds[0].freeze(3 * time.Second); f.w.scheds[0].freeze(time.Second) },
-			[]step{{seen.SchedFroze, 0}, {seen.SchedWoke, 3000}}},
+		"freeze twice": {
+			func(f *fate) { f.w.scheds[0].freeze(3 * time.Second); f.w.scheds[0].freeze(time.Second) },
+			[]step{{seen.SchedFroze, 0}, {seen.SchedWoke, 3000}},
+		},
 		"freeze, killed, frozen again": {func(f *fate) {
 			f.w.scheds[0].freeze(9 * time.Second)
 			f.w.scheds[0].kill(time.Second)
 			f.w.after(2*time.Second, func() { f.w.scheds[0].freeze(time.Second) })
-		}, []step{{seen.SchedFroze, 0}, {seen.SchedKill, 0}, {seen.SchedUp, 1000}, {seen.SchedReady, 1000},
-			{seen.SchedFroze, 2000}, {seen.SchedWoke, 3000}}},
+		}, []step{
+			{seen.SchedFroze, 0},
+			{seen.SchedKill, 0},
+			{seen.SchedUp, 1000},
+			{seen.SchedReady, 1000},
+			{seen.SchedFroze, 2000},
+			{seen.SchedWoke, 3000},
+		}},
 		"reload": {func(f *fate) { f.w.disco.move(); f.w.scheds[0].reload() }, []step{{seen.SchedHup, 0}}},
 		"reload in the first second": {func(f *fate) {
 			f.w.scheds[0].kill(time.Second)
--- a/internal/lab/yardstick/base.go
+++ b/internal/lab/yardstick/base.go
@@ -84,8 +84,10 @@
 }
 
 func newBase(set dispatch.Settings, seed uint64) *base {
-	return &base{set: set, rng: rand.New(rand.NewPCG(seed, 1)), jobs: map[uint64]*job{}, workers: map[uint64]*worker{},
-		fullLeft: make([]time.Duration, len(set.Classes))}
+	return &base{
+		set: set, rng: rand.New(rand.NewPCG(seed, 1)), jobs: map[uint64]*job{}, workers: map[uint64]*worker{},
+		fullLeft: make([]time.Duration, len(set.Classes)),
+	}
 }
 
 // Step is a ledger.Module's.
--- a/internal/lab/yardstick/yardstick.go
+++ b/internal/lab/yardstick/yardstick.go
@@ -43,10 +43,14 @@
 	return []Policy{
 		{"random", "any worker node, each as likely", simple(func(b *base) chooser { return random{b} })},
 		{"round-robin", "the worker nodes in turn", simple(func(b *base) chooser { return &roundRobin{base: b} })},
-		{"two-choices", "the one with fewer queries of the scheduler's own out, of two drawn at random",
-			simple(func(b *base) chooser { return twoChoices{b} })},
-		{"least-outstanding", "the one with the fewest queries of the scheduler's own out",
-			simple(func(b *base) chooser { return &leastOutstanding{base: b} })},
+		{
+			"two-choices", "the one with fewer queries of the scheduler's own out, of two drawn at random",
+			simple(func(b *base) chooser { return twoChoices{b} }),
+		},
+		{
+			"least-outstanding", "the one with the fewest queries of the scheduler's own out",
+			simple(func(b *base) chooser { return &leastOutstanding{base: b} }),
+		},
 		{"all-seeing", "the query first whose start can wait least, to a worker node that truly can start it now and" +
 			" be in time; what can't be in time is refused", func() Maker {
 			flight := &inFlight{}
--- a/internal/lab/yardstick/yardstick_test.go
+++ b/internal/lab/yardstick/yardstick_test.go
@@ -35,8 +35,10 @@
 	return g
 }
 
-var plain = dispatch.Settings{Replicas: 1, AttemptLimit: 4, Hedging: true, WarmUp: 10 * time.Second, WarmUpCapacity: 0.25,
-	MaxRetryAfter: time.Second, Classes: []dispatch.Class{{LatencyObjective: time.Second, ClientTimeout: 5 * time.Second, Idempotency: dispatch.Idempotent}}}
+var plain = dispatch.Settings{
+	Replicas: 1, AttemptLimit: 4, Hedging: true, WarmUp: 10 * time.Second, WarmUpCapacity: 0.25,
+	MaxRetryAfter: time.Second, Classes: []dispatch.Class{{LatencyObjective: time.Second, ClientTimeout: 5 * time.Second, Idempotency: dispatch.Idempotent}},
+}
 
 func listOf(n int) dispatch.WorkerList {
 	l := dispatch.WorkerList{Kind: dispatch.ListFull}
@@ -77,8 +79,12 @@
 	for _, c := range []struct {
 		name        string
 		least, most int // jobs at one of the nodes
-	}{{"random", 25, 80}, {"round-robin", each, each}, {"two-choices", each - 4, each + 4},
-		{"least-outstanding", each, each}} {
+	}{
+		{"random", 25, 80},
+		{"round-robin", each, each},
+		{"two-choices", each - 4, each + 4},
+		{"least-outstanding", each, each},
+	} {
 		m, at := module(t, c.name, plain, nil), map[uint64]int{}
 		m.Step(1, []dispatch.Event{listOf(nodes)}, nil)
 		for _, s := range sends(m.Step(2, jobs(1, nodes*each), nil)) {
@@ -222,8 +228,10 @@
 	set.Hedging, set.MustSubscribe, set.PollInterval = seed%2 == 0, seed%3 == 0, time.Second
 	set.Classes = nil
 	for _, e := range []dispatch.Idempotency{dispatch.Idempotent, dispatch.IdempotentWithKey, dispatch.NonIdempotent} {
-		c := dispatch.Class{LatencyObjective: 300 * time.Millisecond, ObjectiveStretch: 1, ClientTimeout: 2 * time.Second, Idempotency: e,
-			DeduplicationScope: dispatch.DeduplicationScope(seed % 3), DeduplicationWindow: time.Second}
+		c := dispatch.Class{
+			LatencyObjective: 300 * time.Millisecond, ObjectiveStretch: 1, ClientTimeout: 2 * time.Second, Idempotency: e,
+			DeduplicationScope: dispatch.DeduplicationScope(seed % 3), DeduplicationWindow: time.Second,
+		}
 		if seed%5 == 0 {
 			c.Kinds = []int{0}
 		}
--- a/internal/run/capture_test.go
+++ b/internal/run/capture_test.go
@@ -38,10 +38,12 @@
 	w.talk("POST /b HTTP/1.1\r\nX-Call-Class: b\r\nContent-Length: 0\r\n\r\n").ReadString('\n')
 	text := w.dumped()
 	w.stop()
-	for _, want := range []string{`"in":"head","id":"9b1f03aa5c7e2d41","method":"POST","path":"/a","class":"a","tenant":"swat-society"`,
+	for _, want := range []string{
+		`"in":"head","id":"9b1f03aa5c7e2d41","method":"POST","path":"/a","class":"a","tenant":"swat-society"`,
 		`"out":"send","id":"9b1f03aa5c7e2d41","worker":"s-1"`, `"in":"answer","id":"9b1f03aa5c7e2d41","status":202`,
 		`"in":"event","id":"9b1f03aa5c7e2d41","length":17,"state":"done"`, `"out":"over","id":"9b1f03aa5c7e2d41","outcome":"served"`,
-		`"out":"turned away","status":400`, `"in":"start","why":"start"`, `"in":"hosts"`} {
+		`"out":"turned away","status":400`, `"in":"start","why":"start"`, `"in":"hosts"`,
+	} {
 		if !strings.Contains(text, want) {
 			t.Errorf("no %s in\n%s", want, text)
 		}
@@ -96,8 +98,10 @@
 	l := listen(t)
 	addr := l.Addr().String()
 	l.Close()
-	s := &started{T: t, path: filepath.Join(t.TempDir(), "config.json"), ops: filepath.Join(t.TempDir(), "ops.toml"),
-		addr: addr, end: make(chan error, 1)}
+	s := &started{
+		T: t, path: filepath.Join(t.TempDir(), "config.json"), ops: filepath.Join(t.TempDir(), "ops.toml"),
+		addr: addr, end: make(chan error, 1),
+	}
 	s.configure(strings.Replace(conf, "127.0.0.1:0", addr, 1))
 	s.write(s.ops, ops)
 	go func() {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -109,11 +109,15 @@
 	}
 }
 
-var results = map[int64]dispatch.Result{200: dispatch.OK, 500: dispatch.Failed, 503: dispatch.WorkerFull, 504: dispatch.TimedOut,
-	502: dispatch.ConnectFailed, 598: dispatch.ConnectionReset, 499: dispatch.Cancelled, 410: dispatch.NotSent}
+var results = map[int64]dispatch.Result{
+	200: dispatch.OK, 500: dispatch.Failed, 503: dispatch.WorkerFull, 504: dispatch.TimedOut,
+	502: dispatch.ConnectFailed, 598: dispatch.ConnectionReset, 499: dispatch.Cancelled, 410: dispatch.NotSent,
+}
 
-var listKinds = map[string]dispatch.ListKind{"incr": dispatch.ListDelta, "total": dispatch.ListFull,
-	"warm_copy": dispatch.ListCached, "lost": dispatch.ListUnavailable}
+var listKinds = map[string]dispatch.ListKind{
+	"incr": dispatch.ListDelta, "total": dispatch.ListFull,
+	"warm_copy": dispatch.ListCached, "lost": dispatch.ListUnavailable,
+}
 
 // input decodes one event line and, for a worker list, the entries that follow it.
 func (r *Reader) input(line string) (Input, error) {
@@ -146,14 +150,18 @@
 		}
 		in.Event = dispatch.WorkerList{Kind: kind, Workers: list}
 	case "REQUEST":
-		in.Event = dispatch.Job{ID: f.id("txn"), Class: int(f.whole("service", true)),
+		in.Event = dispatch.Job{
+			ID: f.id("txn"), Class: int(f.whole("service", true)),
 			Tenant: int(f.whole("client_group", false)), Key: uint64(f.whole("key", false)),
 			Remaining: f.span("left", true), Hint: f.span("effort", false), Slots: f.number("slots"),
-			Memory: f.number("mem"), Retry: f.flag("retry")}
+			Memory: f.number("mem"), Retry: f.flag("retry"),
+		}
 	case "RESOLVED":
 		attempt()
-		in.Event = dispatch.Outcome{Job: id, Attempt: shot, Worker: worker, Result: f.result("verdict"),
-			Closed: f.flag("terminal"), Report: f.row("telemetry")}
+		in.Event = dispatch.Outcome{
+			Job: id, Attempt: shot, Worker: worker, Result: f.result("verdict"),
+			Closed: f.flag("terminal"), Report: f.row("telemetry"),
+		}
 	case "CHECKED":
 		in.Event = dispatch.HealthChecked{Worker: f.id("worker"), Result: f.result("verdict"), Report: f.row("telemetry")}
 	case "PROGRESS":
@@ -198,8 +206,10 @@
 		if name != "M" {
 			return nil, r.fault(fmt.Errorf("expected entry %d of %d, got %q", n+1, rows, short(line)))
 		}
-		w := dispatch.Worker{ID: f.id("worker"), Kind: int(f.whole("model", false)), Size: f.number("power_hint"),
-			Cell: int(f.whole("cohort", false)), Zone: int(f.whole("dc", false)), BootAt: f.span("boot_time", false)}
+		w := dispatch.Worker{
+			ID: f.id("worker"), Kind: int(f.whole("model", false)), Size: f.number("power_hint"),
+			Cell: int(f.whole("cohort", false)), Zone: int(f.whole("dc", false)), BootAt: f.span("boot_time", false),
+		}
 		switch s := f.text("state"); s {
 		case "Ready":
 			w.Ready = true
--- a/scenarios/plays_test.go
+++ b/scenarios/plays_test.go
@@ -30,8 +30,10 @@
 		}
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p, err := experiment.Run(context.Background(), experiment.Job{Spec: spec, Seed: 1, Driver: scenario.Virtual,
-				Subject: experiment.Subject{Name: experiment.Logic}})
+			p, err := experiment.Run(context.Background(), experiment.Job{
+				Spec: spec, Seed: 1, Driver: scenario.Virtual,
+				Subject: experiment.Subject{Name: experiment.Logic},
+			})
 			if err != nil {
 				t.Fatal(err)
 			}
