--- a/cmd/covelab/load.go
+++ b/cmd/covelab/load.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			return err
 		}
-		defer r.Close()
+		defer func() { _ = r.Close() }()
 		target = r.Addr
 	}
 	got, err := live.Load(ctx, live.LoadOptions{
--- a/cmd/valvecove/replace_test.go
+++ b/cmd/valvecove/replace_test.go
@@ -28,6 +28,7 @@
 
 // launch starts a scheduler from a file, or from the test's own program.
 func launch(t *testing.T, p *plant.Plant, dir, file string) *plant.Process {
+	t.Helper()
 	command, env := []string{file, "serve"}, []string(nil)
 	if file == thisTest {
 		command, env = os.Args[:1], []string{"VALVECOVE_SERVES=1"}
@@ -47,6 +48,7 @@
 
 // until asks again and again for what comes by itself; that it never does is for a limit far off to find.
 func until(t *testing.T, what string, is func() bool) {
+	t.Helper()
 	for n := 0; !is() && !t.Failed(); n++ {
 		if n > 10_000 {
 			t.Fatalf("not %s", what)
@@ -83,6 +85,7 @@
 
 // replacedUnderLoad starts a scheduler from the first file, and replaces it by those of the others, one after another.
 func replacedUnderLoad(t *testing.T, dir string, files []string) {
+	t.Helper()
 	p, err := plant.New(3)
 	if err != nil {
 		t.Fatal(err)
@@ -178,6 +181,7 @@
 // checkHandOvers checks by a process's log that it took over and handed over what it should, all of it: to go on without
 // what was learnt, or without what was open, is a failure here, though clients may not notice.
 func checkHandOvers(t *testing.T, log string, tookOver, handedOver bool) {
+	t.Helper()
 	for _, line := range []struct {
 		text string
 		want bool
--- a/docs/ci_test.go
+++ b/docs/ci_test.go
@@ -11,6 +11,7 @@
 // ciTests gives .ci/tests with a list of what is known to be red, over a module of its own: in package a one test passes
 // and two fail, and in package b one fails that has the name of one in a.
 func ciTests(t *testing.T) func(list string) (out string, passed bool) {
+	t.Helper()
 	dir := t.TempDir()
 	test := func(body string) string { return "package x\n\nimport \"testing\"\n\n" + body }
 	for name, text := range map[string]string{
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -81,6 +81,7 @@
 
 // wanted is all that the reference has to hold.
 func wanted(t *testing.T) (all []string) {
+	t.Helper()
 	// Of lists, what an entry has that says nothing of itself.
 	plain, err := scenario.Parse("plain", []byte("[[fleet.kind]]\nname = \"x\"\n[[class]]\nname = \"y\"\n[[tenant]]\nname = \"z\"\n"))
 	if err != nil {
--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -31,6 +31,7 @@
 // deploymentNames are the classes, tenants, zones and kinds of every deployment that there is a file of: our sites, and the
 // library's scenarios, which play the co-operative's unless they say otherwise.
 func deploymentNames(t *testing.T) (names []string) {
+	t.Helper()
 	files, err := filepath.Glob("../deploy/sites/*.toml")
 	if err != nil || len(files) < 2 {
 		t.Fatalf("%d site files, %v", len(files), err)
@@ -110,6 +111,7 @@
 
 // texts are the string literals of a file.
 func texts(t *testing.T, path string) (all []string) {
+	t.Helper()
 	source := []byte(page(t, path))
 	set := token.NewFileSet()
 	if _, err := parser.ParseFile(set, path, source, 0); err != nil {
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -151,6 +151,7 @@
 }
 
 func replayed(t *testing.T, text []byte, ops string) (differences int, out, warnings string, err error) {
+	t.Helper()
 	o, err := config.DecodeOps(ops)
 	if err != nil {
 		t.Fatal(err)
@@ -247,7 +248,7 @@
 	}
 	p.run(100)
 	settled()
-	f.file.Close()
+	_ = f.file.Close()
 	p.run(50)
 	settled()
 	p.run(1)
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -358,7 +358,7 @@
 		fmt.Fprintln(warnings, "valvecove replay:", err)
 		return 2
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	buffered := bufio.NewWriter(out)
 	n, err := Replay(f, ops, buffered, warnings)
 	if err == nil {
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Body.Close()
+	defer func() { _ = a.Body.Close() }()
 	text, err := io.ReadAll(a.Body)
 	if err != nil {
 		t.Fatal(err)
@@ -93,7 +93,7 @@
 			w.WriteHeader(http.StatusNoContent)
 		})}
 		go s.Serve(at)
-		t.Cleanup(func() { s.Close() })
+		t.Cleanup(func() { _ = s.Close() })
 		node := "http://" + r.Places().Nodes[1]
 		for _, x := range []struct {
 			method, path, call string
@@ -136,7 +136,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		fmt.Fprintf(c, "POST /status-check/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: b%d\r\nContent-Length: 2\r\n\r\nhi", i)
 		go func() {
 			_, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -156,7 +156,7 @@
 		}
 	}
 	if c, err := net.Dial("tcp", r.Places().Nodes[0]); err == nil {
-		c.Close()
+		_ = c.Close()
 		t.Error("it takes connections")
 	}
 	r.all(func(int, *engine) { r.nodes[0].restart() })
@@ -173,7 +173,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Body.Close()
+	defer func() { _ = a.Body.Close() }()
 	lines := bufio.NewScanner(a.Body)
 	next := func() (g requests.EndpointList) {
 		for lines.Scan() {
@@ -243,7 +243,7 @@
 		}
 	})}
 	go s.Serve(at)
-	defer s.Close()
+	defer func() { _ = s.Close() }()
 	got, err := r.Play(t.Context(), []netip.AddrPort{r.places.scheduler()}, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/fleet/play.go
+++ b/internal/lab/fleet/play.go
@@ -312,13 +312,13 @@
 	if err != nil {
 		return nil, err
 	}
-	defer in.Close()
+	defer func() { _ = in.Close() }()
 	hear, out, err := os.Pipe()
 	if err != nil {
 		_ = say.Close()
 		return nil, err
 	}
-	defer out.Close()
+	defer func() { _ = out.Close() }()
 	c.Stdin, c.Stdout = in, out
 	p, err := d.start(c, cores)
 	if err != nil {
@@ -386,7 +386,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }()
 	if err = d.serve(ctx, log); err != nil {
 		return fmt.Errorf("%s: %w", d.row.Subject, err)
 	}
--- a/internal/lab/judge/rules_test.go
+++ b/internal/lab/judge/rules_test.go
@@ -86,6 +86,7 @@
 
 // play has a judge watch a script.
 func play(t *testing.T, script string) Verdict {
+	t.Helper()
 	spec, opt := scenario.Default(), Options{}
 	var j *Judge
 	for n, line := range strings.Split(script, "\n") {
@@ -125,6 +126,7 @@
 }
 
 func set(t *testing.T, spec *scenario.Scenario, opt *Options, what []string) {
+	t.Helper()
 	for _, f := range what {
 		switch key, value, _ := strings.Cut(f, "="); key {
 		case "live":
@@ -152,6 +154,7 @@
 }
 
 func fill(t *testing.T, spec *scenario.Scenario, s *seen.Sight, key, value string) {
+	t.Helper()
 	n, _ := strconv.Atoi(value)
 	d, _ := time.ParseDuration(value)
 	x, _ := strconv.ParseFloat(value, 64)
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -41,6 +41,7 @@
 }
 
 func testSpec(t *testing.T, more string) *scenario.Scenario {
+	t.Helper()
 	s, err := scenario.Parse("test", []byte("length = \"2s\"\n[fleet]\nnodes = 2\n"+more))
 	if err != nil {
 		t.Fatal(err)
@@ -49,6 +50,7 @@
 }
 
 func newRig(t *testing.T, opt Options) *rig {
+	t.Helper()
 	opt.Dir, opt.Stay = t.TempDir(), true
 	d, err := newDriver(testSpec(t, ""), opt)
 	if err != nil {
@@ -117,7 +119,7 @@
 func raw(w http.ResponseWriter, text string) {
 	c, _, _ := w.(http.Hijacker).Hijack()
 	io.WriteString(c, text)
-	c.Close()
+	_ = c.Close()
 }
 
 // Clients write queries as the protocol shows them, and take answers in any framing.
@@ -207,7 +209,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	answer := func(c net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 			t.Error(err)
@@ -222,7 +224,7 @@
 	r.want(edge.Replied)
 	ask("b")
 	c.Read(make([]byte, 1)) // the rest stays unread, so that the close is a reset
-	c.Close()
+	_ = c.Close()
 	if c, err = l.Accept(); err != nil {
 		t.Fatal(err)
 	}
@@ -239,7 +241,7 @@
 		n, _ := c.Read(b)
 		got += string(b[:n])
 	}
-	c.Close()
+	_ = c.Close()
 	r.want(edge.Cut)
 }
 
@@ -382,7 +384,7 @@
 			t.Errorf("reset %v: %v", reset, err)
 		}
 	}
-	r.connect(0).Close()
+	_ = r.connect(0).Close()
 	r.want(edge.Dial)
 	r.want(edge.Hangup)
 }
@@ -498,7 +500,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { _ = c.Close() })
 		c.SetDeadline(time.Now().Add(30 * time.Second))
 		fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: d\r\n\r\n", path)
 		a, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/lab/report/golden_test.go
+++ b/internal/lab/report/golden_test.go
@@ -75,6 +75,7 @@
 
 // goldenPlays are three plays whose figures are those of the golden play, but for a few.
 func goldenPlays(t *testing.T, better float64) (plays []*score.Result) {
+	t.Helper()
 	for seed := range uint64(3) {
 		r := readPlay(t).Result
 		r.Seed = seed + 1
@@ -85,6 +86,7 @@
 }
 
 func goldenComparison(t *testing.T) *Comparison {
+	t.Helper()
 	c := &Comparison{Title: "old & new", About: "What a comparison says.", Build: "d2a7518", Sides: []Side{
 		{Name: "old", Broken: 1, Plays: goldenPlays(t, 0)},
 		{Name: "new", Void: 2, Plays: goldenPlays(t, 0.25)},
@@ -98,6 +100,7 @@
 }
 
 func goldenSweep(t *testing.T) *Sweep {
+	t.Helper()
 	points := []Point{
 		{X: 0.25, Plays: goldenPlays(t, 0.25)},
 		{X: 0.5, Broken: 3, Plays: goldenPlays(t, 0.25)},
--- a/internal/lab/starve/starve_test.go
+++ b/internal/lab/starve/starve_test.go
@@ -40,6 +40,7 @@
 
 // due asks for the job's try as well: "due job=1 class=0 slots=1 work=0.1".
 func sight(t *testing.T, w *Watcher, line string) {
+	t.Helper()
 	f := strings.Fields(line)
 	at, err := time.ParseDuration(f[0] + "s")
 	if err != nil {
@@ -89,6 +90,7 @@
 }
 
 func played(t *testing.T, spec *scenario.Scenario, history string) Verdict {
+	t.Helper()
 	w := New(spec)
 	for line := range strings.SplitSeq(stage+history, ";") {
 		if strings.TrimSpace(line) != "" {
--- a/internal/lab/yardstick/yardstick_test.go
+++ b/internal/lab/yardstick/yardstick_test.go
@@ -223,6 +223,7 @@
 }
 
 func checkRules(t *testing.T, p Policy, seed uint64) {
+	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 9))
 	set := plain
 	set.Hedging, set.MustSubscribe, set.PollInterval = seed%2 == 0, seed%3 == 0, time.Second
--- a/internal/run/addresses_test.go
+++ b/internal/run/addresses_test.go
@@ -42,7 +42,7 @@
 		}
 		s.gone(c, "")
 		s.log(`level=WARN msg="connection refused" scheduler=n0 why="in addresses.deny" client=` + c.LocalAddr().String())
-		c.Close()
+		_ = c.Close()
 	}
 	const v2 = "\r\n\r\n\x00\r\nQUIT\n\x21\x11\x00\x0c\xcb\x00\x71\x07\x0a\x14\x00\x01\xc9\x3a\x23\x28"
 	for _, header := range []string{"PROXY TCP4 203.0.113.7 10.20.0.1 51514 9000\r\n", v2} {
--- a/internal/run/capture_test.go
+++ b/internal/run/capture_test.go
@@ -84,11 +84,12 @@
 }
 
 func stuck(t *testing.T, ops string) {
+	t.Helper()
 	logs, log, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer logs.Close()
+	defer func() { _ = logs.Close() }()
 	fd := int(log.Fd())
 	_ = syscall.SetNonblock(fd, true)
 	for fill := bytes.Repeat([]byte("x"), 4096); err == nil; { // until the pipe is full
@@ -97,7 +98,7 @@
 	_ = syscall.SetNonblock(fd, false) // as standard error is
 	l := listen(t)
 	addr := l.Addr().String()
-	l.Close()
+	_ = l.Close()
 	s := &started{
 		T: t, path: filepath.Join(t.TempDir(), "config.json"), ops: filepath.Join(t.TempDir(), "ops.toml"),
 		addr: addr, end: make(chan error, 1),
--- a/internal/run/figures_test.go
+++ b/internal/run/figures_test.go
@@ -12,16 +12,18 @@
 
 // collect listens for figures.
 func collect(t *testing.T, at string) net.PacketConn {
+	t.Helper()
 	l, err := net.ListenPacket("udp", at)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { _ = l.Close() })
 	return l
 }
 
 // heard reads batches until one has the text that is wanted.
 func heard(t *testing.T, from net.PacketConn, want string, most int) {
+	t.Helper()
 	b := make([]byte, 1<<16)
 	for {
 		n, _, err := from.ReadFrom(b)
@@ -58,7 +60,7 @@
 	w.serve("1")
 	heard(t, l, servedFigure, 300)
 	at := l.LocalAddr().String()
-	l.Close()
+	_ = l.Close()
 	for n, text := 2, []byte{}; !bytes.Contains(text, []byte("valvecove.figures_send_errors:")); n++ {
 		w.serve(strconv.Itoa(n))
 		var err error
--- a/internal/run/log_test.go
+++ b/internal/run/log_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer discovery.Close()
+	defer func() { _ = discovery.Close() }()
 	s := startWith(t, strings.NewReplacer(`"instances":[`, `"instances":[`+hosts, "127.0.0.1:1", discovery.Addr().String()).
 		Replace(conf), "[log]\nformat = 'json'")
 	s.signal(syscall.SIGTERM)
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -86,7 +86,7 @@
 		if err != nil {
 			return fmt.Errorf("key \"figures.file\": %w", err)
 		}
-		defer file.Close()
+		defer func() { _ = file.Close() }()
 		lines := spool.Before(file, logWaiting, nil)
 		defer lines.Close(lastFlush)
 		targets = append(targets, offered{lines})
--- a/internal/run/run_test.go
+++ b/internal/run/run_test.go
@@ -32,6 +32,7 @@
 
 // startWith starts one with features on.
 func startWith(t *testing.T, conf, ops string) *started {
+	t.Helper()
 	s := &started{T: t, path: filepath.Join(t.TempDir(), "config.json"), end: make(chan error, 1)}
 	if ops != "" {
 		s.ops = filepath.Join(t.TempDir(), "ops.toml")
@@ -42,10 +43,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { logs.Close() })
+	t.Cleanup(func() { _ = logs.Close() })
 	go func() {
 		s.end <- Scheduler(func(name string) string { return map[string]string{"PROXY_CONFIG": s.path}[name] }, s.ops, log)
-		log.Close()
+		_ = log.Close()
 	}()
 	s.lines = bufio.NewScanner(logs)
 	_, s.addr, _ = strings.Cut(s.log("listening"), "addr")
@@ -90,11 +91,12 @@
 func (s *started) signal(sig syscall.Signal) { _ = syscall.Kill(os.Getpid(), sig) }
 
 func listen(t *testing.T) net.Listener {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { _ = l.Close() })
 	return l
 }
 
@@ -265,7 +267,7 @@
 		default:
 		}
 		if c, err := net.Dial("tcp", s.addr); err == nil {
-			c.Close()
+			_ = c.Close()
 			return
 		}
 		runtime.Gosched()
--- a/internal/run/status_test.go
+++ b/internal/run/status_test.go
@@ -12,14 +12,16 @@
 
 // freePort is one at which nobody listens.
 func freePort(t *testing.T) string {
+	t.Helper()
 	l := listen(t)
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	_, port, _ := net.SplitHostPort(l.Addr().String())
 	return port
 }
 
 // body reads one answer.
 func body(t *testing.T, r *bufio.Reader) (status, text string) {
+	t.Helper()
 	length := 0
 	for line := "?"; line != ""; {
 		raw, err := r.ReadString('\n')
@@ -51,6 +53,7 @@
 
 // work starts a scheduler whose jobs have a minute, with one worker node.
 func work(t *testing.T, ops string) *worked {
+	t.Helper()
 	w := &worked{host: listen(t)}
 	w.started = startWith(t, strings.NewReplacer(`"hostPort":"127.0.0.1:1"`, `"hostPort":"`+w.host.Addr().String()+`"`,
 		"80000", "50000000", "500000", "60000000", `"settings":{`,
@@ -106,7 +109,7 @@
 	if w.side, err = net.Dial("tcp", "127.0.0.1:"+port); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { w.side.Close() })
+	t.Cleanup(func() { _ = w.side.Close() })
 	w.polls = bufio.NewReader(w.side)
 	w.poll("9b1f03aa5c7e2d41", "404", "no such id")
 	answer := w.submit("9b1f03aa5c7e2d41")
--- a/internal/standin/plant/plant.go
+++ b/internal/standin/plant/plant.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	return l.Addr().String(), nil
 }
 
@@ -125,7 +125,7 @@
 		if err != nil {
 			continue
 		}
-		res.Body.Close()
+		_ = res.Body.Close()
 		if res.StatusCode < 300 {
 			return
 		}
@@ -182,7 +182,7 @@
 	if err != nil {
 		return 0, "", err
 	}
-	defer res.Body.Close()
+	defer func() { _ = res.Body.Close() }()
 	got, err := io.ReadAll(res.Body)
 	return res.StatusCode, string(got), err
 }
--- a/internal/standin/plant/process.go
+++ b/internal/standin/plant/process.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return 0, ""
 	}
-	defer res.Body.Close()
+	defer func() { _ = res.Body.Close() }()
 	text, _ := io.ReadAll(res.Body)
 	return res.StatusCode, string(text)
 }
