--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -102,7 +102,7 @@
 			state := []string{"started", "started", "running", "done", "done", "failed", "returned", "lost"}[p.rng.IntN(8)]
 			if p.rng.IntN(4) == 0 {
 				a := p.Out[i]
-				p.Ledger.HandleCallback(requests.Callback{CallID: a.Request.CallID, EndpointID: a.EndpointID, State: state, Progress: p.rng.Float64(), Result: &result})
+				_, _ = p.Ledger.HandleCallback(requests.Callback{CallID: a.Request.CallID, EndpointID: a.EndpointID, State: state, Progress: p.rng.Float64(), Result: &result})
 			}
 		}
 		if len(p.Out) > 20 {
--- a/internal/capture/sink.go
+++ b/internal/capture/sink.go
@@ -109,7 +109,7 @@
 		return nil, err
 	}
 	if len(old) > 0 {
-		fmt.Sscanf(strings.TrimPrefix(old[len(old)-1], f.path), "%d", &f.number)
+		_, _ = fmt.Sscanf(strings.TrimPrefix(old[len(old)-1], f.path), "%d", &f.number)
 	}
 	if err := f.next(); err != nil {
 		return nil, err
--- a/internal/config/walker.go
+++ b/internal/config/walker.go
@@ -23,7 +23,7 @@
 	if !w.is(jsoniter.ObjectValue, "an object") {
 		return
 	}
-	w.it.ReadObjectCB(func(it *jsoniter.Iterator, key string) bool {
+	w.it.ReadObjectCB(func(_ *jsoniter.Iterator, key string) bool {
 		w.path = append(w.path, key)
 		field(key)
 		w.check()
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -182,8 +182,8 @@
 		}
 		w.flush()
 		sum()
-		maps.DeleteFunc(got, func(name string, n int) bool { return n == 0 }) // a gauge may be at nothing
-		maps.DeleteFunc(want, func(name string, n int) bool { return n == 0 })
+		maps.DeleteFunc(got, func(_ string, n int) bool { return n == 0 }) // a gauge may be at nothing
+		maps.DeleteFunc(want, func(_ string, n int) bool { return n == 0 })
 		s.Check(maps.Equal(got, want), "%v, expected %v", got, want)
 		w.target.gone = true
 		w.flush()
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -92,7 +92,7 @@
 			notes <- n
 			w.WriteHeader(http.StatusNoContent)
 		})}
-		go s.Serve(at)
+		go func() { _ = s.Serve(at) }()
 		t.Cleanup(func() { _ = s.Close() })
 		node := "http://" + r.Places().Nodes[1]
 		for _, x := range []struct {
@@ -234,15 +234,15 @@
 		case 1:
 			w.WriteHeader(http.StatusInternalServerError)
 		case 2:
-			io.WriteString(w, "of another")
+			_, _ = io.WriteString(w, "of another")
 		case 3:
 			w.Header().Set("Connection", "close")
 			fallthrough
 		default:
-			io.WriteString(w, q.Header.Get("X-Call-Id")+" ran")
+			_, _ = io.WriteString(w, q.Header.Get("X-Call-Id")+" ran")
 		}
 	})}
-	go s.Serve(at)
+	go func() { _ = s.Serve(at) }()
 	defer func() { _ = s.Close() }()
 	got, err := r.Play(t.Context(), []netip.AddrPort{r.places.scheduler()}, nil)
 	if err != nil {
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -228,11 +228,11 @@
 	went := time.Now()
 	err := r.sleep(ctx, went.Add(r.spec.Warm), nil)
 	if err == nil {
-		r.all(func(i int, e *engine) { e.window(true) })
+		r.all(func(_ int, e *engine) { e.window(true) })
 		mark(MarkOpen)
 		err = r.sleep(ctx, went.Add(r.spec.Warm+r.spec.Length), func() bool {
 			ended := 0
-			r.all(func(i int, e *engine) { ended += r.crowds[i].ended })
+			r.all(func(i int, _ *engine) { ended += r.crowds[i].ended })
 			return ended >= r.spec.Jobs
 		})
 	}
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -111,14 +111,14 @@
 		r.Fatal(err)
 	}
 	s := &http.Server{Handler: h, ReadTimeout: 300 * time.Millisecond, MaxHeaderBytes: 16 << 10}
-	go s.Serve(l)
-	r.Cleanup(func() { s.Close() })
+	go func() { _ = s.Serve(l) }()
+	r.Cleanup(func() { _ = s.Close() })
 }
 
 // raw answers with just these bytes and closes.
 func raw(w http.ResponseWriter, text string) {
 	c, _, _ := w.(http.Hijacker).Hijack()
-	io.WriteString(c, text)
+	_, _ = io.WriteString(c, text)
 	_ = c.Close()
 }
 
@@ -142,9 +142,9 @@
 		}
 		switch call {
 		case "chunked":
-			io.WriteString(w, "made in ")
+			_, _ = io.WriteString(w, "made in ")
 			w.(http.Flusher).Flush()
-			io.WriteString(w, "chunks")
+			_, _ = io.WriteString(w, "chunks")
 		case "refused":
 			w.Header().Set("Retry-After", "0.25")
 			w.WriteHeader(503)
@@ -157,7 +157,7 @@
 		case "garbage":
 			raw(w, "what?\r\n\r\n")
 		default:
-			io.WriteString(w, "made")
+			_, _ = io.WriteString(w, "made")
 		}
 	})
 	r := newRig(t, Options{})
@@ -214,7 +214,7 @@
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 			t.Error(err)
 		}
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	}
 	ask := func(call string) { r.do(edge.In{Kind: edge.Asked, Conn: 1, Ask: &edge.Ask{Call: call, Body: 10}}) }
 	r.d.send(func() { r.d.scheds[0].alive, r.d.scheds[0].life = true, 2 })
@@ -223,7 +223,7 @@
 	answer(c)
 	r.want(edge.Replied)
 	ask("b")
-	c.Read(make([]byte, 1)) // the rest stays unread, so that the close is a reset
+	_, _ = c.Read(make([]byte, 1)) // the rest stays unread, so that the close is a reset
 	_ = c.Close()
 	if c, err = l.Accept(); err != nil {
 		t.Fatal(err)
@@ -258,8 +258,8 @@
 	if err != nil {
 		r.Fatal(err)
 	}
-	r.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(30 * time.Second))
+	r.Cleanup(func() { _ = c.Close() })
+	_ = c.SetDeadline(time.Now().Add(30 * time.Second))
 	return &schedEnd{c, r, bufio.NewReader(c)}
 }
 
@@ -269,7 +269,7 @@
 	if err != nil {
 		return 0
 	}
-	io.Copy(io.Discard, a.Body)
+	_, _ = io.Copy(io.Discard, a.Body)
 	return a.StatusCode
 }
 
@@ -292,7 +292,7 @@
 	}
 	body := string(appendBody(nil, "c1", 40))
 	r.d.send(func() { r.d.forms.add(&edge.Ask{Call: "c1", Class: 3, Key: "k1", Body: 40}, 0) })
-	io.WriteString(s, query("c1", "k1", body)) // the world has not accepted yet: this waits
+	_, _ = io.WriteString(s, query("c1", "k1", body)) // the world has not accepted yet: this waits
 	r.do(up)
 	o := r.want(edge.Sent)
 	if o.Call != "c1" || o.Key != "k1" || o.Budget != 77*time.Millisecond || o.Node != 1 || o.First <= 0 {
@@ -314,7 +314,7 @@
 		{"GET /metrics/load HTTP/1.1\r\nHost: w\r\n\r\n", edge.Probe, ""},
 		{"DELETE /jobs/c1 HTTP/1.1\r\nHost: w\r\n\r\n", edge.Delete, "c1"},
 	} {
-		io.WriteString(s, x.ask)
+		_, _ = io.WriteString(s, x.ask)
 		o := r.want(x.kind)
 		if o.Call != x.call || o.Load != strings.Contains(x.ask, "load") {
 			t.Errorf("%s: %+v", x.ask, o)
@@ -332,12 +332,12 @@
 		query("any", oddName+"1", "x"):                                400, // a bad client's
 		strings.Replace(query("c1", "k1", body), "POST", "DELETE", 1): 404,
 	} {
-		io.WriteString(s, ask)
+		_, _ = io.WriteString(s, ask)
 		if got := s.status(); got != status {
 			t.Errorf("%s: %d, expected %d", ask, got, status)
 		}
 	}
-	io.WriteString(s, "what?\r\n\r\n")
+	_, _ = io.WriteString(s, "what?\r\n\r\n")
 	if got := s.status(); got != 400 || s.status() != 0 {
 		t.Errorf("garbage: %d", got)
 	}
@@ -352,7 +352,7 @@
 	for most, told := range map[int]bool{10: false, len(ask): true} {
 		s := r.connect(0)
 		conn := r.want(edge.Dial).Conn
-		io.WriteString(s, ask)
+		_, _ = io.WriteString(s, ask)
 		r.do(edge.In{Kind: edge.LinkUp, Conn: conn, Bytes: most})
 		if told {
 			r.want(edge.Sent)
@@ -366,7 +366,7 @@
 	s := r.connect(0)
 	conn := r.want(edge.Dial).Conn
 	r.do(edge.In{Kind: edge.LinkUp, Conn: conn})
-	io.WriteString(s, ask)
+	_, _ = io.WriteString(s, ask)
 	r.want(edge.Sent)
 	r.do(edge.In{Kind: edge.Answered, Conn: conn, Status: 202, Bytes: 9})
 	if b, err := io.ReadAll(s.in); string(b) != "HTTP/1.1 " || !errors.Is(err, syscall.ECONNRESET) {
@@ -410,7 +410,7 @@
 		if refused != (mode == edge.Refuse) || silent != (mode == edge.NeverUp) {
 			t.Errorf("mode %d: %v", mode, err)
 		}
-		io.WriteString(s, "GET /alive HTTP/1.1\r\nHost: w\r\n\r\n")
+		_, _ = io.WriteString(s, "GET /alive HTTP/1.1\r\nHost: w\r\n\r\n")
 		r.want(edge.Probe)
 		r.do(edge.In{Kind: edge.Answered, Conn: conn, Status: 200})
 		if s.status() != 200 {
@@ -501,7 +501,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = c.Close() })
-		c.SetDeadline(time.Now().Add(30 * time.Second))
+		_ = c.SetDeadline(time.Now().Add(30 * time.Second))
 		fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: d\r\n\r\n", path)
 		a, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
@@ -617,7 +617,7 @@
 	}))
 	s := r.connect(0)
 	r.do(edge.In{Kind: edge.LinkUp, Conn: r.want(edge.Dial).Conn})
-	io.WriteString(s, query("mine", "k", "x"))
+	_, _ = io.WriteString(s, query("mine", "k", "x"))
 	status, started, done := s.status(), <-notes, <-notes
 	if status != 202 || !strings.Contains(started, "started") || !strings.Contains(done, `"done","result":"mine ran`) {
 		t.Error(status, started, done)
--- a/internal/lab/live/play_test.go
+++ b/internal/lab/live/play_test.go
@@ -146,7 +146,7 @@
 		}
 	}()
 	var n atomic.Int32
-	rude := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	rude := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		switch n.Add(1) % 4 {
 		case 0:
 			raw(w, "")
--- a/internal/lab/virtual/play_test.go
+++ b/internal/lab/virtual/play_test.go
@@ -125,7 +125,7 @@
 	got, err := Play(spec, 1, Options{Until: time.Second, Wrap: func(s edge.Scheduler) edge.Scheduler {
 		wrapped++
 		return s
-	}, Trace: func(now time.Duration, ins []edge.In, outs []edge.Out) { traced += len(ins) + len(outs) }})
+	}, Trace: func(_ time.Duration, ins []edge.In, outs []edge.Out) { traced += len(ins) + len(outs) }})
 	if err != nil || wrapped != 1 || traced == 0 || got.End != time.Second || got.Over {
 		t.Errorf("%+v, %d wrapped, %d traced, %v", got, wrapped, traced, err)
 	}
--- a/internal/lab/world/network_test.go
+++ b/internal/lab/world/network_test.go
@@ -53,7 +53,7 @@
 type end struct{ over bool }
 
 func (e *end) party() party  { return party{aNode, 0} }
-func (e *end) ended(c *conn) { e.over = true }
+func (e *end) ended(_ *conn) { e.over = true }
 
 // FuzzConn puts a connection through random sendings and cuts: what arrives is what was sent, in order, and once all
 // cuts have healed nothing is missing.
--- a/internal/lab/world/nodes_test.go
+++ b/internal/lab/world/nodes_test.go
@@ -94,7 +94,7 @@
 		r := newRig(s.T, spec, uint64(s.Pick(256)))
 		m := &nodeModel{s: s, kind: k, slots: map[string]float64{}, begun: map[string]bool{}}
 		r.see = m.saw
-		r.ack = func(in *edge.In) (int, bool) { return []int{204, 200, 503, 0}[s.Pick(4)], s.Pick(8) > 0 }
+		r.ack = func(_ *edge.In) (int, bool) { return []int{204, 200, 503, 0}[s.Pick(4)], s.Pick(8) > 0 }
 		n, conns, calls := r.w.nodes[0], []edge.Conn{r.dial(0, 0)}, []string{"unknown"}
 		for i := 0; s.More(); i++ {
 			pick, c, call := s.Pick(32), conns[s.Pick(len(conns))], calls[s.Pick(len(calls))]
--- a/internal/run/addresses_test.go
+++ b/internal/run/addresses_test.go
@@ -15,13 +15,13 @@
 	if err != nil {
 		s.Fatal(err)
 	}
-	s.Cleanup(func() { c.Close() })
+	s.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
 // gone expects that a connection ends without a byte.
 func (s *started) gone(c net.Conn, sends string) {
-	io.WriteString(c, sends)
+	_, _ = io.WriteString(c, sends)
 	b, _ := io.ReadAll(c) // a reset ends it too
 	if len(b) > 0 {
 		s.Errorf("%q was answered with %q", sends, b)
@@ -47,7 +47,7 @@
 	const v2 = "\r\n\r\n\x00\r\nQUIT\n\x21\x11\x00\x0c\xcb\x00\x71\x07\x0a\x14\x00\x01\xc9\x3a\x23\x28"
 	for _, header := range []string{"PROXY TCP4 203.0.113.7 10.20.0.1 51514 9000\r\n", v2} {
 		c := s.from("127.0.0.9")
-		io.WriteString(c, header+query)
+		_, _ = io.WriteString(c, header+query)
 		if line, _ := bufio.NewReader(c).ReadString('\n'); line != givenUp {
 			t.Errorf("after %q: %q", header, line)
 		}
@@ -62,7 +62,7 @@
 	s.gone(c, "PROXY TCP4 nowhere\r\n"+query)
 	s.log(`msg="link closed" scheduler=n0 why="malformed PROXY header" client=` + c.LocalAddr().String())
 	c = s.from("127.0.0.9")
-	io.WriteString(c, "\r\n\r\n\x00\r\nQUIT\n\x20\x00\x00\x00GET /up HTTP/1.1\r\n\r\n") // the front's own
+	_, _ = io.WriteString(c, "\r\n\r\n\x00\r\nQUIT\n\x20\x00\x00\x00GET /up HTTP/1.1\r\n\r\n") // the front's own
 	if line, _ := bufio.NewReader(c).ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
 		t.Errorf("/up by the front itself: %q", line)
 	}
@@ -74,7 +74,7 @@
 func TestAddressesOff(t *testing.T) {
 	s := start(t, conf)
 	c := s.dial()
-	io.WriteString(c, "PROXY TCP4 203.0.113.7 10.20.0.1 51514 9000\r\n\r\n")
+	_, _ = io.WriteString(c, "PROXY TCP4 203.0.113.7 10.20.0.1 51514 9000\r\n\r\n")
 	if line, _ := bufio.NewReader(c).ReadString('\n'); !strings.HasPrefix(line, "HTTP/1.1 400 ") {
 		t.Errorf("%q", line)
 	}
--- a/internal/run/run_test.go
+++ b/internal/run/run_test.go
@@ -75,7 +75,7 @@
 
 func (s *started) talk(request string) *bufio.Reader {
 	c := s.dial()
-	io.WriteString(c, request)
+	_, _ = io.WriteString(c, request)
 	return bufio.NewReader(c)
 }
 
@@ -84,7 +84,7 @@
 	if err != nil {
 		s.Fatal(err)
 	}
-	s.Cleanup(func() { c.Close() })
+	s.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
@@ -106,7 +106,7 @@
 	if err != nil {
 		s.Fatal(err)
 	}
-	s.Cleanup(func() { c.Close() })
+	s.Cleanup(func() { _ = c.Close() })
 	if line, _ := bufio.NewReader(c).ReadString('\n'); line != want+" HTTP/1.1\r\n" {
 		s.Errorf("heard %q, expected %s", line, want)
 	}
@@ -160,7 +160,7 @@
 	s.log(`level=ERROR msg="configuration kept as it was" scheduler=n0 error="` + s.path + `: key \"limits.sockets\"`)
 	s.signal(syscall.SIGTERM)
 	s.log("draining")
-	io.WriteString(other, "GET /up HTTP/1.1\r\n\r\n") // a client goes on using the link that it has
+	_, _ = io.WriteString(other, "GET /up HTTP/1.1\r\n\r\n") // a client goes on using the link that it has
 	if line, _ := bufio.NewReader(other).ReadString('\n'); line != givenUp {
 		t.Errorf("/up while draining: %q", line)
 	}
@@ -221,7 +221,7 @@
 	s := start(t, text)
 	for n := range 150 { // of 64 descriptors
 		if c := s.dial(); n%3 == 0 {
-			io.WriteString(c, "GET /up HTTP/1.1\r\n\r\n")
+			_, _ = io.WriteString(c, "GET /up HTTP/1.1\r\n\r\n")
 		}
 	}
 	if line, _ := s.talk("GET /up HTTP/1.1\r\n\r\n").ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
--- a/internal/run/status_test.go
+++ b/internal/run/status_test.go
@@ -67,9 +67,9 @@
 	if err != nil {
 		w.Fatal(err)
 	}
-	w.Cleanup(func() { c.Close() })
+	w.Cleanup(func() { _ = c.Close() })
 	body(w.T, bufio.NewReader(c))
-	io.WriteString(c, "HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
+	_, _ = io.WriteString(c, "HTTP/1.1 202 Accepted\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 }
 
 func (w *worked) submit(id string) *bufio.Reader {
@@ -87,7 +87,7 @@
 // poll asks for the status of a job.
 func (w *worked) poll(id, status, want string) {
 	w.Helper()
-	io.WriteString(w.side, "GET /status/"+id+" HTTP/1.1\r\n\r\n")
+	_, _ = io.WriteString(w.side, "GET /status/"+id+" HTTP/1.1\r\n\r\n")
 	if got, text := body(w.T, w.polls); got != status || text != want {
 		w.Errorf("%s: %s %s, expected %s %s", id, got, text, status, want)
 	}
--- a/internal/standin/plant/plant.go
+++ b/internal/standin/plant/plant.go
@@ -166,7 +166,7 @@
 }
 
 // Close ends its connection.
-func (c *Client) Close() { c.conn.Close() }
+func (c *Client) Close() { _ = c.conn.Close() }
 
 // Ask submits a job, its request in two pieces that are cut at a byte, and waits for the answer, for a minute at most.
 func (c *Client) Ask(class, id, body string, cut int) (status int, result string, err error) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -405,7 +405,7 @@
 
 // End closes the reply and flushes it.
 func (w *Writer) End() error {
-	w.out.WriteString("NEXT\n")
+	_, _ = w.out.WriteString("NEXT\n")
 	if err := w.out.Flush(); err != nil {
 		return fmt.Errorf("writing the reply: %w", err)
 	}
@@ -430,7 +430,7 @@
 		b = strconv.AppendUint(b, f.value, 10)
 	}
 	w.buf = append(b, '\n')
-	w.out.Write(w.buf) // a write error stays in out and shows when the reply is flushed
+	_, _ = w.out.Write(w.buf) // a write error stays in out and shows when the reply is flushed
 }
 
 func (w *Writer) text(name string, instance int, s string) {
