--- a/internal/link/clients.go
+++ b/internal/link/clients.go
@@ -694,7 +694,7 @@
 		switch {
 		case string(m.Method) != "GET":
 			t.reply(405, "GET only\n")
-		case k.home.draining || !k.loop.Ledger.HasReadyWorker():
+		case k.home.draining || !k.loop.Ledger.Ready():
 			t.reply(503, "not ready\n")
 		default:
 			t.reply(200, "ready\n")
--- a/internal/link/clients_test.go
+++ b/internal/link/clients_test.go
@@ -432,3 +432,24 @@
 		t.Errorf("%d links once there are descriptors again", len(w.loop.clients.links))
 	}
 }
+
+// The front sends clients to a process once its /up answers 200, so one whose requests would wait for the first list says 503.
+func TestUp_OnlyOnceNothingAwaitsTheFirstEndpointList(t *testing.T) {
+	w := newWorld(&steps.Steps{T: t})
+	p, fd := w.pair()
+	w.loop.clients.adopt(fd, netip.AddrPort{})
+	up := func(status, unready string) {
+		t.Helper()
+		p.got = nil
+		p.write([]byte("GET /up HTTP/1.1\r\n\r\n"))
+		w.turn()
+		if p.read(4096); !strings.HasPrefix(string(p.got), "HTTP/1.1 "+status) || w.loop.unready() != unready {
+			t.Errorf("%q, unready %q, expected %s, %q", p.got, w.loop.unready(), status, unready)
+		}
+	}
+	up("200", "")
+	w.loop.Ledger.AwaitEndpoints(w.loop.now + time.Hour)
+	up("503", "no word from discovery yet")
+	w.loop.Ledger.DiscoveryFailed()
+	up("200", "")
+}
--- a/internal/link/operators.go
+++ b/internal/link/operators.go
@@ -239,6 +239,8 @@
 		return "draining"
 	case l.successorRole != nil && l.successorRole.notReadyReason() != "":
 		return l.successorRole.notReadyReason()
+	case l.Ledger.AwaitsEndpoints():
+		return "no word from discovery yet"
 	case !l.Ledger.HasReadyWorker():
 		return "no worker node known"
 	}
--- a/internal/requests/ledger.go
+++ b/internal/requests/ledger.go
@@ -379,7 +379,13 @@
 	l.pendingEvents = append(l.pendingEvents, dispatch.HealthChecked{Worker: worker, Result: resultOf(fault)})
 }
 
-// HasReadyWorker tells whether a query that came now could be sent anywhere.
+// AwaitsEndpoints tells whether requests wait for the first update of the endpoints.
+func (l *Table) AwaitsEndpoints() bool { return l.awaitUntil > 0 }
+
+// Ready tells whether a request that came now could be sent at once.
+func (l *Table) Ready() bool { return !l.AwaitsEndpoints() && l.HasReadyWorker() }
+
+// HasReadyWorker tells whether any listed worker node may be sent requests.
 func (l *Table) HasReadyWorker() bool {
 	for _, w := range l.listed {
 		if w.Ready && !l.cordoned[w.ID] {
--- a/internal/requests/ledger_test.go
+++ b/internal/requests/ledger_test.go
@@ -626,3 +626,28 @@
 		}
 	}
 }
+
+// A process whose requests would wait for the first list is not ready yet: clients that go to another are served at once.
+func TestReady_OnlyOnceNothingAwaitsTheFirstEndpointList(t *testing.T) {
+	group := EndpointList{Reset: true, Revision: 2, Endpoints: []Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
+	for name, news := range map[string]func(l *Table){
+		"a list":    func(l *Table) { l.UpdateEndpoints(group) },
+		"no change": func(l *Table) { l.UpdateEndpoints(EndpointList{Revision: 2}) },
+		"no list":   func(l *Table) { l.DiscoveryFailed() },
+		"nothing":   func(l *Table) { l.Step(time.Second) },
+		"handover":  func(l *Table) { l.AwaitEndpoints(0) },
+	} {
+		l := New(4, NameTable{}, func() Policy { return &steps.Script{} }, group, &recordingTransport{given: map[*Attempt]bool{}}, slog.New(slog.DiscardHandler))
+		l.Step(0)
+		if !l.Ready() {
+			t.Errorf("%s: not ready with a worker node up", name)
+		}
+		l.AwaitEndpoints(time.Second)
+		if l.Step(time.Second - 1); l.Ready() {
+			t.Errorf("%s: ready while requests wait", name)
+		}
+		if news(l); !l.Ready() {
+			t.Errorf("%s: not ready though requests wait no more", name)
+		}
+	}
+}
