--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -203,7 +203,7 @@
 		return ErrNoSuccessor
 	}
 	l.Ledger.AwaitEndpoints(0) // what waits is the successor's, with all else
-	if !l.Ledger.FlushEvents(l.now) || l.cordonStore != nil && l.cordonStore.writing {
+	if !l.Ledger.FlushEvents(l.now) || l.cordonStore != nil && l.cordonStore.IsWriting() {
 		return ErrNotSettled
 	}
 	k, began := e.successor, l.clock()
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -332,7 +332,7 @@
 		return
 	}
 	// It died, or never got so far: what outlives it is in the file.
-	out, err := readCordonFile(h.stateDir)
+	out, err := hotrestart.ReadCordonFile(h.stateDir)
 	if err != nil {
 		l.log.Error("worker nodes out by hand can't be read", "error", err)
 	} else {
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -230,7 +230,7 @@
 	dir := t.TempDir()
 	w, at := newPredecessorWorld(s, dir)
 	next := w.startSuccessor(dir, at)
-	if err := writeCordonFile(dir+"/"+cordonFileName, []string{"s-0"}); err != nil {
+	if err := hotrestart.WriteCordonFile(dir, []string{"s-0"}); err != nil {
 		t.Fatal(err)
 	}
 	w.loop.remove(w.loop.predecessorRole.listenerFD)
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -21,6 +21,7 @@
 	"valvecove/internal/config"
 	"valvecove/internal/due"
 	"valvecove/internal/figures"
+	"valvecove/internal/hotrestart"
 	"valvecove/internal/requests"
 )
 
@@ -64,13 +65,13 @@
 	predecessorRole *predecessorRole                           // nil: no successor can come
 	successorRole   *successorRole                             // nil: nothing is to be taken over
 	limits          config.Limits
-	halved          bool            // another process runs beside this one, and has half of them
-	onDivide        func(half bool) // does the same for memory
-	onSuccessor     func()          // told whenever one stands by to replace this process
-	relinquished    bool            // a successor owns all that was here
-	onFail          func(error)     // ends the process
-	cordonStore     *cordonStore    // nil: nothing outlives this process
-	posted          []func()        // by other goroutines, for the loop to call
+	halved          bool                    // another process runs beside this one, and has half of them
+	onDivide        func(half bool)         // does the same for memory
+	onSuccessor     func()                  // told whenever one stands by to replace this process
+	relinquished    bool                    // a successor owns all that was here
+	onFail          func(error)             // ends the process
+	cordonStore     *hotrestart.CordonStore // nil: nothing outlives this process
+	posted          []func()                // by other goroutines, for the loop to call
 	posting         sync.Mutex
 }
 
--- a/internal/link/operators.go
+++ b/internal/link/operators.go
@@ -212,7 +212,7 @@
 		done(200, word)
 		return
 	}
-	l.cordonStore.save(l.Ledger.Cordoned(), func(err error) {
+	l.cordonStore.Save(l.Ledger.Cordoned(), func(err error) {
 		if err != nil { // the ban holds all the same, for as long as this process lives
 			l.log.Error("worker nodes out by hand are not kept", "error", err)
 			done(503, "not kept: "+err.Error())
--- a/internal/link/operators_test.go
+++ b/internal/link/operators_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"valvecove/internal/hotrestart"
 	"valvecove/internal/steps"
 	"valvecove/internal/tally"
 )
@@ -192,7 +193,7 @@
 		if got := put(c.what, c.id); got != c.want {
 			t.Errorf("%s %s: %q, expected %q", c.what, c.id, got, c.want)
 		}
-		if out, err := readCordonFile(dir); err != nil || strings.Join(out, " ") != c.kept {
+		if out, err := hotrestart.ReadCordonFile(dir); err != nil || strings.Join(out, " ") != c.kept {
 			t.Errorf("%s %s: kept %v, %v", c.what, c.id, out, err)
 		}
 	}
@@ -200,15 +201,15 @@
 		t.Error("ready with its only worker node out")
 	}
 	next := newWorld(s)
-	out, _ := readCordonFile(dir)
+	out, _ := hotrestart.ReadCordonFile(dir)
 	if next.loop.Ledger.SetCordoned(out); next.loop.Ledger.HasReadyWorker() {
 		t.Error("the next process sends to a worker node that is out")
 	}
-	for _, text := range []string{"", "{", `{"form":2,"out":["s-0"]}`, strings.Repeat(" ", maxCordonFileSize+1)} {
-		if err := os.WriteFile(filepath.Join(dir, cordonFileName), []byte(text), 0o600); err != nil {
+	for _, text := range []string{"", "{", `{"form":2,"out":["s-0"]}`, strings.Repeat(" ", hotrestart.MaxCordonFileSize+1)} {
+		if err := os.WriteFile(filepath.Join(dir, hotrestart.CordonFileName), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if out, err := readCordonFile(dir); err == nil || out != nil {
+		if out, err := hotrestart.ReadCordonFile(dir); err == nil || out != nil {
 			t.Errorf("of a spoilt file: %v, %v", out, err)
 		}
 	}
--- a/internal/link/start.go
+++ b/internal/link/start.go
@@ -16,6 +16,7 @@
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
 	"valvecove/internal/figures"
+	"valvecove/internal/hotrestart"
 	"valvecove/internal/oplog"
 	"valvecove/internal/requests"
 	"valvecove/internal/status"
@@ -121,7 +122,7 @@
 // at the clients' address, so that one that can't be reached by its successor can be replaced too.
 func (l *Loop) begin(c config.Config) error {
 	l.onFail = func(err error) { l.log.Error("can't go on", "error", err) }
-	out, err := readCordonFile(c.Dir)
+	out, err := hotrestart.ReadCordonFile(c.Dir)
 	if err != nil { // served on: a worker node that should be out is out again with the next call
 		l.log.Error("worker nodes out by hand can't be read", "error", err)
 	}
