--- /dev/null
+++ b/internal/hotrestart/addresses.go
@@ -0,0 +1,26 @@
+package hotrestart
+
+import (
+	"net/netip"
+	"path/filepath"
+	"strings"
+)
+
+const (
+	socketFileName     = "successor.sock"
+	abstractNamePrefix = "@valvecove/"
+)
+
+// SocketAddresses returns the addresses of the Unix socket at which the process that serves at listen awaits its successor,
+// the preferred one first: a file in the state directory, unless that is empty, and an abstract name, which needs no
+// directory, ends with its socket, and is seen by all processes of the machine.
+func SocketAddresses(stateDir string, listen netip.AddrPort) []string {
+	abstract := abstractNamePrefix + listen.String()
+	if stateDir == "" {
+		return []string{abstract}
+	}
+	return []string{filepath.Join(stateDir, socketFileName), abstract}
+}
+
+// IsAbstract tells whether an address of a Unix socket is an abstract name, and no file.
+func IsAbstract(address string) bool { return strings.HasPrefix(address, "@") }
--- a/internal/hotrestart/frame.go
+++ b/internal/hotrestart/frame.go
@@ -1,207 +1,156 @@
-// Package succession is what two processes of one scheduler say to each other while the younger one, the heir, takes
-// the place of the older one, the elder: frames on a Unix socket, some of which carry a descriptor, and the order in which
-// they may come. It has no sockets and no clock.
-//
-// A frame is four bytes of length, its kind, the number of descriptors that its first byte carries (0 or 1), and as many
-// bytes of JSON, or of the module's state, as the length says. Numbers are in network order.
 package hotrestart
 
 import (
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"time"
-
-	jsoniter "github.com/json-iterator/go"
-
-	"valvecove/internal/requests"
 )
 
-// ProtocolVersion is the version of all this. An heir and an elder of different forms do not talk: the elder says no.
+// ProtocolVersion is the version of frames and messages. Processes of different versions do not hand over to each other: the
+// predecessor rejects the successor.
 const ProtocolVersion = 1
 
-// Bounds of a frame.
+// Limits of frames.
 const (
-	headerSize = 6
-	// MaxBodySize is how many bytes a frame holds beyond its head: a client link with all it may hoard, in JSON's form.
+	// MaxBodySize is the largest body of a frame, in bytes. A client connection with full buffers, as JSON, fits into it.
 	MaxBodySize = 1 << 20
-	// SnapshotChunkSize is how many bytes of the module's state go in one frame, at most.
+
+	// SnapshotChunkSize is how many bytes of the policy's snapshot a predecessor sends in one frame, at most.
 	SnapshotChunkSize = 256 << 10
-	// MaxSnapshotSize is how many bytes the module's state may have.
-	MaxSnapshotSize = 64 << 20
 )
 
-// FrameKind is what a frame says.
+// A frame is a header and a body. The header holds the length of the body (four bytes in network order), the kind, and the
+// number of descriptors that are passed along with the frame's first byte (0 or 1).
+const (
+	headerSize             = 6
+	headerKindOffset       = 4
+	headerDescriptorOffset = 5
+)
+
+// FrameKind says which message a frame carries. The numbers are part of the protocol.
 type FrameKind byte
 
-// Kinds, with who says them.
+// Kinds of frames, by number. The names of the message types are those of the kinds.
 const (
-	KindHandshake       FrameKind = 1 + iota // heir: it is there, and would take over
-	KindAccept                               // elder: it may stand by; with the listening socket
-	KindReject                               // elder: it may not
-	KindSetCordon                            // whoever does not serve: a worker node is to be taken out, or brought back
-	KindCordonResult                         // whoever serves: what has become of that
-	KindCordonedWorkers                      // elder: the worker nodes that are out by now
-	KindTransferBegin                        // elder: all that it has comes now
-	KindSnapshotChunk                        // a piece of the module's state
-	KindRequestTable                         // what the ledger has besides queries
+	KindHandshake FrameKind = 1 + iota
+	KindAccept
+	KindReject
+	KindSetCordon
+	KindCordonResult
+	KindCordonedWorkers
+	KindTransferBegin
+	KindSnapshotChunk
+	KindRequestTable
 	KindOpenRequest
-	KindClientConnection // a client link; with its socket
-	KindWorkerConnection // a server link; with its socket
-	KindTransferEnd      // elder: that was all
-	KindTakenOver        // heir: it is the owner now
-	kindLimit
+	KindClientConnection
+	KindWorkerConnection
+	KindTransferEnd
+	KindTakenOver
+	kindLimit // one more than the last kind
 )
 
+var frameKindNames = [kindLimit]string{
+	KindHandshake:        "handshake",
+	KindAccept:           "accept",
+	KindReject:           "reject",
+	KindSetCordon:        "set cordon",
+	KindCordonResult:     "cordon result",
+	KindCordonedWorkers:  "cordoned workers",
+	KindTransferBegin:    "transfer begin",
+	KindSnapshotChunk:    "snapshot chunk",
+	KindRequestTable:     "request table",
+	KindOpenRequest:      "open request",
+	KindClientConnection: "client connection",
+	KindWorkerConnection: "worker connection",
+	KindTransferEnd:      "transfer end",
+	KindTakenOver:        "taken over",
+}
+
+// String returns the name of the kind, for logs and errors.
 func (k FrameKind) String() string {
-	if k < KindHandshake || k >= kindLimit {
+	if !k.isValid() {
 		return fmt.Sprintf("kind %d", byte(k))
 	}
-	return [...]string{"hello", "welcome", "denied", "ban", "banned", "bans", "begin", "module", "book", "query", "client link",
-		"server link", "end", "taken"}[k-KindHandshake]
+	return frameKindNames[k]
 }
 
-// carriesDescriptor tells which frames come with a descriptor.
-func (k FrameKind) carriesDescriptor() bool {
+func (k FrameKind) isValid() bool { return k >= KindHandshake && k < kindLimit }
+
+// CarriesDescriptor tells whether a file descriptor is passed along with frames of this kind.
+func (k FrameKind) CarriesDescriptor() bool {
 	return k == KindAccept || k == KindClientConnection || k == KindWorkerConnection
 }
 
-// The bodies of frames; those of the module are its bytes, and KindBegin and KindTaken have none. The other process may be
-// of another build: the names in the tags, and the order of the fields, are part of the form.
-type (
-	// Handshake opens the talk.
-	Handshake struct {
-		Version int `json:"Form"`
-	}
-	// Accept answers it.
-	Accept struct {
-		Version         int      `json:"Form"`
-		CordonedWorkers []string `json:"Out"` // worker nodes that are out by hand
-	}
-	// Reject says why not.
-	Reject struct {
-		Reason string `json:"Why"`
-	}
-	// SetCordon is an operator's call that came to the process that does not serve.
-	SetCordon struct {
-		Sequence uint64 `json:"Seq"`
-		WorkerID string `json:"ID"`
-		Cordoned bool   `json:"Out"`
-	}
-	// CordonResult is how its caller is to be answered.
-	CordonResult struct {
-		Sequence   uint64 `json:"Seq"`
-		StatusCode int    `json:"Code"`
-		Message    string `json:"What"`
-	}
-	// CordonedWorkers are the ids of all worker nodes that are out.
-	CordonedWorkers struct {
-		WorkerIDs []string `json:"Out"`
-	}
-	// ClientConnection is one accepted connection.
-	ClientConnection struct {
-		Input             []byte         `json:"In"`
-		Output            []byte         `json:"Out"`
-		ResponseSlots     []ResponseSlot `json:"Turns"`
-		LastRequestRead   bool           `json:"Last"`
-		InputConsumed     bool           `json:"Ended"`
-		HalfClosed        bool           `json:"Half"`
-		ContinueSent      bool           `json:"Continued"`
-		RequestSeen       bool           `json:"Spoke"`
-		UsefulRequestSeen bool           `json:"Useful"`
-		ProxyHeaderDone   bool           `json:"Introduced"`
-		LastActivity      time.Duration  `json:"Since"`  // as Unix time
-		ClientAddress     string         `json:"Client"` // an address, as the next
-		ProxyAddress      string         `json:"Via"`    // none: empty
-	}
-	// ResponseSlot is a request's place in the order of a link's answers.
-	ResponseSlot struct {
-		RequestID  uint64        `json:"Query"` // 0: none, or left
-		KeepAlive  bool          `json:"Keep"`
-		Complete   bool          `json:"Done"`
-		Status     int           `json:"Status"`
-		Body       []byte        `json:"Body"`
-		RetryAfter time.Duration `json:"Retry"`
-	}
-	// WorkerConnection is a connection to a worker node: idle, or with an attempt.
-	WorkerConnection struct {
-		WorkerID   string         `json:"Host"`
-		State      int            `json:"State"`
-		RequestID  uint64         `json:"Query"` // of the attempt; 0: none
-		Attempt    int            `json:"Attempt"`
-		Stage      requests.Stage `json:"Stage"`
-		Input      []byte         `json:"In"`
-		Output     []byte         `json:"Out"`
-		IdleBefore time.Duration  `json:"Rested"`
-		IdleSince  time.Duration  `json:"IdleAt"`
-	}
-	// TransferEnd counts the frames since KindBegin, itself left out.
-	TransferEnd struct {
-		FrameCount int `json:"Frames"`
-	}
-)
+// isState tells whether frames of this kind carry a part of the predecessor's state.
+func (k FrameKind) isState() bool { return k >= KindSnapshotChunk && k <= KindWorkerConnection }
 
-// Frame is one of them. Its body lies in the bytes that were read.
+// Frame is one frame as it was read. Body is a part of the buffer that it was read from.
 type Frame struct {
 	Kind            FrameKind
-	DescriptorCount int
+	DescriptorCount int // 0 or 1
 	Body            []byte
 }
 
-// ErrIncomplete means that a frame is not whole yet.
-var ErrIncomplete = errors.New("more is needed")
+// ErrIncomplete means that the buffer ends before the frame does: more is to be read first.
+var ErrIncomplete = errors.New("incomplete frame")
+
+// FrameError reports a frame that breaks the protocol.
+type FrameError struct {
+	Kind   FrameKind
+	Reason string
+}
+
+// Error names the kind of the frame and what is wrong with it.
+func (e *FrameError) Error() string { return fmt.Sprintf("invalid frame (%v): %s", e.Kind, e.Reason) }
 
-// ReadFrame finds the frame at the start of b and how many bytes it takes up.
-func ReadFrame(b []byte) (f Frame, n int, err error) {
-	if len(b) < headerSize {
+// ReadFrame returns the frame at the start of buffer and its size in bytes, header included. The error is ErrIncomplete or a
+// *FrameError.
+func ReadFrame(buffer []byte) (frame Frame, size int, err error) {
+	if len(buffer) < headerSize {
 		return Frame{}, 0, ErrIncomplete
 	}
-	size := binary.BigEndian.Uint32(b)
-	f = Frame{Kind: FrameKind(b[4]), DescriptorCount: int(b[5])}
-	switch {
-	case size > MaxBodySize:
-		return Frame{}, 0, fmt.Errorf("a frame of %d bytes, %d allowed", size, MaxBodySize)
-	case f.Kind < KindHandshake || f.Kind >= kindLimit:
-		return Frame{}, 0, fmt.Errorf("a frame of %v", f.Kind)
-	case f.DescriptorCount > 1 || (f.DescriptorCount == 1) != f.Kind.carriesDescriptor():
-		return Frame{}, 0, fmt.Errorf("%v with %d descriptors", f.Kind, f.DescriptorCount)
-	case len(b) < headerSize+int(size):
+	bodySize := binary.BigEndian.Uint32(buffer)
+	frame = Frame{Kind: FrameKind(buffer[headerKindOffset]), DescriptorCount: int(buffer[headerDescriptorOffset])}
+	if err := frame.checkHeader(bodySize); err != nil {
+		return Frame{}, 0, err
+	}
+	size = headerSize + int(bodySize)
+	if len(buffer) < size {
 		return Frame{}, 0, ErrIncomplete
 	}
-	f.Body = b[headerSize : headerSize+int(size)]
-	return f, headerSize + int(size), nil
+	frame.Body = buffer[headerSize:size]
+	return frame, size, nil
 }
 
-var json = jsoniter.ConfigCompatibleWithStandardLibrary
-
-// AppendFrame writes a frame to b. body is one of the types above, bytes, or nil.
-func AppendFrame(b []byte, kind FrameKind, body any) ([]byte, error) {
-	var text []byte
-	switch x := body.(type) {
-	case nil:
-	case []byte:
-		text = x
-	default:
-		var err error
-		if text, err = json.Marshal(body); err != nil {
-			return b, fmt.Errorf("%v: %w", kind, err)
-		}
-	}
-	if len(text) > MaxBodySize {
-		return b, fmt.Errorf("%v of %d bytes, %d allowed", kind, len(text), MaxBodySize)
+func (f Frame) checkHeader(bodySize uint32) error {
+	switch {
+	case bodySize > MaxBodySize:
+		return bodySizeError(f.Kind, int(bodySize))
+	case !f.Kind.isValid():
+		return &FrameError{f.Kind, "unknown kind"}
+	case f.DescriptorCount != f.Kind.descriptorCount():
+		return &FrameError{f.Kind, fmt.Sprintf("%d descriptors announced, %d expected", f.DescriptorCount, f.Kind.descriptorCount())}
 	}
-	b = binary.BigEndian.AppendUint32(b, uint32(len(text)))
-	fds := byte(0)
-	if kind.carriesDescriptor() {
-		fds = 1
+	return nil
+}
+
+func (k FrameKind) descriptorCount() int {
+	if k.CarriesDescriptor() {
+		return 1
 	}
-	return append(append(b, byte(kind), fds), text...), nil
+	return 0
 }
 
-// Decode reads the body of a frame into one of the types above.
-func (f Frame) Decode(into any) error {
-	if err := json.Unmarshal(f.Body, into); err != nil {
-		return fmt.Errorf("%v: %w", f.Kind, err)
+// appendFrame appends a frame to buffer.
+func appendFrame(buffer []byte, kind FrameKind, body []byte) ([]byte, error) {
+	if len(body) > MaxBodySize {
+		return buffer, bodySizeError(kind, len(body))
 	}
-	return nil
+	buffer = binary.BigEndian.AppendUint32(buffer, uint32(len(body)))
+	buffer = append(buffer, byte(kind), byte(kind.descriptorCount()))
+	return append(buffer, body...), nil
+}
+
+func bodySizeError(kind FrameKind, size int) error {
+	return &FrameError{kind, fmt.Sprintf("body of %d bytes, at most %d allowed", size, MaxBodySize)}
 }
--- /dev/null
+++ b/internal/hotrestart/frame_test.go
@@ -0,0 +1,148 @@
+package hotrestart
+
+import (
+	"bytes"
+	"errors"
+	"testing"
+	"time"
+
+	"valvecove/internal/steps"
+)
+
+func encode(tb testing.TB, message Message) []byte {
+	tb.Helper()
+	encoded, err := AppendMessage(nil, message)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return encoded
+}
+
+// A frame cut anywhere is incomplete until it is whole; no bytes make the reader or the decoder panic or take more than there
+// is.
+func FuzzReadFrame(f *testing.F) {
+	var all []byte
+	for _, message := range []Message{
+		Handshake{ProtocolVersion},
+		Accept{ProtocolVersion, []string{"s-0"}},
+		SetCordon{1, "s-0", true},
+		TransferBegin{},
+		SnapshotChunk{0, 1, 2},
+		ClientConnection{
+			Input:         []byte("GET"),
+			ResponseSlots: []ResponseSlot{{RequestID: 3, KeepAlive: true}},
+			LastActivity:  time.Second,
+		},
+		TransferEnd{7},
+	} {
+		encoded := encode(f, message)
+		f.Add(encoded)
+		all = append(all, encoded...)
+	}
+	f.Add(all)
+	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 1, 0})
+	f.Add([]byte{0, 0, 0, 0, byte(KindHandshake), 1})
+	f.Fuzz(func(t *testing.T, buffer []byte) {
+		whole, size, err := ReadFrame(buffer)
+		if err != nil {
+			return
+		}
+		if size > len(buffer) || size < headerSize || (whole.DescriptorCount == 1) != whole.Kind.CarriesDescriptor() {
+			t.Fatalf("took %d of %d, %v", size, len(buffer), whole)
+		}
+		for i := range size {
+			if _, _, short := ReadFrame(buffer[:i]); !errors.Is(short, ErrIncomplete) {
+				t.Fatalf("%d of %d bytes: %v", i, size, short)
+			}
+		}
+		if again, k, err := ReadFrame(buffer[:size]); err != nil || k != size || !bytes.Equal(again.Body, whole.Body) {
+			t.Fatalf("more bytes changed the frame")
+		}
+		if message, err := whole.Message(); err == nil && message.Kind() != whole.Kind {
+			t.Fatalf("%v decoded as %v", whole.Kind, message.Kind())
+		}
+	})
+}
+
+func TestReadFrame_RejectsWhatBreaksTheProtocol(t *testing.T) {
+	for name, header := range map[string][]byte{
+		"body too large":     {0, 0x10, 0, 1, byte(KindHandshake), 0},
+		"kind 0":             {0, 0, 0, 0, 0, 0},
+		"kind after the end": {0, 0, 0, 0, byte(kindLimit), 0},
+		"descriptor missing": {0, 0, 0, 0, byte(KindAccept), 0},
+		"descriptor extra":   {0, 0, 0, 0, byte(KindReject), 1},
+		"two descriptors":    {0, 0, 0, 0, byte(KindAccept), 2},
+	} {
+		var broken *FrameError
+		if _, _, err := ReadFrame(header); !errors.As(err, &broken) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
+
+func TestAppendMessage_RejectsLargeBody(t *testing.T) {
+	buffer := []byte("before")
+	var tooLarge *FrameError
+	got, err := AppendMessage(buffer, SnapshotChunk(make([]byte, MaxBodySize+1)))
+	if !errors.As(err, &tooLarge) || tooLarge.Kind != KindSnapshotChunk || !bytes.Equal(got, buffer) {
+		t.Errorf("%d bytes, %v", len(got), err)
+	}
+	if _, err := AppendMessage(nil, SnapshotChunk(make([]byte, MaxBodySize))); err != nil {
+		t.Error(err)
+	}
+}
+
+// A successor whose rejection can't be read is rejected all the same.
+func TestFrameMessage_RejectWithoutReason(t *testing.T) {
+	frame := Frame{Kind: KindReject, Body: []byte("{")}
+	if message, err := frame.Message(); err != nil || message.Kind() != KindReject {
+		t.Errorf("%v, %v", message, err)
+	}
+	if message, err := (Frame{Kind: KindAccept, Body: []byte("{")}).Message(); err == nil {
+		t.Errorf("accepted by %v", message)
+	}
+}
+
+func TestFrameKind_String(t *testing.T) {
+	seen := map[string]bool{}
+	for kind := KindHandshake; kind < kindLimit; kind++ {
+		if kind.String() == "" || seen[kind.String()] {
+			t.Errorf("kind %d is named %q", byte(kind), kind)
+		}
+		seen[kind.String()] = true
+	}
+	if got := kindLimit.String(); got != "kind 15" {
+		t.Errorf("an unknown kind is %q", got)
+	}
+}
+
+// pickMessage returns a message of any kind, mostly one that comes next in a hot restart. Its announced number of frames is
+// wrong now and then.
+func pickMessage(choices *steps.Steps, framesSent int) Message {
+	kind := FrameKind(1 + choices.Pick(int(kindLimit)-1))
+	if choices.Pick(3) > 0 {
+		kind = [...]FrameKind{KindAccept, KindTransferBegin, KindSnapshotChunk, KindOpenRequest, KindTransferEnd}[choices.Pick(5)]
+	}
+	if choices.Pick(4) == 0 {
+		framesSent++
+	}
+	return messageOf(kind, framesSent)
+}
+
+func messageOf(kind FrameKind, frameCount int) Message {
+	switch kind {
+	case KindHandshake:
+		return Handshake{Version: ProtocolVersion}
+	case KindAccept:
+		return Accept{Version: ProtocolVersion}
+	case KindTransferEnd:
+		return TransferEnd{frameCount}
+	case KindSnapshotChunk:
+		return SnapshotChunk{1}
+	}
+	message, err := Frame{Kind: kind, Body: []byte("{}")}.Message()
+	if err != nil {
+		panic(err)
+	}
+	return message
+}
--- /dev/null
+++ b/internal/hotrestart/predecessor_test.go
@@ -0,0 +1,173 @@
+package hotrestart
+
+import (
+	"errors"
+	"testing"
+
+	"valvecove/internal/steps"
+)
+
+// Whatever comes in whatever order, a predecessor is the owner until a successor that it has accepted says, during a
+// transfer, that it has taken over; then it never is again.
+func FuzzPredecessor(f *testing.F) {
+	steps.Fuzz(f, func(choices *steps.Steps) {
+		model := predecessorModel{Steps: choices}
+		for choices.More() {
+			switch choices.Pick(6) {
+			case 0:
+				model.connect()
+			case 1:
+				model.disconnect()
+			case 2:
+				model.beginTransfer()
+			default:
+				kind := [...]FrameKind{KindHandshake, KindTakenOver, KindSetCordon, KindCordonResult}[choices.Pick(4)]
+				model.receive(messageOf(kind, 0))
+			}
+			state := model.predecessor.State()
+			choices.Check(model.predecessor.HasRelinquished() == model.relinquished, "state %v, relinquished: %v", state, model.relinquished)
+		}
+	})
+}
+
+// predecessorModel is what a predecessor may be, by what it was given.
+type predecessorModel struct {
+	*steps.Steps
+	predecessor  Predecessor
+	connected    bool
+	accepted     bool
+	transferring bool
+	relinquished bool
+}
+
+func (m *predecessorModel) connect() {
+	err := m.predecessor.HandleConnect(true)
+	m.Check((err == nil) == (!m.connected && !m.relinquished), "connects: %v", err)
+	m.connected = m.connected || err == nil
+	m.Did("connect")
+}
+
+func (m *predecessorModel) disconnect() {
+	m.predecessor.HandleDisconnect()
+	m.connected, m.accepted, m.transferring = false, false, false
+	m.Did("disconnect")
+}
+
+func (m *predecessorModel) beginTransfer() {
+	begun := m.predecessor.BeginTransfer()
+	m.Check(begun == (m.accepted && !m.transferring && !m.relinquished), "transfer begun: %v", begun)
+	m.transferring = m.transferring || begun
+	m.Did("transfer")
+}
+
+func (m *predecessorModel) receive(message Message) {
+	kind := message.Kind()
+	action, err := m.predecessor.HandleMessage(message)
+	m.Did(kind.String())
+	if err != nil {
+		m.Check(action == ActionNone, "action %d with an error", action)
+		return
+	}
+	m.Check(action != ActionAccept || m.connected && !m.accepted && kind == KindHandshake, "accepts at %v", kind)
+	m.Check(action != ActionRelinquish || m.transferring && kind == KindTakenOver, "relinquishes at %v", kind)
+	m.accepted = m.accepted || action == ActionAccept
+	m.relinquished = m.relinquished || action == ActionRelinquish
+}
+
+// predecessorIn returns a predecessor in a state.
+func predecessorIn(t *testing.T, state PredecessorState) *Predecessor {
+	t.Helper()
+	var predecessor Predecessor
+	for _, step := range []func(){
+		func() { _ = predecessor.HandleConnect(true) },
+		func() { _, _ = predecessor.HandleMessage(Handshake{Version: ProtocolVersion}) },
+		func() { predecessor.BeginTransfer() },
+		func() { _, _ = predecessor.HandleMessage(TakenOver{}) },
+		predecessor.HandleDisconnect,
+	} {
+		if predecessor.State() != state {
+			step()
+		}
+	}
+	if predecessor.State() != state {
+		t.Fatalf("state %v, expected %v", predecessor.State(), state)
+	}
+	return &predecessor
+}
+
+// Each state allows these messages, and no others.
+func TestPredecessor_Transitions(t *testing.T) {
+	type step struct {
+		next   PredecessorState
+		action Action
+	}
+	allowed := map[PredecessorState]map[FrameKind]step{
+		PredecessorAlone:       {},
+		PredecessorHandshaking: {KindHandshake: {PredecessorPaired, ActionAccept}},
+		PredecessorPaired:      {KindSetCordon: {PredecessorPaired, ActionApply}},
+		PredecessorTransferring: {
+			KindSetCordon: {PredecessorTransferring, ActionNone},
+			KindTakenOver: {PredecessorRelinquished, ActionRelinquish},
+		},
+		PredecessorRelinquished: {KindCordonResult: {PredecessorRelinquished, ActionApply}},
+		PredecessorReplaced:     {},
+	}
+	for state, byKind := range allowed {
+		for kind := KindHandshake; kind < kindLimit; kind++ {
+			predecessor := predecessorIn(t, state)
+			action, err := predecessor.HandleMessage(messageOf(kind, 0))
+			want, ok := byKind[kind]
+			var unexpected *UnexpectedMessageError
+			switch {
+			case !ok && (!errors.As(err, &unexpected) || unexpected.State != state || predecessor.State() != state):
+				t.Errorf("%v in %v: %v, then %v", kind, state, err, predecessor.State())
+			case ok && (err != nil || action != want.action || predecessor.State() != want.next):
+				t.Errorf("%v in %v: action %d, %v, then %v", kind, state, action, err, predecessor.State())
+			}
+		}
+	}
+}
+
+func TestPredecessor_Connect(t *testing.T) {
+	for state, want := range map[PredecessorState]error{
+		PredecessorAlone:        nil,
+		PredecessorHandshaking:  ErrSuccessorPresent,
+		PredecessorPaired:       ErrSuccessorPresent,
+		PredecessorTransferring: ErrSuccessorPresent,
+		PredecessorRelinquished: ErrSuccessorPresent,
+		PredecessorReplaced:     ErrReplaced,
+	} {
+		if err := predecessorIn(t, state).HandleConnect(false); !errors.Is(err, ErrOtherUser) {
+			t.Errorf("another user's process in %v: %v", state, err)
+		}
+		if err := predecessorIn(t, state).HandleConnect(true); !errors.Is(err, want) {
+			t.Errorf("in %v: %v, expected %v", state, err, want)
+		}
+	}
+}
+
+func TestPredecessor_Disconnect(t *testing.T) {
+	for state, want := range map[PredecessorState]PredecessorState{
+		PredecessorAlone:        PredecessorAlone,
+		PredecessorHandshaking:  PredecessorAlone,
+		PredecessorPaired:       PredecessorAlone,
+		PredecessorTransferring: PredecessorAlone,
+		PredecessorRelinquished: PredecessorReplaced,
+		PredecessorReplaced:     PredecessorReplaced,
+	} {
+		predecessor := predecessorIn(t, state)
+		if predecessor.HandleDisconnect(); predecessor.State() != want {
+			t.Errorf("in %v: then %v, expected %v", state, predecessor.State(), want)
+		}
+	}
+}
+
+// A successor of another version is told why it is rejected, in the words that all builds send.
+func TestPredecessor_RejectsOtherVersion(t *testing.T) {
+	predecessor := predecessorIn(t, PredecessorHandshaking)
+	action, err := predecessor.HandleMessage(Handshake{Version: ProtocolVersion + 1})
+	var other *VersionError
+	if action != ActionReject || !errors.As(err, &other) || err.Error() != "form 2, expected 1" {
+		t.Errorf("action %d, %v", action, err)
+	}
+}
--- a/internal/hotrestart/successor.go
+++ b/internal/hotrestart/successor.go
@@ -1,102 +1,232 @@
 package hotrestart
 
-import "fmt"
+import (
+	"errors"
+	"fmt"
+)
 
-// SuccessorState is where an heir stands with its elder.
+// SuccessorState is where a successor stands with its predecessor.
 type SuccessorState int
 
-// The stands of an heir.
+// States of a successor.
 const (
-	SuccessorJoining   SuccessorState = iota // it has said hello
-	SuccessorStandby                         // it may take over: the elder serves
-	SuccessorReceiving                       // all that the elder has is coming
+	SuccessorJoining   SuccessorState = iota // it has sent its handshake
+	SuccessorStandby                         // it was accepted, and the predecessor serves
+	SuccessorReceiving                       // the predecessor's state is coming
 	SuccessorServing                         // it is the owner
-	SuccessorRejected                        // the elder does not want it
+	SuccessorRejected                        // the predecessor does not hand over to it
 )
 
-// Action is what an heir is to do next.
+// String returns the name of the state, for logs and errors.
+func (s SuccessorState) String() string {
+	switch s {
+	case SuccessorJoining:
+		return "joining"
+	case SuccessorStandby:
+		return "standby"
+	case SuccessorReceiving:
+		return "receiving"
+	case SuccessorServing:
+		return "serving"
+	case SuccessorRejected:
+		return "rejected"
+	default:
+		return fmt.Sprintf("successor state %d", int(s))
+	}
+}
+
+// Action is what the owner of a state machine has to do next.
 type Action int
 
-// The steps.
+// Actions of both sides, of a successor, and of a predecessor.
 const (
-	ActionApply      Action = iota // take the frame in
-	ActionTakeOver                 // all has come: say that it is taken, and then own it
-	ActionServeAlone               // the elder has gone: what came of its goods is void, serve without them
-	ActionGiveUp                   // the elder does not want an heir: end
-	ActionReconnect                // the talk has broken off: what came is void, and the elder, if it can be reached, is asked anew
-	ActionNone                     // the talk is over, and nothing hangs on it
+	ActionNone  Action = iota // nothing: the message or the end of the connection has no effect
+	ActionApply               // do what the message says
+
+	ActionTakeOver   // all state has come: send TakenOver, call TookOver, and serve with it
+	ActionServeAlone // the predecessor has gone: discard what has come of its state, and serve without it
+	ActionGiveUp     // the predecessor rejects this process: end it
+	ActionReconnect  // the connection is lost: discard what has come, and connect again; if that fails, call HandleDisconnect
+
+	ActionAccept     // send Accept
+	ActionReject     // send Reject with the error's text, and close the connection
+	ActionRelinquish // the successor owns everything: let go of it
 )
 
-// maxSessions is how often an heir asks at most. An elder that goes on living keeps what it has, and two that serve side by
-// side would get each other's call-backs.
+// maxSessions is how many times a successor connects at most. A predecessor that lives on keeps its state, and of two
+// processes that serve side by side one would get callbacks that are meant for the other.
 const maxSessions = 3
 
-// Successor decides, by what comes on the channel, who is the owner. Until it has been given all, it owns nothing; what has come
-// in part is void if no more comes, as the elder then still has it, or has died with it.
+// MaxSnapshotSize is the largest snapshot of a dispatch policy that a successor accepts, in bytes.
+const MaxSnapshotSize = 64 << 20
+
+// ErrSnapshotTooLarge means that the chunks of the policy's snapshot add up to more than MaxSnapshotSize.
+var ErrSnapshotTooLarge = errors.New("the policy's snapshot is too large")
+
+// UnexpectedMessageError reports a message that is not allowed in the state of the process that received it.
+type UnexpectedMessageError struct {
+	Kind  FrameKind
+	State fmt.Stringer // a SuccessorState or a PredecessorState
+}
+
+// Error names the message and the state.
+func (e *UnexpectedMessageError) Error() string {
+	return fmt.Sprintf("unexpected message %q in state %q", e.Kind, e.State)
+}
+
+// VersionError reports that the other process speaks another version of the protocol.
+type VersionError struct {
+	Version int // of the other process
+}
+
+// Error is also the reason that a Reject gives, which processes of all builds send in this form.
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("form %d, expected %d", e.Version, ProtocolVersion)
+}
+
+// MissingFramesError reports that frames are lost, or too many, between TransferBegin and TransferEnd.
+type MissingFramesError struct {
+	Received, Announced int
+}
+
+// Error gives both numbers.
+func (e *MissingFramesError) Error() string {
+	return fmt.Sprintf("%d frames received, %d announced", e.Received, e.Announced)
+}
+
+// Successor is the state machine of the process that takes over. It starts in SuccessorJoining, once the handshake is sent.
+//
+// It decides who the owner is. Until all state has come, the successor owns nothing: what has come in part is void if no
+// more comes, as the predecessor then still has it, or has died with it.
 type Successor struct {
 	state          SuccessorState
-	sessionsLost   int // that have broken off
-	framesReceived int
-	snapshotSize   int
+	sessionsLost   int
+	framesReceived int // since TransferBegin
+	snapshotSize   int // bytes received since TransferBegin
 }
 
-// State tells where it stands.
-func (h *Successor) State() SuccessorState { return h.state }
+// State returns the present state.
+func (s *Successor) State() SuccessorState { return s.state }
 
-// HandleFrame takes in a frame. An error ends the talk like its end does.
-func (h *Successor) HandleFrame(f Frame) (Action, error) {
-	switch {
-	case h.state == SuccessorJoining && f.Kind == KindAccept:
-		var w Accept
-		if err := f.Decode(&w); err != nil {
-			return ActionApply, err
+// HandleMessage takes in a message of the predecessor. After an error the connection is to be closed, and HandleDisconnect
+// called.
+func (s *Successor) HandleMessage(message Message) (Action, error) {
+	if err := s.check(message); err != nil {
+		return ActionNone, err
+	}
+	action, ok := s.transition(successorEvent(message.Kind()))
+	if !ok {
+		return ActionNone, &UnexpectedMessageError{message.Kind(), s.state}
+	}
+	s.count(message)
+	return action, nil
+}
+
+// TookOver makes this process the owner: it has answered ActionTakeOver by sending TakenOver.
+func (s *Successor) TookOver() { s.transition(successorTookOver) }
+
+// HandleDisconnect takes in that the connection has ended, or that the predecessor can't be reached again.
+func (s *Successor) HandleDisconnect() Action {
+	s.sessionsLost++
+	action, _ := s.transition(successorDisconnected)
+	return action
+}
+
+// check compares what a message says with what has come before.
+func (s *Successor) check(message Message) error {
+	switch message := message.(type) {
+	case Accept:
+		if message.Version != ProtocolVersion {
+			return fmt.Errorf("the predecessor's protocol: %w", &VersionError{message.Version})
+		}
+	case SnapshotChunk:
+		if s.snapshotSize+len(message) > MaxSnapshotSize {
+			return ErrSnapshotTooLarge
+		}
+	case TransferEnd:
+		if s.state == SuccessorReceiving && message.FrameCount != s.framesReceived {
+			return &MissingFramesError{s.framesReceived, message.FrameCount}
 		}
-		if w.Version != ProtocolVersion {
-			return ActionApply, fmt.Errorf("the elder speaks form %d, expected %d", w.Version, ProtocolVersion)
+	}
+	return nil
+}
+
+// count adds up what has come of a transfer.
+func (s *Successor) count(message Message) {
+	if message.Kind() == KindTransferBegin {
+		s.framesReceived, s.snapshotSize = 0, 0
+	}
+	if message.Kind().isState() {
+		s.framesReceived++
+	}
+	if chunk, ok := message.(SnapshotChunk); ok {
+		s.snapshotSize += len(chunk)
+	}
+}
+
+// successorEvent is the kind of a message that has come, or one of the events below.
+type successorEvent int
+
+const (
+	successorTookOver successorEvent = successorEvent(kindLimit) + iota
+	successorDisconnected
+)
+
+// transition is the only place where the state changes. ok is false, and the state stays, if the event is not allowed in it.
+func (s *Successor) transition(event successorEvent) (action Action, ok bool) {
+	next, action, ok := s.next(event)
+	s.state = next
+	return action, ok
+}
+
+// next is the table of transitions.
+func (s *Successor) next(event successorEvent) (next SuccessorState, action Action, ok bool) {
+	if event == successorDisconnected {
+		next, action = s.afterDisconnect()
+		return next, action, true
+	}
+	switch s.state {
+	case SuccessorJoining:
+		switch event {
+		case successorEvent(KindAccept):
+			return SuccessorStandby, ActionApply, true
+		case successorEvent(KindReject):
+			return SuccessorRejected, ActionGiveUp, true
 		}
-		h.state = SuccessorStandby
-		return ActionApply, nil
-	case h.state == SuccessorJoining && f.Kind == KindReject:
-		h.state = SuccessorRejected
-		return ActionGiveUp, nil
-	case h.state != SuccessorJoining && f.Kind == KindCordonResult, h.state == SuccessorStandby && f.Kind == KindCordonedWorkers, h.state == SuccessorServing && f.Kind == KindSetCordon:
-		return ActionApply, nil
-	case h.state == SuccessorStandby && f.Kind == KindTransferBegin:
-		h.state, h.framesReceived, h.snapshotSize = SuccessorReceiving, 0, 0
-		return ActionApply, nil
-	case h.state == SuccessorReceiving && f.Kind >= KindSnapshotChunk && f.Kind <= KindWorkerConnection:
-		h.framesReceived++
-		if f.Kind == KindSnapshotChunk {
-			if h.snapshotSize += len(f.Body); h.snapshotSize > MaxSnapshotSize {
-				return ActionApply, fmt.Errorf("a module of over %d bytes", MaxSnapshotSize)
-			}
+		return s.state, ActionNone, false
+	case SuccessorStandby:
+		switch event {
+		case successorEvent(KindCordonedWorkers):
+			return s.state, ActionApply, true
+		case successorEvent(KindTransferBegin):
+			return SuccessorReceiving, ActionNone, true
 		}
-		return ActionApply, nil
-	case h.state == SuccessorReceiving && f.Kind == KindTransferEnd:
-		var e TransferEnd
-		if err := f.Decode(&e); err != nil {
-			return ActionApply, err
+	case SuccessorReceiving:
+		switch {
+		case event == successorTookOver:
+			return SuccessorServing, ActionNone, true
+		case event == successorEvent(KindTransferEnd):
+			return s.state, ActionTakeOver, true
+		case FrameKind(event).isState():
+			return s.state, ActionApply, true
 		}
-		if e.FrameCount != h.framesReceived {
-			return ActionApply, fmt.Errorf("%d frames have come of %d", h.framesReceived, e.FrameCount)
+	case SuccessorServing:
+		if event == successorEvent(KindSetCordon) { // the predecessor was called after it had handed over
+			return s.state, ActionApply, true
 		}
-		return ActionTakeOver, nil
 	}
-	return ActionApply, fmt.Errorf("%v out of turn", f.Kind)
+	// A result may come at any time after the first handshake: calls stay open across sessions.
+	return s.state, ActionApply, event == successorEvent(KindCordonResult)
 }
 
-// TookOver makes it the owner: it has said so to the elder.
-func (h *Successor) TookOver() { h.state = SuccessorServing }
-
-// HandleDisconnect takes in that the channel has ended, or that the elder can't be reached.
-func (h *Successor) HandleDisconnect() Action {
-	switch h.sessionsLost++; {
-	case h.state == SuccessorServing || h.state == SuccessorRejected:
-		return ActionNone
-	case h.state != SuccessorJoining && h.sessionsLost < maxSessions:
-		h.state = SuccessorJoining
-		return ActionReconnect
+func (s *Successor) afterDisconnect() (SuccessorState, Action) {
+	switch s.state {
+	case SuccessorServing, SuccessorRejected:
+		return s.state, ActionNone
+	case SuccessorStandby, SuccessorReceiving:
+		if s.sessionsLost < maxSessions {
+			return SuccessorJoining, ActionReconnect
+		}
 	}
-	h.state = SuccessorServing
-	return ActionServeAlone
+	return SuccessorServing, ActionServeAlone
 }
--- a/internal/hotrestart/successor_test.go
+++ b/internal/hotrestart/successor_test.go
@@ -1,117 +1,215 @@
 package hotrestart
 
 import (
-	"bytes"
 	"errors"
 	"testing"
-	"time"
 
 	"valvecove/internal/steps"
 )
 
-// A frame cut anywhere is short until it is whole; no bytes make the reader panic or take more than there is.
-func FuzzReadFrame(f *testing.F) {
-	var all []byte
-	for _, x := range []struct {
-		kind FrameKind
-		body any
-	}{{KindHandshake, Handshake{ProtocolVersion}}, {KindAccept, Accept{ProtocolVersion, []string{"s-0"}}}, {KindSetCordon, SetCordon{1, "s-0", true}}, {KindTransferBegin, nil},
-		{KindSnapshotChunk, []byte{0, 1, 2}}, {KindClientConnection, ClientConnection{Input: []byte("GET"), ResponseSlots: []ResponseSlot{{RequestID: 3, KeepAlive: true}}, LastActivity: time.Second}},
-		{KindTransferEnd, TransferEnd{7}}} {
-		b, err := AppendFrame(nil, x.kind, x.body)
-		if err != nil {
-			f.Fatal(err)
-		}
-		f.Add(b)
-		all = append(all, b...)
-	}
-	f.Add(all)
-	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 1, 0})
-	f.Add([]byte{0, 0, 0, 0, byte(KindHandshake), 1})
-	f.Fuzz(func(t *testing.T, b []byte) {
-		whole, n, err := ReadFrame(b)
-		if err == nil && (n > len(b) || n < headerSize || (whole.DescriptorCount == 1) != whole.Kind.carriesDescriptor()) {
-			t.Fatalf("took %d of %d, %v", n, len(b), whole)
-		}
-		for i := range min(len(b), n) {
-			if _, _, short := ReadFrame(b[:i]); err == nil && !errors.Is(short, ErrIncomplete) {
-				t.Fatalf("%d of %d bytes: %v", i, n, short)
+// Whatever comes in whatever order, a successor is the owner only after all that was announced has come, or once the
+// predecessor has gone; then it owns nothing of what had come in part.
+func FuzzSuccessor(f *testing.F) {
+	steps.Fuzz(f, func(choices *steps.Steps) {
+		model := successorModel{Steps: choices}
+		for goesOn := true; goesOn && choices.More(); {
+			if choices.Pick(20) == 0 {
+				goesOn = model.disconnect()
 			}
-		}
-		if err == nil && n < len(b) {
-			if again, k, err := ReadFrame(b[:n]); err != nil || k != n || !bytes.Equal(again.Body, whole.Body) {
-				t.Fatalf("more bytes changed the frame")
+			if goesOn {
+				goesOn = model.receive(pickMessage(choices, model.frames))
 			}
 		}
 	})
 }
 
-// Whatever comes in whatever order, an heir is the owner only after all that was announced has come, or once the elder has
-// gone; then it owns nothing of what had come in part.
-func FuzzSuccessor(f *testing.F) {
-	steps.Fuzz(f, func(s *steps.Steps) {
-		var h Successor
-		welcome, begun, frames, owner, ended := false, false, 0, false, 0
-		for s.More() {
-			kind := FrameKind(1 + s.Pick(int(kindLimit)-1))
-			if s.Pick(3) > 0 { // mostly what comes next in a hand-over
-				kind = [...]FrameKind{KindAccept, KindTransferBegin, KindSnapshotChunk, KindOpenRequest, KindTransferEnd}[s.Pick(5)]
-			}
-			if s.Pick(20) == 0 {
-				step := h.HandleDisconnect()
-				s.Check((step == ActionNone) == owner, "ended as the owner %v: step %d", owner, step)
-				if ended++; step != ActionReconnect {
-					s.Check(owner || !welcome || ended == maxSessions, "the elder is not asked anew")
-					return
-				}
-				s.Check(welcome && ended < maxSessions, "asked anew for ever")
-				welcome, begun, frames = false, false, 0 // what has come in part is void
-			}
-			told := frames
-			if s.Pick(4) == 0 {
-				told++
-			}
-			bodies := map[FrameKind]any{KindAccept: Accept{Version: ProtocolVersion}, KindTransferEnd: TransferEnd{told}, KindSnapshotChunk: []byte{1}}
-			b, _ := AppendFrame(nil, kind, bodies[kind])
-			frame, _, err := ReadFrame(b)
-			if err != nil {
-				s.T.Fatal(err)
-			}
-			step, err := h.HandleFrame(frame)
-			s.Did(kind.String())
-			if err != nil { // like an end
-				s.Check(step != ActionTakeOver, "takes what it can't read")
-				return
-			}
+// successorModel is what a successor may be, by the messages that it was given.
+type successorModel struct {
+	*steps.Steps
+	successor       Successor
+	accepted, begun bool
+	owner           bool
+	frames          int // since the transfer has begun
+	lost            int // connections
+}
+
+// disconnect tells whether the successor goes on.
+func (m *successorModel) disconnect() bool {
+	action := m.successor.HandleDisconnect()
+	m.Check((action == ActionNone) == m.owner, "disconnected as the owner %v: action %d", m.owner, action)
+	m.lost++
+	if action != ActionReconnect {
+		m.Check(m.owner || !m.accepted || m.lost == maxSessions, "it does not connect again")
+		return false
+	}
+	m.Check(m.accepted && m.lost < maxSessions, "it connects again for ever")
+	m.accepted, m.begun, m.frames = false, false, 0 // what has come in part is void
+	return true
+}
+
+// receive tells whether the successor goes on.
+func (m *successorModel) receive(message Message) bool {
+	action, err := m.successor.HandleMessage(message)
+	m.Did(message.Kind().String())
+	if err != nil { // like the end of the connection
+		m.Check(action == ActionNone, "action %d with an error", action)
+		return false
+	}
+	if action == ActionGiveUp {
+		rejected := !m.accepted && message.Kind() == KindReject
+		m.Check(rejected && m.successor.HandleDisconnect() == ActionNone, "gives up at %v", message.Kind())
+		return false
+	}
+	if action == ActionTakeOver {
+		end, ok := message.(TransferEnd)
+		m.Check(ok && m.begun && end.FrameCount == m.frames, "owner after %d frames: %v", m.frames, message)
+		m.owner = true
+		m.successor.TookOver()
+	}
+	m.apply(message.Kind())
+	m.Check((m.successor.State() == SuccessorServing) == m.owner, "state %v, owner: %v", m.successor.State(), m.owner)
+	return true
+}
+
+func (m *successorModel) apply(kind FrameKind) {
+	switch {
+	case kind == KindAccept:
+		m.Check(!m.accepted, "accepted twice")
+		m.accepted = true
+	case kind == KindTransferBegin:
+		m.Check(m.accepted && !m.begun, "an unexpected transfer")
+		m.begun = true
+	case kind.isState():
+		m.Check(m.begun && !m.owner, "%v outside a transfer", kind)
+		m.frames++
+	}
+}
+
+// successorIn returns a successor in a state.
+func successorIn(t *testing.T, state SuccessorState) *Successor {
+	t.Helper()
+	var successor Successor
+	path := map[SuccessorState][]Message{
+		SuccessorJoining:   {},
+		SuccessorStandby:   {Accept{Version: ProtocolVersion}},
+		SuccessorReceiving: {Accept{Version: ProtocolVersion}, TransferBegin{}},
+		SuccessorServing:   {Accept{Version: ProtocolVersion}, TransferBegin{}, TransferEnd{0}},
+		SuccessorRejected:  {Reject{}},
+	}
+	for _, message := range path[state] {
+		action, err := successor.HandleMessage(message)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if action == ActionTakeOver {
+			successor.TookOver()
+		}
+	}
+	if successor.State() != state {
+		t.Fatalf("state %v, expected %v", successor.State(), state)
+	}
+	return &successor
+}
+
+// Each state allows these messages, and no others.
+func TestSuccessor_Transitions(t *testing.T) {
+	type step struct {
+		next   SuccessorState
+		action Action
+	}
+	allowed := map[SuccessorState]map[FrameKind]step{
+		SuccessorJoining: {
+			KindAccept: {SuccessorStandby, ActionApply},
+			KindReject: {SuccessorRejected, ActionGiveUp},
+		},
+		SuccessorStandby: {
+			KindCordonResult:    {SuccessorStandby, ActionApply},
+			KindCordonedWorkers: {SuccessorStandby, ActionApply},
+			KindTransferBegin:   {SuccessorReceiving, ActionNone},
+		},
+		SuccessorReceiving: {
+			KindCordonResult:     {SuccessorReceiving, ActionApply},
+			KindSnapshotChunk:    {SuccessorReceiving, ActionApply},
+			KindRequestTable:     {SuccessorReceiving, ActionApply},
+			KindOpenRequest:      {SuccessorReceiving, ActionApply},
+			KindClientConnection: {SuccessorReceiving, ActionApply},
+			KindWorkerConnection: {SuccessorReceiving, ActionApply},
+			KindTransferEnd:      {SuccessorReceiving, ActionTakeOver},
+		},
+		SuccessorServing: {
+			KindCordonResult: {SuccessorServing, ActionApply},
+			KindSetCordon:    {SuccessorServing, ActionApply},
+		},
+		SuccessorRejected: {
+			KindCordonResult: {SuccessorRejected, ActionApply},
+		},
+	}
+	for state, byKind := range allowed {
+		for kind := KindHandshake; kind < kindLimit; kind++ {
+			successor := successorIn(t, state)
+			action, err := successor.HandleMessage(messageOf(kind, 0))
+			want, ok := byKind[kind]
+			var unexpected *UnexpectedMessageError
 			switch {
-			case step == ActionGiveUp:
-				s.Check(!welcome && kind == KindReject && h.HandleDisconnect() == ActionNone, "gives up at %v", kind)
-				return
-			case step == ActionTakeOver:
-				s.Check(begun && kind == KindTransferEnd && told == frames, "owner after %d of %d frames", frames, told)
-				owner = true
-				h.TookOver()
-			case kind == KindAccept:
-				s.Check(!welcome, "welcome twice")
-				welcome = true
-			case kind == KindTransferBegin:
-				s.Check(welcome && !begun, "a hand-over that is not due")
-				begun = true
-			case kind >= KindSnapshotChunk && kind <= KindWorkerConnection:
-				s.Check(begun && !owner, "%v out of a hand-over", kind)
-				frames++
+			case !ok && (!errors.As(err, &unexpected) || unexpected.State != state || successor.State() != state):
+				t.Errorf("%v in %v: %v, then %v", kind, state, err, successor.State())
+			case ok && (err != nil || action != want.action || successor.State() != want.next):
+				t.Errorf("%v in %v: action %d, %v, then %v", kind, state, action, err, successor.State())
 			}
-			s.Check((h.State() == SuccessorServing) == owner, "serves: %v, owner: %v", h.State() == SuccessorServing, owner)
 		}
-	})
+	}
 }
 
-// Another form is no elder of ours.
+func TestSuccessor_Disconnect(t *testing.T) {
+	for _, test := range []struct {
+		state, next SuccessorState
+		action      Action
+	}{
+		{SuccessorJoining, SuccessorServing, ActionServeAlone},
+		{SuccessorStandby, SuccessorJoining, ActionReconnect},
+		{SuccessorReceiving, SuccessorJoining, ActionReconnect},
+		{SuccessorServing, SuccessorServing, ActionNone},
+		{SuccessorRejected, SuccessorRejected, ActionNone},
+	} {
+		successor := successorIn(t, test.state)
+		if action := successor.HandleDisconnect(); action != test.action || successor.State() != test.next {
+			t.Errorf("in %v: action %d, then %v", test.state, action, successor.State())
+		}
+	}
+}
+
+// A predecessor of another version is none.
 func TestOtherProtocolVersionIsRefused(t *testing.T) {
-	b, _ := AppendFrame(nil, KindAccept, Accept{Version: ProtocolVersion + 1})
-	f, _, _ := ReadFrame(b)
-	var h Successor
-	if _, err := h.HandleFrame(f); err == nil {
-		t.Error("welcomed by another form")
+	var successor Successor
+	var other *VersionError
+	if _, err := successor.HandleMessage(Accept{Version: ProtocolVersion + 1}); !errors.As(err, &other) || other.Version != ProtocolVersion+1 {
+		t.Errorf("accepted by another version: %v", err)
+	}
+}
+
+// Frames that are lost, or too many, make the transfer void.
+func TestSuccessor_CountsFrames(t *testing.T) {
+	for _, announced := range []int{0, 2} {
+		successor := successorIn(t, SuccessorReceiving)
+		if _, err := successor.HandleMessage(SnapshotChunk{1}); err != nil {
+			t.Fatal(err)
+		}
+		var missing *MissingFramesError
+		if _, err := successor.HandleMessage(TransferEnd{announced}); !errors.As(err, &missing) || *missing != (MissingFramesError{1, announced}) {
+			t.Errorf("%d announced: %v", announced, err)
+		}
+	}
+}
+
+func TestSuccessor_LimitsSnapshot(t *testing.T) {
+	successor := successorIn(t, SuccessorReceiving)
+	chunk := make(SnapshotChunk, SnapshotChunkSize)
+	for range MaxSnapshotSize / SnapshotChunkSize {
+		if _, err := successor.HandleMessage(chunk); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if _, err := successor.HandleMessage(SnapshotChunk{1}); !errors.Is(err, ErrSnapshotTooLarge) {
+		t.Errorf("one byte more: %v", err)
 	}
 }
--- a/internal/link/hotrestart_channel.go
+++ b/internal/link/hotrestart_channel.go
@@ -2,10 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
-	"net/netip"
-	"os"
-	"path/filepath"
 	"time"
 
 	"golang.org/x/sys/unix"
@@ -13,205 +9,196 @@
 	"valvecove/internal/hotrestart"
 )
 
-// successorSocketFile is where an elder can be reached by its heir, in the directory of what outlives a process.
-const successorSocketFile = "successor.sock"
+const (
+	controlBufferSize    = 256                    // for descriptors that come with one read
+	passedDescriptorWait = 100 * time.Microsecond // before another try, while too many are on their way
+)
 
-// successorAddresses are where an elder can be reached, the better first: in the directory, and by a name that needs none, which
-// lives as long as its socket and is seen by all processes of the machine; whose they are is asked in either case.
-func successorAddresses(dir string, listen netip.AddrPort) []string {
-	name := "@valvecove/" + listen.String()
-	if dir == "" {
-		return []string{name}
-	}
-	return []string{filepath.Join(dir, successorSocketFile), name}
-}
+// Errors of a channel.
+var (
+	errDescriptorLost     = errors.New("a descriptor was lost: this process has no room for it")
+	errOutputPending      = errors.New("earlier messages are not sent yet")
+	errPeerNotReading     = errors.New("the peer does not read")
+	errPeerNotResponding  = errors.New("the peer does not respond in time")
+	errHandshakeTimeout   = errors.New("no handshake in time")
+	errHandlerPanicked    = errors.New("panic")
+	errPeerNotListening   = errors.New("a message could not be sent")
+	errSuccessorHasClosed = errors.New("the successor has closed its connection")
+)
 
-// frameChannel is one end of the Unix socket between an elder and its heir: a stream whose frames may carry descriptors.
+// frameChannel is one end of the Unix socket between a predecessor and a successor: a stream of frames, some of which come
+// with a descriptor.
 type frameChannel struct {
 	stream
-	descriptors []int // that have come, and belong to frames that are not taken yet
+	descriptors  []int                   // received, of frames that have not been handled yet
+	pendingCalls hotrestart.PendingCalls // cordon calls that were forwarded to the peer
 }
 
-// unixSockaddr is an address for a path; longer ones than an address holds go by the directory's descriptor, which must stay
-// open until it has been used.
-func unixSockaddr(path string) (sa *unix.SockaddrUnix, done func(), err error) {
-	if len(path) < 100 {
-		return &unix.SockaddrUnix{Name: path}, func() {}, nil
-	}
-	dir, err := unix.Open(filepath.Dir(path), unix.O_PATH|unix.O_DIRECTORY|unix.O_CLOEXEC, 0)
-	if err != nil {
-		return nil, nil, err
+// receive reads what has come, with the descriptors; one scratch buffer of it at most. ended tells that no more will come.
+func (c *frameChannel) receive() (ended bool, err error) {
+	var control [controlBufferSize]byte
+	n, controlSize, flags, err := c.receiveMessage(control[:])
+	switch {
+	case errors.Is(err, unix.EAGAIN):
+		return false, nil
+	case err != nil:
+		return true, err
 	}
-	return &unix.SockaddrUnix{Name: fmt.Sprintf("/proc/self/fd/%d/%s", dir, filepath.Base(path))},
-		func() { _ = unix.Close(dir) }, nil
-}
-
-func openUnixSocket(path string, act func(fd int, sa unix.Sockaddr) error) (int, error) {
-	sa, done, err := unixSockaddr(path)
-	if err != nil {
-		return -1, err
+	if err := c.keepDescriptors(control[:controlSize]); err != nil {
+		return true, err
 	}
-	defer done()
-	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		return -1, err
+	if flags&unix.MSG_CTRUNC != 0 {
+		return true, errDescriptorLost
 	}
-	if err := act(fd, sa); err != nil {
-		_ = unix.Close(fd)
-		return -1, err
+	if n == 0 {
+		return true, nil
 	}
-	return fd, nil
+	c.in = append(c.in, c.loop.scratch[:n]...)
+	return false, nil
 }
 
-// dialPredecessor connects to an elder; an error means that there is none.
-func dialPredecessor(points []string) (fd int, err error) {
-	for _, at := range points {
-		if fd, err = openUnixSocket(at, unix.Connect); err == nil {
-			return fd, nil
+func (c *frameChannel) receiveMessage(control []byte) (n, controlSize, flags int, err error) {
+	for {
+		n, controlSize, flags, _, err = unix.Recvmsg(c.fd, c.loop.scratch, control, unix.MSG_CMSG_CLOEXEC|unix.MSG_DONTWAIT)
+		if !errors.Is(err, unix.EINTR) {
+			return n, controlSize, flags, err
 		}
 	}
-	return -1, err
 }
 
-// listenForSuccessor listens for an heir at the first point that serves. What an earlier process has left at a path makes room.
-func listenForSuccessor(points []string) (fd int, err error) {
-	for _, at := range points {
-		if at[0] != '@' {
-			_ = os.Remove(at) // if it can't be, that shows below
-		}
-		fd, err = openUnixSocket(at, func(fd int, sa unix.Sockaddr) error {
-			if err := unix.Bind(fd, sa); err != nil {
-				return err
-			}
-			return unix.Listen(fd, 4)
-		})
-		if err == nil {
-			return fd, nil
+func (c *frameChannel) keepDescriptors(control []byte) error {
+	if len(control) == 0 {
+		return nil
+	}
+	messages, err := unix.ParseSocketControlMessage(control)
+	if err != nil {
+		return err
+	}
+	for i := range messages {
+		if descriptors, err := unix.ParseUnixRights(&messages[i]); err == nil {
+			c.descriptors = append(c.descriptors, descriptors...)
 		}
 	}
-	return -1, err
+	return nil
 }
 
-// isPeerOwnUser tells whether the peer is a process of our own user.
-func isPeerOwnUser(fd int) bool {
-	cred, err := unix.GetsockoptUcred(fd, unix.SOL_SOCKET, unix.SO_PEERCRED)
-	return err == nil && int(cred.Uid) == os.Geteuid()
+// closeWithDescriptors closes the channel, and the descriptors of frames that were not handled.
+func (c *frameChannel) closeWithDescriptors() {
+	for _, descriptor := range c.descriptors {
+		_ = unix.Close(descriptor)
+	}
+	c.descriptors = nil
+	c.close()
 }
 
-// receive reads what has come, with the descriptors.
-func (c *frameChannel) receive() (ended bool, err error) {
-	var control [256]byte
+// handleMessages calls handle for each whole message that has come, until it fails or the channel is closed. handle owns the
+// descriptor.
+func (c *frameChannel) handleMessages(handle func(message hotrestart.Message, descriptor int) error) error {
+	offset := 0
 	for {
-		n, on, flags, _, err := unix.Recvmsg(c.fd, c.loop.scratch, control[:], unix.MSG_CMSG_CLOEXEC|unix.MSG_DONTWAIT)
-		switch {
-		case errors.Is(err, unix.EINTR):
-			continue
-		case errors.Is(err, unix.EAGAIN):
-			return false, nil
-		case err != nil:
-			return true, err
-		}
-		if on > 0 {
-			messages, err := unix.ParseSocketControlMessage(control[:on])
-			if err != nil {
-				return true, err
-			}
-			for i := range messages {
-				if fds, err := unix.ParseUnixRights(&messages[i]); err == nil {
-					c.descriptors = append(c.descriptors, fds...)
-				}
-			}
+		message, descriptor, size, err := c.nextMessage(offset)
+		if errors.Is(err, hotrestart.ErrIncomplete) {
+			c.took(offset)
+			return nil
 		}
-		if flags&unix.MSG_CTRUNC != 0 { // a descriptor is lost, for want of room for it in this process
-			return true, errors.New("a descriptor did not come along")
+		if err != nil {
+			return err
 		}
-		if n == 0 {
-			return true, nil
+		if err := handle(message, descriptor); err != nil || c.closed {
+			return err
 		}
-		c.in = append(c.in, c.loop.scratch[:n]...)
-		return false, nil
+		offset += size
 	}
 }
 
-// closeWithDescriptors closes the channel, and the descriptors that nobody has taken.
-func (c *frameChannel) closeWithDescriptors() {
-	for _, fd := range c.descriptors {
-		_ = unix.Close(fd)
+// nextMessage decodes the message at an offset of what has come. size is that of its frame. The caller owns the descriptor,
+// which is NoDescriptor if none comes with the message.
+func (c *frameChannel) nextMessage(offset int) (message hotrestart.Message, descriptor, size int, err error) {
+	frame, size, err := hotrestart.ReadFrame(c.in[offset:])
+	if err != nil {
+		return nil, hotrestart.NoDescriptor, 0, err
 	}
-	c.descriptors = nil
-	c.close()
-}
-
-// nextFrame is the next whole frame that has come, with its descriptor, or -1.
-func (c *frameChannel) nextFrame() (f hotrestart.Frame, fd, n int, err error) {
-	f, n, err = hotrestart.ReadFrame(c.in)
-	if err != nil || f.DescriptorCount == 0 {
-		return f, -1, n, err
+	descriptor = hotrestart.NoDescriptor
+	if frame.Kind.CarriesDescriptor() {
+		if len(c.descriptors) == 0 {
+			return nil, descriptor, 0, &hotrestart.MissingDescriptorError{Kind: frame.Kind}
+		}
+		descriptor, c.descriptors = c.descriptors[0], c.descriptors[1:]
 	}
-	if len(c.descriptors) == 0 {
-		return f, -1, 0, fmt.Errorf("%v without its descriptor", f.Kind)
+	message, err = frame.Message()
+	if err != nil {
+		closeDescriptor(descriptor)
+		return nil, hotrestart.NoDescriptor, 0, err
 	}
-	fd, c.descriptors = c.descriptors[0], c.descriptors[1:]
-	return f, fd, n, nil
+	return message, descriptor, size, nil
 }
 
-// sendFrame sends a frame that carries no descriptor.
-func (c *frameChannel) sendFrame(kind hotrestart.FrameKind, body any) error {
-	b, err := hotrestart.AppendFrame(nil, kind, body)
+// sendMessage sends a message that carries no descriptor. What the socket does not take now is sent later.
+func (c *frameChannel) sendMessage(message hotrestart.Message) error {
+	encoded, err := hotrestart.AppendMessage(nil, message)
 	if err != nil {
 		return err
 	}
-	return c.send(b)
+	return c.send(encoded)
 }
 
-// sendFrameBefore sends a frame until a moment of the loop's clock, waiting for the peer to take it in; fd -1 is none. Only a process
-// that does nothing else meanwhile does so.
-func (c *frameChannel) sendFrameBefore(until time.Duration, fd int, kind hotrestart.FrameKind, body any) error {
-	b, err := hotrestart.AppendFrame(nil, kind, body)
+// sendMessageBefore sends a message, with a descriptor unless that is NoDescriptor, and waits until the socket has taken all
+// of it, to a deadline of the loop's clock. Only a process that does nothing else meanwhile calls it.
+func (c *frameChannel) sendMessageBefore(deadline time.Duration, message hotrestart.Message, descriptor int) error {
+	encoded, err := hotrestart.AppendMessage(nil, message)
 	if err != nil {
 		return err
 	}
-	if len(c.out) > 0 { // what was said before comes first
-		b, c.out = append(c.out, b...), nil
-		if fd >= 0 {
-			return errors.New("not all is sent of what comes before a descriptor")
+	if len(c.out) > 0 {
+		encoded, c.out = append(c.out, encoded...), nil
+		if descriptor != hotrestart.NoDescriptor {
+			return errOutputPending
 		}
 	}
 	var rights []byte
-	if fd >= 0 {
-		rights = unix.UnixRights(fd)
-	}
-	for len(b) > 0 {
-		n, err := unix.SendmsgN(c.fd, b, rights, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
-		switch {
-		case errors.Is(err, unix.EINTR):
-		case errors.Is(err, unix.ETOOMANYREFS): // too many descriptors on their way: the peer takes them in
-			time.Sleep(100 * time.Microsecond)
-			if c.loop.clock() >= until {
-				return errors.New("the peer does not take in")
-			}
-		case errors.Is(err, unix.EAGAIN):
-			if err := c.waitUntilReady(until, unix.POLLOUT); err != nil {
-				return err
-			}
-		case err != nil:
+	if descriptor != hotrestart.NoDescriptor {
+		rights = unix.UnixRights(descriptor)
+	}
+	for len(encoded) > 0 {
+		n, err := unix.SendmsgN(c.fd, encoded, rights, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
+		if err == nil {
+			encoded, rights = encoded[n:], nil // the descriptor goes with the first byte
+			continue
+		}
+		if err := c.waitAfterSendError(deadline, err); err != nil {
 			return err
-		default:
-			b, rights = b[n:], nil // they go with the first byte
 		}
 	}
 	return nil
 }
 
-// waitUntilReady waits until the channel is ready, or the moment has come.
-func (c *frameChannel) waitUntilReady(until time.Duration, events int16) error {
+// waitAfterSendError waits until sending may be tried again after an error; it returns an error if that is of no use.
+func (c *frameChannel) waitAfterSendError(deadline time.Duration, err error) error {
+	switch {
+	case errors.Is(err, unix.EINTR):
+		return nil
+	case errors.Is(err, unix.EAGAIN):
+		return c.waitUntilReady(deadline, unix.POLLOUT)
+	case errors.Is(err, unix.ETOOMANYREFS): // descriptors that the peer has not read yet
+		time.Sleep(passedDescriptorWait)
+		if c.loop.clock() >= deadline {
+			return errPeerNotReading
+		}
+		return nil
+	default:
+		return err
+	}
+}
+
+// waitUntilReady waits until the socket has one of the events of poll(2), to a deadline of the loop's clock.
+func (c *frameChannel) waitUntilReady(deadline time.Duration, events int16) error {
 	for {
-		left := until - c.loop.clock()
-		if left <= 0 {
-			return errors.New("the peer does not answer in time")
+		remaining := deadline - c.loop.clock()
+		if remaining <= 0 {
+			return errPeerNotResponding
 		}
-		fds := []unix.PollFd{{Fd: int32(c.fd), Events: events}}
-		n, err := unix.Poll(fds, int((left+time.Millisecond-1)/time.Millisecond))
+		polled := []unix.PollFd{{Fd: int32(c.fd), Events: events}}
+		n, err := unix.Poll(polled, int((remaining+time.Millisecond-1)/time.Millisecond))
 		if err != nil && !errors.Is(err, unix.EINTR) {
 			return err
 		}
@@ -220,3 +207,9 @@
 		}
 	}
 }
+
+// forwardCordon has the peer cordon or uncordon a worker. respond is called with its answer.
+func (c *frameChannel) forwardCordon(workerID string, cordoned bool, respond func(statusCode int, message string)) error {
+	call := hotrestart.CordonCall{WorkerID: workerID, Cordoned: cordoned, Respond: respond}
+	return c.sendMessage(c.pendingCalls.Add(call))
+}
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -10,336 +10,266 @@
 	"valvecove/internal/hotrestart"
 )
 
-// transferTimeout is how long a hand-over may take: as long nobody is served.
-const transferTimeout = 600 * time.Millisecond
+const (
+	handshakeTimeout = 3 * time.Second        // a peer that has not sent its first message by then is given up
+	transferTimeout  = 600 * time.Millisecond // nobody is served during a transfer
+)
+
+// An abstract socket name becomes free some time after the process that had it let go of it.
+const (
+	listenRetryInterval = 20 * time.Millisecond
+	maxListenRetries    = 100
+)
+
+// Errors of Relinquish.
+var (
+	ErrNoSuccessor = errors.New("no successor stands by")
+	ErrNotSettled  = errors.New("not settled yet") // try again in a moment
+)
 
-// predecessorRole is the side of a process that serves: it waits for an heir.
+// predecessorRole is the side of a process that serves: it awaits a successor.
 type predecessorRole struct {
 	loop       *Loop
 	listenerFD int
-	successor  *successorConn // nil: none stands by
+	protocol   hotrestart.Predecessor
+	successor  *successorConn // nil: none is connected
 }
 
-// successorConn is the channel to an heir.
+// successorConn is the connection to a successor.
 type successorConn struct {
 	frameChannel
 	role           *predecessorRole
-	accepted       bool
-	handshakeTimer *timer                                 // for its greeting
-	pendingCalls   map[uint64]func(code int, what string) // calls handed on to it, once it serves
-	lastSequence   uint64
+	handshakeTimer *timer
 }
 
-// A name without a path is free only once the process that had it has let it go, which may take a moment.
-const (
-	listenRetryInterval = 20 * time.Millisecond
-	maxListenRetries    = 100
-)
+// OnSuccessor has act called whenever a successor stands by.
+func (l *Loop) OnSuccessor(act func()) { l.onSuccessor = act }
 
-// awaitSuccessor has the process wait for the one that will replace it.
-func (l *Loop) awaitSuccessor(points []string) { l.awaitSuccessorWithRetries(points, maxListenRetries) }
+// hasRelinquished tells whether a successor owns all that this process had.
+func (l *Loop) hasRelinquished() bool {
+	return l.predecessorRole != nil && l.predecessorRole.protocol.HasRelinquished()
+}
 
-func (l *Loop) awaitSuccessorWithRetries(points []string, times int) {
-	e := &predecessorRole{loop: l}
-	var err error
-	if e.listenerFD, err = listenForSuccessor(points); err == nil {
-		if err = l.add(e.listenerFD, unix.EPOLLIN, e); err != nil {
-			_ = unix.Close(e.listenerFD)
-		}
-	}
+// awaitSuccessor listens for a successor at the first of the addresses that can be bound.
+func (l *Loop) awaitSuccessor(addresses []string) {
+	l.awaitSuccessorWithRetries(addresses, maxListenRetries)
+}
+
+func (l *Loop) awaitSuccessorWithRetries(addresses []string, retries int) {
+	role := &predecessorRole{loop: l}
+	err := role.listen(addresses)
 	switch {
 	case err == nil:
-		l.predecessorRole = e
-	case errors.Is(err, unix.EADDRINUSE) && times > 0:
-		l.after(listenRetryInterval, (*waker)(l), func() { l.awaitSuccessorWithRetries(points, times-1) })
-	default: // it can be replaced all the same, with a drain
+		l.predecessorRole = role
+	case errors.Is(err, unix.EADDRINUSE) && retries > 0:
+		l.after(listenRetryInterval, (*waker)(l), func() { l.awaitSuccessorWithRetries(addresses, retries-1) })
+	default: // this process can still be replaced, by a drain
 		l.log.Warn("no successor can reach this process", "error", err)
 	}
 }
 
-func (e *predecessorRole) broken() {}
+func (r *predecessorRole) listen(addresses []string) error {
+	fd, err := listenForSuccessor(addresses)
+	if err != nil {
+		return err
+	}
+	if err := r.loop.add(fd, unix.EPOLLIN, r); err != nil {
+		_ = unix.Close(fd)
+		return err
+	}
+	r.listenerFD = fd
+	return nil
+}
 
-// ready takes in an heir. There is one at a time: two would both believe that they are next.
-func (e *predecessorRole) ready(uint32) {
-	fd, _, err := unix.Accept4(e.listenerFD, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+func (r *predecessorRole) broken() {}
+
+// ready accepts a successor, or rejects it.
+func (r *predecessorRole) ready(uint32) {
+	socket, _, err := unix.Accept4(r.listenerFD, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err != nil {
 		return
 	}
-	if k := e.successor; k != nil { // one that has just gone, perhaps to come again, is in nobody's way
-		e.loop.guard(k, func() { k.ready(unix.EPOLLIN) })
+	if present := r.successor; present != nil { // it may have gone just now, perhaps to come again
+		r.loop.guard(present, func() { present.ready(unix.EPOLLIN) })
 	}
-	k := &successorConn{role: e, pendingCalls: map[uint64]func(int, string){}}
-	if k.stream, err = e.loop.stream(fd, streamEvents, k); err != nil {
-		_ = unix.Close(fd)
+	conn := &successorConn{role: r}
+	if conn.stream, err = r.loop.stream(socket, streamEvents, conn); err != nil {
+		_ = unix.Close(socket)
 		return
 	}
-	why := ""
-	switch {
-	case !isPeerOwnUser(fd):
-		why = "another user's process"
-	case e.successor != nil:
-		why = "another process is to be the successor"
-	case e.loop.relinquished:
-		why = "this process has a successor"
-	}
-	if why != "" {
-		e.loop.log.Warn("successor turned away", "why", why)
-		_ = k.sendFrame(hotrestart.KindReject, hotrestart.Reject{Reason: why})
-		k.closeWithDescriptors()
+	if reason := r.protocol.HandleConnect(isPeerOwnUser(socket)); reason != nil {
+		r.loop.log.Warn("successor turned away", "why", reason)
+		_ = conn.sendMessage(hotrestart.Reject{Reason: reason.Error()})
+		conn.closeWithDescriptors()
 		return
 	}
-	e.successor = k
-	k.handshakeTimer = e.loop.after(handshakeTimeout, k, func() { k.disconnect(errors.New("it does not say a word")) })
+	r.successor = conn
+	conn.handshakeTimer = r.loop.after(handshakeTimeout, conn, func() { conn.disconnect(errHandshakeTimeout) })
 }
 
-func (k *successorConn) broken() { k.disconnect(errors.New("panic")) }
+// notifyCordoned tells a successor in standby which workers are cordoned, so that its metrics are right.
+func (l *Loop) notifyCordoned() {
+	role := l.predecessorRole
+	if role != nil && role.protocol.State() == hotrestart.PredecessorPaired {
+		_ = role.successor.sendMessage(hotrestart.CordonedWorkers{WorkerIDs: l.Ledger.Cordoned()})
+	}
+}
+
+func (c *successorConn) broken() { c.disconnect(errHandlerPanicked) }
 
-func (k *successorConn) disconnect(cause error) {
-	if k.closed {
+// disconnect ends the connection; the process serves on, unless it has relinquished.
+func (c *successorConn) disconnect(cause error) {
+	if c.closed {
 		return
 	}
-	k.loop.stop(k.handshakeTimer)
-	if k.role.successor == k {
-		if k.role.successor = nil; !k.loop.relinquished {
-			k.loop.divide(false)
-		}
+	c.loop.stop(c.handshakeTimer)
+	c.role.successor = nil
+	c.role.protocol.HandleDisconnect()
+	if !c.loop.hasRelinquished() {
+		c.loop.divide(false)
 	}
-	k.loop.log.Info("successor gone", "cause", cause)
-	for _, done := range k.pendingCalls {
-		done(503, "the process that serves has gone")
+	c.loop.log.Info("successor gone", "cause", cause)
+	for _, call := range c.pendingCalls.TakeAll() {
+		call.Respond(503, "the process that serves has gone")
 	}
-	clear(k.pendingCalls)
-	k.closeWithDescriptors()
+	c.closeWithDescriptors()
 }
 
-func (k *successorConn) ready(events uint32) {
+func (c *successorConn) ready(events uint32) {
 	if events&unix.EPOLLOUT != 0 {
-		if err := k.flush(); err != nil {
-			k.disconnect(err)
+		if err := c.flush(); err != nil {
+			c.disconnect(err)
 			return
 		}
 	}
-	ended, err := k.receive()
-	for err == nil && !k.closed {
-		f, fd, n, bad := k.nextFrame()
-		if errors.Is(bad, hotrestart.ErrIncomplete) {
-			break
-		}
-		if fd >= 0 { // an heir has none to give
-			_ = unix.Close(fd)
-		}
-		if err = bad; err == nil {
-			err = k.handleFrame(f)
-			k.took(n)
-		}
+	ended, err := c.receive()
+	if err == nil {
+		err = c.handleMessages(c.handleMessage)
 	}
 	if err != nil || ended {
-		k.disconnect(err)
+		c.disconnect(err)
 	}
 }
 
-// handleFrame takes in what the heir says.
-func (k *successorConn) handleFrame(f hotrestart.Frame) error {
-	l := k.loop
-	switch {
-	case f.Kind == hotrestart.KindHandshake && !k.accepted:
-		var hello hotrestart.Handshake
-		if err := f.Decode(&hello); err != nil {
-			return err
-		}
-		if hello.Version != hotrestart.ProtocolVersion {
-			_ = k.sendFrame(hotrestart.KindReject, hotrestart.Reject{Reason: fmt.Sprintf("form %d, expected %d", hello.Version, hotrestart.ProtocolVersion)})
-			return fmt.Errorf("a successor of form %d, expected %d", hello.Version, hotrestart.ProtocolVersion)
-		}
-		k.accepted = true
-		l.stop(k.handshakeTimer)
-		until := l.clock() + transferTimeout
-		err := k.sendFrameBefore(until, l.clients.fd, hotrestart.KindAccept, hotrestart.Accept{Version: hotrestart.ProtocolVersion, CordonedWorkers: l.Ledger.Cordoned()})
-		if err != nil {
-			return err
-		}
-		l.log.Info("successor stands by")
-		l.divide(true)
-		if l.onSuccessor != nil {
-			l.onSuccessor()
-		}
-		return nil
-	case f.Kind == hotrestart.KindSetCordon && k.accepted && !l.relinquished:
-		var b hotrestart.SetCordon
-		if err := f.Decode(&b); err != nil {
-			return err
-		}
-		l.ban(b.WorkerID, b.Cordoned, func(code int, what string) {
-			if !k.closed && k.sendFrame(hotrestart.KindCordonResult, hotrestart.CordonResult{Sequence: b.Sequence, StatusCode: code, Message: what}) != nil {
-				k.disconnect(errors.New("it does not listen"))
+func (c *successorConn) handleMessage(message hotrestart.Message, descriptor int) error {
+	closeDescriptor(descriptor) // a successor passes none
+	action, err := c.role.protocol.HandleMessage(message)
+	switch action {
+	case hotrestart.ActionReject:
+		_ = c.sendMessage(hotrestart.Reject{Reason: err.Error()})
+	case hotrestart.ActionAccept:
+		return c.accept()
+	case hotrestart.ActionApply:
+		c.apply(message)
+	}
+	return err
+}
+
+// accept passes the socket that clients connect to.
+func (c *successorConn) accept() error {
+	loop := c.loop
+	loop.stop(c.handshakeTimer)
+	accept := hotrestart.Accept{Version: hotrestart.ProtocolVersion, CordonedWorkers: loop.Ledger.Cordoned()}
+	if err := c.sendMessageBefore(loop.clock()+transferTimeout, accept, loop.clients.fd); err != nil {
+		return err
+	}
+	loop.log.Info("successor stands by")
+	loop.divide(true)
+	if loop.onSuccessor != nil {
+		loop.onSuccessor()
+	}
+	return nil
+}
+
+func (c *successorConn) apply(message hotrestart.Message) {
+	switch message := message.(type) {
+	case hotrestart.SetCordon:
+		c.loop.applyForwardedCordon(message, func(result hotrestart.CordonResult) {
+			if !c.closed && c.sendMessage(result) != nil {
+				c.disconnect(errPeerNotListening)
 			}
 		})
-		return nil
-	case f.Kind == hotrestart.KindCordonResult && l.relinquished:
-		var b hotrestart.CordonResult
-		if err := f.Decode(&b); err != nil {
-			return err
-		}
-		if done := k.pendingCalls[b.Sequence]; done != nil {
-			delete(k.pendingCalls, b.Sequence)
-			done(b.StatusCode, b.Message)
-		}
-		return nil
+	case hotrestart.CordonResult:
+		c.pendingCalls.Complete(message)
 	}
-	return fmt.Errorf("%v out of turn", f.Kind)
 }
 
-// Errors of Cede.
-var (
-	ErrNoSuccessor = errors.New("no successor stands by")
-	ErrNotSettled  = errors.New("not now") // try again in a moment
-)
+// forwardCordonToSuccessor forwards an operator's call once the successor owns everything.
+func (c *successorConn) forwardCordonToSuccessor(workerID string, cordoned bool, respond func(statusCode int, message string)) {
+	if c.forwardCordon(workerID, cordoned, respond) != nil {
+		c.disconnect(errPeerNotListening)
+	}
+}
 
-// Relinquish hands all that this process has to the heir, in one step: the heir owns it once it says so, and until then nothing
-// has changed here. Nothing else is done meanwhile: with two that act there would be two owners.
+// Relinquish hands over all that this process has to the successor, in one step: the successor owns it once it says so, and
+// until then nothing has changed here. Nothing else is done meanwhile: of two processes that act, both would be owners.
+//
+// It returns ErrNoSuccessor if none stands by, and ErrNotSettled if the policy has not heard of all events or a file is being
+// written. After any other error this process is still the owner.
 func (l *Loop) Relinquish() error {
-	e := l.predecessorRole
-	if e == nil || e.successor == nil || !e.successor.accepted {
+	role := l.predecessorRole
+	if role == nil || role.protocol.State() != hotrestart.PredecessorPaired {
 		return ErrNoSuccessor
 	}
-	l.Ledger.AwaitEndpoints(0) // what waits is the successor's, with all else
+	l.Ledger.AwaitEndpoints(0) // requests that wait for endpoints are handed over too
 	if !l.Ledger.FlushEvents(l.now) || l.cordonStore != nil && l.cordonStore.IsWriting() {
 		return ErrNotSettled
 	}
-	k, began := e.successor, l.clock()
-	sum, err := l.transferState(k, began+transferTimeout)
-	if err != nil && !k.takenOverBeforeShutdown() {
-		k.disconnect(err)
+	startedAt := l.clock()
+	role.protocol.BeginTransfer()
+	transfer := &stateTransfer{loop: l, successor: role.successor, deadline: startedAt + transferTimeout}
+	err := transfer.run()
+	if err != nil && !role.successor.takenOverBeforeShutdown() {
+		role.successor.disconnect(err)
 		return fmt.Errorf("handing over: %w", err)
 	}
-	l.releaseTransferred(sum)
-	l.log.Info("handed over", "queries", sum.requestCount, "client_links", len(sum.clientConnections), "server_links", len(sum.workerConnections),
-		"module_bytes", sum.snapshotSize, "took", (l.clock() - began).Round(10*time.Microsecond).String())
+	l.releaseTransferred(transfer)
+	took := (l.clock() - startedAt).Round(10 * time.Microsecond)
+	l.log.Info("handed over", "queries", transfer.requestCount, "client_links", len(transfer.clientConnections),
+		"server_links", len(transfer.workerConnections), "module_bytes", transfer.snapshotSize, "took", took.String())
 	return nil
 }
 
-// takenOverBeforeShutdown tells, once it has been waited for in vain, whether the heir has said that it is the owner all the same. Nothing that it
-// says after this reaches us, and it finds that out, so that there are not two owners.
-func (k *successorConn) takenOverBeforeShutdown() bool {
-	_ = unix.Shutdown(k.fd, unix.SHUT_RDWR)
+// takenOverBeforeShutdown shuts the connection down, and tells whether the successor had said that it has taken over. Nothing
+// that it says later reaches this process, and it finds that out: there are never two owners.
+func (c *successorConn) takenOverBeforeShutdown() bool {
+	_ = unix.Shutdown(c.fd, unix.SHUT_RDWR)
 	for {
-		before := len(k.in)
-		if ended, err := k.receive(); err != nil || ended || len(k.in) == before {
+		before := len(c.in)
+		if ended, err := c.receive(); err != nil || ended || len(c.in) == before {
 			break
 		}
 	}
-	for {
-		f, _, n, err := k.nextFrame()
+	for offset := 0; ; {
+		frame, size, err := hotrestart.ReadFrame(c.in[offset:])
 		if err != nil {
 			return false
 		}
-		if f.Kind == hotrestart.KindTakenOver {
+		if frame.Kind == hotrestart.KindTakenOver {
+			_, _ = c.role.protocol.HandleMessage(hotrestart.TakenOver{})
 			return true
 		}
-		k.took(n)
-	}
-}
-
-// transferred is what went to an heir.
-type transferred struct {
-	clientConnections []*clientLink
-	workerConnections []*serverLink
-	requestCount      int
-	snapshotSize      int
-}
-
-// transferState sends it all, and waits for the heir's word.
-func (l *Loop) transferState(k *successorConn, until time.Duration) (sum transferred, err error) {
-	frames := 0
-	put := func(fd int, kind hotrestart.FrameKind, body any) {
-		if err == nil {
-			err = k.sendFrameBefore(until, fd, kind, body)
-			frames++
-		}
-	}
-	put(-1, hotrestart.KindTransferBegin, nil)
-	frames = 0
-	state := l.decides.Snapshot(nil)
-	sum.snapshotSize = len(state)
-	for len(state) > 0 {
-		n := min(len(state), hotrestart.SnapshotChunkSize)
-		put(-1, hotrestart.KindSnapshotChunk, state[:n])
-		state = state[n:]
+		offset += size
 	}
-	book, open := l.Ledger.Snapshot()
-	sum.requestCount = len(open)
-	put(-1, hotrestart.KindRequestTable, book)
-	for _, q := range open {
-		put(-1, hotrestart.KindOpenRequest, q)
-	}
-	for c := range l.clients.links {
-		if !c.lingering {
-			put(c.fd, hotrestart.KindClientConnection, c.transferRecord())
-			sum.clientConnections = append(sum.clientConnections, c)
-		}
-	}
-	for _, s := range l.servers.transferable() {
-		put(s.fd, hotrestart.KindWorkerConnection, s.transferRecord())
-		sum.workerConnections = append(sum.workerConnections, s)
-	}
-	put(-1, hotrestart.KindTransferEnd, hotrestart.TransferEnd{FrameCount: frames})
-	for err == nil {
-		// What has come is read to its end before more is waited for: the word may lie behind another frame.
-		f, _, n, bad := k.nextFrame()
-		if errors.Is(bad, hotrestart.ErrIncomplete) {
-			if err = k.waitUntilReady(until, unix.POLLIN); err != nil {
-				break
-			}
-			ended, gone := k.receive()
-			if gone != nil || ended {
-				err = errors.Join(errors.New("the successor has gone"), gone)
-			}
-			continue
-		}
-		if err = bad; err == nil {
-			k.took(n)
-			switch f.Kind {
-			case hotrestart.KindTakenOver:
-				return sum, nil
-			case hotrestart.KindSetCordon: // it came while we were at it: the new owner carries it out
-			default:
-				err = fmt.Errorf("%v out of turn", f.Kind)
-			}
-		}
-	}
-	return sum, err
 }
 
-// releaseTransferred lets go of what is the heir's now.
-func (l *Loop) releaseTransferred(sum transferred) {
-	for _, c := range sum.clientConnections {
-		c.busy()
-		c.turns = nil
-		c.close()
-		c.count()
-		delete(l.clients.links, c)
+// releaseTransferred lets go of what the successor owns now.
+func (l *Loop) releaseTransferred(transfer *stateTransfer) {
+	for _, client := range transfer.clientConnections {
+		client.busy()
+		client.turns = nil
+		client.close()
+		client.count()
+		delete(l.clients.links, client)
 	}
-	for _, s := range sum.workerConnections {
-		l.stop(s.timer)
-		s.state = gone
-		s.close()
+	for _, worker := range transfer.workerConnections {
+		l.stop(worker.timer)
+		worker.state = gone
+		worker.close()
 	}
 	clear(l.servers.carried)
 	l.watch.stop()
 	l.remove(l.clients.fd)
-	l.clients.fd = -1
+	l.clients.fd = hotrestart.NoDescriptor
 	l.remove(l.predecessorRole.listenerFD)
-	l.relinquished = true
-}
-
-// OnSuccessor has act called whenever an heir stands by.
-func (l *Loop) OnSuccessor(act func()) { l.onSuccessor = act }
-
-// forwardCordon has the process that serves set or end a ban.
-func (k *successorConn) forwardCordon(id string, out bool, done func(code int, what string)) {
-	k.lastSequence++
-	k.pendingCalls[k.lastSequence] = done
-	if k.sendFrame(hotrestart.KindSetCordon, hotrestart.SetCordon{Sequence: k.lastSequence, WorkerID: id, Cordoned: out}) != nil {
-		k.disconnect(errors.New("it does not listen"))
-	}
 }
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -1,11 +1,10 @@
 package link
 
 import (
-	"fmt"
+	"errors"
 	"net/netip"
 	"strings"
 	"testing"
-	"time"
 
 	"golang.org/x/sys/unix"
 
@@ -16,155 +15,65 @@
 	"valvecove/internal/steps"
 )
 
-// enableHotRestart makes a world one whose process can be replaced, or can replace another.
+// enableHotRestart makes a world one whose process can be replaced, or can replace another. Its policy is scripted, before and
+// after.
 func (w *world) enableHotRestart() {
 	w.loop.decides = dispatch.New(*w.loop.clients.set, 1)
-	w.loop.wrap = func(*dispatch.Dispatcher) requests.Policy { return w.module } // what it does is scripted, before and after
+	w.loop.wrap = func(*dispatch.Dispatcher) requests.Policy { return w.module }
 	w.loop.onFail = func(err error) { w.T.Errorf("a process fails: %v", err) }
 }
 
-// startSuccessor makes a new world that stands by to replace this one.
-func (w *world) startSuccessor(dir string, at netip.AddrPort) *world {
-	next := newWorld(w.Steps)
-	next.enableHotRestart()
-	next.now, next.loop.clients.set = w.now, w.loop.clients.set
-	w.Check(next.loop.joinPredecessor(dir, at), "no elder")
-	for next.loop.successorRole.protocol.State() == hotrestart.SuccessorJoining {
+// newPredecessorWorld returns a world that serves and awaits a successor, and the address that clients connect to.
+func newPredecessorWorld(choices *steps.Steps, dir string) (*world, netip.AddrPort) {
+	w := newWorld(choices)
+	w.enableHotRestart()
+	var err error
+	if w.loop.clients.fd, err = w.loop.listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients); err != nil {
+		choices.T.Fatal(err)
+	}
+	w.loop.awaitSuccessor(hotrestart.SocketAddresses(dir, w.loop.Addr()))
+	return w, w.loop.Addr()
+}
+
+// startSuccessor returns a new world that stands by to replace this one.
+func (w *world) startSuccessor(dir string, address netip.AddrPort) *world {
+	successor := newWorld(w.Steps)
+	successor.enableHotRestart()
+	successor.now, successor.loop.clients.set = w.now, w.loop.clients.set
+	w.Check(successor.loop.joinPredecessor(dir, address), "no predecessor")
+	for successor.successorState() == hotrestart.SuccessorJoining {
 		w.turn()
-		next.turn()
+		successor.turn()
 	}
-	return next
+	return successor
 }
 
-// handOverTo hands over to it.
-func (w *world) handOverTo(next *world) error {
-	ended, heir := make(chan struct{}), next.loop.successorRole
+func (w *world) successorState() hotrestart.SuccessorState {
+	return w.loop.successorRole.protocol.State()
+}
+
+// handOverTo hands over to a successor that stands by. The predecessor does nothing else meanwhile, so the successor's loop
+// runs on another goroutine.
+func (w *world) handOverTo(successor *world) error {
+	ended := make(chan struct{})
+	role := successor.loop.successorRole
 	go func() {
 		defer close(ended)
-		for heir.protocol.State() == hotrestart.SuccessorStandby || heir.protocol.State() == hotrestart.SuccessorReceiving {
-			_ = next.loop.turn(1000) // the elder does nothing else meanwhile, so this is another goroutine's
+		for role.protocol.State() == hotrestart.SuccessorStandby || role.protocol.State() == hotrestart.SuccessorReceiving {
+			_ = successor.loop.turn(1000)
 		}
 	}()
 	err := w.loop.Relinquish()
-	if err != nil { // its channel is closed with that
+	if err != nil { // the connection is closed with the end of the iteration
 		_ = w.loop.turn(0)
 	}
 	<-ended
 	w.turn()
-	next.turn()
+	successor.turn()
 	return err
 }
 
-func newPredecessorWorld(s *steps.Steps, dir string) (*world, netip.AddrPort) {
-	w := newWorld(s)
-	w.enableHotRestart()
-	var err error
-	if w.loop.clients.fd, err = w.loop.listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients); err != nil {
-		s.T.Fatal(err)
-	}
-	w.loop.awaitSuccessor(successorAddresses(dir, w.loop.Addr()))
-	return w, w.loop.Addr()
-}
-
-// Wherever a hand-over cuts the bytes of a request, of an attempt, of a worker node's answer or of what has been answered, one
-// client on one connection gets each answer once, and worker nodes get each attempt once and whole.
-func FuzzHotRestart(f *testing.F) {
-	steps.Fuzz(f, func(s *steps.Steps) {
-		dir := s.T.TempDir()
-		w, at := newPredecessorWorld(s, dir)
-		worker := w.worker()
-		client, fd := w.pair()
-		w.loop.clients.adopt(fd, netip.MustParseAddrPort("127.0.0.1:9"))
-		var nodes []*peer // the far ends of server links, of all processes
-		n, seen, answered := 0, 0, 0
-		unsent, answer, sent, out := "", "", false, false
-		text := func() string {
-			return fmt.Sprintf("POST /a/%d HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: q%d\r\nX-Caller: t\r\nContent-Length: %d\r\n\r\n%s",
-				n, n, 15000*(n%3), strings.Repeat("x", 15000*(n%3)))
-		}
-		body, want := func() string { return fmt.Sprintf("made of q%d", n) }, ""
-		look := func(reads int) {
-			w.turn()
-			s.Check((len(w.loop.Ledger.Cordoned()) == 1) == out, "bans %v", w.loop.Ledger.Cordoned())
-			for _, p := range w.dialed {
-				if p.at != w.loop.watch.server { // who takes over calls discovery too
-					nodes = append(nodes, p)
-				}
-			}
-			w.dialed = nil
-			for i, p := range nodes {
-				p.read(reads)
-				var m Message
-				if k, err := m.ParseRequest(p.got); err == nil {
-					s.Check(string(m.Get("X-Call-Id")) == fmt.Sprint("q", n) && len(m.Body) == 15000*(n%3) && k == len(p.got), "attempt %q", p.got)
-					p.got = nil
-					seen++
-					s.Check(seen == n, "%d attempts of %d queries", seen, n)
-					nodes[i], nodes[len(nodes)-1] = nodes[len(nodes)-1], nodes[i]
-					answer = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
-					break
-				}
-			}
-			client.read(1 << 16)
-			s.Check(string(client.got) == want && !client.ended, "the client has %q, expected %q", client.got, want)
-		}
-		for s.More() {
-			switch what := s.Pick(10); {
-			case what == 0:
-				next := w.startSuccessor(dir, at)
-				err := w.handOverTo(next)
-				s.Check(err == nil, "hand-over: %v", err)
-				s.Check(w.loop.relinquished && next.loop.predecessorRole != nil, "not replaced")
-				w = next
-				s.Did("hand over")
-			case what < 4 && unsent == "" && answer == "" && !sent && seen == n:
-				n++
-				unsent = text()
-				s.Did("ask")
-			case unsent != "":
-				i := min(len(unsent), 1+s.Pick(8)*s.Pick(200)*30)
-				client.write([]byte(unsent[:i]))
-				unsent = unsent[i:]
-				s.Did(fmt.Sprint("write ", i))
-			case what < 6 && !out && unsent == "" && seen < n && !sent && w.loop.Ledger.OpenCount() == 1:
-				s.Check(w.loop.Ledger.Request(uint64(n)) != nil, "query %d has another number", n)
-				w.module.Next = []dispatch.Action{dispatch.Send{Job: uint64(n), Worker: worker}}
-				w.loop.Ledger.Wake()
-				sent = true
-				s.Did("send")
-			case what >= 5 && answer != "":
-				i := min(len(answer), 1+s.Pick(len(answer)))
-				nodes[len(nodes)-1].write([]byte(answer[:i]))
-				answer = answer[i:]
-				s.Did("answer")
-			case what >= 6 && answer == "" && sent && seen == n:
-				result := body()
-				_, _ = w.loop.Ledger.HandleCallback(requests.Callback{CallID: fmt.Sprint("q", n), EndpointID: "s-0", State: "done", Result: &result})
-				want += fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body()), body())
-				sent = false
-				answered++
-				s.Did("done")
-			case what == 8:
-				w.now += 20 * time.Millisecond
-			case what == 9 && !sent:
-				if out = !out; out {
-					w.loop.Ledger.Cordon("s-0")
-				} else {
-					w.loop.Ledger.Uncordon("s-0")
-				}
-				s.Did("ban or end it")
-			}
-			look(1 + s.Pick(4)*3000)
-		}
-		for range 20 { // whatever was under way when the steps ended gets there
-			look(1 << 16)
-		}
-		s.Check(!sent || seen == n, "an attempt did not come whole")
-		s.Check(unsent != "" || n == answered || w.loop.Ledger.OpenCount() == 1, "a query is lost")
-	})
-}
-
-// sendRequest has a client of the world, on a link of its own, bring query "q".
+// sendRequest has a client of the world send request "q", on a connection of its own.
 func (w *world) sendRequest(at netip.AddrPort) *peer {
 	client, fd := w.pair()
 	w.loop.clients.adopt(fd, at)
@@ -173,189 +82,211 @@
 	return client
 }
 
-// A hand-over that breaks off changes nothing: the elder still has all, and serves; the heir has nothing of it, and asks anew,
-// so that the next one succeeds. A second heir is turned away, and takes nobody's place by that.
+// A transfer that fails changes nothing: the predecessor is still the owner, and serves; the successor keeps nothing of it, and
+// connects again, so that the next transfer succeeds.
 func TestFailedTransferChangesNothing(t *testing.T) {
-	s := &steps.Steps{T: t}
 	dir := t.TempDir()
-	w, at := newPredecessorWorld(s, dir)
-	if err := w.loop.Relinquish(); err != ErrNoSuccessor {
-		t.Errorf("with no heir: %v", err)
-	}
-	client := w.sendRequest(at)
-	next := w.startSuccessor(dir, at)
-	if both := w.loop.clients.most + next.loop.clients.most; both > 1024-2*ownDescriptors {
+	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	client := predecessor.sendRequest(address)
+	successor := predecessor.startSuccessor(dir, address)
+	if both := predecessor.loop.clients.most + successor.loop.clients.most; both > 1024-2*ownDescriptors {
 		t.Errorf("two processes hold %d client links", both)
 	}
-	second, denied := newWorld(s), false
-	second.enableHotRestart()
-	second.loop.onFail = func(error) { denied = true }
-	if !second.loop.joinPredecessor(dir, at) {
-		t.Error("the second heir finds no elder")
-	}
-	for !denied {
-		w.turn()
-		second.turn()
-	}
-	if second.loop.predecessorRole != nil || second.loop.clients.fd >= 0 {
-		t.Error("the second heir serves, or has the elder's place")
-	}
-	heir := next.loop.successorRole
-	_, stray := w.pair()
-	heir.received.descriptors = []int{stray} // what has come makes no sense, but to the end
-	if err := w.handOverTo(next); err == nil || w.loop.relinquished || w.loop.Ledger.OpenCount() != 1 {
+	role := successor.loop.successorRole
+	peer, socket := predecessor.pair()
+	role.received.ClientConnections = []hotrestart.ReceivedClientConnection{{Descriptor: socket}}
+	// This one is found at the end of the transfer.
+	role.received.WorkerConnections = []hotrestart.ReceivedWorkerConnection{{Descriptor: hotrestart.NoDescriptor}}
+	if err := predecessor.handOverTo(successor); err == nil || predecessor.loop.hasRelinquished() || predecessor.loop.Ledger.OpenCount() != 1 {
 		t.Fatalf("handed over to one that did not take it: %v", err)
 	}
-	for heir.protocol.State() == hotrestart.SuccessorJoining || w.loop.predecessorRole.successor == nil {
-		w.turn()
-		next.turn()
+	for role.protocol.State() == hotrestart.SuccessorJoining || predecessor.loop.predecessorRole.successor == nil {
+		predecessor.turn()
+		successor.turn()
 	}
-	if next.loop.Ledger.OpenCount() != 0 || len(next.loop.clients.links) != 0 || next.loop.clients.fd >= 0 {
-		t.Error("the heir has something of a hand-over that failed")
+	if peer.read(1); !peer.ended {
+		t.Error("a socket of the failed transfer is still open")
 	}
-	if err := w.handOverTo(next); err != nil || next.loop.halved {
+	if successor.loop.Ledger.OpenCount() != 0 || len(successor.loop.clients.links) != 0 || successor.loop.clients.fd >= 0 {
+		t.Error("the successor has something of a transfer that failed")
+	}
+	if err := predecessor.handOverTo(successor); err != nil || successor.loop.halved {
 		t.Fatalf("the second time: %v", err)
 	}
-	next.module.Next = []dispatch.Action{dispatch.Reject{Job: 1}}
-	next.loop.Ledger.Wake()
-	next.turn()
+	successor.module.Next = []dispatch.Action{dispatch.Reject{Job: 1}}
+	successor.loop.Ledger.Wake()
+	successor.turn()
 	if client.read(1 << 16); !strings.HasPrefix(string(client.got), "HTTP/1.1 503 ") {
 		t.Errorf("the client got %q", client.got)
 	}
 }
 
-// An elder that dies leaves its bans, in the file; what is left at the path of its socket is in nobody's way.
+// Without a successor there is nothing to hand over to. A second successor is rejected, and takes nobody's place by that.
+func TestSecondSuccessorIsRejected(t *testing.T) {
+	dir := t.TempDir()
+	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) {
+		t.Errorf("without a successor: %v", err)
+	}
+	first := predecessor.startSuccessor(dir, address)
+	second := newWorld(predecessor.Steps)
+	second.enableHotRestart()
+	rejected := false
+	second.loop.onFail = func(error) { rejected = true }
+	if !second.loop.joinPredecessor(dir, address) {
+		t.Error("the second successor finds no predecessor")
+	}
+	for !rejected {
+		predecessor.turn()
+		second.turn()
+	}
+	if second.loop.predecessorRole != nil || second.loop.clients.fd >= 0 {
+		t.Error("the second successor serves, or has the predecessor's place")
+	}
+	if err := predecessor.handOverTo(first); err != nil {
+		t.Errorf("handing over to the first: %v", err)
+	}
+}
+
+// A predecessor that dies leaves its cordoned workers, in the file; what is left at the path of its socket is in nobody's way.
 func TestPredecessorDies(t *testing.T) {
-	s := &steps.Steps{T: t}
 	dir := t.TempDir()
-	w, at := newPredecessorWorld(s, dir)
-	next := w.startSuccessor(dir, at)
+	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	successor := predecessor.startSuccessor(dir, address)
 	if err := hotrestart.WriteCordonFile(dir, []string{"s-0"}); err != nil {
 		t.Fatal(err)
 	}
-	w.loop.remove(w.loop.predecessorRole.listenerFD)
-	w.turn()
-	w.loop.predecessorRole.successor.closeWithDescriptors()
-	w.turn()
-	next.turn()
-	if got := next.loop.Ledger.Cordoned(); len(got) != 1 || got[0] != "s-0" || next.loop.clients.fd < 0 || next.loop.unready() == "" {
-		t.Errorf("after its elder's death: bans %v", got)
+	predecessor.loop.remove(predecessor.loop.predecessorRole.listenerFD)
+	predecessor.turn()
+	predecessor.loop.predecessorRole.successor.closeWithDescriptors()
+	predecessor.turn()
+	successor.turn()
+	cordoned := successor.loop.Ledger.Cordoned()
+	if len(cordoned) != 1 || cordoned[0] != "s-0" || successor.loop.clients.fd < 0 || successor.loop.unready() == "" {
+		t.Errorf("after the predecessor's death: cordoned %v", cordoned)
 	}
-	third := next.startSuccessor(dir, at)
-	if err := next.handOverTo(third); err != nil || len(third.loop.Ledger.Cordoned()) != 1 {
+	third := successor.startSuccessor(dir, address)
+	if err := successor.handOverTo(third); err != nil || len(third.loop.Ledger.Cordoned()) != 1 {
 		t.Errorf("the next one: %v", err)
 	}
 }
 
-// A module's state that is of no use to the next build costs what was learnt, and no query: its module is told of each query
-// and what became of its attempts.
+// A snapshot that is of no use to the next build costs what was learnt, and no request: its policy is told of each request and
+// what became of its attempts.
 func TestIncompatibleSnapshotKeepsRequests(t *testing.T) {
-	s := &steps.Steps{T: t}
 	dir := t.TempDir()
-	w, at := newPredecessorWorld(s, dir)
-	client := w.sendRequest(at)
-	w.module.Next = []dispatch.Action{dispatch.Send{Job: 1, Worker: w.worker()}}
-	w.loop.Ledger.Wake()
-	w.turn()
-	next := w.startSuccessor(dir, at)
-	set := *w.loop.clients.set
-	set.Classes = append(set.Classes, set.Classes[0]) // a snapshot for other classes is none for these
-	next.loop.clients.set = &set
-	if err := w.handOverTo(next); err != nil {
+	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	client := predecessor.sendRequest(address)
+	predecessor.module.Next = []dispatch.Action{dispatch.Send{Job: 1, Worker: predecessor.worker()}}
+	predecessor.loop.Ledger.Wake()
+	predecessor.turn()
+	successor := predecessor.startSuccessor(dir, address)
+	otherSettings := *predecessor.loop.clients.set
+	otherSettings.Classes = append(otherSettings.Classes, otherSettings.Classes[0])
+	successor.loop.clients.set = &otherSettings
+	if err := predecessor.handOverTo(successor); err != nil {
 		t.Fatal(err)
 	}
-	next.turn()
-	var told []dispatch.JobResumed
-	for _, e := range next.module.Heard {
-		if r, ok := e.(dispatch.JobResumed); ok {
-			told = append(told, r)
+	successor.turn()
+	var resumed []dispatch.JobResumed
+	for _, event := range successor.module.Heard {
+		if r, ok := event.(dispatch.JobResumed); ok {
+			resumed = append(resumed, r)
 		}
 	}
-	if len(told) != 1 || told[0].Job.ID != 1 || len(told[0].Attempts) != 1 || told[0].Attempts[0].Ended {
-		t.Fatalf("told of %+v", told)
+	if len(resumed) != 1 || resumed[0].Job.ID != 1 || len(resumed[0].Attempts) != 1 || resumed[0].Attempts[0].Ended {
+		t.Fatalf("told of %+v", resumed)
 	}
 	result := "made"
-	_, _ = next.loop.Ledger.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result})
-	next.turn()
+	callback := requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result}
+	_, _ = successor.loop.Ledger.HandleCallback(callback)
+	successor.turn()
 	if client.read(1 << 16); !strings.HasSuffix(string(client.got), "made") {
 		t.Errorf("the client got %q", client.got)
 	}
 }
 
-// A call that was handed on, and that the elder had not read when it handed over, is carried out by the new owner. The heir's
-// word counts if it was said before the elder gave up, also behind such a call, and can't be said after that.
+// A cordon call that was forwarded, and that the predecessor had not read when it handed over, is carried out by the new owner.
+// TakenOver counts if it was sent before the predecessor gave up, also behind such a call, and can't be sent after that.
 func TestCordonCallCrossesTransfer(t *testing.T) {
-	s := &steps.Steps{T: t}
 	dir := t.TempDir()
-	w, at := newPredecessorWorld(s, dir)
-	next := w.startSuccessor(dir, at)
-	code := 0
-	next.loop.ban("s-0", true, func(got int, _ string) { code = got })
-	if err := w.handOverTo(next); err != nil || code != 200 || len(next.loop.Ledger.Cordoned()) != 1 {
-		t.Errorf("%v, answered %d, bans %v", err, code, next.loop.Ledger.Cordoned())
+	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	successor := predecessor.startSuccessor(dir, address)
+	statusCode := 0
+	successor.loop.ban("s-0", true, func(got int, _ string) { statusCode = got })
+	if err := predecessor.handOverTo(successor); err != nil || statusCode != 200 || len(successor.loop.Ledger.Cordoned()) != 1 {
+		t.Errorf("%v, answered %d, cordoned %v", err, statusCode, successor.loop.Ledger.Cordoned())
 	}
-	for _, said := range []bool{false, true} {
-		heir := next.startSuccessor(dir, at).loop.successorRole
-		_ = heir.sendFrame(hotrestart.KindSetCordon, hotrestart.SetCordon{Sequence: 1, WorkerID: "s-0"})
-		if said {
-			_ = heir.sendFrame(hotrestart.KindTakenOver, nil)
+	for _, sent := range []bool{false, true} {
+		next := successor.startSuccessor(dir, address).loop.successorRole
+		_ = next.sendMessage(hotrestart.SetCordon{Sequence: 1, WorkerID: "s-0"})
+		if sent {
+			_ = next.sendMessage(hotrestart.TakenOver{})
 		}
-		if next.loop.predecessorRole.successor.takenOverBeforeShutdown() != said || heir.sendFrame(hotrestart.KindTakenOver, nil) == nil {
-			t.Errorf("said %v, not heard so, or said too late", said)
+		conn := successor.loop.predecessorRole.successor
+		if conn.takenOverBeforeShutdown() != sent || next.sendMessage(hotrestart.TakenOver{}) == nil {
+			t.Errorf("sent %v, not read so, or sent too late", sent)
 		}
-		next.loop.predecessorRole.successor.disconnect(nil)
+		conn.disconnect(nil)
 	}
 }
 
 // A process that is told to end while it stands by takes nothing along, and the next can stand by.
 func TestLeaveStandby(t *testing.T) {
-	s := &steps.Steps{T: t}
 	dir := t.TempDir()
-	w, at := newPredecessorWorld(s, dir)
-	next := w.startSuccessor(dir, at)
-	if w.loop.LeaveStandby() || !next.loop.LeaveStandby() || next.loop.LeaveStandby() {
-		t.Error("one that serves stands down, or one that stands by does not, or does twice")
+	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	successor := predecessor.startSuccessor(dir, address)
+	if predecessor.loop.LeaveStandby() || !successor.loop.LeaveStandby() || successor.loop.LeaveStandby() {
+		t.Error("one that serves leaves the standby, or one that stands by does not, or does twice")
 	}
-	next.turn()
-	w.turn()
-	if err := w.loop.Relinquish(); err != ErrNoSuccessor || w.loop.halved {
+	successor.turn()
+	predecessor.turn()
+	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) || predecessor.loop.halved {
 		t.Errorf("handed over to nobody: %v", err)
 	}
-	// Nor does one that connects and never says a word keep others out.
-	mute, err := dialPredecessor(successorAddresses(dir, at))
+}
+
+// A process that connects and sends nothing does not keep others out.
+func TestSilentSuccessorIsDisconnected(t *testing.T) {
+	dir := t.TempDir()
+	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	silent, err := dialPredecessor(hotrestart.SocketAddresses(dir, address))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer unix.Close(mute)
-	w.turn()
-	w.now += handshakeTimeout
-	w.turn()
-	if err := w.handOverTo(w.startSuccessor(dir, at)); err != nil {
+	t.Cleanup(func() { _ = unix.Close(silent) })
+	predecessor.turn()
+	predecessor.now += handshakeTimeout
+	predecessor.turn()
+	if err := predecessor.handOverTo(predecessor.startSuccessor(dir, address)); err != nil {
 		t.Error(err)
 	}
 }
 
-// Who takes over watches the host group itself, from before it says that it is ready, and goes on to if that had just ended.
+// A process that takes over watches the endpoint list itself, from before it says that it is ready, and goes on to if the watch
+// had just ended.
 func TestSuccessorWatchesEndpoints(t *testing.T) {
 	for _, lost := range []bool{false, true} {
-		s := &steps.Steps{T: t}
 		dir := t.TempDir()
-		w, at := newPredecessorWorld(s, dir)
-		w.loop.clients.set.MustSubscribe = true // an heir has its elder's settings
-		next := w.startSuccessor(dir, at)
-		s.Check(next.loop.watch.open, "it stands by without a watch")
+		predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+		predecessor.loop.clients.set.MustSubscribe = true // a successor has its predecessor's settings
+		successor := predecessor.startSuccessor(dir, address)
+		if !successor.loop.watch.open {
+			t.Error("it stands by without a watch")
+		}
 		if lost {
-			next.loop.watch.stop()
+			successor.loop.watch.stop()
 		}
 		// Both are told to read their configuration, which names another discovery and other limits.
 		conf := config.Config{Discovery: netip.MustParseAddrPort("127.0.0.1:8"), Limits: config.Limits{Sockets: 512, MemoryMB: 64}}
-		w.loop.Reload(conf)
-		next.loop.Reload(conf)
-		half := next.loop.clients.most
-		if err := w.handOverTo(next); err != nil || !next.loop.watch.open || next.loop.watch.server != conf.Discovery ||
-			next.loop.clients.most < 2*half {
-			t.Errorf("lost %v: %v, watched %v at %v, %d client links, %d before", lost, err, next.loop.watch.open, next.loop.watch.server,
-				next.loop.clients.most, half)
+		predecessor.loop.Reload(conf)
+		successor.loop.Reload(conf)
+		half := successor.loop.clients.most
+		err := predecessor.handOverTo(successor)
+		watch := successor.loop.watch
+		if err != nil || !watch.open || watch.server != conf.Discovery || successor.loop.clients.most < 2*half {
+			t.Errorf("lost %v: %v, watched %v at %v, %d client links, %d before", lost, err, watch.open, watch.server,
+				successor.loop.clients.most, half)
 		}
 	}
 }
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -68,7 +68,6 @@
 	halved          bool                    // another process runs beside this one, and has half of them
 	onDivide        func(half bool)         // does the same for memory
 	onSuccessor     func()                  // told whenever one stands by to replace this process
-	relinquished    bool                    // a successor owns all that was here
 	onFail          func(error)             // ends the process
 	cordonStore     *hotrestart.CordonStore // nil: nothing outlives this process
 	posted          []func()                // by other goroutines, for the loop to call
@@ -151,7 +150,7 @@
 		l.timers.Remove(t)
 		l.guard(t.of, t.act)
 	}
-	if at, ok := l.Ledger.NextStep(); ok && at <= l.now && !l.relinquished {
+	if at, ok := l.Ledger.NextStep(); ok && at <= l.now && !l.hasRelinquished() {
 		l.Ledger.Step(l.now)
 	}
 	return nil
@@ -187,7 +186,7 @@
 // patience is how long the loop may sleep, in milliseconds. It rounds up: what is due is not due earlier.
 func (l *Loop) patience() int {
 	next, ok := l.Ledger.NextStep()
-	if l.relinquished {
+	if l.hasRelinquished() {
 		next, ok = 0, false
 	}
 	if l.timers.Len() > 0 && (!ok || l.timers.First().At < next) {
--- a/internal/link/operators.go
+++ b/internal/link/operators.go
@@ -9,7 +9,6 @@
 
 	"golang.org/x/sys/unix"
 
-	"valvecove/internal/hotrestart"
 	"valvecove/internal/tally"
 )
 
@@ -175,15 +174,7 @@
 
 // ban sets or ends a ban, and tells done how a caller is to be answered.
 func (l *Loop) ban(id string, out bool, done func(code int, what string)) {
-	switch { // whoever serves has the bans
-	case l.relinquished && l.predecessorRole.successor == nil:
-		done(503, "this process has been replaced")
-		return
-	case l.relinquished:
-		l.predecessorRole.successor.forwardCordon(id, out, done)
-		return
-	case l.successorRole != nil && l.successorRole.protocol.State() != hotrestart.SuccessorServing:
-		l.successorRole.forwardCordon(id, out, done)
+	if l.forwardCordonToOwner(id, out, done) {
 		return
 	}
 	known, full := true, false
@@ -205,9 +196,7 @@
 		word = "out"
 	}
 	l.log.Info("worker node by hand", "host", id, "now", word)
-	if l.predecessorRole != nil && l.predecessorRole.successor != nil && l.predecessorRole.successor.accepted {
-		_ = l.predecessorRole.successor.sendFrame(hotrestart.KindCordonedWorkers, hotrestart.CordonedWorkers{WorkerIDs: l.Ledger.Cordoned()}) // so that its figures are right
-	}
+	l.notifyCordoned()
 	if l.cordonStore == nil {
 		done(200, word)
 		return
@@ -233,7 +222,7 @@
 // unready tells why this process is not ready to serve; nothing if it is.
 func (l *Loop) unready() string {
 	switch {
-	case l.relinquished:
+	case l.hasRelinquished():
 		return "replaced"
 	case l.clients.draining:
 		return "draining"
@@ -255,7 +244,7 @@
 
 // inflight counts the jobs that this process has taken and that have not ended.
 func (l *Loop) inflight() int {
-	if l.relinquished {
+	if l.hasRelinquished() {
 		return 0
 	}
 	return l.Ledger.OpenCount()
--- a/internal/link/servers.go
+++ b/internal/link/servers.go
@@ -113,7 +113,7 @@
 		return
 	}
 	s.loop.after(withdrawAgain, s, func() {
-		if a.EndedByWorker() || s.loop.relinquished {
+		if a.EndedByWorker() || s.loop.hasRelinquished() {
 			delete(s.withdrawals, a)
 			return
 		}
--- a/internal/link/start.go
+++ b/internal/link/start.go
@@ -134,7 +134,7 @@
 		return nil
 	}
 	if l.clients.fd, err = l.listen(c.Listen, l.clients, unix.SO_REUSEPORT); err == nil {
-		l.awaitSuccessor(successorAddresses(c.Dir, c.Listen))
+		l.awaitSuccessor(hotrestart.SocketAddresses(c.Dir, c.Listen))
 	}
 	return err
 }
@@ -249,7 +249,7 @@
 
 // RefuseHeld refuses the queries of which nothing was sent yet.
 func (l *Loop) RefuseHeld() {
-	if !l.relinquished {
+	if !l.hasRelinquished() {
 		l.Ledger.RejectQueued()
 	}
 }
@@ -259,12 +259,12 @@
 
 // Finish gives final answers to the queries that came within the last span and are still open.
 func (l *Loop) Finish(span time.Duration) {
-	if !l.relinquished {
+	if !l.hasRelinquished() {
 		l.Ledger.CloseSince(l.now - span)
 	}
 }
 
 // Quiet tells whether every query is answered and every answer has left.
 func (l *Loop) Quiet() bool {
-	return (l.relinquished || l.Ledger.OpenCount() == 0) && l.clients.quiet()
+	return (l.hasRelinquished() || l.Ledger.OpenCount() == 0) && l.clients.quiet()
 }
--- a/internal/requests/golden_test.go
+++ b/internal/requests/golden_test.go
@@ -113,47 +113,46 @@
 
 // frames writes a ledger's state as a process does that is replaced.
 func frames(t *testing.T, l *requests.Table) (b []byte) {
-	put := func(kind hotrestart.FrameKind, body any) {
+	put := func(message hotrestart.Message) {
 		var err error
-		if b, err = hotrestart.AppendFrame(b, kind, body); err != nil {
+		if b, err = hotrestart.AppendMessage(b, message); err != nil {
 			t.Fatal(err)
 		}
 	}
-	put(hotrestart.KindAccept, hotrestart.Accept{Version: 1, CordonedWorkers: l.Cordoned()})
-	put(hotrestart.KindTransferBegin, nil)
+	put(hotrestart.Accept{Version: 1, CordonedWorkers: l.Cordoned()})
+	put(hotrestart.TransferBegin{})
 	estate, open := l.Snapshot()
-	put(hotrestart.KindRequestTable, estate)
+	put(hotrestart.RequestTable(estate))
 	for _, q := range open {
-		put(hotrestart.KindOpenRequest, q)
+		put(hotrestart.OpenRequest(q))
 	}
-	put(hotrestart.KindTransferEnd, hotrestart.TransferEnd{FrameCount: 1 + len(open)})
+	put(hotrestart.TransferEnd{FrameCount: 1 + len(open)})
 	return b
 }
 
 // readFrames reads that as a process does that replaces one.
 func readFrames(t *testing.T, b []byte) (estate requests.State, open []requests.OpenRequest) {
-	var heir hotrestart.Successor
+	var successor hotrestart.Successor
 	for {
 		frame, n, err := hotrestart.ReadFrame(b)
 		if err != nil {
 			t.Fatal(err)
 		}
 		b = b[n:]
-		step, err := heir.HandleFrame(frame)
+		message, err := frame.Message()
 		if err != nil {
 			t.Fatal(err)
 		}
-		switch frame.Kind {
-		case hotrestart.KindRequestTable:
-			err = frame.Decode(&estate)
-		case hotrestart.KindOpenRequest:
-			var q requests.OpenRequest
-			err = frame.Decode(&q)
-			open = append(open, q)
-		}
+		step, err := successor.HandleMessage(message)
 		if err != nil {
 			t.Fatal(err)
 		}
+		switch message := message.(type) {
+		case hotrestart.RequestTable:
+			estate = requests.State(message)
+		case hotrestart.OpenRequest:
+			open = append(open, requests.OpenRequest(message))
+		}
 		if step == hotrestart.ActionTakeOver {
 			if _, _, err := hotrestart.ReadFrame(b); !errors.Is(err, hotrestart.ErrIncomplete) || len(b) > 0 {
 				t.Fatalf("%d bytes are left", len(b))
