--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -271,7 +271,7 @@
 		predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
 		predecessor.loop.clients.set.MustSubscribe = true // a successor has its predecessor's settings
 		successor := predecessor.startSuccessor(dir, address)
-		if !successor.loop.watch.open {
+		if !successor.loop.watch.isOpen() {
 			t.Error("it stands by without a watch")
 		}
 		if lost {
@@ -284,8 +284,8 @@
 		half := successor.loop.clients.most
 		err := predecessor.handOverTo(successor)
 		watch := successor.loop.watch
-		if err != nil || !watch.open || watch.server != conf.Discovery || successor.loop.clients.most < 2*half {
-			t.Errorf("lost %v: %v, watched %v at %v, %d client links, %d before", lost, err, watch.open, watch.server,
+		if err != nil || !watch.isOpen() || watch.server != conf.Discovery || successor.loop.clients.most < 2*half {
+			t.Errorf("lost %v: %v, watched %v at %v, %d client links, %d before", lost, err, watch.isOpen(), watch.server,
 				successor.loop.clients.most, half)
 		}
 	}
