--- /dev/null
+++ b/internal/hotrestart/successor_test.go
@@ -0,0 +1,215 @@
+package hotrestart
+
+import (
+	"errors"
+	"testing"
+
+	"valvecove/internal/steps"
+)
+
+// Whatever comes in whatever order, a successor is the owner only after all that was announced has come, or once the
+// predecessor has gone; then it owns nothing of what had come in part.
+func FuzzSuccessor(f *testing.F) {
+	steps.Fuzz(f, func(choices *steps.Steps) {
+		model := successorModel{Steps: choices}
+		for goesOn := true; goesOn && choices.More(); {
+			if choices.Pick(20) == 0 {
+				goesOn = model.disconnect()
+			}
+			if goesOn {
+				goesOn = model.receive(pickMessage(choices, model.frames))
+			}
+		}
+	})
+}
+
+// successorModel is what a successor may be, by the messages that it was given.
+type successorModel struct {
+	*steps.Steps
+	successor       Successor
+	accepted, begun bool
+	owner           bool
+	frames          int // since the transfer has begun
+	lost            int // connections
+}
+
+// disconnect tells whether the successor goes on.
+func (m *successorModel) disconnect() bool {
+	action := m.successor.HandleDisconnect()
+	m.Check((action == ActionNone) == m.owner, "disconnected as the owner %v: action %d", m.owner, action)
+	m.lost++
+	if action != ActionReconnect {
+		m.Check(m.owner || !m.accepted || m.lost == maxSessions, "it does not connect again")
+		return false
+	}
+	m.Check(m.accepted && m.lost < maxSessions, "it connects again for ever")
+	m.accepted, m.begun, m.frames = false, false, 0 // what has come in part is void
+	return true
+}
+
+// receive tells whether the successor goes on.
+func (m *successorModel) receive(message Message) bool {
+	action, err := m.successor.HandleMessage(message)
+	m.Did(message.Kind().String())
+	if err != nil { // like the end of the connection
+		m.Check(action == ActionNone, "action %d with an error", action)
+		return false
+	}
+	if action == ActionGiveUp {
+		rejected := !m.accepted && message.Kind() == KindReject
+		m.Check(rejected && m.successor.HandleDisconnect() == ActionNone, "gives up at %v", message.Kind())
+		return false
+	}
+	if action == ActionTakeOver {
+		end, ok := message.(TransferEnd)
+		m.Check(ok && m.begun && end.FrameCount == m.frames, "owner after %d frames: %v", m.frames, message)
+		m.owner = true
+		m.successor.TookOver()
+	}
+	m.apply(message.Kind())
+	m.Check((m.successor.State() == SuccessorServing) == m.owner, "state %v, owner: %v", m.successor.State(), m.owner)
+	return true
+}
+
+func (m *successorModel) apply(kind FrameKind) {
+	switch {
+	case kind == KindAccept:
+		m.Check(!m.accepted, "accepted twice")
+		m.accepted = true
+	case kind == KindTransferBegin:
+		m.Check(m.accepted && !m.begun, "an unexpected transfer")
+		m.begun = true
+	case kind.isState():
+		m.Check(m.begun && !m.owner, "%v outside a transfer", kind)
+		m.frames++
+	}
+}
+
+// successorIn returns a successor in a state.
+func successorIn(t *testing.T, state SuccessorState) *Successor {
+	t.Helper()
+	var successor Successor
+	path := map[SuccessorState][]Message{
+		SuccessorJoining:   {},
+		SuccessorStandby:   {Accept{Version: ProtocolVersion}},
+		SuccessorReceiving: {Accept{Version: ProtocolVersion}, TransferBegin{}},
+		SuccessorServing:   {Accept{Version: ProtocolVersion}, TransferBegin{}, TransferEnd{0}},
+		SuccessorRejected:  {Reject{}},
+	}
+	for _, message := range path[state] {
+		action, err := successor.HandleMessage(message)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if action == ActionTakeOver {
+			successor.TookOver()
+		}
+	}
+	if successor.State() != state {
+		t.Fatalf("state %v, expected %v", successor.State(), state)
+	}
+	return &successor
+}
+
+// Each state allows these messages, and no others.
+func TestSuccessor_Transitions(t *testing.T) {
+	type step struct {
+		next   SuccessorState
+		action Action
+	}
+	allowed := map[SuccessorState]map[FrameKind]step{
+		SuccessorJoining: {
+			KindAccept: {SuccessorStandby, ActionApply},
+			KindReject: {SuccessorRejected, ActionGiveUp},
+		},
+		SuccessorStandby: {
+			KindCordonResult:    {SuccessorStandby, ActionApply},
+			KindCordonedWorkers: {SuccessorStandby, ActionApply},
+			KindTransferBegin:   {SuccessorReceiving, ActionNone},
+		},
+		SuccessorReceiving: {
+			KindCordonResult:     {SuccessorReceiving, ActionApply},
+			KindSnapshotChunk:    {SuccessorReceiving, ActionApply},
+			KindRequestTable:     {SuccessorReceiving, ActionApply},
+			KindOpenRequest:      {SuccessorReceiving, ActionApply},
+			KindClientConnection: {SuccessorReceiving, ActionApply},
+			KindWorkerConnection: {SuccessorReceiving, ActionApply},
+			KindTransferEnd:      {SuccessorReceiving, ActionTakeOver},
+		},
+		SuccessorServing: {
+			KindCordonResult: {SuccessorServing, ActionApply},
+			KindSetCordon:    {SuccessorServing, ActionApply},
+		},
+		SuccessorRejected: {
+			KindCordonResult: {SuccessorRejected, ActionApply},
+		},
+	}
+	for state, byKind := range allowed {
+		for kind := KindHandshake; kind < kindLimit; kind++ {
+			successor := successorIn(t, state)
+			action, err := successor.HandleMessage(messageOf(kind, 0))
+			want, ok := byKind[kind]
+			var unexpected *UnexpectedMessageError
+			switch {
+			case !ok && (!errors.As(err, &unexpected) || unexpected.State != state || successor.State() != state):
+				t.Errorf("%v in %v: %v, then %v", kind, state, err, successor.State())
+			case ok && (err != nil || action != want.action || successor.State() != want.next):
+				t.Errorf("%v in %v: action %d, %v, then %v", kind, state, action, err, successor.State())
+			}
+		}
+	}
+}
+
+func TestSuccessor_Disconnect(t *testing.T) {
+	for _, test := range []struct {
+		state, next SuccessorState
+		action      Action
+	}{
+		{SuccessorJoining, SuccessorServing, ActionServeAlone},
+		{SuccessorStandby, SuccessorJoining, ActionReconnect},
+		{SuccessorReceiving, SuccessorJoining, ActionReconnect},
+		{SuccessorServing, SuccessorServing, ActionNone},
+		{SuccessorRejected, SuccessorRejected, ActionNone},
+	} {
+		successor := successorIn(t, test.state)
+		if action := successor.HandleDisconnect(); action != test.action || successor.State() != test.next {
+			t.Errorf("in %v: action %d, then %v", test.state, action, successor.State())
+		}
+	}
+}
+
+// A predecessor of another version is none.
+func TestOtherProtocolVersionIsRefused(t *testing.T) {
+	var successor Successor
+	var other *VersionError
+	if _, err := successor.HandleMessage(Accept{Version: ProtocolVersion + 1}); !errors.As(err, &other) || other.Version != ProtocolVersion+1 {
+		t.Errorf("accepted by another version: %v", err)
+	}
+}
+
+// Frames that are lost, or too many, make the transfer void.
+func TestSuccessor_CountsFrames(t *testing.T) {
+	for _, announced := range []int{0, 2} {
+		successor := successorIn(t, SuccessorReceiving)
+		if _, err := successor.HandleMessage(SnapshotChunk{1}); err != nil {
+			t.Fatal(err)
+		}
+		var missing *MissingFramesError
+		if _, err := successor.HandleMessage(TransferEnd{announced}); !errors.As(err, &missing) || *missing != (MissingFramesError{1, announced}) {
+			t.Errorf("%d announced: %v", announced, err)
+		}
+	}
+}
+
+func TestSuccessor_LimitsSnapshot(t *testing.T) {
+	successor := successorIn(t, SuccessorReceiving)
+	chunk := make(SnapshotChunk, SnapshotChunkSize)
+	for range MaxSnapshotSize / SnapshotChunkSize {
+		if _, err := successor.HandleMessage(chunk); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if _, err := successor.HandleMessage(SnapshotChunk{1}); !errors.Is(err, ErrSnapshotTooLarge) {
+		t.Errorf("one byte more: %v", err)
+	}
+}
--- /dev/null
+++ b/internal/link/hotrestart_test.go
@@ -0,0 +1,292 @@
+package link
+
+import (
+	"errors"
+	"net/netip"
+	"strings"
+	"testing"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/dispatch"
+	"valvecove/internal/config"
+	"valvecove/internal/hotrestart"
+	"valvecove/internal/requests"
+	"valvecove/internal/steps"
+)
+
+// enableHotRestart makes a world one whose process can be replaced, or can replace another. Its policy is scripted, before and
+// after.
+func (w *world) enableHotRestart() {
+	w.loop.decides = dispatch.New(*w.loop.clients.set, 1)
+	w.loop.wrap = func(*dispatch.Dispatcher) requests.Policy { return w.module }
+	w.loop.onFail = func(err error) { w.T.Errorf("a process fails: %v", err) }
+}
+
+// newPredecessorWorld returns a world that serves and awaits a successor, and the address that clients connect to.
+func newPredecessorWorld(choices *steps.Steps, dir string) (*world, netip.AddrPort) {
+	w := newWorld(choices)
+	w.enableHotRestart()
+	var err error
+	if w.loop.clients.fd, err = w.loop.listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients); err != nil {
+		choices.T.Fatal(err)
+	}
+	w.loop.awaitSuccessor(hotrestart.SocketAddresses(dir, w.loop.Addr()))
+	return w, w.loop.Addr()
+}
+
+// startSuccessor returns a new world that stands by to replace this one.
+func (w *world) startSuccessor(dir string, address netip.AddrPort) *world {
+	successor := newWorld(w.Steps)
+	successor.enableHotRestart()
+	successor.now, successor.loop.clients.set = w.now, w.loop.clients.set
+	w.Check(successor.loop.joinPredecessor(dir, address), "no predecessor")
+	for successor.successorState() == hotrestart.SuccessorJoining {
+		w.turn()
+		successor.turn()
+	}
+	return successor
+}
+
+func (w *world) successorState() hotrestart.SuccessorState {
+	return w.loop.successorRole.protocol.State()
+}
+
+// handOverTo hands over to a successor that stands by. The predecessor does nothing else meanwhile, so the successor's loop
+// runs on another goroutine.
+func (w *world) handOverTo(successor *world) error {
+	ended := make(chan struct{})
+	role := successor.loop.successorRole
+	go func() {
+		defer close(ended)
+		for role.protocol.State() == hotrestart.SuccessorStandby || role.protocol.State() == hotrestart.SuccessorReceiving {
+			_ = successor.loop.turn(1000)
+		}
+	}()
+	err := w.loop.Relinquish()
+	if err != nil { // the connection is closed with the end of the iteration
+		_ = w.loop.turn(0)
+	}
+	<-ended
+	w.turn()
+	successor.turn()
+	return err
+}
+
+// sendRequest has a client of the world send request "q", on a connection of its own.
+func (w *world) sendRequest(at netip.AddrPort) *peer {
+	client, fd := w.pair()
+	w.loop.clients.adopt(fd, at)
+	client.write([]byte("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: q\r\nX-Caller: t\r\nContent-Length: 0\r\n\r\n"))
+	w.turn()
+	return client
+}
+
+// A transfer that fails changes nothing: the predecessor is still the owner, and serves; the successor keeps nothing of it, and
+// connects again, so that the next transfer succeeds.
+func TestFailedTransferChangesNothing(t *testing.T) {
+	dir := t.TempDir()
+	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	client := predecessor.sendRequest(address)
+	successor := predecessor.startSuccessor(dir, address)
+	if both := predecessor.loop.clients.most + successor.loop.clients.most; both > 1024-2*ownDescriptors {
+		t.Errorf("two processes hold %d client links", both)
+	}
+	role := successor.loop.successorRole
+	peer, socket := predecessor.pair()
+	role.received.ClientConnections = []hotrestart.ReceivedClientConnection{{Descriptor: socket}}
+	// This one is found at the end of the transfer.
+	role.received.WorkerConnections = []hotrestart.ReceivedWorkerConnection{{Descriptor: hotrestart.NoDescriptor}}
+	if err := predecessor.handOverTo(successor); err == nil || predecessor.loop.hasRelinquished() || predecessor.loop.Ledger.OpenCount() != 1 {
+		t.Fatalf("handed over to one that did not take it: %v", err)
+	}
+	for role.protocol.State() == hotrestart.SuccessorJoining || predecessor.loop.predecessorRole.successor == nil {
+		predecessor.turn()
+		successor.turn()
+	}
+	if peer.read(1); !peer.ended {
+		t.Error("a socket of the failed transfer is still open")
+	}
+	if successor.loop.Ledger.OpenCount() != 0 || len(successor.loop.clients.links) != 0 || successor.loop.clients.fd >= 0 {
+		t.Error("the successor has something of a transfer that failed")
+	}
+	if err := predecessor.handOverTo(successor); err != nil || successor.loop.halved {
+		t.Fatalf("the second time: %v", err)
+	}
+	successor.module.Next = []dispatch.Action{dispatch.Reject{Job: 1}}
+	successor.loop.Ledger.Wake()
+	successor.turn()
+	if client.read(1 << 16); !strings.HasPrefix(string(client.got), "HTTP/1.1 503 ") {
+		t.Errorf("the client got %q", client.got)
+	}
+}
+
+// Without a successor there is nothing to hand over to. A second successor is rejected, and takes nobody's place by that.
+func TestSecondSuccessorIsRejected(t *testing.T) {
+	dir := t.TempDir()
+	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) {
+		t.Errorf("without a successor: %v", err)
+	}
+	first := predecessor.startSuccessor(dir, address)
+	second := newWorld(predecessor.Steps)
+	second.enableHotRestart()
+	rejected := false
+	second.loop.onFail = func(error) { rejected = true }
+	if !second.loop.joinPredecessor(dir, address) {
+		t.Error("the second successor finds no predecessor")
+	}
+	for !rejected {
+		predecessor.turn()
+		second.turn()
+	}
+	if second.loop.predecessorRole != nil || second.loop.clients.fd >= 0 {
+		t.Error("the second successor serves, or has the predecessor's place")
+	}
+	if err := predecessor.handOverTo(first); err != nil {
+		t.Errorf("handing over to the first: %v", err)
+	}
+}
+
+// A predecessor that dies leaves its cordoned workers, in the file; what is left at the path of its socket is in nobody's way.
+func TestPredecessorDies(t *testing.T) {
+	dir := t.TempDir()
+	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	successor := predecessor.startSuccessor(dir, address)
+	if err := hotrestart.WriteCordonFile(dir, []string{"s-0"}); err != nil {
+		t.Fatal(err)
+	}
+	predecessor.loop.remove(predecessor.loop.predecessorRole.listenerFD)
+	predecessor.turn()
+	predecessor.loop.predecessorRole.successor.closeWithDescriptors()
+	predecessor.turn()
+	successor.turn()
+	cordoned := successor.loop.Ledger.Cordoned()
+	if len(cordoned) != 1 || cordoned[0] != "s-0" || successor.loop.clients.fd < 0 || successor.loop.unready() == "" {
+		t.Errorf("after the predecessor's death: cordoned %v", cordoned)
+	}
+	third := successor.startSuccessor(dir, address)
+	if err := successor.handOverTo(third); err != nil || len(third.loop.Ledger.Cordoned()) != 1 {
+		t.Errorf("the next one: %v", err)
+	}
+}
+
+// A snapshot that is of no use to the next build costs what was learnt, and no request: its policy is told of each request and
+// what became of its attempts.
+func TestIncompatibleSnapshotKeepsRequests(t *testing.T) {
+	dir := t.TempDir()
+	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	client := predecessor.sendRequest(address)
+	predecessor.module.Next = []dispatch.Action{dispatch.Send{Job: 1, Worker: predecessor.worker()}}
+	predecessor.loop.Ledger.Wake()
+	predecessor.turn()
+	successor := predecessor.startSuccessor(dir, address)
+	otherSettings := *predecessor.loop.clients.set
+	otherSettings.Classes = append(otherSettings.Classes, otherSettings.Classes[0])
+	successor.loop.clients.set = &otherSettings
+	if err := predecessor.handOverTo(successor); err != nil {
+		t.Fatal(err)
+	}
+	successor.turn()
+	var resumed []dispatch.JobResumed
+	for _, event := range successor.module.Heard {
+		if r, ok := event.(dispatch.JobResumed); ok {
+			resumed = append(resumed, r)
+		}
+	}
+	if len(resumed) != 1 || resumed[0].Job.ID != 1 || len(resumed[0].Attempts) != 1 || resumed[0].Attempts[0].Ended {
+		t.Fatalf("told of %+v", resumed)
+	}
+	result := "made"
+	callback := requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result}
+	_, _ = successor.loop.Ledger.HandleCallback(callback)
+	successor.turn()
+	if client.read(1 << 16); !strings.HasSuffix(string(client.got), "made") {
+		t.Errorf("the client got %q", client.got)
+	}
+}
+
+// A cordon call that was forwarded, and that the predecessor had not read when it handed over, is carried out by the new owner.
+// TakenOver counts if it was sent before the predecessor gave up, also behind such a call, and can't be sent after that.
+func TestCordonCallCrossesTransfer(t *testing.T) {
+	dir := t.TempDir()
+	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	successor := predecessor.startSuccessor(dir, address)
+	statusCode := 0
+	successor.loop.ban("s-0", true, func(got int, _ string) { statusCode = got })
+	if err := predecessor.handOverTo(successor); err != nil || statusCode != 200 || len(successor.loop.Ledger.Cordoned()) != 1 {
+		t.Errorf("%v, answered %d, cordoned %v", err, statusCode, successor.loop.Ledger.Cordoned())
+	}
+	for _, sent := range []bool{false, true} {
+		next := successor.startSuccessor(dir, address).loop.successorRole
+		_ = next.sendMessage(hotrestart.SetCordon{Sequence: 1, WorkerID: "s-0"})
+		if sent {
+			_ = next.sendMessage(hotrestart.TakenOver{})
+		}
+		conn := successor.loop.predecessorRole.successor
+		if conn.takenOverBeforeShutdown() != sent || next.sendMessage(hotrestart.TakenOver{}) == nil {
+			t.Errorf("sent %v, not read so, or sent too late", sent)
+		}
+		conn.disconnect(nil)
+	}
+}
+
+// A process that is told to end while it stands by takes nothing along, and the next can stand by.
+func TestLeaveStandby(t *testing.T) {
+	dir := t.TempDir()
+	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	successor := predecessor.startSuccessor(dir, address)
+	if predecessor.loop.LeaveStandby() || !successor.loop.LeaveStandby() || successor.loop.LeaveStandby() {
+		t.Error("one that serves leaves the standby, or one that stands by does not, or does twice")
+	}
+	successor.turn()
+	predecessor.turn()
+	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) || predecessor.loop.halved {
+		t.Errorf("handed over to nobody: %v", err)
+	}
+}
+
+// A process that connects and sends nothing does not keep others out.
+func TestSilentSuccessorIsDisconnected(t *testing.T) {
+	dir := t.TempDir()
+	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	silent, err := dialPredecessor(hotrestart.SocketAddresses(dir, address))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = unix.Close(silent) })
+	predecessor.turn()
+	predecessor.now += handshakeTimeout
+	predecessor.turn()
+	if err := predecessor.handOverTo(predecessor.startSuccessor(dir, address)); err != nil {
+		t.Error(err)
+	}
+}
+
+// A process that takes over watches the endpoint list itself, from before it says that it is ready, and goes on to if the watch
+// had just ended.
+func TestSuccessorWatchesEndpoints(t *testing.T) {
+	for _, lost := range []bool{false, true} {
+		dir := t.TempDir()
+		predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+		predecessor.loop.clients.set.MustSubscribe = true // a successor has its predecessor's settings
+		successor := predecessor.startSuccessor(dir, address)
+		if !successor.loop.watch.isOpen() {
+			t.Error("it stands by without a watch")
+		}
+		if lost {
+			successor.loop.watch.stop()
+		}
+		// Both are told to read their configuration, which names another discovery and other limits.
+		conf := config.Config{Discovery: netip.MustParseAddrPort("127.0.0.1:8"), Limits: config.Limits{Sockets: 512, MemoryMB: 64}}
+		predecessor.loop.Reload(conf)
+		successor.loop.Reload(conf)
+		half := successor.loop.clients.most
+		err := predecessor.handOverTo(successor)
+		watch := successor.loop.watch
+		if err != nil || !watch.isOpen() || watch.server != conf.Discovery || successor.loop.clients.most < 2*half {
+			t.Errorf("lost %v: %v, watched %v at %v, %d client links, %d before", lost, err, watch.isOpen(), watch.server,
+				successor.loop.clients.most, half)
+		}
+	}
+}
