--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -62,7 +62,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Body.Close()
+	defer func() { _ = a.Body.Close() }()
 	text, err := io.ReadAll(a.Body)
 	if err != nil {
 		t.Fatal(err)
@@ -92,14 +92,20 @@
 			notes <- n
 			w.WriteHeader(http.StatusNoContent)
 		})}
-		go s.Serve(at)
-		t.Cleanup(func() { s.Close() })
+		go func() { _ = s.Serve(at) }()
+		t.Cleanup(func() { _ = s.Close() })
 		node := "http://" + r.Places().Nodes[1]
 		for _, x := range []struct {
 			method, path, call string
 			status             int
-		}{{"GET", "/alive", "", 200}, {"GET", "/metrics/load", "", 404}, {"POST", "/status-check/1", "", 404},
-			{"POST", "/status-check/1", "a1", 202}, {"POST", "/status-check/2", "a2", 202}, {"DELETE", "/jobs/a2", "", 204}} {
+		}{
+			{"GET", "/alive", "", 200},
+			{"GET", "/metrics/load", "", 404},
+			{"POST", "/status-check/1", "", 404},
+			{"POST", "/status-check/1", "a1", 202},
+			{"POST", "/status-check/2", "a2", 202},
+			{"DELETE", "/jobs/a2", "", 204},
+		} {
 			if got, _ := do(t, x.method, node+x.path, x.call); got != x.status {
 				t.Errorf("%s %s: %d, expected %d", x.method, x.path, got, x.status)
 			}
@@ -130,7 +136,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		fmt.Fprintf(c, "POST /status-check/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: b%d\r\nContent-Length: 2\r\n\r\nhi", i)
 		go func() {
 			_, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -150,7 +156,7 @@
 		}
 	}
 	if c, err := net.Dial("tcp", r.Places().Nodes[0]); err == nil {
-		c.Close()
+		_ = c.Close()
 		t.Error("it takes connections")
 	}
 	r.all(func(int, *engine) { r.nodes[0].restart() })
@@ -167,7 +173,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Body.Close()
+	defer func() { _ = a.Body.Close() }()
 	lines := bufio.NewScanner(a.Body)
 	next := func() (g requests.EndpointList) {
 		for lines.Scan() {
@@ -205,8 +211,10 @@
 
 // Each of the clients' requests is answered once, and counted as what it was answered with, whatever the server does.
 func TestClients(t *testing.T) {
-	r := testRig(t, Spec{Nodes: 1, Clients: 3, Burst: 2, Jobs: 60, Length: time.Minute, Work: time.Millisecond,
-		Hint: 30 * time.Millisecond})
+	r := testRig(t, Spec{
+		Nodes: 1, Clients: 3, Burst: 2, Jobs: 60, Length: time.Minute, Work: time.Millisecond,
+		Hint: 30 * time.Millisecond,
+	})
 	at, err := net.Listen("tcp", r.Places().Scheduler)
 	if err != nil {
 		t.Fatal(err)
@@ -226,16 +234,16 @@
 		case 1:
 			w.WriteHeader(http.StatusInternalServerError)
 		case 2:
-			io.WriteString(w, "of another")
+			_, _ = io.WriteString(w, "of another")
 		case 3:
 			w.Header().Set("Connection", "close")
 			fallthrough
 		default:
-			io.WriteString(w, q.Header.Get("X-Call-Id")+" ran")
+			_, _ = io.WriteString(w, q.Header.Get("X-Call-Id")+" ran")
 		}
 	})}
-	go s.Serve(at)
-	defer s.Close()
+	go func() { _ = s.Serve(at) }()
+	defer func() { _ = s.Close() }()
 	got, err := r.Play(t.Context(), []netip.AddrPort{r.places.scheduler()}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -258,9 +266,11 @@
 	if n, err := readMessage([]byte(text+"more"), &m); n != len(text) || err != nil || string(m.body) != "abc" || !m.last {
 		t.Errorf("%d, %v, %+v", n, err, m)
 	}
-	for _, bad := range []string{"GET\r\n\r\n", "HTTP/1.1 abc OK\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n",
+	for _, bad := range []string{
+		"GET\r\n\r\n", "HTTP/1.1 abc OK\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n",
 		"POST / HTTP/1.1\r\nno field\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
-		"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", strings.Repeat("x", 17<<10)} {
+		"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", strings.Repeat("x", 17<<10),
+	} {
 		if n, err := readMessage([]byte(bad), &m); err == nil {
 			t.Errorf("%.40q was taken: %d", bad, n)
 		}
@@ -348,8 +358,10 @@
 	if got := p.Back(); got != -1 {
 		t.Errorf("%d", got)
 	}
-	for text, want := range map[string]string{"1": "right", "1/30": "30 times too low", "30": "30 times too high",
-		"none": "none"} {
+	for text, want := range map[string]string{
+		"1": "right", "1/30": "30 times too low", "30": "30 times too high",
+		"none": "none",
+	} {
 		if f, err := ParseHint(text); err != nil || hintText(f) != want {
 			t.Errorf("%s: %v, %v", text, f, err)
 		}
--- a/internal/lab/world/network_test.go
+++ b/internal/lab/world/network_test.go
@@ -15,8 +15,10 @@
 func TestDelays(t *testing.T) {
 	spec, _ := plain(4)
 	spec.Fleet.Zones = []string{"a", "b"}
-	spec.Net = scenario.Net{Delay: scenario.Span(ms), Cross: scenario.Span(10 * ms), Client: scenario.Span(2 * ms),
-		Jitter: 0.5}
+	spec.Net = scenario.Net{
+		Delay: scenario.Span(ms), Cross: scenario.Span(10 * ms), Client: scenario.Span(2 * ms),
+		Jitter: 0.5,
+	}
 	r := newRig(t, spec, 1)
 	check := func(from, to party, want, cv float64) {
 		t.Helper()
@@ -51,7 +53,7 @@
 type end struct{ over bool }
 
 func (e *end) party() party  { return party{aNode, 0} }
-func (e *end) ended(c *conn) { e.over = true }
+func (e *end) ended(_ *conn) { e.over = true }
 
 // FuzzConn puts a connection through random sendings and cuts: what arrives is what was sent, in order, and once all
 // cuts have healed nothing is missing.
--- a/internal/run/run_test.go
+++ b/internal/run/run_test.go
@@ -32,6 +32,7 @@
 
 // startWith starts one with features on.
 func startWith(t *testing.T, conf, ops string) *started {
+	t.Helper()
 	s := &started{T: t, path: filepath.Join(t.TempDir(), "config.json"), end: make(chan error, 1)}
 	if ops != "" {
 		s.ops = filepath.Join(t.TempDir(), "ops.toml")
@@ -42,10 +43,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { logs.Close() })
+	t.Cleanup(func() { _ = logs.Close() })
 	go func() {
 		s.end <- Scheduler(func(name string) string { return map[string]string{"PROXY_CONFIG": s.path}[name] }, s.ops, log)
-		log.Close()
+		_ = log.Close()
 	}()
 	s.lines = bufio.NewScanner(logs)
 	_, s.addr, _ = strings.Cut(s.log("listening"), "addr")
@@ -74,7 +75,7 @@
 
 func (s *started) talk(request string) *bufio.Reader {
 	c := s.dial()
-	io.WriteString(c, request)
+	_, _ = io.WriteString(c, request)
 	return bufio.NewReader(c)
 }
 
@@ -83,18 +84,19 @@
 	if err != nil {
 		s.Fatal(err)
 	}
-	s.Cleanup(func() { c.Close() })
+	s.Cleanup(func() { _ = c.Close() })
 	return c
 }
 
 func (s *started) signal(sig syscall.Signal) { _ = syscall.Kill(os.Getpid(), sig) }
 
 func listen(t *testing.T) net.Listener {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { _ = l.Close() })
 	return l
 }
 
@@ -104,7 +106,7 @@
 	if err != nil {
 		s.Fatal(err)
 	}
-	s.Cleanup(func() { c.Close() })
+	s.Cleanup(func() { _ = c.Close() })
 	if line, _ := bufio.NewReader(c).ReadString('\n'); line != want+" HTTP/1.1\r\n" {
 		s.Errorf("heard %q, expected %s", line, want)
 	}
@@ -158,7 +160,7 @@
 	s.log(`level=ERROR msg="configuration kept as it was" scheduler=n0 error="` + s.path + `: key \"limits.sockets\"`)
 	s.signal(syscall.SIGTERM)
 	s.log("draining")
-	io.WriteString(other, "GET /up HTTP/1.1\r\n\r\n") // a client goes on using the link that it has
+	_, _ = io.WriteString(other, "GET /up HTTP/1.1\r\n\r\n") // a client goes on using the link that it has
 	if line, _ := bufio.NewReader(other).ReadString('\n'); line != givenUp {
 		t.Errorf("/up while draining: %q", line)
 	}
@@ -219,7 +221,7 @@
 	s := start(t, text)
 	for n := range 150 { // of 64 descriptors
 		if c := s.dial(); n%3 == 0 {
-			io.WriteString(c, "GET /up HTTP/1.1\r\n\r\n")
+			_, _ = io.WriteString(c, "GET /up HTTP/1.1\r\n\r\n")
 		}
 	}
 	if line, _ := s.talk("GET /up HTTP/1.1\r\n\r\n").ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
@@ -265,7 +267,7 @@
 		default:
 		}
 		if c, err := net.Dial("tcp", s.addr); err == nil {
-			c.Close()
+			_ = c.Close()
 			return
 		}
 		runtime.Gosched()
