--- /dev/null
+++ b/dispatch/capacity_test.go
@@ -0,0 +1,257 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+)
+
+func TestConcurrencyLimit(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(1)
+	room := func(want float64) {
+		t.Helper()
+		if got := s.d.workers[1].limit; got != want {
+			t.Fatalf("room %v, expected %v", got, want)
+		}
+	}
+	room(1)
+	s.busy(1)
+	room(2) // a prompt start, and room was what limited us
+	s.busy(2)
+	room(3)
+	s.busy(3)
+	room(4)
+	s.now += ms
+	s.step(s.done(1, 0, 1, ConnectionReset), s.done(2, 0, 1, ConnectionReset), s.done(3, 0, 1, ConnectionReset))
+	room(2) // one crash with three attempts out is one piece of news
+}
+
+func TestLateStartDecreasesLimit(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(1)
+	s.busy(1)
+	s.step(s.job(2, 1, 300*ms))
+	s.wait(400 * ms)
+	s.step(Started{Job: 2, Worker: 1})
+	if got := s.d.workers[1].limit; got != 1 {
+		t.Fatalf("room %v after a late start, expected 1", got)
+	}
+}
+
+// Incident: a mean of start delays rose with the queues it was to show, so that no start ever counted as late.
+func TestPromptStartBoundDoesNotRiseWithDelays(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(1)
+	delay := 5 * ms
+	for id := uint64(1); id < 40; id++ {
+		s.wait(10 * time.Second)
+		s.step(s.job(id, 1, 100*ms))
+		s.wait(delay)
+		s.step(Started{Job: id, Worker: 1}, s.done(id, 0, 1, OK))
+		delay += delay / 5
+	}
+	if got := s.d.promptStart(&s.d.settings.Classes[1]); got > 120*ms {
+		t.Fatalf("a start within %v counts as prompt", got)
+	}
+}
+
+// Incident: with many dispatchers a room of one each is still a long queue at the worker.
+func TestBackoffAfterLateStartAtLimitOfOne(t *testing.T) {
+	set := testSettings()
+	set.Replicas = 2
+	s := newHarness(t, set)
+	s.workers(1)
+	s.step(s.job(1, 1, 100*ms))
+	s.wait(150 * ms)
+	s.step(Started{Job: 1, Worker: 1}, s.done(1, 0, 1, OK))
+	s.take()
+	s.step(s.job(2, 1, 100*ms))
+	s.wait(100 * ms)
+	expectJobs(t, taken[Send](s))
+	s.wait(100 * ms)
+	expectJobs(t, taken[Send](s), 2)
+}
+
+// A worker that leaves one of ours unstarted has a queue.
+func TestNoSendBehindAnUnstartedAttempt(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(1)
+	s.d.workers[1].limit = 8
+	s.step(s.job(1, 1, 100*ms))
+	s.wait(300 * ms)
+	s.take()
+	s.step(s.job(2, 1, 100*ms))
+	expectJobs(t, taken[Send](s))
+}
+
+// Incident: a report that rides on an outcome predates it, and the freed slot read as taken blocked the worker.
+func TestLoadReportPredatesTheOutcomeItComesWith(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(1)
+	s.busy(1)
+	s.wait(300 * ms)
+	o := s.done(1, 0, 1, OK)
+	o.Report = []float64{0}
+	s.step(o, s.job(2, 0, 100*ms))
+	expectJobs(t, taken[Send](s), 2)
+}
+
+func TestFreshLoadReportWithoutFreeSlotsBlocks(t *testing.T) {
+	set := testSettings()
+	set.HealthChecks = true
+	s := newHarness(t, set)
+	s.workers(1)
+	s.step(HealthChecked{Worker: 1, Result: OK, Report: []float64{0}}, s.job(1, 0, 100*ms))
+	expectJobs(t, taken[Send](s))
+	s.wait(2 * time.Second) // the report has grown old
+	expectJobs(t, taken[Send](s), 1)
+}
+
+// Where one job ends as the next comes, the next starts promptly though no slot was free when it was sent: room
+// drifted past what a worker can run, and jobs waited behind long ones.
+func TestLimitIsBoundedByObservedSlots(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(1)
+	w := s.d.workers[1]
+	w.limit = 9
+	for id := uint64(1); id <= 4; id++ {
+		s.busy(id)
+	}
+	for late := uint64(0); late < minLateOverflows; late++ {
+		if w.backoffUntil, w.limit = 0, 9; s.d.maxSlots(w) < 9 {
+			t.Fatalf("room ends at %v before anything was late", s.d.maxSlots(w))
+		}
+		s.step(s.job(10+late, 1, 20*ms))
+		expectJobs(t, taken[Send](s), 10+late)
+		s.wait(200 * ms)
+		s.step(s.done(10+late, 0, 1, TimedOut))
+	}
+	if got := s.d.maxSlots(w); got != 4 {
+		t.Fatalf("room ends at %v, with four seen running", got)
+	}
+}
+
+// While many of our jobs wait at workers no more leave; hopeless ones are refused where late earns nothing.
+func TestJobsDoNotQueueAtWorkers(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(30)
+	for id := uint64(1); id <= 10; id++ {
+		s.step(s.job(id, 1, 300*ms)) // unsafe: never moved
+		s.wait(35 * ms)
+	}
+	if n := len(taken[Send](s)); n > 6 {
+		t.Fatalf("%d jobs left though none started", n)
+	}
+	s = newHarness(t, testSettings())
+	s.workers(1)
+	s.step(s.job(1, 2, 300*ms))
+	s.wait(1500 * ms)
+	var ends []Action
+	for _, a := range s.take() {
+		switch a.(type) {
+		case Cancel, Reject:
+			ends = append(ends, a)
+		}
+	}
+	if len(ends) != 1 || ends[0] != (Reject{Job: 1}) {
+		t.Fatalf("expected the unstarted job to be refused, got %v", ends)
+	}
+}
+
+// Found: of 351 workers five hung. The jobs out there were more than half of all that ran, which looked like a fleet
+// whose queues are full, and for a second nothing was sent to the others. One goes all the same, and once that has
+// started the next.
+func TestFewFaultyWorkersDoNotStopTheFleet(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(20)
+	for id := uint64(1); id <= 4; id++ {
+		s.step(s.job(id, 1, 300*ms)) // unsafe: never moved
+	}
+	s.step(Started{Job: 1, Worker: taken[Send](s)[0].Worker})
+	s.wait(200 * ms)
+	s.step(s.job(5, 1, 20*ms), s.job(6, 1, 20*ms))
+	sends := taken[Send](s)
+	expectJobs(t, sends, 5)
+	s.wait(ms)
+	expectJobs(t, taken[Send](s))
+	s.step(Started{Job: 5, Worker: sends[0].Worker})
+	expectJobs(t, taken[Send](s), 6)
+}
+
+// Found: where starts are not told, an answer later than the aim as its hint had it counted as late, so that with hints
+// that were too low all were, and each worker was left alone for longer each time.
+func TestLowHintsCauseNoBackoff(t *testing.T) {
+	set := scaleSettings()
+	set.StartNotifications = false
+	f := newFleet(20, set)
+	f.run, f.hint = 400*ms, 1.0/20
+	served, _ := f.serve(15, 6*time.Second)
+	rest := 0
+	for _, w := range f.d.workerList {
+		if w.backoffUntil > f.now {
+			rest++
+		}
+	}
+	if possible := 15 * 5 / f.run.Seconds(); float64(served) < 0.9*possible || rest > 0 {
+		t.Errorf("%d served of %.0f, %d refused, %d of 20 workers left alone", served, possible, f.rejected, rest)
+	}
+}
+
+// Found: a first job of two slots left a worker with a room of two, and nothing more was sent there until it ended.
+func TestLimitGrowsBeyondRunningSlots(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(1)
+	wide := s.job(1, 0, 300*ms)
+	wide.Slots = 2
+	s.step(wide)
+	s.step(Started{Job: 1, Worker: 1}, s.job(2, 0, 300*ms))
+	expectJobs(t, taken[Send](s), 1, 2)
+}
+
+// Found: one job of four slots that waited at a worker stopped all sends, as if most of what was out did.
+func TestLateWideJobCountsOnce(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(10)
+	wide := s.job(1, 1, 300*ms) // unsafe: never moved
+	wide.Slots = 4
+	s.step(wide, s.job(2, 1, 300*ms))
+	s.step(Started{Job: 2, Worker: taken[Send](s)[1].Worker})
+	s.wait(200 * ms)
+	s.step(s.job(3, 1, 20*ms), s.job(4, 1, 20*ms))
+	expectJobs(t, taken[Send](s), 3, 4)
+}
+
+// Found: copies of keyed jobs were dropped as repeats by the cells that had the first ones, and told no start. Each looked
+// like a queue, and its worker was sent nothing more: in a cell with one worker that hung, all others idled.
+func TestDeduplicatedAttemptIsNoSignOfAQueue(t *testing.T) {
+	set := testSettings()
+	set.Classes[1].Idempotency, set.Classes[1].DeduplicationScope, set.Classes[1].DeduplicationWindow = IdempotentWithKey, ScopeAll, 20*time.Second
+	s := newHarness(t, set)
+	s.workers(2)
+	s.d.workers[1].limit, s.d.workers[2].limit = 4, 4
+	s.step(s.job(1, 1, 100*ms))
+	sick := taken[Send](s)[0].Worker
+	s.wait(600 * ms)
+	sends := taken[Send](s)
+	if len(sends) != 1 || sends[0].Worker == sick {
+		t.Fatalf("%v: expected a copy at the other worker", sends)
+	}
+	s.wait(600 * ms)
+	s.step(s.job(2, 0, 20*ms))
+	if sends := taken[Send](s); len(sends) != 1 || sends[0].Worker == sick {
+		t.Fatalf("%v: expected the other worker to be sent job 2 as well", sends)
+	}
+}
+
+// Found: the only dispatcher of a fleet left an idle worker alone for seconds after a late start, though nobody else's
+// jobs can have been in its way.
+func TestSingleDispatcherNeverBacksOff(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(1)
+	s.step(s.job(1, 1, 100*ms))
+	s.wait(150 * ms)
+	s.step(Started{Job: 1, Worker: 1}, s.done(1, 0, 1, OK))
+	s.take()
+	s.step(s.job(2, 1, 100*ms))
+	expectJobs(t, taken[Send](s), 2)
+}
--- /dev/null
+++ b/dispatch/endpoints_test.go
@@ -0,0 +1,144 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+)
+
+func TestDrainingWorkersGetNoWork(t *testing.T) {
+	cases := []struct {
+		name string
+		list WorkerList
+	}{
+		{"told that it drains", WorkerList{Kind: ListDelta, Workers: []Worker{{ID: 1}}}},
+		{"told that it is gone", WorkerList{Kind: ListDelta, Workers: []Worker{{ID: 1, Removed: true}}}},
+		{"missing from a full list", WorkerList{Kind: ListFull}},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, testSettings())
+			s.workers(1)
+			s.step(c.list, s.job(1, 0, 100*ms))
+			s.wait(time.Second)
+			expectJobs(t, taken[Send](s))
+		})
+	}
+}
+
+func TestSubscriptionIsRetriedWithBackoff(t *testing.T) {
+	set := testSettings()
+	set.MustSubscribe = true
+	s := newHarness(t, set)
+	var at []time.Duration
+	for range 4000 {
+		s.wait(10 * ms)
+		if len(taken[Subscribe](s)) > 0 {
+			at = append(at, s.now)
+			s.step(WorkerList{Kind: ListUnavailable})
+		}
+	}
+	if len(at) < 5 || len(at) > 60 {
+		t.Fatalf("%d calls in 40 s", len(at))
+	}
+	if a, b := at[1]-at[0], at[4]-at[3]; b <= a {
+		t.Fatalf("waits do not grow: first %v, fourth %v", a, b)
+	}
+}
+
+// A list that comes though it was not asked for anew is from a watch that goes on: none is asked for beside it.
+func TestUnsolicitedList(t *testing.T) {
+	set := testSettings()
+	set.MustSubscribe = true
+	s := newHarness(t, set)
+	s.wait(objectiveRecheck)
+	s.step(WorkerList{Kind: ListFull, Revision: 1}, WorkerList{Kind: ListUnavailable}, WorkerList{Kind: ListDelta, Revision: 2})
+	taken[Subscribe](s)
+	if s.wait(10 * time.Second); len(taken[Subscribe](s)) > 0 {
+		t.Error("asked for beside the watch that goes on")
+	}
+}
+
+// A worker that comes back by hand is cold from then on, if the list tells of no later start, and what was out there takes
+// up none of its room: else it would stay unused until that has timed out.
+func TestUncordonedWorkerWarmsUpAndIsUsed(t *testing.T) {
+	for _, told := range []bool{false, true} {
+		set := testSettings()
+		set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
+		s := newHarness(t, set)
+		s.workers(1)
+		s.busy(1)
+		s.step(Cordoned{Worker: 1}, Cordoned{Worker: 1})
+		s.wait(3 * time.Second)
+		if told {
+			s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 1, Ready: true, BootAt: s.now}}})
+			s.wait(4 * time.Second)
+		}
+		s.take()
+		s.step(Uncordoned{Worker: 1})
+		share := s.d.warmUpShare(s.d.workers[1])
+		if told && (share < 0.35 || share > 0.37) || !told && share > 0.21 {
+			t.Errorf("told of the start: %v; taken to have %v of its capacity", told, share)
+		}
+		s.wait(3 * time.Second) // past the span in which none of ours is known to have been sent
+		s.step(s.job(7, 0, 10*ms))
+		expectJobs(t, taken[Send](s), 7)
+	}
+}
+
+// With every listed worker out nobody is left to wait for: a query is refused at once, and served again after a call back.
+func TestAllWorkersCordoned(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(2)
+	s.step(Cordoned{Worker: 1}, Cordoned{Worker: 2}, s.job(1, 0, 10*ms))
+	if got := taken[Reject](s); len(got) != 1 || got[0].Job != 1 {
+		t.Fatalf("refused %v", got)
+	}
+	s.step(Uncordoned{Worker: 2}, s.job(2, 0, 10*ms))
+	expectJobs(t, taken[Send](s), 2)
+}
+
+// A worker that was brought back is used soon, also by a dispatcher that is not among the owners of its cold budget, and by
+// a job that would be late there if no other comes.
+func TestUncordonedWorkerIsNotLeftIdle(t *testing.T) {
+	set := testSettings()
+	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
+	set.Replicas = 2
+	for me := range 2 {
+		set.ReplicaIndex = me
+		s := newHarness(t, set)
+		s.workers(1)
+		s.wait(3 * time.Second)
+		s.step(Cordoned{Worker: 1})
+		s.step(Uncordoned{Worker: 1})
+		s.wait(uncordonedWait + 10*ms)
+		s.take()
+		s.step(s.job(1, 0, 300*ms)) // far too long for its aim on a cold worker
+		expectJobs(t, taken[Send](s), 1)
+		s.step(s.done(1, 0, 1, OK))
+		s.step(s.job(2, 0, 300*ms))
+		expectJobs(t, taken[Send](s))
+	}
+}
+
+// Many dispatchers that start together with a list as it was once known, or lose it together, do not all ask for it at once:
+// the service that answers in turn would have all of them wait too long. Few ask at once, and so does one without any list.
+func TestManyReplicasSubscribeAtDifferentTimes(t *testing.T) {
+	for _, c := range []struct {
+		of, soon int // of 40 dispatchers so many ask within half a second, at most
+		list     []Worker
+	}{{40, 12, []Worker{{ID: 1, Ready: true}}}, {2, 40, []Worker{{ID: 1, Ready: true}}}, {40, 40, nil}} {
+		set := testSettings()
+		set.Replicas, set.MustSubscribe, set.PollInterval = c.of, true, 6*time.Second
+		soon := 0
+		for seed := range uint64(40) {
+			s := newHarness(t, set)
+			s.d = New(set, seed)
+			s.step(WorkerList{Kind: ListCached, Workers: c.list})
+			s.wait(500 * ms)
+			soon += len(taken[Subscribe](s))
+		}
+		if soon > c.soon || c.soon == 40 && soon < 40 {
+			t.Errorf("of %d, %d listed: %d of 40 ask within half a second", c.of, len(c.list), soon)
+		}
+	}
+}
--- /dev/null
+++ b/dispatch/harness_test.go
@@ -0,0 +1,150 @@
+package dispatch
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+const ms = time.Millisecond
+
+// harness drives one dispatcher: time, events due later, and the actions not looked at yet.
+type harness struct {
+	t     *testing.T
+	d     *Dispatcher
+	now   time.Duration
+	due   []dueEvent
+	acts  []Action
+	jobs  map[uint64]*harnessJob
+	timer time.Duration
+}
+
+type harnessJob struct {
+	Job
+	tries int
+}
+
+type dueEvent struct {
+	at time.Duration
+	e  Event
+}
+
+func testSettings() Settings {
+	return Settings{Replicas: 1, AttemptLimit: 5, Hedging: true, Cancellation: true, StartNotifications: true,
+		ConnectTimeout: 40 * ms, PollInterval: 10 * time.Second, ReportFields: []ReportField{ReportFieldFreeSlots},
+		Classes: []Class{
+			{LatencyObjective: 400 * ms, ObjectiveStretch: 2, ClientTimeout: 5 * time.Second, Idempotency: Idempotent, LateValue: 0.3},
+			{LatencyObjective: 400 * ms, ObjectiveStretch: 2, ClientTimeout: 5 * time.Second, Idempotency: NonIdempotent, LateValue: 0.3},
+			{LatencyObjective: 400 * ms, ObjectiveStretch: 2, ClientTimeout: 5 * time.Second, Idempotency: Idempotent},
+		}}
+}
+
+func newHarness(t *testing.T, set Settings) *harness {
+	return &harness{t: t, d: New(set, 1), now: time.Hour, jobs: map[uint64]*harnessJob{}}
+}
+
+// workers tells of n warm ready workers, 1 to n.
+func (s *harness) workers(n int) {
+	list := WorkerList{Kind: ListFull}
+	for id := range n {
+		list.Workers = append(list.Workers, Worker{ID: uint64(id + 1), Ready: true})
+	}
+	s.step(list)
+}
+
+func (s *harness) step(events ...Event) {
+	for _, e := range events {
+		if j, ok := e.(Job); ok {
+			s.jobs[j.ID] = &harnessJob{Job: j}
+		}
+	}
+	n := len(s.acts)
+	s.acts = s.d.Step(s.now, events, s.acts)
+	for _, a := range s.acts[n:] {
+		switch a := a.(type) {
+		case SetTimer:
+			s.timer = s.now + a.After
+		case Send:
+			s.jobs[a.Job].tries++
+		}
+	}
+}
+
+func (s *harness) after(d time.Duration, e Event) { s.due = append(s.due, dueEvent{s.now + d, e}) }
+
+// wait lets time pass, with timers and what is due.
+func (s *harness) wait(d time.Duration) {
+	for end := s.now + d; ; {
+		slices.SortStableFunc(s.due, func(a, b dueEvent) int { return int(a.at - b.at) })
+		next := end
+		if s.timer > s.now {
+			next = min(next, s.timer)
+		}
+		if len(s.due) > 0 {
+			next = min(next, max(s.now, s.due[0].at))
+		}
+		s.now = next
+		var events []Event
+		for len(s.due) > 0 && s.due[0].at <= s.now {
+			events = append(events, s.due[0].e)
+			s.due = s.due[1:]
+		}
+		if s.timer <= s.now {
+			s.timer = 0
+			events = append(events, TimerFired{})
+		}
+		if len(events) > 0 {
+			s.step(events...)
+		}
+		if s.now >= end {
+			return
+		}
+	}
+}
+
+func (s *harness) take() []Action {
+	a := s.acts
+	s.acts = nil
+	return a
+}
+
+func taken[T Action](s *harness) (found []T) {
+	for _, a := range s.take() {
+		if x, ok := a.(T); ok {
+			found = append(found, x)
+		}
+	}
+	return found
+}
+
+func (s *harness) job(id uint64, class int, hint time.Duration) Job {
+	return Job{ID: id, Class: class, Remaining: s.d.settings.Classes[class].ClientTimeout, Hint: hint, Slots: 1}
+}
+
+func (s *harness) done(id uint64, attempt int, worker uint64, r Result) Outcome {
+	return Outcome{Job: id, Attempt: attempt, Worker: worker, Result: r, Closed: r == OK}
+}
+
+// busy fills worker 1 with job id and tells its prompt start.
+func (s *harness) busy(id uint64) {
+	s.step(s.job(id, 0, 300*ms))
+	if got := taken[Send](s); len(got) != 1 || got[0].Worker != 1 {
+		s.t.Fatalf("expected job %d to go to worker 1, got %v", id, got)
+	}
+	s.now += ms
+	s.step(Started{Job: id, Worker: 1})
+}
+
+func sentJobs(sends []Send) (ids []uint64) {
+	for _, a := range sends {
+		ids = append(ids, a.Job)
+	}
+	return ids
+}
+
+func expectJobs(t *testing.T, sends []Send, want ...uint64) {
+	t.Helper()
+	if got := sentJobs(sends); !slices.Equal(got, want) {
+		t.Fatalf("jobs sent: %v, expected %v", got, want)
+	}
+}
--- /dev/null
+++ b/dispatch/model_test.go
@@ -0,0 +1,85 @@
+package dispatch
+
+import (
+	"math"
+	"math/rand/v2"
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+)
+
+// One that was taught expects what the teacher does, knows its slow workers, and has its part of the rooms; a lesson
+// keeps to its size, and one that is cut or spoilt teaches nothing.
+func TestModelUpdate(t *testing.T) {
+	set := testSettings()
+	s := newHarness(t, set)
+	list := WorkerList{Kind: ListFull}
+	for id := range uint64(100) {
+		list.Workers = append(list.Workers, Worker{ID: (id + 1) << 40, Kind: int(id % 2), Ready: true})
+	}
+	s.step(list)
+	rng := rand.New(rand.NewPCG(1, 1))
+	for id := uint64(1); id < 400; id++ {
+		s.step(s.job(id, 0, 100*ms))
+		for _, a := range taken[Send](s) {
+			s.after(2*ms, Started{Job: id, Worker: a.Worker})
+			s.after(time.Duration(50+rng.IntN(100))*ms*time.Duration(1+a.Worker>>40%3), s.done(id, 0, a.Worker, OK))
+		}
+		s.wait(4 * ms)
+	}
+	for _, most := range []int{0, 700, 1000, 4000} {
+		if got := len(s.d.ModelSnapshot(most, nil)); got > max(most, 400) {
+			t.Errorf("%d bytes, %d allowed", got, most)
+		}
+	}
+	lesson := s.d.ModelSnapshot(4000, nil)
+	fresh := func(e ModelUpdate) *Dispatcher {
+		d := New(set, 1)
+		d.Step(s.now, []Event{list}, nil)
+		d.Step(s.now, []Event{e}, nil)
+		return d
+	}
+	d := fresh(ModelUpdate{Snapshot: lesson, LoadShare: 0.5})
+	j := &jobInfo{Job: Job{Slots: 1, Hint: 100 * ms}, class: &set.Classes[0]}
+	if got, want := d.expectedWork(j), s.d.expectedWork(j); got != want {
+		t.Errorf("it expects %v, the teacher %v", got, want)
+	}
+	for id, w := range s.d.workers {
+		x := d.workers[id]
+		if off := math.Abs(w.logSpeed - x.logSpeed); w.runs > 0 && off > 2.0/speedSteps || x.limit != max(1, math.Floor(w.limit/2)) {
+			t.Errorf("worker %d: speed off by %v, room %v of %v", id, off, x.limit, w.limit)
+		}
+	}
+	for n := range lesson {
+		if d := fresh(ModelUpdate{Snapshot: lesson[:n], LoadShare: 1}); !reflect.DeepEqual(d.sizeCorrection, New(set, 1).sizeCorrection) || len(d.kinds) > 2 {
+			t.Fatalf("%d bytes of %d taught something", n, len(lesson))
+		}
+	}
+}
+
+// No bytes make a dispatcher panic, nor leave it with figures that are none.
+func FuzzModelUpdate(f *testing.F) {
+	_, d, _ := randomRun(5, 300)
+	whole := d.ModelSnapshot(1000, nil)
+	f.Add(whole, int64(time.Second), 0.5)
+	for i := range whole {
+		spoilt := slices.Clone(whole)
+		spoilt[i] ^= 0xff
+		f.Add(spoilt, int64(-1), math.Inf(1))
+	}
+	f.Fuzz(func(t *testing.T, b []byte, age int64, part float64) {
+		d := New(d.settings, 1)
+		list := WorkerList{Kind: ListFull}
+		for id := range uint64(8) {
+			list.Workers = append(list.Workers, Worker{ID: id + 1, Kind: int(id % 3), Ready: true})
+		}
+		d.Step(time.Hour, []Event{list, ModelUpdate{b, time.Duration(age), part}}, nil)
+		d.Step(time.Hour+time.Second, []Event{Job{ID: 1, Remaining: time.Second, Slots: 1}, TimerFired{}}, nil)
+		for _, w := range d.workerList {
+			if !(w.limit >= 1 && w.limit <= maxModelLimit) || !isPlausible(w.logSpeed) || !isPlausible(w.speed) {
+				t.Fatalf("worker %d: room %v, speed %v", w.ID, w.limit, w.logSpeed)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/dispatch/outlier_test.go
@@ -0,0 +1,139 @@
+package dispatch
+
+import (
+	"math"
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestFastFailuresAttractNoWork(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(3)
+	sent := map[uint64]int{}
+	for id := uint64(1); id <= 100; id++ {
+		s.step(s.job(id, 2, 50*ms))
+		for n := 0; ; n++ {
+			sends := taken[Send](s)
+			if len(sends) == 0 {
+				break
+			}
+			w := sends[0].Worker
+			sent[w]++
+			s.now += ms
+			r := OK
+			if w == 1 {
+				r = Failed
+			}
+			s.step(Started{Job: id, Attempt: n, Worker: w}, s.done(id, n, w, r))
+		}
+		s.wait(10 * ms)
+	}
+	if sent[1] > 10 {
+		t.Fatalf("the failing worker got %d attempts of %v", sent[1], sent)
+	}
+}
+
+// Where links break now and then, a worker is not set aside for one of them, nor for a probe that a stale link
+// swallowed; two in a row, or one under a job that had started, are its own.
+func TestSingleConnectionFailureEjectsNoWorker(t *testing.T) {
+	for _, c := range []struct {
+		news  func(s *harness)
+		aside bool
+	}{
+		{func(s *harness) { s.step(HealthChecked{Worker: 1, Result: NotSent}) }, false},
+		{func(s *harness) { s.step(s.done(1, 0, 1, ConnectionReset)) }, false},
+		{func(s *harness) { s.step(Started{Job: 1, Worker: 1}); s.step(s.done(1, 0, 1, ConnectionReset)) }, true},
+		{func(s *harness) { s.step(s.done(1, 0, 1, ConnectionReset)); s.step(s.done(1, 1, 1, ConnectFailed)) }, true},
+	} {
+		s := newHarness(t, testSettings())
+		s.workers(1)
+		s.step(s.job(1, 0, 10*ms))
+		if c.news(s); s.d.workers[1].ejectionTime > 0 != c.aside {
+			t.Errorf("set aside %v, expected %v", !c.aside, c.aside)
+		}
+	}
+}
+
+// Incident: late starts made most workers suspects, so the dead ones lost their mark too and drew all work.
+func TestBrokenWorkerStaysEjectedWhenMostAreSuspect(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(4)
+	for id := uint64(1); id <= 4; id++ {
+		s.d.eject(s.d.workers[id], id == 1, "test")
+	}
+	s.wait(300 * ms)
+	if !s.d.isEjected(s.d.workers[1]) || s.d.isEjected(s.d.workers[2]) {
+		t.Fatal("expected only the broken worker to stay suspect")
+	}
+}
+
+// Links dropped unseen while idle: two jobs that got no answer on idle links are enough, and others are closed first.
+func TestIdleConnectionsThatLoseRequestsAreClosed(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(3)
+	run := func(id uint64, answered bool) uint64 {
+		s.step(s.job(id, 1, 50*ms))
+		w := taken[Send](s)[0].Worker
+		if answered {
+			s.now += ms
+			s.step(Started{Job: id, Worker: w})
+			s.now += 50 * ms
+			s.step(s.done(id, 0, w, OK))
+		}
+		return w
+	}
+	links := map[uint64]bool{}
+	for id := uint64(1); len(links) < 3; id++ {
+		links[run(id, true)] = true
+	}
+	s.take()
+	s.wait(3 * time.Second)
+	silent := map[uint64]bool{run(101, false): true}
+	s.wait(3 * time.Second)
+	silent[run(102, false)] = true
+	if len(silent) != 2 {
+		t.Fatalf("expected two workers to be silent, got %v", silent)
+	}
+	s.wait(3 * time.Second)
+	s.take()
+	s.step(s.job(103, 1, 50*ms))
+	acts := s.take()
+	at := slices.IndexFunc(acts, func(a Action) bool { _, ok := a.(CloseIdleConnections); return ok })
+	if at < 0 || at+1 >= len(acts) || acts[at+1] != (Send{Job: 103, Worker: acts[at].(CloseIdleConnections).Worker}) {
+		t.Fatalf("expected idle links to be closed before the send, got %v", acts)
+	}
+}
+
+// A part of the fleet that falls silent at once says nothing of idle links, as those to the others do well.
+func TestSilentRackIsNotBlamedOnConnections(t *testing.T) {
+	f := newFleet(100, scaleSettings())
+	f.serve(100, time.Second)
+	for range 30 {
+		a := &attemptInfo{connIdle: 8 * ms}
+		f.d.observeIdleConnection(a, false)
+	}
+	if f.d.maxIdle != 0 {
+		t.Fatalf("links are trusted for %v", f.d.maxIdle)
+	}
+}
+
+// A process that was late itself learns nothing of workers from that time, and blames none for it.
+func TestOwnStallsSayNothingAboutWorkers(t *testing.T) {
+	f := newFleet(20, scaleSettings())
+	f.serve(40, 2*time.Second)
+	before := f.d.workerList[3].logSpeed
+	f.now += 2 * time.Second // frozen: what came meanwhile is told late, with our own timer
+	events := []Event{TimerFired{}}
+	for i := range f.events[:2] {
+		for q := &f.events[i]; q.first < len(q.due); q.first++ {
+			events = append(events, q.due[q.first].e)
+		}
+	}
+	f.step(events...)
+	for _, w := range f.d.workerList {
+		if math.Abs(w.logSpeed-before) > 0.5 || w.ejectionTime > 0 || w.limit < 2 {
+			t.Fatalf("worker %d: speed %.2f (%.2f before), set aside for %v, room %.0f", w.ID, w.logSpeed, before, w.ejectionTime, w.limit)
+		}
+	}
+}
--- /dev/null
+++ b/dispatch/picker_test.go
@@ -0,0 +1,213 @@
+package dispatch
+
+import (
+	"math"
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestWorkerWithFewestSlotsInUseIsChosen(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(3)
+	used := map[uint64]bool{}
+	for id := uint64(1); id <= 3; id++ {
+		s.step(s.job(id, 0, 100*ms))
+	}
+	for _, a := range taken[Send](s) {
+		used[a.Worker] = true
+	}
+	if len(used) != 3 {
+		t.Fatalf("three jobs went to %d workers", len(used))
+	}
+}
+
+// A slow worker is passed over while its runs would miss their aims, and tried again once its news is old.
+func TestSlowWorkerIsAvoided(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(4)
+	s.step(s.job(1, 0, 500*ms))
+	slow := taken[Send](s)[0].Worker
+	s.now += ms
+	s.step(Started{Job: 1, Worker: slow})
+	s.wait(5 * time.Second)
+	before := s.d.workers[slow].logSpeed
+	for range 4 {
+		s.d.learnFromRun(&attemptInfo{job: s.d.jobs[1], worker: s.d.workers[slow], expectedRun: 500 * ms}, 2500*ms)
+	}
+	if before >= 0 {
+		t.Fatal("a run far too long did not show before it ended")
+	}
+	tried := map[uint64]int{}
+	for id := uint64(10); id < 40; id++ {
+		s.step(s.job(id, 1, 500*ms))
+		for _, a := range taken[Send](s) {
+			tried[a.Worker]++
+			s.after(ms, Started{Job: id, Worker: a.Worker})
+			s.after(100*ms, s.done(id, 0, a.Worker, OK))
+		}
+		s.wait(100 * ms)
+	}
+	if tried[slow] > 0 {
+		t.Fatalf("the slow worker got %d of 30 jobs that would miss their aim on it", tried[slow])
+	}
+	s.wait(time.Minute)
+	if math.Abs(s.d.workers[slow].logSpeed-s.d.machineKind(0).logSpeed) > 0.1 {
+		t.Fatal("a minute without news has not brought the slow worker back")
+	}
+}
+
+// A job of many slots over tau must not be starved by small ones that slip past it.
+func TestLargeJobIsNotStarved(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(1)
+	s.d.workers[1].limit = 4
+	big := s.job(1, 1, 2*time.Second)
+	big.Slots = 4
+	next := uint64(100)
+	s.busy(99)
+	s.step(big)
+	for s.now < time.Hour+4*time.Second {
+		s.step(s.job(next, 0, 100*ms))
+		for _, a := range taken[Send](s) {
+			if a.Job == 1 {
+				return
+			}
+			s.after(ms, Started{Job: a.Job, Worker: 1})
+			s.after(100*ms, s.done(a.Job, 0, 1, OK))
+		}
+		if next == 110 {
+			s.step(s.done(99, 0, 1, OK))
+		}
+		next++
+		s.wait(30 * ms)
+	}
+	t.Fatal("the large job was never sent")
+}
+
+// Incident: a job of four slots, over tau, was sent to a worker with room for one. It waited at the head of that
+// worker's queue and held up all behind it. Now a worker is kept free for it, and others go elsewhere meanwhile.
+func TestLargeJobWaitsForCapacity(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(2)
+	for id := uint64(1); id <= 2; id++ {
+		s.d.workers[id].limit = 4
+		s.step(s.job(id, 1, 300*ms))
+		at := taken[Send](s)[0].Worker
+		s.step(Started{Job: id, Worker: at})
+	}
+	big := s.job(3, 1, 2*time.Second)
+	big.Slots = 4
+	s.step(big)
+	s.wait(4 * time.Second) // far over tau
+	expectJobs(t, taken[Send](s))
+	for id := uint64(10); id < 14; id++ {
+		s.step(s.job(id, 0, 20*ms))
+	}
+	for _, a := range taken[Send](s) {
+		if s.d.workers[a.Worker] == s.d.reserved {
+			t.Fatalf("job %d went to the worker kept for the large one", a.Job)
+		}
+	}
+	for _, a := range slices.Clone(s.d.reserved.inFlight) {
+		s.step(s.done(a.job.ID, a.number, a.worker.ID, OK))
+	}
+	if sends := taken[Send](s); len(sends) == 0 || sends[0].Job != 3 {
+		t.Fatalf("expected the large job to be sent first, got %v", sends)
+	}
+}
+
+// A zone with more traffic than its workers can start is left for another, though crossing has a price.
+func TestBusyZoneIsAvoided(t *testing.T) {
+	set := testSettings()
+	set.CrossZoneCost = 0.05
+	s := newHarness(t, set)
+	list := WorkerList{Kind: ListFull}
+	for id := range uint64(30) {
+		list.Workers = append(list.Workers, Worker{ID: id + 1, Ready: true, Zone: int(id % 2)})
+	}
+	s.step(list)
+	s.step(s.job(1, 0, 100*ms))
+	if w := taken[Send](s)[0].Worker; w%2 != 1 {
+		t.Fatalf("an untroubled zone was left for worker %d", w)
+	}
+	crossed := 0
+	for id := uint64(2); id < 30; id++ {
+		s.step(s.job(id, 0, 100*ms))
+		for _, a := range taken[Send](s) {
+			if a.Worker%2 == 0 {
+				crossed++
+				s.after(ms, Started{Job: a.Job, Attempt: s.jobs[a.Job].tries - 1, Worker: a.Worker})
+				s.after(50*ms, s.done(a.Job, s.jobs[a.Job].tries-1, a.Worker, OK))
+			} else {
+				s.after(ms, s.done(a.Job, s.jobs[a.Job].tries-1, a.Worker, WorkerFull))
+			}
+		}
+		s.wait(100 * ms)
+	}
+	if crossed < 10 {
+		t.Fatalf("%d jobs left a zone that turned all work away", crossed)
+	}
+}
+
+// Found: a worker was kept for a large job that waited for a faster one, and idled for seconds while small ones were held.
+func TestNoTooSlowWorkerIsReserved(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(2)
+	s.step(s.job(1, 1, 300*ms)) // unsafe: never moved
+	slow := s.d.workers[3-taken[Send](s)[0].Worker]
+	slow.logSpeed, slow.speed, slow.learnedAt = -2, 0.13, s.now+time.Minute
+	big := s.job(2, 1, 1500*ms)
+	big.Slots = 4
+	s.step(big)
+	s.wait(1500 * ms) // over tau
+	s.step(s.job(3, 0, 20*ms))
+	expectJobs(t, taken[Send](s), 3)
+}
+
+// A class bound to kinds or zones goes nowhere else, and is closed in time where nothing is open to it.
+func TestPlacement(t *testing.T) {
+	cases := []struct {
+		name         string
+		kinds, zones []int
+		open         []uint64
+	}{
+		{"free", nil, nil, []uint64{1, 2, 3, 4}},
+		{"one kind", []int{1}, nil, []uint64{3, 4}},
+		{"one zone", nil, []int{1}, []uint64{2, 4}},
+		{"both", []int{0, 2}, []int{1, 3}, []uint64{2}},
+		{"what does not exist", []int{9}, nil, nil},
+		{"nothing", []int{}, nil, nil},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			set := testSettings()
+			set.Classes[0].Kinds, set.Classes[0].Zones = c.kinds, c.zones
+			s := newHarness(t, set)
+			s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 1, Ready: true}, {ID: 2, Ready: true, Zone: 1},
+				{ID: 3, Ready: true, Kind: 1}, {ID: 4, Ready: true, Kind: 1, Zone: 1}}})
+			for id := uint64(1); id <= 8; id++ {
+				s.step(s.job(id, 0, 200*ms)) // nothing starts: further attempts and copies follow
+				s.wait(100 * ms)
+			}
+			s.wait(6 * time.Second)
+			var used []uint64
+			ended := 0
+			for _, a := range s.take() {
+				switch a := a.(type) {
+				case Send:
+					used = append(used, a.Worker)
+				case Reject, Fail:
+					ended++
+				}
+			}
+			slices.Sort(used)
+			if used = slices.Compact(used); !slices.Equal(used, c.open) {
+				t.Fatalf("workers %v were used, %v are open", used, c.open)
+			}
+			if ended != 8 {
+				t.Fatalf("%d of 8 jobs were closed", ended)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/dispatch/predictor_test.go
@@ -0,0 +1,107 @@
+package dispatch
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+func TestPredictor(t *testing.T) {
+	d := New(testSettings(), 1)
+	mk := func(class int, hint time.Duration) *jobInfo {
+		j := &jobInfo{Job: Job{Class: class, Hint: hint, Slots: 1}, class: &d.settings.Classes[class]}
+		j.work = d.expectedWork(j)
+		return j
+	}
+	if d.longScore(mk(0, 100*ms)) >= d.longScore(mk(0, 200*ms)) {
+		t.Fatal("untrained, a longer hint does not raise the chance of running long")
+	}
+	for _, hint := range []time.Duration{0, 1, math.MaxInt64} {
+		if p := d.longScore(mk(0, hint)); math.IsNaN(p) || p < 0 || p > 1 {
+			t.Fatalf("hint %v gives chance %v", hint, p)
+		}
+	}
+	d.now = time.Hour
+	w := &workerInfo{}
+	keyed := mk(0, 0)
+	keyed.Key = 5
+	d.learnFromRun(&attemptInfo{job: keyed, worker: w}, 5*time.Second)
+	other := mk(0, 0)
+	if keyed.work = d.expectedWork(keyed); d.longScore(keyed) <= d.longScore(other) {
+		t.Fatal("a key that ran long does not raise the chance of running long")
+	}
+	for range 300 {
+		for class, run := range []time.Duration{100 * ms, 2 * time.Second} {
+			a := &attemptInfo{job: mk(class, 0), worker: w}
+			d.learnFromRun(a, run)
+		}
+	}
+	if d.longScore(mk(0, 0)) >= d.longScore(mk(1, 0)) {
+		t.Fatal("without hints the class that runs long is not ranked as long")
+	}
+}
+
+// The gain of learning does not grow with what is out: from 1 job out to 10,000, with runs that vary, what is believed of
+// speeds and works stays near the truth. Corrected against what held when they were sent, each of n jobs out corrects the
+// same error, a gain of n x sizeRate, and from some 60 out on beliefs swung over factors of thousands.
+func TestLearningIsStableWhateverIsInFlight(t *testing.T) {
+	t.Parallel()
+	for _, c := range []struct {
+		out    int
+		hint   float64
+		length time.Duration
+	}{{1, 1, 20 * time.Second}, {10, 1, 5 * time.Second}, {10, 1.0 / 30, 10 * time.Second}, {100, 1, 3 * time.Second},
+		{100, 30, 9 * time.Second}, {1000, 1.0 / 30, 400 * ms}, {10000, 1, 100 * ms}} {
+		f := newFleet(max(1, c.out/2), scaleSettings())
+		f.hint, f.noise = c.hint, 0.3
+		f.serve(c.out, c.length)
+		j := &jobInfo{Job: Job{Hint: time.Duration(float64(f.run) * c.hint), Slots: 1}, class: &f.d.settings.Classes[0]}
+		mean := 0.0
+		for _, w := range f.d.workerList {
+			mean += w.logSpeed / float64(len(f.d.workerList))
+			believed := math.Log(f.d.expectedWork(j)) - w.logSpeed - math.Log(f.run.Seconds())
+			if w.runs >= 5 && math.Abs(believed) > 1 {
+				t.Fatalf("%+v: a run is believed to take %.2f times its time", c, math.Exp(believed))
+			}
+		}
+		if c.length > 8*time.Second && math.Abs(mean) > maxMeanSpeed+0.1 {
+			t.Errorf("%+v: the mean speed is %.2f", c, math.Exp(mean))
+		}
+	}
+}
+
+// A belief does not shut off its own correction: where all workers are thought far too slow for any aim, some jobs go all
+// the same, and within a second all do.
+func TestWrongEstimateIsCorrected(t *testing.T) {
+	t.Parallel()
+	for _, nodes := range []int{5, 300} {
+		f := newFleet(nodes, scaleSettings())
+		f.serve(nodes, time.Second)
+		for _, k := range f.d.kinds {
+			k.logSpeed = -6
+		}
+		for _, w := range f.d.workerList {
+			w.logSpeed, w.learnedAt = -6, f.now
+		}
+		f.serve(nodes, time.Second)
+		if served, _ := f.serve(nodes, 2*time.Second); float64(served) < 0.95*float64(nodes)/(f.run+2*f.delay).Seconds() {
+			t.Errorf("%d workers, believed 400 times too slow: %d served in a second, and %d refused", nodes, served, f.rejected)
+		}
+	}
+}
+
+// Jobs that take ten times as long for a while miss their aims; once they no longer do, service is back within a second.
+func TestCostStepIsFollowed(t *testing.T) {
+	t.Parallel()
+	f := newFleet(50, scaleSettings())
+	f.serve(100, 2*time.Second)
+	f.run *= 10
+	f.serve(100, 3*time.Second)
+	f.run /= 10
+	f.serve(100, time.Second)
+	turned := f.rejected
+	served, _ := f.serve(100, 2*time.Second)
+	if possible := 100 / (f.run + 2*f.delay).Seconds(); float64(served) < 0.95*possible {
+		t.Errorf("%d served of %.0f possible, %d refused", served, possible, f.rejected-turned)
+	}
+}
--- /dev/null
+++ b/dispatch/queue_test.go
@@ -0,0 +1,178 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+)
+
+func TestDispatchOrder(t *testing.T) {
+	cases := []struct {
+		name  string
+		hints []time.Duration // jobs 10, 11, ... arrive a millisecond apart
+		wait  time.Duration
+		mu    float64
+		first uint64
+	}{
+		{"shortest first", []time.Duration{300 * ms, 50 * ms, 200 * ms}, 0, 1, 11},
+		{"ties to the oldest", []time.Duration{100 * ms, 100 * ms}, 0, 1, 10},
+		{"over tau the oldest first", []time.Duration{3000 * ms, 2900 * ms}, 250 * ms, 0.05, 10},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			s := newHarness(t, testSettings())
+			s.workers(1)
+			s.busy(1)
+			s.d.workers[1].limit = 1
+			s.d.muShort = c.mu
+			for n, h := range c.hints {
+				s.now += ms
+				s.step(s.job(uint64(10+n), 1, h))
+			}
+			s.wait(c.wait)
+			expectJobs(t, taken[Send](s))
+			s.step(s.done(1, 0, 1, OK))
+			if got := taken[Send](s); len(got) == 0 || got[0].Job != c.first {
+				t.Fatalf("sent %v, expected job %d first", got, c.first)
+			}
+		})
+	}
+}
+
+// Under overload all would wait past tau and leave in order of arrival; what cannot earn in full gives way.
+func TestJobPastItsObjectiveIsDemoted(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(1)
+	s.busy(1)
+	s.d.workers[1].limit = 1
+	s.step(s.job(10, 1, 100*ms))
+	s.wait(2 * time.Second)
+	s.step(s.job(11, 1, 200*ms))
+	s.step(s.done(1, 0, 1, OK))
+	if got := taken[Send](s); len(got) == 0 || got[0].Job != 11 {
+		t.Fatalf("sent %v, expected job 11, which can still earn in full", got)
+	}
+}
+
+// Under overload jobs worth more than most are promoted sooner.
+func TestHigherPriorityWeightIsPromotedSooner(t *testing.T) {
+	set := testSettings()
+	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight, set.Classes[2].PriorityWeight = 1, 8, 1
+	s := newHarness(t, set)
+	s.workers(1)
+	s.busy(1)
+	s.d.workers[1].limit, s.d.muShort = 1, 0.1 // tau 0.3 s, less than half that where worth is 8
+	s.step(s.job(10, 0, 400*ms), s.job(11, 1, 800*ms))
+	s.wait(200 * ms)
+	s.step(s.done(1, 0, 1, OK))
+	if got := taken[Send](s); len(got) == 0 || got[0].Job != 11 {
+		t.Fatalf("sent %v, expected job 11 first", got)
+	}
+}
+
+// Jobs looked past at each release once left an entry each time in the pile by arrival.
+func TestQueuedJobsLeaveNoTrace(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(1)
+	s.busy(1)
+	s.d.workers[1].limit = 1
+	for id := uint64(10); id < 20; id++ {
+		s.step(s.job(id, 0, 100*ms))
+	}
+	for range 100 {
+		s.wait(ms)
+	}
+	n := 0
+	for _, sh := range s.d.queue.shapes {
+		n += len(sh.byPromotion.items)
+	}
+	if n > 10 {
+		t.Fatalf("%d entries for 10 held jobs", n)
+	}
+	s.wait(10 * time.Second)
+	if len(s.d.jobs) != 1 || s.d.queue.length != 0 { // job 1 has its answer but is still out
+		t.Fatalf("%d jobs and %d held ones remembered after all deadlines", len(s.d.jobs), s.d.queue.length)
+	}
+}
+
+// Where each dispatcher has a few workers dealt to it, and a job of ours waits late at one, short jobs go to the others and
+// long ones are kept back: room is scarce. Where all share all workers, both go.
+func TestLongJobsWaitWhileAttemptsAreLate(t *testing.T) {
+	for _, of := range []int{0, 2} {
+		set := testSettings()
+		set.Replicas = manyReplicas + 1
+		s := newHarness(t, set)
+		list := WorkerList{Kind: ListFull}
+		for id := uint64(1); id <= 6; id++ {
+			list.Workers = append(list.Workers, Worker{ID: id, Ready: true, Assignees: of})
+		}
+		s.step(list)
+		for id := uint64(1); id <= 3; id++ { // three run
+			s.step(s.job(id, 1, 100*ms))
+			s.after(ms, Started{Job: id, Worker: taken[Send](s)[0].Worker})
+		}
+		s.step(s.job(4, 1, 100*ms)) // and this one's worker has a queue
+		s.wait(250 * ms)
+		taken[Send](s)
+		s.step(s.job(5, 1, 2*time.Second), s.job(6, 1, 50*ms))
+		sent := map[uint64]bool{}
+		for _, a := range taken[Send](s) {
+			sent[a.Job] = true
+		}
+		if !sent[6] || sent[5] != (of == 0) {
+			t.Errorf("dealt to %d: sent %v", of, sent)
+		}
+	}
+}
+
+// A class that only one worker in a hundred may run, and more of it than those can take, holds up nothing else.
+func TestBoundClassBlocksNothingElse(t *testing.T) {
+	set := scaleSettings()
+	set.HealthChecks = false
+	bound := set.Classes[0]
+	bound.Kinds, bound.LatencyObjective, bound.ClientTimeout = []int{7}, time.Hour, 2*time.Hour
+	set.Classes = append(set.Classes, bound)
+	s := newHarness(t, set)
+	list := WorkerList{Kind: ListFull}
+	for id := range 200 {
+		w := Worker{ID: uint64(id + 1), Ready: true}
+		if id%100 == 0 {
+			w.Kind = 7
+		}
+		list.Workers = append(list.Workers, w)
+	}
+	s.step(list)
+	for id := range uint64(100) {
+		s.step(s.job(id+1, 1, ms))
+	}
+	s.take()
+	s.now += ms // they were here first, and leave first
+	for id := range uint64(50) {
+		s.step(s.job(id+1000, 0, 20*ms))
+	}
+	if got := sentJobs(taken[Send](s)); len(got) != 50 {
+		t.Fatalf("%d of 50 jobs left past held ones of a class that has no room", len(got))
+	}
+}
+
+// Found: a dozen held jobs that no free worker might have took all looks of each release, and those behind them were held
+// or refused though there were workers for them. The next release looks at others first.
+func TestJobsThatFitNowhereBlockNoOthers(t *testing.T) {
+	set := testSettings()
+	set.ReportFields = nil
+	s := newHarness(t, set)
+	s.workers(3)
+	s.step(s.job(1, 0, 300*ms), s.job(2, 0, 300*ms)) // and are not known to have started, so that no more go there
+	sick := s.d.workers[6-s.d.jobs[1].attempts[0].worker.ID-s.d.jobs[2].attempts[0].worker.ID]
+	// It takes short jobs that are safe to repeat, as a trial.
+	sick.ejectionTime, sick.ejectedUntil, sick.broken, sick.aliveAt = time.Second, s.now, true, s.now-time.Minute
+	s.d.markDirty(sick)
+	for id := uint64(10); id < 10+2*maxDeferred; id++ {
+		s.step(s.job(id, 1, 10*ms))
+	}
+	s.step(s.job(50, 0, 40*ms))
+	for range 3 {
+		s.wait(ms)
+		s.step()
+	}
+	expectJobs(t, taken[Send](s)[2:], 50)
+}
