--- a/docs/ci_test.go
+++ b/docs/ci_test.go
@@ -11,6 +11,7 @@
 // ciTests gives .ci/tests with a list of what is known to be red, over a module of its own: in package a one test passes
 // and two fail, and in package b one fails that has the name of one in a.
 func ciTests(t *testing.T) func(list string) (out string, passed bool) {
+	t.Helper()
 	dir := t.TempDir()
 	test := func(body string) string { return "package x\n\nimport \"testing\"\n\n" + body }
 	for name, text := range map[string]string{
@@ -59,8 +60,10 @@
 		says   []string
 	}{
 		{"", false, []string{"bad in a", "bad too", "bad in b"}},
-		{badA + tooA + tooB, true, []string{"known red, and it fails: " + badA, "known red, and it fails: " + tooA,
-			"known red, and it fails: " + tooB, "bad in a", "PASS: TestGood ", "PASS: TestGoodToo ", "PASS: TestFine "}},
+		{badA + tooA + tooB, true, []string{
+			"known red, and it fails: " + badA, "known red, and it fails: " + tooA,
+			"known red, and it fails: " + tooB, "bad in a", "PASS: TestGood ", "PASS: TestGoodToo ", "PASS: TestFine ",
+		}},
 		{badA + tooA, false, []string{"bad in b"}},
 		{badA + tooB, false, []string{"--- FAIL: TestBadToo", "bad too"}},
 		{badA + tooA + goodA, false, []string{"known red, but it passes now, so take it from the list: " + goodA}},
--- a/internal/lab/live/live_test.go
+++ b/internal/lab/live/live_test.go
@@ -41,6 +41,7 @@
 }
 
 func testSpec(t *testing.T, more string) *scenario.Scenario {
+	t.Helper()
 	s, err := scenario.Parse("test", []byte("length = \"2s\"\n[fleet]\nnodes = 2\n"+more))
 	if err != nil {
 		t.Fatal(err)
@@ -49,6 +50,7 @@
 }
 
 func newRig(t *testing.T, opt Options) *rig {
+	t.Helper()
 	opt.Dir, opt.Stay = t.TempDir(), true
 	d, err := newDriver(testSpec(t, ""), opt)
 	if err != nil {
@@ -117,7 +119,7 @@
 func raw(w http.ResponseWriter, text string) {
 	c, _, _ := w.(http.Hijacker).Hijack()
 	io.WriteString(c, text)
-	c.Close()
+	_ = c.Close()
 }
 
 // Clients write queries as the protocol shows them, and take answers in any framing.
@@ -126,9 +128,11 @@
 	mux.HandleFunc("POST /account-credit/{key}", func(w http.ResponseWriter, q *http.Request) {
 		call := q.Header.Get("X-Call-Id")
 		body, _ := io.ReadAll(q.Body)
-		for name, value := range map[string]string{"X-Call-Class": "account-credit", "X-Caller": "mardan-society",
+		for name, value := range map[string]string{
+			"X-Call-Class": "account-credit", "X-Caller": "mardan-society",
 			"X-Budget-Ms": "480", "Idempotency-Key": q.PathValue("key"), "X-Call-Cost": "12000",
-			"X-Call-Info": "slots=2", "X-Again": "1"} {
+			"X-Call-Info": "slots=2", "X-Again": "1",
+		} {
 			if got := q.Header.Get(name); got != value {
 				t.Errorf("%s: %q, expected %q", name, got, value)
 			}
@@ -158,8 +162,10 @@
 	})
 	r := newRig(t, Options{})
 	ask := func(conn edge.Conn, call string) {
-		r.do(edge.In{Kind: edge.Asked, Conn: conn, Ask: &edge.Ask{Call: call, Class: 3, Tenant: 1, Key: "k-" + call,
-			Budget: 480*time.Millisecond + 700, Hint: 12 * time.Millisecond, Slots: 2, Body: 300, Again: true}})
+		r.do(edge.In{Kind: edge.Asked, Conn: conn, Ask: &edge.Ask{
+			Call: call, Class: 3, Tenant: 1, Key: "k-" + call,
+			Budget: 480*time.Millisecond + 700, Hint: 12 * time.Millisecond, Slots: 2, Body: 300, Again: true,
+		}})
 	}
 	ask(1, "nobody")
 	r.want(edge.Unmet)
@@ -203,7 +209,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	answer := func(c net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 			t.Error(err)
@@ -218,7 +224,7 @@
 	r.want(edge.Replied)
 	ask("b")
 	c.Read(make([]byte, 1)) // the rest stays unread, so that the close is a reset
-	c.Close()
+	_ = c.Close()
 	if c, err = l.Accept(); err != nil {
 		t.Fatal(err)
 	}
@@ -235,7 +241,7 @@
 		n, _ := c.Read(b)
 		got += string(b[:n])
 	}
-	c.Close()
+	_ = c.Close()
 	r.want(edge.Cut)
 }
 
@@ -378,7 +384,7 @@
 			t.Errorf("reset %v: %v", reset, err)
 		}
 	}
-	r.connect(0).Close()
+	_ = r.connect(0).Close()
 	r.want(edge.Dial)
 	r.want(edge.Hangup)
 }
@@ -494,7 +500,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
+		t.Cleanup(func() { _ = c.Close() })
 		c.SetDeadline(time.Now().Add(30 * time.Second))
 		fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: d\r\n\r\n", path)
 		a, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -504,7 +510,8 @@
 		return a, bufio.NewReader(a.Body)
 	}
 	list := &requests.EndpointList{Revision: 43, Endpoints: []requests.Endpoint{
-		{ID: "w-1.1", Zone: "a", MachineType: "m", Lifecycle: "up", Weight: 1}}}
+		{ID: "w-1.1", Zone: "a", MachineType: "m", Lifecycle: "up", Weight: 1},
+	}}
 	want := fmt.Sprintf(`{"generation":43,"reset":false,"instances":[{"instanceId":"w-1.1","hostPort":"%v","zone":"a",`+
 		`"machineType":"m","cell":0,"lifecycle":"up","weight":1,"startedAtMs":0}]}`,
 		r.d.places.node(2+1, 0)) // after the first two
