--- a/internal/requests/ledger.go
+++ b/internal/requests/ledger.go
@@ -127,7 +127,7 @@
 	observers []Observer
 
 	pendingEvents []dispatch.Event // not told yet
-	spareEvents   []dispatch.Event
+	eventBuffer   []dispatch.Event
 	actionBuffer  []dispatch.Action
 	policyTimer   time.Duration // the module's; 0: none
 
@@ -196,8 +196,8 @@
 	l.closeRequest(q)
 }
 
-// respond closes a query that gets this answer now.
-func (l *Table) respond(q *Request, a Response) {
+// conclude closes a query that gets this answer now.
+func (l *Table) conclude(q *Request, a Response) {
 	q.response = a
 	l.closeRequest(q)
 }
@@ -251,13 +251,13 @@
 		l.notify(Notification{Kind: AttemptEnded, Request: q, Attempt: a, Err: fault})
 	}
 	if fault == nil && !q.closed {
-		l.respond(q, ResponseResult)
+		l.conclude(q, ResponseResult)
 		q.responder.RespondResult(got)
 	}
 	// What one worker node can't use none can: sent on, it would cost each of them, and each would look as if it
 	// failed. The query ends here, and the module hears of an attempt that says nothing of the worker node.
 	if fault != nil && fault.Reason == ReasonInvalidRequest && !q.closed && q.inFlight == 0 {
-		l.respond(q, ResponseFailed)
+		l.conclude(q, ResponseFailed)
 		q.responder.RespondFailed()
 	}
 	l.pendingEvents = append(l.pendingEvents, dispatch.Outcome{Job: q.ID, Attempt: a.Number, Worker: a.Worker,
@@ -449,10 +449,10 @@
 		return
 	}
 	events := l.pendingEvents
-	l.pendingEvents = l.spareEvents[:0]
+	l.pendingEvents = l.eventBuffer[:0]
 	actions, ok := l.runPolicy(now, events)
 	clear(events)
-	l.spareEvents = events[:0]
+	l.eventBuffer = events[:0]
 	if !ok {
 		return
 	}
@@ -513,10 +513,10 @@
 	case q.closed:
 		return
 	case len(q.attempts) == 0:
-		l.respond(q, ResponseRejected)
+		l.conclude(q, ResponseRejected)
 		q.responder.RespondRejected(0) // nothing was sent, so trying again is harmless
 	default:
-		l.respond(q, ResponseFailed)
+		l.conclude(q, ResponseFailed)
 		q.responder.RespondFailed()
 	}
 }
@@ -545,12 +545,12 @@
 		l.startAttempt(now, a)
 	case dispatch.Reject:
 		if q := l.requests[a.Job]; q != nil && !q.closed {
-			l.respond(q, ResponseRejected)
+			l.conclude(q, ResponseRejected)
 			q.responder.RespondRejected(a.RetryAfter)
 		}
 	case dispatch.Fail:
 		if q := l.requests[a.Job]; q != nil && !q.closed {
-			l.respond(q, ResponseFailed)
+			l.conclude(q, ResponseFailed)
 			q.responder.RespondFailed()
 		}
 	case dispatch.Cancel:
--- a/internal/requests/ledger_test.go
+++ b/internal/requests/ledger_test.go
@@ -12,58 +12,58 @@
 )
 
 // countingResponder is an Asker that counts its answers.
-type countingResponder struct{ served, throttled, failed int }
+type countingResponder struct{ results, rejected, failed int }
 
-func (e *countingResponder) RespondResult([]byte)          { e.served++ }
-func (e *countingResponder) RespondRejected(time.Duration) { e.throttled++ }
+func (e *countingResponder) RespondResult([]byte)          { e.results++ }
+func (e *countingResponder) RespondRejected(time.Duration) { e.rejected++ }
 func (e *countingResponder) RespondFailed()                { e.failed++ }
-func (e *countingResponder) all() int                      { return e.served + e.throttled + e.failed }
+func (e *countingResponder) total() int                    { return e.results + e.rejected + e.failed }
 
 // recordingTransport is a Carrier that only remembers.
 type recordingTransport struct {
-	out   []*Attempt
-	given map[*Attempt]bool
-	twice bool       // a worker node had two attempts of a query at once
-	due   []*Attempt // whose worker nodes are to be told
-	told  map[*Attempt]bool
+	started           []*Attempt
+	abandoned         map[*Attempt]bool
+	hasTwoAtOneWorker bool       // a worker node had two attempts of a query at once
+	cancelling        []*Attempt // whose worker nodes are to be told
+	confirmed         map[*Attempt]bool
 }
 
-// tell ends the oldest withdrawal that is due.
-func (c *recordingTransport) tell(l *Table, told bool) {
-	a := c.due[0]
-	if c.due = c.due[1:]; told && !a.ended {
-		c.told[a] = true
+// completeCancel ends the oldest withdrawal that is due.
+func (c *recordingTransport) completeCancel(l *Table, told bool) {
+	a := c.cancelling[0]
+	if c.cancelling = c.cancelling[1:]; told && !a.ended {
+		c.confirmed[a] = true
 	}
 	l.CancelCompleted(a, told)
 }
 
 func (c *recordingTransport) Start(a *Attempt) {
-	for _, o := range c.out {
-		c.twice = c.twice || !o.ended && o.Request == a.Request && o.Worker == a.Worker
+	for _, o := range c.started {
+		c.hasTwoAtOneWorker = c.hasTwoAtOneWorker || !o.ended && o.Request == a.Request && o.Worker == a.Worker
 	}
-	c.out = append(c.out, a)
+	c.started = append(c.started, a)
 }
 
-func (c *recordingTransport) Abandon(a *Attempt)          { c.given[a] = true }
-func (c *recordingTransport) Cancel(a *Attempt)           { c.due = append(c.due, a) }
+func (c *recordingTransport) Abandon(a *Attempt)          { c.abandoned[a] = true }
+func (c *recordingTransport) Cancel(a *Attempt)           { c.cancelling = append(c.cancelling, a) }
 func (c *recordingTransport) CheckHealth(uint64)          {}
 func (c *recordingTransport) CloseIdleConnections(uint64) {}
 func (c *recordingTransport) Watch(int64)                 {}
 
 // modelRequest is what the model knows of a query.
 type modelRequest struct {
-	q     *Request
-	asker *countingResponder
-	gone  bool
-	sends int
+	request      *Request
+	responder    *countingResponder
+	disconnected bool
+	sends        int
 }
 
 // A query gets one answer or has lost its client, every Send one outcome, and whatever comes late, twice or for
 // nobody changes nothing.
-func FuzzTable(f *testing.F) { steps.Fuzz(f, runLedger) }
+func FuzzTable(f *testing.F) { steps.Fuzz(f, runTableModel) }
 
-func runLedger(s *steps.Steps) {
-	module, carried := &steps.Script{}, &recordingTransport{given: map[*Attempt]bool{}, told: map[*Attempt]bool{}}
+func runTableModel(s *steps.Steps) {
+	module, carried := &steps.Script{}, &recordingTransport{abandoned: map[*Attempt]bool{}, confirmed: map[*Attempt]bool{}}
 	l := New(4, NameTable{Classes: []string{"a"}}, func() Policy { return module }, EndpointList{Endpoints: []Endpoint{
 		{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}, {ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"}}}, carried,
 		slog.New(slog.DiscardHandler))
@@ -84,41 +84,41 @@
 			s.Check(err == nil, "a new id was refused: %v", err)
 			_, again := l.Admit(now, Arrival{CallID: q.CallID, Responder: e})
 			s.Check(again == ErrDuplicateCallID, "an open query's id was taken again")
-			qs = append(qs, &modelRequest{q: q, asker: e})
+			qs = append(qs, &modelRequest{request: q, responder: e})
 			s.Did("take")
 		case what <= 3:
 			m.sends++
 			patience := time.Duration(s.Pick(3)) * 300 * time.Millisecond
-			act(dispatch.Send{Job: m.q.ID, Worker: hashID("s-" + strconv.Itoa(s.Pick(2))), AttemptTimeout: patience})
+			act(dispatch.Send{Job: m.request.ID, Worker: hashID("s-" + strconv.Itoa(s.Pick(2))), AttemptTimeout: patience})
 			l.DiscoveryFailed() // something to step for
-			before := len(carried.out)
+			before := len(carried.started)
 			l.Step(now)
-			if len(carried.out) > before {
-				until := m.q.Deadline
+			if len(carried.started) > before {
+				until := m.request.Deadline
 				if patience > 0 {
 					until = min(until, now+patience)
 				}
-				s.Check(carried.out[before].At == until, "patience not kept or not trimmed")
+				s.Check(carried.started[before].At == until, "patience not kept or not trimmed")
 			}
 			s.Did("send")
 		case what == 4:
-			act([]dispatch.Action{dispatch.Reject{Job: m.q.ID}, dispatch.Fail{Job: m.q.ID}}[s.Pick(2)])
+			act([]dispatch.Action{dispatch.Reject{Job: m.request.ID}, dispatch.Fail{Job: m.request.ID}}[s.Pick(2)])
 			s.Did("refuse or fail")
 		case what == 5:
-			act(dispatch.Cancel{Job: m.q.ID, Attempt: s.Pick(5)})
+			act(dispatch.Cancel{Job: m.request.ID, Attempt: s.Pick(5)})
 			s.Did("cancel")
 		case what == 6:
-			m.gone = m.gone || m.asker.all() == 0
-			l.ClientDisconnected(m.q)
+			m.disconnected = m.disconnected || m.responder.total() == 0
+			l.ClientDisconnected(m.request)
 			s.Did("gone")
 		case what == 7:
 			states := []string{"started", "running", "done", "failed", "returned", "lost"}
-			n := Callback{CallID: m.q.CallID, EndpointID: "s-" + strconv.Itoa(s.Pick(3)), State: states[s.Pick(6)], Result: &result}
+			n := Callback{CallID: m.request.CallID, EndpointID: "s-" + strconv.Itoa(s.Pick(3)), State: states[s.Pick(6)], Result: &result}
 			_, err := l.HandleCallback(n)
 			s.Check(err == nil, "a sound note was refused")
 			s.Did(n.State)
-		case what == 8 && len(carried.out) > 0:
-			a := carried.out[s.Pick(len(carried.out))]
+		case what == 8 && len(carried.started) > 0:
+			a := carried.started[s.Pick(len(carried.started))]
 			if stage := Stage(s.Pick(3)); !a.ended && a.Stage < StageAccepted {
 				a.Stage = stage
 			}
@@ -136,30 +136,30 @@
 			if !module.Panic {
 				s.Check(l.OpenCount() == 0, "%d queries without an answer after a panic", l.OpenCount())
 				for _, m := range qs {
-					s.Check(m.gone || m.asker.all() == 1, "%d answers after a panic", m.asker.all())
+					s.Check(m.disconnected || m.responder.total() == 1, "%d answers after a panic", m.responder.total())
 				}
 				return
 			}
 			module.Panic = false
-		case what <= 11 && what > 9 && len(carried.out) > 0:
-			if a := carried.out[s.Pick(len(carried.out))]; !a.ended {
+		case what <= 11 && what > 9 && len(carried.started) > 0:
+			if a := carried.started[s.Pick(len(carried.started))]; !a.ended {
 				a.Stage = StageAccepted
 				if what == 11 {
 					act(dispatch.Cancel{Job: a.Request.ID, Attempt: a.Number})
 				}
 			}
 			s.Did("accept")
-		case what > 11 && len(carried.due) > 0:
-			carried.tell(l, what == 12)
+		case what > 11 && len(carried.cancelling) > 0:
+			carried.completeCancel(l, what == 12)
 			s.Did("tell of a withdrawal")
 		}
 		l.Step(now)
-		for _, a := range carried.due {
+		for _, a := range carried.cancelling {
 			s.Check(a.Stage == StageAccepted, "an attempt that is %v is withdrawn by name", a.Stage)
 		}
-		for _, a := range carried.out {
+		for _, a := range carried.started {
 			s.Check(!a.ended || a.Stage < StageAccepted || a.result != dispatch.Cancelled && a.result != dispatch.TimedOut ||
-				carried.told[a] || a.Request.closed || now >= a.Request.Deadline,
+				carried.confirmed[a] || a.Request.closed || now >= a.Request.Deadline,
 				"query %d: an accepted attempt is given up, and its worker node does not know", a.Request.ID)
 			s.Check(a.ended || !a.Request.closed || a.Stage >= StageWritten, "query %d is over, and may still be sent", a.Request.ID)
 		}
@@ -167,13 +167,13 @@
 	for range 3 { // past every deadline: attempts expire, the module fails what is left
 		now += 2 * time.Second
 		for _, m := range qs {
-			module.Next = append(module.Next, dispatch.Fail{Job: m.q.ID})
+			module.Next = append(module.Next, dispatch.Fail{Job: m.request.ID})
 		}
 		l.UpdateEndpoints(EndpointList{})
 		l.Step(now)
 	}
 	checkOutcomes(s, qs, module.Heard, carried)
-	s.Check(!carried.twice, "a worker node had two attempts of a query at once")
+	s.Check(!carried.hasTwoAtOneWorker, "a worker node had two attempts of a query at once")
 	s.Check(len(l.requests)+len(l.openByCallID)+len(l.inFlight)+l.timeouts.Len() == 0, "the ledger still holds something")
 }
 
@@ -191,18 +191,18 @@
 		}
 	}
 	for _, m := range qs {
-		s.Check(m.gone && m.asker.all() == 0 || !m.gone && m.asker.all() == 1, "%d answers, gone %v", m.asker.all(), m.gone)
-		for n := range m.q.attempts {
-			o, ok := outcomes[[2]uint64{m.q.ID, uint64(n)}]
-			s.Check(ok, "no outcome for query %d attempt %d", m.q.ID, n)
+		s.Check(m.disconnected && m.responder.total() == 0 || !m.disconnected && m.responder.total() == 1, "%d answers, gone %v", m.responder.total(), m.disconnected)
+		for n := range m.request.attempts {
+			o, ok := outcomes[[2]uint64{m.request.ID, uint64(n)}]
+			s.Check(ok, "no outcome for query %d attempt %d", m.request.ID, n)
 			s.Check(o.Result != dispatch.OK || o.Closed, "served, and not closed")
 		}
 	}
-	for _, a := range carried.out {
+	for _, a := range carried.started {
 		o := outcomes[[2]uint64{a.Request.ID, uint64(a.Number)}]
 		timedOut := o.Result == dispatch.TimedOut || o.Result == dispatch.Cancelled
 		recalled := o.Result == dispatch.NotSent && o.Closed && a.Stage < StageWritten
-		given := carried.given[a] || carried.told[a]
+		given := carried.abandoned[a] || carried.confirmed[a]
 		s.Check(!timedOut || given, "result %v, and the worker node was not told", o.Result)
 		s.Check(!given || timedOut || recalled, "result %v, stage %v, and the worker node was told", o.Result, a.Stage)
 		if o.Result == dispatch.ConnectFailed {
@@ -212,7 +212,7 @@
 }
 
 // 'Has it run?' follows from how far the attempt came.
-func TestResult_FollowsFromStage(t *testing.T) {
+func TestAttemptError_ResultFollowsFromStage(t *testing.T) {
 	for stage, want := range map[Stage]dispatch.Result{StageNotConnected: dispatch.ConnectFailed, StagePartlyWritten: dispatch.ConnectFailed,
 		StageWritten: dispatch.ConnectionReset, StageAccepted: dispatch.ConnectionReset} {
 		if got := resultOf(&AttemptError{Stage: stage, Reason: ReasonConnectionLost}); got != want {
@@ -247,7 +247,7 @@
 // Of two copies that are both done only the first is the client's; the other ends as served and closed.
 func TestHedgedRequest_FirstResultIsSent(t *testing.T) {
 	module, asker := &steps.Script{}, &countingResponder{}
-	carried := &recordingTransport{given: map[*Attempt]bool{}}
+	carried := &recordingTransport{abandoned: map[*Attempt]bool{}}
 	l := New(4, NameTable{}, func() Policy { return module }, EndpointList{Endpoints: []Endpoint{{ID: "s-0", Lifecycle: "up"}, {ID: "s-1", Lifecycle: "up"}}},
 		carried, slog.New(slog.DiscardHandler))
 	q, err := l.Admit(0, Arrival{CallID: "c", Job: dispatch.Job{Remaining: time.Second}, Responder: asker})
@@ -256,7 +256,7 @@
 	}
 	module.Next = []dispatch.Action{dispatch.Send{Job: q.ID, Worker: hashID("s-0")}, dispatch.Send{Job: q.ID, Worker: hashID("s-1")}}
 	l.Step(1)
-	for _, a := range carried.out {
+	for _, a := range carried.started {
 		a.Stage = StageWritten // else it would not run on
 	}
 	for _, from := range []string{"s-1", "s-0", "s-0"} {
@@ -266,8 +266,8 @@
 	}
 	l.Step(2)
 	o, ok := module.Heard[len(module.Heard)-1].(dispatch.Outcome)
-	if asker.served != 1 || asker.all() != 1 || !ok || o.Attempt != 0 || o.Result != dispatch.OK || !o.Closed {
-		t.Errorf("%d answers, last heard %+v", asker.all(), o)
+	if asker.results != 1 || asker.total() != 1 || !ok || o.Attempt != 0 || o.Result != dispatch.OK || !o.Closed {
+		t.Errorf("%d answers, last heard %+v", asker.total(), o)
 	}
 }
 
@@ -304,7 +304,7 @@
 // twice would be sent elsewhere while it runs there. So that host gets no further one.
 func TestCallback_RepeatedEndsNoLaterAttempt(t *testing.T) {
 	for _, state := range []string{"returned", "failed", "lost"} {
-		module, carried := &steps.Script{}, &recordingTransport{given: map[*Attempt]bool{}}
+		module, carried := &steps.Script{}, &recordingTransport{abandoned: map[*Attempt]bool{}}
 		l := New(4, NameTable{}, func() Policy { return module }, EndpointList{Endpoints: []Endpoint{{ID: "s-0", Lifecycle: "up"}, {ID: "s-1",
 			Lifecycle: "up"}}}, carried, slog.New(slog.DiscardHandler))
 		q, err := l.Admit(0, Arrival{CallID: "c", Job: dispatch.Job{Remaining: time.Second}, Responder: &countingResponder{}})
@@ -327,8 +327,8 @@
 		send("s-1")
 		note()
 		l.Step(2)
-		if len(carried.out) != 2 || carried.out[1].EndpointID != "s-1" || carried.out[1].ended {
-			t.Errorf("%s: %d attempts went, the last to %s", state, len(carried.out), carried.out[len(carried.out)-1].EndpointID)
+		if len(carried.started) != 2 || carried.started[1].EndpointID != "s-1" || carried.started[1].ended {
+			t.Errorf("%s: %d attempts went, the last to %s", state, len(carried.started), carried.started[len(carried.started)-1].EndpointID)
 		}
 	}
 }
@@ -338,7 +338,7 @@
 func FuzzCordons(f *testing.F) {
 	steps.Fuzz(f, func(s *steps.Steps) {
 		module := &steps.Script{}
-		carried := &recordingTransport{given: map[*Attempt]bool{}}
+		carried := &recordingTransport{abandoned: map[*Attempt]bool{}}
 		l := New(6, NameTable{Classes: []string{"a"}}, func() Policy { return module }, EndpointList{Endpoints: []Endpoint{{ID: "s-0", Lifecycle: "up"},
 			{ID: "s-1", Lifecycle: "up"}, {ID: "s-2", Lifecycle: "up"}}}, carried, slog.New(slog.DiscardHandler))
 		out, n := map[string]bool{}, 0
@@ -376,9 +376,9 @@
 					continue
 				}
 				module.Next = []dispatch.Action{dispatch.Send{Job: q.ID, Worker: l.endpoints.numbers[id]}}
-				carried.out = nil
+				carried.started = nil
 				l.Step(time.Second)
-				s.Check((len(carried.out) == 1) == !out[id], "%d sent to %s, out %v", len(carried.out), id, out)
+				s.Check((len(carried.started) == 1) == !out[id], "%d sent to %s, out %v", len(carried.started), id, out)
 			}
 			s.Did(id)
 			var want []string
@@ -407,41 +407,41 @@
 	}
 }
 
-// cancelFixture is a ledger with one query that has an accepted attempt at s-0.
-type cancelFixture struct {
-	l       *Table
-	module  *steps.Script
-	carried *recordingTransport
-	asker   *countingResponder
-	q       *Request
-	first   *Attempt
+// attemptFixture is a ledger with one query that has an accepted attempt at s-0.
+type attemptFixture struct {
+	table     *Table
+	policy    *steps.Script
+	transport *recordingTransport
+	responder *countingResponder
+	request   *Request
+	first     *Attempt
 }
 
-func newCancelFixture(t *testing.T, patience time.Duration) *cancelFixture {
+func newAttemptFixture(t *testing.T, patience time.Duration) *attemptFixture {
 	t.Helper()
-	c := &cancelFixture{module: &steps.Script{}, carried: &recordingTransport{given: map[*Attempt]bool{}, told: map[*Attempt]bool{}}, asker: &countingResponder{}}
-	c.l = New(4, NameTable{}, func() Policy { return c.module }, EndpointList{Endpoints: []Endpoint{{ID: "s-0", Lifecycle: "up"}, {ID: "s-1", Lifecycle: "up"}}},
-		c.carried, slog.New(slog.DiscardHandler))
+	c := &attemptFixture{policy: &steps.Script{}, transport: &recordingTransport{abandoned: map[*Attempt]bool{}, confirmed: map[*Attempt]bool{}}, responder: &countingResponder{}}
+	c.table = New(4, NameTable{}, func() Policy { return c.policy }, EndpointList{Endpoints: []Endpoint{{ID: "s-0", Lifecycle: "up"}, {ID: "s-1", Lifecycle: "up"}}},
+		c.transport, slog.New(slog.DiscardHandler))
 	var err error
-	if c.q, err = c.l.Admit(0, Arrival{CallID: "c", Job: dispatch.Job{Remaining: time.Second}, Responder: c.asker}); err != nil {
+	if c.request, err = c.table.Admit(0, Arrival{CallID: "c", Job: dispatch.Job{Remaining: time.Second}, Responder: c.responder}); err != nil {
 		t.Fatal(err)
 	}
-	c.act(1, dispatch.Send{Job: c.q.ID, Worker: hashID("s-0"), AttemptTimeout: patience})
-	c.first = c.carried.out[0]
+	c.step(1, dispatch.Send{Job: c.request.ID, Worker: hashID("s-0"), AttemptTimeout: patience})
+	c.first = c.transport.started[0]
 	c.first.Stage = StageAccepted
 	return c
 }
 
-// act has the module do something, and hear what comes of it.
-func (c *cancelFixture) act(now time.Duration, actions ...dispatch.Action) {
-	c.module.Next = actions
-	c.l.Wake()
-	c.l.Step(now)
-	c.l.Step(now)
+// step has the module do something, and hear what comes of it.
+func (c *attemptFixture) step(now time.Duration, actions ...dispatch.Action) {
+	c.policy.Next = actions
+	c.table.Wake()
+	c.table.Step(now)
+	c.table.Step(now)
 }
 
-func (c *cancelFixture) outcomes() (results []dispatch.Result) {
-	for _, e := range c.module.Heard {
+func (c *attemptFixture) results() (results []dispatch.Result) {
+	for _, e := range c.policy.Heard {
 		if o, ok := e.(dispatch.Outcome); ok {
 			results = append(results, o.Result)
 		}
@@ -453,44 +453,44 @@
 // send another copy, and the worker node's own word counts.
 func TestCancel_EndsOnceWorkerConfirms(t *testing.T) {
 	result := "r"
-	note := func(state string) func(c *cancelFixture) {
-		return func(c *cancelFixture) {
-			_, _ = c.l.HandleCallback(Callback{CallID: "c", EndpointID: "s-0", State: state, Result: &result})
+	note := func(state string) func(c *attemptFixture) {
+		return func(c *attemptFixture) {
+			_, _ = c.table.HandleCallback(Callback{CallID: "c", EndpointID: "s-0", State: state, Result: &result})
 		}
 	}
 	for name, x := range map[string]struct {
-		then func(c *cancelFixture)
+		then func(c *attemptFixture)
 		want []dispatch.Result // once that has happened
 		last dispatch.Result   // at the end of the query
 	}{
-		"told":                  {func(c *cancelFixture) { c.carried.tell(c.l, true) }, []dispatch.Result{dispatch.Cancelled}, dispatch.Cancelled},
-		"not to be reached":     {func(c *cancelFixture) { c.carried.tell(c.l, false) }, nil, dispatch.TimedOut},
-		"nothing yet":           {func(*cancelFixture) {}, nil, dispatch.TimedOut},
-		"withdrawn twice":       {func(c *cancelFixture) { c.act(3, dispatch.Cancel{Job: c.q.ID}) }, nil, dispatch.TimedOut},
+		"told":                  {func(c *attemptFixture) { c.transport.completeCancel(c.table, true) }, []dispatch.Result{dispatch.Cancelled}, dispatch.Cancelled},
+		"not to be reached":     {func(c *attemptFixture) { c.transport.completeCancel(c.table, false) }, nil, dispatch.TimedOut},
+		"nothing yet":           {func(*attemptFixture) {}, nil, dispatch.TimedOut},
+		"withdrawn twice":       {func(c *attemptFixture) { c.step(3, dispatch.Cancel{Job: c.request.ID}) }, nil, dispatch.TimedOut},
 		"done":                  {note("done"), []dispatch.Result{dispatch.OK}, dispatch.OK},
 		"handed back unstarted": {note("returned"), []dispatch.Result{dispatch.WorkerFull}, dispatch.WorkerFull},
 		"lost":                  {note("lost"), []dispatch.Result{dispatch.ConnectionReset}, dispatch.ConnectionReset},
-		"its client leaves":     {func(c *cancelFixture) { c.l.ClientDisconnected(c.q) }, nil, dispatch.TimedOut},
+		"its client leaves":     {func(c *attemptFixture) { c.table.ClientDisconnected(c.request) }, nil, dispatch.TimedOut},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCancelFixture(t, 0)
-			c.act(2, dispatch.Cancel{Job: c.q.ID})
-			if got := c.outcomes(); len(got) != 0 || len(c.carried.due) != 1 || c.carried.due[0] != c.first {
-				t.Fatalf("withdrawn: outcomes %v, %d worker nodes to be told", got, len(c.carried.due))
+			c := newAttemptFixture(t, 0)
+			c.step(2, dispatch.Cancel{Job: c.request.ID})
+			if got := c.results(); len(got) != 0 || len(c.transport.cancelling) != 1 || c.transport.cancelling[0] != c.first {
+				t.Fatalf("withdrawn: outcomes %v, %d worker nodes to be told", got, len(c.transport.cancelling))
 			}
 			x.then(c)
-			c.act(4)
-			if got := c.outcomes(); !slices.Equal(got, x.want) || len(c.carried.due) > 1 {
-				t.Errorf("outcomes %v, expected %v, %d withdrawals", got, x.want, len(c.carried.due))
+			c.step(4)
+			if got := c.results(); !slices.Equal(got, x.want) || len(c.transport.cancelling) > 1 {
+				t.Errorf("outcomes %v, expected %v, %d withdrawals", got, x.want, len(c.transport.cancelling))
 			}
-			c.act(time.Second)
-			if len(c.carried.due) > 0 {
-				c.carried.tell(c.l, true) // too late to mean anything
+			c.step(time.Second)
+			if len(c.transport.cancelling) > 0 {
+				c.transport.completeCancel(c.table, true) // too late to mean anything
 			}
-			if c.act(time.Second); !slices.Equal(c.outcomes(), []dispatch.Result{x.last}) {
-				t.Errorf("outcomes %v at the end, expected %v", c.outcomes(), x.last)
+			if c.step(time.Second); !slices.Equal(c.results(), []dispatch.Result{x.last}) {
+				t.Errorf("outcomes %v at the end, expected %v", c.results(), x.last)
 			}
-			if x.last == dispatch.OK && c.asker.served != 1 {
+			if x.last == dispatch.OK && c.responder.results != 1 {
 				t.Error("what was done while it was withdrawn did not serve")
 			}
 		})
@@ -499,29 +499,29 @@
 
 // One that could not be withdrawn may be later.
 func TestCancel_RetriedAfterFailure(t *testing.T) {
-	c := newCancelFixture(t, 0)
-	c.act(2, dispatch.Cancel{Job: c.q.ID})
-	c.carried.tell(c.l, false)
-	c.act(3, dispatch.Cancel{Job: c.q.ID})
-	if len(c.carried.due) != 1 {
+	c := newAttemptFixture(t, 0)
+	c.step(2, dispatch.Cancel{Job: c.request.ID})
+	c.transport.completeCancel(c.table, false)
+	c.step(3, dispatch.Cancel{Job: c.request.ID})
+	if len(c.transport.cancelling) != 1 {
 		t.Fatal("it is not withdrawn again")
 	}
-	c.carried.tell(c.l, true)
-	if c.act(4); !slices.Equal(c.outcomes(), []dispatch.Result{dispatch.Cancelled}) {
-		t.Errorf("outcomes %v", c.outcomes())
+	c.transport.completeCancel(c.table, true)
+	if c.step(4); !slices.Equal(c.results(), []dispatch.Result{dispatch.Cancelled}) {
+		t.Errorf("outcomes %v", c.results())
 	}
 }
 
 // A patience that is over before the query's time withdraws too: another copy may be sent.
 func TestCancel_ByAttemptTimeout(t *testing.T) {
-	c := newCancelFixture(t, time.Millisecond)
-	c.act(2 * time.Millisecond)
-	if got := c.outcomes(); len(got) != 0 || len(c.carried.due) != 1 {
-		t.Fatalf("outcomes %v, %d worker nodes to be told", got, len(c.carried.due))
+	c := newAttemptFixture(t, time.Millisecond)
+	c.step(2 * time.Millisecond)
+	if got := c.results(); len(got) != 0 || len(c.transport.cancelling) != 1 {
+		t.Fatalf("outcomes %v, %d worker nodes to be told", got, len(c.transport.cancelling))
 	}
-	c.carried.tell(c.l, true)
-	if c.act(3 * time.Millisecond); !slices.Equal(c.outcomes(), []dispatch.Result{dispatch.TimedOut}) {
-		t.Errorf("outcomes %v", c.outcomes())
+	c.transport.completeCancel(c.table, true)
+	if c.step(3 * time.Millisecond); !slices.Equal(c.results(), []dispatch.Result{dispatch.TimedOut}) {
+		t.Errorf("outcomes %v", c.results())
 	}
 }
 
@@ -529,56 +529,56 @@
 func TestCallback_OfEarlierAttemptEndsLaterOnlyIfDone(t *testing.T) {
 	result := "r"
 	for _, handed := range []bool{false, true} {
-		c := newCancelFixture(t, 0)
-		c.l.EndAttempt(c.first, nil, &AttemptError{Stage: StageAccepted, Reason: ReasonConnectionLost})
-		c.act(2, dispatch.Send{Job: c.q.ID, Worker: hashID("s-0")})
-		if len(c.carried.out) != 2 {
+		c := newAttemptFixture(t, 0)
+		c.table.EndAttempt(c.first, nil, &AttemptError{Stage: StageAccepted, Reason: ReasonConnectionLost})
+		c.step(2, dispatch.Send{Job: c.request.ID, Worker: hashID("s-0")})
+		if len(c.transport.started) != 2 {
 			t.Fatal("not sent again")
 		}
-		c.carried.out[1].Stage = StageWritten
+		c.transport.started[1].Stage = StageWritten
 		if handed {
-			c.handOver(t)
+			c.takeOver(t)
 		}
 		for _, state := range []string{"started", "returned", "lost", "failed"} {
-			if known, err := c.l.HandleCallback(Callback{CallID: "c", EndpointID: "s-0", State: state}); !known || err != nil {
+			if known, err := c.table.HandleCallback(Callback{CallID: "c", EndpointID: "s-0", State: state}); !known || err != nil {
 				t.Errorf("%s: known %v, %v", state, known, err)
 			}
 		}
-		if c.act(3); slices.Contains(c.outcomes(), dispatch.WorkerFull) || c.l.InFlightAttempt(c.q.ID, 1) == nil {
-			t.Errorf("handed over %v: ended by a note that may be of the attempt before, outcomes %v", handed, c.outcomes())
+		if c.step(3); slices.Contains(c.results(), dispatch.WorkerFull) || c.table.InFlightAttempt(c.request.ID, 1) == nil {
+			t.Errorf("handed over %v: ended by a note that may be of the attempt before, outcomes %v", handed, c.results())
 		}
-		if _, err := c.l.HandleCallback(Callback{CallID: "c", EndpointID: "s-0", State: "done", Result: &result}); err != nil || c.l.InFlightAttempt(c.q.ID, 1) != nil ||
-			c.l.OpenCount() != 0 {
+		if _, err := c.table.HandleCallback(Callback{CallID: "c", EndpointID: "s-0", State: "done", Result: &result}); err != nil || c.table.InFlightAttempt(c.request.ID, 1) != nil ||
+			c.table.OpenCount() != 0 {
 			t.Errorf("handed over %v: what is done is not taken, %v", handed, err)
 		}
 	}
 }
 
-// handOver goes on in another process.
-func (c *cancelFixture) handOver(t *testing.T) {
+// takeOver goes on in another process.
+func (c *attemptFixture) takeOver(t *testing.T) {
 	t.Helper()
-	if !c.l.FlushEvents(5) {
+	if !c.table.FlushEvents(5) {
 		t.Fatal("not settled")
 	}
-	book, open := c.l.Snapshot()
-	next := newCancelFixture(t, 0)
-	next.l = New(4, NameTable{}, func() Policy { return next.module }, EndpointList{}, next.carried, slog.New(slog.DiscardHandler))
-	next.module.Heard, next.carried.out = nil, nil
-	next.l.TakeOver(5, book, open, map[uint64]Responder{c.q.ID: c.asker}, func() Policy { return next.module })
-	c.l, c.module, c.carried, c.q = next.l, next.module, next.carried, next.l.Request(c.q.ID)
+	book, open := c.table.Snapshot()
+	next := newAttemptFixture(t, 0)
+	next.table = New(4, NameTable{}, func() Policy { return next.policy }, EndpointList{}, next.transport, slog.New(slog.DiscardHandler))
+	next.policy.Heard, next.transport.started = nil, nil
+	next.table.TakeOver(5, book, open, map[uint64]Responder{c.request.ID: c.responder}, func() Policy { return next.policy })
+	c.table, c.policy, c.transport, c.request = next.table, next.policy, next.transport, next.table.Request(c.request.ID)
 }
 
 // What a process was about to tell a worker node, the one that takes over tells; until then the attempt is out there too.
 func TestTakeOver_ResumesCancellation(t *testing.T) {
-	c := newCancelFixture(t, 0)
-	c.act(2, dispatch.Cancel{Job: c.q.ID})
-	c.handOver(t)
-	if len(c.outcomes()) != 0 || len(c.carried.due) != 1 || c.l.InFlightAttempt(c.q.ID, 0) == nil {
-		t.Fatalf("outcomes %v, %d worker nodes to be told", c.outcomes(), len(c.carried.due))
+	c := newAttemptFixture(t, 0)
+	c.step(2, dispatch.Cancel{Job: c.request.ID})
+	c.takeOver(t)
+	if len(c.results()) != 0 || len(c.transport.cancelling) != 1 || c.table.InFlightAttempt(c.request.ID, 0) == nil {
+		t.Fatalf("outcomes %v, %d worker nodes to be told", c.results(), len(c.transport.cancelling))
 	}
-	c.carried.tell(c.l, true)
-	if c.act(6); !slices.Equal(c.outcomes(), []dispatch.Result{dispatch.Cancelled}) {
-		t.Errorf("outcomes %v", c.outcomes())
+	c.transport.completeCancel(c.table, true)
+	if c.step(6); !slices.Equal(c.results(), []dispatch.Result{dispatch.Cancelled}) {
+		t.Errorf("outcomes %v", c.results())
 	}
 }
 
@@ -599,7 +599,7 @@
 		"hardly a time": {50 * time.Millisecond, func(*Table) {}, 1},
 	} {
 		module := &steps.Script{}
-		l := New(4, NameTable{}, func() Policy { return module }, group, &recordingTransport{given: map[*Attempt]bool{}}, slog.New(slog.DiscardHandler))
+		l := New(4, NameTable{}, func() Policy { return module }, group, &recordingTransport{abandoned: map[*Attempt]bool{}}, slog.New(slog.DiscardHandler))
 		l.AwaitEndpoints(time.Second)
 		if _, err := l.Admit(0, Arrival{CallID: "c", Job: dispatch.Job{Remaining: c.left}, Responder: &countingResponder{}}); err != nil {
 			t.Fatal(err)
--- a/internal/requests/log.go
+++ b/internal/requests/log.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	changesEvery = time.Second // a line on the host group at most, however much changes
-	firstFew     = 5           // hosts that it names
-	mapLine      = 100         // hosts in a line of the map, for debugging
-	mapLines     = 40          // of a list: they must fit what may wait to be written
+	changesLogInterval   = time.Second // a line on the host group at most, however much changes
+	maxAddedNamed        = 5           // hosts that it names
+	numbersPerLine       = 100         // hosts in a line of the map, for debugging
+	maxNumberLinesLogged = 40          // of a list: they must fit what may wait to be written
 )
 
 // endpointChanges are what has become of the host group and was not told yet.
 type endpointChanges struct {
-	added, gone int
-	few         []string // of those added
-	told        time.Duration
+	added, removed int
+	firstAdded     []string // of those added
+	loggedAt       time.Duration
 }
 
-func (c *endpointChanges) any() bool { return c.added+c.gone > 0 }
+func (c *endpointChanges) any() bool { return c.added+c.removed > 0 }
 
 // countChanges counts what a list changes, before it is entered.
 func (l *Table) countChanges(list []dispatch.Worker, whole bool) {
@@ -33,19 +33,19 @@
 	for _, w := range list {
 		switch _, had := l.listed[w.ID]; {
 		case had && w.Removed:
-			c.gone++
+			c.removed++
 			kept++
 		case had:
 			kept++
 		case !w.Removed:
 			c.added++
-			if len(c.few) < firstFew {
-				c.few = append(c.few, l.endpoints.byNumber[w.ID].ID)
+			if len(c.firstAdded) < maxAddedNamed {
+				c.firstAdded = append(c.firstAdded, l.endpoints.byNumber[w.ID].ID)
 			}
 		}
 	}
 	if whole {
-		c.gone += max(0, len(l.listed)-kept)
+		c.removed += max(0, len(l.listed)-kept)
 	}
 	if c.added > added && l.logger.Enabled(context.Background(), slog.LevelDebug) {
 		l.logNumbers(list)
@@ -60,13 +60,13 @@
 		if _, had := l.listed[w.ID]; had || w.Removed {
 			continue
 		}
-		if h := l.endpoints.byNumber[w.ID]; len(fresh) < mapLine*mapLines {
+		if h := l.endpoints.byNumber[w.ID]; len(fresh) < numbersPerLine*maxNumberLinesLogged {
 			fresh = append(fresh, strconv.FormatUint(w.ID, 10)+"="+h.ID+"@"+h.Addr)
 		} else {
 			more++
 		}
 	}
-	for part := range slices.Chunk(fresh, mapLine) {
+	for part := range slices.Chunk(fresh, numbersPerLine) {
 		l.logger.Debug("hosts by number", "hosts", strings.Join(part, " "), "more", more)
 	}
 }
@@ -75,7 +75,7 @@
 // waits for it.
 func (l *Table) logChanges(now time.Duration) {
 	c := &l.changes
-	if c.told > 0 && now-c.told < changesEvery {
+	if c.loggedAt > 0 && now-c.loggedAt < changesLogInterval {
 		return
 	}
 	if l.logger.Enabled(context.Background(), slog.LevelInfo) {
@@ -85,10 +85,10 @@
 				ready++
 			}
 		}
-		l.logger.Info("host group", "added", c.added, "gone", c.gone, "first", strings.Join(c.few, " "), "listed", len(l.listed),
+		l.logger.Info("host group", "added", c.added, "gone", c.removed, "first", strings.Join(c.firstAdded, " "), "listed", len(l.listed),
 			"ready", ready, "generation", l.revision)
 	}
-	*c = endpointChanges{told: now}
+	*c = endpointChanges{loggedAt: now}
 }
 
 // logPolicyMessage writes what the module says. It knows worker nodes by number, so the hosts that it names are added.
