--- a/internal/requests/fault.go
+++ b/internal/requests/attempterror.go
@@ -64,6 +64,22 @@
 	case f.Reason == ReasonConnectionLost:
 		return dispatch.ConnectionReset
 	}
-	return [...]dispatch.Result{ReasonRejected: dispatch.WorkerFull, ReasonInvalidRequest: dispatch.NotSent, ReasonWorkerError: dispatch.Failed, ReasonTimeout: dispatch.TimedOut,
-		ReasonCancelled: dispatch.Cancelled, ReasonNotSent: dispatch.NotSent}[f.Reason]
+	return [...]dispatch.Result{
+		ReasonRejected: dispatch.WorkerFull, ReasonInvalidRequest: dispatch.NotSent, ReasonWorkerError: dispatch.Failed, ReasonTimeout: dispatch.TimedOut,
+		ReasonCancelled: dispatch.Cancelled, ReasonNotSent: dispatch.NotSent,
+	}[f.Reason]
+}
+
+// Outcome is the protocol's word for how an attempt ended that was sent; nil stands for served.
+func (f *AttemptError) Outcome() Outcome {
+	switch {
+	case f == nil:
+		return OutcomeServed
+	case f.Reason == ReasonConnectionLost && f.Stage < StageWritten:
+		return OutcomeConnectFailed
+	}
+	return [...]Outcome{
+		ReasonConnectionLost: OutcomeConnectionLost, ReasonRejected: OutcomeRejected, ReasonInvalidRequest: OutcomeRejected, ReasonWorkerError: OutcomeError,
+		ReasonTimeout: OutcomeTimedOut, ReasonCancelled: OutcomeTimedOut, ReasonNotSent: OutcomeConnectFailed,
+	}[f.Reason]
 }
--- a/internal/requests/bans.go
+++ b/internal/requests/cordon.go
@@ -62,9 +62,3 @@
 		l.Cordon(id)
 	}
 }
-
-// WorkerNumber is what the module knows a host by that was ever listed.
-func (l *Table) WorkerNumber(id string) (worker uint64, known bool) {
-	worker, known = l.endpoints.numbers[id]
-	return worker, known
-}
--- a/internal/requests/hosts.go
+++ b/internal/requests/endpoint.go
@@ -92,9 +92,11 @@
 			h.Addr = t.byNumber[n].Addr // a removal need not repeat the address
 		}
 		t.byNumber[n] = h
-		list = append(list, dispatch.Worker{ID: n, Kind: slices.Index(names.MachineTypes, h.MachineType), Ready: h.Lifecycle == lifecycleUp,
+		list = append(list, dispatch.Worker{
+			ID: n, Kind: slices.Index(names.MachineTypes, h.MachineType), Ready: h.Lifecycle == lifecycleUp,
 			Removed: h.Lifecycle == lifecycleRemoved, Size: h.Weight, Cell: h.Cell, Zone: slices.Index(names.Zones, h.Zone),
-			BootAt: time.Duration(max(0, h.StartedAtMs)) * time.Millisecond})
+			BootAt: time.Duration(max(0, h.StartedAtMs)) * time.Millisecond,
+		})
 	}
 	return list
 }
--- a/internal/requests/golden_test.go
+++ b/internal/requests/golden_test.go
@@ -49,17 +49,21 @@
 	l := goldenLedger(module, carrier)
 	var hosts []requests.Endpoint
 	for i, id := range []string{"s-0", "s-1", "s-2", "s-3"} {
-		hosts = append(hosts, requests.Endpoint{ID: id, Addr: "10.0.0." + id[2:] + ":7000", Zone: []string{"z1", "z2"}[i%2], MachineType: "m5", Cell: i / 2,
-			Lifecycle: []string{"up", "draining"}[i/3], Weight: 4 + float64(i)/2, StartedAtMs: 1_764_633_000_000 + int64(i)})
+		hosts = append(hosts, requests.Endpoint{
+			ID: id, Addr: "10.0.0." + id[2:] + ":7000", Zone: []string{"z1", "z2"}[i%2], MachineType: "m5", Cell: i / 2,
+			Lifecycle: []string{"up", "draining"}[i/3], Weight: 4 + float64(i)/2, StartedAtMs: 1_764_633_000_000 + int64(i),
+		})
 	}
 	l.UpdateEndpoints(requests.EndpointList{Revision: 41, Reset: true, Endpoints: append(hosts, requests.Endpoint{ID: "s-4", Addr: "10.0.0.4:7000", Lifecycle: "up"})})
 	l.UpdateEndpoints(requests.EndpointList{Revision: 42, Endpoints: []requests.Endpoint{{ID: "s-4", Lifecycle: "removed"}}})
 	l.Cordon("s-2")
 	now := goldenAt
 	take := func(call string, class int, left time.Duration) *requests.Request {
-		q, err := l.Admit(now, requests.Arrival{CallID: call, Responder: &recordingAsker{},
+		q, err := l.Admit(now, requests.Arrival{
+			CallID: call, Responder: &recordingAsker{},
 			Job:     dispatch.Job{Class: class, Key: 0xfedcba9876543210, Remaining: left, Hint: 20 * time.Millisecond, Slots: 1.5, Memory: 0.5, Retry: class == 1},
-			Payload: requests.Payload{Method: "POST", Path: "/run?q=<" + call + ">", IdempotencyKey: "key-" + call, Body: []byte("body of " + call)}})
+			Payload: requests.Payload{Method: "POST", Path: "/run?q=<" + call + ">", IdempotencyKey: "key-" + call, Body: []byte("body of " + call)},
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -193,8 +197,10 @@
 	if l.Revision() != 42 || l.ListedCount() != 4 || l.OpenCount() != 5 || len(open) != 7 {
 		t.Errorf("generation %d, %d listed, %d open of %d", l.Revision(), l.ListedCount(), l.OpenCount(), len(open))
 	}
-	if n, known := l.WorkerNumber("s-3"); !known || l.Endpoint(n) != (requests.Endpoint{ID: "s-3", Addr: "10.0.0.3:7000", Zone: "z2", MachineType: "m5", Cell: 1,
-		Lifecycle: "draining", Weight: 5.5, StartedAtMs: 1_764_633_000_003}) {
+	if n, known := l.WorkerNumber("s-3"); !known || l.Endpoint(n) != (requests.Endpoint{
+		ID: "s-3", Addr: "10.0.0.3:7000", Zone: "z2", MachineType: "m5", Cell: 1,
+		Lifecycle: "draining", Weight: 5.5, StartedAtMs: 1_764_633_000_003,
+	}) {
 		t.Errorf("s-3 is %+v", l.Endpoint(n))
 	}
 	for _, want := range []struct {
@@ -203,8 +209,14 @@
 		host    string
 		stage   requests.Stage
 		waiting string // the query's call if it is owed an answer
-	}{{1, 0, "s-0", requests.StageAccepted, "runs"}, {3, 1, "s-1", requests.StageWritten, "lost-once"}, {4, 0, "s-1", requests.StageAccepted, ""},
-		{5, 1, "s-3", requests.StageAccepted, ""}, {6, 0, "s-1", requests.StageAccepted, "withdrawn"}, {7, 0, "s-3", requests.StagePartlyWritten, "half"}} {
+	}{
+		{1, 0, "s-0", requests.StageAccepted, "runs"},
+		{3, 1, "s-1", requests.StageWritten, "lost-once"},
+		{4, 0, "s-1", requests.StageAccepted, ""},
+		{5, 1, "s-3", requests.StageAccepted, ""},
+		{6, 0, "s-1", requests.StageAccepted, "withdrawn"},
+		{7, 0, "s-3", requests.StagePartlyWritten, "half"},
+	} {
 		a := l.InFlightAttempt(want.query, want.number)
 		if a == nil || a.EndpointID != want.host || a.Stage != want.stage || a.Request.IsClosed() != (want.waiting == "") {
 			t.Errorf("attempt %d of query %d: %+v", want.number, want.query, a)
--- a/internal/requests/log_test.go
+++ b/internal/requests/log_test.go
@@ -12,13 +12,6 @@
 	"valvecove/internal/steps"
 )
 
-func endpointRange(from, to int) (g EndpointList) {
-	for n := from; n < to; n++ {
-		g.Endpoints = append(g.Endpoints, Endpoint{ID: fmt.Sprint("s-", n), Addr: "10.0.0.1:80", Lifecycle: "up"})
-	}
-	return g
-}
-
 // A start with 10,000 hosts writes one line, and so does a second in which many change; nothing is lost between two
 // lines, and what changes nothing says nothing. The numbers of 4,000 are there for debugging, 100 to a line, and what the
 // module says of a worker node has the host's name.
@@ -55,9 +48,11 @@
 	step(time.Second, "added=1 gone=9900 first=s-20000 listed=101 ready=101")
 	l.UpdateEndpoints(EndpointList{Revision: 7})
 	step(time.Second, "")
-	for text, host := range map[string]string{"worker 17, worker x, worker ": "", "of none": "",
+	for text, host := range map[string]string{
+		"worker 17, worker x, worker ": "", "of none": "",
 		fmt.Sprintf("worker %d reset: set aside", hashID("s-1")):             ` host=s-1`,
-		fmt.Sprintf("worker %d not worker %d", hashID("s-1"), hashID("s-0")): ` host="s-1 s-0"`} {
+		fmt.Sprintf("worker %d not worker %d", hashID("s-1"), hashID("s-0")): ` host="s-1 s-0"`,
+	} {
 		module.Next = append(module.Next, dispatch.Log{Text: text})
 		l.DiscoveryFailed()
 		step(0, fmt.Sprintf("msg=module text=%q%s\n", text, host))
--- a/internal/requests/observer.go
+++ b/internal/requests/observer.go
@@ -5,74 +5,6 @@
 	"runtime/debug"
 )
 
-// Outcome is how an attempt or a query ended, in the protocol's words.
-type Outcome string
-
-// The outcomes.
-const (
-	OutcomeServed         Outcome = "served"
-	OutcomeError          Outcome = "error"
-	OutcomeRejected       Outcome = "turned away"
-	OutcomeConnectFailed  Outcome = "could not connect"
-	OutcomeConnectionLost Outcome = "reset"
-	OutcomeTimedOut       Outcome = "timed out"
-)
-
-// Outcomes are all of them.
-var Outcomes = [...]Outcome{OutcomeServed, OutcomeError, OutcomeRejected, OutcomeConnectFailed, OutcomeConnectionLost, OutcomeTimedOut}
-
-// isNotExecuted tells whether an outcome proves that nothing has run.
-func (o Outcome) isNotExecuted() bool {
-	return o == "" || o == OutcomeRejected || o == OutcomeConnectFailed
-}
-
-// Outcome is the protocol's word for how an attempt ended that was sent; nil stands for served.
-func (f *AttemptError) Outcome() Outcome {
-	switch {
-	case f == nil:
-		return OutcomeServed
-	case f.Reason == ReasonConnectionLost && f.Stage < StageWritten:
-		return OutcomeConnectFailed
-	}
-	return [...]Outcome{ReasonConnectionLost: OutcomeConnectionLost, ReasonRejected: OutcomeRejected, ReasonInvalidRequest: OutcomeRejected, ReasonWorkerError: OutcomeError,
-		ReasonTimeout: OutcomeTimedOut, ReasonCancelled: OutcomeTimedOut, ReasonNotSent: OutcomeConnectFailed}[f.Reason]
-}
-
-// mergeOutcome takes in how an attempt ended. What may have run counts for more than a later attempt that never did.
-func (q *Request) mergeOutcome(o Outcome) {
-	if q.outcome != OutcomeServed && (q.outcome.isNotExecuted() || !o.isNotExecuted()) {
-		q.outcome = o
-	}
-}
-
-// Outcome is how a query ended that is over. One that was answered while an attempt was still out timed out:
-// nobody waits for that any more. One of which nothing was ever sent was turned away.
-func (q *Request) Outcome() Outcome {
-	switch {
-	case q.outcome == OutcomeServed:
-		return OutcomeServed
-	case q.inFlight > 0:
-		return OutcomeTimedOut
-	case q.outcome == "":
-		return OutcomeRejected
-	}
-	return q.outcome
-}
-
-// Response is which of the three final answers a query got.
-type Response int
-
-// The answers. A query that its client has left stays unanswered.
-const (
-	ResponseNone Response = iota
-	ResponseResult
-	ResponseRejected
-	ResponseFailed
-)
-
-// Response tells which answer a query got.
-func (q *Request) Response() Response { return q.response }
-
 // NotificationKind is the kind of a piece of news.
 type NotificationKind int
 
@@ -126,13 +58,6 @@
 	return true
 }
 
-func (l *Table) reportEnded(q *Request) {
-	if !q.reported {
-		q.reported = true
-		l.notify(Notification{Kind: RequestEnded, Request: q})
-	}
-}
-
 // ReportRejection tells of a request that was refused at the door. in is nil for one that could not be read as a query.
 func (l *Table) ReportRejection(in *Arrival, status int) {
 	n := Notification{Kind: RequestRejected, Status: status}
