--- a/internal/requests/admission.go
+++ b/internal/requests/admission.go
@@ -7,51 +7,63 @@
 	"valvecove/dispatch"
 )
 
-// Arrival is a query as it comes in.
+// responseMargin is how long before its deadline a request stops waiting for the endpoint list, so that it can still get
+// its response in time.
+const responseMargin = 100 * time.Millisecond
+
+// ErrDuplicateCallID rejects a request whose call id is that of an open request.
+var ErrDuplicateCallID = errors.New("the call id belongs to an open request")
+
+// Arrival is a request that a frontend wants admitted.
 type Arrival struct {
-	CallID    string // the client's id for it
+	CallID    string // the client's id for the request
 	Job       dispatch.Job
 	Payload   Payload
 	Responder Responder
 }
 
-// AwaitEndpoints has queries wait for the first news of the host group, until then at most, or until it can't be had: what has
-// changed since it was last known counts as told, also for a process that has not asked yet. 0 ends that.
-func (l *Table) AwaitEndpoints(until time.Duration) { l.awaitUntil = until }
-
-// responseMargin is what a query that waits must be left with to be answered in time.
-const responseMargin = 100 * time.Millisecond
-
-// ErrDuplicateCallID refuses a query whose id belongs to one that is still open.
-var ErrDuplicateCallID = errors.New("the id belongs to a query that is still open")
-
-// Admit enters a query. Arrival.Job.Left counts from now.
-func (l *Table) Admit(now time.Duration, in Arrival) (*Request, error) {
-	if l.openByCallID[in.CallID] != nil {
+// Admit enters a request, whose deadline is Job.Remaining from now. The error is ErrDuplicateCallID or nil; with an error
+// the responder is not used.
+func (t *Table) Admit(now time.Duration, arrival Arrival) (*Request, error) {
+	if t.openByCallID[arrival.CallID] != nil {
 		return nil, ErrDuplicateCallID
 	}
-	l.lastID++
-	q := &Request{ID: l.lastID, CallID: in.CallID, Payload: in.Payload, Deadline: now + in.Job.Remaining, ArrivedAt: now, responder: in.Responder}
-	in.Job.ID = q.ID
-	q.Job = in.Job
-	l.requests[q.ID], l.openByCallID[q.CallID] = q, q
-	l.payloadBytes += len(q.Payload.Body)
-	l.pendingEvents = append(l.pendingEvents, in.Job)
-	if l.awaitUntil > 0 {
-		l.awaitUntil = max(1, min(l.awaitUntil, q.Deadline-responseMargin))
+	t.lastID++
+	request := &Request{
+		ID:        t.lastID,
+		CallID:    arrival.CallID,
+		Payload:   arrival.Payload,
+		Job:       arrival.Job,
+		Deadline:  now + arrival.Job.Remaining,
+		ArrivedAt: now,
+		responder: arrival.Responder,
+	}
+	request.Job.ID = request.ID
+	t.requests[request.ID] = request
+	t.openByCallID[request.CallID] = request
+	t.payloadBytes += len(request.Payload.Body)
+	t.addEvent(request.Job)
+	if t.awaitUntil > 0 {
+		t.awaitUntil = max(1, min(t.awaitUntil, request.Deadline-responseMargin))
 	}
-	l.notify(Notification{Kind: RequestAdmitted, Request: q})
-	return q, nil
+	t.notify(Notification{Kind: RequestAdmitted, Request: request})
+	return request, nil
 }
 
-// deductWaitTime takes off the time that queries have waited for this step.
-func (l *Table) deductWaitTime(now time.Duration) {
-	for i, e := range l.pendingEvents {
-		if j, ok := e.(dispatch.Job); ok {
-			if q := l.requests[j.ID]; q != nil && q.ArrivedAt < now {
-				j.Remaining = q.Deadline - now
-				l.pendingEvents[i] = j
-			}
+// AwaitEndpoints has requests wait for the next update of the endpoint list, until an instant at most or until discovery
+// fails. It is for a process that has just started, which would else use a stale list. 0 ends the wait.
+func (t *Table) AwaitEndpoints(until time.Duration) { t.awaitUntil = until }
+
+// deductWaitTime reduces the remaining time of the requests that the policy does not know yet by what they have waited.
+func (t *Table) deductWaitTime(now time.Duration) {
+	for i, event := range t.pendingEvents {
+		job, isJob := event.(dispatch.Job)
+		if !isJob {
+			continue
+		}
+		if request := t.requests[job.ID]; request != nil && request.ArrivedAt < now {
+			job.Remaining = request.Deadline - now
+			t.pendingEvents[i] = job
 		}
 	}
 }
--- a/internal/requests/admission_test.go
+++ b/internal/requests/admission_test.go
@@ -1,7 +1,6 @@
 package requests
 
 import (
-	"log/slog"
 	"testing"
 	"time"
 
@@ -9,47 +8,67 @@
 	"valvecove/internal/steps"
 )
 
-// Queries wait for the first news of the host group, and the module hears of all of them in one step then, with the time that
-// each has left; it hears of them in time for their deadlines, once the news can't be had, and once it has been waited for long
-// enough. Nothing is sent by a list that may be old until then.
+// Requests wait for the first update of the endpoint list, and the policy learns of all of them in one step then, with the
+// remaining time of each; it learns of them in time for their deadlines, once discovery has failed, and once they have
+// waited for long enough. Nothing is sent by a list that may be stale until then.
 func TestAdmit_WaitsForFirstEndpointList(t *testing.T) {
-	group := EndpointList{Reset: true, Revision: 2, Endpoints: []Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
-	for name, c := range map[string]struct {
-		left time.Duration
-		news func(l *Table)
-		at   time.Duration // the module hears of it
+	list := EndpointList{Reset: true, Revision: 2, Endpoints: []Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
+	for name, test := range map[string]struct {
+		remaining time.Duration
+		update    func(table *Table)
+		at        time.Duration // the policy learns of the request
 	}{
-		"a list":        {5 * time.Second, func(l *Table) { l.UpdateEndpoints(group) }, 300 * time.Millisecond},
-		"no list":       {5 * time.Second, func(l *Table) { l.DiscoveryFailed() }, 300 * time.Millisecond},
-		"nothing":       {5 * time.Second, func(*Table) {}, time.Second},
-		"deadline":      {800 * time.Millisecond, func(*Table) {}, 700 * time.Millisecond},
-		"hardly a time": {50 * time.Millisecond, func(*Table) {}, 1},
+		"a list":           {5 * time.Second, func(table *Table) { table.UpdateEndpoints(list) }, 300 * time.Millisecond},
+		"discovery failed": {5 * time.Second, func(table *Table) { table.DiscoveryFailed() }, 300 * time.Millisecond},
+		"nothing":          {5 * time.Second, func(*Table) {}, time.Second},
+		"deadline":         {800 * time.Millisecond, func(*Table) {}, 700 * time.Millisecond},
+		"little time":      {50 * time.Millisecond, func(*Table) {}, 1},
 	} {
-		module := &steps.Script{}
-		l := New(4, NameTable{}, func() Policy { return module }, group, &recordingTransport{abandoned: map[*Attempt]bool{}}, slog.New(slog.DiscardHandler))
-		l.AwaitEndpoints(time.Second)
-		if _, err := l.Admit(0, Arrival{CallID: "c", Job: dispatch.Job{Remaining: c.left}, Responder: &countingResponder{}}); err != nil {
-			t.Fatal(err)
-		}
-		heard := time.Duration(0)
-		for tick := time.Duration(0); tick <= 10 && heard == 0; tick++ {
-			now := max(1, tick*100*time.Millisecond)
-			if tick == 3 {
-				c.news(l)
+		t.Run(name, func(t *testing.T) {
+			policy := &steps.Script{}
+			table := newTestTable(policy, 1, newRecordingTransport())
+			table.AwaitEndpoints(time.Second)
+			arrival := Arrival{CallID: "c", Job: dispatch.Job{Remaining: test.remaining}, Responder: &countingResponder{}}
+			if _, err := table.Admit(0, arrival); err != nil {
+				t.Fatal(err)
 			}
-			if at, ok := l.NextStep(); ok && at <= now {
-				l.Step(now)
+			learnedAt := stepUntilLearned(table, policy, test.update)
+			if learnedAt != test.at {
+				t.Errorf("learned at %v, expected %v", learnedAt, test.at)
 			}
-			for _, e := range module.Heard {
-				if j, ok := e.(dispatch.Job); ok {
-					if heard = now; j.Remaining != c.left-now {
-						t.Errorf("%s: %v left at %v, of %v", name, j.Remaining, now, c.left)
-					}
+			for _, job := range jobsIn(policy.Heard) {
+				if job.Remaining != test.remaining-learnedAt {
+					t.Errorf("%v remaining at %v, of %v", job.Remaining, learnedAt, test.remaining)
 				}
 			}
+		})
+	}
+}
+
+// stepUntilLearned steps the table ten times a second as it asks for, for a second at most, until the policy learns of a
+// request, and returns when that was, or 0. The update comes after 300 ms.
+func stepUntilLearned(table *Table, policy *steps.Script, update func(table *Table)) time.Duration {
+	for tick := range time.Duration(11) {
+		now := max(1, tick*100*time.Millisecond)
+		if tick == 3 {
+			update(table)
+		}
+		if at, ok := table.NextStep(); ok && at <= now {
+			table.Step(now)
 		}
-		if heard != c.at {
-			t.Errorf("%s: heard at %v, expected %v", name, heard, c.at)
+		if len(jobsIn(policy.Heard)) > 0 {
+			return now
+		}
+	}
+	return 0
+}
+
+// jobsIn returns the new jobs among events.
+func jobsIn(events []dispatch.Event) (jobs []dispatch.Job) {
+	for _, event := range events {
+		if job, isJob := event.(dispatch.Job); isJob {
+			jobs = append(jobs, job)
 		}
 	}
+	return jobs
 }
--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -1,41 +1,109 @@
 package requests
 
 import (
+	"fmt"
+
 	"valvecove/dispatch"
 	"valvecove/internal/due"
 )
 
-// Attempt is one sending of a query.
+// attemptState is the state of an attempt.
+type attemptState uint8
+
+const (
+	attemptCreated    attemptState = iota // numbered, and not handed to the transport
+	attemptInFlight                       // the transport has it
+	attemptCancelling                     // accepted, and its worker is asked to stop; it may run until the worker confirms
+	attemptNotStarted                     // it has ended, and was never handed to the transport
+	attemptEnded                          // it has ended
+)
+
+// String names the state.
+func (s attemptState) String() string {
+	switch s {
+	case attemptCreated:
+		return "created"
+	case attemptInFlight:
+		return "in flight"
+	case attemptCancelling:
+		return "cancelling"
+	case attemptNotStarted:
+		return "not started"
+	case attemptEnded:
+		return "ended"
+	}
+	return fmt.Sprintf("attemptState(%d)", uint8(s))
+}
+
+// canBecome reports whether an attempt may go from this state to the next one.
+func (s attemptState) canBecome(next attemptState) bool {
+	switch s {
+	case attemptCreated:
+		return next == attemptInFlight || next == attemptNotStarted
+	case attemptInFlight:
+		return next == attemptCancelling || next == attemptEnded
+	case attemptCancelling:
+		return next == attemptInFlight || next == attemptEnded
+	}
+	return false
+}
+
+// Attempt is one attempt to have a request executed by a worker.
 type Attempt struct {
-	due.Item   // it is waited for until then
+	// Item.At is when the table stops waiting for the attempt. It is changed by the table alone.
+	due.Item
 	Request    *Request
-	Number     int
-	Worker     uint64
-	Stage      Stage  // kept by the carrier
-	EndpointID string // the host's own id
-	started    bool   // the carrier has it, or had it
-	ended      bool
-	result     dispatch.Result // once it has
-	// cancelling is set from the withdrawal of an accepted attempt until its worker node is told: it may run until then.
-	cancelling         bool
-	cancelReason       Reason // of that
-	ambiguousCallbacks bool   // an attempt before it at the same host may still tell notes, and these name no attempt
-}
-
-// HasEnded tells whether it has its outcome. A note may bring that about before a carrier has written all of it: one that
-// is told late, of an attempt before at the same host. A carrier then writes no more, as the query may be over, or out
-// at another host by now.
-func (a *Attempt) HasEnded() bool { return a.ended }
-
-// EndedByWorker tells whether its own worker node has said how it ended: nothing is left there that could be withdrawn.
+	Number     int    // among the attempts of its request, from 0
+	Worker     uint64 // the policy's number for the endpoint
+	EndpointID string // discovery's id for the endpoint
+	Stage      Stage  // set by the transport; it only grows
+
+	state              attemptState
+	result             dispatch.Result // once it has ended
+	cancelReason       Reason          // while it is being cancelled
+	ambiguousCallbacks bool            // a callback from its endpoint may be about an earlier attempt there: callbacks name none
+}
+
+// HasEnded reports whether the attempt has its outcome. A late callback about an earlier attempt at the same endpoint can
+// end this one before the transport has written all of it. The transport must then write no more: the request may be
+// closed, or in flight at another endpoint.
+func (a *Attempt) HasEnded() bool {
+	return a.state == attemptNotStarted || a.state == attemptEnded
+}
+
+// EndedByWorker reports whether the attempt has ended other than by a timeout or a cancellation: there is nothing at its
+// worker that could be cancelled.
 func (a *Attempt) EndedByWorker() bool {
-	return a.ended && a.result != dispatch.TimedOut && a.result != dispatch.Cancelled
+	return a.HasEnded() && a.result != dispatch.TimedOut && a.result != dispatch.Cancelled
 }
 
-// mayStillCallBack holds of an attempt that has ended here without a word of its worker node, and may run there.
+// mayStillCallBack reports whether the attempt has ended here without its worker having ended it, and may still run there.
 func (a *Attempt) mayStillCallBack() bool {
-	return a.ended && a.Stage >= StageWritten &&
-		(a.result == dispatch.ConnectionReset || a.result == dispatch.TimedOut || a.result == dispatch.Cancelled)
+	if !a.HasEnded() || a.Stage < StageWritten {
+		return false
+	}
+	return a.result == dispatch.ConnectionReset || a.result == dispatch.TimedOut || a.result == dispatch.Cancelled
 }
 
+// become makes the transition to a state, and reports whether it is one that may follow. If not, nothing changes.
+func (a *Attempt) become(next attemptState) bool {
+	if !a.state.canBecome(next) {
+		return false
+	}
+	a.state = next
+	return true
+}
+
+// end makes the transition to the end, and reports whether the attempt had not ended before.
+func (a *Attempt) end() bool {
+	if a.state == attemptCreated {
+		return a.become(attemptNotStarted)
+	}
+	return a.become(attemptEnded)
+}
+
+// attemptKey identifies an attempt in flight by what a callback says about it.
 type attemptKey struct{ callID, endpointID string }
+
+// key returns the key of the attempt.
+func (a *Attempt) key() attemptKey { return attemptKey{a.Request.CallID, a.EndpointID} }
--- a/internal/requests/attempterror_test.go
+++ b/internal/requests/attempterror_test.go
@@ -6,14 +6,42 @@
 	"valvecove/dispatch"
 )
 
-// 'Has it run?' follows from how far the attempt came.
+// Whether an attempt is possibly executed follows from how far it came.
 func TestAttemptError_ResultFollowsFromStage(t *testing.T) {
 	for stage, want := range map[Stage]dispatch.Result{
-		StageNotConnected: dispatch.ConnectFailed, StagePartlyWritten: dispatch.ConnectFailed,
-		StageWritten: dispatch.ConnectionReset, StageAccepted: dispatch.ConnectionReset,
+		StageNotConnected:  dispatch.ConnectFailed,
+		StagePartlyWritten: dispatch.ConnectFailed,
+		StageWritten:       dispatch.ConnectionReset,
+		StageAccepted:      dispatch.ConnectionReset,
 	} {
-		if got := resultOf(&AttemptError{Stage: stage, Reason: ReasonConnectionLost}); got != want {
-			t.Errorf("cut when %v: %v, expected %v", stage, got, want)
+		failure := &AttemptError{Stage: stage, Reason: ReasonConnectionLost}
+		if got := failure.result(); got != want {
+			t.Errorf("connection lost when %v: %v, expected %v", stage, got, want)
 		}
 	}
 }
+
+// Each reason has its result for the policy and its outcome for the observers.
+func TestAttemptError_ResultAndOutcomeFollowFromReason(t *testing.T) {
+	for reason, want := range map[Reason]struct {
+		result  dispatch.Result
+		outcome Outcome
+	}{
+		ReasonConnectionLost: {dispatch.ConnectionReset, OutcomeConnectionLost},
+		ReasonRejected:       {dispatch.WorkerFull, OutcomeRejected},
+		ReasonInvalidRequest: {dispatch.NotSent, OutcomeRejected},
+		ReasonWorkerError:    {dispatch.Failed, OutcomeError},
+		ReasonTimeout:        {dispatch.TimedOut, OutcomeTimedOut},
+		ReasonCancelled:      {dispatch.Cancelled, OutcomeTimedOut},
+		ReasonNotSent:        {dispatch.NotSent, OutcomeConnectFailed},
+	} {
+		failure := &AttemptError{Stage: StageWritten, Reason: reason}
+		if failure.result() != want.result || failure.Outcome() != want.outcome {
+			t.Errorf("%v: result %v, outcome %q, expected %+v", reason, failure.result(), failure.Outcome(), want)
+		}
+	}
+	var served *AttemptError
+	if served.result() != dispatch.OK || served.Outcome() != OutcomeServed {
+		t.Errorf("served: result %v, outcome %q", served.result(), served.Outcome())
+	}
+}
--- a/internal/requests/callback.go
+++ b/internal/requests/callback.go
@@ -6,58 +6,81 @@
 	"valvecove/dispatch"
 )
 
-// Callback is what a worker node tells of an attempt of its own accord.
+// Callback is a worker's message about the attempt that it has of a call. It names no attempt, and the worker repeats it
+// until it is answered.
 type Callback struct {
 	CallID     string  `json:"id"`
 	EndpointID string  `json:"from"`
 	State      string  `json:"state"`
-	Progress   float64 `json:"share"`
-	Result     *string `json:"result"`
+	Progress   float64 `json:"share"`  // from 0 to 1, of the state CallbackRunning
+	Result     *string `json:"result"` // of the state CallbackDone
 }
 
-// States of a note.
-var callbackStates = map[string]bool{
-	"started": true, "running": true, "done": true, "failed": true,
-	"returned": true, "lost": true,
-}
+// States of a callback.
+const (
+	CallbackStarted  = "started"
+	CallbackRunning  = "running"
+	CallbackDone     = "done"
+	CallbackFailed   = "failed"
+	CallbackReturned = "returned" // handed back unstarted
+	CallbackLost     = "lost"     // the worker has lost it, possibly executed
+)
 
-// ErrInvalidCallback is a note that makes no sense.
-var ErrInvalidCallback = errors.New("a note needs id, from, a known state and, once done, a result")
+// ErrInvalidCallback rejects a callback that lacks a field or has an unknown state.
+var ErrInvalidCallback = errors.New("invalid callback: needs id, from, a known state and, once done, a result")
 
-// HandleCallback takes a note. One about an attempt that is unknown or has ended is right and means nothing any more: it
-// came twice, or belongs to a process that ran here before; known is false then. Notes may overtake the word that a job was accepted.
-func (l *Table) HandleCallback(n Callback) (known bool, err error) {
-	// What is served must be a worker node's own word, so one that is done without a result says nothing.
-	if n.CallID == "" || n.EndpointID == "" || !callbackStates[n.State] || n.State == "done" && n.Result == nil {
-		return false, ErrInvalidCallback
+// isValid reports whether the callback is complete. Only a worker's own result may be passed on to a client, so a callback
+// that is done without one is not valid.
+func (c *Callback) isValid() bool {
+	if c.CallID == "" || c.EndpointID == "" {
+		return false
 	}
-	a := l.inFlight[attemptKey{n.CallID, n.EndpointID}]
-	l.notify(Notification{Kind: CallbackReceived, Attempt: a, Callback: &n})
-	if a == nil {
-		return false, nil
+	switch c.State {
+	case CallbackStarted, CallbackRunning, CallbackFailed, CallbackReturned, CallbackLost:
+		return true
+	case CallbackDone:
+		return c.Result != nil
 	}
-	if a.ambiguousCallbacks && (n.State == "failed" || n.State == "returned" || n.State == "lost") {
-		// It may be told of the attempt before it at this host: taken for this one's, that would send another copy while
-		// this one runs. What is done is done, whichever it is.
-		return true, nil
+	return false
+}
+
+// HandleCallback takes a worker's callback. known is false if it is about no attempt in flight; that is not an error: it was
+// repeated, or belongs to an earlier process of this scheduler. A callback may come before the worker has accepted the
+// attempt. The error is ErrInvalidCallback or nil.
+func (t *Table) HandleCallback(callback Callback) (known bool, err error) {
+	if !callback.isValid() {
+		return false, ErrInvalidCallback
 	}
-	switch n.State {
-	case "started":
-		l.pendingEvents = append(l.pendingEvents, dispatch.Started{Job: a.Request.ID, Attempt: a.Number, Worker: a.Worker})
-	case "running":
-		l.pendingEvents = append(l.pendingEvents, dispatch.Progressed{Job: a.Request.ID, Attempt: a.Number, Worker: a.Worker, Share: n.Progress})
-	case "done":
-		l.EndAttempt(a, []byte(*n.Result), nil)
-	case "failed", "returned", "lost":
-		a.Request.endedByCallback = append(a.Request.endedByCallback, a.EndpointID)
+	attempt := t.inFlight[attemptKey{callback.CallID, callback.EndpointID}]
+	t.notify(Notification{Kind: CallbackReceived, Attempt: attempt, Callback: &callback})
+	if attempt == nil {
+		return false, nil
 	}
-	switch n.State {
-	case "failed":
-		l.EndAttempt(a, nil, &AttemptError{Stage: StageAccepted, Reason: ReasonWorkerError})
-	case "returned":
-		l.EndAttempt(a, nil, &AttemptError{Stage: StageAccepted, Reason: ReasonRejected})
-	case "lost":
-		l.EndAttempt(a, nil, &AttemptError{Stage: StageAccepted, Reason: ReasonConnectionLost})
+	job, number, worker := attempt.Request.ID, attempt.Number, attempt.Worker
+	switch callback.State {
+	case CallbackStarted:
+		t.addEvent(dispatch.Started{Job: job, Attempt: number, Worker: worker})
+	case CallbackRunning:
+		t.addEvent(dispatch.Progressed{Job: job, Attempt: number, Worker: worker, Share: callback.Progress})
+	case CallbackDone:
+		t.EndAttempt(attempt, []byte(*callback.Result), nil)
+	case CallbackFailed:
+		t.endByCallback(attempt, ReasonWorkerError)
+	case CallbackReturned:
+		t.endByCallback(attempt, ReasonRejected)
+	case CallbackLost:
+		t.endByCallback(attempt, ReasonConnectionLost)
 	}
 	return true, nil
 }
+
+// endByCallback ends an attempt without a result, as its worker says. Where the callback may be about an earlier attempt at
+// the same endpoint, it is ignored: this one may still run, and the request would be sent elsewhere meanwhile.
+func (t *Table) endByCallback(attempt *Attempt, reason Reason) {
+	if attempt.ambiguousCallbacks {
+		return
+	}
+	request := attempt.Request
+	request.endedByCallback = append(request.endedByCallback, attempt.EndpointID)
+	t.EndAttempt(attempt, nil, &AttemptError{Stage: StageAccepted, Reason: reason})
+}
--- a/internal/requests/cancel_test.go
+++ b/internal/requests/cancel_test.go
@@ -8,92 +8,113 @@
 	"valvecove/dispatch"
 )
 
-// An accepted attempt that is withdrawn is out until its worker node is told: the module hears of no end that would have it
-// send another copy, and the worker node's own word counts.
+// An accepted attempt that is cancelled is in flight until its worker confirms: the policy learns of no end that would have
+// it send the request again, and the worker's own callback counts.
 func TestCancel_EndsOnceWorkerConfirms(t *testing.T) {
-	result := "r"
-	note := func(state string) func(c *attemptFixture) {
-		return func(c *attemptFixture) {
-			_, _ = c.table.HandleCallback(Callback{CallID: "c", EndpointID: "s-0", State: state, Result: &result})
+	callBack := func(state string) func(t *testing.T, f *attemptFixture) {
+		return func(t *testing.T, f *attemptFixture) {
+			t.Helper()
+			f.callBack(t, state)
 		}
 	}
-	for name, x := range map[string]struct {
-		then func(c *attemptFixture)
+	for name, test := range map[string]struct {
+		then func(t *testing.T, f *attemptFixture)
 		want []dispatch.Result // once that has happened
-		last dispatch.Result   // at the end of the query
+		last dispatch.Result   // at the end of the request
 	}{
-		"told":                  {func(c *attemptFixture) { c.transport.completeCancel(c.table, true) }, []dispatch.Result{dispatch.Cancelled}, dispatch.Cancelled},
-		"not to be reached":     {func(c *attemptFixture) { c.transport.completeCancel(c.table, false) }, nil, dispatch.TimedOut},
-		"nothing yet":           {func(*attemptFixture) {}, nil, dispatch.TimedOut},
-		"withdrawn twice":       {func(c *attemptFixture) { c.step(3, dispatch.Cancel{Job: c.request.ID}) }, nil, dispatch.TimedOut},
-		"done":                  {note("done"), []dispatch.Result{dispatch.OK}, dispatch.OK},
-		"handed back unstarted": {note("returned"), []dispatch.Result{dispatch.WorkerFull}, dispatch.WorkerFull},
-		"lost":                  {note("lost"), []dispatch.Result{dispatch.ConnectionReset}, dispatch.ConnectionReset},
-		"its client leaves":     {func(c *attemptFixture) { c.table.ClientDisconnected(c.request) }, nil, dispatch.TimedOut},
+		"confirmed": {
+			func(_ *testing.T, f *attemptFixture) { f.transport.completeCancel(f.table, true) },
+			[]dispatch.Result{dispatch.Cancelled},
+			dispatch.Cancelled,
+		},
+		"unreachable": {
+			func(_ *testing.T, f *attemptFixture) { f.transport.completeCancel(f.table, false) },
+			nil, dispatch.TimedOut,
+		},
+		"nothing yet": {
+			func(*testing.T, *attemptFixture) {},
+			nil, dispatch.TimedOut,
+		},
+		"cancelled twice": {
+			func(_ *testing.T, f *attemptFixture) { f.step(3, dispatch.Cancel{Job: f.request.ID}) },
+			nil, dispatch.TimedOut,
+		},
+		"client disconnects": {
+			func(_ *testing.T, f *attemptFixture) { f.table.ClientDisconnected(f.request) },
+			nil, dispatch.TimedOut,
+		},
+		"done":     {callBack(CallbackDone), []dispatch.Result{dispatch.OK}, dispatch.OK},
+		"returned": {callBack(CallbackReturned), []dispatch.Result{dispatch.WorkerFull}, dispatch.WorkerFull},
+		"lost":     {callBack(CallbackLost), []dispatch.Result{dispatch.ConnectionReset}, dispatch.ConnectionReset},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newAttemptFixture(t, 0)
-			c.step(2, dispatch.Cancel{Job: c.request.ID})
-			if got := c.results(); len(got) != 0 || len(c.transport.cancelling) != 1 || c.transport.cancelling[0] != c.first {
-				t.Fatalf("withdrawn: outcomes %v, %d worker nodes to be told", got, len(c.transport.cancelling))
+			f := newAttemptFixture(t, 0)
+			f.step(2, dispatch.Cancel{Job: f.request.ID})
+			if got := f.results(); len(got) != 0 || !slices.Equal(f.transport.cancelling, []*Attempt{f.first}) {
+				t.Fatalf("cancelled: results %v, %d cancellations", got, len(f.transport.cancelling))
 			}
-			x.then(c)
-			c.step(4)
-			if got := c.results(); !slices.Equal(got, x.want) || len(c.transport.cancelling) > 1 {
-				t.Errorf("outcomes %v, expected %v, %d withdrawals", got, x.want, len(c.transport.cancelling))
+			test.then(t, f)
+			f.step(4)
+			if got := f.results(); !slices.Equal(got, test.want) || len(f.transport.cancelling) > 1 {
+				t.Errorf("results %v, expected %v, %d cancellations", got, test.want, len(f.transport.cancelling))
 			}
-			c.step(time.Second)
-			if len(c.transport.cancelling) > 0 {
-				c.transport.completeCancel(c.table, true) // too late to mean anything
+			f.step(time.Second)
+			if len(f.transport.cancelling) > 0 {
+				f.transport.completeCancel(f.table, true) // too late to have an effect
 			}
-			if c.step(time.Second); !slices.Equal(c.results(), []dispatch.Result{x.last}) {
-				t.Errorf("outcomes %v at the end, expected %v", c.results(), x.last)
+			f.step(time.Second)
+			if got := f.results(); !slices.Equal(got, []dispatch.Result{test.last}) {
+				t.Errorf("results %v at the end, expected %v", got, test.last)
 			}
-			if x.last == dispatch.OK && c.responder.results != 1 {
-				t.Error("what was done while it was withdrawn did not serve")
+			if test.last == dispatch.OK && f.responder.results != 1 {
+				t.Error("what was done while it was cancelled is not the response")
 			}
 		})
 	}
 }
 
-// One that could not be withdrawn may be later.
+// An attempt that could not be cancelled may be later.
 func TestCancel_RetriedAfterFailure(t *testing.T) {
-	c := newAttemptFixture(t, 0)
-	c.step(2, dispatch.Cancel{Job: c.request.ID})
-	c.transport.completeCancel(c.table, false)
-	c.step(3, dispatch.Cancel{Job: c.request.ID})
-	if len(c.transport.cancelling) != 1 {
-		t.Fatal("it is not withdrawn again")
+	f := newAttemptFixture(t, 0)
+	f.step(2, dispatch.Cancel{Job: f.request.ID})
+	f.transport.completeCancel(f.table, false)
+	f.step(3, dispatch.Cancel{Job: f.request.ID})
+	if len(f.transport.cancelling) != 1 {
+		t.Fatal("it is not cancelled again")
 	}
-	c.transport.completeCancel(c.table, true)
-	if c.step(4); !slices.Equal(c.results(), []dispatch.Result{dispatch.Cancelled}) {
-		t.Errorf("outcomes %v", c.results())
+	f.transport.completeCancel(f.table, true)
+	f.step(4)
+	if got := f.results(); !slices.Equal(got, []dispatch.Result{dispatch.Cancelled}) {
+		t.Errorf("results %v", got)
 	}
 }
 
-// A patience that is over before the query's time withdraws too: another copy may be sent.
+// An attempt timeout before the deadline of the request cancels too: another attempt may follow.
 func TestCancel_ByAttemptTimeout(t *testing.T) {
-	c := newAttemptFixture(t, time.Millisecond)
-	c.step(2 * time.Millisecond)
-	if got := c.results(); len(got) != 0 || len(c.transport.cancelling) != 1 {
-		t.Fatalf("outcomes %v, %d worker nodes to be told", got, len(c.transport.cancelling))
+	f := newAttemptFixture(t, time.Millisecond)
+	f.step(2 * time.Millisecond)
+	if got := f.results(); len(got) != 0 || len(f.transport.cancelling) != 1 {
+		t.Fatalf("results %v, %d cancellations", got, len(f.transport.cancelling))
 	}
-	c.transport.completeCancel(c.table, true)
-	if c.step(3 * time.Millisecond); !slices.Equal(c.results(), []dispatch.Result{dispatch.TimedOut}) {
-		t.Errorf("outcomes %v", c.results())
+	f.transport.completeCancel(f.table, true)
+	f.step(3 * time.Millisecond)
+	if got := f.results(); !slices.Equal(got, []dispatch.Result{dispatch.TimedOut}) {
+		t.Errorf("results %v", got)
 	}
 }
 
-// What a process was about to tell a worker node, the one that takes over tells; until then the attempt is out there too.
+// A cancellation that one process has begun is completed by the one that takes over; until then the attempt is in flight there
+// too.
 func TestTakeOver_ResumesCancellation(t *testing.T) {
-	c := newAttemptFixture(t, 0)
-	c.step(2, dispatch.Cancel{Job: c.request.ID})
-	c.takeOver(t)
-	if len(c.results()) != 0 || len(c.transport.cancelling) != 1 || c.table.InFlightAttempt(c.request.ID, 0) == nil {
-		t.Fatalf("outcomes %v, %d worker nodes to be told", c.results(), len(c.transport.cancelling))
+	f := newAttemptFixture(t, 0)
+	f.step(2, dispatch.Cancel{Job: f.request.ID})
+	f.takeOver(t)
+	if len(f.results()) != 0 || len(f.transport.cancelling) != 1 || f.table.InFlightAttempt(f.request.ID, 0) == nil {
+		t.Fatalf("results %v, %d cancellations", f.results(), len(f.transport.cancelling))
 	}
-	c.transport.completeCancel(c.table, true)
-	if c.step(6); !slices.Equal(c.results(), []dispatch.Result{dispatch.Cancelled}) {
-		t.Errorf("outcomes %v", c.results())
+	f.transport.completeCancel(f.table, true)
+	f.step(6)
+	if got := f.results(); !slices.Equal(got, []dispatch.Result{dispatch.Cancelled}) {
+		t.Errorf("results %v", got)
 	}
 }
--- a/internal/requests/completion.go
+++ b/internal/requests/completion.go
@@ -9,84 +9,109 @@
 	"valvecove/dispatch"
 )
 
-// ClientDisconnected closes a query whose client has left.
-func (l *Table) ClientDisconnected(q *Request) {
-	if q.closed {
+// ClientDisconnected closes a request whose client has disconnected. It gets no response. A closed request stays as it is.
+func (t *Table) ClientDisconnected(request *Request) {
+	if request.IsClosed() {
 		return
 	}
-	l.pendingEvents = append(l.pendingEvents, dispatch.ClientDisconnected{Job: q.ID})
-	q.clientLeft = true
-	l.closeRequest(q)
+	t.addEvent(dispatch.ClientDisconnected{Job: request.ID})
+	t.closeRequest(request, requestDisconnected)
 }
 
-// conclude closes a query that gets this answer now.
-func (l *Table) conclude(q *Request, a Response) {
-	q.response = a
-	l.closeRequest(q)
+// CloseSince gives each open request that arrived at an instant or later its final response: rejected if it has no attempts,
+// else failed. It is for a process that ends.
+func (t *Table) CloseSince(since time.Duration) {
+	t.closeMatching(func(request *Request) bool { return request.ArrivedAt >= since })
 }
 
-// closeRequest is the end of what is owed. The query itself stays for as long as attempts are out.
-func (l *Table) closeRequest(q *Request) {
-	if q.closed = true; l.openByCallID[q.CallID] == q {
-		delete(l.openByCallID, q.CallID)
+// RejectQueued rejects each open request that has no attempts. It is for a process that is about to end.
+func (t *Table) RejectQueued() {
+	t.closeMatching(func(request *Request) bool { return len(request.attempts) == 0 })
+}
+
+// closeMatching closes the open requests that match. The policy learns of it as of clients that disconnect.
+func (t *Table) closeMatching(matches func(*Request) bool) {
+	for _, request := range t.inAdmissionOrder() {
+		if request.IsClosed() || !matches(request) {
+			continue
+		}
+		t.addEvent(dispatch.ClientDisconnected{Job: request.ID})
+		t.closeWithoutPolicy(request)
 	}
-	l.abandonUnwritten(q)
-	if !q.clientLeft {
-		l.reportEnded(q)
+}
+
+// closeWithoutPolicy gives an open request a final response that follows from its attempts alone.
+func (t *Table) closeWithoutPolicy(request *Request) {
+	if len(request.attempts) == 0 {
+		t.reject(request, 0) // not executed, so the client may retry at once
+		return
 	}
-	l.forgetIfDone(q)
+	t.fail(request)
 }
 
-func (l *Table) forgetIfDone(q *Request) {
-	if q.closed && q.inFlight == 0 && l.requests[q.ID] == q {
-		delete(l.requests, q.ID)
-		l.payloadBytes -= len(q.Payload.Body)
-		l.reportEnded(q)
-		l.notify(Notification{Kind: RequestForgotten, Request: q})
+// serve gives a request a worker's result, unless it is closed.
+func (t *Table) serve(request *Request, result []byte) {
+	if t.conclude(request, ResponseResult) {
+		request.responder.RespondResult(result)
 	}
 }
 
-// CloseSince gives each query that came since then and is still open its final answer now: time is up for this process.
-func (l *Table) CloseSince(since time.Duration) {
-	l.closeMatching(func(q *Request) bool { return q.ArrivedAt >= since })
+// reject gives a request the response that it was not executed, unless it is closed.
+func (t *Table) reject(request *Request, retryAfter time.Duration) {
+	if t.conclude(request, ResponseRejected) {
+		request.responder.RespondRejected(retryAfter)
+	}
 }
 
-// RejectQueued refuses each open query of which nothing was ever sent: it would not run in the time that this process has.
-func (l *Table) RejectQueued() {
-	l.closeMatching(func(q *Request) bool { return len(q.attempts) == 0 })
+// fail gives a request the response that it failed, unless it is closed.
+func (t *Table) fail(request *Request) {
+	if t.conclude(request, ResponseFailed) {
+		request.responder.RespondFailed()
+	}
 }
 
-func (l *Table) closeMatching(is func(*Request) bool) {
-	for _, q := range l.inAdmissionOrder() {
-		if !q.closed && is(q) {
-			l.pendingEvents = append(l.pendingEvents, dispatch.ClientDisconnected{Job: q.ID}) // as far as the module is concerned
-			l.closeWithoutPolicy(q)
-		}
+// conclude closes an open request with a kind of response, and reports whether it was open: each request is responded to once.
+func (t *Table) conclude(request *Request, response Response) bool {
+	if request.IsClosed() {
+		return false
 	}
+	request.response = response
+	t.closeRequest(request, requestResponded)
+	return true
 }
 
-// closeWithoutPolicy answers an open query without the module.
-func (l *Table) closeWithoutPolicy(q *Request) {
-	switch {
-	case q.closed:
-		return
-	case len(q.attempts) == 0:
-		l.conclude(q, ResponseRejected)
-		q.responder.RespondRejected(0) // nothing was sent, so trying again is harmless
-	default:
-		l.conclude(q, ResponseFailed)
-		q.responder.RespondFailed()
+// closeRequest closes an open request. It stays in the table for as long as attempts are in flight.
+func (t *Table) closeRequest(request *Request, next requestState) {
+	request.become(next)
+	if t.openByCallID[request.CallID] == request {
+		delete(t.openByCallID, request.CallID)
 	}
+	t.abandonUnwritten(request)
+	if request.state == requestResponded {
+		t.reportEnded(request)
+	}
+	t.forgetIfDone(request)
 }
 
-// inAdmissionOrder is all queries as they came: map order decides nothing.
-func (l *Table) inAdmissionOrder() []*Request {
-	return slices.SortedFunc(maps.Values(l.requests), func(a, b *Request) int { return cmp.Compare(a.ID, b.ID) })
+// forgetIfDone removes a closed request that has no attempts in flight.
+func (t *Table) forgetIfDone(request *Request) {
+	if !request.IsClosed() || request.inFlight > 0 || t.requests[request.ID] != request {
+		return
+	}
+	delete(t.requests, request.ID)
+	t.payloadBytes -= len(request.Payload.Body)
+	t.reportEnded(request)
+	t.notify(Notification{Kind: RequestForgotten, Request: request})
 }
 
-func (l *Table) reportEnded(q *Request) {
-	if !q.reported {
-		q.reported = true
-		l.notify(Notification{Kind: RequestEnded, Request: q})
+// reportEnded notifies the observers once that a closed request has ended.
+func (t *Table) reportEnded(request *Request) {
+	if request.become(requestEnded) {
+		t.notify(Notification{Kind: RequestEnded, Request: request})
 	}
 }
+
+// inAdmissionOrder returns all requests in order of admission, so that nothing depends on the order of a map.
+func (t *Table) inAdmissionOrder() []*Request {
+	return slices.SortedFunc(maps.Values(t.requests), func(a, b *Request) int { return cmp.Compare(a.ID, b.ID) })
+}
--- a/internal/requests/completion_test.go
+++ b/internal/requests/completion_test.go
@@ -1,7 +1,6 @@
 package requests
 
 import (
-	"log/slog"
 	"slices"
 	"strconv"
 	"testing"
@@ -11,60 +10,64 @@
 	"valvecove/internal/steps"
 )
 
-// Of two copies that are both done only the first is the client's; the other ends as served and closed.
+// Of two attempts that are both served only the first is the client's; the other ends as served and closed.
 func TestHedgedRequest_FirstResultIsSent(t *testing.T) {
-	module, asker := &steps.Script{}, &countingResponder{}
-	carried := &recordingTransport{abandoned: map[*Attempt]bool{}}
-	l := New(4, NameTable{}, func() Policy { return module }, EndpointList{Endpoints: []Endpoint{{ID: "s-0", Lifecycle: "up"}, {ID: "s-1", Lifecycle: "up"}}},
-		carried, slog.New(slog.DiscardHandler))
-	q, err := l.Admit(0, Arrival{CallID: "c", Job: dispatch.Job{Remaining: time.Second}, Responder: asker})
-	if err != nil {
-		t.Fatal(err)
+	policy, responder, transport := &steps.Script{}, &countingResponder{}, newRecordingTransport()
+	table := newTestTable(policy, 2, transport)
+	request := admit(t, table, "c", responder)
+	policy.Next = []dispatch.Action{
+		dispatch.Send{Job: request.ID, Worker: hashID("s-0")},
+		dispatch.Send{Job: request.ID, Worker: hashID("s-1")},
 	}
-	module.Next = []dispatch.Action{dispatch.Send{Job: q.ID, Worker: hashID("s-0")}, dispatch.Send{Job: q.ID, Worker: hashID("s-1")}}
-	l.Step(1)
-	for _, a := range carried.started {
-		a.Stage = StageWritten // else it would not run on
+	table.Step(1)
+	for _, attempt := range transport.started {
+		attempt.Stage = StageWritten // else it would be abandoned
 	}
-	for _, from := range []string{"s-1", "s-0", "s-0"} {
-		if _, err := l.HandleCallback(Callback{CallID: "c", EndpointID: from, State: "done", Result: new(string)}); err != nil {
+	for _, endpoint := range []string{"s-1", "s-0", "s-0"} {
+		callback := Callback{CallID: "c", EndpointID: endpoint, State: CallbackDone, Result: new(string)}
+		if _, err := table.HandleCallback(callback); err != nil {
 			t.Error(err)
 		}
 	}
-	l.Step(2)
-	o, ok := module.Heard[len(module.Heard)-1].(dispatch.Outcome)
-	if asker.results != 1 || asker.total() != 1 || !ok || o.Attempt != 0 || o.Result != dispatch.OK || !o.Closed {
-		t.Errorf("%d answers, last heard %+v", asker.total(), o)
+	table.Step(2)
+	outcome, ok := policy.Heard[len(policy.Heard)-1].(dispatch.Outcome)
+	if !ok || outcome.Attempt != 0 || outcome.Result != dispatch.OK || !outcome.Closed {
+		t.Errorf("last heard %+v", outcome)
+	}
+	if responder.results != 1 || responder.total() != 1 {
+		t.Errorf("%d results of %d responses", responder.results, responder.total())
 	}
 }
 
-// orderedResponder is an Asker that notes whom it answered.
+// orderedResponder adds its number to a list when it is called.
 type orderedResponder struct {
-	to   *[]int
-	name int
+	responded *[]int
+	number    int
 }
 
-func (o orderedResponder) RespondResult([]byte) { *o.to = append(*o.to, o.name) }
-
-func (o orderedResponder) RespondRejected(time.Duration) { o.RespondResult(nil) }
-
-func (o orderedResponder) RespondFailed() { o.RespondResult(nil) }
+func (r orderedResponder) RespondResult([]byte)          { *r.responded = append(*r.responded, r.number) }
+func (r orderedResponder) RespondRejected(time.Duration) { r.RespondResult(nil) }
+func (r orderedResponder) RespondFailed()                { r.RespondResult(nil) }
 
-// Where many queries are answered at once, it is as they came, at every run.
+// Where many requests are responded to at once, it is in order of arrival, at every run.
 func TestResponses_KeepOrderOfArrival(t *testing.T) {
-	for _, end := range []func(l *Table, m *steps.Script){
-		func(l *Table, _ *steps.Script) { l.CloseSince(0) },
-		func(l *Table, m *steps.Script) { m.Panic = true; l.Step(2) },
+	for name, closeAll := range map[string]func(table *Table, policy *steps.Script){
+		"end of process": func(table *Table, _ *steps.Script) { table.CloseSince(0) },
+		"policy panic": func(table *Table, policy *steps.Script) {
+			policy.Panic = true
+			table.Step(2)
+		},
 	} {
-		module, got := &steps.Script{}, []int{}
-		l := New(4, NameTable{}, func() Policy { return module }, EndpointList{}, &recordingTransport{}, slog.New(slog.DiscardHandler))
-		for i := range 50 {
-			if _, err := l.Admit(1, Arrival{CallID: strconv.Itoa(i), Responder: orderedResponder{&got, i}}); err != nil {
-				t.Fatal(err)
+		t.Run(name, func(t *testing.T) {
+			policy, responded := &steps.Script{}, []int{}
+			table := newTestTable(policy, 0, newRecordingTransport())
+			for number := range 50 {
+				admit(t, table, strconv.Itoa(number), orderedResponder{&responded, number})
 			}
-		}
-		if end(l, module); len(got) != 50 || !slices.IsSorted(got) {
-			t.Errorf("answered in the order %v", got)
-		}
+			closeAll(table, policy)
+			if len(responded) != 50 || !slices.IsSorted(responded) {
+				t.Errorf("responded in the order %v", responded)
+			}
+		})
 	}
 }
--- a/internal/requests/cordon.go
+++ b/internal/requests/cordon.go
@@ -6,59 +6,61 @@
 	"valvecove/dispatch"
 )
 
-// maxCordoned bounds the hosts that are out by hand at once. A ban is never dropped to make room: one more is refused.
+// maxCordoned bounds the endpoints that are cordoned at once. A cordon is never dropped to make room for another.
 const maxCordoned = 4096
 
-// Cordon takes a host out by hand: no attempt begins there until Restore, whatever the list says. known is false for one
-// that was never listed; full, if there is no room for another ban. Neither changes anything.
-func (l *Table) Cordon(id string) (known, full bool) {
-	n, known := l.endpoints.numbers[id]
-	if !known || l.cordoned[n] {
+// Cordon has no attempt start at an endpoint until Uncordon, whatever the endpoint list says. known is false if the endpoint
+// was never listed, full is true if too many are cordoned; neither changes anything.
+func (t *Table) Cordon(endpointID string) (known, full bool) {
+	worker, known := t.endpoints.numbers[endpointID]
+	if !known || t.cordoned[worker] {
 		return known, false
 	}
-	if len(l.cordoned) >= maxCordoned {
+	if len(t.cordoned) >= maxCordoned {
 		return true, true
 	}
-	l.cordoned[n] = true
-	l.pendingEvents = append(l.pendingEvents, dispatch.Cordoned{Worker: n})
+	t.cordoned[worker] = true
+	t.addEvent(dispatch.Cordoned{Worker: worker})
 	return true, false
 }
 
-// Uncordon ends that, however often the host was taken out. One that is not out stays as it is.
-func (l *Table) Uncordon(id string) (known bool) {
-	n, known := l.endpoints.numbers[id]
-	if known && l.cordoned[n] {
-		delete(l.cordoned, n)
-		l.pendingEvents = append(l.pendingEvents, dispatch.Uncordoned{Worker: n})
-		l.transport.CloseIdleConnections(n) // they lead to a process that has gone
+// Uncordon ends a cordon, however often it was asked for. An endpoint that is not cordoned stays as it is. known is false if
+// the endpoint was never listed.
+func (t *Table) Uncordon(endpointID string) (known bool) {
+	worker, known := t.endpoints.numbers[endpointID]
+	if known && t.cordoned[worker] {
+		delete(t.cordoned, worker)
+		t.addEvent(dispatch.Uncordoned{Worker: worker})
+		t.transport.CloseIdleConnections(worker) // they lead to a process that has gone
 	}
 	return known
 }
 
-// Cordoned are the ids of the hosts that are out, sorted.
-func (l *Table) Cordoned() (ids []string) {
-	for n := range l.cordoned {
-		ids = append(ids, l.endpoints.byNumber[n].ID)
+// Cordoned returns the ids of the cordoned endpoints, sorted.
+func (t *Table) Cordoned() []string {
+	var ids []string
+	for worker := range t.cordoned {
+		ids = append(ids, t.endpoints.byNumber[worker].ID)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// SetCordoned takes over what another process was told: these hosts are out and no others, listed here or not.
-func (l *Table) SetCordoned(ids []string) {
-	out := map[uint64]bool{}
-	for _, id := range ids {
-		if id != "" && len(out) < maxCordoned {
-			l.endpoints.assignNumber(id)
-			out[l.endpoints.numbers[id]] = true
+// SetCordoned makes these endpoints the cordoned ones, and no others, whether they were ever listed or not. Those beyond the
+// limit are skipped.
+func (t *Table) SetCordoned(endpointIDs []string) {
+	wanted := map[uint64]bool{}
+	for _, id := range endpointIDs {
+		if id != "" && len(wanted) < maxCordoned {
+			wanted[t.endpoints.assignNumber(id)] = true
 		}
 	}
-	for _, id := range l.Cordoned() {
-		if !out[l.endpoints.numbers[id]] {
-			l.Uncordon(id)
+	for _, id := range t.Cordoned() {
+		if !wanted[t.endpoints.numbers[id]] {
+			t.Uncordon(id)
 		}
 	}
-	for _, id := range ids {
-		l.Cordon(id)
+	for _, id := range endpointIDs {
+		t.Cordon(id)
 	}
 }
--- a/internal/requests/cordon_test.go
+++ b/internal/requests/cordon_test.go
@@ -1,7 +1,7 @@
 package requests
 
 import (
-	"log/slog"
+	"maps"
 	"slices"
 	"strconv"
 	"testing"
@@ -11,63 +11,83 @@
 	"valvecove/internal/steps"
 )
 
-// Bans are of an id, not of a count; they hold for what the list does not name now, and for a module that starts anew.
-// Nothing is sent against one, even if the module wants it.
-func FuzzCordons(f *testing.F) {
-	steps.Fuzz(f, func(s *steps.Steps) {
-		module := &steps.Script{}
-		carried := &recordingTransport{abandoned: map[*Attempt]bool{}}
-		l := New(6, NameTable{Classes: []string{"a"}}, func() Policy { return module }, EndpointList{Endpoints: []Endpoint{
-			{ID: "s-0", Lifecycle: "up"},
-			{ID: "s-1", Lifecycle: "up"},
-			{ID: "s-2", Lifecycle: "up"},
-		}}, carried, slog.New(slog.DiscardHandler))
-		out, n := map[string]bool{}, 0
-		for s.More() {
-			id := "s-" + strconv.Itoa(s.Pick(4))
-			switch what := s.Pick(6); what {
-			case 0, 1:
-				known, full := l.Cordon(id)
-				s.Check(known == (id != "s-3") && !full, "suspend %s: known %v, full %v", id, known, full)
-				if known {
-					out[id] = true
-				}
-			case 2:
-				s.Check(l.Uncordon(id) == (id != "s-3"), "restore %s", id)
-				delete(out, id)
-			case 3:
-				l.UpdateEndpoints(EndpointList{Reset: true, Endpoints: []Endpoint{{ID: "s-1", Lifecycle: "up", StartedAtMs: int64(s.Pick(9))}}})
-			case 4:
-				module.Panic = true
-				module.Heard = nil
-				l.Wake()
-				l.Step(time.Second)
-				l.Step(time.Second)
-				told := 0
-				for _, e := range module.Heard {
-					if _, is := e.(dispatch.Cordoned); is {
-						told++
-					}
-				}
-				s.Check(told == len(out), "a module that starts anew hears of %d bans of %d", told, len(out))
-			case 5:
-				n++
-				q, err := l.Admit(time.Second, Arrival{CallID: strconv.Itoa(n), Job: dispatch.Job{Remaining: time.Hour}, Responder: &countingResponder{}})
-				if err != nil || l.endpoints.numbers[id] == 0 {
-					continue
-				}
-				module.Next = []dispatch.Action{dispatch.Send{Job: q.ID, Worker: l.endpoints.numbers[id]}}
-				carried.started = nil
-				l.Step(time.Second)
-				s.Check((len(carried.started) == 1) == !out[id], "%d sent to %s, out %v", len(carried.started), id, out)
-			}
-			s.Did(id)
-			var want []string
-			for id := range out {
-				want = append(want, id)
-			}
-			slices.Sort(want)
-			s.Check(slices.Equal(l.Cordoned(), want), "bans %v, expected %v", l.Cordoned(), want)
+// A cordon is of an id and not counted; it holds for an endpoint that the list does not name now, and for a policy that
+// starts anew. Nothing is sent against one, even if the policy wants it.
+func FuzzCordons(f *testing.F) { steps.Fuzz(f, runCordonModel) }
+
+// cordonModel puts the cordons of a table through random steps. The endpoints s-0 to s-2 were listed, s-3 never was.
+type cordonModel struct {
+	*steps.Steps
+	policy    *steps.Script
+	transport *recordingTransport
+	table     *Table
+	cordoned  map[string]bool
+	admitted  int
+}
+
+func runCordonModel(s *steps.Steps) {
+	m := &cordonModel{Steps: s, policy: &steps.Script{}, transport: newRecordingTransport(), cordoned: map[string]bool{}}
+	m.table = newTestTable(m.policy, 3, m.transport)
+	for s.More() {
+		m.step("s-" + strconv.Itoa(s.Pick(4)))
+	}
+}
+
+// step takes one random step with an endpoint.
+func (m *cordonModel) step(id string) {
+	wasListed := id != "s-3"
+	switch m.Pick(6) {
+	case 0, 1:
+		known, full := m.table.Cordon(id)
+		m.Check(known == wasListed && !full, "cordon %s: known %v, full %v", id, known, full)
+		if known {
+			m.cordoned[id] = true
 		}
-	})
+	case 2:
+		m.Check(m.table.Uncordon(id) == wasListed, "uncordon %s", id)
+		delete(m.cordoned, id)
+	case 3:
+		endpoint := Endpoint{ID: "s-1", Lifecycle: "up", StartedAtMs: int64(m.Pick(9))}
+		m.table.UpdateEndpoints(EndpointList{Reset: true, Endpoints: []Endpoint{endpoint}})
+	case 4:
+		m.restartPolicy()
+	case 5:
+		m.send(id)
+	}
+	m.Did(id)
+	want := slices.Sorted(maps.Keys(m.cordoned))
+	m.Check(slices.Equal(m.table.Cordoned(), want), "cordoned are %v, expected %v", m.table.Cordoned(), want)
+}
+
+// restartPolicy has the policy panic, and checks that the next one learns of all cordons.
+func (m *cordonModel) restartPolicy() {
+	m.policy.Panic = true
+	m.policy.Heard = nil
+	m.table.Wake()
+	m.table.Step(time.Second)
+	m.table.Step(time.Second)
+	received := 0
+	for _, event := range m.policy.Heard {
+		if _, isCordon := event.(dispatch.Cordoned); isCordon {
+			received++
+		}
+	}
+	m.Check(received == len(m.cordoned), "a new policy learns of %d cordons of %d", received, len(m.cordoned))
+}
+
+// send has the policy send a new request to an endpoint, if that is known.
+func (m *cordonModel) send(id string) {
+	m.admitted++
+	arrival := Arrival{CallID: strconv.Itoa(m.admitted), Job: dispatch.Job{Remaining: time.Hour}, Responder: &countingResponder{}}
+	request, err := m.table.Admit(time.Second, arrival)
+	m.Check(err == nil, "a new call id was rejected: %v", err)
+	worker, known := m.table.WorkerNumber(id)
+	if !known {
+		return
+	}
+	m.policy.Next = []dispatch.Action{dispatch.Send{Job: request.ID, Worker: worker}}
+	m.transport.started = nil
+	m.table.Step(time.Second)
+	wasSent := len(m.transport.started) == 1
+	m.Check(wasSent != m.cordoned[id], "%d sent to %s, cordoned are %v", len(m.transport.started), id, m.cordoned)
 }
--- a/internal/requests/endpoint.go
+++ b/internal/requests/endpoint.go
@@ -9,94 +9,111 @@
 	"valvecove/dispatch"
 )
 
-// Endpoint is one entry of a host group, in discovery's own words.
+// Endpoint is one entry of the endpoint list, as discovery gives it.
 type Endpoint struct {
 	ID          string  `json:"instanceId"`
-	Addr        string  `json:"hostPort"`
+	Addr        string  `json:"hostPort"` // a removed endpoint may have none
 	Zone        string  `json:"zone"`
 	MachineType string  `json:"machineType"`
 	Cell        int     `json:"cell"`
-	Lifecycle   string  `json:"lifecycle"`
+	Lifecycle   string  `json:"lifecycle"` // "up", "removed", or a state in which it takes no new requests
 	Weight      float64 `json:"weight"`
-	StartedAtMs int64   `json:"startedAtMs"`
+	StartedAtMs int64   `json:"startedAtMs"` // Unix time in milliseconds
 }
 
-// EndpointList is discovery's list of worker nodes, whole or in part.
+// EndpointList is discovery's list of endpoints: the whole list, or the entries that have changed.
 type EndpointList struct {
 	Revision  int64      `json:"generation"`
-	Reset     bool       `json:"reset"`
+	Reset     bool       `json:"reset"` // it is the whole list
 	Endpoints []Endpoint `json:"instances"`
 }
 
-// States of a host.
+// States of an endpoint that matter here.
 const (
 	lifecycleUp      = "up"
 	lifecycleRemoved = "removed"
 )
 
-// NameTable are the words that stand for the indices which the module knows.
+// NameTable has the names of classes, tenants, zones and machine types, which the policy knows by index.
 type NameTable struct{ Classes, Tenants, Zones, MachineTypes []string }
 
-// endpointTable gives each host its number. The numbers must agree between schedulers, since the module hashes
-// them to share out cold worker nodes: they follow from the host's own id, never from the order of arrival.
+// maxRemovedEndpoints is how many endpoints beyond twice the listed ones are remembered before removed ones are forgotten.
+const maxRemovedEndpoints = 1 << 14
+
+// endpointTable gives each endpoint its number. The numbers must agree between schedulers, as the policy hashes them to
+// assign workers: they follow from the endpoint's id and not from the order of arrival.
 type endpointTable struct {
 	numbers  map[string]uint64
 	byNumber map[uint64]Endpoint
+	hash     func(id string) uint64
 }
 
+func newEndpointTable() endpointTable {
+	return endpointTable{numbers: map[string]uint64{}, byNumber: map[uint64]Endpoint{}, hash: hashID}
+}
+
+// assignNumber returns the number of an endpoint, which it gets now if it has none. It is never 0.
 func (t *endpointTable) assignNumber(id string) uint64 {
-	if n, ok := t.numbers[id]; ok {
-		return n
+	if number, known := t.numbers[id]; known {
+		return number
 	}
-	n := hashID(id)
-	// Two ids with one hash must not share a number. In 64 bits that hardly happens; the second moves on.
-	for salt := 1; n == 0 || t.byNumber[n].ID != ""; salt++ {
-		n = hashID(id + "#" + strconv.Itoa(salt))
+	number := t.hash(id)
+	// Two ids of one hash must not share a number. The second one is hashed again with a suffix.
+	for salt := 1; number == 0 || t.byNumber[number].ID != ""; salt++ {
+		number = t.hash(id + "#" + strconv.Itoa(salt))
 	}
-	t.numbers[id] = n
-	t.byNumber[n] = Endpoint{ID: id}
-	return n
+	t.numbers[id] = number
+	t.byNumber[number] = Endpoint{ID: id}
+	return number
 }
 
-// maxRemovedEndpoints is how many hosts that have left are remembered, besides as many as are listed.
-const maxRemovedEndpoints = 1 << 14
+// hashID is the FNV-1a hash of an id.
+func hashID(id string) uint64 {
+	hash := fnv.New64a()
+	hash.Write([]byte(id))
+	return hash.Sum64()
+}
 
-// prune forgets hosts that have left, if there are too many. Of those in use nothing is forgotten, nor of those out by hand.
-func (t *endpointTable) prune(listed map[uint64]dispatch.Worker, inUse func(n uint64) bool) {
-	if len(t.byNumber) <= 2*len(listed)+maxRemovedEndpoints {
-		return
-	}
-	for n, h := range t.byNumber {
-		if _, is := listed[n]; !is && !inUse(n) {
-			delete(t.byNumber, n)
-			delete(t.numbers, h.ID)
+// apply enters the endpoints of a list, and returns them as the policy's workers. Endpoints without an id are skipped.
+func (t *endpointTable) apply(list EndpointList, names NameTable) []dispatch.Worker {
+	workers := make([]dispatch.Worker, 0, len(list.Endpoints))
+	for _, endpoint := range list.Endpoints {
+		if endpoint.ID == "" {
+			continue
+		}
+		number := t.assignNumber(endpoint.ID)
+		if endpoint.Addr == "" {
+			endpoint.Addr = t.byNumber[number].Addr // a removal need not repeat the address
 		}
+		t.byNumber[number] = endpoint
+		workers = append(workers, endpoint.worker(number, names))
 	}
+	return workers
 }
 
-var hashID = func(id string) uint64 {
-	h := fnv.New64a()
-	h.Write([]byte(id))
-	return h.Sum64()
+// worker is the endpoint as the policy knows it.
+func (e *Endpoint) worker(number uint64, names NameTable) dispatch.Worker {
+	return dispatch.Worker{
+		ID:      number,
+		Kind:    slices.Index(names.MachineTypes, e.MachineType),
+		Ready:   e.Lifecycle == lifecycleUp,
+		Removed: e.Lifecycle == lifecycleRemoved,
+		Size:    e.Weight,
+		Cell:    e.Cell,
+		Zone:    slices.Index(names.Zones, e.Zone),
+		BootAt:  time.Duration(max(0, e.StartedAtMs)) * time.Millisecond,
+	}
 }
 
-// apply enters a group and returns it as the module's entries.
-func (t *endpointTable) apply(g EndpointList, names NameTable) []dispatch.Worker {
-	list := make([]dispatch.Worker, 0, len(g.Endpoints))
-	for _, h := range g.Endpoints {
-		if h.ID == "" {
-			continue
-		}
-		n := t.assignNumber(h.ID)
-		if h.Addr == "" {
-			h.Addr = t.byNumber[n].Addr // a removal need not repeat the address
+// prune forgets the endpoints that are neither listed nor in use, if there are too many.
+func (t *endpointTable) prune(listed map[uint64]dispatch.Worker, isInUse func(number uint64) bool) {
+	if len(t.byNumber) <= 2*len(listed)+maxRemovedEndpoints {
+		return
+	}
+	for number, endpoint := range t.byNumber {
+		if _, isListed := listed[number]; !isListed && !isInUse(number) {
+			delete(t.byNumber, number)
+			delete(t.numbers, endpoint.ID)
 		}
-		t.byNumber[n] = h
-		list = append(list, dispatch.Worker{
-			ID: n, Kind: slices.Index(names.MachineTypes, h.MachineType), Ready: h.Lifecycle == lifecycleUp,
-			Removed: h.Lifecycle == lifecycleRemoved, Size: h.Weight, Cell: h.Cell, Zone: slices.Index(names.Zones, h.Zone),
-			BootAt: time.Duration(max(0, h.StartedAtMs)) * time.Millisecond,
-		})
 	}
-	return list
 }
--- a/internal/requests/endpoint_test.go
+++ b/internal/requests/endpoint_test.go
@@ -1,48 +1,54 @@
 package requests
 
 import (
-	"log/slog"
 	"strconv"
 	"testing"
 
 	"valvecove/internal/steps"
 )
 
-// Schedulers that meet the hosts in different orders must give them the same numbers, and two hosts two.
-func TestEndpointNumbers_AgreeBetweenSchedulers(t *testing.T) {
-	number := func(ids ...string) map[string]uint64 {
-		table := endpointTable{map[string]uint64{}, map[uint64]Endpoint{}}
-		var g EndpointList
-		for _, id := range ids {
-			g.Endpoints = append(g.Endpoints, Endpoint{ID: id})
-		}
-		table.apply(g, NameTable{})
-		return table.numbers
+// numberEndpoints returns the numbers of endpoints that become known in this order.
+func numberEndpoints(hash func(id string) uint64, ids ...string) map[string]uint64 {
+	table := newEndpointTable()
+	table.hash = hash
+	list := EndpointList{}
+	for _, id := range ids {
+		list.Endpoints = append(list.Endpoints, Endpoint{ID: id})
 	}
-	a, b := number("s-1", "s-2"), number("s-2", "s-3", "s-1")
-	if a["s-1"] != b["s-1"] || a["s-2"] != b["s-2"] {
-		t.Errorf("numbers depend on the order: %v, %v", a, b)
+	table.apply(list, NameTable{})
+	return table.numbers
+}
+
+// Schedulers that meet the endpoints in different orders must give them the same numbers, and two endpoints two.
+func TestEndpointNumbers_AgreeBetweenSchedulers(t *testing.T) {
+	one := numberEndpoints(hashID, "s-1", "s-2")
+	other := numberEndpoints(hashID, "s-2", "s-3", "s-1")
+	if one["s-1"] != other["s-1"] || one["s-2"] != other["s-2"] {
+		t.Errorf("numbers depend on the order: %v, %v", one, other)
 	}
-	real := hashID
-	defer func() { hashID = real }()
-	hashID = func(id string) uint64 { return uint64(len(id)) }
-	if c := number("s-1", "s-2"); c["s-1"] == c["s-2"] {
-		t.Errorf("two hosts share number %d", c["s-1"])
+	colliding := numberEndpoints(func(id string) uint64 { return uint64(len(id)) }, "s-1", "s-2")
+	if colliding["s-1"] == colliding["s-2"] {
+		t.Errorf("two endpoints share number %d", colliding["s-1"])
 	}
 }
 
-// Hosts that have left are not remembered for ever, but for those that are out by hand.
+// Removed endpoints are not remembered for ever, but for the cordoned ones.
 func TestEndpoints_RemovedAreForgotten(t *testing.T) {
-	l := New(6, NameTable{Classes: []string{"a"}}, func() Policy { return &steps.Script{} }, EndpointList{}, &recordingTransport{}, slog.New(slog.DiscardHandler))
-	l.UpdateEndpoints(EndpointList{Reset: true, Endpoints: []Endpoint{{ID: "out", Lifecycle: "up"}}})
-	l.Cordon("out")
+	table := newTestTable(&steps.Script{}, 0, newRecordingTransport())
+	replace := func(id string) {
+		table.UpdateEndpoints(EndpointList{Reset: true, Endpoints: []Endpoint{{ID: id, Lifecycle: "up"}}})
+	}
+	replace("cordoned")
+	table.Cordon("cordoned")
 	for n := range 3 * maxRemovedEndpoints {
-		l.UpdateEndpoints(EndpointList{Reset: true, Endpoints: []Endpoint{{ID: "s-" + strconv.Itoa(n), Lifecycle: "up"}}})
+		replace("s-" + strconv.Itoa(n))
 	}
-	if n := len(l.endpoints.byNumber); n > 2*maxRemovedEndpoints || n != len(l.endpoints.numbers) {
-		t.Errorf("%d hosts are remembered, %d numbers", n, len(l.endpoints.numbers))
+	remembered, numbers := len(table.endpoints.byNumber), len(table.endpoints.numbers)
+	if remembered > 2*maxRemovedEndpoints || remembered != numbers {
+		t.Errorf("%d endpoints are remembered, %d numbers", remembered, numbers)
 	}
-	if known, _ := l.Cordon("out"); !known || len(l.Cordoned()) != 1 || l.Cordoned()[0] != "out" {
-		t.Errorf("of the one that is out: %v", l.Cordoned())
+	known, _ := table.Cordon("cordoned")
+	if ids := table.Cordoned(); !known || len(ids) != 1 || ids[0] != "cordoned" {
+		t.Errorf("cordoned are %v", ids)
 	}
 }
--- a/internal/requests/endpointlist.go
+++ b/internal/requests/endpointlist.go
@@ -8,89 +8,98 @@
 	"valvecove/dispatch"
 )
 
-// WorkerNumber is what the module knows a host by that was ever listed.
-func (l *Table) WorkerNumber(id string) (worker uint64, known bool) {
-	worker, known = l.endpoints.numbers[id]
-	return worker, known
-}
-
-// knownState is what a module is told that knows nothing, or goes on elsewhere: the bans, and the host group as it is held.
-func (l *Table) knownState() (events []dispatch.Event) {
-	for _, id := range slices.Sorted(maps.Keys(l.cordoned)) {
-		events = append(events, dispatch.Cordoned{Worker: id})
-	}
-	list := dispatch.WorkerList{Kind: dispatch.ListCached, Revision: l.revision}
-	for _, w := range l.listed {
-		list.Workers = append(list.Workers, w)
-	}
-	slices.SortFunc(list.Workers, func(a, b dispatch.Worker) int { return cmp.Compare(a.ID, b.ID) })
-	return append(events, list)
-}
-
-// UpdateEndpoints takes news of the host group.
-func (l *Table) UpdateEndpoints(g EndpointList) {
-	l.awaitUntil = 0
+// UpdateEndpoints takes an update of the endpoint list from discovery. It ends the wait of AwaitEndpoints.
+func (t *Table) UpdateEndpoints(list EndpointList) {
+	t.awaitUntil = 0
 	kind := dispatch.ListDelta
-	if g.Reset {
+	if list.Reset {
 		kind = dispatch.ListFull
 	}
-	l.applyEndpoints(g, kind)
+	t.applyEndpoints(list, kind)
 }
 
-func (l *Table) applyEndpoints(g EndpointList, kind dispatch.ListKind) {
-	l.revision = g.Revision
-	list := l.endpoints.apply(g, l.names)
-	l.countChanges(list, kind != dispatch.ListDelta)
-	if kind != dispatch.ListDelta {
-		clear(l.listed)
-	}
-	for _, w := range list {
-		if delete(l.listed, w.ID); !w.Removed {
-			l.listed[w.ID] = w
-		}
-	}
-	l.pendingEvents = append(l.pendingEvents, dispatch.WorkerList{Kind: kind, Workers: list, Revision: g.Revision})
-	l.endpoints.prune(l.listed, func(n uint64) bool {
-		if l.cordoned[n] {
-			return true
-		}
-		for k := range l.inFlight {
-			if k.endpointID == l.endpoints.byNumber[n].ID {
-				return true
-			}
-		}
-		return false
-	})
+// DiscoveryFailed is called when a call to discovery has failed, or when the watch has ended. It ends the wait of
+// AwaitEndpoints; the list stays as it is.
+func (t *Table) DiscoveryFailed() {
+	t.awaitUntil = 0
+	t.addEvent(dispatch.WorkerList{Kind: dispatch.ListUnavailable})
 }
 
-// ResetRevision tells that the host group comes from elsewhere from now on. The list at hand holds until that speaks,
-// but its generation is of no use there.
-func (l *Table) ResetRevision() { l.revision = 0 }
+// WatchEndpoints has the transport follow the changes of the endpoint list since its revision.
+func (t *Table) WatchEndpoints() { t.transport.Watch(t.revision) }
+
+// ResetRevision is called when the endpoint list comes from another source from now on. The list stays as it is until that
+// source gives one, but its revision means nothing there.
+func (t *Table) ResetRevision() { t.revision = 0 }
+
+// Revision is the revision of the endpoint list; 0 if discovery can't give the changes since.
+func (t *Table) Revision() int64 { return t.revision }
 
-// WatchEndpoints has the host group followed from the list at hand on, whatever the module has asked for.
-func (l *Table) WatchEndpoints() { l.transport.Watch(l.revision) }
+// Endpoint returns a worker's endpoint as it was listed last. Its ID is empty if the worker is unknown.
+func (t *Table) Endpoint(worker uint64) Endpoint { return t.endpoints.byNumber[worker] }
 
-// Revision is the version of the list at hand; 0: none that discovery could tell the changes since.
-func (l *Table) Revision() int64 { return l.revision }
+// WorkerNumber returns the policy's number for an endpoint, if it was ever listed.
+func (t *Table) WorkerNumber(endpointID string) (worker uint64, known bool) {
+	worker, known = t.endpoints.numbers[endpointID]
+	return worker, known
+}
 
-// DiscoveryFailed tells that a call to discovery failed or the watch ended.
-func (l *Table) DiscoveryFailed() {
-	l.awaitUntil = 0
-	l.pendingEvents = append(l.pendingEvents, dispatch.WorkerList{Kind: dispatch.ListUnavailable})
+// HasReadyWorker reports whether a listed worker is ready and not cordoned.
+func (t *Table) HasReadyWorker() bool {
+	for _, worker := range t.listed {
+		if worker.Ready && !t.cordoned[worker.ID] {
+			return true
+		}
+	}
+	return false
 }
 
-// Endpoint gives a worker's entry in the host group as it was last seen.
-func (l *Table) Endpoint(worker uint64) Endpoint { return l.endpoints.byNumber[worker] }
+// ListedCount is the number of workers in the endpoint list.
+func (t *Table) ListedCount() int { return len(t.listed) }
 
-// HasReadyWorker tells whether a query that came now could be sent anywhere.
-func (l *Table) HasReadyWorker() bool {
-	for _, w := range l.listed {
-		if w.Ready && !l.cordoned[w.ID] {
+// applyEndpoints enters an endpoint list and hands it to the policy.
+func (t *Table) applyEndpoints(list EndpointList, kind dispatch.ListKind) {
+	isWhole := kind != dispatch.ListDelta
+	t.revision = list.Revision
+	workers := t.endpoints.apply(list, t.names)
+	t.countChanges(workers, isWhole)
+	if isWhole {
+		clear(t.listed)
+	}
+	for _, worker := range workers {
+		delete(t.listed, worker.ID)
+		if !worker.Removed {
+			t.listed[worker.ID] = worker
+		}
+	}
+	t.addEvent(dispatch.WorkerList{Kind: kind, Workers: workers, Revision: list.Revision})
+	t.endpoints.prune(t.listed, t.isEndpointInUse)
+}
+
+// isEndpointInUse reports whether an endpoint is cordoned or has an attempt in flight.
+func (t *Table) isEndpointInUse(worker uint64) bool {
+	if t.cordoned[worker] {
+		return true
+	}
+	id := t.endpoints.byNumber[worker].ID
+	for key := range t.inFlight {
+		if key.endpointID == id {
 			return true
 		}
 	}
 	return false
 }
 
-// ListedCount counts the worker nodes in the list.
-func (l *Table) ListedCount() int { return len(l.listed) }
+// knownState has the events for a policy that knows nothing: the cordoned workers, and the endpoint list.
+func (t *Table) knownState() []dispatch.Event {
+	var events []dispatch.Event
+	for _, worker := range slices.Sorted(maps.Keys(t.cordoned)) {
+		events = append(events, dispatch.Cordoned{Worker: worker})
+	}
+	list := dispatch.WorkerList{Kind: dispatch.ListCached, Revision: t.revision}
+	for _, worker := range t.listed {
+		list.Workers = append(list.Workers, worker)
+	}
+	slices.SortFunc(list.Workers, func(a, b dispatch.Worker) int { return cmp.Compare(a.ID, b.ID) })
+	return append(events, list)
+}
--- a/internal/requests/helpers_test.go
+++ b/internal/requests/helpers_test.go
@@ -10,53 +10,68 @@
 	"valvecove/internal/steps"
 )
 
-// countingResponder is an Asker that counts its answers.
+// countingResponder counts the responses.
 type countingResponder struct{ results, rejected, failed int }
 
-func (e *countingResponder) RespondResult([]byte) { e.results++ }
+func (r *countingResponder) RespondResult([]byte)          { r.results++ }
+func (r *countingResponder) RespondRejected(time.Duration) { r.rejected++ }
+func (r *countingResponder) RespondFailed()                { r.failed++ }
+func (r *countingResponder) total() int                    { return r.results + r.rejected + r.failed }
 
-func (e *countingResponder) RespondRejected(time.Duration) { e.rejected++ }
-
-func (e *countingResponder) RespondFailed() { e.failed++ }
-
-func (e *countingResponder) total() int { return e.results + e.rejected + e.failed }
-
-// recordingTransport is a Carrier that only remembers.
+// recordingTransport remembers what it is asked for, and does nothing.
 type recordingTransport struct {
 	started           []*Attempt
 	abandoned         map[*Attempt]bool
-	hasTwoAtOneWorker bool       // a worker node had two attempts of a query at once
-	cancelling        []*Attempt // whose worker nodes are to be told
+	cancelling        []*Attempt // whose cancellation is not completed
 	confirmed         map[*Attempt]bool
+	hasTwoAtOneWorker bool // a worker had two attempts of a request at once
 }
 
-// completeCancel ends the oldest withdrawal that is due.
-func (c *recordingTransport) completeCancel(l *Table, told bool) {
-	a := c.cancelling[0]
-	if c.cancelling = c.cancelling[1:]; told && !a.ended {
-		c.confirmed[a] = true
-	}
-	l.CancelCompleted(a, told)
+func newRecordingTransport() *recordingTransport {
+	return &recordingTransport{abandoned: map[*Attempt]bool{}, confirmed: map[*Attempt]bool{}}
 }
 
-func (c *recordingTransport) Start(a *Attempt) {
-	for _, o := range c.started {
-		c.hasTwoAtOneWorker = c.hasTwoAtOneWorker || !o.ended && o.Request == a.Request && o.Worker == a.Worker
+// completeCancel completes the oldest cancellation.
+func (r *recordingTransport) completeCancel(table *Table, confirmed bool) {
+	attempt := r.cancelling[0]
+	r.cancelling = r.cancelling[1:]
+	if confirmed && !attempt.HasEnded() {
+		r.confirmed[attempt] = true
 	}
-	c.started = append(c.started, a)
+	table.CancelCompleted(attempt, confirmed)
 }
 
-func (c *recordingTransport) Abandon(a *Attempt) { c.abandoned[a] = true }
-
-func (c *recordingTransport) Cancel(a *Attempt) { c.cancelling = append(c.cancelling, a) }
+func (r *recordingTransport) Start(attempt *Attempt) {
+	for _, earlier := range r.started {
+		if !earlier.HasEnded() && earlier.Request == attempt.Request && earlier.Worker == attempt.Worker {
+			r.hasTwoAtOneWorker = true
+		}
+	}
+	r.started = append(r.started, attempt)
+}
 
-func (c *recordingTransport) CheckHealth(uint64) {}
+func (r *recordingTransport) Abandon(attempt *Attempt)    { r.abandoned[attempt] = true }
+func (r *recordingTransport) Cancel(attempt *Attempt)     { r.cancelling = append(r.cancelling, attempt) }
+func (r *recordingTransport) CheckHealth(uint64)          {}
+func (r *recordingTransport) CloseIdleConnections(uint64) {}
+func (r *recordingTransport) Watch(int64)                 {}
 
-func (c *recordingTransport) CloseIdleConnections(uint64) {}
+// endpointRange returns the endpoints s-FROM to s-(TO-1), which are up.
+func endpointRange(from, to int) (list EndpointList) {
+	for n := from; n < to; n++ {
+		list.Endpoints = append(list.Endpoints, Endpoint{ID: fmt.Sprint("s-", n), Addr: "10.0.0.1:80", Lifecycle: "up"})
+	}
+	return list
+}
 
-func (c *recordingTransport) Watch(int64) {}
+// newTestTable returns a table with a scripted policy and the endpoints s-0 to s-(endpoints-1).
+func newTestTable(policy *steps.Script, endpoints int, transport Transport) *Table {
+	names := NameTable{Classes: []string{"a"}}
+	newPolicy := func() Policy { return policy }
+	return New(4, names, newPolicy, endpointRange(0, endpoints), transport, slog.New(slog.DiscardHandler))
+}
 
-// attemptFixture is a ledger with one query that has an accepted attempt at s-0.
+// attemptFixture is a table with the endpoints s-0 and s-1, and one request that has an accepted attempt at s-0.
 type attemptFixture struct {
 	table     *Table
 	policy    *steps.Script
@@ -66,55 +81,66 @@
 	first     *Attempt
 }
 
-func newAttemptFixture(t *testing.T, patience time.Duration) *attemptFixture {
+func newAttemptFixture(t *testing.T, attemptTimeout time.Duration) *attemptFixture {
+	t.Helper()
+	f := &attemptFixture{policy: &steps.Script{}, transport: newRecordingTransport(), responder: &countingResponder{}}
+	f.table = newTestTable(f.policy, 2, f.transport)
+	f.request = admit(t, f.table, "c", f.responder)
+	f.step(1, dispatch.Send{Job: f.request.ID, Worker: hashID("s-0"), AttemptTimeout: attemptTimeout})
+	f.first = f.transport.started[0]
+	f.first.Stage = StageAccepted
+	return f
+}
+
+// admit admits a request at instant 0 that has a second.
+func admit(t *testing.T, table *Table, callID string, responder Responder) *Request {
 	t.Helper()
-	c := &attemptFixture{policy: &steps.Script{}, transport: &recordingTransport{abandoned: map[*Attempt]bool{}, confirmed: map[*Attempt]bool{}}, responder: &countingResponder{}}
-	c.table = New(4, NameTable{}, func() Policy { return c.policy }, EndpointList{Endpoints: []Endpoint{{ID: "s-0", Lifecycle: "up"}, {ID: "s-1", Lifecycle: "up"}}},
-		c.transport, slog.New(slog.DiscardHandler))
-	var err error
-	if c.request, err = c.table.Admit(0, Arrival{CallID: "c", Job: dispatch.Job{Remaining: time.Second}, Responder: c.responder}); err != nil {
+	request, err := table.Admit(0, Arrival{CallID: callID, Job: dispatch.Job{Remaining: time.Second}, Responder: responder})
+	if err != nil {
 		t.Fatal(err)
 	}
-	c.step(1, dispatch.Send{Job: c.request.ID, Worker: hashID("s-0"), AttemptTimeout: patience})
-	c.first = c.transport.started[0]
-	c.first.Stage = StageAccepted
-	return c
+	return request
 }
 
-// step has the module do something, and hear what comes of it.
-func (c *attemptFixture) step(now time.Duration, actions ...dispatch.Action) {
-	c.policy.Next = actions
-	c.table.Wake()
-	c.table.Step(now)
-	c.table.Step(now)
+// step has the policy act, and learn what comes of it.
+func (f *attemptFixture) step(now time.Duration, actions ...dispatch.Action) {
+	f.policy.Next = actions
+	f.table.Wake()
+	f.table.Step(now)
+	f.table.Step(now)
 }
 
-func (c *attemptFixture) results() (results []dispatch.Result) {
-	for _, e := range c.policy.Heard {
-		if o, ok := e.(dispatch.Outcome); ok {
-			results = append(results, o.Result)
+// results returns the results of attempts that the policy has received.
+func (f *attemptFixture) results() (results []dispatch.Result) {
+	for _, event := range f.policy.Heard {
+		if outcome, isOutcome := event.(dispatch.Outcome); isOutcome {
+			results = append(results, outcome.Result)
 		}
 	}
 	return results
 }
 
-// takeOver goes on in another process.
-func (c *attemptFixture) takeOver(t *testing.T) {
+// callBack has s-0 call back about the request.
+func (f *attemptFixture) callBack(t *testing.T, state string) (known bool) {
 	t.Helper()
-	if !c.table.FlushEvents(5) {
-		t.Fatal("not settled")
+	result := "r"
+	known, err := f.table.HandleCallback(Callback{CallID: "c", EndpointID: "s-0", State: state, Result: &result})
+	if err != nil {
+		t.Error(err)
 	}
-	book, open := c.table.Snapshot()
-	next := newAttemptFixture(t, 0)
-	next.table = New(4, NameTable{}, func() Policy { return next.policy }, EndpointList{}, next.transport, slog.New(slog.DiscardHandler))
-	next.policy.Heard, next.transport.started = nil, nil
-	next.table.TakeOver(5, book, open, map[uint64]Responder{c.request.ID: c.responder}, func() Policy { return next.policy })
-	c.table, c.policy, c.transport, c.request = next.table, next.policy, next.transport, next.table.Request(c.request.ID)
+	return known
 }
 
-func endpointRange(from, to int) (g EndpointList) {
-	for n := from; n < to; n++ {
-		g.Endpoints = append(g.Endpoints, Endpoint{ID: fmt.Sprint("s-", n), Addr: "10.0.0.1:80", Lifecycle: "up"})
+// takeOver goes on in the table of another process.
+func (f *attemptFixture) takeOver(t *testing.T) {
+	t.Helper()
+	if !f.table.FlushEvents(5) {
+		t.Fatal("events are pending")
 	}
-	return g
+	state, open := f.table.Snapshot()
+	f.policy, f.transport = &steps.Script{}, newRecordingTransport()
+	f.table = newTestTable(f.policy, 0, f.transport)
+	responders := map[uint64]Responder{f.request.ID: f.responder}
+	f.table.TakeOver(5, state, open, responders, func() Policy { return f.policy })
+	f.request = f.table.Request(f.request.ID)
 }
--- a/internal/requests/log.go
+++ b/internal/requests/log.go
@@ -12,110 +12,122 @@
 )
 
 const (
-	changesLogInterval   = time.Second // a line on the host group at most, however much changes
-	maxAddedNamed        = 5           // hosts that it names
-	numbersPerLine       = 100         // hosts in a line of the map, for debugging
-	maxNumberLinesLogged = 40          // of a list: they must fit what may wait to be written
+	changesLogInterval   = time.Second // between two lines about the endpoint list, however much changes
+	maxAddedNamed        = 5           // endpoints that such a line names
+	numbersPerLine       = 100         // endpoints in a debug line with their numbers
+	maxNumberLinesLogged = 40          // such lines of one list: all of them must fit into the log's buffer
 )
 
-// endpointChanges are what has become of the host group and was not told yet.
+// endpointChanges are the changes of the endpoint list since they were logged last.
 type endpointChanges struct {
 	added, removed int
-	firstAdded     []string // of those added
+	firstAdded     []string // ids
 	loggedAt       time.Duration
 }
 
-func (c *endpointChanges) any() bool { return c.added+c.removed > 0 }
-
 // countChanges counts what a list changes, before it is entered.
-func (l *Table) countChanges(list []dispatch.Worker, whole bool) {
-	c, kept, added := &l.changes, 0, l.changes.added
-	for _, w := range list {
-		switch _, had := l.listed[w.ID]; {
-		case had && w.Removed:
-			c.removed++
+func (t *Table) countChanges(workers []dispatch.Worker, isWhole bool) {
+	added, removed, kept := 0, 0, 0
+	for _, worker := range workers {
+		_, wasListed := t.listed[worker.ID]
+		switch {
+		case wasListed && worker.Removed:
+			removed++
 			kept++
-		case had:
+		case wasListed:
 			kept++
-		case !w.Removed:
-			c.added++
-			if len(c.firstAdded) < maxAddedNamed {
-				c.firstAdded = append(c.firstAdded, l.endpoints.byNumber[w.ID].ID)
-			}
+		case !worker.Removed:
+			added++
+			t.changes.nameAdded(t.endpoints.byNumber[worker.ID].ID)
 		}
 	}
-	if whole {
-		c.removed += max(0, len(l.listed)-kept)
+	if isWhole {
+		removed += max(0, len(t.listed)-kept)
+	}
+	t.changes.added += added
+	t.changes.removed += removed
+	if added > 0 {
+		t.logNumbers(workers)
 	}
-	if c.added > added && l.logger.Enabled(context.Background(), slog.LevelDebug) {
-		l.logNumbers(list)
+}
+
+// nameAdded remembers the id of an added endpoint, if it is one of the first.
+func (c *endpointChanges) nameAdded(id string) {
+	if len(c.firstAdded) < maxAddedNamed {
+		c.firstAdded = append(c.firstAdded, id)
 	}
 }
 
-// logNumbers says which numbers the module knows new hosts by.
-func (l *Table) logNumbers(list []dispatch.Worker) {
-	var fresh []string
-	more := 0
-	for _, w := range list {
-		if _, had := l.listed[w.ID]; had || w.Removed {
+// logNumbers logs by which numbers the policy knows the endpoints of a list that are new.
+func (t *Table) logNumbers(workers []dispatch.Worker) {
+	if !t.logger.Enabled(context.Background(), slog.LevelDebug) {
+		return
+	}
+	var entries []string
+	omitted := 0
+	for _, worker := range workers {
+		if _, wasListed := t.listed[worker.ID]; wasListed || worker.Removed {
 			continue
 		}
-		if h := l.endpoints.byNumber[w.ID]; len(fresh) < numbersPerLine*maxNumberLinesLogged {
-			fresh = append(fresh, strconv.FormatUint(w.ID, 10)+"="+h.ID+"@"+h.Addr)
-		} else {
-			more++
+		if len(entries) == numbersPerLine*maxNumberLinesLogged {
+			omitted++
+			continue
 		}
+		endpoint := t.endpoints.byNumber[worker.ID]
+		entries = append(entries, strconv.FormatUint(worker.ID, 10)+"="+endpoint.ID+"@"+endpoint.Addr)
 	}
-	for part := range slices.Chunk(fresh, numbersPerLine) {
-		l.logger.Debug("hosts by number", "hosts", strings.Join(part, " "), "more", more)
+	for line := range slices.Chunk(entries, numbersPerLine) {
+		t.logger.Debug("hosts by number", "hosts", strings.Join(line, " "), "more", omitted)
 	}
 }
 
-// logChanges writes one line about all that has changed since the last one. What comes sooner than the next is due
-// waits for it.
-func (l *Table) logChanges(now time.Duration) {
-	c := &l.changes
-	if c.loggedAt > 0 && now-c.loggedAt < changesLogInterval {
+// logChanges logs the changes of the endpoint list, if there are any and the last line is old enough.
+func (t *Table) logChanges(now time.Duration) {
+	changes := &t.changes
+	if changes.added+changes.removed == 0 {
 		return
 	}
-	if l.logger.Enabled(context.Background(), slog.LevelInfo) {
+	if changes.loggedAt > 0 && now-changes.loggedAt < changesLogInterval {
+		return
+	}
+	if t.logger.Enabled(context.Background(), slog.LevelInfo) {
 		ready := 0
-		for _, w := range l.listed {
-			if w.Ready {
+		for _, worker := range t.listed {
+			if worker.Ready {
 				ready++
 			}
 		}
-		l.logger.Info("host group", "added", c.added, "gone", c.removed, "first", strings.Join(c.firstAdded, " "), "listed", len(l.listed),
-			"ready", ready, "generation", l.revision)
+		t.logger.Info("host group", "added", changes.added, "gone", changes.removed,
+			"first", strings.Join(changes.firstAdded, " "), "listed", len(t.listed), "ready", ready, "generation", t.revision)
 	}
-	*c = endpointChanges{loggedAt: now}
+	*changes = endpointChanges{loggedAt: now}
 }
 
-// logPolicyMessage writes what the module says. It knows worker nodes by number, so the hosts that it names are added.
-func (l *Table) logPolicyMessage(text string) {
-	if !l.logger.Enabled(context.Background(), slog.LevelInfo) {
+// logPolicyMessage logs a message of the policy. The policy knows workers by number: the endpoint ids of those that it
+// names are added.
+func (t *Table) logPolicyMessage(text string) {
+	if !t.logger.Enabled(context.Background(), slog.LevelInfo) {
 		return
 	}
 	attrs := []slog.Attr{slog.String("text", text)}
-	if hosts := l.endpointsNamedIn(text); len(hosts) > 0 {
-		attrs = append(attrs, slog.String("host", strings.Join(hosts, " ")))
+	if ids := t.endpointsNamedIn(text); len(ids) > 0 {
+		attrs = append(attrs, slog.String("host", strings.Join(ids, " ")))
 	}
-	l.logger.LogAttrs(context.Background(), slog.LevelInfo, "module", attrs...)
+	t.logger.LogAttrs(context.Background(), slog.LevelInfo, "module", attrs...)
 }
 
-// endpointsNamedIn gives the hosts that a text names as 'worker N'.
-func (l *Table) endpointsNamedIn(text string) (ids []string) {
+// endpointsNamedIn returns the ids of the workers that a text names as "worker N", in order.
+func (t *Table) endpointsNamedIn(text string) []string {
+	var ids []string
 	for {
 		_, after, found := strings.Cut(text, "worker ")
 		if !found {
 			return ids
 		}
-		end := 0
-		for end < len(after) && after[end] >= '0' && after[end] <= '9' {
-			end++
-		}
-		if n, err := strconv.ParseUint(after[:end], 10, 64); err == nil && l.endpoints.byNumber[n].ID != "" {
-			ids = append(ids, l.endpoints.byNumber[n].ID)
+		digits := len(after) - len(strings.TrimLeft(after, "0123456789"))
+		worker, err := strconv.ParseUint(after[:digits], 10, 64)
+		if endpoint := t.endpoints.byNumber[worker]; err == nil && endpoint.ID != "" {
+			ids = append(ids, endpoint.ID)
 		}
 		text = after
 	}
--- a/internal/requests/observer.go
+++ b/internal/requests/observer.go
@@ -5,74 +5,84 @@
 	"runtime/debug"
 )
 
-// NotificationKind is the kind of a piece of news.
+// NotificationKind is the kind of a notification.
 type NotificationKind int
 
-// Kinds of news.
+// Kinds of notifications.
 const (
-	RequestAdmitted  NotificationKind = iota // a query came in
-	RequestRejected                          // a request was refused at the door, by Status; Query, if it could be read, was never entered
-	AttemptStarted                           // an attempt begins
-	ResponseReceived                         // its worker node has answered the request, by Status
-	CallbackReceived                         // a worker node's note; Attempt is nil if it is about none that is out
-	AttemptEnded                             // an attempt that was sent has ended; Fault nil: served
-	RequestEnded                             // a query has its answer, or its client has left and nothing of it is out any more
-	AttemptWritten                           // the last byte of an attempt has left for its worker node
-	RequestForgotten                         // a query is forgotten: nothing more will be heard of its number
+	RequestAdmitted  NotificationKind = iota // a request was admitted
+	RequestRejected                          // a request was rejected at admission, with Status; Request is nil if unreadable
+	AttemptStarted                           // an attempt was handed to the transport
+	ResponseReceived                         // the worker has responded to the attempt, with Status
+	CallbackReceived                         // a worker has called back; Attempt is nil if it is about none in flight
+	AttemptEnded                             // an attempt that was started has ended; Err is nil if it was served
+	RequestEnded                             // a request has its response, or no client and no attempt in flight
+	AttemptWritten                           // the last byte of an attempt was written
+	RequestForgotten                         // a request was removed from the table: its ID is not used again
 )
 
-// Notification is one thing that happened. What it points to may be looked at only while it is told.
+// Notification is one event of the table. What it points to may be read only until Observe returns.
 type Notification struct {
 	Kind     NotificationKind
 	Request  *Request
 	Attempt  *Attempt
 	Err      *AttemptError
 	Callback *Callback
-	Status   int
+	Status   int // HTTP status
 }
 
-// Observer is told what happens, in order, and decides nothing. It may not wait for anything.
-type Observer interface{ Observe(n Notification) }
+// Observer is notified of what happens, in order. It decides nothing and must not block.
+type Observer interface {
+	Observe(notification Notification)
+}
 
-// AddObserver adds an observer.
-func (l *Table) AddObserver(o Observer) { l.observers = append(l.observers, o) }
+// AddObserver adds an observer, which is notified from now on.
+func (t *Table) AddObserver(observer Observer) { t.observers = append(t.observers, observer) }
 
-func (l *Table) notify(n Notification) {
-	for i := 0; i < len(l.observers); i++ {
-		if o := l.observers[i]; !l.notifyOne(o, n) {
-			l.observers = append(l.observers[:i:i], l.observers[i+1:]...)
-			i--
+// ReportRejection notifies the observers of a request that a frontend rejected with an HTTP status instead of admitting it.
+// arrival is nil if the request could not be read.
+func (t *Table) ReportRejection(arrival *Arrival, status int) {
+	notification := Notification{Kind: RequestRejected, Status: status}
+	if arrival != nil {
+		notification.Request = &Request{
+			CallID:  arrival.CallID,
+			Payload: arrival.Payload,
+			Job:     arrival.Job,
+			outcome: OutcomeRejected,
 		}
 	}
+	t.notify(notification)
 }
 
-// notifyOne stops a panic at the observer, which hears nothing more: it is no part of the service.
-func (l *Table) notifyOne(o Observer, n Notification) (ok bool) {
-	defer func() {
-		if p := recover(); p != nil {
-			l.logger.Error("panic in an observer: it is left out from now on", "observer", fmt.Sprintf("%T", o),
-				"panic", fmt.Sprint(p), "stack", string(debug.Stack()))
-		}
-	}()
-	o.Observe(n)
-	return true
+// ReportResponse notifies the observers of the HTTP status that a worker responded to an attempt with.
+func (t *Table) ReportResponse(attempt *Attempt, status int) {
+	t.notify(Notification{Kind: ResponseReceived, Request: attempt.Request, Attempt: attempt, Status: status})
 }
 
-// ReportRejection tells of a request that was refused at the door. in is nil for one that could not be read as a query.
-func (l *Table) ReportRejection(in *Arrival, status int) {
-	n := Notification{Kind: RequestRejected, Status: status}
-	if in != nil {
-		n.Request = &Request{CallID: in.CallID, Payload: in.Payload, Job: in.Job, outcome: OutcomeRejected}
-	}
-	l.notify(n)
+// ReportWritten notifies the observers that the last byte of an attempt was written.
+func (t *Table) ReportWritten(attempt *Attempt) {
+	t.notify(Notification{Kind: AttemptWritten, Request: attempt.Request, Attempt: attempt})
 }
 
-// ReportResponse tells of a worker node's answer to the request of an attempt.
-func (l *Table) ReportResponse(a *Attempt, status int) {
-	l.notify(Notification{Kind: ResponseReceived, Request: a.Request, Attempt: a, Status: status})
+// notify hands a notification to each observer. One that panics is removed.
+func (t *Table) notify(notification Notification) {
+	for i := 0; i < len(t.observers); i++ {
+		if t.notifyOne(t.observers[i], notification) {
+			continue
+		}
+		t.observers = append(t.observers[:i:i], t.observers[i+1:]...)
+		i--
+	}
 }
 
-// ReportWritten tells that the last byte of an attempt has left.
-func (l *Table) ReportWritten(a *Attempt) {
-	l.notify(Notification{Kind: AttemptWritten, Request: a.Request, Attempt: a})
+// notifyOne notifies one observer, and reports whether it did not panic.
+func (t *Table) notifyOne(observer Observer, notification Notification) (ok bool) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			t.logger.Error("observer panic: observer removed", "observer", fmt.Sprintf("%T", observer),
+				"panic", fmt.Sprint(cause), "stack", string(debug.Stack()))
+		}
+	}()
+	observer.Observe(notification)
+	return true
 }
--- a/internal/requests/outcome.go
+++ b/internal/requests/outcome.go
@@ -1,6 +1,6 @@
 package requests
 
-// Outcome is how an attempt or a query ended, in the protocol's words.
+// Outcome is how an attempt or a request ended, in the words that the metrics and the status call use.
 type Outcome string
 
 // The outcomes.
@@ -13,10 +13,13 @@
 	OutcomeTimedOut       Outcome = "timed out"
 )
 
-// Outcomes are all of them.
-var Outcomes = [...]Outcome{OutcomeServed, OutcomeError, OutcomeRejected, OutcomeConnectFailed, OutcomeConnectionLost, OutcomeTimedOut}
+// Outcomes lists all outcomes.
+var Outcomes = [...]Outcome{
+	OutcomeServed, OutcomeError, OutcomeRejected, OutcomeConnectFailed, OutcomeConnectionLost,
+	OutcomeTimedOut,
+}
 
-// isNotExecuted tells whether an outcome proves that nothing has run.
+// isNotExecuted reports whether an outcome shows that nothing was executed. The zero Outcome does: there was no attempt.
 func (o Outcome) isNotExecuted() bool {
 	return o == "" || o == OutcomeRejected || o == OutcomeConnectFailed
 }
--- a/internal/requests/policy.go
+++ b/internal/requests/policy.go
@@ -8,143 +8,149 @@
 	"valvecove/dispatch"
 )
 
-// FlushEvents has the module hear all that has come in, and tells whether nothing is left: what the module had not heard would
-// be lost with a hand-over.
-func (l *Table) FlushEvents(now time.Duration) bool {
-	for range 16 {
-		if len(l.pendingEvents) == 0 {
-			return true
-		}
-		l.Step(now)
-	}
-	return len(l.pendingEvents) == 0
-}
-
-// Policy makes the decisions; *logic.Dispatcher is the one that there is.
+// Policy decides where and when requests are sent. *dispatch.Dispatcher is one. A policy that panics is replaced.
 type Policy interface {
+	// Step takes the events since the step before, in order, and appends the actions that follow to dst. It retains neither
+	// slice.
 	Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action
 }
 
-// NextStep tells when Step wants to run at the latest; not ok: only when something has come in.
-func (l *Table) NextStep() (at time.Duration, ok bool) {
-	if l.awaitUntil > 0 {
-		return l.awaitUntil, true
+// maxFlushSteps bounds the steps of FlushEvents: a policy could answer each step with an action that leads to an event.
+const maxFlushSteps = 16
+
+// NextStep returns by when Step has to be called. ok is false if no call is necessary until something happens.
+func (t *Table) NextStep() (at time.Duration, ok bool) {
+	if t.awaitUntil > 0 {
+		return t.awaitUntil, true
 	}
-	if len(l.pendingEvents) > 0 {
+	if len(t.pendingEvents) > 0 {
 		return 0, true
 	}
-	at = l.policyTimer
-	if l.timeouts.Len() > 0 && (at == 0 || l.timeouts.First().At < at) {
-		at = l.timeouts.First().At
+	at = t.policyTimer
+	if t.timeouts.Len() > 0 && (at == 0 || t.timeouts.First().At < at) {
+		at = t.timeouts.First().At
 	}
 	return at, at > 0
 }
 
-// Wake has the next Step run the module though nothing has come in: it was told something by another way.
-func (l *Table) Wake() { l.pendingEvents = append(l.pendingEvents, dispatch.TimerFired{}) }
+// Wake has the next Step run the policy even if the table has no event for it. It is for a policy that has learned
+// something by another way.
+func (t *Table) Wake() { t.addEvent(dispatch.TimerFired{}) }
 
-// Step hands the module all that was gathered and carries out what it wants, in order. What the actions bring
-// about at once (a refused connection, say) waits for the next Step.
-func (l *Table) Step(now time.Duration) {
-	if l.awaitUntil > now {
+// Step ends attempts that are past their time, hands the policy the pending events, and carries out its actions in order.
+// An event that an action leads to at once, as a connection that fails, waits for the next Step. While requests wait for the
+// endpoint list, Step does nothing.
+func (t *Table) Step(now time.Duration) {
+	if t.awaitUntil > now {
 		return
 	}
-	if l.awaitUntil = 0; len(l.pendingEvents) > 0 {
-		l.deductWaitTime(now)
+	t.awaitUntil = 0
+	t.deductWaitTime(now)
+	t.logChanges(now)
+	t.expireAttempts(now)
+	if t.policyTimer > 0 && t.policyTimer <= now {
+		t.policyTimer = 0
+		t.addEvent(dispatch.TimerFired{})
 	}
-	if l.changes.any() {
-		l.logChanges(now)
+	if len(t.pendingEvents) > 0 {
+		t.runPolicy(now)
 	}
-	for l.timeouts.Len() > 0 && l.timeouts.First().At <= now {
-		a := l.timeouts.First()
-		if now >= a.Request.Deadline {
-			l.abandon(a, ReasonTimeout)
-			continue
+}
+
+// FlushEvents runs the policy until it knows all events, and reports whether it does: a pending event is no part of a
+// snapshot, and would be lost with a hot restart.
+func (t *Table) FlushEvents(now time.Duration) bool {
+	for range maxFlushSteps {
+		if len(t.pendingEvents) == 0 {
+			return true
 		}
-		l.timeouts.Remove(a) // the patience is over, and the query is not: another copy may be sent
-		a.At = a.Request.Deadline
-		l.timeouts.Add(a)
-		l.cancel(a, ReasonTimeout)
-	}
-	if l.policyTimer > 0 && l.policyTimer <= now {
-		l.policyTimer = 0
-		l.pendingEvents = append(l.pendingEvents, dispatch.TimerFired{})
+		t.Step(now)
 	}
-	if len(l.pendingEvents) == 0 {
-		return
-	}
-	events := l.pendingEvents
-	l.pendingEvents = l.eventBuffer[:0]
-	actions, ok := l.runPolicy(now, events)
+	return len(t.pendingEvents) == 0
+}
+
+// addEvent adds an event for the policy's next step.
+func (t *Table) addEvent(event dispatch.Event) { t.pendingEvents = append(t.pendingEvents, event) }
+
+// runPolicy hands the policy the pending events and carries out its actions.
+func (t *Table) runPolicy(now time.Duration) {
+	events := t.pendingEvents
+	t.pendingEvents = t.eventBuffer[:0]
+	actions, ok := t.decide(now, events)
 	clear(events)
-	l.eventBuffer = events[:0]
+	t.eventBuffer = events[:0]
 	if !ok {
 		return
 	}
-	for _, a := range actions {
-		l.execute(now, a)
+	for _, action := range actions {
+		t.execute(now, action)
 	}
 	clear(actions)
-	l.actionBuffer = actions[:0]
+	t.actionBuffer = actions[:0]
 }
 
-// runPolicy runs the module. Should it panic, what it knew can't be trusted any more: each open query gets its
-// final answer here, each attempt is given up, and a new module starts from the host group held.
-func (l *Table) runPolicy(now time.Duration, events []dispatch.Event) (actions []dispatch.Action, ok bool) {
+// decide returns the policy's actions. ok is false if the policy has panicked; it is replaced then.
+func (t *Table) decide(now time.Duration, events []dispatch.Event) (actions []dispatch.Action, ok bool) {
 	defer func() {
-		if p := recover(); p != nil {
-			l.logger.Error("module panic: it is started anew", "panic", fmt.Sprint(p), "failed", len(l.openByCallID),
+		if cause := recover(); cause != nil {
+			t.logger.Error("policy panic: policy restarted", "panic", fmt.Sprint(cause), "failed", len(t.openByCallID),
 				"stack", string(debug.Stack()))
-			l.restartPolicy()
+			t.restartPolicy()
 		}
 	}()
-	return l.policy.Step(now, events, l.actionBuffer[:0]), true
+	return t.policy.Step(now, events, t.actionBuffer[:0]), true
 }
 
-func (l *Table) restartPolicy() {
-	for _, q := range l.inAdmissionOrder() {
-		for _, a := range q.attempts {
-			if !a.ended {
-				l.abandon(a, ReasonCancelled)
+// restartPolicy replaces a policy whose state can't be trusted any more. All attempts are abandoned, each open request gets
+// its final response, and the new policy begins with the endpoint list that the table has.
+func (t *Table) restartPolicy() {
+	for _, request := range t.inAdmissionOrder() {
+		for _, attempt := range request.attempts {
+			if !attempt.HasEnded() {
+				t.abandon(attempt, ReasonCancelled)
 			}
 		}
-		l.closeWithoutPolicy(q)
+		t.closeWithoutPolicy(request)
 	}
-	l.policy, l.policyTimer, l.pendingEvents, l.actionBuffer = l.newPolicy(), 0, l.pendingEvents[:0], nil
-	l.pendingEvents = append(l.pendingEvents, l.knownState()...)
+	t.policy = t.newPolicy()
+	t.policyTimer = 0
+	t.actionBuffer = nil
+	t.pendingEvents = append(t.pendingEvents[:0], t.knownState()...)
 }
 
-func (l *Table) execute(now time.Duration, action dispatch.Action) {
-	switch a := action.(type) {
+// execute carries out one action of the policy. One about a request or an attempt that has ended has no effect.
+func (t *Table) execute(now time.Duration, action dispatch.Action) {
+	switch action := action.(type) {
 	case dispatch.Send:
-		l.startAttempt(now, a)
+		t.startAttempt(now, action)
 	case dispatch.Reject:
-		if q := l.requests[a.Job]; q != nil && !q.closed {
-			l.conclude(q, ResponseRejected)
-			q.responder.RespondRejected(a.RetryAfter)
+		if request := t.requests[action.Job]; request != nil {
+			t.reject(request, action.RetryAfter)
 		}
 	case dispatch.Fail:
-		if q := l.requests[a.Job]; q != nil && !q.closed {
-			l.conclude(q, ResponseFailed)
-			q.responder.RespondFailed()
+		if request := t.requests[action.Job]; request != nil {
+			t.fail(request)
 		}
 	case dispatch.Cancel:
-		if q := l.requests[a.Job]; q != nil && a.Attempt >= 0 && a.Attempt < len(q.attempts) {
-			if t := q.attempts[a.Attempt]; !t.ended {
-				l.cancel(t, ReasonCancelled)
-			}
+		if attempt := t.InFlightAttempt(action.Job, action.Attempt); attempt != nil {
+			t.cancel(attempt, ReasonCancelled)
 		}
 	case dispatch.HealthCheck:
-		l.transport.CheckHealth(a.Worker)
+		t.transport.CheckHealth(action.Worker)
 	case dispatch.CloseIdleConnections:
-		l.transport.CloseIdleConnections(a.Worker)
+		t.transport.CloseIdleConnections(action.Worker)
 	case dispatch.SetTimer:
-		if at := now + max(a.After, 1); l.policyTimer == 0 || at < l.policyTimer {
-			l.policyTimer = at
-		}
+		t.setPolicyTimer(now + max(action.After, 1))
 	case dispatch.Subscribe:
-		l.transport.Watch(l.revision)
+		t.WatchEndpoints()
 	case dispatch.Log:
-		l.logPolicyMessage(a.Text)
+		t.logPolicyMessage(action.Text)
+	}
+}
+
+// setPolicyTimer has the policy woken at an instant, unless it is woken before.
+func (t *Table) setPolicyTimer(at time.Duration) {
+	if t.policyTimer == 0 || at < t.policyTimer {
+		t.policyTimer = at
 	}
 }
--- a/internal/requests/snapshot.go
+++ b/internal/requests/snapshot.go
@@ -8,17 +8,21 @@
 	"valvecove/dispatch"
 )
 
-// State is what a ledger has besides queries.
+// The types of this file, Payload and Endpoint are handed to processes of other builds: the names in their tags and the
+// order of their fields are part of that form.
+
+// State is a table's serialisable state, without its requests.
 type State struct {
-	LastID      uint64        `json:"LastID"`
-	PolicyTimer time.Duration `json:"Timer"` // the module's; 0: none
+	LastID      uint64        `json:"LastID"` // of the requests
+	PolicyTimer time.Duration `json:"Timer"`  // 0: none
 	Revision    int64         `json:"Generation"`
-	Endpoints   []Endpoint    `json:"Hosts"`  // all that were ever listed
-	ListedIDs   []string      `json:"Listed"` // those that are listed now
-	CordonedIDs []string      `json:"Out"`    // those that are out by hand
+	Endpoints   []Endpoint    `json:"Hosts"`  // all that are remembered
+	ListedIDs   []string      `json:"Listed"` // those that are in the endpoint list
+	CordonedIDs []string      `json:"Out"`
 }
 
-// OpenRequest is a query that is owed an answer, or has attempts out.
+// OpenRequest is the serialisable state of a request that is owed a response or has attempts in flight. Its booleans and
+// Response stand for the state of the request.
 type OpenRequest struct {
 	ID              uint64        `json:"ID"`
 	CallID          string        `json:"Call"`
@@ -26,50 +30,110 @@
 	Job             dispatch.Job  `json:"Job"`
 	Deadline        time.Duration `json:"Deadline"`
 	ArrivedAt       time.Duration `json:"Came"`
-	FirstSentAt     time.Duration `json:"Sent"`
+	FirstSentAt     time.Duration `json:"Sent"` // 0: none of its attempts was started
 	Attempts        []OpenAttempt `json:"Attempts"`
 	EndedByCallback []string      `json:"Noted"`
-	Closed          bool          `json:"Closed"`
+	Closed          bool          `json:"Closed"` // it is owed no response
 	ClientLeft      bool          `json:"Left"`
-	Reported        bool          `json:"Over"`
+	Reported        bool          `json:"Over"` // the observers know that it has ended
 	Outcome         Outcome       `json:"Outcome"`
 	Response        Response      `json:"Answer"`
 }
 
-// OpenAttempt is one of its attempts, by number.
+// OpenAttempt is the serialisable state of an attempt of an open request. Its number is its place.
 type OpenAttempt struct {
 	Worker     uint64          `json:"Worker"`
 	EndpointID string          `json:"From"`
-	ExpiresAt  time.Duration   `json:"Until"` // it is waited for until then
+	ExpiresAt  time.Duration   `json:"Until"`
 	Stage      Stage           `json:"Stage"`
 	Started    bool            `json:"Sent"`
 	Ended      bool            `json:"Ended"`
-	Cancelling bool            `json:"Withdrawing"` // its worker node has not been told yet
+	Cancelling bool            `json:"Withdrawing"` // its worker has not confirmed yet
 	Result     dispatch.Result `json:"Outcome"`     // if it has ended
 }
 
-// Snapshot gives all that another process needs to go on.
-func (l *Table) Snapshot() (e State, open []OpenRequest) {
-	e = State{LastID: l.lastID, PolicyTimer: l.policyTimer, Revision: l.revision, CordonedIDs: l.Cordoned()}
-	for _, n := range slices.Sorted(maps.Keys(l.endpoints.byNumber)) {
-		h := l.endpoints.byNumber[n]
-		e.Endpoints = append(e.Endpoints, h)
-		if _, listed := l.listed[n]; listed {
-			e.ListedIDs = append(e.ListedIDs, h.ID)
-		}
+// Snapshot returns the state with which another process goes on, by TakeOver. Pending events are no part of it:
+// FlushEvents must have returned true. The payloads are shared with the table.
+func (t *Table) Snapshot() (State, []OpenRequest) {
+	state := State{
+		LastID:      t.lastID,
+		PolicyTimer: t.policyTimer,
+		Revision:    t.revision,
+		CordonedIDs: t.Cordoned(),
 	}
-	for _, q := range l.inAdmissionOrder() {
-		o := OpenRequest{
-			ID: q.ID, CallID: q.CallID, Payload: q.Payload, Job: q.Job, Deadline: q.Deadline, ArrivedAt: q.ArrivedAt, FirstSentAt: q.FirstSentAt,
-			EndedByCallback: q.endedByCallback, Closed: q.closed, ClientLeft: q.clientLeft, Reported: q.reported, Outcome: q.outcome, Response: q.response,
-		}
-		for _, a := range q.attempts {
-			o.Attempts = append(o.Attempts, OpenAttempt{
-				Worker: a.Worker, EndpointID: a.EndpointID, ExpiresAt: a.At, Stage: a.Stage, Started: a.started,
-				Ended: a.ended, Cancelling: a.cancelling, Result: a.result,
-			})
+	for _, worker := range slices.Sorted(maps.Keys(t.endpoints.byNumber)) {
+		endpoint := t.endpoints.byNumber[worker]
+		state.Endpoints = append(state.Endpoints, endpoint)
+		if _, isListed := t.listed[worker]; isListed {
+			state.ListedIDs = append(state.ListedIDs, endpoint.ID)
 		}
-		open = append(open, o)
 	}
-	return e, open
+	var open []OpenRequest
+	for _, request := range t.inAdmissionOrder() {
+		open = append(open, request.snapshot())
+	}
+	return state, open
+}
+
+func (r *Request) snapshot() OpenRequest {
+	open := OpenRequest{
+		ID:              r.ID,
+		CallID:          r.CallID,
+		Payload:         r.Payload,
+		Job:             r.Job,
+		Deadline:        r.Deadline,
+		ArrivedAt:       r.ArrivedAt,
+		FirstSentAt:     r.FirstSentAt,
+		EndedByCallback: r.endedByCallback,
+		Closed:          r.IsClosed(),
+		ClientLeft:      r.state == requestDisconnected,
+		Reported:        r.state == requestEnded,
+		Outcome:         r.outcome,
+		Response:        r.response,
+	}
+	for _, attempt := range r.attempts {
+		open.Attempts = append(open.Attempts, attempt.snapshot())
+	}
+	return open
+}
+
+func (a *Attempt) snapshot() OpenAttempt {
+	return OpenAttempt{
+		Worker:     a.Worker,
+		EndpointID: a.EndpointID,
+		ExpiresAt:  a.At,
+		Stage:      a.Stage,
+		Started:    a.state != attemptCreated && a.state != attemptNotStarted,
+		Ended:      a.HasEnded(),
+		Cancelling: a.state == attemptCancelling,
+		Result:     a.result,
+	}
+}
+
+// state is the state that the booleans of an open request stand for.
+func (o *OpenRequest) state() requestState {
+	switch {
+	case !o.Closed:
+		return requestOpen
+	case o.Reported:
+		return requestEnded
+	case o.ClientLeft:
+		return requestDisconnected
+	}
+	return requestResponded
+}
+
+// state is the state that the booleans of an open attempt stand for.
+func (o *OpenAttempt) state() attemptState {
+	switch {
+	case o.Ended && o.Started:
+		return attemptEnded
+	case o.Ended:
+		return attemptNotStarted
+	case o.Cancelling:
+		return attemptCancelling
+	case o.Started:
+		return attemptInFlight
+	}
+	return attemptCreated
 }
--- /dev/null
+++ b/internal/requests/state_test.go
@@ -0,0 +1,60 @@
+package requests
+
+import (
+	"slices"
+	"testing"
+)
+
+// A request leaves each state only for one that may follow, and a closed one is never open again.
+func TestRequest_StateTransitions(t *testing.T) {
+	states := []requestState{requestOpen, requestResponded, requestDisconnected, requestEnded}
+	allowed := map[requestState][]requestState{
+		requestOpen:         {requestResponded, requestDisconnected},
+		requestResponded:    {requestEnded},
+		requestDisconnected: {requestEnded},
+	}
+	for _, from := range states {
+		for _, next := range states {
+			request := &Request{state: from}
+			isAllowed := slices.Contains(allowed[from], next)
+			if request.become(next) != isAllowed || (request.state == next) != (isAllowed || from == next) {
+				t.Errorf("from %v to %v: now %v, allowed %v", from, next, request.state, isAllowed)
+			}
+		}
+	}
+}
+
+// An attempt leaves each state only for one that may follow, and one that has ended stays so.
+func TestAttempt_StateTransitions(t *testing.T) {
+	states := []attemptState{attemptCreated, attemptInFlight, attemptCancelling, attemptNotStarted, attemptEnded}
+	allowed := map[attemptState][]attemptState{
+		attemptCreated:    {attemptInFlight, attemptNotStarted},
+		attemptInFlight:   {attemptCancelling, attemptEnded},
+		attemptCancelling: {attemptInFlight, attemptEnded},
+	}
+	for _, from := range states {
+		for _, next := range states {
+			attempt := &Attempt{state: from}
+			isAllowed := slices.Contains(allowed[from], next)
+			if attempt.become(next) != isAllowed || (attempt.state == next) != (isAllowed || from == next) {
+				t.Errorf("from %v to %v: now %v, allowed %v", from, next, attempt.state, isAllowed)
+			}
+		}
+	}
+}
+
+// The booleans of the stored form stand for the states of requests and attempts.
+func TestSnapshot_KeepsStates(t *testing.T) {
+	for _, state := range []requestState{requestOpen, requestResponded, requestDisconnected, requestEnded} {
+		stored := (&Request{state: state}).snapshot()
+		if got := stored.state(); got != state {
+			t.Errorf("request %v: %+v, read as %v", state, stored, got)
+		}
+	}
+	for _, state := range []attemptState{attemptCreated, attemptInFlight, attemptCancelling, attemptNotStarted, attemptEnded} {
+		stored := (&Attempt{state: state}).snapshot()
+		if got := stored.state(); got != state {
+			t.Errorf("attempt %v: %+v, read as %v", state, stored, got)
+		}
+	}
+}
--- a/internal/requests/table.go
+++ b/internal/requests/table.go
@@ -8,62 +8,75 @@
 	"valvecove/internal/due"
 )
 
-// InFlightAttempt finds an attempt that is out.
-func (l *Table) InFlightAttempt(query uint64, number int) *Attempt {
-	if q := l.requests[query]; q != nil && number >= 0 && number < len(q.attempts) && !q.attempts[number].ended {
-		return q.attempts[number]
-	}
-	return nil
-}
-
-// Request finds a query that is not forgotten.
-func (l *Table) Request(id uint64) *Request { return l.requests[id] }
-
-// Table is one scheduler's memory. It is used by one goroutine.
+// Table is the table of requests and attempts of one scheduler.
 type Table struct {
-	maxAttempts int // at most so many attempts a query
+	maxAttempts int // of a request
 	names       NameTable
-	newPolicy   func() Policy
-	policy      Policy
 	transport   Transport
 	logger      *slog.Logger
-	changes     endpointChanges
-
-	observers []Observer
+	observers   []Observer
 
-	pendingEvents []dispatch.Event // not told yet
-	eventBuffer   []dispatch.Event
-	actionBuffer  []dispatch.Action
-	policyTimer   time.Duration // the module's; 0: none
+	newPolicy     func() Policy
+	policy        Policy
+	policyTimer   time.Duration // when the policy wants to be woken; 0: not
+	pendingEvents []dispatch.Event
+	eventBuffer   []dispatch.Event  // the buffer of the events that the policy had last
+	actionBuffer  []dispatch.Action // reused from step to step
 
 	lastID       uint64
-	payloadBytes int // of the bodies of queries
-	requests     map[uint64]*Request
-	openByCallID map[string]*Request // the open ones
+	payloadBytes int                 // of the bodies of all requests
+	requests     map[uint64]*Request // by ID
+	openByCallID map[string]*Request // those that are owed a response
 	inFlight     map[attemptKey]*Attempt
 	timeouts     due.Queue[*Attempt]
-	endpoints    endpointTable
-	revision     int64
-	awaitUntil   time.Duration              // queries wait for news of the host group until then; 0: they don't
-	listed       map[uint64]dispatch.Worker // the list as the module holds it
-	cordoned     map[uint64]bool            // hosts taken out by hand
+
+	endpoints  endpointTable
+	revision   int64                      // of the endpoint list; 0: discovery can't give the changes since
+	listed     map[uint64]dispatch.Worker // the endpoint list as the policy knows it
+	cordoned   map[uint64]bool
+	awaitUntil time.Duration // requests wait for the endpoint list until then; 0: they don't
+	changes    endpointChanges
 }
 
-// New returns a ledger that knows the host group as it was once seen. start makes a module that knows nothing. What
-// the module says, and what becomes of the host group, goes to the log.
-func New(tries int, names NameTable, start func() Policy, known EndpointList, carrier Transport, log *slog.Logger) *Table {
-	l := &Table{
-		maxAttempts: tries, names: names, newPolicy: start, policy: start(), transport: carrier, logger: log,
-		requests: map[uint64]*Request{}, openByCallID: map[string]*Request{}, inFlight: map[attemptKey]*Attempt{},
-		endpoints: endpointTable{map[string]uint64{}, map[uint64]Endpoint{}}, listed: map[uint64]dispatch.Worker{}, cordoned: map[uint64]bool{},
+// New returns a table without requests. maxAttempts bounds the attempts of a request; newPolicy makes a policy that knows
+// nothing; known is the endpoint list as the scheduler knew it last, and may be empty. The logger takes the policy's
+// messages and a summary of the changes of the endpoint list.
+func New(
+	maxAttempts int, names NameTable, newPolicy func() Policy, known EndpointList, transport Transport, logger *slog.Logger,
+) *Table {
+	table := &Table{
+		maxAttempts:  maxAttempts,
+		names:        names,
+		newPolicy:    newPolicy,
+		policy:       newPolicy(),
+		transport:    transport,
+		logger:       logger,
+		requests:     map[uint64]*Request{},
+		openByCallID: map[string]*Request{},
+		inFlight:     map[attemptKey]*Attempt{},
+		endpoints:    newEndpointTable(),
+		listed:       map[uint64]dispatch.Worker{},
+		cordoned:     map[uint64]bool{},
 	}
 	known.Reset = true
-	l.applyEndpoints(known, dispatch.ListCached)
-	return l
+	table.applyEndpoints(known, dispatch.ListCached)
+	return table
+}
+
+// Request returns the request of an ID, or nil if it is forgotten. A closed request is kept while an attempt is in flight.
+func (t *Table) Request(id uint64) *Request { return t.requests[id] }
+
+// InFlightAttempt returns an attempt of a request, or nil if it has ended or there is none.
+func (t *Table) InFlightAttempt(requestID uint64, number int) *Attempt {
+	request := t.requests[requestID]
+	if request == nil {
+		return nil
+	}
+	return request.inFlightAttempt(number)
 }
 
-// PayloadBytes counts what the bodies of queries take up, of those too that are answered and have attempts out.
-func (l *Table) PayloadBytes() int { return l.payloadBytes }
+// PayloadBytes is the total length of the bodies of all requests, also of the closed ones that have attempts in flight.
+func (t *Table) PayloadBytes() int { return t.payloadBytes }
 
-// OpenCount counts the queries that are owed an answer.
-func (l *Table) OpenCount() int { return len(l.openByCallID) }
+// OpenCount is the number of requests that are owed a response.
+func (t *Table) OpenCount() int { return len(t.openByCallID) }
--- a/internal/requests/table_test.go
+++ b/internal/requests/table_test.go
@@ -1,7 +1,7 @@
 package requests
 
 import (
-	"log/slog"
+	"errors"
 	"strconv"
 	"testing"
 	"time"
@@ -10,164 +10,261 @@
 	"valvecove/internal/steps"
 )
 
-// modelRequest is what the model knows of a query.
+// A request gets one response or has lost its client, every Send gets one outcome, and whatever comes late, twice or for
+// nobody changes nothing.
+func FuzzTable(f *testing.F) { steps.Fuzz(f, runTableModel) }
+
+// modelRequest is what the model knows of a request.
 type modelRequest struct {
 	request      *Request
 	responder    *countingResponder
 	disconnected bool
-	sends        int
 }
 
-// A query gets one answer or has lost its client, every Send one outcome, and whatever comes late, twice or for
-// nobody changes nothing.
-func FuzzTable(f *testing.F) { steps.Fuzz(f, runTableModel) }
+// tableModel puts a table through random steps, and checks it against what it knows itself.
+type tableModel struct {
+	*steps.Steps
+	policy    *steps.Script
+	transport *recordingTransport
+	table     *Table
+	now       time.Duration
+	requests  []*modelRequest
+}
 
-func runTableModel(s *steps.Steps) {
-	module, carried := &steps.Script{}, &recordingTransport{abandoned: map[*Attempt]bool{}, confirmed: map[*Attempt]bool{}}
-	l := New(4, NameTable{Classes: []string{"a"}}, func() Policy { return module }, EndpointList{Endpoints: []Endpoint{
-		{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}, {ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"},
-	}}, carried,
-		slog.New(slog.DiscardHandler))
-	now := time.Hour
-	var qs []*modelRequest
-	result := "r"
-	for s.More() {
-		now += time.Duration(s.Pick(200)) * time.Millisecond
-		var m *modelRequest
-		if len(qs) > 0 {
-			m = qs[s.Pick(len(qs))]
+func runTableModel(random *steps.Steps) {
+	model := &tableModel{Steps: random, policy: &steps.Script{}, transport: newRecordingTransport(), now: time.Hour}
+	model.table = newTestTable(model.policy, 2, model.transport)
+	for model.More() {
+		model.now += time.Duration(model.Pick(200)) * time.Millisecond
+		if hasPanicked := model.step(); hasPanicked {
+			return
 		}
-		act := func(a dispatch.Action) { module.Next = append(module.Next, a) }
-		switch what := s.Pick(14); {
-		case what == 0 || m == nil:
-			e := &countingResponder{}
-			q, err := l.Admit(now, Arrival{CallID: strconv.Itoa(len(qs)), Job: dispatch.Job{Remaining: time.Second}, Responder: e})
-			s.Check(err == nil, "a new id was refused: %v", err)
-			_, again := l.Admit(now, Arrival{CallID: q.CallID, Responder: e})
-			s.Check(again == ErrDuplicateCallID, "an open query's id was taken again")
-			qs = append(qs, &modelRequest{request: q, responder: e})
-			s.Did("take")
-		case what <= 3:
-			m.sends++
-			patience := time.Duration(s.Pick(3)) * 300 * time.Millisecond
-			act(dispatch.Send{Job: m.request.ID, Worker: hashID("s-" + strconv.Itoa(s.Pick(2))), AttemptTimeout: patience})
-			l.DiscoveryFailed() // something to step for
-			before := len(carried.started)
-			l.Step(now)
-			if len(carried.started) > before {
-				until := m.request.Deadline
-				if patience > 0 {
-					until = min(until, now+patience)
-				}
-				s.Check(carried.started[before].At == until, "patience not kept or not trimmed")
-			}
-			s.Did("send")
-		case what == 4:
-			act([]dispatch.Action{dispatch.Reject{Job: m.request.ID}, dispatch.Fail{Job: m.request.ID}}[s.Pick(2)])
-			s.Did("refuse or fail")
-		case what == 5:
-			act(dispatch.Cancel{Job: m.request.ID, Attempt: s.Pick(5)})
-			s.Did("cancel")
-		case what == 6:
-			m.disconnected = m.disconnected || m.responder.total() == 0
-			l.ClientDisconnected(m.request)
-			s.Did("gone")
-		case what == 7:
-			states := []string{"started", "running", "done", "failed", "returned", "lost"}
-			n := Callback{CallID: m.request.CallID, EndpointID: "s-" + strconv.Itoa(s.Pick(3)), State: states[s.Pick(6)], Result: &result}
-			_, err := l.HandleCallback(n)
-			s.Check(err == nil, "a sound note was refused")
-			s.Did(n.State)
-		case what == 8 && len(carried.started) > 0:
-			a := carried.started[s.Pick(len(carried.started))]
-			if stage := Stage(s.Pick(3)); !a.ended && a.Stage < StageAccepted {
-				a.Stage = stage
-			}
-			why := []Reason{ReasonConnectionLost, ReasonInvalidRequest}[s.Pick(2)]
-			open := !a.ended && !a.Request.closed
-			l.EndAttempt(a, nil, &AttemptError{Stage: a.Stage, Reason: why})
-			if why == ReasonInvalidRequest && open {
-				s.Check(a.Request.closed == (a.Request.inFlight == 0), "unusable at its last worker node, and not answered")
-			}
-			s.Did("end " + a.Stage.String())
-		case what == 9 && s.Pick(8) == 0:
-			// A new module knows no query: each must have its answer by the end of the step.
-			module.Panic, module.Next = true, nil
-			l.Step(now)
-			if !module.Panic {
-				s.Check(l.OpenCount() == 0, "%d queries without an answer after a panic", l.OpenCount())
-				for _, m := range qs {
-					s.Check(m.disconnected || m.responder.total() == 1, "%d answers after a panic", m.responder.total())
-				}
-				return
-			}
-			module.Panic = false
-		case what <= 11 && what > 9 && len(carried.started) > 0:
-			if a := carried.started[s.Pick(len(carried.started))]; !a.ended {
-				a.Stage = StageAccepted
-				if what == 11 {
-					act(dispatch.Cancel{Job: a.Request.ID, Attempt: a.Number})
-				}
-			}
-			s.Did("accept")
-		case what > 11 && len(carried.cancelling) > 0:
-			carried.completeCancel(l, what == 12)
-			s.Did("tell of a withdrawal")
+		model.table.Step(model.now)
+		model.checkAttempts()
+	}
+	model.expireAll()
+	model.checkResponses()
+	model.checkOutcomes()
+	model.Check(!model.transport.hasTwoAtOneWorker, "a worker had two attempts of a request at once")
+	table := model.table
+	remaining := len(table.requests) + len(table.openByCallID) + len(table.inFlight) + table.timeouts.Len()
+	model.Check(remaining == 0, "the table is not empty")
+}
+
+// step takes one random step, and reports whether the policy has panicked.
+func (m *tableModel) step() (hasPanicked bool) {
+	if len(m.requests) == 0 {
+		m.Pick(14)
+		m.admit()
+		return false
+	}
+	target := m.requests[m.Pick(len(m.requests))]
+	switch kind := m.Pick(14); kind {
+	case 0:
+		m.admit()
+	case 1, 2, 3:
+		m.send(target)
+	case 4:
+		job := target.request.ID
+		m.act([]dispatch.Action{dispatch.Reject{Job: job}, dispatch.Fail{Job: job}}[m.Pick(2)])
+		m.Did("reject or fail")
+	case 5:
+		m.act(dispatch.Cancel{Job: target.request.ID, Attempt: m.Pick(5)})
+		m.Did("cancel")
+	case 6:
+		target.disconnected = target.disconnected || target.responder.total() == 0
+		m.table.ClientDisconnected(target.request)
+		m.Did("disconnect")
+	case 7:
+		m.callBack(target)
+	case 8:
+		m.endAttempt()
+	case 9:
+		return m.Pick(8) == 0 && m.panicPolicy()
+	case 10, 11:
+		m.accept(kind == 11)
+	case 12, 13:
+		if len(m.transport.cancelling) > 0 {
+			m.transport.completeCancel(m.table, kind == 12)
+			m.Did("complete a cancellation")
 		}
-		l.Step(now)
-		for _, a := range carried.cancelling {
-			s.Check(a.Stage == StageAccepted, "an attempt that is %v is withdrawn by name", a.Stage)
+	}
+	return false
+}
+
+// act has the policy take an action at its next step.
+func (m *tableModel) act(action dispatch.Action) { m.policy.Next = append(m.policy.Next, action) }
+
+func (m *tableModel) admit() {
+	responder := &countingResponder{}
+	arrival := Arrival{CallID: strconv.Itoa(len(m.requests)), Job: dispatch.Job{Remaining: time.Second}, Responder: responder}
+	request, err := m.table.Admit(m.now, arrival)
+	m.Check(err == nil, "a new call id was rejected: %v", err)
+	_, err = m.table.Admit(m.now, arrival)
+	m.Check(errors.Is(err, ErrDuplicateCallID), "an open request's call id was admitted again")
+	m.requests = append(m.requests, &modelRequest{request: request, responder: responder})
+	m.Did("admit")
+}
+
+func (m *tableModel) send(target *modelRequest) {
+	timeout := time.Duration(m.Pick(3)) * 300 * time.Millisecond
+	worker := hashID("s-" + strconv.Itoa(m.Pick(2)))
+	m.act(dispatch.Send{Job: target.request.ID, Worker: worker, AttemptTimeout: timeout})
+	m.table.DiscoveryFailed() // something to step for
+	before := len(m.transport.started)
+	m.table.Step(m.now)
+	if len(m.transport.started) > before {
+		until := target.request.Deadline
+		if timeout > 0 {
+			until = min(until, m.now+timeout)
 		}
-		for _, a := range carried.started {
-			s.Check(!a.ended || a.Stage < StageAccepted || a.result != dispatch.Cancelled && a.result != dispatch.TimedOut ||
-				carried.confirmed[a] || a.Request.closed || now >= a.Request.Deadline,
-				"query %d: an accepted attempt is given up, and its worker node does not know", a.Request.ID)
-			s.Check(a.ended || !a.Request.closed || a.Stage >= StageWritten, "query %d is over, and may still be sent", a.Request.ID)
+		m.Check(m.transport.started[before].At == until, "attempt timeout not kept or not trimmed")
+	}
+	m.Did("send")
+}
+
+func (m *tableModel) callBack(target *modelRequest) {
+	result := "r"
+	endpoint := "s-" + strconv.Itoa(m.Pick(3))
+	state := []string{"started", "running", "done", "failed", "returned", "lost"}[m.Pick(6)]
+	callback := Callback{CallID: target.request.CallID, EndpointID: endpoint, State: state, Result: &result}
+	_, err := m.table.HandleCallback(callback)
+	m.Check(err == nil, "a valid callback was rejected")
+	m.Did(state)
+}
+
+// endAttempt has the transport end an attempt, perhaps once more.
+func (m *tableModel) endAttempt() {
+	if len(m.transport.started) == 0 {
+		return
+	}
+	attempt := m.transport.started[m.Pick(len(m.transport.started))]
+	if stage := Stage(m.Pick(3)); !attempt.HasEnded() && attempt.Stage < StageAccepted {
+		attempt.Stage = stage
+	}
+	reason := []Reason{ReasonConnectionLost, ReasonInvalidRequest}[m.Pick(2)]
+	request := attempt.Request
+	wasOpen := !attempt.HasEnded() && !request.IsClosed()
+	m.table.EndAttempt(attempt, nil, &AttemptError{Stage: attempt.Stage, Reason: reason})
+	if reason == ReasonInvalidRequest && wasOpen {
+		m.Check(request.IsClosed() == (request.inFlight == 0), "invalid at its last worker, and not closed")
+	}
+	m.Did("end " + attempt.Stage.String())
+}
+
+// accept has a worker accept an attempt, and perhaps the policy cancel it.
+func (m *tableModel) accept(cancel bool) {
+	if len(m.transport.started) == 0 {
+		return
+	}
+	attempt := m.transport.started[m.Pick(len(m.transport.started))]
+	if !attempt.HasEnded() {
+		attempt.Stage = StageAccepted
+		if cancel {
+			m.act(dispatch.Cancel{Job: attempt.Request.ID, Attempt: attempt.Number})
 		}
 	}
-	for range 3 { // past every deadline: attempts expire, the module fails what is left
-		now += 2 * time.Second
-		for _, m := range qs {
-			module.Next = append(module.Next, dispatch.Fail{Job: m.request.ID})
+	m.Did("accept")
+}
+
+// panicPolicy has the policy panic at its next step, and reports whether it had one. A new policy knows no request: each must
+// have its response by the end of the step.
+func (m *tableModel) panicPolicy() bool {
+	m.policy.Panic, m.policy.Next = true, nil
+	m.table.Step(m.now)
+	if m.policy.Panic {
+		m.policy.Panic = false
+		return false
+	}
+	m.Check(m.table.OpenCount() == 0, "%d requests without a response after a panic", m.table.OpenCount())
+	for _, r := range m.requests {
+		m.Check(r.disconnected || r.responder.total() == 1, "%d responses after a panic", r.responder.total())
+	}
+	return true
+}
+
+// checkAttempts checks after each step that no attempt may be executed without need.
+func (m *tableModel) checkAttempts() {
+	for _, attempt := range m.transport.cancelling {
+		m.Check(attempt.Stage == StageAccepted, "an attempt that is %v is cancelled at its worker", attempt.Stage)
+	}
+	for _, attempt := range m.transport.started {
+		request := attempt.Request
+		isGivenUp := attempt.HasEnded() && attempt.Stage >= StageAccepted &&
+			(attempt.result == dispatch.Cancelled || attempt.result == dispatch.TimedOut)
+		m.Check(!isGivenUp || m.transport.confirmed[attempt] || request.IsClosed() || m.now >= request.Deadline,
+			"request %d: an accepted attempt is given up, and its worker was not notified", request.ID)
+		m.Check(attempt.HasEnded() || !request.IsClosed() || attempt.Stage >= StageWritten,
+			"request %d is closed, and may still be sent", request.ID)
+	}
+}
+
+// expireAll steps past every deadline: attempts expire, and the policy fails what is left.
+func (m *tableModel) expireAll() {
+	for range 3 {
+		m.now += 2 * time.Second
+		for _, r := range m.requests {
+			m.act(dispatch.Fail{Job: r.request.ID})
 		}
-		l.UpdateEndpoints(EndpointList{})
-		l.Step(now)
-	}
-	checkOutcomes(s, qs, module.Heard, carried)
-	s.Check(!carried.hasTwoAtOneWorker, "a worker node had two attempts of a query at once")
-	s.Check(len(l.requests)+len(l.openByCallID)+len(l.inFlight)+l.timeouts.Len() == 0, "the ledger still holds something")
-}
-
-// checkOutcomes checks what was heard against what was done.
-func checkOutcomes(s *steps.Steps, qs []*modelRequest, heard []dispatch.Event, carried *recordingTransport) {
-	outcomes := map[[2]uint64]dispatch.Outcome{}
-	for _, e := range heard {
-		if o, ok := e.(dispatch.Outcome); ok {
-			key := [2]uint64{o.Job, uint64(o.Attempt)}
-			_, twice := outcomes[key]
-			s.Check(!twice || o.Result == dispatch.NotSent, "two outcomes for query %d attempt %d", o.Job, o.Attempt)
-			if !twice { // a Send for a query that has ended has no number of its own
-				outcomes[key] = o
-			}
+		m.table.UpdateEndpoints(EndpointList{})
+		m.table.Step(m.now)
+	}
+}
+
+// checkResponses checks that each request got one response, or has lost its client and got none.
+func (m *tableModel) checkResponses() {
+	for _, r := range m.requests {
+		want := 1
+		if r.disconnected {
+			want = 0
 		}
+		m.Check(r.responder.total() == want, "%d responses, disconnected %v", r.responder.total(), r.disconnected)
 	}
-	for _, m := range qs {
-		s.Check(m.disconnected && m.responder.total() == 0 || !m.disconnected && m.responder.total() == 1, "%d answers, gone %v", m.responder.total(), m.disconnected)
-		for n := range m.request.attempts {
-			o, ok := outcomes[[2]uint64{m.request.ID, uint64(n)}]
-			s.Check(ok, "no outcome for query %d attempt %d", m.request.ID, n)
-			s.Check(o.Result != dispatch.OK || o.Closed, "served, and not closed")
+}
+
+// attemptID names an attempt by its request and number.
+type attemptID struct {
+	job    uint64
+	number int
+}
+
+// outcomes returns the outcomes that the policy has received, and checks that there is one for each attempt.
+func (m *tableModel) outcomes() map[attemptID]dispatch.Outcome {
+	outcomes := map[attemptID]dispatch.Outcome{}
+	for _, event := range m.policy.Heard {
+		outcome, isOutcome := event.(dispatch.Outcome)
+		if !isOutcome {
+			continue
+		}
+		id := attemptID{outcome.Job, outcome.Attempt}
+		_, isSecond := outcomes[id]
+		m.Check(!isSecond || outcome.Result == dispatch.NotSent, "two outcomes for request %d attempt %d", id.job, id.number)
+		if !isSecond { // a Send for a request that has ended has no number of its own
+			outcomes[id] = outcome
 		}
 	}
-	for _, a := range carried.started {
-		o := outcomes[[2]uint64{a.Request.ID, uint64(a.Number)}]
-		timedOut := o.Result == dispatch.TimedOut || o.Result == dispatch.Cancelled
-		recalled := o.Result == dispatch.NotSent && o.Closed && a.Stage < StageWritten
-		given := carried.abandoned[a] || carried.confirmed[a]
-		s.Check(!timedOut || given, "result %v, and the worker node was not told", o.Result)
-		s.Check(!given || timedOut || recalled, "result %v, stage %v, and the worker node was told", o.Result, a.Stage)
-		if o.Result == dispatch.ConnectFailed {
-			s.Check(a.Stage < StageWritten, "could not connect, though %v", a.Stage)
+	return outcomes
+}
+
+// checkOutcomes checks what the policy has received against what the transport was asked for.
+func (m *tableModel) checkOutcomes() {
+	outcomes := m.outcomes()
+	for _, r := range m.requests {
+		for number := range r.request.attempts {
+			outcome, known := outcomes[attemptID{r.request.ID, number}]
+			m.Check(known, "no outcome for request %d attempt %d", r.request.ID, number)
+			m.Check(outcome.Result != dispatch.OK || outcome.Closed, "served, and not closed")
 		}
 	}
+	for _, attempt := range m.transport.started {
+		outcome := outcomes[attemptID{attempt.Request.ID, attempt.Number}]
+		isGivenUp := outcome.Result == dispatch.TimedOut || outcome.Result == dispatch.Cancelled
+		isUnwritten := outcome.Result == dispatch.NotSent && outcome.Closed && attempt.Stage < StageWritten
+		isNotified := m.transport.abandoned[attempt] || m.transport.confirmed[attempt]
+		m.Check(!isGivenUp || isNotified, "result %v, and the worker was not notified", outcome.Result)
+		m.Check(!isNotified || isGivenUp || isUnwritten,
+			"result %v, stage %v, and the worker was notified", outcome.Result, attempt.Stage)
+		m.Check(outcome.Result != dispatch.ConnectFailed || attempt.Stage < StageWritten,
+			"could not connect, though %v", attempt.Stage)
+	}
 }
--- a/internal/requests/takeover.go
+++ b/internal/requests/takeover.go
@@ -6,109 +6,150 @@
 	"valvecove/dispatch"
 )
 
-// TakeOver goes on with what another process had. It has none of its own yet. askers are those that wait for answers, by
-// query; module makes the module that goes on, and is called once the observers have heard of the queries. Where it gives
-// nil, the one that is there is told of the queries and what became of their attempts so far.
-func (l *Table) TakeOver(now time.Duration, e State, open []OpenRequest, askers map[uint64]Responder, module func() Policy) {
-	l.awaitUntil = 0
-	listed := map[string]bool{}
-	for _, id := range e.ListedIDs {
-		listed[id] = true
+// TakeOver goes on with what Snapshot gave in another process; the table must have no requests of its own. responders has
+// those of the open requests by ID: a request without one has lost its client's connection, and its response is dropped.
+//
+// newPolicy makes the policy that goes on, and is called once the observers know the requests. If it returns nil, the
+// policy that the table has goes on, and gets the requests and their attempts as events.
+func (t *Table) TakeOver(
+	now time.Duration, state State, open []OpenRequest, responders map[uint64]Responder, newPolicy func() Policy,
+) {
+	t.awaitUntil = 0
+	t.restoreEndpoints(state)
+	t.SetCordoned(state.CordonedIDs)
+	t.lastID = max(t.lastID, state.LastID)
+	for i := range open {
+		t.restoreRequest(&open[i], responders[open[i].ID])
 	}
-	group := EndpointList{Revision: e.Revision, Reset: true}
-	for _, h := range e.Endpoints {
-		if h.ID == "" {
+	t.policyTimer = state.PolicyTimer
+	t.pendingEvents = t.pendingEvents[:0]
+	policy := newPolicy()
+	t.pendingEvents = append(t.pendingEvents, t.knownState()...)
+	if policy != nil {
+		t.policy = policy
+	} else {
+		t.policyTimer = max(1, now) // the policy may have asked for a timer: it is woken too early rather than never
+		t.pendingEvents = append(t.pendingEvents, t.resumedJobs(now)...)
+	}
+	t.resumeCancellations()
+}
+
+// restoreEndpoints enters the endpoints that another process knew. Its list holds here too if it is newer.
+func (t *Table) restoreEndpoints(state State) {
+	isListed := map[string]bool{}
+	for _, id := range state.ListedIDs {
+		isListed[id] = true
+	}
+	list := EndpointList{Revision: state.Revision, Reset: true}
+	for _, endpoint := range state.Endpoints {
+		if endpoint.ID == "" {
 			continue
 		}
-		if _, known := l.endpoints.numbers[h.ID]; !known {
-			l.endpoints.byNumber[l.endpoints.assignNumber(h.ID)] = h
+		if _, known := t.endpoints.numbers[endpoint.ID]; !known {
+			t.endpoints.byNumber[t.endpoints.assignNumber(endpoint.ID)] = endpoint
 		}
-		if listed[h.ID] {
-			group.Endpoints = append(group.Endpoints, h)
+		if isListed[endpoint.ID] {
+			list.Endpoints = append(list.Endpoints, endpoint)
 		}
 	}
-	if e.Revision > l.revision { // drains that only the other has heard of hold here too
-		l.applyEndpoints(group, dispatch.ListFull)
+	if state.Revision > t.revision {
+		t.applyEndpoints(list, dispatch.ListFull)
 	}
-	l.SetCordoned(e.CordonedIDs)
-	l.lastID = max(l.lastID, e.LastID)
-	for _, o := range open {
-		l.restoreRequest(o, askers[o.ID])
+}
+
+// restoreRequest enters a request of another process, and notifies the observers as if it had been admitted here.
+func (t *Table) restoreRequest(open *OpenRequest, responder Responder) {
+	if responder == nil {
+		responder = absentClient{}
 	}
-	defer l.resumeCancellations()
-	l.policyTimer, l.pendingEvents = e.PolicyTimer, l.pendingEvents[:0]
-	if m := module(); m != nil {
-		l.policy = m
-		l.pendingEvents = append(l.pendingEvents, l.knownState()...)
-		return
+	request := &Request{
+		ID:              open.ID,
+		CallID:          open.CallID,
+		Payload:         open.Payload,
+		Job:             open.Job,
+		Deadline:        open.Deadline,
+		ArrivedAt:       open.ArrivedAt,
+		FirstSentAt:     open.FirstSentAt,
+		state:           open.state(),
+		responder:       responder,
+		response:        open.Response,
+		endedByCallback: open.EndedByCallback,
+		outcome:         open.Outcome,
 	}
-	l.policyTimer = max(1, now) // the module that is there has asked for its own, and is woken too early rather than never
-	l.pendingEvents = append(l.pendingEvents, l.knownState()...)
-	for _, q := range l.inAdmissionOrder() {
-		if q.closed {
-			continue
-		}
-		job := q.Job
-		job.Remaining = max(0, q.Deadline-now)
-		r := dispatch.JobResumed{Job: job, Age: now - q.ArrivedAt, QuotaCharged: true}
-		for _, a := range q.attempts {
-			r.Attempts = append(r.Attempts, dispatch.PastAttempt{Worker: a.Worker, SentAgo: now - max(q.ArrivedAt, q.FirstSentAt), Ended: a.ended, Result: a.result})
-		}
-		l.pendingEvents = append(l.pendingEvents, r)
+	t.requests[request.ID] = request
+	t.payloadBytes += len(request.Payload.Body)
+	if !request.IsClosed() {
+		t.openByCallID[request.CallID] = request
+		t.notify(Notification{Kind: RequestAdmitted, Request: request})
+	}
+	for i := range open.Attempts {
+		t.restoreAttempt(request, &open.Attempts[i])
 	}
 }
 
-// restoreRequest enters one query.
-func (l *Table) restoreRequest(o OpenRequest, asker Responder) {
-	q := &Request{
-		ID: o.ID, CallID: o.CallID, Payload: o.Payload, Job: o.Job, Deadline: o.Deadline, ArrivedAt: o.ArrivedAt, FirstSentAt: o.FirstSentAt,
-		responder: asker, endedByCallback: o.EndedByCallback, closed: o.Closed, clientLeft: o.ClientLeft, reported: o.Reported, outcome: o.Outcome, response: o.Response,
+// restoreAttempt enters the next attempt of a request.
+func (t *Table) restoreAttempt(request *Request, open *OpenAttempt) {
+	attempt := &Attempt{
+		Request:      request,
+		Number:       len(request.attempts),
+		Worker:       open.Worker,
+		EndpointID:   open.EndpointID,
+		Stage:        open.Stage,
+		state:        open.state(),
+		result:       open.Result,
+		cancelReason: ReasonCancelled,
 	}
-	if asker == nil && !q.closed { // its link did not come along, so nobody waits for it
-		q.responder = absentClient{}
+	attempt.At = open.ExpiresAt
+	attempt.ambiguousCallbacks = request.hasAmbiguousCallbacks(attempt)
+	request.attempts = append(request.attempts, attempt)
+	if attempt.HasEnded() {
+		return
 	}
-	l.requests[q.ID] = q
-	l.payloadBytes += len(q.Payload.Body)
-	if !q.closed {
-		l.openByCallID[q.CallID] = q
-		l.notify(Notification{Kind: RequestAdmitted, Request: q})
+	request.inFlight++
+	t.inFlight[attempt.key()] = attempt
+	t.timeouts.Add(attempt)
+	if attempt.state != attemptCreated {
+		t.notify(Notification{Kind: AttemptStarted, Request: request, Attempt: attempt})
 	}
-	for i, x := range o.Attempts {
-		a := &Attempt{
-			Request: q, Number: i, Worker: x.Worker, EndpointID: x.EndpointID, Stage: x.Stage, started: x.Started, ended: x.Ended,
-			result: x.Result, cancelling: x.Cancelling, cancelReason: ReasonCancelled,
-		}
-		a.At = x.ExpiresAt
-		a.ambiguousCallbacks = q.hasAmbiguousCallbacks(a)
-		q.attempts = append(q.attempts, a)
-		if a.ended {
+}
+
+// resumedJobs has the events by which a policy learns of the open requests of another process and of their attempts.
+func (t *Table) resumedJobs(now time.Duration) []dispatch.Event {
+	var events []dispatch.Event
+	for _, request := range t.inAdmissionOrder() {
+		if request.IsClosed() {
 			continue
 		}
-		q.inFlight++
-		l.inFlight[attemptKey{q.CallID, a.EndpointID}] = a
-		l.timeouts.Add(a)
-		if a.started {
-			l.notify(Notification{Kind: AttemptStarted, Request: q, Attempt: a})
+		job := request.Job
+		job.Remaining = max(0, request.Deadline-now)
+		resumed := dispatch.JobResumed{Job: job, Age: now - request.ArrivedAt, QuotaCharged: true}
+		for _, attempt := range request.attempts {
+			resumed.Attempts = append(resumed.Attempts, dispatch.PastAttempt{
+				Worker:  attempt.Worker,
+				SentAgo: now - max(request.ArrivedAt, request.FirstSentAt),
+				Ended:   attempt.HasEnded(),
+				Result:  attempt.result,
+			})
 		}
+		events = append(events, resumed)
 	}
+	return events
 }
 
-// resumeCancellations goes on with what the other process was about to tell worker nodes.
-func (l *Table) resumeCancellations() {
-	for _, q := range l.inAdmissionOrder() {
-		for _, a := range q.attempts {
-			if a.cancelling {
-				l.transport.Cancel(a)
+// resumeCancellations goes on with the cancellations that the other process had begun.
+func (t *Table) resumeCancellations() {
+	for _, request := range t.inAdmissionOrder() {
+		for _, attempt := range request.attempts {
+			if attempt.state == attemptCancelling {
+				t.transport.Cancel(attempt)
 			}
 		}
 	}
 }
 
-// absentClient stands for a client that nobody can answer.
+// absentClient is the responder of a request whose client can't be reached.
 type absentClient struct{}
 
-func (absentClient) RespondResult([]byte) {}
-
+func (absentClient) RespondResult([]byte)          {}
 func (absentClient) RespondRejected(time.Duration) {}
-
-func (absentClient) RespondFailed() {}
+func (absentClient) RespondFailed()                {}
--- a/internal/requests/transport.go
+++ b/internal/requests/transport.go
@@ -7,127 +7,178 @@
 	"valvecove/dispatch"
 )
 
-// Transport is the side that reaches the worker nodes.
+// Transport reaches the workers and discovery. Its methods do not block; they may call the table back at once.
 type Transport interface {
-	Start(a *Attempt)   // starts it; its end is told by End or by a Note
-	Abandon(a *Attempt) // it has ended here, and the worker node should know
-	Cancel(a *Attempt)  // it was accepted, and ends once its worker node is told; Withdrawn says so
+	// Start sends an attempt to its worker and sets its stage as it goes on. Its end is passed to EndAttempt, or comes
+	// with a callback.
+	Start(attempt *Attempt)
+	// Abandon lets the worker know that an attempt has ended here.
+	Abandon(attempt *Attempt)
+	// Cancel asks the worker to stop an accepted attempt, which ends once the worker confirms. CancelCompleted
+	// takes the result.
+	Cancel(attempt *Attempt)
+	// CheckHealth checks whether a worker can be connected to. HealthChecked takes the result.
 	CheckHealth(worker uint64)
+	// CloseIdleConnections closes the idle connections to a worker.
 	CloseIdleConnections(worker uint64)
-	Watch(after int64) // follow the host group from this generation on
+	// Watch follows the changes of the endpoint list after a revision. They are passed to UpdateEndpoints, a failure
+	// to DiscoveryFailed.
+	Watch(after int64)
 }
 
-// abandonUnwritten ends the attempts of a closed query that are not wholly written: nothing is sent on for which nobody waits, and
-// what is on its way would be, once a connection that comes up late is there or takes in more.
-func (l *Table) abandonUnwritten(q *Request) {
-	for _, a := range q.attempts {
-		if !a.ended && a.Stage < StageWritten {
-			l.abandon(a, ReasonNotSent)
-		}
+// startAttempt carries out the policy's wish to send a request to a worker. Each such wish leads to one outcome, also if
+// it may not be followed.
+func (t *Table) startAttempt(now time.Duration, send dispatch.Send) {
+	request := t.requests[send.Job]
+	if request == nil { // it has ended with nothing in flight
+		t.addEvent(dispatch.Outcome{Job: send.Job, Worker: send.Worker, Result: dispatch.NotSent, Closed: true})
+		return
 	}
-}
-
-// EndAttempt ends an attempt: fault nil means served, and the first such result answers the client. Each attempt ends
-// once, and whatever comes later is void.
-func (l *Table) EndAttempt(a *Attempt, got []byte, fault *AttemptError) {
-	if a.ended {
+	attempt := &Attempt{
+		Request:    request,
+		Number:     len(request.attempts),
+		Worker:     send.Worker,
+		EndpointID: t.endpoints.byNumber[send.Worker].ID,
+	}
+	request.attempts = append(request.attempts, attempt)
+	request.inFlight++
+	attempt.At = request.Deadline
+	if send.AttemptTimeout > 0 {
+		attempt.At = min(attempt.At, now+send.AttemptTimeout)
+	}
+	switch {
+	case !t.mayStart(now, attempt):
+		t.EndAttempt(attempt, nil, &AttemptError{Reason: ReasonNotSent})
+		return
+	case send.AttemptTimeout < 0:
+		t.EndAttempt(attempt, nil, &AttemptError{Reason: ReasonTimeout})
 		return
 	}
-	q := a.Request
-	a.ended, a.result, a.cancelling = true, resultOf(fault), false
-	q.inFlight--
-	l.timeouts.Remove(a)
-	if k := (attemptKey{q.CallID, a.EndpointID}); l.inFlight[k] == a {
-		delete(l.inFlight, k)
-	}
-	if a.started {
-		q.mergeOutcome(fault.Outcome())
-		l.notify(Notification{Kind: AttemptEnded, Request: q, Attempt: a, Err: fault})
-	}
-	if fault == nil && !q.closed {
-		l.conclude(q, ResponseResult)
-		q.responder.RespondResult(got)
-	}
-	// What one worker node can't use none can: sent on, it would cost each of them, and each would look as if it
-	// failed. The query ends here, and the module hears of an attempt that says nothing of the worker node.
-	if fault != nil && fault.Reason == ReasonInvalidRequest && !q.closed && q.inFlight == 0 {
-		l.conclude(q, ResponseFailed)
-		q.responder.RespondFailed()
-	}
-	l.pendingEvents = append(l.pendingEvents, dispatch.Outcome{
-		Job: q.ID, Attempt: a.Number, Worker: a.Worker,
-		Result: a.result, Closed: q.closed,
-	})
-	l.forgetIfDone(q)
+	t.inFlight[attempt.key()] = attempt
+	t.timeouts.Add(attempt)
+	if request.FirstSentAt == 0 {
+		request.FirstSentAt = now
+	}
+	attempt.become(attemptInFlight)
+	attempt.ambiguousCallbacks = request.hasAmbiguousCallbacks(attempt)
+	t.notify(Notification{Kind: AttemptStarted, Request: request, Attempt: attempt})
+	t.transport.Start(attempt)
 }
 
-// HealthChecked ends a probe.
-func (l *Table) HealthChecked(worker uint64, fault *AttemptError) {
-	l.pendingEvents = append(l.pendingEvents, dispatch.HealthChecked{Worker: worker, Result: resultOf(fault)})
+// mayStart reports whether the rules allow an attempt. Its request must be open, with time and attempts remaining, and its
+// endpoint must not be cordoned. An endpoint that has an attempt of the request in flight gets no second one. Nor does one whose
+// callback has ended an earlier attempt: callbacks are repeated and name no attempt, so a repeated one would end this one,
+// and the request would be sent elsewhere while it runs.
+func (t *Table) mayStart(now time.Duration, attempt *Attempt) bool {
+	request := attempt.Request
+	if request.IsClosed() || now >= request.Deadline || attempt.Number >= t.maxAttempts {
+		return false
+	}
+	if t.inFlight[attempt.key()] != nil || t.cordoned[attempt.Worker] {
+		return false
+	}
+	return !slices.Contains(request.endedByCallback, attempt.EndpointID)
 }
 
-func (l *Table) startAttempt(now time.Duration, s dispatch.Send) {
-	q := l.requests[s.Job]
-	if q == nil { // it has ended with nothing out; still, each Send gets its outcome
-		l.pendingEvents = append(l.pendingEvents, dispatch.Outcome{Job: s.Job, Worker: s.Worker, Result: dispatch.NotSent, Closed: true})
+// EndAttempt ends an attempt. failure is nil if it was served: the first result of a request is its response, and result is
+// then passed on. An attempt ends once; a later call has no effect.
+func (t *Table) EndAttempt(attempt *Attempt, result []byte, failure *AttemptError) {
+	if !attempt.end() {
 		return
 	}
-	a := &Attempt{Request: q, Number: len(q.attempts), Worker: s.Worker, EndpointID: l.endpoints.byNumber[s.Worker].ID}
-	q.attempts = append(q.attempts, a)
-	q.inFlight++
-	// Patience is trimmed to the deadline.
-	if a.At = q.Deadline; s.AttemptTimeout > 0 {
-		a.At = min(a.At, now+s.AttemptTimeout)
+	request := attempt.Request
+	attempt.result = failure.result()
+	request.inFlight--
+	t.timeouts.Remove(attempt)
+	if key := attempt.key(); t.inFlight[key] == attempt {
+		delete(t.inFlight, key)
+	}
+	if attempt.state == attemptEnded {
+		request.mergeOutcome(failure.Outcome())
+		t.notify(Notification{Kind: AttemptEnded, Request: request, Attempt: attempt, Err: failure})
 	}
-	key := attemptKey{q.CallID, a.EndpointID}
 	switch {
-	case q.closed || now >= q.Deadline || a.Number >= l.maxAttempts || l.inFlight[key] != nil || l.cordoned[s.Worker] ||
-		slices.Contains(q.endedByCallback, a.EndpointID):
-		// Over, out of time or of tries; or the worker node has one of this query, and gets no second. Nor does one
-		// whose note ended an earlier one: notes are told until they are answered and name no attempt, so that note
-		// told again would end this one, and what never ran by it would be sent elsewhere while it runs.
-		l.EndAttempt(a, nil, &AttemptError{Reason: ReasonNotSent})
-	case s.AttemptTimeout < 0:
-		l.EndAttempt(a, nil, &AttemptError{Reason: ReasonTimeout})
-	default:
-		l.inFlight[key] = a
-		l.timeouts.Add(a)
-		if q.FirstSentAt == 0 {
-			q.FirstSentAt = now
+	case failure == nil:
+		t.serve(request, result)
+	case failure.Reason == ReasonInvalidRequest && request.inFlight == 0:
+		// No other worker could execute it either, and each would look as if it failed. The policy
+		// gets a result that says nothing about the worker.
+		t.fail(request)
+	}
+	t.addEvent(dispatch.Outcome{
+		Job:     request.ID,
+		Attempt: attempt.Number,
+		Worker:  attempt.Worker,
+		Result:  attempt.result,
+		Closed:  request.IsClosed(),
+	})
+	t.forgetIfDone(request)
+}
+
+// expireAttempts ends the attempts whose requests are past their deadline, and cancels those that are past their own timeout
+// only: another attempt may follow them.
+func (t *Table) expireAttempts(now time.Duration) {
+	for t.timeouts.Len() > 0 && t.timeouts.First().At <= now {
+		attempt := t.timeouts.First()
+		deadline := attempt.Request.Deadline
+		if now >= deadline {
+			t.abandon(attempt, ReasonTimeout)
+			continue
 		}
-		a.started = true
-		a.ambiguousCallbacks = q.hasAmbiguousCallbacks(a)
-		l.notify(Notification{Kind: AttemptStarted, Request: q, Attempt: a})
-		l.transport.Start(a)
+		t.timeouts.Remove(attempt)
+		attempt.At = deadline
+		t.timeouts.Add(attempt)
+		t.cancel(attempt, ReasonTimeout)
 	}
 }
 
-// abandon ends an attempt from this side and lets the worker node know.
-func (l *Table) abandon(a *Attempt, why Reason) {
-	l.EndAttempt(a, nil, &AttemptError{Stage: a.Stage, Reason: why})
-	l.transport.Abandon(a)
+// abandonUnwritten ends the attempts of a closed request that are not completely written, so that nothing is sent for which
+// nobody waits.
+func (t *Table) abandonUnwritten(request *Request) {
+	for _, attempt := range request.attempts {
+		if !attempt.HasEnded() && attempt.Stage < StageWritten {
+			t.abandon(attempt, ReasonNotSent)
+		}
+	}
 }
 
-// cancel ends an attempt from this side of a query that may be sent on. An accepted one ends only once its worker node is
-// told: a copy sent before would be a second one. It stays out until then, and its notes count.
-func (l *Table) cancel(a *Attempt, why Reason) {
-	switch {
-	case a.cancelling:
-	case a.Stage < StageAccepted || a.Request.closed:
-		l.abandon(a, why)
-	default:
-		a.cancelling, a.cancelReason = true, why
-		l.transport.Cancel(a)
+// abandon ends an attempt from this side, and lets its worker know.
+func (t *Table) abandon(attempt *Attempt, reason Reason) {
+	t.EndAttempt(attempt, nil, &AttemptError{Stage: attempt.Stage, Reason: reason})
+	t.transport.Abandon(attempt)
+}
+
+// cancel ends an attempt from this side when its request may be sent elsewhere. If it was accepted, it ends only once its
+// worker has confirmed: an attempt elsewhere before that would be a second execution. Until then it is in flight, and callbacks
+// about it count.
+func (t *Table) cancel(attempt *Attempt, reason Reason) {
+	if attempt.state == attemptCancelling {
+		return
+	}
+	if attempt.Stage < StageAccepted || attempt.Request.IsClosed() {
+		t.abandon(attempt, reason)
+		return
+	}
+	if attempt.become(attemptCancelling) {
+		attempt.cancelReason = reason
+		t.transport.Cancel(attempt)
 	}
 }
 
-// CancelCompleted tells what came of a withdrawal. With told, the attempt has been given up. Without, its worker node could not
-// be reached: it is out as before, to its query's deadline at most, and may be withdrawn again.
-func (l *Table) CancelCompleted(a *Attempt, told bool) {
-	if !a.cancelling {
+// CancelCompleted takes the result of Transport.Cancel. If the worker has confirmed, the attempt ends. Else it is in flight as
+// before, until the deadline of its request at most, and may be cancelled again.
+func (t *Table) CancelCompleted(attempt *Attempt, confirmed bool) {
+	if attempt.state != attemptCancelling {
 		return
 	}
-	if a.cancelling = false; told {
-		l.EndAttempt(a, nil, &AttemptError{Stage: a.Stage, Reason: a.cancelReason})
+	if confirmed {
+		t.EndAttempt(attempt, nil, &AttemptError{Stage: attempt.Stage, Reason: attempt.cancelReason})
+		return
 	}
+	attempt.become(attemptInFlight)
+}
+
+// HealthChecked takes the result of Transport.CheckHealth; failure is nil if the worker is healthy.
+func (t *Table) HealthChecked(worker uint64, failure *AttemptError) {
+	t.addEvent(dispatch.HealthChecked{Worker: worker, Result: failure.result()})
 }
