--- a/internal/requests/golden_test.go
+++ b/internal/requests/golden_test.go
@@ -14,241 +14,346 @@
 	"valvecove/internal/storedform"
 )
 
-// goldenAt is when the golden hand-over was, as Unix time.
-const goldenAt = 1_764_633_600 * time.Second
+const (
+	// goldenFile has the frames of a hot restart of form 1. It is never written anew: see storedform.Golden.
+	goldenFile = "handover.frames"
+	// goldenAt is when that hot restart was, as Unix time.
+	goldenAt = 1_764_633_600 * time.Second
+)
 
-// recordingCarrier is a Carrier that keeps what it is handed.
-type recordingCarrier struct {
-	carried, withdrawn []*requests.Attempt
+// recordingTransport keeps the attempts that it is handed.
+type recordingTransport struct {
+	started, cancelled []*requests.Attempt
 }
 
-func (c *recordingCarrier) Start(a *requests.Attempt)   { c.carried = append(c.carried, a) }
-func (c *recordingCarrier) Abandon(*requests.Attempt)   {}
-func (c *recordingCarrier) Cancel(a *requests.Attempt)  { c.withdrawn = append(c.withdrawn, a) }
-func (c *recordingCarrier) CheckHealth(uint64)          {}
-func (c *recordingCarrier) CloseIdleConnections(uint64) {}
-func (c *recordingCarrier) Watch(int64)                 {}
+func (r *recordingTransport) Start(a *requests.Attempt)   { r.started = append(r.started, a) }
+func (r *recordingTransport) Abandon(*requests.Attempt)   {}
+func (r *recordingTransport) Cancel(a *requests.Attempt)  { r.cancelled = append(r.cancelled, a) }
+func (r *recordingTransport) CheckHealth(uint64)          {}
+func (r *recordingTransport) CloseIdleConnections(uint64) {}
+func (r *recordingTransport) Watch(int64)                 {}
+
+// recordingResponder keeps the response that it gets.
+type recordingResponder struct{ got string }
 
-// recordingAsker keeps the answer that it gets.
-type recordingAsker struct{ got string }
+func (r *recordingResponder) RespondResult(result []byte)   { r.got += "result " + string(result) }
+func (r *recordingResponder) RespondRejected(time.Duration) { r.got += "rejected" }
+func (r *recordingResponder) RespondFailed()                { r.got += "failed" }
 
-func (a *recordingAsker) RespondResult(result []byte)   { a.got += "served " + string(result) }
-func (a *recordingAsker) RespondRejected(time.Duration) { a.got += "throttled" }
-func (a *recordingAsker) RespondFailed()                { a.got += "failed" }
+// goldenTable is a table that is brought to where the golden file was written, or goes on from there.
+type goldenTable struct {
+	*requests.Table
+	policy    *steps.Script
+	transport *recordingTransport
+	now       time.Duration
+}
 
-func goldenLedger(module *steps.Script, carrier requests.Transport) *requests.Table {
-	names := requests.NameTable{Classes: []string{"a", "b"}, Tenants: []string{"t"}, Zones: []string{"z1", "z2"}, MachineTypes: []string{"m5", "c5"}}
-	return requests.New(3, names, func() requests.Policy { return module }, requests.EndpointList{}, carrier, slog.New(slog.DiscardHandler))
+func newGoldenTable() *goldenTable {
+	g := &goldenTable{policy: &steps.Script{}, transport: &recordingTransport{}, now: goldenAt}
+	names := requests.NameTable{
+		Classes:      []string{"a", "b"},
+		Tenants:      []string{"t"},
+		Zones:        []string{"z1", "z2"},
+		MachineTypes: []string{"m5", "c5"},
+	}
+	newPolicy := func() requests.Policy { return g.policy }
+	g.Table = requests.New(3, names, newPolicy, requests.EndpointList{}, g.transport, slog.New(slog.DiscardHandler))
+	return g
 }
 
-// goldenHandOver brings a ledger to where it has queries at all stages: 1 runs; 2 waits; 3 was lost at one worker node and is
-// all written at another; 4 has lost its client while it runs; 5 is answered while a second attempt of it is out; 6 is about
-// to be withdrawn; 7 is half written. 8 and 9 are over and forgotten.
-func goldenHandOver(t *testing.T) *requests.Table {
-	module, carrier := &steps.Script{}, &recordingCarrier{}
-	l := goldenLedger(module, carrier)
-	var hosts []requests.Endpoint
+// listEndpoints lists s-0 to s-3, after s-4 was listed and removed again, and cordons s-2.
+func (g *goldenTable) listEndpoints() {
+	list := requests.EndpointList{Revision: 41, Reset: true}
 	for i, id := range []string{"s-0", "s-1", "s-2", "s-3"} {
-		hosts = append(hosts, requests.Endpoint{
-			ID: id, Addr: "10.0.0." + id[2:] + ":7000", Zone: []string{"z1", "z2"}[i%2], MachineType: "m5", Cell: i / 2,
-			Lifecycle: []string{"up", "draining"}[i/3], Weight: 4 + float64(i)/2, StartedAtMs: 1_764_633_000_000 + int64(i),
+		list.Endpoints = append(list.Endpoints, requests.Endpoint{
+			ID:          id,
+			Addr:        "10.0.0." + id[2:] + ":7000",
+			Zone:        []string{"z1", "z2"}[i%2],
+			MachineType: "m5",
+			Cell:        i / 2,
+			Lifecycle:   []string{"up", "draining"}[i/3],
+			Weight:      4 + float64(i)/2,
+			StartedAtMs: 1_764_633_000_000 + int64(i),
 		})
 	}
-	l.UpdateEndpoints(requests.EndpointList{Revision: 41, Reset: true, Endpoints: append(hosts, requests.Endpoint{ID: "s-4", Addr: "10.0.0.4:7000", Lifecycle: "up"})})
-	l.UpdateEndpoints(requests.EndpointList{Revision: 42, Endpoints: []requests.Endpoint{{ID: "s-4", Lifecycle: "removed"}}})
-	l.Cordon("s-2")
-	now := goldenAt
-	take := func(call string, class int, left time.Duration) *requests.Request {
-		q, err := l.Admit(now, requests.Arrival{
-			CallID: call, Responder: &recordingAsker{},
-			Job:     dispatch.Job{Class: class, Key: 0xfedcba9876543210, Remaining: left, Hint: 20 * time.Millisecond, Slots: 1.5, Memory: 0.5, Retry: class == 1},
-			Payload: requests.Payload{Method: "POST", Path: "/run?q=<" + call + ">", IdempotencyKey: "key-" + call, Body: []byte("body of " + call)},
-		})
-		if err != nil {
-			t.Fatal(err)
-		}
-		now += 10 * time.Millisecond
-		return q
-	}
-	step := func(actions ...dispatch.Action) {
-		module.Next = actions
-		l.Wake()
-		l.Step(now)
-		now += 10 * time.Millisecond
-	}
-	send := func(q *requests.Request, host string, stage requests.Stage) *requests.Attempt {
-		worker, _ := l.WorkerNumber(host)
-		step(dispatch.Send{Job: q.ID, Worker: worker, AttemptTimeout: 700 * time.Millisecond})
-		a := carrier.carried[len(carrier.carried)-1]
-		a.Stage = stage
-		return a
-	}
-	tell := func(q *requests.Request, host, state string) {
-		result := "r"
-		if known, err := l.HandleCallback(requests.Callback{CallID: q.CallID, EndpointID: host, State: state, Result: &result}); !known || err != nil {
-			t.Fatalf("%s of %s: %v, %v", state, q.CallID, known, err)
-		}
+	list.Endpoints = append(list.Endpoints, requests.Endpoint{ID: "s-4", Addr: "10.0.0.4:7000", Lifecycle: "up"})
+	g.UpdateEndpoints(list)
+	removed := []requests.Endpoint{{ID: "s-4", Lifecycle: "removed"}}
+	g.UpdateEndpoints(requests.EndpointList{Revision: 42, Endpoints: removed})
+	g.Cordon("s-2")
+}
+
+// admit admits a request, and lets 10 ms pass.
+func (g *goldenTable) admit(t *testing.T, callID string, class int, remaining time.Duration) *requests.Request {
+	t.Helper()
+	request, err := g.Admit(g.now, requests.Arrival{
+		CallID:    callID,
+		Responder: &recordingResponder{},
+		Job: dispatch.Job{
+			Class:     class,
+			Key:       0xfedcba9876543210,
+			Remaining: remaining,
+			Hint:      20 * time.Millisecond,
+			Slots:     1.5,
+			Memory:    0.5,
+			Retry:     class == 1,
+		},
+		Payload: requests.Payload{
+			Method:         "POST",
+			Path:           "/run?q=<" + callID + ">",
+			IdempotencyKey: "key-" + callID,
+			Body:           []byte("body of " + callID),
+		},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	g.now += 10 * time.Millisecond
+	return request
+}
+
+// step has the policy act, and lets 10 ms pass.
+func (g *goldenTable) step(actions ...dispatch.Action) {
+	g.policy.Next = actions
+	g.Wake()
+	g.Step(g.now)
+	g.now += 10 * time.Millisecond
+}
+
+// send starts an attempt, which comes to a stage.
+func (g *goldenTable) send(request *requests.Request, endpointID string, stage requests.Stage) {
+	worker, _ := g.WorkerNumber(endpointID)
+	g.step(dispatch.Send{Job: request.ID, Worker: worker, AttemptTimeout: 700 * time.Millisecond})
+	g.transport.started[len(g.transport.started)-1].Stage = stage
+}
+
+// callBack has s-0 call back about an attempt in flight.
+func (g *goldenTable) callBack(t *testing.T, callID, state, result string) {
+	t.Helper()
+	callback := requests.Callback{CallID: callID, EndpointID: "s-0", State: state, Result: &result}
+	if known, err := g.HandleCallback(callback); !known || err != nil {
+		t.Fatalf("%s of %s: known %v, %v", state, callID, known, err)
+	}
+}
+
+// goldenRequests brings a table to where it has requests at all stages: 1 runs; 2 is queued; 3 was lost at one worker and is
+// written to another; the client of 4 has disconnected while it runs; 5 has its response while a second attempt is in flight;
+// 6 is being cancelled; 7 is partly written. 8 and 9 have ended and are forgotten.
+func goldenRequests(t *testing.T) *goldenTable {
+	t.Helper()
+	g := newGoldenTable()
+	g.listEndpoints()
+	var all []*requests.Request
+	for i, callID := range []string{"runs", "waits", "lost-once", "left", "served", "withdrawn", "half", "done", "refused"} {
+		all = append(all, g.admit(t, callID, i%2, time.Duration(2+i)*time.Second))
+	}
+	g.send(all[0], "s-0", requests.StageAccepted)
+	g.callBack(t, "runs", requests.CallbackStarted, "r")
+	g.send(all[2], "s-0", requests.StageAccepted)
+	g.callBack(t, "lost-once", requests.CallbackLost, "r")
+	g.send(all[2], "s-1", requests.StageWritten)
+	g.send(all[3], "s-1", requests.StageAccepted)
+	g.ClientDisconnected(all[3])
+	g.send(all[4], "s-0", requests.StageAccepted)
+	g.send(all[4], "s-3", requests.StageAccepted)
+	g.callBack(t, "served", requests.CallbackDone, "r")
+	g.send(all[5], "s-1", requests.StageAccepted)
+	g.step(dispatch.Cancel{Job: all[5].ID})
+	g.send(all[6], "s-3", requests.StagePartlyWritten)
+	g.send(all[7], "s-0", requests.StageAccepted)
+	g.callBack(t, "done", requests.CallbackDone, "r")
+	g.step(dispatch.Reject{Job: all[8].ID}, dispatch.SetTimer{After: 30 * time.Millisecond})
+	if !g.FlushEvents(g.now) {
+		t.Fatal("events are pending")
 	}
-	var queries []*requests.Request
-	for _, call := range []string{"runs", "waits", "lost-once", "left", "served", "withdrawn", "half", "done", "refused"} {
-		queries = append(queries, take(call, len(queries)%2, time.Duration(2+len(queries))*time.Second))
-	}
-	send(queries[0], "s-0", requests.StageAccepted)
-	tell(queries[0], "s-0", "started")
-	send(queries[2], "s-0", requests.StageAccepted)
-	tell(queries[2], "s-0", "lost")
-	send(queries[2], "s-1", requests.StageWritten)
-	send(queries[3], "s-1", requests.StageAccepted)
-	l.ClientDisconnected(queries[3])
-	send(queries[4], "s-0", requests.StageAccepted)
-	send(queries[4], "s-3", requests.StageAccepted)
-	tell(queries[4], "s-0", "done")
-	send(queries[5], "s-1", requests.StageAccepted)
-	step(dispatch.Cancel{Job: queries[5].ID})
-	send(queries[6], "s-3", requests.StagePartlyWritten)
-	send(queries[7], "s-0", requests.StageAccepted)
-	tell(queries[7], "s-0", "done")
-	step(dispatch.Reject{Job: queries[8].ID}, dispatch.SetTimer{After: 30 * time.Millisecond})
-	if !l.FlushEvents(now) {
-		t.Fatal("not settled")
-	}
-	return l
-}
-
-// frames writes a ledger's state as a process does that is replaced.
-func frames(t *testing.T, l *requests.Table) (b []byte) {
+	return g
+}
+
+// writeFrames writes a table's state as the predecessor of a hot restart does.
+func writeFrames(t *testing.T, table *requests.Table) []byte {
+	t.Helper()
+	var frames []byte
 	put := func(kind hotrestart.FrameKind, body any) {
+		t.Helper()
 		var err error
-		if b, err = hotrestart.AppendFrame(b, kind, body); err != nil {
+		if frames, err = hotrestart.AppendFrame(frames, kind, body); err != nil {
 			t.Fatal(err)
 		}
 	}
-	put(hotrestart.KindAccept, hotrestart.Accept{Version: 1, CordonedWorkers: l.Cordoned()})
+	put(hotrestart.KindAccept, hotrestart.Accept{Version: 1, CordonedWorkers: table.Cordoned()})
 	put(hotrestart.KindTransferBegin, nil)
-	estate, open := l.Snapshot()
-	put(hotrestart.KindRequestTable, estate)
-	for _, q := range open {
-		put(hotrestart.KindOpenRequest, q)
+	state, open := table.Snapshot()
+	put(hotrestart.KindRequestTable, state)
+	for _, request := range open {
+		put(hotrestart.KindOpenRequest, request)
 	}
 	put(hotrestart.KindTransferEnd, hotrestart.TransferEnd{FrameCount: 1 + len(open)})
-	return b
+	return frames
 }
 
-// readFrames reads that as a process does that replaces one.
-func readFrames(t *testing.T, b []byte) (estate requests.State, open []requests.OpenRequest) {
-	var heir hotrestart.Successor
+// readFrames reads a table's state as the successor of a hot restart does.
+func readFrames(t *testing.T, frames []byte) (state requests.State, open []requests.OpenRequest) {
+	t.Helper()
+	var successor hotrestart.Successor
 	for {
-		frame, n, err := hotrestart.ReadFrame(b)
+		frame, length, err := hotrestart.ReadFrame(frames)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b = b[n:]
-		step, err := heir.HandleFrame(frame)
+		frames = frames[length:]
+		action, err := successor.HandleFrame(frame)
 		if err != nil {
 			t.Fatal(err)
 		}
 		switch frame.Kind {
 		case hotrestart.KindRequestTable:
-			err = frame.Decode(&estate)
+			err = frame.Decode(&state)
 		case hotrestart.KindOpenRequest:
-			var q requests.OpenRequest
-			err = frame.Decode(&q)
-			open = append(open, q)
+			var request requests.OpenRequest
+			err = frame.Decode(&request)
+			open = append(open, request)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		if step == hotrestart.ActionTakeOver {
-			if _, _, err := hotrestart.ReadFrame(b); !errors.Is(err, hotrestart.ErrIncomplete) || len(b) > 0 {
-				t.Fatalf("%d bytes are left", len(b))
-			}
-			return estate, open
+		if action == hotrestart.ActionTakeOver {
+			break
 		}
 	}
+	if _, _, err := hotrestart.ReadFrame(frames); !errors.Is(err, hotrestart.ErrIncomplete) || len(frames) > 0 {
+		t.Fatalf("%d bytes behind the last frame", len(frames))
+	}
+	return state, open
 }
 
-const goldenFile = "handover.frames" // of form 1; never written anew: see storedform.Golden
+// takeOverGolden has a new table go on from the golden file, and returns the responders of the open requests by call id.
+func takeOverGolden(t *testing.T) (*goldenTable, map[string]*recordingResponder) {
+	t.Helper()
+	state, open := readFrames(t, storedform.Golden(t, goldenFile))
+	if len(open) != 7 {
+		t.Errorf("%d requests were handed over", len(open))
+	}
+	responders, byCallID := map[uint64]requests.Responder{}, map[string]*recordingResponder{}
+	for _, request := range open {
+		if !request.Closed {
+			byCallID[request.CallID] = &recordingResponder{}
+			responders[request.ID] = byCallID[request.CallID]
+		}
+	}
+	g := newGoldenTable()
+	g.now += time.Second
+	g.TakeOver(g.now, state, open, responders, func() requests.Policy { return g.policy })
+	return g, byCallID
+}
 
-// A ledger with queries at all stages is handed over in the bytes of the build of form 1.
-func TestGoldenHandOverIsWritten(t *testing.T) {
-	storedform.CheckGolden(t, goldenFile, frames(t, goldenHandOver(t)))
+// A table with requests at all stages is handed over in the bytes of the build of form 1.
+func TestGoldenHandOver_IsWritten(t *testing.T) {
+	storedform.CheckGolden(t, goldenFile, writeFrames(t, goldenRequests(t).Table))
 }
 
-// What a build of form 1 has handed over goes on here: queries keep their numbers, attempts and answers that are owed, and
-// what is handed on again is the same.
-func TestGoldenHandOverIsTakenOver(t *testing.T) {
-	estate, open := readFrames(t, storedform.Golden(t, goldenFile))
-	module, carrier := &steps.Script{}, &recordingCarrier{}
-	l := goldenLedger(module, carrier)
-	askers, waiting := map[uint64]requests.Responder{}, map[string]*recordingAsker{}
-	for _, q := range open {
-		if !q.Closed {
-			waiting[q.CallID] = &recordingAsker{}
-			askers[q.ID] = waiting[q.CallID]
-		}
-	}
-	now := goldenAt + time.Second
-	l.TakeOver(now, estate, open, askers, func() requests.Policy { return module })
-	storedform.CheckGolden(t, goldenFile, frames(t, l))
+// What a build of form 1 has handed over is handed on in the same bytes.
+func TestGoldenHandOver_IsHandedOn(t *testing.T) {
+	g, _ := takeOverGolden(t)
+	storedform.CheckGolden(t, goldenFile, writeFrames(t, g.Table))
+}
 
-	if got := l.Cordoned(); !slices.Equal(got, []string{"s-2"}) {
-		t.Errorf("out by hand: %v", got)
+// The endpoints, the cordons and the revision are taken over.
+func TestGoldenHandOver_KeepsEndpoints(t *testing.T) {
+	g, _ := takeOverGolden(t)
+	if got := g.Cordoned(); !slices.Equal(got, []string{"s-2"}) {
+		t.Errorf("cordoned are %v", got)
+	}
+	if g.Revision() != 42 || g.ListedCount() != 4 {
+		t.Errorf("revision %d, %d listed", g.Revision(), g.ListedCount())
 	}
-	if l.Revision() != 42 || l.ListedCount() != 4 || l.OpenCount() != 5 || len(open) != 7 {
-		t.Errorf("generation %d, %d listed, %d open of %d", l.Revision(), l.ListedCount(), l.OpenCount(), len(open))
+	want := requests.Endpoint{
+		ID:          "s-3",
+		Addr:        "10.0.0.3:7000",
+		Zone:        "z2",
+		MachineType: "m5",
+		Cell:        1,
+		Lifecycle:   "draining",
+		Weight:      5.5,
+		StartedAtMs: 1_764_633_000_003,
 	}
-	if n, known := l.WorkerNumber("s-3"); !known || l.Endpoint(n) != (requests.Endpoint{
-		ID: "s-3", Addr: "10.0.0.3:7000", Zone: "z2", MachineType: "m5", Cell: 1,
-		Lifecycle: "draining", Weight: 5.5, StartedAtMs: 1_764_633_000_003,
-	}) {
-		t.Errorf("s-3 is %+v", l.Endpoint(n))
+	if worker, known := g.WorkerNumber("s-3"); !known || g.Endpoint(worker) != want {
+		t.Errorf("s-3 is %+v", g.Endpoint(worker))
 	}
+}
+
+// Attempts keep their numbers, workers and stages, and requests that were responded to stay closed.
+func TestGoldenHandOver_KeepsAttempts(t *testing.T) {
+	g, _ := takeOverGolden(t)
 	for _, want := range []struct {
-		query   uint64
-		number  int
-		host    string
-		stage   requests.Stage
-		waiting string // the query's call if it is owed an answer
+		request    uint64
+		number     int
+		endpointID string
+		stage      requests.Stage
+		isClosed   bool
 	}{
-		{1, 0, "s-0", requests.StageAccepted, "runs"},
-		{3, 1, "s-1", requests.StageWritten, "lost-once"},
-		{4, 0, "s-1", requests.StageAccepted, ""},
-		{5, 1, "s-3", requests.StageAccepted, ""},
-		{6, 0, "s-1", requests.StageAccepted, "withdrawn"},
-		{7, 0, "s-3", requests.StagePartlyWritten, "half"},
+		{1, 0, "s-0", requests.StageAccepted, false},
+		{3, 1, "s-1", requests.StageWritten, false},
+		{4, 0, "s-1", requests.StageAccepted, true},
+		{5, 1, "s-3", requests.StageAccepted, true},
+		{6, 0, "s-1", requests.StageAccepted, false},
+		{7, 0, "s-3", requests.StagePartlyWritten, false},
 	} {
-		a := l.InFlightAttempt(want.query, want.number)
-		if a == nil || a.EndpointID != want.host || a.Stage != want.stage || a.Request.IsClosed() != (want.waiting == "") {
-			t.Errorf("attempt %d of query %d: %+v", want.number, want.query, a)
+		attempt := g.InFlightAttempt(want.request, want.number)
+		if attempt == nil || attempt.EndpointID != want.endpointID || attempt.Stage != want.stage {
+			t.Errorf("attempt %d of request %d: %+v", want.number, want.request, attempt)
+		}
+		if g.Request(want.request).IsClosed() != want.isClosed {
+			t.Errorf("request %d: closed is not %v", want.request, want.isClosed)
 		}
 	}
-	if q := l.Request(2); q == nil || q.CallID != "waits" || q.Job.Key != 0xfedcba9876543210 || !q.Job.Retry || q.Job.Slots != 1.5 ||
-		q.Payload.Path != "/run?q=<waits>" || string(q.Payload.Body) != "body of waits" || q.Deadline != goldenAt+10*time.Millisecond+3*time.Second {
-		t.Errorf("query 2: %+v", q)
+}
+
+// Requests keep their ids, jobs, payloads and responses.
+func TestGoldenHandOver_KeepsRequests(t *testing.T) {
+	g, _ := takeOverGolden(t)
+	if g.OpenCount() != 5 {
+		t.Errorf("%d are open", g.OpenCount())
+	}
+	queued := g.Request(2)
+	if queued == nil || queued.CallID != "waits" || queued.Deadline != goldenAt+10*time.Millisecond+3*time.Second {
+		t.Fatalf("request 2: %+v", queued)
+	}
+	if job := queued.Job; job.Key != 0xfedcba9876543210 || !job.Retry || job.Slots != 1.5 {
+		t.Errorf("job of request 2: %+v", job)
+	}
+	if payload := queued.Payload; payload.Path != "/run?q=<waits>" || string(payload.Body) != "body of waits" {
+		t.Errorf("payload of request 2: %+v", payload)
 	}
-	if q := l.Request(5); q.Response() != requests.ResponseResult || q.Outcome() != requests.OutcomeServed {
-		t.Errorf("query 5: answer %d, outcome %q", q.Response(), q.Outcome())
+	if responded := g.Request(5); responded.Response() != requests.ResponseResult || responded.Outcome() != requests.OutcomeServed {
+		t.Errorf("request 5: response %d, outcome %q", responded.Response(), responded.Outcome())
 	}
-	if len(carrier.withdrawn) != 1 || carrier.withdrawn[0] != l.InFlightAttempt(6, 0) {
-		t.Errorf("%d withdrawals go on", len(carrier.withdrawn))
+}
+
+// What was under way goes on: cancellations, callbacks, the numbers of requests, and what the policy has to learn.
+func TestGoldenHandOver_GoesOn(t *testing.T) {
+	g, responders := takeOverGolden(t)
+	if got := g.transport.cancelled; len(got) != 1 || got[0] != g.InFlightAttempt(6, 0) {
+		t.Errorf("%d cancellations go on", len(got))
 	}
-	result := "made"
-	if known, err := l.HandleCallback(requests.Callback{CallID: "runs", EndpointID: "s-0", State: "done", Result: &result}); !known || err != nil || waiting["runs"].got != "served made" {
-		t.Errorf("%v, %v: %q", known, err, waiting["runs"].got)
+	g.callBack(t, "runs", requests.CallbackDone, "made")
+	if got := responders["runs"].got; got != "result made" {
+		t.Errorf("response of request 1: %q", got)
 	}
-	if q, err := l.Admit(now, requests.Arrival{CallID: "next", Responder: &recordingAsker{}}); err != nil || q.ID != 10 {
-		t.Errorf("the next query: %+v, %v", q, err)
+	next, err := g.Admit(g.now, requests.Arrival{CallID: "next", Responder: &recordingResponder{}})
+	if err != nil || next.ID != 10 {
+		t.Errorf("the next request: %+v, %v", next, err)
 	}
-	if _, err := l.Admit(now, requests.Arrival{CallID: "waits"}); !errors.Is(err, requests.ErrDuplicateCallID) {
-		t.Errorf("an id of a query that was handed over: %v", err)
+	_, err = g.Admit(g.now, requests.Arrival{CallID: "waits"})
+	if !errors.Is(err, requests.ErrDuplicateCallID) {
+		t.Errorf("a call id of an open request: %v", err)
 	}
-	if at, ok := l.NextStep(); !ok || at != 0 {
-		t.Errorf("nothing to tell the module: %v", at)
+	if at, ok := g.NextStep(); !ok || at != 0 {
+		t.Errorf("the policy has nothing to learn before %v", at)
 	}
 }
 
 // What reflection writes or reads has its names in tags: renamed in Go, it stays as it is in what is handed over, and as
 // the platform has it.
-func TestStoredTypesAreTagged(t *testing.T) {
+func TestStoredTypes_AreTagged(t *testing.T) {
 	storedform.CheckTags(t, requests.State{}, requests.OpenRequest{}, requests.EndpointList{}, requests.Callback{})
 }
