--- a/internal/requests/admission.go
+++ b/internal/requests/admission.go
@@ -7,8 +7,8 @@
 	"valvecove/dispatch"
 )
 
-// responseMargin is how long before its deadline a request stops waiting for the endpoint list, so that it can still get
-// its response in time.
+// responseMargin is how long before its deadline a request stops waiting for the endpoint list, so that it can still
+// get its response in time.
 const responseMargin = 100 * time.Millisecond
 
 // ErrDuplicateCallID rejects a request whose call id is that of an open request.
@@ -22,8 +22,8 @@
 	Responder Responder
 }
 
-// Admit enters a request, whose deadline is Job.Remaining from now. The error is ErrDuplicateCallID or nil; with an error
-// the responder is not used.
+// Admit enters a request, whose deadline is Job.Remaining from now. The error is ErrDuplicateCallID or nil; with an
+// error the responder is not used.
 func (t *Table) Admit(now time.Duration, arrival Arrival) (*Request, error) {
 	if t.openByCallID[arrival.CallID] != nil {
 		return nil, ErrDuplicateCallID
@@ -50,8 +50,8 @@
 	return request, nil
 }
 
-// AwaitEndpoints has requests wait for the next update of the endpoint list, until an instant at most or until discovery
-// fails. It is for a process that has just started, which would else use a stale list. 0 ends the wait.
+// AwaitEndpoints has requests wait for the next update of the endpoint list, until an instant at most or until
+// discovery fails. It is for a process that has just started, which would else use a stale list. 0 ends the wait.
 func (t *Table) AwaitEndpoints(until time.Duration) { t.awaitUntil = until }
 
 // deductWaitTime reduces the remaining time of the requests that the policy does not know yet by what they have waited.
--- a/internal/requests/admission_test.go
+++ b/internal/requests/admission_test.go
@@ -8,9 +8,9 @@
 	"valvecove/internal/steps"
 )
 
-// Requests wait for the first update of the endpoint list, and the policy learns of all of them in one step then, with the
-// remaining time of each; it learns of them in time for their deadlines, once discovery has failed, and once they have
-// waited for long enough. Nothing is sent by a list that may be stale until then.
+// Requests wait for the first update of the endpoint list, and the policy learns of all of them in one step then, with
+// the remaining time of each; it learns of them in time for their deadlines, once discovery has failed, and once they
+// have waited for long enough. Nothing is sent by a list that may be stale until then.
 func TestAdmit_WaitsForFirstEndpointList(t *testing.T) {
 	list := EndpointList{Reset: true, Revision: 2, Endpoints: []Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
 	for name, test := range map[string]struct {
@@ -45,8 +45,8 @@
 	}
 }
 
-// stepUntilLearned steps the table ten times a second as it asks for, for a second at most, until the policy learns of a
-// request, and returns when that was, or 0. The update comes after 300 ms.
+// stepUntilLearned steps the table ten times a second as it asks for, for a second at most, until the policy learns of
+// a request, and returns when that was, or 0. The update comes after 300 ms.
 func stepUntilLearned(table *Table, policy *steps.Script, update func(table *Table)) time.Duration {
 	for tick := range time.Duration(11) {
 		now := max(1, tick*100*time.Millisecond)
--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -64,20 +64,21 @@
 	ambiguousCallbacks bool            // a callback from its endpoint may be about an earlier attempt there: callbacks name none
 }
 
-// HasEnded reports whether the attempt has its outcome. A late callback about an earlier attempt at the same endpoint can
-// end this one before the transport has written all of it. The transport must then write no more: the request may be
-// closed, or in flight at another endpoint.
+// HasEnded reports whether the attempt has its outcome. A late callback about an earlier attempt at the same endpoint
+// can end this one before the transport has written all of it. The transport must then write no more: the request may
+// be closed, or in flight at another endpoint.
 func (a *Attempt) HasEnded() bool {
 	return a.state == attemptNotStarted || a.state == attemptEnded
 }
 
-// EndedByWorker reports whether the attempt has ended other than by a timeout or a cancellation: there is nothing at its
-// worker that could be cancelled.
+// EndedByWorker reports whether the attempt has ended other than by a timeout or a cancellation: there is nothing at
+// its worker that could be cancelled.
 func (a *Attempt) EndedByWorker() bool {
 	return a.HasEnded() && a.result != dispatch.TimedOut && a.result != dispatch.Cancelled
 }
 
-// mayStillCallBack reports whether the attempt has ended here without its worker having ended it, and may still run there.
+// mayStillCallBack reports whether the attempt has ended here without its worker having ended it, and may still run
+// there.
 func (a *Attempt) mayStillCallBack() bool {
 	if !a.HasEnded() || a.Stage < StageWritten {
 		return false
--- a/internal/requests/attempterror.go
+++ b/internal/requests/attempterror.go
@@ -6,8 +6,8 @@
 	"valvecove/dispatch"
 )
 
-// Stage is how far an attempt has come on its way to its worker. What ends before StageWritten is not executed; from there
-// on it is possibly executed.
+// Stage is how far an attempt has come on its way to its worker. What ends before StageWritten is not executed; from
+// there on it is possibly executed.
 type Stage int
 
 // Stages, in order.
--- a/internal/requests/callback.go
+++ b/internal/requests/callback.go
@@ -6,8 +6,8 @@
 	"valvecove/dispatch"
 )
 
-// Callback is a worker's message about the attempt that it has of a call. It names no attempt, and the worker repeats it
-// until it is answered.
+// Callback is a worker's message about the attempt that it has of a call. It names no attempt, and the worker repeats
+// it until it is answered.
 type Callback struct {
 	CallID     string  `json:"id"`
 	EndpointID string  `json:"from"`
@@ -29,8 +29,8 @@
 // ErrInvalidCallback rejects a callback that lacks a field or has an unknown state.
 var ErrInvalidCallback = errors.New("invalid callback: needs id, from, a known state and, once done, a result")
 
-// isValid reports whether the callback is complete. Only a worker's own result may be passed on to a client, so a callback
-// that is done without one is not valid.
+// isValid reports whether the callback is complete. Only a worker's own result may be passed on to a client, so a
+// callback that is done without one is not valid.
 func (c *Callback) isValid() bool {
 	if c.CallID == "" || c.EndpointID == "" {
 		return false
@@ -44,9 +44,9 @@
 	return false
 }
 
-// HandleCallback takes a worker's callback. known is false if it is about no attempt in flight; that is not an error: it was
-// repeated, or belongs to an earlier process of this scheduler. A callback may come before the worker has accepted the
-// attempt. The error is ErrInvalidCallback or nil.
+// HandleCallback takes a worker's callback. known is false if it is about no attempt in flight; that is not an error:
+// it was repeated, or belongs to an earlier process of this scheduler. A callback may come before the worker has
+// accepted the attempt. The error is ErrInvalidCallback or nil.
 func (t *Table) HandleCallback(callback Callback) (known bool, err error) {
 	if !callback.isValid() {
 		return false, ErrInvalidCallback
@@ -74,8 +74,9 @@
 	return true, nil
 }
 
-// endByCallback ends an attempt without a result, as its worker says. Where the callback may be about an earlier attempt at
-// the same endpoint, it is ignored: this one may still run, and the request would be sent elsewhere meanwhile.
+// endByCallback ends an attempt without a result, as its worker says. Where the callback may be about an earlier
+// attempt at the same endpoint, it is ignored: this one may still run, and the request would be sent elsewhere
+// meanwhile.
 func (t *Table) endByCallback(attempt *Attempt, reason Reason) {
 	if attempt.ambiguousCallbacks {
 		return
--- a/internal/requests/callback_test.go
+++ b/internal/requests/callback_test.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// Callbacks name no attempt. Where an earlier one at the same endpoint may still run, only CallbackDone ends the later one.
+// Callbacks name no attempt. Where an earlier one at the same endpoint may still run, only CallbackDone ends the later
+// one.
 func TestCallback_OfEarlierAttemptEndsLaterOnlyIfDone(t *testing.T) {
 	for name, prepare := range map[string]func(t *testing.T, f *attemptFixture){
 		"same process": func(t *testing.T, _ *attemptFixture) { t.Helper() },
--- a/internal/requests/cancel_test.go
+++ b/internal/requests/cancel_test.go
@@ -8,8 +8,8 @@
 	"valvecove/dispatch"
 )
 
-// An accepted attempt that is cancelled is in flight until its worker confirms: the policy learns of no end that would have
-// it send the request again, and the worker's own callback counts.
+// An accepted attempt that is cancelled is in flight until its worker confirms: the policy learns of no end that would
+// have it send the request again, and the worker's own callback counts.
 func TestCancel_EndsOnceWorkerConfirms(t *testing.T) {
 	callBack := func(state string) func(t *testing.T, f *attemptFixture) {
 		return func(t *testing.T, f *attemptFixture) {
@@ -103,8 +103,8 @@
 	}
 }
 
-// A cancellation that one process has begun is completed by the one that takes over; until then the attempt is in flight there
-// too.
+// A cancellation that one process has begun is completed by the one that takes over; until then the attempt is in
+// flight there too.
 func TestTakeOver_ResumesCancellation(t *testing.T) {
 	f := newAttemptFixture(t, 0)
 	f.step(2, dispatch.Cancel{Job: f.request.ID})
--- a/internal/requests/completion.go
+++ b/internal/requests/completion.go
@@ -9,7 +9,8 @@
 	"valvecove/dispatch"
 )
 
-// ClientDisconnected closes a request whose client has disconnected. It gets no response. A closed request stays as it is.
+// ClientDisconnected closes a request whose client has disconnected. It gets no response. A closed request stays as it
+// is.
 func (t *Table) ClientDisconnected(request *Request) {
 	if request.IsClosed() {
 		return
@@ -18,8 +19,8 @@
 	t.closeRequest(request, requestDisconnected)
 }
 
-// CloseSince gives each open request that arrived at an instant or later its final response: rejected if it has no attempts,
-// else failed. It is for a process that ends.
+// CloseSince gives each open request that arrived at an instant or later its final response: rejected if it has no
+// attempts, else failed. It is for a process that ends.
 func (t *Table) CloseSince(since time.Duration) {
 	t.closeMatching(func(request *Request) bool { return request.ArrivedAt >= since })
 }
@@ -70,7 +71,8 @@
 	}
 }
 
-// conclude closes an open request with a kind of response, and reports whether it was open: each request is responded to once.
+// conclude closes an open request with a kind of response, and reports whether it was open: each request is responded
+// to once.
 func (t *Table) conclude(request *Request, response Response) bool {
 	if request.IsClosed() {
 		return false
--- a/internal/requests/cordon.go
+++ b/internal/requests/cordon.go
@@ -9,8 +9,8 @@
 // maxCordoned bounds the endpoints that are cordoned at once. A cordon is never dropped to make room for another.
 const maxCordoned = 4096
 
-// Cordon has no attempt start at an endpoint until Uncordon, whatever the endpoint list says. known is false if the endpoint
-// was never listed, full is true if too many are cordoned; neither changes anything.
+// Cordon has no attempt start at an endpoint until Uncordon, whatever the endpoint list says. known is false if the
+// endpoint was never listed, full is true if too many are cordoned; neither changes anything.
 func (t *Table) Cordon(endpointID string) (known, full bool) {
 	worker, known := t.endpoints.numbers[endpointID]
 	if !known || t.cordoned[worker] {
@@ -24,8 +24,8 @@
 	return true, false
 }
 
-// Uncordon ends a cordon, however often it was asked for. An endpoint that is not cordoned stays as it is. known is false if
-// the endpoint was never listed.
+// Uncordon ends a cordon, however often it was asked for. An endpoint that is not cordoned stays as it is. known is
+// false if the endpoint was never listed.
 func (t *Table) Uncordon(endpointID string) (known bool) {
 	worker, known := t.endpoints.numbers[endpointID]
 	if known && t.cordoned[worker] {
@@ -46,8 +46,8 @@
 	return ids
 }
 
-// SetCordoned makes these endpoints the cordoned ones, and no others, whether they were ever listed or not. Those beyond the
-// limit are skipped.
+// SetCordoned makes these endpoints the cordoned ones, and no others, whether they were ever listed or not. Those
+// beyond the limit are skipped.
 func (t *Table) SetCordoned(endpointIDs []string) {
 	wanted := map[uint64]bool{}
 	for _, id := range endpointIDs {
--- a/internal/requests/endpoint.go
+++ b/internal/requests/endpoint.go
@@ -37,7 +37,8 @@
 // NameTable has the names of classes, tenants, zones and machine types, which the policy knows by index.
 type NameTable struct{ Classes, Tenants, Zones, MachineTypes []string }
 
-// maxRemovedEndpoints is how many endpoints beyond twice the listed ones are remembered before removed ones are forgotten.
+// maxRemovedEndpoints is how many endpoints beyond twice the listed ones are remembered before removed ones are
+// forgotten.
 const maxRemovedEndpoints = 1 << 14
 
 // endpointTable gives each endpoint its number. The numbers must agree between schedulers, as the policy hashes them to
--- a/internal/requests/endpointlist.go
+++ b/internal/requests/endpointlist.go
@@ -28,8 +28,8 @@
 // WatchEndpoints has the transport follow the changes of the endpoint list since its revision.
 func (t *Table) WatchEndpoints() { t.transport.Watch(t.revision) }
 
-// ResetRevision is called when the endpoint list comes from another source from now on. The list stays as it is until that
-// source gives one, but its revision means nothing there.
+// ResetRevision is called when the endpoint list comes from another source from now on. The list stays as it is until
+// that source gives one, but its revision means nothing there.
 func (t *Table) ResetRevision() { t.revision = 0 }
 
 // Revision is the revision of the endpoint list; 0 if discovery can't give the changes since.
--- a/internal/requests/golden_test.go
+++ b/internal/requests/golden_test.go
@@ -136,9 +136,9 @@
 	}
 }
 
-// goldenRequests brings a table to where it has requests at all stages: 1 runs; 2 is queued; 3 was lost at one worker and is
-// written to another; the client of 4 has disconnected while it runs; 5 has its response while a second attempt is in flight;
-// 6 is being cancelled; 7 is partly written. 8 and 9 have ended and are forgotten.
+// goldenRequests brings a table to where it has requests at all stages: 1 runs; 2 is queued; 3 was lost at one worker
+// and is written to another; the client of 4 has disconnected while it runs; 5 has its response while a second attempt
+// is in flight; 6 is being cancelled; 7 is partly written. 8 and 9 have ended and are forgotten.
 func goldenRequests(t *testing.T) *goldenTable {
 	t.Helper()
 	g := newGoldenTable()
@@ -226,7 +226,8 @@
 	return state, open
 }
 
-// takeOverGolden has a new table go on from the golden file, and returns the responders of the open requests by call id.
+// takeOverGolden has a new table go on from the golden file, and returns the responders of the open requests by call
+// id.
 func takeOverGolden(t *testing.T) (*goldenTable, map[string]*recordingResponder) {
 	t.Helper()
 	state, open := readFrames(t, storedform.Golden(t, goldenFile))
@@ -352,8 +353,8 @@
 	}
 }
 
-// What reflection writes or reads has its names in tags: renamed in Go, it stays as it is in what is handed over, and as
-// the platform has it.
+// What reflection writes or reads has its names in tags: renamed in Go, it stays as it is in what is handed over, and
+// as the platform has it.
 func TestStoredTypes_AreTagged(t *testing.T) {
 	storedform.CheckTags(t, requests.State{}, requests.OpenRequest{}, requests.EndpointList{}, requests.Callback{})
 }
--- a/internal/requests/log_test.go
+++ b/internal/requests/log_test.go
@@ -28,7 +28,8 @@
 	return f
 }
 
-// step steps after some time, and checks that one line with the text was logged above the debug level; none if it is empty.
+// step steps after some time, and checks that one line with the text was logged above the debug level; none if it is
+// empty.
 func (f *logFixture) step(t *testing.T, after time.Duration, want string) {
 	t.Helper()
 	f.now += after
--- a/internal/requests/observer.go
+++ b/internal/requests/observer.go
@@ -39,8 +39,8 @@
 // AddObserver adds an observer, which is notified from now on.
 func (t *Table) AddObserver(observer Observer) { t.observers = append(t.observers, observer) }
 
-// ReportRejection notifies the observers of a request that a frontend rejected with an HTTP status instead of admitting it.
-// arrival is nil if the request could not be read.
+// ReportRejection notifies the observers of a request that a frontend rejected with an HTTP status instead of admitting
+// it. arrival is nil if the request could not be read.
 func (t *Table) ReportRejection(arrival *Arrival, status int) {
 	notification := Notification{Kind: RequestRejected, Status: status}
 	if arrival != nil {
--- a/internal/requests/outcome.go
+++ b/internal/requests/outcome.go
@@ -19,7 +19,8 @@
 	OutcomeTimedOut,
 }
 
-// isNotExecuted reports whether an outcome shows that nothing was executed. The zero Outcome does: there was no attempt.
+// isNotExecuted reports whether an outcome shows that nothing was executed. The zero Outcome does: there was no
+// attempt.
 func (o Outcome) isNotExecuted() bool {
 	return o == "" || o == OutcomeRejected || o == OutcomeConnectFailed
 }
--- a/internal/requests/policy.go
+++ b/internal/requests/policy.go
@@ -10,8 +10,8 @@
 
 // Policy decides where and when requests are sent. *dispatch.Dispatcher is one. A policy that panics is replaced.
 type Policy interface {
-	// Step takes the events since the step before, in order, and appends the actions that follow to dst. It retains neither
-	// slice.
+	// Step takes the events since the step before, in order, and appends the actions that follow to dst. It retains
+	// neither slice.
 	Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action
 }
 
@@ -37,9 +37,9 @@
 // something by another way.
 func (t *Table) Wake() { t.addEvent(dispatch.TimerFired{}) }
 
-// Step ends attempts that are past their time, hands the policy the pending events, and carries out its actions in order.
-// An event that an action leads to at once, as a connection that fails, waits for the next Step. While requests wait for the
-// endpoint list, Step does nothing.
+// Step ends attempts that are past their time, hands the policy the pending events, and carries out its actions in
+// order. An event that an action leads to at once, as a connection that fails, waits for the next Step. While requests
+// wait for the endpoint list, Step does nothing.
 func (t *Table) Step(now time.Duration) {
 	if t.awaitUntil > now {
 		return
@@ -101,8 +101,8 @@
 	return t.policy.Step(now, events, t.actionBuffer[:0]), true
 }
 
-// restartPolicy replaces a policy whose state can't be trusted any more. All attempts are abandoned, each open request gets
-// its final response, and the new policy begins with the endpoint list that the table has.
+// restartPolicy replaces a policy whose state can't be trusted any more. All attempts are abandoned, each open request
+// gets its final response, and the new policy begins with the endpoint list that the table has.
 func (t *Table) restartPolicy() {
 	for _, request := range t.inAdmissionOrder() {
 		for _, attempt := range request.attempts {
--- a/internal/requests/request.go
+++ b/internal/requests/request.go
@@ -8,7 +8,8 @@
 	"valvecove/dispatch"
 )
 
-// Payload is what a worker is sent for a request, as the client sent it. Its body is not copied and must not be changed.
+// Payload is what a worker is sent for a request, as the client sent it. Its body is not copied and must not be
+// changed.
 type Payload struct {
 	Method         string `json:"Verb"`
 	Path           string `json:"Path"`
@@ -99,8 +100,8 @@
 // Response is the kind of response that the request got.
 func (r *Request) Response() Response { return r.response }
 
-// Outcome returns how a closed request ended. One that was closed while an attempt was in flight has timed out, as nobody
-// waits for that attempt any more; one of which nothing was ever sent counts as rejected.
+// Outcome returns how a closed request ended. One that was closed while an attempt was in flight has timed out, as
+// nobody waits for that attempt any more; one of which nothing was ever sent counts as rejected.
 func (r *Request) Outcome() Outcome {
 	switch {
 	case r.outcome == OutcomeServed:
--- a/internal/requests/snapshot.go
+++ b/internal/requests/snapshot.go
@@ -21,8 +21,8 @@
 	CordonedIDs []string      `json:"Out"`
 }
 
-// OpenRequest is the serialisable state of a request that is owed a response or has attempts in flight. Its booleans and
-// Response stand for the state of the request.
+// OpenRequest is the serialisable state of a request that is owed a response or has attempts in flight. Its booleans
+// and Response stand for the state of the request.
 type OpenRequest struct {
 	ID              uint64        `json:"ID"`
 	CallID          string        `json:"Call"`
--- a/internal/requests/table.go
+++ b/internal/requests/table.go
@@ -38,9 +38,9 @@
 	changes    endpointChanges
 }
 
-// New returns a table without requests. maxAttempts bounds the attempts of a request; newPolicy makes a policy that knows
-// nothing; known is the endpoint list as the scheduler knew it last, and may be empty. The logger takes the policy's
-// messages and a summary of the changes of the endpoint list.
+// New returns a table without requests. maxAttempts bounds the attempts of a request; newPolicy makes a policy that
+// knows nothing; known is the endpoint list as the scheduler knew it last, and may be empty. The logger takes the
+// policy's messages and a summary of the changes of the endpoint list.
 func New(
 	maxAttempts int, names NameTable, newPolicy func() Policy, known EndpointList, transport Transport, logger *slog.Logger,
 ) *Table {
@@ -63,7 +63,8 @@
 	return table
 }
 
-// Request returns the request of an ID, or nil if it is forgotten. A closed request is kept while an attempt is in flight.
+// Request returns the request of an ID, or nil if it is forgotten. A closed request is kept while an attempt is in
+// flight.
 func (t *Table) Request(id uint64) *Request { return t.requests[id] }
 
 // InFlightAttempt returns an attempt of a request, or nil if it has ended or there is none.
--- a/internal/requests/table_test.go
+++ b/internal/requests/table_test.go
@@ -10,8 +10,8 @@
 	"valvecove/internal/steps"
 )
 
-// A request gets one response or has lost its client, every Send gets one outcome, and whatever comes late, twice or for
-// nobody changes nothing.
+// A request gets one response or has lost its client, every Send gets one outcome, and whatever comes late, twice or
+// for nobody changes nothing.
 func FuzzTable(f *testing.F) { steps.Fuzz(f, runTableModel) }
 
 // modelRequest is what the model knows of a request.
@@ -167,8 +167,8 @@
 	m.Did("accept")
 }
 
-// panicPolicy has the policy panic at its next step, and reports whether it had one. A new policy knows no request: each must
-// have its response by the end of the step.
+// panicPolicy has the policy panic at its next step, and reports whether it had one. A new policy knows no request:
+// each must have its response by the end of the step.
 func (m *tableModel) panicPolicy() bool {
 	m.policy.Panic, m.policy.Next = true, nil
 	m.table.Step(m.now)
--- a/internal/requests/takeover.go
+++ b/internal/requests/takeover.go
@@ -6,8 +6,9 @@
 	"valvecove/dispatch"
 )
 
-// TakeOver goes on with what Snapshot gave in another process; the table must have no requests of its own. responders has
-// those of the open requests by ID: a request without one has lost its client's connection, and its response is dropped.
+// TakeOver goes on with what Snapshot gave in another process; the table must have no requests of its own. responders
+// has those of the open requests by ID: a request without one has lost its client's connection, and its response is
+// dropped.
 //
 // newPolicy makes the policy that goes on, and is called once the observers know the requests. If it returns nil, the
 // policy that the table has goes on, and gets the requests and their attempts as events.
