--- a/internal/lab/virtual/planner.go
+++ b/internal/lab/virtual/planner.go
@@ -54,8 +54,10 @@
 func newPlanSeat(spec *scenario.Scenario, n int, opt *Options, t *tiers, f *TierFigures) (*planSeat, error) {
 	set, err := platform.Settings(spec, 0)
 	set.Replicas, set.ReplicaIndex, set.Zone = 1, 0, spec.ZoneOf(n)
-	return &planSeat{n: n, name: plannerName(n - spec.Schedulers.Count), spec: spec, set: set, epoch: Epoch,
-		model: opt.Model, opt: opt, t: t, figures: f}, err
+	return &planSeat{
+		n: n, name: plannerName(n - spec.Schedulers.Count), spec: spec, set: set, epoch: Epoch,
+		model: opt.Model, opt: opt, t: t, figures: f,
+	}, err
 }
 
 func (s *planSeat) alive() (sprout int, runs, frozen bool) { return s.sprout, s.p != nil, s.frozen }
@@ -155,8 +157,6 @@
 	backoff  []time.Duration
 	ins      []planner.Event
 	outs     []planner.Action
-	texts    []*message.Message // of the ins
-	used     int
 	events   []membership.Event
 	actions  []membership.Action
 	done     bool
@@ -174,13 +174,16 @@
 }
 
 func newPlanProcess(s *planSeat, boot *edge.Boot) *planProcess {
-	p := &planProcess{s: s, now: s.epoch + s.now, disco: boot.Disco, links: map[planner.SessionID]*planLink{},
-		redial: make([]time.Duration, s.spec.Planners.Count), backoff: make([]time.Duration, s.spec.Planners.Count)}
+	p := &planProcess{
+		s: s, now: s.epoch + s.now, disco: boot.Disco, links: map[planner.SessionID]*planLink{},
+		redial: make([]time.Duration, s.spec.Planners.Count), backoff: make([]time.Duration, s.spec.Planners.Count),
+	}
 	me := membership.Member{Name: s.name, Role: membership.RolePlanner, Incarnation: uint64(p.now), Addr: s.name}
 	p.members = membership.NewPlannerMembership(me, membership.Config{})
 	p.lists = requests.New(1, s.set.Names, func() requests.Policy { return p }, boot.Known, p, slog.New(slog.DiscardHandler))
 	seed := boot.Seed
-	p.book = planner.New(planner.Config{Name: s.name, Incarnation: uint64(p.now), Version: codec.Version,
+	p.book = planner.New(planner.Config{
+		Name: s.name, Incarnation: uint64(p.now), Version: codec.Version,
 		Settings: s.set.Settings, NewPolicy: func() planner.Policy {
 			seed++
 			var m planner.Policy = dispatch.New(s.set.Settings, seed)
@@ -188,7 +191,8 @@
 				m = s.opt.Plan(s.n-s.spec.Schedulers.Count, m)
 			}
 			return m
-		}})
+		},
+	})
 	s.t.gossip.join(s.n, me)
 	p.timer = p.now
 	return p
@@ -236,7 +240,7 @@
 			outs = s.opt.Spoil(s.n-s.spec.Schedulers.Count, outs)
 		}
 		clear(p.ins)
-		p.ins, p.used = p.ins[:0], 0
+		p.ins = p.ins[:0]
 		for i := range outs {
 			p.carryOut(&outs[i])
 		}
@@ -311,55 +315,24 @@
 		k.in.Feed(n.bytes)
 		p.s.t.done(n.bytes)
 		for {
-			m := p.text()
-			ok, err := k.in.Next(m)
+			envelope, ok, err := k.in.Next()
 			if err != nil {
 				p.s.t.hangUp(k.wire, k.end)
 				p.drop(k, false)
 			}
 			if err != nil || !ok {
-				p.used--
 				return
 			}
-			p.keep(m)
+			envelope = envelope.Clone() // it is to outlive the reader's next one
 			if k.peer == "" {
-				p.ins = append(p.ins, planner.Event{Kind: planner.ForwarderMessage, Session: planner.SessionID(k.wire.id), Message: m})
+				p.ins = append(p.ins, planner.Event{Kind: planner.ForwarderMessage, Session: planner.SessionID(k.wire.id), Envelope: envelope})
 			} else {
-				p.ins = append(p.ins, planner.Event{Kind: planner.PeerMessage, Peer: k.peer, Message: m})
+				p.ins = append(p.ins, planner.Event{Kind: planner.PeerMessage, Peer: k.peer, Envelope: envelope})
 			}
 		}
 	}
 }
 
-// text is a message for what is read now, which holds until the book has stepped.
-func (p *planProcess) text() *message.Message {
-	if p.used == len(p.texts) {
-		p.texts = append(p.texts, &message.Message{})
-	}
-	p.used++
-	return p.texts[p.used-1]
-}
-
-// keep has a message outlive its reader's next one.
-func (p *planProcess) keep(m *message.Message) {
-	if m.Head != nil {
-		h := *m.Head
-		h.Attempts = append([]message.PastAttempt(nil), h.Attempts...)
-		m.Head = &h
-	}
-	if m.Word != nil {
-		w := *m.Word
-		m.Word = &w
-	}
-	if m.Load != nil {
-		l := *m.Load
-		m.Load = &l
-	}
-	if m.Bytes != nil {
-		m.Bytes = append([]byte(nil), m.Bytes...)
-	}
-}
-
 // enter takes a connection into the books.
 func (p *planProcess) enter(k *planLink) {
 	p.links[planner.SessionID(k.wire.id)] = k
@@ -532,12 +505,12 @@
 	switch o.Kind {
 	case planner.SendToForwarder:
 		if k := p.links[o.Session]; k != nil && k.up {
-			p.s.say(&k.out, &o.Message)
+			p.s.say(&k.out, o.Envelope)
 		}
 	case planner.SendToPeer:
 		for _, k := range p.order {
 			if k.peer == o.Peer && k.up {
-				p.s.say(&k.out, &o.Message)
+				p.s.say(&k.out, o.Envelope)
 			}
 		}
 	case planner.CloseSession:
@@ -563,8 +536,8 @@
 }
 
 // say writes a message. What can't be written is left out, as it would be in a real process.
-func (s *planSeat) say(w *codec.Writer, m *message.Message) {
-	if w.Add(m) != nil {
+func (s *planSeat) say(w *codec.Writer, envelope message.Envelope) {
+	if w.Add(envelope) != nil {
 		s.figures.Unwritten++
 	}
 }
