--- /dev/null
+++ b/internal/requests/cancel_test.go
@@ -0,0 +1,120 @@
+package requests
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"valvecove/dispatch"
+)
+
+// An accepted attempt that is cancelled is in flight until its worker confirms: the policy learns of no end that would
+// have it send the request again, and the worker's own callback counts.
+func TestCancel_EndsOnceWorkerConfirms(t *testing.T) {
+	callBack := func(state string) func(t *testing.T, f *attemptFixture) {
+		return func(t *testing.T, f *attemptFixture) {
+			t.Helper()
+			f.callBack(t, state)
+		}
+	}
+	for name, test := range map[string]struct {
+		then func(t *testing.T, f *attemptFixture)
+		want []dispatch.Result // once that has happened
+		last dispatch.Result   // at the end of the request
+	}{
+		"confirmed": {
+			func(_ *testing.T, f *attemptFixture) { f.transport.completeCancel(f.table, true) },
+			[]dispatch.Result{dispatch.Cancelled},
+			dispatch.Cancelled,
+		},
+		"unreachable": {
+			func(_ *testing.T, f *attemptFixture) { f.transport.completeCancel(f.table, false) },
+			nil, dispatch.TimedOut,
+		},
+		"nothing yet": {
+			func(*testing.T, *attemptFixture) {},
+			nil, dispatch.TimedOut,
+		},
+		"cancelled twice": {
+			func(_ *testing.T, f *attemptFixture) { f.step(3, dispatch.Cancel{Job: f.request.ID}) },
+			nil, dispatch.TimedOut,
+		},
+		"client disconnects": {
+			func(_ *testing.T, f *attemptFixture) { f.table.ClientDisconnected(f.request) },
+			nil, dispatch.TimedOut,
+		},
+		"done":     {callBack(CallbackDone), []dispatch.Result{dispatch.OK}, dispatch.OK},
+		"returned": {callBack(CallbackReturned), []dispatch.Result{dispatch.WorkerFull}, dispatch.WorkerFull},
+		"lost":     {callBack(CallbackLost), []dispatch.Result{dispatch.ConnectionReset}, dispatch.ConnectionReset},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newAttemptFixture(t, 0)
+			f.step(2, dispatch.Cancel{Job: f.request.ID})
+			if got := f.results(); len(got) != 0 || !slices.Equal(f.transport.cancelling, []*Attempt{f.first}) {
+				t.Fatalf("cancelled: results %v, %d cancellations", got, len(f.transport.cancelling))
+			}
+			test.then(t, f)
+			f.step(4)
+			if got := f.results(); !slices.Equal(got, test.want) || len(f.transport.cancelling) > 1 {
+				t.Errorf("results %v, expected %v, %d cancellations", got, test.want, len(f.transport.cancelling))
+			}
+			f.step(time.Second)
+			if len(f.transport.cancelling) > 0 {
+				f.transport.completeCancel(f.table, true) // too late to have an effect
+			}
+			f.step(time.Second)
+			if got := f.results(); !slices.Equal(got, []dispatch.Result{test.last}) {
+				t.Errorf("results %v at the end, expected %v", got, test.last)
+			}
+			if test.last == dispatch.OK && f.responder.results != 1 {
+				t.Error("what was done while it was cancelled is not the response")
+			}
+		})
+	}
+}
+
+// An attempt that could not be cancelled may be later.
+func TestCancel_RetriedAfterFailure(t *testing.T) {
+	f := newAttemptFixture(t, 0)
+	f.step(2, dispatch.Cancel{Job: f.request.ID})
+	f.transport.completeCancel(f.table, false)
+	f.step(3, dispatch.Cancel{Job: f.request.ID})
+	if len(f.transport.cancelling) != 1 {
+		t.Fatal("it is not cancelled again")
+	}
+	f.transport.completeCancel(f.table, true)
+	f.step(4)
+	if got := f.results(); !slices.Equal(got, []dispatch.Result{dispatch.Cancelled}) {
+		t.Errorf("results %v", got)
+	}
+}
+
+// An attempt timeout before the deadline of the request cancels too: another attempt may follow.
+func TestCancel_ByAttemptTimeout(t *testing.T) {
+	f := newAttemptFixture(t, time.Millisecond)
+	f.step(2 * time.Millisecond)
+	if got := f.results(); len(got) != 0 || len(f.transport.cancelling) != 1 {
+		t.Fatalf("results %v, %d cancellations", got, len(f.transport.cancelling))
+	}
+	f.transport.completeCancel(f.table, true)
+	f.step(3 * time.Millisecond)
+	if got := f.results(); !slices.Equal(got, []dispatch.Result{dispatch.TimedOut}) {
+		t.Errorf("results %v", got)
+	}
+}
+
+// A cancellation that one process has begun is completed by the one that takes over; until then the attempt is in
+// flight there too.
+func TestTakeOver_ResumesCancellation(t *testing.T) {
+	f := newAttemptFixture(t, 0)
+	f.step(2, dispatch.Cancel{Job: f.request.ID})
+	f.takeOver(t)
+	if len(f.results()) != 0 || len(f.transport.cancelling) != 1 || f.table.InFlightAttempt(f.request.ID, 0) == nil {
+		t.Fatalf("results %v, %d cancellations", f.results(), len(f.transport.cancelling))
+	}
+	f.transport.completeCancel(f.table, true)
+	f.step(6)
+	if got := f.results(); !slices.Equal(got, []dispatch.Result{dispatch.Cancelled}) {
+		t.Errorf("results %v", got)
+	}
+}
