--- a/internal/control/validator/model_test.go
+++ b/internal/control/validator/model_test.go
@@ -22,7 +22,7 @@
 type happening struct {
 	at    time.Duration
 	event dispatch.Event        // or
-	sent  *modelCommand         // that was allowed, or
+	sent  *anyCommand         // that was allowed, or
 	word  *message.WorkerStatus // or
 	owner message.Epoch         // of query
 	query uint64
@@ -30,37 +30,8 @@
 	num   int
 }
 
-// modelCommand is a command of any kind.
-type modelCommand struct {
-	kind    message.Kind
-	request uint64
-	worker  uint64
-	attempt int
-}
-
-// message is the command as the validator has it.
-func (m *modelCommand) message() message.Message {
-	switch m.kind {
-	case message.KindSendCommand:
-		return &message.SendCommand{RequestID: m.request, Attempt: m.attempt, WorkerID: m.worker}
-	case message.KindRejectCommand:
-		return &message.RejectCommand{RequestID: m.request}
-	case message.KindFailCommand:
-		return &message.FailCommand{RequestID: m.request}
-	case message.KindCancelCommand:
-		return &message.CancelCommand{RequestID: m.request, Attempt: m.attempt}
-	case message.KindTransferCommand:
-		return &message.TransferCommand{RequestID: m.request}
-	case message.KindHealthCheckCommand:
-		return &message.HealthCheckCommand{WorkerID: m.worker}
-	case message.KindCloseIdleCommand:
-		return &message.CloseIdleCommand{WorkerID: m.worker}
-	}
-	return &message.Handshake{}
-}
-
 // broken is every reason that there is against an order.
-func (h *history) broken(epoch message.Epoch, open map[message.Epoch]bool, m *modelCommand) (why []message.RejectReason) {
+func (h *history) broken(epoch message.Epoch, open map[message.Epoch]bool, m *anyCommand) (why []message.RejectReason) {
 	against := func(w message.RejectReason, ok bool) {
 		if ok {
 			why = append(why, w)
@@ -287,7 +258,7 @@
 				s.Did("ended")
 			}
 		default:
-			m := &modelCommand{kind: []message.Kind{message.KindSendCommand, message.KindSendCommand, message.KindSendCommand, message.KindSendCommand, message.KindRejectCommand, message.KindFailCommand,
+			m := &anyCommand{kind: []message.Kind{message.KindSendCommand, message.KindSendCommand, message.KindSendCommand, message.KindSendCommand, message.KindRejectCommand, message.KindFailCommand,
 				message.KindCancelCommand,
 				message.KindHealthCheckCommand, message.KindCloseIdleCommand}[s.Pick(9)], request: id, worker: uint64(s.Pick(6))}
 			if q != nil {
--- /dev/null
+++ b/internal/control/validator/validator.go
@@ -0,0 +1,81 @@
+package validator
+
+import (
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
+)
+
+// LocalEpoch is the epoch of the local policy's commands. No session has it.
+const LocalEpoch message.Epoch = 0
+
+// Validator validates the commands to one forwarder. It is used by one goroutine.
+type Validator struct {
+	settings     dispatch.Settings
+	now          time.Duration // of the latest call
+	requests     map[uint64]*request
+	freeRequests []*request // for reuse
+	openSessions map[message.Epoch]bool
+	workers      map[uint64]listedWorker
+	statuses     statusTable
+	rejected     [message.ReasonCount]int
+}
+
+// New returns a validator without requests, workers and sessions.
+func New(settings dispatch.Settings) *Validator {
+	return &Validator{
+		settings:     settings,
+		requests:     map[uint64]*request{},
+		openSessions: map[message.Epoch]bool{},
+		workers:      map[uint64]listedWorker{},
+		statuses:     newStatusTable(),
+	}
+}
+
+// advance sets the present time. Time never runs backwards.
+func (v *Validator) advance(now time.Duration) { v.now = max(v.now, now) }
+
+// Observe takes in an event of the request table. If it ends an attempt, commandNumber is that attempt's number as the
+// request's owner counts it. The request table itself may not know it, if the request was closed between two sends of one
+// step.
+func (v *Validator) Observe(now time.Duration, event dispatch.Event) (commandNumber int, attemptEnded bool) {
+	v.advance(now)
+	switch e := event.(type) {
+	case dispatch.Job:
+		v.admit(e)
+	case dispatch.Outcome:
+		return v.attemptEnded(e)
+	case dispatch.Started:
+		v.attemptStarted(e.Job, e.Attempt, e.Worker)
+	case dispatch.Progressed:
+		v.attemptStarted(e.Job, e.Attempt, e.Worker)
+	case dispatch.ResponseStarted:
+		v.responseStarted(e)
+	case dispatch.ClientDisconnected:
+		v.closeRequest(e.Job)
+	case dispatch.WorkerList:
+		v.updateList(e)
+	}
+	return 0, false
+}
+
+// Apply takes in an action that is executed: a Send that Validate has allowed, or a final response, whoever decided on it.
+// Other actions have no effect here.
+func (v *Validator) Apply(now time.Duration, action dispatch.Action) {
+	v.advance(now)
+	switch a := action.(type) {
+	case dispatch.Send:
+		v.attemptSent(a)
+	case dispatch.Reject:
+		v.closeRequest(a.Job)
+	case dispatch.Fail:
+		v.closeRequest(a.Job)
+	}
+}
+
+// OpenSession permits commands of a session.
+func (v *Validator) OpenSession(epoch message.Epoch) { v.openSessions[epoch] = true }
+
+// CloseSession ends a session: its commands are void from now on.
+func (v *Validator) CloseSession(epoch message.Epoch) { delete(v.openSessions, epoch) }
