--- /dev/null
+++ b/internal/link/tags_test.go
@@ -0,0 +1,13 @@
+package link
+
+import (
+	"testing"
+
+	"valvecove/internal/requests"
+	"valvecove/internal/storedform"
+)
+
+// What worker nodes and discovery send is read by names in tags.
+func TestWireIsTagged(t *testing.T) {
+	storedform.CheckTags(t, requests.Callback{}, requests.EndpointList{})
+}
