--- /dev/null
+++ b/internal/link/hotrestart_predecessor.go
@@ -0,0 +1,275 @@
+package link
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/internal/hotrestart"
+)
+
+const (
+	handshakeTimeout = 3 * time.Second        // a peer that has not sent its first message by then is given up
+	transferTimeout  = 600 * time.Millisecond // nobody is served during a transfer
+)
+
+// An abstract socket name becomes free some time after the process that had it let go of it.
+const (
+	listenRetryInterval = 20 * time.Millisecond
+	maxListenRetries    = 100
+)
+
+// Errors of Relinquish.
+var (
+	ErrNoSuccessor = errors.New("no successor stands by")
+	ErrNotSettled  = errors.New("not settled yet") // try again in a moment
+)
+
+// predecessorRole is the side of a process that serves: it awaits a successor.
+type predecessorRole struct {
+	loop       *Loop
+	listenerFD int
+	protocol   hotrestart.Predecessor
+	successor  *successorConn // nil: none is connected
+}
+
+// successorConn is the connection to a successor.
+type successorConn struct {
+	frameChannel
+	role           *predecessorRole
+	handshakeTimer *timer
+}
+
+// OnSuccessor has act called whenever a successor stands by.
+func (l *Loop) OnSuccessor(act func()) { l.onSuccessor = act }
+
+// hasRelinquished tells whether a successor owns all that this process had.
+func (l *Loop) hasRelinquished() bool {
+	return l.predecessorRole != nil && l.predecessorRole.protocol.HasRelinquished()
+}
+
+// awaitSuccessor listens for a successor at the first of the addresses that can be bound.
+func (l *Loop) awaitSuccessor(addresses []string) {
+	l.awaitSuccessorWithRetries(addresses, maxListenRetries)
+}
+
+func (l *Loop) awaitSuccessorWithRetries(addresses []string, retries int) {
+	role := &predecessorRole{loop: l}
+	err := role.listen(addresses)
+	switch {
+	case err == nil:
+		l.predecessorRole = role
+	case errors.Is(err, unix.EADDRINUSE) && retries > 0:
+		l.after(listenRetryInterval, (*waker)(l), func() { l.awaitSuccessorWithRetries(addresses, retries-1) })
+	default: // this process can still be replaced, by a drain
+		l.log.Warn("no successor can reach this process", "error", err)
+	}
+}
+
+func (r *predecessorRole) listen(addresses []string) error {
+	fd, err := listenForSuccessor(addresses)
+	if err != nil {
+		return err
+	}
+	if err := r.loop.add(fd, unix.EPOLLIN, r); err != nil {
+		_ = unix.Close(fd)
+		return err
+	}
+	r.listenerFD = fd
+	return nil
+}
+
+func (r *predecessorRole) broken() {}
+
+// ready accepts a successor, or rejects it.
+func (r *predecessorRole) ready(uint32) {
+	socket, _, err := unix.Accept4(r.listenerFD, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+	if err != nil {
+		return
+	}
+	if present := r.successor; present != nil { // it may have gone just now, perhaps to come again
+		r.loop.guard(present, func() { present.ready(unix.EPOLLIN) })
+	}
+	conn := &successorConn{role: r}
+	if conn.stream, err = r.loop.stream(socket, streamEvents, conn); err != nil {
+		_ = unix.Close(socket)
+		return
+	}
+	if reason := r.protocol.HandleConnect(isPeerOwnUser(socket)); reason != nil {
+		r.loop.log.Warn("successor turned away", "why", reason)
+		_ = conn.sendMessage(hotrestart.Reject{Reason: reason.Error()})
+		conn.closeWithDescriptors()
+		return
+	}
+	r.successor = conn
+	conn.handshakeTimer = r.loop.after(handshakeTimeout, conn, func() { conn.disconnect(errHandshakeTimeout) })
+}
+
+// notifyCordoned tells a successor in standby which workers are cordoned, so that its metrics are right.
+func (l *Loop) notifyCordoned() {
+	role := l.predecessorRole
+	if role != nil && role.protocol.State() == hotrestart.PredecessorPaired {
+		_ = role.successor.sendMessage(hotrestart.CordonedWorkers{WorkerIDs: l.Ledger.Cordoned()})
+	}
+}
+
+func (c *successorConn) broken() { c.disconnect(errHandlerPanicked) }
+
+// disconnect ends the connection; the process serves on, unless it has relinquished.
+func (c *successorConn) disconnect(cause error) {
+	if c.closed {
+		return
+	}
+	c.loop.stop(c.handshakeTimer)
+	c.role.successor = nil
+	c.role.protocol.HandleDisconnect()
+	if !c.loop.hasRelinquished() {
+		c.loop.divide(false)
+	}
+	c.loop.log.Info("successor gone", "cause", cause)
+	for _, call := range c.pendingCalls.TakeAll() {
+		call.Respond(503, "the process that serves has gone")
+	}
+	c.closeWithDescriptors()
+}
+
+func (c *successorConn) ready(events uint32) {
+	if events&unix.EPOLLOUT != 0 {
+		if err := c.flush(); err != nil {
+			c.disconnect(err)
+			return
+		}
+	}
+	ended, err := c.receive()
+	if err == nil {
+		err = c.handleMessages(c.handleMessage)
+	}
+	if err != nil || ended {
+		c.disconnect(err)
+	}
+}
+
+func (c *successorConn) handleMessage(message hotrestart.Message, descriptor int) error {
+	closeDescriptor(descriptor) // a successor passes none
+	action, err := c.role.protocol.HandleMessage(message)
+	switch action {
+	case hotrestart.ActionReject:
+		_ = c.sendMessage(hotrestart.Reject{Reason: err.Error()})
+	case hotrestart.ActionAccept:
+		return c.accept()
+	case hotrestart.ActionApply:
+		c.apply(message)
+	}
+	return err
+}
+
+// accept passes the socket that clients connect to.
+func (c *successorConn) accept() error {
+	loop := c.loop
+	loop.stop(c.handshakeTimer)
+	accept := hotrestart.Accept{Version: hotrestart.ProtocolVersion, CordonedWorkers: loop.Ledger.Cordoned()}
+	if err := c.sendMessageBefore(loop.clock()+transferTimeout, accept, loop.clients.fd); err != nil {
+		return err
+	}
+	loop.log.Info("successor stands by")
+	loop.divide(true)
+	if loop.onSuccessor != nil {
+		loop.onSuccessor()
+	}
+	return nil
+}
+
+func (c *successorConn) apply(message hotrestart.Message) {
+	switch message := message.(type) {
+	case hotrestart.SetCordon:
+		c.loop.applyForwardedCordon(message, func(result hotrestart.CordonResult) {
+			if !c.closed && c.sendMessage(result) != nil {
+				c.disconnect(errPeerNotListening)
+			}
+		})
+	case hotrestart.CordonResult:
+		c.pendingCalls.Complete(message)
+	}
+}
+
+// forwardCordonToSuccessor forwards an operator's call once the successor owns everything.
+func (c *successorConn) forwardCordonToSuccessor(workerID string, cordoned bool, respond func(statusCode int, message string)) {
+	if c.forwardCordon(workerID, cordoned, respond) != nil {
+		c.disconnect(errPeerNotListening)
+	}
+}
+
+// Relinquish hands over all that this process has to the successor, in one step: the successor owns it once it says so, and
+// until then nothing has changed here. Nothing else is done meanwhile: of two processes that act, both would be owners.
+//
+// It returns ErrNoSuccessor if none stands by, and ErrNotSettled if the policy has not heard of all events or a file is being
+// written. After any other error this process is still the owner.
+func (l *Loop) Relinquish() error {
+	role := l.predecessorRole
+	if role == nil || role.protocol.State() != hotrestart.PredecessorPaired {
+		return ErrNoSuccessor
+	}
+	l.Ledger.AwaitEndpoints(0) // requests that wait for endpoints are handed over too
+	if !l.Ledger.FlushEvents(l.now) || l.cordonStore != nil && l.cordonStore.IsWriting() {
+		return ErrNotSettled
+	}
+	startedAt := l.clock()
+	role.protocol.BeginTransfer()
+	transfer := &stateTransfer{loop: l, successor: role.successor, deadline: startedAt + transferTimeout}
+	err := transfer.run()
+	if err != nil && !role.successor.takenOverBeforeShutdown() {
+		role.successor.disconnect(err)
+		return fmt.Errorf("handing over: %w", err)
+	}
+	l.releaseTransferred(transfer)
+	took := (l.clock() - startedAt).Round(10 * time.Microsecond)
+	l.log.Info("handed over", "queries", transfer.requestCount, "client_links", len(transfer.clientConnections),
+		"server_links", len(transfer.workerConnections), "module_bytes", transfer.snapshotSize, "took", took.String())
+	return nil
+}
+
+// takenOverBeforeShutdown shuts the connection down, and tells whether the successor had said that it has taken over. Nothing
+// that it says later reaches this process, and it finds that out: there are never two owners.
+func (c *successorConn) takenOverBeforeShutdown() bool {
+	_ = unix.Shutdown(c.fd, unix.SHUT_RDWR)
+	for {
+		before := len(c.in)
+		if ended, err := c.receive(); err != nil || ended || len(c.in) == before {
+			break
+		}
+	}
+	for offset := 0; ; {
+		frame, size, err := hotrestart.ReadFrame(c.in[offset:])
+		if err != nil {
+			return false
+		}
+		if frame.Kind == hotrestart.KindTakenOver {
+			_, _ = c.role.protocol.HandleMessage(hotrestart.TakenOver{})
+			return true
+		}
+		offset += size
+	}
+}
+
+// releaseTransferred lets go of what the successor owns now.
+func (l *Loop) releaseTransferred(transfer *stateTransfer) {
+	for _, client := range transfer.clientConnections {
+		client.busy()
+		client.turns = nil
+		client.close()
+		client.count()
+		delete(l.clients.links, client)
+	}
+	for _, worker := range transfer.workerConnections {
+		l.stop(worker.timer)
+		worker.state = gone
+		worker.close()
+	}
+	clear(l.servers.carried)
+	l.watch.stop()
+	l.remove(l.clients.fd)
+	l.clients.fd = hotrestart.NoDescriptor
+	l.remove(l.predecessorRole.listenerFD)
+}
--- /dev/null
+++ b/internal/link/hotrestart_successor.go
@@ -0,0 +1,289 @@
+package link
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+	"strings"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/internal/hotrestart"
+)
+
+// endpointListTimeout is how long a successor waits for an endpoint list of its own before it says that it is ready.
+const endpointListTimeout = 2 * time.Second
+
+var errListenerUnusable = errors.New("the socket that clients connect to can't be used")
+
+// successorRole is the side of a process that is to replace another one: it stands by, and then takes over.
+type successorRole struct {
+	frameChannel
+	protocol       hotrestart.Successor
+	stateDir       string
+	listenAddress  netip.AddrPort
+	listenerFD     int // the socket that clients connect to, from the predecessor; NoDescriptor: not yet
+	received       hotrestart.ReceivedState
+	handshakeTimer *timer
+	startedAt      time.Duration // by the loop's clock
+}
+
+// joinPredecessor tells whether there is a process to take over from; this one stands by then.
+func (l *Loop) joinPredecessor(stateDir string, listenAddress netip.AddrPort) bool {
+	role := &successorRole{
+		stateDir:      stateDir,
+		listenAddress: listenAddress,
+		listenerFD:    hotrestart.NoDescriptor,
+		startedAt:     l.now,
+	}
+	role.loop = l
+	if role.connect() != nil {
+		return false
+	}
+	l.successorRole = role
+	l.divide(true)
+	// At once: the first call of one scheduler of many may wait a while, and what it is told is needed soon.
+	l.Ledger.WatchEndpoints()
+	return true
+}
+
+// connect opens a session with the predecessor.
+func (r *successorRole) connect() error {
+	loop := r.loop
+	socket, err := dialPredecessor(hotrestart.SocketAddresses(r.stateDir, r.listenAddress))
+	if err != nil {
+		return err
+	}
+	if !isPeerOwnUser(socket) {
+		_ = unix.Close(socket)
+		loop.log.Warn("another user's process has the place of the one to be replaced, and is left alone")
+		return unix.EPERM
+	}
+	if r.stream, err = loop.stream(socket, streamEvents, r); err != nil {
+		r.stream = stream{loop: loop, closed: true}
+		_ = unix.Close(socket)
+		return err
+	}
+	if err := r.sendMessage(hotrestart.Handshake{Version: hotrestart.ProtocolVersion}); err != nil {
+		r.closeWithDescriptors()
+		return err
+	}
+	r.handshakeTimer = loop.after(handshakeTimeout, r, func() { r.handleDisconnect(errHandshakeTimeout) })
+	return nil
+}
+
+// isServing tells whether this process owns the requests.
+func (r *successorRole) isServing() bool { return r.protocol.State() == hotrestart.SuccessorServing }
+
+// notReadyReason tells operators what a successor still waits for; nothing: it is ready.
+func (r *successorRole) notReadyReason() string {
+	switch r.protocol.State() {
+	case hotrestart.SuccessorJoining:
+		return "the process to be replaced has not answered"
+	case hotrestart.SuccessorStandby:
+		if !r.loop.watch.receivedEvent && r.loop.now-r.startedAt < endpointListTimeout {
+			return "no word from discovery yet"
+		}
+	}
+	return ""
+}
+
+func (r *successorRole) broken() { r.handleDisconnect(errHandlerPanicked) }
+
+// ready takes in all that has come at once: during a transfer nobody is served.
+func (r *successorRole) ready(events uint32) {
+	if events&unix.EPOLLOUT != 0 {
+		if err := r.flush(); err != nil {
+			r.handleDisconnect(err)
+			return
+		}
+	}
+	for more := true; more; {
+		more = r.receiveAndHandle()
+	}
+}
+
+// receiveAndHandle tells whether more may have come.
+func (r *successorRole) receiveAndHandle() bool {
+	before := len(r.in)
+	ended, err := r.receive()
+	received := len(r.in) > before
+	if err == nil {
+		err = r.handleMessages(r.handleMessage)
+	}
+	if r.closed {
+		return false
+	}
+	if err != nil || ended {
+		r.handleDisconnect(err)
+		return false
+	}
+	return received
+}
+
+func (r *successorRole) handleMessage(message hotrestart.Message, descriptor int) error {
+	action, err := r.protocol.HandleMessage(message)
+	if err != nil {
+		closeDescriptor(descriptor)
+		return err
+	}
+	if action == hotrestart.ActionTakeOver {
+		return r.takeOver()
+	}
+	switch message := message.(type) {
+	case hotrestart.Accept:
+		return r.handleAccept(message, descriptor)
+	case hotrestart.Reject:
+		r.loop.onFail(fmt.Errorf("the process that serves turns this one away: %s", message.Reason))
+	case hotrestart.CordonedWorkers:
+		r.loop.Ledger.SetCordoned(message.WorkerIDs)
+	case hotrestart.CordonResult:
+		r.pendingCalls.CompleteOldest(message)
+	case hotrestart.SetCordon:
+		r.loop.applyForwardedCordon(message, func(result hotrestart.CordonResult) {
+			if !r.closed {
+				_ = r.sendMessage(result)
+			}
+		})
+	default:
+		r.received.Add(message, descriptor)
+	}
+	return nil
+}
+
+// handleAccept begins the standby. Calls that an earlier session has not answered are forwarded again.
+func (r *successorRole) handleAccept(accept hotrestart.Accept, listenerFD int) error {
+	r.loop.stop(r.handshakeTimer)
+	r.discardReceived()
+	closeDescriptor(r.listenerFD) // of an earlier session
+	r.listenerFD = listenerFD
+	r.loop.Ledger.SetCordoned(accept.CordonedWorkers)
+	for _, message := range r.pendingCalls.Messages() {
+		if err := r.sendMessage(message); err != nil {
+			return err
+		}
+	}
+	r.loop.log.Info("standing by", "out", strings.Join(accept.CordonedWorkers, " "))
+	return nil
+}
+
+// takeOver makes this process the owner of all that has come. It says so first: from here on the predecessor lets go, and
+// nothing below can fail but by ending this process.
+func (r *successorRole) takeOver() error {
+	received := r.received
+	if err := received.Check(); err != nil {
+		return err
+	}
+	if err := r.sendMessage(hotrestart.TakenOver{}); err != nil {
+		return err
+	}
+	r.protocol.TookOver()
+	r.received = hotrestart.ReceivedState{}
+	r.loop.restoreState(received)
+	r.startServing()
+	r.loop.log.Info("taken over", "queries", len(received.OpenRequests), "client_links", len(received.ClientConnections),
+		"server_links", len(received.WorkerConnections))
+	return nil
+}
+
+// startServing takes the predecessor's place: clients connect here from now on, and the next successor does.
+func (r *successorRole) startServing() {
+	loop := r.loop
+	if err := r.openListener(); err != nil {
+		loop.onFail(err)
+		return
+	}
+	loop.awaitSuccessor(hotrestart.SocketAddresses(r.stateDir, r.listenAddress))
+	loop.divide(false)
+	for _, call := range r.pendingCalls.TakeAll() { // the predecessor may have carried them out, or not
+		loop.ban(call.WorkerID, call.Cordoned, call.Respond)
+	}
+}
+
+// openListener uses the predecessor's socket, or opens one if it has not passed its own.
+func (r *successorRole) openListener() (err error) {
+	loop := r.loop
+	if r.listenerFD == hotrestart.NoDescriptor {
+		loop.clients.fd, err = loop.listen(r.listenAddress, loop.clients, unix.SO_REUSEPORT)
+		return err
+	}
+	loop.clients.fd = r.listenerFD
+	if err := loop.add(r.listenerFD, unix.EPOLLIN, loop.clients); err != nil {
+		return fmt.Errorf("%w: %w", errListenerUnusable, err)
+	}
+	r.listenerFD = hotrestart.NoDescriptor
+	return nil
+}
+
+// handleDisconnect takes in that the predecessor has gone, or breaks the protocol.
+func (r *successorRole) handleDisconnect(cause error) {
+	if r.closed {
+		return
+	}
+	loop := r.loop
+	loop.stop(r.handshakeTimer)
+	action := r.protocol.HandleDisconnect()
+	r.discardReceived()
+	r.closeWithDescriptors()
+	if action == hotrestart.ActionReconnect {
+		if r.connect() == nil {
+			loop.log.Warn("the talk with the process to be replaced has broken off, and begins anew", "cause", cause)
+			return
+		}
+		action = r.protocol.HandleDisconnect()
+	}
+	loop.successorRole = nil
+	if action == hotrestart.ActionServeAlone {
+		r.serveAlone(cause)
+		return
+	}
+	r.closeListener()
+}
+
+// serveAlone goes on without a predecessor's state, except for what is in the file.
+func (r *successorRole) serveAlone(cause error) {
+	loop := r.loop
+	cordoned, err := hotrestart.ReadCordonFile(r.stateDir)
+	if err != nil {
+		loop.log.Error("worker nodes out by hand can't be read", "error", err)
+	} else {
+		loop.Ledger.SetCordoned(cordoned)
+	}
+	loop.log.Warn("the process to be replaced has gone: serving without what it had", "cause", cause)
+	r.startServing()
+}
+
+// LeaveStandby has a process that stands by leave the one that serves alone, and tells whether it was one.
+func (l *Loop) LeaveStandby() bool {
+	role := l.successorRole
+	if role == nil || role.isServing() {
+		return false
+	}
+	l.stop(role.handshakeTimer)
+	role.closeWithDescriptors()
+	role.discardReceived()
+	role.closeListener()
+	l.successorRole = nil
+	return true
+}
+
+// discardReceived lets go of what a predecessor has sent of its state.
+func (r *successorRole) discardReceived() {
+	for _, descriptor := range r.received.Descriptors() {
+		closeDescriptor(descriptor)
+	}
+	r.received = hotrestart.ReceivedState{}
+}
+
+func (r *successorRole) closeListener() {
+	closeDescriptor(r.listenerFD)
+	r.listenerFD = hotrestart.NoDescriptor
+}
+
+// forwardCordonToPredecessor forwards an operator's call while the predecessor owns everything.
+func (r *successorRole) forwardCordonToPredecessor(workerID string, cordoned bool, respond func(statusCode int, message string)) {
+	if r.forwardCordon(workerID, cordoned, respond) != nil {
+		r.handleDisconnect(errPeerNotListening)
+	}
+}
