--- a/internal/storedform/storedform.go
+++ b/internal/storedform/storedform.go
@@ -29,16 +29,16 @@
 }
 
 // CheckTags fails a test for what Untagged lists.
-func CheckTags(t testing.TB, roots ...any) {
-	t.Helper()
-	CheckTagsBy(t, "json", roots...)
+func CheckTags(tb testing.TB, roots ...any) {
+	tb.Helper()
+	CheckTagsBy(tb, "json", roots...)
 }
 
 // CheckTagsBy fails a test for what UntaggedBy lists.
-func CheckTagsBy(t testing.TB, key string, roots ...any) {
-	t.Helper()
+func CheckTagsBy(tb testing.TB, key string, roots ...any) {
+	tb.Helper()
 	for _, fault := range UntaggedBy(key, roots...) {
-		t.Error(fault)
+		tb.Error(fault)
 	}
 }
 
@@ -50,9 +50,9 @@
 
 var marshaler = reflect.TypeFor[json.Marshaler]()
 
-func (w *walk) visit(t reflect.Type, at string) {
+func (w *walk) visit(t reflect.Type, place string) {
 	if t == nil {
-		w.faults = append(w.faults, at+": no type")
+		w.faults = append(w.faults, place+": no type")
 		return
 	}
 	if w.seen[t] {
@@ -64,14 +64,14 @@
 	}
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array:
-		w.visit(t.Elem(), at)
+		w.visit(t.Elem(), place)
 	case reflect.Map:
-		w.visit(t.Key(), at)
-		w.visit(t.Elem(), at)
+		w.visit(t.Key(), place)
+		w.visit(t.Elem(), place)
 	case reflect.Struct:
 		w.fields(t)
 	case reflect.Interface, reflect.Func, reflect.Chan, reflect.UnsafePointer:
-		w.faults = append(w.faults, fmt.Sprintf("%s: %v does not say what is written", at, t))
+		w.faults = append(w.faults, fmt.Sprintf("%s: %v does not say what is written", place, t))
 	}
 }
 
@@ -93,36 +93,41 @@
 // Zero lists the exported fields, however deep, that have their type's zero value somewhere in a value, and what holds
 // nothing. A golden file of a value for which it lists none shows every field of the form.
 func Zero(value any) []string {
-	var faults []string
-	var visit func(v reflect.Value, at string)
-	visit = func(v reflect.Value, at string) {
-		if v.IsZero() {
-			faults = append(faults, at)
-			return
-		}
-		switch v.Kind() {
-		case reflect.Pointer:
-			visit(v.Elem(), at)
-		case reflect.Slice, reflect.Array:
-			if v.Len() == 0 {
-				faults = append(faults, at)
-			}
-			if v.Type().Elem().Kind() == reflect.Uint8 {
-				return
-			}
-			for i := range v.Len() {
-				visit(v.Index(i), fmt.Sprintf("%s[%d]", at, i))
-			}
-		case reflect.Struct:
-			for i := range v.NumField() {
-				if field := v.Type().Field(i); field.IsExported() && field.Tag.Get("json") != "-" {
-					visit(v.Field(i), at+"."+field.Name)
-				}
+	return unsetFields(reflect.ValueOf(value), fmt.Sprintf("%T", value))
+}
+
+// unsetFields is Zero for a value that stands at a place.
+func unsetFields(value reflect.Value, place string) (unset []string) {
+	if value.IsZero() {
+		return []string{place}
+	}
+	switch value.Kind() {
+	case reflect.Pointer:
+		return unsetFields(value.Elem(), place)
+	case reflect.Slice, reflect.Array:
+		return unsetElements(value, place)
+	case reflect.Struct:
+		for i := range value.NumField() {
+			if field := value.Type().Field(i); field.IsExported() && field.Tag.Get("json") != "-" {
+				unset = append(unset, unsetFields(value.Field(i), place+"."+field.Name)...)
 			}
 		}
 	}
-	visit(reflect.ValueOf(value), fmt.Sprintf("%T", value))
-	return faults
+	return unset
+}
+
+// unsetElements is Zero for a list. Bytes are one value: any of them may be zero.
+func unsetElements(list reflect.Value, place string) (unset []string) {
+	if list.Len() == 0 {
+		return []string{place}
+	}
+	if list.Type().Elem().Kind() == reflect.Uint8 {
+		return nil
+	}
+	for i := range list.Len() {
+		unset = append(unset, unsetFields(list.Index(i), fmt.Sprintf("%s[%d]", place, i))...)
+	}
+	return unset
 }
 
 // Golden reads a golden file of the package under test.
@@ -130,19 +135,19 @@
 // Golden files are what a build before has written. They are never written anew to make a test pass: a build that does not
 // read them, or writes other bytes, can't go on from what runs today. A form that has to change gets a new number, and
 // golden files of its own beside these.
-func Golden(t testing.TB, name string) []byte {
-	t.Helper()
+func Golden(tb testing.TB, name string) []byte {
+	tb.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return text
 }
 
 // CheckGolden fails a test if what is written today is not what a golden file has.
-func CheckGolden(t testing.TB, name string, got []byte) {
-	t.Helper()
-	want := Golden(t, name)
+func CheckGolden(tb testing.TB, name string, got []byte) {
+	tb.Helper()
+	want := Golden(tb, name)
 	if bytes.Equal(got, want) {
 		return
 	}
@@ -151,6 +156,6 @@
 		at++
 	}
 	from := max(0, at-40)
-	t.Errorf("%s: %d bytes, expected %d; from byte %d on they differ: %q, expected %q", name, len(got), len(want), at,
+	tb.Errorf("%s: %d bytes, expected %d; from byte %d on they differ: %q, expected %q", name, len(got), len(want), at,
 		got[from:min(len(got), at+40)], want[from:min(len(want), at+40)])
 }
--- a/internal/storedform/storedform_test.go
+++ b/internal/storedform/storedform_test.go
@@ -17,12 +17,12 @@
 
 type outer struct {
 	Embedded
-	List   []inner                     `json:"list"`
-	Table  map[string]*struct{ X int } `json:"table"`
-	Out    chan int                    `json:"-"`
-	Any    any                         `json:"any"`
-	Raw    json.RawMessage             `json:"raw"`
-	Itself *outer                      `json:"itself"`
+	List    []inner                     `json:"list"`
+	Table   map[string]*struct{ X int } `json:"table"`
+	Skipped chan int                    `json:"-"`
+	Any     any                         `json:"any"`
+	Raw     json.RawMessage             `json:"raw"`
+	Itself  *outer                      `json:"itself"`
 }
 
 // Every field that a rename would change is found, wherever it stands, and nothing else.
@@ -49,7 +49,7 @@
 	Wait    time.Duration `name:"wait"`
 	At      time.Time     `name:"at"` // which has a form of its own
 	Unnamed int           `json:"unnamed" name:""`
-	Out     outer         `name:"-"`
+	Skipped outer         `name:"-"`
 }
 
 // So it is by the tags of another reader, and an embedded struct's fields count though its type is not exported.
