--- /dev/null
+++ b/internal/requests/completion_test.go
@@ -0,0 +1,73 @@
+package requests
+
+import (
+	"slices"
+	"strconv"
+	"testing"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/steps"
+)
+
+// Of two attempts that are both served only the first is the client's; the other ends as served and closed.
+func TestHedgedRequest_FirstResultIsSent(t *testing.T) {
+	policy, responder, transport := &steps.Script{}, &countingResponder{}, newRecordingTransport()
+	table := newTestTable(policy, 2, transport)
+	request := admit(t, table, "c", responder)
+	policy.Next = []dispatch.Action{
+		dispatch.Send{Job: request.ID, Worker: hashID("s-0")},
+		dispatch.Send{Job: request.ID, Worker: hashID("s-1")},
+	}
+	table.Step(1)
+	for _, attempt := range transport.started {
+		attempt.Stage = StageWritten // else it would be abandoned
+	}
+	for _, endpoint := range []string{"s-1", "s-0", "s-0"} {
+		callback := Callback{CallID: "c", EndpointID: endpoint, State: CallbackDone, Result: new(string)}
+		if _, err := table.HandleCallback(callback); err != nil {
+			t.Error(err)
+		}
+	}
+	table.Step(2)
+	outcome, ok := policy.Heard[len(policy.Heard)-1].(dispatch.Outcome)
+	if !ok || outcome.Attempt != 0 || outcome.Result != dispatch.OK || !outcome.Closed {
+		t.Errorf("last heard %+v", outcome)
+	}
+	if responder.results != 1 || responder.total() != 1 {
+		t.Errorf("%d results of %d responses", responder.results, responder.total())
+	}
+}
+
+// orderedResponder adds its number to a list when it is called.
+type orderedResponder struct {
+	responded *[]int
+	number    int
+}
+
+func (r orderedResponder) RespondResult([]byte)          { *r.responded = append(*r.responded, r.number) }
+func (r orderedResponder) RespondRejected(time.Duration) { r.RespondResult(nil) }
+func (r orderedResponder) RespondFailed()                { r.RespondResult(nil) }
+
+// Where many requests are responded to at once, it is in order of arrival, at every run.
+func TestResponses_KeepOrderOfArrival(t *testing.T) {
+	for name, closeAll := range map[string]func(table *Table, policy *steps.Script){
+		"end of process": func(table *Table, _ *steps.Script) { table.CloseSince(0) },
+		"policy panic": func(table *Table, policy *steps.Script) {
+			policy.Panic = true
+			table.Step(2)
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			policy, responded := &steps.Script{}, []int{}
+			table := newTestTable(policy, 0, newRecordingTransport())
+			for number := range 50 {
+				admit(t, table, strconv.Itoa(number), orderedResponder{&responded, number})
+			}
+			closeAll(table, policy)
+			if len(responded) != 50 || !slices.IsSorted(responded) {
+				t.Errorf("responded in the order %v", responded)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/requests/helpers_test.go
@@ -0,0 +1,146 @@
+package requests
+
+import (
+	"fmt"
+	"log/slog"
+	"testing"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/steps"
+)
+
+// countingResponder counts the responses.
+type countingResponder struct{ results, rejected, failed int }
+
+func (r *countingResponder) RespondResult([]byte)          { r.results++ }
+func (r *countingResponder) RespondRejected(time.Duration) { r.rejected++ }
+func (r *countingResponder) RespondFailed()                { r.failed++ }
+func (r *countingResponder) total() int                    { return r.results + r.rejected + r.failed }
+
+// recordingTransport remembers what it is asked for, and does nothing.
+type recordingTransport struct {
+	started           []*Attempt
+	abandoned         map[*Attempt]bool
+	cancelling        []*Attempt // whose cancellation is not completed
+	confirmed         map[*Attempt]bool
+	hasTwoAtOneWorker bool // a worker had two attempts of a request at once
+}
+
+func newRecordingTransport() *recordingTransport {
+	return &recordingTransport{abandoned: map[*Attempt]bool{}, confirmed: map[*Attempt]bool{}}
+}
+
+// completeCancel completes the oldest cancellation.
+func (r *recordingTransport) completeCancel(table *Table, confirmed bool) {
+	attempt := r.cancelling[0]
+	r.cancelling = r.cancelling[1:]
+	if confirmed && !attempt.HasEnded() {
+		r.confirmed[attempt] = true
+	}
+	table.CancelCompleted(attempt, confirmed)
+}
+
+func (r *recordingTransport) Start(attempt *Attempt) {
+	for _, earlier := range r.started {
+		if !earlier.HasEnded() && earlier.Request == attempt.Request && earlier.Worker == attempt.Worker {
+			r.hasTwoAtOneWorker = true
+		}
+	}
+	r.started = append(r.started, attempt)
+}
+
+func (r *recordingTransport) Abandon(attempt *Attempt)    { r.abandoned[attempt] = true }
+func (r *recordingTransport) Cancel(attempt *Attempt)     { r.cancelling = append(r.cancelling, attempt) }
+func (r *recordingTransport) CheckHealth(uint64)          {}
+func (r *recordingTransport) CloseIdleConnections(uint64) {}
+func (r *recordingTransport) Watch(int64)                 {}
+
+// endpointRange returns the endpoints s-FROM to s-(TO-1), which are up.
+func endpointRange(from, to int) (list EndpointList) {
+	for n := from; n < to; n++ {
+		list.Endpoints = append(list.Endpoints, Endpoint{ID: fmt.Sprint("s-", n), Addr: "10.0.0.1:80", Lifecycle: "up"})
+	}
+	return list
+}
+
+// newTestTable returns a table with a scripted policy and the endpoints s-0 to s-(endpoints-1).
+func newTestTable(policy *steps.Script, endpoints int, transport Transport) *Table {
+	names := NameTable{Classes: []string{"a"}}
+	newPolicy := func() Policy { return policy }
+	return New(4, names, newPolicy, endpointRange(0, endpoints), transport, slog.New(slog.DiscardHandler))
+}
+
+// attemptFixture is a table with the endpoints s-0 and s-1, and one request that has an accepted attempt at s-0.
+type attemptFixture struct {
+	table     *Table
+	policy    *steps.Script
+	transport *recordingTransport
+	responder *countingResponder
+	request   *Request
+	first     *Attempt
+}
+
+func newAttemptFixture(t *testing.T, attemptTimeout time.Duration) *attemptFixture {
+	t.Helper()
+	f := &attemptFixture{policy: &steps.Script{}, transport: newRecordingTransport(), responder: &countingResponder{}}
+	f.table = newTestTable(f.policy, 2, f.transport)
+	f.request = admit(t, f.table, "c", f.responder)
+	f.step(1, dispatch.Send{Job: f.request.ID, Worker: hashID("s-0"), AttemptTimeout: attemptTimeout})
+	f.first = f.transport.started[0]
+	f.first.Stage = StageAccepted
+	return f
+}
+
+// admit admits a request at instant 0 that has a second.
+func admit(t *testing.T, table *Table, callID string, responder Responder) *Request {
+	t.Helper()
+	request, err := table.Admit(0, Arrival{CallID: callID, Job: dispatch.Job{Remaining: time.Second}, Responder: responder})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return request
+}
+
+// step has the policy act, and learn what comes of it.
+func (f *attemptFixture) step(now time.Duration, actions ...dispatch.Action) {
+	f.policy.Next = actions
+	f.table.Wake()
+	f.table.Step(now)
+	f.table.Step(now)
+}
+
+// results returns the results of attempts that the policy has received.
+func (f *attemptFixture) results() (results []dispatch.Result) {
+	for _, event := range f.policy.Heard {
+		if outcome, isOutcome := event.(dispatch.Outcome); isOutcome {
+			results = append(results, outcome.Result)
+		}
+	}
+	return results
+}
+
+// callBack has s-0 call back about the request.
+func (f *attemptFixture) callBack(t *testing.T, state string) (known bool) {
+	t.Helper()
+	result := "r"
+	known, err := f.table.HandleCallback(Callback{CallID: "c", EndpointID: "s-0", State: state, Result: &result})
+	if err != nil {
+		t.Error(err)
+	}
+	return known
+}
+
+// takeOver goes on in the table of another process.
+func (f *attemptFixture) takeOver(t *testing.T) {
+	t.Helper()
+	if !f.table.FlushEvents(5) {
+		t.Fatal("events are pending")
+	}
+	state, open := f.table.Snapshot()
+	f.policy, f.transport = &steps.Script{}, newRecordingTransport()
+	f.table = newTestTable(f.policy, 0, f.transport)
+	responders := map[uint64]Responder{f.request.ID: f.responder}
+	f.table.TakeOver(5, state, open, responders, func() Policy { return f.policy })
+	f.request = f.table.Request(f.request.ID)
+}
