--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -122,9 +122,11 @@
 				}
 				j.attempts = append(j.attempts, a)
 			}
-			got := answer{d.mayAttempt(j, &workerInfo{Worker: Worker{Zone: 1, Cell: 1}}),
+			got := answer{
+				d.mayAttempt(j, &workerInfo{Worker: Worker{Zone: 1, Cell: 1}}),
 				d.mayAttempt(j, &workerInfo{Worker: Worker{Zone: 1, Cell: 2}}),
-				d.mayAttempt(j, &workerInfo{Worker: Worker{Zone: 2, Cell: 3}}), d.mayReject(j)}
+				d.mayAttempt(j, &workerInfo{Worker: Worker{Zone: 2, Cell: 3}}), d.mayReject(j),
+			}
 			if got != c.want {
 				t.Fatalf("got %+v, expected %+v", got, c.want)
 			}
--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -175,18 +175,26 @@
 		{name: "assigned", set: with(6, keep), workers: 10, slots: 4, rate: 60, noise: 0.3, span: 20 * time.Second, cold: true, assigned: true},
 		{name: "faults", set: with(2, keep), workers: 12, slots: 4, rate: 90, noise: 0.5, span: 20 * time.Second, faults: true},
 		{name: "idle", set: with(1, func(s *Settings) { s.CrossZoneCost = 0 }), workers: 20, slots: 2, rate: 40, noise: 0.3, span: 30 * time.Second, idle: true},
-		{name: "blind", set: with(4, func(s *Settings) {
-			s.ReportFields, s.StartNotifications, s.ProgressInterval, s.HealthChecks = nil, false, 0, false
-		}), workers: 10, slots: 3,
-			rate: 90, noise: 0.4, span: 15 * time.Second, faults: true},
-		{name: "no-hedges", set: with(3, func(s *Settings) { s.Hedging, s.ReportFields = false, nil }), workers: 8, slots: 2, rate: 70, noise: 0.6,
-			span: 15 * time.Second, faults: true, cold: true},
-		{name: "many-replicas", set: with(40, func(s *Settings) { s.ReportFields = nil }), workers: 30, slots: 2, rate: 80, noise: 0.5, span: 20 * time.Second, cold: true,
-			faults: true},
+		{
+			name: "blind", set: with(4, func(s *Settings) {
+				s.ReportFields, s.StartNotifications, s.ProgressInterval, s.HealthChecks = nil, false, 0, false
+			}), workers: 10, slots: 3,
+			rate: 90, noise: 0.4, span: 15 * time.Second, faults: true,
+		},
+		{
+			name: "no-hedges", set: with(3, func(s *Settings) { s.Hedging, s.ReportFields = false, nil }), workers: 8, slots: 2, rate: 70, noise: 0.6,
+			span: 15 * time.Second, faults: true, cold: true,
+		},
+		{
+			name: "many-replicas", set: with(40, func(s *Settings) { s.ReportFields = nil }), workers: 30, slots: 2, rate: 80, noise: 0.5, span: 20 * time.Second, cold: true,
+			faults: true,
+		},
 		{name: "cordons", set: with(2, keep), workers: 5, slots: 3, rate: 70, noise: 0.3, span: 25 * time.Second, cordons: true, faults: true},
 		{name: "handover", set: with(12, keep), workers: 12, slots: 3, rate: 90, noise: 0.4, span: 20 * time.Second, handover: true, cold: true, faults: true},
-		{name: "everything", set: with(9, keep), workers: 16, slots: 4, rate: 140, noise: 0.6, span: 30 * time.Second, handover: true, cold: true,
-			faults: true, cordons: true, idle: true},
+		{
+			name: "everything", set: with(9, keep), workers: 16, slots: 4, rate: 140, noise: 0.6, span: 30 * time.Second, handover: true, cold: true,
+			faults: true, cordons: true, idle: true,
+		},
 		{name: "crowded", set: with(1, func(s *Settings) { s.ReportFields, s.HealthChecks = nil, false }), workers: 3, slots: 2, rate: 45, noise: 0.2, span: 20 * time.Second},
 		{name: "wide-overload", set: with(1, keep), workers: 300, slots: 2, rate: 4000, noise: 0.3, span: 3 * time.Second},
 		{name: "wide", set: with(1, func(s *Settings) { s.ReportFields = nil }), workers: 300, slots: 2, rate: 400, noise: 0.3, span: 8 * time.Second},
@@ -264,8 +272,10 @@
 
 func (c *decisionCase) play(t *testing.T) *decisionHash {
 	t.Helper()
-	p := &decisionPlay{decisionCase: c, t: t, d: New(c.set, 7), rng: rand.New(rand.NewPCG(11, uint64(len(c.name)))), hash: newDecisionHash(),
-		now: time.Hour, jobs: map[uint64]*playJob{}}
+	p := &decisionPlay{
+		decisionCase: c, t: t, d: New(c.set, 7), rng: rand.New(rand.NewPCG(11, uint64(len(c.name)))), hash: newDecisionHash(),
+		now: time.Hour, jobs: map[uint64]*playJob{},
+	}
 	p.end = p.now + c.span
 	for i := range c.workers {
 		w := &playWorker{Worker: Worker{ID: uint64(i + 1), Kind: i % 3, Zone: i % 3, Cell: i % 5, Ready: true, Size: float64(1 + i%2)}, speed: []float64{1, 1.3, 0.7}[i%3]}
@@ -395,8 +405,10 @@
 	if p.rng.IntN(40) == 0 {
 		run *= 6 // far heavier than hinted
 	}
-	j := Job{ID: p.lastID, Class: class, Tenant: p.rng.IntN(3), Key: uint64(p.rng.IntN(40)), Hint: hint, Slots: slots,
-		Memory: p.rng.Float64(), Remaining: c.ClientTimeout}
+	j := Job{
+		ID: p.lastID, Class: class, Tenant: p.rng.IntN(3), Key: uint64(p.rng.IntN(40)), Hint: hint, Slots: slots,
+		Memory: p.rng.Float64(), Remaining: c.ClientTimeout,
+	}
 	if p.rng.IntN(10) == 0 {
 		j.Retry, j.Remaining = true, c.ClientTimeout/2
 	}
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -12,13 +12,19 @@
 	s.workers(2)
 	s.step(s.job(1, 0, 100*ms))
 	s.step(s.job(1, 0, 100*ms)) // the id is open
-	s.step(Job{ID: 2, Class: 99}, Job{ID: 3, Class: -1}, Job{ID: 4, Class: 0, Tenant: -5, Remaining: -time.Hour, Hint: -1,
-		Slots: nan, Memory: math.Inf(1)})
+	s.step(Job{ID: 2, Class: 99}, Job{ID: 3, Class: -1}, Job{
+		ID: 4, Class: 0, Tenant: -5, Remaining: -time.Hour, Hint: -1,
+		Slots: nan, Memory: math.Inf(1),
+	})
 	s.step(TimerFired{}, TimerFired{}, ClientDisconnected{Job: 77}, HealthChecked{Worker: 77, Report: []float64{nan}},
 		Started{Job: 1, Attempt: 5, Worker: 1}, Started{Job: 77}, Progressed{Job: 1, Attempt: -1, Share: nan},
 		Outcome{Job: 77}, Outcome{Job: 1, Attempt: 9}, Outcome{Job: 1, Worker: 555})
-	s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 1, Ready: true, Kind: -3, Size: nan, BootAt: -5},
-		{ID: 1, Ready: true}, {ID: 2, Ready: true}, {ID: 9, Removed: true}}})
+	s.step(WorkerList{Kind: ListFull, Workers: []Worker{
+		{ID: 1, Ready: true, Kind: -3, Size: nan, BootAt: -5},
+		{ID: 1, Ready: true},
+		{ID: 2, Ready: true},
+		{ID: 9, Removed: true},
+	}})
 	if len(s.d.workerList) != 2 {
 		t.Fatalf("%d workers known, expected 2", len(s.d.workerList))
 	}
--- a/dispatch/example_test.go
+++ b/dispatch/example_test.go
@@ -10,8 +10,10 @@
 func ExampleDispatcher_Step() {
 	d := dispatch.New(dispatch.Settings{
 		Replicas: 1, AttemptLimit: 3, StartNotifications: true, ConnectTimeout: 100 * time.Millisecond,
-		Classes: []dispatch.Class{{LatencyObjective: 300 * time.Millisecond, ObjectiveStretch: 2, ClientTimeout: 5 * time.Second,
-			Idempotency: dispatch.Idempotent, PriorityWeight: 1}},
+		Classes: []dispatch.Class{{
+			LatencyObjective: 300 * time.Millisecond, ObjectiveStretch: 2, ClientTimeout: 5 * time.Second,
+			Idempotency: dispatch.Idempotent, PriorityWeight: 1,
+		}},
 	}, 1)
 	actions := d.Step(0, []dispatch.Event{
 		dispatch.WorkerList{Kind: dispatch.ListFull, Workers: []dispatch.Worker{{ID: 7, Ready: true}}},
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -39,8 +39,10 @@
 }
 
 func newFleet(nodes int, set Settings) *fleet {
-	f := &fleet{d: New(set, 1), rng: rand.New(rand.NewPCG(1, 1)), now: time.Hour, run: 20 * ms, hint: 1, notice: set.StartNotifications, jobs: map[uint64]*fleetJob{},
-		at: map[uint64]int{}, delay: 200 * time.Microsecond}
+	f := &fleet{
+		d: New(set, 1), rng: rand.New(rand.NewPCG(1, 1)), now: time.Hour, run: 20 * ms, hint: 1, notice: set.StartNotifications, jobs: map[uint64]*fleetJob{},
+		at: map[uint64]int{}, delay: 200 * time.Microsecond,
+	}
 	list := WorkerList{Kind: ListFull}
 	for id := range nodes {
 		list.Workers = append(list.Workers, Worker{ID: uint64(id + 1), Ready: true})
--- a/dispatch/golden_test.go
+++ b/dispatch/golden_test.go
@@ -36,8 +36,10 @@
 	s := newHarness(t, goldenSettings())
 	list := WorkerList{Kind: ListFull, Revision: 42}
 	for id := range uint64(8) {
-		list.Workers = append(list.Workers, Worker{ID: (id + 1) << 40, Kind: int(id % 2), Ready: id != 6, Size: 2 + float64(id%3),
-			Cell: int(id / 2), Zone: int(id / 4)})
+		list.Workers = append(list.Workers, Worker{
+			ID: (id + 1) << 40, Kind: int(id % 2), Ready: id != 6, Size: 2 + float64(id%3),
+			Cell: int(id / 2), Zone: int(id / 4),
+		})
 	}
 	list.Workers[7].BootAt = s.now - time.Second
 	list.Workers[5].AssigneeRank, list.Workers[5].Assignees = 1, 3
@@ -69,8 +71,10 @@
 		}
 		s.wait(9 * ms)
 	}
-	s.step(WorkerList{Kind: ListDelta, Revision: 43, Workers: []Worker{{ID: 9 << 40, Kind: 1, Ready: true, Zone: 1, Cell: 4, Size: 4,
-		BootAt: s.now - 100*ms}}})
+	s.step(WorkerList{Kind: ListDelta, Revision: 43, Workers: []Worker{{
+		ID: 9 << 40, Kind: 1, Ready: true, Zone: 1, Cell: 4, Size: 4,
+		BootAt: s.now - 100*ms,
+	}}})
 	for ; id < 150; id++ { // of these some start, and nothing ends
 		s.step(job(id+1, int(id%3)))
 		for i, a := range taken[Send](s) {
@@ -84,8 +88,10 @@
 	large.Slots = 6
 	s.step(large)
 	s.wait(130 * ms)
-	s.step(ClientDisconnected{Job: 125}, JobResumed{Job: job(500, 0), Age: 20 * ms, QuotaCharged: true,
-		Attempts: []PastAttempt{{Worker: 1 << 40, SentAgo: 15 * ms, Ended: true, Result: ConnectionReset}, {Worker: 2 << 40, SentAgo: 10 * ms, StartedAgo: 8 * ms}}})
+	s.step(ClientDisconnected{Job: 125}, JobResumed{
+		Job: job(500, 0), Age: 20 * ms, QuotaCharged: true,
+		Attempts: []PastAttempt{{Worker: 1 << 40, SentAgo: 15 * ms, Ended: true, Result: ConnectionReset}, {Worker: 2 << 40, SentAgo: 10 * ms, StartedAgo: 8 * ms}},
+	})
 	return s
 }
 
@@ -140,10 +146,17 @@
 		ready, resting       bool
 		room, used, seen, of float64
 		out, cold            int
-	}{{ready: true, resting: true, room: 2, seen: 12, of: 2}, {ready: true, room: 5.5, used: 6.5, seen: 15, of: 3, out: 4}, {room: 1, of: 4},
-		{ready: true, resting: true, room: 2, seen: 8, of: 2}, {ready: true, room: 5, used: 4.5, seen: 9, of: 3, out: 3},
-		{ready: true, room: 4, used: 3, seen: 24, of: 4, out: 2}, {room: 1, of: 2}, {ready: true, room: 5.5, of: 3, cold: 4},
-		{ready: true, room: 1, of: 4}} {
+	}{
+		{ready: true, resting: true, room: 2, seen: 12, of: 2},
+		{ready: true, room: 5.5, used: 6.5, seen: 15, of: 3, out: 4},
+		{room: 1, of: 4},
+		{ready: true, resting: true, room: 2, seen: 8, of: 2},
+		{ready: true, room: 5, used: 4.5, seen: 9, of: 3, out: 3},
+		{ready: true, room: 4, used: 3, seen: 24, of: 4, out: 2},
+		{room: 1, of: 2},
+		{ready: true, room: 5.5, of: 3, cold: 4},
+		{ready: true, room: 1, of: 4},
+	} {
 		w := d.workers[uint64(i+1)<<40]
 		if w == nil || w.Ready != want.ready || (w.backoffUntil > d.now) != want.resting || w.limit != want.room || w.usedSlots != want.used ||
 			w.runs != want.seen || w.Size != want.of || len(w.inFlight) != want.out || len(w.warmUpSpends) != want.cold {
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -30,13 +30,15 @@
 }
 
 func testSettings() Settings {
-	return Settings{Replicas: 1, AttemptLimit: 5, Hedging: true, Cancellation: true, StartNotifications: true,
+	return Settings{
+		Replicas: 1, AttemptLimit: 5, Hedging: true, Cancellation: true, StartNotifications: true,
 		ConnectTimeout: 40 * ms, PollInterval: 10 * time.Second, ReportFields: []ReportField{ReportFieldFreeSlots},
 		Classes: []Class{
 			{LatencyObjective: 400 * ms, ObjectiveStretch: 2, ClientTimeout: 5 * time.Second, Idempotency: Idempotent, LateValue: 0.3},
 			{LatencyObjective: 400 * ms, ObjectiveStretch: 2, ClientTimeout: 5 * time.Second, Idempotency: NonIdempotent, LateValue: 0.3},
 			{LatencyObjective: 400 * ms, ObjectiveStretch: 2, ClientTimeout: 5 * time.Second, Idempotency: Idempotent},
-		}}
+		},
+	}
 }
 
 func newHarness(t *testing.T, set Settings) *harness {
--- a/dispatch/picker_test.go
+++ b/dispatch/picker_test.go
@@ -184,8 +184,12 @@
 			set := testSettings()
 			set.Classes[0].Kinds, set.Classes[0].Zones = c.kinds, c.zones
 			s := newHarness(t, set)
-			s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 1, Ready: true}, {ID: 2, Ready: true, Zone: 1},
-				{ID: 3, Ready: true, Kind: 1}, {ID: 4, Ready: true, Kind: 1, Zone: 1}}})
+			s.step(WorkerList{Kind: ListFull, Workers: []Worker{
+				{ID: 1, Ready: true},
+				{ID: 2, Ready: true, Zone: 1},
+				{ID: 3, Ready: true, Kind: 1},
+				{ID: 4, Ready: true, Kind: 1, Zone: 1},
+			}})
 			for id := uint64(1); id <= 8; id++ {
 				s.step(s.job(id, 0, 200*ms)) // nothing starts: further attempts and copies follow
 				s.wait(100 * ms)
--- a/dispatch/predictor_test.go
+++ b/dispatch/predictor_test.go
@@ -50,8 +50,15 @@
 		out    int
 		hint   float64
 		length time.Duration
-	}{{1, 1, 20 * time.Second}, {10, 1, 5 * time.Second}, {10, 1.0 / 30, 10 * time.Second}, {100, 1, 3 * time.Second},
-		{100, 30, 9 * time.Second}, {1000, 1.0 / 30, 400 * ms}, {10000, 1, 100 * ms}} {
+	}{
+		{1, 1, 20 * time.Second},
+		{10, 1, 5 * time.Second},
+		{10, 1.0 / 30, 10 * time.Second},
+		{100, 1, 3 * time.Second},
+		{100, 30, 9 * time.Second},
+		{1000, 1.0 / 30, 400 * ms},
+		{10000, 1, 100 * ms},
+	} {
 		f := newFleet(max(1, c.out/2), scaleSettings())
 		f.hint, f.noise = c.hint, 0.3
 		f.serve(c.out, c.length)
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -40,8 +40,10 @@
 }
 
 func newRuleChecker(set Settings) *ruleChecker {
-	return &ruleChecker{set: set, jobs: map[uint64]*observedJob{}, ready: map[uint64]Worker{}, listed: map[uint64]Worker{}, everListed: map[uint64]bool{},
-		probing: map[uint64]bool{}, cordoned: map[uint64]bool{}, disconnected: map[uint64]bool{}}
+	return &ruleChecker{
+		set: set, jobs: map[uint64]*observedJob{}, ready: map[uint64]Worker{}, listed: map[uint64]Worker{}, everListed: map[uint64]bool{},
+		probing: map[uint64]bool{}, cordoned: map[uint64]bool{}, disconnected: map[uint64]bool{},
+	}
 }
 
 func (r *ruleChecker) violation(format string, args ...any) {
@@ -203,15 +205,19 @@
 func randomSettings(rng *rand.Rand) Settings {
 	flip := func() bool { return rng.IntN(2) == 0 }
 	ms := func(n int) time.Duration { return time.Duration(rng.IntN(n)) * time.Millisecond }
-	set := Settings{Replicas: rng.IntN(6), ReplicaIndex: rng.IntN(5), Zone: rng.IntN(3), MustSubscribe: flip(), AttemptLimit: 1 + rng.IntN(5),
+	set := Settings{
+		Replicas: rng.IntN(6), ReplicaIndex: rng.IntN(5), Zone: rng.IntN(3), MustSubscribe: flip(), AttemptLimit: 1 + rng.IntN(5),
 		Hedging: flip(), Cancellation: flip(), HealthChecks: flip(), StartNotifications: flip(), MaxRetryAfter: ms(2000),
 		ReportFields: []ReportField{ReportFieldOther, ReportFieldFreeSlots}[:rng.IntN(3)], HealthCheckCost: rng.Float64() * 0.01,
 		CrossZoneCost: rng.Float64() * 0.1, ConnectTimeout: ms(300), PollInterval: ms(10000), WarmUp: ms(20000),
-		WarmUpCapacity: rng.Float64(), OverloadFactor: 1 + 3*rng.Float64(), OverloadWindow: ms(3000)}
+		WarmUpCapacity: rng.Float64(), OverloadFactor: 1 + 3*rng.Float64(), OverloadWindow: ms(3000),
+	}
 	for range 1 + rng.IntN(4) {
-		set.Classes = append(set.Classes, Class{LatencyObjective: ms(1000), ObjectiveStretch: 3 * rng.Float64(), ClientTimeout: ms(8000),
+		set.Classes = append(set.Classes, Class{
+			LatencyObjective: ms(1000), ObjectiveStretch: 3 * rng.Float64(), ClientTimeout: ms(8000),
 			Idempotency: Idempotency(rng.IntN(3)), DeduplicationScope: DeduplicationScope(rng.IntN(3)), DeduplicationWindow: ms(3000),
-			LateValue: max(0, rng.Float64()-0.5), PriorityWeight: 5 * rng.Float64(), Kinds: randomPlacement(rng), Zones: randomPlacement(rng)})
+			LateValue: max(0, rng.Float64()-0.5), PriorityWeight: 5 * rng.Float64(), Kinds: randomPlacement(rng), Zones: randomPlacement(rng),
+		})
 	}
 	for range rng.IntN(3) {
 		set.TenantQuota = append(set.TenantQuota, 20*rng.Float64())
@@ -260,9 +266,11 @@
 		events = append(events, randomList(rng, r)...)
 		for range rng.IntN(3) {
 			id++
-			j := Job{ID: id, Class: rng.IntN(len(set.Classes)), Tenant: rng.IntN(3),
+			j := Job{
+				ID: id, Class: rng.IntN(len(set.Classes)), Tenant: rng.IntN(3),
 				Remaining: time.Duration(rng.IntN(8000)) * time.Millisecond, Slots: float64(rng.IntN(5)),
-				Memory: 3 * rng.Float64(), Hint: time.Duration(rng.IntN(3)) * time.Duration(rng.IntN(2e9)), Key: id % 7}
+				Memory: 3 * rng.Float64(), Hint: time.Duration(rng.IntN(3)) * time.Duration(rng.IntN(2e9)), Key: id % 7,
+			}
 			if rng.IntN(4) == 0 {
 				events = append(events, JobResumed{Job: j, Age: time.Duration(rng.IntN(3000)) * time.Millisecond, QuotaCharged: id%2 == 0, Attempts: randomPastAttempts(rng)})
 			} else {
@@ -295,8 +303,10 @@
 // randomPastAttempts draws what came of a job before. Some of the workers are not listed, or not known.
 func randomPastAttempts(rng *rand.Rand) (pasts []PastAttempt) {
 	for range rng.IntN(4) {
-		p := PastAttempt{Worker: uint64(rng.IntN(10) + 1), SentAgo: time.Duration(rng.IntN(3000)) * time.Millisecond, Ended: rng.IntN(2) == 0,
-			Result: Result(rng.IntN(9))}
+		p := PastAttempt{
+			Worker: uint64(rng.IntN(10) + 1), SentAgo: time.Duration(rng.IntN(3000)) * time.Millisecond, Ended: rng.IntN(2) == 0,
+			Result: Result(rng.IntN(9)),
+		}
 		if slices.ContainsFunc(pasts, func(o PastAttempt) bool { return o.Worker == p.Worker }) {
 			p.Ended = true // no worker has two
 		}
@@ -364,8 +374,10 @@
 				result = Cancelled
 			}
 			closed := j.closed || result == OK
-			events = append(events, Outcome{Job: id, Attempt: n, Worker: t.worker.ID, Result: result, Closed: closed,
-				Report: []float64{rng.Float64(), 5*rng.Float64() - 1}[:rng.IntN(3)]})
+			events = append(events, Outcome{
+				Job: id, Attempt: n, Worker: t.worker.ID, Result: result, Closed: closed,
+				Report: []float64{rng.Float64(), 5*rng.Float64() - 1}[:rng.IntN(3)],
+			})
 			if closed {
 				j.closed = true
 			}
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -98,8 +98,10 @@
 				slots = max(slots, running[send.Worker])
 				ends = append(ends, dueEvent{s.now + j.Hint, Outcome{Worker: send.Worker}})
 				s.after(2*time.Millisecond, Started{Job: send.Job, Attempt: j.tries - 1, Worker: send.Worker})
-				s.after(2*time.Millisecond+j.Hint, Outcome{Job: send.Job, Attempt: j.tries - 1, Worker: send.Worker,
-					Result: OK, Closed: true, Report: []float64{3}})
+				s.after(2*time.Millisecond+j.Hint, Outcome{
+					Job: send.Job, Attempt: j.tries - 1, Worker: send.Worker,
+					Result: OK, Closed: true, Report: []float64{3},
+				})
 				b, ok := boot[send.Worker]
 				if age := s.now - b; ok && age < set.WarmUp {
 					spent[send.Worker] = append(spent[send.Worker], spend{s.now, j.Hint.Seconds()})
