--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -27,10 +27,10 @@
 
 func TestFinalAnswers(t *testing.T) {
 	cases := []struct {
-		name    string
-		workers int
-		left    time.Duration
-		wait    time.Duration
+		name      string
+		workers   int
+		remaining time.Duration
+		wait      time.Duration
 	}{
 		{"no worker is known", 0, 2 * time.Second, 2 * time.Second},
 		{"the deadline was short at arrival", 1, ms, ms},
@@ -42,7 +42,7 @@
 			s := newHarness(t, testSettings())
 			s.workers(c.workers)
 			j := s.job(1, 0, 100*ms)
-			j.Remaining = c.left
+			j.Remaining = c.remaining
 			s.step(j)
 			s.wait(c.wait)
 			if got := taken[Reject](s); len(got) != 1 {
@@ -62,9 +62,9 @@
 // Incident: jobs worth most were refused unsent on a hint known to be rough while a worker stood idle.
 func TestJobJustOutOfReachIsOfferedAFreeWorker(t *testing.T) {
 	cases := []struct {
-		name string
-		left time.Duration
-		sent int
+		name      string
+		remaining time.Duration
+		sent      int
 	}{
 		{"within the noise of hints", 1800 * ms, 1},
 		{"far beyond it", 500 * ms, 0},
@@ -74,7 +74,7 @@
 			s := newHarness(t, testSettings())
 			s.workers(1)
 			j := s.job(1, 2, 2*time.Second)
-			j.Remaining = c.left
+			j.Remaining = c.remaining
 			s.step(j)
 			s.wait(100 * ms)
 			if got := len(taken[Send](s)); got != c.sent {
@@ -98,16 +98,16 @@
 	j := s.job(50, 1, 200*ms)
 	j.Tenant = 1
 	s.step(j)
-	over := 0
+	demoted := 0
 	for _, sh := range s.d.queue.shapes {
 		for _, h := range sh.byScore.items {
 			if h.demoted() {
-				over++
+				demoted++
 			}
 		}
 	}
-	if over == 0 || s.d.jobs[50].demoted() {
-		t.Fatalf("%d jobs over their tenant's share, tenant without a quota over share: %v", over, s.d.jobs[50].demoted())
+	if demoted == 0 || s.d.jobs[50].demoted() {
+		t.Fatalf("%d jobs over their tenant's share, tenant without a quota over share: %v", demoted, s.d.jobs[50].demoted())
 	}
 }
 
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -41,7 +41,7 @@
 	s.workers(3)
 	s.step(s.job(1, 1, 100*ms))
 	s.wait(6 * time.Second)
-	var sends, fails, refusals int
+	var sends, fails, rejections int
 	for _, a := range s.take() {
 		switch a.(type) {
 		case Send:
@@ -49,11 +49,11 @@
 		case Fail:
 			fails++
 		case Reject:
-			refusals++
+			rejections++
 		}
 	}
-	if sends != 1 || fails != 1 || refusals != 0 {
-		t.Fatalf("%d sends, %d failures, %d refusals; expected 1, 1, 0", sends, fails, refusals)
+	if sends != 1 || fails != 1 || rejections != 0 {
+		t.Fatalf("%d sends, %d failures, %d refusals; expected 1, 1, 0", sends, fails, rejections)
 	}
 }
 
@@ -78,15 +78,15 @@
 
 // Rule 2, whole: may the job be sent to a worker of the same cell, of the same zone, of another; be refused?
 func TestRetryRules(t *testing.T) {
-	type answer struct{ cell, zone, other, refuse bool }
+	type answer struct{ cell, zone, other, reject bool }
 	all, none := answer{true, true, true, true}, answer{}
 	cases := []struct {
-		name   string
-		effect Idempotency
-		group  DeduplicationScope
-		state  []Result // of the earlier attempts; -1: still out
-		age    time.Duration
-		want   answer
+		name        string
+		idempotency Idempotency
+		scope       DeduplicationScope
+		state       []Result // of the earlier attempts; -1: still out
+		age         time.Duration
+		want        answer
 	}{
 		{"unsafe, first", NonIdempotent, 0, nil, 0, all},
 		{"unsafe, turned away", NonIdempotent, 0, []Result{WorkerFull}, 0, all},
@@ -106,12 +106,12 @@
 		{"keyed cell, too old", IdempotentWithKey, ScopeCell, []Result{ConnectionReset}, 3 * time.Second, none},
 		{"keyed zone, reset", IdempotentWithKey, ScopeZone, []Result{ConnectionReset}, 0, answer{cell: true, zone: true}},
 		{"keyed all, reset", IdempotentWithKey, ScopeAll, []Result{ConnectionReset}, 0, all},
-		{"keyed all, too old", IdempotentWithKey, ScopeAll, []Result{ConnectionReset}, 3 * time.Second, answer{refuse: true}},
+		{"keyed all, too old", IdempotentWithKey, ScopeAll, []Result{ConnectionReset}, 3 * time.Second, answer{reject: true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			set := testSettings()
-			set.Classes[0] = Class{Idempotency: c.effect, DeduplicationScope: c.group, DeduplicationWindow: 2 * time.Second, ClientTimeout: time.Minute}
+			set.Classes[0] = Class{Idempotency: c.idempotency, DeduplicationScope: c.scope, DeduplicationWindow: 2 * time.Second, ClientTimeout: time.Minute}
 			d := New(set, 1)
 			d.now = time.Hour
 			j := &jobInfo{class: &d.settings.Classes[0], deadline: d.now + time.Minute, heapIndex: -1}
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -8,22 +8,22 @@
 func TestConcurrencyLimit(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
-	room := func(want float64) {
+	expectLimit := func(want float64) {
 		t.Helper()
 		if got := s.d.workers[1].limit; got != want {
 			t.Fatalf("room %v, expected %v", got, want)
 		}
 	}
-	room(1)
+	expectLimit(1)
 	s.busy(1)
-	room(2) // a prompt start, and room was what limited us
+	expectLimit(2) // a prompt start, and room was what limited us
 	s.busy(2)
-	room(3)
+	expectLimit(3)
 	s.busy(3)
-	room(4)
+	expectLimit(4)
 	s.now += ms
 	s.step(s.done(1, 0, 1, ConnectionReset), s.done(2, 0, 1, ConnectionReset), s.done(3, 0, 1, ConnectionReset))
-	room(2) // one crash with three attempts out is one piece of news
+	expectLimit(2) // one crash with three attempts out is one piece of news
 }
 
 func TestLateStartDecreasesLimit(t *testing.T) {
@@ -117,7 +117,7 @@
 	for id := uint64(1); id <= 4; id++ {
 		s.busy(id)
 	}
-	for late := uint64(0); late < minLateOverflows; late++ {
+	for late := range uint64(minLateOverflows) {
 		if w.backoffUntil, w.limit = 0, 9; s.d.maxSlots(w) < 9 {
 			t.Fatalf("room ends at %v before anything was late", s.d.maxSlots(w))
 		}
@@ -186,14 +186,14 @@
 	f := newFleet(20, set)
 	f.run, f.hint = 400*ms, 1.0/20
 	served, _ := f.serve(15, 6*time.Second)
-	rest := 0
+	backedOff := 0
 	for _, w := range f.d.workerList {
 		if w.backoffUntil > f.now {
-			rest++
+			backedOff++
 		}
 	}
-	if possible := 15 * 5 / f.run.Seconds(); float64(served) < 0.9*possible || rest > 0 {
-		t.Errorf("%d served of %.0f, %d refused, %d of 20 workers left alone", served, possible, f.rejected, rest)
+	if possible := 15 * 5 / f.run.Seconds(); float64(served) < 0.9*possible || backedOff > 0 {
+		t.Errorf("%d served of %.0f, %d refused, %d of 20 workers left alone", served, possible, f.rejected, backedOff)
 	}
 }
 
--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -40,7 +40,7 @@
 		fmt.Fprintf(&got, "random-events-%d %s\n", seed, h)
 	}
 	for _, c := range decisionCases() {
-		fmt.Fprintf(&got, "%s %s\n", c.name, c.play(t))
+		fmt.Fprintf(&got, "%s %s\n", c.name, c.run(t))
 	}
 	if *updateGolden {
 		if err := os.WriteFile(decisionsFile, got.Bytes(), 0o600); err != nil {
@@ -201,84 +201,84 @@
 	}
 }
 
-// decisionPlay simulates the fleet of a case: workers with slots and a queue, each job's run drawn beforehand.
-type decisionPlay struct {
+// decisionRun simulates the fleet of a case: workers with slots and a queue, each job's run drawn beforehand.
+type decisionRun struct {
 	*decisionCase
-	t      *testing.T
-	d      *Dispatcher
-	rng    *rand.Rand
-	hash   *decisionHash
-	now    time.Duration
-	end    time.Duration
-	due    dueHeap
-	seq    int
-	fleet  []*playWorker
-	jobs   map[uint64]*playJob
-	lastID uint64
-	timer  time.Duration
-	steps  int
-	acts   []Action
-}
-
-type playWorker struct {
+	t       *testing.T
+	d       *Dispatcher
+	rng     *rand.Rand
+	hash    *decisionHash
+	now     time.Duration
+	end     time.Duration
+	events  scheduledActions
+	seq     int
+	fleet   []*simulatedWorker
+	jobs    map[uint64]*simulatedJob
+	lastID  uint64
+	timer   time.Duration
+	steps   int
+	actions []Action
+}
+
+type simulatedWorker struct {
 	Worker
-	speed   float64
-	running int
-	queue   []*playAttempt
-	hung    bool
-	failing bool
-	broken  bool
-	life    int           // counts restarts
-	endedAt time.Duration // the end of its last attempt: since then its connections are idle
+	speed       float64
+	running     int
+	queue       []*simulatedAttempt
+	hung        bool
+	failing     bool
+	broken      bool
+	incarnation int           // counts restarts
+	endedAt     time.Duration // the end of its last attempt: since then its connections are idle
 }
 
-type playJob struct {
+type simulatedJob struct {
 	Job
-	run    time.Duration
-	tries  []*playAttempt
-	closed bool
+	length   time.Duration
+	attempts []*simulatedAttempt
+	closed   bool
 }
 
-type playAttempt struct {
-	job    *playJob
-	number int
-	worker *playWorker
-	life   int
-	ended  bool
-	runs   bool
+type simulatedAttempt struct {
+	job         *simulatedJob
+	number      int
+	worker      *simulatedWorker
+	incarnation int
+	ended       bool
+	runs        bool
 }
 
-// dueItem is something that happens at an instant; those of one instant happen in the order in which they were set.
-type dueItem struct {
+// scheduledAction is something that happens at an instant; those of one instant happen in the order in which they were set.
+type scheduledAction struct {
 	at  time.Duration
 	seq int
 	do  func()
 }
 
-type dueHeap []dueItem
+type scheduledActions []scheduledAction
 
-func (h dueHeap) Len() int { return len(h) }
-func (h dueHeap) Less(i, k int) bool {
+func (h scheduledActions) Len() int { return len(h) }
+func (h scheduledActions) Less(i, k int) bool {
 	return h[i].at < h[k].at || h[i].at == h[k].at && h[i].seq < h[k].seq
 }
-func (h dueHeap) Swap(i, k int) { h[i], h[k] = h[k], h[i] }
-func (h *dueHeap) Push(x any)   { *h = append(*h, x.(dueItem)) }
-func (h *dueHeap) Pop() any {
+func (h scheduledActions) Swap(i, k int) { h[i], h[k] = h[k], h[i] }
+func (h *scheduledActions) Push(x any)   { *h = append(*h, x.(scheduledAction)) }
+func (h *scheduledActions) Pop() any {
 	last := len(*h) - 1
 	x := (*h)[last]
 	*h = (*h)[:last]
 	return x
 }
 
-func (c *decisionCase) play(t *testing.T) *decisionHash {
+func (c *decisionCase) run(t *testing.T) *decisionHash {
 	t.Helper()
-	p := &decisionPlay{
+	p := &decisionRun{
 		decisionCase: c, t: t, d: New(c.set, 7), rng: rand.New(rand.NewPCG(11, uint64(len(c.name)))), hash: newDecisionHash(),
-		now: time.Hour, jobs: map[uint64]*playJob{},
+		now: time.Hour, jobs: map[uint64]*simulatedJob{},
 	}
 	p.end = p.now + c.span
 	for i := range c.workers {
-		w := &playWorker{Worker: Worker{ID: uint64(i + 1), Kind: i % 3, Zone: i % 3, Cell: i % 5, Ready: true, Size: float64(1 + i%2)}, speed: []float64{1, 1.3, 0.7}[i%3]}
+		w := &simulatedWorker{Worker: Worker{ID: uint64(i + 1), Kind: i % 3, Zone: i % 3, Cell: i % 5, Ready: true, Size: float64(1 + i%2)}, speed: []float64{1, 1.3, 0.7}[i%3]}
 		if c.cold && i%4 == 3 {
 			w.BootAt = p.now - time.Duration(p.rng.IntN(6000))*ms
 		}
@@ -299,8 +299,8 @@
 	if c.handover {
 		p.after(3*time.Second, p.takeOver)
 	}
-	for len(p.due) > 0 {
-		x := heap.Pop(&p.due).(dueItem)
+	for len(p.events) > 0 {
+		x := heap.Pop(&p.events).(scheduledAction)
 		p.now = max(p.now, x.at)
 		x.do()
 	}
@@ -308,13 +308,13 @@
 	return p.hash
 }
 
-func (p *decisionPlay) after(d time.Duration, do func()) {
+func (p *decisionRun) after(d time.Duration, do func()) {
 	p.seq++
-	heap.Push(&p.due, dueItem{p.now + d, p.seq, do})
+	heap.Push(&p.events, scheduledAction{p.now + d, p.seq, do})
 }
 
 // later does something after the random time between two jobs, and never past the end.
-func (p *decisionPlay) later(do func()) {
+func (p *decisionRun) later(do func()) {
 	gap := time.Duration(p.rng.ExpFloat64() / p.rate * float64(time.Second))
 	if p.idle && p.rng.IntN(150) == 0 {
 		gap += time.Duration(p.rng.IntN(6000)) * ms
@@ -324,7 +324,7 @@
 	}
 }
 
-func (p *decisionPlay) list(kind ListKind) WorkerList {
+func (p *decisionRun) list(kind ListKind) WorkerList {
 	l := WorkerList{Kind: kind, Revision: int64(p.steps)}
 	for i, w := range p.fleet {
 		if kind == ListCached && i == len(p.fleet)-1 {
@@ -335,9 +335,9 @@
 	return l
 }
 
-func (p *decisionPlay) step(events ...Event) {
-	p.acts = p.d.Step(p.now, events, p.acts[:0])
-	acts := append([]Action(nil), p.acts...)
+func (p *decisionRun) step(events ...Event) {
+	p.actions = p.d.Step(p.now, events, p.actions[:0])
+	acts := append([]Action(nil), p.actions...)
 	p.hash.actions(acts)
 	if p.steps++; p.steps%300 == 0 {
 		p.hash.snapshot(p.d)
@@ -351,7 +351,7 @@
 		case Fail:
 			p.jobs[a.Job].closed = true
 		case Cancel:
-			p.cancel(p.jobs[a.Job].tries[a.Attempt])
+			p.cancel(p.jobs[a.Job].attempts[a.Attempt])
 		case HealthCheck:
 			p.probe(a.Worker)
 		case CloseIdleConnections:
@@ -364,7 +364,7 @@
 	}
 }
 
-func (p *decisionPlay) setTimer(span time.Duration) {
+func (p *decisionRun) setTimer(span time.Duration) {
 	at := p.now + span
 	p.timer = at
 	if p.now > p.end+10*time.Second {
@@ -381,7 +381,7 @@
 	})
 }
 
-func (p *decisionPlay) subscribe() {
+func (p *decisionRun) subscribe() {
 	if p.rng.IntN(3) == 0 {
 		p.after(30*ms, func() { p.step(WorkerList{Kind: ListUnavailable}) })
 		return
@@ -389,7 +389,7 @@
 	p.after(30*ms, func() { p.step(p.list(ListFull)) })
 }
 
-func (p *decisionPlay) arrival() {
+func (p *decisionRun) arrival() {
 	p.lastID++
 	class := p.rng.IntN(len(p.set.Classes))
 	c := &p.set.Classes[class]
@@ -412,27 +412,27 @@
 	if p.rng.IntN(10) == 0 {
 		j.Retry, j.Remaining = true, c.ClientTimeout/2
 	}
-	job := &playJob{Job: j, run: run}
+	job := &simulatedJob{Job: j, length: run}
 	p.jobs[j.ID] = job
 	if p.handover && p.rng.IntN(8) == 0 {
-		p.resume(job)
+		p.resumeJob(job)
 	} else {
 		p.step(j)
 	}
 	if p.rng.IntN(60) == 0 {
-		p.after(time.Duration(p.rng.IntN(500))*ms, func() { p.clientGone(job) })
+		p.after(time.Duration(p.rng.IntN(500))*ms, func() { p.disconnect(job) })
 	}
 	p.later(p.arrival)
 }
 
-func (p *decisionPlay) clientGone(j *playJob) {
+func (p *decisionRun) disconnect(j *simulatedJob) {
 	if !j.closed {
 		j.closed = true
 		p.step(ClientDisconnected{Job: j.ID})
 	}
 }
 
-func (p *decisionPlay) resume(j *playJob) {
+func (p *decisionRun) resumeJob(j *simulatedJob) {
 	e := JobResumed{Job: j.Job, Age: time.Duration(p.rng.IntN(400)) * ms, QuotaCharged: p.rng.IntN(2) == 0}
 	for range p.rng.IntN(3) {
 		w := p.fleet[p.rng.IntN(len(p.fleet))]
@@ -440,8 +440,8 @@
 		if p.rng.IntN(5) == 0 {
 			past.Worker = 9000 + w.ID
 		}
-		a := &playAttempt{job: j, number: len(j.tries), worker: w, life: w.life, ended: past.Ended}
-		for _, other := range j.tries {
+		a := &simulatedAttempt{job: j, number: len(j.attempts), worker: w, incarnation: w.incarnation, ended: past.Ended}
+		for _, other := range j.attempts {
 			if other.worker == w && !other.ended {
 				past.Ended, a.ended = true, true
 			}
@@ -453,10 +453,10 @@
 			past.StartedAgo = past.SentAgo / 2
 		}
 		e.Attempts = append(e.Attempts, past)
-		j.tries = append(j.tries, a)
+		j.attempts = append(j.attempts, a)
 		if !past.Ended {
 			at, began := past.Worker, past.StartedAgo
-			p.after(j.run, func() {
+			p.after(j.length, func() {
 				a.ended = true
 				result := OK
 				if began == 0 && p.rng.IntN(3) == 0 {
@@ -469,17 +469,17 @@
 	p.step(e)
 }
 
-func (p *decisionPlay) send(s Send) {
+func (p *decisionRun) send(s Send) {
 	j := p.jobs[s.Job]
 	w := p.fleet[s.Worker-1]
-	a := &playAttempt{job: j, number: len(j.tries), worker: w, life: w.life}
-	for _, other := range j.tries {
+	a := &simulatedAttempt{job: j, number: len(j.attempts), worker: w, incarnation: w.incarnation}
+	for _, other := range j.attempts {
 		if !other.ended {
 			p.hash.counts["second"]++
 			break
 		}
 	}
-	j.tries = append(j.tries, a)
+	j.attempts = append(j.attempts, a)
 	switch {
 	case p.idle && w.endedAt > 0 && p.now-w.endedAt > 300*ms && p.rng.IntN(4) > 0: // dropped unseen on the way
 		p.after(time.Duration(20+p.rng.IntN(100))*ms, func() { p.finish(a, ConnectionReset) })
@@ -503,31 +503,31 @@
 }
 
 // serve starts what is queued at a worker while it has slots.
-func (p *decisionPlay) serve(w *playWorker) {
+func (p *decisionRun) serve(w *simulatedWorker) {
 	for !w.hung && w.running < p.slots && len(w.queue) > 0 {
 		a := w.queue[0]
 		w.queue = w.queue[1:]
-		if a.ended || a.life != w.life {
+		if a.ended || a.incarnation != w.incarnation {
 			continue
 		}
 		a.runs = true
 		w.running++
-		run := time.Duration(float64(a.job.run) / (w.speed * p.warmth(w)))
+		run := time.Duration(float64(a.job.length) / (w.speed * p.warmUpShare(w)))
 		if p.set.StartNotifications && p.rng.IntN(50) > 0 {
-			p.after(2*ms, func() { p.tell(a, Started{Job: a.job.ID, Attempt: a.number, Worker: w.ID}) })
+			p.after(2*ms, func() { p.notify(a, Started{Job: a.job.ID, Attempt: a.number, Worker: w.ID}) })
 		}
 		if p.set.ProgressInterval > 0 {
 			for at := p.set.ProgressInterval; at < run; at += p.set.ProgressInterval {
 				share := float64(at) / float64(run)
-				p.after(at, func() { p.tell(a, Progressed{Job: a.job.ID, Attempt: a.number, Worker: w.ID, Share: share}) })
+				p.after(at, func() { p.notify(a, Progressed{Job: a.job.ID, Attempt: a.number, Worker: w.ID, Share: share}) })
 			}
 		}
 		if p.rng.IntN(30) == 0 {
-			p.after(run/2, func() { p.tell(a, ResponseStarted{Job: a.job.ID, Attempt: a.number, Worker: w.ID}) })
+			p.after(run/2, func() { p.notify(a, ResponseStarted{Job: a.job.ID, Attempt: a.number, Worker: w.ID}) })
 		}
-		life := w.life
+		life := w.incarnation
 		p.after(run, func() {
-			if w.life == life {
+			if w.incarnation == life {
 				w.running--
 				p.serve(w)
 				p.after(2*ms, func() { p.finish(a, OK) })
@@ -536,21 +536,21 @@
 	}
 }
 
-// warmth is the part of its speed that a worker has so long after its start.
-func (p *decisionPlay) warmth(w *playWorker) float64 {
+// warmUpShare is the part of its speed that a worker has so long after its start.
+func (p *decisionRun) warmUpShare(w *simulatedWorker) float64 {
 	if w.BootAt == 0 || p.now-w.BootAt > p.set.WarmUp {
 		return 1
 	}
 	return p.set.WarmUpCapacity + (1-p.set.WarmUpCapacity)*float64(p.now-w.BootAt)/float64(p.set.WarmUp)
 }
 
-func (p *decisionPlay) tell(a *playAttempt, e Event) {
-	if !a.ended && a.life == a.worker.life {
+func (p *decisionRun) notify(a *simulatedAttempt, e Event) {
+	if !a.ended && a.incarnation == a.worker.incarnation {
 		p.step(e)
 	}
 }
 
-func (p *decisionPlay) finish(a *playAttempt, r Result) {
+func (p *decisionRun) finish(a *simulatedAttempt, r Result) {
 	if a.ended {
 		return
 	}
@@ -558,7 +558,7 @@
 	p.outcome(a, a.worker.ID, r)
 }
 
-func (p *decisionPlay) outcome(a *playAttempt, at uint64, r Result) {
+func (p *decisionRun) outcome(a *simulatedAttempt, at uint64, r Result) {
 	o := Outcome{Job: a.job.ID, Attempt: a.number, Worker: at, Result: r, Closed: r == OK || a.job.closed}
 	a.job.closed = o.Closed
 	a.worker.endedAt = p.now
@@ -568,7 +568,7 @@
 	p.step(o)
 }
 
-func (p *decisionPlay) cancel(a *playAttempt) {
+func (p *decisionRun) cancel(a *simulatedAttempt) {
 	if !a.runs && p.rng.IntN(2) == 0 {
 		p.after(3*ms, func() { p.finish(a, NotSent) })
 		return
@@ -576,7 +576,7 @@
 	p.after(3*ms, func() { p.finish(a, Cancelled) })
 }
 
-func (p *decisionPlay) probe(id uint64) {
+func (p *decisionRun) probe(id uint64) {
 	w := p.fleet[id-1]
 	result, delay := OK, 2*ms
 	switch {
@@ -597,7 +597,7 @@
 }
 
 // fault gives a worker a fault for a while.
-func (p *decisionPlay) fault() {
+func (p *decisionRun) fault() {
 	if p.now > p.end {
 		return
 	}
@@ -621,18 +621,18 @@
 }
 
 // restart has a worker drain, go away or restart. What it ran is lost.
-func (p *decisionPlay) restart() {
+func (p *decisionRun) restart() {
 	if p.now > p.end {
 		return
 	}
 	w := p.fleet[p.rng.IntN(len(p.fleet))]
 	w.Ready = false
-	gone := p.rng.IntN(3) == 0
+	isRemoved := p.rng.IntN(3) == 0
 	entry := w.Worker
-	entry.Removed = gone
+	entry.Removed = isRemoved
 	p.step(WorkerList{Kind: ListDelta, Workers: []Worker{entry}})
 	p.after(time.Duration(200+p.rng.IntN(1500))*ms, func() {
-		w.life++
+		w.incarnation++
 		w.running, w.queue = 0, nil
 		w.Ready, w.BootAt = true, p.now
 		if p.assigned {
@@ -647,7 +647,7 @@
 }
 
 // cordon takes workers out by hand, at times all of them, and brings them back.
-func (p *decisionPlay) cordon() {
+func (p *decisionRun) cordon() {
 	if p.now > p.end {
 		return
 	}
@@ -668,7 +668,7 @@
 }
 
 // takeOver has the number of dispatchers change, and brings what another one has learnt.
-func (p *decisionPlay) takeOver() {
+func (p *decisionRun) takeOver() {
 	if p.now > p.end {
 		return
 	}
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -61,7 +61,7 @@
 // A worker that comes back by hand is cold from then on, if the list tells of no later start, and what was out there takes
 // up none of its room: else it would stay unused until that has timed out.
 func TestUncordonedWorkerWarmsUpAndIsUsed(t *testing.T) {
-	for _, told := range []bool{false, true} {
+	for _, isListed := range []bool{false, true} {
 		set := testSettings()
 		set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
 		s := newHarness(t, set)
@@ -69,15 +69,15 @@
 		s.busy(1)
 		s.step(Cordoned{Worker: 1}, Cordoned{Worker: 1})
 		s.wait(3 * time.Second)
-		if told {
+		if isListed {
 			s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 1, Ready: true, BootAt: s.now}}})
 			s.wait(4 * time.Second)
 		}
 		s.take()
 		s.step(Uncordoned{Worker: 1})
 		share := s.d.warmUpShare(s.d.workers[1])
-		if told && (share < 0.35 || share > 0.37) || !told && share > 0.21 {
-			t.Errorf("told of the start: %v; taken to have %v of its capacity", told, share)
+		if isListed && (share < 0.35 || share > 0.37) || !isListed && share > 0.21 {
+			t.Errorf("told of the start: %v; taken to have %v of its capacity", isListed, share)
 		}
 		s.wait(3 * time.Second) // past the span in which none of ours is known to have been sent
 		s.step(s.job(7, 0, 10*ms))
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -34,8 +34,8 @@
 }
 
 type eventLine struct {
-	due   []dueEvent
-	first int
+	events []scheduledEvent
+	first  int
 }
 
 func newFleet(nodes int, set Settings) *fleet {
@@ -59,7 +59,7 @@
 }
 
 func (f *fleet) later(which int, d time.Duration, e Event) {
-	f.events[which].due = append(f.events[which].due, dueEvent{f.now + d, e})
+	f.events[which].events = append(f.events[which].events, scheduledEvent{f.now + d, e})
 }
 
 func (f *fleet) step(events ...Event) {
@@ -94,7 +94,7 @@
 func (f *fleet) next() (worker uint64) {
 	var q *eventLine
 	for i := range f.events {
-		if o := &f.events[i]; o.first < len(o.due) && (q == nil || o.due[o.first].at < q.due[q.first].at) {
+		if o := &f.events[i]; o.first < len(o.events) && (q == nil || o.events[o.first].at < q.events[q.first].at) {
 			q = o
 		}
 	}
@@ -103,12 +103,12 @@
 		f.step(TimerFired{})
 		return 0
 	}
-	e := q.due[q.first]
+	e := q.events[q.first]
 	if q.first++; q.first > 4096 {
-		q.due, q.first = q.due[:copy(q.due, q.due[q.first:])], 0
+		q.events, q.first = q.events[:copy(q.events, q.events[q.first:])], 0
 	}
 	f.now = max(f.now, e.at)
-	if o, ok := e.e.(Outcome); ok {
+	if o, ok := e.event.(Outcome); ok {
 		f.at[o.Worker]--
 		if j := f.jobs[o.Job]; !j.closed {
 			f.done++
@@ -117,7 +117,7 @@
 		f.jobs[o.Job].inFlight--
 		f.close(o.Job)
 	}
-	f.step(e.e)
+	f.step(e.event)
 	return worker
 }
 
@@ -139,11 +139,11 @@
 	for _, nodes := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
 			f := newFleet(nodes, scaleSettings())
-			out := max(4, nodes*4/10)
-			for range out {
+			inFlight := max(4, nodes*4/10)
+			for range inFlight {
 				f.job()
 			}
-			for range 20 * out {
+			for range 20 * inFlight {
 				f.pass()
 			}
 			b.ReportAllocs()
--- a/dispatch/golden_test.go
+++ b/dispatch/golden_test.go
@@ -15,7 +15,7 @@
 // snapshot in another form comes with another number there.
 const (
 	goldenSnapshot = "dispatcher.snapshot"
-	goldenLesson   = "lesson.form1"
+	goldenModel    = "lesson.form1"
 )
 
 func goldenSettings() Settings {
@@ -30,9 +30,10 @@
 }
 
 // goldenScene brings a dispatcher to where it has learnt of sizes, kinds and workers, and has jobs of all classes: some run,
-// some have not started, many wait, and one of them keeps a worker for itself; one worker is out by hand, one drains, one is
-// cold, and two rest.
+// some have not started, many wait, and one of them has a worker reserved; one worker is cordoned, one drains, one warms up,
+// and two are backed off from.
 func goldenScene(t *testing.T) *harness {
+	t.Helper()
 	s := newHarness(t, goldenSettings())
 	list := WorkerList{Kind: ListFull, Revision: 42}
 	for id := range uint64(8) {
@@ -55,7 +56,7 @@
 		s.step(job(id+1, int(id%3)))
 		for _, a := range taken[Send](s) {
 			span := time.Duration(15+a.Job*7%40) * ms * time.Duration(1+a.Worker>>40%3)
-			number := s.jobs[a.Job].tries - 1
+			number := s.jobs[a.Job].attempts - 1
 			switch {
 			case a.Job%37 == 5:
 				s.after(3*ms, s.done(a.Job, number, a.Worker, Failed))
@@ -79,7 +80,7 @@
 		s.step(job(id+1, int(id%3)))
 		for i, a := range taken[Send](s) {
 			if (int(a.Job)+i)%3 > 0 {
-				s.after(2*ms, Started{Job: a.Job, Attempt: s.jobs[a.Job].tries - 1, Worker: a.Worker})
+				s.after(2*ms, Started{Job: a.Job, Attempt: s.jobs[a.Job].attempts - 1, Worker: a.Worker})
 			}
 		}
 		s.wait(2 * ms)
@@ -100,7 +101,7 @@
 func TestGoldenSnapshotIsWritten(t *testing.T) {
 	s := goldenScene(t)
 	storedform.CheckGolden(t, goldenSnapshot, s.d.Snapshot(nil))
-	storedform.CheckGolden(t, goldenLesson, s.d.ModelSnapshot(4000, nil))
+	storedform.CheckGolden(t, goldenModel, s.d.ModelSnapshot(4000, nil))
 }
 
 // A snapshot of a build before is read, bit by bit, and what is restored goes on from it.
@@ -114,28 +115,15 @@
 		t.Error("restored, it has another snapshot")
 	}
 	if len(d.jobs) != 68 || d.queue.length != 59 || len(d.workers) != 9 || len(d.keyWork) != 4 || d.now != time.Hour+1270*ms {
-		t.Errorf("%d jobs, %d held, %d workers, %d keys, at %v", len(d.jobs), d.queue.length, len(d.workers), len(d.keyWork), d.now)
+		t.Errorf("%d jobs, %d queued, %d workers, %d keys, at %v", len(d.jobs), d.queue.length, len(d.workers), len(d.keyWork), d.now)
 	}
 	if d.sharing != (ReplicasChanged{Replicas: 3, ReplicaIndex: 1, QuotaShare: 0.4}) || len(d.cordoned) != 1 || d.cordoned[3<<40] != time.Hour {
-		t.Errorf("shared by %+v, out by hand %v", d.sharing, d.cordoned)
+		t.Errorf("shared by %+v, cordoned %v", d.sharing, d.cordoned)
 	}
 	if d.reserved == nil || d.reserved.ID != 1<<40 || d.reservedFor.ID != 11 || d.reservedFor.Slots != 2 {
-		t.Errorf("kept %+v for %+v", d.reserved, d.reservedFor)
+		t.Errorf("reserved %+v for %+v", d.reserved, d.reservedFor)
 	}
-	started, unstarted, ended := 0, 0, 0
-	for _, j := range d.jobs {
-		for _, a := range j.attempts {
-			switch {
-			case a.ended:
-				ended++
-			case a.started:
-				started++
-			default:
-				unstarted++
-			}
-		}
-	}
-	if started != 5 || unstarted != 4 || ended != 5 {
+	if started, unstarted, ended := countAttempts(d); started != 5 || unstarted != 4 || ended != 5 {
 		t.Errorf("%d attempts have started, %d have not, %d have ended", started, unstarted, ended)
 	}
 	if j := d.jobs[500]; j == nil || len(j.attempts) != 2 || j.attempts[0].result != ConnectionReset || j.attempts[1].worker.ID != 2<<40 ||
@@ -143,36 +131,53 @@
 		t.Errorf("job 500: %+v", j)
 	}
 	for i, want := range []struct {
-		ready, resting       bool
-		room, used, seen, of float64
-		out, cold            int
+		ready, backedOff        bool
+		limit, used, runs, size float64
+		inFlight, spends        int
 	}{
-		{ready: true, resting: true, room: 2, seen: 12, of: 2},
-		{ready: true, room: 5.5, used: 6.5, seen: 15, of: 3, out: 4},
-		{room: 1, of: 4},
-		{ready: true, resting: true, room: 2, seen: 8, of: 2},
-		{ready: true, room: 5, used: 4.5, seen: 9, of: 3, out: 3},
-		{ready: true, room: 4, used: 3, seen: 24, of: 4, out: 2},
-		{room: 1, of: 2},
-		{ready: true, room: 5.5, of: 3, cold: 4},
-		{ready: true, room: 1, of: 4},
+		{ready: true, backedOff: true, limit: 2, runs: 12, size: 2},
+		{ready: true, limit: 5.5, used: 6.5, runs: 15, size: 3, inFlight: 4},
+		{limit: 1, size: 4},
+		{ready: true, backedOff: true, limit: 2, runs: 8, size: 2},
+		{ready: true, limit: 5, used: 4.5, runs: 9, size: 3, inFlight: 3},
+		{ready: true, limit: 4, used: 3, runs: 24, size: 4, inFlight: 2},
+		{limit: 1, size: 2},
+		{ready: true, limit: 5.5, size: 3, spends: 4},
+		{ready: true, limit: 1, size: 4},
 	} {
 		w := d.workers[uint64(i+1)<<40]
-		if w == nil || w.Ready != want.ready || (w.backoffUntil > d.now) != want.resting || w.limit != want.room || w.usedSlots != want.used ||
-			w.runs != want.seen || w.Size != want.of || len(w.inFlight) != want.out || len(w.warmUpSpends) != want.cold {
+		if w == nil || w.Ready != want.ready || (w.backoffUntil > d.now) != want.backedOff || w.limit != want.limit || w.usedSlots != want.used ||
+			w.runs != want.runs || w.Size != want.size || len(w.inFlight) != want.inFlight || len(w.warmUpSpends) != want.spends {
 			t.Errorf("worker %d: %+v", i+1, w)
 		}
 	}
-	storedform.CheckGolden(t, goldenLesson, d.ModelSnapshot(4000, nil))
+	storedform.CheckGolden(t, goldenModel, d.ModelSnapshot(4000, nil))
 	acts := d.Step(d.now+ms, []Event{Outcome{Job: 121, Worker: 6 << 40, Result: OK, Closed: true}}, nil)
 	if want := []Action{Send{Job: 144, Worker: 6 << 40}, Send{Job: 124, Worker: 6 << 40}}; !slices.Equal(acts, want) {
 		t.Errorf("it goes on with %+v, expected %+v", acts, want)
 	}
 }
 
-// A lesson of a build before teaches what that one had learnt.
-func TestGoldenLessonIsRead(t *testing.T) {
-	teacher, err := Restore(goldenSettings(), storedform.Golden(t, goldenSnapshot))
+// countAttempts counts the attempts of all jobs by their state.
+func countAttempts(d *Dispatcher) (started, unstarted, ended int) {
+	for _, j := range d.jobs {
+		for _, a := range j.attempts {
+			switch {
+			case a.ended:
+				ended++
+			case a.started:
+				started++
+			default:
+				unstarted++
+			}
+		}
+	}
+	return started, unstarted, ended
+}
+
+// A model snapshot of a build before brings what that one had learnt.
+func TestGoldenModelIsRead(t *testing.T) {
+	source, err := Restore(goldenSettings(), storedform.Golden(t, goldenSnapshot))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,21 +187,21 @@
 	}
 	d := New(goldenSettings(), 1)
 	d.Step(time.Hour, []Event{list}, nil)
-	d.Step(time.Hour, []Event{ModelUpdate{Snapshot: storedform.Golden(t, goldenLesson), LoadShare: 1}}, nil)
+	d.Step(time.Hour, []Event{ModelUpdate{Snapshot: storedform.Golden(t, goldenModel), LoadShare: 1}}, nil)
 	j := &jobInfo{Job: Job{Slots: 1, Hint: 100 * ms}, class: &d.settings.Classes[0]}
-	if got, want := d.expectedWork(j), teacher.expectedWork(j); got != want || got == New(goldenSettings(), 1).expectedWork(j) {
-		t.Errorf("it expects %v, the teacher %v", got, want)
+	if got, want := d.expectedWork(j), source.expectedWork(j); got != want || got == New(goldenSettings(), 1).expectedWork(j) {
+		t.Errorf("it expects %v, the source of its model %v", got, want)
 	}
-	if *d.kinds[0] != *teacher.kinds[0] || *d.kinds[1] != *teacher.kinds[1] || d.kinds[1].runs != 47 || d.kinds[1].maxSlots != 5 {
+	if *d.kinds[0] != *source.kinds[0] || *d.kinds[1] != *source.kinds[1] || d.kinds[1].runs != 47 || d.kinds[1].maxSlots != 5 {
 		t.Errorf("kinds %+v, %+v", d.kinds[0], d.kinds[1])
 	}
 	for _, want := range []struct {
-		worker     uint64
-		seen, room float64
+		worker      uint64
+		seen, limit float64
 	}{{1, 3, 2}, {2, 3, 5}, {3, 0, 1}, {4, 3, 2}, {5, 3, 5}, {6, 3, 4}, {7, 0, 1}, {8, 0, 5}} {
 		w := d.workers[want.worker<<40]
-		if off := math.Abs(w.logSpeed - teacher.workers[w.ID].logSpeed); want.seen > 0 && off > 1.0/speedSteps || w.runs != want.seen || w.limit != want.room {
-			t.Errorf("worker %d: speed off by %v, seen %v, room %v", want.worker, off, w.runs, w.limit)
+		if off := math.Abs(w.logSpeed - source.workers[w.ID].logSpeed); want.seen > 0 && off > 1.0/speedSteps || w.runs != want.seen || w.limit != want.limit {
+			t.Errorf("worker %d: speed off by %v, %v runs, limit %v", want.worker, off, w.runs, w.limit)
 		}
 	}
 }
--- a/dispatch/harness_test.go
+++ b/dispatch/harness_test.go
@@ -10,23 +10,23 @@
 
 // harness drives one dispatcher: time, events due later, and the actions not looked at yet.
 type harness struct {
-	t     *testing.T
-	d     *Dispatcher
-	now   time.Duration
-	due   []dueEvent
-	acts  []Action
-	jobs  map[uint64]*harnessJob
-	timer time.Duration
+	t       *testing.T
+	d       *Dispatcher
+	now     time.Duration
+	events  []scheduledEvent
+	actions []Action
+	jobs    map[uint64]*harnessJob
+	timer   time.Duration
 }
 
 type harnessJob struct {
 	Job
-	tries int
+	attempts int
 }
 
-type dueEvent struct {
-	at time.Duration
-	e  Event
+type scheduledEvent struct {
+	at    time.Duration
+	event Event
 }
 
 func testSettings() Settings {
@@ -42,6 +42,7 @@
 }
 
 func newHarness(t *testing.T, set Settings) *harness {
+	t.Helper()
 	return &harness{t: t, d: New(set, 1), now: time.Hour, jobs: map[uint64]*harnessJob{}}
 }
 
@@ -60,36 +61,38 @@
 			s.jobs[j.ID] = &harnessJob{Job: j}
 		}
 	}
-	n := len(s.acts)
-	s.acts = s.d.Step(s.now, events, s.acts)
-	for _, a := range s.acts[n:] {
+	n := len(s.actions)
+	s.actions = s.d.Step(s.now, events, s.actions)
+	for _, a := range s.actions[n:] {
 		switch a := a.(type) {
 		case SetTimer:
 			s.timer = s.now + a.After
 		case Send:
-			s.jobs[a.Job].tries++
+			s.jobs[a.Job].attempts++
 		}
 	}
 }
 
-func (s *harness) after(d time.Duration, e Event) { s.due = append(s.due, dueEvent{s.now + d, e}) }
+func (s *harness) after(d time.Duration, e Event) {
+	s.events = append(s.events, scheduledEvent{s.now + d, e})
+}
 
 // wait lets time pass, with timers and what is due.
 func (s *harness) wait(d time.Duration) {
 	for end := s.now + d; ; {
-		slices.SortStableFunc(s.due, func(a, b dueEvent) int { return int(a.at - b.at) })
+		slices.SortStableFunc(s.events, func(a, b scheduledEvent) int { return int(a.at - b.at) })
 		next := end
 		if s.timer > s.now {
 			next = min(next, s.timer)
 		}
-		if len(s.due) > 0 {
-			next = min(next, max(s.now, s.due[0].at))
+		if len(s.events) > 0 {
+			next = min(next, max(s.now, s.events[0].at))
 		}
 		s.now = next
 		var events []Event
-		for len(s.due) > 0 && s.due[0].at <= s.now {
-			events = append(events, s.due[0].e)
-			s.due = s.due[1:]
+		for len(s.events) > 0 && s.events[0].at <= s.now {
+			events = append(events, s.events[0].event)
+			s.events = s.events[1:]
 		}
 		if s.timer <= s.now {
 			s.timer = 0
@@ -105,8 +108,8 @@
 }
 
 func (s *harness) take() []Action {
-	a := s.acts
-	s.acts = nil
+	a := s.actions
+	s.actions = nil
 	return a
 }
 
--- a/dispatch/model_test.go
+++ b/dispatch/model_test.go
@@ -33,14 +33,14 @@
 			t.Errorf("%d bytes, %d allowed", got, most)
 		}
 	}
-	lesson := s.d.ModelSnapshot(4000, nil)
+	snapshot := s.d.ModelSnapshot(4000, nil)
 	fresh := func(e ModelUpdate) *Dispatcher {
 		d := New(set, 1)
 		d.Step(s.now, []Event{list}, nil)
 		d.Step(s.now, []Event{e}, nil)
 		return d
 	}
-	d := fresh(ModelUpdate{Snapshot: lesson, LoadShare: 0.5})
+	d := fresh(ModelUpdate{Snapshot: snapshot, LoadShare: 0.5})
 	j := &jobInfo{Job: Job{Slots: 1, Hint: 100 * ms}, class: &set.Classes[0]}
 	if got, want := d.expectedWork(j), s.d.expectedWork(j); got != want {
 		t.Errorf("it expects %v, the teacher %v", got, want)
@@ -51,9 +51,9 @@
 			t.Errorf("worker %d: speed off by %v, room %v of %v", id, off, x.limit, w.limit)
 		}
 	}
-	for n := range lesson {
-		if d := fresh(ModelUpdate{Snapshot: lesson[:n], LoadShare: 1}); !reflect.DeepEqual(d.sizeCorrection, New(set, 1).sizeCorrection) || len(d.kinds) > 2 {
-			t.Fatalf("%d bytes of %d taught something", n, len(lesson))
+	for n := range snapshot {
+		if d := fresh(ModelUpdate{Snapshot: snapshot[:n], LoadShare: 1}); !reflect.DeepEqual(d.sizeCorrection, New(set, 1).sizeCorrection) || len(d.kinds) > 2 {
+			t.Fatalf("%d bytes of %d taught something", n, len(snapshot))
 		}
 	}
 }
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -38,8 +38,8 @@
 // swallowed; two in a row, or one under a job that had started, are its own.
 func TestSingleConnectionFailureEjectsNoWorker(t *testing.T) {
 	for _, c := range []struct {
-		news  func(s *harness)
-		aside bool
+		outcomes func(s *harness)
+		ejected  bool
 	}{
 		{func(s *harness) { s.step(HealthChecked{Worker: 1, Result: NotSent}) }, false},
 		{func(s *harness) { s.step(s.done(1, 0, 1, ConnectionReset)) }, false},
@@ -49,14 +49,14 @@
 		s := newHarness(t, testSettings())
 		s.workers(1)
 		s.step(s.job(1, 0, 10*ms))
-		if c.news(s); s.d.workers[1].ejectionTime > 0 != c.aside {
-			t.Errorf("set aside %v, expected %v", !c.aside, c.aside)
+		if c.outcomes(s); s.d.workers[1].ejectionTime > 0 != c.ejected {
+			t.Errorf("set aside %v, expected %v", !c.ejected, c.ejected)
 		}
 	}
 }
 
 // Incident: late starts made most workers suspects, so the dead ones lost their mark too and drew all work.
-func TestBrokenWorkerStaysEjectedWhenMostAreSuspect(t *testing.T) {
+func TestBrokenWorkerStaysEjectedWhenMostAre(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(4)
 	for id := uint64(1); id <= 4; id++ {
@@ -126,8 +126,8 @@
 	f.now += 2 * time.Second // frozen: what came meanwhile is told late, with our own timer
 	events := []Event{TimerFired{}}
 	for i := range f.events[:2] {
-		for q := &f.events[i]; q.first < len(q.due); q.first++ {
-			events = append(events, q.due[q.first].e)
+		for q := &f.events[i]; q.first < len(q.events); q.first++ {
+			events = append(events, q.events[q.first].event)
 		}
 	}
 	f.step(events...)
--- a/dispatch/peers_test.go
+++ b/dispatch/peers_test.go
@@ -11,24 +11,24 @@
 // A resumed job goes on as it would have where it was: one that is out is not sent again, its outcome is known by its
 // number, and one that may have run goes only where rule 2 lets it.
 func TestJobResumed(t *testing.T) {
-	out := PastAttempt{Worker: 1, SentAgo: 100 * ms}
-	runs := PastAttempt{Worker: 1, SentAgo: 100 * ms, StartedAgo: 90 * ms}
+	inFlight := PastAttempt{Worker: 1, SentAgo: 100 * ms}
+	running := PastAttempt{Worker: 1, SentAgo: 100 * ms, StartedAgo: 90 * ms}
 	ended := func(worker uint64, r Result) PastAttempt {
 		return PastAttempt{Worker: worker, SentAgo: 100 * ms, Ended: true, Result: r}
 	}
 	cases := []struct {
-		name  string
-		class int
-		pasts []PastAttempt
-		want  string // of the step that resumes it
-		used  float64
+		name     string
+		class    int
+		attempts []PastAttempt
+		want     string // of the step that resumes it
+		used     float64
 	}{
 		{"nothing was sent", 0, nil, "sent to 2", 1},
 		{"turned away before", 0, []PastAttempt{ended(1, WorkerFull)}, "sent to 2", 1},
-		{"out", 0, []PastAttempt{out}, "", 1},
-		{"runs", 0, []PastAttempt{ended(2, WorkerFull), runs}, "", 1},
+		{"out", 0, []PastAttempt{inFlight}, "", 1},
+		{"runs", 0, []PastAttempt{ended(2, WorkerFull), running}, "", 1},
 		{"out at a worker not known", 0, []PastAttempt{{Worker: 77}}, "", 1},
-		{"unsafe, out", 1, []PastAttempt{out}, "", 1},
+		{"unsafe, out", 1, []PastAttempt{inFlight}, "", 1},
 		{"unsafe, may have run", 1, []PastAttempt{ended(1, ConnectionReset)}, "failed", 0},
 		{"unsafe, never ran", 1, []PastAttempt{ended(1, ConnectFailed)}, "sent to 2", 1},
 		{"out of tries", 0, slices.Repeat([]PastAttempt{ended(1, WorkerFull)}, 5), "refused", 0},
@@ -44,7 +44,7 @@
 			s.take()
 			job := s.job(9, c.class, 300*ms)
 			s.jobs[9] = &harnessJob{Job: job}
-			s.step(JobResumed{Job: job, Age: 200 * ms, Attempts: c.pasts})
+			s.step(JobResumed{Job: job, Age: 200 * ms, Attempts: c.attempts})
 			got := ""
 			for _, a := range s.take() {
 				switch a := a.(type) {
@@ -59,12 +59,12 @@
 			if got != c.want || s.d.usedSlots != c.used {
 				t.Fatalf("%q with %v in use, expected %q with %v", got, s.d.usedSlots, c.want, c.used)
 			}
-			n := len(c.pasts)
+			n := len(c.attempts)
 			if got != "" && got[0] == 's' {
 				n++
 				s.step(s.done(9, n-1, 2, OK))
-			} else if n > 0 && !c.pasts[n-1].Ended {
-				s.step(Started{Job: 9, Attempt: n - 1, Worker: c.pasts[n-1].Worker}, s.done(9, n-1, c.pasts[n-1].Worker, OK))
+			} else if n > 0 && !c.attempts[n-1].Ended {
+				s.step(Started{Job: 9, Attempt: n - 1, Worker: c.attempts[n-1].Worker}, s.done(9, n-1, c.attempts[n-1].Worker, OK))
 			} else {
 				s.step(ClientDisconnected{Job: 9})
 			}
@@ -88,8 +88,8 @@
 	late.Remaining -= 500 * ms
 	s.jobs[8], s.jobs[9] = &harnessJob{}, &harnessJob{}
 	s.step(s.job(2, 1, 100*ms), JobResumed{Job: late, Age: 500 * ms})
-	if aim := s.d.jobs[9].objectiveAt - s.now; aim != 500*ms {
-		t.Errorf("its aim lies %v off", aim)
+	if objective := s.d.jobs[9].objectiveAt - s.now; objective != 500*ms {
+		t.Errorf("its aim lies %v off", objective)
 	}
 	s.step(s.done(1, 0, 1, OK))
 	expectJobs(t, taken[Send](s), 9)
--- a/dispatch/picker_test.go
+++ b/dispatch/picker_test.go
@@ -58,7 +58,7 @@
 }
 
 // A job of many slots over tau must not be starved by small ones that slip past it.
-func TestLargeJobIsNotStarved(t *testing.T) {
+func TestLargeJobIsNotBackfilledForEver(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
 	s.d.workers[1].limit = 4
@@ -137,10 +137,10 @@
 		for _, a := range taken[Send](s) {
 			if a.Worker%2 == 0 {
 				crossed++
-				s.after(ms, Started{Job: a.Job, Attempt: s.jobs[a.Job].tries - 1, Worker: a.Worker})
-				s.after(50*ms, s.done(a.Job, s.jobs[a.Job].tries-1, a.Worker, OK))
+				s.after(ms, Started{Job: a.Job, Attempt: s.jobs[a.Job].attempts - 1, Worker: a.Worker})
+				s.after(50*ms, s.done(a.Job, s.jobs[a.Job].attempts-1, a.Worker, OK))
 			} else {
-				s.after(ms, s.done(a.Job, s.jobs[a.Job].tries-1, a.Worker, WorkerFull))
+				s.after(ms, s.done(a.Job, s.jobs[a.Job].attempts-1, a.Worker, WorkerFull))
 			}
 		}
 		s.wait(100 * ms)
--- a/dispatch/predictor_test.go
+++ b/dispatch/predictor_test.go
@@ -47,9 +47,9 @@
 func TestLearningIsStableWhateverIsInFlight(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		out    int
-		hint   float64
-		length time.Duration
+		inFlight int
+		hint     float64
+		length   time.Duration
 	}{
 		{1, 1, 20 * time.Second},
 		{10, 1, 5 * time.Second},
@@ -59,9 +59,9 @@
 		{1000, 1.0 / 30, 400 * ms},
 		{10000, 1, 100 * ms},
 	} {
-		f := newFleet(max(1, c.out/2), scaleSettings())
+		f := newFleet(max(1, c.inFlight/2), scaleSettings())
 		f.hint, f.noise = c.hint, 0.3
-		f.serve(c.out, c.length)
+		f.serve(c.inFlight, c.length)
 		j := &jobInfo{Job: Job{Hint: time.Duration(float64(f.run) * c.hint), Slots: 1}, class: &f.d.settings.Classes[0]}
 		mean := 0.0
 		for _, w := range f.d.workerList {
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -58,15 +58,7 @@
 		case Job:
 			r.jobs[e.ID] = &observedJob{Job: e, deadline: r.now + e.Remaining}
 		case JobResumed:
-			j := &observedJob{Job: e.Job, deadline: r.now + e.Job.Remaining}
-			for _, p := range e.Attempts {
-				w, known := r.listed[p.Worker]
-				if !known {
-					w = Worker{ID: p.Worker, Zone: -1, Cell: -1}
-				}
-				j.attempts = append(j.attempts, observedAttempt{worker: w, sentAt: r.now - p.SentAgo, started: p.StartedAgo > 0, ended: p.Ended, result: p.Result})
-			}
-			r.jobs[e.Job.ID] = j
+			r.observeResumed(e)
 		case Outcome:
 			j := r.jobs[e.Job]
 			t := &j.attempts[e.Attempt]
@@ -84,20 +76,38 @@
 		case Uncordoned:
 			delete(r.cordoned, e.Worker)
 		case WorkerList:
-			if e.Kind == ListUnavailable {
-				continue
-			}
-			if e.Kind != ListDelta {
-				clear(r.ready)
-			}
-			for _, w := range e.Workers {
-				delete(r.ready, w.ID)
-				if w.Ready && !w.Removed {
-					r.ready[w.ID] = w
-				}
-				r.everListed[w.ID], r.listed[w.ID] = true, w
-			}
+			r.observeList(e)
+		}
+	}
+}
+
+func (r *ruleChecker) observeResumed(e JobResumed) {
+	j := &observedJob{Job: e.Job, deadline: r.now + e.Job.Remaining}
+	for _, past := range e.Attempts {
+		w, known := r.listed[past.Worker]
+		if !known {
+			w = Worker{ID: past.Worker, Zone: -1, Cell: -1}
+		}
+		j.attempts = append(j.attempts, observedAttempt{
+			worker: w, sentAt: r.now - past.SentAgo, started: past.StartedAgo > 0, ended: past.Ended, result: past.Result,
+		})
+	}
+	r.jobs[e.Job.ID] = j
+}
+
+func (r *ruleChecker) observeList(list WorkerList) {
+	if list.Kind == ListUnavailable {
+		return
+	}
+	if list.Kind != ListDelta {
+		clear(r.ready)
+	}
+	for _, w := range list.Workers {
+		delete(r.ready, w.ID)
+		if w.Ready && !w.Removed {
+			r.ready[w.ID] = w
 		}
+		r.everListed[w.ID], r.listed[w.ID] = true, w
 	}
 }
 
@@ -112,24 +122,11 @@
 		case Send:
 			r.checkSend(a)
 		case Reject:
-			j := r.final("refuse", a.Job)
-			if j == nil {
-				continue
-			}
-			c := r.set.Classes[j.Class]
-			harmless := c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DeduplicationScope == ScopeAll
-			if !harmless && slices.ContainsFunc(j.attempts, observedAttempt.possiblyExecuted) {
-				r.violation("job %d refused though it may have run", a.Job)
-			}
+			r.checkReject(a)
 		case Fail:
 			r.final("fail", a.Job)
 		case Cancel:
-			j := r.jobs[a.Job]
-			if !r.set.Cancellation || j == nil || a.Attempt < 0 || a.Attempt >= len(j.attempts) {
-				r.violation("cancel of job %d attempt %d", a.Job, a.Attempt)
-				continue
-			}
-			j.attempts[a.Attempt].cancelled = true
+			r.checkCancel(a)
 		case HealthCheck:
 			if !r.set.HealthChecks || !r.everListed[a.Worker] {
 				r.violation("probe of worker %d", a.Worker)
@@ -149,6 +146,27 @@
 	}
 }
 
+func (r *ruleChecker) checkReject(a Reject) {
+	j := r.final("rejection", a.Job)
+	if j == nil {
+		return
+	}
+	c := r.set.Classes[j.Class]
+	harmless := c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DeduplicationScope == ScopeAll
+	if !harmless && slices.ContainsFunc(j.attempts, observedAttempt.possiblyExecuted) {
+		r.violation("job %d rejected though possibly executed", a.Job)
+	}
+}
+
+func (r *ruleChecker) checkCancel(a Cancel) {
+	j := r.jobs[a.Job]
+	if !r.set.Cancellation || j == nil || a.Attempt < 0 || a.Attempt >= len(j.attempts) {
+		r.violation("cancel of job %d attempt %d", a.Job, a.Attempt)
+		return
+	}
+	j.attempts[a.Attempt].cancelled = true
+}
+
 func (r *ruleChecker) final(what string, id uint64) *observedJob {
 	j := r.jobs[id]
 	if r.disconnected[id] {
@@ -170,29 +188,24 @@
 		return
 	}
 	if !ready {
-		r.violation("send to worker %d, which drains or is gone", a.Worker)
+		r.violation("send to worker %d, which drains or is removed", a.Worker)
 	}
 	if r.cordoned[a.Worker] {
-		r.violation("send to worker %d, which is taken out", a.Worker)
+		r.violation("send to worker %d, which is cordoned", a.Worker)
 	}
-	c := r.set.Classes[j.Class]
+	c := &r.set.Classes[j.Class]
 	if c.Kinds != nil && !slices.Contains(c.Kinds, w.Kind) || c.Zones != nil && !slices.Contains(c.Zones, w.Zone) {
 		r.violation("job %d of class %d sent to kind %d in zone %d", a.Job, j.Class, w.Kind, w.Zone)
 	}
-	for _, t := range j.attempts {
-		if !t.ended && !r.set.Hedging {
-			r.violation("second copy of job %d", a.Job)
+	for _, earlier := range j.attempts {
+		if !earlier.ended && !r.set.Hedging {
+			r.violation("job %d hedged", a.Job)
 		}
-		if !t.ended && t.worker.ID == a.Worker {
+		if !earlier.ended && earlier.worker.ID == a.Worker {
 			r.violation("job %d sent to worker %d, which has it", a.Job, a.Worker)
 		}
-		if !t.possiblyExecuted() || c.Idempotency == Idempotent {
-			continue
-		}
-		same := c.DeduplicationScope == ScopeAll || c.DeduplicationScope == ScopeZone && t.worker.Zone == w.Zone ||
-			c.DeduplicationScope == ScopeCell && t.worker.Cell == w.Cell
-		if c.Idempotency == NonIdempotent || !same || r.now-t.sentAt+r.set.ConnectTimeout > c.DeduplicationWindow { // it may wait for its connection
-			r.violation("job %d sent again though it may have run", a.Job)
+		if !r.mayFollow(c, earlier, w) {
+			r.violation("job %d sent again though possibly executed", a.Job)
 		}
 	}
 	j.attempts = append(j.attempts, observedAttempt{worker: w, sentAt: r.now})
@@ -201,6 +214,16 @@
 	}
 }
 
+// mayFollow tells whether a worker may be sent a job after an earlier attempt. What is sent now may wait for its connection.
+func (r *ruleChecker) mayFollow(c *Class, earlier observedAttempt, w Worker) bool {
+	if !earlier.possiblyExecuted() || c.Idempotency == Idempotent {
+		return true
+	}
+	same := c.DeduplicationScope == ScopeAll || c.DeduplicationScope == ScopeZone && earlier.worker.Zone == w.Zone ||
+		c.DeduplicationScope == ScopeCell && earlier.worker.Cell == w.Cell
+	return c.Idempotency != NonIdempotent && same && r.now-earlier.sentAt+r.set.ConnectTimeout <= c.DeduplicationWindow
+}
+
 // randomSettings draws widely, beyond what any known deployment has.
 func randomSettings(rng *rand.Rand) Settings {
 	flip := func() bool { return rng.IntN(2) == 0 }
@@ -255,12 +278,12 @@
 	for range steps {
 		r.now += time.Duration(rng.IntN(40)) * time.Millisecond
 		var events []Event
-		due := slices.IndexFunc(r.timers, func(at time.Duration) bool { return at <= r.now })
-		for due >= 0 {
+		firing := slices.IndexFunc(r.timers, func(at time.Duration) bool { return at <= r.now })
+		for firing >= 0 {
 			// A timer is delivered at its time, before anything later happens.
 			r.now = slices.Min(r.timers)
 			r.timers = slices.DeleteFunc(r.timers, func(at time.Duration) bool { return at <= r.now })
-			due = -1
+			firing = -1
 			events = append(events, TimerFired{})
 		}
 		events = append(events, randomList(rng, r)...)
@@ -301,21 +324,21 @@
 }
 
 // randomPastAttempts draws what came of a job before. Some of the workers are not listed, or not known.
-func randomPastAttempts(rng *rand.Rand) (pasts []PastAttempt) {
+func randomPastAttempts(rng *rand.Rand) (attempts []PastAttempt) {
 	for range rng.IntN(4) {
 		p := PastAttempt{
 			Worker: uint64(rng.IntN(10) + 1), SentAgo: time.Duration(rng.IntN(3000)) * time.Millisecond, Ended: rng.IntN(2) == 0,
 			Result: Result(rng.IntN(9)),
 		}
-		if slices.ContainsFunc(pasts, func(o PastAttempt) bool { return o.Worker == p.Worker }) {
+		if slices.ContainsFunc(attempts, func(o PastAttempt) bool { return o.Worker == p.Worker }) {
 			p.Ended = true // no worker has two
 		}
 		if rng.IntN(2) == 0 {
 			p.StartedAgo = time.Duration(rng.Int64N(int64(p.SentAgo + 1)))
 		}
-		pasts = append(pasts, p)
+		attempts = append(attempts, p)
 	}
-	return pasts
+	return attempts
 }
 
 func randomList(rng *rand.Rand, r *ruleChecker) []Event {
@@ -350,36 +373,8 @@
 	for _, id := range ids {
 		j := r.jobs[id]
 		for n := range j.attempts {
-			t := &j.attempts[n]
-			if t.ended {
-				continue
-			}
-			overdue := !j.streaming && r.now >= j.deadline
-			if !overdue && !t.cancelled && rng.IntN(8) > 0 {
-				continue
-			}
-			if !t.started && r.set.StartNotifications && rng.IntN(2) == 0 && !overdue {
-				t.started = true
-				events = append(events, Started{Job: id, Attempt: n, Worker: t.worker.ID})
-				continue
-			}
-			if rng.IntN(3) == 0 && !overdue {
-				events = append(events, Progressed{Job: id, Attempt: n, Worker: t.worker.ID, Share: rng.Float64()})
-				continue
-			}
-			result := Result(rng.IntN(8))
-			if overdue {
-				result = TimedOut
-			} else if t.cancelled {
-				result = Cancelled
-			}
-			closed := j.closed || result == OK
-			events = append(events, Outcome{
-				Job: id, Attempt: n, Worker: t.worker.ID, Result: result, Closed: closed,
-				Report: []float64{rng.Float64(), 5*rng.Float64() - 1}[:rng.IntN(3)],
-			})
-			if closed {
-				j.closed = true
+			if e := randomProgress(rng, r, j, n); e != nil {
+				events = append(events, e)
 			}
 		}
 		if !j.closed && rng.IntN(200) == 0 {
@@ -399,6 +394,36 @@
 	return events
 }
 
+// randomProgress draws what happens to an attempt; nil: nothing.
+func randomProgress(rng *rand.Rand, r *ruleChecker, j *observedJob, number int) Event {
+	a := &j.attempts[number]
+	if a.ended {
+		return nil
+	}
+	overdue := !j.streaming && r.now >= j.deadline
+	if !overdue && !a.cancelled && rng.IntN(8) > 0 {
+		return nil
+	}
+	if !a.started && r.set.StartNotifications && rng.IntN(2) == 0 && !overdue {
+		a.started = true
+		return Started{Job: j.ID, Attempt: number, Worker: a.worker.ID}
+	}
+	if rng.IntN(3) == 0 && !overdue {
+		return Progressed{Job: j.ID, Attempt: number, Worker: a.worker.ID, Share: rng.Float64()}
+	}
+	result := Result(rng.IntN(8))
+	if overdue {
+		result = TimedOut
+	} else if a.cancelled {
+		result = Cancelled
+	}
+	j.closed = j.closed || result == OK
+	return Outcome{
+		Job: j.ID, Attempt: number, Worker: a.worker.ID, Result: result, Closed: j.closed,
+		Report: []float64{rng.Float64(), 5*rng.Float64() - 1}[:rng.IntN(3)],
+	}
+}
+
 func concerns(e Event, id uint64) bool {
 	switch e := e.(type) {
 	case Outcome:
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -76,15 +76,15 @@
 		}
 		spent := map[uint64][]spend{}
 		running, slots := map[uint64]float64{}, 3.0 // what the dispatcher could see a worker run at once
-		var ends []dueEvent
+		var ends []scheduledEvent
 		for id := uint64(1); id < 1500; id++ {
 			s.wait(time.Duration(rng.IntN(30)) * time.Millisecond)
-			ends = slices.DeleteFunc(ends, func(x dueEvent) bool {
-				over := x.at <= s.now
-				if over {
-					running[x.e.(Outcome).Worker]--
+			ends = slices.DeleteFunc(ends, func(x scheduledEvent) bool {
+				isOver := x.at <= s.now
+				if isOver {
+					running[x.event.(Outcome).Worker]--
 				}
-				return over
+				return isOver
 			})
 			hint := time.Duration(20+rng.IntN(600)) * time.Millisecond
 			s.step(Job{ID: id, Class: 0, Remaining: 5 * time.Second, Hint: hint, Slots: 1})
@@ -96,10 +96,10 @@
 				j := s.jobs[send.Job]
 				running[send.Worker]++
 				slots = max(slots, running[send.Worker])
-				ends = append(ends, dueEvent{s.now + j.Hint, Outcome{Worker: send.Worker}})
-				s.after(2*time.Millisecond, Started{Job: send.Job, Attempt: j.tries - 1, Worker: send.Worker})
+				ends = append(ends, scheduledEvent{s.now + j.Hint, Outcome{Worker: send.Worker}})
+				s.after(2*time.Millisecond, Started{Job: send.Job, Attempt: j.attempts - 1, Worker: send.Worker})
 				s.after(2*time.Millisecond+j.Hint, Outcome{
-					Job: send.Job, Attempt: j.tries - 1, Worker: send.Worker,
+					Job: send.Job, Attempt: j.attempts - 1, Worker: send.Worker,
 					Result: OK, Closed: true, Report: []float64{3},
 				})
 				b, ok := boot[send.Worker]
@@ -265,9 +265,9 @@
 	}
 	offered := 1.4 * warm * slots / work.Seconds()
 	for now := start; now < start+8*time.Second; now += 10 * time.Millisecond {
-		due := runs
+		pending := runs
 		runs = nil
-		for _, r := range due {
+		for _, r := range pending {
 			if r.at > now {
 				runs = append(runs, r)
 				continue
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -97,7 +97,7 @@
 		f.Error("a snapshot of other classes was taken")
 	}
 	f.Add(whole)
-	for i := range len(whole) {
+	for i := range whole {
 		f.Add(whole[:i])
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
