--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// A job that runs when its aim is looked at has its look when that run fails: past reach of its aim it is refused then,
-// and not at its deadline, seconds later.
+// A job that runs when its objective passes is checked again when that run fails: out of reach of its objective it is rejected
+// then, and not at its deadline, seconds later.
 func TestJobWhoseRunFailsPastItsObjectiveIsAnsweredAtOnce(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
-	s.step(s.job(1, 2, 300*ms)) // an answer past its aim of 1 s earns nothing
+	s.step(s.job(1, 2, 300*ms)) // an answer past its objective of 1 s earns nothing
 	s.now += ms
 	s.step(Started{Job: 1, Worker: 1})
 	s.take()
 	s.wait(1500 * ms)
 	if got := taken[Reject](s); len(got) > 0 {
-		t.Fatal("it was refused as it ran")
+		t.Fatal("it was rejected while it ran")
 	}
 	s.step(s.done(1, 0, 1, Failed))
 	s.wait(2 * ms)
 	if got := taken[Reject](s); len(got) != 1 || got[0].Job != 1 {
-		t.Fatalf("its run has failed past its aim: %v, expected a refusal", got)
+		t.Fatalf("its run has failed past its objective: %v, expected a rejection", got)
 	}
 }
 
@@ -59,7 +59,7 @@
 	}
 }
 
-// Incident: jobs worth most were refused unsent on a hint known to be rough while a worker stood idle.
+// Incident: the most valuable jobs were rejected unsent on a hint known to be rough while a worker was idle.
 func TestJobJustOutOfReachIsOfferedAFreeWorker(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -107,7 +107,7 @@
 		}
 	}
 	if demoted == 0 || s.d.jobs[50].demoted() {
-		t.Fatalf("%d jobs over their tenant's share, tenant without a quota over share: %v", demoted, s.d.jobs[50].demoted())
+		t.Fatalf("%d jobs over their tenant's quota, one of a tenant without a quota demoted: %v", demoted, s.d.jobs[50].demoted())
 	}
 }
 
@@ -131,7 +131,8 @@
 }
 
 // A dispatcher that had no worker when it last looked, as at its start, knows the fleet's best speed as soon as a list
-// brings one: thought to be fifty times too slow, jobs would be refused with all workers idle until it looks again.
+// brings one. Else it would expect workers to be fifty times too slow, and reject jobs with all workers idle until its next
+// round of maintenance.
 func TestFirstListIsKnownAtOnce(t *testing.T) {
 	set := testSettings()
 	set.Classes[2].LatencyObjective = 80 * ms
@@ -145,13 +146,13 @@
 	s.wait(5 * ms)
 	for _, a := range s.take() {
 		if r, ok := a.(Reject); ok {
-			t.Fatalf("job %d was refused with workers idle", r.Job)
+			t.Fatalf("job %d was rejected with workers idle", r.Job)
 		}
 	}
 }
 
-// However many nodes there are, whatever hints are worth, and whether starts are told or not: a fleet that is under half
-// full refuses nothing, serves each client as fast as it works, and spreads what it does.
+// However many workers there are, however good hints are, and whether starts are notified or not: a fleet that is under half
+// full rejects nothing, serves each client as fast as it works, and spreads what it does.
 func TestIdleFleetRejectsNothing(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{10, 90, 600} {
@@ -170,7 +171,7 @@
 				}
 				even := float64(served) / float64(nodes)
 				if float64(served) < 0.98*possible || f.rejected > 0 || float64(most) > 1.6*even+4 {
-					t.Errorf("%d nodes, hints x %.2f, notices %v: %.3f of what is possible, %d refused, the busiest has %.2f times "+
+					t.Errorf("%d nodes, hints x %.2f, notices %v: %.3f of what is possible, %d rejected, the busiest has %.2f times "+
 						"its even part", nodes, hint, notice, float64(served)/possible, f.rejected, float64(most)/even)
 				}
 			}
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -16,17 +16,17 @@
 	s.wait(400 * ms)
 	moved := taken[Send](s)
 	if len(moved) != 1 || moved[0].Worker == first {
-		t.Fatalf("expected one copy on the other worker, got %v", moved)
+		t.Fatalf("expected one hedge on the other worker, got %v", moved)
 	}
 	s.step(Started{Job: 1, Attempt: 1, Worker: moved[0].Worker})
-	// Incident: the waiting copy was cancelled and forgotten, while the worker kept it. The next job went behind it.
+	// Incident: the waiting attempt was cancelled and forgotten, while the worker went on with it. The next job went behind it.
 	s.step(s.done(1, 1, moved[0].Worker, OK), s.job(2, 0, 600*ms), s.job(3, 0, 600*ms))
 	for _, a := range s.take() {
 		if c, ok := a.(Cancel); ok {
 			t.Fatalf("cancelled %v", c)
 		}
 		if next, ok := a.(Send); ok && next.Worker == first {
-			t.Fatalf("job %d was sent behind a copy that waits", next.Job)
+			t.Fatalf("job %d was sent behind an attempt that waits", next.Job)
 		}
 	}
 	s.step(Started{Job: 1, Worker: first}, s.done(1, 0, first, OK))
@@ -72,11 +72,11 @@
 		s.step(s.done(1, n, send[0].Worker, ConnectFailed))
 	}
 	if got := taken[Reject](s); len(got) != 1 {
-		t.Fatalf("expected a refusal after two tries, got %v", got)
+		t.Fatalf("expected a rejection after two attempts, got %v", got)
 	}
 }
 
-// Rule 2, whole: may the job be sent to a worker of the same cell, of the same zone, of another; be refused?
+// The retry rules, all of them: may the job be sent to a worker of the same cell, of the same zone, of another; be rejected?
 func TestRetryRules(t *testing.T) {
 	type answer struct{ cell, zone, other, reject bool }
 	all, none := answer{true, true, true, true}, answer{}
@@ -84,29 +84,29 @@
 		name        string
 		idempotency Idempotency
 		scope       DeduplicationScope
-		state       []Result // of the earlier attempts; -1: still out
+		state       []Result // of the earlier attempts; -1: in flight
 		age         time.Duration
 		want        answer
 	}{
-		{"unsafe, first", NonIdempotent, 0, nil, 0, all},
-		{"unsafe, turned away", NonIdempotent, 0, []Result{WorkerFull}, 0, all},
-		{"unsafe, no connection", NonIdempotent, 0, []Result{ConnectFailed}, 0, all},
-		{"unsafe, not sent", NonIdempotent, 0, []Result{NotSent}, 0, all},
-		{"unsafe, out", NonIdempotent, 0, []Result{-1}, 0, none},
-		{"unsafe, error", NonIdempotent, 0, []Result{Failed}, 0, none},
-		{"unsafe, time-out", NonIdempotent, 0, []Result{TimedOut}, 0, none},
-		{"unsafe, reset", NonIdempotent, 0, []Result{ConnectionReset}, 0, none},
-		{"unsafe, cancelled", NonIdempotent, 0, []Result{Cancelled}, 0, none},
-		{"unsafe, error then turned away", NonIdempotent, 0, []Result{Failed, WorkerFull}, 0, none},
-		{"safe, out", Idempotent, 0, []Result{-1}, 0, all},
-		{"safe, reset", Idempotent, 0, []Result{ConnectionReset}, 0, all},
-		{"keyed cell, turned away", IdempotentWithKey, ScopeCell, []Result{WorkerFull}, 0, all},
-		{"keyed cell, reset", IdempotentWithKey, ScopeCell, []Result{ConnectionReset}, 0, answer{cell: true}},
-		{"keyed cell, out", IdempotentWithKey, ScopeCell, []Result{-1}, 0, answer{cell: true}},
-		{"keyed cell, too old", IdempotentWithKey, ScopeCell, []Result{ConnectionReset}, 3 * time.Second, none},
-		{"keyed zone, reset", IdempotentWithKey, ScopeZone, []Result{ConnectionReset}, 0, answer{cell: true, zone: true}},
-		{"keyed all, reset", IdempotentWithKey, ScopeAll, []Result{ConnectionReset}, 0, all},
-		{"keyed all, too old", IdempotentWithKey, ScopeAll, []Result{ConnectionReset}, 3 * time.Second, answer{reject: true}},
+		{"non-idempotent, first", NonIdempotent, 0, nil, 0, all},
+		{"non-idempotent, rejected", NonIdempotent, 0, []Result{WorkerFull}, 0, all},
+		{"non-idempotent, no connection", NonIdempotent, 0, []Result{ConnectFailed}, 0, all},
+		{"non-idempotent, not sent", NonIdempotent, 0, []Result{NotSent}, 0, all},
+		{"non-idempotent, in flight", NonIdempotent, 0, []Result{-1}, 0, none},
+		{"non-idempotent, error", NonIdempotent, 0, []Result{Failed}, 0, none},
+		{"non-idempotent, time-out", NonIdempotent, 0, []Result{TimedOut}, 0, none},
+		{"non-idempotent, reset", NonIdempotent, 0, []Result{ConnectionReset}, 0, none},
+		{"non-idempotent, cancelled", NonIdempotent, 0, []Result{Cancelled}, 0, none},
+		{"non-idempotent, error then rejected", NonIdempotent, 0, []Result{Failed, WorkerFull}, 0, none},
+		{"idempotent, in flight", Idempotent, 0, []Result{-1}, 0, all},
+		{"idempotent, reset", Idempotent, 0, []Result{ConnectionReset}, 0, all},
+		{"with key in cell, rejected", IdempotentWithKey, ScopeCell, []Result{WorkerFull}, 0, all},
+		{"with key in cell, reset", IdempotentWithKey, ScopeCell, []Result{ConnectionReset}, 0, answer{cell: true}},
+		{"with key in cell, in flight", IdempotentWithKey, ScopeCell, []Result{-1}, 0, answer{cell: true}},
+		{"with key in cell, too old", IdempotentWithKey, ScopeCell, []Result{ConnectionReset}, 3 * time.Second, none},
+		{"with key in zone, reset", IdempotentWithKey, ScopeZone, []Result{ConnectionReset}, 0, answer{cell: true, zone: true}},
+		{"with key everywhere, reset", IdempotentWithKey, ScopeAll, []Result{ConnectionReset}, 0, all},
+		{"with key everywhere, too old", IdempotentWithKey, ScopeAll, []Result{ConnectionReset}, 3 * time.Second, answer{reject: true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -132,13 +132,13 @@
 			}
 			d.settings.Hedging = false
 			if j.inFlight > 0 && d.mayAttempt(j, &workerInfo{Worker: Worker{Zone: 1, Cell: 1}}) {
-				t.Fatal("second copy where none is allowed")
+				t.Fatal("hedged where that is not allowed")
 			}
 		})
 	}
 }
 
-// Of many dispatchers none refuses what is out and unstarted past its aim: it runs all the same, and its client would
+// Of many dispatchers none rejects what is in flight and unstarted past its objective: it runs all the same, and its client would
 // come again at another. It ends by its deadline, or once its attempt has ended.
 func TestManyReplicasKeepAttemptsInFlight(t *testing.T) {
 	for _, full := range []bool{false, true} {
@@ -149,7 +149,7 @@
 		s.step(s.job(1, 2, 300*ms))
 		s.wait(1500 * ms)
 		if n := len(taken[Reject](s)); n > 0 {
-			t.Fatalf("refused %d times while it waits", n)
+			t.Fatalf("rejected %d times while it waits", n)
 		}
 		if full {
 			s.step(Outcome{Job: 1, Worker: 1, Result: WorkerFull})
@@ -158,18 +158,18 @@
 			s.wait(4 * time.Second)
 		}
 		if n := len(taken[Reject](s)); n != 1 {
-			t.Fatalf("turned away by its worker %v: refused %d times", full, n)
+			t.Fatalf("rejected by its worker %v: rejected %d times", full, n)
 		}
 	}
 }
 
-// Of many dispatchers, a short job that may run twice is copied when its start is late, also where its worker gets on with
-// others: nobody knows what others have queued there. A long one is not, and one that may not run twice never is.
+// Of many dispatchers, a short idempotent job is hedged when its start is late, also where its worker gets on with others: nobody
+// knows what others have queued there. A long one is not, and a non-idempotent one never is.
 func TestShortJobsAreHedgedWithManyReplicas(t *testing.T) {
 	for _, c := range []struct {
 		class  int
 		hint   time.Duration
-		copied bool
+		hedged bool
 	}{{0, 50 * ms, true}, {0, 3 * time.Second, false}, {1, 50 * ms, false}} {
 		set := testSettings()
 		set.Replicas, set.ReportFields = manyReplicas+1, nil
@@ -184,17 +184,17 @@
 			s.d.workers[w].progressAt = s.d.now
 			s.wait(50 * ms)
 		}
-		copied := false
+		hedged := false
 		for _, a := range taken[Send](s) {
-			copied = copied || a.Job == 1
+			hedged = hedged || a.Job == 1
 		}
-		if copied != c.copied {
-			t.Errorf("class %d, %v of work: copied %v", c.class, c.hint, copied)
+		if hedged != c.hedged {
+			t.Errorf("class %d, %v of work: hedged %v", c.class, c.hint, hedged)
 		}
 	}
 }
 
-// A job that waits at a worker which gets on with others is queued there, not lost: it is not copied, however late.
+// A job that waits at a worker which gets on with others is queued there, not lost: it is not hedged, however late.
 // Only where the worker has given no sign of work since is it sent elsewhere.
 func TestAttemptQueuedAtABusyWorkerIsNotHedged(t *testing.T) {
 	for _, works := range []bool{true, false} {
@@ -211,21 +211,21 @@
 			s.step(s.done(1, 0, 1, OK))
 		}
 		s.wait(1500 * ms)
-		copies := 0
+		hedges := 0
 		for _, a := range taken[Send](s) {
 			if a.Job == 2 && a.Worker == 2 {
-				copies++
+				hedges++
 			}
 		}
-		if (copies == 0) != works {
-			t.Errorf("its worker gets on %v: %d copies", works, copies)
+		if (hedges == 0) != works {
+			t.Errorf("its worker gets on %v: %d hedges", works, hedges)
 		}
 	}
 }
 
-// A run that takes longer than expected and tells of its progress is but long; one that falls silent is copied.
+// A run that takes longer than expected and notifies of its progress is only long; one that falls silent is hedged.
 func TestLongRunIsNotHedged(t *testing.T) {
-	for _, tells := range []bool{true, false} {
+	for _, notifies := range []bool{true, false} {
 		set := testSettings()
 		set.ProgressInterval = 500 * ms
 		set.Classes[0].LatencyObjective = 4 * time.Second
@@ -234,29 +234,29 @@
 		s.busy(1)
 		for range 6 {
 			s.wait(400 * ms)
-			if tells {
+			if notifies {
 				s.step(Progressed{Job: 1, Worker: 1, Share: 0.1})
 			}
 		}
-		if copies := len(taken[Send](s)); (copies == 0) != tells {
-			t.Errorf("it tells of its progress %v: %d copies", tells, copies)
+		if hedges := len(taken[Send](s)); (hedges == 0) != notifies {
+			t.Errorf("it notifies of its progress %v: %d hedges", notifies, hedges)
 		}
 	}
 }
 
-// The copies saved up by many dispatchers together are no more than those of a few: each would else feed an overload.
+// The hedges saved up by many dispatchers together are no more than those of a few: they would feed an overload else.
 func TestHedgeTokensOfManyReplicas(t *testing.T) {
 	for of, want := range map[int]float64{1: 10, 3: 10, 6: 5, 36: 1} {
 		set := testSettings()
 		set.Replicas = of
 		if d := New(set, 1); d.hedgeTokens != want || d.maxHedgeTokens() != want {
-			t.Errorf("of %d: %v copies at first, %v saved up, expected %v", of, d.hedgeTokens, d.maxHedgeTokens(), want)
+			t.Errorf("of %d: %v hedges at first, %v saved up, expected %v", of, d.hedgeTokens, d.maxHedgeTokens(), want)
 		}
 	}
 }
 
-// Found: where no copies are allowed, a job that ran for too long was cancelled so that it could move, and refused in the
-// same instant, as its aim had passed. It goes on instead.
+// Found by a search: where hedging is off, a job that ran for too long was cancelled so that it could move, and rejected in the
+// same instant, as its objective had passed. It goes on instead.
 func TestRunningJobPastItsObjectiveIsNotGivenUp(t *testing.T) {
 	set := testSettings()
 	set.Hedging = false
@@ -267,7 +267,7 @@
 	s.wait(ms)
 	s.step(Started{Job: 1, Worker: at})
 	s.wait(4 * time.Second)
-	if cancels, turned := taken[Cancel](s), taken[Reject](s); len(cancels)+len(turned) > 0 {
-		t.Fatalf("%v, %v: it was running", cancels, turned)
+	if cancels, rejections := taken[Cancel](s), taken[Reject](s); len(cancels)+len(rejections) > 0 {
+		t.Fatalf("%v, %v: it was running", cancels, rejections)
 	}
 }
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -11,19 +11,19 @@
 	expectLimit := func(want float64) {
 		t.Helper()
 		if got := s.d.workers[1].limit; got != want {
-			t.Fatalf("room %v, expected %v", got, want)
+			t.Fatalf("limit %v, expected %v", got, want)
 		}
 	}
 	expectLimit(1)
 	s.busy(1)
-	expectLimit(2) // a prompt start, and room was what limited us
+	expectLimit(2) // a prompt start, and the limit was what bound us
 	s.busy(2)
 	expectLimit(3)
 	s.busy(3)
 	expectLimit(4)
 	s.now += ms
 	s.step(s.done(1, 0, 1, ConnectionReset), s.done(2, 0, 1, ConnectionReset), s.done(3, 0, 1, ConnectionReset))
-	expectLimit(2) // one crash with three attempts out is one piece of news
+	expectLimit(2) // one crash with three attempts in flight is one event
 }
 
 func TestLateStartDecreasesLimit(t *testing.T) {
@@ -34,7 +34,7 @@
 	s.wait(400 * ms)
 	s.step(Started{Job: 2, Worker: 1})
 	if got := s.d.workers[1].limit; got != 1 {
-		t.Fatalf("room %v after a late start, expected 1", got)
+		t.Fatalf("limit %v after a late start, expected 1", got)
 	}
 }
 
@@ -55,7 +55,7 @@
 	}
 }
 
-// Incident: with many dispatchers a room of one each is still a long queue at the worker.
+// Incident: with many dispatchers a limit of one each is still a long queue at the worker.
 func TestBackoffAfterLateStartAtLimitOfOne(t *testing.T) {
 	set := testSettings()
 	set.Replicas = 2
@@ -72,7 +72,7 @@
 	expectJobs(t, taken[Send](s), 2)
 }
 
-// A worker that leaves one of ours unstarted has a queue.
+// A worker that leaves an attempt of ours unstarted has a queue.
 func TestNoSendBehindAnUnstartedAttempt(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -107,8 +107,8 @@
 	expectJobs(t, taken[Send](s), 1)
 }
 
-// Where one job ends as the next comes, the next starts promptly though no slot was free when it was sent: room
-// drifted past what a worker can run, and jobs waited behind long ones.
+// Where one job ends as the next comes, the next starts promptly though no slot was free when it was sent: the
+// limit drifted past what a worker can run, and jobs waited behind long ones.
 func TestLimitIsBoundedByObservedSlots(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -119,7 +119,7 @@
 	}
 	for late := range uint64(minLateOverflows) {
 		if w.backoffUntil, w.limit = 0, 9; s.d.maxSlots(w) < 9 {
-			t.Fatalf("room ends at %v before anything was late", s.d.maxSlots(w))
+			t.Fatalf("the limit ends at %v before anything was late", s.d.maxSlots(w))
 		}
 		s.step(s.job(10+late, 1, 20*ms))
 		expectJobs(t, taken[Send](s), 10+late)
@@ -127,16 +127,16 @@
 		s.step(s.done(10+late, 0, 1, TimedOut))
 	}
 	if got := s.d.maxSlots(w); got != 4 {
-		t.Fatalf("room ends at %v, with four seen running", got)
+		t.Fatalf("the limit ends at %v, with four seen running", got)
 	}
 }
 
-// While many of our jobs wait at workers no more leave; hopeless ones are refused where late earns nothing.
+// While many of our jobs wait at workers no more are sent; those out of reach are rejected where late answers are worthless.
 func TestJobsDoNotQueueAtWorkers(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(30)
 	for id := uint64(1); id <= 10; id++ {
-		s.step(s.job(id, 1, 300*ms)) // unsafe: never moved
+		s.step(s.job(id, 1, 300*ms)) // non-idempotent: never hedged
 		s.wait(35 * ms)
 	}
 	if n := len(taken[Send](s)); n > 6 {
@@ -154,18 +154,18 @@
 		}
 	}
 	if len(ends) != 1 || ends[0] != (Reject{Job: 1}) {
-		t.Fatalf("expected the unstarted job to be refused, got %v", ends)
+		t.Fatalf("expected the unstarted job to be rejected, got %v", ends)
 	}
 }
 
-// Found: of 351 workers five hung. The jobs out there were more than half of all that ran, which looked like a fleet
-// whose queues are full, and for a second nothing was sent to the others. One goes all the same, and once that has
-// started the next.
+// Found by a search: of 351 workers five hung. The jobs in flight there were more than half of all that ran, which looked like a
+// fleet whose queues are full, and for a second nothing was sent to the others. One goes all the same, and the next once that
+// has started.
 func TestFewFaultyWorkersDoNotStopTheFleet(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(20)
 	for id := uint64(1); id <= 4; id++ {
-		s.step(s.job(id, 1, 300*ms)) // unsafe: never moved
+		s.step(s.job(id, 1, 300*ms)) // non-idempotent: never hedged
 	}
 	s.step(Started{Job: 1, Worker: taken[Send](s)[0].Worker})
 	s.wait(200 * ms)
@@ -178,8 +178,8 @@
 	expectJobs(t, taken[Send](s), 6)
 }
 
-// Found: where starts are not told, an answer later than the aim as its hint had it counted as late, so that with hints
-// that were too low all were, and each worker was left alone for longer each time.
+// Found by a search: where starts are not notified, an answer later than the objective by its hint counted as late, so that with
+// hints that were too low all were, and each worker was backed off from for longer each time.
 func TestLowHintsCauseNoBackoff(t *testing.T) {
 	set := scaleSettings()
 	set.StartNotifications = false
@@ -193,11 +193,11 @@
 		}
 	}
 	if possible := 15 * 5 / f.run.Seconds(); float64(served) < 0.9*possible || backedOff > 0 {
-		t.Errorf("%d served of %.0f, %d refused, %d of 20 workers left alone", served, possible, f.rejected, backedOff)
+		t.Errorf("%d served of %.0f, %d rejected, %d of 20 workers backed off from", served, possible, f.rejected, backedOff)
 	}
 }
 
-// Found: a first job of two slots left a worker with a room of two, and nothing more was sent there until it ended.
+// Found by a search: a first job of two slots left a worker with a limit of two, and nothing more was sent there until it ended.
 func TestLimitGrowsBeyondRunningSlots(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -208,11 +208,11 @@
 	expectJobs(t, taken[Send](s), 1, 2)
 }
 
-// Found: one job of four slots that waited at a worker stopped all sends, as if most of what was out did.
+// Found by a search: one job of four slots that waited at a worker stopped all sends, as if most of what was in flight did.
 func TestLateWideJobCountsOnce(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(10)
-	wide := s.job(1, 1, 300*ms) // unsafe: never moved
+	wide := s.job(1, 1, 300*ms) // non-idempotent: never hedged
 	wide.Slots = 4
 	s.step(wide, s.job(2, 1, 300*ms))
 	s.step(Started{Job: 2, Worker: taken[Send](s)[1].Worker})
@@ -221,8 +221,8 @@
 	expectJobs(t, taken[Send](s), 3, 4)
 }
 
-// Found: copies of keyed jobs were dropped as repeats by the cells that had the first ones, and told no start. Each looked
-// like a queue, and its worker was sent nothing more: in a cell with one worker that hung, all others idled.
+// Found by a search: hedges of jobs with a key were dropped as repeats by the cells that had the first attempts, and no start was
+// notified. Each looked like a queue, and its worker was sent nothing more: in a cell with one worker that hung, all others idled.
 func TestDeduplicatedAttemptIsNoSignOfAQueue(t *testing.T) {
 	set := testSettings()
 	set.Classes[1].Idempotency, set.Classes[1].DeduplicationScope, set.Classes[1].DeduplicationWindow = IdempotentWithKey, ScopeAll, 20*time.Second
@@ -230,21 +230,21 @@
 	s.workers(2)
 	s.d.workers[1].limit, s.d.workers[2].limit = 4, 4
 	s.step(s.job(1, 1, 100*ms))
-	sick := taken[Send](s)[0].Worker
+	hung := taken[Send](s)[0].Worker
 	s.wait(600 * ms)
 	sends := taken[Send](s)
-	if len(sends) != 1 || sends[0].Worker == sick {
-		t.Fatalf("%v: expected a copy at the other worker", sends)
+	if len(sends) != 1 || sends[0].Worker == hung {
+		t.Fatalf("%v: expected a hedge at the other worker", sends)
 	}
 	s.wait(600 * ms)
 	s.step(s.job(2, 0, 20*ms))
-	if sends := taken[Send](s); len(sends) != 1 || sends[0].Worker == sick {
+	if sends := taken[Send](s); len(sends) != 1 || sends[0].Worker == hung {
 		t.Fatalf("%v: expected the other worker to be sent job 2 as well", sends)
 	}
 }
 
-// Found: the only dispatcher of a fleet left an idle worker alone for seconds after a late start, though nobody else's
-// jobs can have been in its way.
+// Found by a search: the only dispatcher of a fleet backed off from an idle worker for seconds after a late start, though nobody
+// else's jobs can have been in its way.
 func TestSingleDispatcherNeverBacksOff(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -136,10 +136,10 @@
 	noise    float64 // of run times, as a part of them
 	span     time.Duration
 	cold     bool // workers start, and restart, while it lasts
-	faults   bool // workers fail, hang, break connections and refuse
+	faults   bool // workers fail, hang, break connections and reject
 	cordons  bool
 	handover bool // jobs and what was learnt come from another dispatcher
-	assigned bool // the list says which dispatchers may use a cold worker
+	assigned bool // the list says which dispatchers may use a warming worker
 	idle     bool // pauses in which connections go idle, and some of these break
 }
 
@@ -436,39 +436,48 @@
 	e := JobResumed{Job: j.Job, Age: time.Duration(p.rng.IntN(400)) * ms, QuotaCharged: p.rng.IntN(2) == 0}
 	for range p.rng.IntN(3) {
 		w := p.fleet[p.rng.IntN(len(p.fleet))]
-		past := PastAttempt{Worker: w.ID, SentAgo: time.Duration(p.rng.IntN(300)) * ms, Ended: p.rng.IntN(2) == 0, Result: Result(p.rng.IntN(8))}
-		if p.rng.IntN(5) == 0 {
-			past.Worker = 9000 + w.ID
-		}
+		past := p.pastAttempt(j, w)
 		a := &simulatedAttempt{job: j, number: len(j.attempts), worker: w, incarnation: w.incarnation, ended: past.Ended}
-		for _, other := range j.attempts {
-			if other.worker == w && !other.ended {
-				past.Ended, a.ended = true, true
-			}
-		}
-		if past.Ended && past.Result == OK {
-			past.Result = Failed
-		}
-		if !past.Ended && past.Worker < 9000 && p.rng.IntN(2) == 0 {
-			past.StartedAgo = past.SentAgo / 2
-		}
 		e.Attempts = append(e.Attempts, past)
 		j.attempts = append(j.attempts, a)
-		if !past.Ended {
-			at, began := past.Worker, past.StartedAgo
-			p.after(j.length, func() {
-				a.ended = true
-				result := OK
-				if began == 0 && p.rng.IntN(3) == 0 {
-					result = ConnectionReset
-				}
-				p.outcome(a, at, result)
-			})
+		if past.Ended {
+			continue
 		}
+		p.after(j.length, func() {
+			a.ended = true
+			result := OK
+			if past.StartedAgo == 0 && p.rng.IntN(3) == 0 {
+				result = ConnectionReset
+			}
+			p.outcome(a, past.Worker, result)
+		})
 	}
 	p.step(e)
 }
 
+// unlistedWorkers is where the ids of workers begin that no list names.
+const unlistedWorkers = 9000
+
+// pastAttempt draws an attempt that another dispatcher has made at a worker, at times one that is not listed.
+func (p *decisionRun) pastAttempt(j *simulatedJob, w *simulatedWorker) PastAttempt {
+	past := PastAttempt{
+		Worker: w.ID, SentAgo: time.Duration(p.rng.IntN(300)) * ms, Ended: p.rng.IntN(2) == 0, Result: Result(p.rng.IntN(8)),
+	}
+	if p.rng.IntN(5) == 0 {
+		past.Worker += unlistedWorkers
+	}
+	for _, other := range j.attempts {
+		past.Ended = past.Ended || other.worker == w && !other.ended
+	}
+	if past.Ended && past.Result == OK {
+		past.Result = Failed
+	}
+	if !past.Ended && past.Worker < unlistedWorkers && p.rng.IntN(2) == 0 {
+		past.StartedAgo = past.SentAgo / 2
+	}
+	return past
+}
+
 func (p *decisionRun) send(s Send) {
 	j := p.jobs[s.Job]
 	w := p.fleet[s.Worker-1]
@@ -646,7 +655,7 @@
 	p.after(time.Duration(700+p.rng.IntN(1500))*ms, p.restart)
 }
 
-// cordon takes workers out by hand, at times all of them, and brings them back.
+// cordon cordons workers, at times all of them, and uncordons them.
 func (p *decisionRun) cordon() {
 	if p.now > p.end {
 		return
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -41,6 +41,6 @@
 		}
 	}
 	if sends == 0 || s.d.queue.length != 0 {
-		t.Fatalf("%d sends of job 1, %d jobs held at the end", sends, s.d.queue.length)
+		t.Fatalf("%d sends of job 1, %d jobs queued at the end", sends, s.d.queue.length)
 	}
 }
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -10,8 +10,8 @@
 		name string
 		list WorkerList
 	}{
-		{"told that it drains", WorkerList{Kind: ListDelta, Workers: []Worker{{ID: 1}}}},
-		{"told that it is gone", WorkerList{Kind: ListDelta, Workers: []Worker{{ID: 1, Removed: true}}}},
+		{"listed as draining", WorkerList{Kind: ListDelta, Workers: []Worker{{ID: 1}}}},
+		{"listed as removed", WorkerList{Kind: ListDelta, Workers: []Worker{{ID: 1, Removed: true}}}},
 		{"missing from a full list", WorkerList{Kind: ListFull}},
 	}
 	for _, c := range cases {
@@ -45,7 +45,7 @@
 	}
 }
 
-// A list that comes though it was not asked for anew is from a watch that goes on: none is asked for beside it.
+// A list that comes though it was not requested anew is from a watch that goes on: none is requested beside it.
 func TestUnsolicitedList(t *testing.T) {
 	set := testSettings()
 	set.MustSubscribe = true
@@ -54,12 +54,12 @@
 	s.step(WorkerList{Kind: ListFull, Revision: 1}, WorkerList{Kind: ListUnavailable}, WorkerList{Kind: ListDelta, Revision: 2})
 	taken[Subscribe](s)
 	if s.wait(10 * time.Second); len(taken[Subscribe](s)) > 0 {
-		t.Error("asked for beside the watch that goes on")
+		t.Error("requested beside the watch that goes on")
 	}
 }
 
-// A worker that comes back by hand is cold from then on, if the list tells of no later start, and what was out there takes
-// up none of its room: else it would stay unused until that has timed out.
+// An uncordoned worker warms up from then on, if the list has no later start, and what was in flight there takes none of its
+// slots: else it would stay unused until that has timed out.
 func TestUncordonedWorkerWarmsUpAndIsUsed(t *testing.T) {
 	for _, isListed := range []bool{false, true} {
 		set := testSettings()
@@ -77,28 +77,28 @@
 		s.step(Uncordoned{Worker: 1})
 		share := s.d.warmUpShare(s.d.workers[1])
 		if isListed && (share < 0.35 || share > 0.37) || !isListed && share > 0.21 {
-			t.Errorf("told of the start: %v; taken to have %v of its capacity", isListed, share)
+			t.Errorf("its start is listed: %v; taken to have %v of its capacity", isListed, share)
 		}
-		s.wait(3 * time.Second) // past the span in which none of ours is known to have been sent
+		s.wait(3 * time.Second) // past the window in which nothing of ours is known to have been sent
 		s.step(s.job(7, 0, 10*ms))
 		expectJobs(t, taken[Send](s), 7)
 	}
 }
 
-// With every listed worker out nobody is left to wait for: a query is refused at once, and served again after a call back.
+// With every listed worker cordoned there is none to wait for: a job is rejected at once, and served again after an uncordon.
 func TestAllWorkersCordoned(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(2)
 	s.step(Cordoned{Worker: 1}, Cordoned{Worker: 2}, s.job(1, 0, 10*ms))
 	if got := taken[Reject](s); len(got) != 1 || got[0].Job != 1 {
-		t.Fatalf("refused %v", got)
+		t.Fatalf("rejected %v", got)
 	}
 	s.step(Uncordoned{Worker: 2}, s.job(2, 0, 10*ms))
 	expectJobs(t, taken[Send](s), 2)
 }
 
-// A worker that was brought back is used soon, also by a dispatcher that is not among the owners of its cold budget, and by
-// a job that would be late there if no other comes.
+// An uncordoned worker is used soon, also by a dispatcher that is not among the owners of its warm-up budget, and by a job that
+// would be late there if no other comes.
 func TestUncordonedWorkerIsNotLeftIdle(t *testing.T) {
 	set := testSettings()
 	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
@@ -112,7 +112,7 @@
 		s.step(Uncordoned{Worker: 1})
 		s.wait(uncordonedWait + 10*ms)
 		s.take()
-		s.step(s.job(1, 0, 300*ms)) // far too long for its aim on a cold worker
+		s.step(s.job(1, 0, 300*ms)) // far too long for its objective on a warming worker
 		expectJobs(t, taken[Send](s), 1)
 		s.step(s.done(1, 0, 1, OK))
 		s.step(s.job(2, 0, 300*ms))
@@ -120,11 +120,11 @@
 	}
 }
 
-// Many dispatchers that start together with a list as it was once known, or lose it together, do not all ask for it at once:
-// the service that answers in turn would have all of them wait too long. Few ask at once, and so does one without any list.
+// Many dispatchers that start together with a cached list, or lose it together, do not all request it at once: the service that
+// answers in turn would have all of them wait too long. A few dispatchers do, and so does one without any list.
 func TestManyReplicasSubscribeAtDifferentTimes(t *testing.T) {
 	for _, c := range []struct {
-		of, soon int // of 40 dispatchers so many ask within half a second, at most
+		of, soon int // of 40 dispatchers so many subscribe within half a second, at most
 		list     []Worker
 	}{{40, 12, []Worker{{ID: 1, Ready: true}}}, {2, 40, []Worker{{ID: 1, Ready: true}}}, {40, 40, nil}} {
 		set := testSettings()
@@ -138,7 +138,7 @@
 			soon += len(taken[Subscribe](s))
 		}
 		if soon > c.soon || c.soon == 40 && soon < 40 {
-			t.Errorf("of %d, %d listed: %d of 40 ask within half a second", c.of, len(c.list), soon)
+			t.Errorf("of %d, %d listed: %d of 40 subscribe within half a second", c.of, len(c.list), soon)
 		}
 	}
 }
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -16,7 +16,7 @@
 	noise       float64       // runs vary evenly by so much, as a part of it
 	rng         *rand.Rand
 	hint        float64      // what is hinted, as a multiple of it
-	notice      bool         // starts are told
+	notice      bool         // starts are notified
 	events      [3]eventLine // starts, ends, and the rest: each in order of time, or nearly
 	acts        []Action
 	lastID      uint64
@@ -90,7 +90,7 @@
 	}
 }
 
-// next lets time pass to what is due next, and tells the dispatcher of it. Where a job ended it says at which worker.
+// next lets time pass to what is due next, and has the dispatcher notified. Where a job ended it returns the worker.
 func (f *fleet) next() (worker uint64) {
 	var q *eventLine
 	for i := range f.events {
@@ -172,7 +172,7 @@
 	}
 }
 
-// BenchmarkDelta is news of one worker of many.
+// BenchmarkDelta is a change of one worker of many.
 func BenchmarkDelta(b *testing.B) {
 	for _, nodes := range []int{10, 10000} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -194,7 +194,7 @@
 	f.job()
 }
 
-// serve has clients that each wait for their answer and ask again at once, 10 ms later if they were refused. It plays for
+// serve has clients that each wait for their answer and send the next job at once, 10 ms later if they were rejected. It runs for
 // so long, and counts from the first second on.
 func (f *fleet) serve(clients int, length time.Duration) (served int, perWorker map[uint64]int) {
 	perWorker = map[uint64]int{}
@@ -204,9 +204,9 @@
 			waiting++
 			f.job()
 		}
-		done, turned := f.done, f.rejected
+		done, rejected := f.done, f.rejected
 		w := f.next()
-		if waiting -= f.done - done + f.rejected - turned; f.rejected > turned {
+		if waiting -= f.done - done + f.rejected - rejected; f.rejected > rejected {
 			f.later(2, 10*ms, TimerFired{})
 		}
 		if f.now >= from && f.done > done {
--- a/dispatch/golden_test.go
+++ b/dispatch/golden_test.go
@@ -10,7 +10,7 @@
 	"valvecove/internal/storedform"
 )
 
-// The golden files of a dispatcher: a snapshot, as a hand-over and a capture carry it, and a lesson of form 1. They are never
+// The golden files of a dispatcher: a snapshot, as a hot restart and a capture carry it, and a model snapshot of form 1. They are never
 // written anew: see storedform.Golden. A snapshot has no number of its own; the frames of a hand-over have one, and a
 // snapshot in another form comes with another number there.
 const (
@@ -114,27 +114,66 @@
 	if again := d.Snapshot(nil); !bytes.Equal(again, state) {
 		t.Error("restored, it has another snapshot")
 	}
-	if len(d.jobs) != 68 || d.queue.length != 59 || len(d.workers) != 9 || len(d.keyWork) != 4 || d.now != time.Hour+1270*ms {
-		t.Errorf("%d jobs, %d queued, %d workers, %d keys, at %v", len(d.jobs), d.queue.length, len(d.workers), len(d.keyWork), d.now)
+	checkGoldenState(t, d)
+	checkGoldenJobs(t, d)
+	checkGoldenWorkers(t, d)
+	storedform.CheckGolden(t, goldenModel, d.ModelSnapshot(4000, nil))
+	acts := d.Step(d.now+ms, []Event{Outcome{Job: 121, Worker: 6 << 40, Result: OK, Closed: true}}, nil)
+	if want := []Action{Send{Job: 144, Worker: 6 << 40}, Send{Job: 124, Worker: 6 << 40}}; !slices.Equal(acts, want) {
+		t.Errorf("it goes on with %+v, expected %+v", acts, want)
 	}
-	if d.sharing != (ReplicasChanged{Replicas: 3, ReplicaIndex: 1, QuotaShare: 0.4}) || len(d.cordoned) != 1 || d.cordoned[3<<40] != time.Hour {
-		t.Errorf("shared by %+v, cordoned %v", d.sharing, d.cordoned)
+}
+
+// checkGoldenState checks what the golden snapshot says of the whole dispatcher.
+func checkGoldenState(t *testing.T, d *Dispatcher) {
+	t.Helper()
+	type figures struct {
+		jobs, queued, workers, keys, cordoned int
+		now, cordonedAt                       time.Duration
+	}
+	got := figures{
+		jobs: len(d.jobs), queued: d.queue.length, workers: len(d.workers), keys: len(d.keyWork), cordoned: len(d.cordoned),
+		now: d.now, cordonedAt: d.cordoned[3<<40],
+	}
+	want := figures{
+		jobs: 68, queued: 59, workers: 9, keys: 4, cordoned: 1, now: time.Hour + 1270*ms, cordonedAt: time.Hour,
+	}
+	if got != want {
+		t.Errorf("%+v, expected %+v", got, want)
+	}
+	if want := (ReplicasChanged{Replicas: 3, ReplicaIndex: 1, QuotaShare: 0.4}); d.sharing != want {
+		t.Errorf("shared by %+v, expected %+v", d.sharing, want)
 	}
 	if d.reserved == nil || d.reserved.ID != 1<<40 || d.reservedFor.ID != 11 || d.reservedFor.Slots != 2 {
 		t.Errorf("reserved %+v for %+v", d.reserved, d.reservedFor)
 	}
+}
+
+// checkGoldenJobs checks what the golden snapshot says of jobs and attempts.
+func checkGoldenJobs(t *testing.T, d *Dispatcher) {
+	t.Helper()
 	if started, unstarted, ended := countAttempts(d); started != 5 || unstarted != 4 || ended != 5 {
 		t.Errorf("%d attempts have started, %d have not, %d have ended", started, unstarted, ended)
 	}
-	if j := d.jobs[500]; j == nil || len(j.attempts) != 2 || j.attempts[0].result != ConnectionReset || j.attempts[1].worker.ID != 2<<40 ||
-		!j.attempts[1].started || j.arrivedAt != d.now-20*ms {
+	j := d.jobs[500]
+	if j == nil || len(j.attempts) != 2 {
+		t.Fatalf("job 500: %+v", j)
+	}
+	first, second := j.attempts[0], j.attempts[1]
+	if first.result != ConnectionReset || second.worker.ID != 2<<40 || !second.started || j.arrivedAt != d.now-20*ms {
 		t.Errorf("job 500: %+v", j)
 	}
-	for i, want := range []struct {
+}
+
+// checkGoldenWorkers checks what the golden snapshot says of workers.
+func checkGoldenWorkers(t *testing.T, d *Dispatcher) {
+	t.Helper()
+	type figures struct {
 		ready, backedOff        bool
 		limit, used, runs, size float64
 		inFlight, spends        int
-	}{
+	}
+	for i, want := range []figures{
 		{ready: true, backedOff: true, limit: 2, runs: 12, size: 2},
 		{ready: true, limit: 5.5, used: 6.5, runs: 15, size: 3, inFlight: 4},
 		{limit: 1, size: 4},
@@ -146,15 +185,17 @@
 		{ready: true, limit: 1, size: 4},
 	} {
 		w := d.workers[uint64(i+1)<<40]
-		if w == nil || w.Ready != want.ready || (w.backoffUntil > d.now) != want.backedOff || w.limit != want.limit || w.usedSlots != want.used ||
-			w.runs != want.runs || w.Size != want.size || len(w.inFlight) != want.inFlight || len(w.warmUpSpends) != want.spends {
-			t.Errorf("worker %d: %+v", i+1, w)
+		if w == nil {
+			t.Errorf("worker %d is not known", i+1)
+			continue
+		}
+		got := figures{
+			ready: w.Ready, backedOff: w.backoffUntil > d.now, limit: w.limit, used: w.usedSlots, runs: w.runs, size: w.Size,
+			inFlight: len(w.inFlight), spends: len(w.warmUpSpends),
+		}
+		if got != want {
+			t.Errorf("worker %d: %+v, expected %+v", i+1, got, want)
 		}
-	}
-	storedform.CheckGolden(t, goldenModel, d.ModelSnapshot(4000, nil))
-	acts := d.Step(d.now+ms, []Event{Outcome{Job: 121, Worker: 6 << 40, Result: OK, Closed: true}}, nil)
-	if want := []Action{Send{Job: 144, Worker: 6 << 40}, Send{Job: 124, Worker: 6 << 40}}; !slices.Equal(acts, want) {
-		t.Errorf("it goes on with %+v, expected %+v", acts, want)
 	}
 }
 
--- a/dispatch/model_test.go
+++ b/dispatch/model_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// One that was taught expects what the teacher does, knows its slow workers, and has its part of the rooms; a lesson
-// keeps to its size, and one that is cut or spoilt teaches nothing.
+// A dispatcher with the model of another expects what that one does, knows its slow workers, and has its share of the limits. A
+// model snapshot keeps to its size, and one that is cut off is ignored.
 func TestModelUpdate(t *testing.T) {
 	set := testSettings()
 	s := newHarness(t, set)
@@ -43,17 +43,17 @@
 	d := fresh(ModelUpdate{Snapshot: snapshot, LoadShare: 0.5})
 	j := &jobInfo{Job: Job{Slots: 1, Hint: 100 * ms}, class: &set.Classes[0]}
 	if got, want := d.expectedWork(j), s.d.expectedWork(j); got != want {
-		t.Errorf("it expects %v, the teacher %v", got, want)
+		t.Errorf("it expects %v, the source of its model %v", got, want)
 	}
 	for id, w := range s.d.workers {
 		x := d.workers[id]
 		if off := math.Abs(w.logSpeed - x.logSpeed); w.runs > 0 && off > 2.0/speedSteps || x.limit != max(1, math.Floor(w.limit/2)) {
-			t.Errorf("worker %d: speed off by %v, room %v of %v", id, off, x.limit, w.limit)
+			t.Errorf("worker %d: speed off by %v, limit %v of %v", id, off, x.limit, w.limit)
 		}
 	}
 	for n := range snapshot {
 		if d := fresh(ModelUpdate{Snapshot: snapshot[:n], LoadShare: 1}); !reflect.DeepEqual(d.sizeCorrection, New(set, 1).sizeCorrection) || len(d.kinds) > 2 {
-			t.Fatalf("%d bytes of %d taught something", n, len(snapshot))
+			t.Fatalf("%d bytes of %d were taken over", n, len(snapshot))
 		}
 	}
 }
@@ -78,7 +78,7 @@
 		d.Step(time.Hour+time.Second, []Event{Job{ID: 1, Remaining: time.Second, Slots: 1}, TimerFired{}}, nil)
 		for _, w := range d.workerList {
 			if !(w.limit >= 1 && w.limit <= maxModelLimit) || !isPlausible(w.logSpeed) || !isPlausible(w.speed) {
-				t.Fatalf("worker %d: room %v, speed %v", w.ID, w.limit, w.logSpeed)
+				t.Fatalf("worker %d: limit %v, speed %v", w.ID, w.limit, w.logSpeed)
 			}
 		}
 	})
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Where links break now and then, a worker is not set aside for one of them, nor for a probe that a stale link
-// swallowed; two in a row, or one under a job that had started, are its own.
+// Where connections break now and then, a worker is not ejected for one of them, nor for a health check that a stale connection
+// lost; two in a row, or one under a job that had started, are its own.
 func TestSingleConnectionFailureEjectsNoWorker(t *testing.T) {
 	for _, c := range []struct {
 		outcomes func(s *harness)
@@ -50,12 +50,12 @@
 		s.workers(1)
 		s.step(s.job(1, 0, 10*ms))
 		if c.outcomes(s); s.d.workers[1].ejectionTime > 0 != c.ejected {
-			t.Errorf("set aside %v, expected %v", !c.ejected, c.ejected)
+			t.Errorf("ejected %v, expected %v", !c.ejected, c.ejected)
 		}
 	}
 }
 
-// Incident: late starts made most workers suspects, so the dead ones lost their mark too and drew all work.
+// Incident: late starts had most workers ejected, so that the dead ones counted as healthy too and drew all work.
 func TestBrokenWorkerStaysEjectedWhenMostAre(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(4)
@@ -64,11 +64,11 @@
 	}
 	s.wait(300 * ms)
 	if !s.d.isEjected(s.d.workers[1]) || s.d.isEjected(s.d.workers[2]) {
-		t.Fatal("expected only the broken worker to stay suspect")
+		t.Fatal("expected only the broken worker to stay ejected")
 	}
 }
 
-// Links dropped unseen while idle: two jobs that got no answer on idle links are enough, and others are closed first.
+// Connections dropped unseen while idle: two jobs that got no answer on idle ones are enough, and others are closed first.
 func TestIdleConnectionsThatLoseRequestsAreClosed(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(3)
@@ -83,9 +83,9 @@
 		}
 		return w
 	}
-	links := map[uint64]bool{}
-	for id := uint64(1); len(links) < 3; id++ {
-		links[run(id, true)] = true
+	used := map[uint64]bool{}
+	for id := uint64(1); len(used) < 3; id++ {
+		used[run(id, true)] = true
 	}
 	s.take()
 	s.wait(3 * time.Second)
@@ -101,11 +101,11 @@
 	acts := s.take()
 	at := slices.IndexFunc(acts, func(a Action) bool { _, ok := a.(CloseIdleConnections); return ok })
 	if at < 0 || at+1 >= len(acts) || acts[at+1] != (Send{Job: 103, Worker: acts[at].(CloseIdleConnections).Worker}) {
-		t.Fatalf("expected idle links to be closed before the send, got %v", acts)
+		t.Fatalf("expected idle connections to be closed before the send, got %v", acts)
 	}
 }
 
-// A part of the fleet that falls silent at once says nothing of idle links, as those to the others do well.
+// A part of the fleet that falls silent at once says nothing of idle connections, as those to the others do well.
 func TestSilentRackIsNotBlamedOnConnections(t *testing.T) {
 	f := newFleet(100, scaleSettings())
 	f.serve(100, time.Second)
@@ -114,16 +114,16 @@
 		f.d.observeIdleConnection(a, false)
 	}
 	if f.d.maxIdle != 0 {
-		t.Fatalf("links are trusted for %v", f.d.maxIdle)
+		t.Fatalf("connections are trusted for %v", f.d.maxIdle)
 	}
 }
 
-// A process that was late itself learns nothing of workers from that time, and blames none for it.
+// A process that was stalled learns nothing about workers from that time, and ejects none for it.
 func TestOwnStallsSayNothingAboutWorkers(t *testing.T) {
 	f := newFleet(20, scaleSettings())
 	f.serve(40, 2*time.Second)
 	before := f.d.workerList[3].logSpeed
-	f.now += 2 * time.Second // frozen: what came meanwhile is told late, with our own timer
+	f.now += 2 * time.Second // stalled: what came meanwhile is read late, with our own timer
 	events := []Event{TimerFired{}}
 	for i := range f.events[:2] {
 		for q := &f.events[i]; q.first < len(q.events); q.first++ {
@@ -133,7 +133,7 @@
 	f.step(events...)
 	for _, w := range f.d.workerList {
 		if math.Abs(w.logSpeed-before) > 0.5 || w.ejectionTime > 0 || w.limit < 2 {
-			t.Fatalf("worker %d: speed %.2f (%.2f before), set aside for %v, room %.0f", w.ID, w.logSpeed, before, w.ejectionTime, w.limit)
+			t.Fatalf("worker %d: speed %.2f (%.2f before), ejected for %v, limit %.0f", w.ID, w.logSpeed, before, w.ejectionTime, w.limit)
 		}
 	}
 }
--- a/dispatch/peers_test.go
+++ b/dispatch/peers_test.go
@@ -4,12 +4,13 @@
 	"fmt"
 	"math"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 )
 
-// A resumed job goes on as it would have where it was: one that is out is not sent again, its outcome is known by its
-// number, and one that may have run goes only where rule 2 lets it.
+// A resumed job goes on as it would have where it was: one that is in flight is not sent again, its outcome is known by
+// its number, and one that was possibly executed goes only where the retry rules let it.
 func TestJobResumed(t *testing.T) {
 	inFlight := PastAttempt{Worker: 1, SentAgo: 100 * ms}
 	running := PastAttempt{Worker: 1, SentAgo: 100 * ms, StartedAgo: 90 * ms}
@@ -24,16 +25,16 @@
 		used     float64
 	}{
 		{"nothing was sent", 0, nil, "sent to 2", 1},
-		{"turned away before", 0, []PastAttempt{ended(1, WorkerFull)}, "sent to 2", 1},
-		{"out", 0, []PastAttempt{inFlight}, "", 1},
-		{"runs", 0, []PastAttempt{ended(2, WorkerFull), running}, "", 1},
-		{"out at a worker not known", 0, []PastAttempt{{Worker: 77}}, "", 1},
-		{"unsafe, out", 1, []PastAttempt{inFlight}, "", 1},
-		{"unsafe, may have run", 1, []PastAttempt{ended(1, ConnectionReset)}, "failed", 0},
-		{"unsafe, never ran", 1, []PastAttempt{ended(1, ConnectFailed)}, "sent to 2", 1},
-		{"out of tries", 0, slices.Repeat([]PastAttempt{ended(1, WorkerFull)}, 5), "refused", 0},
-		{"of a group, at a worker not known", 2, []PastAttempt{ended(77, ConnectionReset)}, "", 0},
-		{"of a group, at one known", 2, []PastAttempt{ended(2, ConnectionReset)}, "sent to 2", 1},
+		{"rejected before", 0, []PastAttempt{ended(1, WorkerFull)}, "sent to 2", 1},
+		{"in flight", 0, []PastAttempt{inFlight}, "", 1},
+		{"running", 0, []PastAttempt{ended(2, WorkerFull), running}, "", 1},
+		{"in flight at a worker not listed", 0, []PastAttempt{{Worker: 77}}, "", 1},
+		{"non-idempotent, in flight", 1, []PastAttempt{inFlight}, "", 1},
+		{"non-idempotent, possibly executed", 1, []PastAttempt{ended(1, ConnectionReset)}, "failed", 0},
+		{"non-idempotent, not executed", 1, []PastAttempt{ended(1, ConnectFailed)}, "sent to 2", 1},
+		{"at the attempt limit", 0, slices.Repeat([]PastAttempt{ended(1, WorkerFull)}, 5), "rejected", 0},
+		{"with key, at a worker not listed", 2, []PastAttempt{ended(77, ConnectionReset)}, "", 0},
+		{"with key, at one listed", 2, []PastAttempt{ended(2, ConnectionReset)}, "sent to 2", 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -45,27 +46,17 @@
 			job := s.job(9, c.class, 300*ms)
 			s.jobs[9] = &harnessJob{Job: job}
 			s.step(JobResumed{Job: job, Age: 200 * ms, Attempts: c.attempts})
-			got := ""
-			for _, a := range s.take() {
-				switch a := a.(type) {
-				case Send:
-					got = fmt.Sprintf("sent to %d", a.Worker)
-				case Reject:
-					got = "refused"
-				case Fail:
-					got = "failed"
-				}
-			}
+			got := decisionAbout(s)
 			if got != c.want || s.d.usedSlots != c.used {
 				t.Fatalf("%q with %v in use, expected %q with %v", got, s.d.usedSlots, c.want, c.used)
 			}
 			n := len(c.attempts)
-			if got != "" && got[0] == 's' {
-				n++
-				s.step(s.done(9, n-1, 2, OK))
-			} else if n > 0 && !c.attempts[n-1].Ended {
+			switch {
+			case strings.HasPrefix(got, "sent"):
+				s.step(s.done(9, n, 2, OK))
+			case n > 0 && !c.attempts[n-1].Ended:
 				s.step(Started{Job: 9, Attempt: n - 1, Worker: c.attempts[n-1].Worker}, s.done(9, n-1, c.attempts[n-1].Worker, OK))
-			} else {
+			default:
 				s.step(ClientDisconnected{Job: 9})
 			}
 			if s.d.usedSlots != 0 || len(s.d.jobs) != 0 || len(s.d.workers) != 2 {
@@ -75,8 +66,23 @@
 	}
 }
 
-// What came to another dispatcher long ago keeps its place: it leaves before what comes now, and its aim is that of its
-// first try. An attempt that hangs is found lost here too.
+// decisionAbout is what was decided last about the only job.
+func decisionAbout(s *harness) (decision string) {
+	for _, a := range s.take() {
+		switch a := a.(type) {
+		case Send:
+			decision = fmt.Sprintf("sent to %d", a.Worker)
+		case Reject:
+			decision = "rejected"
+		case Fail:
+			decision = "failed"
+		}
+	}
+	return decision
+}
+
+// What came to another dispatcher long ago keeps its place in the queue: it leaves before what comes now, and its objective is
+// that of its first try. An attempt that hangs is found lost here too.
 func TestResumedJobKeepsItsQueuePosition(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(2)
@@ -89,7 +95,7 @@
 	s.jobs[8], s.jobs[9] = &harnessJob{}, &harnessJob{}
 	s.step(s.job(2, 1, 100*ms), JobResumed{Job: late, Age: 500 * ms})
 	if objective := s.d.jobs[9].objectiveAt - s.now; objective != 500*ms {
-		t.Errorf("its aim lies %v off", objective)
+		t.Errorf("its objective is in %v", objective)
 	}
 	s.step(s.done(1, 0, 1, OK))
 	expectJobs(t, taken[Send](s), 9)
@@ -103,7 +109,7 @@
 	}
 }
 
-// A resumed job takes from its tenant's quota what was not taken yet, and counts against a cold worker's budget.
+// A resumed job is charged to its tenant's quota if it was not yet, and counts against a warming worker's budget.
 func TestResumedJobIsChargedOnce(t *testing.T) {
 	set := testSettings()
 	set.TenantQuota, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = []float64{1}, time.Minute, 0.2, 1.5, time.Second
@@ -115,15 +121,15 @@
 		s.step(JobResumed{Job: s.job(id+100, 0, 50*ms), Age: time.Second, QuotaCharged: true})
 	}
 	if s.d.quotaTokens[0] != quota || len(s.d.workers[1].warmUpSpends) != 20 {
-		t.Errorf("quota %v of %v, %d pieces of work at the cold worker", s.d.quotaTokens[0], quota, len(s.d.workers[1].warmUpSpends))
+		t.Errorf("quota %v of %v, %d spends at the warming worker", s.d.quotaTokens[0], quota, len(s.d.workers[1].warmUpSpends))
 	}
 	if s.step(JobResumed{Job: s.job(200, 0, 50*ms), Age: time.Second}); s.d.quotaRefilledAt[0] != s.now {
-		t.Error("one that has waited elsewhere takes nothing from the quota")
+		t.Error("one that has waited elsewhere is not charged to the quota")
 	}
 }
 
-// Who may send work to a cold worker follows from its entry where that says so, else from the number of dispatchers;
-// and so does the part of a quota.
+// Who may send jobs to a warming worker follows from its entry where that says so, else from the number of dispatchers; and so
+// does the share of a quota.
 func TestReplicasChanged(t *testing.T) {
 	set := testSettings()
 	set.Replicas, set.ReplicaIndex, set.TenantQuota = 4, 1, []float64{8}
@@ -131,7 +137,7 @@
 	check := func(w Worker, rank, of int, part float64) {
 		t.Helper()
 		if r, o := s.d.assigneeRank(&workerInfo{Worker: w}); r != rank || o != of || s.d.quotaShare() != part {
-			t.Errorf("rank %d of %d, part %v, expected %d of %d and %v", r, o, s.d.quotaShare(), rank, of, part)
+			t.Errorf("rank %d of %d, share %v, expected %d of %d and %v", r, o, s.d.quotaShare(), rank, of, part)
 		}
 	}
 	check(Worker{}, 1, 4, 0.25)
--- a/dispatch/picker_test.go
+++ b/dispatch/picker_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// A slow worker is passed over while its runs would miss their aims, and tried again once its news is old.
+// A slow worker is avoided while its runs would miss their objectives, and tried again once what is known of it is old.
 func TestSlowWorkerIsAvoided(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(4)
@@ -49,15 +49,15 @@
 		s.wait(100 * ms)
 	}
 	if tried[slow] > 0 {
-		t.Fatalf("the slow worker got %d of 30 jobs that would miss their aim on it", tried[slow])
+		t.Fatalf("the slow worker got %d of 30 jobs that would miss their objective on it", tried[slow])
 	}
 	s.wait(time.Minute)
 	if math.Abs(s.d.workers[slow].logSpeed-s.d.machineKind(0).logSpeed) > 0.1 {
-		t.Fatal("a minute without news has not brought the slow worker back")
+		t.Fatal("a minute without observations has not brought the slow worker back")
 	}
 }
 
-// A job of many slots over tau must not be starved by small ones that slip past it.
+// A job of many slots over tau must not wait for ever while small ones backfill.
 func TestLargeJobIsNotBackfilledForEver(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -85,8 +85,8 @@
 	t.Fatal("the large job was never sent")
 }
 
-// Incident: a job of four slots, over tau, was sent to a worker with room for one. It waited at the head of that
-// worker's queue and held up all behind it. Now a worker is kept free for it, and others go elsewhere meanwhile.
+// Incident: a job of four slots, over tau, was sent to a worker with capacity for one. It waited at the head of
+// that worker's queue and blocked all behind it. Now a worker is reserved for it, and others go elsewhere meanwhile.
 func TestLargeJobWaitsForCapacity(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(2)
@@ -106,7 +106,7 @@
 	}
 	for _, a := range taken[Send](s) {
 		if s.d.workers[a.Worker] == s.d.reserved {
-			t.Fatalf("job %d went to the worker kept for the large one", a.Job)
+			t.Fatalf("job %d went to the worker reserved for the large one", a.Job)
 		}
 	}
 	for _, a := range slices.Clone(s.d.reserved.inFlight) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// A zone with more traffic than its workers can start is left for another, though crossing has a price.
+// A zone with more traffic than its workers can start is left for another, though crossing has a cost.
 func TestBusyZoneIsAvoided(t *testing.T) {
 	set := testSettings()
 	set.CrossZoneCost = 0.05
@@ -129,7 +129,7 @@
 	s.step(list)
 	s.step(s.job(1, 0, 100*ms))
 	if w := taken[Send](s)[0].Worker; w%2 != 1 {
-		t.Fatalf("an untroubled zone was left for worker %d", w)
+		t.Fatalf("a zone without faults was left for worker %d", w)
 	}
 	crossed := 0
 	for id := uint64(2); id < 30; id++ {
@@ -146,15 +146,16 @@
 		s.wait(100 * ms)
 	}
 	if crossed < 10 {
-		t.Fatalf("%d jobs left a zone that turned all work away", crossed)
+		t.Fatalf("%d jobs left a zone that rejected all work", crossed)
 	}
 }
 
-// Found: a worker was kept for a large job that waited for a faster one, and idled for seconds while small ones were held.
+// Found by a search: a worker was reserved for a large job that waited for a faster one, and idled for seconds while small ones
+// were queued.
 func TestNoTooSlowWorkerIsReserved(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(2)
-	s.step(s.job(1, 1, 300*ms)) // unsafe: never moved
+	s.step(s.job(1, 1, 300*ms)) // non-idempotent: never hedged
 	slow := s.d.workers[3-taken[Send](s)[0].Worker]
 	slow.logSpeed, slow.speed, slow.learnedAt = -2, 0.13, s.now+time.Minute
 	big := s.job(2, 1, 1500*ms)
@@ -191,7 +192,7 @@
 				{ID: 4, Ready: true, Kind: 1, Zone: 1},
 			}})
 			for id := uint64(1); id <= 8; id++ {
-				s.step(s.job(id, 0, 200*ms)) // nothing starts: further attempts and copies follow
+				s.step(s.job(id, 0, 200*ms)) // nothing starts: retries and hedges follow
 				s.wait(100 * ms)
 			}
 			s.wait(6 * time.Second)
--- a/dispatch/predictor_test.go
+++ b/dispatch/predictor_test.go
@@ -41,9 +41,9 @@
 	}
 }
 
-// The gain of learning does not grow with what is out: from 1 job out to 10,000, with runs that vary, what is believed of
-// speeds and works stays near the truth. Corrected against what held when they were sent, each of n jobs out corrects the
-// same error, a gain of n x sizeRate, and from some 60 out on beliefs swung over factors of thousands.
+// The gain of learning does not grow with what is in flight: from 1 job to 10,000, with runs that vary, the estimates of speeds
+// and work stay near the truth. Corrected against what was expected when they were sent, each of n jobs corrects the same error,
+// a gain of n x sizeRate, and from some 60 jobs on estimates swung over factors of thousands.
 func TestLearningIsStableWhateverIsInFlight(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -66,9 +66,9 @@
 		mean := 0.0
 		for _, w := range f.d.workerList {
 			mean += w.logSpeed / float64(len(f.d.workerList))
-			believed := math.Log(f.d.expectedWork(j)) - w.logSpeed - math.Log(f.run.Seconds())
-			if w.runs >= 5 && math.Abs(believed) > 1 {
-				t.Fatalf("%+v: a run is believed to take %.2f times its time", c, math.Exp(believed))
+			deviation := math.Log(f.d.expectedWork(j)) - w.logSpeed - math.Log(f.run.Seconds())
+			if w.runs >= 5 && math.Abs(deviation) > 1 {
+				t.Fatalf("%+v: a run is expected to take %.2f times its time", c, math.Exp(deviation))
 			}
 		}
 		if c.length > 8*time.Second && math.Abs(mean) > maxMeanSpeed+0.1 {
@@ -77,7 +77,7 @@
 	}
 }
 
-// A belief does not shut off its own correction: where all workers are thought far too slow for any aim, some jobs go all
+// An estimate does not prevent its own correction: where all workers are thought far too slow for any objective, some jobs go all
 // the same, and within a second all do.
 func TestWrongEstimateIsCorrected(t *testing.T) {
 	t.Parallel()
@@ -92,12 +92,12 @@
 		}
 		f.serve(nodes, time.Second)
 		if served, _ := f.serve(nodes, 2*time.Second); float64(served) < 0.95*float64(nodes)/(f.run+2*f.delay).Seconds() {
-			t.Errorf("%d workers, believed 400 times too slow: %d served in a second, and %d refused", nodes, served, f.rejected)
+			t.Errorf("%d workers, expected to be 400 times too slow: %d served in a second, and %d rejected", nodes, served, f.rejected)
 		}
 	}
 }
 
-// Jobs that take ten times as long for a while miss their aims; once they no longer do, service is back within a second.
+// Jobs that take ten times as long for a while miss their objectives; once they no longer do, service is back within a second.
 func TestCostStepIsFollowed(t *testing.T) {
 	t.Parallel()
 	f := newFleet(50, scaleSettings())
@@ -106,9 +106,9 @@
 	f.serve(100, 3*time.Second)
 	f.run /= 10
 	f.serve(100, time.Second)
-	turned := f.rejected
+	before := f.rejected
 	served, _ := f.serve(100, 2*time.Second)
 	if possible := 100 / (f.run + 2*f.delay).Seconds(); float64(served) < 0.95*possible {
-		t.Errorf("%d served of %.0f possible, %d refused", served, possible, f.rejected-turned)
+		t.Errorf("%d served of %.0f possible, %d rejected", served, possible, f.rejected-before)
 	}
 }
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Under overload all would wait past tau and leave in order of arrival; what cannot earn in full gives way.
+// Under overload all would wait past tau and leave in order of arrival; what cannot earn in full is demoted.
 func TestJobPastItsObjectiveIsDemoted(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -69,7 +69,7 @@
 	}
 }
 
-// Jobs looked past at each release once left an entry each time in the pile by arrival.
+// Jobs deferred in each pass over the queue once left an entry each time in the heap by promotion.
 func TestQueuedJobsLeaveNoTrace(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -86,16 +86,16 @@
 		n += len(sh.byPromotion.items)
 	}
 	if n > 10 {
-		t.Fatalf("%d entries for 10 held jobs", n)
+		t.Fatalf("%d entries for 10 queued jobs", n)
 	}
 	s.wait(10 * time.Second)
-	if len(s.d.jobs) != 1 || s.d.queue.length != 0 { // job 1 has its answer but is still out
-		t.Fatalf("%d jobs and %d held ones remembered after all deadlines", len(s.d.jobs), s.d.queue.length)
+	if len(s.d.jobs) != 1 || s.d.queue.length != 0 { // job 1 has its answer but is still in flight
+		t.Fatalf("%d jobs and %d queued ones remembered after all deadlines", len(s.d.jobs), s.d.queue.length)
 	}
 }
 
-// Where each dispatcher has a few workers dealt to it, and a job of ours waits late at one, short jobs go to the others and
-// long ones are kept back: room is scarce. Where all share all workers, both go.
+// Where each dispatcher is assigned a few workers, and a job of ours is late at one, short jobs go to the others and long ones
+// wait: capacity is scarce. Where all share all workers, both go.
 func TestLongJobsWaitWhileAttemptsAreLate(t *testing.T) {
 	for _, of := range []int{0, 2} {
 		set := testSettings()
@@ -119,12 +119,12 @@
 			sent[a.Job] = true
 		}
 		if !sent[6] || sent[5] != (of == 0) {
-			t.Errorf("dealt to %d: sent %v", of, sent)
+			t.Errorf("assigned to %d: sent %v", of, sent)
 		}
 	}
 }
 
-// A class that only one worker in a hundred may run, and more of it than those can take, holds up nothing else.
+// A class that only one worker in a hundred may run, and more of it than those can take, blocks nothing else.
 func TestBoundClassBlocksNothingElse(t *testing.T) {
 	set := scaleSettings()
 	set.HealthChecks = false
@@ -150,22 +150,22 @@
 		s.step(s.job(id+1000, 0, 20*ms))
 	}
 	if got := sentJobs(taken[Send](s)); len(got) != 50 {
-		t.Fatalf("%d of 50 jobs left past held ones of a class that has no room", len(got))
+		t.Fatalf("%d of 50 jobs left past queued ones of a class that has no capacity", len(got))
 	}
 }
 
-// Found: a dozen held jobs that no free worker might have took all looks of each release, and those behind them were held
-// or refused though there were workers for them. The next release looks at others first.
+// Found by a search: a dozen queued jobs that no free worker might have took up each pass over the queue, and those behind them
+// waited or were rejected though there were workers for them. The next pass tries others first.
 func TestJobsThatFitNowhereBlockNoOthers(t *testing.T) {
 	set := testSettings()
 	set.ReportFields = nil
 	s := newHarness(t, set)
 	s.workers(3)
 	s.step(s.job(1, 0, 300*ms), s.job(2, 0, 300*ms)) // and are not known to have started, so that no more go there
-	sick := s.d.workers[6-s.d.jobs[1].attempts[0].worker.ID-s.d.jobs[2].attempts[0].worker.ID]
-	// It takes short jobs that are safe to repeat, as a trial.
-	sick.ejectionTime, sick.ejectedUntil, sick.broken, sick.aliveAt = time.Second, s.now, true, s.now-time.Minute
-	s.d.markDirty(sick)
+	ejected := s.d.workers[6-s.d.jobs[1].attempts[0].worker.ID-s.d.jobs[2].attempts[0].worker.ID]
+	// It takes short idempotent jobs, as a trial.
+	ejected.ejectionTime, ejected.ejectedUntil, ejected.broken, ejected.aliveAt = time.Second, s.now, true, s.now-time.Minute
+	s.d.markDirty(ejected)
 	for id := uint64(10); id < 10+2*maxDeferred; id++ {
 		s.step(s.job(id, 1, 10*ms))
 	}
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -17,7 +17,7 @@
 	listed       map[uint64]Worker // as it was last listed
 	everListed   map[uint64]bool
 	probing      map[uint64]bool
-	cordoned     map[uint64]bool // taken out by hand
+	cordoned     map[uint64]bool // by the operators
 	disconnected map[uint64]bool // clients gone in this batch: what was decided before that is disregarded
 	timers       []time.Duration
 	violations   []string
@@ -50,7 +50,7 @@
 	r.violations = append(r.violations, fmt.Sprintf("%v: ", r.now)+fmt.Sprintf(format, args...))
 }
 
-// observe follows what the dispatcher has been told.
+// observe follows the events that the dispatcher gets.
 func (r *ruleChecker) observe(events []Event) {
 	clear(r.disconnected)
 	for _, e := range events {
@@ -129,7 +129,7 @@
 			r.checkCancel(a)
 		case HealthCheck:
 			if !r.set.HealthChecks || !r.everListed[a.Worker] {
-				r.violation("probe of worker %d", a.Worker)
+				r.violation("health check of worker %d", a.Worker)
 			}
 			r.probing[a.Worker] = true
 		case SetTimer:
@@ -197,6 +197,15 @@
 	if c.Kinds != nil && !slices.Contains(c.Kinds, w.Kind) || c.Zones != nil && !slices.Contains(c.Zones, w.Zone) {
 		r.violation("job %d of class %d sent to kind %d in zone %d", a.Job, j.Class, w.Kind, w.Zone)
 	}
+	r.checkRepeat(c, j, a, w)
+	j.attempts = append(j.attempts, observedAttempt{worker: w, sentAt: r.now})
+	if len(j.attempts) > r.set.AttemptLimit {
+		r.violation("job %d has %d attempts", a.Job, len(j.attempts))
+	}
+}
+
+// checkRepeat checks a send of a job against its earlier attempts.
+func (r *ruleChecker) checkRepeat(c *Class, j *observedJob, a Send, w Worker) {
 	for _, earlier := range j.attempts {
 		if !earlier.ended && !r.set.Hedging {
 			r.violation("job %d hedged", a.Job)
@@ -208,10 +217,6 @@
 			r.violation("job %d sent again though possibly executed", a.Job)
 		}
 	}
-	j.attempts = append(j.attempts, observedAttempt{worker: w, sentAt: r.now})
-	if len(j.attempts) > r.set.AttemptLimit {
-		r.violation("job %d has %d attempts", a.Job, len(j.attempts))
-	}
 }
 
 // mayFollow tells whether a worker may be sent a job after an earlier attempt. What is sent now may wait for its connection.
@@ -363,7 +368,7 @@
 	return []Event{list}
 }
 
-// randomOutcomes ends or starts attempts that are out, lets clients go and answers probes.
+// randomOutcomes ends or starts attempts in flight, has clients disconnect and answers health checks.
 func randomOutcomes(rng *rand.Rand, r *ruleChecker) (events []Event) {
 	ids := make([]uint64, 0, len(r.jobs))
 	for id := range r.jobs {
@@ -465,7 +470,7 @@
 		_, _, a := randomRun(seed, 200)
 		_, _, b := randomRun(seed, 200)
 		if !slices.Equal(a, b) {
-			t.Fatalf("seed %d: two plays differ", seed)
+			t.Fatalf("seed %d: two runs differ", seed)
 		}
 	}
 }
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// Incident: jobs far heavier than their hint pushed a cold worker over; their class is budgeted by what they did.
+// Incident: jobs far heavier than their hint overloaded a warming worker; their class is budgeted by what they did.
 func TestHeavyClassAvoidsWarmingWorkers(t *testing.T) {
 	set := testSettings()
 	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
 	s := newHarness(t, set)
 	boot := s.now
-	cold := func(id uint64) bool {
+	warming := func(id uint64) bool {
 		s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 2, Ready: true, BootAt: boot}}}, s.job(id, 1, 100*ms))
 		return len(taken[Send](s)) == 1
 	}
-	s.step() // a dispatcher spends no cold budget in its first span
+	s.step() // a dispatcher spends no warm-up budget in its first window
 	s.now += 10 * time.Second
-	if !cold(1) {
-		t.Fatal("a short job was kept from a worker half warm")
+	if !warming(1) {
+		t.Fatal("a short job was not sent to a worker half warm")
 	}
 	s.step(Started{Job: 1, Worker: 2})
 	s.wait(4500 * ms)
 	s.step(s.done(1, 0, 2, OK))
-	if cold(2) {
-		t.Fatal("a class that ran forty times its hint was sent to a cold worker")
+	if warming(2) {
+		t.Fatal("a class that ran forty times its hint was sent to a warming worker")
 	}
 }
 
-// A worker whose connections broke and that answers again is treated as cold before any list says that it restarted.
+// A worker whose connections broke and that answers again is treated as warming up before any list says that it restarted.
 func TestWorkerBackUnannouncedWarmsUp(t *testing.T) {
 	set := testSettings()
 	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
@@ -46,265 +46,361 @@
 	}
 	s.wait(21 * time.Second)
 	if got := s.d.warmUpShare(s.d.workers[1]); got != 1 {
-		t.Fatalf("it is taken to have %v of its capacity after the cold time", got)
+		t.Fatalf("it is taken to have %v of its capacity after the warm-up", got)
 	}
 }
 
-// Rule 4 by an independent ledger: workers of three slots whose runs take just what was hinted.
+// workWithin is the work of what was sent within the window that ends now.
+func workWithin(spends []spend, now, window time.Duration) float64 {
+	sum := 0.0
+	for _, s := range spends {
+		if now-s.at <= window {
+			sum += s.work
+		}
+	}
+	return sum
+}
+
+// budgetChecker keeps an account of its own of what warming workers of three slots are sent, whose runs take just what was
+// hinted.
+type budgetChecker struct {
+	*harness
+	rng     *rand.Rand
+	boot    map[uint64]time.Duration // of the workers that warm up
+	spent   map[uint64][]spend
+	running map[uint64]float64
+	slots   float64 // the most that the dispatcher could see a worker run at once
+	ends    []scheduledEvent
+	checked int // sends to warming workers
+}
+
+func newBudgetChecker(t *testing.T, seed uint64) *budgetChecker {
+	t.Helper()
+	set := testSettings()
+	set.Replicas, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 3, 20*time.Second, 0.1, 3, 2*time.Second
+	c := &budgetChecker{
+		harness: newHarness(t, set), rng: rand.New(rand.NewPCG(seed, 2)), boot: map[uint64]time.Duration{},
+		spent: map[uint64][]spend{}, running: map[uint64]float64{}, slots: 3,
+	}
+	list := WorkerList{Kind: ListFull}
+	for id := uint64(1); id <= 6; id++ {
+		w := Worker{ID: id, Ready: true}
+		if id > 3 {
+			w.BootAt = c.now + time.Duration(c.rng.IntN(1e9))
+			c.boot[id] = w.BootAt
+		}
+		list.Workers = append(list.Workers, w)
+	}
+	c.step(list)
+	return c
+}
+
+// endRuns takes in the runs that are over.
+func (c *budgetChecker) endRuns() {
+	c.ends = slices.DeleteFunc(c.ends, func(x scheduledEvent) bool {
+		isOver := x.at <= c.now
+		if isOver {
+			c.running[x.event.(Outcome).Worker]--
+		}
+		return isOver
+	})
+}
+
+// start has an attempt run, and checks what its worker has been sent if that warms up.
+func (c *budgetChecker) start(send Send) {
+	j := c.jobs[send.Job]
+	c.running[send.Worker]++
+	c.slots = max(c.slots, c.running[send.Worker])
+	c.ends = append(c.ends, scheduledEvent{c.now + j.Hint, Outcome{Worker: send.Worker}})
+	c.after(2*time.Millisecond, Started{Job: send.Job, Attempt: j.attempts - 1, Worker: send.Worker})
+	c.after(2*time.Millisecond+j.Hint, Outcome{
+		Job: send.Job, Attempt: j.attempts - 1, Worker: send.Worker, Result: OK, Closed: true, Report: []float64{3},
+	})
+	boot, warmsUp := c.boot[send.Worker]
+	age := c.now - boot
+	if !warmsUp || age >= c.d.settings.WarmUp {
+		return
+	}
+	c.spent[send.Worker] = append(c.spent[send.Worker], spend{c.now, j.Hint.Seconds()})
+	sum := workWithin(c.spent[send.Worker], c.now, c.d.settings.OverloadWindow)
+	share := 0.1 + 0.9*max(0, age).Seconds()/20
+	if most := 3 * c.slots * share * 2 / 3; sum > most {
+		c.t.Fatalf("worker %d, %v old, was sent %.2f s of work, our part is %.2f", send.Worker, age, sum, most)
+	}
+	c.checked++
+}
+
+// The budget of warming workers, by an account of the test's own.
 func TestWarmUpBudget(t *testing.T) {
 	t.Parallel()
-	cold := 0
+	checked := 0
 	for seed := range uint64(30) {
-		rng := rand.New(rand.NewPCG(seed, 2))
-		set := testSettings()
-		set.Replicas, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 3, 20*time.Second, 0.1, 3, 2*time.Second
-		s := newHarness(t, set)
-		boot := map[uint64]time.Duration{}
-		list := WorkerList{Kind: ListFull}
-		for id := uint64(1); id <= 6; id++ {
-			w := Worker{ID: id, Ready: true}
-			if id > 3 {
-				w.BootAt = s.now + time.Duration(rng.IntN(1e9))
-				boot[id] = w.BootAt
+		c := newBudgetChecker(t, seed)
+		for id := uint64(1); id < 1500; id++ {
+			c.wait(time.Duration(c.rng.IntN(30)) * time.Millisecond)
+			c.endRuns()
+			hint := time.Duration(20+c.rng.IntN(600)) * time.Millisecond
+			c.step(Job{ID: id, Class: 0, Remaining: 5 * time.Second, Hint: hint, Slots: 1})
+			for _, send := range taken[Send](c.harness) {
+				c.start(send)
 			}
-			list.Workers = append(list.Workers, w)
 		}
-		s.step(list)
-		type spend struct {
-			at   time.Duration
-			work float64
+		checked += c.checked
+	}
+	if checked < 500 {
+		t.Fatalf("only %d sends to warming workers: the test sees too little", checked)
+	}
+}
+
+// manyDispatchers share one warming worker. Each restarts at random, and knows nothing then of what it has sent.
+type manyDispatchers struct {
+	t     *testing.T
+	set   Settings
+	rng   *rand.Rand
+	all   []*Dispatcher
+	list  WorkerList
+	start time.Duration
+	spent []spend
+	ends  []runEnd
+	sent  int
+	jobs  uint64
+}
+
+type runEnd struct {
+	at         time.Duration
+	dispatcher int
+	job        uint64
+}
+
+func newManyDispatchers(t *testing.T, replicas int) *manyDispatchers {
+	t.Helper()
+	m := &manyDispatchers{
+		t: t, set: testSettings(), rng: rand.New(rand.NewPCG(uint64(replicas), 3)), all: make([]*Dispatcher, replicas),
+		start: time.Hour,
+	}
+	m.set.Replicas, m.set.WarmUp, m.set.WarmUpCapacity, m.set.OverloadFactor, m.set.OverloadWindow = replicas, 20*time.Second, 0.12, 3, 2*time.Second
+	m.list = WorkerList{Kind: ListFull, Workers: []Worker{{ID: 77, Ready: true, BootAt: m.start}}}
+	for i := range m.all {
+		m.begin(i)
+		m.all[i].Step(m.start-time.Minute, nil, nil)
+	}
+	return m
+}
+
+func (m *manyDispatchers) begin(i int) {
+	own := m.set
+	own.ReplicaIndex = i
+	m.all[i] = New(own, uint64(i))
+}
+
+// endRuns has the runs end that are over. A dispatcher that restarted ignores them.
+func (m *manyDispatchers) endRuns(now time.Duration) {
+	for _, e := range m.ends {
+		if e.at <= now {
+			m.all[e.dispatcher].Step(now, []Event{Outcome{Job: e.job, Worker: 77, Result: OK, Closed: true}}, nil)
 		}
-		spent := map[uint64][]spend{}
-		running, slots := map[uint64]float64{}, 3.0 // what the dispatcher could see a worker run at once
-		var ends []scheduledEvent
-		for id := uint64(1); id < 1500; id++ {
-			s.wait(time.Duration(rng.IntN(30)) * time.Millisecond)
-			ends = slices.DeleteFunc(ends, func(x scheduledEvent) bool {
-				isOver := x.at <= s.now
-				if isOver {
-					running[x.event.(Outcome).Worker]--
-				}
-				return isOver
-			})
-			hint := time.Duration(20+rng.IntN(600)) * time.Millisecond
-			s.step(Job{ID: id, Class: 0, Remaining: 5 * time.Second, Hint: hint, Slots: 1})
-			for _, a := range s.take() {
-				send, ok := a.(Send)
-				if !ok {
-					continue
-				}
-				j := s.jobs[send.Job]
-				running[send.Worker]++
-				slots = max(slots, running[send.Worker])
-				ends = append(ends, scheduledEvent{s.now + j.Hint, Outcome{Worker: send.Worker}})
-				s.after(2*time.Millisecond, Started{Job: send.Job, Attempt: j.attempts - 1, Worker: send.Worker})
-				s.after(2*time.Millisecond+j.Hint, Outcome{
-					Job: send.Job, Attempt: j.attempts - 1, Worker: send.Worker,
-					Result: OK, Closed: true, Report: []float64{3},
-				})
-				b, ok := boot[send.Worker]
-				if age := s.now - b; ok && age < set.WarmUp {
-					spent[send.Worker] = append(spent[send.Worker], spend{s.now, j.Hint.Seconds()})
-					sum := 0.0
-					for _, x := range spent[send.Worker] {
-						if s.now-x.at <= set.OverloadWindow {
-							sum += x.work
-						}
-					}
-					share := 0.1 + 0.9*max(0, age).Seconds()/20
-					if most := 3 * slots * share * 2 / 3; sum > most {
-						t.Fatalf("seed %d: worker %d, %v old, was sent %.2f s of work, our part is %.2f", seed, send.Worker, age, sum, most)
-					}
-					cold++
-				}
-			}
+	}
+	m.ends = slices.DeleteFunc(m.ends, func(e runEnd) bool { return e.at <= now })
+}
+
+// arrive has a job come to a random dispatcher, and checks what the worker has been sent by all.
+func (m *manyDispatchers) arrive(now time.Duration) {
+	i := m.rng.IntN(len(m.all))
+	if m.rng.IntN(1500) < len(m.all) {
+		m.begin(i)
+	}
+	m.jobs++
+	id := m.jobs
+	hint := time.Duration(20+m.rng.ExpFloat64()*250) * time.Millisecond
+	events := []Event{m.list, Job{ID: id, Class: 0, Remaining: 5 * time.Second, Hint: hint, Slots: 1}}
+	for _, a := range m.all[i].Step(now, events, nil) {
+		if s, ok := a.(Send); !ok || s.Job != id {
+			continue // a job queued from before ends soon without it
 		}
+		// The run takes twice its hint.
+		m.spent = append(m.spent, spend{now, 2 * hint.Seconds()})
+		m.sent++
+		m.all[i].Step(now+time.Millisecond, []Event{Started{Job: id, Worker: 77}}, nil)
+		m.ends = append(m.ends, runEnd{now + 2*hint, i, id})
 	}
-	if cold < 500 {
-		t.Fatalf("only %d sends to cold workers: the test sees too little", cold)
+	// One core of speed 1, the least that the dispatchers can have seen, runs the work.
+	share := 0.12 + 0.88*(now-m.start).Seconds()/20
+	if sum, most := workWithin(m.spent, now, m.set.OverloadWindow), 3*share*2; sum > most {
+		m.t.Fatalf("%d dispatchers: %.2f s of work within a window at %v, %.2f allowed", len(m.all), sum, now-m.start, most)
 	}
 }
 
-// Rule 4 with hundreds of dispatchers on one cold worker: what they send together in any span stays under the
-// budget, also where each of them restarts at random, and the worker is not left idle either.
+// With hundreds of dispatchers on one warming worker: what they send together in any window stays under the budget, also where
+// each of them restarts at random, and the worker is not left idle either.
 func TestWarmUpBudgetSharedByHundreds(t *testing.T) {
 	t.Parallel()
 	for _, replicas := range []int{3, 40, 300} {
-		rng := rand.New(rand.NewPCG(uint64(replicas), 3))
-		set := testSettings()
-		set.Replicas, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = replicas, 20*time.Second, 0.12, 3, 2*time.Second
-		start := time.Hour
-		lists := []Event{WorkerList{Kind: ListFull, Workers: []Worker{{ID: 77, Ready: true, BootAt: start}}}}
-		all := make([]*Dispatcher, replicas)
-		begin := func(i int) {
-			own := set
-			own.ReplicaIndex = i
-			all[i] = New(own, uint64(i))
-		}
-		for i := range all {
-			begin(i)
-			all[i].Step(start-time.Minute, nil, nil)
-		}
-		var spent []spend
-		sent, id := 0, uint64(0)
-		type end struct {
-			at  time.Duration
-			i   int
-			job uint64
-		}
-		var ends []end
-		for now := start; now < start+20*time.Second; now += 20 * time.Millisecond {
-			for _, e := range ends {
-				if e.at <= now { // a dispatcher that restarted ignores it
-					all[e.i].Step(now, []Event{Outcome{Job: e.job, Worker: 77, Result: OK, Closed: true}}, nil)
-				}
-			}
-			ends = slices.DeleteFunc(ends, func(e end) bool { return e.at <= now })
+		m := newManyDispatchers(t, replicas)
+		for now := m.start; now < m.start+20*time.Second; now += 20 * time.Millisecond {
+			m.endRuns(now)
 			for range 3 {
-				i := rng.IntN(replicas)
-				if rng.IntN(1500) < replicas {
-					begin(i)
-				}
-				id++
-				hint := time.Duration(20+rng.ExpFloat64()*250) * time.Millisecond
-				events := append(slices.Clone(lists), Job{ID: id, Class: 0, Remaining: 5 * time.Second, Hint: hint, Slots: 1})
-				for _, a := range all[i].Step(now, events, nil) {
-					s, ok := a.(Send)
-					if !ok || s.Job != id {
-						continue // a job held from before ends soon without it
-					}
-					// The run takes twice its hint.
-					spent = append(spent, spend{now, 2 * hint.Seconds()})
-					sent++
-					all[i].Step(now+time.Millisecond, []Event{Started{Job: id, Worker: 77}}, nil)
-					ends = append(ends, end{now + 2*hint, i, id})
-				}
-				spent = slices.DeleteFunc(spent, func(s spend) bool { return now-s.at > set.OverloadWindow })
-				sum := 0.0
-				for _, s := range spent {
-					sum += s.work
-				}
-				// One core of speed 1, the least that the dispatchers can have seen, runs the work.
-				share := 0.12 + 0.88*(now-start).Seconds()/20
-				if most := 3 * share * 2; sum > most {
-					t.Fatalf("%d dispatchers: %.2f s of work within a span at %v, %.2f allowed", replicas, sum, now-start, most)
-				}
+				m.arrive(now)
 			}
 		}
-		if sent < 5 { // one core warming over twenty seconds
-			t.Fatalf("%d dispatchers sent the cold worker %d jobs only", replicas, sent)
+		if m.sent < 5 { // one core warming over twenty seconds
+			t.Fatalf("%d dispatchers sent the warming worker %d jobs only", replicas, m.sent)
 		}
 	}
 }
 
-// Rule 4 with hundreds of dispatchers that draw lots for the cold workers of a fleet whose other workers are offered
-// more than they can do: each cold worker gets its share of what the others get, in any span no more than the budget
-// with what chance adds to it, and none is left unused.
-func TestWarmingWorkersAreChosenByLottery(t *testing.T) {
-	t.Parallel()
-	const replicas, warm, cold, slots = 300, 24, 8, 4
-	rng := rand.New(rand.NewPCG(5, 6))
-	set := testSettings()
-	set.Replicas, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = replicas, 8*time.Second, 0.4, 3, 2*time.Second
-	start := time.Hour
-	list := WorkerList{Kind: ListFull}
-	for id := range uint64(warm + cold) {
+// lottery is a fleet with some warming workers, of which hundreds of dispatchers draw, and whose other workers are offered more
+// than they can do.
+type lottery struct {
+	t       *testing.T
+	set     Settings
+	rng     *rand.Rand
+	start   time.Duration
+	list    WorkerList
+	all     []*Dispatcher
+	numbers []map[uint64]int // by dispatcher: the attempts of its jobs
+	runs    []lotteryRun
+	free    []time.Duration // by slot of each worker: when it is
+	sent    []int           // by worker
+	spent   [][]time.Duration
+	jobs    uint64
+}
+
+// lotteryRun is the start or the end of a run.
+type lotteryRun struct {
+	at         time.Duration
+	dispatcher int
+	worker     uint64
+	job        uint64
+	number     int
+	isEnd      bool
+}
+
+const (
+	lotteryReplicas = 300
+	lotteryWarm     = 24
+	lotteryWarming  = 8
+	lotterySlots    = 4                      // of a worker
+	lotteryRunTime  = 300 * time.Millisecond // of a job
+)
+
+func newLottery(t *testing.T) *lottery {
+	t.Helper()
+	workers := lotteryWarm + lotteryWarming + 1 // their ids count from 1
+	l := &lottery{
+		t: t, set: testSettings(), rng: rand.New(rand.NewPCG(5, 6)), start: time.Hour, list: WorkerList{Kind: ListFull},
+		all: make([]*Dispatcher, lotteryReplicas), numbers: make([]map[uint64]int, lotteryReplicas),
+		free: make([]time.Duration, workers*lotterySlots), sent: make([]int, workers), spent: make([][]time.Duration, workers),
+	}
+	l.set.Replicas, l.set.WarmUp, l.set.WarmUpCapacity, l.set.OverloadFactor, l.set.OverloadWindow = lotteryReplicas, 8*time.Second, 0.4, 3, 2*time.Second
+	for id := range uint64(lotteryWarm + lotteryWarming) {
 		w := Worker{ID: id + 1, Ready: true}
-		if id >= warm {
-			w.BootAt = start
+		if id >= lotteryWarm {
+			w.BootAt = l.start
 		}
-		list.Workers = append(list.Workers, w)
+		l.list.Workers = append(l.list.Workers, w)
 	}
-	all := make([]*Dispatcher, replicas)
-	begin := func(i int) {
-		own := set
-		own.ReplicaIndex = i
-		all[i] = New(own, uint64(i))
-		all[i].Step(start-time.Second, []Event{list}, nil)
+	for i := range l.all {
+		l.begin(i)
+		l.numbers[i] = map[uint64]int{}
 	}
-	for i := range all {
-		begin(i)
-	}
-	type run struct {
-		at     time.Duration
-		i      int
-		worker uint64
-		job    uint64
-		number int
-		began  bool
+	return l
+}
+
+func (l *lottery) begin(i int) {
+	own := l.set
+	own.ReplicaIndex = i
+	l.all[i] = New(own, uint64(i))
+	l.all[i].Step(l.start-time.Second, []Event{l.list}, nil)
+}
+
+// step has a dispatcher step, and its attempts run at the first free slot of their workers.
+func (l *lottery) step(i int, now time.Duration, events ...Event) {
+	for _, a := range l.all[i].Step(now, events, nil) {
+		s, ok := a.(Send)
+		if !ok {
+			continue
+		}
+		number := l.numbers[i][s.Job]
+		l.numbers[i][s.Job]++
+		l.sent[s.Worker]++
+		if s.Worker > lotteryWarm {
+			l.spent[s.Worker] = append(l.spent[s.Worker], now)
+		}
+		slots := l.free[int(s.Worker)*lotterySlots:][:lotterySlots]
+		first := slices.Index(slots, slices.Min(slots))
+		begins := max(now+time.Millisecond, slots[first])
+		slots[first] = begins + lotteryRunTime
+		l.runs = append(l.runs, lotteryRun{begins, i, s.Worker, s.Job, number, false},
+			lotteryRun{begins + lotteryRunTime, i, s.Worker, s.Job, number, true})
 	}
-	const work = 300 * time.Millisecond // of a job; a worker has four slots
-	free := make([]time.Duration, (warm+cold+1)*slots)
-	var runs []run
-	sent, spent, id := make([]int, warm+cold+1), make([][]time.Duration, warm+cold+1), uint64(0)
-	take := func(i int, now time.Duration, actions []Action, numbers map[uint64]int) {
-		for _, a := range actions {
-			s, ok := a.(Send)
-			if !ok {
-				continue
-			}
-			number := numbers[s.Job]
-			numbers[s.Job]++
-			if sent[s.Worker]++; s.Worker > warm {
-				spent[s.Worker] = append(spent[s.Worker], now)
-			}
-			next := &free[int(s.Worker)*slots]
-			for k := range slots {
-				if slot := &free[int(s.Worker)*slots+k]; *slot < *next {
-					next = slot
-				}
-			}
-			begins := max(now+time.Millisecond, *next)
-			*next = begins + work
-			runs = append(runs, run{begins, i, s.Worker, s.Job, number, false}, run{begins + work, i, s.Worker, s.Job, number, true})
+}
+
+// advance has the runs start and end that do so by now.
+func (l *lottery) advance(now time.Duration) {
+	pending := l.runs
+	l.runs = nil
+	for _, r := range pending {
+		switch {
+		case r.at > now:
+			l.runs = append(l.runs, r)
+		case r.isEnd:
+			l.step(r.dispatcher, now, Outcome{Job: r.job, Attempt: r.number, Worker: r.worker, Result: OK, Closed: true})
+		default:
+			l.step(r.dispatcher, now, Started{Job: r.job, Attempt: r.number, Worker: r.worker})
 		}
 	}
-	numbers := make([]map[uint64]int, replicas)
-	for i := range numbers {
-		numbers[i] = map[uint64]int{}
+}
+
+// restart has a dispatcher restart now and then. It knows nothing of what it has sent.
+func (l *lottery) restart() {
+	if i := l.rng.IntN(lotteryReplicas); l.rng.IntN(30) == 0 {
+		l.begin(i)
+		l.runs = slices.DeleteFunc(l.runs, func(r lotteryRun) bool { return r.dispatcher == i })
 	}
-	offered := 1.4 * warm * slots / work.Seconds()
-	for now := start; now < start+8*time.Second; now += 10 * time.Millisecond {
-		pending := runs
-		runs = nil
-		for _, r := range pending {
-			if r.at > now {
-				runs = append(runs, r)
-				continue
-			}
-			var e Event = Started{Job: r.job, Attempt: r.number, Worker: r.worker}
-			if r.began {
-				e = Outcome{Job: r.job, Attempt: r.number, Worker: r.worker, Result: OK, Closed: true}
-			}
-			take(r.i, now, all[r.i].Step(now, []Event{e}, nil), numbers[r.i])
-		}
-		if i := rng.IntN(replicas); rng.IntN(30) == 0 { // one restarts now and then, and knows nothing of what it sent
-			begin(i)
-			runs = slices.DeleteFunc(runs, func(r run) bool { return r.i == i })
-		}
-		for n := rng.Float64() * 2 * offered / 100; n > 0; n-- {
-			i := int(float64(replicas) * rng.Float64() * rng.Float64()) // some get several times the mean
-			id++
-			job := Job{ID: id, Class: 0, Remaining: 5 * time.Second, Hint: work, Slots: 1}
-			take(i, now, all[i].Step(now, []Event{job, TimerFired{}}, nil), numbers[i])
-		}
-		for w := range spent {
-			spent[w] = slices.DeleteFunc(spent[w], func(at time.Duration) bool { return now-at > set.OverloadWindow })
-			share := 0.4 + 0.6*(now-start).Seconds()/8
-			most := set.OverloadFactor * share * slots / work.Seconds() * set.OverloadWindow.Seconds()
-			if n := float64(len(spent[w])); n > most+2*math.Sqrt(most)+2 {
-				t.Fatalf("worker %d got %v jobs within a span at %v, of %.0f", w, n, now-start, most)
-			}
+}
+
+// arrive has so many jobs come on average; some dispatchers get several times the mean.
+func (l *lottery) arrive(now time.Duration, mean float64) {
+	for n := l.rng.Float64() * 2 * mean; n > 0; n-- {
+		i := int(float64(lotteryReplicas) * l.rng.Float64() * l.rng.Float64())
+		l.jobs++
+		l.step(i, now, Job{ID: l.jobs, Class: 0, Remaining: 5 * time.Second, Hint: lotteryRunTime, Slots: 1}, TimerFired{})
+	}
+}
+
+// checkBudgets checks what each warming worker has been sent within a window.
+func (l *lottery) checkBudgets(now time.Duration) {
+	for w := range l.spent {
+		l.spent[w] = slices.DeleteFunc(l.spent[w], func(at time.Duration) bool { return now-at > l.set.OverloadWindow })
+		share := 0.4 + 0.6*(now-l.start).Seconds()/8
+		most := l.set.OverloadFactor * share * lotterySlots / lotteryRunTime.Seconds() * l.set.OverloadWindow.Seconds()
+		if n := float64(len(l.spent[w])); n > most+2*math.Sqrt(most)+2 {
+			l.t.Fatalf("worker %d got %v jobs within a window at %v, of %.0f", w, n, now-l.start, most)
 		}
 	}
+}
+
+// Hundreds of dispatchers draw lots for the warming workers of a fleet whose other workers are offered more than they can do:
+// each warming worker gets its share of what the others get, in any window no more than the budget with what chance adds to it,
+// and none is left unused.
+func TestWarmingWorkersAreChosenByLottery(t *testing.T) {
+	t.Parallel()
+	l := newLottery(t)
+	offered := 1.4 * lotteryWarm * lotterySlots / lotteryRunTime.Seconds()
+	for now := l.start; now < l.start+8*time.Second; now += 10 * time.Millisecond {
+		l.advance(now)
+		l.restart()
+		l.arrive(now, offered/100)
+		l.checkBudgets(now)
+	}
 	others := 0
-	for _, n := range sent[1 : warm+1] {
+	for _, n := range l.sent[1 : lotteryWarm+1] {
 		others += n
 	}
-	for w := warm + 1; w <= warm+cold; w++ {
-		if least := others / warm / 8; sent[w] < least {
-			t.Errorf("cold worker %d got %d jobs, fewer than %d", w, sent[w], least)
+	for w := lotteryWarm + 1; w <= lotteryWarm+lotteryWarming; w++ {
+		if least := others / lotteryWarm / 8; l.sent[w] < least {
+			t.Errorf("warming worker %d got %d jobs, fewer than %d", w, l.sent[w], least)
 		}
 	}
-	t.Logf("warm ones got %d jobs each, cold ones %v", others/warm, sent[warm+1:])
+	t.Logf("warm ones got %d jobs each, warming ones %v", others/lotteryWarm, l.sent[lotteryWarm+1:])
 }
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -8,54 +8,74 @@
 	"time"
 )
 
-// A dispatcher that is cut and restored at any steps of a random play acts as the one that never was, its snapshot
-// is that of the one it was made from, and it knows nothing of keys but what it is told before their jobs come. Taking
-// a snapshot changes nothing.
+// A dispatcher that is restored from a snapshot at any steps of a random run acts as the one that it was taken from, and has
+// the same snapshot. It knows nothing of keys but what is recalled before their jobs arrive. Taking a snapshot changes nothing.
 func FuzzSnapshot(f *testing.F) {
 	for seed := range uint64(60) {
 		f.Add(seed, seed%5)
 	}
 	f.Fuzz(func(t *testing.T, seed, often uint64) {
-		rng := rand.New(rand.NewPCG(seed, 2))
-		var copied *Dispatcher
-		step := 0
-		_, _, cut := observedRandomRun(seed, 400, func(d *Dispatcher, now time.Duration, events []Event, actions []Action) {
-			if actions != nil {
-				if got := copied.Step(now, events, []Action{}); !reflect.DeepEqual(got, actions) {
-					t.Fatalf("step %d: %v, expected %v", step, got, actions)
-				}
-				step++
-				return
-			}
-			if copied == nil || rng.IntN(1+10*int(often%5)) == 0 {
-				state := d.Snapshot(nil)
-				var err error
-				if copied, err = Restore(d.settings, state); err != nil {
-					t.Fatal(err)
-				}
-				if again := copied.Snapshot(nil); !bytes.Equal(again, state) {
-					t.Fatalf("step %d: a restored one has another snapshot", step)
-				}
-			}
-			for _, e := range events {
-				j, ok := e.(Job)
-				if r, resumed := e.(JobResumed); resumed {
-					j, ok = r.Job, true
-				}
-				if ok {
-					if work, known := d.KeyWork(j.Key); known {
-						copied.RecallKeyWork(j.Key, work)
-					}
-				}
-			}
-		})
-		if _, _, whole := randomRun(seed, 400); !reflect.DeepEqual(cut, whole) {
+		r := &restoredBeside{t: t, rng: rand.New(rand.NewPCG(seed, 2)), interval: 1 + 10*int(often%5)}
+		_, _, observed := observedRandomRun(seed, 400, r.observe)
+		if _, _, undisturbed := randomRun(seed, 400); !reflect.DeepEqual(observed, undisturbed) {
 			t.Fatal("one of which snapshots were taken acted otherwise")
 		}
 	})
 }
 
-// The keys that a snapshot leaves out still count towards those that may be known.
+// restoredBeside has a restored dispatcher run beside the one whose snapshot it was made from.
+type restoredBeside struct {
+	t        *testing.T
+	rng      *rand.Rand
+	interval int // of snapshots, in steps on average
+	restored *Dispatcher
+	step     int
+}
+
+// observe sees each step twice, before it with its events alone, and after it with its actions.
+func (r *restoredBeside) observe(d *Dispatcher, now time.Duration, events []Event, actions []Action) {
+	if actions != nil {
+		if got := r.restored.Step(now, events, []Action{}); !reflect.DeepEqual(got, actions) {
+			r.t.Fatalf("step %d: %v, expected %v", r.step, got, actions)
+		}
+		r.step++
+		return
+	}
+	if r.restored == nil || r.rng.IntN(r.interval) == 0 {
+		r.restore(d)
+	}
+	for _, e := range events {
+		if key := keyOf(e); key != 0 {
+			if work, known := d.KeyWork(key); known {
+				r.restored.RecallKeyWork(key, work)
+			}
+		}
+	}
+}
+
+func (r *restoredBeside) restore(d *Dispatcher) {
+	state := d.Snapshot(nil)
+	var err error
+	if r.restored, err = Restore(d.settings, state); err != nil {
+		r.t.Fatal(err)
+	}
+	if again := r.restored.Snapshot(nil); !bytes.Equal(again, state) {
+		r.t.Fatalf("step %d: a restored one has another snapshot", r.step)
+	}
+}
+
+// keyOf is the key of a job that arrives by an event; 0: none does, or it has no key.
+func keyOf(e Event) uint64 {
+	switch e := e.(type) {
+	case Job:
+		return e.Key
+	case JobResumed:
+		return e.Job.Key
+	}
+	return 0
+}
+
+// The keys that a snapshot omits still count towards those that may be known.
 func TestSnapshotKeys(t *testing.T) {
 	set := testSettings()
 	d := New(set, 1)
@@ -85,7 +105,7 @@
 	}
 }
 
-// What is no snapshot is refused, and no bytes make Restore panic.
+// What is no snapshot is rejected, and no bytes make Restore panic.
 func FuzzRestore(f *testing.F) {
 	set := testSettings()
 	d := New(set, 1)
