--- a/cmd/covelab/experiments.go
+++ b/cmd/covelab/experiments.go
@@ -490,6 +490,6 @@
 
 // Run says which build this is.
 func (version) Run(s *streams) error {
-	fmt.Fprintln(s.out, "covelab", build())
-	return nil
+	_, err := fmt.Fprintln(s.out, "covelab", build())
+	return err
 }
--- a/cmd/covelab/play.go
+++ b/cmd/covelab/play.go
@@ -151,7 +151,7 @@
 		return err
 	}
 	p.Doc.Build = build() + ", " + p.Doc.Build
-	if err := c.output.write(p, s); err != nil {
+	if err := c.write(p, s); err != nil {
 		return err
 	}
 	return verdict(p)
@@ -244,7 +244,7 @@
 		return err
 	}
 	played.Doc.Build = build()
-	if err := c.output.write(played, s); err != nil {
+	if err := c.write(played, s); err != nil {
 		return err
 	}
 	return verdict(played)
--- a/cmd/valvecove/replace_test.go
+++ b/cmd/valvecove/replace_test.go
@@ -137,7 +137,8 @@
 		next := launch(t, p, dir, file)
 		served = append(served, next)
 		if k == 1 { // by a call to the process that does not serve
-			if next.Suspend("s-2") != 200 || next.Suspend("s-2") != 200 || next.Suspend("s-9") != 404 || now.Figure("hosts_down") != 1 {
+			first, second := next.Suspend("s-2"), next.Suspend("s-2") // the second is harmless
+			if first != 200 || second != 200 || next.Suspend("s-9") != 404 || now.Figure("hosts_down") != 1 {
 				t.Error("calls at a process that stands by")
 			}
 		}
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"log/slog"
 	"math"
@@ -43,15 +44,16 @@
 func (p *play) CheckHealth(w uint64) { p.Ledger.HealthChecked(w, nil) }
 func (p *play) Watch(int64)          { p.hosts() }
 
-func newPlay(t testing.TB, seed uint64, conf config.Capture) *play {
+func newPlay(tb testing.TB, seed uint64, conf config.Capture) *play {
+	tb.Helper()
 	c, err := config.Decode([]byte(platform), func(string) string { return "" })
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	p := &play{t: t, set: c.Settings.Settings, rng: rand.New(rand.NewPCG(seed, 3)), World: sides.World{Now: 1718000000123456789}}
+	p := &play{t: tb, set: c.Settings.Settings, rng: rand.New(rand.NewPCG(seed, 3)), World: sides.World{Now: 1718000000123456789}}
 	p.rec, err = New(conf, c, func() time.Duration { return p.Now }, slog.New(slog.DiscardHandler))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	next := c.Seed
 	p.Ledger = requests.New(6, c.Settings.Names, func() requests.Policy {
@@ -98,7 +100,7 @@
 			}
 		}
 		result := "secret"
-		for i := 0; i < len(p.Out); i++ {
+		for i := range p.Out {
 			state := []string{"started", "started", "running", "done", "done", "failed", "returned", "lost"}[p.rng.IntN(8)]
 			if p.rng.IntN(4) == 0 {
 				a := p.Out[i]
@@ -341,7 +343,7 @@
 		differences, out, warnings, err := replayed(t, append(bytes.Clone(before), cut...), "")
 		switch {
 		case n == 0:
-			if err != ErrNoCapture {
+			if !errors.Is(err, ErrNoCapture) {
 				t.Errorf("nothing whole: %v", err)
 			}
 		case err != nil || differences != 0 || len(cut) > 0 && len(cut) < len(lines[n])-1 && !strings.Contains(warnings, fmt.Sprintf("line %d is cut short", n+1)):
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -167,7 +167,7 @@
 	return c, d.faults
 }
 
-func address(key, variable, value string, env func(string) string, fault func(*Fault)) netip.AddrPort {
+func address(key, variable, value string, env func(string) string, fault func(*KeyError)) netip.AddrPort {
 	if value == "" {
 		value = env(variable)
 	}
@@ -183,7 +183,7 @@
 }
 
 // check refuses what a scheduler could not work by.
-func (c *Config) check(fault func(*Fault)) {
+func (c *Config) check(fault func(*KeyError)) {
 	if c.Limits.Cores <= 0 {
 		fault(keyError([]string{"limits", "cores"}, "expected more than 0, got %v", c.Limits.Cores))
 	}
@@ -196,7 +196,7 @@
 }
 
 // check refuses settings that a scheduler could not work by. under is where they stand.
-func (s *Settings) check(fault func(*Fault), under ...string) {
+func (s *Settings) check(fault func(*KeyError), under ...string) {
 	key := func(path ...string) []string { return append(slices.Clone(under), path...) }
 	if len(s.Classes) == 0 {
 		fault(keyError(key("classes"), "expected one class at least"))
--- a/internal/config/walker.go
+++ b/internal/config/walker.go
@@ -52,10 +52,10 @@
 
 func (w *walker) fail(format string, args ...any) { w.faults.add(keyError(w.path, format, args...)) }
 
-// Fault is one thing that is wrong with a file. Key is where; none: the text as a whole.
-type Fault struct{ Key, What string }
+// KeyError is one thing that is wrong with a file. Key is where; none: the text as a whole.
+type KeyError struct{ Key, What string }
 
-func (f *Fault) Error() string {
+func (f *KeyError) Error() string {
 	if f.Key == "" {
 		return f.What
 	}
@@ -66,10 +66,10 @@
 const mostFaults = 100
 
 // faults are what is wrong with one file, in the order in which it was found.
-type faults []*Fault
+type faults []*KeyError
 
 // add takes in a fault. One at or under a key that has one already follows from that, and is not told.
-func (all *faults) add(next *Fault) {
+func (all *faults) add(next *KeyError) {
 	if len(*all) == mostFaults {
 		return
 	}
@@ -103,7 +103,7 @@
 	return list
 }
 
-func keyError(path []string, format string, args ...any) *Fault {
+func keyError(path []string, format string, args ...any) *KeyError {
 	name := ""
 	for _, p := range path {
 		if _, err := strconv.Atoi(p); err == nil {
@@ -114,7 +114,7 @@
 			name = p
 		}
 	}
-	return &Fault{name, fmt.Sprintf(format, args...)}
+	return &KeyError{name, fmt.Sprintf(format, args...)}
 }
 
 // check turns a fault of the text itself into one that names the place.
--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -149,7 +149,8 @@
 		b = strconv.AppendInt(b, r.spec.Hint.Microseconds(), 10)
 	}
 	b = append(b, "\r\nX-Call-Info: slots=1\r\nContent-Length: 24\r\n\r\n"...)
-	e.out = append(b, "status of a remittance\r\n"...)
+	b = append(b, "status of a remittance\r\n"...)
+	e.out = b
 	k.conn.write(e.out)
 }
 
--- a/internal/lab/fleet/conn.go
+++ b/internal/lab/fleet/conn.go
@@ -66,7 +66,7 @@
 		err = unix.Bind(fd, address(from))
 	}
 	if err == nil {
-		if err = unix.Connect(fd, address(to)); err == unix.EINPROGRESS {
+		if err = unix.Connect(fd, address(to)); errors.Is(err, unix.EINPROGRESS) {
 			err = nil
 		}
 	}
@@ -75,7 +75,7 @@
 	}
 	if err != nil {
 		_ = unix.Close(fd)
-		if err != unix.ECONNREFUSED && err != unix.ECONNRESET {
+		if !errors.Is(err, unix.ECONNREFUSED) && !errors.Is(err, unix.ECONNRESET) {
 			err = fmt.Errorf("connecting to %v: %w", to, err)
 			e.fail(err)
 		}
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -320,7 +320,7 @@
 			t.Fatalf("%v: %v", row, err)
 		}
 		if p.All.Served != 50 || p.Settled != 50+p.All.Refused || p.All.Failed > 0 || p.Odd > 0 || p.NotesLost > 0 ||
-			(p.Files > 0) != (row.Subject != Direct) || len(p.Result.Why) > 0 {
+			(p.Files > 0) != (row.Subject != Direct) || len(p.Why) > 0 {
 			text, _ := json.Marshal(p)
 			t.Errorf("%v: %s", row, text)
 		}
--- a/internal/lab/fleet/nodes.go
+++ b/internal/lab/fleet/nodes.go
@@ -82,7 +82,7 @@
 		taken += size
 		if err != nil || m.status != 0 {
 			k.node.odd++
-			k.answer(400, "Connection: close\r\n", nil)
+			k.answer(400, "Connection: close\r\n")
 			k.drop()
 			break
 		}
@@ -99,9 +99,9 @@
 	delete(k.node.links, k)
 }
 
-func (k *nodeLink) answer(status int, fields string, body []byte) {
+func (k *nodeLink) answer(status int, fields string) {
 	e := k.node.e
-	e.out = appendAnswer(e.out[:0], status, fields, body)
+	e.out = appendAnswer(e.out[:0], status, fields, nil)
 	k.write(e.out)
 }
 
@@ -109,23 +109,23 @@
 	n := k.node
 	switch method, target := string(m.method), string(m.target); {
 	case method == "GET" && target == "/alive":
-		k.answer(200, "", nil)
+		k.answer(200, "")
 	case method == "DELETE" && bytes.HasPrefix(m.target, []byte("/jobs/")):
-		k.answer(204, "", nil)
+		k.answer(204, "")
 	case method != "POST" || len(m.call) == 0:
 		if method == "POST" {
 			n.odd++
 		}
-		k.answer(404, "", nil)
+		k.answer(404, "")
 	case n.wait.len() >= n.rig.spec.Room:
-		k.answer(503, "X-Rejected: 1\r\n", nil)
+		k.answer(503, "X-Rejected: 1\r\n")
 	default:
 		j := n.e.job(n)
 		j.call = append(j.call[:0], m.call...)
 		if n.rig.spec.Answers {
 			j.link, k.asked = k, true
 		} else {
-			k.answer(202, "", nil)
+			k.answer(202, "")
 		}
 		n.wait.put(j)
 		n.serve()
@@ -310,12 +310,14 @@
 	n := k.by.node
 	x.tries++
 	x.link, k.note = k, x
-	b := append(n.e.out[:0], "POST /v1/job-events HTTP/1.1\r\nHost: "...)
+	b := n.e.out[:0]
+	b = append(b, "POST /v1/job-events HTTP/1.1\r\nHost: "...)
 	b = append(b, n.rig.host...)
 	b = append(b, "\r\nContent-Type: application/json\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(x.text)), 10)
 	b = append(b, "\r\n\r\n"...)
-	n.e.out = append(b, x.text...)
+	b = append(b, x.text...)
+	n.e.out = b
 	k.write(n.e.out)
 	n.e.set(&x.alarm, n.e.now+noteWithin, x)
 }
--- a/internal/lab/fleet/play.go
+++ b/internal/lab/fleet/play.go
@@ -243,7 +243,7 @@
 	// So is a priority before whatever else runs here, where this may be had.
 	was, err := unix.Getpriority(unix.PRIO_PROCESS, 0)
 	if err == nil && unix.Setpriority(unix.PRIO_PROCESS, 0, niceness) == nil {
-		defer unix.Setpriority(unix.PRIO_PROCESS, 0, 20-was) // the call gives it as 20 less it
+		defer func() { _ = unix.Setpriority(unix.PRIO_PROCESS, 0, 20-was) }() // the call gives it as 20 less it
 	}
 	err = c.Start()
 	if err := errors.Join(err, unix.SchedSetaffinity(0, &all)); err != nil {
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -358,7 +358,7 @@
 	most := 0
 	r.all(func(i int, e *engine) {
 		c := r.crowds[i]
-		res.Second.add(c.window)
+		res.add(c.window)
 		for at, s := range c.seconds {
 			if at >= len(res.Seconds) {
 				res.Seconds = append(res.Seconds, Second{})
--- a/internal/lab/fleet/table.go
+++ b/internal/lab/fleet/table.go
@@ -181,7 +181,7 @@
 	var b strings.Builder
 	for i := range r.Plays {
 		p := &r.Plays[i]
-		b.WriteString(p.Row.String())
+		b.WriteString(p.String())
 		if len(p.Trouble) == 2 {
 			fmt.Fprintf(&b, "; trouble from %.1f s to %.1f s, ", p.Trouble[0], p.Trouble[1])
 			if back := p.Back(); back >= 0 {
--- a/internal/lab/judge/books.go
+++ b/internal/lab/judge/books.go
@@ -33,7 +33,6 @@
 	attempts []attempt
 	log      []entry
 	missing  int // entries that the log had no room for
-	began    int // attempts that did
 	broken   uint32
 	breaches []int // in Judge.found
 	settled  bool
@@ -91,11 +90,9 @@
 type attempt struct {
 	result   string
 	first    time.Duration // its first byte was written
-	reached  time.Duration
 	ended    time.Duration // 0: it has not
 	try      int
 	node     int
-	conn     uint64
 	unrun    bool // and that proves that it never ran
 	done     bool // by a result
 	begun    bool
--- a/internal/lab/judge/legal_test.go
+++ b/internal/lab/judge/legal_test.go
@@ -60,7 +60,7 @@
 // try draws one query; again: its client may ask anew.
 func (h *history) try(c *scenario.Class, call string, asked time.Duration) (again bool) {
 	h.free = map[int]time.Duration{}
-	risk, cell, result := time.Duration(0), -1, ""
+	risk, cell := time.Duration(0), -1
 	answer := func(status int, text string) bool {
 		h.wait(200 * time.Microsecond)
 		h.see(seen.Sight{What: seen.Answered, Call: call, Status: status, Text: text})
@@ -93,8 +93,8 @@
 			node = cell*h.spec.Fleet.CellSize + h.draw(h.spec.Fleet.CellSize)
 			node = min(node, h.spec.Fleet.Nodes-1)
 		}
-		ran := false
-		if result, ran = h.attempt(c, call, node); result != "" {
+		result, ran := h.attempt(c, call, node)
+		if result != "" {
 			return answer(200, result)
 		}
 		if ran && risk == 0 {
--- a/internal/lab/live/discovery.go
+++ b/internal/lab/live/discovery.go
@@ -47,7 +47,7 @@
 // nothing of accepts.
 func (d *driver) openDisco(index int) error {
 	if index < 0 || index >= mostDiscoAt {
-		return ownFault{fmt.Errorf("discovery at %d addresses: %d are allowed", index+1, mostDiscoAt)}
+		return environmentError{fmt.Errorf("discovery at %d addresses: %d are allowed", index+1, mostDiscoAt)}
 	}
 	for index >= len(d.discos) {
 		d.discos = append(d.discos, nil)
@@ -56,7 +56,7 @@
 		for sched := range d.scheds {
 			l, err := d.listenAt(d.places.disco(index, sched), func(fd int) { d.acceptWatch(sched, fd) }, d.fail)
 			if err != nil {
-				return ownFault{err}
+				return environmentError{err}
 			}
 			d.discos[index] = append(d.discos[index], l)
 			if err := l.hear(edge.Open); err != nil {
@@ -150,7 +150,8 @@
 	b := w.d.writing[:0]
 	b = strconv.AppendInt(b, int64(len(text)+1), 16)
 	b = append(append(b, "\r\n"...), text...)
-	w.d.writing = append(b, "\n\r\n"...)
+	b = append(b, "\n\r\n"...)
+	w.d.writing = b
 	w.write(w.d.writing)
 }
 
--- a/internal/lab/live/driver.go
+++ b/internal/lab/live/driver.go
@@ -155,7 +155,7 @@
 
 // own passes on a fault of this machine's, and tells whether it was one.
 func (d *driver) own(err error) bool {
-	var f ownFault
+	var f environmentError
 	if errors.As(err, &f) {
 		d.fail(err)
 		return true
--- a/internal/lab/live/fake_test.go
+++ b/internal/lab/live/fake_test.go
@@ -34,14 +34,15 @@
 	fmt.Fprintln(os.Stderr, "begins")
 	ask := func() {
 		url := fmt.Sprintf("http://%v/discovery/hosts?stream=1&index=%d", c.Discovery, c.Known.Revision)
-		go http.Get(url) // its answer may come late, or never
+		go func() { _, _ = http.Get(url) }() // its answer may come late, or never
 	}
 	ask()
-	go http.ListenAndServe(c.Listen.String(), http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	up := http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path != "/up" {
 			w.WriteHeader(http.StatusNotFound)
 		}
-	}))
+	})
+	go func() { _ = http.ListenAndServe(c.Listen.String(), up) }()
 	for sig := range signals {
 		if sig == syscall.SIGTERM {
 			return 7
--- a/internal/lab/live/load.go
+++ b/internal/lab/live/load.go
@@ -140,10 +140,9 @@
 // loadConn is a connection. It carries one request at a time.
 type loadConn struct {
 	sock
-	t       *loadThread
-	due     time.Duration
-	busy    bool
-	counted bool
+	t    *loadThread
+	due  time.Duration
+	busy bool
 }
 
 func newLoadThread(o *LoadOptions, to netip.AddrPort, n int) (*loadThread, error) {
@@ -222,11 +221,12 @@
 		_ = t.got.Late.RecordValue((now - due).Microseconds())
 	}
 	t.open++
-	if len(t.idle) > 0 {
+	switch {
+	case len(t.idle) > 0:
 		t.put(due)
-	} else if len(t.waiting) < mostDue {
+	case len(t.waiting) < mostDue:
 		t.waiting = append(t.waiting, due)
-	} else {
+	default:
 		t.lost(due)
 	}
 }
@@ -417,7 +417,7 @@
 		if t.listener != nil {
 			t.listener.close()
 		}
-		t.poller.close()
+		t.close()
 		err = errors.Join(err, t.fault)
 	}
 	return err
--- a/internal/lab/live/nodes.go
+++ b/internal/lab/live/nodes.go
@@ -38,12 +38,12 @@
 func (n *node) hear(which, mode int) error {
 	if which >= len(n.machines) {
 		if err := n.d.places.holds((which+1)*n.d.spec.Fleet.Nodes, 1); err != nil {
-			return ownFault{err}
+			return environmentError{err}
 		}
 	}
 	for which >= len(n.machines) {
 		if err := n.open(len(n.machines)); err != nil {
-			return ownFault{err}
+			return environmentError{err}
 		}
 	}
 	m := n.machines[which]
@@ -178,7 +178,7 @@
 	for !k.asked && !k.leaving && len(k.in) > 0 {
 		q, body, n, err := k.node.d.http.request(k.in)
 		if err != nil {
-			k.answered(400, "", nil) // what it can't read, it closes on
+			k.answered(400, "") // what it can't read, it closes on
 			k.leave(false)
 			break
 		}
@@ -211,7 +211,7 @@
 	case q.Method == http.MethodPost:
 		k.query(q, path, body)
 	default:
-		k.answered(404, "", nil)
+		k.answered(404, "")
 	}
 	if k.leaving = k.leaving || q.Close; q.Close && !k.asked {
 		k.leave(false)
@@ -226,14 +226,14 @@
 	ms, err := strconv.ParseUint(budget, 10, 40)
 	switch {
 	case call == "":
-		k.answered(404, "", nil)
+		k.answered(404, "")
 		return
 	case !ok || !ok2 || !ok3 || budget != "" && err != nil:
-		k.answered(400, "", nil)
+		k.answered(400, "")
 		return
 	case oddPath(path): // a bad client's: a worker node can't use it
 		if k.node.machines[k.machine].mode != edge.NeverUp {
-			k.answered(400, "", nil)
+			k.answered(400, "")
 		}
 		return
 	}
@@ -275,7 +275,7 @@
 		k.leave(true)
 		return
 	}
-	k.answered(in.Status, fields, nil)
+	k.answered(in.Status, fields)
 	k.asked = false
 	if k.leaving {
 		k.leave(false)
@@ -284,9 +284,9 @@
 	k.proceed()
 }
 
-func (k *link) answered(status int, fields string, body []byte) {
+func (k *link) answered(status int, fields string) {
 	d := k.node.d
-	d.writing = appendAnswer(d.writing[:0], status, fields, body)
+	d.writing = appendAnswer(d.writing[:0], status, fields, nil)
 	k.write(d.writing)
 }
 
@@ -311,7 +311,7 @@
 // nothing of it, so it takes nobody's place.
 func (k *link) guest(call string) {
 	d, node, sched := k.node.d, k.node, k.sched
-	k.answered(202, "", nil)
+	k.answered(202, "")
 	say := func(state, result string) {
 		n := &requests.Callback{CallID: call, EndpointID: node.id, State: state}
 		if result != "" {
--- a/internal/lab/live/play_test.go
+++ b/internal/lab/live/play_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net/http"
 	"net/http/httptest"
 	"os/exec"
@@ -97,7 +98,7 @@
 	refused(Options{Binary: "/no/such/program"}, "no such file")
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := Play(ctx, spec, 1, Options{Binary: "/bin/true"}); err != context.Canceled {
+	if _, err := Play(ctx, spec, 1, Options{Binary: "/bin/true"}); !errors.Is(err, context.Canceled) {
 		t.Errorf("ended by its context: %v", err)
 	}
 	spec.Fleet.Nodes, spec.Schedulers.Count = 1_000_000, 4
--- a/internal/lab/live/processes.go
+++ b/internal/lab/live/processes.go
@@ -274,7 +274,8 @@
 		if err != nil {
 			continue
 		}
-		if res.Body.Close(); res.StatusCode == http.StatusOK {
+		_ = res.Body.Close()
+		if res.StatusCode == http.StatusOK {
 			return
 		}
 	}
--- a/internal/lab/live/sock.go
+++ b/internal/lab/live/sock.go
@@ -40,12 +40,12 @@
 
 var errUnread = errors.New("the other side reads nothing")
 
-// ownFault is a failure of this machine's, such as descriptors that have run out. It voids the play: nothing may be
+// environmentError is a failure of this machine's, such as descriptors that have run out. It voids the play: nothing may be
 // blamed on a scheduler for it.
-type ownFault struct{ err error }
+type environmentError struct{ err error }
 
-func (f ownFault) Error() string { return f.err.Error() }
-func (f ownFault) Unwrap() error { return f.err }
+func (f environmentError) Error() string { return f.err.Error() }
+func (f environmentError) Unwrap() error { return f.err }
 
 func address(at netip.AddrPort) *unix.SockaddrInet4 {
 	return &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}
@@ -54,7 +54,7 @@
 func socket() (int, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return -1, ownFault{fmt.Errorf("socket: %w", err)}
+		return -1, environmentError{fmt.Errorf("socket: %w", err)}
 	}
 	return fd, nil
 }
@@ -72,13 +72,13 @@
 		_ = unix.SetsockoptInt(fd, unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)
 		if err := unix.Bind(fd, address(from)); err != nil {
 			_ = unix.Close(fd)
-			return ownFault{fmt.Errorf("binding to %v: %w", from, err)}
+			return environmentError{fmt.Errorf("binding to %v: %w", from, err)}
 		}
 	}
 	if err := unix.Connect(fd, address(to)); err != nil && err != unix.EINPROGRESS {
 		_ = unix.Close(fd)
 		if err == unix.EADDRNOTAVAIL || err == unix.EAGAIN {
-			return ownFault{fmt.Errorf("connecting to %v: no port left: %w", to, err)}
+			return environmentError{fmt.Errorf("connecting to %v: no port left: %w", to, err)}
 		}
 		return err
 	}
@@ -86,7 +86,7 @@
 	if err := p.add(fd, s.mask, s); err != nil {
 		_ = unix.Close(fd)
 		s.closed = true
-		return ownFault{err}
+		return environmentError{err}
 	}
 	return nil
 }
@@ -98,7 +98,7 @@
 	if err := p.add(fd, s.mask, s); err != nil {
 		_ = unix.Close(fd)
 		s.closed = true
-		return ownFault{err}
+		return environmentError{err}
 	}
 	return nil
 }
@@ -308,27 +308,27 @@
 	l.mode = mode
 	if was == edge.NeverUp {
 		if err := unix.SetsockoptInt(l.fd, unix.SOL_SOCKET, unix.SO_DETACH_FILTER, 0); err != nil {
-			return ownFault{fmt.Errorf("filter at %v: %w", l.at, err)}
+			return environmentError{fmt.Errorf("filter at %v: %w", l.at, err)}
 		}
 	}
 	switch mode {
 	case edge.NeverUp:
 		if err := unix.SetsockoptSockFprog(l.fd, unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &dropAll); err != nil {
-			return ownFault{fmt.Errorf("filter at %v: %w", l.at, err)}
+			return environmentError{fmt.Errorf("filter at %v: %w", l.at, err)}
 		}
 	case edge.Refuse:
 		l.ready(0) // what has come up before this moment is up
 		l.p.remove(l.fd)
 		if err := unix.Shutdown(l.fd, unix.SHUT_RD); err != nil {
-			return ownFault{fmt.Errorf("refusing at %v: %w", l.at, err)}
+			return environmentError{fmt.Errorf("refusing at %v: %w", l.at, err)}
 		}
 	}
 	if was == edge.Refuse {
 		if err := unix.Listen(l.fd, backlog); err != nil {
-			return ownFault{fmt.Errorf("listening at %v: %w", l.at, err)}
+			return environmentError{fmt.Errorf("listening at %v: %w", l.at, err)}
 		}
 		if err := l.p.add(l.fd, unix.EPOLLIN, l); err != nil {
-			return ownFault{err}
+			return environmentError{err}
 		}
 	}
 	return nil
@@ -344,7 +344,7 @@
 		case unix.EAGAIN:
 			return
 		default: // descriptors or memory
-			l.fault(ownFault{fmt.Errorf("accepting at %v: %w", l.at, err)})
+			l.fault(environmentError{fmt.Errorf("accepting at %v: %w", l.at, err)})
 			return
 		}
 	}
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -174,7 +174,8 @@
 			p.line(map[string]string{"good": good, "poor": poor}[c.class(x)], "  %-18s%s", x.Figure, x.Says)
 		}
 	}
-	p.line(faint, "%s", chance[:strings.Index(chance, ";")]+".")
+	short, _, _ := strings.Cut(chance, ";")
+	p.line(faint, "%s", short+".")
 	_, err := io.WriteString(w, p.b.String())
 	return err
 }
--- a/internal/lab/report/plot.go
+++ b/internal/lab/report/plot.go
@@ -222,8 +222,9 @@
 	}
 	n = min(n, int(math.Ceil(t.end)))
 	for i := range o.lines { // all as long as the plot
-		of := o.lines[i].of
-		o.lines[i].of = append(of[:min(n, len(of)):min(n, len(of))], make(score.Series, n-min(n, len(of)))...)
+		whole := make(score.Series, n)
+		copy(whole, o.lines[i].of)
+		o.lines[i].of = whole
 	}
 	p.T += px(14 * max(0, lanes-1))
 	p.H += px(14 * max(0, lanes-1))
@@ -245,7 +246,7 @@
 	if o.log {
 		y.low, y.high = max(y.low, 0.1), max(y.high, 1)
 		y.low = math.Pow(10, math.Floor(math.Log10(min(y.low, y.high/2))))
-	} else if y.high = y.high * 1.04; y.high == 0 {
+	} else if y.high *= 1.04; y.high == 0 {
 		y.high = 1
 	}
 	seconds := func(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -360,11 +360,12 @@
 		return
 	}
 	rule := faultRules[f.What]
-	if f.At < 0 || f.At >= s.Length {
+	switch {
+	case f.At < 0 || f.At >= s.Length:
 		c.fault(key+".at", "%v is outside the play, which is %v long", f.At, s.Length)
-	} else if f.Spread < 0 || f.At+f.Spread > s.Length {
+	case f.Spread < 0 || f.At+f.Spread > s.Length:
 		c.fault(key+".spread", "%v reaches outside the play, which is %v long", f.Spread, s.Length)
-	} else if f.Spread > 0 && (to != "node" && to != "sched" && to != "planner" || f.What == "half_open") {
+	case f.Spread > 0 && (to != "node" && to != "sched" && to != "planner" || f.What == "half_open"):
 		c.fault(key+".spread", "%s strikes all at once", f.What)
 	}
 	c.spanIn(key+".for", f.For, 0, maxSpan)
--- a/internal/lab/score/score.go
+++ b/internal/lab/score/score.go
@@ -223,7 +223,7 @@
 	s.upCurve = newCurve(time.Second, seconds)
 	s.fleet = row{use: newCurve(time.Second, seconds), up: newCurve(time.Second, seconds)}
 	s.rows = make([]row, min(opt.Rows, max(1, spec.Fleet.Nodes)))
-	cell := time.Duration(whole/(600*time.Second)+1) * time.Second
+	cell := (whole/(600*time.Second) + 1) * time.Second
 	for i := range s.rows {
 		s.rows[i] = row{use: newCurve(cell, int(whole/cell)+2), up: newCurve(cell, int(whole/cell)+2)}
 	}
--- a/internal/lab/score/score_test.go
+++ b/internal/lab/score/score_test.go
@@ -46,27 +46,17 @@
 	t.Watch(&x)
 }
 
-// job plays a job that is answered with a status after so many ms, without attempts.
-func (t tape) job(id uint64, due, took, status int) {
-	call := fmt.Sprint("c", id)
-	t.at(due, seen.Sight{What: seen.Due, Job: id, Work: 1, Slots: 1, Aim: 500 * ms})
-	t.at(due, seen.Sight{What: seen.Asked, Call: call, Job: id})
-	t.at(due+took, seen.Sight{What: seen.Answered, Call: call, Status: status})
-	t.at(due+took, seen.Sight{What: seen.Settled, Job: id, Status: status})
-}
-
 // model is what a score should come to, kept as plain lists.
 type model struct {
-	t       *rapid.T
-	s       *Score
-	now     time.Duration
-	open    []*mJob
-	over    []*mJob
-	calls   int
-	runs    []*mRun
-	ran     float64
-	slots   [3]float64 // s in use, by worker node
-	checked int
+	t     *rapid.T
+	s     *Score
+	now   time.Duration
+	open  []*mJob
+	over  []*mJob
+	calls int
+	runs  []*mRun
+	ran   float64
+	slots [3]float64 // s in use, by worker node
 }
 
 type mJob struct {
--- a/internal/lab/virtual/links.go
+++ b/internal/lab/virtual/links.go
@@ -464,7 +464,7 @@
 			}
 		}
 	}
-	dropped := k.state == asking && k.rested > 0 && !k.came && cause != nil && cause != errLate
+	dropped := k.state == asking && k.rested > 0 && !k.came && cause != nil && !errors.Is(cause, errLate)
 	k.state = gone
 	s.p.stop(&k.alarm)
 	if k.conn != 0 {
@@ -483,7 +483,7 @@
 	if dropped && k.errand.kind == probing {
 		reason = requests.ReasonNotSent // it says nothing of the worker node
 	}
-	if k.stage >= requests.StageWritten && cause == errLate {
+	if k.stage >= requests.StageWritten && errors.Is(cause, errLate) {
 		reason = requests.ReasonTimeout
 	}
 	k.settle(&requests.AttemptError{Stage: k.stage, Reason: reason, Cause: cause})
--- a/internal/lab/virtual/play_test.go
+++ b/internal/lab/virtual/play_test.go
@@ -35,11 +35,11 @@
   { what = "burst", at = "5s", for = "1s" },
 ]`
 
-func parse(t testing.TB, text string) *scenario.Scenario {
-	t.Helper()
+func parse(tb testing.TB, text string) *scenario.Scenario {
+	tb.Helper()
 	spec, err := scenario.Parse("test", []byte(text))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return spec
 }
--- a/internal/lab/world/discovery.go
+++ b/internal/lab/world/discovery.go
@@ -287,7 +287,6 @@
 	index  int // of the address that was called
 	sprout int // of the scheduler
 	after  int64
-	opened time.Duration
 	was    bool       // it was open once
 	queue  []*message // on the way to the scheduler, in order
 }
@@ -558,11 +557,10 @@
 }
 
 // move: it answers at another address from now on. The old one accepts nothing more, and ends its watches in 1.5 s.
-func (d *discovery) move() (index int) {
+func (d *discovery) move() {
 	d.index++
 	old := d.index - 1
 	d.hear(old)
 	d.hear(d.index)
 	d.w.after(moveGrace, func() { d.endAll(old) })
-	return d.index
 }
--- a/internal/lab/world/front.go
+++ b/internal/lab/world/front.go
@@ -90,25 +90,25 @@
 	}
 }
 
-// pick is the next scheduler in turn with fewer connections than most, or -1; any tells whether there is one at all.
-func (f *front) pick(zone, most int) (sched int, any bool) {
+// pick is the next scheduler in turn with fewer connections than most, or -1; exists tells whether there is one at all.
+func (f *front) pick(zone, most int) (sched int, exists bool) {
 	for _, own := range [...]bool{true, false} {
 		for i := range f.admitted {
 			s := (f.turn[zone] + i) % len(f.admitted)
 			if !f.admitted[s] || own && f.w.Spec.ZoneOf(s) != zone {
 				continue
 			}
-			any = true
+			exists = true
 			if f.load[s] < most {
 				f.turn[zone] = s + 1
 				return s, true
 			}
 		}
-		if any {
+		if exists {
 			break
 		}
 	}
-	return -1, any
+	return -1, exists
 }
 
 // room is told that there may be room for connections that wait for it, or none any more.
@@ -123,8 +123,8 @@
 				p.parked.drop()
 				continue
 			}
-			sched, any := f.pick(p.zone, f.most)
-			if any && sched < 0 {
+			sched, exists := f.pick(p.zone, f.most)
+			if exists && sched < 0 {
 				break
 			}
 			p.parked.drop()
@@ -172,8 +172,8 @@
 		return
 	}
 	p.waiting.push(t)
-	sched, any := p.c.w.front.pick(p.zone, p.c.w.front.most)
-	if any && sched < 0 {
+	sched, exists := p.c.w.front.pick(p.zone, p.c.w.front.most)
+	if exists && sched < 0 {
 		p.parked.push(t)
 		return
 	}
--- a/internal/lab/world/harness_fate_test.go
+++ b/internal/lab/world/harness_fate_test.go
@@ -39,11 +39,12 @@
 	return s
 }
 
-func newFate(t testing.TB, spec *scenario.Scenario, seed uint64) *fate {
+func newFate(tb testing.TB, spec *scenario.Scenario, seed uint64) *fate {
+	tb.Helper()
 	if err := spec.Check(); err != nil && spec.Name != "" {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	f := &fate{t: t, spec: spec}
+	f := &fate{t: tb, spec: spec}
 	for range spec.Schedulers.Count + spec.Planners.Count {
 		f.scheds = append(f.scheds, &follower{})
 	}
--- a/internal/lab/world/harness_nodes_test.go
+++ b/internal/lab/world/harness_nodes_test.go
@@ -47,8 +47,9 @@
 	keyedClass  = 3
 )
 
-func newRig(t testing.TB, spec *scenario.Scenario, seed uint64) *rig {
-	r := &rig{t: t, tries: map[string]*try{}, told: true, ack: func(*edge.In) (int, bool) { return 204, true }}
+func newRig(tb testing.TB, spec *scenario.Scenario, seed uint64) *rig {
+	tb.Helper()
+	r := &rig{t: tb, tries: map[string]*try{}, told: true, ack: func(*edge.In) (int, bool) { return 204, true }}
 	r.w = &World{Spec: spec, seed: seed, conns: map[edge.Conn]*conn{}, watch: func(s *seen.Sight) {
 		r.sights = append(r.sights, *s)
 		if r.see != nil {
--- a/internal/lab/world/nodes_test.go
+++ b/internal/lab/world/nodes_test.go
@@ -303,8 +303,8 @@
 	// ends checks when a call's run ended, and whether it was a run of its own.
 	ends := func(call string, at time.Duration, first string) {
 		t.Helper()
-		s, began := r.must(seen.Finished, call, at), seen.Sight{}
-		began, _ = r.first(seen.Began, call)
+		s := r.must(seen.Finished, call, at)
+		began, _ := r.first(seen.Began, call)
 		if !strings.HasPrefix(s.Text, first+" w-") || (began.Text == "repeat") != (first != call) {
 			t.Fatalf("%q ended with %q, want the result of %q", call, s.Text, first)
 		}
--- a/internal/lab/yardstick/base.go
+++ b/internal/lab/yardstick/base.go
@@ -252,7 +252,7 @@
 	return !j.closed && b.now < j.aim && len(j.attempts) < b.set.AttemptLimit
 }
 
-func (b *base) send(j *job, w *worker) *attempt {
+func (b *base) send(j *job, w *worker) {
 	a := &attempt{job: j, worker: w, number: len(j.attempts), zone: w.Zone, cell: w.Cell, sent: b.now, place: len(b.out)}
 	j.attempts = append(j.attempts, a)
 	j.out++
@@ -260,7 +260,6 @@
 	b.out = append(b.out, a)
 	b.do(dispatch.Send{Job: j.ID, Worker: w.ID})
 	b.track(w)
-	return a
 }
 
 func (b *base) start(id uint64, number int) {
--- a/internal/run/capture_test.go
+++ b/internal/run/capture_test.go
@@ -35,7 +35,7 @@
 	w.tell(`{"id":"9b1f03aa5c7e2d41","from":"s-1","state":"started"}`)
 	w.tell(`{"id":"9b1f03aa5c7e2d41","from":"s-1","state":"done","result":"booked: 42 rupees"}`)
 	body(t, answer)
-	w.talk("POST /b HTTP/1.1\r\nX-Call-Class: b\r\nContent-Length: 0\r\n\r\n").ReadString('\n')
+	_, _ = w.talk("POST /b HTTP/1.1\r\nX-Call-Class: b\r\nContent-Length: 0\r\n\r\n").ReadString('\n')
 	text := w.dumped()
 	w.stop()
 	for _, want := range []string{
--- a/internal/run/run_test.go
+++ b/internal/run/run_test.go
@@ -28,7 +28,10 @@
 	end        chan error
 }
 
-func start(t *testing.T, conf string) *started { return startWith(t, conf, "") }
+func start(t *testing.T, conf string) *started {
+	t.Helper()
+	return startWith(t, conf, "")
+}
 
 // startWith starts one with features on.
 func startWith(t *testing.T, conf, ops string) *started {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -420,7 +420,8 @@
 func us(d time.Duration) uint64 { return uint64(max(0, d.Microseconds())) }
 
 func (w *Writer) line(name string, instance int, fs ...field) {
-	b := append(w.buf[:0], name...)
+	b := w.buf[:0]
+	b = append(b, name...)
 	b = append(b, " i="...)
 	b = strconv.AppendInt(b, int64(instance), 10)
 	for _, f := range fs {
@@ -429,7 +430,8 @@
 		b = append(b, '=')
 		b = strconv.AppendUint(b, f.value, 10)
 	}
-	w.buf = append(b, '\n')
+	b = append(b, '\n')
+	w.buf = b
 	_, _ = w.out.Write(w.buf) // a write error stays in out and shows when the reply is flushed
 }
 
