--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -102,7 +102,7 @@
 			state := []string{"started", "started", "running", "done", "done", "failed", "returned", "lost"}[p.rng.IntN(8)]
 			if p.rng.IntN(4) == 0 {
 				a := p.Out[i]
-				p.Ledger.HandleCallback(requests.Callback{CallID: a.Request.CallID, EndpointID: a.EndpointID, State: state, Progress: p.rng.Float64(), Result: &result})
+				_, _ = p.Ledger.HandleCallback(requests.Callback{CallID: a.Request.CallID, EndpointID: a.EndpointID, State: state, Progress: p.rng.Float64(), Result: &result})
 			}
 		}
 		if len(p.Out) > 20 {
@@ -151,6 +151,7 @@
 }
 
 func replayed(t *testing.T, text []byte, ops string) (differences int, out, warnings string, err error) {
+	t.Helper()
 	o, err := config.DecodeOps(ops)
 	if err != nil {
 		t.Fatal(err)
@@ -247,7 +248,7 @@
 	}
 	p.run(100)
 	settled()
-	f.file.Close()
+	_ = f.file.Close()
 	p.run(50)
 	settled()
 	p.run(1)
--- a/internal/requests/admission_test.go
+++ b/internal/requests/admission_test.go
@@ -72,3 +72,33 @@
 	}
 	return jobs
 }
+
+// A process whose requests would wait for the first endpoint list is not ready yet: clients that go to another are served
+// at once.
+func TestReady_OnlyOnceNothingAwaitsTheFirstEndpointList(t *testing.T) {
+	list := EndpointList{Reset: true, Revision: 2, Endpoints: []Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
+	for name, end := range map[string]func(table *Table){
+		"a list":           func(table *Table) { table.UpdateEndpoints(list) },
+		"no change":        func(table *Table) { table.UpdateEndpoints(EndpointList{Revision: 2}) },
+		"discovery failed": func(table *Table) { table.DiscoveryFailed() },
+		"nothing":          func(table *Table) { table.Step(time.Second) },
+		"take-over":        func(table *Table) { table.AwaitEndpoints(0) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			table := newTestTable(&steps.Script{}, 1, newRecordingTransport())
+			table.Step(0)
+			if !table.Ready() {
+				t.Error("not ready with a worker up")
+			}
+			table.AwaitEndpoints(time.Second)
+			table.Step(time.Second - 1)
+			if table.Ready() {
+				t.Error("ready while requests wait")
+			}
+			end(table)
+			if !table.Ready() {
+				t.Error("not ready though requests wait no more")
+			}
+		})
+	}
+}
--- a/internal/requests/endpointlist.go
+++ b/internal/requests/endpointlist.go
@@ -44,6 +44,12 @@
 	return worker, known
 }
 
+// AwaitsEndpoints reports whether requests wait for the first update of the endpoint list.
+func (t *Table) AwaitsEndpoints() bool { return t.awaitUntil > 0 }
+
+// Ready reports whether a request that arrives now could be sent at once.
+func (t *Table) Ready() bool { return !t.AwaitsEndpoints() && t.HasReadyWorker() }
+
 // HasReadyWorker reports whether a listed worker is ready and not cordoned.
 func (t *Table) HasReadyWorker() bool {
 	for _, worker := range t.listed {
--- a/internal/requests/golden_test.go
+++ b/internal/requests/golden_test.go
@@ -173,21 +173,21 @@
 func writeFrames(t *testing.T, table *requests.Table) []byte {
 	t.Helper()
 	var frames []byte
-	put := func(kind hotrestart.FrameKind, body any) {
+	put := func(message hotrestart.Message) {
 		t.Helper()
 		var err error
-		if frames, err = hotrestart.AppendFrame(frames, kind, body); err != nil {
+		if frames, err = hotrestart.AppendMessage(frames, message); err != nil {
 			t.Fatal(err)
 		}
 	}
-	put(hotrestart.KindAccept, hotrestart.Accept{Version: 1, CordonedWorkers: table.Cordoned()})
-	put(hotrestart.KindTransferBegin, nil)
+	put(hotrestart.Accept{Version: 1, CordonedWorkers: table.Cordoned()})
+	put(hotrestart.TransferBegin{})
 	state, open := table.Snapshot()
-	put(hotrestart.KindRequestTable, state)
+	put(hotrestart.RequestTable(state))
 	for _, request := range open {
-		put(hotrestart.KindOpenRequest, request)
+		put(hotrestart.OpenRequest(request))
 	}
-	put(hotrestart.KindTransferEnd, hotrestart.TransferEnd{FrameCount: 1 + len(open)})
+	put(hotrestart.TransferEnd{FrameCount: 1 + len(open)})
 	return frames
 }
 
@@ -201,21 +201,20 @@
 			t.Fatal(err)
 		}
 		frames = frames[length:]
-		action, err := successor.HandleFrame(frame)
+		message, err := frame.Message()
 		if err != nil {
 			t.Fatal(err)
 		}
-		switch frame.Kind {
-		case hotrestart.KindRequestTable:
-			err = frame.Decode(&state)
-		case hotrestart.KindOpenRequest:
-			var request requests.OpenRequest
-			err = frame.Decode(&request)
-			open = append(open, request)
-		}
+		action, err := successor.HandleMessage(message)
 		if err != nil {
 			t.Fatal(err)
 		}
+		switch message := message.(type) {
+		case hotrestart.RequestTable:
+			state = requests.State(message)
+		case hotrestart.OpenRequest:
+			open = append(open, requests.OpenRequest(message))
+		}
 		if action == hotrestart.ActionTakeOver {
 			break
 		}
