--- a/internal/requests/endpointlist.go
+++ b/internal/requests/endpointlist.go
@@ -44,10 +44,10 @@
 	return worker, known
 }
 
-// AwaitsEndpoints reports whether requests wait for the first update of the endpoint list.
+// AwaitsEndpoints reports whether requests wait for the first update of the endpoint list; see AwaitEndpoints.
 func (t *Table) AwaitsEndpoints() bool { return t.awaitUntil > 0 }
 
-// Ready reports whether a request that arrives now could be sent at once.
+// Ready reports whether a request that arrived now could be forwarded at once.
 func (t *Table) Ready() bool { return !t.AwaitsEndpoints() && t.HasReadyWorker() }
 
 // HasReadyWorker reports whether a listed worker is ready and not cordoned.
