--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -12,6 +12,6 @@
 // has received (ReceivedState), the calls that wait for an answer of the other process (PendingCalls), and the file of
 // cordoned workers, which outlives the processes (CordonStore).
 //
-// It opens no socket and reads no clock, and it never changes the request table. The event loop that carries the frames and
-// restores the connections is in package link. Types are not safe for concurrent use unless they say so.
+// It opens no socket, reads no clock, touches no other file, and never changes the request table. The event loop that carries
+// the frames and restores the connections is in package link. Types are not safe for concurrent use unless they say so.
 package hotrestart
--- a/internal/link/clients.go
+++ b/internal/link/clients.go
@@ -304,7 +304,6 @@
 type turn struct {
 	link   *clientLink
 	query  *requests.Request // while it is served
-	asked  uint64            // its number, between two processes
 	keep   bool              // the request lets the link live on
 	done   bool
 	status int
