--- a/internal/link/hotrestart_cordon.go
+++ b/internal/link/hotrestart_cordon.go
@@ -27,7 +27,7 @@
 
 // applyForwardedCordon does what an operator asked of the other process. send is called with the result.
 func (l *Loop) applyForwardedCordon(call hotrestart.SetCordon, send func(hotrestart.CordonResult)) {
-	l.ban(call.WorkerID, call.Cordoned, func(statusCode int, message string) {
+	l.setCordoned(call.WorkerID, call.Cordoned, func(statusCode int, message string) {
 		send(hotrestart.CordonResult{Sequence: call.Sequence, StatusCode: statusCode, Message: message})
 	})
 }
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -197,7 +197,7 @@
 	loop.awaitSuccessor(hotrestart.SocketAddresses(r.stateDir, r.listenAddress))
 	loop.divide(false)
 	for _, call := range r.pendingCalls.TakeAll() { // the predecessor may have carried them out, or not
-		loop.ban(call.WorkerID, call.Cordoned, call.Respond)
+		loop.setCordoned(call.WorkerID, call.Cordoned, call.Respond)
 	}
 }
 
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -213,7 +213,7 @@
 	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
 	successor := predecessor.startSuccessor(dir, address)
 	statusCode := 0
-	successor.loop.ban("s-0", true, func(got int, _ string) { statusCode = got })
+	successor.loop.setCordoned("s-0", true, func(got int, _ string) { statusCode = got })
 	if err := predecessor.handOverTo(successor); err != nil || statusCode != 200 || len(successor.loop.Ledger.Cordoned()) != 1 {
 		t.Errorf("%v, answered %d, cordoned %v", err, statusCode, successor.loop.Ledger.Cordoned())
 	}
--- a/internal/link/operators.go
+++ b/internal/link/operators.go
@@ -162,18 +162,18 @@
 			Down: k.loop.avoided()})
 		k.answer(200, "Content-Type: text/plain; charset=utf-8\r\nCache-Control: no-store\r\n", o.text)
 	default:
-		k.ban(id, what == "suspend")
+		k.setCordoned(id, what == "suspend")
 	}
 }
 
-// ban takes a worker node out, or brings it back. The ban holds before the yes, in the ledger and in what outlives this
+// setCordoned takes a worker node out, or brings it back. The ban holds before the yes, in the ledger and in what outlives this
 // process.
-func (k *operatorLink) ban(id string, out bool) {
-	k.loop.ban(id, out, func(code int, what string) { k.answer(code, "", []byte(what+"\n")) })
+func (k *operatorLink) setCordoned(id string, out bool) {
+	k.loop.setCordoned(id, out, func(code int, what string) { k.answer(code, "", []byte(what+"\n")) })
 }
 
-// ban sets or ends a ban, and tells done how a caller is to be answered.
-func (l *Loop) ban(id string, out bool, done func(code int, what string)) {
+// setCordoned sets or ends a ban, and tells done how a caller is to be answered.
+func (l *Loop) setCordoned(id string, out bool, done func(code int, what string)) {
 	if l.forwardCordonToOwner(id, out, done) {
 		return
 	}
