--- a/internal/link/operators.go
+++ b/internal/link/operators.go
@@ -158,56 +158,20 @@
 		}
 	case pathMetrics:
 		o := k.home
-		o.text = o.count.Append(o.text[:0], tally.Now{Inflight: k.loop.inflight(), Listed: k.loop.Ledger.ListedCount(),
-			Down: k.loop.avoided()})
+		o.text = o.count.Append(o.text[:0], tally.Now{
+			Inflight: k.loop.inflight(), Listed: k.loop.Ledger.ListedCount(),
+			Down: k.loop.avoided(),
+		})
 		k.answer(200, "Content-Type: text/plain; charset=utf-8\r\nCache-Control: no-store\r\n", o.text)
 	default:
 		k.setCordoned(id, what == "suspend")
 	}
 }
 
-// setCordoned takes a worker node out, or brings it back. The ban holds before the yes, in the ledger and in what outlives this
-// process.
-func (k *operatorLink) setCordoned(id string, out bool) {
-	k.loop.setCordoned(id, out, func(code int, what string) { k.answer(code, "", []byte(what+"\n")) })
-}
-
-// setCordoned sets or ends a ban, and tells done how a caller is to be answered.
-func (l *Loop) setCordoned(id string, out bool, done func(code int, what string)) {
-	if l.forwardCordonToOwner(id, out, done) {
-		return
-	}
-	known, full := true, false
-	if out {
-		known, full = l.Ledger.Cordon(id)
-	} else {
-		known = l.Ledger.Uncordon(id)
-	}
-	switch {
-	case !known:
-		done(404, "no such worker node")
-		return
-	case full:
-		done(503, "too many worker nodes are out")
-		return
-	}
-	word := "serving"
-	if out {
-		word = "out"
-	}
-	l.log.Info("worker node by hand", "host", id, "now", word)
-	l.notifyCordoned()
-	if l.cordonStore == nil {
-		done(200, word)
-		return
-	}
-	l.cordonStore.Save(l.Ledger.Cordoned(), func(err error) {
-		if err != nil { // the ban holds all the same, for as long as this process lives
-			l.log.Error("worker nodes out by hand are not kept", "error", err)
-			done(503, "not kept: "+err.Error())
-			return
-		}
-		done(200, word)
+// setCordoned cordons or uncordons a worker, and answers once that holds and is stored.
+func (k *operatorLink) setCordoned(workerID string, cordoned bool) {
+	k.loop.setCordoned(workerID, cordoned, func(statusCode int, message string) {
+		k.answer(statusCode, "", []byte(message+"\n"))
 	})
 }
 
