--- a/internal/link/http.go
+++ b/internal/http1/message.go
@@ -1,4 +1,6 @@
-package link
+// Package http1 reads and writes messages of HTTP/1.1. It has no sockets, no clock and no goroutines, and knows nothing of this
+// program.
+package http1
 
 import (
 	"bytes"
@@ -8,22 +10,22 @@
 
 // Limits of a message.
 const (
-	maxHead = 16 << 10
-	maxBody = 64 << 10
+	MaxHeaderSize = 16 << 10
+	MaxBodySize   = 64 << 10
 
 	mostBlank = 8
 )
 
-// BadMessage is a message that can't be read further: its framing is lost. Status is what to answer it with.
-type BadMessage struct {
-	Status int
-	What   string
+// ParseError is a message that can't be read further: its framing is lost. StatusCode is what to answer it with.
+type ParseError struct {
+	StatusCode int
+	Reason     string
 }
 
-func (e *BadMessage) Error() string { return strconv.Itoa(e.Status) + ": " + e.What }
+func (e *ParseError) Error() string { return strconv.Itoa(e.StatusCode) + ": " + e.Reason }
 
-// errShort means that the message is not whole yet.
-var errShort = errors.New("more is needed")
+// ErrIncomplete means that the message is not whole yet.
+var ErrIncomplete = errors.New("more is needed")
 
 // Field is one header field; both parts lie in the message's bytes.
 type Field struct{ Name, Value []byte }
@@ -75,8 +77,8 @@
 	}
 	method, rest, ok := bytes.Cut(line, []byte(" "))
 	target, version, ok2 := bytes.Cut(rest, []byte(" "))
-	if !ok || !ok2 || !isToken(method) || len(target) == 0 || !isVisible(target) {
-		return 0, &BadMessage{400, "not a request line"}
+	if !ok || !ok2 || !IsToken(method) || len(target) == 0 || !IsVisible(target) {
+		return 0, &ParseError{400, "not a request line"}
 	}
 	if err := m.version(version); err != nil {
 		return 0, err
@@ -97,7 +99,7 @@
 func (m *Message) ParseResponse(b []byte, ended bool) (int, error) {
 	at := 0
 	for {
-		head, err := m.parseStatus(b[at:])
+		head, err := m.ParseResponseHeader(b[at:])
 		if err != nil {
 			return 0, err
 		}
@@ -111,10 +113,10 @@
 	}
 	if !m.Chunked && m.length < 0 { // as long as the connection lasts
 		if m.KeepAlive = false; !ended {
-			return 0, errShort
+			return 0, ErrIncomplete
 		}
-		if m.Body = b[at:]; len(m.Body) > maxBody {
-			return 0, &BadMessage{502, "body too large"}
+		if m.Body = b[at:]; len(m.Body) > MaxBodySize {
+			return 0, &ParseError{502, "body too large"}
 		}
 		return len(b), nil
 	}
@@ -122,8 +124,8 @@
 	return at + n, err
 }
 
-// parseStatus reads the head of a response.
-func (m *Message) parseStatus(b []byte) (int, error) {
+// ParseResponseHeader reads the head of a response.
+func (m *Message) ParseResponseHeader(b []byte) (int, error) {
 	line, head, err := m.head(b, false)
 	if err != nil {
 		return 0, err
@@ -133,9 +135,9 @@
 	if err := m.version(version); err != nil {
 		return 0, err
 	}
-	status, ok := decimal(code)
+	status, ok := ParseDecimal(code)
 	if !ok || len(code) != 3 || status < 100 {
-		return 0, &BadMessage{502, "not a status line"}
+		return 0, &ParseError{502, "not a status line"}
 	}
 	m.Method, m.Target, m.Status = nil, nil, status
 	return head, m.framing()
@@ -146,15 +148,15 @@
 	m.Fields, m.Body, m.Expect = m.Fields[:0], nil, false
 	for first := true; ; first = false {
 		end := bytes.IndexByte(b[n:], '\n')
-		if end < 0 && len(b) > maxHead || n+end >= maxHead {
-			return nil, 0, &BadMessage{431, "head too large"}
+		if end < 0 && len(b) > MaxHeaderSize || n+end >= MaxHeaderSize {
+			return nil, 0, &ParseError{431, "head too large"}
 		}
 		if end < 0 {
-			return nil, 0, errShort
+			return nil, 0, ErrIncomplete
 		}
 		text, whole := bytes.CutSuffix(b[n:n+end], []byte("\r"))
 		if n += end + 1; !whole && request { // some end a line there, and some read on
-			return nil, 0, &BadMessage{400, "line feed without carriage return"}
+			return nil, 0, &ParseError{400, "line feed without carriage return"}
 		}
 		switch {
 		case first:
@@ -163,8 +165,8 @@
 			return line, n, nil
 		default:
 			name, value, ok := bytes.Cut(text, []byte(":"))
-			if !ok || !isToken(name) || !isText(value) {
-				return nil, 0, &BadMessage{400, "not a header field"}
+			if !ok || !IsToken(name) || !isText(value) {
+				return nil, 0, &ParseError{400, "not a header field"}
 			}
 			m.Fields = append(m.Fields, Field{name, trim(value)})
 		}
@@ -179,9 +181,9 @@
 		m.KeepAlive, m.old = false, true
 	default:
 		if bytes.HasPrefix(v, []byte("HTTP/")) {
-			return &BadMessage{505, "version not supported"}
+			return &ParseError{505, "version not supported"}
 		}
-		return &BadMessage{400, "no HTTP version"}
+		return &ParseError{400, "no HTTP version"}
 	}
 	return nil
 }
@@ -192,14 +194,14 @@
 	for _, f := range m.Fields {
 		switch {
 		case bytes.EqualFold(f.Name, []byte("Content-Length")):
-			n, ok := decimal(f.Value)
+			n, ok := ParseDecimal(f.Value)
 			if !ok || m.length >= 0 { // given twice, even if both agree, it is no usual client's
-				return &BadMessage{400, "bad Content-Length"}
+				return &ParseError{400, "bad Content-Length"}
 			}
 			m.length = n
 		case bytes.EqualFold(f.Name, []byte("Transfer-Encoding")):
 			if m.Chunked || !bytes.EqualFold(f.Value, []byte("chunked")) {
-				return &BadMessage{501, "transfer coding not supported"}
+				return &ParseError{501, "transfer coding not supported"}
 			}
 			m.Chunked = true
 		case bytes.EqualFold(f.Name, []byte("Connection")):
@@ -216,10 +218,10 @@
 		}
 	}
 	if m.Chunked && (m.length >= 0 || m.old) { // two readers may find two ends of it
-		return &BadMessage{400, "Transfer-Encoding with Content-Length or HTTP/1.0"}
+		return &ParseError{400, "Transfer-Encoding with Content-Length or HTTP/1.0"}
 	}
-	if m.length > maxBody {
-		return &BadMessage{413, "body too large"}
+	if m.length > MaxBodySize {
+		return &ParseError{413, "body too large"}
 	}
 	return nil
 }
@@ -227,46 +229,46 @@
 func (m *Message) body(b []byte) (int, error) {
 	if !m.Chunked {
 		if len(b) < m.length {
-			return 0, errShort
+			return 0, ErrIncomplete
 		}
 		m.Body = b[:m.length]
 		return m.length, nil
 	}
 	m.joined = m.joined[:0]
-	var c chunks
+	var c ChunkDecoder
 	for at := 0; ; {
-		piece, n, err := c.next(b[at:])
+		piece, n, err := c.Next(b[at:])
 		if at += n; err != nil {
 			return 0, err
 		}
-		if m.joined = append(m.joined, piece...); len(m.joined) > maxBody {
-			return 0, &BadMessage{413, "body too large"}
+		if m.joined = append(m.joined, piece...); len(m.joined) > MaxBodySize {
+			return 0, &ParseError{413, "body too large"}
 		}
-		if c.done {
+		if c.Done {
 			m.Body = m.joined
 			return at, nil
 		}
 		if n == 0 {
 			// What frames a body may not outgrow it: a peer could send one byte a chunk for ever.
-			if len(b) > 2*maxBody+maxHead {
-				return 0, &BadMessage{413, "body too large"}
+			if len(b) > 2*MaxBodySize+MaxHeaderSize {
+				return 0, &ParseError{413, "body too large"}
 			}
-			return 0, errShort
+			return 0, ErrIncomplete
 		}
 	}
 }
 
-// chunks reads a chunked body piece by piece.
-type chunks struct {
+// ChunkDecoder reads a chunked body piece by piece.
+type ChunkDecoder struct {
 	left    int // of the present chunk
 	ending  bool
 	trailer bool
-	done    bool
+	Done    bool
 }
 
-// next takes one piece from b. Where n is 0 and the body is not done, more is needed.
-func (c *chunks) next(b []byte) (piece []byte, n int, err error) {
-	if c.done || len(b) == 0 {
+// Next takes one piece from b. Where n is 0 and the body is not Done, more is needed.
+func (c *ChunkDecoder) Next(b []byte) (piece []byte, n int, err error) {
+	if c.Done || len(b) == 0 {
 		return nil, 0, nil
 	}
 	if c.left > 0 {
@@ -278,7 +280,7 @@
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
 		if len(b) > 256 {
-			return nil, 0, &BadMessage{400, "chunk line too long"}
+			return nil, 0, &ParseError{400, "chunk line too long"}
 		}
 		return nil, 0, nil
 	}
@@ -286,20 +288,20 @@
 	switch {
 	case c.ending: // the line end after a chunk's data
 		if c.ending = false; len(line) > 0 {
-			return nil, 0, &BadMessage{400, "chunk longer than it said"}
+			return nil, 0, &ParseError{400, "chunk longer than it said"}
 		}
 	case c.trailer:
-		c.done = len(line) == 0
+		c.Done = len(line) == 0
 	default:
 		size, _, _ := bytes.Cut(line, []byte(";"))
 		size = bytes.TrimSpace(size)
 		if len(size) == 0 || len(size) > 7 {
-			return nil, 0, &BadMessage{400, "bad chunk size"}
+			return nil, 0, &ParseError{400, "bad chunk size"}
 		}
 		for _, x := range size {
 			digit := bytes.IndexByte([]byte("0123456789abcdef"), x|0x20)
 			if x < '0' || digit < 0 {
-				return nil, 0, &BadMessage{400, "bad chunk size"}
+				return nil, 0, &ParseError{400, "bad chunk size"}
 			}
 			c.left = c.left<<4 | digit
 		}
@@ -320,7 +322,8 @@
 	return b
 }
 
-func isToken(b []byte) bool {
+// IsToken holds of a field name, a method, and what else has that form.
+func IsToken(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f || bytes.IndexByte([]byte(`()<>@,;:\"/[]?={}`), c) >= 0 {
 			return false
@@ -329,8 +332,8 @@
 	return len(b) > 0
 }
 
-// isVisible holds of what may go on to a worker node as it is: visible ASCII.
-func isVisible(b []byte) bool {
+// IsVisible holds of what may go on to a worker node as it is: visible ASCII.
+func IsVisible(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f {
 			return false
@@ -349,8 +352,8 @@
 	return true
 }
 
-// decimal reads a number of at most nine digits.
-func decimal(b []byte) (int, bool) {
+// ParseDecimal reads a number of at most nine digits.
+func ParseDecimal(b []byte) (int, bool) {
 	n := 0
 	for _, c := range b {
 		if c < '0' || c > '9' {
@@ -363,13 +366,18 @@
 
 // ---- Writing ----
 
-var reasons = map[int]string{200: "OK", 204: "No Content", 400: "Bad Request", 404: "Not Found",
+// ContinueResponse is the interim response that tells a client to send on.
+const ContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
+
+var reasons = map[int]string{
+	200: "OK", 204: "No Content", 400: "Bad Request", 404: "Not Found",
 	405: "Method Not Allowed", 408: "Request Timeout", 409: "Conflict", 413: "Content Too Large", 431: "Request Header Fields Too Large",
 	500: "Internal Server Error", 501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable",
-	505: "HTTP Version Not Supported"}
+	505: "HTTP Version Not Supported",
+}
 
-// appendAnswer writes a response; fields are whole lines of its head.
-func appendAnswer(b []byte, status int, fields string, body []byte, keep bool) []byte {
+// AppendResponse writes a response; fields are whole lines of its head.
+func AppendResponse(b []byte, status int, fields string, body []byte, keep bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(append(b, ' '), reasons[status]...)
@@ -388,8 +396,8 @@
 	return append(b, body...)
 }
 
-// appendField writes a header field, unless it has no value.
-func appendField(b []byte, name, value string) []byte {
+// AppendField writes a header field, unless it has no value.
+func AppendField(b []byte, name, value string) []byte {
 	if value == "" {
 		return b
 	}
@@ -397,9 +405,9 @@
 	return append(append(b, value...), "\r\n"...)
 }
 
-// appendCall writes the start of a request up to its last field; the caller adds fields and a blank line.
-func appendCall(b []byte, method, target, host string) []byte {
+// AppendRequestStart writes the start of a request up to its last field; the caller adds fields and a blank line.
+func AppendRequestStart(b []byte, method, target, host string) []byte {
 	b = append(append(b, method...), ' ')
 	b = append(append(b, target...), " HTTP/1.1\r\n"...)
-	return appendField(b, "Host", host)
+	return AppendField(b, "Host", host)
 }
--- a/internal/link/attempts_test.go
+++ b/internal/link/attempts_test.go
@@ -12,6 +12,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/dispatch"
+	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 	"valvecove/internal/steps"
 )
@@ -398,7 +399,7 @@
 	t.Helper()
 	_, text, ok := strings.Cut(string(p.got), "X-Budget-Ms: ")
 	text, _, _ = strings.Cut(text, "\r\n")
-	ms, good := decimal([]byte(text))
+	ms, good := http1.ParseDecimal([]byte(text))
 	if !ok || !good {
 		t.Fatalf("no budget in %.200q", p.got)
 	}
@@ -453,14 +454,14 @@
 	})
 	t.Run("goes in parts", func(t *testing.T) {
 		w := newAttempts(t)
-		q := w.send(maxBody)
+		q := w.send(http1.MaxBodySize)
 		p := w.dialed[0]
 		w.now += w.loop.servers.dial - time.Millisecond
 		for range 64 {
 			w.turn()
 			p.read(1 << 20)
 		}
-		var m Message
+		var m http1.Message
 		if _, err := m.ParseRequest(p.got); err != nil {
 			t.Fatalf("%d bytes came: %v", len(p.got), err)
 		}
@@ -470,7 +471,7 @@
 	})
 	t.Run("stays in parts", func(t *testing.T) {
 		w := newAttempts(t)
-		q := w.send(maxBody)
+		q := w.send(http1.MaxBodySize)
 		p := w.dialed[0]
 		p.read(50)
 		w.turn()
@@ -479,7 +480,7 @@
 			w.turn()
 			p.read(1 << 20)
 		}
-		var m Message
+		var m http1.Message
 		if _, err := m.ParseRequest(p.got); err == nil || !p.ended {
 			t.Errorf("the rest came too, closed %v", p.ended)
 		}
@@ -494,7 +495,7 @@
 		far  func(w *attempts, q *requests.Request, p *peer)
 		want []dispatch.Result
 	}{
-		"before it": {maxBody, func(_ *attempts, _ *requests.Request, p *peer) { p.read(4000); p.close() }, []dispatch.Result{dispatch.ConnectFailed}},
+		"before it": {http1.MaxBodySize, func(_ *attempts, _ *requests.Request, p *peer) { p.read(4000); p.close() }, []dispatch.Result{dispatch.ConnectFailed}},
 		"after it":  {0, func(_ *attempts, _ *requests.Request, p *peer) { p.read(4000); p.close() }, []dispatch.Result{dispatch.ConnectionReset}},
 		"in the answer": {0, func(_ *attempts, _ *requests.Request, p *peer) {
 			p.read(4000)
@@ -723,7 +724,7 @@
 		"garbage\r\n\r\n": dispatch.ConnectFailed,
 	} {
 		w := newAttempts(t)
-		q := w.send(maxBody)
+		q := w.send(http1.MaxBodySize)
 		p := w.dialed[0]
 		p.read(1000)
 		p.write([]byte(text))
@@ -731,7 +732,7 @@
 			w.turn()
 			p.read(1 << 20)
 		}
-		var m Message
+		var m http1.Message
 		if _, err := m.ParseRequest(p.got); err == nil || !p.ended {
 			t.Errorf("%.20q: the rest came too, closed %v", text, p.ended)
 		}
--- a/internal/link/clients.go
+++ b/internal/link/clients.go
@@ -15,6 +15,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/dispatch"
+	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 )
 
@@ -468,13 +469,11 @@
 		return
 	}
 	k.sounded = true
-	if k.send([]byte(interim)) != nil || k.connected() != nil {
+	if k.send([]byte(http1.ContinueResponse)) != nil || k.connected() != nil {
 		k.end()
 	}
 }
 
-const interim = "HTTP/1.1 100 Continue\r\n\r\n"
-
 // mostTurns is how many requests of a link are taken in at once. A client sends one at a time; one that does
 // not wait for its answers is served in turn, and its time counts from when each request came.
 const mostTurns = 16
@@ -483,7 +482,7 @@
 // is memory it may be mostHoarded. What comes beyond that is taken in unread, so that the client's end is noticed all the
 // same: the requests that are kept are answered, one more is refused, and the link ends.
 const (
-	mostAhead   = maxHead + maxBody
+	mostAhead   = http1.MaxHeaderSize + http1.MaxBodySize
 	mostHoarded = 8 * mostAhead
 )
 
@@ -492,9 +491,9 @@
 	for !k.last && !k.closed && len(k.turns) < mostTurns && len(k.out) <= maxUnread && len(k.in) > 0 && k.introduce() {
 		m := &k.loop.message
 		n, err := m.ParseRequest(k.in)
-		var bad *BadMessage
+		var bad *http1.ParseError
 		if errors.As(err, &bad) {
-			k.refuse(bad.Status, bad.What+"\n")
+			k.refuse(bad.StatusCode, bad.Reason+"\n")
 			break
 		}
 		if err != nil {
@@ -507,7 +506,7 @@
 				k.refuse(503, "no memory for a large request now\n")
 			} else if m.Expect && !k.continued && len(k.turns) == 0 {
 				k.continued = true
-				_ = k.send([]byte(interim))
+				_ = k.send([]byte(http1.ContinueResponse))
 			}
 			break
 		}
@@ -615,7 +614,7 @@
 func (k *clientLink) tooMuch() { k.refuse(503, "too much sent ahead of answers\n") }
 
 // maxUnread is how much of a link's answers may wait to be read before no more is taken in.
-const maxUnread = maxBody
+const maxUnread = http1.MaxBodySize
 
 // attend asks epoll for what matters now. A client is always read from, as its end lies behind all that it has sent; that
 // end is told for as long as it is asked for, and a reset always.
@@ -670,8 +669,8 @@
 		if t.retry > 0 {
 			fields = "Retry-After: " + strconv.FormatFloat(t.retry.Seconds(), 'f', 3, 64) + "\r\n"
 		}
-		b := appendAnswer(k.loop.writing[:0], t.status, fields, t.body, !k.last || len(k.turns) > 0)
-		if k.loop.writing = b[:0]; cap(b) > 4*maxBody {
+		b := http1.AppendResponse(k.loop.writing[:0], t.status, fields, t.body, !k.last || len(k.turns) > 0)
+		if k.loop.writing = b[:0]; cap(b) > 4*http1.MaxBodySize {
 			k.loop.writing = nil
 		}
 		if err := k.send(b); err != nil {
@@ -687,7 +686,7 @@
 // reply answers at once.
 func (t *turn) reply(status int, body string) { t.settle(status, []byte(body), 0) }
 
-func (k *clientLink) request(m *Message, t *turn) {
+func (k *clientLink) request(m *http1.Message, t *turn) {
 	path, _, _ := bytes.Cut(m.Target, []byte("?"))
 	switch string(path) {
 	case pathUp:
@@ -730,7 +729,7 @@
 }
 
 // ask takes in a query.
-func (k *clientLink) ask(m *Message, path []byte, t *turn) {
+func (k *clientLink) ask(m *http1.Message, path []byte, t *turn) {
 	first, rest, _ := bytes.Cut(bytes.TrimPrefix(path, []byte("/")), []byte("/"))
 	name := m.Get("X-Call-Class")
 	class, known := k.home.classes[string(name)]
@@ -783,17 +782,17 @@
 	"X-Call-Info", "X-Again", "Host"}
 
 // read makes a query of a request. fault names what is wrong with it.
-func (c *clientLinks) read(m *Message, class int, rest []byte) (in requests.Arrival, fault string) {
+func (c *clientLinks) read(m *http1.Message, class int, rest []byte) (in requests.Arrival, fault string) {
 	for _, name := range once {
 		if m.Count(name) > 1 {
 			return in, name + ": given more than once"
 		}
 	}
 	id, idem := m.Get("X-Call-Id"), m.Get("Idempotency-Key")
-	if !isToken(id) || len(id) > maxID {
+	if !http1.IsToken(id) || len(id) > maxID {
 		return in, "X-Call-Id: missing or malformed"
 	}
-	if len(idem) > maxKey || !isVisible(idem) || idem == nil && c.set.Classes[class].Idempotency == dispatch.IdempotentWithKey {
+	if len(idem) > maxKey || !http1.IsVisible(idem) || idem == nil && c.set.Classes[class].Idempotency == dispatch.IdempotentWithKey {
 		return in, "Idempotency-Key: missing or malformed" // without one, repeats would not be dropped
 	}
 	tenant, known := c.tenants[string(m.Get("X-Caller"))]
@@ -802,7 +801,7 @@
 	}
 	left := c.set.Classes[class].ClientTimeout
 	if text := m.Get("X-Budget-Ms"); text != nil {
-		n, ok := decimal(text)
+		n, ok := http1.ParseDecimal(text)
 		if !ok {
 			return in, "X-Budget-Ms: expected whole milliseconds"
 		}
--- a/internal/link/clients_test.go
+++ b/internal/link/clients_test.go
@@ -11,6 +11,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/dispatch"
+	"valvecove/internal/http1"
 	"valvecove/internal/steps"
 )
 
@@ -127,11 +128,11 @@
 // checkAnswers expects exactly the answers that are due by now, in turn, and returns what is owed still.
 func (w *world) checkAnswers(p *peer, due []owed) []owed {
 	for !p.closed && len(p.got) > 0 {
-		if strings.HasPrefix(string(p.got), interim) {
-			p.got = p.got[len(interim):]
+		if strings.HasPrefix(string(p.got), http1.ContinueResponse) {
+			p.got = p.got[len(http1.ContinueResponse):]
 			continue
 		}
-		var m Message
+		var m http1.Message
 		n, err := m.ParseResponse(p.got, p.ended)
 		w.Check(err == nil && len(due) > 0, "answer %q (%v), expected %v", p.got, err, due)
 		w.Check(m.Status == due[0].status, "status %d, expected %d", m.Status, due[0].status)
@@ -228,7 +229,7 @@
 		deaf.write([]byte(strings.Repeat(numbered(asks[7].text, 1), 100)))
 		w.turn()
 	}
-	if most := c.budget + 6*maxBody; c.held > most {
+	if most := c.budget + 6*http1.MaxBodySize; c.held > most {
 		t.Errorf("%d bytes held, %d allowed", c.held, most)
 	}
 	usual, fd := w.pair()
@@ -336,7 +337,7 @@
 	}
 	answered := func(p *peer, status int, closes bool) {
 		t.Helper()
-		var m Message
+		var m http1.Message
 		p.read(1 << 10)
 		if _, err := m.ParseResponse(p.got, true); err != nil || m.Status != status || m.KeepAlive == closes {
 			t.Errorf("answered %q (%v)", p.got, err)
--- a/internal/link/closing_test.go
+++ b/internal/link/closing_test.go
@@ -11,6 +11,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/dispatch"
+	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 	"valvecove/internal/steps"
 )
@@ -109,7 +110,7 @@
 			if err := w.readsToTheEnd(p); err != nil {
 				t.Errorf("after %d bytes: %v", len(p.got), err)
 			}
-			var m Message
+			var m http1.Message
 			if _, err := m.ParseResponse(p.got, true); err != nil || m.Status != 200 || len(m.Body) != size {
 				t.Errorf("of the answer %d bytes came (%v)", len(p.got), err)
 			}
--- a/internal/link/discovery_watch.go
+++ b/internal/link/discovery_watch.go
@@ -10,6 +10,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/internal/discovery"
+	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 )
 
@@ -31,7 +32,7 @@
 	revision      int64  // of the list at hand when the connection was opened
 	streaming     bool   // the response has begun, and its body is read
 	receivedEvent bool   // since the last connection was opened
-	body          chunks
+	body          http1.ChunkDecoder
 	scanner       discovery.EventScanner
 }
 
@@ -108,7 +109,7 @@
 	w.revision = w.loop.Ledger.Revision()
 	w.streaming = false
 	w.receivedEvent = false
-	w.body = chunks{}
+	w.body = http1.ChunkDecoder{}
 	w.scanner = discovery.EventScanner{}
 	if err := w.dial(); err != nil {
 		w.stream = stream{loop: w.loop, closed: true}
@@ -189,7 +190,7 @@
 	w.machine.Connected(w.loop.now)
 	w.resetTimer()
 	target := "/discovery/hosts?stream=1&index=" + strconv.FormatInt(w.revision, 10)
-	request := appendCall(nil, "GET", target, w.server.String())
+	request := http1.AppendRequestStart(nil, "GET", target, w.server.String())
 	return w.send(append(request, "\r\n"...))
 }
 
@@ -207,8 +208,8 @@
 // readResponseHeader takes one response header, be it an interim one; complete is false if it is not all there yet.
 func (w *watchConnection) readResponseHeader() (complete bool, err error) {
 	message := &w.loop.message
-	size, err := message.parseStatus(w.in)
-	if errors.Is(err, errShort) {
+	size, err := message.ParseResponseHeader(w.in)
+	if errors.Is(err, http1.ErrIncomplete) {
 		return false, nil
 	}
 	if err != nil {
@@ -228,7 +229,7 @@
 func (w *watchConnection) readBody() error {
 	taken := 0
 	for {
-		piece, size, err := w.body.next(w.in[taken:])
+		piece, size, err := w.body.Next(w.in[taken:])
 		if err != nil {
 			return err
 		}
@@ -241,7 +242,7 @@
 		}
 	}
 	w.took(taken)
-	if w.body.done {
+	if w.body.Done {
 		return errWatchClosed
 	}
 	return nil
--- a/internal/link/hotrestart_fuzz_test.go
+++ b/internal/link/hotrestart_fuzz_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"valvecove/dispatch"
+	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 	"valvecove/internal/steps"
 )
@@ -179,7 +180,7 @@
 	last := len(m.workers) - 1
 	for i, connection := range m.workers {
 		connection.read(readSize)
-		var message Message
+		var message http1.Message
 		size, err := message.ParseRequest(connection.got)
 		if err != nil {
 			continue
--- a/internal/link/leaving_test.go
+++ b/internal/link/leaving_test.go
@@ -10,6 +10,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/dispatch"
+	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 	"valvecove/internal/steps"
 )
@@ -188,7 +189,7 @@
 // A client that leaves while its query is on the way to a worker node stops what is not wholly written, also if the
 // connection there comes up in the same turn. What was accepted runs on, and no copy of it is sent.
 func TestClientGoneOnTheWay(t *testing.T) {
-	for stage, size := range map[string]int{"connecting": 0, "partly written": maxBody, "accepted": 0} {
+	for stage, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize, "accepted": 0} {
 		for how, leave := range map[string]func(*peer){"end": (*peer).close, "reset": (*peer).resets} {
 			t.Run(stage+", "+how, func(t *testing.T) {
 				w := newWorld(&steps.Steps{T: t})
@@ -219,7 +220,7 @@
 				w.loop.Ledger.Wake()
 				w.settles()
 				far.read(1 << 20)
-				var m Message
+				var m http1.Message
 				_, err := m.ParseRequest(far.got)
 				if whole := err == nil; whole != (stage == "accepted") || len(w.dialed) != 1 || stage == "connecting" && len(far.got) > 0 {
 					t.Errorf("%d bytes came, whole %v, and %d links were opened", len(far.got), whole, len(w.dialed))
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -22,6 +22,7 @@
 	"valvecove/internal/due"
 	"valvecove/internal/figures"
 	"valvecove/internal/hotrestart"
+	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 )
 
@@ -46,7 +47,7 @@
 	timers          due.Queue[*timer]
 	scratch         []byte
 	writing         []byte
-	message         Message
+	message         http1.Message
 	Ledger          *requests.Table
 	log             *slog.Logger
 	linkLog         *slog.Logger // on client links, whose lines must not crowd out the others
--- a/internal/link/operators.go
+++ b/internal/link/operators.go
@@ -9,6 +9,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/internal/http1"
 	"valvecove/internal/tally"
 )
 
@@ -108,15 +109,15 @@
 	if !k.asked && len(k.in) > 0 {
 		m := &k.loop.message
 		_, err := m.ParseRequest(k.in)
-		var bad *BadMessage
+		var bad *http1.ParseError
 		switch {
 		case errors.As(err, &bad):
-			k.answer(bad.Status, "", []byte(bad.What+"\n"))
+			k.answer(bad.StatusCode, "", []byte(bad.Reason+"\n"))
 		case err == nil:
 			k.call(string(m.Method), string(m.Target))
 		case m.Expect && !ended && !k.continued:
 			k.continued = true
-			_ = k.send([]byte(interim))
+			_ = k.send([]byte(http1.ContinueResponse))
 		}
 	} else if k.asked {
 		k.in = nil // what comes behind a call is nothing to us
--- a/internal/link/operators_test.go
+++ b/internal/link/operators_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"valvecove/internal/hotrestart"
+	"valvecove/internal/http1"
 	"valvecove/internal/steps"
 	"valvecove/internal/tally"
 )
@@ -66,7 +67,7 @@
 		{"PUT /v1/worker-nodes/s-0/stop HTTP/1.1\r\n\r\n", "404 no such path"},
 		{"GET /up HTTP/1.1\r\n\r\n", "404 no such path"},
 		{"nonsense\r\n\r\n", "400 not a request line"},
-		{"GET /" + strings.Repeat("x", maxHead) + " HTTP/1.1\r\n\r\n", "431 head too large"},
+		{"GET /" + strings.Repeat("x", http1.MaxHeaderSize) + " HTTP/1.1\r\n\r\n", "431 head too large"},
 	}
 	steps.Fuzz(f, func(s *steps.Steps) {
 		w := withOperators(s)
--- a/internal/link/servers.go
+++ b/internal/link/servers.go
@@ -9,6 +9,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 )
 
@@ -24,8 +25,8 @@
 	withdrawTimes = 4 // connections are tried for a DELETE before it is given up
 	withdrawAgain = 50 * time.Millisecond
 
-	mostAtOnce = 4 << 10                 // a request of that size goes into any socket's buffer whole
-	mostAnswer = 2 * (maxHead + maxBody) // with interim answers, and with what frames chunks
+	mostAtOnce = 4 << 10                                       // a request of that size goes into any socket's buffer whole
+	mostAnswer = 2 * (http1.MaxHeaderSize + http1.MaxBodySize) // with interim answers, and with what frames chunks
 )
 
 // serverLinks are the connections to worker nodes: the ledger's Carrier.
@@ -306,9 +307,9 @@
 		if parts = min(k.home.dial, left/2); len(p.Body) > mostAtOnce {
 			left -= parts
 		}
-		b = appendCall(b, p.Method, p.Path, host)
-		b = appendField(b, "X-Call-Id", a.Request.CallID)
-		b = appendField(b, "Idempotency-Key", p.IdempotencyKey)
+		b = http1.AppendRequestStart(b, p.Method, p.Path, host)
+		b = http1.AppendField(b, "X-Call-Id", a.Request.CallID)
+		b = http1.AppendField(b, "Idempotency-Key", p.IdempotencyKey)
 		b = append(b, "X-Budget-Ms: "...)
 		b = strconv.AppendInt(b, max(1, left.Milliseconds()), 10)
 		b = append(b, "\r\nContent-Length: "...)
@@ -317,10 +318,10 @@
 		b = append(b, p.Body...)
 		k.await(parts)
 	case probing:
-		b = append(appendCall(b, "GET", "/alive", host), "\r\n"...)
+		b = append(http1.AppendRequestStart(b, "GET", "/alive", host), "\r\n"...)
 		k.await(probeFor)
 	case withdrawing:
-		b = append(appendCall(b, "DELETE", "/jobs/"+a.Request.CallID, host), "\r\n"...)
+		b = append(http1.AppendRequestStart(b, "DELETE", "/jobs/"+a.Request.CallID, host), "\r\n"...)
 		k.await(withdrawFor)
 	}
 	l.writing = b
@@ -420,7 +421,7 @@
 		}
 	case ended:
 		k.end(errEnded)
-	case !errors.Is(err, errShort):
+	case !errors.Is(err, http1.ErrIncomplete):
 		k.end(err)
 	case len(k.in) > mostAnswer:
 		k.end(errLarge)
@@ -445,7 +446,7 @@
 }
 
 // answered settles the errand by the answer's status.
-func (k *serverLink) answered(m *Message) {
+func (k *serverLink) answered(m *http1.Message) {
 	fault := &requests.AttemptError{Stage: k.stage, Reason: requests.ReasonWorkerError, Cause: fmt.Errorf("status %d", m.Status)}
 	switch refused := m.Status == 503 || m.Status == 504; {
 	case m.Status/100 == 2:
--- a/internal/link/servers_test.go
+++ b/internal/link/servers_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"valvecove/dispatch"
+	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 	"valvecove/internal/steps"
 )
@@ -48,7 +49,7 @@
 	w := newWorld(s)
 	var queries []uint64 // by number: the ledger counts from 1
 	attempts := map[string]*tried{}
-	sizes := []int{0, 100, maxBody}
+	sizes := []int{0, 100, http1.MaxBodySize}
 	probes := 0
 	slow := map[*peer]*late{}
 	w.loop.dial = func(at netip.AddrPort) (int, error) {
@@ -112,7 +113,7 @@
 func (w *world) workerActs(p *peer, attempts map[string]*tried) {
 	p.read([]int{50, 4000, 1 << 20}[w.Pick(3)])
 	p.deleted(attempts)
-	var m Message
+	var m http1.Message
 	n, err := m.ParseRequest(p.got)
 	var t *tried
 	if err == nil {
@@ -301,7 +302,7 @@
 // A note that comes late, of an attempt before at the same host, ends the one that is on its way: what the link has not
 // written by then is not written, and the worker node never has it whole.
 func TestLateNoteStopsTheSend(t *testing.T) {
-	for name, size := range map[string]int{"connecting": 0, "partly written": maxBody} {
+	for name, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(&steps.Steps{T: t})
 			q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
@@ -316,8 +317,8 @@
 			if known, err := w.loop.Ledger.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "returned"}); !known || err != nil {
 				t.Fatalf("the note is known %v, %v", known, err)
 			}
-			p, m := w.dialed[0], Message{}
-			for !p.ended && len(p.got) < 2*maxBody {
+			p, m := w.dialed[0], http1.Message{}
+			for !p.ended && len(p.got) < 2*http1.MaxBodySize {
 				before := len(p.got)
 				w.turn()
 				if p.read(1 << 20); len(p.got) == before {
@@ -353,7 +354,7 @@
 		"finished": func(w *world, _ *requests.Request) { w.loop.Ledger.CloseSince(0) },
 	}
 	for name, end := range ends {
-		for stage, size := range map[string]int{"connecting": 0, "partly written": maxBody} {
+		for stage, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize} {
 			t.Run(name+", "+stage, func(t *testing.T) {
 				w := newWorld(&steps.Steps{T: t})
 				w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
@@ -372,7 +373,7 @@
 				}
 				end(w, q)
 				for i, p := range w.dialed {
-					m := Message{}
+					m := http1.Message{}
 					for range 64 {
 						w.turn()
 						p.read(1 << 20)
--- a/internal/link/settings_test.go
+++ b/internal/link/settings_test.go
@@ -19,6 +19,7 @@
 	"valvecove/dispatch"
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
+	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 	"valvecove/internal/steps"
 )
@@ -331,10 +332,10 @@
 // takeIn takes one whole request, if there is one, either of a job or any other.
 func (d *deployment) takeIn(p *peer, begins bool) bool {
 	f := d.known[p]
-	var m Message
+	var m http1.Message
 	n, err := m.ParseRequest(p.got)
 	if err != nil || f.filler > 0 || (string(m.Method) == "POST") != begins {
-		if err != errShort && err != nil {
+		if err != http1.ErrIncomplete && err != nil {
 			d.T.Fatalf("%v in %.100q", err, p.got)
 		}
 		return false
@@ -369,7 +370,7 @@
 }
 
 // begin judges an attempt whose last byte has come, and settles what becomes of it.
-func (d *deployment) begin(p *peer, f *far, m *Message) {
+func (d *deployment) begin(p *peer, f *far, m *http1.Message) {
 	q := d.asked[string(m.Get("X-Call-Id"))]
 	if q == nil {
 		d.T.Fatalf("an attempt of a query that nobody sent: %q", m.Get("X-Call-Id"))
@@ -378,7 +379,7 @@
 	class := set.Classes[q.class]
 	d.Check(!q.left && q.answers == 0, "%s was sent on after it was over", q.id)
 	d.Check(string(m.Get("Idempotency-Key")) == q.key, "%s went on with another key", q.id)
-	left, _ := decimal(m.Get("X-Budget-Ms"))
+	left, _ := http1.ParseDecimal(m.Get("X-Budget-Ms"))
 	d.Check(time.Duration(left)*time.Millisecond <= max(q.deadline-d.now, time.Millisecond), "%s has %v left, and tells %d ms", q.id, q.deadline-d.now, left)
 	d.Check(n.drainsSince == 0 || d.now-n.drainsSince <= 550*time.Millisecond, "%s went to %s, which drains since %v", q.id, n.ID, d.now-n.drainsSince)
 	d.Check(class.Zones == nil || slices.Contains(class.Zones, n.zone), "%s went to a zone where its class may not go", q.id)
@@ -548,7 +549,7 @@
 	p := c.peer
 	p.read(16 << 10)
 	for len(p.got) > 0 {
-		var m Message
+		var m http1.Message
 		n, err := m.ParseResponse(p.got, p.ended)
 		if err != nil {
 			break
--- a/internal/link/side.go
+++ b/internal/link/side.go
@@ -6,6 +6,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"valvecove/internal/http1"
 )
 
 // sideLinks accept connections at an address beside the clients': few, and each of them timed.
@@ -88,7 +90,7 @@
 // reply answers a request; keep lets the link live on.
 func (k *sideLink) reply(code int, fields string, body []byte, keep bool) {
 	k.last = !keep
-	if k.send(appendAnswer(nil, code, fields, body, keep)) != nil {
+	if k.send(http1.AppendResponse(nil, code, fields, body, keep)) != nil {
 		k.end()
 		return
 	}
--- a/internal/link/status.go
+++ b/internal/link/status.go
@@ -8,6 +8,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/internal/http1"
 	"valvecove/internal/status"
 )
 
@@ -73,9 +74,9 @@
 	for !k.last && len(k.in) > 0 && len(k.out) == 0 {
 		m := &k.loop.message
 		n, err := m.ParseRequest(k.in)
-		var bad *BadMessage
+		var bad *http1.ParseError
 		if errors.As(err, &bad) {
-			k.answer(bad.Status, "", []byte(bad.What+"\n"), false)
+			k.answer(bad.StatusCode, "", []byte(bad.Reason+"\n"), false)
 			break
 		}
 		if err != nil {
@@ -98,7 +99,7 @@
 	k.home.links.MoveToBack(k.place)
 }
 
-func (k *statusLink) request(m *Message) {
+func (k *statusLink) request(m *http1.Message) {
 	id, ok := bytes.CutPrefix(m.Target, []byte(status.Path))
 	switch {
 	case !ok || len(id) == 0:
--- a/internal/link/tcp_test.go
+++ b/internal/link/tcp_test.go
@@ -9,6 +9,8 @@
 	"testing"
 
 	"golang.org/x/sys/unix"
+
+	"valvecove/internal/http1"
 )
 
 // listens has the world's loop accept TCP connections: only there does an end come as a reset.
@@ -92,11 +94,11 @@
 	p.read(1 << 20)
 	b := p.got
 	for len(b) > 0 {
-		if rest, interim := bytes.CutPrefix(b, []byte(interim)); interim {
+		if rest, is := bytes.CutPrefix(b, []byte(http1.ContinueResponse)); is {
 			b = rest
 			continue
 		}
-		var m Message
+		var m http1.Message
 		n, err := m.ParseResponse(b, p.ended)
 		if err != nil {
 			t.Fatalf("%q: %v", b, err)
