--- /dev/null
+++ b/internal/http1/chunked_test.go
@@ -0,0 +1,74 @@
+package http1
+
+import (
+	"errors"
+	"testing"
+)
+
+// The decoder gives the same data whatever pieces the body arrives in, and stops at the body's end.
+func TestChunkDecoderInPieces(t *testing.T) {
+	const body, behind, want = "3;name=value\r\nabc\r\nA\n0123456789\r\n00\r\nTrailer: 1\r\n\r\n", "GET /", "abc0123456789"
+	for pieceSize := 1; pieceSize <= len(body)+len(behind); pieceSize++ {
+		var decoder ChunkDecoder
+		var data, buffered []byte
+		stream := []byte(body + behind)
+		for len(stream) > 0 && !decoder.IsDone() {
+			piece := stream[:min(pieceSize, len(stream))]
+			stream = stream[len(piece):]
+			buffered = append(buffered, piece...)
+			for {
+				decoded, consumed, err := decoder.Next(buffered)
+				if err != nil {
+					t.Fatalf("pieces of %d: %v in state %v", pieceSize, err, decoder.state)
+				}
+				if consumed == 0 {
+					break
+				}
+				data = append(data, decoded...)
+				buffered = buffered[consumed:]
+			}
+		}
+		if string(data) != want || !decoder.IsDone() {
+			t.Errorf("pieces of %d: %q in state %v", pieceSize, data, decoder.state)
+		}
+		if unread := string(buffered) + string(stream); unread != behind {
+			t.Errorf("pieces of %d: %q is unread, expected %q", pieceSize, unread, behind)
+		}
+	}
+}
+
+func TestChunkDecoderRejects(t *testing.T) {
+	for name, input := range map[string]string{
+		"no size":            "\r\n",
+		"no digit":           "g\r\n",
+		"sign":               "+1\r\n",
+		"too many digits":    "00000001\r\n",
+		"data behind chunk":  "1\r\nab\r\n",
+		"line without end":   string(make([]byte, maxChunkLineSize+1)),
+		"blanks in the size": "1 1\r\n",
+	} {
+		var decoder ChunkDecoder
+		stream := []byte(input)
+		var err error
+		for consumed := -1; consumed != 0 && err == nil; {
+			_, consumed, err = decoder.Next(stream)
+			stream = stream[consumed:]
+		}
+		var parseError *ParseError
+		if !errors.As(err, &parseError) || parseError.StatusCode != StatusBadRequest {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+}
+
+func TestChunkStateString(t *testing.T) {
+	want := map[chunkState]string{
+		chunkStateSize: "size", chunkStateData: "data", chunkStateDataEnd: "data end",
+		chunkStateTrailer: "trailer", chunkStateDone: "done", chunkStateDone + 1: "invalid",
+	}
+	for state, text := range want {
+		if state.String() != text {
+			t.Errorf("%d is %q, expected %q", int(state), state, text)
+		}
+	}
+}
--- /dev/null
+++ b/internal/http1/header.go
@@ -0,0 +1,60 @@
+package http1
+
+import "bytes"
+
+// lineEnding says how the lines of a header section may end.
+type lineEnding int
+
+const (
+	lineEndingStrict  lineEnding = iota // a carriage return and a line feed
+	lineEndingLenient                   // or a line feed alone
+)
+
+// parseHeaderSection reads a start line, which it returns, and the fields up to the blank line. size is the length of all of
+// that. The line ending is strict in requests: intermediaries differ in where a line with a bare line feed ends.
+func (m *Message) parseHeaderSection(input []byte, ending lineEnding) (startLine []byte, size int, err error) {
+	m.Fields, m.Body = m.Fields[:0], nil
+	for isFirst := true; ; isFirst = false {
+		line, lineSize, err := nextLine(input, size, ending)
+		if err != nil {
+			return nil, 0, err
+		}
+		size += lineSize
+		switch {
+		case isFirst:
+			startLine = line
+		case len(line) == 0:
+			return startLine, size, nil
+		default:
+			field, err := parseField(line)
+			if err != nil {
+				return nil, 0, err
+			}
+			m.Fields = append(m.Fields, field)
+		}
+	}
+}
+
+// nextLine takes the line at an offset of a header section. size includes the line's end, line does not.
+func nextLine(input []byte, offset int, ending lineEnding) (line []byte, size int, err error) {
+	length := bytes.IndexByte(input[offset:], '\n')
+	if length < 0 && len(input) > MaxHeaderSize || offset+length >= MaxHeaderSize {
+		return nil, 0, &ParseError{StatusCode: StatusRequestHeaderFieldsTooLarge, Reason: "head too large"}
+	}
+	if length < 0 {
+		return nil, 0, ErrIncomplete
+	}
+	line, hasReturn := bytes.CutSuffix(input[offset:offset+length], []byte("\r"))
+	if !hasReturn && ending == lineEndingStrict {
+		return nil, 0, badRequest("line feed without carriage return")
+	}
+	return line, length + 1, nil
+}
+
+func parseField(line []byte) (Field, error) {
+	name, value, ok := bytes.Cut(line, []byte(":"))
+	if !ok || !IsToken(name) || !isFieldValue(value) {
+		return Field{}, badRequest("not a header field")
+	}
+	return Field{Name: name, Value: trimBlanks(value)}, nil
+}
--- /dev/null
+++ b/internal/http1/parse_test.go
@@ -0,0 +1,174 @@
+package http1
+
+import (
+	"bytes"
+	"errors"
+	"strings"
+	"testing"
+)
+
+// parser parses a message, a request or a response, and gives what the two have in common.
+type parser interface {
+	parse(input []byte) (size int, err error)
+	message() *Message
+	statusCode() int
+}
+
+type requestParser struct{ Request }
+
+func (p *requestParser) parse(input []byte) (int, error) { return p.Parse(input) }
+func (p *requestParser) message() *Message               { return &p.Message }
+func (p *requestParser) statusCode() int                 { return 0 }
+
+type responseParser struct{ Response }
+
+func (p *responseParser) parse(input []byte) (int, error) { return p.Parse(input, false) }
+func (p *responseParser) message() *Message               { return &p.Message }
+func (p *responseParser) statusCode() int                 { return p.StatusCode }
+
+func newParser(isRequest bool) parser {
+	if isRequest {
+		return &requestParser{}
+	}
+	return &responseParser{}
+}
+
+// A message cut anywhere is incomplete until it is whole, and then what it would have been in one piece; no bytes make the
+// parsers panic or take more than there is.
+func FuzzParse(f *testing.F) {
+	for _, text := range []string{
+		"POST /a?x=1 HTTP/1.1\r\nContent-Length: 5\r\nX-Call-Id: q\r\n\r\nhelloGET /up HTTP/1.1\r\n\r\n",
+		"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\nTrailer: 1\r\n\r\n",
+		"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n",
+		"POST /a HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", "POST /a HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
+		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n",
+		"HTTP/1.1 503 No\r\nX-Rejected: 1\r\nConnection: close\r\n\r\nbody", "HTTP/1.1 204 \r\n\r\n", "\r\n\r\nGET", "\x00\xff",
+		"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n\r\n", "GET / HTTP/2.0\r\n\r\n", "GET /\r\n\r\n",
+	} {
+		f.Add([]byte(text), true)
+		f.Add([]byte(text), false)
+	}
+	f.Fuzz(func(t *testing.T, input []byte, isRequest bool) {
+		whole := newParser(isRequest)
+		size, err := whole.parse(input)
+		if size > len(input) || err == nil && size == 0 || len(whole.message().Body) > MaxBodySize {
+			t.Fatalf("took %d of %d, body of %d, %v", size, len(input), len(whole.message().Body), err)
+		}
+		part := newParser(isRequest)
+		for length := range input {
+			checkPart(t, whole, part, input[:length], size, err)
+		}
+	})
+}
+
+// checkPart parses the start of an input that gave size and err as a whole.
+func checkPart(t *testing.T, whole, part parser, start []byte, size int, err error) {
+	t.Helper()
+	partSize, partErr := part.parse(start)
+	switch {
+	case err == nil && len(start) < size:
+		if !errors.Is(partErr, ErrIncomplete) {
+			t.Fatalf("%d of %d bytes: took %d, %v", len(start), size, partSize, partErr)
+		}
+	case err == nil:
+		if partSize != size || !bytes.Equal(part.message().Body, whole.message().Body) || part.statusCode() != whole.statusCode() {
+			t.Fatalf("more bytes changed the message: took %d, then %d", size, partSize)
+		}
+	case errors.Is(err, ErrIncomplete) && !errors.Is(partErr, ErrIncomplete):
+		t.Fatalf("incomplete as a whole, %v in part", partErr)
+	}
+}
+
+// Framing that two readers could understand in two ways, or that costs too much, is rejected and never guessed at.
+func TestRequestIsRejected(t *testing.T) {
+	for text, want := range map[string]int{
+		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n0\r\n\r\n":                  400,
+		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 2\r\n\r\n":                  400,
+		"POST / HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n":                           400,
+		"POST / HTTP/1.1\r\nContent-Length: +2\r\n\r\n":                                               400,
+		"POST / HTTP/1.1\r\nContent-Length : 2\r\n\r\n":                                               400,
+		"POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n":                                 501,
+		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10000000\r\n":                           400,
+		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1ffff\r\n" + strings.Repeat("x", 1<<17): 413,
+		"POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n":                                            413,
+		"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", MaxHeaderSize):                                  431,
+		"GET / HTTP/3.0\r\n\r\n": 505,
+		"POST / HTTP/1.1\r\nContent-Length: 2\r\ntransfer-ENCODING:chunked\r\n\r\n": 400,
+		"POST / HTTP/1.1\r\nTransfer-Encoding: x\r\nContent-Length: 2\r\n\r\n":      501,
+		"POST / HTTP/1.1\r\nTransfer-Encoding:\vchunked\r\n\r\n":                    400,
+		"POST / HTTP/1.1\r\nX: y\r\n Transfer-Encoding: chunked\r\n\r\n":            400,
+		"POST / HTTP/1.1\r\nX: y\nTransfer-Encoding: chunked\r\n\r\n":               400,
+		"POST / HTTP/1.1\nContent-Length: 2\r\n\r\n":                                400,
+		"POST / HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n":         400,
+		"POST / HTTP/1.1\r\nContent-Length: 1, 1\r\n\r\n":                           400,
+		"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n":                     400,
+		"POST /\xff HTTP/1.1\r\n\r\n":                                               400,
+		strings.Repeat("\r\n", 8):                                                   400,
+	} {
+		var request Request
+		var parseError *ParseError
+		if _, err := request.Parse([]byte(text)); !errors.As(err, &parseError) || parseError.StatusCode != want {
+			t.Errorf("%.70q: %v, expected %d", text, err, want)
+		}
+	}
+}
+
+// A client that waits before it sends the body is known by the header alone.
+func TestExpectContinueWithoutBody(t *testing.T) {
+	var request Request
+	const header = "POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"
+	if _, err := request.Parse([]byte(header)); !errors.Is(err, ErrIncomplete) || !request.ExpectContinue {
+		t.Errorf("header alone: %v, expects %v", err, request.ExpectContinue)
+	}
+	if _, err := request.Parse([]byte("POST / HTTP/1.1\r\n")); !errors.Is(err, ErrIncomplete) || request.ExpectContinue {
+		t.Errorf("the next request's first line: %v, expects %v", err, request.ExpectContinue)
+	}
+}
+
+// A response without framing lasts as long as its connection; one of a status that has no body ends with its header.
+func TestResponseBodyEnd(t *testing.T) {
+	tests := []struct {
+		name, text      string
+		connectionEnded bool
+		err             error
+		body            string
+		keepAlive       bool
+	}{
+		{name: "unframed, connection open", text: "HTTP/1.1 200 OK\r\n\r\nbo", err: ErrIncomplete},
+		{name: "unframed, connection ended", text: "HTTP/1.1 200 OK\r\n\r\nbody", connectionEnded: true, body: "body"},
+		{name: "no content", text: "HTTP/1.1 204 No Content\r\nContent-Length: 9\r\n\r\n", keepAlive: true},
+		{name: "not modified", text: "HTTP/1.1 304 Not Modified\r\nTransfer-Encoding: chunked\r\n\r\n", keepAlive: true},
+		{name: "bare line feeds", text: "HTTP/1.1 200 OK\nContent-Length: 2\n\nok", body: "ok", keepAlive: true},
+		{name: "connection options", text: "HTTP/1.1 200 OK\r\nConnection: x, Close\r\nContent-Length: 0\r\n\r\n"},
+		{name: "version 1.0", text: "HTTP/1.0 200 OK\r\nConnection: keep-alive\r\nContent-Length: 0\r\n\r\n", keepAlive: true},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			var response Response
+			_, err := response.Parse([]byte(test.text), test.connectionEnded)
+			if !errors.Is(err, test.err) || string(response.Body) != test.body {
+				t.Errorf("body %q, %v", response.Body, err)
+			}
+			if err == nil && response.KeepAlive != test.keepAlive {
+				t.Errorf("keep-alive is %v", response.KeepAlive)
+			}
+		})
+	}
+}
+
+// An empty value is there; a missing field is nil.
+func TestGetTellsEmptyFromMissing(t *testing.T) {
+	var request Request
+	if _, err := request.Parse([]byte("GET / HTTP/1.1\r\nX-Empty: \r\nx-EMPTY: 2\r\n\r\n")); err != nil {
+		t.Fatal(err)
+	}
+	if value := request.Get("X-Empty"); value == nil || len(value) > 0 {
+		t.Errorf("the empty field: %q, nil %v", value, value == nil)
+	}
+	if count := request.Count("X-Empty"); count != 2 {
+		t.Errorf("%d fields, expected 2", count)
+	}
+	if value := request.Get("X-Missing"); value != nil {
+		t.Errorf("the missing field: %q", value)
+	}
+}
--- /dev/null
+++ b/internal/http1/request.go
@@ -0,0 +1,68 @@
+package http1
+
+import "bytes"
+
+// maxBlankLineBytes is how many bytes of blank lines may come before a request (RFC 9112, 2.2). Without a bound a peer could
+// have any number of them buffered.
+const maxBlankLineBytes = 8
+
+// Request is a parsed request.
+type Request struct {
+	Message
+	Method, Target []byte
+	// ExpectContinue is set if the client waits for an interim response before it sends the body. It is valid, too, after a
+	// call of Parse that returned ErrIncomplete.
+	ExpectContinue bool
+}
+
+// Parse reads one request, with its body, from the start of input, and returns how many bytes it took. The error is
+// ErrIncomplete or a ParseError.
+func (r *Request) Parse(input []byte) (size int, err error) {
+	r.ExpectContinue = false
+	size = blankLineBytes(input)
+	startLine, headerSize, err := r.parseHeaderSection(input[size:], lineEndingStrict)
+	if err != nil {
+		return 0, err
+	}
+	size += headerSize
+	if err := r.parseRequestLine(startLine); err != nil {
+		return 0, err
+	}
+	if err := r.parseFraming(); err != nil {
+		return 0, err
+	}
+	r.parseExpect()
+	bodySize, err := r.parseBody(input[size:])
+	if err != nil {
+		return 0, err
+	}
+	return size + bodySize, nil
+}
+
+// blankLineBytes counts the bytes of blank lines before a request that are passed over.
+func blankLineBytes(input []byte) int {
+	count := 0
+	for count < min(maxBlankLineBytes, len(input)) && (input[count] == '\r' || input[count] == '\n') {
+		count++
+	}
+	return count
+}
+
+func (r *Request) parseRequestLine(line []byte) error {
+	method, targetAndVersion, hasTarget := bytes.Cut(line, []byte(" "))
+	target, version, hasVersion := bytes.Cut(targetAndVersion, []byte(" "))
+	if !hasTarget || !hasVersion || !IsToken(method) || len(target) == 0 || !IsVisible(target) {
+		return badRequest("not a request line")
+	}
+	r.Method, r.Target = method, target
+	return r.parseVersion(version)
+}
+
+// parseExpect reads the Expect field; the last one of several holds.
+func (r *Request) parseExpect() {
+	for _, field := range r.Fields {
+		if field.hasName("Expect") {
+			r.ExpectContinue = bytes.EqualFold(field.Value, []byte("100-continue"))
+		}
+	}
+}
--- /dev/null
+++ b/internal/http1/syntax.go
@@ -0,0 +1,65 @@
+package http1
+
+import "bytes"
+
+// maxDecimalDigits keeps every number within an int of 32 bits.
+const maxDecimalDigits = 9
+
+// IsToken reports whether text is a token (RFC 9110, 5.6.2), as a method and a field name are.
+func IsToken(text []byte) bool {
+	for _, char := range text {
+		if char <= ' ' || char >= 0x7f || bytes.IndexByte([]byte(`()<>@,;:\"/[]?={}`), char) >= 0 {
+			return false
+		}
+	}
+	return len(text) > 0
+}
+
+// IsVisible reports whether text has nothing but visible ASCII characters, so that it can stand in a request line or a field
+// as it is. The empty text has none that is not.
+func IsVisible(text []byte) bool {
+	for _, char := range text {
+		if char <= ' ' || char >= 0x7f {
+			return false
+		}
+	}
+	return true
+}
+
+// isFieldValue reports whether text may be the value of a header field: it has no control characters but tabs.
+func isFieldValue(text []byte) bool {
+	for _, char := range text {
+		if char < ' ' && char != '\t' || char == 0x7f {
+			return false
+		}
+	}
+	return true
+}
+
+// ParseDecimal reads a whole number of one to nine decimal digits, and nothing else.
+func ParseDecimal(text []byte) (value int, ok bool) {
+	if len(text) == 0 || len(text) > maxDecimalDigits {
+		return 0, false
+	}
+	for _, char := range text {
+		if char < '0' || char > '9' {
+			return 0, false
+		}
+		value = value*10 + int(char-'0')
+	}
+	return value, true
+}
+
+// trimBlanks cuts spaces and tabs off both ends. Unlike bytes.Trim it never returns nil for a value that is there but empty:
+// an empty value is malformed where a missing one may be right.
+func trimBlanks(text []byte) []byte {
+	for len(text) > 0 && isBlank(text[0]) {
+		text = text[1:]
+	}
+	for len(text) > 0 && isBlank(text[len(text)-1]) {
+		text = text[:len(text)-1]
+	}
+	return text
+}
+
+func isBlank(char byte) bool { return char == ' ' || char == '\t' }
--- a/internal/link/attempts_test.go
+++ b/internal/link/attempts_test.go
@@ -461,8 +461,8 @@
 			w.turn()
 			p.read(1 << 20)
 		}
-		var m http1.Message
-		if _, err := m.ParseRequest(p.got); err != nil {
+		var m http1.Request
+		if _, err := m.Parse(p.got); err != nil {
 			t.Fatalf("%d bytes came: %v", len(p.got), err)
 		}
 		if got, left := p.budget(t), q.Deadline-w.now; got > left {
@@ -480,8 +480,8 @@
 			w.turn()
 			p.read(1 << 20)
 		}
-		var m http1.Message
-		if _, err := m.ParseRequest(p.got); err == nil || !p.ended {
+		var m http1.Request
+		if _, err := m.Parse(p.got); err == nil || !p.ended {
 			t.Errorf("the rest came too, closed %v", p.ended)
 		}
 		w.expect("never whole", q, dispatch.ConnectFailed)
@@ -732,8 +732,8 @@
 			w.turn()
 			p.read(1 << 20)
 		}
-		var m http1.Message
-		if _, err := m.ParseRequest(p.got); err == nil || !p.ended {
+		var m http1.Request
+		if _, err := m.Parse(p.got); err == nil || !p.ended {
 			t.Errorf("%.20q: the rest came too, closed %v", text, p.ended)
 		}
 		w.expect(fmt.Sprintf("%.12q", text), q, want)
--- a/internal/link/clients.go
+++ b/internal/link/clients.go
@@ -438,8 +438,8 @@
 		}
 	}
 	for !k.last && len(k.turns) == 0 && len(k.in) > 0 && k.introduce() {
-		m := &k.loop.message
-		n, err := m.ParseRequest(k.in)
+		m := &k.loop.request
+		n, err := m.Parse(k.in)
 		if err != nil {
 			break
 		}
@@ -489,8 +489,8 @@
 // proceed takes in what can be taken.
 func (k *clientLink) proceed() {
 	for !k.last && !k.closed && len(k.turns) < mostTurns && len(k.out) <= maxUnread && len(k.in) > 0 && k.introduce() {
-		m := &k.loop.message
-		n, err := m.ParseRequest(k.in)
+		m := &k.loop.request
+		n, err := m.Parse(k.in)
 		var bad *http1.ParseError
 		if errors.As(err, &bad) {
 			k.refuse(bad.StatusCode, bad.Reason+"\n")
@@ -504,7 +504,7 @@
 				k.tooMuch()
 			} else if k.home.held > k.home.budget && len(k.in) > kept {
 				k.refuse(503, "no memory for a large request now\n")
-			} else if m.Expect && !k.continued && len(k.turns) == 0 {
+			} else if m.ExpectContinue && !k.continued && len(k.turns) == 0 {
 				k.continued = true
 				_ = k.send([]byte(http1.ContinueResponse))
 			}
@@ -686,7 +686,7 @@
 // reply answers at once.
 func (t *turn) reply(status int, body string) { t.settle(status, []byte(body), 0) }
 
-func (k *clientLink) request(m *http1.Message, t *turn) {
+func (k *clientLink) request(m *http1.Request, t *turn) {
 	path, _, _ := bytes.Cut(m.Target, []byte("?"))
 	switch string(path) {
 	case pathUp:
@@ -729,7 +729,7 @@
 }
 
 // ask takes in a query.
-func (k *clientLink) ask(m *http1.Message, path []byte, t *turn) {
+func (k *clientLink) ask(m *http1.Request, path []byte, t *turn) {
 	first, rest, _ := bytes.Cut(bytes.TrimPrefix(path, []byte("/")), []byte("/"))
 	name := m.Get("X-Call-Class")
 	class, known := k.home.classes[string(name)]
@@ -782,7 +782,7 @@
 	"X-Call-Info", "X-Again", "Host"}
 
 // read makes a query of a request. fault names what is wrong with it.
-func (c *clientLinks) read(m *http1.Message, class int, rest []byte) (in requests.Arrival, fault string) {
+func (c *clientLinks) read(m *http1.Request, class int, rest []byte) (in requests.Arrival, fault string) {
 	for _, name := range once {
 		if m.Count(name) > 1 {
 			return in, name + ": given more than once"
--- a/internal/link/clients_test.go
+++ b/internal/link/clients_test.go
@@ -132,11 +132,11 @@
 			p.got = p.got[len(http1.ContinueResponse):]
 			continue
 		}
-		var m http1.Message
-		n, err := m.ParseResponse(p.got, p.ended)
+		var m http1.Response
+		n, err := m.Parse(p.got, p.ended)
 		w.Check(err == nil && len(due) > 0, "answer %q (%v), expected %v", p.got, err, due)
-		w.Check(m.Status == due[0].status, "status %d, expected %d", m.Status, due[0].status)
-		w.Check(m.Status != 503 || string(m.Get("Retry-After")) == "1.000", "no Retry-After")
+		w.Check(m.StatusCode == due[0].status, "status %d, expected %d", m.StatusCode, due[0].status)
+		w.Check(m.StatusCode != 503 || string(m.Get("Retry-After")) == "1.000", "no Retry-After")
 		due, p.got = due[1:], p.got[n:]
 	}
 	w.Check(p.closed || len(due) == 0 || due[0].status == 0, "no answer yet, expected %v", due)
@@ -337,9 +337,9 @@
 	}
 	answered := func(p *peer, status int, closes bool) {
 		t.Helper()
-		var m http1.Message
+		var m http1.Response
 		p.read(1 << 10)
-		if _, err := m.ParseResponse(p.got, true); err != nil || m.Status != status || m.KeepAlive == closes {
+		if _, err := m.Parse(p.got, true); err != nil || m.StatusCode != status || m.KeepAlive == closes {
 			t.Errorf("answered %q (%v)", p.got, err)
 		}
 		p.got = nil
--- a/internal/link/closing_test.go
+++ b/internal/link/closing_test.go
@@ -110,8 +110,8 @@
 			if err := w.readsToTheEnd(p); err != nil {
 				t.Errorf("after %d bytes: %v", len(p.got), err)
 			}
-			var m http1.Message
-			if _, err := m.ParseResponse(p.got, true); err != nil || m.Status != 200 || len(m.Body) != size {
+			var m http1.Response
+			if _, err := m.Parse(p.got, true); err != nil || m.StatusCode != 200 || len(m.Body) != size {
 				t.Errorf("of the answer %d bytes came (%v)", len(p.got), err)
 			}
 			for _, e := range w.module.Heard {
--- a/internal/link/discovery_watch.go
+++ b/internal/link/discovery_watch.go
@@ -207,8 +207,8 @@
 
 // readResponseHeader takes one response header, be it an interim one; complete is false if it is not all there yet.
 func (w *watchConnection) readResponseHeader() (complete bool, err error) {
-	message := &w.loop.message
-	size, err := message.ParseResponseHeader(w.in)
+	response := &w.loop.response
+	size, err := response.ParseHeader(w.in)
 	if errors.Is(err, http1.ErrIncomplete) {
 		return false, nil
 	}
@@ -216,11 +216,11 @@
 		return false, err
 	}
 	w.took(size)
-	if message.Status < 200 {
+	if response.IsInterim() {
 		return true, nil
 	}
-	if message.Status != 200 || !message.Chunked {
-		return false, fmt.Errorf("%w: status %d, chunked %v", errWatchRejected, message.Status, message.Chunked)
+	if response.StatusCode != 200 || !response.IsChunked() {
+		return false, fmt.Errorf("%w: status %d, chunked %v", errWatchRejected, response.StatusCode, response.IsChunked())
 	}
 	w.streaming = true
 	return true, nil
@@ -242,7 +242,7 @@
 		}
 	}
 	w.took(taken)
-	if w.body.Done {
+	if w.body.IsDone() {
 		return errWatchClosed
 	}
 	return nil
--- a/internal/link/hotrestart_fuzz_test.go
+++ b/internal/link/hotrestart_fuzz_test.go
@@ -180,8 +180,8 @@
 	last := len(m.workers) - 1
 	for i, connection := range m.workers {
 		connection.read(readSize)
-		var message http1.Message
-		size, err := message.ParseRequest(connection.got)
+		var message http1.Request
+		size, err := message.Parse(connection.got)
 		if err != nil {
 			continue
 		}
--- a/internal/link/leaving_test.go
+++ b/internal/link/leaving_test.go
@@ -220,8 +220,8 @@
 				w.loop.Ledger.Wake()
 				w.settles()
 				far.read(1 << 20)
-				var m http1.Message
-				_, err := m.ParseRequest(far.got)
+				var m http1.Request
+				_, err := m.Parse(far.got)
 				if whole := err == nil; whole != (stage == "accepted") || len(w.dialed) != 1 || stage == "connecting" && len(far.got) > 0 {
 					t.Errorf("%d bytes came, whole %v, and %d links were opened", len(far.got), whole, len(w.dialed))
 				}
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -47,7 +47,8 @@
 	timers          due.Queue[*timer]
 	scratch         []byte
 	writing         []byte
-	message         http1.Message
+	request         http1.Request
+	response        http1.Response
 	Ledger          *requests.Table
 	log             *slog.Logger
 	linkLog         *slog.Logger // on client links, whose lines must not crowd out the others
--- a/internal/link/operators.go
+++ b/internal/link/operators.go
@@ -107,15 +107,15 @@
 		return
 	}
 	if !k.asked && len(k.in) > 0 {
-		m := &k.loop.message
-		_, err := m.ParseRequest(k.in)
+		m := &k.loop.request
+		_, err := m.Parse(k.in)
 		var bad *http1.ParseError
 		switch {
 		case errors.As(err, &bad):
 			k.answer(bad.StatusCode, "", []byte(bad.Reason+"\n"))
 		case err == nil:
 			k.call(string(m.Method), string(m.Target))
-		case m.Expect && !ended && !k.continued:
+		case m.ExpectContinue && !ended && !k.continued:
 			k.continued = true
 			_ = k.send([]byte(http1.ContinueResponse))
 		}
--- a/internal/link/servers.go
+++ b/internal/link/servers.go
@@ -401,12 +401,12 @@
 		k.end(err)
 		return
 	}
-	m := &k.loop.message
-	n, err := m.ParseResponse(k.in, ended)
+	m := &k.loop.response
+	n, err := m.Parse(k.in, ended)
 	switch {
 	case err == nil:
 		keep := m.KeepAlive && !ended && n == len(k.in) && len(k.out) == 0
-		if k.stray(m.Status) {
+		if k.stray(m.StatusCode) {
 			k.end(errStray)
 			return
 		}
@@ -446,18 +446,18 @@
 }
 
 // answered settles the errand by the answer's status.
-func (k *serverLink) answered(m *http1.Message) {
-	fault := &requests.AttemptError{Stage: k.stage, Reason: requests.ReasonWorkerError, Cause: fmt.Errorf("status %d", m.Status)}
-	switch refused := m.Status == 503 || m.Status == 504; {
-	case m.Status/100 == 2:
+func (k *serverLink) answered(m *http1.Response) {
+	fault := &requests.AttemptError{Stage: k.stage, Reason: requests.ReasonWorkerError, Cause: fmt.Errorf("status %d", m.StatusCode)}
+	switch refused := m.StatusCode == 503 || m.StatusCode == 504; {
+	case m.StatusCode/100 == 2:
 		fault = nil
 	case refused && (k.errand.kind == probing || string(m.Get("X-Rejected")) == "1"):
 		fault.Reason = requests.ReasonRejected
-	case m.Status/100 == 4 && k.errand.kind == carrying:
+	case m.StatusCode/100 == 4 && k.errand.kind == carrying:
 		fault.Reason = requests.ReasonInvalidRequest
 	}
 	if k.errand.kind == carrying {
-		k.loop.Ledger.ReportResponse(k.errand.attempt, m.Status)
+		k.loop.Ledger.ReportResponse(k.errand.attempt, m.StatusCode)
 		if k.stage < requests.StageWritten && (fault == nil || fault.Reason == requests.ReasonWorkerError) {
 			// It never has all of it, as the link ends with this answer. So it can't run, whatever the answer says.
 			fault = &requests.AttemptError{Stage: k.stage, Reason: requests.ReasonConnectionLost, Cause: errEarly}
--- a/internal/link/servers_test.go
+++ b/internal/link/servers_test.go
@@ -113,8 +113,8 @@
 func (w *world) workerActs(p *peer, attempts map[string]*tried) {
 	p.read([]int{50, 4000, 1 << 20}[w.Pick(3)])
 	p.deleted(attempts)
-	var m http1.Message
-	n, err := m.ParseRequest(p.got)
+	var m http1.Request
+	n, err := m.Parse(p.got)
 	var t *tried
 	if err == nil {
 		w.Check(n == len(p.got), "a second request on a link before the first was answered")
@@ -138,7 +138,7 @@
 	case act == 4:
 		if p.read(1 << 20); t == nil && len(p.got) > 0 { // what has come has come, read or not
 			p.deleted(attempts)
-			if _, err := m.ParseRequest(p.got); err == nil && attempts[string(m.Get("X-Call-Id"))] != nil {
+			if _, err := m.Parse(p.got); err == nil && attempts[string(m.Get("X-Call-Id"))] != nil {
 				attempts[string(m.Get("X-Call-Id"))].whole = true
 			}
 		}
@@ -317,7 +317,7 @@
 			if known, err := w.loop.Ledger.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "returned"}); !known || err != nil {
 				t.Fatalf("the note is known %v, %v", known, err)
 			}
-			p, m := w.dialed[0], http1.Message{}
+			p, m := w.dialed[0], http1.Request{}
 			for !p.ended && len(p.got) < 2*http1.MaxBodySize {
 				before := len(p.got)
 				w.turn()
@@ -325,7 +325,7 @@
 					break
 				}
 			}
-			if _, err := m.ParseRequest(p.got); err == nil || !p.ended {
+			if _, err := m.Parse(p.got); err == nil || !p.ended {
 				t.Errorf("%d bytes came, whole %v, and the link is closed %v", len(p.got), err == nil, p.ended)
 			}
 			if len(w.loop.servers.carried) != 0 || w.loop.servers.open != 0 {
@@ -373,12 +373,12 @@
 				}
 				end(w, q)
 				for i, p := range w.dialed {
-					m := http1.Message{}
+					m := http1.Request{}
 					for range 64 {
 						w.turn()
 						p.read(1 << 20)
 					}
-					if _, err := m.ParseRequest(p.got); err == nil || !p.ended {
+					if _, err := m.Parse(p.got); err == nil || !p.ended {
 						t.Errorf("link %d: %d bytes came, whole %v, and it is closed %v", i, len(p.got), err == nil, p.ended)
 					}
 				}
--- a/internal/link/settings_test.go
+++ b/internal/link/settings_test.go
@@ -332,8 +332,8 @@
 // takeIn takes one whole request, if there is one, either of a job or any other.
 func (d *deployment) takeIn(p *peer, begins bool) bool {
 	f := d.known[p]
-	var m http1.Message
-	n, err := m.ParseRequest(p.got)
+	var m http1.Request
+	n, err := m.Parse(p.got)
 	if err != nil || f.filler > 0 || (string(m.Method) == "POST") != begins {
 		if err != http1.ErrIncomplete && err != nil {
 			d.T.Fatalf("%v in %.100q", err, p.got)
@@ -370,7 +370,7 @@
 }
 
 // begin judges an attempt whose last byte has come, and settles what becomes of it.
-func (d *deployment) begin(p *peer, f *far, m *http1.Message) {
+func (d *deployment) begin(p *peer, f *far, m *http1.Request) {
 	q := d.asked[string(m.Get("X-Call-Id"))]
 	if q == nil {
 		d.T.Fatalf("an attempt of a query that nobody sent: %q", m.Get("X-Call-Id"))
@@ -549,19 +549,19 @@
 	p := c.peer
 	p.read(16 << 10)
 	for len(p.got) > 0 {
-		var m http1.Message
-		n, err := m.ParseResponse(p.got, p.ended)
+		var m http1.Response
+		n, err := m.Parse(p.got, p.ended)
 		if err != nil {
 			break
 		}
-		if m.Status >= 200 {
-			d.Check(c.asks != nil, "an answer that nobody waits for: %d", m.Status)
+		if m.StatusCode >= 200 {
+			d.Check(c.asks != nil, "an answer that nobody waits for: %d", m.StatusCode)
 			q := c.asks
 			q.answers++
 			c.asks = nil
 			d.Check(d.now <= q.deadline+50*time.Millisecond, "%s was answered %v late", q.id, d.now-q.deadline)
-			d.Check(m.Status == 200 || m.Status == 500 || m.Status == 503, "%s was answered %d", q.id, m.Status)
-			d.Check(m.Status != 200 || slices.Contains(q.results, string(m.Body)), "%s was served with %q, of %q", q.id, m.Body, q.results)
+			d.Check(m.StatusCode == 200 || m.StatusCode == 500 || m.StatusCode == 503, "%s was answered %d", q.id, m.StatusCode)
+			d.Check(m.StatusCode != 200 || slices.Contains(q.results, string(m.Body)), "%s was served with %q, of %q", q.id, m.Body, q.results)
 		}
 		p.got = bytes.Clone(p.got[n:])
 	}
--- a/internal/link/status.go
+++ b/internal/link/status.go
@@ -72,8 +72,8 @@
 		return
 	}
 	for !k.last && len(k.in) > 0 && len(k.out) == 0 {
-		m := &k.loop.message
-		n, err := m.ParseRequest(k.in)
+		m := &k.loop.request
+		n, err := m.Parse(k.in)
 		var bad *http1.ParseError
 		if errors.As(err, &bad) {
 			k.answer(bad.StatusCode, "", []byte(bad.Reason+"\n"), false)
@@ -99,7 +99,7 @@
 	k.home.links.MoveToBack(k.place)
 }
 
-func (k *statusLink) request(m *http1.Message) {
+func (k *statusLink) request(m *http1.Request) {
 	id, ok := bytes.CutPrefix(m.Target, []byte(status.Path))
 	switch {
 	case !ok || len(id) == 0:
--- a/internal/link/tcp_test.go
+++ b/internal/link/tcp_test.go
@@ -98,12 +98,12 @@
 			b = rest
 			continue
 		}
-		var m http1.Message
-		n, err := m.ParseResponse(b, p.ended)
+		var m http1.Response
+		n, err := m.Parse(b, p.ended)
 		if err != nil {
 			t.Fatalf("%q: %v", b, err)
 		}
-		statuses, b = append(statuses, m.Status), b[n:]
+		statuses, b = append(statuses, m.StatusCode), b[n:]
 	}
 	return statuses
 }
