--- a/internal/control/forwarder/alone.go
+++ b/internal/control/forwarder/alone.go
@@ -1,7 +1,6 @@
 package forwarder
 
 import (
-	"fmt"
 	"maps"
 	"runtime/debug"
 	"slices"
@@ -124,7 +123,7 @@
 	for f.returning.Len() > 0 {
 		f.dequeue(f.returning.First().request)
 	}
-	f.logLine(fmt.Sprintf("alone: no planner is there, %d queries wait", f.waiting.Len()+f.poisonSuspects.Len()))
+	f.log("standalone mode entered", "waiting", f.waiting.Len()+f.poisonSuspects.Len())
 	f.startLocalPolicy()
 }
 
@@ -153,8 +152,7 @@
 			f.enqueueIn(q, &f.returning)
 		}
 	}
-	f.logLine(fmt.Sprintf("planners are there again: %d queries go back, %d stay until their attempts have ended",
-		f.returning.Len(), stay))
+	f.log("standalone mode left", "returning", f.returning.Len(), "staying", stay)
 }
 
 // assignLocally gives a query to the own module. fresh: it has just come.
@@ -236,8 +234,8 @@
 	defer func() {
 		if p := recover(); p != nil {
 			stack, _, _ := strings.Cut(string(debug.Stack()), "created by")
-			f.logLine(fmt.Sprintf("own module panic, it is started anew: %v; %s", p,
-				strings.Join(strings.Fields(stack[:min(len(stack), maxLoggedStack)]), " ")))
+			f.log("local policy panicked and is replaced", "panic", p,
+				"stack", strings.Join(strings.Fields(stack[:min(len(stack), maxLoggedStack)]), " "))
 			f.restartLocalPolicy()
 		}
 	}()
--- a/internal/control/forwarder/figures.go
+++ b/internal/control/forwarder/figures.go
@@ -5,7 +5,6 @@
 	"strings"
 	"time"
 
-	"valvecove/dispatch"
 	"valvecove/internal/control/message"
 )
 
@@ -70,8 +69,6 @@
 	nextLogAt time.Duration
 }
 
-func (f *Forwarder) logLine(text string) { f.emit(dispatch.Log{Text: text}) }
-
 // logRejections tells of refused orders, once in a while.
 func (f *Forwarder) logRejections() {
 	if f.now < f.nextLogAt {
@@ -88,7 +85,8 @@
 				parts = append(parts, fmt.Sprintf("%s %d", why, n))
 			}
 		}
-		f.logLine(fmt.Sprintf("planner %s: %d orders were not followed: %s", p.name, p.rejectedTotal, strings.Join(parts, ", ")))
+		f.log("commands of a planner rejected", "planner", p.name, "commands", p.rejectedTotal,
+			"by_reason", strings.Join(parts, ", "))
 		p.rejectedTotal, p.rejected = 0, [message.ReasonCount]int{}
 	}
 }
--- /dev/null
+++ b/internal/control/forwarder/log.go
@@ -0,0 +1,30 @@
+package forwarder
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"valvecove/dispatch"
+)
+
+// log writes a line for the operators: a constant message, and attributes as alternating keys and values.
+func (f *Forwarder) log(text string, attributes ...any) {
+	line := &strings.Builder{}
+	line.WriteString(text)
+	separator := ": "
+	for i := 0; i+1 < len(attributes); i += 2 {
+		fmt.Fprintf(line, "%s%v=%s", separator, attributes[i], attributeValue(attributes[i+1]))
+		separator = " "
+	}
+	f.emit(dispatch.Log{Text: line.String()})
+}
+
+// attributeValue returns the text of a value, quoted if it is not one word.
+func attributeValue(value any) string {
+	text := fmt.Sprint(value)
+	if text == "" || strings.ContainsAny(text, " \t\n\"=") {
+		return strconv.Quote(text)
+	}
+	return text
+}
--- a/internal/control/forwarder/planner.go
+++ b/internal/control/forwarder/planner.go
@@ -129,8 +129,9 @@
 		return
 	}
 	if m.Version>>8 != f.config.Version>>8 {
-		f.logLine(fmt.Sprintf("planner %s is not used: it speaks version %d.%d, this is %d.%d", p.name,
-			m.Version>>8, m.Version&0xff, f.config.Version>>8, f.config.Version&0xff))
+		f.log("planner of another protocol version is not used", "planner", p.name,
+			"planner_version", fmt.Sprintf("%d.%d", m.Version>>8, m.Version&0xff),
+			"own_version", fmt.Sprintf("%d.%d", f.config.Version>>8, f.config.Version&0xff))
 		return
 	}
 	p.accepted, p.credit = true, max(0, m.Credit)
@@ -138,7 +139,7 @@
 	f.hadPlanner, f.orderStale = true, true
 	f.selector.SessionChanged(f.now, p.name, true)
 	f.sendUnavailable(p)
-	f.logLine(fmt.Sprintf("planner %s takes queries: session %d, credit %d", p.name, p.epoch, p.credit))
+	f.log("planner accepts requests", "planner", p.name, "session", p.epoch, "credit", p.credit)
 }
 
 // loseSession ends a session. All that it had is offered elsewhere in this step. What it had not read of when it ended may
@@ -172,8 +173,7 @@
 		if !p.leaving {
 			f.selector.SessionChanged(f.now, p.name, false)
 		}
-		f.logLine(fmt.Sprintf("planner %s is lost: %d queries go elsewhere, %d of them with attempts out", p.name, had,
-			out))
+		f.log("planner session lost", "planner", p.name, "requests", had, "with_attempts", out)
 	}
 }
 
@@ -186,9 +186,8 @@
 		return
 	}
 	f.stats.Poison++
-	f.logLine(fmt.Sprintf("query %d of class %d is given up: it has ended %d planners' sessions or modules", q.job.ID,
-		q.job.Class,
-		q.failures))
+	f.log("request given up as sessions or policies fail on it", "request", q.job.ID, "class", q.job.Class,
+		"failures", q.failures)
 	f.giveUp(q)
 }
 
@@ -207,7 +206,7 @@
 	}
 	p.leaving, f.orderStale = true, true
 	f.selector.SessionChanged(f.now, p.name, false)
-	f.logLine(fmt.Sprintf("planner %s stops: %d queries go elsewhere", p.name, len(p.requests)))
+	f.log("planner shuts down", "planner", p.name, "requests", len(p.requests))
 	for len(p.requests) > 0 {
 		q := p.requests[len(p.requests)-1]
 		f.unassign(q)
--- a/internal/control/forwarder/play_test.go
+++ b/internal/control/forwarder/play_test.go
@@ -232,7 +232,7 @@
 // sessions puts names in place of epochs.
 func (s *stage) sessions(text string) string {
 	for i, e := range s.epochs {
-		text = strings.ReplaceAll(text, fmt.Sprintf("session %d,", e), fmt.Sprintf("session s%d,", i+1))
+		text = strings.ReplaceAll(text, fmt.Sprintf("session=%d ", e), fmt.Sprintf("session=s%d ", i+1))
 	}
 	return text
 }
