--- a/internal/control/forwarder/bench_test.go
+++ b/internal/control/forwarder/bench_test.go
@@ -20,9 +20,9 @@
 	for id := range uint64(1000) {
 		list.Workers = append(list.Workers, dispatch.Worker{ID: id + 1, Ready: true})
 	}
-	f.SetPlanners(1, planners)
+	f.SetPlanners(planners)
 	for _, p := range planners {
-		f.SessionChanged(1, p, true)
+		f.SessionChanged(p, true)
 	}
 	dst = f.Step(1, []dispatch.Event{list}, nil)
 	for _, e := range f.Outbox() {
@@ -131,12 +131,12 @@
 					step()
 				}
 				b.StartTimer()
-				f.SessionChanged(now, lost, false)
+				f.SessionChanged(lost, false)
 				if n := step(); n != open {
 					b.Fatalf("%d offered", n)
 				}
 				b.StopTimer()
-				f.SessionChanged(now, lost, true)
+				f.SessionChanged(lost, true)
 				lost, other = other, lost
 				b.StartTimer()
 			}
--- a/internal/control/forwarder/joined_test.go
+++ b/internal/control/forwarder/joined_test.go
@@ -83,9 +83,9 @@
 	for _, a := range c.members.Step(c.w.now, events, nil) {
 		switch a := a.(type) {
 		case membership.SetPlanners:
-			c.w.f.SetPlanners(c.w.now, a.Names)
+			c.w.f.SetPlanners(a.Names)
 		case membership.SetForwarderIndex:
-			c.w.f.SetSchedulers(a.Index, a.Count)
+			c.w.f.SetForwarderIndex(a.Index, a.Count)
 		}
 	}
 }
--- a/internal/control/forwarder/model_test.go
+++ b/internal/control/forwarder/model_test.go
@@ -122,7 +122,7 @@
 	for _, p := range w.plans {
 		names = append(names, p.name)
 	}
-	w.f.SetPlanners(w.now, names)
+	w.f.SetPlanners(names)
 	w.arrivals()
 	if !w.calm {
 		w.changes()
@@ -149,7 +149,7 @@
 func (p *seat) connect() {
 	p.conn++
 	p.up, p.ends, p.inbox = true, map[uint64]map[int]bool{}, nil
-	p.w.f.SessionChanged(p.w.now, p.name, true)
+	p.w.f.SessionChanged(p.name, true)
 }
 
 func (p *seat) down() {
@@ -159,7 +159,7 @@
 	p.up, p.welcomed, p.greeted = false, false, 0
 	p.conn++
 	p.w.ends(p)
-	p.w.f.SessionChanged(p.w.now, p.name, false)
+	p.w.f.SessionChanged(p.name, false)
 }
 
 const way = 500 * time.Microsecond
@@ -569,15 +569,15 @@
 	}
 	x := w.f.Stats()
 	if w.l.OpenCount() != 0 || x.Open+x.Waiting+x.Local != 0 || w.f.validator.RequestCount() != 0 ||
-		w.f.deadlines.Len()+w.f.returning.Len() != 0 {
+		w.f.checks.Len()+w.f.returning.Len() != 0 {
 		w.fault("something is left: %+v, %d in the ledger, %d with the guard", x, w.l.OpenCount(), w.f.validator.RequestCount())
 	}
-	for _, p := range w.f.planners {
-		if len(p.requests) > 0 || p.poisonSuspect != nil {
-			w.fault("%s has %d queries still", p.name, len(p.requests))
+	for _, p := range w.f.sessions {
+		if len(p.requests) > 0 || p.poisonCandidate != nil {
+			w.fault("%s has %d queries still", p.planner, len(p.requests))
 		}
 	}
-	if w.f.localPolicy != nil && !w.f.standaloneMode {
+	if w.f.local.policy != nil && w.f.mode != modeStandalone {
 		w.fault("the own module is kept with nothing in hand")
 	}
 	for why := range message.ReasonCount {
--- a/internal/control/forwarder/play_test.go
+++ b/internal/control/forwarder/play_test.go
@@ -225,7 +225,7 @@
 	}
 	r.tell = s.told
 	s.r.begin(requests.EndpointList{})
-	r.f.SetPlanners(r.now, s.known)
+	r.f.SetPlanners(s.known)
 	r.settle()
 }
 
@@ -313,7 +313,7 @@
 }
 
 func (s *stage) line(what string, f []string) {
-	r, now := s.r, s.r.now
+	r := s.r
 	switch what {
 	case "wait", "late":
 	case "list":
@@ -321,14 +321,14 @@
 	case "lost":
 		r.l.DiscoveryFailed()
 	case "planners":
-		r.f.SetPlanners(now, f)
+		r.f.SetPlanners(f)
 	case "members":
-		r.f.SetSchedulers(s.count(f[0]), s.count(f[1]))
+		r.f.SetForwarderIndex(s.count(f[0]), s.count(f[1]))
 	case "up":
 		s.actors[f[0]] = &actor{}
-		r.f.SessionChanged(now, f[0], true)
+		r.f.SessionChanged(f[0], true)
 	case "down":
-		r.f.SessionChanged(now, f[0], false)
+		r.f.SessionChanged(f[0], false)
 	case "ask":
 		s.queries[f[0]] = r.take(f[0], dispatch.Job{Class: s.count(f[1]), Remaining: s.span(f[2]), Slots: 1})
 	case "gone":
--- a/internal/lab/virtual/forwarder.go
+++ b/internal/lab/virtual/forwarder.go
@@ -85,10 +85,10 @@
 		f.seed++
 		return aperture.New(dispatch.New(set, f.seed), set, alone)
 	})
-	f.follow.SetPlanners(f.p.now, f.names)
+	f.follow.SetPlanners(f.names)
 	for _, k := range f.links {
 		if k.up {
-			f.follow.SessionChanged(f.p.now, k.name, true)
+			f.follow.SessionChanged(k.name, true)
 		}
 	}
 	return f
@@ -159,7 +159,7 @@
 	case wireUp:
 		k.up, k.backoff = true, 0
 		k.in, k.out = codec.NewReader(0), codec.Writer{}
-		f.follow.SessionChanged(f.p.now, k.name, true)
+		f.follow.SessionChanged(k.name, true)
 	case wireNone, wireLost:
 		f.lost(k)
 	case wireData:
@@ -184,7 +184,7 @@
 	was := k.up
 	k.wire, k.up = nil, false
 	if was {
-		f.follow.SessionChanged(f.p.now, k.name, false)
+		f.follow.SessionChanged(k.name, false)
 	}
 	if k.wanted && !k.waits {
 		k.backoff = min(max(2*k.backoff, redialFirst), redialMost)
@@ -205,7 +205,7 @@
 	f.carryOut(f.members.Step(f.p.now, f.events, f.actions[:0]))
 	clear(f.events)
 	f.events = f.events[:0]
-	f.follow.SetPlanners(f.p.now, f.names) // the order of planners may be another one now
+	f.follow.SetPlanners(f.names) // the order of planners may be another one now
 }
 
 func (f *forwarderProcess) carryOut(actions []membership.Action) {
@@ -213,12 +213,12 @@
 		switch a := a.(type) {
 		case membership.SetPlanners:
 			f.names = a.Names
-			f.follow.SetPlanners(f.p.now, a.Names)
+			f.follow.SetPlanners(a.Names)
 			for _, k := range f.links {
 				f.want(k, a.Names)
 			}
 		case membership.SetForwarderIndex:
-			f.follow.SetSchedulers(a.Index, a.Count)
+			f.follow.SetForwarderIndex(a.Index, a.Count)
 		case membership.Announce:
 			f.t.gossip.say(f.seat, a.Member)
 		case membership.LogLine:
