--- a/internal/control/forwarder/bench_test.go
+++ b/internal/control/forwarder/bench_test.go
@@ -10,12 +10,12 @@
 	"valvecove/internal/control/message"
 )
 
-// wired is a follower with planners that have taken it in, without a ledger.
-func wired(tb testing.TB, planners ...string) (f *Forwarder, dst []dispatch.Action) {
+// newConnected is a follower with planners that have taken it in, without a ledger.
+func newConnected(tb testing.TB, planners ...string) (f *Forwarder, dst []dispatch.Action) {
 	tb.Helper()
 	set := dispatch.Settings{AttemptLimit: 4, Hedging: true, Classes: []dispatch.Class{{LatencyObjective: time.Second,
 		Idempotency: dispatch.Idempotent}}}
-	f = New(set, Config{Name: "f", Incarnation: 1, MaxWaiting: 1 << 20}, &inOrder{best: planners}, nil)
+	f = New(set, Config{Name: "f", Incarnation: 1, MaxWaiting: 1 << 20}, &fixedOrder{planners: planners}, nil)
 	list := dispatch.WorkerList{Kind: dispatch.ListFull}
 	for id := range uint64(1000) {
 		list.Workers = append(list.Workers, dispatch.Worker{ID: id + 1, Ready: true})
@@ -39,8 +39,8 @@
 }
 
 // One query, offered, ordered to be sent, and served: three steps with one thing each, which is the most that it takes.
-func BenchmarkQuery(b *testing.B) {
-	f, dst := wired(b, "p1", "p2")
+func BenchmarkRequest(b *testing.B) {
+	f, dst := newConnected(b, "p1", "p2")
 	now, id := time.Duration(3), uint64(0)
 	events := make([]dispatch.Event, 1)
 	b.ReportAllocs()
@@ -66,9 +66,9 @@
 }
 
 // The same, 50 of each in a step, as under load.
-func BenchmarkQueries(b *testing.B) {
+func BenchmarkRequestBatch(b *testing.B) {
 	const lot = 50
-	f, dst := wired(b, "p1", "p2")
+	f, dst := newConnected(b, "p1", "p2")
 	now, id := time.Duration(3), uint64(0)
 	var events, ends []dispatch.Event
 	orders := make([]message.SendCommand, lot)
@@ -100,10 +100,10 @@
 }
 
 // A planner is lost with so many queries open: how long until all are offered to the next.
-func BenchmarkFailOver(b *testing.B) {
+func BenchmarkFailover(b *testing.B) {
 	for _, open := range []int{300, 3000} {
 		b.Run(fmt.Sprint(open), func(b *testing.B) {
-			f, dst := wired(b, "p1", "p2")
+			f, dst := newConnected(b, "p1", "p2")
 			var events []dispatch.Event
 			for id := range uint64(open) {
 				events = append(events, dispatch.Job{ID: id + 1, Remaining: 1 << 62, Slots: 1})
@@ -145,9 +145,9 @@
 }
 
 // What a forwarder holds for one open query.
-func TestMemoryByQuery(t *testing.T) {
+func TestMemoryPerRequest(t *testing.T) {
 	const n = 20000
-	f, dst := wired(t, "p1")
+	f, dst := newConnected(t, "p1")
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/internal/control/forwarder/random_test.go
+++ b/internal/control/forwarder/random_test.go
@@ -10,51 +10,51 @@
 	"time"
 )
 
-// playRandom plays a forwarder with planners of given tempers, and fails on the first broken rule.
-func playRandom(t *testing.T, seed uint64, tempers []temper, stats map[string]int) {
+// runRandom plays a forwarder with planners of given tempers, and fails on the first broken rule.
+func runRandom(t *testing.T, seed uint64, tempers []behavior, stats map[string]int) {
 	t.Helper()
-	chooser := &inOrder{}
-	w := newWorld(t, seed, chooser)
+	chooser := &fixedOrder{}
+	w := newEnvironment(t, seed, chooser)
 	for i, how := range tempers {
-		p := &scripted{seat: seat{w: w, name: "p" + strconv.Itoa(i)}, temper: how, heads: map[uint64]*scriptedHead{}}
-		p.seat.read = p.reads
-		w.plans = append(w.plans, &p.seat)
-		chooser.best = append(chooser.best, p.name)
-		w.after(w.ms(0, 40), p.connect)
-		p.live()
+		p := &scriptedPlanner{connection: connection{environment: w, name: "p" + strconv.Itoa(i)}, behavior: how, requests: map[uint64]*scriptedRequest{}}
+		p.connection.onMessage = p.handleMessage
+		w.connections = append(w.connections, &p.connection)
+		chooser.planners = append(chooser.planners, p.name)
+		w.after(w.randomDuration(0, 40), p.connect)
+		p.scheduleFault()
 	}
-	w.open()
+	w.begin()
 	defer func() {
 		if p := recover(); p != nil {
 			t.Fatalf("seed %d: panic: %v\n%s", seed, p, debug.Stack())
 		}
 	}()
-	w.play(4 * time.Second)
-	if len(w.faults) > 0 {
-		t.Fatalf("seed %d: %d faults, the first: %s", seed, len(w.faults), w.faults[0])
+	w.run(4 * time.Second)
+	if len(w.violations) > 0 {
+		t.Fatalf("seed %d: %d faults, the first: %s", seed, len(w.violations), w.violations[0])
 	}
 	for what, n := range w.stats {
 		stats[what] += n
 	}
 }
 
-var tempers = []temper{{}, {stale: true}, {forgets: true}, {wrong: 30, stale: true},
-	{wrong: 5, liar: true, stale: true}, {wrong: 90, liar: true, forgets: true}}
+var behaviors = []behavior{{}, {sendsStale: true}, {losesOffers: true}, {errorPercent: 30, sendsStale: true},
+	{errorPercent: 5, sendsFalseStatuses: true, sendsStale: true}, {errorPercent: 90, sendsFalseStatuses: true, losesOffers: true}}
 
 var (
-	plays = flag.Uint64("plays", 60, "random plays")
-	from  = flag.Uint64("from", 0, "the seed of the first")
+	runs      = flag.Uint64("plays", 60, "random plays")
+	firstSeed = flag.Uint64("from", 0, "the seed of the first")
 )
 
 // Whatever planners do, no rule is broken, each query has one answer in time, and nothing is left in the end.
-func TestRandomPlays(t *testing.T) {
+func TestRandomPlanners(t *testing.T) {
 	stats := map[string]int{}
-	for seed := *from; seed < *from+*plays; seed++ {
-		var those []temper
+	for seed := *firstSeed; seed < *firstSeed+*runs; seed++ {
+		var those []behavior
 		for i := range seed % 4 {
-			those = append(those, tempers[(seed/4+i*seed/24)%uint64(len(tempers))])
+			those = append(those, behaviors[(seed/4+i*seed/24)%uint64(len(behaviors))])
 		}
-		playRandom(t, seed, those, stats)
+		runRandom(t, seed, those, stats)
 	}
 	for _, what := range slices.Sorted(maps.Keys(stats)) {
 		t.Logf("%s %d", what, stats[what])
