--- a/internal/control/forwarder/log.go
+++ b/internal/control/forwarder/log.go
@@ -15,6 +15,11 @@
 
 // log writes a line for the operators: a constant message, and attributes as alternating keys and values.
 func (f *Forwarder) log(text string, attributes ...any) {
+	f.emit(dispatch.Log{Text: logLine(text, attributes)})
+}
+
+// logLine returns "text: key=value key=value".
+func logLine(text string, attributes []any) string {
 	line := &strings.Builder{}
 	line.WriteString(text)
 	separator := ": "
@@ -22,7 +27,7 @@
 		fmt.Fprintf(line, "%s%v=%s", separator, attributes[i], attributeValue(attributes[i+1]))
 		separator = " "
 	}
-	f.emit(dispatch.Log{Text: line.String()})
+	return line.String()
 }
 
 // attributeValue returns the text of a value, quoted if it is not one word.
