--- a/internal/control/forwarder/bench_test.go
+++ b/internal/control/forwarder/bench_test.go
@@ -10,158 +10,176 @@
 	"valvecove/internal/control/message"
 )
 
-// newConnected is a follower with planners that have taken it in, without a ledger.
-func newConnected(tb testing.TB, planners ...string) (f *Forwarder, dst []dispatch.Action) {
+const (
+	benchWorkers = 1000
+	benchCredit  = 1 << 20
+)
+
+// benchmark is a forwarder with planners that have accepted their sessions, without a request table.
+type benchmark struct {
+	forwarder *Forwarder
+	now       time.Duration
+	actions   []dispatch.Action // memory of a step's actions
+	lastID    uint64            // of a request
+}
+
+func newBenchmark(tb testing.TB, planners ...string) *benchmark {
 	tb.Helper()
-	set := dispatch.Settings{AttemptLimit: 4, Hedging: true, Classes: []dispatch.Class{{LatencyObjective: time.Second,
-		Idempotency: dispatch.Idempotent}}}
-	f = New(set, Config{Name: "f", Incarnation: 1, MaxWaiting: 1 << 20}, &fixedOrder{planners: planners}, nil)
+	class := dispatch.Class{LatencyObjective: time.Second, Idempotency: dispatch.Idempotent}
+	settings := dispatch.Settings{AttemptLimit: 4, Hedging: true, Classes: []dispatch.Class{class}}
+	config := Config{Name: "f", Incarnation: 1, MaxWaiting: 1 << 20}
+	bench := &benchmark{forwarder: New(settings, config, &fixedOrder{planners: planners}, nil), now: 1}
 	list := dispatch.WorkerList{Kind: dispatch.ListFull}
-	for id := range uint64(1000) {
+	for id := range uint64(benchWorkers) {
 		list.Workers = append(list.Workers, dispatch.Worker{ID: id + 1, Ready: true})
 	}
-	f.SetPlanners(planners)
-	for _, p := range planners {
-		f.SessionChanged(p, true)
-	}
-	dst = f.Step(1, []dispatch.Event{list}, nil)
-	for _, e := range f.Outbox() {
-		f.Receive(2, e.Planner, message.Envelope{Epoch: e.Epoch, Message: &message.HandshakeAccept{Credit: 1 << 20}})
+	bench.forwarder.SetPlanners(planners)
+	for _, planner := range planners {
+		bench.forwarder.SessionChanged(planner, true)
 	}
-	return f, f.Step(2, nil, dst[:0])
+	bench.step(list)
+	bench.now++
+	bench.step()
+	bench.now++
+	return bench
 }
 
-// replyToHeartbeat answers a message that is a heartbeat.
-func replyToHeartbeat(f *Forwarder, now time.Duration, e Outgoing) {
-	if m, ok := e.Message.(*message.Heartbeat); ok {
-		f.Receive(now, e.Planner, message.Envelope{Epoch: e.Epoch, Message: &message.HeartbeatReply{Sequence: m.Sequence}})
+// step steps the forwarder. Planners accept sessions and reply to heartbeats at once. It returns how many requests are
+// offered, and the epoch of the last offer.
+func (m *benchmark) step(events ...dispatch.Event) (offers int, epoch message.Epoch) {
+	m.actions = m.forwarder.Step(m.now, events, m.actions[:0])
+	for _, outgoing := range m.forwarder.Outbox() {
+		switch body := outgoing.Message.(type) {
+		case *message.Handshake:
+			m.receive(outgoing.Planner, outgoing.Epoch, &message.HandshakeAccept{Credit: benchCredit})
+		case *message.Heartbeat:
+			m.receive(outgoing.Planner, outgoing.Epoch, &message.HeartbeatReply{Sequence: body.Sequence})
+		case *message.RequestOffer:
+			offers++
+			epoch = outgoing.Epoch
+		}
 	}
+	return offers, epoch
+}
+
+func (m *benchmark) receive(planner string, epoch message.Epoch, body message.Message) {
+	m.forwarder.Receive(m.now, planner, message.Envelope{Epoch: epoch, Message: body})
+}
+
+// nextJob returns a new request.
+func (m *benchmark) nextJob(remaining time.Duration) dispatch.Job {
+	m.lastID++
+	return dispatch.Job{ID: m.lastID, Remaining: remaining, Slots: 1}
 }
 
-// One query, offered, ordered to be sent, and served: three steps with one thing each, which is the most that it takes.
+func benchWorker(request uint64) uint64 { return 1 + request%benchWorkers }
+
+// One request, offered, sent and served: three steps with one thing each, which is the most that it takes.
 func BenchmarkRequest(b *testing.B) {
-	f, dst := newConnected(b, "p1", "p2")
-	now, id := time.Duration(3), uint64(0)
+	bench := newBenchmark(b, "p1", "p2")
 	events := make([]dispatch.Event, 1)
 	b.ReportAllocs()
 	for b.Loop() {
-		id++
-		now += time.Microsecond
-		events[0] = dispatch.Job{ID: id, Remaining: 10 * time.Second, Slots: 1}
-		dst = f.Step(now, events, dst[:0])
-		order := message.SendCommand{RequestID: id, WorkerID: 1 + id%1000}
-		var epoch message.Epoch
-		for _, e := range f.Outbox() {
-			epoch = e.Epoch
-			replyToHeartbeat(f, now, e)
-		}
-		f.Receive(now, "p1", message.Envelope{Epoch: epoch, Message: &order})
-		dst = f.Step(now, nil, dst[:0])
-		events[0] = dispatch.Outcome{Job: id, Worker: order.WorkerID, Closed: true}
-		dst = f.Step(now, events, dst[:0])
+		bench.now += time.Microsecond
+		job := bench.nextJob(10 * time.Second)
+		worker := benchWorker(job.ID)
+		events[0] = job
+		_, epoch := bench.step(events...)
+		bench.receive("p1", epoch, &message.SendCommand{RequestID: job.ID, WorkerID: worker})
+		bench.step()
+		events[0] = dispatch.Outcome{Job: job.ID, Worker: worker, Closed: true}
+		bench.step(events...)
 	}
-	if f.Stats().Open > 0 {
-		b.Fatal("queries are left")
+	if bench.forwarder.Stats().Open > 0 {
+		b.Fatal("requests are left")
 	}
 }
 
 // The same, 50 of each in a step, as under load.
 func BenchmarkRequestBatch(b *testing.B) {
-	const lot = 50
-	f, dst := newConnected(b, "p1", "p2")
-	now, id := time.Duration(3), uint64(0)
-	var events, ends []dispatch.Event
-	orders := make([]message.SendCommand, lot)
+	const batch = 50
+	bench := newBenchmark(b, "p1", "p2")
+	var jobs, outcomes []dispatch.Event
+	commands := make([]message.SendCommand, batch)
 	b.ReportAllocs()
 	for b.Loop() {
-		now += 50 * time.Microsecond
-		events, ends = events[:0], ends[:0]
-		for i := range orders {
-			id++
-			events = append(events, dispatch.Job{ID: id, Remaining: 10 * time.Second, Slots: 1})
-			ends = append(ends, dispatch.Outcome{Job: id, Worker: 1 + id%1000, Closed: true})
-			orders[i] = message.SendCommand{RequestID: id, WorkerID: 1 + id%1000}
-		}
-		dst = f.Step(now, events, dst[:0])
-		var epoch message.Epoch
-		for _, e := range f.Outbox() {
-			replyToHeartbeat(f, now, e)
-			if _, ok := e.Message.(*message.RequestOffer); ok {
-				epoch = e.Epoch
-			}
+		bench.now += 50 * time.Microsecond
+		jobs, outcomes = jobs[:0], outcomes[:0]
+		for i := range commands {
+			job := bench.nextJob(10 * time.Second)
+			worker := benchWorker(job.ID)
+			jobs = append(jobs, job)
+			outcomes = append(outcomes, dispatch.Outcome{Job: job.ID, Worker: worker, Closed: true})
+			commands[i] = message.SendCommand{RequestID: job.ID, WorkerID: worker}
 		}
-		for i := range orders {
-			f.Receive(now, "p1", message.Envelope{Epoch: epoch, Message: &orders[i]})
+		_, epoch := bench.step(jobs...)
+		for i := range commands {
+			bench.receive("p1", epoch, &commands[i])
 		}
-		dst = f.Step(now, nil, dst[:0])
-		dst = f.Step(now, ends, dst[:0])
+		bench.step()
+		bench.step(outcomes...)
 	}
-	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*lot), "ns/query")
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*batch), "ns/request")
 }
 
-// A planner is lost with so many queries open: how long until all are offered to the next.
+// A planner is lost with many requests: how long until all are offered to the next one.
 func BenchmarkFailover(b *testing.B) {
 	for _, open := range []int{300, 3000} {
-		b.Run(fmt.Sprint(open), func(b *testing.B) {
-			f, dst := newConnected(b, "p1", "p2")
-			var events []dispatch.Event
-			for id := range uint64(open) {
-				events = append(events, dispatch.Job{ID: id + 1, Remaining: 1 << 62, Slots: 1})
-			}
-			now := time.Duration(3)
-			step := func(events ...dispatch.Event) (heads int) {
-				dst = f.Step(now, events, dst[:0])
-				for _, e := range f.Outbox() {
-					replyToHeartbeat(f, now, e)
-					switch e.Message.(type) {
-					case *message.RequestOffer:
-						heads++
-					case *message.Handshake:
-						f.Receive(now, e.Planner, message.Envelope{Epoch: e.Epoch, Message: &message.HandshakeAccept{Credit: 1 << 20}})
-					}
-				}
-				now += 5 * time.Millisecond
-				return heads
-			}
-			step(events...)
-			lost, other := "p1", "p2"
-			for b.Loop() {
-				b.StopTimer()
-				for range 30 { // the one that has them says that it has read of all
-					step()
-				}
-				b.StartTimer()
-				f.SessionChanged(lost, false)
-				if n := step(); n != open {
-					b.Fatalf("%d offered", n)
-				}
-				b.StopTimer()
-				f.SessionChanged(lost, true)
-				lost, other = other, lost
-				b.StartTimer()
-			}
-		})
+		b.Run(fmt.Sprint(open), func(b *testing.B) { benchmarkFailover(b, open) })
+	}
+}
+
+func benchmarkFailover(b *testing.B, open int) {
+	b.Helper()
+	const stepInterval = 5 * time.Millisecond
+	bench := newBenchmark(b, "p1", "p2")
+	var jobs []dispatch.Event
+	for range open {
+		jobs = append(jobs, bench.nextJob(1<<62))
+	}
+	bench.step(jobs...)
+	bench.now += stepInterval
+	lost, other := "p1", "p2"
+	for b.Loop() {
+		b.StopTimer()
+		for range 30 { // the planner that has the requests confirms that it has read them
+			bench.step()
+			bench.now += stepInterval
+		}
+		b.StartTimer()
+		bench.forwarder.SessionChanged(lost, false)
+		if offers, _ := bench.step(); offers != open {
+			b.Fatalf("%d offered", offers)
+		}
+		bench.now += stepInterval
+		b.StopTimer()
+		bench.forwarder.SessionChanged(lost, true)
+		lost, other = other, lost
+		b.StartTimer()
 	}
 }
 
-// What a forwarder holds for one open query.
+// An open request takes little memory.
 func TestMemoryPerRequest(t *testing.T) {
-	const n = 20000
-	f, dst := newConnected(t, "p1")
+	const (
+		count    = 20000
+		maxBytes = 2048
+	)
+	bench := newBenchmark(t, "p1")
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	for id := range uint64(n) {
-		dst = f.Step(3, []dispatch.Event{dispatch.Job{ID: id + 1, Remaining: time.Hour, Slots: 1}}, dst[:0])
+	for range count {
+		bench.step(bench.nextJob(time.Hour))
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	bytes := int(after.HeapAlloc-before.HeapAlloc) / n
-	t.Logf("%d bytes by open query", bytes)
-	if bytes > 2048 {
-		t.Errorf("%d bytes by open query", bytes)
+	bytes := int(after.HeapAlloc-before.HeapAlloc) / count
+	t.Logf("%d bytes per open request", bytes)
+	if bytes > maxBytes {
+		t.Errorf("%d bytes per open request", bytes)
 	}
-	if f.Stats().Open != n {
+	if bench.forwarder.Stats().Open != count {
 		t.Fatal("not all are open")
 	}
 }
--- /dev/null
+++ b/internal/control/forwarder/connection_test.go
@@ -0,0 +1,163 @@
+package forwarder
+
+import (
+	"slices"
+	"time"
+
+	"valvecove/internal/control/message"
+)
+
+// transitTime is how long a message is on its way.
+const transitTime = 500 * time.Microsecond
+
+// connection is the environment's side of a planner: the connection to it, and what the forwarder has sent on it.
+type connection struct {
+	env       *environment
+	name      string // of the planner
+	onMessage func(envelope message.Envelope)
+
+	generation   int                     // counts connections; messages of another one are lost
+	established  bool                    // there is one
+	openEpoch    message.Epoch           // of the session that the forwarder has; 0: none, or the planner shuts down
+	newestEpoch  message.Epoch           // of the newest handshake on this connection
+	accepted     bool                    // that handshake was
+	maxCredit    int                     // that the forwarder was given
+	reportedEnds map[uint64]map[int]bool // attempts that the planner was told have ended, by request, since its offer
+	frozen       bool
+	inbox        []message.Envelope // that came while it was frozen
+}
+
+func (c *connection) connect() {
+	c.generation++
+	c.established = true
+	c.reportedEnds = map[uint64]map[int]bool{}
+	c.inbox = nil
+	c.env.forwarder.SessionChanged(c.name, true)
+}
+
+func (c *connection) disconnect() {
+	if !c.established {
+		return
+	}
+	c.established = false
+	c.accepted = false
+	c.newestEpoch = 0
+	c.generation++
+	c.endAssignments()
+	c.env.forwarder.SessionChanged(c.name, false)
+}
+
+// deliver takes a message of the forwarder to the planner.
+func (c *connection) deliver(envelope message.Envelope) {
+	if _, ok := envelope.Message.(*message.Handshake); ok {
+		c.openEpoch = envelope.Epoch
+		c.newestEpoch = envelope.Epoch
+		c.accepted = false
+		c.maxCredit = 0
+	}
+	generation := c.generation
+	c.env.after(transitTime, func() {
+		switch {
+		case c.generation != generation:
+		case c.frozen:
+			c.inbox = append(c.inbox, envelope)
+		default:
+			c.onMessage(envelope)
+		}
+	})
+}
+
+// send takes a message of the planner to the forwarder.
+func (c *connection) send(envelope message.Envelope) {
+	generation := c.generation
+	c.env.after(transitTime, func() {
+		if c.generation == generation {
+			c.env.messageReceived(c, envelope)
+		}
+	})
+}
+
+// endAssignments notes that the planner has no request any more.
+func (c *connection) endAssignments() {
+	for _, request := range c.env.requestsByID {
+		if request.assignedEpoch == c.openEpoch && c.openEpoch != 0 {
+			request.assignedEpoch = 0
+		}
+	}
+	c.openEpoch = 0
+}
+
+// release notes that the planner wants to have nothing to do with a request any more. Whether it has it, the forwarder
+// knows best.
+func (c *connection) release(epoch message.Epoch, id uint64) {
+	if request := c.env.requestsByID[id]; request != nil && request.assignedEpoch == epoch && epoch == c.openEpoch {
+		request.assignedEpoch = 0
+	}
+}
+
+// connectionTo returns the connection to a planner.
+func (env *environment) connectionTo(planner string) *connection {
+	i := slices.IndexFunc(env.connections, func(conn *connection) bool { return conn.name == planner })
+	return env.connections[i]
+}
+
+// messageSent checks a message of the forwarder, and delivers it.
+func (env *environment) messageSent(outgoing Outgoing) {
+	conn := env.connectionTo(outgoing.Planner)
+	switch body := outgoing.Message.(type) {
+	case *message.RequestOffer:
+		env.checkOffer(conn, outgoing.Epoch, body)
+		env.offers = append(env.offers, outgoing)
+	case *message.RequestClosed:
+		if request := env.requestsByID[body.RequestID]; request.assignedEpoch == outgoing.Epoch {
+			request.assignedEpoch = 0
+		}
+	case *message.AttemptEnded:
+		env.checkAttemptEnded(conn, outgoing.Epoch, body)
+	case *message.Handshake:
+		conn.endAssignments() // of the session before, if there is one
+	}
+	conn.deliver(outgoing.Envelope)
+}
+
+// messageReceived has a message of a planner reach the forwarder.
+func (env *environment) messageReceived(conn *connection, envelope message.Envelope) {
+	inSession := envelope.Epoch == conn.openEpoch
+	switch body := envelope.Message.(type) {
+	case *message.HandshakeAccept:
+		if inSession && !conn.accepted {
+			conn.accepted = true
+			conn.maxCredit = body.Credit
+		}
+	case *message.CreditUpdate:
+		if inSession {
+			conn.maxCredit = max(conn.maxCredit, body.Credit)
+		}
+	case *message.WorkerStatus:
+		if envelope.Epoch == conn.newestEpoch && conn.accepted {
+			env.recordStatus(*body)
+		}
+	case *message.TransferCommand:
+		conn.release(envelope.Epoch, body.RequestID)
+	case *message.RejectCommand:
+		conn.release(envelope.Epoch, body.RequestID)
+	case *message.FailCommand:
+		conn.release(envelope.Epoch, body.RequestID)
+	case *message.Goodbye:
+		if inSession {
+			conn.endAssignments()
+		}
+	}
+	env.forwarder.Receive(env.now, conn.name, envelope)
+}
+
+// recordStatus keeps the status of a worker, if it can be true and is the newest.
+func (env *environment) recordStatus(status message.WorkerStatus) {
+	if status.StartedMs > (env.now+time.Minute).Milliseconds() || status.StartedMs < 0 {
+		return
+	}
+	if known, ok := env.statuses[status.WorkerID]; !ok || status.Supersedes(known) {
+		env.statuses[status.WorkerID] = status
+		env.statusAt[status.WorkerID] = env.now
+	}
+}
--- a/internal/control/forwarder/harness_test.go
+++ b/internal/control/forwarder/harness_test.go
@@ -2,157 +2,167 @@
 
 import (
 	"container/heap"
-	"fmt"
 	"hash/fnv"
 	"log/slog"
-	"maps"
-	"slices"
-	"strings"
 	"time"
 
 	"valvecove/dispatch"
-	"valvecove/internal/control/message"
 	"valvecove/internal/requests"
 )
 
-// harness is a forwarder in virtual time: a ledger, the follower as its module, and this in place of clients, worker nodes
-// and connections. What it does with them is for those who use it.
+const (
+	startTime     = 1000 * time.Hour // of a test; workers have started before
+	maxIterations = 10000            // of the loop at one instant
+	millisecond   = time.Millisecond
+)
+
+// harness is a forwarder in virtual time: it is the policy of a request table. The functions stand for clients, workers and
+// connections.
 type harness struct {
 	now          time.Duration
 	forwarder    *Forwarder
 	table        *requests.Table
 	events       eventQueue
-	iterations   int
 	lastSequence uint64
 
-	onStart       func(a *requests.Attempt)
-	onAbandon     func(a *requests.Attempt)
+	onStart       func(attempt *requests.Attempt)
+	onAbandon     func(attempt *requests.Attempt)
 	onCheckHealth func(worker uint64)
 	onCloseIdle   func(worker uint64)
-	onResponse    func(q *client, what string, after time.Duration)
-	onMessage     func(e Outgoing) // a message that leaves
-	onAction      func(a dispatch.Action)
-	onWatch       func(after int64)
-	onStep        func()
+	onResponse    func(client *client, response string, retryAfter time.Duration)
+	onMessage     func(outgoing Outgoing) // of the forwarder
+	onAction      func(action dispatch.Action)
+	onWatch       func(revision int64)
+	onStep        func() // after the table's step
+}
+
+func newHarness(settings dispatch.Settings, config Config, selector PlannerSelector, newPolicy func() Policy) *harness {
+	config.Name = "f"
+	config.Incarnation = 1000
+	return &harness{now: startTime, forwarder: New(settings, config, selector, newPolicy)}
+}
+
+// start makes the request table, once all functions are set.
+func (h *harness) start(known requests.EndpointList) {
+	names := requests.NameTable{Zones: []string{"z0", "z1", "z2"}, MachineTypes: []string{"k0", "k1", "k2"}}
+	newPolicy := func() requests.Policy { return recordingPolicy{h} }
+	attempts := max(1, h.forwarder.settings.AttemptLimit)
+	h.table = requests.New(attempts, names, newPolicy, known, h, slog.New(slog.DiscardHandler))
 }
 
-// recordingPolicy is the follower as the ledger has it, with a look at its actions.
+// recordingPolicy is the forwarder as the request table's policy. It passes on its actions and messages.
 type recordingPolicy struct{ harness *harness }
 
-func (s recordingPolicy) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+func (p recordingPolicy) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	from := len(dst)
-	dst = s.harness.forwarder.Step(now, events, dst)
-	for _, a := range dst[from:] {
-		if s.harness.onAction != nil {
-			s.harness.onAction(a)
+	dst = p.harness.forwarder.Step(now, events, dst)
+	if p.harness.onAction != nil {
+		for _, action := range dst[from:] {
+			p.harness.onAction(action)
 		}
 	}
-	for _, e := range s.harness.forwarder.Outbox() {
-		s.harness.onMessage(cloneOutgoing(e))
+	for _, outgoing := range p.harness.forwarder.Outbox() {
+		outgoing.Envelope = outgoing.Clone()
+		p.harness.onMessage(outgoing)
 	}
 	return dst
 }
 
-// cloneOutgoing is a message that outlives the step.
-func cloneOutgoing(e Outgoing) Outgoing {
-	e.Envelope = e.Envelope.Clone()
-	return e
-}
+// The harness is the request table's transport.
 
-const startTime = 1000 * time.Hour // worker nodes have started before
+func (h *harness) Start(attempt *requests.Attempt)    { h.onStart(attempt) }
+func (h *harness) Abandon(attempt *requests.Attempt)  { h.onAbandon(attempt) }
+func (h *harness) CheckHealth(worker uint64)          { h.onCheckHealth(worker) }
+func (h *harness) CloseIdleConnections(worker uint64) { h.onCloseIdle(worker) }
+func (h *harness) Watch(revision int64)               { h.onWatch(revision) }
 
-func newHarness(settings dispatch.Settings, config Config, selector PlannerSelector, newPolicy func() Policy) *harness {
-	r := &harness{now: startTime}
-	config.Name, config.Incarnation = "f", 1000
-	r.forwarder = New(settings, config, selector, newPolicy)
-	return r
-}
-
-// start starts the ledger, once all is in place.
-func (r *harness) start(known requests.EndpointList) {
-	r.table = requests.New(max(1, r.forwarder.settings.AttemptLimit), requests.NameTable{Zones: []string{"z0", "z1", "z2"},
-		MachineTypes: []string{"k0", "k1", "k2"}},
-		func() requests.Policy { return recordingPolicy{r} }, known, r, slog.New(slog.DiscardHandler))
+// Cancel withdraws an attempt, which its worker hears at once.
+func (h *harness) Cancel(attempt *requests.Attempt) {
+	h.table.CancelCompleted(attempt, true)
+	h.onAbandon(attempt)
 }
 
-func (r *harness) Start(a *requests.Attempt)   { r.onStart(a) }
-func (r *harness) Abandon(a *requests.Attempt) { r.onAbandon(a) }
-
-func (r *harness) Cancel(a *requests.Attempt) { // its worker node is told at once
-	r.table.CancelCompleted(a, true)
-	r.onAbandon(a)
-}
-func (r *harness) CheckHealth(worker uint64)          { r.onCheckHealth(worker) }
-func (r *harness) CloseIdleConnections(worker uint64) { r.onCloseIdle(worker) }
-func (r *harness) Watch(after int64)                  { r.onWatch(after) }
-
-// settle turns the loop until nothing is left to do at this instant.
-func (r *harness) settle() {
-	for n := 0; ; n++ {
-		if r.forwarder.HasPending() {
-			r.table.Wake()
+// settle steps the table until nothing is left to do at this instant.
+func (h *harness) settle() {
+	for range maxIterations {
+		if h.forwarder.HasPending() {
+			h.table.Wake()
 		}
-		at, ok := r.table.NextStep()
-		if !ok || at > r.now {
+		at, ok := h.table.NextStep()
+		if !ok || at > h.now {
 			return
 		}
-		if r.iterations++; n > 10000 {
-			panic("no end at one instant")
-		}
-		if r.table.Step(r.now); r.onStep != nil {
-			r.onStep()
+		h.table.Step(h.now)
+		if h.onStep != nil {
+			h.onStep()
 		}
 	}
+	panic("no end at one instant")
 }
 
 // runUntil lets time pass, and does what is due meanwhile.
-func (r *harness) runUntil(end time.Duration) {
-	r.settle()
+func (h *harness) runUntil(end time.Duration) {
+	h.settle()
 	for {
 		next := end
-		if at, ok := r.table.NextStep(); ok && at < next {
-			next = at
+		if at, ok := h.table.NextStep(); ok {
+			next = min(next, at)
 		}
-		if len(r.events) > 0 && r.events[0].at < next {
-			next = r.events[0].at
+		if len(h.events) > 0 {
+			next = min(next, h.events[0].at)
 		}
-		r.now = max(r.now, next)
-		for len(r.events) > 0 && r.events[0].at <= r.now {
-			heap.Pop(&r.events).(scheduledEvent).act()
+		h.now = max(h.now, next)
+		for len(h.events) > 0 && h.events[0].at <= h.now {
+			heap.Pop(&h.events).(scheduledEvent).act()
 		}
-		if r.settle(); next >= end {
+		h.settle()
+		if next >= end {
 			return
 		}
 	}
 }
 
 // after has something done later.
-func (r *harness) after(span time.Duration, act func()) {
-	heap.Push(&r.events, scheduledEvent{r.now + span, r.lastSequence, act})
-	r.lastSequence++
+func (h *harness) after(delay time.Duration, act func()) {
+	heap.Push(&h.events, scheduledEvent{h.now + delay, h.lastSequence, act})
+	h.lastSequence++
 }
 
+// scheduledEvent is something to be done at an instant.
 type scheduledEvent struct {
 	at       time.Duration
-	sequence uint64
+	sequence uint64 // of two events at one instant, the one of the lesser number comes first
 	act      func()
 }
 
+// eventQueue is a heap of events by time.
 type eventQueue []scheduledEvent
 
-func (a eventQueue) Len() int { return len(a) }
-func (a eventQueue) Less(i, k int) bool {
-	return a[i].at < a[k].at || a[i].at == a[k].at && a[i].sequence < a[k].sequence
+func (q eventQueue) Len() int { return len(q) }
+
+func (q eventQueue) Less(i, k int) bool {
+	return q[i].at < q[k].at || q[i].at == q[k].at && q[i].sequence < q[k].sequence
 }
-func (a eventQueue) Swap(i, k int) { a[i], a[k] = a[k], a[i] }
-func (a *eventQueue) Push(x any)   { *a = append(*a, x.(scheduledEvent)) }
-func (a *eventQueue) Pop() any {
-	x := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
-	return x
+
+func (q eventQueue) Swap(i, k int) { q[i], q[k] = q[k], q[i] }
+
+func (q *eventQueue) Push(event any) { *q = append(*q, event.(scheduledEvent)) }
+
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	event := (*q)[last]
+	*q = (*q)[:last]
+	return event
 }
 
-// client is a client's side of a query.
+// Names of responses.
+const (
+	responseServed   = "served"
+	responseRejected = "rejected"
+	responseFailed   = "failed"
+)
+
+// client is the responder of a request.
 type client struct {
 	harness   *harness
 	request   *requests.Request
@@ -160,193 +170,31 @@
 	responses []string
 }
 
-func (a *client) RespondResult([]byte) { a.respond("served", 0) }
+func (c *client) RespondResult([]byte) { c.respond(responseServed, 0) }
 
-func (a *client) RespondRejected(after time.Duration) { a.respond("refused", after) }
+func (c *client) RespondRejected(retryAfter time.Duration) { c.respond(responseRejected, retryAfter) }
 
-func (a *client) RespondFailed() { a.respond("failed", 0) }
+func (c *client) RespondFailed() { c.respond(responseFailed, 0) }
 
-func (a *client) respond(what string, after time.Duration) {
-	a.responses = append(a.responses, what)
-	a.harness.onResponse(a, what, after)
+func (c *client) respond(response string, retryAfter time.Duration) {
+	c.responses = append(c.responses, response)
+	c.harness.onResponse(c, response, retryAfter)
 }
 
-// admit has a query come.
-func (r *harness) admit(name string, job dispatch.Job) *client {
-	a := &client{harness: r, name: name}
-	q, err := r.table.Admit(r.now, requests.Arrival{CallID: name, Job: job, Responder: a})
+// admit has a request arrive.
+func (h *harness) admit(name string, job dispatch.Job) *client {
+	admitted := &client{harness: h, name: name}
+	request, err := h.table.Admit(h.now, requests.Arrival{CallID: name, Job: job, Responder: admitted})
 	if err != nil {
 		panic(err)
 	}
-	a.request = q
-	return a
+	admitted.request = request
+	return admitted
 }
 
+// workerID returns the ID that the request table gives a worker by its name.
 func workerID(name string) uint64 {
-	h := fnv.New64a()
-	h.Write([]byte(name))
-	return h.Sum64()
-}
-
-// fixedOrder is a chooser that has the planners in a fixed order.
-type fixedOrder struct {
-	planners []string
-	calls    []string // what it heard, for tests
-}
-
-func (c *fixedOrder) PlannersKnown(_ time.Duration, names []string) {
-	c.calls = append(c.calls, "known "+strings.Join(names, " "))
-}
-
-func (c *fixedOrder) SessionChanged(_ time.Duration, name string, up bool) {
-	c.calls = append(c.calls, fmt.Sprintf("%s %v", name, up))
-}
-
-func (c *fixedOrder) ReplyReceived(_ time.Duration, name string, took, late time.Duration) {
-	c.calls = append(c.calls, fmt.Sprintf("%s took %v late %v", name, took, late))
-}
-
-func (c *fixedOrder) AppendOrder(_ time.Duration, dst []string) []string {
-	return append(dst, c.planners...)
-}
-
-func (c *fixedOrder) Next() time.Duration { return 0 }
-
-// simplePolicy is a module that is easily foreseen: it sends each job to the first worker that is ready and has not had it,
-// one at a time, and refuses it where there is none. While none is ready at all it holds them.
-type simplePolicy struct {
-	ready    []uint64
-	jobs     map[uint64]*simpleJob
-	onEvent  func(e dispatch.Event)
-	panicsOn func(e dispatch.Event) bool
-}
-
-type simpleJob struct {
-	workers  []uint64
-	inFlight int
-}
-
-func (m *simplePolicy) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
-	for _, e := range events {
-		m.onEvent(e)
-		if m.panicsOn != nil && m.panicsOn(e) {
-			panic("scripted")
-		}
-		switch e := e.(type) {
-		case dispatch.WorkerList:
-			if e.Kind == dispatch.ListDelta {
-				for _, w := range e.Workers {
-					m.ready = slices.DeleteFunc(m.ready, func(id uint64) bool { return id == w.ID })
-				}
-			} else if e.Kind != dispatch.ListUnavailable {
-				m.ready = m.ready[:0]
-			}
-			for _, w := range e.Workers {
-				if w.Ready && !w.Removed {
-					m.ready = append(m.ready, w.ID)
-				}
-			}
-			for _, id := range slices.Sorted(maps.Keys(m.jobs)) {
-				dst = m.place(id, dst)
-			}
-		case dispatch.Job:
-			m.jobs[e.ID] = &simpleJob{}
-			dst = m.place(e.ID, dst)
-		case dispatch.JobResumed:
-			j := &simpleJob{}
-			for _, p := range e.Attempts {
-				if j.workers = append(j.workers, p.Worker); !p.Ended {
-					j.inFlight++
-				}
-			}
-			m.jobs[e.Job.ID] = j
-			dst = m.place(e.Job.ID, dst)
-		case dispatch.Outcome:
-			if j := m.jobs[e.Job]; j != nil && e.Attempt < len(j.workers) {
-				if j.inFlight--; e.Closed {
-					delete(m.jobs, e.Job)
-				} else {
-					dst = m.place(e.Job, dst)
-				}
-			}
-		case dispatch.ClientDisconnected:
-			delete(m.jobs, e.Job)
-		}
-	}
-	return dst
-}
-
-func (m *simplePolicy) place(id uint64, dst []dispatch.Action) []dispatch.Action {
-	j := m.jobs[id]
-	if j.inFlight > 0 || len(m.ready) == 0 {
-		return dst
-	}
-	for _, w := range m.ready {
-		if !slices.Contains(j.workers, w) {
-			j.workers = append(j.workers, w)
-			j.inFlight++
-			return append(dst, dispatch.Send{Job: id, Worker: w})
-		}
-	}
-	delete(m.jobs, id)
-	return append(dst, dispatch.Reject{Job: id})
-}
-
-// messageText is a message as plays have it.
-func messageText(e message.Envelope, epoch func(message.Epoch) string, worker func(uint64) string) string {
-	s := &strings.Builder{}
-	fmt.Fprintf(s, "%v %s", e.Message.Kind(), epoch(e.Epoch))
-	put := func(format string, args ...any) { fmt.Fprintf(s, " "+format, args...) }
-	switch m := e.Message.(type) {
-	case *message.RequestOffer:
-		put("q%d left=%v", m.RequestID, m.Summary.Remaining)
-		s.WriteString(summaryText(&m.Summary, worker))
-	case *message.AttemptEnded:
-		put("q%d #%d %s", m.RequestID, m.Attempt, resultNames[m.Result])
-		if m.Reason != message.ReasonNone {
-			put("as %v", m.Reason)
-		}
-	case *message.AttemptStarted:
-		put("q%d #%d", m.RequestID, m.Attempt)
-	case *message.AttemptProgress:
-		put("q%d #%d %v", m.RequestID, m.Attempt, m.Fraction)
-	case *message.RequestClosed:
-		put("q%d", m.RequestID)
-	case *message.HealthCheckResult:
-		put("%s %s", worker(m.WorkerID), resultNames[m.Result])
-	case *message.Heartbeat:
-		put("%d", m.Sequence)
-	case *message.WorkerStatus:
-		put("%s start=%v gen=%d %v", worker(m.WorkerID), time.Duration(m.StartedMs)*time.Millisecond, m.Revision, m.State)
-	}
-	return s.String()
+	hash := fnv.New64a()
+	hash.Write([]byte(name))
+	return hash.Sum64()
 }
-
-func summaryText(h *message.RequestSummary, worker func(uint64) string) string {
-	s := &strings.Builder{}
-	put := func(format string, args ...any) { fmt.Fprintf(s, " "+format, args...) }
-	if h.Waited > 0 {
-		put("waited=%v", h.Waited)
-	}
-	if h.Transfers > 0 {
-		put("moves=%d", h.Transfers)
-	}
-	for i, p := range h.Attempts {
-		put("[#%d %s %v ago", i, worker(p.WorkerID), p.SentAgo)
-		if p.StartedAgo > 0 {
-			put("began %v ago", p.StartedAgo)
-		}
-		if p.Ended {
-			put("%s", resultNames[p.Result])
-		} else {
-			put("out")
-		}
-		if p.PossiblyExecuted {
-			put("may have run")
-		}
-		s.WriteString("]")
-	}
-	return s.String()
-}
-
-var resultNames = []string{"ok", "failed", "full", "timeout", "noconnect", "reset", "cancelled", "notsent"}
--- a/internal/control/forwarder/realplanner_test.go
+++ b/internal/control/forwarder/realplanner_test.go
@@ -10,177 +10,225 @@
 	"valvecove/dispatch"
 	"valvecove/internal/control/membership"
 	"valvecove/internal/control/message"
-	plan "valvecove/internal/control/planner"
+	"valvecove/internal/control/planner"
 	"valvecove/internal/requests"
 )
 
-// cluster is the planners that there are for a forwarder, with books and modules as they are, and the membership that
-// it goes by.
+// cluster is a forwarder with planners as they are, and the membership by which it selects one.
 type cluster struct {
-	environment     *environment
+	*environment
 	planners        []*plannerProcess
 	membership      *membership.ForwarderMembership
 	lastIncarnation uint64
 	seed            uint64
 }
 
-// plannerProcess is a planner with its book.
+// plannerProcess is a planner that may die and start again.
 type plannerProcess struct {
 	connection
 	cluster    *cluster
-	planner    *plan.Planner // nil: it is dead
-	starts     int           // counts its processes
-	sessionID  plan.SessionID
-	heldEvents []plan.Event // come while it was frozen
-	peers      map[string]bool
+	planner    *planner.Planner // nil: it is dead
+	changes    int              // counts starts and deaths
+	sessionID  planner.SessionID
+	heldEvents []planner.Event // that came while it was frozen
+	peers      map[string]bool // that it is connected to
 }
 
 func newCluster(t *testing.T, seed uint64, planners int) *cluster {
-	members := membership.NewForwarderMembership(membership.Member{Name: "f", Incarnation: 1}, membership.Config{})
-	c := &cluster{environment: newEnvironment(t, seed, members), membership: members, lastIncarnation: 100, seed: seed}
+	t.Helper()
+	self := membership.Member{Name: "f", Incarnation: 1}
+	members := membership.NewForwarderMembership(self, membership.Config{})
+	c := &cluster{
+		environment:     newEnvironment(t, seed, members),
+		membership:      members,
+		lastIncarnation: 100,
+		seed:            seed,
+	}
 	for i := range planners {
-		p := &plannerProcess{connection: connection{environment: c.environment, name: "p" + strconv.Itoa(i)}, cluster: c, peers: map[string]bool{}}
-		p.connection.onMessage = func(e message.Envelope) {
-			p.step(plan.Event{Kind: plan.ForwarderMessage, Session: p.sessionID, Envelope: e})
-		}
-		c.planners = append(c.planners, p)
-		c.environment.connections = append(c.environment.connections, &p.connection)
+		c.addPlanner("p" + strconv.Itoa(i))
+	}
+	c.onWorkerChanged = c.tellPlanners
+	return c
+}
+
+func (c *cluster) addPlanner(name string) {
+	process := &plannerProcess{
+		connection: connection{env: c.environment, name: name},
+		cluster:    c,
+		peers:      map[string]bool{},
+	}
+	process.onMessage = func(envelope message.Envelope) {
+		process.step(planner.Event{Kind: planner.ForwarderMessage, Session: process.sessionID, Envelope: envelope})
 	}
-	c.environment.onWorkerChanged = func(h requests.Endpoint) {
-		for _, p := range c.planners {
-			list := dispatch.WorkerList{Kind: dispatch.ListDelta, Workers: []dispatch.Worker{workerOf(h)}, Revision: c.environment.revision}
-			c.environment.after(c.environment.randomDuration(0, 40), func() { p.step(plan.Event{Kind: plan.EndpointsChanged, Endpoints: list}) })
+	c.planners = append(c.planners, process)
+	c.connections = append(c.connections, &process.connection)
+}
+
+// tellPlanners has planners hear of a change of a worker, each after a time of its own.
+func (c *cluster) tellPlanners(endpoint requests.Endpoint) {
+	for _, process := range c.planners {
+		list := dispatch.WorkerList{
+			Kind:     dispatch.ListDelta,
+			Workers:  []dispatch.Worker{workerOf(endpoint)},
+			Revision: c.revision,
 		}
+		c.after(c.randomDuration(0, 40), func() {
+			process.step(planner.Event{Kind: planner.EndpointsChanged, Endpoints: list})
+		})
 	}
-	return c
 }
 
-// allowTime leaves the time to serve all.
+// allowTime leaves time enough to serve all requests.
 func (c *cluster) allowTime() {
-	c.environment.arrivalInterval, c.environment.minRemaining, c.environment.forwarder.config.MaxWaiting = 30*millisecond, 1500*millisecond, 1000
-	for i := range c.environment.settings.Classes {
-		x := &c.environment.settings.Classes[i]
-		x.LatencyObjective, x.Kinds = time.Second, nil
+	c.arrivalInterval = 30 * millisecond
+	c.minRemaining = 1500 * millisecond
+	c.forwarder.config.MaxWaiting = 1000
+	for i := range c.settings.Classes {
+		class := &c.settings.Classes[i]
+		class.LatencyObjective = time.Second
+		class.Kinds = nil
 	}
 }
 
-func workerOf(h requests.Endpoint) dispatch.Worker {
-	last := func(s string) int { return int(s[len(s)-1] - '0') }
-	return dispatch.Worker{ID: workerID(h.ID), Kind: last(h.MachineType), Zone: last(h.Zone), Cell: h.Cell, Ready: h.Lifecycle == "up",
-		Removed: h.Lifecycle == "removed", BootAt: time.Duration(h.StartedAtMs) * millisecond}
+// workerOf returns an endpoint as a planner's policy has it. Names of zones and machine types end in their index.
+func workerOf(endpoint requests.Endpoint) dispatch.Worker {
+	index := func(name string) int { return int(name[len(name)-1] - '0') }
+	return dispatch.Worker{
+		ID:      workerID(endpoint.ID),
+		Kind:    index(endpoint.MachineType),
+		Zone:    index(endpoint.Zone),
+		Cell:    endpoint.Cell,
+		Ready:   endpoint.Lifecycle == "up",
+		Removed: endpoint.Lifecycle == "removed",
+		BootAt:  time.Duration(endpoint.StartedAtMs) * millisecond,
+	}
 }
 
+// begin starts all.
 func (c *cluster) begin() {
-	for _, p := range c.planners {
-		p.start()
+	for _, process := range c.planners {
+		process.start()
 	}
 	c.environment.begin()
 	c.maintain()
 }
 
-// stepMembership has membership take in something, and carries out what it wants.
+// stepMembership steps the forwarder's membership, and executes its actions.
 func (c *cluster) stepMembership(events ...membership.Event) {
-	for _, a := range c.membership.Step(c.environment.now, events, nil) {
-		switch a := a.(type) {
+	for _, action := range c.membership.Step(c.now, events, nil) {
+		switch action := action.(type) {
 		case membership.SetPlanners:
-			c.environment.forwarder.SetPlanners(a.Names)
+			c.forwarder.SetPlanners(action.Names)
 		case membership.SetForwarderIndex:
-			c.environment.forwarder.SetForwarderIndex(a.Index, a.Count)
+			c.forwarder.SetForwarderIndex(action.Index, action.Count)
 		}
 	}
 }
 
-// maintain looks after membership, and closes connections to planners that stop.
+// maintain steps the membership from time to time, and closes connections to planners that shut down.
 func (c *cluster) maintain() {
 	c.stepMembership()
-	for _, name := range c.environment.forwarder.DrainingPlanners() {
-		for _, p := range c.planners {
-			if p.name == name {
-				p.reconnect()
+	for _, name := range c.forwarder.DrainingPlanners() {
+		for _, process := range c.planners {
+			if process.name == name {
+				process.reconnect()
 			}
 		}
 	}
-	c.environment.after(5*millisecond, func() {
-		if !c.environment.stopped {
+	c.after(5*millisecond, func() {
+		if !c.stopped {
 			c.maintain()
 		}
 	})
 }
 
-// announceMembers tells all who is there, and shares the cells out among them.
+// announceMembers tells all planners which of them are alive, and divides the cells among these.
 func (c *cluster) announceMembers() {
-	names := []string{}
-	for _, p := range c.planners {
-		if p.planner != nil {
-			names = append(names, p.name)
+	alive := []string{}
+	for _, process := range c.planners {
+		if process.planner != nil {
+			alive = append(alive, process.name)
 		}
 	}
-	if len(names) == 0 {
+	if len(alive) == 0 {
 		return
 	}
-	owner := func(w *dispatch.Worker) string { return names[w.Cell%len(names)] }
-	for _, p := range c.planners {
-		if p.planner == nil {
+	for _, process := range c.planners {
+		if process.planner != nil {
+			process.updatePeers(alive)
+		}
+	}
+}
+
+// updatePeers tells a planner which planners are alive.
+func (p *plannerProcess) updatePeers(alive []string) {
+	for _, other := range p.cluster.planners {
+		isAlive := other.planner != nil
+		if other == p || p.peers[other.name] == isAlive {
 			continue
 		}
-		for _, o := range c.planners {
-			if is := o.planner != nil; o != p && p.peers[o.name] != is {
-				kind := plan.PeerDisconnected
-				if p.peers[o.name] = is; is {
-					kind = plan.PeerConnected
-				}
-				p.step(plan.Event{Kind: kind, Peer: o.name})
-			}
+		p.peers[other.name] = isAlive
+		kind := planner.PeerDisconnected
+		if isAlive {
+			kind = planner.PeerConnected
 		}
-		p.step(plan.Event{Kind: plan.PeersChanged, Names: slices.DeleteFunc(slices.Clone(names), func(n string) bool {
-			return n == p.name
-		})}, plan.Event{Kind: plan.PartitionChanged, Owner: owner})
+		p.step(planner.Event{Kind: kind, Peer: other.name})
 	}
+	peers := slices.DeleteFunc(slices.Clone(alive), func(name string) bool { return name == p.name })
+	owner := func(worker *dispatch.Worker) string { return alive[worker.Cell%len(alive)] }
+	p.step(planner.Event{Kind: planner.PeersChanged, Names: peers}, planner.Event{Kind: planner.PartitionChanged, Owner: owner})
 }
 
 // start begins a process.
 func (p *plannerProcess) start() {
-	if p.planner != nil || p.environment.stopped {
+	if p.planner != nil || p.env.stopped {
 		return
 	}
 	p.cluster.lastIncarnation++
-	p.starts++
-	p.frozen, p.heldEvents = false, nil
+	incarnation := p.cluster.lastIncarnation
+	p.changes++
+	p.frozen = false
+	p.heldEvents = nil
 	clear(p.peers)
-	p.planner = plan.New(plan.Config{Name: p.name, Incarnation: p.cluster.lastIncarnation, Settings: p.environment.settings, StopTimeout: 300 * millisecond,
-		NewPolicy: func() plan.Policy { return dispatch.New(p.environment.settings, p.cluster.seed) }})
-	list := dispatch.WorkerList{Kind: dispatch.ListFull, Revision: p.environment.revision}
-	for _, h := range p.environment.workers {
-		if h.Lifecycle != "removed" {
-			list.Workers = append(list.Workers, workerOf(h))
+	p.planner = planner.New(planner.Config{
+		Name:        p.name,
+		Incarnation: incarnation,
+		Settings:    p.env.settings,
+		StopTimeout: 300 * millisecond,
+		NewPolicy:   func() planner.Policy { return dispatch.New(p.env.settings, p.cluster.seed) },
+	})
+	list := dispatch.WorkerList{Kind: dispatch.ListFull, Revision: p.env.revision}
+	for _, endpoint := range p.env.workers {
+		if endpoint.Lifecycle != "removed" {
+			list.Workers = append(list.Workers, workerOf(endpoint))
 		}
 	}
-	p.step(plan.Event{Kind: plan.EndpointsChanged, Endpoints: list})
-	process := p.cluster.lastIncarnation
-	p.environment.after(p.environment.randomDuration(1, 30), func() {
-		p.cluster.stepMembership(membership.MemberJoined{Member: membership.Member{Name: p.name, Role: membership.RolePlanner, Incarnation: process}})
+	p.step(planner.Event{Kind: planner.EndpointsChanged, Endpoints: list})
+	p.env.after(p.env.randomDuration(1, 30), func() {
+		member := membership.Member{Name: p.name, Role: membership.RolePlanner, Incarnation: incarnation}
+		p.cluster.stepMembership(membership.MemberJoined{Member: member})
 		p.cluster.announceMembers()
 		p.connect()
 	})
 }
 
 func (p *plannerProcess) connect() {
-	if p.established || p.planner == nil || p.environment.stopped {
+	if p.established || p.planner == nil || p.env.stopped {
 		return
 	}
 	p.sessionID++
 	p.connection.connect()
-	p.step(plan.Event{Kind: plan.SessionOpened, Session: p.sessionID})
+	p.step(planner.Event{Kind: planner.SessionOpened, Session: p.sessionID})
 }
 
-// reconnect ends the connection, and soon there is another one.
+// reconnect ends the connection; another one follows.
 func (p *plannerProcess) reconnect() {
 	if !p.established {
 		return
 	}
-	p.connection.disconnect()
-	p.step(plan.Event{Kind: plan.SessionClosed, Session: p.sessionID})
-	p.environment.after(p.environment.randomDuration(5, 100), p.connect)
+	p.disconnect()
+	p.step(planner.Event{Kind: planner.SessionClosed, Session: p.sessionID})
+	p.env.after(p.env.randomDuration(5, 100), p.connect)
 }
 
 // kill ends the process; another one starts.
@@ -189,161 +237,186 @@
 		return
 	}
 	p.planner = nil
-	p.starts++
-	process := p.cluster.lastIncarnation
-	p.connection.disconnect()
-	p.environment.after(p.environment.randomDuration(20, 400), func() {
-		p.cluster.stepMembership(membership.MemberDied{Name: p.name, Incarnation: process})
+	p.changes++
+	incarnation := p.cluster.lastIncarnation
+	p.disconnect()
+	p.env.after(p.env.randomDuration(20, 400), func() {
+		p.cluster.stepMembership(membership.MemberDied{Name: p.name, Incarnation: incarnation})
 		p.cluster.announceMembers()
 	})
-	p.environment.after(p.environment.randomDuration(100, 1500), p.start)
+	p.env.after(p.env.randomDuration(100, 1500), p.start)
 }
 
-func (p *plannerProcess) step(ins ...plan.Event) {
+func (p *plannerProcess) step(events ...planner.Event) {
 	switch {
 	case p.planner == nil:
-		return
 	case p.frozen:
-		p.heldEvents = append(p.heldEvents, ins...)
-		return
-	}
-	for _, o := range p.planner.Step(p.environment.now, ins, nil) {
-		p.execute(o)
+		p.heldEvents = append(p.heldEvents, events...)
+	default:
+		for _, action := range p.planner.Step(p.env.now, events, nil) {
+			p.execute(action)
+		}
 	}
 }
 
-func (p *plannerProcess) execute(o plan.Action) {
-	born := p.starts
-	switch o.Kind {
-	case plan.SendToForwarder:
-		if p.established && o.Session == p.sessionID {
-			p.connection.send(o.Envelope)
+// execute executes an action of the planner.
+func (p *plannerProcess) execute(action planner.Action) {
+	switch action.Kind {
+	case planner.SendToForwarder:
+		if p.established && action.Session == p.sessionID {
+			p.send(action.Envelope)
 		}
-	case plan.SendToPeer:
-		for _, q := range p.cluster.planners {
-			if q.name == o.Peer {
-				p.environment.after(transitTime, func() { q.step(plan.Event{Kind: plan.PeerMessage, Peer: p.name, Envelope: o.Envelope}) })
-			}
+	case planner.SendToPeer:
+		p.sendToPeer(action)
+	case planner.CloseSession:
+		if action.Session == p.sessionID {
+			p.closeSession()
+		}
+	case planner.SetTimer:
+		p.laterInProcess(action.After, planner.Event{Kind: planner.TimerFired})
+	case planner.WatchEndpoints:
+		delay := p.env.randomDuration(1, 20)
+		p.env.after(delay, p.inProcess(func() {
+			list := dispatch.WorkerList{Kind: dispatch.ListDelta, Revision: p.env.revision}
+			p.step(planner.Event{Kind: planner.EndpointsChanged, Endpoints: list})
+		}))
+	case planner.Stopped:
+		p.env.after(2*transitTime, p.kill)
+	}
+}
+
+// inProcess returns a function that acts if the present process is still alive then.
+func (p *plannerProcess) inProcess(act func()) func() {
+	changes := p.changes
+	return func() {
+		if p.changes == changes {
+			act()
 		}
-	case plan.CloseSession:
-		if o.Session == p.sessionID {
-			conn := p.generation
-			p.environment.after(transitTime, func() { // after what was said before
-				if p.generation == conn {
-					p.connection.disconnect()
-					p.environment.after(p.environment.randomDuration(5, 100), p.connect)
-				}
-			})
+	}
+}
+
+func (p *plannerProcess) laterInProcess(delay time.Duration, event planner.Event) {
+	p.env.after(delay, p.inProcess(func() { p.step(event) }))
+}
+
+func (p *plannerProcess) sendToPeer(action planner.Action) {
+	received := planner.Event{Kind: planner.PeerMessage, Peer: p.name, Envelope: action.Envelope}
+	for _, peer := range p.cluster.planners {
+		if peer.name == action.Peer {
+			p.env.after(transitTime, func() { peer.step(received) })
 		}
-	case plan.SetTimer:
-		p.environment.after(o.After, func() {
-			if p.starts == born {
-				p.step(plan.Event{Kind: plan.TimerFired})
-			}
-		})
-	case plan.WatchEndpoints:
-		p.environment.after(p.environment.randomDuration(1, 20), func() {
-			if p.starts == born {
-				p.step(plan.Event{Kind: plan.EndpointsChanged, Endpoints: dispatch.WorkerList{Kind: dispatch.ListDelta, Revision: p.environment.revision}})
-			}
-		})
-	case plan.Stopped:
-		p.environment.after(2*transitTime, p.kill)
 	}
 }
 
-// scheduleFault have planners die, freeze, stop and lose their connections.
-func (c *cluster) scheduleFault(every int) {
-	c.environment.after(c.environment.randomDuration(every/4, every), func() {
-		if c.environment.stopped {
-			for _, p := range c.planners {
-				p.thaw()
-			}
-			return
+// closeSession closes the connection, once what was sent before has arrived.
+func (p *plannerProcess) closeSession() {
+	generation := p.generation
+	p.env.after(transitTime, func() {
+		if p.generation == generation {
+			p.disconnect()
+			p.env.after(p.env.randomDuration(5, 100), p.connect)
 		}
-		switch p := c.planners[c.environment.rng.IntN(len(c.planners))]; c.environment.rng.IntN(5) {
-		case 0:
-			p.kill()
-		case 1:
-			if p.planner != nil && !p.frozen {
-				p.frozen = true
-				c.environment.after(c.environment.randomDuration(20, 1200), p.thaw)
-			}
-		case 2:
-			p.step(plan.Event{Kind: plan.StopRequested})
-		case 3:
-			p.reconnect()
-		case 4: // all of them
-			for _, p := range c.planners {
-				p.kill()
+	})
+}
+
+// scheduleFault has a planner suffer a fault later, and then the next one.
+func (c *cluster) scheduleFault(interval int) {
+	c.after(c.randomDuration(interval/4, interval), func() {
+		if c.stopped {
+			for _, process := range c.planners {
+				process.thaw()
 			}
+			return
 		}
-		c.scheduleFault(every)
+		process := c.planners[c.rng.IntN(len(c.planners))]
+		process.sufferFault()
+		c.scheduleFault(interval)
 	})
 }
 
-// thaw reads what has come meanwhile. What it had said before it froze has long been heard.
+// sufferFault has the planner die, freeze, shut down or lose its connection, or all planners die.
+func (p *plannerProcess) sufferFault() {
+	switch p.env.rng.IntN(5) {
+	case 0:
+		p.kill()
+	case 1:
+		if p.planner != nil && !p.frozen {
+			p.frozen = true
+			p.env.after(p.env.randomDuration(20, 1200), p.thaw)
+		}
+	case 2:
+		p.step(planner.Event{Kind: planner.StopRequested})
+	case 3:
+		p.reconnect()
+	case 4:
+		for _, other := range p.cluster.planners {
+			other.kill()
+		}
+	}
+}
+
+// thaw ends a freeze. What the planner had sent before has arrived meanwhile.
 func (p *plannerProcess) thaw() {
 	if !p.frozen {
 		return
 	}
 	p.frozen = false
-	held, inbox := p.heldEvents, p.inbox
+	events, inbox := p.heldEvents, p.inbox
 	p.heldEvents, p.inbox = nil, nil
-	p.step(held...)
-	for _, m := range inbox {
-		p.onMessage(m)
+	p.step(events...)
+	for _, envelope := range inbox {
+		p.onMessage(envelope)
 	}
 }
 
-// With planners as they are, nothing fails while nothing happens: all is served, and no order is refused.
+// With real planners and without faults all requests are served, and no command is rejected.
 func TestRealPlanners(t *testing.T) {
 	for seed := range uint64(6) {
 		c := newCluster(t, seed, 1+int(seed)%3)
-		c.environment.faultless = true
+		c.faultless = true
 		c.allowTime()
 		c.begin()
-		c.environment.run(3 * time.Second)
-		if len(c.environment.violations) > 0 {
-			t.Fatalf("seed %d: %s", seed, c.environment.violations[0])
+		c.run(3 * time.Second)
+		if len(c.violations) > 0 {
+			t.Fatalf("seed %d: %s", seed, c.violations[0])
 		}
-		if n := c.environment.stats["refused"] + c.environment.stats["failed"]; n > 0 || c.environment.stats["served"] < 50 {
-			t.Errorf("seed %d: %d served, %d not", seed, c.environment.stats["served"], n)
+		served, lost := c.stats[responseServed], c.stats[responseRejected]+c.stats[responseFailed]
+		if lost > 0 || served < 50 {
+			t.Errorf("seed %d: %d served, %d not", seed, served, lost)
 		}
-		for why := range message.ReasonCount {
-			if n := c.environment.forwarder.validator.RejectedCount(why); n > 0 {
-				t.Errorf("seed %d: %d orders refused as %q", seed, n, why)
+		for reason := range message.ReasonCount {
+			if count := c.forwarder.validator.RejectedCount(reason); count > 0 {
+				t.Errorf("seed %d: %d commands rejected as %q", seed, count, reason)
 			}
 		}
 	}
 }
 
-// And whatever happens to them, the rules hold, and most is served still.
+// With real planners and faults no rule is broken, and nearly all requests are served if there is time.
 func TestRealPlannersWithFaults(t *testing.T) {
-	stats, ample := map[string]int{}, map[string]int{}
+	hurried, ample := map[string]int{}, map[string]int{}
 	for seed := *firstSeed; seed < *firstSeed+*runs/2; seed++ {
-		stats := stats
-		if seed%2 == 0 {
-			stats = ample
-		}
 		c := newCluster(t, seed, 1+int(seed)%3)
-		if c.environment.faultless = seed%2 == 0; c.environment.faultless {
+		stats, faultInterval := hurried, 1000
+		if seed%2 == 0 {
+			c.faultless = true
 			c.allowTime()
+			stats, faultInterval = ample, 300
 		}
-		c.scheduleFault([]int{300, 1000}[seed%2])
+		c.scheduleFault(faultInterval)
 		c.begin()
-		c.environment.run(4 * time.Second)
-		if len(c.environment.violations) > 0 {
-			t.Fatalf("seed %d: %d faults, the first: %s", seed, len(c.environment.violations), c.environment.violations[0])
+		c.run(4 * time.Second)
+		if len(c.violations) > 0 {
+			t.Fatalf("seed %d: %d violations, the first: %s", seed, len(c.violations), c.violations[0])
 		}
-		for what, n := range c.environment.stats {
-			stats[what] += n
+		for name, count := range c.stats {
+			stats[name] += count
 		}
 	}
-	if lost := ample["refused"] + ample["failed"]; lost*100 > ample["served"] {
-		t.Errorf("%d lost, though there was time, and %d served", lost, ample["served"])
+	if lost := ample[responseRejected] + ample[responseFailed]; lost*100 > ample[responseServed] {
+		t.Errorf("%d lost, though there was time, and %d served", lost, ample[responseServed])
 	}
-	for _, what := range slices.Sorted(maps.Keys(stats)) {
-		t.Logf("%s %d, with ample time %d", what, stats[what], ample[what])
+	for _, name := range slices.Sorted(maps.Keys(hurried)) {
+		t.Logf("%s %d, with ample time %d", name, hurried[name], ample[name])
 	}
 }
--- a/internal/control/forwarder/scriptedplanner_test.go
+++ b/internal/control/forwarder/scriptedplanner_test.go
@@ -9,232 +9,310 @@
 	"valvecove/internal/control/message"
 )
 
-// scriptedPlanner is a planner of a random play: one that does its work in a simple way, and whatever its temper adds.
+// behavior is how a planner of a random run behaves.
+type behavior struct {
+	errorPercent       int  // of its commands are invalid
+	sendsStale         bool // after a freeze, it first sends what it had decided while it was frozen
+	sendsFalseStatuses bool // of workers
+	losesOffers        bool // some of them
+}
+
+// scriptedPlanner is a planner that does its work in a simple way, but for its behavior.
 type scriptedPlanner struct {
 	connection
 	behavior
 
-	outbox        []message.Envelope // thought of while it was frozen, and not said
-	epoch         message.Epoch      // as it has read
-	previousEpoch message.Epoch      // the one before
+	outbox        []message.Envelope // decided while it was frozen
+	epoch         message.Epoch      // of the newest session that it has read of
+	previousEpoch message.Epoch
 	requests      map[uint64]*scriptedRequest
-	stopped       bool
+	stopped       bool // it has said goodbye
 }
 
+// scriptedRequest is a request as a scripted planner knows it.
 type scriptedRequest struct {
 	summary          message.RequestSummary
 	nextAttempt      int
 	inFlight         int
-	workers          []uint64
+	workers          []uint64 // of its attempts
 	deadline         time.Duration
 	possiblyExecuted bool
 }
 
-// scheduleFault has things happen to the planner.
-func (p *scriptedPlanner) scheduleFault() {
-	w := p.environment
-	w.after(w.randomDuration(50, 1500), func() {
-		if w.stopped {
+// newScriptedPlanner adds a planner to an environment.
+func newScriptedPlanner(env *environment, name string, behaves behavior) *scriptedPlanner {
+	planner := &scriptedPlanner{
+		connection: connection{env: env, name: name},
+		behavior:   behaves,
+		requests:   map[uint64]*scriptedRequest{},
+	}
+	planner.onMessage = planner.handleMessage
+	env.connections = append(env.connections, &planner.connection)
+	env.after(env.randomDuration(0, 40), planner.connect)
+	planner.scheduleIncident()
+	return planner
+}
+
+// scheduleIncident has something happen to the planner later, and then the next thing.
+func (p *scriptedPlanner) scheduleIncident() {
+	p.env.after(p.env.randomDuration(50, 1500), func() {
+		if p.env.stopped {
 			p.thaw()
 			return
 		}
-		switch what := w.rng.IntN(9); {
-		case what == 0 && p.established:
-			p.disconnect()
-			w.after(w.randomDuration(1, 900), p.connect)
-		case what <= 2 && !p.frozen:
-			p.frozen = true
-			w.after(w.randomDuration(20, 1200), p.thaw)
-		case what == 3 && p.established && !p.frozen && p.epoch != 0:
-			p.reply(&message.Goodbye{})
-			p.stopped = true
-			w.after(w.randomDuration(5, 200), func() {
-				p.disconnect()
-				w.after(w.randomDuration(1, 300), p.connect)
-			})
-		case what == 4:
-			p.reply(&message.CreditUpdate{Credit: w.rng.IntN(30)})
-		case what == 5:
-			p.reply(&message.ModelSnapshot{Age: w.randomDuration(0, 3000), Data: []byte("no lesson")})
-		case what == 6 || p.sendsFalseStatuses:
-			p.sendStatus()
-		}
-		p.scheduleFault()
+		p.sufferIncident()
+		p.scheduleIncident()
 	})
 }
 
+// sufferIncident has the planner lose its connection, freeze, shut down, or send something of its own accord.
+func (p *scriptedPlanner) sufferIncident() {
+	env := p.env
+	switch incident := env.rng.IntN(9); {
+	case incident == 0 && p.established:
+		p.disconnect()
+		env.after(env.randomDuration(1, 900), p.connect)
+	case incident <= 2 && !p.frozen:
+		p.frozen = true
+		env.after(env.randomDuration(20, 1200), p.thaw)
+	case incident == 3 && p.established && !p.frozen && p.epoch != 0:
+		p.sendMessage(&message.Goodbye{})
+		p.stopped = true
+		env.after(env.randomDuration(5, 200), func() {
+			p.disconnect()
+			env.after(env.randomDuration(1, 300), p.connect)
+		})
+	case incident == 4:
+		p.sendMessage(&message.CreditUpdate{Credit: env.rng.IntN(30)})
+	case incident == 5:
+		p.sendMessage(&message.ModelSnapshot{Age: env.randomDuration(0, 3000), Data: []byte("no lesson")})
+	case incident == 6 || p.sendsFalseStatuses:
+		p.sendStatus()
+	}
+}
+
 func (p *scriptedPlanner) connect() {
-	if p.established || p.environment.stopped {
+	if p.established || p.env.stopped {
 		return
 	}
-	p.stopped, p.outbox, p.epoch = false, nil, 0
+	p.stopped = false
+	p.outbox = nil
+	p.epoch = 0
 	clear(p.requests)
 	p.connection.connect()
 }
 
+// thaw ends a freeze.
 func (p *scriptedPlanner) thaw() {
 	if !p.frozen {
 		return
 	}
 	p.frozen = false
-	out, in := p.outbox, p.inbox
+	outbox, inbox := p.outbox, p.inbox
 	p.outbox, p.inbox = nil, nil
 	if p.sendsStale {
-		for _, m := range out {
-			p.send(m)
+		for _, envelope := range outbox {
+			p.send(envelope)
 		}
 	}
-	for _, m := range in {
-		p.handleMessage(m)
+	for _, envelope := range inbox {
+		p.handleMessage(envelope)
 	}
 }
 
-// reply says something in the session that it has read of.
-func (p *scriptedPlanner) reply(m message.Message) { p.replyInEpoch(p.epoch, m) }
+// sendMessage sends a message in the newest session that the planner has read of.
+func (p *scriptedPlanner) sendMessage(body message.Message) { p.sendInEpoch(p.epoch, body) }
 
-func (p *scriptedPlanner) replyInEpoch(epoch message.Epoch, m message.Message) {
+// sendInEpoch sends a message in a session, once the planner is not frozen.
+func (p *scriptedPlanner) sendInEpoch(epoch message.Epoch, body message.Message) {
 	if epoch == 0 {
 		epoch = p.epoch
 	}
-	e := message.Envelope{Epoch: epoch, Message: m}
+	envelope := message.Envelope{Epoch: epoch, Message: body}
 	if p.frozen {
-		p.outbox = append(p.outbox, e)
+		p.outbox = append(p.outbox, envelope)
 		return
 	}
-	p.send(e)
+	p.send(envelope)
 }
 
-// sendStatus says something about a worker node, true as far as it goes or not.
+// sendStatus sends the status of a worker: the true one, an old one, or any.
 func (p *scriptedPlanner) sendStatus() {
-	w := p.environment
-	h := w.workers[w.rng.IntN(len(w.workers))]
-	x := message.WorkerStatus{WorkerID: workerID(h.ID), StartedMs: h.StartedAtMs, Revision: w.revision}
-	if x.State = message.WorkerUp; h.Lifecycle != "up" {
-		x.State = message.WorkerDraining
+	rng := p.env.rng
+	endpoint := p.env.workers[rng.IntN(len(p.env.workers))]
+	status := message.WorkerStatus{
+		WorkerID:  workerID(endpoint.ID),
+		StartedMs: endpoint.StartedAtMs,
+		Revision:  p.env.revision,
+		State:     message.WorkerUp,
+	}
+	if endpoint.Lifecycle != "up" {
+		status.State = message.WorkerDraining
 	}
-	if w.rng.IntN(2) == 0 { // an old one
-		x.Revision -= int64(w.rng.IntN(5))
-		x.State = message.WorkerState(w.rng.IntN(3))
+	if rng.IntN(2) == 0 {
+		status.Revision -= int64(rng.IntN(5))
+		status.State = message.WorkerState(rng.IntN(3))
 	}
 	if p.sendsFalseStatuses {
-		x = message.WorkerStatus{WorkerID: []uint64{x.WorkerID, x.WorkerID, 77}[w.rng.IntN(3)], Revision: int64(w.rng.IntN(100)),
-			State:     message.WorkerState(w.rng.IntN(3)),
-			StartedMs: []int64{h.StartedAtMs, h.StartedAtMs + 5, w.now.Milliseconds() + 120000, -5, 1 << 62}[w.rng.IntN(5)]}
+		const unlistedWorker = 77
+		future := (p.env.now + 2*time.Minute).Milliseconds()
+		starts := []int64{endpoint.StartedAtMs, endpoint.StartedAtMs + 5, future, -5, 1 << 62}
+		status = message.WorkerStatus{
+			WorkerID:  []uint64{status.WorkerID, status.WorkerID, unlistedWorker}[rng.IntN(3)],
+			Revision:  int64(rng.IntN(100)),
+			State:     message.WorkerState(rng.IntN(3)),
+			StartedMs: starts[rng.IntN(len(starts))],
+		}
 	}
-	p.reply(&x)
+	p.sendMessage(&status)
 }
 
-// handleMessage takes in what the forwarder says.
-func (p *scriptedPlanner) handleMessage(e message.Envelope) {
-	w := p.environment
-	if _, ok := e.Message.(*message.Handshake); ok {
-		p.previousEpoch, p.epoch = p.epoch, e.Epoch
+// handleMessage processes a message of the forwarder.
+func (p *scriptedPlanner) handleMessage(envelope message.Envelope) {
+	if _, ok := envelope.Message.(*message.Handshake); ok {
+		p.previousEpoch = p.epoch
+		p.epoch = envelope.Epoch
 		clear(p.requests)
-		p.reply(&message.HandshakeAccept{Name: p.name, Credit: w.rng.IntN(60), Version: 0})
+		p.sendMessage(&message.HandshakeAccept{Name: p.name, Credit: p.env.rng.IntN(60), Version: 0})
 		return
 	}
-	if e.Epoch != p.epoch || p.stopped {
+	if envelope.Epoch != p.epoch || p.stopped {
 		return
 	}
-	switch m := e.Message.(type) {
+	switch body := envelope.Message.(type) {
 	case *message.Heartbeat:
-		p.reply(&message.HeartbeatReply{Sequence: m.Sequence, TimerLag: w.randomDuration(0, 3)})
+		timerLag := p.env.randomDuration(0, 3)
+		p.sendMessage(&message.HeartbeatReply{Sequence: body.Sequence, TimerLag: timerLag})
 	case *message.RequestOffer:
-		if p.losesOffers && w.rng.IntN(5) == 0 {
-			return
-		}
-		h := &scriptedRequest{summary: m.Summary, nextAttempt: len(m.Summary.Attempts), deadline: w.now + m.Summary.Remaining}
-		for _, a := range m.Summary.Attempts {
-			h.workers = append(h.workers, a.WorkerID)
-			if h.possiblyExecuted = h.possiblyExecuted || a.PossiblyExecuted; !a.Ended {
-				h.inFlight++
-			}
+		if !p.losesOffers || p.env.rng.IntN(5) > 0 {
+			p.takeOffer(body)
 		}
-		p.requests[m.RequestID] = h
-		p.scheduleDecision(m.RequestID)
 	case *message.AttemptEnded:
-		h := p.requests[m.RequestID]
-		if h == nil || m.Attempt < 0 {
-			return
-		}
-		if h.inFlight--; m.Result == dispatch.OK {
-			delete(p.requests, m.RequestID)
-			return
-		}
-		h.possiblyExecuted = h.possiblyExecuted || m.Result != dispatch.WorkerFull && m.Result != dispatch.ConnectFailed && m.Result != dispatch.NotSent
-		p.scheduleDecision(m.RequestID)
+		p.attemptEnded(body)
 	case *message.RequestClosed:
-		delete(p.requests, m.RequestID)
+		delete(p.requests, body.RequestID)
+	}
+}
+
+func (p *scriptedPlanner) takeOffer(offer *message.RequestOffer) {
+	request := &scriptedRequest{
+		summary:     offer.Summary,
+		nextAttempt: len(offer.Summary.Attempts),
+		deadline:    p.env.now + offer.Summary.Remaining,
+	}
+	for _, attempt := range offer.Summary.Attempts {
+		request.workers = append(request.workers, attempt.WorkerID)
+		request.possiblyExecuted = request.possiblyExecuted || attempt.PossiblyExecuted
+		if !attempt.Ended {
+			request.inFlight++
+		}
+	}
+	p.requests[offer.RequestID] = request
+	p.scheduleDecision(offer.RequestID)
+}
+
+func (p *scriptedPlanner) attemptEnded(ended *message.AttemptEnded) {
+	request := p.requests[ended.RequestID]
+	if request == nil || ended.Attempt < 0 {
+		return
+	}
+	request.inFlight--
+	switch ended.Result {
+	case dispatch.OK:
+		delete(p.requests, ended.RequestID)
+		return
+	case dispatch.WorkerFull, dispatch.ConnectFailed, dispatch.NotSent:
+	default:
+		request.possiblyExecuted = true
 	}
+	p.scheduleDecision(ended.RequestID)
 }
 
-// scheduleDecision decides on a query after some thought.
-func (p *scriptedPlanner) scheduleDecision(query uint64) {
-	w := p.environment
-	think := w.randomDuration(0, 5)
-	if w.rng.IntN(10) == 0 {
-		think = w.randomDuration(5, 400) // there was no room
+// scheduleDecision has the planner decide on a request later.
+func (p *scriptedPlanner) scheduleDecision(id uint64) {
+	delay := p.env.randomDuration(0, 5)
+	if p.env.rng.IntN(10) == 0 { // there was no capacity
+		delay = p.env.randomDuration(5, 400)
 	}
 	epoch := p.epoch
-	w.after(think, func() {
-		if h := p.requests[query]; h != nil && p.epoch == epoch && !p.stopped {
-			p.decide(query, h)
+	p.env.after(delay, func() {
+		if request := p.requests[id]; request != nil && p.epoch == epoch && !p.stopped {
+			p.decide(id, request)
 		}
 	})
 }
 
-func (p *scriptedPlanner) decide(query uint64, h *scriptedRequest) {
-	w := p.environment
-	if w.rng.IntN(100) < p.errorPercent {
-		p.sendInvalid(query, h)
+// decide gives a command for a request.
+func (p *scriptedPlanner) decide(id uint64, request *scriptedRequest) {
+	env := p.env
+	if env.rng.IntN(100) < p.errorPercent {
+		p.sendInvalid(id, request)
 		return
 	}
-	c := w.settings.Classes[h.summary.Class]
+	class := env.settings.Classes[request.summary.Class]
+	mayNotRepeat := request.possiblyExecuted && class.Idempotency != dispatch.Idempotent
 	switch {
-	case h.inFlight > 0:
-		return
-	case h.possiblyExecuted && c.Idempotency != dispatch.Idempotent || len(h.workers) >= w.settings.AttemptLimit || w.now >= h.deadline:
-		delete(p.requests, query)
-		retryAfter := w.randomDuration(0, 3000)
-		if h.possiblyExecuted && c.Idempotency != dispatch.Idempotent {
-			p.reply(&message.FailCommand{RequestID: query})
+	case request.inFlight > 0:
+	case mayNotRepeat || len(request.workers) >= env.settings.AttemptLimit || env.now >= request.deadline:
+		delete(p.requests, id)
+		retryAfter := env.randomDuration(0, 3000)
+		if mayNotRepeat {
+			p.sendMessage(&message.FailCommand{RequestID: id})
 		} else {
-			p.reply(&message.RejectCommand{RequestID: query, RetryAfter: retryAfter})
+			p.sendMessage(&message.RejectCommand{RequestID: id, RetryAfter: retryAfter})
 		}
-		return
-	case w.rng.IntN(25) == 0:
-		delete(p.requests, query)
-		p.reply(&message.TransferCommand{RequestID: query, Planner: []string{"p0", "p1", "p2", ""}[w.rng.IntN(4)]})
+	case env.rng.IntN(25) == 0:
+		delete(p.requests, id)
+		target := []string{"p0", "p1", "p2", ""}[env.rng.IntN(4)]
+		p.sendMessage(&message.TransferCommand{RequestID: id, Planner: target})
+	default:
+		p.sendAttempts(id, request, &class)
+	}
+}
+
+// sendAttempts sends a request to a worker that may have it, and now and then to a second one.
+func (p *scriptedPlanner) sendAttempts(id uint64, request *scriptedRequest, class *dispatch.Class) {
+	rng := p.env.rng
+	candidates := p.candidates(request, class)
+	if len(candidates) == 0 {
+		p.scheduleDecision(id)
 		return
 	}
-	var may []uint64
-	for _, n := range w.workers {
-		fits := c.Kinds == nil || n.MachineType == "k"+strconv.Itoa(c.Kinds[0])
-		if id := workerID(n.ID); n.Lifecycle == "up" && fits && !slices.Contains(h.workers, id) {
-			may = append(may, id)
-		}
+	command := message.SendCommand{
+		RequestID: id,
+		Attempt:   request.nextAttempt,
+		WorkerID:  candidates[rng.IntN(len(candidates))],
 	}
-	if len(may) == 0 {
-		p.scheduleDecision(query)
-		return
+	if rng.IntN(3) == 0 {
+		command.Timeout = p.env.randomDuration(10, 300)
 	}
-	m := message.SendCommand{RequestID: query, Attempt: h.nextAttempt, WorkerID: may[w.rng.IntN(len(may))]}
-	if w.rng.IntN(3) == 0 {
-		m.Timeout = w.randomDuration(10, 300)
+	request.nextAttempt++
+	request.inFlight++
+	request.workers = append(request.workers, command.WorkerID)
+	p.sendMessage(command.Clone())
+	mayHedge := p.env.settings.Hedging && class.Idempotency == dispatch.Idempotent
+	if mayHedge && rng.IntN(4) == 0 && len(candidates) > 1 {
+		command.Attempt = request.nextAttempt
+		command.WorkerID = candidates[rng.IntN(len(candidates))]
+		request.nextAttempt++
+		request.inFlight++
+		p.sendMessage(command.Clone())
 	}
-	h.nextAttempt++
-	h.inFlight++
-	h.workers = append(h.workers, m.WorkerID)
-	p.reply(m.Clone())
-	if w.settings.Hedging && c.Idempotency == dispatch.Idempotent && w.rng.IntN(4) == 0 && len(may) > 1 {
-		m.Attempt, m.WorkerID = h.nextAttempt, may[w.rng.IntN(len(may))]
-		h.nextAttempt++
-		h.inFlight++
-		p.reply(m.Clone())
+	if p.env.settings.HealthChecks && rng.IntN(10) == 0 {
+		p.sendMessage(&message.HealthCheckCommand{WorkerID: command.WorkerID})
 	}
-	if w.settings.HealthChecks && w.rng.IntN(10) == 0 {
-		p.reply(&message.HealthCheckCommand{WorkerID: m.WorkerID})
+}
+
+// candidates returns the workers that a request may be sent to and was not.
+func (p *scriptedPlanner) candidates(request *scriptedRequest, class *dispatch.Class) (ids []uint64) {
+	for _, endpoint := range p.env.workers {
+		id := workerID(endpoint.ID)
+		fits := class.Kinds == nil || endpoint.MachineType == "k"+strconv.Itoa(class.Kinds[0])
+		if endpoint.Lifecycle == "up" && fits && !slices.Contains(request.workers, id) {
+			ids = append(ids, id)
+		}
 	}
+	return ids
 }
 
 // unknownMessage is of a kind that no version has.
@@ -244,59 +322,60 @@
 
 func (m unknownMessage) Clone() message.Message { return m }
 
-// sendInvalid orders something that it may not, most likely.
-func (p *scriptedPlanner) sendInvalid(query uint64, h *scriptedRequest) {
-	w := p.environment
+// sendInvalid sends something that is most likely not valid.
+func (p *scriptedPlanner) sendInvalid(id uint64, request *scriptedRequest) {
+	rng := p.env.rng
 	epoch := p.epoch
-	m := &message.SendCommand{RequestID: query, Attempt: h.nextAttempt, WorkerID: workerID("w" + strconv.Itoa(w.rng.IntN(10)))}
-	var said message.Message = m
-	switch w.rng.IntN(9) {
+	worker := workerID("w" + strconv.Itoa(rng.IntN(10)))
+	command := &message.SendCommand{RequestID: id, Attempt: request.nextAttempt, WorkerID: worker}
+	var body message.Message = command
+	switch rng.IntN(9) {
 	case 0: // twice, by one number
-		p.reply(m.Clone())
-		h.nextAttempt++
-	case 1: // and by two
-		p.reply(m.Clone())
-		m.Attempt++
-		h.nextAttempt += 2
+		p.sendMessage(command.Clone())
+		request.nextAttempt++
+	case 1: // twice, by two numbers
+		p.sendMessage(command.Clone())
+		command.Attempt++
+		request.nextAttempt += 2
 	case 2:
-		epoch = []message.Epoch{p.previousEpoch, p.epoch + 1, p.epoch + 2, 7}[w.rng.IntN(4)]
+		epoch = []message.Epoch{p.previousEpoch, p.epoch + 1, p.epoch + 2, 7}[rng.IntN(4)]
 	case 3:
-		m.RequestID = w.rng.Uint64N(w.lastID + 5)
-	case 4: // anywhere, whatever has been
-		h.nextAttempt++
+		command.RequestID = rng.Uint64N(p.env.lastID + 5)
+	case 4: // to any worker, whatever the request has had
+		request.nextAttempt++
 	case 5:
-		said = p.otherMessage(m)
+		body = p.otherMessage(command)
 	case 6:
-		m.Attempt = []int{-1, h.nextAttempt - 1, h.nextAttempt + 7, 1 << 40}[w.rng.IntN(4)]
-		h.nextAttempt += 8
+		command.Attempt = []int{-1, request.nextAttempt - 1, request.nextAttempt + 7, 1 << 40}[rng.IntN(4)]
+		request.nextAttempt += 8
 	case 7:
-		m.Timeout = -w.randomDuration(0, 500)
-		h.nextAttempt++
+		command.Timeout = -p.env.randomDuration(0, 500)
+		request.nextAttempt++
 	case 8:
-		said = &message.HandshakeAccept{Credit: w.rng.IntN(100) - 50}
+		body = &message.HandshakeAccept{Credit: rng.IntN(100) - 50}
 	}
-	p.replyInEpoch(epoch, said)
-	p.scheduleDecision(query)
+	p.sendInEpoch(epoch, body)
+	p.scheduleDecision(id)
 }
 
-// otherMessage is a message of any other kind in the place of an order to send.
-func (p *scriptedPlanner) otherMessage(m *message.SendCommand) message.Message {
-	all := []message.Message{
-		&message.RejectCommand{RequestID: m.RequestID},
-		&message.FailCommand{RequestID: m.RequestID},
-		&message.CancelCommand{RequestID: m.RequestID, Attempt: m.Attempt},
-		&message.HealthCheckCommand{WorkerID: m.WorkerID},
-		&message.CloseIdleCommand{WorkerID: m.WorkerID},
-		&message.TransferCommand{RequestID: m.RequestID},
+// otherMessage returns a message of another kind in place of a send command, seldom a goodbye.
+func (p *scriptedPlanner) otherMessage(command *message.SendCommand) message.Message {
+	messages := []message.Message{
+		&message.RejectCommand{RequestID: command.RequestID},
+		&message.FailCommand{RequestID: command.RequestID},
+		&message.CancelCommand{RequestID: command.RequestID, Attempt: command.Attempt},
+		&message.HealthCheckCommand{WorkerID: command.WorkerID},
+		&message.CloseIdleCommand{WorkerID: command.WorkerID},
+		&message.TransferCommand{RequestID: command.RequestID},
 		&message.Goodbye{},
-		&message.RequestOffer{RequestID: m.RequestID},
+		&message.RequestOffer{RequestID: command.RequestID},
 		&message.Handshake{},
-		&message.RequestClosed{RequestID: m.RequestID},
+		&message.RequestClosed{RequestID: command.RequestID},
 		unknownMessage{},
 	}
-	other := all[p.environment.rng.IntN(len(all))]
-	if _, stops := other.(*message.Goodbye); stops && p.environment.rng.IntN(10) > 0 {
-		return all[0]
+	other := messages[p.env.rng.IntN(len(messages))]
+	if _, isGoodbye := other.(*message.Goodbye); isGoodbye && p.env.rng.IntN(10) > 0 {
+		return messages[0]
 	}
 	return other
 }
