--- a/internal/link/discovery_watch.go
+++ b/internal/link/discovery_watch.go
@@ -10,6 +10,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/internal/discovery"
+	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 )
 
@@ -31,7 +32,7 @@
 	revision      int64  // of the list at hand when the connection was opened
 	streaming     bool   // the response has begun, and its body is read
 	receivedEvent bool   // since the last connection was opened
-	body          chunks
+	body          http1.ChunkDecoder
 	scanner       discovery.EventScanner
 }
 
@@ -108,7 +109,7 @@
 	w.revision = w.loop.Ledger.Revision()
 	w.streaming = false
 	w.receivedEvent = false
-	w.body = chunks{}
+	w.body = http1.ChunkDecoder{}
 	w.scanner = discovery.EventScanner{}
 	if err := w.dial(); err != nil {
 		w.stream = stream{loop: w.loop, closed: true}
@@ -189,7 +190,7 @@
 	w.machine.Connected(w.loop.now)
 	w.resetTimer()
 	target := "/discovery/hosts?stream=1&index=" + strconv.FormatInt(w.revision, 10)
-	request := appendCall(nil, "GET", target, w.server.String())
+	request := http1.AppendRequestStart(nil, "GET", target, w.server.String())
 	return w.send(append(request, "\r\n"...))
 }
 
@@ -206,20 +207,20 @@
 
 // readResponseHeader takes one response header, be it an interim one; complete is false if it is not all there yet.
 func (w *watchConnection) readResponseHeader() (complete bool, err error) {
-	message := &w.loop.message
-	size, err := message.parseStatus(w.in)
-	if errors.Is(err, errShort) {
+	response := &w.loop.response
+	size, err := response.ParseHeader(w.in)
+	if errors.Is(err, http1.ErrIncomplete) {
 		return false, nil
 	}
 	if err != nil {
 		return false, err
 	}
 	w.took(size)
-	if message.Status < 200 {
+	if response.IsInterim() {
 		return true, nil
 	}
-	if message.Status != 200 || !message.Chunked {
-		return false, fmt.Errorf("%w: status %d, chunked %v", errWatchRejected, message.Status, message.Chunked)
+	if response.StatusCode != 200 || !response.IsChunked() {
+		return false, fmt.Errorf("%w: status %d, chunked %v", errWatchRejected, response.StatusCode, response.IsChunked())
 	}
 	w.streaming = true
 	return true, nil
@@ -228,7 +229,7 @@
 func (w *watchConnection) readBody() error {
 	taken := 0
 	for {
-		piece, size, err := w.body.next(w.in[taken:])
+		piece, size, err := w.body.Next(w.in[taken:])
 		if err != nil {
 			return err
 		}
@@ -241,7 +242,7 @@
 		}
 	}
 	w.took(taken)
-	if w.body.done {
+	if w.body.IsDone() {
 		return errWatchClosed
 	}
 	return nil
