--- a/internal/control/forwarder/joined_test.go
+++ b/internal/control/forwarder/joined_test.go
@@ -41,7 +41,7 @@
 	for i := range planners {
 		p := &booked{seat: seat{w: c.w, name: "p" + strconv.Itoa(i)}, c: c, peers: map[string]bool{}}
 		p.seat.read = func(e message.Envelope) {
-			p.step(plan.Event{Kind: plan.ForwarderMessage, Session: p.session, Envelope: e})
+			p.step(plan.ForwarderMessage{Session: p.session, Envelope: e})
 		}
 		c.all = append(c.all, p)
 		c.w.plans = append(c.w.plans, &p.seat)
@@ -49,7 +49,7 @@
 	c.w.changed = func(h requests.Endpoint) {
 		for _, p := range c.all {
 			list := dispatch.WorkerList{Kind: dispatch.ListDelta, Workers: []dispatch.Worker{workerOf(h)}, Revision: c.w.gen}
-			c.w.after(c.w.ms(0, 40), func() { p.step(plan.Event{Kind: plan.EndpointsChanged, Endpoints: list}) })
+			c.w.after(c.w.ms(0, 40), func() { p.step(plan.EndpointsChanged{Endpoints: list}) })
 		}
 	}
 	return c
@@ -125,16 +125,16 @@
 		}
 		for _, o := range c.all {
 			if is := o.book != nil; o != p && p.peers[o.name] != is {
-				kind := plan.PeerDisconnected
+				event := plan.Event(plan.PeerDisconnected{Peer: o.name})
 				if p.peers[o.name] = is; is {
-					kind = plan.PeerConnected
+					event = plan.PeerConnected{Peer: o.name}
 				}
-				p.step(plan.Event{Kind: kind, Peer: o.name})
+				p.step(event)
 			}
 		}
-		p.step(plan.Event{Kind: plan.PeersChanged, Names: slices.DeleteFunc(slices.Clone(names), func(n string) bool {
+		p.step(plan.PeersChanged{Names: slices.DeleteFunc(slices.Clone(names), func(n string) bool {
 			return n == p.name
-		})}, plan.Event{Kind: plan.PartitionChanged, Owner: owner})
+		})}, plan.PartitionChanged{Owner: owner})
 	}
 }
 
@@ -155,7 +155,7 @@
 			list.Workers = append(list.Workers, workerOf(h))
 		}
 	}
-	p.step(plan.Event{Kind: plan.EndpointsChanged, Endpoints: list})
+	p.step(plan.EndpointsChanged{Endpoints: list})
 	process := p.c.process
 	p.w.after(p.w.ms(1, 30), func() {
 		p.c.tell(membership.MemberJoined{Member: membership.Member{Name: p.name, Role: membership.RolePlanner, Incarnation: process}})
@@ -170,7 +170,7 @@
 	}
 	p.session++
 	p.seat.connect()
-	p.step(plan.Event{Kind: plan.SessionOpened, Session: p.session})
+	p.step(plan.SessionOpened{Session: p.session})
 }
 
 // cut ends the connection, and soon there is another one.
@@ -179,7 +179,7 @@
 		return
 	}
 	p.seat.down()
-	p.step(plan.Event{Kind: plan.SessionClosed, Session: p.session})
+	p.step(plan.SessionClosed{Session: p.session})
 	p.w.after(p.w.ms(5, 100), p.connect)
 }
 
@@ -214,7 +214,7 @@
 
 func (p *booked) does(o plan.Action) {
 	born := p.born
-	switch o.Kind {
+	switch o := o.(type) {
 	case plan.SendToForwarder:
 		if p.up && o.Session == p.session {
 			p.seat.send(o.Envelope)
@@ -222,7 +222,7 @@
 	case plan.SendToPeer:
 		for _, q := range p.c.all {
 			if q.name == o.Peer {
-				p.w.after(way, func() { q.step(plan.Event{Kind: plan.PeerMessage, Peer: p.name, Envelope: o.Envelope}) })
+				p.w.after(way, func() { q.step(plan.PeerMessage{Peer: p.name, Envelope: o.Envelope}) })
 			}
 		}
 	case plan.CloseSession:
@@ -238,13 +238,13 @@
 	case plan.SetTimer:
 		p.w.after(o.After, func() {
 			if p.born == born {
-				p.step(plan.Event{Kind: plan.TimerFired})
+				p.step(plan.TimerFired{})
 			}
 		})
 	case plan.WatchEndpoints:
 		p.w.after(p.w.ms(1, 20), func() {
 			if p.born == born {
-				p.step(plan.Event{Kind: plan.EndpointsChanged, Endpoints: dispatch.WorkerList{Kind: dispatch.ListDelta, Revision: p.w.gen}})
+				p.step(plan.EndpointsChanged{Endpoints: dispatch.WorkerList{Kind: dispatch.ListDelta, Revision: p.w.gen}})
 			}
 		})
 	case plan.Stopped:
@@ -270,7 +270,7 @@
 				c.w.after(c.w.ms(20, 1200), p.thaw)
 			}
 		case 2:
-			p.step(plan.Event{Kind: plan.StopRequested})
+			p.step(plan.StopRequested{})
 		case 3:
 			p.cut()
 		case 4: // all of them
--- /dev/null
+++ b/internal/control/planner/attempt.go
@@ -0,0 +1,100 @@
+package planner
+
+import (
+	"time"
+
+	"valvecove/dispatch"
+)
+
+// attemptState is how far an attempt has come. States follow each other in this order.
+type attemptState uint8
+
+const (
+	attemptCommanded attemptState = iota // its send command is sent, and nothing was heard of it
+	attemptConfirmed                     // the forwarder has reported it
+	attemptEnded
+)
+
+func (s attemptState) String() string {
+	switch s {
+	case attemptCommanded:
+		return "commanded"
+	case attemptConfirmed:
+		return "confirmed"
+	case attemptEnded:
+		return "ended"
+	}
+	return "unknown"
+}
+
+// attempt is one sending of a request to a worker.
+type attempt struct {
+	state     attemptState
+	worker    *worker
+	sentAt    time.Duration
+	startedAt time.Duration // 0: no start was reported
+	result    dispatch.Result
+}
+
+func (a *attempt) inFlight() bool { return a.state != attemptEnded }
+
+// advanceTo moves the attempt to a state, if that is later than its present one.
+func (a *attempt) advanceTo(state attemptState) { a.state = max(a.state, state) }
+
+// confirmStart takes in that the worker has started to execute the attempt.
+func (a *attempt) confirmStart(now time.Duration) {
+	a.advanceTo(attemptConfirmed)
+	if a.startedAt == 0 {
+		a.startedAt = now
+	}
+}
+
+// addAttempt adds an attempt to a request.
+func (p *Planner) addAttempt(req *request, added attempt) {
+	p.addReferences(added.worker, 1)
+	if added.inFlight() {
+		req.inFlight++
+		p.requests.slotsInUse += req.slots
+	}
+	req.attempts = append(req.attempts, added)
+}
+
+// endAttempt ends an attempt that is in flight.
+func (t *requestTable) endAttempt(req *request, a *attempt, result dispatch.Result) {
+	a.advanceTo(attemptEnded)
+	a.result = result
+	req.inFlight--
+	t.slotsInUse -= req.slots
+}
+
+// cancelAttempts has the policy take all attempts in flight for ended, without a result that says anything of the worker.
+func (p *Planner) cancelAttempts(req *request) {
+	for i := range req.attempts {
+		attempt := &req.attempts[i]
+		if !attempt.inFlight() {
+			continue
+		}
+		p.requests.endAttempt(req, attempt, dispatch.Cancelled)
+		p.notifyPolicy(dispatch.Outcome{
+			Job: req.id, Attempt: i, Worker: attempt.worker.ID, Result: dispatch.Cancelled, Closed: true,
+		})
+	}
+}
+
+// knownResult returns a result, or for one that this build doesn't know one that leaves open whether the attempt was
+// executed.
+func knownResult(result dispatch.Result) dispatch.Result {
+	if result < dispatch.OK || result > dispatch.NotSent {
+		return dispatch.ConnectionReset
+	}
+	return result
+}
+
+// provesNotExecuted reports whether a result proves that the worker has not executed the attempt, and will not.
+func provesNotExecuted(result dispatch.Result) bool {
+	switch result {
+	case dispatch.WorkerFull, dispatch.ConnectFailed, dispatch.NotSent:
+		return true
+	}
+	return false
+}
--- a/internal/control/planner/bad_test.go
+++ b/internal/control/planner/bad_test.go
@@ -28,18 +28,18 @@
 				t.Fatalf("seed %d, step %d: %v", seed, n, err)
 			}
 			s := b.Status()
-			if s.Sessions > 6 || s.Open > 60 || len(b.requests) > 150 || len(b.peerTable.peers) > maxPeers || len(b.tombstones) > maxTombstones || len(b.forwarders) > 14 {
-				t.Fatalf("seed %d, step %d: %+v, %d jobs, %d peers, %d names", seed, n, s, len(b.requests), len(b.peerTable.peers), len(b.forwarders))
+			if s.Sessions > 6 || s.Open > 60 || len(b.requests.byID) > 150 || len(b.peers.list) > maxPeers || len(b.workers.tombstones) > maxTombstones || len(b.forwarders.byName) > 14 {
+				t.Fatalf("seed %d, step %d: %+v, %d jobs, %d peers, %d names", seed, n, s, len(b.requests.byID), len(b.peers.list), len(b.forwarders.byName))
 			}
 		}
 		for id := range SessionID(12) {
-			b.Step(now, []Event{{Kind: SessionClosed, Session: id}}, nil)
+			b.Step(now, []Event{SessionClosed{Session: id}}, nil)
 		}
 		for range 100 {
 			now += time.Second
 			b.Step(now, nil, nil)
 		}
-		if s := b.Status(); s.Open+s.Closing+s.Sessions+len(b.forwarders)+len(b.healthChecks) > 0 {
+		if s := b.Status(); s.Open+s.Closing+s.Sessions+len(b.forwarders.byName)+len(b.healthChecks.pending) > 0 {
 			t.Fatalf("seed %d: left in the end: %+v", seed, s)
 		}
 	}
@@ -85,28 +85,38 @@
 	session := SessionID(rng.IntN(10))
 	switch rng.IntN(14) {
 	case 0:
-		return Event{Kind: SessionOpened, Session: session}
+		return SessionOpened{Session: session}
 	case 1:
-		return Event{Kind: SessionClosed, Session: session}
+		return SessionClosed{Session: session}
 	case 2:
-		return Event{Kind: EventKind(rng.IntN(int(StopRequested))), Session: session, Peer: name} // nothing that it points to is there
+		return emptyEvent(rng.IntN(12), session, name)
 	case 3:
-		return Event{Kind: PeerConnected, Peer: name}
+		return PeerConnected{Peer: name}
 	case 4:
-		return Event{Kind: PeerMessage, Peer: name, Envelope: e}
+		return PeerMessage{Peer: name, Envelope: e}
 	case 5:
-		return Event{Kind: PeersChanged, Names: []string{name, "plan-c", name}}
+		return PeersChanged{Names: []string{name, "plan-c", name}}
 	case 6:
 		l := dispatch.WorkerList{Kind: dispatch.ListKind(rng.IntN(4)), Revision: badNumber(rng)}
 		for range rng.IntN(5) {
 			l.Workers = append(l.Workers, dispatch.Worker{ID: uint64(rng.IntN(9)), Kind: num(), Zone: num(), Cell: rng.IntN(4), Ready: rng.IntN(2) == 0,
 				Removed: rng.IntN(4) == 0, Size: badFloat(rng), BootAt: span()})
 		}
-		return Event{Kind: EndpointsChanged, Endpoints: l}
+		return EndpointsChanged{Endpoints: l}
 	case 7:
-		return Event{Kind: PartitionChanged, Owner: ownerByCell([]string{me, "plan-b", name}[:1+rng.IntN(3)]...)}
+		return PartitionChanged{Owner: ownerByCell([]string{me, "plan-b", name}[:1+rng.IntN(3)]...)}
 	}
-	return Event{Kind: ForwarderMessage, Session: session, Envelope: e}
+	return ForwarderMessage{Session: session, Envelope: e}
+}
+
+// emptyEvent is an event of a kind without what it refers to; nil: of none.
+func emptyEvent(kind int, session SessionID, peer string) Event {
+	events := [...]Event{
+		nil, SessionOpened{session}, SessionClosed{session}, ForwarderMessage{Session: session}, PeerConnected{peer},
+		PeerDisconnected{peer}, PeerMessage{Peer: peer}, EndpointsChanged{}, EndpointSourceChanged{}, PartitionChanged{},
+		PeersChanged{}, TimerFired{},
+	}
+	return events[kind]
 }
 
 // badFields are what a message of any kind may have.
--- a/internal/control/planner/bench_test.go
+++ b/internal/control/planner/bench_test.go
@@ -54,17 +54,17 @@
 	for id := range nodes {
 		list.Workers = append(list.Workers, dispatch.Worker{ID: uint64(id+1) * 0x9e3779b97f4a7c15, Kind: id % 3, Zone: id % 2, Cell: id / 4, Ready: true})
 	}
-	ins := []Event{{Kind: EndpointsChanged, Endpoints: list}}
+	ins := []Event{EndpointsChanged{Endpoints: list}}
 	for f := range forwarders {
-		ins = append(ins, Event{Kind: SessionOpened, Session: SessionID(f + 1)},
-			Event{Kind: ForwarderMessage, Session: SessionID(f + 1), Envelope: message.Envelope{Epoch: 1, Message: &message.Handshake{Name: fmt.Sprint("f", f), Version: 0x100}}})
+		ins = append(ins, SessionOpened{Session: SessionID(f + 1)},
+			ForwarderMessage{Session: SessionID(f + 1), Envelope: message.Envelope{Epoch: 1, Message: &message.Handshake{Name: fmt.Sprint("f", f), Version: 0x100}}})
 	}
 	r.step(ins)
 	return r
 }
 
 func (r *rig) say(f SessionID, m message.Message) {
-	r.ins = append(r.ins, Event{Kind: ForwarderMessage, Session: f, Envelope: message.Envelope{Epoch: 1, Message: m}})
+	r.ins = append(r.ins, ForwarderMessage{Session: f, Envelope: message.Envelope{Epoch: 1, Message: m}})
 }
 
 func (r *rig) offer() {
@@ -79,8 +79,8 @@
 func (r *rig) step(ins []Event) {
 	r.outs = r.b.Step(r.now, ins, r.outs[:0])
 	for i := range r.outs {
-		o := &r.outs[i]
-		if o.Kind != SendToForwarder {
+		o, ok := r.outs[i].(SendToForwarder)
+		if !ok {
 			continue
 		}
 		switch m := o.Envelope.Message.(type) {
--- /dev/null
+++ b/internal/control/planner/credit.go
@@ -0,0 +1,126 @@
+package planner
+
+import (
+	"time"
+
+	"valvecove/internal/control/message"
+)
+
+const (
+	creditGrace   = time.Second // how long offers under a greater credit may be on their way after it was reduced
+	peakRetention = 0.95        // what remains of a peak after creditTicks
+	creditPerPeak = 2           // open requests that a forwarder may have, for each at its recent peak
+)
+
+// credit is how many requests a forwarder may have open at this planner.
+type credit struct {
+	limit         int // as it was told
+	previousLimit int // a greater one, that holds until previousUntil
+	previousUntil time.Duration
+	recentPeak    float64 // of its open requests, decaying
+}
+
+// covers reports whether the forwarder may have one more request open. A limit that was reduced holds in full a moment
+// later, as offers may have been on their way.
+func (c *credit) covers(open int, now time.Duration) bool {
+	if now < c.previousUntil {
+		return open < max(c.limit, c.previousLimit)
+	}
+	return open < c.limit
+}
+
+func (p *Planner) withinCredit(f *forwarder) bool { return f.credit.covers(f.openCount, p.now) }
+
+// decayPeaks brings the recent peaks up to date.
+func (p *Planner) decayPeaks() {
+	for _, f := range p.forwarders.connected {
+		f.credit.recentPeak = max(float64(f.openCount), f.credit.recentPeak*peakRetention)
+	}
+}
+
+// creditPlan shares Config.MaxOpenRequests among the connected forwarders.
+type creditPlan struct {
+	total, forwarders  int
+	minCredit          int // that is added to what a forwarder needs by its peak
+	minLimit, maxLimit int // of a forwarder
+	demand             int // of all forwarders
+}
+
+func (p *Planner) planCredit() creditPlan {
+	connected := p.forwarders.connected
+	plan := creditPlan{total: p.config.MaxOpenRequests, forwarders: len(connected), minCredit: p.config.MinCredit}
+	plan.minLimit = min(p.config.MinCredit, plan.total/plan.forwarders)
+	plan.maxLimit = max(p.config.MaxCredit, plan.minLimit)
+	for _, f := range connected {
+		plan.demand += plan.demandOf(f)
+	}
+	return plan
+}
+
+// demandOf returns the credit that a forwarder should have by its recent peak.
+func (plan *creditPlan) demandOf(f *forwarder) int {
+	demand := int(creditPerPeak*f.credit.recentPeak) + plan.minCredit
+	return min(max(demand, plan.minLimit), plan.maxLimit)
+}
+
+// shareOf returns the credit that a forwarder is to have. What is left beyond all demands is shared evenly; if they come to
+// more than there is, each forwarder has the minimum and a part of the rest in proportion to its demand.
+func (plan *creditPlan) shareOf(f *forwarder) int {
+	demand := plan.demandOf(f)
+	if plan.demand <= plan.total {
+		return min(demand+(plan.total-plan.demand)/plan.forwarders, plan.maxLimit)
+	}
+	minima := plan.forwarders * plan.minLimit
+	return plan.minLimit + int(float64(demand-plan.minLimit)*float64(plan.total-minima)/float64(plan.demand-minima))
+}
+
+// assignCredit shares the credit by the recent peaks. Credits are reduced, and forwarders told so, before others are raised:
+// all together never exceed Config.MaxOpenRequests. A change that is small is left out, unless all are wanted.
+func (p *Planner) assignCredit(all bool) {
+	if len(p.forwarders.connected) == 0 {
+		return
+	}
+	plan := p.planCredit()
+	unassigned := plan.total
+	for _, f := range p.forwarders.connected {
+		p.reduceCredit(f, plan.shareOf(f), all)
+		unassigned -= f.credit.limit
+	}
+	for _, f := range p.forwarders.connected {
+		unassigned -= p.raiseCredit(f, plan.shareOf(f), unassigned, all)
+	}
+}
+
+// reduceCredit reduces a credit to a share that is less; if it is small only where it is less than three quarters.
+func (p *Planner) reduceCredit(f *forwarder, share int, small bool) {
+	current := f.credit.limit
+	if share >= current || !small && share >= current*3/4 {
+		return
+	}
+	if p.now >= f.credit.previousUntil {
+		f.credit.previousLimit = 0
+	}
+	f.credit.previousLimit = max(f.credit.previousLimit, current)
+	f.credit.previousUntil = p.now + creditGrace
+	p.setCredit(f, share)
+}
+
+// raiseCredit raises a credit to a share that is greater, by what is unassigned at most, and returns by how much. A small
+// raise, by less than a quarter, is made only if it is wanted, or the forwarder uses three quarters of its credit.
+func (p *Planner) raiseCredit(f *forwarder, share, unassigned int, small bool) int {
+	current := f.credit.limit
+	raise := min(share-current, unassigned)
+	if raise <= 0 || !small && share*4 < current*5 && f.openCount*4 < current*3 {
+		return 0
+	}
+	p.setCredit(f, current+raise)
+	return raise
+}
+
+// setCredit sets a credit and tells the forwarder, unless the reply to its handshake will.
+func (p *Planner) setCredit(f *forwarder, limit int) {
+	f.credit.limit = limit
+	if f.session.state == sessionEstablished {
+		p.send(f, &message.CreditUpdate{Credit: limit})
+	}
+}
--- a/internal/control/planner/golden_test.go
+++ b/internal/control/planner/golden_test.go
@@ -128,7 +128,7 @@
 		return s.m
 	}
 	s.b = newBook(conf)
-	s.ins = []Event{{Kind: PartitionChanged, Owner: ownerByCell(me, "plan-b", "plan-c")}}
+	s.ins = []Event{PartitionChanged{Owner: ownerByCell(me, "plan-b", "plan-c")}}
 	s.step()
 	s.heard = nil
 	return s
@@ -173,7 +173,7 @@
 	outs := s.b.Step(s.now, s.ins, nil)
 	s.ins = nil
 	for i := range outs {
-		switch o := &outs[i]; o.Kind {
+		switch o := outs[i].(type) {
 		case SendToForwarder:
 			s.heard = append(s.heard, fmt.Sprintf("to %d: %s", o.Session, text(o.Envelope)))
 		case SendToPeer:
@@ -186,15 +186,25 @@
 			}
 		case WatchEndpoints:
 			s.heard = append(s.heard, fmt.Sprintf("watch after generation %d", o.Revision))
-		case LogLine:
-			line, _, _ := strings.Cut(o.Text, ", at planner.")
-			s.heard = append(s.heard, "log: "+line)
+		case Log:
+			s.heard = append(s.heard, "log: "+logText(o))
 		case Stopped:
 			s.heard = append(s.heard, "done")
 		}
 	}
 }
 
+// logText is a line of the log without what differs from build to build.
+func logText(line Log) string {
+	text := line.Message
+	for i := 0; i+1 < len(line.Attributes); i += 2 {
+		if key := line.Attributes[i]; key != "location" {
+			text += fmt.Sprintf(" %v=%v", key, line.Attributes[i+1])
+		}
+	}
+	return text
+}
+
 // text is a message without what is zero.
 func text(e message.Envelope) string {
 	line := e.Message.Kind().String()
@@ -305,13 +315,13 @@
 		s.now += mustSpan(s.t, words[1])
 	case "up", "down":
 		n, _ := strconv.Atoi(words[1])
-		s.ins = append(s.ins, Event{Kind: map[string]EventKind{"up": SessionOpened, "down": SessionClosed}[words[0]], Session: SessionID(n)})
+		s.ins = append(s.ins, map[string]Event{"up": SessionOpened{SessionID(n)}, "down": SessionClosed{SessionID(n)}}[words[0]])
 	case "link", "unlink":
-		s.ins = append(s.ins, Event{Kind: map[string]EventKind{"link": PeerConnected, "unlink": PeerDisconnected}[words[0]], Peer: words[1]})
+		s.ins = append(s.ins, map[string]Event{"link": PeerConnected{words[1]}, "unlink": PeerDisconnected{words[1]}}[words[0]])
 	case "alive":
-		s.ins = append(s.ins, Event{Kind: PeersChanged, Names: words[1:]})
+		s.ins = append(s.ins, PeersChanged{Names: words[1:]})
 	case "part":
-		s.ins = append(s.ins, Event{Kind: PartitionChanged, Owner: ownerByCell(words[1:]...)})
+		s.ins = append(s.ins, PartitionChanged{Owner: ownerByCell(words[1:]...)})
 	case "hosts": // hosts delta generation=3 2:up 3:draining 4:up:500 (its cell is 4%3, its start 500 ms ago)
 		l := dispatch.WorkerList{Kind: dispatch.ListKind(index([]string{"delta", "full", "cached", "lost"}, words[1])), Revision: int64(num("generation"))}
 		for _, x := range words[3:] {
@@ -324,7 +334,7 @@
 			}
 			l.Workers = append(l.Workers, w)
 		}
-		s.ins = append(s.ins, Event{Kind: EndpointsChanged, Endpoints: l})
+		s.ins = append(s.ins, EndpointsChanged{Endpoints: l})
 	case "send":
 		s.m.next = append(s.m.next, dispatch.Send{Job: uint64(num("job")), Worker: uint64(num("w"))})
 	case "refuse":
@@ -344,7 +354,7 @@
 	case "subscribe":
 		s.m.next = append(s.m.next, dispatch.Subscribe{})
 	case "stop":
-		s.ins = append(s.ins, Event{Kind: StopRequested})
+		s.ins = append(s.ins, StopRequested{})
 	default:
 		s.t.Fatalf("%q is nothing that happens", words[0])
 	}
@@ -370,7 +380,7 @@
 	epoch := message.Epoch(args.num("epoch"))
 	if strings.HasPrefix(who, "plan") {
 		e := message.Envelope{Epoch: epoch, Message: s.peerMessage(who, kind, args)}
-		s.ins = append(s.ins, Event{Kind: PeerMessage, Peer: who, Envelope: e})
+		s.ins = append(s.ins, PeerMessage{Peer: who, Envelope: e})
 		return
 	}
 	n, err := strconv.Atoi(who)
@@ -390,7 +400,7 @@
 		epoch = s.epoch[id]
 	}
 	e := message.Envelope{Epoch: epoch, Message: s.forwarderMessage(kind, words, args)}
-	s.ins = append(s.ins, Event{Kind: ForwarderMessage, Session: id, Envelope: e})
+	s.ins = append(s.ins, ForwarderMessage{Session: id, Envelope: e})
 }
 
 func (a scriptArgs) status() *message.WorkerStatus {
--- /dev/null
+++ b/internal/control/planner/location.go
@@ -0,0 +1,146 @@
+package planner
+
+import (
+	"slices"
+
+	"valvecove/dispatch"
+)
+
+// locationKey is what decides whether a class may be placed at a worker.
+type locationKey struct {
+	owner      string
+	zone, kind int
+}
+
+// location is the workers that have a key in common.
+type location struct {
+	locationKey
+	available int // workers that are up
+}
+
+// placement tells whether a class may be placed at a worker of this planner that is up.
+type placement uint8
+
+const (
+	placementUnknown placement = iota // not found out since workers have changed
+	placementLocal
+	placementRemote // at workers of other planners at best
+)
+
+func (p placement) String() string {
+	switch p {
+	case placementUnknown:
+		return "unknown"
+	case placementLocal:
+		return "local"
+	case placementRemote:
+		return "remote"
+	}
+	return "invalid"
+}
+
+// locationIndex counts the workers that are up by location.
+type locationIndex struct {
+	local      string // the name of this planner
+	classes    []dispatch.Class
+	locations  []*location // the order of maps must decide nothing
+	byKey      map[locationKey]*location
+	placements []placement // by class
+}
+
+func newLocationIndex(local string, classes []dispatch.Class) locationIndex {
+	return locationIndex{
+		local: local, classes: classes, byKey: map[locationKey]*location{}, placements: make([]placement, len(classes)),
+	}
+}
+
+// at returns the location of a key, and enters it if it is not known.
+func (x *locationIndex) at(key locationKey) *location {
+	known := x.byKey[key]
+	if known == nil {
+		known = &location{locationKey: key}
+		x.byKey[key] = known
+		x.locations = append(x.locations, known)
+	}
+	return known
+}
+
+// move counts a worker at another location than before. Either may be nil, where it is not up.
+func (x *locationIndex) move(from, to *location) {
+	if from != nil {
+		x.count(from, -1)
+	}
+	if to != nil {
+		x.count(to, 1)
+	}
+}
+
+// count adds to a location's workers. The first one and the last one change where classes may be placed.
+func (x *locationIndex) count(at *location, change int) {
+	at.available += change
+	if at.available <= 1 {
+		x.resetPlacements()
+	}
+}
+
+func (x *locationIndex) resetPlacements() {
+	for class := range x.placements {
+		x.placements[class] = placementUnknown
+	}
+}
+
+// canPlaceLocally reports whether a class may be placed at a worker of this planner that is up.
+func (x *locationIndex) canPlaceLocally(class int) bool {
+	placed := &x.placements[class]
+	if *placed == placementUnknown {
+		*placed = placementRemote
+		if x.availableFor(class, x.local, anywhere) > 0 {
+			*placed = placementLocal
+		}
+	}
+	return *placed == placementLocal
+}
+
+// availableFor returns how many of a planner's workers are up at which a class may be placed, at locations that match.
+func (x *locationIndex) availableFor(class int, owner string, matches func(at *location) bool) (available int) {
+	for _, at := range x.locations {
+		if at.owner == owner && x.allows(class, at) && matches(at) {
+			available += at.available
+		}
+	}
+	return available
+}
+
+// allows reports whether a class may be placed at a location by its kind and zone.
+func (x *locationIndex) allows(class int, at *location) bool {
+	c := &x.classes[class]
+	return isListed(c.Kinds, at.kind) && isListed(c.Zones, at.zone)
+}
+
+// isListed reports whether a list of the settings names something. A list that is nil names everything.
+func isListed(names []int, name int) bool { return names == nil || slices.Contains(names, name) }
+
+func anywhere(*location) bool { return true }
+
+func inZone(zone int) func(at *location) bool {
+	return func(at *location) bool { return at.zone == zone }
+}
+
+// updateLocation counts a worker at the location at which it is up.
+func (p *Planner) updateLocation(worker *worker) {
+	if !worker.isUp() {
+		p.locations.move(worker.location, nil)
+		worker.location = nil
+		return
+	}
+	key := locationKey{p.config.Name, worker.Zone, worker.Kind}
+	if !worker.owned {
+		key.owner = p.ownerName(worker)
+	}
+	if worker.location != nil && worker.location.locationKey == key {
+		return
+	}
+	to := p.locations.at(key)
+	p.locations.move(worker.location, to)
+	worker.location = to
+}
--- a/internal/control/planner/model_test.go
+++ b/internal/control/planner/model_test.go
@@ -159,14 +159,14 @@
 			continue
 		}
 		p.list[w.ID] = w
-		p.newest(workerStatusOf(&w, p.lists))
+		p.newest(entryStatus(&w, p.lists))
 	}
-	p.ins = append(p.ins, Event{Kind: EndpointsChanged, Endpoints: l})
+	p.ins = append(p.ins, EndpointsChanged{Endpoints: l})
 }
 
 func (p *play) gone(w dispatch.Worker) {
 	if known, ok := p.list[w.ID]; ok {
-		x := workerStatusOf(&w, p.lists)
+		x := entryStatus(&w, p.lists)
 		x.StartedMs = max(x.StartedMs, known.BootAt.Milliseconds())
 		x.State = message.WorkerGone
 		if was := p.words[w.ID]; was.Supersedes(x) && was.State != message.WorkerGone {
@@ -192,7 +192,7 @@
 	p.now = next
 	if p.timer > 0 && p.timer <= p.now {
 		p.timer = 0
-		p.ins = append(p.ins, Event{Kind: TimerFired})
+		p.ins = append(p.ins, TimerFired{})
 	}
 	for _, id := range slices.Sorted(maps.Keys(p.conns)) {
 		c := p.conns[id]
@@ -221,7 +221,7 @@
 					p.newest(*m)
 				}
 			}
-			p.ins = append(p.ins, Event{Kind: ForwarderMessage, Session: id, Envelope: e})
+			p.ins = append(p.ins, ForwarderMessage{Session: id, Envelope: e})
 		}
 	}
 	ins := p.ins
@@ -238,18 +238,17 @@
 
 // welcomedAs tells whether the book has this forwarder's session under an epoch.
 func (f *mForwarder) welcomedAs(id SessionID, epoch message.Epoch) bool {
-	known := f.p.b.forwarders[f.name]
+	known := f.p.b.forwarders.byName[f.name]
 	return known != nil && known.session != nil && known.session.id == id && known.epoch == epoch
 }
 
 // carry takes in what the book wants done.
 func (p *play) carry(outs []Action) {
 	for i := range outs {
-		o := &outs[i]
 		if p.done {
-			p.t.Fatalf("%v after it was done", o.Kind)
+			p.t.Fatalf("%T after it was done", outs[i])
 		}
-		switch o.Kind {
+		switch o := outs[i].(type) {
 		case SendToForwarder:
 			c := p.conns[o.Session]
 			if c == nil {
@@ -327,7 +326,7 @@
 func (p *play) cut(c *mConn, heard bool) {
 	delete(p.conns, c.id)
 	if heard {
-		p.ins = append(p.ins, Event{Kind: SessionClosed, Session: c.id})
+		p.ins = append(p.ins, SessionClosed{Session: c.id})
 	}
 	if f := c.f; f != nil && f.conn == c {
 		f.conn = nil
@@ -358,7 +357,7 @@
 		p.last++
 		c := &mConn{id: p.last, who: f, f: f}
 		p.conns[c.id] = c
-		p.ins = append(p.ins, Event{Kind: SessionOpened, Session: c.id})
+		p.ins = append(p.ins, SessionOpened{Session: c.id})
 		if f.conn != nil { // the old one is not known to have ended yet
 			f.conn.f = nil
 		}
@@ -644,27 +643,27 @@
 		}
 	case 10: // planners come and go
 		name := []string{"plan-b", "plan-c"}[p.pick(2)]
-		kind := PeerConnected
+		event := Event(PeerConnected{name})
 		if p.peers[name] {
-			kind = PeerDisconnected
+			event = PeerDisconnected{name}
 			delete(p.peers, name)
 		} else {
 			p.peers[name] = true
 		}
 		names := slices.Sorted(maps.Keys(p.peers))
-		p.ins = append(p.ins, Event{Kind: kind, Peer: name}, Event{Kind: PeersChanged, Names: names})
+		p.ins = append(p.ins, event, PeersChanged{Names: names})
 		p.owner = append([]string{me}, names...)
-		p.ins = append(p.ins, Event{Kind: PartitionChanged, Owner: ownerByCell(p.owner...)})
-		if kind == PeerConnected {
-			p.ins = append(p.ins, Event{Kind: PeerMessage, Peer: name, Envelope: message.Envelope{Epoch: 1, Message: &message.PeerHandshake{Name: name, Version: 0x100}}})
+		p.ins = append(p.ins, PartitionChanged{Owner: ownerByCell(p.owner...)})
+		if p.peers[name] {
+			p.ins = append(p.ins, PeerMessage{Peer: name, Envelope: message.Envelope{Epoch: 1, Message: &message.PeerHandshake{Name: name, Version: 0x100}}})
 		}
 	case 11:
 		for _, name := range slices.Sorted(maps.Keys(p.peers)) {
-			p.ins = append(p.ins, Event{Kind: PeerMessage, Peer: name, Envelope: message.Envelope{Epoch: 1,
+			p.ins = append(p.ins, PeerMessage{Peer: name, Envelope: message.Envelope{Epoch: 1,
 				Message: &message.LoadReport{OpenRequests: p.pick(20), QueuedRequests: p.pick(3), FreeSlots: float64(p.pick(20))}}})
 		}
 	case 12:
-		p.ins = append(p.ins, Event{Kind: EndpointsChanged, Endpoints: dispatch.WorkerList{Kind: dispatch.ListUnavailable}})
+		p.ins = append(p.ins, EndpointsChanged{Endpoints: dispatch.WorkerList{Kind: dispatch.ListUnavailable}})
 	}
 }
 
@@ -701,7 +700,7 @@
 	}
 	p.quiet = true
 	if p.stops = p.one(3); p.stops {
-		p.ins = append(p.ins, Event{Kind: StopRequested})
+		p.ins = append(p.ins, StopRequested{})
 	}
 	for range 50 {
 		p.step(50 * ms)
@@ -732,15 +731,15 @@
 		}
 		return
 	}
-	if s := b.Status(); s.Open+s.Closing+s.Sessions+s.Credit > 0 || s.Slots != 0 || len(b.forwarders)+len(b.healthChecks)+len(b.takeovers)+len(b.tombstones) > 0 {
-		p.t.Fatalf("left in the end: %+v, %d names, %d probes", s, len(b.forwarders), len(b.healthChecks))
+	if s := b.Status(); s.Open+s.Closing+s.Sessions+s.Credit > 0 || s.Slots != 0 || len(b.forwarders.byName)+len(b.healthChecks.pending)+len(b.workers.takeovers)+len(b.workers.tombstones) > 0 {
+		p.t.Fatalf("left in the end: %+v, %d names, %d probes", s, len(b.forwarders.byName), len(b.healthChecks.pending))
 	}
-	for _, h := range b.workerList {
+	for _, h := range b.workers.list {
 		if !h.listed {
 			p.t.Fatalf("worker %d is still known", h.ID)
 		}
 	}
-	if c := b.policy.(*contract); len(c.jobs) > 0 {
+	if c := b.policy.policy.(*contract); len(c.jobs) > 0 {
 		p.t.Fatalf("the module still has %d jobs", len(c.jobs))
 	}
 }
--- /dev/null
+++ b/internal/control/planner/placement.go
@@ -0,0 +1,71 @@
+package planner
+
+import "valvecove/dispatch"
+
+// maxTransfers bounds how often a request is transferred in its life.
+const maxTransfers = 2
+
+// preferredPeer returns the planner that should have a request, because no worker of this one may; empty: there is none, or
+// it can be placed here. A request that was possibly executed stays with the workers that know of it.
+func (p *Planner) preferredPeer(req *request) string {
+	if !p.peers.anyAlive || req.inFlight > 0 || req.transfers >= maxTransfers {
+		return ""
+	}
+	class := req.job.Class
+	if attempt := p.bindingAttempt(req); attempt != nil {
+		return p.preferredPeerAfter(attempt, class)
+	}
+	if p.locations.canPlaceLocally(class) {
+		return ""
+	}
+	return p.bestPeerFor(class, anywhere)
+}
+
+// preferredPeerAfter returns the planner that should have a request of a class after an attempt that was possibly executed.
+func (p *Planner) preferredPeerAfter(a *attempt, class int) string {
+	settings := &p.config.Settings.Classes[class]
+	switch {
+	case settings.Idempotency == dispatch.NonIdempotent:
+		return "" // nobody may send it again
+	case !a.worker.listed:
+		return "" // it is not known here who may
+	case settings.DeduplicationScope == dispatch.ScopeCell:
+		return p.peers.ifAlive(p.ownerName(a.worker))
+	}
+	sameZone := inZone(a.worker.Zone)
+	if p.locations.availableFor(class, p.config.Name, sameZone) > 0 {
+		return ""
+	}
+	return p.bestPeerFor(class, sameZone)
+}
+
+// bindingAttempt returns the first attempt because of which a request may not go to any worker: it was possibly executed,
+// and the request may not be executed twice, or only where that is noticed. Else nil.
+func (p *Planner) bindingAttempt(req *request) *attempt {
+	class := &p.config.Settings.Classes[req.job.Class]
+	if class.Idempotency == dispatch.Idempotent ||
+		class.Idempotency == dispatch.IdempotentWithKey && class.DeduplicationScope == dispatch.ScopeAll {
+		return nil
+	}
+	for i := range req.attempts {
+		if attempt := &req.attempts[i]; !provesNotExecuted(attempt.result) {
+			return attempt
+		}
+	}
+	return nil
+}
+
+// bestPeerFor returns the peer with the most workers that are up at which a class may be placed, at locations that match;
+// empty: there is none.
+func (p *Planner) bestPeerFor(class int, matches func(at *location) bool) string {
+	best, bestAvailable := "", 0
+	for _, peer := range p.peers.list {
+		if !peer.alive {
+			continue
+		}
+		if available := p.locations.availableFor(class, peer.name, matches); available > bestAvailable {
+			best, bestAvailable = peer.name, available
+		}
+	}
+	return best
+}
--- /dev/null
+++ b/internal/control/planner/recovery.go
@@ -0,0 +1,242 @@
+package planner
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"maps"
+	"path"
+	"runtime"
+	"slices"
+	"strings"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
+)
+
+// A policy that has panicked can't be trusted any more. A new one is told everything that the planner knows, request by
+// request, and a request at which that one panics too is returned to its forwarder. So no session ends, and a poison
+// request costs each planner that it comes to one policy, and no other request anything. To close all sessions instead,
+// so that everything is offered anew, would burden the next planner with every request of every forwarder, the poison one
+// among them. That remains the last resort.
+const (
+	maxPanics            = 5 // within panicWindow; with one more, all sessions are closed
+	panicWindow          = 10 * time.Second
+	panicBackoff         = time.Second // after all sessions were closed
+	maxPoisonRequests    = 8           // that are returned for one panic
+	maxFailureCandidates = 8           // requests of a step with a panic; of more, none is held responsible
+	maxFailureCount      = 2           // steps with a panic that a request may be a candidate of
+	maxPanicFrames       = 8           // of the call stack that are logged
+)
+
+// policyPanicError tells that the policy has panicked.
+type policyPanicError struct {
+	cause    any
+	location string // functions, files and lines, the innermost first
+}
+
+func (e *policyPanicError) Error() string {
+	return fmt.Sprintf("policy panicked: %v, at %s", e.cause, e.location)
+}
+
+// step has the policy take in events, and returns its actions in a buffer of the runner. The error of a panic is a
+// *policyPanicError.
+func (r *policyRunner) step(now time.Duration, events []dispatch.Event) (actions []dispatch.Action, err error) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			actions, err = nil, &policyPanicError{cause: cause, location: panicLocation()}
+		}
+	}()
+	return r.policy.Step(now, events, r.actions), nil
+}
+
+// panicLocation returns the call stack of a panic down to the policy's step. It leaves addresses out: those differ from
+// run to run.
+func panicLocation() string {
+	const skip = 3 // runtime.Callers, panicLocation, and the deferred function that calls it
+	var counters [32]uintptr
+	frames := runtime.CallersFrames(counters[:runtime.Callers(skip, counters[:])])
+	var stack []string
+	for {
+		frame, more := frames.Next()
+		if strings.HasSuffix(frame.Function, "(*policyRunner).step") || !more || len(stack) == maxPanicFrames {
+			return strings.Join(stack, ", ")
+		}
+		if !strings.HasPrefix(frame.Function, "runtime.") {
+			stack = append(stack, fmt.Sprintf("%s %s:%d", path.Base(frame.Function), path.Base(frame.File), frame.Line))
+		}
+	}
+}
+
+// recordPanic records a panic, and reports whether there were too many of late.
+func (r *policyRunner) recordPanic(now time.Duration) (tooMany bool) {
+	r.recentPanics = slices.DeleteFunc(r.recentPanics, func(at time.Duration) bool { return now-at >= panicWindow })
+	r.recentPanics = append(r.recentPanics, now)
+	return len(r.recentPanics) > maxPanics
+}
+
+// recoverPolicy replaces the policy after a panic by one that knows all there is.
+func (p *Planner) recoverPolicy(err error) {
+	p.stats.Panics++
+	tooMany := p.policy.recordPanic(p.now)
+	p.logPanic(err)
+	p.policy.actions = nil
+	if tooMany {
+		p.closeAllSessions()
+		return
+	}
+	p.countFailures()
+	for range maxPoisonRequests {
+		poison, err := p.rebuildPolicy()
+		if err == nil {
+			actions := p.policy.actions
+			p.policy.actions = nil
+			p.execute(actions)
+			return
+		}
+		if poison == nil {
+			break
+		}
+		p.returnPoisonRequest(poison)
+	}
+	p.closeAllSessions()
+}
+
+func (p *Planner) logPanic(err error) {
+	attributes := []any{"open_requests", p.requests.openCount}
+	var panicked *policyPanicError
+	if errors.As(err, &panicked) {
+		attributes = append(attributes, "cause", fmt.Sprint(panicked.cause), "location", panicked.location)
+	}
+	p.log("policy panicked and is restarted", attributes...)
+}
+
+// countFailures counts a failure of each request that the step with the panic was about. Where they are few, one that has
+// been among them before is returned, though nothing proves that it is the cause.
+func (p *Planner) countFailures() {
+	candidates := map[uint64]bool{}
+	for _, event := range p.policy.delivered {
+		if id, ok := jobOf(event); ok {
+			candidates[id] = true
+		}
+	}
+	if len(candidates) > maxFailureCandidates {
+		return
+	}
+	for _, id := range slices.Sorted(maps.Keys(candidates)) {
+		req := p.requests.open(id)
+		if req == nil {
+			continue
+		}
+		req.failureCount++
+		if req.failureCount >= maxFailureCount {
+			p.returnPoisonRequest(req)
+		}
+	}
+}
+
+// jobOf returns the job that an event is about, if that may be why the policy panics.
+func jobOf(event dispatch.Event) (id uint64, ok bool) {
+	switch e := event.(type) {
+	case dispatch.Job:
+		return e.ID, true
+	case dispatch.JobResumed:
+		return e.Job.ID, true
+	case dispatch.Outcome:
+		return e.Job, true
+	case dispatch.Started:
+		return e.Job, true
+	case dispatch.Progressed:
+		return e.Job, true
+	}
+	return 0, false
+}
+
+// rebuildPolicy makes a new policy and tells it first the endpoint list and then every request. Its actions are in
+// p.policy.actions. The error of a panic is a *policyPanicError, and poison the request at which it occurred; nil: it
+// occurred at the list.
+func (p *Planner) rebuildPolicy() (poison *request, err error) {
+	p.resetPolicy()
+	p.policy.actions = nil
+	if err := p.deliverPending(); err != nil {
+		return nil, err
+	}
+	for _, req := range p.requests.byAge() {
+		p.notifyPolicy(p.resumedJob(req))
+		if !req.state.isOpen() {
+			p.notifyPolicy(dispatch.ClientDisconnected{Job: req.id})
+		}
+		if err := p.deliverPending(); err != nil {
+			return req, err
+		}
+	}
+	return nil, nil
+}
+
+// deliverPending has the policy take in the pending events, and keeps its actions with those before.
+func (p *Planner) deliverPending() error {
+	events := p.policy.pending
+	p.policy.pending = nil
+	actions, err := p.policy.step(p.now, events)
+	if err != nil {
+		return err
+	}
+	p.policy.actions = actions
+	return nil
+}
+
+// resetPolicy replaces the policy by a new one that knows nothing yet. The endpoint list is pending for it.
+func (p *Planner) resetPolicy() {
+	p.policy.policy = p.config.NewPolicy()
+	p.policy.timerAt = 0
+	p.policy.subscribing = false
+	p.policy.pending = nil
+	p.workers.updates = nil
+	p.notifyPolicy(dispatch.WorkerList{Kind: dispatch.ListCached, Workers: p.policyWorkers(), Revision: p.workers.revision})
+	if p.peers.quotaShare > 0 {
+		p.notifyPolicy(dispatch.ReplicasChanged{Replicas: 1, QuotaShare: p.peers.quotaShare})
+	}
+	p.cancelHealthChecks(func(healthCheck) bool { return true })
+}
+
+// returnPoisonRequest has the forwarder offer a request to another planner, or fail it if that was done before. The request
+// is forgotten here, with its attempts in flight.
+func (p *Planner) returnPoisonRequest(req *request) {
+	if req.state.isOpen() {
+		p.stats.Poison++
+		p.log("poison request returned", "request_id", req.forwarderID, "forwarder", req.forwarder.name)
+		p.send(req.forwarder, &message.TransferCommand{RequestID: req.forwarderID})
+	}
+	p.endAttempts(req)
+	p.removeRequest(req)
+}
+
+// closeAllSessions closes all sessions: forwarders offer their requests to other planners, and in time here again.
+func (p *Planner) closeAllSessions() {
+	p.log("policy panics repeatedly, all sessions are closed", "sessions", len(p.forwarders.sessions))
+	for _, id := range p.forwarders.sessionIDs() {
+		p.closeSession(p.forwarders.sessions[id])
+	}
+	for _, req := range p.requests.byAge() {
+		p.endAttempts(req)
+		p.removeRequest(req)
+	}
+	p.policy.recentPanics = p.policy.recentPanics[:0]
+	p.policy.backoffUntil = p.now + panicBackoff
+	p.resetPolicy()
+}
+
+// endAttempts ends a request's attempts in flight without telling the policy, which knows nothing of them.
+func (p *Planner) endAttempts(req *request) {
+	for i := range req.attempts {
+		if attempt := &req.attempts[i]; attempt.inFlight() {
+			p.requests.endAttempt(req, attempt, dispatch.Cancelled)
+		}
+	}
+}
+
+// byAge returns all requests, the oldest first.
+func (t *requestTable) byAge() []*request {
+	return slices.SortedFunc(maps.Values(t.byID), func(a, b *request) int { return cmp.Compare(a.id, b.id) })
+}
--- a/internal/control/planner/rig_test.go
+++ b/internal/control/planner/rig_test.go
@@ -185,43 +185,43 @@
 	live, held, slots := 0, 0, 0.0
 	refs := map[*worker]int{}
 	by := map[*forwarder]int{}
-	for id, h := range b.requests {
+	for id, h := range b.requests.byID {
 		out := 0
 		for i := range h.attempts {
 			refs[h.attempts[i].worker]++
-			if !h.attempts[i].ended {
+			if h.attempts[i].inFlight() {
 				out++
 				slots += h.slots
 			}
 		}
-		if h.open {
+		if h.state.isOpen() {
 			live++
 			by[h.forwarder]++
 		}
 		switch {
 		case h.id != id || h.inFlight != out:
 			return fmt.Errorf("head %d: %d out, counted %d", id, out, h.inFlight)
-		case h.open && (h.forwarder == nil || h.forwarder.session == nil || h.forwarder.requests[h.forwarderID] != h || h.epoch != h.forwarder.epoch):
+		case h.state.isOpen() && (h.forwarder == nil || h.forwarder.session == nil || h.forwarder.requests[h.forwarderID] != h || h.epoch != h.forwarder.epoch):
 			return fmt.Errorf("head %d is open without a session", id)
-		case !h.open && (h.inFlight == 0 || !h.expires):
+		case !h.state.isOpen() && (h.inFlight == 0 || h.state != requestClosing):
 			return fmt.Errorf("head %d is closed, and would never be forgotten", id)
-		case h.links[queuedList].linked != (h.open && h.inFlight == 0):
-			return fmt.Errorf("head %d: held %v, open %v with %d out", id, h.links[queuedList].linked, h.open, h.inFlight)
+		case (h.state == requestQueued) != (h.state.isOpen() && h.inFlight == 0):
+			return fmt.Errorf("head %d: held %v, open %v with %d out", id, h.state == requestQueued, h.state.isOpen(), h.inFlight)
 		}
 	}
-	for h := b.queued.first; h != nil; h = h.links[queuedList].next {
+	for range b.requests.queued.all() {
 		held++
 	}
-	if live != b.openCount || held > live || slots-b.slotsInUse > 1e-6 || b.slotsInUse-slots > 1e-6 {
-		return fmt.Errorf("%d open, counted %d; %d held; %v slots, counted %v", live, b.openCount, held, slots, b.slotsInUse)
+	if live != b.requests.openCount || held > live || slots-b.requests.slotsInUse > 1e-6 || b.requests.slotsInUse-slots > 1e-6 {
+		return fmt.Errorf("%d open, counted %d; %d held; %v slots, counted %v", live, b.requests.openCount, held, slots, b.requests.slotsInUse)
 	}
 	credit := 0
-	for _, f := range b.forwarders {
+	for _, f := range b.forwarders.byName {
 		n := 0
-		for h := f.ordered.first; h != nil; h = h.links[forwarderList].next {
+		for range f.offered.all() {
 			n++
 		}
-		if credit += f.credit; n != len(f.requests) || by[f] != f.openCount || f.session == nil && (f.openCount > 0 || f.credit > 0) {
+		if credit += f.credit.limit; n != len(f.requests) || by[f] != f.openCount || f.session == nil && (f.openCount > 0 || f.credit.limit > 0) {
 			return fmt.Errorf("forwarder %s: %d queries, %d in its ring, %d open, counted %d", f.name, len(f.requests), n, by[f], f.openCount)
 		}
 	}
@@ -229,23 +229,23 @@
 		return fmt.Errorf("credits come to %d of %d", credit, b.config.MaxOpenRequests)
 	}
 	up := 0
-	for i, h := range b.workerList {
-		if h.index != i || b.workers[h.ID] != h || h.references != refs[h] {
+	for i, h := range b.workers.list {
+		if h.index != i || b.workers.byID[h.ID] != h || h.references != refs[h] {
 			return fmt.Errorf("worker %d: place %d is %d, %d attempts, counted %d", h.ID, h.index, i, refs[h], h.references)
 		}
 		if h.listed && h.status.State == message.WorkerUp {
 			up++
 		}
 	}
-	for _, s := range b.locations {
+	for _, s := range b.locations.locations {
 		if up -= s.available; s.available < 0 {
 			return fmt.Errorf("seat %v has %d", s.locationKey, s.available)
 		}
 	}
-	if up != 0 || len(b.workerList) != len(b.workers) {
-		return fmt.Errorf("%d workers up that no seat has, %d known and %d in order", up, len(b.workers), len(b.workerList))
+	if up != 0 || len(b.workers.list) != len(b.workers.byID) {
+		return fmt.Errorf("%d workers up that no seat has, %d known and %d in order", up, len(b.workers.byID), len(b.workers.list))
 	}
-	if c, ok := b.policy.(*contract); ok && len(c.faults) > 0 {
+	if c, ok := b.policy.policy.(*contract); ok && len(c.faults) > 0 {
 		return fmt.Errorf("the module was told: %s", c.faults[0])
 	}
 	return nil
--- a/internal/lab/virtual/planner.go
+++ b/internal/lab/virtual/planner.go
@@ -227,7 +227,7 @@
 		}
 	}
 	for i := range p.news {
-		p.ins = append(p.ins, planner.Event{Kind: planner.EndpointsChanged, Endpoints: p.news[i]})
+		p.ins = append(p.ins, planner.EndpointsChanged{Endpoints: p.news[i]})
 	}
 	clear(p.news)
 	p.news = p.news[:0]
@@ -242,7 +242,7 @@
 		clear(p.ins)
 		p.ins = p.ins[:0]
 		for i := range outs {
-			p.carryOut(&outs[i])
+			p.carryOut(outs[i])
 		}
 		clear(outs)
 		p.outs = outs[:0]
@@ -325,9 +325,9 @@
 			}
 			envelope = envelope.Clone() // it is to outlive the reader's next one
 			if k.peer == "" {
-				p.ins = append(p.ins, planner.Event{Kind: planner.ForwarderMessage, Session: planner.SessionID(k.wire.id), Envelope: envelope})
+				p.ins = append(p.ins, planner.ForwarderMessage{Session: planner.SessionID(k.wire.id), Envelope: envelope})
 			} else {
-				p.ins = append(p.ins, planner.Event{Kind: planner.PeerMessage, Peer: k.peer, Envelope: envelope})
+				p.ins = append(p.ins, planner.PeerMessage{Peer: k.peer, Envelope: envelope})
 			}
 		}
 	}
@@ -345,7 +345,7 @@
 // comes tells that a connection is up. Of two with one peer the newer one counts.
 func (p *planProcess) comes(k *planLink) {
 	if k.peer == "" {
-		p.ins = append(p.ins, planner.Event{Kind: planner.SessionOpened, Session: planner.SessionID(k.wire.id)})
+		p.ins = append(p.ins, planner.SessionOpened{Session: planner.SessionID(k.wire.id)})
 		return
 	}
 	for _, o := range append([]*planLink(nil), p.order...) {
@@ -354,7 +354,7 @@
 			p.drop(o, false)
 		}
 	}
-	p.ins = append(p.ins, planner.Event{Kind: planner.PeerConnected, Peer: k.peer})
+	p.ins = append(p.ins, planner.PeerConnected{Peer: k.peer})
 	p.events = append(p.events, membership.PlannerConnected{Name: k.peer})
 }
 
@@ -369,9 +369,9 @@
 	}
 	switch {
 	case k.peer == "":
-		p.ins = append(p.ins, planner.Event{Kind: planner.SessionClosed, Session: planner.SessionID(k.wire.id)})
+		p.ins = append(p.ins, planner.SessionClosed{Session: planner.SessionID(k.wire.id)})
 	case k.up:
-		p.ins = append(p.ins, planner.Event{Kind: planner.PeerDisconnected, Peer: k.peer})
+		p.ins = append(p.ins, planner.PeerDisconnected{Peer: k.peer})
 		p.events = append(p.events, membership.PlannerDisconnected{Name: k.peer, Silent: silent})
 	}
 	k.up = false
@@ -419,11 +419,11 @@
 		if in.Disco != p.disco {
 			p.disco = in.Disco
 			p.lists.ResetRevision()
-			p.ins = append(p.ins, planner.Event{Kind: planner.EndpointSourceChanged})
+			p.ins = append(p.ins, planner.EndpointSourceChanged{})
 			p.Watch(0)
 		}
 	case edge.Terminate:
-		p.ins = append(p.ins, planner.Event{Kind: planner.StopRequested})
+		p.ins = append(p.ins, planner.StopRequested{})
 		p.s.t.gossip.leave(p.s.n)
 	}
 }
@@ -488,9 +488,9 @@
 				}
 			}
 		case membership.SetPeers:
-			p.ins = append(p.ins, planner.Event{Kind: planner.PeersChanged, Names: a.Names})
+			p.ins = append(p.ins, planner.PeersChanged{Names: a.Names})
 		case membership.SetPartition:
-			p.ins = append(p.ins, planner.Event{Kind: planner.PartitionChanged, Owner: a.Owner})
+			p.ins = append(p.ins, planner.PartitionChanged{Owner: a.Owner})
 		case membership.Announce:
 			p.s.t.gossip.say(p.s.n, a.Member)
 		case membership.LogLine:
@@ -501,20 +501,20 @@
 	p.actions = actions[:0]
 }
 
-func (p *planProcess) carryOut(o *planner.Action) {
-	switch o.Kind {
+func (p *planProcess) carryOut(action planner.Action) {
+	switch action := action.(type) {
 	case planner.SendToForwarder:
-		if k := p.links[o.Session]; k != nil && k.up {
-			p.s.say(&k.out, o.Envelope)
+		if k := p.links[action.Session]; k != nil && k.up {
+			p.s.say(&k.out, action.Envelope)
 		}
 	case planner.SendToPeer:
 		for _, k := range p.order {
-			if k.peer == o.Peer && k.up {
-				p.s.say(&k.out, o.Envelope)
+			if k.peer == action.Peer && k.up {
+				p.s.say(&k.out, action.Envelope)
 			}
 		}
 	case planner.CloseSession:
-		if k := p.links[o.Session]; k != nil && k.peer == "" {
+		if k := p.links[action.Session]; k != nil && k.peer == "" {
 			if k.out.Len() > 0 {
 				p.s.t.send(k.wire, k.end, k.out.Take(p.s.t.buffer()))
 			}
@@ -522,14 +522,14 @@
 			p.drop(k, false)
 		}
 	case planner.SetTimer:
-		if at := p.now + o.After; p.timer == 0 || at < p.timer {
+		if at := p.now + action.After; p.timer == 0 || at < p.timer {
 			p.timer = at
 		}
 	case planner.WatchEndpoints:
 		p.asks = true
 		p.lists.Wake()
-	case planner.LogLine:
-		p.s.model.log(p.s.n).Info(o.Text)
+	case planner.Log:
+		p.s.model.log(p.s.n).Info(action.Message, action.Attributes...)
 	case planner.Stopped:
 		p.done = true
 	}
--- a/internal/lab/virtual/tiers_test.go
+++ b/internal/lab/virtual/tiers_test.go
@@ -65,55 +65,65 @@
 // spoiler is a fault that is seeded in a planner: what it says besides an order to send, or in place of it.
 type spoiler struct {
 	stopped []message.RejectReason // for any of these reasons
-	say     func(d *spoiled, o planner.Action, dst []planner.Action) []planner.Action
+	say     func(d *spoiled, o planner.SendToForwarder, dst []planner.Action) []planner.Action
 }
 
 // spoiled is what a spoiler knows of a play.
 type spoiled struct {
-	drained uint64           // a worker node that drains, by all lists
-	last    []planner.Action // orders to send, a while ago
+	drained uint64                    // a worker node that drains, by all lists
+	last    []planner.SendToForwarder // orders to send, a while ago
 	n       int
 }
 
+// sendCommand returns an action as one that sends a command to send.
+func sendCommand(action planner.Action) (command planner.SendToForwarder, ok bool) {
+	command, isMessage := action.(planner.SendToForwarder)
+	if !isMessage {
+		return command, false
+	}
+	_, ok = command.Envelope.Message.(*message.SendCommand)
+	return command, ok
+}
+
 // again is an order to send that was changed.
-func again(o planner.Action, change func(m *message.SendCommand)) planner.Action {
+func again(o planner.SendToForwarder, change func(m *message.SendCommand)) planner.SendToForwarder {
 	o.Envelope = o.Envelope.Clone()
 	change(o.Envelope.Message.(*message.SendCommand))
 	return o
 }
 
 // insteadOf is another message in the place of an order to send.
-func insteadOf(o planner.Action, m message.Message) planner.Action {
+func insteadOf(o planner.SendToForwarder, m message.Message) planner.SendToForwarder {
 	o.Envelope.Message = m
 	return o
 }
 
 var spoilers = map[string]spoiler{
-	"each order twice": {[]message.RejectReason{message.ReasonDuplicateCommand}, func(_ *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
+	"each order twice": {[]message.RejectReason{message.ReasonDuplicateCommand}, func(_ *spoiled, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
 		return append(dst, o, o)
 	}},
 	"a copy at the same worker node": {
 		[]message.RejectReason{message.ReasonDuplicateAtWorker},
-		func(_ *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
+		func(_ *spoiled, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
 			return append(dst, o, again(o, func(m *message.SendCommand) { m.Attempt++ }))
 		},
 	},
 	"to a worker node that drains": {
 		[]message.RejectReason{message.ReasonWorkerDraining, message.ReasonUnknownWorker},
-		func(d *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
+		func(d *spoiled, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
 			if d.drained > 0 {
 				o = again(o, func(m *message.SendCommand) { m.WorkerID = d.drained })
 			}
 			return append(dst, o)
 		},
 	},
-	"of an old epoch": {[]message.RejectReason{message.ReasonStaleEpoch}, func(_ *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
+	"of an old epoch": {[]message.RejectReason{message.ReasonStaleEpoch}, func(_ *spoiled, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
 		old := o
 		old.Envelope.Epoch--
 		return append(dst, old, o)
 	}},
 	// A second order for whatever was sent a while ago: it is out, may have run, or is over.
-	"for what may have run": {[]message.RejectReason{message.ReasonPossiblyExecuted, message.ReasonOutsideScope}, func(d *spoiled, o planner.Action,
+	"for what may have run": {[]message.RejectReason{message.ReasonPossiblyExecuted, message.ReasonOutsideScope}, func(d *spoiled, o planner.SendToForwarder,
 		dst []planner.Action,
 	) []planner.Action {
 		if len(d.last) > 6 {
@@ -129,7 +139,7 @@
 	}},
 	"a refusal of what may have run": {
 		[]message.RejectReason{message.ReasonUnsafeRejection},
-		func(d *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
+		func(d *spoiled, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
 			if dst = append(dst, o); d.n%5 == 0 {
 				dst = append(dst, insteadOf(o, &message.RejectCommand{RequestID: o.Envelope.Message.(*message.SendCommand).RequestID}))
 			}
@@ -138,7 +148,7 @@
 	},
 	"of another forwarder's query": {
 		[]message.RejectReason{message.ReasonUnknownRequest},
-		func(_ *spoiled, o planner.Action, dst []planner.Action) []planner.Action {
+		func(_ *spoiled, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
 			return append(dst, again(o, func(m *message.SendCommand) { m.RequestID += 1 << 20 }), o)
 		},
 	},
@@ -167,9 +177,9 @@
 				Watch: []seen.Watcher{watch},
 				Spoil: func(_ int, outs []planner.Action) (dst []planner.Action) {
 					for _, o := range outs {
-						if _, sends := o.Envelope.Message.(*message.SendCommand); o.Kind == planner.SendToForwarder && sends {
+						if command, ok := sendCommand(o); ok {
 							d.n++
-							dst = s.say(d, o, dst)
+							dst = s.say(d, command, dst)
 						} else {
 							dst = append(dst, o)
 						}
