--- a/cmd/valvecove/check.go
+++ b/cmd/valvecove/check.go
@@ -48,7 +48,7 @@
 			return p.env(name)
 		}
 	}
-	conf, ops, faults := config.ReadAll(env, p.config)
+	conf, ops, faults := config.LoadAll(env, p.config)
 	faults = append(faults, missing(ops, p.config)...)
 	for _, f := range faults {
 		p.fault("valvecove check", f)
@@ -73,10 +73,10 @@
 	if ops.Capture != nil && ops.Capture.Dir != "" {
 		fault("capture.dir", writable(ops.Capture.Dir, true))
 	}
-	if ops.Figures != nil && ops.Figures.File != "" {
-		err := writable(ops.Figures.File, false)
+	if ops.Metrics != nil && ops.Metrics.File != "" {
+		err := writable(ops.Metrics.File, false)
 		if errors.Is(err, os.ErrNotExist) { // it would be made
-			err = writable(filepath.Dir(ops.Figures.File), true)
+			err = writable(filepath.Dir(ops.Metrics.File), true)
 		}
 		fault("figures.file", err)
 	}
@@ -112,15 +112,15 @@
 	p.line("name", or(c.Name, "none"))
 	p.line("listen", c.Listen.String())
 	if c.Management.IsValid() {
-		p.line("management", c.Management.String()+", see docs/on-call.md; what outlives the process is in "+or(c.Dir, "no directory, as TMPDIR is not set"))
+		p.line("management", c.Management.String()+", see docs/on-call.md; what outlives the process is in "+or(c.StateDir, "no directory, as TMPDIR is not set"))
 	}
 	watch := "whose list is pushed, and watched there"
 	if c.Settings.MustSubscribe {
 		watch = "subscribed to"
 	}
 	p.line("discovery", c.Discovery.String()+", "+watch)
-	if n := len(c.Known.Endpoints); n > 0 {
-		p.line("known", fmt.Sprintf("%d worker nodes, generation %d", n, c.Known.Revision))
+	if n := len(c.KnownEndpoints.Endpoints); n > 0 {
+		p.line("known", fmt.Sprintf("%d worker nodes, generation %d", n, c.KnownEndpoints.Revision))
 	} else {
 		p.line("known", "no worker nodes: not ready until discovery answers")
 	}
@@ -163,27 +163,27 @@
 func (p page) features(c config.Config, ops config.Ops) {
 	what := map[string]string{}
 	if f := ops.Status; f != nil {
-		what["status"] = fmt.Sprintf("at %v, ended jobs kept for %v, %d at most", ops.StatusAddr(c), f.Retain, f.MaxEntries)
+		what["status"] = fmt.Sprintf("at %v, ended jobs kept for %v, %d at most", ops.StatusAddr(c), f.Retention, f.MaxEntries)
 	}
 	if f := ops.Capture; f != nil && f.Dir != "" {
 		what["capture"] = fmt.Sprintf("in %s, %d files of %d MB", f.Dir, f.Files, f.FileMB)
 	} else if f != nil {
 		what["capture"] = fmt.Sprintf("a ring of %d KB, written on SIGUSR1", f.MemoryKB)
 	}
-	if f := ops.Figures; f != nil {
+	if f := ops.Metrics; f != nil {
 		var to []string
-		if f.To.IsValid() {
-			to = append(to, "by UDP to "+f.To.String())
+		if f.UDPTarget.IsValid() {
+			to = append(to, "by UDP to "+f.UDPTarget.String())
 		}
 		if f.File != "" {
 			to = append(to, "to "+f.File)
 		}
-		what["figures"] = fmt.Sprintf("%s every %v %s, batches under %d bytes", f.Format, f.Every,
-			or(strings.Join(to, " and "), "to standard error"), f.MaxBatch)
+		what["figures"] = fmt.Sprintf("%s every %v %s, batches under %d bytes", f.Format, f.FlushInterval,
+			or(strings.Join(to, " and "), "to standard error"), f.MaxBatchBytes)
 	}
 	if f := ops.Addresses; f != nil {
 		what["addresses"] = fmt.Sprintf("allow %s, deny %s, trusted fronts %s", ranges(f.Allow, "everyone"),
-			ranges(f.Deny, "nobody"), ranges(f.Fronts, "none"))
+			ranges(f.Deny, "nobody"), ranges(f.TrustedProxies, "none"))
 	}
 	if f := ops.Aperture; f != nil {
 		what["aperture"] = fmt.Sprintf("%d worker nodes at least, each at %d schedulers at least, up to %s times as many under "+
--- a/cmd/valvecove/main.go
+++ b/cmd/valvecove/main.go
@@ -123,7 +123,7 @@
 		p.fault("valvecove replay", err)
 		return exitUnable
 	}
-	return capture.Command(r.Capture, ops, p.stdout, p.stderr)
+	return capture.ReplayCommand(r.Capture, ops, p.stdout, p.stderr)
 }
 
 type version struct{}
--- a/internal/address/address_test.go
+++ b/internal/address/address_test.go
@@ -19,7 +19,7 @@
 	}
 	lists := New(config.Addresses{
 		Allow: prefixes("10.20.0.0/16", "fd00:5a::/48"), Deny: prefixes("10.20.9.0/24"),
-		Fronts: prefixes("10.20.0.9/32"),
+		TrustedProxies: prefixes("10.20.0.9/32"),
 	})
 	open := New(config.Addresses{Deny: prefixes("10.0.0.0/8", "::/0")})
 	for a, want := range map[string][2]string{
@@ -33,14 +33,14 @@
 		"fd00:5b::1":       {"not in addresses.allow", "in addresses.deny"},
 	} {
 		addr := netip.MustParseAddr(a)
-		if got := [2]string{lists.Refuses(addr), open.Refuses(addr)}; got != want {
+		if got := [2]string{lists.RejectionReason(addr), open.RejectionReason(addr)}; got != want {
 			t.Errorf("%s: %q, expected %q", a, got, want)
 		}
-		if lists.Trusts(addr) {
+		if lists.TrustsProxy(addr) {
 			t.Errorf("%s is trusted", a)
 		}
 	}
-	if !lists.Trusts(netip.MustParseAddr("::ffff:10.20.0.9")) {
+	if !lists.TrustsProxy(netip.MustParseAddr("::ffff:10.20.0.9")) {
 		t.Error("a front is not trusted")
 	}
 }
@@ -83,9 +83,9 @@
 
 func said(client netip.AddrPort, err error) string {
 	switch {
-	case errors.Is(err, ErrNone):
+	case errors.Is(err, ErrNoHeader):
 		return "none"
-	case errors.Is(err, ErrBad):
+	case errors.Is(err, ErrMalformed):
 		return "bad"
 	case err != nil:
 		return "short"
@@ -98,7 +98,7 @@
 func TestHeaders(t *testing.T) {
 	for want, texts := range headers {
 		for _, text := range texts {
-			client, n, err := Header([]byte(text + "GET /up"))
+			client, n, err := ParseHeader([]byte(text + "GET /up"))
 			if got := said(client, err); got != want || err == nil && n != len(text) {
 				t.Errorf("%.60q: %s, took %d of %d, expected %s", text, got, n, len(text), want)
 			}
@@ -115,18 +115,18 @@
 		}
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		client, n, err := Header(b)
+		client, n, err := ParseHeader(b)
 		if n > len(b) || (err == nil) != (n > 0) || err != nil && client.IsValid() || client.Addr().Is4In6() || client.Addr().Zone() != "" {
 			t.Fatalf("%v, took %d of %d, %v", client, n, len(b), err)
 		}
 		for i := range b {
-			part, k, short := Header(b[:i])
+			part, k, short := ParseHeader(b[:i])
 			switch {
-			case err == nil && i < n && !errors.Is(short, ErrShort) && !errors.Is(short, ErrMaybe):
+			case err == nil && i < n && !errors.Is(short, ErrIncomplete) && !errors.Is(short, ErrUndecided):
 				t.Fatalf("%d of %d bytes: %v", i, n, short)
 			case err == nil && i >= n && (k != n || part != client):
 				t.Fatalf("more bytes changed the header: %v, %v", part, client)
-			case errors.Is(err, ErrNone) && short == nil, errors.Is(err, ErrShort) && (short == nil || errors.Is(short, ErrBad)):
+			case errors.Is(err, ErrNoHeader) && short == nil, errors.Is(err, ErrIncomplete) && (short == nil || errors.Is(short, ErrMalformed)):
 				t.Fatalf("%v in whole, %v in part", err, short)
 			}
 		}
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -60,7 +60,7 @@
 		next++
 		return p.rec.Wrap(dispatch.New(c.Settings.Settings, next))
 	}, requests.EndpointList{}, p, slog.New(slog.DiscardHandler))
-	p.rec.Host = p.Ledger.Endpoint
+	p.rec.LookupEndpoint = p.Ledger.Endpoint
 	p.Ledger.AddObserver(p.rec)
 	return p
 }
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -28,26 +28,26 @@
 
 // Recorder writes the capture. It is an observer of the ledger, and wraps its modules.
 type Recorder struct {
-	sink     sink
-	names    requests.NameTable
-	now      func() time.Duration
-	log      *slog.Logger
-	Host     func(worker uint64) requests.Endpoint // to be set once there is a ledger
-	seed     uint64
-	settings jsoniter.RawMessage
-	modules  uint64
-	edge     *edge // of the module that runs
-	calls    map[uint64]string
-	dropped  []uint64        // forgotten once the next step is written
-	named    map[uint64]bool // workers that the segment names
-	lines    []byte
-	pasts    []*float64
-	lost     bool // the segment is broken off
-	tried    time.Duration
-	off      bool // a panic of its own has switched it off
-	flood    float64
-	floodAt  time.Duration
-	skipped  int
+	sink           sink
+	names          requests.NameTable
+	now            func() time.Duration
+	log            *slog.Logger
+	LookupEndpoint func(worker uint64) requests.Endpoint // to be set once there is a ledger
+	seed           uint64
+	settings       jsoniter.RawMessage
+	modules        uint64
+	edge           *edge // of the module that runs
+	calls          map[uint64]string
+	dropped        []uint64        // forgotten once the next step is written
+	named          map[uint64]bool // workers that the segment names
+	lines          []byte
+	pasts          []*float64
+	lost           bool // the segment is broken off
+	tried          time.Duration
+	off            bool // a panic of its own has switched it off
+	flood          float64
+	floodAt        time.Duration
+	skipped        int
 }
 
 // New returns a recorder; seed and settings are those of the scheduler's start.
@@ -57,7 +57,7 @@
 		named: map[uint64]bool{}, flood: floodBurst,
 	}
 	var tree any
-	err := jsoniter.Config{UseNumber: true, SortMapKeys: true}.Froze().Unmarshal(c.Platform, &tree)
+	err := jsoniter.Config{UseNumber: true, SortMapKeys: true}.Froze().Unmarshal(c.PlatformSettings, &tree)
 	if err == nil {
 		r.settings, err = json.Marshal(tree) // on one line, with each number as it was
 	}
@@ -270,10 +270,10 @@
 }
 
 func (r *Recorder) host(worker uint64) requests.Endpoint {
-	if r.Host == nil {
+	if r.LookupEndpoint == nil {
 		return requests.Endpoint{}
 	}
-	return r.Host(worker)
+	return r.LookupEndpoint(worker)
 }
 
 // put adds a line to those that are handed on together.
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -351,8 +351,8 @@
 	return "worker " + strconv.FormatUint(number, 10)
 }
 
-// Command is `valvecove replay`; it returns the exit code: 0 no difference, 1 some, 2 nothing could be replayed.
-func Command(capture string, ops config.Ops, out, warnings io.Writer) int {
+// ReplayCommand is `valvecove replay`; it returns the exit code: 0 no difference, 1 some, 2 nothing could be replayed.
+func ReplayCommand(capture string, ops config.Ops, out, warnings io.Writer) int {
 	f, err := os.Open(capture)
 	if err != nil {
 		fmt.Fprintln(warnings, "valvecove replay:", err)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,13 +31,13 @@
 	Discovery netip.AddrPort
 	// Management is where operators' calls are answered; not valid: nowhere.
 	Management netip.AddrPort
-	// Dir holds what outlives this process, for the one that replaces it: $TMPDIR, if there are operators' calls.
-	Dir      string
-	Seed     uint64
-	Limits   Limits
-	Known    requests.EndpointList // as it was last seen, perhaps long ago
-	Settings Settings
-	Platform []byte // the settings as the platform's text has them
+	// StateDir holds what outlives this process, for the one that replaces it: $TMPDIR, if there are operators' calls.
+	StateDir         string
+	Seed             uint64
+	Limits           Limits
+	KnownEndpoints   requests.EndpointList // as it was last seen, perhaps long ago
+	Settings         Settings
+	PlatformSettings []byte // the settings as the platform's text has them
 }
 
 // Limits where the configuration names none: those of the smallest machine that the platform has.
@@ -88,8 +88,8 @@
 	stays("limits.cores", next.Limits.Cores != c.Limits.Cores)
 	stays("settings", !reflect.DeepEqual(next.Settings, c.Settings))
 	next.Limits.Cores = c.Limits.Cores
-	next.Name, next.Listen, next.Settings, next.Seed, next.Known = c.Name, c.Listen, c.Settings, c.Seed, c.Known
-	next.Management, next.Dir = c.Management, c.Dir
+	next.Name, next.Listen, next.Settings, next.Seed, next.KnownEndpoints = c.Name, c.Listen, c.Settings, c.Seed, c.KnownEndpoints
+	next.Management, next.StateDir = c.Management, c.StateDir
 	return next, kept, nil
 }
 
@@ -130,7 +130,7 @@
 			})
 		case "known":
 			if d.is(jsoniter.ObjectValue, "an object") {
-				d.it.ReadVal(&c.Known)
+				d.it.ReadVal(&c.KnownEndpoints)
 			}
 		case "settings":
 			settings = true
@@ -143,7 +143,7 @@
 	if d.broken {
 		return c, d.faults // what is missing may stand in the part that can't be read
 	}
-	c.Settings, c.Platform = d.set, []byte(jsoniter.Get(text, "settings").ToString())
+	c.Settings, c.PlatformSettings = d.set, []byte(jsoniter.Get(text, "settings").ToString())
 	var err error
 	if c.Name == "" {
 		c.Name = env("PROXY_NAME")
@@ -152,7 +152,7 @@
 	c.Discovery = address("discovery", "PROXY_DISCOVERY", discovery, env, d.faults.add)
 	if management != "" || env("PROXY_MANAGEMENT") != "" {
 		c.Management = address("management", "PROXY_MANAGEMENT", management, env, d.faults.add)
-		c.Dir = env("TMPDIR")
+		c.StateDir = env("TMPDIR")
 	}
 	if c.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
 		h := fnv.New64a() // any text will do for a seed
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,7 +29,7 @@
 	}
 	s := c.Settings
 	a, b := s.Classes[0], s.Classes[1]
-	if c.Seed != 0x8c1f || c.Listen.Port() != 9000 || c.Limits != (Limits{1, 192, 1024}) || c.Known.Endpoints[0].StartedAtMs != 7 ||
+	if c.Seed != 0x8c1f || c.Listen.Port() != 9000 || c.Limits != (Limits{1, 192, 1024}) || c.KnownEndpoints.Endpoints[0].StartedAtMs != 7 ||
 		s.Names.Classes[1] != "b" || s.Names.Tenants[0] != "t" {
 		t.Errorf("read %+v", c)
 	}
@@ -125,8 +125,8 @@
 			return map[string]string{"PROXY_MANAGEMENT": c.env, "TMPDIR": "/t"}[name]
 		})
 		if err != nil && err.Error() != c.fault || err == nil && (c.fault != "" || got.Management.String() != c.want ||
-			(got.Dir != "") != got.Management.IsValid()) {
-			t.Errorf("%s and %q: %v %q, %v; expected %s%s", c.text, c.env, got.Management, got.Dir, err, c.want, c.fault)
+			(got.StateDir != "") != got.Management.IsValid()) {
+			t.Errorf("%s and %q: %v %q, %v; expected %s%s", c.text, c.env, got.Management, got.StateDir, err, c.want, c.fault)
 		}
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -23,8 +23,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	platform := got.Platform
-	got.Platform = nil
+	platform := got.PlatformSettings
+	got.PlatformSettings = nil
 	want := Config{
 		Name:       "s-eu-3",
 		Listen:     netip.MustParseAddrPort("127.0.0.1:9000"),
@@ -32,7 +32,7 @@
 		Management: netip.MustParseAddrPort("127.0.0.1:9001"),
 		Seed:       0x8c1f30d27a5be964,
 		Limits:     Limits{Cores: 1.5, MemoryMB: 512, Sockets: 4096},
-		Known: requests.EndpointList{Revision: 41, Reset: true, Endpoints: []requests.Endpoint{{
+		KnownEndpoints: requests.EndpointList{Revision: 41, Reset: true, Endpoints: []requests.Endpoint{{
 			ID: "w-1", Addr: "127.0.0.2:7001",
 			Zone: "b", MachineType: "slow-4c", Cell: 2, Lifecycle: "draining", Weight: 0.75, StartedAtMs: 1718000000123,
 		}}},
--- a/internal/config/ops.go
+++ b/internal/config/ops.go
@@ -24,7 +24,7 @@
 	Log       Log
 	Status    *Status
 	Capture   *Capture
-	Figures   *Figures
+	Metrics   *Metrics
 	Addresses *Addresses
 	Aperture  *aperture.Config
 	Replay    *Replay
@@ -39,7 +39,7 @@
 // Status is the status call on a side port.
 type Status struct {
 	Port       uint16
-	Retain     time.Duration // an ended job is kept for so long
+	Retention  time.Duration // an ended job is kept for so long
 	MaxEntries int
 }
 
@@ -51,20 +51,20 @@
 	Files    int
 }
 
-// Figures are counters, gauges and timers for a collector.
-type Figures struct {
-	Format   string
-	Every    time.Duration
-	To       netip.AddrPort // by UDP; not valid: nowhere
-	File     string         // none: nowhere; without both, standard error
-	MaxBatch int            // bytes
+// Metrics are counters, gauges and timers for a collector.
+type Metrics struct {
+	Format        string
+	FlushInterval time.Duration
+	UDPTarget     netip.AddrPort // by UDP; not valid: nowhere
+	File          string         // none: nowhere; without both, standard error
+	MaxBatchBytes int            // bytes
 }
 
 // Addresses say who may connect, and who may speak for another.
 type Addresses struct {
-	Allow  []netip.Prefix // empty: everyone
-	Deny   []netip.Prefix // even if allowed
-	Fronts []netip.Prefix // may send a PROXY header
+	Allow          []netip.Prefix // empty: everyone
+	Deny           []netip.Prefix // even if allowed
+	TrustedProxies []netip.Prefix // may send a PROXY header
 }
 
 // Replay is for a replay of a capture only.
@@ -84,9 +84,9 @@
 	return o, nil
 }
 
-// ReadAll reads both files, and checks them together if the platform's is sound. It gives all that is wrong with
+// LoadAll reads both files, and checks them together if the platform's is sound. It gives all that is wrong with
 // either, in the order in which it was found; what was read is whole only if nothing is.
-func ReadAll(env func(string) string, ops string) (Config, Ops, []error) {
+func LoadAll(env func(string) string, ops string) (Config, Ops, []error) {
 	c, faults := Read(env)
 	o, all, err := readOps(ops)
 	if err != nil {
@@ -135,7 +135,7 @@
 	if t := top.table("status"); t != nil {
 		o.Status = &Status{
 			Port:       uint16(t.must("listen_port").whole("listen_port", 0, 1, 65535)),
-			Retain:     time.Duration(t.number("retain_s", 600, 0, 1e7) * float64(time.Second)),
+			Retention:  time.Duration(t.number("retain_s", 600, 0, 1e7) * float64(time.Second)),
 			MaxEntries: t.whole("max_entries", 20_000, 1, 1_000_000),
 		}
 		t.end()
@@ -148,15 +148,15 @@
 		t.end()
 	}
 	if t := top.table("figures"); t != nil {
-		o.Figures = &Figures{
-			Format: t.choice("format", "statsd", "statsd", "influx"),
-			Every:  time.Duration(t.whole("flush_ms", 10_000, 10, 3_600_000)) * time.Millisecond,
-			To:     t.target("udp_target"), File: t.text("file"), MaxBatch: t.whole("max_batch_bytes", 1400, 1, 65_000),
+		o.Metrics = &Metrics{
+			Format:        t.choice("format", "statsd", "statsd", "influx"),
+			FlushInterval: time.Duration(t.whole("flush_ms", 10_000, 10, 3_600_000)) * time.Millisecond,
+			UDPTarget:     t.target("udp_target"), File: t.text("file"), MaxBatchBytes: t.whole("max_batch_bytes", 1400, 1, 65_000),
 		}
 		t.end()
 	}
 	if t := top.table("addresses"); t != nil {
-		o.Addresses = &Addresses{Allow: t.ranges("allow"), Deny: t.ranges("deny"), Fronts: t.ranges("trusted_fronts")}
+		o.Addresses = &Addresses{Allow: t.ranges("allow"), Deny: t.ranges("deny"), TrustedProxies: t.ranges("trusted_fronts")}
 		t.end()
 	}
 	if t := top.table("aperture"); t != nil {
--- a/internal/config/ops_test.go
+++ b/internal/config/ops_test.go
@@ -88,12 +88,12 @@
 		t.Errorf("aperture: %+v, %v", o.Aperture, err)
 	}
 	o, err = DecodeOps("[figures]\n")
-	if err != nil || *o.Figures != (Figures{Format: "statsd", Every: 10 * time.Second, MaxBatch: 1400}) {
-		t.Errorf("defaults: %+v, %v", o.Figures, err)
+	if err != nil || *o.Metrics != (Metrics{Format: "statsd", FlushInterval: 10 * time.Second, MaxBatchBytes: 1400}) {
+		t.Errorf("defaults: %+v, %v", o.Metrics, err)
 	}
 	o, err = DecodeOps(`[addresses]
 allow = ["10.20.1.1/16", "::ffff:10.0.0.0/104", "fd00:5a::/48"]`)
-	if a := o.Addresses; err != nil || fmt.Sprint(a.Allow) != "[10.20.0.0/16 10.0.0.0/8 fd00:5a::/48]" || a.Deny != nil || a.Fronts != nil {
+	if a := o.Addresses; err != nil || fmt.Sprint(a.Allow) != "[10.20.0.0/16 10.0.0.0/8 fd00:5a::/48]" || a.Deny != nil || a.TrustedProxies != nil {
 		t.Errorf("ranges: %+v, %v", a, err)
 	}
 	if text, err := os.ReadFile("../../deploy/ops.toml"); err != nil {
@@ -162,7 +162,7 @@
 	} {
 		path, ops := put("c", strings.NewReplacer(c.platform...).Replace(sound)), put("o", c.ops)
 		env := func(name string) string { return map[string]string{"PROXY_CONFIG": path}[name] }
-		_, _, faults := ReadAll(env, ops)
+		_, _, faults := LoadAll(env, ops)
 		var told []string
 		for _, f := range faults {
 			told = append(told, strings.TrimPrefix(f.Error(), dir))
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -22,7 +22,7 @@
 
 // Figures are the counters, gauges and timers since the last flush.
 type Figures struct {
-	conf    config.Figures
+	conf    config.Metrics
 	names   requests.NameTable
 	now     func() time.Duration
 	targets []Target
@@ -44,7 +44,7 @@
 type counts struct{ jobs, attempts uint64 }
 
 // New returns figures that start at nothing.
-func New(conf config.Figures, names requests.NameTable, now func() time.Duration, targets ...Target) *Figures {
+func New(conf config.Metrics, names requests.NameTable, now func() time.Duration, targets ...Target) *Figures {
 	pairs := max(1, len(names.Tenants)) * len(names.Classes)
 	return &Figures{
 		conf: conf, names: names, now: now, targets: targets, gauges: make([]gauge, pairs),
@@ -204,7 +204,7 @@
 		n := bytes.IndexByte(rest, '\n') + 1 // a figure that is too long goes out alone
 		for n < len(rest) {
 			next := n + bytes.IndexByte(rest[n:], '\n') + 1
-			if next >= f.conf.MaxBatch {
+			if next >= f.conf.MaxBatchBytes {
 				break
 			}
 			n = next
@@ -227,4 +227,4 @@
 }
 
 // Every is how often figures are to be gathered and sent.
-func (f *Figures) Every() time.Duration { return f.conf.Every }
+func (f *Figures) Every() time.Duration { return f.conf.FlushInterval }
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -42,7 +42,7 @@
 	target  *target
 }
 
-func newWorld(conf config.Figures, names requests.NameTable) *world {
+func newWorld(conf config.Metrics, names requests.NameTable) *world {
 	w := &world{World: sides.New(names, slog.New(slog.DiscardHandler)), target: &target{}}
 	w.figures = New(conf, names, func() time.Duration { return w.Now }, w.target)
 	w.Ledger.AddObserver(w.figures)
@@ -74,7 +74,7 @@
 			"valvecove.open,tenant=mardan-society,class=account-credit value=0i 1718000000040000000\n" +
 			"valvecove.out,tenant=mardan-society,class=account-credit value=0i 1718000000040000000\n",
 	} {
-		w := newWorld(config.Figures{Format: format, MaxBatch: 10_000}, names)
+		w := newWorld(config.Metrics{Format: format, MaxBatchBytes: 10_000}, names)
 		q := w.Take("a", 1, 1)
 		w.Now += 15 * time.Millisecond
 		w.Send(q, "s-0")
@@ -93,7 +93,7 @@
 		"statsd": "valvecove.jobs:1|c|#tenant:a_b=c_d_e_f_g_h\\,class:" + strings.Repeat("x", longestTag) + ",outcome:turned_away",
 		"influx": `valvecove.jobs,tenant=a\,b\=c\ d|e#f:g_h_,class=` + strings.Repeat("x", longestTag) + `,outcome=turned\ away count=1i`,
 	} {
-		w := newWorld(config.Figures{Format: format, MaxBatch: 1400}, odd)
+		w := newWorld(config.Metrics{Format: format, MaxBatchBytes: 1400}, odd)
 		w.Ledger.ReportRejection(&requests.Arrival{CallID: "a"}, 503)
 		if w.flush(); len(w.target.lines()) != 1 || !strings.HasPrefix(w.target.lines()[0], want) {
 			t.Errorf("%s: %q, expected %q", format, w.target.lines(), want)
@@ -107,7 +107,7 @@
 func FuzzFigures(f *testing.F) {
 	steps.Fuzz(f, func(s *steps.Steps) {
 		most := 1 + 4*s.Pick(200)
-		w := newWorld(config.Figures{Format: "statsd", MaxBatch: most}, names)
+		w := newWorld(config.Metrics{Format: "statsd", MaxBatchBytes: most}, names)
 		want, got := map[string]int{}, map[string]int{}
 		sum := func() { // of what was handed on
 			for _, b := range w.target.got {
@@ -198,7 +198,7 @@
 
 // What waits stays under its bound: the oldest figures go, whole, and are counted.
 func TestPendingBound(t *testing.T) {
-	w := newWorld(config.Figures{Format: "statsd", MaxBatch: 1400}, names)
+	w := newWorld(config.Metrics{Format: "statsd", MaxBatchBytes: 1400}, names)
 	const jobs = 5000
 	for n := range jobs {
 		q := w.Take(strconv.Itoa(n), 0, 0)
--- a/internal/lab/live/fake_test.go
+++ b/internal/lab/live/fake_test.go
@@ -33,7 +33,7 @@
 	}
 	fmt.Fprintln(os.Stderr, "begins")
 	ask := func() {
-		url := fmt.Sprintf("http://%v/discovery/hosts?stream=1&index=%d", c.Discovery, c.Known.Revision)
+		url := fmt.Sprintf("http://%v/discovery/hosts?stream=1&index=%d", c.Discovery, c.KnownEndpoints.Revision)
 		go func() { _, _ = http.Get(url) }() // its answer may come late, or never
 	}
 	ask()
--- a/internal/lab/platform/golden_test.go
+++ b/internal/lab/platform/golden_test.go
@@ -40,7 +40,7 @@
 	}
 	spec, options := goldenScenario()
 	settings, err := Settings(spec, 1)
-	if err != nil || c.Name != "s1" || c.Seed != 0xfe || c.Listen.Port() != 9000 || !reflect.DeepEqual(c.Known, options.Known) ||
+	if err != nil || c.Name != "s1" || c.Seed != 0xfe || c.Listen.Port() != 9000 || !reflect.DeepEqual(c.KnownEndpoints, options.Known) ||
 		!reflect.DeepEqual(c.Settings, settings) {
 		t.Errorf("read %+v, %v", c, err)
 	}
--- a/internal/lab/platform/platform_test.go
+++ b/internal/lab/platform/platform_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n1" || c.Seed != 0xfe || c.Listen.Port() != 9000 || c.Limits.Sockets != spec.Schedulers.Sockets ||
-		c.Known.Revision != 4 || len(c.Known.Endpoints) != 1 {
+		c.KnownEndpoints.Revision != 4 || len(c.KnownEndpoints.Endpoints) != 1 {
 		t.Errorf("read %+v", c)
 	}
 	set := c.Settings
--- a/internal/link/addresses.go
+++ b/internal/link/addresses.go
@@ -27,7 +27,7 @@
 	if l.lists == nil {
 		return true
 	}
-	why := l.lists.Refuses(from.Addr())
+	why := l.lists.RejectionReason(from.Addr())
 	if why == "" {
 		return true
 	}
@@ -43,15 +43,15 @@
 // not be sent, or makes no sense, ends the link, and nothing is written.
 func (k *clientLink) introduce() bool {
 	for !k.introduced {
-		client, n, err := address.Header(k.in)
-		trusted := !k.via.IsValid() && k.loop.lists.Trusts(k.client.Addr())
+		client, n, err := address.ParseHeader(k.in)
+		trusted := !k.via.IsValid() && k.loop.lists.TrustsProxy(k.client.Addr())
 		switch {
-		case errors.Is(err, address.ErrNone):
+		case errors.Is(err, address.ErrNoHeader):
 			k.introduced = true
-		case errors.Is(err, address.ErrMaybe), trusted && errors.Is(err, address.ErrShort):
+		case errors.Is(err, address.ErrUndecided), trusted && errors.Is(err, address.ErrIncomplete):
 			return false
 		case !trusted || err != nil:
-			if err == nil || errors.Is(err, address.ErrShort) {
+			if err == nil || errors.Is(err, address.ErrIncomplete) {
 				err = errors.New("PROXY header from an address that is not trusted")
 			}
 			if k.via.IsValid() {
--- a/internal/link/addresses_test.go
+++ b/internal/link/addresses_test.go
@@ -43,7 +43,7 @@
 		var log bytes.Buffer
 		w.loop.linkLog = oplog.New(config.Log{}, "n0", &log).Kind()
 		w.loop.log = w.loop.linkLog
-		w.loop.lists = address.New(config.Addresses{Fronts: []netip.Prefix{netip.MustParsePrefix("10.20.0.0/24")}})
+		w.loop.lists = address.New(config.Addresses{TrustedProxies: []netip.Prefix{netip.MustParsePrefix("10.20.0.0/24")}})
 		start := starts[s.Pick(len(starts))]
 		from, trusted := frontAddr, s.Pick(3) > 0
 		if !trusted {
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -61,7 +61,7 @@
 	side            int                                        // descriptors for features
 	Capture         *capture.Recorder                          // nil: off
 	figures         *figures.Figures                           // nil: off
-	lists           *address.Lists                             // nil: off
+	lists           *address.AccessLists                       // nil: off
 	wrap            func(*dispatch.Dispatcher) requests.Policy // what stands round a module that goes on from another process; nil: none can
 	predecessorRole *predecessorRole                           // nil: no successor can come
 	successorRole   *successorRole                             // nil: nothing is to be taken over
--- a/internal/link/settings_test.go
+++ b/internal/link/settings_test.go
@@ -229,9 +229,9 @@
 	l.watch = l.newWatchConnection(c.Discovery, discovery.Config{PollInterval: c.Settings.PollInterval, Pushed: !c.Settings.MustSubscribe,
 		Schedulers: c.Settings.Replicas}, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
 	l.Ledger = requests.New(c.Settings.AttemptLimit, c.Settings.Names, func() requests.Policy { return dispatch.New(c.Settings.Settings, c.Seed) },
-		c.Known, l.servers, log)
+		c.KnownEndpoints, l.servers, log)
 	l.accept(clients, bufferBudget(c), &c.Settings.Settings, c.Settings.Names)
-	l.watch.start(len(c.Known.Endpoints) > 0)
+	l.watch.start(len(c.KnownEndpoints.Endpoints) > 0)
 	d.T.Cleanup(func() {
 		for fd, h := range l.handlers {
 			if h != nil {
--- a/internal/link/start.go
+++ b/internal/link/start.go
@@ -74,9 +74,9 @@
 		}
 		return m
 	}
-	l.Ledger = requests.New(c.Settings.AttemptLimit, c.Settings.Names, module, c.Known, l.servers, decisions)
+	l.Ledger = requests.New(c.Settings.AttemptLimit, c.Settings.Names, module, c.KnownEndpoints, l.servers, decisions)
 	if l.Capture != nil {
-		l.Capture.Host = l.Ledger.Endpoint
+		l.Capture.LookupEndpoint = l.Ledger.Endpoint
 		l.Ledger.AddObserver(l.Capture)
 	}
 	l.accept(clients, bufferBudget(c), &c.Settings.Settings, c.Settings.Names)
@@ -102,16 +102,16 @@
 		}
 		l.Ledger.AddObserver(table)
 	}
-	if ops.Figures != nil {
+	if ops.Metrics != nil {
 		targets := figuresTo
-		if ops.Figures.To.IsValid() {
-			targets = append(targets, &collector{to: ops.Figures.To, fd: -1})
+		if ops.Metrics.UDPTarget.IsValid() {
+			targets = append(targets, &collector{to: ops.Metrics.UDPTarget, fd: -1})
 		}
-		l.figures = figures.New(*ops.Figures, c.Settings.Names, l.Now, targets...)
+		l.figures = figures.New(*ops.Metrics, c.Settings.Names, l.Now, targets...)
 		l.Ledger.AddObserver(l.figures)
 		l.sendFigures(l.figures)
 	}
-	l.watch.start(len(c.Known.Endpoints) > 0)
+	l.watch.start(len(c.KnownEndpoints.Endpoints) > 0)
 	if wait := l.watch.machine.InitialWait(); wait > 0 && l.Ledger.HasReadyWorker() {
 		l.Ledger.AwaitEndpoints(l.now + wait)
 	}
@@ -122,19 +122,19 @@
 // at the clients' address, so that one that can't be reached by its successor can be replaced too.
 func (l *Loop) begin(c config.Config) error {
 	l.onFail = func(err error) { l.log.Error("can't go on", "error", err) }
-	out, err := hotrestart.ReadCordonFile(c.Dir)
+	out, err := hotrestart.ReadCordonFile(c.StateDir)
 	if err != nil { // served on: a worker node that should be out is out again with the next call
 		l.log.Error("worker nodes out by hand can't be read", "error", err)
 	}
 	if l.Ledger.SetCordoned(out); len(out) > 0 {
 		l.log.Info("worker nodes out by hand", "hosts", strings.Join(out, " "))
 	}
-	l.openCordonStore(c.Dir)
-	if l.joinPredecessor(c.Dir, c.Listen) {
+	l.openCordonStore(c.StateDir)
+	if l.joinPredecessor(c.StateDir, c.Listen) {
 		return nil
 	}
 	if l.clients.fd, err = l.listen(c.Listen, l.clients, unix.SO_REUSEPORT); err == nil {
-		l.awaitSuccessor(hotrestart.SocketAddresses(c.Dir, c.Listen))
+		l.awaitSuccessor(hotrestart.SocketAddresses(c.StateDir, c.Listen))
 	}
 	return err
 }
@@ -153,7 +153,7 @@
 	if ops.Status != nil {
 		n += statusMost + 2 // and the listener; one more is accepted before another makes room
 	}
-	if ops.Figures != nil {
+	if ops.Metrics != nil {
 		n += 2 // a socket and a file
 	}
 	if ops.Capture != nil && ops.Capture.Dir != "" {
--- a/internal/link/status_test.go
+++ b/internal/link/status_test.go
@@ -17,7 +17,7 @@
 // withStatus is a world with a status call that knows one job, "a".
 func withStatus(s *steps.Steps) *world {
 	w := newWorld(s)
-	table := status.New(config.Status{Retain: time.Minute, MaxEntries: 10}, requests.NameTable{Classes: []string{"a"}}, true, w.loop.Now)
+	table := status.New(config.Status{Retention: time.Minute, MaxEntries: 10}, requests.NameTable{Classes: []string{"a"}}, true, w.loop.Now)
 	if err := w.loop.serveStatus(netip.MustParseAddrPort("127.0.0.1:0"), table); err != nil {
 		s.T.Fatal(err)
 	}
--- a/internal/run/capture_test.go
+++ b/internal/run/capture_test.go
@@ -70,7 +70,7 @@
 			t.Fatal(err)
 		}
 		var out, warnings bytes.Buffer
-		code := capture.Command(c.file, ops, &out, &warnings)
+		code := capture.ReplayCommand(c.file, ops, &out, &warnings)
 		if code != c.code || !strings.Contains(out.String(), c.out) || !strings.Contains(warnings.String(), c.warning) || c.out == "" && out.Len() > 0 {
 			t.Errorf("%s with %q: %d, %q, %q", c.file, c.ops, code, out.String(), warnings.String())
 		}
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -81,7 +81,7 @@
 		signal.Notify(signals, syscall.SIGUSR1)
 	}
 	var targets []figures.Target
-	if f := features.Figures; f != nil && f.File != "" {
+	if f := features.Metrics; f != nil && f.File != "" {
 		file, err := os.OpenFile(f.File, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o640)
 		if err != nil {
 			return fmt.Errorf("key \"figures.file\": %w", err)
@@ -90,7 +90,7 @@
 		lines := spool.Before(file, logWaiting, nil)
 		defer lines.Close(lastFlush)
 		targets = append(targets, offered{lines})
-	} else if f != nil && !f.To.IsValid() {
+	} else if f != nil && !f.UDPTarget.IsValid() {
 		targets = append(targets, offered{s.spool})
 	}
 	loop, err := link.Open(c, features, logs, targets...)
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -151,7 +151,7 @@
 func (t *Table) expire() {
 	for t.ended.Len() > 0 {
 		e := t.ended.Front().Value.(*entry)
-		if t.now()-e.ended < t.conf.Retain {
+		if t.now()-e.ended < t.conf.Retention {
 			return
 		}
 		t.drop(e)
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -61,7 +61,7 @@
 // result; it ends once, by the outcome that says most of whether it has run.
 func FuzzTable(f *testing.F) {
 	steps.Fuzz(f, func(s *steps.Steps) {
-		w := newWorld(s, config.Status{Retain: 20 * time.Second, MaxEntries: 1000})
+		w := newWorld(s, config.Status{Retention: 20 * time.Second, MaxEntries: 1000})
 		jobs := map[string]*modelJob{}
 		outcomes := map[string]string{"done": "served", "failed": "error", "returned": "turned away", "lost": "reset"}
 		for n := 0; s.More(); n++ {
@@ -150,7 +150,7 @@
 // Where all entries are open the oldest makes room, else the one that ended first; what is heard of a query whose
 // entry is gone, or is a later query's, changes nothing.
 func TestTableFull(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t}, config.Status{Retain: time.Minute, MaxEntries: 3})
+	w := newWorld(&steps.Steps{T: t}, config.Status{Retention: time.Minute, MaxEntries: 3})
 	known := func(want string) {
 		t.Helper()
 		got := ""
@@ -181,7 +181,7 @@
 // An id that comes again after its query was answered is a new entry; the attempt of the earlier one that is still
 // out says nothing of it.
 func TestIDAgain(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t}, config.Status{Retain: time.Minute, MaxEntries: 3})
+	w := newWorld(&steps.Steps{T: t}, config.Status{Retention: time.Minute, MaxEntries: 3})
 	first := w.Take("a", 0, 0)
 	w.Send(first, "s-0")
 	w.Do(dispatch.Reject{Job: first.ID})
--- a/internal/tally/tally_test.go
+++ b/internal/tally/tally_test.go
@@ -39,7 +39,7 @@
 		names := requests.NameTable{Classes: []string{"a"}, Tenants: []string{"t"}}
 		w := sides.New(names, slog.New(slog.DiscardHandler))
 		count, told, others := New(names.Classes), answers{}, kept{}
-		all := figures.New(config.Figures{Format: "statsd", MaxBatch: 1400}, names, func() time.Duration { return w.Now }, &others)
+		all := figures.New(config.Metrics{Format: "statsd", MaxBatchBytes: 1400}, names, func() time.Duration { return w.Now }, &others)
 		w.Ledger.AddObserver(count)
 		w.Ledger.AddObserver(all)
 		taken, left, written, seen := 0, 0, 0, 0
