--- /dev/null
+++ b/dispatch/attempts_test.go
@@ -0,0 +1,273 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+)
+
+// Incident: moving a job at the first sign of a late start withdrew one attempt in six.
+func TestUnstartedJobIsHedgedOnlyWhenItsObjectiveIsAtRisk(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(2)
+	s.step(s.job(1, 0, 600*ms))
+	first := taken[Send](s)[0].Worker
+	s.wait(250 * ms)
+	expectJobs(t, taken[Send](s))
+	s.wait(400 * ms)
+	moved := taken[Send](s)
+	if len(moved) != 1 || moved[0].Worker == first {
+		t.Fatalf("expected one hedge on the other worker, got %v", moved)
+	}
+	s.step(Started{Job: 1, Attempt: 1, Worker: moved[0].Worker})
+	// Incident: the waiting attempt was cancelled and forgotten, while the worker went on with it. The next job went behind it.
+	s.step(s.done(1, 1, moved[0].Worker, OK), s.job(2, 0, 600*ms), s.job(3, 0, 600*ms))
+	for _, a := range s.take() {
+		if c, ok := a.(Cancel); ok {
+			t.Fatalf("cancelled %v", c)
+		}
+		if next, ok := a.(Send); ok && next.Worker == first {
+			t.Fatalf("job %d was sent behind an attempt that waits", next.Job)
+		}
+	}
+	s.step(Started{Job: 1, Worker: first}, s.done(1, 0, first, OK))
+	s.wait(2 * time.Second)
+	if next := taken[Send](s); len(next) == 0 || next[0].Worker != first {
+		t.Fatalf("nothing was sent to a worker that is free again: %v", next)
+	}
+}
+
+func TestNonIdempotentJobIsNeverHedged(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(3)
+	s.step(s.job(1, 1, 100*ms))
+	s.wait(6 * time.Second)
+	var sends, fails, rejections int
+	for _, a := range s.take() {
+		switch a.(type) {
+		case Send:
+			sends++
+		case Fail:
+			fails++
+		case Reject:
+			rejections++
+		}
+	}
+	if sends != 1 || fails != 1 || rejections != 0 {
+		t.Fatalf("%d sends, %d failures, %d refusals; expected 1, 1, 0", sends, fails, rejections)
+	}
+}
+
+func TestAttemptLimitEndsInAnAnswer(t *testing.T) {
+	set := testSettings()
+	set.AttemptLimit = 2
+	s := newHarness(t, set)
+	s.workers(4)
+	s.step(s.job(1, 0, 100*ms))
+	for n := range 2 {
+		send := taken[Send](s)
+		if len(send) != 1 {
+			t.Fatalf("attempt %d: %v", n, send)
+		}
+		s.now += ms
+		s.step(s.done(1, n, send[0].Worker, ConnectFailed))
+	}
+	if got := taken[Reject](s); len(got) != 1 {
+		t.Fatalf("expected a rejection after two attempts, got %v", got)
+	}
+}
+
+// The retry rules, all of them: may the job be sent to a worker of the same cell, of the same zone, of another; be rejected?
+func TestRetryRules(t *testing.T) {
+	type answer struct{ cell, zone, other, reject bool }
+	all, none := answer{true, true, true, true}, answer{}
+	cases := []struct {
+		name        string
+		idempotency Idempotency
+		scope       DeduplicationScope
+		state       []Result // of the earlier attempts; -1: in flight
+		age         time.Duration
+		want        answer
+	}{
+		{"non-idempotent, first", NonIdempotent, 0, nil, 0, all},
+		{"non-idempotent, rejected", NonIdempotent, 0, []Result{WorkerFull}, 0, all},
+		{"non-idempotent, no connection", NonIdempotent, 0, []Result{ConnectFailed}, 0, all},
+		{"non-idempotent, not sent", NonIdempotent, 0, []Result{NotSent}, 0, all},
+		{"non-idempotent, in flight", NonIdempotent, 0, []Result{-1}, 0, none},
+		{"non-idempotent, error", NonIdempotent, 0, []Result{Failed}, 0, none},
+		{"non-idempotent, time-out", NonIdempotent, 0, []Result{TimedOut}, 0, none},
+		{"non-idempotent, reset", NonIdempotent, 0, []Result{ConnectionReset}, 0, none},
+		{"non-idempotent, cancelled", NonIdempotent, 0, []Result{Cancelled}, 0, none},
+		{"non-idempotent, error then rejected", NonIdempotent, 0, []Result{Failed, WorkerFull}, 0, none},
+		{"idempotent, in flight", Idempotent, 0, []Result{-1}, 0, all},
+		{"idempotent, reset", Idempotent, 0, []Result{ConnectionReset}, 0, all},
+		{"with key in cell, rejected", IdempotentWithKey, ScopeCell, []Result{WorkerFull}, 0, all},
+		{"with key in cell, reset", IdempotentWithKey, ScopeCell, []Result{ConnectionReset}, 0, answer{cell: true}},
+		{"with key in cell, in flight", IdempotentWithKey, ScopeCell, []Result{-1}, 0, answer{cell: true}},
+		{"with key in cell, too old", IdempotentWithKey, ScopeCell, []Result{ConnectionReset}, 3 * time.Second, none},
+		{"with key in zone, reset", IdempotentWithKey, ScopeZone, []Result{ConnectionReset}, 0, answer{cell: true, zone: true}},
+		{"with key everywhere, reset", IdempotentWithKey, ScopeAll, []Result{ConnectionReset}, 0, all},
+		{"with key everywhere, too old", IdempotentWithKey, ScopeAll, []Result{ConnectionReset}, 3 * time.Second, answer{reject: true}},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			set := testSettings()
+			set.Classes[0] = Class{Idempotency: c.idempotency, DeduplicationScope: c.scope, DeduplicationWindow: 2 * time.Second, ClientTimeout: time.Minute}
+			d := New(set, 1)
+			d.now = time.Hour
+			j := &jobInfo{class: &d.settings.Classes[0], deadline: d.now + time.Minute, heapIndex: -1}
+			for _, r := range c.state {
+				a := &attemptInfo{worker: &workerInfo{}, zone: 1, cell: 1, sentAt: d.now - c.age, ended: r >= 0, result: r}
+				if r < 0 {
+					j.inFlight++
+				}
+				j.attempts = append(j.attempts, a)
+			}
+			got := answer{
+				d.mayAttempt(j, &workerInfo{Worker: Worker{Zone: 1, Cell: 1}}),
+				d.mayAttempt(j, &workerInfo{Worker: Worker{Zone: 1, Cell: 2}}),
+				d.mayAttempt(j, &workerInfo{Worker: Worker{Zone: 2, Cell: 3}}), d.mayReject(j),
+			}
+			if got != c.want {
+				t.Fatalf("got %+v, expected %+v", got, c.want)
+			}
+			d.settings.Hedging = false
+			if j.inFlight > 0 && d.mayAttempt(j, &workerInfo{Worker: Worker{Zone: 1, Cell: 1}}) {
+				t.Fatal("hedged where that is not allowed")
+			}
+		})
+	}
+}
+
+// Of many dispatchers none rejects what is in flight and unstarted past its objective: it runs all the same, and its client would
+// come again at another. It ends by its deadline, or once its attempt has ended.
+func TestManyReplicasKeepAttemptsInFlight(t *testing.T) {
+	for _, full := range []bool{false, true} {
+		set := testSettings()
+		set.Replicas = manyReplicas + 1
+		s := newHarness(t, set)
+		s.workers(1)
+		s.step(s.job(1, 2, 300*ms))
+		s.wait(1500 * ms)
+		if n := len(taken[Reject](s)); n > 0 {
+			t.Fatalf("rejected %d times while it waits", n)
+		}
+		if full {
+			s.step(Outcome{Job: 1, Worker: 1, Result: WorkerFull})
+			s.wait(100 * ms)
+		} else {
+			s.wait(4 * time.Second)
+		}
+		if n := len(taken[Reject](s)); n != 1 {
+			t.Fatalf("rejected by its worker %v: rejected %d times", full, n)
+		}
+	}
+}
+
+// Of many dispatchers, a short idempotent job is hedged when its start is late, also where its worker gets on with others: nobody
+// knows what others have queued there. A long one is not, and a non-idempotent one never is.
+func TestShortJobsAreHedgedWithManyReplicas(t *testing.T) {
+	for _, c := range []struct {
+		class  int
+		hint   time.Duration
+		hedged bool
+	}{{0, 50 * ms, true}, {0, 3 * time.Second, false}, {1, 50 * ms, false}} {
+		set := testSettings()
+		set.Replicas, set.ReportFields = manyReplicas+1, nil
+		s := newHarness(t, set)
+		s.workers(3)
+		s.step(s.job(1, c.class, c.hint))
+		w := taken[Send](s)[0].Worker
+		s.step(s.job(2, c.class, c.hint))
+		other := taken[Send](s)
+		for range 8 { // whoever has the first gets on with others
+			s.step(Progressed{Job: 2, Worker: other[0].Worker, Share: 0.1})
+			s.d.workers[w].progressAt = s.d.now
+			s.wait(50 * ms)
+		}
+		hedged := false
+		for _, a := range taken[Send](s) {
+			hedged = hedged || a.Job == 1
+		}
+		if hedged != c.hedged {
+			t.Errorf("class %d, %v of work: hedged %v", c.class, c.hint, hedged)
+		}
+	}
+}
+
+// A job that waits at a worker which gets on with others is queued there, not lost: it is not hedged, however late.
+// Only where the worker has given no sign of work since is it sent elsewhere.
+func TestAttemptQueuedAtABusyWorkerIsNotHedged(t *testing.T) {
+	for _, works := range []bool{true, false} {
+		s := newHarness(t, testSettings())
+		s.workers(2)
+		s.d.backOff(s.d.workers[2], 200*ms)
+		s.busy(1)
+		s.d.workers[1].limit = 5
+		s.d.markDirty(s.d.workers[1])
+		s.step(s.job(2, 0, 300*ms))
+		expectJobs(t, taken[Send](s), 2)
+		s.wait(100 * ms)
+		if works {
+			s.step(s.done(1, 0, 1, OK))
+		}
+		s.wait(1500 * ms)
+		hedges := 0
+		for _, a := range taken[Send](s) {
+			if a.Job == 2 && a.Worker == 2 {
+				hedges++
+			}
+		}
+		if (hedges == 0) != works {
+			t.Errorf("its worker gets on %v: %d hedges", works, hedges)
+		}
+	}
+}
+
+// A run that takes longer than expected and notifies of its progress is only long; one that falls silent is hedged.
+func TestLongRunIsNotHedged(t *testing.T) {
+	for _, notifies := range []bool{true, false} {
+		set := testSettings()
+		set.ProgressInterval = 500 * ms
+		set.Classes[0].LatencyObjective = 4 * time.Second
+		s := newHarness(t, set)
+		s.workers(2)
+		s.busy(1)
+		for range 6 {
+			s.wait(400 * ms)
+			if notifies {
+				s.step(Progressed{Job: 1, Worker: 1, Share: 0.1})
+			}
+		}
+		if hedges := len(taken[Send](s)); (hedges == 0) != notifies {
+			t.Errorf("it notifies of its progress %v: %d hedges", notifies, hedges)
+		}
+	}
+}
+
+// The hedges saved up by many dispatchers together are no more than those of a few: they would feed an overload else.
+func TestHedgeTokensOfManyReplicas(t *testing.T) {
+	for of, want := range map[int]float64{1: 10, 3: 10, 6: 5, 36: 1} {
+		set := testSettings()
+		set.Replicas = of
+		if d := New(set, 1); d.hedgeTokens != want || d.maxHedgeTokens() != want {
+			t.Errorf("of %d: %v hedges at first, %v saved up, expected %v", of, d.hedgeTokens, d.maxHedgeTokens(), want)
+		}
+	}
+}
+
+// Found by a search: where hedging is off, a job that ran for too long was cancelled so that it could move, and rejected in the
+// same instant, as its objective had passed. It goes on instead.
+func TestRunningJobPastItsObjectiveIsNotGivenUp(t *testing.T) {
+	set := testSettings()
+	set.Hedging = false
+	s := newHarness(t, set)
+	s.workers(3)
+	s.step(s.job(1, 2, 400*ms))
+	at := taken[Send](s)[0].Worker
+	s.wait(ms)
+	s.step(Started{Job: 1, Worker: at})
+	s.wait(4 * time.Second)
+	if cancels, rejections := taken[Cancel](s), taken[Reject](s); len(cancels)+len(rejections) > 0 {
+		t.Fatalf("%v, %v: it was running", cancels, rejections)
+	}
+}
--- /dev/null
+++ b/dispatch/peers_test.go
@@ -0,0 +1,155 @@
+package dispatch
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// A resumed job goes on as it would have where it was: one that is in flight is not sent again, its outcome is known by
+// its number, and one that was possibly executed goes only where the retry rules let it.
+func TestJobResumed(t *testing.T) {
+	inFlight := PastAttempt{Worker: 1, SentAgo: 100 * ms}
+	running := PastAttempt{Worker: 1, SentAgo: 100 * ms, StartedAgo: 90 * ms}
+	ended := func(worker uint64, r Result) PastAttempt {
+		return PastAttempt{Worker: worker, SentAgo: 100 * ms, Ended: true, Result: r}
+	}
+	cases := []struct {
+		name     string
+		class    int
+		attempts []PastAttempt
+		want     string // of the step that resumes it
+		used     float64
+	}{
+		{"nothing was sent", 0, nil, "sent to 2", 1},
+		{"rejected before", 0, []PastAttempt{ended(1, WorkerFull)}, "sent to 2", 1},
+		{"in flight", 0, []PastAttempt{inFlight}, "", 1},
+		{"running", 0, []PastAttempt{ended(2, WorkerFull), running}, "", 1},
+		{"in flight at a worker not listed", 0, []PastAttempt{{Worker: 77}}, "", 1},
+		{"non-idempotent, in flight", 1, []PastAttempt{inFlight}, "", 1},
+		{"non-idempotent, possibly executed", 1, []PastAttempt{ended(1, ConnectionReset)}, "failed", 0},
+		{"non-idempotent, not executed", 1, []PastAttempt{ended(1, ConnectFailed)}, "sent to 2", 1},
+		{"at the attempt limit", 0, slices.Repeat([]PastAttempt{ended(1, WorkerFull)}, 5), "rejected", 0},
+		{"with key, at a worker not listed", 2, []PastAttempt{ended(77, ConnectionReset)}, "", 0},
+		{"with key, at one listed", 2, []PastAttempt{ended(2, ConnectionReset)}, "sent to 2", 1},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			set := testSettings()
+			set.Classes[2] = Class{LatencyObjective: 400 * ms, ClientTimeout: 5 * time.Second, Idempotency: IdempotentWithKey, DeduplicationScope: ScopeCell, DeduplicationWindow: time.Minute, LateValue: 0.3}
+			s := newHarness(t, set)
+			s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 1, Cell: 1}, {ID: 2, Cell: 2, Ready: true}}})
+			s.take()
+			job := s.job(9, c.class, 300*ms)
+			s.jobs[9] = &harnessJob{Job: job}
+			s.step(JobResumed{Job: job, Age: 200 * ms, Attempts: c.attempts})
+			got := decisionAbout(s)
+			if got != c.want || s.d.usedSlots != c.used {
+				t.Fatalf("%q with %v in use, expected %q with %v", got, s.d.usedSlots, c.want, c.used)
+			}
+			n := len(c.attempts)
+			switch {
+			case strings.HasPrefix(got, "sent"):
+				s.step(s.done(9, n, 2, OK))
+			case n > 0 && !c.attempts[n-1].Ended:
+				s.step(Started{Job: 9, Attempt: n - 1, Worker: c.attempts[n-1].Worker}, s.done(9, n-1, c.attempts[n-1].Worker, OK))
+			default:
+				s.step(ClientDisconnected{Job: 9})
+			}
+			if s.d.usedSlots != 0 || len(s.d.jobs) != 0 || len(s.d.workers) != 2 {
+				t.Errorf("in the end %v in use, %d jobs, %d workers", s.d.usedSlots, len(s.d.jobs), len(s.d.workers))
+			}
+		})
+	}
+}
+
+// decisionAbout is what was decided last about the only job.
+func decisionAbout(s *harness) (decision string) {
+	for _, a := range s.take() {
+		switch a := a.(type) {
+		case Send:
+			decision = fmt.Sprintf("sent to %d", a.Worker)
+		case Reject:
+			decision = "rejected"
+		case Fail:
+			decision = "failed"
+		}
+	}
+	return decision
+}
+
+// What came to another dispatcher long ago keeps its place in the queue: it leaves before what comes now, and its objective is
+// that of its first try. An attempt that hangs is found lost here too.
+func TestResumedJobKeepsItsQueuePosition(t *testing.T) {
+	s := newHarness(t, testSettings())
+	s.workers(2)
+	s.busy(1)
+	s.d.workers[1].limit = 1
+	s.step(WorkerList{Kind: ListDelta, Workers: []Worker{{ID: 2}}})
+	s.d.muShort = 0.1 // tau 0.3 s
+	late := s.job(9, 1, 300*ms)
+	late.Remaining -= 500 * ms
+	s.jobs[8], s.jobs[9] = &harnessJob{}, &harnessJob{}
+	s.step(s.job(2, 1, 100*ms), JobResumed{Job: late, Age: 500 * ms})
+	if objective := s.d.jobs[9].objectiveAt - s.now; objective != 500*ms {
+		t.Errorf("its objective is in %v", objective)
+	}
+	s.step(s.done(1, 0, 1, OK))
+	expectJobs(t, taken[Send](s), 9)
+	s.step(JobResumed{Job: s.job(8, 0, 50*ms), Attempts: []PastAttempt{{Worker: 2, SentAgo: 10 * ms}}})
+	s.step(WorkerList{Kind: ListDelta, Workers: []Worker{{ID: 2, Ready: true}}})
+	s.step(s.done(9, 0, 1, OK))
+	s.step(s.done(2, 0, 1, OK))
+	s.wait(500 * ms)
+	if got := sentJobs(taken[Send](s)); !slices.Contains(got, 8) {
+		t.Errorf("sent %v, expected 8 again, which hangs at worker 2", got)
+	}
+}
+
+// A resumed job is charged to its tenant's quota if it was not yet, and counts against a warming worker's budget.
+func TestResumedJobIsChargedOnce(t *testing.T) {
+	set := testSettings()
+	set.TenantQuota, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = []float64{1}, time.Minute, 0.2, 1.5, time.Second
+	s := newHarness(t, set)
+	s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 1, Ready: true, BootAt: s.now - time.Second}}})
+	quota := s.d.quotaTokens[0]
+	for id := range uint64(20) {
+		s.step(JobResumed{Job: s.job(id+1, 0, 50*ms), Attempts: []PastAttempt{{Worker: 1, SentAgo: 10 * ms, Ended: true, Result: WorkerFull}}})
+		s.step(JobResumed{Job: s.job(id+100, 0, 50*ms), Age: time.Second, QuotaCharged: true})
+	}
+	if s.d.quotaTokens[0] != quota || len(s.d.workers[1].warmUpSpends) != 20 {
+		t.Errorf("quota %v of %v, %d spends at the warming worker", s.d.quotaTokens[0], quota, len(s.d.workers[1].warmUpSpends))
+	}
+	if s.step(JobResumed{Job: s.job(200, 0, 50*ms), Age: time.Second}); s.d.quotaRefilledAt[0] != s.now {
+		t.Error("one that has waited elsewhere is not charged to the quota")
+	}
+}
+
+// Who may send jobs to a warming worker follows from its entry where that says so, else from the number of dispatchers; and so
+// does the share of a quota.
+func TestReplicasChanged(t *testing.T) {
+	set := testSettings()
+	set.Replicas, set.ReplicaIndex, set.TenantQuota = 4, 1, []float64{8}
+	s := newHarness(t, set)
+	check := func(w Worker, rank, of int, part float64) {
+		t.Helper()
+		if r, o := s.d.assigneeRank(&workerInfo{Worker: w}); r != rank || o != of || s.d.quotaShare() != part {
+			t.Errorf("rank %d of %d, share %v, expected %d of %d and %v", r, o, s.d.quotaShare(), rank, of, part)
+		}
+	}
+	check(Worker{}, 1, 4, 0.25)
+	check(Worker{AssigneeRank: 2, Assignees: 2}, 2, 2, 0.25)
+	s.step(ReplicasChanged{Replicas: 2, ReplicaIndex: 1})
+	check(Worker{}, 1, 2, 0.5)
+	s.step(ReplicasChanged{Replicas: 1, QuotaShare: 0.125})
+	check(Worker{}, 0, 1, 0.125)
+	s.step(ReplicasChanged{Replicas: -1, ReplicaIndex: -1, QuotaShare: math.NaN()})
+	check(Worker{}, 0, 1, 1)
+	again, err := Restore(set, s.d.Snapshot(nil))
+	if err != nil || again.sharing != s.d.sharing {
+		t.Errorf("%v, restored as %+v", err, again.sharing)
+	}
+}
