--- a/internal/link/attempts_test.go
+++ b/internal/link/attempts_test.go
@@ -79,8 +79,10 @@
 // send has an attempt made of a new query.
 func (w *attempts) send(size int) *requests.Request {
 	w.T.Helper()
-	q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: fmt.Sprint("q", len(w.queries)), Job: dispatch.Job{Remaining: 5 * time.Second},
-		Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{}})
+	q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+		CallID: fmt.Sprint("q", len(w.queries)), Job: dispatch.Job{Remaining: 5 * time.Second},
+		Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{},
+	})
 	if err != nil {
 		w.T.Fatal(err)
 	}
@@ -567,8 +569,10 @@
 			w.turn()
 			w.now += settleFor
 			w.loop.now = w.now
-			q, _ := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: "between", Job: dispatch.Job{Remaining: 5 * time.Second},
-				Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: nobody{}})
+			q, _ := w.loop.Ledger.Admit(w.now, requests.Arrival{
+				CallID: "between", Job: dispatch.Job{Remaining: 5 * time.Second},
+				Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: nobody{},
+			})
 			w.module.Next = append(w.module.Next, dispatch.Send{Job: q.ID, Worker: w.worker()})
 			p.write([]byte(refused))
 			w.loop.Ledger.Step(w.now)
--- a/internal/link/clients.go
+++ b/internal/link/clients.go
@@ -63,8 +63,10 @@
 }
 
 func (l *Loop) accept(most, budget int, set *dispatch.Settings, names requests.NameTable) {
-	l.clients = &clientLinks{loop: l, fd: -1, links: map[*clientLink]struct{}{}, set: set,
-		classes: index(names.Classes), tenants: index(names.Tenants)}
+	l.clients = &clientLinks{
+		loop: l, fd: -1, links: map[*clientLink]struct{}{}, set: set,
+		classes: index(names.Classes), tenants: index(names.Tenants),
+	}
 	l.clients.limit(most, budget)
 	l.clients.sweep()
 }
@@ -777,8 +779,10 @@
 
 // once are the fields that count in a request. Where one comes twice, what we check and what a worker node goes
 // by could be two things.
-var once = []string{"X-Call-Id", "X-Call-Class", "X-Caller", "X-Budget-Ms", "Idempotency-Key", "X-Call-Cost",
-	"X-Call-Info", "X-Again", "Host"}
+var once = []string{
+	"X-Call-Id", "X-Call-Class", "X-Caller", "X-Budget-Ms", "Idempotency-Key", "X-Call-Cost",
+	"X-Call-Info", "X-Again", "Host",
+}
 
 // read makes a query of a request. fault names what is wrong with it.
 func (c *clientLinks) read(m *http1.Message, class int, rest []byte) (in requests.Arrival, fault string) {
@@ -806,10 +810,16 @@
 		}
 		left = time.Duration(n) * time.Millisecond
 	}
-	in = requests.Arrival{CallID: string(id), Job: dispatch.Job{Class: class, Tenant: tenant, Remaining: left, Slots: 1,
-		Hint: time.Duration(figure(m.Get("X-Call-Cost")) * float64(time.Microsecond)), Retry: string(m.Get("X-Again")) == "1"},
-		Payload: requests.Payload{Method: string(m.Method), Path: string(m.Target), IdempotencyKey: string(idem),
-			Body: bytes.Clone(m.Body)}}
+	in = requests.Arrival{
+		CallID: string(id), Job: dispatch.Job{
+			Class: class, Tenant: tenant, Remaining: left, Slots: 1,
+			Hint: time.Duration(figure(m.Get("X-Call-Cost")) * float64(time.Microsecond)), Retry: string(m.Get("X-Again")) == "1",
+		},
+		Payload: requests.Payload{
+			Method: string(m.Method), Path: string(m.Target), IdempotencyKey: string(idem),
+			Body: bytes.Clone(m.Body),
+		},
+	}
 	if at := bytes.LastIndexByte(rest, '/'); len(rest) > 0 {
 		h := fnv.New64a()
 		h.Write(rest[at+1:])
--- a/internal/link/clients_test.go
+++ b/internal/link/clients_test.go
@@ -147,8 +147,10 @@
 // has had one and rests, is let be for as long as it takes.
 func TestStalledLinksEnd(t *testing.T) {
 	w := newWorld(&steps.Steps{T: t})
-	texts := map[string]string{"mute": "", "half": "POST /a HTTP/1.1\r\n", "bad": "\x00\r\n\r\n",
-		"waiting": numbered(asks[0].text, 1), "resting": numbered(asks[6].text, 1), "again": numbered(asks[6].text, 1) + "GET /up"}
+	texts := map[string]string{
+		"mute": "", "half": "POST /a HTTP/1.1\r\n", "bad": "\x00\r\n\r\n",
+		"waiting": numbered(asks[0].text, 1), "resting": numbered(asks[6].text, 1), "again": numbered(asks[6].text, 1) + "GET /up",
+	}
 	peers := map[string]*peer{}
 	for name, text := range texts {
 		p, fd := w.pair()
@@ -159,8 +161,10 @@
 	w.turn()
 	w.now += wholeWithin + sweepEvery
 	w.turn()
-	for name, want := range map[string]string{"mute": "", "half": "HTTP/1.1 408 ", "bad": "HTTP/1.1 400 ",
-		"waiting": "", "resting": "HTTP/1.1 200 ", "again": "HTTP/1.1 200 "} {
+	for name, want := range map[string]string{
+		"mute": "", "half": "HTTP/1.1 408 ", "bad": "HTTP/1.1 400 ",
+		"waiting": "", "resting": "HTTP/1.1 200 ", "again": "HTTP/1.1 200 ",
+	} {
 		p := peers[name]
 		p.read(1 << 10)
 		lives := name == "waiting" || name == "resting"
@@ -274,8 +278,10 @@
 func TestStrangersMakeRoomFirst(t *testing.T) {
 	w := newWorld(&steps.Steps{T: t})
 	var peers []*peer
-	for _, text := range []string{numbered(asks[0].text, 1), numbered(asks[0].text, 2), numbered(asks[6].text, 1),
-		numbered(asks[9].text, 1), numbered(asks[2].text, 1), "", "POST"} {
+	for _, text := range []string{
+		numbered(asks[0].text, 1), numbered(asks[0].text, 2), numbered(asks[6].text, 1),
+		numbered(asks[9].text, 1), numbered(asks[2].text, 1), "", "POST",
+	} {
 		p, fd := w.pair()
 		w.loop.clients.adopt(fd, netip.AddrPort{})
 		p.write([]byte(text))
--- a/internal/link/leaving_test.go
+++ b/internal/link/leaving_test.go
@@ -194,8 +194,10 @@
 			t.Run(stage+", "+how, func(t *testing.T) {
 				w := newWorld(&steps.Steps{T: t})
 				w.listens()
-				w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
-					{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"}}})
+				w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
+					{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
+					{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"},
+				}})
 				p := w.connects()
 				w.turn()
 				w.writesAll(p, []byte(sized(1, size)))
@@ -262,8 +264,10 @@
 			left[j.ID] = j.Remaining
 		}
 	}
-	for id, want := range map[uint64]time.Duration{1: all, 16: all, 17: all - 2*time.Second, 18: all - 2*time.Second,
-		19: all - time.Second, 20: all} {
+	for id, want := range map[uint64]time.Duration{
+		1: all, 16: all, 17: all - 2*time.Second, 18: all - 2*time.Second,
+		19: all - time.Second, 20: all,
+	} {
 		if left[id] != want {
 			t.Errorf("query %d has %v left, expected %v", id, left[id], want)
 		}
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -79,8 +79,10 @@
 // positive; from here on it follows the monotonic clock.
 func newLoop(log, linkLog *slog.Logger) (*Loop, error) {
 	origin := time.Now()
-	l := &Loop{scratch: make([]byte, 64<<10), events: make([]unix.EpollEvent, 1024), log: log, linkLog: linkLog, dial: connect,
-		clock: func() time.Duration { return time.Duration(origin.UnixNano()) + time.Since(origin) }}
+	l := &Loop{
+		scratch: make([]byte, 64<<10), events: make([]unix.EpollEvent, 1024), log: log, linkLog: linkLog, dial: connect,
+		clock: func() time.Duration { return time.Duration(origin.UnixNano()) + time.Since(origin) },
+	}
 	l.now = l.clock()
 	var err error
 	if l.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
--- a/internal/link/servers.go
+++ b/internal/link/servers.go
@@ -57,8 +57,10 @@
 func (l *Loop) serve(most int, dial, idleFor time.Duration) {
 	// The worker node closes an idle link at its limit, and a request that crosses the close is lost: keep well
 	// clear of it.
-	l.servers = &serverLinks{loop: l, hosts: map[uint64]*hostLinks{}, carried: map[*requests.Attempt]*serverLink{},
-		withdrawals: map[*requests.Attempt]int{}, most: most, dial: dial, idleFor: idleFor * 3 / 4}
+	l.servers = &serverLinks{
+		loop: l, hosts: map[uint64]*hostLinks{}, carried: map[*requests.Attempt]*serverLink{},
+		withdrawals: map[*requests.Attempt]int{}, most: most, dial: dial, idleFor: idleFor * 3 / 4,
+	}
 	l.servers.retire()
 }
 
--- a/internal/link/servers_test.go
+++ b/internal/link/servers_test.go
@@ -65,8 +65,10 @@
 		switch what := s.Pick(10); {
 		case what < 2 && len(queries) < 8:
 			id := fmt.Sprint("q", len(queries))
-			q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: id, Job: dispatch.Job{Remaining: 5 * time.Second},
-				Payload: requests.Payload{Method: "POST", Path: "/a", Body: bytes.Repeat([]byte{'x'}, sizes[s.Pick(3)])}, Responder: nobody{}})
+			q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+				CallID: id, Job: dispatch.Job{Remaining: 5 * time.Second},
+				Payload: requests.Payload{Method: "POST", Path: "/a", Body: bytes.Repeat([]byte{'x'}, sizes[s.Pick(3)])}, Responder: nobody{},
+			})
 			s.Check(err == nil, "not taken: %v", err)
 			queries = append(queries, q.ID)
 			w.module.Next = append(w.module.Next, dispatch.Send{Job: q.ID, Worker: w.worker()})
@@ -256,8 +258,10 @@
 	sent := 0
 	send := func() *peer {
 		sent++
-		q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: fmt.Sprint("q", sent), Job: dispatch.Job{Remaining: 5 * time.Second},
-			Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: nobody{}})
+		q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+			CallID: fmt.Sprint("q", sent), Job: dispatch.Job{Remaining: 5 * time.Second},
+			Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: nobody{},
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -305,8 +309,10 @@
 	for name, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(&steps.Steps{T: t})
-			q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
-				Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{}})
+			q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+				CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
+				Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{},
+			})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -357,11 +363,15 @@
 		for stage, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize} {
 			t.Run(name+", "+stage, func(t *testing.T) {
 				w := newWorld(&steps.Steps{T: t})
-				w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
-					{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"}}})
+				w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
+					{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
+					{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"},
+				}})
 				w.turn()
-				q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
-					Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{}})
+				q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+					CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
+					Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{},
+				})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/link/settings_test.go
+++ b/internal/link/settings_test.go
@@ -143,8 +143,10 @@
 	var stretch []float64
 	for i, name := range names(rng, 1+rng.IntN(6)) {
 		effect := []string{"pure", "token", "side_effect"}[(i+rng.IntN(2))%3]
-		class := object{"name": name, "idempotency": effect, "promise": us(5*time.Millisecond, 2*time.Second),
-			"give_up": us(100*time.Millisecond, 9*time.Second), "gain": 5 * rng.Float64(), "late_share": rng.Float64() / 2}
+		class := object{
+			"name": name, "idempotency": effect, "promise": us(5*time.Millisecond, 2*time.Second),
+			"give_up": us(100*time.Millisecond, 9*time.Second), "gain": 5 * rng.Float64(), "late_share": rng.Float64() / 2,
+		}
 		if effect == "token" {
 			class["dedup_scope"] = []string{"cell", "zone", "all"}[rng.IntN(3)]
 			class["window"] = us(50*time.Millisecond, 6*time.Second)
@@ -165,19 +167,27 @@
 		hosts = append(hosts, n.Endpoint)
 	}
 	of := 1 + rng.IntN(5)
-	settings := object{"replicas_of_me": of, "me": rng.IntN(of), "zone": rng.IntN(len(zones)), "zones": zones, "kinds": kinds,
+	settings := object{
+		"replicas_of_me": of, "me": rng.IntN(of), "zone": rng.IntN(len(zones)), "zones": zones, "kinds": kinds,
 		"discovery": []string{"subscribe", "automatic"}[rng.IntN(2)], "classes": classes, "tenants": tenants,
-		"bounds": object{"try_limit": 1 + rng.IntN(6), "second_copies": flip(), "cancelling": flip(), "probes": flip(),
+		"bounds": object{
+			"try_limit": 1 + rng.IntN(6), "second_copies": flip(), "cancelling": flip(), "probes": flip(),
 			"retry_after": flip(), "max_retry_after": us(time.Millisecond, 3*time.Second),
-			"connect_timeout": us(60*time.Millisecond, 400*time.Millisecond), "conn_idle": us(time.Second, time.Minute)},
+			"connect_timeout": us(60*time.Millisecond, 400*time.Millisecond), "conn_idle": us(time.Second, time.Minute),
+		},
 		"domain": object{"class_stretch": stretch, "tells_start": flip(), "progress": rng.IntN(2) * 500_000},
 		"prices": object{"probe": rng.Float64() / 100, "cross_zone": rng.Float64() / 10, "handshake": rng.Float64() / 10},
-		"rules": object{"ask_every": us(500*time.Millisecond, 12*time.Second), "cold": us(time.Second, 20*time.Second),
-			"cold_from": 0.1 + 0.8*rng.Float64(), "overload_factor": 1 + 3*rng.Float64(), "fall": us(500*time.Millisecond, 3*time.Second)}}
+		"rules": object{
+			"ask_every": us(500*time.Millisecond, 12*time.Second), "cold": us(time.Second, 20*time.Second),
+			"cold_from": 0.1 + 0.8*rng.Float64(), "overload_factor": 1 + 3*rng.Float64(), "fall": us(500*time.Millisecond, 3*time.Second),
+		},
+	}
 	set(settings)
-	text, err := json.Marshal(object{"name": "n0", "listen": "127.0.0.1:0", "discovery": "10.9.9.9:8500", "seed": strconv.FormatUint(rng.Uint64(), 16),
+	text, err := json.Marshal(object{
+		"name": "n0", "listen": "127.0.0.1:0", "discovery": "10.9.9.9:8500", "seed": strconv.FormatUint(rng.Uint64(), 16),
 		"limits": object{"sockets": 64 + rng.IntN(900), "memory_mb": 16 + rng.IntN(170)},
-		"known":  requests.EndpointList{Revision: 1, Reset: true, Endpoints: hosts}, "settings": settings})
+		"known":  requests.EndpointList{Revision: 1, Reset: true, Endpoints: hosts}, "settings": settings,
+	})
 	if err != nil {
 		panic(err)
 	}
@@ -194,8 +204,10 @@
 	for i := range 2 + rng.IntN(7) {
 		n := &workerNode{zone: rng.IntN(len(zones)), kind: rng.IntN(len(kinds))}
 		n.at = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i), byte(1 + rng.IntN(250))}), uint16(1000+rng.IntN(60000)))
-		n.Endpoint = requests.Endpoint{ID: fmt.Sprintf("s-%08x", rng.Uint32()), Addr: n.at.String(), Zone: zones[n.zone], MachineType: kinds[n.kind],
-			Cell: rng.IntN(3), Lifecycle: "up", Weight: float64(rng.IntN(3))}
+		n.Endpoint = requests.Endpoint{
+			ID: fmt.Sprintf("s-%08x", rng.Uint32()), Addr: n.at.String(), Zone: zones[n.zone], MachineType: kinds[n.kind],
+			Cell: rng.IntN(3), Lifecycle: "up", Weight: float64(rng.IntN(3)),
+		}
 		if rng.IntN(3) == 0 {
 			n.StartedAtMs = (w.now - time.Duration(rng.IntN(int(20*time.Second)))).Milliseconds()
 		}
@@ -226,8 +238,10 @@
 	servers, clients := share(c.Limits.Sockets, 0)
 	l.limits, l.onWake = c.Limits, func() {}
 	l.serve(servers, c.Settings.ConnectTimeout, c.Settings.ConnIdleTimeout)
-	l.watch = l.newWatchConnection(c.Discovery, discovery.Config{PollInterval: c.Settings.PollInterval, Pushed: !c.Settings.MustSubscribe,
-		Schedulers: c.Settings.Replicas}, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
+	l.watch = l.newWatchConnection(c.Discovery, discovery.Config{
+		PollInterval: c.Settings.PollInterval, Pushed: !c.Settings.MustSubscribe,
+		Schedulers: c.Settings.Replicas,
+	}, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
 	l.Ledger = requests.New(c.Settings.AttemptLimit, c.Settings.Names, func() requests.Policy { return dispatch.New(c.Settings.Settings, c.Seed) },
 		c.Known, l.servers, log)
 	l.accept(clients, bufferBudget(c), &c.Settings.Settings, c.Settings.Names)
--- a/internal/link/start.go
+++ b/internal/link/start.go
@@ -43,8 +43,10 @@
 	l.events = make([]unix.EpollEvent, max(c.Limits.Sockets, len(l.events)))
 	servers, clients := share(c.Limits.Sockets, l.side)
 	l.serve(servers, c.Settings.ConnectTimeout, c.Settings.ConnIdleTimeout)
-	l.watch = l.newWatchConnection(c.Discovery, discovery.Config{PollInterval: c.Settings.PollInterval, Pushed: !c.Settings.MustSubscribe,
-		Schedulers: c.Settings.Replicas}, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
+	l.watch = l.newWatchConnection(c.Discovery, discovery.Config{
+		PollInterval: c.Settings.PollInterval, Pushed: !c.Settings.MustSubscribe,
+		Schedulers: c.Settings.Replicas,
+	}, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
 	decisions := log.Kind()
 	if ops.Capture != nil {
 		if l.Capture, err = capture.New(*ops.Capture, c, l.Now, decisions); err != nil {
--- a/internal/link/world_test.go
+++ b/internal/link/world_test.go
@@ -53,7 +53,8 @@
 	l.serve(50, 250*time.Millisecond, time.Minute)
 	l.watch = l.newWatchConnection(netip.AddrPort{}, discovery.Config{PollInterval: 10 * time.Second}, func(int64) int64 { return 0 })
 	l.Ledger = requests.New(6, names, func() requests.Policy { return w.module }, requests.EndpointList{Endpoints: []requests.Endpoint{
-		{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}, l.servers, silent)
+		{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
+	}}, l.servers, silent)
 	l.accept(50, 1<<20, &dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: 5 * time.Second}}}, names)
 	l.onWake = func() {}
 	l.limits = config.Limits{Sockets: 1024, MemoryMB: 64}
