--- /dev/null
+++ b/internal/eventloop/handler.go
@@ -0,0 +1,134 @@
+package eventloop
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"runtime/debug"
+
+	"golang.org/x/sys/unix"
+)
+
+// Handler is one descriptor's side of the loop.
+type Handler interface {
+	// HandleEvents takes in events of epoll_ctl(2).
+	HandleEvents(events uint32)
+	// HandlePanic ends the handler after a panic: it removes its descriptor, and reports to its program what that ends.
+	HandlePanic()
+}
+
+// Prioritized is a handler whose events are not handed out with PriorityNormal.
+type Prioritized interface {
+	Handler
+	// Priority is read when the handler is added.
+	Priority() Priority
+}
+
+// Described is a handler that says whom a line of the log is about.
+type Described interface {
+	Handler
+	LogAttributes() []slog.Attr
+}
+
+// Priority says when in an iteration a handler has its events.
+type Priority int
+
+// The priorities, the first handed out first.
+const (
+	PriorityUrgent Priority = iota
+	PriorityHigh
+	PriorityNormal
+	numPriorities
+)
+
+func (p Priority) String() string {
+	switch p {
+	case PriorityUrgent:
+		return "urgent"
+	case PriorityHigh:
+		return "high"
+	case PriorityNormal:
+		return "normal"
+	}
+	return fmt.Sprintf("Priority(%d)", int(p))
+}
+
+// registration is what the loop keeps of a descriptor; it is zero where there is none.
+type registration struct {
+	handler  Handler
+	priority Priority
+}
+
+// Protect calls act and contains a panic: it is logged, and ends the handler that it happened in.
+func (l *Loop) Protect(handler Handler, act func()) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			attrs := []slog.Attr{slog.String("panic", fmt.Sprint(cause)), slog.String("stack", string(debug.Stack()))}
+			if described, ok := handler.(Described); ok {
+				attrs = append(attrs, described.LogAttributes()...)
+			}
+			l.log.LogAttrs(context.Background(), slog.LevelError, "panic on a link, which ends", attrs...)
+			handler.HandlePanic()
+		}
+	}()
+	act()
+}
+
+// Add has the handler called for events of a descriptor. On success the loop owns the descriptor, else the caller does.
+func (l *Loop) Add(descriptor int, events uint32, handler Handler) error {
+	event := unix.EpollEvent{Events: events, Fd: int32(descriptor)}
+	if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, descriptor, &event); err != nil {
+		return fmt.Errorf("epoll add: %w", err)
+	}
+	for len(l.handlers) <= descriptor {
+		l.handlers = append(l.handlers, registration{})
+	}
+	priority := PriorityNormal
+	if prioritized, ok := handler.(Prioritized); ok {
+		priority = prioritized.Priority()
+	}
+	l.handlers[descriptor] = registration{handler: handler, priority: priority}
+	return nil
+}
+
+// Modify changes which events of a descriptor the loop waits for.
+func (l *Loop) Modify(fd int, events uint32) {
+	_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_MOD, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)})
+}
+
+// Remove closes a descriptor: at once, or, while events are handed out, once all are. Of one that was removed before, it does
+// nothing.
+func (l *Loop) Remove(fd int) {
+	if l.handlers[fd].handler == nil {
+		return
+	}
+	l.handlers[fd] = registration{}
+	_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_DEL, fd, nil)
+	if l.gathering {
+		l.closing = append(l.closing, fd)
+		return
+	}
+	_ = unix.Close(fd)
+	l.reportClosed()
+}
+
+// ClosingCount returns how many descriptors were removed in this iteration and are not closed yet.
+func (l *Loop) ClosingCount() int { return len(l.closing) }
+
+// closeRemoved closes the descriptors that were removed while events were handed out: what is opened from here on, by timers
+// and by the step, finds them free.
+func (l *Loop) closeRemoved() {
+	for _, fd := range l.closing {
+		_ = unix.Close(fd)
+	}
+	if len(l.closing) > 0 {
+		l.closing = l.closing[:0]
+		l.reportClosed()
+	}
+}
+
+func (l *Loop) reportClosed() {
+	if l.hooks.DescriptorsClosed != nil {
+		l.hooks.DescriptorsClosed()
+	}
+}
--- /dev/null
+++ b/internal/eventloop/socket.go
@@ -0,0 +1,81 @@
+package eventloop
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	socketBufferSize = 64 << 10 // bytes, the kernel's, by accepted socket: it would hold megabytes
+	listenBacklog    = 4096     // connections
+)
+
+// Sockaddr returns an address as the kernel has it, and its family; an IPv4 address written as IPv6 is IPv4.
+func Sockaddr(address netip.AddrPort) (family int, sockaddr unix.Sockaddr) {
+	if ip := address.Addr().Unmap(); ip.Is4() {
+		return unix.AF_INET, &unix.SockaddrInet4{Port: int(address.Port()), Addr: ip.As4()}
+	}
+	return unix.AF_INET6, &unix.SockaddrInet6{Port: int(address.Port()), Addr: address.Addr().As16()}
+}
+
+// AddrPort is the reverse of Sockaddr; of an address that is not an IP address it returns the zero value.
+func AddrPort(sockaddr unix.Sockaddr) netip.AddrPort {
+	switch sockaddr := sockaddr.(type) {
+	case *unix.SockaddrInet4:
+		return netip.AddrPortFrom(netip.AddrFrom4(sockaddr.Addr), uint16(sockaddr.Port))
+	case *unix.SockaddrInet6:
+		return netip.AddrPortFrom(netip.AddrFrom16(sockaddr.Addr).Unmap(), uint16(sockaddr.Port))
+	}
+	return netip.AddrPort{}
+}
+
+// newSocket opens a non-blocking TCP socket of the family of an address.
+func newSocket(address netip.AddrPort) (fd int, sockaddr unix.Sockaddr, err error) {
+	family, sockaddr := Sockaddr(address)
+	fd, err = unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return -1, nil, fmt.Errorf("socket: %w", err)
+	}
+	return fd, sockaddr, nil
+}
+
+// Dial starts a connection, and does not wait for it. The caller owns the socket; see Stream.ConnectError.
+func Dial(address netip.AddrPort) (fd int, err error) {
+	fd, sockaddr, err := newSocket(address)
+	if err != nil {
+		return -1, err
+	}
+	if err := unix.Connect(fd, sockaddr); err != nil && !errors.Is(err, unix.EINPROGRESS) {
+		_ = unix.Close(fd)
+		return -1, fmt.Errorf("connect: %w", err)
+	}
+	return fd, nil
+}
+
+// Listen opens a socket whose connections the owner accepts, and adds it. Options are of the socket, as SO_REUSEPORT, which
+// lets another process listen there too.
+func (l *Loop) Listen(address netip.AddrPort, owner Handler, options ...int) (fd int, err error) {
+	fd, sockaddr, err := newSocket(address)
+	if err != nil {
+		return -1, err
+	}
+	for _, option := range options {
+		if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, option, 1); err != nil {
+			_ = unix.Close(fd)
+			return -1, fmt.Errorf("listening at %v: %w", address, err)
+		}
+	}
+	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
+	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBufferSize) // accepted sockets inherit these
+	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, socketBufferSize)
+	if err := unix.Bind(fd, sockaddr); err != nil {
+		return -1, fmt.Errorf("listening at %v: %w", address, err)
+	}
+	if err := unix.Listen(fd, listenBacklog); err != nil {
+		return -1, fmt.Errorf("listening at %v: %w", address, err)
+	}
+	return fd, l.Add(fd, unix.EPOLLIN, owner)
+}
--- /dev/null
+++ b/internal/eventloop/wake.go
@@ -0,0 +1,36 @@
+package eventloop
+
+import "golang.org/x/sys/unix"
+
+// Post has the loop call act soon. It may be called from any goroutine.
+func (l *Loop) Post(act func()) {
+	l.posting.Lock()
+	l.posted = append(l.posted, act)
+	l.posting.Unlock()
+	l.Wake()
+}
+
+// Wake has the loop call its hook Woken soon. It may be called from any goroutine.
+func (l *Loop) Wake() { _, _ = unix.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0}) }
+
+// waker is the handler of the descriptor that wakes the loop, and the owner of timers that have no other.
+type waker Loop
+
+// HandleEvents calls what was posted, and the hook.
+func (w *waker) HandleEvents(uint32) {
+	var count [8]byte
+	_, _ = unix.Read(w.wakeFD, count[:])
+	w.posting.Lock()
+	posted := w.posted
+	w.posted = nil
+	w.posting.Unlock()
+	for _, act := range posted {
+		act()
+	}
+	if w.hooks.Woken != nil {
+		w.hooks.Woken()
+	}
+}
+
+// HandlePanic has nothing to end.
+func (w *waker) HandlePanic() {}
--- a/internal/link/addresses.go
+++ b/internal/link/addresses.go
@@ -11,17 +11,6 @@
 	"valvecove/internal/address"
 )
 
-// addrPort reads a socket's address; IPv4 written as IPv6 is IPv4.
-func addrPort(sa unix.Sockaddr) netip.AddrPort {
-	switch sa := sa.(type) {
-	case *unix.SockaddrInet4:
-		return netip.AddrPortFrom(netip.AddrFrom4(sa.Addr), uint16(sa.Port))
-	case *unix.SockaddrInet6:
-		return netip.AddrPortFrom(netip.AddrFrom16(sa.Addr).Unmap(), uint16(sa.Port))
-	}
-	return netip.AddrPort{}
-}
-
 // admits closes a connection, unread, whose own address may not connect.
 func (l *Loop) admits(fd int, from netip.AddrPort) bool {
 	if l.lists == nil {
@@ -43,8 +32,8 @@
 // not be sent, or makes no sense, ends the link, and nothing is written.
 func (k *clientLink) introduce() bool {
 	for !k.introduced {
-		client, n, err := address.Header(k.in)
-		trusted := !k.via.IsValid() && k.loop.lists.Trusts(k.client.Addr())
+		client, n, err := address.Header(k.Input())
+		trusted := !k.via.IsValid() && k.home.loop.lists.Trusts(k.client.Addr())
 		switch {
 		case errors.Is(err, address.ErrNone):
 			k.introduced = true
@@ -63,11 +52,11 @@
 			k.end()
 			return false
 		default:
-			k.took(n)
+			k.Consume(n)
 			if k.via = k.client; client.IsValid() {
 				k.client = client
 			}
-			if len(k.in) == 0 {
+			if len(k.Input()) == 0 {
 				return false
 			}
 		}
@@ -75,9 +64,9 @@
 	return true
 }
 
-// whose says whom a line of the log is about.
-func (k *clientLink) whose() []slog.Attr {
-	if k.loop == nil || k.loop.lists == nil {
+// LogAttributes says whom a line of the log is about.
+func (k *clientLink) LogAttributes() []slog.Attr {
+	if k.home.loop.lists == nil {
 		return nil
 	}
 	attrs := []slog.Attr{slog.String("client", k.client.String())}
@@ -90,10 +79,10 @@
 // tells is whether a line about the link or its query is to be written: where addresses are of interest, unless the
 // level is off or too many have been written lately. What the line is made of is worth making only then.
 func (k *clientLink) tells(level slog.Level) bool {
-	return k.loop != nil && k.loop.lists != nil && k.loop.linkLog.Enabled(context.Background(), level)
+	return k.home.loop.lists != nil && k.home.loop.linkLog.Enabled(context.Background(), level)
 }
 
 // tell writes such a line.
 func (k *clientLink) tell(level slog.Level, event string, attrs ...slog.Attr) {
-	k.loop.linkLog.LogAttrs(context.Background(), level, event, append(attrs, k.whose()...)...)
+	k.home.loop.linkLog.LogAttrs(context.Background(), level, event, append(attrs, k.LogAttributes()...)...)
 }
--- a/internal/link/attempts_test.go
+++ b/internal/link/attempts_test.go
@@ -428,7 +428,7 @@
 		q := w.send(0)
 		(*links)[0].release()
 		reads := 0
-		w.loop.clock = func() time.Duration { // from the start of the turn on
+		w.clock = func() time.Duration { // from the start of the turn on
 			if reads++; reads > 1 {
 				return w.now + 300*time.Millisecond
 			}
@@ -568,7 +568,7 @@
 			p.write([]byte(accepted))
 			w.turn()
 			w.now += settleFor
-			w.loop.now = w.now
+			w.loop.UpdateNow()
 			q, _ := w.loop.Ledger.Admit(w.now, requests.Arrival{
 				CallID: "between", Job: dispatch.Job{Remaining: 5 * time.Second},
 				Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: nobody{},
@@ -701,7 +701,7 @@
 			for n := 0; n < 4*mostAnswer && !p.ended; n += len(piece) {
 				p.write([]byte(piece))
 				w.turn()
-				most = max(most, len(k.in))
+				most = max(most, len(k.Input()))
 				p.read(1)
 			}
 			if !p.ended || most > mostAnswer+64<<10 {
--- a/internal/link/clients.go
+++ b/internal/link/clients.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"container/list"
 	"errors"
-	"fmt"
 	"hash/fnv"
 	"log/slog"
 	"net/netip"
@@ -15,6 +14,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/dispatch"
+	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 )
@@ -34,7 +34,6 @@
 	acceptAgain  = 50 * time.Millisecond  // after no descriptor was left
 	graceAtFirst = 250 * time.Millisecond // a link is not closed to make room sooner than this after its start
 	acceptAtOnce = 128                    // in a flood of connections, the links that are there have their turns too
-	socketBuffer = 64 << 10               // the kernel's, by link: it would hold megabytes
 	maxID        = 128
 	maxKey       = 256
 )
@@ -54,7 +53,7 @@
 	held                         int       // bytes in the links' buffers
 	budget                       int       // and how many there may be; as much again may wait in queries
 	paused                       bool
-	again                        *timer
+	again                        *eventloop.Timer
 	draining                     bool
 	closing                      bool // takes no query any more
 	set                          *dispatch.Settings
@@ -88,31 +87,6 @@
 // mostQueries leaves links for what ends queries.
 func mostQueries(links int) int { return links - max(8, links/10) }
 
-// listen opens a socket whose connections owner accepts. Options are of the socket, as SO_REUSEPORT, which lets another
-// process listen there too.
-func (l *Loop) listen(at netip.AddrPort, owner handler, options ...int) (int, error) {
-	fd, sa, err := socket(at)
-	if err != nil {
-		return -1, err
-	}
-	for _, o := range options {
-		if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, o, 1); err != nil {
-			_ = unix.Close(fd)
-			return -1, fmt.Errorf("listening at %v: %w", at, err)
-		}
-	}
-	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBuffer) // accepted ones inherit these
-	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, socketBuffer)
-	if err := unix.Bind(fd, sa); err != nil {
-		return -1, fmt.Errorf("listening at %v: %w", at, err)
-	}
-	if err := unix.Listen(fd, 4096); err != nil {
-		return -1, fmt.Errorf("listening at %v: %w", at, err)
-	}
-	return fd, l.add(fd, unix.EPOLLIN, owner)
-}
-
 func index(names []string) map[string]int {
 	m := map[string]int{}
 	for i, name := range names {
@@ -121,15 +95,15 @@
 	return m
 }
 
-// ready accepts what waits. Where descriptors run out, the link that has been idle longest makes room; where
+// HandleEvents accepts what waits. Where descriptors run out, the link that has been idle longest makes room; where
 // none is idle, new connections wait in the backlog: turned away there, their queries would be lost.
-func (c *clientLinks) ready(uint32) {
+func (c *clientLinks) HandleEvents(uint32) {
 	for range acceptAtOnce {
 		if c.inUse() >= c.most && !c.evict() {
 			c.pause()
 			return
 		}
-		if len(c.links)+len(c.loop.dying) >= c.most+c.partings {
+		if len(c.links)+c.loop.ClosingCount() >= c.most+c.partings {
 			return // told again, once descriptors given up in this turn are closed
 		}
 		fd, sa, err := unix.Accept4(c.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -144,7 +118,7 @@
 			c.pause()
 			return
 		}
-		if from := addrPort(sa); c.loop.admits(fd, from) {
+		if from := eventloop.AddrPort(sa); c.loop.admits(fd, from) {
 			c.adopt(fd, from)
 		}
 	}
@@ -152,9 +126,9 @@
 
 // adopt makes a link of a connection.
 func (c *clientLinks) adopt(fd int, from netip.AddrPort) {
-	k := &clientLink{home: c, since: c.loop.now, client: from, introduced: c.loop.lists == nil}
+	k := &clientLink{home: c, since: c.loop.Now(), client: from, introduced: c.loop.lists == nil}
 	var err error
-	if k.stream, err = c.loop.stream(fd, streamEvents, k); err != nil {
+	if k.Stream, err = c.loop.OpenStream(fd, eventloop.StreamEvents, k); err != nil {
 		c.loop.log.Error("accepting failed", "error", err)
 		_ = unix.Close(fd)
 		return
@@ -166,22 +140,22 @@
 // sweep ends links on which nothing goes on that should: each holds a descriptor, and some hold a buffer. One that
 // awaits an answer of ours, or has had one and is idle, is let be.
 func (c *clientLinks) sweep() {
-	c.loop.after(sweepEvery, c, c.sweep)
+	c.loop.StartTimer(sweepEvery, c, c.sweep)
 	for k := range c.links {
-		age := c.loop.now - k.since
+		age := c.loop.Now() - k.since
 		switch {
 		case k.lingering:
-			if age >= lingerQuiet || c.loop.now-k.lingers >= lingerMost {
+			if age >= lingerQuiet || c.loop.Now()-k.lingers >= lingerMost {
 				k.end()
 			}
-		case len(k.out) > 0:
+		case len(k.Output()) > 0:
 			if age >= readWithin {
 				k.end()
 			}
-		case len(k.turns) > 0 || k.useful && len(k.in) == 0 || age < wholeWithin:
-		case len(k.in) > 0 && k.introduced && !k.last:
+		case len(k.turns) > 0 || k.useful && len(k.Input()) == 0 || age < wholeWithin:
+		case len(k.Input()) > 0 && k.introduced && !k.last:
 			k.refuse(408, "request not whole\n")
-		case !k.introduced && len(k.in) > 0: // it may be the start of a PROXY header, so nothing is written
+		case !k.introduced && len(k.Input()) > 0: // it may be the start of a PROXY header, so nothing is written
 			k.shut(&c.leaving)
 		case !k.spoke: // has connected and says nothing
 			k.dismiss(&c.leaving)
@@ -189,7 +163,7 @@
 	}
 }
 
-func (c *clientLinks) broken() {}
+func (c *clientLinks) HandlePanic() {}
 
 // evict has the link that is missed least make room, and tells whether there was one. What had just come in on it is
 // taken first; what comes from then on its client asks again elsewhere. A link that has just connected, or just had its
@@ -198,7 +172,7 @@
 	for _, from := range []*list.List{&c.useless, &c.leaving, &c.mute, &c.idle} {
 		for e := from.Front(); e != nil; e = from.Front() {
 			k := e.Value.(*clientLink)
-			if from != &c.idle && from != &c.useless && c.loop.now-k.since < graceAtFirst {
+			if from != &c.idle && from != &c.useless && c.loop.Now()-k.since < graceAtFirst {
 				break
 			}
 			if k.dismiss(&c.parting) {
@@ -221,8 +195,8 @@
 	if !c.paused {
 		c.paused = true
 		c.listen(0)
-		c.loop.stop(c.again)
-		c.again = c.loop.after(acceptAgain, c, c.reopen) // some link may make room by then
+		c.loop.StopTimer(c.again)
+		c.again = c.loop.StartTimer(acceptAgain, c, c.reopen) // some link may make room by then
 	}
 }
 
@@ -240,7 +214,7 @@
 }
 
 func (c *clientLinks) listen(events uint32) {
-	_ = unix.EpollCtl(c.loop.epoll, unix.EPOLL_CTL_MOD, c.fd, &unix.EpollEvent{Events: events, Fd: int32(c.fd)})
+	c.loop.Modify(c.fd, events)
 }
 
 // close closes links between queries from now on; queries that come all the same are refused. Links that worker nodes have
@@ -266,7 +240,7 @@
 // quiet tells whether all that was answered has left.
 func (c *clientLinks) quiet() bool {
 	for k := range c.links {
-		if len(k.out) > 0 {
+		if len(k.Output()) > 0 {
 			return false
 		}
 	}
@@ -275,7 +249,7 @@
 
 // clientLink is one accepted connection. What comes in on it is answered in turn.
 type clientLink struct {
-	stream
+	eventloop.Stream
 	home      *clientLinks
 	turns     []*turn // taken in and not answered yet, in order
 	last      bool    // no further request is taken: the link ends with its last turn
@@ -316,7 +290,7 @@
 
 // wait puts the link among those without a request in hand.
 func (k *clientLink) wait(among *list.List) {
-	if k.closed || k.among == among {
+	if !k.IsOpen() || k.among == among {
 		return
 	}
 	k.busy()
@@ -346,19 +320,20 @@
 // dismiss shuts a link without a request in hand, unless one has just come in. It tells whether the link makes room.
 func (k *clientLink) dismiss(among *list.List) bool {
 	place := k.place
-	if k.loop.guard(k, func() { k.ready(unix.EPOLLIN) }); !k.closed && place != nil && k.place == place {
+	if k.home.loop.Protect(k, func() { k.HandleEvents(unix.EPOLLIN) }); k.IsOpen() && place != nil && k.place == place {
 		k.shut(among)
 	}
-	return k.closed || k.among == among
+	return !k.IsOpen() || k.among == among
 }
 
 // shut ends what we write. What the peer still sends is taken in unread up to its own end, for a while: closed over
 // unread bytes, a link is reset, and that takes along what the peer has not had of the answers before.
 func (k *clientLink) shut(among *list.List) {
 	if !k.lingering {
-		k.last, k.in = true, nil
-		k.lingering, k.lingers, k.since = true, k.loop.now, k.loop.now
-		_ = unix.Shutdown(k.fd, unix.SHUT_WR)
+		k.last = true
+		k.DropInput()
+		k.lingering, k.lingers, k.since = true, k.home.loop.Now(), k.home.loop.Now()
+		k.CloseWrite()
 	}
 	k.wait(among)
 	k.attend()
@@ -367,18 +342,18 @@
 
 // count keeps home.held right.
 func (k *clientLink) count() {
-	now := cap(k.in) + cap(k.out)
+	now := k.BufferSize()
 	k.home.held += now - k.counted
 	k.counted = now
 }
 
 // end closes the link; the queries that it carries have lost their client.
 func (k *clientLink) end() {
-	if k.closed {
+	if !k.IsOpen() {
 		return
 	}
 	k.busy()
-	k.close()
+	k.Close()
 	k.count()
 	delete(k.home.links, k)
 	for _, t := range k.turns {
@@ -387,37 +362,41 @@
 				k.tell(slog.LevelInfo, "query left by its client", slog.String("query", q.CallID))
 			}
 			t.query = nil
-			k.loop.Ledger.ClientDisconnected(q)
+			k.home.loop.Ledger.ClientDisconnected(q)
 		}
 	}
 	k.turns = nil
 }
 
-func (k *clientLink) broken() { k.end() }
+func (k *clientLink) HandlePanic() { k.end() }
 
-func (k *clientLink) ready(events uint32) {
+// Priority puts the events of clients before those of worker nodes. A client that has left is known before a connection that
+// has just come up is written to, and what a worker node has told of an attempt before the end of the link that carried it.
+func (k *clientLink) Priority() eventloop.Priority { return eventloop.PriorityHigh }
+
+func (k *clientLink) HandleEvents(events uint32) {
 	if events&(unix.EPOLLHUP|unix.EPOLLERR) != 0 && !k.lingering {
 		k.cut()
 		return
 	}
 	if events&unix.EPOLLOUT != 0 {
-		before := len(k.out)
-		if k.flush() != nil {
+		before := len(k.Output())
+		if k.Flush() != nil {
 			k.end()
 			return
 		}
-		if len(k.out) < before {
-			k.since = k.loop.now
+		if len(k.Output()) < before {
+			k.since = k.home.loop.Now()
 		}
 	}
 	// Its end is told however much it has sent before that.
 	k.half = k.half || events&unix.EPOLLRDHUP != 0
 	if events&^unix.EPOLLOUT != 0 && !k.ended {
-		take := k.fill
+		take := k.Fill
 		if k.last || k.overrun {
-			take = k.discard
-		} else if k.spoke && len(k.in) == 0 { // another request begins, however long the link was idle
-			k.since = k.loop.now
+			take = k.discardInput
+		} else if k.spoke && len(k.Input()) == 0 { // another request begins, however long the link was idle
+			k.since = k.home.loop.Now()
 		}
 		ended, err := take()
 		if err != nil {
@@ -432,31 +411,31 @@
 // cut ends a link whose connection is gone both ways. Nobody waits for an answer, so no query is taken from what came
 // before that; news is news all the same.
 func (k *clientLink) cut() {
-	for !k.last && len(k.turns) == 0 && len(k.in) <= mostAhead {
-		before := len(k.in)
-		if _, err := k.fill(); err != nil || len(k.in) == before {
+	for !k.last && len(k.turns) == 0 && len(k.Input()) <= mostAhead {
+		before := len(k.Input())
+		if _, err := k.Fill(); err != nil || len(k.Input()) == before {
 			break
 		}
 	}
-	for !k.last && len(k.turns) == 0 && len(k.in) > 0 && k.introduce() {
-		m := &k.loop.message
-		n, err := m.ParseRequest(k.in)
+	for !k.last && len(k.turns) == 0 && len(k.Input()) > 0 && k.introduce() {
+		m := &k.home.loop.message
+		n, err := m.ParseRequest(k.Input())
 		if err != nil {
 			break
 		}
 		if path, _, _ := bytes.Cut(m.Target, []byte("?")); string(path) == pathNotes && string(m.Method) == "POST" {
 			_ = k.tellNote(m.Body)
 		}
-		k.took(n)
+		k.Consume(n)
 	}
 	k.end()
 }
 
-// discard takes in what nobody will read, so that closing the link does not reset it and take the answer along.
-func (k *clientLink) discard() (ended bool, err error) {
-	n, ended, err := k.stream.discard()
+// discardInput takes in what nobody will read, so that closing the link does not reset it and take the answer along.
+func (k *clientLink) discardInput() (ended bool, err error) {
+	n, ended, err := k.Stream.Discard()
 	if n > 0 {
-		k.since = k.loop.now
+		k.since = k.home.loop.Now()
 	}
 	return ended, err
 }
@@ -470,7 +449,7 @@
 		return
 	}
 	k.sounded = true
-	if k.send([]byte(http1.ContinueResponse)) != nil || k.connected() != nil {
+	if k.Send([]byte(http1.ContinueResponse)) != nil || k.ConnectError() != nil {
 		k.end()
 	}
 }
@@ -489,9 +468,9 @@
 
 // proceed takes in what can be taken.
 func (k *clientLink) proceed() {
-	for !k.last && !k.closed && len(k.turns) < mostTurns && len(k.out) <= maxUnread && len(k.in) > 0 && k.introduce() {
-		m := &k.loop.message
-		n, err := m.ParseRequest(k.in)
+	for !k.last && k.IsOpen() && len(k.turns) < mostTurns && len(k.Output()) <= maxUnread && len(k.Input()) > 0 && k.introduce() {
+		m := &k.home.loop.message
+		n, err := m.ParseRequest(k.Input())
 		var bad *http1.ParseError
 		if errors.As(err, &bad) {
 			k.refuse(bad.StatusCode, bad.Reason+"\n")
@@ -503,11 +482,11 @@
 			}
 			if k.overrun {
 				k.tooMuch()
-			} else if k.home.held > k.home.budget && len(k.in) > kept {
+			} else if k.home.held > k.home.budget && len(k.Input()) > eventloop.MaxIdleBuffer {
 				k.refuse(503, "no memory for a large request now\n")
 			} else if m.Expect && !k.continued && len(k.turns) == 0 {
 				k.continued = true
-				_ = k.send([]byte(http1.ContinueResponse))
+				_ = k.Send([]byte(http1.ContinueResponse))
 			}
 			break
 		}
@@ -515,38 +494,39 @@
 		if !k.spoke && k.tells(slog.LevelInfo) {
 			k.tell(slog.LevelInfo, "client link open")
 		}
-		k.continued, k.spoke, k.since = false, true, k.loop.now
+		k.continued, k.spoke, k.since = false, true, k.home.loop.Now()
 		k.taking, k.came = n, k.arrived(n)
 		k.request(m, k.add(m.KeepAlive))
-		if k.taking = 0; !k.closed {
-			k.took(n)
+		if k.taking = 0; k.IsOpen() {
+			k.Consume(n)
 		}
 	}
-	if k.overrun && !k.last && len(k.in) == 0 && len(k.turns) < mostTurns {
+	if k.overrun && !k.last && len(k.Input()) == 0 && len(k.turns) < mostTurns {
 		k.tooMuch()
 	}
-	if k.closed {
+	if !k.IsOpen() {
 		return
 	}
 	if k.last {
-		k.in, k.waiting = nil, nil
+		k.DropInput()
+		k.waiting = nil
 	}
 	k.stamp()
 	k.overrun = k.overrun || k.hoards()
 	if k.half && len(k.turns) > 0 {
-		if k.sound(); k.closed {
+		if k.sound(); !k.IsOpen() {
 			return
 		}
 	}
 	k.attend()
 	switch {
-	case len(k.turns) > 0 || len(k.out) > 0:
+	case len(k.turns) > 0 || len(k.Output()) > 0:
 	case k.ended:
 		k.end()
 		return
 	case k.last && !k.lingering:
 		k.shut(&k.home.leaving)
-	case len(k.in) == 0 && !k.last:
+	case len(k.Input()) == 0 && !k.last:
 		if k.rest(); k.closes() && k.spoke {
 			k.shut(&k.home.leaving)
 		}
@@ -556,14 +536,14 @@
 
 // turnAway answers a request that is no query, or may not be one.
 func (k *clientLink) turnAway(t *turn, in *requests.Arrival, status int, what string) {
-	k.loop.Ledger.ReportRejection(in, status)
+	k.home.loop.Ledger.ReportRejection(in, status)
 	t.reply(status, what+"\n")
 }
 
 // refuse answers what can't be read any further; the link ends with that.
 func (k *clientLink) refuse(status int, what string) {
 	k.busy()
-	k.loop.Ledger.ReportRejection(nil, status)
+	k.home.loop.Ledger.ReportRejection(nil, status)
 	k.add(false).reply(status, what)
 }
 
@@ -577,14 +557,14 @@
 
 // stamp remembers when what waits came; what came shortly after other bytes counts as come with them.
 func (k *clientLink) stamp() {
-	fresh := len(k.in)
+	fresh := len(k.Input())
 	for _, a := range k.waiting {
 		fresh -= a.bytes
 	}
-	if last := len(k.waiting) - 1; fresh > 0 && last >= 0 && k.loop.now-k.waiting[last].at < arrivalsApart {
+	if last := len(k.waiting) - 1; fresh > 0 && last >= 0 && k.home.loop.Now()-k.waiting[last].at < arrivalsApart {
 		k.waiting[last].bytes += fresh
 	} else if fresh > 0 {
-		k.waiting = append(k.waiting, arrival{fresh, k.loop.now})
+		k.waiting = append(k.waiting, arrival{fresh, k.home.loop.Now()})
 	}
 }
 
@@ -595,12 +575,12 @@
 			return a.at
 		}
 	}
-	return k.loop.now
+	return k.home.loop.Now()
 }
 
-// took drops the first n bytes of what has come in.
-func (k *clientLink) took(n int) {
-	k.stream.took(n)
+// Consume drops the first n bytes of what has come in.
+func (k *clientLink) Consume(n int) {
+	k.Stream.Consume(n)
 	for len(k.waiting) > 0 && k.waiting[0].bytes <= n {
 		n -= k.waiting[0].bytes
 		k.waiting = k.waiting[1:]
@@ -620,20 +600,20 @@
 // attend asks epoll for what matters now. A client is always read from, as its end lies behind all that it has sent; that
 // end is told for as long as it is asked for, and a reset always.
 func (k *clientLink) attend() {
-	events := k.events &^ streamEvents
+	events := k.Events() &^ eventloop.StreamEvents
 	if !k.half {
 		events |= unix.EPOLLRDHUP
 	}
 	if !k.ended {
 		events |= unix.EPOLLIN
 	}
-	k.listen(events)
+	k.SetEvents(events)
 }
 
 // hoards tells whether more has been read ahead of answers than is kept.
 func (k *clientLink) hoards() bool {
-	n, held := len(k.in), k.home.held
-	return n > mostHoarded || n > mostAhead && held > k.home.budget/2 || n > kept && held > k.home.budget && len(k.turns) > 0
+	n, held := len(k.Input()), k.home.held
+	return n > mostHoarded || n > mostAhead && held > k.home.budget/2 || n > eventloop.MaxIdleBuffer && held > k.home.budget && len(k.turns) > 0
 }
 
 // add gives a request its turn; one that does not let the link live on is the last.
@@ -650,37 +630,37 @@
 	if t.query != nil && k.tells(slog.LevelInfo) {
 		k.tell(slog.LevelInfo, "query answered", slog.String("query", t.query.CallID), slog.Int("status", status))
 	}
-	if t.query = nil; t.done || k.closed {
+	if t.query = nil; t.done || !k.IsOpen() {
 		return
 	}
 	t.done, t.status, t.body, t.retry = true, status, body, retry
-	k.loop.guard(k, k.deliver)
+	k.home.loop.Protect(k, k.deliver)
 }
 
 func (k *clientLink) deliver() {
-	for !k.closed && len(k.turns) > 0 && k.turns[0].done {
+	for k.IsOpen() && len(k.turns) > 0 && k.turns[0].done {
 		t := k.turns[0]
 		if k.turns = k.turns[1:]; len(k.turns) == 0 {
 			k.turns = nil
 		}
-		k.since = k.loop.now
+		k.since = k.home.loop.Now()
 		// A link that ends says so with its last answer.
-		k.last = k.last || k.closes() && len(k.turns) == 0 && len(k.in) == k.taking
+		k.last = k.last || k.closes() && len(k.turns) == 0 && len(k.Input()) == k.taking
 		fields := ""
 		if t.retry > 0 {
 			fields = "Retry-After: " + strconv.FormatFloat(t.retry.Seconds(), 'f', 3, 64) + "\r\n"
 		}
-		b := http1.AppendResponse(k.loop.writing[:0], t.status, fields, t.body, !k.last || len(k.turns) > 0)
-		if k.loop.writing = b[:0]; cap(b) > 4*http1.MaxBodySize {
-			k.loop.writing = nil
+		b := http1.AppendResponse(k.home.loop.writing[:0], t.status, fields, t.body, !k.last || len(k.turns) > 0)
+		if k.home.loop.writing = b[:0]; cap(b) > 4*http1.MaxBodySize {
+			k.home.loop.writing = nil
 		}
-		if err := k.send(b); err != nil {
+		if err := k.Send(b); err != nil {
 			k.end()
 			return
 		}
 	}
-	if k.count(); !k.closed && (len(k.turns) == 0 || len(k.in) > 0) {
-		k.loop.after(0, k, k.proceed) // what came in meanwhile has its turn, though not in the midst of a step
+	if k.count(); k.IsOpen() && (len(k.turns) == 0 || len(k.Input()) > 0) {
+		k.home.loop.StartTimer(0, k, k.proceed) // what came in meanwhile has its turn, though not in the midst of a step
 	}
 }
 
@@ -694,7 +674,7 @@
 		switch {
 		case string(m.Method) != "GET":
 			t.reply(405, "GET only\n")
-		case k.home.draining || !k.loop.Ledger.Ready():
+		case k.home.draining || !k.home.loop.Ledger.Ready():
 			t.reply(503, "not ready\n")
 		default:
 			t.reply(200, "ready\n")
@@ -724,7 +704,7 @@
 	if err := jsoniter.ConfigDefault.Unmarshal(body, &n); err != nil {
 		return err
 	}
-	known, err := k.loop.Ledger.HandleCallback(n)
+	known, err := k.home.loop.Ledger.HandleCallback(n)
 	k.useful, k.tellsNotes = k.useful || known, k.tellsNotes || known
 	return err
 }
@@ -753,19 +733,19 @@
 		// It was sent nowhere, so another try is harmless; after a flood has passed, or elsewhere if this one stops.
 		switch c := k.home; {
 		case c.closing:
-			k.loop.Ledger.ReportRejection(&in, 503)
+			k.home.loop.Ledger.ReportRejection(&in, 503)
 			t.RespondRejected(0)
 			return
-		case k.loop.Ledger.OpenCount() >= c.queries || k.loop.Ledger.PayloadBytes()+len(m.Body) > c.budget:
-			k.loop.Ledger.ReportRejection(&in, 503)
+		case k.home.loop.Ledger.OpenCount() >= c.queries || k.home.loop.Ledger.PayloadBytes()+len(m.Body) > c.budget:
+			k.home.loop.Ledger.ReportRejection(&in, 503)
 			t.RespondRejected(min(fullFor, c.set.MaxRetryAfter))
 			return
 		}
-		if waited := k.loop.now - k.came; waited > 0 { // its client counts from when it sent it
+		if waited := k.home.loop.Now() - k.came; waited > 0 { // its client counts from when it sent it
 			in.Job.Remaining = max(in.Job.Remaining-waited, time.Millisecond)
 		}
 		in.Responder = t
-		q, err := k.loop.Ledger.Admit(k.loop.now, in)
+		q, err := k.home.loop.Ledger.Admit(k.home.loop.Now(), in)
 		if err != nil {
 			k.turnAway(t, &in, 409, "X-Call-Id: "+err.Error())
 			return
--- a/internal/link/clients_test.go
+++ b/internal/link/clients_test.go
@@ -11,6 +11,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/dispatch"
+	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
 	"valvecove/internal/steps"
 )
@@ -203,7 +204,7 @@
 			w.turn()
 		}
 	}
-	if p.read(1 << 10); !strings.HasPrefix(string(p.got), "HTTP/1.1 413 ") || w.loop.clients.held > 2*kept {
+	if p.read(1 << 10); !strings.HasPrefix(string(p.got), "HTTP/1.1 413 ") || w.loop.clients.held > 2*eventloop.MaxIdleBuffer {
 		t.Errorf("got %q, %d bytes held", p.got, w.loop.clients.held)
 	}
 	w.now += lingerQuiet + sweepEvery
@@ -244,7 +245,7 @@
 	}
 	sum := 0
 	for k := range c.links {
-		sum += cap(k.in) + cap(k.out)
+		sum += cap(k.Input()) + cap(k.Output())
 	}
 	if sum != c.held {
 		t.Errorf("%d bytes held, %d counted", sum, c.held)
@@ -261,7 +262,7 @@
 	query := numbered(asks[0].text, 1)
 	bad.write([]byte(query))
 	w.turn()
-	w.loop.guard(w.loop.handlers[fd], func() { panic("scripted") })
+	w.loop.Protect(w.clientLink(fd), func() { panic("scripted") })
 	w.turn()
 	good.write([]byte(numbered(asks[6].text, 2)))
 	w.turn()
@@ -407,10 +408,10 @@
 func TestAcceptsAgainAfterEMFILE(t *testing.T) {
 	w := newWorld(&steps.Steps{T: t})
 	var err error
-	if w.loop.clients.fd, err = w.loop.listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients); err != nil {
+	if w.loop.clients.fd, err = w.loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients); err != nil {
 		t.Fatal(err)
 	}
-	fd, _, err := socket(w.loop.Addr())
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -423,7 +424,7 @@
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 3, Max: old.Max}); err != nil {
 		t.Fatal(err)
 	}
-	_, sa := sockaddr(w.loop.Addr())
+	_, sa := eventloop.Sockaddr(w.loop.Addr())
 	connecting := unix.Connect(fd, sa)
 	w.turn()
 	held := len(w.loop.clients.links)
@@ -455,7 +456,7 @@
 		}
 	}
 	up("200", "")
-	w.loop.Ledger.AwaitEndpoints(w.loop.now + time.Hour)
+	w.loop.Ledger.AwaitEndpoints(w.loop.Now() + time.Hour)
 	up("503", "no word from discovery yet")
 	w.loop.Ledger.DiscoveryFailed()
 	up("200", "")
--- a/internal/link/closing_test.go
+++ b/internal/link/closing_test.go
@@ -11,6 +11,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/dispatch"
+	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 	"valvecove/internal/steps"
@@ -18,7 +19,7 @@
 
 // connectsSlowly gives a client that takes that is not connected yet take in little at a time, so that answers wait in the loop's kernel.
 func (w *world) connectsSlowly() *peer {
-	_, sa := sockaddr(w.loop.Addr())
+	_, sa := eventloop.Sockaddr(w.loop.Addr())
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
 		_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, 2<<10)
@@ -99,8 +100,8 @@
 				t.Fatal("no link")
 			}
 			for k := range w.loop.clients.links {
-				if len(k.out) != 0 {
-					t.Fatalf("%d bytes have not left", len(k.out))
+				if len(k.Output()) != 0 {
+					t.Fatalf("%d bytes have not left", len(k.Output()))
 				}
 			}
 			w.turn()
@@ -138,7 +139,7 @@
 		},
 		"idle": func(w *world) { // before the turn in which what has come is told
 			w.now += wholeWithin + sweepEvery
-			w.loop.now = w.now
+			w.loop.UpdateNow()
 			w.loop.clients.sweep()
 		},
 	} {
@@ -279,14 +280,14 @@
 		w.turn()
 	}
 	k := w.loop.status.links.Front().Value.(*statusLink)
-	if p.halfCloses(); len(k.out) == 0 {
+	if p.halfCloses(); len(k.Output()) == 0 {
 		t.Fatal("nothing waits to be read")
 	}
 	for range 100 { // up to where nobody reads on
 		w.turn()
 	}
-	if n, err := unix.EpollWait(w.loop.epoll, make([]unix.EpollEvent, 8), 0); n != 0 || err != nil {
-		t.Errorf("%d descriptors are told as ready (%v), with nothing to be done", n, err)
+	if n := w.readyDescriptors(); n != 0 {
+		t.Errorf("%d descriptors are told as ready, with nothing to be done", n)
 	}
 	if err := w.readsToTheEnd(p); err != nil || w.loop.status.links.Len() != 0 {
 		t.Errorf("read to the end: %v, %d links left", err, w.loop.status.links.Len())
@@ -307,8 +308,8 @@
 			p.write([]byte(strings.Repeat(numbered(asks[7].text, 1), 100)))
 			w.turn()
 		}
-		if k := w.loop.handlers[fd].(*clientLink); len(k.out) == 0 || len(k.in) > 0 {
-			t.Fatalf("%d bytes wait to be read, %d to be looked at", len(k.out), len(k.in))
+		if k := w.clientLink(fd); len(k.Output()) == 0 || len(k.Input()) > 0 {
+			t.Fatalf("%d bytes wait to be read, %d to be looked at", len(k.Output()), len(k.Input()))
 		}
 		peers = append(peers, p)
 	}
--- a/internal/link/discovery_watch.go
+++ b/internal/link/discovery_watch.go
@@ -10,6 +10,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/internal/discovery"
+	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 )
@@ -25,43 +26,44 @@
 // watchConnection carries the watch on the endpoint list: it opens connections when the state machine has one due, reports to
 // it what happens, and hands watch events to the request table. It runs on the loop's goroutine.
 type watchConnection struct {
-	stream        // closed unless the machine's state is open
-	server        netip.AddrPort
-	machine       *discovery.Watch
-	timer         *timer // of the machine's next deadline
-	revision      int64  // of the list at hand when the connection was opened
-	streaming     bool   // the response has begun, and its body is read
-	receivedEvent bool   // since the last connection was opened
-	body          http1.ChunkDecoder
-	scanner       discovery.EventScanner
+	eventloop.Stream // closed unless the machine's state is open
+	loop             *Loop
+	server           netip.AddrPort
+	machine          *discovery.Watch
+	timer            *eventloop.Timer // of the machine's next deadline
+	revision         int64            // of the list at hand when the connection was opened
+	streaming        bool             // the response has begun, and its body is read
+	receivedEvent    bool             // since the last connection was opened
+	body             http1.ChunkDecoder
+	scanner          discovery.EventScanner
 }
 
 func (l *Loop) newWatchConnection(server netip.AddrPort, config discovery.Config, random func(n int64) int64) *watchConnection {
 	return &watchConnection{
-		stream:  stream{loop: l, closed: true},
+		loop:    l,
 		server:  server,
-		machine: discovery.New(config, random, l.now),
+		machine: discovery.New(config, random, l.Now()),
 	}
 }
 
 // Watch has the endpoint list followed from now on. A connection that is planned or open goes on.
 func (s *serverLinks) Watch(int64) {
 	w := s.loop.watch
-	s.loop.guard(w, func() {
-		w.machine.Restart(s.loop.now)
+	s.loop.Protect(w, func() {
+		w.machine.Restart(s.loop.Now())
 		w.runAction()
 	})
 }
 
 // start plans the first connection of the process. hasList reports that it has a list to serve by until then.
 func (w *watchConnection) start(hasList bool) {
-	w.machine.Start(w.loop.now, hasList)
+	w.machine.Start(w.loop.Now(), hasList)
 	w.resetTimer()
 }
 
 // stop follows the endpoint list no longer.
 func (w *watchConnection) stop() {
-	w.close()
+	w.Close()
 	w.machine.Stop()
 	w.resetTimer()
 }
@@ -72,9 +74,9 @@
 func (w *watchConnection) changeServer(server netip.AddrPort) {
 	w.server = server
 	w.loop.Ledger.ResetRevision()
-	w.loop.guard(w, func() {
-		w.close()
-		w.machine.ChangeServer(w.loop.now)
+	w.loop.Protect(w, func() {
+		w.Close()
+		w.machine.ChangeServer(w.loop.Now())
 		w.runAction()
 	})
 }
@@ -84,15 +86,15 @@
 
 // resetTimer sets the timer to the machine's next deadline.
 func (w *watchConnection) resetTimer() {
-	w.loop.stop(w.timer)
+	w.loop.StopTimer(w.timer)
 	if at, ok := w.machine.NextDeadline(); ok {
-		w.timer = w.loop.after(at-w.loop.now, w, w.runAction)
+		w.timer = w.loop.StartTimer(at-w.loop.Now(), w, w.runAction)
 	}
 }
 
 // runAction does what is due.
 func (w *watchConnection) runAction() {
-	switch w.machine.NextAction(w.loop.now) {
+	switch w.machine.NextAction(w.loop.Now()) {
 	case discovery.ActionConnect:
 		w.connect()
 	case discovery.ActionAbort:
@@ -104,7 +106,7 @@
 
 // connect opens a connection, for changes since the list at hand.
 func (w *watchConnection) connect() {
-	w.machine.Connect(w.loop.now)
+	w.machine.Connect(w.loop.Now())
 	w.resetTimer()
 	w.revision = w.loop.Ledger.Revision()
 	w.streaming = false
@@ -112,7 +114,7 @@
 	w.body = http1.ChunkDecoder{}
 	w.scanner = discovery.EventScanner{}
 	if err := w.dial(); err != nil {
-		w.stream = stream{loop: w.loop, closed: true}
+		w.Stream = eventloop.Stream{}
 		w.end(err)
 	}
 }
@@ -122,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	w.stream, err = w.loop.stream(fd, streamEvents|unix.EPOLLOUT, w)
+	w.Stream, err = w.loop.OpenStream(fd, eventloop.StreamEvents|unix.EPOLLOUT, w)
 	if err != nil {
 		_ = unix.Close(fd)
 	}
@@ -134,8 +136,8 @@
 	if !w.isOpen() {
 		return
 	}
-	w.close()
-	now := w.loop.now
+	w.Close()
+	now := w.loop.Now()
 	staleAt := w.machine.StalenessDeadline()
 	w.machine.Ended(now, errors.Is(reason, errWatchTimedOut))
 	w.resetTimer()
@@ -144,14 +146,14 @@
 	w.loop.Ledger.DiscoveryFailed()
 }
 
-// broken implements handler.
-func (w *watchConnection) broken() {
+// HandlePanic implements handler.
+func (w *watchConnection) HandlePanic() {
 	w.end(errWatchPanicked)
 	w.resetTimer()
 }
 
-// ready implements handler.
-func (w *watchConnection) ready(events uint32) {
+// HandleEvents implements handler.
+func (w *watchConnection) HandleEvents(events uint32) {
 	if err := w.handleEvents(events); err != nil {
 		w.end(err)
 	}
@@ -162,11 +164,11 @@
 		return w.completeConnect(events)
 	}
 	if events&unix.EPOLLOUT != 0 {
-		if err := w.flush(); err != nil {
+		if err := w.Flush(); err != nil {
 			return err
 		}
 	}
-	ended, err := w.fill()
+	ended, err := w.Fill()
 	if err != nil {
 		return err
 	}
@@ -181,17 +183,17 @@
 
 // completeConnect sends the request once the connection is up.
 func (w *watchConnection) completeConnect(events uint32) error {
-	if err := w.connected(); err != nil {
+	if err := w.ConnectError(); err != nil {
 		return err
 	}
 	if events&unix.EPOLLOUT == 0 {
 		return nil
 	}
-	w.machine.Connected(w.loop.now)
+	w.machine.Connected(w.loop.Now())
 	w.resetTimer()
 	target := "/discovery/hosts?stream=1&index=" + strconv.FormatInt(w.revision, 10)
 	request := http1.AppendRequestStart(nil, "GET", target, w.server.String())
-	return w.send(append(request, "\r\n"...))
+	return w.Send(append(request, "\r\n"...))
 }
 
 // readResponse reads what has come of the response.
@@ -208,14 +210,14 @@
 // readResponseHeader takes one response header, be it an interim one; complete is false if it is not all there yet.
 func (w *watchConnection) readResponseHeader() (complete bool, err error) {
 	message := &w.loop.message
-	size, err := message.ParseResponseHeader(w.in)
+	size, err := message.ParseResponseHeader(w.Input())
 	if errors.Is(err, http1.ErrIncomplete) {
 		return false, nil
 	}
 	if err != nil {
 		return false, err
 	}
-	w.took(size)
+	w.Consume(size)
 	if message.Status < 200 {
 		return true, nil
 	}
@@ -229,7 +231,7 @@
 func (w *watchConnection) readBody() error {
 	taken := 0
 	for {
-		piece, size, err := w.body.Next(w.in[taken:])
+		piece, size, err := w.body.Next(w.Input()[taken:])
 		if err != nil {
 			return err
 		}
@@ -241,7 +243,7 @@
 			return err
 		}
 	}
-	w.took(taken)
+	w.Consume(taken)
 	if w.body.Done {
 		return errWatchClosed
 	}
@@ -259,7 +261,7 @@
 		if token.Kind == discovery.TokenNone {
 			continue
 		}
-		w.machine.Received(w.loop.now)
+		w.machine.Received(w.loop.Now())
 		w.resetTimer()
 		if token.Kind == discovery.TokenEvent {
 			if err := w.applyEvent(token.Event); err != nil {
--- a/internal/link/figures.go
+++ b/internal/link/figures.go
@@ -6,6 +6,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/internal/eventloop"
 	"valvecove/internal/figures"
 )
 
@@ -37,7 +38,7 @@
 }
 
 func (c *collector) open() error {
-	family, sa := sockaddr(c.to)
+	family, sa := eventloop.Sockaddr(c.to)
 	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return err
--- a/internal/link/hotrestart_channel.go
+++ b/internal/link/hotrestart_channel.go
@@ -6,6 +6,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
 )
 
@@ -29,7 +30,8 @@
 // frameChannel is one end of the Unix socket between a predecessor and a successor: a stream of frames, some of which come
 // with a descriptor.
 type frameChannel struct {
-	stream
+	eventloop.Stream
+	loop         *Loop
 	descriptors  []int                   // received, of frames that have not been handled yet
 	pendingCalls hotrestart.PendingCalls // cordon calls that were forwarded to the peer
 }
@@ -53,13 +55,13 @@
 	if n == 0 {
 		return true, nil
 	}
-	c.in = append(c.in, c.loop.scratch[:n]...)
+	c.AppendInput(c.loop.ReadBuffer()[:n])
 	return false, nil
 }
 
 func (c *frameChannel) receiveMessage(control []byte) (n, controlSize, flags int, err error) {
 	for {
-		n, controlSize, flags, _, err = unix.Recvmsg(c.fd, c.loop.scratch, control, unix.MSG_CMSG_CLOEXEC|unix.MSG_DONTWAIT)
+		n, controlSize, flags, _, err = unix.Recvmsg(c.FD(), c.loop.ReadBuffer(), control, unix.MSG_CMSG_CLOEXEC|unix.MSG_DONTWAIT)
 		if !errors.Is(err, unix.EINTR) {
 			return n, controlSize, flags, err
 		}
@@ -88,7 +90,7 @@
 		_ = unix.Close(descriptor)
 	}
 	c.descriptors = nil
-	c.close()
+	c.Close()
 }
 
 // handleMessages calls handle for each whole message that has come, until it fails or the channel is closed. handle owns the
@@ -98,13 +100,13 @@
 	for {
 		message, descriptor, size, err := c.nextMessage(offset)
 		if errors.Is(err, hotrestart.ErrIncomplete) {
-			c.took(offset)
+			c.Consume(offset)
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if err := handle(message, descriptor); err != nil || c.closed {
+		if err := handle(message, descriptor); err != nil || !c.IsOpen() {
 			return err
 		}
 		offset += size
@@ -114,7 +116,7 @@
 // nextMessage decodes the message at an offset of what has come. size is that of its frame. The caller owns the descriptor,
 // which is NoDescriptor if none comes with the message.
 func (c *frameChannel) nextMessage(offset int) (message hotrestart.Message, descriptor, size int, err error) {
-	frame, size, err := hotrestart.ReadFrame(c.in[offset:])
+	frame, size, err := hotrestart.ReadFrame(c.Input()[offset:])
 	if err != nil {
 		return nil, hotrestart.NoDescriptor, 0, err
 	}
@@ -139,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	return c.send(encoded)
+	return c.Send(encoded)
 }
 
 // sendMessageBefore sends a message, with a descriptor unless that is NoDescriptor, and waits until the socket has taken all
@@ -149,8 +151,8 @@
 	if err != nil {
 		return err
 	}
-	if len(c.out) > 0 {
-		encoded, c.out = append(c.out, encoded...), nil
+	if len(c.Output()) > 0 {
+		encoded = append(c.TakeOutput(), encoded...)
 		if descriptor != hotrestart.NoDescriptor {
 			return errOutputPending
 		}
@@ -160,7 +162,7 @@
 		rights = unix.UnixRights(descriptor)
 	}
 	for len(encoded) > 0 {
-		n, err := unix.SendmsgN(c.fd, encoded, rights, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
+		n, err := unix.SendmsgN(c.FD(), encoded, rights, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
 		if err == nil {
 			encoded, rights = encoded[n:], nil // the descriptor goes with the first byte
 			continue
@@ -181,7 +183,7 @@
 		return c.waitUntilReady(deadline, unix.POLLOUT)
 	case errors.Is(err, unix.ETOOMANYREFS): // descriptors that the peer has not read yet
 		time.Sleep(passedDescriptorWait)
-		if c.loop.clock() >= deadline {
+		if c.loop.Clock() >= deadline {
 			return errPeerNotReading
 		}
 		return nil
@@ -193,11 +195,11 @@
 // waitUntilReady waits until the socket has one of the events of poll(2), to a deadline of the loop's clock.
 func (c *frameChannel) waitUntilReady(deadline time.Duration, events int16) error {
 	for {
-		remaining := deadline - c.loop.clock()
+		remaining := deadline - c.loop.Clock()
 		if remaining <= 0 {
 			return errPeerNotResponding
 		}
-		polled := []unix.PollFd{{Fd: int32(c.fd), Events: events}}
+		polled := []unix.PollFd{{Fd: int32(c.FD()), Events: events}}
 		n, err := unix.Poll(polled, int((remaining+time.Millisecond-1)/time.Millisecond))
 		if err != nil && !errors.Is(err, unix.EINTR) {
 			return err
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -7,6 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
 )
 
@@ -39,7 +40,7 @@
 type successorConn struct {
 	frameChannel
 	role           *predecessorRole
-	handshakeTimer *timer
+	handshakeTimer *eventloop.Timer
 }
 
 // OnSuccessor has act called whenever a successor stands by.
@@ -62,7 +63,7 @@
 	case err == nil:
 		l.predecessorRole = role
 	case errors.Is(err, unix.EADDRINUSE) && retries > 0:
-		l.after(listenRetryInterval, (*waker)(l), func() { l.awaitSuccessorWithRetries(addresses, retries-1) })
+		l.After(listenRetryInterval, func() { l.awaitSuccessorWithRetries(addresses, retries-1) })
 	default: // this process can still be replaced, by a drain
 		l.log.Warn("no successor can reach this process", "error", err)
 	}
@@ -73,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	if err := r.loop.add(fd, unix.EPOLLIN, r); err != nil {
+	if err := r.loop.Add(fd, unix.EPOLLIN, r); err != nil {
 		_ = unix.Close(fd)
 		return err
 	}
@@ -81,19 +82,20 @@
 	return nil
 }
 
-func (r *predecessorRole) broken() {}
+func (r *predecessorRole) HandlePanic() {}
 
-// ready accepts a successor, or rejects it.
-func (r *predecessorRole) ready(uint32) {
+// HandleEvents accepts a successor, or rejects it.
+func (r *predecessorRole) HandleEvents(uint32) {
 	socket, _, err := unix.Accept4(r.listenerFD, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err != nil {
 		return
 	}
 	if present := r.successor; present != nil { // it may have gone just now, perhaps to come again
-		r.loop.guard(present, func() { present.ready(unix.EPOLLIN) })
+		r.loop.Protect(present, func() { present.HandleEvents(unix.EPOLLIN) })
 	}
 	conn := &successorConn{role: r}
-	if conn.stream, err = r.loop.stream(socket, streamEvents, conn); err != nil {
+	conn.loop = r.loop
+	if conn.Stream, err = r.loop.OpenStream(socket, eventloop.StreamEvents, conn); err != nil {
 		_ = unix.Close(socket)
 		return
 	}
@@ -104,7 +106,7 @@
 		return
 	}
 	r.successor = conn
-	conn.handshakeTimer = r.loop.after(handshakeTimeout, conn, func() { conn.disconnect(errHandshakeTimeout) })
+	conn.handshakeTimer = r.loop.StartTimer(handshakeTimeout, conn, func() { conn.disconnect(errHandshakeTimeout) })
 }
 
 // notifyCordoned tells a successor in standby which workers are cordoned, so that its metrics are right.
@@ -115,14 +117,14 @@
 	}
 }
 
-func (c *successorConn) broken() { c.disconnect(errHandlerPanicked) }
+func (c *successorConn) HandlePanic() { c.disconnect(errHandlerPanicked) }
 
 // disconnect ends the connection; the process serves on, unless it has relinquished.
 func (c *successorConn) disconnect(cause error) {
-	if c.closed {
+	if !c.IsOpen() {
 		return
 	}
-	c.loop.stop(c.handshakeTimer)
+	c.loop.StopTimer(c.handshakeTimer)
 	c.role.successor = nil
 	c.role.protocol.HandleDisconnect()
 	if !c.loop.hasRelinquished() {
@@ -135,9 +137,9 @@
 	c.closeWithDescriptors()
 }
 
-func (c *successorConn) ready(events uint32) {
+func (c *successorConn) HandleEvents(events uint32) {
 	if events&unix.EPOLLOUT != 0 {
-		if err := c.flush(); err != nil {
+		if err := c.Flush(); err != nil {
 			c.disconnect(err)
 			return
 		}
@@ -168,9 +170,9 @@
 // accept passes the socket that clients connect to.
 func (c *successorConn) accept() error {
 	loop := c.loop
-	loop.stop(c.handshakeTimer)
+	loop.StopTimer(c.handshakeTimer)
 	accept := hotrestart.Accept{Version: hotrestart.ProtocolVersion, CordonedWorkers: loop.Ledger.Cordoned()}
-	if err := c.sendMessageBefore(loop.clock()+transferTimeout, accept, loop.clients.fd); err != nil {
+	if err := c.sendMessageBefore(loop.Clock()+transferTimeout, accept, loop.clients.fd); err != nil {
 		return err
 	}
 	loop.log.Info("successor stands by")
@@ -185,7 +187,7 @@
 	switch message := message.(type) {
 	case hotrestart.SetCordon:
 		c.loop.applyForwardedCordon(message, func(result hotrestart.CordonResult) {
-			if !c.closed && c.sendMessage(result) != nil {
+			if c.IsOpen() && c.sendMessage(result) != nil {
 				c.disconnect(errPeerNotListening)
 			}
 		})
@@ -212,10 +214,10 @@
 		return ErrNoSuccessor
 	}
 	l.Ledger.AwaitEndpoints(0) // requests that wait for endpoints are handed over too
-	if !l.Ledger.FlushEvents(l.now) || l.cordonStore != nil && l.cordonStore.IsWriting() {
+	if !l.Ledger.FlushEvents(l.Now()) || l.cordonStore != nil && l.cordonStore.IsWriting() {
 		return ErrNotSettled
 	}
-	startedAt := l.clock()
+	startedAt := l.Clock()
 	role.protocol.BeginTransfer()
 	transfer := &stateTransfer{loop: l, successor: role.successor, deadline: startedAt + transferTimeout}
 	err := transfer.run()
@@ -224,7 +226,7 @@
 		return fmt.Errorf("handing over: %w", err)
 	}
 	l.releaseTransferred(transfer)
-	took := (l.clock() - startedAt).Round(10 * time.Microsecond)
+	took := (l.Clock() - startedAt).Round(10 * time.Microsecond)
 	l.log.Info("handed over", "queries", transfer.requestCount, "client_links", len(transfer.clientConnections),
 		"server_links", len(transfer.workerConnections), "module_bytes", transfer.snapshotSize, "took", took.String())
 	return nil
@@ -233,15 +235,15 @@
 // takenOverBeforeShutdown shuts the connection down, and tells whether the successor had said that it has taken over. Nothing
 // that it says later reaches this process, and it finds that out: there are never two owners.
 func (c *successorConn) takenOverBeforeShutdown() bool {
-	_ = unix.Shutdown(c.fd, unix.SHUT_RDWR)
+	_ = unix.Shutdown(c.FD(), unix.SHUT_RDWR)
 	for {
-		before := len(c.in)
-		if ended, err := c.receive(); err != nil || ended || len(c.in) == before {
+		before := len(c.Input())
+		if ended, err := c.receive(); err != nil || ended || len(c.Input()) == before {
 			break
 		}
 	}
 	for offset := 0; ; {
-		frame, size, err := hotrestart.ReadFrame(c.in[offset:])
+		frame, size, err := hotrestart.ReadFrame(c.Input()[offset:])
 		if err != nil {
 			return false
 		}
@@ -258,18 +260,18 @@
 	for _, client := range transfer.clientConnections {
 		client.busy()
 		client.turns = nil
-		client.close()
+		client.Close()
 		client.count()
 		delete(l.clients.links, client)
 	}
 	for _, worker := range transfer.workerConnections {
-		l.stop(worker.timer)
+		l.StopTimer(worker.timer)
 		worker.state = gone
-		worker.close()
+		worker.Close()
 	}
 	clear(l.servers.carried)
 	l.watch.stop()
-	l.remove(l.clients.fd)
+	l.Remove(l.clients.fd)
 	l.clients.fd = hotrestart.NoDescriptor
-	l.remove(l.predecessorRole.listenerFD)
+	l.Remove(l.predecessorRole.listenerFD)
 }
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -9,6 +9,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
 )
 
@@ -25,7 +26,7 @@
 	listenAddress  netip.AddrPort
 	listenerFD     int // the socket that clients connect to, from the predecessor; NoDescriptor: not yet
 	received       hotrestart.ReceivedState
-	handshakeTimer *timer
+	handshakeTimer *eventloop.Timer
 	startedAt      time.Duration // by the loop's clock
 }
 
@@ -35,7 +36,7 @@
 		stateDir:      stateDir,
 		listenAddress: listenAddress,
 		listenerFD:    hotrestart.NoDescriptor,
-		startedAt:     l.now,
+		startedAt:     l.Now(),
 	}
 	role.loop = l
 	if role.connect() != nil {
@@ -60,8 +61,8 @@
 		loop.log.Warn("another user's process has the place of the one to be replaced, and is left alone")
 		return unix.EPERM
 	}
-	if r.stream, err = loop.stream(socket, streamEvents, r); err != nil {
-		r.stream = stream{loop: loop, closed: true}
+	if r.Stream, err = loop.OpenStream(socket, eventloop.StreamEvents, r); err != nil {
+		r.Stream = eventloop.Stream{}
 		_ = unix.Close(socket)
 		return err
 	}
@@ -69,7 +70,7 @@
 		r.closeWithDescriptors()
 		return err
 	}
-	r.handshakeTimer = loop.after(handshakeTimeout, r, func() { r.handleDisconnect(errHandshakeTimeout) })
+	r.handshakeTimer = loop.StartTimer(handshakeTimeout, r, func() { r.handleDisconnect(errHandshakeTimeout) })
 	return nil
 }
 
@@ -82,19 +83,19 @@
 	case hotrestart.SuccessorJoining:
 		return "the process to be replaced has not answered"
 	case hotrestart.SuccessorStandby:
-		if !r.loop.watch.receivedEvent && r.loop.now-r.startedAt < endpointListTimeout {
+		if !r.loop.watch.receivedEvent && r.loop.Now()-r.startedAt < endpointListTimeout {
 			return "no word from discovery yet"
 		}
 	}
 	return ""
 }
 
-func (r *successorRole) broken() { r.handleDisconnect(errHandlerPanicked) }
+func (r *successorRole) HandlePanic() { r.handleDisconnect(errHandlerPanicked) }
 
-// ready takes in all that has come at once: during a transfer nobody is served.
-func (r *successorRole) ready(events uint32) {
+// HandleEvents takes in all that has come at once: during a transfer nobody is served.
+func (r *successorRole) HandleEvents(events uint32) {
 	if events&unix.EPOLLOUT != 0 {
-		if err := r.flush(); err != nil {
+		if err := r.Flush(); err != nil {
 			r.handleDisconnect(err)
 			return
 		}
@@ -106,13 +107,13 @@
 
 // receiveAndHandle tells whether more may have come.
 func (r *successorRole) receiveAndHandle() bool {
-	before := len(r.in)
+	before := len(r.Input())
 	ended, err := r.receive()
-	received := len(r.in) > before
+	received := len(r.Input()) > before
 	if err == nil {
 		err = r.handleMessages(r.handleMessage)
 	}
-	if r.closed {
+	if !r.IsOpen() {
 		return false
 	}
 	if err != nil || ended {
@@ -142,7 +143,7 @@
 		r.pendingCalls.CompleteOldest(message)
 	case hotrestart.SetCordon:
 		r.loop.applyForwardedCordon(message, func(result hotrestart.CordonResult) {
-			if !r.closed {
+			if r.IsOpen() {
 				_ = r.sendMessage(result)
 			}
 		})
@@ -154,7 +155,7 @@
 
 // handleAccept begins the standby. Calls that an earlier session has not answered are forwarded again.
 func (r *successorRole) handleAccept(accept hotrestart.Accept, listenerFD int) error {
-	r.loop.stop(r.handshakeTimer)
+	r.loop.StopTimer(r.handshakeTimer)
 	r.discardReceived()
 	closeDescriptor(r.listenerFD) // of an earlier session
 	r.listenerFD = listenerFD
@@ -205,11 +206,11 @@
 func (r *successorRole) openListener() (err error) {
 	loop := r.loop
 	if r.listenerFD == hotrestart.NoDescriptor {
-		loop.clients.fd, err = loop.listen(r.listenAddress, loop.clients, unix.SO_REUSEPORT)
+		loop.clients.fd, err = loop.Listen(r.listenAddress, loop.clients, unix.SO_REUSEPORT)
 		return err
 	}
 	loop.clients.fd = r.listenerFD
-	if err := loop.add(r.listenerFD, unix.EPOLLIN, loop.clients); err != nil {
+	if err := loop.Add(r.listenerFD, unix.EPOLLIN, loop.clients); err != nil {
 		return fmt.Errorf("%w: %w", errListenerUnusable, err)
 	}
 	r.listenerFD = hotrestart.NoDescriptor
@@ -218,11 +219,11 @@
 
 // handleDisconnect takes in that the predecessor has gone, or breaks the protocol.
 func (r *successorRole) handleDisconnect(cause error) {
-	if r.closed {
+	if !r.IsOpen() {
 		return
 	}
 	loop := r.loop
-	loop.stop(r.handshakeTimer)
+	loop.StopTimer(r.handshakeTimer)
 	action := r.protocol.HandleDisconnect()
 	r.discardReceived()
 	r.closeWithDescriptors()
@@ -260,7 +261,7 @@
 	if role == nil || role.isServing() {
 		return false
 	}
-	l.stop(role.handshakeTimer)
+	l.StopTimer(role.handshakeTimer)
 	role.closeWithDescriptors()
 	role.discardReceived()
 	role.closeListener()
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -28,7 +28,7 @@
 	w := newWorld(choices)
 	w.enableHotRestart()
 	var err error
-	if w.loop.clients.fd, err = w.loop.listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients); err != nil {
+	if w.loop.clients.fd, err = w.loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients); err != nil {
 		choices.T.Fatal(err)
 	}
 	w.loop.awaitSuccessor(hotrestart.SocketAddresses(dir, w.loop.Addr()))
@@ -60,12 +60,12 @@
 	go func() {
 		defer close(ended)
 		for role.protocol.State() == hotrestart.SuccessorStandby || role.protocol.State() == hotrestart.SuccessorReceiving {
-			_ = successor.loop.turn(1000)
+			_ = successor.loop.RunOnce(1000)
 		}
 	}()
 	err := w.loop.Relinquish()
 	if err != nil { // the connection is closed with the end of the iteration
-		_ = w.loop.turn(0)
+		_ = w.loop.RunOnce(0)
 	}
 	<-ended
 	w.turn()
@@ -156,7 +156,7 @@
 	if err := hotrestart.WriteCordonFile(dir, []string{"s-0"}); err != nil {
 		t.Fatal(err)
 	}
-	predecessor.loop.remove(predecessor.loop.predecessorRole.listenerFD)
+	predecessor.loop.Remove(predecessor.loop.predecessorRole.listenerFD)
 	predecessor.turn()
 	predecessor.loop.predecessorRole.successor.closeWithDescriptors()
 	predecessor.turn()
--- a/internal/link/hotrestart_transfer.go
+++ b/internal/link/hotrestart_transfer.go
@@ -8,6 +8,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/dispatch"
+	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/requests"
 )
@@ -73,7 +74,7 @@
 func (t *stateTransfer) sendClientConnections() {
 	for client := range t.loop.clients.links {
 		if !client.lingering {
-			t.send(client.transferRecord(), client.fd)
+			t.send(client.transferRecord(), client.FD())
 			t.clientConnections = append(t.clientConnections, client)
 		}
 	}
@@ -81,7 +82,7 @@
 
 func (t *stateTransfer) sendWorkerConnections() {
 	for _, worker := range t.loop.servers.transferable() {
-		t.send(worker.transferRecord(), worker.fd)
+		t.send(worker.transferRecord(), worker.FD())
 		t.workerConnections = append(t.workerConnections, worker)
 	}
 }
@@ -100,7 +101,7 @@
 			return err
 		}
 		closeDescriptor(descriptor) // a successor passes none
-		t.successor.took(size)
+		t.successor.Consume(size)
 		action, err := t.successor.role.protocol.HandleMessage(message)
 		if err != nil || action == hotrestart.ActionRelinquish {
 			return err
@@ -121,8 +122,8 @@
 
 func (k *clientLink) transferRecord() hotrestart.ClientConnection {
 	record := hotrestart.ClientConnection{
-		Input:             k.in,
-		Output:            k.out,
+		Input:             k.Input(),
+		Output:            k.Output(),
 		LastRequestRead:   k.last,
 		InputConsumed:     k.ended,
 		HalfClosed:        k.sounded,
@@ -160,7 +161,7 @@
 func (s *serverLinks) transferable() []*serverLink {
 	var connections []*serverLink
 	for _, connection := range s.carried {
-		if !connection.closed && connection.loop != nil {
+		if connection.IsOpen() {
 			connections = append(connections, connection)
 		}
 	}
@@ -175,8 +176,8 @@
 		WorkerID:   k.host.id,
 		State:      transferredStates[k.state],
 		Stage:      k.stage,
-		Input:      k.in,
-		Output:     k.out,
+		Input:      k.Input(),
+		Output:     k.Output(),
 		IdleBefore: k.rested,
 		IdleSince:  k.idleAt,
 	}
@@ -208,7 +209,7 @@
 	for _, w := range waiting {
 		responders[w.requestID] = w.slot
 	}
-	l.Ledger.TakeOver(l.now, received.RequestTable, received.OpenRequests, responders,
+	l.Ledger.TakeOver(l.Now(), received.RequestTable, received.OpenRequests, responders,
 		func() requests.Policy { return l.restorePolicy(received.PolicySnapshot) })
 	for _, w := range waiting {
 		w.slot.query = l.Ledger.Request(w.requestID)
@@ -218,8 +219,8 @@
 	}
 	l.Ledger.WatchEndpoints() // the policy that goes on relies on it
 	for _, client := range clients {
-		if !client.closed { // what was read before is handled now
-			l.guard(client, func() { client.ready(unix.EPOLLIN) })
+		if client.IsOpen() { // what was read before is handled now
+			l.Protect(client, func() { client.HandleEvents(unix.EPOLLIN) })
 		}
 	}
 }
@@ -260,23 +261,23 @@
 	}
 	client.client, _ = netip.ParseAddrPort(received.ClientAddress)
 	client.via, _ = netip.ParseAddrPort(received.ProxyAddress)
-	events := uint32(streamEvents)
+	events := uint32(eventloop.StreamEvents)
 	if client.half {
 		events = 0 // its end is known; what is left to read is asked for when the connection is first looked at
 	}
 	var err error
-	if client.stream, err = c.loop.stream(received.Descriptor, events, client); err != nil {
+	if client.Stream, err = c.loop.OpenStream(received.Descriptor, events, client); err != nil {
 		c.loop.log.Error("a client link is lost", "error", err)
-		client.stream = stream{loop: c.loop, fd: received.Descriptor, closed: true}
+		client.Stream = eventloop.Stream{}
 		_ = unix.Close(received.Descriptor)
 		return client, nil
 	}
-	client.in, client.out = received.Input, received.Output
-	client.want()
+	client.SetBuffers(received.Input, received.Output)
+	client.UpdateEvents()
 	c.links[client] = struct{}{}
 	waiting := client.restoreSlots(received.ResponseSlots)
 	client.count()
-	if len(client.turns) == 0 && len(client.in) == 0 {
+	if len(client.turns) == 0 && len(client.Input()) == 0 {
 		client.rest()
 	}
 	return client, waiting
@@ -321,12 +322,12 @@
 		rested: received.IdleBefore,
 		idleAt: received.IdleSince,
 	}
-	events := uint32(streamEvents)
+	events := uint32(eventloop.StreamEvents)
 	if connection.state == connecting {
 		events |= unix.EPOLLOUT
 	}
 	var err error
-	if connection.stream, err = s.loop.stream(received.Descriptor, events, connection); err != nil {
+	if connection.Stream, err = s.loop.OpenStream(received.Descriptor, events, connection); err != nil {
 		_ = unix.Close(received.Descriptor)
 		if attempt != nil {
 			lost := &requests.AttemptError{Stage: received.Stage, Reason: requests.ReasonConnectionLost, Cause: err}
@@ -335,7 +336,7 @@
 		return
 	}
 	s.open++
-	connection.in, connection.out = received.Input, received.Output
+	connection.SetBuffers(received.Input, received.Output)
 	if connection.state == idle {
 		endpoint.idle = append(endpoint.idle, connection)
 		return
@@ -350,8 +351,8 @@
 		k.await(k.home.dial)
 		return
 	}
-	k.await(attempt.At - k.loop.now + graceFor)
-	k.want()
+	k.await(attempt.At - k.home.loop.Now() + graceFor)
+	k.UpdateEvents()
 }
 
 // restoredState is the reverse of transferredStates.
--- a/internal/link/leaving_test.go
+++ b/internal/link/leaving_test.go
@@ -7,8 +7,6 @@
 	"testing"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"valvecove/dispatch"
 	"valvecove/internal/http1"
 	"valvecove/internal/requests"
@@ -176,13 +174,12 @@
 	}
 	p.halfCloses()
 	w.turn()
-	k := w.loop.handlers[fd].(*clientLink)
-	if len(k.out) == 0 {
+	k := w.clientLink(fd)
+	if len(k.Output()) == 0 {
 		t.Fatal("nothing waits to be read")
 	}
-	n, err := unix.EpollWait(w.loop.epoll, w.loop.events, 0)
-	if n != 0 || err != nil {
-		t.Errorf("%d descriptors are told as ready (%v), with nothing to be done", n, err)
+	if n := w.readyDescriptors(); n != 0 {
+		t.Errorf("%d descriptors are told as ready, with nothing to be done", n)
 	}
 }
 
--- a/internal/link/operators.go
+++ b/internal/link/operators.go
@@ -9,6 +9,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
 	"valvecove/internal/tally"
 )
@@ -43,24 +44,24 @@
 	continued bool // it was told to send on
 }
 
-// urgent marks what comes first in a turn.
-type urgent interface{ urgent() }
+// Priority puts operators first.
+func (o *operatorLinks) Priority() eventloop.Priority { return eventloop.PriorityUrgent }
 
-func (o *operatorLinks) urgent() {}
-func (k *operatorLink) urgent()  {}
+// Priority puts operators first.
+func (k *operatorLink) Priority() eventloop.Priority { return eventloop.PriorityUrgent }
 
 // serveOperators answers the operators' calls at their own address.
 func (l *Loop) serveOperators(at netip.AddrPort, count *tally.Tally) (err error) {
 	o := &operatorLinks{sideLinks: sideLinks{loop: l}, count: count}
-	if o.fd, err = l.listen(at, o); err == nil {
+	if o.fd, err = l.Listen(at, o); err == nil {
 		l.operators = o
 		o.sweep()
 	}
 	return err
 }
 
-// ready accepts whoever connects: the address is the operators' alone.
-func (o *operatorLinks) ready(uint32) {
+// HandleEvents accepts whoever connects: the address is the operators' alone.
+func (o *operatorLinks) HandleEvents(uint32) {
 	o.accept(operatorsMost, func(int, netip.AddrPort) bool { return true }, o.adopt)
 }
 
@@ -80,17 +81,17 @@
 	k := &operatorLink{home: o}
 	if o.enter(fd, &k.sideLink, k) {
 		// What it calls for has most likely come with it, and another turn may be long.
-		o.loop.guard(k, func() { k.ready(unix.EPOLLIN) })
+		o.loop.Protect(k, func() { k.HandleEvents(unix.EPOLLIN) })
 	}
 }
 
 // sweep ends links whose call does not come, or whose answer is not taken.
 func (o *operatorLinks) sweep() {
-	o.loop.after(sweepEvery, o, o.sweep)
+	o.loop.StartTimer(sweepEvery, o, o.sweep)
 	for e := o.links.Front(); e != nil; {
 		k := e.Value.(*operatorLink)
 		e = e.Next()
-		switch age := o.loop.now - k.since; {
+		switch age := o.loop.Now() - k.since; {
 		case !k.asked && age >= operatorWhole:
 			k.answer(408, "", []byte("call not whole\n"))
 		case k.asked && !k.last && age >= operatorWaits: // for a directory, or another process
@@ -101,14 +102,14 @@
 	}
 }
 
-func (k *operatorLink) ready(events uint32) {
+func (k *operatorLink) HandleEvents(events uint32) {
 	ended, ok := k.exchange(events)
 	if !ok {
 		return
 	}
-	if !k.asked && len(k.in) > 0 {
-		m := &k.loop.message
-		_, err := m.ParseRequest(k.in)
+	if !k.asked && len(k.Input()) > 0 {
+		m := &k.home.loop.message
+		_, err := m.ParseRequest(k.Input())
 		var bad *http1.ParseError
 		switch {
 		case errors.As(err, &bad):
@@ -117,23 +118,25 @@
 			k.call(string(m.Method), string(m.Target))
 		case m.Expect && !ended && !k.continued:
 			k.continued = true
-			_ = k.send([]byte(http1.ContinueResponse))
+			_ = k.Send([]byte(http1.ContinueResponse))
 		}
 	} else if k.asked {
-		k.in = nil // what comes behind a call is nothing to us
+		k.DropInput() // what comes behind a call is nothing to us
 	}
 	switch {
-	case k.closed || !ended:
-	case len(k.out) == 0 && (k.last || !k.asked):
+	case !k.IsOpen() || !ended:
+	case len(k.Output()) == 0 && (k.last || !k.asked):
 		k.end()
 	default: // its end is told for as long as it is asked for
-		k.listen(k.events &^ streamEvents)
+		k.SetEvents(k.Events() &^ eventloop.StreamEvents)
 	}
 }
 
 // call does what an operator asks for.
 func (k *operatorLink) call(method, target string) {
-	k.asked, k.in, k.since = true, nil, k.loop.now
+	k.asked = true
+	k.DropInput()
+	k.since = k.home.loop.Now()
 	path, _, _ := strings.Cut(target, "?")
 	want := "GET"
 	node, what, _ := strings.Cut(strings.TrimPrefix(path, pathNodes), "/")
@@ -152,7 +155,7 @@
 	}
 	switch path {
 	case pathReady:
-		if why := k.loop.unready(); why != "" {
+		if why := k.home.loop.unready(); why != "" {
 			k.answer(503, "", []byte(why+"\n"))
 		} else {
 			k.answer(200, "", []byte("ready\n"))
@@ -160,8 +163,8 @@
 	case pathMetrics:
 		o := k.home
 		o.text = o.count.Append(o.text[:0], tally.Now{
-			Inflight: k.loop.inflight(), Listed: k.loop.Ledger.ListedCount(),
-			Down: k.loop.avoided(),
+			Inflight: k.home.loop.inflight(), Listed: k.home.loop.Ledger.ListedCount(),
+			Down: k.home.loop.avoided(),
 		})
 		k.answer(200, "Content-Type: text/plain; charset=utf-8\r\nCache-Control: no-store\r\n", o.text)
 	default:
@@ -171,14 +174,14 @@
 
 // setCordoned cordons or uncordons a worker, and answers once that holds and is stored.
 func (k *operatorLink) setCordoned(workerID string, cordoned bool) {
-	k.loop.setCordoned(workerID, cordoned, func(statusCode int, message string) {
+	k.home.loop.setCordoned(workerID, cordoned, func(statusCode int, message string) {
 		k.answer(statusCode, "", []byte(message+"\n"))
 	})
 }
 
 // answer ends the call.
 func (k *operatorLink) answer(code int, fields string, body []byte) {
-	if !k.closed && !k.last {
+	if k.IsOpen() && !k.last {
 		k.asked = true
 		k.reply(code, fields, body, false)
 	}
--- a/internal/link/operators_test.go
+++ b/internal/link/operators_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/http1"
 	"valvecove/internal/steps"
@@ -143,26 +144,26 @@
 	}
 	// A client link that is ready in the same turn, and by a lower descriptor, is looked at later.
 	var order []string
-	first := func(what string) handler { return probeHandler{func() { order = append(order, what) }} }
+	first := func(what string) eventloop.Handler { return probeHandler{func() { order = append(order, what) }} }
 	a, fdA := w.pair()
 	b, fdB := w.pair()
-	_ = w.loop.add(fdA, streamEvents, first("client"))
-	_ = w.loop.add(fdB, streamEvents, urgentHandler{first("operator")})
+	_ = w.loop.Add(fdA, eventloop.StreamEvents, first("client"))
+	_ = w.loop.Add(fdB, eventloop.StreamEvents, urgentHandler{first("operator")})
 	a.write([]byte("x"))
 	b.write([]byte("x"))
-	if err := w.loop.turn(0); err != nil || strings.Join(order, " ") != "operator client" {
+	if err := w.loop.RunOnce(0); err != nil || strings.Join(order, " ") != "operator client" {
 		t.Errorf("order of a turn: %v, %v", order, err)
 	}
 }
 
 type probeHandler struct{ act func() }
 
-func (p probeHandler) ready(uint32) { p.act() }
-func (p probeHandler) broken()      {}
+func (p probeHandler) HandleEvents(uint32) { p.act() }
+func (p probeHandler) HandlePanic()        {}
 
-type urgentHandler struct{ handler }
+type urgentHandler struct{ eventloop.Handler }
 
-func (urgentHandler) urgent() {}
+func (urgentHandler) Priority() eventloop.Priority { return eventloop.PriorityUrgent }
 
 // A worker node that was listed is taken out and brought back, whatever the number of calls; an id that never was gets a no.
 // The yes comes once the ban is kept, and a process that starts later reads it.
@@ -175,7 +176,7 @@
 		p := w.operator()
 		p.write([]byte("PUT /v1/worker-nodes/" + id + "/" + what + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n"))
 		for !p.ended { // the file is written by another goroutine, which wakes the loop
-			if err := w.loop.turn(1000); err != nil {
+			if err := w.loop.RunOnce(1000); err != nil {
 				t.Fatal(err)
 			}
 			p.read(1 << 16)
--- a/internal/link/servers.go
+++ b/internal/link/servers.go
@@ -9,6 +9,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 )
@@ -115,7 +116,7 @@
 		s.loop.Ledger.CancelCompleted(a, !broke && (fault == nil || fault.Reason != requests.ReasonTimeout))
 		return
 	}
-	s.loop.after(withdrawAgain, s, func() {
+	s.loop.StartTimer(withdrawAgain, s, func() {
 		if a.EndedByWorker() || s.loop.hasRelinquished() {
 			delete(s.withdrawals, a)
 			return
@@ -136,9 +137,9 @@
 
 // retire closes links that have been idle for too long.
 func (s *serverLinks) retire() {
-	s.loop.after(retireEvery, s, s.retire)
-	if s.trust > 0 && s.loop.now-s.doubted >= trustGrows {
-		if s.trust, s.doubted = 2*s.trust, s.loop.now; s.trust > time.Minute {
+	s.loop.StartTimer(retireEvery, s, s.retire)
+	if s.trust > 0 && s.loop.Now()-s.doubted >= trustGrows {
+		if s.trust, s.doubted = 2*s.trust, s.loop.Now(); s.trust > time.Minute {
 			s.trust = 0
 		}
 	}
@@ -149,11 +150,11 @@
 	}
 }
 
-func (s *serverLinks) ready(uint32) {}
-func (s *serverLinks) broken()      {}
+func (s *serverLinks) HandleEvents(uint32) {}
+func (s *serverLinks) HandlePanic()        {}
 
 func (s *serverLinks) stale(k *serverLink) bool {
-	age := s.loop.now - k.idleAt
+	age := s.loop.Now() - k.idleAt
 	return s.idleFor > 0 && age >= s.idleFor || s.trust > 0 && age >= s.trust
 }
 
@@ -164,7 +165,7 @@
 	if s.trust == 0 || idle < s.trust {
 		s.trust = max(idle/2, trustLeast)
 	}
-	s.doubted = s.loop.now
+	s.doubted = s.loop.Now()
 }
 
 // start gives an errand to the link that was used last, or to a new one.
@@ -176,18 +177,18 @@
 			k.end(nil)
 			continue
 		}
-		if e.kind == carrying && k.last == carrying && s.loop.now-k.idleAt < settleFor {
+		if e.kind == carrying && k.last == carrying && s.loop.Now()-k.idleAt < settleFor {
 			continue
 		}
 		h.idle = append(h.idle[:i], h.idle[i+1:]...)
-		k.rested = max(s.loop.now-k.idleAt, 1)
+		k.rested = max(s.loop.Now()-k.idleAt, 1)
 		k.take(e)
-		s.loop.guard(k, k.write)
+		s.loop.Protect(k, k.write)
 		return
 	}
 	k := &serverLink{home: s, host: h, epoch: h.epoch, state: connecting}
 	k.take(e)
-	s.loop.guard(k, func() {
+	s.loop.Protect(k, func() {
 		if err := k.open(); err != nil {
 			k.end(err)
 		}
@@ -198,7 +199,7 @@
 // been told yet, and a request written to it would end as a reset that may have run.
 func (k *serverLink) alive() bool {
 	var b [1]byte
-	_, _, err := unix.Recvfrom(k.fd, b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	_, _, err := unix.Recvfrom(k.FD(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return errors.Is(err, unix.EAGAIN)
 }
 
@@ -229,7 +230,7 @@
 
 // serverLink is a connection to a worker node.
 type serverLink struct {
-	stream
+	eventloop.Stream
 	home   *serverLinks
 	host   *hostLinks
 	epoch  int
@@ -237,7 +238,7 @@
 	errand errand
 	last   errandKind // what it was used for
 	stage  requests.Stage
-	timer  *timer
+	timer  *eventloop.Timer
 	idleAt time.Duration
 	rested time.Duration // how long it had been idle before its errand; 0: it is new
 }
@@ -257,12 +258,12 @@
 	if err != nil {
 		return err
 	}
-	opened, err := s.loop.stream(fd, streamEvents|unix.EPOLLOUT, k)
+	opened, err := s.loop.OpenStream(fd, eventloop.StreamEvents|unix.EPOLLOUT, k)
 	if err != nil {
 		_ = unix.Close(fd)
 		return err
 	}
-	k.stream = opened
+	k.Stream = opened
 	s.open++
 	k.await(s.dial)
 	return nil
@@ -288,21 +289,21 @@
 }
 
 func (k *serverLink) await(span time.Duration) {
-	k.home.loop.stop(k.timer)
-	k.timer = k.home.loop.after(span, k, func() { k.end(errLate) })
+	k.home.loop.StopTimer(k.timer)
+	k.timer = k.home.loop.StartTimer(span, k, func() { k.end(errLate) })
 }
 
 // write sends the errand's request. What the worker node is told to have for an attempt is what is left now, however late the
 // connection came up. A large request may go in parts: that it takes the time for a connection at most is taken off.
 func (k *serverLink) write() {
-	l, a := k.loop, k.errand.attempt
+	l, a := k.home.loop, k.errand.attempt
 	var parts time.Duration
 	b, host := l.writing[:0], k.host.addr.String()
 	switch k.errand.kind {
 	case carrying:
-		left := a.At - l.clock()
+		left := a.At - l.Clock()
 		if left < time.Millisecond { // the ledger gives it up in a moment, and the link ends with it
-			l.stop(k.timer)
+			l.StopTimer(k.timer)
 			return
 		}
 		p := &a.Request.Payload
@@ -329,7 +330,7 @@
 	l.writing = b
 	k.state = asking
 	k.reach(requests.StagePartlyWritten)
-	if err := k.send(b); err != nil {
+	if err := k.Send(b); err != nil {
 		k.end(err)
 		return
 	}
@@ -338,11 +339,11 @@
 
 // written notes once the last byte has left: from there on it may run.
 func (k *serverLink) written() {
-	if len(k.out) == 0 && k.stage < requests.StageWritten {
+	if len(k.Output()) == 0 && k.stage < requests.StageWritten {
 		k.reach(requests.StageWritten)
 		if a := k.errand.attempt; k.errand.kind == carrying {
-			k.await(a.At - k.loop.now + graceFor)
-			k.loop.Ledger.ReportWritten(a)
+			k.await(a.At - k.home.loop.Now() + graceFor)
+			k.home.loop.Ledger.ReportWritten(a)
 		}
 	}
 }
@@ -361,14 +362,14 @@
 	return k.stage < requests.StageWritten && a != nil && (k.errand.kind == carrying && a.HasEnded() || a.EndedByWorker())
 }
 
-func (k *serverLink) ready(events uint32) {
+func (k *serverLink) HandleEvents(events uint32) {
 	if k.state != gone && k.needless() {
 		k.end(nil)
 		return
 	}
 	switch k.state {
 	case connecting:
-		if err := k.connected(); err != nil {
+		if err := k.ConnectError(); err != nil {
 			k.end(err)
 			return
 		}
@@ -385,8 +386,8 @@
 	case gone:
 		return
 	}
-	if events&unix.EPOLLOUT != 0 && len(k.out) > 0 {
-		if err := k.flush(); err != nil {
+	if events&unix.EPOLLOUT != 0 && len(k.Output()) > 0 {
+		if err := k.Flush(); err != nil {
 			k.end(err)
 			return
 		}
@@ -398,25 +399,25 @@
 }
 
 func (k *serverLink) read() {
-	ended, err := k.fill()
+	ended, err := k.Fill()
 	if err != nil {
 		k.end(err)
 		return
 	}
-	m := &k.loop.message
-	n, err := m.ParseResponse(k.in, ended)
+	m := &k.home.loop.message
+	n, err := m.ParseResponse(k.Input(), ended)
 	switch {
 	case err == nil:
-		keep := m.KeepAlive && !ended && n == len(k.in) && len(k.out) == 0
+		keep := m.KeepAlive && !ended && n == len(k.Input()) && len(k.Output()) == 0
 		if k.stray(m.Status) {
 			k.end(errStray)
 			return
 		}
 		k.answered(m)
-		if k.closed {
+		if !k.IsOpen() {
 			return
 		}
-		if k.took(n); keep && k.epoch == k.home.host(k.host.worker).epoch {
+		if k.Consume(n); keep && k.epoch == k.home.host(k.host.worker).epoch {
 			k.rest()
 		} else {
 			k.end(nil)
@@ -425,7 +426,7 @@
 		k.end(errEnded)
 	case !errors.Is(err, http1.ErrIncomplete):
 		k.end(err)
-	case len(k.in) > mostAnswer:
+	case len(k.Input()) > mostAnswer:
 		k.end(errLarge)
 	}
 }
@@ -459,7 +460,7 @@
 		fault.Reason = requests.ReasonInvalidRequest
 	}
 	if k.errand.kind == carrying {
-		k.loop.Ledger.ReportResponse(k.errand.attempt, m.Status)
+		k.home.loop.Ledger.ReportResponse(k.errand.attempt, m.Status)
 		if k.stage < requests.StageWritten && (fault == nil || fault.Reason == requests.ReasonWorkerError) {
 			// It never has all of it, as the link ends with this answer. So it can't run, whatever the answer says.
 			fault = &requests.AttemptError{Stage: k.stage, Reason: requests.ReasonConnectionLost, Cause: errEarly}
@@ -493,8 +494,8 @@
 
 // rest puts the link back among the idle.
 func (k *serverLink) rest() {
-	k.loop.stop(k.timer)
-	k.state, k.idleAt = idle, k.loop.now
+	k.home.loop.StopTimer(k.timer)
+	k.state, k.idleAt = idle, k.home.loop.Now()
 	k.host.idle = append(k.host.idle, k)
 }
 
@@ -511,11 +512,11 @@
 			}
 		}
 	}
-	dropped := k.state == asking && k.rested > 0 && len(k.in) == 0 && cause != nil && !errors.Is(cause, errLate)
+	dropped := k.state == asking && k.rested > 0 && len(k.Input()) == 0 && cause != nil && !errors.Is(cause, errLate)
 	k.state = gone
-	k.home.loop.stop(k.timer)
-	if k.loop != nil {
-		k.close()
+	k.home.loop.StopTimer(k.timer)
+	if k.IsOpen() {
+		k.Close()
 		k.home.open--
 	}
 	reason := requests.ReasonConnectionLost
@@ -534,4 +535,4 @@
 	k.settle(&requests.AttemptError{Stage: k.stage, Reason: reason, Cause: cause})
 }
 
-func (k *serverLink) broken() { k.end(errors.New("panic")) }
+func (k *serverLink) HandlePanic() { k.end(errors.New("panic")) }
--- a/internal/link/settings_test.go
+++ b/internal/link/settings_test.go
@@ -226,12 +226,10 @@
 // open is Open, but that the loop is on the test's clock and its links lead to the test.
 func (d *deployment) open() {
 	log := slog.New(loud{d.T})
-	l, err := newLoop(log, log)
+	l, err := newLoop(log, log, func() time.Duration { return d.now }, 0)
 	if err != nil {
 		d.T.Fatal(err)
 	}
-	l.clock = func() time.Duration { return d.now }
-	l.now = d.now
 	l.dial = d.dial
 	d.loop = l
 	c := d.conf
@@ -246,14 +244,7 @@
 		c.Known, l.servers, log)
 	l.accept(clients, bufferBudget(c), &c.Settings.Settings, c.Settings.Names)
 	l.watch.start(len(c.Known.Endpoints) > 0)
-	d.T.Cleanup(func() {
-		for fd, h := range l.handlers {
-			if h != nil {
-				_ = unix.Close(fd)
-			}
-		}
-		_ = unix.Close(l.epoll)
-	})
+	d.T.Cleanup(l.CloseDescriptors)
 	for range 2 {
 		d.notes = append(d.notes, d.connect())
 	}
--- a/internal/link/side.go
+++ b/internal/link/side.go
@@ -7,6 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
 )
 
@@ -19,7 +20,7 @@
 
 // sideLink is what such links have in common.
 type sideLink struct {
-	stream
+	eventloop.Stream
 	among *sideLinks
 	place *list.Element
 	since time.Duration // when something last began on it
@@ -27,7 +28,7 @@
 	ended bool          // the peer sends no more
 }
 
-func (s *sideLinks) broken() {}
+func (s *sideLinks) HandlePanic() {}
 
 // accept takes in connections, so many at a time at most.
 func (s *sideLinks) accept(most int, admits func(fd int, from netip.AddrPort) bool, adopt func(fd int)) {
@@ -36,17 +37,17 @@
 		if err != nil { // none waits, or no descriptor is left: it is told again
 			return
 		}
-		if admits(fd, addrPort(sa)) {
+		if admits(fd, eventloop.AddrPort(sa)) {
 			adopt(fd)
 		}
 	}
 }
 
 // enter makes a link of a connection; handler is what it is part of.
-func (s *sideLinks) enter(fd int, k *sideLink, handler handler) bool {
-	k.among, k.since = s, s.loop.now
+func (s *sideLinks) enter(fd int, k *sideLink, handler eventloop.Handler) bool {
+	k.among, k.since = s, s.loop.Now()
 	var err error
-	if k.stream, err = s.loop.stream(fd, streamEvents, handler); err != nil {
+	if k.Stream, err = s.loop.OpenStream(fd, eventloop.StreamEvents, handler); err != nil {
 		_ = unix.Close(fd)
 		return false
 	}
@@ -54,12 +55,12 @@
 	return true
 }
 
-func (k *sideLink) broken() { k.end() }
+func (k *sideLink) HandlePanic() { k.end() }
 
 func (k *sideLink) end() {
-	if !k.closed {
+	if k.IsOpen() {
 		k.among.links.Remove(k.place)
-		k.close()
+		k.Close()
 	}
 }
 
@@ -68,21 +69,21 @@
 func (k *sideLink) exchange(events uint32) (ended, ok bool) {
 	var err error
 	if events&unix.EPOLLOUT != 0 {
-		err = k.flush()
+		err = k.Flush()
 		k.shut()
 	}
 	switch {
 	case err != nil || events&^unix.EPOLLOUT == 0:
 	case k.last:
-		_, ended, err = k.discard() // closed over unread bytes, a link is reset and may take the answer along
+		_, ended, err = k.Discard() // closed over unread bytes, a link is reset and may take the answer along
 	default:
-		ended, err = k.fill()
+		ended, err = k.Fill()
 	}
 	if err != nil {
 		k.end()
 	}
 	if k.ended = k.ended || ended; k.ended {
-		k.listen(k.events &^ streamEvents)
+		k.SetEvents(k.Events() &^ eventloop.StreamEvents)
 	}
 	return k.ended, err == nil
 }
@@ -90,19 +91,19 @@
 // reply answers a request; keep lets the link live on.
 func (k *sideLink) reply(code int, fields string, body []byte, keep bool) {
 	k.last = !keep
-	if k.send(http1.AppendResponse(nil, code, fields, body, keep)) != nil {
+	if k.Send(http1.AppendResponse(nil, code, fields, body, keep)) != nil {
 		k.end()
 		return
 	}
 	if k.last {
-		k.in = nil
+		k.DropInput()
 	}
 	k.shut()
 }
 
 // shut ends our side once the last answer has left.
 func (k *sideLink) shut() {
-	if k.last && len(k.out) == 0 && !k.closed {
-		_ = unix.Shutdown(k.fd, unix.SHUT_WR)
+	if k.last && len(k.Output()) == 0 && k.IsOpen() {
+		k.CloseWrite()
 	}
 }
--- a/internal/link/start.go
+++ b/internal/link/start.go
@@ -15,6 +15,7 @@
 	"valvecove/internal/capture"
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
+	"valvecove/internal/eventloop"
 	"valvecove/internal/figures"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/oplog"
@@ -32,7 +33,7 @@
 // Open returns a loop that listens and is ready to run, with the features that are on. figuresTo are targets of figures
 // besides a collector.
 func Open(c config.Config, ops config.Ops, log *oplog.Log, figuresTo ...figures.Target) (*Loop, error) {
-	l, err := newLoop(log.Kind(), log.Kind())
+	l, err := newLoop(log.Kind(), log.Kind(), clockSinceEpoch(), c.Limits.Sockets)
 	if err != nil {
 		return nil, err
 	}
@@ -40,7 +41,6 @@
 		l.lists = address.New(*ops.Addresses)
 	}
 	l.side, l.limits = forFeatures(c, ops), c.Limits
-	l.events = make([]unix.EpollEvent, max(c.Limits.Sockets, len(l.events)))
 	servers, clients := share(c.Limits.Sockets, l.side)
 	l.serve(servers, c.Settings.ConnectTimeout, c.Settings.ConnIdleTimeout)
 	l.watch = l.newWatchConnection(c.Discovery, discovery.Config{
@@ -83,7 +83,7 @@
 	}
 	l.accept(clients, bufferBudget(c), &c.Settings.Settings, c.Settings.Names)
 	if !c.Management.IsValid() {
-		l.clients.fd, err = l.listen(c.Listen, l.clients)
+		l.clients.fd, err = l.Listen(c.Listen, l.clients)
 	} else {
 		err = l.begin(c)
 	}
@@ -115,7 +115,7 @@
 	}
 	l.watch.start(len(c.Known.Endpoints) > 0)
 	if wait := l.watch.machine.InitialWait(); wait > 0 && l.Ledger.HasReadyWorker() {
-		l.Ledger.AwaitEndpoints(l.now + wait)
+		l.Ledger.AwaitEndpoints(l.Now() + wait)
 	}
 	return l, nil
 }
@@ -135,7 +135,7 @@
 	if l.joinPredecessor(c.Dir, c.Listen) {
 		return nil
 	}
-	if l.clients.fd, err = l.listen(c.Listen, l.clients, unix.SO_REUSEPORT); err == nil {
+	if l.clients.fd, err = l.Listen(c.Listen, l.clients, unix.SO_REUSEPORT); err == nil {
 		l.awaitSuccessor(hotrestart.SocketAddresses(c.Dir, c.Listen))
 	}
 	return err
@@ -144,9 +144,6 @@
 // OnFail sets what is done when the process can't go on.
 func (l *Loop) OnFail(act func(error)) { l.onFail = act }
 
-// Now is the time of the present turn.
-func (l *Loop) Now() time.Duration { return l.now }
-
 // forFeatures counts the descriptors that features take up.
 func forFeatures(c config.Config, ops config.Ops) (n int) {
 	if c.Management.IsValid() {
@@ -233,7 +230,7 @@
 		return netip.AddrPort{}
 	}
 	sa, _ := unix.Getsockname(l.clients.fd)
-	return addrPort(sa)
+	return eventloop.AddrPort(sa)
 }
 
 // OnWake sets what Wake brings about.
@@ -243,9 +240,6 @@
 // and may have no other scheduler to go to.
 func (l *Loop) Drain() { l.clients.draining = true }
 
-// After calls act once in the loop.
-func (l *Loop) After(span time.Duration, act func()) { l.after(span, (*waker)(l), act) }
-
 // Close takes no query any more. Links between queries are closed, the others with their answers.
 func (l *Loop) Close() { l.clients.close() }
 
@@ -257,12 +251,12 @@
 }
 
 // FinishAll gives final answers to all queries that are still open.
-func (l *Loop) FinishAll() { l.Finish(l.now) }
+func (l *Loop) FinishAll() { l.Finish(l.Now()) }
 
 // Finish gives final answers to the queries that came within the last span and are still open.
 func (l *Loop) Finish(span time.Duration) {
 	if !l.hasRelinquished() {
-		l.Ledger.CloseSince(l.now - span)
+		l.Ledger.CloseSince(l.Now() - span)
 	}
 }
 
--- a/internal/link/status.go
+++ b/internal/link/status.go
@@ -32,14 +32,14 @@
 // serveStatus answers the status call at a side port.
 func (l *Loop) serveStatus(at netip.AddrPort, table *status.Table) (err error) {
 	s := &statusLinks{sideLinks: sideLinks{loop: l}, table: table}
-	if s.fd, err = l.listen(at, s); err == nil {
+	if s.fd, err = l.Listen(at, s); err == nil {
 		l.status = s
 		s.sweep()
 	}
 	return err
 }
 
-func (s *statusLinks) ready(uint32) { s.accept(statusMost, s.loop.admits, s.adopt) }
+func (s *statusLinks) HandleEvents(uint32) { s.accept(statusMost, s.loop.admits, s.adopt) }
 
 // adopt makes a link of a connection. Where there are too many, the one that has been quiet longest makes room.
 func (s *statusLinks) adopt(fd int) {
@@ -52,28 +52,28 @@
 
 // sweep ends links on which a request is not whole in time, an answer is not read, or nothing comes.
 func (s *statusLinks) sweep() {
-	s.loop.after(sweepEvery, s, s.sweep)
+	s.loop.StartTimer(sweepEvery, s, s.sweep)
 	for e := s.links.Front(); e != nil; {
 		k := e.Value.(*statusLink)
 		e = e.Next()
-		age := s.loop.now - k.since
-		if age >= statusQuiet || age >= wholeWithin && (len(k.in) > 0 || len(k.out) > 0 || k.last) {
+		age := s.loop.Now() - k.since
+		if age >= statusQuiet || age >= wholeWithin && (len(k.Input()) > 0 || len(k.Output()) > 0 || k.last) {
 			k.end()
 		}
 	}
 }
 
-func (k *statusLink) ready(events uint32) {
-	if events&^unix.EPOLLOUT != 0 && len(k.in) == 0 {
+func (k *statusLink) HandleEvents(events uint32) {
+	if events&^unix.EPOLLOUT != 0 && len(k.Input()) == 0 {
 		k.touch()
 	}
 	ended, ok := k.exchange(events)
 	if !ok {
 		return
 	}
-	for !k.last && len(k.in) > 0 && len(k.out) == 0 {
-		m := &k.loop.message
-		n, err := m.ParseRequest(k.in)
+	for !k.last && len(k.Input()) > 0 && len(k.Output()) == 0 {
+		m := &k.home.loop.message
+		n, err := m.ParseRequest(k.Input())
 		var bad *http1.ParseError
 		if errors.As(err, &bad) {
 			k.answer(bad.StatusCode, "", []byte(bad.Reason+"\n"), false)
@@ -83,19 +83,19 @@
 			break
 		}
 		k.request(m)
-		if k.closed {
+		if !k.IsOpen() {
 			return
 		}
-		k.took(n)
+		k.Consume(n)
 	}
-	if ended && len(k.out) == 0 {
+	if ended && len(k.Output()) == 0 {
 		k.end()
 	}
 }
 
 // touch starts the link's time anew.
 func (k *statusLink) touch() {
-	k.since = k.loop.now
+	k.since = k.home.loop.Now()
 	k.home.links.MoveToBack(k.place)
 }
 
--- a/internal/link/tcp_test.go
+++ b/internal/link/tcp_test.go
@@ -10,12 +10,13 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
 )
 
 // listens has the world's loop accept TCP connections: only there does an end come as a reset.
 func (w *world) listens() {
-	fd, err := w.loop.listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients)
+	fd, err := w.loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients)
 	if err != nil {
 		w.T.Fatal(err)
 	}
@@ -24,7 +25,7 @@
 
 // connects gives the client's end of a TCP connection, which the loop has yet to accept.
 func (w *world) connects() *peer {
-	_, sa := sockaddr(w.loop.Addr())
+	_, sa := eventloop.Sockaddr(w.loop.Addr())
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
 		err = unix.Connect(fd, sa)
@@ -71,10 +72,9 @@
 
 // settles turns the loop until nothing is ready any more.
 func (w *world) settles() {
-	events := make([]unix.EpollEvent, 1)
 	for range 10_000 {
 		w.oneTurn()
-		if n, _ := unix.EpollWait(w.loop.epoll, events, 0); n == 0 {
+		if w.readyDescriptors() == 0 {
 			w.turn()
 			return
 		}
@@ -84,7 +84,7 @@
 
 // oneTurn is a single turn of the loop, with a single step at most.
 func (w *world) oneTurn() {
-	if err := w.loop.turn(0); err != nil {
+	if err := w.loop.RunOnce(0); err != nil {
 		w.T.Fatal(err)
 	}
 }
--- a/internal/link/world_test.go
+++ b/internal/link/world_test.go
@@ -22,7 +22,8 @@
 	loop   *Loop
 	module *steps.Script
 	now    time.Duration
-	dialed []*peer // the far ends of server links and watches, in the order of their opening
+	clock  func() time.Duration // what the loop reads; returns now
+	dialed []*peer              // the far ends of server links and watches, in the order of their opening
 }
 
 // peer is the far end of a link.
@@ -36,13 +37,12 @@
 
 func newWorld(s *steps.Steps) *world {
 	w := &world{Steps: s, module: &steps.Script{}, now: 1000 * time.Hour}
+	w.clock = func() time.Duration { return w.now }
 	silent := slog.New(slog.DiscardHandler)
-	l, err := newLoop(silent, silent)
+	l, err := newLoop(silent, silent, func() time.Duration { return w.clock() }, 0)
 	if err != nil {
 		s.T.Fatal(err)
 	}
-	l.clock = func() time.Duration { return w.now }
-	l.now = w.now
 	l.dial = func(at netip.AddrPort) (int, error) {
 		p, fd := w.pair()
 		p.at = at
@@ -59,18 +59,31 @@
 	l.onWake = func() {}
 	l.limits = config.Limits{Sockets: 1024, MemoryMB: 64}
 	w.loop = l
-	s.T.Cleanup(func() {
-		for fd, h := range l.handlers {
-			if h != nil {
-				_ = unix.Close(fd)
-			}
-		}
-		_ = unix.Close(l.epoll)
-	})
+	s.T.Cleanup(l.CloseDescriptors)
 	w.turn()
 	return w
 }
 
+// clientLink finds the client link of a descriptor.
+func (w *world) clientLink(fd int) *clientLink {
+	for k := range w.loop.clients.links {
+		if k.FD() == fd {
+			return k
+		}
+	}
+	w.T.Fatalf("no client link has descriptor %d", fd)
+	return nil
+}
+
+// readyDescriptors counts descriptors for which epoll has events, and hands out none.
+func (w *world) readyDescriptors() int {
+	n, err := unix.EpollWait(w.loop.EpollFD(), make([]unix.EpollEvent, 64), 0)
+	if err != nil {
+		w.T.Fatal(err)
+	}
+	return n
+}
+
 // pair gives a connection: a peer, and the descriptor for the loop.
 func (w *world) pair() (*peer, int) {
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
@@ -86,7 +99,7 @@
 // turn lets the loop do all that it can do now.
 func (w *world) turn() {
 	for range 4 {
-		if err := w.loop.turn(0); err != nil {
+		if err := w.loop.RunOnce(0); err != nil {
 			w.T.Fatal(err)
 		}
 	}
