--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -24,7 +24,8 @@
 	*eventloop.Loop
 	dial            func(to netip.AddrPort) (fd int, err error)
 	writing         []byte
-	message         http1.Message
+	request         http1.Request
+	response        http1.Response
 	Ledger          *requests.Table
 	log             *slog.Logger
 	linkLog         *slog.Logger // on client links, whose lines must not crowd out the others
--- a/internal/link/operators.go
+++ b/internal/link/operators.go
@@ -108,15 +108,15 @@
 		return
 	}
 	if !k.asked && len(k.Input()) > 0 {
-		m := &k.home.loop.message
-		_, err := m.ParseRequest(k.Input())
+		m := &k.home.loop.request
+		_, err := m.Parse(k.Input())
 		var bad *http1.ParseError
 		switch {
 		case errors.As(err, &bad):
 			k.answer(bad.StatusCode, "", []byte(bad.Reason+"\n"))
 		case err == nil:
 			k.call(string(m.Method), string(m.Target))
-		case m.Expect && !ended && !k.continued:
+		case m.ExpectContinue && !ended && !k.continued:
 			k.continued = true
 			_ = k.Send([]byte(http1.ContinueResponse))
 		}
