--- a/internal/link/clients_test.go
+++ b/internal/link/clients_test.go
@@ -11,6 +11,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/dispatch"
+	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
 	"valvecove/internal/steps"
 )
@@ -147,8 +148,10 @@
 // has had one and rests, is let be for as long as it takes.
 func TestStalledLinksEnd(t *testing.T) {
 	w := newWorld(&steps.Steps{T: t})
-	texts := map[string]string{"mute": "", "half": "POST /a HTTP/1.1\r\n", "bad": "\x00\r\n\r\n",
-		"waiting": numbered(asks[0].text, 1), "resting": numbered(asks[6].text, 1), "again": numbered(asks[6].text, 1) + "GET /up"}
+	texts := map[string]string{
+		"mute": "", "half": "POST /a HTTP/1.1\r\n", "bad": "\x00\r\n\r\n",
+		"waiting": numbered(asks[0].text, 1), "resting": numbered(asks[6].text, 1), "again": numbered(asks[6].text, 1) + "GET /up",
+	}
 	peers := map[string]*peer{}
 	for name, text := range texts {
 		p, fd := w.pair()
@@ -159,8 +162,10 @@
 	w.turn()
 	w.now += wholeWithin + sweepEvery
 	w.turn()
-	for name, want := range map[string]string{"mute": "", "half": "HTTP/1.1 408 ", "bad": "HTTP/1.1 400 ",
-		"waiting": "", "resting": "HTTP/1.1 200 ", "again": "HTTP/1.1 200 "} {
+	for name, want := range map[string]string{
+		"mute": "", "half": "HTTP/1.1 408 ", "bad": "HTTP/1.1 400 ",
+		"waiting": "", "resting": "HTTP/1.1 200 ", "again": "HTTP/1.1 200 ",
+	} {
 		p := peers[name]
 		p.read(1 << 10)
 		lives := name == "waiting" || name == "resting"
@@ -199,7 +204,7 @@
 			w.turn()
 		}
 	}
-	if p.read(1 << 10); !strings.HasPrefix(string(p.got), "HTTP/1.1 413 ") || w.loop.clients.held > 2*kept {
+	if p.read(1 << 10); !strings.HasPrefix(string(p.got), "HTTP/1.1 413 ") || w.loop.clients.held > 2*eventloop.MaxIdleBuffer {
 		t.Errorf("got %q, %d bytes held", p.got, w.loop.clients.held)
 	}
 	w.now += lingerQuiet + sweepEvery
@@ -240,7 +245,7 @@
 	}
 	sum := 0
 	for k := range c.links {
-		sum += cap(k.in) + cap(k.out)
+		sum += cap(k.Input()) + cap(k.Output())
 	}
 	if sum != c.held {
 		t.Errorf("%d bytes held, %d counted", sum, c.held)
@@ -257,7 +262,7 @@
 	query := numbered(asks[0].text, 1)
 	bad.write([]byte(query))
 	w.turn()
-	w.loop.guard(w.loop.handlers[fd], func() { panic("scripted") })
+	w.loop.Protect(w.clientLink(fd), func() { panic("scripted") })
 	w.turn()
 	good.write([]byte(numbered(asks[6].text, 2)))
 	w.turn()
@@ -274,8 +279,10 @@
 func TestStrangersMakeRoomFirst(t *testing.T) {
 	w := newWorld(&steps.Steps{T: t})
 	var peers []*peer
-	for _, text := range []string{numbered(asks[0].text, 1), numbered(asks[0].text, 2), numbered(asks[6].text, 1),
-		numbered(asks[9].text, 1), numbered(asks[2].text, 1), "", "POST"} {
+	for _, text := range []string{
+		numbered(asks[0].text, 1), numbered(asks[0].text, 2), numbered(asks[6].text, 1),
+		numbered(asks[9].text, 1), numbered(asks[2].text, 1), "", "POST",
+	} {
 		p, fd := w.pair()
 		w.loop.clients.adopt(fd, netip.AddrPort{})
 		p.write([]byte(text))
@@ -401,10 +408,10 @@
 func TestAcceptsAgainAfterEMFILE(t *testing.T) {
 	w := newWorld(&steps.Steps{T: t})
 	var err error
-	if w.loop.clients.fd, err = w.loop.listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients); err != nil {
+	if w.loop.clients.fd, err = w.loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients); err != nil {
 		t.Fatal(err)
 	}
-	fd, _, err := socket(w.loop.Addr())
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -417,7 +424,7 @@
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 3, Max: old.Max}); err != nil {
 		t.Fatal(err)
 	}
-	_, sa := sockaddr(w.loop.Addr())
+	_, sa := eventloop.Sockaddr(w.loop.Addr())
 	connecting := unix.Connect(fd, sa)
 	w.turn()
 	held := len(w.loop.clients.links)
@@ -449,7 +456,7 @@
 		}
 	}
 	up("200", "")
-	w.loop.Ledger.AwaitEndpoints(w.loop.now + time.Hour)
+	w.loop.Ledger.AwaitEndpoints(w.loop.Now() + time.Hour)
 	up("503", "no word from discovery yet")
 	w.loop.Ledger.DiscoveryFailed()
 	up("200", "")
