--- /dev/null
+++ b/internal/control/membership/state_test.go
@@ -0,0 +1,136 @@
+package membership
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestSessionTransitions(t *testing.T) {
+	for _, test := range []struct {
+		from  sessionState
+		event sessionEvent
+		want  sessionState
+	}{
+		{sessionNone, sessionOpened, sessionOpen},
+		{sessionLost, sessionOpened, sessionOpen},
+		{sessionOpen, sessionOpened, sessionOpen},
+		{sessionOpen, sessionEnded, sessionLost},
+		{sessionNone, sessionEnded, sessionNone},
+		{sessionOpen, sessionWentSilent, sessionNone},
+		{sessionLost, sessionWentSilent, sessionLost},
+		{sessionLost, incarnationChanged, sessionNone},
+		{sessionOpen, incarnationChanged, sessionOpen},
+	} {
+		if got := test.from.next(test.event); got != test.want {
+			t.Errorf("%v, event %d: %v, want %v", test.from, test.event, got, test.want)
+		}
+	}
+}
+
+// A member without a session is suspect until the timeout, then dead; gossip may refute that, and an open session does.
+func TestMemberTransitions(t *testing.T) {
+	f := NewForwarderMembership(Member{Name: "f"}, Config{})
+	joined := MemberJoined{Member{Name: "p", Role: RolePlanner, Incarnation: 1}}
+	timeout := Defaults().SuspicionTimeout
+	for _, test := range []struct {
+		at    time.Duration
+		event Event
+		want  memberState
+	}{
+		{1 * time.Second, joined, memberAlive},
+		{2 * time.Second, MemberDied{"p", 1}, memberSuspected},
+		{2*time.Second + timeout/2, joined, memberAlive},
+		{3 * time.Second, MemberDied{"p", 1}, memberSuspected},
+		{3*time.Second + timeout, nil, memberDead},
+		{5 * time.Second, PlannerConnected{"p"}, memberAlive},
+		{6 * time.Second, joined, memberAlive},
+		{7 * time.Second, MemberLeft{"p", 1}, memberAlive},
+		{8 * time.Second, PlannerDisconnected{Name: "p"}, memberLeft},
+	} {
+		var events []Event
+		if test.event != nil {
+			events = append(events, test.event)
+		}
+		f.Step(test.at, events, nil)
+		if got := f.find("p").state; got != test.want {
+			t.Errorf("at %v, after %T: %v, want %v", test.at, test.event, got, test.want)
+		}
+	}
+}
+
+// Each step that comes late adds a timeout to those of a process, up to a limit, and each second without one takes it back.
+func TestLatenessExtendsTimeouts(t *testing.T) {
+	health := selfHealth{}
+	for range 2 * maxLateness {
+		health.recordLateness(time.Second)
+	}
+	if got := health.scale(time.Second); got != (1+maxLateness)*time.Second {
+		t.Errorf("timeout of 1 s is %v at most", got)
+	}
+	health.decay(time.Second + 3*latenessDecayPeriod)
+	if got := health.scale(time.Second); got != (1+maxLateness-3)*time.Second {
+		t.Errorf("timeout of 1 s is %v after three periods", got)
+	}
+	health.decay(time.Minute)
+	if got := health.scale(time.Second); got != time.Second {
+		t.Errorf("timeout of 1 s is %v in the end", got)
+	}
+}
+
+func TestLatencyTransitions(t *testing.T) {
+	const confirmation, recovery = 500 * time.Millisecond, time.Second
+	tracker := latencyTracker{}
+	now := time.Hour
+	observe := func(level latencyLevel, period time.Duration) latencyState {
+		state := tracker.observe(level, period, confirmation, recovery)
+		now += period
+		if state != tracker.state {
+			tracker.transition(state, now)
+		}
+		return state
+	}
+	for i, test := range []struct {
+		level  latencyLevel
+		period time.Duration
+		want   latencyState
+	}{
+		{levelHigh, 400 * time.Millisecond, latencyNormal},
+		{levelElevated, 200 * time.Millisecond, latencyNormal},
+		{levelHigh, 200 * time.Millisecond, latencyNormal},
+		{levelFast, time.Millisecond, latencyNormal},
+		{levelHigh, 500 * time.Millisecond, latencySlow},
+		{levelFast, 900 * time.Millisecond, latencySlow},
+		{levelHigh, 100 * time.Millisecond, latencySlow},
+		{levelFast, 900 * time.Millisecond, latencySlow},
+		{levelElevated, time.Minute, latencySlow},
+		{levelFast, 100 * time.Millisecond, latencyNormal},
+		{levelHigh, 500 * time.Millisecond, latencySlow}, // a relapse: recovery takes twice as long
+		{levelFast, 1900 * time.Millisecond, latencySlow},
+		{levelFast, 100 * time.Millisecond, latencyNormal},
+	} {
+		if got := observe(test.level, test.period); got != test.want {
+			t.Errorf("observation %d: %v, want %v", i, got, test.want)
+		}
+	}
+}
+
+func TestStatesHaveNames(t *testing.T) {
+	names := map[string]bool{}
+	for _, states := range [][]fmt.Stringer{
+		{RoleForwarder, RolePlanner},
+		{gossipUnknown, gossipAlive, gossipFailed, gossipLeft},
+		{sessionNone, sessionOpen, sessionLost},
+		{memberAlive, memberSuspected, memberDead, memberLeft},
+		{assignmentCurrent, assignmentOutdated, assignmentUrgent},
+		{latencyNormal, latencySlow},
+	} {
+		clear(names)
+		for _, state := range states {
+			names[state.String()] = true
+		}
+		if len(names) != len(states) || names["invalid"] || names["unknown"] && states[0] != gossipUnknown {
+			t.Errorf("%T: %v", states[0], names)
+		}
+	}
+}
--- /dev/null
+++ b/internal/control/membership/table_test.go
@@ -0,0 +1,51 @@
+package membership
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+)
+
+// The later incarnation of a name counts. Late reports about an earlier one, or an announcement of one that has left, do not.
+func TestLaterIncarnationCounts(t *testing.T) {
+	f := NewForwarderMembership(Member{Name: "f"}, Config{})
+	planner := func(incarnation uint64, addr string) MemberJoined {
+		return MemberJoined{Member{Name: "p", Role: RolePlanner, Incarnation: incarnation, Addr: addr}}
+	}
+	f.Step(1, []Event{planner(5, "")}, nil)
+	f.Step(2, []Event{MemberDied{"p", 4}, MemberLeft{"p", 4}, planner(4, "old")}, nil)
+	if record := f.find("p"); record.gossip != gossipAlive || record.Incarnation != 5 || record.Addr != "" {
+		t.Errorf("%+v", record)
+	}
+	f.Step(3, []Event{MemberLeft{"p", 5}, planner(5, "")}, nil)
+	if record := f.find("p"); record.gossip != gossipLeft {
+		t.Errorf("an incarnation that has left is %v", record.gossip)
+	}
+	f.Step(4, []Event{planner(6, "")}, nil)
+	if record := f.find("p"); record.gossip != gossipAlive || record.state != memberAlive {
+		t.Errorf("the next incarnation is %v, and %v by gossip", record.state, record.gossip)
+	}
+}
+
+// The table holds a limited number of members of a role, sorted by name, and counts those beyond.
+func TestTableIsBounded(t *testing.T) {
+	f := NewForwarderMembership(Member{Name: "f"}, Config{})
+	for i := range 2 * maxPlanners {
+		f.Step(4, []Event{MemberJoined{Member{Name: fmt.Sprint("p", i), Role: RolePlanner, Incarnation: 1}}}, nil)
+	}
+	if len(f.members) != maxPlanners || f.OverflowCount() != maxPlanners {
+		t.Errorf("%d members, %d beyond the limit", len(f.members), f.OverflowCount())
+	}
+	if !slices.IsSortedFunc(f.members, func(a, b *memberRecord) int { return compareName(a, b.Name) }) {
+		t.Error("members are not sorted")
+	}
+	joined := []Event{
+		MemberJoined{Member{Name: "f", Incarnation: 2}},
+		MemberJoined{Member{Name: "", Incarnation: 1}},
+		MemberJoined{Member{Name: fmt.Sprintf("%0*d", maxNameLength+1, 0), Incarnation: 1}},
+	}
+	f.Step(5, joined, nil)
+	if len(f.members) != maxPlanners {
+		t.Error("the own name, an empty one, or one that is too long was added")
+	}
+}
