--- a/internal/control/membership/action.go
+++ b/internal/control/membership/action.go
@@ -1,6 +1,10 @@
 package membership
 
-import "valvecove/dispatch"
+import (
+	"log/slog"
+
+	"valvecove/dispatch"
+)
 
 // Action is an output of Step: something to carry out. The receiver owns it.
 type Action interface{ action() }
@@ -20,8 +24,11 @@
 	SetPartition struct {
 		Owner func(w *dispatch.Worker) string
 	}
-	// LogLine has a line logged for the operators.
-	LogLine struct{ Text string }
+	// LogLine has a line logged for the operators. Messages are constant.
+	LogLine struct {
+		Message    string
+		Attributes []slog.Attr
+	}
 )
 
 func (SetPlanners) action()       {}
--- a/internal/control/membership/home.go
+++ b/internal/control/membership/home.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"slices"
 	"time"
 )
@@ -136,7 +135,7 @@
 	if target.isSlow() || home.latency.highFor < f.staggerDelay(home, f.config.DrainTime) {
 		return
 	}
-	f.moveTo(target, fmt.Sprintf("%s is slow", home.Name))
+	f.moveTo(target, reasonSlow)
 }
 
 // moveInTurn moves to the target after Config.SettleTime and the forwarder's part of Config.RampTime.
@@ -144,7 +143,7 @@
 	moveAt := f.targetSince + f.config.SettleTime + f.staggerDelay(target, f.config.RampTime)
 	f.wakeAt(moveAt)
 	if f.now >= moveAt {
-		f.moveTo(target, "it is its turn to")
+		f.moveTo(target, reasonAssigned)
 	}
 }
 
@@ -156,22 +155,23 @@
 	return period / slots * time.Duration(slot)
 }
 
-func (f *ForwarderMembership) moveTo(target *memberRecord, reason string) {
+func (f *ForwarderMembership) moveTo(target *memberRecord, reason moveReason) {
+	previous := f.homePlanner
 	f.moveCount++
 	f.homePlanner = target.Name
-	f.logMove(reason)
+	f.logMove(previous, reason)
 }
 
 // failOver moves at once, as the home was lost: to the target, or if that is no candidate, as at the start, to any that is.
 func (f *ForwarderMembership) failOver(target *memberRecord) {
-	lost := f.homePlanner
+	previous := f.homePlanner
 	f.homePlanner = ""
 	if target != nil && target.candidate {
 		f.homePlanner = target.Name
 	} else if i := slices.IndexFunc(f.planners, func(planner *memberRecord) bool { return planner.candidate }); i >= 0 {
 		f.homePlanner = f.planners[i].Name
 	}
-	if lost != "" {
-		f.logLoss(lost)
+	if previous != "" {
+		f.logLoss(previous)
 	}
 }
--- a/internal/control/membership/log.go
+++ b/internal/control/membership/log.go
@@ -1,23 +1,56 @@
 package membership
 
 import (
-	"cmp"
-	"fmt"
+	"log/slog"
 	"time"
 )
 
+// Messages of LogLine.
+const (
+	logPlannerLost      = "planner lost"
+	logPlannerChanged   = "planner changed"
+	logPlannerSlow      = "planner is slow"
+	logPlannerRecovered = "planner has recovered"
+	logPartitionChanged = "partition changed"
+)
+
+// moveReason is why a forwarder moves to another planner.
+type moveReason string
+
+const (
+	reasonSlow     moveReason = "slow"     // the planner before was
+	reasonAssigned moveReason = "assigned" // it is assigned to this one
+)
+
+func (t *memberTable) log(message string, attributes ...slog.Attr) {
+	t.emit(LogLine{message, attributes})
+}
+
 func (f *ForwarderMembership) logLatencyState(planner *memberRecord, latency time.Duration) {
-	text := "is slow"
+	message := logPlannerSlow
 	if planner.latency.state == latencyNormal {
-		text = "is well again"
+		message = logPlannerRecovered
 	}
-	f.emit(LogLine{fmt.Sprintf("planner %s %s: its answers take %v", planner.Name, text, latency)})
+	f.log(message, slog.String("planner", planner.Name), slog.Duration("latency", latency))
 }
 
-func (f *ForwarderMembership) logLoss(lost string) {
-	f.emit(LogLine{fmt.Sprintf("follows %s: %s is lost", cmp.Or(f.homePlanner, "no planner"), lost)})
+func (f *ForwarderMembership) logLoss(previous string) {
+	f.log(logPlannerLost, slog.String("previous_planner", previous), slog.String("planner", f.homePlanner))
 }
 
-func (f *ForwarderMembership) logMove(reason string) {
-	f.emit(LogLine{fmt.Sprintf("follows planner %s: %s", f.homePlanner, reason)})
+func (f *ForwarderMembership) logMove(previous string, reason moveReason) {
+	f.log(logPlannerChanged, slog.String("previous_planner", previous), slog.String("planner", f.homePlanner),
+		slog.String("reason", string(reason)))
+}
+
+func (p *PlannerMembership) logPartition() {
+	cells, workers := p.partition.workersOf(p.self.Name, p.cells.workerCount)
+	var loads []any
+	for i, planner := range p.partition.planners {
+		loads = append(loads, slog.Int(p.partition.names[i], planner.weight))
+	}
+	p.log(logPartitionChanged,
+		slog.Int("cells", cells), slog.Int("all_cells", len(p.partition.owners)),
+		slog.Int("workers", workers), slog.Int("all_workers", p.cells.totalWorkers()),
+		slog.Group("follower_load", loads...))
 }
--- a/internal/control/membership/partition.go
+++ b/internal/control/membership/partition.go
@@ -1,9 +1,7 @@
 package membership
 
 import (
-	"fmt"
 	"maps"
-	"strings"
 
 	"valvecove/dispatch"
 )
@@ -102,14 +100,3 @@
 	}
 	return load
 }
-
-func (p *PlannerMembership) logPartition() {
-	cells, workers := p.partition.workersOf(p.self.Name, p.cells.workerCount)
-	line := strings.Builder{}
-	fmt.Fprintf(&line, "part: %d of %d cells, %d of %d worker nodes; planners by what follows them:", cells,
-		len(p.partition.owners), workers, p.cells.totalWorkers())
-	for i, planner := range p.partition.planners {
-		fmt.Fprintf(&line, " %s %d", p.partition.names[i], planner.weight)
-	}
-	p.emit(LogLine{line.String()})
-}
--- a/internal/control/membership/script_test.go
+++ b/internal/control/membership/script_test.go
@@ -156,12 +156,20 @@
 		}
 		return text
 	case LogLine:
-		return "log: " + action.Text
+		return logText(action)
 	}
 	r.t.Fatalf("unknown action %T", action)
 	return ""
 }
 
+func logText(line LogLine) string {
+	text := "log: " + line.Message
+	for _, attribute := range line.Attributes {
+		text += " " + attribute.String()
+	}
+	return text
+}
+
 // events returns the events of a line without its time.
 func (r *scriptRunner) events(words []string) []Event {
 	switch {
--- a/internal/lab/virtual/forwarder.go
+++ b/internal/lab/virtual/forwarder.go
@@ -1,6 +1,8 @@
 package virtual
 
 import (
+	"context"
+	"log/slog"
 	"time"
 
 	"valvecove/dispatch"
@@ -222,7 +224,7 @@
 		case membership.Announce:
 			f.t.gossip.say(f.seat, a.Member)
 		case membership.LogLine:
-			f.p.s.model.log(f.seat).Info(a.Text)
+			f.p.s.model.log(f.seat).LogAttrs(context.Background(), slog.LevelInfo, a.Message, a.Attributes...)
 		}
 	}
 	clear(actions)
--- a/internal/lab/virtual/planner.go
+++ b/internal/lab/virtual/planner.go
@@ -1,6 +1,7 @@
 package virtual
 
 import (
+	"context"
 	"log/slog"
 	"strconv"
 	"time"
@@ -494,7 +495,7 @@
 		case membership.Announce:
 			p.s.t.gossip.say(p.s.n, a.Member)
 		case membership.LogLine:
-			p.s.model.log(p.s.n).Info(a.Text)
+			p.s.model.log(p.s.n).LogAttrs(context.Background(), slog.LevelInfo, a.Message, a.Attributes...)
 		}
 	}
 	clear(actions)
