--- a/internal/link/servers.go
+++ b/internal/link/servers.go
@@ -9,6 +9,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 )
 
@@ -24,8 +25,8 @@
 	withdrawTimes = 4 // connections are tried for a DELETE before it is given up
 	withdrawAgain = 50 * time.Millisecond
 
-	mostAtOnce = 4 << 10                 // a request of that size goes into any socket's buffer whole
-	mostAnswer = 2 * (maxHead + maxBody) // with interim answers, and with what frames chunks
+	mostAtOnce = 4 << 10                                       // a request of that size goes into any socket's buffer whole
+	mostAnswer = 2 * (http1.MaxHeaderSize + http1.MaxBodySize) // with interim answers, and with what frames chunks
 )
 
 // serverLinks are the connections to worker nodes: the ledger's Carrier.
@@ -306,9 +307,9 @@
 		if parts = min(k.home.dial, left/2); len(p.Body) > mostAtOnce {
 			left -= parts
 		}
-		b = appendCall(b, p.Method, p.Path, host)
-		b = appendField(b, "X-Call-Id", a.Request.CallID)
-		b = appendField(b, "Idempotency-Key", p.IdempotencyKey)
+		b = http1.AppendRequestStart(b, p.Method, p.Path, host)
+		b = http1.AppendField(b, "X-Call-Id", a.Request.CallID)
+		b = http1.AppendField(b, "Idempotency-Key", p.IdempotencyKey)
 		b = append(b, "X-Budget-Ms: "...)
 		b = strconv.AppendInt(b, max(1, left.Milliseconds()), 10)
 		b = append(b, "\r\nContent-Length: "...)
@@ -317,10 +318,10 @@
 		b = append(b, p.Body...)
 		k.await(parts)
 	case probing:
-		b = append(appendCall(b, "GET", "/alive", host), "\r\n"...)
+		b = append(http1.AppendRequestStart(b, "GET", "/alive", host), "\r\n"...)
 		k.await(probeFor)
 	case withdrawing:
-		b = append(appendCall(b, "DELETE", "/jobs/"+a.Request.CallID, host), "\r\n"...)
+		b = append(http1.AppendRequestStart(b, "DELETE", "/jobs/"+a.Request.CallID, host), "\r\n"...)
 		k.await(withdrawFor)
 	}
 	l.writing = b
@@ -400,12 +401,12 @@
 		k.end(err)
 		return
 	}
-	m := &k.loop.message
-	n, err := m.ParseResponse(k.in, ended)
+	m := &k.loop.response
+	n, err := m.Parse(k.in, ended)
 	switch {
 	case err == nil:
 		keep := m.KeepAlive && !ended && n == len(k.in) && len(k.out) == 0
-		if k.stray(m.Status) {
+		if k.stray(m.StatusCode) {
 			k.end(errStray)
 			return
 		}
@@ -420,7 +421,7 @@
 		}
 	case ended:
 		k.end(errEnded)
-	case !errors.Is(err, errShort):
+	case !errors.Is(err, http1.ErrIncomplete):
 		k.end(err)
 	case len(k.in) > mostAnswer:
 		k.end(errLarge)
@@ -445,18 +446,18 @@
 }
 
 // answered settles the errand by the answer's status.
-func (k *serverLink) answered(m *Message) {
-	fault := &requests.AttemptError{Stage: k.stage, Reason: requests.ReasonWorkerError, Cause: fmt.Errorf("status %d", m.Status)}
-	switch refused := m.Status == 503 || m.Status == 504; {
-	case m.Status/100 == 2:
+func (k *serverLink) answered(m *http1.Response) {
+	fault := &requests.AttemptError{Stage: k.stage, Reason: requests.ReasonWorkerError, Cause: fmt.Errorf("status %d", m.StatusCode)}
+	switch refused := m.StatusCode == 503 || m.StatusCode == 504; {
+	case m.StatusCode/100 == 2:
 		fault = nil
 	case refused && (k.errand.kind == probing || string(m.Get("X-Rejected")) == "1"):
 		fault.Reason = requests.ReasonRejected
-	case m.Status/100 == 4 && k.errand.kind == carrying:
+	case m.StatusCode/100 == 4 && k.errand.kind == carrying:
 		fault.Reason = requests.ReasonInvalidRequest
 	}
 	if k.errand.kind == carrying {
-		k.loop.Ledger.ReportResponse(k.errand.attempt, m.Status)
+		k.loop.Ledger.ReportResponse(k.errand.attempt, m.StatusCode)
 		if k.stage < requests.StageWritten && (fault == nil || fault.Reason == requests.ReasonWorkerError) {
 			// It never has all of it, as the link ends with this answer. So it can't run, whatever the answer says.
 			fault = &requests.AttemptError{Stage: k.stage, Reason: requests.ReasonConnectionLost, Cause: errEarly}
--- a/internal/run/capture_test.go
+++ b/internal/run/capture_test.go
@@ -35,7 +35,7 @@
 	w.tell(`{"id":"9b1f03aa5c7e2d41","from":"s-1","state":"started"}`)
 	w.tell(`{"id":"9b1f03aa5c7e2d41","from":"s-1","state":"done","result":"booked: 42 rupees"}`)
 	body(t, answer)
-	w.talk("POST /b HTTP/1.1\r\nX-Call-Class: b\r\nContent-Length: 0\r\n\r\n").ReadString('\n')
+	_, _ = w.talk("POST /b HTTP/1.1\r\nX-Call-Class: b\r\nContent-Length: 0\r\n\r\n").ReadString('\n')
 	text := w.dumped()
 	w.stop()
 	for _, want := range []string{
@@ -70,7 +70,7 @@
 			t.Fatal(err)
 		}
 		var out, warnings bytes.Buffer
-		code := capture.Command(c.file, ops, &out, &warnings)
+		code := capture.ReplayCommand(c.file, ops, &out, &warnings)
 		if code != c.code || !strings.Contains(out.String(), c.out) || !strings.Contains(warnings.String(), c.warning) || c.out == "" && out.Len() > 0 {
 			t.Errorf("%s with %q: %d, %q, %q", c.file, c.ops, code, out.String(), warnings.String())
 		}
