--- a/internal/http1/header.go
+++ b/internal/http1/header.go
@@ -13,7 +13,7 @@
 // parseHeaderSection reads a start line, which it returns, and the fields up to the blank line. size is the length of all of
 // that. The line ending is strict in requests: intermediaries differ in where a line with a bare line feed ends.
 func (m *Message) parseHeaderSection(input []byte, ending lineEnding) (startLine []byte, size int, err error) {
-	m.Fields, m.Body = m.Fields[:0], nil
+	m.Fields, m.Body, m.framing = m.Fields[:0], nil, framingUnknown
 	for isFirst := true; ; isFirst = false {
 		line, lineSize, err := nextLine(input, size, ending)
 		if err != nil {
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -42,9 +42,11 @@
 type framing int
 
 const (
-	framingUnspecified framing = iota // no header field says
-	framingLength                     // by Content-Length
-	framingChunked                    // by Transfer-Encoding
+	framingUnknown       framing = iota // the header is not complete
+	framingUnspecified                  // no header field says
+	framingLength                       // by Content-Length
+	framingChunked                      // by Transfer-Encoding
+	framingConnectionEnd                // the body of a response ends with the connection
 )
 
 // Get returns the value of the first field of a name, nil if there is none. The value of a field that is there but empty is
@@ -69,7 +71,8 @@
 	return count
 }
 
-// IsChunked reports whether the body is framed by chunks.
+// IsChunked reports whether the body is framed by chunks. It is valid, too, after a parser returned ErrIncomplete; it is
+// false as long as the header is not complete.
 func (m *Message) IsChunked() bool { return m.framing == framingChunked }
 
 // parseVersion reads the protocol version, and what it says of the connection's persistence.
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -31,6 +31,7 @@
 		return size, nil
 	}
 	if r.framing == framingUnspecified {
+		r.framing = framingConnectionEnd
 		return r.parseUnframedBody(input, size, connectionEnded)
 	}
 	bodySize, err := r.parseBody(input[size:])
@@ -53,6 +54,10 @@
 	return len(input), nil
 }
 
+// EndsWithConnection reports whether the body ends only with the connection. It is valid after a call of Parse, also of one
+// that returned ErrIncomplete; it is false as long as the header is not complete.
+func (r *Response) EndsWithConnection() bool { return r.framing == framingConnectionEnd }
+
 // ParseHeader reads the status line and the header fields of one response, be it an interim one, from the start of input, and
 // returns how many bytes they took. The body is left for the caller to read, as with a ChunkDecoder. The error is
 // ErrIncomplete or a ParseError.
--- a/internal/http1/syntax.go
+++ b/internal/http1/syntax.go
@@ -1,14 +1,23 @@
 package http1
 
-import "bytes"
-
 // maxDecimalDigits keeps every number within an int of 32 bits.
 const maxDecimalDigits = 9
 
+// isTokenChar has the characters of a token: visible ASCII without the delimiters.
+var isTokenChar = func() (table [256]bool) {
+	for char := '!'; char <= '~'; char++ {
+		table[char] = true
+	}
+	for _, delimiter := range `()<>@,;:\"/[]?={}` {
+		table[delimiter] = false
+	}
+	return table
+}()
+
 // IsToken reports whether text is a token (RFC 9110, 5.6.2), as a method and a field name are.
 func IsToken(text []byte) bool {
 	for _, char := range text {
-		if char <= ' ' || char >= 0x7f || bytes.IndexByte([]byte(`()<>@,;:\"/[]?={}`), char) >= 0 {
+		if !isTokenChar[char] {
 			return false
 		}
 	}
