--- a/internal/lab/fleet/clients.go
+++ b/internal/lab/fleet/clients.go
@@ -157,7 +157,7 @@
 func (c *clientConn) came(b []byte) int {
 	k := c.of
 	var m message
-	size, err := readMessage(b, &m)
+	size, err := c.e.reader.read(b, &m)
 	switch {
 	case err == nil && size == 0:
 		return 0
--- a/internal/lab/fleet/discovery.go
+++ b/internal/lab/fleet/discovery.go
@@ -7,6 +7,8 @@
 	"net/url"
 	"strconv"
 	"time"
+
+	"valvecove/internal/http1"
 )
 
 // quietFor is how long a watch is without a line at most.
@@ -102,7 +104,7 @@
 		return len(b)
 	}
 	var m message
-	size, err := readMessage(b, &m)
+	size, err := c.e.reader.read(b, &m)
 	if err == nil && size == 0 {
 		return 0
 	}
@@ -112,11 +114,11 @@
 	}
 	switch {
 	case err != nil:
-		c.write(appendAnswer(nil, 400, "Connection: close\r\n", nil))
+		c.write(http1.AppendResponse(nil, http1.StatusBadRequest, "", nil, false))
 		c.close()
 		delete(c.of.calls, c)
 	case string(m.method) != http.MethodGet || at.Path != "/discovery/hosts":
-		c.write(appendAnswer(nil, 404, "", nil))
+		c.write(http1.AppendResponse(nil, http1.StatusNotFound, "", nil, true))
 	case at.Query().Get("stream") == "1":
 		c.watches = true
 		c.write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"))
@@ -127,7 +129,7 @@
 			c.line(c.of.whole())
 		}
 	default:
-		c.write(appendAnswer(nil, 200, "Content-Type: application/json\r\n", []byte(c.of.whole())))
+		c.write(http1.AppendResponse(nil, http1.StatusOK, "Content-Type: application/json\r\n", []byte(c.of.whole()), true))
 	}
 	return size
 }
--- a/internal/lab/fleet/engine.go
+++ b/internal/lab/fleet/engine.go
@@ -28,6 +28,7 @@
 	events [64]unix.EpollEvent
 	scrap  [64 << 10]byte // what is read goes through here
 	out    []byte         // and what is written through here
+	reader messageReader
 	alarms due.Queue[*alarm]
 	free   []*job // to be used again
 	counts bool   // the window of the measurement is open
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -257,13 +257,14 @@
 // Messages are read whole or not at all, however they come in pieces.
 func TestMessage(t *testing.T) {
 	var m message
+	var reader messageReader
 	text := "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length: 3\r\nConnection: close\r\n\r\nabc"
 	for n := range text {
-		if got, err := readMessage([]byte(text[:n]), &m); got != 0 || err != nil {
+		if got, err := reader.read([]byte(text[:n]), &m); got != 0 || err != nil {
 			t.Fatalf("%d bytes: %d, %v", n, got, err)
 		}
 	}
-	if n, err := readMessage([]byte(text+"more"), &m); n != len(text) || err != nil || string(m.body) != "abc" || !m.last {
+	if n, err := reader.read([]byte(text+"more"), &m); n != len(text) || err != nil || string(m.body) != "abc" || !m.last {
 		t.Errorf("%d, %v, %+v", n, err, m)
 	}
 	for _, bad := range []string{
@@ -271,7 +272,7 @@
 		"POST / HTTP/1.1\r\nno field\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
 		"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", strings.Repeat("x", 17<<10),
 	} {
-		if n, err := readMessage([]byte(bad), &m); err == nil {
+		if n, err := reader.read([]byte(bad), &m); err == nil {
 			t.Errorf("%.40q was taken: %d", bad, n)
 		}
 	}
--- a/internal/lab/fleet/nodes.go
+++ b/internal/lab/fleet/nodes.go
@@ -7,6 +7,8 @@
 	"slices"
 	"strconv"
 	"time"
+
+	"valvecove/internal/http1"
 )
 
 // node is a stand-in worker node: it has slots, a waiting room that is served in order, and jobs that each take a slot
@@ -75,14 +77,14 @@
 func (k *nodeLink) came(b []byte) (taken int) {
 	var m message
 	for !k.asked && !k.closed && taken < len(b) {
-		size, err := readMessage(b[taken:], &m)
+		size, err := k.node.e.reader.read(b[taken:], &m)
 		if err == nil && size == 0 {
 			break
 		}
 		taken += size
 		if err != nil || m.status != 0 {
 			k.node.odd++
-			k.answer(400, "Connection: close\r\n")
+			k.answer(http1.StatusBadRequest, "", false)
 			k.drop()
 			break
 		}
@@ -99,9 +101,9 @@
 	delete(k.node.links, k)
 }
 
-func (k *nodeLink) answer(status int, fields string) {
+func (k *nodeLink) answer(status int, fields string, keepAlive bool) {
 	e := k.node.e
-	e.out = appendAnswer(e.out[:0], status, fields, nil)
+	e.out = http1.AppendResponse(e.out[:0], status, fields, nil, keepAlive)
 	k.write(e.out)
 }
 
@@ -109,23 +111,23 @@
 	n := k.node
 	switch method, target := string(m.method), string(m.target); {
 	case method == "GET" && target == "/alive":
-		k.answer(200, "")
+		k.answer(http1.StatusOK, "", true)
 	case method == "DELETE" && bytes.HasPrefix(m.target, []byte("/jobs/")):
-		k.answer(204, "")
+		k.answer(http1.StatusNoContent, "", true)
 	case method != "POST" || len(m.call) == 0:
 		if method == "POST" {
 			n.odd++
 		}
-		k.answer(404, "")
+		k.answer(http1.StatusNotFound, "", true)
 	case n.wait.len() >= n.rig.spec.Room:
-		k.answer(503, "X-Rejected: 1\r\n")
+		k.answer(http1.StatusServiceUnavailable, "X-Rejected: 1\r\n", true)
 	default:
 		j := n.e.job(n)
 		j.call = append(j.call[:0], m.call...)
 		if n.rig.spec.Answers {
 			j.link, k.asked = k, true
 		} else {
-			k.answer(202, "")
+			k.answer(http1.StatusAccepted, "", true)
 		}
 		n.wait.put(j)
 		n.serve()
@@ -183,7 +185,7 @@
 		if k := j.link; k == nil {
 			n.calls.tell(j.call, "done")
 		} else if k.asked = false; !k.closed {
-			n.e.out = appendAnswer(n.e.out[:0], 200, "", fmt.Appendf(nil, "%s ran on %s", j.call, n.id))
+			n.e.out = http1.AppendResponse(n.e.out[:0], http1.StatusOK, "", fmt.Appendf(nil, "%s ran on %s", j.call, n.id), true)
 			k.write(n.e.out)
 		}
 	}
@@ -349,7 +351,7 @@
 
 func (k *noteLink) came(b []byte) int {
 	var m message
-	size, err := readMessage(b, &m)
+	size, err := k.by.node.e.reader.read(b, &m)
 	x := k.note
 	switch {
 	case err == nil && size == 0:
--- a/internal/lab/live/clients.go
+++ b/internal/lab/live/clients.go
@@ -8,6 +8,7 @@
 	"strings"
 	"time"
 
+	"valvecove/internal/http1"
 	"valvecove/internal/lab/edge"
 )
 
@@ -139,16 +140,16 @@
 	b = append(append(b, "POST /"...), class...)
 	b = append(append(b, '/'), about(a)...)
 	b = append(b, " HTTP/1.1\r\n"...)
-	b = appendField(b, "Host", to.String())
-	b = appendField(b, "X-Call-Id", a.Call)
-	b = appendField(b, "X-Call-Class", class)
-	b = appendField(b, "X-Caller", tenant)
+	b = http1.AppendField(b, "Host", to.String())
+	b = http1.AppendField(b, "X-Call-Id", a.Call)
+	b = http1.AppendField(b, "X-Call-Class", class)
+	b = http1.AppendField(b, "X-Caller", tenant)
 	b = append(b, "X-Budget-Ms: "...)
 	b = strconv.AppendInt(b, a.Budget.Milliseconds(), 10)
 	b = append(b, "\r\n"...)
-	b = appendField(b, "Idempotency-Key", a.Key)
+	b = http1.AppendField(b, "Idempotency-Key", a.Key)
 	if a.Again {
-		b = appendField(b, "X-Again", "1")
+		b = http1.AppendField(b, "X-Again", "1")
 	}
 	if a.Hint > 0 {
 		b = append(b, "X-Call-Cost: "...)
--- a/internal/lab/live/discovery.go
+++ b/internal/lab/live/discovery.go
@@ -9,6 +9,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
+	"valvecove/internal/http1"
 	"valvecove/internal/lab/edge"
 )
 
@@ -112,7 +113,7 @@
 }
 
 func (w *watch) refuse(status int) {
-	w.d.writing = appendAnswer(w.d.writing[:0], status, "Connection: close\r\n", nil)
+	w.d.writing = http1.AppendResponse(w.d.writing[:0], status, "", nil, false)
 	w.write(w.d.writing)
 	w.leave()
 }
@@ -167,7 +168,7 @@
 		return
 	}
 	if w.whole {
-		d.writing = appendAnswer(d.writing[:0], 200, "Content-Type: application/json\r\nConnection: close\r\n", text)
+		d.writing = http1.AppendResponse(d.writing[:0], http1.StatusOK, "Content-Type: application/json\r\n", text, false)
 		w.write(d.writing)
 		w.leave()
 		return
--- a/internal/lab/live/http.go
+++ b/internal/lab/live/http.go
@@ -6,7 +6,6 @@
 	"errors"
 	"io"
 	"net/http"
-	"strconv"
 	"strings"
 )
 
@@ -125,34 +124,3 @@
 	}
 	return list[0], len(list) == 1
 }
-
-// appendAnswer writes an answer; fields are whole lines of its head.
-func appendAnswer(b []byte, status int, fields string, body []byte) []byte {
-	b = append(b, "HTTP/1.1 "...)
-	b = strconv.AppendInt(b, int64(status), 10)
-	b = append(append(b, ' '), http.StatusText(status)...)
-	b = append(append(b, "\r\n"...), fields...)
-	if status != http.StatusNoContent {
-		b = append(b, "Content-Length: "...)
-		b = strconv.AppendInt(b, int64(len(body)), 10)
-		b = append(b, "\r\n"...)
-	}
-	b = append(b, "\r\n"...)
-	return append(b, body...)
-}
-
-// appendField writes a header field, unless it has no value.
-func appendField(b []byte, name, value string) []byte {
-	if value == "" {
-		return b
-	}
-	b = append(append(b, name...), ": "...)
-	return append(append(b, value...), "\r\n"...)
-}
-
-// appendCall writes the start of a request up to its last field; the caller adds fields and a blank line.
-func appendCall(b []byte, method, target, host string) []byte {
-	b = append(append(b, method...), ' ')
-	b = append(append(b, target...), " HTTP/1.1\r\n"...)
-	return appendField(b, "Host", host)
-}
--- a/internal/lab/live/load.go
+++ b/internal/lab/live/load.go
@@ -17,6 +17,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"golang.org/x/sys/unix"
 
+	"valvecove/internal/http1"
 	"valvecove/internal/lab/edge"
 )
 
@@ -69,7 +70,7 @@
 	defaults(&o.Cores, 2)
 	defaults(&o.Grace, time.Second)
 	if o.Request == nil {
-		up := append(appendCall(nil, http.MethodGet, "/up", o.Target), "\r\n"...)
+		up := append(http1.AppendRequestStart(nil, http.MethodGet, "/up", o.Target), "\r\n"...)
 		o.Request = func(int, uint64) []byte { return up }
 	}
 	threads := make([]*loadThread, o.Cores)
@@ -438,7 +439,7 @@
 	t.conns[c] = struct{}{}
 }
 
-var emptyAnswer = appendAnswer(nil, http.StatusOK, "", nil)
+var emptyAnswer = http1.AppendResponse(nil, http.StatusOK, "", nil, true)
 
 func (c *responderConn) came(int) {
 	for !c.closed {
--- a/internal/lab/live/nodes.go
+++ b/internal/lab/live/nodes.go
@@ -8,6 +8,7 @@
 	"strings"
 	"time"
 
+	"valvecove/internal/http1"
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/virtual"
 	"valvecove/internal/requests"
@@ -269,7 +270,7 @@
 		fields = "X-Rejected: 1\r\n"
 	}
 	if in.Bytes > 0 {
-		b := appendAnswer(nil, in.Status, fields, nil)
+		b := http1.AppendResponse(nil, in.Status, fields, nil, true)
 		k.asked = false
 		k.write(b[:min(in.Bytes, len(b))])
 		k.leave(true)
@@ -286,7 +287,7 @@
 
 func (k *link) answered(status int, fields string) {
 	d := k.node.d
-	d.writing = appendAnswer(d.writing[:0], status, fields, nil)
+	d.writing = http1.AppendResponse(d.writing[:0], status, fields, nil, true)
 	k.write(d.writing)
 }
 
--- a/internal/lab/live/notes.go
+++ b/internal/lab/live/notes.go
@@ -8,6 +8,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
+	"valvecove/internal/http1"
 	"valvecove/internal/lab/edge"
 )
 
@@ -133,7 +134,7 @@
 func (k *callLink) carry(c *noteCall) {
 	d := k.pool.d
 	k.call, c.link = c, k
-	b := appendCall(d.writing[:0], http.MethodPost, "/v1/job-events", d.scheds[k.pool.sched].listen.String())
+	b := http1.AppendRequestStart(d.writing[:0], http.MethodPost, "/v1/job-events", d.scheds[k.pool.sched].listen.String())
 	b = append(b, "Content-Type: application/json\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(c.body)), 10)
 	d.writing = append(append(b, "\r\n\r\n"...), c.body...)
--- a/internal/lab/live/odd.go
+++ b/internal/lab/live/odd.go
@@ -10,6 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 	"golang.org/x/sys/unix"
 
+	"valvecove/internal/http1"
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/scenario"
 )
@@ -226,7 +227,7 @@
 }
 
 func (q oddQuery) text(host string) []byte {
-	b := appendCall(nil, "POST", q.path, host)
+	b := http1.AppendRequestStart(nil, "POST", q.path, host)
 	for _, f := range [][2]string{
 		{"X-Call-Id", q.call},
 		{"X-Call-Class", q.class},
@@ -235,7 +236,7 @@
 		{"Idempotency-Key", q.key},
 		{"Content-Length", q.length},
 	} {
-		b = appendField(b, f[0], f[1])
+		b = http1.AppendField(b, f[0], f[1])
 	}
 	b = append(b, q.more...)
 	b = append(b, "\r\n"...)
@@ -255,7 +256,7 @@
 		o.connect(append(b, "\r\n\r\n"...))
 	case "endless_head":
 		line := []byte(strings.Repeat("X-More: "+strings.Repeat("m", 100)+"\r\n", 40))
-		o.connect(appendCall(nil, "POST", q.path, host)).feed = func() []byte { return line }
+		o.connect(http1.AppendRequestStart(nil, "POST", q.path, host)).feed = func() []byte { return line }
 	case "wrong_length":
 		off := 1 + o.rng.IntN(len(q.body)) // too long, and never whole; or too short, and the rest is no request
 		if do.N%2 == 0 {
--- a/internal/lab/live/processes.go
+++ b/internal/lab/live/processes.go
@@ -19,6 +19,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/internal/http1"
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/platform"
 	"valvecove/internal/lab/scenario"
@@ -419,7 +420,7 @@
 		u.reset()
 		u.again(upSoon)
 	})
-	d.writing = append(appendCall(d.writing[:0], "GET", "/up", u.of.listen.String()), "\r\n"...)
+	d.writing = append(http1.AppendRequestStart(d.writing[:0], "GET", "/up", u.of.listen.String()), "\r\n"...)
 	u.write(d.writing)
 }
 
