--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -140,6 +140,7 @@
 	cordons  bool
 	handover bool // jobs and what was learnt come from another dispatcher
 	assigned bool // the list says which dispatchers may use a warming worker
+	single   bool // every job takes one slot, and a run's end is notified before the next start
 	idle     bool // pauses in which connections go idle, and some of these break
 }
 
@@ -198,6 +199,16 @@
 		{name: "crowded", set: with(1, func(s *Settings) { s.ReportFields, s.HealthChecks = nil, false }), workers: 3, slots: 2, rate: 45, noise: 0.2, span: 20 * time.Second},
 		{name: "wide-overload", set: with(1, keep), workers: 300, slots: 2, rate: 4000, noise: 0.3, span: 3 * time.Second},
 		{name: "wide", set: with(1, func(s *Settings) { s.ReportFields = nil }), workers: 300, slots: 2, rate: 400, noise: 0.3, span: 8 * time.Second},
+		{
+			name: "late-starts", set: with(1, func(s *Settings) {
+				s.ReportFields, s.HealthChecks, s.Hedging = nil, false, false
+				s.Classes = []Class{{
+					LatencyObjective: 400 * ms, ObjectiveStretch: 12, ClientTimeout: 8 * time.Second, Idempotency: NonIdempotent,
+					LateValue: 0.9, PriorityWeight: 1,
+				}}
+			}), workers: 6, slots: 2, rate: 90, noise: 0.2, span: 20 * time.Second, single: true,
+		},
+		{name: "large-jobs", set: with(1, keep), workers: 260, slots: 2, rate: 5000, noise: 0.3, span: 3 * time.Second},
 	}
 }
 
@@ -398,6 +409,9 @@
 	if p.rng.IntN(12) == 0 {
 		slots = float64(1 + p.rng.IntN(p.slots))
 	}
+	if p.single {
+		slots = 1
+	}
 	hint := time.Duration(float64(run) * (1 + p.noise*(2*p.rng.Float64()-1)))
 	if p.rng.IntN(15) == 0 {
 		hint = 0
@@ -538,6 +552,11 @@
 		p.after(run, func() {
 			if w.incarnation == life {
 				w.running--
+				if p.single {
+					p.after(2*ms, func() { p.finish(a, OK) })
+					p.serve(w)
+					return
+				}
 				p.serve(w)
 				p.after(2*ms, func() { p.finish(a, OK) })
 			}
