--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -530,37 +530,47 @@
 	for !w.hung && w.running < p.slots && len(w.queue) > 0 {
 		a := w.queue[0]
 		w.queue = w.queue[1:]
-		if a.ended || a.incarnation != w.incarnation {
-			continue
-		}
-		a.runs = true
-		w.running++
-		run := time.Duration(float64(a.job.length) / (w.speed * p.warmUpShare(w)))
-		if p.set.StartNotifications && p.rng.IntN(50) > 0 {
-			p.after(2*ms, func() { p.notify(a, Started{Job: a.job.ID, Attempt: a.number, Worker: w.ID}) })
+		if !a.ended && a.incarnation == w.incarnation {
+			p.start(a, w)
 		}
-		if p.set.ProgressInterval > 0 {
-			for at := p.set.ProgressInterval; at < run; at += p.set.ProgressInterval {
-				share := float64(at) / float64(run)
-				p.after(at, func() { p.notify(a, Progressed{Job: a.job.ID, Attempt: a.number, Worker: w.ID, Share: share}) })
-			}
+	}
+}
+
+// start has an attempt run at its worker.
+func (p *decisionRun) start(a *simulatedAttempt, w *simulatedWorker) {
+	a.runs = true
+	w.running++
+	run := time.Duration(float64(a.job.length) / (w.speed * p.warmUpShare(w)))
+	if p.set.StartNotifications && p.rng.IntN(50) > 0 {
+		p.after(2*ms, func() { p.notify(a, Started{Job: a.job.ID, Attempt: a.number, Worker: w.ID}) })
+	}
+	if p.set.ProgressInterval > 0 {
+		for at := p.set.ProgressInterval; at < run; at += p.set.ProgressInterval {
+			share := float64(at) / float64(run)
+			p.after(at, func() { p.notify(a, Progressed{Job: a.job.ID, Attempt: a.number, Worker: w.ID, Share: share}) })
 		}
-		if p.rng.IntN(30) == 0 {
-			p.after(run/2, func() { p.notify(a, ResponseStarted{Job: a.job.ID, Attempt: a.number, Worker: w.ID}) })
+	}
+	if p.rng.IntN(30) == 0 {
+		p.after(run/2, func() { p.notify(a, ResponseStarted{Job: a.job.ID, Attempt: a.number, Worker: w.ID}) })
+	}
+	incarnation := w.incarnation
+	p.after(run, func() {
+		if w.incarnation == incarnation {
+			p.endRun(a, w)
 		}
-		life := w.incarnation
-		p.after(run, func() {
-			if w.incarnation == life {
-				w.running--
-				if p.single {
-					p.after(2*ms, func() { p.finish(a, OK) })
-					p.serve(w)
-					return
-				}
-				p.serve(w)
-				p.after(2*ms, func() { p.finish(a, OK) })
-			}
-		})
+	})
+}
+
+// endRun has a run end, and the next one start.
+func (p *decisionRun) endRun(a *simulatedAttempt, w *simulatedWorker) {
+	w.running--
+	notifyEnd := func() { p.after(2*ms, func() { p.finish(a, OK) }) }
+	if p.single {
+		notifyEnd()
+		p.serve(w)
+	} else {
+		p.serve(w)
+		notifyEnd()
 	}
 }
 
