--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -47,7 +47,8 @@
 	timers          due.Queue[*timer]
 	scratch         []byte
 	writing         []byte
-	message         http1.Message
+	request         http1.Request
+	response        http1.Response
 	Ledger          *requests.Table
 	log             *slog.Logger
 	linkLog         *slog.Logger // on client links, whose lines must not crowd out the others
@@ -61,7 +62,7 @@
 	side            int                                        // descriptors for features
 	Capture         *capture.Recorder                          // nil: off
 	figures         *figures.Figures                           // nil: off
-	lists           *address.Lists                             // nil: off
+	lists           *address.AccessLists                       // nil: off
 	wrap            func(*dispatch.Dispatcher) requests.Policy // what stands round a module that goes on from another process; nil: none can
 	predecessorRole *predecessorRole                           // nil: no successor can come
 	successorRole   *successorRole                             // nil: nothing is to be taken over
