--- a/internal/control/planner/bench_test.go
+++ b/internal/control/planner/bench_test.go
@@ -9,152 +9,211 @@
 	"valvecove/internal/control/message"
 )
 
-// rig drives a book with forwarders that follow every order: each attempt starts after one delay and ends OK after
-// another. Its queues are rings in order of time, as the model must cost next to nothing beside what it drives.
-type rig struct {
-	b      *Planner
-	now    time.Duration
-	fwds   int
-	last   []uint64 // query by forwarder
-	outs   []Action
-	ins    []Event
-	starts []rigDue
-	ends   []rigDue
-	s, e   int
-	head   message.RequestSummary
-	ended  []message.AttemptEnded // reused, as are the others
-	began  []message.AttemptStarted
-	offers []message.RequestOffer
-	served int
-	others int
-	orders int
-}
-
-type rigDue struct {
-	at    time.Duration
-	f     SessionID
-	query uint64
-	n     int
+// BenchmarkRequests is the whole life of a request at the planner: its offer, a command, a start, an end. A tenth of the
+// workers' slots are in use, by ten forwarders. By one message a step, and by up to 64.
+func BenchmarkRequests(b *testing.B) {
+	for _, batch := range []int{2, 64} {
+		for _, workers := range []int{10, 100, 1000, 10000} {
+			b.Run(fmt.Sprintf("workers=%d/batch=%d", workers, batch), func(b *testing.B) {
+				benchmarkRequests(b, workers, batch)
+			})
+		}
+	}
+}
+
+func benchmarkRequests(b *testing.B, workers, batch int) {
+	b.Helper()
+	d := newLoadDriver(workers, 10)
+	for range max(4, workers*4/10) {
+		d.events = d.events[:0]
+		d.offer()
+		d.step(d.events)
+	}
+	for d.served < 4*workers {
+		d.advance(batch)
+	}
+	b.ReportAllocs()
+	servedBefore, rejectedBefore := d.served, d.rejected
+	for b.Loop() {
+		for want := d.served + 1; d.served < want; {
+			d.advance(batch)
+		}
+	}
+	served := float64(d.served - servedBefore)
+	b.ReportMetric(served/b.Elapsed().Seconds(), "requests/s")
+	b.ReportMetric(served/float64(b.N), "requests/op")
+	b.ReportMetric(float64(d.rejected-rejectedBefore)/served, "rejected/request")
+}
+
+// loadDriver drives a planner with forwarders that execute every command: each attempt starts after one delay and ends after
+// another. Its queues are slices in order of time, and its messages are reused, as it must cost next to nothing beside the
+// planner.
+type loadDriver struct {
+	planner    *Planner
+	now        time.Duration
+	forwarders int
+	lastIDs    []uint64 // by forwarder
+	actions    []Action
+	events     []Event
+	starts     resultQueue
+	ends       resultQueue
+	summary    message.RequestSummary
+	ended      []message.AttemptEnded
+	started    []message.AttemptStarted
+	offers     []message.RequestOffer
+	offered    int
+	served     int
+	rejected   int // or failed
+}
+
+// resultQueue is the starts, or the ends, of attempts in order of time.
+type resultQueue struct {
+	items []dueResult
+	next  int
+}
+
+type dueResult struct {
+	at      time.Duration
+	session SessionID
+	request uint64
+	attempt int
+}
+
+func (q *resultQueue) push(result dueResult) { q.items = append(q.items, result) }
+
+// pop returns the first result, which must exist.
+func (q *resultQueue) pop() dueResult {
+	q.next++
+	return q.items[q.next-1]
+}
+
+// nextAt returns when the first result is due; ok: there is one.
+func (q *resultQueue) nextAt() (at time.Duration, ok bool) {
+	if q.next == len(q.items) {
+		return 0, false
+	}
+	return q.items[q.next].at, true
+}
+
+// compact frees the array of what was taken out.
+func (q *resultQueue) compact() {
+	if q.next > 1<<14 {
+		q.items = q.items[:copy(q.items, q.items[q.next:])]
+		q.next = 0
+	}
 }
 
 const (
-	rigDelay = 200 * time.Microsecond
-	rigRun   = 20 * ms
+	driverDelay   = 200 * time.Microsecond // one way between a forwarder and the planner, or a worker
+	driverRuntime = 20 * ms
+	driverBuffer  = 4096 // messages of a step
 )
 
-func newRig(nodes, forwarders int) *rig {
-	set := testSettings()
-	set.HealthChecks, set.WarmUp, set.TenantQuota = false, 0, nil
-	set.Classes = []dispatch.Class{{LatencyObjective: 80 * ms, ObjectiveStretch: 2.5, ClientTimeout: 5 * time.Second, Idempotency: dispatch.Idempotent, PriorityWeight: 1}}
-	conf := Config{Settings: set, MaxOpenRequests: 1 << 20, MaxCredit: 1 << 18, NewPolicy: func() Policy { return dispatch.New(set, 1) }}
-	r := &rig{b: newBook(conf), now: time.Hour, fwds: forwarders, last: make([]uint64, forwarders+1),
-		ended: make([]message.AttemptEnded, 4096), began: make([]message.AttemptStarted, 4096), offers: make([]message.RequestOffer, 4096)}
-	r.head = message.RequestSummary{Remaining: 5 * time.Second, Hint: rigRun, Slots: 1}
+func newLoadDriver(workers, forwarders int) *loadDriver {
+	settings := testSettings()
+	settings.HealthChecks, settings.WarmUp, settings.TenantQuota = false, 0, nil
+	settings.Classes = []dispatch.Class{{
+		LatencyObjective: 80 * ms, ObjectiveStretch: 2.5, ClientTimeout: 5 * time.Second, Idempotency: dispatch.Idempotent,
+		PriorityWeight: 1,
+	}}
+	d := &loadDriver{
+		planner: newTestPlanner(Config{
+			Settings: settings, MaxOpenRequests: 1 << 20, MaxCredit: 1 << 18,
+			NewPolicy: func() Policy { return dispatch.New(settings, 1) },
+		}),
+		now: time.Hour, forwarders: forwarders, lastIDs: make([]uint64, forwarders+1),
+		ended: make([]message.AttemptEnded, driverBuffer), started: make([]message.AttemptStarted, driverBuffer),
+		offers:  make([]message.RequestOffer, driverBuffer),
+		summary: message.RequestSummary{Remaining: 5 * time.Second, Hint: driverRuntime, Slots: 1},
+	}
+	d.step(d.setup(workers))
+	return d
+}
+
+// setup returns the events by which the planner knows the workers and forwarders.
+func (d *loadDriver) setup(workers int) []Event {
 	list := dispatch.WorkerList{Kind: dispatch.ListFull, Revision: 1}
-	for id := range nodes {
-		list.Workers = append(list.Workers, dispatch.Worker{ID: uint64(id+1) * 0x9e3779b97f4a7c15, Kind: id % 3, Zone: id % 2, Cell: id / 4, Ready: true})
+	for id := range workers {
+		list.Workers = append(list.Workers, dispatch.Worker{
+			ID: uint64(id+1) * 0x9e3779b97f4a7c15, Kind: id % 3, Zone: id % 2, Cell: id / 4, Ready: true,
+		})
 	}
-	ins := []Event{EndpointsChanged{Endpoints: list}}
-	for f := range forwarders {
-		ins = append(ins, SessionOpened{Session: SessionID(f + 1)},
-			ForwarderMessage{Session: SessionID(f + 1), Envelope: message.Envelope{Epoch: 1, Message: &message.Handshake{Name: fmt.Sprint("f", f), Version: 0x100}}})
+	events := []Event{EndpointsChanged{Endpoints: list}}
+	for n := range d.forwarders {
+		session := SessionID(n + 1)
+		handshake := &message.Handshake{Name: fmt.Sprint("f", n), Version: ownVersion}
+		events = append(events, SessionOpened{Session: session},
+			ForwarderMessage{Session: session, Envelope: message.Envelope{Epoch: 1, Message: handshake}})
 	}
-	r.step(ins)
-	return r
+	return events
 }
 
-func (r *rig) say(f SessionID, m message.Message) {
-	r.ins = append(r.ins, ForwarderMessage{Session: f, Envelope: message.Envelope{Epoch: 1, Message: m}})
+func (d *loadDriver) send(session SessionID, m message.Message) {
+	d.events = append(d.events, ForwarderMessage{Session: session, Envelope: message.Envelope{Epoch: 1, Message: m}})
 }
 
-func (r *rig) offer() {
-	f := SessionID(r.orders%r.fwds + 1)
-	r.orders++
-	r.last[f]++
-	m := &r.offers[len(r.ins)]
-	*m = message.RequestOffer{RequestID: r.last[f], Summary: r.head}
-	r.say(f, m)
+// offer has the next forwarder offer a request.
+func (d *loadDriver) offer() {
+	session := SessionID(d.offered%d.forwarders + 1)
+	d.offered++
+	d.lastIDs[session]++
+	m := &d.offers[len(d.events)]
+	*m = message.RequestOffer{RequestID: d.lastIDs[session], Summary: d.summary}
+	d.send(session, m)
 }
 
-func (r *rig) step(ins []Event) {
-	r.outs = r.b.Step(r.now, ins, r.outs[:0])
-	for i := range r.outs {
-		o, ok := r.outs[i].(SendToForwarder)
+func (d *loadDriver) step(events []Event) {
+	d.actions = d.planner.Step(d.now, events, d.actions[:0])
+	for _, action := range d.actions {
+		sent, ok := action.(SendToForwarder)
 		if !ok {
 			continue
 		}
-		switch m := o.Envelope.Message.(type) {
+		switch m := sent.Envelope.Message.(type) {
 		case *message.SendCommand:
-			r.starts = append(r.starts, rigDue{r.now + 2*rigDelay, o.Session, m.RequestID, m.Attempt})
-			r.ends = append(r.ends, rigDue{r.now + 2*rigDelay + rigRun, o.Session, m.RequestID, m.Attempt})
+			startsAt := d.now + 2*driverDelay
+			d.starts.push(dueResult{startsAt, sent.Session, m.RequestID, m.Attempt})
+			d.ends.push(dueResult{startsAt + driverRuntime, sent.Session, m.RequestID, m.Attempt})
 		case *message.RejectCommand, *message.FailCommand:
-			r.others++
+			d.rejected++
 		}
 	}
 }
 
-// pass takes in what is due next, at most so much at once, and a new query for each that is served.
-func (r *rig) pass(most int) {
-	r.ins = r.ins[:0]
-	for len(r.ins)+2 <= most || len(r.ins) == 0 {
-		if r.s < len(r.starts) && (r.e >= len(r.ends) || r.starts[r.s].at <= r.ends[r.e].at) {
-			d := r.starts[r.s]
-			r.s++
-			r.now = max(r.now, d.at)
-			m := &r.began[len(r.ins)]
-			*m = message.AttemptStarted{RequestID: d.query, Attempt: d.n}
-			r.say(d.f, m)
+// advance has the planner take in what is due next, at most so many messages, and an offer for each request that is served.
+func (d *loadDriver) advance(batch int) {
+	d.events = d.events[:0]
+	for len(d.events)+2 <= batch || len(d.events) == 0 {
+		startsAt, hasStart := d.starts.nextAt()
+		endsAt, hasEnd := d.ends.nextAt()
+		switch {
+		case hasStart && (!hasEnd || startsAt <= endsAt):
+			d.reportStart(d.starts.pop())
+			continue
+		case hasEnd:
+			d.reportEnd(d.ends.pop())
 			continue
 		}
-		if r.e >= len(r.ends) {
-			r.now += ms
-			break
-		}
-		d := r.ends[r.e]
-		r.e++
-		r.now = max(r.now, d.at)
-		m := &r.ended[len(r.ins)]
-		*m = message.AttemptEnded{RequestID: d.query, Attempt: d.n, Result: dispatch.OK}
-		r.say(d.f, m)
-		r.offer()
-		r.served++
-	}
-	if r.s > 1<<14 {
-		r.starts, r.s = r.starts[:copy(r.starts, r.starts[r.s:])], 0
-	}
-	if r.e > 1<<14 {
-		r.ends, r.e = r.ends[:copy(r.ends, r.ends[r.e:])], 0
-	}
-	r.step(r.ins)
-}
-
-// BenchmarkQuery is the whole life of a query at the book: its head, an order, a start, an end. A tenth of the fleet's
-// slots are in use, by ten forwarders. By one message a step, and by up to 64.
-func BenchmarkQuery(b *testing.B) {
-	for _, most := range []int{2, 64} {
-		for _, nodes := range []int{10, 100, 1000, 10000} {
-			b.Run(fmt.Sprintf("nodes=%d/batch=%d", nodes, most), func(b *testing.B) {
-				r := newRig(nodes, 10)
-				for range max(4, nodes*4/10) {
-					r.ins = r.ins[:0]
-					r.offer()
-					r.step(r.ins)
-				}
-				for r.served < 4*nodes {
-					r.pass(most)
-				}
-				b.ReportAllocs()
-				from, others := r.served, r.others
-				for b.Loop() {
-					for want := r.served + 1; r.served < want; {
-						r.pass(most)
-					}
-				}
-				n := float64(r.served - from)
-				b.ReportMetric(n/b.Elapsed().Seconds(), "queries/s")
-				b.ReportMetric(n/float64(b.N), "queries/op")
-				b.ReportMetric(float64(r.others-others)/n, "refused/query")
-			})
-		}
+		d.now += ms
+		break
 	}
+	d.starts.compact()
+	d.ends.compact()
+	d.step(d.events)
+}
+
+func (d *loadDriver) reportStart(start dueResult) {
+	d.now = max(d.now, start.at)
+	m := &d.started[len(d.events)]
+	*m = message.AttemptStarted{RequestID: start.request, Attempt: start.attempt}
+	d.send(start.session, m)
+}
+
+func (d *loadDriver) reportEnd(end dueResult) {
+	d.now = max(d.now, end.at)
+	m := &d.ended[len(d.events)]
+	*m = message.AttemptEnded{RequestID: end.request, Attempt: end.attempt, Result: dispatch.OK}
+	d.send(end.session, m)
+	d.offer()
+	d.served++
 }
--- /dev/null
+++ b/internal/control/planner/contract_policy_test.go
@@ -0,0 +1,143 @@
+package planner
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"valvecove/dispatch"
+)
+
+// contractPolicy is a dispatcher that also checks whether the planner tells it what package dispatch asks of its caller.
+type contractPolicy struct {
+	*dispatch.Dispatcher
+	jobs       map[uint64]*contractJob
+	workers    map[uint64]bool // that it was told of
+	violations []string
+}
+
+type contractJob struct {
+	closed   bool
+	attempts []contractAttempt
+}
+
+type contractAttempt struct {
+	worker uint64
+	ended  bool
+}
+
+func newContractPolicy(settings dispatch.Settings) *contractPolicy {
+	return &contractPolicy{
+		Dispatcher: dispatch.New(settings, 1), jobs: map[uint64]*contractJob{}, workers: map[uint64]bool{},
+	}
+}
+
+func (c *contractPolicy) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+	for _, event := range events {
+		c.check(event)
+	}
+	known := len(dst)
+	dst = c.Dispatcher.Step(now, events, dst)
+	for _, action := range dst[known:] {
+		c.record(action)
+	}
+	return dst
+}
+
+func (c *contractPolicy) violation(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
+}
+
+func (c *contractPolicy) check(event dispatch.Event) {
+	switch e := event.(type) {
+	case dispatch.Job:
+		c.arrived(e, nil)
+	case dispatch.JobResumed:
+		c.arrived(e.Job, e.Attempts)
+	case dispatch.Outcome:
+		if attempt := c.inFlight("outcome", e.Job, e.Attempt, e.Worker); attempt != nil {
+			attempt.ended = true
+			c.jobs[e.Job].closed = c.jobs[e.Job].closed || e.Closed
+			c.forgetIfEnded(e.Job)
+		}
+	case dispatch.Started:
+		c.inFlight("start", e.Job, e.Attempt, e.Worker)
+	case dispatch.Progressed:
+		c.inFlight("progress", e.Job, e.Attempt, e.Worker)
+	case dispatch.ClientDisconnected:
+		if job := c.jobs[e.Job]; job == nil || job.closed {
+			c.violation("job %d is closed twice", e.Job)
+		} else {
+			c.close(e.Job)
+		}
+	case dispatch.WorkerList:
+		c.listed(e)
+	}
+}
+
+func (c *contractPolicy) arrived(job dispatch.Job, past []dispatch.PastAttempt) {
+	if job.Tenant == poisonTenant {
+		panic("poison")
+	}
+	if c.jobs[job.ID] != nil {
+		c.violation("job %d arrives twice", job.ID)
+	}
+	added := &contractJob{}
+	for _, p := range past {
+		added.attempts = append(added.attempts, contractAttempt{p.Worker, p.Ended})
+		if !c.workers[p.Worker] {
+			c.violation("job %d comes with an attempt at worker %d, which was not told of", job.ID, p.Worker)
+		}
+	}
+	c.jobs[job.ID] = added
+}
+
+// inFlight returns an attempt that is in flight; nil: it is not, which is a violation.
+func (c *contractPolicy) inFlight(what string, id uint64, number int, worker uint64) *contractAttempt {
+	job := c.jobs[id]
+	if job == nil || number < 0 || number >= len(job.attempts) || job.attempts[number].ended ||
+		job.attempts[number].worker != worker {
+		c.violation("%s of job %d, attempt %d at worker %d, which is not in flight", what, id, number, worker)
+		return nil
+	}
+	return &job.attempts[number]
+}
+
+func (c *contractPolicy) listed(list dispatch.WorkerList) {
+	if list.Kind != dispatch.ListDelta && list.Kind != dispatch.ListUnavailable {
+		clear(c.workers)
+	}
+	for _, worker := range list.Workers {
+		delete(c.workers, worker.ID)
+		if !worker.Removed {
+			c.workers[worker.ID] = true
+		}
+	}
+}
+
+func (c *contractPolicy) record(action dispatch.Action) {
+	switch a := action.(type) {
+	case dispatch.Send:
+		if job := c.jobs[a.Job]; job == nil || job.closed {
+			c.violation("send of job %d, which is closed", a.Job)
+		} else {
+			job.attempts = append(job.attempts, contractAttempt{worker: a.Worker})
+		}
+	case dispatch.Reject:
+		c.close(a.Job)
+	case dispatch.Fail:
+		c.close(a.Job)
+	}
+}
+
+func (c *contractPolicy) close(id uint64) {
+	c.jobs[id].closed = true
+	c.forgetIfEnded(id)
+}
+
+func (c *contractPolicy) forgetIfEnded(id uint64) {
+	job := c.jobs[id]
+	if job.closed && !slices.ContainsFunc(job.attempts, func(a contractAttempt) bool { return !a.ended }) {
+		delete(c.jobs, id)
+	}
+}
--- /dev/null
+++ b/internal/control/planner/model_fault_test.go
@@ -0,0 +1,147 @@
+package planner
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/control/message"
+)
+
+// fault has something happen to the planner, a forwarder, the workers or the peers.
+func (r *randomRun) fault() {
+	f := r.forwarders[r.pick(len(r.forwarders))]
+	switch r.pick(13) {
+	case 0:
+		r.step(3 * time.Second) // the planner is frozen
+	case 1: // both ends notice
+		if f.connection != nil {
+			r.cut(f.connection, true)
+		}
+	case 4: // on another connection or on the same
+		f.connect(r.oneIn(2))
+	case 5:
+		f.restart()
+	case 6, 7:
+		r.changeWorker()
+	case 8, 9:
+		r.reportStatus(f)
+	case 10:
+		r.changePeer()
+	case 11:
+		r.reportLoads()
+	case 12:
+		r.events = append(r.events, EndpointsChanged{Endpoints: dispatch.WorkerList{Kind: dispatch.ListUnavailable}})
+	}
+}
+
+// changeWorker has a worker drain, go, come back, or start again.
+func (r *randomRun) changeWorker() {
+	r.revision++
+	worker := &r.workers[r.pick(len(r.workers))]
+	switch r.pick(4) {
+	case 0:
+		worker.Ready = false
+	case 1:
+		worker.Removed, worker.Ready = true, false
+	default:
+		worker.Removed, worker.Ready = false, true
+		if r.oneIn(2) {
+			worker.BootAt = (r.now - r.span(time.Second)).Truncate(ms)
+		}
+	}
+	if r.oneIn(4) {
+		r.sendList(dispatch.ListFull)
+	} else {
+		r.sendList(dispatch.ListDelta, *worker)
+	}
+}
+
+// sendList has the planner told of the endpoint list, or of some of its entries.
+func (r *randomRun) sendList(kind dispatch.ListKind, changed ...dispatch.Worker) {
+	list := dispatch.WorkerList{Kind: kind, Revision: r.revision, Workers: changed}
+	if kind != dispatch.ListDelta {
+		list.Workers = r.presentWorkers()
+		for _, id := range slices.Sorted(maps.Keys(r.listed)) {
+			if !slices.ContainsFunc(list.Workers, func(w dispatch.Worker) bool { return w.ID == id }) {
+				r.recordRemoval(r.listed[id])
+			}
+		}
+	}
+	for _, worker := range list.Workers {
+		if worker.Removed {
+			r.recordRemoval(worker)
+			continue
+		}
+		r.listed[worker.ID] = worker
+		r.recordStatus(entryStatus(&worker, r.revision))
+	}
+	r.events = append(r.events, EndpointsChanged{Endpoints: list})
+}
+
+func (r *randomRun) presentWorkers() (present []dispatch.Worker) {
+	for _, worker := range r.workers {
+		if !worker.Removed {
+			present = append(present, worker)
+		}
+	}
+	return present
+}
+
+// recordRemoval records that a worker is not on the list any more, unless a newer status says that it is there.
+func (r *randomRun) recordRemoval(worker dispatch.Worker) {
+	known, isListed := r.listed[worker.ID]
+	if !isListed {
+		return
+	}
+	status := entryStatus(&worker, r.revision)
+	status.StartedMs = max(status.StartedMs, known.BootAt.Milliseconds())
+	status.State = message.WorkerGone
+	if newest := r.statuses[worker.ID]; newest.Supersedes(status) && newest.State != message.WorkerGone {
+		return
+	}
+	delete(r.listed, worker.ID)
+	r.recordStatus(status)
+}
+
+// reportStatus has a forwarder report a worker's status, by the present list, the next one or the one before.
+func (r *randomRun) reportStatus(f *modelForwarder) {
+	worker := r.workers[r.pick(len(r.workers))]
+	status := message.WorkerStatus{
+		WorkerID: worker.ID, StartedMs: worker.BootAt.Milliseconds(), Revision: r.revision + int64(r.pick(3)) - 1,
+		State: message.WorkerState(r.pick(3)),
+	}
+	if r.oneIn(2) {
+		f.send(&status)
+	}
+}
+
+// changePeer has a planner come or go, and the partition change with it.
+func (r *randomRun) changePeer() {
+	name := []string{"plan-b", "plan-c"}[r.pick(2)]
+	wasThere := r.peers[name]
+	event := Event(PeerConnected{Peer: name})
+	if wasThere {
+		event = PeerDisconnected{Peer: name}
+		delete(r.peers, name)
+	} else {
+		r.peers[name] = true
+	}
+	names := slices.Sorted(maps.Keys(r.peers))
+	r.owner = append([]string{ownName}, names...)
+	r.events = append(r.events, event, PeersChanged{Names: names}, PartitionChanged{Owner: ownerByCell(r.owner...)})
+	if !wasThere {
+		handshake := &message.PeerHandshake{Name: name, Version: ownVersion}
+		r.events = append(r.events, PeerMessage{Peer: name, Envelope: message.Envelope{Epoch: 1, Message: handshake}})
+	}
+}
+
+func (r *randomRun) reportLoads() {
+	for _, name := range slices.Sorted(maps.Keys(r.peers)) {
+		report := &message.LoadReport{
+			OpenRequests: r.pick(20), QueuedRequests: r.pick(3), FreeSlots: float64(r.pick(20)),
+		}
+		r.events = append(r.events, PeerMessage{Peer: name, Envelope: message.Envelope{Epoch: 1, Message: report}})
+	}
+}
--- /dev/null
+++ b/internal/control/planner/state_test.go
@@ -0,0 +1,129 @@
+package planner
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"valvecove/dispatch"
+)
+
+// A request's state decides whether it is counted as open, is in the queue, and expires.
+func TestRequestTransitions(t *testing.T) {
+	table := newRequestTable(1)
+	f := &forwarder{}
+	req := table.allocate()
+	req.forwarder = f
+	req.At = time.Hour
+	for _, want := range []struct {
+		state                   requestState
+		open, queued, expirings int
+	}{
+		{requestOffered, 1, 0, 0},
+		{requestQueued, 1, 1, 0},
+		{requestInFlight, 1, 0, 0},
+		{requestQueued, 1, 1, 0},
+		{requestQueued, 1, 1, 0},
+		{requestInFlight, 1, 0, 0},
+		{requestClosing, 0, 0, 1},
+		{requestRemoved, 0, 0, 0},
+	} {
+		table.transition(req, want.state, time.Minute)
+		if req.state != want.state || table.openCount != want.open || f.openCount != want.open ||
+			table.queued.length != want.queued || table.expiries.Len() != want.expirings {
+			t.Errorf("%v: %d open, %d of the forwarder, %d queued, %d expire; want %+v", req.state, table.openCount, f.openCount,
+				table.queued.length, table.expiries.Len(), want)
+		}
+	}
+	if req.queuedSince != time.Minute {
+		t.Errorf("queued since %v", req.queuedSince)
+	}
+}
+
+// An attempt never goes back to an earlier state, and its first start is the one that counts.
+func TestAttemptsOnlyAdvance(t *testing.T) {
+	a := attempt{}
+	a.confirmStart(time.Second)
+	a.confirmStart(2 * time.Second)
+	a.advanceTo(attemptCommanded)
+	if a.state != attemptConfirmed || a.startedAt != time.Second {
+		t.Errorf("%v, started at %v", a.state, a.startedAt)
+	}
+	a.advanceTo(attemptEnded)
+	a.confirmStart(time.Second)
+	if a.state != attemptEnded || a.inFlight() {
+		t.Errorf("%v after its end", a.state)
+	}
+}
+
+// A session and its forwarder refer to each other in the states in which it has one, and in no other.
+func TestSessionTransitions(t *testing.T) {
+	f := &forwarder{}
+	s := &session{}
+	for _, state := range []sessionState{sessionAccepting, sessionEstablished} {
+		s.transition(state, f)
+		if s.state != state || s.forwarder != f || f.session != s {
+			t.Errorf("%v, %v of %v", state, s.forwarder, f.session)
+		}
+	}
+	for _, state := range []sessionState{sessionAwaitingHandshake, sessionClosed} {
+		s.transition(sessionEstablished, f)
+		s.transition(state, nil)
+		if s.state != state || s.forwarder != nil || f.session != nil {
+			t.Errorf("%v, %v of %v", state, s.forwarder, f.session)
+		}
+	}
+}
+
+// A peer that disconnects has neither an epoch nor a load any more.
+func TestPeerTransitions(t *testing.T) {
+	p := &peer{}
+	p.transition(peerEstablished, 7)
+	p.loadAt = time.Second
+	if !p.hasRecentLoad(2*time.Second) || p.hasRecentLoad(3*time.Second) {
+		t.Error("a load report holds for a second")
+	}
+	p.transition(peerDisconnected, 0)
+	if p.state != peerDisconnected || p.remoteEpoch != 0 || p.hasRecentLoad(time.Second) {
+		t.Errorf("%v, epoch %d, load at %v", p.state, p.remoteEpoch, p.loadAt)
+	}
+}
+
+// A planner's phases only advance, and it asks its policy nothing once it stops.
+func TestPhasesOnlyAdvance(t *testing.T) {
+	p := newTestPlanner(Config{})
+	p.Step(time.Hour, nil, nil)
+	for _, to := range []phase{phaseRunning, phaseStopping, phaseRunning, phaseStopped, phaseStopping} {
+		before := p.phase
+		p.enter(to)
+		if p.phase != max(before, to) {
+			t.Errorf("%v after %v and %v", p.phase, before, to)
+		}
+		p.notifyPolicy(dispatch.TimerFired{})
+		if (len(p.policy.pending) > 0) != (p.phase == phaseRunning) {
+			t.Errorf("%d events for the policy while %v", len(p.policy.pending), p.phase)
+		}
+		p.policy.discardPending()
+	}
+}
+
+// Every state has a name of its own.
+func TestNamesOfStates(t *testing.T) {
+	names := map[string]bool{}
+	check := func(kind string, state fmt.Stringer, isState bool) {
+		t.Helper()
+		name := kind + " " + state.String()
+		isUnknown := state.String() == "unknown"
+		if isUnknown == isState || isState && names[name] {
+			t.Errorf("%s: known %v", name, isState)
+		}
+		names[name] = true
+	}
+	for n := range uint8(8) {
+		check("phase", phase(n), phase(n) <= phaseStopped)
+		check("session", sessionState(n), sessionState(n) <= sessionClosed)
+		check("request", requestState(n), requestState(n) <= requestRemoved)
+		check("attempt", attemptState(n), attemptState(n) <= attemptEnded)
+		check("peer", peerState(n), peerState(n) <= peerEstablished)
+	}
+}
