--- /dev/null
+++ b/internal/control/forwarder/harness_test.go
@@ -0,0 +1,200 @@
+package forwarder
+
+import (
+	"container/heap"
+	"hash/fnv"
+	"log/slog"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/requests"
+)
+
+const (
+	startTime     = 1000 * time.Hour // of a test; workers have started before
+	maxIterations = 10000            // of the loop at one instant
+	millisecond   = time.Millisecond
+)
+
+// harness is a forwarder in virtual time: it is the policy of a request table. The functions stand for clients, workers and
+// connections.
+type harness struct {
+	now          time.Duration
+	forwarder    *Forwarder
+	table        *requests.Table
+	events       eventQueue
+	lastSequence uint64
+
+	onStart       func(attempt *requests.Attempt)
+	onAbandon     func(attempt *requests.Attempt)
+	onCheckHealth func(worker uint64)
+	onCloseIdle   func(worker uint64)
+	onResponse    func(client *client, response string, retryAfter time.Duration)
+	onMessage     func(outgoing Outgoing) // of the forwarder
+	onAction      func(action dispatch.Action)
+	onWatch       func(revision int64)
+	onStep        func() // after the table's step
+}
+
+func newHarness(settings dispatch.Settings, config Config, selector PlannerSelector, newPolicy func() Policy) *harness {
+	config.Name = "f"
+	config.Incarnation = 1000
+	return &harness{now: startTime, forwarder: New(settings, config, selector, newPolicy)}
+}
+
+// start makes the request table, once all functions are set.
+func (h *harness) start(known requests.EndpointList) {
+	names := requests.NameTable{Zones: []string{"z0", "z1", "z2"}, MachineTypes: []string{"k0", "k1", "k2"}}
+	newPolicy := func() requests.Policy { return recordingPolicy{h} }
+	attempts := max(1, h.forwarder.settings.AttemptLimit)
+	h.table = requests.New(attempts, names, newPolicy, known, h, slog.New(slog.DiscardHandler))
+}
+
+// recordingPolicy is the forwarder as the request table's policy. It passes on its actions and messages.
+type recordingPolicy struct{ harness *harness }
+
+func (p recordingPolicy) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+	from := len(dst)
+	dst = p.harness.forwarder.Step(now, events, dst)
+	if p.harness.onAction != nil {
+		for _, action := range dst[from:] {
+			p.harness.onAction(action)
+		}
+	}
+	for _, outgoing := range p.harness.forwarder.Outbox() {
+		outgoing.Envelope = outgoing.Clone()
+		p.harness.onMessage(outgoing)
+	}
+	return dst
+}
+
+// The harness is the request table's transport.
+
+func (h *harness) Start(attempt *requests.Attempt)    { h.onStart(attempt) }
+func (h *harness) Abandon(attempt *requests.Attempt)  { h.onAbandon(attempt) }
+func (h *harness) CheckHealth(worker uint64)          { h.onCheckHealth(worker) }
+func (h *harness) CloseIdleConnections(worker uint64) { h.onCloseIdle(worker) }
+func (h *harness) Watch(revision int64)               { h.onWatch(revision) }
+
+// Cancel withdraws an attempt, which its worker hears at once.
+func (h *harness) Cancel(attempt *requests.Attempt) {
+	h.table.CancelCompleted(attempt, true)
+	h.onAbandon(attempt)
+}
+
+// settle steps the table until nothing is left to do at this instant.
+func (h *harness) settle() {
+	for range maxIterations {
+		if h.forwarder.HasPending() {
+			h.table.Wake()
+		}
+		at, ok := h.table.NextStep()
+		if !ok || at > h.now {
+			return
+		}
+		h.table.Step(h.now)
+		if h.onStep != nil {
+			h.onStep()
+		}
+	}
+	panic("no end at one instant")
+}
+
+// runUntil lets time pass, and does what is due meanwhile.
+func (h *harness) runUntil(end time.Duration) {
+	h.settle()
+	for {
+		next := end
+		if at, ok := h.table.NextStep(); ok {
+			next = min(next, at)
+		}
+		if len(h.events) > 0 {
+			next = min(next, h.events[0].at)
+		}
+		h.now = max(h.now, next)
+		for len(h.events) > 0 && h.events[0].at <= h.now {
+			heap.Pop(&h.events).(scheduledEvent).act()
+		}
+		h.settle()
+		if next >= end {
+			return
+		}
+	}
+}
+
+// after has something done later.
+func (h *harness) after(delay time.Duration, act func()) {
+	heap.Push(&h.events, scheduledEvent{h.now + delay, h.lastSequence, act})
+	h.lastSequence++
+}
+
+// scheduledEvent is something to be done at an instant.
+type scheduledEvent struct {
+	at       time.Duration
+	sequence uint64 // of two events at one instant, the one of the lesser number comes first
+	act      func()
+}
+
+// eventQueue is a heap of events by time.
+type eventQueue []scheduledEvent
+
+func (q eventQueue) Len() int { return len(q) }
+
+func (q eventQueue) Less(i, k int) bool {
+	return q[i].at < q[k].at || q[i].at == q[k].at && q[i].sequence < q[k].sequence
+}
+
+func (q eventQueue) Swap(i, k int) { q[i], q[k] = q[k], q[i] }
+
+func (q *eventQueue) Push(event any) { *q = append(*q, event.(scheduledEvent)) }
+
+func (q *eventQueue) Pop() any {
+	last := len(*q) - 1
+	event := (*q)[last]
+	*q = (*q)[:last]
+	return event
+}
+
+// Names of responses.
+const (
+	responseServed   = "served"
+	responseRejected = "rejected"
+	responseFailed   = "failed"
+)
+
+// client is the responder of a request.
+type client struct {
+	harness   *harness
+	request   *requests.Request
+	name      string
+	responses []string
+}
+
+func (c *client) RespondResult([]byte) { c.respond(responseServed, 0) }
+
+func (c *client) RespondRejected(retryAfter time.Duration) { c.respond(responseRejected, retryAfter) }
+
+func (c *client) RespondFailed() { c.respond(responseFailed, 0) }
+
+func (c *client) respond(response string, retryAfter time.Duration) {
+	c.responses = append(c.responses, response)
+	c.harness.onResponse(c, response, retryAfter)
+}
+
+// admit has a request arrive.
+func (h *harness) admit(name string, job dispatch.Job) *client {
+	admitted := &client{harness: h, name: name}
+	request, err := h.table.Admit(h.now, requests.Arrival{CallID: name, Job: job, Responder: admitted})
+	if err != nil {
+		panic(err)
+	}
+	admitted.request = request
+	return admitted
+}
+
+// workerID returns the ID that the request table gives a worker by its name.
+func workerID(name string) uint64 {
+	hash := fnv.New64a()
+	hash.Write([]byte(name))
+	return hash.Sum64()
+}
--- /dev/null
+++ b/internal/control/forwarder/realplanner_test.go
@@ -0,0 +1,422 @@
+package forwarder
+
+import (
+	"maps"
+	"slices"
+	"strconv"
+	"testing"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/control/membership"
+	"valvecove/internal/control/message"
+	"valvecove/internal/control/planner"
+	"valvecove/internal/requests"
+)
+
+// cluster is a forwarder with planners as they are, and the membership by which it selects one.
+type cluster struct {
+	*environment
+	planners        []*plannerProcess
+	membership      *membership.ForwarderMembership
+	lastIncarnation uint64
+	seed            uint64
+}
+
+// plannerProcess is a planner that may die and start again.
+type plannerProcess struct {
+	connection
+	cluster    *cluster
+	planner    *planner.Planner // nil: it is dead
+	changes    int              // counts starts and deaths
+	sessionID  planner.SessionID
+	heldEvents []planner.Event // that came while it was frozen
+	peers      map[string]bool // that it is connected to
+}
+
+func newCluster(t *testing.T, seed uint64, planners int) *cluster {
+	t.Helper()
+	self := membership.Member{Name: "f", Incarnation: 1}
+	members := membership.NewForwarderMembership(self, membership.Config{})
+	c := &cluster{
+		environment:     newEnvironment(t, seed, members),
+		membership:      members,
+		lastIncarnation: 100,
+		seed:            seed,
+	}
+	for i := range planners {
+		c.addPlanner("p" + strconv.Itoa(i))
+	}
+	c.onWorkerChanged = c.tellPlanners
+	return c
+}
+
+func (c *cluster) addPlanner(name string) {
+	process := &plannerProcess{
+		connection: connection{env: c.environment, name: name},
+		cluster:    c,
+		peers:      map[string]bool{},
+	}
+	process.onMessage = func(envelope message.Envelope) {
+		process.step(planner.ForwarderMessage{Session: process.sessionID, Envelope: envelope})
+	}
+	c.planners = append(c.planners, process)
+	c.connections = append(c.connections, &process.connection)
+}
+
+// tellPlanners has planners hear of a change of a worker, each after a time of its own.
+func (c *cluster) tellPlanners(endpoint requests.Endpoint) {
+	for _, process := range c.planners {
+		list := dispatch.WorkerList{
+			Kind:     dispatch.ListDelta,
+			Workers:  []dispatch.Worker{workerOf(endpoint)},
+			Revision: c.revision,
+		}
+		c.after(c.randomDuration(0, 40), func() {
+			process.step(planner.EndpointsChanged{Endpoints: list})
+		})
+	}
+}
+
+// allowTime leaves time enough to serve all requests.
+func (c *cluster) allowTime() {
+	c.arrivalInterval = 30 * millisecond
+	c.minRemaining = 1500 * millisecond
+	c.forwarder.config.MaxWaiting = 1000
+	for i := range c.settings.Classes {
+		class := &c.settings.Classes[i]
+		class.LatencyObjective = time.Second
+		class.Kinds = nil
+	}
+}
+
+// workerOf returns an endpoint as a planner's policy has it. Names of zones and machine types end in their index.
+func workerOf(endpoint requests.Endpoint) dispatch.Worker {
+	index := func(name string) int { return int(name[len(name)-1] - '0') }
+	return dispatch.Worker{
+		ID:      workerID(endpoint.ID),
+		Kind:    index(endpoint.MachineType),
+		Zone:    index(endpoint.Zone),
+		Cell:    endpoint.Cell,
+		Ready:   endpoint.Lifecycle == "up",
+		Removed: endpoint.Lifecycle == "removed",
+		BootAt:  time.Duration(endpoint.StartedAtMs) * millisecond,
+	}
+}
+
+// begin starts all.
+func (c *cluster) begin() {
+	for _, process := range c.planners {
+		process.start()
+	}
+	c.environment.begin()
+	c.maintain()
+}
+
+// stepMembership steps the forwarder's membership, and executes its actions.
+func (c *cluster) stepMembership(events ...membership.Event) {
+	for _, action := range c.membership.Step(c.now, events, nil) {
+		switch action := action.(type) {
+		case membership.SetPlanners:
+			c.forwarder.SetPlanners(action.Names)
+		case membership.SetForwarderIndex:
+			c.forwarder.SetForwarderIndex(action.Index, action.Count)
+		}
+	}
+}
+
+// maintain steps the membership from time to time, and closes connections to planners that shut down.
+func (c *cluster) maintain() {
+	c.stepMembership()
+	for _, name := range c.forwarder.DrainingPlanners() {
+		for _, process := range c.planners {
+			if process.name == name {
+				process.reconnect()
+			}
+		}
+	}
+	c.after(5*millisecond, func() {
+		if !c.stopped {
+			c.maintain()
+		}
+	})
+}
+
+// announceMembers tells all planners which of them are alive, and divides the cells among these.
+func (c *cluster) announceMembers() {
+	alive := []string{}
+	for _, process := range c.planners {
+		if process.planner != nil {
+			alive = append(alive, process.name)
+		}
+	}
+	if len(alive) == 0 {
+		return
+	}
+	for _, process := range c.planners {
+		if process.planner != nil {
+			process.updatePeers(alive)
+		}
+	}
+}
+
+// updatePeers tells a planner which planners are alive.
+func (p *plannerProcess) updatePeers(alive []string) {
+	for _, other := range p.cluster.planners {
+		isAlive := other.planner != nil
+		if other == p || p.peers[other.name] == isAlive {
+			continue
+		}
+		p.peers[other.name] = isAlive
+		var event planner.Event = planner.PeerDisconnected{Peer: other.name}
+		if isAlive {
+			event = planner.PeerConnected{Peer: other.name}
+		}
+		p.step(event)
+	}
+	peers := slices.DeleteFunc(slices.Clone(alive), func(name string) bool { return name == p.name })
+	owner := func(worker *dispatch.Worker) string { return alive[worker.Cell%len(alive)] }
+	p.step(planner.PeersChanged{Names: peers}, planner.PartitionChanged{Owner: owner})
+}
+
+// start begins a process.
+func (p *plannerProcess) start() {
+	if p.planner != nil || p.env.stopped {
+		return
+	}
+	p.cluster.lastIncarnation++
+	incarnation := p.cluster.lastIncarnation
+	p.changes++
+	p.frozen = false
+	p.heldEvents = nil
+	clear(p.peers)
+	p.planner = planner.New(planner.Config{
+		Name:        p.name,
+		Incarnation: incarnation,
+		Settings:    p.env.settings,
+		StopTimeout: 300 * millisecond,
+		NewPolicy:   func() planner.Policy { return dispatch.New(p.env.settings, p.cluster.seed) },
+	})
+	list := dispatch.WorkerList{Kind: dispatch.ListFull, Revision: p.env.revision}
+	for _, endpoint := range p.env.workers {
+		if endpoint.Lifecycle != "removed" {
+			list.Workers = append(list.Workers, workerOf(endpoint))
+		}
+	}
+	p.step(planner.EndpointsChanged{Endpoints: list})
+	p.env.after(p.env.randomDuration(1, 30), func() {
+		member := membership.Member{Name: p.name, Role: membership.RolePlanner, Incarnation: incarnation}
+		p.cluster.stepMembership(membership.MemberJoined{Member: member})
+		p.cluster.announceMembers()
+		p.connect()
+	})
+}
+
+func (p *plannerProcess) connect() {
+	if p.established || p.planner == nil || p.env.stopped {
+		return
+	}
+	p.sessionID++
+	p.connection.connect()
+	p.step(planner.SessionOpened{Session: p.sessionID})
+}
+
+// reconnect ends the connection; another one follows.
+func (p *plannerProcess) reconnect() {
+	if !p.established {
+		return
+	}
+	p.disconnect()
+	p.step(planner.SessionClosed{Session: p.sessionID})
+	p.env.after(p.env.randomDuration(5, 100), p.connect)
+}
+
+// kill ends the process; another one starts.
+func (p *plannerProcess) kill() {
+	if p.planner == nil {
+		return
+	}
+	p.planner = nil
+	p.changes++
+	incarnation := p.cluster.lastIncarnation
+	p.disconnect()
+	p.env.after(p.env.randomDuration(20, 400), func() {
+		p.cluster.stepMembership(membership.MemberDied{Name: p.name, Incarnation: incarnation})
+		p.cluster.announceMembers()
+	})
+	p.env.after(p.env.randomDuration(100, 1500), p.start)
+}
+
+func (p *plannerProcess) step(events ...planner.Event) {
+	switch {
+	case p.planner == nil:
+	case p.frozen:
+		p.heldEvents = append(p.heldEvents, events...)
+	default:
+		for _, action := range p.planner.Step(p.env.now, events, nil) {
+			p.execute(action)
+		}
+	}
+}
+
+// execute executes an action of the planner.
+func (p *plannerProcess) execute(action planner.Action) {
+	switch action := action.(type) {
+	case planner.SendToForwarder:
+		if p.established && action.Session == p.sessionID {
+			p.send(action.Envelope)
+		}
+	case planner.SendToPeer:
+		p.sendToPeer(action)
+	case planner.CloseSession:
+		if action.Session == p.sessionID {
+			p.closeSession()
+		}
+	case planner.SetTimer:
+		p.laterInProcess(action.After, planner.TimerFired{})
+	case planner.WatchEndpoints:
+		delay := p.env.randomDuration(1, 20)
+		p.env.after(delay, p.inProcess(func() {
+			list := dispatch.WorkerList{Kind: dispatch.ListDelta, Revision: p.env.revision}
+			p.step(planner.EndpointsChanged{Endpoints: list})
+		}))
+	case planner.Stopped:
+		p.env.after(2*transitTime, p.kill)
+	}
+}
+
+// inProcess returns a function that acts if the present process is still alive then.
+func (p *plannerProcess) inProcess(act func()) func() {
+	changes := p.changes
+	return func() {
+		if p.changes == changes {
+			act()
+		}
+	}
+}
+
+func (p *plannerProcess) laterInProcess(delay time.Duration, event planner.Event) {
+	p.env.after(delay, p.inProcess(func() { p.step(event) }))
+}
+
+func (p *plannerProcess) sendToPeer(action planner.SendToPeer) {
+	received := planner.PeerMessage{Peer: p.name, Envelope: action.Envelope}
+	for _, peer := range p.cluster.planners {
+		if peer.name == action.Peer {
+			p.env.after(transitTime, func() { peer.step(received) })
+		}
+	}
+}
+
+// closeSession closes the connection, once what was sent before has arrived.
+func (p *plannerProcess) closeSession() {
+	generation := p.generation
+	p.env.after(transitTime, func() {
+		if p.generation == generation {
+			p.disconnect()
+			p.env.after(p.env.randomDuration(5, 100), p.connect)
+		}
+	})
+}
+
+// scheduleFault has a planner suffer a fault later, and then the next one.
+func (c *cluster) scheduleFault(interval int) {
+	c.after(c.randomDuration(interval/4, interval), func() {
+		if c.stopped {
+			for _, process := range c.planners {
+				process.thaw()
+			}
+			return
+		}
+		process := c.planners[c.rng.IntN(len(c.planners))]
+		process.sufferFault()
+		c.scheduleFault(interval)
+	})
+}
+
+// sufferFault has the planner die, freeze, shut down or lose its connection, or all planners die.
+func (p *plannerProcess) sufferFault() {
+	switch p.env.rng.IntN(5) {
+	case 0:
+		p.kill()
+	case 1:
+		if p.planner != nil && !p.frozen {
+			p.frozen = true
+			p.env.after(p.env.randomDuration(20, 1200), p.thaw)
+		}
+	case 2:
+		p.step(planner.StopRequested{})
+	case 3:
+		p.reconnect()
+	case 4:
+		for _, other := range p.cluster.planners {
+			other.kill()
+		}
+	}
+}
+
+// thaw ends a freeze. What the planner had sent before has arrived meanwhile.
+func (p *plannerProcess) thaw() {
+	if !p.frozen {
+		return
+	}
+	p.frozen = false
+	events, inbox := p.heldEvents, p.inbox
+	p.heldEvents, p.inbox = nil, nil
+	p.step(events...)
+	for _, envelope := range inbox {
+		p.onMessage(envelope)
+	}
+}
+
+// With real planners and without faults all requests are served, and no command is rejected.
+func TestRealPlanners(t *testing.T) {
+	for seed := range uint64(6) {
+		c := newCluster(t, seed, 1+int(seed)%3)
+		c.faultless = true
+		c.allowTime()
+		c.begin()
+		c.run(3 * time.Second)
+		if len(c.violations) > 0 {
+			t.Fatalf("seed %d: %s", seed, c.violations[0])
+		}
+		served, lost := c.stats[responseServed], c.stats[responseRejected]+c.stats[responseFailed]
+		if lost > 0 || served < 50 {
+			t.Errorf("seed %d: %d served, %d not", seed, served, lost)
+		}
+		for reason := range message.ReasonCount {
+			if count := c.forwarder.validator.RejectedCount(reason); count > 0 {
+				t.Errorf("seed %d: %d commands rejected as %q", seed, count, reason)
+			}
+		}
+	}
+}
+
+// With real planners and faults no rule is broken, and nearly all requests are served if there is time.
+func TestRealPlannersWithFaults(t *testing.T) {
+	hurried, ample := map[string]int{}, map[string]int{}
+	for seed := *firstSeed; seed < *firstSeed+*runs/2; seed++ {
+		c := newCluster(t, seed, 1+int(seed)%3)
+		stats, faultInterval := hurried, 1000
+		if seed%2 == 0 {
+			c.faultless = true
+			c.allowTime()
+			stats, faultInterval = ample, 300
+		}
+		c.scheduleFault(faultInterval)
+		c.begin()
+		c.run(4 * time.Second)
+		if len(c.violations) > 0 {
+			t.Fatalf("seed %d: %d violations, the first: %s", seed, len(c.violations), c.violations[0])
+		}
+		for name, count := range c.stats {
+			stats[name] += count
+		}
+	}
+	if lost := ample[responseRejected] + ample[responseFailed]; lost*100 > ample[responseServed] {
+		t.Errorf("%d lost, though there was time, and %d served", lost, ample[responseServed])
+	}
+	for _, name := range slices.Sorted(maps.Keys(hurried)) {
+		t.Logf("%s %d, with ample time %d", name, hurried[name], ample[name])
+	}
+}
--- a/internal/link/leaving_test.go
+++ b/internal/link/leaving_test.go
@@ -7,8 +7,6 @@
 	"testing"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"valvecove/dispatch"
 	"valvecove/internal/http1"
 	"valvecove/internal/requests"
@@ -176,13 +174,12 @@
 	}
 	p.halfCloses()
 	w.turn()
-	k := w.loop.handlers[fd].(*clientLink)
-	if len(k.out) == 0 {
+	k := w.clientLink(fd)
+	if len(k.Output()) == 0 {
 		t.Fatal("nothing waits to be read")
 	}
-	n, err := unix.EpollWait(w.loop.epoll, w.loop.events, 0)
-	if n != 0 || err != nil {
-		t.Errorf("%d descriptors are told as ready (%v), with nothing to be done", n, err)
+	if n := w.readyDescriptors(); n != 0 {
+		t.Errorf("%d descriptors are told as ready, with nothing to be done", n)
 	}
 }
 
@@ -194,8 +191,10 @@
 			t.Run(stage+", "+how, func(t *testing.T) {
 				w := newWorld(&steps.Steps{T: t})
 				w.listens()
-				w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
-					{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"}}})
+				w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
+					{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
+					{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"},
+				}})
 				p := w.connects()
 				w.turn()
 				w.writesAll(p, []byte(sized(1, size)))
@@ -220,8 +219,8 @@
 				w.loop.Ledger.Wake()
 				w.settles()
 				far.read(1 << 20)
-				var m http1.Message
-				_, err := m.ParseRequest(far.got)
+				var m http1.Request
+				_, err := m.Parse(far.got)
 				if whole := err == nil; whole != (stage == "accepted") || len(w.dialed) != 1 || stage == "connecting" && len(far.got) > 0 {
 					t.Errorf("%d bytes came, whole %v, and %d links were opened", len(far.got), whole, len(w.dialed))
 				}
@@ -262,8 +261,10 @@
 			left[j.ID] = j.Remaining
 		}
 	}
-	for id, want := range map[uint64]time.Duration{1: all, 16: all, 17: all - 2*time.Second, 18: all - 2*time.Second,
-		19: all - time.Second, 20: all} {
+	for id, want := range map[uint64]time.Duration{
+		1: all, 16: all, 17: all - 2*time.Second, 18: all - 2*time.Second,
+		19: all - time.Second, 20: all,
+	} {
 		if left[id] != want {
 			t.Errorf("query %d has %v left, expected %v", id, left[id], want)
 		}
--- a/internal/link/servers_test.go
+++ b/internal/link/servers_test.go
@@ -65,8 +65,10 @@
 		switch what := s.Pick(10); {
 		case what < 2 && len(queries) < 8:
 			id := fmt.Sprint("q", len(queries))
-			q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: id, Job: dispatch.Job{Remaining: 5 * time.Second},
-				Payload: requests.Payload{Method: "POST", Path: "/a", Body: bytes.Repeat([]byte{'x'}, sizes[s.Pick(3)])}, Responder: nobody{}})
+			q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+				CallID: id, Job: dispatch.Job{Remaining: 5 * time.Second},
+				Payload: requests.Payload{Method: "POST", Path: "/a", Body: bytes.Repeat([]byte{'x'}, sizes[s.Pick(3)])}, Responder: nobody{},
+			})
 			s.Check(err == nil, "not taken: %v", err)
 			queries = append(queries, q.ID)
 			w.module.Next = append(w.module.Next, dispatch.Send{Job: q.ID, Worker: w.worker()})
@@ -113,8 +115,8 @@
 func (w *world) workerActs(p *peer, attempts map[string]*tried) {
 	p.read([]int{50, 4000, 1 << 20}[w.Pick(3)])
 	p.deleted(attempts)
-	var m http1.Message
-	n, err := m.ParseRequest(p.got)
+	var m http1.Request
+	n, err := m.Parse(p.got)
 	var t *tried
 	if err == nil {
 		w.Check(n == len(p.got), "a second request on a link before the first was answered")
@@ -138,7 +140,7 @@
 	case act == 4:
 		if p.read(1 << 20); t == nil && len(p.got) > 0 { // what has come has come, read or not
 			p.deleted(attempts)
-			if _, err := m.ParseRequest(p.got); err == nil && attempts[string(m.Get("X-Call-Id"))] != nil {
+			if _, err := m.Parse(p.got); err == nil && attempts[string(m.Get("X-Call-Id"))] != nil {
 				attempts[string(m.Get("X-Call-Id"))].whole = true
 			}
 		}
@@ -256,8 +258,10 @@
 	sent := 0
 	send := func() *peer {
 		sent++
-		q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: fmt.Sprint("q", sent), Job: dispatch.Job{Remaining: 5 * time.Second},
-			Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: nobody{}})
+		q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+			CallID: fmt.Sprint("q", sent), Job: dispatch.Job{Remaining: 5 * time.Second},
+			Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: nobody{},
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -305,8 +309,10 @@
 	for name, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(&steps.Steps{T: t})
-			q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
-				Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{}})
+			q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+				CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
+				Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{},
+			})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -317,7 +323,7 @@
 			if known, err := w.loop.Ledger.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "returned"}); !known || err != nil {
 				t.Fatalf("the note is known %v, %v", known, err)
 			}
-			p, m := w.dialed[0], http1.Message{}
+			p, m := w.dialed[0], http1.Request{}
 			for !p.ended && len(p.got) < 2*http1.MaxBodySize {
 				before := len(p.got)
 				w.turn()
@@ -325,7 +331,7 @@
 					break
 				}
 			}
-			if _, err := m.ParseRequest(p.got); err == nil || !p.ended {
+			if _, err := m.Parse(p.got); err == nil || !p.ended {
 				t.Errorf("%d bytes came, whole %v, and the link is closed %v", len(p.got), err == nil, p.ended)
 			}
 			if len(w.loop.servers.carried) != 0 || w.loop.servers.open != 0 {
@@ -357,11 +363,15 @@
 		for stage, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize} {
 			t.Run(name+", "+stage, func(t *testing.T) {
 				w := newWorld(&steps.Steps{T: t})
-				w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
-					{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"}}})
+				w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
+					{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
+					{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"},
+				}})
 				w.turn()
-				q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
-					Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{}})
+				q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+					CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
+					Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{},
+				})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -373,12 +383,12 @@
 				}
 				end(w, q)
 				for i, p := range w.dialed {
-					m := http1.Message{}
+					m := http1.Request{}
 					for range 64 {
 						w.turn()
 						p.read(1 << 20)
 					}
-					if _, err := m.ParseRequest(p.got); err == nil || !p.ended {
+					if _, err := m.Parse(p.got); err == nil || !p.ended {
 						t.Errorf("link %d: %d bytes came, whole %v, and it is closed %v", i, len(p.got), err == nil, p.ended)
 					}
 				}
--- a/internal/link/start.go
+++ b/internal/link/start.go
@@ -15,6 +15,7 @@
 	"valvecove/internal/capture"
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
+	"valvecove/internal/eventloop"
 	"valvecove/internal/figures"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/oplog"
@@ -32,7 +33,7 @@
 // Open returns a loop that listens and is ready to run, with the features that are on. figuresTo are targets of figures
 // besides a collector.
 func Open(c config.Config, ops config.Ops, log *oplog.Log, figuresTo ...figures.Target) (*Loop, error) {
-	l, err := newLoop(log.Kind(), log.Kind())
+	l, err := newLoop(log.Kind(), log.Kind(), clockSinceEpoch(), c.Limits.Sockets)
 	if err != nil {
 		return nil, err
 	}
@@ -40,11 +41,12 @@
 		l.lists = address.New(*ops.Addresses)
 	}
 	l.side, l.limits = forFeatures(c, ops), c.Limits
-	l.events = make([]unix.EpollEvent, max(c.Limits.Sockets, len(l.events)))
 	servers, clients := share(c.Limits.Sockets, l.side)
 	l.serve(servers, c.Settings.ConnectTimeout, c.Settings.ConnIdleTimeout)
-	l.watch = l.newWatchConnection(c.Discovery, discovery.Config{PollInterval: c.Settings.PollInterval, Pushed: !c.Settings.MustSubscribe,
-		Schedulers: c.Settings.Replicas}, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
+	l.watch = l.newWatchConnection(c.Discovery, discovery.Config{
+		PollInterval: c.Settings.PollInterval, Pushed: !c.Settings.MustSubscribe,
+		Schedulers: c.Settings.Replicas,
+	}, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
 	decisions := log.Kind()
 	if ops.Capture != nil {
 		if l.Capture, err = capture.New(*ops.Capture, c, l.Now, decisions); err != nil {
@@ -74,14 +76,14 @@
 		}
 		return m
 	}
-	l.Ledger = requests.New(c.Settings.AttemptLimit, c.Settings.Names, module, c.Known, l.servers, decisions)
+	l.Ledger = requests.New(c.Settings.AttemptLimit, c.Settings.Names, module, c.KnownEndpoints, l.servers, decisions)
 	if l.Capture != nil {
-		l.Capture.Host = l.Ledger.Endpoint
+		l.Capture.LookupEndpoint = l.Ledger.Endpoint
 		l.Ledger.AddObserver(l.Capture)
 	}
 	l.accept(clients, bufferBudget(c), &c.Settings.Settings, c.Settings.Names)
 	if !c.Management.IsValid() {
-		l.clients.fd, err = l.listen(c.Listen, l.clients)
+		l.clients.fd, err = l.Listen(c.Listen, l.clients)
 	} else {
 		err = l.begin(c)
 	}
@@ -102,18 +104,18 @@
 		}
 		l.Ledger.AddObserver(table)
 	}
-	if ops.Figures != nil {
+	if ops.Metrics != nil {
 		targets := figuresTo
-		if ops.Figures.To.IsValid() {
-			targets = append(targets, &collector{to: ops.Figures.To, fd: -1})
+		if ops.Metrics.UDPTarget.IsValid() {
+			targets = append(targets, &collector{to: ops.Metrics.UDPTarget, fd: -1})
 		}
-		l.figures = figures.New(*ops.Figures, c.Settings.Names, l.Now, targets...)
+		l.figures = figures.New(*ops.Metrics, c.Settings.Names, l.Now, targets...)
 		l.Ledger.AddObserver(l.figures)
 		l.sendFigures(l.figures)
 	}
-	l.watch.start(len(c.Known.Endpoints) > 0)
+	l.watch.start(len(c.KnownEndpoints.Endpoints) > 0)
 	if wait := l.watch.machine.InitialWait(); wait > 0 && l.Ledger.HasReadyWorker() {
-		l.Ledger.AwaitEndpoints(l.now + wait)
+		l.Ledger.AwaitEndpoints(l.Now() + wait)
 	}
 	return l, nil
 }
@@ -122,19 +124,19 @@
 // at the clients' address, so that one that can't be reached by its successor can be replaced too.
 func (l *Loop) begin(c config.Config) error {
 	l.onFail = func(err error) { l.log.Error("can't go on", "error", err) }
-	out, err := hotrestart.ReadCordonFile(c.Dir)
+	out, err := hotrestart.ReadCordonFile(c.StateDir)
 	if err != nil { // served on: a worker node that should be out is out again with the next call
 		l.log.Error("worker nodes out by hand can't be read", "error", err)
 	}
 	if l.Ledger.SetCordoned(out); len(out) > 0 {
 		l.log.Info("worker nodes out by hand", "hosts", strings.Join(out, " "))
 	}
-	l.openCordonStore(c.Dir)
-	if l.joinPredecessor(c.Dir, c.Listen) {
+	l.openCordonStore(c.StateDir)
+	if l.joinPredecessor(c.StateDir, c.Listen) {
 		return nil
 	}
-	if l.clients.fd, err = l.listen(c.Listen, l.clients, unix.SO_REUSEPORT); err == nil {
-		l.awaitSuccessor(hotrestart.SocketAddresses(c.Dir, c.Listen))
+	if l.clients.fd, err = l.Listen(c.Listen, l.clients, unix.SO_REUSEPORT); err == nil {
+		l.awaitSuccessor(hotrestart.SocketAddresses(c.StateDir, c.Listen))
 	}
 	return err
 }
@@ -142,9 +144,6 @@
 // OnFail sets what is done when the process can't go on.
 func (l *Loop) OnFail(act func(error)) { l.onFail = act }
 
-// Now is the time of the present turn.
-func (l *Loop) Now() time.Duration { return l.now }
-
 // forFeatures counts the descriptors that features take up.
 func forFeatures(c config.Config, ops config.Ops) (n int) {
 	if c.Management.IsValid() {
@@ -153,7 +152,7 @@
 	if ops.Status != nil {
 		n += statusMost + 2 // and the listener; one more is accepted before another makes room
 	}
-	if ops.Figures != nil {
+	if ops.Metrics != nil {
 		n += 2 // a socket and a file
 	}
 	if ops.Capture != nil && ops.Capture.Dir != "" {
@@ -231,7 +230,7 @@
 		return netip.AddrPort{}
 	}
 	sa, _ := unix.Getsockname(l.clients.fd)
-	return addrPort(sa)
+	return eventloop.AddrPort(sa)
 }
 
 // OnWake sets what Wake brings about.
@@ -241,9 +240,6 @@
 // and may have no other scheduler to go to.
 func (l *Loop) Drain() { l.clients.draining = true }
 
-// After calls act once in the loop.
-func (l *Loop) After(span time.Duration, act func()) { l.after(span, (*waker)(l), act) }
-
 // Close takes no query any more. Links between queries are closed, the others with their answers.
 func (l *Loop) Close() { l.clients.close() }
 
@@ -255,12 +251,12 @@
 }
 
 // FinishAll gives final answers to all queries that are still open.
-func (l *Loop) FinishAll() { l.Finish(l.now) }
+func (l *Loop) FinishAll() { l.Finish(l.Now()) }
 
 // Finish gives final answers to the queries that came within the last span and are still open.
 func (l *Loop) Finish(span time.Duration) {
 	if !l.hasRelinquished() {
-		l.Ledger.CloseSince(l.now - span)
+		l.Ledger.CloseSince(l.Now() - span)
 	}
 }
 
