--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Benchlink joins dispatchers to the bench: it reads batches of events from standard input and writes each
+// Simadapter joins dispatchers to the bench: it reads batches of events from standard input and writes each
 // batch's actions to standard output. It hosts any number of instances, which share nothing.
 package main
 
@@ -9,23 +9,23 @@
 	"os"
 
 	"valvecove/dispatch"
-	"valvecove/internal/wire"
+	"valvecove/internal/simwire"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 // run answers batches until the end of input.
 func run(in io.Reader, out io.Writer) error {
-	r, w := wire.NewReader(in), wire.NewWriter(out)
+	r, w := simwire.NewReader(in), simwire.NewWriter(out)
 	instances := map[int]*dispatch.Dispatcher{}
 	pending := map[int][]dispatch.Event{}
 	var order []int // instances with events, in the order of their first
-	var batch wire.Batch
+	var batch simwire.Batch
 	for {
 		if err := r.Read(&batch); errors.Is(err, io.EOF) {
 			return nil
@@ -35,13 +35,13 @@
 		order = order[:0]
 		for _, e := range batch.Inputs {
 			switch e.Kind {
-			case wire.KindStop:
+			case simwire.KindStop:
 				delete(instances, e.Instance)
 				pending[e.Instance] = pending[e.Instance][:0]
-			case wire.KindStart:
+			case simwire.KindStart:
 				instances[e.Instance] = dispatch.New(e.Settings, e.Seed)
 				pending[e.Instance] = pending[e.Instance][:0]
-			case wire.KindEvent:
+			case simwire.KindEvent:
 				if instances[e.Instance] == nil {
 					continue
 				}
@@ -67,7 +67,7 @@
 }
 
 // step lets one instance act. A panic is reported on the wire and goes no further.
-func step(d *dispatch.Dispatcher, i int, batch wire.Batch, events []dispatch.Event, w *wire.Writer) {
+func step(d *dispatch.Dispatcher, i int, batch simwire.Batch, events []dispatch.Event, w *simwire.Writer) {
 	defer func() {
 		if p := recover(); p != nil {
 			w.Fault(i, fmt.Sprint(p))
--- a/cmd/valvecove/check.go
+++ b/cmd/valvecove/check.go
@@ -18,7 +18,7 @@
 	"valvecove/dispatch"
 	"valvecove/internal/config"
 	"valvecove/internal/link"
-	"valvecove/internal/run"
+	"valvecove/internal/server"
 )
 
 type check struct {
@@ -129,12 +129,12 @@
 	p.line("descriptors", fmt.Sprintf("%d its own, %d for features, %d server links, %d client links (%d queries at once)",
 		s.Own, s.Features, s.Servers, s.Clients, s.Queries))
 	p.line("memory", fmt.Sprintf("heap held to %d MB; client links' buffers %d MB, bodies of queries %d MB",
-		run.HeapLimit(c.Limits)>>20, s.Buffers>>20, s.Buffers>>20))
+		server.HeapLimit(c.Limits)>>20, s.Buffers>>20, s.Buffers>>20))
 	p.line("attempts", fmt.Sprintf("%d a query at most, connecting within %v, second copies %s, cancelling %s, probes %s",
 		c.Settings.AttemptLimit, c.Settings.ConnectTimeout, onOff(c.Settings.Hedging), onOff(c.Settings.Cancellation),
 		onOff(c.Settings.HealthChecks)))
 	p.line("schedulers", fmt.Sprintf("number %d of %d, numbered from 0", c.Settings.ReplicaIndex, max(1, c.Settings.Replicas)))
-	p.line("stop", fmt.Sprintf("%v after SIGTERM", run.KilledAfter(c.Settings)))
+	p.line("stop", fmt.Sprintf("%v after SIGTERM", server.KilledAfter(c.Settings)))
 	p.line("log", log(ops.Log))
 	p.line()
 	p.line("class", "effect", "aim", "stretch", "deadline", "worth", "late", "kinds", "zones")
--- a/cmd/valvecove/main.go
+++ b/cmd/valvecove/main.go
@@ -12,7 +12,7 @@
 
 	"valvecove/internal/capture"
 	"valvecove/internal/config"
-	"valvecove/internal/run"
+	"valvecove/internal/server"
 )
 
 // Exit codes of all commands.
@@ -95,7 +95,7 @@
 }
 
 func (s *serve) run(p process) int {
-	if err := run.Scheduler(p.env, p.config, p.stderr); err != nil {
+	if err := server.Scheduler(p.env, p.config, p.stderr); err != nil {
 		p.fault("valvecove", err)
 		return exitFault
 	}
--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -92,7 +92,7 @@
 		}
 	}
 	list, err := exec.Command("go", "list", "-deps", "-f", `{{if .Module}}{{if .Module.Main}}{{range .GoFiles}}{{$.Dir}}/{{.}}{{"\n"}}{{end}}{{end}}{{end}}`,
-		"valvecove/cmd/valvecove", "valvecove/cmd/benchlink").Output()
+		"valvecove/cmd/valvecove", "valvecove/cmd/simadapter").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/spool/spool.go
+++ b/internal/asyncwriter/writer.go
@@ -1,6 +1,6 @@
-// Package spool hands work to something that may be slow or gone, such as standard error or a disk, without ever
+// Package asyncwriter hands work to something that may be slow or gone, such as standard error or a disk, without ever
 // waiting for it: one goroutine does it in order, and what does not fit the queue is dropped and counted.
-package spool
+package asyncwriter
 
 import (
 	"errors"
--- a/internal/spool/spool_test.go
+++ b/internal/asyncwriter/writer_test.go
@@ -1,4 +1,4 @@
-package spool
+package asyncwriter
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // slow is a writer that takes a piece each time it is let.
@@ -26,7 +26,7 @@
 // Whatever a writer takes in, and when, it gets whole pieces in order; no more than allowed waits; what is dropped
 // is counted, and said before the next piece that is not.
 func FuzzWriter(f *testing.F) {
-	steps.Fuzz(f, func(s *steps.Steps) {
+	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		const most = 200
 		to := &slow{let: make(chan struct{}), took: make(chan struct{})}
 		w := Before(to, most, func(n uint64) string { return fmt.Sprintf("lost %d\n", n) })
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -18,8 +18,8 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/config"
+	"valvecove/internal/modeltest/observertest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps/sides"
 )
 
 const platform = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964","settings":{
@@ -33,7 +33,7 @@
 
 // play is a scheduler without sockets, whose worker nodes do as a random source says.
 type play struct {
-	sides.World
+	observertest.World
 	t    testing.TB
 	rng  *rand.Rand
 	rec  *Recorder
@@ -50,7 +50,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	p := &play{t: tb, set: c.Settings.Settings, rng: rand.New(rand.NewPCG(seed, 3)), World: sides.World{Now: 1718000000123456789}}
+	p := &play{t: tb, set: c.Settings.Settings, rng: rand.New(rand.NewPCG(seed, 3)), World: observertest.World{Now: 1718000000123456789}}
 	p.rec, err = New(conf, c, func() time.Duration { return p.Now }, slog.New(slog.DiscardHandler))
 	if err != nil {
 		tb.Fatal(err)
--- a/internal/capture/sink.go
+++ b/internal/capture/sink.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
+	"valvecove/internal/asyncwriter"
 	"valvecove/internal/config"
-	"valvecove/internal/spool"
 )
 
 // sink keeps segments.
@@ -78,7 +78,7 @@
 
 // files keeps segments on a disk, one a file. Everything that touches the disk is done by the spool.
 type files struct {
-	*spool.Spool
+	*asyncwriter.Spool
 	path    string // but for number and suffix
 	most    int
 	keep    int
@@ -114,7 +114,7 @@
 	if err := f.next(); err != nil {
 		return nil, err
 	}
-	f.Spool = spool.New(diskWaiting)
+	f.Spool = asyncwriter.New(diskWaiting)
 	return f, nil
 }
 
--- a/internal/control/codec/codec_test.go
+++ b/internal/control/codec/codec_test.go
@@ -12,7 +12,7 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/control/message"
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // allKinds are the kinds of message of this version.
@@ -217,9 +217,9 @@
 
 // What is written is what is read, in any batches and pieces. After a change in transit the reader returns nothing that
 // was not written before it.
-func FuzzFrames(f *testing.F) { steps.Fuzz(f, runFrames) }
+func FuzzFrames(f *testing.F) { modeltest.Fuzz(f, runFrames) }
 
-func runFrames(s *steps.Steps) {
+func runFrames(s *modeltest.Steps) {
 	var w Writer
 	var wire []byte
 	var sent []message.Envelope
--- a/internal/control/forwarder/forwarder.go
+++ b/internal/control/forwarder/forwarder.go
@@ -8,7 +8,7 @@
 	"valvecove/dispatch"
 	"valvecove/internal/control/message"
 	"valvecove/internal/control/validator"
-	"valvecove/internal/due"
+	"valvecove/internal/deadline"
 )
 
 // maxOwnTimerLag is how late a forwarder may be for its own timer and still judge planners by the time that they take.
@@ -56,12 +56,12 @@
 
 	requests         map[uint64]*openRequest // by ID
 	freeRequests     []*openRequest
-	checks           due.Queue[*openRequest] // requests by when checkRequest is due
-	waiting          requestQueue            // requests that wait for credit, or for a planner
-	poisonCandidates requestQueue            // the same, of those that may have ended a planner's session
-	returning        requestQueue            // requests that go back from the local policy to planners
-	retryPlacementAt time.Duration           // when waiting requests are looked at again though nothing has happened; 0: not
-	reofferTokens    float64                 // requests that may be revoked from planners that reply
+	checks           deadline.Queue[*openRequest] // requests by when checkRequest is due
+	waiting          requestQueue                 // requests that wait for credit, or for a planner
+	poisonCandidates requestQueue                 // the same, of those that may have ended a planner's session
+	returning        requestQueue                 // requests that go back from the local policy to planners
+	retryPlacementAt time.Duration                // when waiting requests are looked at again though nothing has happened; 0: not
+	reofferTokens    float64                      // requests that may be revoked from planners that reply
 
 	mode             mode
 	plannerAvailable bool          // a planner accepts requests
--- a/internal/control/forwarder/queue.go
+++ b/internal/control/forwarder/queue.go
@@ -3,17 +3,17 @@
 import (
 	"time"
 
-	"valvecove/internal/due"
+	"valvecove/internal/deadline"
 )
 
 // requestQueue holds requests in the order in which they came, which is that of their IDs.
 type requestQueue struct {
-	due.Queue[*queueEntry]
+	deadline.Queue[*queueEntry]
 }
 
 // queueEntry is the place of a request in a queue.
 type queueEntry struct {
-	due.Item
+	deadline.Item
 	request *openRequest
 	queue   *requestQueue // nil: it is in none
 }
--- a/internal/control/forwarder/request.go
+++ b/internal/control/forwarder/request.go
@@ -6,12 +6,12 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/control/message"
-	"valvecove/internal/due"
+	"valvecove/internal/deadline"
 )
 
 // openRequest is a request that has no response yet, or has attempts in flight.
 type openRequest struct {
-	due.Item             // when checkRequest is due
+	deadline.Item        // when checkRequest is due
 	scheduled       bool // it is among the checks
 	queued          queueEntry
 	job             dispatch.Job
--- a/internal/control/membership/deal.go
+++ b/internal/control/membership/deal.go
@@ -31,8 +31,10 @@
 	for i := range of {
 		of[i] = -1
 	}
-	d := assignment{items: pieces, owners: takers, ownerOf: of, load: make([]int, len(takers)), quota: make([]int, len(takers)),
-		remainder: make([]int, len(takers)), bids: make([][]bid, len(takers)), lastHeight: make([]uint64, len(pieces))}
+	d := assignment{
+		items: pieces, owners: takers, ownerOf: of, load: make([]int, len(takers)), quota: make([]int, len(takers)),
+		remainder: make([]int, len(takers)), bids: make([][]bid, len(takers)), lastHeight: make([]uint64, len(pieces)),
+	}
 	for _, t := range takers {
 		d.totalOwnerWeight += t.weight
 	}
--- a/internal/control/membership/deal_test.go
+++ b/internal/control/membership/deal_test.go
@@ -71,8 +71,17 @@
 	for _, x := range []struct {
 		pieces, takers int
 		beyond         float64 // share of all pieces that moves though it need not, on the mean
-	}{{3, 3, 0.1}, {10, 3, 0.08}, {25, 3, 0.05}, {250, 3, 0.03}, {2500, 3, 0.01}, {25, 5, 0.09}, {250, 8, 0.05},
-		{2500, 8, 0.02}, {2500, 64, 0.06}} {
+	}{
+		{3, 3, 0.1},
+		{10, 3, 0.08},
+		{25, 3, 0.05},
+		{250, 3, 0.03},
+		{2500, 3, 0.01},
+		{25, 5, 0.09},
+		{250, 8, 0.05},
+		{2500, 8, 0.02},
+		{2500, 64, 0.06},
+	} {
 		moved, least, all := 0, 0, 0
 		for seed := range 40 {
 			pieces := make([]item, x.pieces)
--- a/internal/control/membership/membership.go
+++ b/internal/control/membership/membership.go
@@ -150,18 +150,30 @@
 
 // Defaults are what holds where nothing else is said.
 func Defaults() Config {
-	return Config{SuspicionTimeout: time.Second, ConnectTimeout: 2 * time.Second, ReconnectGrace: 5 * time.Second, Retention: 30 * time.Second,
+	return Config{
+		SuspicionTimeout: time.Second, ConnectTimeout: 2 * time.Second, ReconnectGrace: 5 * time.Second, Retention: 30 * time.Second,
 		MinWorkersPerPlanner: 12, StartupTime: time.Second, SettleTime: 250 * time.Millisecond, RampTime: 2 * time.Second, SlowThreshold: 30 * time.Millisecond,
 		SlowFactor: 4, SlowConfirmation: 500 * time.Millisecond, DrainTime: 4 * time.Second, RecoveryTime: 2 * time.Second,
-		AssignInterval: 100 * time.Millisecond}
+		AssignInterval: 100 * time.Millisecond,
+	}
 }
 
 func (c Config) orDefaults() Config {
 	d := Defaults()
-	for _, x := range []struct{ is, or *time.Duration }{{&c.SuspicionTimeout, &d.SuspicionTimeout}, {&c.ConnectTimeout, &d.ConnectTimeout},
-		{&c.ReconnectGrace, &d.ReconnectGrace}, {&c.Retention, &d.Retention}, {&c.StartupTime, &d.StartupTime},
-		{&c.SettleTime, &d.SettleTime}, {&c.RampTime, &d.RampTime}, {&c.SlowThreshold, &d.SlowThreshold}, {&c.SlowConfirmation, &d.SlowConfirmation},
-		{&c.DrainTime, &d.DrainTime}, {&c.RecoveryTime, &d.RecoveryTime}, {&c.AssignInterval, &d.AssignInterval}} {
+	for _, x := range []struct{ is, or *time.Duration }{
+		{&c.SuspicionTimeout, &d.SuspicionTimeout},
+		{&c.ConnectTimeout, &d.ConnectTimeout},
+		{&c.ReconnectGrace, &d.ReconnectGrace},
+		{&c.Retention, &d.Retention},
+		{&c.StartupTime, &d.StartupTime},
+		{&c.SettleTime, &d.SettleTime},
+		{&c.RampTime, &d.RampTime},
+		{&c.SlowThreshold, &d.SlowThreshold},
+		{&c.SlowConfirmation, &d.SlowConfirmation},
+		{&c.DrainTime, &d.DrainTime},
+		{&c.RecoveryTime, &d.RecoveryTime},
+		{&c.AssignInterval, &d.AssignInterval},
+	} {
 		*x.is = cmp.Or(*x.is, *x.or)
 	}
 	c.SlowFactor, c.MinWorkersPerPlanner = cmp.Or(c.SlowFactor, d.SlowFactor), cmp.Or(c.MinWorkersPerPlanner, d.MinWorkersPerPlanner)
--- a/internal/control/membership/town_test.go
+++ b/internal/control/membership/town_test.go
@@ -67,8 +67,10 @@
 func newTown(t *testing.T, seed uint64, forwarders, planners, cells int) *town {
 	w := &town{t: t, rng: rand.New(rand.NewPCG(seed, 5)), now: time.Hour, cells: cells, leaving: map[time.Duration]int{}}
 	for i := range planners + forwarders {
-		c := &citizen{town: w, said: Member{Name: fmt.Sprint("f", i-planners+1)}, cuts: map[string]bool{},
-			told: map[string]time.Duration{}}
+		c := &citizen{
+			town: w, said: Member{Name: fmt.Sprint("f", i-planners+1)}, cuts: map[string]bool{},
+			told: map[string]time.Duration{},
+		}
 		if i < planners {
 			c.said.Name, c.said.Role = fmt.Sprint("p", i+1), RolePlanner
 		}
--- a/internal/control/planner/bad_test.go
+++ b/internal/control/planner/bad_test.go
@@ -61,9 +61,11 @@
 	name := [...]string{"f1", "f2", "f3", "plan-b", me, "", string(make([]byte, 300))}[rng.IntN(7)]
 	word := message.WorkerStatus{WorkerID: uint64(rng.IntN(9)), StartedMs: badNumber(rng), Revision: badNumber(rng), State: message.WorkerState(rng.IntN(5))}
 	kind, epoch := message.Kind(rng.IntN(90)), message.Epoch(rng.IntN(4))
-	x := badFields{id: uint64(rng.IntN(30)), worker: uint64(rng.IntN(9)), number: rng.Uint64(), process: uint64(rng.IntN(3)),
+	x := badFields{
+		id: uint64(rng.IntN(30)), worker: uint64(rng.IntN(9)), number: rng.Uint64(), process: uint64(rng.IntN(3)),
 		attempt: num(), credit: num(), version: 0x100 + rng.IntN(20)/19*0x100, result: dispatch.Result(num()),
-		reason: message.RejectReason(rng.IntN(40) * rng.IntN(2)), share: badFloat(rng), name: name}
+		reason: message.RejectReason(rng.IntN(40) * rng.IntN(2)), share: badFloat(rng), name: name,
+	}
 	if rng.IntN(3) == 0 {
 		kind = [...]message.Kind{message.KindRequestOffer, message.KindAttemptEnded, message.KindHandshake}[rng.IntN(3)]
 		x.attempt, x.reason = rng.IntN(3), 0
@@ -71,11 +73,15 @@
 	if rng.IntN(4) > 0 {
 		x.status = word
 		x.load = message.LoadReport{OpenRequests: num(), QueuedRequests: num(), Forwarders: num(), TimerLag: span(), UsedSlots: badFloat(rng), FreeSlots: badFloat(rng)}
-		x.summary = message.RequestSummary{Class: rng.IntN(7) - 1, Tenant: num(), Key: rng.Uint64(), Remaining: span(), Waited: span(), Hint: span(),
-			Slots: badFloat(rng), Memory: badFloat(rng), Transfers: num()}
+		x.summary = message.RequestSummary{
+			Class: rng.IntN(7) - 1, Tenant: num(), Key: rng.Uint64(), Remaining: span(), Waited: span(), Hint: span(),
+			Slots: badFloat(rng), Memory: badFloat(rng), Transfers: num(),
+		}
 		for range rng.IntN(4) {
-			x.summary.Attempts = append(x.summary.Attempts, message.PastAttempt{WorkerID: uint64(rng.IntN(20)), SentAgo: span(), StartedAgo: span(),
-				Ended: rng.IntN(2) == 0, Result: dispatch.Result(num()), PossiblyExecuted: rng.IntN(2) == 0})
+			x.summary.Attempts = append(x.summary.Attempts, message.PastAttempt{
+				WorkerID: uint64(rng.IntN(20)), SentAgo: span(), StartedAgo: span(),
+				Ended: rng.IntN(2) == 0, Result: dispatch.Result(num()), PossiblyExecuted: rng.IntN(2) == 0,
+			})
 		}
 		if rng.IntN(30) == 0 {
 			x.summary.Attempts = make([]message.PastAttempt, 300)
@@ -99,8 +105,10 @@
 	case 6:
 		l := dispatch.WorkerList{Kind: dispatch.ListKind(rng.IntN(4)), Revision: badNumber(rng)}
 		for range rng.IntN(5) {
-			l.Workers = append(l.Workers, dispatch.Worker{ID: uint64(rng.IntN(9)), Kind: num(), Zone: num(), Cell: rng.IntN(4), Ready: rng.IntN(2) == 0,
-				Removed: rng.IntN(4) == 0, Size: badFloat(rng), BootAt: span()})
+			l.Workers = append(l.Workers, dispatch.Worker{
+				ID: uint64(rng.IntN(9)), Kind: num(), Zone: num(), Cell: rng.IntN(4), Ready: rng.IntN(2) == 0,
+				Removed: rng.IntN(4) == 0, Size: badFloat(rng), BootAt: span(),
+			})
 		}
 		return EndpointsChanged{Endpoints: l}
 	case 7:
@@ -112,9 +120,18 @@
 // emptyEvent is an event of a kind without what it refers to; nil: of none.
 func emptyEvent(kind int, session SessionID, peer string) Event {
 	events := [...]Event{
-		nil, SessionOpened{session}, SessionClosed{session}, ForwarderMessage{Session: session}, PeerConnected{peer},
-		PeerDisconnected{peer}, PeerMessage{Peer: peer}, EndpointsChanged{}, EndpointSourceChanged{}, PartitionChanged{},
-		PeersChanged{}, TimerFired{},
+		nil,
+		SessionOpened{session},
+		SessionClosed{session},
+		ForwarderMessage{Session: session},
+		PeerConnected{peer},
+		PeerDisconnected{peer},
+		PeerMessage{Peer: peer},
+		EndpointsChanged{},
+		EndpointSourceChanged{},
+		PartitionChanged{},
+		PeersChanged{},
+		TimerFired{},
 	}
 	return events[kind]
 }
--- a/internal/control/planner/bench_test.go
+++ b/internal/control/planner/bench_test.go
@@ -47,8 +47,10 @@
 	set.HealthChecks, set.WarmUp, set.TenantQuota = false, 0, nil
 	set.Classes = []dispatch.Class{{LatencyObjective: 80 * ms, ObjectiveStretch: 2.5, ClientTimeout: 5 * time.Second, Idempotency: dispatch.Idempotent, PriorityWeight: 1}}
 	conf := Config{Settings: set, MaxOpenRequests: 1 << 20, MaxCredit: 1 << 18, NewPolicy: func() Policy { return dispatch.New(set, 1) }}
-	r := &rig{b: newBook(conf), now: time.Hour, fwds: forwarders, last: make([]uint64, forwarders+1),
-		ended: make([]message.AttemptEnded, 4096), began: make([]message.AttemptStarted, 4096), offers: make([]message.RequestOffer, 4096)}
+	r := &rig{
+		b: newBook(conf), now: time.Hour, fwds: forwarders, last: make([]uint64, forwarders+1),
+		ended: make([]message.AttemptEnded, 4096), began: make([]message.AttemptStarted, 4096), offers: make([]message.RequestOffer, 4096),
+	}
 	r.head = message.RequestSummary{Remaining: 5 * time.Second, Hint: rigRun, Slots: 1}
 	list := dispatch.WorkerList{Kind: dispatch.ListFull, Revision: 1}
 	for id := range nodes {
--- a/internal/control/planner/model_test.go
+++ b/internal/control/planner/model_test.go
@@ -121,8 +121,10 @@
 
 func newPlay(t *rapid.T) *play {
 	draw := func(what string, n int) int { return rapid.IntRange(0, n-1).Draw(t, what) }
-	p := &play{t: t, rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), now: time.Hour, conns: map[SessionID]*mConn{}, words: map[uint64]message.WorkerStatus{},
-		list: map[uint64]dispatch.Worker{}, peers: map[string]bool{}, shut: map[SessionID]bool{}, owner: []string{me}}
+	p := &play{
+		t: t, rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), now: time.Hour, conns: map[SessionID]*mConn{}, words: map[uint64]message.WorkerStatus{},
+		list: map[uint64]dispatch.Worker{}, peers: map[string]bool{}, shut: map[SessionID]bool{}, owner: []string{me},
+	}
 	p.conf = Config{MaxOpenRequests: 6 + draw("heads", 60), MinCredit: 1 + draw("least", 4), MaxCredit: 4 + draw("most", 40), MaxSessions: 8}
 	p.calm = draw("calm", 30) + 1
 	p.b = newBook(p.conf)
@@ -567,8 +569,10 @@
 	for !p.quiet && open < f.credit && p.one(2) {
 		f.lastID++
 		c := p.pick(len(p.b.config.Settings.Classes))
-		q := &mQuery{id: f.lastID, came: p.now, deadline: p.now + 3*time.Second, head: message.RequestSummary{Class: c, Tenant: p.pick(3),
-			Hint: time.Duration(p.pick(4)) * 50 * ms, Slots: float64(p.pick(4)), Key: uint64(p.pick(5))}}
+		q := &mQuery{id: f.lastID, came: p.now, deadline: p.now + 3*time.Second, head: message.RequestSummary{
+			Class: c, Tenant: p.pick(3),
+			Hint: time.Duration(p.pick(4)) * 50 * ms, Slots: float64(p.pick(4)), Key: uint64(p.pick(5)),
+		}}
 		if p.one(60) {
 			q.head.Tenant = poison
 		}
@@ -584,8 +588,10 @@
 	for i := range q.attempts {
 		a := &q.attempts[i]
 		a.number = i
-		past := message.PastAttempt{WorkerID: a.worker, SentAgo: f.p.now - a.sent, Ended: a.ended, Result: a.result,
-			PossiblyExecuted: !a.ended || !provesNotExecuted(a.result)}
+		past := message.PastAttempt{
+			WorkerID: a.worker, SentAgo: f.p.now - a.sent, Ended: a.ended, Result: a.result,
+			PossiblyExecuted: !a.ended || !provesNotExecuted(a.result),
+		}
 		if a.began > 0 {
 			past.StartedAgo = f.p.now - a.began + 1
 		}
@@ -636,8 +642,10 @@
 		}
 	case 8, 9: // a word, of the list that is or one to come, or of one before
 		w := p.nodes[p.pick(len(p.nodes))]
-		x := message.WorkerStatus{WorkerID: w.ID, StartedMs: w.BootAt.Milliseconds(), Revision: p.lists + int64(p.pick(3)) - 1,
-			State: message.WorkerState(p.pick(3))}
+		x := message.WorkerStatus{
+			WorkerID: w.ID, StartedMs: w.BootAt.Milliseconds(), Revision: p.lists + int64(p.pick(3)) - 1,
+			State: message.WorkerState(p.pick(3)),
+		}
 		if p.one(2) {
 			f.tell(&x)
 		}
@@ -659,8 +667,10 @@
 		}
 	case 11:
 		for _, name := range slices.Sorted(maps.Keys(p.peers)) {
-			p.ins = append(p.ins, PeerMessage{Peer: name, Envelope: message.Envelope{Epoch: 1,
-				Message: &message.LoadReport{OpenRequests: p.pick(20), QueuedRequests: p.pick(3), FreeSlots: float64(p.pick(20))}}})
+			p.ins = append(p.ins, PeerMessage{Peer: name, Envelope: message.Envelope{
+				Epoch:   1,
+				Message: &message.LoadReport{OpenRequests: p.pick(20), QueuedRequests: p.pick(3), FreeSlots: float64(p.pick(20))},
+			}})
 		}
 	case 12:
 		p.ins = append(p.ins, EndpointsChanged{Endpoints: dispatch.WorkerList{Kind: dispatch.ListUnavailable}})
--- a/internal/control/planner/request.go
+++ b/internal/control/planner/request.go
@@ -5,7 +5,7 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/control/message"
-	"valvecove/internal/due"
+	"valvecove/internal/deadline"
 )
 
 // requestState is how far a request has come at this planner. It changes by requestTable.transition only.
@@ -43,7 +43,7 @@
 
 // request is a request that a forwarder has offered.
 type request struct {
-	due.Item      // when the attempts of a closing request are taken to have ended
+	deadline.Item // when the attempts of a closing request are taken to have ended
 	state         requestState
 	id            uint64        // the job number by which the policy knows it
 	forwarderID   uint64        // the forwarder's number
@@ -69,7 +69,7 @@
 	openCount  int
 	slotsInUse float64     // of attempts in flight
 	queued     requestList // the one that has been queued longest first
-	expiries   due.Queue[*request]
+	expiries   deadline.Queue[*request]
 	free       []*request // for reuse
 	maxFree    int
 }
--- a/internal/control/planner/rig_test.go
+++ b/internal/control/planner/rig_test.go
@@ -33,7 +33,8 @@
 const poison = 9
 
 func testSettings() dispatch.Settings {
-	return dispatch.Settings{Replicas: 1, AttemptLimit: 4, Hedging: true, Cancellation: true, StartNotifications: true, HealthChecks: true,
+	return dispatch.Settings{
+		Replicas: 1, AttemptLimit: 4, Hedging: true, Cancellation: true, StartNotifications: true, HealthChecks: true,
 		HealthCheckCost: 0.01, ConnectTimeout: 40 * ms, PollInterval: 10 * time.Second, WarmUp: 10 * time.Second, WarmUpCapacity: 0.2,
 		OverloadFactor: 1.5, OverloadWindow: time.Second, MaxRetryAfter: time.Second, TenantQuota: []float64{0, 5},
 		Classes: []dispatch.Class{
@@ -42,7 +43,8 @@
 			{LatencyObjective: 400 * ms, ObjectiveStretch: 2, ClientTimeout: 3 * time.Second, Idempotency: dispatch.IdempotentWithKey, DeduplicationScope: dispatch.ScopeCell, DeduplicationWindow: 2 * time.Second, PriorityWeight: 1},
 			{LatencyObjective: 400 * ms, ObjectiveStretch: 2, ClientTimeout: 3 * time.Second, Idempotency: dispatch.Idempotent, Kinds: []int{1}, PriorityWeight: 1},
 			{LatencyObjective: 400 * ms, ObjectiveStretch: 2, ClientTimeout: 3 * time.Second, Idempotency: dispatch.IdempotentWithKey, DeduplicationScope: dispatch.ScopeZone, DeduplicationWindow: 2 * time.Second, PriorityWeight: 1},
-		}}
+		},
+	}
 }
 
 // contract is a module that holds the book to what package logic asks of its caller, and hands on to a dispatcher.
--- a/internal/control/validator/model_test.go
+++ b/internal/control/validator/model_test.go
@@ -7,7 +7,7 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/control/message"
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // history is everything that ever happened. The model derives each verdict anew from all of it.
@@ -271,18 +271,18 @@
 
 // The verdict on a command is the one that follows from the whole history: a reason that the validator gives is one of the
 // model's, and where the model has none, it gives none.
-func FuzzValidator(f *testing.F) { steps.Fuzz(f, runModel) }
+func FuzzValidator(f *testing.F) { modeltest.Fuzz(f, runModel) }
 
 // modelRun puts a validator and the model through the same steps.
 type modelRun struct {
-	*steps.Steps
+	*modeltest.Steps
 	history   *history
 	validator *Validator
 	open      map[message.Epoch]bool
 	requests  uint64 // so many have arrived, numbered from 1
 }
 
-func runModel(s *steps.Steps) {
+func runModel(s *modeltest.Steps) {
 	settings := randomSettings(s)
 	run := &modelRun{
 		Steps:     s,
@@ -450,7 +450,7 @@
 	run.Check(run.validator.RequestCount() == 0, "%d requests left", run.validator.RequestCount())
 }
 
-func randomSettings(s *steps.Steps) dispatch.Settings {
+func randomSettings(s *modeltest.Steps) dispatch.Settings {
 	settings := dispatch.Settings{
 		AttemptLimit: 1 + s.Pick(4), Hedging: s.Pick(3) > 0, Cancellation: s.Pick(2) == 0, HealthChecks: s.Pick(2) == 0,
 	}
@@ -470,7 +470,7 @@
 	return settings
 }
 
-func randomList(s *steps.Steps, kind dispatch.ListKind) dispatch.WorkerList {
+func randomList(s *modeltest.Steps, kind dispatch.ListKind) dispatch.WorkerList {
 	list := dispatch.WorkerList{Kind: kind, Revision: int64(s.Pick(6))}
 	for id := range uint64(6) {
 		if kind != dispatch.ListUnavailable && s.Pick(4) > 0 {
--- a/internal/due/due.go
+++ b/internal/deadline/queue.go
@@ -1,5 +1,5 @@
-// Package due keeps what is to happen by when it is due.
-package due
+// Package deadline keeps what is to happen by when it is due.
+package deadline
 
 import (
 	"container/heap"
--- a/internal/discovery/model_test.go
+++ b/internal/discovery/model_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // Short units for tables of instants.
@@ -63,7 +63,7 @@
 
 // discoveryModel is a model of the server, of the network, and of one scheduler that follows the list.
 type discoveryModel struct {
-	*steps.Steps
+	*modeltest.Steps
 	config      Config
 	watch       *Watch
 	now         time.Duration
@@ -80,7 +80,7 @@
 	connects    []time.Duration
 }
 
-func newDiscoveryModel(choices *steps.Steps) *discoveryModel {
+func newDiscoveryModel(choices *modeltest.Steps) *discoveryModel {
 	model := &discoveryModel{Steps: choices, now: startTime, silentAt: never}
 	model.config = Config{
 		PollInterval: []time.Duration{0, 0, 10 * sec, 3 * sec}[choices.Pick(4)],
@@ -308,7 +308,7 @@
 // the server can be reached, and requests are not queued there, every change is received by then and the time to stop
 // sending.
 func FuzzStalenessDeadline(f *testing.F) {
-	steps.Fuzz(f, func(choices *steps.Steps) {
+	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := newDiscoveryModel(choices)
 		model.runActions()
 		for choices.More() {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"valvecove/internal/due"
+	"valvecove/internal/deadline"
 )
 
 const (
@@ -57,7 +57,7 @@
 	events     []unix.EpollEvent // as many as there may be descriptors: an iteration gathers all that is ready
 	gathering  bool              // the iteration's events are being handed out
 	closing    []int             // closed once they are, so that no event of this iteration meets a reused descriptor
-	timers     due.Queue[*Timer]
+	timers     deadline.Queue[*Timer]
 	readBuffer []byte
 	posted     []func() // by other goroutines, for the loop to call
 	posting    sync.Mutex
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -3,19 +3,19 @@
 import (
 	"time"
 
-	"valvecove/internal/due"
+	"valvecove/internal/deadline"
 )
 
 // Timer is a call that is due at a time of the loop's clock.
 type Timer struct {
-	due.Item
+	deadline.Item
 	owner Handler
 	act   func()
 }
 
 // StartTimer calls act in the iteration in which the delay has passed. A panic in it ends the owner.
 func (l *Loop) StartTimer(delay time.Duration, owner Handler, act func()) *Timer {
-	timer := &Timer{Item: due.Item{At: l.now + delay}, owner: owner, act: act}
+	timer := &Timer{Item: deadline.Item{At: l.now + delay}, owner: owner, act: act}
 	l.timers.Add(timer)
 	return timer
 }
--- a/internal/hotrestart/frame_test.go
+++ b/internal/hotrestart/frame_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 func encode(tb testing.TB, message Message) []byte {
@@ -118,7 +118,7 @@
 
 // pickMessage returns a message of any kind, mostly one that comes next in a hot restart. Its announced number of frames is
 // wrong now and then.
-func pickMessage(choices *steps.Steps, framesSent int) Message {
+func pickMessage(choices *modeltest.Steps, framesSent int) Message {
 	kind := FrameKind(1 + choices.Pick(int(kindLimit)-1))
 	if choices.Pick(3) > 0 {
 		kind = [...]FrameKind{KindAccept, KindTransferBegin, KindSnapshotChunk, KindOpenRequest, KindTransferEnd}[choices.Pick(5)]
--- a/internal/hotrestart/predecessor_test.go
+++ b/internal/hotrestart/predecessor_test.go
@@ -4,13 +4,13 @@
 	"errors"
 	"testing"
 
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // Whatever comes in whatever order, a predecessor is the owner until a successor that it has accepted says, during a
 // transfer, that it has taken over; then it never is again.
 func FuzzPredecessor(f *testing.F) {
-	steps.Fuzz(f, func(choices *steps.Steps) {
+	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := predecessorModel{Steps: choices}
 		for choices.More() {
 			switch choices.Pick(6) {
@@ -32,7 +32,7 @@
 
 // predecessorModel is what a predecessor may be, by what it was given.
 type predecessorModel struct {
-	*steps.Steps
+	*modeltest.Steps
 	predecessor  Predecessor
 	connected    bool
 	accepted     bool
--- a/internal/hotrestart/successor_test.go
+++ b/internal/hotrestart/successor_test.go
@@ -4,13 +4,13 @@
 	"errors"
 	"testing"
 
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // Whatever comes in whatever order, a successor is the owner only after all that was announced has come, or once the
 // predecessor has gone; then it owns nothing of what had come in part.
 func FuzzSuccessor(f *testing.F) {
-	steps.Fuzz(f, func(choices *steps.Steps) {
+	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := successorModel{Steps: choices}
 		for goesOn := true; goesOn && choices.More(); {
 			if choices.Pick(20) == 0 {
@@ -25,7 +25,7 @@
 
 // successorModel is what a successor may be, by the messages that it was given.
 type successorModel struct {
-	*steps.Steps
+	*modeltest.Steps
 	successor       Successor
 	accepted, begun bool
 	owner           bool
--- a/internal/lab/fleet/engine.go
+++ b/internal/lab/fleet/engine.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"golang.org/x/sys/unix"
 
-	"valvecove/internal/due"
+	"valvecove/internal/deadline"
 )
 
 // engine is one thread of the rig: a loop round epoll that has some of the worker nodes and some of the clients to
@@ -28,7 +28,7 @@
 	events [64]unix.EpollEvent
 	scrap  [64 << 10]byte // what is read goes through here
 	out    []byte         // and what is written through here
-	alarms due.Queue[*alarm]
+	alarms deadline.Queue[*alarm]
 	free   []*job // to be used again
 	counts bool   // the window of the measurement is open
 	late   *hdrhistogram.Histogram
@@ -48,7 +48,7 @@
 
 // alarm is something that happens at a time.
 type alarm struct {
-	due.Item
+	deadline.Item
 	who ringer
 }
 
--- a/internal/lab/live/driver.go
+++ b/internal/lab/live/driver.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"valvecove/internal/due"
+	"valvecove/internal/deadline"
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/scenario"
 	"valvecove/internal/lab/seen"
@@ -38,7 +38,7 @@
 	spare   []edge.Out
 	ins     []edge.In
 	sights  []seen.Sight // of the driver's own, not told yet
-	timers  due.Queue[*timer]
+	timers  deadline.Queue[*timer]
 	letters chan func() // from other goroutines, to be run in the loop
 	gone    chan struct{}
 	late    lateMeter
@@ -182,7 +182,7 @@
 
 // timer calls do once.
 type timer struct {
-	due.Item
+	deadline.Item
 	do func()
 }
 
--- a/internal/lab/starve/books.go
+++ b/internal/lab/starve/books.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"valvecove/internal/due"
+	"valvecove/internal/deadline"
 	"valvecove/internal/lab/scenario"
 )
 
@@ -123,20 +123,20 @@
 
 // node is a worker node.
 type node struct {
-	due.Item // when it is well again, if that is to come
-	n        int
-	kind     int
-	cell     int
-	zone     int
-	boot     int
-	slots    float64
-	used     float64 // by attempts that are out there
-	up       bool
-	struck   int                    // faults that hold
-	well     time.Duration          // from then on
-	level    int                    // buckets whose slots it has had free since
-	since    [buckets]time.Duration // then
-	spot     [buckets]int           // in the set of those idle for a second, and one more; 0: it is not there
+	deadline.Item // when it is well again, if that is to come
+	n             int
+	kind          int
+	cell          int
+	zone          int
+	boot          int
+	slots         float64
+	used          float64 // by attempts that are out there
+	up            bool
+	struck        int                    // faults that hold
+	well          time.Duration          // from then on
+	level         int                    // buckets whose slots it has had free since
+	since         [buckets]time.Duration // then
+	spot          [buckets]int           // in the set of those idle for a second, and one more; 0: it is not there
 }
 
 // knowledge is what a scheduler was told of a worker node.
--- a/internal/lab/starve/starve.go
+++ b/internal/lab/starve/starve.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"valvecove/internal/due"
+	"valvecove/internal/deadline"
 	"valvecove/internal/lab/scenario"
 	"valvecove/internal/lab/seen"
 )
@@ -77,7 +77,7 @@
 	old       [][buckets][]*try  // by kind and one more, 0 being any: tries held for a second
 	ripen     queue[waiting]     // worker nodes idle, and tries held, for less
 	begun     queue[beginning]
-	unwell    due.Queue[*node]
+	unwell    deadline.Queue[*node]
 	dials     queue[dial]
 	dialled   map[uint64]bool
 	got       Verdict
--- a/internal/lab/virtual/links.go
+++ b/internal/lab/virtual/links.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"valvecove/internal/due"
+	"valvecove/internal/deadline"
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/requests"
 )
@@ -491,6 +491,6 @@
 
 // timer calls act once it is due.
 type timer struct {
-	due.Item
+	deadline.Item
 	act func()
 }
--- a/internal/lab/virtual/links_test.go
+++ b/internal/lab/virtual/links_test.go
@@ -12,14 +12,14 @@
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/scenario"
 	"valvecove/internal/lab/yardstick"
+	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps"
 )
 
 // bench is a scheduler whose module is scripted, and what the far side of its connections knows.
 type bench struct {
 	s       *Scheduler
-	script  *steps.Script
+	script  *modeltest.Script
 	now     time.Duration
 	outs    []edge.Out // of the last step
 	conns   map[edge.Conn]*farConn
@@ -59,7 +59,7 @@
 	if change != nil {
 		change(spec)
 	}
-	b := &bench{script: &steps.Script{}, conns: map[edge.Conn]*farConn{}, resting: map[int][]edge.Conn{}}
+	b := &bench{script: &modeltest.Script{}, conns: map[edge.Conn]*farConn{}, resting: map[int][]edge.Conn{}}
 	var err error
 	b.s, err = NewScheduler(spec, 0, Epoch, Model{Module: func(dispatch.Settings, uint64, yardstick.Oracle) requests.Policy {
 		return b.script
@@ -166,9 +166,9 @@
 
 // Each attempt ends exactly once, as far as it has come and by what has happened to it; a link carries one request
 // at a time, the one used last is used first, and none is used that is not up.
-func FuzzLinks(f *testing.F) { steps.Fuzz(f, runLinks) }
+func FuzzLinks(f *testing.F) { modeltest.Fuzz(f, runLinks) }
 
-func runLinks(s *steps.Steps) {
+func runLinks(s *modeltest.Steps) {
 	b := newBench(s.T, func(spec *scenario.Scenario) {
 		spec.Schedulers.Sockets = 24 + 48 // eight of them for server links
 		spec.Schedulers.ConnIdle = scenario.Span(4 * time.Second)
--- a/internal/lab/virtual/process.go
+++ b/internal/lab/virtual/process.go
@@ -5,13 +5,13 @@
 	"time"
 
 	"valvecove/dispatch"
-	"valvecove/internal/due"
+	"valvecove/internal/deadline"
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/world"
 	"valvecove/internal/requests"
 )
 
-// The figures of internal/run's stop, and of internal/link's descriptors, memory and patience with discovery.
+// The figures of internal/server's stop, and of internal/link's descriptors, memory and patience with discovery.
 const (
 	killAfter = 3 * time.Second
 	killSpare = 700 * time.Millisecond
@@ -32,7 +32,7 @@
 	now      time.Duration
 	ledger   *requests.Table
 	servers  *serverLinks
-	timers   due.Queue[*timer]
+	timers   deadline.Queue[*timer]
 	clients  map[edge.Conn]*clientLink
 	idle     clientLink // of the ring of client links without a query, the one idle longest first
 	most     int        // client links held at once
--- a/internal/lab/virtual/scheduler.go
+++ b/internal/lab/virtual/scheduler.go
@@ -1,6 +1,6 @@
 // Package virtual plays a scenario in virtual time: one world and its schedulers, taking turns on one goroutine and
 // a clock of their own. A scheduler here is the ledger and a module as in the real program, round them a model of
-// what internal/link does with connections and of what internal/run does on signals. The same scenario and seed are
+// what internal/link does with connections and of what internal/server does on signals. The same scenario and seed are
 // the same play, byte for byte, whatever the machine.
 //
 // Where a scenario has planners, schedulers are forwarders: their module is package follow, as in the real program, and
--- a/internal/lab/world/clients_test.go
+++ b/internal/lab/world/clients_test.go
@@ -8,14 +8,14 @@
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/scenario"
 	"valvecove/internal/lab/seen"
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // Whatever schedulers do, every job is settled once and in time, each of its tries ends once, and a try that may
 // have run is only repeated where that is allowed.
-func FuzzClients(f *testing.F) { steps.Fuzz(f, runClients) }
+func FuzzClients(f *testing.F) { modeltest.Fuzz(f, runClients) }
 
-func runClients(s *steps.Steps) {
+func runClients(s *modeltest.Steps) {
 	spec := calm(2, 4*time.Second)
 	spec.Load.Of, spec.Load.Rate = 0, 40
 	spec.Classes[3].Group, spec.Classes[3].Window = "all", scenario.Span(2*time.Second)
--- a/internal/lab/world/discovery_test.go
+++ b/internal/lab/world/discovery_test.go
@@ -8,15 +8,15 @@
 
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/seen"
+	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps"
 )
 
 // Whatever befalls worker nodes, discovery, the network and schedulers: once all is well again, each scheduler that
 // has applied what it was told has discovery's list, that list is true, and what counts as told is what is so.
-func FuzzDiscovery(f *testing.F) { steps.Fuzz(f, runDiscovery) }
+func FuzzDiscovery(f *testing.F) { modeltest.Fuzz(f, runDiscovery) }
 
-func runDiscovery(s *steps.Steps) {
+func runDiscovery(s *modeltest.Steps) {
 	spec := quiet(2+s.Pick(7), 1+s.Pick(3))
 	if s.Pick(2) == 0 {
 		spec.Discovery.Capacity = 20
--- a/internal/lab/world/faults_test.go
+++ b/internal/lab/world/faults_test.go
@@ -11,13 +11,13 @@
 
 	"valvecove/internal/lab/scenario"
 	"valvecove/internal/lab/seen"
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // However faults overlap, once the last of them is over all is as it was before the first.
-func FuzzFaults(f *testing.F) { steps.Fuzz(f, runFaults) }
+func FuzzFaults(f *testing.F) { modeltest.Fuzz(f, runFaults) }
 
-func runFaults(s *steps.Steps) {
+func runFaults(s *modeltest.Steps) {
 	spec := quiet(6, 2)
 	spec.Name, spec.Discovery.Capacity = "faults", 100
 	spec.Planners.Count, spec.Drivers = 2, []string{scenario.Virtual}
--- a/internal/lab/world/harness_clients_test.go
+++ b/internal/lab/world/harness_clients_test.go
@@ -6,7 +6,7 @@
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/scenario"
 	"valvecove/internal/lab/seen"
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // stage is clients, their front and a network, with schedulers that do as a test says.
@@ -134,7 +134,7 @@
 	settled bool
 }
 
-func newWitness(spec *scenario.Scenario, s *steps.Steps) *witness {
+func newWitness(spec *scenario.Scenario, s *modeltest.Steps) *witness {
 	return &witness{spec: spec, check: s.Check, jobs: map[uint64]*witnessed{}, calls: map[string]uint64{}}
 }
 
--- a/internal/lab/world/network_test.go
+++ b/internal/lab/world/network_test.go
@@ -9,7 +9,7 @@
 
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/scenario"
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 func TestDelays(t *testing.T) {
@@ -58,7 +58,7 @@
 // FuzzConn puts a connection through random sendings and cuts: what arrives is what was sent, in order, and once all
 // cuts have healed nothing is missing.
 func FuzzConn(f *testing.F) {
-	steps.Fuzz(f, func(s *steps.Steps) {
+	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		spec, _ := plain(1)
 		spec.Net = scenario.Net{Delay: scenario.Span(5 * ms), Jitter: 1}
 		r, far := newRig(s.T, spec, uint64(s.Pick(256))), &end{}
--- a/internal/lab/world/nodes_test.go
+++ b/internal/lab/world/nodes_test.go
@@ -10,12 +10,12 @@
 	"valvecove/internal/lab/edge"
 	"valvecove/internal/lab/scenario"
 	"valvecove/internal/lab/seen"
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // nodeModel keeps the simplest books there are of one worker node: what may happen to an attempt, and in which order.
 type nodeModel struct {
-	s     *steps.Steps
+	s     *modeltest.Steps
 	kind  *scenario.Kind
 	slots map[string]float64
 	in    []string        // reached, and not at an end, in order
@@ -79,7 +79,7 @@
 
 // FuzzNode puts a worker node and the model through random queries and faults.
 func FuzzNode(f *testing.F) {
-	steps.Fuzz(f, func(s *steps.Steps) {
+	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		spec, k := plain(1)
 		k.Cores, k.Slots, k.Queue = float64(1+s.Pick(4)), 2+s.Pick(5), s.Pick(6)
 		k.Order = []string{"fifo", "backfill"}[s.Pick(2)]
--- a/internal/lab/yardstick/base.go
+++ b/internal/lab/yardstick/base.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"valvecove/dispatch"
-	"valvecove/internal/due"
+	"valvecove/internal/deadline"
 )
 
 const (
@@ -35,7 +35,7 @@
 	jobs      map[uint64]*job
 	workers   map[uint64]*worker
 	ready     []*worker // to which something new may go
-	deadlines due.Queue[*job]
+	deadlines deadline.Queue[*job]
 	out       []*attempt      // that have not ended
 	fullLeft  []time.Duration // by class: the time that a first try leaves
 	timer     time.Duration   // the caller's; 0: none
@@ -48,7 +48,7 @@
 
 // job is owed an answer, or has attempts that are still out. Its due.Item is its deadline.
 type job struct {
-	due.Item
+	deadline.Item
 	dispatch.Job
 	class    *dispatch.Class
 	came     time.Duration // its client's first try
--- a/internal/lab/yardstick/seeing.go
+++ b/internal/lab/yardstick/seeing.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"valvecove/dispatch"
-	"valvecove/internal/due"
+	"valvecove/internal/deadline"
 	"valvecove/internal/lab/world"
 )
 
@@ -36,7 +36,7 @@
 	full   time.Duration // until then nothing but what is told of our own jobs is worth a look
 	aside  []*job        // that fit nowhere, in this look
 	fresh  []*job        // that came in this step
-	latest due.Queue[*latest]
+	latest deadline.Queue[*latest]
 	freed  []*worker // where one of ours has ended since
 	looks  uint64
 	best   float64 // the greatest speed of a core that was seen
@@ -205,7 +205,7 @@
 	}
 	for _, j := range p.fresh {
 		if j.held > 0 {
-			p.latest.Add(&latest{due.Item{At: j.aim - seconds(j.work/p.best) + 1}, j})
+			p.latest.Add(&latest{deadline.Item{At: j.aim - seconds(j.work/p.best) + 1}, j})
 		}
 	}
 	clear(p.fresh)
@@ -214,7 +214,7 @@
 
 // latest is when a held job can't be in time any more, whatever stands before it.
 type latest struct {
-	due.Item
+	deadline.Item
 	job *job
 }
 
--- a/internal/link/addresses_test.go
+++ b/internal/link/addresses_test.go
@@ -10,8 +10,8 @@
 
 	"valvecove/internal/address"
 	"valvecove/internal/config"
-	"valvecove/internal/oplog"
-	"valvecove/internal/steps"
+	"valvecove/internal/logging"
+	"valvecove/internal/modeltest"
 )
 
 const frontAddr, v2Start = "10.20.0.9:40000", "\r\n\r\n\x00\r\nQUIT\n"
@@ -38,10 +38,10 @@
 // requests are read from there on; a header that may not come or makes no sense, or that is not whole in time, ends
 // the link with nothing written, and every line of the log about it says whose it is.
 func FuzzIntroduction(f *testing.F) {
-	steps.Fuzz(f, func(s *steps.Steps) {
+	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		w := newWorld(s)
 		var log bytes.Buffer
-		w.loop.linkLog = oplog.New(config.Log{}, "n0", &log).Kind()
+		w.loop.linkLog = logging.New(config.Log{}, "n0", &log).Kind()
 		w.loop.log = w.loop.linkLog
 		w.loop.lists = address.New(config.Addresses{TrustedProxies: []netip.Prefix{netip.MustParsePrefix("10.20.0.0/24")}})
 		start := starts[s.Pick(len(starts))]
--- a/internal/link/attempts_test.go
+++ b/internal/link/attempts_test.go
@@ -13,8 +13,8 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/http1"
+	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps"
 )
 
 // late is a far end whose connection is not up yet: the loop's side takes nothing until release.
@@ -66,7 +66,7 @@
 }
 
 func newAttempts(t *testing.T) *attempts {
-	return &attempts{world: newWorld(&steps.Steps{T: t})}
+	return &attempts{world: newWorld(&modeltest.Steps{T: t})}
 }
 
 // act has the module do something in one turn.
@@ -316,7 +316,7 @@
 
 // A DELETE that waits for its connection when a process is replaced is sent by the one that goes on.
 func TestWithdrawalSurvivesHotRestart(t *testing.T) {
-	s := &steps.Steps{T: t}
+	s := &modeltest.Steps{T: t}
 	dir := t.TempDir()
 	base, at := newPredecessorWorld(s, dir)
 	w := &attempts{world: base}
--- a/internal/link/clients_test.go
+++ b/internal/link/clients_test.go
@@ -13,7 +13,7 @@
 	"valvecove/dispatch"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // asks are the requests of a client, and the status that each gets; 0: it is a query, and waits.
@@ -44,9 +44,9 @@
 
 // A client link answers each request exactly once and in turn, whatever the pieces it comes in and whichever is
 // done first, closes when framing is lost, and tells when the client has gone.
-func FuzzClientLink(f *testing.F) { steps.Fuzz(f, runClientLink) }
+func FuzzClientLink(f *testing.F) { modeltest.Fuzz(f, runClientLink) }
 
-func runClientLink(s *steps.Steps) {
+func runClientLink(s *modeltest.Steps) {
 	w := newWorld(s)
 	p, fd := w.pair()
 	w.loop.clients.adopt(fd, netip.AddrPort{})
@@ -147,7 +147,7 @@
 // What is half sent, or never begun, or not read holds a descriptor: it does not for long. Who awaits an answer, or
 // has had one and rests, is let be for as long as it takes.
 func TestStalledLinksEnd(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	texts := map[string]string{
 		"mute": "", "half": "POST /a HTTP/1.1\r\n", "bad": "\x00\r\n\r\n",
 		"waiting": numbered(asks[0].text, 1), "resting": numbered(asks[6].text, 1), "again": numbered(asks[6].text, 1) + "GET /up",
@@ -190,7 +190,7 @@
 // A refused peer that sends on must not have its answer swallowed by a reset: what it sends is taken in, unread, for
 // a while, and costs no memory.
 func TestRefusedPeersAreDrained(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	p, fd := w.pair()
 	w.loop.clients.adopt(fd, netip.AddrPort{})
 	p.write([]byte("POST /a HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n"))
@@ -216,7 +216,7 @@
 // However many half requests come, and however much is answered that nobody reads, buffers stay within their
 // budget, and a usual query is served.
 func TestBuffersStayWithinBudget(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	c := w.loop.clients
 	c.budget = 300 << 10
 	for range 20 {
@@ -254,7 +254,7 @@
 
 // A panic ends its link and no other.
 func TestBrokenLinksEnd(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	good, fd := w.pair()
 	w.loop.clients.adopt(fd, netip.AddrPort{})
 	bad, fd := w.pair()
@@ -277,7 +277,7 @@
 
 // Where descriptors run out, those make room first that never brought anything of use.
 func TestStrangersMakeRoomFirst(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	var peers []*peer
 	for _, text := range []string{
 		numbered(asks[0].text, 1), numbered(asks[0].text, 2), numbered(asks[6].text, 1),
@@ -312,7 +312,7 @@
 
 // Where descriptors run out, an idle link makes room, and one on which a request has just come is served first.
 func TestIdleLinksMakeRoom(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	asking, fd := w.pair()
 	w.loop.clients.adopt(fd, netip.AddrPort{})
 	resting, fd := w.pair()
@@ -334,7 +334,7 @@
 // answers what is in hand on links that then end, and refuses what comes. Quiet tells when all is out. What came late
 // and is still open is answered when time is up; what came before that has its time.
 func TestDrain(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	connect := func(text string) *peer {
 		p, fd := w.pair()
 		w.loop.clients.adopt(fd, netip.AddrPort{})
@@ -386,7 +386,7 @@
 
 // Notes end queries, so queries may not take up every link: one too many is refused, and a note still comes in.
 func TestNotesComeInWhenFull(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	var peers []*peer
 	for n := range w.loop.clients.queries + 1 {
 		p, fd := w.pair()
@@ -406,7 +406,7 @@
 
 // Out of descriptors, the loop waits a moment and then accepts again: what came meanwhile is served, not lost.
 func TestAcceptsAgainAfterEMFILE(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	var err error
 	if w.loop.clients.fd, err = w.loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients); err != nil {
 		t.Fatal(err)
@@ -443,7 +443,7 @@
 
 // The front sends clients to a process once its /up answers 200, so one whose requests would wait for the first list says 503.
 func TestUp_OnlyOnceNothingAwaitsTheFirstEndpointList(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	p, fd := w.pair()
 	w.loop.clients.adopt(fd, netip.AddrPort{})
 	up := func(status, unready string) {
--- a/internal/link/closing_test.go
+++ b/internal/link/closing_test.go
@@ -13,8 +13,8 @@
 	"valvecove/dispatch"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
+	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps"
 )
 
 // connectsSlowly gives a client that takes that is not connected yet take in little at a time, so that answers wait in the loop's kernel.
@@ -89,7 +89,7 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(&steps.Steps{T: t})
+			w := newWorld(&modeltest.Steps{T: t})
 			w.listens()
 			p := w.connectsSlowly()
 			p.write([]byte(c.request))
@@ -144,7 +144,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(&steps.Steps{T: t})
+			w := newWorld(&modeltest.Steps{T: t})
 			w.listens()
 			before, after := w.connects(), w.connects()
 			w.turn()
@@ -168,7 +168,7 @@
 // ends, however many had been sent ahead.
 func TestCloseAnswersWhatWasRead(t *testing.T) {
 	const requests = mostTurns + 5
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	w.listens()
 	p := w.connects()
 	w.turn()
@@ -200,7 +200,7 @@
 // Whatever connects and stays silent, the links never hold more descriptors than they may, not even within a turn; each that
 // comes is let in within a few turns, so that a query, a note and a question after readiness get through.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	w.listens()
 	c := w.loop.clients
 	const links = 64
@@ -273,7 +273,7 @@
 // A side link that its peer has ended, and that still has an answer to take, leaves the loop in peace, and ends with that
 // answer.
 func TestSideLinksEndOnce(t *testing.T) {
-	w := withStatus(&steps.Steps{T: t})
+	w := withStatus(&modeltest.Steps{T: t})
 	p := w.knock()
 	for range 40 {
 		p.write([]byte(strings.Repeat("GET /status/a HTTP/1.1\r\n\r\n", 20)))
@@ -299,7 +299,7 @@
 
 // An answer of which a client takes nothing for a while ends its link; one that it takes slowly does not.
 func TestAnswersThatNobodyReadsEndTheLink(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	var peers []*peer
 	for range 2 {
 		p, fd := w.pair()
--- a/internal/link/discovery_watch_model_test.go
+++ b/internal/link/discovery_watch_model_test.go
@@ -9,7 +9,7 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // watchModel is a discovery service that one loop watches, and what it has sent.
@@ -22,7 +22,7 @@
 	ignored int   // how many events the policy had received before the watch
 }
 
-func newWatchModel(choices *steps.Steps) *watchModel {
+func newWatchModel(choices *modeltest.Steps) *watchModel {
 	model := &watchModel{world: newWorld(choices), unsent: watchResponse}
 	model.module.Next = append(model.module.Next, dispatch.Subscribe{})
 	model.loop.Ledger.DiscoveryFailed()
@@ -140,7 +140,7 @@
 // A watch takes lines in any pieces and reports each update once, in order; one that ends, breaks off or falls silent is
 // reported as lost.
 func FuzzWatch(f *testing.F) {
-	steps.Fuzz(f, func(choices *steps.Steps) {
+	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := newWatchModel(choices)
 		for choices.More() && !model.lost {
 			model.step()
--- a/internal/link/discovery_watch_test.go
+++ b/internal/link/discovery_watch_test.go
@@ -10,7 +10,7 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/discovery"
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 const watchResponse = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -23,7 +23,7 @@
 // newWatchedWorld returns a world that has requested the watch, and the discovery service's end of the connection.
 func newWatchedWorld(t *testing.T) (*world, *peer) {
 	t.Helper()
-	watched := newWorld(&steps.Steps{T: t})
+	watched := newWorld(&modeltest.Steps{T: t})
 	watched.loop.Ledger.WatchEndpoints()
 	watched.turn()
 	server := watched.dialed[0]
@@ -135,7 +135,7 @@
 // schedulers there are; from the list at hand on; and what comes late on the one before is not read.
 func TestSilentWatchReconnects(t *testing.T) {
 	for _, schedulers := range []int{1, 300} {
-		watched := newWorld(&steps.Steps{T: t})
+		watched := newWorld(&modeltest.Steps{T: t})
 		config := discovery.Config{PollInterval: 10 * time.Second, Schedulers: schedulers}
 		latest := func(n int64) int64 { return n - 1 } // that may be drawn
 		watched.loop.watch = watched.loop.newWatchConnection(netip.AddrPort{}, config, latest)
--- a/internal/link/drain_test.go
+++ b/internal/link/drain_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"valvecove/dispatch"
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // noted is a worker node's note, as it comes in.
@@ -25,7 +25,7 @@
 // A scheduler that takes no query any more goes on taking notes, on the links that worker nodes have, also in the moment in
 // which it shuts those between queries: what they tell is an answer that some client waits for.
 func TestNotesComeInWhileClosing(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	w.listens()
 	var clients []*peer
 	for n := range 6 {
@@ -68,7 +68,7 @@
 // When time is up for good, what was never sent is refused, and then whatever is open gets its one answer, however a worker
 // node hangs: the attempt is given up, and what it still brings answers nobody.
 func TestLastAnswers(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	w.listens()
 	held, hangs := w.connects(), w.connects()
 	hangs.write([]byte(sized(1, 0)))
--- a/internal/link/figures.go
+++ b/internal/link/figures.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/internal/eventloop"
-	"valvecove/internal/figures"
+	"valvecove/internal/metrics"
 )
 
 // batchesAtOnce are sent in one turn at most: other links have their turns too.
@@ -52,7 +52,7 @@
 }
 
 // sendFigures gathers and sends figures, again and again.
-func (l *Loop) sendFigures(f *figures.Figures) {
+func (l *Loop) sendFigures(f *metrics.Figures) {
 	l.After(f.Every(), func() {
 		l.sendFigures(f)
 		f.Gather()
@@ -60,7 +60,7 @@
 	})
 }
 
-func (l *Loop) sendOn(f *figures.Figures) {
+func (l *Loop) sendOn(f *metrics.Figures) {
 	if f.Send(batchesAtOnce) {
 		l.After(0, func() { l.sendOn(f) })
 	}
--- a/internal/link/hotrestart_fuzz_test.go
+++ b/internal/link/hotrestart_fuzz_test.go
@@ -9,14 +9,14 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/http1"
+	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps"
 )
 
 // Wherever a hot restart cuts the bytes of a request, of an attempt, of a worker's response or of what has been answered, one
 // client on one connection gets each response once, and workers get each attempt once and whole.
 func FuzzHotRestart(f *testing.F) {
-	steps.Fuzz(f, func(choices *steps.Steps) {
+	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := newHotRestartModel(choices)
 		for choices.More() {
 			model.step(choices.Pick(10))
@@ -50,7 +50,7 @@
 	cordoned  bool
 }
 
-func newHotRestartModel(choices *steps.Steps) *hotRestartModel {
+func newHotRestartModel(choices *modeltest.Steps) *hotRestartModel {
 	model := &hotRestartModel{dir: choices.T.TempDir()}
 	model.world, model.address = newPredecessorWorld(choices, model.dir)
 	model.workerID = model.worker()
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -11,8 +11,8 @@
 	"valvecove/dispatch"
 	"valvecove/internal/config"
 	"valvecove/internal/hotrestart"
+	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps"
 )
 
 // enableHotRestart makes a world one whose process can be replaced, or can replace another. Its policy is scripted, before and
@@ -24,7 +24,7 @@
 }
 
 // newPredecessorWorld returns a world that serves and awaits a successor, and the address that clients connect to.
-func newPredecessorWorld(choices *steps.Steps, dir string) (*world, netip.AddrPort) {
+func newPredecessorWorld(choices *modeltest.Steps, dir string) (*world, netip.AddrPort) {
 	w := newWorld(choices)
 	w.enableHotRestart()
 	var err error
@@ -86,7 +86,7 @@
 // connects again, so that the next transfer succeeds.
 func TestFailedTransferChangesNothing(t *testing.T) {
 	dir := t.TempDir()
-	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	predecessor, address := newPredecessorWorld(&modeltest.Steps{T: t}, dir)
 	client := predecessor.sendRequest(address)
 	successor := predecessor.startSuccessor(dir, address)
 	if both := predecessor.loop.clients.most + successor.loop.clients.most; both > 1024-2*ownDescriptors {
@@ -124,7 +124,7 @@
 // Without a successor there is nothing to hand over to. A second successor is rejected, and takes nobody's place by that.
 func TestSecondSuccessorIsRejected(t *testing.T) {
 	dir := t.TempDir()
-	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	predecessor, address := newPredecessorWorld(&modeltest.Steps{T: t}, dir)
 	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) {
 		t.Errorf("without a successor: %v", err)
 	}
@@ -151,7 +151,7 @@
 // A predecessor that dies leaves its cordoned workers, in the file; what is left at the path of its socket is in nobody's way.
 func TestPredecessorDies(t *testing.T) {
 	dir := t.TempDir()
-	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	predecessor, address := newPredecessorWorld(&modeltest.Steps{T: t}, dir)
 	successor := predecessor.startSuccessor(dir, address)
 	if err := hotrestart.WriteCordonFile(dir, []string{"s-0"}); err != nil {
 		t.Fatal(err)
@@ -175,7 +175,7 @@
 // what became of its attempts.
 func TestIncompatibleSnapshotKeepsRequests(t *testing.T) {
 	dir := t.TempDir()
-	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	predecessor, address := newPredecessorWorld(&modeltest.Steps{T: t}, dir)
 	client := predecessor.sendRequest(address)
 	predecessor.module.Next = []dispatch.Action{dispatch.Send{Job: 1, Worker: predecessor.worker()}}
 	predecessor.loop.Ledger.Wake()
@@ -210,7 +210,7 @@
 // TakenOver counts if it was sent before the predecessor gave up, also behind such a call, and can't be sent after that.
 func TestCordonCallCrossesTransfer(t *testing.T) {
 	dir := t.TempDir()
-	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	predecessor, address := newPredecessorWorld(&modeltest.Steps{T: t}, dir)
 	successor := predecessor.startSuccessor(dir, address)
 	statusCode := 0
 	successor.loop.setCordoned("s-0", true, func(got int, _ string) { statusCode = got })
@@ -234,7 +234,7 @@
 // A process that is told to end while it stands by takes nothing along, and the next can stand by.
 func TestLeaveStandby(t *testing.T) {
 	dir := t.TempDir()
-	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	predecessor, address := newPredecessorWorld(&modeltest.Steps{T: t}, dir)
 	successor := predecessor.startSuccessor(dir, address)
 	if predecessor.loop.LeaveStandby() || !successor.loop.LeaveStandby() || successor.loop.LeaveStandby() {
 		t.Error("one that serves leaves the standby, or one that stands by does not, or does twice")
@@ -249,7 +249,7 @@
 // A process that connects and sends nothing does not keep others out.
 func TestSilentSuccessorIsDisconnected(t *testing.T) {
 	dir := t.TempDir()
-	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+	predecessor, address := newPredecessorWorld(&modeltest.Steps{T: t}, dir)
 	silent, err := dialPredecessor(hotrestart.SocketAddresses(dir, address))
 	if err != nil {
 		t.Fatal(err)
@@ -268,7 +268,7 @@
 func TestSuccessorWatchesEndpoints(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		dir := t.TempDir()
-		predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
+		predecessor, address := newPredecessorWorld(&modeltest.Steps{T: t}, dir)
 		predecessor.loop.clients.set.MustSubscribe = true // a successor has its predecessor's settings
 		successor := predecessor.startSuccessor(dir, address)
 		if !successor.loop.watch.isOpen() {
--- a/internal/link/leaving_test.go
+++ b/internal/link/leaving_test.go
@@ -9,8 +9,8 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/http1"
+	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps"
 )
 
 // A client that leaves is gone for the module before that turn's sends, wherever its requests are by then: nothing of
@@ -42,7 +42,7 @@
 	for name, c := range cases {
 		for how, leave := range map[string]func(*peer){"end": (*peer).close, "reset": (*peer).resets} {
 			t.Run(name+", "+how, func(t *testing.T) {
-				w := newWorld(&steps.Steps{T: t})
+				w := newWorld(&modeltest.Steps{T: t})
 				w.listens()
 				p := w.connects()
 				w.turn()
@@ -80,7 +80,7 @@
 
 // A worker node's word that came before its connection broke is heard; a query that did is not taken.
 func TestNewsBeforeAReset(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	w.listens()
 	client, worker := w.connects(), w.connects()
 	client.write([]byte(sized(7, 0)))
@@ -103,7 +103,7 @@
 	for _, size := range []int{0, 2 << 10, 8 << 10} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			const requests = 3 * mostTurns
-			w := newWorld(&steps.Steps{T: t})
+			w := newWorld(&modeltest.Steps{T: t})
 			w.listens()
 			p := w.connects()
 			w.turn()
@@ -136,7 +136,7 @@
 // A client that sends more ahead of its answers than is kept is read from all the same: what is kept whole is answered,
 // one more is refused, and the link ends. Buffers stay bounded.
 func TestTooMuchAheadIsRefused(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	w.listens()
 	p := w.connects()
 	w.turn()
@@ -165,7 +165,7 @@
 
 // What has ended and still has answers to take leaves the loop in peace: it is not told of the end over and over.
 func TestEndIsToldOnce(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	p, fd := w.pair()
 	w.loop.clients.adopt(fd, netip.AddrPort{})
 	for range 40 {
@@ -189,7 +189,7 @@
 	for stage, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize, "accepted": 0} {
 		for how, leave := range map[string]func(*peer){"end": (*peer).close, "reset": (*peer).resets} {
 			t.Run(stage+", "+how, func(t *testing.T) {
-				w := newWorld(&steps.Steps{T: t})
+				w := newWorld(&modeltest.Steps{T: t})
 				w.listens()
 				w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
 					{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
@@ -234,7 +234,7 @@
 
 // The time of a request counts from when its last byte came, also if it had to wait for its turn on its link.
 func TestTimeCountsFromArrival(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	w.listens()
 	p := w.connects()
 	w.turn()
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -13,9 +13,9 @@
 	"valvecove/internal/capture"
 	"valvecove/internal/config"
 	"valvecove/internal/eventloop"
-	"valvecove/internal/figures"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/http1"
+	"valvecove/internal/metrics"
 	"valvecove/internal/requests"
 )
 
@@ -38,7 +38,7 @@
 	decides         *dispatch.Dispatcher                       // the module that runs, under whatever wraps it
 	side            int                                        // descriptors for features
 	Capture         *capture.Recorder                          // nil: off
-	figures         *figures.Figures                           // nil: off
+	figures         *metrics.Figures                           // nil: off
 	lists           *address.AccessLists                       // nil: off
 	wrap            func(*dispatch.Dispatcher) requests.Policy // what stands round a module that goes on from another process; nil: none can
 	predecessorRole *predecessorRole                           // nil: no successor can come
--- a/internal/link/loop_test.go
+++ b/internal/link/loop_test.go
@@ -8,13 +8,13 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/dispatch"
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // A burst of clients that leave is taken in whole before the turn's sends, however many they are.
 func TestBurstOfClientsGone(t *testing.T) {
 	const clients = 400
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	w.loop.clients.limit(2*clients, 1<<20)
 	var peers []*peer
 	for n := range clients {
@@ -39,7 +39,7 @@
 // A descriptor given up in a turn is free again before that turn's sends open others: counted twice, they would go over the
 // limit, and an attempt fail for want of one.
 func TestDescriptorsAreFreeBeforeTheSends(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	stays, fd := w.pair()
 	w.loop.clients.adopt(fd, netip.AddrPort{})
 	stays.write([]byte(sized(1, 0)))
--- a/internal/link/operators.go
+++ b/internal/link/operators.go
@@ -11,7 +11,7 @@
 
 	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
-	"valvecove/internal/tally"
+	"valvecove/internal/metrics"
 )
 
 const (
@@ -32,7 +32,7 @@
 // answered however busy the scheduler is.
 type operatorLinks struct {
 	sideLinks // the oldest first
-	count     *tally.Tally
+	count     *metrics.Totals
 	text      []byte
 }
 
@@ -51,7 +51,7 @@
 func (k *operatorLink) Priority() eventloop.Priority { return eventloop.PriorityUrgent }
 
 // serveOperators answers the operators' calls at their own address.
-func (l *Loop) serveOperators(at netip.AddrPort, count *tally.Tally) (err error) {
+func (l *Loop) serveOperators(at netip.AddrPort, count *metrics.Totals) (err error) {
 	o := &operatorLinks{sideLinks: sideLinks{loop: l}, count: count}
 	if o.fd, err = l.Listen(at, o); err == nil {
 		l.operators = o
@@ -162,7 +162,7 @@
 		}
 	case pathMetrics:
 		o := k.home
-		o.text = o.count.Append(o.text[:0], tally.Now{
+		o.text = o.count.Append(o.text[:0], metrics.Gauges{
 			Inflight: k.home.loop.inflight(), Listed: k.home.loop.Ledger.ListedCount(),
 			Down: k.home.loop.avoided(),
 		})
--- a/internal/link/operators_test.go
+++ b/internal/link/operators_test.go
@@ -12,14 +12,14 @@
 	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/http1"
-	"valvecove/internal/steps"
-	"valvecove/internal/tally"
+	"valvecove/internal/metrics"
+	"valvecove/internal/modeltest"
 )
 
 // withOperators is a world with a management address.
-func withOperators(s *steps.Steps) *world {
+func withOperators(s *modeltest.Steps) *world {
 	w := newWorld(s)
-	count := tally.New([]string{"a"})
+	count := metrics.NewTotals([]string{"a"})
 	if err := w.loop.serveOperators(netip.MustParseAddrPort("127.0.0.1:0"), count); err != nil {
 		s.T.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 		{"nonsense\r\n\r\n", "400 not a request line"},
 		{"GET /" + strings.Repeat("x", http1.MaxHeaderSize) + " HTTP/1.1\r\n\r\n", "431 head too large"},
 	}
-	steps.Fuzz(f, func(s *steps.Steps) {
+	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		w := withOperators(s)
 		type caller struct {
 			*peer
@@ -126,7 +126,7 @@
 
 // An answered link is over with its answer: what is in its way is only that the caller reads it.
 func TestOperatorBeforeClients(t *testing.T) {
-	s := &steps.Steps{T: t}
+	s := &modeltest.Steps{T: t}
 	w := withOperators(s)
 	if got := w.call("GET /v1/metrics HTTP/1.1\r\n\r\n"); got != "200 "+metricsAtFirst {
 		t.Errorf("at first %q", got)
@@ -169,7 +169,7 @@
 // The yes comes once the ban is kept, and a process that starts later reads it.
 func TestWorkerNodeByHand(t *testing.T) {
 	dir := t.TempDir()
-	s := &steps.Steps{T: t}
+	s := &modeltest.Steps{T: t}
 	w := withOperators(s)
 	w.loop.openCordonStore(dir)
 	put := func(what, id string) string {
--- a/internal/link/servers_test.go
+++ b/internal/link/servers_test.go
@@ -10,8 +10,8 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/http1"
+	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps"
 )
 
 // answers are what a worker node may say to a request, and how an attempt ends by it; -1: it goes on.
@@ -43,9 +43,9 @@
 // A server link carries one request at a time; each attempt has one outcome, and that follows from how far it
 // came; nothing is sent twice; one that was accepted is given up by a DELETE that is written; what is left at the end is
 // idle. Some connections come up late.
-func FuzzServerLink(f *testing.F) { steps.Fuzz(f, runServerLink) }
+func FuzzServerLink(f *testing.F) { modeltest.Fuzz(f, runServerLink) }
 
-func runServerLink(s *steps.Steps) {
+func runServerLink(s *modeltest.Steps) {
 	w := newWorld(s)
 	var queries []uint64 // by number: the ledger counts from 1
 	attempts := map[string]*tried{}
@@ -212,7 +212,7 @@
 // A link that breaks after it was idle says nothing of its worker node. From then on links are not used again when
 // they have been idle for nearly as long, until all has gone well for a while.
 func TestTrustInIdleLinks(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	probe := func(idle time.Duration, answer string, wantLinks int, want dispatch.Result) {
 		t.Helper()
@@ -253,7 +253,7 @@
 // A link to a process that has been replaced is not used again, nor one that is about to be closed as idle; an
 // attempt given up after it was accepted is withdrawn by name.
 func TestLinksAreRetired(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	host := requests.Endpoint{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up", StartedAtMs: 5}
 	sent := 0
 	send := func() *peer {
@@ -308,7 +308,7 @@
 func TestLateNoteStopsTheSend(t *testing.T) {
 	for name, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(&steps.Steps{T: t})
+			w := newWorld(&modeltest.Steps{T: t})
 			q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
 				CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
 				Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{},
@@ -362,7 +362,7 @@
 	for name, end := range ends {
 		for stage, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize} {
 			t.Run(name+", "+stage, func(t *testing.T) {
-				w := newWorld(&steps.Steps{T: t})
+				w := newWorld(&modeltest.Steps{T: t})
 				w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
 					{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
 					{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"},
--- a/internal/link/settings_test.go
+++ b/internal/link/settings_test.go
@@ -20,8 +20,8 @@
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
 	"valvecove/internal/http1"
+	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps"
 )
 
 // deployment is a world round a loop with the module that decides in service, both by settings that a seed draws:
@@ -198,7 +198,7 @@
 // connections to worker nodes come up late, and others close after an answer.
 func newDeployment(t *testing.T, seed uint64, late bool, set func(settings object)) *deployment {
 	rng := rand.New(rand.NewPCG(seed, 21))
-	w := &world{Steps: &steps.Steps{T: t}, now: 1000 * time.Hour}
+	w := &world{Steps: &modeltest.Steps{T: t}, now: 1000 * time.Hour}
 	d := &deployment{world: w, rng: rng, asked: map[string]*asked{}, known: map[*peer]*far{}, told: 1, late: late}
 	zones, kinds := names(rng, 1+rng.IntN(5)), names(rng, 1+rng.IntN(3))
 	for i := range 2 + rng.IntN(7) {
--- a/internal/link/start.go
+++ b/internal/link/start.go
@@ -16,12 +16,11 @@
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
 	"valvecove/internal/eventloop"
-	"valvecove/internal/figures"
 	"valvecove/internal/hotrestart"
-	"valvecove/internal/oplog"
+	"valvecove/internal/logging"
+	"valvecove/internal/metrics"
 	"valvecove/internal/requests"
 	"valvecove/internal/status"
-	"valvecove/internal/tally"
 )
 
 // Own descriptors besides links: standard ones, epoll, eventfd, listener, watch, and what the runtime opens.
@@ -32,7 +31,7 @@
 
 // Open returns a loop that listens and is ready to run, with the features that are on. figuresTo are targets of figures
 // besides a collector.
-func Open(c config.Config, ops config.Ops, log *oplog.Log, figuresTo ...figures.Target) (*Loop, error) {
+func Open(c config.Config, ops config.Ops, log *logging.Log, figuresTo ...metrics.Target) (*Loop, error) {
 	l, err := newLoop(log.Kind(), log.Kind(), clockSinceEpoch(), c.Limits.Sockets)
 	if err != nil {
 		return nil, err
@@ -91,7 +90,7 @@
 		return nil, err
 	}
 	if c.Management.IsValid() {
-		count := tally.New(c.Settings.Names.Classes)
+		count := metrics.NewTotals(c.Settings.Names.Classes)
 		if err := l.serveOperators(c.Management, count); err != nil {
 			return nil, fmt.Errorf("key \"management\": %w", err)
 		}
@@ -109,7 +108,7 @@
 		if ops.Metrics.UDPTarget.IsValid() {
 			targets = append(targets, &collector{to: ops.Metrics.UDPTarget, fd: -1})
 		}
-		l.figures = figures.New(*ops.Metrics, c.Settings.Names, l.Now, targets...)
+		l.figures = metrics.New(*ops.Metrics, c.Settings.Names, l.Now, targets...)
 		l.Ledger.AddObserver(l.figures)
 		l.sendFigures(l.figures)
 	}
--- a/internal/link/status_test.go
+++ b/internal/link/status_test.go
@@ -9,13 +9,13 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/config"
+	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
 	"valvecove/internal/status"
-	"valvecove/internal/steps"
 )
 
 // withStatus is a world with a status call that knows one job, "a".
-func withStatus(s *steps.Steps) *world {
+func withStatus(s *modeltest.Steps) *world {
 	w := newWorld(s)
 	table := status.New(config.Status{Retention: time.Minute, MaxEntries: 10}, requests.NameTable{Classes: []string{"a"}}, true, w.loop.Now)
 	if err := w.loop.serveStatus(netip.MustParseAddrPort("127.0.0.1:0"), table); err != nil {
@@ -50,7 +50,7 @@
 		{"POST /status/a HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi", "405 GET only", false},
 		{"nonsense\r\n\r\n", "400 not a request line", true},
 	}
-	steps.Fuzz(f, func(s *steps.Steps) {
+	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		w := withStatus(s)
 		p, unsent, ask, want := w.knock(), "", asks[0], ""
 		w.turn()
@@ -99,7 +99,7 @@
 
 // A crowd at the status call takes a few descriptors, and the one who asks gets an answer all the same.
 func TestStatusCrowd(t *testing.T) {
-	w := withStatus(&steps.Steps{T: t})
+	w := withStatus(&modeltest.Steps{T: t})
 	first := w.knock()
 	for range 3 * statusMost {
 		w.knock()
--- a/internal/link/world_test.go
+++ b/internal/link/world_test.go
@@ -11,16 +11,16 @@
 	"valvecove/dispatch"
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
+	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps"
 )
 
 // world is a loop whose links lead to the test itself: their other ends are sockets that it reads and writes
 // between turns, on a clock of its own.
 type world struct {
-	*steps.Steps
+	*modeltest.Steps
 	loop   *Loop
-	module *steps.Script
+	module *modeltest.Script
 	now    time.Duration
 	clock  func() time.Duration // what the loop reads; returns now
 	dialed []*peer              // the far ends of server links and watches, in the order of their opening
@@ -35,8 +35,8 @@
 	closed bool // by this side
 }
 
-func newWorld(s *steps.Steps) *world {
-	w := &world{Steps: s, module: &steps.Script{}, now: 1000 * time.Hour}
+func newWorld(s *modeltest.Steps) *world {
+	w := &world{Steps: s, module: &modeltest.Script{}, now: 1000 * time.Hour}
 	w.clock = func() time.Duration { return w.now }
 	silent := slog.New(slog.DiscardHandler)
 	l, err := newLoop(silent, silent, func() time.Duration { return w.clock() }, 0)
--- a/internal/oplog/oplog.go
+++ b/internal/logging/logging.go
@@ -1,7 +1,7 @@
-// Package oplog is how a scheduler's log is written: by log/slog, as text or as JSON, each line one Write, its fields
+// Package logging is how a scheduler's log is written: by log/slog, as text or as JSON, each line one Write, its fields
 // the time, the level, the event, the scheduler's name, and what the event is about. Lines of a kind have a budget of
 // their own, so that no kind crowds out another, whatever goes on.
-package oplog
+package logging
 
 import (
 	"bytes"
--- a/internal/oplog/oplog_test.go
+++ b/internal/logging/logging_test.go
@@ -1,4 +1,4 @@
-package oplog
+package logging
 
 import (
 	"bytes"
--- a/internal/figures/figures.go
+++ b/internal/metrics/exporter.go
@@ -1,7 +1,7 @@
-// Package figures counts and times queries by tenant, class and outcome, and writes the figures out in batches, as
+// Package metrics counts and times queries by tenant, class and outcome, and writes the figures out in batches, as
 // statsd or influx lines. It hears of queries as an observer of the ledger and decides nothing. Tags are the names
 // in the settings and the protocol's outcomes, never what a client wrote; what waits to be written is bounded.
-package figures
+package metrics
 
 import (
 	"bytes"
--- a/internal/figures/figures_test.go
+++ b/internal/metrics/exporter_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"errors"
@@ -12,9 +12,9 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/config"
+	"valvecove/internal/modeltest"
+	"valvecove/internal/modeltest/observertest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps"
-	"valvecove/internal/steps/sides"
 )
 
 // target keeps the batches that it takes.
@@ -37,13 +37,13 @@
 
 // world is figures on a ledger, with a module that does as it is told.
 type world struct {
-	*sides.World
+	*observertest.World
 	figures *Figures
 	target  *target
 }
 
 func newWorld(conf config.Metrics, names requests.NameTable) *world {
-	w := &world{World: sides.New(names, slog.New(slog.DiscardHandler)), target: &target{}}
+	w := &world{World: observertest.New(names, slog.New(slog.DiscardHandler)), target: &target{}}
 	w.figures = New(conf, names, func() time.Duration { return w.Now }, w.target)
 	w.Ledger.AddObserver(w.figures)
 	return w
@@ -105,7 +105,7 @@
 // is open and out, batches hold whole figures and stay under the limit but for one that is longer by itself; batches
 // that nobody takes are counted.
 func FuzzFigures(f *testing.F) {
-	steps.Fuzz(f, func(s *steps.Steps) {
+	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		most := 1 + 4*s.Pick(200)
 		w := newWorld(config.Metrics{Format: "statsd", MaxBatchBytes: most}, names)
 		want, got := map[string]int{}, map[string]int{}
--- a/internal/tally/tally.go
+++ b/internal/metrics/totals.go
@@ -1,7 +1,4 @@
-// Package tally counts, from the start of the process on, what became of jobs, for the operators' figures call. It
-// hears of them as an observer of the ledger and decides nothing. Classes are named as in the settings, never by what a
-// client wrote.
-package tally
+package metrics
 
 import (
 	"strconv"
@@ -9,8 +6,8 @@
 	"valvecove/internal/requests"
 )
 
-// Tally holds the counts. It is used by the goroutine that has the ledger.
-type Tally struct {
+// Totals holds the counts. It is used by the goroutine that has the ledger.
+type Totals struct {
 	names    []string
 	ended    [len(words)][]uint64 // by answer and class
 	attempts uint64               // written whole to worker nodes
@@ -19,9 +16,9 @@
 // words are the names of the figures by answer.
 var words = [...]string{requests.ResponseResult: "success", requests.ResponseRejected: "busy", requests.ResponseFailed: "failure"}
 
-// New returns a tally of the classes, each at nothing.
-func New(classes []string) *Tally {
-	t := &Tally{names: classes}
+// NewTotals returns a tally of the classes, each at nothing.
+func NewTotals(classes []string) *Totals {
+	t := &Totals{names: classes}
 	for a := range t.ended {
 		t.ended[a] = make([]uint64, len(classes))
 	}
@@ -30,7 +27,7 @@
 
 // Observe takes in news of a query. One that its client left is counted nowhere; one that was refused at the door for
 // want of room is busy; what could not be read as a query is no job.
-func (t *Tally) Observe(n requests.Notification) {
+func (t *Totals) Observe(n requests.Notification) {
 	switch n.Kind {
 	case requests.RequestEnded:
 		if a := n.Request.Response(); a != requests.ResponseNone {
@@ -45,43 +42,43 @@
 	}
 }
 
-func (t *Tally) count(a requests.Response, class int) {
+func (t *Totals) count(a requests.Response, class int) {
 	if class >= 0 && class < len(t.names) {
 		t.ended[a][class]++
 	}
 }
 
 // Ended tells how many jobs of a class got that answer.
-func (t *Tally) Ended(a requests.Response, class int) uint64 { return t.ended[a][class] }
+func (t *Totals) Ended(a requests.Response, class int) uint64 { return t.ended[a][class] }
 
-// Now are the figures that hold at the moment of a call.
-type Now struct {
+// Gauges are the figures that hold at the moment of a call.
+type Gauges struct {
 	Inflight int // jobs taken and not ended
 	Listed   int // worker nodes in the list
 	Down     int // of those, that are avoided by hand or by choice
 }
 
-const prefix = "edge_proxy."
+const callPrefix = "edge_proxy."
 
 // Append writes all figures to b, a line each.
-func (t *Tally) Append(b []byte, now Now) []byte {
+func (t *Totals) Append(b []byte, now Gauges) []byte {
 	for a, word := range words {
 		if word == "" {
 			continue
 		}
 		for i, name := range t.names {
-			b = append(append(append(b, prefix...), word...), '.')
+			b = append(append(append(b, callPrefix...), word...), '.')
 			b = append(append(b, name...), '=')
 			b = append(strconv.AppendUint(b, t.ended[a][i], 10), '\n')
 		}
 	}
-	b = line(b, "backend_calls", t.attempts)
-	b = line(b, "inflight", uint64(now.Inflight))
-	b = line(b, "hosts_listed", uint64(now.Listed))
-	return line(b, "hosts_down", uint64(now.Down))
+	b = appendCallLine(b, "backend_calls", t.attempts)
+	b = appendCallLine(b, "inflight", uint64(now.Inflight))
+	b = appendCallLine(b, "hosts_listed", uint64(now.Listed))
+	return appendCallLine(b, "hosts_down", uint64(now.Down))
 }
 
-func line(b []byte, name string, n uint64) []byte {
-	b = append(append(append(b, prefix...), name...), '=')
+func appendCallLine(b []byte, name string, n uint64) []byte {
+	b = append(append(append(b, callPrefix...), name...), '=')
 	return append(strconv.AppendUint(b, n, 10), '\n')
 }
--- a/internal/tally/tally_test.go
+++ b/internal/metrics/totals_test.go
@@ -1,4 +1,4 @@
-package tally
+package metrics
 
 import (
 	"log/slog"
@@ -9,10 +9,9 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/internal/figures"
+	"valvecove/internal/modeltest"
+	"valvecove/internal/modeltest/observertest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps"
-	"valvecove/internal/steps/sides"
 )
 
 // answers counts what clients are told, by class 0.
@@ -35,11 +34,11 @@
 // Each job that is over is counted once, by what its client was told; those that left are counted nowhere; what was refused
 // at the door is busy. The other figures count the same jobs, and those that left once nothing of them is out.
 func FuzzTally(f *testing.F) {
-	steps.Fuzz(f, func(s *steps.Steps) {
+	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		names := requests.NameTable{Classes: []string{"a"}, Tenants: []string{"t"}}
-		w := sides.New(names, slog.New(slog.DiscardHandler))
-		count, told, others := New(names.Classes), answers{}, kept{}
-		all := figures.New(config.Metrics{Format: "statsd", MaxBatchBytes: 1400}, names, func() time.Duration { return w.Now }, &others)
+		w := observertest.New(names, slog.New(slog.DiscardHandler))
+		count, told, others := NewTotals(names.Classes), answers{}, kept{}
+		all := New(config.Metrics{Format: "statsd", MaxBatchBytes: 1400}, names, func() time.Duration { return w.Now }, &others)
 		w.Ledger.AddObserver(count)
 		w.Ledger.AddObserver(all)
 		taken, left, written, seen := 0, 0, 0, 0
@@ -109,8 +108,8 @@
 
 // A call for the figures takes no memory but its own text.
 func TestAppendTakesNoMemory(t *testing.T) {
-	count, text := New([]string{"a", "b"}), []byte(nil)
-	if n := testing.AllocsPerRun(100, func() { text = count.Append(text[:0], Now{Inflight: 5}) }); n > 0 {
+	count, text := NewTotals([]string{"a", "b"}), []byte(nil)
+	if n := testing.AllocsPerRun(100, func() { text = count.Append(text[:0], Gauges{Inflight: 5}) }); n > 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
--- a/internal/steps/steps.go
+++ b/internal/modeltest/modeltest.go
@@ -1,6 +1,6 @@
-// Package steps is what the model tests share: it turns a fuzzer's bytes into the random steps that a model and
+// Package modeltest is what the model tests share: it turns a fuzzer's bytes into the random steps that a model and
 // the code are both put through.
-package steps
+package modeltest
 
 import (
 	"math/rand/v2"
--- a/internal/steps/sides/sides.go
+++ b/internal/modeltest/observertest/fixture.go
@@ -1,5 +1,5 @@
-// Package sides is for tests of what listens to a ledger: it plays clients, worker nodes and the module.
-package sides
+// Package observertest is for tests of what listens to a ledger: it plays clients, worker nodes and the module.
+package observertest
 
 import (
 	"log/slog"
@@ -7,14 +7,14 @@
 	"time"
 
 	"valvecove/dispatch"
+	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps"
 )
 
 // World is a ledger with all that is around it. Its worker nodes are s-0 and s-1.
 type World struct {
 	Ledger *requests.Table
-	Module *steps.Script
+	Module *modeltest.Script
 	Out    []*requests.Attempt // that were sent, in order
 	Now    time.Duration
 	hosts  []dispatch.Worker
@@ -22,7 +22,7 @@
 
 // New returns a world in which nothing has happened.
 func New(names requests.NameTable, log *slog.Logger) *World {
-	w := &World{Module: &steps.Script{}, Now: 1718000000 * time.Second}
+	w := &World{Module: &modeltest.Script{}, Now: 1718000000 * time.Second}
 	group := requests.EndpointList{}
 	for n := range 2 {
 		group.Endpoints = append(group.Endpoints, requests.Endpoint{ID: "s-" + strconv.Itoa(n), Addr: "127.0.0.1:1", Lifecycle: "up"})
--- a/internal/requests/admission_test.go
+++ b/internal/requests/admission_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"valvecove/dispatch"
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // Requests wait for the first update of the endpoint list, and the policy learns of all of them in one step then, with
@@ -25,7 +25,7 @@
 		"little time":      {50 * time.Millisecond, func(*Table) {}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			policy := &steps.Script{}
+			policy := &modeltest.Script{}
 			table := newTestTable(policy, 1, newRecordingTransport())
 			table.AwaitEndpoints(time.Second)
 			arrival := Arrival{CallID: "c", Job: dispatch.Job{Remaining: test.remaining}, Responder: &countingResponder{}}
@@ -47,7 +47,7 @@
 
 // stepUntilLearned steps the table ten times a second as it asks for, for a second at most, until the policy learns of
 // a request, and returns when that was, or 0. The update comes after 300 ms.
-func stepUntilLearned(table *Table, policy *steps.Script, update func(table *Table)) time.Duration {
+func stepUntilLearned(table *Table, policy *modeltest.Script, update func(table *Table)) time.Duration {
 	for tick := range time.Duration(11) {
 		now := max(1, tick*100*time.Millisecond)
 		if tick == 3 {
@@ -84,7 +84,7 @@
 		"hot restart":      func(table *Table) { table.AwaitEndpoints(0) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			table := newTestTable(&steps.Script{}, 1, newRecordingTransport())
+			table := newTestTable(&modeltest.Script{}, 1, newRecordingTransport())
 			table.Step(0)
 			if !table.Ready() {
 				t.Error("not ready with a worker that is up")
--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"valvecove/dispatch"
-	"valvecove/internal/due"
+	"valvecove/internal/deadline"
 )
 
 // attemptState is the state of an attempt.
@@ -51,7 +51,7 @@
 // Attempt is one attempt to have a request executed by a worker.
 type Attempt struct {
 	// Item.At is when the table stops waiting for the attempt. It is changed by the table alone.
-	due.Item
+	deadline.Item
 	Request    *Request
 	Number     int    // among the attempts of its request, from 0
 	Worker     uint64 // the policy's number for the endpoint
--- a/internal/requests/callback_test.go
+++ b/internal/requests/callback_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"valvecove/dispatch"
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // A callback that is repeated must not end the next attempt at the same endpoint: handed back twice, a request that may
@@ -13,7 +13,7 @@
 func TestCallback_RepeatedEndsNoLaterAttempt(t *testing.T) {
 	for _, state := range []string{CallbackReturned, CallbackFailed, CallbackLost} {
 		t.Run(state, func(t *testing.T) {
-			policy, transport := &steps.Script{}, newRecordingTransport()
+			policy, transport := &modeltest.Script{}, newRecordingTransport()
 			table := newTestTable(policy, 2, transport)
 			request := admit(t, table, "c", &countingResponder{})
 			send := func(endpoint string) {
--- a/internal/requests/completion_test.go
+++ b/internal/requests/completion_test.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"valvecove/dispatch"
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // Of two attempts that are both served only the first is the client's; the other ends as served and closed.
 func TestHedgedRequest_FirstResultIsSent(t *testing.T) {
-	policy, responder, transport := &steps.Script{}, &countingResponder{}, newRecordingTransport()
+	policy, responder, transport := &modeltest.Script{}, &countingResponder{}, newRecordingTransport()
 	table := newTestTable(policy, 2, transport)
 	request := admit(t, table, "c", responder)
 	policy.Next = []dispatch.Action{
@@ -51,15 +51,15 @@
 
 // Where many requests are responded to at once, it is in order of arrival, at every run.
 func TestResponses_KeepOrderOfArrival(t *testing.T) {
-	for name, closeAll := range map[string]func(table *Table, policy *steps.Script){
-		"end of process": func(table *Table, _ *steps.Script) { table.CloseSince(0) },
-		"policy panic": func(table *Table, policy *steps.Script) {
+	for name, closeAll := range map[string]func(table *Table, policy *modeltest.Script){
+		"end of process": func(table *Table, _ *modeltest.Script) { table.CloseSince(0) },
+		"policy panic": func(table *Table, policy *modeltest.Script) {
 			policy.Panic = true
 			table.Step(2)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			policy, responded := &steps.Script{}, []int{}
+			policy, responded := &modeltest.Script{}, []int{}
 			table := newTestTable(policy, 0, newRecordingTransport())
 			for number := range 50 {
 				admit(t, table, strconv.Itoa(number), orderedResponder{&responded, number})
--- a/internal/requests/cordon_test.go
+++ b/internal/requests/cordon_test.go
@@ -8,25 +8,25 @@
 	"time"
 
 	"valvecove/dispatch"
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // A cordon is of an id and not counted; it holds for an endpoint that the list does not name now, and for a policy that
 // starts anew. Nothing is sent against one, even if the policy wants it.
-func FuzzCordons(f *testing.F) { steps.Fuzz(f, runCordonModel) }
+func FuzzCordons(f *testing.F) { modeltest.Fuzz(f, runCordonModel) }
 
 // cordonModel puts the cordons of a table through random steps. The endpoints s-0 to s-2 were listed, s-3 never was.
 type cordonModel struct {
-	*steps.Steps
-	policy    *steps.Script
+	*modeltest.Steps
+	policy    *modeltest.Script
 	transport *recordingTransport
 	table     *Table
 	cordoned  map[string]bool
 	admitted  int
 }
 
-func runCordonModel(s *steps.Steps) {
-	m := &cordonModel{Steps: s, policy: &steps.Script{}, transport: newRecordingTransport(), cordoned: map[string]bool{}}
+func runCordonModel(s *modeltest.Steps) {
+	m := &cordonModel{Steps: s, policy: &modeltest.Script{}, transport: newRecordingTransport(), cordoned: map[string]bool{}}
 	m.table = newTestTable(m.policy, 3, m.transport)
 	for s.More() {
 		m.step("s-" + strconv.Itoa(s.Pick(4)))
--- a/internal/requests/endpoint_test.go
+++ b/internal/requests/endpoint_test.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"testing"
 
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // numberEndpoints returns the numbers of endpoints that become known in this order.
@@ -34,7 +34,7 @@
 
 // Removed endpoints are not remembered for ever, but for the cordoned ones.
 func TestEndpoints_RemovedAreForgotten(t *testing.T) {
-	table := newTestTable(&steps.Script{}, 0, newRecordingTransport())
+	table := newTestTable(&modeltest.Script{}, 0, newRecordingTransport())
 	replace := func(id string) {
 		table.UpdateEndpoints(EndpointList{Reset: true, Endpoints: []Endpoint{{ID: id, Lifecycle: "up"}}})
 	}
--- a/internal/requests/table.go
+++ b/internal/requests/table.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"valvecove/dispatch"
-	"valvecove/internal/due"
+	"valvecove/internal/deadline"
 )
 
 // Table is the table of requests and attempts of one scheduler.
@@ -28,7 +28,7 @@
 	requests     map[uint64]*Request // by ID
 	openByCallID map[string]*Request // those that are owed a response
 	inFlight     map[attemptKey]*Attempt
-	timeouts     due.Queue[*Attempt]
+	timeouts     deadline.Queue[*Attempt]
 
 	endpoints  endpointTable
 	revision   int64                      // of the endpoint list; 0: discovery can't give the changes since
--- a/internal/requests/table_test.go
+++ b/internal/requests/table_test.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"valvecove/dispatch"
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // A request gets one response or has lost its client, every Send gets one outcome, and whatever comes late, twice or
 // for nobody changes nothing.
-func FuzzTable(f *testing.F) { steps.Fuzz(f, runTableModel) }
+func FuzzTable(f *testing.F) { modeltest.Fuzz(f, runTableModel) }
 
 // modelRequest is what the model knows of a request.
 type modelRequest struct {
@@ -23,16 +23,16 @@
 
 // tableModel puts a table through random steps, and checks it against what it knows itself.
 type tableModel struct {
-	*steps.Steps
-	policy    *steps.Script
+	*modeltest.Steps
+	policy    *modeltest.Script
 	transport *recordingTransport
 	table     *Table
 	now       time.Duration
 	requests  []*modelRequest
 }
 
-func runTableModel(random *steps.Steps) {
-	model := &tableModel{Steps: random, policy: &steps.Script{}, transport: newRecordingTransport(), now: time.Hour}
+func runTableModel(random *modeltest.Steps) {
+	model := &tableModel{Steps: random, policy: &modeltest.Script{}, transport: newRecordingTransport(), now: time.Hour}
 	model.table = newTestTable(model.policy, 2, model.transport)
 	for model.More() {
 		model.now += time.Duration(model.Pick(200)) * time.Millisecond
--- a/internal/run/run.go
+++ b/internal/server/server.go
@@ -1,5 +1,5 @@
-// Package run is start and stop: limits, readiness, signals, drain, and a new configuration under way.
-package run
+// Package server is start and stop: limits, readiness, signals, drain, and a new configuration under way.
+package server
 
 import (
 	"cmp"
@@ -16,11 +16,11 @@
 	"syscall"
 	"time"
 
+	"valvecove/internal/asyncwriter"
 	"valvecove/internal/config"
-	"valvecove/internal/figures"
 	"valvecove/internal/link"
-	"valvecove/internal/oplog"
-	"valvecove/internal/spool"
+	"valvecove/internal/logging"
+	"valvecove/internal/metrics"
 )
 
 // After SIGTERM new connections still come for a moment, and clients keep using the links that they have. SIGKILL
@@ -44,9 +44,9 @@
 	conf     config.Config
 	loop     *link.Loop
 	draining bool
-	over     bool          // there is nothing more to stay for
-	failed   error         // why it can't go on
-	spool    *spool.Writer // before standard error
+	over     bool                // there is nothing more to stay for
+	failed   error               // why it can't go on
+	spool    *asyncwriter.Writer // before standard error
 	log      *slog.Logger
 }
 
@@ -71,23 +71,23 @@
 	}
 	limit(c.Limits)
 	// Standard error may be slow or gone: nobody waits for it.
-	s := &scheduler{env: env, conf: c, spool: spool.Before(log, logWaiting, func(n uint64) string {
-		return oplog.Line(features.Log, c.Name, slog.LevelWarn, "log lost, as it was not taken in", slog.Uint64("pieces", n))
+	s := &scheduler{env: env, conf: c, spool: asyncwriter.Before(log, logWaiting, func(n uint64) string {
+		return logging.Line(features.Log, c.Name, slog.LevelWarn, "log lost, as it was not taken in", slog.Uint64("pieces", n))
 	})}
 	defer s.spool.Close(lastFlush)
-	logs := oplog.New(features.Log, c.Name, s.spool)
+	logs := logging.New(features.Log, c.Name, s.spool)
 	s.log = logs.Kind()
 	if features.Capture != nil {
 		signal.Notify(signals, syscall.SIGUSR1)
 	}
-	var targets []figures.Target
+	var targets []metrics.Target
 	if f := features.Metrics; f != nil && f.File != "" {
 		file, err := os.OpenFile(f.File, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o640)
 		if err != nil {
 			return fmt.Errorf("key \"figures.file\": %w", err)
 		}
 		defer func() { _ = file.Close() }()
-		lines := spool.Before(file, logWaiting, nil)
+		lines := asyncwriter.Before(file, logWaiting, nil)
 		defer lines.Close(lastFlush)
 		targets = append(targets, offered{lines})
 	} else if f != nil && !f.UDPTarget.IsValid() {
@@ -142,7 +142,7 @@
 }
 
 // offered is a target of figures that a spool stands before.
-type offered struct{ *spool.Writer }
+type offered struct{ *asyncwriter.Writer }
 
 // Send hands a batch on whole.
 func (o offered) Send(batch []byte) error { return o.Offer(batch) }
--- a/internal/run/status_test.go
+++ b/internal/server/status_test.go
@@ -1,4 +1,4 @@
-package run
+package server
 
 import (
 	"bufio"
--- a/internal/wire/wire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the bench's line protocol. It translates words and figures and decides nothing.
-package wire
+// Package simwire reads and writes the bench's line protocol. It translates words and figures and decides nothing.
+package simwire
 
 import (
 	"bufio"
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -11,9 +11,9 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/config"
+	"valvecove/internal/modeltest"
+	"valvecove/internal/modeltest/observertest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps"
-	"valvecove/internal/steps/sides"
 )
 
 // modelJob is what a branch should be told of one job.
@@ -28,22 +28,22 @@
 
 // world is a table on a ledger, with a module that does as it is told.
 type world struct {
-	*steps.Steps
-	*sides.World
+	*modeltest.Steps
+	*observertest.World
 	table *Table
 }
 
 // faults is a log in which nothing may come.
-type faults struct{ *steps.Steps }
+type faults struct{ *modeltest.Steps }
 
 func (f faults) Write(b []byte) (int, error) {
 	f.Check(false, "%s", b)
 	return len(b), nil
 }
 
-func newWorld(s *steps.Steps, conf config.Status) *world {
+func newWorld(s *modeltest.Steps, conf config.Status) *world {
 	names := requests.NameTable{Classes: []string{"cash-payout"}, Tenants: []string{"swat-society"}}
-	w := &world{Steps: s, World: sides.New(names, slog.New(slog.NewTextHandler(faults{s}, &slog.HandlerOptions{Level: slog.LevelError})))}
+	w := &world{Steps: s, World: observertest.New(names, slog.New(slog.NewTextHandler(faults{s}, &slog.HandlerOptions{Level: slog.LevelError})))}
 	w.table = New(conf, names, true, func() time.Duration { return w.Now })
 	w.Ledger.AddObserver(w.table)
 	return w
@@ -60,7 +60,7 @@
 // A job is waiting until its worker node says that it runs, and again once that attempt has ended without a
 // result; it ends once, by the outcome that says most of whether it has run.
 func FuzzTable(f *testing.F) {
-	steps.Fuzz(f, func(s *steps.Steps) {
+	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		w := newWorld(s, config.Status{Retention: 20 * time.Second, MaxEntries: 1000})
 		jobs := map[string]*modelJob{}
 		outcomes := map[string]string{"done": "served", "failed": "error", "returned": "turned away", "lost": "reset"}
@@ -150,7 +150,7 @@
 // Where all entries are open the oldest makes room, else the one that ended first; what is heard of a query whose
 // entry is gone, or is a later query's, changes nothing.
 func TestTableFull(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t}, config.Status{Retention: time.Minute, MaxEntries: 3})
+	w := newWorld(&modeltest.Steps{T: t}, config.Status{Retention: time.Minute, MaxEntries: 3})
 	known := func(want string) {
 		t.Helper()
 		got := ""
@@ -181,7 +181,7 @@
 // An id that comes again after its query was answered is a new entry; the attempt of the earlier one that is still
 // out says nothing of it.
 func TestIDAgain(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t}, config.Status{Retention: time.Minute, MaxEntries: 3})
+	w := newWorld(&modeltest.Steps{T: t}, config.Status{Retention: time.Minute, MaxEntries: 3})
 	first := w.Take("a", 0, 0)
 	w.Send(first, "s-0")
 	w.Do(dispatch.Reject{Job: first.ID})
