--- a/internal/http1/parse_test.go
+++ b/internal/http1/parse_test.go
@@ -156,6 +156,40 @@
 	}
 }
 
+// Framing is told as soon as the header is complete, and is not that of the message before until then.
+func TestFramingBeforeBody(t *testing.T) {
+	var response Response
+	for _, step := range []struct {
+		text                          string
+		isChunked, endsWithConnection bool
+	}{
+		{"HTTP/1.1 200 OK\r\n\r\n", false, true},
+		{"HTTP/1.1 200 OK\r\n", false, false},
+		{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n", true, false},
+		{"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n", false, false},
+		{"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n", false, false},
+	} {
+		_, err := response.Parse([]byte(step.text), false)
+		if !errors.Is(err, ErrIncomplete) || response.IsChunked() != step.isChunked || response.EndsWithConnection() != step.endsWithConnection {
+			t.Errorf("%q: %v, chunked %v, ends with the connection %v", step.text, err, response.IsChunked(), response.EndsWithConnection())
+		}
+	}
+}
+
+// What frames a body may not outgrow it: a peer could send one byte a chunk, or extensions, without end.
+func TestChunkFramingIsBounded(t *testing.T) {
+	var request Request
+	const header, chunk = "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "1;extension=value\r\nx\r\n"
+	atBound := strings.Repeat(chunk, maxChunkedSize/len(chunk))
+	if _, err := request.Parse([]byte(header + atBound)); !errors.Is(err, ErrIncomplete) {
+		t.Errorf("%d bytes of chunks: %v", len(atBound), err)
+	}
+	var parseError *ParseError
+	if _, err := request.Parse([]byte(header + atBound + chunk)); !errors.As(err, &parseError) || parseError.StatusCode != StatusContentTooLarge {
+		t.Errorf("%d bytes of chunks: %v", len(atBound)+len(chunk), err)
+	}
+}
+
 // An empty value is there; a missing field is nil.
 func TestGetTellsEmptyFromMissing(t *testing.T) {
 	var request Request
