--- a/cmd/valvecove/main.go
+++ b/cmd/valvecove/main.go
@@ -95,7 +95,7 @@
 }
 
 func (s *serve) run(p process) int {
-	if err := server.Scheduler(p.env, p.config, p.stderr); err != nil {
+	if err := server.Run(p.env, p.config, p.stderr); err != nil {
 		p.fault("valvecove", err)
 		return exitFault
 	}
--- a/internal/asyncwriter/writer.go
+++ b/internal/asyncwriter/writer.go
@@ -10,55 +10,55 @@
 	"time"
 )
 
-// Spool is a bounded queue of acts.
-type Spool struct {
-	most    int
-	mu      sync.Mutex
-	queue   []act
-	held    int  // bytes that wait
-	large   bool // a large act waits or is being done
-	busy    bool // one is being done
-	closed  bool
-	wake    chan struct{}
-	done    chan struct{}
-	dropped atomic.Uint64
-	failed  atomic.Uint64
+// Queue is a bounded queue of acts.
+type Queue struct {
+	maxBytes     int
+	mu           sync.Mutex
+	tasks        []task
+	pendingBytes int  // bytes that wait
+	hasLarge     bool // a large act waits or is being done
+	running      bool // one is being done
+	closed       bool
+	wake         chan struct{}
+	done         chan struct{}
+	dropped      atomic.Uint64
+	failed       atomic.Uint64
 }
 
-type act struct {
+type task struct {
 	size  int
 	large bool
-	do    func() error
+	run   func() error
 }
 
-// New returns a spool in which so many bytes may wait.
-func New(most int) *Spool {
-	s := &Spool{most: most, wake: make(chan struct{}, 1), done: make(chan struct{})}
+// NewQueue returns a spool in which so many bytes may wait.
+func NewQueue(most int) *Queue {
+	s := &Queue{maxBytes: most, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Put queues an act that stands for so many bytes; false: there was no room, and it is counted as dropped.
-func (s *Spool) Put(size int, do func() error) bool { return s.put(act{size: size, do: do}) }
+// Enqueue queues an act that stands for so many bytes; false: there was no room, and it is counted as dropped.
+func (s *Queue) Enqueue(size int, do func() error) bool { return s.enqueue(task{size: size, run: do}) }
 
-// Large queues an act whatever its size, but one at a time only.
-func (s *Spool) Large(do func() error) bool { return s.put(act{large: true, do: do}) }
+// EnqueueLarge queues an act whatever its size, but one at a time only.
+func (s *Queue) EnqueueLarge(do func() error) bool { return s.enqueue(task{large: true, run: do}) }
 
-func (s *Spool) put(a act) bool {
+func (s *Queue) enqueue(a task) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || s.held+a.size > s.most || a.large && s.large {
+	if s.closed || s.pendingBytes+a.size > s.maxBytes || a.large && s.hasLarge {
 		s.dropped.Add(1)
 		return false
 	}
-	s.queue = append(s.queue, a)
-	s.held += a.size
-	s.large = s.large || a.large
+	s.tasks = append(s.tasks, a)
+	s.pendingBytes += a.size
+	s.hasLarge = s.hasLarge || a.large
 	s.notify()
 	return true
 }
 
-func (s *Spool) notify() {
+func (s *Queue) notify() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -66,18 +66,18 @@
 }
 
 // Dropped counts acts for which there was no room, Failed those that were done and failed.
-func (s *Spool) Dropped() uint64 { return s.dropped.Load() }
+func (s *Queue) Dropped() uint64 { return s.dropped.Load() }
 
 // Failed counts acts that were done and failed.
-func (s *Spool) Failed() uint64 { return s.failed.Load() }
+func (s *Queue) Failed() uint64 { return s.failed.Load() }
 
-func (s *Spool) run() {
+func (s *Queue) run() {
 	defer close(s.done)
 	for range s.wake {
 		for {
 			s.mu.Lock()
-			if len(s.queue) == 0 {
-				s.queue = nil
+			if len(s.tasks) == 0 {
+				s.tasks = nil
 				end := s.closed
 				s.mu.Unlock()
 				if end {
@@ -85,23 +85,23 @@
 				}
 				break
 			}
-			a := s.queue[0]
-			s.queue[0] = act{}
-			s.queue, s.busy = s.queue[1:], true
+			a := s.tasks[0]
+			s.tasks[0] = task{}
+			s.tasks, s.running = s.tasks[1:], true
 			s.mu.Unlock()
-			if a.do() != nil {
+			if a.run() != nil {
 				s.failed.Add(1)
 			}
 			s.mu.Lock()
-			s.held, s.busy = s.held-a.size, false // it counts until it is done
-			s.large = s.large && !a.large
+			s.pendingBytes, s.running = s.pendingBytes-a.size, false // it counts until it is done
+			s.hasLarge = s.hasLarge && !a.large
 			s.mu.Unlock()
 		}
 	}
 }
 
 // Close takes nothing more and waits for what is queued, for so long at most.
-func (s *Spool) Close(patience time.Duration) {
+func (s *Queue) Close(patience time.Duration) {
 	s.mu.Lock()
 	s.closed = true
 	s.notify()
@@ -114,62 +114,62 @@
 
 // Writer is a spool before an io.Writer. Each Write is handed on whole or dropped whole.
 type Writer struct {
-	*Spool
-	to     io.Writer
-	lost   func(pieces uint64) string // what to say once there is room again
-	missed uint64                     // pieces dropped that were spoken of
-	noted  uint64                     // pieces that failed and were spoken of
+	*Queue
+	destination      io.Writer
+	dropNotice       func(pieces uint64) string // what to say once there is room again
+	reportedDrops    uint64                     // pieces dropped that were spoken of
+	reportedFailures uint64                     // pieces that failed and were spoken of
 }
 
-// Before returns a writer in front of another. lost, unless it is nil, gives the line that is written in place of
+// NewWriter returns a writer in front of another. lost, unless it is nil, gives the line that is written in place of
 // what was dropped.
-func Before(to io.Writer, most int, lost func(pieces uint64) string) *Writer {
-	return &Writer{Spool: New(most), to: to, lost: lost}
+func NewWriter(to io.Writer, most int, lost func(pieces uint64) string) *Writer {
+	return &Writer{Queue: NewQueue(most), destination: to, dropNotice: lost}
 }
 
 // Write never fails and never waits.
 func (w *Writer) Write(b []byte) (int, error) {
-	_ = w.Offer(b)
+	_ = w.TryWrite(b)
 	return len(b), nil
 }
 
-// ErrFull is said of what was dropped, or of a writer that has failed since it was last asked.
-var ErrFull = errors.New("not taken in")
+// ErrNotWritten is said of what was dropped, or of a writer that has failed since it was last asked.
+var ErrNotWritten = errors.New("text not written")
 
-// Offer copies and queues text. An error tells that this, or something before it, was not written.
-func (w *Writer) Offer(b []byte) error {
-	if gone := w.Dropped(); gone > w.missed && w.lost != nil {
-		line := []byte(w.lost(gone - w.missed))
-		if !w.Put(len(line), w.writes(line)) {
-			return ErrFull // no room yet: Put has counted it in b's place
+// TryWrite copies and queues text. An error tells that this, or something before it, was not written.
+func (w *Writer) TryWrite(b []byte) error {
+	if gone := w.Dropped(); gone > w.reportedDrops && w.dropNotice != nil {
+		line := []byte(w.dropNotice(gone - w.reportedDrops))
+		if !w.Enqueue(len(line), w.writeTask(line)) {
+			return ErrNotWritten // no room yet: Put has counted it in b's place
 		}
-		w.missed = gone
+		w.reportedDrops = gone
 	}
 	copied := append([]byte(nil), b...)
-	taken := w.Put(len(copied), w.writes(copied))
-	if failed := w.Failed(); !taken || failed > w.noted {
-		w.noted = failed
-		return ErrFull
+	taken := w.Enqueue(len(copied), w.writeTask(copied))
+	if failed := w.Failed(); !taken || failed > w.reportedFailures {
+		w.reportedFailures = failed
+		return ErrNotWritten
 	}
 	return nil
 }
 
 // WriteLarge hands on text of any size, which is not copied; false: another such still waits.
-func (w *Writer) WriteLarge(b []byte) bool { return w.Large(w.writes(b)) }
+func (w *Writer) WriteLarge(b []byte) bool { return w.EnqueueLarge(w.writeTask(b)) }
 
-func (w *Writer) writes(b []byte) func() error {
+func (w *Writer) writeTask(b []byte) func() error {
 	return func() error {
-		_, err := w.to.Write(b)
+		_, err := w.destination.Write(b)
 		return err
 	}
 }
 
-// pending counts what is not done yet.
-func (s *Spool) pending() int {
+// pendingTasks counts what is not done yet.
+func (s *Queue) pendingTasks() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := len(s.queue)
-	if s.busy {
+	n := len(s.tasks)
+	if s.running {
 		n++
 	}
 	return n
--- a/internal/asyncwriter/writer_test.go
+++ b/internal/asyncwriter/writer_test.go
@@ -29,7 +29,7 @@
 	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		const most = 200
 		to := &slow{let: make(chan struct{}), took: make(chan struct{})}
-		w := Before(to, most, func(n uint64) string { return fmt.Sprintf("lost %d\n", n) })
+		w := NewWriter(to, most, func(n uint64) string { return fmt.Sprintf("lost %d\n", n) })
 		var queue []string
 		want, held, dropped, spoken, large := "", 0, uint64(0), uint64(0), false
 		put := func(text string) bool {
@@ -49,7 +49,7 @@
 				held -= len(queue[0])
 			}
 			queue = queue[1:]
-			for w.pending() != len(queue) { // until the spool has noted that it is done
+			for w.pendingTasks() != len(queue) { // until the spool has noted that it is done
 			}
 		}
 		for n := 0; s.More(); n++ {
@@ -66,7 +66,7 @@
 					spoken = gone
 					put(text)
 				}
-				s.Did("write " + text)
+				s.Record("write " + text)
 			case 2:
 				text := fmt.Sprintf("%d %*d\n", n, 2*most, n)
 				took := w.WriteLarge([]byte(text))
@@ -76,12 +76,12 @@
 				} else {
 					dropped++
 				}
-				s.Did("large")
+				s.Record("large")
 			case 3:
 				if len(queue) > 0 {
 					take()
 				}
-				s.Did("take")
+				s.Record("take")
 			}
 			s.Check(w.Dropped() == dropped, "%d dropped, expected %d", w.Dropped(), dropped)
 		}
@@ -95,14 +95,14 @@
 
 // A spool whose act never ends holds up neither who puts nor, for longer than it is let, who closes.
 func TestStuck(t *testing.T) {
-	s, stuck := New(10), make(chan struct{})
+	s, stuck := NewQueue(10), make(chan struct{})
 	defer close(stuck)
-	s.Put(5, func() error { <-stuck; return nil })
-	if s.Put(6, func() error { return nil }) || s.Dropped() != 1 {
+	s.Enqueue(5, func() error { <-stuck; return nil })
+	if s.Enqueue(6, func() error { return nil }) || s.Dropped() != 1 {
 		t.Error("more waits than may")
 	}
 	s.Close(time.Millisecond)
-	if s.Put(1, func() error { return nil }) {
+	if s.Enqueue(1, func() error { return nil }) {
 		t.Error("taken after the end")
 	}
 }
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -33,7 +33,7 @@
 
 // play is a scheduler without sockets, whose worker nodes do as a random source says.
 type play struct {
-	observertest.World
+	observertest.Fixture
 	t    testing.TB
 	rng  *rand.Rand
 	rec  *Recorder
@@ -41,7 +41,7 @@
 	set  dispatch.Settings
 }
 
-func (p *play) CheckHealth(w uint64) { p.Ledger.HealthChecked(w, nil) }
+func (p *play) CheckHealth(w uint64) { p.Table.HealthChecked(w, nil) }
 func (p *play) Watch(int64)          { p.hosts() }
 
 func newPlay(tb testing.TB, seed uint64, conf config.Capture) *play {
@@ -50,18 +50,18 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	p := &play{t: tb, set: c.Settings.Settings, rng: rand.New(rand.NewPCG(seed, 3)), World: observertest.World{Now: 1718000000123456789}}
+	p := &play{t: tb, set: c.Settings.Settings, rng: rand.New(rand.NewPCG(seed, 3)), Fixture: observertest.Fixture{Now: 1718000000123456789}}
 	p.rec, err = New(conf, c, func() time.Duration { return p.Now }, slog.New(slog.DiscardHandler))
 	if err != nil {
 		tb.Fatal(err)
 	}
 	next := c.Seed
-	p.Ledger = requests.New(6, c.Settings.Names, func() requests.Policy {
+	p.Table = requests.New(6, c.Settings.Names, func() requests.Policy {
 		next++
 		return p.rec.Wrap(dispatch.New(c.Settings.Settings, next))
 	}, requests.EndpointList{}, p, slog.New(slog.DiscardHandler))
-	p.rec.LookupEndpoint = p.Ledger.Endpoint
-	p.Ledger.AddObserver(p.rec)
+	p.rec.LookupEndpoint = p.Table.Endpoint
+	p.Table.AddObserver(p.rec)
 	return p
 }
 
@@ -77,7 +77,7 @@
 		}
 		g.Endpoints = append(g.Endpoints, h)
 	}
-	p.Ledger.UpdateEndpoints(g)
+	p.Table.UpdateEndpoints(g)
 }
 
 // run plays so many steps.
@@ -87,7 +87,7 @@
 		for range p.rng.IntN(3) {
 			p.jobs++
 			class := p.rng.IntN(3)
-			q, err := p.Ledger.Admit(p.Now, requests.Arrival{CallID: fmt.Sprintf("%016x", p.jobs), Responder: p, Job: dispatch.Job{
+			q, err := p.Table.Admit(p.Now, requests.Arrival{CallID: fmt.Sprintf("%016x", p.jobs), Responder: p, Job: dispatch.Job{
 				Class: class,
 				Key:   uint64(p.rng.IntN(40)), Remaining: time.Duration(1+p.rng.IntN(5)) * time.Second, Slots: float64(1 + p.rng.IntN(2)),
 				Hint: time.Duration(1 + p.rng.IntN(400_000_000)),
@@ -96,30 +96,30 @@
 				p.t.Fatal(err)
 			}
 			if p.rng.IntN(30) == 0 {
-				p.Ledger.ClientDisconnected(q)
+				p.Table.ClientDisconnected(q)
 			}
 		}
 		result := "secret"
-		for i := range p.Out {
+		for i := range p.Attempts {
 			state := []string{"started", "started", "running", "done", "done", "failed", "returned", "lost"}[p.rng.IntN(8)]
 			if p.rng.IntN(4) == 0 {
-				a := p.Out[i]
-				_, _ = p.Ledger.HandleCallback(requests.Callback{CallID: a.Request.CallID, EndpointID: a.EndpointID, State: state, Progress: p.rng.Float64(), Result: &result})
+				a := p.Attempts[i]
+				_, _ = p.Table.HandleCallback(requests.Callback{CallID: a.Request.CallID, EndpointID: a.EndpointID, State: state, Progress: p.rng.Float64(), Result: &result})
 			}
 		}
-		if len(p.Out) > 20 {
-			p.Out = p.Out[10:] // worker nodes that never say more
+		if len(p.Attempts) > 20 {
+			p.Attempts = p.Attempts[10:] // worker nodes that never say more
 		}
 		if p.rng.IntN(60) == 0 {
 			p.hosts()
 		}
 		if p.rng.IntN(60) == 0 {
-			p.Ledger.Cordon("s-" + strconv.Itoa(p.rng.IntN(9)))
+			p.Table.Cordon("s-" + strconv.Itoa(p.rng.IntN(9)))
 		}
 		if p.rng.IntN(30) == 0 {
-			p.Ledger.Uncordon("s-" + strconv.Itoa(p.rng.IntN(9)))
+			p.Table.Uncordon("s-" + strconv.Itoa(p.rng.IntN(9)))
 		}
-		p.Ledger.Step(p.Now)
+		p.Table.Step(p.Now)
 	}
 }
 
@@ -128,15 +128,15 @@
 	for seed := range uint64(6) {
 		p, next := newPlay(t, seed, config.Capture{MemoryKB: 512}), newPlay(t, seed+100, config.Capture{MemoryKB: 512})
 		p.run(150)
-		if next.Now = p.Now; !p.Ledger.FlushEvents(p.Now) {
+		if next.Now = p.Now; !p.Table.FlushEvents(p.Now) {
 			t.Fatal("it never settles")
 		}
-		book, open := p.Ledger.Snapshot()
+		book, open := p.Table.Snapshot()
 		askers := map[uint64]requests.Responder{}
 		for _, q := range open {
 			askers[q.ID] = next
 		}
-		next.Ledger.TakeOver(next.Now, book, open, askers, func() requests.Policy {
+		next.Table.TakeOver(next.Now, book, open, askers, func() requests.Policy {
 			d, err := dispatch.Restore(p.set, p.rec.edge.Snapshot(nil))
 			if err != nil {
 				t.Fatal(err)
@@ -243,9 +243,9 @@
 	dir := t.TempDir()
 	p := newPlay(t, 1, config.Capture{Dir: dir, FileMB: 1, Files: 3})
 	f := p.rec.sink.(*files)
-	settled := func() { // until the spool has done all that it has
+	settled := func() { // until the queue has done all that it has
 		done := make(chan struct{})
-		f.Large(func() error { close(done); return nil })
+		f.EnqueueLarge(func() error { close(done); return nil })
 		<-done
 	}
 	p.run(100)
@@ -309,8 +309,8 @@
 	p := newPlay(t, 1, config.Capture{MemoryKB: 1 << 10})
 	p.run(100)
 	p.rec.edge.Dispatcher = &dispatch.Dispatcher{} // panics whatever it is told
-	p.Ledger.DiscoveryFailed()
-	p.Ledger.Step(p.Now)
+	p.Table.DiscoveryFailed()
+	p.Table.Step(p.Now)
 	p.run(100)
 	text := p.rec.Dump()
 	if !bytes.Contains(text, []byte(`"out":"panic"`)) || !bytes.Contains(text, []byte(whyRestart)) {
--- a/internal/capture/sink.go
+++ b/internal/capture/sink.go
@@ -76,9 +76,9 @@
 func (r *ring) lost() uint64        { return r.missed }
 func (r *ring) close(time.Duration) {}
 
-// files keeps segments on a disk, one a file. Everything that touches the disk is done by the spool.
+// files keeps segments on a disk, one a file. Everything that touches the disk is done by the queue.
 type files struct {
-	*asyncwriter.Spool
+	*asyncwriter.Queue
 	path    string // but for number and suffix
 	most    int
 	keep    int
@@ -86,7 +86,7 @@
 	segment int64        // counts them
 	torn    bool         // the segment has lost something
 	failed  atomic.Int64 // the segment under which the disk failed
-	number  int          // the spool's, as is the file
+	number  int          // the queue's, as is the file
 	file    *os.File
 }
 
@@ -114,7 +114,7 @@
 	if err := f.next(); err != nil {
 		return nil, err
 	}
-	f.Spool = asyncwriter.New(diskWaiting)
+	f.Queue = asyncwriter.NewQueue(diskWaiting)
 	return f, nil
 }
 
@@ -198,7 +198,7 @@
 }
 
 func (f *files) queue(size int, do func() error) bool {
-	f.torn = f.torn || f.failed.Load() == f.segment || !f.Put(size, do)
+	f.torn = f.torn || f.failed.Load() == f.segment || !f.Enqueue(size, do)
 	return !f.torn
 }
 
--- a/internal/control/validator/model_test.go
+++ b/internal/control/validator/model_test.go
@@ -317,7 +317,7 @@
 		run.admit(epoch)
 	case choice == 1:
 		run.observe(randomList(run.Steps, dispatch.ListKind(run.Pick(4))))
-		run.Did("list")
+		run.Record("list")
 	case choice == 2:
 		run.observeStatus()
 	case choice == 4 && epoch != LocalEpoch:
@@ -332,10 +332,10 @@
 	switch {
 	case choice == 3 && run.Pick(3) == 0:
 		run.observe(dispatch.ClientDisconnected{Job: id})
-		run.Did("client disconnected")
+		run.Record("client disconnected")
 	case choice == 5 && !r.closed:
 		run.assign(id, epoch)
-		run.Did("assign")
+		run.Record("assign")
 	case choice <= 8 && len(r.attempts) > 0:
 		run.endAttempt(id, r)
 	default:
@@ -351,7 +351,7 @@
 		Remaining: time.Duration(run.Pick(40)) * 50 * time.Millisecond,
 	})
 	run.assign(run.requests, epoch)
-	run.Did("request")
+	run.Record("request")
 }
 
 func (run *modelRun) assign(id uint64, owner message.Epoch) {
@@ -369,7 +369,7 @@
 	isNew := (newest == nil || status.Supersedes(*newest)) && (!listed || status.Supersedes(worker.status()))
 	run.history.add(status)
 	run.Check(run.validator.ObserveStatus(run.history.now, status) == isNew, "%+v: expected new %v", status, isNew)
-	run.Did("status")
+	run.Record("status")
 }
 
 func (run *modelRun) toggleSession(epoch message.Epoch) {
@@ -379,7 +379,7 @@
 	} else {
 		run.validator.CloseSession(epoch)
 	}
-	run.Did("session")
+	run.Record("session")
 }
 
 func (run *modelRun) endAttempt(id uint64, r *modelRequest) {
@@ -392,7 +392,7 @@
 		Job: id, Attempt: index, Worker: r.attempts[index].worker, Result: result,
 		Closed: result == dispatch.OK || r.closed || run.Pick(9) == 0,
 	})
-	run.Did("ended")
+	run.Record("ended")
 }
 
 // drawnKinds are the kinds of random commands, send commands most often.
@@ -420,7 +420,7 @@
 	if command.kind == message.KindSendCommand && isOwners && !reasons.has(message.ReasonDuplicateCommand) {
 		run.history.add(usedNumber{request: id, number: command.attempt})
 	}
-	run.Did(reason.String())
+	run.Record(reason.String())
 	if action := command.action(); reason == message.ReasonNone && action != nil {
 		run.history.add(appliedCommand{command})
 		run.validator.Apply(run.history.now, action)
--- a/internal/discovery/model_test.go
+++ b/internal/discovery/model_test.go
@@ -275,29 +275,29 @@
 func (d *discoveryModel) step() {
 	switch d.Pick(12) {
 	case 0, 1:
-		d.Did("change")
+		d.Record("change")
 		d.change()
 	case 2:
-		d.Did("down or up")
+		d.Record("down or up")
 		d.toggleDown()
 	case 3:
-		d.Did("partitioned or mended")
+		d.Record("partitioned or mended")
 		d.togglePartition()
 	case 4:
-		d.Did("silent")
+		d.Record("silent")
 		d.fallSilent()
 	case 5:
-		d.Did("reset")
+		d.Record("reset")
 		d.breakConnection()
 	case 6:
 		d.queueDelay = []time.Duration{0, 0, sec, 2500 * msec, 3100 * msec, time.Hour}[d.Pick(6)]
-		d.Did("queue delay " + d.queueDelay.String())
+		d.Record("queue delay " + d.queueDelay.String())
 	case 7:
-		d.Did("other server")
+		d.Record("other server")
 		d.changeServer()
 	default:
 		span := []time.Duration{10 * msec, 300 * msec, sec, 3 * sec}[d.Pick(4)]
-		d.Did(span.String())
+		d.Record(span.String())
 		d.advance(span)
 	}
 	d.runActions()
--- a/internal/hotrestart/predecessor_test.go
+++ b/internal/hotrestart/predecessor_test.go
@@ -44,26 +44,26 @@
 	err := m.predecessor.HandleConnect(true)
 	m.Check((err == nil) == (!m.connected && !m.relinquished), "connects: %v", err)
 	m.connected = m.connected || err == nil
-	m.Did("connect")
+	m.Record("connect")
 }
 
 func (m *predecessorModel) disconnect() {
 	m.predecessor.HandleDisconnect()
 	m.connected, m.accepted, m.transferring = false, false, false
-	m.Did("disconnect")
+	m.Record("disconnect")
 }
 
 func (m *predecessorModel) beginTransfer() {
 	begun := m.predecessor.BeginTransfer()
 	m.Check(begun == (m.accepted && !m.transferring && !m.relinquished), "transfer begun: %v", begun)
 	m.transferring = m.transferring || begun
-	m.Did("transfer")
+	m.Record("transfer")
 }
 
 func (m *predecessorModel) receive(message Message) {
 	kind := message.Kind()
 	action, err := m.predecessor.HandleMessage(message)
-	m.Did(kind.String())
+	m.Record(kind.String())
 	if err != nil {
 		m.Check(action == ActionNone, "action %d with an error", action)
 		return
--- a/internal/hotrestart/successor_test.go
+++ b/internal/hotrestart/successor_test.go
@@ -50,7 +50,7 @@
 // receive tells whether the successor goes on.
 func (m *successorModel) receive(message Message) bool {
 	action, err := m.successor.HandleMessage(message)
-	m.Did(message.Kind().String())
+	m.Record(message.Kind().String())
 	if err != nil { // like the end of the connection
 		m.Check(action == ActionNone, "action %d with an error", action)
 		return false
--- a/internal/lab/virtual/links_test.go
+++ b/internal/lab/virtual/links_test.go
@@ -19,7 +19,7 @@
 // bench is a scheduler whose module is scripted, and what the far side of its connections knows.
 type bench struct {
 	s       *Scheduler
-	script  *modeltest.Script
+	script  *modeltest.ScriptedPolicy
 	now     time.Duration
 	outs    []edge.Out // of the last step
 	conns   map[edge.Conn]*farConn
@@ -59,7 +59,7 @@
 	if change != nil {
 		change(spec)
 	}
-	b := &bench{script: &modeltest.Script{}, conns: map[edge.Conn]*farConn{}, resting: map[int][]edge.Conn{}}
+	b := &bench{script: &modeltest.ScriptedPolicy{}, conns: map[edge.Conn]*farConn{}, resting: map[int][]edge.Conn{}}
 	var err error
 	b.s, err = NewScheduler(spec, 0, Epoch, Model{Module: func(dispatch.Settings, uint64, yardstick.Oracle) requests.Policy {
 		return b.script
@@ -180,8 +180,8 @@
 	attempts, deadlines := map[uint64]int{}, map[uint64]time.Duration{}
 	// hear checks the outcomes that the module has been told of.
 	hear := func() {
-		for ; heard < len(b.script.Heard); heard++ {
-			o, ok := b.script.Heard[heard].(dispatch.Outcome)
+		for ; heard < len(b.script.Received); heard++ {
+			o, ok := b.script.Received[heard].(dispatch.Outcome)
 			if !ok {
 				continue
 			}
@@ -239,7 +239,7 @@
 			budget := time.Duration(1+s.Pick(20)) * 100 * time.Millisecond
 			deadlines[uint64(calls)] = b.now + budget
 			step(edge.In{Kind: edge.Asked, Conn: edge.Conn(calls), Ask: &edge.Ask{Call: strconv.Itoa(calls), Budget: budget}})
-			s.Did("ask")
+			s.Record("ask")
 		case what <= 3 && calls > 0:
 			id := uint64(1 + s.Pick(calls))
 			patience := time.Duration(s.Pick(3)) * 150 * time.Millisecond
@@ -251,14 +251,14 @@
 			byJob[[2]uint64{id, uint64(attempts[id])}] = a
 			attempts[id]++
 			act(dispatch.Send{Job: id, Worker: worker, AttemptTimeout: patience})
-			s.Did("send")
+			s.Record("send")
 		case what == 4:
 			act(dispatch.HealthCheck{Worker: worker})
-			s.Did("probe")
+			s.Record("probe")
 		case what == 5 && calls > 0:
 			id := 1 + s.Pick(calls)
 			act(dispatch.Cancel{Job: uint64(id), Attempt: s.Pick(3)}, dispatch.CloseIdleConnections{Worker: worker})
-			s.Did("cancel")
+			s.Record("cancel")
 		case what == 6 && calls > 0:
 			states := []string{"started", "done", "failed", "returned", "lost"}
 			state, call, result := states[s.Pick(5)], strconv.Itoa(1+s.Pick(calls)), "r"
@@ -276,16 +276,16 @@
 			}})
 			i := slices.IndexFunc(b.outs, func(o edge.Out) bool { return o.Kind == edge.Acked })
 			s.Check(i >= 0 && b.outs[i].Status == 204 && b.outs[i].NoteID == 5, "a note was answered by %+v", b.outs)
-			s.Did(state)
+			s.Record(state)
 		case what <= 8 && c != nil && !c.up:
 			if s.Pick(4) == 0 {
 				b.forget(c)
 				step(edge.In{Kind: edge.LinkDown, Conn: c.conn, Node: c.node})
-				s.Did("refuse")
+				s.Record("refuse")
 			} else {
 				c.up = true
 				step(edge.In{Kind: edge.LinkUp, Conn: c.conn, Node: c.node})
-				s.Did("up")
+				s.Record("up")
 			}
 		case what <= 9 && c != nil && c.up && (c.asked == nil || s.Pick(4) == 0):
 			if c.asked != nil && c.asked.Kind == edge.Sent {
@@ -293,7 +293,7 @@
 			}
 			b.forget(c)
 			step(edge.In{Kind: edge.LinkDown, Conn: c.conn, Node: c.node, Reset: s.Pick(2) == 0})
-			s.Did("down")
+			s.Record("down")
 		case what <= 9 && c != nil && c.up:
 			answers := []struct {
 				status   int
@@ -321,11 +321,11 @@
 				Kind: edge.Answered, Conn: c.conn, Node: c.node, Status: a.status, Rejected: a.rejected,
 				Bytes: a.bytes,
 			})
-			s.Did("answer " + strconv.Itoa(a.status))
+			s.Record("answer " + strconv.Itoa(a.status))
 		default:
 			b.now += time.Duration(1+s.Pick(200)) * 10 * time.Millisecond
 			step()
-			s.Did("wait")
+			s.Record("wait")
 		}
 	}
 	for range 8 { // past every deadline, and every link's patience
@@ -383,7 +383,7 @@
 		b.act(dispatch.Send{Job: 1, Worker: hostNumber("w-1")})
 		b.order[0].up = true // where the story says so
 		c.far(b, b.order[0].conn)
-		o, _ := b.script.Heard[len(b.script.Heard)-1].(dispatch.Outcome)
+		o, _ := b.script.Received[len(b.script.Received)-1].(dispatch.Outcome)
 		if o.Result != c.want || b.wrong != "" {
 			t.Errorf("%s: %v, expected %v; %s", c.name, o.Result, c.want, b.wrong)
 		}
@@ -417,7 +417,7 @@
 	if got := b.s.p.servers.trust; got != time.Second {
 		t.Errorf("trusted for %v after 2 s went wrong", got)
 	}
-	if p, _ := b.script.Heard[len(b.script.Heard)-1].(dispatch.HealthChecked); p.Result != dispatch.NotSent {
+	if p, _ := b.script.Received[len(b.script.Received)-1].(dispatch.HealthChecked); p.Result != dispatch.NotSent {
 		t.Errorf("a probe on a dropped link ended with %v", p.Result)
 	}
 	for range 11 {
@@ -465,11 +465,11 @@
 		b.step(edge.In{Kind: edge.Answered, Conn: conn, Status: 202})
 		b.forget(b.conns[conn])
 		b.step(edge.In{Kind: edge.LinkDown, Conn: conn, Reset: true})
-		b.script.Heard = nil
+		b.script.Received = nil
 		b.act(dispatch.Cancel{Job: 1})
 		c.far(b)
 		var got []dispatch.Result
-		for _, e := range b.script.Heard {
+		for _, e := range b.script.Received {
 			if o, ok := e.(dispatch.Outcome); ok {
 				got = append(got, o.Result)
 			}
--- a/internal/lab/virtual/process_test.go
+++ b/internal/lab/virtual/process_test.go
@@ -98,16 +98,16 @@
 	if _, ok := b.s.Next(); ok || len(b.until(3*sec)) > 0 {
 		t.Error("a frozen process acts")
 	}
-	b.script.Heard = nil
+	b.script.Received = nil
 	outs := b.step(edge.In{Kind: edge.Resume})
-	late := slices.ContainsFunc(b.script.Heard, func(e dispatch.Event) bool {
+	late := slices.ContainsFunc(b.script.Received, func(e dispatch.Event) bool {
 		o, ok := e.(dispatch.Outcome)
 		return ok && o.Result == dispatch.TimedOut
 	})
 	if !late || len(said(outs, edge.Hangup)) != 1 {
-		t.Errorf("heard %v, and did %v", b.script.Heard, outs)
+		t.Errorf("heard %v, and did %v", b.script.Received, outs)
 	}
-	if q := b.script.Heard[0].(dispatch.Job); q.ID != 2 {
+	if q := b.script.Received[0].(dispatch.Job); q.ID != 2 {
 		t.Errorf("first of what waited: %+v", q)
 	}
 }
@@ -128,14 +128,14 @@
 	if len(b.until(5*sec)) > 0 || len(b.ask(2, sec)) > 0 {
 		t.Error("a killed process acts")
 	}
-	b.script.Heard = nil
+	b.script.Received = nil
 	b.start()
 	if second := probe(); second == first || !second.Link() {
 		t.Errorf("connection %x after %x", second, first)
 	}
-	list, ok := b.script.Heard[0].(dispatch.WorkerList)
+	list, ok := b.script.Received[0].(dispatch.WorkerList)
 	if !ok || list.Kind != dispatch.ListCached || len(list.Workers) != benchNodes {
-		t.Errorf("first heard: %+v", b.script.Heard[0])
+		t.Errorf("first heard: %+v", b.script.Received[0])
 	}
 }
 
@@ -153,15 +153,15 @@
 	if len(outs) != 1 || outs[0].Kind != edge.Watch || outs[0].After != 0 {
 		t.Errorf("another discovery: %+v", outs)
 	}
-	b.script.Heard = nil
+	b.script.Received = nil
 	b.step(edge.In{Kind: edge.Listed, List: &requests.EndpointList{Revision: 3, Reset: true}})
 	outs = b.step(edge.In{Kind: edge.Unlisted})
-	if len(b.script.Heard) != 2 || b.script.Heard[1].(dispatch.WorkerList).Kind != dispatch.ListUnavailable || len(outs) > 0 {
-		t.Errorf("heard %+v", b.script.Heard)
+	if len(b.script.Received) != 2 || b.script.Received[1].(dispatch.WorkerList).Kind != dispatch.ListUnavailable || len(outs) > 0 {
+		t.Errorf("heard %+v", b.script.Received)
 	}
-	b.script.Heard = nil
-	if b.step(edge.In{Kind: edge.Unlisted}); len(b.script.Heard) > 0 {
-		t.Errorf("no watch, and lost: %+v", b.script.Heard)
+	b.script.Received = nil
+	if b.step(edge.In{Kind: edge.Unlisted}); len(b.script.Received) > 0 {
+		t.Errorf("no watch, and lost: %+v", b.script.Received)
 	}
 	// A call that does not come up is given up soon, and one that nobody answers later.
 	for _, c := range []struct {
@@ -174,11 +174,11 @@
 	} {
 		b.act(dispatch.Subscribe{})
 		b.step(c.ins...)
-		b.script.Heard = nil
+		b.script.Received = nil
 		b.until(b.now + c.span - 1)
-		early := len(b.script.Heard)
-		if b.until(b.now + 1); early != 0 || len(b.script.Heard) != 1 {
-			t.Errorf("after %v: %d too early, then %+v", c.ins, early, b.script.Heard)
+		early := len(b.script.Received)
+		if b.until(b.now + 1); early != 0 || len(b.script.Received) != 1 {
+			t.Errorf("after %v: %d too early, then %+v", c.ins, early, b.script.Received)
 		}
 	}
 }
--- a/internal/lab/world/network_test.go
+++ b/internal/lab/world/network_test.go
@@ -69,7 +69,7 @@
 		closed, cuts := -1, []bool{} // by which side; of those in force, which are one way
 		for i := 0; s.More(); i++ {
 			pick := s.Pick(16)
-			s.Did(fmt.Sprint(pick))
+			s.Record(fmt.Sprint(pick))
 			switch side := pick % 2; {
 			case pick < 8 && closed != 1-side:
 				sent[side] = append(sent[side], i)
--- a/internal/lab/world/nodes_test.go
+++ b/internal/lab/world/nodes_test.go
@@ -98,7 +98,7 @@
 		n, conns, calls := r.w.nodes[0], []edge.Conn{r.dial(0, 0)}, []string{"unknown"}
 		for i := 0; s.More(); i++ {
 			pick, c, call := s.Pick(32), conns[s.Pick(len(conns))], calls[s.Pick(len(calls))]
-			s.Did(fmt.Sprintf("%v:%d", r.w.now, pick))
+			s.Record(fmt.Sprintf("%v:%d", r.w.now, pick))
 			switch {
 			case pick < 3:
 				conns = append(conns, r.dial(0, 0))
--- a/internal/link/addresses_test.go
+++ b/internal/link/addresses_test.go
@@ -41,7 +41,7 @@
 	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		w := newWorld(s)
 		var log bytes.Buffer
-		w.loop.linkLog = logging.New(config.Log{}, "n0", &log).Kind()
+		w.loop.linkLog = logging.NewFactory(config.Log{}, "n0", &log).NewLogger()
 		w.loop.log = w.loop.linkLog
 		w.loop.lists = address.New(config.Addresses{TrustedProxies: []netip.Prefix{netip.MustParsePrefix("10.20.0.0/24")}})
 		start := starts[s.Pick(len(starts))]
@@ -54,14 +54,14 @@
 		began := w.now
 		const ask = "GET /up HTTP/1.1\r\n\r\n"
 		rest := start.text + ask + ask
-		s.Did(fmt.Sprintf("from %s, %q", from, rest))
+		s.Record(fmt.Sprintf("from %s, %q", from, rest))
 		refused := start.header && (!trusted || start.client == "")
 		for n := 0; s.More() && rest != ""; rest = rest[n:] {
 			n = min(len(rest), 1+s.Pick(60))
 			p.write([]byte(rest[:n]))
 			w.now += time.Duration(s.Pick(40)) * time.Millisecond
 			w.turn()
-			s.Did(fmt.Sprint("write ", n))
+			s.Record(fmt.Sprint("write ", n))
 		}
 		got := func() int {
 			p.read(1 << 16)
--- a/internal/link/attempts_test.go
+++ b/internal/link/attempts_test.go
@@ -107,7 +107,7 @@
 
 // outcomes are the results that the module has heard of a query's attempts.
 func (w *attempts) outcomes(q *requests.Request) (results []dispatch.Result) {
-	for _, e := range w.module.Heard {
+	for _, e := range w.module.Received {
 		if o, ok := e.(dispatch.Outcome); ok && o.Job == q.ID {
 			results = append(results, o.Result)
 		}
@@ -641,7 +641,7 @@
 		w.act(dispatch.HealthCheck{Worker: w.worker()})
 		p.write([]byte(accepted))
 		w.turn()
-		if got, _ := w.module.Heard[len(w.module.Heard)-1].(dispatch.HealthChecked); got.Result != dispatch.NotSent || len(w.dialed) != 1 {
+		if got, _ := w.module.Received[len(w.module.Received)-1].(dispatch.HealthChecked); got.Result != dispatch.NotSent || len(w.dialed) != 1 {
 			t.Errorf("the probe ended as %v on %d links", got.Result, len(w.dialed))
 		}
 	})
--- a/internal/link/clients_test.go
+++ b/internal/link/clients_test.go
@@ -61,7 +61,7 @@
 		case what < 3 && unsent == "" && !last && len(due) < mostTurns:
 			ask = asks[s.Pick(len(asks))]
 			unsent = numbered(ask.text, n)
-			s.Did(ask.text[:min(len(ask.text), 60)])
+			s.Record(ask.text[:min(len(ask.text), 60)])
 		case what < 8 && unsent != "":
 			i := min(len(unsent), 1+s.Pick(60))
 			p.write([]byte(unsent[:i]))
@@ -69,7 +69,7 @@
 				last = ask.closes
 				due = append(due, owed{status: ask.status})
 			}
-			s.Did(fmt.Sprint("write ", i))
+			s.Record(fmt.Sprint("write ", i))
 		case what < 10 && len(due) > 0:
 			// The module answers any open query, whichever came first.
 			if d := &due[s.Pick(len(due))]; d.status == 0 && s.Pick(2) == 0 {
@@ -80,19 +80,19 @@
 				d.status = 500
 			}
 			w.loop.Ledger.DiscoveryFailed() // something to step for
-			s.Did("answer")
+			s.Record("answer")
 		case what == 10 && unsent == "" && !last && s.Pick(4) == 0:
 			_ = unix.Shutdown(p.fd, unix.SHUT_WR) // it still listens, so it is still owed its answers
 			last = true
-			s.Did("half-close")
+			s.Record("half-close")
 		case what == 11 && s.Pick(6) == 0:
 			p.close()
-			s.Did("close")
+			s.Record("close")
 		}
 		w.now += time.Millisecond
-		before := len(w.module.Heard)
+		before := len(w.module.Received)
 		w.turn()
-		for _, e := range w.module.Heard[before:] {
+		for _, e := range w.module.Received[before:] {
 			if j, ok := e.(dispatch.Job); ok {
 				s.Check(len(due) > 0 && due[len(due)-1] == owed{}, "query %d came of nothing", j.ID)
 				due[len(due)-1].query = j.ID
@@ -102,7 +102,7 @@
 		due = w.checkAnswers(p, due)
 	}
 	gone, open := 0, 0
-	for _, e := range w.module.Heard {
+	for _, e := range w.module.Received {
 		if _, ok := e.(dispatch.ClientDisconnected); ok {
 			gone++
 		}
@@ -270,7 +270,7 @@
 	if bad.read(1); !bad.ended || !strings.HasPrefix(string(good.got), "HTTP/1.1 200 ") {
 		t.Errorf("after a panic: its link ended %v, another got %q", bad.ended, good.got)
 	}
-	if last := w.module.Heard[len(w.module.Heard)-1]; last != (dispatch.ClientDisconnected{Job: 1}) {
+	if last := w.module.Received[len(w.module.Received)-1]; last != (dispatch.ClientDisconnected{Job: 1}) {
 		t.Errorf("after a panic the module heard %v last", last)
 	}
 }
--- a/internal/link/closing_test.go
+++ b/internal/link/closing_test.go
@@ -115,7 +115,7 @@
 			if _, err := m.Parse(p.got, true); err != nil || m.StatusCode != 200 || len(m.Body) != size {
 				t.Errorf("of the answer %d bytes came (%v)", len(p.got), err)
 			}
-			for _, e := range w.module.Heard {
+			for _, e := range w.module.Received {
 				if j, ok := e.(dispatch.Job); ok && j.ID > 1 {
 					t.Error("a request that crossed the close was taken")
 				}
--- a/internal/link/discovery_watch_model_test.go
+++ b/internal/link/discovery_watch_model_test.go
@@ -31,7 +31,7 @@
 	model.server.read(1 << 12)
 	request := model.server.got
 	model.Check(strings.HasPrefix(string(request), "GET /discovery/hosts?stream=1&index=0 "), "requested %q", request)
-	model.ignored = len(model.module.Heard)
+	model.ignored = len(model.module.Received)
 	return model
 }
 
@@ -122,7 +122,7 @@
 // check compares the list updates of the policy with what was sent.
 func (m *watchModel) check() {
 	unseen := m.sent
-	for _, event := range m.module.Heard[m.ignored:] {
+	for _, event := range m.module.Received[m.ignored:] {
 		list := event.(dispatch.WorkerList)
 		if list.Kind == dispatch.ListUnavailable {
 			m.Check(m.lost, "the list is reported as lost, and is not")
--- a/internal/link/discovery_watch_test.go
+++ b/internal/link/discovery_watch_test.go
@@ -28,14 +28,14 @@
 	watched.turn()
 	server := watched.dialed[0]
 	server.read(1 << 12)
-	watched.module.Heard = nil
+	watched.module.Received = nil
 	return watched, server
 }
 
 // takeRevisions returns the revisions of the list updates that the policy has received since the last call, and watchLost for each
 // loss.
 func (w *world) takeRevisions() (revisions []int64) {
-	for _, event := range w.module.Heard {
+	for _, event := range w.module.Received {
 		list, ok := event.(dispatch.WorkerList)
 		switch {
 		case !ok:
@@ -45,7 +45,7 @@
 			revisions = append(revisions, list.Revision)
 		}
 	}
-	w.module.Heard = nil
+	w.module.Received = nil
 	return revisions
 }
 
--- a/internal/link/figures.go
+++ b/internal/link/figures.go
@@ -52,15 +52,15 @@
 }
 
 // sendFigures gathers and sends figures, again and again.
-func (l *Loop) sendFigures(f *metrics.Figures) {
-	l.After(f.Every(), func() {
+func (l *Loop) sendFigures(f *metrics.Exporter) {
+	l.After(f.Interval(), func() {
 		l.sendFigures(f)
 		f.Gather()
 		l.sendOn(f)
 	})
 }
 
-func (l *Loop) sendOn(f *metrics.Figures) {
+func (l *Loop) sendOn(f *metrics.Exporter) {
 	if f.Send(batchesAtOnce) {
 		l.After(0, func() { l.sendOn(f) })
 	}
--- a/internal/link/hotrestart_fuzz_test.go
+++ b/internal/link/hotrestart_fuzz_test.go
@@ -100,7 +100,7 @@
 	m.Check(err == nil, "hot restart: %v", err)
 	m.Check(m.loop.hasRelinquished() && successor.loop.predecessorRole != nil, "not replaced")
 	m.world = successor
-	m.Did("restart")
+	m.Record("restart")
 }
 
 func (m *hotRestartModel) beginRequest() {
@@ -108,7 +108,7 @@
 	body := strings.Repeat("x", m.bodySize())
 	m.unsent = fmt.Sprintf("POST /a/%d HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: q%d\r\nX-Caller: t\r\nContent-Length: %d\r\n\r\n%s",
 		m.requested, m.requested, len(body), body)
-	m.Did("begin request")
+	m.Record("begin request")
 }
 
 // bodySize is that of the latest request.
@@ -120,7 +120,7 @@
 	size := min(len(m.unsent), 1+m.Pick(8)*m.Pick(200)*30)
 	m.client.write([]byte(m.unsent[:size]))
 	m.unsent = m.unsent[size:]
-	m.Did(fmt.Sprint("write ", size))
+	m.Record(fmt.Sprint("write ", size))
 }
 
 func (m *hotRestartModel) sendAttempt() {
@@ -129,14 +129,14 @@
 	m.module.Next = []dispatch.Action{dispatch.Send{Job: id, Worker: m.workerID}}
 	m.loop.Ledger.Wake()
 	m.inFlight = true
-	m.Did("send")
+	m.Record("send")
 }
 
 func (m *hotRestartModel) writeResponse() {
 	size := min(len(m.response), 1+m.Pick(len(m.response)))
 	m.workers[len(m.workers)-1].write([]byte(m.response[:size]))
 	m.response = m.response[size:]
-	m.Did("respond")
+	m.Record("respond")
 }
 
 func (m *hotRestartModel) complete() {
@@ -146,7 +146,7 @@
 	m.received += fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(result), result)
 	m.inFlight = false
 	m.answered++
-	m.Did("complete")
+	m.Record("complete")
 }
 
 func (m *hotRestartModel) toggleCordon() {
@@ -156,7 +156,7 @@
 	} else {
 		m.loop.Ledger.Uncordon("s-0")
 	}
-	m.Did("cordon or uncordon")
+	m.Record("cordon or uncordon")
 }
 
 // exchange runs the loop, and reads what has come to the worker, at most so many bytes of a connection, and to the client.
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -189,7 +189,7 @@
 	}
 	successor.turn()
 	var resumed []dispatch.JobResumed
-	for _, event := range successor.module.Heard {
+	for _, event := range successor.module.Received {
 		if r, ok := event.(dispatch.JobResumed); ok {
 			resumed = append(resumed, r)
 		}
--- a/internal/link/leaving_test.go
+++ b/internal/link/leaving_test.go
@@ -61,7 +61,7 @@
 					t.Errorf("%d attempts begun, %d queries open", len(w.dialed), w.loop.Ledger.OpenCount())
 				}
 				jobs, gone := 0, 0
-				for _, e := range w.module.Heard {
+				for _, e := range w.module.Received {
 					switch e.(type) {
 					case dispatch.Job:
 						jobs++
@@ -199,7 +199,7 @@
 				w.turn()
 				w.writesAll(p, []byte(sized(1, size)))
 				w.settles()
-				workers := w.module.Heard[1].(dispatch.WorkerList).Workers
+				workers := w.module.Received[1].(dispatch.WorkerList).Workers
 				w.module.Next = append(w.module.Next, dispatch.Send{Job: 1, Worker: workers[0].ID})
 				w.loop.Ledger.Wake()
 				w.oneTurn()
@@ -256,7 +256,7 @@
 	w.settles()
 	const all = 5 * time.Second // of the class
 	left := map[uint64]time.Duration{}
-	for _, e := range w.module.Heard {
+	for _, e := range w.module.Received {
 		if j, ok := e.(dispatch.Job); ok {
 			left[j.ID] = j.Remaining
 		}
--- a/internal/link/operators_test.go
+++ b/internal/link/operators_test.go
@@ -90,16 +90,16 @@
 					s.Check(open[0].ended, "the oldest of too many is held")
 					open = open[1:]
 				}
-				s.Did("connect")
+				s.Record("connect")
 			case what < 7 && len(open) > 0:
 				c := open[s.Pick(len(open))]
 				i := min(len(c.unsent), 1+s.Pick(4)*s.Pick(256))
 				c.write([]byte(c.unsent[:i]))
 				c.unsent = c.unsent[i:]
-				s.Did(fmt.Sprint("write ", i, " of ", len(c.text)))
+				s.Record(fmt.Sprint("write ", i, " of ", len(c.text)))
 			case what == 7:
 				w.now += time.Duration(s.Pick(5)) * 250 * time.Millisecond
-				s.Did("wait")
+				s.Record("wait")
 			}
 			w.turn()
 			var left []*caller
--- a/internal/link/servers_test.go
+++ b/internal/link/servers_test.go
@@ -73,23 +73,23 @@
 			queries = append(queries, q.ID)
 			w.module.Next = append(w.module.Next, dispatch.Send{Job: q.ID, Worker: w.worker()})
 			attempts[id] = &tried{}
-			s.Did("send")
+			s.Record("send")
 		case what < 6 && len(w.dialed) > 0:
 			if p := w.dialed[s.Pick(len(w.dialed))]; slow[p].held > 0 {
 				slow[p].release()
-				s.Did("up")
+				s.Record("up")
 			} else {
 				w.workerActs(p, attempts)
 			}
 		case what == 6 && len(queries) > 0:
 			w.module.Next = append(w.module.Next, dispatch.Cancel{Job: queries[s.Pick(len(queries))]})
 			w.loop.Ledger.DiscoveryFailed()
-			s.Did("cancel")
+			s.Record("cancel")
 		case what == 7:
 			w.module.Next = append(w.module.Next, dispatch.HealthCheck{Worker: w.worker()})
 			w.loop.Ledger.DiscoveryFailed()
 			probes++
-			s.Did("probe")
+			s.Record("probe")
 		case what == 8:
 			w.now += time.Duration(s.Pick(8)) * 100 * time.Millisecond
 		default:
@@ -136,7 +136,7 @@
 			t.taken = t.taken || t.accepted && w.carries(string(m.Get("X-Call-Id")))
 			t.want, t.settled = a.want, a.want >= 0
 		}
-		w.Did(a.text[:min(len(a.text), 14)])
+		w.Record(a.text[:min(len(a.text), 14)])
 	case act == 4:
 		if p.read(1 << 20); t == nil && len(p.got) > 0 { // what has come has come, read or not
 			p.deleted(attempts)
@@ -148,7 +148,7 @@
 			t.want, t.settled = dispatch.ConnectionReset, true
 		}
 		p.close()
-		w.Did("close")
+		w.Record("close")
 	}
 }
 
@@ -173,7 +173,7 @@
 // judge checks what the module heard against what the worker node saw.
 func (w *world) judge(queries []uint64, attempts map[string]*tried, probes int) {
 	heard := map[uint64][]dispatch.Result{}
-	for _, e := range w.module.Heard {
+	for _, e := range w.module.Received {
 		switch e := e.(type) {
 		case dispatch.Outcome:
 			heard[e.Job] = append(heard[e.Job], e.Result)
@@ -230,7 +230,7 @@
 			p.write([]byte(answer))
 		}
 		w.turn()
-		if got, _ := w.module.Heard[len(w.module.Heard)-1].(dispatch.HealthChecked); got.Result != want {
+		if got, _ := w.module.Received[len(w.module.Received)-1].(dispatch.HealthChecked); got.Result != want {
 			t.Errorf("probe ended as %v, expected %v", got.Result, want)
 		}
 	}
@@ -375,7 +375,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, worker := range w.module.Heard[len(w.module.Heard)-1].(dispatch.WorkerList).Workers {
+				for _, worker := range w.module.Received[len(w.module.Received)-1].(dispatch.WorkerList).Workers {
 					w.module.Next = append(w.module.Next, dispatch.Send{Job: q.ID, Worker: worker.ID})
 				}
 				if w.loop.Ledger.Step(w.now); size > 0 {
--- a/internal/link/start.go
+++ b/internal/link/start.go
@@ -31,8 +31,8 @@
 
 // Open returns a loop that listens and is ready to run, with the features that are on. figuresTo are targets of figures
 // besides a collector.
-func Open(c config.Config, ops config.Ops, log *logging.Log, figuresTo ...metrics.Target) (*Loop, error) {
-	l, err := newLoop(log.Kind(), log.Kind(), clockSinceEpoch(), c.Limits.Sockets)
+func Open(c config.Config, ops config.Ops, log *logging.Factory, figuresTo ...metrics.Target) (*Loop, error) {
+	l, err := newLoop(log.NewLogger(), log.NewLogger(), clockSinceEpoch(), c.Limits.Sockets)
 	if err != nil {
 		return nil, err
 	}
@@ -46,7 +46,7 @@
 		PollInterval: c.Settings.PollInterval, Pushed: !c.Settings.MustSubscribe,
 		Schedulers: c.Settings.Replicas,
 	}, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
-	decisions := log.Kind()
+	decisions := log.NewLogger()
 	if ops.Capture != nil {
 		if l.Capture, err = capture.New(*ops.Capture, c, l.Now, decisions); err != nil {
 			return nil, fmt.Errorf("key \"capture.dir\": %w", err)
@@ -108,7 +108,7 @@
 		if ops.Metrics.UDPTarget.IsValid() {
 			targets = append(targets, &collector{to: ops.Metrics.UDPTarget, fd: -1})
 		}
-		l.figures = metrics.New(*ops.Metrics, c.Settings.Names, l.Now, targets...)
+		l.figures = metrics.NewExporter(*ops.Metrics, c.Settings.Names, l.Now, targets...)
 		l.Ledger.AddObserver(l.figures)
 		l.sendFigures(l.figures)
 	}
--- a/internal/link/status_test.go
+++ b/internal/link/status_test.go
@@ -69,10 +69,10 @@
 					quiet, last = w.now, ask.closes
 					want += ask.want + "\n"
 				}
-				s.Did(fmt.Sprint("write ", i, " of ", ask.text))
+				s.Record(fmt.Sprint("write ", i, " of ", ask.text))
 			case what == 6:
 				w.now += time.Duration(s.Pick(8)) * 250 * time.Millisecond
-				s.Did("wait")
+				s.Record("wait")
 			}
 			w.turn()
 			p.read(1 << 16)
--- a/internal/link/world_test.go
+++ b/internal/link/world_test.go
@@ -20,7 +20,7 @@
 type world struct {
 	*modeltest.Steps
 	loop   *Loop
-	module *modeltest.Script
+	module *modeltest.ScriptedPolicy
 	now    time.Duration
 	clock  func() time.Duration // what the loop reads; returns now
 	dialed []*peer              // the far ends of server links and watches, in the order of their opening
@@ -36,7 +36,7 @@
 }
 
 func newWorld(s *modeltest.Steps) *world {
-	w := &world{Steps: s, module: &modeltest.Script{}, now: 1000 * time.Hour}
+	w := &world{Steps: s, module: &modeltest.ScriptedPolicy{}, now: 1000 * time.Hour}
 	w.clock = func() time.Duration { return w.now }
 	silent := slog.New(slog.DiscardHandler)
 	l, err := newLoop(silent, silent, func() time.Duration { return w.clock() }, 0)
@@ -107,7 +107,7 @@
 
 // worker is the number of the one host.
 func (w *world) worker() uint64 {
-	for _, e := range w.module.Heard {
+	for _, e := range w.module.Received {
 		if list, ok := e.(dispatch.WorkerList); ok {
 			return list.Workers[0].ID
 		}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -20,45 +20,45 @@
 	rate  = 5
 )
 
-// Log makes the loggers of one scheduler.
-type Log struct {
+// Factory makes the loggers of one scheduler.
+type Factory struct {
 	handler slog.Handler
 	level   slog.Level
 	now     func() time.Time
 }
 
-// New returns a log that is written to a writer, which must not wait for anything.
-func New(conf config.Log, scheduler string, to io.Writer) *Log {
+// NewFactory returns a log that is written to a writer, which must not wait for anything.
+func NewFactory(conf config.Log, scheduler string, to io.Writer) *Factory {
 	options := &slog.HandlerOptions{Level: conf.Level}
 	var h slog.Handler = slog.NewTextHandler(to, options)
 	if conf.JSON {
 		h = slog.NewJSONHandler(to, options)
 	}
-	return &Log{h.WithAttrs([]slog.Attr{slog.String("scheduler", scheduler)}), conf.Level, time.Now}
+	return &Factory{h.WithAttrs([]slog.Attr{slog.String("scheduler", scheduler)}), conf.Level, time.Now}
 }
 
-// Line gives the text of a line that is written whatever the level, and stands apart from all budgets.
-func Line(conf config.Log, scheduler string, level slog.Level, event string, attrs ...slog.Attr) string {
+// FormatLine gives the text of a line that is written whatever the level, and stands apart from all budgets.
+func FormatLine(conf config.Log, scheduler string, level slog.Level, event string, attrs ...slog.Attr) string {
 	var b bytes.Buffer
 	conf.Level = min(conf.Level, level)
-	slog.New(New(conf, scheduler, &b).handler).LogAttrs(context.Background(), level, event, attrs...)
+	slog.New(NewFactory(conf, scheduler, &b).handler).LogAttrs(context.Background(), level, event, attrs...)
 	return b.String()
 }
 
-// Kind returns a logger for a kind of lines. Of those beyond its budget nothing is written but their number, as
+// NewLogger returns a logger for a kind of lines. Of those beyond its budget nothing is written but their number, as
 // 'skipped' in the next line that is. Its Enabled, which slog asks once for each line, is false for them too.
-func (l *Log) Kind() *slog.Logger {
-	return slog.New(&kind{l.handler, l.level, &budgets{now: l.now, usual: newBudget(l.now()), errors: newBudget(l.now())}})
+func (l *Factory) NewLogger() *slog.Logger {
+	return slog.New(&limitedHandler{l.handler, l.level, &lineBudgets{now: l.now, usual: newBudget(l.now()), errors: newBudget(l.now())}})
 }
 
-// kind is a handler with a budget.
-type kind struct {
+// limitedHandler is a handler with a budget.
+type limitedHandler struct {
 	slog.Handler
 	level slog.Level
-	*budgets
+	*lineBudgets
 }
 
-type budgets struct {
+type lineBudgets struct {
 	mu            sync.Mutex
 	now           func() time.Time
 	usual, errors budget
@@ -73,7 +73,7 @@
 func newBudget(now time.Time) budget { return budget{left: burst, at: now} }
 
 // of gives the budget for a level as it is now.
-func (b *budgets) of(level slog.Level) *budget {
+func (b *lineBudgets) of(level slog.Level) *budget {
 	x := &b.usual
 	if level >= slog.LevelError {
 		x = &b.errors
@@ -84,7 +84,7 @@
 	return x
 }
 
-func (k *kind) Enabled(_ context.Context, level slog.Level) bool {
+func (k *limitedHandler) Enabled(_ context.Context, level slog.Level) bool {
 	if level < k.level {
 		return false
 	}
@@ -98,7 +98,7 @@
 	return false
 }
 
-func (k *kind) Handle(ctx context.Context, r slog.Record) error {
+func (k *limitedHandler) Handle(ctx context.Context, r slog.Record) error {
 	k.mu.Lock()
 	b := k.of(r.Level)
 	if b.left < 1 { // taken by another goroutine since Enabled
@@ -115,10 +115,10 @@
 	return k.Handler.Handle(ctx, r)
 }
 
-func (k *kind) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &kind{k.Handler.WithAttrs(attrs), k.level, k.budgets}
+func (k *limitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &limitedHandler{k.Handler.WithAttrs(attrs), k.level, k.lineBudgets}
 }
 
-func (k *kind) WithGroup(name string) slog.Handler {
-	return &kind{k.Handler.WithGroup(name), k.level, k.budgets}
+func (k *limitedHandler) WithGroup(name string) slog.Handler {
+	return &limitedHandler{k.Handler.WithGroup(name), k.level, k.lineBudgets}
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -18,9 +18,9 @@
 func TestBudgets(t *testing.T) {
 	var out bytes.Buffer
 	var now time.Time
-	l := New(config.Log{}, "n3", &out)
+	l := NewFactory(config.Log{}, "n3", &out)
 	l.now = func() time.Time { return now }
-	one, other := l.Kind(), l.Kind()
+	one, other := l.NewLogger(), l.NewLogger()
 	write := func(n, want int, log func(msg string, args ...any)) {
 		t.Helper()
 		out.Reset()
@@ -57,7 +57,7 @@
 	for i, least := range levels {
 		var text, js bytes.Buffer
 		for _, level := range levels {
-			for _, k := range []*slog.Logger{New(config.Log{Level: least}, "n3", &text).Kind(), New(config.Log{JSON: true, Level: least}, "n3", &js).Kind()} {
+			for _, k := range []*slog.Logger{NewFactory(config.Log{Level: least}, "n3", &text).NewLogger(), NewFactory(config.Log{JSON: true, Level: least}, "n3", &js).NewLogger()} {
 				k.Log(context.Background(), level, "link closed", "why", errors.New("a \"b\"\nc"), "client", "192.0.2.1:7", "bytes", 12)
 			}
 		}
@@ -71,7 +71,7 @@
 				t.Errorf("%+v, %v: %s", f, err, line)
 			}
 		}
-		if line := Line(config.Log{Level: least}, "n3", slog.LevelInfo, "lost"); !strings.HasSuffix(line, " level=INFO msg=lost scheduler=n3\n") {
+		if line := FormatLine(config.Log{Level: least}, "n3", slog.LevelInfo, "lost"); !strings.HasSuffix(line, " level=INFO msg=lost scheduler=n3\n") {
 			t.Errorf("%v: the line apart is %q", least, line)
 		}
 	}
--- a/internal/metrics/exporter.go
+++ b/internal/metrics/exporter.go
@@ -20,8 +20,8 @@
 // mostPending is how many bytes of figures may wait to be written.
 const mostPending = 256 << 10
 
-// Figures are the counters, gauges and timers since the last flush.
-type Figures struct {
+// Exporter are the counters, gauges and timers since the last flush.
+type Exporter struct {
 	conf    config.Metrics
 	names   requests.NameTable
 	now     func() time.Duration
@@ -43,26 +43,26 @@
 
 type counts struct{ jobs, attempts uint64 }
 
-// New returns figures that start at nothing.
-func New(conf config.Metrics, names requests.NameTable, now func() time.Duration, targets ...Target) *Figures {
+// NewExporter returns figures that start at nothing.
+func NewExporter(conf config.Metrics, names requests.NameTable, now func() time.Duration, targets ...Target) *Exporter {
 	pairs := max(1, len(names.Tenants)) * len(names.Classes)
-	return &Figures{
+	return &Exporter{
 		conf: conf, names: names, now: now, targets: targets, gauges: make([]gauge, pairs),
 		counts: make([]counts, pairs*len(requests.Outcomes)),
 	}
 }
 
 // pair is the place of a query's tenant and class.
-func (f *Figures) pair(q *requests.Request) int {
+func (f *Exporter) pair(q *requests.Request) int {
 	return max(0, min(q.Job.Tenant, len(f.names.Tenants)-1))*len(f.names.Classes) + q.Job.Class
 }
 
-func (f *Figures) count(q *requests.Request, o requests.Outcome) *counts {
+func (f *Exporter) count(q *requests.Request, o requests.Outcome) *counts {
 	return &f.counts[f.pair(q)*len(requests.Outcomes)+slices.Index(requests.Outcomes[:], o)]
 }
 
 // Observe takes in news of a query.
-func (f *Figures) Observe(n requests.Notification) {
+func (f *Exporter) Observe(n requests.Notification) {
 	switch n.Kind {
 	case requests.RequestAdmitted:
 		g := &f.gauges[f.pair(n.Request)]
@@ -90,12 +90,12 @@
 	}
 }
 
-func (f *Figures) time(name string, q *requests.Request, span time.Duration) {
+func (f *Exporter) time(name string, q *requests.Request, span time.Duration) {
 	f.add(name, "ms", strconv.FormatFloat(float64(span)/float64(time.Millisecond), 'f', 3, 64), f.pair(q), string(q.Outcome()))
 }
 
 // add puts a figure among those that wait. Where there is no room the oldest make some.
-func (f *Figures) add(name, kind, value string, pair int, outcome string) {
+func (f *Exporter) add(name, kind, value string, pair int, outcome string) {
 	tags := [3][2]string{{"tenant", ""}, {"class", ""}, {"outcome", outcome}}
 	if pair >= 0 {
 		if len(f.names.Tenants) > 0 {
@@ -167,7 +167,7 @@
 }
 
 // Gather puts the counters and gauges, as they are now, among the figures that wait.
-func (f *Figures) Gather() {
+func (f *Exporter) Gather() {
 	whole := func(n uint64) string { return strconv.FormatUint(n, 10) }
 	for i := range f.counts {
 		c, pair, outcome := &f.counts[i], i/len(requests.Outcomes), string(requests.Outcomes[i%len(requests.Outcomes)])
@@ -198,7 +198,7 @@
 
 // Send hands on some batches of what waits, and tells whether more does. A batch that a target does not take is
 // counted and dropped there.
-func (f *Figures) Send(batches int) (more bool) {
+func (f *Exporter) Send(batches int) (more bool) {
 	for ; batches > 0 && f.from < len(f.pending); batches-- {
 		rest := f.pending[f.from:]
 		n := bytes.IndexByte(rest, '\n') + 1 // a figure that is too long goes out alone
@@ -226,5 +226,5 @@
 	return true
 }
 
-// Every is how often figures are to be gathered and sent.
-func (f *Figures) Every() time.Duration { return f.conf.FlushInterval }
+// Interval is how often figures are to be gathered and sent.
+func (f *Exporter) Interval() time.Duration { return f.conf.FlushInterval }
--- a/internal/metrics/exporter_test.go
+++ b/internal/metrics/exporter_test.go
@@ -37,15 +37,15 @@
 
 // world is figures on a ledger, with a module that does as it is told.
 type world struct {
-	*observertest.World
-	figures *Figures
+	*observertest.Fixture
+	figures *Exporter
 	target  *target
 }
 
 func newWorld(conf config.Metrics, names requests.NameTable) *world {
-	w := &world{World: observertest.New(names, slog.New(slog.DiscardHandler)), target: &target{}}
-	w.figures = New(conf, names, func() time.Duration { return w.Now }, w.target)
-	w.Ledger.AddObserver(w.figures)
+	w := &world{Fixture: observertest.New(names, slog.New(slog.DiscardHandler)), target: &target{}}
+	w.figures = NewExporter(conf, names, func() time.Duration { return w.Now }, w.target)
+	w.Table.AddObserver(w.figures)
 	return w
 }
 
@@ -75,11 +75,11 @@
 			"valvecove.out,tenant=mardan-society,class=account-credit value=0i 1718000000040000000\n",
 	} {
 		w := newWorld(config.Metrics{Format: format, MaxBatchBytes: 10_000}, names)
-		q := w.Take("a", 1, 1)
+		q := w.Admit("a", 1, 1)
 		w.Now += 15 * time.Millisecond
 		w.Send(q, "s-0")
 		w.Now += 25 * time.Millisecond
-		w.Tell("a", "s-0", "done", 0)
+		w.SendCallback("a", "s-0", "done", 0)
 		if w.flush(); len(w.target.got) != 1 || w.target.got[0] != want {
 			t.Errorf("%s: %q", format, w.target.got)
 		}
@@ -94,7 +94,7 @@
 		"influx": `valvecove.jobs,tenant=a\,b\=c\ d|e#f:g_h_,class=` + strings.Repeat("x", longestTag) + `,outcome=turned\ away count=1i`,
 	} {
 		w := newWorld(config.Metrics{Format: format, MaxBatchBytes: 1400}, odd)
-		w.Ledger.ReportRejection(&requests.Arrival{CallID: "a"}, 503)
+		w.Table.ReportRejection(&requests.Arrival{CallID: "a"}, 503)
 		if w.flush(); len(w.target.lines()) != 1 || !strings.HasPrefix(w.target.lines()[0], want) {
 			t.Errorf("%s: %q, expected %q", format, w.target.lines(), want)
 		}
@@ -155,7 +155,7 @@
 			case j == nil || what == 0:
 				tenant, class := s.Pick(2), s.Pick(2)
 				j = &job{id: strconv.Itoa(n), tags: "tenant:" + names.Tenants[tenant] + ",class:" + names.Classes[class]}
-				j.q = w.Take(j.id, tenant, class)
+				j.q = w.Admit(j.id, tenant, class)
 				want["valvecove.openg|#"+j.tags]++
 				open = append(open, j)
 			case what < 3 && !j.out:
@@ -163,22 +163,22 @@
 				want["valvecove.outg|#"+j.tags]++
 				j.out = true
 			case what < 5 && j.out:
-				w.Tell(j.id, "s-0", "done", 0)
+				w.SendCallback(j.id, "s-0", "done", 0)
 				want["valvecove.attemptsc|#"+j.tags+",outcome:served"]++
 				want["valvecove.outg|#"+j.tags]--
 				over("served", true)
 			case what == 5 && !j.out && j.q.FirstSentAt == 0:
-				w.Do(dispatch.Reject{Job: j.q.ID})
+				w.Apply(dispatch.Reject{Job: j.q.ID})
 				over("turned_away", false)
 			case what == 6:
-				w.Ledger.ReportRejection(nil, 400)
+				w.Table.ReportRejection(nil, 400)
 				want["valvecove.bad_requestsc"]++
 			case what == 7:
 				w.flush()
 				sum()
 			}
 			w.Now += time.Millisecond
-			s.Did(fmt.Sprint(what))
+			s.Record(fmt.Sprint(what))
 		}
 		w.flush()
 		sum()
@@ -201,9 +201,9 @@
 	w := newWorld(config.Metrics{Format: "statsd", MaxBatchBytes: 1400}, names)
 	const jobs = 5000
 	for n := range jobs {
-		q := w.Take(strconv.Itoa(n), 0, 0)
+		q := w.Admit(strconv.Itoa(n), 0, 0)
 		w.Now += time.Duration(n) * time.Microsecond
-		w.Do(dispatch.Reject{Job: q.ID})
+		w.Apply(dispatch.Reject{Job: q.ID})
 		if waits := len(w.figures.pending) - w.figures.from; waits > mostPending || cap(w.figures.pending) > 4*mostPending {
 			t.Fatalf("%d bytes wait, in %d", waits, cap(w.figures.pending))
 		}
--- a/internal/metrics/totals_test.go
+++ b/internal/metrics/totals_test.go
@@ -38,9 +38,9 @@
 		names := requests.NameTable{Classes: []string{"a"}, Tenants: []string{"t"}}
 		w := observertest.New(names, slog.New(slog.DiscardHandler))
 		count, told, others := NewTotals(names.Classes), answers{}, kept{}
-		all := New(config.Metrics{Format: "statsd", MaxBatchBytes: 1400}, names, func() time.Duration { return w.Now }, &others)
-		w.Ledger.AddObserver(count)
-		w.Ledger.AddObserver(all)
+		all := NewExporter(config.Metrics{Format: "statsd", MaxBatchBytes: 1400}, names, func() time.Duration { return w.Now }, &others)
+		w.Table.AddObserver(count)
+		w.Table.AddObserver(all)
 		taken, left, written, seen := 0, 0, 0, 0
 		var open []*requests.Request
 		for s.More() {
@@ -51,26 +51,26 @@
 			switch what := s.Pick(7); {
 			case what == 0 || q == nil:
 				taken++
-				q, err := w.Ledger.Admit(w.Now, requests.Arrival{CallID: strconv.Itoa(taken), Job: dispatch.Job{Remaining: time.Hour}, Responder: &told})
+				q, err := w.Table.Admit(w.Now, requests.Arrival{CallID: strconv.Itoa(taken), Job: dispatch.Job{Remaining: time.Hour}, Responder: &told})
 				if err != nil {
 					s.T.Fatal(err)
 				}
 				open = append(open, q)
 			case what == 1:
-				w.Module.Next = append(w.Module.Next, []dispatch.Action{dispatch.Reject{Job: q.ID}, dispatch.Fail{Job: q.ID}}[s.Pick(2)])
+				w.Policy.Next = append(w.Policy.Next, []dispatch.Action{dispatch.Reject{Job: q.ID}, dispatch.Fail{Job: q.ID}}[s.Pick(2)])
 			case what < 4:
-				number, _ := w.Ledger.WorkerNumber("s-" + strconv.Itoa(s.Pick(2)))
-				w.Module.Next = append(w.Module.Next, dispatch.Send{Job: q.ID, Worker: number})
-			case what == 4 && len(w.Out) > 0:
-				a := w.Out[s.Pick(len(w.Out))]
-				w.Ledger.ReportWritten(a)
+				number, _ := w.Table.WorkerNumber("s-" + strconv.Itoa(s.Pick(2)))
+				w.Policy.Next = append(w.Policy.Next, dispatch.Send{Job: q.ID, Worker: number})
+			case what == 4 && len(w.Attempts) > 0:
+				a := w.Attempts[s.Pick(len(w.Attempts))]
+				w.Table.ReportWritten(a)
 				written++
-				w.Ledger.EndAttempt(a, []byte("x"), []*requests.AttemptError{nil, {Reason: requests.ReasonRejected}}[s.Pick(2)])
+				w.Table.EndAttempt(a, []byte("x"), []*requests.AttemptError{nil, {Reason: requests.ReasonRejected}}[s.Pick(2)])
 			case what == 5:
-				if q.Response() == requests.ResponseNone && w.Ledger.Request(q.ID) != nil {
+				if q.Response() == requests.ResponseNone && w.Table.Request(q.ID) != nil {
 					left++
 				}
-				w.Ledger.ClientDisconnected(q)
+				w.Table.ClientDisconnected(q)
 				open = append(open[:0:0], open...)
 				for i := range open {
 					if open[i] == q {
@@ -79,19 +79,19 @@
 					}
 				}
 			case what == 6:
-				w.Ledger.ReportRejection(&requests.Arrival{}, 503)
-				w.Ledger.ReportRejection(nil, 400) // no job
+				w.Table.ReportRejection(&requests.Arrival{}, 503)
+				w.Table.ReportRejection(nil, 400) // no job
 				told[requests.ResponseRejected]++
 				taken++
 			}
-			w.Ledger.Wake()
-			w.Ledger.Step(w.Now)
+			w.Table.Wake()
+			w.Table.Step(w.Now)
 			ended := 0
 			for _, a := range []requests.Response{requests.ResponseResult, requests.ResponseRejected, requests.ResponseFailed} {
 				ended += int(count.Ended(a, 0))
 				s.Check(int(count.Ended(a, 0)) == told[a], "answer %d: %d counted, %d told", a, count.Ended(a, 0), told[a])
 			}
-			s.Check(taken == ended+left+w.Ledger.OpenCount(), "%d taken, %d ended, %d left, %d open", taken, ended, left, w.Ledger.OpenCount())
+			s.Check(taken == ended+left+w.Table.OpenCount(), "%d taken, %d ended, %d left, %d open", taken, ended, left, w.Table.OpenCount())
 			s.Check(int(count.attempts) == written, "%d attempts counted, %d written", count.attempts, written)
 			all.Gather()
 			for all.Send(100) {
--- a/internal/modeltest/modeltest.go
+++ b/internal/modeltest/modeltest.go
@@ -10,20 +10,20 @@
 	"valvecove/dispatch"
 )
 
-// Script is a decision module that does as it is told, and remembers what it has heard.
-type Script struct {
-	Next  []dispatch.Action // for the next step
-	Heard []dispatch.Event
-	Panic bool // instead, once
+// ScriptedPolicy is a decision module that does as it is told, and remembers what it has heard.
+type ScriptedPolicy struct {
+	Next     []dispatch.Action // for the next step
+	Received []dispatch.Event
+	Panic    bool // instead, once
 }
 
 // Step hands out what was scripted.
-func (m *Script) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+func (m *ScriptedPolicy) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	if m.Panic {
 		m.Panic = false
 		panic("scripted")
 	}
-	m.Heard = append(m.Heard, events...)
+	m.Received = append(m.Received, events...)
 	dst = append(dst, m.Next...)
 	m.Next = nil
 	return dst
@@ -31,37 +31,37 @@
 
 // Steps deals out choices until its bytes are used up.
 type Steps struct {
-	T    *testing.T
-	left []byte
-	done []string
+	T         *testing.T
+	remaining []byte
+	history   []string
 }
 
 // More tells whether another step is to be taken.
-func (s *Steps) More() bool { return len(s.left) > 0 }
+func (s *Steps) More() bool { return len(s.remaining) > 0 }
 
 // Pick chooses one of n.
 func (s *Steps) Pick(n int) int {
-	if len(s.left) == 0 {
+	if len(s.remaining) == 0 {
 		return 0
 	}
-	b := s.left[0]
-	s.left = s.left[1:]
+	b := s.remaining[0]
+	s.remaining = s.remaining[1:]
 	return int(b) % n
 }
 
-// Did notes a step, for the message of a failure.
-func (s *Steps) Did(what string) { s.done = append(s.done, what) }
+// Record notes a step, for the message of a failure.
+func (s *Steps) Record(what string) { s.history = append(s.history, what) }
 
 // Check fails the test, with the steps that led here, unless ok.
 func (s *Steps) Check(ok bool, format string, args ...any) {
 	if !ok {
 		s.T.Helper()
-		s.T.Fatalf("after %v: "+format, append([]any{s.done}, args...)...)
+		s.T.Fatalf("after %v: "+format, append([]any{s.history}, args...)...)
 	}
 }
 
-// longest keeps a run short: more steps than that find nothing that fewer do not.
-const longest = 1000
+// maxSteps keeps a run short: more steps than that find nothing that fewer do not.
+const maxSteps = 1000
 
 // Fuzz runs a model on seeded sequences, always the same ones, and on whatever the fuzzer finds.
 func Fuzz(f *testing.F, model func(s *Steps)) {
@@ -73,5 +73,5 @@
 		}
 		f.Add(seed)
 	}
-	f.Fuzz(func(t *testing.T, b []byte) { model(&Steps{T: t, left: b[:min(len(b), longest)]}) })
+	f.Fuzz(func(t *testing.T, b []byte) { model(&Steps{T: t, remaining: b[:min(len(b), maxSteps)]}) })
 }
--- a/internal/requests/admission_test.go
+++ b/internal/requests/admission_test.go
@@ -25,7 +25,7 @@
 		"little time":      {50 * time.Millisecond, func(*Table) {}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			policy := &modeltest.Script{}
+			policy := &modeltest.ScriptedPolicy{}
 			table := newTestTable(policy, 1, newRecordingTransport())
 			table.AwaitEndpoints(time.Second)
 			arrival := Arrival{CallID: "c", Job: dispatch.Job{Remaining: test.remaining}, Responder: &countingResponder{}}
@@ -36,7 +36,7 @@
 			if learnedAt != test.at {
 				t.Errorf("learned at %v, expected %v", learnedAt, test.at)
 			}
-			for _, job := range jobsIn(policy.Heard) {
+			for _, job := range jobsIn(policy.Received) {
 				if job.Remaining != test.remaining-learnedAt {
 					t.Errorf("%v remaining at %v, of %v", job.Remaining, learnedAt, test.remaining)
 				}
@@ -47,7 +47,7 @@
 
 // stepUntilLearned steps the table ten times a second as it asks for, for a second at most, until the policy learns of
 // a request, and returns when that was, or 0. The update comes after 300 ms.
-func stepUntilLearned(table *Table, policy *modeltest.Script, update func(table *Table)) time.Duration {
+func stepUntilLearned(table *Table, policy *modeltest.ScriptedPolicy, update func(table *Table)) time.Duration {
 	for tick := range time.Duration(11) {
 		now := max(1, tick*100*time.Millisecond)
 		if tick == 3 {
@@ -56,7 +56,7 @@
 		if at, ok := table.NextStep(); ok && at <= now {
 			table.Step(now)
 		}
-		if len(jobsIn(policy.Heard)) > 0 {
+		if len(jobsIn(policy.Received)) > 0 {
 			return now
 		}
 	}
@@ -84,7 +84,7 @@
 		"hot restart":      func(table *Table) { table.AwaitEndpoints(0) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			table := newTestTable(&modeltest.Script{}, 1, newRecordingTransport())
+			table := newTestTable(&modeltest.ScriptedPolicy{}, 1, newRecordingTransport())
 			table.Step(0)
 			if !table.Ready() {
 				t.Error("not ready with a worker that is up")
--- a/internal/requests/callback_test.go
+++ b/internal/requests/callback_test.go
@@ -13,7 +13,7 @@
 func TestCallback_RepeatedEndsNoLaterAttempt(t *testing.T) {
 	for _, state := range []string{CallbackReturned, CallbackFailed, CallbackLost} {
 		t.Run(state, func(t *testing.T) {
-			policy, transport := &modeltest.Script{}, newRecordingTransport()
+			policy, transport := &modeltest.ScriptedPolicy{}, newRecordingTransport()
 			table := newTestTable(policy, 2, transport)
 			request := admit(t, table, "c", &countingResponder{})
 			send := func(endpoint string) {
--- a/internal/requests/completion_test.go
+++ b/internal/requests/completion_test.go
@@ -12,7 +12,7 @@
 
 // Of two attempts that are both served only the first is the client's; the other ends as served and closed.
 func TestHedgedRequest_FirstResultIsSent(t *testing.T) {
-	policy, responder, transport := &modeltest.Script{}, &countingResponder{}, newRecordingTransport()
+	policy, responder, transport := &modeltest.ScriptedPolicy{}, &countingResponder{}, newRecordingTransport()
 	table := newTestTable(policy, 2, transport)
 	request := admit(t, table, "c", responder)
 	policy.Next = []dispatch.Action{
@@ -30,7 +30,7 @@
 		}
 	}
 	table.Step(2)
-	outcome, ok := policy.Heard[len(policy.Heard)-1].(dispatch.Outcome)
+	outcome, ok := policy.Received[len(policy.Received)-1].(dispatch.Outcome)
 	if !ok || outcome.Attempt != 0 || outcome.Result != dispatch.OK || !outcome.Closed {
 		t.Errorf("last heard %+v", outcome)
 	}
@@ -51,15 +51,15 @@
 
 // Where many requests are responded to at once, it is in order of arrival, at every run.
 func TestResponses_KeepOrderOfArrival(t *testing.T) {
-	for name, closeAll := range map[string]func(table *Table, policy *modeltest.Script){
-		"end of process": func(table *Table, _ *modeltest.Script) { table.CloseSince(0) },
-		"policy panic": func(table *Table, policy *modeltest.Script) {
+	for name, closeAll := range map[string]func(table *Table, policy *modeltest.ScriptedPolicy){
+		"end of process": func(table *Table, _ *modeltest.ScriptedPolicy) { table.CloseSince(0) },
+		"policy panic": func(table *Table, policy *modeltest.ScriptedPolicy) {
 			policy.Panic = true
 			table.Step(2)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			policy, responded := &modeltest.Script{}, []int{}
+			policy, responded := &modeltest.ScriptedPolicy{}, []int{}
 			table := newTestTable(policy, 0, newRecordingTransport())
 			for number := range 50 {
 				admit(t, table, strconv.Itoa(number), orderedResponder{&responded, number})
--- a/internal/requests/cordon_test.go
+++ b/internal/requests/cordon_test.go
@@ -18,7 +18,7 @@
 // cordonModel puts the cordons of a table through random steps. The endpoints s-0 to s-2 were listed, s-3 never was.
 type cordonModel struct {
 	*modeltest.Steps
-	policy    *modeltest.Script
+	policy    *modeltest.ScriptedPolicy
 	transport *recordingTransport
 	table     *Table
 	cordoned  map[string]bool
@@ -26,7 +26,7 @@
 }
 
 func runCordonModel(s *modeltest.Steps) {
-	m := &cordonModel{Steps: s, policy: &modeltest.Script{}, transport: newRecordingTransport(), cordoned: map[string]bool{}}
+	m := &cordonModel{Steps: s, policy: &modeltest.ScriptedPolicy{}, transport: newRecordingTransport(), cordoned: map[string]bool{}}
 	m.table = newTestTable(m.policy, 3, m.transport)
 	for s.More() {
 		m.step("s-" + strconv.Itoa(s.Pick(4)))
@@ -54,7 +54,7 @@
 	case 5:
 		m.send(id)
 	}
-	m.Did(id)
+	m.Record(id)
 	want := slices.Sorted(maps.Keys(m.cordoned))
 	m.Check(slices.Equal(m.table.Cordoned(), want), "cordoned are %v, expected %v", m.table.Cordoned(), want)
 }
@@ -62,12 +62,12 @@
 // restartPolicy has the policy panic, and checks that the next one learns of all cordons.
 func (m *cordonModel) restartPolicy() {
 	m.policy.Panic = true
-	m.policy.Heard = nil
+	m.policy.Received = nil
 	m.table.Wake()
 	m.table.Step(time.Second)
 	m.table.Step(time.Second)
 	received := 0
-	for _, event := range m.policy.Heard {
+	for _, event := range m.policy.Received {
 		if _, isCordon := event.(dispatch.Cordoned); isCordon {
 			received++
 		}
--- a/internal/requests/endpoint_test.go
+++ b/internal/requests/endpoint_test.go
@@ -34,7 +34,7 @@
 
 // Removed endpoints are not remembered for ever, but for the cordoned ones.
 func TestEndpoints_RemovedAreForgotten(t *testing.T) {
-	table := newTestTable(&modeltest.Script{}, 0, newRecordingTransport())
+	table := newTestTable(&modeltest.ScriptedPolicy{}, 0, newRecordingTransport())
 	replace := func(id string) {
 		table.UpdateEndpoints(EndpointList{Reset: true, Endpoints: []Endpoint{{ID: id, Lifecycle: "up"}}})
 	}
--- a/internal/requests/golden_test.go
+++ b/internal/requests/golden_test.go
@@ -43,13 +43,13 @@
 // goldenTable is a table that is brought to where the golden file was written, or goes on from there.
 type goldenTable struct {
 	*requests.Table
-	policy    *modeltest.Script
+	policy    *modeltest.ScriptedPolicy
 	transport *recordingTransport
 	now       time.Duration
 }
 
 func newGoldenTable() *goldenTable {
-	g := &goldenTable{policy: &modeltest.Script{}, transport: &recordingTransport{}, now: goldenAt}
+	g := &goldenTable{policy: &modeltest.ScriptedPolicy{}, transport: &recordingTransport{}, now: goldenAt}
 	names := requests.NameTable{
 		Classes:      []string{"a", "b"},
 		Tenants:      []string{"t"},
--- a/internal/requests/helpers_test.go
+++ b/internal/requests/helpers_test.go
@@ -65,7 +65,7 @@
 }
 
 // newTestTable returns a table with a scripted policy and the endpoints s-0 to s-(endpoints-1).
-func newTestTable(policy *modeltest.Script, endpoints int, transport Transport) *Table {
+func newTestTable(policy *modeltest.ScriptedPolicy, endpoints int, transport Transport) *Table {
 	names := NameTable{Classes: []string{"a"}}
 	newPolicy := func() Policy { return policy }
 	return New(4, names, newPolicy, endpointRange(0, endpoints), transport, slog.New(slog.DiscardHandler))
@@ -74,7 +74,7 @@
 // attemptFixture is a table with the endpoints s-0 and s-1, and one request that has an accepted attempt at s-0.
 type attemptFixture struct {
 	table     *Table
-	policy    *modeltest.Script
+	policy    *modeltest.ScriptedPolicy
 	transport *recordingTransport
 	responder *countingResponder
 	request   *Request
@@ -83,7 +83,7 @@
 
 func newAttemptFixture(t *testing.T, attemptTimeout time.Duration) *attemptFixture {
 	t.Helper()
-	f := &attemptFixture{policy: &modeltest.Script{}, transport: newRecordingTransport(), responder: &countingResponder{}}
+	f := &attemptFixture{policy: &modeltest.ScriptedPolicy{}, transport: newRecordingTransport(), responder: &countingResponder{}}
 	f.table = newTestTable(f.policy, 2, f.transport)
 	f.request = admit(t, f.table, "c", f.responder)
 	f.step(1, dispatch.Send{Job: f.request.ID, Worker: hashID("s-0"), AttemptTimeout: attemptTimeout})
@@ -112,7 +112,7 @@
 
 // results returns the results of attempts that the policy has received.
 func (f *attemptFixture) results() (results []dispatch.Result) {
-	for _, event := range f.policy.Heard {
+	for _, event := range f.policy.Received {
 		if outcome, isOutcome := event.(dispatch.Outcome); isOutcome {
 			results = append(results, outcome.Result)
 		}
@@ -138,7 +138,7 @@
 		t.Fatal("events are pending")
 	}
 	state, open := f.table.Snapshot()
-	f.policy, f.transport = &modeltest.Script{}, newRecordingTransport()
+	f.policy, f.transport = &modeltest.ScriptedPolicy{}, newRecordingTransport()
 	f.table = newTestTable(f.policy, 0, f.transport)
 	responders := map[uint64]Responder{f.request.ID: f.responder}
 	f.table.TakeOver(5, state, open, responders, func() Policy { return f.policy })
--- a/internal/requests/log_test.go
+++ b/internal/requests/log_test.go
@@ -16,13 +16,13 @@
 // logFixture is a table whose log is read line by line.
 type logFixture struct {
 	table  *Table
-	policy *modeltest.Script
+	policy *modeltest.ScriptedPolicy
 	log    *bytes.Buffer
 	now    time.Duration
 }
 
 func newLogFixture(known EndpointList) *logFixture {
-	f := &logFixture{policy: &modeltest.Script{}, log: &bytes.Buffer{}, now: time.Hour}
+	f := &logFixture{policy: &modeltest.ScriptedPolicy{}, log: &bytes.Buffer{}, now: time.Hour}
 	logger := slog.New(slog.NewTextHandler(f.log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	f.table = New(4, NameTable{}, func() Policy { return f.policy }, known, newRecordingTransport(), logger)
 	return f
--- a/internal/requests/table_test.go
+++ b/internal/requests/table_test.go
@@ -24,7 +24,7 @@
 // tableModel puts a table through random steps, and checks it against what it knows itself.
 type tableModel struct {
 	*modeltest.Steps
-	policy    *modeltest.Script
+	policy    *modeltest.ScriptedPolicy
 	transport *recordingTransport
 	table     *Table
 	now       time.Duration
@@ -32,7 +32,7 @@
 }
 
 func runTableModel(random *modeltest.Steps) {
-	model := &tableModel{Steps: random, policy: &modeltest.Script{}, transport: newRecordingTransport(), now: time.Hour}
+	model := &tableModel{Steps: random, policy: &modeltest.ScriptedPolicy{}, transport: newRecordingTransport(), now: time.Hour}
 	model.table = newTestTable(model.policy, 2, model.transport)
 	for model.More() {
 		model.now += time.Duration(model.Pick(200)) * time.Millisecond
@@ -67,14 +67,14 @@
 	case 4:
 		job := target.request.ID
 		m.act([]dispatch.Action{dispatch.Reject{Job: job}, dispatch.Fail{Job: job}}[m.Pick(2)])
-		m.Did("reject or fail")
+		m.Record("reject or fail")
 	case 5:
 		m.act(dispatch.Cancel{Job: target.request.ID, Attempt: m.Pick(5)})
-		m.Did("cancel")
+		m.Record("cancel")
 	case 6:
 		target.disconnected = target.disconnected || target.responder.total() == 0
 		m.table.ClientDisconnected(target.request)
-		m.Did("disconnect")
+		m.Record("disconnect")
 	case 7:
 		m.callBack(target)
 	case 8:
@@ -86,7 +86,7 @@
 	case 12, 13:
 		if len(m.transport.cancelling) > 0 {
 			m.transport.completeCancel(m.table, kind == 12)
-			m.Did("complete a cancellation")
+			m.Record("complete a cancellation")
 		}
 	}
 	return false
@@ -103,7 +103,7 @@
 	_, err = m.table.Admit(m.now, arrival)
 	m.Check(errors.Is(err, ErrDuplicateCallID), "an open request's call id was admitted again")
 	m.requests = append(m.requests, &modelRequest{request: request, responder: responder})
-	m.Did("admit")
+	m.Record("admit")
 }
 
 func (m *tableModel) send(target *modelRequest) {
@@ -120,7 +120,7 @@
 		}
 		m.Check(m.transport.started[before].At == until, "attempt timeout not kept or not trimmed")
 	}
-	m.Did("send")
+	m.Record("send")
 }
 
 func (m *tableModel) callBack(target *modelRequest) {
@@ -130,7 +130,7 @@
 	callback := Callback{CallID: target.request.CallID, EndpointID: endpoint, State: state, Result: &result}
 	_, err := m.table.HandleCallback(callback)
 	m.Check(err == nil, "a valid callback was rejected")
-	m.Did(state)
+	m.Record(state)
 }
 
 // endAttempt has the transport end an attempt, perhaps once more.
@@ -149,7 +149,7 @@
 	if reason == ReasonInvalidRequest && wasOpen {
 		m.Check(request.IsClosed() == (request.inFlight == 0), "invalid at its last worker, and not closed")
 	}
-	m.Did("end " + attempt.Stage.String())
+	m.Record("end " + attempt.Stage.String())
 }
 
 // accept has a worker accept an attempt, and perhaps the policy cancel it.
@@ -164,7 +164,7 @@
 			m.act(dispatch.Cancel{Job: attempt.Request.ID, Attempt: attempt.Number})
 		}
 	}
-	m.Did("accept")
+	m.Record("accept")
 }
 
 // panicPolicy has the policy panic at its next step, and reports whether it had one. A new policy knows no request:
@@ -231,7 +231,7 @@
 // outcomes returns the outcomes that the policy has received, and checks that there is one for each attempt.
 func (m *tableModel) outcomes() map[attemptID]dispatch.Outcome {
 	outcomes := map[attemptID]dispatch.Outcome{}
-	for _, event := range m.policy.Heard {
+	for _, event := range m.policy.Received {
 		outcome, isOutcome := event.(dispatch.Outcome)
 		if !isOutcome {
 			continue
--- a/internal/server/capture_test.go
+++ b/internal/server/capture_test.go
@@ -106,7 +106,7 @@
 	s.configure(strings.Replace(conf, "127.0.0.1:0", addr, 1))
 	s.write(s.ops, ops)
 	go func() {
-		s.end <- Scheduler(func(name string) string { return map[string]string{"PROXY_CONFIG": s.path}[name] }, s.ops, log)
+		s.end <- Run(func(name string) string { return map[string]string{"PROXY_CONFIG": s.path}[name] }, s.ops, log)
 	}()
 	s.up()
 	if ops == "[capture]" {
--- a/internal/server/figures_test.go
+++ b/internal/server/figures_test.go
@@ -96,7 +96,7 @@
 	s := &started{T: t, path: t.TempDir() + "/config.json", ops: t.TempDir() + "/ops.toml"}
 	s.configure(conf)
 	s.write(s.ops, "[figures]\nfile = '"+t.TempDir()+"/none/figures'")
-	err := Scheduler(func(name string) string { return map[string]string{"PROXY_CONFIG": s.path}[name] }, s.ops, os.Stderr)
+	err := Run(func(name string) string { return map[string]string{"PROXY_CONFIG": s.path}[name] }, s.ops, os.Stderr)
 	if err == nil || !strings.HasPrefix(err.Error(), `key "figures.file"`) {
 		t.Error(err)
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -50,9 +50,9 @@
 	log      *slog.Logger
 }
 
-// Scheduler runs until it has been told to stop and has drained. ops names the operators' file; without one no
+// Run runs until it has been told to stop and has drained. ops names the operators' file; without one no
 // feature is on.
-func Scheduler(env func(string) string, ops string, log io.Writer) error {
+func Run(env func(string) string, ops string, log io.Writer) error {
 	// From the first moment on: by default SIGHUP ends a process, and with it all that it has taken.
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -71,12 +71,12 @@
 	}
 	limit(c.Limits)
 	// Standard error may be slow or gone: nobody waits for it.
-	s := &scheduler{env: env, conf: c, spool: asyncwriter.Before(log, logWaiting, func(n uint64) string {
-		return logging.Line(features.Log, c.Name, slog.LevelWarn, "log lost, as it was not taken in", slog.Uint64("pieces", n))
+	s := &scheduler{env: env, conf: c, spool: asyncwriter.NewWriter(log, logWaiting, func(n uint64) string {
+		return logging.FormatLine(features.Log, c.Name, slog.LevelWarn, "log lost, as it was not taken in", slog.Uint64("pieces", n))
 	})}
 	defer s.spool.Close(lastFlush)
-	logs := logging.New(features.Log, c.Name, s.spool)
-	s.log = logs.Kind()
+	logs := logging.NewFactory(features.Log, c.Name, s.spool)
+	s.log = logs.NewLogger()
 	if features.Capture != nil {
 		signal.Notify(signals, syscall.SIGUSR1)
 	}
@@ -87,7 +87,7 @@
 			return fmt.Errorf("key \"figures.file\": %w", err)
 		}
 		defer func() { _ = file.Close() }()
-		lines := asyncwriter.Before(file, logWaiting, nil)
+		lines := asyncwriter.NewWriter(file, logWaiting, nil)
 		defer lines.Close(lastFlush)
 		targets = append(targets, offered{lines})
 	} else if f != nil && !f.UDPTarget.IsValid() {
@@ -145,7 +145,7 @@
 type offered struct{ *asyncwriter.Writer }
 
 // Send hands a batch on whole.
-func (o offered) Send(batch []byte) error { return o.Offer(batch) }
+func (o offered) Send(batch []byte) error { return o.TryWrite(batch) }
 
 // told does what a signal asks for. It runs in the loop.
 func (s *scheduler) told(sig os.Signal) {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -48,7 +48,7 @@
 	}
 	t.Cleanup(func() { _ = logs.Close() })
 	go func() {
-		s.end <- Scheduler(func(name string) string { return map[string]string{"PROXY_CONFIG": s.path}[name] }, s.ops, log)
+		s.end <- Run(func(name string) string { return map[string]string{"PROXY_CONFIG": s.path}[name] }, s.ops, log)
 		_ = log.Close()
 	}()
 	s.lines = bufio.NewScanner(logs)
--- a/internal/server/status_test.go
+++ b/internal/server/status_test.go
@@ -149,7 +149,7 @@
 		s := &started{T: t, path: t.TempDir() + "/config.json", ops: t.TempDir() + "/ops.toml"}
 		s.configure(conf)
 		s.write(s.ops, ops)
-		err := Scheduler(func(name string) string { return map[string]string{"PROXY_CONFIG": s.path}[name] }, s.ops, io.Discard)
+		err := Run(func(name string) string { return map[string]string{"PROXY_CONFIG": s.path}[name] }, s.ops, io.Discard)
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, expected %s", ops, err, want)
 		}
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -29,7 +29,7 @@
 // world is a table on a ledger, with a module that does as it is told.
 type world struct {
 	*modeltest.Steps
-	*observertest.World
+	*observertest.Fixture
 	table *Table
 }
 
@@ -43,9 +43,9 @@
 
 func newWorld(s *modeltest.Steps, conf config.Status) *world {
 	names := requests.NameTable{Classes: []string{"cash-payout"}, Tenants: []string{"swat-society"}}
-	w := &world{Steps: s, World: observertest.New(names, slog.New(slog.NewTextHandler(faults{s}, &slog.HandlerOptions{Level: slog.LevelError})))}
+	w := &world{Steps: s, Fixture: observertest.New(names, slog.New(slog.NewTextHandler(faults{s}, &slog.HandlerOptions{Level: slog.LevelError})))}
 	w.table = New(conf, names, true, func() time.Duration { return w.Now })
-	w.Ledger.AddObserver(w.table)
+	w.Table.AddObserver(w.table)
 	return w
 }
 
@@ -71,18 +71,18 @@
 			end := func(how string) { j.open, j.outcome, j.ended = false, how, w.Now }
 			switch what := s.Pick(12); {
 			case j == nil || what == 0 && !j.open && len(j.tries) == 0: // an id may come again
-				jobs[id] = &modelJob{q: w.Take(id, 0, 0), open: true, tries: map[string]string{}}
-				s.Did("take " + id)
+				jobs[id] = &modelJob{q: w.Admit(id, 0, 0), open: true, tries: map[string]string{}}
+				s.Record("take " + id)
 			case what < 3:
 				if w.Send(j.q, host) {
 					j.tries[host] = "sent"
 				}
-				s.Did("send " + id + " to " + host)
+				s.Record("send " + id + " to " + host)
 			case what < 9:
 				state := []string{"started", "running", "done", "failed", "returned", "lost"}[s.Pick(6)]
 				share := float64(s.Pick(5)) / 4
-				w.Tell(id, host, state, share)
-				s.Did(fmt.Sprint(host, " tells ", id, " ", state, share))
+				w.SendCallback(id, host, state, share)
+				s.Record(fmt.Sprint(host, " tells ", id, " ", state, share))
 				how, ends := outcomes[state]
 				switch {
 				case j.tries[host] == "":
@@ -100,8 +100,8 @@
 					}
 				}
 			case what == 9:
-				w.Do([]dispatch.Action{dispatch.Reject{Job: j.q.ID}, dispatch.Fail{Job: j.q.ID}}[s.Pick(2)])
-				s.Did("give up " + id)
+				w.Apply([]dispatch.Action{dispatch.Reject{Job: j.q.ID}, dispatch.Fail{Job: j.q.ID}}[s.Pick(2)])
+				s.Record("give up " + id)
 				switch {
 				case !j.open || j.left:
 				case len(j.tries) > 0:
@@ -112,8 +112,8 @@
 					end(j.outcome)
 				}
 			case what == 10:
-				w.Ledger.ClientDisconnected(j.q)
-				s.Did("the client of " + id + " leaves")
+				w.Table.ClientDisconnected(j.q)
+				s.Record("the client of " + id + " leaves")
 				if j.left = j.left || j.open; j.open && len(j.tries) == 0 {
 					if end(j.outcome); j.outcome == "" {
 						end("turned away")
@@ -163,18 +163,18 @@
 			t.Errorf("known: %q, expected %q", got, want)
 		}
 	}
-	a, b := w.Take("a", 0, 0), w.Take("b", 0, 0)
-	w.Take("c", 0, 0)
-	w.Do(dispatch.Fail{Job: b.ID})
-	w.Take("d", 0, 0)
+	a, b := w.Admit("a", 0, 0), w.Admit("b", 0, 0)
+	w.Admit("c", 0, 0)
+	w.Apply(dispatch.Fail{Job: b.ID})
+	w.Admit("d", 0, 0)
 	known("a:waiting c:waiting d:waiting ")
-	w.Take("e", 0, 0)
+	w.Admit("e", 0, 0)
 	known("c:waiting d:waiting e:waiting ")
-	w.Do(dispatch.Fail{Job: a.ID})
+	w.Apply(dispatch.Fail{Job: a.ID})
 	known("c:waiting d:waiting e:waiting ")
-	w.Ledger.ReportRejection(&requests.Arrival{CallID: "c"}, 503) // with an open query's id, at the door
+	w.Table.ReportRejection(&requests.Arrival{CallID: "c"}, 503) // with an open query's id, at the door
 	known("c:waiting d:waiting e:waiting ")
-	w.Ledger.ReportRejection(&requests.Arrival{CallID: "a"}, 503)
+	w.Table.ReportRejection(&requests.Arrival{CallID: "a"}, 503)
 	known("a:endedturned away d:waiting e:waiting ")
 }
 
@@ -182,20 +182,20 @@
 // out says nothing of it.
 func TestIDAgain(t *testing.T) {
 	w := newWorld(&modeltest.Steps{T: t}, config.Status{Retention: time.Minute, MaxEntries: 3})
-	first := w.Take("a", 0, 0)
+	first := w.Admit("a", 0, 0)
 	w.Send(first, "s-0")
-	w.Do(dispatch.Reject{Job: first.ID})
+	w.Apply(dispatch.Reject{Job: first.ID})
 	if a, _ := w.find("a"); a.Outcome != requests.OutcomeTimedOut || a.Worker != "s-0" {
 		t.Errorf("answered with an attempt out: %+v", a)
 	}
-	second := w.Take("a", 0, 0)
-	w.Tell("a", "s-0", "started", 0)
+	second := w.Admit("a", 0, 0)
+	w.SendCallback("a", "s-0", "started", 0)
 	if a, _ := w.find("a"); a.State != "waiting" || a.Worker != "" {
 		t.Errorf("the second query after news of the first: %+v", a)
 	}
-	w.Tell("a", "s-0", "done", 0)
+	w.SendCallback("a", "s-0", "done", 0)
 	w.Send(second, "s-0")
-	w.Tell("a", "s-0", "running", 0.5)
+	w.SendCallback("a", "s-0", "running", 0.5)
 	if a, _ := w.find("a"); a.State != "running" || *a.Share != 0.5 {
 		t.Errorf("the second query: %+v", a)
 	}
