--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -1,7 +1,6 @@
 package dispatch
 
 import (
-	"bytes"
 	"container/heap"
 	"crypto/sha256"
 	"encoding/binary"
@@ -19,48 +18,73 @@
 
 const decisionsFile = "testdata/decisions.txt"
 
+// decisionSequence is one sequence of events, and the hash of what a dispatcher decides on it.
+type decisionSequence struct {
+	name string
+	run  func(t *testing.T) *decisionHash
+}
+
+func decisionSequences() []decisionSequence {
+	var sequences []decisionSequence
+	for seed := range uint64(120) {
+		sequences = append(sequences, decisionSequence{
+			name: fmt.Sprintf("random-events-%d", seed),
+			run:  func(*testing.T) *decisionHash { return randomDecisions(seed) },
+		})
+	}
+	for _, c := range decisionCases() {
+		sequences = append(sequences, decisionSequence{c.name, c.run})
+	}
+	return sequences
+}
+
 // TestDecisionsUnchanged feeds the dispatcher long sequences of events and compares a hash of all its actions, and of
 // its snapshots every so often, with the one that an earlier build left in testdata/decisions.txt. A change of the code
 // that is meant to change no decision keeps every line. The figures beside each hash show what a sequence covers.
 func TestDecisionsUnchanged(t *testing.T) {
 	t.Parallel()
-	var got bytes.Buffer
-	for seed := range uint64(120) {
-		h := newDecisionHash()
-		steps := 0
-		observedRandomRun(seed, 400, func(d *Dispatcher, _ time.Duration, _ []Event, actions []Action) {
-			if actions == nil {
-				return
-			}
-			h.actions(actions)
-			if steps++; steps%25 == 0 {
-				h.snapshot(d)
-			}
-		})
-		fmt.Fprintf(&got, "random-events-%d %s\n", seed, h)
-	}
-	for _, c := range decisionCases() {
-		fmt.Fprintf(&got, "%s %s\n", c.name, c.run(t))
+	sequences := decisionSequences()
+	file, err := os.ReadFile(decisionsFile)
+	if err != nil && !*updateGolden {
+		t.Fatal(err)
 	}
+	want := strings.Split(strings.TrimSuffix(string(file), "\n"), "\n")
+	if len(want) != len(sequences) && !*updateGolden {
+		t.Fatalf("%s has %d sequences, expected %d", decisionsFile, len(want), len(sequences))
+	}
+	got := make([]string, len(sequences))
+	t.Run("sequences", func(t *testing.T) {
+		for i, sequence := range sequences {
+			t.Run(sequence.name, func(t *testing.T) {
+				t.Parallel()
+				got[i] = fmt.Sprintf("%s %s", sequence.name, sequence.run(t))
+				if !*updateGolden && got[i] != want[i] {
+					t.Errorf("decisions changed:\ngot  %s\nwant %s", got[i], want[i])
+				}
+			})
+		}
+	})
 	if *updateGolden {
-		if err := os.WriteFile(decisionsFile, got.Bytes(), 0o600); err != nil {
+		if err := os.WriteFile(decisionsFile, []byte(strings.Join(got, "\n")+"\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return
-	}
-	want, err := os.ReadFile(decisionsFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(got.String(), "\n")
-	if len(wantLines) != len(gotLines) {
-		t.Fatalf("%d sequences, expected %d", len(gotLines), len(wantLines))
 	}
-	for i, line := range gotLines {
-		if line != wantLines[i] {
-			t.Errorf("decisions changed:\ngot  %s\nwant %s", line, wantLines[i])
+}
+
+// randomDecisions is the hash of a random run, whose events come from no model of a fleet.
+func randomDecisions(seed uint64) *decisionHash {
+	h := newDecisionHash()
+	steps := 0
+	observedRandomRun(seed, 400, func(d *Dispatcher, _ time.Duration, _ []Event, actions []Action) {
+		if actions == nil {
+			return
 		}
-	}
+		h.actions(actions)
+		if steps++; steps%25 == 0 {
+			h.snapshot(d)
+		}
+	})
+	return h
 }
 
 // decisionHash is a hash of actions and snapshots. It names no Go type or field, so that a rename leaves it as it is.
