--- a/internal/link/figures.go
+++ b/internal/link/figures.go
@@ -6,7 +6,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"valvecove/internal/figures"
+	"valvecove/internal/eventloop"
+	"valvecove/internal/metrics"
 )
 
 // batchesAtOnce are sent in one turn at most: other links have their turns too.
@@ -37,7 +38,7 @@
 }
 
 func (c *collector) open() error {
-	family, sa := sockaddr(c.to)
+	family, sa := eventloop.Sockaddr(c.to)
 	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return err
@@ -51,7 +52,7 @@
 }
 
 // sendFigures gathers and sends figures, again and again.
-func (l *Loop) sendFigures(f *figures.Figures) {
+func (l *Loop) sendFigures(f *metrics.Figures) {
 	l.After(f.Every(), func() {
 		l.sendFigures(f)
 		f.Gather()
@@ -59,7 +60,7 @@
 	})
 }
 
-func (l *Loop) sendOn(f *figures.Figures) {
+func (l *Loop) sendOn(f *metrics.Figures) {
 	if f.Send(batchesAtOnce) {
 		l.After(0, func() { l.sendOn(f) })
 	}
--- a/internal/link/operators_test.go
+++ b/internal/link/operators_test.go
@@ -9,16 +9,17 @@
 	"testing"
 	"time"
 
+	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/http1"
-	"valvecove/internal/steps"
-	"valvecove/internal/tally"
+	"valvecove/internal/metrics"
+	"valvecove/internal/modeltest"
 )
 
 // withOperators is a world with a management address.
-func withOperators(s *steps.Steps) *world {
+func withOperators(s *modeltest.Steps) *world {
 	w := newWorld(s)
-	count := tally.New([]string{"a"})
+	count := metrics.NewTotals([]string{"a"})
 	if err := w.loop.serveOperators(netip.MustParseAddrPort("127.0.0.1:0"), count); err != nil {
 		s.T.Fatal(err)
 	}
@@ -69,7 +70,7 @@
 		{"nonsense\r\n\r\n", "400 not a request line"},
 		{"GET /" + strings.Repeat("x", http1.MaxHeaderSize) + " HTTP/1.1\r\n\r\n", "431 head too large"},
 	}
-	steps.Fuzz(f, func(s *steps.Steps) {
+	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		w := withOperators(s)
 		type caller struct {
 			*peer
@@ -125,7 +126,7 @@
 
 // An answered link is over with its answer: what is in its way is only that the caller reads it.
 func TestOperatorBeforeClients(t *testing.T) {
-	s := &steps.Steps{T: t}
+	s := &modeltest.Steps{T: t}
 	w := withOperators(s)
 	if got := w.call("GET /v1/metrics HTTP/1.1\r\n\r\n"); got != "200 "+metricsAtFirst {
 		t.Errorf("at first %q", got)
@@ -143,39 +144,39 @@
 	}
 	// A client link that is ready in the same turn, and by a lower descriptor, is looked at later.
 	var order []string
-	first := func(what string) handler { return probeHandler{func() { order = append(order, what) }} }
+	first := func(what string) eventloop.Handler { return probeHandler{func() { order = append(order, what) }} }
 	a, fdA := w.pair()
 	b, fdB := w.pair()
-	_ = w.loop.add(fdA, streamEvents, first("client"))
-	_ = w.loop.add(fdB, streamEvents, urgentHandler{first("operator")})
+	_ = w.loop.Add(fdA, eventloop.StreamEvents, first("client"))
+	_ = w.loop.Add(fdB, eventloop.StreamEvents, urgentHandler{first("operator")})
 	a.write([]byte("x"))
 	b.write([]byte("x"))
-	if err := w.loop.turn(0); err != nil || strings.Join(order, " ") != "operator client" {
+	if err := w.loop.RunOnce(0); err != nil || strings.Join(order, " ") != "operator client" {
 		t.Errorf("order of a turn: %v, %v", order, err)
 	}
 }
 
 type probeHandler struct{ act func() }
 
-func (p probeHandler) ready(uint32) { p.act() }
-func (p probeHandler) broken()      {}
+func (p probeHandler) HandleEvents(uint32) { p.act() }
+func (p probeHandler) HandlePanic()        {}
 
-type urgentHandler struct{ handler }
+type urgentHandler struct{ eventloop.Handler }
 
-func (urgentHandler) urgent() {}
+func (urgentHandler) Priority() eventloop.Priority { return eventloop.PriorityUrgent }
 
 // A worker node that was listed is taken out and brought back, whatever the number of calls; an id that never was gets a no.
 // The yes comes once the ban is kept, and a process that starts later reads it.
 func TestWorkerNodeByHand(t *testing.T) {
 	dir := t.TempDir()
-	s := &steps.Steps{T: t}
+	s := &modeltest.Steps{T: t}
 	w := withOperators(s)
 	w.loop.openCordonStore(dir)
 	put := func(what, id string) string {
 		p := w.operator()
 		p.write([]byte("PUT /v1/worker-nodes/" + id + "/" + what + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n"))
 		for !p.ended { // the file is written by another goroutine, which wakes the loop
-			if err := w.loop.turn(1000); err != nil {
+			if err := w.loop.RunOnce(1000); err != nil {
 				t.Fatal(err)
 			}
 			p.read(1 << 16)
