--- a/internal/control/planner/event.go
+++ b/internal/control/planner/event.go
@@ -87,8 +87,8 @@
 	SetTimer struct{ After time.Duration }
 	// WatchEndpoints starts to watch the endpoint list from a revision on.
 	WatchEndpoints struct{ Revision int64 }
-	// Log is a line of the operators' log. Attributes are alternating keys and values, as log/slog takes them.
-	Log struct {
+	// LogLine is a line of the operators' log. Attributes are alternating keys and values, as log/slog takes them.
+	LogLine struct {
 		Message    string
 		Attributes []any
 	}
@@ -101,5 +101,5 @@
 func (CloseSession) action()    {}
 func (SetTimer) action()        {}
 func (WatchEndpoints) action()  {}
-func (Log) action()             {}
+func (LogLine) action()         {}
 func (Stopped) action()         {}
--- a/internal/control/planner/forwarder.go
+++ b/internal/control/planner/forwarder.go
@@ -112,6 +112,6 @@
 	return count
 }
 
-func (p *Planner) logForwarder(message string, f *forwarder) {
-	p.log(message, "forwarder", f.name, "epoch", f.epoch, "open_requests", f.openCount, "attempts_in_flight", f.inFlight())
+func (p *Planner) logForwarder(text string, f *forwarder) {
+	p.log(text, "forwarder", f.name, "epoch", f.epoch, "open_requests", f.openCount, "attempts_in_flight", f.inFlight())
 }
--- a/internal/control/planner/planner.go
+++ b/internal/control/planner/planner.go
@@ -181,8 +181,8 @@
 
 func (p *Planner) emit(action Action) { p.actions = append(p.actions, action) }
 
-func (p *Planner) log(message string, attributes ...any) {
-	p.emit(Log{Message: message, Attributes: attributes})
+func (p *Planner) log(text string, attributes ...any) {
+	p.emit(LogLine{Message: text, Attributes: attributes})
 }
 
 // send sends a message to a forwarder, if it has a session.
--- a/internal/control/planner/transcript_test.go
+++ b/internal/control/planner/transcript_test.go
@@ -201,7 +201,7 @@
 		return fmt.Sprintf("close session %d", a.Session)
 	case WatchEndpoints:
 		return fmt.Sprintf("watch endpoints from revision %d", a.Revision)
-	case Log:
+	case LogLine:
 		return "log: " + logText(a)
 	case Stopped:
 		return "stopped"
@@ -210,7 +210,7 @@
 }
 
 // logText returns a line of the log without what differs from build to build.
-func logText(line Log) string {
+func logText(line LogLine) string {
 	text := line.Message
 	for i := 0; i+1 < len(line.Attributes); i += 2 {
 		if key := line.Attributes[i]; key != "location" {
--- a/internal/lab/virtual/planner.go
+++ b/internal/lab/virtual/planner.go
@@ -529,7 +529,7 @@
 	case planner.WatchEndpoints:
 		p.asks = true
 		p.lists.Wake()
-	case planner.Log:
+	case planner.LogLine:
 		p.s.model.log(p.s.n).Info(action.Message, action.Attributes...)
 	case planner.Stopped:
 		p.done = true
