--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -23,7 +23,7 @@
 	switch {
 	case list.Kind == ListUnavailable:
 		least := d.minSubscribeBackoff()
-		if d.subscription == subscribing || d.subscribeBackoff == 0 { // a watch that broke is renewed sooner
+		if d.subscription == subscribing || d.subscribeBackoff == 0 { // a broken watch prolongs nothing
 			most := max(least, d.settings.PollInterval/maxBackoffDivisor)
 			d.subscribeBackoff = min(max(least, 2*d.subscribeBackoff), most)
 		}
--- a/internal/lab/virtual/scheduler.go
+++ b/internal/lab/virtual/scheduler.go
@@ -35,7 +35,7 @@
 
 // Model says what a scheduler runs.
 type Model struct {
-	// Module makes a module that knows nothing; nil: logic.New.
+	// Module makes a module that knows nothing; nil: dispatch.New.
 	Module func(set dispatch.Settings, seed uint64, o yardstick.Oracle) requests.Policy
 	// Log is where scheduler n writes its lines; nil: nowhere.
 	Log func(n int) *slog.Logger
