--- a/internal/control/membership/assignment_test.go
+++ b/internal/control/membership/assignment_test.go
@@ -81,6 +81,24 @@
 	}
 }
 
+// The heaviest items are assigned first, so that the lighter ones balance them.
+func TestAssignBalancesHeavyItems(t *testing.T) {
+	rng := rand.New(rand.NewPCG(2, 2))
+	for run := range 100 {
+		items := make([]item, 0, 5)
+		for _, weight := range []int{1, 8, 2, 4, 1} {
+			items = append(items, item{mixBits(rng.Uint64()), weight})
+		}
+		load := [2]int{}
+		for i, owner := range assign(items, testOwners(run, 2)) {
+			load[owner] += items[i].weight
+		}
+		if load[0] != load[1] {
+			t.Errorf("run %d: loads %v", run, load)
+		}
+	}
+}
+
 // If an owner leaves or comes, what moves is what it had or gets, and little more. The bounds are as measured, over 40
 // assignments each.
 func TestAssignMovesFew(t *testing.T) {
--- a/internal/control/membership/state_test.go
+++ b/internal/control/membership/state_test.go
@@ -59,6 +59,37 @@
 	}
 }
 
+// A lost session has the cells assigned anew at once. Any other change waits until Config.AssignInterval has passed.
+func TestLossIsAssignedAtOnce(t *testing.T) {
+	p := NewPlannerMembership(Member{Name: "p1"}, Config{})
+	interval := Defaults().AssignInterval
+	const start = time.Second
+	step := func(at time.Duration, events ...Event) (partitions int) {
+		for _, action := range p.Step(at, events, nil) {
+			if _, ok := action.(SetPartition); ok {
+				partitions++
+			}
+		}
+		return partitions
+	}
+	joined := func(name, home string) MemberJoined {
+		return MemberJoined{Member{Name: name, Home: home, Incarnation: 1}}
+	}
+	planner := MemberJoined{Member{Name: "p2", Role: RolePlanner, Incarnation: 1}}
+	if step(start, fullList(10), planner, PlannerConnected{"p2"}, joined("f1", "p1"), joined("f2", "p2")) != 1 {
+		t.Error("no partition in the first step")
+	}
+	if step(start+interval/4, joined("f3", "p2")) != 0 {
+		t.Error("a new partition within the interval")
+	}
+	if step(start+interval/2, PlannerDisconnected{Name: "p2"}) != 1 {
+		t.Error("no new partition at once after a loss")
+	}
+	if step(start+interval, PlannerConnected{"p2"}) != 0 || step(start+interval/2+interval) != 1 {
+		t.Error("not one new partition once the interval has passed")
+	}
+}
+
 // Each step that comes late adds a timeout to those of a process, up to a limit, and each second without one takes it back.
 func TestLatenessExtendsTimeouts(t *testing.T) {
 	health := selfHealth{}
