--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -58,6 +58,7 @@
 	gathering  bool              // the iteration's events are being handed out
 	closing    []int             // closed once they are, so that no event of this iteration meets a reused descriptor
 	timers     due.Queue[*Timer]
+	afterStep  []func() // at the end of the present iteration
 	readBuffer []byte
 	posted     []func() // by other goroutines, for the loop to call
 	posting    sync.Mutex
@@ -119,7 +120,7 @@
 }
 
 // RunOnce runs one iteration: it waits for so many milliseconds at most, or without limit if that is negative, handles what
-// is ready and what is due, and steps.
+// is ready and what is due, steps, and does what was left for after the step.
 func (l *Loop) RunOnce(timeoutMillis int) error {
 	n, err := unix.EpollWait(l.epoll, l.events, timeoutMillis)
 	if err != nil && !errors.Is(err, unix.EINTR) {
@@ -132,9 +133,23 @@
 	if at, ok := l.nextStep(); ok && at <= l.now {
 		l.hooks.Step(l.now)
 	}
+	l.runAfterStep()
 	return nil
 }
 
+// AfterStep has act called at the end of the present iteration, after Step, or without it if none is due. It is to be called
+// during an iteration, by the loop's goroutine.
+func (l *Loop) AfterStep(act func()) { l.afterStep = append(l.afterStep, act) }
+
+func (l *Loop) runAfterStep() {
+	for len(l.afterStep) > 0 { // an act may add another
+		act := l.afterStep[0]
+		l.afterStep = l.afterStep[1:]
+		l.Protect((*waker)(l), act)
+	}
+	l.afterStep = nil
+}
+
 // dispatch hands out events, to handlers of one priority after those of another.
 func (l *Loop) dispatch(events []unix.EpollEvent) {
 	l.gathering = true
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -115,6 +115,32 @@
 	l.run("urgent", "high", "normal", "timer", "step")
 }
 
+// Acts are called after the step, and at the end of the same iteration if none is due. A panic ends only the act.
+func TestAfterStep(t *testing.T) {
+	l := newTestLoop(t)
+	l.stepsAt = l.time
+	first := l.addReady(PriorityUrgent, nil)
+	first.handle = func() {
+		l.AfterStep(func() { l.AfterStep(l.record("added")) })
+		l.AfterStep(func() { panic("of an act") })
+		l.AfterStep(l.record("act"))
+		l.Remove(first.fd)
+	}
+	l.addReady(PriorityNormal, l.record("normal"))
+	l.run("normal", "step", "act", "added")
+	if !strings.Contains(l.log.String(), "of an act") {
+		t.Errorf("log: %s", l.log.String())
+	}
+
+	second := l.addReady(PriorityUrgent, nil)
+	second.handle = func() {
+		l.AfterStep(l.record("without a step"))
+		l.Remove(second.fd)
+	}
+	l.run("normal", "without a step")
+	l.run("normal")
+}
+
 func TestStepWaitsUntilItIsDue(t *testing.T) {
 	l := newTestLoop(t)
 	l.stepsAt = l.time + 2
--- a/internal/eventloop/wake.go
+++ b/internal/eventloop/wake.go
@@ -13,7 +13,7 @@
 // Wake has the loop call its hook Woken soon. It may be called from any goroutine.
 func (l *Loop) Wake() { _, _ = unix.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0}) }
 
-// waker is the handler of the descriptor that wakes the loop, and the owner of timers that have no other.
+// waker is the handler of the descriptor that wakes the loop, and the owner of timers and acts that have no other.
 type waker Loop
 
 // HandleEvents calls what was posted, and the hook.
--- a/internal/link/cordon.go
+++ b/internal/link/cordon.go
@@ -40,7 +40,8 @@
 	l.log.Info("worker node by hand", "host", workerID, "now", state)
 	l.notifyCordoned()
 	if l.cordonStore == nil {
-		respond(200, state)
+		// Whoever has the answer is shown the change by the next call, which may be accepted in this iteration.
+		l.AfterStep(func() { respond(200, state) })
 		return
 	}
 	l.cordonStore.Save(l.Ledger.Cordoned(), func(err error) {
--- a/internal/link/operators_test.go
+++ b/internal/link/operators_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"net/netip"
 	"os"
 	"path/filepath"
@@ -9,9 +10,13 @@
 	"testing"
 	"time"
 
+	"golang.org/x/sys/unix"
+
+	"valvecove/dispatch"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/http1"
+	"valvecove/internal/requests"
 	"valvecove/internal/steps"
 	"valvecove/internal/tally"
 )
@@ -165,6 +170,55 @@
 
 func (urgentHandler) Priority() eventloop.Priority { return eventloop.PriorityUrgent }
 
+// The answer to a call that takes a worker out or brings it back leaves after the step in which the dispatcher learns of that,
+// in the same iteration: metrics asked for as soon as the answer can be read show it, also if they are asked for while events
+// are still handed out. A call that changes nothing, so that no step is due, is answered as soon.
+func TestCordonIsAnsweredAfterStep(t *testing.T) {
+	w := withOperators(&steps.Steps{T: t})
+	dispatcher := dispatch.New(*w.loop.clients.set, 1)
+	w.loop.decides = dispatcher
+	endpoints := requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
+	newPolicy := func() requests.Policy { return dispatcher }
+	w.loop.Ledger = requests.New(6, requests.NameTable{}, newPolicy, endpoints, w.loop.servers, slog.New(slog.DiscardHandler))
+	w.turn()
+	for _, call := range []struct{ action, answer, figure string }{
+		{"suspend", "200 out", "edge_proxy.hosts_down=1"},
+		{"suspend", "200 out", "edge_proxy.hosts_down=1"},
+		{"resume", "200 serving", "edge_proxy.hosts_down=0"},
+		{"resume", "200 serving", "edge_proxy.hosts_down=0"},
+	} {
+		caller := w.operator()
+		figure := ""
+		readAnswer := func() {
+			if caller.read(1 << 16); figure == "" && caller.ended {
+				figure = w.downWorkers()
+			}
+		}
+		other, fd := w.pair()
+		_ = w.loop.Add(fd, unix.EPOLLIN, probeHandler{readAnswer})
+		caller.write([]byte("PUT /v1/worker-nodes/s-0/" + call.action + " HTTP/1.1\r\n\r\n"))
+		other.write([]byte("x"))
+		if err := w.loop.RunOnce(0); err != nil {
+			t.Fatal(err)
+		}
+		readAnswer()
+		if got := statusAndBody(string(caller.got)); got != call.answer || figure != call.figure {
+			t.Errorf("%s: %q, then %q, expected %q and %q", call.action, got, figure, call.answer, call.figure)
+		}
+		w.loop.Remove(fd)
+	}
+}
+
+// downWorkers makes a call for metrics that is answered at once, as one is that comes while others are accepted.
+func (w *world) downWorkers() string {
+	p, fd := w.pair()
+	p.write([]byte("GET /v1/metrics HTTP/1.1\r\n\r\n"))
+	w.loop.operators.adopt(fd)
+	p.read(1 << 16)
+	_, figure, _ := strings.Cut(string(p.got), "edge_proxy.hosts_listed=1\n")
+	return strings.TrimSpace(figure)
+}
+
 // A worker node that was listed is taken out and brought back, whatever the number of calls; an id that never was gets a no.
 // The yes comes once the ban is kept, and a process that starts later reads it.
 func TestWorkerNodeByHand(t *testing.T) {
