--- a/cmd/covelab/common.go
+++ b/cmd/valvecove-testbed/common.go
@@ -11,15 +11,15 @@
 	"slices"
 	"strings"
 
-	"valvecove/internal/lab/experiment"
-	"valvecove/internal/lab/live"
-	"valvecove/internal/lab/report"
-	"valvecove/internal/lab/scenario"
+	"valvecove/internal/testbed/experiment"
+	"valvecove/internal/testbed/process"
+	"valvecove/internal/testbed/report"
+	"valvecove/internal/testbed/scenario"
 	"valvecove/scenarios"
 )
 
-// open finds a scenario: on standard input, in a file, or in the library.
-func open(name string, s *streams) (*scenario.Scenario, error) {
+// openScenario finds a scenario: on standard input, in a file, or in the library.
+func openScenario(name string, s *streams) (*scenario.Scenario, error) {
 	switch {
 	case name == "-":
 		text, err := io.ReadAll(io.LimitReader(s.in, 1<<20))
@@ -33,22 +33,22 @@
 	if spec, err := scenarios.Open(name); err == nil || slices.Contains(scenarios.Names(), name) {
 		return spec, err
 	}
-	return nil, fmt.Errorf("no scenario of the library is called %q; see covelab list", name)
+	return nil, fmt.Errorf("no scenario of the library is called %q; see valvecove-testbed list", name)
 }
 
-// openAll opens several, or all of the library that a driver plays where none is named.
-func openAll(names []string, driver string, s *streams) ([]*scenario.Scenario, error) {
+// openScenarios opens several, or all of the library that a driver plays where none is named.
+func openScenarios(names []string, driver string, s *streams) ([]*scenario.Scenario, error) {
 	all := len(names) == 0
 	if all {
 		names = scenarios.Names()
 	}
 	var specs []*scenario.Scenario
 	for _, name := range names {
-		spec, err := open(name, s)
+		spec, err := openScenario(name, s)
 		if err != nil {
 			return nil, err
 		}
-		if spec.Plays(driver) {
+		if spec.SupportsDriver(driver) {
 			specs = append(specs, spec)
 		} else if !all {
 			return nil, fmt.Errorf("%s is not for the %s driver", name, driver)
@@ -57,31 +57,31 @@
 	return specs, nil
 }
 
-// subject is what a play is played with, as flags say it.
-type subject struct {
+// subjectFlags is what a play is played with, as flags say it.
+type subjectFlags struct {
 	Policy string   `name:"policy" help:"Policy: logic, or a yardstick; +aperture behind it narrows what its schedulers look at, with keys as in logic+aperture:least=20:cover=3. Virtual only." default:"logic"`
 	Set    []string `name:"set" help:"Change a key of the scenario, as in load.of=0.7; may be given again." sep:"none" placeholder:"KEY=VALUE"`
 	Binary string   `name:"binary" help:"The scheduler's program; live only. Default: valvecove beside this one, or else built." type:"path"`
 }
 
-// seeds are the plays of an experiment.
-type seeds struct {
-	Seeds int    `name:"seeds" help:"Plays of each kind, on seeds that follow each other." default:"10"`
-	First uint64 `name:"first" help:"The first seed." default:"1"`
-	At    int    `name:"at" help:"Plays at once; 0: as many as there are processors, live always one." default:"0"`
+// seedFlags are the plays of an experiment.
+type seedFlags struct {
+	Seeds       int    `name:"seeds" help:"Plays of each kind, on seeds that follow each other." default:"10"`
+	First       uint64 `name:"first" help:"The first seed." default:"1"`
+	Parallelism int    `name:"at" help:"Plays at once; 0: as many as there are processors, live always one." default:"0"`
 }
 
-func (o *seeds) list() []uint64 { return experiment.Seeds(o.First, max(1, o.Seeds)) }
+func (o *seedFlags) list() []uint64 { return experiment.Seeds(o.First, max(1, o.Seeds)) }
 
-func (o *seeds) at(driver string) int {
-	if driver == scenario.Live {
+func (o *seedFlags) parallelism(driver string) int {
+	if driver == scenario.DriverProcess {
 		return 1
 	}
-	return o.At
+	return o.Parallelism
 }
 
-// binary finds the scheduler's program, and builds it where there is none. remove takes away what was built.
-func binary(ctx context.Context, named string, s *streams) (path string, remove func(), err error) {
+// schedulerBinary finds the scheduler's program, and builds it where there is none. remove takes away what was built.
+func schedulerBinary(ctx context.Context, named string, s *streams) (path string, remove func(), err error) {
 	if named != "" {
 		return named, func() {}, nil
 	}
@@ -90,7 +90,7 @@
 			return beside, func() {}, nil
 		}
 	}
-	dir, err := os.MkdirTemp("", "covelab-")
+	dir, err := os.MkdirTemp("", "valvecove-testbed-")
 	if err != nil {
 		return "", nil, err
 	}
@@ -113,20 +113,20 @@
 
 // prepare makes a job live where that is what it is for: its program, and where its logs go.
 func prepare(ctx context.Context, job *experiment.Job, logs string, s *streams) (done func(), err error) {
-	if job.Driver != scenario.Live {
+	if job.Driver != scenario.DriverProcess {
 		return func() {}, nil
 	}
-	path, remove, err := binary(ctx, job.Subject.Binary, s)
+	path, remove, err := schedulerBinary(ctx, job.Subject.Binary, s)
 	if err != nil {
 		return nil, err
 	}
 	job.Subject.Binary = path
-	job.Live = live.Options{Dir: logs}
+	job.Process = process.Options{Dir: logs}
 	return remove, nil
 }
 
-// save writes a file of a report's folder.
-func save(dir, name string, write func(w io.Writer) error) error {
+// saveFile writes a file of a report's folder.
+func saveFile(dir, name string, write func(w io.Writer) error) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -146,11 +146,11 @@
 	if to == "-" {
 		return report.WriteJSON(s.out, v)
 	}
-	return save(filepath.Dir(to), filepath.Base(to), func(w io.Writer) error { return report.WriteJSON(w, v) })
+	return saveFile(filepath.Dir(to), filepath.Base(to), func(w io.Writer) error { return report.WriteJSON(w, v) })
 }
 
-// build says which build this is.
-func build() string {
+// buildName says which build this is.
+func buildName() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown build"
@@ -167,8 +167,8 @@
 	return text + dirty + ", " + info.GoVersion
 }
 
-// counter shows how far an experiment is.
-func counter(w io.Writer, what string) func(done, of int) {
+// progressCounter shows how far an experiment is.
+func progressCounter(w io.Writer, what string) func(done, of int) {
 	last := -1
 	return func(done, of int) {
 		if tenth := 10 * done / max(1, of); tenth != last {
--- a/cmd/covelab/experiments.go
+++ b/cmd/valvecove-testbed/experiments.go
@@ -10,32 +10,32 @@
 	"strings"
 	"time"
 
-	"valvecove/internal/lab/experiment"
-	"valvecove/internal/lab/mutant"
-	"valvecove/internal/lab/report"
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/score"
+	"valvecove/internal/testbed/experiment"
+	"valvecove/internal/testbed/mutation"
+	"valvecove/internal/testbed/report"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/score"
 	"valvecove/scenarios"
 )
 
-type compare struct {
+type compareCommand struct {
 	Scenarios []string `arg:"" name:"scenarios" optional:"" help:"Names or files; none: the library."`
 	Driver    string   `name:"driver" help:"virtual or live." enum:"virtual,live" default:"virtual"`
 	A         string   `name:"a" help:"One side: a policy, or (live) a scheduler's program." default:"logic"`
 	B         string   `name:"b" help:"The other side; the same kinds." default:""`
 	ASet      []string `name:"a-set" help:"Change a key of the scenario for A." sep:"none" placeholder:"KEY=VALUE"`
 	BSet      []string `name:"b-set" help:"Change a key of the scenario for B." sep:"none" placeholder:"KEY=VALUE"`
-	ALab      string   `name:"a-lab" help:"A is played by another build's covelab." type:"existingfile"`
-	BLab      string   `name:"b-lab" help:"B is played by another build's covelab." type:"existingfile"`
+	ATestbed  string   `name:"a-lab" help:"A is played by another build's valvecove-testbed." type:"existingfile"`
+	BTestbed  string   `name:"b-lab" help:"B is played by another build's valvecove-testbed." type:"existingfile"`
 	JSON      string   `name:"json" help:"Write all as JSON to a file, or to standard output for -." placeholder:"FILE"`
 	Report    string   `name:"report" help:"Write a page of HTML for each scenario into this folder." type:"path" placeholder:"DIR"`
-	seeds
+	seedFlags
 }
 
 // side makes a subject of flags.
-func (c *compare) side(which, what string, set []string, lab string) experiment.Subject {
-	s := experiment.Subject{Set: set, Lab: lab}
-	if c.Driver == scenario.Live {
+func (c *compareCommand) side(which, what string, set []string, lab string) experiment.Subject {
+	s := experiment.Subject{Set: set, Testbed: lab}
+	if c.Driver == scenario.DriverProcess {
 		s.Binary = what
 	} else {
 		s.Policy = what
@@ -51,26 +51,26 @@
 }
 
 // Run plays it.
-func (c *compare) Run(ctx context.Context, s *streams) error {
-	specs, err := openAll(c.Scenarios, c.Driver, s)
+func (c *compareCommand) Run(ctx context.Context, s *streams) error {
+	specs, err := openScenarios(c.Scenarios, c.Driver, s)
 	if err != nil {
 		return err
 	}
 	if c.B == "" {
 		c.B = c.A
 	}
-	if c.Driver == scenario.Live && c.A == experiment.Logic {
+	if c.Driver == scenario.DriverProcess && c.A == experiment.PolicyDispatch {
 		c.A = ""
-		if c.B == experiment.Logic {
+		if c.B == experiment.PolicyDispatch {
 			c.B = ""
 		}
 	}
-	a, b := c.side("A", c.A, c.ASet, c.ALab), c.side("B", c.B, c.BSet, c.BLab)
-	if a.Name == b.Name && a.Lab == b.Lab {
+	a, b := c.side("A", c.A, c.ASet, c.ATestbed), c.side("B", c.B, c.BSet, c.BTestbed)
+	if a.Name == b.Name && a.Testbed == b.Testbed {
 		return fmt.Errorf("both sides are %q: change one with --b, --b-set or --b-lab", a.Name)
 	}
 	job := experiment.Job{Driver: c.Driver}
-	if c.Driver == scenario.Live && (a.Binary == "" || b.Binary == "") {
+	if c.Driver == scenario.DriverProcess && (a.Binary == "" || b.Binary == "") {
 		done, err := prepare(ctx, &job, "", s)
 		if err != nil {
 			return err
@@ -82,11 +82,11 @@
 			}
 		}
 	}
-	contest := experiment.Contest{
+	contest := experiment.Comparison{
 		Specs: specs, Seeds: c.list(), Subjects: []experiment.Subject{a, b}, Driver: c.Driver,
-		At: c.at(c.Driver), Job: job,
+		Parallelism: c.parallelism(c.Driver), Job: job,
 	}
-	results, err := contest.Run(ctx, counter(s.err, "compare"))
+	results, err := contest.Run(ctx, progressCounter(s.err, "compare"))
 	if err != nil {
 		return err
 	}
@@ -97,13 +97,13 @@
 	}
 	broken := 0
 	for _, r := range results {
-		r.Build = build()
+		r.Build = buildName()
 		for _, side := range r.Sides {
 			broken += side.Broken
 		}
 		if c.Report != "" {
 			name := strings.ReplaceAll(r.Title, " ", "-") + ".html"
-			if err := save(c.Report, name, func(w io.Writer) error { return report.WriteCompare(w, r) }); err != nil {
+			if err := saveFile(c.Report, name, func(w io.Writer) error { return report.WriteCompare(w, r) }); err != nil {
 				return err
 			}
 		}
@@ -114,26 +114,26 @@
 		}
 	}
 	if broken > 0 {
-		return exit(exitOther)
+		return exitError(exitUsage)
 	}
 	return nil
 }
 
-type sweep struct {
+type sweepCommand struct {
 	Scenario string `arg:"" name:"scenario" help:"Name, file or -."`
 	Vary     string `name:"vary" help:"The key and its values: load.of=0.3,0.5,0.7 or load.of=0.2..1.2/11." required:""`
 	Curves   string `name:"curves" help:"A second key; a curve for each of its values."`
-	Figure   string `name:"figure" help:"The figure that is drawn." default:"mix"`
+	Metric   string `name:"figure" help:"The figure that is drawn." default:"mix"`
 	Driver   string `name:"driver" help:"virtual or live." enum:"virtual,live" default:"virtual"`
 	JSON     string `name:"json" help:"Write all as JSON to a file, or to standard output for -." placeholder:"FILE"`
 	Report   string `name:"report" help:"Write a page of HTML into this folder." type:"path" placeholder:"DIR"`
-	subject
-	seeds
+	subjectFlags
+	seedFlags
 }
 
 // Run plays it.
-func (c *sweep) Run(ctx context.Context, s *streams) error {
-	spec, err := open(c.Scenario, s)
+func (c *sweepCommand) Run(ctx context.Context, s *streams) error {
+	spec, err := openScenario(c.Scenario, s)
 	if err != nil {
 		return err
 	}
@@ -147,8 +147,8 @@
 			return err
 		}
 	}
-	if _, ok := score.HeadlineOf(c.Figure); !ok {
-		return fmt.Errorf("--figure: %q is none of %s", c.Figure, figures())
+	if _, ok := score.HeadlineOf(c.Metric); !ok {
+		return fmt.Errorf("--figure: %q is none of %s", c.Metric, metricNames())
 	}
 	job := experiment.Job{Driver: c.Driver, Subject: experiment.Subject{Binary: c.Binary}}
 	done, err := prepare(ctx, &job, "", s)
@@ -157,11 +157,11 @@
 	}
 	defer done()
 	work := experiment.Sweep{
-		Spec: spec, Over: over, Curves: curves, Seeds: c.list(), Driver: c.Driver, Figure: c.Figure,
-		Subject: experiment.Subject{Name: c.Policy, Policy: c.Policy, Set: c.Set, Binary: job.Subject.Binary},
-		At:      c.at(c.Driver), Job: job,
+		Spec: spec, Vary: over, Curves: curves, Seeds: c.list(), Driver: c.Driver, Figure: c.Metric,
+		Subject:     experiment.Subject{Name: c.Policy, Policy: c.Policy, Set: c.Set, Binary: job.Subject.Binary},
+		Parallelism: c.parallelism(c.Driver), Job: job,
 	}
-	r, err := work.Run(ctx, counter(s.err, "sweep"))
+	r, err := work.Run(ctx, progressCounter(s.err, "sweep"))
 	if err != nil {
 		return err
 	}
@@ -171,7 +171,7 @@
 		}
 	}
 	if c.Report != "" {
-		if err := save(c.Report, "sweep.html", func(w io.Writer) error { return report.WriteSweep(w, r) }); err != nil {
+		if err := saveFile(c.Report, "sweep.html", func(w io.Writer) error { return report.WriteSweep(w, r) }); err != nil {
 			return err
 		}
 	}
@@ -181,7 +181,7 @@
 	return report.SweepPage(s.out, r)
 }
 
-func figures() string {
+func metricNames() string {
 	var names []string
 	for _, h := range score.Headlines {
 		names = append(names, h.Name)
@@ -189,43 +189,43 @@
 	return strings.Join(names, ", ")
 }
 
-type hunt struct {
-	For    time.Duration `name:"for" help:"Hunt for so long." default:"1m"`
-	Most   int           `name:"most" help:"At most so many plays; 0: as many as there is time for." default:"0"`
-	Seed   uint64        `name:"seed" help:"Seed of the draws." default:"1"`
-	Keep   int           `name:"keep" help:"Keep so many of the worst." default:"8"`
-	Out    string        `name:"out" help:"Keep them in this folder, as scenario files to be played by play --from." type:"path" placeholder:"DIR"`
-	At     int           `name:"at" help:"Plays at once; 0: as many as there are processors." default:"0"`
-	Policy string        `name:"policy" help:"Policy that is hunted." default:"logic"`
-	Top    string        `name:"top" help:"Yardstick that it is held against." default:"all-seeing"`
-	Starve bool          `name:"starve" help:"Hunt for tries that wait or are refused while worker nodes are idle; no yardstick is played."`
+type huntCommand struct {
+	For         time.Duration `name:"for" help:"Hunt for so long." default:"1m"`
+	MaxRuns     int           `name:"most" help:"At most so many plays; 0: as many as there is time for." default:"0"`
+	Seed        uint64        `name:"seed" help:"Seed of the draws." default:"1"`
+	Keep        int           `name:"keep" help:"Keep so many of the worst." default:"8"`
+	Out         string        `name:"out" help:"Keep them in this folder, as scenario files to be played by play --from." type:"path" placeholder:"DIR"`
+	Parallelism int           `name:"at" help:"Plays at once; 0: as many as there are processors." default:"0"`
+	Policy      string        `name:"policy" help:"Policy that is hunted." default:"logic"`
+	Baseline    string        `name:"top" help:"Yardstick that it is held against." default:"all-seeing"`
+	Starvation  bool          `name:"starve" help:"Hunt for tries that wait or are refused while worker nodes are idle; no yardstick is played."`
 }
 
 // Run hunts.
-func (c *hunt) Run(ctx context.Context, s *streams) error {
+func (c *huntCommand) Run(ctx context.Context, s *streams) error {
 	ctx, cancel := context.WithTimeout(ctx, c.For)
 	defer cancel()
-	h := experiment.Hunt{
-		Seed: c.Seed, Subject: experiment.Subject{Name: c.Policy, Policy: c.Policy}, Top: c.Top,
-		Keep: c.Keep, At: c.At, Most: c.Most, Starve: c.Starve,
+	h := experiment.Search{
+		Seed: c.Seed, Subject: experiment.Subject{Name: c.Policy, Policy: c.Policy}, Baseline: c.Baseline,
+		Keep: c.Keep, Parallelism: c.Parallelism, MaxRuns: c.MaxRuns, Starvation: c.Starvation,
 	}
 	from := time.Now()
-	got, err := h.Run(ctx, func(f *experiment.Find, plays int) {
-		fmt.Fprintf(s.err, "%6.0fs  play %d, draw %d: %s; %d of %d faults left\n", time.Since(from).Seconds(), plays, f.Draw,
-			f.What(), f.Faults, f.Drawn)
+	got, err := h.Run(ctx, func(f *experiment.Finding, plays int) {
+		fmt.Fprintf(s.err, "%6.0fs  play %d, draw %d: %s; %d of %d faults left\n", time.Since(from).Seconds(), plays, f.DrawNumber,
+			f.Description(), f.Faults, f.Drawn)
 	})
 	if err != nil && ctx.Err() == nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "%d plays, mean regret %.3f, %d with a rule broken or stopped; kept:\n", got.Plays, got.Mean, got.Broken)
+	fmt.Fprintf(s.out, "%d plays, mean regret %.3f, %d with a rule broken or stopped; kept:\n", got.Runs, got.Mean, got.Violations)
 	for i, f := range got.Worst {
-		fmt.Fprintf(s.out, "%2d  %s (draw %d, seed %d)\n", i+1, f.What(), f.Draw, f.Spec.Seed)
+		fmt.Fprintf(s.out, "%2d  %s (draw %d, seed %d)\n", i+1, f.Description(), f.DrawNumber, f.Spec.Seed)
 		for _, x := range f.Spec.Faults {
-			fmt.Fprintf(s.out, "      %s at %v for %v\n", x.What, x.At.D(), x.For.D())
+			fmt.Fprintf(s.out, "      %s at %v for %v\n", x.Kind, x.At.Std(), x.Duration.Std())
 		}
 		if c.Out != "" {
 			text := f.File()
-			err := save(c.Out, fmt.Sprintf("find-%d-draw-%d.toml", c.Seed, f.Draw), func(w io.Writer) error {
+			err := saveFile(c.Out, fmt.Sprintf("find-%d-draw-%d.toml", c.Seed, f.DrawNumber), func(w io.Writer) error {
 				_, err := w.Write(text)
 				return err
 			})
@@ -234,49 +234,49 @@
 			}
 		}
 	}
-	if got.Broken > 0 {
-		return exit(exitOther)
+	if got.Violations > 0 {
+		return exitError(exitUsage)
 	}
 	return nil
 }
 
-// agreeing are the scenarios that both drivers are held against each other by, unless others are named.
-var agreeing = []string{
+// agreementScenarios are the scenarios that both drivers are held against each other by, unless others are named.
+var agreementScenarios = []string{
 	"calm", "busy", "crash_cold", "hang", "society_rush", "drain", "planned_restart", "stale_list",
 	"errors", "eid_swell",
 }
 
-type agree struct {
-	Scenarios []string `arg:"" name:"scenarios" optional:"" help:"Names or files; none: ten of the library."`
-	Seeds     int      `name:"seeds" help:"Live plays of each." default:"3"`
-	First     uint64   `name:"first" help:"The first seed." default:"1"`
-	More      int      `name:"more" help:"Further plays in virtual time, for its spread." default:"27"`
-	At        int      `name:"at" help:"Live plays at once; those that were late are void." default:"1"`
-	Binary    string   `name:"binary" help:"The scheduler's program." type:"path"`
-	JSON      string   `name:"json" help:"Write all as JSON to a file, or to standard output for -." placeholder:"FILE"`
+type agreeCommand struct {
+	Scenarios        []string `arg:"" name:"scenarios" optional:"" help:"Names or files; none: ten of the library."`
+	Seeds            int      `name:"seeds" help:"Live plays of each." default:"3"`
+	First            uint64   `name:"first" help:"The first seed." default:"1"`
+	ExtraSimulations int      `name:"more" help:"Further plays in virtual time, for its spread." default:"27"`
+	Parallelism      int      `name:"at" help:"Live plays at once; those that were late are void." default:"1"`
+	Binary           string   `name:"binary" help:"The scheduler's program." type:"path"`
+	JSON             string   `name:"json" help:"Write all as JSON to a file, or to standard output for -." placeholder:"FILE"`
 }
 
 // Run plays it.
-func (c *agree) Run(ctx context.Context, s *streams) error {
+func (c *agreeCommand) Run(ctx context.Context, s *streams) error {
 	names := c.Scenarios
 	if len(names) == 0 {
-		names = agreeing
+		names = agreementScenarios
 	}
-	specs, err := openAll(names, scenario.Live, s)
+	specs, err := openScenarios(names, scenario.DriverProcess, s)
 	if err != nil {
 		return err
 	}
-	job := experiment.Job{Driver: scenario.Live, Subject: experiment.Subject{Binary: c.Binary}}
+	job := experiment.Job{Driver: scenario.DriverProcess, Subject: experiment.Subject{Binary: c.Binary}}
 	done, err := prepare(ctx, &job, "", s)
 	if err != nil {
 		return err
 	}
 	defer done()
 	work := experiment.Agreement{
-		Specs: specs, Seeds: experiment.Seeds(c.First, max(1, c.Seeds)), MoreVirtual: c.More, LiveAt: c.At,
+		Specs: specs, Seeds: experiment.Seeds(c.First, max(1, c.Seeds)), ExtraSimulations: c.ExtraSimulations, ProcessParallelism: c.Parallelism,
 		Subject: experiment.Subject{Name: "valvecove", Binary: job.Subject.Binary}, Job: job,
 	}
-	table, err := work.Run(ctx, counter(s.err, "agree"))
+	table, err := work.Run(ctx, progressCounter(s.err, "agree"))
 	if err != nil {
 		return err
 	}
@@ -285,46 +285,46 @@
 			return err
 		}
 	}
-	fmt.Fprint(s.out, experiment.AgreeMarkdown(table))
+	fmt.Fprint(s.out, experiment.AgreementMarkdown(table))
 	for _, line := range table {
-		if !line.Within() || line.Broken > 0 {
-			return exit(exitOther)
+		if !line.Within() || line.Violations > 0 {
+			return exitError(exitUsage)
 		}
 	}
 	return nil
 }
 
-type yardsticks struct {
-	Scenarios []string `arg:"" name:"scenarios" optional:"" help:"Names or files; none: the library."`
-	Fleets    []int    `name:"fleets" help:"Instead: the calm and the busy play at these numbers of worker nodes." placeholder:"N,N"`
-	Jobs      float64  `name:"jobs" help:"With --fleets: jobs of each play." default:"20000"`
-	Policies  []string `name:"policies" help:"Policies; none: all." placeholder:"NAME,NAME"`
-	Figure    string   `name:"figure" help:"The figure that is shown." default:"mix"`
-	JSON      string   `name:"json" help:"Write all as JSON to a file, or to standard output for -." placeholder:"FILE"`
-	seeds
+type yardsticksCommand struct {
+	Scenarios  []string `arg:"" name:"scenarios" optional:"" help:"Names or files; none: the library."`
+	FleetSizes []int    `name:"fleets" help:"Instead: the calm and the busy play at these numbers of worker nodes." placeholder:"N,N"`
+	Jobs       float64  `name:"jobs" help:"With --fleets: jobs of each play." default:"20000"`
+	Policies   []string `name:"policies" help:"Policies; none: all." placeholder:"NAME,NAME"`
+	Metric     string   `name:"figure" help:"The figure that is shown." default:"mix"`
+	JSON       string   `name:"json" help:"Write all as JSON to a file, or to standard output for -." placeholder:"FILE"`
+	seedFlags
 }
 
 // Run plays it.
-func (c *yardsticks) Run(ctx context.Context, s *streams) error {
-	figure, ok := score.HeadlineOf(c.Figure)
+func (c *yardsticksCommand) Run(ctx context.Context, s *streams) error {
+	figure, ok := score.HeadlineOf(c.Metric)
 	if !ok {
-		return fmt.Errorf("--figure: %q is none of %s", c.Figure, figures())
+		return fmt.Errorf("--figure: %q is none of %s", c.Metric, metricNames())
 	}
 	var specs []*scenario.Scenario
 	var err error
-	if len(c.Fleets) > 0 {
-		specs, err = fleets(c.Scenarios, c.Fleets, c.Jobs, s)
+	if len(c.FleetSizes) > 0 {
+		specs, err = scaledFleets(c.Scenarios, c.FleetSizes, c.Jobs, s)
 	} else {
-		specs, err = openAll(c.Scenarios, scenario.Virtual, s)
+		specs, err = openScenarios(c.Scenarios, scenario.DriverSimulation, s)
 	}
 	if err != nil {
 		return err
 	}
 	if len(c.Policies) == 0 {
-		c.Policies = experiment.Policies()
+		c.Policies = experiment.PolicyNames()
 	}
-	work := experiment.Yardsticks{Specs: specs, Policies: c.Policies, Seeds: c.list(), Figure: figure, At: c.At}
-	table, err := work.Run(ctx, counter(s.err, "yardsticks"))
+	work := experiment.BaselineTable{Specs: specs, Policies: c.Policies, Seeds: c.list(), Metric: figure, Parallelism: c.Parallelism}
+	table, err := work.Run(ctx, progressCounter(s.err, "yardsticks"))
 	if err != nil {
 		return err
 	}
@@ -337,19 +337,19 @@
 	return nil
 }
 
-// fleets are scenarios at several sizes.
-func fleets(names []string, sizes []int, jobs float64, s *streams) ([]*scenario.Scenario, error) {
+// scaledFleets are scenarios at several sizes.
+func scaledFleets(names []string, sizes []int, jobs float64, s *streams) ([]*scenario.Scenario, error) {
 	if len(names) == 0 {
 		names = []string{"calm", "busy"}
 	}
-	base, err := openAll(names, scenario.Virtual, s)
+	base, err := openScenarios(names, scenario.DriverSimulation, s)
 	if err != nil {
 		return nil, err
 	}
 	var specs []*scenario.Scenario
 	for _, spec := range base {
 		for _, nodes := range sizes {
-			fleet, err := experiment.Fleet(spec, nodes, jobs)
+			fleet, err := experiment.ScaleFleet(spec, nodes, jobs)
 			if err != nil {
 				return nil, err
 			}
@@ -359,7 +359,7 @@
 	return specs, nil
 }
 
-type speed struct {
+type speedCommand struct {
 	Scenario string  `arg:"" name:"scenario" optional:"" help:"Name or file." default:"calm"`
 	Fleets   []int   `name:"fleets" help:"Numbers of worker nodes." default:"10,100,1000,10000"`
 	Jobs     float64 `name:"jobs" help:"Jobs of each play." default:"100000"`
@@ -368,29 +368,29 @@
 }
 
 // Run measures it, on one core.
-func (c *speed) Run(ctx context.Context, s *streams) error {
-	specs, err := fleets([]string{c.Scenario}, c.Fleets, c.Jobs, s)
+func (c *speedCommand) Run(ctx context.Context, s *streams) error {
+	specs, err := scaledFleets([]string{c.Scenario}, c.Fleets, c.Jobs, s)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(1)
 	fmt.Fprintf(s.out, "| nodes | requests | requests/s, judged: least, median, most | unjudged |\n| ---: | ---: | --- | --- |\n")
 	for _, spec := range specs {
-		row := fmt.Sprintf("| %d |", spec.Fleet.Nodes)
+		row := fmt.Sprintf("| %d |", spec.Fleet.Workers)
 		for i, unjudged := range []bool{false, true} {
 			var all []float64
 			for range max(1, c.Runs) {
 				from := time.Now()
 				p, err := experiment.Run(ctx, experiment.Job{
-					Spec: spec, Seed: 1, Driver: scenario.Virtual, Unjudged: unjudged,
+					Spec: spec, Seed: 1, Driver: scenario.DriverSimulation, Unchecked: unjudged,
 					Subject: experiment.Subject{Policy: c.Policy},
 				})
 				if err != nil {
 					return err
 				}
-				all = append(all, experiment.Speed{Requests: p.Virtual.Requests, Took: time.Since(from)}.PerSecond())
+				all = append(all, experiment.Speed{Requests: p.Simulation.Requests, Elapsed: time.Since(from)}.PerSecond())
 				if i == 0 && len(all) == 1 {
-					row += fmt.Sprintf(" %d |", p.Virtual.Requests)
+					row += fmt.Sprintf(" %d |", p.Simulation.Requests)
 				}
 			}
 			low, middle, high := experiment.Spread(all)
@@ -401,31 +401,31 @@
 	return nil
 }
 
-type mutants struct {
+type mutantsCommand struct {
 	Names []string `arg:"" name:"names" optional:"" help:"Of seeded faults; none: all."`
 	Seeds int      `name:"seeds" help:"Plays of each." default:"1"`
 }
 
 // Run plays them, and says whether each was found by its rule.
-func (c *mutants) Run(ctx context.Context, s *streams) error {
+func (c *mutantsCommand) Run(ctx context.Context, s *streams) error {
 	missed := 0
-	for _, m := range mutant.All() {
+	for _, m := range mutation.All() {
 		if len(c.Names) > 0 && !slices.Contains(c.Names, m.Name) {
 			continue
 		}
 		found, others := 0, map[string]int{}
 		for seed := range uint64(max(1, c.Seeds)) {
 			p, err := experiment.Run(ctx, experiment.Job{
-				Spec: m.Scenario(), Seed: seed + 1, Driver: scenario.Virtual,
+				Spec: m.Scenario(), Seed: seed + 1, Driver: scenario.DriverSimulation,
 				Subject: experiment.Subject{Name: m.Name, Mutant: m.Name},
 			})
 			if err != nil {
 				return err
 			}
-			for _, t := range p.Judged.Rules {
-				if t.Broken > 0 && t.Rule == m.Rule {
+			for _, t := range p.Verdict.Rules {
+				if t.Violated > 0 && t.Rule == m.Rule {
 					found++
-				} else if t.Broken > 0 {
+				} else if t.Violated > 0 {
 					others[t.Rule]++
 				}
 			}
@@ -442,34 +442,34 @@
 		fmt.Fprintln(s.out)
 	}
 	if missed > 0 {
-		return exit(exitOther)
+		return exitError(exitUsage)
 	}
 	return nil
 }
 
-type list struct{}
+type listCommand struct{}
 
 // Run lists the library.
-func (list) Run(s *streams) error {
+func (listCommand) Run(s *streams) error {
 	for _, name := range scenarios.Names() {
 		spec, err := scenarios.Open(name)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(s.out, "%-26s %s\n", name, spec.About)
+		fmt.Fprintf(s.out, "%-26s %s\n", name, spec.Description)
 	}
 	return nil
 }
 
-type check struct {
+type checkCommand struct {
 	Files []string `arg:"" name:"files" help:"Scenario files."`
 }
 
 // Run checks files, all of them.
-func (c *check) Run(s *streams) error {
+func (c *checkCommand) Run(s *streams) error {
 	faults := 0
 	for _, name := range c.Files {
-		if _, err := open(name, s); err != nil {
+		if _, err := openScenario(name, s); err != nil {
 			if text := err.Error(); strings.HasPrefix(text, name+":") {
 				fmt.Fprintln(s.err, text)
 			} else {
@@ -481,15 +481,15 @@
 		fmt.Fprintf(s.out, "%s: sound\n", name)
 	}
 	if faults > 0 {
-		return exit(exitFault)
+		return exitError(exitViolation)
 	}
 	return nil
 }
 
-type version struct{}
+type versionCommand struct{}
 
 // Run says which build this is.
-func (version) Run(s *streams) error {
-	_, err := fmt.Fprintln(s.out, "covelab", build())
+func (versionCommand) Run(s *streams) error {
+	_, err := fmt.Fprintln(s.out, "valvecove-testbed", buildName())
 	return err
 }
--- a/cmd/covelab/load.go
+++ b/cmd/valvecove-testbed/load.go
@@ -5,10 +5,10 @@
 	"fmt"
 	"time"
 
-	"valvecove/internal/lab/live"
+	"valvecove/internal/testbed/process"
 )
 
-type load struct {
+type loadCommand struct {
 	Target string        `name:"target" help:"Address and port on 127.0.0.0/8; empty: a responder of the lab's own, which answers all at once." default:""`
 	Rate   float64       `name:"rate" help:"Requests a second." default:"30000"`
 	Conns  int           `name:"conns" help:"Connections." default:"256"`
@@ -18,19 +18,19 @@
 }
 
 // Run puts the load on, and shows latency from when requests were due.
-func (c *load) Run(ctx context.Context, s *streams) error {
+func (c *loadCommand) Run(ctx context.Context, s *streams) error {
 	target := c.Target
 	if target == "" {
-		r, err := live.StartResponder("127.0.0.1:0", 2, nil)
+		r, err := process.StartResponder("127.0.0.1:0", 2, nil)
 		if err != nil {
 			return err
 		}
 		defer func() { _ = r.Close() }()
 		target = r.Addr
 	}
-	got, err := live.Load(ctx, live.LoadOptions{
+	got, err := process.Load(ctx, process.LoadOptions{
 		Target: target, Rate: c.Rate, Conns: c.Conns, Cores: c.Cores, Length: c.For,
-		Warm: time.Second, Seed: c.Seed,
+		WarmUp: time.Second, Seed: c.Seed,
 	})
 	if err != nil {
 		return err
@@ -43,11 +43,11 @@
 	ms := func(us int64) float64 { return float64(us) / 1000 }
 	fmt.Fprintf(s.out, "latency from due, ms: p50 %.2f, p99 %.2f, p99.9 %.2f, max %.2f\n", ms(got.Latency.ValueAtQuantile(50)),
 		ms(got.Latency.ValueAtQuantile(99)), ms(got.Latency.ValueAtQuantile(99.9)), ms(got.Latency.Max()))
-	fmt.Fprintf(s.out, "lateness of the load, ms: p50 %.2f, p99 %.2f, p99.9 %.2f, max %.2f\n", ms(got.Late.ValueAtQuantile(50)),
-		ms(got.Late.ValueAtQuantile(99)), ms(got.Late.ValueAtQuantile(99.9)), ms(got.Late.Max()))
-	if why := got.Void(); why != "" {
+	fmt.Fprintf(s.out, "lateness of the load, ms: p50 %.2f, p99 %.2f, p99.9 %.2f, max %.2f\n", ms(got.Lateness.ValueAtQuantile(50)),
+		ms(got.Lateness.ValueAtQuantile(99)), ms(got.Lateness.ValueAtQuantile(99.9)), ms(got.Lateness.Max()))
+	if why := got.InvalidReason(); why != "" {
 		fmt.Fprintln(s.err, "void:", why)
-		return exit(exitVoid)
+		return exitError(exitInvalid)
 	}
 	return nil
 }
--- a/cmd/covelab/main_test.go
+++ b/cmd/valvecove-testbed/main_test.go
@@ -40,7 +40,7 @@
 		{"", "play", 2, "", "--from"},
 		{"", "plai calm", 2, "", "plai"},
 		{"", "--help", 0, "Exit codes", ""},
-		{"", "version", 0, "covelab", ""},
+		{"", "version", 0, "valvecove-testbed", ""},
 		{tiny, "play -", 0, "No rule broken", ""},
 		{tiny, "play - --set load.of=many", 2, "", "load.of"},
 		{tiny, "play - --policy none", 2, "", "none"},
@@ -60,7 +60,7 @@
 	} {
 		code, out, errs := call(c.in, strings.Fields(c.args)...)
 		if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(errs, c.errs) {
-			t.Errorf("covelab %s: exit %d, expected %d\nout: %s\nerr: %s", c.args, code, c.code, out, errs)
+			t.Errorf("valvecove-testbed %s: exit %d, expected %d\nout: %s\nerr: %s", c.args, code, c.code, out, errs)
 		}
 	}
 }
--- a/cmd/valvecove/replace_test.go
+++ b/cmd/valvecove/replace_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/standin/plant"
+	"valvecove/internal/testbed/fakeplatform"
 )
 
 // TestMain lets the test's own program stand in for the scheduler's, as a process of its own.
@@ -27,7 +27,7 @@
 const thisTest = ""
 
 // launch starts a scheduler from a file, or from the test's own program.
-func launch(t *testing.T, p *plant.Plant, dir, file string) *plant.Process {
+func launch(t *testing.T, p *fakeplatform.Platform, dir, file string) *fakeplatform.Process {
 	t.Helper()
 	command, env := []string{file, "serve"}, []string(nil)
 	if file == thisTest {
@@ -39,7 +39,7 @@
 	}
 	t.Cleanup(func() {
 		if s.Kill(); t.Failed() {
-			t.Logf("%s:\n%s", s.Manage, s.Log.String())
+			t.Logf("%s:\n%s", s.ManagementAddress, s.Log.String())
 		}
 	})
 	until(t, "ready", s.Ready)
@@ -86,19 +86,19 @@
 // replacedUnderLoad starts a scheduler from the first file, and replaces it by those of the others, one after another.
 func replacedUnderLoad(t *testing.T, dir string, files []string) {
 	t.Helper()
-	p, err := plant.New(3)
+	p, err := fakeplatform.New(3)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Close)
-	for _, n := range p.Nodes[1:] {
+	for _, n := range p.Workers[1:] {
 		n.Free() // the jobs of the first node last until they are let go
 	}
 	var sent, answered atomic.Int64
 	var all sync.WaitGroup
 	stop := make(chan struct{})
 	now := launch(t, p, dir, files[0])
-	served := []*plant.Process{now}
+	served := []*fakeplatform.Process{now}
 	for c := range 12 {
 		client, err := p.Dial()
 		if err != nil {
@@ -114,8 +114,8 @@
 				}
 				id := fmt.Sprintf("%04x%04x", c, k)
 				sent.Add(1)
-				status, got, err := client.Ask("pay", id, strings.Repeat("x", 100*c), 50*(k%5))
-				if err != nil || status != 200 || !strings.HasPrefix(got, plant.Result(id, "s-")) {
+				status, got, err := client.Send("pay", id, strings.Repeat("x", 100*c), 50*(k%5))
+				if err != nil || status != 200 || !strings.HasPrefix(got, fakeplatform.Result(id, "s-")) {
 					t.Errorf("%s: %d %q, %v", id, status, got, err)
 					return
 				}
@@ -128,7 +128,7 @@
 		until(t, fmt.Sprintf("%d more answers", n), func() bool { return answered.Load() >= from+n })
 	}
 	runs := func(n int) int {
-		_, runs := p.Nodes[n].Runs()
+		_, runs := p.Workers[n].Runs()
 		return runs
 	}
 	more(50)
@@ -137,12 +137,12 @@
 		next := launch(t, p, dir, file)
 		served = append(served, next)
 		if k == 1 { // by a call to the process that does not serve
-			first, second := next.Suspend("s-2"), next.Suspend("s-2") // the second is harmless
-			if first != 200 || second != 200 || next.Suspend("s-9") != 404 || now.Figure("hosts_down") != 1 {
+			first, second := next.Cordon("s-2"), next.Cordon("s-2") // the second is harmless
+			if first != 200 || second != 200 || next.Cordon("s-9") != 404 || now.Metric("hosts_down") != 1 {
 				t.Error("calls at a process that stands by")
 			}
 		}
-		if code := now.Leave(); code != 0 {
+		if code := now.Terminate(); code != 0 {
 			t.Errorf("ended with %d", code)
 		}
 		now = next
@@ -154,18 +154,18 @@
 			}
 		}
 	}
-	if now.Figure("hosts_down") != 1 || now.Resume("s-2") != 200 || now.Figure("hosts_down") != 0 {
+	if now.Metric("hosts_down") != 1 || now.Uncordon("s-2") != 200 || now.Metric("hosts_down") != 0 {
 		t.Error("the ban is not kept, or does not end")
 	}
 	before := runs(2)
 	until(t, "used again", func() bool { return runs(2) > before })
 	close(stop)
-	p.Nodes[0].Free() // these were sent by a process that is long gone
+	p.Workers[0].Free() // these were sent by a process that is long gone
 	all.Wait()
-	if sent.Load() != answered.Load() || now.Figure("inflight") != 0 {
-		t.Errorf("%d sent, %d answered, %d left", sent.Load(), answered.Load(), now.Figure("inflight"))
+	if sent.Load() != answered.Load() || now.Metric("inflight") != 0 {
+		t.Errorf("%d sent, %d answered, %d left", sent.Load(), answered.Load(), now.Metric("inflight"))
 	}
-	for _, n := range p.Nodes {
+	for _, n := range p.Workers {
 		by, _ := n.Runs()
 		for id, times := range by {
 			if times != 1 {
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -11,10 +11,10 @@
 	"strings"
 	"testing"
 
-	"valvecove/internal/lab/mutant"
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/score"
-	"valvecove/internal/lab/yardstick"
+	"valvecove/internal/testbed/baseline"
+	"valvecove/internal/testbed/mutation"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/score"
 	"valvecove/scenarios"
 )
 
@@ -48,7 +48,7 @@
 
 func shown(f reflect.Value) string {
 	switch v := f.Interface().(type) {
-	case scenario.Span:
+	case scenario.Duration:
 		if v == 0 {
 			return "0"
 		}
@@ -121,20 +121,20 @@
 // What is known by name stands in lab.md: faults, bad clients, figures, rules, yardsticks, the library.
 func TestEveryNameIsInThePage(t *testing.T) {
 	text := page(t, "lab.md")
-	names := append([]string{}, scenario.BadKinds...)
+	names := append([]string{}, scenario.MisbehaviorKinds...)
 	for kind := range scenario.FaultKinds {
 		names = append(names, kind)
 	}
-	for _, f := range scenario.Figures {
+	for _, f := range scenario.Metrics {
 		names = append(names, f.Name)
 	}
 	for _, h := range score.Headlines {
 		names = append(names, h.Name)
 	}
-	for _, y := range yardstick.All() {
+	for _, y := range baseline.All() {
 		names = append(names, y.Name)
 	}
-	for _, m := range mutant.All() {
+	for _, m := range mutation.All() {
 		names = append(names, m.Rule)
 	}
 	for _, name := range append(names, scenarios.Names()...) {
@@ -144,9 +144,9 @@
 	}
 }
 
-// Commands of covelab: each has its own heading.
+// Commands of valvecove-testbed: each has its own heading.
 func TestEveryCommandIsInThePage(t *testing.T) {
-	text, source := page(t, "lab.md"), page(t, "../cmd/covelab/main.go")
+	text, source := page(t, "lab.md"), page(t, "../cmd/valvecove-testbed/main.go")
 	_, source, _ = strings.Cut(source, "type commands struct {")
 	source, _, _ = strings.Cut(source, "\n}")
 	found := regexp.MustCompile(`(?m)^\t[A-Z]\w+ +\w+ +.cmd:""(?: name:"([a-z]+)")?`).FindAllStringSubmatch(source, -1)
@@ -154,8 +154,8 @@
 		t.Fatalf("%d commands found", len(found))
 	}
 	for _, m := range found {
-		if name := m[1]; name == "" || !strings.Contains(text, "\n### covelab "+name+"\n") {
-			t.Errorf("lab.md has no part on covelab %s", name)
+		if name := m[1]; name == "" || !strings.Contains(text, "\n### valvecove-testbed "+name+"\n") {
+			t.Errorf("lab.md has no part on valvecove-testbed %s", name)
 		}
 	}
 }
--- a/internal/lab/yardstick/yardstick.go
+++ b/internal/testbed/baseline/baseline.go
@@ -1,4 +1,4 @@
-// Package yardstick has reference policies that any module can be held against in the same world: each is a
+// Package baseline has reference policies that any module can be held against in the same world: each is a
 // ledger.Module that keeps the rules a scheduler must keep, and differs from the others in its choice of worker
 // alone. Random choice is the floor, the one that sees the true state of all worker nodes is the top.
 //
@@ -6,22 +6,22 @@
 // gone; a cold one is passed over as often as it lacks capacity; an attempt that proves never to have run is
 // followed by another elsewhere, one that may have run only as far as the class permits; what can't be sent any
 // more is refused where that is harmless, and failed elsewhere. They are the same play for the same seed.
-package yardstick
+package baseline
 
 import (
 	"slices"
 
 	"valvecove/dispatch"
-	"valvecove/internal/lab/world"
 	"valvecove/internal/requests"
+	"valvecove/internal/testbed/environment"
 )
 
 // Oracle is what only a yardstick in the lab may know.
 type Oracle interface {
-	// Node is the world's number of the machine that a module knows as worker; not ok: there is none.
-	Node(worker uint64) (node int, ok bool)
+	// WorkerIndex is the world's number of the machine that a module knows as worker; not ok: there is none.
+	WorkerIndex(worker uint64) (node int, ok bool)
 	// View is a machine's true state, and what passes between it and the scheduler.
-	View(node int) world.View
+	View(node int) environment.View
 	// Work is the true work of a job that arrived in the present step: seconds on a standard core, and slots. Runs
 	// vary about it by the noise of the job's class.
 	Work(job uint64) (work, slots float64, ok bool)
@@ -32,31 +32,31 @@
 
 // Policy is one yardstick.
 type Policy struct {
-	Name  string
-	About string // one sentence
-	// ForPlay gives the maker of one play's modules. Those of one play may share what is true at an instant.
-	ForPlay func() Maker
+	Name        string
+	Description string // one sentence
+	// ForRun gives the maker of one play's modules. Those of one play may share what is true at an instant.
+	ForRun func() Maker
 }
 
 // All are the yardsticks, from the floor to the top.
 func All() []Policy {
 	return []Policy{
-		{"random", "any worker node, each as likely", simple(func(b *base) chooser { return random{b} })},
-		{"round-robin", "the worker nodes in turn", simple(func(b *base) chooser { return &roundRobin{base: b} })},
+		{"random", "any worker node, each as likely", withChooser(func(b *base) chooser { return random{b} })},
+		{"round-robin", "the worker nodes in turn", withChooser(func(b *base) chooser { return &roundRobin{base: b} })},
 		{
 			"two-choices", "the one with fewer queries of the scheduler's own out, of two drawn at random",
-			simple(func(b *base) chooser { return twoChoices{b} }),
+			withChooser(func(b *base) chooser { return twoChoices{b} }),
 		},
 		{
 			"least-outstanding", "the one with the fewest queries of the scheduler's own out",
-			simple(func(b *base) chooser { return &leastOutstanding{base: b} }),
+			withChooser(func(b *base) chooser { return &leastOutstanding{base: b} }),
 		},
 		{"all-seeing", "the query first whose start can wait least, to a worker node that truly can start it now and" +
 			" be in time; what can't be in time is refused", func() Maker {
-			flight := &inFlight{}
+			flight := &sharedFlight{}
 			return func(set dispatch.Settings, seed uint64, o Oracle) requests.Policy {
 				b := newBase(set, seed)
-				b.policy = newSeeing(b, o, flight)
+				b.policy = newOmniscient(b, o, flight)
 				return b
 			}
 		}},
@@ -73,11 +73,11 @@
 	return all[i], true
 }
 
-func simple(choose func(b *base) chooser) func() Maker {
+func withChooser(choose func(b *base) chooser) func() Maker {
 	return func() Maker {
 		return func(set dispatch.Settings, seed uint64, _ Oracle) requests.Policy {
 			b := newBase(set, seed)
-			b.policy = &atOnce{base: b, chooser: choose(b)}
+			b.policy = &immediate{base: b, chooser: choose(b)}
 			return b
 		}
 	}
--- a/internal/lab/yardstick/yardstick_test.go
+++ b/internal/testbed/baseline/baseline_test.go
@@ -1,4 +1,4 @@
-package yardstick
+package baseline
 
 import (
 	"math/rand/v2"
@@ -7,30 +7,30 @@
 	"time"
 
 	"valvecove/dispatch"
-	"valvecove/internal/lab/world"
 	"valvecove/internal/requests"
+	"valvecove/internal/testbed/environment"
 )
 
-// glass is an Oracle over worker nodes that a test sets: worker n+1 is node n.
-type glass struct {
-	truth []world.View
+// fakeOracle is an Oracle over worker nodes that a test sets: worker n+1 is node n.
+type fakeOracle struct {
+	truth []environment.View
 	work  func(job uint64) float64
 }
 
-func (g *glass) Node(worker uint64) (int, bool) {
+func (g *fakeOracle) WorkerIndex(worker uint64) (int, bool) {
 	return int(worker) - 1, worker <= uint64(len(g.truth))
 }
-func (g *glass) View(node int) world.View                { return g.truth[node] }
-func (g *glass) Work(job uint64) (w, s float64, ok bool) { return g.work(job), 0, true }
+func (g *fakeOracle) View(node int) environment.View          { return g.truth[node] }
+func (g *fakeOracle) Work(job uint64) (w, s float64, ok bool) { return g.work(job), 0, true }
 
-func clear4() world.View {
-	return world.View{Truth: world.Truth{Up: true, Cores: 4, Speed: 1, Slots: 4, Free: 4}, Met: true, Knocks: true}
+func clearView() environment.View {
+	return environment.View{WorkerState: environment.WorkerState{Up: true, Cores: 4, Speed: 1, Slots: 4, Free: 4}, Reachable: true, Connectable: true}
 }
 
-func newGlass(nodes int) *glass {
-	g := &glass{work: func(uint64) float64 { return 0.1 }}
+func newFakeOracle(nodes int) *fakeOracle {
+	g := &fakeOracle{work: func(uint64) float64 { return 0.1 }}
 	for range nodes {
-		g.truth = append(g.truth, clear4())
+		g.truth = append(g.truth, clearView())
 	}
 	return g
 }
@@ -71,7 +71,7 @@
 	if !ok {
 		t.Fatalf("no yardstick %s", name)
 	}
-	return p.ForPlay()(set, 1, o)
+	return p.ForRun()(set, 1, o)
 }
 
 func TestChoices(t *testing.T) {
@@ -123,11 +123,11 @@
 }
 
 func TestAllSeeing(t *testing.T) {
-	g := newGlass(3)
+	g := newFakeOracle(3)
 	g.truth[0].Up = false
-	g.truth[1].Waiting = 1
+	g.truth[1].Queued = 1
 	g.work = func(job uint64) float64 { return 1 / float64(job) } // a later one can wait longer
-	maker := All()[4].ForPlay()
+	maker := All()[4].ForRun()
 	a, b := maker(plain, 1, g), maker(plain, 2, g)
 	a.Step(1, []dispatch.Event{listOf(3)}, nil)
 	b.Step(1, []dispatch.Event{listOf(3)}, nil)
@@ -160,8 +160,8 @@
 
 // One large job among many small ones has a worker node kept free for it.
 func TestAllSeeingKeepsRoom(t *testing.T) {
-	g := newGlass(2)
-	g.truth[0].Free, g.truth[0].Backlog, g.truth[1].Free, g.truth[1].Backlog = 2, 0.1, 1, 0.3
+	g := newFakeOracle(2)
+	g.truth[0].Free, g.truth[0].BacklogSeconds, g.truth[1].Free, g.truth[1].BacklogSeconds = 2, 0.1, 1, 0.3
 	m := module(t, "all-seeing", plain, g)
 	m.Step(1, []dispatch.Event{listOf(2)}, nil)
 	m.Step(2, []dispatch.Event{dispatch.Job{ID: 1, Remaining: 5 * time.Second, Slots: 3}}, nil)
@@ -181,7 +181,7 @@
 // A job at a worker node that has stopped answering goes elsewhere too, if it may run twice.
 func TestAllSeeingRescues(t *testing.T) {
 	for effect, want := range map[dispatch.Idempotency]int{dispatch.Idempotent: 1, dispatch.NonIdempotent: 0} {
-		g, set := newGlass(2), plain
+		g, set := newFakeOracle(2), plain
 		set.Classes = []dispatch.Class{{LatencyObjective: time.Second, ClientTimeout: 5 * time.Second, Idempotency: effect}}
 		m := module(t, "all-seeing", set, g)
 		m.Step(1, []dispatch.Event{listOf(2)}, nil)
@@ -196,21 +196,21 @@
 
 // ---- The rules, for all of them, against random events ----
 
-type ruled struct {
+type ruledJob struct {
 	dispatch.Job
 	deadline time.Duration
 	over     bool
-	tries    []try
+	tries    []ruledAttempt
 }
 
-type try struct {
+type ruledAttempt struct {
 	w      dispatch.Worker
 	sent   time.Duration
 	ended  bool
 	result dispatch.Result
 }
 
-func (x try) risky() bool {
+func (x ruledAttempt) risky() bool {
 	return !x.ended || x.result != dispatch.WorkerFull && x.result != dispatch.ConnectFailed && x.result != dispatch.NotSent
 }
 
@@ -239,9 +239,9 @@
 		set.Classes = append(set.Classes, c)
 	}
 	const nodes = 6
-	g := newGlass(nodes)
-	m := p.ForPlay()(set, seed, g)
-	now, all, ready := time.Second, map[uint64]*ruled{}, map[uint64]dispatch.Worker{}
+	g := newFakeOracle(nodes)
+	m := p.ForRun()(set, seed, g)
+	now, all, ready := time.Second, map[uint64]*ruledJob{}, map[uint64]dispatch.Worker{}
 	list := listOf(nodes)
 	var ids []uint64
 	wrong := func(format string, args ...any) {
@@ -270,12 +270,12 @@
 						wrong("class %d sent again though it may have run", j.Class)
 					}
 				}
-				j.tries = append(j.tries, try{w: w, sent: now})
+				j.tries = append(j.tries, ruledAttempt{w: w, sent: now})
 			case dispatch.Reject:
 				j := all[a.Job]
 				c := set.Classes[j.Class]
 				if j.over || c.Idempotency != dispatch.Idempotent && (c.Idempotency != dispatch.IdempotentWithKey || c.DeduplicationScope != dispatch.ScopeAll) &&
-					slices.ContainsFunc(j.tries, try.risky) {
+					slices.ContainsFunc(j.tries, ruledAttempt.risky) {
 					wrong("job %+v refused", j)
 				}
 				j.over = true
@@ -318,7 +318,7 @@
 			step(dispatch.WorkerList{Kind: dispatch.ListUnavailable})
 		case 2, 3:
 			id := uint64(len(ids) + 1)
-			j := &ruled{Job: dispatch.Job{ID: id, Class: rng.IntN(3), Remaining: 2 * time.Second, Slots: float64(1 + rng.IntN(2))}}
+			j := &ruledJob{Job: dispatch.Job{ID: id, Class: rng.IntN(3), Remaining: 2 * time.Second, Slots: float64(1 + rng.IntN(2))}}
 			j.deadline = now + j.Remaining
 			all[id], ids = j, append(ids, id)
 			step(j.Job)
@@ -327,7 +327,7 @@
 				continue
 			}
 			j := all[ids[max(0, len(ids)-1-rng.IntN(12))]]
-			i := slices.IndexFunc(j.tries, func(x try) bool { return !x.ended })
+			i := slices.IndexFunc(j.tries, func(x ruledAttempt) bool { return !x.ended })
 			if i < 0 {
 				step(dispatch.TimerFired{})
 				continue
--- /dev/null
+++ b/internal/testbed/checker/checker.go
@@ -0,0 +1,626 @@
+package checker
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+	"strings"
+	"time"
+
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/trace"
+)
+
+// Options are what a judge is told besides the scenario.
+type Options struct {
+	RealProcesses bool          // played by real processes: time limits are wider, and what only sockets show is judged
+	MaxLateness   time.Duration // the lab's own lateness beyond which a play is void; default 50 ms
+}
+
+// Checker keeps the books of one play. It is used by one goroutine.
+type Checker struct {
+	spec    *scenario.Scenario
+	options Options
+	classes []class
+	cells   []int // by worker node
+	zones   []int
+	timeLimits
+
+	now             time.Duration
+	highestJobID    uint64 // of the jobs' numbers
+	jobs            map[uint64]*job
+	jobsByRequest   map[string]*job
+	schedulers      []*scheduler
+	connRequests    map[uint64]int32 // requests asked on a client's connection
+	misbehaving     map[uint64]misbehavingClient
+	coldWork        map[int][]coldArrival // by worker node, onto a cold one
+	fleetLog        eventRing
+	texts           textTable
+	retained        [2]retentionQueue // the safe ones, and the others
+	freeJobs        []*job            // forgotten, to be used again
+	overlaps        []overlap
+	violations      []Violation
+	checkCounts     [ruleCount]int
+	violationCounts [ruleCount]int
+	counts          Counts
+	maxLateness     time.Duration // the lab's own lateness, at most
+	recentLateness  lateness      // and lately
+}
+
+// lateness is how late the lab itself was, and when.
+type lateness struct{ observedAt, amount time.Duration }
+
+// latenessWindow is how long the lab's lateness is taken to show in what it sees.
+const latenessWindow = time.Second
+
+// observationLateness is how late the lab may be with what it sees now.
+func (j *Checker) observationLateness() time.Duration {
+	if j.now-j.recentLateness.observedAt > latenessWindow {
+		return 0
+	}
+	return j.recentLateness.amount
+}
+
+// timeLimits are the time limits that follow from the scenario.
+type timeLimits struct {
+	slack             time.Duration // after a deadline an answer still counts
+	clientDelay       time.Duration // a word between client and scheduler takes at most
+	workerDelay       time.Duration // the same between scheduler and worker node
+	dialDelay         time.Duration // from a scheduler's choice to the first byte of a query, at most
+	drainGrace        time.Duration // of a drain
+	rejectionDeadline time.Duration // prompt
+	heavyFactor       float64       // times its speed that the fastest worker node may be taken to do at the most
+	retention         time.Duration // a settled job is remembered
+	estimateFactor    float64       // times its true work, at least the mean, that a job may be taken for
+	maxSpeed          float64       // speed of a core
+	clientsCut        []interval    // clients and schedulers are cut off from each other, or slowed down
+	workersImpaired   []interval    // words between schedulers and worker nodes may never come
+	workersCut        []interval    // or come when that is over
+	connectsImpaired  []interval    // connections to worker nodes may not come up
+	killDelay         time.Duration // from SIGTERM to SIGKILL at the soonest
+	attemptLimit      int
+	hedging           bool
+}
+
+// Verdict is what a judge has found.
+type Verdict struct {
+	Violations []Violation `json:"broken"`
+	Invalid    string      `json:"void,omitempty"` // why the play is no result; empty: it is one
+	Counts     Counts      `json:"counts"`
+	Rules      []RuleCount `json:"rules"`
+	NotChecked []string    `json:"left_out,omitempty"` // what this driver can't show, and why
+}
+
+// Violation is one rule broken, by one job or one party.
+type Violation struct {
+	Rule        string        `json:"rule"`
+	At          time.Duration `json:"at"`
+	JobID       uint64        `json:"job,omitempty"`  // 0 where it is about none
+	RequestID   string        `json:"call,omitempty"` // its query, where it is about one
+	Text        string        `json:"text"`
+	Explanation []string      `json:"story"` // of the whole job, in order of time
+}
+
+// RuleCount tells how often a rule came up, and how many jobs or parties broke it; Verdict.Broken tells the first of them.
+type RuleCount struct {
+	Rule     string `json:"rule"`
+	Checked  int    `json:"looked"`
+	Violated int    `json:"broken"`
+}
+
+// Counts are what the judge saw.
+type Counts struct {
+	Jobs            int `json:"jobs"`
+	Requests        int `json:"tries"`
+	Served          int `json:"served"` // tries, as the next ones
+	Rejected        int `json:"refused"`
+	Failed          int `json:"failed"`
+	ConnectionsLost int `json:"lost"`     // their connection ended
+	TimedOut        int `json:"gave_up"`  // by their clients, their time being up
+	ClientsLeft     int `json:"left"`     // by their clients, earlier
+	Excused         int `json:"excused"`  // of those without an answer: nothing was owed
+	Open            int `json:"open"`     // nothing had become of them when the play ended
+	Attempts        int `json:"attempts"` // that reached a worker node
+	Started         int `json:"began"`    // to run
+	Duplicates      int `json:"repeats"`  // that a cell dropped
+	Misbehaving     int `json:"bad"`      // clients
+	Evicted         int `json:"crowded"`  // settled jobs forgotten early, for want of room
+	Unknown         int `json:"stray"`    // sights of what the judge didn't know, or no longer
+	Overlaps        int `json:"suspects"` // overlaps looked at, most of which cross on their way
+}
+
+// noRequest is no try.
+const noRequest = 255
+
+const (
+	maxSettled     = 1 << 16 // jobs remembered, of each sort
+	maxJobLog      = 64      // sights of a job
+	maxFleetLog    = 4096    // sights of the fleet
+	maxColdWork    = 24      // told of a worker node that fell
+	maxExplained   = 16      // breaches of a rule that are told in full
+	maxOverlaps    = 256     // overlaps looked at at once
+	maxConns       = 1 << 20 // whose requests are counted
+	maxMisbehaving = 1 << 14 // bad clients remembered that have had their answer
+)
+
+// idempotentRetention is how long safe jobs are remembered, besides what a late attempt may take: they are most.
+const idempotentRetention = time.Second
+
+// termGrace is how long after SIGTERM queries come in that the process may take with it when it is killed.
+const termGrace = 700 * time.Millisecond
+
+// New returns a judge of a play of a checked scenario.
+func New(spec *scenario.Scenario, opt Options) *Checker {
+	if opt.MaxLateness <= 0 {
+		opt.MaxLateness = 50 * time.Millisecond // as long as clients listen beyond a deadline: an answer in time may go unheard
+	}
+	j := &Checker{
+		spec: spec, options: opt, classes: classes(spec), jobs: make(map[uint64]*job, 1024),
+		jobsByRequest: make(map[string]*job, 1024),
+		connRequests:  map[uint64]int32{}, misbehaving: map[uint64]misbehavingClient{}, coldWork: map[int][]coldArrival{},
+		texts: textTable{[]string{""}, map[string]uint16{}},
+	}
+	j.cells, j.zones = workerPlacement(spec)
+	j.timeLimits = newTimeLimits(spec, opt.RealProcesses)
+	for range max(1, spec.Schedulers.Count) {
+		j.schedulers = append(j.schedulers, newScheduler())
+	}
+	return j
+}
+
+func newScheduler() *scheduler {
+	return &scheduler{exits: make([]processExit, 1), drainNotifiedAt: map[int]time.Duration{}}
+}
+
+func newTimeLimits(spec *scenario.Scenario, live bool) timeLimits {
+	r, n := &spec.Rules, &spec.Network
+	// Delays are log-normal; no play is so long that one lies six deviations out.
+	far := math.Exp(6 * math.Sqrt(math.Log1p(n.Jitter*n.Jitter)))
+	long := func(d time.Duration) time.Duration { return time.Duration(far * float64(d)) }
+	f := timeLimits{
+		slack: r.Slack.Std(), clientDelay: time.Millisecond + long(n.ClientDelay.Std()),
+		workerDelay: time.Millisecond + long(max(n.Delay.Std(), n.CrossZone.Std())), drainGrace: r.DrainGrace.Std(),
+		rejectionDeadline: r.RejectionDeadline.Std(), retention: retention(spec), maxSpeed: 1,
+		attemptLimit: max(1, spec.Schedulers.AttemptLimit), hedging: spec.Schedulers.Hedging,
+	}
+	f.dialDelay = spec.Schedulers.ConnTimeout.Std() + 2*f.workerDelay + long(n.Handshake.Std())
+	wait := 16 * time.Millisecond
+	if live {
+		const wider = 50 * time.Millisecond
+		wait = wider
+		f.clientDelay += wider / 2
+		f.workerDelay += wider / 2
+		f.drainGrace += wider
+	}
+	if f.slack <= 0 {
+		f.slack = wait
+	}
+	f.dialDelay += wait
+	for i := range spec.Fleet.Kinds {
+		k := &spec.Fleet.Kinds[i]
+		f.maxSpeed = max(f.maxSpeed, k.Speed*(1+3*k.Spread))
+	}
+	f.estimateFactor, f.heavyFactor = 4, 4
+	switch l := &spec.Load; l.Hints {
+	case "exact":
+		f.estimateFactor = 2
+	case "rough": // what hints err by shows in what runs are found to take, and twice that is allowed for
+		f.estimateFactor, f.heavyFactor = max(2, math.Exp(4*l.HintFactor)), 4*math.Exp(2*l.HintFactor)
+	case "wrong": // it looks at first as if all were so much faster, and as if expectations erred by that
+		f.estimateFactor, f.heavyFactor = 2*max(1, l.HintFactor), 4*max(1, l.HintFactor*l.HintFactor)
+	}
+	if hasProlongedRuns(spec) {
+		f.estimateFactor *= 4
+	}
+	longest := time.Duration(0)
+	for i := range spec.Classes {
+		longest = max(longest, spec.Classes[i].Deadline.Std())
+	}
+	f.killDelay = min(longest, 3*time.Second) + termGrace
+	for i := range spec.Faults {
+		a := &spec.Faults[i]
+		s := interval{a.At.Std(), forever}
+		if a.Duration > 0 {
+			s.end = s.start + (a.Duration + a.Spread).Std() + 2*f.clientDelay
+		}
+		nodes := a.Between == "nodes" || a.And == "nodes"
+		if a.Kind == "delay" && nodes {
+			f.workerDelay += 2 * time.Duration(a.Size*float64(time.Millisecond))
+		}
+		if nodes && (a.Kind == "cut" || a.Kind == "cut_one_way") {
+			f.workersCut = append(f.workersCut, s)
+		}
+		if connectImpairingFaults[a.Kind] {
+			f.connectsImpaired = append(f.connectsImpaired, s)
+		}
+		switch clients := a.Between == "clients" || a.And == "clients"; {
+		case clients && scenario.FaultKinds[a.Kind] == "net":
+			f.clientsCut = append(f.clientsCut, s)
+		case impairingFaults[a.Kind]:
+			s.start -= impairmentMargin
+			if a.Duration > 0 {
+				s.end += impairmentMargin
+			}
+			f.workersImpaired = append(f.workersImpaired, s)
+		}
+	}
+	if n.DropsIdleAfter > 0 {
+		f.workersImpaired = append(f.workersImpaired, interval{0, forever})
+	}
+	return f
+}
+
+// prolongingFaults are the faults by which runs look longer to schedulers than they are, or are so for a while: what they
+// expect of others follows that.
+var prolongingFaults = map[string]bool{
+	"cut": true, "cut_one_way": true, "delay": true, "hang": true, "no_notes": true,
+	"pause": true, "sched_freeze": true, "slow": true, "slow_read": true,
+}
+
+// hasProlongedRuns tells whether anything in a scenario does that. Where starts are not told, waiting looks like running.
+func hasProlongedRuns(spec *scenario.Scenario) bool {
+	return slices.ContainsFunc(spec.Faults, func(f scenario.Fault) bool { return prolongingFaults[f.Kind] }) ||
+		slices.ContainsFunc(spec.Fleet.Kinds, func(k scenario.WorkerKind) bool { return k.OmitsStartNotifications || k.PauseEvery > 0 })
+}
+
+// impairingFaults are the faults by which words between schedulers and worker nodes are lost or come very late.
+var impairingFaults = map[string]bool{
+	"cut": true, "cut_one_way": true, "delay": true, "drop_idle": true, "half_open": true,
+	"never_up": true, "refuse": true, "reset_at": true, "slow_read": true,
+}
+
+// connectImpairingFaults are the faults by which connections to worker nodes do not come up.
+var connectImpairingFaults = map[string]bool{"cut": true, "cut_one_way": true, "never_up": true, "vanish": true, "replace": true}
+
+// impairmentMargin is how long before and after such a fault its effect may show.
+const impairmentMargin = 1500 * time.Millisecond
+
+// scheduler gives the books of a scheduler.
+func (j *Checker) scheduler(n int) *scheduler {
+	for n >= len(j.schedulers) {
+		j.schedulers = append(j.schedulers, newScheduler())
+	}
+	return j.schedulers[max(n, 0)]
+}
+
+// Observe takes in a sight. Sights come in order of time.
+func (j *Checker) Observe(s *trace.Event) {
+	j.now = s.At
+	for i := range j.retained {
+		for f := &j.retained[i]; f.size > 0 && (f.first().retainedUntil < s.At || f.size > maxSettled); {
+			j.evictOldest(f)
+		}
+	}
+	if len(j.overlaps) > 0 {
+		j.resolveOverlaps(s)
+	}
+	if s.Kind >= trace.WorkerStarted {
+		j.fleetEvent(s)
+		return
+	}
+	switch s.Kind {
+	case trace.JobDue:
+		j.jobDue(s)
+		return
+	case trace.RequestSent:
+		j.requestSent(s)
+		return
+	case trace.JobSettled:
+		j.jobSettled(s)
+		return
+	case trace.HealthChecked, trace.WorkerConnected, trace.AttemptSent, trace.WorkerDialed, trace.WorkerFaultStarted, trace.WorkerFaultEnded, trace.WorkerPresent:
+		return
+	case trace.MisbehavingClientConnected:
+		j.counts.Misbehaving++
+		if len(j.misbehaving) > maxMisbehaving {
+			maps.DeleteFunc(j.misbehaving, func(_ uint64, b misbehavingClient) bool { return b.answered })
+		}
+		j.misbehaving[s.Conn] = misbehavingClient{connectedAt: s.At, kind: s.Text}
+		return
+	case trace.MisbehavingClientAnswered:
+		j.misbehavingClientAnswered(s)
+		return
+	case trace.ColdWorkReceived:
+		j.coldWorkReceived(s)
+		return
+	case trace.WorkerOverloaded:
+		j.workerOverloaded(s)
+		return
+	}
+	b := j.jobsByRequest[s.RequestID]
+	if b == nil {
+		j.unknownRequest(s)
+		return
+	}
+	t, n := b.findRequest(s.RequestID)
+	j.recordJobEvent(b, s, n)
+	switch s.Kind {
+	case trace.ResponseReceived:
+		j.responseReceived(b, t, s)
+	case trace.ConnectionLost:
+		j.counts.ConnectionsLost++
+		j.requestEnded(b, t, requestConnLost, s.At)
+	case trace.ClientLeft:
+		j.counts.ClientsLeft++
+		j.requestEnded(b, t, requestClientLeft, s.At)
+	case trace.ClientTimedOut:
+		j.counts.TimedOut++
+		j.requestEnded(b, t, requestTimedOut, s.At)
+	case trace.SchedulerUnreachable: // it was asked once, crossed a close, and found no other connection
+		j.requestEnded(b, t, requestClientLeft, s.At)
+	case trace.AttemptReceived:
+		j.attemptReceived(b, t, n, s)
+	case trace.AttemptUnread:
+		t.unreadUntil = s.At
+	default:
+		if a := b.findAttempt(n, s.Worker, s.Kind == trace.AttemptRejected); a != nil {
+			j.attemptEvent(b, t, a, s)
+		}
+	}
+}
+
+// jobDue begins a job.
+func (j *Checker) jobDue(s *trace.Event) {
+	if s.JobID > j.highestJobID {
+		j.highestJobID = s.JobID
+	} else if old := j.jobs[s.JobID]; old != nil { // its number is used again
+		j.forgetJob(old)
+	}
+	if s.Class < 0 || s.Class >= len(j.classes) {
+		j.counts.Unknown++
+		return
+	}
+	if len(j.freeJobs) == 0 {
+		j.freeJobs = newJobBatch()
+	}
+	b := j.freeJobs[len(j.freeJobs)-1]
+	j.freeJobs = j.freeJobs[:len(j.freeJobs)-1]
+	*b = job{requests: b.requests[:0], attempts: b.attempts[:0], log: b.log[:0]}
+	b.id, b.class, b.tenant, b.dueAt = s.JobID, &j.classes[s.Class], s.Tenant, s.At
+	b.slots, b.work, b.deadline = s.Slots, time.Duration(s.Work*float64(time.Second)), s.Deadline
+	j.jobs[b.id] = b
+	j.counts.Jobs++
+	j.recordJobEvent(b, s, noRequest)
+}
+
+// requestSent begins a try, or has it on another connection once more.
+func (j *Checker) requestSent(s *trace.Event) {
+	b := j.jobs[s.JobID]
+	if b == nil {
+		j.counts.Unknown++
+		return
+	}
+	if len(j.connRequests) >= maxConns {
+		clear(j.connRequests) // what comes over one next counts as its first request, which is excused more
+	}
+	j.connRequests[s.Conn]++
+	c := j.scheduler(s.Scheduler)
+	t, n := b.findRequest(s.RequestID)
+	if t == nil {
+		n = len(b.requests)
+		b.requests = append(b.requests, request{id: s.RequestID, key: s.IdempotencyKey})
+		t = &b.requests[n]
+		j.jobsByRequest[s.RequestID] = b
+		j.counts.Requests++
+		j.checkCounts[ruleOneAnswer]++
+	} else {
+		t.state, t.resent = requestOpen, true
+	}
+	t.sentAt, t.deadline, t.firstOnConn = s.At, s.At+s.Budget, j.connRequests[s.Conn] == 1
+	t.scheduler, t.incarnation = s.Scheduler, c.incarnation
+	j.recordJobEvent(b, s, n)
+}
+
+// jobSettled is the end of a job for its client. A try that is open has crossed a close, and was still waiting for another
+// connection.
+func (j *Checker) jobSettled(s *trace.Event) {
+	b := j.jobs[s.JobID]
+	if b == nil || b.settled {
+		return
+	}
+	j.recordJobEvent(b, s, noRequest)
+	b.settled = true
+	if b.class.idempotent { // nothing of it is forbidden but to go on
+		j.retained[0].add(retainedJob{b, b.id, s.At + min(j.retention, 2*j.dialDelay+idempotentRetention)})
+	} else {
+		j.retained[1].add(retainedJob{b, b.id, s.At + j.retention})
+	}
+	for i := range b.requests {
+		j.requestEnded(b, &b.requests[i], requestClientLeft, s.At)
+	}
+}
+
+// unknownRequest takes a sight of a query that nobody knows.
+func (j *Checker) unknownRequest(s *trace.Event) {
+	if b := j.jobs[s.JobID]; b != nil && s.Kind == trace.SchedulerUnreachable {
+		j.recordJobEvent(b, s, noRequest)
+		return
+	}
+	j.counts.Unknown++
+	switch s.Kind {
+	case trace.ResponseReceived:
+		j.recordFleetEvent(s)
+		j.report(ruleOneAnswer, nil, s.RequestID, "a client had an answer to a query that it had not asked, or had long had one to")
+	case trace.AttemptReceived:
+		j.counts.Attempts++
+		j.recordFleetEvent(s)
+	case trace.AttemptRejected:
+		j.recordFleetEvent(s)
+		j.attemptRejected(nil, s)
+	}
+}
+
+// evictOldest forgets the job that was settled first.
+func (j *Checker) evictOldest(f *retentionQueue) {
+	r := f.first()
+	if r.retainedUntil >= j.now {
+		j.counts.Evicted++
+	}
+	b, id := r.job, r.id
+	f.drop()
+	switch {
+	case b.id != id || !b.settled:
+	case f == &j.retained[0] && b.hasInFlight():
+		j.retained[1].add(retainedJob{b, id, j.now + j.retention})
+	default:
+		j.forgetJob(b)
+	}
+}
+
+func (j *Checker) forgetJob(b *job) {
+	j.dropOverlaps(b)
+	j.attachExplanation(b)
+	delete(j.jobs, b.id)
+	for i := range b.requests {
+		if j.jobsByRequest[b.requests[i].id] == b {
+			delete(j.jobsByRequest, b.requests[i].id)
+		}
+	}
+	b.id, b.settled = 0, false
+	j.freeJobs = append(j.freeJobs, b)
+}
+
+// fleetEvent takes a sight of the fleet, of processes or of the lab itself.
+func (j *Checker) fleetEvent(s *trace.Event) {
+	switch s.Kind {
+	case trace.ResourceUsage:
+		if s.Scheduler >= 0 {
+			j.checkUsage(s)
+		}
+		return
+	case trace.TestbedLate:
+		j.maxLateness = max(j.maxLateness, s.Lateness)
+		if s.Lateness >= j.observationLateness() {
+			j.recentLateness = lateness{s.At, s.Lateness}
+		}
+		return
+	}
+	j.recordFleetEvent(s)
+	switch c := j.scheduler(s.Scheduler); s.Kind {
+	case trace.DrainNotified:
+		if _, known := c.drainNotifiedAt[s.Worker]; !known {
+			c.drainNotifiedAt[s.Worker] = s.At
+		}
+	case trace.StartNotified:
+		delete(c.drainNotifiedAt, s.Worker)
+	case trace.SchedulerStarted:
+		if c.up || c.exits[c.incarnation].exitedAt > 0 {
+			c.exits = append(c.exits, processExit{})
+			c.incarnation++
+		}
+		c.up, c.terminatedAt, c.overLimits = true, 0, false
+		clear(c.drainNotifiedAt)
+	case trace.SchedulerTerminated:
+		c.terminatedAt = s.At
+	case trace.SchedulerKilled:
+		c.end(processExit{exitedAt: s.At, terminatedAt: c.terminatedAt, killed: true})
+	case trace.SchedulerExited:
+		j.checkCounts[ruleCrash]++
+		if c.terminatedAt == 0 {
+			j.report(ruleCrash, nil, "", "scheduler %d ended by itself with status %d, without SIGTERM", s.Scheduler,
+				s.Status)
+		}
+		c.end(processExit{exitedAt: s.At, terminatedAt: c.terminatedAt})
+	case trace.SchedulerFrozen:
+		c.thaw(s.At)
+		c.freezes = append(c.freezes, interval{s.At, forever})
+	case trace.SchedulerResumed:
+		c.thaw(s.At)
+	}
+}
+
+func (c *scheduler) end(e processExit) {
+	if c.exits[c.incarnation].exitedAt == 0 {
+		c.exits[c.incarnation] = e
+	}
+	c.up = false
+	c.thaw(e.exitedAt)
+}
+
+// Verdict tells what was found, of what is still open too. The play may go on after it.
+func (j *Checker) Verdict() Verdict {
+	v := Verdict{Violations: []Violation{}, Counts: j.counts}
+	// What is open is judged on a copy of the findings.
+	found, looked, broke := slices.Clone(j.violations), j.checkCounts, j.violationCounts
+	type mark struct {
+		b        *job
+		broken   uint32
+		breaches []int
+	}
+	var marks []mark
+	for _, b := range j.jobs {
+		marks = append(marks, mark{b, b.brokenRules, b.violations})
+	}
+	slices.SortFunc(marks, func(a, b mark) int { return cmp.Compare(a.b.id, b.b.id) })
+	for _, m := range marks {
+		m.b.violations = slices.Clone(m.breaches)
+		for i := range m.b.requests {
+			if t := &m.b.requests[i]; t.state == requestOpen {
+				v.Counts.Open++
+				if j.now > t.deadline+j.slack+2*j.clientDelay {
+					j.checkUnanswered(m.b, t, j.now, false, &v.Counts)
+				}
+			}
+		}
+	}
+	for _, o := range j.overlaps {
+		if o.provedOpenAt > 0 && j.now > o.provedOpenAt+j.workerDelay {
+			j.reportOverlap(o)
+		}
+	}
+	conns := make([]uint64, 0, len(j.misbehaving))
+	for c := range j.misbehaving {
+		conns = append(conns, c)
+	}
+	slices.Sort(conns)
+	for _, c := range conns {
+		if b := j.misbehaving[c]; !b.answered && j.now > b.connectedAt+j.misbehaviorDeadline(b.kind) {
+			j.reportUnansweredClient(b)
+		}
+	}
+	for _, m := range marks {
+		for _, i := range m.b.violations {
+			j.violations[i].Explanation = j.explainJob(m.b)
+		}
+	}
+	v.Violations = append(v.Violations, j.violations...)
+	slices.SortStableFunc(v.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	for r := range ruleCount {
+		v.Rules = append(v.Rules, RuleCount{r.String(), j.checkCounts[r], j.violationCounts[r]})
+	}
+	j.violations, j.checkCounts, j.violationCounts = found, looked, broke
+	for _, m := range marks {
+		m.b.brokenRules, m.b.violations = m.broken, m.breaches
+	}
+	if j.maxLateness > j.options.MaxLateness {
+		v.Invalid = fmt.Sprintf("the lab itself was %v late, more than %v", j.maxLateness, j.options.MaxLateness)
+	}
+	if len(j.workersImpaired) > 0 {
+		v.NotChecked = append(v.NotChecked, "one-attempt-per-node, attempts: overlaps that begin while words to worker nodes"+
+			" may get lost (by "+j.impairedBy()+"), as a scheduler may have given the earlier one up")
+	}
+	if 2*j.clientDelay > j.slack {
+		v.NotChecked = append(v.NotChecked, "one-answer, in time: clients close before an answer of the last moment can have"+
+			" come, as words may take longer than the slack")
+	}
+	if !j.options.RealProcesses {
+		v.NotChecked = append(v.NotChecked, "bad-clients: there are no bytes on sockets in virtual time",
+			"limits: there are no processes in virtual time, whose memory and descriptors could be counted")
+	}
+	return v
+}
+
+func (j *Checker) impairedBy() string {
+	var by []string
+	for i := range j.spec.Faults {
+		if a := &j.spec.Faults[i]; impairingFaults[a.Kind] && !slices.Contains(by, a.Kind) {
+			by = append(by, a.Kind)
+		}
+	}
+	if j.spec.Network.DropsIdleAfter > 0 {
+		by = append(by, "net.drops_idle")
+	}
+	return strings.Join(by, ", ")
+}
--- a/internal/lab/judge/doc.go
+++ b/internal/testbed/checker/doc.go
@@ -1,4 +1,4 @@
-// Package judge holds schedulers to their rules. Its books are its own: they are kept from what was seen at clients,
+// Package checker holds schedulers to their rules. Its books are its own: they are kept from what was seen at clients,
 // worker nodes and discovery (package seen), never from a scheduler's word, and the play decides nothing by them.
 //
 // # The rules
@@ -90,4 +90,4 @@
 // A sight costs a map access or two. A job is remembered until it has been settled for as long as the longest window
 // of a class, and never more than 65,536 settled jobs, with at most 64 sights each; the fleet's last 4,096 sights are
 // kept to be told between those of a job. Of each rule the first 16 breaches are told in full, the others counted.
-package judge
+package checker
--- /dev/null
+++ b/internal/testbed/checker/explanation.go
@@ -0,0 +1,342 @@
+package checker
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"valvecove/internal/testbed/trace"
+)
+
+// logEntry is a sight as it is kept for stories. Most of the judge's memory is entries: they are small, and no pointers.
+type logEntry struct {
+	at        time.Duration
+	duration  time.Duration // budget, first byte or advice; of a start of a process, its number
+	worker    int32
+	scheduler int16
+	status    int16
+	text      uint16 // in the judge's words; results stand with their attempts and tries
+	request   uint8  // which of its job's; 255: none
+	sendings  uint8  // of a note
+	kind      trace.Kind
+}
+
+// textTable are the few texts that sights have, results apart.
+type textTable struct {
+	texts []string // the first is empty
+	index map[string]uint16
+}
+
+const maxTexts = 4096
+
+func (w *textTable) intern(text string) uint16 {
+	if text == "" {
+		return 0
+	}
+	n, known := w.index[text]
+	if !known && len(w.texts) < maxTexts {
+		n = uint16(len(w.texts))
+		w.texts = append(w.texts, text)
+		w.index[text] = n
+	}
+	return n
+}
+
+func (w *textTable) newEntry(s *trace.Event) logEntry {
+	e := logEntry{at: s.At, worker: int32(s.Worker), scheduler: int16(s.Scheduler), status: int16(s.Status), kind: s.Kind}
+	switch s.Kind {
+	case trace.AttemptFinished:
+	case trace.RequestSent:
+		e.duration = s.Budget
+	case trace.AttemptReceived, trace.AttemptUnread:
+		e.duration = s.FirstByteAt
+	case trace.ResponseReceived:
+		e.duration = s.RetryAfter
+	case trace.WorkerStarted, trace.StartNotified:
+		e.duration = time.Duration(s.Incarnation)
+	case trace.ResourceUsage:
+		e.text = w.intern(fmt.Sprintf("%.1f MB, %d descriptors", float64(s.Memory)/(1<<20), s.OpenFiles))
+	case trace.CallbackAnswered:
+		e.sendings = uint8(s.Number)
+		fallthrough
+	default:
+		e.text = w.intern(s.Text)
+	}
+	return e
+}
+
+// recordJobEvent logs a sight with its job. Where there is no room the middle of the log goes: how it began and how it ended
+// say most.
+func (j *Checker) recordJobEvent(b *job, s *trace.Event, try int) {
+	if len(b.log) == maxJobLog {
+		b.log = slices.Delete(b.log, maxJobLog/2, maxJobLog/2+1)
+		b.omitted++
+	}
+	e := j.texts.newEntry(s)
+	e.request = uint8(try)
+	b.log = append(b.log, e)
+}
+
+// eventRing is the last sights of the fleet.
+type eventRing struct {
+	entries []logEntry
+	next    int
+}
+
+func (r *eventRing) add(e logEntry) {
+	if len(r.entries) < maxFleetLog {
+		r.entries = append(r.entries, e)
+		return
+	}
+	r.entries[r.next] = e
+	r.next = (r.next + 1) % maxFleetLog
+}
+
+// recordFleetEvent keeps a sight of the fleet, or of a query that nobody knows.
+func (j *Checker) recordFleetEvent(s *trace.Event) {
+	e := j.texts.newEntry(s)
+	if s.Kind < trace.WorkerStarted {
+		e.text = j.texts.intern(s.RequestID)
+	}
+	j.fleetLog.add(e)
+}
+
+// eachSince goes through what was seen at an instant and after, in order.
+func (r *eventRing) eachSince(at time.Duration, do func(e *logEntry)) {
+	for i := range r.entries {
+		if e := &r.entries[(r.next+i)%len(r.entries)]; e.at >= at {
+			do(e)
+		}
+	}
+}
+
+// attachExplanation puts a job's story to its breaches, as it is about to be forgotten.
+func (j *Checker) attachExplanation(b *job) {
+	if len(b.violations) == 0 {
+		return
+	}
+	story := j.explainJob(b)
+	for _, i := range b.violations {
+		j.violations[i].Explanation = story
+	}
+	b.violations = nil
+}
+
+// explainJob is what was seen of a job, and meanwhile of the schedulers and worker nodes that it met.
+func (j *Checker) explainJob(b *job) []string {
+	nodes, scheds := map[int32]bool{}, map[int16]bool{}
+	for i := range b.attempts {
+		nodes[int32(b.attempts[i].worker)] = true
+	}
+	for i := range b.requests {
+		scheds[int16(b.requests[i].scheduler)] = true
+	}
+	last := b.dueAt
+	for i := range b.log {
+		last = max(last, b.log[i].at)
+	}
+	var around []logEntry
+	j.fleetLog.eachSince(b.dueAt, func(e *logEntry) {
+		met := false
+		switch {
+		case e.at > last:
+		case e.kind == trace.DrainNotified || e.kind == trace.StartNotified:
+			met = nodes[e.worker] && scheds[e.scheduler]
+		case e.kind >= trace.WorkerStarted && e.kind <= trace.WorkerRecovered || e.kind == trace.WorkerOverloaded:
+			met = nodes[e.worker]
+		case e.kind >= trace.SchedulerStarted && e.kind <= trace.SchedulerExited:
+			met = scheds[e.scheduler]
+		case e.kind == trace.FaultStarted || e.kind == trace.FaultEnded:
+			met = true
+		}
+		if met {
+			around = append(around, *e)
+		}
+	})
+	lines := make([]string, 0, len(b.log)+len(around)+1)
+	for i := range b.log {
+		if i == maxJobLog/2 && b.omitted > 0 {
+			lines = append(lines, fmt.Sprintf("%14s  (%d more)", "", b.omitted))
+		}
+		for len(around) > 0 && around[0].at < b.log[i].at {
+			lines = append(lines, formatLine(&around[0], j.describe(&around[0], nil)))
+			around = around[1:]
+		}
+		lines = append(lines, formatLine(&b.log[i], j.describe(&b.log[i], b)))
+	}
+	for i := range around {
+		lines = append(lines, formatLine(&around[i], j.describe(&around[i], nil)))
+	}
+	return lines
+}
+
+// explainFleet is what was seen of the fleet from an instant on.
+func (j *Checker) explainFleet(from time.Duration) []string {
+	lines := []string{}
+	j.fleetLog.eachSince(from, func(e *logEntry) { lines = append(lines, formatLine(e, j.describe(e, nil))) })
+	return lines[max(0, len(lines)-maxJobLog):]
+}
+
+// explainColdWork is what came to a cold worker node.
+func (j *Checker) explainColdWork(node int) []string {
+	lines := []string{}
+	for _, p := range j.coldWork[node] {
+		e := logEntry{at: p.receivedAt}
+		lines = append(lines, formatLine(&e, fmt.Sprintf("scheduler %d sends %.3f s of work to w-%d, which can do %.2f s a second",
+			p.scheduler, p.work, node, p.capacity)))
+	}
+	j.fleetLog.eachSince(0, func(e *logEntry) {
+		if int(e.worker) == node && (e.kind >= trace.WorkerStarted && e.kind <= trace.StartNotified || e.kind == trace.WorkerOverloaded) {
+			lines = append(lines, formatLine(e, j.describe(e, nil)))
+		}
+	})
+	slices.Sort(lines) // they begin with the time
+	return lines
+}
+
+func formatLine(e *logEntry, words string) string {
+	return fmt.Sprintf("%12.6f s  %s", e.at.Seconds(), words)
+}
+
+// describe says what an entry means; b is the job that it is about, if any.
+func (j *Checker) describe(e *logEntry, b *job) string {
+	node, which, text := fmt.Sprintf("w-%d", e.worker), "", j.texts.texts[e.text]
+	if b != nil && len(b.requests) > 1 && int(e.request) < len(b.requests) {
+		which = fmt.Sprintf(" (try %d)", e.request+1)
+	}
+	switch e.kind {
+	case trace.JobDue:
+		tenant := ""
+		if b.tenant >= 0 && b.tenant < len(j.spec.Tenants) {
+			tenant = " of " + j.spec.Tenants[b.tenant].Name
+		}
+		return fmt.Sprintf("due: %s%s, %v of work on %g slots, given up after %v", b.class.name, tenant, b.work,
+			b.slots, b.deadline)
+	case trace.RequestSent:
+		t := &b.requests[e.request]
+		key := ""
+		if t.key != "" {
+			key = ", key " + t.key
+		}
+		return fmt.Sprintf("asked of scheduler %d as %s, budget %v%s%s", e.scheduler, t.id, e.duration, key, which)
+	case trace.ResponseReceived:
+		after := ""
+		if e.duration > 0 {
+			after = fmt.Sprintf(", to come back after %v", e.duration)
+		}
+		if b != nil && e.status == 200 && int(e.request) < len(b.requests) {
+			after += fmt.Sprintf(", %q", truncate(b.requests[e.request].responseBody))
+		} else if b == nil {
+			after += " to query " + text
+		}
+		return fmt.Sprintf("answered with %d%s%s", e.status, after, which)
+	case trace.ConnectionLost:
+		return "its connection ended without an answer" + which
+	case trace.ClientLeft:
+		return "its client went away" + which
+	case trace.ClientTimedOut:
+		return "its client gave up" + which
+	case trace.SchedulerUnreachable:
+		return "no connection came up for it" + which
+	case trace.JobSettled:
+		return fmt.Sprintf("settled, the last answer being %d", e.status)
+	case trace.AttemptReceived:
+		if text != "" {
+			text = " by query " + text
+		}
+		return fmt.Sprintf("reached %s%s from scheduler %d, its first byte written at %.6f s%s", node, text, e.scheduler,
+			e.duration.Seconds(), which)
+	case trace.AttemptUnread:
+		return fmt.Sprintf("what was written to %s at %.6f s was not read there before its connection ended%s", node,
+			e.duration.Seconds(), which)
+	case trace.AttemptRejected:
+		return fmt.Sprintf("turned away by %s with %d%s", node, e.status, which)
+	case trace.AttemptAccepted:
+		return "accepted by " + node + which
+	case trace.AttemptStarted:
+		if text != "" {
+			return fmt.Sprintf("begins at %s: %s%s", node, text, which)
+		}
+		return "begins at " + node + which
+	case trace.AttemptFinished:
+		made := ""
+		for i := range b.attempts {
+			if a := &b.attempts[i]; e.status == 200 && a.worker == int(e.worker) && a.request == int(e.request) {
+				made = fmt.Sprintf(", %q", truncate(a.result))
+			}
+		}
+		return fmt.Sprintf("has run at %s: %d%s%s", node, e.status, made, which)
+	case trace.AttemptReturned:
+		return "handed back unstarted by " + node + which
+	case trace.AttemptDied:
+		return fmt.Sprintf("died at %s: %s%s", node, text, which)
+	case trace.AttemptCancelled:
+		if text != "" {
+			node += ", its connection being " + text + " on the way"
+		}
+		return "withdrawn at " + node + which
+	case trace.CallbackAnswered:
+		return fmt.Sprintf("note %q of %s answered with %d by scheduler %d, sending %d%s", text, node, e.status, e.scheduler,
+			e.sendings, which)
+	case trace.CallbackLost:
+		return fmt.Sprintf("note %q of %s given up%s", text, node, which)
+	case trace.WorkerOverloaded:
+		return node + " is pushed over"
+	case trace.WorkerStarted:
+		return fmt.Sprintf("%s starts (process %d)", node, e.duration)
+	case trace.WorkerStopped:
+		return node + "'s process ends"
+	case trace.WorkerDraining:
+		return node + " begins to drain"
+	case trace.WorkerHung:
+		return node + " hangs"
+	case trace.WorkerRecovered:
+		return node + " is well again"
+	case trace.DrainNotified:
+		return fmt.Sprintf("scheduler %d is told that %s drains or is gone", e.scheduler, node)
+	case trace.StartNotified:
+		return fmt.Sprintf("scheduler %d is told of the start of %s (process %d)", e.scheduler, node, e.duration)
+	case trace.SchedulerExited:
+		return fmt.Sprintf("scheduler %d ends by itself with %d", e.scheduler, e.status)
+	case trace.SchedulerStarted, trace.SchedulerReady, trace.SchedulerTerminated, trace.SchedulerKilled, trace.SchedulerFrozen, trace.SchedulerResumed, trace.SchedulerReloaded,
+		trace.SchedulerReplaced:
+		return fmt.Sprintf("scheduler %d %s", e.scheduler, [...]string{
+			"starts", "is ready", "gets SIGTERM", "gets SIGKILL",
+			"is frozen", "goes on", "gets SIGHUP",
+		}[e.kind-trace.SchedulerStarted])
+	case trace.FaultStarted:
+		return "fault: " + text
+	case trace.FaultEnded:
+		return "over: " + text
+	case trace.ResourceUsage:
+		return fmt.Sprintf("scheduler %d holds %s", e.scheduler, text)
+	}
+	return fmt.Sprintf("sight %d", e.kind)
+}
+
+// truncate cuts what may be long.
+func truncate(s string) string {
+	const most = 60
+	if len(s) > most {
+		return s[:most] + "..."
+	}
+	return s
+}
+
+// String is a breach with its story, as people read it.
+func (b Violation) String() string {
+	var s strings.Builder
+	fmt.Fprintf(&s, "%s at %.6f s", b.Rule, b.At.Seconds())
+	if b.JobID != 0 {
+		fmt.Fprintf(&s, ", job %d", b.JobID)
+	}
+	if b.RequestID != "" {
+		fmt.Fprintf(&s, ", query %s", b.RequestID)
+	}
+	fmt.Fprintf(&s, ": %s\n", b.Text)
+	for _, l := range b.Explanation {
+		fmt.Fprintf(&s, "  %s\n", l)
+	}
+	return s.String()
+}
--- /dev/null
+++ b/internal/testbed/checker/history.go
@@ -0,0 +1,287 @@
+package checker
+
+import (
+	"math"
+	"time"
+
+	"valvecove/internal/testbed/scenario"
+)
+
+// class is a class of jobs, as far as rules go.
+type class struct {
+	name              string
+	idempotent        bool
+	idempotentWithKey bool
+	nonIdempotent     bool
+	scope             string // of keyed ones
+	window            time.Duration
+	objective         time.Duration
+	objectiveStretch  float64
+	meanWork          time.Duration // of its work
+}
+
+// job is what a client wants, with all that is known of it.
+type job struct {
+	id          uint64
+	class       *class
+	tenant      int
+	slots       float64
+	work        time.Duration
+	dueAt       time.Duration
+	deadline    time.Duration
+	requests    []request
+	attempts    []attempt
+	log         []logEntry
+	omitted     int // entries that the log had no room for
+	brokenRules uint32
+	violations  []int // in Judge.found
+	settled     bool
+}
+
+// newJobBatch makes room for jobs, each with what most of them need.
+func newJobBatch() []*job {
+	type room struct {
+		job
+		requests [1]request
+		attempts [1]attempt
+		log      [14]logEntry
+	}
+	const many = 32
+	rooms, jobs := make([]room, many), make([]*job, many)
+	for i := range rooms {
+		r := &rooms[i]
+		r.job.requests, r.job.attempts, r.job.log = r.requests[:0], r.attempts[:0], r.log[:0]
+		jobs[i] = &r.job
+	}
+	return jobs
+}
+
+// request is one query of a client.
+type request struct {
+	id           string
+	key          string
+	responseBody string        // of its last answer
+	sentAt       time.Duration // asked
+	deadline     time.Duration // its budget is over
+	endedAt      time.Duration // answered or ended, as its client saw it
+	exhaustedAt  time.Duration // when the scheduler knew that no further attempt is allowed; 0: one is
+	unreadUntil  time.Duration // until then an attempt was out that no worker node had read
+	scheduler    int
+	incarnation  int // of the scheduler
+	attemptCount int // attempts that have reached a worker node
+	responses    int
+	status       int
+	state        requestState
+	firstOnConn  bool // on its connection
+	resent       bool // it was sent a second time, on another connection
+}
+
+type requestState uint8
+
+const (
+	requestOpen requestState = iota
+	requestAnswered
+	requestConnLost
+	requestClientLeft // by its client
+	requestTimedOut
+)
+
+// attempt is one sending of a query, from when it has reached a worker node.
+type attempt struct {
+	result      string
+	firstByteAt time.Duration // its first byte was written
+	endedAt     time.Duration // 0: it has not
+	request     int
+	worker      int
+	notExecuted bool // and that proves that it never ran
+	succeeded   bool // by a result
+	started     bool
+	accepted    bool
+	endKnownAt  time.Duration // the scheduler has heard of its end, or gave it up itself; 0: not that anybody knows
+}
+
+// possiblyExecuted tells whether at t nothing proved that it had not.
+func (a *attempt) possiblyExecuted(t time.Duration) bool { return !a.notExecuted || a.endedAt > t }
+
+// inFlight tells whether at t it had neither ended nor been given up.
+func (a *attempt) inFlight(t time.Duration) bool { return a.endedAt == 0 || a.endedAt > t }
+
+func (a *attempt) markEnded(at time.Duration) {
+	if a.endedAt == 0 {
+		a.endedAt = at
+	}
+}
+
+func (a *attempt) markEndKnown(at time.Duration) {
+	if a.endKnownAt == 0 {
+		a.endKnownAt = at
+	}
+}
+
+func (b *job) findRequest(call string) (*request, int) {
+	for i := len(b.requests) - 1; i >= 0; i-- {
+		if b.requests[i].id == call {
+			return &b.requests[i], i
+		}
+	}
+	return nil, -1
+}
+
+// findAttempt finds what a sight at a worker node is about. Of two that are out there one is turned away, the last that
+// came; all else is about the first. Where none is out it is the last.
+func (b *job) findAttempt(try, node int, last bool) *attempt {
+	var found *attempt
+	for i := range b.attempts {
+		a := &b.attempts[i]
+		if a.request != try || a.worker != node {
+			continue
+		}
+		if a.endedAt == 0 && !last {
+			return a
+		}
+		found = a
+	}
+	return found
+}
+
+// hasInFlight tells whether an attempt of its is.
+func (b *job) hasInFlight() bool {
+	for i := range b.attempts {
+		if b.attempts[i].endedAt == 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// scheduler is a scheduler, and what became of its processes.
+type scheduler struct {
+	incarnation     int
+	up              bool
+	exits           []processExit // by process
+	terminatedAt    time.Duration
+	freezes         []interval            // the last one lasts as long as its end is open
+	drainNotifiedAt map[int]time.Duration // by worker node: told so
+	overLimits      bool                  // of its limits, by this process
+}
+
+// processExit is how a process ended.
+type processExit struct {
+	exitedAt     time.Duration // 0: it runs
+	terminatedAt time.Duration // SIGTERM; 0: none
+	killed       bool
+}
+
+// frozenDuring tells whether it was frozen at any time from a to b.
+func (s *scheduler) frozenDuring(a, b time.Duration) bool {
+	return len(s.freezes) > 0 && anyOverlaps(s.freezes, a, b)
+}
+
+// thaw ends a freeze, if there is one.
+func (s *scheduler) thaw(at time.Duration) {
+	if n := len(s.freezes); n > 0 && s.freezes[n-1].end == forever {
+		s.freezes[n-1].end = at
+	}
+}
+
+// forever is the end of what has none.
+const forever = time.Duration(math.MaxInt64)
+
+// interval is a part of the play.
+type interval struct{ start, end time.Duration }
+
+// anyOverlaps tells whether one of the spans has a part of the time from a to b.
+func anyOverlaps(list []interval, a, b time.Duration) bool {
+	for _, s := range list {
+		if s.start <= b && a <= s.end {
+			return true
+		}
+	}
+	return false
+}
+
+// misbehavingClient is one that is owed an error or a close.
+type misbehavingClient struct {
+	connectedAt time.Duration
+	kind        string
+	answered    bool // it had one
+}
+
+// overlap is a suspicion: two attempts of a job are out at once.
+type overlap struct {
+	job               *job
+	rule              rule
+	early, late       int
+	scheduler, worker int           // the way by which the early one would have been given up
+	provedOpenAt      time.Duration // when that proved open; 0: not yet
+}
+
+// retainedJob keeps a settled job for a while.
+type retainedJob struct {
+	job           *job
+	id            uint64 // by which a reused one is told
+	retainedUntil time.Duration
+}
+
+// retentionQueue is a queue of settled jobs, the oldest first, that uses its room again.
+type retentionQueue struct {
+	ring       []retainedJob
+	head, size int
+}
+
+func (f *retentionQueue) add(r retainedJob) {
+	if f.size == len(f.ring) {
+		ring := make([]retainedJob, max(64, 2*len(f.ring)))
+		for i := range f.size {
+			ring[i] = f.ring[(f.head+i)%len(f.ring)]
+		}
+		f.ring, f.head = ring, 0
+	}
+	f.ring[(f.head+f.size)%len(f.ring)] = r
+	f.size++
+}
+
+func (f *retentionQueue) first() *retainedJob { return &f.ring[f.head] }
+
+func (f *retentionQueue) drop() {
+	f.head = (f.head + 1) % len(f.ring)
+	f.size--
+}
+
+// classes are the scenario's classes.
+func classes(spec *scenario.Scenario) []class {
+	list := make([]class, len(spec.Classes))
+	for i := range spec.Classes {
+		c := &spec.Classes[i]
+		list[i] = class{
+			name: c.Name, idempotent: c.Idempotency == "safe", idempotentWithKey: c.Idempotency == "keyed", nonIdempotent: c.Idempotency == "unsafe",
+			scope: c.DeduplicationScope, window: c.DeduplicationWindow.Std(), objective: c.LatencyObjective.Std(), objectiveStretch: c.ObjectiveStretch, meanWork: c.Work.Std(),
+		}
+	}
+	return list
+}
+
+// retention is how long a settled job is remembered that must not run again: what is sent again after the longest
+// window is still known.
+func retention(spec *scenario.Scenario) time.Duration {
+	longest := 5 * time.Second
+	for i := range spec.Classes {
+		longest = max(longest, spec.Classes[i].DeduplicationWindow.Std())
+	}
+	return longest
+}
+
+// workerPlacement are the cells and zones of the scenario's worker nodes, by node. Nodes are dealt out to zones in turn, and
+// cells are filled zone by zone, apart from those in which a zone ends and the next begins.
+func workerPlacement(spec *scenario.Scenario) (cells, zones []int) {
+	n, size, many := spec.Fleet.Workers, max(1, spec.Fleet.CellSize), max(1, len(spec.Fleet.Zones))
+	cells, zones = make([]int, n), make([]int, n)
+	place := 0
+	for z := range many {
+		for i := z; i < n; i += many {
+			cells[i], zones[i] = place/size, z
+			place++
+		}
+	}
+	return cells, zones
+}
--- a/internal/lab/judge/legal_test.go
+++ b/internal/testbed/checker/legal_test.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"fmt"
@@ -9,15 +9,15 @@
 
 	"pgregory.net/rapid"
 
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/seen"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/trace"
 )
 
 // history draws what a scheduler that keeps the rules may do with one job, whatever becomes of its attempts.
 type history struct {
 	t    *rapid.T
 	spec *scenario.Scenario
-	s    []seen.Sight
+	s    []trace.Event
 	job  uint64
 	at   time.Duration
 	free map[int]time.Duration // until when worker nodes have an attempt of the job
@@ -29,7 +29,7 @@
 	h.at += time.Duration(1 + h.draw(int(most)))
 }
 
-func (h *history) see(s seen.Sight) {
+func (h *history) see(s trace.Event) {
 	s.At = h.at
 	h.s = append(h.s, s)
 }
@@ -39,22 +39,22 @@
 	class := h.draw(len(h.spec.Classes))
 	c := &h.spec.Classes[class]
 	h.wait(3 * time.Second)
-	h.see(seen.Sight{
-		What: seen.Due, Job: h.job, Class: class, Work: c.Work.D().Seconds(), Slots: 1,
-		Aim: c.Aim.D() + time.Duration(c.Stretch*float64(c.Work)), Deadline: c.Deadline.D(),
+	h.see(trace.Event{
+		Kind: trace.JobDue, JobID: h.job, Class: class, Work: c.Work.Std().Seconds(), Slots: 1,
+		LatencyObjective: c.LatencyObjective.Std() + time.Duration(c.ObjectiveStretch*float64(c.Work)), Deadline: c.Deadline.Std(),
 	})
 	for n := range 3 {
 		call := fmt.Sprintf("%d-%d", h.job, n)
-		h.see(seen.Sight{
-			What: seen.Asked, Call: call, Job: h.job, Try: n, Conn: h.job<<8 | uint64(n), Key: "k" + call,
-			Budget: c.Deadline.D(),
+		h.see(trace.Event{
+			Kind: trace.RequestSent, RequestID: call, JobID: h.job, Number: n, Conn: h.job<<8 | uint64(n), IdempotencyKey: "k" + call,
+			Budget: c.Deadline.Std(),
 		})
 		if !h.try(c, call, h.at) {
 			break
 		}
 		h.wait(time.Second)
 	}
-	h.see(seen.Sight{What: seen.Settled, Job: h.job})
+	h.see(trace.Event{Kind: trace.JobSettled, JobID: h.job})
 }
 
 // try draws one query; again: its client may ask anew.
@@ -63,35 +63,35 @@
 	risk, cell := time.Duration(0), -1
 	answer := func(status int, text string) bool {
 		h.wait(200 * time.Microsecond)
-		h.see(seen.Sight{What: seen.Answered, Call: call, Status: status, Text: text})
-		return status != 200 && (refusal(status) || c.Effect == "safe")
+		h.see(trace.Event{Kind: trace.ResponseReceived, RequestID: call, Status: status, Text: text})
+		return status != 200 && (isRejection(status) || c.Idempotency == "safe")
 	}
 	for sent := 0; ; sent++ {
 		switch h.draw(6) {
 		case 0: // its client has had enough
 			h.wait(100 * time.Millisecond)
-			h.see(seen.Sight{What: seen.Left, Call: call})
+			h.see(trace.Event{Kind: trace.ClientLeft, RequestID: call})
 			return false
 		case 1:
-			if risk == 0 || c.Effect == "safe" {
+			if risk == 0 || c.Idempotency == "safe" {
 				return answer(503, "")
 			}
 			return answer(500, "")
 		}
-		may := sent < h.spec.Schedulers.TryLimit && h.at < asked+c.Deadline.D()/2
+		may := sent < h.spec.Schedulers.AttemptLimit && h.at < asked+c.Deadline.Std()/2
 		if risk > 0 {
-			may = may && (c.Effect == "safe" || c.Effect == "keyed" && h.at < risk+c.Window.D()-time.Second)
+			may = may && (c.Idempotency == "safe" || c.Idempotency == "keyed" && h.at < risk+c.DeduplicationWindow.Std()-time.Second)
 		}
 		if !may {
-			if risk == 0 || c.Effect == "safe" {
+			if risk == 0 || c.Idempotency == "safe" {
 				return answer(429, "")
 			}
 			return answer(500, "")
 		}
-		node := h.draw(h.spec.Fleet.Nodes)
-		if risk > 0 && c.Effect == "keyed" {
+		node := h.draw(h.spec.Fleet.Workers)
+		if risk > 0 && c.Idempotency == "keyed" {
 			node = cell*h.spec.Fleet.CellSize + h.draw(h.spec.Fleet.CellSize)
-			node = min(node, h.spec.Fleet.Nodes-1)
+			node = min(node, h.spec.Fleet.Workers-1)
 		}
 		result, ran := h.attempt(c, call, node)
 		if result != "" {
@@ -108,42 +108,42 @@
 	h.wait(time.Millisecond)
 	first := h.at
 	h.wait(time.Millisecond)
-	h.see(seen.Sight{What: seen.Reached, Call: call, Node: node, First: first, Key: "k" + call})
-	end := func(s seen.Sight, note string) {
-		s.Call, s.Node = call, node
+	h.see(trace.Event{Kind: trace.AttemptReceived, RequestID: call, Worker: node, FirstByteAt: first, IdempotencyKey: "k" + call})
+	end := func(s trace.Event, note string) {
+		s.RequestID, s.Worker = call, node
 		h.see(s)
 		h.wait(time.Millisecond)
 		if note != "" {
-			h.see(seen.Sight{What: seen.Noted, Call: call, Node: node, Text: note, Status: 204})
+			h.see(trace.Event{Kind: trace.CallbackAnswered, RequestID: call, Worker: node, Text: note, Status: 204})
 		}
 	}
 	switch h.draw(5) {
 	case 0:
-		end(seen.Sight{What: seen.Rejected, Status: 503}, "")
+		end(trace.Event{Kind: trace.AttemptRejected, Status: 503}, "")
 		return "", false
 	case 1:
-		h.see(seen.Sight{What: seen.Accepted, Call: call, Node: node})
+		h.see(trace.Event{Kind: trace.AttemptAccepted, RequestID: call, Worker: node})
 		h.wait(50 * time.Millisecond)
-		end(seen.Sight{What: seen.Returned}, "returned")
+		end(trace.Event{Kind: trace.AttemptReturned}, "returned")
 		return "", false
 	case 2:
-		h.see(seen.Sight{What: seen.Withdrawn, Call: call, Node: node}) // before its 202
+		h.see(trace.Event{Kind: trace.AttemptCancelled, RequestID: call, Worker: node}) // before its 202
 		return "", true
 	}
-	h.see(seen.Sight{What: seen.Accepted, Call: call, Node: node})
+	h.see(trace.Event{Kind: trace.AttemptAccepted, RequestID: call, Worker: node})
 	h.wait(10 * time.Millisecond)
-	h.see(seen.Sight{What: seen.Began, Call: call, Node: node})
-	h.wait(c.Work.D() / 4)
+	h.see(trace.Event{Kind: trace.AttemptStarted, RequestID: call, Worker: node})
+	h.wait(c.Work.Std() / 4)
 	switch h.draw(3) {
 	case 0:
-		end(seen.Sight{What: seen.Died, Text: "crash"}, "lost")
+		end(trace.Event{Kind: trace.AttemptDied, Text: "crash"}, "lost")
 		return "", true
 	case 1:
-		end(seen.Sight{What: seen.Finished, Status: 500}, "failed")
+		end(trace.Event{Kind: trace.AttemptFinished, Status: 500}, "failed")
 		return "", true
 	}
 	result = call + "@" + strconv.Itoa(node)
-	end(seen.Sight{What: seen.Finished, Status: 200, Text: result}, "done")
+	end(trace.Event{Kind: trace.AttemptFinished, Status: 200, Text: result}, "done")
 	return result, true
 }
 
@@ -151,27 +151,27 @@
 func TestLegalHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := scenario.Default()
-		spec.Schedulers.SecondCopies = rapid.Bool().Draw(t, "copies")
-		spec.Schedulers.TryLimit = rapid.IntRange(1, 4).Draw(t, "tries")
-		spec.Classes[3].Group = rapid.SampledFrom([]string{"cell", "all"}).Draw(t, "group")
-		var all []seen.Sight
+		spec.Schedulers.Hedging = rapid.Bool().Draw(t, "copies")
+		spec.Schedulers.AttemptLimit = rapid.IntRange(1, 4).Draw(t, "tries")
+		spec.Classes[3].DeduplicationScope = rapid.SampledFrom([]string{"cell", "all"}).Draw(t, "group")
+		var all []trace.Event
 		for n := range rapid.IntRange(1, 8).Draw(t, "jobs") {
 			h := &history{t: t, spec: spec, job: uint64(n + 1)}
 			h.run()
 			all = append(all, h.s...)
 		}
-		slices.SortStableFunc(all, func(a, b seen.Sight) int { return int(a.At - b.At) })
+		slices.SortStableFunc(all, func(a, b trace.Event) int { return int(a.At - b.At) })
 		j := New(spec, Options{})
 		for i := range all {
-			j.Watch(&all[i])
+			j.Observe(&all[i])
 		}
-		for _, b := range j.Verdict().Broken {
+		for _, b := range j.Verdict().Violations {
 			t.Errorf("blamed: %s", b)
 		}
 		// The same with one answer doubled, or one result swapped.
 		served := []int{}
 		for i := range all {
-			if all[i].What == seen.Answered {
+			if all[i].Kind == trace.ResponseReceived {
 				served = append(served, i)
 			}
 		}
@@ -188,10 +188,10 @@
 		}
 		j = New(spec, Options{})
 		for i := range all {
-			j.Watch(&all[i])
+			j.Observe(&all[i])
 		}
-		if v := j.Verdict(); len(v.Broken) != 1 || v.Broken[0].Rule != rule {
-			t.Errorf("want %s, found %v", rule, v.Broken)
+		if v := j.Verdict(); len(v.Violations) != 1 || v.Violations[0].Rule != rule {
+			t.Errorf("want %s, found %v", rule, v.Violations)
 		}
 	})
 }
@@ -202,36 +202,36 @@
 	j := New(spec, Options{})
 	watch := func(at time.Duration, n uint64) {
 		call := strconv.FormatUint(n, 16)
-		for _, s := range []seen.Sight{
-			{What: seen.Due, Job: n, Class: 2},
+		for _, s := range []trace.Event{
+			{Kind: trace.JobDue, JobID: n, Class: 2},
 			{
-				What: seen.Asked, Job: n, Call: call,
+				Kind: trace.RequestSent, JobID: n, RequestID: call,
 				Conn: n % 50, Budget: time.Second,
 			},
-			{What: seen.Reached, Call: call, First: at},
-			{What: seen.Answered, Call: call, Status: 503},
-			{What: seen.Settled, Job: n},
+			{Kind: trace.AttemptReceived, RequestID: call, FirstByteAt: at},
+			{Kind: trace.ResponseReceived, RequestID: call, Status: 503},
+			{Kind: trace.JobSettled, JobID: n},
 		} {
 			s.At = at
-			j.Watch(&s)
+			j.Observe(&s)
 		}
 	}
-	for n := range uint64(mostSettled + 500) {
+	for n := range uint64(maxSettled + 500) {
 		watch(time.Duration(n)*time.Microsecond, n+1)
 	}
-	if j.counts.Crowded == 0 || len(j.jobs) > mostSettled+1 || len(j.calls) != len(j.jobs) {
-		t.Errorf("%d jobs and %d queries are remembered, %d were forgotten early", len(j.jobs), len(j.calls),
-			j.counts.Crowded)
+	if j.counts.Evicted == 0 || len(j.jobs) > maxSettled+1 || len(j.jobsByRequest) != len(j.jobs) {
+		t.Errorf("%d jobs and %d queries are remembered, %d were forgotten early", len(j.jobs), len(j.jobsByRequest),
+			j.counts.Evicted)
 	}
-	early := j.counts.Crowded
+	early := j.counts.Evicted
 	watch(time.Hour, 1<<40)
-	if len(j.jobs) != 1 || len(j.calls) != 1 || j.counts.Crowded != early {
-		t.Errorf("an hour later %d jobs and %d queries are remembered", len(j.jobs), len(j.calls))
+	if len(j.jobs) != 1 || len(j.jobsByRequest) != 1 || j.counts.Evicted != early {
+		t.Errorf("an hour later %d jobs and %d queries are remembered", len(j.jobs), len(j.jobsByRequest))
 	}
 	for n := range uint64(100) {
-		j.Watch(&seen.Sight{At: time.Hour, What: seen.Noted, Call: "10000000000", Node: int(n)})
+		j.Observe(&trace.Event{At: time.Hour, Kind: trace.CallbackAnswered, RequestID: "10000000000", Worker: int(n)})
 	}
-	if b := j.jobs[1<<40]; len(b.log) != mostLog || b.missing != 5+100-mostLog {
-		t.Errorf("of 105 sights %d are logged, %d missing", len(b.log), b.missing)
+	if b := j.jobs[1<<40]; len(b.log) != maxJobLog || b.omitted != 5+100-maxJobLog {
+		t.Errorf("of 105 sights %d are logged, %d missing", len(b.log), b.omitted)
 	}
 }
--- /dev/null
+++ b/internal/testbed/checker/rules.go
@@ -0,0 +1,572 @@
+package checker
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+
+	"valvecove/internal/testbed/trace"
+)
+
+// rule is a rule's number; its name is what a verdict says.
+type rule uint8
+
+const (
+	ruleOneAnswer rule = iota
+	rulePayoutOnce
+	ruleKeyScope
+	ruleRefusalHarmless
+	ruleDrain
+	ruleCold
+	ruleOnePerWorker
+	ruleAttempts
+	ruleMadeByWorker
+	rulePromptRefusal
+	ruleIDUnknown
+	ruleBadClients
+	ruleLimits
+	ruleCrash
+	ruleCount
+)
+
+// RuleNames are the names of the rules.
+var RuleNames = [ruleCount]string{
+	"one-answer", "payout-once", "key-scope", "refusal-harmless", "drain", "cold",
+	"one-attempt-per-node", "attempts", "made-by-node", "prompt-refusal", "id-unknown", "bad-clients", "limits", "crash",
+}
+
+func (r rule) String() string { return RuleNames[r] }
+
+// report notes a broken rule. A job breaks each rule once.
+func (j *Checker) report(r rule, b *job, call, format string, args ...any) {
+	if b != nil {
+		if b.brokenRules&(1<<r) != 0 {
+			return
+		}
+		b.brokenRules |= 1 << r
+	}
+	if j.violationCounts[r]++; j.violationCounts[r] > maxExplained {
+		return
+	}
+	f := Violation{Rule: r.String(), At: j.now, RequestID: call, Text: fmt.Sprintf(format, args...)}
+	if b != nil {
+		f.JobID = b.id
+		b.violations = append(b.violations, len(j.violations))
+	} else {
+		f.Explanation = j.explainFleet(j.now - 10*time.Second)
+	}
+	j.violations = append(j.violations, f)
+}
+
+func isRejection(status int) bool {
+	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
+}
+
+// ---- One answer ----
+
+func (j *Checker) responseReceived(b *job, t *request, s *trace.Event) {
+	t.responseBody = s.Text
+	switch t.responses++; {
+	case t.responses > 1:
+		j.report(ruleOneAnswer, b, t.id, "its client had a second answer to one query")
+		return
+	case t.state != requestOpen: // its client had gone, and heard it all the same
+		return
+	}
+	t.state, t.endedAt, t.status = requestAnswered, s.At, s.Status
+	if late := s.At - t.deadline; late > j.slack+2*j.clientDelay+j.observationLateness() && !j.isExcused(t, s.At) {
+		j.report(ruleOneAnswer, b, t.id, "its answer came %v after its budget was over", late)
+	}
+	switch {
+	case s.Status == http.StatusOK:
+		j.counts.Served++
+		j.checkResult(b, t, s)
+		return
+	case isRejection(s.Status):
+		j.counts.Rejected++
+		j.checkRejection(b, t, s.At)
+	default:
+		j.counts.Failed++
+	}
+	j.checkPromptness(b, t, s.At)
+}
+
+// requestEnded takes the end of a try without an answer.
+func (j *Checker) requestEnded(b *job, t *request, how requestState, at time.Duration) {
+	if t.state != requestOpen {
+		return
+	}
+	if t.state, t.endedAt = how, at; how == requestClientLeft || how == requestTimedOut && at < t.deadline+2*(j.clientDelay+j.observationLateness()) {
+		j.counts.Excused++
+		return
+	}
+	j.checkUnanswered(b, t, at, how == requestConnLost, &j.counts)
+}
+
+// checkUnanswered says whether an answer was owed. cut: the connection has ended; else its time is up.
+func (j *Checker) checkUnanswered(b *job, t *request, at time.Duration, cut bool, counts *Counts) {
+	c := j.scheduler(t.scheduler)
+	why := "no answer by the end of its budget"
+	if cut {
+		why = "its connection ended without an answer"
+	}
+	idle := t.attemptCount == 0 && (t.firstOnConn || cut && at-t.sentAt <= 2*j.clientDelay)
+	switch e := c.exits[t.incarnation]; {
+	case e.exitedAt > 0 && t.sentAt+j.clientDelay >= e.exitedAt, e.exitedAt > 0 && e.terminatedAt == 0: // not taken by then; killed, or a crash
+	case e.exitedAt > 0 && e.killed:
+		if t.sentAt <= e.terminatedAt+termGrace+j.clientDelay || t.sentAt+j.clientDelay+j.slack >= e.exitedAt || e.exitedAt < e.terminatedAt+j.killDelay ||
+			c.frozenDuring(e.terminatedAt, e.exitedAt) || anyOverlaps(j.clientsCut, t.sentAt, e.exitedAt) {
+			break
+		}
+		j.report(ruleOneAnswer, b, t.id, "SIGKILL found it unanswered, though it came %v after SIGTERM", t.sentAt-e.terminatedAt)
+		return
+	case e.exitedAt > 0:
+		if idle && t.firstOnConn || anyOverlaps(j.clientsCut, t.sentAt, e.exitedAt) {
+			break
+		}
+		j.report(ruleOneAnswer, b, t.id, "its scheduler ended after SIGTERM without having answered it")
+		return
+	case cut && idle, j.isExcused(t, at):
+	default:
+		j.report(ruleOneAnswer, b, t.id, "%s", why)
+		return
+	}
+	counts.Excused++
+}
+
+// isExcused tells whether a try that ended at an instant had met a freeze or a cut that excuses a missing answer.
+func (j *Checker) isExcused(t *request, at time.Duration) bool {
+	for _, f := range j.scheduler(t.scheduler).freezes {
+		// Its scheduler may have read it only when it woke, and counts from there; or woke when time was up.
+		if f.start <= at && t.sentAt-j.clientDelay <= f.end && (f.start <= t.sentAt+j.clientDelay || f.end >= t.deadline-j.slack) {
+			return true
+		}
+	}
+	return anyOverlaps(j.clientsCut, t.sentAt, at)
+}
+
+// ---- What worker nodes see ----
+
+func (j *Checker) attemptReceived(b *job, t *request, n int, s *trace.Event) {
+	j.counts.Attempts++
+	j.checkCounts[ruleDrain]++
+	if c := j.scheduler(s.Scheduler); len(c.drainNotifiedAt) > 0 {
+		if told, ok := c.drainNotifiedAt[s.Worker]; ok && s.FirstByteAt > j.noticedAt(c, told)+j.drainGrace+j.observationLateness() {
+			j.report(ruleDrain, b, t.id, "sent to w-%d %v after scheduler %d was told that it drains or is gone",
+				s.Worker, s.FirstByteAt-told, s.Scheduler)
+		}
+	}
+	t.attemptCount++
+	j.checkCounts[ruleAttempts]++
+	if t.attemptCount > j.attemptLimit {
+		j.report(ruleAttempts, b, t.id, "sent %d times, of %d allowed", t.attemptCount, j.attemptLimit)
+	}
+	if b.class.idempotentWithKey && s.IdempotencyKey != t.key {
+		j.report(ruleKeyScope, b, t.id, "came to w-%d with key %q, its client's is %q", s.Worker, s.IdempotencyKey, t.key)
+	}
+	if t.state != requestOpen && s.FirstByteAt > t.endedAt+j.dialDelay && !j.scheduler(t.scheduler).frozenDuring(t.endedAt, s.FirstByteAt) &&
+		!anyOverlaps(j.clientsCut, t.endedAt, s.FirstByteAt) {
+		j.report(ruleOneAnswer, b, t.id, "sent to w-%d %v after it was over", s.Worker, s.FirstByteAt-t.endedAt)
+	}
+	if t.state == requestAnswered && isRejection(t.status) && !b.class.isRepeatable() {
+		j.report(ruleRefusalHarmless, b, t.id, "came to w-%d after it had been refused", s.Worker)
+	}
+	at := len(b.attempts)
+	b.attempts = append(b.attempts, attempt{firstByteAt: min(s.FirstByteAt, s.At), request: n, worker: s.Worker})
+	for i := range at {
+		early, late := i, at
+		if b.attempts[at].firstByteAt < b.attempts[i].firstByteAt {
+			early, late = at, i
+		}
+		j.checkPair(b, t, early, late, s.Scheduler)
+	}
+}
+
+// noticedAt is when a scheduler can have heard what was written to it: one that is frozen reads nothing, and what it had
+// begun before goes on when it wakes.
+func (j *Checker) noticedAt(c *scheduler, told time.Duration) time.Duration {
+	for _, f := range c.freezes {
+		if told+j.drainGrace >= f.start && told < f.end && f.end < forever {
+			told = f.end
+		}
+	}
+	return told
+}
+
+// isRepeatable tells whether trying again is harmless whatever has run.
+func (c *class) isRepeatable() bool { return c.idempotent || c.idempotentWithKey && c.scope == "all" }
+
+// checkPair holds two attempts of a job against each other.
+func (j *Checker) checkPair(b *job, t *request, early, late, sched int) {
+	x, y := &b.attempts[early], &b.attempts[late]
+	if x.request != y.request {
+		first := &b.requests[min(x.request, y.request)]
+		if b.class.nonIdempotent && first.state == requestAnswered && isRejection(first.status) {
+			j.checkCounts[rulePayoutOnce]++
+			if x.possiblyExecuted(y.firstByteAt) {
+				j.report(rulePayoutOnce, b, t.id,
+					"tried again after a refusal and sent to w-%d, though it may have run at w-%d", y.worker, x.worker)
+			}
+		}
+		return
+	}
+	if x.possiblyExecuted(y.firstByteAt) {
+		switch c := b.class; {
+		case c.nonIdempotent:
+			j.report(rulePayoutOnce, b, t.id, "sent to w-%d, though it may have run at w-%d", y.worker, x.worker)
+		case c.idempotentWithKey && !j.shareScope(c.scope, x.worker, y.worker):
+			j.report(ruleKeyScope, b, t.id, "sent to w-%d, which is not of the %s of w-%d, where it may have run",
+				y.worker, c.scope, x.worker)
+		case c.idempotentWithKey && y.firstByteAt-x.firstByteAt >= c.window:
+			j.report(ruleKeyScope, b, t.id, "sent again %v after it may have run, in a window of %v",
+				y.firstByteAt-x.firstByteAt, c.window)
+		}
+	}
+	if b.class.nonIdempotent {
+		j.checkCounts[rulePayoutOnce]++
+	} else if b.class.idempotentWithKey {
+		j.checkCounts[ruleKeyScope]++
+	}
+	if (x.worker == y.worker || !j.hedging) && x.inFlight(y.firstByteAt) && !anyOverlaps(j.workersImpaired, y.firstByteAt, y.firstByteAt) &&
+		len(j.overlaps) < maxOverlaps {
+		r := ruleAttempts
+		if x.worker == y.worker {
+			r = ruleOnePerWorker
+		}
+		j.checkCounts[r]++
+		j.counts.Overlaps++
+		j.overlaps = append(j.overlaps, overlap{job: b, rule: r, early: early, late: late, scheduler: sched, worker: x.worker})
+	}
+}
+
+// shareScope tells whether two worker nodes drop each other's repeats.
+func (j *Checker) shareScope(group string, x, y int) bool {
+	switch group {
+	case "cell":
+		return elementAt(j.cells, x) == elementAt(j.cells, y)
+	case "zone":
+		return elementAt(j.zones, x) == elementAt(j.zones, y)
+	}
+	return true
+}
+
+func elementAt(list []int, i int) int {
+	if i < 0 || i >= len(list) {
+		return -1
+	}
+	return list[i]
+}
+
+// attemptEvent takes what became of an attempt.
+func (j *Checker) attemptEvent(b *job, t *request, a *attempt, s *trace.Event) {
+	switch s.Kind {
+	case trace.AttemptRejected:
+		j.attemptRejected(b, s)
+		a.notExecuted = true
+		a.markEnded(s.At)
+		a.markEndKnown(j.responseSeenBy(s.At))
+		j.updateExhausted(b, t)
+	case trace.AttemptStarted:
+		if s.Text == "repeat" {
+			j.counts.Duplicates++
+			return
+		}
+		j.counts.Started++
+		j.attemptStarted(b, t, a)
+	case trace.AttemptAccepted:
+		a.accepted = true
+	case trace.AttemptFinished:
+		a.markEnded(s.At)
+		a.result, a.succeeded = s.Text, s.Status == http.StatusOK
+		if !a.succeeded && !a.accepted { // an error in place of the 202
+			a.markEndKnown(j.responseSeenBy(s.At))
+			if b.class.nonIdempotent && t.exhaustedAt == 0 {
+				t.exhaustedAt = a.endKnownAt
+			}
+			j.updateExhausted(b, t)
+		}
+	case trace.AttemptReturned:
+		a.notExecuted = true
+		a.markEnded(s.At)
+	case trace.AttemptDied:
+		a.markEnded(s.At)
+	case trace.AttemptCancelled:
+		if a.markEnded(s.At); s.Text == "" {
+			a.markEndKnown(s.At)
+		}
+	case trace.CallbackAnswered:
+		if s.Status/100 != 2 || s.Scheduler != t.scheduler || t.incarnation != j.scheduler(s.Scheduler).incarnation {
+			return
+		}
+		switch s.Text {
+		case "failed", "lost":
+			a.markEndKnown(s.At)
+			if b.class.nonIdempotent && t.exhaustedAt == 0 {
+				t.exhaustedAt = s.At
+			}
+		case "returned":
+			a.markEndKnown(s.At)
+		}
+		j.updateExhausted(b, t)
+	}
+}
+
+// responseSeenBy is when a scheduler has heard what a worker node has answered at an instant.
+func (j *Checker) responseSeenBy(at time.Duration) time.Duration {
+	for _, s := range j.workersCut {
+		if s.start <= at+j.workerDelay && at < s.end {
+			at = s.end
+		}
+	}
+	return min(at, forever-j.workerDelay) + j.workerDelay
+}
+
+// attemptStarted takes the begin of a run.
+func (j *Checker) attemptStarted(b *job, t *request, a *attempt) {
+	if a.started {
+		return
+	}
+	if a.started = true; !b.class.nonIdempotent {
+		return
+	}
+	j.checkCounts[rulePayoutOnce]++
+	for i := range b.attempts {
+		x := &b.attempts[i]
+		if x == a || !x.started {
+			continue
+		}
+		if first := &b.requests[min(x.request, a.request)]; x.request == a.request || first.state == requestAnswered && isRejection(first.status) {
+			j.report(rulePayoutOnce, b, t.id, "begins at w-%d, and had begun at w-%d", a.worker, x.worker)
+		}
+	}
+}
+
+// attemptRejected looks at why a worker node turned a query away.
+func (j *Checker) attemptRejected(b *job, s *trace.Event) {
+	switch s.Status {
+	case http.StatusBadRequest:
+		j.report(ruleIDUnknown, b, s.RequestID, "w-%d got query %q, which no client sent in this form", s.Worker, s.RequestID)
+	case http.StatusNotFound:
+		j.report(ruleIDUnknown, b, s.RequestID, "w-%d got a query without an id", s.Worker)
+	}
+}
+
+// ---- Refusals and results ----
+
+func (j *Checker) checkRejection(b *job, t *request, at time.Duration) {
+	j.checkCounts[ruleRefusalHarmless]++
+	if b.class.isRepeatable() {
+		return
+	}
+	n := t.indexIn(b)
+	for i := range b.attempts {
+		if a := &b.attempts[i]; a.request == n && a.possiblyExecuted(at) {
+			j.report(ruleRefusalHarmless, b, t.id, "refused with %d, though it may have run at w-%d", t.status, a.worker)
+			return
+		}
+	}
+}
+
+func (t *request) indexIn(b *job) int {
+	_, n := b.findRequest(t.id)
+	return n
+}
+
+func (j *Checker) checkResult(b *job, t *request, s *trace.Event) {
+	j.checkCounts[ruleMadeByWorker]++
+	n := t.indexIn(b)
+	for i := range b.attempts {
+		if a := &b.attempts[i]; a.request == n && a.succeeded && a.result == s.Text {
+			return
+		}
+	}
+	j.report(ruleMadeByWorker, b, t.id, "served with %q, which no worker node made for it", truncate(s.Text))
+}
+
+// updateExhausted notes when a scheduler knows that no attempt is left to it.
+func (j *Checker) updateExhausted(b *job, t *request) {
+	if t.attemptCount < j.attemptLimit || t.exhaustedAt > 0 || t.state != requestOpen {
+		return
+	}
+	n, last := t.indexIn(b), time.Duration(0)
+	for i := range b.attempts {
+		if a := &b.attempts[i]; a.request == n {
+			if a.endKnownAt == 0 {
+				return
+			}
+			last = max(last, a.endKnownAt)
+		}
+	}
+	t.exhaustedAt = last
+}
+
+// checkPromptness is the rule that what was given up is answered at once; see the package's doc.
+func (j *Checker) checkPromptness(b *job, t *request, at time.Duration) {
+	if j.scheduler(t.scheduler).frozenDuring(t.sentAt, at) || anyOverlaps(j.clientsCut, t.sentAt, at) {
+		return
+	}
+	j.checkCounts[rulePromptRefusal]++
+	if t.exhaustedAt > 0 && at > t.exhaustedAt+j.rejectionDeadline+j.clientDelay+j.observationLateness() {
+		j.report(rulePromptRefusal, b, t.id, "answered with %d %v after its scheduler knew that no attempt was left to it",
+			t.status, at-t.exhaustedAt)
+		return
+	}
+	if !isRejection(t.status) {
+		return
+	}
+	n, last := t.indexIn(b), max(t.sentAt, t.unreadUntil)
+	for i := range b.attempts {
+		switch a := &b.attempts[i]; {
+		case a.request != n:
+		case a.endKnownAt == 0: // its scheduler may have waited for it
+			return
+		default:
+			last = max(last, a.endKnownAt)
+		}
+	}
+	within := j.rejectionDeadline + j.clientDelay + j.observationLateness()
+	if anyOverlaps(j.connectsImpaired, at-j.dialDelay, at) { // it may have waited for a connection
+		within += j.dialDelay
+	}
+	hope := t.sentAt + j.objectiveHorizon(b, t)
+	if at > max(hope, last)+within {
+		j.report(rulePromptRefusal, b, t.id,
+			"refused %v after it was asked, when nothing had been out of it for %v, and nothing to hope for after %v",
+			at-t.sentAt, at-last, hope-t.sentAt)
+	}
+}
+
+// objectiveHorizon is how long after it was asked a scheduler may have hoped to bring a query in by its aim, however wrong its
+// idea of the work. Of one held for heavy it knows that even the fastest worker node needs a good part of the work.
+func (j *Checker) objectiveHorizon(b *job, t *request) time.Duration {
+	c, budget := b.class, t.deadline-t.sentAt
+	work := float64(max(b.work, c.meanWork)) * j.estimateFactor
+	aim := float64(c.objective) + c.objectiveStretch*work
+	if c.objectiveStretch > 0 {
+		aim = min(aim, float64(budget)-float64(budget-c.objective)/(j.heavyFactor*j.maxSpeed*c.objectiveStretch))
+	}
+	return min(time.Duration(aim), budget)
+}
+
+// ---- Overlaps ----
+
+// resolveOverlaps looks at suspicions again, as a sight comes in that may settle some.
+func (j *Checker) resolveOverlaps(s *trace.Event) {
+	kept := j.overlaps[:0]
+	for _, o := range j.overlaps {
+		x, y := &o.job.attempts[o.early], &o.job.attempts[o.late]
+		switch {
+		case o.provedOpenAt > 0 && s.At > o.provedOpenAt+j.workerDelay && x.inFlight(o.provedOpenAt+j.workerDelay):
+			j.reportOverlap(o)
+			continue
+		case x.endedAt > 0:
+			continue
+		case o.provedOpenAt == 0 && s.Kind == trace.AttemptReceived && s.Worker == o.worker && s.Scheduler == o.scheduler && s.FirstByteAt > y.firstByteAt+j.dialDelay:
+			o.provedOpenAt = s.At
+		}
+		kept = append(kept, o)
+	}
+	clear(j.overlaps[len(kept):])
+	j.overlaps = kept
+}
+
+func (j *Checker) reportOverlap(o overlap) {
+	x, y := &o.job.attempts[o.early], &o.job.attempts[o.late]
+	j.report(o.rule, o.job, o.job.requests[x.request].id, "sent to w-%d while an attempt at w-%d was out", y.worker, x.worker)
+}
+
+// dropOverlaps forgets suspicions of a job.
+func (j *Checker) dropOverlaps(b *job) {
+	kept := j.overlaps[:0]
+	for _, o := range j.overlaps {
+		if o.job != b {
+			kept = append(kept, o)
+		}
+	}
+	clear(j.overlaps[len(kept):])
+	j.overlaps = kept
+}
+
+// ---- Cold worker nodes ----
+
+// coldArrival is work that came to a cold worker node.
+type coldArrival struct {
+	receivedAt time.Duration
+	scheduler  int
+	work       float64
+	capacity   float64
+}
+
+func (j *Checker) coldWorkReceived(s *trace.Event) {
+	list := j.coldWork[s.Worker]
+	if len(list) == maxColdWork {
+		list = append(list[:0], list[1:]...)
+	}
+	j.coldWork[s.Worker] = append(list, coldArrival{s.At, s.Scheduler, s.Slots * s.Work, s.Share})
+	j.checkCounts[ruleCold]++
+}
+
+func (j *Checker) workerOverloaded(s *trace.Event) {
+	j.recordFleetEvent(s)
+	if s.Share < 2.0/3 {
+		return
+	}
+	before := len(j.violations)
+	j.report(ruleCold, nil, "", "w-%d was pushed over while cold, %.0f %% of the work from schedulers told of its start",
+		s.Worker, 100*s.Share)
+	if len(j.violations) > before {
+		j.violations[before].Explanation = j.explainColdWork(s.Worker)
+	}
+}
+
+// ---- Bad clients, limits ----
+
+// misbehaviorDeadline is the time within which a bad client of a kind has its error or its close.
+func (j *Checker) misbehaviorDeadline(kind string) time.Duration {
+	d := j.spec.Rules.MisbehaviorDeadline.Std()
+	if kind == "huge_body" {
+		d *= 2
+	}
+	return d + j.slack
+}
+
+func (j *Checker) misbehavingClientAnswered(s *trace.Event) {
+	b, known := j.misbehaving[s.Conn]
+	if !known {
+		j.counts.Unknown++
+		return
+	}
+	again := b.answered
+	b.answered = true
+	j.misbehaving[s.Conn] = b
+	j.checkCounts[ruleBadClients]++
+	switch took := s.At - b.connectedAt; {
+	case s.Status == http.StatusOK:
+		j.report(ruleBadClients, nil, "", "a bad client (%s) was served as if its request had run", b.kind)
+	case !again && took > j.misbehaviorDeadline(b.kind)+j.observationLateness():
+		j.report(ruleBadClients, nil, "", "a bad client (%s) waited %v for an error or a close", b.kind, took)
+	}
+}
+
+func (j *Checker) reportUnansweredClient(b misbehavingClient) {
+	j.checkCounts[ruleBadClients]++
+	j.report(ruleBadClients, nil, "", "a bad client (%s) of %v has neither an error nor a close", b.kind, b.connectedAt)
+}
+
+func (j *Checker) checkUsage(s *trace.Event) {
+	j.checkCounts[ruleLimits]++
+	c, own := j.scheduler(s.Scheduler), &j.spec.Schedulers
+	text := ""
+	switch {
+	case own.MemoryMB > 0 && s.Memory > int64(own.MemoryMB)<<20:
+		text = fmt.Sprintf("scheduler %d holds %.1f MB, of %d allowed", s.Scheduler, float64(s.Memory)/(1<<20), own.MemoryMB)
+	case own.Sockets > 0 && s.OpenFiles > own.Sockets:
+		text = fmt.Sprintf("scheduler %d holds %d descriptors, of %d allowed", s.Scheduler, s.OpenFiles, own.Sockets)
+	}
+	if text == "" || c.overLimits {
+		return
+	}
+	c.overLimits = true
+	j.recordFleetEvent(s)
+	j.report(ruleLimits, nil, "", "%s", text)
+}
--- /dev/null
+++ b/internal/testbed/checker/rules_test.go
@@ -0,0 +1,207 @@
+package checker
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/trace"
+)
+
+var update = flag.Bool("update", false, "write what is found to the golden files")
+
+// verbs are the names of sights in scripts.
+var verbs = map[string]trace.Kind{
+	"due": trace.JobDue, "asked": trace.RequestSent, "answered": trace.ResponseReceived, "lost": trace.ConnectionLost, "left": trace.ClientLeft,
+	"gaveup": trace.ClientTimedOut, "settled": trace.JobSettled, "oddbegan": trace.MisbehavingClientConnected, "oddended": trace.MisbehavingClientAnswered,
+	"unreached": trace.SchedulerUnreachable, "reached": trace.AttemptReceived, "rejected": trace.AttemptRejected, "accepted": trace.AttemptAccepted,
+	"began": trace.AttemptStarted, "finished": trace.AttemptFinished, "returned": trace.AttemptReturned, "died": trace.AttemptDied,
+	"withdrawn": trace.AttemptCancelled, "noted": trace.CallbackAnswered, "notelost": trace.CallbackLost, "linked": trace.WorkerConnected,
+	"pushed": trace.ColdWorkReceived, "fell": trace.WorkerOverloaded, "nodeup": trace.WorkerStarted, "nodedown": trace.WorkerStopped,
+	"nodedrain": trace.WorkerDraining, "nodehang": trace.WorkerHung, "nodewell": trace.WorkerRecovered, "drained": trace.DrainNotified,
+	"started": trace.StartNotified, "schedup": trace.SchedulerStarted, "schedready": trace.SchedulerReady, "schedterm": trace.SchedulerTerminated,
+	"schedkill": trace.SchedulerKilled, "schedfroze": trace.SchedulerFrozen, "schedwoke": trace.SchedulerResumed,
+	"schedhup": trace.SchedulerReloaded, "schedexit": trace.SchedulerExited, "faulton": trace.FaultStarted, "faultoff": trace.FaultEnded,
+	"usage": trace.ResourceUsage, "late": trace.TestbedLate, "unread": trace.AttemptUnread,
+}
+
+// Each file of testdata is a history of sights, a line each, and below a line of dashes what the judge makes of it.
+// "set" lines change the scenario before. A history has right beside wrong: what is not told was not blamed.
+func TestRules(t *testing.T) {
+	files, err := filepath.Glob("testdata/*.txt")
+	if err != nil || len(files) < int(ruleCount) {
+		t.Fatalf("%d histories for %d rules, %v", len(files), ruleCount, err)
+	}
+	broken := map[string]bool{}
+	for _, name := range files {
+		t.Run(strings.TrimSuffix(filepath.Base(name), ".txt"), func(t *testing.T) {
+			text, err := os.ReadFile(name)
+			if err != nil {
+				t.Fatal(err)
+			}
+			script, want, _ := strings.Cut(string(text), "----\n")
+			v := runScript(t, script)
+			got := formatVerdict(v)
+			for _, b := range v.Violations {
+				broken[b.Rule] = true
+			}
+			if *update {
+				if err := os.WriteFile(name, []byte(script+"----\n"+got), 0o644); err != nil {
+					t.Fatal(err)
+				}
+			} else if got != want {
+				t.Errorf("found\n%s\nwant\n%s", got, want)
+			}
+		})
+	}
+	for _, rule := range RuleNames {
+		if !broken[rule] {
+			t.Errorf("no history breaks %s", rule)
+		}
+	}
+}
+
+func formatVerdict(v Verdict) string {
+	var s strings.Builder
+	for _, b := range v.Violations {
+		s.WriteString(b.String())
+	}
+	for _, r := range v.Rules {
+		if r.Violated > 0 {
+			fmt.Fprintf(&s, "%s: broken %d times\n", r.Rule, r.Violated)
+		}
+	}
+	if v.Invalid != "" {
+		fmt.Fprintf(&s, "void: %s\n", v.Invalid)
+	}
+	fmt.Fprintf(&s, "excused %d, open %d\n", v.Counts.Excused, v.Counts.Open)
+	return s.String()
+}
+
+// runScript has a judge watch a script.
+func runScript(t *testing.T, script string) Verdict {
+	t.Helper()
+	spec, opt := scenario.Default(), Options{}
+	var j *Checker
+	for n, line := range strings.Split(script, "\n") {
+		fields := strings.Fields(line)
+		if len(fields) == 0 || fields[0] == "#" {
+			continue
+		}
+		if fields[0] == "set" {
+			changeScenario(t, spec, &opt, fields[1:])
+			continue
+		}
+		if j == nil {
+			j = New(spec, opt)
+		}
+		at, err := time.ParseDuration(fields[0])
+		what, known := verbs[fields[1]]
+		if err != nil || !known {
+			t.Fatalf("line %d: %q: %v", n+1, line, err)
+		}
+		s := trace.Event{At: at, Kind: what}
+		for _, f := range fields[2:] {
+			key, value, _ := strings.Cut(f, "=")
+			setField(t, spec, &s, key, value)
+		}
+		if s.Kind == trace.JobDue {
+			c := &spec.Classes[s.Class]
+			s.Work, s.Slots = c.Work.Std().Seconds(), 1
+			s.Deadline, s.LatencyObjective = c.Deadline.Std(), c.LatencyObjective.Std()+time.Duration(c.ObjectiveStretch*float64(c.Work))
+		}
+		j.Observe(&s)
+	}
+	v := j.Verdict()
+	if again := j.Verdict(); formatVerdict(again) != formatVerdict(v) {
+		t.Errorf("asked twice, the judge says\n%s\nand then\n%s", formatVerdict(v), formatVerdict(again))
+	}
+	return v
+}
+
+func changeScenario(t *testing.T, spec *scenario.Scenario, opt *Options, what []string) {
+	t.Helper()
+	for _, f := range what {
+		switch key, value, _ := strings.Cut(f, "="); key {
+		case "live":
+			opt.RealProcesses = true
+		case "no_copies":
+			spec.Schedulers.Hedging = false
+		case "try_limit":
+			spec.Schedulers.AttemptLimit, _ = strconv.Atoi(value)
+		case "hints":
+			spec.Load.Hints = value
+		case "hint_factor":
+			spec.Load.HintFactor, _ = strconv.ParseFloat(value, 64)
+		case "untold":
+			spec.Fleet.Kinds[0].OmitsStartNotifications = true
+		case "clients", "nodes": // are cut off for a second
+			from, _ := time.ParseDuration(value)
+			spec.Faults = append(spec.Faults, scenario.Fault{
+				Kind: "cut", Between: "schedulers", And: key,
+				At: scenario.Duration(from), Duration: scenario.Duration(time.Second),
+			})
+		default:
+			t.Fatalf("set %s is unknown", f)
+		}
+	}
+}
+
+func setField(t *testing.T, spec *scenario.Scenario, s *trace.Event, key, value string) {
+	t.Helper()
+	n, _ := strconv.Atoi(value)
+	d, _ := time.ParseDuration(value)
+	x, _ := strconv.ParseFloat(value, 64)
+	switch key {
+	case "job":
+		s.JobID = uint64(n)
+	case "class":
+		for i := range spec.Classes {
+			if strings.Contains(spec.Classes[i].Name, value) {
+				s.Class = i
+			}
+		}
+	case "call":
+		s.RequestID = value
+	case "key":
+		s.IdempotencyKey = value
+	case "text":
+		s.Text = value
+	case "try":
+		s.Number = n
+	case "sched":
+		s.Scheduler = n
+	case "node":
+		s.Worker = n
+	case "boot":
+		s.Incarnation = n
+	case "status":
+		s.Status = n
+	case "conn":
+		s.Conn = uint64(n)
+	case "files":
+		s.OpenFiles = n
+	case "memory":
+		s.Memory = int64(n)
+	case "share":
+		s.Share = x
+	case "work":
+		s.Work, s.Slots = x, 1
+	case "budget":
+		s.Budget = d
+	case "first":
+		s.FirstByteAt = d
+	case "after":
+		s.RetryAfter = d
+	case "span":
+		s.Lateness = d
+	default:
+		t.Fatalf("%s is no part of a sight", key)
+	}
+}
--- /dev/null
+++ b/internal/testbed/checker/run_test.go
@@ -0,0 +1,72 @@
+package checker
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simapi"
+	"valvecove/internal/testbed/simulation"
+	"valvecove/internal/testbed/trace"
+)
+
+// The judge deals cells and zones as the world does.
+func TestRacks(t *testing.T) {
+	spec := scenario.Default()
+	spec.Fleet.Workers, spec.Fleet.Zones, spec.Fleet.CellSize = 23, []string{"a", "b", "c"}, 3
+	cells, zones := workerPlacement(spec)
+	listed := 0
+	trace := func(_ time.Duration, ins []simapi.Input, _ []simapi.Output) {
+		for _, in := range ins {
+			if in.Start == nil {
+				continue
+			}
+			for _, h := range in.Start.KnownEndpoints.Endpoints {
+				n, _ := scenario.NodeIndex(h.ID, spec.Fleet.Workers)
+				if listed++; cells[n] != h.Cell || spec.Fleet.Zones[zones[n]] != h.Zone {
+					t.Errorf("%s is of cell %d in zone %s, the judge says %d in %d", h.ID, h.Cell, h.Zone, cells[n], zones[n])
+				}
+			}
+		}
+	}
+	if _, err := simulation.Run(spec, 1, simulation.Options{Trace: trace, Until: time.Second}); err != nil || listed < 20 {
+		t.Errorf("%d worker nodes were listed, %v", listed, err)
+	}
+}
+
+// The cost of a request, all its sights together, among 256 that are out at a time.
+func BenchmarkWatch(b *testing.B) {
+	const out = 256
+	story := []trace.Event{
+		{Kind: trace.JobDue, Deadline: 5 * time.Second},
+		{Kind: trace.RequestSent, Budget: 5 * time.Second},
+		{Kind: trace.AttemptReceived},
+		{Kind: trace.AttemptAccepted},
+		{Kind: trace.AttemptStarted},
+		{Kind: trace.CallbackAnswered, Text: "started", Status: 204},
+		{Kind: trace.AttemptFinished, Status: 200, Text: "r"},
+		{Kind: trace.CallbackAnswered, Text: "done", Status: 204},
+		{Kind: trace.ResponseReceived, Status: 200, Text: "r"},
+		{Kind: trace.JobSettled, Status: 200},
+	}
+	calls := make([]string, b.N+out)
+	for i := range calls {
+		calls[i] = fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15)
+	}
+	j, now := New(scenario.Default(), Options{}), time.Duration(0)
+	b.ResetTimer()
+	for n := 0; n < b.N; n += out {
+		for i := range story {
+			s := &story[i]
+			for k := n; k < n+out; k++ {
+				now += 5 * time.Microsecond
+				s.At, s.FirstByteAt, s.JobID, s.RequestID, s.Conn, s.Worker = now, now, uint64(k+1), calls[k], uint64(k%out), k%100
+				j.Observe(s)
+			}
+		}
+	}
+	if broken := j.Verdict().Violations; len(broken) > 0 {
+		b.Fatal(broken[0])
+	}
+}
--- /dev/null
+++ b/internal/testbed/environment/arrivals.go
@@ -0,0 +1,386 @@
+package environment
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+	"sort"
+	"time"
+
+	"valvecove/internal/testbed/scenario"
+)
+
+// arrivals is when jobs fall due, and what they are. Each tenant's jobs of a class are a stream of their own with
+// random numbers of its own, drawn one job ahead: nothing that schedulers do shifts them. Only a closed load waits
+// for answers, as it must; there each client's n-th job is the same in every play of a seed.
+type arrivals struct {
+	clients       *clients
+	length        time.Duration
+	shape         loadShape
+	sources       []*jobSource
+	cumulative    []float64 // by cell: the share of all jobs that are of it or of one before it
+	closedClients int
+	burstStreams  int // streams of bursts so far
+	buckets       []quotaBucket
+}
+
+// jobSource is the jobs of one class and one tenant.
+type jobSource struct {
+	class, tenant int
+	rate          float64 // jobs a second on the mean
+	quietFactors  []*float64
+	thinning      *rand.Rand // which of its jobs fall away while it is quiet
+}
+
+// arrivalStream is a Poisson process of jobs, thinned to the load's shape: candidates come at the rate of its peak, and as
+// many of them are jobs as the shape has then.
+type arrivalStream struct {
+	arrivals *arrivals
+	source   *jobSource
+	rng      *rand.Rand
+	rate     float64 // candidates a second
+	at       time.Duration
+	stopped  bool
+	fire     func()
+}
+
+// closedClient is one client of a closed load.
+type closedClient struct {
+	arrivals   *arrivals
+	rng        *rand.Rand
+	sources    []*jobSource // that it draws its jobs from, by reach
+	cumulative []float64
+	last       time.Duration
+	stopped    bool
+}
+
+// quotaBucket meters what is within a tenant's share.
+type quotaBucket struct {
+	rate, capacity, tokens float64
+	updatedAt              time.Duration
+}
+
+// quotaWindow is how far a tenant's jobs may run ahead of its share: what it asked too little of in so long a span, it
+// may ask for later.
+const quotaWindow = 2 * time.Second
+
+// thinkTime is the least time between two jobs of one client of a closed load.
+const thinkTime = time.Millisecond
+
+func newArrivals(c *clients) *arrivals {
+	spec := c.env.Spec
+	a := &arrivals{clients: c, length: spec.Length.Std(), closedClients: spec.Load.ClosedClients}
+	a.shape = newLoadShape(&spec.Load, a.length, c.env.rng("shape", 0))
+	classes, tenants := 0.0, 0.0
+	for i := range spec.Classes {
+		classes += spec.Classes[i].Share
+	}
+	for _, t := range spec.Tenants {
+		tenants += t.Quota
+	}
+	sum := 0.0
+	for i := range spec.Classes {
+		for j, t := range spec.Tenants {
+			part := spec.Classes[i].Share / classes * t.Quota / tenants * t.Usage
+			if !(part > 0) { // nor where nobody has a share
+				continue
+			}
+			sum += part
+			a.cumulative = append(a.cumulative, sum)
+			a.sources = append(a.sources, &jobSource{
+				class: i, tenant: j, rate: part * spec.Rate(),
+				thinning: c.env.rng("quiet", i*len(spec.Tenants)+j),
+			})
+		}
+	}
+	for i := range a.cumulative {
+		a.cumulative[i] /= sum
+	}
+	for i := range spec.Tenants {
+		rate := spec.QuotaRate(i)
+		most := max(1, rate*quotaWindow.Seconds())
+		a.buckets = append(a.buckets, quotaBucket{rate, most, most, 0})
+	}
+	return a
+}
+
+func (a *arrivals) start() {
+	for _, k := range a.sources {
+		if a.closedClients == 0 {
+			a.startStream(k, a.clients.env.rng("arrivals", k.class*len(a.clients.env.Spec.Tenants)+k.tenant), 1)
+		}
+	}
+	a.addClosedClients(a.sources, a.cumulative, a.closedClients, "closed", 0)
+	a.clients.env.schedule(a.length, func() {}) // the play isn't over before, whether or not jobs come
+}
+
+// startStream starts a stream of a cell's jobs, at so many times the cell's own rate.
+func (a *arrivals) startStream(k *jobSource, rng *rand.Rand, times float64) *arrivalStream {
+	s := &arrivalStream{arrivals: a, source: k, rng: rng, rate: k.rate * times * a.shape.peak(), at: a.clients.env.now}
+	s.fire = s.arrive
+	if s.rate > 0 {
+		s.scheduleNext()
+	}
+	return s
+}
+
+func (s *arrivalStream) scheduleNext() {
+	gap := s.rng.ExpFloat64() / s.rate
+	if left := (s.arrivals.length - s.at).Seconds(); gap >= left {
+		return
+	}
+	s.at += time.Duration(gap * float64(time.Second))
+	s.arrivals.clients.env.schedule(s.at, s.fire)
+}
+
+func (s *arrivalStream) arrive() {
+	if s.stopped {
+		return
+	}
+	if level, peak := s.arrivals.shape.level(s.at), s.arrivals.shape.peak(); level >= peak || s.rng.Float64()*peak < level {
+		j := s.arrivals.drawJob(s.rng, s.source)
+		if s.source.keepsJob() {
+			s.arrivals.clients.jobDue(j, s.at)
+		}
+	}
+	s.scheduleNext()
+}
+
+// keepsJob tells whether a job that would fall due does, as some don't while the cell is quiet.
+func (k *jobSource) keepsJob() bool {
+	for _, share := range k.quietFactors {
+		if k.thinning.Float64() >= *share {
+			return false
+		}
+	}
+	return true
+}
+
+// startBurst multiplies what a tenant (-1: all), and of a class (-1: all), asks for until undo. What comes on top has
+// streams of its own, so that all else falls due as it would have. Bursts that overlap add up, those below 1
+// multiply. To a closed load more clients come, as many as are a part of it; it never has fewer.
+func (c *clients) startBurst(tenant, class int, factor float64) (undo func()) {
+	a := c.arrivals
+	var (
+		struck []*jobSource
+		reach  []float64
+		share  float64
+		before float64
+	)
+	for i, k := range a.sources {
+		if (tenant < 0 || k.tenant == tenant) && (class < 0 || k.class == class) {
+			struck = append(struck, k)
+			share += a.cumulative[i] - before
+			reach = append(reach, share)
+		}
+		before = a.cumulative[i]
+	}
+	if factor < 1 {
+		for _, k := range struck {
+			k.quietFactors = append(k.quietFactors, &factor)
+		}
+		return func() {
+			for _, k := range struck {
+				k.quietFactors = slices.DeleteFunc(k.quietFactors, func(f *float64) bool { return f == &factor })
+			}
+		}
+	}
+	a.burstStreams++
+	if a.closedClients > 0 {
+		for i := range reach {
+			reach[i] /= share
+		}
+		n := int(math.Round((factor - 1) * share * float64(a.closedClients)))
+		more := a.addClosedClients(struck, reach, n, "burst", a.burstStreams<<32)
+		return func() {
+			for _, s := range more {
+				s.stopped = true
+			}
+		}
+	}
+	var more []*arrivalStream
+	for i, k := range struck {
+		more = append(more, a.startStream(k, c.env.rng("burst", a.burstStreams<<32+i), factor-1))
+	}
+	return func() {
+		for _, s := range more {
+			s.stopped = true
+		}
+	}
+}
+
+// addClosedClients lets n clients of a closed load begin, spread over a tenth of a second.
+func (a *arrivals) addClosedClients(cells []*jobSource, reach []float64, n int, name string, first int) []*closedClient {
+	if len(cells) == 0 {
+		return nil
+	}
+	list := make([]*closedClient, n)
+	for i := range list {
+		s := &closedClient{arrivals: a, rng: a.clients.env.rng(name, first+i), sources: cells, cumulative: reach}
+		s.last = a.clients.env.now + time.Duration(s.rng.Int64N(int64(100*time.Millisecond))) - thinkTime
+		list[i] = s
+		s.sendNext()
+	}
+	return list
+}
+
+// sendNext has the client ask for its next job at once.
+func (s *closedClient) sendNext() {
+	at := max(s.arrivals.clients.env.now, s.last+thinkTime)
+	if at >= s.arrivals.length {
+		return
+	}
+	s.last = at
+	s.arrivals.clients.env.schedule(at, func() {
+		if s.stopped {
+			return
+		}
+		i := sort.SearchFloat64s(s.cumulative, s.rng.Float64())
+		j := s.arrivals.drawJob(s.rng, s.sources[min(i, len(s.sources)-1)])
+		j.client = s
+		s.arrivals.clients.jobDue(j, at)
+	})
+}
+
+// drawJob draws a job.
+func (a *arrivals) drawJob(rng *rand.Rand, k *jobSource) *job {
+	spec := &a.clients.env.Spec.Classes[k.class]
+	load, acts := &a.clients.env.Spec.Load, &a.clients.env.Spec.Clients
+	j := &job{class: k.class, tenant: k.tenant, firstRiskAt: -1}
+	j.work = drawWork(rng, spec)
+	j.slots = drawSlots(rng, spec.Slots)
+	hint := 0.0
+	switch load.Hints {
+	case "exact":
+		hint = j.work
+	case "rough":
+		hint = j.work * math.Exp(load.HintFactor*rng.NormFloat64())
+	case "wrong":
+		hint = j.work * load.HintFactor
+	}
+	if hint > 0 {
+		// Whole microseconds, as on the wire, and an hour at most.
+		j.costHint = time.Duration(max(1, min(hint, 3600)*1e6)) * time.Microsecond
+	}
+	j.bodyLength = 100 + rng.IntN(300)
+	j.honoursRetryAfter = rng.Float64() < acts.HonourRetryAfter
+	if acts.Impatient > 0 && rng.Float64() < acts.Impatient {
+		j.leavesAfter = 1 + time.Duration(rng.Int64N(int64(spec.Deadline.Std())))
+	}
+	return j
+}
+
+// isOverQuota meters a tenant's jobs: whether one that falls due now is beyond its share.
+func (a *arrivals) isOverQuota(tenant int, now time.Duration) bool {
+	b := &a.buckets[tenant]
+	b.tokens = min(b.capacity, b.tokens+b.rate*(now-b.updatedAt).Seconds())
+	b.updatedAt = now
+	if b.rate <= 0 { // shares mean nothing here
+		return false
+	}
+	if b.tokens < 1 {
+		return true
+	}
+	b.tokens--
+	return false
+}
+
+// drawWork draws a job's run time on a standard core, in seconds; never 0.
+func drawWork(rng *rand.Rand, c *scenario.Class) float64 {
+	mean := c.Work.Std().Seconds()
+	work := mean
+	switch {
+	case c.Distribution == "exp":
+		work = mean * rng.ExpFloat64()
+	case c.Distribution == "lognormal" && c.CV > 0:
+		v := math.Log1p(c.CV * c.CV)
+		work = mean * math.Exp(math.Sqrt(v)*rng.NormFloat64()-v/2)
+	case c.Distribution == "pareto" && c.CV > 0:
+		shape := 1 + math.Sqrt(1+1/(c.CV*c.CV))
+		work = mean * (shape - 1) / shape * math.Pow(1-rng.Float64(), -1/shape)
+	}
+	return max(work, 1e-6)
+}
+
+// drawSlots draws 1, 2, 4, ... slots by their shares.
+func drawSlots(rng *rand.Rand, shares []float64) float64 {
+	sum := 0.0
+	for _, s := range shares {
+		sum += s
+	}
+	if len(shares) <= 1 || sum <= 0 {
+		return 1
+	}
+	at, last := rng.Float64()*sum, 1.0
+	for i, s := range shares {
+		if s > 0 {
+			last = float64(uint64(1) << i)
+		}
+		if at -= s; at < 0 {
+			break
+		}
+	}
+	return last
+}
+
+// loadShape is how the load's level moves about its mean of 1 in the course of a play, swinging by so much at most.
+//
+//	steady       it does not
+//	bursty       it jumps between 1+swing and 1-swing, and stays at each for a time drawn exponentially, 1 s on the
+//	             mean: a Poisson process modulated by a chain of two states
+//	swell        it rises from 1-swing to 1+swing at 2/3 of the length and falls back, along half cosines
+//	month_start  it falls evenly from 1+swing to 1-swing
+type loadShape struct {
+	kind      string
+	swing     float64
+	length    float64
+	rng       *rand.Rand
+	startsLow bool            // bursty begins with 1-swing
+	jumps     []time.Duration // of bursty, as far as they are drawn
+}
+
+const burstyHold = time.Second
+
+func newLoadShape(l *scenario.Load, length time.Duration, rng *rand.Rand) loadShape {
+	s := loadShape{kind: l.Shape, swing: max(0, min(l.Swing, 1)), length: max(length.Seconds(), 1e-9), rng: rng}
+	if s.kind == "" || s.kind == "steady" {
+		s.kind, s.swing = "steady", 0
+	}
+	s.startsLow = rng.IntN(2) == 0
+	return s
+}
+
+func (s *loadShape) peak() float64 { return 1 + s.swing }
+
+// level is the level at an instant.
+func (s *loadShape) level(at time.Duration) float64 {
+	x := at.Seconds() / s.length
+	switch s.kind {
+	case "bursty":
+		n := len(s.jumps)
+		for n == 0 || s.jumps[n-1] <= at {
+			last := time.Duration(0)
+			if n > 0 {
+				last = s.jumps[n-1]
+			}
+			s.jumps = append(s.jumps, last+1+time.Duration(s.rng.ExpFloat64()*float64(burstyHold)))
+			n++
+		}
+		for n > 1 && s.jumps[n-2] > at { // a step of the play that was late asks of the past
+			n--
+		}
+		if s.startsLow == (n%2 == 1) {
+			return 1 - s.swing
+		}
+		return 1 + s.swing
+	case "swell":
+		const peak = 2.0 / 3
+		if x < peak {
+			return 1 - s.swing*math.Cos(math.Pi*x/peak)
+		}
+		return 1 + s.swing*math.Cos(math.Pi*(x-peak)/(1-peak))
+	case "month_start":
+		return 1 + s.swing*(1-2*x)
+	}
+	return 1
+}
--- a/internal/lab/world/arrivals_test.go
+++ b/internal/testbed/environment/arrivals_test.go
@@ -1,22 +1,22 @@
-package world
+package environment
 
 import (
 	"math"
 	"testing"
 	"time"
 
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/seen"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/trace"
 )
 
 // dues are the jobs of a play in which all is served.
-func dues(spec *scenario.Scenario, seed uint64, change func(s *stage)) []seen.Sight {
+func dues(spec *scenario.Scenario, seed uint64, change func(s *stage)) []trace.Event {
 	s := newStage(spec, seed).begin()
 	if change != nil {
 		change(s)
 	}
 	s.end(s.serve)
-	return s.of(seen.Due)
+	return s.of(trace.JobDue)
 }
 
 // near tells whether a count is one that a Poisson process of this mean may show.
@@ -25,8 +25,8 @@
 // Jobs come at the rates that shares and usage say, with the work, slots and hints that their classes say.
 func TestArrivals(t *testing.T) {
 	spec := calm(1, 400*time.Second)
-	spec.Load.Of, spec.Load.Rate, spec.Tenants[2].Usage = 0, 40, 2
-	spec.Classes[0].Dist, spec.Classes[1].Dist, spec.Classes[2].Dist = "exp", "pareto", "fixed"
+	spec.Load.CapacityShare, spec.Load.Rate, spec.Tenants[2].Usage = 0, 40, 2
+	spec.Classes[0].Distribution, spec.Classes[1].Distribution, spec.Classes[2].Distribution = "exp", "pareto", "fixed"
 	counts, work, square := map[[2]int]int{}, [4]float64{}, [4]float64{}
 	slots, over := map[float64]int{}, [3]int{}
 	n := [4]int{}
@@ -38,21 +38,21 @@
 		if o.Class == 1 {
 			slots[o.Slots]++
 		}
-		if o.Over {
+		if o.OverQuota {
 			over[o.Tenant]++
 		}
 	}
 	for i, c := range spec.Classes {
 		for k, tenant := range spec.Tenants {
-			if got, want := counts[[2]int{i, k}], 16000*c.Share*tenant.Share*tenant.Usage; !near(got, want) {
+			if got, want := counts[[2]int{i, k}], 16000*c.Share*tenant.Quota*tenant.Usage; !near(got, want) {
 				t.Errorf("%s of %s: %d jobs, not %v", c.Name, tenant.Name, got, want)
 			}
 		}
 		mean := work[i] / float64(n[i])
 		cv := math.Sqrt(square[i]/float64(n[i])-mean*mean) / mean
-		if want := []float64{1, 0.7, 0, 0.7}[i]; math.Abs(mean/c.Work.D().Seconds()-1) > 0.05 ||
+		if want := []float64{1, 0.7, 0, 0.7}[i]; math.Abs(mean/c.Work.Std().Seconds()-1) > 0.05 ||
 			math.Abs(cv-want) > 0.15 {
-			t.Errorf("%s (%s): mean %v, coefficient of variation %v", c.Name, c.Dist, mean, cv)
+			t.Errorf("%s (%s): mean %v, coefficient of variation %v", c.Name, c.Distribution, mean, cv)
 		}
 	}
 	for i, want := range []float64{0.5, 0.3, 0.2} {
@@ -62,7 +62,7 @@
 	}
 	// 28.4 jobs a second are within shares: each of the three asks for more than its own, the third for thrice it.
 	for i, tenant := range spec.Tenants {
-		asked := 40 * tenant.Share * tenant.Usage
+		asked := 40 * tenant.Quota * tenant.Usage
 		if want := (asked - spec.QuotaRate(i)) * 400; math.Abs(float64(over[i])/want-1) > 0.15 {
 			t.Errorf("%s: %d jobs beyond its share, not %v", tenant.Name, over[i], want)
 		}
@@ -108,10 +108,10 @@
 func TestBurst(t *testing.T) {
 	spec := calm(1, 150*time.Second)
 	base := dues(spec, 9, nil)
-	same := func(a, b seen.Sight) bool { return a.At == b.At && a.Class == b.Class && a.Work == b.Work }
+	same := func(a, b trace.Event) bool { return a.At == b.At && a.Class == b.Class && a.Work == b.Work }
 	for _, factor := range []float64{3, 0.25, 0} {
 		got := dues(spec, 9, func(s *stage) {
-			s.w.at(50*time.Second, func() { s.w.after(50*time.Second, s.w.clients.burst(1, -1, factor)) })
+			s.w.schedule(50*time.Second, func() { s.w.after(50*time.Second, s.w.clients.startBurst(1, -1, factor)) })
 		})
 		long, short := got, base
 		if factor < 1 {
--- /dev/null
+++ b/internal/testbed/environment/conn.go
@@ -0,0 +1,143 @@
+package environment
+
+import (
+	"time"
+
+	"valvecove/internal/testbed/simapi"
+)
+
+// The sides of a connection.
+const (
+	schedulerSide = iota // the scheduler's
+	farSide              // the client's or the worker node's
+)
+
+// conn is a connection between a scheduler and a client or a worker node. Each side closes for itself; the other
+// learns of it as of anything else, after the network's delay and in order.
+type conn struct {
+	id                simapi.Conn
+	scheduler         int
+	incarnation       int // which of the scheduler's processes it belongs to
+	worker            int // of a link
+	workerIncarnation int // of a link: which of the worker node's processes it leads to
+	up                bool
+	closed            [2]bool          // by side: closed there, or known there to be closed
+	resetSilently     [2]bool          // by side: closed there by a reset that the other side knows nothing of
+	arrivesBy         [2]time.Duration // when the last thing sent to that side arrives
+	lastUsed          time.Duration    // when something last went over it, either way
+	far               farEnd
+	state             any // what the far end keeps with it
+}
+
+// farEnd is a client or a worker node, at its end of a connection.
+type farEnd interface {
+	endpoint() endpoint
+	connClosed(c *conn) // the scheduler has closed it, or its process is gone
+}
+
+func (w *Environment) openConn(c *conn) *conn {
+	c.incarnation, c.lastUsed = w.schedulers[c.scheduler].incarnation, w.now
+	w.conns[c.id] = c
+	return c
+}
+
+// toSched brings something over a connection to its scheduler: do runs when it arrives there, in order, unless that
+// side is closed by then. What a cut holds up arrives after that. What the network swallows never arrives: whoever
+// waits for it has patience of its own.
+func (w *Environment) toSched(c *conn, do func()) { w.transmit(c, schedulerSide, do) }
+
+// toFarEnd is the same the other way.
+func (w *Environment) toFarEnd(c *conn, do func()) { w.transmit(c, farSide, do) }
+
+func (w *Environment) transmit(c *conn, side int, do func()) {
+	from, to := endpoint{schedulerEndpoint, c.scheduler}, c.far.endpoint()
+	if side == schedulerSide {
+		from, to = to, from
+	}
+	if cut := w.network.partitionBetween(from, to); cut != nil {
+		cut.held = append(cut.held, func() { w.transmit(c, side, do) })
+		return
+	}
+	if d := w.network.idleDropAfter(from, to); d > 0 && w.now-c.lastUsed > d {
+		c.resetSilently[1-side] = c.closed[1-side] // its close has come to nobody's knowledge
+		w.tear(c, 1-side)
+		return
+	}
+	c.lastUsed = w.now
+	c.arrivesBy[side] = max(c.arrivesBy[side], w.now+w.network.delay(from, to))
+	w.schedule(c.arrivesBy[side], func() {
+		switch {
+		case !c.closed[side]:
+			do()
+		case c.resetSilently[side]:
+			w.tear(c, 1-side)
+		}
+	})
+}
+
+// tear has a side that has sent something learn that its connection is known no more where that went. The other side,
+// if that did not close it itself, learns nothing.
+func (w *Environment) tear(c *conn, side int) {
+	from, to := c.far.endpoint(), endpoint{schedulerEndpoint, c.scheduler}
+	if side == farSide {
+		from, to = to, from
+	}
+	arrive, ok := w.network.arrival(from, to)
+	if !ok {
+		return
+	}
+	c.arrivesBy[side] = max(c.arrivesBy[side], arrive)
+	w.schedule(c.arrivesBy[side], func() {
+		if c.closed[side] {
+			return
+		}
+		c.resetSilently[side] = !c.closed[1-side]
+		w.connLost(c, side)
+	})
+}
+
+// connLost tells a side that its connection is over.
+func (w *Environment) connLost(c *conn, side int) {
+	c.closed[side] = true
+	if c.closed[1-side] {
+		delete(w.conns, c.id)
+	}
+	if side == farSide {
+		c.far.connClosed(c)
+		return
+	}
+	kind := simapi.ClientClosed
+	if l, ok := c.state.(*workerConn); ok {
+		kind = simapi.WorkerDisconnected
+		l.schedulerClosed()
+	}
+	w.deliver(simapi.Input{Kind: kind, Scheduler: c.scheduler, Worker: c.worker, Conn: c.id, Reset: c.up})
+}
+
+// closeSide closes a connection at one side. The other side hears of it, unless it has closed too: a scheduler by an In
+// (Left or LinkDown), the far end by ended.
+func (w *Environment) closeSide(c *conn, side int) {
+	if c.closed[side] {
+		return
+	}
+	c.closed[side] = true
+	if c.closed[1-side] {
+		delete(w.conns, c.id)
+		return
+	}
+	w.transmit(c, 1-side, func() { w.connLost(c, 1-side) })
+}
+
+// dropConns ends all connections of a scheduler's process that is gone. Its kernel resets them.
+func (w *Environment) dropConns(sched int) {
+	var own []*conn
+	for _, c := range w.conns {
+		if c.scheduler == sched && c.incarnation == w.schedulers[sched].incarnation && !c.closed[schedulerSide] {
+			own = append(own, c)
+		}
+	}
+	sortConns(own) // map order decides nothing
+	for _, c := range own {
+		w.closeSide(c, schedulerSide)
+	}
+}
--- a/internal/lab/world/discovery_test.go
+++ b/internal/testbed/environment/discovery_test.go
@@ -1,4 +1,4 @@
-package world
+package environment
 
 import (
 	"maps"
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/lab/edge"
-	"valvecove/internal/lab/seen"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
+	"valvecove/internal/testbed/simapi"
+	"valvecove/internal/testbed/trace"
 )
 
 // Whatever befalls worker nodes, discovery, the network and schedulers: once all is well again, each scheduler that
@@ -22,12 +22,12 @@
 		spec.Discovery.Capacity = 20
 	}
 	f := newFate(s.T, spec, uint64(s.Pick(8)))
-	d := f.w.disco
+	d := f.w.discovery
 	var undos []func()
 	for s.More() {
-		n, sched := f.w.nodes[s.Pick(len(f.w.nodes))], f.w.scheds[s.Pick(len(f.w.scheds))]
+		n, sched := f.w.workers[s.Pick(len(f.w.workers))], f.w.schedulers[s.Pick(len(f.w.schedulers))]
 		back := time.Duration(s.Pick(8)) * 700 * time.Millisecond
-		some := []int{n.n, (n.n + 1) % len(f.w.nodes)}
+		some := []int{n.number, (n.number + 1) % len(f.w.workers)}
 		undo := func() {}
 		what := s.Pick(20)
 		if what > 16 {
@@ -47,31 +47,31 @@
 			case 4:
 				n.drain()
 			case 5:
-				if n.n > 0 {
+				if n.number > 0 {
 					n.remove()
 				}
 			case 6:
-				undo = d.down()
+				undo = d.startOutage()
 			case 7:
-				if d.behind < 10*time.Second { // else nothing would be known in the end
-					undo = d.late(2 * time.Second)
+				if d.noticeDelay < 10*time.Second { // else nothing would be known in the end
+					undo = d.delayNotices(2 * time.Second)
 				}
 			case 8:
-				undo = d.wrong(some)
+				undo = d.listWrongly(some)
 			case 9:
-				undo = d.old()
+				undo = d.freezeList()
 			case 10:
-				undo = d.slow(3)
+				undo = d.slowDown(3)
 			case 11:
-				d.move()
-				for _, x := range f.w.scheds {
+				d.changeAddress()
+				for _, x := range f.w.schedulers {
 					x.reload()
 				}
 			case 12:
-				undo = f.w.net.cut(crowd{kind: aSched, only: map[int]bool{sched.n: true}}, crowd{kind: theDisco}, s.Pick(2) == 0)
+				undo = f.w.network.partition(endpointGroup{kind: schedulerEndpoint, members: map[int]bool{sched.number: true}}, endpointGroup{kind: discoveryEndpoint}, s.Pick(2) == 0)
 			case 13:
-				pass, reach := f.w.net.cut(crowd{kind: aNode, only: map[int]bool{some[0]: true, some[1]: true}},
-					crowd{kind: theDisco}, false), d.cutOff(some)
+				pass, reach := f.w.network.partition(endpointGroup{kind: workerEndpoint, members: map[int]bool{some[0]: true, some[1]: true}},
+					endpointGroup{kind: discoveryEndpoint}, false), d.isolate(some)
 				undo = func() { pass(); reach() }
 			case 14:
 				sched.kill(back + time.Millisecond)
@@ -92,47 +92,47 @@
 	}
 	f.run(100 * time.Second) // the longest drain is 30 s, and lists a line each 50 ms
 	want := map[string]requests.Endpoint{}
-	for _, n := range f.w.nodes {
-		e := &d.list[d.of[n.n]]
-		if up := n.state == nodeUp && !n.gone; up {
+	for _, n := range f.w.workers {
+		e := &d.entries[d.entryOf[n.number]]
+		if up := n.state == workerUp && !n.removed; up {
 			state := map[bool]string{false: "up", true: "draining"}[n.draining]
 			want[n.id] = requests.Endpoint{
-				ID: n.id, Addr: f.w.NodeAddr(n.place()), Zone: "a", MachineType: n.kind.Name, Cell: n.cell,
-				Lifecycle: state, Weight: e.host.Weight, StartedAtMs: n.startedMs(),
+				ID: n.id, Addr: f.w.WorkerAddr(n.placeIndex()), Zone: "a", MachineType: n.kind.Name, Cell: n.cell,
+				Lifecycle: state, Weight: e.endpoint.Weight, StartedAtMs: n.startedMs(),
 			}
 		}
 	}
 	for i, x := range f.scheds {
-		s.Check(x.gen == d.gen, "scheduler %d has generation %d of %d", i, x.gen, d.gen)
+		s.Check(x.gen == d.revision, "scheduler %d has generation %d of %d", i, x.gen, d.revision)
 		s.Check(maps.Equal(x.list, want), "scheduler %d has %v, and so it is: %v", i, x.list, want)
-		told := map[int]seen.What{}
-		for _, e := range f.all(0, seen.SchedUp, seen.Drained, seen.Started) {
-			if e.Sched != i {
+		told := map[int]trace.Kind{}
+		for _, e := range f.all(0, trace.SchedulerStarted, trace.DrainNotified, trace.StartNotified) {
+			if e.Scheduler != i {
 				continue
 			}
-			if e.What == seen.SchedUp {
-				told = map[int]seen.What{}
+			if e.Kind == trace.SchedulerStarted {
+				told = map[int]trace.Kind{}
 				continue
 			}
-			s.Check(e.What == seen.Started || told[e.Node] != e.What || f.w.nodes[e.Node].boot > 1,
+			s.Check(e.Kind == trace.StartNotified || told[e.Worker] != e.Kind || f.w.workers[e.Worker].incarnation > 1,
 				"told twice of the drain of a worker node that never started again")
-			told[e.Node] = e.What
+			told[e.Worker] = e.Kind
 		}
-		for _, n := range f.w.nodes {
+		for _, n := range f.w.workers {
 			h, listed := want[n.id]
-			s.Check(!listed || d.told(i, n), "scheduler %d was not told of %s", i, n.id)
-			s.Check((told[n.n] == seen.Drained) == (!listed && told[n.n] != 0 || h.Lifecycle == "draining"),
-				"scheduler %d: %s is %q, and was last told of by sight %d", i, n.id, h.Lifecycle, told[n.n])
+			s.Check(!listed || d.knowsStart(i, n), "scheduler %d was not told of %s", i, n.id)
+			s.Check((told[n.number] == trace.DrainNotified) == (!listed && told[n.number] != 0 || h.Lifecycle == "draining"),
+				"scheduler %d: %s is %q, and was last told of by sight %d", i, n.id, h.Lifecycle, told[n.number])
 		}
 	}
-	s.Check(len(d.held) == 0 && len(d.line) == 0 && d.serving == nil && d.behind == 0, "something is left over")
+	s.Check(len(d.heldEvents) == 0 && len(d.calls) == 0 && d.serving == nil && d.noticeDelay == 0, "something is left over")
 }
 
 // When a drain counts as told.
 func TestToldAt(t *testing.T) {
 	const drained = 20 * time.Second
-	scheds := crowd{kind: aSched}
-	disco := crowd{kind: theDisco}
+	scheds := endpointGroup{kind: schedulerEndpoint}
+	disco := endpointGroup{kind: discoveryEndpoint}
 	for name, x := range map[string]struct {
 		before      func(f *fate)
 		after       func(f *fate)
@@ -140,29 +140,29 @@
 	}{
 		"over a watch": {from: 0, until: 5 * time.Millisecond},
 		"on a watch that is cut off": {
-			before: func(f *fate) { f.w.net.cut(disco, scheds, true) },
+			before: func(f *fate) { f.w.network.partition(disco, scheds, true) },
 			from:   6 * time.Second, until: 6 * time.Second,
 		},
 		"without a watch": {
-			before: func(f *fate) { f.scheds[0].mute = true; f.w.disco.down()() },
+			before: func(f *fate) { f.scheds[0].mute = true; f.w.discovery.startOutage()() },
 			from:   9 * time.Second, until: 10 * time.Second,
 		}, // ask_every, from when it had the watch
 		"after a call that failed": {
 			before: func(f *fate) {
-				f.w.disco.down()
+				f.w.discovery.startOutage()
 				f.w.after(2*time.Second, func() { f.scheds[0].mute = true })
 			},
 			from: 38 * time.Second, until: 40 * time.Second,
 		},
 		"after SIGHUP": {
-			before: func(f *fate) { f.w.disco.down() }, after: func(f *fate) { f.w.scheds[0].reload() },
+			before: func(f *fate) { f.w.discovery.startOutage() }, after: func(f *fate) { f.w.schedulers[0].reload() },
 			from: 8 * time.Second, until: 8100 * time.Millisecond,
 		},
 		"by the next process": {
-			before: func(f *fate) { f.w.scheds[0].kill(10 * time.Second) },
+			before: func(f *fate) { f.w.schedulers[0].kill(10 * time.Second) },
 			from:   5 * time.Second, until: 6 * time.Second,
 		},
-		"frozen": {before: func(f *fate) { f.w.scheds[0].freeze(time.Minute) }, from: 0, until: 5 * time.Millisecond},
+		"frozen": {before: func(f *fate) { f.w.schedulers[0].freeze(time.Minute) }, from: 0, until: 5 * time.Millisecond},
 	} {
 		f := newFate(t, quiet(4, 1), 1)
 		f.run(drained - 3*time.Second)
@@ -170,9 +170,9 @@
 			f.do(func() { x.before(f) })
 		}
 		f.run(drained - f.w.now)
-		gen := f.w.disco.gen
-		f.do(f.w.nodes[2].drain)
-		for f.w.disco.gen == gen {
+		gen := f.w.discovery.revision
+		f.do(f.w.workers[2].drain)
+		for f.w.discovery.revision == gen {
 			f.run(time.Millisecond)
 		}
 		listed := f.w.now
@@ -181,8 +181,8 @@
 			f.do(func() { x.after(f) })
 		}
 		f.run(45 * time.Second)
-		told := f.all(0, seen.Drained)
-		if len(told) != 1 || told[0].Node != 2 || told[0].At < listed+x.from-2*time.Millisecond ||
+		told := f.all(0, trace.DrainNotified)
+		if len(told) != 1 || told[0].Worker != 2 || told[0].At < listed+x.from-2*time.Millisecond ||
 			told[0].At > listed+x.until {
 			t.Errorf("%s: listed at %v, told: %v", name, listed, told)
 		}
@@ -191,19 +191,19 @@
 
 // Notices come late, each by its kind, and a machine that is cut off from discovery is silent to it.
 func TestNotices(t *testing.T) {
-	cut := func(f *fate) { f.w.disco.cutOff([]int{1}) }
-	crash := func(f *fate) { f.w.nodes[1].crash(0) }
+	cut := func(f *fate) { f.w.discovery.isolate([]int{1}) }
+	crash := func(f *fate) { f.w.workers[1].crash(0) }
 	for name, x := range map[string]struct {
 		do       func(f *fate)
 		from, to int // ms
 		state    string
 	}{
-		"drain":       {func(f *fate) { f.w.nodes[1].drain() }, 700, 1800, "draining"},
+		"drain":       {func(f *fate) { f.w.workers[1].drain() }, 700, 1800, "draining"},
 		"crash":       {crash, 700, 1800, "removed"},
-		"vanish":      {func(f *fate) { f.w.nodes[1].vanish(0) }, 5600, 10900, "removed"},
+		"vanish":      {func(f *fate) { f.w.workers[1].vanish(0) }, 5600, 10900, "removed"},
 		"cut":         {cut, 5600, 10900, "removed"},
 		"cut, crash":  {func(f *fate) { cut(f); crash(f) }, 5600, 10900, "removed"},
-		"crash, late": {func(f *fate) { f.w.disco.late(5 * time.Second); crash(f) }, 5700, 6800, "removed"},
+		"crash, late": {func(f *fate) { f.w.discovery.delayNotices(5 * time.Second); crash(f) }, 5700, 6800, "removed"},
 	} {
 		for seed := range uint64(5) {
 			f := newFate(t, quiet(4, 1), seed)
@@ -211,10 +211,10 @@
 			from := len(f.ins)
 			f.do(func() { x.do(f) })
 			at := f.w.now
-			for len(f.came(from, edge.Listed)) == 0 && f.w.now < at+15*time.Second {
+			for len(f.came(from, simapi.ListReceived)) == 0 && f.w.now < at+15*time.Second {
 				f.run(10 * time.Millisecond)
 			}
-			lists := f.came(from, edge.Listed)
+			lists := f.came(from, simapi.ListReceived)
 			if len(lists) != 1 || len(lists[0].List.Endpoints) != 1 || lists[0].List.Endpoints[0].Lifecycle != x.state ||
 				(f.w.now-at).Milliseconds() < int64(x.from) || (f.w.now-at).Milliseconds() > int64(x.to) {
 				t.Errorf("%s: after %v: %v", name, f.w.now-at, lists)
@@ -226,7 +226,7 @@
 // What is done to discovery, and what a scheduler then hears of the list, in order.
 func TestListFaults(t *testing.T) {
 	var undo func()
-	one := func(f *fate) *node { return f.w.nodes[1] }
+	one := func(f *fate) *worker { return f.w.workers[1] }
 	type act func(f *fate)
 	crash, start := func(f *fate) { one(f).crash(0) }, func(f *fate) { one(f).start() }
 	off := func(*fate) { undo() }
@@ -235,20 +235,20 @@
 		want string
 	}{
 		"well":         {[]act{crash, start}, "removed up2 "},
-		"wrong":        {[]act{func(f *fate) { undo = f.w.disco.wrong([]int{1}) }, crash, start, crash, off}, "up2 removed "},
-		"wrong, later": {[]act{crash, func(f *fate) { undo = f.w.disco.wrong([]int{1}) }, off}, "removed up1 removed "},
-		"old":          {[]act{func(f *fate) { undo = f.w.disco.old() }, crash, off}, "removed "},
+		"wrong":        {[]act{func(f *fate) { undo = f.w.discovery.listWrongly([]int{1}) }, crash, start, crash, off}, "up2 removed "},
+		"wrong, later": {[]act{crash, func(f *fate) { undo = f.w.discovery.listWrongly([]int{1}) }, off}, "removed up1 removed "},
+		"old":          {[]act{func(f *fate) { undo = f.w.discovery.freezeList() }, crash, off}, "removed "},
 		"down": {
-			[]act{func(f *fate) { undo = f.w.disco.down() }, crash, func(f *fate) { f.scheds[0].mute = true; undo() }},
+			[]act{func(f *fate) { undo = f.w.discovery.startOutage() }, crash, func(f *fate) { f.scheds[0].mute = true; undo() }},
 			"end failed ",
 		},
-		"cut": {[]act{func(f *fate) { f.w.after(9*time.Second, f.w.disco.cutOff([]int{1})) }}, "removed up1 "},
+		"cut": {[]act{func(f *fate) { f.w.after(9*time.Second, f.w.discovery.isolate([]int{1})) }}, "removed up1 "},
 		"cut, then drains unseen": {[]act{
-			func(f *fate) { undo = f.w.disco.cutOff([]int{1}) },
+			func(f *fate) { undo = f.w.discovery.isolate([]int{1}) },
 			func(f *fate) { one(f).drain() }, off,
 		}, "removed draining "},
 		"moved": {[]act{
-			func(f *fate) { f.w.disco.move() }, func(f *fate) { f.scheds[0].mute = true; f.w.scheds[0].reload() },
+			func(f *fate) { f.w.discovery.changeAddress() }, func(f *fate) { f.scheds[0].mute = true; f.w.schedulers[0].reload() },
 			crash,
 		}, "end failed whole removed "},
 	} {
@@ -261,13 +261,13 @@
 		}
 		for _, in := range f.ins[from:] {
 			switch {
-			case in.Kind == edge.Unlisted && got == "":
+			case in.Kind == simapi.WatchEnded && got == "":
 				got = "end "
-			case in.Kind == edge.Unlisted && got == "end ": // and again and again
+			case in.Kind == simapi.WatchEnded && got == "end ": // and again and again
 				got += "failed "
-			case in.Kind == edge.Listed && in.List.Reset:
+			case in.Kind == simapi.ListReceived && in.List.Reset:
 				got += "whole "
-			case in.Kind == edge.Listed && len(in.List.Endpoints) == 1:
+			case in.Kind == simapi.ListReceived && len(in.List.Endpoints) == 1:
 				if h := in.List.Endpoints[0]; h.Lifecycle != "up" {
 					got += h.Lifecycle + " "
 				} else {
@@ -280,7 +280,7 @@
 		}
 		// What is new in a line that is heard counts as told, and once.
 		news := strings.Count(x.want, "up") + strings.Count(x.want, "removed")
-		if told := f.all(0, seen.Drained, seen.Started); len(told) != news {
+		if told := f.all(0, trace.DrainNotified, trace.StartNotified); len(told) != news {
 			t.Errorf("%s: counts as told: %v", name, told)
 		}
 	}
@@ -289,14 +289,14 @@
 // A call is answered by what changed since the generation that it names; by the whole list, where that says nothing.
 func TestSince(t *testing.T) {
 	f := newFate(t, quiet(6, 1), 1)
-	for _, n := range f.w.nodes[:4] {
+	for _, n := range f.w.workers[:4] {
 		f.do(n.drain)
 		f.run(3 * time.Second)
 	}
-	d := f.w.disco
-	for after, want := range map[int64]int{0: -6, d.gen + 1: -6, d.gen - history - 1: -6, d.gen: 0, d.gen - 3: 3} {
-		if m := d.since(after); m.reset != (want < 0) || len(m.entries) != max(want, -want) || m.gen != d.gen {
-			t.Errorf("after %d of %d: %+v", after, d.gen, m)
+	d := f.w.discovery
+	for after, want := range map[int64]int{0: -6, d.revision + 1: -6, d.revision - historyLength - 1: -6, d.revision: 0, d.revision - 3: 3} {
+		if m := d.changesSince(after); m.reset != (want < 0) || len(m.entries) != max(want, -want) || m.revision != d.revision {
+			t.Errorf("after %d of %d: %+v", after, d.revision, m)
 		}
 	}
 }
@@ -317,8 +317,8 @@
 	f.run(8 * time.Second)
 	var got []string
 	for _, in := range f.ins {
-		if in.Kind == edge.Listed || in.Kind == edge.Unlisted {
-			got = append(got, map[edge.InKind]string{edge.Listed: "list", edge.Unlisted: "failed"}[in.Kind])
+		if in.Kind == simapi.ListReceived || in.Kind == simapi.WatchEnded {
+			got = append(got, map[simapi.InputKind]string{simapi.ListReceived: "list", simapi.WatchEnded: "failed"}[in.Kind])
 		}
 	}
 	if len(got) != 3 || got[0] != "list" || got[1] != "failed" || got[2] != "list" {
@@ -328,11 +328,11 @@
 		f.scheds[0].gen, f.scheds[1].gen = 0, 0
 		f.ask(0, f.w.now)
 		f.ask(1, f.w.now)
-		f.w.after(time.Second, func() { f.w.scheds[0].kill(0) }) // and with it what was made for it
+		f.w.after(time.Second, func() { f.w.schedulers[0].kill(0) }) // and with it what was made for it
 	})
 	from := len(f.ins)
 	f.run(3100 * time.Millisecond)
-	if lists := f.came(from, edge.Listed); len(lists) != 1 || lists[0].Sched != 1 {
+	if lists := f.came(from, simapi.ListReceived); len(lists) != 1 || lists[0].Scheduler != 1 {
 		t.Errorf("the list after one that nobody waits for any more: %v", lists)
 	}
 }
--- /dev/null
+++ b/internal/testbed/environment/environment.go
@@ -0,0 +1,137 @@
+// Package environment is the lab's model of all that is round schedulers: worker nodes, discovery, the network, clients
+// and their front, and what goes wrong with them. It does no I/O and reads no clock; all that is random follows
+// from one seed, and each party draws from a stream of its own, so that what one does shifts no draw of another:
+// two schedulers are put through the same play.
+//
+// The border to the schedulers is package edge. Both drivers call Step; between two calls nothing happens. What the
+// world saw goes to a seen.Watcher.
+package environment
+
+import (
+	"cmp"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simapi"
+	"valvecove/internal/testbed/trace"
+)
+
+// Environment is one play's world. It is used by one goroutine.
+type Environment struct {
+	Spec  *scenario.Scenario
+	Epoch time.Duration // Unix time of the play's start
+
+	// WorkerAddrs gives machines other addresses than NodeAddr's own; nil: it doesn't.
+	WorkerAddrs func(place int) string
+
+	seed     uint64
+	now      time.Duration
+	events   eventQueue
+	inputs   []simapi.Input // of this step
+	observer trace.Observer
+	event    trace.Event // reused
+
+	network    *network
+	schedulers []*scheduler
+	workers    []*worker
+	discovery  *discovery
+	balancer   *loadBalancer
+	clients    *clients
+	faults     *faultTimeline
+	conns      map[simapi.Conn]*conn
+}
+
+// New draws a world from a checked scenario.
+func New(spec *scenario.Scenario, seed uint64, epoch time.Duration, watch trace.Observer) *Environment {
+	w := &Environment{Spec: spec, Epoch: epoch, seed: seed, observer: watch, conns: map[simapi.Conn]*conn{}}
+	if watch == nil {
+		w.observer = func(*trace.Event) {}
+	}
+	w.network = newNetwork(w)
+	w.schedulers = newSchedulers(w)
+	w.workers = newWorkers(w)
+	w.discovery = newDiscovery(w)
+	w.balancer = newLoadBalancer(w)
+	w.clients = newClients(w)
+	w.faults = newFaultTimeline(w)
+	w.discovery.start()
+	for _, n := range w.workers {
+		n.begin()
+	}
+	for _, s := range w.schedulers {
+		s.scheduleStart()
+	}
+	w.clients.start()
+	w.faults.start()
+	return w
+}
+
+// Next tells when the world wants to run at the latest; not ok: nothing will happen any more by itself.
+func (w *Environment) Next() (at time.Duration, ok bool) { return w.events.nextAt() }
+
+// Step takes what schedulers did, lets all happen that is due by now, and appends what reaches schedulers.
+func (w *Environment) Step(now time.Duration, outs []simapi.Output, dst []simapi.Input) []simapi.Input {
+	w.now, w.inputs = max(now, w.now), dst
+	for i := range outs {
+		w.apply(&outs[i])
+	}
+	for {
+		at, ok := w.events.nextAt()
+		if !ok || at > w.now {
+			break
+		}
+		w.events.pop()()
+	}
+	dst, w.inputs = w.inputs, nil
+	return dst
+}
+
+// Finished tells whether every job is settled and no further one comes.
+func (w *Environment) Finished() bool { return w.clients.finished() }
+
+// schedule puts something on the agenda. What falls on one instant happens in the order in which it was put there.
+func (w *Environment) schedule(t time.Duration, do func()) { w.events.schedule(max(t, w.now), do) }
+
+func (w *Environment) after(d time.Duration, do func()) { w.schedule(w.now+max(d, 0), do) }
+
+// deliver hands something to a scheduler. What reaches one that does not run is lost; what reaches a frozen one waits at
+// its sockets, which is the driver's to play.
+func (w *Environment) deliver(e simapi.Input) {
+	if w.schedulers[e.Scheduler].alive || e.Kind == simapi.Start || e.Kind == simapi.Kill {
+		w.inputs = append(w.inputs, e)
+	}
+}
+
+// apply takes something that a scheduler did. What a process did that is gone by now is not known to its successor.
+func (w *Environment) apply(o *simapi.Output) {
+	switch o.Kind {
+	case simapi.Ready, simapi.Unready, simapi.Exited:
+		w.schedulers[o.Scheduler].apply(o)
+	case simapi.ResponseWritten, simapi.ClientConnClosed, simapi.ClientConnFailed:
+		w.clients.apply(o)
+	case simapi.WatchRequested:
+		w.discovery.apply(o)
+	case simapi.WorkerDialed, simapi.AttemptWritten, simapi.HealthCheckWritten, simapi.WorkerConnClosed, simapi.CancellationReceived, simapi.CallbackAnswered:
+		w.workers[o.Worker].apply(o)
+	}
+}
+
+// rng is a stream of random numbers of a party's own.
+func (w *Environment) rng(name string, n int) *rand.Rand {
+	return rand.New(rand.NewPCG(w.seed^xxhash.Sum64String(name), uint64(n)))
+}
+
+// record reports a sight, as of now.
+func (w *Environment) record(s trace.Event) {
+	w.event = s
+	w.event.At = w.now
+	w.observer(&w.event)
+}
+
+func sortConns(c []*conn) {
+	slices.SortFunc(c, func(a, b *conn) int { return cmp.Compare(a.id, b.id) })
+}
--- a/internal/lab/world/agenda.go
+++ b/internal/testbed/environment/event_queue.go
@@ -1,50 +1,50 @@
-package world
+package environment
 
 import "time"
 
-// agenda is what is to happen, by time and then by the order in which it was put there. A heap of its own, since a
+// eventQueue is what is to happen, by time and then by the order in which it was put there. A heap of its own, since a
 // play spends a good part of its time here: what is to be done lies apart, so that an entry has 16 bytes and no
 // pointer, and the four below another share a cache line.
-type agenda struct {
-	items []entry
-	todo  []func()
-	free  []uint32 // places in todo
-	seq   uint64
+type eventQueue struct {
+	items   []queuedEvent
+	actions []func()
+	free    []uint32 // places in todo
+	lastID  uint64
 }
 
-type entry struct {
+type queuedEvent struct {
 	at time.Duration
 	id uint64 // counts entries; its last bits are the place in todo
 }
 
 const (
-	placeBits = 26 // so many may be on the agenda at once, and the rest counts 2.7e11 in a play
-	placeMask = 1<<placeBits - 1
+	slotBits = 26 // so many may be on the agenda at once, and the rest counts 2.7e11 in a play
+	slotMask = 1<<slotBits - 1
 )
 
-func (e *entry) before(o *entry) bool { return e.at < o.at || e.at == o.at && e.id < o.id }
+func (e *queuedEvent) before(o *queuedEvent) bool { return e.at < o.at || e.at == o.at && e.id < o.id }
 
-func (a *agenda) first() (time.Duration, bool) {
+func (a *eventQueue) nextAt() (time.Duration, bool) {
 	if len(a.items) == 0 {
 		return 0, false
 	}
 	return a.items[0].at, true
 }
 
-func (a *agenda) add(at time.Duration, do func()) {
-	place := uint64(len(a.todo))
+func (a *eventQueue) schedule(at time.Duration, do func()) {
+	place := uint64(len(a.actions))
 	if n := len(a.free); n > 0 {
 		place = uint64(a.free[n-1])
 		a.free = a.free[:n-1]
-		a.todo[place] = do
+		a.actions[place] = do
 	} else {
-		a.todo = append(a.todo, do)
+		a.actions = append(a.actions, do)
 	}
-	if place > placeMask {
+	if place > slotMask {
 		panic("world: too much is on the agenda")
 	}
-	a.seq++
-	x := entry{at, a.seq<<placeBits | place}
+	a.lastID++
+	x := queuedEvent{at, a.lastID<<slotBits | place}
 	a.items = append(a.items, x)
 	i := len(a.items) - 1
 	for i > 0 {
@@ -58,10 +58,10 @@
 	a.items[i] = x
 }
 
-func (a *agenda) take() func() {
-	place := a.items[0].id & placeMask
-	do := a.todo[place]
-	a.todo[place] = nil
+func (a *eventQueue) pop() func() {
+	place := a.items[0].id & slotMask
+	do := a.actions[place]
+	a.actions[place] = nil
 	a.free = append(a.free, uint32(place))
 	last := len(a.items) - 1
 	x := a.items[last]
--- a/internal/lab/world/agenda_test.go
+++ b/internal/testbed/environment/event_queue_test.go
@@ -1,4 +1,4 @@
-package world
+package environment
 
 import (
 	"math/rand/v2"
@@ -16,11 +16,11 @@
 	}
 	for seed := uint64(180_800); seed < 181_000; seed++ {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var a agenda
+		var a eventQueue
 		var want, got []put
 		for seq := range 60 + rng.IntN(200) {
 			if len(a.items) > 0 && rng.IntN(3) == 0 {
-				a.take()()
+				a.pop()()
 			}
 			// Never before what has been taken: the past is over.
 			low := time.Duration(0)
@@ -29,10 +29,10 @@
 			}
 			p := put{low + time.Duration(rng.IntN(50)), seq}
 			want = append(want, p)
-			a.add(p.at, func() { got = append(got, p) })
+			a.schedule(p.at, func() { got = append(got, p) })
 		}
 		for len(a.items) > 0 {
-			a.take()()
+			a.pop()()
 		}
 		slices.SortFunc(want, func(x, y put) int {
 			if x.at != y.at {
@@ -79,18 +79,18 @@
 		{4, 6},
 		{4, 200},
 	}
-	var a agenda
+	var a eventQueue
 	for _, r := range rows {
 		for range r.n {
-			a.add(time.Duration(r.at), func() {})
+			a.schedule(time.Duration(r.at), func() {})
 		}
 	}
 	for last := time.Duration(0); len(a.items) > 0; {
-		at, _ := a.first()
+		at, _ := a.nextAt()
 		if at < last {
 			t.Fatalf("%d after %d", at, last)
 		}
 		last = at
-		a.take()
+		a.pop()
 	}
 }
--- a/internal/lab/world/faults_test.go
+++ b/internal/testbed/environment/faults_test.go
@@ -1,4 +1,4 @@
-package world
+package environment
 
 import (
 	"maps"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/seen"
 	"valvecove/internal/modeltest"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/trace"
 )
 
 // However faults overlap, once the last of them is over all is as it was before the first.
@@ -20,28 +20,28 @@
 func runFaults(s *modeltest.Steps) {
 	spec := quiet(6, 2)
 	spec.Name, spec.Discovery.Capacity = "faults", 100
-	spec.Planners.Count, spec.Drivers = 2, []string{scenario.Virtual}
+	spec.Planners.Count, spec.Drivers = 2, []string{scenario.DriverSimulation}
 	kinds := slices.Sorted(maps.Keys(scenario.FaultKinds))
 	ends, last := 0, time.Duration(0)
 	for s.More() && len(spec.Faults) < 30 {
-		x := scenario.Fault{What: kinds[s.Pick(len(kinds))], At: scenario.Span(4+s.Pick(60)) * scenario.Span(time.Second) / 4}
-		x.For = scenario.Span(1+s.Pick(40)) * scenario.Span(time.Second) / 8
-		switch scenario.FaultKinds[x.What] {
+		x := scenario.Fault{Kind: kinds[s.Pick(len(kinds))], At: scenario.Duration(4+s.Pick(60)) * scenario.Duration(time.Second) / 4}
+		x.Duration = scenario.Duration(1+s.Pick(40)) * scenario.Duration(time.Second) / 8
+		switch scenario.FaultKinds[x.Kind] {
 		case "net":
 			x.Between, x.And = "schedulers", []string{"nodes", "clients", "discovery"}[s.Pick(3)]
-			if x.And == "discovery" && x.What == "drop_idle" {
+			if x.And == "discovery" && x.Kind == "drop_idle" {
 				x.And = "nodes"
 			}
 		case "node", "planner":
-			x.On.Share = float64(s.Pick(10)) / 10
+			x.Target.Share = float64(s.Pick(10)) / 10
 		case "planners":
 			x.Between, x.And = "planners", []string{"schedulers", "planners", "discovery"}[s.Pick(3)]
 		}
-		switch x.What {
+		switch x.Kind {
 		case "drain", "gone", "early_202_crash", "sched_term", "planner_term":
 			continue // they change the fleet for good, or end when something else happens
 		case "handback", "sched_reload", "sched_replace", "disco_moves", "planner_start", "planner_drop":
-			x.For = 0
+			x.Duration = 0
 		case "planner_slow", "slow", "disco_slow", "burst", "storm", "half_open", "disco_late", "delay", "drop_idle":
 			x.Size = float64(2 + s.Pick(4))
 		case "errors":
@@ -50,7 +50,7 @@
 			x.Size = float64(1 + s.Pick(99))
 		}
 		spec.Faults = append(spec.Faults, x)
-		last = max(last, (x.At + x.For).D())
+		last = max(last, (x.At + x.Duration).Std())
 		ends++
 	}
 	f := newFate(s.T, spec, uint64(s.Pick(4)))
@@ -61,20 +61,20 @@
 		s.Check(false, "%+v\nwas before\n%+v\nfaults: %s", after, before, scenario.Encode(spec))
 	}
 	on, off := map[string]int{}, map[string]int{}
-	for _, x := range f.all(0, seen.FaultOn) {
+	for _, x := range f.all(0, trace.FaultStarted) {
 		on[x.Text]++
 	}
-	for _, x := range f.all(0, seen.FaultOff) {
+	for _, x := range f.all(0, trace.FaultEnded) {
 		off[x.Text]++
 		s.Check(off[x.Text] <= on[x.Text], "%q ends %d times", x.Text, off[x.Text])
 	}
 	s.Check(maps.Equal(on, off), "began: %v, ended: %v, of %s", on, off, scenario.Encode(spec))
 	holds := map[string]int{} // by worker node and what strikes it
 	for _, x := range f.sights {
-		switch at := x.Text + " w-" + strconv.Itoa(x.Node); x.What {
-		case seen.Struck:
+		switch at := x.Text + " w-" + strconv.Itoa(x.Worker); x.Kind {
+		case trace.WorkerFaultStarted:
 			holds[at]++
-		case seen.Spared:
+		case trace.WorkerFaultEnded:
 			holds[at]--
 			s.Check(holds[at] >= 0, "%s is spared too often", at)
 		}
@@ -86,41 +86,41 @@
 
 // state is what faults may change, but for what they leave behind by their nature: new processes and machines.
 func (f *fate) state() (all []any) {
-	for i, n := range f.w.nodes {
-		t := f.w.Truth(i)
-		t.Speed = math.Round(1000 * t.Speed / n.pace)
-		all = append(all, t, n.drag, n.errors, n.refusing, n.never, n.slowly, n.resets, n.hung, n.shut, n.muted, n.state)
+	for i, n := range f.w.workers {
+		t := f.w.WorkerState(i)
+		t.Speed = math.Round(1000 * t.Speed / n.coreSpeed)
+		all = append(all, t, n.slowFactor, n.errorRate, n.refusing, n.acceptsSilently, n.slowReads, n.resetBytes, n.hanging, n.rejectsAll, n.silencesCallbacks, n.state)
 	}
-	for _, s := range f.w.scheds {
-		all = append(all, s.alive, s.ready, s.frozen, s.termed, f.w.front.admitted[s.n])
+	for _, s := range f.w.schedulers {
+		all = append(all, s.alive, s.ready, s.frozen, s.terminated, f.w.balancer.admitted[s.number])
 	}
-	d := f.w.disco
-	return append(all, len(f.w.net.cuts), len(f.w.net.lags), len(f.w.net.drops), d.downs, d.olds, d.behind, len(d.slows),
-		slices.Clone(d.wrongs), slices.Clone(d.cuts), len(d.held), len(f.w.clients.storms), len(f.came(0, 255)))
+	d := f.w.discovery
+	return append(all, len(f.w.network.partitions), len(f.w.network.delays), len(f.w.network.idleDrops), d.outages, d.staleAnswers, d.noticeDelay, len(d.slowFactors),
+		slices.Clone(d.wrongEntries), slices.Clone(d.cutCounts), len(d.heldEvents), len(f.w.clients.retryFactors), len(f.came(0, 255)))
 }
 
 // Targets are all that match what is named, less all but a share; the seed says which, and nothing else does.
 func TestTargets(t *testing.T) {
 	spec := quiet(40, 3)
 	spec.Name, spec.Fleet.Zones = "targets", []string{"a", "b"}
-	at := scenario.Span(time.Second)
+	at := scenario.Duration(time.Second)
 	spec.Faults = []scenario.Fault{
-		{What: "full", At: at, On: scenario.Target{Names: []string{"w-3", "w-12"}}},
-		{What: "full", At: at, On: scenario.Target{Zone: "b", Cells: []int{0, 9}}},
-		{What: "full", At: at, On: scenario.Target{Kind: "slow-4c"}},
-		{What: "full", At: at, On: scenario.Target{Share: 0.21}},
-		{What: "full", At: at, On: scenario.Target{Share: 0.21}},
-		{What: "full", At: at, On: scenario.Target{Names: []string{"w-5"}, Share: 0.01}},
-		{What: "sched_freeze", At: at, For: at, On: scenario.Target{Share: 0.5}},
+		{Kind: "full", At: at, Target: scenario.Target{Names: []string{"w-3", "w-12"}}},
+		{Kind: "full", At: at, Target: scenario.Target{Zone: "b", Cells: []int{0, 9}}},
+		{Kind: "full", At: at, Target: scenario.Target{Kind: "slow-4c"}},
+		{Kind: "full", At: at, Target: scenario.Target{Share: 0.21}},
+		{Kind: "full", At: at, Target: scenario.Target{Share: 0.21}},
+		{Kind: "full", At: at, Target: scenario.Target{Names: []string{"w-5"}, Share: 0.01}},
+		{Kind: "sched_freeze", At: at, Duration: at, Target: scenario.Target{Share: 0.5}},
 	}
 	struck := func(seed uint64, less int) (all [][]int) {
 		short := spec.Clone()
 		short.Faults = short.Faults[:len(short.Faults)-less]
-		f := newFaults(newFate(t, short, seed).w)
+		f := newFaultTimeline(newFate(t, short, seed).w)
 		for i := range short.Faults {
-			x := &fault{Fault: &short.Faults[i], f: f}
-			x.aim(i)
-			all = append(all, append(x.nodes, x.scheds...))
+			x := &activeFault{Fault: &short.Faults[i], timeline: f}
+			x.chooseTargets(i)
+			all = append(all, append(x.workers, x.schedulers...))
 		}
 		return all
 	}
@@ -144,21 +144,21 @@
 
 // Faults that overlap on a worker node add up, and each takes away what it added.
 func TestOverlap(t *testing.T) {
-	s := scenario.Span(time.Second)
+	s := scenario.Duration(time.Second)
 	spec := quiet(1, 1)
 	spec.Name = "overlap"
 	spec.Faults = []scenario.Fault{
-		{What: "slow", At: 2 * s, For: 4 * s, Size: 2},
-		{What: "slow", At: 4 * s, For: 4 * s, Size: 3},
-		{What: "errors", At: 2 * s, For: 4 * s, Size: 0.7},
-		{What: "errors", At: 4 * s, For: 4 * s, Size: 0.2},
-		{What: "reset_at", At: 2 * s, For: 6 * s, Size: 9},
-		{What: "reset_at", At: 4 * s, For: 2 * s, Size: -5},
-		{What: "refuse", At: 2 * s, For: 4 * s},
-		{What: "refuse", At: 4 * s, For: 4 * s},
+		{Kind: "slow", At: 2 * s, Duration: 4 * s, Size: 2},
+		{Kind: "slow", At: 4 * s, Duration: 4 * s, Size: 3},
+		{Kind: "errors", At: 2 * s, Duration: 4 * s, Size: 0.7},
+		{Kind: "errors", At: 4 * s, Duration: 4 * s, Size: 0.2},
+		{Kind: "reset_at", At: 2 * s, Duration: 6 * s, Size: 9},
+		{Kind: "reset_at", At: 4 * s, Duration: 2 * s, Size: -5},
+		{Kind: "refuse", At: 2 * s, Duration: 4 * s},
+		{Kind: "refuse", At: 4 * s, Duration: 4 * s},
 	}
 	f := newFate(t, spec, 1)
-	n := f.w.nodes[0]
+	n := f.w.workers[0]
 	for _, want := range [][]any{
 		{1.0, -1.0, 0, false},
 		{2.0, 0.7, 9, true},
@@ -167,7 +167,7 @@
 		{1.0, -1.0, 0, false},
 	} {
 		f.run(time.Second)
-		if got := []any{n.drag, n.errors, n.resets, n.refusing}; !slices.Equal(got, want) {
+		if got := []any{n.slowFactor, n.errorRate, n.resetBytes, n.refusing}; !slices.Equal(got, want) {
 			t.Errorf("at %v it is %v, and should be %v", f.w.now, got, want)
 		}
 		f.run(time.Second)
@@ -176,24 +176,24 @@
 
 // Worker nodes are struck in turn, for as long each, and the fault is over with the last of them.
 func TestSpread(t *testing.T) {
-	s := scenario.Span(time.Second)
+	s := scenario.Duration(time.Second)
 	spec := quiet(4, 1)
 	spec.Name = "spread"
 	spec.Faults = []scenario.Fault{
-		{What: "hang", At: 2 * s, For: 3 * s, Spread: 8 * s},
-		{What: "crash", At: 20 * s, For: 2 * s, On: scenario.Target{Names: []string{"w-1"}}},
-		{What: "crash", At: 30 * s, On: scenario.Target{Names: []string{"w-1"}}},
+		{Kind: "hang", At: 2 * s, Duration: 3 * s, Spread: 8 * s},
+		{Kind: "crash", At: 20 * s, Duration: 2 * s, Target: scenario.Target{Names: []string{"w-1"}}},
+		{Kind: "crash", At: 30 * s, Target: scenario.Target{Names: []string{"w-1"}}},
 	}
 	f := newFate(t, spec, 1)
 	f.run(time.Minute)
 	var got []int
-	for _, x := range f.all(0, seen.FaultOn, seen.NodeHang, seen.NodeWell, seen.NodeDown, seen.NodeUp, seen.FaultOff) {
+	for _, x := range f.all(0, trace.FaultStarted, trace.WorkerHung, trace.WorkerRecovered, trace.WorkerStopped, trace.WorkerStarted, trace.FaultEnded) {
 		got = append(got, int(x.At.Seconds()))
 	}
 	if want := []int{2, 2, 4, 5, 6, 7, 8, 9, 11, 11, 20, 20, 22, 22, 30, 30}; !slices.Equal(got, want) {
 		t.Errorf("%v, and should be at %v", got, want)
 	}
-	for _, x := range f.all(0, seen.FaultOn)[1:2] {
+	for _, x := range f.all(0, trace.FaultStarted)[1:2] {
 		if x.Text != "crash: w-1, for 2s" {
 			t.Errorf("told as %q", x.Text)
 		}
--- /dev/null
+++ b/internal/testbed/environment/harness_clients_test.go
@@ -0,0 +1,195 @@
+package environment
+
+import (
+	"time"
+
+	"valvecove/internal/modeltest"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simapi"
+	"valvecove/internal/testbed/trace"
+)
+
+// stage is clients, their front and a network, with schedulers that do as a test says.
+type stage struct {
+	w     *Environment
+	told  []trace.Event
+	outs  []simapi.Output    // for the next step
+	check func(*trace.Event) // instead of told
+}
+
+// calm is the co-operative's deployment with one zone and so many schedulers.
+func calm(scheds int, length time.Duration) *scenario.Scenario {
+	s := scenario.Default()
+	s.Schedulers.Count, s.Length = scheds, scenario.Duration(length)
+	return s
+}
+
+func newStage(spec *scenario.Scenario, seed uint64) *stage {
+	t := &stage{}
+	w := &Environment{Spec: spec, seed: seed, conns: map[simapi.Conn]*conn{}}
+	w.observer = func(s *trace.Event) {
+		if t.check != nil {
+			t.check(s)
+		} else {
+			t.told = append(t.told, *s)
+		}
+	}
+	w.network = newNetwork(w)
+	for i := range spec.Schedulers.Count {
+		w.schedulers = append(w.schedulers, &scheduler{env: w, number: i})
+	}
+	w.balancer, w.clients = newLoadBalancer(w), newClients(w)
+	t.w = w
+	return t
+}
+
+// begin has all schedulers run, and the clients begin.
+func (t *stage) begin() *stage {
+	for i := range t.w.schedulers {
+		t.up(i)
+	}
+	t.w.clients.start()
+	return t
+}
+
+func (t *stage) up(i int) {
+	if s := t.w.schedulers[i]; !s.alive {
+		s.alive, s.ready, s.incarnation = true, true, s.incarnation+1
+		t.w.balancer.schedulerChanged(s)
+	}
+}
+
+func (t *stage) kill(i int) {
+	if s := t.w.schedulers[i]; s.alive {
+		s.alive, s.ready = false, false
+		t.w.dropConns(i)
+		t.w.balancer.schedulerChanged(s)
+	}
+}
+
+// run plays to an instant; act is told what reaches schedulers, and what it appends to outs happens at once.
+func (t *stage) run(to time.Duration, act func(in *simapi.Input)) {
+	for {
+		at, ok := t.w.Next()
+		if len(t.outs) > 0 {
+			at = t.w.now
+		} else if !ok || at > to {
+			t.w.now = to
+			return
+		}
+		outs := t.outs
+		t.outs = nil
+		for _, in := range t.w.Step(at, outs, nil) {
+			act(&in)
+		}
+	}
+}
+
+// end plays until all jobs are settled.
+func (t *stage) end(act func(in *simapi.Input)) {
+	for !t.w.Finished() {
+		t.run(t.w.now+time.Second, act)
+	}
+}
+
+// reply has a query answered.
+func (t *stage) reply(in *simapi.Input, status int, after time.Duration) {
+	t.outs = append(t.outs, simapi.Output{
+		Kind: simapi.ResponseWritten, Scheduler: in.Scheduler, Conn: in.Conn, RequestID: in.Request.RequestID,
+		Status: status, RetryAfter: after, Result: "r",
+	})
+}
+
+// serve answers everything at once.
+func (t *stage) serve(in *simapi.Input) {
+	if in.Kind == simapi.RequestReceived {
+		t.reply(in, 200, 0)
+	}
+}
+
+// of is what was seen of a kind.
+func (t *stage) of(what trace.Kind) (list []trace.Event) {
+	for _, s := range t.told {
+		if s.Kind == what {
+			list = append(list, s)
+		}
+	}
+	return list
+}
+
+// witness knows what clients may do, and holds them to it sight by sight.
+type witness struct {
+	spec  *scenario.Scenario
+	check func(ok bool, format string, args ...any)
+	jobs  map[uint64]*witnessed
+	calls map[string]uint64
+}
+
+type witnessed struct {
+	due     trace.Event
+	open    *trace.Event // the try that was asked and has not ended
+	tries   int
+	status  int
+	risked  time.Duration
+	settled bool
+}
+
+func newWitness(spec *scenario.Scenario, s *modeltest.Steps) *witness {
+	return &witness{spec: spec, check: s.Check, jobs: map[uint64]*witnessed{}, calls: map[string]uint64{}}
+}
+
+func (m *witness) see(s *trace.Event) {
+	j := m.jobs[s.JobID]
+	if s.Kind == trace.ResponseReceived && (j == nil || j.open == nil || j.open.RequestID != s.RequestID || j.open.Conn != s.Conn) {
+		return // nobody waited for it
+	}
+	m.check(s.Kind == trace.JobDue == (j == nil), "sight %d of job %d, known: %v", s.Kind, s.JobID, j != nil)
+	if s.Kind == trace.JobDue {
+		m.jobs[s.JobID] = &witnessed{due: *s, risked: -1}
+		m.check(s.LatencyObjective <= s.Deadline && s.Work > 0 && s.Slots >= 1, "a job of no sense: %+v", *s)
+		return
+	}
+	m.check(!j.settled, "sight %d of a settled job", s.Kind)
+	class := &m.spec.Classes[j.due.Class]
+	deadline, slack := j.due.At+j.due.Deadline, m.spec.Rules.Slack.Std()
+	switch s.Kind {
+	case trace.RequestSent:
+		m.check(j.open == nil || j.open.RequestID == s.RequestID && j.open.Conn != s.Conn, "two open tries of a job")
+		if j.open == nil {
+			m.check(m.calls[s.RequestID] == 0, "id %s comes twice", s.RequestID)
+			m.check(s.Number >= j.tries && s.Number <= m.spec.Clients.Retries, "try %d after %d", s.Number, j.tries)
+			j.tries = s.Number + 1
+		}
+		m.calls[s.RequestID] = s.JobID
+		m.check(s.Budget >= time.Millisecond && s.Budget%time.Millisecond == 0 && s.At+s.Budget <= deadline,
+			"a budget of %v with %v left", s.Budget, deadline-s.At)
+		m.check(s.IdempotencyKey == j.due.IdempotencyKey && (s.IdempotencyKey != "") == (class.Idempotency == "keyed"), "key %q", s.IdempotencyKey)
+		if j.risked >= 0 {
+			within := class.Idempotency == "keyed" && class.DeduplicationScope == "all" && s.At < j.risked+class.DeduplicationWindow.Std()
+			m.check(class.Idempotency == "safe" || within, "%s tried again %v after one that may have run", class.Name,
+				s.At-j.risked)
+		}
+		open := *s
+		j.open = &open
+		return
+	case trace.JobSettled:
+		m.check(j.open == nil, "settled with an open try")
+		m.check(s.Status == j.status && s.At <= deadline+slack, "settled with %d at %v", s.Status, s.At-deadline)
+		j.settled = true
+		return
+	case trace.SchedulerUnreachable: // perhaps of one that nobody had read
+		m.check(s.Number+1 >= j.tries, "an old try ends again")
+		j.tries, j.status = s.Number+1, 0
+	case trace.ResponseReceived, trace.ConnectionLost, trace.ClientTimedOut, trace.ClientLeft:
+		m.check(j.open != nil && j.open.RequestID == s.RequestID && j.open.Conn == s.Conn, "sight %d of no open try", s.Kind)
+		if j.status = s.Status; s.Status != 200 && s.Status != 429 && s.Status != 503 && j.risked < 0 {
+			j.risked = j.open.At
+		}
+		waited := s.At - j.open.At
+		m.check(waited <= j.open.Budget+slack+time.Millisecond, "waited %v of %v", waited, j.open.Budget)
+		m.check(s.Kind != trace.ClientTimedOut || waited >= j.open.Budget+slack, "gave up after %v", waited)
+	default:
+		m.check(false, "sight %d", s.Kind)
+	}
+	j.open = nil
+}
