--- a/internal/lab/world/harness_fate_test.go
+++ b/internal/testbed/environment/harness_faults_test.go
@@ -1,24 +1,24 @@
-package world
+package environment
 
 import (
 	"testing"
 	"time"
 
-	"valvecove/internal/lab/edge"
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/seen"
 	"valvecove/internal/requests"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simapi"
+	"valvecove/internal/testbed/trace"
 )
 
 // fate is a whole world with hardly a client, and schedulers that do nothing but follow discovery.
 type fate struct {
 	t      testing.TB
-	w      *World
+	w      *Environment
 	spec   *scenario.Scenario
 	scheds []*follower
-	sights []seen.Sight
-	ins    []edge.In // all that came
-	outs   []edge.Out
+	sights []trace.Event
+	ins    []simapi.Input // all that came
+	outs   []simapi.Output
 	exit   bool // what follows SIGTERM is the process's own end
 }
 
@@ -34,8 +34,8 @@
 // quiet is a play of such a world: of so many worker nodes, and without chance in the network.
 func quiet(nodes, scheds int) *scenario.Scenario {
 	s := scenario.Default()
-	s.Fleet.Nodes, s.Schedulers.Count, s.Length = nodes, scheds, scenario.Span(5*time.Minute)
-	s.Load.Of, s.Load.Rate, s.Schedulers.StartOver = 0, 1e-6, 0
+	s.Fleet.Workers, s.Schedulers.Count, s.Length = nodes, scheds, scenario.Duration(5*time.Minute)
+	s.Load.CapacityShare, s.Load.Rate, s.Schedulers.StartSpread = 0, 1e-6, 0
 	return s
 }
 
@@ -48,7 +48,7 @@
 	for range spec.Schedulers.Count + spec.Planners.Count {
 		f.scheds = append(f.scheds, &follower{})
 	}
-	f.w = New(spec, seed, 1000*time.Hour, func(s *seen.Sight) { f.sights = append(f.sights, *s) })
+	f.w = New(spec, seed, 1000*time.Hour, func(s *trace.Event) { f.sights = append(f.sights, *s) })
 	return f
 }
 
@@ -89,44 +89,44 @@
 func (f *fate) ask(i int, now time.Duration) {
 	s := f.scheds[i]
 	s.heard = now
-	f.outs = append(f.outs, edge.Out{Kind: edge.Watch, Sched: i, After: time.Duration(s.gen)})
+	f.outs = append(f.outs, simapi.Output{Kind: simapi.WatchRequested, Scheduler: i, RetryAfter: time.Duration(s.gen)})
 }
 
-func (f *fate) take(in *edge.In) {
-	if in.Kind >= edge.Hear {
+func (f *fate) take(in *simapi.Input) {
+	if in.Kind >= simapi.AcceptModeChanged {
 		return
 	}
-	s := f.scheds[in.Sched]
-	if !s.up && in.Kind != edge.Start {
-		f.t.Fatalf("at %v, scheduler %d does not run and hears %d", f.w.now, in.Sched, in.Kind)
+	s := f.scheds[in.Scheduler]
+	if !s.up && in.Kind != simapi.Start {
+		f.t.Fatalf("at %v, scheduler %d does not run and hears %d", f.w.now, in.Scheduler, in.Kind)
 	}
 	switch in.Kind {
-	case edge.Start:
-		s.up, s.frozen, s.list, s.gen = true, false, map[string]requests.Endpoint{}, in.Boot.Known.Revision
-		for _, h := range in.Boot.Known.Endpoints {
+	case simapi.Start:
+		s.up, s.frozen, s.list, s.gen = true, false, map[string]requests.Endpoint{}, in.Start.KnownEndpoints.Revision
+		for _, h := range in.Start.KnownEndpoints.Endpoints {
 			s.list[h.ID] = h
 		}
-		f.outs = append(f.outs, edge.Out{Kind: edge.Ready, Sched: in.Sched})
+		f.outs = append(f.outs, simapi.Output{Kind: simapi.Ready, Scheduler: in.Scheduler})
 		if !s.mute {
-			f.ask(in.Sched, f.w.now)
+			f.ask(in.Scheduler, f.w.now)
 		}
-	case edge.Kill:
+	case simapi.Kill:
 		s.up = false
-	case edge.Terminate:
+	case simapi.Terminate:
 		if f.exit {
 			s.up = false
-			f.outs = append(f.outs, edge.Out{Kind: edge.Exited, Sched: in.Sched})
+			f.outs = append(f.outs, simapi.Output{Kind: simapi.Exited, Scheduler: in.Scheduler})
 		}
-	case edge.Freeze, edge.Resume:
-		s.frozen = in.Kind == edge.Freeze
+	case simapi.Freeze, simapi.Resume:
+		s.frozen = in.Kind == simapi.Freeze
 		s.heard = f.w.now
-	case edge.Reload:
+	case simapi.Reload:
 		s.gen = 0
-		f.ask(in.Sched, f.w.now)
-	case edge.Unlisted:
+		f.ask(in.Scheduler, f.w.now)
+	case simapi.WatchEnded:
 		s.heard = f.w.now - 2*time.Second // and asks again in a second
-	case edge.Listed, edge.Quiet:
-		if s.heard = f.w.now; in.Kind == edge.Quiet {
+	case simapi.ListReceived, simapi.WatchHeartbeat:
+		if s.heard = f.w.now; in.Kind == simapi.WatchHeartbeat {
 			return
 		}
 		if in.List.Reset {
@@ -144,10 +144,10 @@
 }
 
 // all are the sights of some kinds since an index.
-func (f *fate) all(from int, kinds ...seen.What) (list []seen.Sight) {
+func (f *fate) all(from int, kinds ...trace.Kind) (list []trace.Event) {
 	for _, s := range f.sights[from:] {
 		for _, k := range kinds {
-			if s.What == k {
+			if s.Kind == k {
 				list = append(list, s)
 			}
 		}
@@ -156,7 +156,7 @@
 }
 
 // came are the Ins of a kind since an index.
-func (f *fate) came(from int, kind edge.InKind) (list []edge.In) {
+func (f *fate) came(from int, kind simapi.InputKind) (list []simapi.Input) {
 	for _, in := range f.ins[from:] {
 		if in.Kind == kind {
 			list = append(list, in)
--- a/internal/lab/world/harness_nodes_test.go
+++ b/internal/testbed/environment/harness_workers_test.go
@@ -1,39 +1,39 @@
-package world
+package environment
 
 import (
 	"slices"
 	"testing"
 	"time"
 
-	"valvecove/internal/lab/edge"
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/seen"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simapi"
+	"valvecove/internal/testbed/trace"
 )
 
 // rig is worker nodes and a network, with schedulers that do as a test says, and queries that it makes up.
 type rig struct {
 	t      testing.TB
-	w      *World
-	tries  map[string]*try
-	sights []seen.Sight
-	ins    []edge.In
-	outs   []edge.Out // for the next step
+	w      *Environment
+	tries  map[string]*request
+	sights []trace.Event
+	ins    []simapi.Input
+	outs   []simapi.Output // for the next step
 	life   []lifeEvent
 	told   bool
-	ack    func(in *edge.In) (status int, ok bool) // a scheduler's answer to a note
-	see    func(s *seen.Sight)
+	ack    func(in *simapi.Input) (status int, ok bool) // a scheduler's answer to a note
+	see    func(s *trace.Event)
 	conns  uint64
 }
 
 const ms = time.Millisecond
 
 // plain is a fleet of one kind on a network without delays, whose worker nodes do as they should.
-func plain(nodes int) (*scenario.Scenario, *scenario.Kind) {
+func plain(nodes int) (*scenario.Scenario, *scenario.WorkerKind) {
 	s := scenario.Default()
-	s.Fleet.Nodes, s.Net, s.Fleet.Kinds, s.Rules.FallFactor = nodes, scenario.Net{}, s.Fleet.Kinds[:1], 1000
+	s.Fleet.Workers, s.Network, s.Fleet.Kinds, s.Rules.OverloadFactor = nodes, scenario.Network{}, s.Fleet.Kinds[:1], 1000
 	k := &s.Fleet.Kinds[0]
 	k.Share, k.Speed, k.Spread, k.Queue, k.Accept, k.Handshake = 1, 1, 0, 4, 0, 0
-	k.NoteLate, k.NoteEarly, k.NoteTwice, k.NoteLost = 0, 0, 0, 0
+	k.CallbackDelay, k.CallbackEarlyShare, k.CallbackTwiceShare, k.CallbackLossShare = 0, 0, 0, 0
 	for i := range s.Classes {
 		s.Classes[i].Noise = 0
 	}
@@ -49,23 +49,23 @@
 
 func newRig(tb testing.TB, spec *scenario.Scenario, seed uint64) *rig {
 	tb.Helper()
-	r := &rig{t: tb, tries: map[string]*try{}, told: true, ack: func(*edge.In) (int, bool) { return 204, true }}
-	r.w = &World{Spec: spec, seed: seed, conns: map[edge.Conn]*conn{}, watch: func(s *seen.Sight) {
+	r := &rig{t: tb, tries: map[string]*request{}, told: true, ack: func(*simapi.Input) (int, bool) { return 204, true }}
+	r.w = &Environment{Spec: spec, seed: seed, conns: map[simapi.Conn]*conn{}, observer: func(s *trace.Event) {
 		r.sights = append(r.sights, *s)
 		if r.see != nil {
 			r.see(s)
 		}
 	}}
-	r.w.net = newNetwork(r.w)
+	r.w.network = newNetwork(r.w)
 	for i := range spec.Schedulers.Count {
-		r.w.scheds = append(r.w.scheds, &sched{w: r.w, n: i, alive: true})
+		r.w.schedulers = append(r.w.schedulers, &scheduler{env: r.w, number: i, alive: true})
 	}
-	r.w.nodes = newNodes(r.w)
-	f := r.w.nodes[0].fleet
-	f.find = func(call string) *try { return r.tries[call] }
-	f.told = func(int, *node) bool { return r.told }
-	f.saw = func(_ *node, what lifeEvent) { r.life = append(r.life, what) }
-	for _, n := range r.w.nodes {
+	r.w.workers = newWorkers(r.w)
+	f := r.w.workers[0].shared
+	f.findRequest = func(call string) *request { return r.tries[call] }
+	f.knowsStart = func(int, *worker) bool { return r.told }
+	f.onLifeEvent = func(_ *worker, what lifeEvent) { r.life = append(r.life, what) }
+	for _, n := range r.w.workers {
 		n.begin()
 	}
 	return r
@@ -89,10 +89,10 @@
 	r.outs = nil
 	r.ins = r.w.Step(at, outs, r.ins)
 	for i := range r.ins[from:] {
-		if in := &r.ins[from+i]; in.Kind == edge.Told {
+		if in := &r.ins[from+i]; in.Kind == simapi.CallbackReceived {
 			if status, ok := r.ack(in); ok {
-				r.outs = append(r.outs, edge.Out{
-					Kind: edge.Acked, Sched: in.Sched, Node: in.Node, NoteID: in.NoteID,
+				r.outs = append(r.outs, simapi.Output{
+					Kind: simapi.CallbackAnswered, Scheduler: in.Scheduler, Worker: in.Worker, CallbackID: in.CallbackID,
 					Status: status,
 				})
 			}
@@ -102,50 +102,50 @@
 
 // do does something within a step.
 func (r *rig) do(what func()) {
-	r.w.at(0, what)
+	r.w.schedule(0, what)
 	r.step(r.w.now)
 }
 
-func (r *rig) dial(sched, node int) edge.Conn {
+func (r *rig) dial(sched, node int) simapi.Conn {
 	r.conns++
-	c := edge.LinkConn(sched, r.conns)
-	r.outs = append(r.outs, edge.Out{Kind: edge.Dial, Sched: sched, Node: node, Conn: c})
+	c := simapi.WorkerConn(sched, r.conns)
+	r.outs = append(r.outs, simapi.Output{Kind: simapi.WorkerDialed, Scheduler: sched, Worker: node, Conn: c})
 	return c
 }
 
 // query makes up a client's query of so much work.
 func (r *rig) query(call string, class int, work, slots float64) {
-	r.tries[call] = &try{call: call, class: class, work: work, slots: slots, key: "key-" + call}
+	r.tries[call] = &request{id: call, class: class, work: work, slots: slots, key: "key-" + call}
 }
 
 // out has a scheduler do something over a connection.
-func (r *rig) out(c edge.Conn, kind edge.OutKind, call string) {
+func (r *rig) out(c simapi.Conn, kind simapi.OutputKind, call string) {
 	n := r.w.conns[c]
 	if n == nil {
 		return
 	}
-	o := edge.Out{Kind: kind, Sched: n.sched, Node: n.node, Conn: c, Call: call, Budget: 5 * time.Second}
+	o := simapi.Output{Kind: kind, Scheduler: n.scheduler, Worker: n.worker, Conn: c, RequestID: call, Budget: 5 * time.Second}
 	if t := r.tries[call]; t != nil {
-		o.Key = t.key
+		o.IdempotencyKey = t.key
 	}
 	r.outs = append(r.outs, o)
 }
 
 // ask sends a query over a connection of its own, which stays.
-func (r *rig) ask(node int, call string, class int, work, slots float64) edge.Conn {
+func (r *rig) ask(node int, call string, class int, work, slots float64) simapi.Conn {
 	if r.tries[call] == nil {
 		r.query(call, class, work, slots)
 	}
 	c := r.dial(0, node)
 	r.step(r.w.now)
-	r.out(c, edge.Sent, call)
+	r.out(c, simapi.AttemptWritten, call)
 	r.step(r.w.now)
 	return c
 }
 
 // first finds what was first seen of a call.
-func (r *rig) first(what seen.What, call string) (s seen.Sight, ok bool) {
-	i := slices.IndexFunc(r.sights, func(s seen.Sight) bool { return s.What == what && s.Call == call })
+func (r *rig) first(what trace.Kind, call string) (s trace.Event, ok bool) {
+	i := slices.IndexFunc(r.sights, func(s trace.Event) bool { return s.Kind == what && s.RequestID == call })
 	if i < 0 {
 		return s, false
 	}
@@ -153,7 +153,7 @@
 }
 
 // must is the same, and it was seen at that time.
-func (r *rig) must(what seen.What, call string, at time.Duration) seen.Sight {
+func (r *rig) must(what trace.Kind, call string, at time.Duration) trace.Event {
 	r.t.Helper()
 	s, ok := r.first(what, call)
 	if d := s.At - at; !ok || d < 0 || d > 10*time.Microsecond {
@@ -167,8 +167,8 @@
 	r.t.Helper()
 	var got []string
 	for _, in := range r.ins {
-		if in.Kind == edge.Told && in.Note.CallID == call {
-			got = append(got, in.Note.State)
+		if in.Kind == simapi.CallbackReceived && in.Callback.CallID == call {
+			got = append(got, in.Callback.State)
 		}
 	}
 	if !slices.Equal(got, want) {
@@ -177,7 +177,7 @@
 }
 
 // last is what last came over a connection, and must be of a kind.
-func (r *rig) last(c edge.Conn, kind edge.InKind) (in edge.In) {
+func (r *rig) last(c simapi.Conn, kind simapi.InputKind) (in simapi.Input) {
 	r.t.Helper()
 	for _, x := range r.ins {
 		if x.Conn == c {
--- /dev/null
+++ b/internal/testbed/environment/misbehaving.go
@@ -0,0 +1,104 @@
+package environment
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simapi"
+	"valvecove/internal/testbed/trace"
+)
+
+// misbehavingSource is the bad clients of one kind: they connect at random, with random numbers of their own. What they do on
+// their connections is bytes, so only a live driver plays it and tells what came of it.
+type misbehavingSource struct {
+	clients *clients
+	spec    *scenario.MisbehavingClients
+	rng     *rand.Rand
+	nextAt  time.Duration
+	until   time.Duration
+	count   uint64
+}
+
+// misbehavingClient is a bad client.
+type misbehavingClient struct {
+	clients  *clients
+	kind     string
+	answered bool // it has had an answer
+}
+
+// misbehavingTimeout is how long a bad client stays whom nobody answers.
+const misbehavingTimeout = 30 * time.Second
+
+func (c *clients) startMisbehaving() {
+	for i := range c.env.Spec.Misbehaving {
+		b := &c.env.Spec.Misbehaving[i]
+		m := &misbehavingSource{clients: c, spec: b, rng: c.env.rng("bad", i), nextAt: b.At.Std(), until: c.arrivals.length}
+		if b.Duration > 0 {
+			m.until = min(m.until, (b.At + b.Duration).Std())
+		}
+		m.scheduleNext()
+	}
+}
+
+func (m *misbehavingSource) scheduleNext() {
+	if m.spec.Rate <= 0 {
+		return
+	}
+	gap := m.rng.ExpFloat64() / m.spec.Rate
+	if left := (m.until - m.nextAt).Seconds(); gap >= left {
+		return
+	}
+	m.nextAt += time.Duration(gap * float64(time.Second))
+	m.clients.env.schedule(m.nextAt, func() {
+		m.connectNext()
+		m.scheduleNext()
+	})
+}
+
+// connectNext is the next bad client's. The front leads it like any other, but it heeds no limit.
+func (m *misbehavingSource) connectNext() {
+	w := m.clients.env
+	m.count++
+	sched, _ := w.balancer.pick(int(m.count)%m.clients.zones, 1<<30)
+	if sched < 0 || !w.schedulers[sched].alive {
+		return
+	}
+	o := &misbehavingClient{clients: m.clients, kind: m.spec.Kind}
+	conn := w.openConn(&conn{id: m.clients.nextConn(), scheduler: sched, up: true, far: o})
+	w.record(trace.Event{Kind: trace.MisbehavingClientConnected, Scheduler: sched, Conn: uint64(conn.id), Text: o.kind})
+	do := &simapi.Misbehavior{Kind: o.kind, Number: m.count - 1}
+	switch o.kind {
+	case "stolen_id", "flood", "insist":
+		do.RequestID = m.clients.recentOpenRequest()
+	}
+	w.deliver(simapi.Input{Kind: simapi.ClientMisbehaves, Scheduler: sched, Conn: conn.id, Misbehavior: do})
+	w.after(misbehavingTimeout, func() { w.closeSide(conn, farSide) })
+}
+
+// recentOpenRequest is the id of an open query, the one asked last; empty: of the last ones none is open.
+func (c *clients) recentOpenRequest() string {
+	for i := range c.recentRequests {
+		t := c.recentRequests[(c.recentNext-1-i+len(c.recentRequests)*2)%len(c.recentRequests)]
+		if t != nil && t.stage == requestSent {
+			return t.id
+		}
+	}
+	return ""
+}
+
+func (o *misbehavingClient) endpoint() endpoint { return endpoint{clientEndpoint, 0} }
+
+func (o *misbehavingClient) responseReceived(conn *conn, a response) {
+	if !o.answered || a.status == 200 {
+		o.clients.env.record(trace.Event{Kind: trace.MisbehavingClientAnswered, Scheduler: conn.scheduler, Conn: uint64(conn.id), Status: a.status, Text: o.kind})
+	}
+	o.answered = true
+}
+
+func (o *misbehavingClient) connClosed(conn *conn) {
+	if !o.answered {
+		o.clients.env.record(trace.Event{Kind: trace.MisbehavingClientAnswered, Scheduler: conn.scheduler, Conn: uint64(conn.id), Text: o.kind})
+	}
+	o.answered = true
+}
--- a/internal/lab/world/network_test.go
+++ b/internal/testbed/environment/network_test.go
@@ -1,4 +1,4 @@
-package world
+package environment
 
 import (
 	"fmt"
@@ -7,26 +7,26 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/lab/edge"
-	"valvecove/internal/lab/scenario"
 	"valvecove/internal/modeltest"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simapi"
 )
 
 func TestDelays(t *testing.T) {
 	spec, _ := plain(4)
 	spec.Fleet.Zones = []string{"a", "b"}
-	spec.Net = scenario.Net{
-		Delay: scenario.Span(ms), Cross: scenario.Span(10 * ms), Client: scenario.Span(2 * ms),
+	spec.Network = scenario.Network{
+		Delay: scenario.Duration(ms), CrossZone: scenario.Duration(10 * ms), ClientDelay: scenario.Duration(2 * ms),
 		Jitter: 0.5,
 	}
 	r := newRig(t, spec, 1)
-	check := func(from, to party, want, cv float64) {
+	check := func(from, to endpoint, want, cv float64) {
 		t.Helper()
 		const n = 20_000
 		sum, squares := 0.0, 0.0
 		for i := range n {
 			r.w.now = time.Duration(i) * time.Microsecond
-			at, _ := r.w.net.arrival(from, to)
+			at, _ := r.w.network.arrival(from, to)
 			d := (at - r.w.now).Seconds() * 1000
 			sum, squares = sum+d, squares+d*d
 		}
@@ -36,12 +36,12 @@
 			t.Errorf("%v to %v takes %v ms, give or take %v; want %v and %v", from, to, mean, got, want, cv)
 		}
 	}
-	sched, near, far := party{aSched, 0}, party{aNode, 2}, party{aNode, 3}
+	sched, near, far := endpoint{schedulerEndpoint, 0}, endpoint{workerEndpoint, 2}, endpoint{workerEndpoint, 3}
 	check(sched, near, 1, 0.5)
 	check(far, sched, 10, 0.5)
-	check(party{aClient, 7}, sched, 2, 0.5)
-	check(party{theDisco, 0}, far, 1, 0.5)
-	undo := r.w.net.lag(crowd{kind: aNode, only: map[int]bool{2: true}}, crowd{kind: aSched}, 20*ms)
+	check(endpoint{clientEndpoint, 7}, sched, 2, 0.5)
+	check(endpoint{discoveryEndpoint, 0}, far, 1, 0.5)
+	undo := r.w.network.addDelay(endpointGroup{kind: workerEndpoint, members: map[int]bool{2: true}}, endpointGroup{kind: schedulerEndpoint}, 20*ms)
 	check(sched, near, 21, math.Sqrt(400./3+0.25)/21)
 	check(sched, far, 10, 0.5)
 	undo()
@@ -52,18 +52,18 @@
 // end is a far end that remembers.
 type end struct{ over bool }
 
-func (e *end) party() party  { return party{aNode, 0} }
-func (e *end) ended(_ *conn) { e.over = true }
+func (e *end) endpoint() endpoint { return endpoint{workerEndpoint, 0} }
+func (e *end) connClosed(_ *conn) { e.over = true }
 
 // FuzzConn puts a connection through random sendings and cuts: what arrives is what was sent, in order, and once all
 // cuts have healed nothing is missing.
 func FuzzConn(f *testing.F) {
 	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		spec, _ := plain(1)
-		spec.Net = scenario.Net{Delay: scenario.Span(5 * ms), Jitter: 1}
+		spec.Network = scenario.Network{Delay: scenario.Duration(5 * ms), Jitter: 1}
 		r, far := newRig(s.T, spec, uint64(s.Pick(256))), &end{}
-		c := r.w.open(&conn{id: edge.LinkConn(0, 1), far: far, up: true})
-		send := []func(*conn, func()){r.w.toSched, r.w.toFar}
+		c := r.w.openConn(&conn{id: simapi.WorkerConn(0, 1), far: far, up: true})
+		send := []func(*conn, func()){r.w.toSched, r.w.toFarEnd}
 		var sent, got [2][]int
 		var undo []func()
 		closed, cuts := -1, []bool{} // by which side; of those in force, which are one way
@@ -75,7 +75,7 @@
 				sent[side] = append(sent[side], i)
 				send[side](c, func() { got[side] = append(got[side], i) })
 			case pick >= 8 && pick < 10:
-				undo = append(undo, r.w.net.cut(crowd{kind: aSched}, crowd{kind: aNode}, side == 1))
+				undo = append(undo, r.w.network.partition(endpointGroup{kind: schedulerEndpoint}, endpointGroup{kind: workerEndpoint}, side == 1))
 				cuts = append(cuts, side == 1)
 			case pick < 12 && len(undo) > 0:
 				k := s.Pick(len(undo))
@@ -83,7 +83,7 @@
 				undo, cuts = slices.Delete(undo, k, k+1), slices.Delete(cuts, k, k+1)
 			case pick == 12 && closed < 0 && i > 20:
 				closed = s.Pick(2)
-				r.w.shut(c, closed)
+				r.w.closeSide(c, closed)
 			default:
 				r.pass(time.Duration(s.Pick(20)) * ms)
 			}
@@ -91,8 +91,8 @@
 				s.Check(len(got[side]) <= len(sent[side]) && slices.Equal(got[side], sent[side][:len(got[side])]),
 					"side %d: sent %v, got %v", side, sent[side], got[side])
 			}
-			_, back := r.w.net.arrival(party{aNode, 0}, party{aSched, 0})
-			_, _, up := r.w.net.reach(party{aSched, 0}, party{aNode, 0})
+			_, back := r.w.network.arrival(endpoint{workerEndpoint, 0}, endpoint{schedulerEndpoint, 0})
+			_, _, up := r.w.network.connectDelays(endpoint{schedulerEndpoint, 0}, endpoint{workerEndpoint, 0})
 			s.Check(back == !slices.Contains(cuts, false) && up == (len(cuts) == 0), "cuts %v: back %v, up %v", cuts, back, up)
 		}
 		for _, heal := range undo {
@@ -102,27 +102,27 @@
 		for side := range got { // what comes after a close is for nobody
 			s.Check(closed == side || len(got[side]) == len(sent[side]), "side %d: sent %v, got %v", side, sent[side], got[side])
 		}
-		s.Check(len(r.w.conns) == 1 == (closed < 0) && far.over == (closed == schedSide),
+		s.Check(len(r.w.conns) == 1 == (closed < 0) && far.over == (closed == schedulerSide),
 			"closed by %d, %d connections are left, the far end knows of it %v", closed, len(r.w.conns), far.over)
 	})
 }
 
 func TestIdleConnectionsAreForgotten(t *testing.T) {
 	spec, k := plain(1)
-	k.Idle, spec.Net.DropsIdle = 0, scenario.Span(time.Second)
+	k.ConnIdleTimeout, spec.Network.DropsIdleAfter = 0, scenario.Duration(time.Second)
 	r := newRig(t, spec, 1)
-	n, a, b := r.w.nodes[0], r.ask(0, "a", safeClass, 0.1, 1), r.dial(0, 0)
+	n, a, b := r.w.workers[0], r.ask(0, "a", safeClass, 0.1, 1), r.dial(0, 0)
 	r.pass(900 * ms)
-	r.out(a, edge.Sent, "a")
+	r.out(a, simapi.AttemptWritten, "a")
 	r.pass(300 * ms)
-	r.last(a, edge.Answered)
-	r.out(b, edge.Sent, "a")
+	r.last(a, simapi.ResponseReceived)
+	r.out(b, simapi.AttemptWritten, "a")
 	r.pass(ms)
-	if in := r.last(b, edge.LinkDown); !in.Reset || n.seq != 2 || len(n.links) != 2 {
-		t.Fatalf("too late it was answered by %+v, and %d came", in, n.seq)
+	if in := r.last(b, simapi.WorkerDisconnected); !in.Reset || n.attemptCount != 2 || len(n.conns) != 2 {
+		t.Fatalf("too late it was answered by %+v, and %d came", in, n.attemptCount)
 	}
 	// The worker node still has it; what it says there finds nobody.
-	n.hangUp(r.w.conns[b].part.(*nodeLink))
+	n.closeConn(r.w.conns[b].state.(*workerConn))
 	if r.pass(ms); r.w.conns[b] != nil {
 		t.Fatal("closed at both ends, it is still there")
 	}
@@ -131,9 +131,9 @@
 func TestSendWaitsForACut(t *testing.T) {
 	spec, _ := plain(1)
 	r, came := newRig(t, spec, 1), time.Duration(-1)
-	scheds, disco := crowd{kind: aSched}, crowd{kind: theDisco}
-	back, there := r.w.net.cut(disco, scheds, true), r.w.net.cut(scheds, disco, true)
-	r.w.net.send(party{aSched, 0}, party{theDisco, 0}, func() { came = r.w.now })
+	scheds, disco := endpointGroup{kind: schedulerEndpoint}, endpointGroup{kind: discoveryEndpoint}
+	back, there := r.w.network.partition(disco, scheds, true), r.w.network.partition(scheds, disco, true)
+	r.w.network.send(endpoint{schedulerEndpoint, 0}, endpoint{discoveryEndpoint, 0}, func() { came = r.w.now })
 	r.pass(time.Second)
 	back()
 	r.pass(time.Second)
--- /dev/null
+++ b/internal/testbed/environment/worker_attempts.go
@@ -0,0 +1,522 @@
+package environment
+
+import (
+	"math"
+	"slices"
+	"strconv"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"valvecove/internal/testbed/trace"
+)
+
+// attempt is one sending of a query, at the worker node that it was sent to.
+type attempt struct {
+	worker      *worker
+	requestID   string
+	key         string
+	scheduler   int
+	budget      time.Duration
+	firstByteAt time.Duration // when its first byte was written
+	knewStart   bool          // its scheduler knew then of the worker node's start
+	incarnation int           // of the process that took it
+
+	class             int
+	conn              *workerConn // that its 202 is owed on; nil: answered, or given up before
+	mayNotify         bool        // its 202 is due or past: notes may be told
+	notifiesEarly     bool        // notes may be told before
+	expiresAt         time.Duration
+	slots             float64
+	work              float64 // of this run, for each slot, in seconds at speed 1
+	fails             bool    // this run ends with an error
+	failsBeforeAccept bool    // before its 202
+
+	state            attemptState
+	number           uint64
+	allIndex         int     // in node.all
+	heapIndex        int     // in node.running
+	startProgress    float64 // n.v then
+	endProgress      float64 // n.v when it is done
+	nextProgressAt   time.Duration
+	keyRecord        *keyRecord
+	pendingCallbacks []*callback // that wait for its 202
+	result           string
+}
+
+type attemptState uint8
+
+const (
+	attemptQueued attemptState = iota // in the waiting room
+	attemptRunning
+	attemptDuplicate // its key is known: it waits for the run of another
+	attemptEnded
+)
+
+// A worker node's readings of the protocol:
+//   - An id that no client sent, or a keyed query under another key than its client's, is answered 400; no id, 404.
+//   - One whose id is in hand already, given up or not, is turned away like what there is no room for: 503, X-Rejected.
+//     So is what its kind may not run, what takes more slots than there are, and anything new while it drains.
+//   - A job of k slots does k times its run time of work. While more slots are in use than there are cores, all jobs
+//     share these evenly.
+//   - Of attempts that end with an error, a quarter do so at the door: 500 in place of 202. The others are told as
+//     failed after a part of their work, drawn evenly from a tenth to all of it.
+
+// earlyErrorShare is the share of errors that come before a 202.
+const earlyErrorShare = 0.25
+
+// attemptReceived takes an attempt whose last byte has been read.
+func (n *worker) attemptReceived(l *workerConn, a *attempt) {
+	f := n.shared
+	if l.unreadAttempt == a {
+		l.unreadAttempt = nil
+	}
+	n.env.record(trace.Event{
+		Kind: trace.AttemptReceived, RequestID: a.requestID, Worker: n.number, Incarnation: n.incarnation, Scheduler: a.scheduler,
+		Conn: uint64(l.conn.id), IdempotencyKey: a.key, Budget: a.budget, FirstByteAt: a.firstByteAt,
+	})
+	t := f.findRequest(a.requestID)
+	switch {
+	case a.requestID == "":
+		n.reject(l, a, 404)
+		return
+	case t == nil || f.classes[t.class].idempotentWithKey && a.key != t.key:
+		n.reject(l, a, 400)
+		return
+	}
+	rules := &f.classes[t.class]
+	a.class, a.slots, a.incarnation = t.class, t.slots, n.incarnation
+	if n.coldWorkReceived(a, t.work*t.slots) {
+		return
+	}
+	k := f.findKey(n, a)
+	switch {
+	case n.draining || n.rejectsAll || n.attemptsByRequest[a.requestID] != nil || a.slots > float64(n.kind.Slots),
+		rules.kind >= 0 && rules.kind != n.kindIndex,
+		k == nil && !n.hasRoom(a.slots) && !n.dropExpired(a.slots):
+		n.reject(l, a, 503)
+		return
+	}
+	n.drawOutcome(a, t.work, rules.noise)
+	if a.failsBeforeAccept && k == nil {
+		n.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: a.requestID, Worker: n.number, Incarnation: n.incarnation})
+		n.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: a.requestID, Worker: n.number, Status: 500})
+		n.respond(l, 500, false)
+		return
+	}
+	n.attemptCount++
+	a.number, a.conn, l.awaitingAnswer = n.attemptCount, l, a
+	if a.budget > 0 {
+		a.expiresAt = n.env.now + a.budget
+	}
+	a.allIndex = len(n.attempts)
+	n.attempts = append(n.attempts, a)
+	n.attemptsByRequest[a.requestID] = a
+	if k != nil {
+		k.addWaiter(a)
+	} else {
+		f.rememberKey(n, a)
+		n.startOrQueue(a)
+	}
+	if accept := n.kind.Accept.Std(); accept > 0 {
+		n.env.after(accept, func() {
+			if n.incarnation == a.incarnation && n.state == workerUp {
+				if n.isPaused() {
+					n.inbox = append(n.inbox, func() { n.accept(a) })
+				} else {
+					n.accept(a)
+				}
+			}
+		})
+		return
+	}
+	n.accept(a)
+}
+
+func (n *worker) reject(l *workerConn, a *attempt, status int) {
+	n.env.record(trace.Event{Kind: trace.AttemptRejected, RequestID: a.requestID, Worker: n.number, Status: status})
+	n.respond(l, status, status == 503)
+}
+
+// drawOutcome draws what becomes of a run. It follows from the query and the worker node alone.
+func (n *worker) drawOutcome(a *attempt, work, noise float64) {
+	r := n.shared.dice.stream(xxhash.Sum64String(a.requestID), uint64(n.number))
+	z, fails, part, kind, early := r.NormFloat64(), r.Float64(), r.Float64(), r.Float64(), r.Float64()
+	if a.work = work; noise > 0 {
+		a.work *= math.Exp(noise * (z - noise/2))
+	}
+	rate := n.kind.ErrorRate
+	if n.errorRate >= 0 {
+		rate = n.errorRate
+	}
+	a.notifiesEarly = early < n.kind.CallbackEarlyShare
+	a.fails, a.failsBeforeAccept = fails < rate, fails < rate && kind < earlyErrorShare
+	if a.fails {
+		a.work *= 0.1 + 0.9*part
+	}
+}
+
+// accept answers an attempt with 202, unless its link is gone, and lets its notes go.
+func (n *worker) accept(a *attempt) {
+	if l := a.conn; l != nil {
+		a.conn = nil
+		if l.awaitingAnswer == a {
+			l.awaitingAnswer = nil
+		}
+		l.pendingAccept = a
+		n.env.record(trace.Event{Kind: trace.AttemptAccepted, RequestID: a.requestID, Worker: n.number})
+		n.respond(l, 202, false)
+		if n.diesAtAccept {
+			a.mayNotify = true
+			n.crash(n.diesRestartAfter)
+			return
+		}
+	}
+	if a.mayNotify {
+		return
+	}
+	a.mayNotify = true
+	held := a.pendingCallbacks
+	a.pendingCallbacks = nil
+	for _, t := range held {
+		n.sendCallback(t)
+	}
+}
+
+// cancelAttempt is the word that an attempt is given up. Most kinds run on regardless.
+func (n *worker) cancelAttempt(a *attempt, why string) {
+	n.env.record(trace.Event{Kind: trace.AttemptCancelled, RequestID: a.requestID, Worker: n.number, Text: why})
+	if a.state == attemptEnded || !n.kind.CancellationStops {
+		return
+	}
+	n.advance()
+	n.removeAttempt(a)
+	n.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: a.requestID, Worker: n.number, Text: "cancelled"})
+	n.shared.releaseKey(a)
+	n.runDue()
+}
+
+// ---- Its waiting room ----
+
+// hasRoom tells whether there is room for a job of so many slots, running or waiting.
+func (n *worker) hasRoom(slots float64) bool {
+	free := float64(n.kind.Slots) - n.usedSlots
+	if n.hanging { // what it would have begun waits as well
+		return float64(len(n.queue)) < float64(n.kind.Queue)+free
+	}
+	return len(n.queue) < n.kind.Queue || slots <= free && (len(n.queue) == 0 || n.kind.QueueOrder == "backfill")
+}
+
+// dropExpired makes room by dropping waiting attempts whose time is up, where the kind drops those.
+func (n *worker) dropExpired(slots float64) bool {
+	if n.kind.ExpiredJobs != "drop" || n.hanging {
+		return false
+	}
+	swept := false
+	for i := 0; i < len(n.queue); {
+		if a := n.queue[i]; a.expiresAt > 0 && a.expiresAt <= n.env.now {
+			n.expireAttempt(a)
+			swept = true
+		} else {
+			i++
+		}
+	}
+	return swept && n.hasRoom(slots)
+}
+
+func (n *worker) expireAttempt(a *attempt) {
+	n.removeAttempt(a)
+	n.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: a.requestID, Worker: n.number, Text: "expired"})
+	n.shared.releaseKey(a)
+}
+
+// startOrQueue begins an attempt, or has it wait.
+func (n *worker) startOrQueue(a *attempt) {
+	a.state = attemptQueued
+	n.queuedWork += a.work * a.slots
+	n.queue = append(n.queue, a)
+	if len(n.queue) == 1 || n.kind.QueueOrder == "backfill" {
+		n.runDue()
+	}
+}
+
+// returnQueue hands back what waits.
+func (n *worker) returnQueue() {
+	for len(n.queue) > 0 {
+		a := n.queue[0]
+		n.removeAttempt(a)
+		n.returnAttempt(a)
+	}
+	n.maybeExit()
+}
+
+// returnAttempt returns an attempt that has been dropped: by its answer, if that is owed yet.
+func (n *worker) returnAttempt(a *attempt) {
+	if l := a.conn; l != nil {
+		a.conn, a.mayNotify = nil, true
+		if l.awaitingAnswer == a {
+			l.awaitingAnswer = nil
+		}
+		n.reject(l, a, 503)
+	} else {
+		n.env.record(trace.Event{Kind: trace.AttemptReturned, RequestID: a.requestID, Worker: n.number})
+		n.notify(a, "returned", 0)
+	}
+	n.shared.releaseKey(a)
+}
+
+// removeAttempt takes an attempt out of all tables, whatever its state; the work done is settled by then.
+func (n *worker) removeAttempt(a *attempt) {
+	switch a.state {
+	case attemptQueued:
+		if i := slices.Index(n.queue, a); i >= 0 {
+			n.queue = slices.Delete(n.queue, i, i+1)
+		}
+		if n.queuedWork -= a.work * a.slots; len(n.queue) == 0 {
+			n.queuedWork = 0
+		}
+	case attemptRunning:
+		n.running.remove(a.heapIndex)
+		n.usedSlots -= a.slots
+		if n.runningEnds -= a.slots * a.endProgress; len(n.running) == 0 {
+			n.usedSlots, n.runningEnds = 0, 0
+		}
+	case attemptDuplicate:
+		a.keyRecord.waiters = slices.DeleteFunc(a.keyRecord.waiters, func(o *attempt) bool { return o == a })
+	case attemptEnded:
+		return
+	}
+	a.state = attemptEnded
+	last := len(n.attempts) - 1
+	n.attempts[a.allIndex] = n.attempts[last]
+	n.attempts[a.allIndex].allIndex = a.allIndex
+	n.attempts[last] = nil
+	n.attempts = n.attempts[:last]
+	delete(n.attemptsByRequest, a.requestID)
+}
+
+// ---- Its cores ----
+
+// advance brings the work done up to now.
+func (n *worker) advance() {
+	if d := n.env.now - n.progressAt; d > 0 {
+		done := n.progressRate * d.Seconds()
+		n.progressPerSlot += done
+		n.warming.workDone += done * n.usedSlots
+		n.progressAt = n.env.now
+	}
+}
+
+// addOverhead is work beside all slots, of a handshake or probe. A free core does it at no cost to anybody; else what runs
+// loses so much.
+func (n *worker) addOverhead(work time.Duration) {
+	if n.usedSlots+1 <= n.kind.Cores || len(n.running) == 0 || work <= 0 {
+		return
+	}
+	n.advance()
+	n.progressPerSlot -= work.Seconds() / n.usedSlots // its pending entry comes too early by that, and sees so
+}
+
+// runDue ends what is done, begins what fits, and plans what is next.
+func (n *worker) runDue() {
+	if n.state != workerUp || n.isPaused() {
+		return
+	}
+	n.advance()
+	for len(n.running) > 0 && n.running[0].endProgress <= n.progressPerSlot+workTolerance {
+		a := n.running[0]
+		n.removeAttempt(a)
+		n.finishAttempt(a)
+	}
+	if !n.hanging {
+		n.startQueued()
+	}
+	n.planTick()
+	n.maybeExit()
+}
+
+// workTolerance is far less than a job's work, and more than what rounding to nanoseconds and in sums comes to.
+const workTolerance = 1e-8
+
+// startQueued begins what fits. In a fifo the head waits until it fits, and all others behind it.
+func (n *worker) startQueued() {
+	for i := 0; i < len(n.queue); {
+		a := n.queue[i]
+		switch {
+		case n.kind.ExpiredJobs == "drop" && a.expiresAt > 0 && a.expiresAt <= n.env.now:
+			n.expireAttempt(a)
+		case a.slots <= float64(n.kind.Slots)-n.usedSlots:
+			n.startAttempt(a, i)
+		case n.kind.QueueOrder == "backfill":
+			i++
+		default:
+			return
+		}
+	}
+}
+
+// startAttempt begins the i-th of what waits.
+func (n *worker) startAttempt(a *attempt, i int) {
+	n.queue = slices.Delete(n.queue, i, i+1)
+	if n.queuedWork -= a.work * a.slots; len(n.queue) == 0 {
+		n.queuedWork = 0
+	}
+	a.state, a.startProgress, a.endProgress = attemptRunning, n.progressPerSlot, n.progressPerSlot+a.work
+	n.usedSlots += a.slots
+	n.runningEnds += a.slots * a.endProgress
+	n.running.add(a)
+	n.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: a.requestID, Worker: n.number, Incarnation: n.incarnation})
+	if !n.kind.OmitsStartNotifications {
+		n.notify(a, "started", 0)
+		n.planProgress(a)
+	}
+}
+
+// planTick has run called when the next is done, by what runs now. There is one entry on the agenda that counts: one that
+// turns out to come too early plans anew, and later ones of the past mean nothing.
+func (n *worker) planTick() {
+	n.progressRate = 0
+	if n.state != workerUp || n.hanging || n.isPaused() {
+		return
+	}
+	n.progressRate = n.coreSpeed / n.slowFactor * n.capacityShare() * min(1, n.kind.Cores/max(n.usedSlots, 1e-9))
+	if len(n.running) == 0 {
+		return
+	}
+	at := n.env.now + max(1, durationOf((n.running[0].endProgress-n.progressPerSlot)/n.progressRate))
+	if step, ok := n.nextWarmUpStep(); ok {
+		at = min(at, step)
+	}
+	if n.nextTick <= n.env.now || at < n.nextTick {
+		n.nextTick = at
+		n.env.schedule(at, n.tick)
+	}
+}
+
+// durationOf is a span, rounded up.
+func durationOf(s float64) time.Duration { return time.Duration(min(math.Ceil(s*1e9), 1<<60)) }
+
+func (n *worker) tickDue() {
+	if n.env.now == n.nextTick {
+		n.nextTick = 0
+		n.runDue()
+	}
+}
+
+// finishAttempt is the end of a run.
+func (n *worker) finishAttempt(a *attempt) {
+	status, state := 200, "done"
+	if a.fails {
+		status, state = 500, "failed"
+	} else {
+		n.resultCount++
+		a.result = n.makeResult(a)
+	}
+	n.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: a.requestID, Worker: n.number, Text: a.result, Status: status})
+	n.notify(a, state, 0)
+	if a.fails {
+		n.shared.releaseKey(a)
+	} else {
+		n.shared.attemptSucceeded(a)
+	}
+}
+
+// makeResult is what a run has made; no two are the same.
+func (n *worker) makeResult(a *attempt) string {
+	b := make([]byte, 0, 64)
+	b = append(append(append(append(b, a.requestID...), ' '), n.id...), '/')
+	b = append(strconv.AppendInt(b, int64(n.incarnation), 10), '#')
+	return string(strconv.AppendUint(b, n.resultCount, 10))
+}
+
+// ---- Progress ----
+
+// planProgress has notes of progress told of what has begun. One entry on the agenda serves all that runs.
+func (n *worker) planProgress(a *attempt) {
+	if n.kind.ProgressInterval <= 0 {
+		return
+	}
+	if a.nextProgressAt = n.env.now + n.kind.ProgressInterval.Std(); !n.progressPlanned {
+		n.progressPlanned = true
+		n.scheduleProgress(a.nextProgressAt)
+	}
+}
+
+func (n *worker) scheduleProgress(at time.Duration) {
+	boot := n.incarnation
+	n.env.schedule(at, func() {
+		if n.incarnation == boot && n.state == workerUp {
+			n.whenRunning(n.sendProgress)
+		}
+	})
+}
+
+// sendProgress tells of all whose time it is. While it hangs there is no progress to tell.
+func (n *worker) sendProgress() {
+	n.runDue()
+	next := time.Duration(math.MaxInt64)
+	for _, a := range n.running {
+		if a.nextProgressAt <= n.env.now {
+			if !n.hanging {
+				n.notify(a, "running", min(1, max(0, (n.progressPerSlot-a.startProgress)/a.work)))
+			}
+			a.nextProgressAt = n.env.now + n.kind.ProgressInterval.Std()
+		}
+		next = min(next, a.nextProgressAt)
+	}
+	if n.progressPlanned = len(n.running) > 0; n.progressPlanned {
+		n.scheduleProgress(next)
+	}
+}
+
+// runningHeap is what runs, what ends first at its head.
+type runningHeap []*attempt
+
+func (h runningHeap) less(i, j int) bool {
+	return h[i].endProgress < h[j].endProgress || h[i].endProgress == h[j].endProgress && h[i].number < h[j].number
+}
+
+func (h runningHeap) swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapIndex, h[j].heapIndex = i, j
+}
+
+func (h *runningHeap) add(a *attempt) {
+	a.heapIndex = len(*h)
+	*h = append(*h, a)
+	h.up(a.heapIndex)
+}
+
+func (h *runningHeap) remove(i int) {
+	last := len(*h) - 1
+	h.swap(i, last)
+	(*h)[last] = nil
+	*h = (*h)[:last]
+	if i < last {
+		h.down(i)
+		h.up(i)
+	}
+}
+
+func (h runningHeap) up(i int) {
+	for i > 0 && h.less(i, (i-1)/2) {
+		h.swap(i, (i-1)/2)
+		i = (i - 1) / 2
+	}
+}
+
+func (h runningHeap) down(i int) {
+	for {
+		least := i
+		for c := 2*i + 1; c <= 2*i+2 && c < len(h); c++ {
+			if h.less(c, least) {
+				least = c
+			}
+		}
+		if least == i {
+			return
+		}
+		h.swap(i, least)
+		i = least
+	}
+}
--- /dev/null
+++ b/internal/testbed/environment/worker_conns.go
@@ -0,0 +1,247 @@
+package environment
+
+import (
+	"time"
+
+	"valvecove/internal/testbed/simapi"
+	"valvecove/internal/testbed/trace"
+)
+
+// workerConn is a connection at a worker node's end.
+type workerConn struct {
+	worker         *worker
+	conn           *conn
+	machine        int
+	index          int // among links or ghosts; -1: in neither
+	fresh          bool
+	reading        int      // requests that are being read
+	abandoned      bool     // the process deals with it no more
+	ghost          bool     // its process ended without a word
+	usedSince      bool     // and something was sent over it since
+	resetBytes     int      // see resetAt
+	unreadAttempt  *attempt // was wholly written to it, and has not been read
+	awaitingAnswer *attempt // its answer is owed
+	pendingAccept  *attempt // its 202 is on the way
+}
+
+const slowReadFor = time.Second
+
+// dialed is a scheduler's attempt to connect.
+func (n *worker) dialed(o *simapi.Output) {
+	l := &workerConn{worker: n, machine: n.machine, index: -1, fresh: true}
+	l.conn = n.env.openConn(&conn{id: o.Conn, scheduler: o.Scheduler, worker: n.number, workerIncarnation: n.incarnation, far: n, state: l})
+	way, back, ok := n.env.network.connectDelays(endpoint{schedulerEndpoint, o.Scheduler}, n.endpoint())
+	if !ok || o.Machine != n.machine {
+		l.machine = -1 // to nowhere
+		return
+	}
+	l.conn.arrivesBy[farSide] = n.env.now + way
+	n.env.after(way, func() {
+		if !l.conn.closed[farSide] {
+			n.connectArrived(l, back)
+		}
+	})
+}
+
+// connectArrived is the arrival of an attempt to connect. The kernel takes it, so a pause changes nothing.
+func (n *worker) connectArrived(l *workerConn, back time.Duration) {
+	c := l.conn
+	switch mode := n.acceptMode(); {
+	case mode == simapi.AcceptSilently || l.machine != n.machine:
+		l.machine = -1
+		return
+	case mode == simapi.AcceptNone || n.kind.ConnLimit > 0 && len(n.conns) >= n.kind.ConnLimit:
+		l.abandoned = true
+		n.env.closeSide(c, farSide)
+		return
+	}
+	c.workerIncarnation = n.incarnation
+	l.index, l.resetBytes = len(n.conns), n.resetBytes
+	n.conns = append(n.conns, l)
+	n.env.record(trace.Event{Kind: trace.WorkerConnected, Worker: n.number, Scheduler: c.scheduler, Conn: uint64(c.id)})
+	n.addOverhead(n.kind.Handshake.Std())
+	c.lastUsed = n.env.now
+	c.arrivesBy[schedulerSide] = max(c.arrivesBy[schedulerSide], n.env.now+back+n.env.Spec.Network.Handshake.Std())
+	n.env.schedule(c.arrivesBy[schedulerSide], func() {
+		if !c.closed[schedulerSide] {
+			c.up = true
+			n.env.deliver(simapi.Input{Kind: simapi.WorkerConnected, Scheduler: c.scheduler, Worker: n.number, Conn: c.id, Bytes: max(0, l.resetBytes)})
+		}
+	})
+	if n.kind.ConnIdleTimeout > 0 {
+		n.closeWhenIdle(l, n.kind.ConnIdleTimeout.Std())
+	}
+}
+
+// closeWhenIdle closes a connection once it has been idle for too long.
+func (n *worker) closeWhenIdle(l *workerConn, after time.Duration) {
+	n.env.after(after, func() {
+		if l.abandoned {
+			return
+		}
+		left := l.conn.lastUsed + n.kind.ConnIdleTimeout.Std() - n.env.now
+		if l.awaitingAnswer != nil || l.reading > 0 || n.isPaused() {
+			left = max(left, n.kind.ConnIdleTimeout.Std()/2)
+		}
+		if left > 0 {
+			n.closeWhenIdle(l, left)
+			return
+		}
+		n.closeConn(l)
+	})
+}
+
+// closeConn closes a connection.
+func (n *worker) closeConn(l *workerConn) {
+	l.abandoned = true
+	n.removeConn(l)
+	n.env.closeSide(l.conn, farSide)
+}
+
+func (n *worker) removeConn(l *workerConn) {
+	in := &n.conns
+	if l.ghost {
+		in = &n.ghostConns
+	}
+	if i := l.index; i >= 0 {
+		last := len(*in) - 1
+		(*in)[i] = (*in)[last]
+		(*in)[i].index = i
+		(*in)[last] = nil
+		*in = (*in)[:last]
+		l.index = -1
+	}
+}
+
+// requestArrived is the arrival of a request. Its process deals with it once its last byte has been read.
+func (n *worker) requestArrived(l *workerConn, kind simapi.OutputKind, a *attempt) {
+	if l.abandoned || l.index < 0 {
+		n.ghostReceived(l)
+		return
+	}
+	wait := time.Duration(0)
+	if l.fresh {
+		l.fresh, wait = false, n.kind.Handshake.Std()
+	}
+	if n.slowReads {
+		wait += slowReadFor
+	}
+	switch {
+	case wait > 0:
+		l.reading++
+		n.afterInProcess(wait, func() {
+			if l.reading--; !l.abandoned {
+				n.handleRequest(l, kind, a)
+			}
+		})
+	case n.isPaused():
+		n.inbox = append(n.inbox, func() { n.handleRequest(l, kind, a) })
+	default:
+		n.handleRequest(l, kind, a)
+	}
+}
+
+func (n *worker) handleRequest(l *workerConn, kind simapi.OutputKind, a *attempt) {
+	switch kind {
+	case simapi.AttemptWritten:
+		n.attemptReceived(l, a)
+	case simapi.HealthCheckWritten:
+		n.healthChecked(l)
+	case simapi.CancellationReceived:
+		n.cancelReceived(l, a.requestID)
+	}
+}
+
+// ghostReceived is something sent to a process that ended without a word. A machine that is there answers it by a reset.
+func (n *worker) ghostReceived(l *workerConn) {
+	if !l.ghost || l.machine != n.machine {
+		return
+	}
+	if l.usedSince = true; n.state != workerSilent {
+		n.removeConn(l)
+		n.env.closeSide(l.conn, farSide)
+	}
+}
+
+// schedulerClosed is the end of a connection for its scheduler.
+func (l *workerConn) schedulerClosed() {
+	if a := l.unreadAttempt; a != nil {
+		l.unreadAttempt = nil
+		l.worker.env.record(trace.Event{Kind: trace.AttemptUnread, RequestID: a.requestID, Worker: l.worker.number, Scheduler: a.scheduler, FirstByteAt: a.firstByteAt})
+	}
+}
+
+// connClosed is the close of a connection by its scheduler, or the end of that.
+func (n *worker) connClosed(c *conn) {
+	l := c.state.(*workerConn)
+	if l.abandoned || l.index < 0 {
+		n.removeConn(l)
+		l.abandoned = true
+		return
+	}
+	n.whenRunning(func() {
+		l.abandoned = true
+		n.removeConn(l)
+		// What has not been answered yet is given up by that, and so is what was answered when the close came first.
+		why := ""
+		if c.resetSilently[farSide] {
+			why = "forgotten"
+		}
+		switch a := l.awaitingAnswer; {
+		case a != nil:
+			l.awaitingAnswer, a.conn = nil, nil
+			n.cancelAttempt(a, why)
+		case l.pendingAccept != nil:
+			n.cancelAttempt(l.pendingAccept, why)
+		}
+	})
+}
+
+// respond writes an answer to what came over a connection.
+func (n *worker) respond(l *workerConn, status int, rejected bool) {
+	if l.abandoned {
+		return
+	}
+	c, bytes := l.conn, max(0, -l.resetBytes)
+	n.env.toSched(c, func() {
+		l.pendingAccept = nil
+		n.env.deliver(simapi.Input{
+			Kind: simapi.ResponseReceived, Scheduler: c.scheduler, Worker: n.number, Conn: c.id, Status: status, Rejected: rejected,
+			Bytes: bytes,
+		})
+	})
+	if bytes > 0 {
+		n.closeConn(l)
+	}
+}
+
+// healthChecked is a sign of life that is asked for. Beside the queue, it costs a little work; the answer is 503 while even
+// the smallest job would be turned away.
+func (n *worker) healthChecked(l *workerConn) {
+	n.env.record(trace.Event{Kind: trace.HealthChecked, Worker: n.number, Scheduler: l.conn.scheduler})
+	if !n.env.Spec.Schedulers.HealthChecks {
+		n.respond(l, 404, false)
+		return
+	}
+	n.addOverhead(n.kind.HealthCheckWork.Std())
+	took := time.Duration(float64(n.kind.HealthCheckWork.Std()) / max(1e-3, n.coreSpeed/n.slowFactor*n.capacityShare()))
+	n.afterInProcess(took, func() {
+		if n.draining || n.rejectsAll || !n.hasRoom(1) {
+			n.respond(l, 503, false)
+		} else {
+			n.respond(l, 200, false)
+		}
+	})
+}
+
+// cancelReceived is the word that an attempt is given up.
+func (n *worker) cancelReceived(l *workerConn, call string) {
+	a := n.attemptsByRequest[call]
+	if a == nil {
+		n.env.record(trace.Event{Kind: trace.AttemptCancelled, RequestID: call, Worker: n.number})
+		n.respond(l, 404, false)
+		return
+	}
+	n.cancelAttempt(a, "")
+	n.respond(l, 200, false)
+}
--- /dev/null
+++ b/internal/testbed/environment/worker_warmup.go
@@ -0,0 +1,106 @@
+package environment
+
+import (
+	"time"
+
+	"valvecove/internal/testbed/trace"
+)
+
+// warmUpState is how a process warms up, and what has arrived at it meanwhile.
+type warmUpState struct {
+	warm        bool
+	workDone    float64 // work that the process has done, in seconds at speed 1
+	arrived     []coldArrival
+	first       int // in arrived: the oldest that counts
+	arrivedWork float64
+	knownWork   float64 // part of sum that came from schedulers that knew of its start
+}
+
+type coldArrival struct {
+	arrivedAt time.Duration
+	work      float64
+	knewStart bool
+}
+
+const (
+	// It warms up in so many steps, each counting from its beginning as what it is at its end: never more slowly than
+	// evenly, and its speed is constant between two.
+	warmUpSteps = 64
+	// One that warms up by work is warm once it has done what it could do in this part of its kind's Cold when warm, and
+	// never later than one that warms up by time. Kept busy, that takes it less than half as long.
+	warmUpWorkShare = 0.25
+	// What may arrive at a cold worker node beyond its budget, in mean jobs: a budget that chance breaks says nothing.
+	overloadSlack = 1.25
+)
+
+func (n *worker) startWarmUp() {
+	n.warming = warmUpState{warm: n.kind.WarmUp <= 0 || n.kind.WarmUpCapacity >= 1}
+}
+
+// capacityShare is the share of its capacity that it has now.
+func (n *worker) capacityShare() float64 {
+	c := &n.warming
+	if c.warm {
+		return 1
+	}
+	part := float64(n.warmUpStep()+1) / warmUpSteps
+	if n.kind.WarmUpBy == "work" {
+		part = max(part, c.workDone/(n.capacity()*n.kind.WarmUp.Std().Seconds()*warmUpWorkShare))
+	}
+	if part >= 1 {
+		*c = warmUpState{warm: true, workDone: c.workDone}
+		return 1
+	}
+	from := n.kind.WarmUpCapacity
+	return from + (1-from)*part
+}
+
+func (n *worker) warmUpStep() time.Duration {
+	return (n.env.now - n.startedAt) * warmUpSteps / n.kind.WarmUp.Std()
+}
+
+// nextWarmUpStep is when a cold one gets faster by itself; not ok: it is warm.
+func (n *worker) nextWarmUpStep() (at time.Duration, ok bool) {
+	if n.warming.warm {
+		return 0, false
+	}
+	return n.startedAt + ((n.warmUpStep()+1)*n.kind.WarmUp.Std()+warmUpSteps-1)/warmUpSteps, true
+}
+
+// coldWorkReceived counts the work of an attempt that has arrived, taken or not, if it is cold. Where within one span of
+// Rules.Fall more than Rules.FallFactor times what it can do in that at its present capacity has come, and a little
+// more, it falls over: its process dies, and none starts again. A fault that slows it takes nothing off its capacity.
+func (n *worker) coldWorkReceived(a *attempt, work float64) (fell bool) {
+	c, rules := &n.warming, &n.env.Spec.Rules
+	share := n.capacityShare()
+	if c.warm {
+		return false
+	}
+	capacity, now := n.capacity()*share, n.env.now
+	n.env.record(trace.Event{
+		Kind: trace.ColdWorkReceived, RequestID: a.requestID, Worker: n.number, Scheduler: a.scheduler, Slots: a.slots,
+		Work: work / a.slots, Share: capacity,
+	})
+	for c.first < len(c.arrived) && c.arrived[c.first].arrivedAt <= now-rules.OverloadWindow.Std() {
+		old := c.arrived[c.first]
+		if c.arrivedWork -= old.work; old.knewStart {
+			c.knownWork -= old.work
+		}
+		c.first++
+	}
+	if c.first == len(c.arrived) {
+		c.arrived, c.first, c.arrivedWork, c.knownWork = c.arrived[:0], 0, 0, 0
+	}
+	c.arrived = append(c.arrived, coldArrival{now, work, a.knewStart})
+	if c.arrivedWork += work; a.knewStart {
+		c.knownWork += work
+	}
+	if rules.OverloadFactor <= 0 || c.arrivedWork <= rules.OverloadFactor*capacity*rules.OverloadWindow.Std().Seconds()+n.shared.overloadSlack {
+		return false
+	}
+	n.env.record(trace.Event{Kind: trace.WorkerOverloaded, Worker: n.number, Share: max(0, c.knownWork) / c.arrivedWork})
+	n.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: a.requestID, Worker: n.number, Text: "fell"})
+	n.end(workerDead, "fell", 0)
+	n.overloaded = true
+	return true
+}
--- a/internal/lab/world/nodes_test.go
+++ b/internal/testbed/environment/workers_test.go
@@ -1,4 +1,4 @@
-package world
+package environment
 
 import (
 	"fmt"
@@ -7,16 +7,16 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/lab/edge"
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/seen"
 	"valvecove/internal/modeltest"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simapi"
+	"valvecove/internal/testbed/trace"
 )
 
 // nodeModel keeps the simplest books there are of one worker node: what may happen to an attempt, and in which order.
 type nodeModel struct {
 	s     *modeltest.Steps
-	kind  *scenario.Kind
+	kind  *scenario.WorkerKind
 	slots map[string]float64
 	in    []string        // reached, and not at an end, in order
 	begun map[string]bool // of those
@@ -27,48 +27,48 @@
 	hung  bool // since its start
 }
 
-func (m *nodeModel) saw(x *seen.Sight) {
-	check := func(ok bool, what string) { m.s.Check(ok, "%v: %s of %q", x.At, what, x.Call) }
+func (m *nodeModel) saw(x *trace.Event) {
+	check := func(ok bool, what string) { m.s.Check(ok, "%v: %s of %q", x.At, what, x.RequestID) }
 	// An error at the door takes no slot: there it has ended by now.
-	if atDoor := x.What == seen.Finished && x.Call == m.last; m.last != "" && !atDoor {
+	if atDoor := x.Kind == trace.AttemptFinished && x.RequestID == m.last; m.last != "" && !atDoor {
 		check(m.used <= float64(m.kind.Slots), "run in a slot that there is not, by "+m.last)
-		for i := 0; m.kind.Order == "fifo" && m.in[i] != m.last; i++ {
+		for i := 0; m.kind.QueueOrder == "fifo" && m.in[i] != m.last; i++ {
 			check(m.begun[m.in[i]], "run out of turn, by "+m.last)
 		}
 	}
-	check(m.stops == "" || x.What == seen.Died && x.Call == m.stops && x.Text == "cancelled", "run of what is cancelled")
+	check(m.stops == "" || x.Kind == trace.AttemptDied && x.RequestID == m.stops && x.Text == "cancelled", "run of what is cancelled")
 	m.last, m.stops = "", ""
-	at := slices.Index(m.in, x.Call)
-	switch x.What {
-	case seen.Withdrawn:
-		if m.kind.CancelStops && at >= 0 {
-			m.stops = x.Call
+	at := slices.Index(m.in, x.RequestID)
+	switch x.Kind {
+	case trace.AttemptCancelled:
+		if m.kind.CancellationStops && at >= 0 {
+			m.stops = x.RequestID
 		}
-	case seen.Reached:
+	case trace.AttemptReceived:
 		if at >= 0 {
-			m.again = x.Call
+			m.again = x.RequestID
 			return
 		}
-		m.in = append(m.in, x.Call)
-	case seen.Began:
-		check(at >= 0 && !m.begun[x.Call], "second run")
-		m.begun[x.Call], m.last = true, x.Call
-		m.used += m.slots[x.Call]
-	case seen.Rejected, seen.Returned, seen.Died, seen.Finished:
-		if m.again == x.Call {
-			check(x.What == seen.Rejected && x.Status == 503, "second attempt taken")
+		m.in = append(m.in, x.RequestID)
+	case trace.AttemptStarted:
+		check(at >= 0 && !m.begun[x.RequestID], "second run")
+		m.begun[x.RequestID], m.last = true, x.RequestID
+		m.used += m.slots[x.RequestID]
+	case trace.AttemptRejected, trace.AttemptReturned, trace.AttemptDied, trace.AttemptFinished:
+		if m.again == x.RequestID {
+			check(x.Kind == trace.AttemptRejected && x.Status == 503, "second attempt taken")
 			m.again = ""
 			return
 		}
-		check(at >= 0 && (x.Text != "cancelled" || m.kind.CancelStops), "second end, or one by a cancel that stops nothing")
-		check(x.What == seen.Died || m.begun[x.Call] == (x.What == seen.Finished), "wrong end")
-		if m.begun[x.Call] {
-			m.used -= m.slots[x.Call]
+		check(at >= 0 && (x.Text != "cancelled" || m.kind.CancellationStops), "second end, or one by a cancel that stops nothing")
+		check(x.Kind == trace.AttemptDied || m.begun[x.RequestID] == (x.Kind == trace.AttemptFinished), "wrong end")
+		if m.begun[x.RequestID] {
+			m.used -= m.slots[x.RequestID]
 		}
 		m.in = slices.Delete(m.in, at, at+1)
-		delete(m.begun, x.Call)
-	case seen.NodeHang, seen.NodeUp:
-		m.hung = x.What == seen.NodeHang
+		delete(m.begun, x.RequestID)
+	case trace.WorkerHung, trace.WorkerStarted:
+		m.hung = x.Kind == trace.WorkerHung
 	}
 	room := m.kind.Queue + 1 // that one is on its way from reached to its fate
 	if m.hung {
@@ -82,20 +82,20 @@
 	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		spec, k := plain(1)
 		k.Cores, k.Slots, k.Queue = float64(1+s.Pick(4)), 2+s.Pick(5), s.Pick(6)
-		k.Order = []string{"fifo", "backfill"}[s.Pick(2)]
-		k.Expired = []string{"run", "drop"}[s.Pick(2)]
-		k.CancelStops, k.HandsBack, k.StartMute = s.Pick(2) == 0, s.Pick(2) == 0, s.Pick(4) == 0
-		k.WarmBy = []string{"time", "work"}[s.Pick(2)]
-		k.Accept, k.Handshake = scenario.Span(s.Pick(3))*scenario.Span(ms), scenario.Span(s.Pick(3))*scenario.Span(ms)
-		k.ErrorRate, k.NoteEarly, k.NoteLost, k.NoteTwice = 0.1, 0.2, 0.1, 0.1
-		k.NoteLate, k.Progress = scenario.Span(ms), scenario.Span(50*ms)
-		spec.Net = scenario.Net{Delay: scenario.Span(ms), Jitter: 0.5}
+		k.QueueOrder = []string{"fifo", "backfill"}[s.Pick(2)]
+		k.ExpiredJobs = []string{"run", "drop"}[s.Pick(2)]
+		k.CancellationStops, k.ReturnsQueued, k.OmitsStartNotifications = s.Pick(2) == 0, s.Pick(2) == 0, s.Pick(4) == 0
+		k.WarmUpBy = []string{"time", "work"}[s.Pick(2)]
+		k.Accept, k.Handshake = scenario.Duration(s.Pick(3))*scenario.Duration(ms), scenario.Duration(s.Pick(3))*scenario.Duration(ms)
+		k.ErrorRate, k.CallbackEarlyShare, k.CallbackLossShare, k.CallbackTwiceShare = 0.1, 0.2, 0.1, 0.1
+		k.CallbackDelay, k.ProgressInterval = scenario.Duration(ms), scenario.Duration(50*ms)
+		spec.Network = scenario.Network{Delay: scenario.Duration(ms), Jitter: 0.5}
 		spec.Classes[unsafeClass].Noise = 0.5
 		r := newRig(s.T, spec, uint64(s.Pick(256)))
 		m := &nodeModel{s: s, kind: k, slots: map[string]float64{}, begun: map[string]bool{}}
 		r.see = m.saw
-		r.ack = func(_ *edge.In) (int, bool) { return []int{204, 200, 503, 0}[s.Pick(4)], s.Pick(8) > 0 }
-		n, conns, calls := r.w.nodes[0], []edge.Conn{r.dial(0, 0)}, []string{"unknown"}
+		r.ack = func(_ *simapi.Input) (int, bool) { return []int{204, 200, 503, 0}[s.Pick(4)], s.Pick(8) > 0 }
+		n, conns, calls := r.w.workers[0], []simapi.Conn{r.dial(0, 0)}, []string{"unknown"}
 		for i := 0; s.More(); i++ {
 			pick, c, call := s.Pick(32), conns[s.Pick(len(conns))], calls[s.Pick(len(calls))]
 			s.Did(fmt.Sprintf("%v:%d", r.w.now, pick))
@@ -107,34 +107,34 @@
 				m.slots[call] = float64(int(1) << s.Pick(3))
 				r.query(call, unsafeClass, float64(1+s.Pick(100))/1000, m.slots[call])
 				calls = append(calls, call)
-				r.out(c, edge.Sent, call)
+				r.out(c, simapi.AttemptWritten, call)
 			case pick < 19:
-				kinds := []edge.OutKind{edge.Sent, edge.Hangup, edge.Delete, edge.Probe}
+				kinds := []simapi.OutputKind{simapi.AttemptWritten, simapi.WorkerConnClosed, simapi.CancellationReceived, simapi.HealthCheckWritten}
 				r.out(c, kinds[pick-15], call)
 			case pick == 19:
-				n.hang(s.Pick(2) == 0)
+				n.setHang(s.Pick(2) == 0)
 			case pick == 20:
 				n.pause(time.Duration(s.Pick(50)) * ms)
 			case pick == 21:
-				n.slow(float64(1 + s.Pick(3)))
+				n.setSlowFactor(float64(1 + s.Pick(3)))
 			case pick == 22:
 				ends := []func(time.Duration){n.crash, n.vanish, n.restart, n.replace, n.dieAtAccept}
 				ends[s.Pick(len(ends))](time.Duration(1+s.Pick(50)) * ms)
 			case pick == 23:
-				[]func(){n.drain, n.handBack}[s.Pick(2)]()
+				[]func(){n.drain, n.returnQueued}[s.Pick(2)]()
 			case pick == 24:
-				[]func(bool){n.full, n.mute, n.slowRead}[s.Pick(3)](s.Pick(2) == 0)
+				[]func(bool){n.setFull, n.setMute, n.setSlowRead}[s.Pick(3)](s.Pick(2) == 0)
 			default:
 				r.pass(time.Duration(s.Pick(40)) * ms)
 			}
 		}
-		n.hang(false)
+		n.setHang(false)
 		r.pass(5 * time.Minute)
 		s.Check(len(m.in) == 0 && m.used == 0, "%v has no end, %v slots are in use", m.in, m.used)
-		s.Check(len(n.all)+len(n.hand)+len(n.wait)+len(n.running)+n.post.owed+len(n.post.notes) == 0 && n.used == 0,
+		s.Check(len(n.attempts)+len(n.attemptsByRequest)+len(n.queue)+len(n.running)+n.callbacks.outstanding+len(n.callbacks.callbacks) == 0 && n.usedSlots == 0,
 			"left over: %+v", n)
-		t := r.w.Truth(0)
-		s.Check(n.state != nodeUp || t.Free == t.Slots && t.Backlog < 1e-6 && t.Speed > 0, "at rest it is %+v", t)
+		t := r.w.WorkerState(0)
+		s.Check(n.state != workerUp || t.Free == t.Slots && t.BacklogSeconds < 1e-6 && t.Speed > 0, "at rest it is %+v", t)
 	})
 }
 
@@ -147,28 +147,28 @@
 	r.ask(0, "b", safeClass, 0.5, 2) // 4 slots on 2 cores: half speed each, until a is done
 	r.ask(0, "c", safeClass, 0.25, 4)
 	r.ask(0, "d", safeClass, 0.25, 1) // would fit once a is done, but c is before it
-	if truth := r.w.Truth(0); truth.Free != 0 || truth.Waiting != 2 || truth.Backlog != 0.5*2+0.5*2+0.25*4+0.25 {
+	if truth := r.w.WorkerState(0); truth.Free != 0 || truth.Queued != 2 || truth.BacklogSeconds != 0.5*2+0.5*2+0.25*4+0.25 {
 		t.Fatalf("the truth is %+v", truth)
 	}
 	r.pass(10 * time.Second)
-	r.must(seen.Began, "b", 500*ms)
-	r.must(seen.Finished, "b", r.must(seen.Finished, "a", 1500*ms).At)
-	r.must(seen.Finished, "c", r.must(seen.Began, "c", 1500*ms).At+500*ms)
-	if s := r.must(seen.Finished, "d", 2250*ms); s.Text != "d w-0/1#4" || s.Status != 200 {
+	r.must(trace.AttemptStarted, "b", 500*ms)
+	r.must(trace.AttemptFinished, "b", r.must(trace.AttemptFinished, "a", 1500*ms).At)
+	r.must(trace.AttemptFinished, "c", r.must(trace.AttemptStarted, "c", 1500*ms).At+500*ms)
+	if s := r.must(trace.AttemptFinished, "d", 2250*ms); s.Text != "d w-0/1#4" || s.Status != 200 {
 		t.Fatalf("its result is %q", s.Text)
 	}
 	r.notes("a", "started", "done")
-	if in := r.ins[len(r.ins)-1]; in.Note.EndpointID != "w-0" || *in.Note.Result != "d w-0/1#4" {
-		t.Fatalf("told %+v", in.Note)
+	if in := r.ins[len(r.ins)-1]; in.Callback.EndpointID != "w-0" || *in.Callback.Result != "d w-0/1#4" {
+		t.Fatalf("told %+v", in.Callback)
 	}
 }
 
 func TestWarmsUp(t *testing.T) {
 	for _, by := range []string{"time", "work"} {
 		spec, k := plain(1)
-		k.WarmBy, k.ColdFrom, k.Cold, k.Queue = by, 0.25, scenario.Span(8*time.Second), 100
+		k.WarmUpBy, k.WarmUpCapacity, k.WarmUp, k.Queue = by, 0.25, scenario.Duration(8*time.Second), 100
 		r := newRig(t, spec, 1)
-		n := r.w.nodes[0]
+		n := r.w.workers[0]
 		n.crash(time.Second)
 		r.run(time.Second)
 		for i := range 10 {
@@ -176,13 +176,13 @@
 		}
 		for at := time.Duration(0); at <= 8*time.Second; at += 250 * ms {
 			r.run(time.Second + at)
-			even, got := 0.25+0.75*at.Seconds()/8, r.w.Truth(0).Speed
+			even, got := 0.25+0.75*at.Seconds()/8, r.w.WorkerState(0).Speed
 			if got < even-1e-9 || at == 0 && got > 0.28 {
 				t.Fatalf("by %s it is at %v after %v, %v would be even", by, got, at, even)
 			}
 		}
 		// The work done is the integral of the speed: from 0.25 to 1 evenly over 8 s is 5 s, and each step gives a little.
-		if done := n.v; by == "time" && (done < 5 || done > 5.06) || by == "work" && (done < 6 || done > 8) {
+		if done := n.progressPerSlot; by == "time" && (done < 5 || done > 5.06) || by == "work" && (done < 6 || done > 8) {
 			t.Fatalf("by %s it did %v s in 8 s", by, done)
 		}
 	}
@@ -191,19 +191,19 @@
 func TestFallsOver(t *testing.T) {
 	// Capacity 4 x 0.25 when cold, budget 3 x 1 x 2 s, slack 1.25 mean jobs.
 	spec, k := plain(1)
-	k.ColdFrom, k.Cold, k.Queue, spec.Rules.FallFactor = 0.25, scenario.Span(time.Hour), 1, 3
+	k.WarmUpCapacity, k.WarmUp, k.Queue, spec.Rules.OverloadFactor = 0.25, scenario.Duration(time.Hour), 1, 3
 	budget := 6 + 1.25*spec.MeanCost()
 	var r *rig
 	play := func(each time.Duration, work float64, told bool) time.Duration {
 		r = newRig(t, spec, 1)
 		r.told = told
-		r.w.nodes[0].crash(time.Second)
+		r.w.workers[0].crash(time.Second)
 		r.run(time.Second)
 		for i := range 200 {
 			r.ask(0, fmt.Sprint(i), safeClass, work, 1)
 			r.pass(each)
 		}
-		s, ok := r.first(seen.Fell, "")
+		s, ok := r.first(trace.WorkerOverloaded, "")
 		if ok && s.Share != map[bool]float64{true: 1}[told] {
 			t.Fatalf("share of those told is %v, told %v", s.Share, told)
 		}
@@ -216,9 +216,9 @@
 	if least := time.Duration(budget/0.5) * 100 * ms; fell != least {
 		t.Fatalf("fell after %v at 5 times its capacity, want %v", fell, least)
 	}
-	r.last(r.ask(0, "later", safeClass, 1, 1), edge.LinkDown)
-	r.w.nodes[0].crash(time.Second)
-	if r.pass(time.Hour); r.w.nodes[0].state == nodeUp {
+	r.last(r.ask(0, "later", safeClass, 1, 1), simapi.WorkerDisconnected)
+	r.w.workers[0].crash(time.Second)
+	if r.pass(time.Hour); r.w.workers[0].state == workerUp {
 		t.Fatal("it is back after its fall")
 	}
 	if fell = play(10*ms, 1, true); fell != time.Duration(budget)*10*ms {
@@ -230,8 +230,8 @@
 	spec, k := plain(1)
 	r := newRig(t, spec, 1)
 	var answers []int // to what is told of ends, -1 being none; 204 once they are used up
-	r.ack = func(in *edge.In) (int, bool) {
-		if in.Note.State != "done" || len(answers) == 0 {
+	r.ack = func(in *simapi.Input) (int, bool) {
+		if in.Callback.State != "done" || len(answers) == 0 {
 			return 204, true
 		}
 		x := answers[0]
@@ -247,42 +247,42 @@
 	r.notes("a", "started", "done", "done", "done", "done")
 	answers = slices.Repeat([]int{503, -1}, 9)
 	ask("b", 0.1, time.Minute)
-	if s, _ := r.first(seen.NoteLost, "b"); s.Text != "done" || len(answers) != 8 {
+	if s, _ := r.first(trace.CallbackLost, "b"); s.Text != "done" || len(answers) != 8 {
 		t.Fatalf("%q was given up with %d answers left", s.Text, len(answers))
 	}
 	answers = nil
 	// To a scheduler that is gone there is no answer; the one that runs there later gets the note.
-	r.w.scheds[0].alive = false
+	r.w.schedulers[0].alive = false
 	ask("c", 0.1, 5*time.Second)
-	r.w.scheds[0].alive = true
+	r.w.schedulers[0].alive = true
 	r.pass(5 * time.Second)
 	r.notes("c", "started", "done")
 	// What is not told while it is mute stays untold; what a hang holds up is told after that.
-	n := r.w.nodes[0]
-	n.mute(true)
+	n := r.w.workers[0]
+	n.setMute(true)
 	ask("d", 0.1, time.Second)
-	n.mute(false)
+	n.setMute(false)
 	ask("e", 1, 500*ms)
-	n.hang(true)
+	n.setHang(true)
 	r.pass(time.Minute)
 	r.notes("d")
 	r.notes("e", "started")
-	if in := r.last(r.ask(0, "f", safeClass, 1, 1), edge.Answered); in.Status != 202 {
+	if in := r.last(r.ask(0, "f", safeClass, 1, 1), simapi.ResponseReceived); in.Status != 202 {
 		t.Fatalf("a hung one answers %+v", in)
 	}
-	n.hang(false)
+	n.setHang(false)
 	r.pass(time.Minute)
 	r.notes("e", "started", "done")
 	r.notes("f", "started", "done")
 	// They wait for the 202, but for some.
 	early := 0
-	k.Accept, k.NoteEarly, k.NoteTwice = scenario.Span(50*ms), 0.5, 1
+	k.Accept, k.CallbackEarlyShare, k.CallbackTwiceShare = scenario.Duration(50*ms), 0.5, 1
 	for i := range 40 {
 		call, at := fmt.Sprint(i), r.w.now
 		ask(call, 0.01, time.Second)
-		r.must(seen.Accepted, call, at+50*ms)
+		r.must(trace.AttemptAccepted, call, at+50*ms)
 		r.notes(call, "started", "done", "started", "done")
-		if s, _ := r.first(seen.Noted, call); s.At < at+50*ms {
+		if s, _ := r.first(trace.CallbackAnswered, call); s.At < at+50*ms {
 			early++
 		}
 	}
@@ -303,8 +303,8 @@
 	// ends checks when a call's run ended, and whether it was a run of its own.
 	ends := func(call string, at time.Duration, first string) {
 		t.Helper()
-		s := r.must(seen.Finished, call, at)
-		began, _ := r.first(seen.Began, call)
+		s := r.must(trace.AttemptFinished, call, at)
+		began, _ := r.first(trace.AttemptStarted, call)
 		if !strings.HasPrefix(s.Text, first+" w-") || (began.Text == "repeat") != (first != call) {
 			t.Fatalf("%q ended with %q, want the result of %q", call, s.Text, first)
 		}
@@ -320,14 +320,14 @@
 	ask(3, "f")
 	ask(1, "g")
 	r.pass(500 * ms)
-	r.w.nodes[2].crash(0) // the repeat that waits for it takes its place; the next one waits for that
+	r.w.workers[2].crash(0) // the repeat that waits for it takes its place; the next one waits for that
 	r.pass(5 * time.Second)
 	ends("a", time.Second, "a")
 	ends("b", time.Second, "a")
 	ends("c", 1500*ms, "c")
 	ends("d", 19*time.Second, "a")
-	r.must(seen.Died, "e", 21500*ms)
-	if s := r.must(seen.Finished, "f", 22500*ms); s.Text != r.must(seen.Finished, "g", 22500*ms).Text {
+	r.must(trace.AttemptDied, "e", 21500*ms)
+	if s := r.must(trace.AttemptFinished, "f", 22500*ms); s.Text != r.must(trace.AttemptFinished, "g", 22500*ms).Text {
 		t.Fatal("the repeat has another result than what ran in the place of the first")
 	}
 	r.notes("b", "done")
@@ -335,109 +335,109 @@
 	// Under another key than the client's it is no query of that client.
 	c := r.dial(0, 0)
 	r.step(r.w.now)
-	r.outs = append(r.outs, edge.Out{Kind: edge.Sent, Conn: c, Call: "a", Key: "other"})
+	r.outs = append(r.outs, simapi.Output{Kind: simapi.AttemptWritten, Conn: c, RequestID: "a", IdempotencyKey: "other"})
 	r.step(r.w.now)
-	if s := r.must(seen.Rejected, "a", r.w.now); s.Status != 400 || r.last(c, edge.Answered).Status != 400 {
+	if s := r.must(trace.AttemptRejected, "a", r.w.now); s.Status != 400 || r.last(c, simapi.ResponseReceived).Status != 400 {
 		t.Fatalf("answered %d", s.Status)
 	}
 }
 
 func TestLinks(t *testing.T) {
 	spec, k := plain(1)
-	k.Conns, k.Idle, k.Handshake = 2, scenario.Span(time.Second), scenario.Span(20*ms)
+	k.ConnLimit, k.ConnIdleTimeout, k.Handshake = 2, scenario.Duration(time.Second), scenario.Duration(20*ms)
 	r := newRig(t, spec, 1)
-	n, ask := r.w.nodes[0], func(call string) edge.Conn { return r.ask(0, call, safeClass, 0.01, 1) }
+	n, ask := r.w.workers[0], func(call string) simapi.Conn { return r.ask(0, call, safeClass, 0.01, 1) }
 	a, b, c := ask("a"), ask("b"), ask("above the cap")
-	if r.last(b, edge.LinkUp); r.last(c, edge.LinkDown).Reset {
+	if r.last(b, simapi.WorkerConnected); r.last(c, simapi.WorkerDisconnected).Reset {
 		t.Fatal("one that did not come up looks like one that was reset")
 	}
 	r.pass(1010 * ms)
-	r.must(seen.Reached, "a", 20*ms)
-	r.last(a, edge.Answered)
-	if r.pass(10 * ms); !r.last(b, edge.LinkDown).Reset {
+	r.must(trace.AttemptReceived, "a", 20*ms)
+	r.last(a, simapi.ResponseReceived)
+	if r.pass(10 * ms); !r.last(b, simapi.WorkerDisconnected).Reset {
 		t.Fatal("the idle one does not look like one that was reset")
 	}
-	r.do(func() { n.refuse(true) })
-	r.last(ask("refused"), edge.LinkDown)
-	r.do(func() { n.refuse(false) })
-	r.do(func() { n.neverUp(true) })
+	r.do(func() { n.setRefusing(true) })
+	r.last(ask("refused"), simapi.WorkerDisconnected)
+	r.do(func() { n.setRefusing(false) })
+	r.do(func() { n.setSilent(true) })
 	r.last(ask("silent"), 0)
-	r.do(func() { n.neverUp(false) })
-	n.resetAt(8)
-	if in := r.last(ask("reset while it is read"), edge.LinkUp); in.Bytes != 8 {
+	r.do(func() { n.setSilent(false) })
+	n.setResetBytes(8)
+	if in := r.last(ask("reset while it is read"), simapi.WorkerConnected); in.Bytes != 8 {
 		t.Fatalf("%+v", in)
 	}
-	n.resetAt(-9)
+	n.setResetBytes(-9)
 	c = ask("reset in its answer")
 	r.pass(100 * ms)
-	r.last(c, edge.LinkDown)
-	if i := slices.IndexFunc(r.ins, func(in edge.In) bool { return in.Bytes == 9 }); r.ins[i].Kind != edge.Answered {
+	r.last(c, simapi.WorkerDisconnected)
+	if i := slices.IndexFunc(r.ins, func(in simapi.Input) bool { return in.Bytes == 9 }); r.ins[i].Kind != simapi.ResponseReceived {
 		t.Fatalf("%+v", r.ins[i])
 	}
-	n.slowRead(true)
+	n.setSlowRead(true)
 	r.pass(2 * time.Second)
 	at := r.w.now
 	ask("slow")
 	r.pass(2 * time.Second)
-	r.must(seen.Reached, "slow", at+1020*ms)
-	if r.ins = slices.DeleteFunc(r.ins, func(in edge.In) bool { return in.Kind != edge.Hear }); len(r.ins) != 4 ||
-		r.ins[0].Mode != edge.Refuse || r.ins[1].Mode != edge.Open || r.ins[2].Mode != edge.NeverUp {
+	r.must(trace.AttemptReceived, "slow", at+1020*ms)
+	if r.ins = slices.DeleteFunc(r.ins, func(in simapi.Input) bool { return in.Kind != simapi.AcceptModeChanged }); len(r.ins) != 4 ||
+		r.ins[0].Mode != simapi.AcceptNone || r.ins[1].Mode != simapi.AcceptAll || r.ins[2].Mode != simapi.AcceptSilently {
 		t.Fatalf("modes of accepting were %+v", r.ins)
 	}
 }
 
 func TestDeaths(t *testing.T) {
 	spec, k := plain(4)
-	k.Accept, k.HandsBack = scenario.Span(ms), true
+	k.Accept, k.ReturnsQueued = scenario.Duration(ms), true
 	r := newRig(t, spec, 1)
 	// A machine that vanishes says nothing. Once it is back it resets what is said to a process that it has forgotten.
-	v, idle, busy := r.w.nodes[0], r.dial(0, 0), r.ask(0, "v", safeClass, 10, 1)
+	v, idle, busy := r.w.workers[0], r.dial(0, 0), r.ask(0, "v", safeClass, 10, 1)
 	r.pass(10 * ms)
 	v.vanish(time.Second)
 	r.query("v2", safeClass, 1, 1)
-	r.out(busy, edge.Sent, "v2")
+	r.out(busy, simapi.AttemptWritten, "v2")
 	r.pass(900 * ms)
-	r.last(busy, edge.Answered)
-	r.must(seen.Died, "v", 10*ms)
+	r.last(busy, simapi.ResponseReceived)
+	r.must(trace.AttemptDied, "v", 10*ms)
 	r.notes("v", "started")
 	r.pass(200 * ms)
-	r.last(busy, edge.LinkDown)
-	if r.last(idle, edge.LinkUp); v.startedMs() != 1010 {
+	r.last(busy, simapi.WorkerDisconnected)
+	if r.last(idle, simapi.WorkerConnected); v.startedMs() != 1010 {
 		t.Fatalf("back at %v", v.startedMs())
 	}
-	r.out(idle, edge.Sent, "v2")
+	r.out(idle, simapi.AttemptWritten, "v2")
 	r.pass(ms)
-	if r.last(idle, edge.LinkDown); v.seq != 1 {
+	if r.last(idle, simapi.WorkerDisconnected); v.attemptCount != 1 {
 		t.Fatal("it took what came over a connection of before")
 	}
 	// It answers 202 and dies at that instant.
-	r.w.nodes[1].dieAtAccept(0)
+	r.w.workers[1].dieAtAccept(0)
 	c := r.ask(1, "d", safeClass, 1, 1)
 	r.pass(time.Second)
-	r.last(c, edge.LinkDown)
-	r.must(seen.Accepted, "d", r.must(seen.Died, "d", 1112*ms).At)
+	r.last(c, simapi.WorkerDisconnected)
+	r.must(trace.AttemptAccepted, "d", r.must(trace.AttemptDied, "d", 1112*ms).At)
 	// A planned restart finishes what runs and hands back what waits.
-	p, at := r.w.nodes[2], r.w.now
+	p, at := r.w.workers[2], r.w.now
 	r.ask(2, "p0", safeClass, 1.9, 4)
 	r.ask(2, "p1", safeClass, 2, 1)
 	r.pass(100 * ms)
 	p.restart(time.Second)
 	r.pass(10 * ms)
-	r.must(seen.Returned, "p1", at+100*ms)
+	r.must(trace.AttemptReturned, "p1", at+100*ms)
 	r.notes("p1", "returned")
-	if in := r.last(r.ask(2, "p2", safeClass, 1, 1), edge.Answered); in.Status != 503 || !in.Rejected {
+	if in := r.last(r.ask(2, "p2", safeClass, 1, 1), simapi.ResponseReceived); in.Status != 503 || !in.Rejected {
 		t.Fatalf("while it drains it said %+v", in)
 	}
 	r.pass(2 * time.Second)
-	r.must(seen.Finished, "p0", at+1900*ms)
-	if r.notes("p0", "started", "done"); p.state != nodeDead {
+	r.must(trace.AttemptFinished, "p0", at+1900*ms)
+	if r.notes("p0", "started", "done"); p.state != workerDead {
 		t.Fatal("it runs on with nothing left")
 	}
-	if r.pass(time.Second); p.state != nodeUp || p.boot != 2 || p.id != "w-2" {
+	if r.pass(time.Second); p.state != workerUp || p.incarnation != 2 || p.id != "w-2" {
 		t.Fatalf("%+v", p)
 	}
 	// Another machine takes its place. Where the first was there is silence, whoever has been told of what.
-	x := r.w.nodes[3]
+	x := r.w.workers[3]
 	r.told, r.life = true, nil
 	x.replace(time.Second)
 	r.pass(2 * time.Second)
@@ -445,15 +445,15 @@
 	r.outs[1].Machine = 1
 	r.pass(time.Second)
 	r.last(old, 0)
-	r.last(fresh, edge.LinkUp)
-	if x.place() != len(r.w.nodes)+3 || r.w.View(0, 3).Met || !r.w.View(0, x.place()).Knocks {
-		t.Fatalf("it is at %d, and is seen as %+v and %+v", x.place(), r.w.View(0, 3), r.w.View(0, x.place()))
+	r.last(fresh, simapi.WorkerConnected)
+	if x.placeIndex() != len(r.w.workers)+3 || r.w.View(0, 3).Reachable || !r.w.View(0, x.placeIndex()).Connectable {
+		t.Fatalf("it is at %d, and is seen as %+v and %+v", x.placeIndex(), r.w.View(0, 3), r.w.View(0, x.placeIndex()))
 	}
 	x.remove()
 	x.crash(time.Second)
 	r.pass(time.Minute)
-	want := []lifeEvent{lifeSilent, lifeGone, lifeUp, lifeDrain, lifeGone, lifeDown}
-	if x.id != "w-3.1" || x.state == nodeUp || !slices.Equal(r.life, want) {
+	want := []lifeEvent{lifeSilent, lifeRemoved, lifeStarted, lifeDraining, lifeRemoved, lifeStopped}
+	if x.id != "w-3.1" || x.state == workerUp || !slices.Equal(r.life, want) {
 		t.Fatalf("%s is in state %d, and discovery was told %v", x.id, x.state, r.life)
 	}
 }
@@ -462,48 +462,48 @@
 // and who gives an attempt up, the scheduler or the network, is told apart.
 func TestUnread(t *testing.T) {
 	spec, k := plain(4)
-	k.Accept = scenario.Span(2 * time.Second)
+	k.Accept = scenario.Duration(2 * time.Second)
 	r := newRig(t, spec, 1)
-	up := func(node int) edge.Conn {
+	up := func(node int) simapi.Conn {
 		c := r.dial(0, node)
 		r.pass(10 * ms)
-		r.last(c, edge.LinkUp)
+		r.last(c, simapi.WorkerConnected)
 		return c
 	}
-	send := func(c edge.Conn, call string) {
+	send := func(c simapi.Conn, call string) {
 		r.query(call, safeClass, 1, 1)
-		r.out(c, edge.Sent, call)
+		r.out(c, simapi.AttemptWritten, call)
 		r.pass(10 * ms)
 	}
 	silent, reset, paused, read := up(0), up(1), up(2), up(3)
-	r.w.nodes[0].vanish(0)
+	r.w.workers[0].vanish(0)
 	send(silent, "silent")
-	r.w.nodes[2].pause(time.Second)
+	r.w.workers[2].pause(time.Second)
 	send(paused, "paused")
 	r.query("reset", safeClass, 1, 1)
-	r.out(reset, edge.Sent, "reset")
-	r.w.nodes[1].crash(0)
+	r.out(reset, simapi.AttemptWritten, "reset")
+	r.w.workers[1].crash(0)
 	r.pass(10 * ms)
 	send(read, "read")
-	for _, c := range []edge.Conn{silent, paused, read} {
-		r.out(c, edge.Hangup, "")
+	for _, c := range []simapi.Conn{silent, paused, read} {
+		r.out(c, simapi.WorkerConnClosed, "")
 	}
 	r.pass(2 * time.Second)
-	r.must(seen.Unread, "silent", 80*ms)
-	r.must(seen.Unread, "paused", 80*ms)
-	r.must(seen.Unread, "reset", 60*ms)
-	if s, ok := r.first(seen.Unread, "read"); ok {
+	r.must(trace.AttemptUnread, "silent", 80*ms)
+	r.must(trace.AttemptUnread, "paused", 80*ms)
+	r.must(trace.AttemptUnread, "reset", 60*ms)
+	if s, ok := r.first(trace.AttemptUnread, "read"); ok {
 		t.Errorf("what was read: %+v", s)
 	}
-	if s := r.must(seen.Withdrawn, "paused", 1050*ms); s.Text != "" { // read after its pause, and given up by then
+	if s := r.must(trace.AttemptCancelled, "paused", 1050*ms); s.Text != "" { // read after its pause, and given up by then
 		t.Errorf("given up by its scheduler: %+v", s)
 	}
 	// The network forgets a connection before the 202 comes over it.
-	undo := r.w.net.dropIdle(crowd{kind: aSched}, crowd{kind: aNode}, time.Second)
+	undo := r.w.network.dropIdle(endpointGroup{kind: schedulerEndpoint}, endpointGroup{kind: workerEndpoint}, time.Second)
 	at := r.w.now
 	send(up(3), "forgotten")
 	r.pass(3 * time.Second)
-	if s := r.must(seen.Withdrawn, "forgotten", at+2010*ms); s.Text != "forgotten" {
+	if s := r.must(trace.AttemptCancelled, "forgotten", at+2010*ms); s.Text != "forgotten" {
 		t.Errorf("given up by the network: %+v", s)
 	}
 	undo()
@@ -511,7 +511,7 @@
 
 // load sends so many queries to random worker nodes, and has some of these crash.
 func (r *rig) load(queries int, each, crashes time.Duration) {
-	rng, conns := r.w.rng("load", 0), make([]edge.Conn, len(r.w.nodes))
+	rng, conns := r.w.rng("load", 0), make([]simapi.Conn, len(r.w.workers))
 	calls := make([]string, 1<<16)
 	for i := range calls {
 		calls[i] = fmt.Sprintf("%016x", i)
@@ -521,23 +521,23 @@
 	for i := range queries {
 		n := rng.IntN(len(conns))
 		if r.w.conns[conns[n]] == nil {
-			conns[n] = r.dial(n%len(r.w.scheds), n)
+			conns[n] = r.dial(n%len(r.w.schedulers), n)
 		}
 		if r.pass(each); crashes > 0 && r.w.now > down {
-			r.w.nodes[n].crash(time.Second)
+			r.w.workers[n].crash(time.Second)
 			down += crashes
 		}
-		if r.out(conns[n], edge.Sent, calls[i%len(calls)]); len(r.ins) > 1<<16 {
+		if r.out(conns[n], simapi.AttemptWritten, calls[i%len(calls)]); len(r.ins) > 1<<16 {
 			r.ins = r.ins[:0]
 		}
 	}
 }
 
 func TestSameSeedSamePlay(t *testing.T) {
-	play := func(seed uint64) []seen.Sight {
+	play := func(seed uint64) []trace.Event {
 		spec := scenario.Default()
 		spec.Fleet.Zones, spec.Schedulers.Count = []string{"a", "b"}, 2
-		spec.Fleet.Kinds[0].PauseEvery, spec.Fleet.Kinds[0].Pause = scenario.Span(time.Second), scenario.Span(10*ms)
+		spec.Fleet.Kinds[0].PauseEvery, spec.Fleet.Kinds[0].Pause = scenario.Duration(time.Second), scenario.Duration(10*ms)
 		r := newRig(t, spec, seed)
 		r.load(1000, 3*ms, 150*ms)
 		r.pass(time.Minute)
@@ -551,13 +551,13 @@
 
 func TestFleet(t *testing.T) {
 	spec := scenario.Default()
-	spec.Fleet.Nodes, spec.Fleet.Zones = 1000, []string{"a", "b", "c"}
+	spec.Fleet.Workers, spec.Fleet.Zones = 1000, []string{"a", "b", "c"}
 	r := newRig(t, spec, 1)
 	kinds, cells, addrs, size := map[string]int{}, map[[2]int]bool{}, map[string]bool{}, 0.0
-	for i, n := range r.w.nodes {
+	for i, n := range r.w.workers {
 		kinds[n.kind.Name]++
-		cells[[2]int{n.cell, n.zone}], addrs[r.w.NodeAddr(i)] = true, true
-		size += n.size() / spec.Capacity()
+		cells[[2]int{n.cell, n.zone}], addrs[r.w.WorkerAddr(i)] = true, true
+		size += n.capacity() / spec.Capacity()
 	}
 	// 250 cells, of which two lie where one zone ends and the next begins.
 	if kinds["std-4c"] != 510 || len(cells) != 252 || len(addrs) != 1000 || size < 0.99 || size > 1.01 {
@@ -569,9 +569,9 @@
 	for _, nodes := range []int{100, 10_000} {
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
 			spec := scenario.Default()
-			spec.Fleet.Nodes = nodes
+			spec.Fleet.Workers = nodes
 			r := newRig(b, spec, 1)
-			r.w.watch = func(*seen.Sight) {}
+			r.w.observer = func(*trace.Event) {}
 			b.ReportAllocs()
 			r.load(b.N, 50*ms/time.Duration(nodes), 0) // 20 jobs a second for each
 		})
--- a/internal/lab/experiment/aperture_test.go
+++ b/internal/testbed/experiment/aperture_test.go
@@ -13,12 +13,12 @@
 	"valvecove/internal/aperture"
 	"valvecove/internal/capture"
 	"valvecove/internal/config"
-	"valvecove/internal/lab/platform"
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/seen"
-	"valvecove/internal/lab/virtual"
-	"valvecove/internal/lab/yardstick"
 	"valvecove/internal/requests"
+	"valvecove/internal/testbed/baseline"
+	"valvecove/internal/testbed/platform"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simulation"
+	"valvecove/internal/testbed/trace"
 )
 
 // An aperture is asked for behind a policy's name or in the operators' file, and is the same either way; with one,
@@ -26,21 +26,21 @@
 func TestAperture(t *testing.T) {
 	const keys = "least=8:off_below=0"
 	spec := small(t, "fleet.nodes=60", "schedulers.count=6", "schedulers.sockets=4096", "load.of=0.4")
-	inFile, err := Change(spec, []string{`schedulers.ops="[aperture]\nleast = 8\noff_below = 0"`})
+	inFile, err := ApplyChanges(spec, []string{`schedulers.ops="[aperture]\nleast = 8\noff_below = 0"`})
 	if err != nil {
 		t.Fatal(err)
 	}
 	met := func(spec *scenario.Scenario, policy string) (pairs int, text string) {
 		all := map[[2]int]bool{}
 		p, err := Run(context.Background(), Job{
-			Spec: spec, Seed: 1, Driver: scenario.Virtual,
-			Subject: Subject{Policy: policy}, Watch: func(x *seen.Sight) {
-				if x.What == seen.Linked {
-					all[[2]int{x.Sched, x.Node}] = true
+			Spec: spec, Seed: 1, Driver: scenario.DriverSimulation,
+			Subject: Subject{Policy: policy}, Observer: func(x *trace.Event) {
+				if x.Kind == trace.WorkerConnected {
+					all[[2]int{x.Scheduler, x.Worker}] = true
 				}
 			},
 		})
-		if err != nil || p.Broken() > 0 {
+		if err != nil || p.Violations() > 0 {
 			t.Fatalf("%s: %v, %v", policy, err, p)
 		}
 		b, err := json.Marshal(p.Result())
@@ -49,19 +49,19 @@
 		}
 		return len(all), string(b)
 	}
-	whole, _ := met(spec, Logic)
-	few, asked := met(spec, Logic+WithAperture+":"+keys)
+	whole, _ := met(spec, PolicyDispatch)
+	few, asked := met(spec, PolicyDispatch+ApertureSuffix+":"+keys)
 	if few > whole*2/3 || few < 120 {
 		t.Errorf("%d pairs of scheduler and worker node are linked, %d without an aperture", few, whole)
 	}
-	if _, filed := met(inFile, Logic); filed != asked {
+	if _, filed := met(inFile, PolicyDispatch); filed != asked {
 		t.Error("by the operators' file it is another play")
 	}
-	if _, other := met(spec, "least-outstanding"+WithAperture+":"+keys); other == asked {
+	if _, other := met(spec, "least-outstanding"+ApertureSuffix+":"+keys); other == asked {
 		t.Error("a yardstick with an aperture plays as the module does")
 	}
 	for _, policy := range []string{"logic+aperturex", "logic+aperture:least=none", "none+aperture"} {
-		job := Job{Spec: spec, Seed: 1, Driver: scenario.Virtual, Subject: Subject{Policy: policy}}
+		job := Job{Spec: spec, Seed: 1, Driver: scenario.DriverSimulation, Subject: Subject{Policy: policy}}
 		if _, err := Run(context.Background(), job); err == nil || !strings.Contains(err.Error(), "none") &&
 			!strings.Contains(err.Error(), policy) {
 			t.Errorf("%s: %v", policy, err)
@@ -82,7 +82,7 @@
 	var rec *capture.Recorder
 	var now time.Duration
 	conf := aperture.Config{MinWorkers: 8, Coverage: 2, MaxWidening: 4, WidenThreshold: 0.1, Retention: time.Second}
-	module := func(set dispatch.Settings, seed uint64, _ yardstick.Oracle) requests.Policy {
+	module := func(set dispatch.Settings, seed uint64, _ baseline.Oracle) requests.Policy {
 		m := dispatch.New(set, seed)
 		if set.ReplicaIndex > 0 || rec != nil {
 			return aperture.New(m, set, conf)
@@ -95,8 +95,8 @@
 		}
 		return aperture.New(rec.Wrap(m), set, conf)
 	}
-	opt := virtual.Options{Model: virtual.Model{Module: module}}
-	if _, err := virtual.Play(spec, 1, opt); err != nil {
+	opt := simulation.Options{Model: simulation.Model{Module: module}}
+	if _, err := simulation.Run(spec, 1, opt); err != nil {
 		t.Fatal(err)
 	}
 	var out, warnings bytes.Buffer
--- a/internal/lab/experiment/compare.go
+++ b/internal/testbed/experiment/compare.go
@@ -3,24 +3,24 @@
 import (
 	"context"
 
-	"valvecove/internal/lab/report"
-	"valvecove/internal/lab/scenario"
+	"valvecove/internal/testbed/report"
+	"valvecove/internal/testbed/scenario"
 )
 
-// Contest is several subjects in the same plays; the others are compared with the first.
-type Contest struct {
-	Specs    []*scenario.Scenario
-	Seeds    []uint64
-	Subjects []Subject
-	Driver   string
-	At       int // plays at once; 0: as many as there are processors
-	Job      Job // what else is said of each play
+// Comparison is several subjects in the same plays; the others are compared with the first.
+type Comparison struct {
+	Specs       []*scenario.Scenario
+	Seeds       []uint64
+	Subjects    []Subject
+	Driver      string
+	Parallelism int // plays at once; 0: as many as there are processors
+	Job         Job // what else is said of each play
 }
 
 // Run plays a contest: for each scenario and seed every subject, which meet the same world. A play that is void with
 // one of them counts with none. There is a comparison for each scenario, and at the end one of all together if there
 // are several.
-func (c *Contest) Run(ctx context.Context, told func(done, of int)) ([]*report.Comparison, error) {
+func (c *Comparison) Run(ctx context.Context, told func(done, of int)) ([]*report.Comparison, error) {
 	var jobs []Job
 	for _, spec := range c.Specs {
 		for _, seed := range c.Seeds {
@@ -32,7 +32,7 @@
 		}
 	}
 	fresh := func(title, about, text string) *report.Comparison {
-		x := &report.Comparison{Title: title, About: about, Scenario: text}
+		x := &report.Comparison{Title: title, Description: about, Scenario: text}
 		for _, s := range c.Subjects {
 			x.Sides = append(x.Sides, report.Side{Name: s.Name})
 		}
@@ -40,18 +40,18 @@
 	}
 	var out []*report.Comparison
 	for _, spec := range c.Specs {
-		out = append(out, fresh(spec.Name, spec.About, string(scenario.Encode(spec))))
+		out = append(out, fresh(spec.Name, spec.Description, string(scenario.Encode(spec))))
 	}
 	all := fresh("all scenarios", "", "")
 	sides := len(c.Subjects)
-	row := make([]*Played, 0, sides)
-	err := Batch(ctx, jobs, c.At, func(i int, p *Played) error {
+	row := make([]*RunResult, 0, sides)
+	err := Batch(ctx, jobs, c.Parallelism, func(i int, p *RunResult) error {
 		if told != nil {
 			told(i+1, len(jobs))
 		}
 		if row = append(row, p); len(row) == sides {
-			take(out[i/sides/len(c.Seeds)], row)
-			take(all, row)
+			addResults(out[i/sides/len(c.Seeds)], row)
+			addResults(all, row)
 			row = row[:0]
 		}
 		return nil
@@ -65,19 +65,19 @@
 	return out, nil
 }
 
-// take enters the plays of one scenario and seed.
-func take(c *report.Comparison, row []*Played) {
+// addResults enters the plays of one scenario and seed.
+func addResults(c *report.Comparison, row []*RunResult) {
 	void := false
 	for i, p := range row {
-		c.Sides[i].Broken += p.Broken()
-		if p.Void() != "" {
-			c.Sides[i].Void++
+		c.Sides[i].Broken += p.Violations()
+		if p.InvalidReason() != "" {
+			c.Sides[i].Invalid++
 			void = true
 		}
 	}
 	for i, p := range row {
 		if !void {
-			c.Sides[i].Plays = append(c.Sides[i].Plays, p.Result())
+			c.Sides[i].Results = append(c.Sides[i].Results, p.Result())
 		}
 	}
 }
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/score"
-	"valvecove/internal/lab/seen"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/score"
+	"valvecove/internal/testbed/trace"
 )
 
 // base is the default play, with a name.
@@ -24,7 +24,7 @@
 // small is a play that takes milliseconds.
 func small(t *testing.T, changes ...string) *scenario.Scenario {
 	t.Helper()
-	spec, err := Change(base(), append([]string{`length="4s"`, "fleet.nodes=5"}, changes...))
+	spec, err := ApplyChanges(base(), append([]string{`length="4s"`, "fleet.nodes=5"}, changes...))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,18 +40,18 @@
 		{"fleet.nodes=0", "fleet.nodes"},
 		{"fault[0].size=3", "fault"},
 	} {
-		_, err := Change(base(), []string{c.change})
+		_, err := ApplyChanges(base(), []string{c.change})
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, expected it to name %s", c.change, err, c.want)
 		}
 	}
 	from := base()
-	changed, err := Change(from, []string{"load.of=0.9"})
+	changed, err := ApplyChanges(from, []string{"load.of=0.9"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if changed.Load.Of != 0.9 || from.Load.Of == 0.9 {
-		t.Errorf("%v changed, %v in the one it was made from", changed.Load.Of, from.Load.Of)
+	if changed.Load.CapacityShare != 0.9 || from.Load.CapacityShare == 0.9 {
+		t.Errorf("%v changed, %v in the one it was made from", changed.Load.CapacityShare, from.Load.CapacityShare)
 	}
 }
 
@@ -80,15 +80,15 @@
 	spec := small(t)
 	var jobs []Job
 	for _, seed := range Seeds(1, 6) {
-		jobs = append(jobs, Job{Spec: spec, Seed: seed, Driver: scenario.Virtual, Subject: Subject{Name: Logic}})
+		jobs = append(jobs, Job{Spec: spec, Seed: seed, Driver: scenario.DriverSimulation, Subject: Subject{Name: PolicyDispatch}})
 	}
 	texts := func(at int) []string {
 		var all []string
-		if err := Batch(context.Background(), jobs, at, func(i int, p *Played) error {
+		if err := Batch(context.Background(), jobs, at, func(i int, p *RunResult) error {
 			if p.Result().Seed != jobs[i].Seed {
 				t.Errorf("job %d came back with seed %d", i, p.Result().Seed)
 			}
-			b, err := json.Marshal(p.Doc)
+			b, err := json.Marshal(p.Document)
 			all = append(all, string(b))
 			return err
 		}); err != nil {
@@ -107,9 +107,9 @@
 
 func TestBatchStopsAtTheFirstError(t *testing.T) {
 	spec, stop := small(t), errors.New("enough")
-	jobs := slices.Repeat([]Job{{Spec: spec, Seed: 1, Driver: scenario.Virtual}}, 40)
+	jobs := slices.Repeat([]Job{{Spec: spec, Seed: 1, Driver: scenario.DriverSimulation}}, 40)
 	seen := 0
-	err := Batch(context.Background(), jobs, 3, func(i int, _ *Played) error {
+	err := Batch(context.Background(), jobs, 3, func(i int, _ *RunResult) error {
 		if seen++; i == 2 {
 			return stop
 		}
@@ -119,7 +119,7 @@
 		t.Errorf("%v after %d", err, seen)
 	}
 	jobs[1].Subject.Policy = "none such"
-	if err := Batch(context.Background(), jobs, 2, func(int, *Played) error { return nil }); err == nil ||
+	if err := Batch(context.Background(), jobs, 2, func(int, *RunResult) error { return nil }); err == nil ||
 		!strings.Contains(err.Error(), "none such") {
 		t.Errorf("a policy that there is not: %v", err)
 	}
@@ -127,27 +127,27 @@
 
 // Both sides of a contest meet the same world; one that is the same twice differs by nothing.
 func TestContestIsPaired(t *testing.T) {
-	c := Contest{
-		Specs: []*scenario.Scenario{small(t), small(t, "load.of=0.8")}, Seeds: Seeds(3, 3), Driver: scenario.Virtual,
-		Subjects: []Subject{{Name: "a", Policy: Logic}, {Name: "b", Policy: Logic}, {Name: "random", Policy: "random"}},
+	c := Comparison{
+		Specs: []*scenario.Scenario{small(t), small(t, "load.of=0.8")}, Seeds: Seeds(3, 3), Driver: scenario.DriverSimulation,
+		Subjects: []Subject{{Name: "a", Policy: PolicyDispatch}, {Name: "b", Policy: PolicyDispatch}, {Name: "random", Policy: "random"}},
 	}
 	got, err := c.Run(context.Background(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(got) != 3 || len(got[2].Sides[0].Plays) != 6 {
+	if len(got) != 3 || len(got[2].Sides[0].Results) != 6 {
 		t.Fatalf("%d comparisons", len(got))
 	}
 	for _, r := range got {
-		a, b, other := r.Sides[0].Plays, r.Sides[1].Plays, r.Sides[2].Plays
+		a, b, other := r.Sides[0].Results, r.Sides[1].Results, r.Sides[2].Results
 		for i := range a {
-			if a[i].Worth != b[i].Worth || a[i].Whole.Asked != other[i].Whole.Asked || a[i].Seed != other[i].Seed {
+			if a[i].Value != b[i].Value || a[i].Whole.Requested != other[i].Whole.Requested || a[i].Seed != other[i].Seed {
 				t.Errorf("%s, play %d: sides met different worlds", r.Title, i)
 			}
 		}
 		for _, p := range r.Pairs()[0] {
-			if p.Seen || p.Mean != 0 {
-				t.Errorf("%s: %s differs between a subject and itself: %s", r.Title, p.Figure, p.Says)
+			if p.Significant || p.Difference != 0 {
+				t.Errorf("%s: %s differs between a subject and itself: %s", r.Title, p.Metric, p.Verdict)
 			}
 		}
 	}
@@ -155,8 +155,8 @@
 
 func TestSweepPoints(t *testing.T) {
 	s := Sweep{
-		Spec: small(t), Over: Vary{"load.of", []string{"0.9", "0.3"}}, Curves: Vary{"fleet.nodes", []string{"3", "6"}},
-		Seeds: Seeds(1, 2), Driver: scenario.Virtual, Figure: "mix", Subject: Subject{Name: Logic},
+		Spec: small(t), Vary: Vary{"load.of", []string{"0.9", "0.3"}}, Curves: Vary{"fleet.nodes", []string{"3", "6"}},
+		Seeds: Seeds(1, 2), Driver: scenario.DriverSimulation, Figure: "mix", Subject: Subject{Name: PolicyDispatch},
 	}
 	got, err := s.Run(context.Background(), nil)
 	if err != nil {
@@ -166,15 +166,15 @@
 		if len(c.Points) != 2 || c.Points[0].X != 0.3 || c.Points[1].X != 0.9 {
 			t.Fatalf("curve %s has its points out of order", c.Name)
 		}
-		low, high := c.Points[0].Plays, c.Points[1].Plays
+		low, high := c.Points[0].Results, c.Points[1].Results
 		if len(low) != 2 || len(high) != 2 || low[0].Whole.Due >= high[0].Whole.Due {
 			t.Errorf("curve %s: the plays are not those of their points", c.Name)
 		}
 	}
-	if a, b := got.Curves[0].Points[0].Plays[0], got.Curves[1].Points[0].Plays[0]; a.Capacity >= b.Capacity {
+	if a, b := got.Curves[0].Points[0].Results[0], got.Curves[1].Points[0].Results[0]; a.Capacity >= b.Capacity {
 		t.Error("the second key was not varied")
 	}
-	s.Over.Values = append(s.Over.Values, "-1")
+	s.Vary.Values = append(s.Vary.Values, "-1")
 	if _, err := s.Run(context.Background(), nil); err == nil {
 		t.Error("a value that the scenario refuses was played")
 	}
@@ -182,43 +182,43 @@
 
 // A hunt finds a seeded fault by its rule, shrinks the play to what matters, and the file that it keeps plays it again.
 func TestHuntFindsShrinksAndKeeps(t *testing.T) {
-	h := Hunt{Seed: 5, Subject: Subject{Name: "mutant", Mutant: "answers-twice"}, Top: Logic, Most: 2, At: 2, Keep: 2}
+	h := Search{Seed: 5, Subject: Subject{Name: "mutant", Mutant: "answers-twice"}, Baseline: PolicyDispatch, MaxRuns: 2, Parallelism: 2, Keep: 2}
 	h.trim = func(s *scenario.Scenario) { // plays of milliseconds
-		s.Length, s.Fleet.Nodes = scenario.Span(3*time.Second), min(s.Fleet.Nodes, 8)
+		s.Length, s.Fleet.Workers = scenario.Duration(3*time.Second), min(s.Fleet.Workers, 8)
 		for i := range s.Faults {
 			f := &s.Faults[i]
-			f.At, f.For, f.Spread = f.At/10, f.For/10, f.Spread/10
+			f.At, f.Duration, f.Spread = f.At/10, f.Duration/10, f.Spread/10
 		}
 	}
 	got, err := h.Run(context.Background(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	i := slices.IndexFunc(got.Worst, func(f Find) bool { return f.Rule == "one-answer" })
-	if got.Broken == 0 || i < 0 {
-		t.Fatalf("%d plays with a rule broken, kept %v", got.Broken, got.Worst)
+	i := slices.IndexFunc(got.Worst, func(f Finding) bool { return f.Rule == "one-answer" })
+	if got.Violations == 0 || i < 0 {
+		t.Fatalf("%d plays with a rule broken, kept %v", got.Violations, got.Worst)
 	}
 	f := got.Worst[i]
-	if f.Drawn == 0 || f.Faults != 0 || f.Spec.Fleet.Nodes >= h.Draw(f.Draw).Fleet.Nodes {
+	if f.Drawn == 0 || f.Faults != 0 || f.Spec.Fleet.Workers >= h.Draw(f.DrawNumber).Fleet.Workers {
 		t.Errorf("the answer given twice needs no fault of the world, and %d of %d are left", f.Faults, f.Drawn)
 	}
 	kept, err := scenario.Parse("kept", f.File())
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := Run(context.Background(), Job{Spec: kept, Seed: uint64(kept.Seed), Driver: scenario.Virtual, Subject: h.Subject})
-	if err != nil || p.Result().Worth.Mix != f.Got || p.Broken() == 0 {
+	p, err := Run(context.Background(), Job{Spec: kept, Seed: uint64(kept.Seed), Driver: scenario.DriverSimulation, Subject: h.Subject})
+	if err != nil || p.Result().Value.Mix != f.Value || p.Violations() == 0 {
 		t.Errorf("%v: the kept play is another", err)
 	}
-	h.Starve = true // breaks are kept just so, and nobody plays beside it
-	if got, err = h.Run(context.Background(), nil); err != nil || got.Broken == 0 || got.Worst[0].Top != 0 {
+	h.Starvation = true // breaks are kept just so, and nobody plays beside it
+	if got, err = h.Run(context.Background(), nil); err != nil || got.Violations == 0 || got.Worst[0].BaselineValue != 0 {
 		t.Errorf("%+v, %v: expected a hunt for starvation to keep broken rules, and to play no yardstick", got, err)
 	}
 }
 
 // A longer hunt begins as a shorter one: a draw follows from the seed and its number.
 func TestDrawsAreTheirNumbers(t *testing.T) {
-	a, b := Hunt{Seed: 9}, Hunt{Seed: 9, Most: 3}
+	a, b := Search{Seed: 9}, Search{Seed: 9, MaxRuns: 3}
 	kinds := map[string]bool{}
 	for i := range 300 {
 		x, y := a.Draw(i), b.Draw(i)
@@ -226,10 +226,10 @@
 			t.Fatalf("draw %d differs", i)
 		}
 		for _, f := range x.Faults {
-			kinds[f.What] = true
+			kinds[f.Kind] = true
 		}
 	}
-	for _, kind := range huntable {
+	for _, kind := range searchedFaults {
 		if !kinds[kind] {
 			t.Errorf("300 draws without a %s", kind)
 		}
@@ -237,23 +237,23 @@
 }
 
 func TestKeepOneOfAKind(t *testing.T) {
-	h, got := Hunt{}, &Hunted{}
-	find := func(regret float64, kinds ...string) *Find {
-		f := &Find{Spec: &scenario.Scenario{}, Top: regret}
+	h, got := Search{}, &SearchResult{}
+	find := func(regret float64, kinds ...string) *Finding {
+		f := &Finding{Spec: &scenario.Scenario{}, BaselineValue: regret}
 		for _, k := range kinds {
-			f.Spec.Faults = append(f.Spec.Faults, scenario.Fault{What: k})
+			f.Spec.Faults = append(f.Spec.Faults, scenario.Fault{Kind: k})
 		}
 		return f
 	}
 	rule := find(0, "cut")
 	rule.Rule = "drain"
-	for _, f := range []*Find{find(0.2, "hang"), find(0.3, "hang"), find(0.1, "hang"), find(0.5, "crash", "hang"), find(0.4, "hang",
+	for _, f := range []*Finding{find(0.2, "hang"), find(0.3, "hang"), find(0.1, "hang"), find(0.5, "crash", "hang"), find(0.4, "hang",
 		"crash"), find(0.25, "cut"), rule} {
 		h.keep(got, f, 2)
 	}
 	var left []string
 	for _, f := range got.Worst {
-		left = append(left, f.What())
+		left = append(left, f.Description())
 	}
 	want := []string{"rule drain broken", "worth 0.000 where 0.500 can be had"}
 	if !slices.Equal(left, want) {
@@ -263,21 +263,21 @@
 
 // Yardsticks make a table: a line for each scenario, a cell for each policy, over all seeds.
 func TestYardsticksTable(t *testing.T) {
-	y := Yardsticks{
+	y := BaselineTable{
 		Specs: []*scenario.Scenario{small(t), small(t, "load.of=0.9")}, Policies: []string{"random", "all-seeing"},
 		Seeds: Seeds(1, 3),
 	}
-	y.Figure = mustHeadline(t, "in_time")
+	y.Metric = mustHeadline(t, "in_time")
 	table, err := y.Run(context.Background(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, line := range table {
-		if len(line.Cells) != 2 || line.Cells[0].Plays != 3 || line.Cells[0].Mean > line.Cells[1].Mean {
+		if len(line.Cells) != 2 || line.Cells[0].Runs != 3 || line.Cells[0].Mean > line.Cells[1].Mean {
 			t.Errorf("%s: random %v, all-seeing %v", line.Scenario, line.Cells[0], line.Cells[1])
 		}
 	}
-	table[0].Cells[0] = cell(nil)
+	table[0].Cells[0] = newCell(nil)
 	if b, err := json.Marshal(table); err != nil || !strings.Contains(string(b), `"mean":null`) {
 		t.Errorf("%v: %s", err, b)
 	}
@@ -289,12 +289,12 @@
 // Fleets of any size have so many jobs and are as busy.
 func TestFleet(t *testing.T) {
 	for _, n := range []int{3, 100, 3000} {
-		f, err := Fleet(base(), n, 9000)
+		f, err := ScaleFleet(base(), n, 9000)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if jobs := f.Rate() * f.Length.D().Seconds(); f.Fleet.Nodes != n || jobs < 8900 || f.Length.D() < shortest {
-			t.Errorf("%d nodes: %.0f jobs in %v", n, jobs, f.Length.D())
+		if jobs := f.Rate() * f.Length.Std().Seconds(); f.Fleet.Workers != n || jobs < 8900 || f.Length.Std() < minLength {
+			t.Errorf("%d nodes: %.0f jobs in %v", n, jobs, f.Length.Std())
 		}
 	}
 }
@@ -302,8 +302,8 @@
 // Whatever panics in a play is an error that names the play.
 func TestPanicNamesThePlay(t *testing.T) {
 	_, err := Run(context.Background(), Job{
-		Spec: small(t), Seed: 77, Driver: scenario.Virtual,
-		Watch: func(*seen.Sight) { panic("on purpose") },
+		Spec: small(t), Seed: 77, Driver: scenario.DriverSimulation,
+		Observer: func(*trace.Event) { panic("on purpose") },
 	})
 	if !errors.Is(err, ErrStopped) || !strings.Contains(err.Error(), "seed 77") || !strings.Contains(err.Error(), "on purpose") {
 		t.Errorf("got %v", err)
--- a/internal/lab/experiment/golden_test.go
+++ b/internal/testbed/experiment/golden_test.go
@@ -5,8 +5,8 @@
 	"math"
 	"testing"
 
-	"valvecove/internal/lab/report"
 	"valvecove/internal/storedform"
+	"valvecove/internal/testbed/report"
 )
 
 // The files of testdata/golden hold tables as the lab of d2a7518 writes them; nothing reads them but people and their scripts.
@@ -25,21 +25,21 @@
 	storedform.CheckGolden(t, name, b.Bytes())
 }
 
-var goldenCells = []Cell{{Mean: 0.75, SD: 0.125, Plays: 10, Broken: 2}, {Mean: math.NaN()}, {Mean: 0.5, Plays: 1}}
+var goldenCells = []Cell{{Mean: 0.75, SD: 0.125, Runs: 10, Violations: 2}, {Mean: math.NaN()}, {Mean: 0.5, Runs: 1}}
 
 func TestGoldenAgreementIsWrittenToTheSameBytes(t *testing.T) {
-	checkWritten(t, goldenAgreement, []Agreed{
-		{Scenario: "calm", Void: 1, Broken: 2, Figures: []Both{
-			{Figure: "in_time", Virtual: goldenCells[0], Live: goldenCells[2], Bound: 0.03125, Within: true},
-			{Figure: "lost", Virtual: goldenCells[1], Live: goldenCells[1]},
+	checkWritten(t, goldenAgreement, []AgreementResult{
+		{Scenario: "calm", Invalid: 1, Violations: 2, Figures: []AgreementFigure{
+			{Metric: "in_time", Simulation: goldenCells[0], Process: goldenCells[2], Bound: 0.03125, Within: true},
+			{Metric: "lost", Simulation: goldenCells[1], Process: goldenCells[1]},
 		}},
 		{Scenario: "busy"},
 	})
 }
 
 func TestGoldenStandingsAreWrittenToTheSameBytes(t *testing.T) {
-	checkWritten(t, goldenStandings, []Standing{{Scenario: "calm", Nodes: 10, Cells: goldenCells}, {Scenario: "busy"}})
+	checkWritten(t, goldenStandings, []BaselineRow{{Scenario: "calm", Workers: 10, Cells: goldenCells}, {Scenario: "busy"}})
 }
 
 // What a table calls its columns stands in tags. A cell writes itself by a struct of its own, whose bytes are pinned above.
-func TestTablesAreTagged(t *testing.T) { storedform.CheckTags(t, []Agreed{}, []Standing{}) }
+func TestTablesAreTagged(t *testing.T) { storedform.CheckTags(t, []AgreementResult{}, []BaselineRow{}) }
--- /dev/null
+++ b/internal/testbed/experiment/other_build.go
@@ -0,0 +1,71 @@
+package experiment
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"os/exec"
+	"strconv"
+
+	"valvecove/internal/testbed/checker"
+	"valvecove/internal/testbed/report"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/score"
+)
+
+// most of another build's output that is taken in.
+const maxOutput = 64 << 20
+
+// runOtherBuild has another build's valvecove-testbed play a job. The scenario goes over as text, changes made, so that both
+// builds play the same; the figures come back as JSON. Its judge's word on rules is taken as it is.
+func runOtherBuild(ctx context.Context, job Job) (*RunResult, error) {
+	spec, err := ApplyChanges(job.Spec, job.Subject.Set)
+	if err != nil {
+		return nil, err
+	}
+	if job.Driver != scenario.DriverSimulation {
+		return nil, fmt.Errorf("%s: another build's lab plays in virtual time only; live, name its scheduler", job.Subject.Name)
+	}
+	args := []string{"play", "-", "--driver", scenario.DriverSimulation, "--seed", strconv.FormatUint(job.Seed, 10), "--json", "-"}
+	if job.Subject.Policy != "" {
+		args = append(args, "--policy", job.Subject.Policy)
+	}
+	cmd := exec.CommandContext(ctx, job.Subject.Testbed, args...)
+	cmd.Stdin = bytes.NewReader(scenario.Encode(spec))
+	out, errs := &boundedBuffer{limit: maxOutput}, &boundedBuffer{limit: 64 << 10}
+	cmd.Stdout, cmd.Stderr = out, errs
+	// A play that did not go as expected exits with 1, and has its figures all the same.
+	if err := cmd.Run(); err != nil && cmd.ProcessState.ExitCode() != 1 {
+		return nil, fmt.Errorf("%s: %w: %s", job.Subject.Testbed, err, bytes.TrimSpace(errs.Bytes()))
+	}
+	var told struct { // expectations are for that build to hold its play to
+		Result  *score.Result   `json:"result"`
+		Verdict *report.Verdict `json:"verdict"`
+	}
+	if err := json.Unmarshal(out.Bytes(), &told); err != nil {
+		return nil, fmt.Errorf("%s: its figures can't be read: %w", job.Subject.Testbed, err)
+	}
+	if told.Result == nil {
+		return nil, fmt.Errorf("%s: it told no figures", job.Subject.Testbed)
+	}
+	p := &RunResult{Document: report.Document{Result: told.Result, Verdict: told.Verdict, Build: job.Subject.Name}}
+	if v := told.Verdict; v != nil {
+		p.Verdict.Invalid = v.Invalid
+		p.Verdict.Rules = []checker.RuleCount{{Rule: "all", Violated: v.Total()}}
+	}
+	return p, nil
+}
+
+// boundedBuffer keeps so much of what is written to it, and takes the rest in unread.
+type boundedBuffer struct {
+	bytes.Buffer
+	limit int
+}
+
+func (b *boundedBuffer) Write(p []byte) (int, error) {
+	if room := b.limit - b.Len(); room > 0 {
+		b.Buffer.Write(p[:min(room, len(p))])
+	}
+	return len(p), nil
+}
--- a/internal/lab/experiment/hunt.go
+++ b/internal/testbed/experiment/search.go
@@ -10,68 +10,68 @@
 	"strings"
 	"time"
 
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/starve"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/starvation"
 )
 
-// Hunt looks for plays that go badly: scenarios and seeds drawn at random, each held against the yardstick that sees
+// Search looks for plays that go badly: scenarios and seeds drawn at random, each held against the yardstick that sees
 // everything. The i-th draw follows from Seed and i alone, so that a hunt that is given more time finds all that a
 // shorter one did.
-type Hunt struct {
-	Seed    uint64
-	Subject Subject
-	Top     string // the yardstick; default all-seeing
-	Keep    int    // so many of the worst; default 8
-	At      int    // plays at once
-	Most    int    // draws; 0: until the context ends
-	// Starve hunts for starvation (package starve) and broken rules in plays drawn more widely, and for no regret: no
+type Search struct {
+	Seed        uint64
+	Subject     Subject
+	Baseline    string // the yardstick; default all-seeing
+	Keep        int    // so many of the worst; default 8
+	Parallelism int    // plays at once
+	MaxRuns     int    // draws; 0: until the context ends
+	// Starvation hunts for starvation (package starve) and broken rules in plays drawn more widely, and for no regret: no
 	// yardstick is played.
-	Starve bool
+	Starvation bool
 
 	trim func(s *scenario.Scenario) // changes each draw; nil: nothing does
 }
 
-// Find is a play that went badly.
-type Find struct {
-	Spec    *scenario.Scenario // its Seed is the play's
-	Rule    string             // that was broken, or starve.Rule; empty: none was
-	Starved int                // tries that were
-	Got     float64            // the mixed worth, and the yardstick's
-	Top     float64
-	Faults  int    // left of those drawn
-	Drawn   int    // faults that were drawn
-	Draw    int    // which draw it was
-	Error   string // what the play ended with, if it could not be played on
+// Finding is a play that went badly.
+type Finding struct {
+	Spec            *scenario.Scenario // its Seed is the play's
+	Rule            string             // that was broken, or starve.Rule; empty: none was
+	StarvedRequests int                // tries that were
+	Value           float64            // the mixed worth, and the yardstick's
+	BaselineValue   float64
+	Faults          int    // left of those drawn
+	Drawn           int    // faults that were drawn
+	DrawNumber      int    // which draw it was
+	Error           string // what the play ended with, if it could not be played on
 }
 
 // Regret is how far a play stayed under the yardstick.
-func (f *Find) Regret() float64 { return math.Max(0, f.Top-f.Got) }
+func (f *Finding) Regret() float64 { return math.Max(0, f.BaselineValue-f.Value) }
 
-// What says what is bad about a find.
-func (f *Find) What() string {
+// Description says what is bad about a find.
+func (f *Finding) Description() string {
 	switch {
 	case f.Error != "":
 		return "it stopped: " + strings.SplitN(f.Error, "\n", 2)[0]
-	case f.Rule == starve.Rule:
-		return fmt.Sprintf("%d tries starved", f.Starved)
+	case f.Rule == starvation.Rule:
+		return fmt.Sprintf("%d tries starved", f.StarvedRequests)
 	case f.Rule != "":
 		return "rule " + f.Rule + " broken"
 	}
-	return fmt.Sprintf("worth %.3f where %.3f can be had", f.Got, f.Top)
+	return fmt.Sprintf("worth %.3f where %.3f can be had", f.Value, f.BaselineValue)
 }
 
 // kind tells finds of one sort, of which only the worst is kept: by the rule broken, or by the kinds of faults left.
-func (f *Find) kind() string {
+func (f *Finding) kind() string {
 	if f.Error != "" {
 		return "!" + strings.SplitN(f.Error, "\n", 2)[0]
 	}
-	if f.Rule != "" && f.Rule != starve.Rule {
+	if f.Rule != "" && f.Rule != starvation.Rule {
 		return "rule " + f.Rule
 	}
 	var kinds []string
 	for _, x := range f.Spec.Faults {
-		if !slices.Contains(kinds, x.What) {
-			kinds = append(kinds, x.What)
+		if !slices.Contains(kinds, x.Kind) {
+			kinds = append(kinds, x.Kind)
 		}
 	}
 	slices.Sort(kinds)
@@ -79,43 +79,43 @@
 }
 
 // File is the find as a scenario file that plays it again.
-func (f *Find) File() []byte {
-	head := fmt.Sprintf("# Kept by a hunt: %s. Draw %d, %d of %d faults left.\n", f.What(), f.Draw, f.Faults, f.Drawn)
+func (f *Finding) File() []byte {
+	head := fmt.Sprintf("# Kept by a hunt: %s. Draw %d, %d of %d faults left.\n", f.Description(), f.DrawNumber, f.Faults, f.Drawn)
 	return append([]byte(head), scenario.Encode(f.Spec)...)
 }
 
-// Hunted is what a hunt came to.
-type Hunted struct {
-	Plays  int
-	Broken int // of them, plays that broke a rule or stopped
-	Worst  []Find
-	Mean   float64 // regret
+// SearchResult is what a hunt came to.
+type SearchResult struct {
+	Runs       int
+	Violations int // of them, plays that broke a rule or stopped
+	Worst      []Finding
+	Mean       float64 // regret
 }
 
-// shrinkPart of a regret must be left of it in a play that is to stand for the first.
-const shrinkPart = 0.8
+// minimisedShare of a regret must be left of it in a play that is to stand for the first.
+const minimisedShare = 0.8
 
 // most plays that shrinking one find may take.
-const mostShrinks = 150
+const maxMinimiseRuns = 150
 
 // Run hunts until the context ends or all draws are made, and shrinks what it keeps. told hears of each new find.
-func (h *Hunt) Run(ctx context.Context, told func(f *Find, plays int)) (*Hunted, error) {
-	at, keep := h.At, h.Keep
+func (h *Search) Run(ctx context.Context, told func(f *Finding, plays int)) (*SearchResult, error) {
+	at, keep := h.Parallelism, h.Keep
 	if at <= 0 {
 		at = runtime.GOMAXPROCS(0)
 	}
 	if keep <= 0 {
 		keep = 8
 	}
-	got, sum := &Hunted{}, 0.0
-	for i := 0; ctx.Err() == nil && (h.Most == 0 || i < h.Most); {
+	got, sum := &SearchResult{}, 0.0
+	for i := 0; ctx.Err() == nil && (h.MaxRuns == 0 || i < h.MaxRuns); {
 		n := 8 * at
-		if h.Most > 0 {
-			n = min(n, h.Most-i)
+		if h.MaxRuns > 0 {
+			n = min(n, h.MaxRuns-i)
 		}
-		finds := make([]*Find, n)
+		finds := make([]*Finding, n)
 		err := inParallel(ctx, at, n, func(k int) error {
-			f, err := h.look(context.WithoutCancel(ctx), h.Draw(i+k), i+k)
+			f, err := h.evaluate(context.WithoutCancel(ctx), h.Draw(i+k), i+k)
 			finds[k] = f
 			return err
 		})
@@ -126,28 +126,28 @@
 			if f == nil {
 				continue
 			}
-			got.Plays++
+			got.Runs++
 			sum += f.Regret()
 			if f.Rule != "" || f.Error != "" {
-				got.Broken++
+				got.Violations++
 			}
-			if h.worth(got, f, keep) {
-				if err := h.shrink(ctx, f); err != nil {
+			if h.isWorthKeeping(got, f, keep) {
+				if err := h.minimise(ctx, f); err != nil {
 					return got, err
 				}
 				if h.keep(got, f, keep) && told != nil {
-					told(f, got.Plays)
+					told(f, got.Runs)
 				}
 			}
 		}
 		i += n
-		got.Mean = sum / float64(max(1, got.Plays))
+		got.Mean = sum / float64(max(1, got.Runs))
 	}
 	return got, nil
 }
 
-// bad orders finds: what stopped, then broken rules, then regret.
-func bad(f *Find) float64 {
+// badness orders finds: what stopped, then broken rules, then regret.
+func badness(f *Finding) float64 {
 	switch {
 	case f.Error != "":
 		return 3
@@ -157,23 +157,23 @@
 	return f.Regret()
 }
 
-// worth tells whether a find may come among those kept.
-func (h *Hunt) worth(got *Hunted, f *Find, keep int) bool {
-	return bad(f) >= 2 && !slices.ContainsFunc(got.Worst, func(o Find) bool { return o.kind() == f.kind() }) ||
-		bad(f) < 2 && bad(f) > 0.05 && (len(got.Worst) < keep || bad(f) > bad(&got.Worst[len(got.Worst)-1]))
+// isWorthKeeping tells whether a find may come among those kept.
+func (h *Search) isWorthKeeping(got *SearchResult, f *Finding, keep int) bool {
+	return badness(f) >= 2 && !slices.ContainsFunc(got.Worst, func(o Finding) bool { return o.kind() == f.kind() }) ||
+		badness(f) < 2 && badness(f) > 0.05 && (len(got.Worst) < keep || badness(f) > badness(&got.Worst[len(got.Worst)-1]))
 }
 
 // keep puts a find, shrunk, among the worst, of which there is one of each kind.
-func (h *Hunt) keep(got *Hunted, f *Find, keep int) bool {
-	if i := slices.IndexFunc(got.Worst, func(o Find) bool { return o.kind() == f.kind() }); i >= 0 {
-		if bad(&got.Worst[i]) >= bad(f) {
+func (h *Search) keep(got *SearchResult, f *Finding, keep int) bool {
+	if i := slices.IndexFunc(got.Worst, func(o Finding) bool { return o.kind() == f.kind() }); i >= 0 {
+		if badness(&got.Worst[i]) >= badness(f) {
 			return false
 		}
 		got.Worst = slices.Delete(got.Worst, i, i+1)
 	}
 	got.Worst = append(got.Worst, *f)
-	slices.SortStableFunc(got.Worst, func(a, b Find) int {
-		switch x, y := bad(&a), bad(&b); {
+	slices.SortStableFunc(got.Worst, func(a, b Finding) int {
+		switch x, y := badness(&a), badness(&b); {
 		case x > y:
 			return -1
 		case x < y:
@@ -182,54 +182,54 @@
 		return 0
 	})
 	// Broken rules are all kept; of the others, the worst.
-	for len(got.Worst) > keep && bad(&got.Worst[len(got.Worst)-1]) < 2 {
+	for len(got.Worst) > keep && badness(&got.Worst[len(got.Worst)-1]) < 2 {
 		got.Worst = got.Worst[:len(got.Worst)-1]
 	}
-	return slices.ContainsFunc(got.Worst, func(o Find) bool { return o.Spec == f.Spec })
+	return slices.ContainsFunc(got.Worst, func(o Finding) bool { return o.Spec == f.Spec })
 }
 
-// look plays a scenario, and the yardstick beside it.
-func (h *Hunt) look(ctx context.Context, spec *scenario.Scenario, draw int) (*Find, error) {
-	f := &Find{Spec: spec, Draw: draw, Drawn: len(spec.Faults), Faults: len(spec.Faults)}
+// evaluate plays a scenario, and the yardstick beside it.
+func (h *Search) evaluate(ctx context.Context, spec *scenario.Scenario, draw int) (*Finding, error) {
+	f := &Finding{Spec: spec, DrawNumber: draw, Drawn: len(spec.Faults), Faults: len(spec.Faults)}
 	p, err := Run(ctx, Job{
-		Spec: spec, Seed: uint64(spec.Seed), Driver: scenario.Virtual, Subject: h.Subject,
-		Starve: h.Starve,
+		Spec: spec, Seed: uint64(spec.Seed), Driver: scenario.DriverSimulation, Subject: h.Subject,
+		Starvation: h.Starvation,
 	})
 	if err != nil {
 		f.Error = err.Error()
 		return f, nil
 	}
-	for _, t := range p.Judged.Rules {
-		if t.Broken > 0 && f.Rule == "" {
+	for _, t := range p.Verdict.Rules {
+		if t.Violated > 0 && f.Rule == "" {
 			f.Rule = t.Rule
 		}
 	}
-	if h.Starve {
-		if f.Starved = p.Starved.Starved(); f.Starved > 0 && f.Rule == "" {
-			f.Rule = starve.Rule
+	if h.Starvation {
+		if f.StarvedRequests = p.Starvation.Count(); f.StarvedRequests > 0 && f.Rule == "" {
+			f.Rule = starvation.Rule
 		}
 		return f, nil
 	}
-	f.Got = p.Result().Worth.Mix
-	top := h.Top
+	f.Value = p.Result().Value.Mix
+	top := h.Baseline
 	if top == "" {
 		top = "all-seeing"
 	}
 	t, err := Run(ctx, Job{
-		Spec: spec, Seed: uint64(spec.Seed), Driver: scenario.Virtual, Unjudged: true,
+		Spec: spec, Seed: uint64(spec.Seed), Driver: scenario.DriverSimulation, Unchecked: true,
 		Subject: Subject{Name: top, Policy: top},
 	})
 	if err != nil {
 		return nil, err
 	}
-	f.Top = t.Result().Worth.Mix
+	f.BaselineValue = t.Result().Value.Mix
 	return f, nil
 }
 
-// shrink looks for a smaller play that is as bad in the same way: without faults that don't matter, then with shorter
+// minimise looks for a smaller play that is as bad in the same way: without faults that don't matter, then with shorter
 // ones, fewer parties, and plainer settings. It ends with the hunt's time, as small as it has come.
-func (h *Hunt) shrink(ctx context.Context, f *Find) error {
-	left := mostShrinks
+func (h *Search) minimise(ctx context.Context, f *Finding) error {
+	left := maxMinimiseRuns
 	try := func(change func(s *scenario.Scenario)) (bool, error) {
 		if left--; left < 0 || ctx.Err() != nil { // what is left of it is kept as it is
 			return false, nil
@@ -239,13 +239,13 @@
 		if spec.Check() != nil {
 			return false, nil
 		}
-		got, err := h.look(context.WithoutCancel(ctx), spec, f.Draw)
+		got, err := h.evaluate(context.WithoutCancel(ctx), spec, f.DrawNumber)
 		if err != nil {
 			return false, err
 		}
 		same := got.Rule == f.Rule && (got.Error != "") == (f.Error != "")
 		if f.Rule == "" && f.Error == "" {
-			same = same && got.Regret() >= shrinkPart*f.Regret()
+			same = same && got.Regret() >= minimisedShare*f.Regret()
 		}
 		if !same {
 			return false, nil
@@ -265,13 +265,13 @@
 			again = again || ok
 		}
 	}
-	for _, change := range plainer(f.Spec) {
+	for _, change := range simplifications(f.Spec) {
 		if _, err := try(change); err != nil {
 			return err
 		}
 	}
 	for _, change := range []func(s *scenario.Scenario){
-		func(s *scenario.Scenario) { s.Fleet.Nodes = max(1, s.Fleet.Nodes/2) },
+		func(s *scenario.Scenario) { s.Fleet.Workers = max(1, s.Fleet.Workers/2) },
 		func(s *scenario.Scenario) { s.Length /= 2 },
 	} {
 		for ok := true; ok; {
@@ -284,31 +284,31 @@
 	return nil
 }
 
-// plainer are changes that bring one part of a scenario back to its default each.
-func plainer(spec *scenario.Scenario) []func(s *scenario.Scenario) {
+// simplifications are changes that bring one part of a scenario back to its default each.
+func simplifications(spec *scenario.Scenario) []func(s *scenario.Scenario) {
 	all := []func(s *scenario.Scenario){
 		func(s *scenario.Scenario) { s.Clients = scenario.Default().Clients },
 		func(s *scenario.Scenario) { s.Discovery = scenario.Default().Discovery },
-		func(s *scenario.Scenario) { s.Net = scenario.Default().Net },
+		func(s *scenario.Scenario) { s.Network = scenario.Default().Network },
 		func(s *scenario.Scenario) { s.Fleet.Kinds = scenario.Default().Fleet.Kinds },
 		func(s *scenario.Scenario) { s.Schedulers.Count = 1 },
 		func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "exact", 0 },
 		func(s *scenario.Scenario) { s.Load.Shape, s.Load.Swing = "steady", 0 },
 	}
 	for i := range spec.Faults {
-		all = append(all, func(s *scenario.Scenario) { s.Faults[i].For /= 2 },
+		all = append(all, func(s *scenario.Scenario) { s.Faults[i].Duration /= 2 },
 			func(s *scenario.Scenario) { s.Faults[i].Spread = 0 })
 	}
 	return all
 }
 
 // Draw is the i-th scenario of a hunt, checked.
-func (h *Hunt) Draw(i int) *scenario.Scenario {
+func (h *Search) Draw(i int) *scenario.Scenario {
 	rng := rand.New(rand.NewPCG(h.Seed, uint64(i)))
 	for {
-		s := draw(rng)
-		if h.Starve {
-			widen(rng, s)
+		s := drawScenario(rng)
+		if h.Starvation {
+			widenScenario(rng, s)
 		}
 		if h.trim != nil {
 			h.trim(s)
@@ -320,27 +320,27 @@
 	}
 }
 
-// huntable are faults that virtual time shows well.
-var huntable = []string{
+// searchedFaults are faults that virtual time shows well.
+var searchedFaults = []string{
 	"crash", "vanish", "hang", "pause", "slow", "errors", "full", "drain", "restart", "replace", "gone",
 	"no_notes", "early_202_crash", "handback", "cut", "cut_one_way", "delay", "refuse", "never_up", "half_open", "drop_idle",
 	"slow_read", "disco_down", "disco_late", "disco_wrong", "disco_old", "disco_slow", "disco_moves", "burst", "storm",
 	"sched_kill", "sched_term", "sched_freeze", "sched_reload",
 }
 
-func draw(rng *rand.Rand) *scenario.Scenario {
+func drawScenario(rng *rand.Rand) *scenario.Scenario {
 	s := scenario.Default()
-	s.Name, s.About = "hunted", "Drawn at random."
-	s.Drivers = []string{scenario.Virtual}
+	s.Name, s.Description = "hunted", "Drawn at random."
+	s.Drivers = []string{scenario.DriverSimulation}
 	between := func(low, high float64) float64 { return low + (high-low)*rng.Float64() }
 	pick := func(of ...string) string { return of[rng.IntN(len(of))] }
-	span := func(low, high time.Duration) scenario.Span {
-		return scenario.Span(time.Duration(between(float64(low), float64(high))).Round(time.Millisecond))
+	span := func(low, high time.Duration) scenario.Duration {
+		return scenario.Duration(time.Duration(between(float64(low), float64(high))).Round(time.Millisecond))
 	}
 	round := func(x float64) float64 { return math.Round(x*100) / 100 }
 	s.Length = span(10*time.Second, 25*time.Second)
-	s.Fleet.Nodes = int(4 * math.Exp(between(0, math.Log(12))))
-	s.Load.Of = round(between(0.25, 1.1))
+	s.Fleet.Workers = int(4 * math.Exp(between(0, math.Log(12))))
+	s.Load.CapacityShare = round(between(0.25, 1.1))
 	s.Load.Shape = pick("steady", "bursty", "swell", "month_start")
 	s.Load.Swing = round(between(0.1, 0.6))
 	if s.Load.Shape == "steady" {
@@ -355,15 +355,15 @@
 	}
 	s.Schedulers.Count = 1 + rng.IntN(4)
 	s.Clients.Retries = rng.IntN(4)
-	s.Clients.Honour = round(rng.Float64())
+	s.Clients.HonourRetryAfter = round(rng.Float64())
 	for k := range s.Fleet.Kinds {
 		kind := &s.Fleet.Kinds[k]
-		kind.Order = pick("fifo", "backfill")
+		kind.QueueOrder = pick("fifo", "backfill")
 		kind.Queue = rng.IntN(30)
-		kind.StartMute = rng.IntN(5) == 0
-		kind.HandsBack = rng.IntN(3) == 0
-		kind.CancelStops = rng.IntN(4) == 0
-		kind.NoteTwice, kind.NoteLost, kind.NoteEarly = round(between(0, 0.1)), round(between(0, 0.1)), round(between(0, 0.1))
+		kind.OmitsStartNotifications = rng.IntN(5) == 0
+		kind.ReturnsQueued = rng.IntN(3) == 0
+		kind.CancellationStops = rng.IntN(4) == 0
+		kind.CallbackTwiceShare, kind.CallbackLossShare, kind.CallbackEarlyShare = round(between(0, 0.1)), round(between(0, 0.1)), round(between(0, 0.1))
 	}
 	if rng.IntN(3) == 0 {
 		s.Discovery.Capacity = round(between(20, 200))
@@ -374,15 +374,15 @@
 	return s
 }
 
-// widen draws what starvation may come from and other hunts hold fixed: larger fleets, many schedulers, bound classes,
+// widenScenario draws what starvation may come from and other hunts hold fixed: larger fleets, many schedulers, bound classes,
 // copies that are not allowed, hints far off, zones, and clients that each wait for their answer.
-func widen(rng *rand.Rand, s *scenario.Scenario) {
+func widenScenario(rng *rand.Rand, s *scenario.Scenario) {
 	one := func(of int) bool { return rng.IntN(of) == 0 }
 	round := func(x float64) float64 { return math.Round(x*100) / 100 }
 	if one(4) {
-		s.Fleet.Nodes = int(40 * math.Exp(rng.Float64()*math.Log(10)))
+		s.Fleet.Workers = int(40 * math.Exp(rng.Float64()*math.Log(10)))
 		s.Schedulers.Count = 1 + rng.IntN(16)
-		s.Length = scenario.Span(8 * time.Second)
+		s.Length = scenario.Duration(8 * time.Second)
 	}
 	s.Schedulers.Sockets = 8192
 	s.Schedulers.MemoryMB = 256
@@ -397,13 +397,13 @@
 		}
 	}
 	if one(4) {
-		s.Schedulers.SecondCopies = false
+		s.Schedulers.Hedging = false
 	}
 	if one(6) {
-		s.Schedulers.Cancelling = false
+		s.Schedulers.Cancellation = false
 	}
 	if one(6) {
-		s.Schedulers.Probes = false
+		s.Schedulers.HealthChecks = false
 	}
 	if one(4) {
 		s.Fleet.Zones = []string{"a", "b", "c"}[:2+rng.IntN(2)]
@@ -412,26 +412,26 @@
 		f := math.Exp((2*rng.Float64() - 1) * math.Log(4))
 		for i := range s.Classes {
 			c := &s.Classes[i]
-			c.Work = scenario.Span(time.Duration(float64(c.Work) * f).Round(time.Millisecond))
+			c.Work = scenario.Duration(time.Duration(float64(c.Work) * f).Round(time.Millisecond))
 		}
 	}
 	if one(8) {
 		s.Load = scenario.Load{
-			Closed: 1 + rng.IntN(3*s.Fleet.Nodes), Shape: "steady", Hints: s.Load.Hints,
-			HintFactor: s.Load.HintFactor, OverWorth: s.Load.OverWorth, Quota: s.Load.Quota,
+			ClosedClients: 1 + rng.IntN(3*s.Fleet.Workers), Shape: "steady", Hints: s.Load.Hints,
+			HintFactor: s.Load.HintFactor, OverQuotaWeight: s.Load.OverQuotaWeight, Quota: s.Load.Quota,
 		}
 	}
 }
 
 func drawFault(rng *rand.Rand, s *scenario.Scenario) scenario.Fault {
-	f := scenario.Fault{What: huntable[rng.IntN(len(huntable))]}
-	length := s.Length.D()
-	at := func(d time.Duration) scenario.Span { return scenario.Span(d.Round(time.Millisecond)) }
+	f := scenario.Fault{Kind: searchedFaults[rng.IntN(len(searchedFaults))]}
+	length := s.Length.Std()
+	at := func(d time.Duration) scenario.Duration { return scenario.Duration(d.Round(time.Millisecond)) }
 	f.At = at(time.Duration((0.1 + 0.6*rng.Float64()) * float64(length)))
-	f.For = at(time.Duration((0.05 + 0.35*rng.Float64()) * float64(length)))
-	switch f.What {
+	f.Duration = at(time.Duration((0.05 + 0.35*rng.Float64()) * float64(length)))
+	switch f.Kind {
 	case "drain", "gone", "handback", "disco_moves", "sched_reload":
-		f.For = 0
+		f.Duration = 0
 	case "slow", "burst", "storm", "disco_slow":
 		f.Size = math.Round((1.5+6*rng.Float64())*100) / 100
 	case "errors":
@@ -441,26 +441,26 @@
 	case "delay":
 		f.Size = math.Round(math.Exp(rng.Float64()*math.Log(400))*100) / 100
 	}
-	switch scenario.FaultKinds[f.What] {
+	switch scenario.FaultKinds[f.Kind] {
 	case "node":
-		f.On.Share = math.Round((0.03+0.5*rng.Float64())*100) / 100
+		f.Target.Share = math.Round((0.03+0.5*rng.Float64())*100) / 100
 		if rng.IntN(4) == 0 {
-			f.Spread = f.For / 2
+			f.Spread = f.Duration / 2
 		}
 	case "net":
 		ends := [][2]string{{"schedulers", "nodes"}, {"schedulers", "discovery"}, {"schedulers", "clients"}}[rng.IntN(3)]
 		f.Between, f.And = ends[0], ends[1]
 		if f.And == "nodes" {
-			f.On.Share = math.Round((0.05+0.5*rng.Float64())*100) / 100
+			f.Target.Share = math.Round((0.05+0.5*rng.Float64())*100) / 100
 		}
 	case "sched":
-		f.On.Schedulers = []int{rng.IntN(s.Schedulers.Count)}
-		if f.What == "sched_freeze" {
-			f.For = at(time.Duration((0.2 + 4*rng.Float64()) * float64(time.Second)))
+		f.Target.Schedulers = []int{rng.IntN(s.Schedulers.Count)}
+		if f.Kind == "sched_freeze" {
+			f.Duration = at(time.Duration((0.2 + 4*rng.Float64()) * float64(time.Second)))
 		}
 	case "clients":
-		if f.What == "burst" && rng.IntN(3) > 0 {
-			f.On.Tenant = s.Tenants[rng.IntN(len(s.Tenants))].Name
+		if f.Kind == "burst" && rng.IntN(3) > 0 {
+			f.Target.Tenant = s.Tenants[rng.IntN(len(s.Tenants))].Name
 		}
 	}
 	return f
--- a/internal/lab/experiment/sweep.go
+++ b/internal/testbed/experiment/sweep.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"strings"
 
-	"valvecove/internal/lab/report"
-	"valvecove/internal/lab/scenario"
+	"valvecove/internal/testbed/report"
+	"valvecove/internal/testbed/scenario"
 )
 
 // Vary is a key of a scenario and the values it takes.
@@ -21,7 +21,7 @@
 
 // ParseVary reads "key=v1,v2,v3" or "key=from..to/steps" (numbers, both ends included).
 func ParseVary(text string) (Vary, error) {
-	key, list, ok := cut(text)
+	key, list, ok := splitChange(text)
 	if !ok {
 		return Vary{}, fmt.Errorf("%q: expected key=value,value or key=from..to/steps", text)
 	}
@@ -73,15 +73,15 @@
 
 // Sweep is one scenario with one key, or two, taking several values.
 type Sweep struct {
-	Spec    *scenario.Scenario
-	Over    Vary
-	Curves  Vary // a curve for each; no values: one curve
-	Seeds   []uint64
-	Driver  string
-	Subject Subject
-	Figure  string // the headline that is drawn
-	At      int
-	Job     Job
+	Spec        *scenario.Scenario
+	Vary        Vary
+	Curves      Vary // a curve for each; no values: one curve
+	Seeds       []uint64
+	Driver      string
+	Subject     Subject
+	Figure      string // the headline that is drawn
+	Parallelism int
+	Job         Job
 }
 
 // Run plays a sweep.
@@ -91,18 +91,18 @@
 		second = []string{""}
 	}
 	out := &report.Sweep{
-		Title: s.Spec.Name, About: s.Spec.About, Param: s.Over.Key, Second: s.Curves.Key, Figure: s.Figure,
+		Title: s.Spec.Name, Description: s.Spec.Description, Param: s.Vary.Key, Second: s.Curves.Key, Metric: s.Figure,
 		Scenario: string(scenario.Encode(s.Spec)), Build: s.Subject.Name,
 	}
 	numbers := true
-	for _, a := range s.Over.Values {
+	for _, a := range s.Vary.Values {
 		_, err := strconv.ParseFloat(a, 64)
 		numbers = numbers && err == nil
 	}
 	var jobs []Job
 	for _, b := range second {
 		curve := report.Curve{Name: b}
-		for k, a := range s.Over.Values {
+		for k, a := range s.Vary.Values {
 			point := report.Point{X: float64(k), Label: a}
 			if numbers {
 				point.X, _ = strconv.ParseFloat(a, 64)
@@ -110,11 +110,11 @@
 			}
 			curve.Points = append(curve.Points, point)
 			subject := s.Subject
-			subject.Set = append(subject.Set[:len(subject.Set):len(subject.Set)], s.Over.Key+"="+a)
+			subject.Set = append(subject.Set[:len(subject.Set):len(subject.Set)], s.Vary.Key+"="+a)
 			if b != "" {
 				subject.Set = append(subject.Set, s.Curves.Key+"="+b)
 			}
-			if _, err := Change(s.Spec, subject.Set); err != nil {
+			if _, err := ApplyChanges(s.Spec, subject.Set); err != nil {
 				return nil, err // before anything is played
 			}
 			for _, seed := range s.Seeds {
@@ -126,14 +126,14 @@
 		out.Curves = append(out.Curves, curve)
 	}
 	each := len(s.Seeds)
-	err := Batch(ctx, jobs, s.At, func(i int, p *Played) error {
+	err := Batch(ctx, jobs, s.Parallelism, func(i int, p *RunResult) error {
 		if told != nil {
 			told(i+1, len(jobs))
 		}
-		point := &out.Curves[i/each/len(s.Over.Values)].Points[i/each%len(s.Over.Values)]
-		point.Broken += p.Broken()
-		if p.Void() == "" {
-			point.Plays = append(point.Plays, p.Result())
+		point := &out.Curves[i/each/len(s.Vary.Values)].Points[i/each%len(s.Vary.Values)]
+		point.Broken += p.Violations()
+		if p.InvalidReason() == "" {
+			point.Results = append(point.Results, p.Result())
 		}
 		return nil
 	})
--- a/internal/lab/experiment/table.go
+++ b/internal/testbed/experiment/table.go
@@ -11,26 +11,26 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/score"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/score"
 )
 
 // Cell is a figure over several plays.
 type Cell struct {
-	Mean   float64 // NaN: there was none
-	SD     float64
-	Plays  int
-	Broken int // rules
+	Mean       float64 // NaN: there was none
+	SD         float64
+	Runs       int
+	Violations int // rules
 }
 
-func cell(all []float64) Cell {
+func newCell(all []float64) Cell {
 	kept := all[:0:0]
 	for _, x := range all {
 		if !math.IsNaN(x) && !math.IsInf(x, 0) {
 			kept = append(kept, x)
 		}
 	}
-	c := Cell{Mean: math.NaN(), Plays: len(kept)}
+	c := Cell{Mean: math.NaN(), Runs: len(kept)}
 	if len(kept) > 0 {
 		c.Mean = stat.Mean(kept, nil)
 	}
@@ -47,68 +47,68 @@
 		SD     float64  `json:"sd"`
 		Plays  int      `json:"plays"`
 		Broken int      `json:"rules_broken"`
-	}{nil, c.SD, c.Plays, c.Broken}
-	if c.Plays > 0 {
+	}{nil, c.SD, c.Runs, c.Violations}
+	if c.Runs > 0 {
 		out.Mean = &c.Mean
 	}
 	return json.Marshal(out)
 }
 
 func (c Cell) String() string {
-	if c.Plays == 0 {
+	if c.Runs == 0 {
 		return "–"
 	}
 	text := fmt.Sprintf("%.3f", c.Mean)
-	if c.Plays > 1 {
+	if c.Runs > 1 {
 		text += fmt.Sprintf(" ±%.3f", c.SD)
 	}
-	if c.Broken > 0 {
-		text += fmt.Sprintf(" (%d broken)", c.Broken)
+	if c.Violations > 0 {
+		text += fmt.Sprintf(" (%d broken)", c.Violations)
 	}
 	return text
 }
 
-// Yardsticks is scenarios against policies, by one figure.
-type Yardsticks struct {
-	Specs    []*scenario.Scenario
-	Policies []string
-	Seeds    []uint64
-	Figure   score.Headline
-	At       int
+// BaselineTable is scenarios against policies, by one figure.
+type BaselineTable struct {
+	Specs       []*scenario.Scenario
+	Policies    []string
+	Seeds       []uint64
+	Metric      score.Headline
+	Parallelism int
 }
 
-// Standing is one scenario's line: a cell for each policy.
-type Standing struct {
+// BaselineRow is one scenario's line: a cell for each policy.
+type BaselineRow struct {
 	Scenario string `json:"scenario"`
-	Nodes    int    `json:"nodes"`
+	Workers  int    `json:"nodes"`
 	Cells    []Cell `json:"cells"`
 }
 
 // Run plays them, in virtual time.
-func (y *Yardsticks) Run(ctx context.Context, told func(done, of int)) ([]Standing, error) {
+func (y *BaselineTable) Run(ctx context.Context, told func(done, of int)) ([]BaselineRow, error) {
 	var jobs []Job
 	for _, spec := range y.Specs {
 		for _, policy := range y.Policies {
 			for _, seed := range y.Seeds {
-				jobs = append(jobs, Job{Spec: spec, Seed: seed, Driver: scenario.Virtual, Subject: Subject{Name: policy, Policy: policy}})
+				jobs = append(jobs, Job{Spec: spec, Seed: seed, Driver: scenario.DriverSimulation, Subject: Subject{Name: policy, Policy: policy}})
 			}
 		}
 	}
-	table := make([]Standing, len(y.Specs))
+	table := make([]BaselineRow, len(y.Specs))
 	for i, spec := range y.Specs {
-		table[i] = Standing{Scenario: spec.Name, Nodes: spec.Fleet.Nodes, Cells: make([]Cell, len(y.Policies))}
+		table[i] = BaselineRow{Scenario: spec.Name, Workers: spec.Fleet.Workers, Cells: make([]Cell, len(y.Policies))}
 	}
 	each, broken := len(y.Seeds), 0
 	var figures []float64
-	err := Batch(ctx, jobs, y.At, func(i int, p *Played) error {
+	err := Batch(ctx, jobs, y.Parallelism, func(i int, p *RunResult) error {
 		if told != nil {
 			told(i+1, len(jobs))
 		}
-		figures, broken = append(figures, y.Figure.Of(p.Result())), broken+p.Broken()
+		figures, broken = append(figures, y.Metric.ValueOf(p.Result())), broken+p.Violations()
 		if len(figures) == each {
 			k := i / each
-			c := cell(figures)
-			c.Broken = broken
+			c := newCell(figures)
+			c.Violations = broken
 			table[k/len(y.Policies)].Cells[k%len(y.Policies)] = c
 			figures, broken = figures[:0], 0
 		}
@@ -118,7 +118,7 @@
 }
 
 // Markdown writes the table as the docs have it.
-func (y *Yardsticks) Markdown(table []Standing) string {
+func (y *BaselineTable) Markdown(table []BaselineRow) string {
 	var b strings.Builder
 	b.WriteString("| scenario | nodes |")
 	for _, p := range y.Policies {
@@ -126,7 +126,7 @@
 	}
 	b.WriteString("\n| --- | ---: |" + strings.Repeat(" --- |", len(y.Policies)) + "\n")
 	for _, line := range table {
-		fmt.Fprintf(&b, "| %s | %d |", line.Scenario, line.Nodes)
+		fmt.Fprintf(&b, "| %s | %d |", line.Scenario, line.Workers)
 		for _, c := range line.Cells {
 			b.WriteString(" " + c.String() + " |")
 		}
@@ -138,11 +138,11 @@
 // Speed is how fast virtual time ran in a play.
 type Speed struct {
 	Requests uint64
-	Took     time.Duration
+	Elapsed  time.Duration
 }
 
 // PerSecond is requests simulated in a second of the machine's time.
-func (s Speed) PerSecond() float64 { return float64(s.Requests) / max(s.Took.Seconds(), 1e-9) }
+func (s Speed) PerSecond() float64 { return float64(s.Requests) / max(s.Elapsed.Seconds(), 1e-9) }
 
 // Spread is the least, the median and the most of some figures.
 func Spread(all []float64) (low, middle, high float64) {
@@ -150,14 +150,14 @@
 	return all[0], stat.Quantile(0.5, stat.Empirical, all, nil), all[len(all)-1]
 }
 
-// shortest is how long jobs come for at least: a fleet must fill before it says anything.
-const shortest = 8 * time.Second
+// minLength is how long jobs come for at least: a fleet must fill before it says anything.
+const minLength = 8 * time.Second
 
-// Fleet returns a scenario of so many worker nodes that is as busy as another, for so many jobs at least. Its schedulers
+// ScaleFleet returns a scenario of so many worker nodes that is as busy as another, for so many jobs at least. Its schedulers
 // have the descriptors for that many clients: else these wait at the front, and the play shows nothing but that.
-func Fleet(spec *scenario.Scenario, nodes int, jobs float64) (*scenario.Scenario, error) {
+func ScaleFleet(spec *scenario.Scenario, nodes int, jobs float64) (*scenario.Scenario, error) {
 	changed := spec.Clone()
-	changed.Drivers = []string{scenario.Virtual}
+	changed.Drivers = []string{scenario.DriverSimulation}
 	if err := changed.Set("fleet.nodes", fmt.Sprint(nodes)); err != nil {
 		return nil, err
 	}
@@ -165,7 +165,7 @@
 		return nil, err
 	}
 	length := time.Duration(jobs / changed.Rate() * float64(time.Second)).Round(10 * time.Millisecond)
-	if err := changed.Set("length", fmt.Sprintf("%q", max(length, shortest))); err != nil {
+	if err := changed.Set("length", fmt.Sprintf("%q", max(length, minLength))); err != nil {
 		return nil, err
 	}
 	changed.Name = fmt.Sprintf("%s-%d", spec.Name, nodes)
--- a/internal/standin/plant/plant.go
+++ b/internal/testbed/fakeplatform/platform.go
@@ -1,7 +1,7 @@
-// Package plant is a small platform of stand-ins on 127.0.0.1, for tests with real processes of the scheduler: discovery,
+// Package fakeplatform is a small platform of stand-ins on 127.0.0.1, for tests with real processes of the scheduler: discovery,
 // worker nodes that tell of their jobs, and clients that keep their connections. It is simpler than the lab's world and
 // judges nothing: it counts, and whoever uses it says what is right.
-package plant
+package fakeplatform
 
 import (
 	"bufio"
@@ -18,35 +18,35 @@
 	"time"
 )
 
-// Plant is the platform that schedulers run on.
-type Plant struct {
-	Listen    string  // where clients and worker nodes find the scheduler
-	Discovery string  // where discovery answers
-	Nodes     []*Node // with ids s-0, s-1, ...
+// Platform is the platform that schedulers run on.
+type Platform struct {
+	Listen    string    // where clients and worker nodes find the scheduler
+	Discovery string    // where discovery answers
+	Workers   []*Worker // with ids s-0, s-1, ...
 	servers   []*httptest.Server
-	ended     chan struct{}
+	closed    chan struct{}
 }
 
-// Node is a worker node. It accepts every job, and tells that it has started; that it is done it tells once it is let.
-type Node struct {
-	ID   string
-	mu   sync.Mutex
-	runs map[string]int // by X-Call-Id
-	free chan struct{}
+// Worker is a worker node. It accepts every job, and tells that it has started; that it is done it tells once it is let.
+type Worker struct {
+	ID            string
+	mutex         sync.Mutex
+	runsByRequest map[string]int // by X-Call-Id
+	release       chan struct{}
 }
 
 // New starts a platform with so many worker nodes, whose jobs last until their node is freed.
-func New(nodes int) (*Plant, error) {
-	p := &Plant{ended: make(chan struct{})}
+func New(nodes int) (*Platform, error) {
+	p := &Platform{closed: make(chan struct{})}
 	var err error
 	if p.Listen, err = FreeAddress(); err != nil {
 		return nil, err
 	}
 	var hosts []string
 	for i := range nodes {
-		n := &Node{ID: "s-" + strconv.Itoa(i), runs: map[string]int{}, free: make(chan struct{})}
-		s := p.serve(func(w http.ResponseWriter, r *http.Request) { p.accept(n, w, r) })
-		p.Nodes = append(p.Nodes, n)
+		n := &Worker{ID: "s-" + strconv.Itoa(i), runsByRequest: map[string]int{}, release: make(chan struct{})}
+		s := p.serve(func(w http.ResponseWriter, r *http.Request) { p.acceptAttempt(n, w, r) })
+		p.Workers = append(p.Workers, n)
 		hosts = append(hosts, fmt.Sprintf(`{"instanceId":"%s","hostPort":"%s","lifecycle":"up"}`, n.ID, s.Listener.Addr()))
 	}
 	list := fmt.Sprintf(`{"generation":1,"reset":true,"instances":[%s]}`+"\n", strings.Join(hosts, ","))
@@ -54,7 +54,7 @@
 	return p, nil
 }
 
-func (p *Plant) serve(act http.HandlerFunc) *httptest.Server {
+func (p *Platform) serve(act http.HandlerFunc) *httptest.Server {
 	s := httptest.NewServer(act)
 	p.servers = append(p.servers, s)
 	return s
@@ -71,8 +71,8 @@
 }
 
 // Close ends the platform.
-func (p *Plant) Close() {
-	close(p.ended)
+func (p *Platform) Close() {
+	close(p.closed)
 	for _, s := range p.servers {
 		s.CloseClientConnections()
 		s.Close()
@@ -80,14 +80,14 @@
 }
 
 // watch answers a watch on the host group: the list, and then a sign of life each second.
-func (p *Plant) watch(list string, w http.ResponseWriter, r *http.Request) {
+func (p *Platform) watch(list string, w http.ResponseWriter, r *http.Request) {
 	for line := list; ; line = "\n" {
 		if _, err := io.WriteString(w, line); err != nil {
 			return
 		}
 		w.(http.Flusher).Flush()
 		select {
-		case <-p.ended:
+		case <-p.closed:
 			return
 		case <-r.Context().Done():
 			return
@@ -96,29 +96,29 @@
 	}
 }
 
-// accept takes a job, or the word that one is given up, which means nothing here: what runs goes on.
-func (p *Plant) accept(n *Node, w http.ResponseWriter, r *http.Request) {
+// acceptAttempt takes a job, or the word that one is given up, which means nothing here: what runs goes on.
+func (p *Platform) acceptAttempt(n *Worker, w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	if r.Method != "POST" {
 		return
 	}
 	id := r.Header.Get("X-Call-Id")
-	n.mu.Lock()
-	n.runs[id]++
-	n.mu.Unlock()
+	n.mutex.Lock()
+	n.runsByRequest[id]++
+	n.mutex.Unlock()
 	w.WriteHeader(202)
 	go func() {
-		p.tell(n, id, "started")
+		p.sendCallback(n, id, "started")
 		select {
-		case <-n.free:
-			p.tell(n, id, "done")
-		case <-p.ended:
+		case <-n.release:
+			p.sendCallback(n, id, "done")
+		case <-p.closed:
 		}
 	}()
 }
 
-// tell tells of a job as worker nodes do: each call is tried until it is answered, ten times at most.
-func (p *Plant) tell(n *Node, id, state string) {
+// sendCallback tells of a job as worker nodes do: each call is tried until it is answered, ten times at most.
+func (p *Platform) sendCallback(n *Worker, id, state string) {
 	note, _ := json.Marshal(map[string]string{"id": id, "from": n.ID, "state": state, "result": Result(id, n.ID)})
 	for range 10 {
 		res, err := http.Post("http://"+p.Listen+"/v1/job-events", "application/json", bytes.NewReader(note))
@@ -136,14 +136,14 @@
 func Result(id, node string) string { return id + " by " + node }
 
 // Free lets the jobs of a node end, those that are there and all that come.
-func (n *Node) Free() { close(n.free) }
+func (n *Worker) Free() { close(n.release) }
 
 // Runs is how often each job has been run there, by X-Call-Id, and how many runs that are.
-func (n *Node) Runs() (by map[string]int, all int) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+func (n *Worker) Runs() (by map[string]int, all int) {
+	n.mutex.Lock()
+	defer n.mutex.Unlock()
 	by = map[string]int{}
-	for id, times := range n.runs {
+	for id, times := range n.runsByRequest {
 		by[id] = times
 		all += times
 	}
@@ -152,12 +152,12 @@
 
 // Client submits one job after another on one connection, which it never closes by itself.
 type Client struct {
-	conn net.Conn
-	in   *bufio.Reader
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
 // Dial connects a client.
-func (p *Plant) Dial() (*Client, error) {
+func (p *Platform) Dial() (*Client, error) {
 	conn, err := net.Dial("tcp", p.Listen)
 	if err != nil {
 		return nil, err
@@ -168,8 +168,8 @@
 // Close ends its connection.
 func (c *Client) Close() { _ = c.conn.Close() }
 
-// Ask submits a job, its request in two pieces that are cut at a byte, and waits for the answer, for a minute at most.
-func (c *Client) Ask(class, id, body string, cut int) (status int, result string, err error) {
+// Send submits a job, its request in two pieces that are cut at a byte, and waits for the answer, for a minute at most.
+func (c *Client) Send(class, id, body string, cut int) (status int, result string, err error) {
 	text := fmt.Sprintf("POST /%s/1 HTTP/1.1\r\nHost: h\r\nX-Call-Class: %s\r\nX-Call-Id: %s\r\nX-Budget-Ms: 60000\r\n"+
 		"Content-Length: %d\r\n\r\n%s", class, class, id, len(body), body)
 	cut = min(cut, len(text))
@@ -178,7 +178,7 @@
 			return 0, "", err
 		}
 	}
-	res, err := http.ReadResponse(c.in, nil)
+	res, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, "", err
 	}
--- a/internal/lab/fleet/child.go
+++ b/internal/testbed/fleet/child.go
@@ -13,25 +13,25 @@
 
 // The words between a play and the process that its rig runs in: one JSON value a line each way. The play says Spec and
 // then targets; the rig says news. The end of what the play says ends the rig.
-type news struct {
-	Places *Places `json:"places,omitempty"` // it is up
-	Mark   string  `json:"mark,omitempty"`
-	Result *Result `json:"result,omitempty"` // its last word
-	Fault  string  `json:"fault,omitempty"`  // or that
+type childMessage struct {
+	Addresses *Addresses `json:"places,omitempty"` // it is up
+	Mark      string     `json:"mark,omitempty"`
+	Result    *Result    `json:"result,omitempty"` // its last word
+	Failure   string     `json:"fault,omitempty"`  // or that
 }
 
-// RigProcess is the whole of a rig's process.
-func RigProcess(in io.Reader, out io.Writer) error {
+// RunRigProcess is the whole of a rig's process.
+func RunRigProcess(in io.Reader, out io.Writer) error {
 	debug.SetGCPercent(400) // much is left behind and little held
 	say := json.NewEncoder(out)
-	if err := rigProcess(bufio.NewReader(in), say); err != nil {
-		_ = say.Encode(news{Fault: err.Error()})
+	if err := serveRig(bufio.NewReader(in), say); err != nil {
+		_ = say.Encode(childMessage{Failure: err.Error()})
 		return err
 	}
 	return nil
 }
 
-func rigProcess(in *bufio.Reader, say *json.Encoder) error {
+func serveRig(in *bufio.Reader, say *json.Encoder) error {
 	hear := json.NewDecoder(in)
 	var spec Spec
 	if err := hear.Decode(&spec); err != nil {
@@ -43,8 +43,8 @@
 		return err
 	}
 	defer r.Close()
-	places := r.Places()
-	if err := say.Encode(news{Places: &places}); err != nil {
+	places := r.Addresses()
+	if err := say.Encode(childMessage{Addresses: &places}); err != nil {
 		return err
 	}
 	var targets []netip.AddrPort
@@ -57,15 +57,15 @@
 		_ = hear.Decode(&struct{}{}) // nothing more is said
 		cancel()
 	}()
-	result, err := r.Play(ctx, targets, func(mark string) { _ = say.Encode(news{Mark: mark}) })
+	result, err := r.Run(ctx, targets, func(mark string) { _ = say.Encode(childMessage{Mark: mark}) })
 	if err != nil {
 		return err
 	}
-	return say.Encode(news{Result: &result})
+	return say.Encode(childMessage{Result: &result})
 }
 
-// ProxyProcess is the whole of the yardstick's process.
-func ProxyProcess(in io.Reader) error {
+// RunProxyProcess is the whole of the yardstick's process.
+func RunProxyProcess(in io.Reader) error {
 	debug.SetGCPercent(200) // as the scheduler has it
 	runtime.GOMAXPROCS(1)
 	b := bufio.NewReader(in)
--- a/internal/lab/fleet/conn.go
+++ b/internal/testbed/fleet/conn.go
@@ -10,42 +10,42 @@
 
 const (
 	streamEvents = unix.EPOLLIN | unix.EPOLLRDHUP
-	mostUnsent   = 64 << 20 // bytes that may wait for a peer to read: a few lists of a large fleet
-	mostUnread   = 1 << 20  // bytes of one message
+	maxUnsent    = 64 << 20 // bytes that may wait for a peer to read: a few lists of a large fleet
+	maxUnread    = 1 << 20  // bytes of one message
 	backlog      = 4096
 )
 
 var (
-	errUnread = errors.New("the other side reads nothing")
-	errLong   = errors.New("a message is too long")
+	errPeerNotReading = errors.New("the other side reads nothing")
+	errTooLong        = errors.New("a message is too long")
 )
 
 // conn is one end of a TCP connection.
 type conn struct {
-	e      *engine
-	fd     int
-	who    peer
-	up     bool
-	closed bool
-	hushed bool // its machine says and hears nothing
-	mask   uint32
-	in     []byte // the start of a message
-	out    []byte // not written yet
+	engine    *engine
+	fd        int
+	owner     peer
+	connected bool
+	closed    bool
+	paused    bool // its machine says and hears nothing
+	events    uint32
+	received  []byte // the start of a message
+	unsent    []byte // not written yet
 }
 
 // peer is whom a connection speaks for.
 type peer interface {
-	// came takes whole messages from the start of what has come, and returns how many bytes that were.
-	came(b []byte) int
-	// ended tells that the other side has closed it (nil) or reset it, or that it has not come up. It is closed here.
-	ended(err error)
+	// dataReceived takes whole messages from the start of what has come, and returns how many bytes that were.
+	dataReceived(b []byte) int
+	// connClosed tells that the other side has closed it (nil) or reset it, or that it has not come up. It is closed here.
+	connClosed(err error)
 }
 
-func address(at netip.AddrPort) *unix.SockaddrInet4 {
+func sockaddr(at netip.AddrPort) *unix.SockaddrInet4 {
 	return &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}
 }
 
-func socket() (int, error) {
+func newSocket() (int, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return -1, fmt.Errorf("socket: %w", err)
@@ -55,7 +55,7 @@
 
 // dial begins a connection; who hears how it fares. A fault of this machine's ends the engine. from may be invalid.
 func (e *engine) dial(c *conn, from, to netip.AddrPort, who peer) error {
-	fd, err := socket()
+	fd, err := newSocket()
 	if err != nil {
 		e.fail(err)
 		return err
@@ -63,10 +63,10 @@
 	if from.IsValid() {
 		// The port is chosen on connecting: so each address has all ports for each far end.
 		_ = unix.SetsockoptInt(fd, unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)
-		err = unix.Bind(fd, address(from))
+		err = unix.Bind(fd, sockaddr(from))
 	}
 	if err == nil {
-		if err = unix.Connect(fd, address(to)); errors.Is(err, unix.EINPROGRESS) {
+		if err = unix.Connect(fd, sockaddr(to)); errors.Is(err, unix.EINPROGRESS) {
 			err = nil
 		}
 	}
@@ -81,28 +81,28 @@
 		}
 		return err
 	}
-	c.up = false
-	c.listen(streamEvents | unix.EPOLLOUT)
+	c.connected = false
+	c.setEvents(streamEvents | unix.EPOLLOUT)
 	return nil
 }
 
 // adopt takes on an accepted connection.
 func (e *engine) adopt(c *conn, fd int, who peer) error {
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	*c = conn{e: e, fd: fd, who: who, up: true, mask: streamEvents}
-	return e.add(fd, c.mask, c)
+	*c = conn{engine: e, fd: fd, owner: who, connected: true, events: streamEvents}
+	return e.add(fd, c.events, c)
 }
 
-func (c *conn) listen(mask uint32) {
-	if c.mask != mask && !c.closed {
-		if c.mask = mask; !c.hushed {
-			c.e.change(c.fd, mask)
+func (c *conn) setEvents(mask uint32) {
+	if c.events != mask && !c.closed {
+		if c.events = mask; !c.paused {
+			c.engine.change(c.fd, mask)
 		}
 	}
 }
 
 func (c *conn) ready(events uint32) {
-	if !c.up {
+	if !c.connected {
 		code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 		if err == nil && code != 0 {
 			err = unix.Errno(code)
@@ -114,7 +114,7 @@
 		if events&unix.EPOLLOUT == 0 {
 			return
 		}
-		c.up = true
+		c.connected = true
 	}
 	if events&unix.EPOLLOUT != 0 {
 		c.flush()
@@ -125,7 +125,7 @@
 }
 
 func (c *conn) read() {
-	b := c.e.scrap[:]
+	b := c.engine.readBuffer[:]
 	n, err := unix.Read(c.fd, b)
 	switch {
 	case err == unix.EAGAIN || err == unix.EINTR:
@@ -135,19 +135,19 @@
 		return
 	}
 	b = b[:n]
-	if len(c.in) > 0 {
-		c.in = append(c.in, b...)
-		b = c.in
+	if len(c.received) > 0 {
+		c.received = append(c.received, b...)
+		b = c.received
 	}
-	taken := c.who.came(b)
+	taken := c.owner.dataReceived(b)
 	if c.closed {
 		return
 	}
-	if b = b[taken:]; len(b) > mostUnread {
-		c.fail(errLong)
+	if b = b[taken:]; len(b) > maxUnread {
+		c.fail(errTooLong)
 		return
 	}
-	c.in = append(c.in[:0], b...) // of bytes of its own this is a move to the front
+	c.received = append(c.received[:0], b...) // of bytes of its own this is a move to the front
 }
 
 // write sends b, now or as soon as it can be. A failure is told later.
@@ -155,7 +155,7 @@
 	if c.closed {
 		return
 	}
-	if len(c.out) == 0 && !c.hushed {
+	if len(c.unsent) == 0 && !c.paused {
 		// On loopback a connection is mostly up as soon as it is asked for. An error comes with an event that deals with it.
 		if n, err := unix.Write(c.fd, b); err == nil {
 			if b = b[n:]; len(b) == 0 {
@@ -163,16 +163,16 @@
 			}
 		}
 	}
-	if c.out = append(c.out, b...); len(c.out) > mostUnsent {
-		c.fail(errUnread)
+	if c.unsent = append(c.unsent, b...); len(c.unsent) > maxUnsent {
+		c.fail(errPeerNotReading)
 		return
 	}
-	c.listen(c.mask | unix.EPOLLOUT)
+	c.setEvents(c.events | unix.EPOLLOUT)
 }
 
 func (c *conn) flush() {
-	for len(c.out) > 0 {
-		n, err := unix.Write(c.fd, c.out)
+	for len(c.unsent) > 0 {
+		n, err := unix.Write(c.fd, c.unsent)
 		if err == unix.EINTR {
 			continue
 		}
@@ -182,48 +182,48 @@
 			}
 			return
 		}
-		c.out = c.out[:copy(c.out, c.out[n:])]
+		c.unsent = c.unsent[:copy(c.unsent, c.unsent[n:])]
 	}
-	c.out = nil
-	c.listen(c.mask &^ unix.EPOLLOUT)
+	c.unsent = nil
+	c.setEvents(c.events &^ unix.EPOLLOUT)
 }
 
-// hush has it say and hear nothing, or ends that. What is said meanwhile waits.
-func (c *conn) hush(on bool) {
+// setPaused has it say and hear nothing, or ends that. What is said meanwhile waits.
+func (c *conn) setPaused(on bool) {
 	switch {
-	case c.closed || c.hushed == on:
+	case c.closed || c.paused == on:
 	case on:
-		c.hushed = true
-		c.e.remove(c.fd)
+		c.paused = true
+		c.engine.remove(c.fd)
 	default:
-		c.hushed = false
-		if err := c.e.add(c.fd, c.mask, c); err != nil {
-			c.e.fail(err)
+		c.paused = false
+		if err := c.engine.add(c.fd, c.events, c); err != nil {
+			c.engine.fail(err)
 		}
 	}
 }
 
 func (c *conn) fail(err error) {
 	c.close()
-	c.who.ended(err)
+	c.owner.connClosed(err)
 }
 
 // close closes it from this side; who is not told.
 func (c *conn) close() {
-	if c.closed || c.e == nil {
+	if c.closed || c.engine == nil {
 		return
 	}
 	c.closed = true
-	if !c.hushed {
-		c.e.remove(c.fd)
+	if !c.paused {
+		c.engine.remove(c.fd)
 	}
 	_ = unix.Close(c.fd)
-	c.in, c.out = nil, nil
+	c.received, c.unsent = nil, nil
 }
 
 // reset closes it so that the other side sees a reset.
 func (c *conn) reset() {
-	if !c.closed && c.e != nil {
+	if !c.closed && c.engine != nil {
 		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 		c.close()
 	}
@@ -231,23 +231,23 @@
 
 // listener accepts connections at one address.
 type listener struct {
-	e      *engine
-	fd     int
-	at     netip.AddrPort
-	accept func(fd int)
+	engine  *engine
+	fd      int
+	address netip.AddrPort
+	accept  func(fd int)
 }
 
 // dropAll is a socket filter that lets nothing pass.
 var dropAll = unix.SockFprog{Len: 1, Filter: &unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K}}
 
 func (e *engine) listenAt(at netip.AddrPort, accept func(fd int)) (*listener, error) {
-	fd, err := socket()
+	fd, err := newSocket()
 	if err != nil {
 		return nil, err
 	}
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	l := &listener{e: e, fd: fd, at: at, accept: accept}
-	if err = unix.Bind(fd, address(at)); err == nil {
+	l := &listener{engine: e, fd: fd, address: at, accept: accept}
+	if err = unix.Bind(fd, sockaddr(at)); err == nil {
 		if err = unix.Listen(fd, backlog); err == nil {
 			err = e.add(fd, unix.EPOLLIN, l)
 		}
@@ -267,12 +267,12 @@
 		l.accept(fd)
 	case unix.EINTR, unix.ECONNABORTED, unix.EAGAIN:
 	default: // descriptors or memory
-		l.e.fail(fmt.Errorf("accepting at %v: %w", l.at, err))
+		l.engine.fail(fmt.Errorf("accepting at %v: %w", l.address, err))
 	}
 }
 
-// hush has connections not come up, or ends that: those that still try then do.
-func (l *listener) hush(on bool) {
+// setPaused has connections not come up, or ends that: those that still try then do.
+func (l *listener) setPaused(on bool) {
 	var err error
 	if on {
 		err = unix.SetsockoptSockFprog(l.fd, unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &dropAll)
@@ -280,11 +280,11 @@
 		err = unix.SetsockoptInt(l.fd, unix.SOL_SOCKET, unix.SO_DETACH_FILTER, 0)
 	}
 	if err != nil {
-		l.e.fail(fmt.Errorf("filter at %v: %w", l.at, err))
+		l.engine.fail(fmt.Errorf("filter at %v: %w", l.address, err))
 	}
 }
 
 func (l *listener) close() {
-	l.e.remove(l.fd)
+	l.engine.remove(l.fd)
 	_ = unix.Close(l.fd)
 }
--- a/internal/lab/fleet/discovery.go
+++ b/internal/testbed/fleet/discovery.go
@@ -11,36 +11,36 @@
 	"valvecove/internal/http1"
 )
 
-// quietFor is how long a watch is without a line at most.
-const quietFor = 2 * time.Second
+// heartbeatInterval is how long a watch is without a line at most.
+const heartbeatInterval = 2 * time.Second
 
 // discovery is the list of worker nodes and those who follow it.
 type discovery struct {
-	alarm
-	e          *engine
-	rig        *Rig
-	door       *listener
-	generation int64
-	started    []int64 // when each worker node was last started, in ms of Unix time; 0: long ago
-	calls      map[*discoveryCall]struct{}
+	timer
+	engine   *engine
+	rig      *Rig
+	listener *listener
+	revision int64
+	started  []int64 // when each worker node was last started, in ms of Unix time; 0: long ago
+	calls    map[*discoveryCall]struct{}
 }
 
 // discoveryCall is one connection.
 type discoveryCall struct {
 	conn
-	of      *discovery
-	watches bool
+	discovery *discovery
+	watches   bool
 }
 
 func newDiscovery(r *Rig, e *engine, at netip.AddrPort) (*discovery, error) {
 	d := &discovery{
-		e: e, rig: r, generation: 1, started: make([]int64, r.spec.Nodes),
+		engine: e, rig: r, revision: 1, started: make([]int64, r.spec.Nodes),
 		calls: map[*discoveryCall]struct{}{},
 	}
-	e.set(&d.alarm, quietFor, d)
+	e.setTimer(&d.timer, heartbeatInterval, d)
 	var err error
-	d.door, err = e.listenAt(at, func(fd int) {
-		c := &discoveryCall{of: d}
+	d.listener, err = e.listenAt(at, func(fd int) {
+		c := &discoveryCall{discovery: d}
 		if err := e.adopt(&c.conn, fd, c); err != nil {
 			e.fail(err)
 			return
@@ -50,20 +50,20 @@
 	return d, err
 }
 
-// ring writes empty lines.
-func (d *discovery) ring() {
+// timerExpired writes empty lines.
+func (d *discovery) timerExpired() {
 	for c := range d.calls {
 		if c.watches {
-			c.line("")
+			c.writeLine("")
 		}
 	}
-	d.e.set(&d.alarm, d.e.now+quietFor, d)
+	d.engine.setTimer(&d.timer, d.engine.now+heartbeatInterval, d)
 }
 
 // entry is a worker node as the list has it. Cells are of four, kinds are dealt out in turn.
 func (d *discovery) entry(b []byte, n int) []byte {
 	b = append(append(b, `{"instanceId":"w-`...), strconv.Itoa(n)...)
-	b = append(append(b, `","hostPort":"`...), d.rig.places.node(n).String()...)
+	b = append(append(b, `","hostPort":"`...), d.rig.addresses.worker(n).String()...)
 	b = append(append(b, `","zone":"`...), zone...)
 	b = append(append(b, `","machineType":"`...), kinds[n%len(kinds)]...)
 	b = append(append(b, `","cell":`...), strconv.Itoa(n/4)...)
@@ -71,10 +71,10 @@
 	return append(b, '}')
 }
 
-// whole is the whole list.
-func (d *discovery) whole() string {
+// snapshot is the whole list.
+func (d *discovery) snapshot() string {
 	b := make([]byte, 0, 64+160*len(d.started))
-	b = append(strconv.AppendInt(append(b, `{"generation":`...), d.generation, 10), `,"reset":true,"instances":[`...)
+	b = append(strconv.AppendInt(append(b, `{"generation":`...), d.revision, 10), `,"reset":true,"instances":[`...)
 	for n := range d.started {
 		if n > 0 {
 			b = append(b, ',')
@@ -86,25 +86,25 @@
 
 // restarted tells those who watch of a start.
 func (d *discovery) restarted(n int, at time.Time) {
-	d.generation++
+	d.revision++
 	d.started[n] = at.UnixMilli()
-	b := append(strconv.AppendInt([]byte(`{"generation":`), d.generation, 10), `,"reset":false,"instances":[`...)
+	b := append(strconv.AppendInt([]byte(`{"generation":`), d.revision, 10), `,"reset":false,"instances":[`...)
 	text := string(append(d.entry(b, n), "]}"...))
 	for c := range d.calls {
 		if c.watches {
-			c.line(text)
+			c.writeLine(text)
 		}
 	}
 }
 
-func (c *discoveryCall) ended(error) { delete(c.of.calls, c) }
+func (c *discoveryCall) connClosed(error) { delete(c.discovery.calls, c) }
 
-func (c *discoveryCall) came(b []byte) int {
+func (c *discoveryCall) dataReceived(b []byte) int {
 	if c.watches { // it has nothing more to say
 		return len(b)
 	}
 	var m message
-	size, err := c.e.reader.read(b, &m)
+	size, err := c.engine.reader.read(b, &m)
 	if err == nil && size == 0 {
 		return 0
 	}
@@ -116,25 +116,25 @@
 	case err != nil:
 		c.write(http1.AppendResponse(nil, http1.StatusBadRequest, "", nil, false))
 		c.close()
-		delete(c.of.calls, c)
+		delete(c.discovery.calls, c)
 	case string(m.method) != http.MethodGet || at.Path != "/discovery/hosts":
 		c.write(http1.AppendResponse(nil, http1.StatusNotFound, "", nil, true))
 	case at.Query().Get("stream") == "1":
 		c.watches = true
 		c.write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"))
 		// The first line is the whole list, unless there is nothing new in it.
-		if after, _ := strconv.ParseInt(at.Query().Get("index"), 10, 64); after == c.of.generation {
-			c.line(`{"generation":` + strconv.FormatInt(after, 10) + `,"reset":false,"instances":[]}`)
+		if after, _ := strconv.ParseInt(at.Query().Get("index"), 10, 64); after == c.discovery.revision {
+			c.writeLine(`{"generation":` + strconv.FormatInt(after, 10) + `,"reset":false,"instances":[]}`)
 		} else {
-			c.line(c.of.whole())
+			c.writeLine(c.discovery.snapshot())
 		}
 	default:
-		c.write(http1.AppendResponse(nil, http1.StatusOK, "Content-Type: application/json\r\n", []byte(c.of.whole()), true))
+		c.write(http1.AppendResponse(nil, http1.StatusOK, "Content-Type: application/json\r\n", []byte(c.discovery.snapshot()), true))
 	}
 	return size
 }
 
-func (c *discoveryCall) line(text string) {
+func (c *discoveryCall) writeLine(text string) {
 	var b bytes.Buffer
 	b.WriteString(strconv.FormatInt(int64(len(text)+1), 16))
 	b.WriteString("\r\n")
--- a/internal/lab/fleet/engine.go
+++ b/internal/testbed/fleet/engine.go
@@ -16,71 +16,71 @@
 // engine is one thread of the rig: a loop round epoll that has some of the worker nodes and some of the clients to
 // itself. Only post and stop are for others.
 type engine struct {
-	core   int // that it is bound to; below 0: none
-	began  time.Time
-	now    time.Duration // since began, as of the event or alarm that is being dealt with
-	epoll  int
-	timer  int
-	bell   int
-	armed  time.Duration // what the timer is set to
-	owners []owner       // by descriptor
-	ages   []int32       // and how often each was taken into use, so that an event of an earlier use is told apart
-	events [64]unix.EpollEvent
-	scrap  [64 << 10]byte // what is read goes through here
-	out    []byte         // and what is written through here
-	reader messageReader
-	alarms deadline.Queue[*alarm]
-	free   []*job // to be used again
-	counts bool   // the window of the measurement is open
-	late   *hdrhistogram.Histogram
-	cpuAt  time.Duration // of the thread, when the window was opened
-	cpu    time.Duration // of the thread in the window
-
-	lock   sync.Mutex
-	orders []func()
-	mute   bool // the bell is closed
-	over   bool
-	fault  error         // that ended it
-	ended  chan struct{} // closed once it has; what it holds may be looked at from then on
+	core        int // that it is bound to; below 0: none
+	startedAt   time.Time
+	now         time.Duration // since began, as of the event or alarm that is being dealt with
+	epoll       int
+	timer       int
+	wakeup      int
+	armed       time.Duration // what the timer is set to
+	owners      []owner       // by descriptor
+	generations []int32       // and how often each was taken into use, so that an event of an earlier use is told apart
+	events      [64]unix.EpollEvent
+	readBuffer  [64 << 10]byte // what is read goes through here
+	out         []byte         // and what is written through here
+	reader      messageReader
+	timers      deadline.Queue[*timer]
+	free        []*job // to be used again
+	measuring   bool   // the window of the measurement is open
+	lateness    *hdrhistogram.Histogram
+	cpuAt       time.Duration // of the thread, when the window was opened
+	cpu         time.Duration // of the thread in the window
+
+	lock     sync.Mutex
+	posted   []func()
+	closed   bool // the bell is closed
+	stopping bool
+	failure  error         // that ended it
+	done     chan struct{} // closed once it has; what it holds may be looked at from then on
 }
 
 // owner is told what its descriptor is ready for.
 type owner interface{ ready(events uint32) }
 
-// alarm is something that happens at a time.
-type alarm struct {
+// timer is something that happens at a time.
+type timer struct {
 	deadline.Item
-	who ringer
+	owner timerTarget
 }
 
-type ringer interface{ ring() }
+type timerTarget interface{ timerExpired() }
 
-// call is an alarm that calls a function.
-type call func()
+// timerFunc is an alarm that calls a function.
+type timerFunc func()
 
-func (c call) ring() { c() }
+func (c timerFunc) timerExpired() { c() }
 
-// mostLate bounds lateness and latency as they are kept, in microseconds.
-const mostLate = int64(time.Minute / time.Microsecond)
+// maxLateness bounds lateness and latency as they are kept, in microseconds.
+const maxLateness = int64(time.Minute / time.Microsecond)
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, mostLate, 3) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLateness, 3) }
 
 func record(h *hdrhistogram.Histogram, span time.Duration) {
-	_ = h.RecordValue(min(max(span.Microseconds(), 0), mostLate))
+	_ = h.RecordValue(min(max(span.Microseconds(), 0), maxLateness))
 }
 
 func newEngine(core int, began time.Time) (*engine, error) {
 	e := &engine{
-		core: core, began: began, epoll: -1, timer: -1, bell: -1, late: newHistogram(),
-		ended: make(chan struct{}),
+		core: core, startedAt: began, epoll: -1, timer: -1, wakeup: -1, lateness: newHistogram(),
+		done: make(chan struct{}),
 	}
 	var err error
 	if e.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err == nil {
 		// A timer of its own: epoll's is in milliseconds.
 		if e.timer, err = unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC); err == nil {
-			if e.bell, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err == nil {
+			if e.wakeup, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err == nil {
 				if err = e.add(e.timer, unix.EPOLLIN, timerOwner{}); err == nil {
-					err = e.add(e.bell, unix.EPOLLIN, bellOwner{e})
+					err = e.add(e.wakeup, unix.EPOLLIN, wakeupOwner{e})
 				}
 			}
 		}
@@ -96,8 +96,8 @@
 func (e *engine) close() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	e.mute = true
-	for _, fd := range []*int{&e.epoll, &e.timer, &e.bell} {
+	e.closed = true
+	for _, fd := range []*int{&e.epoll, &e.timer, &e.wakeup} {
 		if *fd >= 0 {
 			_ = unix.Close(*fd)
 		}
@@ -109,15 +109,15 @@
 
 func (timerOwner) ready(uint32) {} // it is set anew before each wait that needs it
 
-type bellOwner struct{ e *engine }
+type wakeupOwner struct{ engine *engine }
 
-func (b bellOwner) ready(uint32) {
+func (b wakeupOwner) ready(uint32) {
 	var n [8]byte
-	_, _ = unix.Read(b.e.bell, n[:])
-	b.e.lock.Lock()
-	orders := b.e.orders
-	b.e.orders = nil
-	b.e.lock.Unlock()
+	_, _ = unix.Read(b.engine.wakeup, n[:])
+	b.engine.lock.Lock()
+	orders := b.engine.posted
+	b.engine.posted = nil
+	b.engine.lock.Unlock()
 	for _, do := range orders {
 		do()
 	}
@@ -129,27 +129,27 @@
 	binary.NativeEndian.PutUint64(one[:], 1)
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	if !e.mute {
-		e.orders = append(e.orders, do)
-		_, _ = unix.Write(e.bell, one[:])
+	if !e.closed {
+		e.posted = append(e.posted, do)
+		_, _ = unix.Write(e.wakeup, one[:])
 	}
 }
 
-func (e *engine) stop() { e.post(func() { e.over = true }) }
+func (e *engine) stop() { e.post(func() { e.stopping = true }) }
 
-func (e *engine) clock() time.Duration { return time.Since(e.began) }
+func (e *engine) clock() time.Duration { return time.Since(e.startedAt) }
 
 // fail ends the engine.
 func (e *engine) fail(err error) {
-	if e.fault == nil {
-		e.fault = err
+	if e.failure == nil {
+		e.failure = err
 	}
-	e.over = true
+	e.stopping = true
 }
 
 // run is the engine's thread. It returns after stop, or at a fault of this machine's.
 func (e *engine) run() {
-	defer close(e.ended)
+	defer close(e.done)
 	runtime.LockOSThread() // and never unlocked: a thread that was bound to a core ends with its goroutine
 	if e.core >= 0 {
 		var set unix.CPUSet
@@ -158,19 +158,19 @@
 			e.fail(fmt.Errorf("core %d: %w", e.core, err))
 		}
 	}
-	for !e.over {
-		if err := e.turn(); err != nil {
+	for !e.stopping {
+		if err := e.runIteration(); err != nil {
 			e.fail(err)
 		}
 	}
 }
 
-// turn waits for something to be ready or due, and deals with it. Alarms are looked at after each event, as a turn may
+// runIteration waits for something to be ready or due, and deals with it. Alarms are looked at after each event, as a turn may
 // have many.
-func (e *engine) turn() error {
+func (e *engine) runIteration() error {
 	ms := -1
-	if e.alarms.Len() > 0 {
-		at := e.alarms.First().At
+	if e.timers.Len() > 0 {
+		at := e.timers.First().At
 		if left := at - e.clock(); left <= 0 {
 			ms = 0
 		} else if at != e.armed {
@@ -185,7 +185,7 @@
 	if err != nil && err != unix.EINTR {
 		return fmt.Errorf("epoll: %w", err)
 	}
-	e.fire()
+	e.fireTimers()
 	for i := range e.events[:max(n, 0)] {
 		ev := &e.events[i]
 		fd := int(ev.Fd)
@@ -194,61 +194,61 @@
 			var times [8]byte
 			_, _ = unix.Read(fd, times[:])
 		}
-		if who := e.owners[fd]; who != nil && e.ages[fd] == ev.Pad {
+		if who := e.owners[fd]; who != nil && e.generations[fd] == ev.Pad {
 			who.ready(ev.Events)
 		}
-		e.fire()
+		e.fireTimers()
 	}
 	return nil
 }
 
-// fire does what is due.
-func (e *engine) fire() {
+// fireTimers does what is due.
+func (e *engine) fireTimers() {
 	e.now = e.clock()
-	for e.alarms.Len() > 0 {
-		a := e.alarms.First()
+	for e.timers.Len() > 0 {
+		a := e.timers.First()
 		late := e.now - a.At
 		if late < 0 {
 			return
 		}
-		e.alarms.Remove(a)
-		if e.counts {
-			record(e.late, late)
+		e.timers.Remove(a)
+		if e.measuring {
+			record(e.lateness, late)
 		}
-		a.who.ring()
+		a.owner.timerExpired()
 		e.now = e.clock()
 	}
 }
 
-// set has an alarm ring at a time.
-func (e *engine) set(a *alarm, at time.Duration, who ringer) {
-	e.alarms.Remove(a)
-	a.At, a.who = at, who
-	e.alarms.Add(a)
+// setTimer has an alarm ring at a time.
+func (e *engine) setTimer(a *timer, at time.Duration, who timerTarget) {
+	e.timers.Remove(a)
+	a.At, a.owner = at, who
+	e.timers.Add(a)
 }
 
 // at has something done at a time.
-func (e *engine) at(at time.Duration, do func()) { e.set(&alarm{}, at, call(do)) }
+func (e *engine) at(at time.Duration, do func()) { e.setTimer(&timer{}, at, timerFunc(do)) }
 
-// window opens the window of the measurement, or closes it.
-func (e *engine) window(open bool) {
+// setMeasuring opens the window of the measurement, or closes it.
+func (e *engine) setMeasuring(open bool) {
 	var t unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t)
 	if cpu := time.Duration(t.Nano()); open {
 		e.cpuAt = cpu
-	} else if e.counts {
+	} else if e.measuring {
 		e.cpu = cpu - e.cpuAt
 	}
-	e.counts = open
+	e.measuring = open
 }
 
 // add has a descriptor watched.
 func (e *engine) add(fd int, events uint32, who owner) error {
 	for fd >= len(e.owners) {
-		e.owners, e.ages = append(e.owners, nil), append(e.ages, 0)
+		e.owners, e.generations = append(e.owners, nil), append(e.generations, 0)
 	}
-	e.ages[fd]++
-	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: e.ages[fd]}
+	e.generations[fd]++
+	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: e.generations[fd]}
 	if err := unix.EpollCtl(e.epoll, unix.EPOLL_CTL_ADD, fd, &ev); err != nil {
 		return fmt.Errorf("epoll: %w", err)
 	}
@@ -257,7 +257,7 @@
 }
 
 func (e *engine) change(fd int, events uint32) {
-	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: e.ages[fd]}
+	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: e.generations[fd]}
 	_ = unix.EpollCtl(e.epoll, unix.EPOLL_CTL_MOD, fd, &ev)
 }
 
@@ -265,7 +265,7 @@
 func (e *engine) remove(fd int) {
 	_ = unix.EpollCtl(e.epoll, unix.EPOLL_CTL_DEL, fd, nil)
 	e.owners[fd] = nil
-	e.ages[fd]++
+	e.generations[fd]++
 }
 
 // fifo is a queue that keeps its room.
@@ -276,7 +276,7 @@
 
 func (q *fifo[T]) len() int { return len(q.items) - q.head }
 
-func (q *fifo[T]) put(x T) {
+func (q *fifo[T]) push(x T) {
 	if q.head > 0 && len(q.items) == cap(q.items) {
 		n := copy(q.items, q.items[q.head:])
 		clear(q.items[n:])
@@ -285,7 +285,7 @@
 	q.items = append(q.items, x)
 }
 
-func (q *fifo[T]) take() T {
+func (q *fifo[T]) pop() T {
 	x := q.items[q.head]
 	var none T
 	q.items[q.head] = none
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -25,9 +25,9 @@
 	var err error
 	switch os.Getenv("FLEET_TEST_AS") {
 	case "rig":
-		err = RigProcess(os.Stdin, os.Stdout)
+		err = RunRigProcess(os.Stdin, os.Stdout)
 	case "proxy":
-		err = ProxyProcess(os.Stdin)
+		err = RunProxyProcess(os.Stdin)
 	default:
 		os.Exit(m.Run())
 	}
@@ -73,9 +73,9 @@
 // A worker node speaks the protocol: probes, 202, notes in order that are sent again until they are taken, DELETE.
 func TestNode(t *testing.T) {
 	for _, notices := range []bool{true, false} {
-		r := testRig(t, Spec{Nodes: 2, Notices: notices, Work: time.Millisecond, Slots: 1})
+		r := testRig(t, Spec{Nodes: 2, StartNotifications: notices, Work: time.Millisecond, Slots: 1})
 		notes := make(chan requests.Callback, 100)
-		at, err := net.Listen("tcp", r.Places().Scheduler)
+		at, err := net.Listen("tcp", r.Addresses().Scheduler)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -94,7 +94,7 @@
 		})}
 		go func() { _ = s.Serve(at) }()
 		t.Cleanup(func() { _ = s.Close() })
-		node := "http://" + r.Places().Nodes[1]
+		node := "http://" + r.Addresses().Workers[1]
 		for _, x := range []struct {
 			method, path, call string
 			status             int
@@ -129,10 +129,10 @@
 // A worker node that answers by itself does so once the job has run, in the order in which jobs came; one that is full
 // rejects, and dies as a process does.
 func TestNodeAnswers(t *testing.T) {
-	r := testRig(t, Spec{Nodes: 1, Answers: true, Work: time.Hour, Slots: 1, Room: 1})
+	r := testRig(t, Spec{Nodes: 1, Responds: true, Work: time.Hour, Slots: 1, QueueLimit: 1})
 	ends := make(chan error, 2)
 	for i := range 2 { // one runs, one waits
-		c, err := net.Dial("tcp", r.Places().Nodes[0])
+		c, err := net.Dial("tcp", r.Addresses().Workers[0])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -143,24 +143,24 @@
 			ends <- err
 		}()
 		for taken := false; !taken; { // it has it
-			r.all(func(int, *engine) { taken = len(r.nodes[0].hand)+r.nodes[0].wait.len() == i+1 })
+			r.onEngines(func(int, *engine) { taken = len(r.workers[0].running)+r.workers[0].queue.len() == i+1 })
 		}
 	}
-	if got, _ := do(t, "POST", "http://"+r.Places().Nodes[0]+"/status-check/1", "b2"); got != 503 {
+	if got, _ := do(t, "POST", "http://"+r.Addresses().Workers[0]+"/status-check/1", "b2"); got != 503 {
 		t.Errorf("full: %d", got)
 	}
-	r.all(func(int, *engine) { r.nodes[0].die() })
+	r.onEngines(func(int, *engine) { r.workers[0].stop() })
 	for range 2 {
 		if err := <-ends; err == nil {
 			t.Error("an answer of a process that has died")
 		}
 	}
-	if c, err := net.Dial("tcp", r.Places().Nodes[0]); err == nil {
+	if c, err := net.Dial("tcp", r.Addresses().Workers[0]); err == nil {
 		_ = c.Close()
 		t.Error("it takes connections")
 	}
-	r.all(func(int, *engine) { r.nodes[0].restart() })
-	if got, _ := do(t, "GET", "http://"+r.Places().Nodes[0]+"/alive", ""); got != 200 {
+	r.onEngines(func(int, *engine) { r.workers[0].restart() })
+	if got, _ := do(t, "GET", "http://"+r.Addresses().Workers[0]+"/alive", ""); got != 200 {
 		t.Errorf("restarted: %d", got)
 	}
 }
@@ -168,7 +168,7 @@
 // Discovery gives the whole list, at once or over a watch, and tells those who watch of a start.
 func TestDiscovery(t *testing.T) {
 	r := testRig(t, Spec{Nodes: 7})
-	at := "http://" + r.Places().Discovery + "/discovery/hosts"
+	at := "http://" + r.Addresses().Discovery + "/discovery/hosts"
 	a, err := http.Get(at + "?stream=1&index=0")
 	if err != nil {
 		t.Fatal(err)
@@ -195,13 +195,13 @@
 		return g
 	}()} {
 		if !g.Reset || g.Revision != 1 || len(g.Endpoints) != 7 || g.Endpoints[6].ID != "w-6" || g.Endpoints[6].StartedAtMs != 0 ||
-			g.Endpoints[6].Addr != r.Places().Nodes[6] {
+			g.Endpoints[6].Addr != r.Addresses().Workers[6] {
 			t.Errorf("list %d: %+v", i, g)
 		}
 	}
-	r.all(func(int, *engine) {
-		r.nodes[3].die()
-		r.nodes[3].restart()
+	r.onEngines(func(int, *engine) {
+		r.workers[3].stop()
+		r.workers[3].restart()
 	})
 	if g := next(); g.Reset || g.Revision != 2 || len(g.Endpoints) != 1 || g.Endpoints[0].ID != "w-3" ||
 		g.Endpoints[0].StartedAtMs == 0 {
@@ -215,7 +215,7 @@
 		Nodes: 1, Clients: 3, Burst: 2, Jobs: 60, Length: time.Minute, Work: time.Millisecond,
 		Hint: 30 * time.Millisecond,
 	})
-	at, err := net.Listen("tcp", r.Places().Scheduler)
+	at, err := net.Listen("tcp", r.Addresses().Scheduler)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -225,7 +225,7 @@
 	}
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.Header.Get("X-Call-Cost") != "30000" || q.Header.Get("X-Budget-Ms") != "5000" ||
-			q.Header.Get("X-Call-Class") != class {
+			q.Header.Get("X-Call-Class") != jobClass {
 			t.Errorf("%v", q.Header)
 		}
 		switch <-kinds {
@@ -244,12 +244,12 @@
 	})}
 	go func() { _ = s.Serve(at) }()
 	defer func() { _ = s.Close() }()
-	got, err := r.Play(t.Context(), []netip.AddrPort{r.places.scheduler()}, nil)
+	got, err := r.Run(t.Context(), []netip.AddrPort{r.addresses.scheduler()}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.All != (Second{Served: 36, Refused: 12, Failed: 24}) || got.Asked != 72 || got.Settled != 72 ||
-		got.Why["status 500"] != 12 || got.Why["another request's answer"] != 12 {
+	if got.All != (Second{Served: 36, Rejected: 12, Failed: 24}) || got.Requested != 72 || got.Settled != 72 ||
+		got.FailureReasons["status 500"] != 12 || got.FailureReasons["another request's answer"] != 12 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -264,7 +264,7 @@
 			t.Fatalf("%d bytes: %d, %v", n, got, err)
 		}
 	}
-	if n, err := reader.read([]byte(text+"more"), &m); n != len(text) || err != nil || string(m.body) != "abc" || !m.last {
+	if n, err := reader.read([]byte(text+"more"), &m); n != len(text) || err != nil || string(m.body) != "abc" || !m.lastOnConn {
 		t.Errorf("%d, %v, %+v", n, err, m)
 	}
 	for _, bad := range []string{
@@ -280,25 +280,25 @@
 
 // Where the rig ends is said.
 func TestRoom(t *testing.T) {
-	for _, n := range []int{1 << 20, mostNodes + 1} {
+	for _, n := range []int{1 << 20, maxWorkers + 1} {
 		if _, err := NewRig(Spec{Nodes: n}); err == nil || !strings.Contains(err.Error(), "which ends at") {
 			t.Errorf("%d worker nodes: %v", n, err)
 		}
 	}
-	if got := (room{limit: 20_000}).most(200); got != 6439 {
+	if got := (descriptorPlan{limit: 20_000}).needed(200); got != 6439 {
 		t.Errorf("%d", got)
 	}
 }
 
 // The least busy is taken, in turn among equals.
 func TestLeast(t *testing.T) {
-	l := &least{hosts: make([]string, 3), out: make([]int, 3)}
+	l := &leastInFlight{workers: make([]string, 3), inFlight: make([]int, 3)}
 	var got []int
 	for range 4 {
-		got = append(got, l.take())
+		got = append(got, l.acquire())
 	}
-	l.back(2)
-	if got = append(got, l.take(), l.take()); fmt.Sprint(got) != "[0 1 2 0 2 1]" {
+	l.release(2)
+	if got = append(got, l.acquire(), l.acquire()); fmt.Sprint(got) != "[0 1 2 0 2 1]" {
 		t.Error(got)
 	}
 }
@@ -316,19 +316,19 @@
 	}
 	report := &Report{}
 	for _, row := range []Row{{"build", 5, true, 1}, {"build", 5, false, 1}, {Proxy, 5, false, 0}, {Direct, 5, false, 0}} {
-		p, err := Play(t.Context(), row, o)
+		p, err := Measure(t.Context(), row, o)
 		if err != nil {
 			t.Fatalf("%v: %v", row, err)
 		}
-		if p.All.Served != 50 || p.Settled != 50+p.All.Refused || p.All.Failed > 0 || p.Odd > 0 || p.NotesLost > 0 ||
-			(p.Files > 0) != (row.Subject != Direct) || len(p.Why) > 0 {
+		if p.All.Served != 50 || p.Settled != 50+p.All.Rejected || p.All.Failed > 0 || p.Unexpected > 0 || p.CallbacksLost > 0 ||
+			(p.Descriptors > 0) != (row.Subject != Direct) || len(p.FailureReasons) > 0 {
 			text, _ := json.Marshal(p)
 			t.Errorf("%v: %s", row, text)
 		}
-		p.CPUMost, p.Late50, p.Late99 = 0, 0, 0 // how it goes here is of no interest
-		report.Plays = append(report.Plays, p, p)
+		p.MaxCPU, p.Lateness50, p.Lateness99 = 0, 0, 0 // how it goes here is of no interest
+		report.Measurements = append(report.Measurements, p, p)
 	}
-	report.Plays[1].Late99 = 2 * voidLate99
+	report.Measurements[1].Lateness99 = 2 * maxLateness99
 	var b strings.Builder
 	if err := report.Table(&b); err != nil || strings.Count(b.String(), "\n") != 6 ||
 		!strings.Contains(b.String(), "(1 void)") || !strings.Contains(b.String(), "| build | 5 | yes | right | ") {
@@ -336,11 +336,11 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := Play(ctx, Row{"build", 5, true, 1}, o); err == nil {
+	if _, err := Measure(ctx, Row{"build", 5, true, 1}, o); err == nil {
 		t.Error("played after its end")
 	}
 	o.Binary = "/bin/false"
-	_, err := Play(t.Context(), Row{"build", 5, true, 1}, o)
+	_, err := Measure(t.Context(), Row{"build", 5, true, 1}, o)
 	if err == nil || !strings.Contains(err.Error(), "build ended") {
 		t.Errorf("a program that ends: %v", err)
 	}
@@ -348,15 +348,15 @@
 
 // A trouble is over once a whole second is as good as before.
 func TestBack(t *testing.T) {
-	p := Played{Trouble: []float64{2, 3.5}}
+	p := Measurement{Disturbances: []float64{2, 3.5}}
 	for _, n := range []int{100, 100, 100, 3, 50, 94, 95} {
 		p.Seconds = append(p.Seconds, Second{Served: n})
 	}
-	if got := p.Back(); got != 2 {
+	if got := p.RecoveredAfter(); got != 2 {
 		t.Errorf("%d", got)
 	}
 	p.Seconds = p.Seconds[:6]
-	if got := p.Back(); got != -1 {
+	if got := p.RecoveredAfter(); got != -1 {
 		t.Errorf("%d", got)
 	}
 	for text, want := range map[string]string{
--- a/internal/lab/fleet/golden_test.go
+++ b/internal/testbed/fleet/golden_test.go
@@ -6,8 +6,8 @@
 	"net/netip"
 	"testing"
 
-	"valvecove/internal/lab/report"
 	"valvecove/internal/storedform"
+	"valvecove/internal/testbed/report"
 )
 
 // The golden file holds a report as the lab of d2a7518 writes it, with a value in every field. Reports are kept and taken
@@ -29,8 +29,8 @@
 	for _, zero := range storedform.Zero(read) {
 		t.Errorf("nothing is read into %s", zero)
 	}
-	if p := read.Plays[0]; p.Subject != "valvecove" || p.Nodes != 1000 || p.Rate != 2412.5 || p.All.Served != 24125 ||
-		len(p.Seconds) != 2 || p.Why["reset"] != 3 {
+	if p := read.Measurements[0]; p.Subject != "valvecove" || p.Workers != 1000 || p.Rate != 2412.5 || p.All.Served != 24125 ||
+		len(p.Seconds) != 2 || p.FailureReasons["reset"] != 3 {
 		t.Errorf("read %+v", p)
 	}
 }
@@ -45,5 +45,5 @@
 
 // What a report calls its figures stands in tags, and so do the words between the processes of a play.
 func TestReportsAreTagged(t *testing.T) {
-	storedform.CheckTags(t, Report{}, news{}, Spec{}, ProxyPlan{}, []netip.AddrPort{})
+	storedform.CheckTags(t, Report{}, childMessage{}, Spec{}, ProxyPlan{}, []netip.AddrPort{})
 }
--- a/internal/lab/fleet/message.go
+++ b/internal/testbed/fleet/message.go
@@ -11,9 +11,9 @@
 type message struct {
 	method, target []byte // of a request
 	status         int    // of an answer
-	call           []byte // X-Call-Id
+	requestID      []byte // X-Call-Id
 	body           []byte
-	last           bool // the connection ends with it
+	lastOnConn     bool // the connection ends with it
 }
 
 // errFraming says that a body is not framed by a Content-Length. Nobody here sends any other.
@@ -48,8 +48,8 @@
 	if err != nil {
 		return 0, err
 	}
-	m.method, m.target, m.call = request.Method, request.Target, request.Get("X-Call-Id")
-	m.body, m.last = request.Body, !request.KeepAlive
+	m.method, m.target, m.requestID = request.Method, request.Target, request.Get("X-Call-Id")
+	m.body, m.lastOnConn = request.Body, !request.KeepAlive
 	return n, nil
 }
 
@@ -62,6 +62,6 @@
 	if err != nil {
 		return 0, err
 	}
-	m.status, m.body, m.last = response.StatusCode, response.Body, !response.KeepAlive
+	m.status, m.body, m.lastOnConn = response.StatusCode, response.Body, !response.KeepAlive
 	return n, nil
 }
--- a/internal/lab/fleet/proxy.go
+++ b/internal/testbed/fleet/proxy.go
@@ -13,35 +13,35 @@
 	"time"
 )
 
-// least deals requests out: each goes to a worker node with the fewest out, in turn among those.
-type least struct {
-	lock  sync.Mutex
-	hosts []string
-	out   []int
-	next  int
+// leastInFlight deals requests out: each goes to a worker node with the fewest out, in turn among those.
+type leastInFlight struct {
+	lock     sync.Mutex
+	workers  []string
+	inFlight []int
+	next     int
 }
 
-func (l *least) take() int {
+func (l *leastInFlight) acquire() int {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	best := -1
-	for k := range l.hosts {
-		i := (l.next + k) % len(l.hosts)
-		if best < 0 || l.out[i] < l.out[best] {
+	for k := range l.workers {
+		i := (l.next + k) % len(l.workers)
+		if best < 0 || l.inFlight[i] < l.inFlight[best] {
 			best = i
 		}
-		if l.out[i] == 0 {
+		if l.inFlight[i] == 0 {
 			break
 		}
 	}
-	l.out[best]++
-	l.next = (best + 1) % len(l.hosts)
+	l.inFlight[best]++
+	l.next = (best + 1) % len(l.workers)
 	return best
 }
 
-func (l *least) back(i int) {
+func (l *leastInFlight) release(i int) {
 	l.lock.Lock()
-	l.out[i]--
+	l.inFlight[i]--
 	l.lock.Unlock()
 }
 
@@ -53,7 +53,7 @@
 
 // NewProxy is the standard library's reverse proxy before worker nodes that answer by themselves. GET /up is its own.
 func NewProxy(nodes []string) http.Handler {
-	l := &least{hosts: nodes, out: make([]int, len(nodes))}
+	l := &leastInFlight{workers: nodes, inFlight: make([]int, len(nodes))}
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
 		MaxIdleConnsPerHost: 1024,
@@ -67,23 +67,23 @@
 		},
 		ErrorLog:     log.New(io.Discard, "", 0),
 		ErrorHandler: func(w http.ResponseWriter, _ *http.Request, _ error) { w.WriteHeader(http.StatusBadGateway) },
-		BufferPool:   &buffers{},
+		BufferPool:   &bufferPool{},
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path == "/up" {
 			return
 		}
-		i := l.take()
-		defer l.back(i)
-		proxy.ServeHTTP(w, q.WithContext(context.WithValue(q.Context(), chosen{}, l.hosts[i])))
+		i := l.acquire()
+		defer l.release(i)
+		proxy.ServeHTTP(w, q.WithContext(context.WithValue(q.Context(), chosen{}, l.workers[i])))
 	})
 }
 
-// buffers are httputil's, used again.
-type buffers struct{ pool sync.Pool }
+// bufferPool are httputil's, used again.
+type bufferPool struct{ pool sync.Pool }
 
 // Get gives a buffer.
-func (b *buffers) Get() []byte {
+func (b *bufferPool) Get() []byte {
 	if x, ok := b.pool.Get().(*[]byte); ok {
 		return *x
 	}
@@ -91,7 +91,7 @@
 }
 
 // Put takes it back.
-func (b *buffers) Put(x []byte) { b.pool.Put(&x) }
+func (b *bufferPool) Put(x []byte) { b.pool.Put(&x) }
 
 // ServeProxy serves as the yardstick until alive ends.
 func ServeProxy(p ProxyPlan, alive io.Reader) error {
--- a/internal/lab/fleet/table.go
+++ b/internal/testbed/fleet/table.go
@@ -11,8 +11,8 @@
 
 // Report is the plays of one or more runs of a table.
 type Report struct {
-	Cores int      `json:"cores"` // of the machine
-	Plays []Played `json:"plays"`
+	Cores        int           `json:"cores"` // of the machine
+	Measurements []Measurement `json:"plays"`
 }
 
 // ParseHint reads a factor by which hints are wrong: 1, 30 or 1/30; none: there are none.
@@ -48,9 +48,9 @@
 }
 
 // rows gives the plays by row, in the order in which rows were first played.
-func (r *Report) rows() (order []Row, plays map[Row][]Played) {
-	plays = map[Row][]Played{}
-	for _, p := range r.Plays {
+func (r *Report) rows() (order []Row, plays map[Row][]Measurement) {
+	plays = map[Row][]Measurement{}
+	for _, p := range r.Measurements {
 		if plays[p.Row] == nil {
 			order = append(order, p.Row)
 		}
@@ -61,15 +61,15 @@
 
 // String is the row in words.
 func (r Row) String() string {
-	text := fmt.Sprintf("%s, %s worker nodes", r.Subject, grouped(float64(r.Nodes), 0))
-	if r.schedules() {
-		text += ", notices " + map[bool]string{true: "on", false: "off"}[r.Notices] + ", hint " + hintText(r.Hint)
+	text := fmt.Sprintf("%s, %s worker nodes", r.Subject, formatGrouped(float64(r.Workers), 0))
+	if r.hasScheduler() {
+		text += ", notices " + map[bool]string{true: "on", false: "off"}[r.StartNotifications] + ", hint " + hintText(r.Hint)
 	}
 	return text
 }
 
-// schedules tells whether its subject is a scheduler.
-func (r Row) schedules() bool {
+// hasScheduler tells whether its subject is a scheduler.
+func (r Row) hasScheduler() bool {
 	return r.Subject != Proxy && r.Subject != Direct && r.Subject != Ceiling
 }
 
@@ -92,25 +92,25 @@
 	line(slices.Repeat([]string{"---"}, len(columns)))
 	order, plays := r.rows()
 	for _, row := range order {
-		line(cells(row, plays[row]))
+		line(tableCells(row, plays[row]))
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-func cells(row Row, all []Played) []string {
+func tableCells(row Row, all []Measurement) []string {
 	notices, hint := "-", "-"
-	if row.schedules() {
-		notices, hint = map[bool]string{true: "yes", false: "no"}[row.Notices], hintText(row.Hint)
+	if row.hasScheduler() {
+		notices, hint = map[bool]string{true: "yes", false: "no"}[row.StartNotifications], hintText(row.Hint)
 	}
-	out := []string{row.Subject, grouped(float64(row.Nodes), 0), notices, hint}
-	sound := slices.DeleteFunc(slices.Clone(all), func(p Played) bool { return p.Void() != "" })
+	out := []string{row.Subject, formatGrouped(float64(row.Workers), 0), notices, hint}
+	sound := slices.DeleteFunc(slices.Clone(all), func(p Measurement) bool { return p.InvalidReason() != "" })
 	if len(sound) == 0 {
-		out = append(out, "void: "+all[0].Void())
+		out = append(out, "void: "+all[0].InvalidReason())
 		return append(out, slices.Repeat([]string{""}, len(columns)-len(out))...)
 	}
 	// spread gives least, median and most of those that there is a figure for.
-	spread := func(digits int, of func(*Played) (float64, bool)) string {
+	spread := func(digits int, of func(*Measurement) (float64, bool)) string {
 		var xs []float64
 		for i := range sound {
 			if x, ok := of(&sound[i]); ok {
@@ -122,49 +122,49 @@
 		}
 		slices.Sort(xs)
 		n := len(xs)
-		least, most := grouped(xs[0], digits), grouped(xs[n-1], digits)
+		least, most := formatGrouped(xs[0], digits), formatGrouped(xs[n-1], digits)
 		if least == most {
 			return least
 		}
-		return least + " / " + grouped((xs[(n-1)/2]+xs[n/2])/2, digits) + " / " + most
+		return least + " / " + formatGrouped((xs[(n-1)/2]+xs[n/2])/2, digits) + " / " + most
 	}
-	some := func(of func(*Played) float64) func(*Played) (float64, bool) {
-		return func(p *Played) (float64, bool) { return of(p), p.Served > 0 }
+	some := func(of func(*Measurement) float64) func(*Measurement) (float64, bool) {
+		return func(p *Measurement) (float64, bool) { return of(p), p.Served > 0 }
 	}
-	each := func(of func(*Played) float64) func(*Played) (float64, bool) {
-		return func(p *Played) (float64, bool) { return of(p), true }
+	each := func(of func(*Measurement) float64) func(*Measurement) (float64, bool) {
+		return func(p *Measurement) (float64, bool) { return of(p), true }
 	}
-	process := func(of func(*Played) float64) func(*Played) (float64, bool) {
-		return func(p *Played) (float64, bool) { return of(p), p.Files > 0 }
+	process := func(of func(*Measurement) float64) func(*Measurement) (float64, bool) {
+		return func(p *Measurement) (float64, bool) { return of(p), p.Descriptors > 0 }
 	}
-	most := func(digits int, of func(*Played) float64) string {
+	most := func(digits int, of func(*Measurement) float64) string {
 		x := 0.0
 		for i := range sound {
 			x = max(x, of(&sound[i]))
 		}
-		return grouped(x, digits)
+		return formatGrouped(x, digits)
 	}
-	rate := spread(0, each(func(p *Played) float64 { return p.Rate }))
+	rate := spread(0, each(func(p *Measurement) float64 { return p.Rate }))
 	if n := len(all) - len(sound); n > 0 {
 		rate += fmt.Sprintf(" (%d void)", n)
 	}
 	return append(out, rate,
-		spread(1, some(func(p *Played) float64 { return p.P50 })),
-		spread(1, some(func(p *Played) float64 { return p.P90 })),
-		spread(1, some(func(p *Played) float64 { return p.P99 })),
-		spread(0, func(p *Played) (float64, bool) { return p.CPU, p.Served > 0 && p.Files > 0 }),
-		spread(0, each(func(p *Played) float64 { return float64(p.Refused) })),
-		spread(0, each(func(p *Played) float64 { return float64(p.Failed) })),
-		spread(2, some(func(p *Played) float64 { return float64(p.Begun) / float64(p.Served) })),
-		spread(2, func(p *Played) (float64, bool) { return p.Busiest, p.Served > 0 && p.Files > 0 }),
-		spread(0, process(func(p *Played) float64 { return p.Memory })),
-		spread(0, process(func(p *Played) float64 { return float64(p.Files) })),
-		most(0, func(p *Played) float64 { return 100 * p.CPUMost })+"%, "+
-			most(2, func(p *Played) float64 { return p.Late99 })+" ms")
+		spread(1, some(func(p *Measurement) float64 { return p.P50 })),
+		spread(1, some(func(p *Measurement) float64 { return p.P90 })),
+		spread(1, some(func(p *Measurement) float64 { return p.P99 })),
+		spread(0, func(p *Measurement) (float64, bool) { return p.CPU, p.Served > 0 && p.Descriptors > 0 }),
+		spread(0, each(func(p *Measurement) float64 { return float64(p.Rejected) })),
+		spread(0, each(func(p *Measurement) float64 { return float64(p.Failed) })),
+		spread(2, some(func(p *Measurement) float64 { return float64(p.Started) / float64(p.Served) })),
+		spread(2, func(p *Measurement) (float64, bool) { return p.Busiest, p.Served > 0 && p.Descriptors > 0 }),
+		spread(0, process(func(p *Measurement) float64 { return p.Memory })),
+		spread(0, process(func(p *Measurement) float64 { return float64(p.Descriptors) })),
+		most(0, func(p *Measurement) float64 { return 100 * p.MaxCPU })+"%, "+
+			most(2, func(p *Measurement) float64 { return p.Lateness99 })+" ms")
 }
 
-// grouped writes a number with its thousands set apart.
-func grouped(x float64, digits int) string {
+// formatGrouped writes a number with its thousands set apart.
+func formatGrouped(x float64, digits int) string {
 	text := strconv.FormatFloat(x, 'f', digits, 64)
 	whole, rest, _ := strings.Cut(text, ".")
 	for at := len(whole) - 3; at > 0 && whole[at-1] != '-'; at -= 3 {
@@ -179,12 +179,12 @@
 // BySecond writes what was served in each second of each play, from when the clients began.
 func (r *Report) BySecond(w io.Writer) error {
 	var b strings.Builder
-	for i := range r.Plays {
-		p := &r.Plays[i]
+	for i := range r.Measurements {
+		p := &r.Measurements[i]
 		b.WriteString(p.String())
-		if len(p.Trouble) == 2 {
-			fmt.Fprintf(&b, "; trouble from %.1f s to %.1f s, ", p.Trouble[0], p.Trouble[1])
-			if back := p.Back(); back >= 0 {
+		if len(p.Disturbances) == 2 {
+			fmt.Fprintf(&b, "; trouble from %.1f s to %.1f s, ", p.Disturbances[0], p.Disturbances[1])
+			if back := p.RecoveredAfter(); back >= 0 {
 				fmt.Fprintf(&b, "back at 95%% after %d s", back)
 			} else {
 				b.WriteString("not back at 95%")
@@ -196,15 +196,15 @@
 		}
 		b.WriteString("\n  refused")
 		for _, s := range p.Seconds {
-			fmt.Fprintf(&b, " %d", s.Refused)
+			fmt.Fprintf(&b, " %d", s.Rejected)
 		}
 		b.WriteString("\n  failed ")
 		for _, s := range p.Seconds {
 			fmt.Fprintf(&b, " %d", s.Failed)
 		}
 		b.WriteString("\n")
-		for _, why := range slices.Sorted(maps.Keys(p.Why)) {
-			fmt.Fprintf(&b, "  failed %d times: %s\n", p.Why[why], why)
+		for _, why := range slices.Sorted(maps.Keys(p.FailureReasons)) {
+			fmt.Fprintf(&b, "  failed %d times: %s\n", p.FailureReasons[why], why)
 		}
 	}
 	_, err := io.WriteString(w, b.String())
--- a/internal/lab/fleet/usage.go
+++ b/internal/testbed/fleet/usage.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// cpuOf is the processor time that a process has used; below 0: it is gone.
-func cpuOf(pid int) time.Duration {
+// processCPU is the processor time that a process has used; below 0: it is gone.
+func processCPU(pid int) time.Duration {
 	// The clock of a process's CPU time: its number is made of the pid, as clock_getcpuclockid does it.
 	var t unix.Timespec
 	if unix.ClockGettime(int32(^pid<<3|2), &t) != nil {
@@ -20,8 +20,8 @@
 	return time.Duration(t.Nano())
 }
 
-// peakOf is the most memory that a process has had, in bytes.
-func peakOf(pid int) int64 {
+// peakMemory is the most memory that a process has had, in bytes.
+func peakMemory(pid int) int64 {
 	status, _ := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "status"))
 	_, rest, _ := bytes.Cut(status, []byte("\nVmHWM:"))
 	line, _, _ := bytes.Cut(rest, []byte("\n"))
@@ -33,9 +33,9 @@
 	return n << 10
 }
 
-// files counts the descriptors of a process, by its number or as self. Where the kernel counts them, it tells their
+// countFiles counts the descriptors of a process, by its number or as self. Where the kernel counts them, it tells their
 // number as a size.
-func files(process string) int {
+func countFiles(process string) int {
 	dir := filepath.Join("/proc", process, "fd")
 	if info, err := os.Stat(dir); err == nil && info.Size() > 0 {
 		return int(info.Size())
