--- a/internal/lab/mutant/mutant_test.go
+++ b/internal/testbed/mutation/mutation_test.go
@@ -1,4 +1,4 @@
-package mutant
+package mutation
 
 import (
 	"flag"
@@ -10,16 +10,16 @@
 	"time"
 
 	"valvecove/dispatch"
-	"valvecove/internal/lab/edge"
-	"valvecove/internal/lab/judge"
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/virtual"
-	"valvecove/internal/lab/yardstick"
 	"valvecove/internal/requests"
+	"valvecove/internal/testbed/baseline"
+	"valvecove/internal/testbed/checker"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simapi"
+	"valvecove/internal/testbed/simulation"
 	"valvecove/scenarios"
 )
 
-// go test -run Honest ./internal/lab/mutant -args -plays 200 -library 20
+// go test -run Honest ./internal/testbed/mutation -args -plays 200 -library 20
 var (
 	plays   = flag.Int("plays", 10, "plays of the honest program")
 	first   = flag.Uint64("first", 1, "seed of the first of them")
@@ -30,23 +30,23 @@
 var once = []uint64{10833, 11002, 12212}
 
 // judged plays a scenario, with a mutant or (nil) with the honest program.
-func judged(t *testing.T, spec *scenario.Scenario, seed uint64, m *Mutant) judge.Verdict {
+func judged(t *testing.T, spec *scenario.Scenario, seed uint64, m *Mutant) checker.Verdict {
 	t.Helper()
 	if err := spec.Check(); err != nil {
 		t.Fatal(err)
 	}
-	j := judge.New(spec, judge.Options{})
-	opt := virtual.Options{}
-	opt.Watch = append(opt.Watch, j.Watch)
+	j := checker.New(spec, checker.Options{})
+	opt := simulation.Options{}
+	opt.Observers = append(opt.Observers, j.Observe)
 	if m != nil && m.Wrap != nil {
-		opt.Wrap = func(s edge.Scheduler) edge.Scheduler { return m.Wrap(spec, s) }
+		opt.Wrap = func(s simapi.Scheduler) simapi.Scheduler { return m.Wrap(spec, s) }
 	}
-	if m != nil && m.Module != nil {
-		opt.Module = func(set dispatch.Settings, seed uint64, _ yardstick.Oracle) requests.Policy {
-			return m.Module(set, seed)
+	if m != nil && m.Policy != nil {
+		opt.Module = func(set dispatch.Settings, seed uint64, _ baseline.Oracle) requests.Policy {
+			return m.Policy(set, seed)
 		}
 	}
-	if _, err := virtual.Play(spec, seed, opt); err != nil {
+	if _, err := simulation.Run(spec, seed, opt); err != nil {
 		t.Fatalf("%s, seed %d: %v", spec.Name, seed, err)
 	}
 	return j.Verdict()
@@ -56,7 +56,7 @@
 func TestMutants(t *testing.T) {
 	names := map[string]bool{}
 	for _, m := range All() {
-		if names[m.Name] || !slices.Contains(judge.Names[:], m.Rule) {
+		if names[m.Name] || !slices.Contains(checker.RuleNames[:], m.Rule) {
 			t.Errorf("%s: a name used before, or no rule: %q", m.Name, m.Rule)
 		}
 		names[m.Name] = true
@@ -64,17 +64,17 @@
 			t.Parallel()
 			spec := m.Scenario()
 			for seed := uint64(1); ; seed++ { // a fault needs its occasion, and the program, as it changes, may give none
-				for _, b := range judged(t, spec, seed, nil).Broken {
+				for _, b := range judged(t, spec, seed, nil).Violations {
 					t.Errorf("the honest program: %s", b)
 				}
 				v := judged(t, spec, seed, &m)
-				i := slices.IndexFunc(v.Broken, func(b judge.Breach) bool { return b.Rule == m.Rule })
+				i := slices.IndexFunc(v.Violations, func(b checker.Violation) bool { return b.Rule == m.Rule })
 				if i >= 0 {
-					t.Logf("found with seed %d\n%s", seed, v.Broken[i])
+					t.Logf("found with seed %d\n%s", seed, v.Violations[i])
 					return
 				}
 				if seed == 3 {
-					t.Fatalf("found %v, not %s; %+v", v.Broken, m.Rule, v.Counts)
+					t.Fatalf("found %v, not %s; %+v", v.Violations, m.Rule, v.Counts)
 				}
 			}
 		})
@@ -90,7 +90,7 @@
 			if v.Counts.Served == 0 {
 				t.Errorf("nothing was served: %+v", v.Counts)
 			}
-			for _, b := range v.Broken {
+			for _, b := range v.Violations {
 				t.Errorf("%s\nin\n%s", b, scenario.Encode(spec))
 			}
 		})
@@ -108,7 +108,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if spec.Plays(scenario.Virtual) {
+			if spec.SupportsDriver(scenario.DriverSimulation) {
 				honest(name+"-", spec, seed+1)
 			}
 		}
@@ -120,39 +120,39 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	pick := func(of ...string) string { return pickOne(rng, of...) }
 	s := scenario.Default()
-	s.Name, s.Length = "drawn", scenario.Span(8*time.Second)
-	s.Fleet.Nodes = 6 + rng.IntN(20)
-	s.Load.Of = 0.4 + rng.Float64()
+	s.Name, s.Length = "drawn", scenario.Duration(8*time.Second)
+	s.Fleet.Workers = 6 + rng.IntN(20)
+	s.Load.CapacityShare = 0.4 + rng.Float64()
 	s.Load.Shape, s.Load.Hints = pick("steady", "bursty", "swell"), pick("none", "exact", "rough", "rough", "wrong")
 	if s.Load.Hints == "wrong" {
 		s.Load.HintFactor = 3
 	}
 	s.Clients.Impatient = float64(rng.IntN(2)) * 0.1
-	s.Clients.Retries, s.Clients.TryShare = rng.IntN(4), pickOne(rng, 1, 1, 0.4)
-	s.Net.Jitter = pickOne(rng, 0.2, 0.2, 1)
-	s.Net.Client = scenario.Span(pickOne(rng, 500*time.Microsecond, 500*time.Microsecond, 3*time.Millisecond))
-	s.Net.DropsIdle = scenario.Span(pickOne(rng, 0, 0, 0, 2*time.Second))
+	s.Clients.Retries, s.Clients.RequestTimeoutShare = rng.IntN(4), pickOne(rng, 1, 1, 0.4)
+	s.Network.Jitter = pickOne(rng, 0.2, 0.2, 1)
+	s.Network.ClientDelay = scenario.Duration(pickOne(rng, 500*time.Microsecond, 500*time.Microsecond, 3*time.Millisecond))
+	s.Network.DropsIdleAfter = scenario.Duration(pickOne(rng, 0, 0, 0, 2*time.Second))
 	s.Discovery.Capacity = pickOne(rng, 0, 0, 200.0)
 	s.Fleet.CellSize = 1 + rng.IntN(6)
 	s.Schedulers.Count = 1 + rng.IntN(3)
-	s.Schedulers.SecondCopies = rng.IntN(4) > 0
-	s.Schedulers.Cancelling = rng.IntN(4) > 0
-	s.Schedulers.TryLimit = 2 + rng.IntN(5)
+	s.Schedulers.Hedging = rng.IntN(4) > 0
+	s.Schedulers.Cancellation = rng.IntN(4) > 0
+	s.Schedulers.AttemptLimit = 2 + rng.IntN(5)
 	if rng.IntN(3) == 0 {
 		s.Fleet.Zones = []string{"a", "b"}
 	}
 	for i := range s.Fleet.Kinds {
 		k := &s.Fleet.Kinds[i]
-		k.Order, k.Expired, k.HandsBack = pick("fifo", "backfill"), pick("run", "drop"), rng.IntN(2) == 0
-		k.CancelStops, k.ErrorRate = rng.IntN(4) == 0, float64(rng.IntN(2))*0.02
-		k.NoteLate = scenario.Span(rng.IntN(20)) * scenario.Span(time.Millisecond)
+		k.QueueOrder, k.ExpiredJobs, k.ReturnsQueued = pick("fifo", "backfill"), pick("run", "drop"), rng.IntN(2) == 0
+		k.CancellationStops, k.ErrorRate = rng.IntN(4) == 0, float64(rng.IntN(2))*0.02
+		k.CallbackDelay = scenario.Duration(rng.IntN(20)) * scenario.Duration(time.Millisecond)
 		if rng.IntN(4) == 0 {
-			k.PauseEvery, k.Pause = scenario.Span(5*time.Second), scenario.Span(300*time.Millisecond)
+			k.PauseEvery, k.Pause = scenario.Duration(5*time.Second), scenario.Duration(300*time.Millisecond)
 		}
 	}
 	if c := &s.Classes[3]; rng.IntN(2) == 0 {
-		c.Group = pick("cell", "zone", "all")
-		c.Window = scenario.Span(1+rng.IntN(20)) * scenario.Span(time.Second)
+		c.DeduplicationScope = pick("cell", "zone", "all")
+		c.DeduplicationWindow = scenario.Duration(1+rng.IntN(20)) * scenario.Duration(time.Second)
 	}
 	kinds := make([]string, 0, len(scenario.FaultKinds))
 	for kind, to := range scenario.FaultKinds {
@@ -162,22 +162,22 @@
 	}
 	slices.Sort(kinds)
 	for range 1 + rng.IntN(4) {
-		f := scenario.Fault{What: pick(kinds...), At: scenario.Span(1000+rng.IntN(5000)) * scenario.Span(time.Millisecond)}
-		f.For = scenario.Span(200+rng.IntN(4000)) * scenario.Span(time.Millisecond)
-		switch scenario.FaultKinds[f.What] {
+		f := scenario.Fault{Kind: pick(kinds...), At: scenario.Duration(1000+rng.IntN(5000)) * scenario.Duration(time.Millisecond)}
+		f.Duration = scenario.Duration(200+rng.IntN(4000)) * scenario.Duration(time.Millisecond)
+		switch scenario.FaultKinds[f.Kind] {
 		case "node":
-			f.On.Share = 0.1 + 0.4*rng.Float64()
+			f.Target.Share = 0.1 + 0.4*rng.Float64()
 		case "net":
 			f.Between, f.And = "schedulers", pick("nodes", "discovery", "clients")
-			if f.What == "drop_idle" {
+			if f.Kind == "drop_idle" {
 				f.And = pick("nodes", "clients")
 			}
 		}
 		for _, size := range []float64{0, 4, -10} { // whichever the kind takes
 			f.Size = size
 			s.Faults = append(s.Faults, f)
-			if rng.IntN(2) == 0 && size == 0 && f.What == "reset_at" || s.Check() != nil {
-				if s.Faults[len(s.Faults)-1].For = 0; s.Check() == nil {
+			if rng.IntN(2) == 0 && size == 0 && f.Kind == "reset_at" || s.Check() != nil {
+				if s.Faults[len(s.Faults)-1].Duration = 0; s.Check() == nil {
 					break
 				}
 				s.Faults = s.Faults[:len(s.Faults)-1]
@@ -193,14 +193,14 @@
 
 // What goes on at the border stays in order, though a mutant keeps some of it back.
 func TestLater(t *testing.T) {
-	b := &border{up: true}
+	b := &faultInjector{running: true}
 	var did []int
 	for _, n := range []int{3, 1, 2, 1} {
-		b.at(time.Duration(n), func() { did = append(did, n) })
+		b.schedule(time.Duration(n), func() { did = append(did, n) })
 	}
-	for len(b.later) > 0 {
-		b.later[0].do()
-		b.later = b.later[1:]
+	for len(b.delayed) > 0 {
+		b.delayed[0].run()
+		b.delayed = b.delayed[1:]
 	}
 	if !slices.Equal(did, []int{1, 1, 2, 3}) {
 		t.Errorf("done in the order %v", did)
--- a/internal/lab/platform/platform_test.go
+++ b/internal/testbed/platform/platform_test.go
@@ -8,8 +8,8 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/internal/lab/scenario"
 	"valvecove/internal/requests"
+	"valvecove/internal/testbed/scenario"
 )
 
 func none(string) string { return "" }
@@ -21,7 +21,7 @@
 	spec.Classes[2].Kind = "slow-4c"
 	text := Config(spec, 1, Options{
 		Listen: "127.0.0.1:9000", Discovery: "127.0.0.1:8500", Seed: 0xfe,
-		Known: requests.EndpointList{Revision: 4, Endpoints: []requests.Endpoint{{ID: "w-1", Addr: "127.0.0.2:1"}}},
+		KnownEndpoints: requests.EndpointList{Revision: 4, Endpoints: []requests.Endpoint{{ID: "w-1", Addr: "127.0.0.2:1"}}},
 	})
 	c, err := config.Decode(text, none)
 	if err != nil {
@@ -36,7 +36,7 @@
 		set.ConnectTimeout != 250*time.Millisecond || set.MaxRetryAfter != 2*time.Second || set.OverloadFactor != 3 ||
 		set.OverloadWindow != 2*time.Second || set.WarmUp != 8*time.Second || set.WarmUpCapacity != 0.35 || !set.StartNotifications ||
 		set.ProgressInterval != 2*time.Second || set.PollInterval != 10*time.Second || len(set.ReportFields) != 0 ||
-		set.HealthCheckCost != priceProbe {
+		set.HealthCheckCost != healthCheckPrice {
 		t.Errorf("settings %+v", set.Settings)
 	}
 	check, payout, credit := set.Classes[0], set.Classes[2], set.Classes[3]
@@ -66,13 +66,13 @@
 // What one kind of worker node does not tell can't be relied on, and the weakest start is the one that counts.
 func TestKindsThatDiffer(t *testing.T) {
 	spec := scenario.Default()
-	spec.Fleet.Kinds[1].StartMute, spec.Fleet.Kinds[1].ColdFrom = true, 0.2
-	spec.Fleet.Kinds[0].Cold, spec.Fleet.Kinds[0].Order = scenario.Span(12*time.Second), "backfill"
+	spec.Fleet.Kinds[1].OmitsStartNotifications, spec.Fleet.Kinds[1].WarmUpCapacity = true, 0.2
+	spec.Fleet.Kinds[0].WarmUp, spec.Fleet.Kinds[0].QueueOrder = scenario.Duration(12*time.Second), "backfill"
 	set, err := Settings(spec, 0)
 	if err != nil || set.StartNotifications || set.ProgressInterval != 0 || set.WarmUpCapacity != 0.2 || set.WarmUp != 12*time.Second {
 		t.Errorf("%+v, %v", set.Settings, err)
 	}
-	if order := settingsOf(spec, 0).Domain.QueueOrder; order != "fifo" {
+	if order := newSettings(spec, 0).Domain.QueueOrder; order != "fifo" {
 		t.Errorf("queue order %s", order)
 	}
 }
--- a/internal/lab/live/doc.go
+++ b/internal/testbed/process/doc.go
@@ -1,4 +1,4 @@
-// Package live plays a scenario with real schedulers: processes on addresses of 127.0.0.0/8, real sockets, real time.
+// Package process plays a scenario with real schedulers: processes on addresses of 127.0.0.0/8, real sockets, real time.
 // The world model decides all that happens round them, as in virtual time; this package carries it out and reports what
 // the schedulers' sockets do.
 //
@@ -31,4 +31,4 @@
 //
 // It measures how late each thing on the world's agenda was done. Beyond VoidMost at any time, or Void999 in one turn
 // of a thousand, a play is void and no result. Figures are never corrected by it.
-package live
+package process
--- a/internal/lab/live/live_test.go
+++ b/internal/testbed/process/driver_test.go
@@ -1,4 +1,4 @@
-package live
+package process
 
 import (
 	"bufio"
@@ -17,23 +17,23 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/lab/edge"
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/seen"
 	"valvecove/internal/requests"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simapi"
+	"valvecove/internal/testbed/trace"
 )
 
 // rig is a driver whose world is the test: it gets what comes, and says what is done.
 type rig struct {
 	*testing.T
 	d    *driver
-	outs chan edge.Out
+	outs chan simapi.Output
 }
 
 func (r *rig) Next() (time.Duration, bool) { return 0, false }
-func (r *rig) Over() bool                  { return false }
+func (r *rig) Finished() bool              { return false }
 
-func (r *rig) Step(_ time.Duration, outs []edge.Out, dst []edge.In) []edge.In {
+func (r *rig) Step(_ time.Duration, outs []simapi.Output, dst []simapi.Input) []simapi.Input {
 	for _, o := range outs {
 		r.outs <- o
 	}
@@ -51,14 +51,14 @@
 
 func newRig(t *testing.T, opt Options) *rig {
 	t.Helper()
-	opt.Dir, opt.Stay = t.TempDir(), true
+	opt.Dir, opt.StayOpen = t.TempDir(), true
 	d, err := newDriver(testSpec(t, ""), opt)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t, d, make(chan edge.Out, 1<<14)}
+	r := &rig{t, d, make(chan simapi.Output, 1<<14)}
 	ctx, cancel := context.WithCancel(context.Background())
-	d.world, d.begins = r, func(time.Time) {}
+	d.environment, d.onStart = r, func(time.Time) {}
 	var all sync.WaitGroup
 	all.Go(func() {
 		if err := d.run(ctx, time.Hour); err != nil {
@@ -66,7 +66,7 @@
 		}
 		d.close()
 	})
-	all.Go(d.lookAt)
+	all.Go(d.sampleProcesses)
 	t.Cleanup(func() {
 		cancel()
 		all.Wait()
@@ -75,8 +75,8 @@
 }
 
 // do has something done to schedulers.
-func (r *rig) do(ins ...edge.In) {
-	r.d.send(func() {
+func (r *rig) do(ins ...simapi.Input) {
+	r.d.post(func() {
 		for _, in := range ins {
 			r.d.carryOut(&in)
 		}
@@ -84,7 +84,7 @@
 }
 
 // next is what comes next from schedulers.
-func (r *rig) next() edge.Out {
+func (r *rig) next() simapi.Output {
 	r.Helper()
 	select {
 	case o := <-r.outs:
@@ -92,10 +92,10 @@
 	case <-time.After(30 * time.Second):
 		r.Fatal("what was to come has not come")
 	}
-	return edge.Out{}
+	return simapi.Output{}
 }
 
-func (r *rig) want(kind edge.OutKind) edge.Out {
+func (r *rig) want(kind simapi.OutputKind) simapi.Output {
 	r.Helper()
 	o := r.next()
 	if o.Kind != kind {
@@ -106,7 +106,7 @@
 
 // serve serves HTTP where a scheduler would.
 func (r *rig) serve(h http.Handler) {
-	l, err := net.Listen("tcp", r.d.scheds[0].listen.String())
+	l, err := net.Listen("tcp", r.d.schedulers[0].listen.String())
 	if err != nil {
 		r.Fatal(err)
 	}
@@ -161,14 +161,14 @@
 		}
 	})
 	r := newRig(t, Options{})
-	ask := func(conn edge.Conn, call string) {
-		r.do(edge.In{Kind: edge.Asked, Conn: conn, Ask: &edge.Ask{
-			Call: call, Class: 3, Tenant: 1, Key: "k-" + call,
-			Budget: 480*time.Millisecond + 700, Hint: 12 * time.Millisecond, Slots: 2, Body: 300, Again: true,
+	ask := func(conn simapi.Conn, call string) {
+		r.do(simapi.Input{Kind: simapi.RequestReceived, Conn: conn, Request: &simapi.ClientRequest{
+			RequestID: call, Class: 3, Tenant: 1, IdempotencyKey: "k-" + call,
+			Budget: 480*time.Millisecond + 700, CostHint: 12 * time.Millisecond, Slots: 2, BodyLength: 300, Retry: true,
 		}})
 	}
 	ask(1, "nobody")
-	r.want(edge.Unmet)
+	r.want(simapi.ClientConnFailed)
 	r.serve(mux)
 	for i, x := range []struct {
 		call, result string
@@ -185,17 +185,17 @@
 		{call: "cut"},
 		{call: "garbage"},
 	} {
-		conn := edge.Conn(2 + max(0, i-4)) // the first five share one
+		conn := simapi.Conn(2 + max(0, i-4)) // the first five share one
 		ask(conn, x.call)
 		if x.status > 0 {
-			o := r.want(edge.Replied)
+			o := r.want(simapi.ResponseWritten)
 			o.Kind = 0
-			if o != (edge.Out{Conn: conn, Call: x.call, Status: x.status, Result: x.result, After: x.after}) {
+			if o != (simapi.Output{Conn: conn, RequestID: x.call, Status: x.status, Result: x.result, RetryAfter: x.after}) {
 				t.Errorf("%s: %+v", x.call, o)
 			}
 		}
 		if x.status == 0 || x.ends {
-			if o := r.want(edge.Cut); o.Conn != conn {
+			if o := r.want(simapi.ClientConnClosed); o.Conn != conn {
 				t.Errorf("%s: %+v", x.call, o)
 			}
 		}
@@ -205,7 +205,7 @@
 // A query that crosses the close of its connection is sent once more; one that was read and dropped is not.
 func TestCrossedClose(t *testing.T) {
 	r := newRig(t, Options{})
-	l, err := net.Listen("tcp", r.d.scheds[0].listen.String())
+	l, err := net.Listen("tcp", r.d.schedulers[0].listen.String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -216,12 +216,14 @@
 		}
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	}
-	ask := func(call string) { r.do(edge.In{Kind: edge.Asked, Conn: 1, Ask: &edge.Ask{Call: call, Body: 10}}) }
-	r.d.send(func() { r.d.scheds[0].alive, r.d.scheds[0].life = true, 2 })
+	ask := func(call string) {
+		r.do(simapi.Input{Kind: simapi.RequestReceived, Conn: 1, Request: &simapi.ClientRequest{RequestID: call, BodyLength: 10}})
+	}
+	r.d.post(func() { r.d.schedulers[0].alive, r.d.schedulers[0].incarnation = true, 2 })
 	ask("a")
 	c, _ := l.Accept()
 	answer(c)
-	r.want(edge.Replied)
+	r.want(simapi.ResponseWritten)
 	ask("b")
 	_, _ = c.Read(make([]byte, 1)) // the rest stays unread, so that the close is a reset
 	_ = c.Close()
@@ -229,7 +231,7 @@
 		t.Fatal(err)
 	}
 	answer(c)
-	if o := r.want(edge.Replied); o.Call != "b" {
+	if o := r.want(simapi.ResponseWritten); o.RequestID != "b" {
 		t.Errorf("%+v", o)
 	}
 	ask("c")
@@ -242,7 +244,7 @@
 		got += string(b[:n])
 	}
 	_ = c.Close()
-	r.want(edge.Cut)
+	r.want(simapi.ClientConnClosed)
 }
 
 // scheduler is the test's end of a link to a worker node.
@@ -254,7 +256,7 @@
 
 func (r *rig) connect(node int) *schedEnd {
 	r.Helper()
-	c, err := net.DialTimeout("tcp", r.d.places.node(node, 0).String(), 10*time.Second)
+	c, err := net.DialTimeout("tcp", r.d.addresses.worker(node, 0).String(), 10*time.Second)
 	if err != nil {
 		r.Fatal(err)
 	}
@@ -282,20 +284,22 @@
 func TestNodes(t *testing.T) {
 	r := newRig(t, Options{})
 	s := r.connect(1)
-	dial := r.want(edge.Dial)
-	if dial.Node != 1 || dial.Conn != edge.LinkConn(0, 1) {
+	dial := r.want(simapi.WorkerDialed)
+	if dial.Worker != 1 || dial.Conn != simapi.WorkerConn(0, 1) {
 		t.Fatalf("%+v", dial)
 	}
-	up := edge.In{Kind: edge.LinkUp, Conn: dial.Conn}
+	up := simapi.Input{Kind: simapi.WorkerConnected, Conn: dial.Conn}
 	answer := func(status int) {
-		r.do(edge.In{Kind: edge.Answered, Conn: dial.Conn, Status: status, Rejected: status == 503})
+		r.do(simapi.Input{Kind: simapi.ResponseReceived, Conn: dial.Conn, Status: status, Rejected: status == 503})
 	}
 	body := string(appendBody(nil, "c1", 40))
-	r.d.send(func() { r.d.forms.add(&edge.Ask{Call: "c1", Class: 3, Key: "k1", Body: 40}, 0) })
+	r.d.post(func() {
+		r.d.requestForms.add(&simapi.ClientRequest{RequestID: "c1", Class: 3, IdempotencyKey: "k1", BodyLength: 40}, 0)
+	})
 	_, _ = io.WriteString(s, query("c1", "k1", body)) // the world has not accepted yet: this waits
 	r.do(up)
-	o := r.want(edge.Sent)
-	if o.Call != "c1" || o.Key != "k1" || o.Budget != 77*time.Millisecond || o.Node != 1 || o.First <= 0 {
+	o := r.want(simapi.AttemptWritten)
+	if o.RequestID != "c1" || o.IdempotencyKey != "k1" || o.Budget != 77*time.Millisecond || o.Worker != 1 || o.FirstByteAt <= 0 {
 		t.Errorf("%+v", o)
 	}
 	answer(202)
@@ -304,19 +308,19 @@
 	}
 	for _, x := range []struct {
 		ask  string
-		kind edge.OutKind
+		kind simapi.OutputKind
 		call string
 	}{
-		{query("c1", "k1", body[:39]+"!"), edge.Sent, "c1!body"},
-		{query("c1", "k2", body), edge.Sent, "c1!path"},
-		{query("unknown", "k2", "x"), edge.Sent, "unknown"},
-		{"GET /alive HTTP/1.1\r\nHost: w\r\n\r\n", edge.Probe, ""},
-		{"GET /metrics/load HTTP/1.1\r\nHost: w\r\n\r\n", edge.Probe, ""},
-		{"DELETE /jobs/c1 HTTP/1.1\r\nHost: w\r\n\r\n", edge.Delete, "c1"},
+		{query("c1", "k1", body[:39]+"!"), simapi.AttemptWritten, "c1!body"},
+		{query("c1", "k2", body), simapi.AttemptWritten, "c1!path"},
+		{query("unknown", "k2", "x"), simapi.AttemptWritten, "unknown"},
+		{"GET /alive HTTP/1.1\r\nHost: w\r\n\r\n", simapi.HealthCheckWritten, ""},
+		{"GET /metrics/load HTTP/1.1\r\nHost: w\r\n\r\n", simapi.HealthCheckWritten, ""},
+		{"DELETE /jobs/c1 HTTP/1.1\r\nHost: w\r\n\r\n", simapi.CancellationReceived, "c1"},
 	} {
 		_, _ = io.WriteString(s, x.ask)
 		o := r.want(x.kind)
-		if o.Call != x.call || o.Load != strings.Contains(x.ask, "load") {
+		if o.RequestID != x.call || o.WantsLoadReport != strings.Contains(x.ask, "load") {
 			t.Errorf("%s: %+v", x.ask, o)
 		}
 		answer(503)
@@ -329,7 +333,7 @@
 		"GET /else HTTP/1.1\r\nHost: w\r\n\r\n":                       404,
 		"POST /account-credit/k HTTP/1.1\r\nHost: w\r\n\r\n":          404, // without an id
 		strings.Replace(query("c1", "k1", body), "77", "soon", 1):     400,
-		query("any", oddName+"1", "x"):                                400, // a bad client's
+		query("any", misbehavingPrefix+"1", "x"):                      400, // a bad client's
 		strings.Replace(query("c1", "k1", body), "POST", "DELETE", 1): 404,
 	} {
 		_, _ = io.WriteString(s, ask)
@@ -341,7 +345,7 @@
 	if got := s.status(); got != 400 || s.status() != 0 {
 		t.Errorf("garbage: %d", got)
 	}
-	r.want(edge.Hangup)
+	r.want(simapi.WorkerConnClosed)
 }
 
 // The world resets links at any byte, and closes them.
@@ -351,80 +355,80 @@
 	// Reset after so many bytes read.
 	for most, told := range map[int]bool{10: false, len(ask): true} {
 		s := r.connect(0)
-		conn := r.want(edge.Dial).Conn
+		conn := r.want(simapi.WorkerDialed).Conn
 		_, _ = io.WriteString(s, ask)
-		r.do(edge.In{Kind: edge.LinkUp, Conn: conn, Bytes: most})
+		r.do(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn, Bytes: most})
 		if told {
-			r.want(edge.Sent)
+			r.want(simapi.AttemptWritten)
 		}
-		r.want(edge.Hangup)
+		r.want(simapi.WorkerConnClosed)
 		if _, err := s.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("reset after %d bytes: %v", most, err)
 		}
 	}
 	// Reset after so many bytes of the answer.
 	s := r.connect(0)
-	conn := r.want(edge.Dial).Conn
-	r.do(edge.In{Kind: edge.LinkUp, Conn: conn})
+	conn := r.want(simapi.WorkerDialed).Conn
+	r.do(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn})
 	_, _ = io.WriteString(s, ask)
-	r.want(edge.Sent)
-	r.do(edge.In{Kind: edge.Answered, Conn: conn, Status: 202, Bytes: 9})
+	r.want(simapi.AttemptWritten)
+	r.do(simapi.Input{Kind: simapi.ResponseReceived, Conn: conn, Status: 202, Bytes: 9})
 	if b, err := io.ReadAll(s.in); string(b) != "HTTP/1.1 " || !errors.Is(err, syscall.ECONNRESET) {
 		// A reset may overtake what was written before it, as on any network.
 		if !errors.Is(err, syscall.ECONNRESET) || len(b) > 0 {
 			t.Errorf("%q, %v", b, err)
 		}
 	}
-	r.want(edge.Hangup)
+	r.want(simapi.WorkerConnClosed)
 	// Closed by the world, and by the scheduler.
 	for _, reset := range []bool{false, true} {
 		s := r.connect(0)
-		r.do(edge.In{Kind: edge.LinkDown, Conn: r.want(edge.Dial).Conn, Reset: reset})
+		r.do(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: r.want(simapi.WorkerDialed).Conn, Reset: reset})
 		if _, err := s.Read(make([]byte, 1)); errors.Is(err, syscall.ECONNRESET) != reset {
 			t.Errorf("reset %v: %v", reset, err)
 		}
 	}
 	_ = r.connect(0).Close()
-	r.want(edge.Dial)
-	r.want(edge.Hangup)
+	r.want(simapi.WorkerDialed)
+	r.want(simapi.WorkerConnClosed)
 }
 
 // Refused, never up, and accepting again; what is open goes on meanwhile.
 func TestHear(t *testing.T) {
 	r := newRig(t, Options{})
 	s := r.connect(0)
-	conn := r.want(edge.Dial).Conn
-	r.do(edge.In{Kind: edge.LinkUp, Conn: conn})
+	conn := r.want(simapi.WorkerDialed).Conn
+	r.do(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn})
 	hear := func(machine, mode int) {
 		done := make(chan struct{})
-		r.do(edge.In{Kind: edge.Hear, Node: 0, Machine: machine, Mode: mode})
-		r.d.send(func() { close(done) })
+		r.do(simapi.Input{Kind: simapi.AcceptModeChanged, Worker: 0, Machine: machine, Mode: mode})
+		r.d.post(func() { close(done) })
 		<-done
 	}
-	at := r.d.places.node(0, 0).String()
-	for _, mode := range []int{edge.Refuse, edge.NeverUp, edge.Refuse, edge.NeverUp} {
+	at := r.d.addresses.worker(0, 0).String()
+	for _, mode := range []int{simapi.AcceptNone, simapi.AcceptSilently, simapi.AcceptNone, simapi.AcceptSilently} {
 		hear(0, mode)
 		_, err := net.DialTimeout("tcp", at, 50*time.Millisecond)
 		var late net.Error
 		refused, silent := errors.Is(err, syscall.ECONNREFUSED), errors.As(err, &late) && late.Timeout()
-		if refused != (mode == edge.Refuse) || silent != (mode == edge.NeverUp) {
+		if refused != (mode == simapi.AcceptNone) || silent != (mode == simapi.AcceptSilently) {
 			t.Errorf("mode %d: %v", mode, err)
 		}
 		_, _ = io.WriteString(s, "GET /alive HTTP/1.1\r\nHost: w\r\n\r\n")
-		r.want(edge.Probe)
-		r.do(edge.In{Kind: edge.Answered, Conn: conn, Status: 200})
+		r.want(simapi.HealthCheckWritten)
+		r.do(simapi.Input{Kind: simapi.ResponseReceived, Conn: conn, Status: 200})
 		if s.status() != 200 {
 			t.Errorf("mode %d: the open link has no answer", mode)
 		}
 	}
-	hear(0, edge.Open)
+	hear(0, simapi.AcceptAll)
 	r.connect(0)
-	r.want(edge.Dial)
+	r.want(simapi.WorkerDialed)
 	// The machine that takes its place is found elsewhere, and where the first was there is nobody.
-	hear(0, edge.NeverUp)
-	hear(1, edge.Open)
+	hear(0, simapi.AcceptSilently)
+	hear(1, simapi.AcceptAll)
 	r.connect(2 + 0)
-	if o := r.want(edge.Dial); o.Node != 0 || o.Machine != 1 {
+	if o := r.want(simapi.WorkerDialed); o.Worker != 0 || o.Machine != 1 {
 		t.Errorf("the second machine is dialled by %+v", o)
 	}
 	if _, err := net.DialTimeout("tcp", at, 50*time.Millisecond); err == nil {
@@ -441,11 +445,11 @@
 		if state == "done" {
 			n.Result = &result
 		}
-		r.do(edge.In{Kind: edge.Told, Node: 1, NoteID: id, Note: n})
+		r.do(simapi.Input{Kind: simapi.CallbackReceived, Worker: 1, CallbackID: id, Callback: n})
 	}
 	acked := func(id uint64, status int) {
 		t.Helper()
-		if o := r.want(edge.Acked); o.NoteID != id || o.Status != status || o.Node != 1 {
+		if o := r.want(simapi.CallbackAnswered); o.CallbackID != id || o.Status != status || o.Worker != 1 {
 			t.Errorf("%+v, expected note %d with %d", o, id, status)
 		}
 	}
@@ -473,19 +477,19 @@
 		status   int
 		patience time.Duration // the machine may stand still for a while
 	}{2: {"done", 204, time.Minute}, 3: {"started", 400, time.Minute}, 4: {"lost", 0, time.Minute}, 5: {"failed", 0, 0}} {
-		r.d.send(func() { r.d.patience = x.patience })
+		r.d.post(func() { r.d.callbackTimeout = x.patience })
 		tell(id, x.state)
 		acked(id, x.status)
 	}
-	r.d.send(func() { r.d.patience = time.Minute })
+	r.d.post(func() { r.d.callbackTimeout = time.Minute })
 	// Of many at once each has its outcome, though only some are under way at a time.
 	for id := uint64(10); id < 60; id++ {
 		tell(id, "done")
 	}
 	got := map[uint64]int{}
 	for range 50 {
-		o := r.want(edge.Acked)
-		got[o.NoteID] = o.Status
+		o := r.want(simapi.CallbackAnswered)
+		got[o.CallbackID] = o.Status
 	}
 	if len(got) != 50 || got[10] != 204 || got[59] != 204 {
 		t.Errorf("%v", got)
@@ -514,48 +518,48 @@
 	}}
 	want := fmt.Sprintf(`{"generation":43,"reset":false,"instances":[{"instanceId":"w-1.1","hostPort":"%v","zone":"a",`+
 		`"machineType":"m","cell":0,"lifecycle":"up","weight":1,"startedAtMs":0}]}`,
-		r.d.places.node(2+1, 0)) // after the first two
+		r.d.addresses.worker(2+1, 0)) // after the first two
 	go func() {
-		if o := r.want(edge.Watch); o.After != 41 {
+		if o := r.want(simapi.WatchRequested); o.RetryAfter != 41 {
 			t.Errorf("%+v", o)
 		}
-		r.do(edge.In{Kind: edge.Listed, List: list}, edge.In{Kind: edge.Quiet}, edge.In{Kind: edge.Listed, List: list})
+		r.do(simapi.Input{Kind: simapi.ListReceived, List: list}, simapi.Input{Kind: simapi.WatchHeartbeat}, simapi.Input{Kind: simapi.ListReceived, List: list})
 	}()
-	_, lines := ask(r.d.places.disco(0, 0), "/discovery/hosts?stream=1&index=41")
+	_, lines := ask(r.d.addresses.discovery(0, 0), "/discovery/hosts?stream=1&index=41")
 	for _, x := range []string{want, "", want} {
 		if line, err := lines.ReadString('\n'); err != nil || line != x+"\n" {
 			t.Errorf("%q, %v, expected %q", line, err, x)
 		}
 	}
-	r.do(edge.In{Kind: edge.Unlisted})
+	r.do(simapi.Input{Kind: simapi.WatchEnded})
 	if _, err := lines.ReadString('\n'); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("ended: %v", err)
 	}
 	// At another address, once the world has it there: a call that fails, the whole list, and what is no call.
-	r.do(edge.In{Kind: edge.HearDisco, Disco: 1, Mode: edge.Open}, edge.In{Kind: edge.HearDisco, Mode: edge.Refuse})
+	r.do(simapi.Input{Kind: simapi.DiscoveryAcceptModeChanged, Discovery: 1, Mode: simapi.AcceptAll}, simapi.Input{Kind: simapi.DiscoveryAcceptModeChanged, Mode: simapi.AcceptNone})
 	told := make(chan struct{})
-	r.d.send(func() { close(told) })
+	r.d.post(func() { close(told) })
 	<-told
-	if _, err := net.Dial("tcp", r.d.places.disco(0, 0).String()); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, err := net.Dial("tcp", r.d.addresses.discovery(0, 0).String()); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("the old address: %v", err)
 	}
 	go func() {
-		r.want(edge.Watch)
-		r.do(edge.In{Kind: edge.Unlisted})
-		if o := r.want(edge.Watch); o.After != 0 {
+		r.want(simapi.WatchRequested)
+		r.do(simapi.Input{Kind: simapi.WatchEnded})
+		if o := r.want(simapi.WatchRequested); o.RetryAfter != 0 {
 			t.Errorf("%+v", o)
 		}
-		r.do(edge.In{Kind: edge.Listed, List: list})
+		r.do(simapi.Input{Kind: simapi.ListReceived, List: list})
 	}()
-	if a, _ := ask(r.d.places.disco(1, 0), "/discovery/hosts?stream=1&index=43"); a.StatusCode != 503 {
+	if a, _ := ask(r.d.addresses.discovery(1, 0), "/discovery/hosts?stream=1&index=43"); a.StatusCode != 503 {
 		t.Errorf("a call that fails: %d", a.StatusCode)
 	}
-	a, body := ask(r.d.places.disco(1, 0), "/discovery/hosts")
+	a, body := ask(r.d.addresses.discovery(1, 0), "/discovery/hosts")
 	if text, _ := io.ReadAll(body); a.StatusCode != 200 || string(text) != want {
 		t.Errorf("%d %s", a.StatusCode, text)
 	}
 	for path, status := range map[string]int{"/else": 404, "/discovery/hosts?stream=1&index=x": 400} {
-		if a, _ := ask(r.d.places.disco(1, 0), path); a.StatusCode != status {
+		if a, _ := ask(r.d.addresses.discovery(1, 0), path); a.StatusCode != status {
 			t.Errorf("%s: %d", path, a.StatusCode)
 		}
 	}
@@ -572,18 +576,18 @@
 		lock.Unlock()
 		w.WriteHeader(400)
 	}))
-	kinds := map[edge.Conn]string{}
-	for i, kind := range scenario.BadKinds {
-		conn := edge.Conn(i + 1)
+	kinds := map[simapi.Conn]string{}
+	for i, kind := range scenario.MisbehaviorKinds {
+		conn := simapi.Conn(i + 1)
 		kinds[conn] = kind
-		r.do(edge.In{Kind: edge.Odd, Conn: conn, Odd: &edge.OddDoing{Kind: kind, N: 1, Call: "open"}})
+		r.do(simapi.Input{Kind: simapi.ClientMisbehaves, Conn: conn, Misbehavior: &simapi.Misbehavior{Kind: kind, Number: 1, RequestID: "open"}})
 	}
 	for len(kinds) > 0 {
 		o := r.next()
 		kind := kinds[o.Conn]
 		switch delete(kinds, o.Conn); {
-		case o.Kind == edge.Cut:
-		case o.Kind == edge.Replied && o.Status >= 400:
+		case o.Kind == simapi.ClientConnClosed:
+		case o.Kind == simapi.ResponseWritten && o.Status >= 400:
 		default:
 			t.Errorf("%s: %+v", kind, o)
 		}
@@ -591,16 +595,16 @@
 	lock.Lock()
 	defer lock.Unlock()
 	at := func(kind string) string {
-		for i, k := range scenario.BadKinds {
+		for i, k := range scenario.MisbehaviorKinds {
 			if k == kind {
-				return oddName + string("0123456789abcdefghijklmnopqrstuvwxyz"[i+1]) + "-0"
+				return misbehavingPrefix + string("0123456789abcdefghijklmnopqrstuvwxyz"[i+1]) + "-0"
 			}
 		}
 		return ""
 	}
 	// By chunks, as net/http reads it, the smuggler's request is two.
 	insist, stolen, garbage := asked[at("insist")], asked[at("stolen_id")], asked[at("garbage")]
-	hidden := asked[hiddenName+strings.TrimSuffix(at("smuggle"), "0")+"1"]
+	hidden := asked[hiddenPrefix+strings.TrimSuffix(at("smuggle"), "0")+"1"]
 	if insist == 0 || stolen != 1 || garbage != 0 || hidden != 1 {
 		t.Errorf("insist %d, stolen_id %d, garbage %d, hidden %d", insist, stolen, garbage, hidden)
 	}
@@ -616,7 +620,7 @@
 		w.WriteHeader(204)
 	}))
 	s := r.connect(0)
-	r.do(edge.In{Kind: edge.LinkUp, Conn: r.want(edge.Dial).Conn})
+	r.do(simapi.Input{Kind: simapi.WorkerConnected, Conn: r.want(simapi.WorkerDialed).Conn})
 	_, _ = io.WriteString(s, query("mine", "k", "x"))
 	status, started, done := s.status(), <-notes, <-notes
 	if status != 202 || !strings.Contains(started, "started") || !strings.Contains(done, `"done","result":"mine ran`) {
@@ -638,28 +642,28 @@
 func TestProcesses(t *testing.T) {
 	before := runtime.NumGoroutine()
 	t.Run("play", func(t *testing.T) {
-		var usage seen.Sight
+		var usage trace.Event
 		looked := make(chan struct{})
 		exe, err := os.Executable()
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := newRig(t, Options{Binary: exe, Env: []string{"LIVE_FAKE=1"}, Cores: []int{0}, Watch: func(s *seen.Sight) {
-			if s.What == seen.Usage && s.Sched == 0 && usage.What == 0 {
+		r := newRig(t, Options{Binary: exe, Env: []string{"LIVE_FAKE=1"}, Cores: []int{0}, Observer: func(s *trace.Event) {
+			if s.Kind == trace.ResourceUsage && s.Scheduler == 0 && usage.Kind == 0 {
 				usage = *s
 				close(looked)
 			}
 		}})
 		known := requests.EndpointList{Revision: 9, Endpoints: []requests.Endpoint{{ID: "w-1", Lifecycle: "up"}}}
-		boot := &edge.Boot{Name: "s1", Seed: 5, Known: known}
-		start := edge.In{Kind: edge.Start, Boot: boot}
+		boot := &simapi.StartOptions{Name: "s1", Seed: 5, KnownEndpoints: known}
+		start := simapi.Input{Kind: simapi.Start, Start: boot}
 		asks := func(after int64, ready bool) { // in any order
 			t.Helper()
 			for asked := false; !asked || ready; {
 				switch o := r.next(); {
-				case o.Kind == edge.Ready && ready:
+				case o.Kind == simapi.Ready && ready:
 					ready = false
-				case o.Kind == edge.Watch && !asked && int64(o.After) == after:
+				case o.Kind == simapi.WatchRequested && !asked && int64(o.RetryAfter) == after:
 					asked = true
 				default:
 					t.Fatalf("%+v", o)
@@ -669,22 +673,22 @@
 		r.do(start)
 		asks(9, true) // the generation that it was started with
 		<-looked
-		if usage.Memory <= 0 || usage.Files <= 0 || usage.CPU <= 0 {
+		if usage.Memory <= 0 || usage.OpenFiles <= 0 || usage.CPU <= 0 {
 			t.Errorf("%+v", usage)
 		}
-		r.do(edge.In{Kind: edge.Freeze}, edge.In{Kind: edge.Resume}, edge.In{Kind: edge.Reload, Disco: 1})
+		r.do(simapi.Input{Kind: simapi.Freeze}, simapi.Input{Kind: simapi.Resume}, simapi.Input{Kind: simapi.Reload, Discovery: 1})
 		asks(9, false)
-		r.do(edge.In{Kind: edge.Terminate})
-		if o := r.want(edge.Exited); o.Status != 7 {
+		r.do(simapi.Input{Kind: simapi.Terminate})
+		if o := r.want(simapi.Exited); o.Status != 7 {
 			t.Errorf("%+v", o)
 		}
-		boot.Known.Revision = 10
+		boot.KnownEndpoints.Revision = 10
 		r.do(start)
 		asks(10, true)
-		r.do(edge.In{Kind: edge.Freeze}, edge.In{Kind: edge.Kill}) // of which nothing is told
+		r.do(simapi.Input{Kind: simapi.Freeze}, simapi.Input{Kind: simapi.Kill}) // of which nothing is told
 		r.do(start)
 		asks(10, true)
-		log, err := os.ReadFile(r.d.scheds[0].log.path)
+		log, err := os.ReadFile(r.d.schedulers[0].log.path)
 		text := string(log)
 		if err != nil || strings.Count(text, "begins") != 3 || !strings.Contains(text, "discovery moved") {
 			t.Errorf("log %s, %v", log, err)
--- a/internal/lab/live/fake_test.go
+++ b/internal/testbed/process/fake_test.go
@@ -1,4 +1,4 @@
-package live
+package process
 
 import (
 	"fmt"
--- a/internal/lab/live/http.go
+++ b/internal/testbed/process/http.go
@@ -1,4 +1,4 @@
-package live
+package process
 
 import (
 	"bufio"
@@ -10,8 +10,8 @@
 )
 
 const (
-	mostHead = 64 << 10
-	mostBody = 1 << 20
+	maxHeader = 64 << 10
+	maxBody   = 1 << 20
 )
 
 // reader takes HTTP messages from bytes at hand by net/http's parser: another implementation than the schedulers' own,
@@ -24,16 +24,16 @@
 func newReader() *reader { return &reader{buf: bufio.NewReader(nil)} }
 
 var (
-	errHead     = errors.New("head too large")
-	errBody     = errors.New("body too large")
-	errTwoSizes = errors.New("both Content-Length and Transfer-Encoding")
+	errHeaderTooLarge = errors.New("head too large")
+	errBodyTooLarge   = errors.New("body too large")
+	errTwoLengths     = errors.New("both Content-Length and Transfer-Encoding")
 )
 
-var headEnd = []byte("\r\n\r\n")
+var headerEnd = []byte("\r\n\r\n")
 
 // request reads one request from the start of b, n bytes long; n is 0 while it is not whole.
 func (r *reader) request(b []byte) (q *http.Request, body []byte, n int, err error) {
-	head, err := wholeHead(b)
+	head, err := headerLength(b)
 	if head == 0 || err != nil {
 		return nil, nil, 0, err
 	}
@@ -42,7 +42,7 @@
 		return nil, nil, 0, err
 	}
 	if q.TransferEncoding != nil && bytes.Contains(bytes.ToLower(b[:head]), []byte("\ncontent-length:")) {
-		return nil, nil, 0, errTwoSizes // net/http picks one
+		return nil, nil, 0, errTwoLengths // net/http picks one
 	}
 	body, n, err = r.body(b, head, q.ContentLength, q.Body, false)
 	return q, body, n, err
@@ -52,7 +52,7 @@
 // will come: some answers end only with their connection.
 func (r *reader) response(b []byte, ended bool) (a *http.Response, body []byte, n int, err error) {
 	for at := 0; ; {
-		head, err := wholeHead(b[at:])
+		head, err := headerLength(b[at:])
 		if head == 0 || err != nil {
 			return nil, nil, 0, err
 		}
@@ -76,14 +76,14 @@
 	}
 }
 
-// wholeHead tells how long the head at the start of b is; 0 while it is not whole.
-func wholeHead(b []byte) (int, error) {
-	end := bytes.Index(b[:min(len(b), mostHead)], headEnd)
+// headerLength tells how long the head at the start of b is; 0 while it is not whole.
+func headerLength(b []byte) (int, error) {
+	end := bytes.Index(b[:min(len(b), maxHeader)], headerEnd)
 	switch {
 	case end >= 0:
-		return end + len(headEnd), nil
-	case len(b) >= mostHead:
-		return 0, errHead
+		return end + len(headerEnd), nil
+	case len(b) >= maxHeader:
+		return 0, errHeaderTooLarge
 	}
 	return 0, nil
 }
@@ -96,18 +96,18 @@
 // body takes the body of the message just read, if it is whole. length below 0: it has none, or is in chunks.
 func (r *reader) body(b []byte, head int, length int64, from io.Reader, ended bool) (body []byte, n int, err error) {
 	switch {
-	case length > mostBody:
-		return nil, 0, errBody
+	case length > maxBody:
+		return nil, 0, errBodyTooLarge
 	case length >= 0 && int64(len(b)-head) < length:
 		return nil, 0, nil
 	case length >= 0:
 		n = head + int(length)
 		return b[head:n], n, nil
 	}
-	body, err = io.ReadAll(io.LimitReader(from, mostBody+1))
+	body, err = io.ReadAll(io.LimitReader(from, maxBody+1))
 	switch {
-	case len(body) > mostBody:
-		return nil, 0, errBody
+	case len(body) > maxBody:
+		return nil, 0, errBodyTooLarge
 	case err != nil && !ended && strings.Contains(err.Error(), io.ErrUnexpectedEOF.Error()):
 		return nil, 0, nil // in a chunk, or in the trailer, which has an error of its own
 	case err != nil:
@@ -116,8 +116,8 @@
 	return body, len(b) - r.src.Len() - r.buf.Buffered(), nil
 }
 
-// once gives the value of a header field, and whether it is given at most once.
-func once(h http.Header, name string) (value string, ok bool) {
+// singleValue gives the value of a header field, and whether it is given at most once.
+func singleValue(h http.Header, name string) (value string, ok bool) {
 	list := h[name]
 	if len(list) == 0 {
 		return "", true
--- a/internal/lab/live/load.go
+++ b/internal/testbed/process/load.go
@@ -1,4 +1,4 @@
-package live
+package process
 
 import (
 	"bytes"
@@ -18,21 +18,21 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/internal/http1"
-	"valvecove/internal/lab/edge"
+	"valvecove/internal/testbed/simapi"
 )
 
 // LoadOptions are an open load on one address: requests fall due at random moments, whatever becomes of those before.
 type LoadOptions struct {
-	Target  string                            // address and port, on 127.0.0.0/8
-	Rate    float64                           // requests a second
-	Conns   int                               // connections, kept alive; default 256
-	Cores   int                               // threads that it is made by; default 2
-	Pin     []int                             // processor cores for them, dealt out in turn; empty: any
-	Length  time.Duration                     // requests fall due for so long
-	Warm    time.Duration                     // and before that for so long, uncounted
-	Grace   time.Duration                     // answers are awaited for so long after that; default 1 s
-	Seed    uint64                            // of the moments
-	Request func(thread int, n uint64) []byte // the n-th of a thread; kept until the next call. Default: GET /up
+	Target   string                            // address and port, on 127.0.0.0/8
+	Rate     float64                           // requests a second
+	Conns    int                               // connections, kept alive; default 256
+	Cores    int                               // threads that it is made by; default 2
+	PinCores []int                             // processor cores for them, dealt out in turn; empty: any
+	Length   time.Duration                     // requests fall due for so long
+	WarmUp   time.Duration                     // and before that for so long, uncounted
+	Grace    time.Duration                     // answers are awaited for so long after that; default 1 s
+	Seed     uint64                            // of the moments
+	Request  func(thread int, n uint64) []byte // the n-th of a thread; kept until the next call. Default: GET /up
 }
 
 // LoadResult is what came of it.
@@ -47,13 +47,15 @@
 	// Latency runs from when a request was due to the last byte of its answer, so that one which had to wait for those
 	// before it is charged with its wait. Late is the load's own part of that: from when it was due to when its thread
 	// came to it. Both in microseconds.
-	Latency, Late *hdrhistogram.Histogram
+	Latency, Lateness *hdrhistogram.Histogram
 }
 
-// Void says why it is no result; empty: it is one.
-func (r *LoadResult) Void() string { return lateMeter{r.Late}.lateness().Void() }
+// InvalidReason says why it is no result; empty: it is one.
+func (r *LoadResult) InvalidReason() string {
+	return latenessMeter{r.Lateness}.lateness().InvalidReason()
+}
 
-const mostDue = 1 << 20 // of a thread: requests that may wait for a connection
+const maxDue = 1 << 20 // of a thread: requests that may wait for a connection
 
 var errLoad = errors.New("a load needs a target, a rate and a length")
 
@@ -66,9 +68,9 @@
 	if !to.Addr().IsLoopback() || !to.Addr().Is4() || o.Rate <= 0 || o.Length <= 0 {
 		return LoadResult{}, errLoad
 	}
-	defaults(&o.Conns, 256)
-	defaults(&o.Cores, 2)
-	defaults(&o.Grace, time.Second)
+	setDefault(&o.Conns, 256)
+	setDefault(&o.Cores, 2)
+	setDefault(&o.Grace, time.Second)
 	if o.Request == nil {
 		up := append(http1.AppendRequestStart(nil, http.MethodGet, "/up", o.Target), "\r\n"...)
 		o.Request = func(int, uint64) []byte { return up }
@@ -85,23 +87,23 @@
 	var all sync.WaitGroup
 	began := time.Now()
 	for _, t := range threads {
-		t.began = began
-		all.Go(func() { t.fault = t.run(ctx) })
+		t.startedAt = began
+		all.Go(func() { t.failure = t.run(ctx) })
 	}
 	all.Wait()
 	r := LoadResult{
-		Status: map[int]uint64{}, Length: o.Length, Latency: newLateMeter().spans,
-		Late: newLateMeter().spans,
+		Status: map[int]uint64{}, Length: o.Length, Latency: newLatenessMeter().spans,
+		Lateness: newLatenessMeter().spans,
 	}
 	for _, t := range threads {
-		err = errors.Join(err, t.fault)
-		r.add(&t.got)
+		err = errors.Join(err, t.failure)
+		r.add(&t.result)
 	}
 	r.Rate = float64(r.Answered) / o.Length.Seconds()
 	return r, err
 }
 
-func defaults[T int | time.Duration](x *T, by T) {
+func setDefault[T int | time.Duration](x *T, by T) {
 	if *x <= 0 {
 		*x = by
 	}
@@ -116,34 +118,34 @@
 		r.Status[s] += n
 	}
 	r.Latency.Merge(o.Latency)
-	r.Late.Merge(o.Late)
+	r.Lateness.Merge(o.Lateness)
 }
 
 // loadThread is one thread's part: a loop with connections of its own.
 type loadThread struct {
 	*poller
-	o       *LoadOptions
-	to      netip.AddrPort
-	n       int
+	options *LoadOptions
+	target  netip.AddrPort
+	number  int
 	rng     *rand.Rand
-	gap     float64 // mean, between two requests
-	next    time.Duration
-	asked   uint64
+	meanGap float64 // mean, between two requests
+	nextDue time.Duration
+	sent    uint64
 	conns   []*loadConn
 	idle    []*loadConn // taken from the front, so that all are used
 	waiting []time.Duration
 	open    int
-	http    *reader
-	got     LoadResult
-	fault   error
+	reader  *reader
+	result  LoadResult
+	failure error
 }
 
 // loadConn is a connection. It carries one request at a time.
 type loadConn struct {
-	sock
-	t    *loadThread
-	due  time.Duration
-	busy bool
+	socketConn
+	thread *loadThread
+	dueAt  time.Duration
+	busy   bool
 }
 
 func newLoadThread(o *LoadOptions, to netip.AddrPort, n int) (*loadThread, error) {
@@ -152,13 +154,13 @@
 		return nil, err
 	}
 	t := &loadThread{
-		poller: p, o: o, to: to, n: n, rng: rand.New(rand.NewPCG(o.Seed, uint64(n))), http: newReader(),
-		gap: float64(time.Second) * float64(o.Cores) / o.Rate,
+		poller: p, options: o, target: to, number: n, rng: rand.New(rand.NewPCG(o.Seed, uint64(n))), reader: newReader(),
+		meanGap: float64(time.Second) * float64(o.Cores) / o.Rate,
 	}
-	t.got = LoadResult{Status: map[int]uint64{}, Latency: newLateMeter().spans, Late: newLateMeter().spans}
+	t.result = LoadResult{Status: map[int]uint64{}, Latency: newLatenessMeter().spans, Lateness: newLatenessMeter().spans}
 	for range max(1, o.Conns/o.Cores) {
-		c := &loadConn{t: t}
-		if err := p.dial(&c.sock, netip.AddrPort{}, to, c); err != nil {
+		c := &loadConn{thread: t}
+		if err := p.dial(&c.socketConn, netip.AddrPort{}, to, c); err != nil {
 			t.close()
 			return nil, fmt.Errorf("connecting to %v: %w", to, err)
 		}
@@ -188,77 +190,77 @@
 func (t *loadThread) run(ctx context.Context) error {
 	defer t.close()
 	// The goroutine ends locked, and its thread with it: a core that it was given is given to nobody else.
-	if err := pin(t.o.Pin, t.n); err != nil {
+	if err := pin(t.options.PinCores, t.number); err != nil {
 		return err
 	}
-	end := t.o.Warm + t.o.Length
-	last := end + t.o.Grace
+	end := t.options.WarmUp + t.options.Length
+	last := end + t.options.Grace
 	for {
 		now := t.clock()
-		for t.next <= now && t.next < end {
-			t.fallDue(now)
+		for t.nextDue <= now && t.nextDue < end {
+			t.requestDue(now)
 		}
 		if now >= last || now >= end && t.open == 0 || ctx.Err() != nil {
 			break
 		}
 		until := last
 		if now < end {
-			until = min(t.next, end)
+			until = min(t.nextDue, end)
 		}
 		if err := t.wait(until, true); err != nil {
 			return err
 		}
 	}
-	t.got.Open = t.got.Due - t.got.Answered - t.got.Failed
+	t.result.Open = t.result.Due - t.result.Answered - t.result.Failed
 	return ctx.Err()
 }
 
-// fallDue has the next request fall due.
-func (t *loadThread) fallDue(now time.Duration) {
-	due := t.next
-	t.next += time.Duration(t.rng.ExpFloat64() * t.gap)
-	if due >= t.o.Warm {
-		t.got.Due++
-		_ = t.got.Late.RecordValue((now - due).Microseconds())
+// requestDue has the next request fall due.
+func (t *loadThread) requestDue(now time.Duration) {
+	due := t.nextDue
+	t.nextDue += time.Duration(t.rng.ExpFloat64() * t.meanGap)
+	if due >= t.options.WarmUp {
+		t.result.Due++
+		_ = t.result.Lateness.RecordValue((now - due).Microseconds())
 	}
 	t.open++
 	switch {
 	case len(t.idle) > 0:
-		t.put(due)
-	case len(t.waiting) < mostDue:
+		t.sendRequest(due)
+	case len(t.waiting) < maxDue:
 		t.waiting = append(t.waiting, due)
 	default:
-		t.lost(due)
+		t.requestLost(due)
 	}
 }
 
-func (t *loadThread) put(due time.Duration) {
+func (t *loadThread) sendRequest(due time.Duration) {
 	c := t.idle[0]
 	t.idle = t.idle[1:]
-	c.due, c.busy = due, true
-	c.write(t.o.Request(t.n, t.asked))
-	t.asked++
+	c.dueAt, c.busy = due, true
+	c.write(t.options.Request(t.number, t.sent))
+	t.sent++
 }
 
-func (t *loadThread) lost(due time.Duration) {
-	if t.open--; due >= t.o.Warm {
-		t.got.Failed++
+func (t *loadThread) requestLost(due time.Duration) {
+	if t.open--; due >= t.options.WarmUp {
+		t.result.Failed++
 	}
 }
 
-// free gives a connection to the request that has waited longest.
-func (t *loadThread) free(c *loadConn) {
+// release gives a connection to the request that has waited longest.
+func (t *loadThread) release(c *loadConn) {
 	if t.idle = append(t.idle, c); len(t.waiting) > 0 {
 		due := t.waiting[0]
 		t.waiting = t.waiting[1:]
-		t.put(due)
+		t.sendRequest(due)
 	}
 }
 
-func (c *loadConn) came(int) {
-	status, n, ended := leanAnswer(c.in)
+func (c *loadConn) dataReceived(int) {
+	status, n, ended := parseSimpleResponse(c.received)
 	if n == 0 && !ended {
-		a, _, m, err := c.t.http.response(c.in, false)
+		a, _, m, err := c.thread.reader.response(c.received, false)
 		if err != nil || m == 0 {
 			if err != nil {
 				c.fail(err)
@@ -270,31 +272,31 @@
 	if n == 0 {
 		return
 	}
-	t := c.t
-	if c.take(n); !c.busy {
+	t := c.thread
+	if c.consume(n); !c.busy {
 		c.fail(nil)
 		return
 	}
 	c.busy = false
-	if t.open--; c.due >= t.o.Warm {
-		t.got.Answered++
-		t.got.Status[status]++
-		_ = t.got.Latency.RecordValue((t.clock() - c.due).Microseconds())
+	if t.open--; c.dueAt >= t.options.WarmUp {
+		t.result.Answered++
+		t.result.Status[status]++
+		_ = t.result.Latency.RecordValue((t.clock() - c.dueAt).Microseconds())
 	}
 	if ended {
 		c.fail(nil)
 		return
 	}
-	t.free(c)
+	t.release(c)
 }
 
-// ended opens the connection anew.
-func (c *loadConn) ended(error) {
-	t := c.t
+// connClosed opens the connection anew.
+func (c *loadConn) connClosed(error) {
+	t := c.thread
 	idle := !c.busy
 	if c.busy {
 		c.busy = false
-		t.lost(c.due)
+		t.requestLost(c.dueAt)
 	}
 	if idle {
 		for i, k := range t.idle {
@@ -304,15 +306,15 @@
 			}
 		}
 	}
-	if err := t.dial(&c.sock, netip.AddrPort{}, t.to, c); err == nil {
-		t.free(c)
+	if err := t.dial(&c.socketConn, netip.AddrPort{}, t.target, c); err == nil {
+		t.release(c)
 	}
 }
 
-// leanAnswer reads an answer of the plainest form from the start of b: n bytes long, 0 while it is not whole or not of
+// parseSimpleResponse reads an answer of the plainest form from the start of b: n bytes long, 0 while it is not whole or not of
 // that form; ended: it says that its connection ends.
-func leanAnswer(b []byte) (status, n int, ended bool) {
-	head := bytes.Index(b, headEnd)
+func parseSimpleResponse(b []byte) (status, n int, ended bool) {
+	head := bytes.Index(b, headerEnd)
 	if head < 12 || !bytes.HasPrefix(b, []byte("HTTP/1.1 ")) {
 		return 0, 0, false
 	}
@@ -321,23 +323,23 @@
 		return 0, 0, false
 	}
 	length := 0
-	switch value, ok := leanField(b[:head+2], "\r\nContent-Length: "); {
+	switch value, ok := findField(b[:head+2], "\r\nContent-Length: "); {
 	case ok:
-		if length, err = strconv.Atoi(string(value)); err != nil || length < 0 || length > mostBody {
+		if length, err = strconv.Atoi(string(value)); err != nil || length < 0 || length > maxBody {
 			return 0, 0, false
 		}
 	case status != http.StatusNoContent:
 		return 0, 0, false
 	}
-	if n = head + len(headEnd) + length; n > len(b) {
+	if n = head + len(headerEnd) + length; n > len(b) {
 		return 0, 0, false
 	}
-	value, _ := leanField(b[:head+2], "\r\nConnection: ")
+	value, _ := findField(b[:head+2], "\r\nConnection: ")
 	return status, n, string(value) == "close"
 }
 
-// leanField finds a field that is written just so in a head whose lines all end.
-func leanField(head []byte, name string) (value []byte, ok bool) {
+// findField finds a field that is written just so in a head whose lines all end.
+func findField(head []byte, name string) (value []byte, ok bool) {
 	at := bytes.Index(head, []byte(name))
 	if at < 0 {
 		return nil, false
@@ -352,20 +354,20 @@
 type Responder struct {
 	Addr    string
 	threads []*responderThread
-	over    atomic.Bool
-	done    sync.WaitGroup
+	closed  atomic.Bool
+	running sync.WaitGroup
 }
 
 type responderThread struct {
 	*poller
 	listener *listener
 	conns    map[*responderConn]struct{}
-	fault    error
+	failure  error
 }
 
 type responderConn struct {
-	sock
-	t *responderThread
+	socketConn
+	thread *responderThread
 }
 
 // StartResponder has one answer at an address of 127.0.0.0/8 (port 0: any) from so many threads, on these cores if
@@ -385,15 +387,15 @@
 			break
 		}
 		r.threads = append(r.threads, t)
-		if t.listener, err = t.share(to, t.accept, func(err error) { t.fault = err }); err != nil {
+		if t.listener, err = t.listenShared(to, t.accept, func(err error) { t.failure = err }); err != nil {
 			break
 		}
-		to = t.listener.at
-		if err = t.listener.hear(edge.Open); err != nil {
+		to = t.listener.address
+		if err = t.listener.setMode(simapi.AcceptAll); err != nil {
 			break
 		}
-		r.done.Go(func() {
-			if t.fault = pin(cores, i); t.fault == nil {
+		r.running.Go(func() {
+			if t.failure = pin(cores, i); t.failure == nil {
 				r.run(t)
 			}
 		})
@@ -406,11 +408,11 @@
 
 // Close ends it, and tells what went wrong in it.
 func (r *Responder) Close() (err error) {
-	r.over.Store(true)
+	r.closed.Store(true)
 	for _, t := range r.threads {
-		t.ring()
+		t.wake()
 	}
-	r.done.Wait()
+	r.running.Wait()
 	for _, t := range r.threads {
 		for c := range t.conns {
 			c.reset()
@@ -419,45 +421,45 @@
 			t.listener.close()
 		}
 		t.close()
-		err = errors.Join(err, t.fault)
+		err = errors.Join(err, t.failure)
 	}
 	return err
 }
 
 func (r *Responder) run(t *responderThread) {
-	for t.fault == nil && !r.over.Load() {
-		t.fault = t.wait(0, false)
+	for t.failure == nil && !r.closed.Load() {
+		t.failure = t.wait(0, false)
 	}
 }
 
 func (t *responderThread) accept(fd int) {
-	c := &responderConn{t: t}
-	if err := t.adopt(&c.sock, fd, c); err != nil {
-		t.fault = err
+	c := &responderConn{thread: t}
+	if err := t.adopt(&c.socketConn, fd, c); err != nil {
+		t.failure = err
 		return
 	}
 	t.conns[c] = struct{}{}
 }
 
-var emptyAnswer = http1.AppendResponse(nil, http.StatusOK, "", nil, true)
+var emptyResponse = http1.AppendResponse(nil, http.StatusOK, "", nil, true)
 
-func (c *responderConn) came(int) {
+func (c *responderConn) dataReceived(int) {
 	for !c.closed {
-		head := bytes.Index(c.in, headEnd)
+		head := bytes.Index(c.received, headerEnd)
 		if head < 0 {
 			return
 		}
 		length := 0
-		if value, ok := leanField(c.in[:head+2], "\r\nContent-Length: "); ok {
+		if value, ok := findField(c.received[:head+2], "\r\nContent-Length: "); ok {
 			length, _ = strconv.Atoi(string(value))
 		}
-		n := head + len(headEnd) + length
-		if length < 0 || n > len(c.in) {
+		n := head + len(headerEnd) + length
+		if length < 0 || n > len(c.received) {
 			return
 		}
-		c.take(n)
-		c.write(emptyAnswer)
+		c.consume(n)
+		c.write(emptyResponse)
 	}
 }
 
-func (c *responderConn) ended(error) { delete(c.t.conns, c) }
+func (c *responderConn) connClosed(error) { delete(c.thread.conns, c) }
--- /dev/null
+++ b/internal/testbed/process/misbehaving.go
@@ -0,0 +1,350 @@
+package process
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"golang.org/x/sys/unix"
+
+	"valvecove/internal/http1"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simapi"
+)
+
+// Bad clients have ids and paths of their own, so that a worker node knows theirs: it can use none. A query that
+// one has hidden in another's body is no bad client's to a worker node, but one that nobody has sent.
+const (
+	misbehavingPrefix = "odd-"
+	hiddenPrefix      = "hidden-"
+)
+
+func isMisbehavingPath(path string) bool {
+	return strings.HasPrefix(path[strings.LastIndexByte(path, '/')+1:], misbehavingPrefix)
+}
+
+func isHiddenRequest(call string) bool { return strings.HasPrefix(call, hiddenPrefix) }
+
+const (
+	misbehavingTimeout = 20 * time.Second // longer than it is ever owed something for
+	hugeBody           = 60 << 20
+	maxInsists         = 300 // times that the same is sent again
+	insistTime         = 3 * time.Second
+	slowByteInterval   = 100 * time.Millisecond
+	slowReadBytes      = 16 // bytes at a time
+	maxFeedsAtOnce     = 16 // writes of one that never stops, before others have their turn
+)
+
+// misbehavingClient is a bad client: what it sends, how, and what it does once it is answered. It tells the world of its first
+// answer, of any further one that says its request was served, and else of its end.
+type misbehavingClient struct {
+	driver        *driver
+	id            simapi.Conn
+	scheduler     int
+	kind          string
+	rng           *rand.Rand
+	conns         []*misbehavingConn
+	open          int
+	reported      bool
+	ended         bool
+	timer         *timer
+	insistRequest []byte // insist: what is sent again
+	repeats       int
+	insistUntil   time.Duration
+}
+
+// misbehavingConn is one of its connections.
+type misbehavingConn struct {
+	socketConn
+	client           *misbehavingClient
+	feed             func() []byte // gives what is to be written once all before has left; nil: nothing more
+	closeWhenFlushed bool          // it closes once all is written
+	slowTimer        *timer        // of what it does slowly
+}
+
+// startMisbehaving begins a bad client.
+func (d *driver) startMisbehaving(in *simapi.Input) {
+	o := &misbehavingClient{
+		driver: d, id: in.Conn, scheduler: in.Scheduler, kind: in.Misbehavior.Kind,
+		rng: rand.New(rand.NewPCG(in.Misbehavior.Number, xxhash.Sum64String(in.Misbehavior.Kind))), insistUntil: d.now + insistTime,
+	}
+	d.misbehaving[o.id] = o
+	o.timer = d.after(misbehavingTimeout, o.close)
+	o.start(in.Misbehavior)
+	if o.open == 0 && !o.ended { // nothing came up
+		o.end()
+	}
+}
+
+// connect opens one of its connections and writes to it.
+func (o *misbehavingClient) connect(b []byte) *misbehavingConn {
+	k := &misbehavingConn{client: o}
+	d := o.driver
+	from := d.addresses.client(uint64(o.id) + uint64(len(o.conns)))
+	if err := d.dial(&k.socketConn, from, d.addresses.scheduler(o.scheduler), k); err != nil {
+		d.failIfLocal(err)
+		k.closed = true
+		return k
+	}
+	o.conns = append(o.conns, k)
+	o.open++
+	if len(b) > 0 {
+		k.write(b)
+	}
+	return k
+}
+
+// close is its own going away: nobody is told.
+func (o *misbehavingClient) close() {
+	if o.ended {
+		return
+	}
+	o.ended = true
+	o.driver.stop(o.timer)
+	delete(o.driver.misbehaving, o.id)
+	for _, k := range o.conns {
+		o.driver.stop(k.slowTimer)
+		k.reset()
+	}
+}
+
+// end tells of its end, if nothing better can be told.
+func (o *misbehavingClient) end() {
+	if !o.reported && !o.ended {
+		o.reported = true
+		o.driver.addOutput(simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: o.scheduler, Conn: o.id})
+	}
+	o.close()
+}
+
+func (k *misbehavingConn) dataReceived(int) {
+	o := k.client
+	for len(k.received) > 0 && !k.closed {
+		a, _, n, err := o.driver.reader.response(k.received, false)
+		if err != nil {
+			k.reset()
+			k.connClosed(err)
+			return
+		}
+		if n == 0 {
+			return
+		}
+		k.consume(n)
+		o.responseReceived(k, a.StatusCode)
+	}
+}
+
+func (o *misbehavingClient) responseReceived(k *misbehavingConn, status int) {
+	if !o.reported || status/100 == 2 {
+		o.reported = true
+		o.driver.addOutput(simapi.Output{Kind: simapi.ResponseWritten, Scheduler: o.scheduler, Conn: o.id, Status: status})
+	}
+	switch {
+	case o.kind == "flood" || o.kind == "slow_reader": // there is more to come
+	case o.kind == "insist" && status/100 != 2 && o.repeats < maxInsists && o.driver.now < o.insistUntil:
+		o.repeats++
+		k.write(o.insistRequest)
+	default:
+		o.close()
+	}
+}
+
+func (k *misbehavingConn) connClosed(error) {
+	o := k.client
+	o.open--
+	o.driver.stop(k.slowTimer)
+	switch {
+	case o.ended:
+	case o.kind == "insist" && k.connected && o.repeats < maxInsists && o.driver.now < o.insistUntil:
+		o.repeats++
+		o.connect(o.insistRequest)
+		fallthrough
+	default:
+		if o.open == 0 {
+			o.end()
+		}
+	}
+}
+
+func (k *misbehavingConn) flushed() {
+	if k.closeWhenFlushed {
+		k.close()
+		k.connClosed(nil)
+		return
+	}
+	for range maxFeedsAtOnce {
+		if k.feed == nil || k.closed || len(k.unsent) > 0 {
+			return
+		}
+		if b := k.feed(); b != nil {
+			k.write(b)
+		} else {
+			k.feed = nil
+		}
+	}
+	k.setEvents(k.events | unix.EPOLLOUT) // others have their turn
+}
+
+// repeatSlowly does something again and again.
+func (k *misbehavingConn) repeatSlowly(do func()) {
+	if !k.closed {
+		k.slowTimer = k.client.driver.after(slowByteInterval, func() {
+			do()
+			k.repeatSlowly(do)
+		})
+	}
+}
+
+// ---- What they do ----
+
+// misbehavingRequest is a query of a bad client, whose parts it may spoil.
+type misbehavingRequest struct {
+	class, path, id, caller, budget, key string
+	length                               string // Content-Length; empty: none
+	extraFields                          string // further lines of the head
+	body                                 string
+}
+
+func (o *misbehavingClient) newRequest(n int) misbehavingRequest {
+	spec := o.driver.spec
+	c := &spec.Classes[o.rng.IntN(len(spec.Classes))]
+	name := misbehavingPrefix + strconv.FormatUint(uint64(o.id), 36) + "-" + strconv.Itoa(n)
+	q := misbehavingRequest{
+		class: c.Name, path: "/" + c.Name + "/" + name, id: name,
+		budget: strconv.FormatInt(c.Deadline.Std().Milliseconds(), 10), body: strings.Repeat("x", 1+o.rng.IntN(200)),
+	}
+	if len(spec.Tenants) > 0 {
+		q.caller = spec.Tenants[o.rng.IntN(len(spec.Tenants))].Name
+	}
+	if c.Idempotency == "keyed" {
+		q.key = name
+	}
+	q.length = strconv.Itoa(len(q.body))
+	return q
+}
+
+func (q misbehavingRequest) bytes(host string) []byte {
+	b := http1.AppendRequestStart(nil, "POST", q.path, host)
+	for _, f := range [][2]string{
+		{"X-Call-Id", q.id},
+		{"X-Call-Class", q.class},
+		{"X-Caller", q.caller},
+		{"X-Budget-Ms", q.budget},
+		{"Idempotency-Key", q.key},
+		{"Content-Length", q.length},
+	} {
+		b = http1.AppendField(b, f[0], f[1])
+	}
+	b = append(b, q.extraFields...)
+	b = append(b, "\r\n"...)
+	return append(b, q.body...)
+}
+
+// start does what its kind does. Each has an answer or a close coming, but for those that leave by themselves.
+func (o *misbehavingClient) start(do *simapi.Misbehavior) {
+	host := o.driver.addresses.scheduler(o.scheduler).String()
+	q := o.newRequest(0)
+	switch do.Kind {
+	case "garbage":
+		b := make([]byte, 1+o.rng.IntN(8<<10))
+		for i := range b {
+			b[i] = byte(o.rng.Uint32())
+		}
+		o.connect(append(b, "\r\n\r\n"...))
+	case "endless_head":
+		line := []byte(strings.Repeat("X-More: "+strings.Repeat("m", 100)+"\r\n", 40))
+		o.connect(http1.AppendRequestStart(nil, "POST", q.path, host)).feed = func() []byte { return line }
+	case "wrong_length":
+		off := 1 + o.rng.IntN(len(q.body)) // too long, and never whole; or too short, and the rest is no request
+		if do.Number%2 == 0 {
+			off = -off
+		}
+		q.length = strconv.Itoa(len(q.body) + off)
+		o.connect(q.bytes(host))
+	case "negative_length":
+		q.length = strconv.Itoa(-1 - o.rng.IntN(1000))
+		o.connect(q.bytes(host))
+	case "huge_length":
+		q.length = "9" + strings.Repeat("0", 8+o.rng.IntN(20))
+		o.connect(q.bytes(host))
+	case "huge_body":
+		q.length, q.body = strconv.Itoa(hugeBody), ""
+		part, left := make([]byte, 64<<10), hugeBody
+		o.connect(q.bytes(host)).feed = func() []byte {
+			n := min(left, len(part))
+			left -= n
+			if n == 0 {
+				return nil
+			}
+			return part[:n]
+		}
+	case "unknown_class":
+		q.class = "no-such-class"
+		q.path = "/" + q.class + "/" + q.id
+		o.connect(q.bytes(host))
+	case "bad_deadline":
+		q.budget = []string{"soon", "-1", "1e3", "12ms", "99999999999999999999", "0x10"}[o.rng.IntN(6)]
+		o.connect(q.bytes(host))
+	case "no_id":
+		q.id = ""
+		o.connect(q.bytes(host))
+	case "stolen_id":
+		if do.RequestID != "" {
+			q.id = do.RequestID
+		}
+		o.connect(q.bytes(host))
+	case "half_then_close":
+		b := q.bytes(host)
+		k := o.connect(b[:1+o.rng.IntN(len(b)-1)])
+		k.closeWhenFlushed = true
+	case "flood":
+		var b []byte
+		for i := range 200 + o.rng.IntN(300) {
+			b = append(b, o.newRequest(i).bytes(host)...)
+		}
+		o.connect(b)
+	case "insist":
+		o.insistRequest = q.bytes(host)
+		o.connect(o.insistRequest)
+	case "silent":
+		o.connect(nil)
+	case "smuggle":
+		hidden := o.newRequest(1)
+		hidden.id = hiddenPrefix + hidden.id
+		hidden.path = "/" + hidden.class + "/" + hidden.id
+		q.extraFields = "Transfer-Encoding: chunked\r\n"
+		q.body = "0\r\n\r\n" + string(hidden.bytes(host)) // by chunks it ends before the hidden one, by length after it
+		q.length = strconv.Itoa(len(q.body))
+		o.connect(q.bytes(host))
+	case "slow_head":
+		b := q.bytes(host)
+		k := o.connect(b[:1])
+		at := 1
+		k.repeatSlowly(func() {
+			if at < len(b) {
+				k.write(b[at : at+1])
+				at++
+			}
+		})
+	case "slow_reader":
+		q.class = "no-such-class"
+		q.path = "/" + q.class + "/" + q.id
+		var b []byte
+		for one := q.bytes(host); len(b) < 1<<20; {
+			b = append(b, one...)
+		}
+		k := o.connect(b)
+		k.setReading(false)
+		k.repeatSlowly(func() {
+			if k.connected {
+				k.read(slowReadBytes)
+			}
+		})
+	default:
+		o.driver.fail(fmt.Errorf("bad clients of kind %q are not known here, only %s", do.Kind,
+			strings.Join(scenario.MisbehaviorKinds, ", ")))
+	}
+}
--- a/internal/lab/live/poll.go
+++ b/internal/testbed/process/poller.go
@@ -1,4 +1,4 @@
-package live
+package process
 
 import (
 	"encoding/binary"
@@ -11,32 +11,32 @@
 
 // poller waits for sockets, for an instant and for a bell. One goroutine uses it; only ring is for others.
 type poller struct {
-	epoll, timer, bell int
-	began              time.Time
-	now                time.Duration // when what is told of became ready, as far as is known
-	armed              time.Duration // what the timer is set to; 0: to nothing
-	owners             []owner       // by descriptor
-	ages               []int32       // and how often each has been used, so that an event of its last use is told apart
-	events             [512]unix.EpollEvent
-	scrap              [64 << 10]byte // what is read goes through here
-	rings              sync.Mutex
-	mute               bool
+	epoll, timer, wakeup int
+	startedAt            time.Time
+	now                  time.Duration // when what is told of became ready, as far as is known
+	armed                time.Duration // what the timer is set to; 0: to nothing
+	owners               []owner       // by descriptor
+	generations          []int32       // and how often each has been used, so that an event of its last use is told apart
+	events               [512]unix.EpollEvent
+	readBuffer           [64 << 10]byte // what is read goes through here
+	wakeupLock           sync.Mutex
+	closed               bool
 }
 
 // owner is told of what its descriptor is ready for.
 type owner interface{ ready(events uint32) }
 
 func newPoller() (*poller, error) {
-	p := &poller{epoll: -1, timer: -1, bell: -1, began: time.Now()}
+	p := &poller{epoll: -1, timer: -1, wakeup: -1, startedAt: time.Now()}
 	var err error
 	if p.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
 	// A timer of its own: epoll's is in milliseconds.
 	if p.timer, err = unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC); err == nil {
-		if p.bell, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err == nil {
+		if p.wakeup, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err == nil {
 			if err = p.add(p.timer, unix.EPOLLIN, timerOwner{}); err == nil {
-				err = p.add(p.bell, unix.EPOLLIN, bellOwner{p})
+				err = p.add(p.wakeup, unix.EPOLLIN, wakeupOwner{p})
 			}
 		}
 	}
@@ -49,10 +49,10 @@
 
 // close gives up the poller's own descriptors.
 func (p *poller) close() {
-	p.rings.Lock()
-	p.mute = true
-	p.rings.Unlock()
-	for _, fd := range []int{p.epoll, p.timer, p.bell} {
+	p.wakeupLock.Lock()
+	p.closed = true
+	p.wakeupLock.Unlock()
+	for _, fd := range []int{p.epoll, p.timer, p.wakeup} {
 		if fd >= 0 {
 			_ = unix.Close(fd)
 		}
@@ -60,16 +60,16 @@
 }
 
 // clock is the time since the play began.
-func (p *poller) clock() time.Duration { return time.Since(p.began) }
+func (p *poller) clock() time.Duration { return time.Since(p.startedAt) }
 
-// ring wakes wait. Any goroutine may, also once the poller is closed.
-func (p *poller) ring() {
+// wake wakes wait. Any goroutine may, also once the poller is closed.
+func (p *poller) wake() {
 	var one [8]byte
 	binary.NativeEndian.PutUint64(one[:], 1)
-	p.rings.Lock()
-	defer p.rings.Unlock()
-	if !p.mute { // else the descriptor may be somebody else's by now
-		_, _ = unix.Write(p.bell, one[:])
+	p.wakeupLock.Lock()
+	defer p.wakeupLock.Unlock()
+	if !p.closed { // else the descriptor may be somebody else's by now
+		_, _ = unix.Write(p.wakeup, one[:])
 	}
 }
 
@@ -77,19 +77,19 @@
 
 func (timerOwner) ready(uint32) {} // wait sets it anew
 
-type bellOwner struct{ p *poller }
+type wakeupOwner struct{ poller *poller }
 
-func (b bellOwner) ready(uint32) {
+func (b wakeupOwner) ready(uint32) {
 	var n [8]byte
-	_, _ = unix.Read(b.p.bell, n[:])
+	_, _ = unix.Read(b.poller.wakeup, n[:])
 }
 
 // add has a descriptor watched.
 func (p *poller) add(fd int, events uint32, who owner) error {
 	for fd >= len(p.owners) {
-		p.owners, p.ages = append(p.owners, nil), append(p.ages, 0)
+		p.owners, p.generations = append(p.owners, nil), append(p.generations, 0)
 	}
-	p.ages[fd]++
+	p.generations[fd]++
 	if err := unix.EpollCtl(p.epoll, unix.EPOLL_CTL_ADD, fd, p.event(fd, events)); err != nil {
 		return fmt.Errorf("epoll: %w", err)
 	}
@@ -98,7 +98,7 @@
 }
 
 func (p *poller) event(fd int, events uint32) *unix.EpollEvent {
-	return &unix.EpollEvent{Events: events, Fd: int32(fd), Pad: p.ages[fd]}
+	return &unix.EpollEvent{Events: events, Fd: int32(fd), Pad: p.generations[fd]}
 }
 
 func (p *poller) change(fd int, events uint32) {
@@ -114,7 +114,7 @@
 // forget is for a descriptor that is being closed.
 func (p *poller) forget(fd int) {
 	p.owners[fd] = nil
-	p.ages[fd]++
+	p.generations[fd]++
 }
 
 // wait waits until something is ready or the instant has come (not timed: only until something is ready), and lets the
@@ -144,7 +144,7 @@
 		if fd == p.timer {
 			p.armed = -1
 		}
-		if who := p.owners[fd]; who != nil && p.ages[fd] == e.Pad {
+		if who := p.owners[fd]; who != nil && p.generations[fd] == e.Pad {
 			who.ready(e.Events)
 		}
 	}
--- /dev/null
+++ b/internal/testbed/process/processes.go
@@ -0,0 +1,517 @@
+package process
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/netip"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"runtime"
+	"slices"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/internal/http1"
+	"valvecove/internal/requests"
+	"valvecove/internal/testbed/platform"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simapi"
+)
+
+const (
+	maxLog            = 8 << 20 // bytes of a scheduler's log that are kept
+	maxCommands       = 64
+	readyPollFirst    = 10 * time.Millisecond // between looks at /up until it answers
+	readyPollInterval = 100 * time.Millisecond
+	readyPollTimeout  = time.Second
+)
+
+// starter starts processes, all from one thread that lives as long as the play: a process that is to die with its
+// parent dies with the thread that it was started from.
+type starter struct {
+	commands chan func()
+	running  sync.WaitGroup
+}
+
+func (s *starter) run() {
+	s.running.Go(func() {
+		runtime.LockOSThread()
+		defer runtime.UnlockOSThread()
+		for do := range s.commands {
+			do()
+		}
+	})
+}
+
+func (s *starter) close() {
+	close(s.commands)
+	s.running.Wait()
+}
+
+// start starts a command on a core (below 0: any).
+func (s *starter) start(c *exec.Cmd, core int) error {
+	done := make(chan error)
+	s.commands <- func() {
+		if core < 0 {
+			done <- c.Start()
+			return
+		}
+		// Set for this thread it is inherited; set for the process once that runs, some of its threads would miss it.
+		var all, one unix.CPUSet
+		if err := unix.SchedGetaffinity(0, &all); err != nil {
+			done <- fmt.Errorf("cores: %w", err)
+			return
+		}
+		one.Set(core)
+		if err := unix.SchedSetaffinity(0, &one); err != nil {
+			done <- fmt.Errorf("core %d: %w", core, err)
+			return
+		}
+		err := c.Start()
+		done <- errors.Join(err, unix.SchedSetaffinity(0, &all))
+	}
+	return <-done
+}
+
+// scheduler is one of the schedulers: its process, if it has one, and what the driver keeps with it. Orders are
+// carried out by a goroutine of its own, in order; all else belongs to the loop.
+type scheduler struct {
+	driver        *driver
+	number        int
+	name          string
+	listen        netip.AddrPort
+	configPath    string // its configuration file
+	startOptions  *simapi.StartOptions
+	commands      chan func()
+	idle          sync.WaitGroup
+	incarnation   int  // counts processes
+	alive         bool // a process is wanted, and none has ended by itself
+	ready         bool
+	everReady     bool // one has been ready
+	readiness     *readinessPoll
+	callbackPools map[int]*callbackPool // of notes, by worker node
+	connCount     uint64                // opened to worker nodes so far
+	log           *logFile
+	started       int
+	exits         []int // of the processes that ended by themselves
+	closed        bool
+	process       *exec.Cmd // for orders only
+	reaped        chan struct{}
+	management    netip.AddrPort // of the newest process, if it has one
+	pid           atomic.Int32   // of the process that there is; 0: none
+}
+
+func newScheduler(d *driver, n int) *scheduler {
+	s := &scheduler{
+		driver: d, number: n, name: "s" + strconv.Itoa(n+1), listen: d.addresses.scheduler(n),
+		commands: make(chan func(), maxCommands), callbackPools: map[int]*callbackPool{},
+	}
+	s.configPath = filepath.Join(d.options.Dir, s.name+".json")
+	s.log = &logFile{path: filepath.Join(d.options.Dir, s.name+".log")}
+	s.idle.Go(func() {
+		for do := range s.commands {
+			do()
+		}
+	})
+	return s
+}
+
+func (s *scheduler) enqueue(do func()) {
+	select {
+	case s.commands <- do:
+	default:
+		s.driver.fail(fmt.Errorf("scheduler %s: more than %d orders wait", s.name, maxCommands))
+	}
+}
+
+// close kills the process that there is and ends the scheduler's goroutine. The loop has ended by now.
+func (s *scheduler) close() {
+	if s.closed {
+		return
+	}
+	s.closed = true
+	s.commands <- s.kill
+	close(s.commands)
+	s.idle.Wait()
+	for _, p := range s.callbackPools {
+		p.close()
+	}
+	if s.readiness != nil {
+		s.readiness.reset()
+	}
+	s.log.close()
+}
+
+// configure writes the configuration file, whole or not at all.
+func (s *scheduler) configure(text []byte) error {
+	if err := os.WriteFile(s.configPath+".new", text, 0o600); err != nil {
+		return err
+	}
+	return os.Rename(s.configPath+".new", s.configPath)
+}
+
+func (s *scheduler) configuration(disco int) []byte {
+	return platform.Config(s.driver.spec, s.number, platform.Options{
+		Name: s.name, Listen: s.listen.String(),
+		Discovery: s.driver.addresses.discovery(disco, s.number).String(), Seed: s.startOptions.Seed, KnownEndpoints: s.driver.localEndpoints(s.number, s.startOptions.KnownEndpoints),
+	})
+}
+
+// start starts a process; the one before it has been killed or has ended.
+func (s *scheduler) start(boot *simapi.StartOptions) {
+	s.startOptions = boot
+	s.incarnation++
+	s.started++
+	s.alive, s.ready = true, false
+	life, text, c := s.incarnation, s.configuration(boot.Discovery), s.command()
+	s.enqueue(func() {
+		s.kill() // only one may have the address
+		err := s.configure(text)
+		if err == nil {
+			err = s.startProcess(c, life)
+		}
+		s.driver.post(func() { s.processStarted(life, err) })
+	})
+}
+
+// command is that of another process.
+func (s *scheduler) command() *exec.Cmd {
+	args := s.args()
+	c := exec.Command(args[0], args[1:]...)
+	c.Env = append([]string{
+		"PATH=" + os.Getenv("PATH"), "TMPDIR=" + s.driver.options.Dir, "PROXY_NAME=" + s.name,
+		"PROXY_LISTEN=" + s.listen.String(), "PROXY_DISCOVERY=" + s.driver.addresses.discovery(s.startOptions.Discovery, s.number).String(),
+		"PROXY_CONFIG=" + s.configPath,
+	}, s.driver.options.Env...)
+	if s.replacesProcesses() {
+		s.management = s.driver.addresses.management(s.number, s.started)
+		c.Env = append(c.Env, "TMPDIR="+s.tempDir(), "PROXY_MANAGEMENT="+s.management.String())
+	}
+	c.Stdout, c.Stderr, c.Dir = s.log, s.log, s.driver.options.Dir
+	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
+	c.WaitDelay = time.Second
+	return c
+}
+
+// startProcess starts a process. It is an order.
+func (s *scheduler) startProcess(c *exec.Cmd, life int) error {
+	core := -1
+	if len(s.driver.options.Cores) > 0 {
+		core = s.driver.options.Cores[s.number%len(s.driver.options.Cores)]
+	}
+	if s.replacesProcesses() {
+		if err := os.MkdirAll(s.tempDir(), 0o700); err != nil {
+			return err
+		}
+	}
+	if err := s.driver.starter.start(c, core); err != nil {
+		return err
+	}
+	reaped := make(chan struct{})
+	s.process, s.reaped = c, reaped
+	s.pid.Store(int32(c.Process.Pid))
+	s.idle.Go(func() { s.reap(c, reaped, life) })
+	return nil
+}
+
+// replacesProcesses tells whether the play replaces processes: only then have they a management address, and a directory that
+// they share with those before and after them.
+func (s *scheduler) replacesProcesses() bool {
+	return slices.ContainsFunc(s.driver.spec.Faults, func(f scenario.Fault) bool { return f.Kind == "sched_replace" })
+}
+
+func (s *scheduler) tempDir() string { return filepath.Join(s.driver.options.Dir, s.name+".tmp") }
+
+// Of a replacement: the new process has so long to say that it is ready, and the old one so long after SIGTERM.
+const (
+	readyTimeout   = 6 * time.Second
+	replaceTimeout = 3*time.Second + 700*time.Millisecond
+)
+
+// replace starts a second process beside the one that there is, and ends that once the second is ready. What becomes of the
+// first is nothing that the world is told.
+func (s *scheduler) replace() {
+	if !s.alive {
+		return
+	}
+	s.incarnation++
+	s.started++
+	life, c := s.incarnation, s.command()
+	ready := "http://" + s.management.String() + "/v1/readyz"
+	s.enqueue(func() {
+		old, reaped := s.process, s.reaped
+		if old == nil {
+			return
+		}
+		if err := s.startProcess(c, life); err != nil {
+			s.driver.post(func() { s.driver.fail(fmt.Errorf("scheduler %s: %w", s.name, err)) })
+			return
+		}
+		s.awaitReady(ready)
+		_ = old.Process.Signal(syscall.SIGTERM)
+		select {
+		case <-reaped:
+		case <-time.After(replaceTimeout):
+			_ = old.Process.Kill()
+			<-reaped
+		}
+	})
+}
+
+// awaitReady waits until a process says that it is ready, or has had its time.
+func (s *scheduler) awaitReady(url string) {
+	client := http.Client{Timeout: time.Second}
+	defer client.CloseIdleConnections()
+	for began := time.Now(); time.Since(began) < readyTimeout; time.Sleep(5 * time.Millisecond) {
+		res, err := client.Get(url)
+		if err != nil {
+			continue
+		}
+		_ = res.Body.Close()
+		if res.StatusCode == http.StatusOK {
+			return
+		}
+	}
+}
+
+// args are the command. The shell sets the limit on descriptors before the program is there, and is replaced by it.
+func (s *scheduler) args() []string {
+	args := []string{"/bin/sh", "-c", `ulimit -n "$0" && exec "$@"`, strconv.Itoa(s.driver.spec.Schedulers.Sockets)}
+	args = append(append(args, s.driver.options.Binary), s.driver.options.Args...)
+	if s.driver.spec.Schedulers.OperationsFile != "" {
+		args = append(args, "--config", filepath.Join(s.driver.options.Dir, operationsFile))
+	}
+	return args
+}
+
+const operationsFile = "ops.toml"
+
+// reap reaps a process.
+func (s *scheduler) reap(c *exec.Cmd, reaped chan struct{}, life int) {
+	_ = c.Wait()
+	code := c.ProcessState.ExitCode()
+	s.pid.CompareAndSwap(int32(c.Process.Pid), 0)
+	close(reaped)
+	s.driver.post(func() { s.processEnded(life, code) })
+}
+
+// kill kills the process that there is, and waits until it is gone. It is an order.
+func (s *scheduler) kill() {
+	if s.process != nil {
+		_ = s.process.Process.Kill()
+		<-s.reaped
+		s.process = nil
+	}
+}
+
+func (s *scheduler) processStarted(life int, err error) {
+	if err != nil {
+		s.driver.fail(fmt.Errorf("scheduler %s: %w", s.name, err))
+		return
+	}
+	if life == s.incarnation && s.alive {
+		s.pollReady()
+	}
+}
+
+// processEnded takes in that a process is gone. One that was killed by the world is gone already.
+func (s *scheduler) processEnded(life, code int) {
+	if life != s.incarnation || !s.alive {
+		return
+	}
+	s.reportNotReady()
+	s.exits = append(s.exits, code)
+	s.driver.addOutput(simapi.Output{Kind: simapi.Exited, Scheduler: s.number, Status: code})
+}
+
+func (s *scheduler) reportNotReady() {
+	s.alive, s.ready = false, false
+	if s.readiness != nil {
+		s.readiness.stop()
+		s.readiness = nil
+	}
+}
+
+// signals of the orders that are signals and nothing else.
+var signals = map[simapi.InputKind]syscall.Signal{
+	simapi.Terminate: syscall.SIGTERM, simapi.Freeze: syscall.SIGSTOP,
+	simapi.Resume: syscall.SIGCONT,
+}
+
+func (s *scheduler) signal(kind simapi.InputKind) {
+	if kind == simapi.Kill {
+		s.reportNotReady()
+		s.enqueue(s.kill)
+		return
+	}
+	s.enqueue(func() { s.sendSignal(signals[kind]) })
+}
+
+// sendSignal sends a signal, if there is a process to take it. It is an order.
+func (s *scheduler) sendSignal(sig syscall.Signal) {
+	if s.process != nil {
+		_ = s.process.Process.Signal(sig) // one that is reaped is not signalled any more
+	}
+}
+
+// reload names another discovery in the configuration, and has it read.
+func (s *scheduler) reload(disco int) {
+	if s.startOptions == nil {
+		return
+	}
+	text := s.configuration(disco)
+	s.enqueue(func() {
+		if err := s.configure(text); err != nil {
+			s.driver.post(func() { s.driver.fail(fmt.Errorf("scheduler %s: %w", s.name, err)) })
+			return
+		}
+		s.sendSignal(syscall.SIGHUP)
+	})
+}
+
+// ---- Whether it is up ----
+
+// readinessPoll asks a process for /up, again and again.
+type readinessPoll struct {
+	socketConn
+	scheduler *scheduler
+	timer     *timer // the next look, or the end of this one's patience
+	waiting   bool
+	stopped   bool
+}
+
+func (s *scheduler) pollReady() {
+	s.readiness = &readinessPoll{scheduler: s}
+	s.readiness.poll()
+}
+
+func (u *readinessPoll) stop() {
+	u.stopped = true
+	u.scheduler.driver.stop(u.timer)
+	u.reset()
+}
+
+func (u *readinessPoll) pollAfter(after time.Duration) {
+	u.scheduler.driver.stop(u.timer)
+	u.waiting = false
+	u.timer = u.scheduler.driver.after(after, u.poll)
+}
+
+func (u *readinessPoll) poll() {
+	d := u.scheduler.driver
+	if u.closed || u.poller == nil {
+		if err := d.dial(&u.socketConn, d.addresses.client(0), u.scheduler.listen, u); err != nil {
+			if u.closed = true; !d.failIfLocal(err) {
+				u.pollAfter(readyPollFirst)
+			}
+			return
+		}
+	}
+	u.waiting = true
+	u.timer = d.after(readyPollTimeout, func() {
+		u.reset()
+		u.pollAfter(readyPollFirst)
+	})
+	d.writeBuffer = append(http1.AppendRequestStart(d.writeBuffer[:0], "GET", "/up", u.scheduler.listen.String()), "\r\n"...)
+	u.write(d.writeBuffer)
+}
+
+func (u *readinessPoll) dataReceived(int) {
+	a, _, n, err := u.scheduler.driver.reader.response(u.received, false)
+	if err != nil || n > 0 && !u.waiting {
+		u.reset()
+		u.connClosed(err)
+		return
+	}
+	if n == 0 {
+		return
+	}
+	u.consume(n)
+	if a.Close {
+		u.reset()
+	}
+	if u.responseReceived(a.StatusCode == 200); !u.stopped {
+		u.pollAfter(readyPollInterval)
+	}
+}
+
+func (u *readinessPoll) connClosed(error) {
+	if !u.stopped && u.waiting {
+		u.pollAfter(readyPollFirst)
+	}
+}
+
+func (u *readinessPoll) responseReceived(up bool) {
+	if s := u.scheduler; up != s.ready {
+		s.ready, s.everReady = up, s.everReady || up
+		kind := simapi.Unready
+		if up {
+			kind = simapi.Ready
+		}
+		s.driver.addOutput(simapi.Output{Kind: kind, Scheduler: s.number})
+	}
+}
+
+// ---- Its log ----
+
+// logFile keeps the start of what a scheduler's processes write, and how much more there was.
+type logFile struct {
+	path    string
+	lock    sync.Mutex // a process may still write while its successor does
+	file    *os.File
+	kept    int
+	dropped int
+	failure error
+}
+
+// Write takes everything, so that no process is ever held up by its log or ended for it.
+func (l *logFile) Write(b []byte) (int, error) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	if l.file == nil && l.failure == nil {
+		l.file, l.failure = os.Create(l.path)
+	}
+	keep := b[:min(len(b), maxLog-l.kept)]
+	if l.failure == nil && len(keep) > 0 {
+		_, l.failure = l.file.Write(keep)
+	}
+	l.kept += len(keep)
+	l.dropped += len(b) - len(keep)
+	return len(b), nil
+}
+
+func (l *logFile) close() {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	if l.file == nil {
+		return
+	}
+	if l.dropped > 0 {
+		_, _ = io.WriteString(l.file, fmt.Sprintf("\n... and %d bytes more\n", l.dropped))
+	}
+	_ = l.file.Close()
+	l.file, l.failure = nil, os.ErrClosed
+}
+
+// localEndpoints gives a list as a scheduler is told it: with the addresses at which it reaches the worker nodes.
+func (d *driver) localEndpoints(sched int, g requests.EndpointList) requests.EndpointList {
+	hosts := make([]requests.Endpoint, len(g.Endpoints))
+	for i, h := range g.Endpoints {
+		if n, machine := d.workerOf(&h); n != nil {
+			if h.Addr = n.addr(machine, sched).String(); machine == len(n.machines)-1 {
+				n.id = h.ID
+			}
+		}
+		hosts[i] = h
+	}
+	g.Endpoints = hosts
+	return g
+}
--- /dev/null
+++ b/internal/testbed/process/run.go
@@ -0,0 +1,185 @@
+package process
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"sync"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/internal/testbed/environment"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/trace"
+)
+
+// Options are what is said of a play beyond its scenario and seed.
+type Options struct {
+	Binary   string          // the scheduler's program
+	Args     []string        // of it, before any that the scenario's operators' file brings
+	Env      []string        // further variables of its environment, beside PATH, TMPDIR and the platform's own
+	Dir      string          // for its configuration and logs, which stay; empty: one that is removed at the end
+	Cores    []int           // processor cores for the schedulers, dealt out in turn; the loop keeps off. Empty: any
+	Observer trace.Observer  // called in the play's own goroutine, so it must not wait for anything
+	Progress func(Progress)  // called every 250 ms from a goroutine of its own; what it has not taken in is skipped
+	OnStart  func(Addresses) // called once all is open and no scheduler runs yet, in the play's own goroutine
+	StayOpen bool            // goes on when the world is over, until the context ends, which is no error then
+	Guests   bool            // queries that no client of the world has sent are run, apart from it; see Places
+}
+
+// Progress is how a play stands.
+type Progress struct {
+	At       time.Duration
+	Lateness Lateness
+}
+
+// Addresses is where things are in a play, for whoever wants to try them by hand.
+type Addresses struct {
+	Schedulers []string // address and port, by number
+	Discovery  []string // that each of them is told at first
+}
+
+// Outcome is a play that has been played, apart from what was seen of it.
+type Outcome struct {
+	Length          time.Duration
+	Finished        bool   // every job was settled; else its time was up before
+	Invalid         string // why it is no result; empty: it is one
+	Lateness        Lateness
+	Unsupported     []string // what of the scenario it can't show
+	AlteredRequests []string // queries that reached worker nodes otherwise than a client sent them; the first 100
+	Schedulers      []Process
+}
+
+// Process is what became of a scheduler's processes.
+type Process struct {
+	Name    string
+	Starts  int
+	Exits   []int  // exit codes of those that ended by themselves; -1: by a signal
+	LogPath string // where their standard error is, the first 8 MB of it
+}
+
+// Run plays a checked scenario. A play that could be played is an outcome, void or not; an error is this machine's, or
+// the context's.
+func Run(ctx context.Context, spec *scenario.Scenario, seed uint64, opt Options) (*Outcome, error) {
+	if err := checkDescriptors(spec); err != nil {
+		return nil, err
+	}
+	if opt.Observer == nil {
+		opt.Observer = func(*trace.Event) {}
+	}
+	w := environment.New(spec, seed, time.Duration(time.Now().UnixNano()), opt.Observer)
+	return runDriver(ctx, spec, opt, w, func(start time.Time) { w.Epoch = time.Duration(start.UnixNano()) })
+}
+
+// runDriver plays a world. begins is told of the instant from which its time counts.
+func runDriver(ctx context.Context, spec *scenario.Scenario, opt Options, w environmentModel, begins func(time.Time)) (
+	_ *Outcome, err error,
+) {
+	temporary := opt.Dir == ""
+	if temporary {
+		if opt.Dir, err = os.MkdirTemp("", "valvecove-testbed-"); err != nil {
+			return nil, err
+		}
+		defer func() { _ = os.RemoveAll(opt.Dir) }()
+	} else if err = os.MkdirAll(opt.Dir, 0o755); err != nil {
+		return nil, err
+	}
+	if opt.Dir, err = filepath.Abs(opt.Dir); err != nil {
+		return nil, err
+	}
+	if opt.Binary, err = filepath.Abs(opt.Binary); err != nil {
+		return nil, err
+	}
+	if _, err = exec.LookPath(opt.Binary); err != nil {
+		return nil, fmt.Errorf("scheduler: %w", err)
+	}
+	if err = os.WriteFile(filepath.Join(opt.Dir, operationsFile), []byte(spec.Schedulers.OperationsFile), 0o600); err != nil {
+		return nil, err
+	}
+	d, err := newDriver(spec, opt)
+	if err != nil {
+		return nil, err
+	}
+	var looks sync.WaitGroup
+	looks.Go(d.sampleProcesses)
+	if opt.OnStart != nil {
+		opt.OnStart(d.runAddresses())
+	}
+	d.environment, d.onStart, d.startedAt = w, begins, time.Now()
+	err = d.run(ctx, spec.Length.Std()+settleTime(spec))
+	o := d.outcome()
+	d.close()
+	looks.Wait()
+	if temporary {
+		for i := range o.Schedulers {
+			o.Schedulers[i].LogPath = ""
+		}
+	}
+	if err != nil {
+		return nil, err
+	}
+	return o, nil
+}
+
+// settleTime is for how long jobs may go on that fell due in the play's length.
+func settleTime(spec *scenario.Scenario) time.Duration {
+	if spec.Settle > 0 {
+		return spec.Settle.Std()
+	}
+	longest := time.Duration(0)
+	for _, c := range spec.Classes {
+		longest = max(longest, c.Deadline.Std())
+	}
+	return longest + 2*time.Second
+}
+
+func (d *driver) runAddresses() (p Addresses) {
+	for _, s := range d.schedulers {
+		p.Schedulers = append(p.Schedulers, s.listen.String())
+		p.Discovery = append(p.Discovery, d.addresses.discovery(0, s.number).String())
+	}
+	return p
+}
+
+func (d *driver) outcome() *Outcome {
+	o := &Outcome{
+		Length: d.environmentTime(d.now), Finished: d.finished, Lateness: d.lateness.lateness(), Unsupported: Unsupported(d.spec),
+		AlteredRequests: d.alteredRequests,
+	}
+	o.Invalid = o.Lateness.InvalidReason()
+	for _, s := range d.schedulers {
+		o.Schedulers = append(o.Schedulers, Process{Name: s.name, Starts: s.started, Exits: s.exits, LogPath: s.log.path})
+	}
+	return o
+}
+
+// ---- Where live ends ----
+
+// Descriptors that a play needs: a listener for each worker node and scheduler, both ends' worth of what schedulers
+// may hold, notes, and some of its own.
+const reservedDescriptors = 256
+
+func descriptorsNeeded(spec *scenario.Scenario) int {
+	s, listens := spec.Schedulers, spec.Schedulers.Count*spec.Fleet.Workers
+	return listens + s.Count*s.Sockets + reservedDescriptors
+}
+
+// checkDescriptors tells whether this machine can hold a play.
+func checkDescriptors(spec *scenario.Scenario) error {
+	var limit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
+		return fmt.Errorf("limit on descriptors: %w", err)
+	}
+	if spec.Schedulers.Count < 1 || spec.Fleet.Workers < 1 {
+		return fmt.Errorf("a live play needs a scheduler and a worker node, %d and %d are given", spec.Schedulers.Count,
+			spec.Fleet.Workers)
+	}
+	if need := descriptorsNeeded(spec); uint64(need) > limit.Cur {
+		return fmt.Errorf("%d worker nodes and %d schedulers need %d descriptors live, %d are allowed (ulimit -n); "+
+			"virtual time needs none", spec.Fleet.Workers, spec.Schedulers.Count, need, limit.Cur)
+	}
+	return nil
+}
--- a/internal/lab/live/play_test.go
+++ b/internal/testbed/process/run_test.go
@@ -1,4 +1,4 @@
-package live
+package process
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/seen"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/trace"
 )
 
 const calm = `[schedulers]
@@ -46,25 +46,25 @@
 	settled, open := map[uint64]int{}, map[string]bool{}
 	last, due := time.Duration(0), 0
 	var progress atomic.Int32
-	o, err := Play(t.Context(), testSpec(t, calm+"[[fault]]\nwhat = \"sched_replace\"\nat = \"500ms\"\n"), 3, Options{
+	o, err := Run(t.Context(), testSpec(t, calm+"[[fault]]\nwhat = \"sched_replace\"\nat = \"500ms\"\n"), 3, Options{
 		Binary:   binary,
 		Progress: func(Progress) { progress.Add(1) },
-		Watch: func(s *seen.Sight) {
+		Observer: func(s *trace.Event) {
 			if s.At < last {
 				t.Errorf("%v after %v", s.At, last)
 			}
-			switch last = s.At; s.What {
-			case seen.Due:
+			switch last = s.At; s.Kind {
+			case trace.JobDue:
 				due++
-			case seen.Settled:
-				settled[s.Job]++
-			case seen.Asked:
-				open[s.Call] = true
-			case seen.Answered:
-				if !open[s.Call] {
-					t.Errorf("an answer to %s, which awaits none", s.Call)
+			case trace.JobSettled:
+				settled[s.JobID]++
+			case trace.RequestSent:
+				open[s.RequestID] = true
+			case trace.ResponseReceived:
+				if !open[s.RequestID] {
+					t.Errorf("an answer to %s, which awaits none", s.RequestID)
 				}
-				delete(open, s.Call)
+				delete(open, s.RequestID)
 			}
 		},
 	})
@@ -76,7 +76,7 @@
 			t.Errorf("job %d settled %d times", job, n)
 		}
 	}
-	if !o.Over || due == 0 || len(settled) != due || len(o.Altered) > 0 || progress.Load() == 0 {
+	if !o.Finished || due == 0 || len(settled) != due || len(o.AlteredRequests) > 0 || progress.Load() == 0 {
 		t.Errorf("%d due, %d settled, %+v", due, len(settled), o)
 	}
 	for _, p := range o.Schedulers {
@@ -91,21 +91,21 @@
 	spec := testSpec(t, "")
 	refused := func(o Options, why string) {
 		t.Helper()
-		if _, err := Play(t.Context(), spec, 1, o); err == nil || !strings.Contains(err.Error(), why) {
+		if _, err := Run(t.Context(), spec, 1, o); err == nil || !strings.Contains(err.Error(), why) {
 			t.Errorf("%v, expected %s", err, why)
 		}
 	}
 	refused(Options{Binary: "/no/such/program"}, "no such file")
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := Play(ctx, spec, 1, Options{Binary: "/bin/true"}); !errors.Is(err, context.Canceled) {
+	if _, err := Run(ctx, spec, 1, Options{Binary: "/bin/true"}); !errors.Is(err, context.Canceled) {
 		t.Errorf("ended by its context: %v", err)
 	}
-	spec.Fleet.Nodes, spec.Schedulers.Count = 1_000_000, 4
+	spec.Fleet.Workers, spec.Schedulers.Count = 1_000_000, 4
 	refused(Options{}, "descriptors live")
 	spec = testSpec(t, "[net]\ndelay = \"50us\"\n[[fault]]\nwhat = \"cut\"\nat = \"1s\"\nfor = \"1s\"\n")
-	spec.Fleet.Nodes = scenario.LiveNodes + 1
-	all := strings.Join(Unseen(spec), "\n")
+	spec.Fleet.Workers = scenario.MaxProcessWorkers + 1
+	all := strings.Join(Unsupported(spec), "\n")
 	for _, part := range []string{"1001 worker nodes", "net.delay is 50µs", "Fault cut:"} {
 		if !strings.Contains(all, part) {
 			t.Errorf("not said of what is unseen: %s", part)
@@ -115,22 +115,22 @@
 
 // A play is void beyond either bound of lateness.
 func TestVoid(t *testing.T) {
-	m := newLateMeter()
+	m := newLatenessMeter()
 	for range 2000 {
 		m.add(time.Millisecond)
 	}
-	m.add(VoidMost - time.Millisecond)
-	if why := m.lateness().Void(); why != "" {
+	m.add(MaxLateness - time.Millisecond)
+	if why := m.lateness().InvalidReason(); why != "" {
 		t.Errorf("sound, but %s", why)
 	}
 	for range 3 {
-		m.add(Void999 + time.Millisecond)
+		m.add(MaxLateness999 + time.Millisecond)
 	}
-	if why := m.lateness().Void(); !strings.Contains(why, "one of 1000") {
+	if why := m.lateness().InvalidReason(); !strings.Contains(why, "one of 1000") {
 		t.Errorf("late too often: %q", why)
 	}
-	m.add(VoidMost + time.Millisecond)
-	if why := m.lateness().Void(); !strings.Contains(why, "was late by") {
+	m.add(MaxLateness + time.Millisecond)
+	if why := m.lateness().InvalidReason(); !strings.Contains(why, "was late by") {
 		t.Errorf("too late once: %q", why)
 	}
 }
@@ -162,7 +162,7 @@
 	for target, status := range map[string][]int{r.Addr: {200}, rude.Listener.Addr().String(): {200, 503}} {
 		got, err := Load(t.Context(), LoadOptions{
 			Target: target, Rate: 2000, Conns: 8, Length: 300 * time.Millisecond,
-			Warm: 50 * time.Millisecond, Grace: 20 * time.Second, Seed: 1,
+			WarmUp: 50 * time.Millisecond, Grace: 20 * time.Second, Seed: 1,
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -172,7 +172,7 @@
 			sum += got.Status[s]
 		}
 		if got.Due < 400 || got.Open != 0 || got.Answered != sum || got.Answered+got.Failed != got.Due ||
-			uint64(got.Latency.TotalCount()) != got.Answered || uint64(got.Late.TotalCount()) != got.Due ||
+			uint64(got.Latency.TotalCount()) != got.Answered || uint64(got.Lateness.TotalCount()) != got.Due ||
 			(got.Failed > 0) != (len(status) > 1) {
 			t.Errorf("%s: %+v", target, got)
 		}
--- /dev/null
+++ b/internal/testbed/process/socket.go
@@ -0,0 +1,358 @@
+package process
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/internal/testbed/simapi"
+)
+
+const (
+	streamEvents = unix.EPOLLIN | unix.EPOLLRDHUP
+	maxUnsent    = 16 << 20 // bytes that may wait for a peer to read; one that reads nothing has its connection reset
+)
+
+// socketConn is one end of a TCP connection that nobody waits for.
+type socketConn struct {
+	poller     *poller
+	fd         int
+	peer       peer
+	connected  bool // it is connected
+	closed     bool
+	writeError error // what a write met with
+	events     uint32
+	received   []byte // read and not taken yet
+	unsent     []byte // not written yet
+}
+
+// peer is what a sock speaks for.
+type peer interface {
+	dataReceived(fresh int) // so many more bytes are in in; what is done with is taken by take
+	connClosed(err error)   // the other side has closed it (nil), reset it, or it has not come up. It is closed here too, and
+	// what is in in stays to be looked at
+}
+
+// drainer is a peer that wants to know when all that it wrote has left.
+type drainer interface{ flushed() }
+
+var errPeerNotReading = errors.New("the other side reads nothing")
+
+// localError is a failure of this machine's, such as descriptors that have run out. It voids the play: nothing may be
+// blamed on a scheduler for it.
+type localError struct{ err error }
+
+func (f localError) Error() string { return f.err.Error() }
+func (f localError) Unwrap() error { return f.err }
+
+func sockaddr(at netip.AddrPort) *unix.SockaddrInet4 {
+	return &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}
+}
+
+func newSocket() (int, error) {
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		return -1, localError{fmt.Errorf("socket: %w", err)}
+	}
+	return fd, nil
+}
+
+// dial begins a connection. How it fares is told to peer, but for what fails at once. from may be invalid, or an
+// address of this machine with port 0.
+func (p *poller) dial(s *socketConn, from, to netip.AddrPort, who peer) error {
+	fd, err := newSocket()
+	if err != nil {
+		return err
+	}
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+	if from.IsValid() {
+		// The port is chosen on connecting: so each of many addresses has all ports for each far end.
+		_ = unix.SetsockoptInt(fd, unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)
+		if err := unix.Bind(fd, sockaddr(from)); err != nil {
+			_ = unix.Close(fd)
+			return localError{fmt.Errorf("binding to %v: %w", from, err)}
+		}
+	}
+	if err := unix.Connect(fd, sockaddr(to)); err != nil && err != unix.EINPROGRESS {
+		_ = unix.Close(fd)
+		if err == unix.EADDRNOTAVAIL || err == unix.EAGAIN {
+			return localError{fmt.Errorf("connecting to %v: no port left: %w", to, err)}
+		}
+		return err
+	}
+	*s = socketConn{poller: p, fd: fd, peer: who, events: streamEvents | unix.EPOLLOUT}
+	if err := p.add(fd, s.events, s); err != nil {
+		_ = unix.Close(fd)
+		s.closed = true
+		return localError{err}
+	}
+	return nil
+}
+
+// adopt takes on an accepted connection.
+func (p *poller) adopt(s *socketConn, fd int, who peer) error {
+	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+	*s = socketConn{poller: p, fd: fd, peer: who, connected: true, events: streamEvents}
+	if err := p.add(fd, s.events, s); err != nil {
+		_ = unix.Close(fd)
+		s.closed = true
+		return localError{err}
+	}
+	return nil
+}
+
+func (s *socketConn) setEvents(mask uint32) {
+	if s.events != mask && !s.closed {
+		s.events = mask
+		s.poller.change(s.fd, mask)
+	}
+}
+
+// setReading turns reading on or off. While it is off, only a reset is noticed.
+func (s *socketConn) setReading(on bool) {
+	if on {
+		s.setEvents(s.events | streamEvents)
+	} else {
+		s.setEvents(s.events &^ streamEvents)
+	}
+}
+
+func (s *socketConn) ready(events uint32) {
+	if !s.connected {
+		if err := s.socketError(); err != nil {
+			s.fail(err)
+			return
+		}
+		if events&unix.EPOLLOUT == 0 {
+			return
+		}
+		s.connected = true
+	}
+	if events&unix.EPOLLOUT != 0 {
+		s.flush()
+	}
+	if !s.closed && events&^unix.EPOLLOUT != 0 {
+		s.read(len(s.poller.readBuffer))
+	}
+}
+
+// read takes in at most so many bytes.
+func (s *socketConn) read(most int) {
+	n, err := unix.Read(s.fd, s.poller.readBuffer[:most])
+	switch {
+	case err == unix.EAGAIN || err == unix.EINTR:
+	case err != nil:
+		s.fail(err)
+	case n == 0: // perhaps what was written since has met with a reset
+		s.fail(s.socketError())
+	default:
+		s.received = append(s.received, s.poller.readBuffer[:n]...)
+		s.peer.dataReceived(n)
+	}
+}
+
+// socketError is what is wrong with the connection; nil: nothing is.
+func (s *socketConn) socketError() error {
+	if s.writeError != nil {
+		return s.writeError
+	}
+	code, err := unix.GetsockoptInt(s.fd, unix.SOL_SOCKET, unix.SO_ERROR)
+	if err == nil && code != 0 {
+		err = unix.Errno(code)
+	}
+	return err
+}
+
+// consume drops bytes that are done with.
+func (s *socketConn) consume(n int) {
+	switch {
+	case n < len(s.received):
+		s.received = s.received[:copy(s.received, s.received[n:])]
+	case cap(s.received) > 16<<10:
+		s.received = nil
+	default:
+		s.received = s.received[:0]
+	}
+}
+
+// write sends b, now or as soon as it can be. A failure is told to the peer later.
+func (s *socketConn) write(b []byte) {
+	if s.closed {
+		return
+	}
+	if len(s.unsent) == 0 {
+		n, err := unix.Write(s.fd, b)
+		if err != nil {
+			if n = 0; err != unix.EAGAIN && err != unix.EINTR {
+				s.writeError = err // a kernel tells it once; the event that comes with it deals with it
+			}
+		}
+		s.connected = s.connected || n > 0 // on loopback a connection is often up as soon as it is asked for
+		if b = b[n:]; len(b) == 0 {
+			return
+		}
+	}
+	s.unsent = append(s.unsent, b...)
+	s.setEvents(s.events | unix.EPOLLOUT)
+}
+
+func (s *socketConn) flush() {
+	for len(s.unsent) > 0 {
+		n, err := unix.Write(s.fd, s.unsent)
+		if err == unix.EINTR {
+			continue
+		}
+		if err == unix.EAGAIN {
+			if len(s.unsent) > maxUnsent {
+				s.reset()
+				s.peer.connClosed(errPeerNotReading)
+			}
+			return
+		}
+		if err != nil {
+			s.fail(err)
+			return
+		}
+		s.unsent = s.unsent[:copy(s.unsent, s.unsent[n:])]
+	}
+	if cap(s.unsent) > 16<<10 {
+		s.unsent = nil
+	}
+	s.setEvents(s.events &^ unix.EPOLLOUT)
+	if d, ok := s.peer.(drainer); ok {
+		d.flushed()
+	}
+}
+
+// fail ends the connection as the other side, or the way there, has it.
+func (s *socketConn) fail(err error) {
+	s.close()
+	s.peer.connClosed(err)
+}
+
+// close closes it from this side; the peer is not told. Bytes that are unread here make a reset of it.
+func (s *socketConn) close() {
+	if s.closed || s.poller == nil {
+		return
+	}
+	s.closed = true
+	s.poller.forget(s.fd)
+	_ = unix.Close(s.fd)
+	s.unsent = nil
+}
+
+// reset closes it so that the other side sees a reset.
+func (s *socketConn) reset() {
+	if s.closed || s.poller == nil {
+		return
+	}
+	_ = unix.SetsockoptLinger(s.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
+	s.close()
+}
+
+// ---- Listening ----
+
+// listener accepts connections at one address, by edge's modes.
+type listener struct {
+	poller    *poller
+	fd        int
+	address   netip.AddrPort
+	mode      int
+	accept    func(fd int)    // takes the connection on
+	onFailure func(err error) // this machine can't go on
+}
+
+const backlog = 4096
+
+// dropAll is a socket filter that lets nothing pass.
+var dropAll = unix.SockFprog{Len: 1, Filter: &unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K}}
+
+// listenAt binds an address; it refuses until hear says otherwise.
+func (p *poller) listenAt(at netip.AddrPort, accept func(fd int), fault func(error)) (*listener, error) {
+	return p.bindListener(at, unix.SO_REUSEADDR, accept, fault)
+}
+
+// listenShared binds an address as others of this process do, who share what comes. Port 0 is any; the listener has it.
+func (p *poller) listenShared(at netip.AddrPort, accept func(fd int), fault func(error)) (*listener, error) {
+	return p.bindListener(at, unix.SO_REUSEPORT, accept, fault)
+}
+
+func (p *poller) bindListener(at netip.AddrPort, how int, accept func(fd int), fault func(error)) (*listener, error) {
+	fd, err := newSocket()
+	if err != nil {
+		return nil, err
+	}
+	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, how, 1)
+	if err := unix.Bind(fd, sockaddr(at)); err != nil {
+		_ = unix.Close(fd)
+		return nil, fmt.Errorf("binding to %v: %w", at, err)
+	}
+	if sa, err := unix.Getsockname(fd); err == nil {
+		if in, ok := sa.(*unix.SockaddrInet4); ok {
+			at = netip.AddrPortFrom(at.Addr(), uint16(in.Port))
+		}
+	}
+	return &listener{poller: p, fd: fd, address: at, mode: simapi.AcceptNone, accept: accept, onFailure: fault}, nil
+}
+
+// setMode changes how connections are accepted. Refuse: the socket keeps its address and does not listen. NeverUp: it
+// listens, and a filter on it drops whatever comes before a connection is up; what is up goes on. A filter is better
+// than a full backlog: no connection of anybody's slips in, and when it ends, those that still try come up.
+func (l *listener) setMode(mode int) error {
+	if mode == l.mode {
+		return nil
+	}
+	was := l.mode
+	l.mode = mode
+	if was == simapi.AcceptSilently {
+		if err := unix.SetsockoptInt(l.fd, unix.SOL_SOCKET, unix.SO_DETACH_FILTER, 0); err != nil {
+			return localError{fmt.Errorf("filter at %v: %w", l.address, err)}
+		}
+	}
+	switch mode {
+	case simapi.AcceptSilently:
+		if err := unix.SetsockoptSockFprog(l.fd, unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &dropAll); err != nil {
+			return localError{fmt.Errorf("filter at %v: %w", l.address, err)}
+		}
+	case simapi.AcceptNone:
+		l.ready(0) // what has come up before this moment is up
+		l.poller.remove(l.fd)
+		if err := unix.Shutdown(l.fd, unix.SHUT_RD); err != nil {
+			return localError{fmt.Errorf("refusing at %v: %w", l.address, err)}
+		}
+	}
+	if was == simapi.AcceptNone {
+		if err := unix.Listen(l.fd, backlog); err != nil {
+			return localError{fmt.Errorf("listening at %v: %w", l.address, err)}
+		}
+		if err := l.poller.add(l.fd, unix.EPOLLIN, l); err != nil {
+			return localError{err}
+		}
+	}
+	return nil
+}
+
+func (l *listener) ready(uint32) {
+	for range 256 {
+		fd, _, err := unix.Accept4(l.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+		switch err {
+		case nil:
+			l.accept(fd)
+		case unix.EINTR, unix.ECONNABORTED:
+		case unix.EAGAIN:
+			return
+		default: // descriptors or memory
+			l.onFailure(localError{fmt.Errorf("accepting at %v: %w", l.address, err)})
+			return
+		}
+	}
+}
+
+func (l *listener) close() {
+	if l.mode != simapi.AcceptNone {
+		l.poller.forget(l.fd)
+	}
+	_ = unix.Close(l.fd)
+}
--- a/internal/lab/live/tags_test.go
+++ b/internal/testbed/process/tags_test.go
@@ -1,4 +1,4 @@
-package live
+package process
 
 import (
 	"testing"
@@ -8,4 +8,4 @@
 )
 
 // What the lab's worker nodes and discovery send is written by names in tags.
-func TestWireIsTagged(t *testing.T) { storedform.CheckTags(t, noteForm{}, requests.EndpointList{}) }
+func TestWireIsTagged(t *testing.T) { storedform.CheckTags(t, callbackForm{}, requests.EndpointList{}) }
--- /dev/null
+++ b/internal/testbed/process/workers.go
@@ -0,0 +1,330 @@
+package process
+
+import (
+	"fmt"
+	"net/http"
+	"net/netip"
+	"strconv"
+	"strings"
+	"time"
+
+	"valvecove/internal/http1"
+	"valvecove/internal/requests"
+	"valvecove/internal/testbed/simapi"
+	"valvecove/internal/testbed/simulation"
+)
+
+// worker is the stand-in for a worker node, and for the machines that take its place. What it does is the world's to
+// say; it speaks HTTP.
+type worker struct {
+	driver   *driver
+	number   int
+	id       string // as discovery told it last
+	machines []*machine
+}
+
+// machine has a listener for each scheduler.
+type machine struct {
+	mode      int
+	listeners []*listener
+}
+
+// newWorker opens a worker node. On a fault the node holds what there is to close.
+func newWorker(d *driver, n int) (*worker, error) {
+	k := &worker{driver: d, number: n}
+	return k, k.setMode(0, simapi.AcceptAll)
+}
+
+// setMode has one of its machines accept by a mode. Those before it stay as they were told to be last.
+func (n *worker) setMode(which, mode int) error {
+	if which >= len(n.machines) {
+		if err := n.driver.addresses.hasAddresses((which+1)*n.driver.spec.Fleet.Workers, 1); err != nil {
+			return localError{err}
+		}
+	}
+	for which >= len(n.machines) {
+		if err := n.openMachine(len(n.machines)); err != nil {
+			return localError{err}
+		}
+	}
+	m := n.machines[which]
+	m.mode = mode
+	for _, l := range m.listeners {
+		if err := l.setMode(mode); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// openMachine gives a machine its addresses. It refuses until it is told how it accepts.
+func (n *worker) openMachine(which int) error {
+	m := &machine{mode: simapi.AcceptNone}
+	n.machines = append(n.machines, m)
+	for sched := range n.driver.schedulers {
+		l, err := n.driver.listenAt(n.addr(which, sched), func(fd int) { n.accept(which, sched, fd) }, n.driver.fail)
+		if err != nil {
+			return err
+		}
+		m.listeners = append(m.listeners, l)
+	}
+	return nil
+}
+
+// addr is where a scheduler reaches one of its machines.
+func (n *worker) addr(which, sched int) netip.AddrPort {
+	return n.driver.addresses.worker(n.number+which*n.driver.spec.Fleet.Workers, sched)
+}
+
+func (n *worker) close() {
+	for _, m := range n.machines {
+		for _, l := range m.listeners {
+			l.close()
+		}
+	}
+}
+
+// workerOf finds the worker node that an entry of the list stands for, and which of its machines; nil: there is none.
+func (d *driver) workerOf(h *requests.Endpoint) (n *worker, which int) {
+	i, which := simulation.NodeOf(h.ID)
+	if i < 0 || i >= len(d.workers) {
+		return nil, 0
+	}
+	return d.workers[i], which
+}
+
+// workerConn is a connection from a scheduler to a worker node. The kernel accepts it at once, the world when it does:
+// until then what comes waits.
+type workerConn struct {
+	socketConn
+	worker           *worker
+	machine          int
+	scheduler        int
+	id               simapi.Conn
+	open             bool
+	awaitingResponse bool // what was sent last awaits its answer
+	resetAfter       int  // it is reset once so many bytes have been read; 0: it isn't
+	bytesRead        int  // bytes read so far
+	firstByteAt      time.Duration
+	requestBegun     bool // the first byte of a request has come, at first
+	closing          bool // it is closed once all is written
+	resetting        bool // by a reset
+}
+
+// maxReadAhead is how much a scheduler may send ahead of an answer.
+const maxReadAhead = 256 << 10
+
+func (n *worker) accept(which, sched, fd int) {
+	s := n.driver.schedulers[sched]
+	s.connCount++
+	k := &workerConn{worker: n, machine: which, scheduler: sched, id: simapi.WorkerConn(sched, s.connCount)}
+	if err := n.driver.adopt(&k.socketConn, fd, k); err != nil {
+		n.driver.fail(err)
+		return
+	}
+	n.driver.workerConns[k.id] = k
+	k.addOutput(simapi.Output{Kind: simapi.WorkerDialed, Machine: which})
+}
+
+func (k *workerConn) addOutput(o simapi.Output) {
+	o.Scheduler, o.Worker, o.Conn = k.scheduler, k.worker.number, k.id
+	if o.FirstByteAt > 0 {
+		o.FirstByteAt = k.worker.driver.environmentTime(o.FirstByteAt)
+	}
+	k.worker.driver.addOutput(o)
+}
+
+// accepted is the world's accepting of it. most > 0: the far end resets it after having read so many bytes.
+func (k *workerConn) accepted(most int) {
+	k.open, k.resetAfter = true, most
+	k.proceed()
+}
+
+// closeByWorker closes it from the worker node's side.
+func (k *workerConn) closeByWorker(reset bool) {
+	delete(k.worker.driver.workerConns, k.id)
+	if reset {
+		k.reset()
+	} else {
+		k.close()
+	}
+}
+
+// reportClosed tells the world that it is over, by the scheduler's doing or by what the world wanted done at some byte.
+func (k *workerConn) reportClosed() {
+	delete(k.worker.driver.workerConns, k.id)
+	k.addOutput(simapi.Output{Kind: simapi.WorkerConnClosed})
+}
+
+func (k *workerConn) connClosed(error) { k.reportClosed() }
+
+func (k *workerConn) dataReceived(fresh int) {
+	if !k.requestBegun {
+		k.requestBegun, k.firstByteAt = true, k.poller.now
+	}
+	k.bytesRead += fresh
+	k.proceed()
+}
+
+// proceed takes the next request, if it is whole and there is room for it.
+func (k *workerConn) proceed() {
+	if k.closed || !k.open {
+		return
+	}
+	over := k.resetAfter > 0 && k.bytesRead >= k.resetAfter
+	if over {
+		k.received = k.received[:max(0, len(k.received)-(k.bytesRead-k.resetAfter))] // the rest was never read
+		k.bytesRead = k.resetAfter
+	}
+	for !k.awaitingResponse && !k.closing && len(k.received) > 0 {
+		q, body, n, err := k.worker.driver.reader.request(k.received)
+		if err != nil {
+			k.writeResponse(400, "") // what it can't read, it closes on
+			k.closeWhenFlushed(false)
+			break
+		}
+		if n == 0 {
+			break
+		}
+		k.handleRequest(q, body)
+		k.consume(n)
+		k.requestBegun, k.firstByteAt = len(k.received) > 0, k.poller.now
+	}
+	if !k.closed && (over || len(k.received) > maxReadAhead) {
+		k.reset()
+		k.reportClosed()
+	}
+}
+
+// handleRequest tells the world of a request, or answers it where the protocol leaves nothing to say.
+func (k *workerConn) handleRequest(q *http.Request, body []byte) {
+	path, _, _ := strings.Cut(q.RequestURI, "?")
+	switch withdrawn, isJob := strings.CutPrefix(path, "/jobs/"); {
+	case q.Method == http.MethodGet && path == "/alive":
+		k.awaitingResponse = true
+		k.addOutput(simapi.Output{Kind: simapi.HealthCheckWritten, FirstByteAt: k.firstByteAt})
+	case q.Method == http.MethodGet && path == "/metrics/load":
+		k.awaitingResponse = true
+		k.addOutput(simapi.Output{Kind: simapi.HealthCheckWritten, FirstByteAt: k.firstByteAt, WantsLoadReport: true})
+	case q.Method == http.MethodDelete && isJob && withdrawn != "":
+		k.awaitingResponse = true
+		k.addOutput(simapi.Output{Kind: simapi.CancellationReceived, FirstByteAt: k.firstByteAt, RequestID: withdrawn})
+	case q.Method == http.MethodPost:
+		k.handleAttempt(q, path, body)
+	default:
+		k.writeResponse(404, "")
+	}
+	if k.closing = k.closing || q.Close; q.Close && !k.awaitingResponse {
+		k.closeWhenFlushed(false)
+	}
+}
+
+func (k *workerConn) handleAttempt(q *http.Request, path string, body []byte) {
+	d := k.worker.driver
+	call, ok := singleValue(q.Header, "X-Call-Id")
+	key, ok2 := singleValue(q.Header, "Idempotency-Key")
+	budget, ok3 := singleValue(q.Header, "X-Budget-Ms")
+	ms, err := strconv.ParseUint(budget, 10, 40)
+	switch {
+	case call == "":
+		k.writeResponse(404, "")
+		return
+	case !ok || !ok2 || !ok3 || budget != "" && err != nil:
+		k.writeResponse(400, "")
+		return
+	case isMisbehavingPath(path): // a bad client's: a worker node can't use it
+		if k.worker.machines[k.machine].mode != simapi.AcceptSilently {
+			k.writeResponse(400, "")
+		}
+		return
+	}
+	a := d.requestForms.find(call)
+	if a == nil && d.options.Guests && !isHiddenRequest(call) {
+		k.runGuest(call)
+		return
+	}
+	if a != nil {
+		// Nobody has sent the query in this form; under its own id it would pass for one that somebody has.
+		if what := d.describeAlteration(a, q, key, body); what != "" {
+			if len(d.alteredRequests) < maxAltered {
+				d.alteredRequests = append(d.alteredRequests, fmt.Sprintf("query %s reached w-%d from scheduler %d with another %s",
+					call, k.worker.number, k.scheduler, what))
+			}
+			call += "!" + what
+		}
+	}
+	k.awaitingResponse = true
+	k.addOutput(simapi.Output{
+		Kind: simapi.AttemptWritten, RequestID: call, IdempotencyKey: key, Budget: time.Duration(ms) * time.Millisecond,
+		FirstByteAt: k.firstByteAt,
+	})
+}
+
+// maxAltered is how many queries that came otherwise than a client sent them are named.
+const maxAltered = 100
+
+// respond is the worker node's, by the world.
+func (k *workerConn) respond(in *simapi.Input) {
+	fields := ""
+	if in.Rejected {
+		fields = "X-Rejected: 1\r\n"
+	}
+	if in.Bytes > 0 {
+		b := http1.AppendResponse(nil, in.Status, fields, nil, true)
+		k.awaitingResponse = false
+		k.write(b[:min(in.Bytes, len(b))])
+		k.closeWhenFlushed(true)
+		return
+	}
+	k.writeResponse(in.Status, fields)
+	k.awaitingResponse = false
+	if k.closing {
+		k.closeWhenFlushed(false)
+		return
+	}
+	k.proceed()
+}
+
+func (k *workerConn) writeResponse(status int, fields string) {
+	d := k.worker.driver
+	d.writeBuffer = http1.AppendResponse(d.writeBuffer[:0], status, fields, nil, true)
+	k.write(d.writeBuffer)
+}
+
+// closeWhenFlushed closes it once all that was written has left.
+func (k *workerConn) closeWhenFlushed(reset bool) {
+	k.closing, k.resetting = true, reset
+	if len(k.unsent) == 0 {
+		k.flushed()
+	}
+}
+
+func (k *workerConn) flushed() {
+	if k.closing && !k.awaitingResponse && !k.closed {
+		k.closeByWorker(k.resetting)
+		k.addOutput(simapi.Output{Kind: simapi.WorkerConnClosed})
+	}
+}
+
+// ---- Guests ----
+
+// runGuest runs a query that no client of the world has sent, for whoever tries things out by hand. The world knows
+// nothing of it, so it takes nobody's place.
+func (k *workerConn) runGuest(call string) {
+	d, node, sched := k.worker.driver, k.worker, k.scheduler
+	k.writeResponse(202, "")
+	say := func(state, result string) {
+		n := &requests.Callback{CallID: call, EndpointID: node.id, State: state}
+		if result != "" {
+			n.Result = &result
+		}
+		d.sendCallback(&simapi.Input{Kind: simapi.CallbackReceived, Scheduler: sched, Worker: node.number, Callback: n, CallbackID: guestCallbackID})
+	}
+	say("started", "")
+	d.after(guestDuration, func() { say("done", fmt.Sprintf("%s ran on %s for %v", call, node.id, guestDuration)) })
+}
+
+const guestDuration = 200 * time.Millisecond
+
+// guestCallbackID is the number of notes that the world knows nothing of.
+const guestCallbackID = ^uint64(0)
--- a/internal/lab/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -9,24 +9,24 @@
 	"strconv"
 	"strings"
 
-	"valvecove/internal/lab/score"
+	"valvecove/internal/testbed/score"
 )
 
 // Side is what was played with on one side of a comparison: Plays[i] has the same seed on all sides.
 type Side struct {
-	Name   string
-	Plays  []*score.Result
-	Broken int // rules broken, over all plays
-	Void   int // plays that were no result and are not among Plays
+	Name    string
+	Results []*score.Result
+	Broken  int // rules broken, over all plays
+	Invalid int // plays that were no result and are not among Plays
 }
 
 // Comparison is several sides in the same plays. The first is what the others are compared with.
 type Comparison struct {
-	Title    string
-	About    string
-	Sides    []Side
-	Scenario string // its text
-	Build    string
+	Title       string
+	Description string
+	Sides       []Side
+	Scenario    string // its text
+	Build       string
 }
 
 // Pairs are the paired differences of each further side from the first, by every headline.
@@ -34,13 +34,13 @@
 	out := make([][]score.Paired, 0, len(c.Sides))
 	for i := 1; i < len(c.Sides); i++ {
 		a, b := &c.Sides[0], &c.Sides[i]
-		out = append(out, score.CompareAll(a.Name, b.Name, a.Plays, b.Plays))
+		out = append(out, score.CompareAll(a.Name, b.Name, a.Results, b.Results))
 	}
 	return out
 }
 
-// chance says what to make of many intervals at once.
-const chance = "Each interval holds the true difference 95 times in 100; of twenty figures without any difference, " +
+// chanceNote says what to make of many intervals at once.
+const chanceNote = "Each interval holds the true difference 95 times in 100; of twenty figures without any difference, " +
 	"one will seem to have one."
 
 // means are the spreads of all headlines, by name.
@@ -49,7 +49,7 @@
 func spreads(plays []*score.Result) means {
 	out := means{}
 	for _, h := range score.Headlines {
-		out[h.Name] = score.SpreadOf(h.Each(plays))
+		out[h.Name] = score.SpreadOf(h.Values(plays))
 	}
 	return out
 }
@@ -70,9 +70,9 @@
 		Sides   []side           `json:"sides"`
 		Pairs   [][]score.Paired `json:"paired"`
 		Reading string           `json:"reading"`
-	}{Title: c.Title, About: c.About, Build: c.Build, Pairs: c.Pairs(), Reading: chance}
+	}{Title: c.Title, About: c.Description, Build: c.Build, Pairs: c.Pairs(), Reading: chanceNote}
 	for _, s := range c.Sides {
-		out.Sides = append(out.Sides, side{s.Name, s.Broken, s.Void, spreads(s.Plays), headlines(s.Plays)})
+		out.Sides = append(out.Sides, side{s.Name, s.Broken, s.Invalid, spreads(s.Results), headlines(s.Results)})
 	}
 	return json.Marshal(out)
 }
@@ -88,7 +88,7 @@
 	for i, r := range plays {
 		out[i] = jsonHeadline{r.Seed, map[string]*float64{}}
 		for _, h := range score.Headlines {
-			if x := h.Of(r); bad(x) {
+			if x := h.ValueOf(r); isNotFinite(x) {
 				out[i].Figures[h.Name] = nil
 			} else {
 				out[i].Figures[h.Name] = &x
@@ -98,17 +98,17 @@
 	return out
 }
 
-// shown writes a headline's figure in its unit.
-func shown(name string, x float64) string {
+// formatFigure writes a headline's figure in its unit.
+func formatFigure(name string, x float64) string {
 	switch {
-	case bad(x):
-		return none
+	case isNotFinite(x):
+		return noValue
 	case strings.HasSuffix(name, "_ms"):
-		return span(x)
+		return formatMillis(x)
 	case name == "recovered_within":
-		return instant(x)
+		return formatSeconds(x)
 	case slices.Contains([]string{"served", "refused", "failed", "unanswered", "lost", "waste"}, name):
-		return percent(x)
+		return formatPercent(x)
 	}
 	return strconv.FormatFloat(x, 'f', 3, 64)
 }
@@ -116,21 +116,21 @@
 // withSpread writes a mean and how far its interval reaches.
 func withSpread(name string, s score.Spread) string {
 	if s.N == 0 {
-		return none
+		return noValue
 	}
-	text := shown(name, s.Mean)
+	text := formatFigure(name, s.Mean)
 	if s.N > 1 && s.High > s.Low {
-		text += " ± " + shown(name, (s.High-s.Low)/2)
+		text += " ± " + formatFigure(name, (s.High-s.Low)/2)
 	}
 	return text
 }
 
 // colour of what a paired difference says.
 func (c *Comparison) class(p *score.Paired) string {
-	switch h, _ := score.HeadlineOf(p.Figure); {
-	case !p.Seen || h.Better == score.Neither:
+	switch h, _ := score.HeadlineOf(p.Metric); {
+	case !p.Significant || h.Better == score.Neither:
 		return ""
-	case (p.Mean > 0) == (h.Better == score.Higher):
+	case (p.Difference > 0) == (h.Better == score.Higher):
 		return "good"
 	}
 	return "poor"
@@ -138,17 +138,17 @@
 
 // ComparePage writes a comparison for a terminal.
 func ComparePage(w io.Writer, c *Comparison) error {
-	p := &page{colour: colours(w)}
+	p := &textPage{colour: useColors(w)}
 	p.line(strong, "%s", c.Title)
 	wide := min(20, (pageWidth-18)/max(1, len(c.Sides)))
 	line := fmt.Sprintf("%-18s", "")
 	for _, s := range c.Sides {
-		line += fmt.Sprintf("%*s", wide, clip(s.Name, max(wide-1, 1)))
+		line += fmt.Sprintf("%*s", wide, truncateLine(s.Name, max(wide-1, 1)))
 	}
 	p.line(faint, "%s", line)
 	all := make([]means, len(c.Sides))
 	for i, s := range c.Sides {
-		all[i] = spreads(s.Plays)
+		all[i] = spreads(s.Results)
 	}
 	for _, h := range score.Headlines {
 		line := fmt.Sprintf("%-18s", h.Name)
@@ -171,17 +171,17 @@
 		p.line(strong, "%s against %s", c.Sides[i+1].Name, c.Sides[0].Name)
 		for k := range list {
 			x := &list[k]
-			p.line(map[string]string{"good": good, "poor": poor}[c.class(x)], "  %-18s%s", x.Figure, x.Says)
+			p.line(map[string]string{"good": good, "poor": poor}[c.class(x)], "  %-18s%s", x.Metric, x.Verdict)
 		}
 	}
-	short, _, _ := strings.Cut(chance, ";")
+	short, _, _ := strings.Cut(chanceNote, ";")
 	p.line(faint, "%s", short+".")
-	_, err := io.WriteString(w, p.b.String())
+	_, err := io.WriteString(w, p.text.String())
 	return err
 }
 
-// together is the mean of a series over plays, second by second.
-func together(plays []*score.Result, of func(*score.Seconds) score.Series) score.Series {
+// meanSeries is the mean of a series over plays, second by second.
+func meanSeries(plays []*score.Result, of func(*score.Seconds) score.Series) score.Series {
 	var sum score.Series
 	var n []float64
 	for _, r := range plays {
@@ -202,22 +202,22 @@
 // WriteCompare writes a comparison as one file of HTML: the sides' figures, their goodput over each other, and the
 // paired differences.
 func WriteCompare(w io.Writer, c *Comparison) error {
-	d := &document{Title: c.Title, About: c.About}
+	d := &document{Title: c.Title, Description: c.Description}
 	if c.Build != "" {
-		d.Gist = append(d.Gist, "Played with "+c.Build)
+		d.Summary = append(d.Summary, "Played with "+c.Build)
 	}
 	figures := table{Caption: "Means over the seeds, and how far the 95% interval of each reaches", Head: []string{""}}
 	t := &timeline{}
-	var lines, kept []line
+	var lines, kept []lineSpec
 	all := make([]means, len(c.Sides))
 	broken, void, plays := []string{}, []string{}, []string{}
 	for i, s := range c.Sides {
 		figures.Head = append(figures.Head, s.Name)
-		all[i] = spreads(s.Plays)
-		broken, void = append(broken, count(s.Broken)), append(void, count(s.Void))
-		plays = append(plays, count(len(s.Plays)))
+		all[i] = spreads(s.Results)
+		broken, void = append(broken, formatCount(s.Broken)), append(void, formatCount(s.Invalid))
+		plays = append(plays, formatCount(len(s.Results)))
 		length := 0.0
-		for _, r := range s.Plays {
+		for _, r := range s.Results {
 			length = max(length, r.Length)
 			if t.end = max(t.end, r.Length); len(t.faults) == 0 {
 				for _, f := range r.Faults {
@@ -226,15 +226,15 @@
 				}
 			}
 		}
-		asked := together(s.Plays, func(s *score.Seconds) score.Series { return s.Asked })
-		earned := together(s.Plays, func(s *score.Seconds) score.Series { return s.Earned })
+		asked := meanSeries(s.Results, func(s *score.Seconds) score.Series { return s.DueValue })
+		earned := meanSeries(s.Results, func(s *score.Seconds) score.Series { return s.DueValueEarned })
 		if i == 0 {
-			lines = append(lines, line{name: "asked for", of: asked, area: true})
+			lines = append(lines, lineSpec{name: "asked for", series: asked, area: true})
 		}
 		if len(lines) < 6 {
-			lines = append(lines, line{name: s.Name, of: together(s.Plays,
-				func(s *score.Seconds) score.Series { return s.Goodput })})
-			kept = append(kept, line{name: s.Name, class: fmt.Sprint("s", len(lines)), of: ratio(asked, earned, length)})
+			lines = append(lines, lineSpec{name: s.Name, series: meanSeries(s.Results,
+				func(s *score.Seconds) score.Series { return s.GoodputValue })})
+			kept = append(kept, lineSpec{name: s.Name, class: fmt.Sprint("s", len(lines)), series: ratio(asked, earned, length)})
 		}
 	}
 	for _, h := range score.Headlines {
@@ -242,7 +242,7 @@
 		for i := range c.Sides {
 			row[i] = withSpread(h.Name, all[i][h.Name])
 		}
-		figures.row(h.Name+", "+h.About, row...)
+		figures.row(h.Name+", "+h.Description, row...)
 	}
 	figures.row("rules broken", broken...)
 	figures.row("plays", plays...)
@@ -254,29 +254,29 @@
 	}
 	if t.end > 0 {
 		over.Plots = []*plot{
-			t.plot(overTime{
-				id: "goodput", title: "Goodput", yName: "worth a second", height: 300, text: figure, labels: true,
+			t.plot(timePlot{
+				id: "goodput", title: "Goodput", yName: "worth a second", height: 300, text: formatNumber, labels: true,
 				lines: lines,
 			}),
-			t.plot(overTime{
+			t.plot(timePlot{
 				id: "kept", title: "Share of the worth due in a second that was earned",
-				yName: "mean of two seconds", height: 240, top: 1, text: percent, lines: kept,
+				yName: "mean of two seconds", height: 240, top: 1, text: formatPercent, lines: kept,
 			}),
 		}
 		d.Sections = append(d.Sections, over)
 	}
 	for i, list := range c.Pairs() {
-		x := table{Head: []string{"", "difference", "95% interval", "spread (SD)", "p", "in words"}, Words: true}
+		x := table{Head: []string{"", "difference", "95% interval", "spread (SD)", "p", "in words"}, TextColumns: true}
 		for k := range list {
 			p := &list[k]
-			x.row(p.Figure, figure(p.Mean), figure(p.Low)+" to "+figure(p.High), figure(p.SD), figure(p.P), p.Says)
-			x.mark(strings.TrimSpace("text "+c.class(p)), 5)
+			x.row(p.Metric, formatNumber(p.Difference), formatNumber(p.Low)+" to "+formatNumber(p.High), formatNumber(p.SD), formatNumber(p.P), p.Verdict)
+			x.setClass(strings.TrimSpace("text "+c.class(p)), 5)
 		}
 		s := section{
 			ID: fmt.Sprint("pairs-", i+1), Title: c.Sides[i+1].Name + " against " + c.Sides[0].Name,
 			Tables: []table{x},
 		}
-		s.Text = []string{"Differences are of plays with the same seed. " + chance}
+		s.Text = []string{"Differences are of plays with the same seed. " + chanceNote}
 		d.Sections = append(d.Sections, s)
 	}
 	if c.Scenario != "" {
@@ -287,14 +287,14 @@
 
 // Sweep is plays over the values of a parameter, and perhaps of a second: a curve for each of those.
 type Sweep struct {
-	Title    string
-	About    string
-	Param    string
-	Second   string // empty: there is but one curve
-	Figure   string // the headline that is drawn; empty: mix
-	Curves   []Curve
-	Scenario string // its text
-	Build    string
+	Title       string
+	Description string
+	Param       string
+	Second      string // empty: there is but one curve
+	Metric      string // the headline that is drawn; empty: mix
+	Curves      []Curve
+	Scenario    string // its text
+	Build       string
 }
 
 // Curve is the plays with one value of the second parameter.
@@ -305,14 +305,14 @@
 
 // Point is the plays with one value of the parameter, over some seeds.
 type Point struct {
-	X      float64
-	Label  string // of a value that is no number; then X counts them
-	Plays  []*score.Result
-	Broken int
+	X       float64
+	Label   string // of a value that is no number; then X counts them
+	Results []*score.Result
+	Broken  int
 }
 
 func (s *Sweep) headline() score.Headline {
-	h, ok := score.HeadlineOf(s.Figure)
+	h, ok := score.HeadlineOf(s.Metric)
 	if !ok {
 		return score.Headlines[0]
 	}
@@ -335,7 +335,7 @@
 		if c.Points[i].Label != "" {
 			return 0, false
 		}
-		xs, ys = append(xs, c.Points[i].X), append(ys, score.SpreadOf(h.Each(c.Points[i].Plays)).Mean)
+		xs, ys = append(xs, c.Points[i].X), append(ys, score.SpreadOf(h.Values(c.Points[i].Results)).Mean)
 	}
 	return score.Knee(xs, ys, h.Better)
 }
@@ -352,7 +352,7 @@
 	}
 	h := s.headline()
 	return fmt.Sprintf("knee over %s at %s, where %s is %s", name, c.Points[at].label(), h.Name,
-		shown(h.Name, score.SpreadOf(h.Each(c.Points[at].Plays)).Mean))
+		formatFigure(h.Name, score.SpreadOf(h.Values(c.Points[at].Results)).Mean))
 }
 
 // MarshalJSON writes spreads of all headlines at each point, and the knees.
@@ -376,7 +376,7 @@
 		Second string  `json:"second_parameter,omitempty"`
 		Figure string  `json:"figure"`
 		Curves []curve `json:"curves"`
-	}{Title: s.Title, About: s.About, Build: s.Build, Param: s.Param, Second: s.Second, Figure: s.headline().Name}
+	}{Title: s.Title, About: s.Description, Build: s.Build, Param: s.Param, Second: s.Second, Figure: s.headline().Name}
 	for i := range s.Curves {
 		c := &s.Curves[i]
 		x := curve{Name: c.Name}
@@ -384,19 +384,19 @@
 			x.Knee = &at
 		}
 		for _, p := range c.Points {
-			x.Points = append(x.Points, point{p.X, p.Label, p.Broken, spreads(p.Plays)})
+			x.Points = append(x.Points, point{p.X, p.Label, p.Broken, spreads(p.Results)})
 		}
 		out.Curves = append(out.Curves, x)
 	}
 	return json.Marshal(out)
 }
 
-// swept are the headlines that a sweep's table shows beside the one that is drawn.
-var swept = []string{"mix", "in_time", "worst_10s", "refused", "unanswered", "p50_ms", "p99_ms", "attempts", "waste"}
+// sweptMetrics are the headlines that a sweep's table shows beside the one that is drawn.
+var sweptMetrics = []string{"mix", "in_time", "worst_10s", "refused", "unanswered", "p50_ms", "p99_ms", "attempts", "waste"}
 
 // table is a sweep's, with the knees marked.
 func (s *Sweep) table() table {
-	names := append([]string{}, swept...)
+	names := append([]string{}, sweptMetrics...)
 	if h := s.headline().Name; h != "mix" {
 		names[0] = h
 	}
@@ -410,7 +410,7 @@
 		}
 		for k := range c.Points {
 			p := &c.Points[k]
-			all := spreads(p.Plays)
+			all := spreads(p.Results)
 			var row []string
 			for _, name := range names {
 				row = append(row, withSpread(name, all[name]))
@@ -419,7 +419,7 @@
 			if ok && k == knee {
 				first += " (knee)"
 			}
-			t.row(first, append(row, count(p.Broken))...)
+			t.row(first, append(row, formatCount(p.Broken))...)
 		}
 	}
 	return t
@@ -427,7 +427,7 @@
 
 // SweepPage writes a sweep for a terminal.
 func SweepPage(w io.Writer, s *Sweep) error {
-	p := &page{colour: colours(w)}
+	p := &textPage{colour: useColors(w)}
 	p.line(strong, "%s", s.Title)
 	t, h := s.table(), s.headline()
 	t.Head[len(t.Head)-1] = "broken"
@@ -439,7 +439,7 @@
 		if i == 0 {
 			width[i] = -width[i] // to the left
 		}
-		head += fmt.Sprintf("%*s", width[i], clip(t.Head[c], max(width[i], -width[i])-1))
+		head += fmt.Sprintf("%*s", width[i], truncateLine(t.Head[c], max(width[i], -width[i])-1))
 	}
 	p.line(faint, "%s", head)
 	for _, row := range t.Rows {
@@ -447,7 +447,7 @@
 			p.line(strong, "%s", row[0].Text)
 			continue
 		}
-		line := fmt.Sprintf("%*s%*s", width[0], clip(row[0].Text, -width[0]-1), width[1], row[1].Text)
+		line := fmt.Sprintf("%*s%*s", width[0], truncateLine(row[0].Text, -width[0]-1), width[1], row[1].Text)
 		for i, c := range columns[2:] {
 			line += fmt.Sprintf("%*s", width[i+2], cut(row[c].Text))
 		}
@@ -457,20 +457,20 @@
 		c := &s.Curves[i]
 		var ys score.Series
 		for k := range c.Points {
-			ys = append(ys, score.SpreadOf(h.Each(c.Points[k].Plays)).Mean)
+			ys = append(ys, score.SpreadOf(h.Values(c.Points[k].Results)).Mean)
 		}
-		p.line(plain, "%s  %s", spark(ys, ys.Max()), s.knee(c))
+		p.line(plain, "%s  %s", sparkline(ys, ys.Max()), s.knee(c))
 	}
-	_, err := io.WriteString(w, p.b.String())
+	_, err := io.WriteString(w, p.text.String())
 	return err
 }
 
 // WriteSweep writes a sweep as one file of HTML: the curves with their knees, and a table.
 func WriteSweep(w io.Writer, s *Sweep) error {
 	h := s.headline()
-	d := &document{Title: s.Title, About: s.About}
+	d := &document{Title: s.Title, Description: s.Description}
 	if s.Build != "" {
-		d.Gist = append(d.Gist, "Played with "+s.Build)
+		d.Summary = append(d.Summary, "Played with "+s.Build)
 	}
 	curves := section{
 		ID: "curve", Title: "The curve and its knee", Plots: []*plot{s.plot(h)},
@@ -490,7 +490,7 @@
 }
 
 func (s *Sweep) plot(h score.Headline) *plot {
-	p := newPlot("sweep", h.Name+" over "+s.Param, s.Param, h.About, 380)
+	p := newPlot("sweep", h.Name+" over "+s.Param, s.Param, h.Description, 380)
 	x := scale{low: math.Inf(1), high: math.Inf(-1)}
 	y := scale{}
 	labels := map[float64]string{}
@@ -500,7 +500,7 @@
 			if pt.Label != "" {
 				labels[pt.X] = pt.Label
 			}
-			if sp := score.SpreadOf(h.Each(pt.Plays)); sp.N > 0 {
+			if sp := score.SpreadOf(h.Values(pt.Results)); sp.N > 0 {
 				y.high = max(y.high, sp.High)
 				y.low = min(y.low, sp.Low)
 			}
@@ -518,13 +518,13 @@
 		y.high = 1
 	}
 	p.axes(x, y, func(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) },
-		func(v float64) string { return short(shown(h.Name, v)) })
+		func(v float64) string { return shorten(formatFigure(h.Name, v)) })
 	if len(labels) > 0 {
 		p.XTicks = nil
 		for _, c := range s.Curves {
 			for _, pt := range c.Points {
 				if labels[pt.X] != "" {
-					p.XTicks = append(p.XTicks, tick{p.x.at(pt.X), labels[pt.X]})
+					p.XTicks = append(p.XTicks, tick{p.xScale.at(pt.X), labels[pt.X]})
 					delete(labels, pt.X)
 				}
 			}
@@ -538,14 +538,14 @@
 		var xs, ys []float64
 		for k := range c.Points {
 			pt := &c.Points[k]
-			sp := score.SpreadOf(h.Each(pt.Plays))
+			sp := score.SpreadOf(h.Values(pt.Results))
 			xs, ys = append(xs, pt.X), append(ys, sp.Mean)
 			if sp.N == 0 {
 				ys[k] = math.NaN()
 				continue
 			}
 			p.Dots = append(p.Dots, dot{
-				p.x.at(pt.X), p.y.at(sp.Mean), p.y.at(sp.Low), p.y.at(sp.High), class,
+				p.xScale.at(pt.X), p.yScale.at(sp.Mean), p.yScale.at(sp.Low), p.yScale.at(sp.High), class,
 				strings.TrimSpace(c.Name + " " + pt.label() + ": " + withSpread(h.Name, sp)), ok && k == knee,
 			})
 		}
@@ -558,6 +558,6 @@
 		p.add(class, name, xs, ys, false, false)
 		said = append(said, s.knee(c))
 	}
-	p.Desc = strings.Join(said, "; ") + "."
+	p.Description = strings.Join(said, "; ") + "."
 	return p
 }
--- a/internal/lab/report/golden_test.go
+++ b/internal/testbed/report/golden_test.go
@@ -6,10 +6,10 @@
 	"math"
 	"testing"
 
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/score"
-	"valvecove/internal/lab/starve"
 	"valvecove/internal/storedform"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/score"
+	"valvecove/internal/testbed/starvation"
 )
 
 // The files of testdata/golden hold figures as the lab of d2a7518 writes them, with a value in every field. Figures are kept,
@@ -21,31 +21,31 @@
 )
 
 // readPlay reads a play's report, but for its expectations, which are written only.
-func readPlay(t *testing.T) Doc {
+func readPlay(t *testing.T) Document {
 	t.Helper()
 	var read struct {
-		Result   *score.Result   `json:"result"`
-		Verdict  *Verdict        `json:"verdict"`
-		Met      json.RawMessage `json:"expectations"`
-		Starved  *starve.Verdict `json:"starved"`
-		Build    string          `json:"build"`
-		Scenario string          `json:"scenario"`
+		Result   *score.Result       `json:"result"`
+		Verdict  *Verdict            `json:"verdict"`
+		Met      json.RawMessage     `json:"expectations"`
+		Starved  *starvation.Verdict `json:"starved"`
+		Build    string              `json:"build"`
+		Scenario string              `json:"scenario"`
 	}
 	decoder := json.NewDecoder(bytes.NewReader(storedform.Golden(t, goldenPlay)))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&read); err != nil {
 		t.Fatal(err)
 	}
-	return Doc{Result: read.Result, Verdict: read.Verdict, Starved: read.Starved, Build: read.Build, Scenario: read.Scenario}
+	return Document{Result: read.Result, Verdict: read.Verdict, Starvation: read.Starved, Build: read.Build, Scenario: read.Scenario}
 }
 
 // goldenMet are the expectations of the golden file: one met, one not, and two without a figure.
-func goldenMet() []score.Met {
-	return []score.Met{
-		{Expectation: scenario.Expectation{Figure: "in_time", Op: ">=", Bound: 0.5}, Got: 0.75, OK: true},
-		{Expectation: scenario.Expectation{Figure: "p99_ms", Of: "cash-payout", Op: "<=", Bound: 100}, Got: 250.5},
-		{Expectation: scenario.Expectation{Figure: "in_time", Op: ">", Bound: 0.9}, Got: math.NaN(), Note: "none was due"},
-		{Expectation: scenario.Expectation{Figure: "recovered_within", Op: "<=", Bound: 5}, Got: math.Inf(1), Note: "not seen to end"},
+func goldenMet() []score.Evaluation {
+	return []score.Evaluation{
+		{Expectation: scenario.Expectation{Metric: "in_time", Operator: ">=", Bound: 0.5}, Value: 0.75, OK: true},
+		{Expectation: scenario.Expectation{Metric: "p99_ms", Group: "cash-payout", Operator: "<=", Bound: 100}, Value: 250.5},
+		{Expectation: scenario.Expectation{Metric: "in_time", Operator: ">", Bound: 0.9}, Value: math.NaN(), Remark: "none was due"},
+		{Expectation: scenario.Expectation{Metric: "recovered_within", Operator: "<=", Bound: 5}, Value: math.Inf(1), Remark: "not seen to end"},
 	}
 }
 
@@ -60,7 +60,7 @@
 
 func TestGoldenPlayIsRead(t *testing.T) {
 	doc := readPlay(t)
-	for _, part := range []any{*doc.Result, *doc.Verdict, *doc.Starved} {
+	for _, part := range []any{*doc.Result, *doc.Verdict, *doc.Starvation} {
 		for _, zero := range storedform.Zero(part) {
 			t.Errorf("nothing is read into %s", zero)
 		}
@@ -69,7 +69,7 @@
 
 func TestGoldenPlayIsWrittenToTheSameBytes(t *testing.T) {
 	doc := readPlay(t)
-	doc.Met = goldenMet()
+	doc.Expectations = goldenMet()
 	checkWritten(t, goldenPlay, doc)
 }
 
@@ -79,7 +79,7 @@
 	for seed := range uint64(3) {
 		r := readPlay(t).Result
 		r.Seed = seed + 1
-		r.Worth.Mix = 0.5 + better + float64(seed)/16
+		r.Value.Mix = 0.5 + better + float64(seed)/16
 		plays = append(plays, r)
 	}
 	return plays
@@ -87,11 +87,11 @@
 
 func goldenComparison(t *testing.T) *Comparison {
 	t.Helper()
-	c := &Comparison{Title: "old & new", About: "What a comparison says.", Build: "d2a7518", Sides: []Side{
-		{Name: "old", Broken: 1, Plays: goldenPlays(t, 0)},
-		{Name: "new", Void: 2, Plays: goldenPlays(t, 0.25)},
+	c := &Comparison{Title: "old & new", Description: "What a comparison says.", Build: "d2a7518", Sides: []Side{
+		{Name: "old", Broken: 1, Results: goldenPlays(t, 0)},
+		{Name: "new", Invalid: 2, Results: goldenPlays(t, 0.25)},
 	}}
-	c.Sides[1].Plays[0].Recovery.All = false // no figure there
+	c.Sides[1].Results[0].Recovery.All = false // no figure there
 	return c
 }
 
@@ -102,14 +102,14 @@
 func goldenSweep(t *testing.T) *Sweep {
 	t.Helper()
 	points := []Point{
-		{X: 0.25, Plays: goldenPlays(t, 0.25)},
-		{X: 0.5, Broken: 3, Plays: goldenPlays(t, 0.25)},
-		{X: 0.75, Plays: goldenPlays(t, 0.125)},
-		{X: 1, Plays: goldenPlays(t, 0)},
+		{X: 0.25, Results: goldenPlays(t, 0.25)},
+		{X: 0.5, Broken: 3, Results: goldenPlays(t, 0.25)},
+		{X: 0.75, Results: goldenPlays(t, 0.125)},
+		{X: 1, Results: goldenPlays(t, 0)},
 	}
-	labelled := []Point{{X: 1, Label: "fifo", Plays: goldenPlays(t, 0)}, {X: 2, Label: "backfill", Plays: goldenPlays(t, 0.125)}}
+	labelled := []Point{{X: 1, Label: "fifo", Results: goldenPlays(t, 0)}, {X: 2, Label: "backfill", Results: goldenPlays(t, 0.125)}}
 	return &Sweep{
-		Title: "load", About: "What a sweep says.", Param: "load.of", Second: "fleet.kind[0].order", Build: "d2a7518",
+		Title: "load", Description: "What a sweep says.", Param: "load.of", Second: "fleet.kind[0].order", Build: "d2a7518",
 		Curves: []Curve{{Name: "a", Points: points}, {Name: "b", Points: labelled}},
 	}
 }
@@ -121,5 +121,5 @@
 // What a report calls its figures stands in tags. A comparison, a sweep and an expectation write themselves by structs of
 // their own, whose bytes the golden files pin.
 func TestReportsAreTagged(t *testing.T) {
-	storedform.CheckTags(t, Doc{}, jsonHeadline{}, means{}, score.Paired{})
+	storedform.CheckTags(t, Document{}, jsonHeadline{}, means{}, score.Paired{})
 }
--- a/internal/lab/report/html.go
+++ b/internal/testbed/report/html.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"valvecove/internal/lab/score"
+	"valvecove/internal/testbed/score"
 )
 
 //go:embed page.gohtml
@@ -21,52 +21,52 @@
 
 // document is a page of HTML as the template knows it. All of its text is escaped there.
 type document struct {
-	Title, About string
-	Gist         []string
-	Badge        *badge
-	Tiles        []tile
-	Sections     []section
+	Title, Description string
+	Summary            []string
+	Badge              *badge
+	Tiles              []tile
+	Sections           []section
 }
 
 type badge struct{ Class, Text string }
 
-type tile struct{ Name, Value, Note string }
+type tile struct{ Name, Value, Remark string }
 
 type section struct {
-	ID, Title string
-	Text      []string
-	Stories   []story
-	Plots     []*plot
-	Strip     *strip
-	Tables    []table
-	Pre       string
+	ID, Title    string
+	Text         []string
+	Explanations []violationStory
+	Plots        []*plot
+	Strip        *strip
+	Tables       []table
+	Pre          string
 }
 
-type story struct {
+type violationStory struct {
 	Rule, At, Text string
-	Story          []string
+	Explanation    []string
 }
 
 type table struct {
-	Caption string
-	Fold    string // what it is folded up under; empty: it isn't
-	Words   bool   // the last column is text
-	Head    []string
-	Rows    [][]cell // one of one cell is a heading of those that follow
+	Caption     string
+	Summary     string // what it is folded up under; empty: it isn't
+	TextColumns bool   // the last column is text
+	Head        []string
+	Rows        [][]cell // one of one cell is a heading of those that follow
 }
 
 type cell struct{ Text, Class string }
 
 // Places that follow from others, for the template.
 
-func (p *plot) AreaH() px { return p.B - p.T }
-func (p *plot) TickX() px { return p.L - 6 }
-func (p *plot) TickY() px { return p.B + 4 }
-func (p *plot) TextY() px { return p.B + 16 }
-func (p *plot) NameY() px { return p.B + 30 }
+func (p *plot) AreaH() pixels { return p.Bottom - p.Top }
+func (p *plot) TickX() pixels { return p.Left - 6 }
+func (p *plot) TickY() pixels { return p.Bottom + 4 }
+func (p *plot) TextY() pixels { return p.Bottom + 16 }
+func (p *plot) NameY() pixels { return p.Bottom + 30 }
 
-func (s *strip) Bottom() px { return s.T + s.AreaH }
-func (s *strip) TextY() px  { return s.T + s.AreaH + 16 }
+func (s *strip) Bottom() pixels { return s.Top + s.AreaH }
+func (s *strip) TextY() pixels  { return s.Top + s.AreaH + 16 }
 
 func (d *document) write(w io.Writer) error {
 	var b bytes.Buffer
@@ -92,12 +92,12 @@
 	t.Rows = append(t.Rows, row)
 }
 
-// Wide is how many columns a row of one cell spans, and Last the last of them.
-func (t table) Wide() int { return len(t.Head) }
-func (t table) Last() int { return len(t.Head) - 1 }
+// ColumnCount is how many columns a row of one cell spans, and Last the last of them.
+func (t table) ColumnCount() int { return len(t.Head) }
+func (t table) Last() int        { return len(t.Head) - 1 }
 
-// mark gives the last row's cells from column i on a class.
-func (t *table) mark(class string, columns ...int) {
+// setClass gives the last row's cells from column i on a class.
+func (t *table) setClass(class string, columns ...int) {
 	row := t.Rows[len(t.Rows)-1]
 	for _, i := range columns {
 		row[i].Class = class
@@ -105,21 +105,21 @@
 }
 
 // WriteHTML writes the report of a play as one file that refers to nothing else.
-func WriteHTML(w io.Writer, d Doc) error {
+func WriteHTML(w io.Writer, d Document) error {
 	r := d.Result
-	out := &document{Title: r.Name, About: r.About, Gist: []string{gist(r)}, Tiles: tiles(r)}
+	out := &document{Title: r.Name, Description: r.Description, Summary: []string{summaryOf(r)}, Tiles: tiles(r)}
 	if d.Build != "" {
-		out.Gist = append(out.Gist, "Played with "+d.Build)
+		out.Summary = append(out.Summary, "Played with "+d.Build)
 	}
 	out.Badge = &badge{"good", d.Verdict.String()}
 	switch {
 	case d.Verdict.Total() > 0:
 		out.Badge.Class = "poor"
-	case d.Verdict == nil || d.Verdict.Void != "":
+	case d.Verdict == nil || d.Verdict.Invalid != "":
 		out.Badge.Class = ""
 	}
 	end := r.End
-	for end > r.Length && quietAfter(r, end-1) {
+	for end > r.Length && isQuietAfter(r, end-1) {
 		end--
 	}
 	t := &timeline{end: end, faults: r.Faults, marks: r.Marks}
@@ -128,17 +128,17 @@
 			out.Sections = append(out.Sections, s)
 		}
 	}
-	add(verdict(d.Verdict))
-	add(expectations(d.Met))
-	add(overSeconds(r, t), true)
-	add(section{ID: "parts", Title: "By class and tenant", Tables: parts(r)}, true)
-	add(troubles(r))
-	add(fleet(r, t), true)
-	add(efforts(r), true)
-	add(processes(r, t))
-	add(badClients(r))
+	add(verdictSection(d.Verdict))
+	add(expectationSection(d.Expectations))
+	add(timelineSection(r, t), true)
+	add(section{ID: "parts", Title: "By class and tenant", Tables: groupTables(r)}, true)
+	add(disturbanceSection(r))
+	add(fleetSection(r, t), true)
+	add(effortSection(r), true)
+	add(processSection(r, t))
+	add(misbehavingSection(r))
 	add(scenarioText(d.Scenario), d.Scenario != "")
-	add(section{ID: "reading", Title: "How to read this", Text: reading}, true)
+	add(section{ID: "reading", Title: "How to read this", Text: readingGuide}, true)
 	return out.write(w)
 }
 
@@ -146,14 +146,14 @@
 	return section{ID: "scenario", Title: "Scenario", Pre: strings.TrimRight(text, "\n")}
 }
 
-// quietAfter tells whether nothing went on any more after an instant.
-func quietAfter(r *score.Result, s float64) bool {
+// isQuietAfter tells whether nothing went on any more after an instant.
+func isQuietAfter(r *score.Result, s float64) bool {
 	i := int(s)
 	return i >= len(r.Seconds.InFlight) || r.Seconds.InFlight[i] == 0 && r.Seconds.Occupancy[i] == 0 &&
 		r.Seconds.GoodputJobs[i] == 0
 }
 
-var reading = []string{
+var readingGuide = []string{
 	"Worth: a job's is that of its class, times its work, times its slots; beyond its tenant's share it counts only a " +
 		"part. It is earned if the answer is there within the job's aim, counted from when the job was due, over all " +
 		"tries. \"In share\" leaves out what is beyond a tenant's share. The mix is 40% the whole play, 15% its worst " +
@@ -171,25 +171,25 @@
 }
 
 func tiles(r *score.Result) []tile {
-	w := &r.Worth
+	w := &r.Value
 	three := func(x float64) string { return strconv.FormatFloat(x, 'f', 3, 64) }
 	list := []tile{
 		{"worth, mixed", three(w.Mix), "in time over asked for"},
 		{"whole play", three(w.Whole), ""},
-		{"worst 10 s", three(w.Worst10), "from " + instant(w.Worst10At)},
+		{"worst 10 s", three(w.Worst10), "from " + formatSeconds(w.Worst10At)},
 		{"worst class", three(w.WorstClass.Value), w.WorstClass.Name},
 		{"worst tenant", three(w.WorstTenant.Value), w.WorstTenant.Name},
-		{"jobs", count(r.Whole.Due), percent(r.Whole.Shares.InTime) + " in time"},
-		{"p50", span(r.Whole.Latency.P50), "from due to served"},
-		{"p99", span(r.Whole.Latency.P99), "slowest " + span(r.Whole.Latency.Max)},
-		{"refused", percent(r.Whole.Shares.Refused), "of jobs"},
+		{"jobs", formatCount(r.Whole.Due), formatPercent(r.Whole.Shares.InTime) + " in time"},
+		{"p50", formatMillis(r.Whole.Latency.P50), "from due to served"},
+		{"p99", formatMillis(r.Whole.Latency.P99), "slowest " + formatMillis(r.Whole.Latency.Max)},
+		{"refused", formatPercent(r.Whole.Shares.Rejected), "of jobs"},
 		{"attempts", strconv.FormatFloat(r.Effort.PerJob, 'f', 3, 64), "a job"},
-		{"waste", percent(r.Waste.Share), "of work asked for"},
-		{"occupancy", percent(r.Fleet.Whole), "busiest " + percent(r.Fleet.Busiest)},
+		{"waste", formatPercent(r.Waste.Share), "of work asked for"},
+		{"occupancy", formatPercent(r.Fleet.Whole), "busiest " + formatPercent(r.Fleet.Busiest)},
 	}
 	if r.Recovery.Count > 0 {
 		note := plural(r.Recovery.Count, "disturbance", "disturbances") + ", the worst"
-		value := instant(r.Recovery.Seconds)
+		value := formatSeconds(r.Recovery.Seconds)
 		if !r.Recovery.All {
 			value = "not seen"
 		}
@@ -198,35 +198,35 @@
 	return list
 }
 
-func verdict(v *Verdict) (section, bool) {
+func verdictSection(v *Verdict) (section, bool) {
 	if v == nil {
 		return section{}, false
 	}
 	s := section{ID: "verdict", Title: "Verdict", Text: []string{strings.ToUpper(v.String()[:1]) + v.String()[1:] + "."}}
-	if n := v.Total() - len(v.Broken); n > 0 {
+	if n := v.Total() - len(v.Violations); n > 0 {
 		s.Text = append(s.Text, fmt.Sprintf("Of %d of them no story was kept.", n))
 	}
-	for _, what := range v.LeftOut {
+	for _, what := range v.NotChecked {
 		s.Text = append(s.Text, "Left out: "+what)
 	}
-	for i := range v.Broken {
-		b := &v.Broken[i]
-		s.Stories = append(s.Stories, story{b.Rule, instant(b.At.Seconds()), b.Text, b.Story})
+	for i := range v.Violations {
+		b := &v.Violations[i]
+		s.Explanations = append(s.Explanations, violationStory{b.Rule, formatSeconds(b.At.Seconds()), b.Text, b.Explanation})
 	}
 	return s, true
 }
 
-func expectations(met []score.Met) (section, bool) {
-	t := table{Head: []string{"expected", "came to", "", ""}, Words: true}
+func expectationSection(met []score.Evaluation) (section, bool) {
+	t := table{Head: []string{"expected", "came to", "", ""}, TextColumns: true}
 	for i := range met {
 		m := &met[i]
 		word, class := "met", "good"
 		if !m.OK {
 			word, class = "not met", "poor"
 		}
-		t.row(m.Expectation.String(), got(m), word, m.Note)
-		t.mark(class, 2)
-		t.mark("text", 3)
+		t.row(m.Expectation.String(), formatValue(m), word, m.Remark)
+		t.setClass(class, 2)
+		t.setClass("text", 3)
 	}
 	return section{ID: "expected", Title: "Expectations", Tables: []table{t}}, len(met) > 0
 }
@@ -245,45 +245,45 @@
 	return out
 }
 
-func overSeconds(r *score.Result, t *timeline) section {
+func timelineSection(r *score.Result, t *timeline) section {
 	s := &r.Seconds
-	kept := []line{{name: "all", of: ratio(s.Asked, s.Earned, r.Length), strong: true}}
-	flight := []line{{name: "all", of: s.InFlight, area: true}}
+	kept := []lineSpec{{name: "all", series: ratio(s.DueValue, s.DueValueEarned, r.Length), strong: true}}
+	flight := []lineSpec{{name: "all", series: s.InFlight, area: true}}
 	for i := range s.Classes[:min(5, len(s.Classes))] {
 		c := &s.Classes[i]
-		kept = append(kept, line{name: c.Name, of: ratio(c.Asked, c.Earned, r.Length)})
-		flight = append(flight, line{name: c.Name, of: c.InFlight})
+		kept = append(kept, lineSpec{name: c.Name, series: ratio(c.DueValue, c.DueValueEarned, r.Length)})
+		flight = append(flight, lineSpec{name: c.Name, series: c.InFlight})
 	}
 	out := section{ID: "seconds", Title: "Over time", Plots: []*plot{
-		t.plot(overTime{
+		t.plot(timePlot{
 			id: "goodput", title: "Asked for and answered in time", yName: "worth a second", height: 300,
-			text: figure, labels: true, lines: []line{
-				{name: "asked for, when due", of: s.Asked, area: true},
-				{name: "answered in time, when answered", of: s.Goodput, strong: true},
+			text: formatNumber, labels: true, lines: []lineSpec{
+				{name: "asked for, when due", series: s.DueValue, area: true},
+				{name: "answered in time, when answered", series: s.GoodputValue, strong: true},
 			},
 		}),
-		t.plot(overTime{
+		t.plot(timePlot{
 			id: "kept", title: "Share of the worth due in a second that was earned",
-			yName: "mean of two seconds", height: 220, top: 1, text: percent, lines: kept,
+			yName: "mean of two seconds", height: 220, top: 1, text: formatPercent, lines: kept,
 		}),
-		t.plot(overTime{
+		t.plot(timePlot{
 			id: "latency", title: "Latency of answers", yName: "from when the job was due, logarithmic",
-			height: 260, log: true, text: span, lines: []line{
-				{name: "p50", of: s.P50, gaps: true, how: most},
-				{name: "p99", of: s.P99, gaps: true, how: most, strong: true},
-				{name: "slowest", of: s.Slowest, gaps: true, how: most},
+			height: 260, log: true, text: formatMillis, lines: []lineSpec{
+				{name: "p50", series: s.P50, gaps: true, summarize: maxOf},
+				{name: "p99", series: s.P99, gaps: true, summarize: maxOf, strong: true},
+				{name: "slowest", series: s.MaxLatency, gaps: true, summarize: maxOf},
 			},
 		}),
-		t.plot(overTime{
-			id: "flight", title: "In flight", yName: "jobs due and not over", height: 220, text: figure,
+		t.plot(timePlot{
+			id: "flight", title: "In flight", yName: "jobs due and not over", height: 220, text: formatNumber,
 			lines: flight,
 		}),
-		t.plot(overTime{
-			id: "refusals", title: "Refusals and attempts", yName: "a second", height: 200, text: figure,
-			lines: []line{{name: "jobs due", of: s.AskedJobs, area: true}, {
-				name: "tries refused by schedulers",
-				of:   s.Refused, strong: true,
-			}, {name: "attempts at worker nodes", of: s.Attempts}},
+		t.plot(timePlot{
+			id: "refusals", title: "Refusals and attempts", yName: "a second", height: 200, text: formatNumber,
+			lines: []lineSpec{{name: "jobs due", series: s.DueJobs, area: true}, {
+				name:   "tries refused by schedulers",
+				series: s.Rejected, strong: true,
+			}, {name: "attempts at worker nodes", series: s.Attempts}},
 		}),
 	}}
 	if len(s.Classes) > 5 {
@@ -292,14 +292,14 @@
 	return out
 }
 
-func parts(r *score.Result) []table {
+func groupTables(r *score.Result) []table {
 	outcome := table{
 		Caption: "Jobs by what became of them, and worth earned over worth asked for",
 		Head:    []string{"", "jobs", "worth", "earned", "in share"},
 	}
 	var shown []int // the usual outcomes, and the others where there are any
 	for i, name := range score.OutcomeNames {
-		if i < int(score.Lost) || r.Whole.Outcomes[i] > 0 {
+		if i < int(score.OutcomeLost) || r.Whole.Outcomes[i] > 0 {
 			shown = append(shown, i)
 			outcome.Head = append(outcome.Head, name)
 		}
@@ -313,16 +313,16 @@
 		Head:    []string{"", "served", "p50", "p90", "p99", "p99.9", "slowest"},
 	}
 	row := func(g *score.Group) {
-		cells := []string{count(g.Due), figure(g.Asked), percent(g.Share), percent(g.Within)}
+		cells := []string{formatCount(g.Due), formatNumber(g.Requested), formatPercent(g.EarnedShare), formatPercent(g.EarnedShareWithinQuota)}
 		for _, i := range shown {
-			cells = append(cells, percent(float64(g.Outcomes[i])/float64(max(1, g.Due))))
+			cells = append(cells, formatPercent(float64(g.Outcomes[i])/float64(max(1, g.Due))))
 		}
 		if r.Whole.Open > 0 {
-			cells = append(cells, count(g.Open))
+			cells = append(cells, formatCount(g.Open))
 		}
 		outcome.row(g.Name, append(cells, strconv.FormatFloat(g.Attempts, 'f', 3, 64))...)
 		l := &g.Latency
-		times.row(g.Name, count(l.Count), span(l.P50), span(l.P90), span(l.P99), span(l.P999), span(l.Max))
+		times.row(g.Name, formatCount(l.Count), formatMillis(l.P50), formatMillis(l.P90), formatMillis(l.P99), formatMillis(l.P999), formatMillis(l.Max))
 	}
 	row(&r.Whole)
 	for _, side := range []struct {
@@ -338,46 +338,46 @@
 	return []table{outcome, times}
 }
 
-func troubles(r *score.Result) (section, bool) {
+func disturbanceSection(r *score.Result) (section, bool) {
 	back := table{
 		Caption: "Disturbances and when goodput was back",
 		Head:    []string{"faults", "from", "to", "share before", "at its lowest", "back, from its start", "from its end"},
 	}
-	for i := range r.Troubles {
-		d := &r.Troubles[i]
+	for i := range r.Disturbances {
+		d := &r.Disturbances[i]
 		low, start, end := "no dip", "0 s", "0 s"
-		if d.Dip {
-			low, start, end = percent(d.Low), instant(d.FromStart), instant(d.FromEnd)
+		if d.HasDip {
+			low, start, end = formatPercent(d.Lowest), formatSeconds(d.FromStart), formatSeconds(d.FromEnd)
 		}
-		to := instant(d.To)
+		to := formatSeconds(d.To)
 		if d.Lasting {
 			to += ", lasting"
 		}
 		if !d.Recovered {
 			end = "not within " + end
 		}
-		back.row(strings.Join(d.Faults, ", "), instant(d.From), to, percent(d.Before), low, start, end)
+		back.row(strings.Join(d.Faults, ", "), formatSeconds(d.From), to, formatPercent(d.Before), low, start, end)
 		if !d.Recovered {
-			back.mark("poor", 6)
+			back.setClass("poor", 6)
 		}
 	}
 	list := table{
 		Caption: "The timeline, as numbered in the plots", Head: []string{"fault", "from", "to"},
-		Fold: plural(len(r.Faults), "fault", "faults") + " of the timeline",
+		Summary: plural(len(r.Faults), "fault", "faults") + " of the timeline",
 	}
-	for i, f := range r.Faults[:min(len(r.Faults), mostBands)] {
+	for i, f := range r.Faults[:min(len(r.Faults), maxBands)] {
 		off := "the end"
 		if f.Off >= 0 {
-			off = instant(f.Off)
+			off = formatSeconds(f.Off)
 		}
-		list.row(fmt.Sprintf("%d. %s", i+1, f.Text), instant(f.On), off)
+		list.row(fmt.Sprintf("%d. %s", i+1, f.Text), formatSeconds(f.On), off)
 	}
 	marks := table{
 		Caption: "What befell schedulers, and worker nodes that were pushed over",
-		Head:    []string{"what", "when"}, Fold: plural(len(r.Marks), "mark", "marks"),
+		Head:    []string{"what", "when"}, Summary: plural(len(r.Marks), "mark", "marks"),
 	}
-	for _, m := range r.Marks[:min(len(r.Marks), mostBands)] {
-		marks.row(m.Text, instant(m.At))
+	for _, m := range r.Marks[:min(len(r.Marks), maxBands)] {
+		marks.row(m.Text, formatSeconds(m.At))
 	}
 	s := section{ID: "faults", Title: "Faults and recovery"}
 	for _, t := range []table{back, list, marks} {
@@ -388,34 +388,34 @@
 	return s, len(s.Tables) > 0
 }
 
-// mostNodes is how many worker nodes a table shows.
-const mostNodes = 30
+// maxWorkers is how many worker nodes a table shows.
+const maxWorkers = 30
 
-func fleet(r *score.Result, t *timeline) section {
+func fleetSection(r *score.Result, t *timeline) section {
 	o := &r.Fleet
-	up := make(score.Series, len(r.Seconds.NodesUp))
-	for i, n := range r.Seconds.NodesUp {
-		up[i] = n / float64(max(1, len(o.Nodes)))
+	up := make(score.Series, len(r.Seconds.WorkersUp))
+	for i, n := range r.Seconds.WorkersUp {
+		up[i] = n / float64(max(1, len(o.Workers)))
 	}
 	s := section{ID: "fleet", Title: "Worker nodes", Strip: t.strip(o), Plots: []*plot{
-		t.plot(overTime{
+		t.plot(timePlot{
 			id: "occupancy", title: "Occupancy of the fleet, and worker nodes up",
-			yName: "of slots up, and of all", height: 180, top: 1, text: percent, lines: []line{
-				{name: "occupancy", of: r.Seconds.Occupancy, area: true}, {name: "worker nodes up", of: up},
+			yName: "of slots up, and of all", height: 180, top: 1, text: formatPercent, lines: []lineSpec{
+				{name: "occupancy", series: r.Seconds.Occupancy, area: true}, {name: "worker nodes up", series: up},
 			},
 		}),
 	}}
 	s.Text = []string{fmt.Sprintf("Occupancy of the fleet %s; of the busiest, w-%d, %s, which is %s times the mean.",
-		percent(o.Whole), o.BusiestNode, percent(o.Busiest), figure(o.OverMean))}
+		formatPercent(o.Whole), o.BusiestWorker, formatPercent(o.Busiest), formatNumber(o.OverMean))}
 	nodes := table{
-		Head: []string{"", "occupancy", "up", "slots", "attempts", "full", "pushed over"},
-		Fold: plural(len(o.Nodes), "worker node", "worker nodes") + ", the busiest first",
+		Head:    []string{"", "occupancy", "up", "slots", "attempts", "full", "pushed over"},
+		Summary: plural(len(o.Workers), "worker node", "worker nodes") + ", the busiest first",
 	}
-	if len(o.Nodes) > mostNodes {
-		nodes.Fold = fmt.Sprintf("The %d busiest of %s worker nodes", mostNodes, count(len(o.Nodes)))
+	if len(o.Workers) > maxWorkers {
+		nodes.Summary = fmt.Sprintf("The %d busiest of %s worker nodes", maxWorkers, formatCount(len(o.Workers)))
 	}
-	list := slices.Clone(o.Nodes)
-	slices.SortStableFunc(list, func(a, b score.NodeUse) int {
+	list := slices.Clone(o.Workers)
+	slices.SortStableFunc(list, func(a, b score.WorkerUse) int {
 		switch {
 		case a.Use > b.Use:
 			return -1
@@ -424,78 +424,78 @@
 		}
 		return 0
 	})
-	for _, n := range list[:min(len(list), mostNodes)] {
-		nodes.row(fmt.Sprint("w-", n.Node), percent(n.Use), percent(n.Up), figure(n.Slots), count(n.Attempts),
-			count(n.Full), count(n.Falls))
+	for _, n := range list[:min(len(list), maxWorkers)] {
+		nodes.row(fmt.Sprint("w-", n.Worker), formatPercent(n.Use), formatPercent(n.Up), formatNumber(n.Slots), formatCount(n.Attempts),
+			formatCount(n.Full), formatCount(n.Overloads))
 	}
 	s.Tables = []table{nodes}
 	return s
 }
 
-func efforts(r *score.Result) section {
+func effortSection(r *score.Result) section {
 	e, w := &r.Effort, &r.Waste
 	a := table{Caption: "Counted at clients and worker nodes", Head: []string{"", "in all", "a job"}}
 	for _, x := range []struct {
 		name string
 		n    int
 	}{
-		{"tries of clients", e.Tries},
+		{"tries of clients", e.Requests},
 		{"retries of clients", e.Retries},
-		{"tries that found no scheduler", e.Unreached},
+		{"tries that found no scheduler", e.RequestsUnreached},
 		{"sent once more on a new connection", e.Resent},
-		{"tries served", e.Served},
-		{"tries refused by schedulers", e.Refused},
-		{"tries failed", e.Failed},
+		{"tries served", e.RequestsServed},
+		{"tries refused by schedulers", e.RequestsRejected},
+		{"tries failed", e.RequestsFailed},
 		{"attempts at worker nodes", e.Attempts},
-		{"second copies", e.SecondCopies},
+		{"second copies", e.Hedged},
 		{"accepted", e.Accepted},
-		{"turned away by worker nodes", e.Turned},
+		{"turned away by worker nodes", e.Rejected},
 		{"of these, full", e.Full},
 		{"handed back unstarted", e.Returned},
-		{"withdrawn", e.Withdrawn},
-		{"repeats that a cell dropped", e.Dropped},
-		{"notes", e.Notes},
-		{"notes lost", e.NotesLost},
-		{"probes", e.Probes},
-		{"connections opened to worker nodes", e.Links},
-		{"cold worker nodes pushed over", e.Falls},
-		{"attempts of queries long over", e.Strays},
+		{"withdrawn", e.Cancelled},
+		{"repeats that a cell dropped", e.DuplicatesDropped},
+		{"notes", e.Callbacks},
+		{"notes lost", e.CallbacksLost},
+		{"probes", e.HealthChecks},
+		{"connections opened to worker nodes", e.Connections},
+		{"cold worker nodes pushed over", e.Overloads},
+		{"attempts of queries long over", e.Duplicates},
 		{"sights of what is not open", e.Unknown},
 	} {
-		a.row(x.name, count(x.n), figure(float64(x.n)/float64(max(1, r.Whole.Due))))
+		a.row(x.name, formatCount(x.n), formatNumber(float64(x.n)/float64(max(1, r.Whole.Due))))
 	}
-	a.row("most attempts of one job", count(e.MostAttempts), "")
+	a.row("most attempts of one job", formatCount(e.MaxAttempts), "")
 	b := table{Caption: "Work, in seconds at speed 1 times slots", Head: []string{"", "work", "of the work asked for"}}
 	for _, x := range []struct {
 		name string
 		work float64
 	}{
-		{"asked for", e.WorkAsked},
+		{"asked for", e.WorkRequested},
 		{"run by worker nodes", e.WorkRun},
 		{"of which an answer came", e.WorkUseful},
-		{"of which it came after the aim", e.AfterAim},
+		{"of which it came after the aim", e.WorkAfterObjective},
 		{"waste", w.Work},
 		{"waste: another run had given the answer", w.Repeated},
 		{"waste: the client's time was up", w.TooLate},
-		{"waste: the client had gone", w.Left},
+		{"waste: the client had gone", w.ClientLeft},
 		{"waste: the client was refused, failed or cut off", w.Unused},
 		{"waste: it ended with an error", w.Errors},
 		{"waste: it died on the way", w.Killed},
 		{"for tries that were open at the end", e.WorkPending},
 	} {
-		b.row(x.name, figure(x.work), percent(x.work/max(e.WorkAsked, 1e-9)))
+		b.row(x.name, formatNumber(x.work), formatPercent(x.work/max(e.WorkRequested, 1e-9)))
 	}
 	return section{ID: "effort", Title: "Attempts, waste, refusals", Tables: []table{b, a}}
 }
 
-func processes(r *score.Result, t *timeline) (section, bool) {
+func processSection(r *score.Result, t *timeline) (section, bool) {
 	s := section{ID: "processes", Title: "Processes"}
 	list := table{Head: []string{
 		"", "CPU", "cores", "peak memory", "peak descriptors", "tries", "attempts", "starts",
 		"kills", "SIGTERM", "freezes", "reloads", "exits",
 	}}
-	drawn := slices.Clone(r.Procs)
-	drawn = slices.DeleteFunc(drawn, func(p score.Process) bool { return len(p.CPUs) == 0 })
+	drawn := slices.Clone(r.Processes)
+	drawn = slices.DeleteFunc(drawn, func(p score.Process) bool { return len(p.CPUBySecond) == 0 })
 	slices.SortStableFunc(drawn, func(a, b score.Process) int {
 		switch {
 		case a.CPU > b.CPU:
@@ -509,50 +509,50 @@
 		s.Text = append(s.Text, "Drawn are the six that took the most CPU.")
 		drawn = drawn[:6]
 	}
-	var cpus, memories, files []line
+	var cpus, memories, files []lineSpec
 	for _, p := range drawn {
-		name := procName(p.Sched)
-		cpus = append(cpus, line{name: name, of: p.CPUs})
-		memories = append(memories, line{name: name, of: p.Memories, gaps: true, how: most})
-		files = append(files, line{name: name, of: p.Opens, gaps: true, how: most})
+		name := processName(p.Scheduler)
+		cpus = append(cpus, lineSpec{name: name, series: p.CPUBySecond})
+		memories = append(memories, lineSpec{name: name, series: p.MemoryBySecond, gaps: true, summarize: maxOf})
+		files = append(files, lineSpec{name: name, series: p.FilesBySecond, gaps: true, summarize: maxOf})
 	}
 	if len(drawn) > 0 {
 		const peak = "peak of each second"
 		s.Plots = []*plot{
-			t.plot(overTime{id: "cpu", title: "CPU", yName: "cores", height: 180, text: figure, lines: cpus}),
-			t.plot(overTime{id: "memory", title: "Memory", yName: peak, height: 180, text: size, lines: memories}),
-			t.plot(overTime{id: "files", title: "Descriptors", yName: peak, height: 160, text: figure, lines: files}),
+			t.plot(timePlot{id: "cpu", title: "CPU", yName: "cores", height: 180, text: formatNumber, lines: cpus}),
+			t.plot(timePlot{id: "memory", title: "Memory", yName: peak, height: 180, text: formatBytes, lines: memories}),
+			t.plot(timePlot{id: "files", title: "Descriptors", yName: peak, height: 160, text: formatNumber, lines: files}),
 		}
 	}
 	busy := len(drawn) > 0
-	for _, p := range r.Procs {
-		list.row(procName(p.Sched), instant(p.CPU), figure(p.Cores), size(float64(p.Memory)), count(p.Files),
-			count(p.Tries), count(p.Attempts), count(p.Starts), count(p.Kills), count(p.Terms), count(p.Freezes),
-			count(p.Reloads), count(p.Exits))
+	for _, p := range r.Processes {
+		list.row(processName(p.Scheduler), formatSeconds(p.CPU), formatNumber(p.Cores), formatBytes(float64(p.PeakMemory)), formatCount(p.PeakFiles),
+			formatCount(p.Requests), formatCount(p.Attempts), formatCount(p.Starts), formatCount(p.Kills), formatCount(p.Terms), formatCount(p.Freezes),
+			formatCount(p.Reloads), formatCount(p.Exits))
 		busy = busy || p.Starts > 0
 	}
 	s.Tables = []table{list}
 	if l := &r.Lateness; l.Count > 0 {
 		s.Text = append(s.Text, fmt.Sprintf("The lab itself was late %s: p99.9 %s, at most %s.",
-			plural(l.Count, "time", "times"), span(l.P999), span(l.Max)))
+			plural(l.Count, "time", "times"), formatMillis(l.P999), formatMillis(l.Max)))
 	}
 	return s, busy
 }
 
-func badClients(r *score.Result) (section, bool) {
+func misbehavingSection(r *score.Result) (section, bool) {
 	t := table{Head: []string{
 		"kind", "connected", "answered with an error", "closed", "answered otherwise",
 		"left waiting", "longest",
 	}}
-	for _, b := range r.Bad {
-		t.row(b.Kind, count(b.Connected), count(b.Errors), count(b.Closed), count(b.Served), count(b.Open),
-			span(b.LongestMs))
+	for _, b := range r.Misbehaving {
+		t.row(b.Kind, formatCount(b.Connected), formatCount(b.Errors), formatCount(b.Closed), formatCount(b.Served), formatCount(b.Open),
+			formatMillis(b.MaxWaitMs))
 		if b.Served > 0 {
-			t.mark("poor", 4)
+			t.setClass("poor", 4)
 		}
 		if b.Open > 0 {
-			t.mark("poor", 5)
+			t.setClass("poor", 5)
 		}
 	}
-	return section{ID: "bad", Title: "Bad clients", Tables: []table{t}}, len(r.Bad) > 0
+	return section{ID: "bad", Title: "Bad clients", Tables: []table{t}}, len(r.Misbehaving) > 0
 }
--- a/internal/lab/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -6,13 +6,13 @@
 	"strconv"
 	"strings"
 
-	"valvecove/internal/lab/score"
+	"valvecove/internal/testbed/score"
 )
 
-// px is a place in a drawing.
-type px float64
+// pixels is a place in a drawing.
+type pixels float64
 
-func (x px) String() string {
+func (x pixels) String() string {
 	return strings.TrimSuffix(strconv.FormatFloat(float64(x), 'f', 1, 64), ".0")
 }
 
@@ -20,10 +20,10 @@
 type scale struct {
 	low, high float64
 	log       bool
-	from, to  px
+	from, to  pixels
 }
 
-func (s *scale) at(v float64) px {
+func (s *scale) at(v float64) pixels {
 	low, high := s.low, s.high
 	if s.log {
 		low, high, v = math.Log(low), math.Log(high), math.Log(max(v, s.low))
@@ -31,11 +31,11 @@
 	if high <= low {
 		return s.from
 	}
-	return s.from + px(min(max((v-low)/(high-low), 0), 1))*(s.to-s.from)
+	return s.from + pixels(min(max((v-low)/(high-low), 0), 1))*(s.to-s.from)
 }
 
 type tick struct {
-	At   px
+	At   pixels
 	Text string
 }
 
@@ -69,7 +69,7 @@
 
 // roundUp is the next of 1, 2, 5, 10 and so on.
 func roundUp(x float64) float64 {
-	if x <= 0 || bad(x) {
+	if x <= 0 || isNotFinite(x) {
 		return 0
 	}
 	power := math.Pow(10, math.Floor(math.Log10(x)))
@@ -83,29 +83,29 @@
 
 // plot is a drawing that the template writes as SVG.
 type plot struct {
-	ID, Title, Desc, YName, XName string
-	W, H                          px
-	L, R, T, B                    px // borders of the area
-	XTicks, YTicks                []tick
-	Bands                         []band
-	Marks                         []markLine
-	Curves                        []curve
-	Dots                          []dot
-	Hovers                        []hover
-	x, y                          scale
+	ID, Title, Description, YName, XName string
+	Width, Height                        pixels
+	Left, Right, Top, Bottom             pixels // borders of the area
+	XTicks, YTicks                       []tick
+	Bands                                []band
+	Marks                                []markLine
+	Curves                               []curve
+	Dots                                 []dot
+	Hovers                               []hover
+	xScale, yScale                       scale
 }
 
 type band struct {
-	X, W   px
-	Text   string // on hovering
-	Label  string
-	LabelX px
-	LabelY px
-	End    bool // the label ends at LabelX, since it would not fit to the right of it
+	X, Width pixels
+	Text     string // on hovering
+	Label    string
+	LabelX   pixels
+	LabelY   pixels
+	End      bool // the label ends at LabelX, since it would not fit to the right of it
 }
 
 type markLine struct {
-	X    px
+	X    pixels
 	Text string
 }
 
@@ -118,32 +118,32 @@
 }
 
 type dot struct {
-	X, Y, Low, High px
+	X, Y, Low, High pixels
 	Class, Text     string
 	Knee            bool
 }
 
 type hover struct {
-	X, W px
-	Text string
+	X, Width pixels
+	Text     string
 }
 
 const (
-	plotW   = 1000
-	seriesN = 500 // points of a curve at most; each may stand for several seconds
+	plotWidth    = 1000
+	seriesColors = 500 // points of a curve at most; each may stand for several seconds
 )
 
-func newPlot(id, title, xName, yName string, height px) *plot {
+func newPlot(id, title, xName, yName string, height pixels) *plot {
 	return &plot{
-		ID: id, Title: title, XName: xName, YName: yName, W: plotW, H: height, L: 62, R: plotW - 12, T: 24,
-		B: height - 34,
+		ID: id, Title: title, XName: xName, YName: yName, Width: plotWidth, Height: height, Left: 62, Right: plotWidth - 12, Top: 24,
+		Bottom: height - 34,
 	}
 }
 
 // axes sets the scales and their ticks. The area must have its borders by then.
 func (p *plot) axes(x, y scale, xText, yText func(float64) string) {
-	x.from, x.to, y.from, y.to = p.L, p.R, p.B, p.T
-	p.x, p.y = x, y
+	x.from, x.to, y.from, y.to = p.Left, p.Right, p.Bottom, p.Top
+	p.xScale, p.yScale = x, y
 	p.XTicks, p.YTicks = x.ticks(12, xText), y.ticks(5, yText)
 }
 
@@ -152,22 +152,22 @@
 	var b strings.Builder
 	b.Grow(12 * len(xs))
 	down := false // the pen
-	var last px
+	var last pixels
 	for i, y := range ys {
-		if bad(y) {
+		if isNotFinite(y) {
 			if down && area {
-				fmt.Fprintf(&b, "V%sZ", p.B)
+				fmt.Fprintf(&b, "V%sZ", p.Bottom)
 			}
 			down = false
 			continue
 		}
-		x, y := p.x.at(xs[i]), p.y.at(y)
+		x, y := p.xScale.at(xs[i]), p.yScale.at(y)
 		switch {
 		case down:
 			fmt.Fprintf(&b, "L%s %s", x, y)
 		case area:
-			fmt.Fprintf(&b, "M%s %sV%s", x, p.B, y)
-		case i+1 == len(ys) || bad(ys[i+1]): // alone, it shows as a short line
+			fmt.Fprintf(&b, "M%s %sV%s", x, p.Bottom, y)
+		case i+1 == len(ys) || isNotFinite(ys[i+1]): // alone, it shows as a short line
 			fmt.Fprintf(&b, "M%s %sh1.5", x, y)
 		default:
 			fmt.Fprintf(&b, "M%s %s", x, y)
@@ -175,7 +175,7 @@
 		down, last = true, x
 	}
 	if down && area {
-		fmt.Fprintf(&b, "H%sV%sZ", last, p.B)
+		fmt.Fprintf(&b, "H%sV%sZ", last, p.Bottom)
 	}
 	return b.String()
 }
@@ -184,22 +184,22 @@
 	p.Curves = append(p.Curves, curve{class, name, p.path(xs, ys, area), area, strong})
 }
 
-// line is a curve of a plot over time, before it is drawn.
-type line struct {
-	name   string
-	class  string // empty: by its place among the lines
-	of     score.Series
-	area   bool
-	strong bool
-	gaps   bool // 0 is no value
-	how    func(score.Series) float64
+// lineSpec is a curve of a plot over time, before it is drawn.
+type lineSpec struct {
+	name      string
+	class     string // empty: by its place among the lines
+	series    score.Series
+	area      bool
+	strong    bool
+	gaps      bool // 0 is no value
+	summarize func(score.Series) float64
 }
 
-// overTime is a plot of series by the second with the play's faults. top 0: as high as the values are.
-type overTime struct {
+// timePlot is a plot of series by the second with the play's faults. top 0: as high as the values are.
+type timePlot struct {
 	id, title, yName string
-	height           px
-	lines            []line
+	height           pixels
+	lines            []lineSpec
 	top              float64
 	log              bool
 	text             func(float64) string // of values
@@ -213,30 +213,30 @@
 	marks  []score.Mark
 }
 
-func (t *timeline) plot(o overTime) *plot {
+func (t *timeline) plot(o timePlot) *plot {
 	p := newPlot(o.id, o.title, "seconds since the play's start", o.yName, o.height)
 	lanes := t.bands(p, o.labels)
 	n := 0
 	for i := range o.lines {
-		n = max(n, len(o.lines[i].of))
+		n = max(n, len(o.lines[i].series))
 	}
 	n = min(n, int(math.Ceil(t.end)))
 	for i := range o.lines { // all as long as the plot
 		whole := make(score.Series, n)
-		copy(whole, o.lines[i].of)
-		o.lines[i].of = whole
+		copy(whole, o.lines[i].series)
+		o.lines[i].series = whole
 	}
-	p.T += px(14 * max(0, lanes-1))
-	p.H += px(14 * max(0, lanes-1))
-	p.B = p.H - 34
+	p.Top += pixels(14 * max(0, lanes-1))
+	p.Height += pixels(14 * max(0, lanes-1))
+	p.Bottom = p.Height - 34
 	y := scale{high: o.top, log: o.log}
 	for i := range o.lines {
 		l := &o.lines[i]
 		if o.top == 0 {
-			y.high = max(y.high, most(l.of))
+			y.high = max(y.high, maxOf(l.series))
 		}
 		if o.log {
-			for _, v := range l.of {
+			for _, v := range l.series {
 				if v > 0 && (y.low == 0 || v < y.low) {
 					y.low = v
 				}
@@ -250,18 +250,18 @@
 		y.high = 1
 	}
 	seconds := func(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
-	p.axes(scale{high: max(t.end, 1)}, y, seconds, func(v float64) string { return short(o.text(v)) })
+	p.axes(scale{high: max(t.end, 1)}, y, seconds, func(v float64) string { return shorten(o.text(v)) })
 	said := make([]string, 0, len(o.lines))
 	var texts []string // of the hovers
 	each := 1
 	for i := range o.lines {
 		l := &o.lines[i]
-		how := l.how
+		how := l.summarize
 		if how == nil {
-			how = mean
+			how = meanOf
 		}
 		var of score.Series
-		of, each = thin(l.of, seriesN, how)
+		of, each = thinSeries(l.series, seriesColors, how)
 		xs, ys := make([]float64, len(of)), make([]float64, len(of))
 		for k, v := range of {
 			xs[k] = min((float64(k)+0.5)*float64(each), t.end)
@@ -278,93 +278,93 @@
 			class = "s" + strconv.Itoa(i%6+1)
 		}
 		p.add(class, l.name, xs, ys, l.area, l.strong)
-		said = append(said, fmt.Sprintf("%s: mean %s, greatest %s", l.name, o.text(mean(l.of)), o.text(most(l.of))))
+		said = append(said, fmt.Sprintf("%s: mean %s, greatest %s", l.name, o.text(meanOf(l.series)), o.text(maxOf(l.series))))
 	}
 	for k, text := range texts {
-		for i, f := range t.faults[:min(len(t.faults), mostBands)] {
+		for i, f := range t.faults[:min(len(t.faults), maxBands)] {
 			if f.On < float64((k+1)*each) && (f.Off < 0 || f.Off > float64(k*each)) {
 				text += fmt.Sprintf(" · fault %d", i+1)
 			}
 		}
-		from, to := p.x.at(float64(k*each)), p.x.at(float64((k+1)*each))
+		from, to := p.xScale.at(float64(k*each)), p.xScale.at(float64((k+1)*each))
 		p.Hovers = append(p.Hovers, hover{from, to - from, text})
 	}
-	p.Desc = strings.Join(said, "; ") + "."
+	p.Description = strings.Join(said, "; ") + "."
 	if len(t.faults) > 0 {
-		p.Desc += fmt.Sprintf(" %s shown as bands.", plural(len(t.faults), "fault is", "faults are"))
+		p.Description += fmt.Sprintf(" %s shown as bands.", plural(len(t.faults), "fault is", "faults are"))
 	}
 	return p
 }
 
 // Bands are labelled as far as there is room for it.
 const (
-	mostBands = 400
-	lanes     = 4
-	perRune   = 6.0 // width of a character, on the safe side
+	maxBands   = 400
+	labelLanes = 4
+	runeWidth  = 6.0 // width of a character, on the safe side
 )
 
 // bands marks faults and marks, and tells how many lanes of labels they take.
 func (t *timeline) bands(p *plot, named bool) (used int) {
-	x := scale{high: max(t.end, 1), from: p.L, to: p.R}
-	ends := make([]px, lanes) // of the labels in each lane
+	x := scale{high: max(t.end, 1), from: p.Left, to: p.Right}
+	ends := make([]pixels, labelLanes) // of the labels in each lane
 	if !named {
 		ends = ends[:1]
 	}
 	for i := range ends {
-		ends[i] = p.L - 100
+		ends[i] = p.Left - 100
 	}
-	for i, f := range t.faults[:min(len(t.faults), mostBands)] {
+	for i, f := range t.faults[:min(len(t.faults), maxBands)] {
 		off := f.Off
 		if off < 0 {
 			off = t.end
 		}
 		from, to := x.at(f.On), x.at(off)
-		b := band{X: from, W: max(to-from, 1.5), Text: fmt.Sprintf("%d. %s, from %s", i+1, f.Text, instant(f.On))}
+		b := band{X: from, Width: max(to-from, 1.5), Text: fmt.Sprintf("%d. %s, from %s", i+1, f.Text, formatSeconds(f.On))}
 		if f.Off >= 0 {
-			b.Text += " to " + instant(f.Off)
+			b.Text += " to " + formatSeconds(f.Off)
 		}
 		labels := []string{strconv.Itoa(i + 1)}
 		if named {
-			labels = []string{clip(fmt.Sprintf("%d %s", i+1, f.Text), 34), labels[0]}
+			labels = []string{truncateLine(fmt.Sprintf("%d %s", i+1, f.Text), 34), labels[0]}
 		}
 	fit:
 		for _, text := range labels {
-			wide := px(perRune * float64(len([]rune(text))))
+			wide := pixels(runeWidth * float64(len([]rune(text))))
 			for lane := range ends {
 				at, end := from, from+wide
-				if end > p.R {
-					at, end = p.R-wide, p.R
+				if end > p.Right {
+					at, end = p.Right-wide, p.Right
 				}
 				if at < ends[lane]+4 {
 					continue
 				}
-				b.Label, b.LabelX, b.LabelY, ends[lane] = text, at, px(18+14*lane), end
+				b.Label, b.LabelX, b.LabelY, ends[lane] = text, at, pixels(18+14*lane), end
 				used = max(used, lane+1)
 				break fit
 			}
 		}
 		p.Bands = append(p.Bands, b)
 	}
-	for _, m := range t.marks[:min(len(t.marks), mostBands)] {
-		p.Marks = append(p.Marks, markLine{x.at(m.At), instant(m.At) + " " + m.Text})
+	for _, m := range t.marks[:min(len(t.marks), maxBands)] {
+		p.Marks = append(p.Marks, markLine{x.at(m.At), formatSeconds(m.At) + " " + m.Text})
 	}
 	return used
 }
 
 // strip is the occupancy of worker nodes over time: a line for each, or for some that lie side by side.
 type strip struct {
-	ID, Title, Desc string
-	Note            string
-	W, H, L, T      px
-	ScaleX, ScaleY  string
-	Levels          []level
-	XTicks, YTicks  []tick
-	Bands           []band
-	AreaW, AreaH    px
+	ID, Title, Description   string
+	Remark                   string
+	Width, Height, Left, Top pixels
+	ScaleX, ScaleY           string
+	Levels                   []stripLevel
+	XTicks, YTicks           []tick
+	Bands                    []band
+	AreaW, AreaH             pixels
 }
 
-// level is all cells of one shade, drawn as one path in units of cells.
-type level struct {
+// stripLevel is all cells of one shade, drawn as one path in units of cells.
+type stripLevel struct {
 	Class, D, Name string
 }
 
@@ -384,17 +384,17 @@
 	if columns == 0 || len(lines) == 0 {
 		return nil
 	}
-	high := px(min(max(8, 320/len(lines)), 22))
+	high := pixels(min(max(8, 320/len(lines)), 22))
 	if len(lines) > 100 {
 		high = 3
 	}
 	s := &strip{
-		ID: "strip", Title: "Occupancy of worker nodes over time", W: plotW, L: 62, T: 8, AreaW: plotW - 74,
-		AreaH: high * px(len(lines)),
+		ID: "strip", Title: "Occupancy of worker nodes over time", Width: plotWidth, Left: 62, Top: 8, AreaW: plotWidth - 74,
+		AreaH: high * pixels(len(lines)),
 	}
-	s.H = s.T + s.AreaH + 34
-	cell := o.CellSpan * float64(each)
-	wide := s.AreaW / px(columns)
+	s.Height = s.Top + s.AreaH + 34
+	cell := o.CellSeconds * float64(each)
+	wide := s.AreaW / pixels(columns)
 	s.ScaleX, s.ScaleY = strconv.FormatFloat(float64(wide), 'f', 4, 64), high.String()
 	paths := make([]strings.Builder, shades+1) // the last: none was up
 	for row := range lines {
@@ -426,24 +426,24 @@
 		if i == shades {
 			name = "not up"
 		}
-		s.Levels = append(s.Levels, level{"h" + strconv.Itoa(i), paths[i].String(), name})
+		s.Levels = append(s.Levels, stripLevel{"h" + strconv.Itoa(i), paths[i].String(), name})
 	}
-	x := scale{high: cell * float64(columns), from: s.L, to: s.L + s.AreaW}
+	x := scale{high: cell * float64(columns), from: s.Left, to: s.Left + s.AreaW}
 	s.XTicks = x.ticks(12, func(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) })
 	every := max(1, (len(lines)*14+int(s.AreaH)-1)/int(s.AreaH))
 	for row := 0; row < len(lines); row += every {
 		text := fmt.Sprint("w-", lines[row].First)
-		s.YTicks = append(s.YTicks, tick{s.T + (px(row)+0.5)*high, text})
+		s.YTicks = append(s.YTicks, tick{s.Top + (pixels(row)+0.5)*high, text})
 	}
-	for i, f := range t.faults[:min(len(t.faults), mostBands)] {
+	for i, f := range t.faults[:min(len(t.faults), maxBands)] {
 		from := x.at(f.On)
 		s.Bands = append(s.Bands, band{X: from, Text: fmt.Sprintf("%d. %s", i+1, f.Text)})
 	}
-	if each := (len(o.Nodes) + len(lines) - 1) / len(lines); each > 1 {
-		s.Note = fmt.Sprintf("each line up to %d worker nodes side by side", each)
+	if each := (len(o.Workers) + len(lines) - 1) / len(lines); each > 1 {
+		s.Remark = fmt.Sprintf("each line up to %d worker nodes side by side", each)
 	}
-	s.Desc = fmt.Sprintf("%s in %s, each cell %s. The fleet's occupancy is %s; the busiest, w-%d, has %s.",
-		plural(len(o.Nodes), "worker node", "worker nodes"), plural(len(lines), "line", "lines"), instant(cell),
-		percent(o.Whole), o.BusiestNode, percent(o.Busiest))
+	s.Description = fmt.Sprintf("%s in %s, each cell %s. The fleet's occupancy is %s; the busiest, w-%d, has %s.",
+		plural(len(o.Workers), "worker node", "worker nodes"), plural(len(lines), "line", "lines"), formatSeconds(cell),
+		formatPercent(o.Whole), o.BusiestWorker, formatPercent(o.Busiest))
 	return s
 }
