--- a/internal/lab/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -18,9 +18,9 @@
 	"time"
 	"unicode/utf8"
 
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/score"
-	"valvecove/internal/lab/seen"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/score"
+	"valvecove/internal/testbed/trace"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -46,97 +46,97 @@
 // it would do harm if it weren't escaped.
 func played(seed uint64, slower int, nasty bool) *score.Result {
 	spec := scenario.Default()
-	spec.Name, spec.About, spec.Length = "written", "Jobs take a course by their number.", scenario.Span(40*time.Second)
+	spec.Name, spec.Description, spec.Length = "written", "Jobs take a course by their number.", scenario.Duration(40*time.Second)
 	fault := "crash: w-3, for 5s"
 	if nasty {
 		const bad = `</title><script>alert("1")</script>&'` + "\x1b[31m\n"
-		spec.Name, spec.About, fault = bad, bad, bad
+		spec.Name, spec.Description, fault = bad, bad, bad
 		for i := range spec.Classes {
 			spec.Classes[i].Name += bad
 		}
 		spec.Tenants[0].Name = bad
 	}
-	s := score.New(spec, score.Options{Seed: seed, Driver: scenario.Virtual})
+	s := score.New(spec, score.Options{Seed: seed, Driver: scenario.DriverSimulation})
 	type sight struct {
 		at int
-		seen.Sight
+		trace.Event
 	}
 	var all []sight
-	put := func(at int, x seen.Sight) { all = append(all, sight{at, x}) }
+	put := func(at int, x trace.Event) { all = append(all, sight{at, x}) }
 	for i := range 10 {
-		put(0, seen.Sight{What: seen.NodeUp, Node: i, Slots: 4})
+		put(0, trace.Event{Kind: trace.WorkerStarted, Worker: i, Slots: 4})
 	}
 	for _, at := range []int{12_000, 25_000} {
-		put(at, seen.Sight{What: seen.FaultOn, Text: fault})
-		put(at, seen.Sight{What: seen.NodeDown, Node: 3})
-		put(at+5000, seen.Sight{What: seen.NodeUp, Node: 3, Slots: 4})
-		put(at+5000, seen.Sight{What: seen.FaultOff, Text: fault})
+		put(at, trace.Event{Kind: trace.FaultStarted, Text: fault})
+		put(at, trace.Event{Kind: trace.WorkerStopped, Worker: 3})
+		put(at+5000, trace.Event{Kind: trace.WorkerStarted, Worker: 3, Slots: 4})
+		put(at+5000, trace.Event{Kind: trace.FaultEnded, Text: fault})
 	}
-	put(20_000, seen.Sight{What: seen.SchedKill})
-	put(20_500, seen.Sight{What: seen.SchedUp})
+	put(20_000, trace.Event{Kind: trace.SchedulerKilled})
+	put(20_500, trace.Event{Kind: trace.SchedulerStarted})
 	for i := range 40 {
-		put(i*1000, seen.Sight{
-			What: seen.Usage, CPU: time.Duration(i) * 100 * time.Millisecond, Memory: 10 << 20,
-			Files: 50 + i,
+		put(i*1000, trace.Event{
+			Kind: trace.ResourceUsage, CPU: time.Duration(i) * 100 * time.Millisecond, Memory: 10 << 20,
+			OpenFiles: 50 + i,
 		})
 	}
-	put(30_000, seen.Sight{What: seen.OddBegan, Conn: 1, Text: "garbage"})
-	put(30_100, seen.Sight{What: seen.OddEnded, Conn: 1, Status: 400})
-	put(30_100, seen.Sight{What: seen.Late, Span: 2 * time.Millisecond})
+	put(30_000, trace.Event{Kind: trace.MisbehavingClientConnected, Conn: 1, Text: "garbage"})
+	put(30_100, trace.Event{Kind: trace.MisbehavingClientAnswered, Conn: 1, Status: 400})
+	put(30_100, trace.Event{Kind: trace.TestbedLate, Lateness: 2 * time.Millisecond})
 	for i := range 1200 {
 		due, call, job, node := i*33, fmt.Sprint("c", i), uint64(i+1), i*7%10
 		took, status := 120+i*37%400+slower, 200
 		if at := due / 1000; at >= 12 && at < 18 && i%3 == 0 {
 			took, status = 60, 503
 		}
-		put(due, seen.Sight{
-			What: seen.Due, Job: job, Class: i % 4, Tenant: i % 3, Work: 0.25, Slots: float64(1 + i%2),
-			Aim: 500 * time.Millisecond,
+		put(due, trace.Event{
+			Kind: trace.JobDue, JobID: job, Class: i % 4, Tenant: i % 3, Work: 0.25, Slots: float64(1 + i%2),
+			LatencyObjective: 500 * time.Millisecond,
 		})
-		put(due, seen.Sight{What: seen.Asked, Job: job, Call: call})
+		put(due, trace.Event{Kind: trace.RequestSent, JobID: job, RequestID: call})
 		if status == 200 {
-			put(due+2, seen.Sight{What: seen.Reached, Call: call, Node: node})
-			put(due+4, seen.Sight{What: seen.Began, Call: call, Node: node})
-			put(due+took-2, seen.Sight{What: seen.Finished, Call: call, Node: node, Status: 200})
+			put(due+2, trace.Event{Kind: trace.AttemptReceived, RequestID: call, Worker: node})
+			put(due+4, trace.Event{Kind: trace.AttemptStarted, RequestID: call, Worker: node})
+			put(due+took-2, trace.Event{Kind: trace.AttemptFinished, RequestID: call, Worker: node, Status: 200})
 		}
-		put(due+took, seen.Sight{What: seen.Answered, Call: call, Status: status})
-		put(due+took, seen.Sight{What: seen.Settled, Job: job, Status: status})
+		put(due+took, trace.Event{Kind: trace.ResponseReceived, RequestID: call, Status: status})
+		put(due+took, trace.Event{Kind: trace.JobSettled, JobID: job, Status: status})
 	}
 	slices.SortStableFunc(all, func(a, b sight) int { return a.at - b.at })
 	for i := range all {
 		all[i].At = time.Duration(all[i].at) * time.Millisecond
-		s.Watch(&all[i].Sight)
+		s.Observe(&all[i].Event)
 	}
 	return s.Result()
 }
 
-func expected(r *score.Result, broken int) []score.Met {
+func expected(r *score.Result, broken int) []score.Evaluation {
 	return score.Check([]scenario.Expectation{
-		{Figure: "in_time", Op: ">=", Bound: 0.5},
-		{Figure: "p99_ms", Op: "<=", Bound: 100},
-		{Figure: "recovered_within", Op: "<=", Bound: 5},
-		{Figure: "rules_broken", Op: "=", Bound: 0},
+		{Metric: "in_time", Operator: ">=", Bound: 0.5},
+		{Metric: "p99_ms", Operator: "<=", Bound: 100},
+		{Metric: "recovered_within", Operator: "<=", Bound: 5},
+		{Metric: "rules_broken", Operator: "=", Bound: 0},
 	}, r, broken)
 }
 
 var verdictOf = Verdict{
-	Broken: []Breach{{
+	Violations: []Violation{{
 		Rule: "answered twice", At: 12_345 * time.Millisecond, Text: "two answers to c7",
-		Story: []string{"12.000 s  due", "12.345 s  answered <again>"},
+		Explanation: []string{"12.000 s  due", "12.345 s  answered <again>"},
 	}},
-	LeftOut: []string{"Bytes on sockets are not seen."},
+	NotChecked: []string{"Bytes on sockets are not seen."},
 }
 
 func TestPage(t *testing.T) {
 	var b bytes.Buffer
 	r := played(7, 0, false)
-	if err := Page(&b, r, &verdictOf, expected(r, 1)); err != nil {
+	if err := WritePage(&b, r, &verdictOf, expected(r, 1)); err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "page.golden", b.String())
-	inColour := page{colour: true}
+	inColour := textPage{colour: true}
 	inColour.write(r, &verdictOf, expected(r, 1))
-	text := inColour.b.String()
+	text := inColour.text.String()
 	stripped := regexp.MustCompile("\x1b\\[[0-9]*m").ReplaceAllString(text, "")
 	if stripped != b.String() || stripped == text {
 		t.Error("colours change the text, or there are none")
@@ -148,15 +148,15 @@
 	r := played(7, 0, true)
 	v, met := verdictOf, expected(r, 9)
 	for i := range 30 {
-		v.Broken = append(v.Broken, Breach{Rule: "rule", Text: strings.Repeat("long ", 40)})
-		v.LeftOut = append(v.LeftOut, strings.Repeat("left out ", 20))
+		v.Violations = append(v.Violations, Violation{Rule: "rule", Text: strings.Repeat("long ", 40)})
+		v.NotChecked = append(v.NotChecked, strings.Repeat("left out ", 20))
 		met = append(met, met[0])
 		r.Classes, r.Tenants = append(r.Classes, r.Classes[i%4]), append(r.Tenants, r.Tenants[i%3])
-		r.Troubles = append(r.Troubles, r.Troubles[0])
-		r.Procs = append(r.Procs, r.Procs[0])
+		r.Disturbances = append(r.Disturbances, r.Disturbances[0])
+		r.Processes = append(r.Processes, r.Processes[0])
 	}
 	var b bytes.Buffer
-	if err := Page(&b, r, &v, met); err != nil {
+	if err := WritePage(&b, r, &v, met); err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.Split(strings.TrimSuffix(b.String(), "\n"), "\n")
@@ -176,9 +176,9 @@
 		p := NewProgress(&b)
 		p.tty = onTerminal
 		for ms := 0; ms <= 90_000; ms += 250 {
-			x := score.Tally{
-				At: time.Duration(ms) * time.Millisecond, Due: ms / 10, InTime: ms / 20, Refused: ms / 1000,
-				InFlight: 12, NodesUp: 9, Nodes: 10,
+			x := score.Snapshot{
+				At: time.Duration(ms) * time.Millisecond, Due: ms / 10, InTime: ms / 20, Rejected: ms / 1000,
+				InFlight: 12, WorkersUp: 9, Workers: 10,
 			}
 			if ms >= 2000 && ms < 3000 {
 				x.Faults = []string{"crash: w-3, for 1s", "burst 4: swat-society, for 9s"}
@@ -265,7 +265,7 @@
 func TestHTML(t *testing.T) {
 	r := played(7, 0, false)
 	var b bytes.Buffer
-	d := Doc{Result: r, Verdict: &verdictOf, Met: expected(r, 1), Scenario: "name = \"<b>\"\n", Build: "valvecove 1"}
+	d := Document{Result: r, Verdict: &verdictOf, Expectations: expected(r, 1), Scenario: "name = \"<b>\"\n", Build: "valvecove 1"}
 	if err := WriteHTML(&b, d); err != nil {
 		t.Fatal(err)
 	}
@@ -280,8 +280,8 @@
 	}
 	b.Reset()
 	nasty := played(7, 0, true)
-	v := Verdict{Broken: []Breach{{Rule: nasty.Name, Text: nasty.Name, Story: []string{nasty.Name}}}, Void: nasty.Name}
-	if err := WriteHTML(&b, Doc{Result: nasty, Verdict: &v, Scenario: nasty.Name, Build: nasty.Name}); err != nil {
+	v := Verdict{Violations: []Violation{{Rule: nasty.Name, Text: nasty.Name, Explanation: []string{nasty.Name}}}, Invalid: nasty.Name}
+	if err := WriteHTML(&b, Document{Result: nasty, Verdict: &v, Scenario: nasty.Name, Build: nasty.Name}); err != nil {
 		t.Fatal(err)
 	}
 	outline(t, b.String())
@@ -290,22 +290,22 @@
 // A strip shows 10,000 worker nodes and a day's load in a page of bearable size.
 func TestLargeHTML(t *testing.T) {
 	spec := scenario.Default()
-	spec.Fleet.Nodes, spec.Length = 10_000, scenario.Span(time.Hour)
+	spec.Fleet.Workers, spec.Length = 10_000, scenario.Duration(time.Hour)
 	s := score.New(spec, score.Options{})
 	for sec := 0; sec < 3600; sec += 10 {
 		for k := range 40 {
-			x := seen.Sight{
-				At: time.Duration(sec) * time.Second, Node: (sec*31 + k*251) % 10_000, Call: fmt.Sprint(sec, k),
-				Job: uint64(sec*100 + k), Work: 1, Slots: 4, Aim: time.Second,
+			x := trace.Event{
+				At: time.Duration(sec) * time.Second, Worker: (sec*31 + k*251) % 10_000, RequestID: fmt.Sprint(sec, k),
+				JobID: uint64(sec*100 + k), Work: 1, Slots: 4, LatencyObjective: time.Second,
 			}
-			for _, what := range []seen.What{seen.Due, seen.Asked, seen.Reached, seen.Began} {
-				x.What = what
-				s.Watch(&x)
+			for _, what := range []trace.Kind{trace.JobDue, trace.RequestSent, trace.AttemptReceived, trace.AttemptStarted} {
+				x.Kind = what
+				s.Observe(&x)
 			}
 		}
 	}
 	var b bytes.Buffer
-	if err := WriteHTML(&b, Doc{Result: s.Result()}); err != nil {
+	if err := WriteHTML(&b, Document{Result: s.Result()}); err != nil {
 		t.Fatal(err)
 	}
 	outline(t, b.String())
@@ -319,7 +319,7 @@
 	for i, name := range []string{"old", "new"} {
 		s := Side{Name: name, Broken: i}
 		for seed := range uint64(3) {
-			s.Plays = append(s.Plays, played(seed, i*60+int(seed)*9, false))
+			s.Results = append(s.Results, played(seed, i*60+int(seed)*9, false))
 		}
 		c.Sides = append(c.Sides, s)
 	}
@@ -328,7 +328,7 @@
 
 func TestCompare(t *testing.T) {
 	c := comparison()
-	c.Sides[1].Plays[0].Recovery.All = false // no figure there
+	c.Sides[1].Results[0].Recovery.All = false // no figure there
 	var b bytes.Buffer
 	if err := ComparePage(&b, c); err != nil {
 		t.Fatal(err)
@@ -349,9 +349,9 @@
 	s := &Sweep{Title: "slower", Param: "ms", Second: "side"}
 	var points []Point
 	for i, slower := range []int{0, 40, 80, 300, 320, 340} {
-		points = append(points, Point{X: float64(i + 1), Plays: []*score.Result{played(1, slower, false)}})
+		points = append(points, Point{X: float64(i + 1), Results: []*score.Result{played(1, slower, false)}})
 	}
-	points[0].Plays = append(points[0].Plays, points[1].Plays...) // one with a spread
+	points[0].Results = append(points[0].Results, points[1].Results...) // one with a spread
 	s.Curves = []Curve{{"a", points}, {"b", points[:2]}}
 	if at, ok := s.Knee(&s.Curves[0]); !ok || at != 2 {
 		t.Errorf("knee at %d, %v", at, ok)
@@ -391,16 +391,16 @@
 
 func TestJSON(t *testing.T) {
 	r := played(7, 0, false)
-	checkJSON(t, Doc{Result: r, Verdict: &verdictOf, Met: expected(r, 1)}, "result", "verdict", "expectations")
+	checkJSON(t, Document{Result: r, Verdict: &verdictOf, Expectations: expected(r, 1)}, "result", "verdict", "expectations")
 }
 
 func TestFigures(t *testing.T) {
 	for got, want := range map[string]string{
-		figure(0): "0", figure(1234.6): "1,235", figure(0.25): "0.250", figure(12.34): "12.3", figure(1e-9): "<0.001",
-		figure(math.NaN()): none, figure(-2.5): "-2.5", count(-1234567): "-1,234,567", count(12): "12",
-		span(0.5): "0.500 ms", span(1500): "1.50 s", percent(0.0001): "<0.1%", percent(1): "100.0%",
-		short("10.0 s"): "10 s", short("0.200"): "0.2",
-		short("1,000"): "1,000", size(3 << 20): "3 MiB", clip("a\x1b[1mbc", 4): "a [" + "…",
+		formatNumber(0): "0", formatNumber(1234.6): "1,235", formatNumber(0.25): "0.250", formatNumber(12.34): "12.3", formatNumber(1e-9): "<0.001",
+		formatNumber(math.NaN()): noValue, formatNumber(-2.5): "-2.5", formatCount(-1234567): "-1,234,567", formatCount(12): "12",
+		formatMillis(0.5): "0.500 ms", formatMillis(1500): "1.50 s", formatPercent(0.0001): "<0.1%", formatPercent(1): "100.0%",
+		shorten("10.0 s"): "10 s", shorten("0.200"): "0.2",
+		shorten("1,000"): "1,000", formatBytes(3 << 20): "3 MiB", truncateLine("a\x1b[1mbc", 4): "a [" + "…",
 	} {
 		if got != want {
 			t.Errorf("got %q, want %q", got, want)
--- a/internal/lab/report/terminal.go
+++ b/internal/testbed/report/terminal.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"valvecove/internal/lab/score"
+	"valvecove/internal/testbed/score"
 )
 
 // A page is for a terminal of this size.
@@ -20,8 +20,8 @@
 	pageLines = 60
 )
 
-// tty tells whether w is a terminal.
-func tty(w io.Writer) bool {
+// isTerminal tells whether w is a terminal.
+func isTerminal(w io.Writer) bool {
 	f, ok := w.(*os.File)
 	if !ok {
 		return false
@@ -30,8 +30,8 @@
 	return err == nil
 }
 
-func colours(w io.Writer) bool {
-	return os.Getenv("NO_COLOR") == "" && os.Getenv("TERM") != "dumb" && tty(w)
+func useColors(w io.Writer) bool {
+	return os.Getenv("NO_COLOR") == "" && os.Getenv("TERM") != "dumb" && isTerminal(w)
 }
 
 // Progress writes how a play stands while it runs: on a terminal one line that changes, elsewhere a line for each
@@ -39,13 +39,13 @@
 type Progress struct {
 	w     io.Writer
 	tty   bool
-	last  score.Tally
+	last  score.Snapshot
 	shown bool
 	wide  int // of the line that stands there
 }
 
 // NewProgress writes to w.
-func NewProgress(w io.Writer) *Progress { return &Progress{w: w, tty: tty(w)} }
+func NewProgress(w io.Writer) *Progress { return &Progress{w: w, tty: isTerminal(w)} }
 
 // Wants tells whether Show would write a line for this instant of the play, so that nobody takes stock for nothing.
 func (p *Progress) Wants(at time.Duration) bool {
@@ -57,7 +57,7 @@
 }
 
 // Show takes in how a play stands, and writes a line if it is time for one.
-func (p *Progress) Show(t *score.Tally) {
+func (p *Progress) Show(t *score.Snapshot) {
 	if !p.Wants(t.At) {
 		return
 	}
@@ -74,16 +74,16 @@
 	p.wide = wide
 }
 
-func (p *Progress) line(t *score.Tally, since time.Duration) string {
-	rate := func(now, before int) string { return figure(float64(now-before) / since.Seconds()) }
+func (p *Progress) line(t *score.Snapshot, since time.Duration) string {
+	rate := func(now, before int) string { return formatNumber(float64(now-before) / since.Seconds()) }
 	line := fmt.Sprintf("%6s  asked %4s/s  in time %4s/s  refused %4s/s  in flight %5s  nodes %d/%d",
 		fmt.Sprint(int(t.At.Seconds()), " s"), rate(t.Due, p.last.Due), rate(t.InTime, p.last.InTime),
-		rate(t.Refused, p.last.Refused), count(t.InFlight), t.NodesUp, t.Nodes)
+		rate(t.Rejected, p.last.Rejected), formatCount(t.InFlight), t.WorkersUp, t.Workers)
 	for i, f := range t.Faults {
 		f, _, _ = strings.Cut(f, ":") // what, without whom it strikes
 		line += [2]string{", ", "  ! "}[max(0, 1-i)] + f
 	}
-	return clip(line, pageWidth-1)
+	return truncateLine(line, pageWidth-1)
 }
 
 // Done leaves the line as it is and begins a new one.
@@ -93,8 +93,8 @@
 	}
 }
 
-// clip cuts a line to so many characters, and takes out what a terminal would act on.
-func clip(line string, wide int) string {
+// truncateLine cuts a line to so many characters, and takes out what a terminal would act on.
+func truncateLine(line string, wide int) string {
 	line = strings.Map(func(r rune) rune {
 		if r < ' ' || r >= 0x7f && r < 0xa0 {
 			return ' '
@@ -108,9 +108,9 @@
 	return string(runes[:wide-1]) + "…"
 }
 
-// page gathers lines.
-type page struct {
-	b      strings.Builder
+// textPage gathers lines.
+type textPage struct {
+	text   strings.Builder
 	colour bool
 }
 
@@ -123,16 +123,16 @@
 	faint  = "\x1b[2m"
 )
 
-func (p *page) line(style, format string, args ...any) {
-	text := clip(strings.TrimRight(fmt.Sprintf(format, args...), " "), pageWidth)
+func (p *textPage) line(style, format string, args ...any) {
+	text := truncateLine(strings.TrimRight(fmt.Sprintf(format, args...), " "), pageWidth)
 	if p.colour && style != plain && text != "" {
 		text = style + text + "\x1b[0m"
 	}
-	p.b.WriteString(text + "\n")
+	p.text.WriteString(text + "\n")
 }
 
-// some writes at most n lines of a list, the last of which may say how many more there are.
-func some[T any](p *page, list []T, n int, what string, write func(x *T)) {
+// writeSome writes at most n lines of a list, the last of which may say how many more there are.
+func writeSome[T any](p *textPage, list []T, n int, what string, write func(x *T)) {
 	for i := range list {
 		if i == n-1 && len(list) > n {
 			p.line(faint, "  … and %d more %s", len(list)-i, what)
@@ -142,20 +142,20 @@
 	}
 }
 
-// Page writes the page of figures that ends a play: at most 60 lines of 100 columns, with colours only where w is a
+// WritePage writes the page of figures that ends a play: at most 60 lines of 100 columns, with colours only where w is a
 // terminal and NO_COLOR is not set. v may be nil: not judged.
-func Page(w io.Writer, r *score.Result, v *Verdict, met []score.Met) error {
-	p := &page{colour: colours(w)}
+func WritePage(w io.Writer, r *score.Result, v *Verdict, met []score.Evaluation) error {
+	p := &textPage{colour: useColors(w)}
 	p.write(r, v, met)
-	_, err := io.WriteString(w, p.b.String())
+	_, err := io.WriteString(w, p.text.String())
 	return err
 }
 
-func (p *page) write(r *score.Result, v *Verdict, met []score.Met) {
+func (p *textPage) write(r *score.Result, v *Verdict, met []score.Evaluation) {
 	p.line(strong, "%s", r.Name)
-	p.line(faint, "%s", gist(r))
+	p.line(faint, "%s", summaryOf(r))
 	style := good
-	if v == nil || v.Void != "" {
+	if v == nil || v.Invalid != "" {
 		style = strong
 	}
 	if v.Total() > 0 {
@@ -163,51 +163,51 @@
 	}
 	p.line(style, "%s", strings.ToUpper(v.String()[:1])+v.String()[1:])
 	if v != nil {
-		some(p, v.Broken, 4, "breaches", func(b *Breach) {
-			p.line(poor, "  %s at %s: %s", b.Rule, instant(b.At.Seconds()), b.Text)
+		writeSome(p, v.Violations, 4, "breaches", func(b *Violation) {
+			p.line(poor, "  %s at %s: %s", b.Rule, formatSeconds(b.At.Seconds()), b.Text)
 		})
-		some(p, v.LeftOut, 2, "things left out", func(what *string) { p.line(faint, "  left out: %s", *what) })
+		writeSome(p, v.NotChecked, 2, "things left out", func(what *string) { p.line(faint, "  left out: %s", *what) })
 	}
 	p.line(plain, "")
-	p.worth(r)
-	p.table(r)
-	p.seconds(r)
-	p.effort(r)
-	p.troubles(r)
-	some(p, met, 6, "expectations", func(m *score.Met) {
+	p.writeValue(r)
+	p.writeGroups(r)
+	p.writeSeconds(r)
+	p.writeEffort(r)
+	p.writeDisturbances(r)
+	writeSome(p, met, 6, "expectations", func(m *score.Evaluation) {
 		word, style := "met    ", good
 		if !m.OK {
 			word, style = "NOT MET", poor
 		}
 		note := ""
-		if m.Note != "" {
-			note = " (" + m.Note + ")"
+		if m.Remark != "" {
+			note = " (" + m.Remark + ")"
 		}
-		p.line(style, "%s  %s: %s%s", word, m.Expectation, got(m), note)
+		p.line(style, "%s  %s: %s%s", word, m.Expectation, formatValue(m), note)
 	})
 }
 
-func (p *page) worth(r *score.Result) {
-	w := &r.Worth
-	p.line(strong, "worth answered in time over worth asked for  %.3f  %s", w.Mix, bar(w.Mix, 40))
+func (p *textPage) writeValue(r *score.Result) {
+	w := &r.Value
+	p.line(strong, "worth answered in time over worth asked for  %.3f  %s", w.Mix, barOf(w.Mix, 40))
 	p.line(plain, "  whole play %.3f; worst 10 s %.3f, from %.0f s on", w.Whole, w.Worst10, w.Worst10At)
-	p.line(plain, "  worst class %.3f, %s; worst tenant %.3f, %s", w.WorstClass.Value, clip(w.WorstClass.Name, 24),
-		w.WorstTenant.Value, clip(w.WorstTenant.Name, 24))
+	p.line(plain, "  worst class %.3f, %s; worst tenant %.3f, %s", w.WorstClass.Value, truncateLine(w.WorstClass.Name, 24),
+		w.WorstTenant.Value, truncateLine(w.WorstTenant.Name, 24))
 	p.line(plain, "")
 }
 
-func (p *page) table(r *score.Result) {
+func (p *textPage) writeGroups(r *score.Result) {
 	p.line(faint, "%-18s%7s%8s%7s%8s%7s%9s%6s  %8s%8s%8s", "", "jobs", "in time", "late", "refused", "failed", "unansw.",
 		"lost", "p50", "p99", "max")
 	row := func(g *score.Group) {
-		of := func(o score.Outcome) string { return percent(float64(g.Outcomes[o]) / float64(max(1, g.Due))) }
-		p.line(plain, "%-18s%7d%8s%7s%8s%7s%9s%6s  %8s%8s%8s", clip(g.Name, 17), g.Due, of(score.InTime), of(score.Late),
-			of(score.Refused), of(score.Failed), of(score.Unanswered), of(score.Lost), span(g.Latency.P50),
-			span(g.Latency.P99), span(g.Latency.Max))
+		of := func(o score.JobOutcome) string { return formatPercent(float64(g.Outcomes[o]) / float64(max(1, g.Due))) }
+		p.line(plain, "%-18s%7d%8s%7s%8s%7s%9s%6s  %8s%8s%8s", truncateLine(g.Name, 17), g.Due, of(score.OutcomeInTime), of(score.OutcomeLate),
+			of(score.OutcomeRejected), of(score.OutcomeFailed), of(score.OutcomeUnanswered), of(score.OutcomeLost), formatMillis(g.Latency.P50),
+			formatMillis(g.Latency.P99), formatMillis(g.Latency.Max))
 	}
 	row(&r.Whole)
-	some(p, r.Classes, 6, "classes", row)
-	some(p, worstFirst(r.Tenants, 5), 5, "tenants", row)
+	writeSome(p, r.Classes, 6, "classes", row)
+	writeSome(p, worstFirst(r.Tenants, 5), 5, "tenants", row)
 	p.line(plain, "")
 }
 
@@ -219,9 +219,9 @@
 	list = slices.Clone(list)
 	slices.SortStableFunc(list, func(a, b score.Group) int {
 		switch {
-		case a.Within < b.Within:
+		case a.EarnedShareWithinQuota < b.EarnedShareWithinQuota:
 			return -1
-		case a.Within > b.Within:
+		case a.EarnedShareWithinQuota > b.EarnedShareWithinQuota:
 			return 1
 		}
 		return 0
@@ -229,29 +229,29 @@
 	return list
 }
 
-func (p *page) seconds(r *score.Result) {
+func (p *textPage) writeSeconds(r *score.Result) {
 	s := &r.Seconds
-	end := len(s.Asked)
-	for end > 1 && s.Asked[end-1] == 0 && s.InFlight[end-1] == 0 && s.GoodputJobs[end-1] == 0 {
+	end := len(s.DueValue)
+	for end > 1 && s.DueValue[end-1] == 0 && s.InFlight[end-1] == 0 && s.GoodputJobs[end-1] == 0 {
 		end-- // nothing went on any more
 	}
 	const wide = 72
-	_, each := thin(s.Asked[:end], wide, mean)
+	_, each := thinSeries(s.DueValue[:end], wide, meanOf)
 	p.line(faint, "%-12s0 to %d s, each mark %d s", "by second", end, each)
 	line := func(name string, of score.Series, how func(score.Series) float64, top float64, unit func(float64) string) {
-		of, _ = thin(of[:min(end, len(of))], wide, how)
+		of, _ = thinSeries(of[:min(end, len(of))], wide, how)
 		if top == 0 {
 			top = of.Max()
 		}
-		p.line(plain, "%-12s%-*s  max %s", name, wide, spark(of, top), unit(of.Max()))
+		p.line(plain, "%-12s%-*s  max %s", name, wide, sparkline(of, top), unit(of.Max()))
 	}
-	top := max(s.AskedJobs.Max(), s.GoodputJobs.Max())
-	line("asked/s", s.AskedJobs, mean, top, figure)
-	line("in time/s", s.GoodputJobs, mean, top, figure)
-	line("refused/s", s.Refused, mean, 0, figure)
-	line("in flight", s.InFlight, mean, 0, figure)
-	line("p99", s.P99, most, 0, span)
-	line("occupancy", s.Occupancy, mean, 1, percent)
+	top := max(s.DueJobs.Max(), s.GoodputJobs.Max())
+	line("asked/s", s.DueJobs, meanOf, top, formatNumber)
+	line("in time/s", s.GoodputJobs, meanOf, top, formatNumber)
+	line("refused/s", s.Rejected, meanOf, 0, formatNumber)
+	line("in flight", s.InFlight, meanOf, 0, formatNumber)
+	line("p99", s.P99, maxOf, 0, formatMillis)
+	line("occupancy", s.Occupancy, meanOf, 1, formatPercent)
 	if len(r.Faults) > 0 {
 		on := make([]byte, min(wide, (end+each-1)/each))
 		for i := range on {
@@ -267,82 +267,82 @@
 	p.line(plain, "")
 }
 
-func (p *page) effort(r *score.Result) {
+func (p *textPage) writeEffort(r *score.Result) {
 	e, w := &r.Effort, &r.Waste
 	p.line(plain, "attempts    %.3f a job, %d at most; second copies %s; turned away %s, handed back %s, withdrawn %s",
-		e.PerJob, e.MostAttempts, count(e.SecondCopies), count(e.Turned), count(e.Returned), count(e.Withdrawn))
+		e.PerJob, e.MaxAttempts, formatCount(e.Hedged), formatCount(e.Rejected), formatCount(e.Returned), formatCount(e.Cancelled))
 	p.line(plain, "waste       %s of work asked, in s: repeated %s, too late %s, died or failed %s; after aim %s",
-		percent(w.Share), figure(w.Repeated), figure(w.TooLate+w.Left+w.Unused), figure(w.Killed+w.Errors),
-		figure(e.AfterAim))
-	p.line(plain, "clients     tries %s, retries %s, refused %s; probes %s, links %s, notes %s", count(e.Tries),
-		count(e.Retries), count(e.Refused), count(e.Probes), count(e.Links), count(e.Notes))
-	p.line(plain, "fleet       occupancy %s; busiest w-%d %s, %s times the mean; pushed over %d", percent(r.Fleet.Whole),
-		r.Fleet.BusiestNode, percent(r.Fleet.Busiest), figure(r.Fleet.OverMean), e.Falls)
-	if len(r.Bad) > 0 {
-		var all score.BadFigures
-		for _, b := range r.Bad {
+		formatPercent(w.Share), formatNumber(w.Repeated), formatNumber(w.TooLate+w.ClientLeft+w.Unused), formatNumber(w.Killed+w.Errors),
+		formatNumber(e.WorkAfterObjective))
+	p.line(plain, "clients     tries %s, retries %s, refused %s; probes %s, links %s, notes %s", formatCount(e.Requests),
+		formatCount(e.Retries), formatCount(e.RequestsRejected), formatCount(e.HealthChecks), formatCount(e.Connections), formatCount(e.Callbacks))
+	p.line(plain, "fleet       occupancy %s; busiest w-%d %s, %s times the mean; pushed over %d", formatPercent(r.Fleet.Whole),
+		r.Fleet.BusiestWorker, formatPercent(r.Fleet.Busiest), formatNumber(r.Fleet.OverMean), e.Overloads)
+	if len(r.Misbehaving) > 0 {
+		var all score.MisbehavingCounts
+		for _, b := range r.Misbehaving {
 			all.Connected += b.Connected
 			all.Errors += b.Errors
 			all.Closed += b.Closed
 			all.Served += b.Served
 			all.Open += b.Open
 		}
-		p.line(plain, "bad clients %s: errors %s, closed %s, served %s, left waiting %s", count(all.Connected),
-			count(all.Errors), count(all.Closed), count(all.Served), count(all.Open))
+		p.line(plain, "bad clients %s: errors %s, closed %s, served %s, left waiting %s", formatCount(all.Connected),
+			formatCount(all.Errors), formatCount(all.Closed), formatCount(all.Served), formatCount(all.Open))
 	}
 	var used []score.Process
-	for _, proc := range r.Procs {
-		if proc.Memory > 0 || proc.CPU > 0 {
+	for _, proc := range r.Processes {
+		if proc.PeakMemory > 0 || proc.CPU > 0 {
 			used = append(used, proc)
 		}
 	}
-	some(p, used, 3, "processes", func(x *score.Process) {
-		p.line(plain, "%-12s%s cores; peak memory %s, descriptors %s", procName(x.Sched), figure(x.Cores),
-			size(float64(x.Memory)), count(x.Files))
+	writeSome(p, used, 3, "processes", func(x *score.Process) {
+		p.line(plain, "%-12s%s cores; peak memory %s, descriptors %s", processName(x.Scheduler), formatNumber(x.Cores),
+			formatBytes(float64(x.PeakMemory)), formatCount(x.PeakFiles))
 	})
 	if l := r.Lateness; l.Count > 0 {
-		p.line(plain, "lab late    %s; p99.9 %s, max %s", plural(l.Count, "time", "times"), span(l.P999), span(l.Max))
+		p.line(plain, "lab late    %s; p99.9 %s, max %s", plural(l.Count, "time", "times"), formatMillis(l.P999), formatMillis(l.Max))
 	}
 	p.line(plain, "")
 }
 
-func procName(sched int) string {
+func processName(sched int) string {
 	if sched < 0 {
 		return "lab"
 	}
 	return fmt.Sprint("scheduler ", sched)
 }
 
-func (p *page) troubles(r *score.Result) {
-	some(p, r.Troubles, 6, "disturbances", func(d *score.Disturbance) {
+func (p *textPage) writeDisturbances(r *score.Result) {
+	writeSome(p, r.Disturbances, 6, "disturbances", func(d *score.Disturbance) {
 		style := plain
 		if !d.Recovered {
 			style = poor
 		}
-		p.line(style, "%s to %s  %s  %s", instant(d.From), instant(d.To), after(d), strings.Join(d.Faults, ", "))
+		p.line(style, "%s to %s  %s  %s", formatSeconds(d.From), formatSeconds(d.To), recoveryText(d), strings.Join(d.Faults, ", "))
 	})
-	if len(r.Troubles) > 0 {
+	if len(r.Disturbances) > 0 {
 		p.line(plain, "")
 	}
 }
 
-// after says how a disturbance went by.
-func after(d *score.Disturbance) string {
+// recoveryText says how a disturbance went by.
+func recoveryText(d *score.Disturbance) string {
 	switch {
-	case !d.Dip:
+	case !d.HasDip:
 		return "no dip;"
 	case !d.Recovered:
-		return fmt.Sprintf("down to %s of %s, NOT back in %s;", percent(d.Low), percent(d.Before), instant(d.FromEnd))
+		return fmt.Sprintf("down to %s of %s, NOT back in %s;", formatPercent(d.Lowest), formatPercent(d.Before), formatSeconds(d.FromEnd))
 	case d.FromEnd == 0:
-		return fmt.Sprintf("down to %s of %s, back before its end;", percent(d.Low), percent(d.Before))
+		return fmt.Sprintf("down to %s of %s, back before its end;", formatPercent(d.Lowest), formatPercent(d.Before))
 	}
-	return fmt.Sprintf("down to %s of %s, back %s after its end;", percent(d.Low), percent(d.Before), instant(d.FromEnd))
+	return fmt.Sprintf("down to %s of %s, back %s after its end;", formatPercent(d.Lowest), formatPercent(d.Before), formatSeconds(d.FromEnd))
 }
 
 var eighths = []rune(" ▏▎▍▌▋▊▉█")
 
-// bar draws a share as so many characters.
-func bar(x float64, wide int) string {
+// barOf draws a share as so many characters.
+func barOf(x float64, wide int) string {
 	n := int(min(max(x, 0), 1)*float64(8*wide) + 0.5)
 	var b strings.Builder
 	for range wide {
@@ -354,8 +354,8 @@
 
 var heights = []rune(" ▁▂▃▄▅▆▇█")
 
-// spark draws a series, a character for each value; what is above nothing shows.
-func spark(s score.Series, top float64) string {
+// sparkline draws a series, a character for each value; what is above nothing shows.
+func sparkline(s score.Series, top float64) string {
 	var b strings.Builder
 	for _, x := range s {
 		i := 0
--- a/internal/lab/scenario/capacity.go
+++ b/internal/testbed/scenario/capacity.go
@@ -15,7 +15,7 @@
 	if shares <= 0 {
 		return 0
 	}
-	return float64(s.Fleet.Nodes) * each / shares
+	return float64(s.Fleet.Workers) * each / shares
 }
 
 // MeanSlots is the mean of the slots that a job of the class takes; 1 where nothing is said of them.
@@ -37,7 +37,7 @@
 	sum, shares := 0.0, 0.0
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		sum += c.Share * c.Work.D().Seconds() * c.MeanSlots()
+		sum += c.Share * c.Work.Std().Seconds() * c.MeanSlots()
 		shares += c.Share
 	}
 	if shares <= 0 {
@@ -58,24 +58,24 @@
 // Rate is how many jobs a second clients ask for on average, before any tenant's Usage; 0 where the load is closed.
 func (s *Scenario) Rate() float64 {
 	switch {
-	case s.Load.Closed > 0:
+	case s.Load.ClosedClients > 0:
 		return 0
 	case s.Load.Rate > 0:
 		return s.Load.Rate
 	}
-	return s.Load.Of * s.CapacityRate()
+	return s.Load.CapacityShare * s.CapacityRate()
 }
 
 // QuotaRate is how many jobs a second, over all schedulers, are within the share of the tenant at index i.
 func (s *Scenario) QuotaRate(i int) float64 {
 	shares := 0.0
 	for _, t := range s.Tenants {
-		shares += t.Share
+		shares += t.Quota
 	}
 	if shares <= 0 {
 		return 0
 	}
-	return s.Load.Quota * s.CapacityRate() * s.Tenants[i].Share / shares
+	return s.Load.Quota * s.CapacityRate() * s.Tenants[i].Quota / shares
 }
 
 // ZoneOf is the zone of a scheduler, as an index in Fleet.Zones: like worker nodes they are dealt out in turn.
--- a/internal/lab/scenario/capacity_test.go
+++ b/internal/testbed/scenario/capacity_test.go
@@ -9,16 +9,16 @@
 // What is offered, what a tenant may have and what the fleet can do fit together.
 func TestCapacity(t *testing.T) {
 	s := &Scenario{
-		Fleet: Fleet{Nodes: 10, Zones: []string{"a", "b"}, Kinds: []Kind{
+		Fleet: Fleet{Workers: 10, Zones: []string{"a", "b"}, Kinds: []WorkerKind{
 			{Share: 3, Cores: 4, Slots: 4, Speed: 1},
 			{Share: 1, Cores: 8, Slots: 2, Speed: 0.5},
 		}},
 		Classes: []Class{
-			{Share: 1, Work: Span(time.Second), Slots: []float64{1, 1}},
-			{Share: 3, Work: Span(100 * time.Millisecond)},
+			{Share: 1, Work: Duration(time.Second), Slots: []float64{1, 1}},
+			{Share: 3, Work: Duration(100 * time.Millisecond)},
 		},
-		Tenants: []Tenant{{Share: 1}, {Share: 3}},
-		Load:    Load{Of: 0.5, Quota: 0.8},
+		Tenants: []Tenant{{Quota: 1}, {Quota: 3}},
+		Load:    Load{CapacityShare: 0.5, Quota: 0.8},
 	}
 	near := func(what string, got, want float64) {
 		t.Helper()
@@ -35,7 +35,7 @@
 	}
 	s.Load = Load{Rate: 7}
 	near("given rate", s.Rate(), 7)
-	s.Load = Load{Closed: 5, Of: 1}
+	s.Load = Load{ClosedClients: 5, CapacityShare: 1}
 	near("closed load", s.Rate(), 0)
 	near("an empty fleet", (&Scenario{}).CapacityRate(), 0)
 }
--- a/internal/lab/scenario/encode.go
+++ b/internal/testbed/scenario/encode.go
@@ -10,9 +10,9 @@
 // Encode writes a scenario as TOML that Parse reads back as the same. What has its default is left out, but the name.
 func Encode(s *Scenario) []byte {
 	base, derived := Default(), s.Clone()
-	derived.derive(func(string) bool { return false })
+	derived.applyDerivedDefaults(func(string) bool { return false })
 	base.Drivers, base.Settle = derived.Drivers, derived.Settle
-	base.Load.Of, base.Load.HintFactor = derived.Load.Of, derived.Load.HintFactor
+	base.Load.CapacityShare, base.Load.HintFactor = derived.Load.CapacityShare, derived.Load.HintFactor
 	var e encoder
 	e.table("", reflect.ValueOf(s).Elem(), reflect.ValueOf(base).Elem())
 	return []byte(strings.TrimLeft(e.text.String(), "\n"))
@@ -56,16 +56,16 @@
 func entryBase(v reflect.Value) reflect.Value {
 	base := plain(v.Type())
 	if f, ok := v.Interface().(Fault); ok {
-		one := &Scenario{Faults: []Fault{{What: f.What}}}
-		one.derive(func(string) bool { return false })
-		one.Faults[0].What = ""
+		one := &Scenario{Faults: []Fault{{Kind: f.Kind}}}
+		one.applyDerivedDefaults(func(string) bool { return false })
+		one.Faults[0].Kind = ""
 		return reflect.ValueOf(one.Faults[0])
 	}
 	return base
 }
 
 func (e *encoder) value(v reflect.Value) {
-	if s, ok := v.Interface().(Span); ok {
+	if s, ok := v.Interface().(Duration); ok {
 		e.quoted(s.String())
 		return
 	}
--- a/internal/lab/scenario/golden_test.go
+++ b/internal/testbed/scenario/golden_test.go
@@ -41,22 +41,22 @@
 func TestGoldenScenariosAreRead(t *testing.T) {
 	s := goldenScenario(t, goldenVirtual)
 	kind, class, fault := s.Fleet.Kinds[0], s.Classes[0], s.Faults[0]
-	if s.Name != "every-key-virtual" || s.Seed != 41 || s.Settle != Span(17500*time.Millisecond) || s.Fleet.CellSize != 3 ||
-		kind.WarmBy != "work" || !kind.StartMute || !kind.CancelStops || kind.ProbeWork != 60*us || class.CV != 1.5 ||
-		class.Deadline != 4*s1 || !slices.Equal(class.Slots, []float64{0.5, 0.25, 0.125, 0.125}) || s.Tenants[0].Usage != 1.5 ||
-		s.Load.Rate != 35.5 || s.Load.HintFactor != 4 || !s.Clients.MarkRetry || s.Net.DropsIdle != 20*s1 ||
-		s.Discovery.Capacity != 5000 || s.Front.Notice != 1500*ms || s.Schedulers.TryLimit != 4 || s.Schedulers.Probes ||
-		s.Planners.Drops != 50*s1 || s.Rules.FallFactor != 2.5 || fault.Size != 3.5 || fault.Spread != s1 ||
-		!slices.Equal(fault.On.Cells, []int{0, 1}) || fault.On.Share != 0.5 || s.Faults[1].And != "discovery" ||
-		s.Faults[4].On.Class != "quote" || len(s.Expect) != 3 {
+	if s.Name != "every-key-virtual" || s.Seed != 41 || s.Settle != Duration(17500*time.Millisecond) || s.Fleet.CellSize != 3 ||
+		kind.WarmUpBy != "work" || !kind.OmitsStartNotifications || !kind.CancellationStops || kind.HealthCheckWork != 60*microsecond || class.CV != 1.5 ||
+		class.Deadline != 4*second || !slices.Equal(class.Slots, []float64{0.5, 0.25, 0.125, 0.125}) || s.Tenants[0].Usage != 1.5 ||
+		s.Load.Rate != 35.5 || s.Load.HintFactor != 4 || !s.Clients.MarkRetry || s.Network.DropsIdleAfter != 20*second ||
+		s.Discovery.Capacity != 5000 || s.LoadBalancer.NoticeDelay != 1500*millisecond || s.Schedulers.AttemptLimit != 4 || s.Schedulers.HealthChecks ||
+		s.Planners.Drops != 50*second || s.Rules.OverloadFactor != 2.5 || fault.Size != 3.5 || fault.Spread != second ||
+		!slices.Equal(fault.Target.Cells, []int{0, 1}) || fault.Target.Share != 0.5 || s.Faults[1].And != "discovery" ||
+		s.Faults[4].Target.Class != "quote" || len(s.Expect) != 3 {
 		t.Errorf("read %+v", s)
 	}
 	s = goldenScenario(t, goldenLive)
-	if s.Load.Closed != 25 || s.Load.Of != 0 || !reflect.DeepEqual(s.Bad, []Bad{{"slow_head", 2.5, 3 * s1, 9 * s1}}) ||
-		!strings.HasPrefix(s.Schedulers.Ops, "[log]\nformat = \"json\"\n") {
+	if s.Load.ClosedClients != 25 || s.Load.CapacityShare != 0 || !reflect.DeepEqual(s.Misbehaving, []MisbehavingClients{{"slow_head", 2.5, 3 * second, 9 * second}}) ||
+		!strings.HasPrefix(s.Schedulers.OperationsFile, "[log]\nformat = \"json\"\n") {
 		t.Errorf("read %+v", s)
 	}
-	if s = goldenScenario(t, goldenLoad); s.Load.Of != 0.85 {
+	if s = goldenScenario(t, goldenLoad); s.Load.CapacityShare != 0.85 {
 		t.Errorf("read %+v", s)
 	}
 }
--- a/internal/lab/scenario/read.go
+++ b/internal/testbed/scenario/read.go
@@ -16,19 +16,19 @@
 )
 
 // UnmarshalText reads a span as in "250ms".
-func (s *Span) UnmarshalText(text []byte) error {
+func (s *Duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
 		return fmt.Errorf("expected a span of time as in \"250ms\", got %q", text)
 	}
-	*s = Span(d)
+	*s = Duration(d)
 	return nil
 }
 
 // MarshalText writes a span as UnmarshalText reads it.
-func (s Span) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
+func (s Duration) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-func (s Span) String() string { return time.Duration(s).String() }
+func (s Duration) String() string { return time.Duration(s).String() }
 
 // Open reads a scenario's file. Its name is the file's, unless it says otherwise.
 func Open(path string) (*Scenario, error) {
@@ -66,10 +66,10 @@
 	s.Name = name
 	r := reader{given: map[string]bool{}}
 	r.value("", table, reflect.ValueOf(s).Elem())
-	if len(r.faults) > 0 {
-		return nil, errors.Join(r.faults...)
+	if len(r.problems) > 0 {
+		return nil, errors.Join(r.problems...)
 	}
-	s.derive(func(key string) bool { return r.given[key] })
+	s.applyDerivedDefaults(func(key string) bool { return r.given[key] })
 	return s, nil
 }
 
@@ -104,16 +104,16 @@
 	}
 	switch key {
 	case "load.of":
-		next.Load.Rate, next.Load.Closed = 0, 0
+		next.Load.Rate, next.Load.ClosedClients = 0, 0
 	case "load.rate":
-		next.Load.Of, next.Load.Closed = 0, 0
+		next.Load.CapacityShare, next.Load.ClosedClients = 0, 0
 	case "load.closed":
-		next.Load.Of, next.Load.Rate = 0, 0
+		next.Load.CapacityShare, next.Load.Rate = 0, 0
 	}
 	r := reader{given: map[string]bool{}}
 	r.value(key, table["value"], at)
-	if len(r.faults) > 0 {
-		return errors.Join(r.faults...)
+	if len(r.problems) > 0 {
+		return errors.Join(r.problems...)
 	}
 	if err := next.Check(); err != nil {
 		return err
@@ -152,25 +152,25 @@
 // reader puts what TOML has into the types above by their tags, and gathers what is wrong. The library's own
 // decoding names no entry of a list, and gives the entries of lists no defaults.
 type reader struct {
-	given  map[string]bool // keys that the text has
-	faults []error
+	given    map[string]bool // keys that the text has
+	problems []error
 }
 
-func (r *reader) fault(key, format string, args ...any) {
-	r.faults = append(r.faults, fmt.Errorf("key %q: "+format, append([]any{key}, args...)...))
+func (r *reader) report(key, format string, args ...any) {
+	r.problems = append(r.problems, fmt.Errorf("key %q: "+format, append([]any{key}, args...)...))
 }
 
-var spanType = reflect.TypeFor[Span]()
+var durationType = reflect.TypeFor[Duration]()
 
 func (r *reader) value(key string, v any, to reflect.Value) {
 	r.given[key] = true
-	if to.Type() == spanType {
-		var s Span
+	if to.Type() == durationType {
+		var s Duration
 		text, ok := v.(string)
 		if !ok {
-			r.fault(key, "expected a span of time as in \"250ms\", got %s", got(v))
+			r.report(key, "expected a span of time as in \"250ms\", got %s", describeValue(v))
 		} else if err := s.UnmarshalText([]byte(text)); err != nil {
-			r.fault(key, "%w", err)
+			r.report(key, "%w", err)
 		}
 		to.SetInt(int64(s))
 		return
@@ -183,19 +183,19 @@
 	case reflect.String:
 		text, ok := v.(string)
 		if !ok {
-			r.fault(key, "expected a text, got %s", got(v))
+			r.report(key, "expected a text, got %s", describeValue(v))
 		}
 		to.SetString(text)
 	case reflect.Bool:
 		flag, ok := v.(bool)
 		if !ok {
-			r.fault(key, "expected true or false, got %s", got(v))
+			r.report(key, "expected true or false, got %s", describeValue(v))
 		}
 		to.SetBool(flag)
 	case reflect.Int:
 		n, ok := v.(int64)
 		if !ok {
-			r.fault(key, "expected a whole number, got %s", got(v))
+			r.report(key, "expected a whole number, got %s", describeValue(v))
 		}
 		to.SetInt(n)
 	case reflect.Float64:
@@ -204,7 +204,7 @@
 			x, ok = float64(n), true
 		}
 		if !ok || math.IsNaN(x) || math.IsInf(x, 0) {
-			r.fault(key, "expected a number, got %s", got(v))
+			r.report(key, "expected a number, got %s", describeValue(v))
 			return
 		}
 		to.SetFloat(x)
@@ -216,7 +216,7 @@
 func (r *reader) table(key string, v any, to reflect.Value) {
 	table, ok := v.(map[string]any)
 	if !ok {
-		r.fault(key, "expected a table, got %s", got(v))
+		r.report(key, "expected a table, got %s", describeValue(v))
 		return
 	}
 	names := make([]string, 0, len(table))
@@ -231,7 +231,7 @@
 		}
 		field, ok := fieldOf(to, name)
 		if !ok {
-			r.fault(at, "there is no such key; those here are %s", strings.Join(keysOf(to.Type()), ", "))
+			r.report(at, "there is no such key; those here are %s", strings.Join(keysOf(to.Type()), ", "))
 			continue
 		}
 		r.value(at, table[name], field)
@@ -248,7 +248,7 @@
 			entries = append(entries, t)
 		}
 	default:
-		r.fault(key, "expected a list, got %s", got(v))
+		r.report(key, "expected a list, got %s", describeValue(v))
 		return
 	}
 	to.SetZero()
@@ -265,12 +265,12 @@
 // plain is an entry of a list before its keys are read.
 func plain(t reflect.Type) reflect.Value {
 	switch t {
-	case reflect.TypeFor[Kind]():
-		return reflect.ValueOf(plainKind())
+	case reflect.TypeFor[WorkerKind]():
+		return reflect.ValueOf(plainWorkerKind())
 	case reflect.TypeFor[Class]():
 		return reflect.ValueOf(plainClass())
 	case reflect.TypeFor[Tenant]():
-		return reflect.ValueOf(Tenant{Share: 1, Usage: 1})
+		return reflect.ValueOf(Tenant{Quota: 1, Usage: 1})
 	}
 	return reflect.Zero(t)
 }
@@ -293,8 +293,8 @@
 	return keys
 }
 
-// got says what a value of TOML's is.
-func got(v any) string {
+// describeValue says what a value of TOML's is.
+func describeValue(v any) string {
 	switch v := v.(type) {
 	case string:
 		return strconv.Quote(v)
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -179,9 +179,9 @@
 		if again, err := ParseExpectation(got.String()); err != nil || again != got {
 			t.Errorf("%q: written as %q, which reads as %v, %v", text, got.String(), again, err)
 		}
-		over, under := got.Met(got.Bound+1), got.Met(got.Bound-1)
-		if even := got.Met(got.Bound); got.Met(math.NaN()) || even != strings.Contains(got.Op, "=") ||
-			over != strings.Contains(got.Op, ">") || under != strings.Contains(got.Op, "<") {
+		over, under := got.IsMet(got.Bound+1), got.IsMet(got.Bound-1)
+		if even := got.IsMet(got.Bound); got.IsMet(math.NaN()) || even != strings.Contains(got.Operator, "=") ||
+			over != strings.Contains(got.Operator, ">") || under != strings.Contains(got.Operator, "<") {
 			t.Errorf("%q: met by more %v, by as much %v, by less %v", text, over, even, under)
 		}
 	}
@@ -192,7 +192,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := Default()
 		shake(t, "", reflect.ValueOf(s).Elem())
-		s.derive(func(string) bool { return true })
+		s.applyDerivedDefaults(func(string) bool { return true })
 		text := Encode(s)
 		got, err := read("other", text)
 		if err != nil {
@@ -272,9 +272,9 @@
 			t.Error(err)
 		}
 	}
-	load := Load{Rate: 40, Shape: "steady", Swing: 0.3, Hints: "rough", HintFactor: 0.5, OverWorth: 0.1, Quota: 0.8}
-	if s.Faults[0].Size != 3.5 || s.Load != load || s.Fleet.Nodes != 12 || s.Classes[2].Deadline != 3*s1 ||
-		len(s.Faults[0].On.Names) != 1 {
+	load := Load{Rate: 40, Shape: "steady", Swing: 0.3, Hints: "rough", HintFactor: 0.5, OverQuotaWeight: 0.1, Quota: 0.8}
+	if s.Faults[0].Size != 3.5 || s.Load != load || s.Fleet.Workers != 12 || s.Classes[2].Deadline != 3*second ||
+		len(s.Faults[0].Target.Names) != 1 {
 		t.Errorf("set to %s", Encode(s))
 	}
 	before := s.Clone()
--- a/internal/lab/score/check.go
+++ b/internal/testbed/score/check.go
@@ -4,39 +4,39 @@
 	"encoding/json"
 	"math"
 
-	"valvecove/internal/lab/scenario"
+	"valvecove/internal/testbed/scenario"
 )
 
-// Met is an expectation and what became of it.
-type Met struct {
+// Evaluation is an expectation and what became of it.
+type Evaluation struct {
 	Expectation scenario.Expectation
-	Got         float64 // NaN: there is no such figure; +Inf: not seen to end
+	Value       float64 // NaN: there is no such figure; +Inf: not seen to end
 	OK          bool
-	Note        string // why there is none
+	Remark      string // why there is none
 }
 
 // MarshalJSON writes the expectation as a scenario does, and null for a figure that is none.
-func (m Met) MarshalJSON() ([]byte, error) {
+func (m Evaluation) MarshalJSON() ([]byte, error) {
 	out := struct {
 		Expectation string   `json:"expectation"`
 		Got         *float64 `json:"got"`
 		OK          bool     `json:"ok"`
 		Note        string   `json:"note,omitempty"`
-	}{Expectation: m.Expectation.String(), OK: m.OK, Note: m.Note}
-	if !math.IsNaN(m.Got) && !math.IsInf(m.Got, 0) {
-		out.Got = &m.Got
+	}{Expectation: m.Expectation.String(), OK: m.OK, Note: m.Remark}
+	if !math.IsNaN(m.Value) && !math.IsInf(m.Value, 0) {
+		out.Got = &m.Value
 	}
 	return json.Marshal(out)
 }
 
 // Check holds a result to expectations. broken is how often the judge found a rule broken. Shares and latencies of
 // jobs of which none was due or served, as the case may be, meet nothing.
-func Check(expect []scenario.Expectation, r *Result, broken int) []Met {
-	out := make([]Met, len(expect))
+func Check(expect []scenario.Expectation, r *Result, broken int) []Evaluation {
+	out := make([]Evaluation, len(expect))
 	for i, e := range expect {
-		m := Met{Expectation: e}
-		m.Got, m.Note = r.Figure(e.Figure, e.Of, broken)
-		m.OK = e.Met(m.Got)
+		m := Evaluation{Expectation: e}
+		m.Value, m.Remark = r.Figure(e.Metric, e.Group, broken)
+		m.OK = e.IsMet(m.Value)
 		out[i] = m
 	}
 	return out
@@ -69,16 +69,16 @@
 	switch figure {
 	case "in_time":
 		if tenant {
-			if g.AskedWithin <= 0 {
+			if g.RequestedWithinQuota <= 0 {
 				return math.NaN(), "no job within its share was due"
 			}
-			return g.Within, ""
+			return g.EarnedShareWithinQuota, ""
 		}
-		return g.Share, ""
+		return g.EarnedShare, ""
 	case "served":
 		return g.Shares.Served, ""
 	case "refused":
-		return g.Shares.Refused, ""
+		return g.Shares.Rejected, ""
 	case "failed":
 		return g.Shares.Failed, ""
 	case "lost":
--- a/internal/lab/score/recover.go
+++ b/internal/testbed/score/recover.go
@@ -22,8 +22,8 @@
 	To        float64  `json:"to"` // its end; From, if it did not end while jobs fell due
 	Lasting   bool     `json:"lasting"`
 	Before    float64  `json:"before"`
-	Dip       bool     `json:"dip"`        // the share went down at all
-	Low       float64  `json:"low"`        // the least it was, from the dip until it was back
+	HasDip    bool     `json:"dip"`        // the share went down at all
+	Lowest    float64  `json:"low"`        // the least it was, from the dip until it was back
 	FromStart float64  `json:"from_start"` // s until it was first back; 0 without a dip
 	FromEnd   float64  `json:"from_end"`   // s from its end until it was back; 0 if it was by then
 	Recovered bool     `json:"recovered"`  // else FromEnd is how long it was seen not to be back
@@ -37,10 +37,10 @@
 }
 
 const (
-	backAt     = 0.95
-	smoothed   = 2  // seconds
-	beforeSpan = 10 // seconds
-	dipWithin  = 5  // seconds
+	recoveredShare   = 0.95
+	smoothingSeconds = 2  // seconds
+	baselineSeconds  = 10 // seconds
+	dipWindowSeconds = 5  // seconds
 )
 
 func disturbances(faults []Fault, asked, earned Series, length float64) []Disturbance {
@@ -62,7 +62,7 @@
 			if i < len(faults) {
 				next = min(next, faults[i].On)
 			}
-			if r.look(&d, next); d.Recovered || i == len(faults) || faults[i].On >= length {
+			if r.measure(&d, next); d.Recovered || i == len(faults) || faults[i].On >= length {
 				break
 			}
 			d.join(faults[i], length) // the last is not over
@@ -89,7 +89,7 @@
 	length        float64
 }
 
-func (r ratios) of(from, to int) (x float64, ok bool) {
+func (r ratios) between(from, to int) (x float64, ok bool) {
 	from, to = max(from, 0), min(to, len(r.asked))
 	if from >= to {
 		return 0, false
@@ -99,38 +99,38 @@
 }
 
 func (r ratios) before(at float64, earlier []Disturbance) float64 {
-	from, none := int(at)-beforeSpan, 1.0
+	from, none := int(at)-baselineSeconds, 1.0
 	if n := len(earlier); n > 0 {
 		from = max(from, int(math.Ceil(earlier[n-1].To+earlier[n-1].FromEnd)))
 		none = earlier[n-1].Before
 	}
-	if x, ok := r.of(from, int(at)); ok {
+	if x, ok := r.between(from, int(at)); ok {
 		return x
 	}
 	return none
 }
 
-// look finds the dip that d made before limit, and when it was over.
-func (r ratios) look(d *Disturbance, limit float64) {
+// measure finds the dip that d made before limit, and when it was over.
+func (r ratios) measure(d *Disturbance, limit float64) {
 	end := min(int(limit), len(r.asked))
 	if limit >= r.length {
 		end = len(r.asked)
 	}
 	down := func(t int) (x float64, yes, ok bool) {
-		x, ok = r.of(t, min(t+smoothed, end))
-		return x, ok && x < backAt*d.Before, ok
+		x, ok = r.between(t, min(t+smoothingSeconds, end))
+		return x, ok && x < recoveredShare*d.Before, ok
 	}
-	d.Dip, d.Recovered, d.FromStart, d.FromEnd, d.Low = false, true, 0, 0, 0
+	d.HasDip, d.Recovered, d.FromStart, d.FromEnd, d.Lowest = false, true, 0, 0, 0
 	dip := int(d.From)
 	for ; ; dip++ {
-		if dip >= end || float64(dip) > d.To+dipWithin {
+		if dip >= end || float64(dip) > d.To+dipWindowSeconds {
 			return
 		}
 		if _, yes, _ := down(dip); yes {
 			break
 		}
 	}
-	d.Dip, d.Recovered, d.Low = true, false, 1
+	d.HasDip, d.Recovered, d.Lowest = true, false, 1
 	back := false
 	for t := dip; t < end; t++ {
 		x, yes, ok := down(t)
@@ -138,7 +138,7 @@
 			continue
 		}
 		if yes {
-			d.Low = min(d.Low, x)
+			d.Lowest = min(d.Lowest, x)
 			continue
 		}
 		if !back {
--- a/internal/lab/score/score_test.go
+++ b/internal/testbed/score/score_test.go
@@ -11,8 +11,8 @@
 
 	"pgregory.net/rapid"
 
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/seen"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/trace"
 )
 
 const ms = time.Millisecond
@@ -29,21 +29,21 @@
 // spec is a small scenario: two classes, two tenants, three worker nodes of two slots.
 func spec(seconds int) *scenario.Scenario {
 	s := scenario.Default()
-	s.Name, s.Length, s.Settle = "test", scenario.Span(seconds)*scenario.Span(time.Second), scenario.Span(5*time.Second)
+	s.Name, s.Length, s.Settle = "test", scenario.Duration(seconds)*scenario.Duration(time.Second), scenario.Duration(5*time.Second)
 	s.Classes, s.Tenants = s.Classes[:2], s.Tenants[:2]
-	s.Classes[0].Worth, s.Classes[1].Worth = 2, 1
-	s.Fleet.Nodes = 3
+	s.Classes[0].PriorityWeight, s.Classes[1].PriorityWeight = 2, 1
+	s.Fleet.Workers = 3
 	s.Fleet.Kinds = s.Fleet.Kinds[:1]
 	s.Fleet.Kinds[0].Slots = 2
 	return s
 }
 
-// tape plays sights at instants in ms.
-type tape struct{ *Score }
+// eventTape plays sights at instants in ms.
+type eventTape struct{ *Score }
 
-func (t tape) at(at int, x seen.Sight) {
+func (t eventTape) at(at int, x trace.Event) {
 	x.At = time.Duration(at) * ms
-	t.Watch(&x)
+	t.Observe(&x)
 }
 
 // model is what a score should come to, kept as plain lists.
@@ -51,15 +51,15 @@
 	t     *rapid.T
 	s     *Score
 	now   time.Duration
-	open  []*mJob
-	over  []*mJob
+	open  []*modelJob
+	over  []*modelJob
 	calls int
-	runs  []*mRun
+	runs  []*modelAttempt
 	ran   float64
 	slots [3]float64 // s in use, by worker node
 }
 
-type mJob struct {
+type modelJob struct {
 	id            uint64
 	due, aim      time.Duration
 	class, tenant int
@@ -67,13 +67,13 @@
 	work, slots   float64
 	call          string // of the open try
 	tries         int
-	out           Outcome
-	end           Outcome // of the last try
+	out           JobOutcome
+	end           JobOutcome // of the last try
 	hasTry        bool
 	settledAt     time.Duration
 }
 
-type mRun struct {
+type modelAttempt struct {
 	call  string
 	node  int
 	slots float64
@@ -82,24 +82,24 @@
 	begun bool
 }
 
-func (m *model) tell(x seen.Sight) {
+func (m *model) tell(x trace.Event) {
 	x.At = m.now
-	m.s.Watch(&x)
+	m.s.Observe(&x)
 }
 
-func (m *model) endRun(i int, what seen.What, status int) {
+func (m *model) endRun(i int, what trace.Kind, status int) {
 	r := m.runs[i]
 	m.runs = append(m.runs[:i], m.runs[i+1:]...)
 	if r.begun {
 		m.slots[r.node] += r.slots * (m.now - r.began).Seconds()
-		if what == seen.Finished {
+		if what == trace.AttemptFinished {
 			m.ran += r.work * r.slots
 		} else {
 			m.ran += min(r.work, (m.now-r.began).Seconds()) * r.slots
 		}
 	}
-	if what != seen.NodeDown {
-		m.tell(seen.Sight{What: what, Call: r.call, Node: r.node, Status: status})
+	if what != trace.WorkerStopped {
+		m.tell(trace.Event{Kind: what, RequestID: r.call, Worker: r.node, Status: status})
 	}
 }
 
@@ -110,15 +110,15 @@
 	pick := func(n int, what string) int { return rapid.IntRange(0, n-1).Draw(t, what) }
 	switch pick(8, "what") {
 	case 0, 1:
-		j := &mJob{
+		j := &modelJob{
 			id: uint64(len(m.open) + len(m.over) + 1), due: m.now, aim: time.Duration(100+pick(1500, "aim")) * ms,
 			class: pick(2, "class"), tenant: pick(2, "tenant"), over: pick(4, "over") == 0,
 			work: float64(1+pick(20, "work")) / 10, slots: float64(1 + pick(2, "slots")),
 		}
 		m.open = append(m.open, j)
-		m.tell(seen.Sight{
-			What: seen.Due, Job: j.id, Class: j.class, Tenant: j.tenant, Over: j.over, Work: j.work,
-			Slots: j.slots, Aim: j.aim,
+		m.tell(trace.Event{
+			Kind: trace.JobDue, JobID: j.id, Class: j.class, Tenant: j.tenant, OverQuota: j.over, Work: j.work,
+			Slots: j.slots, LatencyObjective: j.aim,
 		})
 	case 2, 3:
 		if len(m.open) == 0 {
@@ -128,7 +128,7 @@
 		if j.call == "" {
 			m.calls++
 			j.call, j.tries, j.hasTry = fmt.Sprint("c", m.calls), j.tries+1, true
-			m.tell(seen.Sight{What: seen.Asked, Call: j.call, Job: j.id, Sched: 0})
+			m.tell(trace.Event{Kind: trace.RequestSent, RequestID: j.call, JobID: j.id, Scheduler: 0})
 			return
 		}
 		node := pick(3, "node")
@@ -137,8 +137,8 @@
 				return // one attempt of a query at a time at a worker node
 			}
 		}
-		m.tell(seen.Sight{What: seen.Reached, Call: j.call, Node: node})
-		m.runs = append(m.runs, &mRun{call: j.call, node: node, slots: j.slots, work: j.work})
+		m.tell(trace.Event{Kind: trace.AttemptReceived, RequestID: j.call, Worker: node})
+		m.runs = append(m.runs, &modelAttempt{call: j.call, node: node, slots: j.slots, work: j.work})
 	case 4, 5:
 		if len(m.runs) == 0 {
 			return
@@ -146,11 +146,11 @@
 		i := pick(len(m.runs), "run")
 		if r := m.runs[i]; !r.begun && pick(4, "end") > 0 {
 			r.begun, r.began = true, m.now
-			m.tell(seen.Sight{What: seen.Began, Call: r.call, Node: r.node})
+			m.tell(trace.Event{Kind: trace.AttemptStarted, RequestID: r.call, Worker: r.node})
 		} else if r.begun {
-			m.endRun(i, []seen.What{seen.Finished, seen.Died}[pick(2, "how")], []int{200, 500}[pick(2, "status")])
+			m.endRun(i, []trace.Kind{trace.AttemptFinished, trace.AttemptDied}[pick(2, "how")], []int{200, 500}[pick(2, "status")])
 		} else {
-			m.endRun(i, []seen.What{seen.Rejected, seen.Returned, seen.Died}[pick(3, "how")], 503)
+			m.endRun(i, []trace.Kind{trace.AttemptRejected, trace.AttemptReturned, trace.AttemptDied}[pick(3, "how")], 503)
 		}
 	case 6:
 		if len(m.open) > 0 {
@@ -161,11 +161,11 @@
 			node := pick(3, "node")
 			for i := len(m.runs) - 1; i >= 0; i-- {
 				if m.runs[i].node == node {
-					m.endRun(i, seen.NodeDown, 0)
+					m.endRun(i, trace.WorkerStopped, 0)
 				}
 			}
-			m.tell(seen.Sight{What: seen.NodeDown, Node: node})
-			m.tell(seen.Sight{What: seen.NodeUp, Node: node, Slots: 2})
+			m.tell(trace.Event{Kind: trace.WorkerStopped, Worker: node})
+			m.tell(trace.Event{Kind: trace.WorkerStarted, Worker: node, Slots: 2})
 		}
 	}
 }
@@ -175,40 +175,40 @@
 	status := 0
 	if j.call != "" {
 		ends := []struct {
-			what   seen.What
+			what   trace.Kind
 			status int
-			out    Outcome
+			out    JobOutcome
 		}{
-			{seen.Answered, 200, InTime},
-			{seen.Answered, 503, Refused},
-			{seen.Answered, 429, Refused},
-			{seen.Answered, 504, Failed},
-			{seen.Lost, 0, Lost},
-			{seen.Left, 0, Left},
-			{seen.GaveUp, 0, Unanswered},
+			{trace.ResponseReceived, 200, OutcomeInTime},
+			{trace.ResponseReceived, 503, OutcomeRejected},
+			{trace.ResponseReceived, 429, OutcomeRejected},
+			{trace.ResponseReceived, 504, OutcomeFailed},
+			{trace.ConnectionLost, 0, OutcomeLost},
+			{trace.ClientLeft, 0, OutcomeClientLeft},
+			{trace.ClientTimedOut, 0, OutcomeUnanswered},
 		}
 		e := ends[rapid.IntRange(0, len(ends)-1).Draw(m.t, "end")]
-		m.tell(seen.Sight{What: e.what, Call: j.call, Status: e.status})
+		m.tell(trace.Event{Kind: e.what, RequestID: j.call, Status: e.status})
 		j.call, j.end, status = "", e.out, e.status
-		if e.status != 200 && e.out != Left && rapid.Bool().Draw(m.t, "again") {
+		if e.status != 200 && e.out != OutcomeClientLeft && rapid.Bool().Draw(m.t, "again") {
 			return
 		}
 	}
 	j.out = j.end
 	if !j.hasTry {
-		j.out = Unanswered
+		j.out = OutcomeUnanswered
 	}
-	if j.out == InTime && m.now-j.due > j.aim {
-		j.out = Late
+	if j.out == OutcomeInTime && m.now-j.due > j.aim {
+		j.out = OutcomeLate
 	}
 	j.settledAt = m.now
-	m.tell(seen.Sight{What: seen.Settled, Job: j.id, Status: status})
+	m.tell(trace.Event{Kind: trace.JobSettled, JobID: j.id, Status: status})
 	m.open, m.over = append(m.open[:i], m.open[i+1:]...), append(m.over, j)
 }
 
 // check compares the sums: each job is in one bucket, and parts make the whole.
 func (m *model) check() {
-	m.tell(seen.Sight{What: seen.Probed}) // brings the score's clock up to now
+	m.tell(trace.Event{Kind: trace.HealthChecked}) // brings the score's clock up to now
 	r := m.s.Result()
 	same := func(what string, got, want float64) {
 		if math.Abs(got-want) > 1e-6*(1+math.Abs(want)) {
@@ -216,20 +216,20 @@
 		}
 	}
 	class, tenant := make([]Group, 2), make([]Group, 2)
-	for _, list := range [][]*mJob{m.over, m.open} {
+	for _, list := range [][]*modelJob{m.over, m.open} {
 		for _, j := range list {
-			worth := m.s.spec.Classes[j.class].Worth * j.work * j.slots
+			worth := m.s.spec.Classes[j.class].PriorityWeight * j.work * j.slots
 			if j.over {
-				worth *= m.s.spec.Load.OverWorth
+				worth *= m.s.spec.Load.OverQuotaWeight
 			}
 			for _, g := range []*Group{&class[j.class], &tenant[j.tenant]} {
 				g.Due++
-				g.Asked += worth
+				g.Requested += worth
 				if j.settledAt == 0 {
 					g.Open++
 					continue
 				}
-				if g.Outcomes[j.out]++; j.out == InTime {
+				if g.Outcomes[j.out]++; j.out == OutcomeInTime {
 					g.Earned += worth
 				}
 			}
@@ -242,11 +242,11 @@
 			if got.Due != want.Due || got.Open != want.Open || got.Outcomes != want.Outcomes {
 				m.t.Fatalf("%s: got %+v, want %+v", got.Name, got, want)
 			}
-			same("asked", got.Asked, want.Asked)
+			same("asked", got.Requested, want.Requested)
 			same("earned", got.Earned, want.Earned)
 			sums[k].Due += got.Due
 			sums[k].Open += got.Open
-			sums[k].Asked += got.Asked
+			sums[k].Requested += got.Requested
 			sums[k].Earned += got.Earned
 			sums[k].Attempts += float64(got.Latency.Count)
 			for o, n := range got.Outcomes {
@@ -257,17 +257,17 @@
 			sums[k].Attempts != float64(r.Whole.Latency.Count) {
 			m.t.Fatalf("parts %+v, whole %+v", sums[k], r.Whole)
 		}
-		same("asked of all", sums[k].Asked, r.Whole.Asked)
+		same("asked of all", sums[k].Requested, r.Whole.Requested)
 		same("earned of all", sums[k].Earned, r.Whole.Earned)
 	}
-	same("due by second", r.Seconds.AskedJobs.Sum(), float64(r.Whole.Due))
-	same("worth by second due", r.Seconds.Earned.Sum(), r.Whole.Earned)
-	same("goodput by second", r.Seconds.Goodput.Sum(), r.Whole.Earned)
-	same("jobs in time by second", r.Seconds.GoodputJobs.Sum(), float64(r.Whole.Outcomes[InTime]))
+	same("due by second", r.Seconds.DueJobs.Sum(), float64(r.Whole.Due))
+	same("worth by second due", r.Seconds.DueValueEarned.Sum(), r.Whole.Earned)
+	same("goodput by second", r.Seconds.GoodputValue.Sum(), r.Whole.Earned)
+	same("jobs in time by second", r.Seconds.GoodputJobs.Sum(), float64(r.Whole.Outcomes[OutcomeInTime]))
 	same("work run", r.Effort.WorkRun, m.ran)
 	same("work", r.Effort.WorkUseful+r.Waste.Work+r.Effort.WorkPending, m.ran)
-	if r.Effort.Strays+r.Effort.Unknown > 0 {
-		m.t.Fatalf("strays %d, unknown %d", r.Effort.Strays, r.Effort.Unknown)
+	if r.Effort.Duplicates+r.Effort.Unknown > 0 {
+		m.t.Fatalf("strays %d, unknown %d", r.Effort.Duplicates, r.Effort.Unknown)
 	}
 	for i, use := range m.slots {
 		for _, run := range m.runs {
@@ -276,7 +276,7 @@
 			}
 		}
 		if up := 2 * m.now.Seconds(); up > 0 {
-			same("occupancy", r.Fleet.Nodes[i].Use, use/up)
+			same("occupancy", r.Fleet.Workers[i].Use, use/up)
 		}
 	}
 }
@@ -286,7 +286,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{t: t, s: New(spec(90), Options{})}
 		for i := range 3 {
-			m.tell(seen.Sight{What: seen.NodeUp, Node: i, Slots: 2})
+			m.tell(trace.Event{Kind: trace.WorkerStarted, Worker: i, Slots: 2})
 		}
 		for i := range rapid.IntRange(1, 150).Draw(t, "steps") {
 			if m.step(); i%40 == 39 {
@@ -294,9 +294,9 @@
 			}
 		}
 		m.check()
-		m.now += 2 * linger // what is over is forgotten
+		m.now += 2 * settleGrace // what is over is forgotten
 		for len(m.runs) > 0 {
-			m.endRun(0, seen.Died, 0)
+			m.endRun(0, trace.AttemptDied, 0)
 		}
 		m.check()
 	})
@@ -305,39 +305,39 @@
 // Work is waste by what became of its client.
 func TestWaste(t *testing.T) {
 	ends := map[string]struct {
-		end  seen.Sight
+		end  trace.Event
 		late bool // the run ends after the client's try
 		of   func(*Waste) float64
 	}{
-		"repeated":  {seen.Sight{What: seen.Answered, Status: 200}, true, func(w *Waste) float64 { return w.Repeated }},
-		"too late":  {seen.Sight{What: seen.GaveUp}, true, func(w *Waste) float64 { return w.TooLate }},
-		"left":      {seen.Sight{What: seen.Left}, true, func(w *Waste) float64 { return w.Left }},
-		"refused":   {seen.Sight{What: seen.Answered, Status: 503}, false, func(w *Waste) float64 { return w.Unused }},
-		"cut off":   {seen.Sight{What: seen.Lost}, false, func(w *Waste) float64 { return w.Unused }},
-		"it served": {seen.Sight{What: seen.Answered, Status: 200}, false, func(w *Waste) float64 { return 4 - w.Work }},
+		"repeated":  {trace.Event{Kind: trace.ResponseReceived, Status: 200}, true, func(w *Waste) float64 { return w.Repeated }},
+		"too late":  {trace.Event{Kind: trace.ClientTimedOut}, true, func(w *Waste) float64 { return w.TooLate }},
+		"left":      {trace.Event{Kind: trace.ClientLeft}, true, func(w *Waste) float64 { return w.ClientLeft }},
+		"refused":   {trace.Event{Kind: trace.ResponseReceived, Status: 503}, false, func(w *Waste) float64 { return w.Unused }},
+		"cut off":   {trace.Event{Kind: trace.ConnectionLost}, false, func(w *Waste) float64 { return w.Unused }},
+		"it served": {trace.Event{Kind: trace.ResponseReceived, Status: 200}, false, func(w *Waste) float64 { return 4 - w.Work }},
 	}
 	for name, c := range ends {
-		s := tape{New(spec(60), Options{})}
-		s.at(0, seen.Sight{What: seen.Due, Job: 1, Work: 2, Slots: 2, Aim: time.Second})
-		s.at(0, seen.Sight{What: seen.Asked, Job: 1, Call: "a"})
+		s := eventTape{New(spec(60), Options{})}
+		s.at(0, trace.Event{Kind: trace.JobDue, JobID: 1, Work: 2, Slots: 2, LatencyObjective: time.Second})
+		s.at(0, trace.Event{Kind: trace.RequestSent, JobID: 1, RequestID: "a"})
 		run := func(node, at int) {
-			s.at(at, seen.Sight{What: seen.Finished, Call: "a", Node: node, Status: 200})
+			s.at(at, trace.Event{Kind: trace.AttemptFinished, RequestID: "a", Worker: node, Status: 200})
 		}
 		for node := range 2 {
-			s.at(1, seen.Sight{What: seen.Reached, Call: "a", Node: node})
-			s.at(1, seen.Sight{What: seen.Began, Call: "a", Node: node})
+			s.at(1, trace.Event{Kind: trace.AttemptReceived, RequestID: "a", Worker: node})
+			s.at(1, trace.Event{Kind: trace.AttemptStarted, RequestID: "a", Worker: node})
 		}
-		s.at(500, seen.Sight{What: seen.Died, Call: "a", Node: 1})
+		s.at(500, trace.Event{Kind: trace.AttemptDied, RequestID: "a", Worker: 1})
 		if !c.late {
 			run(0, 900)
 		} else if name == "repeated" {
-			s.at(501, seen.Sight{What: seen.Reached, Call: "a", Node: 2})
-			s.at(501, seen.Sight{What: seen.Began, Call: "a", Node: 2})
+			s.at(501, trace.Event{Kind: trace.AttemptReceived, RequestID: "a", Worker: 2})
+			s.at(501, trace.Event{Kind: trace.AttemptStarted, RequestID: "a", Worker: 2})
 			run(2, 900)
 		}
-		c.end.Call = "a"
+		c.end.RequestID = "a"
 		s.at(1000, c.end)
-		s.at(1000, seen.Sight{What: seen.Settled, Job: 1, Status: c.end.Status})
+		s.at(1000, trace.Event{Kind: trace.JobSettled, JobID: 1, Status: c.end.Status})
 		if c.late {
 			run(0, 2500)
 		}
@@ -351,41 +351,41 @@
 // A run whose result a repeat brings a later try has served after all; a query sent once more is the same try; and a
 // job that found no scheduler is unanswered.
 func TestTries(t *testing.T) {
-	s := tape{New(spec(60), Options{})}
-	s.at(0, seen.Sight{What: seen.Due, Job: 1, Work: 3, Slots: 1, Aim: time.Minute})
+	s := eventTape{New(spec(60), Options{})}
+	s.at(0, trace.Event{Kind: trace.JobDue, JobID: 1, Work: 3, Slots: 1, LatencyObjective: time.Minute})
 	for i, call := range []string{"a", "b"} {
-		s.at(i*1000, seen.Sight{What: seen.Asked, Job: 1, Call: call})
-		s.at(i*1000, seen.Sight{What: seen.Lost, Call: call})
-		s.at(i*1000, seen.Sight{What: seen.Asked, Job: 1, Call: call})
-		s.at(i*1000, seen.Sight{What: seen.Reached, Call: call, Node: i})
-		s.at(i*1000, seen.Sight{What: seen.Began, Call: call, Node: i, Text: []string{"", "repeat"}[i]})
+		s.at(i*1000, trace.Event{Kind: trace.RequestSent, JobID: 1, RequestID: call})
+		s.at(i*1000, trace.Event{Kind: trace.ConnectionLost, RequestID: call})
+		s.at(i*1000, trace.Event{Kind: trace.RequestSent, JobID: 1, RequestID: call})
+		s.at(i*1000, trace.Event{Kind: trace.AttemptReceived, RequestID: call, Worker: i})
+		s.at(i*1000, trace.Event{Kind: trace.AttemptStarted, RequestID: call, Worker: i, Text: []string{"", "repeat"}[i]})
 		if i == 0 {
-			s.at(500, seen.Sight{What: seen.GaveUp, Call: call})
+			s.at(500, trace.Event{Kind: trace.ClientTimedOut, RequestID: call})
 		}
 	}
-	s.at(1500, seen.Sight{What: seen.Finished, Call: "a", Node: 0, Status: 200})
+	s.at(1500, trace.Event{Kind: trace.AttemptFinished, RequestID: "a", Worker: 0, Status: 200})
 	if w := s.Result().Waste; w.TooLate != 3 {
 		t.Errorf("before the answer: %+v", w)
 	}
-	s.at(1600, seen.Sight{What: seen.Finished, Call: "b", Node: 1, Status: 200})
-	s.at(1600, seen.Sight{What: seen.Answered, Call: "b", Status: 200})
-	s.at(1600, seen.Sight{What: seen.Settled, Job: 1, Status: 200})
-	s.at(2000, seen.Sight{What: seen.Due, Job: 2, Work: 3, Slots: 1, Aim: time.Minute})
-	s.at(2000, seen.Sight{What: seen.Unreached, Job: 2, Call: "c"})
-	s.at(2000, seen.Sight{What: seen.Settled, Job: 2})
+	s.at(1600, trace.Event{Kind: trace.AttemptFinished, RequestID: "b", Worker: 1, Status: 200})
+	s.at(1600, trace.Event{Kind: trace.ResponseReceived, RequestID: "b", Status: 200})
+	s.at(1600, trace.Event{Kind: trace.JobSettled, JobID: 1, Status: 200})
+	s.at(2000, trace.Event{Kind: trace.JobDue, JobID: 2, Work: 3, Slots: 1, LatencyObjective: time.Minute})
+	s.at(2000, trace.Event{Kind: trace.SchedulerUnreachable, JobID: 2, RequestID: "c"})
+	s.at(2000, trace.Event{Kind: trace.JobSettled, JobID: 2})
 	r := s.Result()
-	if r.Waste.Work != 0 || r.Effort.WorkUseful != 3 || r.Effort.Dropped != 1 || r.Fleet.Nodes[1].Use != 0 {
+	if r.Waste.Work != 0 || r.Effort.WorkUseful != 3 || r.Effort.DuplicatesDropped != 1 || r.Fleet.Workers[1].Use != 0 {
 		t.Errorf("waste %+v, effort %+v", r.Waste, r.Effort)
 	}
-	if r.Effort.Tries != 2 || r.Effort.Resent != 2 || r.Effort.Unreached != 1 || r.Whole.Outcomes[InTime] != 1 ||
-		r.Whole.Outcomes[Unanswered] != 1 {
+	if r.Effort.Requests != 2 || r.Effort.Resent != 2 || r.Effort.RequestsUnreached != 1 || r.Whole.Outcomes[OutcomeInTime] != 1 ||
+		r.Whole.Outcomes[OutcomeUnanswered] != 1 {
 		t.Errorf("%+v %v", r.Effort, r.Whole.Outcomes)
 	}
 }
 
 // The mix, its parts, and what a tenant's excess is worth.
 func TestWorth(t *testing.T) {
-	s := tape{New(spec(30), Options{})}
+	s := eventTape{New(spec(30), Options{})}
 	for i := range 300 { // ten a second; those due from 10 to 14 s are late; of class 1 in the last 5 s none is served
 		at, status, took := i*100, 200, 100
 		if at >= 10_000 && at < 14_000 {
@@ -393,60 +393,60 @@
 		}
 		id := uint64(i + 1)
 		call := fmt.Sprint(id)
-		x := seen.Sight{What: seen.Due, Job: id, Class: i % 2, Tenant: i / 2 % 2, Work: 1, Slots: 2, Aim: 500 * ms}
-		if x.Over = x.Tenant == 1 && i%5 == 0; x.Over {
+		x := trace.Event{Kind: trace.JobDue, JobID: id, Class: i % 2, Tenant: i / 2 % 2, Work: 1, Slots: 2, LatencyObjective: 500 * ms}
+		if x.OverQuota = x.Tenant == 1 && i%5 == 0; x.OverQuota {
 			status = 503
 		}
 		if x.Class == 1 && at >= 25_000 {
 			status = 503
 		}
 		s.at(at, x)
-		s.at(at, seen.Sight{What: seen.Asked, Call: call, Job: id})
-		s.at(at+min(took, 99), seen.Sight{What: seen.Noted})
-		s.at(at+took, seen.Sight{What: seen.Answered, Call: call, Status: status})
-		s.at(at+took, seen.Sight{What: seen.Settled, Job: id, Status: status})
+		s.at(at, trace.Event{Kind: trace.RequestSent, RequestID: call, JobID: id})
+		s.at(at+min(took, 99), trace.Event{Kind: trace.CallbackAnswered})
+		s.at(at+took, trace.Event{Kind: trace.ResponseReceived, RequestID: call, Status: status})
+		s.at(at+took, trace.Event{Kind: trace.JobSettled, JobID: id, Status: status})
 	}
 	r := s.Result()
-	w := r.Worth
+	w := r.Value
 	if w.Worst10At < 4 || w.Worst10At > 10 || w.WorstClass.Name != r.Classes[1].Name || w.Worst10 >= w.Whole {
 		t.Errorf("%+v", w)
 	}
 	if want := 0.4*w.Whole + 0.15*w.Worst10 + 0.2*w.WorstClass.Value + 0.25*w.WorstTenant.Value; w.Mix != want {
 		t.Errorf("mix %v, want %v", w.Mix, want)
 	}
-	if b := r.Tenants[1]; b.Within <= b.Share || b.Shares.Refused <= r.Tenants[0].Shares.Refused {
+	if b := r.Tenants[1]; b.EarnedShareWithinQuota <= b.EarnedShare || b.Shares.Rejected <= r.Tenants[0].Shares.Rejected {
 		t.Errorf("excess counts as much as the share: %+v", b)
 	}
 	if r.Whole.Latency.P50 < 99 || r.Whole.Latency.P50 > 101 || r.Whole.Latency.Max < 599 || r.Seconds.P99[12] < 590 {
 		t.Errorf("latency %+v, in the 12th second %v", r.Whole.Latency, r.Seconds.P99[12])
 	}
 	met := Check([]scenario.Expectation{
-		{Figure: "in_time", Op: ">=", Bound: 0.5},
-		{Figure: "rules_broken", Op: "=", Bound: 0},
-		{Figure: "in_time", Of: r.Tenants[1].Name, Op: ">", Bound: r.Tenants[1].Share},
-		{Figure: "p99_ms", Op: "<=", Bound: 10},
-		{Figure: "refused", Of: "nobody", Op: "<=", Bound: 1},
+		{Metric: "in_time", Operator: ">=", Bound: 0.5},
+		{Metric: "rules_broken", Operator: "=", Bound: 0},
+		{Metric: "in_time", Group: r.Tenants[1].Name, Operator: ">", Bound: r.Tenants[1].EarnedShare},
+		{Metric: "p99_ms", Operator: "<=", Bound: 10},
+		{Metric: "refused", Group: "nobody", Operator: "<=", Bound: 1},
 	}, r, 1)
 	for i, want := range []bool{true, false, true, false, false} {
 		if met[i].OK != want {
-			t.Errorf("%v: got %v %s", met[i].Expectation, met[i].Got, met[i].Note)
+			t.Errorf("%v: got %v %s", met[i].Expectation, met[i].Value, met[i].Remark)
 		}
 	}
-	for _, f := range scenario.Figures {
+	for _, f := range scenario.Metrics {
 		if x, note := r.Figure(f.Name, "", 0); math.IsNaN(x) {
 			t.Errorf("%s: %s", f.Name, note)
 		}
 	}
 	text, err := json.Marshal(struct {
 		*Result
-		Met []Met
+		Met []Evaluation
 	}{r, met})
 	if err != nil || !json.Valid(text) {
 		t.Fatal(err)
 	}
 	var again Result
-	if err := json.Unmarshal(text, &again); err != nil || again.Worth != r.Worth || len(again.Classes) != 2 {
-		t.Error(err, again.Worth)
+	if err := json.Unmarshal(text, &again); err != nil || again.Value != r.Value || len(again.Classes) != 2 {
+		t.Error(err, again.Value)
 	}
 }
 
@@ -475,39 +475,39 @@
 			"back before its end",
 			[]Fault{{"a", 10, 20}},
 			[][2]int{{10, 13}},
-			[]Disturbance{{From: 10, To: 20, Dip: true, FromStart: 3, Recovered: true}},
+			[]Disturbance{{From: 10, To: 20, HasDip: true, FromStart: 3, Recovered: true}},
 		},
 		{
 			"back after its end",
 			[]Fault{{"a", 10.5, 15.5}},
 			[][2]int{{10, 18}},
-			[]Disturbance{{From: 10.5, To: 15.5, Dip: true, FromStart: 7.5, FromEnd: 2.5, Recovered: true}},
+			[]Disturbance{{From: 10.5, To: 15.5, HasDip: true, FromStart: 7.5, FromEnd: 2.5, Recovered: true}},
 		},
 		{
 			"for good",
 			[]Fault{{"a", 10, -1}},
 			[][2]int{{11, 14}},
-			[]Disturbance{{From: 10, To: 10, Lasting: true, Dip: true, FromStart: 4, FromEnd: 4, Recovered: true}},
+			[]Disturbance{{From: 10, To: 10, Lasting: true, HasDip: true, FromStart: 4, FromEnd: 4, Recovered: true}},
 		},
 		{
 			"never back",
 			[]Fault{{"a", 10, 12}},
 			[][2]int{{10, 40}},
-			[]Disturbance{{From: 10, To: 12, Dip: true, FromStart: 30, FromEnd: 28}},
+			[]Disturbance{{From: 10, To: 12, HasDip: true, FromStart: 30, FromEnd: 28}},
 		},
 		{
 			"one into the other",
 			[]Fault{{"a", 10, 12}, {"b", 11, 13}, {"c", 15, 16}},
 			[][2]int{{10, 19}},
-			[]Disturbance{{From: 10, To: 16, Dip: true, FromStart: 9, FromEnd: 3, Recovered: true}},
+			[]Disturbance{{From: 10, To: 16, HasDip: true, FromStart: 9, FromEnd: 3, Recovered: true}},
 		},
 		{
 			"two",
 			[]Fault{{"a", 10, 12}, {"b", 20, 22}},
 			[][2]int{{10, 14}, {20, 21}},
 			[]Disturbance{
-				{From: 10, To: 12, Dip: true, FromStart: 4, FromEnd: 2, Recovered: true},
-				{From: 20, To: 22, Dip: true, FromStart: 1, Recovered: true},
+				{From: 10, To: 12, HasDip: true, FromStart: 4, FromEnd: 2, Recovered: true},
+				{From: 20, To: 22, HasDip: true, FromStart: 1, Recovered: true},
 			},
 		},
 		{"after the load", []Fault{{"a", 41, 42}}, nil, []Disturbance{}},
@@ -516,10 +516,10 @@
 		asked, earned := curve(40, c.dips...)
 		got := disturbances(c.faults, asked, earned, 40)
 		for i := range got {
-			if got[i].Before != 1 || got[i].Dip != (got[i].Low >= 0.4 && got[i].Low < 0.95) {
+			if got[i].Before != 1 || got[i].HasDip != (got[i].Lowest >= 0.4 && got[i].Lowest < 0.95) {
 				t.Errorf("%s: %+v", c.name, got[i])
 			}
-			got[i].Before, got[i].Low, got[i].Faults = 0, 0, nil
+			got[i].Before, got[i].Lowest, got[i].Faults = 0, 0, nil
 		}
 		if !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s:\ngot  %+v\nwant %+v", c.name, got, c.want)
@@ -529,29 +529,29 @@
 
 // What processes, bad clients and marks come to.
 func TestProcesses(t *testing.T) {
-	s := tape{New(spec(10), Options{})}
-	s.at(0, seen.Sight{What: seen.SchedUp})
-	s.at(500, seen.Sight{What: seen.Usage, CPU: 100 * ms, Memory: 10, Files: 5})
-	s.at(1500, seen.Sight{What: seen.Usage, CPU: 300 * ms, Memory: 30, Files: 4})
-	s.at(1600, seen.Sight{What: seen.SchedKill})
-	s.at(2000, seen.Sight{What: seen.SchedUp})
-	s.at(3000, seen.Sight{What: seen.Usage, CPU: 50 * ms, Memory: 20, Files: 9})
-	s.at(3000, seen.Sight{What: seen.Usage, Sched: -1, CPU: 50 * ms, Memory: 20})
-	s.at(3000, seen.Sight{What: seen.OddBegan, Conn: 7, Text: "garbage"})
-	s.at(3010, seen.Sight{What: seen.OddEnded, Conn: 7, Status: 400})
-	s.at(3010, seen.Sight{What: seen.Late, Span: 3 * ms})
+	s := eventTape{New(spec(10), Options{})}
+	s.at(0, trace.Event{Kind: trace.SchedulerStarted})
+	s.at(500, trace.Event{Kind: trace.ResourceUsage, CPU: 100 * ms, Memory: 10, OpenFiles: 5})
+	s.at(1500, trace.Event{Kind: trace.ResourceUsage, CPU: 300 * ms, Memory: 30, OpenFiles: 4})
+	s.at(1600, trace.Event{Kind: trace.SchedulerKilled})
+	s.at(2000, trace.Event{Kind: trace.SchedulerStarted})
+	s.at(3000, trace.Event{Kind: trace.ResourceUsage, CPU: 50 * ms, Memory: 20, OpenFiles: 9})
+	s.at(3000, trace.Event{Kind: trace.ResourceUsage, Scheduler: -1, CPU: 50 * ms, Memory: 20})
+	s.at(3000, trace.Event{Kind: trace.MisbehavingClientConnected, Conn: 7, Text: "garbage"})
+	s.at(3010, trace.Event{Kind: trace.MisbehavingClientAnswered, Conn: 7, Status: 400})
+	s.at(3010, trace.Event{Kind: trace.TestbedLate, Lateness: 3 * ms})
 	r := s.Result()
-	p := r.Procs[0]
-	if p.Starts != 2 || p.Kills != 1 || p.Memory != 30 || p.Files != 9 || math.Abs(p.CPU-0.35) > 1e-9 {
+	p := r.Processes[0]
+	if p.Starts != 2 || p.Kills != 1 || p.PeakMemory != 30 || p.PeakFiles != 9 || math.Abs(p.CPU-0.35) > 1e-9 {
 		t.Errorf("%+v", p)
 	}
-	if math.Abs(p.CPUs[0]-0.2) > 1e-9 || math.Abs(p.CPUs[1]-0.1) > 1e-9 || math.Abs(p.CPUs[2]-0.05) > 1e-9 {
-		t.Errorf("by second: %v", p.CPUs)
+	if math.Abs(p.CPUBySecond[0]-0.2) > 1e-9 || math.Abs(p.CPUBySecond[1]-0.1) > 1e-9 || math.Abs(p.CPUBySecond[2]-0.05) > 1e-9 {
+		t.Errorf("by second: %v", p.CPUBySecond)
 	}
-	if len(r.Procs) != 2 || r.Procs[1].Sched != -1 || len(r.Marks) != 2 || r.Lateness.Max < 2.99 {
-		t.Errorf("%+v %+v %+v", r.Procs, r.Marks, r.Lateness)
+	if len(r.Processes) != 2 || r.Processes[1].Scheduler != -1 || len(r.Marks) != 2 || r.Lateness.Max < 2.99 {
+		t.Errorf("%+v %+v %+v", r.Processes, r.Marks, r.Lateness)
 	}
-	if b := r.Bad; len(b) != 1 || b[0] != (BadFigures{Kind: "garbage", Connected: 1, Errors: 1, LongestMs: 10}) {
+	if b := r.Misbehaving; len(b) != 1 || b[0] != (MisbehavingCounts{Kind: "garbage", Connected: 1, Errors: 1, MaxWaitMs: 10}) {
 		t.Errorf("%+v", b)
 	}
 }
@@ -567,8 +567,8 @@
 	}
 	// Differences 1..5: mean 3, sd 1.5811, t(4) = 2.7764, half width 1.9632.
 	p := Compare("x", "old", "new", make([]float64, 5), []float64{1, 2, 3, 4, 5}, Higher)
-	if math.Abs(p.Low-1.0368) > 1e-4 || math.Abs(p.High-4.9632) > 1e-4 || math.Abs(p.P-0.013236) > 1e-5 || !p.Seen ||
-		p.Says != "new is better: by 3, 95% sure of 1.04 to 4.96 over 5 seeds" {
+	if math.Abs(p.Low-1.0368) > 1e-4 || math.Abs(p.High-4.9632) > 1e-4 || math.Abs(p.P-0.013236) > 1e-5 || !p.Significant ||
+		p.Verdict != "new is better: by 3, 95% sure of 1.04 to 4.96 over 5 seeds" {
 		t.Errorf("%+v", p)
 	}
 	for _, c := range []struct {
@@ -581,8 +581,8 @@
 		{a[:1], "one seed tells nothing"},
 		{[]float64{math.NaN()}, "nothing to compare"},
 	} {
-		if p := Compare("x", "old", "new", a, c.b, Higher); len(p.Says) < len(c.says) || p.Says[:len(c.says)] != c.says {
-			t.Errorf("got %q, want %q", p.Says, c.says)
+		if p := Compare("x", "old", "new", a, c.b, Higher); len(p.Verdict) < len(c.says) || p.Verdict[:len(c.says)] != c.says {
+			t.Errorf("got %q, want %q", p.Verdict, c.says)
 		}
 	}
 	for _, c := range []struct {
@@ -608,15 +608,15 @@
 // steady is a play of which each job takes the same course.
 type steady struct {
 	s     *Score
-	x     seen.Sight
-	calls [2 * mostLinger]string
+	x     trace.Event
+	calls [2 * maxSettleGrace]string
 	n     uint64
 	now   time.Duration
 }
 
 func newSteady(nodes int) *steady {
 	sc := spec(3600)
-	sc.Fleet.Nodes = nodes
+	sc.Fleet.Workers = nodes
 	p := &steady{s: New(sc, Options{})}
 	for i := range p.calls {
 		p.calls[i] = fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15)
@@ -624,42 +624,42 @@
 	return p
 }
 
-func (p *steady) tell(what seen.What, status int) {
-	p.x.At, p.x.What, p.x.Status = p.now, what, status
-	p.s.Watch(&p.x)
+func (p *steady) tell(what trace.Kind, status int) {
+	p.x.At, p.x.Kind, p.x.Status = p.now, what, status
+	p.s.Observe(&p.x)
 }
 
 // request plays a whole job: ten sights. Jobs come every 0.5 ms; ids are used again once they are forgotten.
 func (p *steady) request() {
 	p.n++
 	p.now += 500 * time.Microsecond
-	p.x = seen.Sight{
-		Job: p.n, Call: p.calls[p.n%uint64(len(p.calls))], Class: int(p.n % 2), Tenant: int(p.n / 2 % 2),
-		Work: 0.2, Slots: 1, Aim: time.Second, Node: int(p.n*7919) % len(p.s.nodes),
-	}
-	p.tell(seen.Due, 0)
-	p.tell(seen.Asked, 0)
-	p.tell(seen.Reached, 0)
-	p.tell(seen.Accepted, 202)
-	p.tell(seen.Began, 0)
-	p.tell(seen.Noted, 200)
-	p.tell(seen.Finished, 200)
-	p.tell(seen.Noted, 200)
-	p.tell(seen.Answered, 200)
-	p.tell(seen.Settled, 200)
+	p.x = trace.Event{
+		JobID: p.n, RequestID: p.calls[p.n%uint64(len(p.calls))], Class: int(p.n % 2), Tenant: int(p.n / 2 % 2),
+		Work: 0.2, Slots: 1, LatencyObjective: time.Second, Worker: int(p.n*7919) % len(p.s.workers),
+	}
+	p.tell(trace.JobDue, 0)
+	p.tell(trace.RequestSent, 0)
+	p.tell(trace.AttemptReceived, 0)
+	p.tell(trace.AttemptAccepted, 202)
+	p.tell(trace.AttemptStarted, 0)
+	p.tell(trace.CallbackAnswered, 200)
+	p.tell(trace.AttemptFinished, 200)
+	p.tell(trace.CallbackAnswered, 200)
+	p.tell(trace.ResponseReceived, 200)
+	p.tell(trace.JobSettled, 200)
 }
 
 // In a steady state nothing is allocated, and what is over is forgotten.
 func TestSteady(t *testing.T) {
 	p := newSteady(100)
-	for range 3 * mostLinger {
+	for range 3 * maxSettleGrace {
 		p.request()
 	}
 	if n := testing.AllocsPerRun(5_000, p.request); n != 0 {
 		t.Errorf("%v allocations a job", n)
 	}
-	if len(p.s.jobs) != 0 || len(p.s.calls) > mostLinger || p.s.effort.Unknown+p.s.effort.Resent+p.s.effort.Strays > 0 {
-		t.Errorf("%d jobs, %d queries are kept; %+v", len(p.s.jobs), len(p.s.calls), p.s.effort.Effort)
+	if len(p.s.jobs) != 0 || len(p.s.requests) > maxSettleGrace || p.s.effort.Unknown+p.s.effort.Resent+p.s.effort.Duplicates > 0 {
+		t.Errorf("%d jobs, %d queries are kept; %+v", len(p.s.jobs), len(p.s.requests), p.s.effort.Effort)
 	}
 }
 
--- a/internal/lab/score/stats.go
+++ b/internal/testbed/score/stats.go
@@ -21,20 +21,20 @@
 
 // Paired is a comparison of one figure between two sides over the same seeds. Differences are B less A.
 type Paired struct {
-	Figure string  `json:"figure"`
-	A      string  `json:"a"`
-	B      string  `json:"b"`
-	Seeds  int     `json:"seeds"`
-	Lack   int     `json:"seeds_left_out"` // in which a side has no such figure, or an endless one
-	MeanA  float64 `json:"mean_a"`
-	MeanB  float64 `json:"mean_b"`
-	Mean   float64 `json:"difference"`
-	SD     float64 `json:"sd"` // of the differences
-	Low    float64 `json:"low"`
-	High   float64 `json:"high"` // Low to High holds the true mean difference 95 times in 100
-	P      float64 `json:"p"`    // chance of a mean difference this far from 0 if there were none
-	Seen   bool    `json:"seen"` // the interval leaves 0 out
-	Says   string  `json:"says"`
+	Metric       string  `json:"figure"`
+	A            string  `json:"a"`
+	B            string  `json:"b"`
+	Seeds        int     `json:"seeds"`
+	SeedsLeftOut int     `json:"seeds_left_out"` // in which a side has no such figure, or an endless one
+	MeanA        float64 `json:"mean_a"`
+	MeanB        float64 `json:"mean_b"`
+	Difference   float64 `json:"difference"`
+	SD           float64 `json:"sd"` // of the differences
+	Low          float64 `json:"low"`
+	High         float64 `json:"high"` // Low to High holds the true mean difference 95 times in 100
+	P            float64 `json:"p"`    // chance of a mean difference this far from 0 if there were none
+	Significant  bool    `json:"seen"` // the interval leaves 0 out
+	Verdict      string  `json:"says"`
 }
 
 const confidence = 0.95
@@ -43,68 +43,68 @@
 // takes the differences to be spread about normally. Pairs in which either figure is missing (NaN) or endless are
 // left out.
 func Compare(figure, nameA, nameB string, a, b []float64, better Sense) Paired {
-	p := Paired{Figure: figure, A: nameA, B: nameB, P: 1}
+	p := Paired{Metric: figure, A: nameA, B: nameB, P: 1}
 	var as, bs, diffs []float64
 	for i := range min(len(a), len(b)) {
 		if d := b[i] - a[i]; !math.IsNaN(d) && !math.IsInf(d, 0) {
 			as, bs, diffs = append(as, a[i]), append(bs, b[i]), append(diffs, d)
 		} else {
-			p.Lack++
+			p.SeedsLeftOut++
 		}
 	}
 	p.Seeds = len(diffs)
 	if p.Seeds > 0 {
-		p.MeanA, p.MeanB, p.Mean = stat.Mean(as, nil), stat.Mean(bs, nil), stat.Mean(diffs, nil)
-		p.Low, p.High = p.Mean, p.Mean
+		p.MeanA, p.MeanB, p.Difference = stat.Mean(as, nil), stat.Mean(bs, nil), stat.Mean(diffs, nil)
+		p.Low, p.High = p.Difference, p.Difference
 	}
 	if p.Seeds > 1 {
 		p.SD = stat.StdDev(diffs, nil)
 		of := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(p.Seeds - 1)}
 		err := stat.StdErr(p.SD, float64(p.Seeds))
 		half := of.Quantile(1-(1-confidence)/2) * err
-		p.Low, p.High = p.Mean-half, p.Mean+half
+		p.Low, p.High = p.Difference-half, p.Difference+half
 		switch {
 		case err > 0:
-			p.P = 2 * of.Survival(math.Abs(p.Mean)/err)
-		case p.Mean != 0:
+			p.P = 2 * of.Survival(math.Abs(p.Difference)/err)
+		case p.Difference != 0:
 			p.P = 0
 		}
-		p.Seen = p.Low > 0 || p.High < 0
+		p.Significant = p.Low > 0 || p.High < 0
 	}
-	p.Says = p.words(better)
+	p.Verdict = p.describe(better)
 	return p
 }
 
-func (p *Paired) words(better Sense) string {
+func (p *Paired) describe(better Sense) string {
 	over := fmt.Sprintf("over %d seeds", p.Seeds)
-	if p.Lack > 0 {
-		over += fmt.Sprintf("; %d left out that lack it", p.Lack)
+	if p.SeedsLeftOut > 0 {
+		over += fmt.Sprintf("; %d left out that lack it", p.SeedsLeftOut)
 	}
 	switch {
 	case p.Seeds == 0:
 		return "nothing to compare: no seed has the figure on both sides"
 	case p.Seeds == 1:
-		return fmt.Sprintf("one seed tells nothing of the spread: the difference there was %s", num(p.Mean))
-	case p.SD == 0 && p.Mean == 0:
+		return fmt.Sprintf("one seed tells nothing of the spread: the difference there was %s", formatNumber(p.Difference))
+	case p.SD == 0 && p.Difference == 0:
 		return "no difference: the same in all, " + over
-	case !p.Seen:
-		return fmt.Sprintf("no difference seen: %s, 95%% sure of %s to %s %s", num(p.Mean), num(p.Low), num(p.High), over)
+	case !p.Significant:
+		return fmt.Sprintf("no difference seen: %s, 95%% sure of %s to %s %s", formatNumber(p.Difference), formatNumber(p.Low), formatNumber(p.High), over)
 	}
 	word := "higher"
-	if p.Mean < 0 {
+	if p.Difference < 0 {
 		word = "lower"
 	}
 	if better != Neither {
 		word = "better"
-		if (p.Mean > 0) != (better == Higher) {
+		if (p.Difference > 0) != (better == Higher) {
 			word = "worse"
 		}
 	}
-	return fmt.Sprintf("%s is %s: by %s, 95%% sure of %s to %s %s", p.B, word, num(math.Abs(p.Mean)),
-		num(min(math.Abs(p.Low), math.Abs(p.High))), num(max(math.Abs(p.Low), math.Abs(p.High))), over)
+	return fmt.Sprintf("%s is %s: by %s, 95%% sure of %s to %s %s", p.B, word, formatNumber(math.Abs(p.Difference)),
+		formatNumber(min(math.Abs(p.Low), math.Abs(p.High))), formatNumber(max(math.Abs(p.Low), math.Abs(p.High))), over)
 }
 
-func num(x float64) string {
+func formatNumber(x float64) string {
 	if math.Abs(x) >= 1000 {
 		return strconv.FormatFloat(x, 'f', 0, 64)
 	}
@@ -124,11 +124,11 @@
 func SpreadOf(xs []float64) Spread {
 	zero := make([]float64, len(xs))
 	p := Compare("", "", "", zero, xs, Neither)
-	return Spread{p.Seeds, p.Mean, p.SD, p.Low, p.High}
+	return Spread{p.Seeds, p.Difference, p.SD, p.Low, p.High}
 }
 
-// bentBy is how far from the chord a knee lies at least.
-const bentBy = 0.1
+// kneeBend is how far from the chord a knee lies at least.
+const kneeBend = 0.1
 
 // Knee finds where a curve bends most. Both axes are brought to 0..1 over the points, which are in order of x; the
 // knee is the point farthest from the chord between the first and the last, on its better side: where a figure that
@@ -166,5 +166,5 @@
 			at, far = i, d
 		}
 	}
-	return at, far >= bentBy
+	return at, far >= kneeBend
 }
--- /dev/null
+++ b/internal/testbed/simulation/forwarder.go
@@ -0,0 +1,249 @@
+package simulation
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/aperture"
+	"valvecove/internal/control/codec"
+	"valvecove/internal/control/forwarder"
+	"valvecove/internal/control/membership"
+	"valvecove/internal/requests"
+)
+
+// forwarderProcess is what a scheduler's process has besides, where there are planners: package follow as the ledger's
+// module, connections to planners, and what gossip tells.
+type forwarderProcess struct {
+	process        *process
+	levels         *levelNetwork
+	seat           int
+	name           string
+	forwarder      *forwarder.Forwarder
+	members        *membership.ForwarderMembership
+	plannerConns   []*plannerConn // by planner
+	wantedPlanners []string       // of the planners that it is to be connected to
+	events         []membership.Event
+	actions        []membership.Action
+	seed           uint64
+}
+
+// plannerConn is the connection to one planner.
+type plannerConn struct {
+	seat         int
+	name         string
+	wanted       bool
+	stream       *stream // nil: there is none
+	connected    bool
+	backoff      time.Duration
+	retry        timer
+	retryPlanned bool // for the retry
+	writer       codec.Writer
+	reader       *codec.Reader
+}
+
+const (
+	minRedialDelay = 20 * time.Millisecond
+	maxRedialDelay = time.Second
+)
+
+// standaloneAperture is what a forwarder without planners looks at: as little of the fleet as may be, as all the others have lost their
+// planners too, and what many share they push over.
+var standaloneAperture = aperture.Config{MinWorkers: 8, Coverage: 2, MinFleet: 2, MaxWidening: 8, WidenThreshold: 0.1, Retention: 30 * time.Second}
+
+func newForwarder(p *process, name string, seed uint64) *forwarderProcess {
+	s := p.scheduler
+	f := &forwarderProcess{process: p, levels: s.levels, seat: s.number, name: name, seed: seed}
+	f.members = membership.NewForwarderMembership(f.member(), membership.Config{})
+	for n := range s.spec.Planners.Count {
+		k := &plannerConn{seat: s.spec.Schedulers.Count + n, name: plannerName(n)}
+		k.retry.act = func() {
+			k.retryPlanned = false
+			f.connect(k)
+		}
+		f.plannerConns = append(f.plannerConns, k)
+	}
+	return f
+}
+
+func (f *forwarderProcess) member() membership.Member {
+	return membership.Member{Name: f.name, Incarnation: uint64(f.process.scheduler.epoch + f.process.scheduler.now)}
+}
+
+// join begins to take part in gossip.
+func (f *forwarderProcess) join() { f.levels.gossip.join(f.seat, f.member()) }
+
+// newPolicy makes the ledger's module: at the start, and after one has panicked.
+func (f *forwarderProcess) newPolicy() requests.Policy {
+	set := f.process.scheduler.settings.Settings
+	f.seed++
+	conf := forwarder.Config{Name: f.name, Incarnation: uint64(f.process.now), Version: codec.Version, Seed: f.seed}
+	if f.forwarder != nil {
+		f.process.scheduler.counts.addForwarder(f)
+		conf.LastEpoch = f.forwarder.LastEpoch()
+	}
+	f.forwarder = forwarder.New(set, conf, f.members, func() forwarder.Policy {
+		f.seed++
+		return aperture.New(dispatch.New(set, f.seed), set, standaloneAperture)
+	})
+	f.forwarder.SetPlanners(f.wantedPlanners)
+	for _, k := range f.plannerConns {
+		if k.connected {
+			f.forwarder.SessionChanged(k.name, true)
+		}
+	}
+	return f
+}
+
+// Step has the follower decide, and gathers what it says to planners.
+func (f *forwarderProcess) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+	dst = f.forwarder.Step(now, events, dst)
+	for _, e := range f.forwarder.Outbox() {
+		for _, k := range f.plannerConns {
+			if k.name == e.Planner && k.connected {
+				f.process.scheduler.send(&k.writer, e.Envelope)
+			}
+		}
+	}
+	return dst
+}
+
+// beforeStep is what comes first in a turn: what planners and gossip have brought.
+func (f *forwarderProcess) beforeStep(news []levelMessage) {
+	for i := range news {
+		f.handleMessage(&news[i])
+	}
+	if at := f.members.Next(); len(f.events) > 0 || at > 0 && at <= f.process.now {
+		f.updateMembers()
+	}
+	if f.forwarder.HasPending() {
+		f.process.requests.Wake()
+	}
+}
+
+// afterStep is what comes last: what is to be written is.
+func (f *forwarderProcess) afterStep() {
+	f.carryOut(f.members.Step(f.process.now, nil, f.actions[:0]))
+	for _, k := range f.plannerConns {
+		if k.connected && k.writer.Len() > 0 {
+			f.levels.send(k.stream, 0, k.writer.Take(f.levels.buffer()))
+		}
+	}
+	for _, name := range f.forwarder.DrainingPlanners() {
+		for _, k := range f.plannerConns {
+			if k.name == name && k.connected {
+				f.levels.closeStream(k.stream, 0)
+				f.connLost(k)
+			}
+		}
+	}
+	if f.forwarder.HasPending() {
+		f.process.requests.Wake()
+	}
+}
+
+func (f *forwarderProcess) handleMessage(n *levelMessage) {
+	if n.kind == memberEvent {
+		f.events = append(f.events, n.event)
+		return
+	}
+	var k *plannerConn
+	for _, x := range f.plannerConns {
+		if x.stream == n.stream {
+			k = x
+		}
+	}
+	if k == nil {
+		return // of a connection that was left
+	}
+	switch n.kind {
+	case streamConnected:
+		k.connected, k.backoff = true, 0
+		k.reader, k.writer = codec.NewReader(0), codec.Writer{}
+		f.forwarder.SessionChanged(k.name, true)
+	case streamRefused, streamLost:
+		f.connLost(k)
+	case streamData:
+		k.reader.Feed(n.bytes)
+		f.levels.recycle(n.bytes)
+		for {
+			envelope, ok, err := k.reader.Next()
+			if err != nil {
+				f.levels.closeStream(k.stream, 0)
+				f.connLost(k)
+			}
+			if err != nil || !ok {
+				return
+			}
+			f.forwarder.Receive(f.process.now, k.name, envelope)
+		}
+	}
+}
+
+// connLost is the end of a connection, or of an attempt at one.
+func (f *forwarderProcess) connLost(k *plannerConn) {
+	was := k.connected
+	k.stream, k.connected = nil, false
+	if was {
+		f.forwarder.SessionChanged(k.name, false)
+	}
+	if k.wanted && !k.retryPlanned {
+		k.backoff = min(max(2*k.backoff, minRedialDelay), maxRedialDelay)
+		k.retryPlanned = true
+		f.process.start(&k.retry, k.backoff/2+time.Duration(f.levels.rngs[f.seat].Int64N(int64(k.backoff))))
+	}
+}
+
+// connect dials a planner, if there is no connection yet and one is wanted.
+func (f *forwarderProcess) connect(k *plannerConn) {
+	if k.wanted && k.stream == nil {
+		k.stream = f.levels.dial(f.seat, k.seat)
+	}
+}
+
+// updateMembers takes in what gossip has told.
+func (f *forwarderProcess) updateMembers() {
+	f.carryOut(f.members.Step(f.process.now, f.events, f.actions[:0]))
+	clear(f.events)
+	f.events = f.events[:0]
+	f.forwarder.SetPlanners(f.wantedPlanners) // the order of planners may be another one now
+}
+
+func (f *forwarderProcess) carryOut(actions []membership.Action) {
+	for _, a := range actions {
+		switch a := a.(type) {
+		case membership.SetPlanners:
+			f.wantedPlanners = a.Names
+			f.forwarder.SetPlanners(a.Names)
+			for _, k := range f.plannerConns {
+				f.updateWanted(k, a.Names)
+			}
+		case membership.SetForwarderIndex:
+			f.forwarder.SetForwarderIndex(a.Index, a.Count)
+		case membership.Announce:
+			f.levels.gossip.announce(f.seat, a.Member)
+		case membership.LogLine:
+			f.process.scheduler.model.logger(f.seat).LogAttrs(context.Background(), slog.LevelInfo, a.Message, a.Attributes...)
+		}
+	}
+	clear(actions)
+	f.actions = actions[:0]
+}
+
+// updateWanted notes whether there ought to be a connection to a planner.
+func (f *forwarderProcess) updateWanted(k *plannerConn, names []string) {
+	was := k.wanted
+	k.wanted = false
+	for _, name := range names {
+		k.wanted = k.wanted || name == k.name
+	}
+	if k.wanted && !was {
+		if k.retryPlanned {
+			k.retryPlanned = false
+			f.process.stop(&k.retry)
+		}
+		k.backoff = 0
+		f.connect(k)
+	}
+}
--- /dev/null
+++ b/internal/testbed/simulation/level_counts.go
@@ -0,0 +1,72 @@
+package simulation
+
+import (
+	"reflect"
+
+	"valvecove/internal/control/message"
+	"valvecove/internal/control/planner"
+)
+
+// LevelCounts count what forwarders and planners did over a play, over all their processes.
+type LevelCounts struct {
+	Requests         int // that came to forwarders
+	Reoffered        int // offers to a planner of queries that had come before
+	Commands         int // of planners, as forwarders heard them
+	Rejected         int // of these, by forwarders' guards
+	RejectedByReason [message.ReasonCount]int
+	Moves            int // queries that planners handed on
+	Unconfirmed      int // queries taken from a planner that said nothing of them
+	Expired          int // answered by forwarders at their deadline
+	Unplaced         int // or as nobody had room for them in time
+	Poison           int // or as they brought down two planners
+	Frozen           int // sessions that forwarders gave up as there was no answer
+	Standalone       int // times that one decided by itself
+	OwnPanics        int // of forwarders' own modules
+	Changes          int // of the planner that is followed, but for one that was lost
+	PresumedEnded    int // attempts that planners took to be over unheard of
+	Panics           int // of planners' modules
+	Returned         int // queries at which they panic
+	Malformed        int // messages to planners that make no sense
+	Unwritten        int // messages that could not be written
+}
+
+func (x *LevelCounts) addForwarder(f *forwarderProcess) {
+	y := f.forwarder.Stats()
+	x.Requests += y.Requests
+	x.Reoffered += y.Reoffered
+	x.Commands += y.Commands
+	for why, n := range y.ByReason {
+		x.RejectedByReason[why] += n
+		x.Rejected += n
+	}
+	x.Moves += y.Transfers
+	x.Unconfirmed += y.Revoked
+	x.Expired += y.Expired
+	x.Unplaced += y.Unplaced
+	x.Poison += y.Poison
+	x.Frozen += y.Unresponsive
+	x.Standalone += y.Standalone
+	x.OwnPanics += y.Panics
+	x.Changes += f.members.PlannerChanges()
+}
+
+func (x *LevelCounts) addPlanner(b *planner.Planner) {
+	y := b.Stats()
+	x.PresumedEnded += y.Expired
+	x.Panics += y.Panics
+	x.Returned += y.Poison
+	x.Malformed += y.InvalidMessages
+}
+
+// Sum adds another play's figures.
+func (x *LevelCounts) Sum(y *LevelCounts) {
+	a, b := reflect.ValueOf(x).Elem(), reflect.ValueOf(y).Elem()
+	for i := range a.NumField() {
+		if a.Field(i).Kind() == reflect.Int {
+			a.Field(i).SetInt(a.Field(i).Int() + b.Field(i).Int())
+		}
+	}
+	for why, n := range y.RejectedByReason {
+		x.RejectedByReason[why] += n
+	}
+}
--- /dev/null
+++ b/internal/testbed/simulation/levels.go
@@ -0,0 +1,425 @@
+package simulation
+
+import (
+	"container/heap"
+	"math"
+	"math/rand/v2"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"valvecove/internal/control/membership"
+	"valvecove/internal/testbed/scenario"
+)
+
+// levelNetwork is what lies between forwarders and planners: connections that carry bytes in order, and gossip. It stands
+// beside the world, which knows of neither, and plays what the scenario does to them: cuts, and connections that
+// break. Whoever takes part is a seat, numbered as the world numbers schedulers; planners come after these. Each seat
+// draws from a stream of its own.
+type levelNetwork struct {
+	spec        *scenario.Scenario
+	now         time.Duration
+	seats       []levelNode
+	rngs        []*rand.Rand
+	events      actionQueue
+	eventCount  uint64
+	streamCount uint64
+	streams     [][]*stream // by seat: what it has an end of
+	partitions  []*levelPartition
+	sigma       float64 // log-normal spread of delays
+	gossip      gossip
+	reached     []int // seats that something has reached since the last look
+	freeBuffers [][]byte
+}
+
+// levelNode is a process, or the place of one, as others meet it. What reaches one that is frozen waits there.
+type levelNode interface {
+	// status tells whether a process runs there, and which one, and whether it is frozen.
+	status() (sprout int, runs, frozen bool)
+	deliver(n levelMessage)
+	endProcess() // of the process; the play is over
+}
+
+// levelMessage is something that reaches a seat's process.
+type levelMessage struct {
+	kind     levelMessageKind
+	stream   *stream
+	bytes    []byte
+	timedOut bool // Lost: for want of any sign of life
+	event    membership.Event
+	takenAt  time.Duration // when it is taken in; kept by the seat
+}
+
+type levelMessageKind uint8
+
+const (
+	streamAccepted  levelMessageKind = iota // somebody has connected
+	streamConnected                         // who was dialed has taken it
+	streamRefused                           // or has not
+	streamData
+	streamLost
+	memberEvent
+)
+
+const (
+	dialTimeout   = 250 * time.Millisecond // a connection comes up within this or not at all
+	streamTimeout = 5 * time.Second        // what was sent arrives within this, or the connection is given up
+)
+
+// stream is a connection between two seats. The first has dialed.
+type stream struct {
+	id         uint64
+	seats      [2]int
+	open       [2]bool
+	directions [2]streamDirection // by the end that sends
+}
+
+// streamDirection is one direction of a wire.
+type streamDirection struct {
+	queue       []segment
+	lastArrival time.Duration // when the last of it arrives
+	stalled     bool          // by a cut
+	stallCount  uint64        // counts stalls
+}
+
+type segment struct {
+	arrivesAt time.Duration
+	kind      levelMessageKind
+	bytes     []byte
+}
+
+// levelPartition is a fault that keeps seats apart.
+type levelPartition struct {
+	a, b   []bool // by seat
+	oneWay bool
+	active bool
+}
+
+func (c *levelPartition) separates(from, to int) bool {
+	return c.active && (c.a[from] && c.b[to] || !c.oneWay && c.a[to] && c.b[from])
+}
+
+func newLevelNetwork(spec *scenario.Scenario, seed uint64) *levelNetwork {
+	n := spec.Schedulers.Count + spec.Planners.Count
+	t := &levelNetwork{spec: spec, seats: make([]levelNode, n), rngs: make([]*rand.Rand, n), streams: make([][]*stream, n)}
+	for i := range t.rngs {
+		t.rngs[i] = rand.New(rand.NewPCG(seed^xxhash.Sum64String("tiers"), uint64(i)))
+	}
+	if cv := spec.Network.Jitter; cv > 0 {
+		t.sigma = math.Sqrt(math.Log1p(cv * cv))
+	}
+	for i := range spec.Faults {
+		f := &spec.Faults[i]
+		if scenario.FaultKinds[f.Kind] == "planners" && f.Between != "discovery" && f.And != "discovery" {
+			t.planPartition(f)
+		}
+	}
+	t.gossip.start(t)
+	return t
+}
+
+// planPartition puts a cut on the agenda.
+func (t *levelNetwork) planPartition(f *scenario.Fault) {
+	c := &levelPartition{oneWay: f.Kind == "planner_cut_one_way"}
+	c.a, c.b = t.sideOf(f, f.Between), t.sideOf(f, f.And)
+	if f.Between == f.And { // those named are cut off from the others
+		for i := range c.b {
+			c.b[i] = t.isPlanner(i) == (f.Between == "planners") && (!c.a[i] || !t.isNarrowed(f))
+		}
+	}
+	t.partitions = append(t.partitions, c)
+	t.schedule(f.At.Std(), func() { c.active = true })
+	if f.Duration > 0 {
+		t.schedule((f.At + f.Duration).Std(), func() {
+			c.active = false
+			t.resumeStalled()
+		})
+	}
+}
+
+func (t *levelNetwork) isNarrowed(f *scenario.Fault) bool {
+	if f.Between == "planners" {
+		return len(f.Target.Planners) > 0
+	}
+	return len(f.Target.Schedulers) > 0
+}
+
+// sideOf is the seats at one side of a cut.
+func (t *levelNetwork) sideOf(f *scenario.Fault, name string) []bool {
+	some, from, only := make([]bool, len(t.seats)), 0, f.Target.Schedulers
+	to := t.spec.Schedulers.Count
+	if name == "planners" {
+		from, to, only = to, len(t.seats), f.Target.Planners
+	}
+	for i := from; i < to; i++ {
+		some[i] = len(only) == 0
+	}
+	for _, i := range only {
+		some[from+i] = true
+	}
+	return some
+}
+
+func (t *levelNetwork) isPlanner(seat int) bool { return seat >= t.spec.Schedulers.Count }
+
+func (t *levelNetwork) isCut(from, to int) bool {
+	for _, c := range t.partitions {
+		if c.separates(from, to) {
+			return true
+		}
+	}
+	return false
+}
+
+// ---- Time ----
+
+type scheduledAction struct {
+	at  time.Duration
+	seq uint64
+	run func()
+}
+
+type actionQueue []scheduledAction
+
+func (a actionQueue) Len() int { return len(a) }
+func (a actionQueue) Less(i, k int) bool {
+	return a[i].at < a[k].at || a[i].at == a[k].at && a[i].seq < a[k].seq
+}
+func (a actionQueue) Swap(i, k int) { a[i], a[k] = a[k], a[i] }
+func (a *actionQueue) Push(x any)   { *a = append(*a, x.(scheduledAction)) }
+func (a *actionQueue) Pop() any {
+	last := len(*a) - 1
+	x := (*a)[last]
+	(*a)[last].run = nil
+	*a = (*a)[:last]
+	return x
+}
+
+func (t *levelNetwork) schedule(at time.Duration, do func()) {
+	t.eventCount++
+	heap.Push(&t.events, scheduledAction{max(at, t.now), t.eventCount, do})
+}
+
+// nextAt is when something is due.
+func (t *levelNetwork) nextAt() time.Duration {
+	if len(t.events) == 0 {
+		return never
+	}
+	return t.events[0].at
+}
+
+// runDue has all happen that is due, and gives the seats that something has reached.
+func (t *levelNetwork) runDue(now time.Duration) []int {
+	t.now = now
+	t.reached = t.reached[:0]
+	for len(t.events) > 0 && t.events[0].at <= now {
+		heap.Pop(&t.events).(scheduledAction).run()
+	}
+	return t.reached
+}
+
+// delay draws how long the way from seat to seat takes.
+func (t *levelNetwork) delay(from, to int) time.Duration {
+	mean := t.spec.Network.Delay.Std()
+	if t.spec.ZoneOf(from) != t.spec.ZoneOf(to) {
+		mean = t.spec.Network.CrossZone.Std()
+	}
+	if t.sigma > 0 {
+		mean = time.Duration(float64(mean) * math.Exp(t.sigma*(t.rngs[from].NormFloat64()-t.sigma/2)))
+	}
+	return mean
+}
+
+// ---- Wires ----
+
+// dial has a seat connect to another. It hears of what comes of it: wireUp or wireNone.
+func (t *levelNetwork) dial(from, to int) *stream {
+	t.streamCount++
+	w := &stream{id: t.streamCount, seats: [2]int{from, to}}
+	w.open[0] = true
+	t.streams[from] = append(t.streams[from], w)
+	none := func() {
+		if w.open[0] {
+			t.removeStream(w, 0)
+			t.deliver(from, levelMessage{kind: streamRefused, stream: w})
+		}
+	}
+	if t.isCut(from, to) || t.isCut(to, from) {
+		t.schedule(t.now+dialTimeout, none)
+		return w
+	}
+	t.schedule(t.now+t.delay(from, to), func() {
+		back := t.now + t.delay(to, from)
+		if _, runs, _ := t.seats[to].status(); !runs || !w.open[0] {
+			t.schedule(back, none)
+			return
+		}
+		w.open[1] = true
+		t.streams[to] = append(t.streams[to], w)
+		w.directions[1].lastArrival = back
+		t.deliver(to, levelMessage{kind: streamAccepted, stream: w})
+		t.schedule(back, func() {
+			if w.open[0] {
+				t.deliver(from, levelMessage{kind: streamConnected, stream: w})
+			}
+		})
+		if mean := t.spec.Planners.Drops.Std(); mean > 0 {
+			t.schedule(t.now+time.Duration(t.rngs[from].ExpFloat64()*float64(mean)), func() { t.breakStream(w) })
+		}
+	})
+	return w
+}
+
+// send writes to a wire from one of its ends. It keeps the bytes until they have arrived.
+func (t *levelNetwork) send(w *stream, end int, bytes []byte) {
+	if w.open[end] {
+		t.enqueue(w, end, segment{kind: streamData, bytes: bytes})
+	}
+}
+
+func (t *levelNetwork) enqueue(w *stream, end int, x segment) {
+	p := &w.directions[end]
+	x.arrivesAt = max(p.lastArrival, t.now+t.delay(w.seats[end], w.seats[1-end]))
+	p.lastArrival = x.arrivesAt
+	if p.queue = append(p.queue, x); len(p.queue) == 1 {
+		t.schedule(x.arrivesAt, func() { t.deliverNext(w, end) })
+	}
+}
+
+// deliverNext brings the first of what is on its way, unless there is a cut.
+func (t *levelNetwork) deliverNext(w *stream, end int) {
+	p := &w.directions[end]
+	from, to := w.seats[end], w.seats[1-end]
+	if len(p.queue) == 0 || p.stalled {
+		return
+	}
+	if t.isCut(from, to) {
+		p.stalled = true
+		p.stallCount++
+		begun := p.stallCount
+		t.schedule(t.now+streamTimeout, func() {
+			if p.stalled && p.stallCount == begun && w.open[end] {
+				t.notifyLost(w, end, true)
+				t.enqueue(w, end, segment{kind: streamLost})
+			}
+		})
+		return
+	}
+	x := p.queue[0]
+	if p.queue = p.queue[1:]; len(p.queue) > 0 {
+		t.schedule(p.queue[0].arrivesAt, func() { t.deliverNext(w, end) })
+	} else {
+		p.queue = nil
+	}
+	switch {
+	case !w.open[1-end]: // nobody is there any more
+	case x.kind == streamLost:
+		t.notifyLost(w, 1-end, false)
+	default:
+		t.deliver(to, levelMessage{kind: x.kind, stream: w, bytes: x.bytes})
+	}
+}
+
+// resumeStalled has what was held up by a cut go on.
+func (t *levelNetwork) resumeStalled() {
+	for seat := range t.streams {
+		for _, w := range t.streams[seat] {
+			for end := range w.directions {
+				p := &w.directions[end]
+				if !p.stalled || t.isCut(w.seats[end], w.seats[1-end]) {
+					continue
+				}
+				p.stalled = false
+				at := t.now + t.delay(w.seats[end], w.seats[1-end])
+				for i := range p.queue {
+					p.queue[i].arrivesAt = max(p.queue[i].arrivesAt, at)
+				}
+				p.lastArrival = max(p.lastArrival, at)
+				t.schedule(at, func() { t.deliverNext(w, end) })
+			}
+		}
+	}
+}
+
+// closeStream closes a wire from one of its ends.
+func (t *levelNetwork) closeStream(w *stream, end int) {
+	if w.open[end] {
+		t.removeStream(w, end)
+		t.enqueue(w, end, segment{kind: streamLost})
+	}
+}
+
+// notifyLost has an end hear that its wire is no more.
+func (t *levelNetwork) notifyLost(w *stream, end int, silent bool) {
+	if w.open[end] {
+		t.removeStream(w, end)
+		t.deliver(w.seats[end], levelMessage{kind: streamLost, stream: w, timedOut: silent})
+	}
+}
+
+func (t *levelNetwork) removeStream(w *stream, end int) {
+	w.open[end] = false
+	list := t.streams[w.seats[end]]
+	for i, x := range list {
+		if x == w {
+			t.streams[w.seats[end]] = append(list[:i], list[i+1:]...)
+			return
+		}
+	}
+}
+
+// breakStream has both ends hear that it is no more.
+func (t *levelNetwork) breakStream(w *stream) {
+	if w.open[0] && w.open[1] {
+		t.notifyLost(w, 0, false)
+		t.notifyLost(w, 1, false)
+	}
+}
+
+// breakStreams breaks all wires of a seat.
+func (t *levelNetwork) breakStreams(seat int) {
+	for _, w := range append([]*stream(nil), t.streams[seat]...) {
+		t.breakStream(w)
+	}
+}
+
+// processEnded is the end of a seat's process: all its wires are reset.
+func (t *levelNetwork) processEnded(seat int) {
+	for _, w := range append([]*stream(nil), t.streams[seat]...) {
+		end := 0
+		if w.seats[1] == seat {
+			end = 1
+		}
+		t.closeStream(w, end)
+	}
+}
+
+func (t *levelNetwork) deliver(seat int, n levelMessage) {
+	t.seats[seat].deliver(n)
+	t.reached = append(t.reached, seat)
+}
+
+// peerOf is who is at the other end of a seat's wire, and which end is the seat's.
+func (w *stream) peerOf(seat int) (other, end int) {
+	if w.seats[0] == seat {
+		return w.seats[1], 0
+	}
+	return w.seats[0], 1
+}
+
+// buffer is an empty one, for what is to be sent.
+func (t *levelNetwork) buffer() []byte {
+	if last := len(t.freeBuffers) - 1; last >= 0 {
+		b := t.freeBuffers[last]
+		t.freeBuffers = t.freeBuffers[:last]
+		return b[:0]
+	}
+	return nil
+}
+
+// recycle takes a buffer back whose bytes were taken in.
+func (t *levelNetwork) recycle(b []byte) {
+	if cap(b) > 0 && cap(b) <= 64<<10 && len(t.freeBuffers) < 256 {
+		t.freeBuffers = append(t.freeBuffers, b)
+	}
+}
--- a/internal/lab/virtual/tiers_test.go
+++ b/internal/testbed/simulation/levels_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"runtime"
@@ -9,11 +9,11 @@
 	"valvecove/dispatch"
 	"valvecove/internal/control/message"
 	"valvecove/internal/control/planner"
-	"valvecove/internal/lab/seen"
+	"valvecove/internal/testbed/trace"
 )
 
-// busyTiers has something of most of what may go wrong among forwarders and planners.
-const busyTiers = `
+// busyLevels has something of most of what may go wrong among forwarders and planners.
+const busyLevels = `
 length = "8s"
 drivers = ["virtual"]
 fleet = { nodes = 14, zones = ["a", "b"] }
@@ -36,11 +36,11 @@
 
 // With planners, too, the same scenario and seed are the same bytes, whatever the machine does besides.
 func TestSameTiers(t *testing.T) {
-	spec := parse(t, busyTiers)
+	spec := parse(t, busyLevels)
 	play := func(seed uint64) uint64 {
-		got, err := Play(spec, seed, Options{Digest: true})
-		x := got.Tiers
-		if err != nil || !got.Over || x.Queries < 100 || x.Orders < x.Queries || x.Unwritten > 0 {
+		got, err := Run(spec, seed, Options{Digest: true})
+		x := got.Levels
+		if err != nil || !got.Finished || x.Requests < 100 || x.Commands < x.Requests || x.Unwritten > 0 {
 			t.Errorf("%+v, %v", got, err)
 		}
 		return got.Digest
@@ -168,14 +168,14 @@
 load = { of = 0.5 }
 fault = [{ what = "drain", at = "1s", on.names = ["w-3"] }, { what = "crash", at = "3s", for = "1s", on.share = 0.2 }]`)
 			d := &spoiled{}
-			watch := func(x *seen.Sight) {
-				if x.What == seen.Drained && x.Node == 3 {
+			watch := func(x *trace.Event) {
+				if x.Kind == trace.DrainNotified && x.Worker == 3 {
 					d.drained = hostNumber("w-3")
 				}
 			}
 			got, verdict := judged(t, spec, 1, Options{
-				Watch: []seen.Watcher{watch},
-				Spoil: func(_ int, outs []planner.Action) (dst []planner.Action) {
+				Observers: []trace.Observer{watch},
+				AlterPlanner: func(_ int, outs []planner.Action) (dst []planner.Action) {
 					for _, o := range outs {
 						if command, ok := sendCommand(o); ok {
 							d.n++
@@ -187,15 +187,15 @@
 					return dst
 				},
 			})
-			for _, b := range verdict.Broken {
-				t.Errorf("%v\n%s", b, b.Story)
+			for _, b := range verdict.Violations {
+				t.Errorf("%v\n%s", b, b.Explanation)
 			}
 			stopped := 0
 			for _, why := range s.stopped {
-				stopped += got.Tiers.ByWhy[why]
+				stopped += got.Levels.RejectedByReason[why]
 			}
 			if stopped < 3 || d.n < 100 {
-				t.Errorf("%d orders, stopped %v", d.n, got.Tiers.ByWhy)
+				t.Errorf("%d orders, stopped %v", d.n, got.Levels.RejectedByReason)
 			}
 		})
 	}
@@ -236,29 +236,29 @@
 clients = { retries = 0 }`)
 	failed, served := 0, 0
 	got, verdict := judged(t, spec, 2, Options{
-		Plan: func(_ int, m planner.Policy) planner.Policy { return poisoned{m} },
-		Watch: []seen.Watcher{func(x *seen.Sight) {
+		WrapPlanner: func(_ int, m planner.Policy) planner.Policy { return poisoned{m} },
+		Observers: []trace.Observer{func(x *trace.Event) {
 			switch {
-			case x.What == seen.Answered && x.Status == 200:
+			case x.Kind == trace.ResponseReceived && x.Status == 200:
 				served++
-			case x.What == seen.Answered:
+			case x.Kind == trace.ResponseReceived:
 				failed++
 			}
 		}},
 	})
-	for _, b := range verdict.Broken {
-		t.Errorf("%v\n%s", b, b.Story)
+	for _, b := range verdict.Violations {
+		t.Errorf("%v\n%s", b, b.Explanation)
 	}
-	f := &got.Tiers
-	if f.Poisonous < 3 || f.Panics != 2*f.Poisonous || f.GivenBack != f.Panics || failed < f.Poisonous ||
-		failed > f.Poisonous+3 || served < 200 {
+	f := &got.Levels
+	if f.Poison < 3 || f.Panics != 2*f.Poison || f.Returned != f.Panics || failed < f.Poison ||
+		failed > f.Poison+3 || served < 200 {
 		t.Errorf("%d failed, %d served: %+v", failed, served, f)
 	}
 }
 
 // Planners are what is in service, or nothing.
 func TestTiersTakeNoYardstick(t *testing.T) {
-	if _, err := Play(parse(t, busyTiers), 1, Options{Model: policy("random")}); err == nil {
+	if _, err := Run(parse(t, busyLevels), 1, Options{Model: policy("random")}); err == nil {
 		t.Error("a planner with a yardstick's module")
 	}
 }
--- a/internal/lab/virtual/unraced_test.go
+++ b/internal/testbed/simulation/norace_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-package virtual
+package simulation
 
 // playsAtOnce are as many random plays as take a few seconds.
 const playsAtOnce = 400
--- /dev/null
+++ b/internal/testbed/simulation/planner.go
@@ -0,0 +1,546 @@
+package simulation
+
+import (
+	"context"
+	"log/slog"
+	"strconv"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/config"
+	"valvecove/internal/control/codec"
+	"valvecove/internal/control/membership"
+	"valvecove/internal/control/message"
+	"valvecove/internal/control/planner"
+	"valvecove/internal/requests"
+	"valvecove/internal/testbed/platform"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simapi"
+)
+
+func plannerName(n int) string { return "p" + strconv.Itoa(n+1) }
+
+// maxMessagesPerIteration is how many things that have reached a planner it may take in in one turn.
+const maxMessagesPerIteration = 16
+
+// plannerNode is one planner, over all of its processes: an edge.Scheduler to the world, whom no client and no worker
+// node comes to.
+type plannerNode struct {
+	number      int // as the world counts it
+	name        string
+	spec        *scenario.Scenario
+	settings    config.Settings
+	epoch       time.Duration
+	model       Model
+	options     *Options
+	levels      *levelNetwork
+	now         time.Duration
+	incarnation int
+	process     *plannerProcess // nil: none runs
+	frozen      bool
+	delay       time.Duration // so late it is with everything
+	pending     []plannerInput
+	lastTakenAt time.Duration // when the last of these is taken in
+	outputs     []simapi.Output
+	counts      *LevelCounts
+}
+
+// plannerInput is something that has reached it.
+type plannerInput struct {
+	levelMessage
+	input           simapi.Input
+	fromEnvironment bool // it is the world's
+}
+
+func newPlannerNode(spec *scenario.Scenario, n int, opt *Options, t *levelNetwork, f *LevelCounts) (*plannerNode, error) {
+	set, err := platform.Settings(spec, 0)
+	set.Replicas, set.ReplicaIndex, set.Zone = 1, 0, spec.ZoneOf(n)
+	return &plannerNode{
+		number: n, name: plannerName(n - spec.Schedulers.Count), spec: spec, settings: set, epoch: StartTime,
+		model: opt.Model, options: opt, levels: t, counts: f,
+	}, err
+}
+
+func (s *plannerNode) status() (sprout int, runs, frozen bool) {
+	return s.incarnation, s.process != nil, s.frozen
+}
+
+func (s *plannerNode) deliver(n levelMessage) {
+	if s.process != nil {
+		s.enqueue(plannerInput{levelMessage: n}, s.levels.now)
+	}
+}
+
+func (s *plannerNode) enqueue(n plannerInput, now time.Duration) {
+	s.lastTakenAt = max(s.lastTakenAt, now+s.delay)
+	n.takenAt = s.lastTakenAt
+	s.pending = append(s.pending, n)
+}
+
+// Step is one turn of the process's loop.
+func (s *plannerNode) Step(now time.Duration, ins []simapi.Input, dst []simapi.Output) []simapi.Output {
+	s.now, s.outputs = max(now, s.now), dst
+	for i := range ins {
+		s.handleInput(&ins[i])
+	}
+	if s.process != nil && !s.frozen && s.process.runIteration() {
+		s.emit(simapi.Output{Kind: simapi.Exited})
+		s.endProcess()
+	}
+	dst, s.outputs = s.outputs, nil
+	return dst
+}
+
+// Next tells when the process wants a turn at the latest.
+func (s *plannerNode) Next() (at time.Duration, ok bool) {
+	if s.process == nil || s.frozen {
+		return 0, false
+	}
+	at = s.process.nextAt() - s.epoch
+	if len(s.pending) > 0 {
+		at = min(at, s.pending[0].takenAt)
+	}
+	return max(at, s.now), true
+}
+
+func (s *plannerNode) emit(o simapi.Output) {
+	o.Scheduler = s.number
+	s.outputs = append(s.outputs, o)
+}
+
+func (s *plannerNode) handleInput(in *simapi.Input) {
+	switch in.Kind {
+	case simapi.Start:
+		s.incarnation++
+		s.frozen, s.lastTakenAt = false, s.now
+		s.pending = s.pending[:0]
+		s.process = newPlannerProcess(s, in.Start)
+	case simapi.Kill:
+		s.endProcess()
+	case simapi.Freeze:
+		s.frozen = s.process != nil
+	case simapi.Resume:
+		s.frozen = false
+	case simapi.SlowDown:
+		s.delay = in.Delay
+	case simapi.BreakConnections:
+		s.levels.breakStreams(s.number)
+	default:
+		if s.process != nil {
+			s.enqueue(plannerInput{input: *in, fromEnvironment: true}, s.now)
+		}
+	}
+}
+
+func (s *plannerNode) endProcess() {
+	if s.process != nil {
+		s.counts.addPlanner(s.process.planner)
+		s.process, s.frozen = nil, false
+		s.levels.processEnded(s.number)
+	}
+}
+
+// plannerProcess is one process of a planner. Its clock is Unix time.
+type plannerProcess struct {
+	node          *plannerNode
+	now           time.Duration
+	planner       *planner.Planner
+	members       *membership.PlannerMembership
+	listTable     *requests.Table // for its words of the host group alone
+	listUpdates   []dispatch.WorkerList
+	watchWanted   bool // the book wants the watch
+	timer         time.Duration
+	discovery     int
+	watching      bool
+	watchDeadline time.Duration // when the watch counts as lost; 0: never
+	sessions      map[planner.SessionID]*plannerPeerConn
+	conns         []*plannerPeerConn // map order decides nothing
+	wantedPeers   []string           // peers to be connected to
+	redialAt      []time.Duration
+	backoff       []time.Duration
+	inputs        []planner.Event
+	outputs       []planner.Action
+	events        []membership.Event
+	actions       []membership.Action
+	exited        bool
+}
+
+// plannerPeerConn is a connection of a forwarder, or one with another planner.
+type plannerPeerConn struct {
+	stream    *stream
+	end       int
+	seat      int
+	peer      string // empty: a forwarder's
+	connected bool
+	writer    codec.Writer
+	reader    *codec.Reader
+}
+
+func newPlannerProcess(s *plannerNode, boot *simapi.StartOptions) *plannerProcess {
+	p := &plannerProcess{
+		node: s, now: s.epoch + s.now, discovery: boot.Discovery, sessions: map[planner.SessionID]*plannerPeerConn{},
+		redialAt: make([]time.Duration, s.spec.Planners.Count), backoff: make([]time.Duration, s.spec.Planners.Count),
+	}
+	me := membership.Member{Name: s.name, Role: membership.RolePlanner, Incarnation: uint64(p.now), Addr: s.name}
+	p.members = membership.NewPlannerMembership(me, membership.Config{})
+	p.listTable = requests.New(1, s.settings.Names, func() requests.Policy { return p }, boot.KnownEndpoints, p, slog.New(slog.DiscardHandler))
+	seed := boot.Seed
+	p.planner = planner.New(planner.Config{
+		Name: s.name, Incarnation: uint64(p.now), Version: codec.Version,
+		Settings: s.settings.Settings, NewPolicy: func() planner.Policy {
+			seed++
+			var m planner.Policy = dispatch.New(s.settings.Settings, seed)
+			if s.options.WrapPlanner != nil {
+				m = s.options.WrapPlanner(s.number-s.spec.Schedulers.Count, m)
+			}
+			return m
+		},
+	})
+	s.levels.gossip.join(s.number, me)
+	p.timer = p.now
+	return p
+}
+
+// runIteration takes in what has come and is due, has the book decide, and writes what it says.
+func (p *plannerProcess) runIteration() (exited bool) {
+	s := p.node
+	p.now = s.epoch + s.now
+	// Of much that waits, as after a freeze, it takes in a part at a time, and decides on that before it reads on.
+	n, most := 0, len(s.pending)
+	if most > 1 {
+		most = 1 + s.levels.rngs[s.number].IntN(maxMessagesPerIteration)
+	}
+	for ; n < min(most, len(s.pending)) && s.pending[n].takenAt <= s.now; n++ {
+		p.handleInput(&s.pending[n])
+	}
+	rest := copy(s.pending, s.pending[n:])
+	clear(s.pending[rest:])
+	s.pending = s.pending[:rest]
+	if p.watchDeadline > 0 && p.watchDeadline <= p.now {
+		p.watchLost()
+	}
+	p.applyLists()
+	if at := p.members.Next(); len(p.events) > 0 || at > 0 && at+s.delay <= p.now {
+		p.updateMembers()
+	}
+	for i := range p.redialAt {
+		if p.redialAt[i] > 0 && p.redialAt[i] <= p.now {
+			p.redialAt[i] = 0
+			p.connect(i)
+		}
+	}
+	for i := range p.listUpdates {
+		p.inputs = append(p.inputs, planner.EndpointsChanged{Endpoints: p.listUpdates[i]})
+	}
+	clear(p.listUpdates)
+	p.listUpdates = p.listUpdates[:0]
+	if due := p.timer > 0 && p.timer+s.delay <= p.now; due || len(p.inputs) > 0 {
+		if due {
+			p.timer = 0
+		}
+		outs := p.planner.Step(p.now, p.inputs, p.outputs[:0])
+		if s.options.AlterPlanner != nil {
+			outs = s.options.AlterPlanner(s.number-s.spec.Schedulers.Count, outs)
+		}
+		clear(p.inputs)
+		p.inputs = p.inputs[:0]
+		for i := range outs {
+			p.carryOut(outs[i])
+		}
+		clear(outs)
+		p.outputs = outs[:0]
+	}
+	for _, k := range p.conns {
+		if k.connected && k.writer.Len() > 0 {
+			s.levels.send(k.stream, k.end, k.writer.Take(s.levels.buffer()))
+		}
+	}
+	p.applyLists()
+	return p.exited
+}
+
+// nextAt is when a turn is due at the latest, apart from what has come.
+func (p *plannerProcess) nextAt() time.Duration {
+	at := never
+	soon := func(t time.Duration) {
+		if t > 0 {
+			at = min(at, t)
+		}
+	}
+	if p.timer > 0 {
+		soon(p.timer + p.node.delay)
+	}
+	if t := p.members.Next(); t > 0 {
+		soon(t + p.node.delay)
+	}
+	soon(p.watchDeadline)
+	for _, t := range p.redialAt {
+		soon(t)
+	}
+	if len(p.listUpdates)+len(p.inputs)+len(p.events) > 0 {
+		soon(p.now)
+	}
+	return at
+}
+
+// ---- What comes in ----
+
+func (p *plannerProcess) handleInput(n *plannerInput) {
+	if n.fromEnvironment {
+		p.handleEnvironment(&n.input)
+		return
+	}
+	switch n.kind {
+	case memberEvent:
+		p.events = append(p.events, n.event)
+	case streamAccepted:
+		seat, end := n.stream.peerOf(p.node.number)
+		k := &plannerPeerConn{stream: n.stream, end: end, seat: seat, connected: true, reader: codec.NewReader(0)}
+		if p.node.levels.isPlanner(seat) {
+			k.peer = plannerName(seat - p.node.spec.Schedulers.Count)
+		}
+		p.register(k)
+	case streamConnected:
+		if k := p.sessions[planner.SessionID(n.stream.id)]; k != nil {
+			k.connected = true
+			p.backoff[k.seat-p.node.spec.Schedulers.Count] = 0
+			p.connUp(k)
+		}
+	case streamRefused, streamLost:
+		if k := p.sessions[planner.SessionID(n.stream.id)]; k != nil {
+			p.unregister(k, n.timedOut)
+		}
+	case streamData:
+		k := p.sessions[planner.SessionID(n.stream.id)]
+		if k == nil || !k.connected {
+			return
+		}
+		k.reader.Feed(n.bytes)
+		p.node.levels.recycle(n.bytes)
+		for {
+			envelope, ok, err := k.reader.Next()
+			if err != nil {
+				p.node.levels.closeStream(k.stream, k.end)
+				p.unregister(k, false)
+			}
+			if err != nil || !ok {
+				return
+			}
+			envelope = envelope.Clone() // it is to outlive the reader's next one
+			if k.peer == "" {
+				p.inputs = append(p.inputs, planner.ForwarderMessage{Session: planner.SessionID(k.stream.id), Envelope: envelope})
+			} else {
+				p.inputs = append(p.inputs, planner.PeerMessage{Peer: k.peer, Envelope: envelope})
+			}
+		}
+	}
+}
+
+// register takes a connection into the books.
+func (p *plannerProcess) register(k *plannerPeerConn) {
+	p.sessions[planner.SessionID(k.stream.id)] = k
+	p.conns = append(p.conns, k)
+	if k.connected {
+		p.connUp(k)
+	}
+}
+
+// connUp tells that a connection is up. Of two with one peer the newer one counts.
+func (p *plannerProcess) connUp(k *plannerPeerConn) {
+	if k.peer == "" {
+		p.inputs = append(p.inputs, planner.SessionOpened{Session: planner.SessionID(k.stream.id)})
+		return
+	}
+	for _, o := range append([]*plannerPeerConn(nil), p.conns...) {
+		if o != k && o.peer == k.peer && o.connected {
+			p.node.levels.closeStream(o.stream, o.end)
+			p.unregister(o, false)
+		}
+	}
+	p.inputs = append(p.inputs, planner.PeerConnected{Peer: k.peer})
+	p.events = append(p.events, membership.PlannerConnected{Name: k.peer})
+}
+
+// unregister takes a connection out of the books.
+func (p *plannerProcess) unregister(k *plannerPeerConn, silent bool) {
+	delete(p.sessions, planner.SessionID(k.stream.id))
+	for i, o := range p.conns {
+		if o == k {
+			p.conns = append(p.conns[:i], p.conns[i+1:]...)
+			break
+		}
+	}
+	switch {
+	case k.peer == "":
+		p.inputs = append(p.inputs, planner.SessionClosed{Session: planner.SessionID(k.stream.id)})
+	case k.connected:
+		p.inputs = append(p.inputs, planner.PeerDisconnected{Peer: k.peer})
+		p.events = append(p.events, membership.PlannerDisconnected{Name: k.peer, Silent: silent})
+	}
+	k.connected = false
+	if i := k.seat - p.node.spec.Schedulers.Count; k.peer != "" && k.seat > p.node.number {
+		p.backoff[i] = min(max(2*p.backoff[i], minRedialDelay), maxRedialDelay)
+		p.redialAt[i] = p.now + p.backoff[i]/2 + time.Duration(p.node.levels.rngs[p.node.number].Int64N(int64(p.backoff[i])))
+	}
+}
+
+// connect dials another planner. The one that is counted first does.
+func (p *plannerProcess) connect(i int) {
+	seat := p.node.spec.Schedulers.Count + i
+	name := plannerName(i)
+	wanted := false
+	for _, w := range p.wantedPeers {
+		wanted = wanted || w == name
+	}
+	for _, k := range p.conns {
+		wanted = wanted && k.peer != name
+	}
+	if wanted && seat > p.node.number {
+		p.register(&plannerPeerConn{stream: p.node.levels.dial(p.node.number, seat), seat: seat, peer: name, reader: codec.NewReader(0)})
+	}
+}
+
+// handleEnvironment takes what the world does.
+func (p *plannerProcess) handleEnvironment(in *simapi.Input) {
+	switch in.Kind {
+	case simapi.ListReceived:
+		if p.watching {
+			p.watchDeadline = p.now + nextLineTimeout
+			p.listTable.UpdateEndpoints(*in.List)
+		}
+	case simapi.WatchHeartbeat:
+		if p.watching {
+			p.watchDeadline = p.now + nextLineTimeout
+		}
+	case simapi.WatchConnected:
+		if p.watching {
+			p.watchDeadline = p.now + firstLineTimeout
+		}
+	case simapi.WatchEnded:
+		p.watchLost()
+	case simapi.Reload:
+		if in.Discovery != p.discovery {
+			p.discovery = in.Discovery
+			p.listTable.ResetRevision()
+			p.inputs = append(p.inputs, planner.EndpointSourceChanged{})
+			p.Watch(0)
+		}
+	case simapi.Terminate:
+		p.inputs = append(p.inputs, planner.StopRequested{})
+		p.node.levels.gossip.leave(p.node.number)
+	}
+}
+
+// ---- The host group: a ledger of no queries reads it, as in a scheduler ----
+
+// Step is the ledger's module: it takes its lists.
+func (p *plannerProcess) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+	for _, e := range events {
+		if l, ok := e.(dispatch.WorkerList); ok {
+			p.listUpdates = append(p.listUpdates, l)
+			p.events = append(p.events, membership.EndpointsChanged{List: l})
+		}
+	}
+	if p.watchWanted {
+		p.watchWanted = false
+		dst = append(dst, dispatch.Subscribe{})
+	}
+	return dst
+}
+
+func (p *plannerProcess) applyLists() {
+	if at, ok := p.listTable.NextStep(); ok && at <= p.now {
+		p.listTable.Step(p.now)
+	}
+}
+
+func (p *plannerProcess) watchLost() {
+	if p.watching {
+		p.watching, p.watchDeadline = false, 0
+		p.listTable.DiscoveryFailed()
+	}
+}
+
+// Watch follows the host group.
+func (p *plannerProcess) Watch(after int64) {
+	p.watching, p.watchDeadline = true, p.now+readyCheckTimeout
+	p.node.emit(simapi.Output{Kind: simapi.WatchRequested, RetryAfter: time.Duration(after)})
+}
+
+// Start and the others are for queries, of which there are none.
+func (p *plannerProcess) Start(*requests.Attempt)     {}
+func (p *plannerProcess) Abandon(*requests.Attempt)   {}
+func (p *plannerProcess) Cancel(*requests.Attempt)    {}
+func (p *plannerProcess) CheckHealth(uint64)          {}
+func (p *plannerProcess) CloseIdleConnections(uint64) {}
+
+// ---- What is to be done ----
+
+// updateMembers takes in who is there, and which worker nodes.
+func (p *plannerProcess) updateMembers() {
+	actions := p.members.Step(p.now, p.events, p.actions[:0])
+	clear(p.events)
+	p.events = p.events[:0]
+	for _, a := range actions {
+		switch a := a.(type) {
+		case membership.SetPlanners:
+			p.wantedPeers = a.Names
+			for i := range p.redialAt {
+				if p.redialAt[i] == 0 {
+					p.connect(i)
+				}
+			}
+		case membership.SetPeers:
+			p.inputs = append(p.inputs, planner.PeersChanged{Names: a.Names})
+		case membership.SetPartition:
+			p.inputs = append(p.inputs, planner.PartitionChanged{Owner: a.Owner})
+		case membership.Announce:
+			p.node.levels.gossip.announce(p.node.number, a.Member)
+		case membership.LogLine:
+			p.node.model.logger(p.node.number).LogAttrs(context.Background(), slog.LevelInfo, a.Message, a.Attributes...)
+		}
+	}
+	clear(actions)
+	p.actions = actions[:0]
+}
+
+func (p *plannerProcess) carryOut(action planner.Action) {
+	switch action := action.(type) {
+	case planner.SendToForwarder:
+		if k := p.sessions[action.Session]; k != nil && k.connected {
+			p.node.send(&k.writer, action.Envelope)
+		}
+	case planner.SendToPeer:
+		for _, k := range p.conns {
+			if k.peer == action.Peer && k.connected {
+				p.node.send(&k.writer, action.Envelope)
+			}
+		}
+	case planner.CloseSession:
+		if k := p.sessions[action.Session]; k != nil && k.peer == "" {
+			if k.writer.Len() > 0 {
+				p.node.levels.send(k.stream, k.end, k.writer.Take(p.node.levels.buffer()))
+			}
+			p.node.levels.closeStream(k.stream, k.end)
+			p.unregister(k, false)
+		}
+	case planner.SetTimer:
+		if at := p.now + action.After; p.timer == 0 || at < p.timer {
+			p.timer = at
+		}
+	case planner.WatchEndpoints:
+		p.watchWanted = true
+		p.listTable.Wake()
+	case planner.Log:
+		p.node.model.logger(p.node.number).Info(action.Message, action.Attributes...)
+	case planner.Stopped:
+		p.exited = true
+	}
+}
+
+// send writes a message. What can't be written is left out, as it would be in a real process.
+func (s *plannerNode) send(w *codec.Writer, envelope message.Envelope) {
+	if w.Add(envelope) != nil {
+		s.counts.Unwritten++
+	}
+}
--- /dev/null
+++ b/internal/testbed/simulation/process_test.go
@@ -0,0 +1,227 @@
+package simulation
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/requests"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simapi"
+)
+
+// ask has a client ask on a connection of its own.
+func (b *harness) ask(n int, budget time.Duration) []simapi.Output {
+	return b.step(simapi.Input{Kind: simapi.RequestReceived, Conn: simapi.Conn(n), Request: &simapi.ClientRequest{RequestID: fmt.Sprint("c", n), Budget: budget}})
+}
+
+// until lets time pass, each turn at its due time, and gathers what comes.
+func (b *harness) until(end time.Duration) (all []simapi.Output) {
+	for {
+		at, ok := b.s.Next()
+		if !ok || at > end {
+			b.now = end
+			return all
+		}
+		b.now = max(b.now, at)
+		all = append(all, b.step()...)
+	}
+}
+
+// said is what came of some kinds, in short.
+func said(outs []simapi.Output, kinds ...simapi.OutputKind) (all []string) {
+	for _, o := range outs {
+		if slices.Contains(kinds, o.Kind) {
+			all = append(all, fmt.Sprintf("%d:%s:%d", o.Kind, o.RequestID, o.Status))
+		}
+	}
+	return all
+}
+
+func expect(t *testing.T, what string, got []string, want ...string) {
+	t.Helper()
+	if !slices.Equal(got, want) {
+		t.Errorf("%s: %v, expected %v", what, got, want)
+	}
+}
+
+func line(kind simapi.OutputKind, call string, status int) string {
+	return fmt.Sprintf("%d:%s:%d", kind, call, status)
+}
+
+const (
+	sec = time.Second
+	ms  = time.Millisecond
+)
+
+// The longest deadline counts as 3 s, so SIGKILL is due 3.7 s after SIGTERM.
+func TestDrain(t *testing.T) {
+	b := newHarness(t, nil)
+	expect(t, "start", said(b.start(), simapi.Ready), line(simapi.Ready, "", 0))
+	b.now = sec
+	b.ask(1, 12*sec)
+	b.act(dispatch.Send{Job: 1, Worker: hostNumber("w-0")})
+	b.ask(5, 12*sec)
+	expect(t, "SIGTERM", said(b.step(simapi.Input{Kind: simapi.Terminate}), simapi.Unready), line(simapi.Unready, "", 0))
+	b.step(simapi.Input{Kind: simapi.RequestReceived, Conn: 9, Request: &simapi.ClientRequest{RequestID: "c9", Budget: ms}})
+	expect(t, "an answer", said(b.act(dispatch.Fail{Job: 3}), simapi.ResponseWritten, simapi.ClientConnClosed), line(simapi.ResponseWritten, "c9", 500))
+	b.now = 2 * sec
+	b.ask(2, 12*sec)
+	b.step(simapi.Input{Kind: simapi.Terminate}) // a second one changes nothing
+	expect(t, "links between queries", said(b.until(sec+2800*ms), simapi.ClientConnClosed, simapi.ResponseWritten), line(simapi.ClientConnClosed, "", 0))
+	expect(t, "a late query", said(b.ask(3, 12*sec), simapi.ResponseWritten, simapi.ClientConnClosed), line(simapi.ResponseWritten, "c3", 503),
+		line(simapi.ClientConnClosed, "", 0))
+	// What came later than 0.7 s after SIGTERM is answered, and so is what was never sent; what is out has a moment more.
+	expect(t, "until the last words", said(b.until(sec+3399*ms), simapi.ResponseWritten, simapi.Exited))
+	expect(t, "last words", said(b.until(sec+3400*ms), simapi.ResponseWritten), line(simapi.ResponseWritten, "c2", 503), line(simapi.ResponseWritten, "c5", 503))
+	expect(t, "until the last of all", said(b.until(sec+3549*ms), simapi.ResponseWritten, simapi.Exited))
+	expect(t, "the last of all", said(b.until(sec+3550*ms), simapi.ResponseWritten, simapi.ClientConnClosed), line(simapi.ResponseWritten, "c1", 500), line(simapi.ClientConnClosed, "", 0))
+	expect(t, "until the end", said(b.until(sec+3699*ms), simapi.ResponseWritten, simapi.Exited))
+	expect(t, "the end", said(b.until(sec+3700*ms), simapi.ResponseWritten, simapi.ClientConnClosed, simapi.Exited), line(simapi.Exited, "", 0))
+	if _, ok := b.s.Next(); ok || len(b.ask(4, sec)) > 0 {
+		t.Error("one that has exited still acts")
+	}
+}
+
+// A frozen process takes nothing in and does nothing. What came meanwhile is taken in once it goes on, and what fell
+// due meanwhile is seen then.
+func TestFreeze(t *testing.T) {
+	b := newHarness(t, nil)
+	b.start()
+	b.ask(1, sec)
+	b.act(dispatch.Send{Job: 1, Worker: hostNumber("w-0")})
+	b.step(simapi.Input{Kind: simapi.Freeze})
+	b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: b.order[0].conn})
+	b.ask(2, sec)
+	if _, ok := b.s.Next(); ok || len(b.until(3*sec)) > 0 {
+		t.Error("a frozen process acts")
+	}
+	b.script.Heard = nil
+	outs := b.step(simapi.Input{Kind: simapi.Resume})
+	late := slices.ContainsFunc(b.script.Heard, func(e dispatch.Event) bool {
+		o, ok := e.(dispatch.Outcome)
+		return ok && o.Result == dispatch.TimedOut
+	})
+	if !late || len(said(outs, simapi.WorkerConnClosed)) != 1 {
+		t.Errorf("heard %v, and did %v", b.script.Heard, outs)
+	}
+	if q := b.script.Heard[0].(dispatch.Job); q.ID != 2 {
+		t.Errorf("first of what waited: %+v", q)
+	}
+}
+
+// What is killed is gone; the next process knows what it is started with, and numbers its connections further.
+func TestKill(t *testing.T) {
+	b := newHarness(t, nil)
+	b.start()
+	probe := func() simapi.Conn {
+		return b.act(dispatch.HealthCheck{Worker: hostNumber("w-1")})[0].Conn
+	}
+	first := probe()
+	b.ask(1, sec)
+	b.step(simapi.Input{Kind: simapi.Freeze})
+	if outs := b.step(simapi.Input{Kind: simapi.Kill}); len(outs) > 0 || b.s.process != nil {
+		t.Errorf("a killed process said %v", outs)
+	}
+	if len(b.until(5*sec)) > 0 || len(b.ask(2, sec)) > 0 {
+		t.Error("a killed process acts")
+	}
+	b.script.Heard = nil
+	b.start()
+	if second := probe(); second == first || !second.IsWorkerConn() {
+		t.Errorf("connection %x after %x", second, first)
+	}
+	list, ok := b.script.Heard[0].(dispatch.WorkerList)
+	if !ok || list.Kind != dispatch.ListCached || len(list.Workers) != harnessWorkers {
+		t.Errorf("first heard: %+v", b.script.Heard[0])
+	}
+}
+
+// Another discovery is asked for all that it knows; what the old list held goes on until it speaks.
+func TestReload(t *testing.T) {
+	b := newHarness(t, nil)
+	b.start()
+	if outs := b.act(dispatch.Subscribe{}); len(outs) != 1 || outs[0].Kind != simapi.WatchRequested || outs[0].RetryAfter != 7 {
+		t.Errorf("watching: %+v", outs)
+	}
+	if outs := b.step(simapi.Input{Kind: simapi.Reload}); len(outs) > 0 {
+		t.Errorf("the same discovery: %+v", outs)
+	}
+	outs := b.step(simapi.Input{Kind: simapi.Reload, Discovery: 1})
+	if len(outs) != 1 || outs[0].Kind != simapi.WatchRequested || outs[0].RetryAfter != 0 {
+		t.Errorf("another discovery: %+v", outs)
+	}
+	b.script.Heard = nil
+	b.step(simapi.Input{Kind: simapi.ListReceived, List: &requests.EndpointList{Revision: 3, Reset: true}})
+	outs = b.step(simapi.Input{Kind: simapi.WatchEnded})
+	if len(b.script.Heard) != 2 || b.script.Heard[1].(dispatch.WorkerList).Kind != dispatch.ListUnavailable || len(outs) > 0 {
+		t.Errorf("heard %+v", b.script.Heard)
+	}
+	b.script.Heard = nil
+	if b.step(simapi.Input{Kind: simapi.WatchEnded}); len(b.script.Heard) > 0 {
+		t.Errorf("no watch, and lost: %+v", b.script.Heard)
+	}
+	// A call that does not come up is given up soon, and one that nobody answers later.
+	for _, c := range []struct {
+		ins  []simapi.Input
+		span time.Duration
+	}{
+		{nil, readyCheckTimeout},
+		{[]simapi.Input{{Kind: simapi.WatchConnected}}, firstLineTimeout},
+		{[]simapi.Input{{Kind: simapi.WatchConnected}, {Kind: simapi.WatchHeartbeat}}, nextLineTimeout},
+	} {
+		b.act(dispatch.Subscribe{})
+		b.step(c.ins...)
+		b.script.Heard = nil
+		b.until(b.now + c.span - 1)
+		early := len(b.script.Heard)
+		if b.until(b.now + 1); early != 0 || len(b.script.Heard) != 1 {
+			t.Errorf("after %v: %d too early, then %+v", c.ins, early, b.script.Heard)
+		}
+	}
+}
+
+// Where worker nodes come and go, /up tells whether a query could be sent anywhere.
+func TestReady(t *testing.T) {
+	b := newHarness(t, nil)
+	b.start()
+	b.act(dispatch.Subscribe{})
+	list := func(state string) []simapi.Output {
+		return b.step(simapi.Input{Kind: simapi.ListReceived, List: &requests.EndpointList{
+			Revision: 8, Reset: true,
+			Endpoints: []requests.Endpoint{{ID: "w-0", Lifecycle: state}},
+		}})
+	}
+	expect(t, "all drain", said(list("draining"), simapi.Ready, simapi.Unready), line(simapi.Unready, "", 0))
+	expect(t, "one is back", said(list("up"), simapi.Ready, simapi.Unready), line(simapi.Ready, "", 0))
+}
+
+// One query too many is refused at once, with advice; a connection too many has the one make room that has been idle
+// longest.
+func TestLimits(t *testing.T) {
+	b := newHarness(t, func(spec *scenario.Scenario) { spec.Schedulers.Sockets = 24 + 48 }) // 40 client links, 32 queries
+	b.start()
+	for n := 1; n <= 32; n++ {
+		if outs := b.ask(n, 5*sec); len(outs) > 0 {
+			t.Fatalf("query %d: %v", n, outs)
+		}
+	}
+	for n := 33; n <= 40; n++ {
+		outs := b.ask(n, 5*sec)
+		expect(t, "one too many", said(outs, simapi.ResponseWritten, simapi.ClientConnClosed), line(simapi.ResponseWritten, fmt.Sprint("c", n), 503))
+		if outs[0].RetryAfter != fullRetryAfter {
+			t.Errorf("come back after %v", outs[0].RetryAfter)
+		}
+	}
+	b.ask(33, 5*sec) // it has been used last
+	outs := b.ask(41, 5*sec)
+	if len(outs) != 2 || outs[0].Kind != simapi.ClientConnClosed || outs[0].Conn != 34 {
+		t.Errorf("a connection too many: %+v", outs)
+	}
+	b.step(simapi.Input{Kind: simapi.ClientClosed, Conn: 1})
+	if outs := b.ask(42, 5*sec); len(said(outs, simapi.ResponseWritten)) > 0 {
+		t.Errorf("with room again: %+v", outs)
+	}
+}
--- /dev/null
+++ b/internal/testbed/simulation/run.go
@@ -0,0 +1,261 @@
+package simulation
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"valvecove/internal/control/planner"
+	"valvecove/internal/testbed/environment"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simapi"
+	"valvecove/internal/testbed/trace"
+)
+
+// StartTime is the Unix time at which every play starts: 2026-01-01.
+const StartTime = 1767225600 * time.Second
+
+// LingerTime is how long a play goes on once every job is settled: what worker nodes have been given shows by then.
+const LingerTime = 2 * time.Second
+
+// maxRounds is how often one instant may pass between world and schedulers. What needs more goes round in circles.
+const maxRounds = 100_000
+
+// Options are what a play is played with.
+type Options struct {
+	Model
+	Wrap      func(s simapi.Scheduler) simapi.Scheduler // puts something before each scheduler; nil: nothing
+	Observers []trace.Observer                          // told what was seen, each in turn
+	Until     time.Duration                             // the play ends here at the latest; 0: at its length and settling time
+	// Trace is told all that crossed the border, nil: nobody is; nothing of it may be kept.
+	Trace  func(now time.Duration, ins []simapi.Input, outs []simapi.Output)
+	Digest bool // sum up all that crossed the border
+	// AlterPlanner is what a planner says instead of what it decided; nil: that. It may change the list that it is given.
+	AlterPlanner func(planner int, outs []planner.Action) []planner.Action
+	// WrapPlanner puts something before a module of a planner; nil: nothing.
+	WrapPlanner func(planner int, m planner.Policy) planner.Policy
+}
+
+// Outcome counts what a play came to.
+type Outcome struct {
+	End        time.Duration // when it ended
+	Finished   bool          // every job is settled
+	Steps      uint64        // of the world
+	Iterations uint64        // of schedulers
+	Requests   uint64        // queries that reached a scheduler
+	Responses  uint64        // and answers that left one
+	Attempts   uint64        // sent to worker nodes
+	Digest     uint64        // of all that crossed the border, if it was asked for
+	Levels     LevelCounts   // where there are planners
+}
+
+// Run plays a checked scenario to its end. An error says that it could not be played.
+func Run(spec *scenario.Scenario, seed uint64, opt Options) (*Outcome, error) {
+	p := runner{options: &opt, outcome: &Outcome{}}
+	shown := *spec
+	shown.Misbehaving = nil // see Unseen
+	p.environment = environment.New(&shown, seed, StartTime, combineObservers(opt.Observers))
+	if spec.Planners.Count > 0 {
+		if opt.Module != nil {
+			return nil, errors.New("where there are planners, the module is the one that is in service")
+		}
+		p.levels = newLevelNetwork(spec, seed)
+	}
+	for n := range spec.Schedulers.Count {
+		s, err := NewScheduler(spec, n, StartTime, opt.Model, p.environment)
+		if err != nil {
+			return nil, err
+		}
+		if p.levels != nil {
+			s.levels, s.counts, p.levels.seats[n] = p.levels, &p.outcome.Levels, s
+		}
+		var side simapi.Scheduler = s
+		if opt.Wrap != nil {
+			side = opt.Wrap(side)
+		}
+		p.schedulers = append(p.schedulers, side)
+	}
+	for n := range spec.Planners.Count {
+		n += spec.Schedulers.Count
+		s, err := newPlannerNode(spec, n, p.options, p.levels, &p.outcome.Levels)
+		if err != nil {
+			return nil, err
+		}
+		p.levels.seats[n], p.schedulers = s, append(p.schedulers, s)
+	}
+	p.nextAt, p.inputs = make([]time.Duration, len(p.schedulers)), make([][]simapi.Input, len(p.schedulers))
+	for n := range p.nextAt {
+		p.nextAt[n] = never
+	}
+	if opt.Digest {
+		p.digest = xxhash.New()
+	}
+	end := spec.Length.Std() + spec.Settle.Std()
+	if opt.Until > 0 {
+		end = min(end, opt.Until)
+	}
+	p.earliestNext = never
+	err := p.run(end)
+	if p.levels != nil {
+		for _, s := range p.levels.seats {
+			s.endProcess()
+		}
+	}
+	if p.digest != nil {
+		p.outcome.Digest = p.digest.Sum64()
+	}
+	return p.outcome, err
+}
+
+func combineObservers(all []trace.Observer) trace.Observer {
+	switch len(all) {
+	case 0:
+		return nil
+	case 1:
+		return all[0]
+	}
+	return func(s *trace.Event) {
+		for _, w := range all {
+			w(s)
+		}
+	}
+}
+
+const never = time.Duration(1<<63 - 1)
+
+type runner struct {
+	options      *Options
+	outcome      *Outcome
+	environment  *environment.Environment
+	levels       *levelNetwork // nil: there are no planners
+	schedulers   []simapi.Scheduler
+	nextAt       []time.Duration  // by scheduler: when it wants a turn
+	earliestNext time.Duration    // the first of these
+	inputs       [][]simapi.Input // by scheduler, of this round
+	reached      []int            // schedulers that something has reached in this round
+	delivered    []simapi.Input
+	outputs      []simapi.Output
+	digest       *xxhash.Digest
+	text         []byte
+}
+
+// run has the two sides take turns. What passes takes no time; at each instant it passes to and fro until nothing
+// is left of it.
+func (p *runner) run(end time.Duration) error {
+	now, rounds, over := time.Duration(0), 0, never
+	for {
+		at := p.earliest()
+		if at > min(end, over) {
+			p.outcome.End = min(end, over)
+			return nil
+		}
+		if at > now {
+			now, rounds = at, 0
+		} else if rounds++; rounds > maxRounds {
+			return fmt.Errorf("the play goes round in circles at %v", now)
+		}
+		p.runRound(now)
+		if p.outcome.Finished = p.environment.Finished(); !p.outcome.Finished {
+			over = never
+		} else if over == never {
+			over = now + LingerTime
+		}
+	}
+}
+
+// earliest is when something will happen next.
+func (p *runner) earliest() time.Duration {
+	if len(p.outputs) > 0 {
+		return 0
+	}
+	first, ok := p.environment.Next()
+	if !ok {
+		first = never
+	}
+	if p.levels != nil {
+		first = min(first, p.levels.nextAt())
+	}
+	return min(first, p.earliestNext)
+}
+
+// runRound is one turn of the world, and of each scheduler that something has reached or that is due.
+func (p *runner) runRound(now time.Duration) {
+	p.delivered = p.environment.Step(now, p.outputs, p.delivered[:0])
+	p.outcome.Steps++
+	p.outputs = p.outputs[:0]
+	p.reached = p.reached[:0]
+	for i := range p.delivered {
+		in := &p.delivered[i]
+		if in.Kind == simapi.RequestReceived {
+			p.outcome.Requests++
+		}
+		if len(p.inputs[in.Scheduler]) == 0 {
+			p.reached = append(p.reached, in.Scheduler)
+		}
+		p.inputs[in.Scheduler] = append(p.inputs[in.Scheduler], *in)
+	}
+	if p.levels != nil {
+		for _, n := range p.levels.runDue(now) {
+			if !slices.Contains(p.reached, n) {
+				p.reached = append(p.reached, n)
+			}
+		}
+	}
+	if p.earliestNext <= now {
+		for n, at := range p.nextAt {
+			if at <= now && !slices.Contains(p.reached, n) {
+				p.reached = append(p.reached, n)
+			}
+		}
+	}
+	slices.Sort(p.reached)
+	for _, n := range p.reached {
+		p.stepScheduler(now, n)
+	}
+	p.earliestNext = never
+	for _, at := range p.nextAt {
+		p.earliestNext = min(p.earliestNext, at)
+	}
+	for i := range p.outputs {
+		switch p.outputs[i].Kind {
+		case simapi.ResponseWritten:
+			p.outcome.Responses++
+		case simapi.AttemptWritten:
+			p.outcome.Attempts++
+		}
+	}
+	if p.options.Trace != nil {
+		p.options.Trace(now, p.delivered, p.outputs)
+	}
+	if p.digest != nil {
+		p.addToDigest(now)
+	}
+}
+
+// stepScheduler is a scheduler's.
+func (p *runner) stepScheduler(now time.Duration, n int) {
+	p.outcome.Iterations++
+	p.outputs = p.schedulers[n].Step(now, p.inputs[n], p.outputs)
+	p.inputs[n] = p.inputs[n][:0]
+	at, ok := p.schedulers[n].Next()
+	if !ok {
+		at = never
+	}
+	p.nextAt[n] = at
+}
+
+// addToDigest adds a round to the digest.
+func (p *runner) addToDigest(now time.Duration) {
+	b := p.text[:0]
+	for i := range p.delivered {
+		b = AppendInput(b, now, &p.delivered[i])
+	}
+	for i := range p.outputs {
+		b = AppendOutput(b, now, &p.outputs[i])
+	}
+	p.text = b
+	_, _ = p.digest.Write(b) // never fails
+}
--- a/internal/lab/virtual/play_test.go
+++ b/internal/testbed/simulation/run_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"runtime"
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/lab/edge"
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/seen"
-	"valvecove/internal/lab/yardstick"
+	"valvecove/internal/testbed/baseline"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simapi"
+	"valvecove/internal/testbed/trace"
 )
 
 // busyDay has something of most parts of the world go wrong.
@@ -45,8 +45,8 @@
 }
 
 func policy(name string) (m Model) {
-	if p, ok := yardstick.Find(name); ok {
-		m.Module = p.ForPlay()
+	if p, ok := baseline.Find(name); ok {
+		m.Module = p.ForRun()
 	}
 	return m
 }
@@ -55,8 +55,8 @@
 func TestSamePlay(t *testing.T) {
 	spec := parse(t, busyDay)
 	play := func(seed uint64, name string) uint64 {
-		got, err := Play(spec, seed, Options{Model: policy(name), Digest: true})
-		if err != nil || !got.Over || got.Requests < 100 || got.Answers < got.Requests*3/4 {
+		got, err := Run(spec, seed, Options{Model: policy(name), Digest: true})
+		if err != nil || !got.Finished || got.Requests < 100 || got.Responses < got.Requests*3/4 {
 			t.Errorf("%s: %+v, %v", name, got, err)
 		}
 		return got.Digest
@@ -89,15 +89,15 @@
 	spec, want := parse(t, busyDay), ""
 	for _, name := range []string{"logic", "random", "round-robin", "two-choices", "least-outstanding", "all-seeing"} {
 		var b strings.Builder
-		watch := func(x *seen.Sight) {
-			switch x.What {
-			case seen.Due, seen.NodeHang, seen.SchedKill, seen.SchedTerm, seen.FaultOn:
-				b.WriteString(strconv.Itoa(int(x.What)) + " " + x.At.String() + " " + strconv.FormatFloat(x.Work, 'g', -1, 64) +
-					" " + strconv.Itoa(x.Node) + x.Key + x.Text + "\n")
+		watch := func(x *trace.Event) {
+			switch x.Kind {
+			case trace.JobDue, trace.WorkerHung, trace.SchedulerKilled, trace.SchedulerTerminated, trace.FaultStarted:
+				b.WriteString(strconv.Itoa(int(x.Kind)) + " " + x.At.String() + " " + strconv.FormatFloat(x.Work, 'g', -1, 64) +
+					" " + strconv.Itoa(x.Worker) + x.IdempotencyKey + x.Text + "\n")
 			}
 		}
-		watchers := []seen.Watcher{watch, func(*seen.Sight) {}}
-		if _, err := Play(spec, 3, Options{Model: policy(name), Watch: watchers}); err != nil {
+		watchers := []trace.Observer{watch, func(*trace.Event) {}}
+		if _, err := Run(spec, 3, Options{Model: policy(name), Observers: watchers}); err != nil {
 			t.Fatal(err)
 		}
 		if want == "" {
@@ -112,29 +112,29 @@
 }
 
 // chatter is a scheduler that says something whenever it is asked, and wants to be asked at once.
-type chatter struct{ edge.Scheduler }
+type chatter struct{ simapi.Scheduler }
 
-func (c chatter) Step(time.Duration, []edge.In, []edge.Out) []edge.Out {
-	return []edge.Out{{Kind: edge.Unready}}
+func (c chatter) Step(time.Duration, []simapi.Input, []simapi.Output) []simapi.Output {
+	return []simapi.Output{{Kind: simapi.Unready}}
 }
 func (c chatter) Next() (time.Duration, bool) { return 0, true }
 
 func TestOptions(t *testing.T) {
 	spec := parse(t, `length = "3s"`)
 	wrapped, traced := 0, 0
-	got, err := Play(spec, 1, Options{Until: time.Second, Wrap: func(s edge.Scheduler) edge.Scheduler {
+	got, err := Run(spec, 1, Options{Until: time.Second, Wrap: func(s simapi.Scheduler) simapi.Scheduler {
 		wrapped++
 		return s
-	}, Trace: func(_ time.Duration, ins []edge.In, outs []edge.Out) { traced += len(ins) + len(outs) }})
-	if err != nil || wrapped != 1 || traced == 0 || got.End != time.Second || got.Over {
+	}, Trace: func(_ time.Duration, ins []simapi.Input, outs []simapi.Output) { traced += len(ins) + len(outs) }})
+	if err != nil || wrapped != 1 || traced == 0 || got.End != time.Second || got.Finished {
 		t.Errorf("%+v, %d wrapped, %d traced, %v", got, wrapped, traced, err)
 	}
-	_, err = Play(spec, 1, Options{Wrap: func(s edge.Scheduler) edge.Scheduler { return chatter{s} }})
+	_, err = Run(spec, 1, Options{Wrap: func(s simapi.Scheduler) simapi.Scheduler { return chatter{s} }})
 	if err == nil || !strings.Contains(err.Error(), "circles") {
 		t.Errorf("one that never rests: %v", err)
 	}
 	spec = parse(t, "bad = [{ kind = \"flood\", rate = 1.0 }]\nfault = [{ what = \"slow_read\", at = \"1s\" }]")
-	if told := strings.Join(Unseen(spec), "\n"); !strings.Contains(told, "flood") || !strings.Contains(told, "slow_read") {
+	if told := strings.Join(Unsupported(spec), "\n"); !strings.Contains(told, "flood") || !strings.Contains(told, "slow_read") {
 		t.Errorf("unseen: %s", told)
 	}
 }
@@ -146,18 +146,18 @@
 		for _, name := range []string{"least-outstanding", "logic"} {
 			b.Run(strconv.Itoa(nodes)+"/"+name, func(b *testing.B) {
 				spec, requests := scenario.Default(), uint64(0)
-				spec.Fleet.Nodes, spec.Schedulers.Count = nodes, min(64, max(1, nodes/50))
+				spec.Fleet.Workers, spec.Schedulers.Count = nodes, min(64, max(1, nodes/50))
 				spec.Schedulers.Sockets, spec.Schedulers.MemoryMB = 65536, 1024
 				work := 20_000
 				if name == "logic" {
 					work = 2000
 				}
-				spec.Length = scenario.Span(max(time.Second, time.Duration(work/nodes)*time.Second))
+				spec.Length = scenario.Duration(max(time.Second, time.Duration(work/nodes)*time.Second))
 				if nodes > 1000 && name == "logic" {
-					spec.Load.Of = 0.05
+					spec.Load.CapacityShare = 0.05
 				}
 				for b.Loop() {
-					got, err := Play(spec, 1, Options{Model: policy(name)})
+					got, err := Run(spec, 1, Options{Model: policy(name)})
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/internal/lab/virtual/unseen.go
+++ b/internal/testbed/simulation/unsupported.go
@@ -1,44 +1,44 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
 
-	"valvecove/internal/lab/scenario"
+	"valvecove/internal/testbed/scenario"
 )
 
-// Unseen says what of a scenario a play in virtual time can't show, one sentence each. A verdict leaves that out, and
+// Unsupported says what of a scenario a play in virtual time can't show, one sentence each. A verdict leaves that out, and
 // says so.
-func Unseen(spec *scenario.Scenario) []string {
+func Unsupported(spec *scenario.Scenario) []string {
 	all := []string{
 		"CPU, memory and descriptors of the schedulers' processes are not measured: deciding, reading and writing take" +
 			" no time, and a process has as much memory as it wants.",
 		"Queries and answers cross the border whole: nothing is seen of how bytes are read, written and framed.",
 	}
 	told := map[string]bool{}
-	for _, b := range spec.Bad {
+	for _, b := range spec.Misbehaving {
 		if !told[b.Kind] {
 			told[b.Kind] = true
 			all = append(all, fmt.Sprintf("Bad clients (%s) are left out: what they do, they do with bytes on sockets.", b.Kind))
 		}
 	}
 	for _, f := range spec.Faults {
-		if why, ok := unseenFaults[f.What]; ok && !told[f.What] {
-			told[f.What] = true
-			all = append(all, fmt.Sprintf("Fault %s: %s", f.What, why))
+		if why, ok := partlySupportedFaults[f.Kind]; ok && !told[f.Kind] {
+			told[f.Kind] = true
+			all = append(all, fmt.Sprintf("Fault %s: %s", f.Kind, why))
 		}
 	}
 	if spec.Planners.Count > 0 {
 		all = append(all, "What forwarders and planners say to each other is written and read in frames, but connections and"+
 			" gossip are models: nothing is seen of sockets, of the time that a hop takes in a process, or of the engine.")
 	}
-	if spec.Schedulers.Ops != "" {
+	if spec.Schedulers.OperationsFile != "" {
 		all = append(all, "Of the operators' file [aperture] counts alone: the other features have to do with sockets and files.")
 	}
 	return all
 }
 
-// unseenFaults are those that virtual time shows in part.
-var unseenFaults = map[string]string{
+// partlySupportedFaults are those that virtual time shows in part.
+var partlySupportedFaults = map[string]string{
 	"reset_at": "a query that is reset before its last byte counts as wholly written by the scheduler, as small ones" +
 		" do for a kernel.",
 	"slow_read":     "queries arrive late as a whole; a write that takes its time is not seen.",
--- /dev/null
+++ b/internal/testbed/simulation/worker_conns.go
@@ -0,0 +1,498 @@
+package simulation
+
+import (
+	"errors"
+	"strconv"
+	"strings"
+	"time"
+
+	"valvecove/internal/deadline"
+	"valvecove/internal/requests"
+	"valvecove/internal/testbed/simapi"
+)
+
+// The figures of internal/link's server links.
+const (
+	healthCheckTimeout = 500 * time.Millisecond
+	cancelTimeout      = time.Second
+	connGrace          = time.Second // a link outlasts its attempt by so long, in case the answer still comes
+	retireInterval     = time.Second
+	minIdleTrust       = 20 * time.Millisecond
+	idleTrustGrowth    = 10 * time.Second
+	maxIdleTrust       = time.Minute // beyond that it is without limit
+
+	reuseDelay       = 10 * time.Millisecond // before a link carries again
+	cancelAttempts   = 4                     // connections are tried for a DELETE
+	cancelRetryDelay = 50 * time.Millisecond
+)
+
+// What ends links, as causes of faults.
+var (
+	errRefused      = errors.New("connection refused")
+	errReset        = errors.New("connection reset")
+	errEnded        = errors.New("ended by the worker node")
+	errTimeout      = errors.New("no answer in time")
+	errNoDescriptor = errors.New("no descriptor left for a server link")
+	errNoAddress    = errors.New("the host has no address")
+	errStatus       = errors.New("status")
+)
+
+// workerConns model the connections to worker nodes as internal/link keeps them: the ledger's Carrier. What takes
+// a socket's time there takes none here, so that a query whose link is up is wholly written at once.
+type workerConns struct {
+	process      *process
+	endpoints    map[uint64]*endpointConns
+	order        []*endpointConns // map order decides nothing
+	conns        map[simapi.Conn]*workerConn
+	attemptConns map[*requests.Attempt]*workerConn // until the worker node has accepted
+	// cancellations are the attempts whose worker node is being told, and how many connections were tried for that.
+	cancellations  map[*requests.Attempt]int
+	maxConns       int
+	idleCount      int           // idle links, over all hosts
+	evictFrom      int           // where in order evict looks first
+	dialTimeout    time.Duration // a connection comes up within this or not at all
+	idleTimeout    time.Duration // and is not kept for longer when idle; 0: for ever
+	idleTrust      time.Duration // nor for longer than has lately gone well; 0: as long as may be
+	idleTrustSetAt time.Duration // when that was set
+}
+
+// endpointConns are the links to one worker node.
+type endpointConns struct {
+	worker      uint64
+	workerIndex int // the world's number; -1: unknown
+	machine     int // which one in its place
+	addr        string
+	startedMs   int64
+	incarnation int           // counts processes: a link to an earlier one is of no use
+	idle        []*workerConn // the last one used last
+}
+
+type connState uint8
+
+const (
+	connConnecting connState = iota
+	connIdle
+	connAwaiting // an errand is written and its answer awaited
+	connClosed
+)
+
+type taskKind uint8
+
+const (
+	taskNone taskKind = iota
+	taskAttempt
+	taskHealthCheck
+	taskCancel
+)
+
+// connTask is what a link is used for, one at a time.
+type connTask struct {
+	kind    taskKind
+	attempt *requests.Attempt // nil for a probe
+}
+
+// workerConn is a connection to a worker node.
+type workerConn struct {
+	timer         timer
+	timerSet      bool          // the alarm is set, perhaps for sooner than is due
+	deadline      time.Duration // an answer is waited for; 0: none is
+	conns         *workerConns
+	endpoint      *endpointConns
+	conn          simapi.Conn // 0: never dialled
+	incarnation   int
+	state         connState
+	stage         requests.Stage
+	responseBegun bool // part of an answer has come
+	peerClosed    bool // the other side has ended it
+	task          connTask
+	lastTask      taskKind // what it was used for
+	idleSince     time.Duration
+	idleFor       time.Duration // how long it had been idle before its errand; 0: it is new
+}
+
+func newWorkerConns(p *process, most int, dial, idleFor time.Duration) *workerConns {
+	s := &workerConns{
+		process: p, endpoints: map[uint64]*endpointConns{}, conns: map[simapi.Conn]*workerConn{},
+		attemptConns: map[*requests.Attempt]*workerConn{}, cancellations: map[*requests.Attempt]int{}, maxConns: most, dialTimeout: dial, idleTimeout: idleFor * 3 / 4,
+	}
+	s.retire()
+	return s
+}
+
+// endpoint finds the links to a worker, and drops those to a process that has been replaced.
+func (s *workerConns) endpoint(worker uint64) *endpointConns {
+	h, now := s.endpoints[worker], s.process.requests.Endpoint(worker)
+	if h == nil {
+		h = &endpointConns{worker: worker}
+		h.workerIndex, h.machine = NodeOf(now.ID)
+		s.endpoints[worker] = h
+		s.order = append(s.order, h)
+	}
+	if h.startedMs != now.StartedAtMs || h.addr != now.Addr {
+		h.addr, h.startedMs = now.Addr, now.StartedAtMs
+		h.incarnation++
+		s.CloseIdleConnections(worker)
+	}
+	return h
+}
+
+// NodeOf is the world's number of the worker node whose id discovery tells, and which machine in its place that is:
+// "w-12" is the first, 0, "w-12.1" the one that took its place. node -1: it is none.
+func NodeOf(id string) (node, machine int) {
+	digits, ok := strings.CutPrefix(id, "w-")
+	digits, later, took := strings.Cut(digits, ".")
+	node, err := strconv.Atoi(digits)
+	if took && err == nil {
+		machine, err = strconv.Atoi(later)
+	}
+	if !ok || err != nil || node < 0 || machine < 0 {
+		return -1, 0
+	}
+	return node, machine
+}
+
+// ---- What the ledger wants ----
+
+// Start starts an attempt.
+func (s *workerConns) Start(a *requests.Attempt) { s.startTask(a.Worker, connTask{taskAttempt, a}) }
+
+// Abandon lets the worker node know: before it has accepted by closing the link, after that by a DELETE.
+func (s *workerConns) Abandon(a *requests.Attempt) {
+	if k := s.attemptConns[a]; k != nil {
+		k.closeWith(nil)
+	} else if a.Stage == requests.StageAccepted {
+		s.Cancel(a)
+	}
+}
+
+// Cancel sends a DELETE, unless one is on its way.
+func (s *workerConns) Cancel(a *requests.Attempt) {
+	if _, is := s.cancellations[a]; !is {
+		s.cancellations[a] = 1
+		s.startTask(a.Worker, connTask{taskCancel, a})
+	}
+}
+
+// cancelEnded takes in how a DELETE ended. What broke is tried again, on another connection.
+func (s *workerConns) cancelEnded(a *requests.Attempt, fault *requests.AttemptError) {
+	broke := fault != nil && fault.Reason == requests.ReasonConnectionLost
+	wanted := !a.HasEnded() || fault != nil && fault.Stage >= requests.StageWritten
+	if !broke || !wanted || a.EndedByWorker() || s.cancellations[a] >= cancelAttempts {
+		delete(s.cancellations, a)
+		s.process.requests.CancelCompleted(a, !broke)
+		return
+	}
+	s.process.after(cancelRetryDelay, func() {
+		if a.EndedByWorker() {
+			delete(s.cancellations, a)
+			return
+		}
+		s.cancellations[a]++
+		s.startTask(a.Worker, connTask{taskCancel, a})
+	})
+}
+
+// CheckHealth asks a worker node for a sign of life.
+func (s *workerConns) CheckHealth(worker uint64) {
+	s.startTask(worker, connTask{kind: taskHealthCheck})
+}
+
+// CloseIdleConnections closes the idle links to a worker node.
+func (s *workerConns) CloseIdleConnections(worker uint64) {
+	h := s.endpoints[worker]
+	for h != nil && len(h.idle) > 0 {
+		h.idle[0].closeWith(nil)
+	}
+}
+
+// Watch follows the host group from a generation on.
+func (s *workerConns) Watch(after int64) { s.process.watch(after) }
+
+// retire closes links that have been idle for too long.
+func (s *workerConns) retire() {
+	s.process.after(retireInterval, s.retire)
+	if s.idleTrust > 0 && s.process.now-s.idleTrustSetAt >= idleTrustGrowth {
+		if s.idleTrust, s.idleTrustSetAt = 2*s.idleTrust, s.process.now; s.idleTrust > maxIdleTrust {
+			s.idleTrust = 0
+		}
+	}
+	if s.idleCount == 0 {
+		return
+	}
+	for _, h := range s.order {
+		for len(h.idle) > 0 && s.isStale(h.idle[0]) {
+			h.idle[0].closeWith(nil)
+		}
+	}
+}
+
+func (s *workerConns) isStale(k *workerConn) bool {
+	age := s.process.now - k.idleSince
+	return s.idleTimeout > 0 && age >= s.idleTimeout || s.idleTrust > 0 && age >= s.idleTrust
+}
+
+// reduceTrust takes in that a link broke which had been idle for so long and then got no answer.
+func (s *workerConns) reduceTrust(idle time.Duration) {
+	if s.idleTrust == 0 || idle < s.idleTrust {
+		s.idleTrust = max(idle/2, minIdleTrust)
+	}
+	s.idleTrustSetAt = s.process.now
+}
+
+// startTask gives an errand to the link that was used last, or to a new one.
+func (s *workerConns) startTask(worker uint64, e connTask) {
+	h := s.endpoint(worker)
+	for i := len(h.idle) - 1; i >= 0; i-- {
+		k := h.idle[i]
+		if s.isStale(k) {
+			k.closeWith(nil)
+			continue
+		}
+		if e.kind == taskAttempt && k.lastTask == taskAttempt && s.process.now-k.idleSince < reuseDelay {
+			continue
+		}
+		h.idle = append(h.idle[:i], h.idle[i+1:]...)
+		s.idleCount--
+		k.idleFor = max(s.process.now-k.idleSince, 1)
+		k.assign(e)
+		k.write()
+		return
+	}
+	k := &workerConn{conns: s, endpoint: h, incarnation: h.incarnation, state: connConnecting}
+	k.timer.act = k.timedOut
+	k.assign(e)
+	k.dial()
+}
+
+// evictIdle closes an idle link of any host.
+func (s *workerConns) evictIdle() bool {
+	for s.idleCount > 0 {
+		s.evictFrom = (s.evictFrom + 1) % len(s.order)
+		if h := s.order[s.evictFrom]; len(h.idle) > 0 {
+			h.idle[0].closeWith(nil)
+			return true
+		}
+	}
+	return false
+}
+
+// ---- One link ----
+
+func (k *workerConn) dial() {
+	s := k.conns
+	switch {
+	case len(s.conns) >= s.maxConns && !s.evictIdle():
+		k.closeWith(errNoDescriptor)
+		return
+	case k.endpoint.workerIndex < 0:
+		k.closeWith(errNoAddress)
+		return
+	}
+	k.conn = s.process.newConn()
+	s.conns[k.conn] = k
+	s.process.emit(simapi.Output{Kind: simapi.WorkerDialed, Conn: k.conn, Worker: k.endpoint.workerIndex, Machine: k.endpoint.machine})
+	k.awaitWithin(s.dialTimeout)
+}
+
+// assign gives the link its errand.
+func (k *workerConn) assign(e connTask) {
+	k.task, k.lastTask, k.stage, k.responseBegun = e, e.kind, requests.StageNotConnected, false
+	if e.kind == taskAttempt {
+		k.conns.attemptConns[e.attempt] = k
+	}
+}
+
+// awaitWithin gives the other side so long. An alarm that is set for sooner is let be, as most answers come well before, and
+// the next errand's time is later.
+func (k *workerConn) awaitWithin(span time.Duration) {
+	p := k.conns.process
+	if k.deadline = p.now + span; k.timerSet {
+		if k.timer.At <= k.deadline {
+			return
+		}
+		p.stop(&k.timer)
+	}
+	k.timerSet = true
+	p.start(&k.timer, span)
+}
+
+// timedOut is the alarm.
+func (k *workerConn) timedOut() {
+	k.timerSet = false
+	switch left := k.deadline - k.conns.process.now; {
+	case k.deadline == 0:
+	case left > 0:
+		k.awaitWithin(left)
+	default:
+		k.closeWith(errTimeout)
+	}
+}
+
+// write sends the errand's request, whole.
+func (k *workerConn) write() {
+	p, a := k.conns.process, k.task.attempt
+	if k.task.kind == taskAttempt && a.At-p.now < time.Millisecond {
+		k.deadline = 0 // the ledger gives it up in a moment, and the link ends with it
+		return
+	}
+	k.state = connAwaiting
+	k.setStage(requests.StageWritten)
+	o := simapi.Output{Conn: k.conn, Worker: k.endpoint.workerIndex, FirstByteAt: p.now - p.scheduler.epoch}
+	switch k.task.kind {
+	case taskAttempt:
+		left := a.At - p.now
+		o.Kind, o.RequestID, o.IdempotencyKey = simapi.AttemptWritten, a.Request.CallID, a.Request.Payload.IdempotencyKey
+		o.Budget = max(time.Millisecond, left.Truncate(time.Millisecond))
+		k.awaitWithin(left + connGrace)
+	case taskHealthCheck:
+		o.Kind = simapi.HealthCheckWritten
+		k.awaitWithin(healthCheckTimeout)
+	case taskCancel:
+		o.Kind, o.RequestID = simapi.CancellationReceived, a.Request.CallID
+		k.awaitWithin(cancelTimeout)
+	}
+	p.emit(o)
+}
+
+func (k *workerConn) setStage(stage requests.Stage) {
+	if k.stage = stage; k.task.kind == taskAttempt {
+		k.task.attempt.Stage = stage
+	}
+}
+
+// connected and down are told by the other side, answered too.
+func (k *workerConn) connected() {
+	switch {
+	case k.state != connConnecting:
+	case k.task.kind == taskAttempt && k.task.attempt.HasEnded(), // by a late note of an attempt before
+		k.task.kind == taskCancel && k.task.attempt.EndedByWorker():
+		k.closeWith(nil)
+	default:
+		k.write()
+	}
+}
+
+func (k *workerConn) disconnected(reset bool) {
+	k.peerClosed = true
+	switch {
+	case k.state == connIdle:
+		k.closeWith(nil)
+	case k.state == connConnecting:
+		k.closeWith(errRefused)
+	case reset:
+		k.closeWith(errReset)
+	default:
+		k.closeWith(errEnded)
+	}
+}
+
+// responseReceived settles the errand by the answer's status. Bytes > 0: it breaks off.
+func (k *workerConn) responseReceived(in *simapi.Input) {
+	switch {
+	case k.state != connAwaiting: // it says something that nobody asked for
+		k.closeWith(nil)
+		return
+	case in.Bytes > 0:
+		k.responseBegun, k.peerClosed = true, true
+		k.closeWith(errReset)
+		return
+	}
+	reason, well := requests.ReasonWorkerError, in.Status/100 == 2
+	switch refused := in.Status == 503 || in.Status == 504; {
+	case refused && (k.task.kind == taskHealthCheck || in.Rejected):
+		reason = requests.ReasonRejected
+	case in.Status/100 == 4 && k.task.kind == taskAttempt:
+		reason = requests.ReasonInvalidRequest
+	}
+	switch a := k.task.attempt; {
+	case k.task.kind == taskAttempt && well:
+		k.conns.process.requests.ReportResponse(a, in.Status)
+		k.setStage(requests.StageAccepted)
+		delete(k.conns.attemptConns, a)
+		k.task = connTask{}
+	case well:
+		k.finishTask(nil)
+	default:
+		if k.task.kind == taskAttempt {
+			k.conns.process.requests.ReportResponse(a, in.Status)
+		}
+		k.finishTask(&requests.AttemptError{Stage: k.stage, Reason: reason, Cause: errStatus})
+	}
+	if k.state != connAwaiting { // what it ended has ended the link too
+		return
+	}
+	if k.incarnation == k.conns.endpoint(k.endpoint.worker).incarnation {
+		k.makeIdle()
+	} else {
+		k.closeWith(nil)
+	}
+}
+
+// finishTask ends the errand.
+func (k *workerConn) finishTask(fault *requests.AttemptError) {
+	e := k.task
+	k.task = connTask{}
+	switch e.kind {
+	case taskAttempt:
+		delete(k.conns.attemptConns, e.attempt)
+		k.conns.process.requests.EndAttempt(e.attempt, nil, fault)
+	case taskHealthCheck:
+		k.conns.process.requests.HealthChecked(k.endpoint.worker, fault)
+	case taskCancel:
+		k.conns.cancelEnded(e.attempt, fault)
+	}
+}
+
+// makeIdle puts the link back among the idle.
+func (k *workerConn) makeIdle() {
+	k.deadline = 0
+	k.state, k.idleSince = connIdle, k.conns.process.now
+	k.endpoint.idle = append(k.endpoint.idle, k)
+	k.conns.idleCount++
+}
+
+// closeWith closes the link, whatever its state; an errand that it had ends with how far it had come.
+func (k *workerConn) closeWith(cause error) {
+	if k.state == connClosed {
+		return
+	}
+	s := k.conns
+	if k.state == connIdle {
+		for i, o := range k.endpoint.idle {
+			if o == k {
+				k.endpoint.idle = append(k.endpoint.idle[:i], k.endpoint.idle[i+1:]...)
+				s.idleCount--
+				break
+			}
+		}
+	}
+	dropped := k.state == connAwaiting && k.idleFor > 0 && !k.responseBegun && cause != nil && !errors.Is(cause, errTimeout)
+	k.state = connClosed
+	s.process.stop(&k.timer)
+	if k.conn != 0 {
+		delete(s.conns, k.conn)
+		if !k.peerClosed {
+			s.process.emit(simapi.Output{Kind: simapi.WorkerConnClosed, Conn: k.conn, Worker: k.endpoint.workerIndex})
+		}
+	}
+	if dropped {
+		s.reduceTrust(k.idleFor)
+	}
+	if k.task.kind == taskNone {
+		return
+	}
+	reason := requests.ReasonConnectionLost
+	if dropped && k.task.kind == taskHealthCheck {
+		reason = requests.ReasonNotSent // it says nothing of the worker node
+	}
+	if k.stage >= requests.StageWritten && errors.Is(cause, errTimeout) {
+		reason = requests.ReasonTimeout
+	}
+	k.finishTask(&requests.AttemptError{Stage: k.stage, Reason: reason, Cause: cause})
+}
+
+// timer calls act once it is due.
+type timer struct {
+	deadline.Item
+	act func()
+}
--- a/internal/lab/virtual/links_test.go
+++ b/internal/testbed/simulation/worker_conns_test.go
@@ -1,4 +1,4 @@
-package virtual
+package simulation
 
 import (
 	"fmt"
@@ -9,39 +9,39 @@
 	"time"
 
 	"valvecove/dispatch"
-	"valvecove/internal/lab/edge"
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/yardstick"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
+	"valvecove/internal/testbed/baseline"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simapi"
 )
 
-// bench is a scheduler whose module is scripted, and what the far side of its connections knows.
-type bench struct {
+// harness is a scheduler whose module is scripted, and what the far side of its connections knows.
+type harness struct {
 	s       *Scheduler
 	script  *modeltest.Script
 	now     time.Duration
-	outs    []edge.Out // of the last step
-	conns   map[edge.Conn]*farConn
+	outs    []simapi.Output // of the last step
+	conns   map[simapi.Conn]*farConn
 	order   []*farConn // those that are open
-	resting map[int][]edge.Conn
+	resting map[int][]simapi.Conn
 	wrong   string // the first thing that a scheduler may not do
 }
 
 // farConn is a connection as a worker node sees it.
 type farConn struct {
-	conn  edge.Conn
+	conn  simapi.Conn
 	node  int
 	up    bool
-	asked *edge.Out // to be answered
-	last  edge.OutKind
+	asked *simapi.Output // to be answered
+	last  simapi.OutputKind
 	since time.Duration // when that was answered
 }
 
 // settling holds of an idle link that has just carried a request: a second answer may be on its way, so none is carried yet.
-func (b *bench) settling(id edge.Conn) bool {
+func (b *harness) settling(id simapi.Conn) bool {
 	c := b.conns[id]
-	return c.last == edge.Sent && b.now-c.since < settleFor
+	return c.last == simapi.AttemptWritten && b.now-c.since < reuseDelay
 }
 
 func hostNumber(id string) uint64 {
@@ -50,18 +50,18 @@
 	return h.Sum64()
 }
 
-const benchNodes = 3
+const harnessWorkers = 3
 
-func newBench(t *testing.T, change func(*scenario.Scenario)) *bench {
+func newHarness(t *testing.T, change func(*scenario.Scenario)) *harness {
 	t.Helper()
 	spec := scenario.Default()
-	spec.Fleet.Nodes = benchNodes
+	spec.Fleet.Workers = harnessWorkers
 	if change != nil {
 		change(spec)
 	}
-	b := &bench{script: &modeltest.Script{}, conns: map[edge.Conn]*farConn{}, resting: map[int][]edge.Conn{}}
+	b := &harness{script: &modeltest.Script{}, conns: map[simapi.Conn]*farConn{}, resting: map[int][]simapi.Conn{}}
 	var err error
-	b.s, err = NewScheduler(spec, 0, Epoch, Model{Module: func(dispatch.Settings, uint64, yardstick.Oracle) requests.Policy {
+	b.s, err = NewScheduler(spec, 0, StartTime, Model{Module: func(dispatch.Settings, uint64, baseline.Oracle) requests.Policy {
 		return b.script
 	}}, nil)
 	if err != nil {
@@ -70,16 +70,16 @@
 	return b
 }
 
-func (b *bench) start() []edge.Out {
+func (b *harness) start() []simapi.Output {
 	known := requests.EndpointList{Revision: 7}
-	for n := range benchNodes {
+	for n := range harnessWorkers {
 		known.Endpoints = append(known.Endpoints, requests.Endpoint{ID: "w-" + strconv.Itoa(n), Addr: "a:" + strconv.Itoa(n), Lifecycle: "up"})
 	}
-	return b.step(edge.In{Kind: edge.Start, Boot: &edge.Boot{Name: "n0", Known: known}})
+	return b.step(simapi.Input{Kind: simapi.Start, Start: &simapi.StartOptions{Name: "n0", KnownEndpoints: known}})
 }
 
 // step has things reach the scheduler, and turns it until it wants nothing more at this instant.
-func (b *bench) step(ins ...edge.In) []edge.Out {
+func (b *harness) step(ins ...simapi.Input) []simapi.Output {
 	b.outs = b.s.Step(b.now, ins, b.outs[:0])
 	for range 100 {
 		if at, ok := b.s.Next(); !ok || at > b.now {
@@ -94,52 +94,52 @@
 }
 
 // act has the module do something.
-func (b *bench) act(actions ...dispatch.Action) []edge.Out {
+func (b *harness) act(actions ...dispatch.Action) []simapi.Output {
 	b.script.Next = actions
-	b.s.p.ledger.DiscoveryFailed() // something to step for
+	b.s.process.requests.DiscoveryFailed() // something to step for
 	return b.step()
 }
 
-func (b *bench) fail(format string, args ...any) {
+func (b *harness) fail(format string, args ...any) {
 	if b.wrong == "" {
 		b.wrong = fmt.Sprintf(format, args...)
 	}
 }
 
 // meet takes in what has come from the scheduler, by what a connection may do.
-func (b *bench) meet(o edge.Out) {
+func (b *harness) meet(o simapi.Output) {
 	c := b.conns[o.Conn]
 	switch o.Kind {
-	case edge.Dial:
+	case simapi.WorkerDialed:
 		if c != nil {
 			b.fail("connection %x is dialled twice", o.Conn)
 		}
-		if slices.ContainsFunc(b.resting[o.Node], func(id edge.Conn) bool { return !b.settling(id) }) {
-			b.fail("node %d is dialled though an idle link is there", o.Node)
+		if slices.ContainsFunc(b.resting[o.Worker], func(id simapi.Conn) bool { return !b.settling(id) }) {
+			b.fail("node %d is dialled though an idle link is there", o.Worker)
 		}
-		c = &farConn{conn: o.Conn, node: o.Node}
+		c = &farConn{conn: o.Conn, node: o.Worker}
 		b.conns[o.Conn] = c
 		b.order = append(b.order, c)
-	case edge.Sent, edge.Probe, edge.Delete:
-		if c == nil || !c.up || c.asked != nil || c.node != o.Node {
-			b.fail("%d is written to connection %x to node %d, which is not free: %+v", o.Kind, o.Conn, o.Node, c)
+	case simapi.AttemptWritten, simapi.HealthCheckWritten, simapi.CancellationReceived:
+		if c == nil || !c.up || c.asked != nil || c.node != o.Worker {
+			b.fail("%d is written to connection %x to node %d, which is not free: %+v", o.Kind, o.Conn, o.Worker, c)
 			return
 		}
 		// One that has just come up, or the one that was used last.
-		if r := b.resting[o.Node]; slices.Contains(r, o.Conn) {
+		if r := b.resting[o.Worker]; slices.Contains(r, o.Conn) {
 			at := slices.Index(r, o.Conn)
 			for _, newer := range r[at+1:] {
-				if o.Kind != edge.Sent || !b.settling(newer) {
+				if o.Kind != simapi.AttemptWritten || !b.settling(newer) {
 					b.fail("an older idle link than the last one is used")
 				}
 			}
-			if o.Kind == edge.Sent && b.settling(o.Conn) {
+			if o.Kind == simapi.AttemptWritten && b.settling(o.Conn) {
 				b.fail("a link carries again that has just done so")
 			}
-			b.resting[o.Node] = slices.Delete(r, at, at+1)
+			b.resting[o.Worker] = slices.Delete(r, at, at+1)
 		}
 		c.asked, c.last = &o, o.Kind
-	case edge.Hangup:
+	case simapi.WorkerConnClosed:
 		if c == nil {
 			b.fail("connection %x is closed, and is not open", o.Conn)
 			return
@@ -148,10 +148,10 @@
 	}
 }
 
-func (b *bench) forget(c *farConn) {
+func (b *harness) forget(c *farConn) {
 	delete(b.conns, c.conn)
 	b.order = slices.DeleteFunc(b.order, func(o *farConn) bool { return o == c })
-	b.resting[c.node] = slices.DeleteFunc(b.resting[c.node], func(id edge.Conn) bool { return id == c.conn })
+	b.resting[c.node] = slices.DeleteFunc(b.resting[c.node], func(id simapi.Conn) bool { return id == c.conn })
 }
 
 // sending is an attempt as the model knows it.
@@ -169,10 +169,10 @@
 func FuzzLinks(f *testing.F) { modeltest.Fuzz(f, runLinks) }
 
 func runLinks(s *modeltest.Steps) {
-	b := newBench(s.T, func(spec *scenario.Scenario) {
+	b := newHarness(s.T, func(spec *scenario.Scenario) {
 		spec.Schedulers.Sockets = 24 + 48 // eight of them for server links
-		spec.Schedulers.ConnIdle = scenario.Span(4 * time.Second)
-		spec.Schedulers.TryLimit = 1000
+		spec.Schedulers.ConnIdleTimeout = scenario.Duration(4 * time.Second)
+		spec.Schedulers.AttemptLimit = 1000
 	})
 	b.start()
 	var jobs []*sending // by attempt
@@ -210,11 +210,11 @@
 		}
 		return &sending{may: map[dispatch.Result]bool{}}
 	}
-	step := func(ins ...edge.In) {
+	step := func(ins ...simapi.Input) {
 		b.step(ins...)
 		for i := range b.outs {
-			if o := &b.outs[i]; o.Kind == edge.Sent {
-				find(o.Call, o.Node).written = true
+			if o := &b.outs[i]; o.Kind == simapi.AttemptWritten {
+				find(o.RequestID, o.Worker).written = true
 			}
 		}
 		hear()
@@ -223,7 +223,7 @@
 	}
 	act := func(actions ...dispatch.Action) {
 		b.script.Next = actions
-		b.s.p.ledger.DiscoveryFailed()
+		b.s.process.requests.DiscoveryFailed()
 		step()
 	}
 	for s.More() {
@@ -231,14 +231,14 @@
 		if len(b.order) > 0 {
 			c = b.order[s.Pick(len(b.order))]
 		}
-		node := s.Pick(benchNodes)
+		node := s.Pick(harnessWorkers)
 		worker := hostNumber("w-" + strconv.Itoa(node))
 		switch what := s.Pick(12); {
 		case what == 0:
 			calls++
 			budget := time.Duration(1+s.Pick(20)) * 100 * time.Millisecond
 			deadlines[uint64(calls)] = b.now + budget
-			step(edge.In{Kind: edge.Asked, Conn: edge.Conn(calls), Ask: &edge.Ask{Call: strconv.Itoa(calls), Budget: budget}})
+			step(simapi.Input{Kind: simapi.RequestReceived, Conn: simapi.Conn(calls), Request: &simapi.ClientRequest{RequestID: strconv.Itoa(calls), Budget: budget}})
 			s.Did("ask")
 		case what <= 3 && calls > 0:
 			id := uint64(1 + s.Pick(calls))
@@ -270,29 +270,29 @@
 				"started": dispatch.OK, "done": dispatch.OK, "failed": dispatch.Failed,
 				"returned": dispatch.WorkerFull, "lost": dispatch.ConnectionReset,
 			}[state]] = true
-			step(edge.In{Kind: edge.Told, Node: node, NoteID: 5, Note: &requests.Callback{
+			step(simapi.Input{Kind: simapi.CallbackReceived, Worker: node, CallbackID: 5, Callback: &requests.Callback{
 				CallID: call, EndpointID: "w-" + strconv.Itoa(node),
 				State: state, Result: &result,
 			}})
-			i := slices.IndexFunc(b.outs, func(o edge.Out) bool { return o.Kind == edge.Acked })
-			s.Check(i >= 0 && b.outs[i].Status == 204 && b.outs[i].NoteID == 5, "a note was answered by %+v", b.outs)
+			i := slices.IndexFunc(b.outs, func(o simapi.Output) bool { return o.Kind == simapi.CallbackAnswered })
+			s.Check(i >= 0 && b.outs[i].Status == 204 && b.outs[i].CallbackID == 5, "a note was answered by %+v", b.outs)
 			s.Did(state)
 		case what <= 8 && c != nil && !c.up:
 			if s.Pick(4) == 0 {
 				b.forget(c)
-				step(edge.In{Kind: edge.LinkDown, Conn: c.conn, Node: c.node})
+				step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: c.conn, Worker: c.node})
 				s.Did("refuse")
 			} else {
 				c.up = true
-				step(edge.In{Kind: edge.LinkUp, Conn: c.conn, Node: c.node})
+				step(simapi.Input{Kind: simapi.WorkerConnected, Conn: c.conn, Worker: c.node})
 				s.Did("up")
 			}
 		case what <= 9 && c != nil && c.up && (c.asked == nil || s.Pick(4) == 0):
-			if c.asked != nil && c.asked.Kind == edge.Sent {
-				find(c.asked.Call, c.node).may[dispatch.ConnectionReset] = true
+			if c.asked != nil && c.asked.Kind == simapi.AttemptWritten {
+				find(c.asked.RequestID, c.node).may[dispatch.ConnectionReset] = true
 			}
 			b.forget(c)
-			step(edge.In{Kind: edge.LinkDown, Conn: c.conn, Node: c.node, Reset: s.Pick(2) == 0})
+			step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: c.conn, Worker: c.node, Reset: s.Pick(2) == 0})
 			s.Did("down")
 		case what <= 9 && c != nil && c.up:
 			answers := []struct {
@@ -309,16 +309,16 @@
 				{202, false, 9, dispatch.ConnectionReset},
 			}
 			a := answers[s.Pick(len(answers))]
-			if c.asked.Kind == edge.Sent {
-				find(c.asked.Call, c.node).may[a.result] = true
+			if c.asked.Kind == simapi.AttemptWritten {
+				find(c.asked.RequestID, c.node).may[a.result] = true
 			}
 			if c.asked = nil; a.bytes > 0 {
 				b.forget(c)
 			} else {
 				b.resting[c.node], c.since = append(b.resting[c.node], c.conn), b.now
 			}
-			step(edge.In{
-				Kind: edge.Answered, Conn: c.conn, Node: c.node, Status: a.status, Rejected: a.rejected,
+			step(simapi.Input{
+				Kind: simapi.ResponseReceived, Conn: c.conn, Worker: c.node, Status: a.status, Rejected: a.rejected,
 				Bytes: a.bytes,
 			})
 			s.Did("answer " + strconv.Itoa(a.status))
@@ -335,10 +335,10 @@
 	for _, a := range jobs {
 		s.Check(a.ended, "an attempt of %s at node %d has no outcome", a.call, a.node)
 	}
-	p := b.s.p
-	s.Check(len(p.servers.links)+len(p.servers.carried)+p.servers.resting+len(b.conns) == 0,
-		"%d links, %d carried, %d idle; the far side has %d", len(p.servers.links), len(p.servers.carried),
-		p.servers.resting, len(b.conns))
+	p := b.s.process
+	s.Check(len(p.workerConns.conns)+len(p.workerConns.attemptConns)+p.workerConns.idleCount+len(b.conns) == 0,
+		"%d links, %d carried, %d idle; the far side has %d", len(p.workerConns.conns), len(p.workerConns.attemptConns),
+		p.workerConns.idleCount, len(b.conns))
 	s.Check(p.timers.Len() == 1, "%d timers are left besides the one that retires links", p.timers.Len()-1)
 }
 
@@ -346,40 +346,40 @@
 func TestResultByStage(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		far  func(b *bench, conn edge.Conn) // after the dial
+		far  func(b *harness, conn simapi.Conn) // after the dial
 		want dispatch.Result
 	}{
-		{"refused", func(b *bench, conn edge.Conn) { b.step(edge.In{Kind: edge.LinkDown, Conn: conn}) }, dispatch.ConnectFailed},
-		{"never up", func(b *bench, _ edge.Conn) { b.now += 250 * time.Millisecond; b.step() }, dispatch.ConnectFailed},
-		{"reset once written", func(b *bench, conn edge.Conn) {
-			b.step(edge.In{Kind: edge.LinkUp, Conn: conn})
-			b.step(edge.In{Kind: edge.LinkDown, Conn: conn, Reset: true})
+		{"refused", func(b *harness, conn simapi.Conn) { b.step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: conn}) }, dispatch.ConnectFailed},
+		{"never up", func(b *harness, _ simapi.Conn) { b.now += 250 * time.Millisecond; b.step() }, dispatch.ConnectFailed},
+		{"reset once written", func(b *harness, conn simapi.Conn) {
+			b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn})
+			b.step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: conn, Reset: true})
 		}, dispatch.ConnectionReset},
-		{"reset in the answer", func(b *bench, conn edge.Conn) {
-			b.step(edge.In{Kind: edge.LinkUp, Conn: conn})
-			b.step(edge.In{Kind: edge.Answered, Conn: conn, Status: 202, Bytes: 3})
+		{"reset in the answer", func(b *harness, conn simapi.Conn) {
+			b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn})
+			b.step(simapi.Input{Kind: simapi.ResponseReceived, Conn: conn, Status: 202, Bytes: 3})
 		}, dispatch.ConnectionReset},
-		{"lost once accepted", func(b *bench, conn edge.Conn) {
-			b.step(edge.In{Kind: edge.LinkUp, Conn: conn})
-			b.step(edge.In{Kind: edge.Answered, Conn: conn, Status: 202})
-			b.step(edge.In{Kind: edge.LinkDown, Conn: conn, Reset: true}) // means nothing any more
-			b.step(edge.In{Kind: edge.Told, Note: &requests.Callback{CallID: "c", EndpointID: "w-1", State: "lost"}})
+		{"lost once accepted", func(b *harness, conn simapi.Conn) {
+			b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn})
+			b.step(simapi.Input{Kind: simapi.ResponseReceived, Conn: conn, Status: 202})
+			b.step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: conn, Reset: true}) // means nothing any more
+			b.step(simapi.Input{Kind: simapi.CallbackReceived, Callback: &requests.Callback{CallID: "c", EndpointID: "w-1", State: "lost"}})
 		}, dispatch.ConnectionReset},
-		{"told late of an attempt before", func(b *bench, conn edge.Conn) {
-			b.step(edge.In{Kind: edge.Told, Note: &requests.Callback{CallID: "c", EndpointID: "w-1", State: "returned"}})
-			if b.step(edge.In{Kind: edge.LinkUp, Conn: conn}); len(b.order) > 0 || b.outs[0].Kind != edge.Hangup {
+		{"told late of an attempt before", func(b *harness, conn simapi.Conn) {
+			b.step(simapi.Input{Kind: simapi.CallbackReceived, Callback: &requests.Callback{CallID: "c", EndpointID: "w-1", State: "returned"}})
+			if b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn}); len(b.order) > 0 || b.outs[0].Kind != simapi.WorkerConnClosed {
 				b.fail("it is sent all the same: %+v", b.outs)
 			}
 		}, dispatch.WorkerFull},
-		{"silent", func(b *bench, conn edge.Conn) {
-			b.step(edge.In{Kind: edge.LinkUp, Conn: conn})
+		{"silent", func(b *harness, conn simapi.Conn) {
+			b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn})
 			b.now += time.Second
 			b.step()
 		}, dispatch.TimedOut},
 	} {
-		b := newBench(t, nil)
+		b := newHarness(t, nil)
 		b.start()
-		b.step(edge.In{Kind: edge.Asked, Conn: 1, Ask: &edge.Ask{Call: "c", Budget: time.Second}})
+		b.step(simapi.Input{Kind: simapi.RequestReceived, Conn: 1, Request: &simapi.ClientRequest{RequestID: "c", Budget: time.Second}})
 		b.act(dispatch.Send{Job: 1, Worker: hostNumber("w-1")})
 		b.order[0].up = true // where the story says so
 		c.far(b, b.order[0].conn)
@@ -392,29 +392,29 @@
 
 // Links that break after being idle are trusted for half as long, and trust comes back.
 func TestTrustInIdleLinks(t *testing.T) {
-	b := newBench(t, nil)
+	b := newHarness(t, nil)
 	b.start()
-	probe := func() edge.Out {
+	probe := func() simapi.Output {
 		b.act(dispatch.HealthCheck{Worker: hostNumber("w-0")})
 		for _, o := range b.outs {
-			if o.Kind == edge.Dial {
+			if o.Kind == simapi.WorkerDialed {
 				b.conns[o.Conn].up = true
-				b.step(edge.In{Kind: edge.LinkUp, Conn: o.Conn})
+				b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: o.Conn})
 			}
 		}
 		return b.outs[len(b.outs)-1]
 	}
 	first := probe()
-	b.resting[0] = []edge.Conn{first.Conn}
+	b.resting[0] = []simapi.Conn{first.Conn}
 	b.conns[first.Conn].asked = nil
-	b.step(edge.In{Kind: edge.Answered, Conn: first.Conn, Status: 200})
+	b.step(simapi.Input{Kind: simapi.ResponseReceived, Conn: first.Conn, Status: 200})
 	b.now += 2 * time.Second
 	if again := probe(); again.Conn != first.Conn {
 		t.Fatalf("an idle link is not used again: %+v", again)
 	}
 	b.forget(b.conns[first.Conn])
-	b.step(edge.In{Kind: edge.LinkDown, Conn: first.Conn, Reset: true})
-	if got := b.s.p.servers.trust; got != time.Second {
+	b.step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: first.Conn, Reset: true})
+	if got := b.s.process.workerConns.idleTrust; got != time.Second {
 		t.Errorf("trusted for %v after 2 s went wrong", got)
 	}
 	if p, _ := b.script.Heard[len(b.script.Heard)-1].(dispatch.HealthChecked); p.Result != dispatch.NotSent {
@@ -424,7 +424,7 @@
 		b.now += time.Second
 		b.step()
 	}
-	if got := b.s.p.servers.trust; got != 2*time.Second {
+	if got := b.s.process.workerConns.idleTrust; got != 2*time.Second {
 		t.Errorf("trusted for %v ten seconds later", got)
 	}
 }
@@ -433,38 +433,38 @@
 // tried again, and what its worker node tells meanwhile counts.
 func TestWithdrawnOnceWritten(t *testing.T) {
 	for name, c := range map[string]struct {
-		far  func(b *bench)
+		far  func(b *harness)
 		want []dispatch.Result
 	}{
-		"comes up": {func(b *bench) { b.up() }, nil},
-		"answered": {func(b *bench) { b.answered() }, []dispatch.Result{dispatch.Cancelled}},
-		"late": {func(b *bench) {
-			b.now += 250*ms + withdrawAgain
+		"comes up": {func(b *harness) { b.up() }, nil},
+		"answered": {func(b *harness) { b.answered() }, []dispatch.Result{dispatch.Cancelled}},
+		"late": {func(b *harness) {
+			b.now += 250*ms + cancelRetryDelay
 			b.step()
 		}, nil},
-		"late, then on another": {func(b *bench) {
-			b.until(b.now + 250*ms + withdrawAgain)
+		"late, then on another": {func(b *harness) {
+			b.until(b.now + 250*ms + cancelRetryDelay)
 			b.answered()
 		}, []dispatch.Result{dispatch.Cancelled}},
-		"never":        {func(b *bench) { b.until(b.now + 4*sec) }, nil},
-		"till its end": {func(b *bench) { b.until(b.now + 10*sec) }, []dispatch.Result{dispatch.TimedOut}},
-		"handed back": {func(b *bench) {
-			b.step(edge.In{Kind: edge.Told, Note: &requests.Callback{CallID: "c", EndpointID: "w-1", State: "returned"}})
-			if b.up(); slices.ContainsFunc(b.outs, func(o edge.Out) bool { return o.Kind == edge.Delete }) {
+		"never":        {func(b *harness) { b.until(b.now + 4*sec) }, nil},
+		"till its end": {func(b *harness) { b.until(b.now + 10*sec) }, []dispatch.Result{dispatch.TimedOut}},
+		"handed back": {func(b *harness) {
+			b.step(simapi.Input{Kind: simapi.CallbackReceived, Callback: &requests.Callback{CallID: "c", EndpointID: "w-1", State: "returned"}})
+			if b.up(); slices.ContainsFunc(b.outs, func(o simapi.Output) bool { return o.Kind == simapi.CancellationReceived }) {
 				b.fail("a DELETE for what has ended")
 			}
 		}, []dispatch.Result{dispatch.WorkerFull}},
 	} {
-		b := newBench(t, nil)
+		b := newHarness(t, nil)
 		b.start()
-		b.step(edge.In{Kind: edge.Asked, Conn: 1, Ask: &edge.Ask{Call: "c", Budget: 9 * sec}})
+		b.step(simapi.Input{Kind: simapi.RequestReceived, Conn: 1, Request: &simapi.ClientRequest{RequestID: "c", Budget: 9 * sec}})
 		b.act(dispatch.Send{Job: 1, Worker: hostNumber("w-1")})
 		conn := b.order[0].conn
 		b.up()
 		b.conns[conn].asked = nil
-		b.step(edge.In{Kind: edge.Answered, Conn: conn, Status: 202})
+		b.step(simapi.Input{Kind: simapi.ResponseReceived, Conn: conn, Status: 202})
 		b.forget(b.conns[conn])
-		b.step(edge.In{Kind: edge.LinkDown, Conn: conn, Reset: true})
+		b.step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: conn, Reset: true})
 		b.script.Heard = nil
 		b.act(dispatch.Cancel{Job: 1})
 		c.far(b)
@@ -481,18 +481,18 @@
 }
 
 // up has the newest connection come up, if it still waits for that.
-func (b *bench) up() {
+func (b *harness) up() {
 	if c := b.order[len(b.order)-1]; !c.up {
 		c.up = true
-		b.step(edge.In{Kind: edge.LinkUp, Conn: c.conn, Node: c.node})
+		b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: c.conn, Worker: c.node})
 	}
 }
 
 // answered has a DELETE go out on the newest connection, and be answered.
-func (b *bench) answered() {
+func (b *harness) answered() {
 	b.up()
 	c := b.order[len(b.order)-1]
 	c.asked, c.since = nil, b.now
 	b.resting[c.node] = append(b.resting[c.node], c.conn)
-	b.step(edge.In{Kind: edge.Answered, Conn: c.conn, Node: c.node, Status: 204})
+	b.step(simapi.Input{Kind: simapi.ResponseReceived, Conn: c.conn, Worker: c.node, Status: 204})
 }
