--- a/internal/lab/starve/starve_test.go
+++ b/internal/testbed/starvation/checker_test.go
@@ -1,4 +1,4 @@
-package starve
+package starvation
 
 import (
 	"fmt"
@@ -7,59 +7,59 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/seen"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/trace"
 )
 
 // Verbs of sights in histories.
-var verbs = map[string]seen.What{
-	"asked": seen.Asked, "answered": seen.Answered, "lost": seen.Lost, "sent": seen.Sent, "reached": seen.Reached,
-	"rejected": seen.Rejected, "began": seen.Began, "finished": seen.Finished, "returned": seen.Returned,
-	"died": seen.Died, "withdrawn": seen.Withdrawn, "unread": seen.Unread, "noted": seen.Noted, "notelost": seen.NoteLost,
-	"dialled": seen.Dialled, "linked": seen.Linked, "struck": seen.Struck, "spared": seen.Spared, "stands": seen.Stands,
-	"nodeup": seen.NodeUp, "nodedown": seen.NodeDown, "nodedrain": seen.NodeDrain, "nodehang": seen.NodeHang,
-	"drained": seen.Drained, "started": seen.Started, "schedup": seen.SchedUp, "schedterm": seen.SchedTerm,
-	"schedkill": seen.SchedKill, "schedfroze": seen.SchedFroze, "schedwoke": seen.SchedWoke, "settled": seen.Settled,
+var verbs = map[string]trace.Kind{
+	"asked": trace.RequestSent, "answered": trace.ResponseReceived, "lost": trace.ConnectionLost, "sent": trace.AttemptSent, "reached": trace.AttemptReceived,
+	"rejected": trace.AttemptRejected, "began": trace.AttemptStarted, "finished": trace.AttemptFinished, "returned": trace.AttemptReturned,
+	"died": trace.AttemptDied, "withdrawn": trace.AttemptCancelled, "unread": trace.AttemptUnread, "noted": trace.CallbackAnswered, "notelost": trace.CallbackLost,
+	"dialled": trace.WorkerDialed, "linked": trace.WorkerConnected, "struck": trace.WorkerFaultStarted, "spared": trace.WorkerFaultEnded, "stands": trace.WorkerPresent,
+	"nodeup": trace.WorkerStarted, "nodedown": trace.WorkerStopped, "nodedrain": trace.WorkerDraining, "nodehang": trace.WorkerHung,
+	"drained": trace.DrainNotified, "started": trace.StartNotified, "schedup": trace.SchedulerStarted, "schedterm": trace.SchedulerTerminated,
+	"schedkill": trace.SchedulerKilled, "schedfroze": trace.SchedulerFrozen, "schedwoke": trace.SchedulerResumed, "settled": trace.JobSettled,
 }
 
 // spec has four worker nodes of four slots in cells of two, the first and the third of them "std", the others "slow",
 // and classes that are safe, keyed by cell, unsafe, and bound to "slow".
 func spec() *scenario.Scenario {
 	s := scenario.Default()
-	s.Fleet.Nodes, s.Fleet.CellSize = 4, 2
+	s.Fleet.Workers, s.Fleet.CellSize = 4, 2
 	for i, c := range []string{"safe", "keyed", "unsafe", "safe"} {
-		s.Classes[i].Effect, s.Classes[i].Group, s.Classes[i].Stretch = c, "cell", 2
+		s.Classes[i].Idempotency, s.Classes[i].DeduplicationScope, s.Classes[i].ObjectiveStretch = c, "cell", 2
 	}
 	s.Classes[3].Kind = "slow-4c"
 	s.Load.Hints = "exact"
 	return s
 }
 
-// stage gives each history its beginning: all worker nodes stand, a scheduler runs, and it is 5 s later.
-const stage = "0 schedup;0 stands node=0;0 stands node=1 kind=slow-4c;0 stands node=2;0 stands node=3 kind=slow-4c;"
+// stageSetup gives each history its beginning: all worker nodes stand, a scheduler runs, and it is 5 s later.
+const stageSetup = "0 schedup;0 stands node=0;0 stands node=1 kind=slow-4c;0 stands node=2;0 stands node=3 kind=slow-4c;"
 
 // due asks for the job's try as well: "due job=1 class=0 slots=1 work=0.1".
-func sight(t *testing.T, w *Watcher, line string) {
+func observeLine(t *testing.T, w *Checker, line string) {
 	t.Helper()
 	f := strings.Fields(line)
 	at, err := time.ParseDuration(f[0] + "s")
 	if err != nil {
 		t.Fatalf("%q: %v", line, err)
 	}
-	s := seen.Sight{At: at, What: verbs[f[1]], Slots: 4, Text: "std-4c", Status: 200, Try: 1, Boot: 1, Job: 1, Call: "c"}
+	s := trace.Event{At: at, Kind: verbs[f[1]], Slots: 4, Text: "std-4c", Status: 200, Number: 1, Incarnation: 1, JobID: 1, RequestID: "c"}
 	if f[1] == "due" {
-		s.What, s.Slots, s.Work, s.Aim, s.Deadline = seen.Due, 1, 0.1, 3*time.Second, 9*time.Second
+		s.Kind, s.Slots, s.Work, s.LatencyObjective, s.Deadline = trace.JobDue, 1, 0.1, 3*time.Second, 9*time.Second
 	}
 	for _, x := range f[2:] {
 		key, value, _ := strings.Cut(x, "=")
 		n, _ := strconv.Atoi(value)
 		switch key {
 		case "node":
-			s.Node = n
+			s.Worker = n
 		case "sched":
-			s.Sched = n
+			s.Scheduler = n
 		case "job":
-			s.Job, s.Call = uint64(n), "c"+value
+			s.JobID, s.RequestID = uint64(n), "c"+value
 		case "class":
 			s.Class = n
 		case "slots":
@@ -67,9 +67,9 @@
 		case "status":
 			s.Status = n
 		case "boot":
-			s.Boot = n
+			s.Incarnation = n
 		case "try":
-			s.Try = n
+			s.Number = n
 		case "conn":
 			s.Conn = uint64(n)
 		case "kind", "text":
@@ -77,24 +77,24 @@
 		case "work":
 			s.Work, _ = strconv.ParseFloat(value, 64)
 		case "aim":
-			s.Aim, _ = time.ParseDuration(value)
+			s.LatencyObjective, _ = time.ParseDuration(value)
 		default:
 			t.Fatalf("%q: no key %q", line, key)
 		}
 	}
-	w.Watch(&s)
+	w.Observe(&s)
 	if f[1] == "due" {
-		s.What = seen.Asked
-		w.Watch(&s)
+		s.Kind = trace.RequestSent
+		w.Observe(&s)
 	}
 }
 
-func played(t *testing.T, spec *scenario.Scenario, history string) Verdict {
+func checkHistory(t *testing.T, spec *scenario.Scenario, history string) Verdict {
 	t.Helper()
 	w := New(spec)
-	for line := range strings.SplitSeq(stage+history, ";") {
+	for line := range strings.SplitSeq(stageSetup+history, ";") {
 		if strings.TrimSpace(line) != "" {
-			sight(t, w, line)
+			observeLine(t, w, line)
 		}
 	}
 	return w.Verdict()
@@ -194,9 +194,9 @@
 		{"asked again elsewhere", "5 due;5.9 asked;6.5 sent;9 settled", "0 0 0"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			v := played(t, spec(), c.history)
-			if got := fmt.Sprint(v.Held, v.Refused, v.Excused); got != c.want {
-				t.Errorf("held, refused, excused %s, expected %s: %+v", got, c.want, v.Cases)
+			v := checkHistory(t, spec(), c.history)
+			if got := fmt.Sprint(v.Queued, v.Rejected, v.Excused); got != c.want {
+				t.Errorf("held, refused, excused %s, expected %s: %+v", got, c.want, v.Findings)
 			}
 		})
 	}
@@ -211,7 +211,7 @@
 	}{
 		{"clients cut off", "5 due;5.5 answered status=503", "0 0 1", func(s *scenario.Scenario) {
 			s.Faults = []scenario.Fault{{
-				What: "cut", At: scenario.Span(4 * time.Second), For: scenario.Span(time.Second),
+				Kind: "cut", At: scenario.Duration(4 * time.Second), Duration: scenario.Duration(time.Second),
 				Between: "schedulers", And: "clients",
 			}}
 		}},
@@ -227,24 +227,24 @@
 		{
 			"no starts told, room beside", "3 due job=7;3 sent job=7 node=0;3 due job=6;3 sent job=6 node=1;3 due job=5;" +
 				"3 sent job=5 node=2;3 due job=4;3 sent job=4 node=3;5 due;9 answered status=503", "0 0 0",
-			func(s *scenario.Scenario) { s.Fleet.Kinds[0].StartMute = true },
+			func(s *scenario.Scenario) { s.Fleet.Kinds[0].OmitsStartNotifications = true },
 		},
 		{
 			"few idle where schedulers share", "0 schedup sched=1;5 due;5.1 answered status=503", "0 0 0",
-			func(s *scenario.Scenario) { s.Fleet.Nodes = 80 },
+			func(s *scenario.Scenario) { s.Fleet.Workers = 80 },
 		},
 		{
 			"one idle where there is one scheduler", "5 due;5.1 answered status=503", "0 1 0",
-			func(s *scenario.Scenario) { s.Fleet.Nodes = 80 },
+			func(s *scenario.Scenario) { s.Fleet.Workers = 80 },
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := spec()
 			s.Schedulers.Count = 2
 			c.change(s)
-			v := played(t, s, c.history)
-			if got := fmt.Sprint(v.Held, v.Refused, v.Excused); got != c.want {
-				t.Errorf("held, refused, excused %s, expected %s: %+v", got, c.want, v.Cases)
+			v := checkHistory(t, s, c.history)
+			if got := fmt.Sprint(v.Queued, v.Rejected, v.Excused); got != c.want {
+				t.Errorf("held, refused, excused %s, expected %s: %+v", got, c.want, v.Findings)
 			}
 		})
 	}
@@ -254,29 +254,29 @@
 func BenchmarkWatch(b *testing.B) {
 	const out, nodes = 256, 1000
 	text := spec().Fleet.Kinds[0].Name
-	story := []seen.Sight{
-		{What: seen.Due, Deadline: 5 * time.Second, Slots: 1, Work: 0.1},
-		{What: seen.Asked},
-		{What: seen.Sent},
-		{What: seen.Reached},
-		{What: seen.Accepted},
-		{What: seen.Began},
-		{What: seen.Noted, Text: "started", Status: 204, Try: 1},
-		{What: seen.Finished, Status: 200, Text: "r"},
-		{What: seen.Noted, Text: "done", Status: 204, Try: 1},
-		{What: seen.Answered, Status: 200, Text: "r"},
-		{What: seen.Settled, Status: 200},
+	story := []trace.Event{
+		{Kind: trace.JobDue, Deadline: 5 * time.Second, Slots: 1, Work: 0.1},
+		{Kind: trace.RequestSent},
+		{Kind: trace.AttemptSent},
+		{Kind: trace.AttemptReceived},
+		{Kind: trace.AttemptAccepted},
+		{Kind: trace.AttemptStarted},
+		{Kind: trace.CallbackAnswered, Text: "started", Status: 204, Number: 1},
+		{Kind: trace.AttemptFinished, Status: 200, Text: "r"},
+		{Kind: trace.CallbackAnswered, Text: "done", Status: 204, Number: 1},
+		{Kind: trace.ResponseReceived, Status: 200, Text: "r"},
+		{Kind: trace.JobSettled, Status: 200},
 	}
 	calls := make([]string, b.N+out)
 	for i := range calls {
 		calls[i] = fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15)
 	}
 	s := spec()
-	s.Fleet.Nodes = nodes
+	s.Fleet.Workers = nodes
 	w, now := New(s), time.Duration(0)
-	w.Watch(&seen.Sight{What: seen.SchedUp})
+	w.Observe(&trace.Event{Kind: trace.SchedulerStarted})
 	for i := range nodes {
-		w.Watch(&seen.Sight{What: seen.Stands, Node: i, Boot: 1, Slots: 4, Text: text})
+		w.Observe(&trace.Event{Kind: trace.WorkerPresent, Worker: i, Incarnation: 1, Slots: 4, Text: text})
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -285,12 +285,12 @@
 			s := &story[i]
 			for k := n; k < n+out; k++ {
 				now += 5 * time.Microsecond
-				s.At, s.Job, s.Call, s.Conn, s.Node = now, uint64(k+1), calls[k], uint64(k%out), k%nodes
-				w.Watch(s)
+				s.At, s.JobID, s.RequestID, s.Conn, s.Worker = now, uint64(k+1), calls[k], uint64(k%out), k%nodes
+				w.Observe(s)
 			}
 		}
 	}
-	if v := w.Verdict(); v.Starved() > 0 {
-		b.Fatal(v.Cases)
+	if v := w.Verdict(); v.Count() > 0 {
+		b.Fatal(v.Findings)
 	}
 }
--- a/internal/lab/starve/doc.go
+++ b/internal/testbed/starvation/doc.go
@@ -1,4 +1,4 @@
-// Package starve finds starvation in a play: jobs that wait, or are refused, while a worker node that could run them
+// Package starvation finds starvation in a play: jobs that wait, or are refused, while a worker node that could run them
 // stands idle. Like the judge it goes by what was seen at clients, worker nodes and discovery (package seen) and never
 // by a scheduler's word, and decides nothing. It says nothing of plays whose load the fleet could not bear: there no
 // worker node is plainly idle.
@@ -67,4 +67,4 @@
 // A map access for each sight of a query. Worker nodes that are idle are kept in sets by kind and by slots free, and
 // change them when they take or end work; tries are looked at only once they have waited for a second or are refused,
 // and where a set is empty not even then.
-package starve
+package starvation
--- a/internal/lab/starve/play_test.go
+++ b/internal/testbed/starvation/run_test.go
@@ -1,4 +1,4 @@
-package starve_test
+package starvation_test
 
 import (
 	"slices"
@@ -6,22 +6,22 @@
 	"time"
 
 	"valvecove/dispatch"
-	"valvecove/internal/lab/scenario"
-	"valvecove/internal/lab/seen"
-	"valvecove/internal/lab/starve"
-	"valvecove/internal/lab/virtual"
-	"valvecove/internal/lab/yardstick"
 	"valvecove/internal/requests"
+	"valvecove/internal/testbed/baseline"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simulation"
+	"valvecove/internal/testbed/starvation"
+	"valvecove/internal/testbed/trace"
 )
 
-// spoiled is the module in service, but for jobs of one class, of which it hears nothing, so that they are held, or of
+// spoiledPolicy is the module in service, but for jobs of one class, of which it hears nothing, so that they are held, or of
 // which it refuses each at once.
-type spoiled struct {
+type spoiledPolicy struct {
 	*dispatch.Dispatcher
 	refuses bool
 }
 
-func (m spoiled) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+func (m spoiledPolicy) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	var turned []dispatch.Action
 	events = slices.DeleteFunc(slices.Clone(events), func(e dispatch.Event) bool {
 		j, ok := e.(dispatch.Job)
@@ -36,8 +36,8 @@
 // A play of the module in service has no starvation; spoiled, it is all in the class that it is spoiled for.
 func TestPlays(t *testing.T) {
 	spec := scenario.Default()
-	spec.Length, spec.Load.Of = scenario.Span(12*time.Second), 0.3
-	spec.Fleet.Kinds[0].NoteLost, spec.Fleet.Kinds[1].NoteLost = 0, 0
+	spec.Length, spec.Load.CapacityShare = scenario.Duration(12*time.Second), 0.3
+	spec.Fleet.Kinds[0].CallbackLossShare, spec.Fleet.Kinds[1].CallbackLossShare = 0, 0
 	for _, c := range []struct {
 		name            string
 		spoils, refuses bool
@@ -47,24 +47,24 @@
 		{name: "held", spoils: true, held: true},
 		{name: "refused", spoils: true, refuses: true, refused: true},
 	} {
-		w := starve.New(spec)
-		opt := virtual.Options{Watch: []seen.Watcher{w.Watch}}
-		opt.Module = func(set dispatch.Settings, seed uint64, _ yardstick.Oracle) requests.Policy {
+		w := starvation.New(spec)
+		opt := simulation.Options{Observers: []trace.Observer{w.Observe}}
+		opt.Module = func(set dispatch.Settings, seed uint64, _ baseline.Oracle) requests.Policy {
 			if d := dispatch.New(set, seed); c.spoils {
-				return spoiled{d, c.refuses}
+				return spoiledPolicy{d, c.refuses}
 			} else {
 				return d
 			}
 		}
-		if _, err := virtual.Play(spec, 1, opt); err != nil {
+		if _, err := simulation.Run(spec, 1, opt); err != nil {
 			t.Fatal(err)
 		}
 		v := w.Verdict()
-		if v.Tries < 100 || v.Held > 0 != c.held || v.Refused > 0 != c.refused {
+		if v.Requests < 100 || v.Queued > 0 != c.held || v.Rejected > 0 != c.refused {
 			t.Errorf("%s: %s", c.name, v.String())
 		}
-		for _, x := range v.Cases {
-			if x.Class != spec.Classes[0].Name || x.Refused != c.refuses {
+		for _, x := range v.Findings {
+			if x.Class != spec.Classes[0].Name || x.Rejected != c.refuses {
 				t.Errorf("%s: %+v", c.name, x)
 			}
 		}
--- a/scenarios/plays_test.go
+++ b/scenarios/plays_test.go
@@ -4,8 +4,8 @@
 	"context"
 	"testing"
 
-	"valvecove/internal/lab/experiment"
-	"valvecove/internal/lab/scenario"
+	"valvecove/internal/testbed/experiment"
+	"valvecove/internal/testbed/scenario"
 )
 
 // Bounds on what is played here. Larger fleets take seconds each. The race detector makes a play ten times as slow and
@@ -24,28 +24,28 @@
 			t.Error(err)
 			continue
 		}
-		jobs := spec.Rate() * spec.Length.D().Seconds()
-		if !spec.Plays(scenario.Virtual) || spec.Fleet.Nodes > mostNodes || raced && jobs > mostJobsRaced {
+		jobs := spec.Rate() * spec.Length.Std().Seconds()
+		if !spec.SupportsDriver(scenario.DriverSimulation) || spec.Fleet.Workers > mostNodes || raced && jobs > mostJobsRaced {
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p, err := experiment.Run(context.Background(), experiment.Job{
-				Spec: spec, Seed: 1, Driver: scenario.Virtual,
-				Subject: experiment.Subject{Name: experiment.Logic},
+				Spec: spec, Seed: 1, Driver: scenario.DriverSimulation,
+				Subject: experiment.Subject{Name: experiment.PolicyDispatch},
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, b := range p.Judged.Broken {
+			for _, b := range p.Verdict.Violations {
 				t.Error(b)
 			}
-			for _, m := range p.Doc.Met {
+			for _, m := range p.Document.Expectations {
 				if !m.OK {
-					t.Errorf("expected %v, got %.4g %s", m.Expectation, m.Got, m.Note)
+					t.Errorf("expected %v, got %.4g %s", m.Expectation, m.Value, m.Remark)
 				}
 			}
-			if len(p.Doc.Met) == 0 {
+			if len(p.Document.Expectations) == 0 {
 				t.Error("nothing is expected of it")
 			}
 		})
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -9,7 +9,7 @@
 	"io/fs"
 	"strings"
 
-	"valvecove/internal/lab/scenario"
+	"valvecove/internal/testbed/scenario"
 )
 
 // Library is the files, each named for its scenario.
--- a/scenarios/scenarios_test.go
+++ b/scenarios/scenarios_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"valvecove/internal/lab/scenario"
+	"valvecove/internal/testbed/scenario"
 )
 
 // Every file is sound, says what it is about, and reads back as it is written. Together they hold
@@ -25,10 +25,10 @@
 		if s.Name != file || names[s.Name] {
 			t.Errorf("%s is named %q, which has to be the file's own", file, s.Name)
 		}
-		if names[s.Name] = true; !strings.HasSuffix(s.About, ".") || about[s.About] != "" {
-			t.Errorf("%s has no sentence of its own: %q", file, s.About)
+		if names[s.Name] = true; !strings.HasSuffix(s.Description, ".") || about[s.Description] != "" {
+			t.Errorf("%s has no sentence of its own: %q", file, s.Description)
 		}
-		if about[s.About] = file; len(s.Expectations()) != len(s.Expect) {
+		if about[s.Description] = file; len(s.Expectations()) != len(s.Expect) {
 			t.Errorf("%s expects %q", file, s.Expect)
 		}
 		if again, err := scenario.Parse("x", scenario.Encode(s)); err != nil || !reflect.DeepEqual(again, s) {
@@ -36,14 +36,14 @@
 		}
 		has[s.Load.Shape] = true
 		for _, f := range s.Faults {
-			has[f.What] = true
+			has[f.Kind] = true
 		}
-		for _, b := range s.Bad {
+		for _, b := range s.Misbehaving {
 			has[b.Kind] = true
 		}
-		has[strconv.Itoa(s.Fleet.Nodes)] = true
+		has[strconv.Itoa(s.Fleet.Workers)] = true
 	}
-	wanted := append(slices.Clone(scenario.BadKinds), "steady", "bursty", "swell", "month_start", "100", "1000", "10000")
+	wanted := append(slices.Clone(scenario.MisbehaviorKinds), "steady", "bursty", "swell", "month_start", "100", "1000", "10000")
 	for what := range scenario.FaultKinds {
 		wanted = append(wanted, what)
 	}
