--- a/internal/testbed/simulation/planner.go
+++ b/internal/testbed/simulation/planner.go
@@ -531,7 +531,7 @@
 	case planner.WatchEndpoints:
 		p.watchWanted = true
 		p.listTable.Wake()
-	case planner.Log:
+	case planner.LogLine:
 		p.node.model.logger(p.node.number).Info(action.Message, action.Attributes...)
 	case planner.Stopped:
 		p.exited = true
