--- a/cmd/valvecove/check.go
+++ b/cmd/valvecove/check.go
@@ -127,7 +127,7 @@
 	s := link.SharesOf(c, ops)
 	p.line("limits", fmt.Sprintf("%v cores, %d MB, %d descriptors", c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets))
 	p.line("descriptors", fmt.Sprintf("%d its own, %d for features, %d server links, %d client links (%d queries at once)",
-		s.Own, s.Features, s.Servers, s.Clients, s.Queries))
+		s.Own, s.Features, s.Workers, s.Clients, s.Requests))
 	p.line("memory", fmt.Sprintf("heap held to %d MB; client links' buffers %d MB, bodies of queries %d MB",
 		run.HeapLimit(c.Limits)>>20, s.Buffers>>20, s.Buffers>>20))
 	p.line("attempts", fmt.Sprintf("%d a query at most, connecting within %v, second copies %s, cancelling %s, probes %s",
--- a/internal/link/addresses_test.go
+++ b/internal/link/addresses_test.go
@@ -41,16 +41,16 @@
 	steps.Fuzz(f, func(s *steps.Steps) {
 		w := newWorld(s)
 		var log bytes.Buffer
-		w.loop.linkLog = oplog.New(config.Log{}, "n0", &log).Kind()
-		w.loop.log = w.loop.linkLog
-		w.loop.lists = address.New(config.Addresses{TrustedProxies: []netip.Prefix{netip.MustParsePrefix("10.20.0.0/24")}})
+		w.loop.connectionLog = oplog.New(config.Log{}, "n0", &log).Kind()
+		w.loop.log = w.loop.connectionLog
+		w.loop.addressLists = address.New(config.Addresses{TrustedProxies: []netip.Prefix{netip.MustParsePrefix("10.20.0.0/24")}})
 		start := starts[s.Pick(len(starts))]
 		from, trusted := frontAddr, s.Pick(3) > 0
 		if !trusted {
 			from = "192.0.2.1:40000"
 		}
 		p, fd := w.pair()
-		w.loop.clients.adopt(fd, netip.MustParseAddrPort(from))
+		w.loop.clients.addConnection(fd, netip.MustParseAddrPort(from))
 		began := w.now
 		const ask = "GET /up HTTP/1.1\r\n\r\n"
 		rest := start.text + ask + ask
@@ -75,7 +75,7 @@
 			s.Check(answered == whole && !p.ended, "%d answers, expected %d", answered, whole)
 		}
 		if whole == 0 { // of the first request not all has come: whatever has is given up in time
-			w.now = max(w.now, began+wholeWithin+sweepEvery)
+			w.now = max(w.now, began+requestReadTimeout+expiryInterval)
 			w.turn()
 			if got(); refused || asked < 0 {
 				s.Check(p.ended && len(p.got) == 0, "a header that was not whole: got %q, ended %v", p.got, p.ended)
--- a/internal/link/attempts_test.go
+++ b/internal/link/attempts_test.go
@@ -72,14 +72,14 @@
 // act has the module do something in one turn.
 func (w *attempts) act(actions ...dispatch.Action) {
 	w.module.Next = append(w.module.Next, actions...)
-	w.loop.Ledger.Wake()
+	w.loop.Requests.Wake()
 	w.turn()
 }
 
 // send has an attempt made of a new query.
 func (w *attempts) send(size int) *requests.Request {
 	w.T.Helper()
-	q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+	q, err := w.loop.Requests.Admit(w.now, requests.Arrival{
 		CallID: fmt.Sprint("q", len(w.queries)), Job: dispatch.Job{Remaining: 5 * time.Second},
 		Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{},
 	})
@@ -125,7 +125,7 @@
 func (w *attempts) note(q *requests.Request, state string) {
 	w.T.Helper()
 	result := "r"
-	if _, err := w.loop.Ledger.HandleCallback(requests.Callback{CallID: q.CallID, EndpointID: "s-0", State: state, Result: &result}); err != nil {
+	if _, err := w.loop.Requests.HandleCallback(requests.Callback{CallID: q.CallID, EndpointID: "s-0", State: state, Result: &result}); err != nil {
 		w.T.Fatal(err)
 	}
 	w.turn()
@@ -168,9 +168,9 @@
 		q := w.accepted()
 		links := w.hold()
 		w.act(dispatch.Cancel{Job: q.ID})
-		w.now += w.loop.servers.dial
+		w.now += w.loop.workers.connectTimeout
 		w.turn()
-		w.now += withdrawAgain
+		w.now += cancelRetryDelay
 		w.turn()
 		w.expect("the first connection was late", q)
 		if len(*links) != 2 {
@@ -193,7 +193,7 @@
 		(*links)[0].close()
 		w.turn()
 		w.expect("reset before its last byte", q)
-		w.now += withdrawAgain
+		w.now += cancelRetryDelay
 		w.turn()
 		(*links)[1].release()
 		w.turn()
@@ -201,7 +201,7 @@
 		(*links)[1].read(1 << 12)
 		(*links)[1].close() // without an answer: it may not have come
 		w.turn()
-		w.now += withdrawAgain
+		w.now += cancelRetryDelay
 		w.turn()
 		if len(*links) != 3 {
 			t.Fatalf("%d connections for a DELETE", len(*links))
@@ -222,7 +222,7 @@
 		(*links)[0].release()
 		w.turn()
 		w.expect("not answered yet", q)
-		w.now += withdrawFor
+		w.now += cancelTimeout
 		w.turn()
 		w.expect("it may be cut off, and run it", q)
 		w.now = q.Deadline
@@ -234,18 +234,18 @@
 		q := w.accepted()
 		links := w.hold()
 		w.act(dispatch.Cancel{Job: q.ID})
-		for range 2 * withdrawTimes {
-			w.now += w.loop.servers.dial
+		for range 2 * maxCancelTries {
+			w.now += w.loop.workers.connectTimeout
 			w.turn()
-			w.now += withdrawAgain
+			w.now += cancelRetryDelay
 			w.turn()
 		}
 		w.expect("as before", q)
-		if len(*links) != withdrawTimes || w.loop.servers.open != 0 || len(w.loop.servers.withdrawals) != 0 {
-			t.Errorf("%d connections, %d open, %d withdrawals", len(*links), w.loop.servers.open, len(w.loop.servers.withdrawals))
+		if len(*links) != maxCancelTries || w.loop.workers.openCount != 0 || len(w.loop.workers.cancelTries) != 0 {
+			t.Errorf("%d connections, %d open, %d withdrawals", len(*links), w.loop.workers.openCount, len(w.loop.workers.cancelTries))
 		}
 		w.act(dispatch.Cancel{Job: q.ID}) // which may be asked for again
-		if len(*links) != withdrawTimes+1 {
+		if len(*links) != maxCancelTries+1 {
 			t.Error("it is not withdrawn again")
 		}
 		w.now += 5 * time.Second
@@ -255,12 +255,12 @@
 	t.Run("no descriptor", func(t *testing.T) {
 		w := newAttempts(t)
 		q := w.accepted()
-		most := w.loop.servers.most
-		w.loop.servers.most = 0
+		most := w.loop.workers.maxConnections
+		w.loop.workers.maxConnections = 0
 		w.act(dispatch.Cancel{Job: q.ID})
 		w.expect("no descriptor left", q)
-		w.loop.servers.most = most
-		w.now += withdrawAgain
+		w.loop.workers.maxConnections = most
+		w.now += cancelRetryDelay
 		if w.turn(); !w.dialed[len(w.dialed)-1].deletes(q) {
 			t.Error("nothing is written once there is a descriptor")
 		}
@@ -279,7 +279,7 @@
 		if w.turn(); (*links)[0].deletes(q) || !(*links)[0].ended {
 			t.Errorf("a worker node that is done got %q", (*links)[0].got)
 		}
-		if len(w.loop.servers.withdrawals) != 0 {
+		if len(w.loop.workers.cancelTries) != 0 {
 			t.Error("the withdrawal is still kept")
 		}
 	})
@@ -302,7 +302,7 @@
 		q := w.accepted()
 		links := w.hold()
 		w.act(dispatch.Cancel{Job: q.ID})
-		w.loop.Ledger.ClientDisconnected(q)
+		w.loop.Requests.ClientDisconnected(q)
 		w.turn()
 		(*links)[0].release()
 		if w.turn(); !(*links)[0].deletes(q) {
@@ -414,7 +414,7 @@
 		w := newAttempts(t)
 		links := w.hold()
 		q := w.send(0)
-		w.now += w.loop.servers.dial - time.Millisecond
+		w.now += w.loop.workers.connectTimeout - time.Millisecond
 		(*links)[0].release()
 		w.turn()
 		(*links)[0].read(1 << 12)
@@ -445,7 +445,7 @@
 		links := w.hold()
 		q := w.send(0)
 		p := (*links)[0]
-		w.loop.servers.carried[w.loop.Ledger.InFlightAttempt(q.ID, 0)].await(time.Hour) // a connection may take as long as a query
+		w.loop.workers.byAttempt[w.loop.Requests.InFlightAttempt(q.ID, 0)].setTimeout(time.Hour) // a connection may take as long as a query
 		w.now = q.Deadline
 		p.release()
 		w.turn()
@@ -458,7 +458,7 @@
 		w := newAttempts(t)
 		q := w.send(http1.MaxBodySize)
 		p := w.dialed[0]
-		w.now += w.loop.servers.dial - time.Millisecond
+		w.now += w.loop.workers.connectTimeout - time.Millisecond
 		for range 64 {
 			w.turn()
 			p.read(1 << 20)
@@ -477,7 +477,7 @@
 		p := w.dialed[0]
 		p.read(50)
 		w.turn()
-		w.now += w.loop.servers.dial
+		w.now += w.loop.workers.connectTimeout
 		for range 64 {
 			w.turn()
 			p.read(1 << 20)
@@ -519,7 +519,7 @@
 			x.far(w, q, w.dialed[0])
 			w.turn()
 			w.expect(name, q, x.want...)
-			if w.loop.servers.open != 0 {
+			if w.loop.workers.openCount != 0 {
 				t.Error("the link is still kept")
 			}
 		})
@@ -541,7 +541,7 @@
 			p.write([]byte(accepted))
 			w.turn()
 			w.expect("and accepted", q, want)
-			w.now += settleFor
+			w.now += reuseDelay
 			next := w.send(0)
 			if p.read(1 << 12); len(w.dialed) != 1 || !strings.Contains(string(p.got), "X-Call-Id: "+next.CallID+"\r\n") {
 				t.Errorf("%d links, the free one carries %q", len(w.dialed), p.got)
@@ -555,32 +555,32 @@
 func TestSecondAnswer(t *testing.T) {
 	const refused = "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, far := range map[string]func(w *attempts, p *peer){
-		"right behind the first": func(w *attempts, p *peer) { p.write([]byte(accepted + refused)); w.turn(); w.now += settleFor },
-		"half of one behind it":  func(w *attempts, p *peer) { p.write([]byte(accepted + refused[:5])); w.turn(); w.now += settleFor },
+		"right behind the first": func(w *attempts, p *peer) { p.write([]byte(accepted + refused)); w.turn(); w.now += reuseDelay },
+		"half of one behind it":  func(w *attempts, p *peer) { p.write([]byte(accepted + refused[:5])); w.turn(); w.now += reuseDelay },
 		"at rest": func(w *attempts, p *peer) {
 			p.write([]byte(accepted))
 			w.turn()
-			w.now += settleFor
+			w.now += reuseDelay
 			p.write([]byte(refused))
 			w.turn()
 		},
 		"between what is gathered and what is written": func(w *attempts, p *peer) {
 			p.write([]byte(accepted))
 			w.turn()
-			w.now += settleFor
+			w.now += reuseDelay
 			w.loop.UpdateNow()
-			q, _ := w.loop.Ledger.Admit(w.now, requests.Arrival{
+			q, _ := w.loop.Requests.Admit(w.now, requests.Arrival{
 				CallID: "between", Job: dispatch.Job{Remaining: 5 * time.Second},
 				Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: nobody{},
 			})
 			w.module.Next = append(w.module.Next, dispatch.Send{Job: q.ID, Worker: w.worker()})
 			p.write([]byte(refused))
-			w.loop.Ledger.Step(w.now)
+			w.loop.Requests.Step(w.now)
 		},
 		"some milliseconds later": func(w *attempts, p *peer) {
 			p.write([]byte(accepted))
 			w.turn()
-			w.now += settleFor - time.Millisecond
+			w.now += reuseDelay - time.Millisecond
 			w.send(0)
 			p.write([]byte(refused))
 			w.turn()
@@ -673,7 +673,7 @@
 		p.close()
 		w.turn()
 		w.expect(fmt.Sprintf("%q, closed", text), q, want...)
-		if w.loop.servers.open != 0 || len(w.loop.servers.carried) != 0 {
+		if w.loop.workers.openCount != 0 || len(w.loop.workers.byAttempt) != 0 {
 			t.Errorf("%q: the link is still kept", text)
 		}
 	}
@@ -696,15 +696,15 @@
 			p := w.dialed[0]
 			p.read(1 << 12)
 			p.write([]byte(x.head))
-			k := w.loop.servers.carried[w.loop.Ledger.InFlightAttempt(q.ID, 0)]
+			k := w.loop.workers.byAttempt[w.loop.Requests.InFlightAttempt(q.ID, 0)]
 			piece, most := strings.Repeat(x.again, 4096/len(x.again)), 0
-			for n := 0; n < 4*mostAnswer && !p.ended; n += len(piece) {
+			for n := 0; n < 4*maxResponseSize && !p.ended; n += len(piece) {
 				p.write([]byte(piece))
 				w.turn()
 				most = max(most, len(k.Input()))
 				p.read(1)
 			}
-			if !p.ended || most > mostAnswer+64<<10 {
+			if !p.ended || most > maxResponseSize+64<<10 {
 				t.Fatalf("ended %v, %d bytes were kept", p.ended, most)
 			}
 			w.expect("spoilt", q, dispatch.ConnectionReset)
--- a/internal/link/clients.go
+++ b/internal/link/clients.go
@@ -21,71 +21,71 @@
 
 // Paths that are no query's.
 const (
-	pathUp    = "/up"
-	pathNotes = "/v1/job-events"
+	pathUp        = "/up"
+	pathCallbacks = "/v1/job-events"
 )
 
 const (
-	wholeWithin  = 2 * time.Second // a request must be whole: counted from its first byte, the first one's from connecting
-	readWithin   = 5 * time.Second // a peer must take in some of an answer
-	lingerQuiet  = time.Second     // after the last answer of a link: for the peer to close, or to send on
-	lingerMost   = 5 * time.Second
-	sweepEvery   = 250 * time.Millisecond
-	acceptAgain  = 50 * time.Millisecond  // after no descriptor was left
-	graceAtFirst = 250 * time.Millisecond // a link is not closed to make room sooner than this after its start
-	acceptAtOnce = 128                    // in a flood of connections, the links that are there have their turns too
-	maxID        = 128
-	maxKey       = 256
+	requestReadTimeout    = 2 * time.Second // a request must be whole: counted from its first byte, the first one's from connecting
+	responseUnreadTimeout = 5 * time.Second // a peer must take in some of an answer
+	lingerIdleTimeout     = time.Second     // after the last answer of a link: for the peer to close, or to send on
+	maxLingerTime         = 5 * time.Second
+	expiryInterval        = 250 * time.Millisecond
+	acceptRetryDelay      = 50 * time.Millisecond  // after no descriptor was left
+	evictionGrace         = 250 * time.Millisecond // a link is not closed to make room sooner than this after its start
+	maxAcceptsPerEvent    = 128                    // in a flood of connections, the links that are there have their turns too
+	maxCallIDSize         = 128
+	maxIdempotencyKeySize = 256
 )
 
-// clientLinks accepts connections. Clients come in here, and so do worker nodes with their notes.
-type clientLinks struct {
-	loop    *Loop
-	fd      int
-	most    int // links held at once, but for those in parting
-	queries int // and queries, which is fewer: what ends them, worker nodes' notes, needs links too
-	links   map[*clientLink]struct{}
+// clientListener accepts connections. Clients come in here, and so do worker nodes with their notes.
+type clientListener struct {
+	loop           *Loop
+	fd             int
+	maxConnections int // links held at once, but for those in parting
+	maxRequests    int // and queries, which is fewer: what ends them, worker nodes' notes, needs links too
+	connections    map[*clientConnection]struct{}
 	// Links without a request in hand, longest first, in the order in which they make room: those that have only
 	// had errors for an answer, those that have had their last, those that have not asked yet, and the useful ones.
-	useless, leaving, mute, idle list.List
-	parting                      list.List // those that have made room, while they are shut but not closed yet
-	partings                     int       // and how many there may be, besides most
-	held                         int       // bytes in the links' buffers
-	budget                       int       // and how many there may be; as much again may wait in queries
-	paused                       bool
-	again                        *eventloop.Timer
-	draining                     bool
-	closing                      bool // takes no query any more
-	set                          *dispatch.Settings
-	classes                      map[string]int
-	tenants                      map[string]int
-}
-
-func (l *Loop) accept(most, budget int, set *dispatch.Settings, names requests.NameTable) {
-	l.clients = &clientLinks{
-		loop: l, fd: -1, links: map[*clientLink]struct{}{}, set: set,
+	rejectedOnly, finished, silent, idle list.List
+	evicted                              list.List // those that have made room, while they are shut but not closed yet
+	maxEvicted                           int       // and how many there may be, besides most
+	bufferedBytes                        int       // bytes in the links' buffers
+	maxBufferedBytes                     int       // and how many there may be; as much again may wait in queries
+	acceptPaused                         bool
+	resumeTimer                          *eventloop.Timer
+	draining                             bool
+	closing                              bool // takes no query any more
+	settings                             *dispatch.Settings
+	classes                              map[string]int
+	tenants                              map[string]int
+}
+
+func (l *Loop) openClientListener(most, budget int, set *dispatch.Settings, names requests.NameTable) {
+	l.clients = &clientListener{
+		loop: l, fd: -1, connections: map[*clientConnection]struct{}{}, settings: set,
 		classes: index(names.Classes), tenants: index(names.Tenants),
 	}
-	l.clients.limit(most, budget)
-	l.clients.sweep()
+	l.clients.setLimits(most, budget)
+	l.clients.closeExpired()
 }
 
-// limit sets how many links are held, and how many bytes. Where there are more links, idle ones make room.
-func (c *clientLinks) limit(links, budget int) {
-	c.partings = links / 32 // out of those that queries leave
-	c.most = links - c.partings
-	c.queries, c.budget = mostQueries(links), budget
-	for c.inUse() > c.most && c.evict() {
+// setLimits sets how many links are held, and how many bytes. Where there are more links, idle ones make room.
+func (c *clientListener) setLimits(links, budget int) {
+	c.maxEvicted = links / 32 // out of those that queries leave
+	c.maxConnections = links - c.maxEvicted
+	c.maxRequests, c.maxBufferedBytes = maxRequestsFor(links), budget
+	for c.activeCount() > c.maxConnections && c.evict() {
 	}
-	c.part()
-	c.resume()
+	c.closeExcessEvicted()
+	c.resumeIfRoom()
 }
 
-// inUse counts the links but for those that have made room.
-func (c *clientLinks) inUse() int { return len(c.links) - c.parting.Len() }
+// activeCount counts the links but for those that have made room.
+func (c *clientListener) activeCount() int { return len(c.connections) - c.evicted.Len() }
 
-// mostQueries leaves links for what ends queries.
-func mostQueries(links int) int { return links - max(8, links/10) }
+// maxRequestsFor leaves links for what ends queries.
+func maxRequestsFor(links int) int { return links - max(8, links/10) }
 
 func index(names []string) map[string]int {
 	m := map[string]int{}
@@ -97,13 +97,13 @@
 
 // HandleEvents accepts what waits. Where descriptors run out, the link that has been idle longest makes room; where
 // none is idle, new connections wait in the backlog: turned away there, their queries would be lost.
-func (c *clientLinks) HandleEvents(uint32) {
-	for range acceptAtOnce {
-		if c.inUse() >= c.most && !c.evict() {
-			c.pause()
+func (c *clientListener) HandleEvents(uint32) {
+	for range maxAcceptsPerEvent {
+		if c.activeCount() >= c.maxConnections && !c.evict() {
+			c.pauseAccepting()
 			return
 		}
-		if len(c.links)+c.loop.ClosingCount() >= c.most+c.partings {
+		if len(c.connections)+c.loop.ClosingCount() >= c.maxConnections+c.maxEvicted {
 			return // told again, once descriptors given up in this turn are closed
 		}
 		fd, sa, err := unix.Accept4(c.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -115,68 +115,68 @@
 		case err != nil: // EMFILE, ENFILE, ENOMEM
 			c.loop.log.Error("accepting failed", "error", err)
 			c.evict()
-			c.pause()
+			c.pauseAccepting()
 			return
 		}
-		if from := eventloop.AddrPort(sa); c.loop.admits(fd, from) {
-			c.adopt(fd, from)
+		if from := eventloop.AddrPort(sa); c.loop.isAddressAdmitted(fd, from) {
+			c.addConnection(fd, from)
 		}
 	}
 }
 
-// adopt makes a link of a connection.
-func (c *clientLinks) adopt(fd int, from netip.AddrPort) {
-	k := &clientLink{home: c, since: c.loop.Now(), client: from, introduced: c.loop.lists == nil}
+// addConnection makes a link of a connection.
+func (c *clientListener) addConnection(fd int, from netip.AddrPort) {
+	k := &clientConnection{listener: c, lastActivity: c.loop.Now(), clientAddress: from, proxyHeaderDone: c.loop.addressLists == nil}
 	var err error
 	if k.Stream, err = c.loop.OpenStream(fd, eventloop.StreamEvents, k); err != nil {
 		c.loop.log.Error("accepting failed", "error", err)
 		_ = unix.Close(fd)
 		return
 	}
-	c.links[k] = struct{}{}
-	k.rest()
+	c.connections[k] = struct{}{}
+	k.becomeIdle()
 }
 
-// sweep ends links on which nothing goes on that should: each holds a descriptor, and some hold a buffer. One that
+// closeExpired ends links on which nothing goes on that should: each holds a descriptor, and some hold a buffer. One that
 // awaits an answer of ours, or has had one and is idle, is let be.
-func (c *clientLinks) sweep() {
-	c.loop.StartTimer(sweepEvery, c, c.sweep)
-	for k := range c.links {
-		age := c.loop.Now() - k.since
+func (c *clientListener) closeExpired() {
+	c.loop.StartTimer(expiryInterval, c, c.closeExpired)
+	for k := range c.connections {
+		age := c.loop.Now() - k.lastActivity
 		switch {
 		case k.lingering:
-			if age >= lingerQuiet || c.loop.Now()-k.lingers >= lingerMost {
-				k.end()
+			if age >= lingerIdleTimeout || c.loop.Now()-k.lingerStart >= maxLingerTime {
+				k.terminate()
 			}
 		case len(k.Output()) > 0:
-			if age >= readWithin {
-				k.end()
+			if age >= responseUnreadTimeout {
+				k.terminate()
 			}
-		case len(k.turns) > 0 || k.useful && len(k.Input()) == 0 || age < wholeWithin:
-		case len(k.Input()) > 0 && k.introduced && !k.last:
-			k.refuse(408, "request not whole\n")
-		case !k.introduced && len(k.Input()) > 0: // it may be the start of a PROXY header, so nothing is written
-			k.shut(&c.leaving)
-		case !k.spoke: // has connected and says nothing
-			k.dismiss(&c.leaving)
+		case len(k.slots) > 0 || k.usefulRequestSeen && len(k.Input()) == 0 || age < requestReadTimeout:
+		case len(k.Input()) > 0 && k.proxyHeaderDone && !k.lastRequestRead:
+			k.rejectInput(408, "request not whole\n")
+		case !k.proxyHeaderDone && len(k.Input()) > 0: // it may be the start of a PROXY header, so nothing is written
+			k.linger(&c.finished)
+		case !k.requestSeen: // has connected and says nothing
+			k.dismiss(&c.finished)
 		}
 	}
 }
 
-func (c *clientLinks) HandlePanic() {}
+func (c *clientListener) HandlePanic() {}
 
 // evict has the link that is missed least make room, and tells whether there was one. What had just come in on it is
 // taken first; what comes from then on its client asks again elsewhere. A link that has just connected, or just had its
 // last answer, is let be: it may be a usual client's or a worker node's, whose request is on its way.
-func (c *clientLinks) evict() bool {
-	for _, from := range []*list.List{&c.useless, &c.leaving, &c.mute, &c.idle} {
+func (c *clientListener) evict() bool {
+	for _, from := range []*list.List{&c.rejectedOnly, &c.finished, &c.silent, &c.idle} {
 		for e := from.Front(); e != nil; e = from.Front() {
-			k := e.Value.(*clientLink)
-			if from != &c.idle && from != &c.useless && c.loop.Now()-k.since < graceAtFirst {
+			k := e.Value.(*clientConnection)
+			if from != &c.idle && from != &c.rejectedOnly && c.loop.Now()-k.lastActivity < evictionGrace {
 				break
 			}
-			if k.dismiss(&c.parting) {
-				c.part()
+			if k.dismiss(&c.evicted) {
+				c.closeExcessEvicted()
 				return true
 			}
 		}
@@ -184,62 +184,62 @@
 	return false
 }
 
-// part closes links that have made room where there are too many of those, the first ones first.
-func (c *clientLinks) part() {
-	for c.parting.Len() > c.partings {
-		c.parting.Front().Value.(*clientLink).end()
+// closeExcessEvicted closes links that have made room where there are too many of those, the first ones first.
+func (c *clientListener) closeExcessEvicted() {
+	for c.evicted.Len() > c.maxEvicted {
+		c.evicted.Front().Value.(*clientConnection).terminate()
 	}
 }
 
-func (c *clientLinks) pause() {
-	if !c.paused {
-		c.paused = true
-		c.listen(0)
-		c.loop.StopTimer(c.again)
-		c.again = c.loop.StartTimer(acceptAgain, c, c.reopen) // some link may make room by then
+func (c *clientListener) pauseAccepting() {
+	if !c.acceptPaused {
+		c.acceptPaused = true
+		c.setListenerEvents(0)
+		c.loop.StopTimer(c.resumeTimer)
+		c.resumeTimer = c.loop.StartTimer(acceptRetryDelay, c, c.resumeAccepting) // some link may make room by then
 	}
 }
 
-func (c *clientLinks) reopen() {
-	if c.paused {
-		c.paused = false
-		c.listen(unix.EPOLLIN)
+func (c *clientListener) resumeAccepting() {
+	if c.acceptPaused {
+		c.acceptPaused = false
+		c.setListenerEvents(unix.EPOLLIN)
 	}
 }
 
-func (c *clientLinks) resume() {
-	if c.inUse() < c.most {
-		c.reopen()
+func (c *clientListener) resumeIfRoom() {
+	if c.activeCount() < c.maxConnections {
+		c.resumeAccepting()
 	}
 }
 
-func (c *clientLinks) listen(events uint32) {
+func (c *clientListener) setListenerEvents(events uint32) {
 	c.loop.Modify(c.fd, events)
 }
 
 // close closes links between queries from now on; queries that come all the same are refused. Links that worker nodes have
 // stay open, as do those that they open: each note is an answer that some client waits for.
-func (c *clientLinks) close() {
+func (c *clientListener) close() {
 	c.closing = true
-	var resting []*clientLink // one that is shut may bring about that others move
-	for _, among := range []*list.List{&c.useless, &c.mute, &c.idle} {
+	var resting []*clientConnection // one that is shut may bring about that others move
+	for _, among := range []*list.List{&c.rejectedOnly, &c.silent, &c.idle} {
 		for e := among.Front(); e != nil; e = e.Next() {
-			resting = append(resting, e.Value.(*clientLink))
+			resting = append(resting, e.Value.(*clientConnection))
 		}
 	}
 	for _, k := range resting {
-		if k.place != nil && !k.tellsNotes {
-			k.dismiss(&c.leaving)
+		if k.waitingElement != nil && !k.sendsCallbacks {
+			k.dismiss(&c.finished)
 		}
 	}
 }
 
-// closes tells whether the link ends with what is answered on it now.
-func (k *clientLink) closes() bool { return k.home.closing && !k.tellsNotes }
+// closesAfterResponse tells whether the link ends with what is answered on it now.
+func (k *clientConnection) closesAfterResponse() bool { return k.listener.closing && !k.sendsCallbacks }
 
-// quiet tells whether all that was answered has left.
-func (c *clientLinks) quiet() bool {
-	for k := range c.links {
+// hasSentAll tells whether all that was answered has left.
+func (c *clientListener) hasSentAll() bool {
+	for k := range c.connections {
 		if len(k.Output()) > 0 {
 			return false
 		}
@@ -247,304 +247,304 @@
 	return true
 }
 
-// clientLink is one accepted connection. What comes in on it is answered in turn.
-type clientLink struct {
+// clientConnection is one accepted connection. What comes in on it is answered in turn.
+type clientConnection struct {
 	eventloop.Stream
-	home      *clientLinks
-	turns     []*turn // taken in and not answered yet, in order
-	last      bool    // no further request is taken: the link ends with its last turn
-	half      bool    // the client has ended its side
-	ended     bool    // and all that it has sent is read
-	overrun   bool    // it has sent too much ahead of its answers: what still comes is not kept
-	sounded   bool    // it has been asked whether it still listens, see sound
-	lingering bool    // all is answered, and the peer may still send
-	continued bool
-	spoke     bool // a whole request has come
-	useful    bool // and one that was of use: a query, or news of one; anybody can ask whether we are up
-	// tellsNotes is set on a worker node's link: what it brought last was news of a query.
-	tellsNotes bool
-	since      time.Duration  // when something last began or went on, see sweep
-	lingers    time.Duration  // when it began to
-	taking     int            // bytes at the start of in that are the request which is being taken
-	waiting    []arrival      // of what is in
-	came       time.Duration  // when the request that is being taken did
-	counted    int            // bytes that home.held has for it
-	client     netip.AddrPort // whom it speaks for
-	via        netip.AddrPort // and by which front; not valid: by none
-	// introduced is set once it is known whether a PROXY header comes first.
-	introduced bool
-	among      *list.List    // the links without a request in hand, if it is one of those
-	place      *list.Element // and where it is there
-}
-
-// turn is one request's place in the order of answers. It is the Asker of a query.
-type turn struct {
-	link   *clientLink
-	query  *requests.Request // while it is served
-	keep   bool              // the request lets the link live on
-	done   bool
-	status int
-	body   []byte
-	retry  time.Duration
-}
-
-// wait puts the link among those without a request in hand.
-func (k *clientLink) wait(among *list.List) {
-	if !k.IsOpen() || k.among == among {
+	listener          *clientListener
+	slots             []*responseSlot // taken in and not answered yet, in order
+	lastRequestRead   bool            // no further request is taken: the link ends with its last turn
+	halfClosed        bool            // the client has ended its side
+	inputEnded        bool            // and all that it has sent is read
+	inputOverrun      bool            // it has sent too much ahead of its answers: what still comes is not kept
+	halfCloseProbed   bool            // it has been asked whether it still listens, see sound
+	lingering         bool            // all is answered, and the peer may still send
+	continueSent      bool
+	requestSeen       bool // a whole request has come
+	usefulRequestSeen bool // and one that was of use: a query, or news of one; anybody can ask whether we are up
+	// sendsCallbacks is set on a worker node's link: what it brought last was news of a query.
+	sendsCallbacks     bool
+	lastActivity       time.Duration  // when something last began or went on, see sweep
+	lingerStart        time.Duration  // when it began to
+	currentRequestSize int            // bytes at the start of in that are the request which is being taken
+	arrivals           []arrival      // of what is in
+	currentArrival     time.Duration  // when the request that is being taken did
+	countedBytes       int            // bytes that home.held has for it
+	clientAddress      netip.AddrPort // whom it speaks for
+	proxyAddress       netip.AddrPort // and by which front; not valid: by none
+	// proxyHeaderDone is set once it is known whether a PROXY header comes first.
+	proxyHeaderDone bool
+	waitingList     *list.List    // the links without a request in hand, if it is one of those
+	waitingElement  *list.Element // and where it is there
+}
+
+// responseSlot is one request's place in the order of answers. It is the Asker of a query.
+type responseSlot struct {
+	connection *clientConnection
+	request    *requests.Request // while it is served
+	keepAlive  bool              // the request lets the link live on
+	isComplete bool
+	statusCode int
+	body       []byte
+	retryAfter time.Duration
+}
+
+// enterWaitingList puts the link among those without a request in hand.
+func (k *clientConnection) enterWaitingList(among *list.List) {
+	if !k.IsOpen() || k.waitingList == among {
 		return
 	}
-	k.busy()
-	k.among, k.place = among, among.PushBack(k)
+	k.leaveWaitingList()
+	k.waitingList, k.waitingElement = among, among.PushBack(k)
 }
 
-// rest marks the link as being between requests.
-func (k *clientLink) rest() {
+// becomeIdle marks the link as being between requests.
+func (k *clientConnection) becomeIdle() {
 	switch {
-	case k.useful:
-		k.wait(&k.home.idle)
-	case k.spoke:
-		k.wait(&k.home.useless)
+	case k.usefulRequestSeen:
+		k.enterWaitingList(&k.listener.idle)
+	case k.requestSeen:
+		k.enterWaitingList(&k.listener.rejectedOnly)
 	default:
-		k.wait(&k.home.mute)
+		k.enterWaitingList(&k.listener.silent)
 	}
 }
 
-// busy takes the link from among those without a request in hand.
-func (k *clientLink) busy() {
-	if k.place != nil {
-		k.among.Remove(k.place)
-		k.among, k.place = nil, nil
+// leaveWaitingList takes the link from among those without a request in hand.
+func (k *clientConnection) leaveWaitingList() {
+	if k.waitingElement != nil {
+		k.waitingList.Remove(k.waitingElement)
+		k.waitingList, k.waitingElement = nil, nil
 	}
 }
 
 // dismiss shuts a link without a request in hand, unless one has just come in. It tells whether the link makes room.
-func (k *clientLink) dismiss(among *list.List) bool {
-	place := k.place
-	if k.home.loop.Protect(k, func() { k.HandleEvents(unix.EPOLLIN) }); k.IsOpen() && place != nil && k.place == place {
-		k.shut(among)
+func (k *clientConnection) dismiss(among *list.List) bool {
+	place := k.waitingElement
+	if k.listener.loop.Protect(k, func() { k.HandleEvents(unix.EPOLLIN) }); k.IsOpen() && place != nil && k.waitingElement == place {
+		k.linger(among)
 	}
-	return !k.IsOpen() || k.among == among
+	return !k.IsOpen() || k.waitingList == among
 }
 
-// shut ends what we write. What the peer still sends is taken in unread up to its own end, for a while: closed over
+// linger ends what we write. What the peer still sends is taken in unread up to its own end, for a while: closed over
 // unread bytes, a link is reset, and that takes along what the peer has not had of the answers before.
-func (k *clientLink) shut(among *list.List) {
+func (k *clientConnection) linger(among *list.List) {
 	if !k.lingering {
-		k.last = true
+		k.lastRequestRead = true
 		k.DropInput()
-		k.lingering, k.lingers, k.since = true, k.home.loop.Now(), k.home.loop.Now()
+		k.lingering, k.lingerStart, k.lastActivity = true, k.listener.loop.Now(), k.listener.loop.Now()
 		k.CloseWrite()
 	}
-	k.wait(among)
-	k.attend()
-	k.count()
+	k.enterWaitingList(among)
+	k.updateInputEvents()
+	k.updateBufferedBytes()
 }
 
-// count keeps home.held right.
-func (k *clientLink) count() {
+// updateBufferedBytes keeps home.held right.
+func (k *clientConnection) updateBufferedBytes() {
 	now := k.BufferSize()
-	k.home.held += now - k.counted
-	k.counted = now
+	k.listener.bufferedBytes += now - k.countedBytes
+	k.countedBytes = now
 }
 
-// end closes the link; the queries that it carries have lost their client.
-func (k *clientLink) end() {
+// terminate closes the link; the queries that it carries have lost their client.
+func (k *clientConnection) terminate() {
 	if !k.IsOpen() {
 		return
 	}
-	k.busy()
+	k.leaveWaitingList()
 	k.Close()
-	k.count()
-	delete(k.home.links, k)
-	for _, t := range k.turns {
-		if q := t.query; q != nil {
-			if k.tells(slog.LevelInfo) {
-				k.tell(slog.LevelInfo, "query left by its client", slog.String("query", q.CallID))
+	k.updateBufferedBytes()
+	delete(k.listener.connections, k)
+	for _, t := range k.slots {
+		if q := t.request; q != nil {
+			if k.isLogEnabled(slog.LevelInfo) {
+				k.logEvent(slog.LevelInfo, "query left by its client", slog.String("query", q.CallID))
 			}
-			t.query = nil
-			k.home.loop.Ledger.ClientDisconnected(q)
+			t.request = nil
+			k.listener.loop.Requests.ClientDisconnected(q)
 		}
 	}
-	k.turns = nil
+	k.slots = nil
 }
 
-func (k *clientLink) HandlePanic() { k.end() }
+func (k *clientConnection) HandlePanic() { k.terminate() }
 
 // Priority puts the events of clients before those of worker nodes. A client that has left is known before a connection that
 // has just come up is written to, and what a worker node has told of an attempt before the end of the link that carried it.
-func (k *clientLink) Priority() eventloop.Priority { return eventloop.PriorityHigh }
+func (k *clientConnection) Priority() eventloop.Priority { return eventloop.PriorityHigh }
 
-func (k *clientLink) HandleEvents(events uint32) {
+func (k *clientConnection) HandleEvents(events uint32) {
 	if events&(unix.EPOLLHUP|unix.EPOLLERR) != 0 && !k.lingering {
-		k.cut()
+		k.handleReset()
 		return
 	}
 	if events&unix.EPOLLOUT != 0 {
 		before := len(k.Output())
 		if k.Flush() != nil {
-			k.end()
+			k.terminate()
 			return
 		}
 		if len(k.Output()) < before {
-			k.since = k.home.loop.Now()
+			k.lastActivity = k.listener.loop.Now()
 		}
 	}
 	// Its end is told however much it has sent before that.
-	k.half = k.half || events&unix.EPOLLRDHUP != 0
-	if events&^unix.EPOLLOUT != 0 && !k.ended {
+	k.halfClosed = k.halfClosed || events&unix.EPOLLRDHUP != 0
+	if events&^unix.EPOLLOUT != 0 && !k.inputEnded {
 		take := k.Fill
-		if k.last || k.overrun {
+		if k.lastRequestRead || k.inputOverrun {
 			take = k.discardInput
-		} else if k.spoke && len(k.Input()) == 0 { // another request begins, however long the link was idle
-			k.since = k.home.loop.Now()
+		} else if k.requestSeen && len(k.Input()) == 0 { // another request begins, however long the link was idle
+			k.lastActivity = k.listener.loop.Now()
 		}
 		ended, err := take()
 		if err != nil {
-			k.end()
+			k.terminate()
 			return
 		}
-		k.ended = k.ended || ended
+		k.inputEnded = k.inputEnded || ended
 	}
-	k.proceed()
+	k.readRequests()
 }
 
-// cut ends a link whose connection is gone both ways. Nobody waits for an answer, so no query is taken from what came
+// handleReset ends a link whose connection is gone both ways. Nobody waits for an answer, so no query is taken from what came
 // before that; news is news all the same.
-func (k *clientLink) cut() {
-	for !k.last && len(k.turns) == 0 && len(k.Input()) <= mostAhead {
+func (k *clientConnection) handleReset() {
+	for !k.lastRequestRead && len(k.slots) == 0 && len(k.Input()) <= maxReadAhead {
 		before := len(k.Input())
 		if _, err := k.Fill(); err != nil || len(k.Input()) == before {
 			break
 		}
 	}
-	for !k.last && len(k.turns) == 0 && len(k.Input()) > 0 && k.introduce() {
-		m := &k.home.loop.request
+	for !k.lastRequestRead && len(k.slots) == 0 && len(k.Input()) > 0 && k.readProxyHeader() {
+		m := &k.listener.loop.request
 		n, err := m.Parse(k.Input())
 		if err != nil {
 			break
 		}
-		if path, _, _ := bytes.Cut(m.Target, []byte("?")); string(path) == pathNotes && string(m.Method) == "POST" {
-			_ = k.tellNote(m.Body)
+		if path, _, _ := bytes.Cut(m.Target, []byte("?")); string(path) == pathCallbacks && string(m.Method) == "POST" {
+			_ = k.applyCallback(m.Body)
 		}
 		k.Consume(n)
 	}
-	k.end()
+	k.terminate()
 }
 
 // discardInput takes in what nobody will read, so that closing the link does not reset it and take the answer along.
-func (k *clientLink) discardInput() (ended bool, err error) {
+func (k *clientConnection) discardInput() (ended bool, err error) {
 	n, ended, err := k.Stream.Discard()
 	if n > 0 {
-		k.since = k.home.loop.Now()
+		k.lastActivity = k.listener.loop.Now()
 	}
 	return ended, err
 }
 
-// sound asks a client that has ended its side whether it still listens. One that has closed its connection has gone
+// probeHalfClosed asks a client that has ended its side whether it still listens. One that has closed its connection has gone
 // away, one that has only finished writing still waits, and both look alike until something is written: a closed
 // connection answers an interim response with a reset, and any client must skip one. Where the reset is there at once,
 // the link ends at once, before anything is sent on.
-func (k *clientLink) sound() {
-	if k.sounded {
+func (k *clientConnection) probeHalfClosed() {
+	if k.halfCloseProbed {
 		return
 	}
-	k.sounded = true
+	k.halfCloseProbed = true
 	if k.Send([]byte(http1.ContinueResponse)) != nil || k.ConnectError() != nil {
-		k.end()
+		k.terminate()
 	}
 }
 
-// mostTurns is how many requests of a link are taken in at once. A client sends one at a time; one that does
+// maxResponseSlots is how many requests of a link are taken in at once. A client sends one at a time; one that does
 // not wait for its answers is served in turn, and its time counts from when each request came.
-const mostTurns = 16
+const maxResponseSlots = 16
 
-// mostAhead is how much is read and kept while answers are due: a whole message and the start of another. Where there
+// maxReadAhead is how much is read and kept while answers are due: a whole message and the start of another. Where there
 // is memory it may be mostHoarded. What comes beyond that is taken in unread, so that the client's end is noticed all the
 // same: the requests that are kept are answered, one more is refused, and the link ends.
 const (
-	mostAhead   = http1.MaxHeaderSize + http1.MaxBodySize
-	mostHoarded = 8 * mostAhead
+	maxReadAhead           = http1.MaxHeaderSize + http1.MaxBodySize
+	maxReadAheadWithMemory = 8 * maxReadAhead
 )
 
-// proceed takes in what can be taken.
-func (k *clientLink) proceed() {
-	for !k.last && k.IsOpen() && len(k.turns) < mostTurns && len(k.Output()) <= maxUnread && len(k.Input()) > 0 && k.introduce() {
-		m := &k.home.loop.request
+// readRequests takes in what can be taken.
+func (k *clientConnection) readRequests() {
+	for !k.lastRequestRead && k.IsOpen() && len(k.slots) < maxResponseSlots && len(k.Output()) <= maxUnreadOutput && len(k.Input()) > 0 && k.readProxyHeader() {
+		m := &k.listener.loop.request
 		n, err := m.Parse(k.Input())
 		var bad *http1.ParseError
 		if errors.As(err, &bad) {
-			k.refuse(bad.StatusCode, bad.Reason+"\n")
+			k.rejectInput(bad.StatusCode, bad.Reason+"\n")
 			break
 		}
 		if err != nil {
-			if k.useful {
-				k.busy()
+			if k.usefulRequestSeen {
+				k.leaveWaitingList()
 			}
-			if k.overrun {
-				k.tooMuch()
-			} else if k.home.held > k.home.budget && len(k.Input()) > eventloop.MaxIdleBuffer {
-				k.refuse(503, "no memory for a large request now\n")
-			} else if m.ExpectContinue && !k.continued && len(k.turns) == 0 {
-				k.continued = true
+			if k.inputOverrun {
+				k.rejectOverrun()
+			} else if k.listener.bufferedBytes > k.listener.maxBufferedBytes && len(k.Input()) > eventloop.MaxIdleBuffer {
+				k.rejectInput(503, "no memory for a large request now\n")
+			} else if m.ExpectContinue && !k.continueSent && len(k.slots) == 0 {
+				k.continueSent = true
 				_ = k.Send([]byte(http1.ContinueResponse))
 			}
 			break
 		}
-		k.busy()
-		if !k.spoke && k.tells(slog.LevelInfo) {
-			k.tell(slog.LevelInfo, "client link open")
+		k.leaveWaitingList()
+		if !k.requestSeen && k.isLogEnabled(slog.LevelInfo) {
+			k.logEvent(slog.LevelInfo, "client link open")
 		}
-		k.continued, k.spoke, k.since = false, true, k.home.loop.Now()
-		k.taking, k.came = n, k.arrived(n)
-		k.request(m, k.add(m.KeepAlive))
-		if k.taking = 0; k.IsOpen() {
+		k.continueSent, k.requestSeen, k.lastActivity = false, true, k.listener.loop.Now()
+		k.currentRequestSize, k.currentArrival = n, k.arrivalTime(n)
+		k.handleRequest(m, k.reserveSlot(m.KeepAlive))
+		if k.currentRequestSize = 0; k.IsOpen() {
 			k.Consume(n)
 		}
 	}
-	if k.overrun && !k.last && len(k.Input()) == 0 && len(k.turns) < mostTurns {
-		k.tooMuch()
+	if k.inputOverrun && !k.lastRequestRead && len(k.Input()) == 0 && len(k.slots) < maxResponseSlots {
+		k.rejectOverrun()
 	}
 	if !k.IsOpen() {
 		return
 	}
-	if k.last {
+	if k.lastRequestRead {
 		k.DropInput()
-		k.waiting = nil
+		k.arrivals = nil
 	}
-	k.stamp()
-	k.overrun = k.overrun || k.hoards()
-	if k.half && len(k.turns) > 0 {
-		if k.sound(); !k.IsOpen() {
+	k.recordArrival()
+	k.inputOverrun = k.inputOverrun || k.exceedsReadAhead()
+	if k.halfClosed && len(k.slots) > 0 {
+		if k.probeHalfClosed(); !k.IsOpen() {
 			return
 		}
 	}
-	k.attend()
+	k.updateInputEvents()
 	switch {
-	case len(k.turns) > 0 || len(k.Output()) > 0:
-	case k.ended:
-		k.end()
+	case len(k.slots) > 0 || len(k.Output()) > 0:
+	case k.inputEnded:
+		k.terminate()
 		return
-	case k.last && !k.lingering:
-		k.shut(&k.home.leaving)
-	case len(k.Input()) == 0 && !k.last:
-		if k.rest(); k.closes() && k.spoke {
-			k.shut(&k.home.leaving)
+	case k.lastRequestRead && !k.lingering:
+		k.linger(&k.listener.finished)
+	case len(k.Input()) == 0 && !k.lastRequestRead:
+		if k.becomeIdle(); k.closesAfterResponse() && k.requestSeen {
+			k.linger(&k.listener.finished)
 		}
 	}
-	k.count()
+	k.updateBufferedBytes()
 }
 
-// turnAway answers a request that is no query, or may not be one.
-func (k *clientLink) turnAway(t *turn, in *requests.Arrival, status int, what string) {
-	k.home.loop.Ledger.ReportRejection(in, status)
-	t.reply(status, what+"\n")
+// rejectRequest answers a request that is no query, or may not be one.
+func (k *clientConnection) rejectRequest(t *responseSlot, in *requests.Arrival, status int, what string) {
+	k.listener.loop.Requests.ReportRejection(in, status)
+	t.respond(status, what+"\n")
 }
 
-// refuse answers what can't be read any further; the link ends with that.
-func (k *clientLink) refuse(status int, what string) {
-	k.busy()
-	k.home.loop.Ledger.ReportRejection(nil, status)
-	k.add(false).reply(status, what)
+// rejectInput answers what can't be read any further; the link ends with that.
+func (k *clientConnection) rejectInput(status int, what string) {
+	k.leaveWaitingList()
+	k.listener.loop.Requests.ReportRejection(nil, status)
+	k.reserveSlot(false).respond(status, what)
 }
 
 // arrival is when some bytes came that wait to be looked at.
@@ -553,236 +553,236 @@
 	at    time.Duration
 }
 
-const arrivalsApart = 100 * time.Millisecond // a client may send a byte at a time
+const arrivalResolution = 100 * time.Millisecond // a client may send a byte at a time
 
-// stamp remembers when what waits came; what came shortly after other bytes counts as come with them.
-func (k *clientLink) stamp() {
+// recordArrival remembers when what waits came; what came shortly after other bytes counts as come with them.
+func (k *clientConnection) recordArrival() {
 	fresh := len(k.Input())
-	for _, a := range k.waiting {
+	for _, a := range k.arrivals {
 		fresh -= a.bytes
 	}
-	if last := len(k.waiting) - 1; fresh > 0 && last >= 0 && k.home.loop.Now()-k.waiting[last].at < arrivalsApart {
-		k.waiting[last].bytes += fresh
+	if last := len(k.arrivals) - 1; fresh > 0 && last >= 0 && k.listener.loop.Now()-k.arrivals[last].at < arrivalResolution {
+		k.arrivals[last].bytes += fresh
 	} else if fresh > 0 {
-		k.waiting = append(k.waiting, arrival{fresh, k.home.loop.Now()})
+		k.arrivals = append(k.arrivals, arrival{fresh, k.listener.loop.Now()})
 	}
 }
 
-// arrived tells when the last of the first n bytes that wait came.
-func (k *clientLink) arrived(n int) time.Duration {
-	for _, a := range k.waiting {
+// arrivalTime tells when the last of the first n bytes that wait came.
+func (k *clientConnection) arrivalTime(n int) time.Duration {
+	for _, a := range k.arrivals {
 		if n -= a.bytes; n <= 0 {
 			return a.at
 		}
 	}
-	return k.home.loop.Now()
+	return k.listener.loop.Now()
 }
 
 // Consume drops the first n bytes of what has come in.
-func (k *clientLink) Consume(n int) {
+func (k *clientConnection) Consume(n int) {
 	k.Stream.Consume(n)
-	for len(k.waiting) > 0 && k.waiting[0].bytes <= n {
-		n -= k.waiting[0].bytes
-		k.waiting = k.waiting[1:]
+	for len(k.arrivals) > 0 && k.arrivals[0].bytes <= n {
+		n -= k.arrivals[0].bytes
+		k.arrivals = k.arrivals[1:]
 	}
-	if len(k.waiting) == 0 {
-		k.waiting = nil
+	if len(k.arrivals) == 0 {
+		k.arrivals = nil
 	} else {
-		k.waiting[0].bytes -= n
+		k.arrivals[0].bytes -= n
 	}
 }
 
-func (k *clientLink) tooMuch() { k.refuse(503, "too much sent ahead of answers\n") }
+func (k *clientConnection) rejectOverrun() { k.rejectInput(503, "too much sent ahead of answers\n") }
 
-// maxUnread is how much of a link's answers may wait to be read before no more is taken in.
-const maxUnread = http1.MaxBodySize
+// maxUnreadOutput is how much of a link's answers may wait to be read before no more is taken in.
+const maxUnreadOutput = http1.MaxBodySize
 
-// attend asks epoll for what matters now. A client is always read from, as its end lies behind all that it has sent; that
+// updateInputEvents asks epoll for what matters now. A client is always read from, as its end lies behind all that it has sent; that
 // end is told for as long as it is asked for, and a reset always.
-func (k *clientLink) attend() {
+func (k *clientConnection) updateInputEvents() {
 	events := k.Events() &^ eventloop.StreamEvents
-	if !k.half {
+	if !k.halfClosed {
 		events |= unix.EPOLLRDHUP
 	}
-	if !k.ended {
+	if !k.inputEnded {
 		events |= unix.EPOLLIN
 	}
 	k.SetEvents(events)
 }
 
-// hoards tells whether more has been read ahead of answers than is kept.
-func (k *clientLink) hoards() bool {
-	n, held := len(k.Input()), k.home.held
-	return n > mostHoarded || n > mostAhead && held > k.home.budget/2 || n > eventloop.MaxIdleBuffer && held > k.home.budget && len(k.turns) > 0
+// exceedsReadAhead tells whether more has been read ahead of answers than is kept.
+func (k *clientConnection) exceedsReadAhead() bool {
+	n, held := len(k.Input()), k.listener.bufferedBytes
+	return n > maxReadAheadWithMemory || n > maxReadAhead && held > k.listener.maxBufferedBytes/2 || n > eventloop.MaxIdleBuffer && held > k.listener.maxBufferedBytes && len(k.slots) > 0
 }
 
-// add gives a request its turn; one that does not let the link live on is the last.
-func (k *clientLink) add(keep bool) *turn {
-	t := &turn{link: k, keep: keep}
-	k.turns = append(k.turns, t)
-	k.last = k.last || !keep
+// reserveSlot gives a request its turn; one that does not let the link live on is the last.
+func (k *clientConnection) reserveSlot(keep bool) *responseSlot {
+	t := &responseSlot{connection: k, keepAlive: keep}
+	k.slots = append(k.slots, t)
+	k.lastRequestRead = k.lastRequestRead || !keep
 	return t
 }
 
-// settle answers a turn. Answers leave in the order in which the requests came.
-func (t *turn) settle(status int, body []byte, retry time.Duration) {
-	k := t.link
-	if t.query != nil && k.tells(slog.LevelInfo) {
-		k.tell(slog.LevelInfo, "query answered", slog.String("query", t.query.CallID), slog.Int("status", status))
+// complete answers a turn. Answers leave in the order in which the requests came.
+func (t *responseSlot) complete(status int, body []byte, retry time.Duration) {
+	k := t.connection
+	if t.request != nil && k.isLogEnabled(slog.LevelInfo) {
+		k.logEvent(slog.LevelInfo, "query answered", slog.String("query", t.request.CallID), slog.Int("status", status))
 	}
-	if t.query = nil; t.done || !k.IsOpen() {
+	if t.request = nil; t.isComplete || !k.IsOpen() {
 		return
 	}
-	t.done, t.status, t.body, t.retry = true, status, body, retry
-	k.home.loop.Protect(k, k.deliver)
+	t.isComplete, t.statusCode, t.body, t.retryAfter = true, status, body, retry
+	k.listener.loop.Protect(k, k.sendResponses)
 }
 
-func (k *clientLink) deliver() {
-	for k.IsOpen() && len(k.turns) > 0 && k.turns[0].done {
-		t := k.turns[0]
-		if k.turns = k.turns[1:]; len(k.turns) == 0 {
-			k.turns = nil
+func (k *clientConnection) sendResponses() {
+	for k.IsOpen() && len(k.slots) > 0 && k.slots[0].isComplete {
+		t := k.slots[0]
+		if k.slots = k.slots[1:]; len(k.slots) == 0 {
+			k.slots = nil
 		}
-		k.since = k.home.loop.Now()
+		k.lastActivity = k.listener.loop.Now()
 		// A link that ends says so with its last answer.
-		k.last = k.last || k.closes() && len(k.turns) == 0 && len(k.Input()) == k.taking
+		k.lastRequestRead = k.lastRequestRead || k.closesAfterResponse() && len(k.slots) == 0 && len(k.Input()) == k.currentRequestSize
 		fields := ""
-		if t.retry > 0 {
-			fields = "Retry-After: " + strconv.FormatFloat(t.retry.Seconds(), 'f', 3, 64) + "\r\n"
+		if t.retryAfter > 0 {
+			fields = "Retry-After: " + strconv.FormatFloat(t.retryAfter.Seconds(), 'f', 3, 64) + "\r\n"
 		}
-		b := http1.AppendResponse(k.home.loop.writing[:0], t.status, fields, t.body, !k.last || len(k.turns) > 0)
-		if k.home.loop.writing = b[:0]; cap(b) > 4*http1.MaxBodySize {
-			k.home.loop.writing = nil
+		b := http1.AppendResponse(k.listener.loop.writeBuffer[:0], t.statusCode, fields, t.body, !k.lastRequestRead || len(k.slots) > 0)
+		if k.listener.loop.writeBuffer = b[:0]; cap(b) > 4*http1.MaxBodySize {
+			k.listener.loop.writeBuffer = nil
 		}
 		if err := k.Send(b); err != nil {
-			k.end()
+			k.terminate()
 			return
 		}
 	}
-	if k.count(); k.IsOpen() && (len(k.turns) == 0 || len(k.Input()) > 0) {
-		k.home.loop.StartTimer(0, k, k.proceed) // what came in meanwhile has its turn, though not in the midst of a step
+	if k.updateBufferedBytes(); k.IsOpen() && (len(k.slots) == 0 || len(k.Input()) > 0) {
+		k.listener.loop.StartTimer(0, k, k.readRequests) // what came in meanwhile has its turn, though not in the midst of a step
 	}
 }
 
-// reply answers at once.
-func (t *turn) reply(status int, body string) { t.settle(status, []byte(body), 0) }
+// respond answers at once.
+func (t *responseSlot) respond(status int, body string) { t.complete(status, []byte(body), 0) }
 
-func (k *clientLink) request(m *http1.Request, t *turn) {
+func (k *clientConnection) handleRequest(m *http1.Request, t *responseSlot) {
 	path, _, _ := bytes.Cut(m.Target, []byte("?"))
 	switch string(path) {
 	case pathUp:
 		switch {
 		case string(m.Method) != "GET":
-			t.reply(405, "GET only\n")
-		case k.home.draining || !k.home.loop.Ledger.Ready():
-			t.reply(503, "not ready\n")
+			t.respond(405, "GET only\n")
+		case k.listener.draining || !k.listener.loop.Requests.Ready():
+			t.respond(503, "not ready\n")
 		default:
-			t.reply(200, "ready\n")
+			t.respond(200, "ready\n")
 		}
-	case pathNotes:
+	case pathCallbacks:
 		if string(m.Method) != "POST" {
-			t.reply(405, "POST only\n")
+			t.respond(405, "POST only\n")
 			return
 		}
-		k.note(m.Body, t)
+		k.handleCallback(m.Body, t)
 	default:
-		k.ask(m, path, t)
+		k.admitRequest(m, path, t)
 	}
 }
 
-func (k *clientLink) note(body []byte, t *turn) {
-	if err := k.tellNote(body); err != nil {
-		t.reply(400, "bad note\n")
+func (k *clientConnection) handleCallback(body []byte, t *responseSlot) {
+	if err := k.applyCallback(body); err != nil {
+		t.respond(400, "bad note\n")
 		return
 	}
-	t.reply(204, "")
+	t.respond(204, "")
 }
 
-// tellNote hands a note on.
-func (k *clientLink) tellNote(body []byte) error {
+// applyCallback hands a note on.
+func (k *clientConnection) applyCallback(body []byte) error {
 	var n requests.Callback
 	if err := jsoniter.ConfigDefault.Unmarshal(body, &n); err != nil {
 		return err
 	}
-	known, err := k.home.loop.Ledger.HandleCallback(n)
-	k.useful, k.tellsNotes = k.useful || known, k.tellsNotes || known
+	known, err := k.listener.loop.Requests.HandleCallback(n)
+	k.usefulRequestSeen, k.sendsCallbacks = k.usefulRequestSeen || known, k.sendsCallbacks || known
 	return err
 }
 
-// ask takes in a query.
-func (k *clientLink) ask(m *http1.Request, path []byte, t *turn) {
+// admitRequest takes in a query.
+func (k *clientConnection) admitRequest(m *http1.Request, path []byte, t *responseSlot) {
 	first, rest, _ := bytes.Cut(bytes.TrimPrefix(path, []byte("/")), []byte("/"))
 	name := m.Get("X-Call-Class")
-	class, known := k.home.classes[string(name)]
-	_, named := k.home.classes[string(first)]
+	class, known := k.listener.classes[string(name)]
+	_, named := k.listener.classes[string(first)]
 	switch {
 	case name == nil && !named:
-		k.turnAway(t, nil, 404, "no such path")
+		k.rejectRequest(t, nil, 404, "no such path")
 	case string(m.Method) != "POST":
-		k.turnAway(t, nil, 405, "POST only")
+		k.rejectRequest(t, nil, 405, "POST only")
 	case !known:
-		k.turnAway(t, nil, 400, "X-Call-Class: not a class")
+		k.rejectRequest(t, nil, 400, "X-Call-Class: not a class")
 	case !bytes.Equal(name, first):
-		k.turnAway(t, nil, 400, "X-Call-Class: not the class in the path")
+		k.rejectRequest(t, nil, 400, "X-Call-Class: not the class in the path")
 	default:
-		in, fault := k.home.read(m, class, rest)
+		in, fault := k.listener.parseArrival(m, class, rest)
 		if fault != "" {
-			k.turnAway(t, nil, 400, fault)
+			k.rejectRequest(t, nil, 400, fault)
 			return
 		}
 		// It was sent nowhere, so another try is harmless; after a flood has passed, or elsewhere if this one stops.
-		switch c := k.home; {
+		switch c := k.listener; {
 		case c.closing:
-			k.home.loop.Ledger.ReportRejection(&in, 503)
+			k.listener.loop.Requests.ReportRejection(&in, 503)
 			t.RespondRejected(0)
 			return
-		case k.home.loop.Ledger.OpenCount() >= c.queries || k.home.loop.Ledger.PayloadBytes()+len(m.Body) > c.budget:
-			k.home.loop.Ledger.ReportRejection(&in, 503)
-			t.RespondRejected(min(fullFor, c.set.MaxRetryAfter))
+		case k.listener.loop.Requests.OpenCount() >= c.maxRequests || k.listener.loop.Requests.PayloadBytes()+len(m.Body) > c.maxBufferedBytes:
+			k.listener.loop.Requests.ReportRejection(&in, 503)
+			t.RespondRejected(min(overloadRetryAfter, c.settings.MaxRetryAfter))
 			return
 		}
-		if waited := k.home.loop.Now() - k.came; waited > 0 { // its client counts from when it sent it
+		if waited := k.listener.loop.Now() - k.currentArrival; waited > 0 { // its client counts from when it sent it
 			in.Job.Remaining = max(in.Job.Remaining-waited, time.Millisecond)
 		}
 		in.Responder = t
-		q, err := k.home.loop.Ledger.Admit(k.home.loop.Now(), in)
+		q, err := k.listener.loop.Requests.Admit(k.listener.loop.Now(), in)
 		if err != nil {
-			k.turnAway(t, &in, 409, "X-Call-Id: "+err.Error())
+			k.rejectRequest(t, &in, 409, "X-Call-Id: "+err.Error())
 			return
 		}
-		t.query, k.useful, k.tellsNotes = q, true, false
+		t.request, k.usefulRequestSeen, k.sendsCallbacks = q, true, false
 	}
 }
 
-// fullFor is when to come back to a scheduler that holds all the queries it can.
-const fullFor = time.Second
+// overloadRetryAfter is when to come back to a scheduler that holds all the queries it can.
+const overloadRetryAfter = time.Second
 
-// once are the fields that count in a request. Where one comes twice, what we check and what a worker node goes
+// uniqueFields are the fields that count in a request. Where one comes twice, what we check and what a worker node goes
 // by could be two things.
-var once = []string{
+var uniqueFields = []string{
 	"X-Call-Id", "X-Call-Class", "X-Caller", "X-Budget-Ms", "Idempotency-Key", "X-Call-Cost",
 	"X-Call-Info", "X-Again", "Host",
 }
 
-// read makes a query of a request. fault names what is wrong with it.
-func (c *clientLinks) read(m *http1.Request, class int, rest []byte) (in requests.Arrival, fault string) {
-	for _, name := range once {
+// parseArrival makes a query of a request. fault names what is wrong with it.
+func (c *clientListener) parseArrival(m *http1.Request, class int, rest []byte) (in requests.Arrival, fault string) {
+	for _, name := range uniqueFields {
 		if m.Count(name) > 1 {
 			return in, name + ": given more than once"
 		}
 	}
 	id, idem := m.Get("X-Call-Id"), m.Get("Idempotency-Key")
-	if !http1.IsToken(id) || len(id) > maxID {
+	if !http1.IsToken(id) || len(id) > maxCallIDSize {
 		return in, "X-Call-Id: missing or malformed"
 	}
-	if len(idem) > maxKey || !http1.IsVisible(idem) || idem == nil && c.set.Classes[class].Idempotency == dispatch.IdempotentWithKey {
+	if len(idem) > maxIdempotencyKeySize || !http1.IsVisible(idem) || idem == nil && c.settings.Classes[class].Idempotency == dispatch.IdempotentWithKey {
 		return in, "Idempotency-Key: missing or malformed" // without one, repeats would not be dropped
 	}
 	tenant, known := c.tenants[string(m.Get("X-Caller"))]
 	if !known && len(c.tenants) > 0 {
 		return in, "X-Caller: not a tenant"
 	}
-	left := c.set.Classes[class].ClientTimeout
+	left := c.settings.Classes[class].ClientTimeout
 	if text := m.Get("X-Budget-Ms"); text != nil {
 		n, ok := http1.ParseDecimal(text)
 		if !ok {
@@ -793,7 +793,7 @@
 	in = requests.Arrival{
 		CallID: string(id), Job: dispatch.Job{
 			Class: class, Tenant: tenant, Remaining: left, Slots: 1,
-			Hint: time.Duration(figure(m.Get("X-Call-Cost")) * float64(time.Microsecond)), Retry: string(m.Get("X-Again")) == "1",
+			Hint: time.Duration(parsePositive(m.Get("X-Call-Cost")) * float64(time.Microsecond)), Retry: string(m.Get("X-Again")) == "1",
 		},
 		Payload: requests.Payload{
 			Method: string(m.Method), Path: string(m.Target), IdempotencyKey: string(idem),
@@ -811,16 +811,16 @@
 		key, value, _ := bytes.Cut(pair, []byte("="))
 		switch string(bytes.TrimSpace(key)) {
 		case "slots":
-			in.Job.Slots = max(1, figure(value))
+			in.Job.Slots = max(1, parsePositive(value))
 		case "mem", "memory":
-			in.Job.Memory = figure(value)
+			in.Job.Memory = parsePositive(value)
 		}
 	}
 	return in, ""
 }
 
-// figure reads a number of a request; one that makes no sense is as good as absent.
-func figure(text []byte) float64 {
+// parsePositive reads a number of a request; one that makes no sense is as good as absent.
+func parsePositive(text []byte) float64 {
 	x, err := strconv.ParseFloat(string(bytes.TrimSpace(text)), 64)
 	if err != nil || !(x > 0 && x < 1e9) {
 		return 0
@@ -831,10 +831,10 @@
 // ---- The three final answers ----
 
 // RespondResult hands on what a worker node made.
-func (t *turn) RespondResult(result []byte) { t.settle(200, result, 0) }
+func (t *responseSlot) RespondResult(result []byte) { t.complete(200, result, 0) }
 
 // RespondRejected refuses; the client may come back.
-func (t *turn) RespondRejected(after time.Duration) { t.settle(503, nil, after) }
+func (t *responseSlot) RespondRejected(after time.Duration) { t.complete(503, nil, after) }
 
 // RespondFailed promises nothing.
-func (t *turn) RespondFailed() { t.settle(500, nil, 0) }
+func (t *responseSlot) RespondFailed() { t.complete(500, nil, 0) }
--- a/internal/link/clients_test.go
+++ b/internal/link/clients_test.go
@@ -49,7 +49,7 @@
 func runClientLink(s *steps.Steps) {
 	w := newWorld(s)
 	p, fd := w.pair()
-	w.loop.clients.adopt(fd, netip.AddrPort{})
+	w.loop.clients.addConnection(fd, netip.AddrPort{})
 	var (
 		unsent string // of the request that is being written
 		ask    = asks[0]
@@ -58,7 +58,7 @@
 	)
 	for n := 0; s.More() && !p.closed; n++ {
 		switch what := s.Pick(12); {
-		case what < 3 && unsent == "" && !last && len(due) < mostTurns:
+		case what < 3 && unsent == "" && !last && len(due) < maxResponseSlots:
 			ask = asks[s.Pick(len(asks))]
 			unsent = numbered(ask.text, n)
 			s.Did(ask.text[:min(len(ask.text), 60)])
@@ -79,7 +79,7 @@
 				w.module.Next = append(w.module.Next, dispatch.Fail{Job: d.query})
 				d.status = 500
 			}
-			w.loop.Ledger.DiscoveryFailed() // something to step for
+			w.loop.Requests.DiscoveryFailed() // something to step for
 			s.Did("answer")
 		case what == 10 && unsent == "" && !last && s.Pick(4) == 0:
 			_ = unix.Shutdown(p.fd, unix.SHUT_WR) // it still listens, so it is still owed its answers
@@ -113,10 +113,10 @@
 		}
 	}
 	s.Check(!p.closed && gone == 0 || p.closed && gone == open, "told gone %d times, %d queries open, closed %v", gone, open, p.closed)
-	if w.now += lingerQuiet + sweepEvery; last && len(due) == 0 && !p.closed {
+	if w.now += lingerIdleTimeout + expiryInterval; last && len(due) == 0 && !p.closed {
 		w.turn()
 		p.read(1)
-		s.Check(p.ended && len(w.loop.clients.links) == 0, "not closed after the last answer")
+		s.Check(p.ended && len(w.loop.clients.connections) == 0, "not closed after the last answer")
 	}
 }
 
@@ -155,12 +155,12 @@
 	peers := map[string]*peer{}
 	for name, text := range texts {
 		p, fd := w.pair()
-		w.loop.clients.adopt(fd, netip.AddrPort{})
+		w.loop.clients.addConnection(fd, netip.AddrPort{})
 		p.write([]byte(text))
 		peers[name] = p
 	}
 	w.turn()
-	w.now += wholeWithin + sweepEvery
+	w.now += requestReadTimeout + expiryInterval
 	w.turn()
 	for name, want := range map[string]string{
 		"mute": "", "half": "HTTP/1.1 408 ", "bad": "HTTP/1.1 400 ",
@@ -173,16 +173,16 @@
 			t.Errorf("%s: got %q, ended %v", name, p.got, p.ended)
 		}
 	}
-	w.now += lingerMost
+	w.now += maxLingerTime
 	w.turn()
 	peers["resting"].write([]byte("GET /up")) // another request begins
 	w.turn()
-	w.now += sweepEvery
+	w.now += expiryInterval
 	w.turn()
 	if peers["resting"].read(1 << 10); strings.Contains(string(peers["resting"].got), " 408 ") {
 		t.Error("a request that has just begun was given up")
 	}
-	if left := len(w.loop.clients.links); left != 2 {
+	if left := len(w.loop.clients.connections); left != 2 {
 		t.Errorf("%d links left, expected those of who waits and who rests", left)
 	}
 }
@@ -192,10 +192,10 @@
 func TestRefusedPeersAreDrained(t *testing.T) {
 	w := newWorld(&steps.Steps{T: t})
 	p, fd := w.pair()
-	w.loop.clients.adopt(fd, netip.AddrPort{})
+	w.loop.clients.addConnection(fd, netip.AddrPort{})
 	p.write([]byte("POST /a HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n"))
 	chunk := make([]byte, 4<<10)
-	for began := w.now; w.now-began < lingerMost-sweepEvery; w.now += lingerQuiet / 2 {
+	for began := w.now; w.now-began < maxLingerTime-expiryInterval; w.now += lingerIdleTimeout / 2 {
 		w.turn()
 		for range 20 {
 			if _, err := unix.Write(p.fd, chunk); err != nil {
@@ -204,11 +204,11 @@
 			w.turn()
 		}
 	}
-	if p.read(1 << 10); !strings.HasPrefix(string(p.got), "HTTP/1.1 413 ") || w.loop.clients.held > 2*eventloop.MaxIdleBuffer {
-		t.Errorf("got %q, %d bytes held", p.got, w.loop.clients.held)
+	if p.read(1 << 10); !strings.HasPrefix(string(p.got), "HTTP/1.1 413 ") || w.loop.clients.bufferedBytes > 2*eventloop.MaxIdleBuffer {
+		t.Errorf("got %q, %d bytes held", p.got, w.loop.clients.bufferedBytes)
 	}
-	w.now += lingerQuiet + sweepEvery
-	if w.turn(); len(w.loop.clients.links) != 0 {
+	w.now += lingerIdleTimeout + expiryInterval
+	if w.turn(); len(w.loop.clients.connections) != 0 {
 		t.Error("lingers on")
 	}
 }
@@ -218,10 +218,10 @@
 func TestBuffersStayWithinBudget(t *testing.T) {
 	w := newWorld(&steps.Steps{T: t})
 	c := w.loop.clients
-	c.budget = 300 << 10
+	c.maxBufferedBytes = 300 << 10
 	for range 20 {
 		p, fd := w.pair()
-		c.adopt(fd, netip.AddrPort{})
+		c.addConnection(fd, netip.AddrPort{})
 		p.write([]byte("POST /a HTTP/1.1\r\nContent-Length: 65000\r\n\r\n"))
 		for range 12 {
 			p.write(make([]byte, 5000))
@@ -229,26 +229,26 @@
 		}
 	}
 	deaf, fd := w.pair()
-	c.adopt(fd, netip.AddrPort{})
+	c.addConnection(fd, netip.AddrPort{})
 	for range 400 {
 		deaf.write([]byte(strings.Repeat(numbered(asks[7].text, 1), 100)))
 		w.turn()
 	}
-	if most := c.budget + 6*http1.MaxBodySize; c.held > most {
-		t.Errorf("%d bytes held, %d allowed", c.held, most)
+	if most := c.maxBufferedBytes + 6*http1.MaxBodySize; c.bufferedBytes > most {
+		t.Errorf("%d bytes held, %d allowed", c.bufferedBytes, most)
 	}
 	usual, fd := w.pair()
-	c.adopt(fd, netip.AddrPort{})
+	c.addConnection(fd, netip.AddrPort{})
 	usual.write([]byte(numbered(asks[0].text, 1)))
-	if w.turn(); w.loop.Ledger.OpenCount() != 1 {
+	if w.turn(); w.loop.Requests.OpenCount() != 1 {
 		t.Error("a usual query is not taken")
 	}
 	sum := 0
-	for k := range c.links {
+	for k := range c.connections {
 		sum += cap(k.Input()) + cap(k.Output())
 	}
-	if sum != c.held {
-		t.Errorf("%d bytes held, %d counted", sum, c.held)
+	if sum != c.bufferedBytes {
+		t.Errorf("%d bytes held, %d counted", sum, c.bufferedBytes)
 	}
 }
 
@@ -256,9 +256,9 @@
 func TestBrokenLinksEnd(t *testing.T) {
 	w := newWorld(&steps.Steps{T: t})
 	good, fd := w.pair()
-	w.loop.clients.adopt(fd, netip.AddrPort{})
+	w.loop.clients.addConnection(fd, netip.AddrPort{})
 	bad, fd := w.pair()
-	w.loop.clients.adopt(fd, netip.AddrPort{})
+	w.loop.clients.addConnection(fd, netip.AddrPort{})
 	query := numbered(asks[0].text, 1)
 	bad.write([]byte(query))
 	w.turn()
@@ -284,17 +284,17 @@
 		numbered(asks[9].text, 1), numbered(asks[2].text, 1), "", "POST",
 	} {
 		p, fd := w.pair()
-		w.loop.clients.adopt(fd, netip.AddrPort{})
+		w.loop.clients.addConnection(fd, netip.AddrPort{})
 		p.write([]byte(text))
 		w.turn()
 		peers = append(peers, p)
 	}
 	w.module.Next = append(w.module.Next, dispatch.Fail{Job: 1}, dispatch.Fail{Job: 2})
-	w.loop.Ledger.DiscoveryFailed()
+	w.loop.Requests.DiscoveryFailed()
 	w.turn()
 	for n := range peers {
 		if n == 1 { // a link that has just begun may be a usual client's
-			w.now += graceAtFirst
+			w.now += evictionGrace
 			w.turn()
 		}
 		if !w.loop.clients.evict() {
@@ -314,10 +314,10 @@
 func TestIdleLinksMakeRoom(t *testing.T) {
 	w := newWorld(&steps.Steps{T: t})
 	asking, fd := w.pair()
-	w.loop.clients.adopt(fd, netip.AddrPort{})
+	w.loop.clients.addConnection(fd, netip.AddrPort{})
 	resting, fd := w.pair()
-	w.loop.clients.adopt(fd, netip.AddrPort{})
-	w.now += graceAtFirst
+	w.loop.clients.addConnection(fd, netip.AddrPort{})
+	w.now += evictionGrace
 	w.turn()
 	asking.write([]byte(numbered(asks[0].text, 1)))
 	if !w.loop.clients.evict() || w.loop.clients.evict() {
@@ -337,7 +337,7 @@
 	w := newWorld(&steps.Steps{T: t})
 	connect := func(text string) *peer {
 		p, fd := w.pair()
-		w.loop.clients.adopt(fd, netip.AddrPort{})
+		w.loop.clients.addConnection(fd, netip.AddrPort{})
 		p.write([]byte(text))
 		w.turn()
 		return p
@@ -360,26 +360,26 @@
 	resting.write([]byte(numbered(asks[0].text, 2)))
 	w.turn()
 	w.module.Next = append(w.module.Next, dispatch.Reject{Job: 2, RetryAfter: time.Second})
-	w.loop.Ledger.DiscoveryFailed()
+	w.loop.Requests.DiscoveryFailed()
 	w.turn()
 	answered(resting, 503, false)
 	answered(connect(numbered(asks[6].text, 1)), 503, false)
 	late := connect(numbered(asks[0].text, 3))
 	w.loop.Close()
 	w.turn()
-	if resting.read(1); !resting.ended || w.loop.Quiet() {
-		t.Errorf("resting link ended %v, quiet %v", resting.ended, w.loop.Quiet())
+	if resting.read(1); !resting.ended || w.loop.IsQuiet() {
+		t.Errorf("resting link ended %v, quiet %v", resting.ended, w.loop.IsQuiet())
 	}
 	answered(connect(numbered(asks[0].text, 4)), 503, true)
-	w.loop.Finish(time.Second / 2)
+	w.loop.FinishRequestsSince(time.Second / 2)
 	w.turn()
 	answered(late, 503, true)
-	if early.read(1); len(early.got) > 0 || w.loop.Quiet() {
-		t.Errorf("an early query got %q, quiet %v", early.got, w.loop.Quiet())
+	if early.read(1); len(early.got) > 0 || w.loop.IsQuiet() {
+		t.Errorf("an early query got %q, quiet %v", early.got, w.loop.IsQuiet())
 	}
-	w.loop.Finish(2 * time.Second)
+	w.loop.FinishRequestsSince(2 * time.Second)
 	w.turn()
-	if answered(early, 503, true); !w.loop.Quiet() {
+	if answered(early, 503, true); !w.loop.IsQuiet() {
 		t.Error("not quiet once all is answered")
 	}
 }
@@ -388,9 +388,9 @@
 func TestNotesComeInWhenFull(t *testing.T) {
 	w := newWorld(&steps.Steps{T: t})
 	var peers []*peer
-	for n := range w.loop.clients.queries + 1 {
+	for n := range w.loop.clients.maxRequests + 1 {
 		p, fd := w.pair()
-		w.loop.clients.adopt(fd, netip.AddrPort{})
+		w.loop.clients.addConnection(fd, netip.AddrPort{})
 		p.write([]byte(numbered(asks[0].text, n)))
 		peers = append(peers, p)
 		w.turn()
@@ -399,7 +399,7 @@
 	if last.read(1 << 10); !strings.HasPrefix(string(last.got), "HTTP/1.1 503 ") {
 		t.Errorf("one query too many got %q", last.got)
 	}
-	if first.read(1); len(first.got) > 0 || w.loop.clients.queries >= w.loop.clients.most {
+	if first.read(1); len(first.got) > 0 || w.loop.clients.maxRequests >= w.loop.clients.maxConnections {
 		t.Errorf("a query in hand got %q", first.got)
 	}
 }
@@ -427,17 +427,17 @@
 	_, sa := eventloop.Sockaddr(w.loop.Addr())
 	connecting := unix.Connect(fd, sa)
 	w.turn()
-	held := len(w.loop.clients.links)
+	held := len(w.loop.clients.connections)
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
 	if connecting != nil && !errors.Is(connecting, unix.EINPROGRESS) || held != 0 {
 		t.Fatalf("connecting: %v, %d links without descriptors", connecting, held)
 	}
-	w.now += acceptAgain
+	w.now += acceptRetryDelay
 	w.turn()
-	if len(w.loop.clients.links) != 1 {
-		t.Errorf("%d links once there are descriptors again", len(w.loop.clients.links))
+	if len(w.loop.clients.connections) != 1 {
+		t.Errorf("%d links once there are descriptors again", len(w.loop.clients.connections))
 	}
 }
 
@@ -445,19 +445,19 @@
 func TestUp_OnlyOnceNothingAwaitsTheFirstEndpointList(t *testing.T) {
 	w := newWorld(&steps.Steps{T: t})
 	p, fd := w.pair()
-	w.loop.clients.adopt(fd, netip.AddrPort{})
+	w.loop.clients.addConnection(fd, netip.AddrPort{})
 	up := func(status, unready string) {
 		t.Helper()
 		p.got = nil
 		p.write([]byte("GET /up HTTP/1.1\r\n\r\n"))
 		w.turn()
-		if p.read(4096); !strings.HasPrefix(string(p.got), "HTTP/1.1 "+status) || w.loop.unready() != unready {
-			t.Errorf("%q, unready %q, expected %s, %q", p.got, w.loop.unready(), status, unready)
+		if p.read(4096); !strings.HasPrefix(string(p.got), "HTTP/1.1 "+status) || w.loop.notReadyReason() != unready {
+			t.Errorf("%q, unready %q, expected %s, %q", p.got, w.loop.notReadyReason(), status, unready)
 		}
 	}
 	up("200", "")
-	w.loop.Ledger.AwaitEndpoints(w.loop.Now() + time.Hour)
+	w.loop.Requests.AwaitEndpoints(w.loop.Now() + time.Hour)
 	up("503", "no word from discovery yet")
-	w.loop.Ledger.DiscoveryFailed()
+	w.loop.Requests.DiscoveryFailed()
 	up("200", "")
 }
--- a/internal/link/closing_test.go
+++ b/internal/link/closing_test.go
@@ -59,10 +59,10 @@
 // serves answers query 1 with so many bytes.
 func (w *world) serves(t *testing.T, id string, size int) {
 	w.module.Next = append(w.module.Next, dispatch.Send{Job: 1, Worker: w.worker()})
-	w.loop.Ledger.Wake()
+	w.loop.Requests.Wake()
 	w.turn()
 	result := strings.Repeat("r", size)
-	if known, err := w.loop.Ledger.HandleCallback(requests.Callback{CallID: id, EndpointID: "s-0", State: "done", Result: &result}); !known || err != nil {
+	if known, err := w.loop.Requests.HandleCallback(requests.Callback{CallID: id, EndpointID: "s-0", State: "done", Result: &result}); !known || err != nil {
 		t.Fatalf("the note is known %v, %v", known, err)
 	}
 }
@@ -84,7 +84,7 @@
 		"for one that stalls": {sized(1, 0), func(w *world, p *peer) {
 			p.write([]byte("POST /a HTT"))
 			w.turn()
-			w.now += wholeWithin + sweepEvery
+			w.now += requestReadTimeout + expiryInterval
 			w.turn()
 		}},
 	} {
@@ -96,10 +96,10 @@
 			w.turn()
 			w.serves(t, "1", size)
 			w.turn()
-			if w.now += graceAtFirst; len(w.loop.clients.links) != 1 {
+			if w.now += evictionGrace; len(w.loop.clients.connections) != 1 {
 				t.Fatal("no link")
 			}
-			for k := range w.loop.clients.links {
+			for k := range w.loop.clients.connections {
 				if len(k.Output()) != 0 {
 					t.Fatalf("%d bytes have not left", len(k.Output()))
 				}
@@ -121,8 +121,8 @@
 				}
 			}
 			p.close()
-			if w.turn(); len(w.loop.clients.links) != 0 || w.loop.clients.held != 0 {
-				t.Errorf("%d links left with %d bytes", len(w.loop.clients.links), w.loop.clients.held)
+			if w.turn(); len(w.loop.clients.connections) != 0 || w.loop.clients.bufferedBytes != 0 {
+				t.Errorf("%d links left with %d bytes", len(w.loop.clients.connections), w.loop.clients.bufferedBytes)
 			}
 		})
 	}
@@ -138,9 +138,9 @@
 			}
 		},
 		"idle": func(w *world) { // before the turn in which what has come is told
-			w.now += wholeWithin + sweepEvery
+			w.now += requestReadTimeout + expiryInterval
 			w.loop.UpdateNow()
-			w.loop.clients.sweep()
+			w.loop.clients.closeExpired()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -148,7 +148,7 @@
 			w.listens()
 			before, after := w.connects(), w.connects()
 			w.turn()
-			w.now += graceAtFirst
+			w.now += evictionGrace
 			w.turn()
 			before.write([]byte(numbered(asks[6].text, 1)))
 			shut(w)
@@ -157,8 +157,8 @@
 			if got := before.answers(t); len(got) != 1 || got[0] != 200 {
 				t.Errorf("answered %v", got)
 			}
-			if err := w.readsToTheEnd(after); err != nil || len(after.got) > 0 || w.loop.Ledger.OpenCount() != 0 {
-				t.Errorf("got %q, %v, %d queries taken", after.got, err, w.loop.Ledger.OpenCount())
+			if err := w.readsToTheEnd(after); err != nil || len(after.got) > 0 || w.loop.Requests.OpenCount() != 0 {
+				t.Errorf("got %q, %v, %d queries taken", after.got, err, w.loop.Requests.OpenCount())
 			}
 		})
 	}
@@ -167,7 +167,7 @@
 // Told to close, a scheduler answers all that it has read, each request once and the last with the word that the link
 // ends, however many had been sent ahead.
 func TestCloseAnswersWhatWasRead(t *testing.T) {
-	const requests = mostTurns + 5
+	const requests = maxResponseSlots + 5
 	w := newWorld(&steps.Steps{T: t})
 	w.listens()
 	p := w.connects()
@@ -178,21 +178,21 @@
 	w.settles()
 	w.loop.Close()
 	w.turn()
-	for n := range mostTurns {
+	for n := range maxResponseSlots {
 		w.module.Next = append(w.module.Next, dispatch.Fail{Job: uint64(n + 1)})
 	}
-	w.loop.Ledger.Wake()
+	w.loop.Requests.Wake()
 	w.settles()
 	got := p.answers(t)
 	for n, status := range got {
-		if want := map[bool]int{true: 500, false: 503}[n < mostTurns]; status != want {
+		if want := map[bool]int{true: 500, false: 503}[n < maxResponseSlots]; status != want {
 			t.Errorf("answer %d is %d, expected %d", n, status, want)
 		}
 	}
 	if p.read(1); len(got) != requests || !p.ended || bytes.Count(p.got, []byte("Connection: close")) != 1 {
 		t.Errorf("%d answers to %d requests, ended %v: %q", len(got), requests, p.ended, p.got)
 	}
-	if !w.loop.Quiet() {
+	if !w.loop.IsQuiet() {
 		t.Error("not quiet once all is answered")
 	}
 }
@@ -204,25 +204,25 @@
 	w.listens()
 	c := w.loop.clients
 	const links = 64
-	c.limit(links, 1<<20)
+	c.setLimits(links, 1<<20)
 	query := w.connects()
 	query.write([]byte(sized(1, 0)))
 	w.turn()
 	w.module.Next = append(w.module.Next, dispatch.Send{Job: 1, Worker: w.worker()})
-	w.loop.Ledger.Wake()
+	w.loop.Requests.Wake()
 	w.turn()
 	full := false
 	turns := func(n int) {
 		t.Helper()
 		for range n {
-			before := map[*clientLink]bool{}
-			for k := range c.links {
+			before := map[*clientConnection]bool{}
+			for k := range c.connections {
 				before[k] = true
 			}
 			w.oneTurn()
-			full = full || c.inUse() >= c.most
+			full = full || c.activeCount() >= c.maxConnections
 			held := len(before)
-			for k := range c.links {
+			for k := range c.connections {
 				if !before[k] { // opened while those that ended in the same turn were there still
 					held++
 				}
@@ -246,10 +246,10 @@
 	flood()
 	for range 8 {
 		turns(4)
-		w.now += graceAtFirst / 4
+		w.now += evictionGrace / 4
 	}
 	if !full {
-		t.Fatalf("%d links only", c.inUse())
+		t.Fatalf("%d links only", c.activeCount())
 	}
 	up, note := w.connects(), w.connects()
 	up.write([]byte(numbered(asks[6].text, 1)))
@@ -258,7 +258,7 @@
 	flood()
 	for range 8 {
 		turns(links)
-		w.now += graceAtFirst
+		w.now += evictionGrace
 	}
 	for name, p := range map[string]*peer{"readiness": up, "query": query} {
 		if got := p.answers(t); len(got) != 1 || got[0] != 200 {
@@ -279,7 +279,7 @@
 		p.write([]byte(strings.Repeat("GET /status/a HTTP/1.1\r\n\r\n", 20)))
 		w.turn()
 	}
-	k := w.loop.status.links.Front().Value.(*statusLink)
+	k := w.loop.status.connections.Front().Value.(*statusConnection)
 	if p.halfCloses(); len(k.Output()) == 0 {
 		t.Fatal("nothing waits to be read")
 	}
@@ -289,8 +289,8 @@
 	if n := w.readyDescriptors(); n != 0 {
 		t.Errorf("%d descriptors are told as ready, with nothing to be done", n)
 	}
-	if err := w.readsToTheEnd(p); err != nil || w.loop.status.links.Len() != 0 {
-		t.Errorf("read to the end: %v, %d links left", err, w.loop.status.links.Len())
+	if err := w.readsToTheEnd(p); err != nil || w.loop.status.connections.Len() != 0 {
+		t.Errorf("read to the end: %v, %d links left", err, w.loop.status.connections.Len())
 	}
 	if n := bytes.Count(p.got, []byte("HTTP/1.1 200 ")); n != 800 {
 		t.Errorf("%d answers to 800 requests", n)
@@ -303,7 +303,7 @@
 	var peers []*peer
 	for range 2 {
 		p, fd := w.pair()
-		w.loop.clients.adopt(fd, netip.AddrPort{})
+		w.loop.clients.addConnection(fd, netip.AddrPort{})
 		for range 8 {
 			p.write([]byte(strings.Repeat(numbered(asks[7].text, 1), 100)))
 			w.turn()
@@ -314,8 +314,8 @@
 		peers = append(peers, p)
 	}
 	slow, deaf := peers[0], peers[1]
-	for w.loop.clients.held > 0 && len(w.loop.clients.links) == 2 {
-		w.now += readWithin / 2
+	for w.loop.clients.bufferedBytes > 0 && len(w.loop.clients.connections) == 2 {
+		w.now += responseUnreadTimeout / 2
 		slow.read(6 << 10)
 		w.turn()
 	}
@@ -323,7 +323,7 @@
 		slow.read(1 << 20)
 		w.turn()
 	}
-	if deaf.read(1 << 20); !deaf.ended || slow.ended || len(w.loop.clients.links) != 1 {
+	if deaf.read(1 << 20); !deaf.ended || slow.ended || len(w.loop.clients.connections) != 1 {
 		t.Errorf("ended: the deaf one %v, the slow one %v", deaf.ended, slow.ended)
 	}
 }
--- a/internal/link/cordon.go
+++ b/internal/link/cordon.go
@@ -5,7 +5,7 @@
 // openCordonStore has cordoned workers kept in stateDir; without one nothing is kept.
 func (l *Loop) openCordonStore(stateDir string) {
 	if stateDir != "" {
-		l.cordonStore = hotrestart.NewCordonStore(stateDir, operatorsMost, l.Post)
+		l.cordonStore = hotrestart.NewCordonStore(stateDir, maxOperatorConnections, l.Post)
 	}
 }
 
@@ -17,9 +17,9 @@
 	}
 	var known, full bool
 	if cordoned {
-		known, full = l.Ledger.Cordon(workerID)
+		known, full = l.Requests.Cordon(workerID)
 	} else {
-		known = l.Ledger.Uncordon(workerID)
+		known = l.Requests.Uncordon(workerID)
 	}
 	switch {
 	case !known:
@@ -43,7 +43,7 @@
 		respond(200, state)
 		return
 	}
-	l.cordonStore.Save(l.Ledger.Cordoned(), func(err error) {
+	l.cordonStore.Save(l.Requests.Cordoned(), func(err error) {
 		if err != nil { // the change holds all the same, for as long as this process lives
 			l.log.Error("worker nodes out by hand are not kept", "error", err)
 			respond(503, "not kept: "+err.Error())
--- a/internal/link/discovery_watch.go
+++ b/internal/link/discovery_watch.go
@@ -47,7 +47,7 @@
 }
 
 // Watch has the endpoint list followed from now on. A connection that is planned or open goes on.
-func (s *serverLinks) Watch(int64) {
+func (s *workerPool) Watch(int64) {
 	w := s.loop.watch
 	s.loop.Protect(w, func() {
 		w.machine.Restart(s.loop.Now())
@@ -73,7 +73,7 @@
 // 0 on, the new one sends all that it has.
 func (w *watchConnection) changeServer(server netip.AddrPort) {
 	w.server = server
-	w.loop.Ledger.ResetRevision()
+	w.loop.Requests.ResetRevision()
 	w.loop.Protect(w, func() {
 		w.Close()
 		w.machine.ChangeServer(w.loop.Now())
@@ -108,7 +108,7 @@
 func (w *watchConnection) connect() {
 	w.machine.Connect(w.loop.Now())
 	w.resetTimer()
-	w.revision = w.loop.Ledger.Revision()
+	w.revision = w.loop.Requests.Revision()
 	w.streaming = false
 	w.receivedEvent = false
 	w.body = http1.ChunkDecoder{}
@@ -143,7 +143,7 @@
 	w.resetTimer()
 	retryAt, _ := w.machine.NextDeadline()
 	w.loop.log.Warn("watch lost", "discovery", w.server.String(), "error", reason, "stale_in", staleAt-now, "retry_in", retryAt-now)
-	w.loop.Ledger.DiscoveryFailed()
+	w.loop.Requests.DiscoveryFailed()
 }
 
 // HandlePanic implements handler.
@@ -283,6 +283,6 @@
 		w.loop.log.Info("watch began", "discovery", w.server.String(), "after", w.revision, "revision", list.Revision,
 			"snapshot", list.Reset, "entries", len(list.Endpoints))
 	}
-	w.loop.Ledger.UpdateEndpoints(list)
+	w.loop.Requests.UpdateEndpoints(list)
 	return nil
 }
--- a/internal/link/discovery_watch_model_test.go
+++ b/internal/link/discovery_watch_model_test.go
@@ -25,7 +25,7 @@
 func newWatchModel(choices *steps.Steps) *watchModel {
 	model := &watchModel{world: newWorld(choices), unsent: watchResponse}
 	model.module.Next = append(model.module.Next, dispatch.Subscribe{})
-	model.loop.Ledger.DiscoveryFailed()
+	model.loop.Requests.DiscoveryFailed()
 	model.turn()
 	model.server = model.dialed[0]
 	model.server.read(1 << 12)
@@ -130,7 +130,7 @@
 			continue
 		}
 		m.Check(len(unseen) > 0, "an update that was not sent")
-		if m.loop.Ledger.Endpoint(list.Workers[0].ID).ID == fmt.Sprint("s-", unseen[0]) {
+		if m.loop.Requests.Endpoint(list.Workers[0].ID).ID == fmt.Sprint("s-", unseen[0]) {
 			unseen = unseen[1:]
 		}
 	}
--- a/internal/link/discovery_watch_test.go
+++ b/internal/link/discovery_watch_test.go
@@ -24,7 +24,7 @@
 func newWatchedWorld(t *testing.T) (*world, *peer) {
 	t.Helper()
 	watched := newWorld(&steps.Steps{T: t})
-	watched.loop.Ledger.WatchEndpoints()
+	watched.loop.Requests.WatchEndpoints()
 	watched.turn()
 	server := watched.dialed[0]
 	server.read(1 << 12)
@@ -139,7 +139,7 @@
 		config := discovery.Config{PollInterval: 10 * time.Second, Schedulers: schedulers}
 		latest := func(n int64) int64 { return n - 1 } // that may be drawn
 		watched.loop.watch = watched.loop.newWatchConnection(netip.AddrPort{}, config, latest)
-		watched.loop.Ledger.WatchEndpoints()
+		watched.loop.Requests.WatchEndpoints()
 		watched.turn()
 		first := watched.dialed[0]
 		first.write([]byte(watchResponse + chunk(`{"generation":7,"instances":[]}`+"\n")))
@@ -162,7 +162,7 @@
 			t.Errorf("requested %q", got)
 		}
 		watched.module.Next = append(watched.module.Next, dispatch.Subscribe{}) // the policy's own, late: the list is followed
-		watched.loop.Ledger.DiscoveryFailed()
+		watched.loop.Requests.DiscoveryFailed()
 		watched.turn()
 		if len(watched.dialed) != 2 {
 			t.Error("a connection beside one that is open")
--- a/internal/link/drain_test.go
+++ b/internal/link/drain_test.go
@@ -18,7 +18,7 @@
 // sends has the module send a query to the one host.
 func (w *world) sends(job uint64) {
 	w.module.Next = append(w.module.Next, dispatch.Send{Job: job, Worker: w.worker()})
-	w.loop.Ledger.Wake()
+	w.loop.Requests.Wake()
 	w.turn()
 }
 
@@ -60,8 +60,8 @@
 	}
 	worker.write([]byte(sized(9, 0))) // it is no worker node, then
 	w.turn()
-	if got := worker.answers(t); got[len(got)-1] != 503 || !w.loop.Quiet() {
-		t.Errorf("answered %v, quiet %v", got, w.loop.Quiet())
+	if got := worker.answers(t); got[len(got)-1] != 503 || !w.loop.IsQuiet() {
+		t.Errorf("answered %v, quiet %v", got, w.loop.IsQuiet())
 	}
 }
 
@@ -79,15 +79,15 @@
 	w.loop.Drain()
 	w.loop.Close()
 	w.now += time.Second
-	w.loop.RefuseHeld()
+	w.loop.RejectQueued()
 	w.turn()
-	if got := held.answers(t); len(got) != 1 || got[0] != 503 || len(hangs.answers(t)) != 0 || w.loop.Quiet() {
-		t.Errorf("held answered %v, sent %v, quiet %v", got, hangs.answers(t), w.loop.Quiet())
+	if got := held.answers(t); len(got) != 1 || got[0] != 503 || len(hangs.answers(t)) != 0 || w.loop.IsQuiet() {
+		t.Errorf("held answered %v, sent %v, quiet %v", got, hangs.answers(t), w.loop.IsQuiet())
 	}
-	w.loop.FinishAll()
+	w.loop.FinishAllRequests()
 	w.turn()
-	if got := hangs.answers(t); len(got) != 1 || got[0] != 500 || !hangs.ended || !w.loop.Quiet() {
-		t.Errorf("sent answered %v, ended %v, quiet %v", got, hangs.ended, w.loop.Quiet())
+	if got := hangs.answers(t); len(got) != 1 || got[0] != 500 || !hangs.ended || !w.loop.IsQuiet() {
+		t.Errorf("sent answered %v, ended %v, quiet %v", got, hangs.ended, w.loop.IsQuiet())
 	}
 	worker := w.connects()
 	worker.write(noted("1", "done"))
--- a/internal/link/figures.go
+++ b/internal/link/figures.go
@@ -10,18 +10,18 @@
 	"valvecove/internal/figures"
 )
 
-// batchesAtOnce are sent in one turn at most: other links have their turns too.
-const batchesAtOnce = 16
+// maxBatchesPerIteration are sent in one turn at most: other links have their turns too.
+const maxBatchesPerIteration = 16
 
-// collector sends figures to a UDP address, and never waits. The socket is connected, as otherwise nothing would tell
+// collectorSocket sends figures to a UDP address, and never waits. The socket is connected, as otherwise nothing would tell
 // that nobody listens there.
-type collector struct {
-	to netip.AddrPort
-	fd int
+type collectorSocket struct {
+	address netip.AddrPort
+	fd      int
 }
 
 // Send sends one batch; the line end of its last figure stays behind.
-func (c *collector) Send(batch []byte) error {
+func (c *collectorSocket) Send(batch []byte) error {
 	if c.fd < 0 {
 		if err := c.open(); err != nil {
 			return err
@@ -37,8 +37,8 @@
 	return err
 }
 
-func (c *collector) open() error {
-	family, sa := eventloop.Sockaddr(c.to)
+func (c *collectorSocket) open() error {
+	family, sa := eventloop.Sockaddr(c.address)
 	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return err
@@ -56,21 +56,21 @@
 	l.After(f.Every(), func() {
 		l.sendFigures(f)
 		f.Gather()
-		l.sendOn(f)
+		l.sendFigureBatches(f)
 	})
 }
 
-func (l *Loop) sendOn(f *figures.Figures) {
-	if f.Send(batchesAtOnce) {
-		l.After(0, func() { l.sendOn(f) })
+func (l *Loop) sendFigureBatches(f *figures.Figures) {
+	if f.Send(maxBatchesPerIteration) {
+		l.After(0, func() { l.sendFigureBatches(f) })
 	}
 }
 
-// LastFigures sends all figures that there are, at the end.
-func (l *Loop) LastFigures() {
+// FlushFigures sends all figures that there are, at the end.
+func (l *Loop) FlushFigures() {
 	if l.figures != nil {
 		l.figures.Gather()
-		for l.figures.Send(batchesAtOnce) {
+		for l.figures.Send(maxBatchesPerIteration) {
 		}
 	}
 }
--- a/internal/link/hotrestart_fuzz_test.go
+++ b/internal/link/hotrestart_fuzz_test.go
@@ -26,7 +26,7 @@
 			model.exchange(1 << 16)
 		}
 		choices.Check(!model.inFlight || model.attempts == model.requested, "an attempt did not come whole")
-		lost := model.unsent == "" && model.requested != model.answered && model.loop.Ledger.OpenCount() != 1
+		lost := model.unsent == "" && model.requested != model.answered && model.loop.Requests.OpenCount() != 1
 		choices.Check(!lost, "a request is lost")
 	})
 }
@@ -56,7 +56,7 @@
 	model.workerID = model.worker()
 	client, socket := model.pair()
 	model.client = client
-	model.loop.clients.adopt(socket, netip.MustParseAddrPort("127.0.0.1:9"))
+	model.loop.clients.addConnection(socket, netip.MustParseAddrPort("127.0.0.1:9"))
 	return model
 }
 
@@ -87,7 +87,7 @@
 }
 
 func (m *hotRestartModel) canSend() bool {
-	return m.attempts < m.requested && !m.inFlight && !m.cordoned && m.loop.Ledger.OpenCount() == 1
+	return m.attempts < m.requested && !m.inFlight && !m.cordoned && m.loop.Requests.OpenCount() == 1
 }
 
 func (m *hotRestartModel) canComplete() bool {
@@ -125,9 +125,9 @@
 
 func (m *hotRestartModel) sendAttempt() {
 	id := uint64(m.requested)
-	m.Check(m.loop.Ledger.Request(id) != nil, "request %d has another number", id)
+	m.Check(m.loop.Requests.Request(id) != nil, "request %d has another number", id)
 	m.module.Next = []dispatch.Action{dispatch.Send{Job: id, Worker: m.workerID}}
-	m.loop.Ledger.Wake()
+	m.loop.Requests.Wake()
 	m.inFlight = true
 	m.Did("send")
 }
@@ -142,7 +142,7 @@
 func (m *hotRestartModel) complete() {
 	result := "made of " + m.callID()
 	callback := requests.Callback{CallID: m.callID(), EndpointID: "s-0", State: "done", Result: &result}
-	_, _ = m.loop.Ledger.HandleCallback(callback)
+	_, _ = m.loop.Requests.HandleCallback(callback)
 	m.received += fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(result), result)
 	m.inFlight = false
 	m.answered++
@@ -152,9 +152,9 @@
 func (m *hotRestartModel) toggleCordon() {
 	m.cordoned = !m.cordoned
 	if m.cordoned {
-		m.loop.Ledger.Cordon("s-0")
+		m.loop.Requests.Cordon("s-0")
 	} else {
-		m.loop.Ledger.Uncordon("s-0")
+		m.loop.Requests.Uncordon("s-0")
 	}
 	m.Did("cordon or uncordon")
 }
@@ -162,7 +162,7 @@
 // exchange runs the loop, and reads what has come to the worker, at most so many bytes of a connection, and to the client.
 func (m *hotRestartModel) exchange(readSize int) {
 	m.turn()
-	cordoned := m.loop.Ledger.Cordoned()
+	cordoned := m.loop.Requests.Cordoned()
 	m.Check((len(cordoned) == 1) == m.cordoned, "cordoned %v", cordoned)
 	for _, connection := range m.dialed {
 		if connection.at != m.loop.watch.server { // a process that takes over connects to discovery too
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -113,7 +113,7 @@
 func (l *Loop) notifyCordoned() {
 	role := l.predecessorRole
 	if role != nil && role.protocol.State() == hotrestart.PredecessorPaired {
-		_ = role.successor.sendMessage(hotrestart.CordonedWorkers{WorkerIDs: l.Ledger.Cordoned()})
+		_ = role.successor.sendMessage(hotrestart.CordonedWorkers{WorkerIDs: l.Requests.Cordoned()})
 	}
 }
 
@@ -128,7 +128,7 @@
 	c.role.successor = nil
 	c.role.protocol.HandleDisconnect()
 	if !c.loop.hasRelinquished() {
-		c.loop.divide(false)
+		c.loop.shareLimits(false)
 	}
 	c.loop.log.Info("successor gone", "cause", cause)
 	for _, call := range c.pendingCalls.TakeAll() {
@@ -171,12 +171,12 @@
 func (c *successorConn) accept() error {
 	loop := c.loop
 	loop.StopTimer(c.handshakeTimer)
-	accept := hotrestart.Accept{Version: hotrestart.ProtocolVersion, CordonedWorkers: loop.Ledger.Cordoned()}
+	accept := hotrestart.Accept{Version: hotrestart.ProtocolVersion, CordonedWorkers: loop.Requests.Cordoned()}
 	if err := c.sendMessageBefore(loop.Clock()+transferTimeout, accept, loop.clients.fd); err != nil {
 		return err
 	}
 	loop.log.Info("successor stands by")
-	loop.divide(true)
+	loop.shareLimits(true)
 	if loop.onSuccessor != nil {
 		loop.onSuccessor()
 	}
@@ -213,8 +213,8 @@
 	if role == nil || role.protocol.State() != hotrestart.PredecessorPaired {
 		return ErrNoSuccessor
 	}
-	l.Ledger.AwaitEndpoints(0) // requests that wait for endpoints are handed over too
-	if !l.Ledger.FlushEvents(l.Now()) || l.cordonStore != nil && l.cordonStore.IsWriting() {
+	l.Requests.AwaitEndpoints(0) // requests that wait for endpoints are handed over too
+	if !l.Requests.FlushEvents(l.Now()) || l.cordonStore != nil && l.cordonStore.IsWriting() {
 		return ErrNotSettled
 	}
 	startedAt := l.Clock()
@@ -258,18 +258,18 @@
 // releaseTransferred lets go of what the successor owns now.
 func (l *Loop) releaseTransferred(transfer *stateTransfer) {
 	for _, client := range transfer.clientConnections {
-		client.busy()
-		client.turns = nil
+		client.leaveWaitingList()
+		client.slots = nil
 		client.Close()
-		client.count()
-		delete(l.clients.links, client)
+		client.updateBufferedBytes()
+		delete(l.clients.connections, client)
 	}
 	for _, worker := range transfer.workerConnections {
 		l.StopTimer(worker.timer)
-		worker.state = gone
+		worker.state = workerClosed
 		worker.Close()
 	}
-	clear(l.servers.carried)
+	clear(l.workers.byAttempt)
 	l.watch.stop()
 	l.Remove(l.clients.fd)
 	l.clients.fd = hotrestart.NoDescriptor
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -43,9 +43,9 @@
 		return false
 	}
 	l.successorRole = role
-	l.divide(true)
+	l.shareLimits(true)
 	// At once: the first call of one scheduler of many may wait a while, and what it is told is needed soon.
-	l.Ledger.WatchEndpoints()
+	l.Requests.WatchEndpoints()
 	return true
 }
 
@@ -138,7 +138,7 @@
 	case hotrestart.Reject:
 		r.loop.onFail(fmt.Errorf("the process that serves turns this one away: %s", message.Reason))
 	case hotrestart.CordonedWorkers:
-		r.loop.Ledger.SetCordoned(message.WorkerIDs)
+		r.loop.Requests.SetCordoned(message.WorkerIDs)
 	case hotrestart.CordonResult:
 		r.pendingCalls.CompleteOldest(message)
 	case hotrestart.SetCordon:
@@ -159,7 +159,7 @@
 	r.discardReceived()
 	closeDescriptor(r.listenerFD) // of an earlier session
 	r.listenerFD = listenerFD
-	r.loop.Ledger.SetCordoned(accept.CordonedWorkers)
+	r.loop.Requests.SetCordoned(accept.CordonedWorkers)
 	for _, message := range r.pendingCalls.Messages() {
 		if err := r.sendMessage(message); err != nil {
 			return err
@@ -196,7 +196,7 @@
 		return
 	}
 	loop.awaitSuccessor(hotrestart.SocketAddresses(r.stateDir, r.listenAddress))
-	loop.divide(false)
+	loop.shareLimits(false)
 	for _, call := range r.pendingCalls.TakeAll() { // the predecessor may have carried them out, or not
 		loop.setCordoned(call.WorkerID, call.Cordoned, call.Respond)
 	}
@@ -249,7 +249,7 @@
 	if err != nil {
 		loop.log.Error("worker nodes out by hand can't be read", "error", err)
 	} else {
-		loop.Ledger.SetCordoned(cordoned)
+		loop.Requests.SetCordoned(cordoned)
 	}
 	loop.log.Warn("the process to be replaced has gone: serving without what it had", "cause", cause)
 	r.startServing()
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -18,8 +18,8 @@
 // enableHotRestart makes a world one whose process can be replaced, or can replace another. Its policy is scripted, before and
 // after.
 func (w *world) enableHotRestart() {
-	w.loop.decides = dispatch.New(*w.loop.clients.set, 1)
-	w.loop.wrap = func(*dispatch.Dispatcher) requests.Policy { return w.module }
+	w.loop.dispatcher = dispatch.New(*w.loop.clients.settings, 1)
+	w.loop.wrapRestored = func(*dispatch.Dispatcher) requests.Policy { return w.module }
 	w.loop.onFail = func(err error) { w.T.Errorf("a process fails: %v", err) }
 }
 
@@ -39,7 +39,7 @@
 func (w *world) startSuccessor(dir string, address netip.AddrPort) *world {
 	successor := newWorld(w.Steps)
 	successor.enableHotRestart()
-	successor.now, successor.loop.clients.set = w.now, w.loop.clients.set
+	successor.now, successor.loop.clients.settings = w.now, w.loop.clients.settings
 	w.Check(successor.loop.joinPredecessor(dir, address), "no predecessor")
 	for successor.successorState() == hotrestart.SuccessorJoining {
 		w.turn()
@@ -76,7 +76,7 @@
 // sendRequest has a client of the world send request "q", on a connection of its own.
 func (w *world) sendRequest(at netip.AddrPort) *peer {
 	client, fd := w.pair()
-	w.loop.clients.adopt(fd, at)
+	w.loop.clients.addConnection(fd, at)
 	client.write([]byte("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: q\r\nX-Caller: t\r\nContent-Length: 0\r\n\r\n"))
 	w.turn()
 	return client
@@ -89,7 +89,7 @@
 	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
 	client := predecessor.sendRequest(address)
 	successor := predecessor.startSuccessor(dir, address)
-	if both := predecessor.loop.clients.most + successor.loop.clients.most; both > 1024-2*ownDescriptors {
+	if both := predecessor.loop.clients.maxConnections + successor.loop.clients.maxConnections; both > 1024-2*ownDescriptors {
 		t.Errorf("two processes hold %d client links", both)
 	}
 	role := successor.loop.successorRole
@@ -97,7 +97,7 @@
 	role.received.ClientConnections = []hotrestart.ReceivedClientConnection{{Descriptor: socket}}
 	// This one is found at the end of the transfer.
 	role.received.WorkerConnections = []hotrestart.ReceivedWorkerConnection{{Descriptor: hotrestart.NoDescriptor}}
-	if err := predecessor.handOverTo(successor); err == nil || predecessor.loop.hasRelinquished() || predecessor.loop.Ledger.OpenCount() != 1 {
+	if err := predecessor.handOverTo(successor); err == nil || predecessor.loop.hasRelinquished() || predecessor.loop.Requests.OpenCount() != 1 {
 		t.Fatalf("handed over to one that did not take it: %v", err)
 	}
 	for role.protocol.State() == hotrestart.SuccessorJoining || predecessor.loop.predecessorRole.successor == nil {
@@ -107,14 +107,14 @@
 	if peer.read(1); !peer.ended {
 		t.Error("a socket of the failed transfer is still open")
 	}
-	if successor.loop.Ledger.OpenCount() != 0 || len(successor.loop.clients.links) != 0 || successor.loop.clients.fd >= 0 {
+	if successor.loop.Requests.OpenCount() != 0 || len(successor.loop.clients.connections) != 0 || successor.loop.clients.fd >= 0 {
 		t.Error("the successor has something of a transfer that failed")
 	}
-	if err := predecessor.handOverTo(successor); err != nil || successor.loop.halved {
+	if err := predecessor.handOverTo(successor); err != nil || successor.loop.sharesMachine {
 		t.Fatalf("the second time: %v", err)
 	}
 	successor.module.Next = []dispatch.Action{dispatch.Reject{Job: 1}}
-	successor.loop.Ledger.Wake()
+	successor.loop.Requests.Wake()
 	successor.turn()
 	if client.read(1 << 16); !strings.HasPrefix(string(client.got), "HTTP/1.1 503 ") {
 		t.Errorf("the client got %q", client.got)
@@ -161,12 +161,12 @@
 	predecessor.loop.predecessorRole.successor.closeWithDescriptors()
 	predecessor.turn()
 	successor.turn()
-	cordoned := successor.loop.Ledger.Cordoned()
-	if len(cordoned) != 1 || cordoned[0] != "s-0" || successor.loop.clients.fd < 0 || successor.loop.unready() == "" {
+	cordoned := successor.loop.Requests.Cordoned()
+	if len(cordoned) != 1 || cordoned[0] != "s-0" || successor.loop.clients.fd < 0 || successor.loop.notReadyReason() == "" {
 		t.Errorf("after the predecessor's death: cordoned %v", cordoned)
 	}
 	third := successor.startSuccessor(dir, address)
-	if err := successor.handOverTo(third); err != nil || len(third.loop.Ledger.Cordoned()) != 1 {
+	if err := successor.handOverTo(third); err != nil || len(third.loop.Requests.Cordoned()) != 1 {
 		t.Errorf("the next one: %v", err)
 	}
 }
@@ -178,12 +178,12 @@
 	predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
 	client := predecessor.sendRequest(address)
 	predecessor.module.Next = []dispatch.Action{dispatch.Send{Job: 1, Worker: predecessor.worker()}}
-	predecessor.loop.Ledger.Wake()
+	predecessor.loop.Requests.Wake()
 	predecessor.turn()
 	successor := predecessor.startSuccessor(dir, address)
-	otherSettings := *predecessor.loop.clients.set
+	otherSettings := *predecessor.loop.clients.settings
 	otherSettings.Classes = append(otherSettings.Classes, otherSettings.Classes[0])
-	successor.loop.clients.set = &otherSettings
+	successor.loop.clients.settings = &otherSettings
 	if err := predecessor.handOverTo(successor); err != nil {
 		t.Fatal(err)
 	}
@@ -199,7 +199,7 @@
 	}
 	result := "made"
 	callback := requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result}
-	_, _ = successor.loop.Ledger.HandleCallback(callback)
+	_, _ = successor.loop.Requests.HandleCallback(callback)
 	successor.turn()
 	if client.read(1 << 16); !strings.HasSuffix(string(client.got), "made") {
 		t.Errorf("the client got %q", client.got)
@@ -214,8 +214,8 @@
 	successor := predecessor.startSuccessor(dir, address)
 	statusCode := 0
 	successor.loop.setCordoned("s-0", true, func(got int, _ string) { statusCode = got })
-	if err := predecessor.handOverTo(successor); err != nil || statusCode != 200 || len(successor.loop.Ledger.Cordoned()) != 1 {
-		t.Errorf("%v, answered %d, cordoned %v", err, statusCode, successor.loop.Ledger.Cordoned())
+	if err := predecessor.handOverTo(successor); err != nil || statusCode != 200 || len(successor.loop.Requests.Cordoned()) != 1 {
+		t.Errorf("%v, answered %d, cordoned %v", err, statusCode, successor.loop.Requests.Cordoned())
 	}
 	for _, sent := range []bool{false, true} {
 		next := successor.startSuccessor(dir, address).loop.successorRole
@@ -241,7 +241,7 @@
 	}
 	successor.turn()
 	predecessor.turn()
-	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) || predecessor.loop.halved {
+	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) || predecessor.loop.sharesMachine {
 		t.Errorf("handed over to nobody: %v", err)
 	}
 }
@@ -269,7 +269,7 @@
 	for _, lost := range []bool{false, true} {
 		dir := t.TempDir()
 		predecessor, address := newPredecessorWorld(&steps.Steps{T: t}, dir)
-		predecessor.loop.clients.set.MustSubscribe = true // a successor has its predecessor's settings
+		predecessor.loop.clients.settings.MustSubscribe = true // a successor has its predecessor's settings
 		successor := predecessor.startSuccessor(dir, address)
 		if !successor.loop.watch.isOpen() {
 			t.Error("it stands by without a watch")
@@ -281,12 +281,12 @@
 		conf := config.Config{Discovery: netip.MustParseAddrPort("127.0.0.1:8"), Limits: config.Limits{Sockets: 512, MemoryMB: 64}}
 		predecessor.loop.Reload(conf)
 		successor.loop.Reload(conf)
-		half := successor.loop.clients.most
+		half := successor.loop.clients.maxConnections
 		err := predecessor.handOverTo(successor)
 		watch := successor.loop.watch
-		if err != nil || !watch.isOpen() || watch.server != conf.Discovery || successor.loop.clients.most < 2*half {
+		if err != nil || !watch.isOpen() || watch.server != conf.Discovery || successor.loop.clients.maxConnections < 2*half {
 			t.Errorf("lost %v: %v, watched %v at %v, %d client links, %d before", lost, err, watch.isOpen(), watch.server,
-				successor.loop.clients.most, half)
+				successor.loop.clients.maxConnections, half)
 		}
 	}
 }
--- a/internal/link/hotrestart_transfer.go
+++ b/internal/link/hotrestart_transfer.go
@@ -24,8 +24,8 @@
 	err        error         // the first; nothing is sent after it
 
 	// What was sent.
-	clientConnections []*clientLink
-	workerConnections []*serverLink
+	clientConnections []*clientConnection
+	workerConnections []*workerConnection
 	requestCount      int
 	snapshotSize      int // bytes
 }
@@ -53,7 +53,7 @@
 }
 
 func (t *stateTransfer) sendPolicySnapshot() {
-	snapshot := t.loop.decides.Snapshot(nil)
+	snapshot := t.loop.dispatcher.Snapshot(nil)
 	t.snapshotSize = len(snapshot)
 	for len(snapshot) > 0 {
 		size := min(len(snapshot), hotrestart.SnapshotChunkSize)
@@ -63,7 +63,7 @@
 }
 
 func (t *stateTransfer) sendRequests() {
-	table, openRequests := t.loop.Ledger.Snapshot()
+	table, openRequests := t.loop.Requests.Snapshot()
 	t.requestCount = len(openRequests)
 	t.send(hotrestart.RequestTable(table), hotrestart.NoDescriptor)
 	for _, request := range openRequests {
@@ -72,7 +72,7 @@
 }
 
 func (t *stateTransfer) sendClientConnections() {
-	for client := range t.loop.clients.links {
+	for client := range t.loop.clients.connections {
 		if !client.lingering {
 			t.send(client.transferRecord(), client.FD())
 			t.clientConnections = append(t.clientConnections, client)
@@ -81,7 +81,7 @@
 }
 
 func (t *stateTransfer) sendWorkerConnections() {
-	for _, worker := range t.loop.servers.transferable() {
+	for _, worker := range t.loop.workers.transferable() {
 		t.send(worker.transferRecord(), worker.FD())
 		t.workerConnections = append(t.workerConnections, worker)
 	}
@@ -120,85 +120,85 @@
 	return nil
 }
 
-func (k *clientLink) transferRecord() hotrestart.ClientConnection {
+func (k *clientConnection) transferRecord() hotrestart.ClientConnection {
 	record := hotrestart.ClientConnection{
 		Input:             k.Input(),
 		Output:            k.Output(),
-		LastRequestRead:   k.last,
-		InputConsumed:     k.ended,
-		HalfClosed:        k.sounded,
-		ContinueSent:      k.continued,
-		RequestSeen:       k.spoke,
-		UsefulRequestSeen: k.useful,
-		ProxyHeaderDone:   k.introduced,
-		LastActivity:      k.since,
-		ClientAddress:     k.client.String(),
-	}
-	if k.via.IsValid() {
-		record.ProxyAddress = k.via.String()
-	}
-	for _, slot := range k.turns {
+		LastRequestRead:   k.lastRequestRead,
+		InputConsumed:     k.inputEnded,
+		HalfClosed:        k.halfCloseProbed,
+		ContinueSent:      k.continueSent,
+		RequestSeen:       k.requestSeen,
+		UsefulRequestSeen: k.usefulRequestSeen,
+		ProxyHeaderDone:   k.proxyHeaderDone,
+		LastActivity:      k.lastActivity,
+		ClientAddress:     k.clientAddress.String(),
+	}
+	if k.proxyAddress.IsValid() {
+		record.ProxyAddress = k.proxyAddress.String()
+	}
+	for _, slot := range k.slots {
 		record.ResponseSlots = append(record.ResponseSlots, slot.transferRecord())
 	}
 	return record
 }
 
-func (t *turn) transferRecord() hotrestart.ResponseSlot {
+func (t *responseSlot) transferRecord() hotrestart.ResponseSlot {
 	record := hotrestart.ResponseSlot{
-		KeepAlive:  t.keep,
-		Complete:   t.done,
-		Status:     t.status,
+		KeepAlive:  t.keepAlive,
+		Complete:   t.isComplete,
+		Status:     t.statusCode,
 		Body:       t.body,
-		RetryAfter: t.retry,
+		RetryAfter: t.retryAfter,
 	}
-	if t.query != nil {
-		record.RequestID = t.query.ID
+	if t.request != nil {
+		record.RequestID = t.request.ID
 	}
 	return record
 }
 
 // transferable returns the connections that are handed over: those that carry an attempt, and idle ones.
-func (s *serverLinks) transferable() []*serverLink {
-	var connections []*serverLink
-	for _, connection := range s.carried {
+func (s *workerPool) transferable() []*workerConnection {
+	var connections []*workerConnection
+	for _, connection := range s.byAttempt {
 		if connection.IsOpen() {
 			connections = append(connections, connection)
 		}
 	}
-	for _, endpoint := range s.hosts {
+	for _, endpoint := range s.endpoints {
 		connections = append(connections, endpoint.idle...)
 	}
 	return connections
 }
 
-func (k *serverLink) transferRecord() hotrestart.WorkerConnection {
+func (k *workerConnection) transferRecord() hotrestart.WorkerConnection {
 	record := hotrestart.WorkerConnection{
-		WorkerID:   k.host.id,
+		WorkerID:   k.endpoint.id,
 		State:      transferredStates[k.state],
 		Stage:      k.stage,
 		Input:      k.Input(),
 		Output:     k.Output(),
-		IdleBefore: k.rested,
-		IdleSince:  k.idleAt,
+		IdleBefore: k.idleBefore,
+		IdleSince:  k.idleSince,
 	}
-	if attempt := k.errand.attempt; k.errand.kind == carrying && attempt != nil {
+	if attempt := k.exchange.attempt; k.exchange.kind == exchangeAttempt && attempt != nil {
 		record.RequestID, record.Attempt = attempt.Request.ID, attempt.Number
 	}
 	return record
 }
 
 // transferredStates are the states of connections as they are handed over.
-var transferredStates = map[linkState]hotrestart.WorkerConnectionState{
-	connecting: hotrestart.WorkerConnecting,
-	idle:       hotrestart.WorkerIdle,
-	asking:     hotrestart.WorkerAwaitingResponse,
+var transferredStates = map[workerConnectionState]hotrestart.WorkerConnectionState{
+	workerConnecting:       hotrestart.WorkerConnecting,
+	workerIdle:             hotrestart.WorkerIdle,
+	workerAwaitingResponse: hotrestart.WorkerAwaitingResponse,
 }
 
 // ---- Restoring ----
 
 // restoreState goes on with all that a predecessor had. It owns the descriptors.
 func (l *Loop) restoreState(received hotrestart.ReceivedState) {
-	var clients []*clientLink
+	var clients []*clientConnection
 	var waiting []waitingSlot
 	for _, connection := range received.ClientConnections {
 		client, slots := l.clients.restore(connection)
@@ -209,15 +209,15 @@
 	for _, w := range waiting {
 		responders[w.requestID] = w.slot
 	}
-	l.Ledger.TakeOver(l.Now(), received.RequestTable, received.OpenRequests, responders,
+	l.Requests.TakeOver(l.Now(), received.RequestTable, received.OpenRequests, responders,
 		func() requests.Policy { return l.restorePolicy(received.PolicySnapshot) })
 	for _, w := range waiting {
-		w.slot.query = l.Ledger.Request(w.requestID)
+		w.slot.request = l.Requests.Request(w.requestID)
 	}
 	for _, connection := range received.WorkerConnections {
-		l.servers.restore(connection)
+		l.workers.restore(connection)
 	}
-	l.Ledger.WatchEndpoints() // the policy that goes on relies on it
+	l.Requests.WatchEndpoints() // the policy that goes on relies on it
 	for _, client := range clients {
 		if client.IsOpen() { // what was read before is handled now
 			l.Protect(client, func() { client.HandleEvents(unix.EPOLLIN) })
@@ -227,42 +227,42 @@
 
 // restorePolicy returns the policy that goes on from a snapshot, or nil if the snapshot is of no use to this build.
 func (l *Loop) restorePolicy(snapshot []byte) requests.Policy {
-	if l.wrap == nil {
+	if l.wrapRestored == nil {
 		return nil
 	}
-	dispatcher, err := dispatch.Restore(*l.clients.set, snapshot)
+	dispatcher, err := dispatch.Restore(*l.clients.settings, snapshot)
 	if err != nil {
 		l.log.Warn("what the process before had learnt is of no use here", "bytes", len(snapshot), "error", err)
 		return nil
 	}
-	l.decides = dispatcher
-	return l.wrap(dispatcher)
+	l.dispatcher = dispatcher
+	return l.wrapRestored(dispatcher)
 }
 
 // waitingSlot is a restored response slot that awaits the outcome of an open request.
 type waitingSlot struct {
-	slot      *turn
+	slot      *responseSlot
 	requestID uint64
 }
 
 // restore goes on with a connection of a client. Where that fails, the connection that it returns is closed.
-func (c *clientLinks) restore(received hotrestart.ReceivedClientConnection) (*clientLink, []waitingSlot) {
-	client := &clientLink{
-		home:       c,
-		last:       received.LastRequestRead,
-		ended:      received.InputConsumed,
-		half:       received.HalfClosed,
-		sounded:    received.HalfClosed,
-		continued:  received.ContinueSent,
-		spoke:      received.RequestSeen,
-		useful:     received.UsefulRequestSeen,
-		introduced: received.ProxyHeaderDone,
-		since:      received.LastActivity,
-	}
-	client.client, _ = netip.ParseAddrPort(received.ClientAddress)
-	client.via, _ = netip.ParseAddrPort(received.ProxyAddress)
+func (c *clientListener) restore(received hotrestart.ReceivedClientConnection) (*clientConnection, []waitingSlot) {
+	client := &clientConnection{
+		listener:          c,
+		lastRequestRead:   received.LastRequestRead,
+		inputEnded:        received.InputConsumed,
+		halfClosed:        received.HalfClosed,
+		halfCloseProbed:   received.HalfClosed,
+		continueSent:      received.ContinueSent,
+		requestSeen:       received.RequestSeen,
+		usefulRequestSeen: received.UsefulRequestSeen,
+		proxyHeaderDone:   received.ProxyHeaderDone,
+		lastActivity:      received.LastActivity,
+	}
+	client.clientAddress, _ = netip.ParseAddrPort(received.ClientAddress)
+	client.proxyAddress, _ = netip.ParseAddrPort(received.ProxyAddress)
 	events := uint32(eventloop.StreamEvents)
-	if client.half {
+	if client.halfClosed {
 		events = 0 // its end is known; what is left to read is asked for when the connection is first looked at
 	}
 	var err error
@@ -274,28 +274,28 @@
 	}
 	client.SetBuffers(received.Input, received.Output)
 	client.UpdateEvents()
-	c.links[client] = struct{}{}
+	c.connections[client] = struct{}{}
 	waiting := client.restoreSlots(received.ResponseSlots)
-	client.count()
-	if len(client.turns) == 0 && len(client.Input()) == 0 {
-		client.rest()
+	client.updateBufferedBytes()
+	if len(client.slots) == 0 && len(client.Input()) == 0 {
+		client.becomeIdle()
 	}
 	return client, waiting
 }
 
 // restoreSlots returns the slots that await the outcome of an open request.
-func (k *clientLink) restoreSlots(records []hotrestart.ResponseSlot) []waitingSlot {
+func (k *clientConnection) restoreSlots(records []hotrestart.ResponseSlot) []waitingSlot {
 	var waiting []waitingSlot
 	for _, record := range records {
-		slot := &turn{
-			link:   k,
-			keep:   record.KeepAlive,
-			done:   record.Complete,
-			status: record.Status,
-			body:   record.Body,
-			retry:  record.RetryAfter,
+		slot := &responseSlot{
+			connection: k,
+			keepAlive:  record.KeepAlive,
+			isComplete: record.Complete,
+			statusCode: record.Status,
+			body:       record.Body,
+			retryAfter: record.RetryAfter,
 		}
-		k.turns = append(k.turns, slot)
+		k.slots = append(k.slots, slot)
 		if record.RequestID != 0 {
 			waiting = append(waiting, waitingSlot{slot, record.RequestID})
 		}
@@ -304,26 +304,26 @@
 }
 
 // restore goes on with a connection to a worker; one that is of no use any more is closed.
-func (s *serverLinks) restore(received hotrestart.ReceivedWorkerConnection) {
-	worker, known := s.loop.Ledger.WorkerNumber(received.WorkerID)
-	attempt := s.loop.Ledger.InFlightAttempt(received.RequestID, received.Attempt)
+func (s *workerPool) restore(received hotrestart.ReceivedWorkerConnection) {
+	worker, known := s.loop.Requests.WorkerNumber(received.WorkerID)
+	attempt := s.loop.Requests.InFlightAttempt(received.RequestID, received.Attempt)
 	if !known || received.State != hotrestart.WorkerIdle && attempt == nil {
 		_ = unix.Close(received.Descriptor)
 		return
 	}
-	endpoint := s.host(worker)
-	connection := &serverLink{
-		home:   s,
-		host:   endpoint,
-		epoch:  endpoint.epoch,
-		state:  restoredState(received.State),
-		errand: errand{kind: withdrawing},
-		stage:  received.Stage,
-		rested: received.IdleBefore,
-		idleAt: received.IdleSince,
+	endpoint := s.endpoint(worker)
+	connection := &workerConnection{
+		pool:        s,
+		endpoint:    endpoint,
+		incarnation: endpoint.incarnation,
+		state:       restoredState(received.State),
+		exchange:    exchange{kind: exchangeCancel},
+		stage:       received.Stage,
+		idleBefore:  received.IdleBefore,
+		idleSince:   received.IdleSince,
 	}
 	events := uint32(eventloop.StreamEvents)
-	if connection.state == connecting {
+	if connection.state == workerConnecting {
 		events |= unix.EPOLLOUT
 	}
 	var err error
@@ -331,36 +331,36 @@
 		_ = unix.Close(received.Descriptor)
 		if attempt != nil {
 			lost := &requests.AttemptError{Stage: received.Stage, Reason: requests.ReasonConnectionLost, Cause: err}
-			s.loop.Ledger.EndAttempt(attempt, nil, lost)
+			s.loop.Requests.EndAttempt(attempt, nil, lost)
 		}
 		return
 	}
-	s.open++
+	s.openCount++
 	connection.SetBuffers(received.Input, received.Output)
-	if connection.state == idle {
+	if connection.state == workerIdle {
 		endpoint.idle = append(endpoint.idle, connection)
 		return
 	}
 	connection.restoreAttempt(attempt)
 }
 
-func (k *serverLink) restoreAttempt(attempt *requests.Attempt) {
-	k.errand = errand{kind: carrying, attempt: attempt}
-	k.home.carried[attempt] = k
-	if k.state == connecting {
-		k.await(k.home.dial)
+func (k *workerConnection) restoreAttempt(attempt *requests.Attempt) {
+	k.exchange = exchange{kind: exchangeAttempt, attempt: attempt}
+	k.pool.byAttempt[attempt] = k
+	if k.state == workerConnecting {
+		k.setTimeout(k.pool.connectTimeout)
 		return
 	}
-	k.await(attempt.At - k.home.loop.Now() + graceFor)
+	k.setTimeout(attempt.At - k.pool.loop.Now() + responseGrace)
 	k.UpdateEvents()
 }
 
 // restoredState is the reverse of transferredStates.
-func restoredState(state hotrestart.WorkerConnectionState) linkState {
+func restoredState(state hotrestart.WorkerConnectionState) workerConnectionState {
 	for restored, transferred := range transferredStates {
 		if transferred == state {
 			return restored
 		}
 	}
-	return asking
+	return workerAwaitingResponse
 }
--- a/internal/link/leaving_test.go
+++ b/internal/link/leaving_test.go
@@ -33,10 +33,10 @@
 		"held":                               {sized(0, 0), "", 1},
 		"held, with another begun":           {sized(0, 0), sized(1, 50)[:100], 1},
 		"held, with another unread":          {sized(0, 0), sized(1, 0), 1},
-		"all turns in use":                   {many(mostTurns, 0), "", mostTurns},
-		"all turns in use, and more unread":  {many(mostTurns, 0), many(2*mostTurns, 0)[len(many(mostTurns, 0)):], mostTurns},
-		"all turns in use, and much more":    {many(mostTurns+12, 8<<10), "", mostTurns},
-		"all turns in use, and far too much": {many(mostTurns+12, 60<<10), "", mostTurns},
+		"all turns in use":                   {many(maxResponseSlots, 0), "", maxResponseSlots},
+		"all turns in use, and more unread":  {many(maxResponseSlots, 0), many(2*maxResponseSlots, 0)[len(many(maxResponseSlots, 0)):], maxResponseSlots},
+		"all turns in use, and much more":    {many(maxResponseSlots+12, 8<<10), "", maxResponseSlots},
+		"all turns in use, and far too much": {many(maxResponseSlots+12, 60<<10), "", maxResponseSlots},
 		"behind Connection: close":           {strings.Replace(sized(0, 0), "\r\n", "\r\nConnection: close\r\n", 1), sized(1, 0), 1},
 	}
 	for name, c := range cases {
@@ -48,17 +48,17 @@
 				w.turn()
 				w.writesAll(p, []byte(c.before))
 				w.settles()
-				if open := w.loop.Ledger.OpenCount(); open != c.taken {
+				if open := w.loop.Requests.OpenCount(); open != c.taken {
 					t.Fatalf("%d queries taken, expected %d", open, c.taken)
 				}
 				p.write([]byte(c.last))
 				leave(p)
-				for id := range uint64(c.taken + 2*mostTurns) {
+				for id := range uint64(c.taken + 2*maxResponseSlots) {
 					w.module.Next = append(w.module.Next, dispatch.Send{Job: id + 1, Worker: w.worker()})
 				}
-				w.loop.Ledger.Wake()
-				if w.oneTurn(); len(w.dialed) != 0 || w.loop.Ledger.OpenCount() != 0 {
-					t.Errorf("%d attempts begun, %d queries open", len(w.dialed), w.loop.Ledger.OpenCount())
+				w.loop.Requests.Wake()
+				if w.oneTurn(); len(w.dialed) != 0 || w.loop.Requests.OpenCount() != 0 {
+					t.Errorf("%d attempts begun, %d queries open", len(w.dialed), w.loop.Requests.OpenCount())
 				}
 				jobs, gone := 0, 0
 				for _, e := range w.module.Heard {
@@ -69,9 +69,9 @@
 						gone++
 					}
 				}
-				if w.turn(); jobs != gone || len(w.loop.clients.links) != 0 || w.loop.clients.held != 0 {
-					t.Errorf("%d queries, %d told as gone, %d links left with %d bytes", jobs, gone, len(w.loop.clients.links),
-						w.loop.clients.held)
+				if w.turn(); jobs != gone || len(w.loop.clients.connections) != 0 || w.loop.clients.bufferedBytes != 0 {
+					t.Errorf("%d queries, %d told as gone, %d links left with %d bytes", jobs, gone, len(w.loop.clients.connections),
+						w.loop.clients.bufferedBytes)
 				}
 			})
 		}
@@ -86,14 +86,14 @@
 	client.write([]byte(sized(7, 0)))
 	w.turn()
 	w.module.Next = append(w.module.Next, dispatch.Send{Job: 1, Worker: w.worker()})
-	w.loop.Ledger.Wake()
+	w.loop.Requests.Wake()
 	w.turn()
 	note := `{"id":"7","from":"s-0","state":"done","result":"r"}`
 	worker.write(fmt.Appendf(nil, "POST /v1/job-events HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s%s", len(note), note, sized(8, 0)))
 	worker.resets()
 	w.turn()
-	if got := client.answers(t); len(got) != 1 || got[0] != 200 || w.loop.Ledger.OpenCount() != 0 {
-		t.Errorf("answered %v, %d queries open", got, w.loop.Ledger.OpenCount())
+	if got := client.answers(t); len(got) != 1 || got[0] != 200 || w.loop.Requests.OpenCount() != 0 {
+		t.Errorf("answered %v, %d queries open", got, w.loop.Requests.OpenCount())
 	}
 }
 
@@ -102,7 +102,7 @@
 func TestHalfClosedClientsAreAnswered(t *testing.T) {
 	for _, size := range []int{0, 2 << 10, 8 << 10} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			const requests = 3 * mostTurns
+			const requests = 3 * maxResponseSlots
 			w := newWorld(&steps.Steps{T: t})
 			w.listens()
 			p := w.connects()
@@ -113,11 +113,11 @@
 			p.halfCloses()
 			w.settles()
 			for n := 0; n < requests; n++ { // the last first, as far as they are in
-				if open := w.loop.Ledger.OpenCount(); open != min(mostTurns, requests-n) {
+				if open := w.loop.Requests.OpenCount(); open != min(maxResponseSlots, requests-n) {
 					t.Fatalf("%d queries open after %d answers", open, n)
 				}
 				w.module.Next = append(w.module.Next, dispatch.Reject{Job: uint64(n + 1)})
-				w.loop.Ledger.Wake()
+				w.loop.Requests.Wake()
 				w.settles()
 			}
 			got := p.answers(t)
@@ -126,7 +126,7 @@
 					t.Errorf("answered %v", got)
 				}
 			}
-			if p.read(1); len(got) != requests || !p.ended || len(w.loop.clients.links) != 0 {
+			if p.read(1); len(got) != requests || !p.ended || len(w.loop.clients.connections) != 0 {
 				t.Errorf("%d answers to %d requests, link closed %v", len(got), requests, p.ended)
 			}
 		})
@@ -141,21 +141,21 @@
 	p := w.connects()
 	w.turn()
 	const size = 60 << 10
-	for n := range 3 * mostTurns {
+	for n := range 3 * maxResponseSlots {
 		w.writesAll(p, []byte(sized(n, size)))
-		if w.settles(); w.loop.clients.held > 2*mostHoarded {
-			held := w.loop.clients.held
+		if w.settles(); w.loop.clients.bufferedBytes > 2*maxReadAheadWithMemory {
+			held := w.loop.clients.bufferedBytes
 			t.Fatalf("%d bytes held", held)
 		}
 	}
 	answered := 0
-	for ; w.loop.Ledger.OpenCount() > 0; answered++ {
+	for ; w.loop.Requests.OpenCount() > 0; answered++ {
 		w.module.Next = append(w.module.Next, dispatch.Fail{Job: uint64(answered + 1)})
-		w.loop.Ledger.Wake()
+		w.loop.Requests.Wake()
 		w.settles()
 	}
 	got := p.answers(t)
-	if answered <= mostTurns || len(got) != answered+1 || got[answered] != 503 || got[answered-1] != 500 {
+	if answered <= maxResponseSlots || len(got) != answered+1 || got[answered] != 503 || got[answered-1] != 500 {
 		t.Errorf("%d queries answered, the client has %v", answered, got)
 	}
 	if p.read(1); !p.ended {
@@ -167,7 +167,7 @@
 func TestEndIsToldOnce(t *testing.T) {
 	w := newWorld(&steps.Steps{T: t})
 	p, fd := w.pair()
-	w.loop.clients.adopt(fd, netip.AddrPort{})
+	w.loop.clients.addConnection(fd, netip.AddrPort{})
 	for range 40 {
 		p.write([]byte(strings.Repeat(numbered(asks[7].text, 1), 100)))
 		w.turn()
@@ -191,7 +191,7 @@
 			t.Run(stage+", "+how, func(t *testing.T) {
 				w := newWorld(&steps.Steps{T: t})
 				w.listens()
-				w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
+				w.loop.Requests.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
 					{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
 					{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"},
 				}})
@@ -201,7 +201,7 @@
 				w.settles()
 				workers := w.module.Heard[1].(dispatch.WorkerList).Workers
 				w.module.Next = append(w.module.Next, dispatch.Send{Job: 1, Worker: workers[0].ID})
-				w.loop.Ledger.Wake()
+				w.loop.Requests.Wake()
 				w.oneTurn()
 				if len(w.dialed) != 1 {
 					t.Fatal("not sent")
@@ -216,7 +216,7 @@
 				}
 				leave(p)
 				w.module.Next = append(w.module.Next, dispatch.Send{Job: 1, Worker: workers[1].ID})
-				w.loop.Ledger.Wake()
+				w.loop.Requests.Wake()
 				w.settles()
 				far.read(1 << 20)
 				var m http1.Request
@@ -238,7 +238,7 @@
 	w.listens()
 	p := w.connects()
 	w.turn()
-	for n := range mostTurns + 2 {
+	for n := range maxResponseSlots + 2 {
 		p.write([]byte(sized(n, 0)))
 	}
 	late := sized(99, 0)
@@ -252,7 +252,7 @@
 	for n := range 4 {
 		w.module.Next = append(w.module.Next, dispatch.Fail{Job: uint64(n + 1)})
 	}
-	w.loop.Ledger.Wake()
+	w.loop.Requests.Wake()
 	w.settles()
 	const all = 5 * time.Second // of the class
 	left := map[uint64]time.Duration{}
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -22,33 +22,33 @@
 // Loop is the one loop. Everything in this package runs on the goroutine that calls Run, but for Wake.
 type Loop struct {
 	*eventloop.Loop
-	dial            func(to netip.AddrPort) (fd int, err error)
-	writing         []byte
-	request         http1.Request
-	response        http1.Response
-	Ledger          *requests.Table
-	log             *slog.Logger
-	linkLog         *slog.Logger // on client links, whose lines must not crowd out the others
-	onWake          func()
-	clients         *clientLinks
-	servers         *serverLinks
-	watch           *watchConnection
-	status          *statusLinks                               // nil: off
-	operators       *operatorLinks                             // nil: off
-	decides         *dispatch.Dispatcher                       // the module that runs, under whatever wraps it
-	side            int                                        // descriptors for features
-	Capture         *capture.Recorder                          // nil: off
-	figures         *figures.Figures                           // nil: off
-	lists           *address.AccessLists                       // nil: off
-	wrap            func(*dispatch.Dispatcher) requests.Policy // what stands round a module that goes on from another process; nil: none can
-	predecessorRole *predecessorRole                           // nil: no successor can come
-	successorRole   *successorRole                             // nil: nothing is to be taken over
-	limits          config.Limits
-	halved          bool                    // another process runs beside this one, and has half of them
-	onDivide        func(half bool)         // does the same for memory
-	onSuccessor     func()                  // told whenever one stands by to replace this process
-	onFail          func(error)             // ends the process
-	cordonStore     *hotrestart.CordonStore // nil: nothing outlives this process
+	dial               func(to netip.AddrPort) (fd int, err error)
+	writeBuffer        []byte
+	request            http1.Request
+	response           http1.Response
+	Requests           *requests.Table
+	log                *slog.Logger
+	connectionLog      *slog.Logger // on client links, whose lines must not crowd out the others
+	onWake             func()
+	clients            *clientListener
+	workers            *workerPool
+	watch              *watchConnection
+	status             *statusListener                            // nil: off
+	operators          *operatorListener                          // nil: off
+	dispatcher         *dispatch.Dispatcher                       // the module that runs, under whatever wraps it
+	featureDescriptors int                                        // descriptors for features
+	Capture            *capture.Recorder                          // nil: off
+	figures            *figures.Figures                           // nil: off
+	addressLists       *address.AccessLists                       // nil: off
+	wrapRestored       func(*dispatch.Dispatcher) requests.Policy // what stands round a module that goes on from another process; nil: none can
+	predecessorRole    *predecessorRole                           // nil: no successor can come
+	successorRole      *successorRole                             // nil: nothing is to be taken over
+	limits             config.Limits
+	sharesMachine      bool                    // another process runs beside this one, and has half of them
+	onShareLimits      func(half bool)         // does the same for memory
+	onSuccessor        func()                  // told whenever one stands by to replace this process
+	onFail             func(error)             // ends the process
+	cordonStore        *hotrestart.CordonStore // nil: nothing outlives this process
 }
 
 // clockSinceEpoch returns a clock that counts time from the Unix epoch, so that any start time that discovery tells is
@@ -60,7 +60,7 @@
 
 // newLoop returns a loop that has no connections yet. maxEvents is how many descriptors may be ready at once.
 func newLoop(log, linkLog *slog.Logger, clock func() time.Duration, maxEvents int) (*Loop, error) {
-	l := &Loop{log: log, linkLog: linkLog, dial: eventloop.Dial}
+	l := &Loop{log: log, connectionLog: linkLog, dial: eventloop.Dial}
 	var err error
 	l.Loop, err = eventloop.New(eventloop.Config{
 		Clock:     clock,
@@ -68,7 +68,7 @@
 		Log:       log,
 		Hooks: eventloop.Hooks{
 			NextStep:          l.nextStep,
-			Step:              func(now time.Duration) { l.Ledger.Step(now) },
+			Step:              func(now time.Duration) { l.Requests.Step(now) },
 			DescriptorsClosed: l.handleDescriptorsClosed,
 			Woken:             func() { l.onWake() },
 		},
@@ -84,11 +84,11 @@
 	if l.hasRelinquished() {
 		return 0, false
 	}
-	return l.Ledger.NextStep()
+	return l.Requests.NextStep()
 }
 
 func (l *Loop) handleDescriptorsClosed() {
 	if l.clients != nil {
-		l.clients.resume()
+		l.clients.resumeIfRoom()
 	}
 }
--- a/internal/link/loop_test.go
+++ b/internal/link/loop_test.go
@@ -15,24 +15,24 @@
 func TestBurstOfClientsGone(t *testing.T) {
 	const clients = 400
 	w := newWorld(&steps.Steps{T: t})
-	w.loop.clients.limit(2*clients, 1<<20)
+	w.loop.clients.setLimits(2*clients, 1<<20)
 	var peers []*peer
 	for n := range clients {
 		p, fd := w.pair()
-		w.loop.clients.adopt(fd, netip.AddrPort{})
+		w.loop.clients.addConnection(fd, netip.AddrPort{})
 		p.write([]byte(sized(n, 0)))
 		peers = append(peers, p)
 	}
 	w.turn()
-	if open := w.loop.Ledger.OpenCount(); open != clients {
+	if open := w.loop.Requests.OpenCount(); open != clients {
 		t.Fatalf("%d queries taken", open)
 	}
 	for n, p := range peers {
 		p.close()
 		w.module.Next = append(w.module.Next, dispatch.Send{Job: uint64(n + 1), Worker: w.worker()})
 	}
-	if w.oneTurn(); len(w.dialed) != 0 || w.loop.Ledger.OpenCount() != 0 {
-		t.Errorf("%d attempts begun, %d queries open", len(w.dialed), w.loop.Ledger.OpenCount())
+	if w.oneTurn(); len(w.dialed) != 0 || w.loop.Requests.OpenCount() != 0 {
+		t.Errorf("%d attempts begun, %d queries open", len(w.dialed), w.loop.Requests.OpenCount())
 	}
 }
 
@@ -41,10 +41,10 @@
 func TestDescriptorsAreFreeBeforeTheSends(t *testing.T) {
 	w := newWorld(&steps.Steps{T: t})
 	stays, fd := w.pair()
-	w.loop.clients.adopt(fd, netip.AddrPort{})
+	w.loop.clients.addConnection(fd, netip.AddrPort{})
 	stays.write([]byte(sized(1, 0)))
 	leaves, left := w.pair()
-	w.loop.clients.adopt(left, netip.AddrPort{})
+	w.loop.clients.addConnection(left, netip.AddrPort{})
 	w.turn()
 	leaves.close()
 	dial, dialed := w.loop.dial, false
@@ -56,7 +56,7 @@
 		return dial(at)
 	}
 	w.module.Next = append(w.module.Next, dispatch.Send{Job: 1, Worker: w.worker()})
-	w.loop.Ledger.Wake()
+	w.loop.Requests.Wake()
 	if w.oneTurn(); !dialed {
 		t.Error("nothing was sent")
 	}
--- a/internal/link/operators_test.go
+++ b/internal/link/operators_test.go
@@ -23,14 +23,14 @@
 	if err := w.loop.serveOperators(netip.MustParseAddrPort("127.0.0.1:0"), count); err != nil {
 		s.T.Fatal(err)
 	}
-	w.loop.Ledger.AddObserver(count)
+	w.loop.Requests.AddObserver(count)
 	return w
 }
 
 // operator connects to the management address.
 func (w *world) operator() *peer {
 	p, fd := w.pair()
-	w.loop.operators.adopt(fd)
+	w.loop.operators.addConnection(fd)
 	return p
 }
 
@@ -84,7 +84,7 @@
 			case what < 2:
 				ask := asks[s.Pick(len(asks))]
 				open = append(open, &caller{peer: w.operator(), text: ask.text, unsent: ask.text, want: ask.want, began: w.now})
-				if len(open) > operatorsMost { // the oldest has made room
+				if len(open) > maxOperatorConnections { // the oldest has made room
 					w.turn()
 					open[0].read(1 << 16)
 					s.Check(open[0].ended, "the oldest of too many is held")
@@ -108,7 +108,7 @@
 				age := w.now - c.began
 				if !c.ended {
 					s.Check(c.unsent != "" || len(c.got) > 0, "a whole call has no answer")
-					s.Check(age < operatorLonger+sweepEvery, "held for %v", age)
+					s.Check(age < operatorConnectionTimeout+expiryInterval, "held for %v", age)
 					left = append(left, c)
 					continue
 				}
@@ -116,7 +116,7 @@
 				w.turn()
 				got := statusAndBody(string(c.got))
 				// One that stalled is told so; of one cut short nothing more can be said.
-				s.Check(got == c.want || c.unsent != "" && age >= operatorWhole && got == "408 call not whole",
+				s.Check(got == c.want || c.unsent != "" && age >= operatorCallTimeout && got == "408 call not whole",
 					"%q gets %q, expected %q", c.text, got, c.want)
 			}
 			open = left
@@ -132,7 +132,7 @@
 		t.Errorf("at first %q", got)
 	}
 	stranger, fd := w.pair() // at the clients' address these calls are not there
-	w.loop.clients.adopt(fd, netip.MustParseAddrPort("127.0.0.1:9"))
+	w.loop.clients.addConnection(fd, netip.MustParseAddrPort("127.0.0.1:9"))
 	stranger.write([]byte("GET /v1/metrics HTTP/1.1\r\n\r\n"))
 	w.turn()
 	if stranger.read(1 << 16); !strings.HasPrefix(string(stranger.got), "HTTP/1.1 404 ") {
@@ -199,12 +199,12 @@
 			t.Errorf("%s %s: kept %v, %v", c.what, c.id, out, err)
 		}
 	}
-	if w.loop.unready() == "" {
+	if w.loop.notReadyReason() == "" {
 		t.Error("ready with its only worker node out")
 	}
 	next := newWorld(s)
 	out, _ := hotrestart.ReadCordonFile(dir)
-	if next.loop.Ledger.SetCordoned(out); next.loop.Ledger.HasReadyWorker() {
+	if next.loop.Requests.SetCordoned(out); next.loop.Requests.HasReadyWorker() {
 		t.Error("the next process sends to a worker node that is out")
 	}
 	for _, text := range []string{"", "{", `{"form":2,"out":["s-0"]}`, strings.Repeat(" ", hotrestart.MaxCordonFileSize+1)} {
--- a/internal/link/servers_test.go
+++ b/internal/link/servers_test.go
@@ -65,7 +65,7 @@
 		switch what := s.Pick(10); {
 		case what < 2 && len(queries) < 8:
 			id := fmt.Sprint("q", len(queries))
-			q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+			q, err := w.loop.Requests.Admit(w.now, requests.Arrival{
 				CallID: id, Job: dispatch.Job{Remaining: 5 * time.Second},
 				Payload: requests.Payload{Method: "POST", Path: "/a", Body: bytes.Repeat([]byte{'x'}, sizes[s.Pick(3)])}, Responder: nobody{},
 			})
@@ -83,11 +83,11 @@
 			}
 		case what == 6 && len(queries) > 0:
 			w.module.Next = append(w.module.Next, dispatch.Cancel{Job: queries[s.Pick(len(queries))]})
-			w.loop.Ledger.DiscoveryFailed()
+			w.loop.Requests.DiscoveryFailed()
 			s.Did("cancel")
 		case what == 7:
 			w.module.Next = append(w.module.Next, dispatch.HealthCheck{Worker: w.worker()})
-			w.loop.Ledger.DiscoveryFailed()
+			w.loop.Requests.DiscoveryFailed()
 			probes++
 			s.Did("probe")
 		case what == 8:
@@ -162,7 +162,7 @@
 
 // carries tells whether an attempt of a query is on its way.
 func (w *world) carries(call string) bool {
-	for a := range w.loop.servers.carried {
+	for a := range w.loop.workers.byAttempt {
 		if a.Request.CallID == call && !a.HasEnded() {
 			return true
 		}
@@ -197,9 +197,9 @@
 			w.Check(got[0] == dispatch.ConnectionReset && t.whole && !t.accepted, "ended as %v, whole %v, and no word of it", got[0], t.whole)
 		}
 	}
-	w.Check(len(w.loop.servers.carried) == 0, "an attempt is still carried")
-	for _, h := range w.loop.servers.hosts {
-		w.Check(w.loop.servers.open == len(h.idle), "%d links open, %d idle", w.loop.servers.open, len(h.idle))
+	w.Check(len(w.loop.workers.byAttempt) == 0, "an attempt is still carried")
+	for _, h := range w.loop.workers.endpoints {
+		w.Check(w.loop.workers.openCount == len(h.idle), "%d links open, %d idle", w.loop.workers.openCount, len(h.idle))
 	}
 }
 
@@ -218,7 +218,7 @@
 		t.Helper()
 		w.now += idle
 		w.module.Next = append(w.module.Next, dispatch.HealthCheck{Worker: w.worker()})
-		w.loop.Ledger.DiscoveryFailed()
+		w.loop.Requests.DiscoveryFailed()
 		w.turn()
 		if len(w.dialed) != wantLinks {
 			t.Errorf("%d links opened, expected %d", len(w.dialed), wantLinks)
@@ -235,19 +235,19 @@
 		}
 	}
 	probe(0, ok, 1, dispatch.OK)
-	probe(4*trustLeast, ok, 1, dispatch.OK)
-	probe(4*trustLeast, "", 1, dispatch.NotSent)
+	probe(4*minIdleTrust, ok, 1, dispatch.OK)
+	probe(4*minIdleTrust, "", 1, dispatch.NotSent)
 	probe(0, ok, 2, dispatch.OK)
-	probe(trustLeast, ok, 2, dispatch.OK)
-	probe(3*trustLeast, ok, 3, dispatch.OK)
+	probe(minIdleTrust, ok, 2, dispatch.OK)
+	probe(3*minIdleTrust, ok, 3, dispatch.OK)
 	probe(0, ok, 3, dispatch.OK)
 	for range 3 {
-		w.now += trustGrows
+		w.now += idleTrustGrowthInterval
 		w.turn()
 	}
 	probe(0, ok, 4, dispatch.OK)
-	probe(3*trustLeast, ok, 4, dispatch.OK)
-	probe(trustGrows*100, "", 5, dispatch.ConnectionReset) // a new one does say something
+	probe(3*minIdleTrust, ok, 4, dispatch.OK)
+	probe(idleTrustGrowthInterval*100, "", 5, dispatch.ConnectionReset) // a new one does say something
 }
 
 // A link to a process that has been replaced is not used again, nor one that is about to be closed as idle; an
@@ -258,7 +258,7 @@
 	sent := 0
 	send := func() *peer {
 		sent++
-		q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+		q, err := w.loop.Requests.Admit(w.now, requests.Arrival{
 			CallID: fmt.Sprint("q", sent), Job: dispatch.Job{Remaining: 5 * time.Second},
 			Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: nobody{},
 		})
@@ -275,12 +275,12 @@
 		return p
 	}
 	first := send()
-	w.now += settleFor
+	w.now += reuseDelay
 	if second := send(); second != first {
 		t.Fatal("a link that was free was not used")
 	}
 	w.module.Next = append(w.module.Next, dispatch.Cancel{Job: 2})
-	w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Endpoints: []requests.Endpoint{host}})
+	w.loop.Requests.UpdateEndpoints(requests.EndpointList{Endpoints: []requests.Endpoint{host}})
 	w.turn()
 	last := w.dialed[len(w.dialed)-1]
 	if last.read(1 << 12); last == first || !strings.HasPrefix(string(last.got), "DELETE /jobs/q2 ") {
@@ -297,8 +297,8 @@
 	idle, links := send(), len(w.dialed)
 	idle.close()
 	w.module.Next = append(w.module.Next, dispatch.HealthCheck{Worker: w.worker()})
-	w.loop.Ledger.DiscoveryFailed()
-	if w.loop.Ledger.Step(w.now); len(w.dialed) != links+1 {
+	w.loop.Requests.DiscoveryFailed()
+	if w.loop.Requests.Step(w.now); len(w.dialed) != links+1 {
 		t.Error("a link that had just been closed was used")
 	}
 }
@@ -309,7 +309,7 @@
 	for name, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(&steps.Steps{T: t})
-			q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+			q, err := w.loop.Requests.Admit(w.now, requests.Arrival{
 				CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
 				Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{},
 			})
@@ -317,10 +317,10 @@
 				t.Fatal(err)
 			}
 			w.module.Next = append(w.module.Next, dispatch.Send{Job: q.ID, Worker: w.worker()})
-			if w.loop.Ledger.Step(w.now); size > 0 {
+			if w.loop.Requests.Step(w.now); size > 0 {
 				w.turn()
 			}
-			if known, err := w.loop.Ledger.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "returned"}); !known || err != nil {
+			if known, err := w.loop.Requests.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "returned"}); !known || err != nil {
 				t.Fatalf("the note is known %v, %v", known, err)
 			}
 			p, m := w.dialed[0], http1.Request{}
@@ -334,7 +334,7 @@
 			if _, err := m.Parse(p.got); err == nil || !p.ended {
 				t.Errorf("%d bytes came, whole %v, and the link is closed %v", len(p.got), err == nil, p.ended)
 			}
-			if len(w.loop.servers.carried) != 0 || w.loop.servers.open != 0 {
+			if len(w.loop.workers.byAttempt) != 0 || w.loop.workers.openCount != 0 {
 				t.Error("the link is still kept")
 			}
 		})
@@ -346,29 +346,29 @@
 func TestQueryThatIsOverIsNotSentOn(t *testing.T) {
 	result := "r"
 	ends := map[string]func(w *world, q *requests.Request){
-		"client left": func(w *world, q *requests.Request) { w.loop.Ledger.ClientDisconnected(q) },
+		"client left": func(w *world, q *requests.Request) { w.loop.Requests.ClientDisconnected(q) },
 		"served by another copy": func(w *world, _ *requests.Request) {
-			if known, err := w.loop.Ledger.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-1", State: "done", Result: &result}); !known || err != nil {
+			if known, err := w.loop.Requests.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-1", State: "done", Result: &result}); !known || err != nil {
 				t.Errorf("the note is known %v, %v", known, err)
 			}
 		},
 		"refused": func(w *world, q *requests.Request) {
 			w.module.Next = append(w.module.Next, dispatch.Reject{Job: q.ID})
-			w.loop.Ledger.Wake()
-			w.loop.Ledger.Step(w.now)
+			w.loop.Requests.Wake()
+			w.loop.Requests.Step(w.now)
 		},
-		"finished": func(w *world, _ *requests.Request) { w.loop.Ledger.CloseSince(0) },
+		"finished": func(w *world, _ *requests.Request) { w.loop.Requests.CloseSince(0) },
 	}
 	for name, end := range ends {
 		for stage, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize} {
 			t.Run(name+", "+stage, func(t *testing.T) {
 				w := newWorld(&steps.Steps{T: t})
-				w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
+				w.loop.Requests.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
 					{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
 					{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"},
 				}})
 				w.turn()
-				q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+				q, err := w.loop.Requests.Admit(w.now, requests.Arrival{
 					CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
 					Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{},
 				})
@@ -378,7 +378,7 @@
 				for _, worker := range w.module.Heard[len(w.module.Heard)-1].(dispatch.WorkerList).Workers {
 					w.module.Next = append(w.module.Next, dispatch.Send{Job: q.ID, Worker: worker.ID})
 				}
-				if w.loop.Ledger.Step(w.now); size > 0 {
+				if w.loop.Requests.Step(w.now); size > 0 {
 					w.turn()
 				}
 				end(w, q)
@@ -392,7 +392,7 @@
 						t.Errorf("link %d: %d bytes came, whole %v, and it is closed %v", i, len(p.got), err == nil, p.ended)
 					}
 				}
-				if len(w.loop.servers.carried) != 0 || w.loop.servers.open != 0 {
+				if len(w.loop.workers.byAttempt) != 0 || w.loop.workers.openCount != 0 {
 					t.Error("a link is still kept")
 				}
 			})
--- a/internal/link/settings_test.go
+++ b/internal/link/settings_test.go
@@ -233,16 +233,16 @@
 	l.dial = d.dial
 	d.loop = l
 	c := d.conf
-	servers, clients := share(c.Limits.Sockets, 0)
+	servers, clients := splitDescriptors(c.Limits.Sockets, 0)
 	l.limits, l.onWake = c.Limits, func() {}
-	l.serve(servers, c.Settings.ConnectTimeout, c.Settings.ConnIdleTimeout)
+	l.openWorkerPool(servers, c.Settings.ConnectTimeout, c.Settings.ConnIdleTimeout)
 	l.watch = l.newWatchConnection(c.Discovery, discovery.Config{
 		PollInterval: c.Settings.PollInterval, Pushed: !c.Settings.MustSubscribe,
 		Schedulers: c.Settings.Replicas,
 	}, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
-	l.Ledger = requests.New(c.Settings.AttemptLimit, c.Settings.Names, func() requests.Policy { return dispatch.New(c.Settings.Settings, c.Seed) },
-		c.KnownEndpoints, l.servers, log)
-	l.accept(clients, bufferBudget(c), &c.Settings.Settings, c.Settings.Names)
+	l.Requests = requests.New(c.Settings.AttemptLimit, c.Settings.Names, func() requests.Policy { return dispatch.New(c.Settings.Settings, c.Seed) },
+		c.KnownEndpoints, l.workers, log)
+	l.openClientListener(clients, bufferBudget(c), &c.Settings.Settings, c.Settings.Names)
 	l.watch.start(len(c.KnownEndpoints.Endpoints) > 0)
 	d.T.Cleanup(l.CloseDescriptors)
 	for range 2 {
@@ -257,7 +257,7 @@
 // connect is a connection that the loop has accepted.
 func (d *deployment) connect() *peer {
 	p, fd := d.pair()
-	d.loop.clients.adopt(fd, netip.AddrPort{})
+	d.loop.clients.addConnection(fd, netip.AddrPort{})
 	return p
 }
 
@@ -597,7 +597,7 @@
 		d.change()
 		d.settle()
 	}
-	for d.loop.Ledger.OpenCount() > 0 {
+	for d.loop.Requests.OpenCount() > 0 {
 		d.now += 25 * time.Millisecond
 		d.tell()
 		d.settle()
@@ -614,7 +614,7 @@
 			again++
 		}
 	}
-	d.Check(d.loop.Ledger.OpenCount() == 0 && d.loop.Ledger.PayloadBytes() == 0, "%d queries open, with %d bytes", d.loop.Ledger.OpenCount(), d.loop.Ledger.PayloadBytes())
+	d.Check(d.loop.Requests.OpenCount() == 0 && d.loop.Requests.PayloadBytes() == 0, "%d queries open, with %d bytes", d.loop.Requests.OpenCount(), d.loop.Requests.PayloadBytes())
 	d.T.Logf("%d queries, %d with a result, %d with further attempts", len(d.asked), served, again)
 }
 
--- a/internal/link/start.go
+++ b/internal/link/start.go
@@ -38,11 +38,11 @@
 		return nil, err
 	}
 	if ops.Addresses != nil {
-		l.lists = address.New(*ops.Addresses)
+		l.addressLists = address.New(*ops.Addresses)
 	}
-	l.side, l.limits = forFeatures(c, ops), c.Limits
-	servers, clients := share(c.Limits.Sockets, l.side)
-	l.serve(servers, c.Settings.ConnectTimeout, c.Settings.ConnIdleTimeout)
+	l.featureDescriptors, l.limits = countFeatureDescriptors(c, ops), c.Limits
+	servers, clients := splitDescriptors(c.Limits.Sockets, l.featureDescriptors)
+	l.openWorkerPool(servers, c.Settings.ConnectTimeout, c.Settings.ConnIdleTimeout)
 	l.watch = l.newWatchConnection(c.Discovery, discovery.Config{
 		PollInterval: c.Settings.PollInterval, Pushed: !c.Settings.MustSubscribe,
 		Schedulers: c.Settings.Replicas,
@@ -56,7 +56,7 @@
 	seed := c.Seed
 	narrowed := ops.Aperture != nil && ops.Aperture.Enabled(c.Settings.Replicas)
 	if !narrowed { // else what stands round the module has a state of its own
-		l.wrap = func(d *dispatch.Dispatcher) requests.Policy {
+		l.wrapRestored = func(d *dispatch.Dispatcher) requests.Policy {
 			if l.Capture != nil {
 				return l.Capture.Continue(d)
 			}
@@ -66,7 +66,7 @@
 	module := func() requests.Policy {
 		seed++
 		d := dispatch.New(c.Settings.Settings, seed)
-		l.decides = d
+		l.dispatcher = d
 		m := requests.Policy(d)
 		if l.Capture != nil {
 			m = l.Capture.Wrap(d)
@@ -76,16 +76,16 @@
 		}
 		return m
 	}
-	l.Ledger = requests.New(c.Settings.AttemptLimit, c.Settings.Names, module, c.KnownEndpoints, l.servers, decisions)
+	l.Requests = requests.New(c.Settings.AttemptLimit, c.Settings.Names, module, c.KnownEndpoints, l.workers, decisions)
 	if l.Capture != nil {
-		l.Capture.LookupEndpoint = l.Ledger.Endpoint
-		l.Ledger.AddObserver(l.Capture)
+		l.Capture.LookupEndpoint = l.Requests.Endpoint
+		l.Requests.AddObserver(l.Capture)
 	}
-	l.accept(clients, bufferBudget(c), &c.Settings.Settings, c.Settings.Names)
+	l.openClientListener(clients, bufferBudget(c), &c.Settings.Settings, c.Settings.Names)
 	if !c.Management.IsValid() {
 		l.clients.fd, err = l.Listen(c.Listen, l.clients)
 	} else {
-		err = l.begin(c)
+		err = l.joinOrServe(c)
 	}
 	if err != nil {
 		return nil, err
@@ -95,40 +95,40 @@
 		if err := l.serveOperators(c.Management, count); err != nil {
 			return nil, fmt.Errorf("key \"management\": %w", err)
 		}
-		l.Ledger.AddObserver(count)
+		l.Requests.AddObserver(count)
 	}
 	if ops.Status != nil {
 		table := status.New(*ops.Status, c.Settings.Names, c.Settings.StartNotifications, l.Now)
 		if err := l.serveStatus(ops.StatusAddr(c), table); err != nil {
 			return nil, fmt.Errorf("key \"status.listen_port\": %w", err)
 		}
-		l.Ledger.AddObserver(table)
+		l.Requests.AddObserver(table)
 	}
 	if ops.Metrics != nil {
 		targets := figuresTo
 		if ops.Metrics.UDPTarget.IsValid() {
-			targets = append(targets, &collector{to: ops.Metrics.UDPTarget, fd: -1})
+			targets = append(targets, &collectorSocket{address: ops.Metrics.UDPTarget, fd: -1})
 		}
 		l.figures = figures.New(*ops.Metrics, c.Settings.Names, l.Now, targets...)
-		l.Ledger.AddObserver(l.figures)
+		l.Requests.AddObserver(l.figures)
 		l.sendFigures(l.figures)
 	}
 	l.watch.start(len(c.KnownEndpoints.Endpoints) > 0)
-	if wait := l.watch.machine.InitialWait(); wait > 0 && l.Ledger.HasReadyWorker() {
-		l.Ledger.AwaitEndpoints(l.Now() + wait)
+	if wait := l.watch.machine.InitialWait(); wait > 0 && l.Requests.HasReadyWorker() {
+		l.Requests.AwaitEndpoints(l.Now() + wait)
 	}
 	return l, nil
 }
 
-// begin takes the place of the process that serves here, or, if there is none, serves at once. Several processes may listen
+// joinOrServe takes the place of the process that serves here, or, if there is none, serves at once. Several processes may listen
 // at the clients' address, so that one that can't be reached by its successor can be replaced too.
-func (l *Loop) begin(c config.Config) error {
+func (l *Loop) joinOrServe(c config.Config) error {
 	l.onFail = func(err error) { l.log.Error("can't go on", "error", err) }
 	out, err := hotrestart.ReadCordonFile(c.StateDir)
 	if err != nil { // served on: a worker node that should be out is out again with the next call
 		l.log.Error("worker nodes out by hand can't be read", "error", err)
 	}
-	if l.Ledger.SetCordoned(out); len(out) > 0 {
+	if l.Requests.SetCordoned(out); len(out) > 0 {
 		l.log.Info("worker nodes out by hand", "hosts", strings.Join(out, " "))
 	}
 	l.openCordonStore(c.StateDir)
@@ -144,13 +144,13 @@
 // OnFail sets what is done when the process can't go on.
 func (l *Loop) OnFail(act func(error)) { l.onFail = act }
 
-// forFeatures counts the descriptors that features take up.
-func forFeatures(c config.Config, ops config.Ops) (n int) {
+// countFeatureDescriptors counts the descriptors that features take up.
+func countFeatureDescriptors(c config.Config, ops config.Ops) (n int) {
 	if c.Management.IsValid() {
-		n += operatorsMost + 2 // and the listener; one more is accepted before another makes room
+		n += maxOperatorConnections + 2 // and the listener; one more is accepted before another makes room
 	}
 	if ops.Status != nil {
-		n += statusMost + 2 // and the listener; one more is accepted before another makes room
+		n += maxStatusConnections + 2 // and the listener; one more is accepted before another makes room
 	}
 	if ops.Metrics != nil {
 		n += 2 // a socket and a file
@@ -161,64 +161,64 @@
 	return n
 }
 
-// share parts the descriptors. Server links hold one only until a job is accepted; clients hold theirs for as
+// splitDescriptors parts the descriptors. Server links hold one only until a job is accepted; clients hold theirs for as
 // long as it runs.
-func share(sockets, side int) (servers, clients int) {
+func splitDescriptors(sockets, side int) (servers, clients int) {
 	most := sockets - ownDescriptors - side
 	servers = max(8, most/6)
 	return servers, most - servers
 }
 
-// Shares is what a loop makes of its limits.
-type Shares struct {
-	Own, Features, Servers, Clients int // descriptors
-	Queries                         int // open at once
+// ResourceShares is what a loop makes of its limits.
+type ResourceShares struct {
+	Own, Features, Workers, Clients int // descriptors
+	Requests                        int // open at once
 	Buffers                         int // bytes in the buffers of client links; the bodies of queries take up as much
 }
 
 // SharesOf tells what Open would make of the limits.
-func SharesOf(c config.Config, ops config.Ops) Shares {
-	s := Shares{Own: ownDescriptors, Features: forFeatures(c, ops), Buffers: bufferBudget(c)}
-	s.Servers, s.Clients = share(c.Limits.Sockets, s.Features)
-	s.Queries = mostQueries(s.Clients)
+func SharesOf(c config.Config, ops config.Ops) ResourceShares {
+	s := ResourceShares{Own: ownDescriptors, Features: countFeatureDescriptors(c, ops), Buffers: bufferBudget(c)}
+	s.Workers, s.Clients = splitDescriptors(c.Limits.Sockets, s.Features)
+	s.Requests = maxRequestsFor(s.Clients)
 	return s
 }
 
 // bufferBudget is how many bytes the buffers of client links may take up, and the bodies of queries as much again.
 // Twice a sixth, and as much garbage at most, leaves room on the smallest machine for the program itself.
-func bufferBudget(c config.Config) int { return bufferPart(c.Limits) }
+func bufferBudget(c config.Config) int { return bufferBudgetOf(c.Limits) }
 
-func bufferPart(l config.Limits) int { return l.MemoryMB << 20 / 6 }
+func bufferBudgetOf(l config.Limits) int { return l.MemoryMB << 20 / 6 }
 
-const fewestLinks = 16 // of a process beside another one, however small the machine
+const minConnections = 16 // of a process beside another one, however small the machine
 
-// divide has this process do with half of the limits while another one runs beside it, as both count as one, or with all of
+// shareLimits has this process do with half of the limits while another one runs beside it, as both count as one, or with all of
 // them. Idle client links over that are closed.
-func (l *Loop) divide(half bool) {
-	servers, clients := share(l.limits.Sockets, l.side)
-	budget := bufferPart(l.limits)
+func (l *Loop) shareLimits(half bool) {
+	servers, clients := splitDescriptors(l.limits.Sockets, l.featureDescriptors)
+	budget := bufferBudgetOf(l.limits)
 	if half { // each has its own descriptors besides
-		most := max(fewestLinks, (servers+clients-ownDescriptors-l.side)/2)
-		servers = max(fewestLinks/2, most/6)
+		most := max(minConnections, (servers+clients-ownDescriptors-l.featureDescriptors)/2)
+		servers = max(minConnections/2, most/6)
 		clients, budget = most-servers, budget/2
 	}
-	l.halved, l.servers.most = half, servers
-	l.clients.limit(clients, budget)
-	if l.onDivide != nil {
-		l.onDivide(half)
+	l.sharesMachine, l.workers.maxConnections = half, servers
+	l.clients.setLimits(clients, budget)
+	if l.onShareLimits != nil {
+		l.onShareLimits(half)
 	}
 }
 
-// OnDivide sets what is done about memory when a process begins or ceases to share its machine with another one.
-func (l *Loop) OnDivide(act func(half bool)) {
-	l.onDivide = act
-	act(l.halved)
+// OnShareLimits sets what is done about memory when a process begins or ceases to share its machine with another one.
+func (l *Loop) OnShareLimits(act func(half bool)) {
+	l.onShareLimits = act
+	act(l.sharesMachine)
 }
 
 // Reload goes on by another configuration: links, queries and what the module knows stay.
 func (l *Loop) Reload(c config.Config) {
 	l.limits = c.Limits
-	l.divide(l.halved)
+	l.shareLimits(l.sharesMachine)
 	if c.Discovery != l.watch.server {
 		l.watch.changeServer(c.Discovery)
 	}
@@ -243,24 +243,24 @@
 // Close takes no query any more. Links between queries are closed, the others with their answers.
 func (l *Loop) Close() { l.clients.close() }
 
-// RefuseHeld refuses the queries of which nothing was sent yet.
-func (l *Loop) RefuseHeld() {
+// RejectQueued refuses the queries of which nothing was sent yet.
+func (l *Loop) RejectQueued() {
 	if !l.hasRelinquished() {
-		l.Ledger.RejectQueued()
+		l.Requests.RejectQueued()
 	}
 }
 
-// FinishAll gives final answers to all queries that are still open.
-func (l *Loop) FinishAll() { l.Finish(l.Now()) }
+// FinishAllRequests gives final answers to all queries that are still open.
+func (l *Loop) FinishAllRequests() { l.FinishRequestsSince(l.Now()) }
 
-// Finish gives final answers to the queries that came within the last span and are still open.
-func (l *Loop) Finish(span time.Duration) {
+// FinishRequestsSince gives final answers to the queries that came within the last span and are still open.
+func (l *Loop) FinishRequestsSince(span time.Duration) {
 	if !l.hasRelinquished() {
-		l.Ledger.CloseSince(l.Now() - span)
+		l.Requests.CloseSince(l.Now() - span)
 	}
 }
 
-// Quiet tells whether every query is answered and every answer has left.
-func (l *Loop) Quiet() bool {
-	return (l.hasRelinquished() || l.Ledger.OpenCount() == 0) && l.clients.quiet()
+// IsQuiet tells whether every query is answered and every answer has left.
+func (l *Loop) IsQuiet() bool {
+	return (l.hasRelinquished() || l.Requests.OpenCount() == 0) && l.clients.hasSentAll()
 }
--- a/internal/link/status.go
+++ b/internal/link/status.go
@@ -13,109 +13,111 @@
 )
 
 const (
-	statusMost  = 8 // status links at once
-	statusQuiet = 10 * time.Second
+	maxStatusConnections = 8 // status links at once
+	statusIdleTimeout    = 10 * time.Second
 )
 
-// statusLinks answer the status call at the side port.
-type statusLinks struct {
-	sideLinks // the longest quiet first
-	table     *status.Table
+// statusListener answer the status call at the side port.
+type statusListener struct {
+	auxiliaryListener // the longest quiet first
+	table             *status.Table
 }
 
-// statusLink is one of them. Each request is answered as it is read.
-type statusLink struct {
-	sideLink
-	home *statusLinks
+// statusConnection is one of them. Each request is answered as it is read.
+type statusConnection struct {
+	auxiliaryConnection
+	listener *statusListener
 }
 
 // serveStatus answers the status call at a side port.
 func (l *Loop) serveStatus(at netip.AddrPort, table *status.Table) (err error) {
-	s := &statusLinks{sideLinks: sideLinks{loop: l}, table: table}
+	s := &statusListener{auxiliaryListener: auxiliaryListener{loop: l}, table: table}
 	if s.fd, err = l.Listen(at, s); err == nil {
 		l.status = s
-		s.sweep()
+		s.closeExpired()
 	}
 	return err
 }
 
-func (s *statusLinks) HandleEvents(uint32) { s.accept(statusMost, s.loop.admits, s.adopt) }
+func (s *statusListener) HandleEvents(uint32) {
+	s.accept(maxStatusConnections, s.loop.isAddressAdmitted, s.addConnection)
+}
 
-// adopt makes a link of a connection. Where there are too many, the one that has been quiet longest makes room.
-func (s *statusLinks) adopt(fd int) {
-	if s.links.Len() >= statusMost {
-		s.links.Front().Value.(*statusLink).end()
+// addConnection makes a link of a connection. Where there are too many, the one that has been quiet longest makes room.
+func (s *statusListener) addConnection(fd int) {
+	if s.connections.Len() >= maxStatusConnections {
+		s.connections.Front().Value.(*statusConnection).terminate()
 	}
-	k := &statusLink{home: s}
-	s.enter(fd, &k.sideLink, k)
+	k := &statusConnection{listener: s}
+	s.open(fd, &k.auxiliaryConnection, k)
 }
 
-// sweep ends links on which a request is not whole in time, an answer is not read, or nothing comes.
-func (s *statusLinks) sweep() {
-	s.loop.StartTimer(sweepEvery, s, s.sweep)
-	for e := s.links.Front(); e != nil; {
-		k := e.Value.(*statusLink)
+// closeExpired ends links on which a request is not whole in time, an answer is not read, or nothing comes.
+func (s *statusListener) closeExpired() {
+	s.loop.StartTimer(expiryInterval, s, s.closeExpired)
+	for e := s.connections.Front(); e != nil; {
+		k := e.Value.(*statusConnection)
 		e = e.Next()
-		age := s.loop.Now() - k.since
-		if age >= statusQuiet || age >= wholeWithin && (len(k.Input()) > 0 || len(k.Output()) > 0 || k.last) {
-			k.end()
+		age := s.loop.Now() - k.lastActivity
+		if age >= statusIdleTimeout || age >= requestReadTimeout && (len(k.Input()) > 0 || len(k.Output()) > 0 || k.lastResponse) {
+			k.terminate()
 		}
 	}
 }
 
-func (k *statusLink) HandleEvents(events uint32) {
+func (k *statusConnection) HandleEvents(events uint32) {
 	if events&^unix.EPOLLOUT != 0 && len(k.Input()) == 0 {
-		k.touch()
+		k.recordActivity()
 	}
-	ended, ok := k.exchange(events)
+	ended, ok := k.transfer(events)
 	if !ok {
 		return
 	}
-	for !k.last && len(k.Input()) > 0 && len(k.Output()) == 0 {
-		m := &k.home.loop.request
+	for !k.lastResponse && len(k.Input()) > 0 && len(k.Output()) == 0 {
+		m := &k.listener.loop.request
 		n, err := m.Parse(k.Input())
 		var bad *http1.ParseError
 		if errors.As(err, &bad) {
-			k.answer(bad.StatusCode, "", []byte(bad.Reason+"\n"), false)
+			k.respondKeeping(bad.StatusCode, "", []byte(bad.Reason+"\n"), false)
 			break
 		}
 		if err != nil {
 			break
 		}
-		k.request(m)
+		k.handleRequest(m)
 		if !k.IsOpen() {
 			return
 		}
 		k.Consume(n)
 	}
 	if ended && len(k.Output()) == 0 {
-		k.end()
+		k.terminate()
 	}
 }
 
-// touch starts the link's time anew.
-func (k *statusLink) touch() {
-	k.since = k.home.loop.Now()
-	k.home.links.MoveToBack(k.place)
+// recordActivity starts the link's time anew.
+func (k *statusConnection) recordActivity() {
+	k.lastActivity = k.listener.loop.Now()
+	k.listener.connections.MoveToBack(k.element)
 }
 
-func (k *statusLink) request(m *http1.Request) {
+func (k *statusConnection) handleRequest(m *http1.Request) {
 	id, ok := bytes.CutPrefix(m.Target, []byte(status.Path))
 	switch {
 	case !ok || len(id) == 0:
-		k.answer(404, "", []byte("no such path\n"), m.KeepAlive)
+		k.respondKeeping(404, "", []byte("no such path\n"), m.KeepAlive)
 	case string(m.Method) != "GET":
-		k.answer(405, "Allow: GET\r\n", []byte("GET only\n"), m.KeepAlive)
+		k.respondKeeping(405, "Allow: GET\r\n", []byte("GET only\n"), m.KeepAlive)
 	default:
-		if body, ok := k.home.table.Find(string(id)); ok {
-			k.answer(200, "Content-Type: application/json\r\nCache-Control: no-store\r\n", body, m.KeepAlive)
+		if body, ok := k.listener.table.Find(string(id)); ok {
+			k.respondKeeping(200, "Content-Type: application/json\r\nCache-Control: no-store\r\n", body, m.KeepAlive)
 		} else {
-			k.answer(404, "", []byte("no such id\n"), m.KeepAlive)
+			k.respondKeeping(404, "", []byte("no such id\n"), m.KeepAlive)
 		}
 	}
 }
 
-func (k *statusLink) answer(code int, fields string, body []byte, keep bool) {
-	k.touch()
-	k.reply(code, fields, body, keep)
+func (k *statusConnection) respondKeeping(code int, fields string, body []byte, keep bool) {
+	k.recordActivity()
+	k.respond(code, fields, body, keep)
 }
--- a/internal/link/status_test.go
+++ b/internal/link/status_test.go
@@ -21,8 +21,8 @@
 	if err := w.loop.serveStatus(netip.MustParseAddrPort("127.0.0.1:0"), table); err != nil {
 		s.T.Fatal(err)
 	}
-	w.loop.Ledger.AddObserver(table)
-	if _, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: "a", Job: dispatch.Job{Remaining: time.Hour}}); err != nil {
+	w.loop.Requests.AddObserver(table)
+	if _, err := w.loop.Requests.Admit(w.now, requests.Arrival{CallID: "a", Job: dispatch.Job{Remaining: time.Hour}}); err != nil {
 		s.T.Fatal(err)
 	}
 	return w
@@ -31,7 +31,7 @@
 // knock connects to the status call.
 func (w *world) knock() *peer {
 	p, fd := w.pair()
-	w.loop.status.adopt(fd)
+	w.loop.status.addConnection(fd)
 	return p
 }
 
@@ -83,15 +83,15 @@
 			}
 			s.Check(got == want, "got %q, expected %q", got, want)
 			began := unsent != "" && len(unsent) < len(ask.text)
-			limit := statusQuiet
+			limit := statusIdleTimeout
 			if last || began {
-				limit = wholeWithin
+				limit = requestReadTimeout
 			}
 			age := w.now - quiet
 			s.Check(!p.ended || last || age >= limit, "ended after %v", age)
-			s.Check(p.ended || age < limit+sweepEvery, "still there after %v", age)
+			s.Check(p.ended || age < limit+expiryInterval, "still there after %v", age)
 			if p.ended {
-				s.Check(w.loop.status.links.Len() == 0 || last, "a link is left")
+				s.Check(w.loop.status.connections.Len() == 0 || last, "a link is left")
 			}
 		}
 	})
@@ -101,12 +101,12 @@
 func TestStatusCrowd(t *testing.T) {
 	w := withStatus(&steps.Steps{T: t})
 	first := w.knock()
-	for range 3 * statusMost {
+	for range 3 * maxStatusConnections {
 		w.knock()
 		w.turn()
 	}
-	if first.read(1); w.loop.status.links.Len() != statusMost || !first.ended {
-		t.Errorf("%d links, the quietest ended: %v", w.loop.status.links.Len(), first.ended)
+	if first.read(1); w.loop.status.connections.Len() != maxStatusConnections || !first.ended {
+		t.Errorf("%d links, the quietest ended: %v", w.loop.status.connections.Len(), first.ended)
 	}
 	p := w.knock()
 	p.write([]byte("GET /status/a HTTP/1.1\r\n\r\n"))
--- a/internal/link/world_test.go
+++ b/internal/link/world_test.go
@@ -50,12 +50,12 @@
 		return fd, nil
 	}
 	names := requests.NameTable{Classes: []string{"a"}, Tenants: []string{"t"}}
-	l.serve(50, 250*time.Millisecond, time.Minute)
+	l.openWorkerPool(50, 250*time.Millisecond, time.Minute)
 	l.watch = l.newWatchConnection(netip.AddrPort{}, discovery.Config{PollInterval: 10 * time.Second}, func(int64) int64 { return 0 })
-	l.Ledger = requests.New(6, names, func() requests.Policy { return w.module }, requests.EndpointList{Endpoints: []requests.Endpoint{
+	l.Requests = requests.New(6, names, func() requests.Policy { return w.module }, requests.EndpointList{Endpoints: []requests.Endpoint{
 		{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
-	}}, l.servers, silent)
-	l.accept(50, 1<<20, &dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: 5 * time.Second}}}, names)
+	}}, l.workers, silent)
+	l.openClientListener(50, 1<<20, &dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: 5 * time.Second}}}, names)
 	l.onWake = func() {}
 	l.limits = config.Limits{Sockets: 1024, MemoryMB: 64}
 	w.loop = l
@@ -65,8 +65,8 @@
 }
 
 // clientLink finds the client link of a descriptor.
-func (w *world) clientLink(fd int) *clientLink {
-	for k := range w.loop.clients.links {
+func (w *world) clientLink(fd int) *clientConnection {
+	for k := range w.loop.clients.connections {
 		if k.FD() == fd {
 			return k
 		}
--- a/internal/run/run.go
+++ b/internal/run/run.go
@@ -100,7 +100,7 @@
 	if s.loop = loop; loop.Capture != nil {
 		defer loop.Capture.Close(lastFlush)
 	}
-	defer loop.LastFigures()
+	defer loop.FlushFigures()
 	told, end := make(chan os.Signal, cap(signals)), make(chan struct{})
 	loop.OnWake(func() {
 		for len(told) > 0 {
@@ -119,7 +119,7 @@
 			}
 		}
 	}()
-	loop.OnDivide(func(half bool) {
+	loop.OnShareLimits(func(half bool) {
 		most := HeapLimit(s.conf.Limits)
 		if half {
 			most /= 2
@@ -137,7 +137,7 @@
 	} else {
 		s.log.Info("another process serves here, and is to be replaced")
 	}
-	err = loop.Run(func() bool { return s.over && loop.Quiet() || s.failed != nil })
+	err = loop.Run(func() bool { return s.over && loop.IsQuiet() || s.failed != nil })
 	return cmp.Or(err, s.failed)
 }
 
@@ -186,10 +186,10 @@
 	s.loop.Drain()
 	s.loop.After(max(killed-lastTaken, killed/2), s.loop.Close)
 	s.loop.After(killed-lastWords, func() {
-		s.loop.Finish(killed - lastWords - killSpare)
-		s.loop.RefuseHeld()
+		s.loop.FinishRequestsSince(killed - lastWords - killSpare)
+		s.loop.RejectQueued()
 	})
-	s.loop.After(killed-lastOfAll, s.loop.FinishAll)
+	s.loop.After(killed-lastOfAll, s.loop.FinishAllRequests)
 	// Until then it stays even with nothing in hand. One that has ended looks like one that has died: the front takes
 	// seconds to notice, and clients go on to try it. One that is there answers 503.
 	s.loop.After(killed, func() { s.over = true })
