--- a/internal/link/client_address.go
+++ b/internal/link/client_address.go
@@ -11,55 +11,73 @@
 	"valvecove/internal/address"
 )
 
-// isAddressAdmitted closes a connection, unread, whose own address may not connect.
-func (l *Loop) isAddressAdmitted(fd int, from netip.AddrPort) bool {
+// Why a connection is closed for its PROXY header.
+var (
+	errUntrustedProxy  = errors.New("PROXY header from an address that is not trusted")
+	errSecondProxyLine = errors.New("more than one PROXY header")
+)
+
+// admitAddress reports whether a new connection may go on. It closes the socket, unread, of an address that may not connect.
+func (l *Loop) admitAddress(socket int, from netip.AddrPort) bool {
 	if l.addressLists == nil {
 		return true
 	}
-	why := l.addressLists.RejectionReason(from.Addr())
-	if why == "" {
+	reason := l.addressLists.RejectionReason(from.Addr())
+	if reason == "" {
 		return true
 	}
-	_ = unix.Close(fd)
+	_ = unix.Close(socket)
 	if l.connectionLog.Enabled(context.Background(), slog.LevelWarn) {
-		l.connectionLog.LogAttrs(context.Background(), slog.LevelWarn, "connection refused", slog.String("why", why),
+		l.connectionLog.LogAttrs(context.Background(), slog.LevelWarn, "connection refused", slog.String("why", reason),
 			slog.String("client", from.String()))
 	}
 	return false
 }
 
-// readProxyHeader tells whether requests may be read: it takes a PROXY header that comes first, if one does. One that may
-// not be sent, or makes no sense, ends the link, and nothing is written.
-func (k *clientConnection) readProxyHeader() bool {
-	for !k.proxyHeaderDone {
-		client, n, err := address.ParseHeader(k.Input())
-		trusted := !k.proxyAddress.IsValid() && k.listener.loop.addressLists.TrustsProxy(k.clientAddress.Addr())
+// readProxyHeader takes a PROXY header that comes first, if one does, and reports whether requests may be read. A header that
+// may not be sent, or makes no sense, ends the connection, and nothing is written.
+func (c *clientConnection) readProxyHeader() bool {
+	for !c.proxyHeaderDone {
+		client, size, err := address.ParseHeader(c.Input())
+		isTrusted := !c.proxyAddress.IsValid() && c.loop().addressLists.TrustsProxy(c.clientAddress.Addr())
 		switch {
 		case errors.Is(err, address.ErrNoHeader):
-			k.proxyHeaderDone = true
-		case errors.Is(err, address.ErrUndecided), trusted && errors.Is(err, address.ErrIncomplete):
+			c.proxyHeaderDone = true
+		case errors.Is(err, address.ErrUndecided), isTrusted && errors.Is(err, address.ErrIncomplete):
 			return false
-		case !trusted || err != nil:
-			if err == nil || errors.Is(err, address.ErrIncomplete) {
-				err = errors.New("PROXY header from an address that is not trusted")
-			}
-			if k.proxyAddress.IsValid() {
-				err = errors.New("more than one PROXY header")
-			}
-			if k.isLogEnabled(slog.LevelWarn) {
-				k.logEvent(slog.LevelWarn, "link closed", slog.String("why", err.Error()))
-			}
-			k.terminate()
+		case !isTrusted || err != nil:
+			c.closeForProxyHeader(err)
 			return false
 		default:
-			k.Consume(n)
-			if k.proxyAddress = k.clientAddress; client.IsValid() {
-				k.clientAddress = client
-			}
-			if len(k.Input()) == 0 {
+			c.Consume(size)
+			c.setProxiedClient(client)
+			if len(c.Input()) == 0 {
 				return false
 			}
 		}
 	}
 	return true
 }
+
+// setProxiedClient takes in that the peer is a proxy, and whom it speaks for; of a proxy's own connection that is nobody.
+func (c *clientConnection) setProxiedClient(client netip.AddrPort) {
+	c.proxyAddress = c.clientAddress
+	if client.IsValid() {
+		c.clientAddress = client
+	}
+}
+
+// closeForProxyHeader ends the connection for a header that may not be sent, or, by the parser's error, makes no sense.
+func (c *clientConnection) closeForProxyHeader(parseError error) {
+	reason := parseError
+	if parseError == nil || errors.Is(parseError, address.ErrIncomplete) {
+		reason = errUntrustedProxy
+	}
+	if c.proxyAddress.IsValid() {
+		reason = errSecondProxyLine
+	}
+	if c.isLogEnabled(slog.LevelWarn) {
+		c.logEvent(slog.LevelWarn, "link closed", slog.String("why", reason.Error()))
+	}
+	c.terminate()
+}
--- a/internal/link/client_arrival.go
+++ b/internal/link/client_arrival.go
@@ -12,77 +12,132 @@
 )
 
 const (
-	maxCallIDSize         = 128
-	maxIdempotencyKeySize = 256
+	maxCallIDSize         = 128 // bytes
+	maxIdempotencyKeySize = 256 // bytes
+	maxRequestNumber      = 1e9 // of costs, slots and memory that a request names; a larger one makes no sense
 )
 
-// uniqueFields are the fields that count in a request. Where one comes twice, what we check and what a worker node goes
+// uniqueFields are the fields that are read of a request. Where one comes twice, what is checked here and what a worker goes
 // by could be two things.
 var uniqueFields = []string{
 	"X-Call-Id", "X-Call-Class", "X-Caller", "X-Budget-Ms", "Idempotency-Key", "X-Call-Cost",
 	"X-Call-Info", "X-Again", "Host",
 }
 
-// parseArrival makes a query of a request. fault names what is wrong with it.
-func (c *clientListener) parseArrival(m *http1.Request, class int, rest []byte) (in requests.Arrival, fault string) {
+// findClass returns the class of a request, which its path and a field name.
+func (l *clientListener) findClass(request *http1.Request, pathClass []byte) (int, *rejection) {
+	name := request.Get("X-Call-Class")
+	class, known := l.classes[string(name)]
+	_, pathKnown := l.classes[string(pathClass)]
+	switch {
+	case name == nil && !pathKnown:
+		return 0, &rejection{404, "no such path"}
+	case string(request.Method) != "POST":
+		return 0, &rejection{405, "POST only"}
+	case !known:
+		return 0, &rejection{400, "X-Call-Class: not a class"}
+	case !bytes.Equal(name, pathClass):
+		return 0, &rejection{400, "X-Call-Class: not the class in the path"}
+	}
+	return class, nil
+}
+
+// parseArrival makes an arrival of a request of a class. It has no responder yet. pathRest is what follows the class in the
+// path.
+func (l *clientListener) parseArrival(request *http1.Request, class int, pathRest []byte) (requests.Arrival, *rejection) {
 	for _, name := range uniqueFields {
-		if m.Count(name) > 1 {
-			return in, name + ": given more than once"
+		if request.Count(name) > 1 {
+			return requests.Arrival{}, &rejection{400, name + ": given more than once"}
 		}
 	}
-	id, idem := m.Get("X-Call-Id"), m.Get("Idempotency-Key")
-	if !http1.IsToken(id) || len(id) > maxCallIDSize {
-		return in, "X-Call-Id: missing or malformed"
+	callID, idempotencyKey := request.Get("X-Call-Id"), request.Get("Idempotency-Key")
+	if !http1.IsToken(callID) || len(callID) > maxCallIDSize {
+		return requests.Arrival{}, &rejection{400, "X-Call-Id: missing or malformed"}
 	}
-	if len(idem) > maxIdempotencyKeySize || !http1.IsVisible(idem) || idem == nil && c.settings.Classes[class].Idempotency == dispatch.IdempotentWithKey {
-		return in, "Idempotency-Key: missing or malformed" // without one, repeats would not be dropped
+	if !l.isIdempotencyKeyValid(idempotencyKey, class) {
+		return requests.Arrival{}, &rejection{400, "Idempotency-Key: missing or malformed"}
 	}
-	tenant, known := c.tenants[string(m.Get("X-Caller"))]
-	if !known && len(c.tenants) > 0 {
-		return in, "X-Caller: not a tenant"
-	}
-	left := c.settings.Classes[class].ClientTimeout
-	if text := m.Get("X-Budget-Ms"); text != nil {
-		n, ok := http1.ParseDecimal(text)
-		if !ok {
-			return in, "X-Budget-Ms: expected whole milliseconds"
-		}
-		left = time.Duration(n) * time.Millisecond
+	job, rejected := l.parseJob(request, class)
+	if rejected != nil {
+		return requests.Arrival{}, rejected
 	}
-	in = requests.Arrival{
-		CallID: string(id), Job: dispatch.Job{
-			Class: class, Tenant: tenant, Remaining: left, Slots: 1,
-			Hint: time.Duration(parsePositive(m.Get("X-Call-Cost")) * float64(time.Microsecond)), Retry: string(m.Get("X-Again")) == "1",
-		},
+	job.Key = jobKey(pathRest)
+	return requests.Arrival{
+		CallID: string(callID),
+		Job:    job,
 		Payload: requests.Payload{
-			Method: string(m.Method), Path: string(m.Target), IdempotencyKey: string(idem),
-			Body: bytes.Clone(m.Body),
+			Method:         string(request.Method),
+			Path:           string(request.Target),
+			IdempotencyKey: string(idempotencyKey),
+			Body:           bytes.Clone(request.Body),
 		},
+	}, nil
+}
+
+// isIdempotencyKeyValid accepts no key only where the class needs none: without one, repeats would not be dropped.
+func (l *clientListener) isIdempotencyKeyValid(key []byte, class int) bool {
+	if key == nil {
+		return l.settings.Classes[class].Idempotency != dispatch.IdempotentWithKey
 	}
-	if at := bytes.LastIndexByte(rest, '/'); len(rest) > 0 {
-		h := fnv.New64a()
-		h.Write(rest[at+1:])
-		in.Job.Key = h.Sum64() | 1 // 0 stands for none
+	return len(key) <= maxIdempotencyKeySize && http1.IsVisible(key)
+}
+
+// parseJob reads what the dispatcher goes by.
+func (l *clientListener) parseJob(request *http1.Request, class int) (dispatch.Job, *rejection) {
+	tenant, known := l.tenants[string(request.Get("X-Caller"))]
+	if !known && len(l.tenants) > 0 {
+		return dispatch.Job{}, &rejection{400, "X-Caller: not a tenant"}
 	}
-	for info := m.Get("X-Call-Info"); len(info) > 0; {
+	remaining := l.settings.Classes[class].ClientTimeout
+	if budget := request.Get("X-Budget-Ms"); budget != nil {
+		millis, ok := http1.ParseDecimal(budget)
+		if !ok {
+			return dispatch.Job{}, &rejection{400, "X-Budget-Ms: expected whole milliseconds"}
+		}
+		remaining = time.Duration(millis) * time.Millisecond
+	}
+	job := dispatch.Job{
+		Class:     class,
+		Tenant:    tenant,
+		Remaining: remaining,
+		Slots:     1,
+		Hint:      time.Duration(parsePositive(request.Get("X-Call-Cost")) * float64(time.Microsecond)),
+		Retry:     string(request.Get("X-Again")) == "1",
+	}
+	parseDemand(&job, request.Get("X-Call-Info"))
+	return job, nil
+}
+
+// parseDemand reads the slots and the memory that a job takes up, of pairs of names and values.
+func parseDemand(job *dispatch.Job, info []byte) {
+	for len(info) > 0 {
 		var pair []byte
 		pair, info, _ = bytes.Cut(info, []byte(","))
 		key, value, _ := bytes.Cut(pair, []byte("="))
 		switch string(bytes.TrimSpace(key)) {
 		case "slots":
-			in.Job.Slots = max(1, parsePositive(value))
+			job.Slots = max(1, parsePositive(value))
 		case "mem", "memory":
-			in.Job.Memory = parsePositive(value)
+			job.Memory = parsePositive(value)
 		}
 	}
-	return in, ""
 }
 
-// parsePositive reads a number of a request; one that makes no sense is as good as absent.
+// jobKey returns the hash of the last part of a path, by which jobs with the same data are known; 0: it has none.
+func jobKey(pathRest []byte) uint64 {
+	if len(pathRest) == 0 {
+		return 0
+	}
+	hash := fnv.New64a()
+	hash.Write(pathRest[bytes.LastIndexByte(pathRest, '/')+1:])
+	return hash.Sum64() | 1
+}
+
+// parsePositive reads a number of a request; one that makes no sense is as good as absent, and 0.
 func parsePositive(text []byte) float64 {
-	x, err := strconv.ParseFloat(string(bytes.TrimSpace(text)), 64)
-	if err != nil || !(x > 0 && x < 1e9) {
+	number, err := strconv.ParseFloat(string(bytes.TrimSpace(text)), 64)
+	if err != nil || !(number > 0 && number < maxRequestNumber) {
 		return 0
 	}
-	return x
+	return number
 }
--- a/internal/link/client_connection.go
+++ b/internal/link/client_connection.go
@@ -3,7 +3,7 @@
 import (
 	"bytes"
 	"container/list"
-	"log/slog"
+	"fmt"
 	"net/netip"
 	"time"
 
@@ -13,173 +13,240 @@
 	"valvecove/internal/http1"
 )
 
-// clientConnection is one accepted connection. What comes in on it is answered in turn.
-type clientConnection struct {
-	eventloop.Stream
-	listener          *clientListener
-	slots             []*responseSlot // taken in and not answered yet, in order
-	lastRequestRead   bool            // no further request is taken: the link ends with its last turn
-	halfClosed        bool            // the client has ended its side
-	inputEnded        bool            // and all that it has sent is read
-	inputOverrun      bool            // it has sent too much ahead of its answers: what still comes is not kept
-	halfCloseProbed   bool            // it has been asked whether it still listens, see sound
-	lingering         bool            // all is answered, and the peer may still send
-	continueSent      bool
-	requestSeen       bool // a whole request has come
-	usefulRequestSeen bool // and one that was of use: a query, or news of one; anybody can ask whether we are up
-	// sendsCallbacks is set on a worker node's link: what it brought last was news of a query.
-	sendsCallbacks     bool
-	lastActivity       time.Duration  // when something last began or went on, see sweep
-	lingerStart        time.Duration  // when it began to
-	currentRequestSize int            // bytes at the start of in that are the request which is being taken
-	arrivals           []arrival      // of what is in
-	currentArrival     time.Duration  // when the request that is being taken did
-	countedBytes       int            // bytes that home.held has for it
-	clientAddress      netip.AddrPort // whom it speaks for
-	proxyAddress       netip.AddrPort // and by which front; not valid: by none
-	// proxyHeaderDone is set once it is known whether a PROXY header comes first.
-	proxyHeaderDone bool
-	waitingList     *list.List    // the links without a request in hand, if it is one of those
-	waitingElement  *list.Element // and where it is there
+// clientPhase says what is still to come of a client connection that is open. It only ever advances.
+type clientPhase int
+
+const (
+	clientReading   clientPhase = iota // requests are read
+	clientFinishing                    // no further request is read; the connection ends with its last response
+	clientLingering                    // all responses are sent, and what the peer still sends is discarded
+)
+
+func (p clientPhase) String() string {
+	switch p {
+	case clientReading:
+		return "reading"
+	case clientFinishing:
+		return "finishing"
+	case clientLingering:
+		return "lingering"
+	}
+	return fmt.Sprintf("clientPhase(%d)", int(p))
 }
 
-// linger ends what we write. What the peer still sends is taken in unread up to its own end, for a while: closed over
-// unread bytes, a link is reset, and that takes along what the peer has not had of the answers before.
-func (k *clientConnection) linger(among *list.List) {
-	if !k.lingering {
-		k.lastRequestRead = true
-		k.DropInput()
-		k.lingering, k.lingerStart, k.lastActivity = true, k.listener.loop.Now(), k.listener.loop.Now()
-		k.CloseWrite()
-	}
-	k.enterWaitingList(among)
-	k.updateInputEvents()
-	k.updateBufferedBytes()
+// requestHistory says what requests a client connection has had so far. It only ever advances.
+type requestHistory int
+
+const (
+	historyNoRequest     requestHistory = iota
+	historyRequest                      // whole ones, of no use: anybody can ask whether the scheduler is up
+	historyUsefulRequest                // one was admitted, or was a callback of one
+)
+
+func (h requestHistory) String() string {
+	switch h {
+	case historyNoRequest:
+		return "no request"
+	case historyRequest:
+		return "request"
+	case historyUsefulRequest:
+		return "useful request"
+	}
+	return fmt.Sprintf("requestHistory(%d)", int(h))
 }
 
-// updateBufferedBytes keeps home.held right.
-func (k *clientConnection) updateBufferedBytes() {
-	now := k.BufferSize()
-	k.listener.bufferedBytes += now - k.countedBytes
-	k.countedBytes = now
+// clientConnection is one accepted connection. Its requests are answered in the order in which they came.
+type clientConnection struct {
+	eventloop.Stream
+	listener       *clientListener
+	phase          clientPhase
+	history        requestHistory
+	slots          []*responseSlot // of requests without a response, the first one first
+	sendsCallbacks bool            // the last useful request was a callback: the peer is a worker
+	continueSent   bool            // for the request that is being read
+
+	halfClosed      bool // the peer has ended its side
+	halfCloseProbed bool // and has been sent something to find out whether it still reads
+	inputEnded      bool // and all that it sent was read
+	inputOverrun    bool // it has sent too much ahead of its responses: what still comes is discarded
+
+	arrivals           []arrival     // of the input
+	currentRequestSize int           // bytes at the start of the input that are the request being handled; 0: none is
+	currentArrival     time.Duration // of that request
+
+	lastActivity   time.Duration // when something last began or went on, see closeIfExpired
+	lingerStart    time.Duration
+	countedBytes   int           // that the listener has counted for the buffers
+	waitingList    *list.List    // of the listener, if the connection is on one
+	waitingElement *list.Element // there
+
+	clientAddress   netip.AddrPort
+	proxyAddress    netip.AddrPort // of the proxy that the client came by; not valid: none
+	proxyHeaderDone bool           // it is known whether a PROXY header comes first
 }
 
-// terminate closes the link; the queries that it carries have lost their client.
-func (k *clientConnection) terminate() {
-	if !k.IsOpen() {
-		return
-	}
-	k.leaveWaitingList()
-	k.Close()
-	k.updateBufferedBytes()
-	delete(k.listener.connections, k)
-	for _, t := range k.slots {
-		if q := t.request; q != nil {
-			if k.isLogEnabled(slog.LevelInfo) {
-				k.logEvent(slog.LevelInfo, "query left by its client", slog.String("query", q.CallID))
-			}
-			t.request = nil
-			k.listener.loop.Requests.ClientDisconnected(q)
-		}
-	}
-	k.slots = nil
+func (c *clientConnection) loop() *Loop { return c.listener.loop }
+
+// isReading reports whether further requests are read.
+func (c *clientConnection) isReading() bool { return c.phase == clientReading }
+
+// advancePhase goes on to a phase, unless the connection is past it.
+func (c *clientConnection) advancePhase(phase clientPhase) { c.phase = max(c.phase, phase) }
+
+// advanceHistory takes in that a request has come.
+func (c *clientConnection) advanceHistory(history requestHistory) {
+	c.history = max(c.history, history)
 }
 
-func (k *clientConnection) HandlePanic() { k.terminate() }
+// Priority puts the events of clients before those of workers. A client that has left is known before a connection that has
+// just come up is written to, and what a worker says of an attempt before the end of the connection that carried it.
+func (c *clientConnection) Priority() eventloop.Priority { return eventloop.PriorityHigh }
 
-// Priority puts the events of clients before those of worker nodes. A client that has left is known before a connection that
-// has just come up is written to, and what a worker node has told of an attempt before the end of the link that carried it.
-func (k *clientConnection) Priority() eventloop.Priority { return eventloop.PriorityHigh }
+// HandlePanic ends the connection.
+func (c *clientConnection) HandlePanic() { c.terminate() }
 
-func (k *clientConnection) HandleEvents(events uint32) {
-	if events&(unix.EPOLLHUP|unix.EPOLLERR) != 0 && !k.lingering {
-		k.handleReset()
+// HandleEvents sends and reads what can be, and handles requests.
+func (c *clientConnection) HandleEvents(events uint32) {
+	if events&(unix.EPOLLHUP|unix.EPOLLERR) != 0 && c.phase != clientLingering {
+		c.handleReset()
 		return
 	}
 	if events&unix.EPOLLOUT != 0 {
-		before := len(k.Output())
-		if k.Flush() != nil {
-			k.terminate()
+		if err := c.flushOutput(); err != nil {
+			c.terminate()
 			return
 		}
-		if len(k.Output()) < before {
-			k.lastActivity = k.listener.loop.Now()
-		}
 	}
-	// Its end is told however much it has sent before that.
-	k.halfClosed = k.halfClosed || events&unix.EPOLLRDHUP != 0
-	if events&^unix.EPOLLOUT != 0 && !k.inputEnded {
-		take := k.Fill
-		if k.lastRequestRead || k.inputOverrun {
-			take = k.discardInput
-		} else if k.requestSeen && len(k.Input()) == 0 { // another request begins, however long the link was idle
-			k.lastActivity = k.listener.loop.Now()
-		}
-		ended, err := take()
-		if err != nil {
-			k.terminate()
+	// The event for the peer's end comes however much it has sent before that.
+	c.halfClosed = c.halfClosed || events&unix.EPOLLRDHUP != 0
+	if events&^unix.EPOLLOUT != 0 && !c.inputEnded {
+		if err := c.readInput(); err != nil {
+			c.terminate()
 			return
 		}
-		k.inputEnded = k.inputEnded || ended
 	}
-	k.readRequests()
+	c.readRequests()
+}
+
+func (c *clientConnection) flushOutput() error {
+	before := len(c.Output())
+	if err := c.Flush(); err != nil {
+		return err
+	}
+	if len(c.Output()) < before {
+		c.lastActivity = c.loop().Now()
+	}
+	return nil
+}
+
+func (c *clientConnection) readInput() error {
+	read := c.Fill
+	if !c.isReading() || c.inputOverrun {
+		read = c.discardInput
+	} else if c.history != historyNoRequest && len(c.Input()) == 0 { // a request begins, however long the connection was idle
+		c.lastActivity = c.loop().Now()
+	}
+	ended, err := read()
+	if err != nil {
+		return err
+	}
+	c.inputEnded = c.inputEnded || ended
+	return nil
 }
 
-// handleReset ends a link whose connection is gone both ways. Nobody waits for an answer, so no query is taken from what came
-// before that; news is news all the same.
-func (k *clientConnection) handleReset() {
-	for !k.lastRequestRead && len(k.slots) == 0 && len(k.Input()) <= maxReadAhead {
-		before := len(k.Input())
-		if _, err := k.Fill(); err != nil || len(k.Input()) == before {
+// discardInput reads what nobody needs: closed over unread bytes, the connection would be reset, and the response lost.
+func (c *clientConnection) discardInput() (ended bool, err error) {
+	n, ended, err := c.Discard()
+	if n > 0 {
+		c.lastActivity = c.loop().Now()
+	}
+	return ended, err
+}
+
+// handleReset ends a connection that is gone both ways. Nobody waits for a response, so no request is admitted of what came
+// before that; callbacks are applied all the same.
+func (c *clientConnection) handleReset() {
+	for c.isReading() && len(c.slots) == 0 && len(c.Input()) <= maxReadAhead {
+		before := len(c.Input())
+		if _, err := c.Fill(); err != nil || len(c.Input()) == before {
 			break
 		}
 	}
-	for !k.lastRequestRead && len(k.slots) == 0 && len(k.Input()) > 0 && k.readProxyHeader() {
-		m := &k.listener.loop.request
-		n, err := m.Parse(k.Input())
+	for c.isReading() && len(c.slots) == 0 && len(c.Input()) > 0 && c.readProxyHeader() {
+		request := &c.loop().request
+		size, err := request.Parse(c.Input())
 		if err != nil {
 			break
 		}
-		if path, _, _ := bytes.Cut(m.Target, []byte("?")); string(path) == pathCallbacks && string(m.Method) == "POST" {
-			_ = k.applyCallback(m.Body)
+		path, _, _ := bytes.Cut(request.Target, []byte("?"))
+		if string(path) == pathCallbacks && string(request.Method) == "POST" {
+			_ = c.applyCallback(request.Body)
 		}
-		k.Consume(n)
+		c.Consume(size)
 	}
-	k.terminate()
+	c.terminate()
 }
 
-// discardInput takes in what nobody will read, so that closing the link does not reset it and take the answer along.
-func (k *clientConnection) discardInput() (ended bool, err error) {
-	n, ended, err := k.Stream.Discard()
-	if n > 0 {
-		k.lastActivity = k.listener.loop.Now()
-	}
-	return ended, err
-}
-
-// probeHalfClosed asks a client that has ended its side whether it still listens. One that has closed its connection has gone
-// away, one that has only finished writing still waits, and both look alike until something is written: a closed
-// connection answers an interim response with a reset, and any client must skip one. Where the reset is there at once,
-// the link ends at once, before anything is sent on.
-func (k *clientConnection) probeHalfClosed() {
-	if k.halfCloseProbed {
+// probeHalfClosed finds out whether a client that has ended its side still reads. One that has closed its connection is gone,
+// one that has only finished writing still waits, and both look alike until something is written: a closed connection answers
+// an interim response with a reset, and any client must skip one. Where the reset is there at once, the connection ends
+// before its request is sent to a worker.
+func (c *clientConnection) probeHalfClosed() {
+	if c.halfCloseProbed {
 		return
 	}
-	k.halfCloseProbed = true
-	if k.Send([]byte(http1.ContinueResponse)) != nil || k.ConnectError() != nil {
-		k.terminate()
+	c.halfCloseProbed = true
+	if c.Send([]byte(http1.ContinueResponse)) != nil || c.ConnectError() != nil {
+		c.terminate()
 	}
 }
 
-// updateInputEvents asks epoll for what matters now. A client is always read from, as its end lies behind all that it has sent; that
-// end is told for as long as it is asked for, and a reset always.
-func (k *clientConnection) updateInputEvents() {
-	events := k.Events() &^ eventloop.StreamEvents
-	if !k.halfClosed {
+// updateInputEvents asks epoll for what matters now. A client is read from up to its end, as that lies behind all that it has
+// sent; there are events for that end for as long as they are asked for, and for a reset always.
+func (c *clientConnection) updateInputEvents() {
+	events := c.Events() &^ eventloop.StreamEvents
+	if !c.halfClosed {
 		events |= unix.EPOLLRDHUP
 	}
-	if !k.inputEnded {
+	if !c.inputEnded {
 		events |= unix.EPOLLIN
 	}
-	k.SetEvents(events)
+	c.SetEvents(events)
+}
+
+// updateBufferedBytes keeps the listener's count right.
+func (c *clientConnection) updateBufferedBytes() {
+	size := c.BufferSize()
+	c.listener.bufferedBytes += size - c.countedBytes
+	c.countedBytes = size
+}
+
+// linger ends this side of the connection, and puts it on a list. What the peer still sends is discarded up to its own end,
+// for a while: closed over unread bytes, a connection is reset, and the peer loses what it has not read of the responses.
+func (c *clientConnection) linger(waiting *list.List) {
+	if c.phase != clientLingering {
+		c.advancePhase(clientLingering)
+		c.DropInput()
+		c.lingerStart = c.loop().Now()
+		c.lastActivity = c.loop().Now()
+		c.CloseWrite()
+	}
+	c.enterWaitingList(waiting)
+	c.updateInputEvents()
+	c.updateBufferedBytes()
+}
+
+// terminate closes the connection; the requests on it have lost their client.
+func (c *clientConnection) terminate() {
+	if !c.IsOpen() {
+		return
+	}
+	c.leaveWaitingList()
+	c.Close()
+	c.updateBufferedBytes()
+	delete(c.listener.connections, c)
+	for _, slot := range c.slots {
+		slot.abandon()
+	}
+	c.slots = nil
 }
--- a/internal/link/client_expiry.go
+++ b/internal/link/client_expiry.go
@@ -8,52 +8,68 @@
 )
 
 const (
-	requestReadTimeout    = 2 * time.Second // a request must be whole: counted from its first byte, the first one's from connecting
-	responseUnreadTimeout = 5 * time.Second // a peer must take in some of an answer
-	lingerIdleTimeout     = time.Second     // after the last answer of a link: for the peer to close, or to send on
-	maxLingerTime         = 5 * time.Second
 	expiryInterval        = 250 * time.Millisecond
-	evictionGrace         = 250 * time.Millisecond // a link is not closed to make room sooner than this after its start
+	requestReadTimeout    = 2 * time.Second        // from a request's first byte to its last; for the first one, from connecting
+	responseUnreadTimeout = 5 * time.Second        // for a peer to take some of a response
+	lingerIdleTimeout     = time.Second            // after the last response: for the peer to close, or to send on
+	maxLingerTime         = 5 * time.Second        // however much the peer sends
+	evictionGrace         = 250 * time.Millisecond // before a new connection, or one that had its last response, is evicted
 )
 
-// closeExpired ends links on which nothing goes on that should: each holds a descriptor, and some hold a buffer. One that
-// awaits an answer of ours, or has had one and is idle, is let be.
-func (c *clientListener) closeExpired() {
-	c.loop.StartTimer(expiryInterval, c, c.closeExpired)
-	for k := range c.connections {
-		age := c.loop.Now() - k.lastActivity
-		switch {
-		case k.lingering:
-			if age >= lingerIdleTimeout || c.loop.Now()-k.lingerStart >= maxLingerTime {
-				k.terminate()
-			}
-		case len(k.Output()) > 0:
-			if age >= responseUnreadTimeout {
-				k.terminate()
-			}
-		case len(k.slots) > 0 || k.usefulRequestSeen && len(k.Input()) == 0 || age < requestReadTimeout:
-		case len(k.Input()) > 0 && k.proxyHeaderDone && !k.lastRequestRead:
-			k.rejectInput(408, "request not whole\n")
-		case !k.proxyHeaderDone && len(k.Input()) > 0: // it may be the start of a PROXY header, so nothing is written
-			k.linger(&c.finished)
-		case !k.requestSeen: // has connected and says nothing
-			k.dismiss(&c.finished)
+// closeExpired ends connections on which nothing goes on that should, again and again: each takes up a descriptor, and some
+// a buffer.
+func (l *clientListener) closeExpired() {
+	l.loop.StartTimer(expiryInterval, l, l.closeExpired)
+	for c := range l.connections {
+		c.closeIfExpired()
+	}
+}
+
+// closeIfExpired ends the connection if it has been waited for long enough. One that awaits a response, or had one of use and
+// is idle, may wait for ever.
+func (c *clientConnection) closeIfExpired() {
+	now := c.loop().Now()
+	quiet := now - c.lastActivity
+	switch {
+	case c.phase == clientLingering:
+		if quiet >= lingerIdleTimeout || now-c.lingerStart >= maxLingerTime {
+			c.terminate()
+		}
+	case len(c.Output()) > 0:
+		if quiet >= responseUnreadTimeout {
+			c.terminate()
 		}
+	case len(c.slots) == 0 && quiet >= requestReadTimeout:
+		c.closeUnlessIdle()
 	}
 }
 
-// evict has the link that is missed least make room, and tells whether there was one. What had just come in on it is
-// taken first; what comes from then on its client asks again elsewhere. A link that has just connected, or just had its
-// last answer, is let be: it may be a usual client's or a worker node's, whose request is on its way.
-func (c *clientListener) evict() bool {
-	for _, from := range []*list.List{&c.rejectedOnly, &c.finished, &c.silent, &c.idle} {
-		for e := from.Front(); e != nil; e = from.Front() {
-			k := e.Value.(*clientConnection)
-			if from != &c.idle && from != &c.rejectedOnly && c.loop.Now()-k.lastActivity < evictionGrace {
+// closeUnlessIdle ends a connection that has no response to wait for, unless it is idle after a request of use.
+func (c *clientConnection) closeUnlessIdle() {
+	switch {
+	case len(c.Input()) > 0 && !c.proxyHeaderDone: // it may be the start of a PROXY header, so nothing is written
+		c.linger(&c.listener.finished)
+	case len(c.Input()) > 0 && c.phase == clientReading:
+		c.rejectInput(408, "request not whole\n")
+	case len(c.Input()) == 0 && c.history == historyUsefulRequest:
+	case c.history == historyNoRequest:
+		c.dismiss(&c.listener.finished)
+	}
+}
+
+// evict shuts down the connection that is missed least to make room, and reports whether there was one. What had just come in
+// on it is handled first; what comes later its client sends again elsewhere. A connection that is new, or just had its last
+// response, is spared: it may be a usual client's or a worker's, whose request is on its way.
+func (l *clientListener) evict() bool {
+	for _, waiting := range []*list.List{&l.rejectedOnly, &l.finished, &l.silent, &l.idle} {
+		hasGrace := waiting == &l.finished || waiting == &l.silent
+		for first := waiting.Front(); first != nil; first = waiting.Front() {
+			c := first.Value.(*clientConnection)
+			if hasGrace && l.loop.Now()-c.lastActivity < evictionGrace {
 				break
 			}
-			if k.dismiss(&c.evicted) {
-				c.closeExcessEvicted()
+			if c.dismiss(&l.evicted) {
+				l.closeExcessEvicted()
 				return true
 			}
 		}
@@ -61,67 +77,70 @@
 	return false
 }
 
-// closeExcessEvicted closes links that have made room where there are too many of those, the first ones first.
-func (c *clientListener) closeExcessEvicted() {
-	for c.evicted.Len() > c.maxEvicted {
-		c.evicted.Front().Value.(*clientConnection).terminate()
+// closeExcessEvicted closes evicted connections where there are too many, the first ones first.
+func (l *clientListener) closeExcessEvicted() {
+	for l.evicted.Len() > l.maxEvicted {
+		l.evicted.Front().Value.(*clientConnection).terminate()
 	}
 }
 
-// close closes links between queries from now on; queries that come all the same are refused. Links that worker nodes have
-// stay open, as do those that they open: each note is an answer that some client waits for.
-func (c *clientListener) close() {
-	c.closing = true
-	var resting []*clientConnection // one that is shut may bring about that others move
-	for _, among := range []*list.List{&c.rejectedOnly, &c.silent, &c.idle} {
-		for e := among.Front(); e != nil; e = e.Next() {
-			resting = append(resting, e.Value.(*clientConnection))
+// close closes connections between requests from now on; requests that come all the same are rejected. Connections that
+// workers have stay open, as do those that they open: each callback is a response that some client waits for.
+func (l *clientListener) close() {
+	l.closing = true
+	var waiting []*clientConnection // shutting one down may move others from list to list
+	for _, list := range []*list.List{&l.rejectedOnly, &l.silent, &l.idle} {
+		for element := list.Front(); element != nil; element = element.Next() {
+			waiting = append(waiting, element.Value.(*clientConnection))
 		}
 	}
-	for _, k := range resting {
-		if k.waitingElement != nil && !k.sendsCallbacks {
-			k.dismiss(&c.finished)
+	for _, c := range waiting {
+		if c.waitingElement != nil && !c.sendsCallbacks {
+			c.dismiss(&l.finished)
 		}
 	}
 }
 
-// enterWaitingList puts the link among those without a request in hand.
-func (k *clientConnection) enterWaitingList(among *list.List) {
-	if !k.IsOpen() || k.waitingList == among {
-		return
+// becomeIdle puts the connection on the list that it belongs to between requests.
+func (c *clientConnection) becomeIdle() {
+	switch c.history {
+	case historyUsefulRequest:
+		c.enterWaitingList(&c.listener.idle)
+	case historyRequest:
+		c.enterWaitingList(&c.listener.rejectedOnly)
+	case historyNoRequest:
+		c.enterWaitingList(&c.listener.silent)
 	}
-	k.leaveWaitingList()
-	k.waitingList, k.waitingElement = among, among.PushBack(k)
 }
 
-// becomeIdle marks the link as being between requests.
-func (k *clientConnection) becomeIdle() {
-	switch {
-	case k.usefulRequestSeen:
-		k.enterWaitingList(&k.listener.idle)
-	case k.requestSeen:
-		k.enterWaitingList(&k.listener.rejectedOnly)
-	default:
-		k.enterWaitingList(&k.listener.silent)
+// enterWaitingList puts the connection last on a list; it is on one at most.
+func (c *clientConnection) enterWaitingList(waiting *list.List) {
+	if !c.IsOpen() || c.waitingList == waiting {
+		return
 	}
+	c.leaveWaitingList()
+	c.waitingList = waiting
+	c.waitingElement = waiting.PushBack(c)
 }
 
-// leaveWaitingList takes the link from among those without a request in hand.
-func (k *clientConnection) leaveWaitingList() {
-	if k.waitingElement != nil {
-		k.waitingList.Remove(k.waitingElement)
-		k.waitingList, k.waitingElement = nil, nil
+// leaveWaitingList takes the connection off its list, if it is on one.
+func (c *clientConnection) leaveWaitingList() {
+	if c.waitingElement != nil {
+		c.waitingList.Remove(c.waitingElement)
+		c.waitingList, c.waitingElement = nil, nil
 	}
 }
 
-// dismiss shuts a link without a request in hand, unless one has just come in. It tells whether the link makes room.
-func (k *clientConnection) dismiss(among *list.List) bool {
-	place := k.waitingElement
-	if k.listener.loop.Protect(k, func() { k.HandleEvents(unix.EPOLLIN) }); k.IsOpen() && place != nil && k.waitingElement == place {
-		k.linger(among)
+// dismiss shuts down a connection without a request in flight, unless one has just come in. It reports whether the connection
+// makes room.
+func (c *clientConnection) dismiss(waiting *list.List) bool {
+	element := c.waitingElement
+	c.loop().Protect(c, func() { c.HandleEvents(unix.EPOLLIN) })
+	if c.IsOpen() && element != nil && c.waitingElement == element {
+		c.linger(waiting)
 	}
-	return !k.IsOpen() || k.waitingList == among
+	return !c.IsOpen() || c.waitingList == waiting
 }
 
-// closesAfterResponse tells whether the link ends with what is answered on it now.
-func (k *clientConnection) closesAfterResponse() bool { return k.listener.closing && !k.sendsCallbacks }
+// closesAfterResponse reports whether the connection is to end with the responses that are due on it now.
+func (c *clientConnection) closesAfterResponse() bool { return c.listener.closing && !c.sendsCallbacks }
--- a/internal/link/client_input.go
+++ b/internal/link/client_input.go
@@ -3,144 +3,135 @@
 import (
 	"errors"
 	"log/slog"
-	"time"
 
 	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
 )
 
-// maxReadAhead is how much is read and kept while answers are due: a whole message and the start of another. Where there
-// is memory it may be mostHoarded. What comes beyond that is taken in unread, so that the client's end is noticed all the
-// same: the requests that are kept are answered, one more is refused, and the link ends.
+// What is read ahead of responses: a whole request and the start of another; more where there is memory. What comes beyond
+// that is discarded, so that the client's end is noticed all the same: the requests that are kept are answered, one more is
+// rejected, and the connection ends.
 const (
 	maxReadAhead           = http1.MaxHeaderSize + http1.MaxBodySize
 	maxReadAheadWithMemory = 8 * maxReadAhead
 )
 
-// readRequests takes in what can be taken.
-func (k *clientConnection) readRequests() {
-	for !k.lastRequestRead && k.IsOpen() && len(k.slots) < maxResponseSlots && len(k.Output()) <= maxUnreadOutput && len(k.Input()) > 0 && k.readProxyHeader() {
-		m := &k.listener.loop.request
-		n, err := m.Parse(k.Input())
-		var bad *http1.ParseError
-		if errors.As(err, &bad) {
-			k.rejectInput(bad.StatusCode, bad.Reason+"\n")
+// readRequests handles what there is of whole requests, and then sees to what is to become of the connection.
+func (c *clientConnection) readRequests() {
+	for c.canReadRequest() && c.readProxyHeader() {
+		if more := c.readRequest(); !more {
 			break
 		}
-		if err != nil {
-			if k.usefulRequestSeen {
-				k.leaveWaitingList()
-			}
-			if k.inputOverrun {
-				k.rejectOverrun()
-			} else if k.listener.bufferedBytes > k.listener.maxBufferedBytes && len(k.Input()) > eventloop.MaxIdleBuffer {
-				k.rejectInput(503, "no memory for a large request now\n")
-			} else if m.ExpectContinue && !k.continueSent && len(k.slots) == 0 {
-				k.continueSent = true
-				_ = k.Send([]byte(http1.ContinueResponse))
-			}
-			break
-		}
-		k.leaveWaitingList()
-		if !k.requestSeen && k.isLogEnabled(slog.LevelInfo) {
-			k.logEvent(slog.LevelInfo, "client link open")
-		}
-		k.continueSent, k.requestSeen, k.lastActivity = false, true, k.listener.loop.Now()
-		k.currentRequestSize, k.currentArrival = n, k.arrivalTime(n)
-		k.handleRequest(m, k.reserveSlot(m.KeepAlive))
-		if k.currentRequestSize = 0; k.IsOpen() {
-			k.Consume(n)
-		}
 	}
-	if k.inputOverrun && !k.lastRequestRead && len(k.Input()) == 0 && len(k.slots) < maxResponseSlots {
-		k.rejectOverrun()
+	if c.inputOverrun && c.isReading() && len(c.Input()) == 0 && len(c.slots) < maxResponseSlots {
+		c.rejectOverrun()
 	}
-	if !k.IsOpen() {
+	if !c.IsOpen() {
 		return
 	}
-	if k.lastRequestRead {
-		k.DropInput()
-		k.arrivals = nil
+	if !c.isReading() {
+		c.DropInput()
+		c.arrivals = nil
 	}
-	k.recordArrival()
-	k.inputOverrun = k.inputOverrun || k.exceedsReadAhead()
-	if k.halfClosed && len(k.slots) > 0 {
-		if k.probeHalfClosed(); !k.IsOpen() {
+	c.recordArrival()
+	c.inputOverrun = c.inputOverrun || c.exceedsReadAhead()
+	if c.halfClosed && len(c.slots) > 0 {
+		c.probeHalfClosed()
+		if !c.IsOpen() {
 			return
 		}
 	}
-	k.updateInputEvents()
-	switch {
-	case len(k.slots) > 0 || len(k.Output()) > 0:
-	case k.inputEnded:
-		k.terminate()
-		return
-	case k.lastRequestRead && !k.lingering:
-		k.linger(&k.listener.finished)
-	case len(k.Input()) == 0 && !k.lastRequestRead:
-		if k.becomeIdle(); k.closesAfterResponse() && k.requestSeen {
-			k.linger(&k.listener.finished)
-		}
-	}
-	k.updateBufferedBytes()
+	c.updateInputEvents()
+	c.finishOrBecomeIdle()
 }
 
-// rejectInput answers what can't be read any further; the link ends with that.
-func (k *clientConnection) rejectInput(status int, what string) {
-	k.leaveWaitingList()
-	k.listener.loop.Requests.ReportRejection(nil, status)
-	k.reserveSlot(false).respond(status, what)
+func (c *clientConnection) canReadRequest() bool {
+	return c.isReading() && c.IsOpen() && len(c.slots) < maxResponseSlots && len(c.Output()) <= maxUnreadOutput && len(c.Input()) > 0
 }
 
-// arrival is when some bytes came that wait to be looked at.
-type arrival struct {
-	bytes int
-	at    time.Duration
+// readRequest handles the first request of the input. more is false if there is none that is whole.
+func (c *clientConnection) readRequest() (more bool) {
+	request := &c.loop().request
+	size, err := request.Parse(c.Input())
+	var parseError *http1.ParseError
+	if errors.As(err, &parseError) {
+		c.rejectInput(parseError.StatusCode, parseError.Reason+"\n")
+		return false
+	}
+	if err != nil {
+		c.awaitRest(request)
+		return false
+	}
+	c.leaveWaitingList()
+	if c.history == historyNoRequest && c.isLogEnabled(slog.LevelInfo) {
+		c.logEvent(slog.LevelInfo, "client link open")
+	}
+	c.advanceHistory(historyRequest)
+	c.continueSent = false
+	c.lastActivity = c.loop().Now()
+	c.currentRequestSize = size
+	c.currentArrival = c.arrivalTime(size)
+	c.handleRequest(request, c.reserveSlot(request.KeepAlive))
+	c.currentRequestSize = 0
+	if c.IsOpen() {
+		c.Consume(size)
+	}
+	return true
 }
 
-const arrivalResolution = 100 * time.Millisecond // a client may send a byte at a time
-
-// recordArrival remembers when what waits came; what came shortly after other bytes counts as come with them.
-func (k *clientConnection) recordArrival() {
-	fresh := len(k.Input())
-	for _, a := range k.arrivals {
-		fresh -= a.bytes
+// awaitRest sees to a request of which the rest is to come.
+func (c *clientConnection) awaitRest(request *http1.Request) {
+	if c.history == historyUsefulRequest {
+		c.leaveWaitingList()
 	}
-	if last := len(k.arrivals) - 1; fresh > 0 && last >= 0 && k.listener.loop.Now()-k.arrivals[last].at < arrivalResolution {
-		k.arrivals[last].bytes += fresh
-	} else if fresh > 0 {
-		k.arrivals = append(k.arrivals, arrival{fresh, k.listener.loop.Now()})
+	switch {
+	case c.inputOverrun:
+		c.rejectOverrun()
+	case c.listener.bufferedBytes > c.listener.maxBufferedBytes && len(c.Input()) > eventloop.MaxIdleBuffer:
+		c.rejectInput(503, "no memory for a large request now\n")
+	case request.ExpectContinue && !c.continueSent && len(c.slots) == 0:
+		c.continueSent = true
+		_ = c.Send([]byte(http1.ContinueResponse))
 	}
 }
 
-// arrivalTime tells when the last of the first n bytes that wait came.
-func (k *clientConnection) arrivalTime(n int) time.Duration {
-	for _, a := range k.arrivals {
-		if n -= a.bytes; n <= 0 {
-			return a.at
+// finishOrBecomeIdle ends a connection on which nothing is to come any more, or puts it among those between requests.
+func (c *clientConnection) finishOrBecomeIdle() {
+	switch {
+	case len(c.slots) > 0 || len(c.Output()) > 0:
+	case c.inputEnded:
+		c.terminate()
+		return
+	case c.phase == clientFinishing:
+		c.linger(&c.listener.finished)
+	case c.isReading() && len(c.Input()) == 0:
+		c.becomeIdle()
+		if c.closesAfterResponse() && c.history != historyNoRequest {
+			c.linger(&c.listener.finished)
 		}
 	}
-	return k.listener.loop.Now()
+	c.updateBufferedBytes()
 }
 
-// Consume drops the first n bytes of what has come in.
-func (k *clientConnection) Consume(n int) {
-	k.Stream.Consume(n)
-	for len(k.arrivals) > 0 && k.arrivals[0].bytes <= n {
-		n -= k.arrivals[0].bytes
-		k.arrivals = k.arrivals[1:]
-	}
-	if len(k.arrivals) == 0 {
-		k.arrivals = nil
-	} else {
-		k.arrivals[0].bytes -= n
-	}
+// rejectInput responds to what can't be read any further; the connection ends with that.
+func (c *clientConnection) rejectInput(statusCode int, reason string) {
+	c.leaveWaitingList()
+	c.loop().Requests.ReportRejection(nil, statusCode)
+	c.reserveSlot(false).respond(statusCode, reason)
 }
 
-func (k *clientConnection) rejectOverrun() { k.rejectInput(503, "too much sent ahead of answers\n") }
+func (c *clientConnection) rejectOverrun() { c.rejectInput(503, "too much sent ahead of answers\n") }
 
-// exceedsReadAhead tells whether more has been read ahead of answers than is kept.
-func (k *clientConnection) exceedsReadAhead() bool {
-	n, held := len(k.Input()), k.listener.bufferedBytes
-	return n > maxReadAheadWithMemory || n > maxReadAhead && held > k.listener.maxBufferedBytes/2 || n > eventloop.MaxIdleBuffer && held > k.listener.maxBufferedBytes && len(k.slots) > 0
+// exceedsReadAhead reports whether more was read ahead of responses than is kept.
+func (c *clientConnection) exceedsReadAhead() bool {
+	size := len(c.Input())
+	buffered, limit := c.listener.bufferedBytes, c.listener.maxBufferedBytes
+	switch {
+	case size > maxReadAheadWithMemory:
+		return true
+	case size > maxReadAhead && buffered > limit/2:
+		return true
+	default:
+		return size > eventloop.MaxIdleBuffer && buffered > limit && len(c.slots) > 0
+	}
 }
--- a/internal/link/client_listener.go
+++ b/internal/link/client_listener.go
@@ -14,141 +14,172 @@
 )
 
 const (
-	acceptRetryDelay   = 50 * time.Millisecond // after no descriptor was left
-	maxAcceptsPerEvent = 128                   // in a flood of connections, the links that are there have their turns too
+	acceptRetryDelay   = 50 * time.Millisecond // after no descriptor was to be had
+	maxAcceptsPerEvent = 128                   // in a flood of new connections, the present ones are served too
+
+	evictedFraction            = 32 // one of so many descriptors is for connections that are evicted and not closed yet
+	callbackConnectionFraction = 10 // one of so many is kept free of requests, for the callbacks that end them
+	minCallbackConnections     = 8
 )
 
-// clientListener accepts connections. Clients come in here, and so do worker nodes with their notes.
+// clientListener accepts the connections of clients, and of workers that send callbacks, and keeps account of them.
 type clientListener struct {
-	loop           *Loop
-	fd             int
-	maxConnections int // links held at once, but for those in parting
-	maxRequests    int // and queries, which is fewer: what ends them, worker nodes' notes, needs links too
-	connections    map[*clientConnection]struct{}
-	// Links without a request in hand, longest first, in the order in which they make room: those that have only
-	// had errors for an answer, those that have had their last, those that have not asked yet, and the useful ones.
-	rejectedOnly, finished, silent, idle list.List
-	evicted                              list.List // those that have made room, while they are shut but not closed yet
-	maxEvicted                           int       // and how many there may be, besides most
-	bufferedBytes                        int       // bytes in the links' buffers
-	maxBufferedBytes                     int       // and how many there may be; as much again may wait in queries
-	acceptPaused                         bool
-	resumeTimer                          *eventloop.Timer
-	draining                             bool
-	closing                              bool // takes no query any more
-	settings                             *dispatch.Settings
-	classes                              map[string]int
-	tenants                              map[string]int
+	loop             *Loop
+	fd               int // -1: another process has the socket
+	connections      map[*clientConnection]struct{}
+	maxConnections   int // without those that are evicted
+	maxRequests      int // open at once; fewer than connections, as the callbacks that end requests need connections too
+	bufferedBytes    int // in the connections' buffers
+	maxBufferedBytes int // and for the payloads of open requests as much again
+
+	// Connections without a request in flight, the one that has waited longest first. They are evicted in the order of these
+	// lists.
+	rejectedOnly list.List // had nothing but error responses
+	finished     list.List // had their last response
+	silent       list.List // have sent no request
+	idle         list.List // had a request of use
+
+	evicted    list.List // shut down to make room, and not closed yet
+	maxEvicted int
+
+	acceptPaused bool
+	resumeTimer  *eventloop.Timer
+	draining     bool // not ready, though requests are still admitted
+	closing      bool // no request is admitted
+
+	settings *dispatch.Settings
+	classes  map[string]int // indexes by name
+	tenants  map[string]int
 }
 
-func (l *Loop) openClientListener(most, budget int, set *dispatch.Settings, names requests.NameTable) {
+// openClientListener makes the listener, which has no socket yet, with limits on descriptors and on bytes of buffers.
+func (l *Loop) openClientListener(connections, bufferBytes int, settings *dispatch.Settings, names requests.NameTable) {
 	l.clients = &clientListener{
-		loop: l, fd: -1, connections: map[*clientConnection]struct{}{}, settings: set,
-		classes: index(names.Classes), tenants: index(names.Tenants),
+		loop:        l,
+		fd:          -1,
+		connections: map[*clientConnection]struct{}{},
+		settings:    settings,
+		classes:     indexByName(names.Classes),
+		tenants:     indexByName(names.Tenants),
 	}
-	l.clients.setLimits(most, budget)
+	l.clients.setLimits(connections, bufferBytes)
 	l.clients.closeExpired()
 }
 
-// setLimits sets how many links are held, and how many bytes. Where there are more links, idle ones make room.
-func (c *clientListener) setLimits(links, budget int) {
-	c.maxEvicted = links / 32 // out of those that queries leave
-	c.maxConnections = links - c.maxEvicted
-	c.maxRequests, c.maxBufferedBytes = maxRequestsFor(links), budget
-	for c.activeCount() > c.maxConnections && c.evict() {
+func indexByName(names []string) map[string]int {
+	indexes := map[string]int{}
+	for i, name := range names {
+		indexes[name] = i
 	}
-	c.closeExcessEvicted()
-	c.resumeIfRoom()
+	return indexes
 }
 
-// activeCount counts the links but for those that have made room.
-func (c *clientListener) activeCount() int { return len(c.connections) - c.evicted.Len() }
+// setLimits sets how many connections there may be, and how many bytes of buffers. Where there are more connections, idle
+// ones are evicted.
+func (l *clientListener) setLimits(connections, bufferBytes int) {
+	l.maxEvicted = connections / evictedFraction
+	l.maxConnections = connections - l.maxEvicted
+	l.maxRequests = maxRequestsFor(connections)
+	l.maxBufferedBytes = bufferBytes
+	for l.activeCount() > l.maxConnections && l.evict() {
+	}
+	l.closeExcessEvicted()
+	l.resumeIfRoom()
+}
 
-// maxRequestsFor leaves links for what ends queries.
-func maxRequestsFor(links int) int { return links - max(8, links/10) }
+// activeCount counts the connections that are not evicted.
+func (l *clientListener) activeCount() int { return len(l.connections) - l.evicted.Len() }
 
-func index(names []string) map[string]int {
-	m := map[string]int{}
-	for i, name := range names {
-		m[name] = i
-	}
-	return m
+// maxRequestsFor returns how many requests may be open, given how many connections there may be.
+func maxRequestsFor(connections int) int {
+	return connections - max(minCallbackConnections, connections/callbackConnectionFraction)
 }
 
-// HandleEvents accepts what waits. Where descriptors run out, the link that has been idle longest makes room; where
-// none is idle, new connections wait in the backlog: turned away there, their queries would be lost.
-func (c *clientListener) HandleEvents(uint32) {
+// HandleEvents accepts connections. Where descriptors run out, the connection that has been idle longest is evicted; where
+// none is idle, new connections wait in the backlog: rejected there, their requests would be lost.
+func (l *clientListener) HandleEvents(uint32) {
 	for range maxAcceptsPerEvent {
-		if c.activeCount() >= c.maxConnections && !c.evict() {
-			c.pauseAccepting()
+		if l.activeCount() >= l.maxConnections && !l.evict() {
+			l.pauseAccepting()
 			return
 		}
-		if len(c.connections)+c.loop.ClosingCount() >= c.maxConnections+c.maxEvicted {
-			return // told again, once descriptors given up in this turn are closed
+		if len(l.connections)+l.loop.ClosingCount() >= l.maxConnections+l.maxEvicted {
+			return // there is another event, once the descriptors removed in this iteration are closed
 		}
-		fd, sa, err := unix.Accept4(c.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-		switch {
-		case errors.Is(err, unix.EINTR) || errors.Is(err, unix.ECONNABORTED):
-			continue
-		case errors.Is(err, unix.EAGAIN):
+		if more := l.acceptOne(); !more {
 			return
-		case err != nil: // EMFILE, ENFILE, ENOMEM
-			c.loop.log.Error("accepting failed", "error", err)
-			c.evict()
-			c.pauseAccepting()
-			return
-		}
-		if from := eventloop.AddrPort(sa); c.loop.isAddressAdmitted(fd, from) {
-			c.addConnection(fd, from)
 		}
 	}
 }
 
-// addConnection makes a link of a connection.
-func (c *clientListener) addConnection(fd int, from netip.AddrPort) {
-	k := &clientConnection{listener: c, lastActivity: c.loop.Now(), clientAddress: from, proxyHeaderDone: c.loop.addressLists == nil}
+// acceptOne accepts a connection. more is false if there is none, or no descriptor for it.
+func (l *clientListener) acceptOne() (more bool) {
+	socket, sockaddr, err := unix.Accept4(l.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+	switch {
+	case errors.Is(err, unix.EINTR) || errors.Is(err, unix.ECONNABORTED):
+		return true
+	case errors.Is(err, unix.EAGAIN):
+		return false
+	case err != nil: // EMFILE, ENFILE, ENOMEM
+		l.loop.log.Error("accepting failed", "error", err)
+		l.evict()
+		l.pauseAccepting()
+		return false
+	}
+	if from := eventloop.AddrPort(sockaddr); l.loop.admitAddress(socket, from) {
+		l.addConnection(socket, from)
+	}
+	return true
+}
+
+// addConnection serves a socket, which it owns, from here on.
+func (l *clientListener) addConnection(socket int, from netip.AddrPort) {
+	connection := &clientConnection{
+		listener:        l,
+		lastActivity:    l.loop.Now(),
+		clientAddress:   from,
+		proxyHeaderDone: l.loop.addressLists == nil,
+	}
 	var err error
-	if k.Stream, err = c.loop.OpenStream(fd, eventloop.StreamEvents, k); err != nil {
-		c.loop.log.Error("accepting failed", "error", err)
-		_ = unix.Close(fd)
+	if connection.Stream, err = l.loop.OpenStream(socket, eventloop.StreamEvents, connection); err != nil {
+		l.loop.log.Error("accepting failed", "error", err)
+		_ = unix.Close(socket)
 		return
 	}
-	c.connections[k] = struct{}{}
-	k.becomeIdle()
+	l.connections[connection] = struct{}{}
+	connection.becomeIdle()
 }
 
-func (c *clientListener) HandlePanic() {}
+// HandlePanic has nothing to end: the listener goes on.
+func (l *clientListener) HandlePanic() {}
 
-func (c *clientListener) pauseAccepting() {
-	if !c.acceptPaused {
-		c.acceptPaused = true
-		c.setListenerEvents(0)
-		c.loop.StopTimer(c.resumeTimer)
-		c.resumeTimer = c.loop.StartTimer(acceptRetryDelay, c, c.resumeAccepting) // some link may make room by then
+// pauseAccepting accepts nothing until a connection ends, or for a while.
+func (l *clientListener) pauseAccepting() {
+	if !l.acceptPaused {
+		l.acceptPaused = true
+		l.loop.Modify(l.fd, 0)
+		l.loop.StopTimer(l.resumeTimer)
+		l.resumeTimer = l.loop.StartTimer(acceptRetryDelay, l, l.resumeAccepting)
 	}
 }
 
-func (c *clientListener) resumeAccepting() {
-	if c.acceptPaused {
-		c.acceptPaused = false
-		c.setListenerEvents(unix.EPOLLIN)
+func (l *clientListener) resumeAccepting() {
+	if l.acceptPaused {
+		l.acceptPaused = false
+		l.loop.Modify(l.fd, unix.EPOLLIN)
 	}
 }
 
-func (c *clientListener) resumeIfRoom() {
-	if c.activeCount() < c.maxConnections {
-		c.resumeAccepting()
+func (l *clientListener) resumeIfRoom() {
+	if l.activeCount() < l.maxConnections {
+		l.resumeAccepting()
 	}
 }
 
-func (c *clientListener) setListenerEvents(events uint32) {
-	c.loop.Modify(c.fd, events)
-}
-
-// hasSentAll tells whether all that was answered has left.
-func (c *clientListener) hasSentAll() bool {
-	for k := range c.connections {
-		if len(k.Output()) > 0 {
+// hasSentAll reports whether no response waits to be sent.
+func (l *clientListener) hasSentAll() bool {
+	for c := range l.connections {
+		if len(c.Output()) > 0 {
 			return false
 		}
 	}
--- a/internal/link/client_log.go
+++ b/internal/link/client_log.go
@@ -5,25 +5,25 @@
 	"log/slog"
 )
 
-// LogAttributes says whom a line of the log is about.
-func (k *clientConnection) LogAttributes() []slog.Attr {
-	if k.listener.loop.addressLists == nil {
+// LogAttributes says which client a line of the log is about.
+func (c *clientConnection) LogAttributes() []slog.Attr {
+	if c.loop().addressLists == nil {
 		return nil
 	}
-	attrs := []slog.Attr{slog.String("client", k.clientAddress.String())}
-	if k.proxyAddress.IsValid() {
-		attrs = append(attrs, slog.String("via", k.proxyAddress.String()))
+	attrs := []slog.Attr{slog.String("client", c.clientAddress.String())}
+	if c.proxyAddress.IsValid() {
+		attrs = append(attrs, slog.String("via", c.proxyAddress.String()))
 	}
 	return attrs
 }
 
-// isLogEnabled is whether a line about the link or its query is to be written: where addresses are of interest, unless the
-// level is off or too many have been written lately. What the line is made of is worth making only then.
-func (k *clientConnection) isLogEnabled(level slog.Level) bool {
-	return k.listener.loop.addressLists != nil && k.listener.loop.connectionLog.Enabled(context.Background(), level)
+// isLogEnabled reports whether a line about the connection or its requests is to be written: where addresses are of interest,
+// unless the level is off or too many have been written lately. What the line is made of is worth making only then.
+func (c *clientConnection) isLogEnabled(level slog.Level) bool {
+	return c.loop().addressLists != nil && c.loop().connectionLog.Enabled(context.Background(), level)
 }
 
 // logEvent writes such a line.
-func (k *clientConnection) logEvent(level slog.Level, event string, attrs ...slog.Attr) {
-	k.listener.loop.connectionLog.LogAttrs(context.Background(), level, event, append(attrs, k.LogAttributes()...)...)
+func (c *clientConnection) logEvent(level slog.Level, event string, attrs ...slog.Attr) {
+	c.loop().connectionLog.LogAttrs(context.Background(), level, event, append(attrs, c.LogAttributes()...)...)
 }
--- a/internal/link/client_requests.go
+++ b/internal/link/client_requests.go
@@ -10,104 +10,122 @@
 	"valvecove/internal/requests"
 )
 
-// Paths that are no query's.
+// Paths that are no class's.
 const (
 	pathUp        = "/up"
 	pathCallbacks = "/v1/job-events"
 )
 
-// rejectRequest answers a request that is no query, or may not be one.
-func (k *clientConnection) rejectRequest(t *responseSlot, in *requests.Arrival, status int, what string) {
-	k.listener.loop.Requests.ReportRejection(in, status)
-	t.respond(status, what+"\n")
+// overloadRetryAfter is when to come back to a scheduler that has as many requests as it can.
+const overloadRetryAfter = time.Second
+
+// rejection says how a request is rejected that may not be admitted.
+type rejection struct {
+	statusCode int
+	reason     string
 }
 
-func (k *clientConnection) handleRequest(m *http1.Request, t *responseSlot) {
-	path, _, _ := bytes.Cut(m.Target, []byte("?"))
+// handleRequest answers a request, or admits it.
+func (c *clientConnection) handleRequest(request *http1.Request, slot *responseSlot) {
+	path, _, _ := bytes.Cut(request.Target, []byte("?"))
 	switch string(path) {
 	case pathUp:
-		switch {
-		case string(m.Method) != "GET":
-			t.respond(405, "GET only\n")
-		case k.listener.draining || !k.listener.loop.Requests.Ready():
-			t.respond(503, "not ready\n")
-		default:
-			t.respond(200, "ready\n")
-		}
+		c.handleUp(request, slot)
 	case pathCallbacks:
-		if string(m.Method) != "POST" {
-			t.respond(405, "POST only\n")
-			return
-		}
-		k.handleCallback(m.Body, t)
+		c.handleCallback(request, slot)
+	default:
+		c.admitRequest(request, path, slot)
+	}
+}
+
+// handleUp tells a load balancer whether this process is to be sent requests.
+func (c *clientConnection) handleUp(request *http1.Request, slot *responseSlot) {
+	switch {
+	case string(request.Method) != "GET":
+		slot.respond(405, "GET only\n")
+	case c.listener.draining || !c.loop().Requests.Ready():
+		slot.respond(503, "not ready\n")
 	default:
-		k.admitRequest(m, path, t)
+		slot.respond(200, "ready\n")
 	}
 }
 
-func (k *clientConnection) handleCallback(body []byte, t *responseSlot) {
-	if err := k.applyCallback(body); err != nil {
-		t.respond(400, "bad note\n")
+// handleCallback takes in what a worker says of an attempt.
+func (c *clientConnection) handleCallback(request *http1.Request, slot *responseSlot) {
+	if string(request.Method) != "POST" {
+		slot.respond(405, "POST only\n")
+		return
+	}
+	if err := c.applyCallback(request.Body); err != nil {
+		slot.respond(400, "bad note\n")
 		return
 	}
-	t.respond(204, "")
+	slot.respond(204, "")
 }
 
-// applyCallback hands a note on.
-func (k *clientConnection) applyCallback(body []byte) error {
-	var n requests.Callback
-	if err := jsoniter.ConfigDefault.Unmarshal(body, &n); err != nil {
+func (c *clientConnection) applyCallback(body []byte) error {
+	var callback requests.Callback
+	if err := jsoniter.ConfigDefault.Unmarshal(body, &callback); err != nil {
 		return err
 	}
-	known, err := k.listener.loop.Requests.HandleCallback(n)
-	k.usefulRequestSeen, k.sendsCallbacks = k.usefulRequestSeen || known, k.sendsCallbacks || known
+	known, err := c.loop().Requests.HandleCallback(callback)
+	if known {
+		c.advanceHistory(historyUsefulRequest)
+		c.sendsCallbacks = true
+	}
 	return err
 }
 
-// admitRequest takes in a query.
-func (k *clientConnection) admitRequest(m *http1.Request, path []byte, t *responseSlot) {
-	first, rest, _ := bytes.Cut(bytes.TrimPrefix(path, []byte("/")), []byte("/"))
-	name := m.Get("X-Call-Class")
-	class, known := k.listener.classes[string(name)]
-	_, named := k.listener.classes[string(first)]
+// admitRequest admits a request of a class, or rejects it.
+func (c *clientConnection) admitRequest(request *http1.Request, path []byte, slot *responseSlot) {
+	pathClass, pathRest, _ := bytes.Cut(bytes.TrimPrefix(path, []byte("/")), []byte("/"))
+	class, rejected := c.listener.findClass(request, pathClass)
+	if rejected != nil {
+		c.reject(slot, nil, rejected)
+		return
+	}
+	arrival, rejected := c.listener.parseArrival(request, class, pathRest)
+	if rejected != nil {
+		c.reject(slot, nil, rejected)
+		return
+	}
+	if c.rejectOverload(slot, &arrival) {
+		return
+	}
+	if waited := c.loop().Now() - c.currentArrival; waited > 0 { // its client counts from when it sent it
+		arrival.Job.Remaining = max(arrival.Job.Remaining-waited, time.Millisecond)
+	}
+	arrival.Responder = slot
+	admitted, err := c.loop().Requests.Admit(c.loop().Now(), arrival)
+	if err != nil {
+		c.reject(slot, &arrival, &rejection{409, "X-Call-Id: " + err.Error()})
+		return
+	}
+	slot.request = admitted
+	c.advanceHistory(historyUsefulRequest)
+	c.sendsCallbacks = false
+}
+
+// rejectOverload rejects a request if the process takes no more, and reports whether it does. Nothing was sent to a worker,
+// so a retry is harmless: after an overload has passed, or elsewhere if this process stops.
+func (c *clientConnection) rejectOverload(slot *responseSlot, arrival *requests.Arrival) bool {
+	listener, table := c.listener, c.loop().Requests
 	switch {
-	case name == nil && !named:
-		k.rejectRequest(t, nil, 404, "no such path")
-	case string(m.Method) != "POST":
-		k.rejectRequest(t, nil, 405, "POST only")
-	case !known:
-		k.rejectRequest(t, nil, 400, "X-Call-Class: not a class")
-	case !bytes.Equal(name, first):
-		k.rejectRequest(t, nil, 400, "X-Call-Class: not the class in the path")
-	default:
-		in, fault := k.listener.parseArrival(m, class, rest)
-		if fault != "" {
-			k.rejectRequest(t, nil, 400, fault)
-			return
-		}
-		// It was sent nowhere, so another try is harmless; after a flood has passed, or elsewhere if this one stops.
-		switch c := k.listener; {
-		case c.closing:
-			k.listener.loop.Requests.ReportRejection(&in, 503)
-			t.RespondRejected(0)
-			return
-		case k.listener.loop.Requests.OpenCount() >= c.maxRequests || k.listener.loop.Requests.PayloadBytes()+len(m.Body) > c.maxBufferedBytes:
-			k.listener.loop.Requests.ReportRejection(&in, 503)
-			t.RespondRejected(min(overloadRetryAfter, c.settings.MaxRetryAfter))
-			return
-		}
-		if waited := k.listener.loop.Now() - k.currentArrival; waited > 0 { // its client counts from when it sent it
-			in.Job.Remaining = max(in.Job.Remaining-waited, time.Millisecond)
-		}
-		in.Responder = t
-		q, err := k.listener.loop.Requests.Admit(k.listener.loop.Now(), in)
-		if err != nil {
-			k.rejectRequest(t, &in, 409, "X-Call-Id: "+err.Error())
-			return
-		}
-		t.request, k.usefulRequestSeen, k.sendsCallbacks = q, true, false
+	case listener.closing:
+		table.ReportRejection(arrival, 503)
+		slot.RespondRejected(0)
+		return true
+	case table.OpenCount() >= listener.maxRequests,
+		table.PayloadBytes()+len(arrival.Payload.Body) > listener.maxBufferedBytes:
+		table.ReportRejection(arrival, 503)
+		slot.RespondRejected(min(overloadRetryAfter, listener.settings.MaxRetryAfter))
+		return true
 	}
+	return false
 }
 
-// overloadRetryAfter is when to come back to a scheduler that holds all the queries it can.
-const overloadRetryAfter = time.Second
+// reject responds to a request that was not admitted; the arrival is nil if it could not be parsed.
+func (c *clientConnection) reject(slot *responseSlot, arrival *requests.Arrival, rejected *rejection) {
+	c.loop().Requests.ReportRejection(arrival, rejected.statusCode)
+	slot.respond(rejected.statusCode, rejected.reason+"\n")
+}
--- a/internal/link/client_responses.go
+++ b/internal/link/client_responses.go
@@ -9,80 +9,114 @@
 	"valvecove/internal/requests"
 )
 
-// responseSlot is one request's place in the order of answers. It is the Asker of a query.
+const (
+	// maxResponseSlots is how many requests of a connection are read ahead of responses. A client sends one at a time; one
+	// that does not wait for its responses is served in order, and the time of each request counts from when it came.
+	maxResponseSlots = 16
+	// maxUnreadOutput is how much of a connection's responses may wait to be sent before no request is read any more.
+	maxUnreadOutput = http1.MaxBodySize
+	// maxWriteBuffer is how large a buffer is kept to write responses in.
+	maxWriteBuffer = 4 * http1.MaxBodySize
+)
+
+// responseSlot is a request's place in the order of a connection's responses. It is the responder of an admitted request.
 type responseSlot struct {
 	connection *clientConnection
-	request    *requests.Request // while it is served
-	keepAlive  bool              // the request lets the link live on
-	isComplete bool
+	request    *requests.Request // while it is served; nil: it was not admitted, or is over
+	keepAlive  bool              // by the request, the connection may go on
+	isComplete bool              // what follows is set
 	statusCode int
 	body       []byte
-	retryAfter time.Duration
+	retryAfter time.Duration // 0: no advice
 }
 
-// maxResponseSlots is how many requests of a link are taken in at once. A client sends one at a time; one that does
-// not wait for its answers is served in turn, and its time counts from when each request came.
-const maxResponseSlots = 16
+// reserveSlot gives a request the next slot; one that does not keep the connection alive is the last.
+func (c *clientConnection) reserveSlot(keepAlive bool) *responseSlot {
+	slot := &responseSlot{connection: c, keepAlive: keepAlive}
+	c.slots = append(c.slots, slot)
+	if !keepAlive {
+		c.advancePhase(clientFinishing)
+	}
+	return slot
+}
 
-// maxUnreadOutput is how much of a link's answers may wait to be read before no more is taken in.
-const maxUnreadOutput = http1.MaxBodySize
+// RespondResult responds with what a worker has made.
+func (s *responseSlot) RespondResult(result []byte) { s.complete(200, result, 0) }
 
-// reserveSlot gives a request its turn; one that does not let the link live on is the last.
-func (k *clientConnection) reserveSlot(keep bool) *responseSlot {
-	t := &responseSlot{connection: k, keepAlive: keep}
-	k.slots = append(k.slots, t)
-	k.lastRequestRead = k.lastRequestRead || !keep
-	return t
-}
+// RespondRejected tells the client that it may come back.
+func (s *responseSlot) RespondRejected(retryAfter time.Duration) { s.complete(503, nil, retryAfter) }
 
-// complete answers a turn. Answers leave in the order in which the requests came.
-func (t *responseSlot) complete(status int, body []byte, retry time.Duration) {
-	k := t.connection
-	if t.request != nil && k.isLogEnabled(slog.LevelInfo) {
-		k.logEvent(slog.LevelInfo, "query answered", slog.String("query", t.request.CallID), slog.Int("status", status))
+// RespondFailed promises nothing.
+func (s *responseSlot) RespondFailed() { s.complete(500, nil, 0) }
+
+// respond responds to a request that was not admitted.
+func (s *responseSlot) respond(statusCode int, body string) { s.complete(statusCode, []byte(body), 0) }
+
+// complete sets the response, and sends what is next in order.
+func (s *responseSlot) complete(statusCode int, body []byte, retryAfter time.Duration) {
+	connection := s.connection
+	if s.request != nil && connection.isLogEnabled(slog.LevelInfo) {
+		connection.logEvent(slog.LevelInfo, "query answered", slog.String("query", s.request.CallID), slog.Int("status", statusCode))
 	}
-	if t.request = nil; t.isComplete || !k.IsOpen() {
+	s.request = nil
+	if s.isComplete || !connection.IsOpen() {
 		return
 	}
-	t.isComplete, t.statusCode, t.body, t.retryAfter = true, status, body, retry
-	k.listener.loop.Protect(k, k.sendResponses)
+	s.isComplete = true
+	s.statusCode = statusCode
+	s.body = body
+	s.retryAfter = retryAfter
+	connection.loop().Protect(connection, connection.sendResponses)
 }
 
-func (k *clientConnection) sendResponses() {
-	for k.IsOpen() && len(k.slots) > 0 && k.slots[0].isComplete {
-		t := k.slots[0]
-		if k.slots = k.slots[1:]; len(k.slots) == 0 {
-			k.slots = nil
-		}
-		k.lastActivity = k.listener.loop.Now()
-		// A link that ends says so with its last answer.
-		k.lastRequestRead = k.lastRequestRead || k.closesAfterResponse() && len(k.slots) == 0 && len(k.Input()) == k.currentRequestSize
-		fields := ""
-		if t.retryAfter > 0 {
-			fields = "Retry-After: " + strconv.FormatFloat(t.retryAfter.Seconds(), 'f', 3, 64) + "\r\n"
+// abandon takes in that the client is gone.
+func (s *responseSlot) abandon() {
+	request := s.request
+	if request == nil {
+		return
+	}
+	c := s.connection
+	if c.isLogEnabled(slog.LevelInfo) {
+		c.logEvent(slog.LevelInfo, "query left by its client", slog.String("query", request.CallID))
+	}
+	s.request = nil
+	c.loop().Requests.ClientDisconnected(request)
+}
+
+// sendResponses sends the responses that are next in order and complete.
+func (c *clientConnection) sendResponses() {
+	for c.IsOpen() && len(c.slots) > 0 && c.slots[0].isComplete {
+		slot := c.slots[0]
+		c.slots = c.slots[1:]
+		if len(c.slots) == 0 {
+			c.slots = nil
 		}
-		b := http1.AppendResponse(k.listener.loop.writeBuffer[:0], t.statusCode, fields, t.body, !k.lastRequestRead || len(k.slots) > 0)
-		if k.listener.loop.writeBuffer = b[:0]; cap(b) > 4*http1.MaxBodySize {
-			k.listener.loop.writeBuffer = nil
+		c.lastActivity = c.loop().Now()
+		// A connection that ends says so with its last response.
+		if c.closesAfterResponse() && len(c.slots) == 0 && len(c.Input()) == c.currentRequestSize {
+			c.advancePhase(clientFinishing)
 		}
-		if err := k.Send(b); err != nil {
-			k.terminate()
+		if err := c.sendResponse(slot); err != nil {
+			c.terminate()
 			return
 		}
 	}
-	if k.updateBufferedBytes(); k.IsOpen() && (len(k.slots) == 0 || len(k.Input()) > 0) {
-		k.listener.loop.StartTimer(0, k, k.readRequests) // what came in meanwhile has its turn, though not in the midst of a step
+	c.updateBufferedBytes()
+	if c.IsOpen() && (len(c.slots) == 0 || len(c.Input()) > 0) {
+		c.loop().StartTimer(0, c, c.readRequests) // what came meanwhile is handled next, though not amid a step
 	}
 }
 
-// respond answers at once.
-func (t *responseSlot) respond(status int, body string) { t.complete(status, []byte(body), 0) }
-
-// RespondResult hands on what a worker node made.
-func (t *responseSlot) RespondResult(result []byte) { t.complete(200, result, 0) }
-
-// RespondRejected refuses; the client may come back.
-func (t *responseSlot) RespondRejected(after time.Duration) { t.complete(503, nil, after) }
-
-// RespondFailed promises nothing.
-func (t *responseSlot) RespondFailed() { t.complete(500, nil, 0) }
+func (c *clientConnection) sendResponse(slot *responseSlot) error {
+	fields := ""
+	if slot.retryAfter > 0 {
+		fields = "Retry-After: " + strconv.FormatFloat(slot.retryAfter.Seconds(), 'f', 3, 64) + "\r\n"
+	}
+	keepAlive := c.isReading() || len(c.slots) > 0
+	buffer := http1.AppendResponse(c.loop().writeBuffer[:0], slot.statusCode, fields, slot.body, keepAlive)
+	c.loop().writeBuffer = buffer[:0]
+	if cap(buffer) > maxWriteBuffer {
+		c.loop().writeBuffer = nil
+	}
+	return c.Send(buffer)
+}
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -110,7 +110,7 @@
 	if successor.loop.Requests.OpenCount() != 0 || len(successor.loop.clients.connections) != 0 || successor.loop.clients.fd >= 0 {
 		t.Error("the successor has something of a transfer that failed")
 	}
-	if err := predecessor.handOverTo(successor); err != nil || successor.loop.sharesMachine {
+	if err := predecessor.handOverTo(successor); err != nil || successor.loop.sharesLimits {
 		t.Fatalf("the second time: %v", err)
 	}
 	successor.module.Next = []dispatch.Action{dispatch.Reject{Job: 1}}
@@ -241,7 +241,7 @@
 	}
 	successor.turn()
 	predecessor.turn()
-	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) || predecessor.loop.sharesMachine {
+	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) || predecessor.loop.sharesLimits {
 		t.Errorf("handed over to nobody: %v", err)
 	}
 }
--- a/internal/link/hotrestart_transfer.go
+++ b/internal/link/hotrestart_transfer.go
@@ -73,7 +73,7 @@
 
 func (t *stateTransfer) sendClientConnections() {
 	for client := range t.loop.clients.connections {
-		if !client.lingering {
+		if client.phase != clientLingering {
 			t.send(client.transferRecord(), client.FD())
 			t.clientConnections = append(t.clientConnections, client)
 		}
@@ -124,12 +124,12 @@
 	record := hotrestart.ClientConnection{
 		Input:             k.Input(),
 		Output:            k.Output(),
-		LastRequestRead:   k.lastRequestRead,
+		LastRequestRead:   !k.isReading(),
 		InputConsumed:     k.inputEnded,
 		HalfClosed:        k.halfCloseProbed,
 		ContinueSent:      k.continueSent,
-		RequestSeen:       k.requestSeen,
-		UsefulRequestSeen: k.usefulRequestSeen,
+		RequestSeen:       k.history != historyNoRequest,
+		UsefulRequestSeen: k.history == historyUsefulRequest,
 		ProxyHeaderDone:   k.proxyHeaderDone,
 		LastActivity:      k.lastActivity,
 		ClientAddress:     k.clientAddress.String(),
@@ -248,16 +248,17 @@
 // restore goes on with a connection of a client. Where that fails, the connection that it returns is closed.
 func (c *clientListener) restore(received hotrestart.ReceivedClientConnection) (*clientConnection, []waitingSlot) {
 	client := &clientConnection{
-		listener:          c,
-		lastRequestRead:   received.LastRequestRead,
-		inputEnded:        received.InputConsumed,
-		halfClosed:        received.HalfClosed,
-		halfCloseProbed:   received.HalfClosed,
-		continueSent:      received.ContinueSent,
-		requestSeen:       received.RequestSeen,
-		usefulRequestSeen: received.UsefulRequestSeen,
-		proxyHeaderDone:   received.ProxyHeaderDone,
-		lastActivity:      received.LastActivity,
+		listener:        c,
+		history:         restoredHistory(received.ClientConnection),
+		inputEnded:      received.InputConsumed,
+		halfClosed:      received.HalfClosed,
+		halfCloseProbed: received.HalfClosed,
+		continueSent:    received.ContinueSent,
+		proxyHeaderDone: received.ProxyHeaderDone,
+		lastActivity:    received.LastActivity,
+	}
+	if received.LastRequestRead {
+		client.advancePhase(clientFinishing)
 	}
 	client.clientAddress, _ = netip.ParseAddrPort(received.ClientAddress)
 	client.proxyAddress, _ = netip.ParseAddrPort(received.ProxyAddress)
@@ -283,6 +284,17 @@
 	return client, waiting
 }
 
+func restoredHistory(record hotrestart.ClientConnection) requestHistory {
+	switch {
+	case record.UsefulRequestSeen:
+		return historyUsefulRequest
+	case record.RequestSeen:
+		return historyRequest
+	default:
+		return historyNoRequest
+	}
+}
+
 // restoreSlots returns the slots that await the outcome of an open request.
 func (k *clientConnection) restoreSlots(records []hotrestart.ResponseSlot) []waitingSlot {
 	var waiting []waitingSlot
@@ -317,7 +329,7 @@
 		endpoint:    endpoint,
 		incarnation: endpoint.incarnation,
 		state:       restoredState(received.State),
-		exchange:    exchange{kind: exchangeCancel},
+		lastKind:    exchangeAttempt,
 		stage:       received.Stage,
 		idleBefore:  received.IdleBefore,
 		idleSince:   received.IdleSince,
--- a/internal/link/limits.go
+++ b/internal/link/limits.go
@@ -1,79 +1,95 @@
 package link
 
-import (
-	"valvecove/internal/config"
+import "valvecove/internal/config"
+
+const (
+	// ownDescriptors are besides connections: standard ones, epoll, eventfd, listener, watch, and what the runtime opens.
+	ownDescriptors = 24
+
+	listenerDescriptors  = 2 // of a listener, and of one connection more than its limit, accepted before another makes room
+	metricsDescriptors   = 2 // a socket and a file
+	captureDescriptors   = 2 // two files for a moment
+	workerFraction       = 6 // one of so many descriptors is for connections to workers
+	minWorkerConnections = 8
+	minConnections       = 16 // of a process beside another one, however small the machine
+	bufferFraction       = 6  // one of so many bytes of memory is for buffers
 )
 
-// Own descriptors besides links: standard ones, epoll, eventfd, listener, watch, and what the runtime opens.
-const ownDescriptors = 24
+// ResourceShares is what a loop makes of its limits.
+type ResourceShares struct {
+	Own      int // descriptors besides connections
+	Features int // descriptors
+	Workers  int // connections to workers
+	Clients  int // connections of clients
+	Requests int // open at once
+	Buffers  int // bytes in the buffers of client connections; payloads of requests may take up as much
+}
+
+// SharesOf returns what Open would make of the limits.
+func SharesOf(c config.Config, ops config.Ops) ResourceShares {
+	features := countFeatureDescriptors(c, ops)
+	workers, clients := splitDescriptors(c.Limits.Sockets, features)
+	return ResourceShares{
+		Own:      ownDescriptors,
+		Features: features,
+		Workers:  workers,
+		Clients:  clients,
+		Requests: maxRequestsFor(clients),
+		Buffers:  bufferBudget(c.Limits),
+	}
+}
 
 // countFeatureDescriptors counts the descriptors that features take up.
 func countFeatureDescriptors(c config.Config, ops config.Ops) (n int) {
 	if c.Management.IsValid() {
-		n += maxOperatorConnections + 2 // and the listener; one more is accepted before another makes room
+		n += maxOperatorConnections + listenerDescriptors
 	}
 	if ops.Status != nil {
-		n += maxStatusConnections + 2 // and the listener; one more is accepted before another makes room
+		n += maxStatusConnections + listenerDescriptors
 	}
 	if ops.Metrics != nil {
-		n += 2 // a socket and a file
+		n += metricsDescriptors
 	}
 	if ops.Capture != nil && ops.Capture.Dir != "" {
-		n += 2 // two files for a moment
+		n += captureDescriptors
 	}
 	return n
 }
 
-// splitDescriptors parts the descriptors. Server links hold one only until a job is accepted; clients hold theirs for as
-// long as it runs.
-func splitDescriptors(sockets, side int) (servers, clients int) {
-	most := sockets - ownDescriptors - side
-	servers = max(8, most/6)
-	return servers, most - servers
+// splitDescriptors splits the descriptors that features leave. A connection to a worker is in use only until an attempt is
+// accepted, one of a client for as long as its request runs.
+func splitDescriptors(descriptors, features int) (workers, clients int) {
+	connections := descriptors - ownDescriptors - features
+	workers = max(minWorkerConnections, connections/workerFraction)
+	return workers, connections - workers
 }
 
-// ResourceShares is what a loop makes of its limits.
-type ResourceShares struct {
-	Own, Features, Workers, Clients int // descriptors
-	Requests                        int // open at once
-	Buffers                         int // bytes in the buffers of client links; the bodies of queries take up as much
-}
-
-// SharesOf tells what Open would make of the limits.
-func SharesOf(c config.Config, ops config.Ops) ResourceShares {
-	s := ResourceShares{Own: ownDescriptors, Features: countFeatureDescriptors(c, ops), Buffers: bufferBudget(c)}
-	s.Workers, s.Clients = splitDescriptors(c.Limits.Sockets, s.Features)
-	s.Requests = maxRequestsFor(s.Clients)
-	return s
-}
-
-// bufferBudget is how many bytes the buffers of client links may take up, and the bodies of queries as much again.
+// bufferBudget returns how many bytes the buffers of client connections may take up, and payloads of requests as many again.
 // Twice a sixth, and as much garbage at most, leaves room on the smallest machine for the program itself.
-func bufferBudget(c config.Config) int { return bufferBudgetOf(c.Limits) }
-
-func bufferBudgetOf(l config.Limits) int { return l.MemoryMB << 20 / 6 }
-
-const minConnections = 16 // of a process beside another one, however small the machine
+func bufferBudget(limits config.Limits) int { return limits.MemoryMB << 20 / bufferFraction }
 
-// shareLimits has this process do with half of the limits while another one runs beside it, as both count as one, or with all of
-// them. Idle client links over that are closed.
+// shareLimits has this process do with half of the limits while another one runs beside it, as both count as one, or with all
+// of them. Idle client connections over that are closed.
 func (l *Loop) shareLimits(half bool) {
-	servers, clients := splitDescriptors(l.limits.Sockets, l.featureDescriptors)
-	budget := bufferBudgetOf(l.limits)
+	workers, clients := splitDescriptors(l.limits.Sockets, l.featureDescriptors)
+	buffers := bufferBudget(l.limits)
 	if half { // each has its own descriptors besides
-		most := max(minConnections, (servers+clients-ownDescriptors-l.featureDescriptors)/2)
-		servers = max(minConnections/2, most/6)
-		clients, budget = most-servers, budget/2
+		connections := max(minConnections, (workers+clients-ownDescriptors-l.featureDescriptors)/2)
+		workers = max(minConnections/2, connections/workerFraction)
+		clients = connections - workers
+		buffers /= 2
 	}
-	l.sharesMachine, l.workers.maxConnections = half, servers
-	l.clients.setLimits(clients, budget)
+	l.sharesLimits = half
+	l.workers.maxConnections = workers
+	l.clients.setLimits(clients, buffers)
 	if l.onShareLimits != nil {
 		l.onShareLimits(half)
 	}
 }
 
-// OnShareLimits sets what is done about memory when a process begins or ceases to share its machine with another one.
+// OnShareLimits sets what is done about memory when the process begins or ceases to share its machine with another one. It is
+// called at once with how things are.
 func (l *Loop) OnShareLimits(act func(half bool)) {
 	l.onShareLimits = act
-	act(l.sharesMachine)
+	act(l.sharesLimits)
 }
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -1,6 +1,10 @@
-// Package link is what a scheduler speaks on the wire: one epoll loop over client links, server links and the
-// watch on discovery, all HTTP/1.1 by parsers of its own. Each turn of the loop gathers what is ready into the
-// ledger, has it step once, and then the ledger's actions write to the links.
+// Package link is what a scheduler speaks on the network, all of it HTTP/1.1 on one event loop: connections of clients,
+// connections to workers, the watch on the endpoint list, the operators' calls, the status call, and the channel between the
+// two processes of a hot restart. What is ready is taken into the request table, which steps once an iteration; its actions
+// are then carried out on the connections.
+//
+// It owns every socket of the process, and the limits on descriptors and buffers. It never decides which worker a request
+// goes to or whether it is retried: the request table and its policy do.
 package link
 
 import (
@@ -19,64 +23,71 @@
 	"valvecove/internal/requests"
 )
 
-// Loop is the one loop. Everything in this package runs on the goroutine that calls Run, but for Wake.
+// Loop is the event loop of a scheduler with all its connections. Everything in this package runs on the goroutine that calls
+// Run, but for Wake and Post, which any may call.
 type Loop struct {
 	*eventloop.Loop
-	dial               func(to netip.AddrPort) (fd int, err error)
-	writeBuffer        []byte
-	request            http1.Request
-	response           http1.Response
-	Requests           *requests.Table
-	log                *slog.Logger
-	connectionLog      *slog.Logger // on client links, whose lines must not crowd out the others
-	onWake             func()
-	clients            *clientListener
-	workers            *workerPool
-	watch              *watchConnection
-	status             *statusListener                            // nil: off
-	operators          *operatorListener                          // nil: off
-	dispatcher         *dispatch.Dispatcher                       // the module that runs, under whatever wraps it
-	featureDescriptors int                                        // descriptors for features
-	Capture            *capture.Recorder                          // nil: off
-	figures            *figures.Figures                           // nil: off
-	addressLists       *address.AccessLists                       // nil: off
-	wrapRestored       func(*dispatch.Dispatcher) requests.Policy // what stands round a module that goes on from another process; nil: none can
-	predecessorRole    *predecessorRole                           // nil: no successor can come
-	successorRole      *successorRole                             // nil: nothing is to be taken over
+	Requests *requests.Table
+	Capture  *capture.Recorder // nil: off
+
+	log           *slog.Logger
+	connectionLog *slog.Logger // about client connections, whose lines must not crowd out the others
+
+	dial        func(address netip.AddrPort) (fd int, err error)
+	writeBuffer []byte         // what is being written
+	request     http1.Request  // that was parsed last
+	response    http1.Response // that was parsed last
+
+	clients      *clientListener
+	workers      *workerPool
+	watch        *watchConnection
+	operators    *operatorListener    // nil: off
+	status       *statusListener      // nil: off
+	figures      *figures.Figures     // nil: off
+	addressLists *address.AccessLists // nil: off
+	dispatcher   *dispatch.Dispatcher // that decides, in whatever wraps it
+
 	limits             config.Limits
-	sharesMachine      bool                    // another process runs beside this one, and has half of them
-	onShareLimits      func(half bool)         // does the same for memory
-	onSuccessor        func()                  // told whenever one stands by to replace this process
-	onFail             func(error)             // ends the process
-	cordonStore        *hotrestart.CordonStore // nil: nothing outlives this process
+	featureDescriptors int  // of the limit on descriptors, what features take up
+	sharesLimits       bool // another process runs beside this one, and has half of the limits
+
+	predecessorRole *predecessorRole                           // nil: no successor can come
+	successorRole   *successorRole                             // nil: there is nothing to be taken over
+	cordonStore     *hotrestart.CordonStore                    // nil: which workers are cordoned is not kept
+	wrapRestored    func(*dispatch.Dispatcher) requests.Policy // wraps a dispatcher from another process; nil: none can go on here
+
+	onWake        func()
+	onShareLimits func(half bool) // has the memory limit follow
+	onSuccessor   func()          // a successor stands by to replace this process
+	onFail        func(error)     // the process can't go on
 }
 
-// clockSinceEpoch returns a clock that counts time from the Unix epoch, so that any start time that discovery tells is
-// positive; from here on it follows the monotonic clock.
+// clockSinceEpoch returns a clock that counts time from the Unix epoch, so that any start time that discovery names is
+// positive. It follows the monotonic clock from here on.
 func clockSinceEpoch() func() time.Duration {
 	origin := time.Now()
 	return func() time.Duration { return time.Duration(origin.UnixNano()) + time.Since(origin) }
 }
 
 // newLoop returns a loop that has no connections yet. maxEvents is how many descriptors may be ready at once.
-func newLoop(log, linkLog *slog.Logger, clock func() time.Duration, maxEvents int) (*Loop, error) {
-	l := &Loop{log: log, connectionLog: linkLog, dial: eventloop.Dial}
-	var err error
-	l.Loop, err = eventloop.New(eventloop.Config{
+func newLoop(log, connectionLog *slog.Logger, clock func() time.Duration, maxEvents int) (*Loop, error) {
+	loop := &Loop{log: log, connectionLog: connectionLog, dial: eventloop.Dial}
+	events, err := eventloop.New(eventloop.Config{
 		Clock:     clock,
 		MaxEvents: maxEvents,
 		Log:       log,
 		Hooks: eventloop.Hooks{
-			NextStep:          l.nextStep,
-			Step:              func(now time.Duration) { l.Requests.Step(now) },
-			DescriptorsClosed: l.handleDescriptorsClosed,
-			Woken:             func() { l.onWake() },
+			NextStep:          loop.nextStep,
+			Step:              func(now time.Duration) { loop.Requests.Step(now) },
+			DescriptorsClosed: loop.handleDescriptorsClosed,
+			Woken:             func() { loop.onWake() },
 		},
 	})
 	if err != nil {
 		return nil, err
 	}
-	return l, nil
+	loop.Loop = events
+	return loop, nil
 }
 
 // nextStep returns when the request table is to step next. Once a successor owns it, it never is.
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -24,113 +24,145 @@
 // watchSeed keeps the random backoffs of the watch apart from what else is drawn from a scheduler's seed.
 const watchSeed = 0x66726573
 
-// Open returns a loop that listens and is ready to run, with the features that are on. figuresTo are targets of figures
-// besides a collector.
-func Open(c config.Config, ops config.Ops, log *oplog.Log, figuresTo ...figures.Target) (*Loop, error) {
-	l, err := newLoop(log.Kind(), log.Kind(), clockSinceEpoch(), c.Limits.Sockets)
+// Open returns a loop that listens and is ready to run, with the features that are on. metricTargets are targets of metrics
+// besides a collector. An error names the key of the configuration that is at fault.
+func Open(conf config.Config, ops config.Ops, log *oplog.Log, metricTargets ...figures.Target) (*Loop, error) {
+	loop, err := newLoop(log.Kind(), log.Kind(), clockSinceEpoch(), conf.Limits.Sockets)
 	if err != nil {
 		return nil, err
 	}
 	if ops.Addresses != nil {
-		l.addressLists = address.New(*ops.Addresses)
-	}
-	l.featureDescriptors, l.limits = countFeatureDescriptors(c, ops), c.Limits
-	servers, clients := splitDescriptors(c.Limits.Sockets, l.featureDescriptors)
-	l.openWorkerPool(servers, c.Settings.ConnectTimeout, c.Settings.ConnIdleTimeout)
-	l.watch = l.newWatchConnection(c.Discovery, discovery.Config{
-		PollInterval: c.Settings.PollInterval, Pushed: !c.Settings.MustSubscribe,
-		Schedulers: c.Settings.Replicas,
-	}, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
-	decisions := log.Kind()
+		loop.addressLists = address.New(*ops.Addresses)
+	}
+	loop.limits = conf.Limits
+	loop.featureDescriptors = countFeatureDescriptors(conf, ops)
+	workers, clients := splitDescriptors(conf.Limits.Sockets, loop.featureDescriptors)
+	loop.openWorkerPool(workers, conf.Settings.ConnectTimeout, conf.Settings.ConnIdleTimeout)
+	loop.openWatch(conf)
+	if err := loop.openRequestTable(conf, ops, log); err != nil {
+		return nil, err
+	}
+	loop.openClientListener(clients, bufferBudget(conf.Limits), &conf.Settings.Settings, conf.Settings.Names)
+	if err := loop.listenOrJoin(conf); err != nil {
+		return nil, err
+	}
+	if err := loop.openFeatures(conf, ops, metricTargets); err != nil {
+		return nil, err
+	}
+	loop.watch.start(len(conf.KnownEndpoints.Endpoints) > 0)
+	if wait := loop.watch.machine.InitialWait(); wait > 0 && loop.Requests.HasReadyWorker() {
+		loop.Requests.AwaitEndpoints(loop.Now() + wait)
+	}
+	return loop, nil
+}
+
+func (l *Loop) openWatch(conf config.Config) {
+	watch := discovery.Config{
+		PollInterval: conf.Settings.PollInterval,
+		Pushed:       !conf.Settings.MustSubscribe,
+		Schedulers:   conf.Settings.Replicas,
+	}
+	l.watch = l.newWatchConnection(conf.Discovery, watch, rand.New(rand.NewPCG(conf.Seed, watchSeed)).Int64N)
+}
+
+// openRequestTable makes the request table with the policy that decides.
+func (l *Loop) openRequestTable(conf config.Config, ops config.Ops, log *oplog.Log) (err error) {
+	decisionLog := log.Kind()
 	if ops.Capture != nil {
-		if l.Capture, err = capture.New(*ops.Capture, c, l.Now, decisions); err != nil {
-			return nil, fmt.Errorf("key \"capture.dir\": %w", err)
+		if l.Capture, err = capture.New(*ops.Capture, conf, l.Now, decisionLog); err != nil {
+			return fmt.Errorf("key \"capture.dir\": %w", err)
 		}
 	}
-	seed := c.Seed
-	narrowed := ops.Aperture != nil && ops.Aperture.Enabled(c.Settings.Replicas)
-	if !narrowed { // else what stands round the module has a state of its own
-		l.wrapRestored = func(d *dispatch.Dispatcher) requests.Policy {
-			if l.Capture != nil {
-				return l.Capture.Continue(d)
-			}
-			return d
-		}
+	hasAperture := ops.Aperture != nil && ops.Aperture.Enabled(conf.Settings.Replicas)
+	if !hasAperture { // else a state of its own would be missing
+		l.wrapRestored = l.wrapRestoredDispatcher
 	}
-	module := func() requests.Policy {
+	seed := conf.Seed
+	newPolicy := func() requests.Policy {
 		seed++
-		d := dispatch.New(c.Settings.Settings, seed)
-		l.dispatcher = d
-		m := requests.Policy(d)
+		l.dispatcher = dispatch.New(conf.Settings.Settings, seed)
+		policy := requests.Policy(l.dispatcher)
 		if l.Capture != nil {
-			m = l.Capture.Wrap(d)
+			policy = l.Capture.Wrap(l.dispatcher)
 		}
-		if narrowed { // before the capture: that records what the module itself was told, and replays alone
-			m = aperture.New(m, c.Settings.Settings, *ops.Aperture)
+		if hasAperture { // before the capture: that records what the dispatcher itself is given, and replays alone
+			policy = aperture.New(policy, conf.Settings.Settings, *ops.Aperture)
 		}
-		return m
+		return policy
 	}
-	l.Requests = requests.New(c.Settings.AttemptLimit, c.Settings.Names, module, c.KnownEndpoints, l.workers, decisions)
+	l.Requests = requests.New(conf.Settings.AttemptLimit, conf.Settings.Names, newPolicy, conf.KnownEndpoints, l.workers, decisionLog)
 	if l.Capture != nil {
 		l.Capture.LookupEndpoint = l.Requests.Endpoint
 		l.Requests.AddObserver(l.Capture)
 	}
-	l.openClientListener(clients, bufferBudget(c), &c.Settings.Settings, c.Settings.Names)
-	if !c.Management.IsValid() {
-		l.clients.fd, err = l.Listen(c.Listen, l.clients)
-	} else {
-		err = l.joinOrServe(c)
+	return nil
+}
+
+func (l *Loop) wrapRestoredDispatcher(dispatcher *dispatch.Dispatcher) requests.Policy {
+	if l.Capture != nil {
+		return l.Capture.Continue(dispatcher)
+	}
+	return dispatcher
+}
+
+// listenOrJoin listens for clients. With a management address it takes the place of the process that serves here, or, if there
+// is none, serves at once: several processes may listen at the clients' address then, so that one that can't be reached by its
+// successor can be replaced too.
+func (l *Loop) listenOrJoin(conf config.Config) (err error) {
+	if !conf.Management.IsValid() {
+		l.clients.fd, err = l.Listen(conf.Listen, l.clients)
+		return err
 	}
+	l.onFail = func(err error) { l.log.Error("can't go on", "error", err) }
+	l.restoreCordoned(conf.StateDir)
+	l.openCordonStore(conf.StateDir)
+	if l.joinPredecessor(conf.StateDir, conf.Listen) {
+		return nil
+	}
+	l.clients.fd, err = l.Listen(conf.Listen, l.clients, unix.SO_REUSEPORT)
 	if err != nil {
-		return nil, err
+		return err
+	}
+	l.awaitSuccessor(hotrestart.SocketAddresses(conf.StateDir, conf.Listen))
+	return nil
+}
+
+// restoreCordoned cordons the workers that an earlier process had cordoned. Where that can't be read the process serves all
+// the same: a worker that should be cordoned is so again with the operators' next call.
+func (l *Loop) restoreCordoned(stateDir string) {
+	cordoned, err := hotrestart.ReadCordonFile(stateDir)
+	if err != nil {
+		l.log.Error("worker nodes out by hand can't be read", "error", err)
+	}
+	l.Requests.SetCordoned(cordoned)
+	if len(cordoned) > 0 {
+		l.log.Info("worker nodes out by hand", "hosts", strings.Join(cordoned, " "))
 	}
-	if c.Management.IsValid() {
-		count := tally.New(c.Settings.Names.Classes)
-		if err := l.serveOperators(c.Management, count); err != nil {
-			return nil, fmt.Errorf("key \"management\": %w", err)
+}
+
+// openFeatures opens the operators' calls, the status call and metrics, where they are on.
+func (l *Loop) openFeatures(conf config.Config, ops config.Ops, metricTargets []figures.Target) error {
+	if conf.Management.IsValid() {
+		counts := tally.New(conf.Settings.Names.Classes)
+		if err := l.serveOperators(conf.Management, counts); err != nil {
+			return fmt.Errorf("key \"management\": %w", err)
 		}
-		l.Requests.AddObserver(count)
+		l.Requests.AddObserver(counts)
 	}
 	if ops.Status != nil {
-		table := status.New(*ops.Status, c.Settings.Names, c.Settings.StartNotifications, l.Now)
-		if err := l.serveStatus(ops.StatusAddr(c), table); err != nil {
-			return nil, fmt.Errorf("key \"status.listen_port\": %w", err)
+		table := status.New(*ops.Status, conf.Settings.Names, conf.Settings.StartNotifications, l.Now)
+		if err := l.serveStatus(ops.StatusAddr(conf), table); err != nil {
+			return fmt.Errorf("key \"status.listen_port\": %w", err)
 		}
 		l.Requests.AddObserver(table)
 	}
 	if ops.Metrics != nil {
-		targets := figuresTo
 		if ops.Metrics.UDPTarget.IsValid() {
-			targets = append(targets, &collectorSocket{address: ops.Metrics.UDPTarget, fd: -1})
+			metricTargets = append(metricTargets, &collectorSocket{address: ops.Metrics.UDPTarget, fd: -1})
 		}
-		l.figures = figures.New(*ops.Metrics, c.Settings.Names, l.Now, targets...)
+		l.figures = figures.New(*ops.Metrics, conf.Settings.Names, l.Now, metricTargets...)
 		l.Requests.AddObserver(l.figures)
 		l.sendFigures(l.figures)
 	}
-	l.watch.start(len(c.KnownEndpoints.Endpoints) > 0)
-	if wait := l.watch.machine.InitialWait(); wait > 0 && l.Requests.HasReadyWorker() {
-		l.Requests.AwaitEndpoints(l.Now() + wait)
-	}
-	return l, nil
-}
-
-// joinOrServe takes the place of the process that serves here, or, if there is none, serves at once. Several processes may listen
-// at the clients' address, so that one that can't be reached by its successor can be replaced too.
-func (l *Loop) joinOrServe(c config.Config) error {
-	l.onFail = func(err error) { l.log.Error("can't go on", "error", err) }
-	out, err := hotrestart.ReadCordonFile(c.StateDir)
-	if err != nil { // served on: a worker node that should be out is out again with the next call
-		l.log.Error("worker nodes out by hand can't be read", "error", err)
-	}
-	if l.Requests.SetCordoned(out); len(out) > 0 {
-		l.log.Info("worker nodes out by hand", "hosts", strings.Join(out, " "))
-	}
-	l.openCordonStore(c.StateDir)
-	if l.joinPredecessor(c.StateDir, c.Listen) {
-		return nil
-	}
-	if l.clients.fd, err = l.Listen(c.Listen, l.clients, unix.SO_REUSEPORT); err == nil {
-		l.awaitSuccessor(hotrestart.SocketAddresses(c.StateDir, c.Listen))
-	}
-	return err
+	return nil
 }
--- a/internal/link/settings_test.go
+++ b/internal/link/settings_test.go
@@ -242,7 +242,7 @@
 	}, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
 	l.Requests = requests.New(c.Settings.AttemptLimit, c.Settings.Names, func() requests.Policy { return dispatch.New(c.Settings.Settings, c.Seed) },
 		c.KnownEndpoints, l.workers, log)
-	l.openClientListener(clients, bufferBudget(c), &c.Settings.Settings, c.Settings.Names)
+	l.openClientListener(clients, bufferBudget(c.Limits), &c.Settings.Settings, c.Settings.Names)
 	l.watch.start(len(c.KnownEndpoints.Endpoints) > 0)
 	d.T.Cleanup(l.CloseDescriptors)
 	for range 2 {
--- a/internal/link/worker_cancel.go
+++ b/internal/link/worker_cancel.go
@@ -11,31 +11,35 @@
 	cancelRetryDelay = 50 * time.Millisecond
 )
 
-// Cancel sends a DELETE, unless one is on its way.
-func (s *workerPool) Cancel(a *requests.Attempt) {
-	if _, is := s.cancelTries[a]; !is {
-		s.cancelTries[a] = 1
-		s.startExchange(a.Worker, exchange{kind: exchangeCancel, attempt: a})
+// Cancel sends a DELETE for an attempt, unless one is on its way.
+func (p *workerPool) Cancel(attempt *requests.Attempt) {
+	if _, isCancelling := p.cancelTries[attempt]; !isCancelling {
+		p.tryCancel(attempt)
 	}
 }
 
-// handleCancelResult takes in how a DELETE ended. What broke is tried again, on another connection: the first may not have come up
-// in time, or may have been reset or dropped unseen, and the DELETE with it. Its worker node is told once it answers. Where it
-// does not, it may be cut off, and run what it has: the attempt is out as before.
-func (s *workerPool) handleCancelResult(a *requests.Attempt, fault *requests.AttemptError) {
-	broke := fault != nil && fault.Reason == requests.ReasonConnectionLost
-	wanted := !a.HasEnded() || fault != nil && fault.Stage >= requests.StageWritten
-	if !broke || !wanted || a.EndedByWorker() || s.cancelTries[a] >= maxCancelTries {
-		delete(s.cancelTries, a)
-		s.loop.Requests.CancelCompleted(a, !broke && (fault == nil || fault.Reason != requests.ReasonTimeout))
+func (p *workerPool) tryCancel(attempt *requests.Attempt) {
+	p.cancelTries[attempt]++
+	p.startExchange(attempt.Worker, exchange{kind: exchangeCancel, attempt: attempt})
+}
+
+// handleCancelResult takes in how a DELETE ended. Where its connection was lost it is sent again, on another one: the first may
+// not have come up in time, or was reset or dropped unseen, and the DELETE with it. A worker that responds knows. One that
+// does not may be cut off, and go on with the attempt, which then ends by its timeout.
+func (p *workerPool) handleCancelResult(attempt *requests.Attempt, failure *requests.AttemptError) {
+	isLost := failure != nil && failure.Reason == requests.ReasonConnectionLost
+	isOfUse := !attempt.HasEnded() || failure != nil && failure.Stage >= requests.StageWritten
+	if !isLost || !isOfUse || attempt.EndedByWorker() || p.cancelTries[attempt] >= maxCancelTries {
+		delete(p.cancelTries, attempt)
+		workerKnows := failure == nil || !isLost && failure.Reason != requests.ReasonTimeout
+		p.loop.Requests.CancelCompleted(attempt, workerKnows)
 		return
 	}
-	s.loop.StartTimer(cancelRetryDelay, s, func() {
-		if a.EndedByWorker() || s.loop.hasRelinquished() {
-			delete(s.cancelTries, a)
+	p.loop.StartTimer(cancelRetryDelay, p, func() {
+		if attempt.EndedByWorker() || p.loop.hasRelinquished() {
+			delete(p.cancelTries, attempt)
 			return
 		}
-		s.cancelTries[a]++
-		s.startExchange(a.Worker, exchange{kind: exchangeCancel, attempt: a})
+		p.tryCancel(attempt)
 	})
 }
--- a/internal/link/worker_connection.go
+++ b/internal/link/worker_connection.go
@@ -11,146 +11,183 @@
 	"valvecove/internal/requests"
 )
 
-// workerConnection is a connection to a worker node.
-type workerConnection struct {
-	eventloop.Stream
-	pool        *workerPool
-	endpoint    *endpointConnections
-	incarnation int
-	state       workerConnectionState
-	exchange    exchange
-	lastKind    exchangeKind // what it was used for
-	stage       requests.Stage
-	timer       *eventloop.Timer
-	idleSince   time.Duration
-	idleBefore  time.Duration // how long it had been idle before its errand; 0: it is new
-}
-
+// workerConnectionState says what a connection to a worker is doing.
 type workerConnectionState int
 
 const (
 	workerConnecting workerConnectionState = iota
 	workerIdle
-	workerAwaitingResponse // an errand is written, or being written, and its answer awaited
+	workerAwaitingResponse // a request is written, or being written
 	workerClosed
 )
 
-// errNoDescriptor keeps descriptors for the client links.
-var errNoDescriptor = errors.New("no descriptor left for a server link")
+func (s workerConnectionState) String() string {
+	switch s {
+	case workerConnecting:
+		return "connecting"
+	case workerIdle:
+		return "idle"
+	case workerAwaitingResponse:
+		return "awaiting response"
+	case workerClosed:
+		return "closed"
+	}
+	return fmt.Sprintf("workerConnectionState(%d)", int(s))
+}
 
-// isAlive looks whether an idle link still is: a close that came in this turn, after what was gathered, has not
-// been told yet, and a request written to it would end as a reset that may have run.
-func (k *workerConnection) isAlive() bool {
-	var b [1]byte
-	_, _, err := unix.Recvfrom(k.FD(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-	return errors.Is(err, unix.EAGAIN)
+// Why a connection to a worker ends, or is not opened. Errors of the network and of the parser are passed on as they are.
+var (
+	errNoDescriptor     = errors.New("no descriptor left for a server link")
+	errClosedByWorker   = errors.New("ended by the worker node")
+	errResponseTimeout  = errors.New("no answer in time")
+	errResponseTooLarge = errors.New("an answer without end")
+	errStrayResponse    = errors.New("an answer to what the link was used for before")
+	errEarlyResponse    = errors.New("an answer before the last byte was written")
+	errWorkerPanicked   = errors.New("panic")
+)
+
+// workerConnection is a connection to a worker. It has one exchange at a time.
+type workerConnection struct {
+	eventloop.Stream
+	pool        *workerPool
+	endpoint    *endpointConnections
+	incarnation int // of the worker's process when the connection was opened
+	state       workerConnectionState
+	exchange    exchange
+	lastKind    exchangeKind   // of the present exchange, or the last one
+	stage       requests.Stage // of the present exchange
+	timer       *eventloop.Timer
+	idleSince   time.Duration
+	idleBefore  time.Duration // how long it had been idle before the present exchange; 0: it was new
 }
 
-func (k *workerConnection) connect() error {
-	s := k.pool
-	if s.openCount >= s.maxConnections && !s.evictIdle() {
+// connect opens the connection.
+func (c *workerConnection) connect() error {
+	pool := c.pool
+	if pool.openCount >= pool.maxConnections && !pool.evictIdle() {
 		return errNoDescriptor
 	}
-	if !k.endpoint.address.IsValid() {
-		return fmt.Errorf("host %q has no address", k.endpoint.id)
+	if !c.endpoint.address.IsValid() {
+		return fmt.Errorf("host %q has no address", c.endpoint.id)
 	}
-	fd, err := s.loop.dial(k.endpoint.address)
+	socket, err := pool.loop.dial(c.endpoint.address)
 	if err != nil {
 		return err
 	}
-	opened, err := s.loop.OpenStream(fd, eventloop.StreamEvents|unix.EPOLLOUT, k)
-	if err != nil {
-		_ = unix.Close(fd)
+	if c.Stream, err = pool.loop.OpenStream(socket, eventloop.StreamEvents|unix.EPOLLOUT, c); err != nil {
+		_ = unix.Close(socket)
 		return err
 	}
-	k.Stream = opened
-	s.openCount++
-	k.setTimeout(s.connectTimeout)
+	pool.openCount++
+	c.setTimeout(pool.connectTimeout)
 	return nil
 }
 
-func (k *workerConnection) setTimeout(span time.Duration) {
-	k.pool.loop.StopTimer(k.timer)
-	k.timer = k.pool.loop.StartTimer(span, k, func() { k.terminate(errResponseTimeout) })
+// isAlive looks whether an idle connection still is: there is no event yet for a close that came after this iteration's were
+// gathered, and a request written to it would end as a reset, and be possibly executed.
+func (c *workerConnection) isAlive() bool {
+	var b [1]byte
+	_, _, err := unix.Recvfrom(c.FD(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	return errors.Is(err, unix.EAGAIN)
+}
+
+// setTimeout ends the connection after a while, in place of an earlier timeout.
+func (c *workerConnection) setTimeout(timeout time.Duration) {
+	c.pool.loop.StopTimer(c.timer)
+	c.timer = c.pool.loop.StartTimer(timeout, c, func() { c.terminate(errResponseTimeout) })
 }
 
-func (k *workerConnection) HandleEvents(events uint32) {
-	if k.state != workerClosed && k.isObsolete() {
-		k.terminate(nil)
+// HandleEvents goes on with the exchange.
+func (c *workerConnection) HandleEvents(events uint32) {
+	if c.state != workerClosed && c.isObsolete() {
+		c.terminate(nil)
 		return
 	}
-	switch k.state {
+	switch c.state {
 	case workerConnecting:
-		if err := k.ConnectError(); err != nil {
-			k.terminate(err)
-			return
-		}
-		if events&unix.EPOLLOUT == 0 {
-			return
-		}
-		k.writeRequest()
-		if k.state != workerAwaitingResponse {
-			return
-		}
-	case workerIdle: // it was closed, or says something that nobody asked for
-		k.terminate(nil)
-		return
-	case workerClosed:
+		c.completeConnect(events)
+	case workerIdle: // it was closed, or something comes that nobody asked for
+		c.terminate(nil)
+	case workerClosed, workerAwaitingResponse:
+	}
+	if c.state == workerAwaitingResponse {
+		c.continueExchange(events)
+	}
+}
+
+// completeConnect sends the request once the connection is up.
+func (c *workerConnection) completeConnect(events uint32) {
+	if err := c.ConnectError(); err != nil {
+		c.terminate(err)
 		return
 	}
-	if events&unix.EPOLLOUT != 0 && len(k.Output()) > 0 {
-		if err := k.Flush(); err != nil {
-			k.terminate(err)
+	if events&unix.EPOLLOUT != 0 {
+		c.writeRequest()
+	}
+}
+
+// continueExchange sends what waits of the request, and reads what has come of the response.
+func (c *workerConnection) continueExchange(events uint32) {
+	if events&unix.EPOLLOUT != 0 && len(c.Output()) > 0 {
+		if err := c.Flush(); err != nil {
+			c.terminate(err)
 			return
 		}
-		k.reportIfWritten()
+		c.reportIfWritten()
 	}
 	if events&^unix.EPOLLOUT != 0 {
-		k.readResponse()
+		c.readResponse()
 	}
 }
 
-// becomeIdle puts the link back among the idle.
-func (k *workerConnection) becomeIdle() {
-	k.pool.loop.StopTimer(k.timer)
-	k.state, k.idleSince = workerIdle, k.pool.loop.Now()
-	k.endpoint.idle = append(k.endpoint.idle, k)
+// becomeIdle keeps the connection for the next exchange.
+func (c *workerConnection) becomeIdle() {
+	c.pool.loop.StopTimer(c.timer)
+	c.state = workerIdle
+	c.idleSince = c.pool.loop.Now()
+	c.endpoint.idle = append(c.endpoint.idle, c)
 }
 
-// terminate closes the link, whatever its state; an errand that it had ends with how far it had come.
-func (k *workerConnection) terminate(cause error) {
-	if k.state == workerClosed {
+// terminate closes the connection, whatever its state. Its exchange ends with the stage that it had reached.
+func (c *workerConnection) terminate(cause error) {
+	if c.state == workerClosed {
 		return
 	}
-	if k.state == workerIdle {
-		for i, o := range k.endpoint.idle {
-			if o == k {
-				k.endpoint.idle = append(k.endpoint.idle[:i], k.endpoint.idle[i+1:]...)
-				break
-			}
-		}
+	if c.state == workerIdle {
+		c.endpoint.removeIdle(c)
 	}
-	dropped := k.state == workerAwaitingResponse && k.idleBefore > 0 && len(k.Input()) == 0 && cause != nil && !errors.Is(cause, errResponseTimeout)
-	k.state = workerClosed
-	k.pool.loop.StopTimer(k.timer)
-	if k.IsOpen() {
-		k.Close()
-		k.pool.openCount--
-	}
-	reason := requests.ReasonConnectionLost
-	if dropped {
-		k.pool.reduceIdleTrust(k.idleBefore)
-		if k.exchange.kind == exchangeHealthCheck {
-			reason = requests.ReasonNotSent // it says nothing of the worker node
-		}
+	wasDropped := c.wasDroppedWhileIdle(cause)
+	c.state = workerClosed
+	c.pool.loop.StopTimer(c.timer)
+	if c.IsOpen() {
+		c.Close()
+		c.pool.openCount--
+	}
+	if wasDropped {
+		c.pool.reduceIdleTrust(c.idleBefore)
 	}
+	c.finishExchange(&requests.AttemptError{Stage: c.stage, Reason: c.failureReason(cause, wasDropped), Cause: cause})
+}
+
+// wasDroppedWhileIdle reports whether a connection that ends now, and was idle before its exchange, got no byte of a response.
+func (c *workerConnection) wasDroppedWhileIdle(cause error) bool {
+	return c.state == workerAwaitingResponse && c.idleBefore > 0 && len(c.Input()) == 0 &&
+		cause != nil && !errors.Is(cause, errResponseTimeout)
+}
+
+// failureReason returns what the end of the connection says of the exchange. Of a health check that was lost with an idle
+// connection, or got a stray response, it says nothing about the worker.
+func (c *workerConnection) failureReason(cause error, wasDropped bool) requests.Reason {
+	isHealthCheck := c.exchange.kind == exchangeHealthCheck
 	switch {
-	case k.stage >= requests.StageWritten && errors.Is(cause, errResponseTimeout):
-		reason = requests.ReasonTimeout
-	case k.exchange.kind == exchangeHealthCheck && errors.Is(cause, errStrayResponse):
-		reason = requests.ReasonNotSent // it says nothing of the worker node
+	case c.stage >= requests.StageWritten && errors.Is(cause, errResponseTimeout):
+		return requests.ReasonTimeout
+	case isHealthCheck && (wasDropped || errors.Is(cause, errStrayResponse)):
+		return requests.ReasonNotSent
+	default:
+		return requests.ReasonConnectionLost
 	}
-	k.finishExchange(&requests.AttemptError{Stage: k.stage, Reason: reason, Cause: cause})
 }
 
-func (k *workerConnection) HandlePanic() { k.terminate(errors.New("panic")) }
+// HandlePanic ends the connection.
+func (c *workerConnection) HandlePanic() { c.terminate(errWorkerPanicked) }
--- a/internal/link/worker_exchange.go
+++ b/internal/link/worker_exchange.go
@@ -1,6 +1,7 @@
 package link
 
 import (
+	"fmt"
 	"strconv"
 	"time"
 
@@ -9,117 +10,157 @@
 )
 
 const (
-	healthCheckTimeout = 500 * time.Millisecond // an answer to a probe is worth nothing later
+	healthCheckTimeout = 500 * time.Millisecond // a response to a health check is worth nothing later
 	cancelTimeout      = time.Second
-	responseGrace      = time.Second // a link outlasts its attempt by so long, in case the answer still comes
+	responseGrace      = time.Second // a connection outlasts its attempt by so long, in case the response still comes
 
-	maxSingleWrite = 4 << 10 // a request of that size goes into any socket's buffer whole
+	maxSingleWrite = 4 << 10 // bytes of a payload that any socket's buffer takes whole
 )
 
+// exchangeKind says what a connection to a worker is used for.
 type exchangeKind int
 
 const (
-	exchangeAttempt exchangeKind = iota
-	exchangeHealthCheck
-	exchangeCancel
+	exchangeNone        exchangeKind = iota
+	exchangeAttempt                  // a request of a client is sent
+	exchangeHealthCheck              // the worker is asked whether it is alive
+	exchangeCancel                   // an attempt that the worker has accepted is cancelled
 )
 
-// exchange is what a link is used for, one at a time.
+func (k exchangeKind) String() string {
+	switch k {
+	case exchangeNone:
+		return "none"
+	case exchangeAttempt:
+		return "attempt"
+	case exchangeHealthCheck:
+		return "health check"
+	case exchangeCancel:
+		return "cancel"
+	}
+	return fmt.Sprintf("exchangeKind(%d)", int(k))
+}
+
+// exchange is a request to a worker and its response.
 type exchange struct {
 	kind    exchangeKind
-	attempt *requests.Attempt // nil for a probe
+	attempt *requests.Attempt // that is sent or cancelled
 }
 
-// assign gives the link its errand.
-func (k *workerConnection) assign(e exchange) {
-	k.exchange, k.lastKind, k.stage = e, e.kind, requests.StageNotConnected
-	if e.kind == exchangeAttempt {
-		k.pool.byAttempt[e.attempt] = k
+// assign gives the connection its exchange.
+func (c *workerConnection) assign(next exchange) {
+	c.exchange = next
+	c.lastKind = next.kind
+	c.stage = requests.StageNotConnected
+	if next.kind == exchangeAttempt {
+		c.pool.byAttempt[next.attempt] = c
 	}
 }
 
-// writeRequest sends the errand's request. What the worker node is told to have for an attempt is what is left now, however late the
-// connection came up. A large request may go in parts: that it takes the time for a connection at most is taken off.
-func (k *workerConnection) writeRequest() {
-	l, a := k.pool.loop, k.exchange.attempt
-	var parts time.Duration
-	b, host := l.writeBuffer[:0], k.endpoint.address.String()
-	switch k.exchange.kind {
+// setStage sets how far the exchange has come, and the attempt with it.
+func (c *workerConnection) setStage(stage requests.Stage) {
+	c.stage = stage
+	if c.exchange.kind == exchangeAttempt {
+		c.exchange.attempt.Stage = stage
+	}
+}
+
+// writeRequest sends the exchange's request.
+func (c *workerConnection) writeRequest() {
+	loop := c.pool.loop
+	buffer, timeout, ok := c.appendRequest(loop.writeBuffer[:0])
+	if !ok { // the request table gives the attempt up in a moment, and the connection ends with it
+		loop.StopTimer(c.timer)
+		return
+	}
+	c.setTimeout(timeout)
+	loop.writeBuffer = buffer
+	c.state = workerAwaitingResponse
+	c.setStage(requests.StagePartlyWritten)
+	if err := c.Send(buffer); err != nil {
+		c.terminate(err)
+		return
+	}
+	c.reportIfWritten()
+}
+
+// appendRequest returns how long the exchange may take from now on; ok is false if it is too late for it.
+func (c *workerConnection) appendRequest(buffer []byte) (request []byte, timeout time.Duration, ok bool) {
+	attempt, address := c.exchange.attempt, c.endpoint.address.String()
+	switch c.exchange.kind {
 	case exchangeAttempt:
-		left := a.At - l.Clock()
-		if left < time.Millisecond { // the ledger gives it up in a moment, and the link ends with it
-			l.StopTimer(k.timer)
-			return
-		}
-		p := &a.Request.Payload
-		if parts = min(k.pool.connectTimeout, left/2); len(p.Body) > maxSingleWrite {
-			left -= parts
-		}
-		b = http1.AppendRequestStart(b, p.Method, p.Path, host)
-		b = http1.AppendField(b, "X-Call-Id", a.Request.CallID)
-		b = http1.AppendField(b, "Idempotency-Key", p.IdempotencyKey)
-		b = append(b, "X-Budget-Ms: "...)
-		b = strconv.AppendInt(b, max(1, left.Milliseconds()), 10)
-		b = append(b, "\r\nContent-Length: "...)
-		b = strconv.AppendInt(b, int64(len(p.Body)), 10)
-		b = append(b, "\r\n\r\n"...)
-		b = append(b, p.Body...)
-		k.setTimeout(parts)
+		return c.appendAttempt(buffer, attempt, address)
 	case exchangeHealthCheck:
-		b = append(http1.AppendRequestStart(b, "GET", "/alive", host), "\r\n"...)
-		k.setTimeout(healthCheckTimeout)
+		buffer = http1.AppendRequestStart(buffer, "GET", "/alive", address)
+		return append(buffer, "\r\n"...), healthCheckTimeout, true
 	case exchangeCancel:
-		b = append(http1.AppendRequestStart(b, "DELETE", "/jobs/"+a.Request.CallID, host), "\r\n"...)
-		k.setTimeout(cancelTimeout)
-	}
-	l.writeBuffer = b
-	k.state = workerAwaitingResponse
-	k.setStage(requests.StagePartlyWritten)
-	if err := k.Send(b); err != nil {
-		k.terminate(err)
-		return
+		buffer = http1.AppendRequestStart(buffer, "DELETE", "/jobs/"+attempt.Request.CallID, address)
+		return append(buffer, "\r\n"...), cancelTimeout, true
+	case exchangeNone:
 	}
-	k.reportIfWritten()
+	return nil, 0, false
 }
 
-// reportIfWritten notes once the last byte has left: from there on it may run.
-func (k *workerConnection) reportIfWritten() {
-	if len(k.Output()) == 0 && k.stage < requests.StageWritten {
-		k.setStage(requests.StageWritten)
-		if a := k.exchange.attempt; k.exchange.kind == exchangeAttempt {
-			k.setTimeout(a.At - k.pool.loop.Now() + responseGrace)
-			k.pool.loop.Requests.ReportWritten(a)
-		}
+// appendAttempt appends the request of an attempt. The time that the worker is given is what remains now, however late the
+// connection came up. A large payload may go in parts: that it takes the time for a connection at most is taken off.
+func (c *workerConnection) appendAttempt(buffer []byte, attempt *requests.Attempt, address string) (request []byte, timeout time.Duration, ok bool) {
+	remaining := attempt.At - c.pool.loop.Clock()
+	if remaining < time.Millisecond {
+		return nil, 0, false
+	}
+	payload := &attempt.Request.Payload
+	timeout = min(c.pool.connectTimeout, remaining/2)
+	if len(payload.Body) > maxSingleWrite {
+		remaining -= timeout
 	}
+	buffer = http1.AppendRequestStart(buffer, payload.Method, payload.Path, address)
+	buffer = http1.AppendField(buffer, "X-Call-Id", attempt.Request.CallID)
+	buffer = http1.AppendField(buffer, "Idempotency-Key", payload.IdempotencyKey)
+	buffer = append(buffer, "X-Budget-Ms: "...)
+	buffer = strconv.AppendInt(buffer, max(1, remaining.Milliseconds()), 10)
+	buffer = append(buffer, "\r\nContent-Length: "...)
+	buffer = strconv.AppendInt(buffer, int64(len(payload.Body)), 10)
+	buffer = append(buffer, "\r\n\r\n"...)
+	buffer = append(buffer, payload.Body...)
+	return buffer, timeout, true
 }
 
-func (k *workerConnection) setStage(stage requests.Stage) {
-	if k.stage = stage; k.exchange.kind == exchangeAttempt {
-		k.exchange.attempt.Stage = stage
+// reportIfWritten takes in that the last byte was sent, if it was: from there on, an attempt is possibly executed.
+func (c *workerConnection) reportIfWritten() {
+	if len(c.Output()) > 0 || c.stage >= requests.StageWritten {
+		return
+	}
+	c.setStage(requests.StageWritten)
+	if c.exchange.kind == exchangeAttempt {
+		attempt := c.exchange.attempt
+		c.setTimeout(attempt.At - c.pool.loop.Now() + responseGrace)
+		c.pool.loop.Requests.ReportWritten(attempt)
 	}
 }
 
-// isObsolete tells whether what it was to write has ended before its last byte was written, by a late note of an attempt
-// before: what is written on would be a send after the query was over, or one more than the module knows of. Nor is a
-// DELETE of any use once the worker node has told how the attempt ended.
-func (k *workerConnection) isObsolete() bool {
-	a := k.exchange.attempt
-	return k.stage < requests.StageWritten && a != nil && (k.exchange.kind == exchangeAttempt && a.HasEnded() || a.EndedByWorker())
+// isObsolete reports whether the exchange is of no use any more before its request was wholly written. An attempt may have
+// ended meanwhile, by a late callback of an earlier one: written on, it would run after the request was over, or be one more
+// than the dispatcher knows of. Nor is a DELETE of any use once the worker has said how the attempt ended.
+func (c *workerConnection) isObsolete() bool {
+	attempt := c.exchange.attempt
+	if attempt == nil || c.stage >= requests.StageWritten {
+		return false
+	}
+	return c.exchange.kind == exchangeAttempt && attempt.HasEnded() || attempt.EndedByWorker()
 }
 
-// finishExchange ends the errand.
-func (k *workerConnection) finishExchange(fault *requests.AttemptError) {
-	e := k.exchange
-	k.exchange = exchange{kind: exchangeCancel}
-	switch e.kind {
+// finishExchange ends the exchange; the failure is nil if it went well.
+func (c *workerConnection) finishExchange(failure *requests.AttemptError) {
+	finished := c.exchange
+	c.exchange = exchange{}
+	switch finished.kind {
 	case exchangeAttempt:
-		delete(k.pool.byAttempt, e.attempt)
-		k.pool.loop.Requests.EndAttempt(e.attempt, nil, fault)
+		delete(c.pool.byAttempt, finished.attempt)
+		c.pool.loop.Requests.EndAttempt(finished.attempt, nil, failure)
 	case exchangeHealthCheck:
-		k.pool.loop.Requests.HealthChecked(k.endpoint.worker, fault)
+		c.pool.loop.Requests.HealthChecked(c.endpoint.worker, failure)
 	case exchangeCancel:
-		if e.attempt != nil {
-			k.pool.handleCancelResult(e.attempt, fault)
-		}
+		c.pool.handleCancelResult(finished.attempt, failure)
+	case exchangeNone:
 	}
 }
--- a/internal/link/worker_pool.go
+++ b/internal/link/worker_pool.go
@@ -9,154 +9,195 @@
 
 const (
 	poolExpiryInterval      = time.Second
-	reuseDelay              = 10 * time.Millisecond // before a link carries again: a second answer would be the next one's
-	minIdleTrust            = 20 * time.Millisecond // a link used as lately as that is as good as a new one
-	idleTrustGrowthInterval = 10 * time.Second      // the trust in idle links doubles when they have done well for so long
+	reuseDelay              = 10 * time.Millisecond // between two attempts on a connection: a second response to the first shows by then
+	minIdleTrust            = 20 * time.Millisecond // a connection used as lately as that is as good as a new one
+	maxIdleTrust            = time.Minute           // beyond it, trust is without limit
+	idleTrustGrowthInterval = 10 * time.Second      // the trust in idle connections doubles when they have done well for so long
 )
 
-// workerPool are the connections to worker nodes: the ledger's Carrier.
+// workerPool has the connections to workers: it is the request table's carrier.
 type workerPool struct {
-	loop      *Loop
-	endpoints map[uint64]*endpointConnections
-	byAttempt map[*requests.Attempt]*workerConnection // until the worker node has accepted
-	// cancelTries are the attempts whose worker node is being told, and how many connections were tried for that.
-	cancelTries        map[*requests.Attempt]int
-	openCount          int
-	maxConnections     int
-	connectTimeout     time.Duration // a connection comes up within this or not at all
-	idleTimeout        time.Duration // and is not kept for longer when idle; 0: for ever
-	idleTrust          time.Duration // nor for longer than has lately gone well; 0: as long as may be
-	idleTrustChangedAt time.Duration // when that was set
-}
-
-// endpointConnections are the links to one worker node.
+	loop               *Loop
+	endpoints          map[uint64]*endpointConnections         // by worker
+	byAttempt          map[*requests.Attempt]*workerConnection // until the worker has accepted
+	cancelTries        map[*requests.Attempt]int               // connections tried to cancel an attempt, while it is being cancelled
+	openCount          int                                     // of connections
+	maxConnections     int                                     // open at once
+	connectTimeout     time.Duration                           // for a connection to come up
+	idleTimeout        time.Duration                           // for which a connection is kept idle; 0: for ever
+	idleTrust          time.Duration                           // for which idle connections have lately gone well; 0: without limit
+	idleTrustChangedAt time.Duration
+}
+
+// endpointConnections are the connections to one worker.
 type endpointConnections struct {
 	worker      uint64
 	id          string
 	address     netip.AddrPort
 	startedAtMs int64
-	incarnation int                 // counts processes: a link to an earlier one is of no use
+	incarnation int                 // counts the worker's processes: a connection to an earlier one is of no use
 	idle        []*workerConnection // the last one used last
 }
 
-func (l *Loop) openWorkerPool(most int, dial, idleFor time.Duration) {
-	// The worker node closes an idle link at its limit, and a request that crosses the close is lost: keep well
-	// clear of it.
+// openWorkerPool makes the pool, which has no connections yet. The worker closes an idle connection at its limit, and a
+// request that crosses the close is lost: the pool keeps well clear of that.
+func (l *Loop) openWorkerPool(maxConnections int, connectTimeout, workerIdleTimeout time.Duration) {
 	l.workers = &workerPool{
-		loop: l, endpoints: map[uint64]*endpointConnections{}, byAttempt: map[*requests.Attempt]*workerConnection{},
-		cancelTries: map[*requests.Attempt]int{}, maxConnections: most, connectTimeout: dial, idleTimeout: idleFor * 3 / 4,
+		loop:           l,
+		endpoints:      map[uint64]*endpointConnections{},
+		byAttempt:      map[*requests.Attempt]*workerConnection{},
+		cancelTries:    map[*requests.Attempt]int{},
+		maxConnections: maxConnections,
+		connectTimeout: connectTimeout,
+		idleTimeout:    workerIdleTimeout * 3 / 4,
 	}
 	l.workers.closeExpired()
 }
 
-// endpoint finds the links to a worker, and drops those to a process that has been replaced.
-func (s *workerPool) endpoint(worker uint64) *endpointConnections {
-	h := s.endpoints[worker]
-	if h == nil {
-		h = &endpointConnections{worker: worker}
-		s.endpoints[worker] = h
-	}
-	now := s.loop.Requests.Endpoint(worker)
-	if h.id = now.ID; now.Addr != "" && (h.startedAtMs != now.StartedAtMs || h.address.String() != now.Addr) {
-		h.address, _ = netip.ParseAddrPort(now.Addr)
-		h.startedAtMs = now.StartedAtMs
-		h.incarnation++
-		s.CloseIdleConnections(worker)
-	}
-	return h
-}
+// HandleEvents has nothing to do: the pool has no descriptor of its own, only timers.
+func (p *workerPool) HandleEvents(uint32) {}
+
+// HandlePanic has nothing to end: the pool goes on.
+func (p *workerPool) HandlePanic() {}
 
-func (s *workerPool) CheckHealth(worker uint64) {
-	s.startExchange(worker, exchange{kind: exchangeHealthCheck})
+// Start sends an attempt to its worker.
+func (p *workerPool) Start(attempt *requests.Attempt) {
+	p.startExchange(attempt.Worker, exchange{kind: exchangeAttempt, attempt: attempt})
 }
 
-func (s *workerPool) CloseIdleConnections(worker uint64) {
-	h := s.endpoints[worker]
-	for h != nil && len(h.idle) > 0 {
-		h.idle[0].terminate(nil)
+// Abandon lets the worker know that an attempt is given up: before it has accepted by closing the connection, after that by a
+// DELETE.
+func (p *workerPool) Abandon(attempt *requests.Attempt) {
+	if c := p.byAttempt[attempt]; c != nil {
+		c.terminate(nil)
+	} else if attempt.Stage == requests.StageAccepted {
+		p.Cancel(attempt)
 	}
 }
 
-// closeExpired closes links that have been idle for too long.
-func (s *workerPool) closeExpired() {
-	s.loop.StartTimer(poolExpiryInterval, s, s.closeExpired)
-	if s.idleTrust > 0 && s.loop.Now()-s.idleTrustChangedAt >= idleTrustGrowthInterval {
-		if s.idleTrust, s.idleTrustChangedAt = 2*s.idleTrust, s.loop.Now(); s.idleTrust > time.Minute {
-			s.idleTrust = 0
-		}
-	}
-	for _, h := range s.endpoints {
-		for len(h.idle) > 0 && s.isStale(h.idle[0]) {
-			h.idle[0].terminate(nil)
+// CheckHealth asks a worker whether it is alive.
+func (p *workerPool) CheckHealth(worker uint64) {
+	p.startExchange(worker, exchange{kind: exchangeHealthCheck})
+}
+
+// CloseIdleConnections closes a worker's connections that are idle.
+func (p *workerPool) CloseIdleConnections(worker uint64) {
+	if endpoint := p.endpoints[worker]; endpoint != nil {
+		for len(endpoint.idle) > 0 {
+			endpoint.idle[0].terminate(nil)
 		}
 	}
 }
 
-func (s *workerPool) HandleEvents(uint32) {}
-func (s *workerPool) HandlePanic()        {}
-
-func (s *workerPool) isStale(k *workerConnection) bool {
-	age := s.loop.Now() - k.idleSince
-	return s.idleTimeout > 0 && age >= s.idleTimeout || s.idleTrust > 0 && age >= s.idleTrust
+// endpoint returns the connections to a worker, without idle ones to a process of it that was replaced.
+func (p *workerPool) endpoint(worker uint64) *endpointConnections {
+	endpoint := p.endpoints[worker]
+	if endpoint == nil {
+		endpoint = &endpointConnections{worker: worker}
+		p.endpoints[worker] = endpoint
+	}
+	listed := p.loop.Requests.Endpoint(worker)
+	endpoint.id = listed.ID
+	if listed.Addr != "" && (endpoint.startedAtMs != listed.StartedAtMs || endpoint.address.String() != listed.Addr) {
+		endpoint.address, _ = netip.ParseAddrPort(listed.Addr)
+		endpoint.startedAtMs = listed.StartedAtMs
+		endpoint.incarnation++
+		p.CloseIdleConnections(worker)
+	}
+	return endpoint
 }
 
-// reduceIdleTrust takes in that a link broke which had been idle for so long and then got no answer. Something between us and
-// the worker nodes, or they themselves, drops idle links unseen: what is written to one may have run, as far as
-// anybody can tell, so a query that may not run twice is lost by it. A new link costs far less.
-func (s *workerPool) reduceIdleTrust(idle time.Duration) {
-	if s.idleTrust == 0 || idle < s.idleTrust {
-		s.idleTrust = max(idle/2, minIdleTrust)
+// startExchange begins an exchange on the idle connection that was used last, or on a new one.
+func (p *workerPool) startExchange(worker uint64, next exchange) {
+	endpoint := p.endpoint(worker)
+	if c := p.takeIdle(endpoint, next.kind); c != nil {
+		c.idleBefore = max(p.loop.Now()-c.idleSince, 1)
+		c.assign(next)
+		p.loop.Protect(c, c.writeRequest)
+		return
 	}
-	s.idleTrustChangedAt = s.loop.Now()
+	c := &workerConnection{pool: p, endpoint: endpoint, incarnation: endpoint.incarnation, state: workerConnecting}
+	c.assign(next)
+	p.loop.Protect(c, func() {
+		if err := c.connect(); err != nil {
+			c.terminate(err)
+		}
+	})
 }
 
-// startExchange gives an errand to the link that was used last, or to a new one.
-func (s *workerPool) startExchange(worker uint64, e exchange) {
-	h := s.endpoint(worker)
-	for i := len(h.idle) - 1; i >= 0; i-- {
-		k := h.idle[i]
-		if s.isStale(k) || !k.isAlive() {
-			k.terminate(nil)
+// takeIdle takes the idle connection that was used last and may be used for a kind of exchange; nil: there is none. It closes
+// those that it finds unusable.
+func (p *workerPool) takeIdle(endpoint *endpointConnections, next exchangeKind) *workerConnection {
+	for i := len(endpoint.idle) - 1; i >= 0; i-- {
+		c := endpoint.idle[i]
+		if p.isStale(c) || !c.isAlive() {
+			c.terminate(nil)
 			continue
 		}
-		if e.kind == exchangeAttempt && k.lastKind == exchangeAttempt && s.loop.Now()-k.idleSince < reuseDelay {
+		if next == exchangeAttempt && c.lastKind == exchangeAttempt && p.loop.Now()-c.idleSince < reuseDelay {
 			continue
 		}
-		h.idle = append(h.idle[:i], h.idle[i+1:]...)
-		k.idleBefore = max(s.loop.Now()-k.idleSince, 1)
-		k.assign(e)
-		s.loop.Protect(k, k.writeRequest)
-		return
+		endpoint.removeIdle(c)
+		return c
 	}
-	k := &workerConnection{pool: s, endpoint: h, incarnation: h.incarnation, state: workerConnecting}
-	k.assign(e)
-	s.loop.Protect(k, func() {
-		if err := k.connect(); err != nil {
-			k.terminate(err)
+	return nil
+}
+
+// removeIdle takes a connection from among the idle.
+func (e *endpointConnections) removeIdle(connection *workerConnection) {
+	for i, idle := range e.idle {
+		if idle == connection {
+			e.idle = append(e.idle[:i], e.idle[i+1:]...)
+			return
 		}
-	})
+	}
 }
 
-// evictIdle closes an idle link of any host.
-func (s *workerPool) evictIdle() bool {
-	for _, h := range s.endpoints {
-		if len(h.idle) > 0 {
-			h.idle[0].terminate(nil)
+// evictIdle closes an idle connection to any worker, and reports whether there was one.
+func (p *workerPool) evictIdle() bool {
+	for _, endpoint := range p.endpoints {
+		if len(endpoint.idle) > 0 {
+			endpoint.idle[0].terminate(nil)
 			return true
 		}
 	}
 	return false
 }
 
-func (s *workerPool) Start(a *requests.Attempt) {
-	s.startExchange(a.Worker, exchange{kind: exchangeAttempt, attempt: a})
+// closeExpired closes connections that have been idle for too long, again and again.
+func (p *workerPool) closeExpired() {
+	p.loop.StartTimer(poolExpiryInterval, p, p.closeExpired)
+	p.growIdleTrust()
+	for _, endpoint := range p.endpoints {
+		for len(endpoint.idle) > 0 && p.isStale(endpoint.idle[0]) {
+			endpoint.idle[0].terminate(nil)
+		}
+	}
+}
+
+func (p *workerPool) isStale(connection *workerConnection) bool {
+	idle := p.loop.Now() - connection.idleSince
+	return p.idleTimeout > 0 && idle >= p.idleTimeout || p.idleTrust > 0 && idle >= p.idleTrust
+}
+
+// growIdleTrust doubles the trust in idle connections once they have done well for long enough.
+func (p *workerPool) growIdleTrust() {
+	if p.idleTrust == 0 || p.loop.Now()-p.idleTrustChangedAt < idleTrustGrowthInterval {
+		return
+	}
+	p.idleTrust *= 2
+	p.idleTrustChangedAt = p.loop.Now()
+	if p.idleTrust > maxIdleTrust {
+		p.idleTrust = 0
+	}
 }
 
-// Abandon lets the worker node know: before it has accepted by closing the link, after that by a DELETE.
-func (s *workerPool) Abandon(a *requests.Attempt) {
-	if k := s.byAttempt[a]; k != nil {
-		k.terminate(nil)
-	} else if a.Stage == requests.StageAccepted {
-		s.Cancel(a)
+// reduceIdleTrust takes in that a connection broke which had been idle for so long and then got no response. Something on the
+// way, or the workers themselves, drop idle connections unseen: a request that was written to one is possibly executed, so
+// one that is not idempotent is lost by it. A new connection costs far less.
+func (p *workerPool) reduceIdleTrust(idle time.Duration) {
+	if p.idleTrust == 0 || idle < p.idleTrust {
+		p.idleTrust = max(idle/2, minIdleTrust)
 	}
+	p.idleTrustChangedAt = p.loop.Now()
 }
--- a/internal/link/worker_response.go
+++ b/internal/link/worker_response.go
@@ -8,81 +8,104 @@
 	"valvecove/internal/requests"
 )
 
-const maxResponseSize = 2 * (http1.MaxHeaderSize + http1.MaxBodySize) // with interim answers, and with what frames chunks
+// maxResponseSize is how much of a response is read, with interim ones and with what frames chunks.
+const maxResponseSize = 2 * (http1.MaxHeaderSize + http1.MaxBodySize)
 
-func (k *workerConnection) readResponse() {
-	ended, err := k.Fill()
+// readResponse reads what has come of the response, and ends the exchange if that is all of it.
+func (c *workerConnection) readResponse() {
+	ended, err := c.Fill()
 	if err != nil {
-		k.terminate(err)
+		c.terminate(err)
 		return
 	}
-	m := &k.pool.loop.response
-	n, err := m.Parse(k.Input(), ended)
+	response := &c.pool.loop.response
+	size, err := response.Parse(c.Input(), ended)
 	switch {
 	case err == nil:
-		keep := m.KeepAlive && !ended && n == len(k.Input()) && len(k.Output()) == 0
-		if k.isStrayResponse(m.StatusCode) {
-			k.terminate(errStrayResponse)
-			return
-		}
-		k.handleResponse(m)
-		if !k.IsOpen() {
-			return
-		}
-		if k.Consume(n); keep && k.incarnation == k.pool.endpoint(k.endpoint.worker).incarnation {
-			k.becomeIdle()
-		} else {
-			k.terminate(nil)
-		}
+		keepAlive := response.KeepAlive && !ended && size == len(c.Input()) && len(c.Output()) == 0
+		c.completeExchange(response, size, keepAlive)
 	case ended:
-		k.terminate(errClosedByWorker)
+		c.terminate(errClosedByWorker)
 	case !errors.Is(err, http1.ErrIncomplete):
-		k.terminate(err)
-	case len(k.Input()) > maxResponseSize:
-		k.terminate(errResponseTooLarge)
+		c.terminate(err)
+	case len(c.Input()) > maxResponseSize:
+		c.terminate(errResponseTooLarge)
 	}
 }
 
-var (
-	errClosedByWorker   = errors.New("ended by the worker node")
-	errResponseTimeout  = errors.New("no answer in time")
-	errResponseTooLarge = errors.New("an answer without end")
-	errStrayResponse    = errors.New("an answer to what the link was used for before")
-	errEarlyResponse    = errors.New("an answer before the last byte was written")
-)
+// completeExchange takes in a whole response. The connection goes on only to the worker's present process.
+func (c *workerConnection) completeExchange(response *http1.Response, size int, keepAlive bool) {
+	if c.isStrayResponse(response.StatusCode) {
+		c.terminate(errStrayResponse)
+		return
+	}
+	c.handleResponse(response)
+	if !c.IsOpen() {
+		return
+	}
+	c.Consume(size)
+	if keepAlive && c.incarnation == c.pool.endpoint(c.endpoint.worker).incarnation {
+		c.becomeIdle()
+		return
+	}
+	c.terminate(nil)
+}
 
-// isStrayResponse tells whether an answer that says yes is the second one to what the link was used for before: each kind of errand
-// has a word of its own for that. On a new link it is taken as it is meant.
-func (k *workerConnection) isStrayResponse(status int) bool {
-	if k.idleBefore == 0 || status/100 != 2 {
+// isStrayResponse reports whether a successful response is a second one to the connection's last exchange: each kind has a
+// status of its own for success. On a new connection any is taken as it is meant.
+func (c *workerConnection) isStrayResponse(statusCode int) bool {
+	if c.idleBefore == 0 || statusCode/100 != 2 {
+		return false
+	}
+	switch c.exchange.kind {
+	case exchangeAttempt:
+		return statusCode != 202
+	case exchangeHealthCheck:
+		return statusCode != 200
+	default:
 		return false
 	}
-	return k.exchange.kind == exchangeAttempt && status != 202 || k.exchange.kind == exchangeHealthCheck && status != 200
 }
 
-// handleResponse settles the errand by the answer's status.
-func (k *workerConnection) handleResponse(m *http1.Response) {
-	fault := &requests.AttemptError{Stage: k.stage, Reason: requests.ReasonWorkerError, Cause: fmt.Errorf("status %d", m.StatusCode)}
-	switch refused := m.StatusCode == 503 || m.StatusCode == 504; {
-	case m.StatusCode/100 == 2:
-		fault = nil
-	case refused && (k.exchange.kind == exchangeHealthCheck || string(m.Get("X-Rejected")) == "1"):
-		fault.Reason = requests.ReasonRejected
-	case m.StatusCode/100 == 4 && k.exchange.kind == exchangeAttempt:
-		fault.Reason = requests.ReasonInvalidRequest
+// handleResponse ends the exchange by the response's status. An accepted attempt goes on without the connection.
+func (c *workerConnection) handleResponse(response *http1.Response) {
+	failure := c.responseFailure(response)
+	if c.exchange.kind != exchangeAttempt {
+		c.finishExchange(failure)
+		return
 	}
-	if k.exchange.kind == exchangeAttempt {
-		k.pool.loop.Requests.ReportResponse(k.exchange.attempt, m.StatusCode)
-		if k.stage < requests.StageWritten && (fault == nil || fault.Reason == requests.ReasonWorkerError) {
-			// It never has all of it, as the link ends with this answer. So it can't run, whatever the answer says.
-			fault = &requests.AttemptError{Stage: k.stage, Reason: requests.ReasonConnectionLost, Cause: errEarlyResponse}
-		}
+	attempt := c.exchange.attempt
+	c.pool.loop.Requests.ReportResponse(attempt, response.StatusCode)
+	if c.stage < requests.StageWritten && (failure == nil || failure.Reason == requests.ReasonWorkerError) {
+		// The worker never has all of it, as the connection ends with this response: it can't run, whatever the response says.
+		failure = &requests.AttemptError{Stage: c.stage, Reason: requests.ReasonConnectionLost, Cause: errEarlyResponse}
 	}
-	if k.exchange.kind == exchangeAttempt && fault == nil {
-		k.setStage(requests.StageAccepted)
-		delete(k.pool.byAttempt, k.exchange.attempt)
-		k.exchange = exchange{kind: exchangeCancel} // nothing hangs on it any more
+	if failure != nil {
+		c.finishExchange(failure)
 		return
 	}
-	k.finishExchange(fault)
+	c.setStage(requests.StageAccepted)
+	delete(c.pool.byAttempt, attempt)
+	c.exchange = exchange{}
+}
+
+// responseFailure returns what a response says went wrong; nil: nothing did.
+func (c *workerConnection) responseFailure(response *http1.Response) *requests.AttemptError {
+	statusCode := response.StatusCode
+	if statusCode/100 == 2 {
+		return nil
+	}
+	failure := &requests.AttemptError{
+		Stage:  c.stage,
+		Reason: requests.ReasonWorkerError,
+		Cause:  fmt.Errorf("status %d", statusCode),
+	}
+	mayReject := statusCode == 503 || statusCode == 504
+	switch {
+	case mayReject && (c.exchange.kind == exchangeHealthCheck || string(response.Get("X-Rejected")) == "1"):
+		failure.Reason = requests.ReasonRejected
+	case statusCode/100 == 4 && c.exchange.kind == exchangeAttempt:
+		failure.Reason = requests.ReasonInvalidRequest
+	}
+	return failure
 }
