--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -17,9 +17,9 @@
 	"valvecove/internal/capture"
 	"valvecove/internal/config"
 	"valvecove/internal/eventloop"
-	"valvecove/internal/figures"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/http1"
+	"valvecove/internal/metrics"
 	"valvecove/internal/requests"
 )
 
@@ -43,7 +43,7 @@
 	watch        *watchConnection
 	operators    *operatorListener    // nil: off
 	status       *statusListener      // nil: off
-	figures      *figures.Figures     // nil: off
+	figures      *metrics.Figures     // nil: off
 	addressLists *address.AccessLists // nil: off
 	dispatcher   *dispatch.Dispatcher // that decides, in whatever wraps it
 
--- a/internal/link/metrics_sender.go
+++ b/internal/link/metrics_sender.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/internal/eventloop"
-	"valvecove/internal/figures"
+	"valvecove/internal/metrics"
 )
 
 // maxBatchesPerIteration is how many batches of metrics are sent in one iteration, so that connections are served too.
@@ -52,17 +52,17 @@
 }
 
 // sendFigures gathers metrics and sends them, again and again.
-func (l *Loop) sendFigures(metrics *figures.Figures) {
-	l.After(metrics.Every(), func() {
-		l.sendFigures(metrics)
-		metrics.Gather()
-		l.sendFigureBatches(metrics)
+func (l *Loop) sendFigures(sent *metrics.Figures) {
+	l.After(sent.Every(), func() {
+		l.sendFigures(sent)
+		sent.Gather()
+		l.sendFigureBatches(sent)
 	})
 }
 
-func (l *Loop) sendFigureBatches(metrics *figures.Figures) {
-	if more := metrics.Send(maxBatchesPerIteration); more {
-		l.After(0, func() { l.sendFigureBatches(metrics) })
+func (l *Loop) sendFigureBatches(sent *metrics.Figures) {
+	if more := sent.Send(maxBatchesPerIteration); more {
+		l.After(0, func() { l.sendFigureBatches(sent) })
 	}
 }
 
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -13,12 +13,11 @@
 	"valvecove/internal/capture"
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
-	"valvecove/internal/figures"
 	"valvecove/internal/hotrestart"
-	"valvecove/internal/oplog"
+	"valvecove/internal/logging"
+	"valvecove/internal/metrics"
 	"valvecove/internal/requests"
 	"valvecove/internal/status"
-	"valvecove/internal/tally"
 )
 
 // watchSeed keeps the random backoffs of the watch apart from what else is drawn from a scheduler's seed.
@@ -26,7 +25,7 @@
 
 // Open returns a loop that listens and is ready to run, with the features that are on. metricTargets are targets of metrics
 // besides a collector. An error names the key of the configuration that is at fault.
-func Open(conf config.Config, ops config.Ops, log *oplog.Log, metricTargets ...figures.Target) (*Loop, error) {
+func Open(conf config.Config, ops config.Ops, log *logging.Log, metricTargets ...metrics.Target) (*Loop, error) {
 	loop, err := newLoop(log.Kind(), log.Kind(), clockSinceEpoch(), conf.Limits.Sockets)
 	if err != nil {
 		return nil, err
@@ -66,7 +65,7 @@
 }
 
 // openRequestTable makes the request table with the policy that decides.
-func (l *Loop) openRequestTable(conf config.Config, ops config.Ops, log *oplog.Log) (err error) {
+func (l *Loop) openRequestTable(conf config.Config, ops config.Ops, log *logging.Log) (err error) {
 	decisionLog := log.Kind()
 	if ops.Capture != nil {
 		if l.Capture, err = capture.New(*ops.Capture, conf, l.Now, decisionLog); err != nil {
@@ -141,9 +140,9 @@
 }
 
 // openFeatures opens the operators' calls, the status call and metrics, where they are on.
-func (l *Loop) openFeatures(conf config.Config, ops config.Ops, metricTargets []figures.Target) error {
+func (l *Loop) openFeatures(conf config.Config, ops config.Ops, metricTargets []metrics.Target) error {
 	if conf.Management.IsValid() {
-		counts := tally.New(conf.Settings.Names.Classes)
+		counts := metrics.NewTotals(conf.Settings.Names.Classes)
 		if err := l.serveOperators(conf.Management, counts); err != nil {
 			return fmt.Errorf("key \"management\": %w", err)
 		}
@@ -160,7 +159,7 @@
 		if ops.Metrics.UDPTarget.IsValid() {
 			metricTargets = append(metricTargets, &collectorSocket{address: ops.Metrics.UDPTarget, fd: -1})
 		}
-		l.figures = figures.New(*ops.Metrics, conf.Settings.Names, l.Now, metricTargets...)
+		l.figures = metrics.New(*ops.Metrics, conf.Settings.Names, l.Now, metricTargets...)
 		l.Requests.AddObserver(l.figures)
 		l.sendFigures(l.figures)
 	}
--- a/internal/link/operator_calls.go
+++ b/internal/link/operator_calls.go
@@ -4,7 +4,7 @@
 	"net/url"
 	"strings"
 
-	"valvecove/internal/tally"
+	"valvecove/internal/metrics"
 )
 
 // Paths of the operators' calls.
@@ -74,7 +74,7 @@
 
 func (c *operatorConnection) respondMetrics() {
 	listener, loop := c.listener, c.listener.loop
-	listener.metricsText = listener.counts.Append(listener.metricsText[:0], tally.Now{
+	listener.metricsText = listener.counts.Append(listener.metricsText[:0], metrics.Gauges{
 		Inflight: loop.inFlightCount(),
 		Listed:   loop.Requests.ListedCount(),
 		Down:     loop.avoidedCount(),
--- a/internal/link/operator_connection.go
+++ b/internal/link/operator_connection.go
@@ -10,7 +10,7 @@
 
 	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
-	"valvecove/internal/tally"
+	"valvecove/internal/metrics"
 )
 
 const (
@@ -24,7 +24,7 @@
 // response however busy the scheduler is.
 type operatorListener struct {
 	managementListener // the oldest connection first
-	counts             *tally.Tally
+	counts             *metrics.Totals
 	metricsText        []byte // that was sent last
 }
 
@@ -58,7 +58,7 @@
 }
 
 // serveOperators serves the operators' calls at their own address.
-func (l *Loop) serveOperators(address netip.AddrPort, counts *tally.Tally) error {
+func (l *Loop) serveOperators(address netip.AddrPort, counts *metrics.Totals) error {
 	listener := &operatorListener{managementListener: managementListener{loop: l}, counts: counts}
 	fd, err := l.Listen(address, listener)
 	if err != nil {
