--- a/internal/link/metrics_sender.go
+++ b/internal/link/metrics_sender.go
@@ -52,15 +52,15 @@
 }
 
 // sendFigures gathers metrics and sends them, again and again.
-func (l *Loop) sendFigures(sent *metrics.Figures) {
-	l.After(sent.Every(), func() {
+func (l *Loop) sendFigures(sent *metrics.Exporter) {
+	l.After(sent.Interval(), func() {
 		l.sendFigures(sent)
 		sent.Gather()
 		l.sendFigureBatches(sent)
 	})
 }
 
-func (l *Loop) sendFigureBatches(sent *metrics.Figures) {
+func (l *Loop) sendFigureBatches(sent *metrics.Exporter) {
 	if more := sent.Send(maxBatchesPerIteration); more {
 		l.After(0, func() { l.sendFigureBatches(sent) })
 	}
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -25,8 +25,8 @@
 
 // Open returns a loop that listens and is ready to run, with the features that are on. metricTargets are targets of metrics
 // besides a collector. An error names the key of the configuration that is at fault.
-func Open(conf config.Config, ops config.Ops, log *logging.Log, metricTargets ...metrics.Target) (*Loop, error) {
-	loop, err := newLoop(log.Kind(), log.Kind(), clockSinceEpoch(), conf.Limits.Sockets)
+func Open(conf config.Config, ops config.Ops, log *logging.Factory, metricTargets ...metrics.Target) (*Loop, error) {
+	loop, err := newLoop(log.NewLogger(), log.NewLogger(), clockSinceEpoch(), conf.Limits.Sockets)
 	if err != nil {
 		return nil, err
 	}
@@ -65,8 +65,8 @@
 }
 
 // openRequestTable makes the request table with the policy that decides.
-func (l *Loop) openRequestTable(conf config.Config, ops config.Ops, log *logging.Log) (err error) {
-	decisionLog := log.Kind()
+func (l *Loop) openRequestTable(conf config.Config, ops config.Ops, log *logging.Factory) (err error) {
+	decisionLog := log.NewLogger()
 	if ops.Capture != nil {
 		if l.Capture, err = capture.New(*ops.Capture, conf, l.Now, decisionLog); err != nil {
 			return fmt.Errorf("key \"capture.dir\": %w", err)
@@ -159,7 +159,7 @@
 		if ops.Metrics.UDPTarget.IsValid() {
 			metricTargets = append(metricTargets, &collectorSocket{address: ops.Metrics.UDPTarget, fd: -1})
 		}
-		l.figures = metrics.New(*ops.Metrics, conf.Settings.Names, l.Now, metricTargets...)
+		l.figures = metrics.NewExporter(*ops.Metrics, conf.Settings.Names, l.Now, metricTargets...)
 		l.Requests.AddObserver(l.figures)
 		l.sendFigures(l.figures)
 	}
