--- a/internal/link/operators_test.go
+++ b/internal/link/operators_test.go
@@ -175,11 +175,11 @@
 // are still handed out. A call that changes nothing, so that no step is due, is answered as soon.
 func TestCordonIsAnsweredAfterStep(t *testing.T) {
 	w := withOperators(&modeltest.Steps{T: t})
-	dispatcher := dispatch.New(*w.loop.clients.set, 1)
-	w.loop.decides = dispatcher
+	dispatcher := dispatch.New(*w.loop.clients.settings, 1)
+	w.loop.dispatcher = dispatcher
 	endpoints := requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
 	newPolicy := func() requests.Policy { return dispatcher }
-	w.loop.Ledger = requests.New(6, requests.NameTable{}, newPolicy, endpoints, w.loop.servers, slog.New(slog.DiscardHandler))
+	w.loop.Requests = requests.New(6, requests.NameTable{}, newPolicy, endpoints, w.loop.workers, slog.New(slog.DiscardHandler))
 	w.turn()
 	for _, call := range []struct{ action, answer, figure string }{
 		{"suspend", "200 out", "edge_proxy.hosts_down=1"},
