--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -19,7 +19,7 @@
 
 func TestGoldenPlatformFile(t *testing.T) {
 	text := storedform.Golden(t, goldenPlatform)
-	got, err := Decode(text, none)
+	got, err := Decode(text, noEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/config/ops_metrics.go
@@ -0,0 +1,39 @@
+package config
+
+import (
+	"net/netip"
+	"time"
+)
+
+// Metrics configures the export of counters, gauges and timers to a collector. With neither a target nor a file they go to
+// standard error.
+type Metrics struct {
+	Format        string // statsd or influx
+	FlushInterval time.Duration
+	UDPTarget     netip.AddrPort // not valid: none
+	File          string         // empty: none
+	MaxBatchBytes int            // of one datagram or write
+}
+
+const (
+	defaultFlushMilliseconds = 10_000
+	minFlushMilliseconds     = 10
+	maxFlushMilliseconds     = 3_600_000
+	defaultMaxBatchBytes     = 1400
+	maxMaxBatchBytes         = 65_000
+)
+
+func decodeMetrics(section *table) Metrics {
+	return Metrics{
+		Format:        section.choice("format", "statsd", "statsd", "influx"),
+		FlushInterval: decodeFlushInterval(section),
+		UDPTarget:     section.addrPort("udp_target"),
+		File:          section.text("file"),
+		MaxBatchBytes: section.integer("max_batch_bytes", defaultMaxBatchBytes, 1, maxMaxBatchBytes),
+	}
+}
+
+func decodeFlushInterval(section *table) time.Duration {
+	milliseconds := section.integer("flush_ms", defaultFlushMilliseconds, minFlushMilliseconds, maxFlushMilliseconds)
+	return time.Duration(milliseconds) * time.Millisecond
+}
--- a/internal/config/ops_test.go
+++ b/internal/config/ops_test.go
@@ -11,8 +11,7 @@
 	"valvecove/internal/aperture"
 )
 
-// Each fault of the operators' file names its key.
-func TestOpsFaults(t *testing.T) {
+func TestDecodeOpsErrorsNameTheKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"status = 1":                                   `key "status": expected a table`,
 		"[status]":                                     `key "status.listen_port": missing`,
@@ -60,121 +59,107 @@
 	}
 }
 
-// What is absent is off, or has its default; what does not go with the platform's configuration is a fault.
-func TestOps(t *testing.T) {
-	c, err := Decode([]byte(sound), none)
+func TestDecodeOpsOfEmptyFile(t *testing.T) {
+	if ops := decodeValidOps(t, "# nothing"); ops != (Ops{}) {
+		t.Errorf("%+v", ops)
+	}
+}
+
+// The deployment's file has no errors, and goes together with the platform's. The status call is off there.
+func TestDecodeOpsOfDeployment(t *testing.T) {
+	text, err := os.ReadFile("../../deploy/ops.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if o, err := DecodeOps("# nothing"); err != nil || o.Status != nil || o.Capture != nil || o.Replay != nil {
-		t.Errorf("an empty file: %+v, %v", o, err)
-	}
-	o, err := DecodeOps("[log]\n")
-	if err != nil || o.Log != (Log{}) || o.Log.Level != slog.LevelInfo {
-		t.Errorf("defaults: %+v, %v", o.Log, err)
-	}
-	if o, err = DecodeOps("[log]\nformat = 'json'\nlevel = 'debug'"); err != nil || o.Log != (Log{true, slog.LevelDebug}) {
-		t.Errorf("log: %+v, %v", o.Log, err)
+	ops := decodeValidOps(t, string(text))
+	if err := ops.Check(decodeValid(t)); err != nil || ops.Capture == nil || ops.Status != nil {
+		t.Errorf("%+v, %v", ops, err)
 	}
-	o, err = DecodeOps("[capture]\n")
-	if err != nil || *o.Capture != (Capture{MemoryKB: 512, FileMB: 8, Files: 4}) || o.Check(c) != nil {
-		t.Errorf("defaults: %+v, %v", o.Capture, err)
-	}
-	if o.Capture.MemoryKB = 192<<10/8 + 1; o.Check(c) == nil {
-		t.Error("a ring that takes up much of the memory")
-	}
-	if o, err = DecodeOps("[aperture]\nleast = 30\ndwell_s = 1.5"); err != nil || o.Aperture.MinWorkers != 30 ||
-		o.Aperture.Retention != 1500*time.Millisecond || o.Aperture.Coverage != aperture.DefaultConfig().Coverage {
-		t.Errorf("aperture: %+v, %v", o.Aperture, err)
+}
+
+func TestDecodeOpsLog(t *testing.T) {
+	for text, want := range map[string]Log{
+		"[log]\n": {Level: slog.LevelInfo},
+		"[log]\nformat = 'json'\nlevel = 'debug'": {JSON: true, Level: slog.LevelDebug},
+	} {
+		if got := decodeValidOps(t, text).Log; got != want {
+			t.Errorf("%q: %+v, expected %+v", text, got, want)
+		}
 	}
-	o, err = DecodeOps("[figures]\n")
-	if err != nil || *o.Metrics != (Metrics{Format: "statsd", FlushInterval: 10 * time.Second, MaxBatchBytes: 1400}) {
-		t.Errorf("defaults: %+v, %v", o.Metrics, err)
+	if want := (Log{}); decodeValidOps(t, "[log]\n").Log != want {
+		t.Error("the defaults are not the zero value")
 	}
-	o, err = DecodeOps(`[addresses]
-allow = ["10.20.1.1/16", "::ffff:10.0.0.0/104", "fd00:5a::/48"]`)
-	if a := o.Addresses; err != nil || fmt.Sprint(a.Allow) != "[10.20.0.0/16 10.0.0.0/8 fd00:5a::/48]" || a.Deny != nil || a.TrustedProxies != nil {
-		t.Errorf("ranges: %+v, %v", a, err)
+}
+
+func TestDecodeOpsStatus(t *testing.T) {
+	for text, want := range map[string]Status{
+		"[status]\nlisten_port = 9000": {Port: 9000, Retention: 600 * time.Second, MaxEntries: 20_000},
+		"[status]\nlisten_port = 9001\nretain_s = 0.5\nmax_entries = 7": {
+			Port: 9001, Retention: 500 * time.Millisecond, MaxEntries: 7,
+		},
+	} {
+		if got := *decodeValidOps(t, text).Status; got != want {
+			t.Errorf("%q: %+v, expected %+v", text, got, want)
+		}
 	}
-	if text, err := os.ReadFile("../../deploy/ops.toml"); err != nil {
-		t.Error(err)
-	} else if o, err := DecodeOps(string(text)); err != nil || o.Capture == nil || o.Status != nil || o.Check(c) != nil {
-		t.Errorf("ours: %+v, %v", o, err)
+}
+
+func TestStatusAddr(t *testing.T) {
+	ops := decodeValidOps(t, "[status]\nlisten_port = 9001")
+	config := decodeValid(t)
+	if got := ops.StatusAddr(config).String(); got != "127.0.0.1:9001" || ops.Check(config) != nil {
+		t.Errorf("%s, %v", got, ops.Check(config))
 	}
-	o, err = DecodeOps("[status]\nlisten_port = 9000")
-	if err != nil || *o.Status != (Status{9000, 600 * time.Second, 20_000}) {
-		t.Errorf("defaults: %+v, %v", o.Status, err)
+}
+
+func TestCheckRejectsPortOfListen(t *testing.T) {
+	ops := decodeValidOps(t, "[status]\nlisten_port = 9000")
+	if err := ops.Check(decodeValid(t)); err == nil || !strings.Contains(err.Error(), `key "status.listen_port"`) {
+		t.Errorf("%v", err)
 	}
-	if err := o.Check(c); err == nil || !strings.Contains(err.Error(), `key "status.listen_port"`) {
-		t.Errorf("the port of PROXY_LISTEN: %v", err)
+}
+
+func TestDecodeOpsCapture(t *testing.T) {
+	ops := decodeValidOps(t, "[capture]\n")
+	if *ops.Capture != (Capture{MemoryKB: 512, FileMB: 8, Files: 4}) {
+		t.Errorf("%+v", ops.Capture)
 	}
-	o, _ = DecodeOps("[status]\nlisten_port = 9001\nretain_s = 0.5\nmax_entries = 7")
-	if err := o.Check(c); err != nil || *o.Status != (Status{9001, 500 * time.Millisecond, 7}) || o.StatusAddr(c).String() != "127.0.0.1:9001" {
-		t.Errorf("%+v, %v", o.Status, err)
+}
+
+// The ring may have an eighth of the memory limit.
+func TestCheckRejectsRingTooLargeForMemory(t *testing.T) {
+	ops := decodeValidOps(t, "[capture]\n")
+	config := decodeValid(t)
+	if err := ops.Check(config); err != nil {
+		t.Errorf("the default of %d KB: %v", ops.Capture.MemoryKB, err)
+	}
+	ops.Capture.MemoryKB = 192<<10/8 + 1
+	const want = `key "capture.memory_kb": expected 24576 at most where limits.memory_mb is 192, got 24577`
+	if err := ops.Check(config); err == nil || err.Error() != want {
+		t.Errorf("%v, expected %s", err, want)
 	}
 }
 
-// All that is wrong with both files is told, in its order and with the file, and a start names the first; what follows
-// from a fault is not told beside it.
-func TestAllFaults(t *testing.T) {
-	dir := t.TempDir()
-	put := func(name, text string) string {
-		if err := os.WriteFile(dir+name, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return dir + name
+func TestDecodeOpsAperture(t *testing.T) {
+	want := aperture.DefaultConfig()
+	want.MinWorkers = 30
+	want.Retention = 1500 * time.Millisecond
+	if got := *decodeValidOps(t, "[aperture]\nleast = 30\ndwell_s = 1.5").Aperture; got != want {
+		t.Errorf("%+v, expected %+v", got, want)
 	}
-	many := "[replay]\n"
-	for n := range 2 * mostFaults {
-		many += fmt.Sprintf("k%d = 1\n", n)
+}
+
+func TestDecodeOpsMetrics(t *testing.T) {
+	want := Metrics{Format: "statsd", FlushInterval: 10 * time.Second, MaxBatchBytes: 1400}
+	if got := *decodeValidOps(t, "[figures]\n").Metrics; got != want {
+		t.Errorf("%+v, expected %+v", got, want)
 	}
-	for _, c := range []struct {
-		platform []string // what is replaced, by what
-		ops      string
-		want     string
-	}{
-		{
-			[]string{
-				`"listen":"127.0.0.1:9000"`, `"listen":"here"`, `"memory_mb":192`, `"memory_mb":"all"`, `"sockets":1024`, `"sockets":7`,
-				`"give_up":5000000`, `"give_up":0`, `"name":"b"`, `"nom":"b"`, `"try_limit":6`, `"try_limit":"x"`,
-			},
-			"[no]",
-			`c: key "limits.memory_mb": expected a number; c: key "settings.bounds.try_limit": expected a number; ` +
-				`c: key "listen": expected an address and port, got "here"; c: key "limits.sockets": expected 64 at least, got 7; ` +
-				`c: key "settings.classes[0].give_up": expected more than 0, got 0s; c: key "settings.classes[1].name": missing; o: key "no": not known`,
-		},
-		{
-			[]string{`"settings":{`, `"settings":[],"x":{`, `:8500"`, `"`},
-			"[status]\nlisten_port = 9000",
-			`c: key "settings": expected an object; c: key "discovery": expected an address and port, got "127.0.0.1"`,
-		},
-		{
-			[]string{`"listen":"127.0.0.1:9000"`, `"listen":9`, `"seed":"8c1f"`, `"seed":`},
-			"",
-			`c: key "listen": expected text; c: key "seed": expected text`,
-		},
-		{
-			nil, "[status]\nlisten_port = 9000\n[log]\nlevel = 1\n[capture]\nmemory_kb = 1048577\nmore = 1\nless = 1",
-			`o: key "log.level": expected text; o: key "capture.memory_kb": expected 64 to 1048576, got 1048577; ` +
-				`o: key "capture.less": not known; o: key "capture.more": not known; o: key "status.listen_port": 9000 is the port of PROXY_LISTEN`,
-		},
-		{nil, many, strings.Repeat("o; ", mostFaults-1) + "o"},
-	} {
-		path, ops := put("c", strings.NewReplacer(c.platform...).Replace(sound)), put("o", c.ops)
-		env := func(name string) string { return map[string]string{"PROXY_CONFIG": path}[name] }
-		_, _, faults := LoadAll(env, ops)
-		var told []string
-		for _, f := range faults {
-			told = append(told, strings.TrimPrefix(f.Error(), dir))
-			if c.ops == many {
-				told[len(told)-1] = "o"
-			}
-		}
-		if got := strings.Join(told, "; "); got != c.want {
-			t.Errorf("%s,\nexpected %s", got, c.want)
-		}
-		if _, err := Load(env); len(c.platform) > 0 && (err == nil || err.Error() != faults[0].Error()) {
-			t.Errorf("a start says %v, expected %v", err, faults[0])
-		}
+}
+
+func TestDecodeOpsAddresses(t *testing.T) {
+	addresses := decodeValidOps(t, `[addresses]
+allow = ["10.20.1.1/16", "::ffff:10.0.0.0/104", "fd00:5a::/48"]`).Addresses
+	if fmt.Sprint(addresses.Allow) != "[10.20.0.0/16 10.0.0.0/8 fd00:5a::/48]" || addresses.Deny != nil || addresses.TrustedProxies != nil {
+		t.Errorf("%+v", addresses)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -2,261 +2,132 @@
 
 import (
 	"slices"
+	"strconv"
 	"time"
 
-	jsoniter "github.com/json-iterator/go"
-
 	"valvecove/dispatch"
 	"valvecove/internal/requests"
 )
 
-// Settings is what the platform tells of a deployment: the module's settings, and the words by which messages
-// name classes, tenants, zones and kinds.
+// Settings are the deployment's settings: those of the dispatcher, and the names by which messages refer to classes,
+// tenants, zones and machine types.
 type Settings struct {
 	dispatch.Settings
 	Names requests.NameTable
 }
 
-// DecodeSettings reads the settings object in the platform's words, with times in microseconds. Keys that are
-// not known are skipped, and those that are absent leave their zero value. Errors name the key.
+// DecodeSettings reads the object settings of the platform's file, in which times are in microseconds. Keys that are not
+// known are skipped, and those that are absent leave their zero value. The error is the first *KeyError.
 func DecodeSettings(object []byte) (Settings, error) { return decodeSettings(object) }
 
-// decodeSettings says in its errors where the object stands.
-func decodeSettings(object []byte, under ...string) (Settings, error) {
-	d := decoder{walker: walker{it: jsoniter.ParseBytes(jsoniter.ConfigDefault, object), path: under}}
-	d.settings()
-	d.end()
-	return d.set, d.faults.first()
-}
-
-// decoder walks the object and puts each figure where it belongs. What two keys decide together waits in the
-// unexported fields until the end.
-type decoder struct {
-	walker
-	set                Settings
-	classKind          []float64
-	classStretch       []float64
-	aimStretch         map[int]float64
-	retryAfter         bool
-	maxRetry           time.Duration
-	fields             []string
-	reportX0, reportX1 string
+// decodeSettings reads an object that stands at a path of its file.
+func decodeSettings(object []byte, path ...string) (Settings, error) {
+	decoder := settingsDecoder{jsonReader: newJSONReader(object, path...)}
+	decoder.read()
+	decoder.end()
+	return decoder.settings, decoder.errors.first()
 }
 
-var effects = map[string]dispatch.Idempotency{"pure": dispatch.Idempotent, "token": dispatch.IdempotentWithKey}
-
-var groups = map[string]dispatch.DeduplicationScope{"zone": dispatch.ScopeZone, "all": dispatch.ScopeAll}
-
-func (d *decoder) settings() {
-	s := &d.set.Settings
-	d.object(func(key string) {
-		switch key {
-		case "replicas_of_me":
-			s.Replicas = d.whole()
-		case "me":
-			s.ReplicaIndex = d.whole()
-		case "zone":
-			s.Zone = d.whole()
-		case "zones":
-			d.set.Names.Zones = d.texts()
-		case "kinds":
-			d.set.Names.MachineTypes = d.texts()
-		case "discovery":
-			s.MustSubscribe = d.text() == "subscribe"
-		case "classes":
-			d.list(d.class)
-		case "tenants":
-			d.list(d.tenant)
-		case "bounds":
-			d.object(d.bound)
-		case "domain":
-			d.object(d.domain)
-		case "prices":
-			d.object(d.price)
-		case "rules":
-			d.object(d.rule)
-		case "goal":
-			d.object(func(key string) {
-				switch key {
-				case "tail_part":
-					s.TailShare = d.number()
-				case "borne_misses":
-					s.MissBudget = d.number()
-				default:
-					d.skip()
-				}
-			})
-		case "telemetry":
-			d.object(func(key string) {
-				if key == "fields" {
-					d.fields = d.texts()
-				} else {
-					d.skip()
-				}
-			})
-		default:
-			d.skip()
-		}
-	})
-	d.finish()
-}
-
-func (d *decoder) class(i int) {
-	c, name := dispatch.Class{}, ""
-	d.object(func(key string) {
-		switch key {
-		case "name":
-			name = d.text()
-		case "promise":
-			c.LatencyObjective = d.span()
-		case "aim_stretch":
-			if d.present() {
-				if d.aimStretch == nil {
-					d.aimStretch = map[int]float64{}
-				}
-				d.aimStretch[i] = d.number()
-			}
-		case "give_up":
-			c.ClientTimeout = d.span()
-		case "idempotency":
-			c.Idempotency = effects[d.text()] // one that is not known is taken as the strictest
-		case "dedup_scope":
-			c.DeduplicationScope = groups[d.text()]
-		case "window":
-			c.DeduplicationWindow = d.span()
-		case "late_share":
-			c.LateValue = d.number()
-		case "gain":
-			c.PriorityWeight = d.number()
-		case "bound_to":
-			c.Kinds = d.wholes()
-		case "allowed_in":
-			c.Zones = d.wholes()
-		default:
-			d.skip()
-		}
-	})
-	d.set.Classes = append(d.set.Classes, c)
-	d.set.Names.Classes = append(d.set.Names.Classes, name)
+// settingsDecoder reads the object settings. What several keys decide together is kept until all are read.
+type settingsDecoder struct {
+	*jsonReader
+	settings Settings
+
+	kindOfClass     []float64       // domain.class_kind; below 0: any
+	stretchOfClass  []float64       // domain.class_stretch
+	explicitStretch map[int]float64 // classes[i].aim_stretch, which has precedence
+	sendRetryAfter  bool
+	maxRetryAfter   time.Duration
+	reportFields    []string // names of the fields of load reports, in order
+	meanings        reportMeanings
 }
 
-func (d *decoder) tenant(int) {
-	name, quota := "", 0.0
-	d.object(func(key string) {
-		switch key {
-		case "name":
-			name = d.text()
-		case "quota_per_s":
-			quota = d.number()
-		default:
-			d.skip()
-		}
+// read reads the object.
+func (d *settingsDecoder) read() {
+	settings := &d.settings
+	d.object(fields{
+		"replicas_of_me": func() { settings.Replicas = d.integer() },
+		"me":             func() { settings.ReplicaIndex = d.integer() },
+		"zone":           func() { settings.Zone = d.integer() },
+		"zones":          func() { settings.Names.Zones = d.texts() },
+		"kinds":          func() { settings.Names.MachineTypes = d.texts() },
+		"discovery":      func() { settings.MustSubscribe = d.text() == "subscribe" },
+		"classes":        func() { d.list(d.readClass) },
+		"tenants":        func() { d.list(d.readTenant) },
+		"bounds":         d.readBounds,
+		"domain":         d.readDomain,
+		"prices":         d.readPrices,
+		"rules":          d.readRules,
+		"goal":           d.readGoal,
+		"telemetry":      d.readTelemetry,
 	})
-	d.set.TenantQuota = append(d.set.TenantQuota, quota)
-	d.set.Names.Tenants = append(d.set.Names.Tenants, name)
+	d.combine()
 }
 
-func (d *decoder) bound(key string) {
-	s := &d.set.Settings
-	switch key {
-	case "try_limit":
-		s.AttemptLimit = d.whole()
-	case "second_copies":
-		s.Hedging = d.flag()
-	case "cancelling":
-		s.Cancellation = d.flag()
-	case "probes":
-		s.HealthChecks = d.flag()
-	case "retry_after":
-		d.retryAfter = d.flag()
-	case "max_retry_after":
-		d.maxRetry = d.span()
-	case "connect_timeout":
-		s.ConnectTimeout = d.span()
-	case "conn_idle":
-		s.ConnIdleTimeout = d.span()
-	default:
-		d.skip()
+// combine sets what several keys decide together.
+func (d *settingsDecoder) combine() {
+	if d.sendRetryAfter {
+		d.settings.MaxRetryAfter = d.maxRetryAfter
 	}
-}
-
-func (d *decoder) domain(key string) {
-	switch key {
-	case "class_kind":
-		d.classKind = d.numbers()
-	case "class_stretch":
-		d.classStretch = d.numbers()
-	case "progress":
-		d.set.ProgressInterval = d.span()
-	case "tells_start":
-		d.set.StartNotifications = d.flag()
-	case "report_x0":
-		d.reportX0 = d.text()
-	case "report_x1":
-		d.reportX1 = d.text()
-	default:
-		d.skip()
+	for i := range d.settings.Classes {
+		d.combineClass(i)
+	}
+	for _, name := range d.reportFields {
+		d.settings.ReportFields = append(d.settings.ReportFields, d.meanings.field(name))
 	}
 }
 
-func (d *decoder) price(key string) {
-	switch key {
-	case "probe":
-		d.set.HealthCheckCost = d.number()
-	case "cross_zone":
-		d.set.CrossZoneCost = d.number()
-	case "handshake":
-		d.set.HandshakeCost = d.number()
-	default:
-		d.skip()
+// combineClass sets what a class's own keys and the section domain decide together.
+func (d *settingsDecoder) combineClass(index int) {
+	class := &d.settings.Classes[index]
+	if index < len(d.kindOfClass) && d.kindOfClass[index] >= 0 {
+		class.Kinds = onlyKind(class.Kinds, int(d.kindOfClass[index]))
+	}
+	if index < len(d.stretchOfClass) {
+		class.ObjectiveStretch = d.stretchOfClass[index]
+	}
+	if stretch, ok := d.explicitStretch[index]; ok {
+		class.ObjectiveStretch = stretch
 	}
 }
 
-func (d *decoder) rule(key string) {
-	s := &d.set.Settings
-	switch key {
-	case "ask_every":
-		s.PollInterval = d.span()
-	case "cold":
-		s.WarmUp = d.span()
-	case "cold_from":
-		s.WarmUpCapacity = d.number()
-	case "overload_factor":
-		s.OverloadFactor = d.number()
-	case "fall":
-		s.OverloadWindow = d.span()
-	default:
-		d.skip()
+// noKind is a machine type that no worker has.
+const noKind = -1
+
+// onlyKind restricts the allowed machine types, where nil allows all, to one.
+func onlyKind(allowed []int, kind int) []int {
+	if allowed != nil && !slices.Contains(allowed, kind) {
+		return []int{noKind}
 	}
+	return []int{kind}
 }
 
-// finish settles what several keys decide together.
-func (d *decoder) finish() {
-	s := &d.set.Settings
-	if d.retryAfter {
-		s.MaxRetryAfter = d.maxRetry
+// check reports settings that a scheduler can't work with. path is where they stand.
+func (s *Settings) check(errs *keyErrors, path ...string) {
+	report := func(err error, key ...string) {
+		errs.add(newKeyError(slices.Concat(path, key), err))
 	}
-	for i := range s.Classes {
-		c := &s.Classes[i]
-		if i < len(d.classKind) && d.classKind[i] >= 0 {
-			only := int(d.classKind[i])
-			if c.Kinds != nil && !slices.Contains(c.Kinds, only) {
-				only = -1 // the two leave no kind at all
-			}
-			c.Kinds = []int{only}
-		}
-		if i < len(d.classStretch) {
-			c.ObjectiveStretch = d.classStretch[i]
+	if len(s.Classes) == 0 {
+		report(&ValueError{Expected: "one class at least"}, "classes")
+	}
+	if s.AttemptLimit < 1 {
+		report(&ValueError{Expected: atLeast(1), Value: s.AttemptLimit}, "bounds", "try_limit")
+	}
+	if s.ConnectTimeout <= 0 {
+		report(&ValueError{Expected: "more than 0", Value: s.ConnectTimeout}, "bounds", "connect_timeout")
+	}
+	for i, class := range s.Classes {
+		index := strconv.Itoa(i)
+		if s.Names.Classes[i] == "" {
+			report(&MissingError{}, "classes", index, "name")
 		}
-		if x, ok := d.aimStretch[i]; ok {
-			c.ObjectiveStretch = x
+		if class.ClientTimeout <= 0 {
+			report(&ValueError{Expected: "more than 0", Value: class.ClientTimeout}, "classes", index, "give_up")
 		}
 	}
-	for _, name := range d.fields {
-		field := dispatch.ReportFieldOther
-		if name == "x0" && d.reportX0 == "free slots" || name == "x1" && d.reportX1 == "free slots" {
-			field = dispatch.ReportFieldFreeSlots
+	for i, name := range s.Names.Tenants {
+		if name == "" {
+			report(&MissingError{}, "tenants", strconv.Itoa(i), "name")
 		}
-		s.ReportFields = append(s.ReportFields, field)
 	}
 }
