--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -1,7 +1,6 @@
 package dispatch
 
 import (
-	"bytes"
 	"container/heap"
 	"crypto/sha256"
 	"encoding/binary"
@@ -19,48 +18,73 @@
 
 const decisionsFile = "testdata/decisions.txt"
 
+// decisionSequence is one sequence of events, and the hash of what a dispatcher decides on it.
+type decisionSequence struct {
+	name string
+	run  func(t *testing.T) *decisionHash
+}
+
+func decisionSequences() []decisionSequence {
+	var sequences []decisionSequence
+	for seed := range uint64(120) {
+		sequences = append(sequences, decisionSequence{
+			name: fmt.Sprintf("random-events-%d", seed),
+			run:  func(*testing.T) *decisionHash { return randomDecisions(seed) },
+		})
+	}
+	for _, c := range decisionCases() {
+		sequences = append(sequences, decisionSequence{c.name, c.run})
+	}
+	return sequences
+}
+
 // TestDecisionsUnchanged feeds the dispatcher long sequences of events and compares a hash of all its actions, and of
 // its snapshots every so often, with the one that an earlier build left in testdata/decisions.txt. A change of the code
 // that is meant to change no decision keeps every line. The figures beside each hash show what a sequence covers.
 func TestDecisionsUnchanged(t *testing.T) {
 	t.Parallel()
-	var got bytes.Buffer
-	for seed := range uint64(120) {
-		h := newDecisionHash()
-		steps := 0
-		observedRandomRun(seed, 400, func(d *Dispatcher, _ time.Duration, _ []Event, actions []Action) {
-			if actions == nil {
-				return
-			}
-			h.actions(actions)
-			if steps++; steps%25 == 0 {
-				h.snapshot(d)
-			}
-		})
-		fmt.Fprintf(&got, "random-events-%d %s\n", seed, h)
-	}
-	for _, c := range decisionCases() {
-		fmt.Fprintf(&got, "%s %s\n", c.name, c.run(t))
+	sequences := decisionSequences()
+	file, err := os.ReadFile(decisionsFile)
+	if err != nil && !*updateGolden {
+		t.Fatal(err)
 	}
+	want := strings.Split(strings.TrimSuffix(string(file), "\n"), "\n")
+	if len(want) != len(sequences) && !*updateGolden {
+		t.Fatalf("%s has %d sequences, expected %d", decisionsFile, len(want), len(sequences))
+	}
+	got := make([]string, len(sequences))
+	t.Run("sequences", func(t *testing.T) {
+		for i, sequence := range sequences {
+			t.Run(sequence.name, func(t *testing.T) {
+				t.Parallel()
+				got[i] = fmt.Sprintf("%s %s", sequence.name, sequence.run(t))
+				if !*updateGolden && got[i] != want[i] {
+					t.Errorf("decisions changed:\ngot  %s\nwant %s", got[i], want[i])
+				}
+			})
+		}
+	})
 	if *updateGolden {
-		if err := os.WriteFile(decisionsFile, got.Bytes(), 0o600); err != nil {
+		if err := os.WriteFile(decisionsFile, []byte(strings.Join(got, "\n")+"\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return
-	}
-	want, err := os.ReadFile(decisionsFile)
-	if err != nil {
-		t.Fatal(err)
-	}
-	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(got.String(), "\n")
-	if len(wantLines) != len(gotLines) {
-		t.Fatalf("%d sequences, expected %d", len(gotLines), len(wantLines))
 	}
-	for i, line := range gotLines {
-		if line != wantLines[i] {
-			t.Errorf("decisions changed:\ngot  %s\nwant %s", line, wantLines[i])
+}
+
+// randomDecisions is the hash of a random run, whose events come from no model of a fleet.
+func randomDecisions(seed uint64) *decisionHash {
+	h := newDecisionHash()
+	steps := 0
+	observedRandomRun(seed, 400, func(d *Dispatcher, _ time.Duration, _ []Event, actions []Action) {
+		if actions == nil {
+			return
 		}
-	}
+		h.actions(actions)
+		if steps++; steps%25 == 0 {
+			h.snapshot(d)
+		}
+	})
+	return h
 }
 
 // decisionHash is a hash of actions and snapshots. It names no Go type or field, so that a rename leaves it as it is.
@@ -140,6 +164,7 @@
 	cordons  bool
 	handover bool // jobs and what was learnt come from another dispatcher
 	assigned bool // the list says which dispatchers may use a warming worker
+	single   bool // every job takes one slot, and a run's end is notified before the next start
 	idle     bool // pauses in which connections go idle, and some of these break
 }
 
@@ -198,6 +223,16 @@
 		{name: "crowded", set: with(1, func(s *Settings) { s.ReportFields, s.HealthChecks = nil, false }), workers: 3, slots: 2, rate: 45, noise: 0.2, span: 20 * time.Second},
 		{name: "wide-overload", set: with(1, keep), workers: 300, slots: 2, rate: 4000, noise: 0.3, span: 3 * time.Second},
 		{name: "wide", set: with(1, func(s *Settings) { s.ReportFields = nil }), workers: 300, slots: 2, rate: 400, noise: 0.3, span: 8 * time.Second},
+		{
+			name: "late-starts", set: with(1, func(s *Settings) {
+				s.ReportFields, s.HealthChecks, s.Hedging = nil, false, false
+				s.Classes = []Class{{
+					LatencyObjective: 400 * ms, ObjectiveStretch: 12, ClientTimeout: 8 * time.Second, Idempotency: NonIdempotent,
+					LateValue: 0.9, PriorityWeight: 1,
+				}}
+			}), workers: 6, slots: 2, rate: 90, noise: 0.2, span: 20 * time.Second, single: true,
+		},
+		{name: "large-jobs", set: with(1, keep), workers: 260, slots: 2, rate: 5000, noise: 0.3, span: 3 * time.Second},
 	}
 }
 
@@ -398,6 +433,9 @@
 	if p.rng.IntN(12) == 0 {
 		slots = float64(1 + p.rng.IntN(p.slots))
 	}
+	if p.single {
+		slots = 1
+	}
 	hint := time.Duration(float64(run) * (1 + p.noise*(2*p.rng.Float64()-1)))
 	if p.rng.IntN(15) == 0 {
 		hint = 0
@@ -516,32 +554,47 @@
 	for !w.hung && w.running < p.slots && len(w.queue) > 0 {
 		a := w.queue[0]
 		w.queue = w.queue[1:]
-		if a.ended || a.incarnation != w.incarnation {
-			continue
+		if !a.ended && a.incarnation == w.incarnation {
+			p.start(a, w)
 		}
-		a.runs = true
-		w.running++
-		run := time.Duration(float64(a.job.length) / (w.speed * p.warmUpShare(w)))
-		if p.set.StartNotifications && p.rng.IntN(50) > 0 {
-			p.after(2*ms, func() { p.notify(a, Started{Job: a.job.ID, Attempt: a.number, Worker: w.ID}) })
-		}
-		if p.set.ProgressInterval > 0 {
-			for at := p.set.ProgressInterval; at < run; at += p.set.ProgressInterval {
-				share := float64(at) / float64(run)
-				p.after(at, func() { p.notify(a, Progressed{Job: a.job.ID, Attempt: a.number, Worker: w.ID, Share: share}) })
-			}
+	}
+}
+
+// start has an attempt run at its worker.
+func (p *decisionRun) start(a *simulatedAttempt, w *simulatedWorker) {
+	a.runs = true
+	w.running++
+	run := time.Duration(float64(a.job.length) / (w.speed * p.warmUpShare(w)))
+	if p.set.StartNotifications && p.rng.IntN(50) > 0 {
+		p.after(2*ms, func() { p.notify(a, Started{Job: a.job.ID, Attempt: a.number, Worker: w.ID}) })
+	}
+	if p.set.ProgressInterval > 0 {
+		for at := p.set.ProgressInterval; at < run; at += p.set.ProgressInterval {
+			share := float64(at) / float64(run)
+			p.after(at, func() { p.notify(a, Progressed{Job: a.job.ID, Attempt: a.number, Worker: w.ID, Share: share}) })
 		}
-		if p.rng.IntN(30) == 0 {
-			p.after(run/2, func() { p.notify(a, ResponseStarted{Job: a.job.ID, Attempt: a.number, Worker: w.ID}) })
+	}
+	if p.rng.IntN(30) == 0 {
+		p.after(run/2, func() { p.notify(a, ResponseStarted{Job: a.job.ID, Attempt: a.number, Worker: w.ID}) })
+	}
+	incarnation := w.incarnation
+	p.after(run, func() {
+		if w.incarnation == incarnation {
+			p.endRun(a, w)
 		}
-		life := w.incarnation
-		p.after(run, func() {
-			if w.incarnation == life {
-				w.running--
-				p.serve(w)
-				p.after(2*ms, func() { p.finish(a, OK) })
-			}
-		})
+	})
+}
+
+// endRun has a run end, and the next one start.
+func (p *decisionRun) endRun(a *simulatedAttempt, w *simulatedWorker) {
+	w.running--
+	notifyEnd := func() { p.after(2*ms, func() { p.finish(a, OK) }) }
+	if p.single {
+		notifyEnd()
+		p.serve(w)
+	} else {
+		p.serve(w)
+		notifyEnd()
 	}
 }
 
--- a/internal/control/forwarder/realplanner_test.go
+++ b/internal/control/forwarder/realplanner_test.go
@@ -58,7 +58,7 @@
 		peers:      map[string]bool{},
 	}
 	process.onMessage = func(envelope message.Envelope) {
-		process.step(planner.Event{Kind: planner.ForwarderMessage, Session: process.sessionID, Envelope: envelope})
+		process.step(planner.ForwarderMessage{Session: process.sessionID, Envelope: envelope})
 	}
 	c.planners = append(c.planners, process)
 	c.connections = append(c.connections, &process.connection)
@@ -73,7 +73,7 @@
 			Revision: c.revision,
 		}
 		c.after(c.randomDuration(0, 40), func() {
-			process.step(planner.Event{Kind: planner.EndpointsChanged, Endpoints: list})
+			process.step(planner.EndpointsChanged{Endpoints: list})
 		})
 	}
 }
@@ -168,15 +168,15 @@
 			continue
 		}
 		p.peers[other.name] = isAlive
-		kind := planner.PeerDisconnected
+		var event planner.Event = planner.PeerDisconnected{Peer: other.name}
 		if isAlive {
-			kind = planner.PeerConnected
+			event = planner.PeerConnected{Peer: other.name}
 		}
-		p.step(planner.Event{Kind: kind, Peer: other.name})
+		p.step(event)
 	}
 	peers := slices.DeleteFunc(slices.Clone(alive), func(name string) bool { return name == p.name })
 	owner := func(worker *dispatch.Worker) string { return alive[worker.Cell%len(alive)] }
-	p.step(planner.Event{Kind: planner.PeersChanged, Names: peers}, planner.Event{Kind: planner.PartitionChanged, Owner: owner})
+	p.step(planner.PeersChanged{Names: peers}, planner.PartitionChanged{Owner: owner})
 }
 
 // start begins a process.
@@ -203,7 +203,7 @@
 			list.Workers = append(list.Workers, workerOf(endpoint))
 		}
 	}
-	p.step(planner.Event{Kind: planner.EndpointsChanged, Endpoints: list})
+	p.step(planner.EndpointsChanged{Endpoints: list})
 	p.env.after(p.env.randomDuration(1, 30), func() {
 		member := membership.Member{Name: p.name, Role: membership.RolePlanner, Incarnation: incarnation}
 		p.cluster.stepMembership(membership.MemberJoined{Member: member})
@@ -218,7 +218,7 @@
 	}
 	p.sessionID++
 	p.connection.connect()
-	p.step(planner.Event{Kind: planner.SessionOpened, Session: p.sessionID})
+	p.step(planner.SessionOpened{Session: p.sessionID})
 }
 
 // reconnect ends the connection; another one follows.
@@ -227,7 +227,7 @@
 		return
 	}
 	p.disconnect()
-	p.step(planner.Event{Kind: planner.SessionClosed, Session: p.sessionID})
+	p.step(planner.SessionClosed{Session: p.sessionID})
 	p.env.after(p.env.randomDuration(5, 100), p.connect)
 }
 
@@ -261,7 +261,7 @@
 
 // execute executes an action of the planner.
 func (p *plannerProcess) execute(action planner.Action) {
-	switch action.Kind {
+	switch action := action.(type) {
 	case planner.SendToForwarder:
 		if p.established && action.Session == p.sessionID {
 			p.send(action.Envelope)
@@ -273,12 +273,12 @@
 			p.closeSession()
 		}
 	case planner.SetTimer:
-		p.laterInProcess(action.After, planner.Event{Kind: planner.TimerFired})
+		p.laterInProcess(action.After, planner.TimerFired{})
 	case planner.WatchEndpoints:
 		delay := p.env.randomDuration(1, 20)
 		p.env.after(delay, p.inProcess(func() {
 			list := dispatch.WorkerList{Kind: dispatch.ListDelta, Revision: p.env.revision}
-			p.step(planner.Event{Kind: planner.EndpointsChanged, Endpoints: list})
+			p.step(planner.EndpointsChanged{Endpoints: list})
 		}))
 	case planner.Stopped:
 		p.env.after(2*transitTime, p.kill)
@@ -299,8 +299,8 @@
 	p.env.after(delay, p.inProcess(func() { p.step(event) }))
 }
 
-func (p *plannerProcess) sendToPeer(action planner.Action) {
-	received := planner.Event{Kind: planner.PeerMessage, Peer: p.name, Envelope: action.Envelope}
+func (p *plannerProcess) sendToPeer(action planner.SendToPeer) {
+	received := planner.PeerMessage{Peer: p.name, Envelope: action.Envelope}
 	for _, peer := range p.cluster.planners {
 		if peer.name == action.Peer {
 			p.env.after(transitTime, func() { peer.step(received) })
@@ -345,7 +345,7 @@
 			p.env.after(p.env.randomDuration(20, 1200), p.thaw)
 		}
 	case 2:
-		p.step(planner.Event{Kind: planner.StopRequested})
+		p.step(planner.StopRequested{})
 	case 3:
 		p.reconnect()
 	case 4:
--- a/internal/discovery/model_test.go
+++ b/internal/discovery/model_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // Short units for tables of instants.
@@ -63,7 +63,7 @@
 
 // discoveryModel is a model of the server, of the network, and of one scheduler that follows the list.
 type discoveryModel struct {
-	*steps.Steps
+	*modeltest.Steps
 	config      Config
 	watch       *Watch
 	now         time.Duration
@@ -80,7 +80,7 @@
 	connects    []time.Duration
 }
 
-func newDiscoveryModel(choices *steps.Steps) *discoveryModel {
+func newDiscoveryModel(choices *modeltest.Steps) *discoveryModel {
 	model := &discoveryModel{Steps: choices, now: startTime, silentAt: never}
 	model.config = Config{
 		PollInterval: []time.Duration{0, 0, 10 * sec, 3 * sec}[choices.Pick(4)],
@@ -275,29 +275,29 @@
 func (d *discoveryModel) step() {
 	switch d.Pick(12) {
 	case 0, 1:
-		d.Did("change")
+		d.Record("change")
 		d.change()
 	case 2:
-		d.Did("down or up")
+		d.Record("down or up")
 		d.toggleDown()
 	case 3:
-		d.Did("partitioned or mended")
+		d.Record("partitioned or mended")
 		d.togglePartition()
 	case 4:
-		d.Did("silent")
+		d.Record("silent")
 		d.fallSilent()
 	case 5:
-		d.Did("reset")
+		d.Record("reset")
 		d.breakConnection()
 	case 6:
 		d.queueDelay = []time.Duration{0, 0, sec, 2500 * msec, 3100 * msec, time.Hour}[d.Pick(6)]
-		d.Did("queue delay " + d.queueDelay.String())
+		d.Record("queue delay " + d.queueDelay.String())
 	case 7:
-		d.Did("other server")
+		d.Record("other server")
 		d.changeServer()
 	default:
 		span := []time.Duration{10 * msec, 300 * msec, sec, 3 * sec}[d.Pick(4)]
-		d.Did(span.String())
+		d.Record(span.String())
 		d.advance(span)
 	}
 	d.runActions()
@@ -308,7 +308,7 @@
 // the server can be reached, and requests are not queued there, every change is received by then and the time to stop
 // sending.
 func FuzzStalenessDeadline(f *testing.F) {
-	steps.Fuzz(f, func(choices *steps.Steps) {
+	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := newDiscoveryModel(choices)
 		model.runActions()
 		for choices.More() {
--- a/internal/hotrestart/predecessor_test.go
+++ b/internal/hotrestart/predecessor_test.go
@@ -4,13 +4,13 @@
 	"errors"
 	"testing"
 
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // Whatever comes in whatever order, a predecessor is the owner until a successor that it has accepted says, during a
 // transfer, that it has taken over; then it never is again.
 func FuzzPredecessor(f *testing.F) {
-	steps.Fuzz(f, func(choices *steps.Steps) {
+	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := predecessorModel{Steps: choices}
 		for choices.More() {
 			switch choices.Pick(6) {
@@ -32,7 +32,7 @@
 
 // predecessorModel is what a predecessor may be, by what it was given.
 type predecessorModel struct {
-	*steps.Steps
+	*modeltest.Steps
 	predecessor  Predecessor
 	connected    bool
 	accepted     bool
@@ -44,26 +44,26 @@
 	err := m.predecessor.HandleConnect(true)
 	m.Check((err == nil) == (!m.connected && !m.relinquished), "connects: %v", err)
 	m.connected = m.connected || err == nil
-	m.Did("connect")
+	m.Record("connect")
 }
 
 func (m *predecessorModel) disconnect() {
 	m.predecessor.HandleDisconnect()
 	m.connected, m.accepted, m.transferring = false, false, false
-	m.Did("disconnect")
+	m.Record("disconnect")
 }
 
 func (m *predecessorModel) beginTransfer() {
 	begun := m.predecessor.BeginTransfer()
 	m.Check(begun == (m.accepted && !m.transferring && !m.relinquished), "transfer begun: %v", begun)
 	m.transferring = m.transferring || begun
-	m.Did("transfer")
+	m.Record("transfer")
 }
 
 func (m *predecessorModel) receive(message Message) {
 	kind := message.Kind()
 	action, err := m.predecessor.HandleMessage(message)
-	m.Did(kind.String())
+	m.Record(kind.String())
 	if err != nil {
 		m.Check(action == ActionNone, "action %d with an error", action)
 		return
--- a/internal/lab/virtual/scheduler.go
+++ b/internal/lab/virtual/scheduler.go
@@ -1,6 +1,6 @@
 // Package virtual plays a scenario in virtual time: one world and its schedulers, taking turns on one goroutine and
 // a clock of their own. A scheduler here is the ledger and a module as in the real program, round them a model of
-// what internal/link does with connections and of what internal/run does on signals. The same scenario and seed are
+// what internal/link does with connections and of what internal/server does on signals. The same scenario and seed are
 // the same play, byte for byte, whatever the machine.
 //
 // Where a scenario has planners, schedulers are forwarders: their module is package follow, as in the real program, and
@@ -35,7 +35,7 @@
 
 // Model says what a scheduler runs.
 type Model struct {
-	// Module makes a module that knows nothing; nil: logic.New.
+	// Module makes a module that knows nothing; nil: dispatch.New.
 	Module func(set dispatch.Settings, seed uint64, o yardstick.Oracle) requests.Policy
 	// Log is where scheduler n writes its lines; nil: nowhere.
 	Log func(n int) *slog.Logger
--- a/internal/link/attempts_test.go
+++ b/internal/link/attempts_test.go
@@ -13,8 +13,8 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/http1"
+	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps"
 )
 
 // late is a far end whose connection is not up yet: the loop's side takes nothing until release.
@@ -66,7 +66,7 @@
 }
 
 func newAttempts(t *testing.T) *attempts {
-	return &attempts{world: newWorld(&steps.Steps{T: t})}
+	return &attempts{world: newWorld(&modeltest.Steps{T: t})}
 }
 
 // act has the module do something in one turn.
@@ -79,8 +79,10 @@
 // send has an attempt made of a new query.
 func (w *attempts) send(size int) *requests.Request {
 	w.T.Helper()
-	q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: fmt.Sprint("q", len(w.queries)), Job: dispatch.Job{Remaining: 5 * time.Second},
-		Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{}})
+	q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+		CallID: fmt.Sprint("q", len(w.queries)), Job: dispatch.Job{Remaining: 5 * time.Second},
+		Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{},
+	})
 	if err != nil {
 		w.T.Fatal(err)
 	}
@@ -105,7 +107,7 @@
 
 // outcomes are the results that the module has heard of a query's attempts.
 func (w *attempts) outcomes(q *requests.Request) (results []dispatch.Result) {
-	for _, e := range w.module.Heard {
+	for _, e := range w.module.Received {
 		if o, ok := e.(dispatch.Outcome); ok && o.Job == q.ID {
 			results = append(results, o.Result)
 		}
@@ -314,7 +316,7 @@
 
 // A DELETE that waits for its connection when a process is replaced is sent by the one that goes on.
 func TestWithdrawalSurvivesHotRestart(t *testing.T) {
-	s := &steps.Steps{T: t}
+	s := &modeltest.Steps{T: t}
 	dir := t.TempDir()
 	base, at := newPredecessorWorld(s, dir)
 	w := &attempts{world: base}
@@ -426,7 +428,7 @@
 		q := w.send(0)
 		(*links)[0].release()
 		reads := 0
-		w.loop.clock = func() time.Duration { // from the start of the turn on
+		w.clock = func() time.Duration { // from the start of the turn on
 			if reads++; reads > 1 {
 				return w.now + 300*time.Millisecond
 			}
@@ -566,9 +568,11 @@
 			p.write([]byte(accepted))
 			w.turn()
 			w.now += settleFor
-			w.loop.now = w.now
-			q, _ := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: "between", Job: dispatch.Job{Remaining: 5 * time.Second},
-				Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: nobody{}})
+			w.loop.UpdateNow()
+			q, _ := w.loop.Ledger.Admit(w.now, requests.Arrival{
+				CallID: "between", Job: dispatch.Job{Remaining: 5 * time.Second},
+				Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: nobody{},
+			})
 			w.module.Next = append(w.module.Next, dispatch.Send{Job: q.ID, Worker: w.worker()})
 			p.write([]byte(refused))
 			w.loop.Ledger.Step(w.now)
@@ -637,7 +641,7 @@
 		w.act(dispatch.HealthCheck{Worker: w.worker()})
 		p.write([]byte(accepted))
 		w.turn()
-		if got, _ := w.module.Heard[len(w.module.Heard)-1].(dispatch.HealthChecked); got.Result != dispatch.NotSent || len(w.dialed) != 1 {
+		if got, _ := w.module.Received[len(w.module.Received)-1].(dispatch.HealthChecked); got.Result != dispatch.NotSent || len(w.dialed) != 1 {
 			t.Errorf("the probe ended as %v on %d links", got.Result, len(w.dialed))
 		}
 	})
@@ -697,7 +701,7 @@
 			for n := 0; n < 4*mostAnswer && !p.ended; n += len(piece) {
 				p.write([]byte(piece))
 				w.turn()
-				most = max(most, len(k.in))
+				most = max(most, len(k.Input()))
 				p.read(1)
 			}
 			if !p.ended || most > mostAnswer+64<<10 {
--- a/internal/link/figures.go
+++ b/internal/link/figures.go
@@ -6,7 +6,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"valvecove/internal/figures"
+	"valvecove/internal/eventloop"
+	"valvecove/internal/metrics"
 )
 
 // batchesAtOnce are sent in one turn at most: other links have their turns too.
@@ -37,7 +38,7 @@
 }
 
 func (c *collector) open() error {
-	family, sa := sockaddr(c.to)
+	family, sa := eventloop.Sockaddr(c.to)
 	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return err
@@ -51,15 +52,15 @@
 }
 
 // sendFigures gathers and sends figures, again and again.
-func (l *Loop) sendFigures(f *figures.Figures) {
-	l.After(f.Every(), func() {
+func (l *Loop) sendFigures(f *metrics.Exporter) {
+	l.After(f.Interval(), func() {
 		l.sendFigures(f)
 		f.Gather()
 		l.sendOn(f)
 	})
 }
 
-func (l *Loop) sendOn(f *figures.Figures) {
+func (l *Loop) sendOn(f *metrics.Exporter) {
 	if f.Send(batchesAtOnce) {
 		l.After(0, func() { l.sendOn(f) })
 	}
--- a/internal/link/servers_test.go
+++ b/internal/link/servers_test.go
@@ -10,8 +10,8 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/http1"
+	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps"
 )
 
 // answers are what a worker node may say to a request, and how an attempt ends by it; -1: it goes on.
@@ -43,9 +43,9 @@
 // A server link carries one request at a time; each attempt has one outcome, and that follows from how far it
 // came; nothing is sent twice; one that was accepted is given up by a DELETE that is written; what is left at the end is
 // idle. Some connections come up late.
-func FuzzServerLink(f *testing.F) { steps.Fuzz(f, runServerLink) }
+func FuzzServerLink(f *testing.F) { modeltest.Fuzz(f, runServerLink) }
 
-func runServerLink(s *steps.Steps) {
+func runServerLink(s *modeltest.Steps) {
 	w := newWorld(s)
 	var queries []uint64 // by number: the ledger counts from 1
 	attempts := map[string]*tried{}
@@ -65,29 +65,31 @@
 		switch what := s.Pick(10); {
 		case what < 2 && len(queries) < 8:
 			id := fmt.Sprint("q", len(queries))
-			q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: id, Job: dispatch.Job{Remaining: 5 * time.Second},
-				Payload: requests.Payload{Method: "POST", Path: "/a", Body: bytes.Repeat([]byte{'x'}, sizes[s.Pick(3)])}, Responder: nobody{}})
+			q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+				CallID: id, Job: dispatch.Job{Remaining: 5 * time.Second},
+				Payload: requests.Payload{Method: "POST", Path: "/a", Body: bytes.Repeat([]byte{'x'}, sizes[s.Pick(3)])}, Responder: nobody{},
+			})
 			s.Check(err == nil, "not taken: %v", err)
 			queries = append(queries, q.ID)
 			w.module.Next = append(w.module.Next, dispatch.Send{Job: q.ID, Worker: w.worker()})
 			attempts[id] = &tried{}
-			s.Did("send")
+			s.Record("send")
 		case what < 6 && len(w.dialed) > 0:
 			if p := w.dialed[s.Pick(len(w.dialed))]; slow[p].held > 0 {
 				slow[p].release()
-				s.Did("up")
+				s.Record("up")
 			} else {
 				w.workerActs(p, attempts)
 			}
 		case what == 6 && len(queries) > 0:
 			w.module.Next = append(w.module.Next, dispatch.Cancel{Job: queries[s.Pick(len(queries))]})
 			w.loop.Ledger.DiscoveryFailed()
-			s.Did("cancel")
+			s.Record("cancel")
 		case what == 7:
 			w.module.Next = append(w.module.Next, dispatch.HealthCheck{Worker: w.worker()})
 			w.loop.Ledger.DiscoveryFailed()
 			probes++
-			s.Did("probe")
+			s.Record("probe")
 		case what == 8:
 			w.now += time.Duration(s.Pick(8)) * 100 * time.Millisecond
 		default:
@@ -134,7 +136,7 @@
 			t.taken = t.taken || t.accepted && w.carries(string(m.Get("X-Call-Id")))
 			t.want, t.settled = a.want, a.want >= 0
 		}
-		w.Did(a.text[:min(len(a.text), 14)])
+		w.Record(a.text[:min(len(a.text), 14)])
 	case act == 4:
 		if p.read(1 << 20); t == nil && len(p.got) > 0 { // what has come has come, read or not
 			p.deleted(attempts)
@@ -146,7 +148,7 @@
 			t.want, t.settled = dispatch.ConnectionReset, true
 		}
 		p.close()
-		w.Did("close")
+		w.Record("close")
 	}
 }
 
@@ -171,7 +173,7 @@
 // judge checks what the module heard against what the worker node saw.
 func (w *world) judge(queries []uint64, attempts map[string]*tried, probes int) {
 	heard := map[uint64][]dispatch.Result{}
-	for _, e := range w.module.Heard {
+	for _, e := range w.module.Received {
 		switch e := e.(type) {
 		case dispatch.Outcome:
 			heard[e.Job] = append(heard[e.Job], e.Result)
@@ -210,7 +212,7 @@
 // A link that breaks after it was idle says nothing of its worker node. From then on links are not used again when
 // they have been idle for nearly as long, until all has gone well for a while.
 func TestTrustInIdleLinks(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	probe := func(idle time.Duration, answer string, wantLinks int, want dispatch.Result) {
 		t.Helper()
@@ -228,7 +230,7 @@
 			p.write([]byte(answer))
 		}
 		w.turn()
-		if got, _ := w.module.Heard[len(w.module.Heard)-1].(dispatch.HealthChecked); got.Result != want {
+		if got, _ := w.module.Received[len(w.module.Received)-1].(dispatch.HealthChecked); got.Result != want {
 			t.Errorf("probe ended as %v, expected %v", got.Result, want)
 		}
 	}
@@ -251,13 +253,15 @@
 // A link to a process that has been replaced is not used again, nor one that is about to be closed as idle; an
 // attempt given up after it was accepted is withdrawn by name.
 func TestLinksAreRetired(t *testing.T) {
-	w := newWorld(&steps.Steps{T: t})
+	w := newWorld(&modeltest.Steps{T: t})
 	host := requests.Endpoint{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up", StartedAtMs: 5}
 	sent := 0
 	send := func() *peer {
 		sent++
-		q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: fmt.Sprint("q", sent), Job: dispatch.Job{Remaining: 5 * time.Second},
-			Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: nobody{}})
+		q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+			CallID: fmt.Sprint("q", sent), Job: dispatch.Job{Remaining: 5 * time.Second},
+			Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: nobody{},
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -304,9 +308,11 @@
 func TestLateNoteStopsTheSend(t *testing.T) {
 	for name, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(&steps.Steps{T: t})
-			q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
-				Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{}})
+			w := newWorld(&modeltest.Steps{T: t})
+			q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+				CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
+				Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{},
+			})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -356,16 +362,20 @@
 	for name, end := range ends {
 		for stage, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize} {
 			t.Run(name+", "+stage, func(t *testing.T) {
-				w := newWorld(&steps.Steps{T: t})
-				w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
-					{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"}}})
+				w := newWorld(&modeltest.Steps{T: t})
+				w.loop.Ledger.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
+					{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
+					{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"},
+				}})
 				w.turn()
-				q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
-					Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{}})
+				q, err := w.loop.Ledger.Admit(w.now, requests.Arrival{
+					CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
+					Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: nobody{},
+				})
 				if err != nil {
 					t.Fatal(err)
 				}
-				for _, worker := range w.module.Heard[len(w.module.Heard)-1].(dispatch.WorkerList).Workers {
+				for _, worker := range w.module.Received[len(w.module.Received)-1].(dispatch.WorkerList).Workers {
 					w.module.Next = append(w.module.Next, dispatch.Send{Job: q.ID, Worker: worker.ID})
 				}
 				if w.loop.Ledger.Step(w.now); size > 0 {
