--- a/cmd/valvecove-testbed/common.go
+++ b/cmd/valvecove-testbed/common.go
@@ -81,7 +81,7 @@
 }
 
 // schedulerBinary finds the scheduler's program, and builds it where there is none. remove takes away what was built.
-func schedulerBinary(ctx context.Context, named string, s *streams) (path string, remove func(), err error) {
+func schedulerBinary(ctx context.Context, named string, streams *streams) (path string, remove func(), err error) {
 	if named != "" {
 		return named, func() {}, nil
 	}
@@ -96,9 +96,9 @@
 	}
 	remove = func() { _ = os.RemoveAll(dir) }
 	path = filepath.Join(dir, "valvecove")
-	fmt.Fprintln(s.err, "building valvecove ...")
+	fmt.Fprintln(streams.err, "building valvecove ...")
 	build := exec.CommandContext(ctx, "go", "build", "-o", path, "valvecove/cmd/valvecove")
-	build.Stderr = s.err
+	build.Stderr = streams.err
 	if err := build.Run(); err != nil {
 		remove()
 		return "", nil, fmt.Errorf("valvecove can't be built here (%w); name a program with --binary", err)
--- a/cmd/valvecove-testbed/experiments.go
+++ b/cmd/valvecove-testbed/experiments.go
@@ -34,20 +34,20 @@
 
 // side makes a subject of flags.
 func (c *compareCommand) side(which, what string, set []string, lab string) experiment.Subject {
-	s := experiment.Subject{Set: set, Testbed: lab}
+	subject := experiment.Subject{Set: set, Testbed: lab}
 	if c.Driver == scenario.DriverProcess {
-		s.Binary = what
+		subject.Binary = what
 	} else {
-		s.Policy = what
+		subject.Policy = what
 	}
 	parts := []string{what}
 	if lab != "" {
 		parts[0] = filepath.Base(lab) + " " + what
 	}
-	if s.Name = strings.Join(append(parts, set...), " "); strings.TrimSpace(s.Name) == "" {
-		s.Name = which
+	if subject.Name = strings.Join(append(parts, set...), " "); strings.TrimSpace(subject.Name) == "" {
+		subject.Name = which
 	}
-	return s
+	return subject
 }
 
 // Run plays it.
@@ -65,25 +65,25 @@
 			c.B = ""
 		}
 	}
-	a, b := c.side("A", c.A, c.ASet, c.ATestbed), c.side("B", c.B, c.BSet, c.BTestbed)
-	if a.Name == b.Name && a.Testbed == b.Testbed {
-		return fmt.Errorf("both sides are %q: change one with --b, --b-set or --b-lab", a.Name)
+	subject, b := c.side("A", c.A, c.ASet, c.ATestbed), c.side("B", c.B, c.BSet, c.BTestbed)
+	if subject.Name == b.Name && subject.Testbed == b.Testbed {
+		return fmt.Errorf("both sides are %q: change one with --b, --b-set or --b-lab", subject.Name)
 	}
 	job := experiment.Job{Driver: c.Driver}
-	if c.Driver == scenario.DriverProcess && (a.Binary == "" || b.Binary == "") {
+	if c.Driver == scenario.DriverProcess && (subject.Binary == "" || b.Binary == "") {
 		done, err := prepare(ctx, &job, "", s)
 		if err != nil {
 			return err
 		}
 		defer done()
-		for _, side := range []*experiment.Subject{&a, &b} {
+		for _, side := range []*experiment.Subject{&subject, &b} {
 			if side.Binary == "" {
 				side.Binary = job.Subject.Binary
 			}
 		}
 	}
 	contest := experiment.Comparison{
-		Specs: specs, Seeds: c.list(), Subjects: []experiment.Subject{a, b}, Driver: c.Driver,
+		Specs: specs, Seeds: c.list(), Subjects: []experiment.Subject{subject, b}, Driver: c.Driver,
 		Parallelism: c.parallelism(c.Driver), Job: job,
 	}
 	results, err := contest.Run(ctx, progressCounter(s.err, "compare"))
@@ -96,19 +96,19 @@
 		}
 	}
 	broken := 0
-	for _, r := range results {
-		r.Build = buildName()
-		for _, side := range r.Sides {
+	for _, comparison := range results {
+		comparison.Build = buildName()
+		for _, side := range comparison.Sides {
 			broken += side.Broken
 		}
 		if c.Report != "" {
-			name := strings.ReplaceAll(r.Title, " ", "-") + ".html"
-			if err := saveFile(c.Report, name, func(w io.Writer) error { return report.WriteCompare(w, r) }); err != nil {
+			name := strings.ReplaceAll(comparison.Title, " ", "-") + ".html"
+			if err := saveFile(c.Report, name, func(w io.Writer) error { return report.WriteCompare(w, comparison) }); err != nil {
 				return err
 			}
 		}
 		if c.JSON != "-" {
-			if err := report.ComparePage(s.out, r); err != nil {
+			if err := report.ComparePage(s.out, comparison); err != nil {
 				return err
 			}
 		}
@@ -132,8 +132,8 @@
 }
 
 // Run plays it.
-func (c *sweepCommand) Run(ctx context.Context, s *streams) error {
-	spec, err := openScenario(c.Scenario, s)
+func (c *sweepCommand) Run(ctx context.Context, streams *streams) error {
+	spec, err := openScenario(c.Scenario, streams)
 	if err != nil {
 		return err
 	}
@@ -151,7 +151,7 @@
 		return fmt.Errorf("--figure: %q is none of %s", c.Metric, metricNames())
 	}
 	job := experiment.Job{Driver: c.Driver, Subject: experiment.Subject{Binary: c.Binary}}
-	done, err := prepare(ctx, &job, "", s)
+	done, err := prepare(ctx, &job, "", streams)
 	if err != nil {
 		return err
 	}
@@ -161,24 +161,24 @@
 		Subject:     experiment.Subject{Name: c.Policy, Policy: c.Policy, Set: c.Set, Binary: job.Subject.Binary},
 		Parallelism: c.parallelism(c.Driver), Job: job,
 	}
-	r, err := work.Run(ctx, progressCounter(s.err, "sweep"))
+	sweep, err := work.Run(ctx, progressCounter(streams.err, "sweep"))
 	if err != nil {
 		return err
 	}
 	if c.JSON != "" {
-		if err := saveJSON(c.JSON, r, s); err != nil {
+		if err := saveJSON(c.JSON, sweep, streams); err != nil {
 			return err
 		}
 	}
 	if c.Report != "" {
-		if err := saveFile(c.Report, "sweep.html", func(w io.Writer) error { return report.WriteSweep(w, r) }); err != nil {
+		if err := saveFile(c.Report, "sweep.html", func(w io.Writer) error { return report.WriteSweep(w, sweep) }); err != nil {
 			return err
 		}
 	}
 	if c.JSON == "-" {
 		return nil
 	}
-	return report.SweepPage(s.out, r)
+	return report.SweepPage(streams.out, sweep)
 }
 
 func metricNames() string {
@@ -202,7 +202,7 @@
 }
 
 // Run hunts.
-func (c *huntCommand) Run(ctx context.Context, s *streams) error {
+func (c *huntCommand) Run(ctx context.Context, streams *streams) error {
 	ctx, cancel := context.WithTimeout(ctx, c.For)
 	defer cancel()
 	h := experiment.Search{
@@ -211,17 +211,17 @@
 	}
 	from := time.Now()
 	got, err := h.Run(ctx, func(f *experiment.Finding, plays int) {
-		fmt.Fprintf(s.err, "%6.0fs  play %d, draw %d: %s; %d of %d faults left\n", time.Since(from).Seconds(), plays, f.DrawNumber,
+		fmt.Fprintf(streams.err, "%6.0fs  play %d, draw %d: %s; %d of %d faults left\n", time.Since(from).Seconds(), plays, f.DrawNumber,
 			f.Description(), f.Faults, f.Drawn)
 	})
 	if err != nil && ctx.Err() == nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "%d plays, mean regret %.3f, %d with a rule broken or stopped; kept:\n", got.Runs, got.Mean, got.Violations)
+	fmt.Fprintf(streams.out, "%d plays, mean regret %.3f, %d with a rule broken or stopped; kept:\n", got.Runs, got.Mean, got.Violations)
 	for i, f := range got.Worst {
-		fmt.Fprintf(s.out, "%2d  %s (draw %d, seed %d)\n", i+1, f.Description(), f.DrawNumber, f.Spec.Seed)
+		fmt.Fprintf(streams.out, "%2d  %s (draw %d, seed %d)\n", i+1, f.Description(), f.DrawNumber, f.Spec.Seed)
 		for _, x := range f.Spec.Faults {
-			fmt.Fprintf(s.out, "      %s at %v for %v\n", x.Kind, x.At.Std(), x.Duration.Std())
+			fmt.Fprintf(streams.out, "      %s at %v for %v\n", x.Kind, x.At.Std(), x.Duration.Std())
 		}
 		if c.Out != "" {
 			text := f.File()
@@ -257,17 +257,17 @@
 }
 
 // Run plays it.
-func (c *agreeCommand) Run(ctx context.Context, s *streams) error {
+func (c *agreeCommand) Run(ctx context.Context, streams *streams) error {
 	names := c.Scenarios
 	if len(names) == 0 {
 		names = agreementScenarios
 	}
-	specs, err := openScenarios(names, scenario.DriverProcess, s)
+	specs, err := openScenarios(names, scenario.DriverProcess, streams)
 	if err != nil {
 		return err
 	}
 	job := experiment.Job{Driver: scenario.DriverProcess, Subject: experiment.Subject{Binary: c.Binary}}
-	done, err := prepare(ctx, &job, "", s)
+	done, err := prepare(ctx, &job, "", streams)
 	if err != nil {
 		return err
 	}
@@ -276,16 +276,16 @@
 		Specs: specs, Seeds: experiment.Seeds(c.First, max(1, c.Seeds)), ExtraSimulations: c.ExtraSimulations, ProcessParallelism: c.Parallelism,
 		Subject: experiment.Subject{Name: "valvecove", Binary: job.Subject.Binary}, Job: job,
 	}
-	table, err := work.Run(ctx, progressCounter(s.err, "agree"))
+	table, err := work.Run(ctx, progressCounter(streams.err, "agree"))
 	if err != nil {
 		return err
 	}
 	if c.JSON != "" {
-		if err := saveJSON(c.JSON, table, s); err != nil || c.JSON == "-" {
+		if err := saveJSON(c.JSON, table, streams); err != nil || c.JSON == "-" {
 			return err
 		}
 	}
-	fmt.Fprint(s.out, experiment.AgreementMarkdown(table))
+	fmt.Fprint(streams.out, experiment.AgreementMarkdown(table))
 	for _, line := range table {
 		if !line.Within() || line.Violations > 0 {
 			return exitError(exitUsage)
@@ -305,7 +305,7 @@
 }
 
 // Run plays it.
-func (c *yardsticksCommand) Run(ctx context.Context, s *streams) error {
+func (c *yardsticksCommand) Run(ctx context.Context, streams *streams) error {
 	figure, ok := score.HeadlineOf(c.Metric)
 	if !ok {
 		return fmt.Errorf("--figure: %q is none of %s", c.Metric, metricNames())
@@ -313,9 +313,9 @@
 	var specs []*scenario.Scenario
 	var err error
 	if len(c.FleetSizes) > 0 {
-		specs, err = scaledFleets(c.Scenarios, c.FleetSizes, c.Jobs, s)
+		specs, err = scaledFleets(c.Scenarios, c.FleetSizes, c.Jobs, streams)
 	} else {
-		specs, err = openScenarios(c.Scenarios, scenario.DriverSimulation, s)
+		specs, err = openScenarios(c.Scenarios, scenario.DriverSimulation, streams)
 	}
 	if err != nil {
 		return err
@@ -324,16 +324,16 @@
 		c.Policies = experiment.PolicyNames()
 	}
 	work := experiment.BaselineTable{Specs: specs, Policies: c.Policies, Seeds: c.list(), Metric: figure, Parallelism: c.Parallelism}
-	table, err := work.Run(ctx, progressCounter(s.err, "yardsticks"))
+	table, err := work.Run(ctx, progressCounter(streams.err, "yardsticks"))
 	if err != nil {
 		return err
 	}
 	if c.JSON != "" {
-		if err := saveJSON(c.JSON, table, s); err != nil || c.JSON == "-" {
+		if err := saveJSON(c.JSON, table, streams); err != nil || c.JSON == "-" {
 			return err
 		}
 	}
-	fmt.Fprint(s.out, work.Markdown(table))
+	fmt.Fprint(streams.out, work.Markdown(table))
 	return nil
 }
 
@@ -368,13 +368,13 @@
 }
 
 // Run measures it, on one core.
-func (c *speedCommand) Run(ctx context.Context, s *streams) error {
-	specs, err := scaledFleets([]string{c.Scenario}, c.Fleets, c.Jobs, s)
+func (c *speedCommand) Run(ctx context.Context, streams *streams) error {
+	specs, err := scaledFleets([]string{c.Scenario}, c.Fleets, c.Jobs, streams)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(1)
-	fmt.Fprintf(s.out, "| nodes | requests | requests/s, judged: least, median, most | unjudged |\n| ---: | ---: | --- | --- |\n")
+	fmt.Fprintf(streams.out, "| nodes | requests | requests/s, judged: least, median, most | unjudged |\n| ---: | ---: | --- | --- |\n")
 	for _, spec := range specs {
 		row := fmt.Sprintf("| %d |", spec.Fleet.Workers)
 		for i, unjudged := range []bool{false, true} {
@@ -396,7 +396,7 @@
 			low, middle, high := experiment.Spread(all)
 			row += fmt.Sprintf(" %.0f, %.0f, %.0f |", low, middle, high)
 		}
-		fmt.Fprintln(s.out, row)
+		fmt.Fprintln(streams.out, row)
 	}
 	return nil
 }
@@ -409,21 +409,21 @@
 // Run plays them, and says whether each was found by its rule.
 func (c *mutantsCommand) Run(ctx context.Context, s *streams) error {
 	missed := 0
-	for _, m := range mutation.All() {
-		if len(c.Names) > 0 && !slices.Contains(c.Names, m.Name) {
+	for _, mutant := range mutation.All() {
+		if len(c.Names) > 0 && !slices.Contains(c.Names, mutant.Name) {
 			continue
 		}
 		found, others := 0, map[string]int{}
 		for seed := range uint64(max(1, c.Seeds)) {
 			p, err := experiment.Run(ctx, experiment.Job{
-				Spec: m.Scenario(), Seed: seed + 1, Driver: scenario.DriverSimulation,
-				Subject: experiment.Subject{Name: m.Name, Mutant: m.Name},
+				Spec: mutant.Scenario(), Seed: seed + 1, Driver: scenario.DriverSimulation,
+				Subject: experiment.Subject{Name: mutant.Name, Mutant: mutant.Name},
 			})
 			if err != nil {
 				return err
 			}
 			for _, t := range p.Verdict.Rules {
-				if t.Violated > 0 && t.Rule == m.Rule {
+				if t.Violated > 0 && t.Rule == mutant.Rule {
 					found++
 				} else if t.Violated > 0 {
 					others[t.Rule]++
@@ -435,7 +435,7 @@
 			word = "MISSED"
 			missed++
 		}
-		fmt.Fprintf(s.out, "%-28s %-22s %s in %d of %d plays", m.Name, m.Rule, word, found, max(1, c.Seeds))
+		fmt.Fprintf(s.out, "%-28s %-22s %s in %d of %d plays", mutant.Name, mutant.Rule, word, found, max(1, c.Seeds))
 		if len(others) > 0 {
 			fmt.Fprintf(s.out, "; also %v", others)
 		}
@@ -466,19 +466,19 @@
 }
 
 // Run checks files, all of them.
-func (c *checkCommand) Run(s *streams) error {
+func (c *checkCommand) Run(streams *streams) error {
 	faults := 0
 	for _, name := range c.Files {
-		if _, err := openScenario(name, s); err != nil {
+		if _, err := openScenario(name, streams); err != nil {
 			if text := err.Error(); strings.HasPrefix(text, name+":") {
-				fmt.Fprintln(s.err, text)
+				fmt.Fprintln(streams.err, text)
 			} else {
-				fmt.Fprintf(s.err, "%s: %s\n", name, text)
+				fmt.Fprintf(streams.err, "%s: %s\n", name, text)
 			}
 			faults++
 			continue
 		}
-		fmt.Fprintf(s.out, "%s: sound\n", name)
+		fmt.Fprintf(streams.out, "%s: sound\n", name)
 	}
 	if faults > 0 {
 		return exitError(exitViolation)
--- a/cmd/valvecove-testbed/fleet.go
+++ b/cmd/valvecove-testbed/fleet.go
@@ -47,7 +47,7 @@
 // namedBuild is a build that is measured.
 type namedBuild struct{ name, path string }
 
-func (c *fleetCommand) builds(ctx context.Context, s *streams) (all []namedBuild, remove func(), err error) {
+func (c *fleetCommand) builds(ctx context.Context, streams *streams) (all []namedBuild, remove func(), err error) {
 	remove = func() {}
 	for _, b := range c.Binary {
 		name, path, ok := strings.Cut(b, "=")
@@ -67,7 +67,7 @@
 		all = append(all, namedBuild{name, path})
 	}
 	if len(all) == 0 && c.Runs > 0 {
-		path, done, err := schedulerBinary(ctx, "", s)
+		path, done, err := schedulerBinary(ctx, "", streams)
 		return []namedBuild{{"valvecove", path}}, done, err
 	}
 	return all, remove, nil
@@ -101,27 +101,27 @@
 	if err != nil {
 		return err
 	}
-	o := fleet.Options{
+	options := fleet.Options{
 		Rig: []string{self, "fleet", "--as=rig"}, Proxy: []string{self, "fleet", "--as=proxy"},
 		Clients: c.Clients, WarmUp: c.WarmUp, Length: c.For, Work: c.Work, Burst: c.Burst, Restart: c.Restart, SilentShare: c.Silent,
 		Freeze: c.Freeze,
 	}
 	if c.Burst > 0 {
-		o.WarmUp = 0
+		options.WarmUp = 0
 	}
 	began := time.Now()
 	for run := range c.Runs {
 		for i, row := range rows {
 			fmt.Fprintf(s.err, "%4.0fs  run %d of %d, row %d of %d: %s\n", time.Since(began).Seconds(), run+1, c.Runs, i+1,
 				len(rows), row)
-			o.Seed, o.Binary = c.Seed+uint64(run), paths[row.Subject]
+			options.Seed, options.Binary = c.Seed+uint64(run), paths[row.Subject]
 			if c.Logs != "" {
-				o.Dir = filepath.Join(c.Logs, fmt.Sprintf("run%d-row%d", run+1, i+1))
-				if err := os.MkdirAll(o.Dir, 0o755); err != nil {
+				options.Dir = filepath.Join(c.Logs, fmt.Sprintf("run%d-row%d", run+1, i+1))
+				if err := os.MkdirAll(options.Dir, 0o755); err != nil {
 					return err
 				}
 			}
-			p, err := fleet.Measure(ctx, row, o)
+			p, err := fleet.Measure(ctx, row, options)
 			if err != nil {
 				return fmt.Errorf("%s: %w", row, err)
 			}
@@ -178,20 +178,20 @@
 	return rows, paths, nil
 }
 
-func (c *fleetCommand) show(report *fleet.Report, s *streams) error {
+func (c *fleetCommand) show(report *fleet.Report, streams *streams) error {
 	if c.JSON != "" {
-		if err := saveJSON(c.JSON, report, s); err != nil {
+		if err := saveJSON(c.JSON, report, streams); err != nil {
 			return err
 		}
 	}
 	if c.JSON != "-" {
-		if err := report.Table(s.out); err != nil {
+		if err := report.Table(streams.out); err != nil {
 			return err
 		}
-		fmt.Fprint(s.out, "\n", fleet.Legend)
+		fmt.Fprint(streams.out, "\n", fleet.Legend)
 		if c.Seconds || c.Burst > 0 || c.Restart || c.Silent > 0 || c.Freeze > 0 {
-			fmt.Fprintln(s.out)
-			if err := report.BySecond(s.out); err != nil {
+			fmt.Fprintln(streams.out)
+			if err := report.BySecond(streams.out); err != nil {
 				return err
 			}
 		}
--- a/cmd/valvecove-testbed/load.go
+++ b/cmd/valvecove-testbed/load.go
@@ -18,7 +18,7 @@
 }
 
 // Run puts the load on, and shows latency from when requests were due.
-func (c *loadCommand) Run(ctx context.Context, s *streams) error {
+func (c *loadCommand) Run(ctx context.Context, streams *streams) error {
 	target := c.Target
 	if target == "" {
 		r, err := process.StartResponder("127.0.0.1:0", 2, nil)
@@ -35,18 +35,18 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "due %d, answered %d (%.0f/s), failed %d, open at the end %d\n", got.Due, got.Answered, got.Rate,
+	fmt.Fprintf(streams.out, "due %d, answered %d (%.0f/s), failed %d, open at the end %d\n", got.Due, got.Answered, got.Rate,
 		got.Failed, got.Open)
 	for status, n := range got.Status {
-		fmt.Fprintf(s.out, "  status %d: %d\n", status, n)
+		fmt.Fprintf(streams.out, "  status %d: %d\n", status, n)
 	}
 	ms := func(us int64) float64 { return float64(us) / 1000 }
-	fmt.Fprintf(s.out, "latency from due, ms: p50 %.2f, p99 %.2f, p99.9 %.2f, max %.2f\n", ms(got.Latency.ValueAtQuantile(50)),
+	fmt.Fprintf(streams.out, "latency from due, ms: p50 %.2f, p99 %.2f, p99.9 %.2f, max %.2f\n", ms(got.Latency.ValueAtQuantile(50)),
 		ms(got.Latency.ValueAtQuantile(99)), ms(got.Latency.ValueAtQuantile(99.9)), ms(got.Latency.Max()))
-	fmt.Fprintf(s.out, "lateness of the load, ms: p50 %.2f, p99 %.2f, p99.9 %.2f, max %.2f\n", ms(got.Lateness.ValueAtQuantile(50)),
+	fmt.Fprintf(streams.out, "lateness of the load, ms: p50 %.2f, p99 %.2f, p99.9 %.2f, max %.2f\n", ms(got.Lateness.ValueAtQuantile(50)),
 		ms(got.Lateness.ValueAtQuantile(99)), ms(got.Lateness.ValueAtQuantile(99.9)), ms(got.Lateness.Max()))
 	if why := got.InvalidReason(); why != "" {
-		fmt.Fprintln(s.err, "void:", why)
+		fmt.Fprintln(streams.err, "void:", why)
 		return exitError(exitInvalid)
 	}
 	return nil
--- a/cmd/valvecove-testbed/main.go
+++ b/cmd/valvecove-testbed/main.go
@@ -67,13 +67,13 @@
 }
 
 // run is the program but for the process round it.
-func run(ctx context.Context, args []string, s *streams) (code int) {
+func run(ctx context.Context, args []string, streams *streams) (code int) {
 	var c commands
 	ended := -1
 	parser, err := kong.New(&c, kong.Name("valvecove-testbed"), kong.Description(programDescription), kong.UsageOnError(),
-		kong.Writers(s.out, s.err), kong.Exit(func(code int) { ended = code }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
+		kong.Writers(streams.out, streams.err), kong.Exit(func(code int) { ended = code }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
-		fmt.Fprintln(s.err, "valvecove-testbed:", err)
+		fmt.Fprintln(streams.err, "valvecove-testbed:", err)
 		return exitViolation
 	}
 	command, err := parser.Parse(args)
@@ -81,21 +81,21 @@
 		return ended
 	}
 	if err != nil {
-		fmt.Fprintln(s.err, "valvecove-testbed:", err)
+		fmt.Fprintln(streams.err, "valvecove-testbed:", err)
 		return exitViolation
 	}
 	command.BindTo(ctx, (*context.Context)(nil))
 	var asked exitError
-	switch err := command.Run(s); {
+	switch err := command.Run(streams); {
 	case err == nil:
 		return exitOK
 	case errors.As(err, &asked):
 		return int(asked)
 	case errors.Is(err, context.Canceled):
-		fmt.Fprintln(s.err, "valvecove-testbed: stopped")
+		fmt.Fprintln(streams.err, "valvecove-testbed: stopped")
 		return exitViolation
 	default:
-		fmt.Fprintln(s.err, "valvecove-testbed:", err)
+		fmt.Fprintln(streams.err, "valvecove-testbed:", err)
 		return exitViolation
 	}
 }
--- a/cmd/valvecove-testbed/play.go
+++ b/cmd/valvecove-testbed/play.go
@@ -23,7 +23,7 @@
 	Report string `name:"report" help:"Write the report into this folder: index.html, which needs no network, figures.json and scenario.toml." placeholder:"DIR" type:"path"`
 }
 
-func (o *outputFlags) writeResult(p *experiment.RunResult, s *streams) error {
+func (o *outputFlags) writeResult(p *experiment.RunResult, streams *streams) error {
 	if o.Report != "" {
 		if err := saveFile(o.Report, "index.html", func(w io.Writer) error { return report.WriteHTML(w, p.Document) }); err != nil {
 			return err
@@ -37,25 +37,25 @@
 		}
 	}
 	if o.JSON != "" {
-		if err := saveJSON(o.JSON, p.Document, s); err != nil {
+		if err := saveJSON(o.JSON, p.Document, streams); err != nil {
 			return err
 		}
 	}
 	if o.JSON == "-" {
 		return nil
 	}
-	if err := report.WritePage(s.out, p.Result(), p.Document.Verdict, p.Document.Expectations); err != nil {
+	if err := report.WritePage(streams.out, p.Result(), p.Document.Verdict, p.Document.Expectations); err != nil {
 		return err
 	}
 	if v := p.Starvation; v != nil {
-		fmt.Fprintf(s.out, "starvation: %v\n", v)
+		fmt.Fprintf(streams.out, "starvation: %v\n", v)
 		for _, x := range v.Findings {
-			fmt.Fprintf(s.out, "  %9.3f  %s\n", x.At.Seconds(), x.Text)
+			fmt.Fprintf(streams.out, "  %9.3f  %s\n", x.At.Seconds(), x.Text)
 		}
 	}
-	writeExplanations(s.out, p)
+	writeExplanations(streams.out, p)
 	if o.Report != "" {
-		fmt.Fprintf(s.out, "report: %s\n", filepath.Join(o.Report, "index.html"))
+		fmt.Fprintf(streams.out, "report: %s\n", filepath.Join(o.Report, "index.html"))
 	}
 	return nil
 }
@@ -64,11 +64,11 @@
 const maxExplanations = 3
 
 // writeExplanations writes the whole story of the first broken rules, in order of time, one of each rule before a second.
-func writeExplanations(w io.Writer, p *experiment.RunResult) {
+func writeExplanations(w io.Writer, runResult *experiment.RunResult) {
 	told := map[string]int{}
 	shown := 0
 	for round := 0; round < maxExplanations && shown < maxExplanations; round++ {
-		for _, b := range p.Verdict.Violations {
+		for _, b := range runResult.Verdict.Violations {
 			if told[b.Rule] == round && shown < maxExplanations {
 				told[b.Rule]++
 				shown++
@@ -76,7 +76,7 @@
 			}
 		}
 	}
-	if more := p.Violations() - shown; shown > 0 && more > 0 {
+	if more := runResult.Violations() - shown; shown > 0 && more > 0 {
 		fmt.Fprintf(w, "\n… and %d more; --json and --report have the stories of the first of each rule\n", more)
 	}
 }
@@ -207,22 +207,22 @@
 }
 
 // Run plays the library's demo, live.
-func (c *demoCommand) Run(ctx context.Context, s *streams) error {
-	spec, err := openScenario("demo", s)
+func (c *demoCommand) Run(ctx context.Context, streams *streams) error {
+	spec, err := openScenario("demo", streams)
 	if err != nil {
 		return err
 	}
 	if err := spec.Set("length", fmt.Sprintf("%q", c.Length)); err != nil {
 		return fmt.Errorf("--length: %w", err)
 	}
-	path, remove, err := schedulerBinary(ctx, c.Binary, s)
+	path, remove, err := schedulerBinary(ctx, c.Binary, streams)
 	if err != nil {
 		return err
 	}
 	defer remove()
-	fmt.Fprintf(s.err, "%s\n%d worker nodes, %d scheduler, jobs for %s; everything is on 127.0.0.0/8 and ends with this.\n\n",
+	fmt.Fprintf(streams.err, "%s\n%d worker nodes, %d scheduler, jobs for %s; everything is on 127.0.0.0/8 and ends with this.\n\n",
 		spec.Description, spec.Fleet.Workers, spec.Schedulers.Count, c.Length)
-	show := newProgressDisplay(s.err)
+	show := newProgressDisplay(streams.err)
 	var played *experiment.RunResult
 	var places process.Addresses
 	job := experiment.Job{
@@ -230,13 +230,13 @@
 		Subject: experiment.Subject{Name: "valvecove", Binary: path}, OnSnapshot: show.showSnapshot,
 		Observer: func(x *trace.Event) {
 			if line := describeEvent(x); line != "" {
-				show.printLine(s.err, line)
+				show.printLine(streams.err, line)
 			}
 		},
 		Process: process.Options{StayOpen: c.Stay, Guests: c.Stay, OnStart: func(p process.Addresses) { places = p }},
 	}
 	if c.Stay {
-		job.Observer = c.staying(job.Observer, show, s, &places, spec)
+		job.Observer = c.staying(job.Observer, show, streams, &places, spec)
 	}
 	played, err = experiment.Run(ctx, job)
 	show.close()
@@ -244,14 +244,14 @@
 		return err
 	}
 	played.Document.Build = buildName()
-	if err := c.writeResult(played, s); err != nil {
+	if err := c.writeResult(played, streams); err != nil {
 		return err
 	}
 	return verdictError(played)
 }
 
 // staying has the lines to try shown once the last job fell due and was settled.
-func (c *demoCommand) staying(also trace.Observer, v *progressDisplay, s *streams, places *process.Addresses, spec *scenario.Scenario) trace.Observer {
+func (c *demoCommand) staying(also trace.Observer, progressDisplay *progressDisplay, s *streams, places *process.Addresses, spec *scenario.Scenario) trace.Observer {
 	open, said := 0, false
 	return func(x *trace.Event) {
 		also(x)
@@ -263,7 +263,7 @@
 		}
 		if !said && open == 0 && x.At >= spec.Length.Std() {
 			said = true
-			v.printLine(s.err, demoInstructions(places, spec))
+			progressDisplay.printLine(s.err, demoInstructions(places, spec))
 		}
 	}
 }
@@ -286,25 +286,25 @@
 }
 
 // describeEvent is a line about what a newcomer wants to hear of; empty: nothing.
-func describeEvent(x *trace.Event) string {
-	at := fmt.Sprintf("%6.2fs  ", x.At.Seconds())
-	switch x.Kind {
+func describeEvent(event *trace.Event) string {
+	instant := fmt.Sprintf("%6.2fs  ", event.At.Seconds())
+	switch event.Kind {
 	case trace.SchedulerStarted:
-		return at + fmt.Sprintf("scheduler %d starts", x.Scheduler)
+		return instant + fmt.Sprintf("scheduler %d starts", event.Scheduler)
 	case trace.SchedulerReady:
-		return at + fmt.Sprintf("scheduler %d is ready: GET /up answers 200", x.Scheduler)
+		return instant + fmt.Sprintf("scheduler %d is ready: GET /up answers 200", event.Scheduler)
 	case trace.FaultStarted:
-		return at + "fault: " + x.Text
+		return instant + "fault: " + event.Text
 	case trace.FaultEnded:
-		return at + "over: " + x.Text
+		return instant + "over: " + event.Text
 	case trace.WorkerStopped:
-		return at + fmt.Sprintf("worker node w-%d is down", x.Worker)
+		return instant + fmt.Sprintf("worker node w-%d is down", event.Worker)
 	case trace.WorkerStarted:
-		if x.At > time.Second {
-			return at + fmt.Sprintf("worker node w-%d is up again, cold", x.Worker)
+		if event.At > time.Second {
+			return instant + fmt.Sprintf("worker node w-%d is up again, cold", event.Worker)
 		}
 	case trace.DrainNotified:
-		return at + fmt.Sprintf("scheduler %d hears that w-%d is gone or drains", x.Scheduler, x.Worker)
+		return instant + fmt.Sprintf("scheduler %d hears that w-%d is gone or drains", event.Scheduler, event.Worker)
 	}
 	return ""
 }
--- a/internal/testbed/baseline/base.go
+++ b/internal/testbed/baseline/base.go
@@ -222,8 +222,8 @@
 
 // isAllowed tells whether the rules let a job go to a ready worker now.
 func (b *base) isAllowed(j *job, w *worker) bool {
-	c := j.class
-	if c.Kinds != nil && !slices.Contains(c.Kinds, w.Kind) || c.Zones != nil && !slices.Contains(c.Zones, w.Zone) {
+	class := j.class
+	if class.Kinds != nil && !slices.Contains(class.Kinds, w.Kind) || class.Zones != nil && !slices.Contains(class.Zones, w.Zone) {
 		return false
 	}
 	if len(j.attempts) == 0 {
@@ -236,11 +236,11 @@
 		if !a.ended && a.worker == w {
 			return false
 		}
-		if !a.possiblyExecuted() || c.Idempotency == dispatch.Idempotent {
+		if !a.possiblyExecuted() || class.Idempotency == dispatch.Idempotent {
 			continue
 		}
-		if c.Idempotency == dispatch.NonIdempotent || b.now-a.sentAt >= c.DeduplicationWindow-c.DeduplicationWindow/ejectionFactor ||
-			c.DeduplicationScope == dispatch.ScopeZone && a.zone != w.Zone || c.DeduplicationScope == dispatch.ScopeCell && a.cell != w.Cell {
+		if class.Idempotency == dispatch.NonIdempotent || b.now-a.sentAt >= class.DeduplicationWindow-class.DeduplicationWindow/ejectionFactor ||
+			class.DeduplicationScope == dispatch.ScopeZone && a.zone != w.Zone || class.DeduplicationScope == dispatch.ScopeCell && a.cell != w.Cell {
 			return false
 		}
 	}
@@ -271,14 +271,14 @@
 	}
 }
 
-func (b *base) attemptOutcome(e dispatch.Outcome) {
-	j := b.jobs[e.Job]
-	if j == nil || e.Attempt < 0 || e.Attempt >= len(j.attempts) || j.attempts[e.Attempt].ended {
+func (b *base) attemptOutcome(outcome dispatch.Outcome) {
+	job := b.jobs[outcome.Job]
+	if job == nil || outcome.Attempt < 0 || outcome.Attempt >= len(job.attempts) || job.attempts[outcome.Attempt].ended {
 		return
 	}
-	a := j.attempts[e.Attempt]
-	a.ended, a.result = true, e.Result
-	j.inFlight--
+	a := job.attempts[outcome.Attempt]
+	a.ended, a.result = true, outcome.Result
+	job.inFlight--
 	last := b.inFlight[len(b.inFlight)-1]
 	b.inFlight[a.index], last.index = last, a.index
 	b.inFlight[len(b.inFlight)-1] = nil
@@ -286,11 +286,11 @@
 	a.worker.inFlight--
 	b.track(a.worker)
 	b.attemptEnded(a)
-	if e.Closed || j.closed || e.Result == dispatch.OK {
-		b.closeJob(j)
+	if outcome.Closed || job.closed || outcome.Result == dispatch.OK {
+		b.closeJob(job)
 		return
 	}
-	b.scheduleDeadline(j)
+	b.scheduleDeadline(job)
 }
 
 // ---- Workers ----
@@ -311,8 +311,8 @@
 	return share < 1 && (b.rng.Float64() >= share || float64(w.inFlight) > share*float64(len(b.inFlight))/float64(len(b.ready)))
 }
 
-func (b *base) applyList(e dispatch.WorkerList) {
-	if e.Kind == dispatch.ListUnavailable {
+func (b *base) applyList(workerList dispatch.WorkerList) {
+	if workerList.Kind == dispatch.ListUnavailable {
 		if b.watching = false; b.watchRequested || b.pollDelay == 0 {
 			b.pollDelay = min(max(b.settings.PollInterval/20, 2*b.pollDelay), b.settings.PollInterval/4)
 		}
@@ -321,12 +321,12 @@
 		return
 	}
 	b.listed = true
-	if e.Kind != dispatch.ListCached && b.watchRequested {
+	if workerList.Kind != dispatch.ListCached && b.watchRequested {
 		b.watchRequested, b.watching, b.pollDelay = false, true, 0
 	}
-	if e.Kind != dispatch.ListDelta {
-		listed := make(map[uint64]bool, len(e.Workers))
-		for _, x := range e.Workers {
+	if workerList.Kind != dispatch.ListDelta {
+		listed := make(map[uint64]bool, len(workerList.Workers))
+		for _, x := range workerList.Workers {
 			listed[x.ID] = true
 		}
 		for i := len(b.ready) - 1; i >= 0; i-- { // backwards, as the last takes the place of one that leaves
@@ -335,7 +335,7 @@
 			}
 		}
 	}
-	for _, x := range e.Workers {
+	for _, x := range workerList.Workers {
 		w := b.workers[x.ID]
 		if w == nil {
 			w = &worker{}
@@ -346,21 +346,21 @@
 	}
 }
 
-func (b *base) setReady(w *worker, ready bool) {
-	if ready == (w.readyIndex > 0) {
+func (b *base) setReady(worker *worker, ready bool) {
+	if ready == (worker.readyIndex > 0) {
 		return
 	}
 	if ready {
-		b.ready = append(b.ready, w)
-		w.readyIndex = len(b.ready)
+		b.ready = append(b.ready, worker)
+		worker.readyIndex = len(b.ready)
 	} else {
 		last := b.ready[len(b.ready)-1]
-		b.ready[w.readyIndex-1], last.readyIndex = last, w.readyIndex
+		b.ready[worker.readyIndex-1], last.readyIndex = last, worker.readyIndex
 		b.ready[len(b.ready)-1] = nil
 		b.ready = b.ready[:len(b.ready)-1]
-		w.readyIndex = 0
+		worker.readyIndex = 0
 	}
-	b.track(w)
+	b.track(worker)
 }
 
 func (b *base) mustPoll() bool { return b.settings.MustSubscribe && !b.watching && !b.watchRequested }
--- a/internal/testbed/baseline/omniscient.go
+++ b/internal/testbed/baseline/omniscient.go
@@ -57,9 +57,9 @@
 const quotaWindow = 2.0 // seconds
 
 // isOverQuota meters a tenant's jobs: whether one that has come now is beyond its share.
-func (f *sharedFlight) isOverQuota(b *base, j *job) bool {
+func (f *sharedFlight) isOverQuota(b *base, job *job) bool {
 	quotas := b.settings.TenantQuota
-	if j.Tenant < 0 || j.Tenant >= len(quotas) || quotas[j.Tenant] <= 0 {
+	if job.Tenant < 0 || job.Tenant >= len(quotas) || quotas[job.Tenant] <= 0 {
 		return false
 	}
 	for len(f.quota) < len(quotas) {
@@ -69,10 +69,10 @@
 		f.quota[i] = min(f.quota[i]+q*(b.now-f.meteredAt).Seconds(), quotaWindow*q)
 	}
 	f.meteredAt = b.now
-	if f.quota[j.Tenant] < 1 {
+	if f.quota[job.Tenant] < 1 {
 		return true
 	}
-	f.quota[j.Tenant]--
+	f.quota[job.Tenant]--
 	return false
 }
 
@@ -138,21 +138,21 @@
 	}
 }
 
-func (p *omniscient) offer(j *job) {
-	if j.work == 0 {
-		work, slots, ok := p.oracle.Work(j.ID)
+func (p *omniscient) offer(job *job) {
+	if job.work == 0 {
+		work, slots, ok := p.oracle.Work(job.ID)
 		if !ok || work <= 0 {
-			work = max(j.Hint.Seconds(), 1e-3)
+			work = max(job.Hint.Seconds(), 1e-3)
 		}
-		if j.work = work; slots >= 1 {
-			j.Slots = slots
+		if job.work = work; slots >= 1 {
+			job.Slots = slots
 		}
-		j.objective = min(j.arrivedAt+j.class.LatencyObjective+seconds(j.class.ObjectiveStretch*work), j.At)
-		j.overQuota = j.arrivedAt == p.now && p.shared.isOverQuota(p.base, j) // of further tries nobody knows
+		job.objective = min(job.arrivedAt+job.class.LatencyObjective+seconds(job.class.ObjectiveStretch*work), job.At)
+		job.overQuota = job.arrivedAt == p.now && p.shared.isOverQuota(p.base, job) // of further tries nobody knows
 	}
-	p.queue = append(p.queue, j)
+	p.queue = append(p.queue, job)
 	p.up(len(p.queue) - 1)
-	p.arrived = append(p.arrived, j)
+	p.arrived = append(p.arrived, job)
 }
 
 func (p *omniscient) drop(j *job) {
@@ -250,29 +250,29 @@
 	}
 	aside := p.deferred[:0]
 	for len(p.queue) > 0 && len(aside) < maxDeferred {
-		j := p.queue[0]
-		if p.remove(j); !p.hasRoom(j) || p.now+seconds(j.work/p.maxSpeed) > j.objective {
-			p.expire(j)
+		job := p.queue[0]
+		if p.remove(job); !p.hasRoom(job) || p.now+seconds(job.work/p.maxSpeed) > job.objective {
+			p.expire(job)
 			continue
 		}
-		switch w := p.choose(j); {
-		case w != nil:
-			if p.reservedFor == j {
+		switch worker := p.choose(job); {
+		case worker != nil:
+			if p.reservedFor == job {
 				p.reserved, p.reservedFor = nil, nil
 			}
-			p.send(j, w)
-			w.usableConns++
-			f := p.flightOf(w)
-			f.slots, f.since = f.slots+j.Slots, p.now
-			if p.warmUpShare(w) < 1 {
-				f.coldSpending = append(f.coldSpending, coldSpend{p.now, j.work * j.Slots})
+			p.send(job, worker)
+			worker.usableConns++
+			f := p.flightOf(worker)
+			f.slots, f.since = f.slots+job.Slots, p.now
+			if p.warmUpShare(worker) < 1 {
+				f.coldSpending = append(f.coldSpending, coldSpend{p.now, job.work * job.Slots})
 			}
-			w.freeSlots -= j.Slots
+			worker.freeSlots -= job.Slots
 		default:
-			if p.reservedFor == nil && j.Slots > 1 && p.now > j.objective-seconds(2*j.work/p.maxSpeed) {
-				p.reserveWorker(j)
+			if p.reservedFor == nil && job.Slots > 1 && p.now > job.objective-seconds(2*job.work/p.maxSpeed) {
+				p.reserveWorker(job)
 			}
-			aside = append(aside, j)
+			aside = append(aside, job)
 		}
 	}
 	if len(aside) == 0 {
@@ -297,22 +297,22 @@
 }
 
 // inspect sees a worker's truth, once in a step, and whether it can begin anything.
-func (p *omniscient) inspect(w *worker) {
-	if w.index < 0 || w.readyIndex == 0 || w.seenIn == p.scanID {
+func (p *omniscient) inspect(worker *worker) {
+	if worker.index < 0 || worker.readyIndex == 0 || worker.seenIn == p.scanID {
 		return
 	}
-	w.seenIn, w.state = p.scanID, p.oracle.View(w.index)
-	if !isHealthy(w.state) || !w.state.Connectable && (!w.connected || w.usableConns > 0) {
+	worker.seenIn, worker.state = p.scanID, p.oracle.View(worker.index)
+	if !isHealthy(worker.state) || !worker.state.Connectable && (!worker.connected || worker.usableConns > 0) {
 		return
 	}
-	p.maxSpeed = max(p.maxSpeed, w.state.Speed)
-	if w.state.Queued > 0 {
+	p.maxSpeed = max(p.maxSpeed, worker.state.Speed)
+	if worker.state.Queued > 0 {
 		return
 	}
 	// Slots beyond the cores only share them.
-	w.freeSlots = min(w.state.Free, w.state.Free-w.state.Slots+w.state.Cores) - p.flightOf(w).slots
-	if w.freeSlots >= 1 {
-		p.candidates = append(p.candidates, w)
+	worker.freeSlots = min(worker.state.Free, worker.state.Free-worker.state.Slots+worker.state.Cores) - p.flightOf(worker).slots
+	if worker.freeSlots >= 1 {
+		p.candidates = append(p.candidates, worker)
 	}
 }
 
@@ -388,7 +388,7 @@
 }
 
 func (p *omniscient) down(i int) {
-	j := p.queue[i]
+	job := p.queue[i]
 	for {
 		least := 2*i + 1
 		if least >= len(p.queue) {
@@ -397,11 +397,11 @@
 		if least+1 < len(p.queue) && before(p.queue[least+1], p.queue[least]) {
 			least++
 		}
-		if !before(p.queue[least], j) {
+		if !before(p.queue[least], job) {
 			break
 		}
 		p.place(i, p.queue[least])
 		i = least
 	}
-	p.place(i, j)
+	p.place(i, job)
 }
--- a/internal/testbed/baseline/simple.go
+++ b/internal/testbed/baseline/simple.go
@@ -107,20 +107,20 @@
 
 func (c *roundRobin) track(*worker) {}
 
-func (c *roundRobin) choose(j *job) *worker {
+func (c *roundRobin) choose(job *job) *worker {
 	if len(c.ready) > 0 && !c.started {
 		c.next, c.started = c.rng.IntN(len(c.ready)), true
 	}
 	for range min(len(c.ready), maxDraws) {
 		c.next = (c.next + 1) % len(c.ready)
-		if w := c.ready[c.next]; c.isAllowed(j, w) && !j.wasSentTo(w) && !c.isUsable(w) {
+		if w := c.ready[c.next]; c.isAllowed(job, w) && !job.wasSentTo(w) && !c.isUsable(w) {
 			return w
 		}
 	}
 	if len(c.ready) == 0 {
 		return nil
 	}
-	w := c.firstUsable(j, (c.next+1)%len(c.ready))
+	w := c.firstUsable(job, (c.next+1)%len(c.ready))
 	if w != nil {
 		c.next = w.readyIndex - 1
 	}
@@ -146,29 +146,29 @@
 }
 
 // track moves a worker to its level.
-func (c *leastOutstanding) track(w *worker) {
-	if w.level > 0 {
-		at := c.levels[w.level-1]
+func (c *leastOutstanding) track(worker *worker) {
+	if worker.level > 0 {
+		at := c.levels[worker.level-1]
 		last := at[len(at)-1]
-		at[w.levelIndex], last.levelIndex = last, w.levelIndex
+		at[worker.levelIndex], last.levelIndex = last, worker.levelIndex
 		at[len(at)-1] = nil
-		c.levels[w.level-1] = at[:len(at)-1]
-		w.level = 0
+		c.levels[worker.level-1] = at[:len(at)-1]
+		worker.level = 0
 	}
-	if w.readyIndex == 0 {
+	if worker.readyIndex == 0 {
 		return
 	}
-	for len(c.levels) <= w.inFlight {
+	for len(c.levels) <= worker.inFlight {
 		c.levels = append(c.levels, nil)
 	}
-	w.level, w.levelIndex = w.inFlight+1, len(c.levels[w.inFlight])
-	c.levels[w.inFlight] = append(c.levels[w.inFlight], w)
+	worker.level, worker.levelIndex = worker.inFlight+1, len(c.levels[worker.inFlight])
+	c.levels[worker.inFlight] = append(c.levels[worker.inFlight], worker)
 }
 
-func (c *leastOutstanding) choose(j *job) *worker {
+func (c *leastOutstanding) choose(job *job) *worker {
 	for _, at := range c.levels {
 		for range min(len(at), maxDraws) {
-			if w := at[c.rng.IntN(len(at))]; c.isAllowed(j, w) && !j.wasSentTo(w) && !c.isUsable(w) {
+			if w := at[c.rng.IntN(len(at))]; c.isAllowed(job, w) && !job.wasSentTo(w) && !c.isUsable(w) {
 				return w
 			}
 		}
@@ -176,5 +176,5 @@
 	if len(c.ready) == 0 {
 		return nil
 	}
-	return c.firstUsable(j, c.rng.IntN(len(c.ready)))
+	return c.firstUsable(job, c.rng.IntN(len(c.ready)))
 }
--- a/internal/testbed/checker/checker.go
+++ b/internal/testbed/checker/checker.go
@@ -156,18 +156,18 @@
 	if opt.MaxLateness <= 0 {
 		opt.MaxLateness = 50 * time.Millisecond // as long as clients listen beyond a deadline: an answer in time may go unheard
 	}
-	j := &Checker{
+	checker := &Checker{
 		spec: spec, options: opt, classes: classes(spec), jobs: make(map[uint64]*job, 1024),
 		jobsByRequest: make(map[string]*job, 1024),
 		connRequests:  map[uint64]int32{}, misbehaving: map[uint64]misbehavingClient{}, coldWork: map[int][]coldArrival{},
 		texts: textTable{[]string{""}, map[string]uint16{}},
 	}
-	j.cells, j.zones = workerPlacement(spec)
-	j.timeLimits = newTimeLimits(spec, opt.RealProcesses)
+	checker.cells, checker.zones = workerPlacement(spec)
+	checker.timeLimits = newTimeLimits(spec, opt.RealProcesses)
 	for range max(1, spec.Schedulers.Count) {
-		j.schedulers = append(j.schedulers, newScheduler())
+		checker.schedulers = append(checker.schedulers, newScheduler())
 	}
-	return j
+	return checker
 }
 
 func newScheduler() *scheduler {
@@ -220,30 +220,30 @@
 	}
 	f.killDelay = min(longest, 3*time.Second) + termGrace
 	for i := range spec.Faults {
-		a := &spec.Faults[i]
-		s := interval{a.At.Std(), forever}
-		if a.Duration > 0 {
-			s.end = s.start + (a.Duration + a.Spread).Std() + 2*f.clientDelay
+		fault := &spec.Faults[i]
+		interval := interval{fault.At.Std(), forever}
+		if fault.Duration > 0 {
+			interval.end = interval.start + (fault.Duration + fault.Spread).Std() + 2*f.clientDelay
 		}
-		nodes := a.Between == "nodes" || a.And == "nodes"
-		if a.Kind == "delay" && nodes {
-			f.workerDelay += 2 * time.Duration(a.Size*float64(time.Millisecond))
+		nodes := fault.Between == "nodes" || fault.And == "nodes"
+		if fault.Kind == "delay" && nodes {
+			f.workerDelay += 2 * time.Duration(fault.Size*float64(time.Millisecond))
 		}
-		if nodes && (a.Kind == "cut" || a.Kind == "cut_one_way") {
-			f.workersCut = append(f.workersCut, s)
+		if nodes && (fault.Kind == "cut" || fault.Kind == "cut_one_way") {
+			f.workersCut = append(f.workersCut, interval)
 		}
-		if connectImpairingFaults[a.Kind] {
-			f.connectsImpaired = append(f.connectsImpaired, s)
+		if connectImpairingFaults[fault.Kind] {
+			f.connectsImpaired = append(f.connectsImpaired, interval)
 		}
-		switch clients := a.Between == "clients" || a.And == "clients"; {
-		case clients && scenario.FaultKinds[a.Kind] == "net":
-			f.clientsCut = append(f.clientsCut, s)
-		case impairingFaults[a.Kind]:
-			s.start -= impairmentMargin
-			if a.Duration > 0 {
-				s.end += impairmentMargin
+		switch clients := fault.Between == "clients" || fault.And == "clients"; {
+		case clients && scenario.FaultKinds[fault.Kind] == "net":
+			f.clientsCut = append(f.clientsCut, interval)
+		case impairingFaults[fault.Kind]:
+			interval.start -= impairmentMargin
+			if fault.Duration > 0 {
+				interval.end += impairmentMargin
 			}
-			f.workersImpaired = append(f.workersImpaired, s)
+			f.workersImpaired = append(f.workersImpaired, interval)
 		}
 	}
 	if n.DropsIdleAfter > 0 {
@@ -362,13 +362,13 @@
 }
 
 // jobDue begins a job.
-func (j *Checker) jobDue(s *trace.Event) {
-	if s.JobID > j.highestJobID {
-		j.highestJobID = s.JobID
-	} else if old := j.jobs[s.JobID]; old != nil { // its number is used again
+func (j *Checker) jobDue(event *trace.Event) {
+	if event.JobID > j.highestJobID {
+		j.highestJobID = event.JobID
+	} else if old := j.jobs[event.JobID]; old != nil { // its number is used again
 		j.forgetJob(old)
 	}
-	if s.Class < 0 || s.Class >= len(j.classes) {
+	if event.Class < 0 || event.Class >= len(j.classes) {
 		j.counts.Unknown++
 		return
 	}
@@ -378,16 +378,16 @@
 	b := j.freeJobs[len(j.freeJobs)-1]
 	j.freeJobs = j.freeJobs[:len(j.freeJobs)-1]
 	*b = job{requests: b.requests[:0], attempts: b.attempts[:0], log: b.log[:0]}
-	b.id, b.class, b.tenant, b.dueAt = s.JobID, &j.classes[s.Class], s.Tenant, s.At
-	b.slots, b.work, b.deadline = s.Slots, time.Duration(s.Work*float64(time.Second)), s.Deadline
+	b.id, b.class, b.tenant, b.dueAt = event.JobID, &j.classes[event.Class], event.Tenant, event.At
+	b.slots, b.work, b.deadline = event.Slots, time.Duration(event.Work*float64(time.Second)), event.Deadline
 	j.jobs[b.id] = b
 	j.counts.Jobs++
-	j.recordJobEvent(b, s, noRequest)
+	j.recordJobEvent(b, event, noRequest)
 }
 
 // requestSent begins a try, or has it on another connection once more.
-func (j *Checker) requestSent(s *trace.Event) {
-	b := j.jobs[s.JobID]
+func (j *Checker) requestSent(event *trace.Event) {
+	b := j.jobs[event.JobID]
 	if b == nil {
 		j.counts.Unknown++
 		return
@@ -395,60 +395,60 @@
 	if len(j.connRequests) >= maxConns {
 		clear(j.connRequests) // what comes over one next counts as its first request, which is excused more
 	}
-	j.connRequests[s.Conn]++
-	c := j.scheduler(s.Scheduler)
-	t, n := b.findRequest(s.RequestID)
+	j.connRequests[event.Conn]++
+	scheduler := j.scheduler(event.Scheduler)
+	t, n := b.findRequest(event.RequestID)
 	if t == nil {
 		n = len(b.requests)
-		b.requests = append(b.requests, request{id: s.RequestID, key: s.IdempotencyKey})
+		b.requests = append(b.requests, request{id: event.RequestID, key: event.IdempotencyKey})
 		t = &b.requests[n]
-		j.jobsByRequest[s.RequestID] = b
+		j.jobsByRequest[event.RequestID] = b
 		j.counts.Requests++
 		j.checkCounts[ruleOneAnswer]++
 	} else {
 		t.state, t.resent = requestOpen, true
 	}
-	t.sentAt, t.deadline, t.firstOnConn = s.At, s.At+s.Budget, j.connRequests[s.Conn] == 1
-	t.scheduler, t.incarnation = s.Scheduler, c.incarnation
-	j.recordJobEvent(b, s, n)
+	t.sentAt, t.deadline, t.firstOnConn = event.At, event.At+event.Budget, j.connRequests[event.Conn] == 1
+	t.scheduler, t.incarnation = event.Scheduler, scheduler.incarnation
+	j.recordJobEvent(b, event, n)
 }
 
 // jobSettled is the end of a job for its client. A try that is open has crossed a close, and was still waiting for another
 // connection.
-func (j *Checker) jobSettled(s *trace.Event) {
-	b := j.jobs[s.JobID]
+func (j *Checker) jobSettled(event *trace.Event) {
+	b := j.jobs[event.JobID]
 	if b == nil || b.settled {
 		return
 	}
-	j.recordJobEvent(b, s, noRequest)
+	j.recordJobEvent(b, event, noRequest)
 	b.settled = true
 	if b.class.idempotent { // nothing of it is forbidden but to go on
-		j.retained[0].add(retainedJob{b, b.id, s.At + min(j.retention, 2*j.dialDelay+idempotentRetention)})
+		j.retained[0].add(retainedJob{b, b.id, event.At + min(j.retention, 2*j.dialDelay+idempotentRetention)})
 	} else {
-		j.retained[1].add(retainedJob{b, b.id, s.At + j.retention})
+		j.retained[1].add(retainedJob{b, b.id, event.At + j.retention})
 	}
 	for i := range b.requests {
-		j.requestEnded(b, &b.requests[i], requestClientLeft, s.At)
+		j.requestEnded(b, &b.requests[i], requestClientLeft, event.At)
 	}
 }
 
 // unknownRequest takes a sight of a query that nobody knows.
-func (j *Checker) unknownRequest(s *trace.Event) {
-	if b := j.jobs[s.JobID]; b != nil && s.Kind == trace.SchedulerUnreachable {
-		j.recordJobEvent(b, s, noRequest)
+func (j *Checker) unknownRequest(event *trace.Event) {
+	if b := j.jobs[event.JobID]; b != nil && event.Kind == trace.SchedulerUnreachable {
+		j.recordJobEvent(b, event, noRequest)
 		return
 	}
 	j.counts.Unknown++
-	switch s.Kind {
+	switch event.Kind {
 	case trace.ResponseReceived:
-		j.recordFleetEvent(s)
-		j.report(ruleOneAnswer, nil, s.RequestID, "a client had an answer to a query that it had not asked, or had long had one to")
+		j.recordFleetEvent(event)
+		j.report(ruleOneAnswer, nil, event.RequestID, "a client had an answer to a query that it had not asked, or had long had one to")
 	case trace.AttemptReceived:
 		j.counts.Attempts++
-		j.recordFleetEvent(s)
+		j.recordFleetEvent(event)
 	case trace.AttemptRejected:
-		j.recordFleetEvent(s)
-		j.attemptRejected(nil, s)
+		j.recordFleetEvent(event)
+		j.attemptRejected(nil, event)
 	}
 }
 
@@ -498,36 +498,36 @@
 		return
 	}
 	j.recordFleetEvent(s)
-	switch c := j.scheduler(s.Scheduler); s.Kind {
+	switch scheduler := j.scheduler(s.Scheduler); s.Kind {
 	case trace.DrainNotified:
-		if _, known := c.drainNotifiedAt[s.Worker]; !known {
-			c.drainNotifiedAt[s.Worker] = s.At
+		if _, known := scheduler.drainNotifiedAt[s.Worker]; !known {
+			scheduler.drainNotifiedAt[s.Worker] = s.At
 		}
 	case trace.StartNotified:
-		delete(c.drainNotifiedAt, s.Worker)
+		delete(scheduler.drainNotifiedAt, s.Worker)
 	case trace.SchedulerStarted:
-		if c.up || c.exits[c.incarnation].exitedAt > 0 {
-			c.exits = append(c.exits, processExit{})
-			c.incarnation++
+		if scheduler.up || scheduler.exits[scheduler.incarnation].exitedAt > 0 {
+			scheduler.exits = append(scheduler.exits, processExit{})
+			scheduler.incarnation++
 		}
-		c.up, c.terminatedAt, c.overLimits = true, 0, false
-		clear(c.drainNotifiedAt)
+		scheduler.up, scheduler.terminatedAt, scheduler.overLimits = true, 0, false
+		clear(scheduler.drainNotifiedAt)
 	case trace.SchedulerTerminated:
-		c.terminatedAt = s.At
+		scheduler.terminatedAt = s.At
 	case trace.SchedulerKilled:
-		c.end(processExit{exitedAt: s.At, terminatedAt: c.terminatedAt, killed: true})
+		scheduler.end(processExit{exitedAt: s.At, terminatedAt: scheduler.terminatedAt, killed: true})
 	case trace.SchedulerExited:
 		j.checkCounts[ruleCrash]++
-		if c.terminatedAt == 0 {
+		if scheduler.terminatedAt == 0 {
 			j.report(ruleCrash, nil, "", "scheduler %d ended by itself with status %d, without SIGTERM", s.Scheduler,
 				s.Status)
 		}
-		c.end(processExit{exitedAt: s.At, terminatedAt: c.terminatedAt})
+		scheduler.end(processExit{exitedAt: s.At, terminatedAt: scheduler.terminatedAt})
 	case trace.SchedulerFrozen:
-		c.thaw(s.At)
-		c.freezes = append(c.freezes, interval{s.At, forever})
+		scheduler.thaw(s.At)
+		scheduler.freezes = append(scheduler.freezes, interval{s.At, forever})
 	case trace.SchedulerResumed:
-		c.thaw(s.At)
+		scheduler.thaw(s.At)
 	}
 }
 
@@ -541,7 +541,7 @@
 
 // Verdict tells what was found, of what is still open too. The play may go on after it.
 func (j *Checker) Verdict() Verdict {
-	v := Verdict{Violations: []Violation{}, Counts: j.counts}
+	verdict := Verdict{Violations: []Violation{}, Counts: j.counts}
 	// What is open is judged on a copy of the findings.
 	found, looked, broke := slices.Clone(j.violations), j.checkCounts, j.violationCounts
 	type mark struct {
@@ -558,9 +558,9 @@
 		m.b.violations = slices.Clone(m.breaches)
 		for i := range m.b.requests {
 			if t := &m.b.requests[i]; t.state == requestOpen {
-				v.Counts.Open++
+				verdict.Counts.Open++
 				if j.now > t.deadline+j.slack+2*j.clientDelay {
-					j.checkUnanswered(m.b, t, j.now, false, &v.Counts)
+					j.checkUnanswered(m.b, t, j.now, false, &verdict.Counts)
 				}
 			}
 		}
@@ -585,31 +585,31 @@
 			j.violations[i].Explanation = j.explainJob(m.b)
 		}
 	}
-	v.Violations = append(v.Violations, j.violations...)
-	slices.SortStableFunc(v.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	verdict.Violations = append(verdict.Violations, j.violations...)
+	slices.SortStableFunc(verdict.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	for r := range ruleCount {
-		v.Rules = append(v.Rules, RuleCount{r.String(), j.checkCounts[r], j.violationCounts[r]})
+		verdict.Rules = append(verdict.Rules, RuleCount{r.String(), j.checkCounts[r], j.violationCounts[r]})
 	}
 	j.violations, j.checkCounts, j.violationCounts = found, looked, broke
 	for _, m := range marks {
 		m.b.brokenRules, m.b.violations = m.broken, m.breaches
 	}
 	if j.maxLateness > j.options.MaxLateness {
-		v.Invalid = fmt.Sprintf("the lab itself was %v late, more than %v", j.maxLateness, j.options.MaxLateness)
+		verdict.Invalid = fmt.Sprintf("the lab itself was %v late, more than %v", j.maxLateness, j.options.MaxLateness)
 	}
 	if len(j.workersImpaired) > 0 {
-		v.NotChecked = append(v.NotChecked, "one-attempt-per-node, attempts: overlaps that begin while words to worker nodes"+
+		verdict.NotChecked = append(verdict.NotChecked, "one-attempt-per-node, attempts: overlaps that begin while words to worker nodes"+
 			" may get lost (by "+j.impairedBy()+"), as a scheduler may have given the earlier one up")
 	}
 	if 2*j.clientDelay > j.slack {
-		v.NotChecked = append(v.NotChecked, "one-answer, in time: clients close before an answer of the last moment can have"+
+		verdict.NotChecked = append(verdict.NotChecked, "one-answer, in time: clients close before an answer of the last moment can have"+
 			" come, as words may take longer than the slack")
 	}
 	if !j.options.RealProcesses {
-		v.NotChecked = append(v.NotChecked, "bad-clients: there are no bytes on sockets in virtual time",
+		verdict.NotChecked = append(verdict.NotChecked, "bad-clients: there are no bytes on sockets in virtual time",
 			"limits: there are no processes in virtual time, whose memory and descriptors could be counted")
 	}
-	return v
+	return verdict
 }
 
 func (j *Checker) impairedBy() string {
--- a/internal/testbed/checker/explanation.go
+++ b/internal/testbed/checker/explanation.go
@@ -43,27 +43,27 @@
 	return n
 }
 
-func (w *textTable) newEntry(s *trace.Event) logEntry {
-	e := logEntry{at: s.At, worker: int32(s.Worker), scheduler: int16(s.Scheduler), status: int16(s.Status), kind: s.Kind}
-	switch s.Kind {
+func (w *textTable) newEntry(event *trace.Event) logEntry {
+	logEntry := logEntry{at: event.At, worker: int32(event.Worker), scheduler: int16(event.Scheduler), status: int16(event.Status), kind: event.Kind}
+	switch event.Kind {
 	case trace.AttemptFinished:
 	case trace.RequestSent:
-		e.duration = s.Budget
+		logEntry.duration = event.Budget
 	case trace.AttemptReceived, trace.AttemptUnread:
-		e.duration = s.FirstByteAt
+		logEntry.duration = event.FirstByteAt
 	case trace.ResponseReceived:
-		e.duration = s.RetryAfter
+		logEntry.duration = event.RetryAfter
 	case trace.WorkerStarted, trace.StartNotified:
-		e.duration = time.Duration(s.Incarnation)
+		logEntry.duration = time.Duration(event.Incarnation)
 	case trace.ResourceUsage:
-		e.text = w.intern(fmt.Sprintf("%.1f MB, %d descriptors", float64(s.Memory)/(1<<20), s.OpenFiles))
+		logEntry.text = w.intern(fmt.Sprintf("%.1f MB, %d descriptors", float64(event.Memory)/(1<<20), event.OpenFiles))
 	case trace.CallbackAnswered:
-		e.sendings = uint8(s.Number)
+		logEntry.sendings = uint8(event.Number)
 		fallthrough
 	default:
-		e.text = w.intern(s.Text)
+		logEntry.text = w.intern(event.Text)
 	}
-	return e
+	return logEntry
 }
 
 // recordJobEvent logs a sight with its job. Where there is no room the middle of the log goes: how it began and how it ended
@@ -137,21 +137,21 @@
 		last = max(last, b.log[i].at)
 	}
 	var around []logEntry
-	j.fleetLog.eachSince(b.dueAt, func(e *logEntry) {
+	j.fleetLog.eachSince(b.dueAt, func(logEntry *logEntry) {
 		met := false
 		switch {
-		case e.at > last:
-		case e.kind == trace.DrainNotified || e.kind == trace.StartNotified:
-			met = nodes[e.worker] && scheds[e.scheduler]
-		case e.kind >= trace.WorkerStarted && e.kind <= trace.WorkerRecovered || e.kind == trace.WorkerOverloaded:
-			met = nodes[e.worker]
-		case e.kind >= trace.SchedulerStarted && e.kind <= trace.SchedulerExited:
-			met = scheds[e.scheduler]
-		case e.kind == trace.FaultStarted || e.kind == trace.FaultEnded:
+		case logEntry.at > last:
+		case logEntry.kind == trace.DrainNotified || logEntry.kind == trace.StartNotified:
+			met = nodes[logEntry.worker] && scheds[logEntry.scheduler]
+		case logEntry.kind >= trace.WorkerStarted && logEntry.kind <= trace.WorkerRecovered || logEntry.kind == trace.WorkerOverloaded:
+			met = nodes[logEntry.worker]
+		case logEntry.kind >= trace.SchedulerStarted && logEntry.kind <= trace.SchedulerExited:
+			met = scheds[logEntry.scheduler]
+		case logEntry.kind == trace.FaultStarted || logEntry.kind == trace.FaultEnded:
 			met = true
 		}
 		if met {
-			around = append(around, *e)
+			around = append(around, *logEntry)
 		}
 	})
 	lines := make([]string, 0, len(b.log)+len(around)+1)
@@ -326,17 +326,17 @@
 
 // String is a breach with its story, as people read it.
 func (b Violation) String() string {
-	var s strings.Builder
-	fmt.Fprintf(&s, "%s at %.6f s", b.Rule, b.At.Seconds())
+	var text strings.Builder
+	fmt.Fprintf(&text, "%s at %.6f s", b.Rule, b.At.Seconds())
 	if b.JobID != 0 {
-		fmt.Fprintf(&s, ", job %d", b.JobID)
+		fmt.Fprintf(&text, ", job %d", b.JobID)
 	}
 	if b.RequestID != "" {
-		fmt.Fprintf(&s, ", query %s", b.RequestID)
+		fmt.Fprintf(&text, ", query %s", b.RequestID)
 	}
-	fmt.Fprintf(&s, ": %s\n", b.Text)
+	fmt.Fprintf(&text, ": %s\n", b.Text)
 	for _, l := range b.Explanation {
-		fmt.Fprintf(&s, "  %s\n", l)
+		fmt.Fprintf(&text, "  %s\n", l)
 	}
-	return s.String()
+	return text.String()
 }
--- a/internal/testbed/checker/rules.go
+++ b/internal/testbed/checker/rules.go
@@ -64,8 +64,8 @@
 
 // ---- One answer ----
 
-func (j *Checker) responseReceived(b *job, t *request, s *trace.Event) {
-	t.responseBody = s.Text
+func (j *Checker) responseReceived(b *job, t *request, event *trace.Event) {
+	t.responseBody = event.Text
 	switch t.responses++; {
 	case t.responses > 1:
 		j.report(ruleOneAnswer, b, t.id, "its client had a second answer to one query")
@@ -73,22 +73,22 @@
 	case t.state != requestOpen: // its client had gone, and heard it all the same
 		return
 	}
-	t.state, t.endedAt, t.status = requestAnswered, s.At, s.Status
-	if late := s.At - t.deadline; late > j.slack+2*j.clientDelay+j.observationLateness() && !j.isExcused(t, s.At) {
+	t.state, t.endedAt, t.status = requestAnswered, event.At, event.Status
+	if late := event.At - t.deadline; late > j.slack+2*j.clientDelay+j.observationLateness() && !j.isExcused(t, event.At) {
 		j.report(ruleOneAnswer, b, t.id, "its answer came %v after its budget was over", late)
 	}
 	switch {
-	case s.Status == http.StatusOK:
+	case event.Status == http.StatusOK:
 		j.counts.Served++
-		j.checkResult(b, t, s)
+		j.checkResult(b, t, event)
 		return
-	case isRejection(s.Status):
+	case isRejection(event.Status):
 		j.counts.Rejected++
-		j.checkRejection(b, t, s.At)
+		j.checkRejection(b, t, event.At)
 	default:
 		j.counts.Failed++
 	}
-	j.checkPromptness(b, t, s.At)
+	j.checkPromptness(b, t, event.At)
 }
 
 // requestEnded takes the end of a try without an answer.
@@ -198,28 +198,28 @@
 
 // checkPair holds two attempts of a job against each other.
 func (j *Checker) checkPair(b *job, t *request, early, late, sched int) {
-	x, y := &b.attempts[early], &b.attempts[late]
-	if x.request != y.request {
-		first := &b.requests[min(x.request, y.request)]
+	x, attempt := &b.attempts[early], &b.attempts[late]
+	if x.request != attempt.request {
+		first := &b.requests[min(x.request, attempt.request)]
 		if b.class.nonIdempotent && first.state == requestAnswered && isRejection(first.status) {
 			j.checkCounts[rulePayoutOnce]++
-			if x.possiblyExecuted(y.firstByteAt) {
+			if x.possiblyExecuted(attempt.firstByteAt) {
 				j.report(rulePayoutOnce, b, t.id,
-					"tried again after a refusal and sent to w-%d, though it may have run at w-%d", y.worker, x.worker)
+					"tried again after a refusal and sent to w-%d, though it may have run at w-%d", attempt.worker, x.worker)
 			}
 		}
 		return
 	}
-	if x.possiblyExecuted(y.firstByteAt) {
+	if x.possiblyExecuted(attempt.firstByteAt) {
 		switch c := b.class; {
 		case c.nonIdempotent:
-			j.report(rulePayoutOnce, b, t.id, "sent to w-%d, though it may have run at w-%d", y.worker, x.worker)
-		case c.idempotentWithKey && !j.shareScope(c.scope, x.worker, y.worker):
+			j.report(rulePayoutOnce, b, t.id, "sent to w-%d, though it may have run at w-%d", attempt.worker, x.worker)
+		case c.idempotentWithKey && !j.shareScope(c.scope, x.worker, attempt.worker):
 			j.report(ruleKeyScope, b, t.id, "sent to w-%d, which is not of the %s of w-%d, where it may have run",
-				y.worker, c.scope, x.worker)
-		case c.idempotentWithKey && y.firstByteAt-x.firstByteAt >= c.window:
+				attempt.worker, c.scope, x.worker)
+		case c.idempotentWithKey && attempt.firstByteAt-x.firstByteAt >= c.window:
 			j.report(ruleKeyScope, b, t.id, "sent again %v after it may have run, in a window of %v",
-				y.firstByteAt-x.firstByteAt, c.window)
+				attempt.firstByteAt-x.firstByteAt, c.window)
 		}
 	}
 	if b.class.nonIdempotent {
@@ -227,10 +227,10 @@
 	} else if b.class.idempotentWithKey {
 		j.checkCounts[ruleKeyScope]++
 	}
-	if (x.worker == y.worker || !j.hedging) && x.inFlight(y.firstByteAt) && !anyOverlaps(j.workersImpaired, y.firstByteAt, y.firstByteAt) &&
+	if (x.worker == attempt.worker || !j.hedging) && x.inFlight(attempt.firstByteAt) && !anyOverlaps(j.workersImpaired, attempt.firstByteAt, attempt.firstByteAt) &&
 		len(j.overlaps) < maxOverlaps {
 		r := ruleAttempts
-		if x.worker == y.worker {
+		if x.worker == attempt.worker {
 			r = ruleOnePerWorker
 		}
 		j.checkCounts[r]++
@@ -322,21 +322,21 @@
 }
 
 // attemptStarted takes the begin of a run.
-func (j *Checker) attemptStarted(b *job, t *request, a *attempt) {
-	if a.started {
+func (j *Checker) attemptStarted(b *job, t *request, attempt *attempt) {
+	if attempt.started {
 		return
 	}
-	if a.started = true; !b.class.nonIdempotent {
+	if attempt.started = true; !b.class.nonIdempotent {
 		return
 	}
 	j.checkCounts[rulePayoutOnce]++
 	for i := range b.attempts {
 		x := &b.attempts[i]
-		if x == a || !x.started {
+		if x == attempt || !x.started {
 			continue
 		}
-		if first := &b.requests[min(x.request, a.request)]; x.request == a.request || first.state == requestAnswered && isRejection(first.status) {
-			j.report(rulePayoutOnce, b, t.id, "begins at w-%d, and had begun at w-%d", a.worker, x.worker)
+		if first := &b.requests[min(x.request, attempt.request)]; x.request == attempt.request || first.state == requestAnswered && isRejection(first.status) {
+			j.report(rulePayoutOnce, b, t.id, "begins at w-%d, and had begun at w-%d", attempt.worker, x.worker)
 		}
 	}
 }
@@ -401,14 +401,14 @@
 }
 
 // checkPromptness is the rule that what was given up is answered at once; see the package's doc.
-func (j *Checker) checkPromptness(b *job, t *request, at time.Duration) {
-	if j.scheduler(t.scheduler).frozenDuring(t.sentAt, at) || anyOverlaps(j.clientsCut, t.sentAt, at) {
+func (j *Checker) checkPromptness(b *job, t *request, answeredAt time.Duration) {
+	if j.scheduler(t.scheduler).frozenDuring(t.sentAt, answeredAt) || anyOverlaps(j.clientsCut, t.sentAt, answeredAt) {
 		return
 	}
 	j.checkCounts[rulePromptRefusal]++
-	if t.exhaustedAt > 0 && at > t.exhaustedAt+j.rejectionDeadline+j.clientDelay+j.observationLateness() {
+	if t.exhaustedAt > 0 && answeredAt > t.exhaustedAt+j.rejectionDeadline+j.clientDelay+j.observationLateness() {
 		j.report(rulePromptRefusal, b, t.id, "answered with %d %v after its scheduler knew that no attempt was left to it",
-			t.status, at-t.exhaustedAt)
+			t.status, answeredAt-t.exhaustedAt)
 		return
 	}
 	if !isRejection(t.status) {
@@ -425,14 +425,14 @@
 		}
 	}
 	within := j.rejectionDeadline + j.clientDelay + j.observationLateness()
-	if anyOverlaps(j.connectsImpaired, at-j.dialDelay, at) { // it may have waited for a connection
+	if anyOverlaps(j.connectsImpaired, answeredAt-j.dialDelay, answeredAt) { // it may have waited for a connection
 		within += j.dialDelay
 	}
 	hope := t.sentAt + j.objectiveHorizon(b, t)
-	if at > max(hope, last)+within {
+	if answeredAt > max(hope, last)+within {
 		j.report(rulePromptRefusal, b, t.id,
 			"refused %v after it was asked, when nothing had been out of it for %v, and nothing to hope for after %v",
-			at-t.sentAt, at-last, hope-t.sentAt)
+			answeredAt-t.sentAt, answeredAt-last, hope-t.sentAt)
 	}
 }
 
@@ -451,20 +451,20 @@
 // ---- Overlaps ----
 
 // resolveOverlaps looks at suspicions again, as a sight comes in that may settle some.
-func (j *Checker) resolveOverlaps(s *trace.Event) {
+func (j *Checker) resolveOverlaps(event *trace.Event) {
 	kept := j.overlaps[:0]
-	for _, o := range j.overlaps {
-		x, y := &o.job.attempts[o.early], &o.job.attempts[o.late]
+	for _, overlap := range j.overlaps {
+		x, y := &overlap.job.attempts[overlap.early], &overlap.job.attempts[overlap.late]
 		switch {
-		case o.provedOpenAt > 0 && s.At > o.provedOpenAt+j.workerDelay && x.inFlight(o.provedOpenAt+j.workerDelay):
-			j.reportOverlap(o)
+		case overlap.provedOpenAt > 0 && event.At > overlap.provedOpenAt+j.workerDelay && x.inFlight(overlap.provedOpenAt+j.workerDelay):
+			j.reportOverlap(overlap)
 			continue
 		case x.endedAt > 0:
 			continue
-		case o.provedOpenAt == 0 && s.Kind == trace.AttemptReceived && s.Worker == o.worker && s.Scheduler == o.scheduler && s.FirstByteAt > y.firstByteAt+j.dialDelay:
-			o.provedOpenAt = s.At
+		case overlap.provedOpenAt == 0 && event.Kind == trace.AttemptReceived && event.Worker == overlap.worker && event.Scheduler == overlap.scheduler && event.FirstByteAt > y.firstByteAt+j.dialDelay:
+			overlap.provedOpenAt = event.At
 		}
-		kept = append(kept, o)
+		kept = append(kept, overlap)
 	}
 	clear(j.overlaps[len(kept):])
 	j.overlaps = kept
@@ -530,18 +530,18 @@
 	return d + j.slack
 }
 
-func (j *Checker) misbehavingClientAnswered(s *trace.Event) {
-	b, known := j.misbehaving[s.Conn]
+func (j *Checker) misbehavingClientAnswered(event *trace.Event) {
+	b, known := j.misbehaving[event.Conn]
 	if !known {
 		j.counts.Unknown++
 		return
 	}
 	again := b.answered
 	b.answered = true
-	j.misbehaving[s.Conn] = b
+	j.misbehaving[event.Conn] = b
 	j.checkCounts[ruleBadClients]++
-	switch took := s.At - b.connectedAt; {
-	case s.Status == http.StatusOK:
+	switch took := event.At - b.connectedAt; {
+	case event.Status == http.StatusOK:
 		j.report(ruleBadClients, nil, "", "a bad client (%s) was served as if its request had run", b.kind)
 	case !again && took > j.misbehaviorDeadline(b.kind)+j.observationLateness():
 		j.report(ruleBadClients, nil, "", "a bad client (%s) waited %v for an error or a close", b.kind, took)
@@ -553,20 +553,20 @@
 	j.report(ruleBadClients, nil, "", "a bad client (%s) of %v has neither an error nor a close", b.kind, b.connectedAt)
 }
 
-func (j *Checker) checkUsage(s *trace.Event) {
+func (j *Checker) checkUsage(event *trace.Event) {
 	j.checkCounts[ruleLimits]++
-	c, own := j.scheduler(s.Scheduler), &j.spec.Schedulers
+	scheduler, own := j.scheduler(event.Scheduler), &j.spec.Schedulers
 	text := ""
 	switch {
-	case own.MemoryMB > 0 && s.Memory > int64(own.MemoryMB)<<20:
-		text = fmt.Sprintf("scheduler %d holds %.1f MB, of %d allowed", s.Scheduler, float64(s.Memory)/(1<<20), own.MemoryMB)
-	case own.Sockets > 0 && s.OpenFiles > own.Sockets:
-		text = fmt.Sprintf("scheduler %d holds %d descriptors, of %d allowed", s.Scheduler, s.OpenFiles, own.Sockets)
+	case own.MemoryMB > 0 && event.Memory > int64(own.MemoryMB)<<20:
+		text = fmt.Sprintf("scheduler %d holds %.1f MB, of %d allowed", event.Scheduler, float64(event.Memory)/(1<<20), own.MemoryMB)
+	case own.Sockets > 0 && event.OpenFiles > own.Sockets:
+		text = fmt.Sprintf("scheduler %d holds %d descriptors, of %d allowed", event.Scheduler, event.OpenFiles, own.Sockets)
 	}
-	if text == "" || c.overLimits {
+	if text == "" || scheduler.overLimits {
 		return
 	}
-	c.overLimits = true
-	j.recordFleetEvent(s)
+	scheduler.overLimits = true
+	j.recordFleetEvent(event)
 	j.report(ruleLimits, nil, "", "%s", text)
 }
--- a/internal/testbed/environment/arrivals.go
+++ b/internal/testbed/environment/arrivals.go
@@ -67,10 +67,10 @@
 // thinkTime is the least time between two jobs of one client of a closed load.
 const thinkTime = time.Millisecond
 
-func newArrivals(c *clients) *arrivals {
-	spec := c.env.Spec
-	a := &arrivals{clients: c, length: spec.Length.Std(), closedClients: spec.Load.ClosedClients}
-	a.shape = newLoadShape(&spec.Load, a.length, c.env.rng("shape", 0))
+func newArrivals(clients *clients) *arrivals {
+	spec := clients.env.Spec
+	arrivals := &arrivals{clients: clients, length: spec.Length.Std(), closedClients: spec.Load.ClosedClients}
+	arrivals.shape = newLoadShape(&spec.Load, arrivals.length, clients.env.rng("shape", 0))
 	classes, tenants := 0.0, 0.0
 	for i := range spec.Classes {
 		classes += spec.Classes[i].Share
@@ -86,22 +86,22 @@
 				continue
 			}
 			sum += part
-			a.cumulative = append(a.cumulative, sum)
-			a.sources = append(a.sources, &jobSource{
+			arrivals.cumulative = append(arrivals.cumulative, sum)
+			arrivals.sources = append(arrivals.sources, &jobSource{
 				class: i, tenant: j, rate: part * spec.Rate(),
-				thinning: c.env.rng("quiet", i*len(spec.Tenants)+j),
+				thinning: clients.env.rng("quiet", i*len(spec.Tenants)+j),
 			})
 		}
 	}
-	for i := range a.cumulative {
-		a.cumulative[i] /= sum
+	for i := range arrivals.cumulative {
+		arrivals.cumulative[i] /= sum
 	}
 	for i := range spec.Tenants {
 		rate := spec.QuotaRate(i)
 		most := max(1, rate*quotaWindow.Seconds())
-		a.buckets = append(a.buckets, quotaBucket{rate, most, most, 0})
+		arrivals.buckets = append(arrivals.buckets, quotaBucket{rate, most, most, 0})
 	}
-	return a
+	return arrivals
 }
 
 func (a *arrivals) start() {
@@ -160,20 +160,20 @@
 // streams of its own, so that all else falls due as it would have. Bursts that overlap add up, those below 1
 // multiply. To a closed load more clients come, as many as are a part of it; it never has fewer.
 func (c *clients) startBurst(tenant, class int, factor float64) (undo func()) {
-	a := c.arrivals
+	arrivals := c.arrivals
 	var (
 		struck []*jobSource
 		reach  []float64
 		share  float64
 		before float64
 	)
-	for i, k := range a.sources {
+	for i, k := range arrivals.sources {
 		if (tenant < 0 || k.tenant == tenant) && (class < 0 || k.class == class) {
 			struck = append(struck, k)
-			share += a.cumulative[i] - before
+			share += arrivals.cumulative[i] - before
 			reach = append(reach, share)
 		}
-		before = a.cumulative[i]
+		before = arrivals.cumulative[i]
 	}
 	if factor < 1 {
 		for _, k := range struck {
@@ -185,13 +185,13 @@
 			}
 		}
 	}
-	a.burstStreams++
-	if a.closedClients > 0 {
+	arrivals.burstStreams++
+	if arrivals.closedClients > 0 {
 		for i := range reach {
 			reach[i] /= share
 		}
-		n := int(math.Round((factor - 1) * share * float64(a.closedClients)))
-		more := a.addClosedClients(struck, reach, n, "burst", a.burstStreams<<32)
+		n := int(math.Round((factor - 1) * share * float64(arrivals.closedClients)))
+		more := arrivals.addClosedClients(struck, reach, n, "burst", arrivals.burstStreams<<32)
 		return func() {
 			for _, s := range more {
 				s.stopped = true
@@ -200,7 +200,7 @@
 	}
 	var more []*arrivalStream
 	for i, k := range struck {
-		more = append(more, a.startStream(k, c.env.rng("burst", a.burstStreams<<32+i), factor-1))
+		more = append(more, arrivals.startStream(k, c.env.rng("burst", arrivals.burstStreams<<32+i), factor-1))
 	}
 	return func() {
 		for _, s := range more {
@@ -226,19 +226,19 @@
 
 // sendNext has the client ask for its next job at once.
 func (s *closedClient) sendNext() {
-	at := max(s.arrivals.clients.env.now, s.last+thinkTime)
-	if at >= s.arrivals.length {
+	start := max(s.arrivals.clients.env.now, s.last+thinkTime)
+	if start >= s.arrivals.length {
 		return
 	}
-	s.last = at
-	s.arrivals.clients.env.schedule(at, func() {
+	s.last = start
+	s.arrivals.clients.env.schedule(start, func() {
 		if s.stopped {
 			return
 		}
 		i := sort.SearchFloat64s(s.cumulative, s.rng.Float64())
 		j := s.arrivals.drawJob(s.rng, s.sources[min(i, len(s.sources)-1)])
 		j.client = s
-		s.arrivals.clients.jobDue(j, at)
+		s.arrivals.clients.jobDue(j, start)
 	})
 }
 
@@ -246,28 +246,28 @@
 func (a *arrivals) drawJob(rng *rand.Rand, k *jobSource) *job {
 	spec := &a.clients.env.Spec.Classes[k.class]
 	load, acts := &a.clients.env.Spec.Load, &a.clients.env.Spec.Clients
-	j := &job{class: k.class, tenant: k.tenant, firstRiskAt: -1}
-	j.work = drawWork(rng, spec)
-	j.slots = drawSlots(rng, spec.Slots)
+	job := &job{class: k.class, tenant: k.tenant, firstRiskAt: -1}
+	job.work = drawWork(rng, spec)
+	job.slots = drawSlots(rng, spec.Slots)
 	hint := 0.0
 	switch load.Hints {
 	case "exact":
-		hint = j.work
+		hint = job.work
 	case "rough":
-		hint = j.work * math.Exp(load.HintFactor*rng.NormFloat64())
+		hint = job.work * math.Exp(load.HintFactor*rng.NormFloat64())
 	case "wrong":
-		hint = j.work * load.HintFactor
+		hint = job.work * load.HintFactor
 	}
 	if hint > 0 {
 		// Whole microseconds, as on the wire, and an hour at most.
-		j.costHint = time.Duration(max(1, min(hint, 3600)*1e6)) * time.Microsecond
+		job.costHint = time.Duration(max(1, min(hint, 3600)*1e6)) * time.Microsecond
 	}
-	j.bodyLength = 100 + rng.IntN(300)
-	j.honoursRetryAfter = rng.Float64() < acts.HonourRetryAfter
+	job.bodyLength = 100 + rng.IntN(300)
+	job.honoursRetryAfter = rng.Float64() < acts.HonourRetryAfter
 	if acts.Impatient > 0 && rng.Float64() < acts.Impatient {
-		j.leavesAfter = 1 + time.Duration(rng.Int64N(int64(spec.Deadline.Std())))
+		job.leavesAfter = 1 + time.Duration(rng.Int64N(int64(spec.Deadline.Std())))
 	}
-	return j
+	return job
 }
 
 // isOverQuota meters a tenant's jobs: whether one that falls due now is beyond its share.
@@ -353,12 +353,12 @@
 func (s *loadShape) peak() float64 { return 1 + s.swing }
 
 // level is the level at an instant.
-func (s *loadShape) level(at time.Duration) float64 {
-	x := at.Seconds() / s.length
+func (s *loadShape) level(instant time.Duration) float64 {
+	progress := instant.Seconds() / s.length
 	switch s.kind {
 	case "bursty":
 		n := len(s.jumps)
-		for n == 0 || s.jumps[n-1] <= at {
+		for n == 0 || s.jumps[n-1] <= instant {
 			last := time.Duration(0)
 			if n > 0 {
 				last = s.jumps[n-1]
@@ -366,7 +366,7 @@
 			s.jumps = append(s.jumps, last+1+time.Duration(s.rng.ExpFloat64()*float64(burstyHold)))
 			n++
 		}
-		for n > 1 && s.jumps[n-2] > at { // a step of the play that was late asks of the past
+		for n > 1 && s.jumps[n-2] > instant { // a step of the play that was late asks of the past
 			n--
 		}
 		if s.startsLow == (n%2 == 1) {
@@ -375,12 +375,12 @@
 		return 1 + s.swing
 	case "swell":
 		const peak = 2.0 / 3
-		if x < peak {
-			return 1 - s.swing*math.Cos(math.Pi*x/peak)
+		if progress < peak {
+			return 1 - s.swing*math.Cos(math.Pi*progress/peak)
 		}
-		return 1 + s.swing*math.Cos(math.Pi*(x-peak)/(1-peak))
+		return 1 + s.swing*math.Cos(math.Pi*(progress-peak)/(1-peak))
 	case "month_start":
-		return 1 + s.swing*(1-2*x)
+		return 1 + s.swing*(1-2*progress)
 	}
 	return 1
 }
--- a/internal/testbed/environment/clients.go
+++ b/internal/testbed/environment/clients.go
@@ -116,36 +116,36 @@
 	outcomeFailed                   // it may have run
 )
 
-func newClients(w *Environment) *clients {
-	spec := w.Spec
-	c := &clients{env: w, zones: max(1, len(spec.Fleet.Zones)), slack: spec.Rules.Slack.Std()}
-	if c.slack <= 0 {
-		c.slack = answerSlack
-	}
-	rng := w.rng("ids", 0)
-	c.requestIDs, c.salt = newPermutation(rng.Uint64(), rng.Uint64()), rng.Uint64()
+func newClients(environment *Environment) *clients {
+	spec := environment.Spec
+	clients := &clients{env: environment, zones: max(1, len(spec.Fleet.Zones)), slack: spec.Rules.Slack.Std()}
+	if clients.slack <= 0 {
+		clients.slack = answerSlack
+	}
+	rng := environment.rng("ids", 0)
+	clients.requestIDs, clients.salt = newPermutation(rng.Uint64(), rng.Uint64()), rng.Uint64()
 	for i := range spec.Classes {
-		k := &class{Class: &spec.Classes[i]}
-		k.idempotent, k.idempotentWithKey = k.Idempotency == "safe", k.Idempotency == "keyed"
-		k.hasRetries = k.idempotentWithKey && k.DeduplicationScope == "all"
-		k.requestTimeout = k.Deadline.Std()
+		class := &class{Class: &spec.Classes[i]}
+		class.idempotent, class.idempotentWithKey = class.Idempotency == "safe", class.Idempotency == "keyed"
+		class.hasRetries = class.idempotentWithKey && class.DeduplicationScope == "all"
+		class.requestTimeout = class.Deadline.Std()
 		if share := spec.Clients.RequestTimeoutShare; share > 0 && share < 1 {
-			k.requestTimeout = time.Duration(float64(k.requestTimeout) * share)
+			class.requestTimeout = time.Duration(float64(class.requestTimeout) * share)
 		}
 		window := time.Duration(0)
-		if k.idempotentWithKey {
-			window = k.DeduplicationWindow.Std()
+		if class.idempotentWithKey {
+			window = class.DeduplicationWindow.Std()
 		}
-		k.deadlines = newTimeoutQueue(w, k.Deadline.Std()+c.slack, 0, c.isUnsettled, c.jobDeadline)
-		k.requestDeadlines = newTimeoutQueue(w, k.requestTimeout+c.slack, 0, c.isOpenRequest, c.requestDeadline)
-		k.retained = newTimeoutQueue(w, requestRetention+window, time.Second, nil, c.jobs.forget)
-		c.classes = append(c.classes, k)
+		class.deadlines = newTimeoutQueue(environment, class.Deadline.Std()+clients.slack, 0, clients.isUnsettled, clients.jobDeadline)
+		class.requestDeadlines = newTimeoutQueue(environment, class.requestTimeout+clients.slack, 0, clients.isOpenRequest, clients.requestDeadline)
+		class.retained = newTimeoutQueue(environment, requestRetention+window, time.Second, nil, clients.jobs.forget)
+		clients.classes = append(clients.classes, class)
 	}
-	for z := range c.zones {
-		c.connPools = append(c.connPools, &connPool{clients: c, zone: z})
+	for z := range clients.zones {
+		clients.connPools = append(clients.connPools, &connPool{clients: clients, zone: z})
 	}
-	c.arrivals = newArrivals(c)
-	return c
+	clients.arrivals = newArrivals(clients)
+	return clients
 }
 
 func (c *clients) start() {
@@ -168,92 +168,92 @@
 // ---- The life of a job ----
 
 // jobDue is the moment at which a job falls due; the lab meant it to at meant.
-func (c *clients) jobDue(j *job, meant time.Duration) {
-	k := c.classes[j.class]
+func (c *clients) jobDue(job *job, meant time.Duration) {
+	class := c.classes[job.class]
 	c.unsettled++
-	j.dueAt, j.deadline = c.env.now, c.env.now+k.Deadline.Std()
-	j.number = c.jobs.add(j)
+	job.dueAt, job.deadline = c.env.now, c.env.now+class.Deadline.Std()
+	job.number = c.jobs.add(job)
 	if c.zones > 1 {
-		j.zone = int(c.drawBits(j.number, 0, drawZone) % uint64(c.zones))
+		job.zone = int(c.drawBits(job.number, 0, drawZone) % uint64(c.zones))
 	}
-	if k.idempotentWithKey {
-		j.key = c.idempotencyKey(j.number)
+	if class.idempotentWithKey {
+		job.key = c.idempotencyKey(job.number)
 	}
-	aim := min(k.LatencyObjective.Std()+time.Duration(k.ObjectiveStretch*j.work*float64(time.Second)), k.Deadline.Std())
+	aim := min(class.LatencyObjective.Std()+time.Duration(class.ObjectiveStretch*job.work*float64(time.Second)), class.Deadline.Std())
 	c.env.record(trace.Event{
-		Kind: trace.JobDue, JobID: j.number, Class: j.class, Tenant: j.tenant, Work: j.work, Slots: j.slots,
-		IdempotencyKey: j.key, LatencyObjective: aim, Deadline: k.Deadline.Std(), OverQuota: c.arrivals.isOverQuota(j.tenant, c.env.now), Lateness: c.env.now - meant,
+		Kind: trace.JobDue, JobID: job.number, Class: job.class, Tenant: job.tenant, Work: job.work, Slots: job.slots,
+		IdempotencyKey: job.key, LatencyObjective: aim, Deadline: class.Deadline.Std(), OverQuota: c.arrivals.isOverQuota(job.tenant, c.env.now), Lateness: c.env.now - meant,
 	})
-	k.deadlines.add(j.number)
-	if j.leavesAfter > 0 {
-		c.env.after(j.leavesAfter, func() { c.clientLeaves(j) })
+	class.deadlines.add(job.number)
+	if job.leavesAfter > 0 {
+		c.env.after(job.leavesAfter, func() { c.clientLeaves(job) })
 	}
-	c.sendNext(j)
+	c.sendNext(job)
 }
 
 // sendNext begins the job's next try.
-func (c *clients) sendNext(j *job) {
-	if j.overQuota {
+func (c *clients) sendNext(job *job) {
+	if job.overQuota {
 		return
 	}
 	t := &request{
-		jobID: j.number, number: j.requests, class: j.class, tenant: int32(j.tenant), key: j.key, work: j.work,
-		slots: j.slots, job: j,
+		jobID: job.number, number: job.requests, class: job.class, tenant: int32(job.tenant), key: job.key, work: job.work,
+		slots: job.slots, job: job,
 	}
-	t.id = c.requestID(j.number, j.requests)
+	t.id = c.requestID(job.number, job.requests)
 	t.previous = c.jobs.setRequest(t)
-	j.requests++
-	j.open, j.status = t, 0
-	c.connPools[j.zone].acquire(t)
+	job.requests++
+	job.open, job.status = t, 0
+	c.connPools[job.zone].acquire(t)
 }
 
 // writeRequest writes a try's query on a connection. Not ok: its time is up.
-func (c *clients) writeRequest(t *request, l *clientConn) (ok bool) {
-	j, k, now := t.job, c.classes[t.class], c.env.now
-	budget := min(j.deadline-now, k.requestTimeout) / time.Millisecond * time.Millisecond
-	if budget < minBudget || k.outsideWindow(j, now) {
+func (c *clients) writeRequest(t *request, clientConn *clientConn) (ok bool) {
+	job, k, now := t.job, c.classes[t.class], c.env.now
+	budget := min(job.deadline-now, k.requestTimeout) / time.Millisecond * time.Millisecond
+	if budget < minBudget || k.outsideWindow(job, now) {
 		return false
 	}
-	t.stage, t.sentAt, t.conn, t.read, l.request = requestSent, now, l, false, t
+	t.stage, t.sentAt, t.conn, t.read, clientConn.request = requestSent, now, clientConn, false, t
 	c.awaiting++
 	c.recentRequests[c.recentNext%len(c.recentRequests)] = t
 	c.recentNext++
-	if k.requestTimeout < k.Deadline.Std() && j.deadline-now > k.requestTimeout {
+	if k.requestTimeout < k.Deadline.Std() && job.deadline-now > k.requestTimeout {
 		k.requestDeadlines.add(t.jobID<<requestBits | uint64(t.number))
 	}
 	a := &simapi.ClientRequest{
-		RequestID: t.id, Class: t.class, Tenant: j.tenant, IdempotencyKey: t.key, Budget: budget, CostHint: j.costHint,
-		Slots: t.slots, BodyLength: j.bodyLength, Retry: t.number > 0 && c.env.Spec.Clients.MarkRetry,
+		RequestID: t.id, Class: t.class, Tenant: job.tenant, IdempotencyKey: t.key, Budget: budget, CostHint: job.costHint,
+		Slots: t.slots, BodyLength: job.bodyLength, Retry: t.number > 0 && c.env.Spec.Clients.MarkRetry,
 	}
 	c.env.record(c.describe(t, trace.Event{
-		Kind: trace.RequestSent, Scheduler: l.conn.scheduler, Conn: uint64(l.conn.id), Budget: budget,
+		Kind: trace.RequestSent, Scheduler: clientConn.conn.scheduler, Conn: uint64(clientConn.conn.id), Budget: budget,
 		Resent: a.Retry,
 	}))
-	l.sendRequest(a)
+	clientConn.sendRequest(a)
 	return true
 }
 
 // endRequest ends a try, and settles its job or has it tried again.
 func (c *clients) endRequest(t *request, how requestOutcome, after time.Duration) {
-	j, k := t.job, c.classes[t.class]
+	job, k := t.job, c.classes[t.class]
 	if t.stage == requestSent {
 		c.awaiting--
 	}
-	if how == outcomeFailed && j.firstRiskAt < 0 {
-		j.firstRiskAt = t.sentAt
+	if how == outcomeFailed && job.firstRiskAt < 0 {
+		job.firstRiskAt = t.sentAt
 	}
-	t.stage, t.job, t.conn, j.open = requestEnded, nil, nil, nil
-	if how == outcomeServed || j.requests > c.env.Spec.Clients.Retries || j.requests >= maxRequests ||
+	t.stage, t.job, t.conn, job.open = requestEnded, nil, nil, nil
+	if how == outcomeServed || job.requests > c.env.Spec.Clients.Retries || job.requests >= maxRequests ||
 		how == outcomeFailed && !k.idempotent && !k.hasRetries {
-		c.settleJob(j)
+		c.settleJob(job)
 		return
 	}
-	at := c.env.now + c.retryDelay(j, after)
-	if at > j.deadline-minBudget || k.outsideWindow(j, at) {
-		c.settleJob(j)
+	at := c.env.now + c.retryDelay(job, after)
+	if at > job.deadline-minBudget || k.outsideWindow(job, at) {
+		c.settleJob(job)
 		return
 	}
-	c.env.schedule(at, func() { c.sendNext(j) })
+	c.env.schedule(at, func() { c.sendNext(job) })
 }
 
 // outsideWindow tells whether an instant is outside the window in which a keyed job may be repeated.
@@ -309,8 +309,8 @@
 }
 
 // abandonRequest ends a job's open try without an answer, if it has one.
-func (c *clients) abandonRequest(j *job, why trace.Kind) {
-	t := j.open
+func (c *clients) abandonRequest(job *job, why trace.Kind) {
+	t := job.open
 	if t == nil {
 		return
 	}
@@ -320,7 +320,7 @@
 	} else {
 		c.env.record(c.describe(t, trace.Event{Kind: trace.SchedulerUnreachable, Scheduler: -1}))
 	}
-	t.stage, t.job, t.conn, j.open = requestEnded, nil, nil, nil
+	t.stage, t.job, t.conn, job.open = requestEnded, nil, nil, nil
 }
 
 // requestUnreached ends a try that reached no scheduler; -1: it was led to none.
@@ -417,29 +417,29 @@
 
 // responseReceived is the arrival of an answer. Whatever it is, it is seen; one that is not for the query that the
 // connection carries ends nothing.
-func (l *clientConn) responseReceived(a response) {
-	c, t := l.pool.clients, l.request
-	s := trace.Event{
-		Kind: trace.ResponseReceived, Status: a.status, RetryAfter: a.retryAfter, Text: a.body, Scheduler: l.conn.scheduler,
+func (l *clientConn) responseReceived(response response) {
+	clients, t := l.pool.clients, l.request
+	event := trace.Event{
+		Kind: trace.ResponseReceived, Status: response.status, RetryAfter: response.retryAfter, Text: response.body, Scheduler: l.conn.scheduler,
 		Conn: uint64(l.conn.id),
 	}
-	mine := t != nil && t.id == a.requestID
+	mine := t != nil && t.id == response.requestID
 	if mine {
-		s = c.describe(t, s)
-	} else if o := c.findRequest(a.requestID); o != nil {
-		s = c.describe(o, s)
+		event = clients.describe(t, event)
+	} else if o := clients.findRequest(response.requestID); o != nil {
+		event = clients.describe(o, event)
 	}
-	s.RequestID = a.requestID
-	c.env.record(s)
+	event.RequestID = response.requestID
+	clients.env.record(event)
 	if !mine {
 		if t == nil {
 			l.close() // it can't be trusted any more
 		}
 		return
 	}
-	t.job.status, l.request = a.status, nil
+	t.job.status, l.request = response.status, nil
 	l.release()
-	c.endRequest(t, a.outcome(), a.retryAfter)
+	clients.endRequest(t, response.outcome(), response.retryAfter)
 }
 
 // ---- Ids ----
@@ -551,7 +551,7 @@
 
 func (b *jobTable) record(n uint64) *jobRecord { return &b.records[n&uint64(len(b.records)-1)] }
 
-func (b *jobTable) add(j *job) uint64 {
+func (b *jobTable) add(job *job) uint64 {
 	if b.next == 0 {
 		b.first, b.next, b.records = 1, 1, make([]jobRecord, 1024)
 	}
@@ -562,7 +562,7 @@
 			*b.record(n) = *old.record(n)
 		}
 	}
-	*b.record(b.next) = jobRecord{job: j}
+	*b.record(b.next) = jobRecord{job: job}
 	b.next++
 	return b.next - 1
 }
--- a/internal/testbed/environment/conn.go
+++ b/internal/testbed/environment/conn.go
@@ -49,36 +49,36 @@
 // toFarEnd is the same the other way.
 func (w *Environment) toFarEnd(c *conn, do func()) { w.transmit(c, farSide, do) }
 
-func (w *Environment) transmit(c *conn, side int, do func()) {
-	from, to := endpoint{schedulerEndpoint, c.scheduler}, c.far.endpoint()
+func (w *Environment) transmit(conn *conn, side int, do func()) {
+	from, target := endpoint{schedulerEndpoint, conn.scheduler}, conn.far.endpoint()
 	if side == schedulerSide {
-		from, to = to, from
+		from, target = target, from
 	}
-	if cut := w.network.partitionBetween(from, to); cut != nil {
-		cut.held = append(cut.held, func() { w.transmit(c, side, do) })
+	if cut := w.network.partitionBetween(from, target); cut != nil {
+		cut.held = append(cut.held, func() { w.transmit(conn, side, do) })
 		return
 	}
-	if d := w.network.idleDropAfter(from, to); d > 0 && w.now-c.lastUsed > d {
-		c.resetSilently[1-side] = c.closed[1-side] // its close has come to nobody's knowledge
-		w.tear(c, 1-side)
+	if d := w.network.idleDropAfter(from, target); d > 0 && w.now-conn.lastUsed > d {
+		conn.resetSilently[1-side] = conn.closed[1-side] // its close has come to nobody's knowledge
+		w.tear(conn, 1-side)
 		return
 	}
-	c.lastUsed = w.now
-	c.arrivesBy[side] = max(c.arrivesBy[side], w.now+w.network.delay(from, to))
-	w.schedule(c.arrivesBy[side], func() {
+	conn.lastUsed = w.now
+	conn.arrivesBy[side] = max(conn.arrivesBy[side], w.now+w.network.delay(from, target))
+	w.schedule(conn.arrivesBy[side], func() {
 		switch {
-		case !c.closed[side]:
+		case !conn.closed[side]:
 			do()
-		case c.resetSilently[side]:
-			w.tear(c, 1-side)
+		case conn.resetSilently[side]:
+			w.tear(conn, 1-side)
 		}
 	})
 }
 
 // tear has a side that has sent something learn that its connection is known no more where that went. The other side,
 // if that did not close it itself, learns nothing.
-func (w *Environment) tear(c *conn, side int) {
-	from, to := c.far.endpoint(), endpoint{schedulerEndpoint, c.scheduler}
+func (w *Environment) tear(conn *conn, side int) {
+	from, to := conn.far.endpoint(), endpoint{schedulerEndpoint, conn.scheduler}
 	if side == farSide {
 		from, to = to, from
 	}
@@ -86,32 +86,32 @@
 	if !ok {
 		return
 	}
-	c.arrivesBy[side] = max(c.arrivesBy[side], arrive)
-	w.schedule(c.arrivesBy[side], func() {
-		if c.closed[side] {
+	conn.arrivesBy[side] = max(conn.arrivesBy[side], arrive)
+	w.schedule(conn.arrivesBy[side], func() {
+		if conn.closed[side] {
 			return
 		}
-		c.resetSilently[side] = !c.closed[1-side]
-		w.connLost(c, side)
+		conn.resetSilently[side] = !conn.closed[1-side]
+		w.connLost(conn, side)
 	})
 }
 
 // connLost tells a side that its connection is over.
-func (w *Environment) connLost(c *conn, side int) {
-	c.closed[side] = true
-	if c.closed[1-side] {
-		delete(w.conns, c.id)
+func (w *Environment) connLost(conn *conn, side int) {
+	conn.closed[side] = true
+	if conn.closed[1-side] {
+		delete(w.conns, conn.id)
 	}
 	if side == farSide {
-		c.far.connClosed(c)
+		conn.far.connClosed(conn)
 		return
 	}
 	kind := simapi.ClientClosed
-	if l, ok := c.state.(*workerConn); ok {
+	if l, ok := conn.state.(*workerConn); ok {
 		kind = simapi.WorkerDisconnected
 		l.schedulerClosed()
 	}
-	w.deliver(simapi.Input{Kind: kind, Scheduler: c.scheduler, Worker: c.worker, Conn: c.id, Reset: c.up})
+	w.deliver(simapi.Input{Kind: kind, Scheduler: conn.scheduler, Worker: conn.worker, Conn: conn.id, Reset: conn.up})
 }
 
 // closeSide closes a connection at one side. The other side hears of it, unless it has closed too: a scheduler by an In
--- a/internal/testbed/environment/discovery.go
+++ b/internal/testbed/environment/discovery.go
@@ -120,20 +120,20 @@
 		}
 	}
 	for i := range d.env.schedulers {
-		v := newSchedulerView(d, i)
+		schedulerView := newSchedulerView(d, i)
 		up := int64(firstRevision)
 		if rng.Float64() < 0.5 {
 			up = d.revision
 		}
-		v.revision = up
+		schedulerView.revision = up
 		for j := range d.entries {
 			if d.entries[j].revision <= up {
-				v.versions = append(v.versions, d.entries[j].listed)
+				schedulerView.versions = append(schedulerView.versions, d.entries[j].listed)
 			} else {
-				v.versions = append(v.versions, version{})
+				schedulerView.versions = append(schedulerView.versions, version{})
 			}
 		}
-		d.views = append(d.views, v)
+		d.views = append(d.views, schedulerView)
 	}
 	d.env.schedule(0, func() { d.reportAcceptMode(d.address) })
 }
@@ -196,26 +196,26 @@
 }
 
 // applyNotice takes news, which may come late, and of processes that others have followed.
-func (d *discovery) applyNotice(x lifeEventNotice) {
-	e := &d.entries[x.entry]
-	if d.cutCounts[e.worker] > 0 && x.event != lifeSilent {
-		d.heldEvents = append(d.heldEvents, x)
+func (d *discovery) applyNotice(lifeEventNotice lifeEventNotice) {
+	listEntry := &d.entries[lifeEventNotice.entry]
+	if d.cutCounts[listEntry.worker] > 0 && lifeEventNotice.event != lifeSilent {
+		d.heldEvents = append(d.heldEvents, lifeEventNotice)
 		return
 	}
-	if x.event == lifeRemoved {
-		e.removed = true
-	} else if x.incarnation < e.known.incarnation {
+	if lifeEventNotice.event == lifeRemoved {
+		listEntry.removed = true
+	} else if lifeEventNotice.incarnation < listEntry.known.incarnation {
 		return
 	}
 	switch {
-	case x.event == lifeStarted && x.incarnation > e.known.incarnation:
-		e.known = version{endpointUp, x.incarnation, x.startedMs}
-	case x.event == lifeDraining && (x.incarnation > e.known.incarnation || e.known.state == endpointUp):
-		e.known = version{endpointDraining, x.incarnation, x.startedMs}
-	case x.event == lifeStopped || x.event == lifeSilent || x.event == lifeRemoved:
-		e.known = version{endpointAbsent, x.incarnation, x.startedMs}
+	case lifeEventNotice.event == lifeStarted && lifeEventNotice.incarnation > listEntry.known.incarnation:
+		listEntry.known = version{endpointUp, lifeEventNotice.incarnation, lifeEventNotice.startedMs}
+	case lifeEventNotice.event == lifeDraining && (lifeEventNotice.incarnation > listEntry.known.incarnation || listEntry.known.state == endpointUp):
+		listEntry.known = version{endpointDraining, lifeEventNotice.incarnation, lifeEventNotice.startedMs}
+	case lifeEventNotice.event == lifeStopped || lifeEventNotice.event == lifeSilent || lifeEventNotice.event == lifeRemoved:
+		listEntry.known = version{endpointAbsent, lifeEventNotice.incarnation, lifeEventNotice.startedMs}
 	}
-	d.markChanged(x.entry)
+	d.markChanged(lifeEventNotice.entry)
 }
 
 // markChanged has it look at an entry, the next time that it looks at all.
@@ -312,27 +312,27 @@
 
 // apply takes a scheduler's call for the watch. An earlier one of the same scheduler's is left by that.
 func (d *discovery) apply(o *simapi.Output) {
-	s, v := d.env.schedulers[o.Scheduler], d.views[o.Scheduler]
-	if !s.alive {
+	scheduler, v := d.env.schedulers[o.Scheduler], d.views[o.Scheduler]
+	if !scheduler.alive {
 		return
 	}
-	c := &watchCall{view: v, address: s.discovery, incarnation: s.incarnation, after: int64(o.RetryAfter)}
+	watchCall := &watchCall{view: v, address: scheduler.discovery, incarnation: scheduler.incarnation, after: int64(o.RetryAfter)}
 	if v.call == nil {
 		v.askingSince = d.env.now
 	}
 	d.abandonWatch(v)
-	v.call = c
+	v.call = watchCall
 	v.touch()
-	me, it := endpoint{schedulerEndpoint, s.number}, endpoint{discoveryEndpoint, 0}
+	me, it := endpoint{schedulerEndpoint, scheduler.number}, endpoint{discoveryEndpoint, 0}
 	way, back, ok := d.env.network.connectDelays(me, it)
 	if !ok {
 		return // it never comes up, and the scheduler has patience of its own
 	}
 	d.env.after(way+back, func() {
-		if c.stage == watchSending {
-			d.env.deliver(simapi.Input{Kind: simapi.WatchConnected, Scheduler: s.number})
+		if watchCall.stage == watchSending {
+			d.env.deliver(simapi.Input{Kind: simapi.WatchConnected, Scheduler: scheduler.number})
 		}
-		d.env.network.send(me, it, func() { d.callReceived(c) })
+		d.env.network.send(me, it, func() { d.callReceived(watchCall) })
 	})
 }
 
@@ -357,19 +357,19 @@
 	}
 }
 
-func (d *discovery) callReceived(c *watchCall) {
-	if c.stage != watchSending {
+func (d *discovery) callReceived(watchCall *watchCall) {
+	if watchCall.stage != watchSending {
 		return
 	}
-	if d.outages > 0 || c.address != d.address {
-		d.endWatch(c)
+	if d.outages > 0 || watchCall.address != d.address {
+		d.endWatch(watchCall)
 		return
 	}
-	c.stage = watchWaiting
-	d.calls = append(d.calls, c)
+	watchCall.stage = watchWaiting
+	d.calls = append(d.calls, watchCall)
 	d.env.after(d.env.Spec.Discovery.Timeout.Std(), func() {
-		if c.stage == watchWaiting {
-			d.endWatch(c)
+		if watchCall.stage == watchWaiting {
+			d.endWatch(watchCall)
 		}
 	})
 	d.serveNext()
@@ -380,13 +380,13 @@
 	if d.serving != nil || len(d.calls) == 0 {
 		return
 	}
-	c := d.calls[0]
+	watchCall := d.calls[0]
 	d.calls = slices.Delete(d.calls, 0, 1)
-	c.stage, d.serving = watchServed, c
+	watchCall.stage, d.serving = watchServed, watchCall
 	done := func() {
-		if d.serving == c {
+		if d.serving == watchCall {
 			d.serving = nil
-			d.openWatch(c)
+			d.openWatch(watchCall)
 			d.serveNext()
 		}
 	}
@@ -398,7 +398,7 @@
 		done()
 		return
 	}
-	lines := max(1, len(d.changesSince(c.after).entries))
+	lines := max(1, len(d.changesSince(watchCall.after).entries))
 	d.env.after(time.Duration(float64(lines)/capacity*float64(time.Second)), done)
 }
 
@@ -499,7 +499,7 @@
 		e := d.entryOf[n]
 		d.env.after(d.drawNoticeDelay(n, lifeSilent), func() { d.setReachable(e, false) })
 	}, func(n int) {
-		e := d.entryOf[n]
+		entry := d.entryOf[n]
 		d.env.after(d.drawNoticeDelay(n, lifeStarted), func() {
 			var held []lifeEventNotice
 			d.heldEvents = slices.DeleteFunc(d.heldEvents, func(x lifeEventNotice) bool {
@@ -512,7 +512,7 @@
 			for _, x := range held {
 				d.applyNotice(x)
 			}
-			d.setReachable(e, true)
+			d.setReachable(entry, true)
 		})
 	})
 }
--- a/internal/testbed/environment/environment.go
+++ b/internal/testbed/environment/environment.go
@@ -47,27 +47,27 @@
 
 // New draws a world from a checked scenario.
 func New(spec *scenario.Scenario, seed uint64, epoch time.Duration, watch trace.Observer) *Environment {
-	w := &Environment{Spec: spec, Epoch: epoch, seed: seed, observer: watch, conns: map[simapi.Conn]*conn{}}
+	environment := &Environment{Spec: spec, Epoch: epoch, seed: seed, observer: watch, conns: map[simapi.Conn]*conn{}}
 	if watch == nil {
-		w.observer = func(*trace.Event) {}
+		environment.observer = func(*trace.Event) {}
 	}
-	w.network = newNetwork(w)
-	w.schedulers = newSchedulers(w)
-	w.workers = newWorkers(w)
-	w.discovery = newDiscovery(w)
-	w.balancer = newLoadBalancer(w)
-	w.clients = newClients(w)
-	w.faults = newFaultTimeline(w)
-	w.discovery.start()
-	for _, n := range w.workers {
+	environment.network = newNetwork(environment)
+	environment.schedulers = newSchedulers(environment)
+	environment.workers = newWorkers(environment)
+	environment.discovery = newDiscovery(environment)
+	environment.balancer = newLoadBalancer(environment)
+	environment.clients = newClients(environment)
+	environment.faults = newFaultTimeline(environment)
+	environment.discovery.start()
+	for _, n := range environment.workers {
 		n.begin()
 	}
-	for _, s := range w.schedulers {
+	for _, s := range environment.schedulers {
 		s.scheduleStart()
 	}
-	w.clients.start()
-	w.faults.start()
-	return w
+	environment.clients.start()
+	environment.faults.start()
+	return environment
 }
 
 // Next tells when the world wants to run at the latest; not ok: nothing will happen any more by itself.
--- a/internal/testbed/environment/event_queue.go
+++ b/internal/testbed/environment/event_queue.go
@@ -31,7 +31,7 @@
 	return a.items[0].at, true
 }
 
-func (a *eventQueue) schedule(at time.Duration, do func()) {
+func (a *eventQueue) schedule(instant time.Duration, do func()) {
 	place := uint64(len(a.actions))
 	if n := len(a.free); n > 0 {
 		place = uint64(a.free[n-1])
@@ -44,30 +44,30 @@
 		panic("world: too much is on the agenda")
 	}
 	a.lastID++
-	x := queuedEvent{at, a.lastID<<slotBits | place}
-	a.items = append(a.items, x)
+	queuedEvent := queuedEvent{instant, a.lastID<<slotBits | place}
+	a.items = append(a.items, queuedEvent)
 	i := len(a.items) - 1
 	for i > 0 {
 		up := (i - 1) / 4
-		if !x.before(&a.items[up]) {
+		if !queuedEvent.before(&a.items[up]) {
 			break
 		}
 		a.items[i] = a.items[up]
 		i = up
 	}
-	a.items[i] = x
+	a.items[i] = queuedEvent
 }
 
 func (a *eventQueue) pop() func() {
 	place := a.items[0].id & slotMask
-	do := a.actions[place]
+	action := a.actions[place]
 	a.actions[place] = nil
 	a.free = append(a.free, uint32(place))
 	last := len(a.items) - 1
-	x := a.items[last]
+	queuedEvent := a.items[last]
 	a.items = a.items[:last]
 	if last == 0 {
-		return do
+		return action
 	}
 	items, i := a.items, 0
 	for {
@@ -80,12 +80,12 @@
 				least = k
 			}
 		}
-		if !items[least].before(&x) {
+		if !items[least].before(&queuedEvent) {
 			break
 		}
 		items[i] = items[least]
 		i = least
 	}
-	items[i] = x
-	return do
+	items[i] = queuedEvent
+	return action
 }
--- a/internal/testbed/environment/faults.go
+++ b/internal/testbed/environment/faults.go
@@ -183,7 +183,7 @@
 }
 
 func (x *activeFault) applyToWorker(i int) {
-	n, s, back := x.timeline.env.workers[i], &x.timeline.workers[i], x.Duration.Std()
+	n, workerFaults, back := x.timeline.env.workers[i], &x.timeline.workers[i], x.Duration.Std()
 	x.recordWorkers(trace.WorkerFaultStarted, []int{i})
 	spared := func() { x.recordWorkers(trace.WorkerFaultEnded, []int{i}) }
 	whenBack := func() {
@@ -243,38 +243,38 @@
 		n.pause(back)
 		until(func() {})
 	case "hang":
-		count(&s.hangs, n.setHang)
+		count(&workerFaults.hangs, n.setHang)
 	case "full":
-		count(&s.fulls, n.setFull)
+		count(&workerFaults.fulls, n.setFull)
 	case "no_notes":
-		count(&s.mutes, n.setMute)
+		count(&workerFaults.mutes, n.setMute)
 	case "refuse":
-		count(&s.refusals, n.setRefusing)
+		count(&workerFaults.refusals, n.setRefusing)
 	case "never_up":
-		count(&s.silences, n.setSilent)
+		count(&workerFaults.silences, n.setSilent)
 	case "slow_read":
-		count(&s.slowReads, n.setSlowRead)
+		count(&workerFaults.slowReads, n.setSlowRead)
 	case "slow": // they multiply
-		list(&s.slowFactors, func() {
+		list(&workerFaults.slowFactors, func() {
 			factor := 1.0
-			for _, by := range s.slowFactors {
+			for _, by := range workerFaults.slowFactors {
 				factor *= by
 			}
 			n.setSlowFactor(factor)
 		})
 	case "errors": // the largest share
-		list(&s.errorRates, func() {
+		list(&workerFaults.errorRates, func() {
 			rate := -1.0
-			for _, r := range s.errorRates {
+			for _, r := range workerFaults.errorRates {
 				rate = max(rate, r)
 			}
 			n.setErrorRate(rate)
 		})
 	case "reset_at": // the last
-		list(&s.resetBytes, func() {
+		list(&workerFaults.resetBytes, func() {
 			bytes := 0
-			if k := len(s.resetBytes); k > 0 {
-				bytes = int(s.resetBytes[k-1])
+			if k := len(workerFaults.resetBytes); k > 0 {
+				bytes = int(workerFaults.resetBytes[k-1])
 			}
 			n.setResetBytes(bytes)
 		})
@@ -284,37 +284,37 @@
 }
 
 func (x *activeFault) applyToScheduler(i int) {
-	s := x.timeline.env.schedulers[i]
+	scheduler := x.timeline.env.schedulers[i]
 	whenBack := func() {
 		if x.Duration > 0 {
-			s.startWaiters = append(s.startWaiters, x.end)
+			scheduler.startWaiters = append(scheduler.startWaiters, x.end)
 		}
 	}
 	switch x.Kind {
 	case "sched_kill", "planner_kill":
-		s.kill(x.Duration.Std())
+		scheduler.kill(x.Duration.Std())
 		whenBack()
 	case "sched_term", "planner_term":
-		s.terminate(x.Duration.Std())
+		scheduler.terminate(x.Duration.Std())
 		whenBack()
 	case "sched_freeze", "planner_freeze":
-		s.freeze(x.Duration.Std())
+		scheduler.freeze(x.Duration.Std())
 		x.endLater(func() {})
 	case "sched_reload":
-		s.reload()
+		scheduler.reload()
 		x.end()
 	case "sched_replace":
-		s.replace()
+		scheduler.replace()
 		x.end()
 	case "planner_start":
-		s.start()
+		scheduler.start()
 		x.end()
 	case "planner_drop":
-		s.env.deliver(simapi.Input{Kind: simapi.BreakConnections, Scheduler: i})
+		scheduler.env.deliver(simapi.Input{Kind: simapi.BreakConnections, Scheduler: i})
 		x.end()
 	case "planner_slow": // of two that hold at once the later one counts, until either ends
-		s.env.deliver(simapi.Input{Kind: simapi.SlowDown, Scheduler: i, Delay: time.Duration(x.Size * float64(time.Millisecond))})
-		x.endLater(func() { s.env.deliver(simapi.Input{Kind: simapi.SlowDown, Scheduler: i}) })
+		scheduler.env.deliver(simapi.Input{Kind: simapi.SlowDown, Scheduler: i, Delay: time.Duration(x.Size * float64(time.Millisecond))})
+		x.endLater(func() { scheduler.env.deliver(simapi.Input{Kind: simapi.SlowDown, Scheduler: i}) })
 	default:
 		panic("world: no such fault of a scheduler: " + x.Kind)
 	}
@@ -322,12 +322,12 @@
 
 // applyToAll is what is done to all targets at once.
 func (x *activeFault) applyToAll() (undo func()) {
-	w := x.timeline.env
+	environment := x.timeline.env
 	switch x.Kind {
 	case "cut", "cut_one_way":
-		undo = w.network.partition(x.partyGroup(x.Between), x.partyGroup(x.And), x.Kind == "cut_one_way")
+		undo = environment.network.partition(x.partyGroup(x.Between), x.partyGroup(x.And), x.Kind == "cut_one_way")
 		if x.Between == "discovery" && x.And == "nodes" || x.Between == "nodes" && x.And == "discovery" {
-			passes, reach := undo, w.discovery.isolate(x.workers)
+			passes, reach := undo, environment.discovery.isolate(x.workers)
 			undo = func() {
 				passes()
 				reach()
@@ -336,35 +336,35 @@
 		return undo
 	case "planner_cut", "planner_cut_one_way":
 		if x.onPlanners {
-			return w.network.partition(x.partyGroup(x.Between), x.partyGroup(x.And), x.Kind == "planner_cut_one_way")
+			return environment.network.partition(x.partyGroup(x.Between), x.partyGroup(x.And), x.Kind == "planner_cut_one_way")
 		}
 		return func() {} // what passes between planners and schedulers is the driver's
 	case "delay":
-		return w.network.addDelay(x.partyGroup(x.Between), x.partyGroup(x.And), time.Duration(x.Size*float64(time.Millisecond)))
+		return environment.network.addDelay(x.partyGroup(x.Between), x.partyGroup(x.And), time.Duration(x.Size*float64(time.Millisecond)))
 	case "drop_idle":
-		return w.network.dropIdle(x.partyGroup(x.Between), x.partyGroup(x.And), durationOf(x.Size))
+		return environment.network.dropIdle(x.partyGroup(x.Between), x.partyGroup(x.And), durationOf(x.Size))
 	case "half_open":
-		return w.network.dropIdle(endpointGroup{kind: schedulerEndpoint}, x.partyGroup("nodes"), durationOf(x.Size))
+		return environment.network.dropIdle(endpointGroup{kind: schedulerEndpoint}, x.partyGroup("nodes"), durationOf(x.Size))
 	case "disco_down":
-		return w.discovery.startOutage()
+		return environment.discovery.startOutage()
 	case "disco_late":
-		return w.discovery.delayNotices(durationOf(x.Size))
+		return environment.discovery.delayNotices(durationOf(x.Size))
 	case "disco_wrong":
-		return w.discovery.listWrongly(x.workers)
+		return environment.discovery.listWrongly(x.workers)
 	case "disco_old":
-		return w.discovery.freezeList()
+		return environment.discovery.freezeList()
 	case "disco_slow":
-		return w.discovery.slowDown(x.Size)
+		return environment.discovery.slowDown(x.Size)
 	case "disco_moves":
-		w.discovery.changeAddress()
+		environment.discovery.changeAddress()
 		x.end()
 		return nil
 	case "burst":
-		tenant := slices.IndexFunc(w.Spec.Tenants, func(t scenario.Tenant) bool { return t.Name == x.Target.Tenant })
-		class := slices.IndexFunc(w.Spec.Classes, func(c scenario.Class) bool { return c.Name == x.Target.Class })
-		return w.clients.startBurst(tenant, class, x.Size)
+		tenant := slices.IndexFunc(environment.Spec.Tenants, func(t scenario.Tenant) bool { return t.Name == x.Target.Tenant })
+		class := slices.IndexFunc(environment.Spec.Classes, func(c scenario.Class) bool { return c.Name == x.Target.Class })
+		return environment.clients.startBurst(tenant, class, x.Size)
 	case "storm":
-		return w.clients.startRetryStorm(x.Size)
+		return environment.clients.startRetryStorm(x.Size)
 	}
 	panic("world: no such fault: " + x.Kind)
 }
--- a/internal/testbed/environment/load_balancer.go
+++ b/internal/testbed/environment/load_balancer.go
@@ -43,22 +43,22 @@
 }
 
 // schedulerChanged is told that a scheduler became ready, unready, died, ended, froze or woke.
-func (f *loadBalancer) schedulerChanged(s *scheduler) {
-	if f.tryAdmit(s) || !f.admitted[s.number] {
+func (f *loadBalancer) schedulerChanged(scheduler *scheduler) {
+	if f.tryAdmit(scheduler) || !f.admitted[scheduler.number] {
 		return
 	}
 	wait := f.env.Spec.LoadBalancer.NoticeDelay.Std()
-	if s.alive && !s.frozen {
+	if scheduler.alive && !scheduler.frozen {
 		wait /= 2
 	}
 	at := f.env.now + wait
-	if f.dropAt[s.number] >= 0 && f.dropAt[s.number] <= at {
+	if f.dropAt[scheduler.number] >= 0 && f.dropAt[scheduler.number] <= at {
 		return
 	}
-	f.dropAt[s.number] = at
+	f.dropAt[scheduler.number] = at
 	f.env.schedule(at, func() {
-		if f.dropAt[s.number] == at {
-			f.drop(s)
+		if f.dropAt[scheduler.number] == at {
+			f.drop(scheduler)
 		}
 	})
 }
@@ -116,19 +116,19 @@
 	if f.env.clients == nil {
 		return
 	}
-	for _, p := range f.env.clients.connPools {
-		for p.unassigned.len() > 0 {
-			t := *p.unassigned.first()
+	for _, connPool := range f.env.clients.connPools {
+		for connPool.unassigned.len() > 0 {
+			t := *connPool.unassigned.first()
 			if t.stage != requestSeeking {
-				p.unassigned.pop()
+				connPool.unassigned.pop()
 				continue
 			}
-			sched, exists := f.pick(p.zone, f.maxConns)
+			sched, exists := f.pick(connPool.zone, f.maxConns)
 			if exists && sched < 0 {
 				break
 			}
-			p.unassigned.pop()
-			p.dial(t, sched)
+			connPool.unassigned.pop()
+			connPool.dial(t, sched)
 		}
 	}
 }
@@ -182,34 +182,34 @@
 
 // dial opens a connection to a scheduler, for a try; -1: the front has none, and refuses it.
 func (p *connPool) dial(t *request, sched int) {
-	w, f := p.clients.env, p.clients.env.balancer
+	environment, f := p.clients.env, p.clients.env.balancer
 	if sched < 0 {
-		w.after(2*w.Spec.Network.ClientDelay.Std(), func() { p.requestFailed(t, sched) })
+		environment.after(2*environment.Spec.Network.ClientDelay.Std(), func() { p.requestFailed(t, sched) })
 		return
 	}
 	f.connCounts[sched]++
-	way, back, ok := w.network.connectDelays(endpoint{clientEndpoint, p.zone}, endpoint{schedulerEndpoint, sched})
-	if !ok || way+back+w.Spec.Network.Handshake.Std() > connectTimeout {
-		w.after(connectTimeout, func() { p.dialFailed(t, sched) })
+	way, back, ok := environment.network.connectDelays(endpoint{clientEndpoint, p.zone}, endpoint{schedulerEndpoint, sched})
+	if !ok || way+back+environment.Spec.Network.Handshake.Std() > connectTimeout {
+		environment.after(connectTimeout, func() { p.dialFailed(t, sched) })
 		return
 	}
-	w.after(way, func() {
-		if !w.schedulers[sched].alive {
-			w.after(back, func() { p.dialFailed(t, sched) })
+	environment.after(way, func() {
+		if !environment.schedulers[sched].alive {
+			environment.after(back, func() { p.dialFailed(t, sched) })
 			return
 		}
-		l := &clientConn{pool: p, openedFor: t, idleIndex: -1}
-		l.deliverRequest = func() { a := l.pendingRequest; l.pendingRequest = nil; l.requestArrived(a) }
-		l.deliverResponse = func() {
-			a := l.pendingResponse
-			l.pendingResponse, l.responsePending = response{}, false
-			l.responseReceived(a)
+		clientConn := &clientConn{pool: p, openedFor: t, idleIndex: -1}
+		clientConn.deliverRequest = func() { a := clientConn.pendingRequest; clientConn.pendingRequest = nil; clientConn.requestArrived(a) }
+		clientConn.deliverResponse = func() {
+			a := clientConn.pendingResponse
+			clientConn.pendingResponse, clientConn.responsePending = response{}, false
+			clientConn.responseReceived(a)
 		}
-		l.conn = w.openConn(&conn{id: p.clients.nextConn(), scheduler: sched, up: true, far: l})
-		w.after(back+w.Spec.Network.Handshake.Std(), func() {
-			if l.openedFor != nil {
-				l.openedFor = nil
-				l.release()
+		clientConn.conn = environment.openConn(&conn{id: p.clients.nextConn(), scheduler: sched, up: true, far: clientConn})
+		environment.after(back+environment.Spec.Network.Handshake.Std(), func() {
+			if clientConn.openedFor != nil {
+				clientConn.openedFor = nil
+				clientConn.release()
 			}
 		})
 	})
@@ -313,18 +313,18 @@
 // connClosed is the scheduler's closing of it. A query that crossed the close, so that nobody has read it, is sent once
 // more over a new connection, as it is.
 func (l *clientConn) connClosed(*conn) {
-	c, p, t, maker := l.pool.clients, l.pool, l.request, l.openedFor
+	clients, p, t, maker := l.pool.clients, l.pool, l.request, l.openedFor
 	l.request, l.openedFor = nil, nil
 	l.lost()
 	switch {
 	case maker != nil:
 		p.requestFailed(maker, l.conn.scheduler)
 	case t != nil && !t.read && !t.resent:
-		c.awaiting--
+		clients.awaiting--
 		t.resent, t.conn = true, nil
 		p.acquire(t)
 	case t != nil:
-		c.env.record(c.describe(t, trace.Event{Kind: trace.ConnectionLost, Scheduler: l.conn.scheduler, Conn: uint64(l.conn.id)}))
-		c.endRequest(t, outcomeFailed, 0)
+		clients.env.record(clients.describe(t, trace.Event{Kind: trace.ConnectionLost, Scheduler: l.conn.scheduler, Conn: uint64(l.conn.id)}))
+		clients.endRequest(t, outcomeFailed, 0)
 	}
 }
--- a/internal/testbed/environment/misbehaving.go
+++ b/internal/testbed/environment/misbehaving.go
@@ -58,22 +58,22 @@
 
 // connectNext is the next bad client's. The front leads it like any other, but it heeds no limit.
 func (m *misbehavingSource) connectNext() {
-	w := m.clients.env
+	environment := m.clients.env
 	m.count++
-	sched, _ := w.balancer.pick(int(m.count)%m.clients.zones, 1<<30)
-	if sched < 0 || !w.schedulers[sched].alive {
+	sched, _ := environment.balancer.pick(int(m.count)%m.clients.zones, 1<<30)
+	if sched < 0 || !environment.schedulers[sched].alive {
 		return
 	}
 	o := &misbehavingClient{clients: m.clients, kind: m.spec.Kind}
-	conn := w.openConn(&conn{id: m.clients.nextConn(), scheduler: sched, up: true, far: o})
-	w.record(trace.Event{Kind: trace.MisbehavingClientConnected, Scheduler: sched, Conn: uint64(conn.id), Text: o.kind})
+	conn := environment.openConn(&conn{id: m.clients.nextConn(), scheduler: sched, up: true, far: o})
+	environment.record(trace.Event{Kind: trace.MisbehavingClientConnected, Scheduler: sched, Conn: uint64(conn.id), Text: o.kind})
 	do := &simapi.Misbehavior{Kind: o.kind, Number: m.count - 1}
 	switch o.kind {
 	case "stolen_id", "flood", "insist":
 		do.RequestID = m.clients.recentOpenRequest()
 	}
-	w.deliver(simapi.Input{Kind: simapi.ClientMisbehaves, Scheduler: sched, Conn: conn.id, Misbehavior: do})
-	w.after(misbehavingTimeout, func() { w.closeSide(conn, farSide) })
+	environment.deliver(simapi.Input{Kind: simapi.ClientMisbehaves, Scheduler: sched, Conn: conn.id, Misbehavior: do})
+	environment.after(misbehavingTimeout, func() { environment.closeSide(conn, farSide) })
 }
 
 // recentOpenRequest is the id of an open query, the one asked last; empty: of the last ones none is open.
--- a/internal/testbed/environment/scheduler_views.go
+++ b/internal/testbed/environment/scheduler_views.go
@@ -100,36 +100,36 @@
 }
 
 // messageArrived is told of what has come over a watch to the scheduler's socket.
-func (v *schedulerView) messageArrived(c *watchCall, m *watchMessage) {
+func (v *schedulerView) messageArrived(c *watchCall, watchMessage *watchMessage) {
 	s := v.discovery.env.schedulers[v.scheduler]
 	if v.call != c || !s.alive || s.incarnation != c.incarnation {
 		return
 	}
-	in := simapi.Input{Kind: m.kind, Scheduler: v.scheduler}
-	switch m.kind {
+	input := simapi.Input{Kind: watchMessage.kind, Scheduler: v.scheduler}
+	switch watchMessage.kind {
 	case simapi.ListReceived:
-		in.List = &requests.EndpointList{Revision: m.revision, Reset: m.reset, Endpoints: make([]requests.Endpoint, len(m.entries))}
-		for i, e := range m.entries {
-			in.List.Endpoints[i] = v.discovery.entries[e].endpointAt(m.versions[i])
+		input.List = &requests.EndpointList{Revision: watchMessage.revision, Reset: watchMessage.reset, Endpoints: make([]requests.Endpoint, len(watchMessage.entries))}
+		for i, e := range watchMessage.entries {
+			input.List.Endpoints[i] = v.discovery.entries[e].endpointAt(watchMessage.versions[i])
 		}
 		v.lastCallFailed = false
-		v.applyList(m)
+		v.applyList(watchMessage)
 	case simapi.WatchEnded:
 		v.lastCallFailed, v.call = !c.wasOpen, nil
 		v.touch()
 	}
-	v.discovery.env.deliver(in)
+	v.discovery.env.deliver(input)
 }
 
 // applyList notes what a list says.
-func (v *schedulerView) applyList(m *watchMessage) {
+func (v *schedulerView) applyList(watchMessage *watchMessage) {
 	for len(v.versions) < len(v.discovery.entries) {
 		v.versions = append(v.versions, version{})
 	}
-	if m.reset {
+	if watchMessage.reset {
 		next := 0
 		for i, had := range v.versions {
-			if next < len(m.entries) && m.entries[next] == i {
+			if next < len(watchMessage.entries) && watchMessage.entries[next] == i {
 				next++
 				continue
 			}
@@ -144,14 +144,14 @@
 			v.learn(i, gone)
 		}
 	}
-	for i, e := range m.entries {
-		v.versions[e] = m.versions[i]
-		v.learn(e, m.versions[i])
+	for i, e := range watchMessage.entries {
+		v.versions[e] = watchMessage.versions[i]
+		v.learn(e, watchMessage.versions[i])
 	}
-	v.revision = m.revision
+	v.revision = watchMessage.revision
 	left := v.pending[:0]
 	for _, c := range v.pending {
-		if c.revision > m.revision {
+		if c.revision > watchMessage.revision {
 			left = append(left, c)
 		}
 	}
@@ -159,19 +159,19 @@
 }
 
 // learn has a version of an entry count as told. What was said of a process before the last one told says nothing.
-func (v *schedulerView) learn(entry int, as version) {
+func (v *schedulerView) learn(entry int, state version) {
 	n := v.discovery.entries[entry].worker
-	if as.incarnation < v.knownStarts[n] {
+	if state.incarnation < v.knownStarts[n] {
 		return
 	}
-	up := as.state != endpointAbsent && as.incarnation > v.knownStarts[n]
-	if up || as.state == endpointUp && v.knownDrains[n] == as.incarnation {
-		v.knownStarts[n], v.knownDrains[n] = as.incarnation, 0
-		v.record(trace.Event{Kind: trace.StartNotified, Scheduler: v.scheduler, Worker: n, Incarnation: as.incarnation})
+	up := state.state != endpointAbsent && state.incarnation > v.knownStarts[n]
+	if up || state.state == endpointUp && v.knownDrains[n] == state.incarnation {
+		v.knownStarts[n], v.knownDrains[n] = state.incarnation, 0
+		v.record(trace.Event{Kind: trace.StartNotified, Scheduler: v.scheduler, Worker: n, Incarnation: state.incarnation})
 	}
-	if as.state != endpointUp && v.knownDrains[n] != as.incarnation {
-		v.knownDrains[n] = as.incarnation
-		v.record(trace.Event{Kind: trace.DrainNotified, Scheduler: v.scheduler, Worker: n, Incarnation: as.incarnation})
+	if state.state != endpointUp && v.knownDrains[n] != state.incarnation {
+		v.knownDrains[n] = state.incarnation
+		v.record(trace.Event{Kind: trace.DrainNotified, Scheduler: v.scheduler, Worker: n, Incarnation: state.incarnation})
 	}
 }
 
--- a/internal/testbed/environment/schedulers.go
+++ b/internal/testbed/environment/schedulers.go
@@ -99,11 +99,11 @@
 }
 
 // apply takes what is seen of its process from outside.
-func (s *scheduler) apply(o *simapi.Output) {
+func (s *scheduler) apply(output *simapi.Output) {
 	if !s.alive {
 		return
 	}
-	switch o.Kind {
+	switch output.Kind {
 	case simapi.Ready:
 		s.ready = true
 		s.record(trace.SchedulerReady, 0)
@@ -113,7 +113,7 @@
 		s.ready = false
 		s.env.balancer.schedulerChanged(s)
 	case simapi.Exited:
-		s.record(trace.SchedulerExited, o.Status)
+		s.record(trace.SchedulerExited, output.Status)
 		back := s.restartAfter
 		if !s.terminated {
 			back = crashRestartDelay
@@ -177,18 +177,18 @@
 
 // freeze: SIGSTOP, and SIGCONT after d. What reaches it meanwhile waits at its sockets. Freezes that overlap end with
 // the last.
-func (s *scheduler) freeze(d time.Duration) {
-	if !s.alive || d <= 0 {
+func (s *scheduler) freeze(duration time.Duration) {
+	if !s.alive || duration <= 0 {
 		return
 	}
-	s.thawsAt = max(s.thawsAt, s.env.now+d)
+	s.thawsAt = max(s.thawsAt, s.env.now+duration)
 	if !s.frozen {
 		s.frozen = true
 		s.record(trace.SchedulerFrozen, 0)
 		s.env.deliver(simapi.Input{Kind: simapi.Freeze, Scheduler: s.number})
 		s.env.balancer.schedulerChanged(s)
 	}
-	s.afterInProcess(d, func() {
+	s.afterInProcess(duration, func() {
 		if !s.frozen || s.thawsAt > s.env.now {
 			return
 		}
--- a/internal/testbed/environment/worker_attempts.go
+++ b/internal/testbed/environment/worker_attempts.go
@@ -89,16 +89,16 @@
 	if n.coldWorkReceived(a, t.work*t.slots) {
 		return
 	}
-	k := f.findKey(n, a)
+	keyRecord := f.findKey(n, a)
 	switch {
 	case n.draining || n.rejectsAll || n.attemptsByRequest[a.requestID] != nil || a.slots > float64(n.kind.Slots),
 		rules.kind >= 0 && rules.kind != n.kindIndex,
-		k == nil && !n.hasRoom(a.slots) && !n.dropExpired(a.slots):
+		keyRecord == nil && !n.hasRoom(a.slots) && !n.dropExpired(a.slots):
 		n.reject(l, a, 503)
 		return
 	}
 	n.drawOutcome(a, t.work, rules.noise)
-	if a.failsBeforeAccept && k == nil {
+	if a.failsBeforeAccept && keyRecord == nil {
 		n.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: a.requestID, Worker: n.number, Incarnation: n.incarnation})
 		n.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: a.requestID, Worker: n.number, Status: 500})
 		n.respond(l, 500, false)
@@ -112,8 +112,8 @@
 	a.allIndex = len(n.attempts)
 	n.attempts = append(n.attempts, a)
 	n.attemptsByRequest[a.requestID] = a
-	if k != nil {
-		k.addWaiter(a)
+	if keyRecord != nil {
+		keyRecord.addWaiter(a)
 	} else {
 		f.rememberKey(n, a)
 		n.startOrQueue(a)
@@ -139,45 +139,45 @@
 }
 
 // drawOutcome draws what becomes of a run. It follows from the query and the worker node alone.
-func (n *worker) drawOutcome(a *attempt, work, noise float64) {
-	r := n.shared.dice.stream(xxhash.Sum64String(a.requestID), uint64(n.number))
+func (n *worker) drawOutcome(attempt *attempt, work, noise float64) {
+	r := n.shared.dice.stream(xxhash.Sum64String(attempt.requestID), uint64(n.number))
 	z, fails, part, kind, early := r.NormFloat64(), r.Float64(), r.Float64(), r.Float64(), r.Float64()
-	if a.work = work; noise > 0 {
-		a.work *= math.Exp(noise * (z - noise/2))
+	if attempt.work = work; noise > 0 {
+		attempt.work *= math.Exp(noise * (z - noise/2))
 	}
 	rate := n.kind.ErrorRate
 	if n.errorRate >= 0 {
 		rate = n.errorRate
 	}
-	a.notifiesEarly = early < n.kind.CallbackEarlyShare
-	a.fails, a.failsBeforeAccept = fails < rate, fails < rate && kind < earlyErrorShare
-	if a.fails {
-		a.work *= 0.1 + 0.9*part
+	attempt.notifiesEarly = early < n.kind.CallbackEarlyShare
+	attempt.fails, attempt.failsBeforeAccept = fails < rate, fails < rate && kind < earlyErrorShare
+	if attempt.fails {
+		attempt.work *= 0.1 + 0.9*part
 	}
 }
 
 // accept answers an attempt with 202, unless its link is gone, and lets its notes go.
-func (n *worker) accept(a *attempt) {
-	if l := a.conn; l != nil {
-		a.conn = nil
-		if l.awaitingAnswer == a {
+func (n *worker) accept(attempt *attempt) {
+	if l := attempt.conn; l != nil {
+		attempt.conn = nil
+		if l.awaitingAnswer == attempt {
 			l.awaitingAnswer = nil
 		}
-		l.pendingAccept = a
-		n.env.record(trace.Event{Kind: trace.AttemptAccepted, RequestID: a.requestID, Worker: n.number})
+		l.pendingAccept = attempt
+		n.env.record(trace.Event{Kind: trace.AttemptAccepted, RequestID: attempt.requestID, Worker: n.number})
 		n.respond(l, 202, false)
 		if n.diesAtAccept {
-			a.mayNotify = true
+			attempt.mayNotify = true
 			n.crash(n.diesRestartAfter)
 			return
 		}
 	}
-	if a.mayNotify {
+	if attempt.mayNotify {
 		return
 	}
-	a.mayNotify = true
-	held := a.pendingCallbacks
-	a.pendingCallbacks = nil
+	attempt.mayNotify = true
+	held := attempt.pendingCallbacks
+	attempt.pendingCallbacks = nil
 	for _, t := range held {
 		n.sendCallback(t)
 	}
@@ -251,18 +251,18 @@
 }
 
 // returnAttempt returns an attempt that has been dropped: by its answer, if that is owed yet.
-func (n *worker) returnAttempt(a *attempt) {
-	if l := a.conn; l != nil {
-		a.conn, a.mayNotify = nil, true
-		if l.awaitingAnswer == a {
+func (n *worker) returnAttempt(attempt *attempt) {
+	if l := attempt.conn; l != nil {
+		attempt.conn, attempt.mayNotify = nil, true
+		if l.awaitingAnswer == attempt {
 			l.awaitingAnswer = nil
 		}
-		n.reject(l, a, 503)
+		n.reject(l, attempt, 503)
 	} else {
-		n.env.record(trace.Event{Kind: trace.AttemptReturned, RequestID: a.requestID, Worker: n.number})
-		n.notify(a, "returned", 0)
+		n.env.record(trace.Event{Kind: trace.AttemptReturned, RequestID: attempt.requestID, Worker: n.number})
+		n.notify(attempt, "returned", 0)
 	}
-	n.shared.releaseKey(a)
+	n.shared.releaseKey(attempt)
 }
 
 // removeAttempt takes an attempt out of all tables, whatever its state; the work done is settled by then.
@@ -356,19 +356,19 @@
 }
 
 // startAttempt begins the i-th of what waits.
-func (n *worker) startAttempt(a *attempt, i int) {
+func (n *worker) startAttempt(attempt *attempt, i int) {
 	n.queue = slices.Delete(n.queue, i, i+1)
-	if n.queuedWork -= a.work * a.slots; len(n.queue) == 0 {
+	if n.queuedWork -= attempt.work * attempt.slots; len(n.queue) == 0 {
 		n.queuedWork = 0
 	}
-	a.state, a.startProgress, a.endProgress = attemptRunning, n.progressPerSlot, n.progressPerSlot+a.work
-	n.usedSlots += a.slots
-	n.runningEnds += a.slots * a.endProgress
-	n.running.add(a)
-	n.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: a.requestID, Worker: n.number, Incarnation: n.incarnation})
+	attempt.state, attempt.startProgress, attempt.endProgress = attemptRunning, n.progressPerSlot, n.progressPerSlot+attempt.work
+	n.usedSlots += attempt.slots
+	n.runningEnds += attempt.slots * attempt.endProgress
+	n.running.add(attempt)
+	n.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: attempt.requestID, Worker: n.number, Incarnation: n.incarnation})
 	if !n.kind.OmitsStartNotifications {
-		n.notify(a, "started", 0)
-		n.planProgress(a)
+		n.notify(attempt, "started", 0)
+		n.planProgress(attempt)
 	}
 }
 
@@ -404,20 +404,20 @@
 }
 
 // finishAttempt is the end of a run.
-func (n *worker) finishAttempt(a *attempt) {
+func (n *worker) finishAttempt(attempt *attempt) {
 	status, state := 200, "done"
-	if a.fails {
+	if attempt.fails {
 		status, state = 500, "failed"
 	} else {
 		n.resultCount++
-		a.result = n.makeResult(a)
+		attempt.result = n.makeResult(attempt)
 	}
-	n.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: a.requestID, Worker: n.number, Text: a.result, Status: status})
-	n.notify(a, state, 0)
-	if a.fails {
-		n.shared.releaseKey(a)
+	n.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: attempt.requestID, Worker: n.number, Text: attempt.result, Status: status})
+	n.notify(attempt, state, 0)
+	if attempt.fails {
+		n.shared.releaseKey(attempt)
 	} else {
-		n.shared.attemptSucceeded(a)
+		n.shared.attemptSucceeded(attempt)
 	}
 }
 
--- a/internal/testbed/environment/worker_callbacks.go
+++ b/internal/testbed/environment/worker_callbacks.go
@@ -93,7 +93,7 @@
 
 // sendCallback sends a note once.
 func (n *worker) sendCallback(t *callback) {
-	p := &n.callbacks
+	callbackQueue := &n.callbacks
 	if t.closed {
 		return
 	}
@@ -103,16 +103,16 @@
 			return
 		}
 		if n.hanging {
-			p.held = append(p.held, t)
+			callbackQueue.held = append(callbackQueue.held, t)
 			return
 		}
 	}
 	t.sendings++
 	t.awaiting = true
 	n.deliverCallback(t)
-	p.pendingCalls = append(p.pendingCalls, callbackCall{t, t.sendings, n.env.now + callbackTimeout})
-	if !p.expiryPlanned {
-		p.expiryPlanned = true
+	callbackQueue.pendingCalls = append(callbackQueue.pendingCalls, callbackCall{t, t.sendings, n.env.now + callbackTimeout})
+	if !callbackQueue.expiryPlanned {
+		callbackQueue.expiryPlanned = true
 		n.env.after(callbackTimeout, n.expireCalls)
 	}
 }
@@ -165,10 +165,10 @@
 
 // expireCalls gives up calls that have waited for too long.
 func (n *worker) expireCalls() {
-	p := &n.callbacks
+	callbackQueue := &n.callbacks
 	i := 0
-	for ; i < len(p.pendingCalls); i++ {
-		c := &p.pendingCalls[i]
+	for ; i < len(callbackQueue.pendingCalls); i++ {
+		c := &callbackQueue.pendingCalls[i]
 		if c.callback.closed || !c.callback.awaiting || c.callback.sendings != c.sending {
 			continue
 		}
@@ -177,9 +177,9 @@
 		}
 		n.retryCallback(c.callback)
 	}
-	p.pendingCalls = slices.Delete(p.pendingCalls, 0, i)
-	if p.expiryPlanned = len(p.pendingCalls) > 0; p.expiryPlanned {
-		n.env.schedule(p.pendingCalls[0].deadline, n.expireCalls)
+	callbackQueue.pendingCalls = slices.Delete(callbackQueue.pendingCalls, 0, i)
+	if callbackQueue.expiryPlanned = len(callbackQueue.pendingCalls) > 0; callbackQueue.expiryPlanned {
+		n.env.schedule(callbackQueue.pendingCalls[0].deadline, n.expireCalls)
 	}
 }
 
--- a/internal/testbed/environment/worker_conns.go
+++ b/internal/testbed/environment/worker_conns.go
@@ -44,50 +44,50 @@
 }
 
 // connectArrived is the arrival of an attempt to connect. The kernel takes it, so a pause changes nothing.
-func (n *worker) connectArrived(l *workerConn, back time.Duration) {
-	c := l.conn
+func (n *worker) connectArrived(workerConn *workerConn, back time.Duration) {
+	conn := workerConn.conn
 	switch mode := n.acceptMode(); {
-	case mode == simapi.AcceptSilently || l.machine != n.machine:
-		l.machine = -1
+	case mode == simapi.AcceptSilently || workerConn.machine != n.machine:
+		workerConn.machine = -1
 		return
 	case mode == simapi.AcceptNone || n.kind.ConnLimit > 0 && len(n.conns) >= n.kind.ConnLimit:
-		l.abandoned = true
-		n.env.closeSide(c, farSide)
+		workerConn.abandoned = true
+		n.env.closeSide(conn, farSide)
 		return
 	}
-	c.workerIncarnation = n.incarnation
-	l.index, l.resetBytes = len(n.conns), n.resetBytes
-	n.conns = append(n.conns, l)
-	n.env.record(trace.Event{Kind: trace.WorkerConnected, Worker: n.number, Scheduler: c.scheduler, Conn: uint64(c.id)})
+	conn.workerIncarnation = n.incarnation
+	workerConn.index, workerConn.resetBytes = len(n.conns), n.resetBytes
+	n.conns = append(n.conns, workerConn)
+	n.env.record(trace.Event{Kind: trace.WorkerConnected, Worker: n.number, Scheduler: conn.scheduler, Conn: uint64(conn.id)})
 	n.addOverhead(n.kind.Handshake.Std())
-	c.lastUsed = n.env.now
-	c.arrivesBy[schedulerSide] = max(c.arrivesBy[schedulerSide], n.env.now+back+n.env.Spec.Network.Handshake.Std())
-	n.env.schedule(c.arrivesBy[schedulerSide], func() {
-		if !c.closed[schedulerSide] {
-			c.up = true
-			n.env.deliver(simapi.Input{Kind: simapi.WorkerConnected, Scheduler: c.scheduler, Worker: n.number, Conn: c.id, Bytes: max(0, l.resetBytes)})
+	conn.lastUsed = n.env.now
+	conn.arrivesBy[schedulerSide] = max(conn.arrivesBy[schedulerSide], n.env.now+back+n.env.Spec.Network.Handshake.Std())
+	n.env.schedule(conn.arrivesBy[schedulerSide], func() {
+		if !conn.closed[schedulerSide] {
+			conn.up = true
+			n.env.deliver(simapi.Input{Kind: simapi.WorkerConnected, Scheduler: conn.scheduler, Worker: n.number, Conn: conn.id, Bytes: max(0, workerConn.resetBytes)})
 		}
 	})
 	if n.kind.ConnIdleTimeout > 0 {
-		n.closeWhenIdle(l, n.kind.ConnIdleTimeout.Std())
+		n.closeWhenIdle(workerConn, n.kind.ConnIdleTimeout.Std())
 	}
 }
 
 // closeWhenIdle closes a connection once it has been idle for too long.
-func (n *worker) closeWhenIdle(l *workerConn, after time.Duration) {
+func (n *worker) closeWhenIdle(workerConn *workerConn, after time.Duration) {
 	n.env.after(after, func() {
-		if l.abandoned {
+		if workerConn.abandoned {
 			return
 		}
-		left := l.conn.lastUsed + n.kind.ConnIdleTimeout.Std() - n.env.now
-		if l.awaitingAnswer != nil || l.reading > 0 || n.isPaused() {
+		left := workerConn.conn.lastUsed + n.kind.ConnIdleTimeout.Std() - n.env.now
+		if workerConn.awaitingAnswer != nil || workerConn.reading > 0 || n.isPaused() {
 			left = max(left, n.kind.ConnIdleTimeout.Std()/2)
 		}
 		if left > 0 {
-			n.closeWhenIdle(l, left)
+			n.closeWhenIdle(workerConn, left)
 			return
 		}
-		n.closeConn(l)
+		n.closeConn(workerConn)
 	})
 }
 
@@ -98,46 +98,46 @@
 	n.env.closeSide(l.conn, farSide)
 }
 
-func (n *worker) removeConn(l *workerConn) {
+func (n *worker) removeConn(workerConn *workerConn) {
 	in := &n.conns
-	if l.ghost {
+	if workerConn.ghost {
 		in = &n.ghostConns
 	}
-	if i := l.index; i >= 0 {
+	if i := workerConn.index; i >= 0 {
 		last := len(*in) - 1
 		(*in)[i] = (*in)[last]
 		(*in)[i].index = i
 		(*in)[last] = nil
 		*in = (*in)[:last]
-		l.index = -1
+		workerConn.index = -1
 	}
 }
 
 // requestArrived is the arrival of a request. Its process deals with it once its last byte has been read.
-func (n *worker) requestArrived(l *workerConn, kind simapi.OutputKind, a *attempt) {
-	if l.abandoned || l.index < 0 {
-		n.ghostReceived(l)
+func (n *worker) requestArrived(workerConn *workerConn, kind simapi.OutputKind, a *attempt) {
+	if workerConn.abandoned || workerConn.index < 0 {
+		n.ghostReceived(workerConn)
 		return
 	}
 	wait := time.Duration(0)
-	if l.fresh {
-		l.fresh, wait = false, n.kind.Handshake.Std()
+	if workerConn.fresh {
+		workerConn.fresh, wait = false, n.kind.Handshake.Std()
 	}
 	if n.slowReads {
 		wait += slowReadFor
 	}
 	switch {
 	case wait > 0:
-		l.reading++
+		workerConn.reading++
 		n.afterInProcess(wait, func() {
-			if l.reading--; !l.abandoned {
-				n.handleRequest(l, kind, a)
+			if workerConn.reading--; !workerConn.abandoned {
+				n.handleRequest(workerConn, kind, a)
 			}
 		})
 	case n.isPaused():
-		n.inbox = append(n.inbox, func() { n.handleRequest(l, kind, a) })
+		n.inbox = append(n.inbox, func() { n.handleRequest(workerConn, kind, a) })
 	default:
-		n.handleRequest(l, kind, a)
+		n.handleRequest(workerConn, kind, a)
 	}
 }
 
@@ -172,64 +172,64 @@
 }
 
 // connClosed is the close of a connection by its scheduler, or the end of that.
-func (n *worker) connClosed(c *conn) {
-	l := c.state.(*workerConn)
-	if l.abandoned || l.index < 0 {
-		n.removeConn(l)
-		l.abandoned = true
+func (n *worker) connClosed(conn *conn) {
+	workerConn := conn.state.(*workerConn)
+	if workerConn.abandoned || workerConn.index < 0 {
+		n.removeConn(workerConn)
+		workerConn.abandoned = true
 		return
 	}
 	n.whenRunning(func() {
-		l.abandoned = true
-		n.removeConn(l)
+		workerConn.abandoned = true
+		n.removeConn(workerConn)
 		// What has not been answered yet is given up by that, and so is what was answered when the close came first.
 		why := ""
-		if c.resetSilently[farSide] {
+		if conn.resetSilently[farSide] {
 			why = "forgotten"
 		}
-		switch a := l.awaitingAnswer; {
+		switch a := workerConn.awaitingAnswer; {
 		case a != nil:
-			l.awaitingAnswer, a.conn = nil, nil
+			workerConn.awaitingAnswer, a.conn = nil, nil
 			n.cancelAttempt(a, why)
-		case l.pendingAccept != nil:
-			n.cancelAttempt(l.pendingAccept, why)
+		case workerConn.pendingAccept != nil:
+			n.cancelAttempt(workerConn.pendingAccept, why)
 		}
 	})
 }
 
 // respond writes an answer to what came over a connection.
-func (n *worker) respond(l *workerConn, status int, rejected bool) {
-	if l.abandoned {
+func (n *worker) respond(workerConn *workerConn, status int, rejected bool) {
+	if workerConn.abandoned {
 		return
 	}
-	c, bytes := l.conn, max(0, -l.resetBytes)
+	c, bytes := workerConn.conn, max(0, -workerConn.resetBytes)
 	n.env.toSched(c, func() {
-		l.pendingAccept = nil
+		workerConn.pendingAccept = nil
 		n.env.deliver(simapi.Input{
 			Kind: simapi.ResponseReceived, Scheduler: c.scheduler, Worker: n.number, Conn: c.id, Status: status, Rejected: rejected,
 			Bytes: bytes,
 		})
 	})
 	if bytes > 0 {
-		n.closeConn(l)
+		n.closeConn(workerConn)
 	}
 }
 
 // healthChecked is a sign of life that is asked for. Beside the queue, it costs a little work; the answer is 503 while even
 // the smallest job would be turned away.
-func (n *worker) healthChecked(l *workerConn) {
-	n.env.record(trace.Event{Kind: trace.HealthChecked, Worker: n.number, Scheduler: l.conn.scheduler})
+func (n *worker) healthChecked(workerConn *workerConn) {
+	n.env.record(trace.Event{Kind: trace.HealthChecked, Worker: n.number, Scheduler: workerConn.conn.scheduler})
 	if !n.env.Spec.Schedulers.HealthChecks {
-		n.respond(l, 404, false)
+		n.respond(workerConn, 404, false)
 		return
 	}
 	n.addOverhead(n.kind.HealthCheckWork.Std())
 	took := time.Duration(float64(n.kind.HealthCheckWork.Std()) / max(1e-3, n.coreSpeed/n.slowFactor*n.capacityShare()))
 	n.afterInProcess(took, func() {
 		if n.draining || n.rejectsAll || !n.hasRoom(1) {
-			n.respond(l, 503, false)
+			n.respond(workerConn, 503, false)
 		} else {
-			n.respond(l, 200, false)
+			n.respond(workerConn, 200, false)
 		}
 	})
 }
--- a/internal/testbed/environment/worker_keys.go
+++ b/internal/testbed/environment/worker_keys.go
@@ -52,11 +52,11 @@
 }
 
 // findKey finds what the worker node's group knows of an attempt's key; nil: nothing, or it isn't of a keyed class.
-func (f *workerShared) findKey(n *worker, a *attempt) *keyRecord {
-	if a.key == "" || !f.classes[a.class].idempotentWithKey {
+func (f *workerShared) findKey(n *worker, attempt *attempt) *keyRecord {
+	if attempt.key == "" || !f.classes[attempt.class].idempotentWithKey {
 		return nil
 	}
-	q := &f.keys.expiring[a.class]
+	q := &f.keys.expiring[attempt.class]
 	for q.head < len(q.list) && q.list[q.head].until <= f.env.now {
 		if k := q.list[q.head]; f.keys.records[k.id] == k {
 			delete(f.keys.records, k.id)
@@ -67,7 +67,7 @@
 	if q.head > len(q.list)/2 {
 		q.list, q.head = slices.Delete(q.list, 0, q.head), 0
 	}
-	return f.keys.records[f.keyID(n, a)]
+	return f.keys.records[f.keyID(n, attempt)]
 }
 
 // rememberKey notes the key of an attempt that is taken, and is the first with it.
@@ -124,23 +124,23 @@
 // releaseKey is told of an attempt that ended without having run to its end: its key is free again. A repeat that waited
 // for it runs in its place, or else is handed back.
 func (f *workerShared) releaseKey(a *attempt) {
-	k := a.keyRecord
-	if k == nil || k.runner != a {
+	keyRecord := a.keyRecord
+	if keyRecord == nil || keyRecord.runner != a {
 		return
 	}
-	for len(k.waiters) > 0 {
-		next := k.waiters[0]
-		k.waiters = k.waiters[1:]
+	for len(keyRecord.waiters) > 0 {
+		next := keyRecord.waiters[0]
+		keyRecord.waiters = keyRecord.waiters[1:]
 		if next.state != attemptDuplicate {
 			continue // it has ended with its process
 		}
-		k.runner = next
+		keyRecord.runner = next
 		next.worker.whenRunning(func() { next.worker.promote(next) })
 		return
 	}
-	k.runner = nil
-	if f.keys.records[k.id] == k {
-		delete(f.keys.records, k.id)
+	keyRecord.runner = nil
+	if f.keys.records[keyRecord.id] == keyRecord {
+		delete(f.keys.records, keyRecord.id)
 	}
 }
 
--- a/internal/testbed/environment/worker_view.go
+++ b/internal/testbed/environment/worker_view.go
@@ -22,16 +22,16 @@
 	if n.placeIndex() != place {
 		return View{}
 	}
-	v := View{WorkerState: w.WorkerState(i), ErrorRate: n.kind.ErrorRate}
+	view := View{WorkerState: w.WorkerState(i), ErrorRate: n.kind.ErrorRate}
 	if n.errorRate >= 0 {
-		v.ErrorRate = n.errorRate
+		view.ErrorRate = n.errorRate
 	}
 	if n.slowReads {
-		v.ReadDelay = slowReadFor
+		view.ReadDelay = slowReadFor
 	}
-	v.Up = n.state == workerUp && !n.hanging && !n.rejectsAll && !n.silencesCallbacks && !n.diesAtAccept
+	view.Up = n.state == workerUp && !n.hanging && !n.rejectsAll && !n.silencesCallbacks && !n.diesAtAccept
 	me := endpoint{schedulerEndpoint, sched}
-	v.Reachable = w.network.partitionBetween(me, n.endpoint()) == nil && w.network.partitionBetween(n.endpoint(), me) == nil
-	v.Connectable = v.Reachable && n.acceptMode() == simapi.AcceptAll && (n.kind.ConnLimit <= 0 || len(n.conns) < n.kind.ConnLimit)
-	return v
+	view.Reachable = w.network.partitionBetween(me, n.endpoint()) == nil && w.network.partitionBetween(n.endpoint(), me) == nil
+	view.Connectable = view.Reachable && n.acceptMode() == simapi.AcceptAll && (n.kind.ConnLimit <= 0 || len(n.conns) < n.kind.ConnLimit)
+	return view
 }
--- a/internal/testbed/environment/worker_warmup.go
+++ b/internal/testbed/environment/worker_warmup.go
@@ -70,36 +70,36 @@
 // coldWorkReceived counts the work of an attempt that has arrived, taken or not, if it is cold. Where within one span of
 // Rules.Fall more than Rules.FallFactor times what it can do in that at its present capacity has come, and a little
 // more, it falls over: its process dies, and none starts again. A fault that slows it takes nothing off its capacity.
-func (n *worker) coldWorkReceived(a *attempt, work float64) (fell bool) {
-	c, rules := &n.warming, &n.env.Spec.Rules
+func (n *worker) coldWorkReceived(attempt *attempt, work float64) (fell bool) {
+	warmUpState, rules := &n.warming, &n.env.Spec.Rules
 	share := n.capacityShare()
-	if c.warm {
+	if warmUpState.warm {
 		return false
 	}
 	capacity, now := n.capacity()*share, n.env.now
 	n.env.record(trace.Event{
-		Kind: trace.ColdWorkReceived, RequestID: a.requestID, Worker: n.number, Scheduler: a.scheduler, Slots: a.slots,
-		Work: work / a.slots, Share: capacity,
+		Kind: trace.ColdWorkReceived, RequestID: attempt.requestID, Worker: n.number, Scheduler: attempt.scheduler, Slots: attempt.slots,
+		Work: work / attempt.slots, Share: capacity,
 	})
-	for c.first < len(c.arrived) && c.arrived[c.first].arrivedAt <= now-rules.OverloadWindow.Std() {
-		old := c.arrived[c.first]
-		if c.arrivedWork -= old.work; old.knewStart {
-			c.knownWork -= old.work
+	for warmUpState.first < len(warmUpState.arrived) && warmUpState.arrived[warmUpState.first].arrivedAt <= now-rules.OverloadWindow.Std() {
+		old := warmUpState.arrived[warmUpState.first]
+		if warmUpState.arrivedWork -= old.work; old.knewStart {
+			warmUpState.knownWork -= old.work
 		}
-		c.first++
+		warmUpState.first++
 	}
-	if c.first == len(c.arrived) {
-		c.arrived, c.first, c.arrivedWork, c.knownWork = c.arrived[:0], 0, 0, 0
+	if warmUpState.first == len(warmUpState.arrived) {
+		warmUpState.arrived, warmUpState.first, warmUpState.arrivedWork, warmUpState.knownWork = warmUpState.arrived[:0], 0, 0, 0
 	}
-	c.arrived = append(c.arrived, coldArrival{now, work, a.knewStart})
-	if c.arrivedWork += work; a.knewStart {
-		c.knownWork += work
+	warmUpState.arrived = append(warmUpState.arrived, coldArrival{now, work, attempt.knewStart})
+	if warmUpState.arrivedWork += work; attempt.knewStart {
+		warmUpState.knownWork += work
 	}
-	if rules.OverloadFactor <= 0 || c.arrivedWork <= rules.OverloadFactor*capacity*rules.OverloadWindow.Std().Seconds()+n.shared.overloadSlack {
+	if rules.OverloadFactor <= 0 || warmUpState.arrivedWork <= rules.OverloadFactor*capacity*rules.OverloadWindow.Std().Seconds()+n.shared.overloadSlack {
 		return false
 	}
-	n.env.record(trace.Event{Kind: trace.WorkerOverloaded, Worker: n.number, Share: max(0, c.knownWork) / c.arrivedWork})
-	n.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: a.requestID, Worker: n.number, Text: "fell"})
+	n.env.record(trace.Event{Kind: trace.WorkerOverloaded, Worker: n.number, Share: max(0, warmUpState.knownWork) / warmUpState.arrivedWork})
+	n.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: attempt.requestID, Worker: n.number, Text: "fell"})
 	n.end(workerDead, "fell", 0)
 	n.overloaded = true
 	return true
--- a/internal/testbed/environment/workers.go
+++ b/internal/testbed/environment/workers.go
@@ -113,15 +113,15 @@
 	noise             float64
 }
 
-func newWorkers(w *Environment) []*worker {
-	spec := w.Spec
+func newWorkers(environment *Environment) []*worker {
+	spec := environment.Spec
 	f := &workerShared{
-		env: w, dice: newDrawSource(w.seed, "attempts"), keys: newKeyStore(len(spec.Classes)),
+		env: environment, dice: newDrawSource(environment.seed, "attempts"), keys: newKeyStore(len(spec.Classes)),
 		overloadSlack: overloadSlack * spec.MeanCost(),
 	}
-	f.findRequest = func(call string) *request { return w.clients.findRequest(call) }
-	f.knowsStart = func(sched int, n *worker) bool { return w.discovery.knowsStart(sched, n) }
-	f.onLifeEvent = func(n *worker, what lifeEvent) { w.discovery.workerEvent(n, what) }
+	f.findRequest = func(call string) *request { return environment.clients.findRequest(call) }
+	f.knowsStart = func(sched int, n *worker) bool { return environment.discovery.knowsStart(sched, n) }
+	f.onLifeEvent = func(n *worker, what lifeEvent) { environment.discovery.workerEvent(n, what) }
 	for i := range spec.Classes {
 		c := &spec.Classes[i]
 		f.classes = append(f.classes, classRules{
@@ -130,13 +130,13 @@
 			noise: c.Noise,
 		})
 	}
-	kinds := dealKinds(spec, w.rng("kinds", 0))
+	kinds := dealKinds(spec, environment.rng("kinds", 0))
 	zones, size := max(1, len(spec.Fleet.Zones)), max(1, spec.Fleet.CellSize)
 	nodes := make([]*worker, spec.Fleet.Workers)
 	for i := range nodes {
 		n := &worker{
-			env: w, shared: f, number: i, id: "w-" + strconv.Itoa(i), incarnation: 1, kindIndex: kinds[i],
-			kind: &spec.Fleet.Kinds[kinds[i]], zone: i % zones, rng: w.rng("node", i), slowFactor: 1, errorRate: -1, sincePast: true,
+			env: environment, shared: f, number: i, id: "w-" + strconv.Itoa(i), incarnation: 1, kindIndex: kinds[i],
+			kind: &spec.Fleet.Kinds[kinds[i]], zone: i % zones, rng: environment.rng("node", i), slowFactor: 1, errorRate: -1, sincePast: true,
 			attemptsByRequest: map[string]*attempt{},
 		}
 		// Cells are racks: each takes its worker nodes from one zone, apart from those in which a zone ends.
@@ -222,33 +222,33 @@
 }
 
 // apply takes what a scheduler has done to the worker node. It arrives later.
-func (n *worker) apply(o *simapi.Output) {
-	if o.Kind == simapi.WorkerDialed {
-		n.env.record(trace.Event{Kind: trace.WorkerDialed, Worker: n.number, Scheduler: o.Scheduler, Conn: uint64(o.Conn)})
-		n.dialed(o)
+func (n *worker) apply(output *simapi.Output) {
+	if output.Kind == simapi.WorkerDialed {
+		n.env.record(trace.Event{Kind: trace.WorkerDialed, Worker: n.number, Scheduler: output.Scheduler, Conn: uint64(output.Conn)})
+		n.dialed(output)
 		return
 	}
-	if o.Kind == simapi.CallbackAnswered {
-		n.applyAck(o)
+	if output.Kind == simapi.CallbackAnswered {
+		n.applyAck(output)
 		return
 	}
-	c := n.env.conns[o.Conn]
-	if c == nil || c.far != farEnd(n) || c.scheduler != o.Scheduler {
+	conn := n.env.conns[output.Conn]
+	if conn == nil || conn.far != farEnd(n) || conn.scheduler != output.Scheduler {
 		return // it is over
 	}
-	l, kind := c.state.(*workerConn), o.Kind
+	workerConn, kind := conn.state.(*workerConn), output.Kind
 	if kind == simapi.WorkerConnClosed {
-		l.schedulerClosed()
-		n.env.closeSide(c, schedulerSide)
+		workerConn.schedulerClosed()
+		n.env.closeSide(conn, schedulerSide)
 		return
 	}
-	a := &attempt{worker: n, requestID: o.RequestID, key: o.IdempotencyKey, scheduler: o.Scheduler, budget: o.Budget, firstByteAt: o.FirstByteAt}
-	a.knewStart = kind == simapi.AttemptWritten && !n.warming.warm && n.shared.knowsStart(o.Scheduler, n)
+	a := &attempt{worker: n, requestID: output.RequestID, key: output.IdempotencyKey, scheduler: output.Scheduler, budget: output.Budget, firstByteAt: output.FirstByteAt}
+	a.knewStart = kind == simapi.AttemptWritten && !n.warming.warm && n.shared.knowsStart(output.Scheduler, n)
 	if kind == simapi.AttemptWritten {
 		n.env.record(trace.Event{Kind: trace.AttemptSent, RequestID: a.requestID, Worker: n.number, Scheduler: a.scheduler})
-		l.unreadAttempt = a
+		workerConn.unreadAttempt = a
 	}
-	n.env.toFarEnd(c, func() { n.requestArrived(l, kind, a) })
+	n.env.toFarEnd(conn, func() { n.requestArrived(workerConn, kind, a) })
 }
 
 // WorkerState is the true state of a worker node, for yardsticks that see everything.
--- a/internal/testbed/experiment/compare.go
+++ b/internal/testbed/experiment/compare.go
@@ -66,18 +66,18 @@
 }
 
 // addResults enters the plays of one scenario and seed.
-func addResults(c *report.Comparison, row []*RunResult) {
+func addResults(comparison *report.Comparison, row []*RunResult) {
 	void := false
 	for i, p := range row {
-		c.Sides[i].Broken += p.Violations()
+		comparison.Sides[i].Broken += p.Violations()
 		if p.InvalidReason() != "" {
-			c.Sides[i].Invalid++
+			comparison.Sides[i].Invalid++
 			void = true
 		}
 	}
 	for i, p := range row {
 		if !void {
-			c.Sides[i].Results = append(c.Sides[i].Results, p.Result())
+			comparison.Sides[i].Results = append(comparison.Sides[i].Results, p.Result())
 		}
 	}
 }
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -250,33 +250,33 @@
 }
 
 // close takes the verdict and the figures. What either leaves out is said in one list.
-func (b *observers) close(p *RunResult, unseen []string, void string) {
-	r := b.score.Result()
-	p.Document.Result = r
+func (b *observers) close(runResult *RunResult, unseen []string, void string) {
+	result := b.score.Result()
+	runResult.Document.Result = result
 	if b.starvation != nil {
 		v := b.starvation.Verdict()
-		p.Starvation, p.Document.Starvation = &v, &v
+		runResult.Starvation, runResult.Document.Starvation = &v, &v
 	}
 	if b.checker == nil {
 		return
 	}
-	p.Verdict = b.checker.Verdict()
-	v := &report.Verdict{Invalid: p.Verdict.Invalid, ViolationCount: p.Violations()}
+	runResult.Verdict = b.checker.Verdict()
+	v := &report.Verdict{Invalid: runResult.Verdict.Invalid, ViolationCount: runResult.Violations()}
 	if void != "" {
 		v.Invalid = void
 	}
-	v.NotChecked = append(append(v.NotChecked, unseen...), p.Verdict.NotChecked...)
-	for _, x := range p.Verdict.Violations {
+	v.NotChecked = append(append(v.NotChecked, unseen...), runResult.Verdict.NotChecked...)
+	for _, x := range runResult.Verdict.Violations {
 		v.Violations = append(v.Violations, report.Violation{Rule: x.Rule, At: x.At, Text: x.Text, Explanation: x.Explanation})
 	}
-	p.Document.Verdict = v
-	p.Document.Expectations = score.Check(b.spec.Expectations(), r, p.Violations())
+	runResult.Document.Verdict = v
+	runResult.Document.Expectations = score.Check(b.spec.Expectations(), result, runResult.Violations())
 }
 
 // simulationOptions is what a subject means to the virtual driver.
-func simulationOptions(spec *scenario.Scenario, s Subject) (simulation.Options, error) {
+func simulationOptions(spec *scenario.Scenario, subject Subject) (simulation.Options, error) {
 	var opt simulation.Options
-	name, narrowed, err := apertureOf(spec, s.Policy)
+	name, narrowed, err := apertureOf(spec, subject.Policy)
 	if err != nil {
 		return opt, err
 	}
@@ -290,11 +290,11 @@
 			return maker(set, seed, o)
 		}
 	}
-	if s.Mutant != "" {
+	if subject.Mutant != "" {
 		all := mutation.All()
-		i := slices.IndexFunc(all, func(m mutation.Mutant) bool { return m.Name == s.Mutant })
+		i := slices.IndexFunc(all, func(m mutation.Mutant) bool { return m.Name == subject.Mutant })
 		if i < 0 {
-			return opt, fmt.Errorf("mutant %q is not known", s.Mutant)
+			return opt, fmt.Errorf("mutant %q is not known", subject.Mutant)
 		}
 		m := all[i]
 		if m.Wrap != nil {
@@ -406,7 +406,7 @@
 }
 
 // inParallel does n things, so many at once, and returns the error of the first that had one.
-func inParallel(ctx context.Context, at, n int, do func(i int) error) error {
+func inParallel(ctx context.Context, at, n int, action func(i int) error) error {
 	errs := make([]error, n)
 	var next atomic.Int64
 	var all sync.WaitGroup
@@ -417,7 +417,7 @@
 				if i >= n {
 					return
 				}
-				errs[i] = do(i)
+				errs[i] = action(i)
 			}
 		})
 	}
--- a/internal/testbed/experiment/search.go
+++ b/internal/testbed/experiment/search.go
@@ -100,21 +100,21 @@
 
 // Run hunts until the context ends or all draws are made, and shrinks what it keeps. told hears of each new find.
 func (h *Search) Run(ctx context.Context, told func(f *Finding, plays int)) (*SearchResult, error) {
-	at, keep := h.Parallelism, h.Keep
-	if at <= 0 {
-		at = runtime.GOMAXPROCS(0)
+	parallelism, keep := h.Parallelism, h.Keep
+	if parallelism <= 0 {
+		parallelism = runtime.GOMAXPROCS(0)
 	}
 	if keep <= 0 {
 		keep = 8
 	}
 	got, sum := &SearchResult{}, 0.0
 	for i := 0; ctx.Err() == nil && (h.MaxRuns == 0 || i < h.MaxRuns); {
-		n := 8 * at
+		n := 8 * parallelism
 		if h.MaxRuns > 0 {
 			n = min(n, h.MaxRuns-i)
 		}
 		finds := make([]*Finding, n)
-		err := inParallel(ctx, at, n, func(k int) error {
+		err := inParallel(ctx, parallelism, n, func(k int) error {
 			f, err := h.evaluate(context.WithoutCancel(ctx), h.Draw(i+k), i+k)
 			finds[k] = f
 			return err
@@ -191,7 +191,7 @@
 // evaluate plays a scenario, and the yardstick beside it.
 func (h *Search) evaluate(ctx context.Context, spec *scenario.Scenario, draw int) (*Finding, error) {
 	f := &Finding{Spec: spec, DrawNumber: draw, Drawn: len(spec.Faults), Faults: len(spec.Faults)}
-	p, err := Run(ctx, Job{
+	runResult, err := Run(ctx, Job{
 		Spec: spec, Seed: uint64(spec.Seed), Driver: scenario.DriverSimulation, Subject: h.Subject,
 		Starvation: h.Starvation,
 	})
@@ -199,18 +199,18 @@
 		f.Error = err.Error()
 		return f, nil
 	}
-	for _, t := range p.Verdict.Rules {
+	for _, t := range runResult.Verdict.Rules {
 		if t.Violated > 0 && f.Rule == "" {
 			f.Rule = t.Rule
 		}
 	}
 	if h.Starvation {
-		if f.StarvedRequests = p.Starvation.Count(); f.StarvedRequests > 0 && f.Rule == "" {
+		if f.StarvedRequests = runResult.Starvation.Count(); f.StarvedRequests > 0 && f.Rule == "" {
 			f.Rule = starvation.Rule
 		}
 		return f, nil
 	}
-	f.Value = p.Result().Value.Mix
+	f.Value = runResult.Result().Value.Mix
 	top := h.Baseline
 	if top == "" {
 		top = "all-seeing"
@@ -329,35 +329,35 @@
 }
 
 func drawScenario(rng *rand.Rand) *scenario.Scenario {
-	s := scenario.Default()
-	s.Name, s.Description = "hunted", "Drawn at random."
-	s.Drivers = []string{scenario.DriverSimulation}
+	spec := scenario.Default()
+	spec.Name, spec.Description = "hunted", "Drawn at random."
+	spec.Drivers = []string{scenario.DriverSimulation}
 	between := func(low, high float64) float64 { return low + (high-low)*rng.Float64() }
 	pick := func(of ...string) string { return of[rng.IntN(len(of))] }
 	span := func(low, high time.Duration) scenario.Duration {
 		return scenario.Duration(time.Duration(between(float64(low), float64(high))).Round(time.Millisecond))
 	}
 	round := func(x float64) float64 { return math.Round(x*100) / 100 }
-	s.Length = span(10*time.Second, 25*time.Second)
-	s.Fleet.Workers = int(4 * math.Exp(between(0, math.Log(12))))
-	s.Load.CapacityShare = round(between(0.25, 1.1))
-	s.Load.Shape = pick("steady", "bursty", "swell", "month_start")
-	s.Load.Swing = round(between(0.1, 0.6))
-	if s.Load.Shape == "steady" {
-		s.Load.Swing = 0
-	}
-	s.Load.Hints = pick("none", "exact", "rough", "rough", "wrong")
-	switch s.Load.Hints {
+	spec.Length = span(10*time.Second, 25*time.Second)
+	spec.Fleet.Workers = int(4 * math.Exp(between(0, math.Log(12))))
+	spec.Load.CapacityShare = round(between(0.25, 1.1))
+	spec.Load.Shape = pick("steady", "bursty", "swell", "month_start")
+	spec.Load.Swing = round(between(0.1, 0.6))
+	if spec.Load.Shape == "steady" {
+		spec.Load.Swing = 0
+	}
+	spec.Load.Hints = pick("none", "exact", "rough", "rough", "wrong")
+	switch spec.Load.Hints {
 	case "wrong":
-		s.Load.HintFactor = round(math.Exp(between(math.Log(0.05), math.Log(20))))
+		spec.Load.HintFactor = round(math.Exp(between(math.Log(0.05), math.Log(20))))
 	case "rough":
-		s.Load.HintFactor = round(between(0.2, 1.2))
+		spec.Load.HintFactor = round(between(0.2, 1.2))
 	}
-	s.Schedulers.Count = 1 + rng.IntN(4)
-	s.Clients.Retries = rng.IntN(4)
-	s.Clients.HonourRetryAfter = round(rng.Float64())
-	for k := range s.Fleet.Kinds {
-		kind := &s.Fleet.Kinds[k]
+	spec.Schedulers.Count = 1 + rng.IntN(4)
+	spec.Clients.Retries = rng.IntN(4)
+	spec.Clients.HonourRetryAfter = round(rng.Float64())
+	for k := range spec.Fleet.Kinds {
+		kind := &spec.Fleet.Kinds[k]
 		kind.QueueOrder = pick("fifo", "backfill")
 		kind.Queue = rng.IntN(30)
 		kind.OmitsStartNotifications = rng.IntN(5) == 0
@@ -366,69 +366,69 @@
 		kind.CallbackTwiceShare, kind.CallbackLossShare, kind.CallbackEarlyShare = round(between(0, 0.1)), round(between(0, 0.1)), round(between(0, 0.1))
 	}
 	if rng.IntN(3) == 0 {
-		s.Discovery.Capacity = round(between(20, 200))
+		spec.Discovery.Capacity = round(between(20, 200))
 	}
 	for range rng.IntN(5) {
-		s.Faults = append(s.Faults, drawFault(rng, s))
+		spec.Faults = append(spec.Faults, drawFault(rng, spec))
 	}
-	return s
+	return spec
 }
 
 // widenScenario draws what starvation may come from and other hunts hold fixed: larger fleets, many schedulers, bound classes,
 // copies that are not allowed, hints far off, zones, and clients that each wait for their answer.
-func widenScenario(rng *rand.Rand, s *scenario.Scenario) {
+func widenScenario(rng *rand.Rand, spec *scenario.Scenario) {
 	one := func(of int) bool { return rng.IntN(of) == 0 }
 	round := func(x float64) float64 { return math.Round(x*100) / 100 }
 	if one(4) {
-		s.Fleet.Workers = int(40 * math.Exp(rng.Float64()*math.Log(10)))
-		s.Schedulers.Count = 1 + rng.IntN(16)
-		s.Length = scenario.Duration(8 * time.Second)
+		spec.Fleet.Workers = int(40 * math.Exp(rng.Float64()*math.Log(10)))
+		spec.Schedulers.Count = 1 + rng.IntN(16)
+		spec.Length = scenario.Duration(8 * time.Second)
 	}
-	s.Schedulers.Sockets = 8192
-	s.Schedulers.MemoryMB = 256
+	spec.Schedulers.Sockets = 8192
+	spec.Schedulers.MemoryMB = 256
 	if one(4) {
-		s.Load.Hints, s.Load.HintFactor = "wrong", round(math.Exp((2*rng.Float64()-1)*math.Log(30)))
+		spec.Load.Hints, spec.Load.HintFactor = "wrong", round(math.Exp((2*rng.Float64()-1)*math.Log(30)))
 	}
 	if one(3) {
-		c := &s.Classes[rng.IntN(len(s.Classes))]
-		c.Kind = s.Fleet.Kinds[rng.IntN(len(s.Fleet.Kinds))].Name
+		c := &spec.Classes[rng.IntN(len(spec.Classes))]
+		c.Kind = spec.Fleet.Kinds[rng.IntN(len(spec.Fleet.Kinds))].Name
 		if one(2) {
 			c.Share = round(c.Share / 4)
 		}
 	}
 	if one(4) {
-		s.Schedulers.Hedging = false
+		spec.Schedulers.Hedging = false
 	}
 	if one(6) {
-		s.Schedulers.Cancellation = false
+		spec.Schedulers.Cancellation = false
 	}
 	if one(6) {
-		s.Schedulers.HealthChecks = false
+		spec.Schedulers.HealthChecks = false
 	}
 	if one(4) {
-		s.Fleet.Zones = []string{"a", "b", "c"}[:2+rng.IntN(2)]
+		spec.Fleet.Zones = []string{"a", "b", "c"}[:2+rng.IntN(2)]
 	}
 	if one(4) {
 		f := math.Exp((2*rng.Float64() - 1) * math.Log(4))
-		for i := range s.Classes {
-			c := &s.Classes[i]
+		for i := range spec.Classes {
+			c := &spec.Classes[i]
 			c.Work = scenario.Duration(time.Duration(float64(c.Work) * f).Round(time.Millisecond))
 		}
 	}
 	if one(8) {
-		s.Load = scenario.Load{
-			ClosedClients: 1 + rng.IntN(3*s.Fleet.Workers), Shape: "steady", Hints: s.Load.Hints,
-			HintFactor: s.Load.HintFactor, OverQuotaWeight: s.Load.OverQuotaWeight, Quota: s.Load.Quota,
+		spec.Load = scenario.Load{
+			ClosedClients: 1 + rng.IntN(3*spec.Fleet.Workers), Shape: "steady", Hints: spec.Load.Hints,
+			HintFactor: spec.Load.HintFactor, OverQuotaWeight: spec.Load.OverQuotaWeight, Quota: spec.Load.Quota,
 		}
 	}
 }
 
-func drawFault(rng *rand.Rand, s *scenario.Scenario) scenario.Fault {
+func drawFault(rng *rand.Rand, spec *scenario.Scenario) scenario.Fault {
 	f := scenario.Fault{Kind: searchedFaults[rng.IntN(len(searchedFaults))]}
-	length := s.Length.Std()
-	at := func(d time.Duration) scenario.Duration { return scenario.Duration(d.Round(time.Millisecond)) }
-	f.At = at(time.Duration((0.1 + 0.6*rng.Float64()) * float64(length)))
-	f.Duration = at(time.Duration((0.05 + 0.35*rng.Float64()) * float64(length)))
+	length := spec.Length.Std()
+	instant := func(d time.Duration) scenario.Duration { return scenario.Duration(d.Round(time.Millisecond)) }
+	f.At = instant(time.Duration((0.1 + 0.6*rng.Float64()) * float64(length)))
+	f.Duration = instant(time.Duration((0.05 + 0.35*rng.Float64()) * float64(length)))
 	switch f.Kind {
 	case "drain", "gone", "handback", "disco_moves", "sched_reload":
 		f.Duration = 0
@@ -454,13 +454,13 @@
 			f.Target.Share = math.Round((0.05+0.5*rng.Float64())*100) / 100
 		}
 	case "sched":
-		f.Target.Schedulers = []int{rng.IntN(s.Schedulers.Count)}
+		f.Target.Schedulers = []int{rng.IntN(spec.Schedulers.Count)}
 		if f.Kind == "sched_freeze" {
-			f.Duration = at(time.Duration((0.2 + 4*rng.Float64()) * float64(time.Second)))
+			f.Duration = instant(time.Duration((0.2 + 4*rng.Float64()) * float64(time.Second)))
 		}
 	case "clients":
 		if f.Kind == "burst" && rng.IntN(3) > 0 {
-			f.Target.Tenant = s.Tenants[rng.IntN(len(s.Tenants))].Name
+			f.Target.Tenant = spec.Tenants[rng.IntN(len(spec.Tenants))].Name
 		}
 	}
 	return f
--- a/internal/testbed/experiment/sweep.go
+++ b/internal/testbed/experiment/sweep.go
@@ -25,28 +25,28 @@
 	if !ok {
 		return Vary{}, fmt.Errorf("%q: expected key=value,value or key=from..to/steps", text)
 	}
-	v := Vary{Key: key}
+	vary := Vary{Key: key}
 	if from, rest, isRange := strings.Cut(list, ".."); isRange {
 		to, steps, ok := strings.Cut(rest, "/")
 		a, errA := strconv.ParseFloat(from, 64)
 		b, errB := strconv.ParseFloat(to, 64)
 		n, errN := strconv.Atoi(steps)
 		if !ok || errA != nil || errB != nil || errN != nil || n < 2 || n > 1000 {
-			return v, fmt.Errorf("%q: expected key=from..to/steps with numbers, and 2 to 1000 steps", text)
+			return vary, fmt.Errorf("%q: expected key=from..to/steps with numbers, and 2 to 1000 steps", text)
 		}
 		for i := range n {
 			x := a + (b-a)*float64(i)/float64(n-1)
-			v.Values = append(v.Values, strconv.FormatFloat(math.Round(x*1e9)/1e9, 'g', -1, 64))
+			vary.Values = append(vary.Values, strconv.FormatFloat(math.Round(x*1e9)/1e9, 'g', -1, 64))
 		}
-		return v, nil
+		return vary, nil
 	}
 	for _, one := range splitValues(list) {
 		if one = strings.TrimSpace(one); one == "" {
-			return v, fmt.Errorf("%q: a value is empty", text)
+			return vary, fmt.Errorf("%q: a value is empty", text)
 		}
-		v.Values = append(v.Values, one)
+		vary.Values = append(vary.Values, one)
 	}
-	return v, nil
+	return vary, nil
 }
 
 // splitValues parts a list at its commas, but not at those in brackets, braces or quotes.
--- a/internal/testbed/fakeplatform/platform.go
+++ b/internal/testbed/fakeplatform/platform.go
@@ -37,21 +37,21 @@
 
 // New starts a platform with so many worker nodes, whose jobs last until their node is freed.
 func New(nodes int) (*Platform, error) {
-	p := &Platform{closed: make(chan struct{})}
+	platform := &Platform{closed: make(chan struct{})}
 	var err error
-	if p.Listen, err = FreeAddress(); err != nil {
+	if platform.Listen, err = FreeAddress(); err != nil {
 		return nil, err
 	}
 	var hosts []string
 	for i := range nodes {
 		n := &Worker{ID: "s-" + strconv.Itoa(i), runsByRequest: map[string]int{}, release: make(chan struct{})}
-		s := p.serve(func(w http.ResponseWriter, r *http.Request) { p.acceptAttempt(n, w, r) })
-		p.Workers = append(p.Workers, n)
+		s := platform.serve(func(w http.ResponseWriter, r *http.Request) { platform.acceptAttempt(n, w, r) })
+		platform.Workers = append(platform.Workers, n)
 		hosts = append(hosts, fmt.Sprintf(`{"instanceId":"%s","hostPort":"%s","lifecycle":"up"}`, n.ID, s.Listener.Addr()))
 	}
 	list := fmt.Sprintf(`{"generation":1,"reset":true,"instances":[%s]}`+"\n", strings.Join(hosts, ","))
-	p.Discovery = p.serve(func(w http.ResponseWriter, r *http.Request) { p.watch(list, w, r) }).Listener.Addr().String()
-	return p, nil
+	platform.Discovery = platform.serve(func(w http.ResponseWriter, r *http.Request) { platform.watch(list, w, r) }).Listener.Addr().String()
+	return platform, nil
 }
 
 func (p *Platform) serve(act http.HandlerFunc) *httptest.Server {
--- a/internal/testbed/fakeplatform/process.go
+++ b/internal/testbed/fakeplatform/process.go
@@ -24,27 +24,27 @@
 // Start starts a scheduler: a command that serves, with variables of its environment besides those of the platform. work is
 // a folder for its configuration; settings are those of the platform's file. dir is what TMPDIR names; none: it is not set.
 func (p *Platform) Start(command []string, env []string, work, dir, settings string) (*Process, error) {
-	s := &Process{command: exec.Command(command[0], command[1:]...), done: make(chan struct{})}
+	process := &Process{command: exec.Command(command[0], command[1:]...), done: make(chan struct{})}
 	var err error
-	if s.ManagementAddress, err = FreeAddress(); err != nil {
+	if process.ManagementAddress, err = FreeAddress(); err != nil {
 		return nil, err
 	}
-	conf := filepath.Join(work, strings.ReplaceAll(s.ManagementAddress, ":", "-")+".json")
+	conf := filepath.Join(work, strings.ReplaceAll(process.ManagementAddress, ":", "-")+".json")
 	text := fmt.Appendf(nil, `{"name":"n0","listen":"%s","discovery":"%s","management":"%s","limits":{"sockets":256},"settings":%s}`,
-		p.Listen, p.Discovery, s.ManagementAddress, settings)
+		p.Listen, p.Discovery, process.ManagementAddress, settings)
 	if err := os.WriteFile(conf, text, 0o600); err != nil {
 		return nil, err
 	}
-	s.command.Env = append(append(os.Environ(), env...), "PROXY_CONFIG="+conf, "TMPDIR="+dir, "PROXY_MANAGEMENT=")
-	s.command.Stderr = &s.Log
-	if err := s.command.Start(); err != nil {
+	process.command.Env = append(append(os.Environ(), env...), "PROXY_CONFIG="+conf, "TMPDIR="+dir, "PROXY_MANAGEMENT=")
+	process.command.Stderr = &process.Log
+	if err := process.command.Start(); err != nil {
 		return nil, err
 	}
 	go func() {
-		_ = s.command.Wait()
-		close(s.done)
+		_ = process.command.Wait()
+		close(process.done)
 	}()
-	return s, nil
+	return process, nil
 }
 
 // Kill ends it at once, if it has not ended.
--- a/internal/testbed/fleet/child.go
+++ b/internal/testbed/fleet/child.go
@@ -38,12 +38,12 @@
 		return fmt.Errorf("spec: %w", err)
 	}
 	runtime.GOMAXPROCS(len(spec.Cores) + 2) // each engine has a processor of the runtime's, whatever else goes on
-	r, err := NewRig(spec)
+	rig, err := NewRig(spec)
 	if err != nil {
 		return err
 	}
-	defer r.Close()
-	places := r.Addresses()
+	defer rig.Close()
+	places := rig.Addresses()
 	if err := say.Encode(childMessage{Addresses: &places}); err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 		_ = hear.Decode(&struct{}{}) // nothing more is said
 		cancel()
 	}()
-	result, err := r.Run(ctx, targets, func(mark string) { _ = say.Encode(childMessage{Mark: mark}) })
+	result, err := rig.Run(ctx, targets, func(mark string) { _ = say.Encode(childMessage{Mark: mark}) })
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/fleet/clients.go
+++ b/internal/testbed/fleet/clients.go
@@ -104,18 +104,18 @@
 
 // nextRequest sends the next request.
 func (k *client) nextRequest() {
-	c := k.group
-	if !c.sending || k.single && k.count > 0 || !c.rig.nextJob() {
+	clientGroup := k.group
+	if !clientGroup.sending || k.single && k.count > 0 || !clientGroup.rig.nextJob() {
 		return
 	}
 	k.count++
-	c.jobs++
-	x := mixBits(c.rig.spec.Seed, uint64(k.number)<<40|k.count)
+	clientGroup.jobs++
+	x := mixBits(clientGroup.rig.spec.Seed, uint64(k.number)<<40|k.count)
 	const digits = "0123456789abcdef"
 	for i := range k.requestID {
 		k.requestID[i] = digits[x>>(60-4*i)&15]
 	}
-	k.busy, k.retry, k.sentAt = true, false, c.engine.clock()
+	k.busy, k.retry, k.sentAt = true, false, clientGroup.engine.clock()
 	k.send()
 }
 
@@ -129,16 +129,16 @@
 
 // send writes the request, on a new connection where there is none.
 func (k *client) send() {
-	e, r := k.group.engine, k.group.rig
+	engine, r := k.group.engine, k.group.rig
 	if k.conn == nil {
 		c := &clientConn{client: k}
-		if err := e.dial(&c.conn, netip.AddrPort{}, k.target, c); err != nil {
+		if err := engine.dial(&c.conn, netip.AddrPort{}, k.target, c); err != nil {
 			k.fail(err)
 			return
 		}
 		k.conn = c
 	}
-	b := append(append(e.out[:0], "POST /"+jobClass+"/"...), k.requestID[:]...)
+	b := append(append(engine.out[:0], "POST /"+jobClass+"/"...), k.requestID[:]...)
 	b = append(append(b, " HTTP/1.1\r\nHost: service.internal\r\nX-Call-Id: "...), k.requestID[:]...)
 	b = append(b, "\r\nX-Call-Class: "+jobClass+"\r\nX-Caller: "...)
 	b = append(b, tenants[k.number%len(tenants)]...)
@@ -150,41 +150,41 @@
 	}
 	b = append(b, "\r\nX-Call-Info: slots=1\r\nContent-Length: 24\r\n\r\n"...)
 	b = append(b, "status of a remittance\r\n"...)
-	e.out = b
-	k.conn.write(e.out)
+	engine.out = b
+	k.conn.write(engine.out)
 }
 
 func (c *clientConn) dataReceived(b []byte) int {
-	k := c.client
-	var m message
-	size, err := c.engine.reader.read(b, &m)
+	client := c.client
+	var message message
+	size, err := c.engine.reader.read(b, &message)
 	switch {
 	case err == nil && size == 0:
 		return 0
-	case err != nil || m.status == 0 || !k.busy:
+	case err != nil || message.status == 0 || !client.busy:
 		c.close()
-		k.conn = nil
-		if k.busy {
-			k.fail(fmt.Errorf("no answer that can be read: %w", err))
+		client.conn = nil
+		if client.busy {
+			client.fail(fmt.Errorf("no answer that can be read: %w", err))
 		} else {
-			k.group.reason("more than one answer")
+			client.group.reason("more than one answer")
 		}
 		return size
 	}
 	c.responses++
-	if m.lastOnConn {
+	if message.lastOnConn {
 		c.close()
-		k.conn = nil
+		client.conn = nil
 	}
-	switch own := bytes.HasPrefix(m.body, k.requestID[:]); {
-	case m.status == 200 && own:
-		k.settle(Second{Served: 1}, "")
-	case m.status == 429 || m.status == 503:
-		k.settle(Second{Rejected: 1}, "")
-	case m.status == 200:
-		k.settle(Second{Failed: 1}, "another request's answer")
+	switch own := bytes.HasPrefix(message.body, client.requestID[:]); {
+	case message.status == 200 && own:
+		client.settle(Second{Served: 1}, "")
+	case message.status == 429 || message.status == 503:
+		client.settle(Second{Rejected: 1}, "")
+	case message.status == 200:
+		client.settle(Second{Failed: 1}, "another request's answer")
 	default:
-		k.settle(Second{Failed: 1}, "status "+strconv.Itoa(m.status))
+		client.settle(Second{Failed: 1}, "status "+strconv.Itoa(message.status))
 	}
 	return size
 }
@@ -192,20 +192,20 @@
 // connClosed takes in that the connection is gone. A request that may have crossed the close between two requests is sent
 // once more.
 func (c *clientConn) connClosed(err error) {
-	k := c.client
-	if k.conn != c {
+	client := c.client
+	if client.conn != c {
 		return
 	}
-	k.conn = nil
+	client.conn = nil
 	switch {
-	case !k.busy:
-	case c.responses > 0 && !k.retry:
-		k.retry = true
-		k.send()
+	case !client.busy:
+	case c.responses > 0 && !client.retry:
+		client.retry = true
+		client.send()
 	case err == nil:
-		k.settle(Second{Failed: 1}, "closed")
+		client.settle(Second{Failed: 1}, "closed")
 	default:
-		k.fail(err)
+		client.fail(err)
 	}
 }
 
@@ -214,29 +214,29 @@
 
 // settle takes in the answer, or that there is none, and asks anew. One that failed waits a little: where nobody
 // listens, asking at once would be all that the rig does.
-func (k *client) settle(as Second, why string) {
-	c := k.group
-	now := c.engine.clock()
+func (k *client) settle(second Second, why string) {
+	clientGroup := k.group
+	now := clientGroup.engine.clock()
 	k.busy = false
-	if c.settled++; as.Rejected > 0 {
-		c.rig.jobs.Add(-1) // the job is still to be done
+	if clientGroup.settled++; second.Rejected > 0 {
+		clientGroup.rig.jobs.Add(-1) // the job is still to be done
 	} else {
-		c.endedClients++
+		clientGroup.endedClients++
 	}
-	at := int((now - c.startedAt) / time.Second)
-	for at >= len(c.seconds) {
-		c.seconds = append(c.seconds, Second{})
+	at := int((now - clientGroup.startedAt) / time.Second)
+	for at >= len(clientGroup.seconds) {
+		clientGroup.seconds = append(clientGroup.seconds, Second{})
 	}
-	c.seconds[at].add(as)
-	if c.engine.measuring {
-		c.window.add(as)
-		if as.Served > 0 {
-			record(c.answers, now-k.sentAt)
+	clientGroup.seconds[at].add(second)
+	if clientGroup.engine.measuring {
+		clientGroup.window.add(second)
+		if second.Served > 0 {
+			record(clientGroup.answers, now-k.sentAt)
 		}
 	}
 	if why != "" {
-		c.reason(why)
-		c.engine.setTimer(&k.timer, now+10*time.Millisecond, k)
+		clientGroup.reason(why)
+		clientGroup.engine.setTimer(&k.timer, now+10*time.Millisecond, k)
 		return
 	}
 	k.nextRequest()
--- a/internal/testbed/fleet/conn.go
+++ b/internal/testbed/fleet/conn.go
@@ -54,29 +54,29 @@
 }
 
 // dial begins a connection; who hears how it fares. A fault of this machine's ends the engine. from may be invalid.
-func (e *engine) dial(c *conn, from, to netip.AddrPort, who peer) error {
-	fd, err := newSocket()
+func (e *engine) dial(c *conn, from, target netip.AddrPort, who peer) error {
+	descriptor, err := newSocket()
 	if err != nil {
 		e.fail(err)
 		return err
 	}
 	if from.IsValid() {
-		// The port is chosen on connecting: so each address has all ports for each far end.
-		_ = unix.SetsockoptInt(fd, unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)
-		err = unix.Bind(fd, sockaddr(from))
+		// The port is chosen on connecting: so each target has all ports for each far end.
+		_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)
+		err = unix.Bind(descriptor, sockaddr(from))
 	}
 	if err == nil {
-		if err = unix.Connect(fd, sockaddr(to)); errors.Is(err, unix.EINPROGRESS) {
+		if err = unix.Connect(descriptor, sockaddr(target)); errors.Is(err, unix.EINPROGRESS) {
 			err = nil
 		}
 	}
 	if err == nil {
-		err = e.adopt(c, fd, who)
+		err = e.adopt(c, descriptor, who)
 	}
 	if err != nil {
-		_ = unix.Close(fd)
+		_ = unix.Close(descriptor)
 		if !errors.Is(err, unix.ECONNREFUSED) && !errors.Is(err, unix.ECONNRESET) {
-			err = fmt.Errorf("connecting to %v: %w", to, err)
+			err = fmt.Errorf("connecting to %v: %w", target, err)
 			e.fail(err)
 		}
 		return err
@@ -240,21 +240,21 @@
 // dropAll is a socket filter that lets nothing pass.
 var dropAll = unix.SockFprog{Len: 1, Filter: &unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K}}
 
-func (e *engine) listenAt(at netip.AddrPort, accept func(fd int)) (*listener, error) {
-	fd, err := newSocket()
+func (e *engine) listenAt(address netip.AddrPort, accept func(fd int)) (*listener, error) {
+	descriptor, err := newSocket()
 	if err != nil {
 		return nil, err
 	}
-	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	l := &listener{engine: e, fd: fd, address: at, accept: accept}
-	if err = unix.Bind(fd, sockaddr(at)); err == nil {
-		if err = unix.Listen(fd, backlog); err == nil {
-			err = e.add(fd, unix.EPOLLIN, l)
+	_ = unix.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
+	l := &listener{engine: e, fd: descriptor, address: address, accept: accept}
+	if err = unix.Bind(descriptor, sockaddr(address)); err == nil {
+		if err = unix.Listen(descriptor, backlog); err == nil {
+			err = e.add(descriptor, unix.EPOLLIN, l)
 		}
 	}
 	if err != nil {
-		_ = unix.Close(fd)
-		return nil, fmt.Errorf("listening at %v: %w", at, err)
+		_ = unix.Close(descriptor)
+		return nil, fmt.Errorf("listening at %v: %w", address, err)
 	}
 	return l, nil
 }
--- a/internal/testbed/fleet/discovery.go
+++ b/internal/testbed/fleet/discovery.go
@@ -33,21 +33,21 @@
 }
 
 func newDiscovery(r *Rig, e *engine, at netip.AddrPort) (*discovery, error) {
-	d := &discovery{
+	discovery := &discovery{
 		engine: e, rig: r, revision: 1, started: make([]int64, r.spec.Nodes),
 		calls: map[*discoveryCall]struct{}{},
 	}
-	e.setTimer(&d.timer, heartbeatInterval, d)
+	e.setTimer(&discovery.timer, heartbeatInterval, discovery)
 	var err error
-	d.listener, err = e.listenAt(at, func(fd int) {
-		c := &discoveryCall{discovery: d}
+	discovery.listener, err = e.listenAt(at, func(fd int) {
+		c := &discoveryCall{discovery: discovery}
 		if err := e.adopt(&c.conn, fd, c); err != nil {
 			e.fail(err)
 			return
 		}
-		d.calls[c] = struct{}{}
+		discovery.calls[c] = struct{}{}
 	})
-	return d, err
+	return discovery, err
 }
 
 // timerExpired writes empty lines.
@@ -103,27 +103,27 @@
 	if c.watches { // it has nothing more to say
 		return len(b)
 	}
-	var m message
-	size, err := c.engine.reader.read(b, &m)
+	var message message
+	size, err := c.engine.reader.read(b, &message)
 	if err == nil && size == 0 {
 		return 0
 	}
-	var at *url.URL
+	var uRL *url.URL
 	if err == nil {
-		at, err = url.ParseRequestURI(string(m.target))
+		uRL, err = url.ParseRequestURI(string(message.target))
 	}
 	switch {
 	case err != nil:
 		c.write(http1.AppendResponse(nil, http1.StatusBadRequest, "", nil, false))
 		c.close()
 		delete(c.discovery.calls, c)
-	case string(m.method) != http.MethodGet || at.Path != "/discovery/hosts":
+	case string(message.method) != http.MethodGet || uRL.Path != "/discovery/hosts":
 		c.write(http1.AppendResponse(nil, http1.StatusNotFound, "", nil, true))
-	case at.Query().Get("stream") == "1":
+	case uRL.Query().Get("stream") == "1":
 		c.watches = true
 		c.write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"))
 		// The first line is the whole list, unless there is nothing new in it.
-		if after, _ := strconv.ParseInt(at.Query().Get("index"), 10, 64); after == c.discovery.revision {
+		if after, _ := strconv.ParseInt(uRL.Query().Get("index"), 10, 64); after == c.discovery.revision {
 			c.writeLine(`{"generation":` + strconv.FormatInt(after, 10) + `,"reset":false,"instances":[]}`)
 		} else {
 			c.writeLine(c.discovery.snapshot())
--- a/internal/testbed/fleet/engine.go
+++ b/internal/testbed/fleet/engine.go
@@ -70,26 +70,26 @@
 }
 
 func newEngine(core int, began time.Time) (*engine, error) {
-	e := &engine{
+	engine := &engine{
 		core: core, startedAt: began, epoll: -1, timer: -1, wakeup: -1, lateness: newHistogram(),
 		done: make(chan struct{}),
 	}
 	var err error
-	if e.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err == nil {
+	if engine.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err == nil {
 		// A timer of its own: epoll's is in milliseconds.
-		if e.timer, err = unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC); err == nil {
-			if e.wakeup, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err == nil {
-				if err = e.add(e.timer, unix.EPOLLIN, timerOwner{}); err == nil {
-					err = e.add(e.wakeup, unix.EPOLLIN, wakeupOwner{e})
+		if engine.timer, err = unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC); err == nil {
+			if engine.wakeup, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err == nil {
+				if err = engine.add(engine.timer, unix.EPOLLIN, timerOwner{}); err == nil {
+					err = engine.add(engine.wakeup, unix.EPOLLIN, wakeupOwner{engine})
 				}
 			}
 		}
 	}
 	if err != nil {
-		e.close()
+		engine.close()
 		return nil, fmt.Errorf("epoll, timer and bell: %w", err)
 	}
-	return e, nil
+	return engine, nil
 }
 
 // close gives up the engine's own descriptors; it has ended, or was never run.
@@ -168,11 +168,11 @@
 // runIteration waits for something to be ready or due, and deals with it. Alarms are looked at after each event, as a turn may
 // have many.
 func (e *engine) runIteration() error {
-	ms := -1
+	timeout := -1
 	if e.timers.Len() > 0 {
 		at := e.timers.First().At
 		if left := at - e.clock(); left <= 0 {
-			ms = 0
+			timeout = 0
 		} else if at != e.armed {
 			spec := unix.ItimerSpec{Value: unix.NsecToTimespec(int64(left))}
 			if err := unix.TimerfdSettime(e.timer, 0, &spec, nil); err != nil {
@@ -181,7 +181,7 @@
 			e.armed = at
 		}
 	}
-	n, err := unix.EpollWait(e.epoll, e.events[:], ms)
+	n, err := unix.EpollWait(e.epoll, e.events[:], timeout)
 	if err != nil && err != unix.EINTR {
 		return fmt.Errorf("epoll: %w", err)
 	}
--- a/internal/testbed/fleet/measure.go
+++ b/internal/testbed/fleet/measure.go
@@ -129,22 +129,22 @@
 // rigSpec is what the rig is to play.
 func (o *Options) rigSpec(row Row) Spec {
 	work := cmp.Or(o.Work, 20*time.Millisecond)
-	s := Spec{
+	spec := Spec{
 		Nodes: row.Workers, StartNotifications: row.StartNotifications, Clients: o.Clients, Work: work, Jobs: o.Jobs, Burst: o.Burst,
 		WarmUp: o.WarmUp, Length: o.Length, Seed: o.Seed, Cores: o.Cores[1:],
 		DisturbancesAt: o.WarmUp + disturbancesAfter, SilentShare: o.SilentShare, SilentFor: o.Length / 3,
 	}
-	s.Hint = time.Duration(row.Hint * float64(work))
+	spec.Hint = time.Duration(row.Hint * float64(work))
 	switch row.Subject {
 	case Proxy, Direct:
-		s.Responds = true
+		spec.Responds = true
 	case Ceiling:
-		s.Responds, s.Work = true, -1
+		spec.Responds, spec.Work = true, -1
 	}
 	if o.Restart {
-		s.Restarts = restartWindow
+		spec.Restarts = restartWindow
 	}
-	return s
+	return spec
 }
 
 // disturbances is when it begins and ends.
@@ -174,16 +174,16 @@
 }
 
 // Measure plays one row.
-func Measure(ctx context.Context, row Row, o Options) (Measurement, error) {
-	if err := o.check(); err != nil {
+func Measure(ctx context.Context, row Row, options Options) (Measurement, error) {
+	if err := options.check(); err != nil {
 		return Measurement{}, err
 	}
-	if o.ReadyTimeout == 0 {
-		o.ReadyTimeout = 20 * time.Second
+	if options.ReadyTimeout == 0 {
+		options.ReadyTimeout = 20 * time.Second
 	}
-	if len(o.Cores) == 0 {
+	if len(options.Cores) == 0 {
 		var err error
-		if o.Cores, err = FindCores(); err != nil {
+		if options.Cores, err = FindCores(); err != nil {
 			return Measurement{}, err
 		}
 	}
@@ -196,7 +196,7 @@
 		// Processes that are to die with this one die with the thread that they were started from; this one lives as long as
 		// they do, and ends with the goroutine.
 		runtime.LockOSThread()
-		d := &measurement{options: o, row: row}
+		d := &measurement{options: options, row: row}
 		p, err := d.run(ctx)
 		d.close() // nothing of it is left when it is told
 		done <- ended{p, err}
@@ -230,8 +230,8 @@
 const niceness = -10
 
 // start starts a process on cores.
-func (d *measurement) start(c *exec.Cmd, cores []int) (*process, error) {
-	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
+func (d *measurement) start(command *exec.Cmd, cores []int) (*process, error) {
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	var all unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &all); err != nil {
 		return nil, fmt.Errorf("cores: %w", err)
@@ -245,13 +245,13 @@
 	if err == nil && unix.Setpriority(unix.PRIO_PROCESS, 0, niceness) == nil {
 		defer func() { _ = unix.Setpriority(unix.PRIO_PROCESS, 0, 20-was) }() // the call gives it as 20 less it
 	}
-	err = c.Start()
+	err = command.Start()
 	if err := errors.Join(err, unix.SchedSetaffinity(0, &all)); err != nil {
 		return nil, err
 	}
-	p := &process{Cmd: c, exited: make(chan struct{})}
+	p := &process{Cmd: command, exited: make(chan struct{})}
 	go func() {
-		_ = c.Wait()
+		_ = command.Wait()
 		close(p.exited)
 	}()
 	return p, nil
@@ -280,16 +280,16 @@
 }
 
 func (d *measurement) run(ctx context.Context) (Measurement, error) {
-	p := Measurement{Row: d.row, Disturbances: d.options.disturbances()}
+	measurement := Measurement{Row: d.row, Disturbances: d.options.disturbances()}
 	if d.directory = d.options.Dir; d.directory == "" {
 		var err error
 		if d.directory, err = os.MkdirTemp("", "fleet-"); err != nil {
-			return p, err
+			return measurement, err
 		}
 		d.removeDirectory = true
 	}
 	if err := d.startRig(ctx); err != nil {
-		return p, err
+		return measurement, err
 	}
 	targets := []string{d.addresses.Scheduler}
 	switch d.row.Subject {
@@ -297,30 +297,30 @@
 		targets = d.addresses.Workers
 	default:
 		if err := d.awaitReady(ctx); err != nil {
-			return p, err
+			return measurement, err
 		}
 	}
 	if err := d.encoder.Encode(targets); err != nil {
-		return p, fmt.Errorf("rig: %w", err)
+		return measurement, fmt.Errorf("rig: %w", err)
 	}
-	return d.collect(ctx, p)
+	return d.collect(ctx, measurement)
 }
 
 // startPiped starts a process with pipes both ways.
-func (d *measurement) startPiped(c *exec.Cmd, cores []int) (*process, error) {
-	in, say, err := os.Pipe()
+func (d *measurement) startPiped(command *exec.Cmd, cores []int) (*process, error) {
+	file, say, err := os.Pipe()
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = in.Close() }()
+	defer func() { _ = file.Close() }()
 	hear, out, err := os.Pipe()
 	if err != nil {
 		_ = say.Close()
 		return nil, err
 	}
 	defer func() { _ = out.Close() }()
-	c.Stdin, c.Stdout = in, out
-	p, err := d.start(c, cores)
+	command.Stdin, command.Stdout = file, out
+	p, err := d.start(command, cores)
 	if err != nil {
 		_, _ = say.Close(), hear.Close()
 		return nil, err
@@ -456,21 +456,21 @@
 )
 
 // configuration is what a scheduler is told: the co-operative's settings, without load reports.
-func (o *Options) configuration(row Row, at Addresses) []byte {
-	s := scenario.Default()
-	s.Name = "fleet"
-	s.Fleet.Workers, s.Fleet.Zones = row.Workers, []string{zone}
-	for i := range s.Fleet.Kinds {
-		k := &s.Fleet.Kinds[i]
+func (o *Options) configuration(row Row, addresses Addresses) []byte {
+	spec := scenario.Default()
+	spec.Name = "fleet"
+	spec.Fleet.Workers, spec.Fleet.Zones = row.Workers, []string{zone}
+	for i := range spec.Fleet.Kinds {
+		k := &spec.Fleet.Kinds[i]
 		k.OmitsStartNotifications, k.QueueOrder, k.WarmUpCapacity, k.WarmUp = !row.StartNotifications, "fifo", 0.3, scenario.Duration(8800*time.Millisecond)
 	}
-	s.Schedulers.Sockets, s.Schedulers.MemoryMB = maxSockets, memoryMB
+	spec.Schedulers.Sockets, spec.Schedulers.MemoryMB = maxSockets, memoryMB
 	told := 0.0
-	for i := range s.Tenants {
-		told += s.QuotaRate(i)
+	for i := range spec.Tenants {
+		told += spec.QuotaRate(i)
 	}
-	s.Load.Quota *= quotaPerSecond / told
-	return platform.Config(s, 0, platform.Options{Name: "s1", Listen: at.Scheduler, Discovery: at.Discovery, Seed: o.Seed})
+	spec.Load.Quota *= quotaPerSecond / told
+	return platform.Config(spec, 0, platform.Options{Name: "s1", Listen: addresses.Scheduler, Discovery: addresses.Discovery, Seed: o.Seed})
 }
 
 // collect takes the figures as the rig plays.
--- a/internal/testbed/fleet/proxy.go
+++ b/internal/testbed/fleet/proxy.go
@@ -53,7 +53,7 @@
 
 // NewProxy is the standard library's reverse proxy before worker nodes that answer by themselves. GET /up is its own.
 func NewProxy(nodes []string) http.Handler {
-	l := &leastInFlight{workers: nodes, inFlight: make([]int, len(nodes))}
+	leastInFlight := &leastInFlight{workers: nodes, inFlight: make([]int, len(nodes))}
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
 		MaxIdleConnsPerHost: 1024,
@@ -73,9 +73,9 @@
 		if q.URL.Path == "/up" {
 			return
 		}
-		i := l.acquire()
-		defer l.release(i)
-		proxy.ServeHTTP(w, q.WithContext(context.WithValue(q.Context(), chosen{}, l.workers[i])))
+		i := leastInFlight.acquire()
+		defer leastInFlight.release(i)
+		proxy.ServeHTTP(w, q.WithContext(context.WithValue(q.Context(), chosen{}, leastInFlight.workers[i])))
 	})
 }
 
@@ -95,7 +95,7 @@
 
 // ServeProxy serves as the yardstick until alive ends.
 func ServeProxy(p ProxyPlan, alive io.Reader) error {
-	at, err := net.Listen("tcp", p.Listen)
+	listener, err := net.Listen("tcp", p.Listen)
 	if err != nil {
 		return err
 	}
@@ -107,7 +107,7 @@
 		_, _ = io.Copy(io.Discard, alive)
 		_ = s.Close()
 	}()
-	if err := s.Serve(at); !errors.Is(err, http.ErrServerClosed) {
+	if err := s.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("proxy: %w", err)
 	}
 	return nil
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -142,27 +142,27 @@
 // NewRig brings up worker nodes and discovery.
 func NewRig(spec Spec) (*Rig, error) {
 	spec.defaults()
-	r := &Rig{spec: spec, startedAt: time.Now()}
+	rig := &Rig{spec: spec, startedAt: time.Now()}
 	var err error
 	if spec.Nodes < 1 || spec.Length < 0 || spec.WarmUp < 0 {
 		return nil, fmt.Errorf("%d worker nodes, %v warm and %v long: nothing to play", spec.Nodes, spec.WarmUp, spec.Length)
 	}
-	if r.descriptors, err = planDescriptors(spec.Nodes, spec.Clients+spec.Burst); err != nil {
+	if rig.descriptors, err = planDescriptors(spec.Nodes, spec.Clients+spec.Burst); err != nil {
 		return nil, err
 	}
-	r.callbackConns = r.descriptors.callbackConns
-	if r.addresses, err = findAddresses(); err != nil {
+	rig.callbackConns = rig.descriptors.callbackConns
+	if rig.addresses, err = findAddresses(); err != nil {
 		return nil, err
 	}
-	r.hostAddress = r.addresses.scheduler().String()
-	if err := r.build(); err != nil {
-		r.Close()
+	rig.hostAddress = rig.addresses.scheduler().String()
+	if err := rig.build(); err != nil {
+		rig.Close()
 		return nil, err
 	}
-	for _, e := range r.engines {
-		r.threads.Go(e.run)
+	for _, e := range rig.engines {
+		rig.threads.Go(e.run)
 	}
-	return r, nil
+	return rig, nil
 }
 
 func (r *Rig) build() error {
@@ -263,21 +263,21 @@
 }
 
 // startDisturbances sets what happens to an engine's worker nodes.
-func (r *Rig) startDisturbances(at int, e *engine, went time.Duration) {
-	s := &r.spec
-	from := went + s.DisturbancesAt
+func (r *Rig) startDisturbances(at int, engine *engine, went time.Duration) {
+	spec := &r.spec
+	from := went + spec.DisturbancesAt
 	first := len(r.workers) / 3
-	silent := int(s.SilentShare*float64(len(r.workers)) + 0.5)
+	silent := int(spec.SilentShare*float64(len(r.workers)) + 0.5)
 	for i := at; i < len(r.workers); i += len(r.engines) {
 		n := r.workers[i]
-		if s.Restarts > 0 && i%3 == 0 {
-			when := from + s.Restarts*time.Duration(i)/time.Duration(len(r.workers))
-			e.at(when, n.stop)
-			e.at(when+s.restartDown, n.restart)
+		if spec.Restarts > 0 && i%3 == 0 {
+			when := from + spec.Restarts*time.Duration(i)/time.Duration(len(r.workers))
+			engine.at(when, n.stop)
+			engine.at(when+spec.restartDown, n.restart)
 		}
 		if i >= first && i < first+silent {
-			e.at(from, func() { n.setSilent(true) })
-			e.at(from+s.SilentFor, func() { n.setSilent(false) })
+			engine.at(from, func() { n.setSilent(true) })
+			engine.at(from+spec.SilentFor, func() { n.setSilent(false) })
 		}
 	}
 }
@@ -296,20 +296,20 @@
 }
 
 // onEngines has something done in each engine in turn, and waits for it. In one that has ended it is done here.
-func (r *Rig) onEngines(do func(i int, e *engine)) {
-	for i, e := range r.engines {
+func (r *Rig) onEngines(action func(i int, e *engine)) {
+	for i, engine := range r.engines {
 		done := make(chan struct{})
-		e.post(func() {
-			do(i, e)
+		engine.post(func() {
+			action(i, engine)
 			close(done)
 		})
 		select {
 		case <-done:
-		case <-e.done:
+		case <-engine.done:
 			select {
 			case <-done:
 			default:
-				do(i, e)
+				action(i, engine)
 			}
 		}
 	}
@@ -356,24 +356,24 @@
 	}
 	latency, late := newHistogram(), newHistogram()
 	most := 0
-	r.onEngines(func(i int, e *engine) {
-		c := r.clientGroups[i]
-		res.add(c.window)
-		for at, s := range c.seconds {
+	r.onEngines(func(i int, engine *engine) {
+		clientGroup := r.clientGroups[i]
+		res.add(clientGroup.window)
+		for at, s := range clientGroup.seconds {
 			if at >= len(res.Seconds) {
 				res.Seconds = append(res.Seconds, Second{})
 			}
 			res.Seconds[at].add(s)
 			res.All.add(s)
 		}
-		latency.Merge(c.answers)
-		late.Merge(e.lateness)
-		for why, n := range c.failureReasons {
+		latency.Merge(clientGroup.answers)
+		late.Merge(engine.lateness)
+		for why, n := range clientGroup.failureReasons {
 			res.FailureReasons[why] += n
 		}
-		res.Requested += c.jobs
-		res.Settled += c.settled
-		cpu := e.cpu.Seconds() / length.Seconds()
+		res.Requested += clientGroup.jobs
+		res.Settled += clientGroup.settled
+		cpu := engine.cpu.Seconds() / length.Seconds()
 		res.CPU += cpu
 		res.MaxCPU = max(res.MaxCPU, cpu)
 		for k := i; k < len(r.workers); k += len(r.engines) {
--- a/internal/testbed/fleet/table.go
+++ b/internal/testbed/fleet/table.go
@@ -111,22 +111,22 @@
 	}
 	// spread gives least, median and most of those that there is a figure for.
 	spread := func(digits int, of func(*Measurement) (float64, bool)) string {
-		var xs []float64
+		var values []float64
 		for i := range sound {
 			if x, ok := of(&sound[i]); ok {
-				xs = append(xs, x)
+				values = append(values, x)
 			}
 		}
-		if len(xs) == 0 {
+		if len(values) == 0 {
 			return "-"
 		}
-		slices.Sort(xs)
-		n := len(xs)
-		least, most := formatGrouped(xs[0], digits), formatGrouped(xs[n-1], digits)
+		slices.Sort(values)
+		n := len(values)
+		least, most := formatGrouped(values[0], digits), formatGrouped(values[n-1], digits)
 		if least == most {
 			return least
 		}
-		return least + " / " + formatGrouped((xs[(n-1)/2]+xs[n/2])/2, digits) + " / " + most
+		return least + " / " + formatGrouped((values[(n-1)/2]+values[n/2])/2, digits) + " / " + most
 	}
 	some := func(of func(*Measurement) float64) func(*Measurement) (float64, bool) {
 		return func(p *Measurement) (float64, bool) { return of(p), p.Served > 0 }
@@ -180,31 +180,31 @@
 func (r *Report) BySecond(w io.Writer) error {
 	var b strings.Builder
 	for i := range r.Measurements {
-		p := &r.Measurements[i]
-		b.WriteString(p.String())
-		if len(p.Disturbances) == 2 {
-			fmt.Fprintf(&b, "; trouble from %.1f s to %.1f s, ", p.Disturbances[0], p.Disturbances[1])
-			if back := p.RecoveredAfter(); back >= 0 {
+		measurement := &r.Measurements[i]
+		b.WriteString(measurement.String())
+		if len(measurement.Disturbances) == 2 {
+			fmt.Fprintf(&b, "; trouble from %.1f s to %.1f s, ", measurement.Disturbances[0], measurement.Disturbances[1])
+			if back := measurement.RecoveredAfter(); back >= 0 {
 				fmt.Fprintf(&b, "back at 95%% after %d s", back)
 			} else {
 				b.WriteString("not back at 95%")
 			}
 		}
 		b.WriteString("\n  served ")
-		for _, s := range p.Seconds {
+		for _, s := range measurement.Seconds {
 			fmt.Fprintf(&b, " %d", s.Served)
 		}
 		b.WriteString("\n  refused")
-		for _, s := range p.Seconds {
+		for _, s := range measurement.Seconds {
 			fmt.Fprintf(&b, " %d", s.Rejected)
 		}
 		b.WriteString("\n  failed ")
-		for _, s := range p.Seconds {
+		for _, s := range measurement.Seconds {
 			fmt.Fprintf(&b, " %d", s.Failed)
 		}
 		b.WriteString("\n")
-		for _, why := range slices.Sorted(maps.Keys(p.FailureReasons)) {
-			fmt.Fprintf(&b, "  failed %d times: %s\n", p.FailureReasons[why], why)
+		for _, why := range slices.Sorted(maps.Keys(measurement.FailureReasons)) {
+			fmt.Fprintf(&b, "  failed %d times: %s\n", measurement.FailureReasons[why], why)
 		}
 	}
 	_, err := io.WriteString(w, b.String())
--- a/internal/testbed/fleet/workers.go
+++ b/internal/testbed/fleet/workers.go
@@ -75,21 +75,21 @@
 func (k *workerConn) connClosed(error) { delete(k.worker.links, k) }
 
 func (k *workerConn) dataReceived(b []byte) (taken int) {
-	var m message
+	var message message
 	for !k.awaitingResponse && !k.closed && taken < len(b) {
-		size, err := k.worker.engine.reader.read(b[taken:], &m)
+		size, err := k.worker.engine.reader.read(b[taken:], &message)
 		if err == nil && size == 0 {
 			break
 		}
 		taken += size
-		if err != nil || m.status != 0 {
+		if err != nil || message.status != 0 {
 			k.worker.unexpected++
 			k.respond(http1.StatusBadRequest, "", false)
 			k.drop()
 			break
 		}
-		k.handleRequest(&m)
-		if m.lastOnConn && !k.awaitingResponse {
+		k.handleRequest(&message)
+		if message.lastOnConn && !k.awaitingResponse {
 			k.drop()
 		}
 	}
@@ -107,14 +107,14 @@
 	k.write(e.out)
 }
 
-func (k *workerConn) handleRequest(m *message) {
+func (k *workerConn) handleRequest(message *message) {
 	n := k.worker
-	switch method, target := string(m.method), string(m.target); {
+	switch method, target := string(message.method), string(message.target); {
 	case method == "GET" && target == "/alive":
 		k.respond(http1.StatusOK, "", true)
-	case method == "DELETE" && bytes.HasPrefix(m.target, []byte("/jobs/")):
+	case method == "DELETE" && bytes.HasPrefix(message.target, []byte("/jobs/")):
 		k.respond(http1.StatusNoContent, "", true)
-	case method != "POST" || len(m.requestID) == 0:
+	case method != "POST" || len(message.requestID) == 0:
 		if method == "POST" {
 			n.unexpected++
 		}
@@ -123,7 +123,7 @@
 		k.respond(http1.StatusServiceUnavailable, "X-Rejected: 1\r\n", true)
 	default:
 		j := n.engine.job(n)
-		j.requestID = append(j.requestID[:0], m.requestID...)
+		j.requestID = append(j.requestID[:0], message.requestID...)
 		if n.rig.spec.Responds {
 			j.conn, k.awaitingResponse = k, true
 		} else {
@@ -147,19 +147,19 @@
 // serve begins what there is a slot for.
 func (n *worker) serve() {
 	for n.freeSlots > 0 && n.queue.len() > 0 {
-		j := n.queue.pop()
+		job := n.queue.pop()
 		n.freeSlots--
-		n.running = append(n.running, j)
+		n.running = append(n.running, job)
 		if n.engine.measuring {
 			n.started++
 		}
-		if j.conn == nil && n.rig.spec.StartNotifications {
-			n.callbacks.notify(j.requestID, "started")
+		if job.conn == nil && n.rig.spec.StartNotifications {
+			n.callbacks.notify(job.requestID, "started")
 		}
 		if work := n.rig.spec.drawWork(); work > 0 {
-			n.engine.setTimer(&j.timer, n.engine.clock()+work, j)
+			n.engine.setTimer(&job.timer, n.engine.clock()+work, job)
 		} else {
-			n.endJob(j)
+			n.endJob(job)
 		}
 	}
 }
@@ -216,19 +216,19 @@
 }
 
 // setSilent has its machine say and hear nothing, or ends that.
-func (n *worker) setSilent(on bool) {
-	if n.silent == on {
+func (n *worker) setSilent(silent bool) {
+	if n.silent == silent {
 		return
 	}
-	n.silent = on
+	n.silent = silent
 	if n.listener != nil {
-		n.listener.setPaused(on)
+		n.listener.setPaused(silent)
 	}
 	for k := range n.links {
-		k.setPaused(on)
+		k.setPaused(silent)
 	}
-	n.callbacks.setPaused(on)
-	if !on {
+	n.callbacks.setPaused(silent)
+	if !silent {
 		stuck := n.heldJobs
 		n.heldJobs = nil
 		for _, j := range stuck {
@@ -308,20 +308,20 @@
 	}
 }
 
-func (k *callbackConn) send(x *callback) {
+func (k *callbackConn) send(callback *callback) {
 	n := k.sender.worker
-	x.attempts++
-	x.conn, k.callback = k, x
+	callback.attempts++
+	callback.conn, k.callback = k, callback
 	b := n.engine.out[:0]
 	b = append(b, "POST /v1/job-events HTTP/1.1\r\nHost: "...)
 	b = append(b, n.rig.hostAddress...)
 	b = append(b, "\r\nContent-Type: application/json\r\nContent-Length: "...)
-	b = strconv.AppendInt(b, int64(len(x.request)), 10)
+	b = strconv.AppendInt(b, int64(len(callback.request)), 10)
 	b = append(b, "\r\n\r\n"...)
-	b = append(b, x.request...)
+	b = append(b, callback.request...)
 	n.engine.out = b
 	k.write(n.engine.out)
-	n.engine.setTimer(&x.timer, n.engine.now+callbackTimeout, x)
+	n.engine.setTimer(&callback.timer, n.engine.now+callbackTimeout, callback)
 }
 
 // timerExpired is the end of a call's time, or its next try.
@@ -350,28 +350,28 @@
 }
 
 func (k *callbackConn) dataReceived(b []byte) int {
-	var m message
-	size, err := k.sender.worker.engine.reader.read(b, &m)
-	x := k.callback
+	var message message
+	size, err := k.sender.worker.engine.reader.read(b, &message)
+	callback := k.callback
 	switch {
 	case err == nil && size == 0:
 		return 0
-	case err != nil || x == nil || m.status == 0:
+	case err != nil || callback == nil || message.status == 0:
 		k.reset()
 		k.connClosed(err)
 		return size
 	}
 	e := k.sender.worker.engine
-	e.timers.Remove(&x.timer)
-	x.conn, k.callback = nil, nil
-	if m.lastOnConn {
+	e.timers.Remove(&callback.timer)
+	callback.conn, k.callback = nil, nil
+	if message.lastOnConn {
 		k.close()
 		delete(k.sender.open, k)
 	} else {
 		k.sender.idle = append(k.sender.idle, k)
 	}
-	if m.status != 200 && m.status != 204 {
-		k.sender.retryLater(x)
+	if message.status != 200 && message.status != 204 {
+		k.sender.retryLater(callback)
 	}
 	k.sender.proceed()
 	return size
