--- a/internal/testbed/mutation/injector.go
+++ b/internal/testbed/mutation/injector.go
@@ -93,22 +93,22 @@
 }
 
 // handleInput is what comes from the world.
-func (b *faultInjector) handleInput(in *simapi.Input) {
-	b.scheduler = in.Scheduler
-	switch in.Kind {
+func (b *faultInjector) handleInput(input *simapi.Input) {
+	b.scheduler = input.Scheduler
+	switch input.Kind {
 	case simapi.Start, simapi.Kill:
 		b.reset()
-		b.running = in.Kind == simapi.Start
+		b.running = input.Kind == simapi.Start
 	case simapi.RequestReceived:
-		b.requests[in.Request.RequestID] = &trackedRequest{ClientRequest: *in.Request, receivedAt: b.now, conn: in.Conn}
+		b.requests[input.Request.RequestID] = &trackedRequest{ClientRequest: *input.Request, receivedAt: b.now, conn: input.Conn}
 	case simapi.WorkerConnected, simapi.WorkerDisconnected, simapi.ResponseReceived:
-		if e := b.injected[in.Conn]; e != nil {
-			b.injectedResponse(in, e)
+		if e := b.injected[input.Conn]; e != nil {
+			b.injectedResponse(input, e)
 			return
 		}
 	}
-	if b.onInput == nil || b.onInput(b, in) {
-		b.inputs = append(b.inputs, *in)
+	if b.onInput == nil || b.onInput(b, input) {
+		b.inputs = append(b.inputs, *input)
 	}
 }
 
@@ -120,24 +120,24 @@
 }
 
 // handleOutput is what comes from the inner scheduler.
-func (b *faultInjector) handleOutput(o *simapi.Output) {
-	if !b.running && o.Kind != simapi.Exited {
+func (b *faultInjector) handleOutput(output *simapi.Output) {
+	if !b.running && output.Kind != simapi.Exited {
 		return
 	}
-	q := b.requests[o.RequestID]
-	switch o.Kind {
+	trackedRequest := b.requests[output.RequestID]
+	switch output.Kind {
 	case simapi.AttemptWritten:
-		if q != nil {
-			q.attempts++
+		if trackedRequest != nil {
+			trackedRequest.attempts++
 		}
 	case simapi.Exited:
 		b.reset()
 	}
-	if b.onOutput == nil || b.onOutput(b, o) {
-		b.outputs = append(b.outputs, *o)
+	if b.onOutput == nil || b.onOutput(b, output) {
+		b.outputs = append(b.outputs, *output)
 	}
-	if q != nil && o.Kind == simapi.ResponseWritten {
-		q.answered = true
+	if trackedRequest != nil && output.Kind == simapi.ResponseWritten {
+		trackedRequest.answered = true
 	}
 }
 
@@ -181,19 +181,19 @@
 }
 
 // injectedResponse is what comes over a connection of ours.
-func (b *faultInjector) injectedResponse(in *simapi.Input, e *injectedAttempt) {
-	switch in.Kind {
+func (b *faultInjector) injectedResponse(input *simapi.Input, e *injectedAttempt) {
+	switch input.Kind {
 	case simapi.WorkerConnected:
 		left := max(time.Millisecond, e.request.receivedAt+e.request.Budget-b.now).Truncate(time.Millisecond)
 		b.outputs = append(b.outputs, simapi.Output{
-			Kind: simapi.AttemptWritten, Scheduler: b.scheduler, Conn: in.Conn, Worker: e.worker, RequestID: e.request.RequestID,
+			Kind: simapi.AttemptWritten, Scheduler: b.scheduler, Conn: input.Conn, Worker: e.worker, RequestID: e.request.RequestID,
 			IdempotencyKey: e.request.IdempotencyKey, Budget: left, FirstByteAt: b.now,
 		})
 	case simapi.ResponseReceived:
-		b.outputs = append(b.outputs, simapi.Output{Kind: simapi.WorkerConnClosed, Scheduler: b.scheduler, Conn: in.Conn, Worker: e.worker})
-		delete(b.injected, in.Conn)
+		b.outputs = append(b.outputs, simapi.Output{Kind: simapi.WorkerConnClosed, Scheduler: b.scheduler, Conn: input.Conn, Worker: e.worker})
+		delete(b.injected, input.Conn)
 	default:
-		delete(b.injected, in.Conn)
+		delete(b.injected, input.Conn)
 	}
 }
 
--- a/internal/testbed/mutation/mutants.go
+++ b/internal/testbed/mutation/mutants.go
@@ -366,19 +366,19 @@
 
 // rejectAfter refuses queries of classes with an effect that were sent so long ago.
 func rejectAfter(effect string, after time.Duration) func(b *faultInjector, o *simapi.Output) bool {
-	return func(b *faultInjector, o *simapi.Output) bool {
-		q := b.requests[o.RequestID]
-		if q == nil || b.idempotencyOf(q) != effect {
+	return func(b *faultInjector, output *simapi.Output) bool {
+		trackedRequest := b.requests[output.RequestID]
+		if trackedRequest == nil || b.idempotencyOf(trackedRequest) != effect {
 			return true
 		}
-		if o.Kind == simapi.AttemptWritten && q.attempts == 1 {
+		if output.Kind == simapi.AttemptWritten && trackedRequest.attempts == 1 {
 			b.schedule(b.now+after, func() {
-				if !q.answered {
-					b.respond(q, http.StatusServiceUnavailable)
+				if !trackedRequest.answered {
+					b.respond(trackedRequest, http.StatusServiceUnavailable)
 				}
 			})
 		}
-		return o.Kind != simapi.ResponseWritten || !q.answered
+		return output.Kind != simapi.ResponseWritten || !trackedRequest.answered
 	}
 }
 
--- a/internal/testbed/platform/platform.go
+++ b/internal/testbed/platform/platform.go
@@ -201,7 +201,7 @@
 
 func newSettings(spec *scenario.Scenario, me int) settings {
 	sch, rule := &spec.Schedulers, &spec.Rules
-	s := settings{
+	settings := settings{
 		Family: "jobs", Levels: []string{"workers"}, Replicas: sch.Count, ReplicaIndex: me, Zone: spec.ZoneOf(me),
 		Zones: spec.Fleet.Zones, Discovery: "subscribe", Round: micros(schedulingCycle), WeightSource: spec.Fleet.Weights,
 		WeightBy: "work", OverQuotaWeight: spec.Load.OverQuotaWeight,
@@ -218,15 +218,15 @@
 		Goal:      goal{Whole: 0.4, WorstClass: 0.2, WorstTenant: 0.25, WorstWindow: 0.15},
 		Telemetry: telemetry{Fields: []string{}, Via: "off"},
 	}
-	s.Clients.MarksRetry = spec.Clients.MarkRetry
-	s.setKinds(spec.Fleet.Kinds)
+	settings.Clients.MarksRetry = spec.Clients.MarkRetry
+	settings.setKinds(spec.Fleet.Kinds)
 	for i := range spec.Classes {
-		s.addClass(&spec.Classes[i])
+		settings.addClass(&spec.Classes[i])
 	}
 	for i, t := range spec.Tenants {
-		s.Tenants = append(s.Tenants, tenant{t.Name, t.Quota, spec.QuotaRate(i)})
+		settings.Tenants = append(settings.Tenants, tenant{t.Name, t.Quota, spec.QuotaRate(i)})
 	}
-	return s
+	return settings
 }
 
 // setKinds tells of the worker nodes what holds for all of them: what one kind does not tell can't be relied on, and a
--- a/internal/testbed/process/callbacks.go
+++ b/internal/testbed/process/callbacks.go
@@ -44,20 +44,20 @@
 }
 
 // sendCallback calls a scheduler with a note.
-func (d *driver) sendCallback(in *simapi.Input) {
-	n := in.Callback
+func (d *driver) sendCallback(input *simapi.Input) {
+	n := input.Callback
 	body, err := jsoniter.ConfigDefault.Marshal(callbackForm{n.CallID, n.EndpointID, n.State, n.Progress, n.Result})
 	if err != nil {
 		d.fail(err)
 		return
 	}
-	s := d.schedulers[in.Scheduler]
-	p := s.callbackPools[in.Worker]
+	s := d.schedulers[input.Scheduler]
+	p := s.callbackPools[input.Worker]
 	if p == nil {
-		p = &callbackPool{driver: d, scheduler: in.Scheduler, worker: in.Worker}
-		s.callbackPools[in.Worker] = p
+		p = &callbackPool{driver: d, scheduler: input.Scheduler, worker: input.Worker}
+		s.callbackPools[input.Worker] = p
 	}
-	c := &callbackCall{id: in.CallbackID, body: body}
+	c := &callbackCall{id: input.CallbackID, body: body}
 	c.timer = d.after(d.callbackTimeout, func() { p.callTimedOut(c) })
 	p.waiting = append(p.waiting, c)
 	p.proceed()
@@ -74,24 +74,24 @@
 
 func (p *callbackPool) proceed() {
 	for len(p.waiting) > 0 && (len(p.idle) > 0 || len(p.open) < maxCallbackCalls) {
-		c := p.waiting[0]
+		callbackCall := p.waiting[0]
 		p.waiting = slices.Delete(p.waiting, 0, 1)
 		if n := len(p.idle); n > 0 {
 			k := p.idle[n-1]
 			p.idle = p.idle[:n-1]
 			p.driver.stop(k.timer)
-			k.sendCall(c)
+			k.sendCall(callbackCall)
 			continue
 		}
 		k := &callbackConn{pool: p}
 		if err := p.driver.dial(&k.socketConn, p.driver.addresses.client(uint64(p.worker)), p.driver.schedulers[p.scheduler].listen, k); err != nil {
 			if !p.driver.failIfLocal(err) {
-				p.callEnded(c, 0)
+				p.callEnded(callbackCall, 0)
 			}
 			continue
 		}
 		p.open = append(p.open, k)
-		k.sendCall(c)
+		k.sendCall(callbackCall)
 	}
 }
 
@@ -142,27 +142,27 @@
 }
 
 func (k *callbackConn) dataReceived(int) {
-	p := k.pool
-	a, _, n, err := p.driver.reader.response(k.received, false)
+	callbackPool := k.pool
+	response, _, n, err := callbackPool.driver.reader.response(k.received, false)
 	switch {
 	case err != nil || n > 0 && k.call == nil:
 		k.reset()
 		k.connClosed(err)
 	case n > 0:
 		k.consume(n)
-		c := k.call
-		if k.call = nil; a.Close {
+		callbackCall := k.call
+		if k.call = nil; response.Close {
 			k.close()
-			p.drop(k)
+			callbackPool.drop(k)
 		} else {
-			k.timer = p.driver.after(callbackIdleTimeout, func() {
+			k.timer = callbackPool.driver.after(callbackIdleTimeout, func() {
 				k.close()
-				p.drop(k)
+				callbackPool.drop(k)
 			})
-			p.idle = append(p.idle, k)
+			callbackPool.idle = append(callbackPool.idle, k)
 		}
-		p.callEnded(c, a.StatusCode)
-		p.proceed()
+		callbackPool.callEnded(callbackCall, response.StatusCode)
+		callbackPool.proceed()
 	}
 }
 
--- a/internal/testbed/process/clients.go
+++ b/internal/testbed/process/clients.go
@@ -24,18 +24,18 @@
 }
 
 // sendRequest carries a client's query over its connection, which begins with the first.
-func (d *driver) sendRequest(in *simapi.Input) {
-	c := d.clients[in.Conn]
+func (d *driver) sendRequest(input *simapi.Input) {
+	c := d.clients[input.Conn]
 	if c == nil {
-		c = &client{driver: d, id: in.Conn, scheduler: in.Scheduler, target: d.addresses.scheduler(in.Scheduler)}
-		d.clients[in.Conn] = c
-		if err := d.dial(&c.socketConn, d.addresses.client(uint64(in.Conn)), c.target, c); err != nil {
+		c = &client{driver: d, id: input.Conn, scheduler: input.Scheduler, target: d.addresses.scheduler(input.Scheduler)}
+		d.clients[input.Conn] = c
+		if err := d.dial(&c.socketConn, d.addresses.client(uint64(input.Conn)), c.target, c); err != nil {
 			c.connFailed(err)
 			return
 		}
 	}
-	c.request, c.resent = in.Request, false
-	d.requestForms.add(in.Request, d.now)
+	c.request, c.resent = input.Request, false
+	d.requestForms.add(input.Request, d.now)
 	c.sendRequest()
 }
 
@@ -132,36 +132,36 @@
 // ---- The query as it is written ----
 
 // appendRequest writes a query as the protocol shows it.
-func (d *driver) appendRequest(b []byte, to netip.AddrPort, a *simapi.ClientRequest) []byte {
-	class, tenant := d.spec.Classes[a.Class].Name, ""
-	if a.Tenant < len(d.spec.Tenants) {
-		tenant = d.spec.Tenants[a.Tenant].Name
+func (d *driver) appendRequest(b []byte, to netip.AddrPort, clientRequest *simapi.ClientRequest) []byte {
+	class, tenant := d.spec.Classes[clientRequest.Class].Name, ""
+	if clientRequest.Tenant < len(d.spec.Tenants) {
+		tenant = d.spec.Tenants[clientRequest.Tenant].Name
 	}
 	b = append(append(b, "POST /"...), class...)
-	b = append(append(b, '/'), requestSubject(a)...)
+	b = append(append(b, '/'), requestSubject(clientRequest)...)
 	b = append(b, " HTTP/1.1\r\n"...)
 	b = http1.AppendField(b, "Host", to.String())
-	b = http1.AppendField(b, "X-Call-Id", a.RequestID)
+	b = http1.AppendField(b, "X-Call-Id", clientRequest.RequestID)
 	b = http1.AppendField(b, "X-Call-Class", class)
 	b = http1.AppendField(b, "X-Caller", tenant)
 	b = append(b, "X-Budget-Ms: "...)
-	b = strconv.AppendInt(b, a.Budget.Milliseconds(), 10)
+	b = strconv.AppendInt(b, clientRequest.Budget.Milliseconds(), 10)
 	b = append(b, "\r\n"...)
-	b = http1.AppendField(b, "Idempotency-Key", a.IdempotencyKey)
-	if a.Retry {
+	b = http1.AppendField(b, "Idempotency-Key", clientRequest.IdempotencyKey)
+	if clientRequest.Retry {
 		b = http1.AppendField(b, "X-Again", "1")
 	}
-	if a.CostHint > 0 {
+	if clientRequest.CostHint > 0 {
 		b = append(b, "X-Call-Cost: "...)
-		b = strconv.AppendInt(b, max(1, a.CostHint.Microseconds()), 10)
+		b = strconv.AppendInt(b, max(1, clientRequest.CostHint.Microseconds()), 10)
 		b = append(b, "\r\n"...)
 	}
 	b = append(b, "X-Call-Info: slots="...)
-	b = strconv.AppendFloat(b, a.Slots, 'f', -1, 64)
+	b = strconv.AppendFloat(b, clientRequest.Slots, 'f', -1, 64)
 	b = append(b, "\r\nContent-Length: "...)
-	b = strconv.AppendInt(b, int64(a.BodyLength), 10)
+	b = strconv.AppendInt(b, int64(clientRequest.BodyLength), 10)
 	b = append(b, "\r\n\r\n"...)
-	return appendBody(b, a.RequestID, a.BodyLength)
+	return appendBody(b, clientRequest.RequestID, clientRequest.BodyLength)
 }
 
 // requestSubject is the last part of a query's path: what it is about, or else its id.
--- a/internal/testbed/process/discovery.go
+++ b/internal/testbed/process/discovery.go
@@ -83,7 +83,7 @@
 		w.consume(len(w.received))
 		return
 	}
-	q, _, n, err := w.driver.reader.request(w.received)
+	request, _, n, err := w.driver.reader.request(w.received)
 	if n == 0 && err == nil {
 		return
 	}
@@ -94,8 +94,8 @@
 		return
 	}
 	w.consume(len(w.received))
-	at, err := url.ParseRequestURI(q.RequestURI)
-	if err != nil || at.Path != "/discovery/hosts" || q.Method != http.MethodGet {
+	at, err := url.ParseRequestURI(request.RequestURI)
+	if err != nil || at.Path != "/discovery/hosts" || request.Method != http.MethodGet {
 		w.reject(404)
 		return
 	}
@@ -158,8 +158,8 @@
 
 // sendList hands on news of the fleet.
 func (d *driver) sendList(in *simapi.Input) {
-	w := d.watches[in.Scheduler]
-	if w == nil {
+	watch := d.watches[in.Scheduler]
+	if watch == nil {
 		return // the scheduler has left meanwhile
 	}
 	text, err := jsoniter.ConfigDefault.Marshal(d.localEndpoints(in.Scheduler, *in.List))
@@ -167,17 +167,17 @@
 		d.fail(err)
 		return
 	}
-	if w.wantsSnapshot {
+	if watch.wantsSnapshot {
 		d.writeBuffer = http1.AppendResponse(d.writeBuffer[:0], http1.StatusOK, "Content-Type: application/json\r\n", text, false)
-		w.write(d.writeBuffer)
-		w.closeWhenFlushed()
+		watch.write(d.writeBuffer)
+		watch.closeWhenFlushed()
 		return
 	}
-	if !w.responding {
-		w.responding = true
-		w.write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"))
+	if !watch.responding {
+		watch.responding = true
+		watch.write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"))
 	}
-	w.writeLine(text)
+	watch.writeLine(text)
 }
 
 // sendHeartbeat tells that there is no news.
--- a/internal/testbed/process/http.go
+++ b/internal/testbed/process/http.go
@@ -51,28 +51,28 @@
 // response reads one answer to a POST from the start of b; interim ones are passed over. ended tells that nothing more
 // will come: some answers end only with their connection.
 func (r *reader) response(b []byte, ended bool) (a *http.Response, body []byte, n int, err error) {
-	for at := 0; ; {
-		head, err := headerLength(b[at:])
+	for offset := 0; ; {
+		head, err := headerLength(b[offset:])
 		if head == 0 || err != nil {
 			return nil, nil, 0, err
 		}
-		r.load(b[at:])
-		a, err := http.ReadResponse(r.buf, nil)
+		r.load(b[offset:])
+		response, err := http.ReadResponse(r.buf, nil)
 		if err != nil {
 			return nil, nil, 0, err
 		}
-		if a.StatusCode < 200 {
-			at += head
+		if response.StatusCode < 200 {
+			offset += head
 			continue
 		}
-		if a.ContentLength < 0 && a.TransferEncoding == nil && !ended {
+		if response.ContentLength < 0 && response.TransferEncoding == nil && !ended {
 			return nil, nil, 0, nil
 		}
-		body, n, err := r.body(b[at:], head, a.ContentLength, a.Body, ended)
+		body, n, err := r.body(b[offset:], head, response.ContentLength, response.Body, ended)
 		if n > 0 {
-			n += at
+			n += offset
 		}
-		return a, body, n, err
+		return response, body, n, err
 	}
 }
 
--- a/internal/testbed/process/load.go
+++ b/internal/testbed/process/load.go
@@ -60,24 +60,24 @@
 var errLoad = errors.New("a load needs a target, a rate and a length")
 
 // Load puts a load on an address. It blocks for its length; its threads do nothing else.
-func Load(ctx context.Context, o LoadOptions) (LoadResult, error) {
-	to, err := netip.ParseAddrPort(o.Target)
+func Load(ctx context.Context, loadOptions LoadOptions) (LoadResult, error) {
+	address, err := netip.ParseAddrPort(loadOptions.Target)
 	if err != nil {
 		return LoadResult{}, fmt.Errorf("target: %w", err)
 	}
-	if !to.Addr().IsLoopback() || !to.Addr().Is4() || o.Rate <= 0 || o.Length <= 0 {
+	if !address.Addr().IsLoopback() || !address.Addr().Is4() || loadOptions.Rate <= 0 || loadOptions.Length <= 0 {
 		return LoadResult{}, errLoad
 	}
-	setDefault(&o.Conns, 256)
-	setDefault(&o.Cores, 2)
-	setDefault(&o.Grace, time.Second)
-	if o.Request == nil {
-		up := append(http1.AppendRequestStart(nil, http.MethodGet, "/up", o.Target), "\r\n"...)
-		o.Request = func(int, uint64) []byte { return up }
+	setDefault(&loadOptions.Conns, 256)
+	setDefault(&loadOptions.Cores, 2)
+	setDefault(&loadOptions.Grace, time.Second)
+	if loadOptions.Request == nil {
+		up := append(http1.AppendRequestStart(nil, http.MethodGet, "/up", loadOptions.Target), "\r\n"...)
+		loadOptions.Request = func(int, uint64) []byte { return up }
 	}
-	threads := make([]*loadThread, o.Cores)
+	threads := make([]*loadThread, loadOptions.Cores)
 	for i := range threads {
-		if threads[i], err = newLoadThread(&o, to, i); err != nil {
+		if threads[i], err = newLoadThread(&loadOptions, address, i); err != nil {
 			for _, t := range threads[:i] {
 				t.close()
 			}
@@ -92,14 +92,14 @@
 	}
 	all.Wait()
 	r := LoadResult{
-		Status: map[int]uint64{}, Length: o.Length, Latency: newLatenessMeter().spans,
+		Status: map[int]uint64{}, Length: loadOptions.Length, Latency: newLatenessMeter().spans,
 		Lateness: newLatenessMeter().spans,
 	}
 	for _, t := range threads {
 		err = errors.Join(err, t.failure)
 		r.add(&t.result)
 	}
-	r.Rate = float64(r.Answered) / o.Length.Seconds()
+	r.Rate = float64(r.Answered) / loadOptions.Length.Seconds()
 	return r, err
 }
 
@@ -148,21 +148,21 @@
 	busy   bool
 }
 
-func newLoadThread(o *LoadOptions, to netip.AddrPort, n int) (*loadThread, error) {
-	p, err := newPoller()
+func newLoadThread(o *LoadOptions, address netip.AddrPort, n int) (*loadThread, error) {
+	poller, err := newPoller()
 	if err != nil {
 		return nil, err
 	}
 	t := &loadThread{
-		poller: p, options: o, target: to, number: n, rng: rand.New(rand.NewPCG(o.Seed, uint64(n))), reader: newReader(),
+		poller: poller, options: o, target: address, number: n, rng: rand.New(rand.NewPCG(o.Seed, uint64(n))), reader: newReader(),
 		meanGap: float64(time.Second) * float64(o.Cores) / o.Rate,
 	}
 	t.result = LoadResult{Status: map[int]uint64{}, Latency: newLatenessMeter().spans, Lateness: newLatenessMeter().spans}
 	for range max(1, o.Conns/o.Cores) {
 		c := &loadConn{thread: t}
-		if err := p.dial(&c.socketConn, netip.AddrPort{}, to, c); err != nil {
+		if err := poller.dial(&c.socketConn, netip.AddrPort{}, address, c); err != nil {
 			t.close()
-			return nil, fmt.Errorf("connecting to %v: %w", to, err)
+			return nil, fmt.Errorf("connecting to %v: %w", address, err)
 		}
 		t.conns, t.idle = append(t.conns, c), append(t.idle, c)
 	}
@@ -373,37 +373,37 @@
 // StartResponder has one answer at an address of 127.0.0.0/8 (port 0: any) from so many threads, on these cores if
 // some are named.
 func StartResponder(at string, threads int, cores []int) (*Responder, error) {
-	to, err := netip.ParseAddrPort(at)
+	address, err := netip.ParseAddrPort(at)
 	if err != nil {
 		return nil, err
 	}
-	if !to.Addr().IsLoopback() || !to.Addr().Is4() {
-		return nil, fmt.Errorf("%v is not of 127.0.0.0/8", to)
+	if !address.Addr().IsLoopback() || !address.Addr().Is4() {
+		return nil, fmt.Errorf("%v is not of 127.0.0.0/8", address)
 	}
-	r := &Responder{}
+	responder := &Responder{}
 	for i := range threads {
 		t := &responderThread{conns: map[*responderConn]struct{}{}}
 		if t.poller, err = newPoller(); err != nil {
 			break
 		}
-		r.threads = append(r.threads, t)
-		if t.listener, err = t.listenShared(to, t.accept, func(err error) { t.failure = err }); err != nil {
+		responder.threads = append(responder.threads, t)
+		if t.listener, err = t.listenShared(address, t.accept, func(err error) { t.failure = err }); err != nil {
 			break
 		}
-		to = t.listener.address
+		address = t.listener.address
 		if err = t.listener.setMode(simapi.AcceptAll); err != nil {
 			break
 		}
-		r.running.Go(func() {
+		responder.running.Go(func() {
 			if t.failure = pin(cores, i); t.failure == nil {
-				r.run(t)
+				responder.run(t)
 			}
 		})
 	}
-	if r.Addr = to.String(); err != nil {
-		return nil, errors.Join(err, r.Close())
+	if responder.Addr = address.String(); err != nil {
+		return nil, errors.Join(err, responder.Close())
 	}
-	return r, nil
+	return responder, nil
 }
 
 // Close ends it, and tells what went wrong in it.
--- a/internal/testbed/process/misbehaving.go
+++ b/internal/testbed/process/misbehaving.go
@@ -81,20 +81,20 @@
 
 // connect opens one of its connections and writes to it.
 func (o *misbehavingClient) connect(b []byte) *misbehavingConn {
-	k := &misbehavingConn{client: o}
+	misbehavingConn := &misbehavingConn{client: o}
 	d := o.driver
 	from := d.addresses.client(uint64(o.id) + uint64(len(o.conns)))
-	if err := d.dial(&k.socketConn, from, d.addresses.scheduler(o.scheduler), k); err != nil {
+	if err := d.dial(&misbehavingConn.socketConn, from, d.addresses.scheduler(o.scheduler), misbehavingConn); err != nil {
 		d.failIfLocal(err)
-		k.closed = true
-		return k
+		misbehavingConn.closed = true
+		return misbehavingConn
 	}
-	o.conns = append(o.conns, k)
+	o.conns = append(o.conns, misbehavingConn)
 	o.open++
 	if len(b) > 0 {
-		k.write(b)
+		misbehavingConn.write(b)
 	}
-	return k
+	return misbehavingConn
 }
 
 // close is its own going away: nobody is told.
@@ -121,9 +121,9 @@
 }
 
 func (k *misbehavingConn) dataReceived(int) {
-	o := k.client
+	misbehavingClient := k.client
 	for len(k.received) > 0 && !k.closed {
-		a, _, n, err := o.driver.reader.response(k.received, false)
+		a, _, n, err := misbehavingClient.driver.reader.response(k.received, false)
 		if err != nil {
 			k.reset()
 			k.connClosed(err)
@@ -133,7 +133,7 @@
 			return
 		}
 		k.consume(n)
-		o.responseReceived(k, a.StatusCode)
+		misbehavingClient.responseReceived(k, a.StatusCode)
 	}
 }
 
@@ -153,18 +153,18 @@
 }
 
 func (k *misbehavingConn) connClosed(error) {
-	o := k.client
-	o.open--
-	o.driver.stop(k.slowTimer)
+	misbehavingClient := k.client
+	misbehavingClient.open--
+	misbehavingClient.driver.stop(k.slowTimer)
 	switch {
-	case o.ended:
-	case o.kind == "insist" && k.connected && o.repeats < maxInsists && o.driver.now < o.insistUntil:
-		o.repeats++
-		o.connect(o.insistRequest)
+	case misbehavingClient.ended:
+	case misbehavingClient.kind == "insist" && k.connected && misbehavingClient.repeats < maxInsists && misbehavingClient.driver.now < misbehavingClient.insistUntil:
+		misbehavingClient.repeats++
+		misbehavingClient.connect(misbehavingClient.insistRequest)
 		fallthrough
 	default:
-		if o.open == 0 {
-			o.end()
+		if misbehavingClient.open == 0 {
+			misbehavingClient.end()
 		}
 	}
 }
@@ -212,18 +212,18 @@
 	spec := o.driver.spec
 	c := &spec.Classes[o.rng.IntN(len(spec.Classes))]
 	name := misbehavingPrefix + strconv.FormatUint(uint64(o.id), 36) + "-" + strconv.Itoa(n)
-	q := misbehavingRequest{
+	misbehavingRequest := misbehavingRequest{
 		class: c.Name, path: "/" + c.Name + "/" + name, id: name,
 		budget: strconv.FormatInt(c.Deadline.Std().Milliseconds(), 10), body: strings.Repeat("x", 1+o.rng.IntN(200)),
 	}
 	if len(spec.Tenants) > 0 {
-		q.caller = spec.Tenants[o.rng.IntN(len(spec.Tenants))].Name
+		misbehavingRequest.caller = spec.Tenants[o.rng.IntN(len(spec.Tenants))].Name
 	}
 	if c.Idempotency == "keyed" {
-		q.key = name
+		misbehavingRequest.key = name
 	}
-	q.length = strconv.Itoa(len(q.body))
-	return q
+	misbehavingRequest.length = strconv.Itoa(len(misbehavingRequest.body))
+	return misbehavingRequest
 }
 
 func (q misbehavingRequest) bytes(host string) []byte {
@@ -246,7 +246,7 @@
 // start does what its kind does. Each has an answer or a close coming, but for those that leave by themselves.
 func (o *misbehavingClient) start(do *simapi.Misbehavior) {
 	host := o.driver.addresses.scheduler(o.scheduler).String()
-	q := o.newRequest(0)
+	misbehavingRequest := o.newRequest(0)
 	switch do.Kind {
 	case "garbage":
 		b := make([]byte, 1+o.rng.IntN(8<<10))
@@ -256,24 +256,24 @@
 		o.connect(append(b, "\r\n\r\n"...))
 	case "endless_head":
 		line := []byte(strings.Repeat("X-More: "+strings.Repeat("m", 100)+"\r\n", 40))
-		o.connect(http1.AppendRequestStart(nil, "POST", q.path, host)).feed = func() []byte { return line }
+		o.connect(http1.AppendRequestStart(nil, "POST", misbehavingRequest.path, host)).feed = func() []byte { return line }
 	case "wrong_length":
-		off := 1 + o.rng.IntN(len(q.body)) // too long, and never whole; or too short, and the rest is no request
+		off := 1 + o.rng.IntN(len(misbehavingRequest.body)) // too long, and never whole; or too short, and the rest is no request
 		if do.Number%2 == 0 {
 			off = -off
 		}
-		q.length = strconv.Itoa(len(q.body) + off)
-		o.connect(q.bytes(host))
+		misbehavingRequest.length = strconv.Itoa(len(misbehavingRequest.body) + off)
+		o.connect(misbehavingRequest.bytes(host))
 	case "negative_length":
-		q.length = strconv.Itoa(-1 - o.rng.IntN(1000))
-		o.connect(q.bytes(host))
+		misbehavingRequest.length = strconv.Itoa(-1 - o.rng.IntN(1000))
+		o.connect(misbehavingRequest.bytes(host))
 	case "huge_length":
-		q.length = "9" + strings.Repeat("0", 8+o.rng.IntN(20))
-		o.connect(q.bytes(host))
+		misbehavingRequest.length = "9" + strings.Repeat("0", 8+o.rng.IntN(20))
+		o.connect(misbehavingRequest.bytes(host))
 	case "huge_body":
-		q.length, q.body = strconv.Itoa(hugeBody), ""
+		misbehavingRequest.length, misbehavingRequest.body = strconv.Itoa(hugeBody), ""
 		part, left := make([]byte, 64<<10), hugeBody
-		o.connect(q.bytes(host)).feed = func() []byte {
+		o.connect(misbehavingRequest.bytes(host)).feed = func() []byte {
 			n := min(left, len(part))
 			left -= n
 			if n == 0 {
@@ -282,22 +282,22 @@
 			return part[:n]
 		}
 	case "unknown_class":
-		q.class = "no-such-class"
-		q.path = "/" + q.class + "/" + q.id
-		o.connect(q.bytes(host))
+		misbehavingRequest.class = "no-such-class"
+		misbehavingRequest.path = "/" + misbehavingRequest.class + "/" + misbehavingRequest.id
+		o.connect(misbehavingRequest.bytes(host))
 	case "bad_deadline":
-		q.budget = []string{"soon", "-1", "1e3", "12ms", "99999999999999999999", "0x10"}[o.rng.IntN(6)]
-		o.connect(q.bytes(host))
+		misbehavingRequest.budget = []string{"soon", "-1", "1e3", "12ms", "99999999999999999999", "0x10"}[o.rng.IntN(6)]
+		o.connect(misbehavingRequest.bytes(host))
 	case "no_id":
-		q.id = ""
-		o.connect(q.bytes(host))
+		misbehavingRequest.id = ""
+		o.connect(misbehavingRequest.bytes(host))
 	case "stolen_id":
 		if do.RequestID != "" {
-			q.id = do.RequestID
+			misbehavingRequest.id = do.RequestID
 		}
-		o.connect(q.bytes(host))
+		o.connect(misbehavingRequest.bytes(host))
 	case "half_then_close":
-		b := q.bytes(host)
+		b := misbehavingRequest.bytes(host)
 		k := o.connect(b[:1+o.rng.IntN(len(b)-1)])
 		k.closeWhenFlushed = true
 	case "flood":
@@ -307,7 +307,7 @@
 		}
 		o.connect(b)
 	case "insist":
-		o.insistRequest = q.bytes(host)
+		o.insistRequest = misbehavingRequest.bytes(host)
 		o.connect(o.insistRequest)
 	case "silent":
 		o.connect(nil)
@@ -315,12 +315,12 @@
 		hidden := o.newRequest(1)
 		hidden.id = hiddenPrefix + hidden.id
 		hidden.path = "/" + hidden.class + "/" + hidden.id
-		q.extraFields = "Transfer-Encoding: chunked\r\n"
-		q.body = "0\r\n\r\n" + string(hidden.bytes(host)) // by chunks it ends before the hidden one, by length after it
-		q.length = strconv.Itoa(len(q.body))
-		o.connect(q.bytes(host))
+		misbehavingRequest.extraFields = "Transfer-Encoding: chunked\r\n"
+		misbehavingRequest.body = "0\r\n\r\n" + string(hidden.bytes(host)) // by chunks it ends before the hidden one, by length after it
+		misbehavingRequest.length = strconv.Itoa(len(misbehavingRequest.body))
+		o.connect(misbehavingRequest.bytes(host))
 	case "slow_head":
-		b := q.bytes(host)
+		b := misbehavingRequest.bytes(host)
 		k := o.connect(b[:1])
 		at := 1
 		k.repeatSlowly(func() {
@@ -330,10 +330,10 @@
 			}
 		})
 	case "slow_reader":
-		q.class = "no-such-class"
-		q.path = "/" + q.class + "/" + q.id
+		misbehavingRequest.class = "no-such-class"
+		misbehavingRequest.path = "/" + misbehavingRequest.class + "/" + misbehavingRequest.id
 		var b []byte
-		for one := q.bytes(host); len(b) < 1<<20; {
+		for one := misbehavingRequest.bytes(host); len(b) < 1<<20; {
 			b = append(b, one...)
 		}
 		k := o.connect(b)
--- a/internal/testbed/process/poller.go
+++ b/internal/testbed/process/poller.go
@@ -27,24 +27,24 @@
 type owner interface{ ready(events uint32) }
 
 func newPoller() (*poller, error) {
-	p := &poller{epoll: -1, timer: -1, wakeup: -1, startedAt: time.Now()}
+	poller := &poller{epoll: -1, timer: -1, wakeup: -1, startedAt: time.Now()}
 	var err error
-	if p.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
+	if poller.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
 	// A timer of its own: epoll's is in milliseconds.
-	if p.timer, err = unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC); err == nil {
-		if p.wakeup, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err == nil {
-			if err = p.add(p.timer, unix.EPOLLIN, timerOwner{}); err == nil {
-				err = p.add(p.wakeup, unix.EPOLLIN, wakeupOwner{p})
+	if poller.timer, err = unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC); err == nil {
+		if poller.wakeup, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err == nil {
+			if err = poller.add(poller.timer, unix.EPOLLIN, timerOwner{}); err == nil {
+				err = poller.add(poller.wakeup, unix.EPOLLIN, wakeupOwner{poller})
 			}
 		}
 	}
 	if err != nil {
-		p.close()
+		poller.close()
 		return nil, fmt.Errorf("timer and bell: %w", err)
 	}
-	return p, nil
+	return poller, nil
 }
 
 // close gives up the poller's own descriptors.
@@ -120,13 +120,13 @@
 // wait waits until something is ready or the instant has come (not timed: only until something is ready), and lets the
 // owners of what is ready act.
 func (p *poller) wait(until time.Duration, timed bool) error {
-	ms := -1
+	timeout := -1
 	if !timed {
 		until = 0
 	}
 	switch left := until - p.clock(); {
 	case timed && left <= 0:
-		ms = 0
+		timeout = 0
 	case until != p.armed:
 		at := unix.ItimerSpec{Value: unix.NsecToTimespec(max(0, int64(left)))}
 		if err := unix.TimerfdSettime(p.timer, 0, &at, nil); err != nil {
@@ -134,7 +134,7 @@
 		}
 		p.armed = until
 	}
-	n, err := unix.EpollWait(p.epoll, p.events[:], ms)
+	n, err := unix.EpollWait(p.epoll, p.events[:], timeout)
 	if err != nil && err != unix.EINTR {
 		return fmt.Errorf("epoll: %w", err)
 	}
--- a/internal/testbed/process/processes.go
+++ b/internal/testbed/process/processes.go
@@ -57,11 +57,11 @@
 }
 
 // start starts a command on a core (below 0: any).
-func (s *starter) start(c *exec.Cmd, core int) error {
+func (s *starter) start(command *exec.Cmd, core int) error {
 	done := make(chan error)
 	s.commands <- func() {
 		if core < 0 {
-			done <- c.Start()
+			done <- command.Start()
 			return
 		}
 		// Set for this thread it is inherited; set for the process once that runs, some of its threads would miss it.
@@ -75,7 +75,7 @@
 			done <- fmt.Errorf("core %d: %w", core, err)
 			return
 		}
-		err := c.Start()
+		err := command.Start()
 		done <- errors.Join(err, unix.SchedSetaffinity(0, &all))
 	}
 	return <-done
@@ -110,18 +110,18 @@
 }
 
 func newScheduler(d *driver, n int) *scheduler {
-	s := &scheduler{
+	scheduler := &scheduler{
 		driver: d, number: n, name: "s" + strconv.Itoa(n+1), listen: d.addresses.scheduler(n),
 		commands: make(chan func(), maxCommands), callbackPools: map[int]*callbackPool{},
 	}
-	s.configPath = filepath.Join(d.options.Dir, s.name+".json")
-	s.log = &logFile{path: filepath.Join(d.options.Dir, s.name+".log")}
-	s.idle.Go(func() {
-		for do := range s.commands {
+	scheduler.configPath = filepath.Join(d.options.Dir, scheduler.name+".json")
+	scheduler.log = &logFile{path: filepath.Join(d.options.Dir, scheduler.name+".log")}
+	scheduler.idle.Go(func() {
+		for do := range scheduler.commands {
 			do()
 		}
 	})
-	return s
+	return scheduler
 }
 
 func (s *scheduler) enqueue(do func()) {
@@ -185,24 +185,24 @@
 // command is that of another process.
 func (s *scheduler) command() *exec.Cmd {
 	args := s.args()
-	c := exec.Command(args[0], args[1:]...)
-	c.Env = append([]string{
+	command := exec.Command(args[0], args[1:]...)
+	command.Env = append([]string{
 		"PATH=" + os.Getenv("PATH"), "TMPDIR=" + s.driver.options.Dir, "PROXY_NAME=" + s.name,
 		"PROXY_LISTEN=" + s.listen.String(), "PROXY_DISCOVERY=" + s.driver.addresses.discovery(s.startOptions.Discovery, s.number).String(),
 		"PROXY_CONFIG=" + s.configPath,
 	}, s.driver.options.Env...)
 	if s.replacesProcesses() {
 		s.management = s.driver.addresses.management(s.number, s.started)
-		c.Env = append(c.Env, "TMPDIR="+s.tempDir(), "PROXY_MANAGEMENT="+s.management.String())
+		command.Env = append(command.Env, "TMPDIR="+s.tempDir(), "PROXY_MANAGEMENT="+s.management.String())
 	}
-	c.Stdout, c.Stderr, c.Dir = s.log, s.log, s.driver.options.Dir
-	c.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
-	c.WaitDelay = time.Second
-	return c
+	command.Stdout, command.Stderr, command.Dir = s.log, s.log, s.driver.options.Dir
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
+	command.WaitDelay = time.Second
+	return command
 }
 
 // startProcess starts a process. It is an order.
-func (s *scheduler) startProcess(c *exec.Cmd, life int) error {
+func (s *scheduler) startProcess(command *exec.Cmd, life int) error {
 	core := -1
 	if len(s.driver.options.Cores) > 0 {
 		core = s.driver.options.Cores[s.number%len(s.driver.options.Cores)]
@@ -212,13 +212,13 @@
 			return err
 		}
 	}
-	if err := s.driver.starter.start(c, core); err != nil {
+	if err := s.driver.starter.start(command, core); err != nil {
 		return err
 	}
 	reaped := make(chan struct{})
-	s.process, s.reaped = c, reaped
-	s.pid.Store(int32(c.Process.Pid))
-	s.idle.Go(func() { s.reap(c, reaped, life) })
+	s.process, s.reaped = command, reaped
+	s.pid.Store(int32(command.Process.Pid))
+	s.idle.Go(func() { s.reap(command, reaped, life) })
 	return nil
 }
 
@@ -406,26 +406,26 @@
 }
 
 func (u *readinessPoll) poll() {
-	d := u.scheduler.driver
+	driver := u.scheduler.driver
 	if u.closed || u.poller == nil {
-		if err := d.dial(&u.socketConn, d.addresses.client(0), u.scheduler.listen, u); err != nil {
-			if u.closed = true; !d.failIfLocal(err) {
+		if err := driver.dial(&u.socketConn, driver.addresses.client(0), u.scheduler.listen, u); err != nil {
+			if u.closed = true; !driver.failIfLocal(err) {
 				u.pollAfter(readyPollFirst)
 			}
 			return
 		}
 	}
 	u.waiting = true
-	u.timer = d.after(readyPollTimeout, func() {
+	u.timer = driver.after(readyPollTimeout, func() {
 		u.reset()
 		u.pollAfter(readyPollFirst)
 	})
-	d.writeBuffer = append(http1.AppendRequestStart(d.writeBuffer[:0], "GET", "/up", u.scheduler.listen.String()), "\r\n"...)
-	u.write(d.writeBuffer)
+	driver.writeBuffer = append(http1.AppendRequestStart(driver.writeBuffer[:0], "GET", "/up", u.scheduler.listen.String()), "\r\n"...)
+	u.write(driver.writeBuffer)
 }
 
 func (u *readinessPoll) dataReceived(int) {
-	a, _, n, err := u.scheduler.driver.reader.response(u.received, false)
+	response, _, n, err := u.scheduler.driver.reader.response(u.received, false)
 	if err != nil || n > 0 && !u.waiting {
 		u.reset()
 		u.connClosed(err)
@@ -435,10 +435,10 @@
 		return
 	}
 	u.consume(n)
-	if a.Close {
+	if response.Close {
 		u.reset()
 	}
-	if u.responseReceived(a.StatusCode == 200); !u.stopped {
+	if u.responseReceived(response.StatusCode == 200); !u.stopped {
 		u.pollAfter(readyPollInterval)
 	}
 }
@@ -502,9 +502,9 @@
 }
 
 // localEndpoints gives a list as a scheduler is told it: with the addresses at which it reaches the worker nodes.
-func (d *driver) localEndpoints(sched int, g requests.EndpointList) requests.EndpointList {
-	hosts := make([]requests.Endpoint, len(g.Endpoints))
-	for i, h := range g.Endpoints {
+func (d *driver) localEndpoints(sched int, endpointList requests.EndpointList) requests.EndpointList {
+	hosts := make([]requests.Endpoint, len(endpointList.Endpoints))
+	for i, h := range endpointList.Endpoints {
 		if n, machine := d.workerOf(&h); n != nil {
 			if h.Addr = n.addr(machine, sched).String(); machine == len(n.machines)-1 {
 				n.id = h.ID
@@ -512,6 +512,6 @@
 		}
 		hosts[i] = h
 	}
-	g.Endpoints = hosts
-	return g
+	endpointList.Endpoints = hosts
+	return endpointList
 }
--- a/internal/testbed/process/run.go
+++ b/internal/testbed/process/run.go
@@ -75,7 +75,7 @@
 }
 
 // runDriver plays a world. begins is told of the instant from which its time counts.
-func runDriver(ctx context.Context, spec *scenario.Scenario, opt Options, w environmentModel, begins func(time.Time)) (
+func runDriver(ctx context.Context, spec *scenario.Scenario, opt Options, environmentModel environmentModel, begins func(time.Time)) (
 	_ *Outcome, err error,
 ) {
 	temporary := opt.Dir == ""
@@ -99,29 +99,29 @@
 	if err = os.WriteFile(filepath.Join(opt.Dir, operationsFile), []byte(spec.Schedulers.OperationsFile), 0o600); err != nil {
 		return nil, err
 	}
-	d, err := newDriver(spec, opt)
+	driver, err := newDriver(spec, opt)
 	if err != nil {
 		return nil, err
 	}
 	var looks sync.WaitGroup
-	looks.Go(d.sampleProcesses)
+	looks.Go(driver.sampleProcesses)
 	if opt.OnStart != nil {
-		opt.OnStart(d.runAddresses())
+		opt.OnStart(driver.runAddresses())
 	}
-	d.environment, d.onStart, d.startedAt = w, begins, time.Now()
-	err = d.run(ctx, spec.Length.Std()+settleTime(spec))
-	o := d.outcome()
-	d.close()
+	driver.environment, driver.onStart, driver.startedAt = environmentModel, begins, time.Now()
+	err = driver.run(ctx, spec.Length.Std()+settleTime(spec))
+	outcome := driver.outcome()
+	driver.close()
 	looks.Wait()
 	if temporary {
-		for i := range o.Schedulers {
-			o.Schedulers[i].LogPath = ""
+		for i := range outcome.Schedulers {
+			outcome.Schedulers[i].LogPath = ""
 		}
 	}
 	if err != nil {
 		return nil, err
 	}
-	return o, nil
+	return outcome, nil
 }
 
 // settleTime is for how long jobs may go on that fell due in the play's length.
--- a/internal/testbed/process/socket.go
+++ b/internal/testbed/process/socket.go
@@ -61,30 +61,30 @@
 
 // dial begins a connection. How it fares is told to peer, but for what fails at once. from may be invalid, or an
 // address of this machine with port 0.
-func (p *poller) dial(s *socketConn, from, to netip.AddrPort, who peer) error {
-	fd, err := newSocket()
+func (p *poller) dial(s *socketConn, from, target netip.AddrPort, who peer) error {
+	descriptor, err := newSocket()
 	if err != nil {
 		return err
 	}
-	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+	_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	if from.IsValid() {
 		// The port is chosen on connecting: so each of many addresses has all ports for each far end.
-		_ = unix.SetsockoptInt(fd, unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)
-		if err := unix.Bind(fd, sockaddr(from)); err != nil {
-			_ = unix.Close(fd)
+		_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)
+		if err := unix.Bind(descriptor, sockaddr(from)); err != nil {
+			_ = unix.Close(descriptor)
 			return localError{fmt.Errorf("binding to %v: %w", from, err)}
 		}
 	}
-	if err := unix.Connect(fd, sockaddr(to)); err != nil && err != unix.EINPROGRESS {
-		_ = unix.Close(fd)
+	if err := unix.Connect(descriptor, sockaddr(target)); err != nil && err != unix.EINPROGRESS {
+		_ = unix.Close(descriptor)
 		if err == unix.EADDRNOTAVAIL || err == unix.EAGAIN {
-			return localError{fmt.Errorf("connecting to %v: no port left: %w", to, err)}
+			return localError{fmt.Errorf("connecting to %v: no port left: %w", target, err)}
 		}
 		return err
 	}
-	*s = socketConn{poller: p, fd: fd, peer: who, events: streamEvents | unix.EPOLLOUT}
-	if err := p.add(fd, s.events, s); err != nil {
-		_ = unix.Close(fd)
+	*s = socketConn{poller: p, fd: descriptor, peer: who, events: streamEvents | unix.EPOLLOUT}
+	if err := p.add(descriptor, s.events, s); err != nil {
+		_ = unix.Close(descriptor)
 		s.closed = true
 		return localError{err}
 	}
@@ -279,22 +279,22 @@
 	return p.bindListener(at, unix.SO_REUSEPORT, accept, fault)
 }
 
-func (p *poller) bindListener(at netip.AddrPort, how int, accept func(fd int), fault func(error)) (*listener, error) {
-	fd, err := newSocket()
+func (p *poller) bindListener(address netip.AddrPort, how int, accept func(fd int), fault func(error)) (*listener, error) {
+	descriptor, err := newSocket()
 	if err != nil {
 		return nil, err
 	}
-	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, how, 1)
-	if err := unix.Bind(fd, sockaddr(at)); err != nil {
-		_ = unix.Close(fd)
-		return nil, fmt.Errorf("binding to %v: %w", at, err)
+	_ = unix.SetsockoptInt(descriptor, unix.SOL_SOCKET, how, 1)
+	if err := unix.Bind(descriptor, sockaddr(address)); err != nil {
+		_ = unix.Close(descriptor)
+		return nil, fmt.Errorf("binding to %v: %w", address, err)
 	}
-	if sa, err := unix.Getsockname(fd); err == nil {
+	if sa, err := unix.Getsockname(descriptor); err == nil {
 		if in, ok := sa.(*unix.SockaddrInet4); ok {
-			at = netip.AddrPortFrom(at.Addr(), uint16(in.Port))
+			address = netip.AddrPortFrom(address.Addr(), uint16(in.Port))
 		}
 	}
-	return &listener{poller: p, fd: fd, address: at, mode: simapi.AcceptNone, accept: accept, onFailure: fault}, nil
+	return &listener{poller: p, fd: descriptor, address: address, mode: simapi.AcceptNone, accept: accept, onFailure: fault}, nil
 }
 
 // setMode changes how connections are accepted. Refuse: the socket keeps its address and does not listen. NeverUp: it
--- a/internal/testbed/process/workers.go
+++ b/internal/testbed/process/workers.go
@@ -197,33 +197,33 @@
 }
 
 // handleRequest tells the world of a request, or answers it where the protocol leaves nothing to say.
-func (k *workerConn) handleRequest(q *http.Request, body []byte) {
-	path, _, _ := strings.Cut(q.RequestURI, "?")
+func (k *workerConn) handleRequest(request *http.Request, body []byte) {
+	path, _, _ := strings.Cut(request.RequestURI, "?")
 	switch withdrawn, isJob := strings.CutPrefix(path, "/jobs/"); {
-	case q.Method == http.MethodGet && path == "/alive":
+	case request.Method == http.MethodGet && path == "/alive":
 		k.awaitingResponse = true
 		k.addOutput(simapi.Output{Kind: simapi.HealthCheckWritten, FirstByteAt: k.firstByteAt})
-	case q.Method == http.MethodGet && path == "/metrics/load":
+	case request.Method == http.MethodGet && path == "/metrics/load":
 		k.awaitingResponse = true
 		k.addOutput(simapi.Output{Kind: simapi.HealthCheckWritten, FirstByteAt: k.firstByteAt, WantsLoadReport: true})
-	case q.Method == http.MethodDelete && isJob && withdrawn != "":
+	case request.Method == http.MethodDelete && isJob && withdrawn != "":
 		k.awaitingResponse = true
 		k.addOutput(simapi.Output{Kind: simapi.CancellationReceived, FirstByteAt: k.firstByteAt, RequestID: withdrawn})
-	case q.Method == http.MethodPost:
-		k.handleAttempt(q, path, body)
+	case request.Method == http.MethodPost:
+		k.handleAttempt(request, path, body)
 	default:
 		k.writeResponse(404, "")
 	}
-	if k.closing = k.closing || q.Close; q.Close && !k.awaitingResponse {
+	if k.closing = k.closing || request.Close; request.Close && !k.awaitingResponse {
 		k.closeWhenFlushed(false)
 	}
 }
 
-func (k *workerConn) handleAttempt(q *http.Request, path string, body []byte) {
-	d := k.worker.driver
-	call, ok := singleValue(q.Header, "X-Call-Id")
-	key, ok2 := singleValue(q.Header, "Idempotency-Key")
-	budget, ok3 := singleValue(q.Header, "X-Budget-Ms")
+func (k *workerConn) handleAttempt(request *http.Request, path string, body []byte) {
+	driver := k.worker.driver
+	call, ok := singleValue(request.Header, "X-Call-Id")
+	key, ok2 := singleValue(request.Header, "Idempotency-Key")
+	budget, ok3 := singleValue(request.Header, "X-Budget-Ms")
 	ms, err := strconv.ParseUint(budget, 10, 40)
 	switch {
 	case call == "":
@@ -238,16 +238,16 @@
 		}
 		return
 	}
-	a := d.requestForms.find(call)
-	if a == nil && d.options.Guests && !isHiddenRequest(call) {
+	a := driver.requestForms.find(call)
+	if a == nil && driver.options.Guests && !isHiddenRequest(call) {
 		k.runGuest(call)
 		return
 	}
 	if a != nil {
 		// Nobody has sent the query in this form; under its own id it would pass for one that somebody has.
-		if what := d.describeAlteration(a, q, key, body); what != "" {
-			if len(d.alteredRequests) < maxAltered {
-				d.alteredRequests = append(d.alteredRequests, fmt.Sprintf("query %s reached w-%d from scheduler %d with another %s",
+		if what := driver.describeAlteration(a, request, key, body); what != "" {
+			if len(driver.alteredRequests) < maxAltered {
+				driver.alteredRequests = append(driver.alteredRequests, fmt.Sprintf("query %s reached w-%d from scheduler %d with another %s",
 					call, k.worker.number, k.scheduler, what))
 			}
 			call += "!" + what
@@ -264,19 +264,19 @@
 const maxAltered = 100
 
 // respond is the worker node's, by the world.
-func (k *workerConn) respond(in *simapi.Input) {
+func (k *workerConn) respond(input *simapi.Input) {
 	fields := ""
-	if in.Rejected {
+	if input.Rejected {
 		fields = "X-Rejected: 1\r\n"
 	}
-	if in.Bytes > 0 {
-		b := http1.AppendResponse(nil, in.Status, fields, nil, true)
+	if input.Bytes > 0 {
+		b := http1.AppendResponse(nil, input.Status, fields, nil, true)
 		k.awaitingResponse = false
-		k.write(b[:min(in.Bytes, len(b))])
+		k.write(b[:min(input.Bytes, len(b))])
 		k.closeWhenFlushed(true)
 		return
 	}
-	k.writeResponse(in.Status, fields)
+	k.writeResponse(input.Status, fields)
 	k.awaitingResponse = false
 	if k.closing {
 		k.closeWhenFlushed(false)
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -99,18 +99,18 @@
 }
 
 // formatFigure writes a headline's figure in its unit.
-func formatFigure(name string, x float64) string {
+func formatFigure(name string, value float64) string {
 	switch {
-	case isNotFinite(x):
+	case isNotFinite(value):
 		return noValue
 	case strings.HasSuffix(name, "_ms"):
-		return formatMillis(x)
+		return formatMillis(value)
 	case name == "recovered_within":
-		return formatSeconds(x)
+		return formatSeconds(value)
 	case slices.Contains([]string{"served", "refused", "failed", "unanswered", "lost", "waste"}, name):
-		return formatPercent(x)
+		return formatPercent(value)
 	}
-	return strconv.FormatFloat(x, 'f', 3, 64)
+	return strconv.FormatFloat(value, 'f', 3, 64)
 }
 
 // withSpread writes a mean and how far its interval reaches.
@@ -137,46 +137,46 @@
 }
 
 // ComparePage writes a comparison for a terminal.
-func ComparePage(w io.Writer, c *Comparison) error {
-	p := &textPage{colour: useColors(w)}
-	p.line(strong, "%s", c.Title)
-	wide := min(20, (pageWidth-18)/max(1, len(c.Sides)))
+func ComparePage(w io.Writer, comparison *Comparison) error {
+	textPage := &textPage{colour: useColors(w)}
+	textPage.line(strong, "%s", comparison.Title)
+	wide := min(20, (pageWidth-18)/max(1, len(comparison.Sides)))
 	line := fmt.Sprintf("%-18s", "")
-	for _, s := range c.Sides {
+	for _, s := range comparison.Sides {
 		line += fmt.Sprintf("%*s", wide, truncateLine(s.Name, max(wide-1, 1)))
 	}
-	p.line(faint, "%s", line)
-	all := make([]means, len(c.Sides))
-	for i, s := range c.Sides {
+	textPage.line(faint, "%s", line)
+	all := make([]means, len(comparison.Sides))
+	for i, s := range comparison.Sides {
 		all[i] = spreads(s.Results)
 	}
 	for _, h := range score.Headlines {
 		line := fmt.Sprintf("%-18s", h.Name)
-		for i := range c.Sides {
+		for i := range comparison.Sides {
 			text := withSpread(h.Name, all[i][h.Name])
 			if wide < 18 {
 				text, _, _ = strings.Cut(text, " ±")
 			}
 			line += fmt.Sprintf("%*s", wide, text)
 		}
-		p.line(plain, "%s", line)
+		textPage.line(plain, "%s", line)
 	}
 	line = fmt.Sprintf("%-18s", "rules broken")
-	for _, s := range c.Sides {
+	for _, s := range comparison.Sides {
 		line += fmt.Sprintf("%*d", wide, s.Broken)
 	}
-	p.line(plain, "%s", line)
-	for i, list := range c.Pairs() {
-		p.line(plain, "")
-		p.line(strong, "%s against %s", c.Sides[i+1].Name, c.Sides[0].Name)
+	textPage.line(plain, "%s", line)
+	for i, list := range comparison.Pairs() {
+		textPage.line(plain, "")
+		textPage.line(strong, "%s against %s", comparison.Sides[i+1].Name, comparison.Sides[0].Name)
 		for k := range list {
 			x := &list[k]
-			p.line(map[string]string{"good": good, "poor": poor}[c.class(x)], "  %-18s%s", x.Metric, x.Verdict)
+			textPage.line(map[string]string{"good": good, "poor": poor}[comparison.class(x)], "  %-18s%s", x.Metric, x.Verdict)
 		}
 	}
 	short, _, _ := strings.Cut(chanceNote, ";")
-	p.line(faint, "%s", short+".")
-	_, err := io.WriteString(w, p.text.String())
+	textPage.line(faint, "%s", short+".")
+	_, err := io.WriteString(w, textPage.text.String())
 	return err
 }
 
@@ -202,22 +202,22 @@
 // WriteCompare writes a comparison as one file of HTML: the sides' figures, their goodput over each other, and the
 // paired differences.
 func WriteCompare(w io.Writer, c *Comparison) error {
-	d := &document{Title: c.Title, Description: c.Description}
+	document := &document{Title: c.Title, Description: c.Description}
 	if c.Build != "" {
-		d.Summary = append(d.Summary, "Played with "+c.Build)
+		document.Summary = append(document.Summary, "Played with "+c.Build)
 	}
 	figures := table{Caption: "Means over the seeds, and how far the 95% interval of each reaches", Head: []string{""}}
 	t := &timeline{}
 	var lines, kept []lineSpec
 	all := make([]means, len(c.Sides))
 	broken, void, plays := []string{}, []string{}, []string{}
-	for i, s := range c.Sides {
-		figures.Head = append(figures.Head, s.Name)
-		all[i] = spreads(s.Results)
-		broken, void = append(broken, formatCount(s.Broken)), append(void, formatCount(s.Invalid))
-		plays = append(plays, formatCount(len(s.Results)))
+	for i, side := range c.Sides {
+		figures.Head = append(figures.Head, side.Name)
+		all[i] = spreads(side.Results)
+		broken, void = append(broken, formatCount(side.Broken)), append(void, formatCount(side.Invalid))
+		plays = append(plays, formatCount(len(side.Results)))
 		length := 0.0
-		for _, r := range s.Results {
+		for _, r := range side.Results {
 			length = max(length, r.Length)
 			if t.end = max(t.end, r.Length); len(t.faults) == 0 {
 				for _, f := range r.Faults {
@@ -226,15 +226,15 @@
 				}
 			}
 		}
-		asked := meanSeries(s.Results, func(s *score.Seconds) score.Series { return s.DueValue })
-		earned := meanSeries(s.Results, func(s *score.Seconds) score.Series { return s.DueValueEarned })
+		asked := meanSeries(side.Results, func(s *score.Seconds) score.Series { return s.DueValue })
+		earned := meanSeries(side.Results, func(s *score.Seconds) score.Series { return s.DueValueEarned })
 		if i == 0 {
 			lines = append(lines, lineSpec{name: "asked for", series: asked, area: true})
 		}
 		if len(lines) < 6 {
-			lines = append(lines, lineSpec{name: s.Name, series: meanSeries(s.Results,
+			lines = append(lines, lineSpec{name: side.Name, series: meanSeries(side.Results,
 				func(s *score.Seconds) score.Series { return s.GoodputValue })})
-			kept = append(kept, lineSpec{name: s.Name, class: fmt.Sprint("s", len(lines)), series: ratio(asked, earned, length)})
+			kept = append(kept, lineSpec{name: side.Name, class: fmt.Sprint("s", len(lines)), series: ratio(asked, earned, length)})
 		}
 	}
 	for _, h := range score.Headlines {
@@ -247,7 +247,7 @@
 	figures.row("rules broken", broken...)
 	figures.row("plays", plays...)
 	figures.row("plays that were void, left out", void...)
-	d.Sections = append(d.Sections, section{ID: "figures", Title: "Side by side", Tables: []table{figures}})
+	document.Sections = append(document.Sections, section{ID: "figures", Title: "Side by side", Tables: []table{figures}})
 	over := section{
 		ID: "seconds", Title: "Over time",
 		Text: []string{"Means over the seeds. Faults strike whom the seed draws; their bands are those of the first."},
@@ -263,7 +263,7 @@
 				yName: "mean of two seconds", height: 240, top: 1, text: formatPercent, lines: kept,
 			}),
 		}
-		d.Sections = append(d.Sections, over)
+		document.Sections = append(document.Sections, over)
 	}
 	for i, list := range c.Pairs() {
 		x := table{Head: []string{"", "difference", "95% interval", "spread (SD)", "p", "in words"}, TextColumns: true}
@@ -277,12 +277,12 @@
 			Tables: []table{x},
 		}
 		s.Text = []string{"Differences are of plays with the same seed. " + chanceNote}
-		d.Sections = append(d.Sections, s)
+		document.Sections = append(document.Sections, s)
 	}
 	if c.Scenario != "" {
-		d.Sections = append(d.Sections, scenarioText(c.Scenario))
+		document.Sections = append(document.Sections, scenarioText(c.Scenario))
 	}
-	return d.write(w)
+	return document.write(w)
 }
 
 // Sweep is plays over the values of a parameter, and perhaps of a second: a curve for each of those.
@@ -341,18 +341,18 @@
 }
 
 // knee says it in words.
-func (s *Sweep) knee(c *Curve) string {
+func (s *Sweep) knee(curve *Curve) string {
 	name := s.Param
-	if c.Name != "" {
-		name += " with " + s.Second + " " + c.Name
+	if curve.Name != "" {
+		name += " with " + s.Second + " " + curve.Name
 	}
-	at, ok := s.Knee(c)
+	at, ok := s.Knee(curve)
 	if !ok {
 		return "no knee over " + name
 	}
 	h := s.headline()
-	return fmt.Sprintf("knee over %s at %s, where %s is %s", name, c.Points[at].label(), h.Name,
-		formatFigure(h.Name, score.SpreadOf(h.Values(c.Points[at].Results)).Mean))
+	return fmt.Sprintf("knee over %s at %s, where %s is %s", name, curve.Points[at].label(), h.Name,
+		formatFigure(h.Name, score.SpreadOf(h.Values(curve.Points[at].Results)).Mean))
 }
 
 // MarshalJSON writes spreads of all headlines at each point, and the knees.
@@ -426,10 +426,10 @@
 }
 
 // SweepPage writes a sweep for a terminal.
-func SweepPage(w io.Writer, s *Sweep) error {
-	p := &textPage{colour: useColors(w)}
-	p.line(strong, "%s", s.Title)
-	t, h := s.table(), s.headline()
+func SweepPage(w io.Writer, sweep *Sweep) error {
+	textPage := &textPage{colour: useColors(w)}
+	textPage.line(strong, "%s", sweep.Title)
+	t, headline := sweep.table(), sweep.headline()
 	t.Head[len(t.Head)-1] = "broken"
 	columns := []int{0, 1, 4, 6, 7, 8, 9, len(t.Head) - 1}
 	width := []int{24, 16, 10, 10, 10, 8, 8, 8}
@@ -441,90 +441,90 @@
 		}
 		head += fmt.Sprintf("%*s", width[i], truncateLine(t.Head[c], max(width[i], -width[i])-1))
 	}
-	p.line(faint, "%s", head)
+	textPage.line(faint, "%s", head)
 	for _, row := range t.Rows {
 		if len(row) == 1 {
-			p.line(strong, "%s", row[0].Text)
+			textPage.line(strong, "%s", row[0].Text)
 			continue
 		}
 		line := fmt.Sprintf("%*s%*s", width[0], truncateLine(row[0].Text, -width[0]-1), width[1], row[1].Text)
 		for i, c := range columns[2:] {
 			line += fmt.Sprintf("%*s", width[i+2], cut(row[c].Text))
 		}
-		p.line(plain, "%s", line)
+		textPage.line(plain, "%s", line)
 	}
-	for i := range s.Curves {
-		c := &s.Curves[i]
+	for i := range sweep.Curves {
+		c := &sweep.Curves[i]
 		var ys score.Series
 		for k := range c.Points {
-			ys = append(ys, score.SpreadOf(h.Values(c.Points[k].Results)).Mean)
+			ys = append(ys, score.SpreadOf(headline.Values(c.Points[k].Results)).Mean)
 		}
-		p.line(plain, "%s  %s", sparkline(ys, ys.Max()), s.knee(c))
+		textPage.line(plain, "%s  %s", sparkline(ys, ys.Max()), sweep.knee(c))
 	}
-	_, err := io.WriteString(w, p.text.String())
+	_, err := io.WriteString(w, textPage.text.String())
 	return err
 }
 
 // WriteSweep writes a sweep as one file of HTML: the curves with their knees, and a table.
-func WriteSweep(w io.Writer, s *Sweep) error {
-	h := s.headline()
-	d := &document{Title: s.Title, Description: s.Description}
-	if s.Build != "" {
-		d.Summary = append(d.Summary, "Played with "+s.Build)
+func WriteSweep(w io.Writer, sweep *Sweep) error {
+	h := sweep.headline()
+	document := &document{Title: sweep.Title, Description: sweep.Description}
+	if sweep.Build != "" {
+		document.Summary = append(document.Summary, "Played with "+sweep.Build)
 	}
 	curves := section{
-		ID: "curve", Title: "The curve and its knee", Plots: []*plot{s.plot(h)},
+		ID: "curve", Title: "The curve and its knee", Plots: []*plot{sweep.plot(h)},
 		Text: []string{"Each point is the mean over the seeds, with its 95% interval. With both axes brought to 0 to 1, " +
 			"the knee is the point farthest from the straight line between the first point and the last, on its better " +
 			"side; a curve that does not leave that line by a tenth there has none."},
 	}
-	for i := range s.Curves {
-		text := s.knee(&s.Curves[i])
+	for i := range sweep.Curves {
+		text := sweep.knee(&sweep.Curves[i])
 		curves.Text = append(curves.Text, strings.ToUpper(text[:1])+text[1:]+".")
 	}
-	d.Sections = []section{curves, {ID: "figures", Title: "Figures", Tables: []table{s.table()}}}
-	if s.Scenario != "" {
-		d.Sections = append(d.Sections, scenarioText(s.Scenario))
+	document.Sections = []section{curves, {ID: "figures", Title: "Figures", Tables: []table{sweep.table()}}}
+	if sweep.Scenario != "" {
+		document.Sections = append(document.Sections, scenarioText(sweep.Scenario))
 	}
-	return d.write(w)
+	return document.write(w)
 }
 
 func (s *Sweep) plot(h score.Headline) *plot {
-	p := newPlot("sweep", h.Name+" over "+s.Param, s.Param, h.Description, 380)
-	x := scale{low: math.Inf(1), high: math.Inf(-1)}
-	y := scale{}
+	plot := newPlot("sweep", h.Name+" over "+s.Param, s.Param, h.Description, 380)
+	xScale := scale{low: math.Inf(1), high: math.Inf(-1)}
+	yScale := scale{}
 	labels := map[float64]string{}
 	for _, c := range s.Curves {
 		for _, pt := range c.Points {
-			x.low, x.high = min(x.low, pt.X), max(x.high, pt.X)
+			xScale.low, xScale.high = min(xScale.low, pt.X), max(xScale.high, pt.X)
 			if pt.Label != "" {
 				labels[pt.X] = pt.Label
 			}
 			if sp := score.SpreadOf(h.Values(pt.Results)); sp.N > 0 {
-				y.high = max(y.high, sp.High)
-				y.low = min(y.low, sp.Low)
+				yScale.high = max(yScale.high, sp.High)
+				yScale.low = min(yScale.low, sp.Low)
 			}
 		}
 	}
-	if x.low > x.high {
-		x.low, x.high = 0, 1
+	if xScale.low > xScale.high {
+		xScale.low, xScale.high = 0, 1
 	}
-	if len(labels) == 0 && x.low > 0 && x.high/x.low >= 50 {
-		x.log = true // fleets of 10 to 10,000
-	} else if pad := (x.high - x.low) * 0.02; pad > 0 {
-		x.low, x.high = x.low-pad, x.high+pad
+	if len(labels) == 0 && xScale.low > 0 && xScale.high/xScale.low >= 50 {
+		xScale.log = true // fleets of 10 to 10,000
+	} else if pad := (xScale.high - xScale.low) * 0.02; pad > 0 {
+		xScale.low, xScale.high = xScale.low-pad, xScale.high+pad
 	}
-	if y.high = roundUp(y.high); y.high == 0 {
-		y.high = 1
+	if yScale.high = roundUp(yScale.high); yScale.high == 0 {
+		yScale.high = 1
 	}
-	p.axes(x, y, func(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) },
+	plot.axes(xScale, yScale, func(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) },
 		func(v float64) string { return shorten(formatFigure(h.Name, v)) })
 	if len(labels) > 0 {
-		p.XTicks = nil
+		plot.XTicks = nil
 		for _, c := range s.Curves {
 			for _, pt := range c.Points {
 				if labels[pt.X] != "" {
-					p.XTicks = append(p.XTicks, tick{p.xScale.at(pt.X), labels[pt.X]})
+					plot.XTicks = append(plot.XTicks, tick{plot.xScale.at(pt.X), labels[pt.X]})
 					delete(labels, pt.X)
 				}
 			}
@@ -532,32 +532,32 @@
 	}
 	var said []string
 	for i := range s.Curves {
-		c := &s.Curves[i]
+		curve := &s.Curves[i]
 		class := "s" + strconv.Itoa(i%6+1)
-		knee, ok := s.Knee(c)
-		var xs, ys []float64
-		for k := range c.Points {
-			pt := &c.Points[k]
+		knee, ok := s.Knee(curve)
+		var values, ys []float64
+		for k := range curve.Points {
+			pt := &curve.Points[k]
 			sp := score.SpreadOf(h.Values(pt.Results))
-			xs, ys = append(xs, pt.X), append(ys, sp.Mean)
+			values, ys = append(values, pt.X), append(ys, sp.Mean)
 			if sp.N == 0 {
 				ys[k] = math.NaN()
 				continue
 			}
-			p.Dots = append(p.Dots, dot{
-				p.xScale.at(pt.X), p.yScale.at(sp.Mean), p.yScale.at(sp.Low), p.yScale.at(sp.High), class,
-				strings.TrimSpace(c.Name + " " + pt.label() + ": " + withSpread(h.Name, sp)), ok && k == knee,
+			plot.Dots = append(plot.Dots, dot{
+				plot.xScale.at(pt.X), plot.yScale.at(sp.Mean), plot.yScale.at(sp.Low), plot.yScale.at(sp.High), class,
+				strings.TrimSpace(curve.Name + " " + pt.label() + ": " + withSpread(h.Name, sp)), ok && k == knee,
 			})
 		}
-		name := c.Name
+		name := curve.Name
 		if name == "" {
 			name = h.Name
 		} else if s.Second != "" {
 			name = s.Second + " " + name
 		}
-		p.add(class, name, xs, ys, false, false)
-		said = append(said, s.knee(c))
+		plot.add(class, name, values, ys, false, false)
+		said = append(said, s.knee(curve))
 	}
-	p.Description = strings.Join(said, "; ") + "."
-	return p
+	plot.Description = strings.Join(said, "; ") + "."
+	return plot
 }
--- a/internal/testbed/report/html.go
+++ b/internal/testbed/report/html.go
@@ -106,8 +106,8 @@
 
 // WriteHTML writes the report of a play as one file that refers to nothing else.
 func WriteHTML(w io.Writer, d Document) error {
-	r := d.Result
-	out := &document{Title: r.Name, Description: r.Description, Summary: []string{summaryOf(r)}, Tiles: tiles(r)}
+	result := d.Result
+	out := &document{Title: result.Name, Description: result.Description, Summary: []string{summaryOf(result)}, Tiles: tiles(result)}
 	if d.Build != "" {
 		out.Summary = append(out.Summary, "Played with "+d.Build)
 	}
@@ -118,11 +118,11 @@
 	case d.Verdict == nil || d.Verdict.Invalid != "":
 		out.Badge.Class = ""
 	}
-	end := r.End
-	for end > r.Length && isQuietAfter(r, end-1) {
+	end := result.End
+	for end > result.Length && isQuietAfter(result, end-1) {
 		end--
 	}
-	t := &timeline{end: end, faults: r.Faults, marks: r.Marks}
+	t := &timeline{end: end, faults: result.Faults, marks: result.Marks}
 	add := func(s section, ok bool) {
 		if ok {
 			out.Sections = append(out.Sections, s)
@@ -130,13 +130,13 @@
 	}
 	add(verdictSection(d.Verdict))
 	add(expectationSection(d.Expectations))
-	add(timelineSection(r, t), true)
-	add(section{ID: "parts", Title: "By class and tenant", Tables: groupTables(r)}, true)
-	add(disturbanceSection(r))
-	add(fleetSection(r, t), true)
-	add(effortSection(r), true)
-	add(processSection(r, t))
-	add(misbehavingSection(r))
+	add(timelineSection(result, t), true)
+	add(section{ID: "parts", Title: "By class and tenant", Tables: groupTables(result)}, true)
+	add(disturbanceSection(result))
+	add(fleetSection(result, t), true)
+	add(effortSection(result), true)
+	add(processSection(result, t))
+	add(misbehavingSection(result))
 	add(scenarioText(d.Scenario), d.Scenario != "")
 	add(section{ID: "reading", Title: "How to read this", Text: readingGuide}, true)
 	return out.write(w)
@@ -170,8 +170,8 @@
 	"Everything here was seen at clients and worker nodes. Nothing is a scheduler's word.",
 }
 
-func tiles(r *score.Result) []tile {
-	w := &r.Value
+func tiles(result *score.Result) []tile {
+	w := &result.Value
 	three := func(x float64) string { return strconv.FormatFloat(x, 'f', 3, 64) }
 	list := []tile{
 		{"worth, mixed", three(w.Mix), "in time over asked for"},
@@ -179,18 +179,18 @@
 		{"worst 10 s", three(w.Worst10), "from " + formatSeconds(w.Worst10At)},
 		{"worst class", three(w.WorstClass.Value), w.WorstClass.Name},
 		{"worst tenant", three(w.WorstTenant.Value), w.WorstTenant.Name},
-		{"jobs", formatCount(r.Whole.Due), formatPercent(r.Whole.Shares.InTime) + " in time"},
-		{"p50", formatMillis(r.Whole.Latency.P50), "from due to served"},
-		{"p99", formatMillis(r.Whole.Latency.P99), "slowest " + formatMillis(r.Whole.Latency.Max)},
-		{"refused", formatPercent(r.Whole.Shares.Rejected), "of jobs"},
-		{"attempts", strconv.FormatFloat(r.Effort.PerJob, 'f', 3, 64), "a job"},
-		{"waste", formatPercent(r.Waste.Share), "of work asked for"},
-		{"occupancy", formatPercent(r.Fleet.Whole), "busiest " + formatPercent(r.Fleet.Busiest)},
-	}
-	if r.Recovery.Count > 0 {
-		note := plural(r.Recovery.Count, "disturbance", "disturbances") + ", the worst"
-		value := formatSeconds(r.Recovery.Seconds)
-		if !r.Recovery.All {
+		{"jobs", formatCount(result.Whole.Due), formatPercent(result.Whole.Shares.InTime) + " in time"},
+		{"p50", formatMillis(result.Whole.Latency.P50), "from due to served"},
+		{"p99", formatMillis(result.Whole.Latency.P99), "slowest " + formatMillis(result.Whole.Latency.Max)},
+		{"refused", formatPercent(result.Whole.Shares.Rejected), "of jobs"},
+		{"attempts", strconv.FormatFloat(result.Effort.PerJob, 'f', 3, 64), "a job"},
+		{"waste", formatPercent(result.Waste.Share), "of work asked for"},
+		{"occupancy", formatPercent(result.Fleet.Whole), "busiest " + formatPercent(result.Fleet.Busiest)},
+	}
+	if result.Recovery.Count > 0 {
+		note := plural(result.Recovery.Count, "disturbance", "disturbances") + ", the worst"
+		value := formatSeconds(result.Recovery.Seconds)
+		if !result.Recovery.All {
 			value = "not seen"
 		}
 		list = append(list, tile{"back after", value, note})
@@ -198,22 +198,22 @@
 	return list
 }
 
-func verdictSection(v *Verdict) (section, bool) {
-	if v == nil {
+func verdictSection(verdict *Verdict) (section, bool) {
+	if verdict == nil {
 		return section{}, false
 	}
-	s := section{ID: "verdict", Title: "Verdict", Text: []string{strings.ToUpper(v.String()[:1]) + v.String()[1:] + "."}}
-	if n := v.Total() - len(v.Violations); n > 0 {
-		s.Text = append(s.Text, fmt.Sprintf("Of %d of them no story was kept.", n))
+	section := section{ID: "verdict", Title: "Verdict", Text: []string{strings.ToUpper(verdict.String()[:1]) + verdict.String()[1:] + "."}}
+	if n := verdict.Total() - len(verdict.Violations); n > 0 {
+		section.Text = append(section.Text, fmt.Sprintf("Of %d of them no story was kept.", n))
 	}
-	for _, what := range v.NotChecked {
-		s.Text = append(s.Text, "Left out: "+what)
+	for _, what := range verdict.NotChecked {
+		section.Text = append(section.Text, "Left out: "+what)
 	}
-	for i := range v.Violations {
-		b := &v.Violations[i]
-		s.Explanations = append(s.Explanations, violationStory{b.Rule, formatSeconds(b.At.Seconds()), b.Text, b.Explanation})
+	for i := range verdict.Violations {
+		b := &verdict.Violations[i]
+		section.Explanations = append(section.Explanations, violationStory{b.Rule, formatSeconds(b.At.Seconds()), b.Text, b.Explanation})
 	}
-	return s, true
+	return section, true
 }
 
 func expectationSection(met []score.Evaluation) (section, bool) {
@@ -246,11 +246,11 @@
 }
 
 func timelineSection(r *score.Result, t *timeline) section {
-	s := &r.Seconds
-	kept := []lineSpec{{name: "all", series: ratio(s.DueValue, s.DueValueEarned, r.Length), strong: true}}
-	flight := []lineSpec{{name: "all", series: s.InFlight, area: true}}
-	for i := range s.Classes[:min(5, len(s.Classes))] {
-		c := &s.Classes[i]
+	seconds := &r.Seconds
+	kept := []lineSpec{{name: "all", series: ratio(seconds.DueValue, seconds.DueValueEarned, r.Length), strong: true}}
+	flight := []lineSpec{{name: "all", series: seconds.InFlight, area: true}}
+	for i := range seconds.Classes[:min(5, len(seconds.Classes))] {
+		c := &seconds.Classes[i]
 		kept = append(kept, lineSpec{name: c.Name, series: ratio(c.DueValue, c.DueValueEarned, r.Length)})
 		flight = append(flight, lineSpec{name: c.Name, series: c.InFlight})
 	}
@@ -258,8 +258,8 @@
 		t.plot(timePlot{
 			id: "goodput", title: "Asked for and answered in time", yName: "worth a second", height: 300,
 			text: formatNumber, labels: true, lines: []lineSpec{
-				{name: "asked for, when due", series: s.DueValue, area: true},
-				{name: "answered in time, when answered", series: s.GoodputValue, strong: true},
+				{name: "asked for, when due", series: seconds.DueValue, area: true},
+				{name: "answered in time, when answered", series: seconds.GoodputValue, strong: true},
 			},
 		}),
 		t.plot(timePlot{
@@ -269,9 +269,9 @@
 		t.plot(timePlot{
 			id: "latency", title: "Latency of answers", yName: "from when the job was due, logarithmic",
 			height: 260, log: true, text: formatMillis, lines: []lineSpec{
-				{name: "p50", series: s.P50, gaps: true, summarize: maxOf},
-				{name: "p99", series: s.P99, gaps: true, summarize: maxOf, strong: true},
-				{name: "slowest", series: s.MaxLatency, gaps: true, summarize: maxOf},
+				{name: "p50", series: seconds.P50, gaps: true, summarize: maxOf},
+				{name: "p99", series: seconds.P99, gaps: true, summarize: maxOf, strong: true},
+				{name: "slowest", series: seconds.MaxLatency, gaps: true, summarize: maxOf},
 			},
 		}),
 		t.plot(timePlot{
@@ -280,31 +280,31 @@
 		}),
 		t.plot(timePlot{
 			id: "refusals", title: "Refusals and attempts", yName: "a second", height: 200, text: formatNumber,
-			lines: []lineSpec{{name: "jobs due", series: s.DueJobs, area: true}, {
+			lines: []lineSpec{{name: "jobs due", series: seconds.DueJobs, area: true}, {
 				name:   "tries refused by schedulers",
-				series: s.Rejected, strong: true,
-			}, {name: "attempts at worker nodes", series: s.Attempts}},
+				series: seconds.Rejected, strong: true,
+			}, {name: "attempts at worker nodes", series: seconds.Attempts}},
 		}),
 	}}
-	if len(s.Classes) > 5 {
+	if len(seconds.Classes) > 5 {
 		out.Text = []string{"Of the classes the first five are drawn."}
 	}
 	return out
 }
 
-func groupTables(r *score.Result) []table {
+func groupTables(result *score.Result) []table {
 	outcome := table{
 		Caption: "Jobs by what became of them, and worth earned over worth asked for",
 		Head:    []string{"", "jobs", "worth", "earned", "in share"},
 	}
 	var shown []int // the usual outcomes, and the others where there are any
 	for i, name := range score.OutcomeNames {
-		if i < int(score.OutcomeLost) || r.Whole.Outcomes[i] > 0 {
+		if i < int(score.OutcomeLost) || result.Whole.Outcomes[i] > 0 {
 			shown = append(shown, i)
 			outcome.Head = append(outcome.Head, name)
 		}
 	}
-	if r.Whole.Open > 0 {
+	if result.Whole.Open > 0 {
 		outcome.Head = append(outcome.Head, "open")
 	}
 	outcome.Head = append(outcome.Head, "attempts a job")
@@ -317,18 +317,18 @@
 		for _, i := range shown {
 			cells = append(cells, formatPercent(float64(g.Outcomes[i])/float64(max(1, g.Due))))
 		}
-		if r.Whole.Open > 0 {
+		if result.Whole.Open > 0 {
 			cells = append(cells, formatCount(g.Open))
 		}
 		outcome.row(g.Name, append(cells, strconv.FormatFloat(g.Attempts, 'f', 3, 64))...)
 		l := &g.Latency
 		times.row(g.Name, formatCount(l.Count), formatMillis(l.P50), formatMillis(l.P90), formatMillis(l.P99), formatMillis(l.P999), formatMillis(l.Max))
 	}
-	row(&r.Whole)
+	row(&result.Whole)
 	for _, side := range []struct {
 		name   string
 		groups []score.Group
-	}{{"by class", r.Classes}, {"by tenant", r.Tenants}} {
+	}{{"by class", result.Classes}, {"by tenant", result.Tenants}} {
 		outcome.row(side.name)
 		times.row(side.name)
 		for i := range side.groups {
@@ -338,34 +338,34 @@
 	return []table{outcome, times}
 }
 
-func disturbanceSection(r *score.Result) (section, bool) {
+func disturbanceSection(result *score.Result) (section, bool) {
 	back := table{
 		Caption: "Disturbances and when goodput was back",
 		Head:    []string{"faults", "from", "to", "share before", "at its lowest", "back, from its start", "from its end"},
 	}
-	for i := range r.Disturbances {
-		d := &r.Disturbances[i]
+	for i := range result.Disturbances {
+		disturbance := &result.Disturbances[i]
 		low, start, end := "no dip", "0 s", "0 s"
-		if d.HasDip {
-			low, start, end = formatPercent(d.Lowest), formatSeconds(d.FromStart), formatSeconds(d.FromEnd)
+		if disturbance.HasDip {
+			low, start, end = formatPercent(disturbance.Lowest), formatSeconds(disturbance.FromStart), formatSeconds(disturbance.FromEnd)
 		}
-		to := formatSeconds(d.To)
-		if d.Lasting {
+		to := formatSeconds(disturbance.To)
+		if disturbance.Lasting {
 			to += ", lasting"
 		}
-		if !d.Recovered {
+		if !disturbance.Recovered {
 			end = "not within " + end
 		}
-		back.row(strings.Join(d.Faults, ", "), formatSeconds(d.From), to, formatPercent(d.Before), low, start, end)
-		if !d.Recovered {
+		back.row(strings.Join(disturbance.Faults, ", "), formatSeconds(disturbance.From), to, formatPercent(disturbance.Before), low, start, end)
+		if !disturbance.Recovered {
 			back.setClass("poor", 6)
 		}
 	}
 	list := table{
 		Caption: "The timeline, as numbered in the plots", Head: []string{"fault", "from", "to"},
-		Summary: plural(len(r.Faults), "fault", "faults") + " of the timeline",
+		Summary: plural(len(result.Faults), "fault", "faults") + " of the timeline",
 	}
-	for i, f := range r.Faults[:min(len(r.Faults), maxBands)] {
+	for i, f := range result.Faults[:min(len(result.Faults), maxBands)] {
 		off := "the end"
 		if f.Off >= 0 {
 			off = formatSeconds(f.Off)
@@ -374,9 +374,9 @@
 	}
 	marks := table{
 		Caption: "What befell schedulers, and worker nodes that were pushed over",
-		Head:    []string{"what", "when"}, Summary: plural(len(r.Marks), "mark", "marks"),
+		Head:    []string{"what", "when"}, Summary: plural(len(result.Marks), "mark", "marks"),
 	}
-	for _, m := range r.Marks[:min(len(r.Marks), maxBands)] {
+	for _, m := range result.Marks[:min(len(result.Marks), maxBands)] {
 		marks.row(m.Text, formatSeconds(m.At))
 	}
 	s := section{ID: "faults", Title: "Faults and recovery"}
@@ -392,12 +392,12 @@
 const maxWorkers = 30
 
 func fleetSection(r *score.Result, t *timeline) section {
-	o := &r.Fleet
+	occupancy := &r.Fleet
 	up := make(score.Series, len(r.Seconds.WorkersUp))
 	for i, n := range r.Seconds.WorkersUp {
-		up[i] = n / float64(max(1, len(o.Workers)))
+		up[i] = n / float64(max(1, len(occupancy.Workers)))
 	}
-	s := section{ID: "fleet", Title: "Worker nodes", Strip: t.strip(o), Plots: []*plot{
+	section := section{ID: "fleet", Title: "Worker nodes", Strip: t.strip(occupancy), Plots: []*plot{
 		t.plot(timePlot{
 			id: "occupancy", title: "Occupancy of the fleet, and worker nodes up",
 			yName: "of slots up, and of all", height: 180, top: 1, text: formatPercent, lines: []lineSpec{
@@ -405,16 +405,16 @@
 			},
 		}),
 	}}
-	s.Text = []string{fmt.Sprintf("Occupancy of the fleet %s; of the busiest, w-%d, %s, which is %s times the mean.",
-		formatPercent(o.Whole), o.BusiestWorker, formatPercent(o.Busiest), formatNumber(o.OverMean))}
+	section.Text = []string{fmt.Sprintf("Occupancy of the fleet %s; of the busiest, w-%d, %s, which is %s times the mean.",
+		formatPercent(occupancy.Whole), occupancy.BusiestWorker, formatPercent(occupancy.Busiest), formatNumber(occupancy.OverMean))}
 	nodes := table{
 		Head:    []string{"", "occupancy", "up", "slots", "attempts", "full", "pushed over"},
-		Summary: plural(len(o.Workers), "worker node", "worker nodes") + ", the busiest first",
+		Summary: plural(len(occupancy.Workers), "worker node", "worker nodes") + ", the busiest first",
 	}
-	if len(o.Workers) > maxWorkers {
-		nodes.Summary = fmt.Sprintf("The %d busiest of %s worker nodes", maxWorkers, formatCount(len(o.Workers)))
+	if len(occupancy.Workers) > maxWorkers {
+		nodes.Summary = fmt.Sprintf("The %d busiest of %s worker nodes", maxWorkers, formatCount(len(occupancy.Workers)))
 	}
-	list := slices.Clone(o.Workers)
+	list := slices.Clone(occupancy.Workers)
 	slices.SortStableFunc(list, func(a, b score.WorkerUse) int {
 		switch {
 		case a.Use > b.Use:
@@ -428,52 +428,52 @@
 		nodes.row(fmt.Sprint("w-", n.Worker), formatPercent(n.Use), formatPercent(n.Up), formatNumber(n.Slots), formatCount(n.Attempts),
 			formatCount(n.Full), formatCount(n.Overloads))
 	}
-	s.Tables = []table{nodes}
-	return s
+	section.Tables = []table{nodes}
+	return section
 }
 
-func effortSection(r *score.Result) section {
-	e, w := &r.Effort, &r.Waste
+func effortSection(result *score.Result) section {
+	effort, w := &result.Effort, &result.Waste
 	a := table{Caption: "Counted at clients and worker nodes", Head: []string{"", "in all", "a job"}}
-	for _, x := range []struct {
+	for _, entry := range []struct {
 		name string
 		n    int
 	}{
-		{"tries of clients", e.Requests},
-		{"retries of clients", e.Retries},
-		{"tries that found no scheduler", e.RequestsUnreached},
-		{"sent once more on a new connection", e.Resent},
-		{"tries served", e.RequestsServed},
-		{"tries refused by schedulers", e.RequestsRejected},
-		{"tries failed", e.RequestsFailed},
-		{"attempts at worker nodes", e.Attempts},
-		{"second copies", e.Hedged},
-		{"accepted", e.Accepted},
-		{"turned away by worker nodes", e.Rejected},
-		{"of these, full", e.Full},
-		{"handed back unstarted", e.Returned},
-		{"withdrawn", e.Cancelled},
-		{"repeats that a cell dropped", e.DuplicatesDropped},
-		{"notes", e.Callbacks},
-		{"notes lost", e.CallbacksLost},
-		{"probes", e.HealthChecks},
-		{"connections opened to worker nodes", e.Connections},
-		{"cold worker nodes pushed over", e.Overloads},
-		{"attempts of queries long over", e.Duplicates},
-		{"sights of what is not open", e.Unknown},
+		{"tries of clients", effort.Requests},
+		{"retries of clients", effort.Retries},
+		{"tries that found no scheduler", effort.RequestsUnreached},
+		{"sent once more on a new connection", effort.Resent},
+		{"tries served", effort.RequestsServed},
+		{"tries refused by schedulers", effort.RequestsRejected},
+		{"tries failed", effort.RequestsFailed},
+		{"attempts at worker nodes", effort.Attempts},
+		{"second copies", effort.Hedged},
+		{"accepted", effort.Accepted},
+		{"turned away by worker nodes", effort.Rejected},
+		{"of these, full", effort.Full},
+		{"handed back unstarted", effort.Returned},
+		{"withdrawn", effort.Cancelled},
+		{"repeats that a cell dropped", effort.DuplicatesDropped},
+		{"notes", effort.Callbacks},
+		{"notes lost", effort.CallbacksLost},
+		{"probes", effort.HealthChecks},
+		{"connections opened to worker nodes", effort.Connections},
+		{"cold worker nodes pushed over", effort.Overloads},
+		{"attempts of queries long over", effort.Duplicates},
+		{"sights of what is not open", effort.Unknown},
 	} {
-		a.row(x.name, formatCount(x.n), formatNumber(float64(x.n)/float64(max(1, r.Whole.Due))))
+		a.row(entry.name, formatCount(entry.n), formatNumber(float64(entry.n)/float64(max(1, result.Whole.Due))))
 	}
-	a.row("most attempts of one job", formatCount(e.MaxAttempts), "")
+	a.row("most attempts of one job", formatCount(effort.MaxAttempts), "")
 	b := table{Caption: "Work, in seconds at speed 1 times slots", Head: []string{"", "work", "of the work asked for"}}
-	for _, x := range []struct {
+	for _, entry := range []struct {
 		name string
 		work float64
 	}{
-		{"asked for", e.WorkRequested},
-		{"run by worker nodes", e.WorkRun},
-		{"of which an answer came", e.WorkUseful},
-		{"of which it came after the aim", e.WorkAfterObjective},
+		{"asked for", effort.WorkRequested},
+		{"run by worker nodes", effort.WorkRun},
+		{"of which an answer came", effort.WorkUseful},
+		{"of which it came after the aim", effort.WorkAfterObjective},
 		{"waste", w.Work},
 		{"waste: another run had given the answer", w.Repeated},
 		{"waste: the client's time was up", w.TooLate},
@@ -481,20 +481,20 @@
 		{"waste: the client was refused, failed or cut off", w.Unused},
 		{"waste: it ended with an error", w.Errors},
 		{"waste: it died on the way", w.Killed},
-		{"for tries that were open at the end", e.WorkPending},
+		{"for tries that were open at the end", effort.WorkPending},
 	} {
-		b.row(x.name, formatNumber(x.work), formatPercent(x.work/max(e.WorkRequested, 1e-9)))
+		b.row(entry.name, formatNumber(entry.work), formatPercent(entry.work/max(effort.WorkRequested, 1e-9)))
 	}
 	return section{ID: "effort", Title: "Attempts, waste, refusals", Tables: []table{b, a}}
 }
 
-func processSection(r *score.Result, t *timeline) (section, bool) {
-	s := section{ID: "processes", Title: "Processes"}
+func processSection(result *score.Result, t *timeline) (section, bool) {
+	section := section{ID: "processes", Title: "Processes"}
 	list := table{Head: []string{
 		"", "CPU", "cores", "peak memory", "peak descriptors", "tries", "attempts", "starts",
 		"kills", "SIGTERM", "freezes", "reloads", "exits",
 	}}
-	drawn := slices.Clone(r.Processes)
+	drawn := slices.Clone(result.Processes)
 	drawn = slices.DeleteFunc(drawn, func(p score.Process) bool { return len(p.CPUBySecond) == 0 })
 	slices.SortStableFunc(drawn, func(a, b score.Process) int {
 		switch {
@@ -506,7 +506,7 @@
 		return 0
 	})
 	if len(drawn) > 6 {
-		s.Text = append(s.Text, "Drawn are the six that took the most CPU.")
+		section.Text = append(section.Text, "Drawn are the six that took the most CPU.")
 		drawn = drawn[:6]
 	}
 	var cpus, memories, files []lineSpec
@@ -518,33 +518,33 @@
 	}
 	if len(drawn) > 0 {
 		const peak = "peak of each second"
-		s.Plots = []*plot{
+		section.Plots = []*plot{
 			t.plot(timePlot{id: "cpu", title: "CPU", yName: "cores", height: 180, text: formatNumber, lines: cpus}),
 			t.plot(timePlot{id: "memory", title: "Memory", yName: peak, height: 180, text: formatBytes, lines: memories}),
 			t.plot(timePlot{id: "files", title: "Descriptors", yName: peak, height: 160, text: formatNumber, lines: files}),
 		}
 	}
 	busy := len(drawn) > 0
-	for _, p := range r.Processes {
+	for _, p := range result.Processes {
 		list.row(processName(p.Scheduler), formatSeconds(p.CPU), formatNumber(p.Cores), formatBytes(float64(p.PeakMemory)), formatCount(p.PeakFiles),
 			formatCount(p.Requests), formatCount(p.Attempts), formatCount(p.Starts), formatCount(p.Kills), formatCount(p.Terms), formatCount(p.Freezes),
 			formatCount(p.Reloads), formatCount(p.Exits))
 		busy = busy || p.Starts > 0
 	}
-	s.Tables = []table{list}
-	if l := &r.Lateness; l.Count > 0 {
-		s.Text = append(s.Text, fmt.Sprintf("The lab itself was late %s: p99.9 %s, at most %s.",
+	section.Tables = []table{list}
+	if l := &result.Lateness; l.Count > 0 {
+		section.Text = append(section.Text, fmt.Sprintf("The lab itself was late %s: p99.9 %s, at most %s.",
 			plural(l.Count, "time", "times"), formatMillis(l.P999), formatMillis(l.Max)))
 	}
-	return s, busy
+	return section, busy
 }
 
-func misbehavingSection(r *score.Result) (section, bool) {
+func misbehavingSection(result *score.Result) (section, bool) {
 	t := table{Head: []string{
 		"kind", "connected", "answered with an error", "closed", "answered otherwise",
 		"left waiting", "longest",
 	}}
-	for _, b := range r.Misbehaving {
+	for _, b := range result.Misbehaving {
 		t.row(b.Kind, formatCount(b.Connected), formatCount(b.Errors), formatCount(b.Closed), formatCount(b.Served), formatCount(b.Open),
 			formatMillis(b.MaxWaitMs))
 		if b.Served > 0 {
@@ -554,5 +554,5 @@
 			t.setClass("poor", 5)
 		}
 	}
-	return section{ID: "bad", Title: "Bad clients", Tables: []table{t}}, len(r.Misbehaving) > 0
+	return section{ID: "bad", Title: "Bad clients", Tables: []table{t}}, len(result.Misbehaving) > 0
 }
--- a/internal/testbed/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -148,9 +148,9 @@
 }
 
 // path draws through the values that there are; places where there is none stay open.
-func (p *plot) path(xs, ys []float64, area bool) string {
+func (p *plot) path(values, ys []float64, area bool) string {
 	var b strings.Builder
-	b.Grow(12 * len(xs))
+	b.Grow(12 * len(values))
 	down := false // the pen
 	var last pixels
 	for i, y := range ys {
@@ -161,18 +161,18 @@
 			down = false
 			continue
 		}
-		x, y := p.xScale.at(xs[i]), p.yScale.at(y)
+		current, y := p.xScale.at(values[i]), p.yScale.at(y)
 		switch {
 		case down:
-			fmt.Fprintf(&b, "L%s %s", x, y)
+			fmt.Fprintf(&b, "L%s %s", current, y)
 		case area:
-			fmt.Fprintf(&b, "M%s %sV%s", x, p.Bottom, y)
+			fmt.Fprintf(&b, "M%s %sV%s", current, p.Bottom, y)
 		case i+1 == len(ys) || isNotFinite(ys[i+1]): // alone, it shows as a short line
-			fmt.Fprintf(&b, "M%s %sh1.5", x, y)
+			fmt.Fprintf(&b, "M%s %sh1.5", current, y)
 		default:
-			fmt.Fprintf(&b, "M%s %s", x, y)
+			fmt.Fprintf(&b, "M%s %s", current, y)
 		}
-		down, last = true, x
+		down, last = true, current
 	}
 	if down && area {
 		fmt.Fprintf(&b, "H%sV%sZ", last, p.Bottom)
@@ -214,8 +214,8 @@
 }
 
 func (t *timeline) plot(o timePlot) *plot {
-	p := newPlot(o.id, o.title, "seconds since the play's start", o.yName, o.height)
-	lanes := t.bands(p, o.labels)
+	plot := newPlot(o.id, o.title, "seconds since the play's start", o.yName, o.height)
+	lanes := t.bands(plot, o.labels)
 	n := 0
 	for i := range o.lines {
 		n = max(n, len(o.lines[i].series))
@@ -226,59 +226,59 @@
 		copy(whole, o.lines[i].series)
 		o.lines[i].series = whole
 	}
-	p.Top += pixels(14 * max(0, lanes-1))
-	p.Height += pixels(14 * max(0, lanes-1))
-	p.Bottom = p.Height - 34
-	y := scale{high: o.top, log: o.log}
+	plot.Top += pixels(14 * max(0, lanes-1))
+	plot.Height += pixels(14 * max(0, lanes-1))
+	plot.Bottom = plot.Height - 34
+	yScale := scale{high: o.top, log: o.log}
 	for i := range o.lines {
 		l := &o.lines[i]
 		if o.top == 0 {
-			y.high = max(y.high, maxOf(l.series))
+			yScale.high = max(yScale.high, maxOf(l.series))
 		}
 		if o.log {
 			for _, v := range l.series {
-				if v > 0 && (y.low == 0 || v < y.low) {
-					y.low = v
+				if v > 0 && (yScale.low == 0 || v < yScale.low) {
+					yScale.low = v
 				}
 			}
 		}
 	}
 	if o.log {
-		y.low, y.high = max(y.low, 0.1), max(y.high, 1)
-		y.low = math.Pow(10, math.Floor(math.Log10(min(y.low, y.high/2))))
-	} else if y.high *= 1.04; y.high == 0 {
-		y.high = 1
+		yScale.low, yScale.high = max(yScale.low, 0.1), max(yScale.high, 1)
+		yScale.low = math.Pow(10, math.Floor(math.Log10(min(yScale.low, yScale.high/2))))
+	} else if yScale.high *= 1.04; yScale.high == 0 {
+		yScale.high = 1
 	}
 	seconds := func(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
-	p.axes(scale{high: max(t.end, 1)}, y, seconds, func(v float64) string { return shorten(o.text(v)) })
+	plot.axes(scale{high: max(t.end, 1)}, yScale, seconds, func(v float64) string { return shorten(o.text(v)) })
 	said := make([]string, 0, len(o.lines))
 	var texts []string // of the hovers
 	each := 1
 	for i := range o.lines {
-		l := &o.lines[i]
-		how := l.summarize
+		lineSpec := &o.lines[i]
+		how := lineSpec.summarize
 		if how == nil {
 			how = meanOf
 		}
 		var of score.Series
-		of, each = thinSeries(l.series, seriesColors, how)
-		xs, ys := make([]float64, len(of)), make([]float64, len(of))
+		of, each = thinSeries(lineSpec.series, seriesColors, how)
+		values, ys := make([]float64, len(of)), make([]float64, len(of))
 		for k, v := range of {
-			xs[k] = min((float64(k)+0.5)*float64(each), t.end)
-			if ys[k] = v; l.gaps && v == 0 || o.log && v <= 0 {
+			values[k] = min((float64(k)+0.5)*float64(each), t.end)
+			if ys[k] = v; lineSpec.gaps && v == 0 || o.log && v <= 0 {
 				ys[k] = math.NaN()
 			}
 			if len(texts) <= k {
 				texts = append(texts, fmt.Sprintf("%d s", k*each))
 			}
-			texts[k] += " · " + l.name + " " + o.text(v)
+			texts[k] += " · " + lineSpec.name + " " + o.text(v)
 		}
-		class := l.class
+		class := lineSpec.class
 		if class == "" {
 			class = "s" + strconv.Itoa(i%6+1)
 		}
-		p.add(class, l.name, xs, ys, l.area, l.strong)
-		said = append(said, fmt.Sprintf("%s: mean %s, greatest %s", l.name, o.text(meanOf(l.series)), o.text(maxOf(l.series))))
+		plot.add(class, lineSpec.name, values, ys, lineSpec.area, lineSpec.strong)
+		said = append(said, fmt.Sprintf("%s: mean %s, greatest %s", lineSpec.name, o.text(meanOf(lineSpec.series)), o.text(maxOf(lineSpec.series))))
 	}
 	for k, text := range texts {
 		for i, f := range t.faults[:min(len(t.faults), maxBands)] {
@@ -286,14 +286,14 @@
 				text += fmt.Sprintf(" · fault %d", i+1)
 			}
 		}
-		from, to := p.xScale.at(float64(k*each)), p.xScale.at(float64((k+1)*each))
-		p.Hovers = append(p.Hovers, hover{from, to - from, text})
+		from, to := plot.xScale.at(float64(k*each)), plot.xScale.at(float64((k+1)*each))
+		plot.Hovers = append(plot.Hovers, hover{from, to - from, text})
 	}
-	p.Description = strings.Join(said, "; ") + "."
+	plot.Description = strings.Join(said, "; ") + "."
 	if len(t.faults) > 0 {
-		p.Description += fmt.Sprintf(" %s shown as bands.", plural(len(t.faults), "fault is", "faults are"))
+		plot.Description += fmt.Sprintf(" %s shown as bands.", plural(len(t.faults), "fault is", "faults are"))
 	}
-	return p
+	return plot
 }
 
 // Bands are labelled as far as there is room for it.
@@ -305,7 +305,7 @@
 
 // bands marks faults and marks, and tells how many lanes of labels they take.
 func (t *timeline) bands(p *plot, named bool) (used int) {
-	x := scale{high: max(t.end, 1), from: p.Left, to: p.Right}
+	xScale := scale{high: max(t.end, 1), from: p.Left, to: p.Right}
 	ends := make([]pixels, labelLanes) // of the labels in each lane
 	if !named {
 		ends = ends[:1]
@@ -318,7 +318,7 @@
 		if off < 0 {
 			off = t.end
 		}
-		from, to := x.at(f.On), x.at(off)
+		from, to := xScale.at(f.On), xScale.at(off)
 		b := band{X: from, Width: max(to-from, 1.5), Text: fmt.Sprintf("%d. %s, from %s", i+1, f.Text, formatSeconds(f.On))}
 		if f.Off >= 0 {
 			b.Text += " to " + formatSeconds(f.Off)
@@ -346,7 +346,7 @@
 		p.Bands = append(p.Bands, b)
 	}
 	for _, m := range t.marks[:min(len(t.marks), maxBands)] {
-		p.Marks = append(p.Marks, markLine{x.at(m.At), formatSeconds(m.At) + " " + m.Text})
+		p.Marks = append(p.Marks, markLine{xScale.at(m.At), formatSeconds(m.At) + " " + m.Text})
 	}
 	return used
 }
@@ -388,14 +388,14 @@
 	if len(lines) > 100 {
 		high = 3
 	}
-	s := &strip{
+	strip := &strip{
 		ID: "strip", Title: "Occupancy of worker nodes over time", Width: plotWidth, Left: 62, Top: 8, AreaW: plotWidth - 74,
 		AreaH: high * pixels(len(lines)),
 	}
-	s.Height = s.Top + s.AreaH + 34
+	strip.Height = strip.Top + strip.AreaH + 34
 	cell := o.CellSeconds * float64(each)
-	wide := s.AreaW / pixels(columns)
-	s.ScaleX, s.ScaleY = strconv.FormatFloat(float64(wide), 'f', 4, 64), high.String()
+	wide := strip.AreaW / pixels(columns)
+	strip.ScaleX, strip.ScaleY = strconv.FormatFloat(float64(wide), 'f', 4, 64), high.String()
 	paths := make([]strings.Builder, shades+1) // the last: none was up
 	for row := range lines {
 		use := lines[row].Use
@@ -426,24 +426,24 @@
 		if i == shades {
 			name = "not up"
 		}
-		s.Levels = append(s.Levels, stripLevel{"h" + strconv.Itoa(i), paths[i].String(), name})
+		strip.Levels = append(strip.Levels, stripLevel{"h" + strconv.Itoa(i), paths[i].String(), name})
 	}
-	x := scale{high: cell * float64(columns), from: s.Left, to: s.Left + s.AreaW}
-	s.XTicks = x.ticks(12, func(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) })
-	every := max(1, (len(lines)*14+int(s.AreaH)-1)/int(s.AreaH))
+	x := scale{high: cell * float64(columns), from: strip.Left, to: strip.Left + strip.AreaW}
+	strip.XTicks = x.ticks(12, func(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) })
+	every := max(1, (len(lines)*14+int(strip.AreaH)-1)/int(strip.AreaH))
 	for row := 0; row < len(lines); row += every {
 		text := fmt.Sprint("w-", lines[row].First)
-		s.YTicks = append(s.YTicks, tick{s.Top + (pixels(row)+0.5)*high, text})
+		strip.YTicks = append(strip.YTicks, tick{strip.Top + (pixels(row)+0.5)*high, text})
 	}
 	for i, f := range t.faults[:min(len(t.faults), maxBands)] {
 		from := x.at(f.On)
-		s.Bands = append(s.Bands, band{X: from, Text: fmt.Sprintf("%d. %s", i+1, f.Text)})
+		strip.Bands = append(strip.Bands, band{X: from, Text: fmt.Sprintf("%d. %s", i+1, f.Text)})
 	}
 	if each := (len(o.Workers) + len(lines) - 1) / len(lines); each > 1 {
-		s.Remark = fmt.Sprintf("each line up to %d worker nodes side by side", each)
+		strip.Remark = fmt.Sprintf("each line up to %d worker nodes side by side", each)
 	}
-	s.Description = fmt.Sprintf("%s in %s, each cell %s. The fleet's occupancy is %s; the busiest, w-%d, has %s.",
+	strip.Description = fmt.Sprintf("%s in %s, each cell %s. The fleet's occupancy is %s; the busiest, w-%d, has %s.",
 		plural(len(o.Workers), "worker node", "worker nodes"), plural(len(lines), "line", "lines"), formatSeconds(cell),
 		formatPercent(o.Whole), o.BusiestWorker, formatPercent(o.Busiest))
-	return s
+	return strip
 }
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -89,44 +89,44 @@
 }
 
 // formatNumber writes a number to about three digits, and plainly.
-func formatNumber(x float64) string {
-	if math.IsInf(x, 1) {
+func formatNumber(value float64) string {
+	if math.IsInf(value, 1) {
 		return "∞"
 	}
-	if isNotFinite(x) {
+	if isNotFinite(value) {
 		return noValue
 	}
 	digits := 3
-	switch a := math.Abs(x); {
+	switch a := math.Abs(value); {
 	case a >= 100 || a == 0:
-		return formatCount(int64(math.Round(x)))
+		return formatCount(int64(math.Round(value)))
 	case a >= 10:
 		digits = 1
 	case a >= 1:
 		digits = 2
-	case a < 0.001 && x > 0:
+	case a < 0.001 && value > 0:
 		return "<0.001"
 	}
-	text := strconv.FormatFloat(x, 'f', digits, 64)
-	if digits > 0 && math.Abs(x) >= 1 {
+	text := strconv.FormatFloat(value, 'f', digits, 64)
+	if digits > 0 && math.Abs(value) >= 1 {
 		text = strings.TrimRight(strings.TrimRight(text, "0"), ".")
 	}
 	return text
 }
 
 // formatMillis writes milliseconds.
-func formatMillis(ms float64) string {
+func formatMillis(millis float64) string {
 	switch {
-	case isNotFinite(ms):
+	case isNotFinite(millis):
 		return noValue
-	case ms >= 10_000:
-		return strconv.FormatFloat(ms/1000, 'f', 1, 64) + " s"
-	case ms >= 1000:
-		return strconv.FormatFloat(ms/1000, 'f', 2, 64) + " s"
-	case ms >= 10:
-		return strconv.FormatFloat(ms, 'f', 0, 64) + " ms"
+	case millis >= 10_000:
+		return strconv.FormatFloat(millis/1000, 'f', 1, 64) + " s"
+	case millis >= 1000:
+		return strconv.FormatFloat(millis/1000, 'f', 2, 64) + " s"
+	case millis >= 10:
+		return strconv.FormatFloat(millis, 'f', 0, 64) + " ms"
 	}
-	return formatNumber(ms) + " ms"
+	return formatNumber(millis) + " ms"
 }
 
 // formatSeconds writes seconds since the play's start.
@@ -160,36 +160,36 @@
 }
 
 // summaryOf is the few words under a play's name.
-func summaryOf(r *score.Result) string {
+func summaryOf(result *score.Result) string {
 	parts := []string{}
-	if r.Driver != "" {
-		parts = append(parts, r.Driver)
+	if result.Driver != "" {
+		parts = append(parts, result.Driver)
 	}
 	procs := 0
-	for i := range r.Processes {
-		if r.Processes[i].Scheduler >= 0 {
+	for i := range result.Processes {
+		if result.Processes[i].Scheduler >= 0 {
 			procs++
 		}
 	}
-	nodes := len(r.Fleet.Workers)
-	parts = append(parts, "seed "+strconv.FormatUint(r.Seed, 10), plural(nodes, "worker node", "worker nodes"),
-		plural(procs, "scheduler", "schedulers"), formatSeconds(r.Length)+" of load", formatSeconds(r.End)+" in all")
+	nodes := len(result.Fleet.Workers)
+	parts = append(parts, "seed "+strconv.FormatUint(result.Seed, 10), plural(nodes, "worker node", "worker nodes"),
+		plural(procs, "scheduler", "schedulers"), formatSeconds(result.Length)+" of load", formatSeconds(result.End)+" in all")
 	return strings.Join(parts, " · ")
 }
 
 // formatValue is what an expectation's figure came to, in its own unit.
-func formatValue(m *score.Evaluation) string {
-	switch name := m.Expectation.Metric; {
-	case math.IsInf(m.Value, 0) || math.IsNaN(m.Value):
+func formatValue(evaluation *score.Evaluation) string {
+	switch name := evaluation.Expectation.Metric; {
+	case math.IsInf(evaluation.Value, 0) || math.IsNaN(evaluation.Value):
 		return noValue
 	case strings.HasSuffix(name, "_ms"):
-		return formatMillis(m.Value)
+		return formatMillis(evaluation.Value)
 	case name == "recovered_within":
-		return formatSeconds(m.Value)
+		return formatSeconds(evaluation.Value)
 	case name == "rules_broken":
-		return formatCount(int(m.Value))
+		return formatCount(int(evaluation.Value))
 	}
-	return strconv.FormatFloat(m.Value, 'f', 4, 64)
+	return strconv.FormatFloat(evaluation.Value, 'f', 4, 64)
 }
 
 // thinSeries brings a series to at most n values, each of which stands for some seconds.
--- a/internal/testbed/report/terminal.go
+++ b/internal/testbed/report/terminal.go
@@ -151,22 +151,22 @@
 	return err
 }
 
-func (p *textPage) write(r *score.Result, v *Verdict, met []score.Evaluation) {
+func (p *textPage) write(r *score.Result, verdict *Verdict, met []score.Evaluation) {
 	p.line(strong, "%s", r.Name)
 	p.line(faint, "%s", summaryOf(r))
 	style := good
-	if v == nil || v.Invalid != "" {
+	if verdict == nil || verdict.Invalid != "" {
 		style = strong
 	}
-	if v.Total() > 0 {
+	if verdict.Total() > 0 {
 		style = poor
 	}
-	p.line(style, "%s", strings.ToUpper(v.String()[:1])+v.String()[1:])
-	if v != nil {
-		writeSome(p, v.Violations, 4, "breaches", func(b *Violation) {
+	p.line(style, "%s", strings.ToUpper(verdict.String()[:1])+verdict.String()[1:])
+	if verdict != nil {
+		writeSome(p, verdict.Violations, 4, "breaches", func(b *Violation) {
 			p.line(poor, "  %s at %s: %s", b.Rule, formatSeconds(b.At.Seconds()), b.Text)
 		})
-		writeSome(p, v.NotChecked, 2, "things left out", func(what *string) { p.line(faint, "  left out: %s", *what) })
+		writeSome(p, verdict.NotChecked, 2, "things left out", func(what *string) { p.line(faint, "  left out: %s", *what) })
 	}
 	p.line(plain, "")
 	p.writeValue(r)
@@ -196,7 +196,7 @@
 	p.line(plain, "")
 }
 
-func (p *textPage) writeGroups(r *score.Result) {
+func (p *textPage) writeGroups(result *score.Result) {
 	p.line(faint, "%-18s%7s%8s%7s%8s%7s%9s%6s  %8s%8s%8s", "", "jobs", "in time", "late", "refused", "failed", "unansw.",
 		"lost", "p50", "p99", "max")
 	row := func(g *score.Group) {
@@ -205,9 +205,9 @@
 			of(score.OutcomeRejected), of(score.OutcomeFailed), of(score.OutcomeUnanswered), of(score.OutcomeLost), formatMillis(g.Latency.P50),
 			formatMillis(g.Latency.P99), formatMillis(g.Latency.Max))
 	}
-	row(&r.Whole)
-	writeSome(p, r.Classes, 6, "classes", row)
-	writeSome(p, worstFirst(r.Tenants, 5), 5, "tenants", row)
+	row(&result.Whole)
+	writeSome(p, result.Classes, 6, "classes", row)
+	writeSome(p, worstFirst(result.Tenants, 5), 5, "tenants", row)
 	p.line(plain, "")
 }
 
@@ -229,14 +229,14 @@
 	return list
 }
 
-func (p *textPage) writeSeconds(r *score.Result) {
-	s := &r.Seconds
-	end := len(s.DueValue)
-	for end > 1 && s.DueValue[end-1] == 0 && s.InFlight[end-1] == 0 && s.GoodputJobs[end-1] == 0 {
+func (p *textPage) writeSeconds(result *score.Result) {
+	seconds := &result.Seconds
+	end := len(seconds.DueValue)
+	for end > 1 && seconds.DueValue[end-1] == 0 && seconds.InFlight[end-1] == 0 && seconds.GoodputJobs[end-1] == 0 {
 		end-- // nothing went on any more
 	}
 	const wide = 72
-	_, each := thinSeries(s.DueValue[:end], wide, meanOf)
+	_, each := thinSeries(seconds.DueValue[:end], wide, meanOf)
 	p.line(faint, "%-12s0 to %d s, each mark %d s", "by second", end, each)
 	line := func(name string, of score.Series, how func(score.Series) float64, top float64, unit func(float64) string) {
 		of, _ = thinSeries(of[:min(end, len(of))], wide, how)
@@ -245,19 +245,19 @@
 		}
 		p.line(plain, "%-12s%-*s  max %s", name, wide, sparkline(of, top), unit(of.Max()))
 	}
-	top := max(s.DueJobs.Max(), s.GoodputJobs.Max())
-	line("asked/s", s.DueJobs, meanOf, top, formatNumber)
-	line("in time/s", s.GoodputJobs, meanOf, top, formatNumber)
-	line("refused/s", s.Rejected, meanOf, 0, formatNumber)
-	line("in flight", s.InFlight, meanOf, 0, formatNumber)
-	line("p99", s.P99, maxOf, 0, formatMillis)
-	line("occupancy", s.Occupancy, meanOf, 1, formatPercent)
-	if len(r.Faults) > 0 {
+	top := max(seconds.DueJobs.Max(), seconds.GoodputJobs.Max())
+	line("asked/s", seconds.DueJobs, meanOf, top, formatNumber)
+	line("in time/s", seconds.GoodputJobs, meanOf, top, formatNumber)
+	line("refused/s", seconds.Rejected, meanOf, 0, formatNumber)
+	line("in flight", seconds.InFlight, meanOf, 0, formatNumber)
+	line("p99", seconds.P99, maxOf, 0, formatMillis)
+	line("occupancy", seconds.Occupancy, meanOf, 1, formatPercent)
+	if len(result.Faults) > 0 {
 		on := make([]byte, min(wide, (end+each-1)/each))
 		for i := range on {
 			on[i] = ' '
-			for k := range r.Faults {
-				if f := &r.Faults[k]; f.On < float64((i+1)*each) && (f.Off < 0 || f.Off >= float64(i*each)) {
+			for k := range result.Faults {
+				if f := &result.Faults[k]; f.On < float64((i+1)*each) && (f.Off < 0 || f.Off >= float64(i*each)) {
 					on[i] = '!'
 				}
 			}
@@ -267,8 +267,8 @@
 	p.line(plain, "")
 }
 
-func (p *textPage) writeEffort(r *score.Result) {
-	e, w := &r.Effort, &r.Waste
+func (p *textPage) writeEffort(result *score.Result) {
+	e, w := &result.Effort, &result.Waste
 	p.line(plain, "attempts    %.3f a job, %d at most; second copies %s; turned away %s, handed back %s, withdrawn %s",
 		e.PerJob, e.MaxAttempts, formatCount(e.Hedged), formatCount(e.Rejected), formatCount(e.Returned), formatCount(e.Cancelled))
 	p.line(plain, "waste       %s of work asked, in s: repeated %s, too late %s, died or failed %s; after aim %s",
@@ -276,11 +276,11 @@
 		formatNumber(e.WorkAfterObjective))
 	p.line(plain, "clients     tries %s, retries %s, refused %s; probes %s, links %s, notes %s", formatCount(e.Requests),
 		formatCount(e.Retries), formatCount(e.RequestsRejected), formatCount(e.HealthChecks), formatCount(e.Connections), formatCount(e.Callbacks))
-	p.line(plain, "fleet       occupancy %s; busiest w-%d %s, %s times the mean; pushed over %d", formatPercent(r.Fleet.Whole),
-		r.Fleet.BusiestWorker, formatPercent(r.Fleet.Busiest), formatNumber(r.Fleet.OverMean), e.Overloads)
-	if len(r.Misbehaving) > 0 {
+	p.line(plain, "fleet       occupancy %s; busiest w-%d %s, %s times the mean; pushed over %d", formatPercent(result.Fleet.Whole),
+		result.Fleet.BusiestWorker, formatPercent(result.Fleet.Busiest), formatNumber(result.Fleet.OverMean), e.Overloads)
+	if len(result.Misbehaving) > 0 {
 		var all score.MisbehavingCounts
-		for _, b := range r.Misbehaving {
+		for _, b := range result.Misbehaving {
 			all.Connected += b.Connected
 			all.Errors += b.Errors
 			all.Closed += b.Closed
@@ -291,7 +291,7 @@
 			formatCount(all.Errors), formatCount(all.Closed), formatCount(all.Served), formatCount(all.Open))
 	}
 	var used []score.Process
-	for _, proc := range r.Processes {
+	for _, proc := range result.Processes {
 		if proc.PeakMemory > 0 || proc.CPU > 0 {
 			used = append(used, proc)
 		}
@@ -300,7 +300,7 @@
 		p.line(plain, "%-12s%s cores; peak memory %s, descriptors %s", processName(x.Scheduler), formatNumber(x.Cores),
 			formatBytes(float64(x.PeakMemory)), formatCount(x.PeakFiles))
 	})
-	if l := r.Lateness; l.Count > 0 {
+	if l := result.Lateness; l.Count > 0 {
 		p.line(plain, "lab late    %s; p99.9 %s, max %s", plural(l.Count, "time", "times"), formatMillis(l.P999), formatMillis(l.Max))
 	}
 	p.line(plain, "")
--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -81,36 +81,36 @@
 
 // Check says what is wrong with a scenario: each faulty key, one to a line; nil: nothing.
 func (s *Scenario) Check() error {
-	c := &validator{}
-	c.validName("name", s.Name)
+	validator := &validator{}
+	validator.validName("name", s.Name)
 	if s.Seed < 0 {
-		c.report("seed", "expected 0 or more, got %d", s.Seed)
+		validator.report("seed", "expected 0 or more, got %d", s.Seed)
 	}
-	c.durationInRange("length", s.Length, 100*millisecond, maxLength)
-	c.durationInRange("settle", s.Settle, 0, maxLength)
+	validator.durationInRange("length", s.Length, 100*millisecond, maxLength)
+	validator.durationInRange("settle", s.Settle, 0, maxLength)
 	if len(s.Drivers) == 0 {
-		c.report("drivers", "expected one at least of %s, %s", DriverSimulation, DriverProcess)
+		validator.report("drivers", "expected one at least of %s, %s", DriverSimulation, DriverProcess)
 	}
 	for i, d := range s.Drivers {
-		c.oneOf(entryKey("drivers", i), d, DriverSimulation, DriverProcess)
+		validator.oneOf(entryKey("drivers", i), d, DriverSimulation, DriverProcess)
 	}
-	c.distinct("drivers", s.Drivers)
+	validator.distinct("drivers", s.Drivers)
 	if s.SupportsDriver(DriverProcess) && s.Fleet.Workers > MaxProcessWorkers {
-		c.report("drivers", "live ends at %d worker nodes, and fleet.nodes is %d", MaxProcessWorkers, s.Fleet.Workers)
+		validator.report("drivers", "live ends at %d worker nodes, and fleet.nodes is %d", MaxProcessWorkers, s.Fleet.Workers)
 	}
-	s.checkFleet(c)
-	s.checkClasses(c)
-	s.checkLoad(c)
-	s.checkEnvironment(c)
+	s.checkFleet(validator)
+	s.checkClasses(validator)
+	s.checkLoad(validator)
+	s.checkEnvironment(validator)
 	for i := range s.Faults {
-		s.checkFault(c, entryKey("fault", i), &s.Faults[i])
+		s.checkFault(validator, entryKey("fault", i), &s.Faults[i])
 	}
 	for i, text := range s.Expect {
 		if _, err := s.expectation(text); err != nil {
-			c.report(entryKey("expect", i), "%w", err)
+			validator.report(entryKey("expect", i), "%w", err)
 		}
 	}
-	for _, l := range []struct {
+	for _, limit := range []struct {
 		key string
 		n   int
 	}{
@@ -122,76 +122,76 @@
 		{"fleet.kind", len(s.Fleet.Kinds)},
 		{"fleet.zones", len(s.Fleet.Zones)},
 	} {
-		if l.n > maxEntries {
-			c.report(l.key, "expected %d entries at most, got %d", maxEntries, l.n)
+		if limit.n > maxEntries {
+			validator.report(limit.key, "expected %d entries at most, got %d", maxEntries, limit.n)
 		}
 	}
-	return errors.Join(c.problems...)
+	return errors.Join(validator.problems...)
 }
 
 // SupportsDriver tells whether a driver is among those of the scenario.
 func (s *Scenario) SupportsDriver(driver string) bool { return slices.Contains(s.Drivers, driver) }
 
-func (s *Scenario) checkFleet(c *validator) {
+func (s *Scenario) checkFleet(validator *validator) {
 	f := &s.Fleet
-	c.intInRange("fleet.nodes", f.Workers, 1, maxWorkers)
-	c.intInRange("fleet.cell_size", f.CellSize, 1, maxWorkers)
-	c.oneOf("fleet.weights", f.Weights, "off", "nominal", "rough")
+	validator.intInRange("fleet.nodes", f.Workers, 1, maxWorkers)
+	validator.intInRange("fleet.cell_size", f.CellSize, 1, maxWorkers)
+	validator.oneOf("fleet.weights", f.Weights, "off", "nominal", "rough")
 	if len(f.Zones) == 0 {
-		c.report("fleet.zones", "expected one at least")
+		validator.report("fleet.zones", "expected one at least")
 	}
 	for i, z := range f.Zones {
-		c.validName(entryKey("fleet.zones", i), z)
+		validator.validName(entryKey("fleet.zones", i), z)
 	}
-	c.distinct("fleet.zones", f.Zones)
+	validator.distinct("fleet.zones", f.Zones)
 	if len(f.Kinds) == 0 {
-		c.report("fleet.kind", "expected one at least")
+		validator.report("fleet.kind", "expected one at least")
 	}
 	names, sum := []string(nil), 0.0
 	for i := range f.Kinds {
-		k, key := &f.Kinds[i], entryKey("fleet.kind", i)
-		names, sum = append(names, k.Name), sum+k.Share
-		c.validName(key+".name", k.Name)
-		c.inRange(key+".share", k.Share, 0, 1)
-		c.inRange(key+".cores", k.Cores, 0.01, 1024)
-		c.inRange(key+".speed", k.Speed, 0.01, 100)
-		c.inRange(key+".spread", k.Spread, 0, 1)
-		c.intInRange(key+".slots", k.Slots, 1, 4096)
-		c.intInRange(key+".queue", k.Queue, 0, 1_000_000)
-		c.oneOf(key+".order", k.QueueOrder, "fifo", "backfill")
-		c.inRange(key+".cold_from", k.WarmUpCapacity, 0.01, 1)
-		c.oneOf(key+".warm_by", k.WarmUpBy, "time", "work")
-		c.inRange(key+".error_rate", k.ErrorRate, 0, 1)
-		c.intInRange(key+".conns", k.ConnLimit, 1, 1_000_000)
-		c.oneOf(key+".expired", k.ExpiredJobs, "run", "drop")
-		c.inRange(key+".note_early", k.CallbackEarlyShare, 0, 1)
-		c.inRange(key+".note_twice", k.CallbackTwiceShare, 0, 1)
-		c.inRange(key+".note_lost", k.CallbackLossShare, 0, 1)
-		for _, x := range []struct {
+		workerKind, key := &f.Kinds[i], entryKey("fleet.kind", i)
+		names, sum = append(names, workerKind.Name), sum+workerKind.Share
+		validator.validName(key+".name", workerKind.Name)
+		validator.inRange(key+".share", workerKind.Share, 0, 1)
+		validator.inRange(key+".cores", workerKind.Cores, 0.01, 1024)
+		validator.inRange(key+".speed", workerKind.Speed, 0.01, 100)
+		validator.inRange(key+".spread", workerKind.Spread, 0, 1)
+		validator.intInRange(key+".slots", workerKind.Slots, 1, 4096)
+		validator.intInRange(key+".queue", workerKind.Queue, 0, 1_000_000)
+		validator.oneOf(key+".order", workerKind.QueueOrder, "fifo", "backfill")
+		validator.inRange(key+".cold_from", workerKind.WarmUpCapacity, 0.01, 1)
+		validator.oneOf(key+".warm_by", workerKind.WarmUpBy, "time", "work")
+		validator.inRange(key+".error_rate", workerKind.ErrorRate, 0, 1)
+		validator.intInRange(key+".conns", workerKind.ConnLimit, 1, 1_000_000)
+		validator.oneOf(key+".expired", workerKind.ExpiredJobs, "run", "drop")
+		validator.inRange(key+".note_early", workerKind.CallbackEarlyShare, 0, 1)
+		validator.inRange(key+".note_twice", workerKind.CallbackTwiceShare, 0, 1)
+		validator.inRange(key+".note_lost", workerKind.CallbackLossShare, 0, 1)
+		for _, entry := range []struct {
 			key string
 			s   Duration
 		}{
-			{"cold", k.WarmUp},
-			{"pause_every", k.PauseEvery},
-			{"pause", k.Pause},
-			{"handshake", k.Handshake},
-			{"idle", k.ConnIdleTimeout},
-			{"progress", k.ProgressInterval},
-			{"probe_work", k.HealthCheckWork},
-			{"accept", k.Accept},
-			{"note_late", k.CallbackDelay},
+			{"cold", workerKind.WarmUp},
+			{"pause_every", workerKind.PauseEvery},
+			{"pause", workerKind.Pause},
+			{"handshake", workerKind.Handshake},
+			{"idle", workerKind.ConnIdleTimeout},
+			{"progress", workerKind.ProgressInterval},
+			{"probe_work", workerKind.HealthCheckWork},
+			{"accept", workerKind.Accept},
+			{"note_late", workerKind.CallbackDelay},
 		} {
-			c.durationInRange(key+"."+x.key, x.s, 0, maxDuration)
+			validator.durationInRange(key+"."+entry.key, entry.s, 0, maxDuration)
 		}
-		if k.PauseEvery > 0 && k.Pause == 0 {
-			c.report(key+".pause", "expected more than 0s, as pause_every is %v", k.PauseEvery)
+		if workerKind.PauseEvery > 0 && workerKind.Pause == 0 {
+			validator.report(key+".pause", "expected more than 0s, as pause_every is %v", workerKind.PauseEvery)
 		}
-		if k.ProgressInterval > 0 {
-			c.durationInRange(key+".progress", k.ProgressInterval, 10*millisecond, maxDuration)
+		if workerKind.ProgressInterval > 0 {
+			validator.durationInRange(key+".progress", workerKind.ProgressInterval, 10*millisecond, maxDuration)
 		}
 	}
-	c.distinct("fleet.kind", names)
-	c.sumsToOne("fleet.kind", sum)
+	validator.distinct("fleet.kind", names)
+	validator.sumsToOne("fleet.kind", sum)
 }
 
 func (s *Scenario) checkClasses(c *validator) {
@@ -200,42 +200,42 @@
 	}
 	names, sum := []string(nil), 0.0
 	for i := range s.Classes {
-		x, key := &s.Classes[i], entryKey("class", i)
-		names, sum = append(names, x.Name), sum+x.Share
-		c.validName(key+".name", x.Name)
-		c.inRange(key+".share", x.Share, 0, 1)
-		c.durationInRange(key+".work", x.Work, microsecond, Duration(time.Hour))
-		c.oneOf(key+".dist", x.Distribution, "fixed", "exp", "lognormal", "pareto")
-		if x.Distribution == "lognormal" || x.Distribution == "pareto" {
-			c.inRange(key+".cv", x.CV, 0.01, 100)
+		class, key := &s.Classes[i], entryKey("class", i)
+		names, sum = append(names, class.Name), sum+class.Share
+		c.validName(key+".name", class.Name)
+		c.inRange(key+".share", class.Share, 0, 1)
+		c.durationInRange(key+".work", class.Work, microsecond, Duration(time.Hour))
+		c.oneOf(key+".dist", class.Distribution, "fixed", "exp", "lognormal", "pareto")
+		if class.Distribution == "lognormal" || class.Distribution == "pareto" {
+			c.inRange(key+".cv", class.CV, 0.01, 100)
 		}
-		c.inRange(key+".noise", x.Noise, 0, 10)
-		if n := len(x.Slots); n < 1 || n > 4 {
+		c.inRange(key+".noise", class.Noise, 0, 10)
+		if n := len(class.Slots); n < 1 || n > 4 {
 			c.report(key+".slots", "expected one to four shares, of jobs that take 1, 2, 4 and 8 slots, got %d", n)
 		}
 		slots, most := 0.0, 0
-		for j, share := range x.Slots {
+		for j, share := range class.Slots {
 			c.inRange(entryKey(key+".slots", j), share, 0, 1)
 			if slots += share; share > 0 {
 				most = 1 << min(j, 8)
 			}
 		}
 		c.sumsToOne(key+".slots", slots)
-		c.durationInRange(key+".aim", x.LatencyObjective, 0, maxDuration)
-		c.inRange(key+".stretch", x.ObjectiveStretch, 0, 1000)
-		c.durationInRange(key+".deadline", x.Deadline, 10*millisecond, Duration(time.Hour))
-		c.inRange(key+".worth", x.PriorityWeight, 0, 1e6)
-		c.oneOf(key+".effect", x.Idempotency, "safe", "keyed", "unsafe")
-		c.oneOf(key+".group", x.DeduplicationScope, "cell", "zone", "all")
-		c.durationInRange(key+".window", x.DeduplicationWindow, millisecond, maxDuration)
-		fits, known := false, x.Kind == ""
+		c.durationInRange(key+".aim", class.LatencyObjective, 0, maxDuration)
+		c.inRange(key+".stretch", class.ObjectiveStretch, 0, 1000)
+		c.durationInRange(key+".deadline", class.Deadline, 10*millisecond, Duration(time.Hour))
+		c.inRange(key+".worth", class.PriorityWeight, 0, 1e6)
+		c.oneOf(key+".effect", class.Idempotency, "safe", "keyed", "unsafe")
+		c.oneOf(key+".group", class.DeduplicationScope, "cell", "zone", "all")
+		c.durationInRange(key+".window", class.DeduplicationWindow, millisecond, maxDuration)
+		fits, known := false, class.Kind == ""
 		for k := range s.Fleet.Kinds {
-			if kind := &s.Fleet.Kinds[k]; x.Kind == "" || x.Kind == kind.Name {
+			if kind := &s.Fleet.Kinds[k]; class.Kind == "" || class.Kind == kind.Name {
 				known, fits = true, fits || kind.Slots >= most
 			}
 		}
 		if !known {
-			c.report(key+".kind", "%q is no kind of worker node here", x.Kind)
+			c.report(key+".kind", "%q is no kind of worker node here", class.Kind)
 		} else if !fits {
 			c.report(key+".slots", "a job of %d slots fits no worker node that may run it", most)
 		}
@@ -262,49 +262,49 @@
 	}
 }
 
-func (s *Scenario) checkLoad(c *validator) {
-	l := &s.Load
+func (s *Scenario) checkLoad(validator *validator) {
+	load := &s.Load
 	given := 0
 	for _, x := range []struct {
 		key         string
 		value, most float64
-	}{{"load.of", l.CapacityShare, 100}, {"load.rate", l.Rate, maxRate}, {"load.closed", float64(l.ClosedClients), maxClosedClients}} {
-		if c.inRange(x.key, x.value, 0, x.most); x.value > 0 {
+	}{{"load.of", load.CapacityShare, 100}, {"load.rate", load.Rate, maxRate}, {"load.closed", float64(load.ClosedClients), maxClosedClients}} {
+		if validator.inRange(x.key, x.value, 0, x.most); x.value > 0 {
 			given++
 		}
 	}
 	if given != 1 {
-		c.report("load", "expected one of load.of, load.rate and load.closed above 0, got %d", given)
-	}
-	c.oneOf("load.shape", l.Shape, "steady", "bursty", "swell", "month_start")
-	c.inRange("load.swing", l.Swing, 0, 1)
-	c.oneOf("load.hints", l.Hints, "none", "exact", "rough", "wrong")
-	c.inRange("load.hint_factor", l.HintFactor, 0, 1000)
-	if l.Hints == "wrong" {
-		c.inRange("load.hint_factor", l.HintFactor, 0.001, 1000)
-	}
-	c.inRange("load.over_worth", l.OverQuotaWeight, 0, 1)
-	c.inRange("load.quota", l.Quota, 0.001, 100)
-	c.intInRange("clients.retries", s.Clients.Retries, 0, 100)
-	c.durationInRange("clients.backoff", s.Clients.Backoff, 0, maxDuration)
-	c.inRange("clients.honour", s.Clients.HonourRetryAfter, 0, 1)
-	c.inRange("clients.impatient", s.Clients.Impatient, 0, 1)
-	c.inRange("clients.try_share", s.Clients.RequestTimeoutShare, 0.01, 1)
+		validator.report("load", "expected one of load.of, load.rate and load.closed above 0, got %d", given)
+	}
+	validator.oneOf("load.shape", load.Shape, "steady", "bursty", "swell", "month_start")
+	validator.inRange("load.swing", load.Swing, 0, 1)
+	validator.oneOf("load.hints", load.Hints, "none", "exact", "rough", "wrong")
+	validator.inRange("load.hint_factor", load.HintFactor, 0, 1000)
+	if load.Hints == "wrong" {
+		validator.inRange("load.hint_factor", load.HintFactor, 0.001, 1000)
+	}
+	validator.inRange("load.over_worth", load.OverQuotaWeight, 0, 1)
+	validator.inRange("load.quota", load.Quota, 0.001, 100)
+	validator.intInRange("clients.retries", s.Clients.Retries, 0, 100)
+	validator.durationInRange("clients.backoff", s.Clients.Backoff, 0, maxDuration)
+	validator.inRange("clients.honour", s.Clients.HonourRetryAfter, 0, 1)
+	validator.inRange("clients.impatient", s.Clients.Impatient, 0, 1)
+	validator.inRange("clients.try_share", s.Clients.RequestTimeoutShare, 0.01, 1)
 	for i := range s.Misbehaving {
 		b, key := &s.Misbehaving[i], entryKey("bad", i)
-		c.oneOf(key+".kind", b.Kind, MisbehaviorKinds...)
-		c.inRange(key+".rate", b.Rate, 0.001, 100_000)
-		c.durationInRange(key+".at", b.At, 0, s.Length-1)
-		c.durationInRange(key+".for", b.Duration, 0, maxDuration)
+		validator.oneOf(key+".kind", b.Kind, MisbehaviorKinds...)
+		validator.inRange(key+".rate", b.Rate, 0.001, 100_000)
+		validator.durationInRange(key+".at", b.At, 0, s.Length-1)
+		validator.durationInRange(key+".for", b.Duration, 0, maxDuration)
 		if !s.SupportsDriver(DriverProcess) {
-			c.report(key, "bad clients are live only, and live is not among drivers")
+			validator.report(key, "bad clients are live only, and live is not among drivers")
 		}
 	}
 }
 
-func (s *Scenario) checkEnvironment(c *validator) {
-	n, d, p, r := &s.Network, &s.Discovery, &s.Schedulers, &s.Rules
-	for _, x := range []struct {
+func (s *Scenario) checkEnvironment(validator *validator) {
+	n, d, p, rules := &s.Network, &s.Discovery, &s.Schedulers, &s.Rules
+	for _, entry := range []struct {
 		key       string
 		s         Duration
 		low, high Duration
@@ -324,36 +324,36 @@
 		{"schedulers.conn_idle", p.ConnIdleTimeout, 0, maxDuration},
 		{"schedulers.conn_timeout", p.ConnTimeout, millisecond, maxDuration},
 		{"schedulers.start_over", p.StartSpread, 0, s.Length},
-		{"rules.slack", r.Slack, 0, maxDuration},
-		{"rules.drain_grace", r.DrainGrace, millisecond, maxDuration},
-		{"rules.ask_every", r.PollInterval, millisecond, maxDuration},
-		{"rules.fall", r.OverloadWindow, millisecond, maxDuration},
-		{"rules.bad_answered", r.MisbehaviorDeadline, millisecond, maxDuration},
-		{"rules.give_up_within", r.RejectionDeadline, millisecond, maxDuration},
+		{"rules.slack", rules.Slack, 0, maxDuration},
+		{"rules.drain_grace", rules.DrainGrace, millisecond, maxDuration},
+		{"rules.ask_every", rules.PollInterval, millisecond, maxDuration},
+		{"rules.fall", rules.OverloadWindow, millisecond, maxDuration},
+		{"rules.bad_answered", rules.MisbehaviorDeadline, millisecond, maxDuration},
+		{"rules.give_up_within", rules.RejectionDeadline, millisecond, maxDuration},
 	} {
-		c.durationInRange(x.key, x.s, x.low, x.high)
-	}
-	c.inRange("net.jitter", n.Jitter, 0, 10)
-	c.inRange("discovery.capacity", d.Capacity, 0, 1e9)
-	c.intInRange("schedulers.count", p.Count, 1, maxSchedulers)
-	c.intInRange("planners.count", s.Planners.Count, 0, maxPlanners)
-	c.intInRange("planners.idle", s.Planners.Idle, 0, s.Planners.Count)
-	c.durationInRange("planners.drops", s.Planners.Drops, 0, maxDuration)
+		validator.durationInRange(entry.key, entry.s, entry.low, entry.high)
+	}
+	validator.inRange("net.jitter", n.Jitter, 0, 10)
+	validator.inRange("discovery.capacity", d.Capacity, 0, 1e9)
+	validator.intInRange("schedulers.count", p.Count, 1, maxSchedulers)
+	validator.intInRange("planners.count", s.Planners.Count, 0, maxPlanners)
+	validator.intInRange("planners.idle", s.Planners.Idle, 0, s.Planners.Count)
+	validator.durationInRange("planners.drops", s.Planners.Drops, 0, maxDuration)
 	if s.Planners.Count > 0 && s.SupportsDriver(DriverProcess) {
-		c.report("drivers", "planners are virtual only, and live is among the drivers")
+		validator.report("drivers", "planners are virtual only, and live is among the drivers")
 	}
-	c.inRange("schedulers.cores", p.Cores, 0.01, 64)
-	c.intInRange("schedulers.memory_mb", p.MemoryMB, 16, 65536)
-	c.intInRange("schedulers.sockets", p.Sockets, 64, 1<<20)
-	c.intInRange("schedulers.try_limit", p.AttemptLimit, 1, 100)
+	validator.inRange("schedulers.cores", p.Cores, 0.01, 64)
+	validator.intInRange("schedulers.memory_mb", p.MemoryMB, 16, 65536)
+	validator.intInRange("schedulers.sockets", p.Sockets, 64, 1<<20)
+	validator.intInRange("schedulers.try_limit", p.AttemptLimit, 1, 100)
 	if _, err := config.DecodeOps(p.OperationsFile); err != nil {
-		c.report("schedulers.ops", "%w", err)
+		validator.report("schedulers.ops", "%w", err)
 	}
-	c.inRange("rules.fall_factor", r.OverloadFactor, 1, 1000)
+	validator.inRange("rules.fall_factor", rules.OverloadFactor, 1, 1000)
 }
 
 func (s *Scenario) checkFault(c *validator, key string, f *Fault) {
-	to, ok := FaultKinds[f.Kind]
+	end, ok := FaultKinds[f.Kind]
 	if !ok {
 		c.report(key+".what", "%q is none of the faults: %s", f.Kind,
 			strings.Join(slices.Sorted(maps.Keys(FaultKinds)), ", "))
@@ -365,7 +365,7 @@
 		c.report(key+".at", "%v is outside the play, which is %v long", f.At, s.Length)
 	case f.Spread < 0 || f.At+f.Spread > s.Length:
 		c.report(key+".spread", "%v reaches outside the play, which is %v long", f.Spread, s.Length)
-	case f.Spread > 0 && (to != "node" && to != "sched" && to != "planner" || f.Kind == "half_open"):
+	case f.Spread > 0 && (end != "node" && end != "sched" && end != "planner" || f.Kind == "half_open"):
 		c.report(key+".spread", "%s strikes all at once", f.Kind)
 	}
 	c.durationInRange(key+".for", f.Duration, 0, maxDuration)
@@ -391,13 +391,13 @@
 	if f.Kind == "disco_slow" && s.Discovery.Capacity == 0 {
 		c.report(key+".what", "discovery.capacity is 0, without limit: there is nothing to slow")
 	}
-	nodes, scheds := to == "node" || rule.takesNodes, to == "sched"
-	if (to == "planner" || to == "planners") && s.Planners.Count == 0 {
+	nodes, scheds := end == "node" || rule.takesNodes, end == "sched"
+	if (end == "planner" || end == "planners") && s.Planners.Count == 0 {
 		c.report(key+".what", "there are no planners")
 	}
-	if to == "net" || to == "planners" {
+	if end == "net" || end == "planners" {
 		some := networkPairs
-		if to == "planners" {
+		if end == "planners" {
 			some = plannerNetworkPairs
 		}
 		if !slices.ContainsFunc(some, func(p [2]string) bool {
@@ -413,8 +413,8 @@
 	} else if f.Between != "" || f.And != "" {
 		c.report(key+".between", "%s is not done to the network between two crowds", f.Kind)
 	}
-	s.checkTarget(c, key+".on", f, nodes, scheds, to == "planner" || f.Between == "planners" || f.And == "planners",
-		to == "clients" && f.Kind == "burst")
+	s.checkTarget(c, key+".on", f, nodes, scheds, end == "planner" || f.Between == "planners" || f.And == "planners",
+		end == "clients" && f.Kind == "burst")
 }
 
 // checkTarget refuses what a target can't name, and what matches nothing.
--- a/internal/testbed/scenario/defaults.go
+++ b/internal/testbed/scenario/defaults.go
@@ -17,7 +17,7 @@
 
 // Default is a calm play of the co-operative's deployment as it is today.
 func Default() *Scenario {
-	s := &Scenario{
+	spec := &Scenario{
 		Length:  20 * second,
 		Drivers: []string{DriverSimulation, DriverProcess},
 		Fleet:   Fleet{Workers: 10, Zones: []string{"a"}, CellSize: 4, Weights: "rough", Kinds: defaultWorkerKinds()},
@@ -66,8 +66,8 @@
 			RejectionDeadline: 250 * millisecond,
 		},
 	}
-	s.applyDerivedDefaults(func(string) bool { return false })
-	return s
+	spec.applyDerivedDefaults(func(string) bool { return false })
+	return spec
 }
 
 func defaultWorkerKinds() []WorkerKind {
--- a/internal/testbed/scenario/encode.go
+++ b/internal/testbed/scenario/encode.go
@@ -24,28 +24,28 @@
 func (e *encoder) table(under string, t, base reflect.Value) {
 	for _, nested := range []bool{false, true} {
 		for i := range t.NumField() {
-			v, b, name := t.Field(i), base.Field(i), t.Type().Field(i).Tag.Get("toml")
+			value, b, name := t.Field(i), base.Field(i), t.Type().Field(i).Tag.Get("toml")
 			key := name
 			if under != "" {
 				key = under + "." + name
 			}
-			tables := v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct
-			same := key != "name" && reflect.DeepEqual(v.Interface(), b.Interface())
-			if same || nested != (tables || v.Kind() == reflect.Struct) {
+			tables := value.Kind() == reflect.Slice && value.Type().Elem().Kind() == reflect.Struct
+			same := key != "name" && reflect.DeepEqual(value.Interface(), b.Interface())
+			if same || nested != (tables || value.Kind() == reflect.Struct) {
 				continue
 			}
 			switch {
 			case tables:
-				for j := range v.Len() {
+				for j := range value.Len() {
 					fmt.Fprintf(&e.text, "\n[[%s]]\n", key)
-					e.table(key, v.Index(j), entryBase(v.Index(j)))
+					e.table(key, value.Index(j), entryBase(value.Index(j)))
 				}
 			case nested:
 				fmt.Fprintf(&e.text, "\n[%s]\n", key)
-				e.table(key, v, b)
+				e.table(key, value, b)
 			default:
 				fmt.Fprintf(&e.text, "%s = ", name)
-				e.value(v)
+				e.value(value)
 				e.text.WriteByte('\n')
 			}
 		}
@@ -64,31 +64,31 @@
 	return base
 }
 
-func (e *encoder) value(v reflect.Value) {
-	if s, ok := v.Interface().(Duration); ok {
+func (e *encoder) value(value reflect.Value) {
+	if s, ok := value.Interface().(Duration); ok {
 		e.quoted(s.String())
 		return
 	}
-	switch v.Kind() {
+	switch value.Kind() {
 	case reflect.String:
-		e.quoted(v.String())
+		e.quoted(value.String())
 	case reflect.Bool:
-		e.text.WriteString(strconv.FormatBool(v.Bool()))
+		e.text.WriteString(strconv.FormatBool(value.Bool()))
 	case reflect.Int:
-		e.text.WriteString(strconv.FormatInt(v.Int(), 10))
+		e.text.WriteString(strconv.FormatInt(value.Int(), 10))
 	case reflect.Float64:
-		e.text.WriteString(strconv.FormatFloat(v.Float(), 'g', -1, 64))
+		e.text.WriteString(strconv.FormatFloat(value.Float(), 'g', -1, 64))
 	case reflect.Slice:
 		e.text.WriteByte('[')
-		for i := range v.Len() {
+		for i := range value.Len() {
 			if i > 0 {
 				e.text.WriteString(", ")
 			}
-			e.value(v.Index(i))
+			e.value(value.Index(i))
 		}
 		e.text.WriteByte(']')
 	default:
-		panic("scenario: no TOML for " + v.Type().String())
+		panic("scenario: no TOML for " + value.Type().String())
 	}
 }
 
--- a/internal/testbed/scenario/expect.go
+++ b/internal/testbed/scenario/expect.go
@@ -50,18 +50,18 @@
 }
 
 // IsMet tells whether a figure is as expected. One that could not be had (NaN) is not.
-func (e Expectation) IsMet(x float64) bool {
+func (e Expectation) IsMet(value float64) bool {
 	switch e.Operator {
 	case ">=":
-		return x >= e.Bound
+		return value >= e.Bound
 	case "<=":
-		return x <= e.Bound
+		return value <= e.Bound
 	case ">":
-		return x > e.Bound
+		return value > e.Bound
 	case "<":
-		return x < e.Bound
+		return value < e.Bound
 	}
-	return x == e.Bound
+	return value == e.Bound
 }
 
 func (e Expectation) String() string {
@@ -101,51 +101,51 @@
 // ParseExpectation reads what is written as in "in_time[account-credit] >= 0.9" or "recovered_within <= 5s".
 // "recovered_within = 5s" says the latter too.
 func ParseExpectation(text string) (Expectation, error) {
-	var e Expectation
+	var expectation Expectation
 	i := strings.IndexAny(text, "<>=")
 	if i < 0 {
-		return e, fmt.Errorf("expected a figure, one of >= <= > < =, and a bound, got %q", text)
+		return expectation, fmt.Errorf("expected a figure, one of >= <= > < =, and a bound, got %q", text)
 	}
-	e.Metric, e.Operator = strings.TrimSpace(text[:i]), text[i:i+1]
+	expectation.Metric, expectation.Operator = strings.TrimSpace(text[:i]), text[i:i+1]
 	bound := text[i+1:]
 	if rest, ok := strings.CutPrefix(bound, "="); ok {
 		bound = rest
-		if e.Operator += "="; e.Operator == "==" {
-			e.Operator = "="
+		if expectation.Operator += "="; expectation.Operator == "==" {
+			expectation.Operator = "="
 		}
 	}
 	bound = strings.TrimSpace(bound)
-	if name, of, ok := strings.Cut(e.Metric, "["); ok {
+	if name, of, ok := strings.Cut(expectation.Metric, "["); ok {
 		if of, ok = strings.CutSuffix(of, "]"); !ok || strings.TrimSpace(of) == "" {
-			return e, fmt.Errorf("expected a class or tenant in brackets, got %q", text)
+			return expectation, fmt.Errorf("expected a class or tenant in brackets, got %q", text)
 		}
-		e.Metric, e.Group = strings.TrimSpace(name), strings.TrimSpace(of)
+		expectation.Metric, expectation.Group = strings.TrimSpace(name), strings.TrimSpace(of)
 	}
-	n := slices.IndexFunc(Metrics, func(f Metric) bool { return f.Name == e.Metric })
+	n := slices.IndexFunc(Metrics, func(f Metric) bool { return f.Name == expectation.Metric })
 	if n < 0 {
 		names := make([]string, len(Metrics))
 		for i, f := range Metrics {
 			names[i] = f.Name
 		}
-		return e, fmt.Errorf("%q is none of the figures: %s", e.Metric, strings.Join(names, ", "))
+		return expectation, fmt.Errorf("%q is none of the figures: %s", expectation.Metric, strings.Join(names, ", "))
 	}
 	f := Metrics[n]
-	if e.Group != "" && !f.Parts {
-		return e, fmt.Errorf("%s is of the whole play, not of %q", e.Metric, e.Group)
+	if expectation.Group != "" && !f.Parts {
+		return expectation, fmt.Errorf("%s is of the whole play, not of %q", expectation.Metric, expectation.Group)
 	}
 	var err error
-	if e.Bound, err = strconv.ParseFloat(bound, 64); err != nil {
+	if expectation.Bound, err = strconv.ParseFloat(bound, 64); err != nil {
 		d, spanErr := time.ParseDuration(bound)
 		if spanErr != nil || !f.Time {
-			return e, fmt.Errorf("expected a number after %s, got %q", e.Operator, bound)
+			return expectation, fmt.Errorf("expected a number after %s, got %q", expectation.Operator, bound)
 		}
-		e.Bound = float64(d) / float64(f.Unit)
+		expectation.Bound = float64(d) / float64(f.Unit)
 	}
-	if math.IsNaN(e.Bound) || math.IsInf(e.Bound, 0) || e.Bound < 0 || f.Share && e.Bound > 1 {
-		return e, fmt.Errorf("%s never comes to %q", e.Metric, bound)
+	if math.IsNaN(expectation.Bound) || math.IsInf(expectation.Bound, 0) || expectation.Bound < 0 || f.Share && expectation.Bound > 1 {
+		return expectation, fmt.Errorf("%s never comes to %q", expectation.Metric, bound)
 	}
-	if e.Operator == "=" && f.Name == "recovered_within" {
-		e.Operator = "<="
+	if expectation.Operator == "=" && f.Name == "recovered_within" {
+		expectation.Operator = "<="
 	}
-	return e, nil
+	return expectation, nil
 }
--- a/internal/testbed/scenario/read.go
+++ b/internal/testbed/scenario/read.go
@@ -82,23 +82,23 @@
 		return fmt.Errorf("key %q: expected a value as TOML has it, got %q", key, value)
 	}
 	next := s.Clone()
-	at, path := reflect.ValueOf(next).Elem(), key
+	target, path := reflect.ValueOf(next).Elem(), key
 	for path != "" {
 		head, rest, _ := strings.Cut(path, ".")
 		name, index, indexed := strings.Cut(head, "[")
-		field, ok := fieldOf(at, name)
+		field, ok := fieldOf(target, name)
 		if !ok {
 			return fmt.Errorf("key %q: there is no such key", key)
 		}
-		at, path = field, rest
+		target, path = field, rest
 		if indexed {
 			i, err := strconv.Atoi(strings.TrimSuffix(index, "]"))
-			if err != nil || at.Kind() != reflect.Slice || i < 0 || i >= at.Len() {
+			if err != nil || target.Kind() != reflect.Slice || i < 0 || i >= target.Len() {
 				return fmt.Errorf("key %q: there is no entry [%s", key, index)
 			}
-			at = at.Index(i)
+			target = target.Index(i)
 		}
-		if path != "" && at.Kind() != reflect.Struct {
+		if path != "" && target.Kind() != reflect.Struct {
 			return fmt.Errorf("key %q: there is no such key", key)
 		}
 	}
@@ -111,7 +111,7 @@
 		next.Load.CapacityShare, next.Load.Rate = 0, 0
 	}
 	r := reader{given: map[string]bool{}}
-	r.value(key, table["value"], at)
+	r.value(key, table["value"], target)
 	if len(r.problems) > 0 {
 		return errors.Join(r.problems...)
 	}
@@ -129,23 +129,23 @@
 	return c
 }
 
-func clone(to, from reflect.Value) {
-	switch from.Kind() {
+func clone(target, source reflect.Value) {
+	switch source.Kind() {
 	case reflect.Struct:
-		for i := range from.NumField() {
-			clone(to.Field(i), from.Field(i))
+		for i := range source.NumField() {
+			clone(target.Field(i), source.Field(i))
 		}
 	case reflect.Slice:
-		if from.IsNil() {
-			to.SetZero()
+		if source.IsNil() {
+			target.SetZero()
 			return
 		}
-		to.Set(reflect.MakeSlice(from.Type(), from.Len(), from.Len()))
-		for i := range from.Len() {
-			clone(to.Index(i), from.Index(i))
+		target.Set(reflect.MakeSlice(source.Type(), source.Len(), source.Len()))
+		for i := range source.Len() {
+			clone(target.Index(i), source.Index(i))
 		}
 	default:
-		to.Set(from)
+		target.Set(source)
 	}
 }
 
@@ -213,7 +213,7 @@
 	}
 }
 
-func (r *reader) table(key string, v any, to reflect.Value) {
+func (r *reader) table(key string, v any, target reflect.Value) {
 	table, ok := v.(map[string]any)
 	if !ok {
 		r.report(key, "expected a table, got %s", describeValue(v))
@@ -229,16 +229,16 @@
 		if key != "" {
 			at = key + "." + name
 		}
-		field, ok := fieldOf(to, name)
+		field, ok := fieldOf(target, name)
 		if !ok {
-			r.report(at, "there is no such key; those here are %s", strings.Join(keysOf(to.Type()), ", "))
+			r.report(at, "there is no such key; those here are %s", strings.Join(keysOf(target.Type()), ", "))
 			continue
 		}
 		r.value(at, table[name], field)
 	}
 }
 
-func (r *reader) list(key string, v any, to reflect.Value) {
+func (r *reader) list(key string, v any, target reflect.Value) {
 	var entries []any
 	switch l := v.(type) {
 	case []any:
@@ -251,14 +251,14 @@
 		r.report(key, "expected a list, got %s", describeValue(v))
 		return
 	}
-	to.SetZero()
+	target.SetZero()
 	if len(entries) == 0 {
 		return
 	}
-	to.Set(reflect.MakeSlice(to.Type(), len(entries), len(entries)))
+	target.Set(reflect.MakeSlice(target.Type(), len(entries), len(entries)))
 	for i, e := range entries {
-		to.Index(i).Set(plain(to.Type().Elem()))
-		r.value(fmt.Sprintf("%s[%d]", key, i), e, to.Index(i))
+		target.Index(i).Set(plain(target.Type().Elem()))
+		r.value(fmt.Sprintf("%s[%d]", key, i), e, target.Index(i))
 	}
 }
 
--- a/internal/testbed/score/check.go
+++ b/internal/testbed/score/check.go
@@ -59,40 +59,40 @@
 		}
 		return r.Recovery.Seconds, ""
 	}
-	g, tenant := r.group(of)
+	group, tenant := r.group(of)
 	switch {
-	case g == nil:
+	case group == nil:
 		return math.NaN(), "no class or tenant " + of
-	case g.Due == 0:
+	case group.Due == 0:
 		return math.NaN(), "no job was due"
 	}
 	switch figure {
 	case "in_time":
 		if tenant {
-			if g.RequestedWithinQuota <= 0 {
+			if group.RequestedWithinQuota <= 0 {
 				return math.NaN(), "no job within its share was due"
 			}
-			return g.EarnedShareWithinQuota, ""
+			return group.EarnedShareWithinQuota, ""
 		}
-		return g.EarnedShare, ""
+		return group.EarnedShare, ""
 	case "served":
-		return g.Shares.Served, ""
+		return group.Shares.Served, ""
 	case "refused":
-		return g.Shares.Rejected, ""
+		return group.Shares.Rejected, ""
 	case "failed":
-		return g.Shares.Failed, ""
+		return group.Shares.Failed, ""
 	case "lost":
-		return g.Shares.Lost, ""
+		return group.Shares.Lost, ""
 	case "unanswered":
-		return g.Shares.Unanswered, ""
+		return group.Shares.Unanswered, ""
 	case "p50_ms", "p99_ms":
-		if g.Latency.Count == 0 {
+		if group.Latency.Count == 0 {
 			return math.NaN(), "no job was served"
 		}
 		if figure == "p50_ms" {
-			return g.Latency.P50, ""
+			return group.Latency.P50, ""
 		}
-		return g.Latency.P99, ""
+		return group.Latency.P99, ""
 	}
 	return math.NaN(), "no figure " + figure
 }
--- a/internal/testbed/score/process.go
+++ b/internal/testbed/score/process.go
@@ -42,33 +42,33 @@
 	return &s.processFigures[i]
 }
 
-func (s *Score) processEvent(x *trace.Event) {
-	p := s.processOf(x.Scheduler)
-	switch x.Kind {
+func (s *Score) processEvent(event *trace.Event) {
+	process := s.processOf(event.Scheduler)
+	switch event.Kind {
 	case trace.SchedulerStarted:
-		if p.Starts++; p.Starts > 1 {
-			s.markScheduler(x.Scheduler, "up again")
+		if process.Starts++; process.Starts > 1 {
+			s.markScheduler(event.Scheduler, "up again")
 		}
-		p.cpu, p.sampledAt = 0, s.now
+		process.cpu, process.sampledAt = 0, s.now
 	case trace.SchedulerKilled:
-		p.Kills++
-		s.markScheduler(x.Scheduler, "killed")
+		process.Kills++
+		s.markScheduler(event.Scheduler, "killed")
 	case trace.SchedulerTerminated:
-		p.Terms++
-		s.markScheduler(x.Scheduler, "told to end")
+		process.Terms++
+		s.markScheduler(event.Scheduler, "told to end")
 	case trace.SchedulerFrozen:
-		p.Freezes++
-		s.markScheduler(x.Scheduler, "frozen")
+		process.Freezes++
+		s.markScheduler(event.Scheduler, "frozen")
 	case trace.SchedulerResumed:
-		s.markScheduler(x.Scheduler, "resumed")
+		s.markScheduler(event.Scheduler, "resumed")
 	case trace.SchedulerReloaded:
-		p.Reloads++
-		s.markScheduler(x.Scheduler, "told to reload")
+		process.Reloads++
+		s.markScheduler(event.Scheduler, "told to reload")
 	case trace.SchedulerExited:
-		p.Exits++
-		s.markScheduler(x.Scheduler, "ended with "+strconv.Itoa(x.Status))
+		process.Exits++
+		s.markScheduler(event.Scheduler, "ended with "+strconv.Itoa(event.Status))
 	case trace.ResourceUsage:
-		p.recordUsage(s.now, x)
+		process.recordUsage(s.now, event)
 	}
 }
 
@@ -77,13 +77,13 @@
 }
 
 // recordUsage takes in figures of the process. Its CPU is spread evenly over the time since the last ones.
-func (p *process) recordUsage(now time.Duration, x *trace.Event) {
-	p.PeakMemory, p.PeakFiles = max(p.PeakMemory, x.Memory), max(p.PeakFiles, x.OpenFiles)
+func (p *process) recordUsage(now time.Duration, event *trace.Event) {
+	p.PeakMemory, p.PeakFiles = max(p.PeakMemory, event.Memory), max(p.PeakFiles, event.OpenFiles)
 	last := secondOf(now)
 	p.CPUBySecond, p.MemoryBySecond, p.FilesBySecond = growTo(p.CPUBySecond, last), growTo(p.MemoryBySecond, last), growTo(p.FilesBySecond, last)
-	p.MemoryBySecond[last] = max(p.MemoryBySecond[last], float64(x.Memory))
-	p.FilesBySecond[last] = max(p.FilesBySecond[last], float64(x.OpenFiles))
-	spent := (x.CPU - p.cpu).Seconds()
+	p.MemoryBySecond[last] = max(p.MemoryBySecond[last], float64(event.Memory))
+	p.FilesBySecond[last] = max(p.FilesBySecond[last], float64(event.OpenFiles))
+	spent := (event.CPU - p.cpu).Seconds()
 	if spent > 0 {
 		p.CPU += spent
 		if now <= p.sampledAt {
@@ -99,7 +99,7 @@
 			at = end
 		}
 	}
-	p.cpu, p.sampledAt = x.CPU, now
+	p.cpu, p.sampledAt = event.CPU, now
 }
 
 func (s *Score) processes() []Process {
--- a/internal/testbed/score/recover.go
+++ b/internal/testbed/score/recover.go
@@ -47,28 +47,28 @@
 	faults = slices.Clone(faults)
 	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.On, b.On) })
 	seconds := min(len(asked), int(math.Ceil(length)))
-	r := ratios{asked[:seconds], earned[:seconds], length}
+	ratios := ratios{asked[:seconds], earned[:seconds], length}
 	out := []Disturbance{}
 	for i := 0; i < len(faults); {
 		if faults[i].On >= length {
 			break
 		}
-		d := Disturbance{From: faults[i].On, To: faults[i].On}
-		d.Before = r.before(d.From, out)
+		disturbance := Disturbance{From: faults[i].On, To: faults[i].On}
+		disturbance.Before = ratios.before(disturbance.From, out)
 		for next := length; ; next = length {
-			for ; i < len(faults) && (faults[i].On <= d.To || len(d.Faults) == 0); i++ {
-				d.join(faults[i], length)
+			for ; i < len(faults) && (faults[i].On <= disturbance.To || len(disturbance.Faults) == 0); i++ {
+				disturbance.join(faults[i], length)
 			}
 			if i < len(faults) {
 				next = min(next, faults[i].On)
 			}
-			if r.measure(&d, next); d.Recovered || i == len(faults) || faults[i].On >= length {
+			if ratios.measure(&disturbance, next); disturbance.Recovered || i == len(faults) || faults[i].On >= length {
 				break
 			}
-			d.join(faults[i], length) // the last is not over
+			disturbance.join(faults[i], length) // the last is not over
 			i++
 		}
-		out = append(out, d)
+		out = append(out, disturbance)
 	}
 	return out
 }
@@ -111,26 +111,26 @@
 }
 
 // measure finds the dip that d made before limit, and when it was over.
-func (r ratios) measure(d *Disturbance, limit float64) {
+func (r ratios) measure(disturbance *Disturbance, limit float64) {
 	end := min(int(limit), len(r.asked))
 	if limit >= r.length {
 		end = len(r.asked)
 	}
 	down := func(t int) (x float64, yes, ok bool) {
 		x, ok = r.between(t, min(t+smoothingSeconds, end))
-		return x, ok && x < recoveredShare*d.Before, ok
+		return x, ok && x < recoveredShare*disturbance.Before, ok
 	}
-	d.HasDip, d.Recovered, d.FromStart, d.FromEnd, d.Lowest = false, true, 0, 0, 0
-	dip := int(d.From)
+	disturbance.HasDip, disturbance.Recovered, disturbance.FromStart, disturbance.FromEnd, disturbance.Lowest = false, true, 0, 0, 0
+	dip := int(disturbance.From)
 	for ; ; dip++ {
-		if dip >= end || float64(dip) > d.To+dipWindowSeconds {
+		if dip >= end || float64(dip) > disturbance.To+dipWindowSeconds {
 			return
 		}
 		if _, yes, _ := down(dip); yes {
 			break
 		}
 	}
-	d.HasDip, d.Recovered, d.Lowest = true, false, 1
+	disturbance.HasDip, disturbance.Recovered, disturbance.Lowest = true, false, 1
 	back := false
 	for t := dip; t < end; t++ {
 		x, yes, ok := down(t)
@@ -138,20 +138,20 @@
 			continue
 		}
 		if yes {
-			d.Lowest = min(d.Lowest, x)
+			disturbance.Lowest = min(disturbance.Lowest, x)
 			continue
 		}
 		if !back {
-			back, d.FromStart = true, max(0, float64(t)-d.From)
+			back, disturbance.FromStart = true, max(0, float64(t)-disturbance.From)
 		}
-		if float64(t) >= math.Floor(d.To) {
-			d.Recovered, d.FromEnd = true, max(0, float64(t)-d.To)
+		if float64(t) >= math.Floor(disturbance.To) {
+			disturbance.Recovered, disturbance.FromEnd = true, max(0, float64(t)-disturbance.To)
 			return
 		}
 	}
-	d.FromEnd = max(0, limit-d.To)
+	disturbance.FromEnd = max(0, limit-disturbance.To)
 	if !back {
-		d.FromStart = limit - d.From
+		disturbance.FromStart = limit - disturbance.From
 	}
 }
 
--- a/internal/testbed/score/result.go
+++ b/internal/testbed/score/result.go
@@ -308,37 +308,37 @@
 
 // Result takes stock. The play may go on; what is open counts as open.
 func (s *Score) Result() *Result {
-	r := &Result{
+	result := &Result{
 		Name: s.spec.Name, Description: s.spec.Description, Driver: s.options.Driver, Seed: s.options.Seed,
 		Length: s.length.Seconds(), End: s.now.Seconds(), Capacity: s.spec.Capacity(),
 		Faults: slices.Clone(s.faults), Marks: slices.Clone(s.marks), Omitted: s.omitted,
 	}
-	if r.Length == 0 {
-		r.Length = r.End
+	if result.Length == 0 {
+		result.Length = result.End
 	}
-	r.Classes = make([]Group, len(s.classes))
+	result.Classes = make([]Group, len(s.classes))
 	for i := range s.classes {
-		r.Classes[i] = s.classes[i].result(s.spec.Classes[i].Name)
+		result.Classes[i] = s.classes[i].result(s.spec.Classes[i].Name)
 	}
-	r.Tenants = make([]Group, len(s.spec.Tenants))
-	for i := range r.Tenants {
-		r.Tenants[i] = s.tenants[i].result(s.spec.Tenants[i].Name)
+	result.Tenants = make([]Group, len(s.spec.Tenants))
+	for i := range result.Tenants {
+		result.Tenants[i] = s.tenants[i].result(s.spec.Tenants[i].Name)
 	}
-	r.Whole = s.wholeGroup(r.Classes)
-	r.Seconds = s.seconds()
-	r.Value = r.valueFigures()
-	r.Effort, r.Waste = s.effortAndWaste()
-	r.Fleet = s.occupancy()
-	r.Processes = s.processes()
-	r.Disturbances = disturbances(r.Faults, r.Seconds.DueValue, r.Seconds.DueValueEarned, r.Length)
-	r.Recovery = recovery(r.Disturbances)
-	r.Misbehaving = slices.Clone(s.misbehaving)
-	for i := range r.Misbehaving {
-		b := &r.Misbehaving[i]
+	result.Whole = s.wholeGroup(result.Classes)
+	result.Seconds = s.seconds()
+	result.Value = result.valueFigures()
+	result.Effort, result.Waste = s.effortAndWaste()
+	result.Fleet = s.occupancy()
+	result.Processes = s.processes()
+	result.Disturbances = disturbances(result.Faults, result.Seconds.DueValue, result.Seconds.DueValueEarned, result.Length)
+	result.Recovery = recovery(result.Disturbances)
+	result.Misbehaving = slices.Clone(s.misbehaving)
+	for i := range result.Misbehaving {
+		b := &result.Misbehaving[i]
 		b.Open = b.Connected - b.Errors - b.Closed - b.Served
 	}
-	r.Lateness = Lateness{s.lateness.TotalCount(), milliseconds(s.lateness.ValueAtQuantile(99.9)), milliseconds(s.lateness.Max())}
-	return r
+	result.Lateness = Lateness{s.lateness.TotalCount(), milliseconds(s.lateness.ValueAtQuantile(99.9)), milliseconds(s.lateness.Max())}
+	return result
 }
 
 func (g *group) result(name string) Group {
@@ -448,30 +448,30 @@
 		MaxLatency: series(), Classes: make([]ClassSeries, len(s.classes)),
 	}
 	for i := range s.classes {
-		g := &s.classes[i]
-		c := ClassSeries{
+		group := &s.classes[i]
+		classSeries := ClassSeries{
 			Name: s.spec.Classes[i].Name, DueJobs: series(), DueValue: series(), DueValueEarned: series(),
 			GoodputValue: series(), GoodputJobs: series(), Rejected: series(), InFlight: series(),
 		}
-		for k := range g.bins {
-			b := &g.bins[k]
-			c.DueJobs[k], c.DueValue[k], c.DueValueEarned[k] = float64(b.jobsDue), b.requested, b.earned
-			c.GoodputValue[k], c.GoodputJobs[k], c.Rejected[k] = b.goodput, float64(b.inTime), float64(b.rejected)
+		for k := range group.bins {
+			b := &group.bins[k]
+			classSeries.DueJobs[k], classSeries.DueValue[k], classSeries.DueValueEarned[k] = float64(b.jobsDue), b.requested, b.earned
+			classSeries.GoodputValue[k], classSeries.GoodputJobs[k], classSeries.Rejected[k] = b.goodput, float64(b.inTime), float64(b.rejected)
 			out.Served[k] += float64(b.served)
 			out.Attempts[k] += float64(b.attempts)
 		}
-		g.inFlight.advanceTo(s.now)
-		copy(c.InFlight, g.inFlight.means())
+		group.inFlight.advanceTo(s.now)
+		copy(classSeries.InFlight, group.inFlight.means())
 		for k := range n {
-			out.DueJobs[k] += c.DueJobs[k]
-			out.DueValue[k] += c.DueValue[k]
-			out.DueValueEarned[k] += c.DueValueEarned[k]
-			out.GoodputValue[k] += c.GoodputValue[k]
-			out.GoodputJobs[k] += c.GoodputJobs[k]
-			out.Rejected[k] += c.Rejected[k]
-			out.InFlight[k] += c.InFlight[k]
+			out.DueJobs[k] += classSeries.DueJobs[k]
+			out.DueValue[k] += classSeries.DueValue[k]
+			out.DueValueEarned[k] += classSeries.DueValueEarned[k]
+			out.GoodputValue[k] += classSeries.GoodputValue[k]
+			out.GoodputJobs[k] += classSeries.GoodputJobs[k]
+			out.Rejected[k] += classSeries.Rejected[k]
+			out.InFlight[k] += classSeries.InFlight[k]
 		}
-		out.Classes[i] = c
+		out.Classes[i] = classSeries
 	}
 	put := func(k int, p latencyPoint) { out.P50[k], out.P99[k], out.MaxLatency[k] = p.p50, p.p99, p.max }
 	for k, p := range s.latency {
@@ -500,10 +500,10 @@
 }
 
 func (s *Score) effortAndWaste() (Effort, Waste) {
-	e := s.effort.Effort
-	e.RequestsServed, e.RequestsRejected, e.RequestsFailed = s.responses[0], s.responses[1], s.responses[2]
-	e.PerJob = share(float64(e.Attempts), float64(s.due))
-	e.WorkRequested, e.WorkRun, e.WorkUseful = s.effort.workRequested, s.effort.workRun, s.effort.workUseful
+	effort := s.effort.Effort
+	effort.RequestsServed, effort.RequestsRejected, effort.RequestsFailed = s.responses[0], s.responses[1], s.responses[2]
+	effort.PerJob = share(float64(effort.Attempts), float64(s.due))
+	effort.WorkRequested, effort.WorkRun, effort.WorkUseful = s.effort.workRequested, s.effort.workRun, s.effort.workUseful
 	w := &s.effort.wasted
 	out := Waste{
 		Repeated: w[wasteRepeated], TooLate: w[wasteTooLate], ClientLeft: w[wasteClientLeft], Unused: w[wasteUnused], Errors: w[wasteErrors],
@@ -513,15 +513,15 @@
 		out.Work += work
 	}
 	out.Share = share(out.Work, s.effort.workRequested)
-	if e.WorkPending = e.WorkRun - e.WorkUseful - out.Work; e.WorkPending < 1e-9*e.WorkRun {
-		e.WorkPending = 0 // what the order of sums leaves over
+	if effort.WorkPending = effort.WorkRun - effort.WorkUseful - out.Work; effort.WorkPending < 1e-9*effort.WorkRun {
+		effort.WorkPending = 0 // what the order of sums leaves over
 	}
-	return e, out
+	return effort, out
 }
 
 func (s *Score) occupancy() Occupancy {
 	out := Occupancy{Workers: make([]WorkerUse, 0, len(s.workers)), CellSeconds: s.rows[0].available.width.Seconds()}
-	var use, up, sum float64
+	var use, available, sum float64
 	counted, within := 0, s.settleWindow()
 	for i := range s.workers {
 		n := &s.workers[i]
@@ -531,7 +531,7 @@
 		n.occupancy.advanceTo(within)
 		n.availability.advanceTo(within)
 		use += n.occupancy.integral
-		up += n.availability.integral
+		available += n.availability.integral
 		line := WorkerUse{
 			Worker: i, Use: share(n.occupancy.integral, n.availability.integral), Slots: n.slots, Attempts: n.attempts, Full: n.full,
 			Overloads: n.overloads, Up: share(n.availability.integral, n.slots*within.Seconds()),
@@ -545,7 +545,7 @@
 			}
 		}
 	}
-	out.Whole, out.Mean = share(use, up), share(sum, float64(counted))
+	out.Whole, out.Mean = share(use, available), share(sum, float64(counted))
 	out.OverMean = share(out.Busiest, out.Mean)
 	out.Strip = make([]StripLine, len(s.rows))
 	for i := range out.Strip {
--- a/internal/testbed/score/score.go
+++ b/internal/testbed/score/score.go
@@ -204,7 +204,7 @@
 	if opt.Rows <= 0 {
 		opt.Rows = 200
 	}
-	s := &Score{
+	score := &Score{
 		spec: spec, options: opt, length: spec.Length.Std(),
 		jobs: map[uint64]*job{}, requests: map[string]*request{}, misbehavingOpen: map[uint64]misbehavingConn{},
 		currentSecond: newHistogram(secondDigits), lateness: newHistogram(latencyDigits),
@@ -213,22 +213,22 @@
 	}
 	whole := spec.Length.Std() + spec.Settle.Std()
 	seconds := secondOf(whole) + 2
-	for i := range s.classes {
-		s.classes[i] = group{histogram: newHistogram(latencyDigits), bins: make([]bin, 0, seconds), inFlight: newBinnedMeter(time.Second, seconds)}
+	for i := range score.classes {
+		score.classes[i] = group{histogram: newHistogram(latencyDigits), bins: make([]bin, 0, seconds), inFlight: newBinnedMeter(time.Second, seconds)}
 	}
-	for i := range s.tenants {
-		s.tenants[i].histogram = newHistogram(latencyDigits)
+	for i := range score.tenants {
+		score.tenants[i].histogram = newHistogram(latencyDigits)
 	}
-	s.latency = make([]latencyPoint, 0, seconds)
-	s.workersUpCurve = newBinnedMeter(time.Second, seconds)
-	s.fleet = stripRow{use: newBinnedMeter(time.Second, seconds), available: newBinnedMeter(time.Second, seconds)}
-	s.rows = make([]stripRow, min(opt.Rows, max(1, spec.Fleet.Workers)))
+	score.latency = make([]latencyPoint, 0, seconds)
+	score.workersUpCurve = newBinnedMeter(time.Second, seconds)
+	score.fleet = stripRow{use: newBinnedMeter(time.Second, seconds), available: newBinnedMeter(time.Second, seconds)}
+	score.rows = make([]stripRow, min(opt.Rows, max(1, spec.Fleet.Workers)))
 	cell := (whole/(600*time.Second) + 1) * time.Second
-	for i := range s.rows {
-		s.rows[i] = stripRow{use: newBinnedMeter(cell, int(whole/cell)+2), available: newBinnedMeter(cell, int(whole/cell)+2)}
+	for i := range score.rows {
+		score.rows[i] = stripRow{use: newBinnedMeter(cell, int(whole/cell)+2), available: newBinnedMeter(cell, int(whole/cell)+2)}
 	}
-	s.workers = make([]workerUsage, spec.Fleet.Workers)
-	return s
+	score.workers = make([]workerUsage, spec.Fleet.Workers)
+	return score
 }
 
 func newBinnedMeter(width time.Duration, bins int) binnedMeter {
@@ -324,8 +324,8 @@
 
 // Jobs and queries, at clients.
 
-func (s *Score) jobDue(x *trace.Event) {
-	if s.jobs[x.JobID] != nil { // a job is due once
+func (s *Score) jobDue(event *trace.Event) {
+	if s.jobs[event.JobID] != nil { // a job is due once
 		s.effort.Unknown++
 		return
 	}
@@ -335,20 +335,20 @@
 	} else {
 		s.freeJobs = j.next
 	}
-	c := &s.spec.Classes[x.Class]
+	c := &s.spec.Classes[event.Class]
 	*j = job{
-		id: x.JobID, dueAt: x.At, objective: x.LatencyObjective, work: x.Work * x.Slots, slots: x.Slots, class: x.Class, tenant: x.Tenant,
-		overQuota: x.OverQuota,
+		id: event.JobID, dueAt: event.At, objective: event.LatencyObjective, work: event.Work * event.Slots, slots: event.Slots, class: event.Class, tenant: event.Tenant,
+		overQuota: event.OverQuota,
 	}
 	j.value = c.PriorityWeight * j.work
 	if j.overQuota {
 		j.value *= s.spec.Load.OverQuotaWeight
 	}
-	s.jobs[x.JobID] = j
+	s.jobs[event.JobID] = j
 	s.due++
 	s.effort.workRequested += j.work
 
-	of, by := &s.classes[x.Class], s.tenantGroup(x.Tenant)
+	of, by := &s.classes[event.Class], s.tenantGroup(event.Tenant)
 	of.jobsDue++
 	of.value.requested += j.value
 	of.inFlight.add(s.now, 1)
@@ -371,67 +371,67 @@
 	return &g.bins[i]
 }
 
-func (s *Score) requestSent(x *trace.Event) {
-	j := s.jobs[x.JobID]
-	if c := s.requests[x.RequestID]; c != nil { // once more on a new connection, as the first closed between requests
+func (s *Score) requestSent(event *trace.Event) {
+	job := s.jobs[event.JobID]
+	if c := s.requests[event.RequestID]; c != nil { // once more on a new connection, as the first closed between requests
 		s.effort.Resent++
-		if c.ending == requestLost && j != nil {
-			c.ending, j.lastEnding = requestOpen, requestOpen
+		if c.ending == requestLost && job != nil {
+			c.ending, job.lastEnding = requestOpen, requestOpen
 		}
 		return
 	}
-	if j == nil {
+	if job == nil {
 		s.effort.Unknown++
 		return
 	}
-	j.requests++
-	j.lastEnding = requestOpen
+	job.requests++
+	job.lastEnding = requestOpen
 	s.effort.Requests++
-	if j.requests > 1 {
+	if job.requests > 1 {
 		s.effort.Retries++
 	}
-	s.processOf(x.Scheduler).requests++
+	s.processOf(event.Scheduler).requests++
 	c := s.freeRequests
 	if c == nil {
 		c = &request{}
 	} else {
 		s.freeRequests = c.next
 	}
-	*c = request{id: x.RequestID, job: j, jobID: j.id, class: j.class, work: j.work, slots: j.slots}
-	s.requests[x.RequestID] = c
+	*c = request{id: event.RequestID, job: job, jobID: job.id, class: job.class, work: job.work, slots: job.slots}
+	s.requests[event.RequestID] = c
 }
 
 // requestEnded is told how a try ended for its client.
 func (s *Score) requestEnded(x *trace.Event, how requestEnding) {
-	c := s.requests[x.RequestID]
-	if c == nil || c.ending != requestOpen {
+	request := s.requests[x.RequestID]
+	if request == nil || request.ending != requestOpen {
 		s.effort.Unknown++
 		return
 	}
-	c.ending = how
+	request.ending = how
 	if how <= requestFailed {
 		s.responses[how-requestServed]++
 	}
 	if how == requestRejected {
-		s.classes[c.class].bin(s.now).rejected++
+		s.classes[request.class].bin(s.now).rejected++
 	}
-	j := c.open()
-	if j != nil {
-		j.lastEnding = how
+	job := request.open()
+	if job != nil {
+		job.lastEnding = how
 	}
-	n := c.attempts
+	n := request.attempts
 	switch {
 	case how != requestServed:
 	case n > 0:
-		s.effort.workUseful += c.work
+		s.effort.workUseful += request.work
 		n--
-	case c.reruns > 0 && j != nil && j.wasteCount > 0: // the result is that of an earlier try's run
-		j.wasteCount--
-		s.effort.workUseful += c.work
-		s.effort.wasted[j.lastWaste] -= c.work
+	case request.reruns > 0 && job != nil && job.wasteCount > 0: // the result is that of an earlier try's run
+		job.wasteCount--
+		s.effort.workUseful += request.work
+		s.effort.wasted[job.lastWaste] -= request.work
 	}
-	s.countWaste(c, n)
-	s.retainRequest(c)
+	s.countWaste(request, n)
+	s.retainRequest(request)
 }
 
 // open is the query's job, or nil if that is settled.
@@ -450,33 +450,33 @@
 	}
 	delete(s.jobs, x.JobID)
 	s.settled++
-	of, by := &s.classes[j.class], s.tenantGroup(j.tenant)
+	group, by := &s.classes[j.class], s.tenantGroup(j.tenant)
 	took := s.now - j.dueAt
 	out := classifyOutcome(j, x.Status, took)
-	of.outcomes[out]++
+	group.outcomes[out]++
 	by.outcomes[out]++
-	of.attempts += j.attempts
+	group.attempts += j.attempts
 	by.attempts += j.attempts
 	s.effort.MaxAttempts = max(s.effort.MaxAttempts, j.attempts)
-	of.inFlight.add(s.now, -1)
+	group.inFlight.add(s.now, -1)
 	if out <= OutcomeLate {
-		b := of.bin(s.now)
+		b := group.bin(s.now)
 		b.served++
-		record(of.histogram, took)
+		record(group.histogram, took)
 		record(by.histogram, took)
 		s.advanceSecond()
 		record(s.currentSecond, took)
 		if out == OutcomeInTime {
 			s.inTime++
-			of.value.earned += j.value
+			group.value.earned += j.value
 			by.value.earned += j.value
 			if !j.overQuota {
-				of.valueWithinQuota.earned += j.value
+				group.valueWithinQuota.earned += j.value
 				by.valueWithinQuota.earned += j.value
 			}
 			b.inTime++
 			b.goodput += j.value
-			of.bin(j.dueAt).earned += j.value
+			group.bin(j.dueAt).earned += j.value
 		} else {
 			s.effort.WorkAfterObjective += j.work
 		}
@@ -486,19 +486,19 @@
 }
 
 // classifyOutcome is the one bucket that a settled job is in. A last answer decides; without one, how its last try ended.
-func classifyOutcome(j *job, status int, took time.Duration) JobOutcome {
+func classifyOutcome(job *job, status int, took time.Duration) JobOutcome {
 	switch {
-	case status == 200 && took <= j.objective:
+	case status == 200 && took <= job.objective:
 		return OutcomeInTime
 	case status == 200:
 		return OutcomeLate
-	case j.lastEnding == requestLost:
+	case job.lastEnding == requestLost:
 		return OutcomeLost
-	case j.lastEnding == requestClientLeft:
+	case job.lastEnding == requestClientLeft:
 		return OutcomeClientLeft
-	case j.lastEnding == requestTimedOut || status == 0 && j.lastEnding == requestOpen:
+	case job.lastEnding == requestTimedOut || status == 0 && job.lastEnding == requestOpen:
 		return OutcomeUnanswered
-	case j.lastEnding == requestRejected || status == 429 || status == 503:
+	case job.lastEnding == requestRejected || status == 429 || status == 503:
 		return OutcomeRejected
 	}
 	return OutcomeFailed
@@ -534,43 +534,43 @@
 	return nil
 }
 
-func (s *Score) attemptReceived(x *trace.Event) {
+func (s *Score) attemptReceived(event *trace.Event) {
 	s.effort.Attempts++
-	n := s.workerAt(x.Worker)
+	n := s.workerAt(event.Worker)
 	n.attempts++
-	s.processOf(x.Scheduler).attempts++
-	c := s.requests[x.RequestID]
-	if c == nil {
+	s.processOf(event.Scheduler).attempts++
+	request := s.requests[event.RequestID]
+	if request == nil {
 		s.effort.Duplicates++
 		return
 	}
-	s.classes[c.class].bin(s.now).attempts++
-	if j := c.open(); j != nil {
+	s.classes[request.class].bin(s.now).attempts++
+	if j := request.open(); j != nil {
 		j.attempts++
 	}
-	for a := c.first; a != nil; a = a.next {
+	for a := request.first; a != nil; a = a.next {
 		if !a.cancelled {
 			s.effort.Hedged++
 			break
 		}
 	}
-	s.newAttempt(c, x.Worker)
+	s.newAttempt(request, event.Worker)
 }
 
-func (s *Score) newAttempt(c *request, at int) *attempt {
+func (s *Score) newAttempt(c *request, index int) *attempt {
 	a := s.freeAttempts
 	if a == nil {
 		a = &attempt{}
 	} else {
 		s.freeAttempts = a.next
 	}
-	*a = attempt{request: c, worker: at}
+	*a = attempt{request: c, worker: index}
 	end := &c.first
 	for *end != nil {
 		end = &(*end).next
 	}
 	*end = a
-	n := s.workerAt(at)
+	n := s.workerAt(index)
 	if a.nextOfRequest = n.first; a.nextOfRequest != nil {
 		a.nextOfRequest.prev = a
 	}
@@ -579,22 +579,22 @@
 }
 
 func (s *Score) attemptStarted(x *trace.Event) {
-	a := s.attempt(x, false)
-	if a == nil {
+	attempt := s.attempt(x, false)
+	if attempt == nil {
 		c := s.requests[x.RequestID]
 		if c == nil {
 			s.effort.Duplicates++
 			return
 		}
-		a = s.newAttempt(c, x.Worker)
+		attempt = s.newAttempt(c, x.Worker)
 	}
-	a.started, a.startedAt, a.duplicate = true, s.now, x.Text == "repeat"
-	if a.duplicate { // it takes no slot
-		a.request.reruns++
+	attempt.started, attempt.startedAt, attempt.duplicate = true, s.now, x.Text == "repeat"
+	if attempt.duplicate { // it takes no slot
+		attempt.request.reruns++
 		s.effort.DuplicatesDropped++
 		return
 	}
-	s.addOccupancy(a.worker, a.request.slots)
+	s.addOccupancy(attempt.worker, attempt.request.slots)
 }
 
 func (s *Score) addOccupancy(at int, slots float64) {
@@ -612,10 +612,10 @@
 }
 
 // attemptStopped takes in the end of an attempt at its worker node: "done", "died", or "" where it did not run.
-func (s *Score) attemptStopped(x *trace.Event, how string) {
-	a := s.attempt(x, how == "done")
+func (s *Score) attemptStopped(event *trace.Event, how string) {
+	a := s.attempt(event, how == "done")
 	if a == nil {
-		a = s.attempt(x, how != "done")
+		a = s.attempt(event, how != "done")
 	}
 	if a == nil {
 		if how == "done" {
@@ -623,31 +623,31 @@
 		}
 		return
 	}
-	s.endAttempt(a, how, how == "done" && x.Status != 200 && x.Status != 0)
+	s.endAttempt(a, how, how == "done" && event.Status != 200 && event.Status != 0)
 }
 
 func (s *Score) endAttempt(a *attempt, how string, failed bool) {
-	c := a.request
+	request := a.request
 	if a.started && !a.duplicate {
-		s.addOccupancy(a.worker, -c.slots)
+		s.addOccupancy(a.worker, -request.slots)
 		switch {
 		case how == "died":
-			part := min(c.work, (s.now-a.startedAt).Seconds()*c.slots)
+			part := min(request.work, (s.now-a.startedAt).Seconds()*request.slots)
 			s.effort.workRun += part
 			s.effort.wasted[wasteKilled] += part
 		case how == "done" && failed:
-			s.effort.workRun += c.work
-			s.effort.wasted[wasteErrors] += c.work
+			s.effort.workRun += request.work
+			s.effort.wasted[wasteErrors] += request.work
 		case how == "done":
-			s.effort.workRun += c.work
-			if c.ending == requestOpen {
-				c.attempts++
+			s.effort.workRun += request.work
+			if request.ending == requestOpen {
+				request.attempts++
 			} else {
-				s.countWaste(c, 1)
+				s.countWaste(request, 1)
 			}
 		}
 	}
-	for at := &c.first; *at != nil; at = &(*at).next {
+	for at := &request.first; *at != nil; at = &(*at).next {
 		if *at == a {
 			*at = a.next
 			break
@@ -663,16 +663,16 @@
 	}
 	*a = attempt{next: s.freeAttempts}
 	s.freeAttempts = a
-	s.retainRequest(c)
+	s.retainRequest(request)
 }
 
 // countWaste books n finished runs of a query, whose end is known, that served nobody.
-func (s *Score) countWaste(c *request, n int) {
+func (s *Score) countWaste(request *request, n int) {
 	if n == 0 {
 		return
 	}
 	why := wasteUnused
-	switch c.ending {
+	switch request.ending {
 	case requestServed:
 		why = wasteRepeated
 	case requestTimedOut:
@@ -680,8 +680,8 @@
 	case requestClientLeft:
 		why = wasteClientLeft
 	}
-	s.effort.wasted[why] += float64(n) * c.work
-	if j := c.open(); j != nil && why != wasteRepeated {
+	s.effort.wasted[why] += float64(n) * request.work
+	if j := request.open(); j != nil && why != wasteRepeated {
 		j.wasteCount, j.lastWaste = j.wasteCount+n, why
 	}
 }
@@ -795,8 +795,8 @@
 	s.setUp(x.Worker, slots)
 }
 
-func (s *Score) workerStopped(x *trace.Event) {
-	n := s.workerAt(x.Worker)
+func (s *Score) workerStopped(event *trace.Event) {
+	n := s.workerAt(event.Worker)
 	for n.first != nil {
 		s.endAttempt(n.first, "died", false)
 	}
@@ -806,7 +806,7 @@
 	n.isUp = false
 	s.workersUp--
 	n.availability.add(s.settleWindow(), -n.slots)
-	s.stripRow(x.Worker).available.add(s.now, -n.slots)
+	s.stripRow(event.Worker).available.add(s.now, -n.slots)
 	s.fleet.available.add(s.now, -n.slots)
 	s.workersUpCurve.add(s.now, -1)
 }
@@ -838,30 +838,30 @@
 	s.marks = append(s.marks, Mark{At: s.now.Seconds(), Text: text})
 }
 
-func (s *Score) misbehavingConnected(x *trace.Event) {
+func (s *Score) misbehavingConnected(event *trace.Event) {
 	kind := -1
 	for i := range s.misbehaving {
-		if s.misbehaving[i].Kind == x.Text {
+		if s.misbehaving[i].Kind == event.Text {
 			kind = i
 		}
 	}
 	if kind < 0 {
 		kind = len(s.misbehaving)
-		s.misbehaving = append(s.misbehaving, MisbehavingCounts{Kind: x.Text})
+		s.misbehaving = append(s.misbehaving, MisbehavingCounts{Kind: event.Text})
 	}
 	s.misbehaving[kind].Connected++
 	if len(s.misbehavingOpen) < maxMisbehaving {
-		s.misbehavingOpen[x.Conn] = misbehavingConn{kind, s.now}
+		s.misbehavingOpen[event.Conn] = misbehavingConn{kind, s.now}
 	}
 }
 
 func (s *Score) misbehavingAnswered(x *trace.Event) {
-	c, ok := s.misbehavingOpen[x.Conn]
+	misbehavingConn, ok := s.misbehavingOpen[x.Conn]
 	if !ok {
 		return
 	}
 	delete(s.misbehavingOpen, x.Conn)
-	b := &s.misbehaving[c.kind]
+	b := &s.misbehaving[misbehavingConn.kind]
 	switch {
 	case x.Status == 0:
 		b.Closed++
@@ -870,5 +870,5 @@
 	default:
 		b.Served++
 	}
-	b.MaxWaitMs = max(b.MaxWaitMs, float64((s.now-c.connectedAt).Microseconds())/1000)
+	b.MaxWaitMs = max(b.MaxWaitMs, float64((s.now-misbehavingConn.connectedAt).Microseconds())/1000)
 }
--- a/internal/testbed/score/stats.go
+++ b/internal/testbed/score/stats.go
@@ -43,36 +43,36 @@
 // takes the differences to be spread about normally. Pairs in which either figure is missing (NaN) or endless are
 // left out.
 func Compare(figure, nameA, nameB string, a, b []float64, better Sense) Paired {
-	p := Paired{Metric: figure, A: nameA, B: nameB, P: 1}
+	paired := Paired{Metric: figure, A: nameA, B: nameB, P: 1}
 	var as, bs, diffs []float64
 	for i := range min(len(a), len(b)) {
 		if d := b[i] - a[i]; !math.IsNaN(d) && !math.IsInf(d, 0) {
 			as, bs, diffs = append(as, a[i]), append(bs, b[i]), append(diffs, d)
 		} else {
-			p.SeedsLeftOut++
+			paired.SeedsLeftOut++
 		}
 	}
-	p.Seeds = len(diffs)
-	if p.Seeds > 0 {
-		p.MeanA, p.MeanB, p.Difference = stat.Mean(as, nil), stat.Mean(bs, nil), stat.Mean(diffs, nil)
-		p.Low, p.High = p.Difference, p.Difference
+	paired.Seeds = len(diffs)
+	if paired.Seeds > 0 {
+		paired.MeanA, paired.MeanB, paired.Difference = stat.Mean(as, nil), stat.Mean(bs, nil), stat.Mean(diffs, nil)
+		paired.Low, paired.High = paired.Difference, paired.Difference
 	}
-	if p.Seeds > 1 {
-		p.SD = stat.StdDev(diffs, nil)
-		of := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(p.Seeds - 1)}
-		err := stat.StdErr(p.SD, float64(p.Seeds))
+	if paired.Seeds > 1 {
+		paired.SD = stat.StdDev(diffs, nil)
+		of := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(paired.Seeds - 1)}
+		err := stat.StdErr(paired.SD, float64(paired.Seeds))
 		half := of.Quantile(1-(1-confidence)/2) * err
-		p.Low, p.High = p.Difference-half, p.Difference+half
+		paired.Low, paired.High = paired.Difference-half, paired.Difference+half
 		switch {
 		case err > 0:
-			p.P = 2 * of.Survival(math.Abs(p.Difference)/err)
-		case p.Difference != 0:
-			p.P = 0
+			paired.P = 2 * of.Survival(math.Abs(paired.Difference)/err)
+		case paired.Difference != 0:
+			paired.P = 0
 		}
-		p.Significant = p.Low > 0 || p.High < 0
+		paired.Significant = paired.Low > 0 || paired.High < 0
 	}
-	p.Verdict = p.describe(better)
-	return p
+	paired.Verdict = paired.describe(better)
+	return paired
 }
 
 func (p *Paired) describe(better Sense) string {
@@ -134,9 +134,9 @@
 // knee is the point farthest from the chord between the first and the last, on its better side: where a figure that
 // is better higher begins to fall, or has risen most of its way. With Neither both sides count. A curve that does not
 // leave its chord by a tenth there, or has under three points, has none.
-func Knee(xs, ys []float64, better Sense) (at int, ok bool) {
-	n := min(len(xs), len(ys))
-	if n < 3 || xs[n-1] <= xs[0] {
+func Knee(values, ys []float64, better Sense) (at int, ok bool) {
+	n := min(len(values), len(ys))
+	if n < 3 || values[n-1] <= values[0] {
 		return 0, false
 	}
 	low, high := ys[0], ys[0]
@@ -149,7 +149,9 @@
 	if high <= low {
 		return 0, false
 	}
-	norm := func(i int) (x, y float64) { return (xs[i] - xs[0]) / (xs[n-1] - xs[0]), (ys[i] - low) / (high - low) }
+	norm := func(i int) (x, y float64) {
+		return (values[i] - values[0]) / (values[n-1] - values[0]), (ys[i] - low) / (high - low)
+	}
 	_, y0 := norm(0)
 	_, y1 := norm(n - 1)
 	far := 0.0
--- a/internal/testbed/simulation/forwarder.go
+++ b/internal/testbed/simulation/forwarder.go
@@ -148,35 +148,35 @@
 		f.events = append(f.events, n.event)
 		return
 	}
-	var k *plannerConn
+	var plannerConn *plannerConn
 	for _, x := range f.plannerConns {
 		if x.stream == n.stream {
-			k = x
+			plannerConn = x
 		}
 	}
-	if k == nil {
+	if plannerConn == nil {
 		return // of a connection that was left
 	}
 	switch n.kind {
 	case streamConnected:
-		k.connected, k.backoff = true, 0
-		k.reader, k.writer = codec.NewReader(0), codec.Writer{}
-		f.forwarder.SessionChanged(k.name, true)
+		plannerConn.connected, plannerConn.backoff = true, 0
+		plannerConn.reader, plannerConn.writer = codec.NewReader(0), codec.Writer{}
+		f.forwarder.SessionChanged(plannerConn.name, true)
 	case streamRefused, streamLost:
-		f.connLost(k)
+		f.connLost(plannerConn)
 	case streamData:
-		k.reader.Feed(n.bytes)
+		plannerConn.reader.Feed(n.bytes)
 		f.levels.recycle(n.bytes)
 		for {
-			envelope, ok, err := k.reader.Next()
+			envelope, ok, err := plannerConn.reader.Next()
 			if err != nil {
-				f.levels.closeStream(k.stream, 0)
-				f.connLost(k)
+				f.levels.closeStream(plannerConn.stream, 0)
+				f.connLost(plannerConn)
 			}
 			if err != nil || !ok {
 				return
 			}
-			f.forwarder.Receive(f.process.now, k.name, envelope)
+			f.forwarder.Receive(f.process.now, plannerConn.name, envelope)
 		}
 	}
 }
@@ -232,18 +232,18 @@
 }
 
 // updateWanted notes whether there ought to be a connection to a planner.
-func (f *forwarderProcess) updateWanted(k *plannerConn, names []string) {
-	was := k.wanted
-	k.wanted = false
+func (f *forwarderProcess) updateWanted(plannerConn *plannerConn, names []string) {
+	was := plannerConn.wanted
+	plannerConn.wanted = false
 	for _, name := range names {
-		k.wanted = k.wanted || name == k.name
+		plannerConn.wanted = plannerConn.wanted || name == plannerConn.name
 	}
-	if k.wanted && !was {
-		if k.retryPlanned {
-			k.retryPlanned = false
-			f.process.stop(&k.retry)
+	if plannerConn.wanted && !was {
+		if plannerConn.retryPlanned {
+			plannerConn.retryPlanned = false
+			f.process.stop(&plannerConn.retry)
 		}
-		k.backoff = 0
-		f.connect(k)
+		plannerConn.backoff = 0
+		f.connect(plannerConn)
 	}
 }
--- a/internal/testbed/simulation/gossip.go
+++ b/internal/testbed/simulation/gossip.go
@@ -48,18 +48,18 @@
 	memberLeft
 )
 
-func (r *memberRecord) isNewerThan(o *memberRecord) bool {
+func (r *memberRecord) isNewerThan(memberRecord *memberRecord) bool {
 	switch {
-	case !o.known || !r.known:
+	case !memberRecord.known || !r.known:
 		return r.known
-	case r.member.Incarnation != o.member.Incarnation:
-		return r.member.Incarnation > o.member.Incarnation
-	case r.state == memberLeft || o.state == memberLeft:
-		return r.state > o.state
-	case r.version != o.version:
-		return r.version > o.version
+	case r.member.Incarnation != memberRecord.member.Incarnation:
+		return r.member.Incarnation > memberRecord.member.Incarnation
+	case r.state == memberLeft || memberRecord.state == memberLeft:
+		return r.state > memberRecord.state
+	case r.version != memberRecord.version:
+		return r.version > memberRecord.version
 	}
-	return r.state > o.state
+	return r.state > memberRecord.state
 }
 
 func (g *gossip) start(t *levelNetwork) {
@@ -187,24 +187,24 @@
 }
 
 // update has a seat take up a rumor, and tells its process.
-func (g *gossip) update(seat, of int, r memberRecord) {
+func (g *gossip) update(seat, of int, memberRecord memberRecord) {
 	n := &g.nodes[seat]
 	had := n.records[of]
-	n.records[of] = r
-	var e membership.Event
-	switch r.state {
+	n.records[of] = memberRecord
+	var event membership.Event
+	switch memberRecord.state {
 	case memberAlive:
 		n.suspectedSince[of] = 0
-		if had.known && had.state == memberAlive && had.member == r.member {
+		if had.known && had.state == memberAlive && had.member == memberRecord.member {
 			return
 		}
-		e = membership.MemberJoined{Member: r.member}
+		event = membership.MemberJoined{Member: memberRecord.member}
 	case memberLeft:
-		e = membership.MemberLeft{Name: r.member.Name, Incarnation: r.member.Incarnation}
+		event = membership.MemberLeft{Name: memberRecord.member.Name, Incarnation: memberRecord.member.Incarnation}
 	case memberDead:
-		e = membership.MemberDied{Name: r.member.Name, Incarnation: r.member.Incarnation}
+		event = membership.MemberDied{Name: memberRecord.member.Name, Incarnation: memberRecord.member.Incarnation}
 	}
-	g.levels.deliver(seat, levelMessage{kind: memberEvent, event: e})
+	g.levels.deliver(seat, levelMessage{kind: memberEvent, event: event})
 }
 
 // probeRound has a seat ask one of the others, and all that it suspects, whether they are there.
@@ -229,18 +229,18 @@
 		return
 	}
 	one := n.candidates[g.levels.rngs[seat].IntN(len(n.candidates))]
-	for _, o := range n.candidates {
+	for _, other := range n.candidates {
 		switch {
-		case o != one && n.suspectedSince[o] == 0:
-		case g.isReachable(seat, o, n.candidates):
-			n.suspectedSince[o] = 0
-		case n.suspectedSince[o] == 0:
-			n.suspectedSince[o] = max(g.levels.now, 1)
-		case g.levels.now-n.suspectedSince[o] >= suspicionTimeout:
-			n.suspectedSince[o] = 0
-			r := n.records[o]
+		case other != one && n.suspectedSince[other] == 0:
+		case g.isReachable(seat, other, n.candidates):
+			n.suspectedSince[other] = 0
+		case n.suspectedSince[other] == 0:
+			n.suspectedSince[other] = max(g.levels.now, 1)
+		case g.levels.now-n.suspectedSince[other] >= suspicionTimeout:
+			n.suspectedSince[other] = 0
+			r := n.records[other]
 			r.state = memberDead
-			g.update(seat, o, r)
+			g.update(seat, other, r)
 		}
 	}
 }
--- a/internal/testbed/simulation/level_counts.go
+++ b/internal/testbed/simulation/level_counts.go
@@ -31,22 +31,22 @@
 }
 
 func (x *LevelCounts) addForwarder(f *forwarderProcess) {
-	y := f.forwarder.Stats()
-	x.Requests += y.Requests
-	x.Reoffered += y.Reoffered
-	x.Commands += y.Commands
-	for why, n := range y.ByReason {
+	stats := f.forwarder.Stats()
+	x.Requests += stats.Requests
+	x.Reoffered += stats.Reoffered
+	x.Commands += stats.Commands
+	for why, n := range stats.ByReason {
 		x.RejectedByReason[why] += n
 		x.Rejected += n
 	}
-	x.Moves += y.Transfers
-	x.Unconfirmed += y.Revoked
-	x.Expired += y.Expired
-	x.Unplaced += y.Unplaced
-	x.Poison += y.Poison
-	x.Frozen += y.Unresponsive
-	x.Standalone += y.Standalone
-	x.OwnPanics += y.Panics
+	x.Moves += stats.Transfers
+	x.Unconfirmed += stats.Revoked
+	x.Expired += stats.Expired
+	x.Unplaced += stats.Unplaced
+	x.Poison += stats.Poison
+	x.Frozen += stats.Unresponsive
+	x.Standalone += stats.Standalone
+	x.OwnPanics += stats.Panics
 	x.Changes += f.members.PlannerChanges()
 }
 
--- a/internal/testbed/simulation/levels.go
+++ b/internal/testbed/simulation/levels.go
@@ -120,18 +120,18 @@
 
 // planPartition puts a cut on the agenda.
 func (t *levelNetwork) planPartition(f *scenario.Fault) {
-	c := &levelPartition{oneWay: f.Kind == "planner_cut_one_way"}
-	c.a, c.b = t.sideOf(f, f.Between), t.sideOf(f, f.And)
+	levelPartition := &levelPartition{oneWay: f.Kind == "planner_cut_one_way"}
+	levelPartition.a, levelPartition.b = t.sideOf(f, f.Between), t.sideOf(f, f.And)
 	if f.Between == f.And { // those named are cut off from the others
-		for i := range c.b {
-			c.b[i] = t.isPlanner(i) == (f.Between == "planners") && (!c.a[i] || !t.isNarrowed(f))
+		for i := range levelPartition.b {
+			levelPartition.b[i] = t.isPlanner(i) == (f.Between == "planners") && (!levelPartition.a[i] || !t.isNarrowed(f))
 		}
 	}
-	t.partitions = append(t.partitions, c)
-	t.schedule(f.At.Std(), func() { c.active = true })
+	t.partitions = append(t.partitions, levelPartition)
+	t.schedule(f.At.Std(), func() { levelPartition.active = true })
 	if f.Duration > 0 {
 		t.schedule((f.At + f.Duration).Std(), func() {
-			c.active = false
+			levelPartition.active = false
 			t.resumeStalled()
 		})
 	}
@@ -233,41 +233,41 @@
 // ---- Wires ----
 
 // dial has a seat connect to another. It hears of what comes of it: wireUp or wireNone.
-func (t *levelNetwork) dial(from, to int) *stream {
+func (t *levelNetwork) dial(from, target int) *stream {
 	t.streamCount++
-	w := &stream{id: t.streamCount, seats: [2]int{from, to}}
-	w.open[0] = true
-	t.streams[from] = append(t.streams[from], w)
+	stream := &stream{id: t.streamCount, seats: [2]int{from, target}}
+	stream.open[0] = true
+	t.streams[from] = append(t.streams[from], stream)
 	none := func() {
-		if w.open[0] {
-			t.removeStream(w, 0)
-			t.deliver(from, levelMessage{kind: streamRefused, stream: w})
+		if stream.open[0] {
+			t.removeStream(stream, 0)
+			t.deliver(from, levelMessage{kind: streamRefused, stream: stream})
 		}
 	}
-	if t.isCut(from, to) || t.isCut(to, from) {
+	if t.isCut(from, target) || t.isCut(target, from) {
 		t.schedule(t.now+dialTimeout, none)
-		return w
+		return stream
 	}
-	t.schedule(t.now+t.delay(from, to), func() {
-		back := t.now + t.delay(to, from)
-		if _, runs, _ := t.seats[to].status(); !runs || !w.open[0] {
+	t.schedule(t.now+t.delay(from, target), func() {
+		back := t.now + t.delay(target, from)
+		if _, runs, _ := t.seats[target].status(); !runs || !stream.open[0] {
 			t.schedule(back, none)
 			return
 		}
-		w.open[1] = true
-		t.streams[to] = append(t.streams[to], w)
-		w.directions[1].lastArrival = back
-		t.deliver(to, levelMessage{kind: streamAccepted, stream: w})
+		stream.open[1] = true
+		t.streams[target] = append(t.streams[target], stream)
+		stream.directions[1].lastArrival = back
+		t.deliver(target, levelMessage{kind: streamAccepted, stream: stream})
 		t.schedule(back, func() {
-			if w.open[0] {
-				t.deliver(from, levelMessage{kind: streamConnected, stream: w})
+			if stream.open[0] {
+				t.deliver(from, levelMessage{kind: streamConnected, stream: stream})
 			}
 		})
 		if mean := t.spec.Planners.Drops.Std(); mean > 0 {
-			t.schedule(t.now+time.Duration(t.rngs[from].ExpFloat64()*float64(mean)), func() { t.breakStream(w) })
+			t.schedule(t.now+time.Duration(t.rngs[from].ExpFloat64()*float64(mean)), func() { t.breakStream(stream) })
 		}
 	})
-	return w
+	return stream
 }
 
 // send writes to a wire from one of its ends. It keeps the bytes until they have arrived.
@@ -287,55 +287,55 @@
 }
 
 // deliverNext brings the first of what is on its way, unless there is a cut.
-func (t *levelNetwork) deliverNext(w *stream, end int) {
-	p := &w.directions[end]
-	from, to := w.seats[end], w.seats[1-end]
-	if len(p.queue) == 0 || p.stalled {
+func (t *levelNetwork) deliverNext(stream *stream, end int) {
+	streamDirection := &stream.directions[end]
+	from, receiver := stream.seats[end], stream.seats[1-end]
+	if len(streamDirection.queue) == 0 || streamDirection.stalled {
 		return
 	}
-	if t.isCut(from, to) {
-		p.stalled = true
-		p.stallCount++
-		begun := p.stallCount
+	if t.isCut(from, receiver) {
+		streamDirection.stalled = true
+		streamDirection.stallCount++
+		begun := streamDirection.stallCount
 		t.schedule(t.now+streamTimeout, func() {
-			if p.stalled && p.stallCount == begun && w.open[end] {
-				t.notifyLost(w, end, true)
-				t.enqueue(w, end, segment{kind: streamLost})
+			if streamDirection.stalled && streamDirection.stallCount == begun && stream.open[end] {
+				t.notifyLost(stream, end, true)
+				t.enqueue(stream, end, segment{kind: streamLost})
 			}
 		})
 		return
 	}
-	x := p.queue[0]
-	if p.queue = p.queue[1:]; len(p.queue) > 0 {
-		t.schedule(p.queue[0].arrivesAt, func() { t.deliverNext(w, end) })
+	segment := streamDirection.queue[0]
+	if streamDirection.queue = streamDirection.queue[1:]; len(streamDirection.queue) > 0 {
+		t.schedule(streamDirection.queue[0].arrivesAt, func() { t.deliverNext(stream, end) })
 	} else {
-		p.queue = nil
+		streamDirection.queue = nil
 	}
 	switch {
-	case !w.open[1-end]: // nobody is there any more
-	case x.kind == streamLost:
-		t.notifyLost(w, 1-end, false)
+	case !stream.open[1-end]: // nobody is there any more
+	case segment.kind == streamLost:
+		t.notifyLost(stream, 1-end, false)
 	default:
-		t.deliver(to, levelMessage{kind: x.kind, stream: w, bytes: x.bytes})
+		t.deliver(receiver, levelMessage{kind: segment.kind, stream: stream, bytes: segment.bytes})
 	}
 }
 
 // resumeStalled has what was held up by a cut go on.
 func (t *levelNetwork) resumeStalled() {
 	for seat := range t.streams {
-		for _, w := range t.streams[seat] {
-			for end := range w.directions {
-				p := &w.directions[end]
-				if !p.stalled || t.isCut(w.seats[end], w.seats[1-end]) {
+		for _, stream := range t.streams[seat] {
+			for end := range stream.directions {
+				p := &stream.directions[end]
+				if !p.stalled || t.isCut(stream.seats[end], stream.seats[1-end]) {
 					continue
 				}
 				p.stalled = false
-				at := t.now + t.delay(w.seats[end], w.seats[1-end])
+				at := t.now + t.delay(stream.seats[end], stream.seats[1-end])
 				for i := range p.queue {
 					p.queue[i].arrivesAt = max(p.queue[i].arrivesAt, at)
 				}
 				p.lastArrival = max(p.lastArrival, at)
-				t.schedule(at, func() { t.deliverNext(w, end) })
+				t.schedule(at, func() { t.deliverNext(stream, end) })
 			}
 		}
 	}
--- a/internal/testbed/simulation/planner.go
+++ b/internal/testbed/simulation/planner.go
@@ -108,13 +108,13 @@
 	s.outputs = append(s.outputs, o)
 }
 
-func (s *plannerNode) handleInput(in *simapi.Input) {
-	switch in.Kind {
+func (s *plannerNode) handleInput(input *simapi.Input) {
+	switch input.Kind {
 	case simapi.Start:
 		s.incarnation++
 		s.frozen, s.lastTakenAt = false, s.now
 		s.pending = s.pending[:0]
-		s.process = newPlannerProcess(s, in.Start)
+		s.process = newPlannerProcess(s, input.Start)
 	case simapi.Kill:
 		s.endProcess()
 	case simapi.Freeze:
@@ -122,12 +122,12 @@
 	case simapi.Resume:
 		s.frozen = false
 	case simapi.SlowDown:
-		s.delay = in.Delay
+		s.delay = input.Delay
 	case simapi.BreakConnections:
 		s.levels.breakStreams(s.number)
 	default:
 		if s.process != nil {
-			s.enqueue(plannerInput{input: *in, fromEnvironment: true}, s.now)
+			s.enqueue(plannerInput{input: *input, fromEnvironment: true}, s.now)
 		}
 	}
 }
@@ -176,51 +176,51 @@
 	reader    *codec.Reader
 }
 
-func newPlannerProcess(s *plannerNode, boot *simapi.StartOptions) *plannerProcess {
-	p := &plannerProcess{
-		node: s, now: s.epoch + s.now, discovery: boot.Discovery, sessions: map[planner.SessionID]*plannerPeerConn{},
-		redialAt: make([]time.Duration, s.spec.Planners.Count), backoff: make([]time.Duration, s.spec.Planners.Count),
+func newPlannerProcess(plannerNode *plannerNode, boot *simapi.StartOptions) *plannerProcess {
+	plannerProcess := &plannerProcess{
+		node: plannerNode, now: plannerNode.epoch + plannerNode.now, discovery: boot.Discovery, sessions: map[planner.SessionID]*plannerPeerConn{},
+		redialAt: make([]time.Duration, plannerNode.spec.Planners.Count), backoff: make([]time.Duration, plannerNode.spec.Planners.Count),
 	}
-	me := membership.Member{Name: s.name, Role: membership.RolePlanner, Incarnation: uint64(p.now), Addr: s.name}
-	p.members = membership.NewPlannerMembership(me, membership.Config{})
-	p.listTable = requests.New(1, s.settings.Names, func() requests.Policy { return p }, boot.KnownEndpoints, p, slog.New(slog.DiscardHandler))
+	member := membership.Member{Name: plannerNode.name, Role: membership.RolePlanner, Incarnation: uint64(plannerProcess.now), Addr: plannerNode.name}
+	plannerProcess.members = membership.NewPlannerMembership(member, membership.Config{})
+	plannerProcess.listTable = requests.New(1, plannerNode.settings.Names, func() requests.Policy { return plannerProcess }, boot.KnownEndpoints, plannerProcess, slog.New(slog.DiscardHandler))
 	seed := boot.Seed
-	p.planner = planner.New(planner.Config{
-		Name: s.name, Incarnation: uint64(p.now), Version: codec.Version,
-		Settings: s.settings.Settings, NewPolicy: func() planner.Policy {
+	plannerProcess.planner = planner.New(planner.Config{
+		Name: plannerNode.name, Incarnation: uint64(plannerProcess.now), Version: codec.Version,
+		Settings: plannerNode.settings.Settings, NewPolicy: func() planner.Policy {
 			seed++
-			var m planner.Policy = dispatch.New(s.settings.Settings, seed)
-			if s.options.WrapPlanner != nil {
-				m = s.options.WrapPlanner(s.number-s.spec.Schedulers.Count, m)
+			var m planner.Policy = dispatch.New(plannerNode.settings.Settings, seed)
+			if plannerNode.options.WrapPlanner != nil {
+				m = plannerNode.options.WrapPlanner(plannerNode.number-plannerNode.spec.Schedulers.Count, m)
 			}
 			return m
 		},
 	})
-	s.levels.gossip.join(s.number, me)
-	p.timer = p.now
-	return p
+	plannerNode.levels.gossip.join(plannerNode.number, member)
+	plannerProcess.timer = plannerProcess.now
+	return plannerProcess
 }
 
 // runIteration takes in what has come and is due, has the book decide, and writes what it says.
 func (p *plannerProcess) runIteration() (exited bool) {
-	s := p.node
-	p.now = s.epoch + s.now
+	plannerNode := p.node
+	p.now = plannerNode.epoch + plannerNode.now
 	// Of much that waits, as after a freeze, it takes in a part at a time, and decides on that before it reads on.
-	n, most := 0, len(s.pending)
+	n, most := 0, len(plannerNode.pending)
 	if most > 1 {
-		most = 1 + s.levels.rngs[s.number].IntN(maxMessagesPerIteration)
+		most = 1 + plannerNode.levels.rngs[plannerNode.number].IntN(maxMessagesPerIteration)
 	}
-	for ; n < min(most, len(s.pending)) && s.pending[n].takenAt <= s.now; n++ {
-		p.handleInput(&s.pending[n])
+	for ; n < min(most, len(plannerNode.pending)) && plannerNode.pending[n].takenAt <= plannerNode.now; n++ {
+		p.handleInput(&plannerNode.pending[n])
 	}
-	rest := copy(s.pending, s.pending[n:])
-	clear(s.pending[rest:])
-	s.pending = s.pending[:rest]
+	rest := copy(plannerNode.pending, plannerNode.pending[n:])
+	clear(plannerNode.pending[rest:])
+	plannerNode.pending = plannerNode.pending[:rest]
 	if p.watchDeadline > 0 && p.watchDeadline <= p.now {
 		p.watchLost()
 	}
 	p.applyLists()
-	if at := p.members.Next(); len(p.events) > 0 || at > 0 && at+s.delay <= p.now {
+	if at := p.members.Next(); len(p.events) > 0 || at > 0 && at+plannerNode.delay <= p.now {
 		p.updateMembers()
 	}
 	for i := range p.redialAt {
@@ -234,13 +234,13 @@
 	}
 	clear(p.listUpdates)
 	p.listUpdates = p.listUpdates[:0]
-	if due := p.timer > 0 && p.timer+s.delay <= p.now; due || len(p.inputs) > 0 {
+	if due := p.timer > 0 && p.timer+plannerNode.delay <= p.now; due || len(p.inputs) > 0 {
 		if due {
 			p.timer = 0
 		}
 		outs := p.planner.Step(p.now, p.inputs, p.outputs[:0])
-		if s.options.AlterPlanner != nil {
-			outs = s.options.AlterPlanner(s.number-s.spec.Schedulers.Count, outs)
+		if plannerNode.options.AlterPlanner != nil {
+			outs = plannerNode.options.AlterPlanner(plannerNode.number-plannerNode.spec.Schedulers.Count, outs)
 		}
 		clear(p.inputs)
 		p.inputs = p.inputs[:0]
@@ -252,7 +252,7 @@
 	}
 	for _, k := range p.conns {
 		if k.connected && k.writer.Len() > 0 {
-			s.levels.send(k.stream, k.end, k.writer.Take(s.levels.buffer()))
+			plannerNode.levels.send(k.stream, k.end, k.writer.Take(plannerNode.levels.buffer()))
 		}
 	}
 	p.applyLists()
@@ -261,10 +261,10 @@
 
 // nextAt is when a turn is due at the latest, apart from what has come.
 func (p *plannerProcess) nextAt() time.Duration {
-	at := never
+	next := never
 	soon := func(t time.Duration) {
 		if t > 0 {
-			at = min(at, t)
+			next = min(next, t)
 		}
 	}
 	if p.timer > 0 {
@@ -280,7 +280,7 @@
 	if len(p.listUpdates)+len(p.inputs)+len(p.events) > 0 {
 		soon(p.now)
 	}
-	return at
+	return next
 }
 
 // ---- What comes in ----
@@ -311,26 +311,26 @@
 			p.unregister(k, n.timedOut)
 		}
 	case streamData:
-		k := p.sessions[planner.SessionID(n.stream.id)]
-		if k == nil || !k.connected {
+		plannerPeerConn := p.sessions[planner.SessionID(n.stream.id)]
+		if plannerPeerConn == nil || !plannerPeerConn.connected {
 			return
 		}
-		k.reader.Feed(n.bytes)
+		plannerPeerConn.reader.Feed(n.bytes)
 		p.node.levels.recycle(n.bytes)
 		for {
-			envelope, ok, err := k.reader.Next()
+			envelope, ok, err := plannerPeerConn.reader.Next()
 			if err != nil {
-				p.node.levels.closeStream(k.stream, k.end)
-				p.unregister(k, false)
+				p.node.levels.closeStream(plannerPeerConn.stream, plannerPeerConn.end)
+				p.unregister(plannerPeerConn, false)
 			}
 			if err != nil || !ok {
 				return
 			}
 			envelope = envelope.Clone() // it is to outlive the reader's next one
-			if k.peer == "" {
-				p.inputs = append(p.inputs, planner.ForwarderMessage{Session: planner.SessionID(k.stream.id), Envelope: envelope})
+			if plannerPeerConn.peer == "" {
+				p.inputs = append(p.inputs, planner.ForwarderMessage{Session: planner.SessionID(plannerPeerConn.stream.id), Envelope: envelope})
 			} else {
-				p.inputs = append(p.inputs, planner.PeerMessage{Peer: k.peer, Envelope: envelope})
+				p.inputs = append(p.inputs, planner.PeerMessage{Peer: plannerPeerConn.peer, Envelope: envelope})
 			}
 		}
 	}
@@ -362,23 +362,23 @@
 }
 
 // unregister takes a connection out of the books.
-func (p *plannerProcess) unregister(k *plannerPeerConn, silent bool) {
-	delete(p.sessions, planner.SessionID(k.stream.id))
+func (p *plannerProcess) unregister(plannerPeerConn *plannerPeerConn, silent bool) {
+	delete(p.sessions, planner.SessionID(plannerPeerConn.stream.id))
 	for i, o := range p.conns {
-		if o == k {
+		if o == plannerPeerConn {
 			p.conns = append(p.conns[:i], p.conns[i+1:]...)
 			break
 		}
 	}
 	switch {
-	case k.peer == "":
-		p.inputs = append(p.inputs, planner.SessionClosed{Session: planner.SessionID(k.stream.id)})
-	case k.connected:
-		p.inputs = append(p.inputs, planner.PeerDisconnected{Peer: k.peer})
-		p.events = append(p.events, membership.PlannerDisconnected{Name: k.peer, Silent: silent})
-	}
-	k.connected = false
-	if i := k.seat - p.node.spec.Schedulers.Count; k.peer != "" && k.seat > p.node.number {
+	case plannerPeerConn.peer == "":
+		p.inputs = append(p.inputs, planner.SessionClosed{Session: planner.SessionID(plannerPeerConn.stream.id)})
+	case plannerPeerConn.connected:
+		p.inputs = append(p.inputs, planner.PeerDisconnected{Peer: plannerPeerConn.peer})
+		p.events = append(p.events, membership.PlannerDisconnected{Name: plannerPeerConn.peer, Silent: silent})
+	}
+	plannerPeerConn.connected = false
+	if i := plannerPeerConn.seat - p.node.spec.Schedulers.Count; plannerPeerConn.peer != "" && plannerPeerConn.seat > p.node.number {
 		p.backoff[i] = min(max(2*p.backoff[i], minRedialDelay), maxRedialDelay)
 		p.redialAt[i] = p.now + p.backoff[i]/2 + time.Duration(p.node.levels.rngs[p.node.number].Int64N(int64(p.backoff[i])))
 	}
@@ -401,12 +401,12 @@
 }
 
 // handleEnvironment takes what the world does.
-func (p *plannerProcess) handleEnvironment(in *simapi.Input) {
-	switch in.Kind {
+func (p *plannerProcess) handleEnvironment(input *simapi.Input) {
+	switch input.Kind {
 	case simapi.ListReceived:
 		if p.watching {
 			p.watchDeadline = p.now + nextLineTimeout
-			p.listTable.UpdateEndpoints(*in.List)
+			p.listTable.UpdateEndpoints(*input.List)
 		}
 	case simapi.WatchHeartbeat:
 		if p.watching {
@@ -419,8 +419,8 @@
 	case simapi.WatchEnded:
 		p.watchLost()
 	case simapi.Reload:
-		if in.Discovery != p.discovery {
-			p.discovery = in.Discovery
+		if input.Discovery != p.discovery {
+			p.discovery = input.Discovery
 			p.listTable.ResetRevision()
 			p.inputs = append(p.inputs, planner.EndpointSourceChanged{})
 			p.Watch(0)
--- a/internal/testbed/simulation/process.go
+++ b/internal/testbed/simulation/process.go
@@ -51,35 +51,35 @@
 	firstRequest    uint64
 }
 
-func newProcess(s *Scheduler, boot *simapi.StartOptions) *process {
-	p := &process{scheduler: s, now: s.epoch + s.now, clients: map[simapi.Conn]*clientConn{}, discovery: boot.Discovery, listChanged: true}
-	p.idleClients.prev, p.idleClients.next = &p.idleClients, &p.idleClients
-	p.watchTimer.act = p.watchLost
-	sch := &s.spec.Schedulers
+func newProcess(scheduler *Scheduler, boot *simapi.StartOptions) *process {
+	process := &process{scheduler: scheduler, now: scheduler.epoch + scheduler.now, clients: map[simapi.Conn]*clientConn{}, discovery: boot.Discovery, listChanged: true}
+	process.idleClients.prev, process.idleClients.next = &process.idleClients, &process.idleClients
+	process.watchTimer.act = process.watchLost
+	sch := &scheduler.spec.Schedulers
 	most := sch.Sockets - ownDescriptors
 	servers := max(8, most/6)
-	p.maxClients, p.bodyBudget = most-servers, sch.MemoryMB<<20/6
-	p.maxRequests = p.maxClients - max(8, p.maxClients/10)
-	p.workerConns = newWorkerConns(p, servers, s.settings.ConnectTimeout, s.settings.ConnIdleTimeout)
+	process.maxClients, process.bodyBudget = most-servers, sch.MemoryMB<<20/6
+	process.maxRequests = process.maxClients - max(8, process.maxClients/10)
+	process.workerConns = newWorkerConns(process, servers, scheduler.settings.ConnectTimeout, scheduler.settings.ConnIdleTimeout)
 	seed := boot.Seed
 	module := func() requests.Policy {
-		if p.forwarder != nil {
-			return p.forwarder.newPolicy()
+		if process.forwarder != nil {
+			return process.forwarder.newPolicy()
 		}
 		seed++
-		if s.model.Module == nil {
-			return dispatch.New(s.settings.Settings, seed)
+		if scheduler.model.Module == nil {
+			return dispatch.New(scheduler.settings.Settings, seed)
 		}
-		return s.model.Module(s.settings.Settings, seed, p)
+		return scheduler.model.Module(scheduler.settings.Settings, seed, process)
 	}
-	if s.levels != nil {
-		p.forwarder = newForwarder(p, boot.Name, seed)
+	if scheduler.levels != nil {
+		process.forwarder = newForwarder(process, boot.Name, seed)
 	}
-	p.requests = requests.New(s.settings.AttemptLimit, s.settings.Names, module, boot.KnownEndpoints, p.workerConns, s.model.logger(s.number))
-	if p.forwarder != nil {
-		p.forwarder.join()
+	process.requests = requests.New(scheduler.settings.AttemptLimit, scheduler.settings.Names, module, boot.KnownEndpoints, process.workerConns, scheduler.model.logger(scheduler.number))
+	if process.forwarder != nil {
+		process.forwarder.join()
 	}
-	return p
+	return process
 }
 
 // handleInput is one thing that has come in.
@@ -277,48 +277,48 @@
 	prev, next *clientConn // among the idle
 }
 
-func (p *process) requestReceived(in *simapi.Input) {
-	k := p.clients[in.Conn]
+func (p *process) requestReceived(input *simapi.Input) {
+	k := p.clients[input.Conn]
 	switch {
 	case k == nil:
 		// Queries are fewer than links, so where links run out there is an idle one to make room.
 		if len(p.clients) >= p.maxClients && p.idleClients.next != &p.idleClients {
 			p.idleClients.next.close()
 		}
-		k = &clientConn{process: p, conn: in.Conn}
-		p.clients[in.Conn] = k
+		k = &clientConn{process: p, conn: input.Conn}
+		p.clients[input.Conn] = k
 	case k.prev == nil:
-		panic("virtual: connection " + strconv.FormatUint(uint64(in.Conn), 16) + " asks again before its answer")
+		panic("virtual: connection " + strconv.FormatUint(uint64(input.Conn), 16) + " asks again before its answer")
 	default:
 		k.removeIdle()
 	}
-	a := in.Request
-	k.requestID = a.RequestID
+	clientRequest := input.Request
+	k.requestID = clientRequest.RequestID
 	switch {
 	case p.rejectsRequests:
 		k.respond(503, 0, "")
 		return
-	case p.requests.OpenCount() >= p.maxRequests || p.requests.PayloadBytes()+a.BodyLength > p.bodyBudget:
+	case p.requests.OpenCount() >= p.maxRequests || p.requests.PayloadBytes()+clientRequest.BodyLength > p.bodyBudget:
 		k.respond(503, min(fullRetryAfter, p.scheduler.settings.MaxRetryAfter), "")
 		return
 	}
-	q, err := p.requests.Admit(p.now, requests.Arrival{
-		CallID: a.RequestID, Responder: k,
+	request, err := p.requests.Admit(p.now, requests.Arrival{
+		CallID: clientRequest.RequestID, Responder: k,
 		Job: dispatch.Job{
-			Class: a.Class, Tenant: a.Tenant, Remaining: a.Budget.Truncate(time.Millisecond),
-			Hint: a.CostHint.Truncate(time.Microsecond), Slots: max(1, a.Slots), Retry: a.Retry,
+			Class: clientRequest.Class, Tenant: clientRequest.Tenant, Remaining: clientRequest.Budget.Truncate(time.Millisecond),
+			Hint: clientRequest.CostHint.Truncate(time.Microsecond), Slots: max(1, clientRequest.Slots), Retry: clientRequest.Retry,
 		},
-		Payload: requests.Payload{Method: "POST", IdempotencyKey: a.IdempotencyKey, Body: zeroBody[:min(a.BodyLength, len(zeroBody))]},
+		Payload: requests.Payload{Method: "POST", IdempotencyKey: clientRequest.IdempotencyKey, Body: zeroBody[:min(clientRequest.BodyLength, len(zeroBody))]},
 	})
 	if err != nil {
 		k.respond(409, 0, "")
 		return
 	}
-	k.request = q
+	k.request = request
 	if len(p.newRequestIDs) == 0 {
-		p.firstRequest = q.ID
+		p.firstRequest = request.ID
 	}
-	p.newRequestIDs = append(p.newRequestIDs, a.RequestID)
+	p.newRequestIDs = append(p.newRequestIDs, clientRequest.RequestID)
 }
 
 // zeroBody is every body: the ledger counts its bytes, and nobody reads it.
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -54,60 +54,60 @@
 
 // Run plays a checked scenario to its end. An error says that it could not be played.
 func Run(spec *scenario.Scenario, seed uint64, opt Options) (*Outcome, error) {
-	p := runner{options: &opt, outcome: &Outcome{}}
+	runner := runner{options: &opt, outcome: &Outcome{}}
 	shown := *spec
 	shown.Misbehaving = nil // see Unseen
-	p.environment = environment.New(&shown, seed, StartTime, combineObservers(opt.Observers))
+	runner.environment = environment.New(&shown, seed, StartTime, combineObservers(opt.Observers))
 	if spec.Planners.Count > 0 {
 		if opt.Module != nil {
 			return nil, errors.New("where there are planners, the module is the one that is in service")
 		}
-		p.levels = newLevelNetwork(spec, seed)
+		runner.levels = newLevelNetwork(spec, seed)
 	}
 	for n := range spec.Schedulers.Count {
-		s, err := NewScheduler(spec, n, StartTime, opt.Model, p.environment)
+		s, err := NewScheduler(spec, n, StartTime, opt.Model, runner.environment)
 		if err != nil {
 			return nil, err
 		}
-		if p.levels != nil {
-			s.levels, s.counts, p.levels.seats[n] = p.levels, &p.outcome.Levels, s
+		if runner.levels != nil {
+			s.levels, s.counts, runner.levels.seats[n] = runner.levels, &runner.outcome.Levels, s
 		}
 		var side simapi.Scheduler = s
 		if opt.Wrap != nil {
 			side = opt.Wrap(side)
 		}
-		p.schedulers = append(p.schedulers, side)
+		runner.schedulers = append(runner.schedulers, side)
 	}
 	for n := range spec.Planners.Count {
 		n += spec.Schedulers.Count
-		s, err := newPlannerNode(spec, n, p.options, p.levels, &p.outcome.Levels)
+		s, err := newPlannerNode(spec, n, runner.options, runner.levels, &runner.outcome.Levels)
 		if err != nil {
 			return nil, err
 		}
-		p.levels.seats[n], p.schedulers = s, append(p.schedulers, s)
+		runner.levels.seats[n], runner.schedulers = s, append(runner.schedulers, s)
 	}
-	p.nextAt, p.inputs = make([]time.Duration, len(p.schedulers)), make([][]simapi.Input, len(p.schedulers))
-	for n := range p.nextAt {
-		p.nextAt[n] = never
+	runner.nextAt, runner.inputs = make([]time.Duration, len(runner.schedulers)), make([][]simapi.Input, len(runner.schedulers))
+	for n := range runner.nextAt {
+		runner.nextAt[n] = never
 	}
 	if opt.Digest {
-		p.digest = xxhash.New()
+		runner.digest = xxhash.New()
 	}
 	end := spec.Length.Std() + spec.Settle.Std()
 	if opt.Until > 0 {
 		end = min(end, opt.Until)
 	}
-	p.earliestNext = never
-	err := p.run(end)
-	if p.levels != nil {
-		for _, s := range p.levels.seats {
+	runner.earliestNext = never
+	err := runner.run(end)
+	if runner.levels != nil {
+		for _, s := range runner.levels.seats {
 			s.endProcess()
 		}
 	}
-	if p.digest != nil {
-		p.outcome.Digest = p.digest.Sum64()
+	if runner.digest != nil {
+		runner.outcome.Digest = runner.digest.Sum64()
 	}
-	return p.outcome, err
+	return runner.outcome, err
 }
 
 func combineObservers(all []trace.Observer) trace.Observer {
