--- a/internal/testbed/simulation/scheduler.go
+++ b/internal/testbed/simulation/scheduler.go
@@ -95,11 +95,11 @@
 	return dst
 }
 
-func (s *Scheduler) handleInput(in *simapi.Input) {
-	switch in.Kind {
+func (s *Scheduler) handleInput(input *simapi.Input) {
+	switch input.Kind {
 	case simapi.Start:
 		s.incarnation++
-		s.process, s.frozen, s.pendingMessages = newProcess(s, in.Start), false, s.pendingMessages[:0]
+		s.process, s.frozen, s.pendingMessages = newProcess(s, input.Start), false, s.pendingMessages[:0]
 		clear(s.pendingInputs)
 		s.pendingInputs = s.pendingInputs[:0]
 	case simapi.Kill:
@@ -118,9 +118,9 @@
 		switch {
 		case s.process == nil: // what reaches a process that is gone is lost
 		case s.frozen:
-			s.pendingInputs = append(s.pendingInputs, *in)
+			s.pendingInputs = append(s.pendingInputs, *input)
 		default:
-			s.process.handleInput(in)
+			s.process.handleInput(input)
 		}
 	}
 }
--- a/internal/testbed/simulation/transcript.go
+++ b/internal/testbed/simulation/transcript.go
@@ -9,22 +9,22 @@
 )
 
 // AppendInput writes something that reached a scheduler as a line, each field in it.
-func AppendInput(b []byte, now time.Duration, in *simapi.Input) []byte {
-	b = appendNumbers(append(b, "in"...), int64(now), int64(in.Kind), int64(in.Scheduler), int64(in.Worker), int64(in.Conn),
-		int64(in.Status), int64(in.Discovery), int64(in.Mode), int64(in.Machine), int64(in.Bytes), int64(in.CallbackID), boolBit(in.Reset),
-		boolBit(in.Rejected))
-	if a := in.Request; a != nil {
+func AppendInput(b []byte, now time.Duration, input *simapi.Input) []byte {
+	b = appendNumbers(append(b, "in"...), int64(now), int64(input.Kind), int64(input.Scheduler), int64(input.Worker), int64(input.Conn),
+		int64(input.Status), int64(input.Discovery), int64(input.Mode), int64(input.Machine), int64(input.Bytes), int64(input.CallbackID), boolBit(input.Reset),
+		boolBit(input.Rejected))
+	if a := input.Request; a != nil {
 		b = appendTexts(b, a.RequestID, a.IdempotencyKey)
 		b = appendNumbers(b, int64(a.Class), int64(a.Tenant), int64(a.Budget), int64(a.CostHint), floatBits(a.Slots), int64(a.BodyLength),
 			boolBit(a.Retry))
 	}
-	if n := in.Callback; n != nil {
+	if n := input.Callback; n != nil {
 		b = appendTexts(b, n.CallID, n.EndpointID, n.State)
 		if b = appendNumbers(b, floatBits(n.Progress)); n.Result != nil {
 			b = appendTexts(b, *n.Result)
 		}
 	}
-	if g := in.List; g != nil {
+	if g := input.List; g != nil {
 		b = appendNumbers(b, g.Revision, boolBit(g.Reset))
 		for i := range g.Endpoints {
 			h := &g.Endpoints[i]
@@ -32,11 +32,11 @@
 			b = appendNumbers(b, int64(h.Cell), floatBits(h.Weight), h.StartedAtMs)
 		}
 	}
-	if t := in.Start; t != nil {
+	if t := input.Start; t != nil {
 		b = appendTexts(b, t.Name)
 		b = appendNumbers(b, int64(t.Seed), int64(t.Discovery), t.KnownEndpoints.Revision, int64(len(t.KnownEndpoints.Endpoints)))
 	}
-	if o := in.Misbehavior; o != nil {
+	if o := input.Misbehavior; o != nil {
 		b = appendTexts(b, o.Kind, o.RequestID)
 		b = appendNumbers(b, int64(o.Number))
 	}
--- a/internal/testbed/simulation/worker_conns.go
+++ b/internal/testbed/simulation/worker_conns.go
@@ -174,21 +174,21 @@
 }
 
 // cancelEnded takes in how a DELETE ended. What broke is tried again, on another connection.
-func (s *workerConns) cancelEnded(a *requests.Attempt, fault *requests.AttemptError) {
+func (s *workerConns) cancelEnded(attempt *requests.Attempt, fault *requests.AttemptError) {
 	broke := fault != nil && fault.Reason == requests.ReasonConnectionLost
-	wanted := !a.HasEnded() || fault != nil && fault.Stage >= requests.StageWritten
-	if !broke || !wanted || a.EndedByWorker() || s.cancellations[a] >= cancelAttempts {
-		delete(s.cancellations, a)
-		s.process.requests.CancelCompleted(a, !broke)
+	wanted := !attempt.HasEnded() || fault != nil && fault.Stage >= requests.StageWritten
+	if !broke || !wanted || attempt.EndedByWorker() || s.cancellations[attempt] >= cancelAttempts {
+		delete(s.cancellations, attempt)
+		s.process.requests.CancelCompleted(attempt, !broke)
 		return
 	}
 	s.process.after(cancelRetryDelay, func() {
-		if a.EndedByWorker() {
-			delete(s.cancellations, a)
+		if attempt.EndedByWorker() {
+			delete(s.cancellations, attempt)
 			return
 		}
-		s.cancellations[a]++
-		s.startTask(a.Worker, connTask{taskCancel, a})
+		s.cancellations[attempt]++
+		s.startTask(attempt.Worker, connTask{taskCancel, attempt})
 	})
 }
 
@@ -240,27 +240,27 @@
 }
 
 // startTask gives an errand to the link that was used last, or to a new one.
-func (s *workerConns) startTask(worker uint64, e connTask) {
-	h := s.endpoint(worker)
-	for i := len(h.idle) - 1; i >= 0; i-- {
-		k := h.idle[i]
-		if s.isStale(k) {
-			k.closeWith(nil)
+func (s *workerConns) startTask(worker uint64, connTask connTask) {
+	endpointConns := s.endpoint(worker)
+	for i := len(endpointConns.idle) - 1; i >= 0; i-- {
+		workerConn := endpointConns.idle[i]
+		if s.isStale(workerConn) {
+			workerConn.closeWith(nil)
 			continue
 		}
-		if e.kind == taskAttempt && k.lastTask == taskAttempt && s.process.now-k.idleSince < reuseDelay {
+		if connTask.kind == taskAttempt && workerConn.lastTask == taskAttempt && s.process.now-workerConn.idleSince < reuseDelay {
 			continue
 		}
-		h.idle = append(h.idle[:i], h.idle[i+1:]...)
+		endpointConns.idle = append(endpointConns.idle[:i], endpointConns.idle[i+1:]...)
 		s.idleCount--
-		k.idleFor = max(s.process.now-k.idleSince, 1)
-		k.assign(e)
-		k.write()
+		workerConn.idleFor = max(s.process.now-workerConn.idleSince, 1)
+		workerConn.assign(connTask)
+		workerConn.write()
 		return
 	}
-	k := &workerConn{conns: s, endpoint: h, incarnation: h.incarnation, state: connConnecting}
+	k := &workerConn{conns: s, endpoint: endpointConns, incarnation: endpointConns.incarnation, state: connConnecting}
 	k.timer.act = k.timedOut
-	k.assign(e)
+	k.assign(connTask)
 	k.dial()
 }
 
@@ -279,19 +279,19 @@
 // ---- One link ----
 
 func (k *workerConn) dial() {
-	s := k.conns
+	workerConns := k.conns
 	switch {
-	case len(s.conns) >= s.maxConns && !s.evictIdle():
+	case len(workerConns.conns) >= workerConns.maxConns && !workerConns.evictIdle():
 		k.closeWith(errNoDescriptor)
 		return
 	case k.endpoint.workerIndex < 0:
 		k.closeWith(errNoAddress)
 		return
 	}
-	k.conn = s.process.newConn()
-	s.conns[k.conn] = k
-	s.process.emit(simapi.Output{Kind: simapi.WorkerDialed, Conn: k.conn, Worker: k.endpoint.workerIndex, Machine: k.endpoint.machine})
-	k.awaitWithin(s.dialTimeout)
+	k.conn = workerConns.process.newConn()
+	workerConns.conns[k.conn] = k
+	workerConns.process.emit(simapi.Output{Kind: simapi.WorkerDialed, Conn: k.conn, Worker: k.endpoint.workerIndex, Machine: k.endpoint.machine})
+	k.awaitWithin(workerConns.dialTimeout)
 }
 
 // assign gives the link its errand.
@@ -330,28 +330,28 @@
 
 // write sends the errand's request, whole.
 func (k *workerConn) write() {
-	p, a := k.conns.process, k.task.attempt
-	if k.task.kind == taskAttempt && a.At-p.now < time.Millisecond {
+	process, a := k.conns.process, k.task.attempt
+	if k.task.kind == taskAttempt && a.At-process.now < time.Millisecond {
 		k.deadline = 0 // the ledger gives it up in a moment, and the link ends with it
 		return
 	}
 	k.state = connAwaiting
 	k.setStage(requests.StageWritten)
-	o := simapi.Output{Conn: k.conn, Worker: k.endpoint.workerIndex, FirstByteAt: p.now - p.scheduler.epoch}
+	output := simapi.Output{Conn: k.conn, Worker: k.endpoint.workerIndex, FirstByteAt: process.now - process.scheduler.epoch}
 	switch k.task.kind {
 	case taskAttempt:
-		left := a.At - p.now
-		o.Kind, o.RequestID, o.IdempotencyKey = simapi.AttemptWritten, a.Request.CallID, a.Request.Payload.IdempotencyKey
-		o.Budget = max(time.Millisecond, left.Truncate(time.Millisecond))
+		left := a.At - process.now
+		output.Kind, output.RequestID, output.IdempotencyKey = simapi.AttemptWritten, a.Request.CallID, a.Request.Payload.IdempotencyKey
+		output.Budget = max(time.Millisecond, left.Truncate(time.Millisecond))
 		k.awaitWithin(left + connGrace)
 	case taskHealthCheck:
-		o.Kind = simapi.HealthCheckWritten
+		output.Kind = simapi.HealthCheckWritten
 		k.awaitWithin(healthCheckTimeout)
 	case taskCancel:
-		o.Kind, o.RequestID = simapi.CancellationReceived, a.Request.CallID
+		output.Kind, output.RequestID = simapi.CancellationReceived, a.Request.CallID
 		k.awaitWithin(cancelTimeout)
 	}
-	p.emit(o)
+	process.emit(output)
 }
 
 func (k *workerConn) setStage(stage requests.Stage) {
@@ -456,27 +456,27 @@
 	if k.state == connClosed {
 		return
 	}
-	s := k.conns
+	workerConns := k.conns
 	if k.state == connIdle {
 		for i, o := range k.endpoint.idle {
 			if o == k {
 				k.endpoint.idle = append(k.endpoint.idle[:i], k.endpoint.idle[i+1:]...)
-				s.idleCount--
+				workerConns.idleCount--
 				break
 			}
 		}
 	}
 	dropped := k.state == connAwaiting && k.idleFor > 0 && !k.responseBegun && cause != nil && !errors.Is(cause, errTimeout)
 	k.state = connClosed
-	s.process.stop(&k.timer)
+	workerConns.process.stop(&k.timer)
 	if k.conn != 0 {
-		delete(s.conns, k.conn)
+		delete(workerConns.conns, k.conn)
 		if !k.peerClosed {
-			s.process.emit(simapi.Output{Kind: simapi.WorkerConnClosed, Conn: k.conn, Worker: k.endpoint.workerIndex})
+			workerConns.process.emit(simapi.Output{Kind: simapi.WorkerConnClosed, Conn: k.conn, Worker: k.endpoint.workerIndex})
 		}
 	}
 	if dropped {
-		s.reduceTrust(k.idleFor)
+		workerConns.reduceTrust(k.idleFor)
 	}
 	if k.task.kind == taskNone {
 		return
--- a/internal/testbed/starvation/checker.go
+++ b/internal/testbed/starvation/checker.go
@@ -88,7 +88,7 @@
 
 // New returns a watcher of a play of a checked scenario.
 func New(spec *scenario.Scenario) *Checker {
-	w := &Checker{
+	checker := &Checker{
 		spec: spec, jobs: map[uint64]*job{}, requests: map[string]*request{}, dialed: map[uint64]bool{},
 		workers: make([]worker, spec.Fleet.Workers), schedulers: make([]scheduler, max(1, spec.Schedulers.Count)),
 		idleWorkers: make([][slotBuckets][]int32, len(spec.Fleet.Kinds)), oldRequests: make([][slotBuckets][]*request, len(spec.Fleet.Kinds)+1),
@@ -96,24 +96,24 @@
 	for i := range spec.Fleet.Kinds {
 		k := &spec.Fleet.Kinds[i]
 		most := k.Speed * math.Sqrt(3) * k.Spread // that a node of it is slower or faster
-		w.kinds = append(w.kinds, workerKind{warmUp: k.WarmUp.Std(), omitsStarts: k.OmitsStartNotifications, minSpeed: max(0.1*k.Speed, k.Speed-most)})
-		w.maxSpeed = max(w.maxSpeed, k.Speed+most)
-		w.omitsStarts = w.omitsStarts || k.OmitsStartNotifications
+		checker.kinds = append(checker.kinds, workerKind{warmUp: k.WarmUp.Std(), omitsStarts: k.OmitsStartNotifications, minSpeed: max(0.1*k.Speed, k.Speed-most)})
+		checker.maxSpeed = max(checker.maxSpeed, k.Speed+most)
+		checker.omitsStarts = checker.omitsStarts || k.OmitsStartNotifications
 	}
 	for i := range spec.Classes {
 		c := &spec.Classes[i]
-		w.classes = append(w.classes, class{
+		checker.classes = append(checker.classes, class{
 			nonIdempotent: c.Idempotency == "unsafe", idempotentWithKey: c.Idempotency == "keyed", scope: c.DeduplicationScope,
 			window: c.DeduplicationWindow.Std(), objectiveStretch: c.ObjectiveStretch, kind: slices.IndexFunc(spec.Fleet.Kinds,
 				func(k scenario.WorkerKind) bool { return c.Kind != "" && k.Name == c.Kind }),
 		})
 	}
-	for i := range w.schedulers {
-		w.schedulers[i].classEnds = make([]int, len(spec.Classes))
+	for i := range checker.schedulers {
+		checker.schedulers[i].classEnds = make([]int, len(spec.Classes))
 	}
 	cells, zones := workerPlacement(spec)
-	for i := range w.workers {
-		w.workers[i].number, w.workers[i].cell, w.workers[i].zone = i, cells[i], zones[i]
+	for i := range checker.workers {
+		checker.workers[i].number, checker.workers[i].cell, checker.workers[i].zone = i, cells[i], zones[i]
 	}
 	for i := range spec.Faults {
 		f := &spec.Faults[i]
@@ -124,14 +124,14 @@
 		if f.Duration > 0 {
 			h.end = f.At.Std() + f.Duration.Std() + idleWindow
 		}
-		w.clientsCut = append(w.clientsCut, h)
+		checker.clientsCut = append(checker.clientsCut, h)
 	}
 	const own = 24 // descriptors of a process beside its connections, of which a sixth are for worker nodes
 	links := max(0, spec.Schedulers.Sockets-own)
 	links -= max(8, links/6)
-	w.dialsPerWindow = max(1, int(idleWindow/max(spec.Schedulers.ConnTimeout.Std(), 1))-1)
-	w.attemptLimit = int(crowdedShare * float64(links-max(8, links/10)))
-	return w
+	checker.dialsPerWindow = max(1, int(idleWindow/max(spec.Schedulers.ConnTimeout.Std(), 1))-1)
+	checker.attemptLimit = int(crowdedShare * float64(links-max(8, links/10)))
+	return checker
 }
 
 // Observe takes in a sight. Sights come in order of time.
@@ -226,22 +226,22 @@
 
 // ---- Tries and their attempts ----
 
-func (w *Checker) requestSent(s *trace.Event) {
-	t := w.requests[s.RequestID]
+func (w *Checker) requestSent(event *trace.Event) {
+	t := w.requests[event.RequestID]
 	if t == nil {
-		j := w.jobs[s.JobID]
+		j := w.jobs[event.JobID]
 		if j == nil {
 			return
 		}
-		t = &request{job: j, number: s.JobID, id: s.RequestID, oldIndex: -1, scheduler: -1}
+		t = &request{job: j, number: event.JobID, id: event.RequestID, oldIndex: -1, scheduler: -1}
 		w.verdict.Requests++
 	} else { // it crossed a close, so nothing became of it
 		w.removeFromQueue(t)
 		w.detachAttempts(t)
 	}
-	w.requests[s.RequestID] = t
-	t.sentAt, t.open, t.scheduler = s.At, true, s.Scheduler
-	c := &w.schedulers[s.Scheduler]
+	w.requests[event.RequestID] = t
+	t.sentAt, t.open, t.scheduler = event.At, true, event.Scheduler
+	c := &w.schedulers[event.Scheduler]
 	t.index = len(c.requests)
 	c.requests = append(c.requests, t)
 	if c.open++; t.inFlight == 0 {
@@ -320,18 +320,18 @@
 	w.removeFromQueue(t)
 }
 
-func (w *Checker) attemptSent(s *trace.Event) {
-	t := w.requests[s.RequestID]
-	if t == nil || s.Worker < 0 || s.Worker >= len(w.workers) {
+func (w *Checker) attemptSent(event *trace.Event) {
+	t := w.requests[event.RequestID]
+	if t == nil || event.Worker < 0 || event.Worker >= len(w.workers) {
 		return
 	}
 	if t.isQueued() {
 		w.stopWaiting(t)
 	}
-	t.attempts = append(t.attempts, attempt{worker: s.Worker, sentAt: s.At, inFlight: true, abandoned: true})
+	t.attempts = append(t.attempts, attempt{worker: event.Worker, sentAt: event.At, inFlight: true, abandoned: true})
 	t.inFlight++
 	t.undecided++
-	w.addUse(&w.workers[s.Worker], t.job.slots)
+	w.addUse(&w.workers[event.Worker], t.job.slots)
 }
 
 func (a *attempt) occupiesWorker() bool { return a.abandoned }
@@ -384,22 +384,22 @@
 // isFinalState tells whether a note says that an attempt has ended.
 func isFinalState(state string) bool { return state != "started" && state != "running" }
 
-func (w *Checker) callbackAnswered(s *trace.Event) {
-	if s.Number > 1 {
-		w.markUnhealthy(s.Worker)
+func (w *Checker) callbackAnswered(event *trace.Event) {
+	if event.Number > 1 {
+		w.markUnhealthy(event.Worker)
 	}
-	if !isFinalState(s.Text) {
-		if _, a := w.findAttempt(s, (*attempt).occupiesWorker); a != nil {
+	if !isFinalState(event.Text) {
+		if _, a := w.findAttempt(event, (*attempt).occupiesWorker); a != nil {
 			a.endKnown = true
 		}
 		return
 	}
-	if s.Text != "done" {
-		w.markUnhealthy(s.Worker)
+	if event.Text != "done" {
+		w.markUnhealthy(event.Worker)
 	}
-	if t, a := w.findAttempt(s, func(a *attempt) bool { return a.inFlight || a.abandoned }); a != nil {
-		if a.inFlight && s.Text == "done" {
-			w.schedulers[s.Scheduler].classEnds[t.job.class]++
+	if t, a := w.findAttempt(event, func(a *attempt) bool { return a.inFlight || a.abandoned }); a != nil {
+		if a.inFlight && event.Text == "done" {
+			w.schedulers[event.Scheduler].classEnds[t.job.class]++
 		}
 		w.endAttempt(t, a, true, true)
 	}
@@ -464,32 +464,32 @@
 	n.idleIndex[bucket] = 0
 }
 
-func (w *Checker) workerEvent(s *trace.Event) {
-	if s.Worker < 0 || s.Worker >= len(w.workers) {
+func (w *Checker) workerEvent(event *trace.Event) {
+	if event.Worker < 0 || event.Worker >= len(w.workers) {
 		return
 	}
-	n := &w.workers[s.Worker]
-	switch s.Kind {
+	n := &w.workers[event.Worker]
+	switch event.Kind {
 	case trace.WorkerFaultStarted:
 		n.faults++
 	case trace.WorkerFaultEnded:
 		n.faults = max(0, n.faults-1)
-		w.markUnhealthy(s.Worker)
+		w.markUnhealthy(event.Worker)
 	case trace.WorkerPresent, trace.WorkerStarted:
 		n.up = false
 		w.updateIdle(n)
-		kind := slices.IndexFunc(w.spec.Fleet.Kinds, func(k scenario.WorkerKind) bool { return k.Name == s.Text })
+		kind := slices.IndexFunc(w.spec.Fleet.Kinds, func(k scenario.WorkerKind) bool { return k.Name == event.Text })
 		if kind < 0 {
 			return
 		}
-		n.up, n.incarnation, n.slots, n.kind = true, s.Incarnation, s.Slots, kind
-		if s.Kind == trace.WorkerStarted {
-			w.setUnhealthyUntil(n, s.At+max(healthyAfter, w.kinds[kind].warmUp))
+		n.up, n.incarnation, n.slots, n.kind = true, event.Incarnation, event.Slots, kind
+		if event.Kind == trace.WorkerStarted {
+			w.setUnhealthyUntil(n, event.At+max(healthyAfter, w.kinds[kind].warmUp))
 		}
 	case trace.WorkerStopped, trace.WorkerDraining, trace.WorkerOverloaded:
 		n.up = false
 	case trace.WorkerHung, trace.WorkerRecovered:
-		w.markUnhealthy(s.Worker)
+		w.markUnhealthy(event.Worker)
 	}
 	w.updateIdle(n)
 }
@@ -516,30 +516,30 @@
 	return !k.drained && max(k.incarnation, 1) >= n.incarnation && (k.knownAt == 0 || now-k.knownAt >= startupWindow)
 }
 
-func (w *Checker) schedulerEvent(s *trace.Event) {
-	c := &w.schedulers[s.Scheduler]
-	switch s.Kind {
+func (w *Checker) schedulerEvent(event *trace.Event) {
+	scheduler := &w.schedulers[event.Scheduler]
+	switch event.Kind {
 	case trace.SchedulerStarted:
-		if !c.up {
+		if !scheduler.up {
 			w.running++
 		}
-		c.up, c.frozen, c.ending, c.startedAt, c.resumedAt = true, false, false, s.At, 0
-		clear(c.known)
-		clear(c.classEnds)
+		scheduler.up, scheduler.frozen, scheduler.ending, scheduler.startedAt, scheduler.resumedAt = true, false, false, event.At, 0
+		clear(scheduler.known)
+		clear(scheduler.classEnds)
 	case trace.SchedulerTerminated:
-		c.ending = true
+		scheduler.ending = true
 	case trace.SchedulerFrozen:
-		c.frozen = true
+		scheduler.frozen = true
 	case trace.SchedulerResumed:
-		c.frozen, c.resumedAt = false, s.At
+		scheduler.frozen, scheduler.resumedAt = false, event.At
 	case trace.SchedulerKilled, trace.SchedulerExited:
-		if c.up {
+		if scheduler.up {
 			w.running--
 		}
-		c.up = false
+		scheduler.up = false
 		// Nobody is told of its attempts any more; those that no worker node has read never come.
-		for i := len(c.requests) - 1; i >= 0; i-- { // what is forgotten gives its place to a later one
-			t := c.requests[i]
+		for i := len(scheduler.requests) - 1; i >= 0; i-- { // what is forgotten gives its place to a later one
+			t := scheduler.requests[i]
 			for k := range t.attempts {
 				if a := &t.attempts[k]; a.inFlight || a.abandoned {
 					w.endAttempt(t, a, true, a.finished || !a.reached)
@@ -589,10 +589,10 @@
 		}
 	}
 	for w.maturing.size > 0 && w.now-w.maturing.first().since >= idleWindow {
-		x := *w.maturing.first()
+		pendingIdle := *w.maturing.first()
 		w.maturing.pop()
-		if t := x.request; t != nil {
-			if t.isQueued() && t.heldSince == x.since && t.oldIndex < 0 && !t.reported {
+		if t := pendingIdle.request; t != nil {
+			if t.isQueued() && t.heldSince == pendingIdle.since && t.oldIndex < 0 && !t.reported {
 				set := &w.oldRequests[w.classes[t.job.class].kind+1][t.job.bucket]
 				t.oldIndex = len(*set)
 				*set = append(*set, t)
@@ -600,10 +600,10 @@
 			}
 			continue
 		}
-		if n := &w.workers[x.worker]; n.bucket > x.bucket && n.idleSince[x.bucket] == x.since && n.idleIndex[x.bucket] == 0 {
-			set := &w.idleWorkers[n.kind][x.bucket]
+		if n := &w.workers[pendingIdle.worker]; n.bucket > pendingIdle.bucket && n.idleSince[pendingIdle.bucket] == pendingIdle.since && n.idleIndex[pendingIdle.bucket] == 0 {
+			set := &w.idleWorkers[n.kind][pendingIdle.bucket]
 			*set = append(*set, int32(n.number))
-			n.idleIndex[x.bucket] = len(*set)
+			n.idleIndex[pendingIdle.bucket] = len(*set)
 		}
 	}
 }
@@ -635,18 +635,18 @@
 
 func (w *Checker) requestRejected(t *request) {
 	w.ageWorkers()
-	c := &w.schedulers[t.scheduler]
+	scheduler := &w.schedulers[t.scheduler]
 	if !w.anyIdle(w.classes[t.job.class].kind, t.job.bucket) {
 		return
 	}
-	n := w.findIdleWorker(t, c, max(t.heldSince, w.now-idleWindow), true)
+	n := w.findIdleWorker(t, scheduler, max(t.heldSince, w.now-idleWindow), true)
 	switch {
 	case n == nil:
-	case !c.up || c.frozen || c.ending || w.now-c.startedAt < startupWindow || w.now-c.resumedAt < idleWindow && c.resumedAt > 0,
-		c.open >= w.attemptLimit, len(t.attempts)+c.dials >= w.spec.Schedulers.AttemptLimit, w.isClientCut(t.sentAt):
+	case !scheduler.up || scheduler.frozen || scheduler.ending || w.now-scheduler.startedAt < startupWindow || w.now-scheduler.resumedAt < idleWindow && scheduler.resumedAt > 0,
+		scheduler.open >= w.attemptLimit, len(t.attempts)+scheduler.dials >= w.spec.Schedulers.AttemptLimit, w.isClientCut(t.sentAt):
 		w.verdict.Excused++
-	case c.unconfirmed < c.dials:
-		c.unconfirmed++
+	case scheduler.unconfirmed < scheduler.dials:
+		scheduler.unconfirmed++
 		w.verdict.Excused++
 	default:
 		w.verdict.Rejected++
