--- /dev/null
+++ b/internal/link/client_expiry.go
@@ -0,0 +1,146 @@
+package link
+
+import (
+	"container/list"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	expiryInterval        = 250 * time.Millisecond
+	requestReadTimeout    = 2 * time.Second        // from a request's first byte to its last; for the first one, from connecting
+	responseUnreadTimeout = 5 * time.Second        // for a peer to take some of a response
+	lingerIdleTimeout     = time.Second            // after the last response: for the peer to close, or to send on
+	maxLingerTime         = 5 * time.Second        // however much the peer sends
+	evictionGrace         = 250 * time.Millisecond // before a new connection, or one that had its last response, is evicted
+)
+
+// closeExpired ends connections on which nothing goes on that should, again and again: each takes up a descriptor, and some
+// a buffer.
+func (l *clientListener) closeExpired() {
+	l.loop.StartTimer(expiryInterval, l, l.closeExpired)
+	for c := range l.connections {
+		c.closeIfExpired()
+	}
+}
+
+// closeIfExpired ends the connection if it has been waited for long enough. One that awaits a response, or had one of use and
+// is idle, may wait for ever.
+func (c *clientConnection) closeIfExpired() {
+	now := c.loop().Now()
+	quiet := now - c.lastActivity
+	switch {
+	case c.phase == clientLingering:
+		if quiet >= lingerIdleTimeout || now-c.lingerStart >= maxLingerTime {
+			c.terminate()
+		}
+	case len(c.Output()) > 0:
+		if quiet >= responseUnreadTimeout {
+			c.terminate()
+		}
+	case len(c.slots) == 0 && quiet >= requestReadTimeout:
+		c.closeUnlessIdle()
+	}
+}
+
+// closeUnlessIdle ends a connection that has no response to wait for, unless it is idle after a request of use.
+func (c *clientConnection) closeUnlessIdle() {
+	switch {
+	case len(c.Input()) > 0 && !c.proxyHeaderDone: // it may be the start of a PROXY header, so nothing is written
+		c.linger(&c.listener.finished)
+	case len(c.Input()) > 0 && c.phase == clientReading:
+		c.rejectInput(408, "request not whole\n")
+	case len(c.Input()) == 0 && c.history == historyUsefulRequest:
+	case c.history == historyNoRequest:
+		c.dismiss(&c.listener.finished)
+	}
+}
+
+// evict shuts down the connection that is missed least to make room, and reports whether there was one. What had just come in
+// on it is handled first; what comes later its client sends again elsewhere. A connection that is new, or just had its last
+// response, is spared: it may be a usual client's or a worker's, whose request is on its way.
+func (l *clientListener) evict() bool {
+	for _, waiting := range []*list.List{&l.rejectedOnly, &l.finished, &l.silent, &l.idle} {
+		hasGrace := waiting == &l.finished || waiting == &l.silent
+		for first := waiting.Front(); first != nil; first = waiting.Front() {
+			c := first.Value.(*clientConnection)
+			if hasGrace && l.loop.Now()-c.lastActivity < evictionGrace {
+				break
+			}
+			if c.dismiss(&l.evicted) {
+				l.closeExcessEvicted()
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// closeExcessEvicted closes evicted connections where there are too many, the first ones first.
+func (l *clientListener) closeExcessEvicted() {
+	for l.evicted.Len() > l.maxEvicted {
+		l.evicted.Front().Value.(*clientConnection).terminate()
+	}
+}
+
+// close closes connections between requests from now on; requests that come all the same are rejected. Connections that
+// workers have stay open, as do those that they open: each callback is a response that some client waits for.
+func (l *clientListener) close() {
+	l.closing = true
+	var waiting []*clientConnection // shutting one down may move others from list to list
+	for _, list := range []*list.List{&l.rejectedOnly, &l.silent, &l.idle} {
+		for element := list.Front(); element != nil; element = element.Next() {
+			waiting = append(waiting, element.Value.(*clientConnection))
+		}
+	}
+	for _, c := range waiting {
+		if c.waitingElement != nil && !c.sendsCallbacks {
+			c.dismiss(&l.finished)
+		}
+	}
+}
+
+// becomeIdle puts the connection on the list that it belongs to between requests.
+func (c *clientConnection) becomeIdle() {
+	switch c.history {
+	case historyUsefulRequest:
+		c.enterWaitingList(&c.listener.idle)
+	case historyRequest:
+		c.enterWaitingList(&c.listener.rejectedOnly)
+	case historyNoRequest:
+		c.enterWaitingList(&c.listener.silent)
+	}
+}
+
+// enterWaitingList puts the connection last on a list; it is on one at most.
+func (c *clientConnection) enterWaitingList(waiting *list.List) {
+	if !c.IsOpen() || c.waitingList == waiting {
+		return
+	}
+	c.leaveWaitingList()
+	c.waitingList = waiting
+	c.waitingElement = waiting.PushBack(c)
+}
+
+// leaveWaitingList takes the connection off its list, if it is on one.
+func (c *clientConnection) leaveWaitingList() {
+	if c.waitingElement != nil {
+		c.waitingList.Remove(c.waitingElement)
+		c.waitingList, c.waitingElement = nil, nil
+	}
+}
+
+// dismiss shuts down a connection without a request in flight, unless one has just come in. It reports whether the connection
+// makes room.
+func (c *clientConnection) dismiss(waiting *list.List) bool {
+	element := c.waitingElement
+	c.loop().Protect(c, func() { c.HandleEvents(unix.EPOLLIN) })
+	if c.IsOpen() && element != nil && c.waitingElement == element {
+		c.linger(waiting)
+	}
+	return !c.IsOpen() || c.waitingList == waiting
+}
+
+// closesAfterResponse reports whether the connection is to end with the responses that are due on it now.
+func (c *clientConnection) closesAfterResponse() bool { return c.listener.closing && !c.sendsCallbacks }
--- /dev/null
+++ b/internal/link/client_requests.go
@@ -0,0 +1,131 @@
+package link
+
+import (
+	"bytes"
+	"time"
+
+	jsoniter "github.com/json-iterator/go"
+
+	"valvecove/internal/http1"
+	"valvecove/internal/requests"
+)
+
+// Paths that are no class's.
+const (
+	pathUp        = "/up"
+	pathCallbacks = "/v1/job-events"
+)
+
+// overloadRetryAfter is when to come back to a scheduler that has as many requests as it can.
+const overloadRetryAfter = time.Second
+
+// rejection says how a request is rejected that may not be admitted.
+type rejection struct {
+	statusCode int
+	reason     string
+}
+
+// handleRequest answers a request, or admits it.
+func (c *clientConnection) handleRequest(request *http1.Request, slot *responseSlot) {
+	path, _, _ := bytes.Cut(request.Target, []byte("?"))
+	switch string(path) {
+	case pathUp:
+		c.handleUp(request, slot)
+	case pathCallbacks:
+		c.handleCallback(request, slot)
+	default:
+		c.admitRequest(request, path, slot)
+	}
+}
+
+// handleUp tells a load balancer whether this process is to be sent requests.
+func (c *clientConnection) handleUp(request *http1.Request, slot *responseSlot) {
+	switch {
+	case string(request.Method) != "GET":
+		slot.respond(405, "GET only\n")
+	case c.listener.draining || !c.loop().Requests.Ready():
+		slot.respond(503, "not ready\n")
+	default:
+		slot.respond(200, "ready\n")
+	}
+}
+
+// handleCallback takes in what a worker says of an attempt.
+func (c *clientConnection) handleCallback(request *http1.Request, slot *responseSlot) {
+	if string(request.Method) != "POST" {
+		slot.respond(405, "POST only\n")
+		return
+	}
+	if err := c.applyCallback(request.Body); err != nil {
+		slot.respond(400, "bad note\n")
+		return
+	}
+	slot.respond(204, "")
+}
+
+func (c *clientConnection) applyCallback(body []byte) error {
+	var callback requests.Callback
+	if err := jsoniter.ConfigDefault.Unmarshal(body, &callback); err != nil {
+		return err
+	}
+	known, err := c.loop().Requests.HandleCallback(callback)
+	if known {
+		c.advanceHistory(historyUsefulRequest)
+		c.sendsCallbacks = true
+	}
+	return err
+}
+
+// admitRequest admits a request of a class, or rejects it.
+func (c *clientConnection) admitRequest(request *http1.Request, path []byte, slot *responseSlot) {
+	pathClass, pathRest, _ := bytes.Cut(bytes.TrimPrefix(path, []byte("/")), []byte("/"))
+	class, rejected := c.listener.findClass(request, pathClass)
+	if rejected != nil {
+		c.reject(slot, nil, rejected)
+		return
+	}
+	arrival, rejected := c.listener.parseArrival(request, class, pathRest)
+	if rejected != nil {
+		c.reject(slot, nil, rejected)
+		return
+	}
+	if c.rejectOverload(slot, &arrival) {
+		return
+	}
+	if waited := c.loop().Now() - c.currentArrival; waited > 0 { // its client counts from when it sent it
+		arrival.Job.Remaining = max(arrival.Job.Remaining-waited, time.Millisecond)
+	}
+	arrival.Responder = slot
+	admitted, err := c.loop().Requests.Admit(c.loop().Now(), arrival)
+	if err != nil {
+		c.reject(slot, &arrival, &rejection{409, "X-Call-Id: " + err.Error()})
+		return
+	}
+	slot.request = admitted
+	c.advanceHistory(historyUsefulRequest)
+	c.sendsCallbacks = false
+}
+
+// rejectOverload rejects a request if the process takes no more, and reports whether it does. Nothing was sent to a worker,
+// so a retry is harmless: after an overload has passed, or elsewhere if this process stops.
+func (c *clientConnection) rejectOverload(slot *responseSlot, arrival *requests.Arrival) bool {
+	listener, table := c.listener, c.loop().Requests
+	switch {
+	case listener.closing:
+		table.ReportRejection(arrival, 503)
+		slot.RespondRejected(0)
+		return true
+	case table.OpenCount() >= listener.maxRequests,
+		table.PayloadBytes()+len(arrival.Payload.Body) > listener.maxBufferedBytes:
+		table.ReportRejection(arrival, 503)
+		slot.RespondRejected(min(overloadRetryAfter, listener.settings.MaxRetryAfter))
+		return true
+	}
+	return false
+}
+
+// reject responds to a request that was not admitted; the arrival is nil if it could not be parsed.
+func (c *clientConnection) reject(slot *responseSlot, arrival *requests.Arrival, rejected *rejection) {
+	c.loop().Requests.ReportRejection(arrival, rejected.statusCode)
+	slot.respond(rejected.statusCode, rejected.reason+"\n")
+}
--- a/internal/link/operators_test.go
+++ b/internal/link/operators_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"net/netip"
 	"os"
 	"path/filepath"
@@ -9,11 +10,15 @@
 	"testing"
 	"time"
 
+	"golang.org/x/sys/unix"
+
+	"valvecove/dispatch"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/http1"
 	"valvecove/internal/metrics"
 	"valvecove/internal/modeltest"
+	"valvecove/internal/requests"
 )
 
 // withOperators is a world with a management address.
@@ -23,14 +28,14 @@
 	if err := w.loop.serveOperators(netip.MustParseAddrPort("127.0.0.1:0"), count); err != nil {
 		s.T.Fatal(err)
 	}
-	w.loop.Ledger.AddObserver(count)
+	w.loop.Requests.AddObserver(count)
 	return w
 }
 
 // operator connects to the management address.
 func (w *world) operator() *peer {
 	p, fd := w.pair()
-	w.loop.operators.adopt(fd)
+	w.loop.operators.addConnection(fd)
 	return p
 }
 
@@ -84,7 +89,7 @@
 			case what < 2:
 				ask := asks[s.Pick(len(asks))]
 				open = append(open, &caller{peer: w.operator(), text: ask.text, unsent: ask.text, want: ask.want, began: w.now})
-				if len(open) > operatorsMost { // the oldest has made room
+				if len(open) > maxOperatorConnections { // the oldest has made room
 					w.turn()
 					open[0].read(1 << 16)
 					s.Check(open[0].ended, "the oldest of too many is held")
@@ -108,7 +113,7 @@
 				age := w.now - c.began
 				if !c.ended {
 					s.Check(c.unsent != "" || len(c.got) > 0, "a whole call has no answer")
-					s.Check(age < operatorLonger+sweepEvery, "held for %v", age)
+					s.Check(age < operatorConnectionTimeout+expiryInterval, "held for %v", age)
 					left = append(left, c)
 					continue
 				}
@@ -116,7 +121,7 @@
 				w.turn()
 				got := statusAndBody(string(c.got))
 				// One that stalled is told so; of one cut short nothing more can be said.
-				s.Check(got == c.want || c.unsent != "" && age >= operatorWhole && got == "408 call not whole",
+				s.Check(got == c.want || c.unsent != "" && age >= operatorCallTimeout && got == "408 call not whole",
 					"%q gets %q, expected %q", c.text, got, c.want)
 			}
 			open = left
@@ -132,7 +137,7 @@
 		t.Errorf("at first %q", got)
 	}
 	stranger, fd := w.pair() // at the clients' address these calls are not there
-	w.loop.clients.adopt(fd, netip.MustParseAddrPort("127.0.0.1:9"))
+	w.loop.clients.addConnection(fd, netip.MustParseAddrPort("127.0.0.1:9"))
 	stranger.write([]byte("GET /v1/metrics HTTP/1.1\r\n\r\n"))
 	w.turn()
 	if stranger.read(1 << 16); !strings.HasPrefix(string(stranger.got), "HTTP/1.1 404 ") {
@@ -165,6 +170,55 @@
 
 func (urgentHandler) Priority() eventloop.Priority { return eventloop.PriorityUrgent }
 
+// The answer to a call that takes a worker out or brings it back leaves after the step in which the dispatcher learns of that,
+// in the same iteration: metrics asked for as soon as the answer can be read show it, also if they are asked for while events
+// are still handed out. A call that changes nothing, so that no step is due, is answered as soon.
+func TestCordonIsAnsweredAfterStep(t *testing.T) {
+	w := withOperators(&modeltest.Steps{T: t})
+	dispatcher := dispatch.New(*w.loop.clients.settings, 1)
+	w.loop.dispatcher = dispatcher
+	endpoints := requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
+	newPolicy := func() requests.Policy { return dispatcher }
+	w.loop.Requests = requests.New(6, requests.NameTable{}, newPolicy, endpoints, w.loop.workers, slog.New(slog.DiscardHandler))
+	w.turn()
+	for _, call := range []struct{ action, answer, figure string }{
+		{"suspend", "200 out", "edge_proxy.hosts_down=1"},
+		{"suspend", "200 out", "edge_proxy.hosts_down=1"},
+		{"resume", "200 serving", "edge_proxy.hosts_down=0"},
+		{"resume", "200 serving", "edge_proxy.hosts_down=0"},
+	} {
+		caller := w.operator()
+		figure := ""
+		readAnswer := func() {
+			if caller.read(1 << 16); figure == "" && caller.ended {
+				figure = w.downWorkers()
+			}
+		}
+		other, fd := w.pair()
+		_ = w.loop.Add(fd, unix.EPOLLIN, probeHandler{readAnswer})
+		caller.write([]byte("PUT /v1/worker-nodes/s-0/" + call.action + " HTTP/1.1\r\n\r\n"))
+		other.write([]byte("x"))
+		if err := w.loop.RunOnce(0); err != nil {
+			t.Fatal(err)
+		}
+		readAnswer()
+		if got := statusAndBody(string(caller.got)); got != call.answer || figure != call.figure {
+			t.Errorf("%s: %q, then %q, expected %q and %q", call.action, got, figure, call.answer, call.figure)
+		}
+		w.loop.Remove(fd)
+	}
+}
+
+// downWorkers makes a call for metrics that is answered at once, as one is that comes while others are accepted.
+func (w *world) downWorkers() string {
+	p, fd := w.pair()
+	p.write([]byte("GET /v1/metrics HTTP/1.1\r\n\r\n"))
+	w.loop.operators.adopt(fd)
+	p.read(1 << 16)
+	_, figure, _ := strings.Cut(string(p.got), "edge_proxy.hosts_listed=1\n")
+	return strings.TrimSpace(figure)
+}
+
 // A worker node that was listed is taken out and brought back, whatever the number of calls; an id that never was gets a no.
 // The yes comes once the ban is kept, and a process that starts later reads it.
 func TestWorkerNodeByHand(t *testing.T) {
@@ -199,12 +253,12 @@
 			t.Errorf("%s %s: kept %v, %v", c.what, c.id, out, err)
 		}
 	}
-	if w.loop.unready() == "" {
+	if w.loop.notReadyReason() == "" {
 		t.Error("ready with its only worker node out")
 	}
 	next := newWorld(s)
 	out, _ := hotrestart.ReadCordonFile(dir)
-	if next.loop.Ledger.SetCordoned(out); next.loop.Ledger.HasReadyWorker() {
+	if next.loop.Requests.SetCordoned(out); next.loop.Requests.HasReadyWorker() {
 		t.Error("the next process sends to a worker node that is out")
 	}
 	for _, text := range []string{"", "{", `{"form":2,"out":["s-0"]}`, strings.Repeat(" ", hotrestart.MaxCordonFileSize+1)} {
