--- /dev/null
+++ b/internal/address/accesslists.go
@@ -0,0 +1,38 @@
+package address
+
+import (
+	"net/netip"
+	"slices"
+
+	"valvecove/internal/config"
+)
+
+// AccessLists are the operators' lists of addresses. They don't change, and may be used by several goroutines.
+type AccessLists struct {
+	lists config.Addresses
+}
+
+// New returns the lists of a configuration.
+func New(lists config.Addresses) *AccessLists { return &AccessLists{lists} }
+
+// RejectionReason names the list by which an address may not connect. It is empty if the address may.
+func (l *AccessLists) RejectionReason(address netip.Addr) string {
+	switch {
+	case contains(l.lists.Deny, address):
+		return "in addresses.deny"
+	case len(l.lists.Allow) > 0 && !contains(l.lists.Allow, address):
+		return "not in addresses.allow"
+	}
+	return ""
+}
+
+// TrustsProxy tells whether an address may send a PROXY header.
+func (l *AccessLists) TrustsProxy(address netip.Addr) bool {
+	return contains(l.lists.TrustedProxies, address)
+}
+
+// contains takes IPv4 written as IPv6 for IPv4, and disregards the zone, which names an interface of this machine.
+func contains(prefixes []netip.Prefix, address netip.Addr) bool {
+	address = address.Unmap().WithZone("")
+	return slices.ContainsFunc(prefixes, func(prefix netip.Prefix) bool { return prefix.Contains(address) })
+}
