--- /dev/null
+++ b/internal/link/lifecycle.go
@@ -0,0 +1,64 @@
+package link
+
+import (
+	"net/netip"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/internal/config"
+	"valvecove/internal/eventloop"
+)
+
+// OnFail sets what is done when the process can't go on.
+func (l *Loop) OnFail(act func(error)) { l.onFail = act }
+
+// OnWake sets what Wake brings about.
+func (l *Loop) OnWake(act func()) { l.onWake = act }
+
+// Addr returns where the loop listens for clients; of a successor that has not taken over, that is not valid.
+func (l *Loop) Addr() netip.AddrPort {
+	if l.clients.fd < 0 { // the process that serves has the socket
+		return netip.AddrPort{}
+	}
+	sockaddr, _ := unix.Getsockname(l.clients.fd)
+	return eventloop.AddrPort(sockaddr)
+}
+
+// Reload goes on by another configuration: connections, requests and what the dispatcher knows stay.
+func (l *Loop) Reload(c config.Config) {
+	l.limits = c.Limits
+	l.shareLimits(l.sharesLimits)
+	if c.Discovery != l.watch.server {
+		l.watch.changeServer(c.Discovery)
+	}
+}
+
+// Drain has the scheduler say that it is not ready. What comes is still served: clients keep the connections that they have,
+// and may have no other scheduler to go to.
+func (l *Loop) Drain() { l.clients.draining = true }
+
+// Close admits no request any more. Connections between requests are closed, the others with their responses.
+func (l *Loop) Close() { l.clients.close() }
+
+// RejectQueued rejects the requests of which nothing was sent to a worker yet.
+func (l *Loop) RejectQueued() {
+	if !l.hasRelinquished() {
+		l.Requests.RejectQueued()
+	}
+}
+
+// FinishAllRequests responds to all requests that are still open.
+func (l *Loop) FinishAllRequests() { l.FinishRequestsSince(l.Now()) }
+
+// FinishRequestsSince responds to the requests that came within the last span of time and are still open.
+func (l *Loop) FinishRequestsSince(span time.Duration) {
+	if !l.hasRelinquished() {
+		l.Requests.CloseSince(l.Now() - span)
+	}
+}
+
+// IsQuiet reports whether every request has its response, and every response is sent.
+func (l *Loop) IsQuiet() bool {
+	return (l.hasRelinquished() || l.Requests.OpenCount() == 0) && l.clients.hasSentAll()
+}
