--- a/internal/spool/spool_test.go
+++ b/internal/asyncwriter/writer_test.go
@@ -1,4 +1,4 @@
-package spool
+package asyncwriter
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // slow is a writer that takes a piece each time it is let.
@@ -26,10 +26,10 @@
 // Whatever a writer takes in, and when, it gets whole pieces in order; no more than allowed waits; what is dropped
 // is counted, and said before the next piece that is not.
 func FuzzWriter(f *testing.F) {
-	steps.Fuzz(f, func(s *steps.Steps) {
+	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		const most = 200
 		to := &slow{let: make(chan struct{}), took: make(chan struct{})}
-		w := Before(to, most, func(n uint64) string { return fmt.Sprintf("lost %d\n", n) })
+		w := NewWriter(to, most, func(n uint64) string { return fmt.Sprintf("lost %d\n", n) })
 		var queue []string
 		want, held, dropped, spoken, large := "", 0, uint64(0), uint64(0), false
 		put := func(text string) bool {
@@ -49,7 +49,7 @@
 				held -= len(queue[0])
 			}
 			queue = queue[1:]
-			for w.pending() != len(queue) { // until the spool has noted that it is done
+			for w.pendingTasks() != len(queue) { // until the spool has noted that it is done
 			}
 		}
 		for n := 0; s.More(); n++ {
@@ -66,7 +66,7 @@
 					spoken = gone
 					put(text)
 				}
-				s.Did("write " + text)
+				s.Record("write " + text)
 			case 2:
 				text := fmt.Sprintf("%d %*d\n", n, 2*most, n)
 				took := w.WriteLarge([]byte(text))
@@ -76,12 +76,12 @@
 				} else {
 					dropped++
 				}
-				s.Did("large")
+				s.Record("large")
 			case 3:
 				if len(queue) > 0 {
 					take()
 				}
-				s.Did("take")
+				s.Record("take")
 			}
 			s.Check(w.Dropped() == dropped, "%d dropped, expected %d", w.Dropped(), dropped)
 		}
@@ -95,14 +95,14 @@
 
 // A spool whose act never ends holds up neither who puts nor, for longer than it is let, who closes.
 func TestStuck(t *testing.T) {
-	s, stuck := New(10), make(chan struct{})
+	s, stuck := NewQueue(10), make(chan struct{})
 	defer close(stuck)
-	s.Put(5, func() error { <-stuck; return nil })
-	if s.Put(6, func() error { return nil }) || s.Dropped() != 1 {
+	s.Enqueue(5, func() error { <-stuck; return nil })
+	if s.Enqueue(6, func() error { return nil }) || s.Dropped() != 1 {
 		t.Error("more waits than may")
 	}
 	s.Close(time.Millisecond)
-	if s.Put(1, func() error { return nil }) {
+	if s.Enqueue(1, func() error { return nil }) {
 		t.Error("taken after the end")
 	}
 }
--- a/internal/hotrestart/successor_test.go
+++ b/internal/hotrestart/successor_test.go
@@ -4,13 +4,13 @@
 	"errors"
 	"testing"
 
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // Whatever comes in whatever order, a successor is the owner only after all that was announced has come, or once the
 // predecessor has gone; then it owns nothing of what had come in part.
 func FuzzSuccessor(f *testing.F) {
-	steps.Fuzz(f, func(choices *steps.Steps) {
+	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := successorModel{Steps: choices}
 		for goesOn := true; goesOn && choices.More(); {
 			if choices.Pick(20) == 0 {
@@ -25,7 +25,7 @@
 
 // successorModel is what a successor may be, by the messages that it was given.
 type successorModel struct {
-	*steps.Steps
+	*modeltest.Steps
 	successor       Successor
 	accepted, begun bool
 	owner           bool
@@ -50,7 +50,7 @@
 // receive tells whether the successor goes on.
 func (m *successorModel) receive(message Message) bool {
 	action, err := m.successor.HandleMessage(message)
-	m.Did(message.Kind().String())
+	m.Record(message.Kind().String())
 	if err != nil { // like the end of the connection
 		m.Check(action == ActionNone, "action %d with an error", action)
 		return false
--- a/internal/link/attempts_test.go
+++ b/internal/link/attempts_test.go
@@ -13,8 +13,8 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/http1"
+	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps"
 )
 
 // late is a far end whose connection is not up yet: the loop's side takes nothing until release.
@@ -66,7 +66,7 @@
 }
 
 func newAttempts(t *testing.T) *attempts {
-	return &attempts{world: newWorld(&steps.Steps{T: t})}
+	return &attempts{world: newWorld(&modeltest.Steps{T: t})}
 }
 
 // act has the module do something in one turn.
@@ -107,7 +107,7 @@
 
 // outcomes are the results that the module has heard of a query's attempts.
 func (w *attempts) outcomes(q *requests.Request) (results []dispatch.Result) {
-	for _, e := range w.module.Heard {
+	for _, e := range w.module.Received {
 		if o, ok := e.(dispatch.Outcome); ok && o.Job == q.ID {
 			results = append(results, o.Result)
 		}
@@ -316,7 +316,7 @@
 
 // A DELETE that waits for its connection when a process is replaced is sent by the one that goes on.
 func TestWithdrawalSurvivesHotRestart(t *testing.T) {
-	s := &steps.Steps{T: t}
+	s := &modeltest.Steps{T: t}
 	dir := t.TempDir()
 	base, at := newPredecessorWorld(s, dir)
 	w := &attempts{world: base}
@@ -641,7 +641,7 @@
 		w.act(dispatch.HealthCheck{Worker: w.worker()})
 		p.write([]byte(accepted))
 		w.turn()
-		if got, _ := w.module.Heard[len(w.module.Heard)-1].(dispatch.HealthChecked); got.Result != dispatch.NotSent || len(w.dialed) != 1 {
+		if got, _ := w.module.Received[len(w.module.Received)-1].(dispatch.HealthChecked); got.Result != dispatch.NotSent || len(w.dialed) != 1 {
 			t.Errorf("the probe ended as %v on %d links", got.Result, len(w.dialed))
 		}
 	})
--- a/internal/link/discovery_watch_model_test.go
+++ b/internal/link/discovery_watch_model_test.go
@@ -9,7 +9,7 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/internal/steps"
+	"valvecove/internal/modeltest"
 )
 
 // watchModel is a discovery service that one loop watches, and what it has sent.
@@ -22,7 +22,7 @@
 	ignored int   // how many events the policy had received before the watch
 }
 
-func newWatchModel(choices *steps.Steps) *watchModel {
+func newWatchModel(choices *modeltest.Steps) *watchModel {
 	model := &watchModel{world: newWorld(choices), unsent: watchResponse}
 	model.module.Next = append(model.module.Next, dispatch.Subscribe{})
 	model.loop.Ledger.DiscoveryFailed()
@@ -31,7 +31,7 @@
 	model.server.read(1 << 12)
 	request := model.server.got
 	model.Check(strings.HasPrefix(string(request), "GET /discovery/hosts?stream=1&index=0 "), "requested %q", request)
-	model.ignored = len(model.module.Heard)
+	model.ignored = len(model.module.Received)
 	return model
 }
 
@@ -122,7 +122,7 @@
 // check compares the list updates of the policy with what was sent.
 func (m *watchModel) check() {
 	unseen := m.sent
-	for _, event := range m.module.Heard[m.ignored:] {
+	for _, event := range m.module.Received[m.ignored:] {
 		list := event.(dispatch.WorkerList)
 		if list.Kind == dispatch.ListUnavailable {
 			m.Check(m.lost, "the list is reported as lost, and is not")
@@ -140,7 +140,7 @@
 // A watch takes lines in any pieces and reports each update once, in order; one that ends, breaks off or falls silent is
 // reported as lost.
 func FuzzWatch(f *testing.F) {
-	steps.Fuzz(f, func(choices *steps.Steps) {
+	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := newWatchModel(choices)
 		for choices.More() && !model.lost {
 			model.step()
--- a/internal/link/figures.go
+++ b/internal/link/figures.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/internal/eventloop"
-	"valvecove/internal/figures"
+	"valvecove/internal/metrics"
 )
 
 // batchesAtOnce are sent in one turn at most: other links have their turns too.
@@ -52,15 +52,15 @@
 }
 
 // sendFigures gathers and sends figures, again and again.
-func (l *Loop) sendFigures(f *figures.Figures) {
-	l.After(f.Every(), func() {
+func (l *Loop) sendFigures(f *metrics.Exporter) {
+	l.After(f.Interval(), func() {
 		l.sendFigures(f)
 		f.Gather()
 		l.sendOn(f)
 	})
 }
 
-func (l *Loop) sendOn(f *figures.Figures) {
+func (l *Loop) sendOn(f *metrics.Exporter) {
 	if f.Send(batchesAtOnce) {
 		l.After(0, func() { l.sendOn(f) })
 	}
--- a/internal/link/operators_test.go
+++ b/internal/link/operators_test.go
@@ -16,15 +16,15 @@
 	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/http1"
+	"valvecove/internal/metrics"
+	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
-	"valvecove/internal/steps"
-	"valvecove/internal/tally"
 )
 
 // withOperators is a world with a management address.
-func withOperators(s *steps.Steps) *world {
+func withOperators(s *modeltest.Steps) *world {
 	w := newWorld(s)
-	count := tally.New([]string{"a"})
+	count := metrics.NewTotals([]string{"a"})
 	if err := w.loop.serveOperators(netip.MustParseAddrPort("127.0.0.1:0"), count); err != nil {
 		s.T.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 		{"nonsense\r\n\r\n", "400 not a request line"},
 		{"GET /" + strings.Repeat("x", http1.MaxHeaderSize) + " HTTP/1.1\r\n\r\n", "431 head too large"},
 	}
-	steps.Fuzz(f, func(s *steps.Steps) {
+	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		w := withOperators(s)
 		type caller struct {
 			*peer
@@ -95,16 +95,16 @@
 					s.Check(open[0].ended, "the oldest of too many is held")
 					open = open[1:]
 				}
-				s.Did("connect")
+				s.Record("connect")
 			case what < 7 && len(open) > 0:
 				c := open[s.Pick(len(open))]
 				i := min(len(c.unsent), 1+s.Pick(4)*s.Pick(256))
 				c.write([]byte(c.unsent[:i]))
 				c.unsent = c.unsent[i:]
-				s.Did(fmt.Sprint("write ", i, " of ", len(c.text)))
+				s.Record(fmt.Sprint("write ", i, " of ", len(c.text)))
 			case what == 7:
 				w.now += time.Duration(s.Pick(5)) * 250 * time.Millisecond
-				s.Did("wait")
+				s.Record("wait")
 			}
 			w.turn()
 			var left []*caller
@@ -131,7 +131,7 @@
 
 // An answered link is over with its answer: what is in its way is only that the caller reads it.
 func TestOperatorBeforeClients(t *testing.T) {
-	s := &steps.Steps{T: t}
+	s := &modeltest.Steps{T: t}
 	w := withOperators(s)
 	if got := w.call("GET /v1/metrics HTTP/1.1\r\n\r\n"); got != "200 "+metricsAtFirst {
 		t.Errorf("at first %q", got)
@@ -174,7 +174,7 @@
 // in the same iteration: metrics asked for as soon as the answer can be read show it, also if they are asked for while events
 // are still handed out. A call that changes nothing, so that no step is due, is answered as soon.
 func TestCordonIsAnsweredAfterStep(t *testing.T) {
-	w := withOperators(&steps.Steps{T: t})
+	w := withOperators(&modeltest.Steps{T: t})
 	dispatcher := dispatch.New(*w.loop.clients.set, 1)
 	w.loop.decides = dispatcher
 	endpoints := requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
@@ -223,7 +223,7 @@
 // The yes comes once the ban is kept, and a process that starts later reads it.
 func TestWorkerNodeByHand(t *testing.T) {
 	dir := t.TempDir()
-	s := &steps.Steps{T: t}
+	s := &modeltest.Steps{T: t}
 	w := withOperators(s)
 	w.loop.openCordonStore(dir)
 	put := func(what, id string) string {
--- a/internal/link/start.go
+++ b/internal/link/start.go
@@ -16,12 +16,11 @@
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
 	"valvecove/internal/eventloop"
-	"valvecove/internal/figures"
 	"valvecove/internal/hotrestart"
-	"valvecove/internal/oplog"
+	"valvecove/internal/logging"
+	"valvecove/internal/metrics"
 	"valvecove/internal/requests"
 	"valvecove/internal/status"
-	"valvecove/internal/tally"
 )
 
 // Own descriptors besides links: standard ones, epoll, eventfd, listener, watch, and what the runtime opens.
@@ -32,8 +31,8 @@
 
 // Open returns a loop that listens and is ready to run, with the features that are on. figuresTo are targets of figures
 // besides a collector.
-func Open(c config.Config, ops config.Ops, log *oplog.Log, figuresTo ...figures.Target) (*Loop, error) {
-	l, err := newLoop(log.Kind(), log.Kind(), clockSinceEpoch(), c.Limits.Sockets)
+func Open(c config.Config, ops config.Ops, log *logging.Factory, figuresTo ...metrics.Target) (*Loop, error) {
+	l, err := newLoop(log.NewLogger(), log.NewLogger(), clockSinceEpoch(), c.Limits.Sockets)
 	if err != nil {
 		return nil, err
 	}
@@ -47,7 +46,7 @@
 		PollInterval: c.Settings.PollInterval, Pushed: !c.Settings.MustSubscribe,
 		Schedulers: c.Settings.Replicas,
 	}, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
-	decisions := log.Kind()
+	decisions := log.NewLogger()
 	if ops.Capture != nil {
 		if l.Capture, err = capture.New(*ops.Capture, c, l.Now, decisions); err != nil {
 			return nil, fmt.Errorf("key \"capture.dir\": %w", err)
@@ -91,7 +90,7 @@
 		return nil, err
 	}
 	if c.Management.IsValid() {
-		count := tally.New(c.Settings.Names.Classes)
+		count := metrics.NewTotals(c.Settings.Names.Classes)
 		if err := l.serveOperators(c.Management, count); err != nil {
 			return nil, fmt.Errorf("key \"management\": %w", err)
 		}
@@ -109,7 +108,7 @@
 		if ops.Metrics.UDPTarget.IsValid() {
 			targets = append(targets, &collector{to: ops.Metrics.UDPTarget, fd: -1})
 		}
-		l.figures = figures.New(*ops.Metrics, c.Settings.Names, l.Now, targets...)
+		l.figures = metrics.NewExporter(*ops.Metrics, c.Settings.Names, l.Now, targets...)
 		l.Ledger.AddObserver(l.figures)
 		l.sendFigures(l.figures)
 	}
