--- /dev/null
+++ b/internal/link/open.go
@@ -0,0 +1,167 @@
+package link
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/dispatch"
+	"valvecove/internal/address"
+	"valvecove/internal/aperture"
+	"valvecove/internal/capture"
+	"valvecove/internal/config"
+	"valvecove/internal/discovery"
+	"valvecove/internal/hotrestart"
+	"valvecove/internal/logging"
+	"valvecove/internal/metrics"
+	"valvecove/internal/requests"
+	"valvecove/internal/status"
+)
+
+// watchSeed keeps the random backoffs of the watch apart from what else is drawn from a scheduler's seed.
+const watchSeed = 0x66726573
+
+// Open returns a loop that listens and is ready to run, with the features that are on. metricTargets are targets of metrics
+// besides a collector. An error names the key of the configuration that is at fault.
+func Open(conf config.Config, ops config.Ops, log *logging.Factory, metricTargets ...metrics.Target) (*Loop, error) {
+	loop, err := newLoop(log.NewLogger(), log.NewLogger(), clockSinceEpoch(), conf.Limits.Sockets)
+	if err != nil {
+		return nil, err
+	}
+	if ops.Addresses != nil {
+		loop.addressLists = address.New(*ops.Addresses)
+	}
+	loop.limits = conf.Limits
+	loop.featureDescriptors = countFeatureDescriptors(conf, ops)
+	workers, clients := splitDescriptors(conf.Limits.Sockets, loop.featureDescriptors)
+	loop.openWorkerPool(workers, conf.Settings.ConnectTimeout, conf.Settings.ConnIdleTimeout)
+	loop.openWatch(conf)
+	if err := loop.openRequestTable(conf, ops, log); err != nil {
+		return nil, err
+	}
+	loop.openClientListener(clients, bufferBudget(conf.Limits), &conf.Settings.Settings, conf.Settings.Names)
+	if err := loop.listenOrJoin(conf); err != nil {
+		return nil, err
+	}
+	if err := loop.openFeatures(conf, ops, metricTargets); err != nil {
+		return nil, err
+	}
+	loop.watch.start(len(conf.KnownEndpoints.Endpoints) > 0)
+	if wait := loop.watch.machine.InitialWait(); wait > 0 && loop.Requests.HasReadyWorker() {
+		loop.Requests.AwaitEndpoints(loop.Now() + wait)
+	}
+	return loop, nil
+}
+
+func (l *Loop) openWatch(conf config.Config) {
+	watch := discovery.Config{
+		PollInterval: conf.Settings.PollInterval,
+		Pushed:       !conf.Settings.MustSubscribe,
+		Schedulers:   conf.Settings.Replicas,
+	}
+	l.watch = l.newWatchConnection(conf.Discovery, watch, rand.New(rand.NewPCG(conf.Seed, watchSeed)).Int64N)
+}
+
+// openRequestTable makes the request table with the policy that decides.
+func (l *Loop) openRequestTable(conf config.Config, ops config.Ops, log *logging.Factory) (err error) {
+	decisionLog := log.NewLogger()
+	if ops.Capture != nil {
+		if l.Capture, err = capture.New(*ops.Capture, conf, l.Now, decisionLog); err != nil {
+			return fmt.Errorf("key \"capture.dir\": %w", err)
+		}
+	}
+	hasAperture := ops.Aperture != nil && ops.Aperture.Enabled(conf.Settings.Replicas)
+	if !hasAperture { // else a state of its own would be missing
+		l.wrapRestored = l.wrapRestoredDispatcher
+	}
+	seed := conf.Seed
+	newPolicy := func() requests.Policy {
+		seed++
+		l.dispatcher = dispatch.New(conf.Settings.Settings, seed)
+		policy := requests.Policy(l.dispatcher)
+		if l.Capture != nil {
+			policy = l.Capture.Wrap(l.dispatcher)
+		}
+		if hasAperture { // before the capture: that records what the dispatcher itself is given, and replays alone
+			policy = aperture.New(policy, conf.Settings.Settings, *ops.Aperture)
+		}
+		return policy
+	}
+	l.Requests = requests.New(conf.Settings.AttemptLimit, conf.Settings.Names, newPolicy, conf.KnownEndpoints, l.workers, decisionLog)
+	if l.Capture != nil {
+		l.Capture.LookupEndpoint = l.Requests.Endpoint
+		l.Requests.AddObserver(l.Capture)
+	}
+	return nil
+}
+
+func (l *Loop) wrapRestoredDispatcher(dispatcher *dispatch.Dispatcher) requests.Policy {
+	if l.Capture != nil {
+		return l.Capture.Continue(dispatcher)
+	}
+	return dispatcher
+}
+
+// listenOrJoin listens for clients. With a management address it takes the place of the process that serves here, or, if there
+// is none, serves at once: several processes may listen at the clients' address then, so that one that can't be reached by its
+// successor can be replaced too.
+func (l *Loop) listenOrJoin(conf config.Config) (err error) {
+	if !conf.Management.IsValid() {
+		l.clients.fd, err = l.Listen(conf.Listen, l.clients)
+		return err
+	}
+	l.onFail = func(err error) { l.log.Error("can't go on", "error", err) }
+	l.restoreCordoned(conf.StateDir)
+	l.openCordonStore(conf.StateDir)
+	if l.joinPredecessor(conf.StateDir, conf.Listen) {
+		return nil
+	}
+	l.clients.fd, err = l.Listen(conf.Listen, l.clients, unix.SO_REUSEPORT)
+	if err != nil {
+		return err
+	}
+	l.awaitSuccessor(hotrestart.SocketAddresses(conf.StateDir, conf.Listen))
+	return nil
+}
+
+// restoreCordoned cordons the workers that an earlier process had cordoned. Where that can't be read the process serves all
+// the same: a worker that should be cordoned is so again with the operators' next call.
+func (l *Loop) restoreCordoned(stateDir string) {
+	cordoned, err := hotrestart.ReadCordonFile(stateDir)
+	if err != nil {
+		l.log.Error("worker nodes out by hand can't be read", "error", err)
+	}
+	l.Requests.SetCordoned(cordoned)
+	if len(cordoned) > 0 {
+		l.log.Info("worker nodes out by hand", "hosts", strings.Join(cordoned, " "))
+	}
+}
+
+// openFeatures opens the operators' calls, the status call and metrics, where they are on.
+func (l *Loop) openFeatures(conf config.Config, ops config.Ops, metricTargets []metrics.Target) error {
+	if conf.Management.IsValid() {
+		counts := metrics.NewTotals(conf.Settings.Names.Classes)
+		if err := l.serveOperators(conf.Management, counts); err != nil {
+			return fmt.Errorf("key \"management\": %w", err)
+		}
+		l.Requests.AddObserver(counts)
+	}
+	if ops.Status != nil {
+		table := status.New(*ops.Status, conf.Settings.Names, conf.Settings.StartNotifications, l.Now)
+		if err := l.serveStatus(ops.StatusAddr(conf), table); err != nil {
+			return fmt.Errorf("key \"status.listen_port\": %w", err)
+		}
+		l.Requests.AddObserver(table)
+	}
+	if ops.Metrics != nil {
+		if ops.Metrics.UDPTarget.IsValid() {
+			metricTargets = append(metricTargets, &collectorSocket{address: ops.Metrics.UDPTarget, fd: -1})
+		}
+		l.figures = metrics.NewExporter(*ops.Metrics, conf.Settings.Names, l.Now, metricTargets...)
+		l.Requests.AddObserver(l.figures)
+		l.sendFigures(l.figures)
+	}
+	return nil
+}
