--- a/internal/link/operators_test.go
+++ b/internal/link/operators_test.go
@@ -213,7 +213,7 @@
 func (w *world) downWorkers() string {
 	p, fd := w.pair()
 	p.write([]byte("GET /v1/metrics HTTP/1.1\r\n\r\n"))
-	w.loop.operators.adopt(fd)
+	w.loop.operators.addConnection(fd)
 	p.read(1 << 16)
 	_, figure, _ := strings.Cut(string(p.got), "edge_proxy.hosts_listed=1\n")
 	return strings.TrimSpace(figure)
