--- a/docs/ci_test.go
+++ b/docs/ci_test.go
@@ -10,7 +10,7 @@
 
 // ciTests gives .ci/tests with a list of what is known to be red, over a module of its own: in package a one test passes
 // and two fail, and in package b one fails that has the name of one in a.
-func ciTests(t *testing.T) func(list string) (out string, passed bool) {
+func ciTests(t *testing.T) func(list string) (output string, passed bool) {
 	t.Helper()
 	dir := t.TempDir()
 	test := func(body string) string { return "package x\n\nimport \"testing\"\n\n" + body }
@@ -68,13 +68,13 @@
 		{badA + tooB, false, []string{"--- FAIL: TestBadToo", "bad too"}},
 		{badA + tooA + goodA, false, []string{"known red, but it passes now, so take it from the list: " + goodA}},
 	} {
-		out, passed := ci(c.list)
+		output, passed := ci(c.list)
 		if passed != c.passes {
-			t.Errorf("list %q: passed %v\n%s", c.list, passed, out)
+			t.Errorf("list %q: passed %v\n%s", c.list, passed, output)
 		}
 		for _, says := range c.says {
-			if !strings.Contains(out, says) {
-				t.Errorf("list %q: says nothing of %q\n%s", c.list, says, out)
+			if !strings.Contains(output, says) {
+				t.Errorf("list %q: says nothing of %q\n%s", c.list, says, output)
 			}
 		}
 	}
@@ -101,9 +101,9 @@
 		"./d TestBad: a cause: issue 21\n":       "unknown package: './d TestBad:",
 		badA + badA:                              "listed twice: './a TestBad:",
 	} {
-		out, passed := ci(list)
-		if passed || !strings.Contains(out, says) || strings.Contains(out, "=== RUN") {
-			t.Errorf("list %q: passed %v, expected %q\n%s", list, passed, says, out)
+		output, passed := ci(list)
+		if passed || !strings.Contains(output, says) || strings.Contains(output, "=== RUN") {
+			t.Errorf("list %q: passed %v, expected %q\n%s", list, passed, says, output)
 		}
 	}
 }
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -27,8 +27,8 @@
 	return string(text)
 }
 
-// rows are how the reference in lab.md has to begin for each key of a table: its name, and what it is if left out.
-func rows(under string, v reflect.Value, dst []string) []string {
+// referenceRows are how the reference in lab.md has to begin for each key of a table: its name, and what it is if left out.
+func referenceRows(under string, v reflect.Value, dst []string) []string {
 	for i := range v.NumField() {
 		f, key := v.Field(i), v.Type().Field(i).Tag.Get("toml")
 		if under != "" {
@@ -36,9 +36,9 @@
 		}
 		switch {
 		case f.Kind() == reflect.Struct:
-			dst = rows(key, f, dst)
+			dst = referenceRows(key, f, dst)
 		case f.Kind() == reflect.Slice && f.Type().Elem().Kind() == reflect.Struct:
-			dst = rows(key, reflect.New(f.Type().Elem()).Elem(), dst)
+			dst = referenceRows(key, reflect.New(f.Type().Elem()).Elem(), dst)
 		default:
 			dst = append(dst, fmt.Sprintf("| `%s` | %s |", key, shown(f)))
 		}
@@ -90,23 +90,23 @@
 	kind, class, tenant := plain.Fleet.Kinds[0], plain.Classes[0], plain.Tenants[0]
 	kind.Name, class.Name, tenant.Name = "", "", ""
 	s := reflect.ValueOf(scenario.Default()).Elem()
-	for _, row := range rows("", s, nil) {
-		if !strings.HasPrefix(row, "| `fleet.kind.") && !strings.HasPrefix(row, "| `class.") && !strings.HasPrefix(row, "| `tenant.") {
-			all = append(all, row)
+	for _, wantedRow := range referenceRows("", s, nil) {
+		if !strings.HasPrefix(wantedRow, "| `fleet.kind.") && !strings.HasPrefix(wantedRow, "| `class.") && !strings.HasPrefix(wantedRow, "| `tenant.") {
+			all = append(all, wantedRow)
 		}
 	}
-	all = rows("fleet.kind", reflect.ValueOf(kind), all)
-	all = rows("class", reflect.ValueOf(class), all)
-	return rows("tenant", reflect.ValueOf(tenant), all)
+	all = referenceRows("fleet.kind", reflect.ValueOf(kind), all)
+	all = referenceRows("class", reflect.ValueOf(class), all)
+	return referenceRows("tenant", reflect.ValueOf(tenant), all)
 }
 
 // Every key of a scenario stands in lab.md with its default, and no key does that there is not.
 func TestEveryKeyIsInThePage(t *testing.T) {
 	text, keys := page(t, "lab.md"), map[string]bool{}
-	for _, row := range wanted(t) {
-		keys[strings.Split(row, "`")[1]] = true
-		if n := strings.Count(text, "\n"+row+" "); n != 1 {
-			t.Errorf("lab.md has %d lines that begin as this one has to:\n%s", n, row)
+	for _, wantedRow := range wanted(t) {
+		keys[strings.Split(wantedRow, "`")[1]] = true
+		if n := strings.Count(text, "\n"+wantedRow+" "); n != 1 {
+			t.Errorf("lab.md has %d lines that begin as this one has to:\n%s", n, wantedRow)
 		}
 	}
 	_, reference, _ := strings.Cut(text, "\n## Reference")
@@ -118,7 +118,7 @@
 	}
 }
 
-// What is known by name stands in lab.md: faults, bad clients, figures, rules, yardsticks, the library.
+// What is known by name stands in lab.md: faults, misbehaving clients, figures, rules, baseline policies, the library.
 func TestEveryNameIsInThePage(t *testing.T) {
 	text := page(t, "lab.md")
 	names := append([]string{}, scenario.MisbehaviorKinds...)
--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -13,63 +13,77 @@
 
 	"github.com/BurntSushi/toml"
 
+	"valvecove/internal/testbed/scenario"
 	"valvecove/scenarios"
 )
 
 // site is what a site file names.
 type site struct {
-	Name  string
-	Net   struct{ Zones []string }
-	Class []struct{ Name string }
-	Tier  []struct {
-		Name string
-		Kind []struct{ Name string }
-	}
-	Tenant []struct{ Name string }
+	Name         string
+	Net          struct{ Zones []string }
+	Classes      []struct{ Name string } `toml:"class"`
+	WorkerGroups []struct {
+		Name  string
+		Kinds []struct{ Name string } `toml:"kind"`
+	} `toml:"tier"`
+	Tenants []struct{ Name string } `toml:"tenant"`
+}
+
+// names are all names in a site file.
+func (s *site) names() []string {
+	names := append([]string{s.Name}, s.Net.Zones...)
+	for _, class := range s.Classes {
+		names = append(names, class.Name)
+	}
+	for _, group := range s.WorkerGroups {
+		names = append(names, group.Name)
+		for _, kind := range group.Kinds {
+			names = append(names, kind.Name)
+		}
+	}
+	for _, tenant := range s.Tenants {
+		names = append(names, tenant.Name)
+	}
+	return names
+}
+
+// scenarioNames are the names of what a scenario's deployment has.
+func scenarioNames(s *scenario.Scenario) []string {
+	names := slices.Clone(s.Fleet.Zones)
+	for _, class := range s.Classes {
+		names = append(names, class.Name)
+	}
+	for _, tenant := range s.Tenants {
+		names = append(names, tenant.Name)
+	}
+	for _, kind := range s.Fleet.Kinds {
+		names = append(names, kind.Name)
+	}
+	return names
 }
 
 // deploymentNames are the classes, tenants, zones and kinds of every deployment that there is a file of: our sites, and the
-// library's scenarios, which play the co-operative's unless they say otherwise.
-func deploymentNames(t *testing.T) (names []string) {
+// library's scenarios, which run the co-operative's unless they say otherwise.
+func deploymentNames(t *testing.T) []string {
 	t.Helper()
 	files, err := filepath.Glob("../deploy/sites/*.toml")
 	if err != nil || len(files) < 2 {
 		t.Fatalf("%d site files, %v", len(files), err)
 	}
+	var names []string
 	for _, path := range files {
 		var s site
 		if _, err := toml.DecodeFile(path, &s); err != nil {
 			t.Fatal(err)
 		}
-		names = append(append(names, s.Name), s.Net.Zones...)
-		for _, c := range s.Class {
-			names = append(names, c.Name)
-		}
-		for _, r := range s.Tier {
-			names = append(names, r.Name)
-			for _, k := range r.Kind {
-				names = append(names, k.Name)
-			}
-		}
-		for _, c := range s.Tenant {
-			names = append(names, c.Name)
-		}
+		names = append(names, s.names()...)
 	}
 	for _, name := range scenarios.Names() {
 		s, err := scenarios.Open(name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		names = append(names, s.Fleet.Zones...)
-		for _, c := range s.Classes {
-			names = append(names, c.Name)
-		}
-		for _, c := range s.Tenants {
-			names = append(names, c.Name)
-		}
-		for _, k := range s.Fleet.Kinds {
-			names = append(names, k.Name)
-		}
+		names = append(names, scenarioNames(s)...)
 	}
 	slices.Sort(names)
 	return slices.Compact(names)
