--- a/internal/deadline/queue.go
+++ b/internal/deadline/queue.go
@@ -1,4 +1,5 @@
-// Package deadline keeps what is to happen by when it is due.
+// Package deadline keeps items in the order of the instants at which they are due. It owns the order and nothing else:
+// it has no clock and no goroutine, and never calls what it holds.
 package deadline
 
 import (
@@ -6,54 +7,68 @@
 	"time"
 )
 
-// Item is embedded in what a queue holds. At may not change while it is held.
+// Item is embedded in whatever a Queue holds. At must not change while a queue holds the item, and one queue at most
+// may hold it.
 type Item struct {
-	At       time.Duration
-	position int // in the queue, from 1; 0: in none
+	At       time.Duration // the instant at which the item is due, on its owner's clock
+	position int           // its index in the heap plus 1; 0 while no queue holds it
 }
 
 func (i *Item) item() *Item { return i }
 
-// Queue holds items, the one that is due next first. Its zero value is empty.
-type Queue[T interface{ item() *Item }] struct{ heap itemHeap[T] }
+// element is a pointer to a struct that embeds an Item.
+type element interface{ item() *Item }
 
-// Len counts the items.
+// Queue holds items and gives the one that is due first. Of items that are due at one instant it may give any. The zero
+// value is an empty queue. A Queue is not safe for concurrent use.
+type Queue[T element] struct{ heap itemHeap[T] }
+
+// Len returns how many items the queue holds.
 func (q *Queue[T]) Len() int { return len(q.heap) }
 
-// First is the one that is due next; there must be one.
+// First returns the item that is due first. The queue must not be empty.
 func (q *Queue[T]) First() T { return q.heap[0] }
 
-// Add puts an item in.
-func (q *Queue[T]) Add(x T) { heap.Push(&q.heap, x) }
+// Add puts an item in, in logarithmic time. No queue may hold it yet.
+func (q *Queue[T]) Add(item T) { heap.Push(&q.heap, item) }
 
-// Remove takes an item out, if it is in.
-func (q *Queue[T]) Remove(x T) {
-	if at := x.item().position; at > 0 {
-		heap.Remove(&q.heap, at-1)
+// Remove takes an item out, in logarithmic time. It does nothing if no queue holds the item.
+func (q *Queue[T]) Remove(item T) {
+	if position := item.item().position; position > 0 {
+		heap.Remove(&q.heap, position-1)
 	}
 }
 
-type itemHeap[T interface{ item() *Item }] []T
+// itemHeap implements heap.Interface and keeps each item's position.
+type itemHeap[T element] []T
+
+// Len returns the number of items.
+func (h itemHeap[T]) Len() int { return len(h) }
 
-func (h itemHeap[T]) Len() int           { return len(h) }
-func (h itemHeap[T]) Less(i, k int) bool { return h[i].item().At < h[k].item().At }
+// Less reports whether the first item is due before the second.
+func (h itemHeap[T]) Less(i, j int) bool { return h[i].item().At < h[j].item().At }
 
-func (h itemHeap[T]) Swap(i, k int) {
-	h[i], h[k] = h[k], h[i]
-	h[i].item().position, h[k].item().position = i+1, k+1
+// Swap exchanges two items.
+func (h itemHeap[T]) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].item().position = i + 1
+	h[j].item().position = j + 1
 }
 
-func (h *itemHeap[T]) Push(x any) {
-	*h = append(*h, x.(T))
-	x.(T).item().position = len(*h)
+// Push appends an item.
+func (h *itemHeap[T]) Push(value any) {
+	item := value.(T)
+	*h = append(*h, item)
+	item.item().position = len(*h)
 }
 
+// Pop removes the last item.
 func (h *itemHeap[T]) Pop() any {
-	var none T
+	var zero T
 	last := len(*h) - 1
-	x := (*h)[last]
-	(*h)[last] = none // the queue must not keep alive what has left it
+	item := (*h)[last]
+	(*h)[last] = zero // so that the heap does not keep the item from the garbage collector
 	*h = (*h)[:last]
-	x.item().position = 0
-	return x
+	item.item().position = 0
+	return item
 }
