--- /dev/null
+++ b/internal/logging/limited_handler.go
@@ -0,0 +1,88 @@
+package logging
+
+import (
+	"context"
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/time/rate"
+)
+
+// The budget of a logger: so many lines at once, and so many a second after that. Its errors have as many to themselves.
+const (
+	burstLines     = 200
+	linesPerSecond = 5
+)
+
+// limitedHandler is a handler whose lines have budgets.
+type limitedHandler struct {
+	slog.Handler
+	level   slog.Level
+	budgets *lineBudgets
+}
+
+// lineBudgets are the budgets of one logger and of those derived from it.
+type lineBudgets struct {
+	now    func() time.Time
+	usual  lineBudget // of lines below the level of errors
+	errors lineBudget
+}
+
+// lineBudget bounds the rate of lines. It is safe for concurrent use.
+type lineBudget struct {
+	limiter *rate.Limiter
+	skipped atomic.Uint64 // lines left out since the last one that was written
+}
+
+func newLineBudgets(now func() time.Time) *lineBudgets {
+	return &lineBudgets{
+		now:    now,
+		usual:  lineBudget{limiter: rate.NewLimiter(linesPerSecond, burstLines)},
+		errors: lineBudget{limiter: rate.NewLimiter(linesPerSecond, burstLines)},
+	}
+}
+
+// forLevel returns the budget for lines of a level.
+func (b *lineBudgets) forLevel(level slog.Level) *lineBudget {
+	if level >= slog.LevelError {
+		return &b.errors
+	}
+	return &b.usual
+}
+
+// Enabled reports whether a line of a level is to be written. One that the budget has no room for counts as skipped.
+func (h *limitedHandler) Enabled(_ context.Context, level slog.Level) bool {
+	if level < h.level {
+		return false
+	}
+	budget := h.budgets.forLevel(level)
+	if budget.limiter.TokensAt(h.budgets.now()) >= 1 {
+		return true
+	}
+	budget.skipped.Add(1)
+	return false
+}
+
+// Handle writes a line, unless another goroutine has used up the budget since Enabled was asked.
+func (h *limitedHandler) Handle(ctx context.Context, record slog.Record) error {
+	budget := h.budgets.forLevel(record.Level)
+	if !budget.limiter.AllowN(h.budgets.now(), 1) {
+		budget.skipped.Add(1)
+		return nil
+	}
+	if skipped := budget.skipped.Swap(0); skipped > 0 {
+		record.AddAttrs(slog.Uint64("skipped", skipped))
+	}
+	return h.Handler.Handle(ctx, record)
+}
+
+// WithAttrs returns a handler with more attributes and the same budgets.
+func (h *limitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &limitedHandler{Handler: h.Handler.WithAttrs(attrs), level: h.level, budgets: h.budgets}
+}
+
+// WithGroup returns a handler whose attributes are in a group, with the same budgets.
+func (h *limitedHandler) WithGroup(name string) slog.Handler {
+	return &limitedHandler{Handler: h.Handler.WithGroup(name), level: h.level, budgets: h.budgets}
+}
