--- a/internal/link/figures.go
+++ b/internal/link/figures.go
@@ -7,7 +7,6 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/internal/eventloop"
-	"valvecove/internal/metrics"
 )
 
 // batchesAtOnce are sent in one turn at most: other links have their turns too.
@@ -51,26 +50,27 @@
 	return nil
 }
 
-// sendFigures gathers and sends figures, again and again.
-func (l *Loop) sendFigures(f *metrics.Exporter) {
-	l.After(f.Interval(), func() {
-		l.sendFigures(f)
-		f.Gather()
-		l.sendOn(f)
+// exportMetrics gathers and sends metrics at the exporter's interval.
+func (l *Loop) exportMetrics() {
+	l.After(l.exporter.Interval(), func() {
+		l.exportMetrics()
+		l.exporter.Gather()
+		l.sendMetrics()
 	})
 }
 
-func (l *Loop) sendOn(f *metrics.Exporter) {
-	if f.Send(batchesAtOnce) {
-		l.After(0, func() { l.sendOn(f) })
+// sendMetrics sends what was gathered, a few batches in each iteration of the loop.
+func (l *Loop) sendMetrics() {
+	if l.exporter.Send(batchesAtOnce) {
+		l.After(0, l.sendMetrics)
 	}
 }
 
-// LastFigures sends all figures that there are, at the end.
-func (l *Loop) LastFigures() {
-	if l.figures != nil {
-		l.figures.Gather()
-		for l.figures.Send(batchesAtOnce) {
+// FlushMetrics gathers and sends all metrics, at the end.
+func (l *Loop) FlushMetrics() {
+	if l.exporter != nil {
+		l.exporter.Gather()
+		for l.exporter.Send(batchesAtOnce) {
 		}
 	}
 }
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -38,7 +38,7 @@
 	decides         *dispatch.Dispatcher                       // the module that runs, under whatever wraps it
 	side            int                                        // descriptors for features
 	Capture         *capture.Recorder                          // nil: off
-	figures         *metrics.Exporter                          // nil: off
+	exporter        *metrics.Exporter                          // nil: off
 	lists           *address.AccessLists                       // nil: off
 	wrap            func(*dispatch.Dispatcher) requests.Policy // what stands round a module that goes on from another process; nil: none can
 	predecessorRole *predecessorRole                           // nil: no successor can come
--- a/internal/link/operators.go
+++ b/internal/link/operators.go
@@ -32,7 +32,7 @@
 // answered however busy the scheduler is.
 type operatorLinks struct {
 	sideLinks // the oldest first
-	count     *metrics.Totals
+	counters  *metrics.Counters
 	text      []byte
 }
 
@@ -51,8 +51,8 @@
 func (k *operatorLink) Priority() eventloop.Priority { return eventloop.PriorityUrgent }
 
 // serveOperators answers the operators' calls at their own address.
-func (l *Loop) serveOperators(at netip.AddrPort, count *metrics.Totals) (err error) {
-	o := &operatorLinks{sideLinks: sideLinks{loop: l}, count: count}
+func (l *Loop) serveOperators(at netip.AddrPort, counters *metrics.Counters) (err error) {
+	o := &operatorLinks{sideLinks: sideLinks{loop: l}, counters: counters}
 	if o.fd, err = l.Listen(at, o); err == nil {
 		l.operators = o
 		o.sweep()
@@ -162,9 +162,9 @@
 		}
 	case pathMetrics:
 		o := k.home
-		o.text = o.count.Append(o.text[:0], metrics.Gauges{
-			Inflight: k.home.loop.inflight(), Listed: k.home.loop.Ledger.ListedCount(),
-			Down: k.home.loop.avoided(),
+		o.text = o.counters.AppendText(o.text[:0], metrics.Gauges{
+			OpenRequests: k.home.loop.inflight(), ListedWorkers: k.home.loop.Ledger.ListedCount(),
+			AvoidedWorkers: k.home.loop.avoided(),
 		})
 		k.answer(200, "Content-Type: text/plain; charset=utf-8\r\nCache-Control: no-store\r\n", o.text)
 	default:
--- a/internal/link/operators_test.go
+++ b/internal/link/operators_test.go
@@ -14,16 +14,17 @@
 	"valvecove/internal/http1"
 	"valvecove/internal/metrics"
 	"valvecove/internal/modeltest"
+	"valvecove/internal/requests"
 )
 
 // withOperators is a world with a management address.
 func withOperators(s *modeltest.Steps) *world {
 	w := newWorld(s)
-	count := metrics.NewTotals([]string{"a"})
-	if err := w.loop.serveOperators(netip.MustParseAddrPort("127.0.0.1:0"), count); err != nil {
+	counters := metrics.NewCounters(requests.NameTable{Classes: []string{"a"}})
+	if err := w.loop.serveOperators(netip.MustParseAddrPort("127.0.0.1:0"), counters); err != nil {
 		s.T.Fatal(err)
 	}
-	w.loop.Ledger.AddObserver(count)
+	w.loop.Ledger.AddObserver(counters)
 	return w
 }
 
--- a/internal/link/start.go
+++ b/internal/link/start.go
@@ -89,12 +89,14 @@
 	if err != nil {
 		return nil, err
 	}
+	counters := metrics.NewCounters(c.Settings.Names)
+	if c.Management.IsValid() || ops.Metrics != nil {
+		l.Ledger.AddObserver(counters)
+	}
 	if c.Management.IsValid() {
-		count := metrics.NewTotals(c.Settings.Names.Classes)
-		if err := l.serveOperators(c.Management, count); err != nil {
+		if err := l.serveOperators(c.Management, counters); err != nil {
 			return nil, fmt.Errorf("key \"management\": %w", err)
 		}
-		l.Ledger.AddObserver(count)
 	}
 	if ops.Status != nil {
 		table := status.New(*ops.Status, c.Settings.Names, c.Settings.StartNotifications, l.Now)
@@ -108,9 +110,9 @@
 		if ops.Metrics.UDPTarget.IsValid() {
 			targets = append(targets, &collector{to: ops.Metrics.UDPTarget, fd: -1})
 		}
-		l.figures = metrics.NewExporter(*ops.Metrics, c.Settings.Names, l.Now, targets...)
-		l.Ledger.AddObserver(l.figures)
-		l.sendFigures(l.figures)
+		l.exporter = metrics.NewExporter(*ops.Metrics, counters, l.Now, targets...)
+		l.Ledger.AddObserver(l.exporter)
+		l.exportMetrics()
 	}
 	l.watch.start(len(c.KnownEndpoints.Endpoints) > 0)
 	if wait := l.watch.machine.InitialWait(); wait > 0 && l.Ledger.HasReadyWorker() {
--- /dev/null
+++ b/internal/metrics/counters.go
@@ -0,0 +1,126 @@
+// Package metrics counts what becomes of jobs and attempts, and writes the counts in the two forms that are documented:
+// statsd or influx lines for a collector (Exporter), and the text of the operators' metrics call (Counters.AppendText).
+// Each count is kept once, in Counters. The package observes the request table and decides nothing. Tags are names from the
+// settings and the outcomes of the protocol, never what a client wrote.
+package metrics
+
+import (
+	"slices"
+
+	"valvecove/internal/requests"
+)
+
+// responseKinds is how many kinds of requests.Response there are.
+const responseKinds = int(requests.ResponseFailed) + 1
+
+// Counters are the counts from the start of the process on, by tenant and class. They are an observer of the request table,
+// and are used by the goroutine that owns it.
+type Counters struct {
+	names           requests.NameTable
+	groups          []group // by tenant and then class; the last is of requests whose class has no name
+	attemptsWritten uint64  // attempts whose last byte was written
+	unreadable      uint64  // messages that could not be read as a request
+}
+
+// group holds the counts of one tenant and class.
+type group struct {
+	active           bool // has had a request
+	openRequests     int
+	attemptsInFlight int
+	jobs             [len(requests.Outcomes)][responseKinds]uint64 // ended
+	attempts         [len(requests.Outcomes)]uint64                // ended
+}
+
+// NewCounters returns counters that are all 0, for the tenants and classes of a name table.
+func NewCounters(names requests.NameTable) *Counters {
+	named := max(1, len(names.Tenants)) * len(names.Classes)
+	return &Counters{names: names, groups: make([]group, named+1)}
+}
+
+// Observe counts what a notification reports. A request rejected at admission for lack of capacity counts as a job with
+// the response "rejected"; what could not be read as a request counts as no job.
+func (c *Counters) Observe(notification requests.Notification) {
+	request := notification.Request
+	switch notification.Kind {
+	case requests.RequestAdmitted:
+		admitted := c.group(request)
+		admitted.active = true
+		admitted.openRequests++
+	case requests.RequestRejected:
+		if !isRejectedJob(notification) {
+			c.unreadable++
+			return
+		}
+		c.group(request).countJob(request.Outcome(), requests.ResponseRejected)
+	case requests.AttemptStarted:
+		c.group(request).attemptsInFlight++
+	case requests.AttemptWritten:
+		c.attemptsWritten++
+	case requests.AttemptEnded:
+		ended := c.group(request)
+		ended.attempts[outcomeIndex(notification.Err.Outcome())]++
+		ended.attemptsInFlight--
+	case requests.RequestEnded:
+		ended := c.group(request)
+		ended.openRequests--
+		ended.countJob(request.Outcome(), request.Response())
+	}
+}
+
+// isRejectedJob reports whether a RequestRejected notification is about a readable request that found no capacity.
+func isRejectedJob(notification requests.Notification) bool {
+	return notification.Request != nil && notification.Status == 503
+}
+
+// group returns the counts of a request's tenant and class.
+func (c *Counters) group(request *requests.Request) *group { return &c.groups[c.groupIndex(request)] }
+
+// groupIndex returns the index of a request's group. A tenant without a name counts with the nearest that has one.
+func (c *Counters) groupIndex(request *requests.Request) int {
+	if request.Job.Class < 0 || request.Job.Class >= len(c.names.Classes) {
+		return len(c.groups) - 1
+	}
+	tenant := max(0, min(request.Job.Tenant, len(c.names.Tenants)-1))
+	return tenant*len(c.names.Classes) + request.Job.Class
+}
+
+// groupNames returns the names of a group's tenant and class. Either may be empty.
+func (c *Counters) groupNames(index int) (tenant, class string) {
+	if index == len(c.groups)-1 {
+		return "", ""
+	}
+	if len(c.names.Tenants) > 0 {
+		tenant = c.names.Tenants[index/len(c.names.Classes)]
+	}
+	return tenant, c.names.Classes[index%len(c.names.Classes)]
+}
+
+func outcomeIndex(outcome requests.Outcome) int { return slices.Index(requests.Outcomes[:], outcome) }
+
+func (g *group) countJob(outcome requests.Outcome, response requests.Response) {
+	g.jobs[outcomeIndex(outcome)][response]++
+}
+
+// jobsByOutcome returns how many jobs have ended with an outcome, whatever their response.
+func (g *group) jobsByOutcome(outcome int) (total uint64) {
+	for _, count := range g.jobs[outcome] {
+		total += count
+	}
+	return total
+}
+
+// jobsByResponse returns how many jobs have ended with a response, whatever their outcome.
+func (g *group) jobsByResponse(response requests.Response) (total uint64) {
+	for outcome := range g.jobs {
+		total += g.jobs[outcome][response]
+	}
+	return total
+}
+
+// Responses returns how many jobs of a class, of all tenants, have ended with a response.
+func (c *Counters) Responses(response requests.Response, class int) (total uint64) {
+	for index := class; index < len(c.groups)-1; index += len(c.names.Classes) {
+		total += c.groups[index].jobsByResponse(response)
+	}
+	return total
+}
--- a/internal/metrics/exporter.go
+++ b/internal/metrics/exporter.go
@@ -1,230 +1,165 @@
-// Package metrics counts and times queries by tenant, class and outcome, and writes the figures out in batches, as
-// statsd or influx lines. It hears of queries as an observer of the ledger and decides nothing. Tags are the names
-// in the settings and the protocol's outcomes, never what a client wrote; what waits to be written is bounded.
 package metrics
 
 import (
-	"bytes"
-	"slices"
 	"strconv"
-	"strings"
 	"time"
 
 	"valvecove/internal/config"
 	"valvecove/internal/requests"
 )
 
-// Target takes batches. It does not wait for anything: what it can't take now is an error.
+// Target takes batches of lines. Send must not block: what it can't take at once is an error. It may keep the batch until it
+// returns only.
 type Target interface{ Send(batch []byte) error }
 
-// mostPending is how many bytes of figures may wait to be written.
-const mostPending = 256 << 10
-
-// Exporter are the counters, gauges and timers since the last flush.
+// Exporter writes counters, gauges and timers as statsd or influx lines, and hands them to its targets in batches. It is an
+// observer of the request table, and is used by the goroutine that owns it.
 type Exporter struct {
-	conf    config.Metrics
-	names   requests.NameTable
-	now     func() time.Duration
-	targets []Target
-	gauges  []gauge  // by tenant and class
-	counts  []counts // by tenant, class and outcome
-	bad     uint64   // requests that could not be read as a query
-	dropped uint64   // figures for which there was no room
-	errors  uint64   // batches that a target did not take
-	pending []byte   // whole lines, oldest first
-	from    int      // where they begin in it
-	line    []byte
+	conf     config.Metrics
+	counters *Counters
+	now      func() time.Duration
+	targets  []Target
+	exported []exportedCounts // by group of the counters
+	buffer   lineBuffer
+	line     []byte // reused
+
+	exportedUnreadable uint64
+	dropped            uint64 // lines for which there was no room, since the last Gather
+	sendErrors         uint64 // batches that a target did not take, since the last Gather
 }
 
-type gauge struct {
-	seen      bool
-	open, out int
+// exportedCounts are the counts of a group that were written already: a line has what was counted since.
+type exportedCounts struct {
+	jobs, attempts [len(requests.Outcomes)]uint64
 }
 
-type counts struct{ jobs, attempts uint64 }
-
-// NewExporter returns figures that start at nothing.
-func NewExporter(conf config.Metrics, names requests.NameTable, now func() time.Duration, targets ...Target) *Exporter {
-	pairs := max(1, len(names.Tenants)) * len(names.Classes)
+// NewExporter returns an exporter of counters that observe the same request table. now returns the time since the Unix
+// epoch.
+func NewExporter(conf config.Metrics, counters *Counters, now func() time.Duration, targets ...Target) *Exporter {
 	return &Exporter{
-		conf: conf, names: names, now: now, targets: targets, gauges: make([]gauge, pairs),
-		counts: make([]counts, pairs*len(requests.Outcomes)),
+		conf:     conf,
+		counters: counters,
+		now:      now,
+		targets:  targets,
+		exported: make([]exportedCounts, len(counters.groups)),
 	}
 }
 
-// pair is the place of a query's tenant and class.
-func (f *Exporter) pair(q *requests.Request) int {
-	return max(0, min(q.Job.Tenant, len(f.names.Tenants)-1))*len(f.names.Classes) + q.Job.Class
-}
-
-func (f *Exporter) count(q *requests.Request, o requests.Outcome) *counts {
-	return &f.counts[f.pair(q)*len(requests.Outcomes)+slices.Index(requests.Outcomes[:], o)]
-}
+// Interval is how often Gather and Send are to be called.
+func (e *Exporter) Interval() time.Duration { return e.conf.FlushInterval }
 
-// Observe takes in news of a query.
-func (f *Exporter) Observe(n requests.Notification) {
-	switch n.Kind {
-	case requests.RequestAdmitted:
-		g := &f.gauges[f.pair(n.Request)]
-		g.seen = true
-		g.open++
-	case requests.RequestRejected:
-		if n.Request == nil || n.Status != 503 {
-			f.bad++
-		} else {
-			f.count(n.Request, n.Request.Outcome()).jobs++
-		}
-	case requests.AttemptStarted:
-		f.gauges[f.pair(n.Request)].out++
-	case requests.AttemptEnded:
-		f.count(n.Request, n.Err.Outcome()).attempts++
-		f.gauges[f.pair(n.Request)].out--
-	case requests.RequestEnded:
-		q := n.Request
-		f.gauges[f.pair(q)].open--
-		f.count(q, q.Outcome()).jobs++
-		f.time("time", q, f.now()-q.ArrivedAt)
-		if q.FirstSentAt > 0 {
-			f.time("held", q, q.FirstSentAt-q.ArrivedAt)
-		}
+// Observe writes the timers of a request that has ended.
+func (e *Exporter) Observe(notification requests.Notification) {
+	if notification.Kind != requests.RequestEnded {
+		return
+	}
+	request := notification.Request
+	e.addTimer("time", request, e.now()-request.ArrivedAt)
+	if request.FirstSentAt > 0 {
+		e.addTimer("held", request, request.FirstSentAt-request.ArrivedAt)
 	}
 }
 
-func (f *Exporter) time(name string, q *requests.Request, span time.Duration) {
-	f.add(name, "ms", strconv.FormatFloat(float64(span)/float64(time.Millisecond), 'f', 3, 64), f.pair(q), string(q.Outcome()))
+func (e *Exporter) addTimer(name string, request *requests.Request, duration time.Duration) {
+	milliseconds := float64(duration) / float64(time.Millisecond)
+	e.add(figure{
+		name:  name,
+		kind:  timer,
+		value: strconv.FormatFloat(milliseconds, 'f', 3, 64),
+		tags:  e.tags(e.counters.groupIndex(request), request.Outcome()),
+	})
 }
 
-// add puts a figure among those that wait. Where there is no room the oldest make some.
-func (f *Exporter) add(name, kind, value string, pair int, outcome string) {
-	tags := [3][2]string{{"tenant", ""}, {"class", ""}, {"outcome", outcome}}
-	if pair >= 0 {
-		if len(f.names.Tenants) > 0 {
-			tags[0][1] = f.names.Tenants[pair/len(f.names.Classes)]
-		}
-		tags[1][1] = f.names.Classes[pair%len(f.names.Classes)]
-	}
-	if f.conf.Format == "influx" {
-		f.line = appendInflux(f.line[:0], name, kind, value, tags[:], f.now())
-	} else {
-		f.line = appendStatsd(f.line[:0], name, kind, value, tags[:])
-	}
-	for len(f.pending)-f.from+len(f.line) > mostPending && f.from < len(f.pending) {
-		f.from += bytes.IndexByte(f.pending[f.from:], '\n') + 1
-		f.dropped++
-	}
-	if f.from > mostPending/2 { // what has gone makes room for what comes
-		f.pending = f.pending[:copy(f.pending, f.pending[f.from:])]
-		f.from = 0
-	}
-	f.pending = append(f.pending, f.line...)
+// tags returns the tags of a group, and of an outcome unless that is empty.
+func (e *Exporter) tags(groupIndex int, outcome requests.Outcome) []tag {
+	tenant, class := e.counters.groupNames(groupIndex)
+	return []tag{{"tenant", tenant}, {"class", class}, {"outcome", string(outcome)}}
 }
 
-// appendStatsd writes a line with tags behind |#. The form knows no escapes: what has a meaning in it, and what is
-// not visible, becomes an underscore.
-func appendStatsd(b []byte, name, kind, value string, tags [][2]string) []byte {
-	b = append(append(append(b, "valvecove."...), name...), ':')
-	b = append(append(append(b, value...), '|'), kind...)
-	separator := "|#"
-	for _, t := range tags {
-		if t[1] != "" {
-			b = append(append(append(b, separator...), t[0]...), ':')
-			separator = ","
-			b = append(b, plain(t[1], ",|#:@ ")...)
-		}
+// add puts a line among those that wait to be sent.
+func (e *Exporter) add(line figure) {
+	if e.conf.Format == "influx" {
+		e.line = appendInflux(e.line[:0], line, e.now())
+	} else {
+		e.line = appendStatsd(e.line[:0], line)
 	}
-	return append(b, '\n')
+	e.dropped += e.buffer.add(e.line)
 }
 
-// appendInflux writes a line with a time in nanoseconds. Commas, spaces and equals signs are escaped in it; a
-// backslash at the end of a tag would escape what follows.
-func appendInflux(b []byte, name, kind, value string, tags [][2]string, now time.Duration) []byte {
-	b = append(append(b, "valvecove."...), name...)
-	for _, t := range tags {
-		if t[1] != "" {
-			b = append(append(append(append(b, ','), t[0]...), '='), influxTag.Replace(plain(t[1], "\\"))...)
-		}
+// addCounter writes a counter unless nothing was counted.
+func (e *Exporter) addCounter(name string, count uint64, tags []tag) {
+	if count > 0 {
+		e.add(figure{name: name, kind: counter, value: strconv.FormatUint(count, 10), tags: tags})
 	}
-	field := map[string]string{"c": " count=", "g": " value=", "ms": " ms="}[kind]
-	if b = append(append(b, field...), value...); kind != "ms" {
-		b = append(b, 'i')
-	}
-	return append(strconv.AppendInt(append(b, ' '), int64(now), 10), '\n')
 }
 
-var influxTag = strings.NewReplacer(",", `\,`, " ", `\ `, "=", `\=`)
-
-// longestTag is how much of a name is written.
-const longestTag = 128
-
-// plain puts an underscore for each rune that is not visible, or that may not be there.
-func plain(text, not string) string {
-	return strings.Map(func(r rune) rune {
-		if r < ' ' || r == 0x7f || r == 0xfffd || strings.ContainsRune(not, r) {
-			return '_'
-		}
-		return r
-	}, text[:min(len(text), longestTag)])
+func (e *Exporter) addGauge(name string, value int, tags []tag) {
+	e.add(figure{name: name, kind: gauge, value: strconv.Itoa(value), tags: tags})
 }
 
-// Gather puts the counters and gauges, as they are now, among the figures that wait.
-func (f *Exporter) Gather() {
-	whole := func(n uint64) string { return strconv.FormatUint(n, 10) }
-	for i := range f.counts {
-		c, pair, outcome := &f.counts[i], i/len(requests.Outcomes), string(requests.Outcomes[i%len(requests.Outcomes)])
-		if c.jobs > 0 {
-			f.add("jobs", "c", whole(c.jobs), pair, outcome)
-		}
-		if c.attempts > 0 {
-			f.add("attempts", "c", whole(c.attempts), pair, outcome)
-		}
-		*c = counts{}
+// Gather writes what was counted since the last call, and the gauges as they are now.
+func (e *Exporter) Gather() {
+	for index := range e.exported {
+		e.gatherCounts(index)
 	}
-	for pair, g := range f.gauges {
-		if g.seen {
-			f.add("open", "g", strconv.Itoa(g.open), pair, "")
-			f.add("out", "g", strconv.Itoa(g.out), pair, "")
+	for index := range e.counters.groups {
+		group := &e.counters.groups[index]
+		if !group.active {
+			continue
 		}
+		tags := e.tags(index, "")
+		e.addGauge("open", group.openRequests, tags)
+		e.addGauge("out", group.attemptsInFlight, tags)
 	}
-	for _, own := range []struct {
-		name string
-		n    *uint64
-	}{{"bad_requests", &f.bad}, {"figures_dropped", &f.dropped}, {"figures_send_errors", &f.errors}} {
-		if n := *own.n; n > 0 {
-			*own.n = 0
-			f.add(own.name, "c", whole(n), -1, "")
+	unreadable := e.counters.unreadable
+	e.addCounter("bad_requests", unreadable-e.exportedUnreadable, nil)
+	e.exportedUnreadable = unreadable
+	e.addOwnCounter("figures_dropped", &e.dropped)
+	e.addOwnCounter("figures_send_errors", &e.sendErrors)
+}
+
+// gatherCounts writes what a group has counted since the last call.
+func (e *Exporter) gatherCounts(index int) {
+	group := &e.counters.groups[index]
+	exported := &e.exported[index]
+	for outcome, name := range requests.Outcomes {
+		jobs := group.jobsByOutcome(outcome)
+		attempts := group.attempts[outcome]
+		if jobs == exported.jobs[outcome] && attempts == exported.attempts[outcome] {
+			continue
 		}
+		tags := e.tags(index, name)
+		e.addCounter("jobs", jobs-exported.jobs[outcome], tags)
+		e.addCounter("attempts", attempts-exported.attempts[outcome], tags)
+		exported.jobs[outcome] = jobs
+		exported.attempts[outcome] = attempts
 	}
 }
 
-// Send hands on some batches of what waits, and tells whether more does. A batch that a target does not take is
-// counted and dropped there.
-func (f *Exporter) Send(batches int) (more bool) {
-	for ; batches > 0 && f.from < len(f.pending); batches-- {
-		rest := f.pending[f.from:]
-		n := bytes.IndexByte(rest, '\n') + 1 // a figure that is too long goes out alone
-		for n < len(rest) {
-			next := n + bytes.IndexByte(rest[n:], '\n') + 1
-			if next >= f.conf.MaxBatchBytes {
-				break
-			}
-			n = next
+// addOwnCounter writes a counter of the exporter's own and sets it to 0 first: writing the line may count again.
+func (e *Exporter) addOwnCounter(name string, count *uint64) {
+	value := *count
+	*count = 0
+	e.addCounter(name, value, nil)
+}
+
+// Send hands at most maxBatches batches to the targets, and reports whether more lines wait. A batch that a target does
+// not take is counted, and is not sent there again.
+func (e *Exporter) Send(maxBatches int) (more bool) {
+	for range maxBatches {
+		if len(e.buffer.pending()) == 0 {
+			break
 		}
-		for _, t := range f.targets {
-			if t.Send(rest[:n]) != nil {
-				f.errors++
+		batch := e.buffer.take(e.conf.MaxBatchBytes)
+		for _, target := range e.targets {
+			if target.Send(batch) != nil {
+				e.sendErrors++
 			}
 		}
-		f.from += n
 	}
-	if f.from == len(f.pending) {
-		f.pending, f.from = f.pending[:0], 0
-		if cap(f.pending) > mostPending/4 {
-			f.pending = nil
-		}
-		return false
+	if len(e.buffer.pending()) > 0 {
+		return true
 	}
-	return true
+	e.buffer.reset()
+	return false
 }
-
-// Interval is how often figures are to be gathered and sent.
-func (f *Exporter) Interval() time.Duration { return f.conf.FlushInterval }
--- /dev/null
+++ b/internal/metrics/fixture_test.go
@@ -0,0 +1,65 @@
+package metrics
+
+import (
+	"errors"
+	"log/slog"
+	"strings"
+	"time"
+
+	"valvecove/internal/config"
+	"valvecove/internal/modeltest/observertest"
+	"valvecove/internal/requests"
+)
+
+var names = requests.NameTable{
+	Tenants: []string{"khyber-society", "mardan-society"},
+	Classes: []string{"status-check", "account-credit"},
+}
+
+// batchTarget keeps the batches that it takes.
+type batchTarget struct {
+	batches []string
+	failing bool
+}
+
+func (t *batchTarget) Send(batch []byte) error {
+	if t.failing {
+		return errors.New("target is failing")
+	}
+	t.batches = append(t.batches, string(batch))
+	return nil
+}
+
+func (t *batchTarget) text() string { return strings.Join(t.batches, "") }
+
+func (t *batchTarget) lines() []string {
+	return strings.Split(strings.TrimSuffix(t.text(), "\n"), "\n")
+}
+
+// fixture is a request table with counters and an exporter.
+type fixture struct {
+	*observertest.Fixture
+	counters *Counters
+	exporter *Exporter
+	target   *batchTarget
+}
+
+func newFixture(conf config.Metrics, names requests.NameTable) *fixture {
+	f := &fixture{
+		Fixture:  observertest.New(names, slog.New(slog.DiscardHandler)),
+		counters: NewCounters(names),
+		target:   &batchTarget{},
+	}
+	f.exporter = NewExporter(conf, f.counters, func() time.Duration { return f.Now }, f.target)
+	f.Table.AddObserver(f.counters)
+	f.Table.AddObserver(f.exporter)
+	return f
+}
+
+// flush sends all metrics, and has the target keep only what that sent.
+func (f *fixture) flush() {
+	f.target.batches = nil
+	f.exporter.Gather()
+	for f.exporter.Send(1) {
+	}
+}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -100,7 +100,7 @@
 	if s.loop = loop; loop.Capture != nil {
 		defer loop.Capture.Close(lastFlush)
 	}
-	defer loop.LastFigures()
+	defer loop.FlushMetrics()
 	told, end := make(chan os.Signal, cap(signals)), make(chan struct{})
 	loop.OnWake(func() {
 		for len(told) > 0 {
