--- a/internal/status/tags_test.go
+++ b/internal/status/tags_test.go
@@ -6,5 +6,5 @@
 	"valvecove/internal/storedform"
 )
 
-// The status call's answer has its names in tags.
-func TestAnswerIsTagged(t *testing.T) { storedform.CheckTags(t, answer{}) }
+// The JSON of the status call has its names in tags.
+func TestReportIsTagged(t *testing.T) { storedform.CheckTags(t, Report{}) }
