--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	p := &play{t: tb, set: c.Settings.Settings, rng: rand.New(rand.NewPCG(seed, 3)), Fixture: observertest.Fixture{Now: 1718000000123456789}}
+	p := &play{t: tb, set: c.Settings.Settings, rng: rand.New(rand.NewPCG(seed, 3)), Fixture: observertest.Fixture{T: tb, Now: 1718000000123456789}}
 	p.rec, err = New(conf, c, func() time.Duration { return p.Now }, slog.New(slog.DiscardHandler))
 	if err != nil {
 		tb.Fatal(err)
--- a/internal/metrics/counters_test.go
+++ b/internal/metrics/counters_test.go
@@ -115,7 +115,7 @@
 func FuzzCounters(f *testing.F) {
 	names := requests.NameTable{Classes: []string{"a"}, Tenants: []string{"t"}}
 	modeltest.Fuzz(f, func(steps *modeltest.Steps) {
-		model := &countersModel{Steps: steps, fixture: newFixture(config.Metrics{Format: "statsd", MaxBatchBytes: 1400}, names)}
+		model := &countersModel{Steps: steps, fixture: newFixture(steps.T, config.Metrics{Format: "statsd", MaxBatchBytes: 1400}, names)}
 		for steps.More() {
 			model.step()
 			model.check()
@@ -125,7 +125,7 @@
 
 // The text of the operators' call has each figure, by class for all tenants together.
 func TestAppendText(t *testing.T) {
-	f := newFixture(config.Metrics{Format: "statsd", MaxBatchBytes: 1400}, names)
+	f := newFixture(t, config.Metrics{Format: "statsd", MaxBatchBytes: 1400}, names)
 	for tenant, id := range []string{"a", "b"} {
 		f.Send(f.Admit(id, tenant, 1), "s-0")
 		f.Table.ReportWritten(f.Attempts[tenant])
@@ -144,7 +144,7 @@
 
 // A request of a class without a name counts in no named class, and ends nothing.
 func TestUnnamedClass(t *testing.T) {
-	f := newFixture(config.Metrics{Format: "statsd", MaxBatchBytes: 1400}, names)
+	f := newFixture(t, config.Metrics{Format: "statsd", MaxBatchBytes: 1400}, names)
 	for _, class := range []int{-1, len(names.Classes)} {
 		f.Table.ReportRejection(&requests.Arrival{Job: dispatch.Job{Class: class}}, 503)
 	}
--- a/internal/metrics/exporter_test.go
+++ b/internal/metrics/exporter_test.go
@@ -31,7 +31,7 @@
 			"valvecove.out,tenant=mardan-society,class=account-credit value=0i 1718000000040000000\n",
 	} {
 		t.Run(format, func(t *testing.T) {
-			f := newFixture(config.Metrics{Format: format, MaxBatchBytes: 10_000}, names)
+			f := newFixture(t, config.Metrics{Format: format, MaxBatchBytes: 10_000}, names)
 			request := f.Admit("a", 1, 1)
 			f.Now += 15 * time.Millisecond
 			f.Send(request, "s-0")
@@ -52,7 +52,7 @@
 		"influx": `valvecove.jobs,tenant=a\,b\=c\ d|e#f:g_h_,class=` + strings.Repeat("x", maxTagBytes) + `,outcome=turned\ away count=1i`,
 	} {
 		t.Run(format, func(t *testing.T) {
-			f := newFixture(config.Metrics{Format: format, MaxBatchBytes: 1400}, odd)
+			f := newFixture(t, config.Metrics{Format: format, MaxBatchBytes: 1400}, odd)
 			f.Table.ReportRejection(&requests.Arrival{CallID: "a"}, 503)
 			if f.flush(); len(f.target.lines()) != 1 || !strings.HasPrefix(f.target.lines()[0], want) {
 				t.Errorf("sent %q, expected %q", f.target.lines(), want)
@@ -82,7 +82,7 @@
 	maxBatchBytes := 1 + 4*steps.Pick(200)
 	return &exporterModel{
 		Steps:         steps,
-		fixture:       newFixture(config.Metrics{Format: "statsd", MaxBatchBytes: maxBatchBytes}, names),
+		fixture:       newFixture(steps.T, config.Metrics{Format: "statsd", MaxBatchBytes: maxBatchBytes}, names),
 		maxBatchBytes: maxBatchBytes,
 		expected:      map[string]int{},
 		sent:          map[string]int{},
@@ -203,7 +203,7 @@
 
 // What waits stays under its bound: the oldest lines are dropped whole, and counted.
 func TestPendingLinesAreBounded(t *testing.T) {
-	f := newFixture(config.Metrics{Format: "statsd", MaxBatchBytes: 1400}, names)
+	f := newFixture(t, config.Metrics{Format: "statsd", MaxBatchBytes: 1400}, names)
 	const jobs = 5000
 	for number := range jobs {
 		request := f.Admit(strconv.Itoa(number), 0, 0)
--- a/internal/metrics/fixture_test.go
+++ b/internal/metrics/fixture_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"log/slog"
 	"strings"
+	"testing"
 	"time"
 
 	"valvecove/internal/config"
@@ -44,9 +45,10 @@
 	target   *batchTarget
 }
 
-func newFixture(conf config.Metrics, names requests.NameTable) *fixture {
+func newFixture(tb testing.TB, conf config.Metrics, names requests.NameTable) *fixture {
+	tb.Helper()
 	f := &fixture{
-		Fixture:  observertest.New(names, slog.New(slog.DiscardHandler)),
+		Fixture:  observertest.New(tb, names, slog.New(slog.DiscardHandler)),
 		counters: NewCounters(names),
 		target:   &batchTarget{},
 	}
--- a/internal/modeltest/modeltest.go
+++ b/internal/modeltest/modeltest.go
@@ -1,77 +1,65 @@
-// Package modeltest is what the model tests share: it turns a fuzzer's bytes into the random steps that a model and
-// the code are both put through.
+// Package modeltest runs model tests: it turns a fuzzer's bytes into random steps, which a model and the code under test
+// both take. It knows neither the steps nor the code, and is for tests alone.
 package modeltest
 
 import (
 	"math/rand/v2"
 	"testing"
-	"time"
-
-	"valvecove/dispatch"
 )
 
-// ScriptedPolicy is a decision module that does as it is told, and remembers what it has heard.
-type ScriptedPolicy struct {
-	Next     []dispatch.Action // for the next step
-	Received []dispatch.Event
-	Panic    bool // instead, once
-}
+// Seeded sequences of Fuzz: how many, and the bytes of the shortest and by which each is longer than the one before.
+const (
+	seedCount     = 120
+	seedBytes     = 20
+	seedIncrement = 4
+)
 
-// Step hands out what was scripted.
-func (m *ScriptedPolicy) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
-	if m.Panic {
-		m.Panic = false
-		panic("scripted")
-	}
-	m.Received = append(m.Received, events...)
-	dst = append(dst, m.Next...)
-	m.Next = nil
-	return dst
-}
+// maxSteps bounds the bytes of a run, which take a step each at most: longer runs find nothing that shorter ones do not.
+const maxSteps = 1000
 
-// Steps deals out choices until its bytes are used up.
+// Steps makes the random choices of one run until its bytes are used up.
 type Steps struct {
 	T         *testing.T
 	remaining []byte
 	history   []string
 }
 
-// More tells whether another step is to be taken.
+// More reports whether another step is to be taken.
 func (s *Steps) More() bool { return len(s.remaining) > 0 }
 
-// Pick chooses one of n.
+// Pick returns a choice from 0 to n-1, which takes one byte. It returns 0 once the bytes are used up.
 func (s *Steps) Pick(n int) int {
 	if len(s.remaining) == 0 {
 		return 0
 	}
-	b := s.remaining[0]
+	choice := int(s.remaining[0]) % n
 	s.remaining = s.remaining[1:]
-	return int(b) % n
+	return choice
 }
 
-// Record notes a step, for the message of a failure.
-func (s *Steps) Record(what string) { s.history = append(s.history, what) }
+// Record adds a step to the history that a failure shows.
+func (s *Steps) Record(step string) { s.history = append(s.history, step) }
 
-// Check fails the test, with the steps that led here, unless ok.
+// Check fails the test, with the history, unless ok.
 func (s *Steps) Check(ok bool, format string, args ...any) {
+	s.T.Helper()
 	if !ok {
-		s.T.Helper()
 		s.T.Fatalf("after %v: "+format, append([]any{s.history}, args...)...)
 	}
 }
 
-// maxSteps keeps a run short: more steps than that find nothing that fewer do not.
-const maxSteps = 1000
-
-// Fuzz runs a model on seeded sequences, always the same ones, and on whatever the fuzzer finds.
-func Fuzz(f *testing.F, model func(s *Steps)) {
+// Fuzz runs a model on seeded sequences, which are the same each time, and on whatever the fuzzer finds.
+func Fuzz(f *testing.F, model func(steps *Steps)) {
+	f.Helper()
 	rng := rand.New(rand.NewPCG(1, 2))
-	for n := range 120 {
-		seed := make([]byte, 20+4*n)
+	for n := range seedCount {
+		seed := make([]byte, seedBytes+seedIncrement*n)
 		for i := range seed {
 			seed[i] = byte(rng.Uint32())
 		}
 		f.Add(seed)
 	}
-	f.Fuzz(func(t *testing.T, b []byte) { model(&Steps{T: t, remaining: b[:min(len(b), maxSteps)]}) })
+	f.Fuzz(func(t *testing.T, input []byte) {
+		model(&Steps{T: t, remaining: input[:min(len(input), maxSteps)]})
+	})
 }
--- a/internal/modeltest/observertest/fixture.go
+++ b/internal/modeltest/observertest/fixture.go
@@ -1,9 +1,11 @@
-// Package observertest is for tests of what listens to a ledger: it plays clients, worker nodes and the module.
+// Package observertest is for tests of what observes a request table: it has a table, and stands in for its clients,
+// its workers and its dispatch policy. It opens no socket and reads no clock.
 package observertest
 
 import (
 	"log/slog"
 	"strconv"
+	"testing"
 	"time"
 
 	"valvecove/dispatch"
@@ -11,85 +13,109 @@
 	"valvecove/internal/requests"
 )
 
-// Fixture is a ledger with all that is around it. Its worker nodes are s-0 and s-1.
+// workerCount is how many workers a fixture has. Their ids are s-0, s-1, ...
+const workerCount = 2
+
+// startTime is the clock of a new fixture, since the Unix epoch.
+const startTime = 1718000000 * time.Second
+
+// attemptLimit is how many attempts a request may have.
+const attemptLimit = 6
+
+// Fixture is a request table with a scripted policy. It is the table's transport and the responder of its requests: its
+// workers have each attempt at once, and its clients ignore their responses.
 type Fixture struct {
+	T        testing.TB
 	Table    *requests.Table
 	Policy   *modeltest.ScriptedPolicy
-	Attempts []*requests.Attempt // that were sent, in order
-	Now      time.Duration
+	Attempts []*requests.Attempt // all that were started, in order
+	Now      time.Duration       // the table's clock, which moves only if a test sets it
 	workers  []dispatch.Worker
 }
 
-// New returns a world in which nothing has happened.
-func New(names requests.NameTable, log *slog.Logger) *Fixture {
-	w := &Fixture{Policy: &modeltest.ScriptedPolicy{}, Now: 1718000000 * time.Second}
-	group := requests.EndpointList{}
-	for n := range 2 {
-		group.Endpoints = append(group.Endpoints, requests.Endpoint{ID: "s-" + strconv.Itoa(n), Addr: "127.0.0.1:1", Lifecycle: "up"})
+// New returns a fixture with an empty table.
+func New(tb testing.TB, names requests.NameTable, logger *slog.Logger) *Fixture {
+	tb.Helper()
+	f := &Fixture{T: tb, Policy: &modeltest.ScriptedPolicy{}, Now: startTime}
+	list := requests.EndpointList{}
+	for n := range workerCount {
+		list.Endpoints = append(list.Endpoints, requests.Endpoint{
+			ID:        "s-" + strconv.Itoa(n),
+			Addr:      "127.0.0.1:1",
+			Lifecycle: "up",
+		})
 	}
-	w.Table = requests.New(6, names, func() requests.Policy { return w.Policy }, group, w, log)
-	w.Table.Step(w.Now)
-	w.workers = w.Policy.Received[0].(dispatch.WorkerList).Workers
-	return w
+	f.Table = requests.New(attemptLimit, names, func() requests.Policy { return f.Policy }, list, f, logger)
+	f.Table.Step(f.Now)
+	f.workers = f.Policy.Received[0].(dispatch.WorkerList).Workers
+	return f
 }
 
-// RespondResult and the others are the client's side, and then the worker nodes'.
-func (w *Fixture) RespondResult([]byte) {}
+// Apply has the policy take an action.
+func (f *Fixture) Apply(action dispatch.Action) {
+	f.Policy.Next = append(f.Policy.Next, action)
+	f.Table.DiscoveryFailed() // an event, so that there is something to step for
+	f.Table.Step(f.Now)
+}
 
-// RespondRejected does nothing.
-func (w *Fixture) RespondRejected(time.Duration) {}
+// Admit admits a request. Its id must not be that of an open one.
+func (f *Fixture) Admit(id string, tenant, class int) *requests.Request {
+	f.T.Helper()
+	request, err := f.Table.Admit(f.Now, requests.Arrival{
+		CallID:    id,
+		Responder: f,
+		Job:       dispatch.Job{Tenant: tenant, Class: class, Remaining: time.Hour},
+	})
+	if err != nil {
+		f.T.Fatalf("admitting %s: %v", id, err)
+	}
+	return request
+}
 
-// RespondFailed does nothing.
-func (w *Fixture) RespondFailed() {}
+// Send has the policy send a request to a worker, and reports whether an attempt was started.
+func (f *Fixture) Send(request *requests.Request, workerID string) bool {
+	before := len(f.Attempts)
+	index := workerID[len("s-")] - '0'
+	f.Apply(dispatch.Send{Job: request.ID, Worker: f.workers[index].ID})
+	return len(f.Attempts) > before
+}
 
-// Start remembers an attempt; its worker node has it whole at once.
-func (w *Fixture) Start(a *requests.Attempt) {
-	a.Stage = requests.StageWritten
-	w.Attempts = append(w.Attempts, a)
+// SendCallback has a worker call back on a request.
+func (f *Fixture) SendCallback(id, workerID, state string, progress float64) {
+	f.T.Helper()
+	result := "r"
+	callback := requests.Callback{CallID: id, EndpointID: workerID, State: state, Progress: progress, Result: &result}
+	if _, err := f.Table.HandleCallback(callback); err != nil {
+		f.T.Fatalf("callback of %s on %s: %v", workerID, id, err)
+	}
 }
 
-// Abandon does nothing.
-func (w *Fixture) Abandon(*requests.Attempt) {}
+// RespondResult ignores a response, as do the other methods of requests.Responder.
+func (f *Fixture) RespondResult([]byte) {}
 
-// Cancel tells the worker node at once.
-func (w *Fixture) Cancel(a *requests.Attempt) { w.Table.CancelCompleted(a, true) }
+// RespondRejected ignores a response.
+func (f *Fixture) RespondRejected(time.Duration) {}
 
-// CheckHealth does nothing.
-func (w *Fixture) CheckHealth(uint64) {}
+// RespondFailed ignores a response.
+func (f *Fixture) RespondFailed() {}
 
-// CloseIdleConnections does nothing.
-func (w *Fixture) CloseIdleConnections(uint64) {}
+// Start keeps an attempt. Its worker has it whole at once.
+func (f *Fixture) Start(attempt *requests.Attempt) {
+	attempt.Stage = requests.StageWritten
+	f.Attempts = append(f.Attempts, attempt)
+}
 
-// Watch does nothing.
-func (w *Fixture) Watch(int64) {}
+// Cancel has the worker confirm at once.
+func (f *Fixture) Cancel(attempt *requests.Attempt) { f.Table.CancelCompleted(attempt, true) }
 
-// Apply has the module act.
-func (w *Fixture) Apply(a dispatch.Action) {
-	w.Policy.Next = append(w.Policy.Next, a)
-	w.Table.DiscoveryFailed() // something to step for
-	w.Table.Step(w.Now)
-}
+// Abandon does nothing, as do the other methods of requests.Transport.
+func (f *Fixture) Abandon(*requests.Attempt) {}
 
-// Admit enters a query whose id is not that of an open one.
-func (w *Fixture) Admit(id string, tenant, class int) *requests.Request {
-	q, err := w.Table.Admit(w.Now, requests.Arrival{CallID: id, Responder: w, Job: dispatch.Job{Tenant: tenant, Class: class, Remaining: time.Hour}})
-	if err != nil {
-		panic(err)
-	}
-	return q
-}
+// CheckHealth does nothing.
+func (f *Fixture) CheckHealth(uint64) {}
 
-// Send has the module send a query to a worker node, and tells whether it went.
-func (w *Fixture) Send(q *requests.Request, host string) bool {
-	before := len(w.Attempts)
-	w.Apply(dispatch.Send{Job: q.ID, Worker: w.workers[host[2]-'0'].ID})
-	return len(w.Attempts) > before
-}
+// CloseIdleConnections does nothing.
+func (f *Fixture) CloseIdleConnections(uint64) {}
 
-// SendCallback plays a worker node's note.
-func (w *Fixture) SendCallback(id, host, state string, share float64) {
-	result := "r"
-	if _, err := w.Table.HandleCallback(requests.Callback{CallID: id, EndpointID: host, State: state, Progress: share, Result: &result}); err != nil {
-		panic(err)
-	}
-}
+// Watch does nothing.
+func (f *Fixture) Watch(int64) {}
