--- a/internal/link/figures.go
+++ b/internal/link/metrics_sender.go
@@ -9,18 +9,18 @@
 	"valvecove/internal/eventloop"
 )
 
-// batchesAtOnce are sent in one turn at most: other links have their turns too.
-const batchesAtOnce = 16
+// maxBatchesPerIteration is how many batches of metrics are sent in one iteration, so that connections are served too.
+const maxBatchesPerIteration = 16
 
-// collector sends figures to a UDP address, and never waits. The socket is connected, as otherwise nothing would tell
-// that nobody listens there.
-type collector struct {
-	to netip.AddrPort
-	fd int
+// collectorSocket sends metrics to a UDP address, and never waits. The socket is connected, as otherwise there would be no
+// error where nobody listens.
+type collectorSocket struct {
+	address netip.AddrPort
+	fd      int // -1: none is open
 }
 
-// Send sends one batch; the line end of its last figure stays behind.
-func (c *collector) Send(batch []byte) error {
+// Send sends one batch, without the line end of its last metric.
+func (c *collectorSocket) Send(batch []byte) error {
 	if c.fd < 0 {
 		if err := c.open(); err != nil {
 			return err
@@ -30,19 +30,19 @@
 	switch {
 	case err == nil || errors.Is(err, unix.ECONNREFUSED) || errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EMSGSIZE):
 	default:
-		_ = unix.Close(c.fd) // what is wrong with it may be gone with the next one
+		_ = unix.Close(c.fd) // the next one may work
 		c.fd = -1
 	}
 	return err
 }
 
-func (c *collector) open() error {
-	family, sa := eventloop.Sockaddr(c.to)
+func (c *collectorSocket) open() error {
+	family, sockaddr := eventloop.Sockaddr(c.address)
 	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return err
 	}
-	if err := unix.Connect(fd, sa); err != nil {
+	if err := unix.Connect(fd, sockaddr); err != nil {
 		_ = unix.Close(fd)
 		return err
 	}
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// exportMetrics gathers and sends metrics at the exporter's interval.
+// exportMetrics gathers and sends metrics, again and again at the exporter's interval.
 func (l *Loop) exportMetrics() {
 	l.After(l.exporter.Interval(), func() {
 		l.exportMetrics()
@@ -61,16 +61,17 @@
 
 // sendMetrics sends what was gathered, a few batches in each iteration of the loop.
 func (l *Loop) sendMetrics() {
-	if l.exporter.Send(batchesAtOnce) {
+	if more := l.exporter.Send(maxBatchesPerIteration); more {
 		l.After(0, l.sendMetrics)
 	}
 }
 
 // FlushMetrics gathers and sends all metrics, at the end.
 func (l *Loop) FlushMetrics() {
-	if l.exporter != nil {
-		l.exporter.Gather()
-		for l.exporter.Send(batchesAtOnce) {
-		}
+	if l.exporter == nil {
+		return
+	}
+	l.exporter.Gather()
+	for l.exporter.Send(maxBatchesPerIteration) {
 	}
 }
--- /dev/null
+++ b/internal/link/worker_pool.go
@@ -0,0 +1,203 @@
+package link
+
+import (
+	"net/netip"
+	"time"
+
+	"valvecove/internal/requests"
+)
+
+const (
+	poolExpiryInterval      = time.Second
+	reuseDelay              = 10 * time.Millisecond // between two attempts on a connection: a second response to the first shows by then
+	minIdleTrust            = 20 * time.Millisecond // a connection used as lately as that is as good as a new one
+	maxIdleTrust            = time.Minute           // beyond it, trust is without limit
+	idleTrustGrowthInterval = 10 * time.Second      // the trust in idle connections doubles when they have done well for so long
+)
+
+// workerPool has the connections to workers: it is the request table's carrier.
+type workerPool struct {
+	loop               *Loop
+	endpoints          map[uint64]*endpointConnections         // by worker
+	byAttempt          map[*requests.Attempt]*workerConnection // until the worker has accepted
+	cancelTries        map[*requests.Attempt]int               // connections tried to cancel an attempt, while it is being cancelled
+	openCount          int                                     // of connections
+	maxConnections     int                                     // open at once
+	connectTimeout     time.Duration                           // for a connection to come up
+	idleTimeout        time.Duration                           // for which a connection is kept idle; 0: for ever
+	idleTrust          time.Duration                           // for which idle connections have lately gone well; 0: without limit
+	idleTrustChangedAt time.Duration
+}
+
+// endpointConnections are the connections to one worker.
+type endpointConnections struct {
+	worker      uint64
+	id          string
+	address     netip.AddrPort
+	startedAtMs int64
+	incarnation int                 // counts the worker's processes: a connection to an earlier one is of no use
+	idle        []*workerConnection // the last one used last
+}
+
+// openWorkerPool makes the pool, which has no connections yet. The worker closes an idle connection at its limit, and a
+// request that crosses the close is lost: the pool keeps well clear of that.
+func (l *Loop) openWorkerPool(maxConnections int, connectTimeout, workerIdleTimeout time.Duration) {
+	l.workers = &workerPool{
+		loop:           l,
+		endpoints:      map[uint64]*endpointConnections{},
+		byAttempt:      map[*requests.Attempt]*workerConnection{},
+		cancelTries:    map[*requests.Attempt]int{},
+		maxConnections: maxConnections,
+		connectTimeout: connectTimeout,
+		idleTimeout:    workerIdleTimeout * 3 / 4,
+	}
+	l.workers.closeExpired()
+}
+
+// HandleEvents has nothing to do: the pool has no descriptor of its own, only timers.
+func (p *workerPool) HandleEvents(uint32) {}
+
+// HandlePanic has nothing to end: the pool goes on.
+func (p *workerPool) HandlePanic() {}
+
+// Start sends an attempt to its worker.
+func (p *workerPool) Start(attempt *requests.Attempt) {
+	p.startExchange(attempt.Worker, exchange{kind: exchangeAttempt, attempt: attempt})
+}
+
+// Abandon lets the worker know that an attempt is given up: before it has accepted by closing the connection, after that by a
+// DELETE.
+func (p *workerPool) Abandon(attempt *requests.Attempt) {
+	if c := p.byAttempt[attempt]; c != nil {
+		c.terminate(nil)
+	} else if attempt.Stage == requests.StageAccepted {
+		p.Cancel(attempt)
+	}
+}
+
+// CheckHealth asks a worker whether it is alive.
+func (p *workerPool) CheckHealth(worker uint64) {
+	p.startExchange(worker, exchange{kind: exchangeHealthCheck})
+}
+
+// CloseIdleConnections closes a worker's connections that are idle.
+func (p *workerPool) CloseIdleConnections(worker uint64) {
+	if endpoint := p.endpoints[worker]; endpoint != nil {
+		for len(endpoint.idle) > 0 {
+			endpoint.idle[0].terminate(nil)
+		}
+	}
+}
+
+// endpoint returns the connections to a worker, without idle ones to a process of it that was replaced.
+func (p *workerPool) endpoint(worker uint64) *endpointConnections {
+	endpoint := p.endpoints[worker]
+	if endpoint == nil {
+		endpoint = &endpointConnections{worker: worker}
+		p.endpoints[worker] = endpoint
+	}
+	listed := p.loop.Requests.Endpoint(worker)
+	endpoint.id = listed.ID
+	if listed.Addr != "" && (endpoint.startedAtMs != listed.StartedAtMs || endpoint.address.String() != listed.Addr) {
+		endpoint.address, _ = netip.ParseAddrPort(listed.Addr)
+		endpoint.startedAtMs = listed.StartedAtMs
+		endpoint.incarnation++
+		p.CloseIdleConnections(worker)
+	}
+	return endpoint
+}
+
+// startExchange begins an exchange on the idle connection that was used last, or on a new one.
+func (p *workerPool) startExchange(worker uint64, next exchange) {
+	endpoint := p.endpoint(worker)
+	if c := p.takeIdle(endpoint, next.kind); c != nil {
+		c.idleBefore = max(p.loop.Now()-c.idleSince, 1)
+		c.assign(next)
+		p.loop.Protect(c, c.writeRequest)
+		return
+	}
+	c := &workerConnection{pool: p, endpoint: endpoint, incarnation: endpoint.incarnation, state: workerConnecting}
+	c.assign(next)
+	p.loop.Protect(c, func() {
+		if err := c.connect(); err != nil {
+			c.terminate(err)
+		}
+	})
+}
+
+// takeIdle takes the idle connection that was used last and may be used for a kind of exchange; nil: there is none. It closes
+// those that it finds unusable.
+func (p *workerPool) takeIdle(endpoint *endpointConnections, next exchangeKind) *workerConnection {
+	for i := len(endpoint.idle) - 1; i >= 0; i-- {
+		c := endpoint.idle[i]
+		if p.isStale(c) || !c.isAlive() {
+			c.terminate(nil)
+			continue
+		}
+		if next == exchangeAttempt && c.lastKind == exchangeAttempt && p.loop.Now()-c.idleSince < reuseDelay {
+			continue
+		}
+		endpoint.removeIdle(c)
+		return c
+	}
+	return nil
+}
+
+// removeIdle takes a connection from among the idle.
+func (e *endpointConnections) removeIdle(connection *workerConnection) {
+	for i, idle := range e.idle {
+		if idle == connection {
+			e.idle = append(e.idle[:i], e.idle[i+1:]...)
+			return
+		}
+	}
+}
+
+// evictIdle closes an idle connection to any worker, and reports whether there was one.
+func (p *workerPool) evictIdle() bool {
+	for _, endpoint := range p.endpoints {
+		if len(endpoint.idle) > 0 {
+			endpoint.idle[0].terminate(nil)
+			return true
+		}
+	}
+	return false
+}
+
+// closeExpired closes connections that have been idle for too long, again and again.
+func (p *workerPool) closeExpired() {
+	p.loop.StartTimer(poolExpiryInterval, p, p.closeExpired)
+	p.growIdleTrust()
+	for _, endpoint := range p.endpoints {
+		for len(endpoint.idle) > 0 && p.isStale(endpoint.idle[0]) {
+			endpoint.idle[0].terminate(nil)
+		}
+	}
+}
+
+func (p *workerPool) isStale(connection *workerConnection) bool {
+	idle := p.loop.Now() - connection.idleSince
+	return p.idleTimeout > 0 && idle >= p.idleTimeout || p.idleTrust > 0 && idle >= p.idleTrust
+}
+
+// growIdleTrust doubles the trust in idle connections once they have done well for long enough.
+func (p *workerPool) growIdleTrust() {
+	if p.idleTrust == 0 || p.loop.Now()-p.idleTrustChangedAt < idleTrustGrowthInterval {
+		return
+	}
+	p.idleTrust *= 2
+	p.idleTrustChangedAt = p.loop.Now()
+	if p.idleTrust > maxIdleTrust {
+		p.idleTrust = 0
+	}
+}
+
+// reduceIdleTrust takes in that a connection broke which had been idle for so long and then got no response. Something on the
+// way, or the workers themselves, drop idle connections unseen: a request that was written to one is possibly executed, so
+// one that is not idempotent is lost by it. A new connection costs far less.
+func (p *workerPool) reduceIdleTrust(idle time.Duration) {
+	if p.idleTrust == 0 || idle < p.idleTrust {
+		p.idleTrust = max(idle/2, minIdleTrust)
+	}
+	p.idleTrustChangedAt = p.loop.Now()
+}
