--- a/internal/link/operator_calls.go
+++ b/internal/link/operator_calls.go
@@ -74,10 +74,10 @@
 
 func (c *operatorConnection) respondMetrics() {
 	listener, loop := c.listener, c.listener.loop
-	listener.metricsText = listener.counts.Append(listener.metricsText[:0], metrics.Gauges{
-		Inflight: loop.inFlightCount(),
-		Listed:   loop.Requests.ListedCount(),
-		Down:     loop.avoidedCount(),
+	listener.metricsText = listener.counters.AppendText(listener.metricsText[:0], metrics.Gauges{
+		OpenRequests:   loop.inFlightCount(),
+		ListedWorkers:  loop.Requests.ListedCount(),
+		AvoidedWorkers: loop.avoidedCount(),
 	})
 	c.respond(200, "Content-Type: text/plain; charset=utf-8\r\nCache-Control: no-store\r\n", listener.metricsText)
 }
