--- a/internal/link/addresses_test.go
+++ b/internal/link/addresses_test.go
@@ -37,9 +37,9 @@
 // A link is taken for the client that a trusted front's header names, whatever pieces that comes in, and its
 // requests are read from there on; a header that may not come or makes no sense, or that is not whole in time, ends
 // the link with nothing written, and every line of the log about it says whose it is.
-func FuzzIntroduction(f *testing.F) {
+func FuzzProxyHeader(f *testing.F) {
 	modeltest.Fuzz(f, func(s *modeltest.Steps) {
-		w := newWorld(s)
+		w := newHarness(s)
 		var log bytes.Buffer
 		w.loop.connectionLog = logging.NewFactory(config.Log{}, "n0", &log).NewLogger()
 		w.loop.log = w.loop.connectionLog
@@ -49,36 +49,36 @@
 		if !trusted {
 			from = "192.0.2.1:40000"
 		}
-		p, fd := w.pair()
+		p, fd := w.socketPair()
 		w.loop.clients.addConnection(fd, netip.MustParseAddrPort(from))
 		began := w.now
-		const ask = "GET /up HTTP/1.1\r\n\r\n"
-		rest := start.text + ask + ask
-		s.Record(fmt.Sprintf("from %s, %q", from, rest))
+		const request = "GET /up HTTP/1.1\r\n\r\n"
+		unsent := start.text + request + request
+		s.Record(fmt.Sprintf("from %s, %q", from, unsent))
 		refused := start.header && (!trusted || start.client == "")
-		for n := 0; s.More() && rest != ""; rest = rest[n:] {
-			n = min(len(rest), 1+s.Pick(60))
-			p.write([]byte(rest[:n]))
+		for n := 0; s.More() && unsent != ""; unsent = unsent[n:] {
+			n = min(len(unsent), 1+s.Pick(60))
+			p.write([]byte(unsent[:n]))
 			w.now += time.Duration(s.Pick(40)) * time.Millisecond
-			w.turn()
+			w.runIterations()
 			s.Record(fmt.Sprint("write ", n))
 		}
 		got := func() int {
 			p.read(1 << 16)
-			return strings.Count(string(p.got), "HTTP/1.1 200 ")
+			return strings.Count(string(p.received), "HTTP/1.1 200 ")
 		}
-		asked := 2*len(ask) - len(rest) // bytes of requests that have come; less than 0: not even the header has
-		whole, answered := max(0, asked)/len(ask), got()
+		requestBytes := 2*len(request) - len(unsent) // bytes of requests that have come; less than 0: not even the header has
+		whole, answered := max(0, requestBytes)/len(request), got()
 		if refused {
-			s.Check(len(p.got) == 0 && (rest != "" || p.ended), "refused, but got %q, ended %v", p.got, p.ended)
-		} else if asked >= 0 {
+			s.Check(len(p.received) == 0 && (unsent != "" || p.ended), "refused, but got %q, ended %v", p.received, p.ended)
+		} else if requestBytes >= 0 {
 			s.Check(answered == whole && !p.ended, "%d answers, expected %d", answered, whole)
 		}
 		if whole == 0 { // of the first request not all has come: whatever has is given up in time
 			w.now = max(w.now, began+requestReadTimeout+expiryInterval)
-			w.turn()
-			if got(); refused || asked < 0 {
-				s.Check(p.ended && len(p.got) == 0, "a header that was not whole: got %q, ended %v", p.got, p.ended)
+			w.runIterations()
+			if got(); refused || requestBytes < 0 {
+				s.Check(p.ended && len(p.received) == 0, "a header that was not whole: got %q, ended %v", p.received, p.ended)
 			}
 		}
 		whose := " client=" + from
--- a/internal/link/discovery_watch_model_test.go
+++ b/internal/link/discovery_watch_model_test.go
@@ -14,7 +14,7 @@
 
 // watchModel is a discovery service that one loop watches, and what it has sent.
 type watchModel struct {
-	*world
+	*harness
 	server  *peer
 	unsent  string
 	sent    []int // revisions of the events sent or to be sent, and not checked yet
@@ -23,15 +23,15 @@
 }
 
 func newWatchModel(choices *modeltest.Steps) *watchModel {
-	model := &watchModel{world: newWorld(choices), unsent: watchResponse}
-	model.module.Next = append(model.module.Next, dispatch.Subscribe{})
+	model := &watchModel{harness: newHarness(choices), unsent: watchResponse}
+	model.policy.Next = append(model.policy.Next, dispatch.Subscribe{})
 	model.loop.Requests.DiscoveryFailed()
-	model.turn()
+	model.runIterations()
 	model.server = model.dialed[0]
 	model.server.read(1 << 12)
-	request := model.server.got
+	request := model.server.received
 	model.Check(strings.HasPrefix(string(request), "GET /discovery/hosts?stream=1&index=0 "), "requested %q", request)
-	model.ignored = len(model.module.Received)
+	model.ignored = len(model.policy.Received)
 	return model
 }
 
@@ -52,7 +52,7 @@
 		m.changeServer()
 	}
 	m.now += time.Millisecond
-	m.turn()
+	m.runIterations()
 }
 
 // queueEvent has the next event sent, in two chunks.
@@ -71,7 +71,7 @@
 func (m *watchModel) sendAll() {
 	m.server.write([]byte(m.unsent + chunk("\n")))
 	m.unsent = ""
-	m.turn()
+	m.runIterations()
 	m.now += 2 * time.Second
 }
 
@@ -85,11 +85,11 @@
 func (m *watchModel) breakWatch() {
 	m.server.write([]byte(m.unsent))
 	m.unsent = ""
-	m.turn()
+	m.runIterations()
 	switch m.Pick(3) {
 	case 0:
 		m.server.write([]byte(chunk("\n")))
-		m.turn()
+		m.runIterations()
 		m.now += 3 * time.Second // a line is due every 2 s
 	case 1:
 		m.server.close()
@@ -101,7 +101,7 @@
 // changeServer has another service watched: whatever the one before still does or sends is not the new one's.
 func (m *watchModel) changeServer() {
 	m.server.write([]byte(m.unsent))
-	m.turn()
+	m.runIterations()
 	previous := m.server
 	address := netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(len(m.dialed)))
 	m.loop.Reload(config.Config{Discovery: address, Limits: config.Limits{Sockets: 100}})
@@ -109,12 +109,12 @@
 	if m.Pick(2) == 0 {
 		previous.close()
 	}
-	m.turn()
+	m.runIterations()
 	m.server = m.dialed[len(m.dialed)-1]
 	m.server.read(1 << 12)
 	previous.read(1 << 12)
-	m.Check(m.server != previous && m.server.at == address && strings.Contains(string(m.server.got), "&index=0 "),
-		"moved to %v, requested %q", m.server.at, m.server.got)
+	m.Check(m.server != previous && m.server.dialedAddress == address && strings.Contains(string(m.server.received), "&index=0 "),
+		"moved to %v, requested %q", m.server.dialedAddress, m.server.received)
 	m.Check(previous.closed || previous.ended, "the connection to the previous server goes on")
 	m.unsent = watchResponse
 }
@@ -122,7 +122,7 @@
 // check compares the list updates of the policy with what was sent.
 func (m *watchModel) check() {
 	unseen := m.sent
-	for _, event := range m.module.Received[m.ignored:] {
+	for _, event := range m.policy.Received[m.ignored:] {
 		list := event.(dispatch.WorkerList)
 		if list.Kind == dispatch.ListUnavailable {
 			m.Check(m.lost, "the list is reported as lost, and is not")
@@ -146,7 +146,7 @@
 			model.step()
 		}
 		model.server.write([]byte(model.unsent))
-		model.turn()
+		model.runIterations()
 		model.check()
 	})
 }
--- a/internal/link/discovery_watch_test.go
+++ b/internal/link/discovery_watch_test.go
@@ -20,22 +20,22 @@
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// newWatchedWorld returns a world that has requested the watch, and the discovery service's end of the connection.
-func newWatchedWorld(t *testing.T) (*world, *peer) {
+// newWatchedHarness returns a world that has requested the watch, and the discovery service's end of the connection.
+func newWatchedHarness(t *testing.T) (*harness, *peer) {
 	t.Helper()
-	watched := newWorld(&modeltest.Steps{T: t})
+	watched := newHarness(&modeltest.Steps{T: t})
 	watched.loop.Requests.WatchEndpoints()
-	watched.turn()
+	watched.runIterations()
 	server := watched.dialed[0]
 	server.read(1 << 12)
-	watched.module.Received = nil
+	watched.policy.Received = nil
 	return watched, server
 }
 
 // takeRevisions returns the revisions of the list updates that the policy has received since the last call, and watchLost for each
 // loss.
-func (w *world) takeRevisions() (revisions []int64) {
-	for _, event := range w.module.Received {
+func (w *harness) takeRevisions() (revisions []int64) {
+	for _, event := range w.policy.Received {
 		list, ok := event.(dispatch.WorkerList)
 		switch {
 		case !ok:
@@ -45,12 +45,12 @@
 			revisions = append(revisions, list.Revision)
 		}
 	}
-	w.module.Received = nil
+	w.policy.Received = nil
 	return revisions
 }
 
 // expectRevisions checks and takes the revisions received.
-func (w *world) expectRevisions(t *testing.T, what string, want ...int64) {
+func (w *harness) expectRevisions(t *testing.T, what string, want ...int64) {
 	t.Helper()
 	if got := w.takeRevisions(); !slices.Equal(got, want) {
 		t.Errorf("%s: revisions %v, wanted %v", what, got, want)
@@ -68,15 +68,15 @@
 		"no line end": `{"generation":1,"instances":[` + entry + `]}{"generation":2}`,
 	} {
 		for _, size := range []int{len(text), 7, 1} {
-			watched, server := newWatchedWorld(t)
+			watched, server := newWatchedHarness(t)
 			server.write([]byte(watchResponse))
 			for at := 0; at < len(text); at += size {
 				server.write([]byte(chunk(text[at:min(at+size, len(text))])))
 				if size > 1 || at%16 == 0 { // so that the socket never fills
-					watched.turn()
+					watched.runIterations()
 				}
 			}
-			watched.turn()
+			watched.runIterations()
 			watched.expectRevisions(t, fmt.Sprintf("%s, %d bytes a chunk", name, size), 1, 2)
 		}
 	}
@@ -90,33 +90,33 @@
 		"mixed": "{\"generation\":1]\n",
 		"array": "[]\n",
 	} {
-		watched, server := newWatchedWorld(t)
+		watched, server := newWatchedHarness(t)
 		server.write([]byte(watchResponse + chunk(text)))
-		watched.turn()
+		watched.runIterations()
 		watched.expectRevisions(t, name, watchLost)
 	}
 }
 
 // Half an event, and then silence, ends the watch when a line was due, and not before.
 func TestHalfAnEventKeepsNoWatch(t *testing.T) {
-	watched, server := newWatchedWorld(t)
+	watched, server := newWatchedHarness(t)
 	server.write([]byte(watchResponse + chunk("\n")))
-	watched.turn()
+	watched.runIterations()
 	watched.now += 2 * time.Second
 	server.write([]byte(chunk("{\n\"generation\":1,\n")))
-	watched.turn()
+	watched.runIterations()
 	watched.now += time.Second - 1
-	watched.turn()
+	watched.runIterations()
 	watched.expectRevisions(t, "half an event, before a line was due")
 	watched.now++
-	watched.turn()
+	watched.runIterations()
 	watched.expectRevisions(t, "half an event, and silence", watchLost)
 }
 
 // An event without end is not kept without end.
 func TestWatchBoundsEventSize(t *testing.T) {
 	const chunkSize, writeSize = 32 << 10, 4 << 10
-	watched, server := newWatchedWorld(t)
+	watched, server := newWatchedHarness(t)
 	server.write([]byte(watchResponse + chunk("{\"a\":\"")))
 	endless := []byte(chunk(strings.Repeat("x", chunkSize)))
 	for n := 0; n < discovery.MaxEventSize/chunkSize+2 && watched.loop.watch.isOpen(); n++ {
@@ -125,7 +125,7 @@
 				break
 			}
 			server.write(piece)
-			watched.turn()
+			watched.runIterations()
 		}
 	}
 	watched.expectRevisions(t, fmt.Sprintf("an event without end, of which %d bytes are kept", watched.loop.watch.scanner.Buffered()), watchLost)
@@ -135,40 +135,40 @@
 // schedulers there are; from the list at hand on; and what comes late on the one before is not read.
 func TestSilentWatchReconnects(t *testing.T) {
 	for _, schedulers := range []int{1, 300} {
-		watched := newWorld(&modeltest.Steps{T: t})
+		watched := newHarness(&modeltest.Steps{T: t})
 		config := discovery.Config{PollInterval: 10 * time.Second, Schedulers: schedulers}
 		latest := func(n int64) int64 { return n - 1 } // that may be drawn
 		watched.loop.watch = watched.loop.newWatchConnection(netip.AddrPort{}, config, latest)
 		watched.loop.Requests.WatchEndpoints()
-		watched.turn()
+		watched.runIterations()
 		first := watched.dialed[0]
 		first.write([]byte(watchResponse + chunk(`{"generation":7,"instances":[]}`+"\n")))
-		watched.turn()
+		watched.runIterations()
 		watched.now += 3 * time.Second
-		watched.turn()
+		watched.runIterations()
 		first.read(1 << 12)
 		if got := watched.takeRevisions()[1:]; !first.ended || !slices.Equal(got, []int64{7, watchLost}) {
 			t.Errorf("not taken for broken after 3 s: revisions %v", got)
 		}
 		first.write([]byte(chunk(`{"generation":8}` + "\n")))
 		watched.now += 2 * time.Second // 5 s after the last line
-		watched.turn()
+		watched.runIterations()
 		if len(watched.dialed) != 2 {
 			t.Fatalf("%d schedulers: %d connections by 5 s after the last line", schedulers, len(watched.dialed))
 		}
 		second := watched.dialed[1]
 		second.read(1 << 12)
-		if got := string(second.got); !strings.HasPrefix(got, "GET /discovery/hosts?stream=1&index=7 ") {
+		if got := string(second.received); !strings.HasPrefix(got, "GET /discovery/hosts?stream=1&index=7 ") {
 			t.Errorf("requested %q", got)
 		}
-		watched.module.Next = append(watched.module.Next, dispatch.Subscribe{}) // the policy's own, late: the list is followed
+		watched.policy.Next = append(watched.policy.Next, dispatch.Subscribe{}) // the policy's own, late: the list is followed
 		watched.loop.Requests.DiscoveryFailed()
-		watched.turn()
+		watched.runIterations()
 		if len(watched.dialed) != 2 {
 			t.Error("a connection beside one that is open")
 		}
 		second.write([]byte(watchResponse + chunk(`{"generation":9}`)))
-		watched.turn()
+		watched.runIterations()
 		watched.expectRevisions(t, "the new watch", watchLost, 9)
 	}
 }
@@ -189,15 +189,15 @@
 		"reset": {(*peer).close, maxBackoff},
 		"hang":  {func(*peer) {}, 4*time.Second + maxBackoff},
 	} {
-		watched, _ := newWatchedWorld(t)
+		watched, _ := newWatchedHarness(t)
 		for n := 1; n <= connections; n++ {
 			server := watched.dialed[n-1]
 			server.read(1 << 12)
 			test.fail(server)
 			for until := watched.now + test.within; watched.now < until && len(watched.dialed) == n; watched.now += step {
-				watched.turn()
+				watched.runIterations()
 			}
-			watched.turn()
+			watched.runIterations()
 			if len(watched.dialed) != n+1 {
 				t.Fatalf("%s: after %d connections none within %v", name, n, test.within)
 			}
--- a/internal/link/hotrestart_fuzz_test.go
+++ b/internal/link/hotrestart_fuzz_test.go
@@ -33,7 +33,7 @@
 
 // hotRestartModel is one client and one worker, which go through several processes, one after the other.
 type hotRestartModel struct {
-	*world   // of the process that serves
+	*harness // of the process that serves
 	dir      string
 	address  netip.AddrPort
 	workerID uint64
@@ -52,9 +52,9 @@
 
 func newHotRestartModel(choices *modeltest.Steps) *hotRestartModel {
 	model := &hotRestartModel{dir: choices.T.TempDir()}
-	model.world, model.address = newPredecessorWorld(choices, model.dir)
-	model.workerID = model.worker()
-	client, socket := model.pair()
+	model.harness, model.address = newPredecessorHarness(choices, model.dir)
+	model.workerID = model.workerNumber()
+	client, socket := model.socketPair()
 	model.client = client
 	model.loop.clients.addConnection(socket, netip.MustParseAddrPort("127.0.0.1:9"))
 	return model
@@ -99,7 +99,7 @@
 	err := m.handOverTo(successor)
 	m.Check(err == nil, "hot restart: %v", err)
 	m.Check(m.loop.hasRelinquished() && successor.loop.predecessorRole != nil, "not replaced")
-	m.world = successor
+	m.harness = successor
 	m.Record("restart")
 }
 
@@ -126,7 +126,7 @@
 func (m *hotRestartModel) sendAttempt() {
 	id := uint64(m.requested)
 	m.Check(m.loop.Requests.Request(id) != nil, "request %d has another number", id)
-	m.module.Next = []dispatch.Action{dispatch.Send{Job: id, Worker: m.workerID}}
+	m.policy.Next = []dispatch.Action{dispatch.Send{Job: id, Worker: m.workerID}}
 	m.loop.Requests.Wake()
 	m.inFlight = true
 	m.Record("send")
@@ -161,18 +161,18 @@
 
 // exchange runs the loop, and reads what has come to the worker, at most so many bytes of a connection, and to the client.
 func (m *hotRestartModel) exchange(readSize int) {
-	m.turn()
+	m.runIterations()
 	cordoned := m.loop.Requests.Cordoned()
 	m.Check((len(cordoned) == 1) == m.cordoned, "cordoned %v", cordoned)
 	for _, connection := range m.dialed {
-		if connection.at != m.loop.watch.server { // a process that takes over connects to discovery too
+		if connection.dialedAddress != m.loop.watch.server { // a process that takes over connects to discovery too
 			m.workers = append(m.workers, connection)
 		}
 	}
 	m.dialed = nil
 	m.readAttempt(readSize)
 	m.client.read(1 << 16)
-	m.Check(string(m.client.got) == m.received && !m.client.ended, "the client has %q, expected %q", m.client.got, m.received)
+	m.Check(string(m.client.received) == m.received && !m.client.ended, "the client has %q, expected %q", m.client.received, m.received)
 }
 
 // readAttempt reads worker connections until one has brought a whole attempt.
@@ -181,13 +181,13 @@
 	for i, connection := range m.workers {
 		connection.read(readSize)
 		var message http1.Request
-		size, err := message.Parse(connection.got)
+		size, err := message.Parse(connection.received)
 		if err != nil {
 			continue
 		}
-		whole := string(message.Get("X-Call-Id")) == m.callID() && len(message.Body) == m.bodySize() && size == len(connection.got)
-		m.Check(whole, "attempt %q", connection.got)
-		connection.got = nil
+		whole := string(message.Get("X-Call-Id")) == m.callID() && len(message.Body) == m.bodySize() && size == len(connection.received)
+		m.Check(whole, "attempt %q", connection.received)
+		connection.received = nil
 		m.attempts++
 		m.Check(m.attempts == m.requested, "%d attempts of %d requests", m.attempts, m.requested)
 		m.workers[i], m.workers[last] = m.workers[last], m.workers[i]
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -17,15 +17,15 @@
 
 // enableHotRestart makes a world one whose process can be replaced, or can replace another. Its policy is scripted, before and
 // after.
-func (w *world) enableHotRestart() {
+func (w *harness) enableHotRestart() {
 	w.loop.dispatcher = dispatch.New(*w.loop.clients.settings, 1)
-	w.loop.wrapRestored = func(*dispatch.Dispatcher) requests.Policy { return w.module }
+	w.loop.wrapRestored = func(*dispatch.Dispatcher) requests.Policy { return w.policy }
 	w.loop.onFail = func(err error) { w.T.Errorf("a process fails: %v", err) }
 }
 
-// newPredecessorWorld returns a world that serves and awaits a successor, and the address that clients connect to.
-func newPredecessorWorld(choices *modeltest.Steps, dir string) (*world, netip.AddrPort) {
-	w := newWorld(choices)
+// newPredecessorHarness returns a world that serves and awaits a successor, and the address that clients connect to.
+func newPredecessorHarness(choices *modeltest.Steps, dir string) (*harness, netip.AddrPort) {
+	w := newHarness(choices)
 	w.enableHotRestart()
 	var err error
 	if w.loop.clients.fd, err = w.loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients); err != nil {
@@ -36,25 +36,25 @@
 }
 
 // startSuccessor returns a new world that stands by to replace this one.
-func (w *world) startSuccessor(dir string, address netip.AddrPort) *world {
-	successor := newWorld(w.Steps)
+func (w *harness) startSuccessor(dir string, address netip.AddrPort) *harness {
+	successor := newHarness(w.Steps)
 	successor.enableHotRestart()
 	successor.now, successor.loop.clients.settings = w.now, w.loop.clients.settings
 	w.Check(successor.loop.joinPredecessor(dir, address), "no predecessor")
 	for successor.successorState() == hotrestart.SuccessorJoining {
-		w.turn()
-		successor.turn()
+		w.runIterations()
+		successor.runIterations()
 	}
 	return successor
 }
 
-func (w *world) successorState() hotrestart.SuccessorState {
+func (w *harness) successorState() hotrestart.SuccessorState {
 	return w.loop.successorRole.protocol.State()
 }
 
 // handOverTo hands over to a successor that stands by. The predecessor does nothing else meanwhile, so the successor's loop
 // runs on another goroutine.
-func (w *world) handOverTo(successor *world) error {
+func (w *harness) handOverTo(successor *harness) error {
 	ended := make(chan struct{})
 	role := successor.loop.successorRole
 	go func() {
@@ -68,17 +68,17 @@
 		_ = w.loop.RunOnce(0)
 	}
 	<-ended
-	w.turn()
-	successor.turn()
+	w.runIterations()
+	successor.runIterations()
 	return err
 }
 
 // sendRequest has a client of the world send request "q", on a connection of its own.
-func (w *world) sendRequest(at netip.AddrPort) *peer {
-	client, fd := w.pair()
+func (w *harness) sendRequest(at netip.AddrPort) *peer {
+	client, fd := w.socketPair()
 	w.loop.clients.addConnection(fd, at)
 	client.write([]byte("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: q\r\nX-Caller: t\r\nContent-Length: 0\r\n\r\n"))
-	w.turn()
+	w.runIterations()
 	return client
 }
 
@@ -86,14 +86,14 @@
 // connects again, so that the next transfer succeeds.
 func TestFailedTransferChangesNothing(t *testing.T) {
 	dir := t.TempDir()
-	predecessor, address := newPredecessorWorld(&modeltest.Steps{T: t}, dir)
+	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	client := predecessor.sendRequest(address)
 	successor := predecessor.startSuccessor(dir, address)
 	if both := predecessor.loop.clients.maxConnections + successor.loop.clients.maxConnections; both > 1024-2*ownDescriptors {
 		t.Errorf("two processes hold %d client links", both)
 	}
 	role := successor.loop.successorRole
-	peer, socket := predecessor.pair()
+	peer, socket := predecessor.socketPair()
 	role.received.ClientConnections = []hotrestart.ReceivedClientConnection{{Descriptor: socket}}
 	// This one is found at the end of the transfer.
 	role.received.WorkerConnections = []hotrestart.ReceivedWorkerConnection{{Descriptor: hotrestart.NoDescriptor}}
@@ -101,8 +101,8 @@
 		t.Fatalf("handed over to one that did not take it: %v", err)
 	}
 	for role.protocol.State() == hotrestart.SuccessorJoining || predecessor.loop.predecessorRole.successor == nil {
-		predecessor.turn()
-		successor.turn()
+		predecessor.runIterations()
+		successor.runIterations()
 	}
 	if peer.read(1); !peer.ended {
 		t.Error("a socket of the failed transfer is still open")
@@ -113,23 +113,23 @@
 	if err := predecessor.handOverTo(successor); err != nil || successor.loop.sharesLimits {
 		t.Fatalf("the second time: %v", err)
 	}
-	successor.module.Next = []dispatch.Action{dispatch.Reject{Job: 1}}
+	successor.policy.Next = []dispatch.Action{dispatch.Reject{Job: 1}}
 	successor.loop.Requests.Wake()
-	successor.turn()
-	if client.read(1 << 16); !strings.HasPrefix(string(client.got), "HTTP/1.1 503 ") {
-		t.Errorf("the client got %q", client.got)
+	successor.runIterations()
+	if client.read(1 << 16); !strings.HasPrefix(string(client.received), "HTTP/1.1 503 ") {
+		t.Errorf("the client got %q", client.received)
 	}
 }
 
 // Without a successor there is nothing to hand over to. A second successor is rejected, and takes nobody's place by that.
 func TestSecondSuccessorIsRejected(t *testing.T) {
 	dir := t.TempDir()
-	predecessor, address := newPredecessorWorld(&modeltest.Steps{T: t}, dir)
+	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) {
 		t.Errorf("without a successor: %v", err)
 	}
 	first := predecessor.startSuccessor(dir, address)
-	second := newWorld(predecessor.Steps)
+	second := newHarness(predecessor.Steps)
 	second.enableHotRestart()
 	rejected := false
 	second.loop.onFail = func(error) { rejected = true }
@@ -137,8 +137,8 @@
 		t.Error("the second successor finds no predecessor")
 	}
 	for !rejected {
-		predecessor.turn()
-		second.turn()
+		predecessor.runIterations()
+		second.runIterations()
 	}
 	if second.loop.predecessorRole != nil || second.loop.clients.fd >= 0 {
 		t.Error("the second successor serves, or has the predecessor's place")
@@ -151,16 +151,16 @@
 // A predecessor that dies leaves its cordoned workers, in the file; what is left at the path of its socket is in nobody's way.
 func TestPredecessorDies(t *testing.T) {
 	dir := t.TempDir()
-	predecessor, address := newPredecessorWorld(&modeltest.Steps{T: t}, dir)
+	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	successor := predecessor.startSuccessor(dir, address)
 	if err := hotrestart.WriteCordonFile(dir, []string{"s-0"}); err != nil {
 		t.Fatal(err)
 	}
 	predecessor.loop.Remove(predecessor.loop.predecessorRole.listenerFD)
-	predecessor.turn()
+	predecessor.runIterations()
 	predecessor.loop.predecessorRole.successor.closeWithDescriptors()
-	predecessor.turn()
-	successor.turn()
+	predecessor.runIterations()
+	successor.runIterations()
 	cordoned := successor.loop.Requests.Cordoned()
 	if len(cordoned) != 1 || cordoned[0] != "s-0" || successor.loop.clients.fd < 0 || successor.loop.notReadyReason() == "" {
 		t.Errorf("after the predecessor's death: cordoned %v", cordoned)
@@ -175,11 +175,11 @@
 // what became of its attempts.
 func TestIncompatibleSnapshotKeepsRequests(t *testing.T) {
 	dir := t.TempDir()
-	predecessor, address := newPredecessorWorld(&modeltest.Steps{T: t}, dir)
+	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	client := predecessor.sendRequest(address)
-	predecessor.module.Next = []dispatch.Action{dispatch.Send{Job: 1, Worker: predecessor.worker()}}
+	predecessor.policy.Next = []dispatch.Action{dispatch.Send{Job: 1, Worker: predecessor.workerNumber()}}
 	predecessor.loop.Requests.Wake()
-	predecessor.turn()
+	predecessor.runIterations()
 	successor := predecessor.startSuccessor(dir, address)
 	otherSettings := *predecessor.loop.clients.settings
 	otherSettings.Classes = append(otherSettings.Classes, otherSettings.Classes[0])
@@ -187,9 +187,9 @@
 	if err := predecessor.handOverTo(successor); err != nil {
 		t.Fatal(err)
 	}
-	successor.turn()
+	successor.runIterations()
 	var resumed []dispatch.JobResumed
-	for _, event := range successor.module.Received {
+	for _, event := range successor.policy.Received {
 		if r, ok := event.(dispatch.JobResumed); ok {
 			resumed = append(resumed, r)
 		}
@@ -200,9 +200,9 @@
 	result := "made"
 	callback := requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result}
 	_, _ = successor.loop.Requests.HandleCallback(callback)
-	successor.turn()
-	if client.read(1 << 16); !strings.HasSuffix(string(client.got), "made") {
-		t.Errorf("the client got %q", client.got)
+	successor.runIterations()
+	if client.read(1 << 16); !strings.HasSuffix(string(client.received), "made") {
+		t.Errorf("the client got %q", client.received)
 	}
 }
 
@@ -210,7 +210,7 @@
 // TakenOver counts if it was sent before the predecessor gave up, also behind such a call, and can't be sent after that.
 func TestCordonCallCrossesTransfer(t *testing.T) {
 	dir := t.TempDir()
-	predecessor, address := newPredecessorWorld(&modeltest.Steps{T: t}, dir)
+	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	successor := predecessor.startSuccessor(dir, address)
 	statusCode := 0
 	successor.loop.setCordoned("s-0", true, func(got int, _ string) { statusCode = got })
@@ -234,13 +234,13 @@
 // A process that is told to end while it stands by takes nothing along, and the next can stand by.
 func TestLeaveStandby(t *testing.T) {
 	dir := t.TempDir()
-	predecessor, address := newPredecessorWorld(&modeltest.Steps{T: t}, dir)
+	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	successor := predecessor.startSuccessor(dir, address)
 	if predecessor.loop.LeaveStandby() || !successor.loop.LeaveStandby() || successor.loop.LeaveStandby() {
 		t.Error("one that serves leaves the standby, or one that stands by does not, or does twice")
 	}
-	successor.turn()
-	predecessor.turn()
+	successor.runIterations()
+	predecessor.runIterations()
 	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) || predecessor.loop.sharesLimits {
 		t.Errorf("handed over to nobody: %v", err)
 	}
@@ -249,15 +249,15 @@
 // A process that connects and sends nothing does not keep others out.
 func TestSilentSuccessorIsDisconnected(t *testing.T) {
 	dir := t.TempDir()
-	predecessor, address := newPredecessorWorld(&modeltest.Steps{T: t}, dir)
+	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	silent, err := dialPredecessor(hotrestart.SocketAddresses(dir, address))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = unix.Close(silent) })
-	predecessor.turn()
+	predecessor.runIterations()
 	predecessor.now += handshakeTimeout
-	predecessor.turn()
+	predecessor.runIterations()
 	if err := predecessor.handOverTo(predecessor.startSuccessor(dir, address)); err != nil {
 		t.Error(err)
 	}
@@ -268,7 +268,7 @@
 func TestSuccessorWatchesEndpoints(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		dir := t.TempDir()
-		predecessor, address := newPredecessorWorld(&modeltest.Steps{T: t}, dir)
+		predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 		predecessor.loop.clients.settings.MustSubscribe = true // a successor has its predecessor's settings
 		successor := predecessor.startSuccessor(dir, address)
 		if !successor.loop.watch.isOpen() {
--- a/internal/link/loop_test.go
+++ b/internal/link/loop_test.go
@@ -14,24 +14,24 @@
 // A burst of clients that leave is taken in whole before the turn's sends, however many they are.
 func TestBurstOfClientsGone(t *testing.T) {
 	const clients = 400
-	w := newWorld(&modeltest.Steps{T: t})
+	w := newHarness(&modeltest.Steps{T: t})
 	w.loop.clients.setLimits(2*clients, 1<<20)
 	var peers []*peer
 	for n := range clients {
-		p, fd := w.pair()
+		p, fd := w.socketPair()
 		w.loop.clients.addConnection(fd, netip.AddrPort{})
-		p.write([]byte(sized(n, 0)))
+		p.write([]byte(requestOfSize(n, 0)))
 		peers = append(peers, p)
 	}
-	w.turn()
+	w.runIterations()
 	if open := w.loop.Requests.OpenCount(); open != clients {
 		t.Fatalf("%d queries taken", open)
 	}
 	for n, p := range peers {
 		p.close()
-		w.module.Next = append(w.module.Next, dispatch.Send{Job: uint64(n + 1), Worker: w.worker()})
+		w.policy.Next = append(w.policy.Next, dispatch.Send{Job: uint64(n + 1), Worker: w.workerNumber()})
 	}
-	if w.oneTurn(); len(w.dialed) != 0 || w.loop.Requests.OpenCount() != 0 {
+	if w.runOnce(); len(w.dialed) != 0 || w.loop.Requests.OpenCount() != 0 {
 		t.Errorf("%d attempts begun, %d queries open", len(w.dialed), w.loop.Requests.OpenCount())
 	}
 }
@@ -39,25 +39,25 @@
 // A descriptor given up in a turn is free again before that turn's sends open others: counted twice, they would go over the
 // limit, and an attempt fail for want of one.
 func TestDescriptorsAreFreeBeforeTheSends(t *testing.T) {
-	w := newWorld(&modeltest.Steps{T: t})
-	stays, fd := w.pair()
+	w := newHarness(&modeltest.Steps{T: t})
+	stays, fd := w.socketPair()
 	w.loop.clients.addConnection(fd, netip.AddrPort{})
-	stays.write([]byte(sized(1, 0)))
-	leaves, left := w.pair()
-	w.loop.clients.addConnection(left, netip.AddrPort{})
-	w.turn()
+	stays.write([]byte(requestOfSize(1, 0)))
+	leaves, leavingFD := w.socketPair()
+	w.loop.clients.addConnection(leavingFD, netip.AddrPort{})
+	w.runIterations()
 	leaves.close()
 	dial, dialed := w.loop.dial, false
 	w.loop.dial = func(at netip.AddrPort) (int, error) {
-		_, err := unix.FcntlInt(uintptr(left), unix.F_GETFD, 0)
+		_, err := unix.FcntlInt(uintptr(leavingFD), unix.F_GETFD, 0)
 		if dialed = true; !errors.Is(err, unix.EBADF) {
 			t.Errorf("the descriptor of the link that has ended is still held (%v)", err)
 		}
 		return dial(at)
 	}
-	w.module.Next = append(w.module.Next, dispatch.Send{Job: 1, Worker: w.worker()})
+	w.policy.Next = append(w.policy.Next, dispatch.Send{Job: 1, Worker: w.workerNumber()})
 	w.loop.Requests.Wake()
-	if w.oneTurn(); !dialed {
+	if w.runOnce(); !dialed {
 		t.Error("nothing was sent")
 	}
 }
--- a/internal/link/operators_test.go
+++ b/internal/link/operators_test.go
@@ -16,9 +16,9 @@
 	"valvecove/internal/modeltest"
 )
 
-// withOperators is a world with a management address.
-func withOperators(s *modeltest.Steps) *world {
-	w := newWorld(s)
+// newOperatorHarness is a world with a management address.
+func newOperatorHarness(s *modeltest.Steps) *harness {
+	w := newHarness(s)
 	count := metrics.NewTotals([]string{"a"})
 	if err := w.loop.serveOperators(netip.MustParseAddrPort("127.0.0.1:0"), count); err != nil {
 		s.T.Fatal(err)
@@ -27,28 +27,28 @@
 	return w
 }
 
-// operator connects to the management address.
-func (w *world) operator() *peer {
-	p, fd := w.pair()
+// connectOperator connects to the management address.
+func (w *harness) connectOperator() *peer {
+	p, fd := w.socketPair()
 	w.loop.operators.addConnection(fd)
 	return p
 }
 
-// call makes one call and gives the answer's status and body.
-func (w *world) call(text string) string {
-	p := w.operator()
+// callOperator makes one call and gives the answer's status and body.
+func (w *harness) callOperator(text string) string {
+	p := w.connectOperator()
 	p.write([]byte(text))
-	w.turn()
+	w.runIterations()
 	p.read(1 << 16)
-	return statusAndBody(string(p.got))
+	return statusAndBody(string(p.received))
 }
 
 func statusAndBody(answer string) string {
-	head, body, _ := strings.Cut(answer, "\r\n\r\n")
-	if !strings.Contains(head, "\r\nConnection: close") {
+	header, body, _ := strings.Cut(answer, "\r\n\r\n")
+	if !strings.Contains(header, "\r\nConnection: close") {
 		return "no close in " + answer
 	}
-	return strings.Split(head, " ")[1] + " " + strings.TrimSpace(body)
+	return strings.Split(header, " ")[1] + " " + strings.TrimSpace(body)
 }
 
 const metricsAtFirst = "edge_proxy.success.a=0\nedge_proxy.busy.a=0\nedge_proxy.failure.a=0\nedge_proxy.backend_calls=0\n" +
@@ -56,8 +56,8 @@
 
 // An operator's call is answered once, in whatever pieces it comes, with a close; callers that stall make room for
 // those that don't, and none is held for ever.
-func FuzzOperatorLink(f *testing.F) {
-	asks := []struct{ text, want string }{
+func FuzzOperatorConnection(f *testing.F) {
+	calls := []struct{ text, want string }{
 		{"GET /v1/readyz HTTP/1.1\r\n\r\n", "200 ready"},
 		{"GET /v1/metrics?x HTTP/1.1\r\nConnection: keep-alive\r\n\r\n", "200 " + metricsAtFirst},
 		{"GET /v1/metrics HTTP/1.1\r\nContent-Length: 2\r\n\r\nhiGET /v1/readyz HTTP/1.1\r\n\r\n", "200 " + metricsAtFirst},
@@ -71,7 +71,7 @@
 		{"GET /" + strings.Repeat("x", http1.MaxHeaderSize) + " HTTP/1.1\r\n\r\n", "431 head too large"},
 	}
 	modeltest.Fuzz(f, func(s *modeltest.Steps) {
-		w := withOperators(s)
+		w := newOperatorHarness(s)
 		type caller struct {
 			*peer
 			text, unsent, want string
@@ -82,10 +82,10 @@
 		for s.More() {
 			switch what := s.Pick(8); {
 			case what < 2:
-				ask := asks[s.Pick(len(asks))]
-				open = append(open, &caller{peer: w.operator(), text: ask.text, unsent: ask.text, want: ask.want, began: w.now})
+				next := calls[s.Pick(len(calls))]
+				open = append(open, &caller{peer: w.connectOperator(), text: next.text, unsent: next.text, want: next.want, began: w.now})
 				if len(open) > maxOperatorConnections { // the oldest has made room
-					w.turn()
+					w.runIterations()
 					open[0].read(1 << 16)
 					s.Check(open[0].ended, "the oldest of too many is held")
 					open = open[1:]
@@ -101,25 +101,25 @@
 				w.now += time.Duration(s.Pick(5)) * 250 * time.Millisecond
 				s.Record("wait")
 			}
-			w.turn()
-			var left []*caller
+			w.runIterations()
+			var remaining []*caller
 			for _, c := range open {
 				c.read(1 << 16)
 				age := w.now - c.began
 				if !c.ended {
-					s.Check(c.unsent != "" || len(c.got) > 0, "a whole call has no answer")
+					s.Check(c.unsent != "" || len(c.received) > 0, "a whole call has no answer")
 					s.Check(age < operatorConnectionTimeout+expiryInterval, "held for %v", age)
-					left = append(left, c)
+					remaining = append(remaining, c)
 					continue
 				}
 				c.close()
-				w.turn()
-				got := statusAndBody(string(c.got))
+				w.runIterations()
+				got := statusAndBody(string(c.received))
 				// One that stalled is told so; of one cut short nothing more can be said.
 				s.Check(got == c.want || c.unsent != "" && age >= operatorCallTimeout && got == "408 call not whole",
 					"%q gets %q, expected %q", c.text, got, c.want)
 			}
-			open = left
+			open = remaining
 		}
 	})
 }
@@ -127,32 +127,32 @@
 // An answered link is over with its answer: what is in its way is only that the caller reads it.
 func TestOperatorBeforeClients(t *testing.T) {
 	s := &modeltest.Steps{T: t}
-	w := withOperators(s)
-	if got := w.call("GET /v1/metrics HTTP/1.1\r\n\r\n"); got != "200 "+metricsAtFirst {
+	w := newOperatorHarness(s)
+	if got := w.callOperator("GET /v1/metrics HTTP/1.1\r\n\r\n"); got != "200 "+metricsAtFirst {
 		t.Errorf("at first %q", got)
 	}
-	stranger, fd := w.pair() // at the clients' address these calls are not there
+	client, fd := w.socketPair() // at the clients' address these calls are not there
 	w.loop.clients.addConnection(fd, netip.MustParseAddrPort("127.0.0.1:9"))
-	stranger.write([]byte("GET /v1/metrics HTTP/1.1\r\n\r\n"))
-	w.turn()
-	if stranger.read(1 << 16); !strings.HasPrefix(string(stranger.got), "HTTP/1.1 404 ") {
-		t.Errorf("a client gets %q", stranger.got)
+	client.write([]byte("GET /v1/metrics HTTP/1.1\r\n\r\n"))
+	w.runIterations()
+	if client.read(1 << 16); !strings.HasPrefix(string(client.received), "HTTP/1.1 404 ") {
+		t.Errorf("a client gets %q", client.received)
 	}
 	w.loop.Drain()
-	if got := w.call("GET /v1/readyz HTTP/1.1\r\n\r\n"); got != "503 draining" {
+	if got := w.callOperator("GET /v1/readyz HTTP/1.1\r\n\r\n"); got != "503 draining" {
 		t.Errorf("draining: %q", got)
 	}
 	// A client link that is ready in the same turn, and by a lower descriptor, is looked at later.
-	var order []string
-	first := func(what string) eventloop.Handler { return probeHandler{func() { order = append(order, what) }} }
-	a, fdA := w.pair()
-	b, fdB := w.pair()
+	var calls []string
+	first := func(what string) eventloop.Handler { return probeHandler{func() { calls = append(calls, what) }} }
+	a, fdA := w.socketPair()
+	b, fdB := w.socketPair()
 	_ = w.loop.Add(fdA, eventloop.StreamEvents, first("client"))
 	_ = w.loop.Add(fdB, eventloop.StreamEvents, urgentHandler{first("operator")})
 	a.write([]byte("x"))
 	b.write([]byte("x"))
-	if err := w.loop.RunOnce(0); err != nil || strings.Join(order, " ") != "operator client" {
-		t.Errorf("order of a turn: %v, %v", order, err)
+	if err := w.loop.RunOnce(0); err != nil || strings.Join(calls, " ") != "operator client" {
+		t.Errorf("order of a turn: %v, %v", calls, err)
 	}
 }
 
@@ -167,13 +167,13 @@
 
 // A worker node that was listed is taken out and brought back, whatever the number of calls; an id that never was gets a no.
 // The yes comes once the ban is kept, and a process that starts later reads it.
-func TestWorkerNodeByHand(t *testing.T) {
+func TestCordonByOperator(t *testing.T) {
 	dir := t.TempDir()
 	s := &modeltest.Steps{T: t}
-	w := withOperators(s)
+	w := newOperatorHarness(s)
 	w.loop.openCordonStore(dir)
 	put := func(what, id string) string {
-		p := w.operator()
+		p := w.connectOperator()
 		p.write([]byte("PUT /v1/worker-nodes/" + id + "/" + what + " HTTP/1.1\r\nContent-Length: 0\r\n\r\n"))
 		for !p.ended { // the file is written by another goroutine, which wakes the loop
 			if err := w.loop.RunOnce(1000); err != nil {
@@ -181,7 +181,7 @@
 			}
 			p.read(1 << 16)
 		}
-		return statusAndBody(string(p.got))
+		return statusAndBody(string(p.received))
 	}
 	for _, c := range []struct{ what, id, want, kept string }{
 		{"suspend", "s-1", "404 no such worker node", ""},
@@ -195,24 +195,24 @@
 		if got := put(c.what, c.id); got != c.want {
 			t.Errorf("%s %s: %q, expected %q", c.what, c.id, got, c.want)
 		}
-		if out, err := hotrestart.ReadCordonFile(dir); err != nil || strings.Join(out, " ") != c.kept {
-			t.Errorf("%s %s: kept %v, %v", c.what, c.id, out, err)
+		if cordoned, err := hotrestart.ReadCordonFile(dir); err != nil || strings.Join(cordoned, " ") != c.kept {
+			t.Errorf("%s %s: kept %v, %v", c.what, c.id, cordoned, err)
 		}
 	}
 	if w.loop.notReadyReason() == "" {
 		t.Error("ready with its only worker node out")
 	}
-	next := newWorld(s)
-	out, _ := hotrestart.ReadCordonFile(dir)
-	if next.loop.Requests.SetCordoned(out); next.loop.Requests.HasReadyWorker() {
+	next := newHarness(s)
+	cordoned, _ := hotrestart.ReadCordonFile(dir)
+	if next.loop.Requests.SetCordoned(cordoned); next.loop.Requests.HasReadyWorker() {
 		t.Error("the next process sends to a worker node that is out")
 	}
 	for _, text := range []string{"", "{", `{"form":2,"out":["s-0"]}`, strings.Repeat(" ", hotrestart.MaxCordonFileSize+1)} {
 		if err := os.WriteFile(filepath.Join(dir, hotrestart.CordonFileName), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if out, err := hotrestart.ReadCordonFile(dir); err == nil || out != nil {
-			t.Errorf("of a spoilt file: %v, %v", out, err)
+		if cordoned, err := hotrestart.ReadCordonFile(dir); err == nil || cordoned != nil {
+			t.Errorf("of a spoilt file: %v, %v", cordoned, err)
 		}
 	}
 }
--- a/internal/link/settings_test.go
+++ b/internal/link/settings_test.go
@@ -27,59 +27,59 @@
 // deployment is a world round a loop with the module that decides in service, both by settings that a seed draws:
 // clients, worker nodes and discovery are peers, and what they see is judged by the settings alone.
 type deployment struct {
-	*world
-	rng       *rand.Rand
-	conf      config.Config
-	nodes     []*workerNode
-	callers   []*caller
-	asked     map[string]*asked
-	out       []*try  // of which worker nodes have something to tell
-	notes     []*peer // connections by which worker nodes tell of their jobs
-	discovery []*peer // watches
-	told      int     // of discovery's list: its generation
-	dials     int     // of discovery
-	late      bool    // some connections come up late, and some are closed by worker nodes after an answer
-	known     map[*peer]*far
+	*harness
+	rng           *rand.Rand
+	conf          config.Config
+	nodes         []*workerNode
+	callers       []*caller
+	requests      map[string]*issuedRequest
+	running       []*attempt // of which worker nodes have something to tell
+	callbackPeers []*peer    // connections by which worker nodes tell of their jobs
+	discovery     []*peer    // watches
+	revision      int        // of discovery's list: its generation
+	dials         int        // of discovery
+	late          bool       // some connections come up late, and some are closed by worker nodes after an answer
+	known         map[*peer]*farEnd
 }
 
 // workerNode is one host of the generated host group.
 type workerNode struct {
 	requests.Endpoint
-	at          netip.AddrPort
-	zone, kind  int
-	drainsSince time.Duration // told so; 0: it does not drain
-	down        time.Duration // its process has died, and comes back then
+	at            netip.AddrPort
+	zone, kind    int
+	drainingSince time.Duration // told so; 0: it does not drain
+	down          time.Duration // its process has died, and comes back then
 }
 
-// far is what a test knows of the other end of a link of the loop's.
-type far struct {
+// farEnd is what a test knows of the other end of a link of the loop's.
+type farEnd struct {
 	node   *workerNode // nil: discovery
 	filler int         // bytes that hold the connection up, not taken out yet
 	up     time.Duration
-	try    *try // the one that it has not answered
+	try    *attempt // the one that it has not answered
 }
 
 // caller is a client with one connection, on which it asks for one thing at a time.
 type caller struct {
-	peer *peer
-	asks *asked
+	peer    *peer
+	request *issuedRequest
 }
 
-// asked is a query as its client and the worker nodes know it.
-type asked struct {
-	id       string
-	class    int
-	key      string
-	deadline time.Duration
-	answers  int
-	left     bool
-	results  []string
-	tries    []*try
+// issuedRequest is a query as its client and the worker nodes know it.
+type issuedRequest struct {
+	id         string
+	class      int
+	key        string
+	deadline   time.Duration
+	answers    int
+	clientLeft bool
+	results    []string
+	tries      []*attempt
 }
 
-// try is an attempt whose last byte has come to a worker node.
-type try struct {
-	of       *asked
+// attempt is an attempt whose last byte has come to a worker node.
+type attempt struct {
+	of       *issuedRequest
 	node     *workerNode
 	at       time.Duration
 	accepted bool
@@ -162,9 +162,9 @@
 	for _, name := range names(rng, rng.IntN(4)) {
 		tenants = append(tenants, object{"name": name, "quota_per_s": float64(rng.IntN(3)) * 40 * rng.Float64()})
 	}
-	var hosts []requests.Endpoint
+	var endpoints []requests.Endpoint
 	for _, n := range nodes {
-		hosts = append(hosts, n.Endpoint)
+		endpoints = append(endpoints, n.Endpoint)
 	}
 	of := 1 + rng.IntN(5)
 	settings := object{
@@ -186,7 +186,7 @@
 	text, err := json.Marshal(object{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": "10.9.9.9:8500", "seed": strconv.FormatUint(rng.Uint64(), 16),
 		"limits": object{"sockets": 64 + rng.IntN(900), "memory_mb": 16 + rng.IntN(170)},
-		"known":  requests.EndpointList{Revision: 1, Reset: true, Endpoints: hosts}, "settings": settings,
+		"known":  requests.EndpointList{Revision: 1, Reset: true, Endpoints: endpoints}, "settings": settings,
 	})
 	if err != nil {
 		panic(err)
@@ -198,8 +198,8 @@
 // connections to worker nodes come up late, and others close after an answer.
 func newDeployment(t *testing.T, seed uint64, late bool, set func(settings object)) *deployment {
 	rng := rand.New(rand.NewPCG(seed, 21))
-	w := &world{Steps: &modeltest.Steps{T: t}, now: 1000 * time.Hour}
-	d := &deployment{world: w, rng: rng, asked: map[string]*asked{}, known: map[*peer]*far{}, told: 1, late: late}
+	w := &harness{Steps: &modeltest.Steps{T: t}, now: 1000 * time.Hour}
+	d := &deployment{harness: w, rng: rng, requests: map[string]*issuedRequest{}, known: map[*peer]*farEnd{}, revision: 1, late: late}
 	zones, kinds := names(rng, 1+rng.IntN(5)), names(rng, 1+rng.IntN(3))
 	for i := range 2 + rng.IntN(7) {
 		n := &workerNode{zone: rng.IntN(len(zones)), kind: rng.IntN(len(kinds))}
@@ -246,24 +246,24 @@
 	l.watch.start(len(c.KnownEndpoints.Endpoints) > 0)
 	d.T.Cleanup(l.CloseDescriptors)
 	for range 2 {
-		d.notes = append(d.notes, d.connect())
+		d.callbackPeers = append(d.callbackPeers, d.connect())
 	}
 	for range 4 + d.rng.IntN(16) {
 		d.callers = append(d.callers, &caller{peer: d.connect()})
 	}
-	d.settle()
+	d.runUntilSettled()
 }
 
 // connect is a connection that the loop has accepted.
 func (d *deployment) connect() *peer {
-	p, fd := d.pair()
+	p, fd := d.socketPair()
 	d.loop.clients.addConnection(fd, netip.AddrPort{})
 	return p
 }
 
 // dial takes a connection of the loop's: to a worker node, which may come up late, or to discovery.
 func (d *deployment) dial(at netip.AddrPort) (int, error) {
-	f := &far{}
+	f := &farEnd{}
 	for _, n := range d.nodes {
 		if n.at == at {
 			f.node = n
@@ -272,8 +272,8 @@
 	if f.node != nil && f.node.down > d.now {
 		return -1, unix.ECONNREFUSED
 	}
-	p, fd := d.pair()
-	p.at = at
+	p, fd := d.socketPair()
+	p.dialedAddress = at
 	if f.node == nil {
 		d.discovery = append(d.discovery, p)
 		d.dials++
@@ -292,21 +292,21 @@
 	return fd, nil
 }
 
-// settle lets the loop do all that it can do now, and everybody else take in what has come. Of what came in one go, what was
+// runUntilSettled lets the loop do all that it can do now, and everybody else take in what has come. Of what came in one go, what was
 // given up counts before what began.
-func (d *deployment) settle() {
+func (d *deployment) runUntilSettled() {
 	for more := true; more; {
-		d.turn()
+		d.runIterations()
 		more = false
 		for _, p := range d.dialed {
-			before, f := len(p.got), d.known[p]
+			before, f := len(p.received), d.known[p]
 			if f.filler == 0 || f.up <= d.now || p.ended {
 				p.read(16 << 10)
-				take := min(f.filler, len(p.got))
-				p.got, f.filler = p.got[take:], f.filler-take
+				take := min(f.filler, len(p.received))
+				p.received, f.filler = p.received[take:], f.filler-take
 				more = more || take > 0
 			}
-			more = more || len(p.got) > before
+			more = more || len(p.received) > before
 			if t := f.try; p.ended && t != nil {
 				f.try = nil
 				t.givenUp = t.givenUp || !t.accepted
@@ -314,15 +314,15 @@
 		}
 		for _, begins := range [...]bool{false, true} {
 			for _, p := range d.dialed {
-				more = d.takeIn(p, begins) || more
+				more = d.handleRequest(p, begins) || more
 			}
 		}
 		for _, c := range d.callers {
-			d.hear(c)
+			d.readResponses(c)
 		}
-		for _, p := range d.notes {
+		for _, p := range d.callbackPeers {
 			p.read(16 << 10)
-			p.got = p.got[:0]
+			p.received = p.received[:0]
 		}
 		d.dialed = slices.DeleteFunc(d.dialed, func(p *peer) bool {
 			if p.ended || p.closed {
@@ -334,26 +334,26 @@
 	}
 }
 
-// takeIn takes one whole request, if there is one, either of a job or any other.
-func (d *deployment) takeIn(p *peer, begins bool) bool {
+// handleRequest takes one whole request, if there is one, either of a job or any other.
+func (d *deployment) handleRequest(p *peer, begins bool) bool {
 	f := d.known[p]
 	var m http1.Request
-	n, err := m.Parse(p.got)
+	n, err := m.Parse(p.received)
 	if err != nil || f.filler > 0 || (string(m.Method) == "POST") != begins {
 		if err != http1.ErrIncomplete && err != nil {
-			d.T.Fatalf("%v in %.100q", err, p.got)
+			d.T.Fatalf("%v in %.100q", err, p.received)
 		}
 		return false
 	}
 	target := string(m.Target)
-	p.got = bytes.Clone(p.got[n:])
+	p.received = bytes.Clone(p.received[n:])
 	switch {
 	case f.node == nil:
 		d.Check(strings.HasPrefix(target, "/discovery/hosts?stream=1"), "discovery was asked for %s", target)
 		p.write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
-		d.list(p)
+		d.sendSnapshot(p)
 	case string(m.Method) == "DELETE":
-		for _, t := range d.asked[strings.TrimPrefix(target, "/jobs/")].tries {
+		for _, t := range d.requests[strings.TrimPrefix(target, "/jobs/")].tries {
 			if t.node == f.node {
 				t.givenUp = true
 				if d.rng.IntN(2) == 0 {
@@ -368,31 +368,31 @@
 			p.write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 		}
 	default:
-		d.Check(len(p.got) == 0 && f.try == nil, "a second request on a link before the first was answered")
-		d.begin(p, f, &m)
+		d.Check(len(p.received) == 0 && f.try == nil, "a second request on a link before the first was answered")
+		d.beginAttempt(p, f, &m)
 	}
 	return true
 }
 
-// begin judges an attempt whose last byte has come, and settles what becomes of it.
-func (d *deployment) begin(p *peer, f *far, m *http1.Request) {
-	q := d.asked[string(m.Get("X-Call-Id"))]
+// beginAttempt judges an attempt whose last byte has come, and settles what becomes of it.
+func (d *deployment) beginAttempt(p *peer, f *farEnd, m *http1.Request) {
+	q := d.requests[string(m.Get("X-Call-Id"))]
 	if q == nil {
 		d.T.Fatalf("an attempt of a query that nobody sent: %q", m.Get("X-Call-Id"))
 	}
 	set, n := &d.conf.Settings, f.node
 	class := set.Classes[q.class]
-	d.Check(!q.left && q.answers == 0, "%s was sent on after it was over", q.id)
+	d.Check(!q.clientLeft && q.answers == 0, "%s was sent on after it was over", q.id)
 	d.Check(string(m.Get("Idempotency-Key")) == q.key, "%s went on with another key", q.id)
-	left, _ := http1.ParseDecimal(m.Get("X-Budget-Ms"))
-	d.Check(time.Duration(left)*time.Millisecond <= max(q.deadline-d.now, time.Millisecond), "%s has %v left, and tells %d ms", q.id, q.deadline-d.now, left)
-	d.Check(n.drainsSince == 0 || d.now-n.drainsSince <= 550*time.Millisecond, "%s went to %s, which drains since %v", q.id, n.ID, d.now-n.drainsSince)
+	remaining, _ := http1.ParseDecimal(m.Get("X-Budget-Ms"))
+	d.Check(time.Duration(remaining)*time.Millisecond <= max(q.deadline-d.now, time.Millisecond), "%s has %v left, and tells %d ms", q.id, q.deadline-d.now, remaining)
+	d.Check(n.drainingSince == 0 || d.now-n.drainingSince <= 550*time.Millisecond, "%s went to %s, which drains since %v", q.id, n.ID, d.now-n.drainingSince)
 	d.Check(class.Zones == nil || slices.Contains(class.Zones, n.zone), "%s went to a zone where its class may not go", q.id)
 	d.Check(class.Kinds == nil || slices.Contains(class.Kinds, n.kind), "%s went to a kind where its class may not go", q.id)
 	for i, t := range q.tries {
-		out := !t.ended && !t.givenUp
-		d.Check(!out || t.node != n, "%s went twice to %s", q.id, n.ID)
-		d.Check(!out || set.Hedging, "%s: a second copy after attempt %d", q.id, i)
+		active := !t.ended && !t.givenUp
+		d.Check(!active || t.node != n, "%s went twice to %s", q.id, n.ID)
+		d.Check(!active || set.Hedging, "%s: a second copy after attempt %d", q.id, i)
 		if t.never || class.Idempotency == dispatch.Idempotent {
 			continue
 		}
@@ -402,8 +402,8 @@
 		d.Check(same, "%s went to another group after attempt %d", q.id, i)
 		d.Check(d.now-t.at <= class.DeduplicationWindow+50*time.Millisecond, "%s went again %v after attempt %d, window %v", q.id, d.now-t.at, i, class.DeduplicationWindow)
 	}
-	t := &try{of: q, node: n, at: d.now}
-	q.tries, d.out = append(q.tries, t), append(d.out, t)
+	t := &attempt{of: q, node: n, at: d.now}
+	q.tries, d.running = append(q.tries, t), append(d.running, t)
 	d.Check(len(q.tries) <= set.AttemptLimit, "%s has %d attempts", q.id, len(q.tries))
 	if p.ended { // given up as soon as it was written
 		t.givenUp = true
@@ -413,22 +413,22 @@
 	work := time.Duration(1+d.rng.IntN(int(class.ClientTimeout.Milliseconds()))) * time.Millisecond / time.Duration(1+d.rng.IntN(40))
 	switch d.rng.IntN(18) {
 	case 0:
-		d.answer(p, f, "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
+		d.respond(p, f, "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n")
 		t.ended, t.never = true, true
 	case 1:
-		d.answer(p, f, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")
+		d.respond(p, f, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")
 		t.ended = true
 	case 2:
 		f.try, t.ended = nil, true
 		p.close()
 	case 3: // silent
 	case 5: // of no use to any worker node
-		d.answer(p, f, "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n")
+		d.respond(p, f, "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n")
 		t.ended, t.never = true, true
 	case 4: // told before it is accepted, or without that
 		t.ends, t.state = d.now, "done"
 	default:
-		d.answer(p, f, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
+		d.respond(p, f, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
 		t.accepted = true
 		t.ends = d.now + work
 		t.state = []string{"done", "done", "done", "done", "done", "failed", "returned", "lost"}[d.rng.IntN(8)]
@@ -441,7 +441,7 @@
 	}
 }
 
-func (d *deployment) answer(p *peer, f *far, text string) {
+func (d *deployment) respond(p *peer, f *farEnd, text string) {
 	f.try = nil
 	if d.late && d.rng.IntN(2) == 0 {
 		p.write([]byte(strings.Replace(text, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)))
@@ -454,7 +454,7 @@
 // crash has a worker node's process die: its connections are reset, and what it had is over. Of some of that its machine
 // tells. For a while new connections are refused.
 func (d *deployment) crash(n *workerNode) {
-	d.settle()
+	d.runUntilSettled()
 	n.down = d.now + time.Duration(d.rng.IntN(800))*time.Millisecond
 	if n.Lifecycle == "up" {
 		n.StartedAtMs = n.down.Milliseconds()
@@ -465,7 +465,7 @@
 			p.close()
 		}
 	}
-	for _, q := range d.asked {
+	for _, q := range d.requests {
 		for _, t := range q.tries {
 			if t.node == n && !t.ended {
 				t.ended, t.start = true, 0
@@ -477,12 +477,12 @@
 	}
 }
 
-// tell has worker nodes tell what is due.
-func (d *deployment) tell() {
-	for _, t := range d.out {
+// sendCallbacks has worker nodes tell what is due.
+func (d *deployment) sendCallbacks() {
+	for _, t := range d.running {
 		if t.start > 0 && t.start <= d.now && t.start < t.ends {
 			t.start = 0
-			d.note(t, "started", "")
+			d.sendCallback(t, "started", "")
 		}
 		if t.ends == 0 || t.ends > d.now {
 			continue
@@ -495,23 +495,23 @@
 			t.of.results = append(t.of.results, result)
 		}
 		for range 1 + d.rng.IntN(8)/7 { // some are told twice
-			d.note(t, t.state, result)
+			d.sendCallback(t, t.state, result)
 		}
 	}
-	d.out = slices.DeleteFunc(d.out, func(t *try) bool { return t.ends == 0 })
+	d.running = slices.DeleteFunc(d.running, func(t *attempt) bool { return t.ends == 0 })
 }
 
-func (d *deployment) note(t *try, state, result string) {
+func (d *deployment) sendCallback(t *attempt, state, result string) {
 	body, err := json.Marshal(map[string]string{"id": t.of.id, "from": t.node.ID, "state": state, "result": result})
 	if err != nil {
 		d.T.Fatal(err)
 	}
-	d.notes[d.rng.IntN(len(d.notes))].write(fmt.Appendf(nil, "POST /v1/job-events HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+	d.callbackPeers[d.rng.IntN(len(d.callbackPeers))].write(fmt.Appendf(nil, "POST /v1/job-events HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 }
 
-// list tells the whole list on a watch.
-func (d *deployment) list(p *peer) {
-	g := requests.EndpointList{Revision: int64(d.told), Reset: true}
+// sendSnapshot tells the whole list on a watch.
+func (d *deployment) sendSnapshot(p *peer) {
+	g := requests.EndpointList{Revision: int64(d.revision), Reset: true}
 	for _, n := range d.nodes {
 		g.Endpoints = append(g.Endpoints, n.Endpoint)
 	}
@@ -522,58 +522,58 @@
 	p.write(fmt.Appendf(nil, "%x\r\n%s\n\r\n", len(text)+1, text))
 }
 
-// ask has a client ask for something, with all the headers that the protocol has.
-func (d *deployment) ask(c *caller) {
+// sendRequest has a client ask for something, with all the headers that the protocol has.
+func (d *deployment) sendRequest(c *caller) {
 	set := &d.conf.Settings
-	q := &asked{id: fmt.Sprintf("%016x", d.rng.Uint64()), class: d.rng.IntN(len(set.Classes))}
+	q := &issuedRequest{id: fmt.Sprintf("%016x", d.rng.Uint64()), class: d.rng.IntN(len(set.Classes))}
 	class, name := set.Classes[q.class], set.Names.Classes[q.class]
 	budget := class.ClientTimeout / time.Duration(1+d.rng.IntN(3))
 	budget = max(budget.Truncate(time.Millisecond), time.Millisecond)
 	q.deadline = d.now + budget
-	head := fmt.Sprintf("POST /%s/%x HTTP/1.1\r\nHost: h\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget-Ms: %d\r\n", name, d.rng.IntN(9), q.id, name, budget.Milliseconds())
+	header := fmt.Sprintf("POST /%s/%x HTTP/1.1\r\nHost: h\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget-Ms: %d\r\n", name, d.rng.IntN(9), q.id, name, budget.Milliseconds())
 	if class.Idempotency == dispatch.IdempotentWithKey {
 		q.key = fmt.Sprintf("%032x", d.rng.Uint64())
-		head += "Idempotency-Key: " + q.key + "\r\n"
+		header += "Idempotency-Key: " + q.key + "\r\n"
 	}
 	if t := set.Names.Tenants; len(t) > 0 {
-		head += "X-Caller: " + t[d.rng.IntN(len(t))] + "\r\n"
+		header += "X-Caller: " + t[d.rng.IntN(len(t))] + "\r\n"
 	}
 	if d.rng.IntN(2) == 0 {
-		head += fmt.Sprintf("X-Call-Cost: %d\r\n", d.rng.IntN(2_000_000))
+		header += fmt.Sprintf("X-Call-Cost: %d\r\n", d.rng.IntN(2_000_000))
 	}
 	if d.rng.IntN(4) == 0 {
-		head += "X-Again: 1\r\n"
+		header += "X-Again: 1\r\n"
 	}
 	body := bytes.Repeat([]byte{'b'}, d.rng.IntN(200))
-	c.peer.write(fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", head, len(body), body))
-	c.asks, d.asked[q.id] = q, q
+	c.peer.write(fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", header, len(body), body))
+	c.request, d.requests[q.id] = q, q
 }
 
-// hear takes in what a client has been answered.
-func (d *deployment) hear(c *caller) {
+// readResponses takes in what a client has been answered.
+func (d *deployment) readResponses(c *caller) {
 	p := c.peer
 	p.read(16 << 10)
-	for len(p.got) > 0 {
+	for len(p.received) > 0 {
 		var m http1.Response
-		n, err := m.Parse(p.got, p.ended)
+		n, err := m.Parse(p.received, p.ended)
 		if err != nil {
 			break
 		}
 		if m.StatusCode >= 200 {
-			d.Check(c.asks != nil, "an answer that nobody waits for: %d", m.StatusCode)
-			q := c.asks
+			d.Check(c.request != nil, "an answer that nobody waits for: %d", m.StatusCode)
+			q := c.request
 			q.answers++
-			c.asks = nil
+			c.request = nil
 			d.Check(d.now <= q.deadline+50*time.Millisecond, "%s was answered %v late", q.id, d.now-q.deadline)
 			d.Check(m.StatusCode == 200 || m.StatusCode == 500 || m.StatusCode == 503, "%s was answered %d", q.id, m.StatusCode)
 			d.Check(m.StatusCode != 200 || slices.Contains(q.results, string(m.Body)), "%s was served with %q, of %q", q.id, m.Body, q.results)
 		}
-		p.got = bytes.Clone(p.got[n:])
+		p.received = bytes.Clone(p.received[n:])
 	}
 	if p.ended || p.closed { // idle for long, or after an answer that said so
-		d.Check(c.asks == nil || p.closed, "%s lost its connection", "a query")
+		d.Check(c.request == nil || p.closed, "%s lost its connection", "a query")
 		p.close()
-		c.peer, c.asks = d.connect(), nil
+		c.peer, c.request = d.connect(), nil
 	}
 }
 
@@ -583,30 +583,30 @@
 		d.now += time.Duration(1+d.rng.IntN(25)) * time.Millisecond
 		for _, c := range d.callers {
 			switch {
-			case c.asks == nil && d.rng.IntN(4) == 0:
-				d.ask(c)
-			case c.asks != nil && d.rng.IntN(150) == 0:
-				c.asks.left = true
+			case c.request == nil && d.rng.IntN(4) == 0:
+				d.sendRequest(c)
+			case c.request != nil && d.rng.IntN(150) == 0:
+				c.request.clientLeft = true
 				c.peer.close()
 			}
 		}
 		if d.rng.IntN(50) == 0 {
 			d.crash(d.nodes[d.rng.IntN(len(d.nodes))])
 		}
-		d.tell()
-		d.change()
-		d.settle()
+		d.sendCallbacks()
+		d.changeEndpoints()
+		d.runUntilSettled()
 	}
 	for d.loop.Requests.OpenCount() > 0 {
 		d.now += 25 * time.Millisecond
-		d.tell()
-		d.settle()
+		d.sendCallbacks()
+		d.runUntilSettled()
 	}
 	d.now += 20 * time.Second // past what any attempt is waited for
-	d.settle()
+	d.runUntilSettled()
 	served, again := 0, 0
-	for _, q := range d.asked {
-		d.Check(q.answers == 1 || q.left && q.answers == 0, "%s has %d answers, left %v", q.id, q.answers, q.left)
+	for _, q := range d.requests {
+		d.Check(q.answers == 1 || q.clientLeft && q.answers == 0, "%s has %d answers, left %v", q.id, q.answers, q.clientLeft)
 		if len(q.results) > 0 {
 			served++
 		}
@@ -615,14 +615,14 @@
 		}
 	}
 	d.Check(d.loop.Requests.OpenCount() == 0 && d.loop.Requests.PayloadBytes() == 0, "%d queries open, with %d bytes", d.loop.Requests.OpenCount(), d.loop.Requests.PayloadBytes())
-	d.T.Logf("%d queries, %d with a result, %d with further attempts", len(d.asked), served, again)
+	d.T.Logf("%d queries, %d with a result, %d with further attempts", len(d.requests), served, again)
 }
 
-// change has discovery speak, and now and then drain a worker node, start one anew, or fall silent.
-func (d *deployment) change() {
+// changeEndpoints has discovery speak, and now and then drain a worker node, start one anew, or fall silent.
+func (d *deployment) changeEndpoints() {
 	changed := d.rng.IntN(60) == 0
 	if n := d.nodes[d.rng.IntN(len(d.nodes))]; changed {
-		if d.told++; n.Lifecycle == "up" {
+		if d.revision++; n.Lifecycle == "up" {
 			n.Lifecycle = "draining"
 		} else {
 			n.Lifecycle, n.StartedAtMs = "up", d.now.Milliseconds()
@@ -635,7 +635,7 @@
 		case d.rng.IntN(300) == 0:
 			p.close()
 		case changed:
-			d.list(p)
+			d.sendSnapshot(p)
 		case d.rng.IntN(20) == 0:
 			p.write([]byte("1\r\n\n\r\n"))
 		}
@@ -643,9 +643,9 @@
 	for _, n := range d.nodes { // told only where a watch is open
 		switch {
 		case n.Lifecycle == "up":
-			n.drainsSince = 0
-		case n.drainsSince == 0 && changed && len(d.discovery) == 1:
-			n.drainsSince = d.now
+			n.drainingSince = 0
+		case n.drainingSince == 0 && changed && len(d.discovery) == 1:
+			n.drainingSince = d.now
 		}
 	}
 }
@@ -663,7 +663,7 @@
 // The same where connections to worker nodes come up late, also those by which attempts are withdrawn: until an attempt has
 // ended, or its worker node has been told that it is given up, there is no other where copies are not allowed, and none at
 // that worker node anywhere; and a keyed query is repeated within its window, however late the connection is.
-func TestGeneratedSettingsLateLinks(t *testing.T) {
+func TestGeneratedSettingsWithLateConnections(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			newDeployment(t, 1000+seed, true, func(settings object) {
@@ -691,7 +691,7 @@
 			for dials := range 3 {
 				for range 100 {
 					d.now += 10 * time.Millisecond
-					d.settle()
+					d.runUntilSettled()
 				}
 				d.Check(d.dials == dials+1 && len(d.discovery) > 0, "discovery was called %d times, expected %d", d.dials, dials+1)
 				d.discovery[len(d.discovery)-1].close()
--- a/internal/link/status_test.go
+++ b/internal/link/status_test.go
@@ -14,9 +14,9 @@
 	"valvecove/internal/status"
 )
 
-// withStatus is a world with a status call that knows one job, "a".
-func withStatus(s *modeltest.Steps) *world {
-	w := newWorld(s)
+// newStatusHarness is a world with a status call that knows one job, "a".
+func newStatusHarness(s *modeltest.Steps) *harness {
+	w := newHarness(s)
 	table := status.New(config.Status{Retention: time.Minute, MaxEntries: 10}, requests.NameTable{Classes: []string{"a"}}, true, w.loop.Now)
 	if err := w.loop.serveStatus(netip.MustParseAddrPort("127.0.0.1:0"), table); err != nil {
 		s.T.Fatal(err)
@@ -28,17 +28,17 @@
 	return w
 }
 
-// knock connects to the status call.
-func (w *world) knock() *peer {
-	p, fd := w.pair()
+// connectStatus connects to the status call.
+func (w *harness) connectStatus() *peer {
+	p, fd := w.socketPair()
 	w.loop.status.addConnection(fd)
 	return p
 }
 
 // A status link answers each request, in whatever pieces it comes, once and in turn; a stranger to the call gets an
 // error; links are few, and one on which nothing goes on ends.
-func FuzzStatusLink(f *testing.F) {
-	asks := []struct {
+func FuzzStatusConnection(f *testing.F) {
+	calls := []struct {
 		text, want string
 		closes     bool
 	}{
@@ -51,38 +51,38 @@
 		{"nonsense\r\n\r\n", "400 not a request line", true},
 	}
 	modeltest.Fuzz(f, func(s *modeltest.Steps) {
-		w := withStatus(s)
-		p, unsent, ask, want := w.knock(), "", asks[0], ""
-		w.turn()
+		w := newStatusHarness(s)
+		p, unsent, next, want := w.connectStatus(), "", calls[0], ""
+		w.runIterations()
 		quiet, last := w.now, false
 		for s.More() && !p.ended {
 			switch what := s.Pick(8); {
 			case what < 2 && unsent == "" && !last:
-				ask = asks[s.Pick(len(asks))]
-				unsent = ask.text
+				next = calls[s.Pick(len(calls))]
+				unsent = next.text
 			case what < 6 && unsent != "":
 				i := min(len(unsent), 1+s.Pick(40))
-				if p.write([]byte(unsent[:i])); len(unsent) == len(ask.text) {
+				if p.write([]byte(unsent[:i])); len(unsent) == len(next.text) {
 					quiet = w.now
 				}
 				if unsent = unsent[i:]; unsent == "" {
-					quiet, last = w.now, ask.closes
-					want += ask.want + "\n"
+					quiet, last = w.now, next.closes
+					want += next.want + "\n"
 				}
-				s.Record(fmt.Sprint("write ", i, " of ", ask.text))
+				s.Record(fmt.Sprint("write ", i, " of ", next.text))
 			case what == 6:
 				w.now += time.Duration(s.Pick(8)) * 250 * time.Millisecond
 				s.Record("wait")
 			}
-			w.turn()
+			w.runIterations()
 			p.read(1 << 16)
 			got := ""
-			for _, part := range strings.Split(string(p.got), "HTTP/1.1 ")[1:] {
-				head, body, _ := strings.Cut(part, "\r\n\r\n")
-				got += head[:4] + body
+			for _, part := range strings.Split(string(p.received), "HTTP/1.1 ")[1:] {
+				header, body, _ := strings.Cut(part, "\r\n\r\n")
+				got += header[:4] + body
 			}
 			s.Check(got == want, "got %q, expected %q", got, want)
-			began := unsent != "" && len(unsent) < len(ask.text)
+			began := unsent != "" && len(unsent) < len(next.text)
 			limit := statusIdleTimeout
 			if last || began {
 				limit = requestReadTimeout
@@ -98,20 +98,20 @@
 }
 
 // A crowd at the status call takes a few descriptors, and the one who asks gets an answer all the same.
-func TestStatusCrowd(t *testing.T) {
-	w := withStatus(&modeltest.Steps{T: t})
-	first := w.knock()
+func TestStatusConnectionsAreLimited(t *testing.T) {
+	w := newStatusHarness(&modeltest.Steps{T: t})
+	first := w.connectStatus()
 	for range 3 * maxStatusConnections {
-		w.knock()
-		w.turn()
+		w.connectStatus()
+		w.runIterations()
 	}
 	if first.read(1); w.loop.status.connections.Len() != maxStatusConnections || !first.ended {
 		t.Errorf("%d links, the quietest ended: %v", w.loop.status.connections.Len(), first.ended)
 	}
-	p := w.knock()
+	p := w.connectStatus()
 	p.write([]byte("GET /status/a HTTP/1.1\r\n\r\n"))
-	w.turn()
-	if p.read(1 << 10); !strings.HasPrefix(string(p.got), "HTTP/1.1 200 ") {
-		t.Errorf("in a crowd: %q", p.got)
+	w.runIterations()
+	if p.read(1 << 10); !strings.HasPrefix(string(p.received), "HTTP/1.1 200 ") {
+		t.Errorf("in a crowd: %q", p.received)
 	}
 }
--- a/internal/link/tcp_test.go
+++ b/internal/link/tcp_test.go
@@ -14,8 +14,8 @@
 	"valvecove/internal/http1"
 )
 
-// listens has the world's loop accept TCP connections: only there does an end come as a reset.
-func (w *world) listens() {
+// listen has the world's loop accept TCP connections: only there does an end come as a reset.
+func (w *harness) listen() {
 	fd, err := w.loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients)
 	if err != nil {
 		w.T.Fatal(err)
@@ -23,8 +23,8 @@
 	w.loop.clients.fd = fd
 }
 
-// connects gives the client's end of a TCP connection, which the loop has yet to accept.
-func (w *world) connects() *peer {
+// connectClient gives the client's end of a TCP connection, which the loop has yet to accept.
+func (w *harness) connectClient() *peer {
 	_, sa := eventloop.Sockaddr(w.loop.Addr())
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
@@ -42,24 +42,24 @@
 	return p
 }
 
-// resets closes the peer's end so that it tells a reset and no end.
-func (p *peer) resets() {
+// reset closes the peer's end so that it tells a reset and no end.
+func (p *peer) reset() {
 	_ = unix.SetsockoptLinger(p.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	p.close()
 }
 
-// halfCloses ends what the peer writes; it still reads.
-func (p *peer) halfCloses() { _ = unix.Shutdown(p.fd, unix.SHUT_WR) }
+// closeWrite ends what the peer writes; it still reads.
+func (p *peer) closeWrite() { _ = unix.Shutdown(p.fd, unix.SHUT_WR) }
 
-// writesAll writes all of b, with a turn whenever the loop's side has to read first.
-func (w *world) writesAll(p *peer, b []byte) {
+// writeAll writes all of b, with a turn whenever the loop's side has to read first.
+func (w *harness) writeAll(p *peer, b []byte) {
 	for idle := 0; len(b) > 0 && idle < 100; {
 		n, err := unix.Write(p.fd, b)
 		if err != nil && !errors.Is(err, unix.EAGAIN) {
 			w.T.Fatalf("%d bytes are not taken: %v", len(b), err)
 		}
 		if n <= 0 {
-			w.oneTurn()
+			w.runOnce()
 			idle++
 			continue
 		}
@@ -70,32 +70,32 @@
 	}
 }
 
-// settles turns the loop until nothing is ready any more.
-func (w *world) settles() {
+// runUntilQuiet turns the loop until nothing is ready any more.
+func (w *harness) runUntilQuiet() {
 	for range 10_000 {
-		w.oneTurn()
+		w.runOnce()
 		if w.readyDescriptors() == 0 {
-			w.turn()
+			w.runIterations()
 			return
 		}
 	}
 	w.T.Fatal("the loop finds no rest")
 }
 
-// oneTurn is a single turn of the loop, with a single step at most.
-func (w *world) oneTurn() {
+// runOnce is a single turn of the loop, with a single step at most.
+func (w *harness) runOnce() {
 	if err := w.loop.RunOnce(0); err != nil {
 		w.T.Fatal(err)
 	}
 }
 
-// answers gives the status of each answer that has come, without interim ones.
-func (p *peer) answers(t *testing.T) (statuses []int) {
+// statuses gives the status of each answer that has come, without interim ones.
+func (p *peer) statuses(t *testing.T) (statuses []int) {
 	p.read(1 << 20)
-	b := p.got
+	b := p.received
 	for len(b) > 0 {
-		if rest, is := bytes.CutPrefix(b, []byte(http1.ContinueResponse)); is {
-			b = rest
+		if remaining, is := bytes.CutPrefix(b, []byte(http1.ContinueResponse)); is {
+			b = remaining
 			continue
 		}
 		var m http1.Response
@@ -108,8 +108,8 @@
 	return statuses
 }
 
-// sized is query n with a body of so many bytes.
-func sized(n, size int) string {
+// requestOfSize is query n with a body of so many bytes.
+func requestOfSize(n, size int) string {
 	return fmt.Sprintf("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: %d\r\nX-Caller: t\r\nContent-Length: %d\r\n\r\n%s",
 		n, size, strings.Repeat("x", size))
 }
--- a/internal/link/world_test.go
+++ b/internal/link/world_test.go
@@ -15,12 +15,12 @@
 	"valvecove/internal/requests"
 )
 
-// world is a loop whose links lead to the test itself: their other ends are sockets that it reads and writes
+// harness is a loop whose links lead to the test itself: their other ends are sockets that it reads and writes
 // between turns, on a clock of its own.
-type world struct {
+type harness struct {
 	*modeltest.Steps
 	loop   *Loop
-	module *modeltest.ScriptedPolicy
+	policy *modeltest.ScriptedPolicy
 	now    time.Duration
 	clock  func() time.Duration // what the loop reads; returns now
 	dialed []*peer              // the far ends of server links and watches, in the order of their opening
@@ -28,15 +28,15 @@
 
 // peer is the far end of a link.
 type peer struct {
-	fd     int
-	at     netip.AddrPort // what was dialed
-	got    []byte
-	ended  bool // by the loop's side
-	closed bool // by this side
+	fd            int
+	dialedAddress netip.AddrPort // what was dialed
+	received      []byte
+	ended         bool // by the loop's side
+	closed        bool // by this side
 }
 
-func newWorld(s *modeltest.Steps) *world {
-	w := &world{Steps: s, module: &modeltest.ScriptedPolicy{}, now: 1000 * time.Hour}
+func newHarness(s *modeltest.Steps) *harness {
+	w := &harness{Steps: s, policy: &modeltest.ScriptedPolicy{}, now: 1000 * time.Hour}
 	w.clock = func() time.Duration { return w.now }
 	silent := slog.New(slog.DiscardHandler)
 	l, err := newLoop(silent, silent, func() time.Duration { return w.clock() }, 0)
@@ -44,15 +44,15 @@
 		s.T.Fatal(err)
 	}
 	l.dial = func(at netip.AddrPort) (int, error) {
-		p, fd := w.pair()
-		p.at = at
+		p, fd := w.socketPair()
+		p.dialedAddress = at
 		w.dialed = append(w.dialed, p)
 		return fd, nil
 	}
 	names := requests.NameTable{Classes: []string{"a"}, Tenants: []string{"t"}}
 	l.openWorkerPool(50, 250*time.Millisecond, time.Minute)
 	l.watch = l.newWatchConnection(netip.AddrPort{}, discovery.Config{PollInterval: 10 * time.Second}, func(int64) int64 { return 0 })
-	l.Requests = requests.New(6, names, func() requests.Policy { return w.module }, requests.EndpointList{Endpoints: []requests.Endpoint{
+	l.Requests = requests.New(6, names, func() requests.Policy { return w.policy }, requests.EndpointList{Endpoints: []requests.Endpoint{
 		{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
 	}}, l.workers, silent)
 	l.openClientListener(50, 1<<20, &dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: 5 * time.Second}}}, names)
@@ -60,12 +60,12 @@
 	l.limits = config.Limits{Sockets: 1024, MemoryMB: 64}
 	w.loop = l
 	s.T.Cleanup(l.CloseDescriptors)
-	w.turn()
+	w.runIterations()
 	return w
 }
 
-// clientLink finds the client link of a descriptor.
-func (w *world) clientLink(fd int) *clientConnection {
+// clientConnection finds the client link of a descriptor.
+func (w *harness) clientConnection(fd int) *clientConnection {
 	for k := range w.loop.clients.connections {
 		if k.FD() == fd {
 			return k
@@ -76,7 +76,7 @@
 }
 
 // readyDescriptors counts descriptors for which epoll has events, and hands out none.
-func (w *world) readyDescriptors() int {
+func (w *harness) readyDescriptors() int {
 	n, err := unix.EpollWait(w.loop.EpollFD(), make([]unix.EpollEvent, 64), 0)
 	if err != nil {
 		w.T.Fatal(err)
@@ -84,8 +84,8 @@
 	return n
 }
 
-// pair gives a connection: a peer, and the descriptor for the loop.
-func (w *world) pair() (*peer, int) {
+// socketPair gives a connection: a peer, and the descriptor for the loop.
+func (w *harness) socketPair() (*peer, int) {
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
 		w.T.Fatal(err)
@@ -96,8 +96,8 @@
 	return p, fds[1]
 }
 
-// turn lets the loop do all that it can do now.
-func (w *world) turn() {
+// runIterations lets the loop do all that it can do now.
+func (w *harness) runIterations() {
 	for range 4 {
 		if err := w.loop.RunOnce(0); err != nil {
 			w.T.Fatal(err)
@@ -105,9 +105,9 @@
 	}
 }
 
-// worker is the number of the one host.
-func (w *world) worker() uint64 {
-	for _, e := range w.module.Received {
+// workerNumber is the number of the one host.
+func (w *harness) workerNumber() uint64 {
+	for _, e := range w.policy.Received {
 		if list, ok := e.(dispatch.WorkerList); ok {
 			return list.Workers[0].ID
 		}
@@ -132,7 +132,7 @@
 			return
 		}
 		if p.ended = n <= 0; !p.ended {
-			p.got = append(p.got, b[:n]...)
+			p.received = append(p.received, b[:n]...)
 			b = b[n:]
 		}
 	}
