--- a/internal/link/closing_test.go
+++ b/internal/link/client_closing_test.go
@@ -56,22 +56,21 @@
 	return errors.New("no end comes")
 }
 
-// completeRequest answers query 1 with so many bytes.
-func (w *harness) completeRequest(t *testing.T, id string, size int) {
+// completeRequest answers request 1 with so many bytes.
+func (w *harness) completeRequest(id string, size int) {
+	w.T.Helper()
 	w.policy.Next = append(w.policy.Next, dispatch.Send{Job: 1, Worker: w.workerNumber()})
 	w.loop.Requests.Wake()
 	w.runIterations()
 	result := strings.Repeat("r", size)
 	if known, err := w.loop.Requests.HandleCallback(requests.Callback{CallID: id, EndpointID: "s-0", State: "done", Result: &result}); !known || err != nil {
-		t.Fatalf("the note is known %v, %v", known, err)
+		w.T.Fatalf("the callback is known %v, %v", known, err)
 	}
 }
 
-// A link is closed in such a way that its last answer gets there whole, though it waits with the kernel yet and a request
-// crosses the close; and that request is not taken, as its client asks again. So it is whatever closes the link.
+// A connection is closed in such a way that its last answer gets there whole, though it waits with the kernel yet and a request
+// crosses the close; and that request is not taken, as its client asks again. So it is whatever closes the connection.
 func TestResponsesOutliveTheClose(t *testing.T) {
-	const size = 60 << 10
-	crossing := []byte(requestOfSize(9, 0))
 	for name, c := range map[string]struct {
 		request string
 		close   func(w *harness, p *peer) // p has its answer, though unread
@@ -91,44 +90,51 @@
 		t.Run(name, func(t *testing.T) {
 			w := newHarness(&modeltest.Steps{T: t})
 			w.listen()
-			p := w.connectSlowReader()
-			p.write([]byte(c.request))
-			w.runIterations()
-			w.completeRequest(t, "1", size)
-			w.runIterations()
-			if w.now += evictionGrace; len(w.loop.clients.connections) != 1 {
-				t.Fatal("no link")
-			}
-			for k := range w.loop.clients.connections {
-				if len(k.Output()) != 0 {
-					t.Fatalf("%d bytes have not left", len(k.Output()))
-				}
-			}
-			w.runIterations()
-			c.close(w, p)
-			p.write(crossing) // nobody has read it when the link is shut
-			w.runIterations()
-			if err := w.readToEnd(p); err != nil {
-				t.Errorf("after %d bytes: %v", len(p.received), err)
-			}
-			var m http1.Response
-			if _, err := m.Parse(p.received, true); err != nil || m.StatusCode != 200 || len(m.Body) != size {
-				t.Errorf("of the answer %d bytes came (%v)", len(p.received), err)
-			}
-			for _, e := range w.policy.Received {
-				if j, ok := e.(dispatch.Job); ok && j.ID > 1 {
-					t.Error("a request that crossed the close was taken")
-				}
-			}
-			p.close()
-			if w.runIterations(); len(w.loop.clients.connections) != 0 || w.loop.clients.bufferedBytes != 0 {
-				t.Errorf("%d links left with %d bytes", len(w.loop.clients.connections), w.loop.clients.bufferedBytes)
-			}
+			w.closeWithUnreadResponse(c.request, c.close)
 		})
 	}
 }
 
-// A request that was there before its link is shut is taken, and answered; one that comes on a link that is shut finds its
+// closeWithUnreadResponse has a client's connection closed while a response waits with the kernel, and a request crosses the
+// close. It expects the response to get there, and the request not to be admitted.
+func (w *harness) closeWithUnreadResponse(request string, closeConnection func(w *harness, p *peer)) {
+	const size = 60 << 10
+	p := w.connectSlowReader()
+	p.write([]byte(request))
+	w.runIterations()
+	w.completeRequest("1", size)
+	w.runIterations()
+	w.now += evictionGrace
+	if len(w.loop.clients.connections) != 1 {
+		w.T.Fatal("no connection")
+	}
+	if !w.loop.clients.hasSentAll() {
+		w.T.Fatal("a response has not left")
+	}
+	w.runIterations()
+	closeConnection(w, p)
+	p.write([]byte(requestOfSize(9, 0))) // nobody has read it when the connection is shut
+	w.runIterations()
+	if err := w.readToEnd(p); err != nil {
+		w.T.Errorf("after %d bytes: %v", len(p.received), err)
+	}
+	var m http1.Response
+	if _, err := m.Parse(p.received, true); err != nil || m.StatusCode != 200 || len(m.Body) != size {
+		w.T.Errorf("of the answer %d bytes came (%v)", len(p.received), err)
+	}
+	for _, e := range w.policy.Received {
+		if j, ok := e.(dispatch.Job); ok && j.ID > 1 {
+			w.T.Error("a request that crossed the close was taken")
+		}
+	}
+	p.close()
+	w.runIterations()
+	if len(w.loop.clients.connections) != 0 || w.loop.clients.bufferedBytes != 0 {
+		w.T.Errorf("%d connections left with %d bytes", len(w.loop.clients.connections), w.loop.clients.bufferedBytes)
+	}
+}
+
+// A request that was there before its connection is shut is taken, and answered; one that comes on a connection that is shut finds its
 // end, and no reset.
 func TestRequestsThatCrossAClose(t *testing.T) {
 	for name, shut := range map[string]func(w *harness){
@@ -158,13 +164,13 @@
 				t.Errorf("answered %v", got)
 			}
 			if err := w.readToEnd(after); err != nil || len(after.received) > 0 || w.loop.Requests.OpenCount() != 0 {
-				t.Errorf("got %q, %v, %d queries taken", after.received, err, w.loop.Requests.OpenCount())
+				t.Errorf("got %q, %v, %d requests taken", after.received, err, w.loop.Requests.OpenCount())
 			}
 		})
 	}
 }
 
-// Told to close, a scheduler answers all that it has read, each request once and the last with the word that the link
+// Told to close, a scheduler answers all that it has read, each request once and the last with the word that the connection
 // ends, however many had been sent ahead.
 func TestCloseRespondsToWhatWasRead(t *testing.T) {
 	const requests = maxResponseSlots + 5
@@ -197,8 +203,8 @@
 	}
 }
 
-// Whatever connects and stays silent, the links never hold more descriptors than they may, not even within a turn; each that
-// comes is let in within a few turns, so that a query, a note and a question after readiness get through.
+// Whatever connects and stays silent, the connections never hold more descriptors than they may, not even within a turn; each that
+// comes is let in within a few turns, so that a request, a callback and a question after readiness get through.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
 	w.listen()
@@ -215,21 +221,10 @@
 	iterations := func(n int) {
 		t.Helper()
 		for range n {
-			before := map[*clientConnection]bool{}
-			for k := range c.connections {
-				before[k] = true
-			}
-			w.runOnce()
-			full = full || c.activeCount() >= c.maxConnections
-			held := len(before)
-			for k := range c.connections {
-				if !before[k] { // opened while those that ended in the same turn were there still
-					held++
-				}
-			}
-			if held > links {
+			if held := w.descriptorsHeldInIteration(); held > links {
 				t.Fatalf("%d descriptors held, %d allowed", held, links)
 			}
+			full = full || c.activeCount() >= c.maxConnections
 		}
 	}
 	var idle []*peer
@@ -237,10 +232,8 @@
 		for range 3 * links {
 			idle = append(idle, w.connectClient())
 		}
-		for n := range idle {
-			if n%2 == 0 {
-				idle[n].write([]byte(numberedRequest(clientRequests[6].text, n)))
-			}
+		for n := 0; n < len(idle); n += 2 {
+			idle[n].write([]byte(numberedRequest(clientRequests[6].text, n)))
 		}
 	}
 	flood()
@@ -249,7 +242,7 @@
 		w.now += evictionGrace / 4
 	}
 	if !full {
-		t.Fatalf("%d links only", c.activeCount())
+		t.Fatalf("%d connections only", c.activeCount())
 	}
 	up, callback := w.connectClient(), w.connectClient()
 	up.write([]byte(numberedRequest(clientRequests[6].text, 1)))
@@ -266,11 +259,28 @@
 		}
 	}
 	if got := callback.statuses(t); len(got) != 1 || got[0] != 204 {
-		t.Errorf("note: answered %v", got)
+		t.Errorf("callback: answered %v", got)
+	}
+}
+
+// descriptorsHeldInIteration runs an iteration and counts the client connections that were open in it.
+func (w *harness) descriptorsHeldInIteration() int {
+	connections := w.loop.clients.connections
+	before := map[*clientConnection]bool{}
+	for k := range connections {
+		before[k] = true
+	}
+	w.runOnce()
+	held := len(before)
+	for k := range connections {
+		if !before[k] { // opened while those that ended in the same iteration were there still
+			held++
+		}
 	}
+	return held
 }
 
-// A side link that its peer has ended, and that still has an answer to take, leaves the loop in peace, and ends with that
+// A management connection that its peer has ended, and that still has an answer to take, leaves the loop in peace, and ends with that
 // answer.
 func TestManagementConnectionsEndOnce(t *testing.T) {
 	w := newStatusHarness(&modeltest.Steps{T: t})
@@ -290,14 +300,14 @@
 		t.Errorf("%d descriptors are told as ready, with nothing to be done", n)
 	}
 	if err := w.readToEnd(p); err != nil || w.loop.status.connections.Len() != 0 {
-		t.Errorf("read to the end: %v, %d links left", err, w.loop.status.connections.Len())
+		t.Errorf("read to the end: %v, %d connections left", err, w.loop.status.connections.Len())
 	}
 	if n := bytes.Count(p.received, []byte("HTTP/1.1 200 ")); n != 800 {
 		t.Errorf("%d answers to 800 requests", n)
 	}
 }
 
-// An answer of which a client takes nothing for a while ends its link; one that it takes slowly does not.
+// An answer of which a client takes nothing for a while ends its connection; one that it takes slowly does not.
 func TestUnreadResponsesEndTheConnection(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
 	var peers []*peer
--- a/internal/link/clients_test.go
+++ b/internal/link/client_connection_test.go
@@ -16,12 +16,15 @@
 	"valvecove/internal/modeltest"
 )
 
-// clientRequests are the requests of a client, and the status that each gets; 0: it is a query, and waits.
-var clientRequests = []struct {
+// clientRequest is what a client may write.
+type clientRequest struct {
 	text   string
-	status int
+	status int // 0: it is admitted, and waits
 	closes bool
-}{
+}
+
+// clientRequests are the requests of a client.
+var clientRequests = []clientRequest{
 	{"POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: #\r\nX-Caller: t\r\nContent-Length: 5\r\n\r\nhello", 0, false},
 	{"POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: #\r\nX-Caller: t\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n0\r\n\r\n", 0, false},
 	{"POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: #\r\nX-Caller: t\r\nX-Budget-Ms: soon\r\n\r\n", 400, false},
@@ -42,85 +45,117 @@
 
 func numberedRequest(text string, n int) string { return strings.ReplaceAll(text, "#", fmt.Sprint(n)) }
 
-// A client link answers each request exactly once and in turn, whatever the pieces it comes in and whichever is
+// A client connection answers each request exactly once and in turn, whatever the pieces it comes in and whichever is
 // done first, closes when framing is lost, and tells when the client has gone.
 func FuzzClientConnection(f *testing.F) { modeltest.Fuzz(f, runClientConnection) }
 
+// clientModel is a client with one connection, and the responses that it expects.
+type clientModel struct {
+	*harness
+	peer     *peer
+	unsent   string // of the request that is being written
+	next     clientRequest
+	expected []expectedResponse
+	last     bool // the loop closes the connection once all is answered
+}
+
 func runClientConnection(s *modeltest.Steps) {
 	w := newHarness(s)
 	p, fd := w.socketPair()
 	w.loop.clients.addConnection(fd, netip.AddrPort{})
-	var (
-		unsent   string // of the request that is being written
-		next     = clientRequests[0]
-		expected []expectedResponse
-		last     bool // the loop closes once all is answered
-	)
+	m := &clientModel{harness: w, peer: p, next: clientRequests[0]}
 	for n := 0; s.More() && !p.closed; n++ {
-		switch what := s.Pick(12); {
-		case what < 3 && unsent == "" && !last && len(expected) < maxResponseSlots:
-			next = clientRequests[s.Pick(len(clientRequests))]
-			unsent = numberedRequest(next.text, n)
-			s.Record(next.text[:min(len(next.text), 60)])
-		case what < 8 && unsent != "":
-			i := min(len(unsent), 1+s.Pick(60))
-			p.write([]byte(unsent[:i]))
-			if unsent = unsent[i:]; unsent == "" {
-				last = next.closes
-				expected = append(expected, expectedResponse{status: next.status})
-			}
-			s.Record(fmt.Sprint("write ", i))
-		case what < 10 && len(expected) > 0:
-			// The module answers any open query, whichever came first.
-			if d := &expected[s.Pick(len(expected))]; d.status == 0 && s.Pick(2) == 0 {
-				w.policy.Next = append(w.policy.Next, dispatch.Reject{Job: d.job, RetryAfter: time.Second})
-				d.status = 503
-			} else if d.status == 0 {
-				w.policy.Next = append(w.policy.Next, dispatch.Fail{Job: d.job})
-				d.status = 500
-			}
-			w.loop.Requests.DiscoveryFailed() // something to step for
-			s.Record("answer")
-		case what == 10 && unsent == "" && !last && s.Pick(4) == 0:
-			_ = unix.Shutdown(p.fd, unix.SHUT_WR) // it still listens, so it is still owed its answers
-			last = true
-			s.Record("half-close")
-		case what == 11 && s.Pick(6) == 0:
-			p.close()
-			s.Record("close")
-		}
+		m.act(n, s.Pick(12))
 		w.now += time.Millisecond
 		before := len(w.policy.Received)
 		w.runIterations()
-		for _, e := range w.policy.Received[before:] {
-			if j, ok := e.(dispatch.Job); ok {
-				s.Check(len(expected) > 0 && expected[len(expected)-1] == expectedResponse{}, "query %d came of nothing", j.ID)
-				expected[len(expected)-1].job = j.ID
-			}
-		}
+		m.matchJobs(w.policy.Received[before:])
 		p.read(1 << 20)
-		expected = w.checkResponses(p, expected)
+		m.expected = w.checkResponses(p, m.expected)
+	}
+	m.checkDisconnected()
+	w.now += lingerIdleTimeout + expiryInterval
+	if m.last && len(m.expected) == 0 && !p.closed {
+		w.runIterations()
+		p.read(1)
+		s.Check(p.ended && len(w.loop.clients.connections) == 0, "not closed after the last answer")
+	}
+}
+
+// act does something as the client, or as the policy.
+func (m *clientModel) act(n, what int) {
+	switch {
+	case what < 3 && m.unsent == "" && !m.last && len(m.expected) < maxResponseSlots:
+		m.next = clientRequests[m.Pick(len(clientRequests))]
+		m.unsent = numberedRequest(m.next.text, n)
+		m.Record(m.next.text[:min(len(m.next.text), 60)])
+	case what < 8 && m.unsent != "":
+		m.writePart()
+	case what < 10 && len(m.expected) > 0:
+		m.respond()
+	case what == 10 && m.unsent == "" && !m.last && m.Pick(4) == 0:
+		m.peer.closeWrite() // it still listens, so it is still owed its answers
+		m.last = true
+		m.Record("half-close")
+	case what == 11 && m.Pick(6) == 0:
+		m.peer.close()
+		m.Record("close")
+	}
+}
+
+func (m *clientModel) writePart() {
+	size := min(len(m.unsent), 1+m.Pick(60))
+	m.peer.write([]byte(m.unsent[:size]))
+	m.unsent = m.unsent[size:]
+	if m.unsent == "" {
+		m.last = m.next.closes
+		m.expected = append(m.expected, expectedResponse{status: m.next.status})
+	}
+	m.Record(fmt.Sprint("write ", size))
+}
+
+// respond has the policy answer any open request, whichever came first.
+func (m *clientModel) respond() {
+	if d := &m.expected[m.Pick(len(m.expected))]; d.status == 0 && m.Pick(2) == 0 {
+		m.policy.Next = append(m.policy.Next, dispatch.Reject{Job: d.job, RetryAfter: time.Second})
+		d.status = 503
+	} else if d.status == 0 {
+		m.policy.Next = append(m.policy.Next, dispatch.Fail{Job: d.job})
+		d.status = 500
+	}
+	m.loop.Requests.DiscoveryFailed() // something to step for
+	m.Record("answer")
+}
+
+// matchJobs expects the jobs among events to be of the request that was written last.
+func (m *clientModel) matchJobs(events []dispatch.Event) {
+	for _, e := range events {
+		if j, ok := e.(dispatch.Job); ok {
+			last := len(m.expected) - 1
+			m.Check(last >= 0 && m.expected[last] == expectedResponse{}, "request %d came of nothing", j.ID)
+			m.expected[last].job = j.ID
+		}
 	}
+}
+
+// checkDisconnected checks that the policy has heard of a client that has gone, once for each open request.
+func (m *clientModel) checkDisconnected() {
 	disconnected, open := 0, 0
-	for _, e := range w.policy.Received {
+	for _, e := range m.policy.Received {
 		if _, ok := e.(dispatch.ClientDisconnected); ok {
 			disconnected++
 		}
 	}
-	for _, d := range expected {
+	for _, d := range m.expected {
 		if d.status == 0 {
 			open++
 		}
 	}
-	s.Check(!p.closed && disconnected == 0 || p.closed && disconnected == open, "told gone %d times, %d queries open, closed %v", disconnected, open, p.closed)
-	if w.now += lingerIdleTimeout + expiryInterval; last && len(expected) == 0 && !p.closed {
-		w.runIterations()
-		p.read(1)
-		s.Check(p.ended && len(w.loop.clients.connections) == 0, "not closed after the last answer")
-	}
+	closed := m.peer.closed
+	m.Check(!closed && disconnected == 0 || closed && disconnected == open, "told gone %d times, %d requests open, closed %v", disconnected, open, closed)
 }
 
-// expectedResponse is an answer that is due; status 0: once the module has given it.
+// expectedResponse is an answer that is due; status 0: once the policy has given it.
 type expectedResponse struct {
 	status int
 	job    uint64
@@ -183,7 +218,7 @@
 		t.Error("a request that has just begun was given up")
 	}
 	if remaining := len(w.loop.clients.connections); remaining != 2 {
-		t.Errorf("%d links left, expected those of who waits and who rests", remaining)
+		t.Errorf("%d connections left, expected those of who waits and who rests", remaining)
 	}
 }
 
@@ -214,7 +249,7 @@
 }
 
 // However many half requests come, and however much is answered that nobody reads, buffers stay within their
-// budget, and a usual query is served.
+// budget, and a usual request is served.
 func TestBuffersStayWithinBudget(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
 	c := w.loop.clients
@@ -241,7 +276,7 @@
 	c.addConnection(fd, netip.AddrPort{})
 	usual.write([]byte(numberedRequest(clientRequests[0].text, 1)))
 	if w.runIterations(); w.loop.Requests.OpenCount() != 1 {
-		t.Error("a usual query is not taken")
+		t.Error("a usual request is not taken")
 	}
 	sum := 0
 	for k := range c.connections {
@@ -252,7 +287,7 @@
 	}
 }
 
-// A panic ends its link and no other.
+// A panic ends its connection and no other.
 func TestPanicEndsItsConnection(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
 	good, fd := w.socketPair()
@@ -268,10 +303,10 @@
 	w.runIterations()
 	good.read(1 << 10)
 	if bad.read(1); !bad.ended || !strings.HasPrefix(string(good.received), "HTTP/1.1 200 ") {
-		t.Errorf("after a panic: its link ended %v, another got %q", bad.ended, good.received)
+		t.Errorf("after a panic: its connection ended %v, another got %q", bad.ended, good.received)
 	}
 	if last := w.policy.Received[len(w.policy.Received)-1]; last != (dispatch.ClientDisconnected{Job: 1}) {
-		t.Errorf("after a panic the module heard %v last", last)
+		t.Errorf("after a panic the policy heard %v last", last)
 	}
 }
 
@@ -293,7 +328,7 @@
 	w.loop.Requests.DiscoveryFailed()
 	w.runIterations()
 	for n := range peers {
-		if n == 1 { // a link that has just begun may be a usual client's
+		if n == 1 { // a connection that has just begun may be a usual client's
 			w.now += evictionGrace
 			w.runIterations()
 		}
@@ -304,13 +339,13 @@
 		for i, p := range peers {
 			p.read(1 << 10)
 			if want := i >= 2 && i-2 <= n || i < 2 && n >= 5+i; p.ended != want {
-				t.Errorf("after %d evictions link %d ended %v", n+1, i, p.ended)
+				t.Errorf("after %d evictions connection %d ended %v", n+1, i, p.ended)
 			}
 		}
 	}
 }
 
-// Where descriptors run out, an idle link makes room, and one on which a request has just come is served first.
+// Where descriptors run out, an idle connection makes room, and one on which a request has just come is served first.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
 	asking, fd := w.socketPair()
@@ -321,7 +356,7 @@
 	w.runIterations()
 	asking.write([]byte(numberedRequest(clientRequests[0].text, 1)))
 	if !w.loop.clients.evict() || w.loop.clients.evict() {
-		t.Error("expected one link to make room, and one only")
+		t.Error("expected one connection to make room, and one only")
 	}
 	w.runIterations()
 	asking.read(1)
@@ -330,8 +365,8 @@
 	}
 }
 
-// Told to drain, a scheduler serves on, on the links that clients have. Told to close, it ends links between queries,
-// answers what is in hand on links that then end, and refuses what comes. Quiet tells when all is out. What came late
+// Told to drain, a scheduler serves on, on the connections that clients have. Told to close, it ends connections between requests,
+// answers what is in hand on connections that then end, and refuses what comes. Quiet tells when all is out. What came late
 // and is still open is answered when time is up; what came before that has its time.
 func TestDrain(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
@@ -368,14 +403,14 @@
 	w.loop.Close()
 	w.runIterations()
 	if resting.read(1); !resting.ended || w.loop.IsQuiet() {
-		t.Errorf("resting link ended %v, quiet %v", resting.ended, w.loop.IsQuiet())
+		t.Errorf("resting connection ended %v, quiet %v", resting.ended, w.loop.IsQuiet())
 	}
 	answered(connect(numberedRequest(clientRequests[0].text, 4)), 503, true)
 	w.loop.FinishRequestsSince(time.Second / 2)
 	w.runIterations()
 	answered(late, 503, true)
 	if early.read(1); len(early.received) > 0 || w.loop.IsQuiet() {
-		t.Errorf("an early query got %q, quiet %v", early.received, w.loop.IsQuiet())
+		t.Errorf("an early request got %q, quiet %v", early.received, w.loop.IsQuiet())
 	}
 	w.loop.FinishRequestsSince(2 * time.Second)
 	w.runIterations()
@@ -384,7 +419,7 @@
 	}
 }
 
-// Notes end queries, so queries may not take up every link: one too many is refused, and a note still comes in.
+// Callbacks end requests, so requests may not take up every connection: one too many is refused, and a callback still comes in.
 func TestCallbacksComeInWhenFull(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
 	var peers []*peer
@@ -397,10 +432,10 @@
 	}
 	last, first := peers[len(peers)-1], peers[0]
 	if last.read(1 << 10); !strings.HasPrefix(string(last.received), "HTTP/1.1 503 ") {
-		t.Errorf("one query too many got %q", last.received)
+		t.Errorf("one request too many got %q", last.received)
 	}
 	if first.read(1); len(first.received) > 0 || w.loop.clients.maxRequests >= w.loop.clients.maxConnections {
-		t.Errorf("a query in hand got %q", first.received)
+		t.Errorf("a request in hand got %q", first.received)
 	}
 }
 
@@ -432,12 +467,12 @@
 		t.Fatal(err)
 	}
 	if connecting != nil && !errors.Is(connecting, unix.EINPROGRESS) || held != 0 {
-		t.Fatalf("connecting: %v, %d links without descriptors", connecting, held)
+		t.Fatalf("connecting: %v, %d connections without descriptors", connecting, held)
 	}
 	w.now += acceptRetryDelay
 	w.runIterations()
 	if len(w.loop.clients.connections) != 1 {
-		t.Errorf("%d links once there are descriptors again", len(w.loop.clients.connections))
+		t.Errorf("%d connections once there are descriptors again", len(w.loop.clients.connections))
 	}
 }
 
--- a/internal/link/leaving_test.go
+++ b/internal/link/client_disconnect_test.go
@@ -13,8 +13,8 @@
 	"valvecove/internal/requests"
 )
 
-// A client that leaves is gone for the module before that turn's sends, wherever its requests are by then: nothing of
-// them is sent on, and its link is closed. What it leaves by is all the same, an end or a reset.
+// A client that leaves is gone for the policy before that turn's sends, wherever its requests are by then: nothing of
+// them is sent on, and its connection is closed. What it leaves by is all the same, an end or a reset.
 func TestClientGoneBeforeTheSends(t *testing.T) {
 	many := func(n, size int) (text string) {
 		for i := range n {
@@ -44,41 +44,49 @@
 			t.Run(name+", "+how, func(t *testing.T) {
 				w := newHarness(&modeltest.Steps{T: t})
 				w.listen()
-				p := w.connectClient()
-				w.runIterations()
-				w.writeAll(p, []byte(c.before))
-				w.runUntilQuiet()
-				if open := w.loop.Requests.OpenCount(); open != c.taken {
-					t.Fatalf("%d queries taken, expected %d", open, c.taken)
-				}
-				p.write([]byte(c.last))
-				leave(p)
-				for id := range uint64(c.taken + 2*maxResponseSlots) {
-					w.policy.Next = append(w.policy.Next, dispatch.Send{Job: id + 1, Worker: w.workerNumber()})
-				}
-				w.loop.Requests.Wake()
-				if w.runOnce(); len(w.dialed) != 0 || w.loop.Requests.OpenCount() != 0 {
-					t.Errorf("%d attempts begun, %d queries open", len(w.dialed), w.loop.Requests.OpenCount())
-				}
-				jobs, disconnected := 0, 0
-				for _, e := range w.policy.Received {
-					switch e.(type) {
-					case dispatch.Job:
-						jobs++
-					case dispatch.ClientDisconnected:
-						disconnected++
-					}
-				}
-				if w.runIterations(); jobs != disconnected || len(w.loop.clients.connections) != 0 || w.loop.clients.bufferedBytes != 0 {
-					t.Errorf("%d queries, %d told as gone, %d links left with %d bytes", jobs, disconnected, len(w.loop.clients.connections),
-						w.loop.clients.bufferedBytes)
-				}
+				w.leaveBeforeTheSends(c.before, c.last, c.taken, leave)
 			})
 		}
 	}
 }
 
-// A worker node's word that came before its connection broke is heard; a query that did is not taken.
+// leaveBeforeTheSends has a client leave in the iteration in which the policy sends its requests. It writes one text before,
+// of which so many requests are admitted, and another with leaving.
+func (w *harness) leaveBeforeTheSends(before, last string, admitted int, leave func(*peer)) {
+	p := w.connectClient()
+	w.runIterations()
+	w.writeAll(p, []byte(before))
+	w.runUntilQuiet()
+	if open := w.loop.Requests.OpenCount(); open != admitted {
+		w.T.Fatalf("%d requests taken, expected %d", open, admitted)
+	}
+	p.write([]byte(last))
+	leave(p)
+	for id := range uint64(admitted + 2*maxResponseSlots) {
+		w.policy.Next = append(w.policy.Next, dispatch.Send{Job: id + 1, Worker: w.workerNumber()})
+	}
+	w.loop.Requests.Wake()
+	w.runOnce()
+	if len(w.dialed) != 0 || w.loop.Requests.OpenCount() != 0 {
+		w.T.Errorf("%d attempts begun, %d requests open", len(w.dialed), w.loop.Requests.OpenCount())
+	}
+	jobs, disconnected := 0, 0
+	for _, e := range w.policy.Received {
+		switch e.(type) {
+		case dispatch.Job:
+			jobs++
+		case dispatch.ClientDisconnected:
+			disconnected++
+		}
+	}
+	w.runIterations()
+	if jobs != disconnected || len(w.loop.clients.connections) != 0 || w.loop.clients.bufferedBytes != 0 {
+		w.T.Errorf("%d requests, %d told as gone, %d connections left with %d bytes", jobs, disconnected,
+			len(w.loop.clients.connections), w.loop.clients.bufferedBytes)
+	}
+}
+
+// A worker's word that came before its connection broke is heard; a request that did is not taken.
 func TestCallbackBeforeAReset(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
 	w.listen()
@@ -93,7 +101,7 @@
 	worker.reset()
 	w.runIterations()
 	if got := client.statuses(t); len(got) != 1 || got[0] != 200 || w.loop.Requests.OpenCount() != 0 {
-		t.Errorf("answered %v, %d queries open", got, w.loop.Requests.OpenCount())
+		t.Errorf("answered %v, %d requests open", got, w.loop.Requests.OpenCount())
 	}
 }
 
@@ -102,39 +110,46 @@
 func TestHalfClosedClientsAreAnswered(t *testing.T) {
 	for _, size := range []int{0, 2 << 10, 8 << 10} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			const requests = 3 * maxResponseSlots
 			w := newHarness(&modeltest.Steps{T: t})
 			w.listen()
-			p := w.connectClient()
-			w.runIterations()
-			for n := range requests {
-				w.writeAll(p, []byte(requestOfSize(n, size)))
-			}
-			p.closeWrite()
-			w.runUntilQuiet()
-			for n := 0; n < requests; n++ { // the last first, as far as they are in
-				if open := w.loop.Requests.OpenCount(); open != min(maxResponseSlots, requests-n) {
-					t.Fatalf("%d queries open after %d answers", open, n)
-				}
-				w.policy.Next = append(w.policy.Next, dispatch.Reject{Job: uint64(n + 1)})
-				w.loop.Requests.Wake()
-				w.runUntilQuiet()
-			}
-			got := p.statuses(t)
-			for _, status := range got {
-				if status != 503 {
-					t.Errorf("answered %v", got)
-				}
-			}
-			if p.read(1); len(got) != requests || !p.ended || len(w.loop.clients.connections) != 0 {
-				t.Errorf("%d answers to %d requests, link closed %v", len(got), requests, p.ended)
-			}
+			w.closeWriteAfterRequests(size)
 		})
 	}
 }
 
+// closeWriteAfterRequests has a client write more requests than are read at once, with bodies of a size, and end its side. It
+// expects a response to each.
+func (w *harness) closeWriteAfterRequests(size int) {
+	const requests = 3 * maxResponseSlots
+	p := w.connectClient()
+	w.runIterations()
+	for n := range requests {
+		w.writeAll(p, []byte(requestOfSize(n, size)))
+	}
+	p.closeWrite()
+	w.runUntilQuiet()
+	for n := range requests {
+		if open := w.loop.Requests.OpenCount(); open != min(maxResponseSlots, requests-n) {
+			w.T.Fatalf("%d requests open after %d answers", open, n)
+		}
+		w.policy.Next = append(w.policy.Next, dispatch.Reject{Job: uint64(n + 1)})
+		w.loop.Requests.Wake()
+		w.runUntilQuiet()
+	}
+	got := p.statuses(w.T)
+	for _, status := range got {
+		if status != 503 {
+			w.T.Errorf("answered %v", got)
+		}
+	}
+	p.read(1)
+	if len(got) != requests || !p.ended || len(w.loop.clients.connections) != 0 {
+		w.T.Errorf("%d answers to %d requests, connection closed %v", len(got), requests, p.ended)
+	}
+}
+
 // A client that sends more ahead of its answers than is kept is read from all the same: what is kept whole is answered,
-// one more is refused, and the link ends. Buffers stay bounded.
+// one more is refused, and the connection ends. Buffers stay bounded.
 func TestExcessReadAheadIsRejected(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
 	w.listen()
@@ -156,10 +171,10 @@
 	}
 	got := p.statuses(t)
 	if answered <= maxResponseSlots || len(got) != answered+1 || got[answered] != 503 || got[answered-1] != 500 {
-		t.Errorf("%d queries answered, the client has %v", answered, got)
+		t.Errorf("%d requests answered, the client has %v", answered, got)
 	}
 	if p.read(1); !p.ended {
-		t.Error("the link goes on")
+		t.Error("the connection goes on")
 	}
 }
 
@@ -183,7 +198,7 @@
 	}
 }
 
-// A client that leaves while its query is on the way to a worker node stops what is not wholly written, also if the
+// A client that leaves while its request is on the way to a worker stops what is not wholly written, also if the
 // connection there comes up in the same turn. What was accepted runs on, and no copy of it is sent.
 func TestClientGoneOnTheWay(t *testing.T) {
 	for stage, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize, "accepted": 0} {
@@ -191,48 +206,53 @@
 			t.Run(stage+", "+how, func(t *testing.T) {
 				w := newHarness(&modeltest.Steps{T: t})
 				w.listen()
-				w.loop.Requests.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
-					{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
-					{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"},
-				}})
-				p := w.connectClient()
-				w.runIterations()
-				w.writeAll(p, []byte(requestOfSize(1, size)))
-				w.runUntilQuiet()
-				workers := w.policy.Received[1].(dispatch.WorkerList).Workers
-				w.policy.Next = append(w.policy.Next, dispatch.Send{Job: 1, Worker: workers[0].ID})
-				w.loop.Requests.Wake()
-				w.runOnce()
-				if len(w.dialed) != 1 {
-					t.Fatal("not sent")
-				}
-				far := w.dialed[0]
-				if stage != "connecting" {
-					w.runUntilQuiet()
-				}
-				if far.read(1 << 10); stage == "accepted" {
-					far.write([]byte(workerResponses[0].text))
-					w.runIterations()
-				}
-				leave(p)
-				w.policy.Next = append(w.policy.Next, dispatch.Send{Job: 1, Worker: workers[1].ID})
-				w.loop.Requests.Wake()
-				w.runUntilQuiet()
-				far.read(1 << 20)
-				var m http1.Request
-				_, err := m.Parse(far.received)
-				if whole := err == nil; whole != (stage == "accepted") || len(w.dialed) != 1 || stage == "connecting" && len(far.received) > 0 {
-					t.Errorf("%d bytes came, whole %v, and %d links were opened", len(far.received), whole, len(w.dialed))
-				}
-				if far.ended == (stage == "accepted") {
-					t.Errorf("its link has ended %v", far.ended)
-				}
+				w.leaveWhileAttemptIs(stage, size, leave)
 			})
 		}
 	}
 }
 
-// The time of a request counts from when its last byte came, also if it had to wait for its turn on its link.
+// leaveWhileAttemptIs has a client leave while the attempt of its request is connecting, partly written or accepted.
+func (w *harness) leaveWhileAttemptIs(stage string, size int, leave func(*peer)) {
+	w.loop.Requests.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
+		{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
+		{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"},
+	}})
+	p := w.connectClient()
+	w.runIterations()
+	w.writeAll(p, []byte(requestOfSize(1, size)))
+	w.runUntilQuiet()
+	workers := w.policy.Received[1].(dispatch.WorkerList).Workers
+	w.policy.Next = append(w.policy.Next, dispatch.Send{Job: 1, Worker: workers[0].ID})
+	w.loop.Requests.Wake()
+	w.runOnce()
+	if len(w.dialed) != 1 {
+		w.T.Fatal("not sent")
+	}
+	far := w.dialed[0]
+	if stage != "connecting" {
+		w.runUntilQuiet()
+	}
+	if far.read(1 << 10); stage == "accepted" {
+		far.write([]byte(workerResponses[0].text))
+		w.runIterations()
+	}
+	leave(p)
+	w.policy.Next = append(w.policy.Next, dispatch.Send{Job: 1, Worker: workers[1].ID})
+	w.loop.Requests.Wake()
+	w.runUntilQuiet()
+	far.read(1 << 20)
+	var m http1.Request
+	_, err := m.Parse(far.received)
+	if whole := err == nil; whole != (stage == "accepted") || len(w.dialed) != 1 || stage == "connecting" && len(far.received) > 0 {
+		w.T.Errorf("%d bytes came, whole %v, and %d connections were opened", len(far.received), whole, len(w.dialed))
+	}
+	if far.ended == (stage == "accepted") {
+		w.T.Errorf("its connection has ended %v", far.ended)
+	}
+}
+
+// The time of a request counts from when its last byte came, also if it had to wait for its turn on its connection.
 func TestTimeCountsFromArrival(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
 	w.listen()
@@ -266,7 +286,7 @@
 		19: all - time.Second, 20: all,
 	} {
 		if remaining[id] != want {
-			t.Errorf("query %d has %v left, expected %v", id, remaining[id], want)
+			t.Errorf("request %d has %v left, expected %v", id, remaining[id], want)
 		}
 	}
 }
--- a/internal/link/loop_test.go
+++ b/internal/link/descriptors_test.go
@@ -25,14 +25,14 @@
 	}
 	w.runIterations()
 	if open := w.loop.Requests.OpenCount(); open != clients {
-		t.Fatalf("%d queries taken", open)
+		t.Fatalf("%d requests taken", open)
 	}
 	for n, p := range peers {
 		p.close()
 		w.policy.Next = append(w.policy.Next, dispatch.Send{Job: uint64(n + 1), Worker: w.workerNumber()})
 	}
 	if w.runOnce(); len(w.dialed) != 0 || w.loop.Requests.OpenCount() != 0 {
-		t.Errorf("%d attempts begun, %d queries open", len(w.dialed), w.loop.Requests.OpenCount())
+		t.Errorf("%d attempts begun, %d requests open", len(w.dialed), w.loop.Requests.OpenCount())
 	}
 }
 
@@ -51,7 +51,7 @@
 	w.loop.dial = func(at netip.AddrPort) (int, error) {
 		_, err := unix.FcntlInt(uintptr(leavingFD), unix.F_GETFD, 0)
 		if dialed = true; !errors.Is(err, unix.EBADF) {
-			t.Errorf("the descriptor of the link that has ended is still held (%v)", err)
+			t.Errorf("the descriptor of the connection that has ended is still held (%v)", err)
 		}
 		return dial(at)
 	}
--- a/internal/link/drain_test.go
+++ b/internal/link/drain_test.go
@@ -9,21 +9,21 @@
 	"valvecove/internal/modeltest"
 )
 
-// callbackRequest is a worker node's note, as it comes in.
-func callbackRequest(id, state string) []byte {
-	body := fmt.Sprintf(`{"id":%q,"from":"s-0","state":%q,"result":"r"}`, id, state)
+// callbackRequest is a worker's callback, as it comes in.
+func callbackRequest(id string) []byte {
+	body := fmt.Sprintf(`{"id":%q,"from":"s-0","state":"done","result":"r"}`, id)
 	return fmt.Appendf(nil, "POST /v1/job-events HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// sendJob has the module send a query to the one host.
+// sendJob has the policy send a request to the one worker.
 func (w *harness) sendJob(job uint64) {
 	w.policy.Next = append(w.policy.Next, dispatch.Send{Job: job, Worker: w.workerNumber()})
 	w.loop.Requests.Wake()
 	w.runIterations()
 }
 
-// A scheduler that takes no query any more goes on taking notes, on the links that worker nodes have, also in the moment in
-// which it shuts those between queries: what they tell is an answer that some client waits for.
+// A scheduler that takes no request any more goes on taking callbacks, on the connections that workers have, also in the moment in
+// which it shuts those between requests: what they tell is an answer that some client waits for.
 func TestCallbacksComeInWhileClosing(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
 	w.listen()
@@ -36,29 +36,29 @@
 		clients = append(clients, p)
 	}
 	worker, resting := w.connectClient(), w.connectClient()
-	worker.write(callbackRequest("1", "done"))
-	resting.write(callbackRequest("2", "done"))
+	worker.write(callbackRequest("1"))
+	resting.write(callbackRequest("2"))
 	w.runIterations()
-	worker.write(callbackRequest("3", "done")) // nobody has read it when the others are shut
+	worker.write(callbackRequest("3")) // nobody has read it when the others are shut
 	w.loop.Close()
 	w.runIterations()
-	worker.write(callbackRequest("4", "done"))
-	resting.write(callbackRequest("5", "done"))
+	worker.write(callbackRequest("4"))
+	resting.write(callbackRequest("5"))
 	w.runIterations()
 	other := w.connectClient()
-	other.write(callbackRequest("6", "done"))
+	other.write(callbackRequest("6"))
 	w.runIterations()
 	for n, p := range clients {
 		if got := p.statuses(t); len(got) != 1 || got[0] != 200 || !p.ended {
-			t.Errorf("query %d: answered %v, link ended %v", n+1, got, p.ended)
+			t.Errorf("request %d: answered %v, connection ended %v", n+1, got, p.ended)
 		}
 	}
 	for p, want := range map[*peer]int{worker: 3, resting: 2, other: 1} {
 		if got := p.statuses(t); len(got) != want || p.ended {
-			t.Errorf("notes answered %v, link ended %v", got, p.ended)
+			t.Errorf("callbacks answered %v, connection ended %v", got, p.ended)
 		}
 	}
-	worker.write([]byte(requestOfSize(9, 0))) // it is no worker node, then
+	worker.write([]byte(requestOfSize(9, 0))) // it is no worker, then
 	w.runIterations()
 	if got := worker.statuses(t); got[len(got)-1] != 503 || !w.loop.IsQuiet() {
 		t.Errorf("answered %v, quiet %v", got, w.loop.IsQuiet())
@@ -90,9 +90,9 @@
 		t.Errorf("sent answered %v, ended %v, quiet %v", got, hangs.ended, w.loop.IsQuiet())
 	}
 	worker := w.connectClient()
-	worker.write(callbackRequest("1", "done"))
+	worker.write(callbackRequest("1"))
 	w.runIterations()
 	if got := worker.statuses(t); len(got) != 1 || got[0] != 204 || len(hangs.statuses(t)) != 1 || len(held.statuses(t)) != 1 {
-		t.Errorf("a late note is answered %v, the clients have %v and %v", got, hangs.statuses(t), held.statuses(t))
+		t.Errorf("a late callback is answered %v, the clients have %v and %v", got, hangs.statuses(t), held.statuses(t))
 	}
 }
--- a/internal/link/settings_test.go
+++ b/internal/link/generated_settings_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
@@ -24,8 +25,8 @@
 	"valvecove/internal/requests"
 )
 
-// deployment is a world round a loop with the module that decides in service, both by settings that a seed draws:
-// clients, worker nodes and discovery are peers, and what they see is judged by the settings alone.
+// deployment is a world round a loop with the policy that decides in service, both by settings that a seed draws:
+// clients, workers and discovery are peers, and what they see is judged by the settings alone.
 type deployment struct {
 	*harness
 	rng           *rand.Rand
@@ -33,16 +34,16 @@
 	nodes         []*workerNode
 	callers       []*caller
 	requests      map[string]*issuedRequest
-	running       []*attempt // of which worker nodes have something to tell
-	callbackPeers []*peer    // connections by which worker nodes tell of their jobs
+	running       []*attempt // of which workers have something to tell
+	callbackPeers []*peer    // connections by which workers tell of their jobs
 	discovery     []*peer    // watches
 	revision      int        // of discovery's list: its generation
 	dials         int        // of discovery
-	late          bool       // some connections come up late, and some are closed by worker nodes after an answer
+	late          bool       // some connections come up late, and some are closed by workers after an answer
 	known         map[*peer]*farEnd
 }
 
-// workerNode is one host of the generated host group.
+// workerNode is one worker of the generated worker group.
 type workerNode struct {
 	requests.Endpoint
 	at            netip.AddrPort
@@ -51,7 +52,7 @@
 	down          time.Duration // its process has died, and comes back then
 }
 
-// farEnd is what a test knows of the other end of a link of the loop's.
+// farEnd is what a test knows of the other end of a connection of the loop's.
 type farEnd struct {
 	node   *workerNode // nil: discovery
 	filler int         // bytes that hold the connection up, not taken out yet
@@ -65,7 +66,7 @@
 	request *issuedRequest
 }
 
-// issuedRequest is a query as its client and the worker nodes know it.
+// issuedRequest is a request as its client and the workers know it.
 type issuedRequest struct {
 	id         string
 	class      int
@@ -77,7 +78,7 @@
 	tries      []*attempt
 }
 
-// attempt is an attempt whose last byte has come to a worker node.
+// attempt is an attempt whose last byte has come to a worker.
 type attempt struct {
 	of       *issuedRequest
 	node     *workerNode
@@ -86,7 +87,7 @@
 	ended    bool // the scheduler has been told so
 	never    bool // and that it never ran
 	givenUp  bool
-	ends     time.Duration // when the worker node tells how it ended; 0: never
+	ends     time.Duration // when the worker tells how it ended; 0: never
 	state    string        // and with which word
 	start    time.Duration // when it tells of the start; 0: never
 }
@@ -195,8 +196,9 @@
 }
 
 // newDeployment draws a deployment, but for what set sets, and starts a scheduler in it as its configuration says. late has
-// connections to worker nodes come up late, and others close after an answer.
+// connections to workers come up late, and others close after an answer.
 func newDeployment(t *testing.T, seed uint64, late bool, set func(settings object)) *deployment {
+	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 21))
 	w := &harness{Steps: &modeltest.Steps{T: t}, now: 1000 * time.Hour}
 	d := &deployment{harness: w, rng: rng, requests: map[string]*issuedRequest{}, known: map[*peer]*farEnd{}, revision: 1, late: late}
@@ -223,7 +225,7 @@
 	return d
 }
 
-// open is Open, but that the loop is on the test's clock and its links lead to the test.
+// open is Open, but that the loop is on the test's clock and its connections lead to the test.
 func (d *deployment) open() {
 	log := slog.New(loud{d.T})
 	l, err := newLoop(log, log, func() time.Duration { return d.now }, 0)
@@ -261,7 +263,7 @@
 	return p
 }
 
-// dial takes a connection of the loop's: to a worker node, which may come up late, or to discovery.
+// dial takes a connection of the loop's: to a worker, which may come up late, or to discovery.
 func (d *deployment) dial(at netip.AddrPort) (int, error) {
 	f := &farEnd{}
 	for _, n := range d.nodes {
@@ -299,18 +301,7 @@
 		d.runIterations()
 		more = false
 		for _, p := range d.dialed {
-			before, f := len(p.received), d.known[p]
-			if f.filler == 0 || f.up <= d.now || p.ended {
-				p.read(16 << 10)
-				take := min(f.filler, len(p.received))
-				p.received, f.filler = p.received[take:], f.filler-take
-				more = more || take > 0
-			}
-			more = more || len(p.received) > before
-			if t := f.try; p.ended && t != nil {
-				f.try = nil
-				t.givenUp = t.givenUp || !t.accepted
-			}
+			more = d.readFarEnd(p) || more
 		}
 		for _, begins := range [...]bool{false, true} {
 			for _, p := range d.dialed {
@@ -334,13 +325,30 @@
 	}
 }
 
+// readFarEnd reads what has come on a connection, and reports whether anything has.
+func (d *deployment) readFarEnd(p *peer) (more bool) {
+	before, f := len(p.received), d.known[p]
+	if f.filler == 0 || f.up <= d.now || p.ended {
+		p.read(16 << 10)
+		take := min(f.filler, len(p.received))
+		p.received, f.filler = p.received[take:], f.filler-take
+		more = take > 0
+	}
+	more = more || len(p.received) > before
+	if t := f.try; p.ended && t != nil {
+		f.try = nil
+		t.givenUp = t.givenUp || !t.accepted
+	}
+	return more
+}
+
 // handleRequest takes one whole request, if there is one, either of a job or any other.
 func (d *deployment) handleRequest(p *peer, begins bool) bool {
 	f := d.known[p]
 	var m http1.Request
 	n, err := m.Parse(p.received)
 	if err != nil || f.filler > 0 || (string(m.Method) == "POST") != begins {
-		if err != http1.ErrIncomplete && err != nil {
+		if err != nil && !errors.Is(err, http1.ErrIncomplete) {
 			d.T.Fatalf("%v in %.100q", err, p.received)
 		}
 		return false
@@ -368,7 +376,7 @@
 			p.write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 		}
 	default:
-		d.Check(len(p.received) == 0 && f.try == nil, "a second request on a link before the first was answered")
+		d.Check(len(p.received) == 0 && f.try == nil, "a second request on a connection before the first was answered")
 		d.beginAttempt(p, f, &m)
 	}
 	return true
@@ -378,7 +386,7 @@
 func (d *deployment) beginAttempt(p *peer, f *farEnd, m *http1.Request) {
 	q := d.requests[string(m.Get("X-Call-Id"))]
 	if q == nil {
-		d.T.Fatalf("an attempt of a query that nobody sent: %q", m.Get("X-Call-Id"))
+		d.T.Fatalf("an attempt of a request that nobody sent: %q", m.Get("X-Call-Id"))
 	}
 	set, n := &d.conf.Settings, f.node
 	class := set.Classes[q.class]
@@ -389,18 +397,8 @@
 	d.Check(n.drainingSince == 0 || d.now-n.drainingSince <= 550*time.Millisecond, "%s went to %s, which drains since %v", q.id, n.ID, d.now-n.drainingSince)
 	d.Check(class.Zones == nil || slices.Contains(class.Zones, n.zone), "%s went to a zone where its class may not go", q.id)
 	d.Check(class.Kinds == nil || slices.Contains(class.Kinds, n.kind), "%s went to a kind where its class may not go", q.id)
-	for i, t := range q.tries {
-		active := !t.ended && !t.givenUp
-		d.Check(!active || t.node != n, "%s went twice to %s", q.id, n.ID)
-		d.Check(!active || set.Hedging, "%s: a second copy after attempt %d", q.id, i)
-		if t.never || class.Idempotency == dispatch.Idempotent {
-			continue
-		}
-		d.Check(class.Idempotency == dispatch.IdempotentWithKey, "%s may run twice: attempt %d, ended %v, given up %v", q.id, i, t.ended, t.givenUp)
-		same := class.DeduplicationScope == dispatch.ScopeAll || class.DeduplicationScope == dispatch.ScopeZone && t.node.zone == n.zone ||
-			class.DeduplicationScope == dispatch.ScopeCell && t.node.Cell == n.Cell
-		d.Check(same, "%s went to another group after attempt %d", q.id, i)
-		d.Check(d.now-t.at <= class.DeduplicationWindow+50*time.Millisecond, "%s went again %v after attempt %d, window %v", q.id, d.now-t.at, i, class.DeduplicationWindow)
+	for i, earlier := range q.tries {
+		d.checkFurtherAttempt(q, i, earlier, n)
 	}
 	t := &attempt{of: q, node: n, at: d.now}
 	q.tries, d.running = append(q.tries, t), append(d.running, t)
@@ -410,6 +408,30 @@
 		return
 	}
 	f.try = t
+	d.decideAttempt(p, f, t)
+}
+
+// checkFurtherAttempt checks that a request may be sent to a worker after its i-th attempt.
+func (d *deployment) checkFurtherAttempt(q *issuedRequest, i int, earlier *attempt, n *workerNode) {
+	set := &d.conf.Settings
+	class := set.Classes[q.class]
+	active := !earlier.ended && !earlier.givenUp
+	d.Check(!active || earlier.node != n, "%s went twice to %s", q.id, n.ID)
+	d.Check(!active || set.Hedging, "%s: a second copy after attempt %d", q.id, i)
+	if earlier.never || class.Idempotency == dispatch.Idempotent {
+		return
+	}
+	d.Check(class.Idempotency == dispatch.IdempotentWithKey, "%s may run twice: attempt %d, ended %v, given up %v", q.id, i, earlier.ended, earlier.givenUp)
+	same := class.DeduplicationScope == dispatch.ScopeAll || class.DeduplicationScope == dispatch.ScopeZone && earlier.node.zone == n.zone ||
+		class.DeduplicationScope == dispatch.ScopeCell && earlier.node.Cell == n.Cell
+	d.Check(same, "%s went to another group after attempt %d", q.id, i)
+	d.Check(d.now-earlier.at <= class.DeduplicationWindow+50*time.Millisecond, "%s went again %v after attempt %d, window %v", q.id, d.now-earlier.at, i, class.DeduplicationWindow)
+}
+
+// decideAttempt draws what becomes of an attempt.
+func (d *deployment) decideAttempt(p *peer, f *farEnd, t *attempt) {
+	set := &d.conf.Settings
+	class := set.Classes[t.of.class]
 	work := time.Duration(1+d.rng.IntN(int(class.ClientTimeout.Milliseconds()))) * time.Millisecond / time.Duration(1+d.rng.IntN(40))
 	switch d.rng.IntN(18) {
 	case 0:
@@ -422,7 +444,7 @@
 		f.try, t.ended = nil, true
 		p.close()
 	case 3: // silent
-	case 5: // of no use to any worker node
+	case 5: // of no use to any worker
 		d.respond(p, f, "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n")
 		t.ended, t.never = true, true
 	case 4: // told before it is accepted, or without that
@@ -451,7 +473,7 @@
 	p.write([]byte(text))
 }
 
-// crash has a worker node's process die: its connections are reset, and what it had is over. Of some of that its machine
+// crash has a worker's process die: its connections are reset, and what it had is over. Of some of that its machine
 // tells. For a while new connections are refused.
 func (d *deployment) crash(n *workerNode) {
 	d.runUntilSettled()
@@ -477,7 +499,7 @@
 	}
 }
 
-// sendCallbacks has worker nodes tell what is due.
+// sendCallbacks has workers tell what is due.
 func (d *deployment) sendCallbacks() {
 	for _, t := range d.running {
 		if t.start > 0 && t.start <= d.now && t.start < t.ends {
@@ -571,7 +593,7 @@
 		p.received = bytes.Clone(p.received[n:])
 	}
 	if p.ended || p.closed { // idle for long, or after an answer that said so
-		d.Check(c.request == nil || p.closed, "%s lost its connection", "a query")
+		d.Check(c.request == nil || p.closed, "%s lost its connection", "a request")
 		p.close()
 		c.peer, c.request = d.connect(), nil
 	}
@@ -614,11 +636,11 @@
 			again++
 		}
 	}
-	d.Check(d.loop.Requests.OpenCount() == 0 && d.loop.Requests.PayloadBytes() == 0, "%d queries open, with %d bytes", d.loop.Requests.OpenCount(), d.loop.Requests.PayloadBytes())
-	d.T.Logf("%d queries, %d with a result, %d with further attempts", len(d.requests), served, again)
+	d.Check(d.loop.Requests.OpenCount() == 0 && d.loop.Requests.PayloadBytes() == 0, "%d requests open, with %d bytes", d.loop.Requests.OpenCount(), d.loop.Requests.PayloadBytes())
+	d.T.Logf("%d requests, %d with a result, %d with further attempts", len(d.requests), served, again)
 }
 
-// changeEndpoints has discovery speak, and now and then drain a worker node, start one anew, or fall silent.
+// changeEndpoints has discovery speak, and now and then drain a worker, start one anew, or fall silent.
 func (d *deployment) changeEndpoints() {
 	changed := d.rng.IntN(60) == 0
 	if n := d.nodes[d.rng.IntN(len(d.nodes))]; changed {
@@ -652,7 +674,7 @@
 
 func asDrawn(object) {}
 
-// By whatever settings it runs, a scheduler gives each query one answer, in time, breaks no class's effect, and does
+// By whatever settings it runs, a scheduler gives each request one answer, in time, breaks no class's effect, and does
 // nothing that the settings don't allow.
 func TestGeneratedSettings(t *testing.T) {
 	for seed := range uint64(80) {
@@ -660,9 +682,9 @@
 	}
 }
 
-// The same where connections to worker nodes come up late, also those by which attempts are withdrawn: until an attempt has
-// ended, or its worker node has been told that it is given up, there is no other where copies are not allowed, and none at
-// that worker node anywhere; and a keyed query is repeated within its window, however late the connection is.
+// The same where connections to workers come up late, also those by which attempts are withdrawn: until an attempt has
+// ended, or its worker has been told that it is given up, there is no other where copies are not allowed, and none at
+// that worker anywhere; and a keyed request is repeated within its window, however late the connection is.
 func TestGeneratedSettingsWithLateConnections(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
--- a/internal/link/tcp_test.go
+++ b/internal/link/harness_tcp_test.go
@@ -91,6 +91,7 @@
 
 // statuses gives the status of each answer that has come, without interim ones.
 func (p *peer) statuses(t *testing.T) (statuses []int) {
+	t.Helper()
 	p.read(1 << 20)
 	b := p.received
 	for len(b) > 0 {
@@ -108,7 +109,7 @@
 	return statuses
 }
 
-// requestOfSize is query n with a body of so many bytes.
+// requestOfSize is request n with a body of so many bytes.
 func requestOfSize(n, size int) string {
 	return fmt.Sprintf("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: %d\r\nX-Caller: t\r\nContent-Length: %d\r\n\r\n%s",
 		n, size, strings.Repeat("x", size))
--- a/internal/link/world_test.go
+++ b/internal/link/harness_test.go
@@ -15,7 +15,7 @@
 	"valvecove/internal/requests"
 )
 
-// harness is a loop whose links lead to the test itself: their other ends are sockets that it reads and writes
+// harness is a loop whose connections lead to the test itself: their other ends are sockets that it reads and writes
 // between turns, on a clock of its own.
 type harness struct {
 	*modeltest.Steps
@@ -23,10 +23,10 @@
 	policy *modeltest.ScriptedPolicy
 	now    time.Duration
 	clock  func() time.Duration // what the loop reads; returns now
-	dialed []*peer              // the far ends of server links and watches, in the order of their opening
+	dialed []*peer              // the far ends of connections to workers and watches, in the order of their opening
 }
 
-// peer is the far end of a link.
+// peer is the far end of a connection.
 type peer struct {
 	fd            int
 	dialedAddress netip.AddrPort // what was dialed
@@ -64,14 +64,14 @@
 	return w
 }
 
-// clientConnection finds the client link of a descriptor.
+// clientConnection finds the client connection of a descriptor.
 func (w *harness) clientConnection(fd int) *clientConnection {
 	for k := range w.loop.clients.connections {
 		if k.FD() == fd {
 			return k
 		}
 	}
-	w.T.Fatalf("no client link has descriptor %d", fd)
+	w.T.Fatalf("no client connection has descriptor %d", fd)
 	return nil
 }
 
@@ -105,14 +105,14 @@
 	}
 }
 
-// workerNumber is the number of the one host.
+// workerNumber is the number of the one worker.
 func (w *harness) workerNumber() uint64 {
 	for _, e := range w.policy.Received {
 		if list, ok := e.(dispatch.WorkerList); ok {
 			return list.Workers[0].ID
 		}
 	}
-	w.T.Fatal("no host")
+	w.T.Fatal("no worker")
 	return 0
 }
 
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -90,7 +90,7 @@
 	client := predecessor.sendRequest(address)
 	successor := predecessor.startSuccessor(dir, address)
 	if both := predecessor.loop.clients.maxConnections + successor.loop.clients.maxConnections; both > 1024-2*ownDescriptors {
-		t.Errorf("two processes hold %d client links", both)
+		t.Errorf("two processes hold %d client connections", both)
 	}
 	role := successor.loop.successorRole
 	peer, socket := predecessor.socketPair()
@@ -285,7 +285,7 @@
 		err := predecessor.handOverTo(successor)
 		watch := successor.loop.watch
 		if err != nil || !watch.isOpen() || watch.server != conf.Discovery || successor.loop.clients.maxConnections < 2*half {
-			t.Errorf("lost %v: %v, watched %v at %v, %d client links, %d before", lost, err, watch.isOpen(), watch.server,
+			t.Errorf("lost %v: %v, watched %v at %v, %d client connections, %d before", lost, err, watch.isOpen(), watch.server,
 				successor.loop.clients.maxConnections, half)
 		}
 	}
--- a/internal/link/operators_test.go
+++ b/internal/link/operator_connection_test.go
@@ -76,7 +76,6 @@
 			*peer
 			text, unsent, want string
 			began              time.Duration
-			late               bool
 		}
 		var open []*caller
 		for s.More() {
@@ -124,7 +123,7 @@
 	})
 }
 
-// An answered link is over with its answer: what is in its way is only that the caller reads it.
+// An answered connection is over with its answer: what is in its way is only that the caller reads it.
 func TestOperatorBeforeClients(t *testing.T) {
 	s := &modeltest.Steps{T: t}
 	w := newOperatorHarness(s)
@@ -142,7 +141,7 @@
 	if got := w.callOperator("GET /v1/readyz HTTP/1.1\r\n\r\n"); got != "503 draining" {
 		t.Errorf("draining: %q", got)
 	}
-	// A client link that is ready in the same turn, and by a lower descriptor, is looked at later.
+	// A client connection that is ready in the same turn, and by a lower descriptor, is looked at later.
 	var calls []string
 	first := func(what string) eventloop.Handler { return probeHandler{func() { calls = append(calls, what) }} }
 	a, fdA := w.socketPair()
@@ -165,7 +164,7 @@
 
 func (urgentHandler) Priority() eventloop.Priority { return eventloop.PriorityUrgent }
 
-// A worker node that was listed is taken out and brought back, whatever the number of calls; an id that never was gets a no.
+// A worker that was listed is taken out and brought back, whatever the number of calls; an id that never was gets a no.
 // The yes comes once the ban is kept, and a process that starts later reads it.
 func TestCordonByOperator(t *testing.T) {
 	dir := t.TempDir()
@@ -200,12 +199,12 @@
 		}
 	}
 	if w.loop.notReadyReason() == "" {
-		t.Error("ready with its only worker node out")
+		t.Error("ready with its only worker out")
 	}
 	next := newHarness(s)
 	cordoned, _ := hotrestart.ReadCordonFile(dir)
 	if next.loop.Requests.SetCordoned(cordoned); next.loop.Requests.HasReadyWorker() {
-		t.Error("the next process sends to a worker node that is out")
+		t.Error("the next process sends to a worker that is out")
 	}
 	for _, text := range []string{"", "{", `{"form":2,"out":["s-0"]}`, strings.Repeat(" ", hotrestart.MaxCordonFileSize+1)} {
 		if err := os.WriteFile(filepath.Join(dir, hotrestart.CordonFileName), []byte(text), 0o600); err != nil {
--- a/internal/link/tags_test.go
+++ b/internal/link/tags_test.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/storedform"
 )
 
-// What worker nodes and discovery send is read by names in tags.
+// What workers and discovery send is read by names in tags.
 func TestWireIsTagged(t *testing.T) {
 	storedform.CheckTags(t, requests.Callback{}, requests.EndpointList{})
 }
--- a/internal/link/attempts_test.go
+++ b/internal/link/worker_attempts_test.go
@@ -59,24 +59,25 @@
 	}
 }
 
-// attemptHarness is a world with queries that are sent to its one worker node.
+// attemptHarness is a world with requests that are sent to its one worker.
 type attemptHarness struct {
 	*harness
 	requests []*requests.Request
 }
 
 func newAttemptHarness(t *testing.T) *attemptHarness {
+	t.Helper()
 	return &attemptHarness{harness: newHarness(&modeltest.Steps{T: t})}
 }
 
-// runActions has the module do something in one turn.
+// runActions has the policy do something in one turn.
 func (w *attemptHarness) runActions(actions ...dispatch.Action) {
 	w.policy.Next = append(w.policy.Next, actions...)
 	w.loop.Requests.Wake()
 	w.runIterations()
 }
 
-// sendAttempt has an attempt made of a new query.
+// sendAttempt has an attempt made of a new request.
 func (w *attemptHarness) sendAttempt(size int) *requests.Request {
 	w.T.Helper()
 	q, err := w.loop.Requests.Admit(w.now, requests.Arrival{
@@ -93,7 +94,7 @@
 
 const acceptedResponse = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
-// acceptedAttempt has an attempt made and accepted, and then loses its link, so that what follows needs another.
+// acceptedAttempt has an attempt made and accepted, and then loses its connection, so that what follows needs another.
 func (w *attemptHarness) acceptedAttempt() *requests.Request {
 	q := w.sendAttempt(0)
 	p := w.dialed[len(w.dialed)-1]
@@ -105,7 +106,7 @@
 	return q
 }
 
-// outcomes are the results that the module has heard of a query's attempts.
+// outcomes are the results that the policy has heard of a request's attempts.
 func (w *attemptHarness) outcomes(q *requests.Request) (results []dispatch.Result) {
 	for _, e := range w.policy.Received {
 		if o, ok := e.(dispatch.Outcome); ok && o.Job == q.ID {
@@ -131,7 +132,7 @@
 	w.runIterations()
 }
 
-// hasDelete tells whether a far end got a DELETE for a query.
+// hasDelete tells whether a far end got a DELETE for a request.
 func (p *peer) hasDelete(q *requests.Request) bool {
 	p.read(1 << 12)
 	return strings.HasPrefix(string(p.received), "DELETE /jobs/"+q.CallID+" ")
@@ -143,175 +144,189 @@
 	w.runIterations()
 }
 
-// While the DELETE waits for a connection, or for its answer, the attempt that it withdraws is out: it has neither ended nor been given up, and the
-// module is told of no end that would have it send another copy.
+// While the DELETE waits for a connection, or for its response, the attempt that it cancels is in flight: the policy hears of no
+// end that would have it send another copy.
 func TestCancelWaitsForItsConnection(t *testing.T) {
-	t.Run("comes up", func(t *testing.T) {
-		w := newAttemptHarness(t)
-		q := w.acceptedAttempt()
-		links := w.delayConnections()
-		w.runActions(dispatch.Cancel{Job: q.ID})
-		w.expect("not written yet", q)
-		if len(*links) != 1 {
-			t.Fatalf("%d connections for a DELETE", len(*links))
-		}
-		(*links)[0].release()
-		if w.runIterations(); !(*links)[0].hasDelete(q) {
-			t.Fatalf("the worker node got %q", (*links)[0].received)
-		}
-		w.expect("not answered yet", q)
-		w.respondDelete((*links)[0].peer)
-		w.expect("answered", q, dispatch.Cancelled)
-	})
-	t.Run("late, then on another", func(t *testing.T) {
-		w := newAttemptHarness(t)
-		q := w.acceptedAttempt()
-		links := w.delayConnections()
-		w.runActions(dispatch.Cancel{Job: q.ID})
+	w := newAttemptHarness(t)
+	q := w.acceptedAttempt()
+	links := w.delayConnections()
+	w.runActions(dispatch.Cancel{Job: q.ID})
+	w.expect("not written yet", q)
+	if len(*links) != 1 {
+		t.Fatalf("%d connections for a DELETE", len(*links))
+	}
+	(*links)[0].release()
+	if w.runIterations(); !(*links)[0].hasDelete(q) {
+		t.Fatalf("the worker got %q", (*links)[0].received)
+	}
+	w.expect("not answered yet", q)
+	w.respondDelete((*links)[0].peer)
+	w.expect("answered", q, dispatch.Cancelled)
+}
+
+// A DELETE whose connection does not come up in time is sent on another one.
+func TestCancelIsSentOnAnotherConnection(t *testing.T) {
+	w := newAttemptHarness(t)
+	q := w.acceptedAttempt()
+	links := w.delayConnections()
+	w.runActions(dispatch.Cancel{Job: q.ID})
+	w.now += w.loop.workers.connectTimeout
+	w.runIterations()
+	w.now += cancelRetryDelay
+	w.runIterations()
+	w.expect("the first connection was late", q)
+	if len(*links) != 2 {
+		t.Fatalf("%d connections for a DELETE", len(*links))
+	}
+	(*links)[0].release()
+	(*links)[1].release()
+	if w.runIterations(); (*links)[0].hasDelete(q) || !(*links)[1].hasDelete(q) {
+		t.Errorf("the worker got %q and %q", (*links)[0].received, (*links)[1].received)
+	}
+	w.expect("not answered yet", q)
+	w.respondDelete((*links)[1].peer)
+	w.expect("answered", q, dispatch.Cancelled)
+}
+
+// A DELETE whose connection is refused, or is reset on its way, is sent again.
+func TestCancelIsSentAgainAfterAReset(t *testing.T) {
+	w := newAttemptHarness(t)
+	q := w.acceptedAttempt()
+	links := w.delayConnections()
+	w.runActions(dispatch.Cancel{Job: q.ID})
+	(*links)[0].close()
+	w.runIterations()
+	w.expect("reset before its last byte", q)
+	w.now += cancelRetryDelay
+	w.runIterations()
+	(*links)[1].release()
+	w.runIterations()
+	w.expect("written", q)
+	(*links)[1].read(1 << 12)
+	(*links)[1].close() // without an answer: it may not have come
+	w.runIterations()
+	w.now += cancelRetryDelay
+	w.runIterations()
+	if len(*links) != 3 {
+		t.Fatalf("%d connections for a DELETE", len(*links))
+	}
+	(*links)[2].release()
+	if w.runIterations(); !(*links)[2].hasDelete(q) {
+		t.Errorf("the worker got %q", (*links)[2].received)
+	}
+	w.expect("written again", q)
+	w.respondDelete((*links)[2].peer)
+	w.expect("at the end", q, dispatch.Cancelled)
+}
+
+// A worker that does not respond to a DELETE may be cut off, and run the attempt up to its timeout.
+func TestCancelWithoutResponse(t *testing.T) {
+	w := newAttemptHarness(t)
+	q := w.acceptedAttempt()
+	links := w.delayConnections()
+	w.runActions(dispatch.Cancel{Job: q.ID})
+	(*links)[0].release()
+	w.runIterations()
+	w.expect("not answered yet", q)
+	w.now += cancelTimeout
+	w.runIterations()
+	w.expect("it may be cut off, and run it", q)
+	w.now = q.Deadline
+	w.runIterations()
+	w.expect("at the deadline", q, dispatch.TimedOut)
+}
+
+// A DELETE is given up after some connections, and the attempt runs up to its timeout.
+func TestCancelThatIsNeverWritten(t *testing.T) {
+	w := newAttemptHarness(t)
+	q := w.acceptedAttempt()
+	links := w.delayConnections()
+	w.runActions(dispatch.Cancel{Job: q.ID})
+	for range 2 * maxCancelTries {
 		w.now += w.loop.workers.connectTimeout
 		w.runIterations()
 		w.now += cancelRetryDelay
 		w.runIterations()
-		w.expect("the first connection was late", q)
-		if len(*links) != 2 {
-			t.Fatalf("%d connections for a DELETE", len(*links))
-		}
-		(*links)[0].release()
-		(*links)[1].release()
-		if w.runIterations(); (*links)[0].hasDelete(q) || !(*links)[1].hasDelete(q) {
-			t.Errorf("the worker node got %q and %q", (*links)[0].received, (*links)[1].received)
-		}
-		w.expect("not answered yet", q)
-		w.respondDelete((*links)[1].peer)
-		w.expect("answered", q, dispatch.Cancelled)
-	})
-	t.Run("refused, or reset on its way", func(t *testing.T) {
-		w := newAttemptHarness(t)
-		q := w.acceptedAttempt()
-		links := w.delayConnections()
-		w.runActions(dispatch.Cancel{Job: q.ID})
-		(*links)[0].close()
-		w.runIterations()
-		w.expect("reset before its last byte", q)
-		w.now += cancelRetryDelay
-		w.runIterations()
-		(*links)[1].release()
-		w.runIterations()
-		w.expect("written", q)
-		(*links)[1].read(1 << 12)
-		(*links)[1].close() // without an answer: it may not have come
-		w.runIterations()
-		w.now += cancelRetryDelay
-		w.runIterations()
-		if len(*links) != 3 {
-			t.Fatalf("%d connections for a DELETE", len(*links))
-		}
-		(*links)[2].release()
-		if w.runIterations(); !(*links)[2].hasDelete(q) {
-			t.Errorf("the worker node got %q", (*links)[2].received)
-		}
-		w.expect("written again", q)
-		w.respondDelete((*links)[2].peer)
-		w.expect("at the end", q, dispatch.Cancelled)
-	})
-	t.Run("hangs", func(t *testing.T) {
-		w := newAttemptHarness(t)
-		q := w.acceptedAttempt()
-		links := w.delayConnections()
-		w.runActions(dispatch.Cancel{Job: q.ID})
-		(*links)[0].release()
-		w.runIterations()
-		w.expect("not answered yet", q)
-		w.now += cancelTimeout
-		w.runIterations()
-		w.expect("it may be cut off, and run it", q)
-		w.now = q.Deadline
-		w.runIterations()
-		w.expect("at the deadline", q, dispatch.TimedOut)
-	})
-	t.Run("never", func(t *testing.T) {
-		w := newAttemptHarness(t)
-		q := w.acceptedAttempt()
-		links := w.delayConnections()
-		w.runActions(dispatch.Cancel{Job: q.ID})
-		for range 2 * maxCancelTries {
-			w.now += w.loop.workers.connectTimeout
-			w.runIterations()
-			w.now += cancelRetryDelay
-			w.runIterations()
-		}
-		w.expect("as before", q)
-		if len(*links) != maxCancelTries || w.loop.workers.openCount != 0 || len(w.loop.workers.cancelTries) != 0 {
-			t.Errorf("%d connections, %d open, %d withdrawals", len(*links), w.loop.workers.openCount, len(w.loop.workers.cancelTries))
-		}
-		w.runActions(dispatch.Cancel{Job: q.ID}) // which may be asked for again
-		if len(*links) != maxCancelTries+1 {
-			t.Error("it is not withdrawn again")
-		}
-		w.now += 5 * time.Second
-		w.runIterations()
-		w.expect("at its deadline", q, dispatch.TimedOut)
-	})
-	t.Run("no descriptor", func(t *testing.T) {
-		w := newAttemptHarness(t)
-		q := w.acceptedAttempt()
-		most := w.loop.workers.maxConnections
-		w.loop.workers.maxConnections = 0
-		w.runActions(dispatch.Cancel{Job: q.ID})
-		w.expect("no descriptor left", q)
-		w.loop.workers.maxConnections = most
-		w.now += cancelRetryDelay
-		if w.runIterations(); !w.dialed[len(w.dialed)-1].hasDelete(q) {
-			t.Error("nothing is written once there is a descriptor")
-		}
-		w.expect("not answered yet", q)
-		w.respondDelete(w.dialed[len(w.dialed)-1])
-		w.expect("answered", q, dispatch.Cancelled)
-	})
-	t.Run("done meanwhile", func(t *testing.T) {
-		w := newAttemptHarness(t)
-		q := w.acceptedAttempt()
-		links := w.delayConnections()
-		w.runActions(dispatch.Cancel{Job: q.ID})
-		w.applyCallback(q, "done")
-		w.expect("done", q, dispatch.OK)
-		(*links)[0].release()
-		if w.runIterations(); (*links)[0].hasDelete(q) || !(*links)[0].ended {
-			t.Errorf("a worker node that is done got %q", (*links)[0].received)
-		}
-		if len(w.loop.workers.cancelTries) != 0 {
-			t.Error("the withdrawal is still kept")
-		}
-	})
-	t.Run("until its deadline", func(t *testing.T) {
-		w := newAttemptHarness(t)
-		q := w.acceptedAttempt()
-		w.now = q.Deadline - 10*time.Millisecond
-		links := w.delayConnections()
-		w.runActions(dispatch.Cancel{Job: q.ID})
-		w.now = q.Deadline
-		w.runIterations()
-		w.expect("its time is over", q, dispatch.TimedOut)
-		(*links)[0].release()
-		if w.runIterations(); len(*links) != 1 || !(*links)[0].hasDelete(q) { // it may still be in a queue there
-			t.Errorf("%d connections, the worker node got %q", len(*links), (*links)[0].received)
-		}
-	})
-	t.Run("its client leaves", func(t *testing.T) {
-		w := newAttemptHarness(t)
-		q := w.acceptedAttempt()
-		links := w.delayConnections()
-		w.runActions(dispatch.Cancel{Job: q.ID})
-		w.loop.Requests.ClientDisconnected(q)
-		w.runIterations()
-		(*links)[0].release()
-		if w.runIterations(); !(*links)[0].hasDelete(q) {
-			t.Errorf("the worker node got %q", (*links)[0].received)
-		}
-		w.expect("not answered yet", q)
-		w.respondDelete((*links)[0].peer)
-		w.expect("answered", q, dispatch.Cancelled)
-	})
+	}
+	w.expect("as before", q)
+	if len(*links) != maxCancelTries || w.loop.workers.openCount != 0 || len(w.loop.workers.cancelTries) != 0 {
+		t.Errorf("%d connections, %d open, %d withdrawals", len(*links), w.loop.workers.openCount, len(w.loop.workers.cancelTries))
+	}
+	w.runActions(dispatch.Cancel{Job: q.ID}) // which may be asked for again
+	if len(*links) != maxCancelTries+1 {
+		t.Error("it is not withdrawn again")
+	}
+	w.now += 5 * time.Second
+	w.runIterations()
+	w.expect("at its deadline", q, dispatch.TimedOut)
+}
+
+// A DELETE waits for a descriptor.
+func TestCancelWithoutDescriptor(t *testing.T) {
+	w := newAttemptHarness(t)
+	q := w.acceptedAttempt()
+	most := w.loop.workers.maxConnections
+	w.loop.workers.maxConnections = 0
+	w.runActions(dispatch.Cancel{Job: q.ID})
+	w.expect("no descriptor left", q)
+	w.loop.workers.maxConnections = most
+	w.now += cancelRetryDelay
+	if w.runIterations(); !w.dialed[len(w.dialed)-1].hasDelete(q) {
+		t.Error("nothing is written once there is a descriptor")
+	}
+	w.expect("not answered yet", q)
+	w.respondDelete(w.dialed[len(w.dialed)-1])
+	w.expect("answered", q, dispatch.Cancelled)
+}
+
+// A DELETE is not written once the worker has said that the attempt is done.
+func TestCancelOfAnAttemptThatIsDone(t *testing.T) {
+	w := newAttemptHarness(t)
+	q := w.acceptedAttempt()
+	links := w.delayConnections()
+	w.runActions(dispatch.Cancel{Job: q.ID})
+	w.applyCallback(q, "done")
+	w.expect("done", q, dispatch.OK)
+	(*links)[0].release()
+	if w.runIterations(); (*links)[0].hasDelete(q) || !(*links)[0].ended {
+		t.Errorf("a worker that is done got %q", (*links)[0].received)
+	}
+	if len(w.loop.workers.cancelTries) != 0 {
+		t.Error("the withdrawal is still kept")
+	}
+}
+
+// A DELETE is written though the attempt has timed out meanwhile: it may still be in a queue there.
+func TestCancelUpToTheDeadline(t *testing.T) {
+	w := newAttemptHarness(t)
+	q := w.acceptedAttempt()
+	w.now = q.Deadline - 10*time.Millisecond
+	links := w.delayConnections()
+	w.runActions(dispatch.Cancel{Job: q.ID})
+	w.now = q.Deadline
+	w.runIterations()
+	w.expect("its time is over", q, dispatch.TimedOut)
+	(*links)[0].release()
+	if w.runIterations(); len(*links) != 1 || !(*links)[0].hasDelete(q) { // it may still be in a queue there
+		t.Errorf("%d connections, the worker got %q", len(*links), (*links)[0].received)
+	}
+}
+
+// A DELETE is written though the client has left meanwhile.
+func TestCancelOfADisconnectedClient(t *testing.T) {
+	w := newAttemptHarness(t)
+	q := w.acceptedAttempt()
+	links := w.delayConnections()
+	w.runActions(dispatch.Cancel{Job: q.ID})
+	w.loop.Requests.ClientDisconnected(q)
+	w.runIterations()
+	(*links)[0].release()
+	if w.runIterations(); !(*links)[0].hasDelete(q) {
+		t.Errorf("the worker got %q", (*links)[0].received)
+	}
+	w.expect("not answered yet", q)
+	w.respondDelete((*links)[0].peer)
+	w.expect("answered", q, dispatch.Cancelled)
 }
 
 // A DELETE that waits for its connection when a process is replaced is sent by the one that goes on.
@@ -329,7 +344,7 @@
 	}
 	next.runIterations()
 	if p := next.dialed[len(next.dialed)-1]; !p.hasDelete(q) {
-		t.Errorf("the worker node got %q", p.received)
+		t.Errorf("the worker got %q", p.received)
 	}
 	next.expect("not answered yet", q)
 	next.respondDelete(next.dialed[len(next.dialed)-1])
@@ -363,7 +378,7 @@
 	}
 }
 
-// A worker node that has an attempt which has neither ended nor been given up gets no second one, whatever the module wants.
+// A worker that has an attempt which has neither ended nor been given up gets no second one, whatever the policy wants.
 func TestOneAttemptAtOneWorker(t *testing.T) {
 	w := newAttemptHarness(t)
 	q := w.sendAttempt(0)
@@ -408,86 +423,92 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// A worker node is told at most what is left to the client when the attempt is sent, however late that is.
+// A worker is given at most the time that remains when the attempt is sent, however late the connection comes up.
 func TestBudgetIsRemainingTime(t *testing.T) {
-	t.Run("comes up late", func(t *testing.T) {
-		w := newAttemptHarness(t)
-		links := w.delayConnections()
-		q := w.sendAttempt(0)
-		w.now += w.loop.workers.connectTimeout - time.Millisecond
-		(*links)[0].release()
-		w.runIterations()
-		(*links)[0].read(1 << 12)
-		if got, remaining := (*links)[0].budgetSent(t), q.Deadline-w.now; got > remaining || got < remaining-time.Millisecond {
-			t.Errorf("told %v, %v are left", got, remaining)
-		}
-	})
-	t.Run("a turn that takes long", func(t *testing.T) {
-		w := newAttemptHarness(t)
-		links := w.delayConnections()
-		q := w.sendAttempt(0)
-		(*links)[0].release()
-		reads := 0
-		w.clock = func() time.Duration { // from the start of the turn on
-			if reads++; reads > 1 {
-				return w.now + 300*time.Millisecond
-			}
-			return w.now
-		}
-		w.runIterations()
-		(*links)[0].read(1 << 12)
-		if got, remaining := (*links)[0].budgetSent(t), q.Deadline-w.now-300*time.Millisecond; got > remaining {
-			t.Errorf("told %v, %v are left", got, remaining)
+	w := newAttemptHarness(t)
+	links := w.delayConnections()
+	q := w.sendAttempt(0)
+	w.now += w.loop.workers.connectTimeout - time.Millisecond
+	(*links)[0].release()
+	w.runIterations()
+	(*links)[0].read(1 << 12)
+	if got, remaining := (*links)[0].budgetSent(t), q.Deadline-w.now; got > remaining || got < remaining-time.Millisecond {
+		t.Errorf("told %v, %v are left", got, remaining)
+	}
+}
+
+// The time that an iteration takes is off the budget.
+func TestBudgetInALongIteration(t *testing.T) {
+	w := newAttemptHarness(t)
+	links := w.delayConnections()
+	q := w.sendAttempt(0)
+	(*links)[0].release()
+	reads := 0
+	w.clock = func() time.Duration { // from the start of the turn on
+		if reads++; reads > 1 {
+			return w.now + 300*time.Millisecond
 		}
-	})
-	t.Run("comes up too late", func(t *testing.T) {
-		w := newAttemptHarness(t)
-		links := w.delayConnections()
-		q := w.sendAttempt(0)
-		p := (*links)[0]
-		w.loop.workers.byAttempt[w.loop.Requests.InFlightAttempt(q.ID, 0)].setTimeout(time.Hour) // a connection may take as long as a query
-		w.now = q.Deadline
-		p.release()
+		return w.now
+	}
+	w.runIterations()
+	(*links)[0].read(1 << 12)
+	if got, remaining := (*links)[0].budgetSent(t), q.Deadline-w.now-300*time.Millisecond; got > remaining {
+		t.Errorf("told %v, %v are left", got, remaining)
+	}
+}
+
+// With no time remaining nothing is sent.
+func TestNothingIsSentWithoutBudget(t *testing.T) {
+	w := newAttemptHarness(t)
+	links := w.delayConnections()
+	q := w.sendAttempt(0)
+	p := (*links)[0]
+	w.loop.workers.byAttempt[w.loop.Requests.InFlightAttempt(q.ID, 0)].setTimeout(time.Hour) // a connection may take as long as a request
+	w.now = q.Deadline
+	p.release()
+	w.runIterations()
+	if p.read(1 << 12); len(p.received) > 0 || !p.ended {
+		t.Errorf("with no time left %q was sent, closed %v", p.received, p.ended)
+	}
+	w.expect("out of time", q, dispatch.TimedOut)
+}
+
+// The time in which a request goes in parts is off the budget.
+func TestBudgetOfARequestInParts(t *testing.T) {
+	w := newAttemptHarness(t)
+	q := w.sendAttempt(http1.MaxBodySize)
+	p := w.dialed[0]
+	w.now += w.loop.workers.connectTimeout - time.Millisecond
+	for range 64 {
 		w.runIterations()
-		if p.read(1 << 12); len(p.received) > 0 || !p.ended {
-			t.Errorf("with no time left %q was sent, closed %v", p.received, p.ended)
-		}
-		w.expect("out of time", q, dispatch.TimedOut)
-	})
-	t.Run("goes in parts", func(t *testing.T) {
-		w := newAttemptHarness(t)
-		q := w.sendAttempt(http1.MaxBodySize)
-		p := w.dialed[0]
-		w.now += w.loop.workers.connectTimeout - time.Millisecond
-		for range 64 {
-			w.runIterations()
-			p.read(1 << 20)
-		}
-		var m http1.Request
-		if _, err := m.Parse(p.received); err != nil {
-			t.Fatalf("%d bytes came: %v", len(p.received), err)
-		}
-		if got, remaining := p.budgetSent(t), q.Deadline-w.now; got > remaining {
-			t.Errorf("told %v, %v were left with the last byte", got, remaining)
-		}
-	})
-	t.Run("stays in parts", func(t *testing.T) {
-		w := newAttemptHarness(t)
-		q := w.sendAttempt(http1.MaxBodySize)
-		p := w.dialed[0]
-		p.read(50)
+		p.read(1 << 20)
+	}
+	var m http1.Request
+	if _, err := m.Parse(p.received); err != nil {
+		t.Fatalf("%d bytes came: %v", len(p.received), err)
+	}
+	if got, remaining := p.budgetSent(t), q.Deadline-w.now; got > remaining {
+		t.Errorf("told %v, %v were left with the last byte", got, remaining)
+	}
+}
+
+// A request that does not go whole within the time for a connection is not sent.
+func TestRequestThatStaysInParts(t *testing.T) {
+	w := newAttemptHarness(t)
+	q := w.sendAttempt(http1.MaxBodySize)
+	p := w.dialed[0]
+	p.read(50)
+	w.runIterations()
+	w.now += w.loop.workers.connectTimeout
+	for range 64 {
 		w.runIterations()
-		w.now += w.loop.workers.connectTimeout
-		for range 64 {
-			w.runIterations()
-			p.read(1 << 20)
-		}
-		var m http1.Request
-		if _, err := m.Parse(p.received); err == nil || !p.ended {
-			t.Errorf("the rest came too, closed %v", p.ended)
-		}
-		w.expect("never whole", q, dispatch.ConnectFailed)
-	})
+		p.read(1 << 20)
+	}
+	var m http1.Request
+	if _, err := m.Parse(p.received); err == nil || !p.ended {
+		t.Errorf("the rest came too, closed %v", p.ended)
+	}
+	w.expect("never whole", q, dispatch.ConnectFailed)
 }
 
 // 'Has it run?' follows from the last byte, also where the connection is reset in the very moment.
@@ -524,13 +545,13 @@
 			w.runIterations()
 			w.expect(name, q, x.want...)
 			if w.loop.workers.openCount != 0 {
-				t.Error("the link is still kept")
+				t.Error("the connection is still kept")
 			}
 		})
 	}
 }
 
-// A call-back may come before the 202, and twice. It counts once, and the link is free with the 202 all the same.
+// A call-back may come before the 202, and twice. It counts once, and the connection is free with the 202 all the same.
 func TestCallbackBeforeTheAcceptance(t *testing.T) {
 	for state, want := range map[string]dispatch.Result{"done": dispatch.OK, "returned": dispatch.WorkerFull, "failed": dispatch.Failed, "lost": dispatch.ConnectionReset} {
 		t.Run(state, func(t *testing.T) {
@@ -548,14 +569,14 @@
 			w.now += reuseDelay
 			next := w.sendAttempt(0)
 			if p.read(1 << 12); len(w.dialed) != 1 || !strings.Contains(string(p.received), "X-Call-Id: "+next.CallID+"\r\n") {
-				t.Errorf("%d links, the free one carries %q", len(w.dialed), p.received)
+				t.Errorf("%d connections, the free one carries %q", len(w.dialed), p.received)
 			}
 			w.expect("of the next", next)
 		})
 	}
 }
 
-// A second answer is never that of the next request, wherever it comes: its link ends, or does not carry until none is due.
+// A second answer is never that of the next request, wherever it comes: its connection ends, or does not carry until none is due.
 func TestStrayResponse(t *testing.T) {
 	const refused = "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, far := range map[string]func(w *attemptHarness, p *peer){
@@ -607,12 +628,12 @@
 			far(w, p)
 			next := w.sendAttempt(0)
 			if p.read(1 << 12); len(p.received) > 0 {
-				t.Errorf("the link carries %.60q", p.received)
+				t.Errorf("the connection carries %.60q", p.received)
 			}
 			w.expect("the first", q)
 			w.expect("the next", next)
 			if !p.ended {
-				t.Error("the link goes on")
+				t.Error("the connection goes on")
 			}
 			last := w.dialed[len(w.dialed)-1]
 			if last.read(1 << 12); !strings.Contains(string(last.received), "X-Call-Id: "+next.CallID+"\r\n") {
@@ -623,7 +644,7 @@
 			w.expect("the next by its own answer", next, dispatch.Failed)
 		})
 	}
-	// What a link was used for before has a word of its own, so its second answer is known for what it is.
+	// What a connection was used for before has a word of its own, so its second answer is known for what it is.
 	t.Run("to a probe", func(t *testing.T) {
 		w := newAttemptHarness(t)
 		const alive = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -634,13 +655,13 @@
 		w.runIterations()
 		q := w.sendAttempt(0)
 		if len(w.dialed) != 1 {
-			t.Fatal("the link of a probe does not carry")
+			t.Fatal("the connection of a probe does not carry")
 		}
 		p.write([]byte(alive))
 		w.runIterations()
 		w.expect("no word of its own", q, dispatch.ConnectionReset)
 		if p.read(1 << 12); !p.ended {
-			t.Error("the link goes on")
+			t.Error("the connection goes on")
 		}
 	})
 	t.Run("of a request, to a probe", func(t *testing.T) {
@@ -654,7 +675,7 @@
 		p.write([]byte(acceptedResponse))
 		w.runIterations()
 		if got, _ := w.policy.Received[len(w.policy.Received)-1].(dispatch.HealthChecked); got.Result != dispatch.NotSent || len(w.dialed) != 1 {
-			t.Errorf("the probe ended as %v on %d links", got.Result, len(w.dialed))
+			t.Errorf("the probe ended as %v on %d connections", got.Result, len(w.dialed))
 		}
 	})
 }
@@ -686,12 +707,12 @@
 		w.runIterations()
 		w.expect(fmt.Sprintf("%q, closed", text), q, want...)
 		if w.loop.workers.openCount != 0 || len(w.loop.workers.byAttempt) != 0 {
-			t.Errorf("%q: the link is still kept", text)
+			t.Errorf("%q: the connection is still kept", text)
 		}
 	}
 }
 
-// An answer without end ends its link within its bound, and nothing else suffers.
+// An answer without end ends its connection within its bound, and nothing else suffers.
 func TestEndlessResponse(t *testing.T) {
 	for name, x := range map[string]struct{ header, again string }{
 		"a status line":          {"", "HTTP/1.1 202 Accepted "},
@@ -730,7 +751,7 @@
 	}
 }
 
-// An answer that comes before our last byte is written ends the link, so the worker node never has it whole and can't run it.
+// An answer that comes before our last byte is written ends the connection, so the worker never has it whole and can't run it.
 func TestResponseBeforeTheLastByte(t *testing.T) {
 	for text, want := range map[string]dispatch.Result{
 		acceptedResponse: dispatch.ConnectFailed,
