--- a/internal/link/client_closing_test.go
+++ b/internal/link/client_closing_test.go
@@ -143,7 +143,7 @@
 			for w.loop.clients.evict() {
 			}
 		},
-		"idle": func(w *harness) { // before the turn in which what has come is told
+		"idle": func(w *harness) { // before the iteration that has an event for what has come
 			w.now += requestReadTimeout + expiryInterval
 			w.loop.UpdateNow()
 			w.loop.clients.closeExpired()
@@ -203,8 +203,8 @@
 	}
 }
 
-// Whatever connects and stays silent, the connections never hold more descriptors than they may, not even within a turn; each that
-// comes is let in within a few turns, so that a request, a callback and a question after readiness get through.
+// Whatever connects and stays silent, the connections never hold more descriptors than they may, not even within an iteration; each that
+// comes is let in within a few iterations, so that a request, a callback and a question after readiness get through.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
 	w.listen()
--- a/internal/link/client_connection_test.go
+++ b/internal/link/client_connection_test.go
@@ -45,7 +45,7 @@
 
 func numberedRequest(text string, n int) string { return strings.ReplaceAll(text, "#", fmt.Sprint(n)) }
 
-// A client connection answers each request exactly once and in turn, whatever the pieces it comes in and whichever is
+// A client connection answers each request exactly once and in order, whatever the pieces it comes in and whichever is
 // done first, closes when framing is lost, and tells when the client has gone.
 func FuzzClientConnection(f *testing.F) { modeltest.Fuzz(f, runClientConnection) }
 
@@ -138,7 +138,7 @@
 	}
 }
 
-// checkDisconnected checks that the policy has heard of a client that has gone, once for each open request.
+// checkDisconnected checks that the policy has received an event for a client that has gone, once for each open request.
 func (m *clientModel) checkDisconnected() {
 	disconnected, open := 0, 0
 	for _, e := range m.policy.Received {
@@ -155,13 +155,13 @@
 	m.Check(!closed && disconnected == 0 || closed && disconnected == open, "told gone %d times, %d requests open, closed %v", disconnected, open, closed)
 }
 
-// expectedResponse is an answer that is due; status 0: once the policy has given it.
+// expectedResponse is a response that is due; status 0: once the policy has decided.
 type expectedResponse struct {
 	status int
 	job    uint64
 }
 
-// checkResponses expects exactly the answers that are due by now, in turn, and returns what is owed still.
+// checkResponses expects exactly the answers that are due by now, in order, and returns what is owed still.
 func (w *harness) checkResponses(p *peer, expected []expectedResponse) []expectedResponse {
 	for !p.closed && len(p.received) > 0 {
 		if strings.HasPrefix(string(p.received), http1.ContinueResponse) {
--- a/internal/link/client_disconnect_test.go
+++ b/internal/link/client_disconnect_test.go
@@ -13,7 +13,7 @@
 	"valvecove/internal/requests"
 )
 
-// A client that leaves is gone for the policy before that turn's sends, wherever its requests are by then: nothing of
+// A client that leaves is gone for the policy before that iteration's sends, wherever its requests are by then: nothing of
 // them is sent on, and its connection is closed. What it leaves by is all the same, an end or a reset.
 func TestClientGoneBeforeTheSends(t *testing.T) {
 	many := func(n, size int) (text string) {
@@ -86,7 +86,7 @@
 	}
 }
 
-// A worker's word that came before its connection broke is heard; a request that did is not taken.
+// A worker's callback that came before its connection broke is applied; a request that did is not admitted.
 func TestCallbackBeforeAReset(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
 	w.listen()
@@ -105,7 +105,7 @@
 	}
 }
 
-// A client that has only finished writing gets the answer to each request that it wrote, in turn and with their bytes
+// A client that has only finished writing gets the answer to each request that it wrote, in order, and with their bytes
 // unharmed, also to those that were not looked at yet, or not even read, when it did; and then the end.
 func TestHalfClosedClientsAreAnswered(t *testing.T) {
 	for _, size := range []int{0, 2 << 10, 8 << 10} {
@@ -178,7 +178,7 @@
 	}
 }
 
-// What has ended and still has answers to take leaves the loop in peace: it is not told of the end over and over.
+// What has ended and still has answers to take leaves the loop in peace: there are no further events for the end.
 func TestEndOfInputWakesTheLoopOnce(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
 	p, fd := w.socketPair()
@@ -199,7 +199,7 @@
 }
 
 // A client that leaves while its request is on the way to a worker stops what is not wholly written, also if the
-// connection there comes up in the same turn. What was accepted runs on, and no copy of it is sent.
+// connection there comes up in the same iteration. What was accepted runs on, and no copy of it is sent.
 func TestClientGoneOnTheWay(t *testing.T) {
 	for stage, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize, "accepted": 0} {
 		for how, leave := range map[string]func(*peer){"end": (*peer).close, "reset": (*peer).reset} {
@@ -252,7 +252,7 @@
 	}
 }
 
-// The time of a request counts from when its last byte came, also if it had to wait for its turn on its connection.
+// The time of a request counts from when its last byte came, also if it had to wait for the requests before it on its connection.
 func TestTimeCountsFromArrival(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
 	w.listen()
--- a/internal/link/descriptors_test.go
+++ b/internal/link/descriptors_test.go
@@ -11,7 +11,7 @@
 	"valvecove/internal/modeltest"
 )
 
-// A burst of clients that leave is taken in whole before the turn's sends, however many they are.
+// A burst of clients that leave is taken in whole before the iteration's sends, however many they are.
 func TestBurstOfClientsGone(t *testing.T) {
 	const clients = 400
 	w := newHarness(&modeltest.Steps{T: t})
@@ -36,7 +36,7 @@
 	}
 }
 
-// A descriptor given up in a turn is free again before that turn's sends open others: counted twice, they would go over the
+// A descriptor given up in an iteration is free again before that iteration's sends open others: counted twice, they would go over the
 // limit, and an attempt fail for want of one.
 func TestDescriptorsAreFreeBeforeTheSends(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
--- a/internal/link/generated_settings_test.go
+++ b/internal/link/generated_settings_test.go
@@ -25,7 +25,7 @@
 	"valvecove/internal/requests"
 )
 
-// deployment is a world round a loop with the policy that decides in service, both by settings that a seed draws:
+// deployment is a harness round a loop with the policy that decides in service, both by settings that a seed draws:
 // clients, workers and discovery are peers, and what they see is judged by the settings alone.
 type deployment struct {
 	*harness
--- a/internal/link/harness_tcp_test.go
+++ b/internal/link/harness_tcp_test.go
@@ -14,7 +14,7 @@
 	"valvecove/internal/http1"
 )
 
-// listen has the world's loop accept TCP connections: only there does an end come as a reset.
+// listen has the harness's loop accept TCP connections: only there does an end come as a reset.
 func (w *harness) listen() {
 	fd, err := w.loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients)
 	if err != nil {
@@ -51,7 +51,7 @@
 // closeWrite ends what the peer writes; it still reads.
 func (p *peer) closeWrite() { _ = unix.Shutdown(p.fd, unix.SHUT_WR) }
 
-// writeAll writes all of b, with a turn whenever the loop's side has to read first.
+// writeAll writes all of b, with an iteration whenever the loop's side has to read first.
 func (w *harness) writeAll(p *peer, b []byte) {
 	for idle := 0; len(b) > 0 && idle < 100; {
 		n, err := unix.Write(p.fd, b)
@@ -70,7 +70,7 @@
 	}
 }
 
-// runUntilQuiet turns the loop until nothing is ready any more.
+// runUntilQuiet runs the loop until nothing is ready any more.
 func (w *harness) runUntilQuiet() {
 	for range 10_000 {
 		w.runOnce()
@@ -82,7 +82,7 @@
 	w.T.Fatal("the loop finds no rest")
 }
 
-// runOnce is a single turn of the loop, with a single step at most.
+// runOnce is a single iteration of the loop, with a single step at most.
 func (w *harness) runOnce() {
 	if err := w.loop.RunOnce(0); err != nil {
 		w.T.Fatal(err)
--- a/internal/link/harness_test.go
+++ b/internal/link/harness_test.go
@@ -16,7 +16,7 @@
 )
 
 // harness is a loop whose connections lead to the test itself: their other ends are sockets that it reads and writes
-// between turns, on a clock of its own.
+// between iterations, on a clock of its own.
 type harness struct {
 	*modeltest.Steps
 	loop   *Loop
--- a/internal/link/worker_attempts_test.go
+++ b/internal/link/worker_attempts_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// attemptHarness is a world with requests that are sent to its one worker.
+// attemptHarness is a harness with requests that are sent to its one worker.
 type attemptHarness struct {
 	*harness
 	requests []*requests.Request
@@ -70,7 +70,7 @@
 	return &attemptHarness{harness: newHarness(&modeltest.Steps{T: t})}
 }
 
-// runActions has the policy do something in one turn.
+// runActions has the policy do something in one iteration.
 func (w *attemptHarness) runActions(actions ...dispatch.Action) {
 	w.policy.Next = append(w.policy.Next, actions...)
 	w.loop.Requests.Wake()
@@ -106,7 +106,7 @@
 	return q
 }
 
-// outcomes are the results that the policy has heard of a request's attempts.
+// outcomes are the results that the policy has received for a request's attempts.
 func (w *attemptHarness) outcomes(q *requests.Request) (results []dispatch.Result) {
 	for _, e := range w.policy.Received {
 		if o, ok := e.(dispatch.Outcome); ok && o.Job == q.ID {
@@ -444,7 +444,7 @@
 	q := w.sendAttempt(0)
 	(*links)[0].release()
 	reads := 0
-	w.clock = func() time.Duration { // from the start of the turn on
+	w.clock = func() time.Duration { // from the start of the iteration on
 		if reads++; reads > 1 {
 			return w.now + 300*time.Millisecond
 		}
--- a/internal/link/worker_connection_test.go
+++ b/internal/link/worker_connection_test.go
@@ -204,7 +204,7 @@
 	return false
 }
 
-// checkOutcomes checks what the policy heard against what the worker saw.
+// checkOutcomes checks what the policy received against what the worker saw.
 func (m *workerModel) checkOutcomes() {
 	results := map[uint64][]dispatch.Result{}
 	for _, e := range m.policy.Received {
@@ -226,7 +226,7 @@
 	}
 }
 
-// checkOutcome checks the result that the policy heard of an attempt.
+// checkOutcome checks the result that the policy received for an attempt.
 func (m *workerModel) checkOutcome(sent *sentAttempt, got dispatch.Result) {
 	m.Check(got != dispatch.Cancelled || !sent.isKnown || sent.isCancelled, "given up, and its worker does not know")
 	switch {
@@ -330,7 +330,7 @@
 	if last.read(1); !last.ended {
 		t.Error("a connection was kept close to the idle limit")
 	}
-	// Closed since the turn's events were gathered: nothing may be written to it.
+	// Closed since the iteration's events were gathered: nothing may be written to it.
 	idle, links := send(), len(w.dialed)
 	idle.close()
 	w.policy.Next = append(w.policy.Next, dispatch.HealthCheck{Worker: w.workerNumber()})
