--- a/internal/testbed/platform/golden_test.go
+++ b/internal/testbed/platform/golden_test.go
@@ -1,7 +1,6 @@
 package platform
 
 import (
-	"reflect"
 	"testing"
 
 	"valvecove/internal/config"
@@ -10,14 +9,12 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// The golden file is what the lab of d2a7518 told a scheduler by. It is never regenerated except under a new form number.
+// The golden file was written by the build of d2a7518. It is never regenerated except under a new form number.
 const goldenConfig = "config-1.json"
 
-// goldenScenario gives each part of the configuration something to say.
+// goldenScenario gives each part of the configuration a value.
 func goldenScenario() (*scenario.Scenario, Options) {
-	spec := scenario.Default()
-	spec.Schedulers.Count, spec.Fleet.Zones = 3, []string{"a", "b"}
-	spec.Classes[2].Kind = "slow-4c"
+	spec := testScenario()
 	spec.Clients.MarkRetry = true
 	return spec, Options{
 		Name: "s1", Listen: "127.0.0.1:9000", Discovery: "127.0.0.1:8500", Seed: 0xfe,
@@ -28,23 +25,29 @@
 	}
 }
 
-func TestGoldenConfigIsWrittenToTheSameBytes(t *testing.T) {
+func TestConfig_GoldenBytes(t *testing.T) {
 	spec, options := goldenScenario()
 	storedform.CheckGolden(t, goldenConfig, Config(spec, 1, options))
 }
 
-func TestGoldenConfigIsRead(t *testing.T) {
-	c, err := config.Decode(storedform.Golden(t, goldenConfig), none)
+func TestConfig_GoldenIsRead(t *testing.T) {
+	decoded, err := config.Decode(storedform.Golden(t, goldenConfig), environment)
 	if err != nil {
 		t.Fatal(err)
 	}
 	spec, options := goldenScenario()
 	settings, err := Settings(spec, 1)
-	if err != nil || c.Name != "s1" || c.Seed != 0xfe || c.Listen.Port() != 9000 || !reflect.DeepEqual(c.KnownEndpoints, options.KnownEndpoints) ||
-		!reflect.DeepEqual(c.Settings, settings) {
-		t.Errorf("read %+v, %v", c, err)
+	if err != nil {
+		t.Fatal(err)
 	}
+	checkFields(t, []field{
+		{"name", decoded.Name, "s1"},
+		{"seed", decoded.Seed, uint64(0xfe)},
+		{"port", decoded.Listen.Port(), uint16(9000)},
+		{"known endpoints", decoded.KnownEndpoints, options.KnownEndpoints},
+		{"settings", decoded.Settings, settings},
+	})
 }
 
-// What the configuration's text calls its parts stands in tags.
-func TestConfigurationIsTagged(t *testing.T) { storedform.CheckTags(t, configuration{}) }
+// The configuration's names in JSON stand in tags.
+func TestConfiguration_IsTagged(t *testing.T) { storedform.CheckTags(t, configuration{}) }
--- a/internal/testbed/platform/platform_test.go
+++ b/internal/testbed/platform/platform_test.go
@@ -1,8 +1,8 @@
 package platform
 
 import (
+	"math"
 	"reflect"
-	"strings"
 	"testing"
 	"time"
 
@@ -12,67 +12,137 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-func none(string) string { return "" }
+// environment is one without variables.
+func environment(string) string { return "" }
 
-// A scheduler reads in the text what the scenario says, and nothing in it is unknown to it or out of its bounds.
-func TestConfig(t *testing.T) {
+// field is one value of a decoded configuration, with the value that the scenario gives it.
+type field struct {
+	name      string
+	got, want any
+}
+
+func checkFields(t *testing.T, fields []field) {
+	t.Helper()
+	for _, f := range fields {
+		if !reflect.DeepEqual(f.got, f.want) {
+			t.Errorf("%s: got %v, want %v", f.name, f.got, f.want)
+		}
+	}
+}
+
+// testScenario has two zones, and a class that is bound to a kind of worker.
+func testScenario() *scenario.Scenario {
 	spec := scenario.Default()
-	spec.Schedulers.Count, spec.Fleet.Zones = 3, []string{"a", "b"}
+	spec.Schedulers.Count = 3
+	spec.Fleet.Zones = []string{"a", "b"}
 	spec.Classes[2].Kind = "slow-4c"
+	return spec
+}
+
+func decodeConfig(t *testing.T, spec *scenario.Scenario) config.Config {
+	t.Helper()
 	text := Config(spec, 1, Options{
 		Listen: "127.0.0.1:9000", Discovery: "127.0.0.1:8500", Seed: 0xfe,
 		KnownEndpoints: requests.EndpointList{Revision: 4, Endpoints: []requests.Endpoint{{ID: "w-1", Addr: "127.0.0.2:1"}}},
 	})
-	c, err := config.Decode(text, none)
+	decoded, err := config.Decode(text, environment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n1" || c.Seed != 0xfe || c.Listen.Port() != 9000 || c.Limits.Sockets != spec.Schedulers.Sockets ||
-		c.KnownEndpoints.Revision != 4 || len(c.KnownEndpoints.Endpoints) != 1 {
-		t.Errorf("read %+v", c)
-	}
-	set := c.Settings
-	if set.Replicas != 3 || set.ReplicaIndex != 1 || set.Zone != 1 || !set.MustSubscribe || set.AttemptLimit != 6 ||
-		set.ConnectTimeout != 250*time.Millisecond || set.MaxRetryAfter != 2*time.Second || set.OverloadFactor != 3 ||
-		set.OverloadWindow != 2*time.Second || set.WarmUp != 8*time.Second || set.WarmUpCapacity != 0.35 || !set.StartNotifications ||
-		set.ProgressInterval != 2*time.Second || set.PollInterval != 10*time.Second || len(set.ReportFields) != 0 ||
-		set.HealthCheckCost != healthCheckPrice {
-		t.Errorf("settings %+v", set.Settings)
-	}
+	return decoded
+}
+
+// A scheduler accepts the configuration and reads in it what the scenario says.
+func TestConfig(t *testing.T) {
+	spec := testScenario()
+	decoded := decodeConfig(t, spec)
+	set := decoded.Settings
+	checkFields(t, []field{
+		{"name", decoded.Name, "n1"},
+		{"seed", decoded.Seed, uint64(0xfe)},
+		{"port", decoded.Listen.Port(), uint16(9000)},
+		{"sockets", decoded.Limits.Sockets, spec.Schedulers.Sockets},
+		{"revision", decoded.KnownEndpoints.Revision, int64(4)},
+		{"endpoints", len(decoded.KnownEndpoints.Endpoints), 1},
+		{"replicas", set.Replicas, 3},
+		{"replica index", set.ReplicaIndex, 1},
+		{"zone", set.Zone, 1},
+		{"must subscribe", set.MustSubscribe, true},
+		{"attempt limit", set.AttemptLimit, 6},
+		{"connect timeout", set.ConnectTimeout, 250 * time.Millisecond},
+		{"max retry after", set.MaxRetryAfter, 2 * time.Second},
+		{"overload factor", set.OverloadFactor, 3.0},
+		{"overload window", set.OverloadWindow, 2 * time.Second},
+		{"warm-up", set.WarmUp, 8 * time.Second},
+		{"warm-up capacity", set.WarmUpCapacity, 0.35},
+		{"start notifications", set.StartNotifications, true},
+		{"progress interval", set.ProgressInterval, 2 * time.Second},
+		{"poll interval", set.PollInterval, 10 * time.Second},
+		{"report fields", len(set.ReportFields), 0},
+		{"health check cost", set.HealthCheckCost, healthCheckPrice},
+		{"machine types", set.Names.MachineTypes, []string{"std-4c", "slow-4c"}},
+		{"zones", set.Names.Zones, []string{"a", "b"}},
+	})
+}
+
+func TestConfig_Classes(t *testing.T) {
+	set := decodeConfig(t, testScenario()).Settings
 	check, payout, credit := set.Classes[0], set.Classes[2], set.Classes[3]
-	if check.LatencyObjective != 80*time.Millisecond || check.ObjectiveStretch != 2.5 || check.ClientTimeout != 5*time.Second ||
-		check.Idempotency != dispatch.Idempotent || check.PriorityWeight != 2 || check.Kinds != nil ||
-		payout.Idempotency != dispatch.NonIdempotent || !reflect.DeepEqual(payout.Kinds, []int{1}) ||
-		credit.Idempotency != dispatch.IdempotentWithKey || credit.DeduplicationScope != dispatch.ScopeCell || credit.DeduplicationWindow != 20*time.Second {
-		t.Errorf("classes %+v", set.Classes)
-	}
-	if got := strings.Join(set.Names.MachineTypes, " ") + " " + strings.Join(set.Names.Zones, " "); got != "std-4c slow-4c a b" {
-		t.Errorf("names %s", got)
-	}
-	// The quotas add up to the part of the capacity that is given away, in jobs a second.
+	checkFields(t, []field{
+		{"latency objective", check.LatencyObjective, 80 * time.Millisecond},
+		{"objective stretch", check.ObjectiveStretch, 2.5},
+		{"client timeout", check.ClientTimeout, 5 * time.Second},
+		{"idempotency", check.Idempotency, dispatch.Idempotent},
+		{"priority weight", check.PriorityWeight, 2.0},
+		{"kinds of any", check.Kinds, []int(nil)},
+		{"idempotency of payout", payout.Idempotency, dispatch.NonIdempotent},
+		{"kinds of payout", payout.Kinds, []int{1}},
+		{"idempotency of credit", credit.Idempotency, dispatch.IdempotentWithKey},
+		{"deduplication scope", credit.DeduplicationScope, dispatch.ScopeCell},
+		{"deduplication window", credit.DeduplicationWindow, 20 * time.Second},
+	})
+}
+
+// The quotas sum to the part of the capacity that the scenario gives away, in jobs a second.
+func TestConfig_Quotas(t *testing.T) {
+	spec := testScenario()
 	sum := 0.0
-	for _, q := range set.TenantQuota {
-		sum += q
+	for _, quota := range decodeConfig(t, spec).Settings.TenantQuota {
+		sum += quota
 	}
-	if want := spec.Load.Quota * spec.Capacity() / spec.MeanCost(); sum < want*0.999 || sum > want*1.001 {
-		t.Errorf("quotas add up to %v, expected %v", sum, want)
+	want := spec.Load.Quota * spec.Capacity() / spec.MeanCost()
+	if math.Abs(sum-want) > 0.001*want {
+		t.Errorf("quotas sum to %v, want %v", sum, want)
 	}
-	same, err := Settings(spec, 1)
-	if err != nil || !reflect.DeepEqual(same, set) {
-		t.Errorf("settings alone differ: %+v, %v", same, err)
+}
+
+func TestSettings_AsInConfig(t *testing.T) {
+	spec := testScenario()
+	set, err := Settings(spec, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := decodeConfig(t, spec).Settings; !reflect.DeepEqual(set, want) {
+		t.Errorf("got %+v, want %+v", set, want)
 	}
 }
 
-// What one kind of worker node does not tell can't be relied on, and the weakest start is the one that counts.
-func TestKindsThatDiffer(t *testing.T) {
+// Of kinds that differ, the settings have what holds for all.
+func TestSettings_KindsThatDiffer(t *testing.T) {
 	spec := scenario.Default()
-	spec.Fleet.Kinds[1].OmitsStartNotifications, spec.Fleet.Kinds[1].WarmUpCapacity = true, 0.2
-	spec.Fleet.Kinds[0].WarmUp, spec.Fleet.Kinds[0].QueueOrder = scenario.Duration(12*time.Second), "backfill"
+	spec.Fleet.Kinds[1].OmitsStartNotifications = true
+	spec.Fleet.Kinds[1].WarmUpCapacity = 0.2
+	spec.Fleet.Kinds[0].WarmUp = scenario.Duration(12 * time.Second)
+	spec.Fleet.Kinds[0].QueueOrder = queueBackfill
 	set, err := Settings(spec, 0)
-	if err != nil || set.StartNotifications || set.ProgressInterval != 0 || set.WarmUpCapacity != 0.2 || set.WarmUp != 12*time.Second {
-		t.Errorf("%+v, %v", set.Settings, err)
-	}
-	if order := newSettings(spec, 0).Domain.QueueOrder; order != "fifo" {
-		t.Errorf("queue order %s", order)
+	if err != nil {
+		t.Fatal(err)
 	}
+	checkFields(t, []field{
+		{"start notifications", set.StartNotifications, false},
+		{"progress interval", set.ProgressInterval, time.Duration(0)},
+		{"warm-up capacity", set.WarmUpCapacity, 0.2},
+		{"warm-up", set.WarmUp, 12 * time.Second},
+		{"queue policy", newSettings(spec, 0).Domain.QueueOrder, queueFIFO},
+	})
 }
