--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -58,15 +58,15 @@
 
 func replies(t *testing.T, in string) []string {
 	t.Helper()
-	var out bytes.Buffer
-	if err := run(strings.NewReader(in), &out); err != nil {
+	var output bytes.Buffer
+	if err := run(strings.NewReader(in), &output); err != nil {
 		t.Fatal(err)
 	}
-	return strings.SplitAfter(strings.TrimSuffix(out.String(), "NEXT\n"), "NEXT\n")
+	return strings.SplitAfter(strings.TrimSuffix(output.String(), "NEXT\n"), "NEXT\n")
 }
 
-// of keeps a reply's lines about one instance.
-func of(reply string, i int) (lines []string) {
+// linesOf returns the lines of a reply about one instance.
+func linesOf(reply string, i int) (lines []string) {
 	for _, l := range strings.Split(reply, "\n") {
 		if strings.Contains(l+" ", fmt.Sprintf(" i=%d ", i)) {
 			lines = append(lines, l)
@@ -82,12 +82,12 @@
 	}
 	forwards := 0
 	for _, i := range []int{0, 3, 5} {
-		for n, alone := range replies(t, text(transcript(i))) {
-			a, b := of(together[n], i), of(alone, i)
+		for n, separate := range replies(t, text(transcript(i))) {
+			a, b := linesOf(together[n], i), linesOf(separate, i)
 			if fmt.Sprint(a) != fmt.Sprint(b) {
-				t.Fatalf("batch %d, instance %d: together %v, alone %v", n, i, a, b)
+				t.Fatalf("batch %d, instance %d: together %v, separately %v", n, i, a, b)
 			}
-			forwards += strings.Count(alone, "FORWARD")
+			forwards += strings.Count(separate, "FORWARD")
 		}
 	}
 	if forwards < 6 {
@@ -99,7 +99,7 @@
 	batches := transcript(1, 2)
 	batches[36] = []string{"WAKEUP i=2 tag=1"}
 	got := replies(t, text(batches))
-	if len(of(got[36], 1)) > 0 {
+	if len(linesOf(got[36], 1)) > 0 {
 		t.Fatalf("instance 1 acted without an event: %q", got[36])
 	}
 	if strings.TrimSuffix(got[37], "NEXT\n") != "" {
@@ -114,12 +114,12 @@
 		[]string{"WAKEUP i=1 tag=1"})
 	got := replies(t, text(batches))
 	if strings.Contains(got[3], "txn=900") || strings.Contains(got[3], "FORWARD") {
-		t.Fatalf("acted for what the stopped instance had been told: %q", got[3])
+		t.Fatalf("acted on events of the stopped instance: %q", got[3])
 	}
-	if !strings.Contains(got[4], "TOUCH i=1") { // it asks a worker for the new job first
+	if !strings.Contains(got[4], "TOUCH i=1") { // a health check comes before the new job
 		t.Fatalf("the new instance did not act: %q", got[4])
 	}
-	if len(of(got[5], 1))+len(of(got[6], 1)) > 0 {
+	if len(linesOf(got[5], 1))+len(linesOf(got[6], 1)) > 0 {
 		t.Fatal("a stopped instance acted")
 	}
 }
@@ -135,24 +135,24 @@
 }
 
 func TestMalformedInput(t *testing.T) {
-	head := "ROUND sim_time=8000000\n" + strings.Join(enlist(0), "\n") + "\n" // lines 1 to 5
+	prefix := "ROUND sim_time=8000000\n" + strings.Join(enlist(0), "\n") + "\n" // lines 1 to 5
 	cases := map[string]struct{ in, want string }{
 		"line outside a batch": {"WAKEUP i=0 tag=1\n", "line 1: expected ROUND"},
 		"bad clock":            {"ROUND sim_time=soon\n", "line 1: sim_time: expected a whole number"},
-		"bad instance":         {head + "WAKEUP i=x tag=1\nEOF_BATCH\n", "line 6: i: expected a whole number"},
-		"missing field":        {head + "REQUEST i=0 service=0 left=5\nEOF_BATCH\n", "line 6: txn: expected"},
-		"bad flag":             {head + "RESOLVED i=0 txn=1 verdict=200 worker=7 terminal=yes\n", "line 6: terminal: expected 0 or 1"},
-		"unknown code":         {head + "RESOLVED i=0 txn=1 verdict=222 worker=7\n", "line 6: verdict: expected a completion code"},
-		"bad report":           {head + "CHECKED i=0 verdict=200 worker=7 telemetry=1,b\n", "line 6: telemetry: expected numbers"},
-		"unknown message":      {head + "GREETING i=0\n", "line 6: expected an event"},
-		"too few entries":      {head + "DISCOVERY i=0 kind=total gen=5 rows=2\nM worker=7 state=Ready\nEOF_BATCH\n", "line 8: expected entry 2 of 2"},
-		"too many entries":     {head + "DISCOVERY i=0 kind=total gen=5 rows=0\nM worker=7 state=Ready\n", "line 7: expected an event"},
-		"bad state":            {head + "DISCOVERY i=0 kind=total gen=5 rows=1\nM worker=7 state=Up\n", "line 7: state: expected Ready"},
-		"bad list kind":        {head + "DISCOVERY i=0 kind=some rows=0\n", "line 6: kind: expected incr"},
+		"bad instance":         {prefix + "WAKEUP i=x tag=1\nEOF_BATCH\n", "line 6: i: expected a whole number"},
+		"missing field":        {prefix + "REQUEST i=0 service=0 left=5\nEOF_BATCH\n", "line 6: txn: expected"},
+		"bad flag":             {prefix + "RESOLVED i=0 txn=1 verdict=200 worker=7 terminal=yes\n", "line 6: terminal: expected 0 or 1"},
+		"unknown code":         {prefix + "RESOLVED i=0 txn=1 verdict=222 worker=7\n", "line 6: verdict: expected a completion code"},
+		"bad report":           {prefix + "CHECKED i=0 verdict=200 worker=7 telemetry=1,b\n", "line 6: telemetry: expected numbers"},
+		"unknown message":      {prefix + "GREETING i=0\n", "line 6: expected an event"},
+		"too few entries":      {prefix + "DISCOVERY i=0 kind=total gen=5 rows=2\nM worker=7 state=Ready\nEOF_BATCH\n", "line 8: expected entry 2 of 2"},
+		"too many entries":     {prefix + "DISCOVERY i=0 kind=total gen=5 rows=0\nM worker=7 state=Ready\n", "line 7: expected an event"},
+		"bad state":            {prefix + "DISCOVERY i=0 kind=total gen=5 rows=1\nM worker=7 state=Up\n", "line 7: state: expected Ready"},
+		"bad list kind":        {prefix + "DISCOVERY i=0 kind=some rows=0\n", "line 6: kind: expected incr"},
 		"bad settings":         {"ROUND sim_time=1\nENLIST i=0 seed=1 boot_info={\"me\":\n", "line 2: boot_info: expected a settings object"},
-		"end within a batch":   {head, "line 6: expected EOF_BATCH"},
-		"batch within a batch": {head + "ROUND sim_time=8000001\n", "line 6: expected an event or EOF_BATCH"},
-		"figure out of bounds": {head + "REQUEST i=0 txn=1 service=0 left=99999999999999999\n", "line 6: left: expected a span"},
+		"end within a batch":   {prefix, "line 6: expected EOF_BATCH"},
+		"batch within a batch": {prefix + "ROUND sim_time=8000001\n", "line 6: expected an event or EOF_BATCH"},
+		"figure out of bounds": {prefix + "REQUEST i=0 txn=1 service=0 left=99999999999999999\n", "line 6: left: expected a span"},
 	}
 	names := make([]string, 0, len(cases))
 	for name := range cases {
@@ -161,13 +161,13 @@
 	sort.Strings(names)
 	for _, name := range names {
 		t.Run(name, func(t *testing.T) {
-			var out bytes.Buffer
-			err := run(strings.NewReader(cases[name].in), &out)
+			var output bytes.Buffer
+			err := run(strings.NewReader(cases[name].in), &output)
 			if err == nil || !strings.Contains(err.Error(), cases[name].want) || strings.Contains(err.Error(), "\n") {
 				t.Fatalf("error %v, expected one line with %q", err, cases[name].want)
 			}
-			if out.Len() > 0 {
-				t.Fatalf("wrote %q", out.String())
+			if output.Len() > 0 {
+				t.Fatalf("wrote %q", output.String())
 			}
 		})
 	}
--- /dev/null
+++ b/internal/simwire/fields.go
@@ -0,0 +1,159 @@
+package simwire
+
+import (
+	"fmt"
+	"math"
+	"strconv"
+	"strings"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/config"
+)
+
+// presence says whether a line must have a field.
+type presence int
+
+const (
+	optional presence = iota // 0 where it is missing
+	required
+)
+
+// fields are the name=value pairs of a line. Its methods return the value of a field, and keep the first error in err.
+type fields struct {
+	pairs string
+	err   error
+}
+
+// splitLine returns the first word of a line, and its fields.
+func splitLine(line string) (string, *fields) {
+	name, pairs, _ := strings.Cut(line, " ")
+	return name, &fields{pairs: pairs}
+}
+
+// fail keeps an error unless there is one already.
+func (f *fields) fail(field, expected, value string) {
+	if f.err == nil {
+		f.err = &FieldError{Field: field, Expected: expected, Value: quotable(value)}
+	}
+}
+
+// find returns the value of the first field of a name, and whether there is one.
+func (f *fields) find(name string) (string, bool) {
+	for pair := range strings.SplitSeq(f.pairs, " ") {
+		if key, value, ok := strings.Cut(pair, "="); ok && key == name {
+			return value, true
+		}
+	}
+	return "", false
+}
+
+func (f *fields) text(name string) string {
+	value, _ := f.find(name)
+	return value
+}
+
+func (f *fields) integer(name string, must presence) int64 {
+	value, ok := f.find(name)
+	if !ok && must == optional {
+		return 0
+	}
+	parsed, err := strconv.ParseInt(value, 10, 64)
+	if err != nil {
+		f.fail(name, "a whole number", value)
+	}
+	return parsed
+}
+
+// id returns a required number that is not negative.
+func (f *fields) id(name string) uint64 {
+	id := f.integer(name, required)
+	if id < 0 {
+		f.fail(name, "a number from 0", f.text(name))
+	}
+	return uint64(id)
+}
+
+// seed returns a required number of 64 bits, with or without a sign.
+func (f *fields) seed(name string) uint64 {
+	if seed, err := strconv.ParseUint(f.text(name), 10, 64); err == nil {
+		return seed
+	}
+	return uint64(f.integer(name, required))
+}
+
+// duration returns a number of microseconds.
+func (f *fields) duration(name string, must presence) time.Duration {
+	const limit = int64(math.MaxInt64 / time.Microsecond)
+	microseconds := f.integer(name, must)
+	if microseconds > limit || microseconds < -limit {
+		f.fail(name, "a span in microseconds", f.text(name))
+	}
+	return time.Duration(microseconds) * time.Microsecond
+}
+
+// number returns an optional number.
+func (f *fields) number(name string) float64 {
+	value, ok := f.find(name)
+	if !ok {
+		return 0
+	}
+	parsed, err := strconv.ParseFloat(value, 64)
+	if err != nil {
+		f.fail(name, "a number", value)
+	}
+	return parsed
+}
+
+// flag returns whether an optional field is 1.
+func (f *fields) flag(name string) bool {
+	value, ok := f.find(name)
+	if ok && value != "0" && value != "1" {
+		f.fail(name, "0 or 1", value)
+	}
+	return value == "1"
+}
+
+// result returns the result that a completion code stands for.
+func (f *fields) result(name string) dispatch.Result {
+	result, ok := resultsByCode[f.integer(name, required)]
+	if !ok {
+		f.fail(name, "a completion code", f.text(name))
+	}
+	return result
+}
+
+// numbers returns optional numbers with commas between them. One that is empty or "-" is absent, which NaN stands for.
+func (f *fields) numbers(name string) []float64 {
+	value, ok := f.find(name)
+	if !ok || value == "" {
+		return nil
+	}
+	var parsed []float64
+	for part := range strings.SplitSeq(value, ",") {
+		if part == "" || part == "-" {
+			parsed = append(parsed, math.NaN())
+			continue
+		}
+		number, err := strconv.ParseFloat(part, 64)
+		if err != nil {
+			f.fail(name, "numbers set apart by commas", value)
+		}
+		parsed = append(parsed, number)
+	}
+	return parsed
+}
+
+// settings returns the settings of a JSON object, which is the rest of the line.
+func (f *fields) settings(name string) dispatch.Settings {
+	_, object, ok := strings.Cut(" "+f.pairs, " "+name+"=")
+	if !ok {
+		f.fail(name, "an object", "")
+		return dispatch.Settings{}
+	}
+	decoded, err := config.DecodeSettings([]byte(object))
+	if err != nil && f.err == nil {
+		f.err = fmt.Errorf("%s: expected a settings object: %w", name, err)
+	}
+	return decoded.Settings
+}
--- /dev/null
+++ b/internal/simwire/writer.go
@@ -0,0 +1,104 @@
+package simwire
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"strconv"
+	"strings"
+	"time"
+
+	"valvecove/dispatch"
+)
+
+// Writer writes replies. Errors of its output show in End.
+type Writer struct {
+	output *bufio.Writer
+	line   []byte // reused
+}
+
+// NewWriter returns a Writer to an output.
+func NewWriter(output io.Writer) *Writer {
+	return &Writer{output: bufio.NewWriterSize(output, bufferBytes)}
+}
+
+// Actions adds the actions of an instance to the reply.
+func (w *Writer) Actions(instance int, actions []dispatch.Action) {
+	for _, action := range actions {
+		w.action(instance, action)
+	}
+}
+
+func (w *Writer) action(instance int, action dispatch.Action) {
+	switch action := action.(type) {
+	case dispatch.Send:
+		w.writeLine("FORWARD", instance,
+			field{"txn", action.Job}, field{"patience", microseconds(action.AttemptTimeout)}, field{"worker", action.Worker})
+	case dispatch.Reject:
+		w.writeLine("REFUSE", instance, field{"txn", action.Job}, field{"not_before_for", microseconds(action.RetryAfter)})
+	case dispatch.Fail:
+		w.writeLine("END_FAILED", instance, field{"txn", action.Job})
+	case dispatch.Cancel:
+		w.writeLine("REVOKE", instance, field{"txn", action.Job}, field{"shot", uint64(action.Attempt)})
+	case dispatch.HealthCheck:
+		w.writeLine("TOUCH", instance, field{"worker", action.Worker})
+	case dispatch.CloseIdleConnections:
+		w.writeLine("FREE_LINKS", instance, field{"worker", action.Worker})
+	case dispatch.SetTimer:
+		// Rounded up, so that the timer never fires early. The tag may have any value: an instance has one timer.
+		offset := microseconds(action.After + time.Microsecond - 1)
+		w.writeLine("ARM", instance, field{"tag", 1}, field{"offset", offset})
+	case dispatch.Subscribe:
+		w.writeLine("SUBSCRIBE", instance, field{"on", 1})
+	case dispatch.Log:
+		w.writeText("LOG", instance, action.Text)
+	}
+}
+
+// Fault adds to the reply that an instance failed.
+func (w *Writer) Fault(instance int, text string) { w.writeText("INTERNAL_ERROR", instance, text) }
+
+// End ends the reply and flushes it.
+func (w *Writer) End() error {
+	_, _ = w.output.WriteString("NEXT\n") // an error shows in Flush
+	if err := w.output.Flush(); err != nil {
+		return fmt.Errorf("writing the reply: %w", err)
+	}
+	return nil
+}
+
+// field is a name and a value of a line.
+type field struct {
+	name  string
+	value uint64
+}
+
+// microseconds returns a duration in the unit of the protocol. One that is negative becomes 0.
+func microseconds(duration time.Duration) uint64 { return uint64(max(0, duration.Microseconds())) }
+
+func (w *Writer) writeLine(name string, instance int, fields ...field) {
+	line := w.line[:0]
+	line = append(line, name...)
+	line = append(line, " i="...)
+	line = strconv.AppendInt(line, int64(instance), 10)
+	for _, field := range fields {
+		line = append(line, ' ')
+		line = append(line, field.name...)
+		line = append(line, '=')
+		line = strconv.AppendUint(line, field.value, 10)
+	}
+	line = append(line, '\n')
+	w.line = line
+	_, _ = w.output.Write(line) // an error shows in End
+}
+
+// writeText writes a line that ends with text, in which control characters become spaces.
+func (w *Writer) writeText(name string, instance int, text string) {
+	visible := strings.Map(func(char rune) rune {
+		if char < ' ' {
+			return ' '
+		}
+		return char
+	}, text)
+	fmt.Fprintf(w.output, "%s i=%d msg=%s\n", name, instance, visible)
+}
