--- a/docs/names_in_pages_test.go
+++ b/docs/names_in_pages_test.go
@@ -92,3 +92,35 @@
 		}
 	}
 }
+
+// Log messages and attributes that operators are given stand in the code as they do in the pages.
+func TestLogLinesAreTheCodes(t *testing.T) {
+	source := goSource(t, false)
+	found := 0
+	for _, table := range []struct{ page, header string }{
+		{"../FEATURES.md", "| `msg` | level | attributes |\n"},
+		{"on-call.md", "| log line | meaning |\n"},
+	} {
+		_, text, ok := strings.Cut(page(t, table.page), table.header)
+		if !ok {
+			t.Errorf("%s has no table that begins with %s", table.page, table.header)
+		}
+		text, _, _ = strings.Cut(text, "\n\n")
+		for line := range strings.Lines(text) {
+			columns := strings.Split(line, " | ")
+			words := codeSpans.FindAllStringSubmatch(columns[0], -1)
+			if table.page == "../FEATURES.md" {
+				words = append(words, codeSpans.FindAllStringSubmatch(columns[len(columns)-1], -1)...)
+			}
+			for _, word := range words {
+				found++
+				if !strings.Contains(source, `"`+word[1]+`"`) {
+					t.Errorf("%s has %q, and the code has no such text", table.page, word[1])
+				}
+			}
+		}
+	}
+	if found < 60 {
+		t.Errorf("%d messages and attributes found", found)
+	}
+}
