--- /dev/null
+++ b/internal/capture/files_test.go
@@ -0,0 +1,70 @@
+package capture
+
+import (
+	"bytes"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"valvecove/internal/config"
+)
+
+// Each file replays without a difference. A second process keeps no more files than the first, and goes on numbering.
+func TestFilesReplaySame(t *testing.T) {
+	directory := t.TempDir()
+	for process := range 2 {
+		s := newScheduler(t, uint64(process), config.Capture{Dir: directory, FileMB: 1, Files: 3})
+		s.recorder.sink.(*files).maxFileBytes = 64 << 10
+		s.run(2000)
+		if s.recorder.Close(time.Minute); s.recorder.Lost() > 0 || s.recorder.Dump() != nil {
+			t.Errorf("%d lost", s.recorder.Lost())
+		}
+	}
+	paths := filesIn(t, directory)
+	if len(paths) != 3 || filepath.Base(paths[0]) < "n0-00000010" {
+		t.Errorf("files: %v", paths)
+	}
+	for _, path := range paths[:2] {
+		checkReplaysSame(t, readFile(t, path))
+	}
+}
+
+func TestNewFilesNeedsDirectory(t *testing.T) {
+	if _, err := newFiles(config.Capture{Dir: t.TempDir() + "/none"}, "n0"); err == nil {
+		t.Error("a directory that is not there was taken")
+	}
+}
+
+// A disk that fails leaves whole lines and is counted. Once it works again a new segment goes on, which replays.
+func TestFilesAfterDiskFailure(t *testing.T) {
+	directory := t.TempDir()
+	s := newScheduler(t, 1, config.Capture{Dir: directory, FileMB: 1, Files: 3})
+	sink := s.recorder.sink.(*files)
+	awaitQueue := func() { // until it has done all that was enqueued
+		done := make(chan struct{})
+		sink.EnqueueLarge(func() error { close(done); return nil })
+		<-done
+	}
+	s.run(100)
+	awaitQueue()
+	_ = sink.file.Close()
+	s.run(50)
+	awaitQueue()
+	s.run(1)
+	if s.recorder.Lost() == 0 || !s.recorder.segmentLost {
+		t.Errorf("%d lost under a closed file", s.recorder.Lost())
+	}
+	s.Now += segmentRetryInterval
+	s.run(100)
+	s.recorder.Close(time.Minute)
+	paths := filesIn(t, directory)
+	if len(paths) != 2 {
+		t.Fatalf("files: %v", paths)
+	}
+	for _, path := range paths {
+		checkReplaysSame(t, readFile(t, path))
+	}
+	if !bytes.Contains(readFile(t, paths[1]), []byte(reasonGap)) {
+		t.Error("the gap is not given as the reason")
+	}
+}
--- a/internal/capture/golden_test.go
+++ b/internal/capture/golden_test.go
@@ -2,9 +2,9 @@
 
 import (
 	"bytes"
+	"maps"
 	"reflect"
 	"slices"
-	"strings"
 	"testing"
 
 	"valvecove/internal/requests"
@@ -16,7 +16,7 @@
 // the module decides is no new form; it adds a capture of its own, and its commit says so.
 const (
 	goldenCapture = "capture-1.jsonl"       // every kind of line but the next file's
-	goldenPanic   = "capture-panic-1.jsonl" // a module that panicked, and the one after it
+	goldenPanic   = "capture-panic-1.jsonl" // a dispatcher that panicked, and the one after it
 )
 
 func goldenLines(t *testing.T) (lines []Line) {
@@ -34,17 +34,13 @@
 }
 
 func TestGoldenCaptureReplaysWithoutDifference(t *testing.T) {
-	if sends := same(t, storedform.Golden(t, goldenCapture)); sends < 50 {
+	if sends := checkReplaysSame(t, storedform.Golden(t, goldenCapture)); sends < 50 {
 		t.Errorf("%d sends", sends)
 	}
 }
 
-// Replayed, the module is whole: the panic itself is the one difference.
 func TestGoldenPanicReplays(t *testing.T) {
-	n, out, warnings, err := replayed(t, storedform.Golden(t, goldenPanic), "")
-	if n != 1 || !strings.Contains(out, "the module was a panic, now ") || err != nil || warnings != "" {
-		t.Errorf("%d differences, %v, %q:\n%s", n, err, warnings, out)
-	}
+	checkPanicIsOnlyDifference(t, storedform.Golden(t, goldenPanic))
 }
 
 // What is read is written again to the same bytes, which it would not be if a field had another name or were not known.
@@ -55,9 +51,9 @@
 			if err := json.Unmarshal(text, &line); err != nil {
 				t.Fatal(err)
 			}
-			r := Recorder{}
-			if r.put(line); !bytes.Equal(r.lines, text) {
-				t.Errorf("%s:\n%swritten again as\n%s", name, text, r.lines)
+			recorder := Recorder{}
+			if recorder.write(line); !bytes.Equal(recorder.lines, text) {
+				t.Errorf("%s:\n%swritten again as\n%s", name, text, recorder.lines)
 			}
 		}
 	}
@@ -67,21 +63,20 @@
 func TestGoldenCapturesAreComplete(t *testing.T) {
 	kinds, reasons, fields := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, line := range goldenLines(t) {
-		kinds[line.In+line.Out], reasons[line.Why] = true, true
-		for i, v := 0, reflect.ValueOf(line); i < v.NumField(); i++ {
-			if !v.Field(i).IsZero() {
-				fields[v.Type().Field(i).Name] = true
+		kinds[line.Input+line.Output] = true
+		reasons[line.Reason] = true
+		for _, field := range reflect.VisibleFields(reflect.TypeFor[Line]()) {
+			if !reflect.ValueOf(line).FieldByIndex(field.Index).IsZero() {
+				fields[field.Name] = true
 			}
 		}
 	}
-	for _, all := range []map[string]bool{known, atEdge} {
-		for kind := range all {
-			if !kinds[kind] {
-				t.Errorf("no line %q", kind)
-			}
+	for _, kind := range slices.Concat(slices.Collect(maps.Keys(otherKinds)), slices.Collect(maps.Keys(stepKinds))) {
+		if !kinds[kind] {
+			t.Errorf("no line %q", kind)
 		}
 	}
-	for _, reason := range []string{whyStart, whyRestart, whyTaken, whyContinue, whyGap} {
+	for _, reason := range []string{reasonStart, reasonRestart, reasonTakenOver, reasonSegmentFull, reasonGap} {
 		if !reasons[reason] {
 			t.Errorf("no segment opens with %q", reason)
 		}
@@ -91,15 +86,25 @@
 			t.Errorf("no line has %s", field.Name)
 		}
 	}
-	if !slices.ContainsFunc(goldenLines(t), func(l Line) bool { return l.Arrived != nil && l.Arrived.Retry && l.Arrived.Memory > 0 }) ||
-		!slices.ContainsFunc(goldenLines(t), func(l Line) bool {
-			return slices.ContainsFunc(l.Workers, func(w listed) bool { return w.As.BootAt > 0 || w.As.Assignees > 0 && w.As.AssigneeRank > 0 })
-		}) {
+}
+
+// Fields of jobs and workers that are mostly zero have a value somewhere in the golden files.
+func TestGoldenCapturesHaveRareFields(t *testing.T) {
+	hasRetry := func(line Line) bool {
+		return line.ArrivedJob != nil && line.ArrivedJob.Retry && line.ArrivedJob.Memory > 0
+	}
+	hasRareWorker := func(line Line) bool {
+		return slices.ContainsFunc(line.Workers, func(listed listedWorker) bool {
+			return listed.Worker.BootAt > 0 || listed.Worker.Assignees > 0 && listed.Worker.AssigneeRank > 0
+		})
+	}
+	lines := goldenLines(t)
+	if !slices.ContainsFunc(lines, hasRetry) || !slices.ContainsFunc(lines, hasRareWorker) {
 		t.Error("a field of a job or of a worker is always zero")
 	}
 }
 
-// How a query ended is told in the protocol's words, which the golden files have.
+// The outcomes of requests are the protocol's, which the golden files have.
 func TestGoldenCapturesHaveKnownOutcomes(t *testing.T) {
 	if want := [...]requests.Outcome{"served", "error", "turned away", "could not connect", "reset", "timed out"}; requests.Outcomes != want {
 		t.Errorf("outcomes are %q, expected %q", requests.Outcomes, want)
--- a/internal/capture/line.go
+++ b/internal/capture/line.go
@@ -1,7 +1,3 @@
-// Package capture records what comes into the scheduler and what the module decides, as JSON lines, in a ring in
-// memory or in files, and replays it. The record is taken at the module's edge: the events of each step as they
-// were handed over, at the time that the module was told, and what it did with them. Each segment opens with the
-// module's whole state, so that what is left of a ring that has wrapped still replays exactly.
 package capture
 
 import (
@@ -10,96 +6,115 @@
 	"valvecove/dispatch"
 )
 
-// Line is one line of a capture. In says what came in, Out what was decided.
+// Line is one line of a capture. Input says what came in, or Output what was decided; the other one is empty. Which of the
+// fields after them are set depends on that. The names and the order of the tags are the stored form.
 type Line struct {
-	T  int64 `json:"t"`            // Unix time in milliseconds
-	NS int64 `json:"ns,omitempty"` // and nanoseconds beyond that, where exact time matters
-	// Of is on the first line of a step, if that has more than one: the step's lines, itself included.
-	Of  int    `json:"of,omitempty"`
-	In  string `json:"in,omitempty"`
-	Out string `json:"out,omitempty"`
-	ID  string `json:"id,omitempty"` // the client's, X-Call-Id
+	Milliseconds int64 `json:"t"`            // Unix time
+	Nanoseconds  int64 `json:"ns,omitempty"` // beyond the milliseconds, on the first line of a step
+	// StepLines counts the lines of a step of several, on the first of them, itself included.
+	StepLines int    `json:"of,omitempty"`
+	Input     string `json:"in,omitempty"`
+	Output    string `json:"out,omitempty"`
+	CallID    string `json:"id,omitempty"` // the client's, from X-Call-Id
 
-	// A request's head, and what became of the request.
-	Method  string            `json:"method,omitempty"`
-	Path    string            `json:"path,omitempty"`
-	Class   string            `json:"class,omitempty"`
-	Tenant  string            `json:"tenant,omitempty"`
-	Key     string            `json:"key,omitempty"` // Idempotency-Key
-	Length  int               `json:"length,omitempty"`
-	Status  int               `json:"status,omitempty"`
-	State   string            `json:"state,omitempty"`
-	Outcome string            `json:"outcome,omitempty"`
-	Unknown bool              `json:"unknown,omitempty"` // a note on no attempt that is out
-	Skipped int               `json:"skipped,omitempty"` // such lines left out before this one, in a flood
-	Share   float64           `json:"share,omitempty"`
-	Worker  string            `json:"worker,omitempty"` // instanceId
-	Number  uint64            `json:"number,omitempty"` // the worker's, where a segment first names it
-	Job     uint64            `json:"job,omitempty"`    // the job's number
-	Attempt int               `json:"attempt,omitempty"`
-	Result  dispatch.Result   `json:"result,omitempty"`
-	Closed  bool              `json:"closed,omitempty"`
-	Report  []float64         `json:"report,omitempty"`
-	After   int64             `json:"after_ns,omitempty"` // patience of a send, advice of a refusal
-	Arrived *dispatch.Job     `json:"arrived,omitempty"`
-	Past    *float64          `json:"past,omitempty"` // what the module had learnt of the job's key
-	Kind    dispatch.ListKind `json:"kind,omitempty"`
-	Workers []listed          `json:"workers,omitempty"`
+	// A request's header, and what became of the request.
+	Method         string  `json:"method,omitempty"`
+	Path           string  `json:"path,omitempty"`
+	Class          string  `json:"class,omitempty"`
+	Tenant         string  `json:"tenant,omitempty"`
+	IdempotencyKey string  `json:"key,omitempty"`
+	BodyBytes      int     `json:"length,omitempty"`
+	Status         int     `json:"status,omitempty"` // HTTP status
+	State          string  `json:"state,omitempty"`  // of the job, by a callback
+	Outcome        string  `json:"outcome,omitempty"`
+	UnknownAttempt bool    `json:"unknown,omitempty"` // a callback is about no attempt in flight
+	Skipped        int     `json:"skipped,omitempty"` // lines of this kind that were left out before it, to bound their rate
+	Progress       float64 `json:"share,omitempty"`   // from 0 to 1
+
+	// The dispatcher's events and actions.
+	Worker           string            `json:"worker,omitempty"` // the endpoint's id
+	WorkerNumber     uint64            `json:"number,omitempty"` // the dispatcher's, where a segment first names the worker
+	Job              uint64            `json:"job,omitempty"`    // the job's number
+	Attempt          int               `json:"attempt,omitempty"`
+	Result           dispatch.Result   `json:"result,omitempty"`
+	Closed           bool              `json:"closed,omitempty"`
+	Report           []float64         `json:"report,omitempty"`
+	DelayNanoseconds int64             `json:"after_ns,omitempty"` // attempt timeout of a send, Retry-After of a rejection
+	ArrivedJob       *dispatch.Job     `json:"arrived,omitempty"`
+	KeyWork          *float64          `json:"past,omitempty"` // what the dispatcher had learnt of the job's key
+	ListKind         dispatch.ListKind `json:"kind,omitempty"`
+	Workers          []listedWorker    `json:"workers,omitempty"`
 
 	// The opening of a segment.
-	Why      string              `json:"why,omitempty"`
-	Seed     string              `json:"seed,omitempty"`   // of the scheduler's start
-	Module   uint64              `json:"module,omitempty"` // counts the modules since then
-	Settings jsoniter.RawMessage `json:"settings,omitempty"`
-	Snapshot []byte              `json:"snapshot,omitempty"`
-	Calls    map[uint64]string   `json:"calls,omitempty"` // ids of the jobs at hand
+	Reason           string              `json:"why,omitempty"`
+	Seed             string              `json:"seed,omitempty"`   // of the scheduler's start, in hexadecimal
+	DispatcherNumber uint64              `json:"module,omitempty"` // counts the dispatchers since the start
+	Settings         jsoniter.RawMessage `json:"settings,omitempty"`
+	Snapshot         []byte              `json:"snapshot,omitempty"` // of the dispatcher
+	CallIDs          map[uint64]string   `json:"calls,omitempty"`    // of the open jobs
 }
 
-// listed is one entry of a host group.
-type listed struct {
-	Name  string          `json:"instanceId"`
-	Addr  string          `json:"hostPort,omitempty"`
-	State string          `json:"lifecycle,omitempty"`
-	As    dispatch.Worker `json:"as"` // as the module was told
+// listedWorker is one entry of an endpoint list.
+type listedWorker struct {
+	Name   string          `json:"instanceId"`
+	Addr   string          `json:"hostPort,omitempty"`
+	State  string          `json:"lifecycle,omitempty"`
+	Worker dispatch.Worker `json:"as"` // as the dispatcher was given it
 }
 
-// What lines are.
+// Kinds of lines that are no part of a step.
 const (
-	inStart    = "start" // opens a segment
-	inHead     = "head"
-	inAnswer   = "answer"
-	inNote     = "event"
-	outRefused = "turned away" // at the door
-	outOver    = "over"
+	inputStart     = "start" // opens a segment
+	inputRequest   = "head"
+	inputResponse  = "answer"
+	inputCallback  = "event"
+	outputRejected = "turned away" // at admission
+	outputEnded    = "over"
+)
 
-	// At the module's edge.
-	inJob      = "job"
-	inOutcome  = "outcome"
-	inStarted  = "started"
-	inProgress = "progress"
-	inGone     = "gone"
-	inHosts    = "hosts"
-	inProbed   = "probed"
-	inTimer    = "timer"
-	inOut      = "taken out" // by hand
-	inBack     = "brought back"
-	outSend    = "send"
-	outRefuse  = "refuse"
-	outFail    = "fail"
-	outCancel  = "cancel"
-	outProbe   = "probe"
-	outFree    = "free"
-	outWatch   = "watch"
-	outPanic   = "panic"
+// Kinds of lines of a step: the events that it was given, and the actions that it took.
+const (
+	inputJob           = "job"
+	inputOutcome       = "outcome"
+	inputStarted       = "started"
+	inputProgress      = "progress"
+	inputDisconnected  = "gone"
+	inputWorkerList    = "hosts"
+	inputHealthChecked = "probed"
+	inputTimer         = "timer"
+	inputCordoned      = "taken out"
+	inputUncordoned    = "brought back"
+	outputSend         = "send"
+	outputReject       = "refuse"
+	outputFail         = "fail"
+	outputCancel       = "cancel"
+	outputHealthCheck  = "probe"
+	outputCloseIdle    = "free"
+	outputSubscribe    = "watch"
+	outputPanic        = "panic"
 )
 
-// atEdge tells which lines belong to a step.
-var atEdge = map[string]bool{
-	inJob: true, inOutcome: true, inStarted: true, inProgress: true, inGone: true,
-	inHosts: true, inProbed: true, inTimer: true, inOut: true, inBack: true, outSend: true, outRefuse: true, outFail: true, outCancel: true,
-	outProbe: true, outFree: true, outWatch: true, outPanic: true,
+// Reasons for which a segment is opened.
+const (
+	reasonStart       = "start"
+	reasonRestart     = "restart"     // another dispatcher, after a panic of the one before
+	reasonTakenOver   = "taken over"  // from the state of another process
+	reasonSegmentFull = "goes on"     // the segment before was full
+	reasonGap         = "after a gap" // the rest of the segment before was lost
+)
+
+// stepKinds are the kinds of lines that belong to a step.
+var stepKinds = map[string]bool{
+	inputJob: true, inputOutcome: true, inputStarted: true, inputProgress: true, inputDisconnected: true,
+	inputWorkerList: true, inputHealthChecked: true, inputTimer: true, inputCordoned: true, inputUncordoned: true,
+	outputSend: true, outputReject: true, outputFail: true, outputCancel: true, outputHealthCheck: true,
+	outputCloseIdle: true, outputSubscribe: true, outputPanic: true,
 }
 
-var known = map[string]bool{inStart: true, inHead: true, inAnswer: true, inNote: true, outRefused: true, outOver: true}
+// otherKinds are all other kinds of lines.
+var otherKinds = map[string]bool{
+	inputStart: true, inputRequest: true, inputResponse: true, inputCallback: true, outputRejected: true, outputEnded: true,
+}
 
+// json writes and reads lines as encoding/json does.
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
--- /dev/null
+++ b/internal/capture/names.go
@@ -0,0 +1,70 @@
+package capture
+
+import (
+	"fmt"
+	"strconv"
+)
+
+// names are those by which a segment refers to workers and jobs.
+type names struct {
+	workerNumbers map[string]uint64
+	workerNames   map[uint64]string
+	callIDs       map[uint64]string // by the job's number
+}
+
+// newNames returns the names of a segment that opens with these call ids.
+func newNames(callIDs map[uint64]string) names {
+	if callIDs == nil {
+		callIDs = map[uint64]string{}
+	}
+	return names{workerNumbers: map[string]uint64{}, workerNames: map[uint64]string{}, callIDs: callIDs}
+}
+
+// resolve learns the names of a line's job and worker. It sets the worker's number where an earlier line gave it.
+func (n *names) resolve(line *Line) error {
+	if line.Job != 0 && line.CallID != "" {
+		n.callIDs[line.Job] = line.CallID
+	}
+	if line.Worker == "" {
+		return nil
+	}
+	if line.WorkerNumber != 0 {
+		n.addWorker(line.Worker, line.WorkerNumber)
+		return nil
+	}
+	line.WorkerNumber = n.workerNumbers[line.Worker]
+	if line.WorkerNumber == 0 {
+		return fmt.Errorf("worker %q has not been given a number", line.Worker)
+	}
+	return nil
+}
+
+func (n *names) addListed(workers []listedWorker) {
+	for _, worker := range workers {
+		n.addWorker(worker.Name, worker.Worker.ID)
+	}
+}
+
+func (n *names) addWorker(name string, number uint64) {
+	if name == "" {
+		return
+	}
+	n.workerNumbers[name] = number
+	n.workerNames[number] = name
+}
+
+// job returns the call id of a job, or its number if that is not known.
+func (n *names) job(number uint64) string {
+	if id := n.callIDs[number]; id != "" {
+		return id
+	}
+	return "job " + strconv.FormatUint(number, 10)
+}
+
+// worker returns the name of a worker, or its number if that is not known.
+func (n *names) worker(number uint64) string {
+	if name := n.workerNames[number]; name != "" {
+		return name
+	}
+	return "worker " + strconv.FormatUint(number, 10)
+}
--- /dev/null
+++ b/internal/capture/ring_test.go
@@ -0,0 +1,44 @@
+package capture
+
+import (
+	"bytes"
+	"testing"
+
+	"valvecove/internal/config"
+)
+
+// What remains of a ring replays without a difference, whether its beginning was overwritten or not. The ring exceeds its
+// size by one step at most.
+func TestRingReplaysSame(t *testing.T) {
+	for seed := range uint64(12) {
+		s := newScheduler(t, seed, config.Capture{MemoryKB: 48})
+		hasWrapped, sends := false, 0
+		for range 40 {
+			s.run(25)
+			text := s.recorder.Dump()
+			hasWrapped = hasWrapped || !bytes.Contains(text, []byte(`"why":"start"`))
+			if len(text) > 60<<10 {
+				t.Errorf("%d bytes in a ring of %d", len(text), 48<<10)
+			}
+			sends += checkReplaysSame(t, text)
+		}
+		if !hasWrapped || sends < 100 || s.recorder.Lost() > 0 {
+			t.Errorf("wrapped %v, %d sends, %d lost", hasWrapped, sends, s.recorder.Lost())
+		}
+	}
+}
+
+// A state too large for the ring is counted and left out; the ring stays bounded, and what it has replays.
+func TestRingTooSmallForState(t *testing.T) {
+	for _, kb := range []int{1, 10} { // too little for any opening line; for that of a busy dispatcher
+		s := newScheduler(t, 1, config.Capture{MemoryKB: kb})
+		s.run(600)
+		text := s.recorder.Dump()
+		if s.recorder.Lost() == 0 || text == nil || len(text) > kb<<10+4<<10 || kb == 1 && len(text) > 0 {
+			t.Errorf("%d lost, %d bytes in %d KB", s.recorder.Lost(), len(text), kb)
+		}
+		if len(text) > 0 {
+			checkReplaysSame(t, text)
+		}
+	}
+}
--- /dev/null
+++ b/internal/capture/step.go
@@ -0,0 +1,187 @@
+package capture
+
+import (
+	"fmt"
+	"time"
+
+	"valvecove/dispatch"
+)
+
+// recordedDispatcher is a dispatcher whose steps are recorded.
+type recordedDispatcher struct {
+	*dispatch.Dispatcher
+	recorder *Recorder
+}
+
+// Step has the dispatcher step, and records that. A step in which it panics is recorded too.
+func (d *recordedDispatcher) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+	recorder := d.recorder
+	recorder.protect(func() { recorder.beforeStep(now, events) })
+	before := len(dst)
+	hasReturned := false
+	defer func() {
+		if !hasReturned {
+			recorder.protect(func() { recorder.recordStep(now, events, nil, true) })
+		}
+	}()
+	dst = d.Dispatcher.Step(now, events, dst)
+	hasReturned = true
+	recorder.protect(func() { recorder.recordStep(now, events, dst[before:], false) })
+	return dst
+}
+
+// beforeStep opens a segment if it is time to, and keeps what the dispatcher has learnt of the keys of new jobs, before the
+// step changes that.
+func (r *Recorder) beforeStep(now time.Duration, events []dispatch.Event) {
+	r.openSegmentIfDue(now)
+	r.keyWork = r.keyWork[:0]
+	for _, event := range events {
+		job, ok := event.(dispatch.Job)
+		if !ok {
+			continue
+		}
+		var known *float64
+		if work, ok := r.current.KeyWork(job.Key); ok {
+			known = &work
+		}
+		r.keyWork = append(r.keyWork, known)
+	}
+}
+
+// recordStep writes a step: the events that the dispatcher was given, and what it decided.
+func (r *Recorder) recordStep(now time.Duration, events []dispatch.Event, actions []dispatch.Action, panicked bool) {
+	lines := r.stepLines(events, actions)
+	if panicked {
+		lines = append(lines, Line{Output: outputPanic})
+	}
+	for i, line := range lines {
+		if line.CallID == "" && line.Job != 0 {
+			line.CallID = r.callIDs[line.Job]
+		}
+		line = stamped(now, line)
+		if i > 0 {
+			line.Nanoseconds = 0
+		} else if len(lines) > 1 {
+			line.StepLines = len(lines)
+		}
+		r.write(line)
+	}
+	r.flush()
+	for _, job := range r.forgotten {
+		delete(r.callIDs, job)
+	}
+	r.forgotten = r.forgotten[:0]
+}
+
+// stepLines returns the lines of a step, without time and call ids.
+func (r *Recorder) stepLines(events []dispatch.Event, actions []dispatch.Action) []Line {
+	lines := make([]Line, 0, len(events)+len(actions))
+	keyWork := r.keyWork
+	for _, event := range events {
+		line := r.eventLine(event)
+		if line.Input == inputJob {
+			line.KeyWork = keyWork[0]
+			keyWork = keyWork[1:]
+		}
+		lines = append(lines, line)
+	}
+	for _, action := range actions {
+		if line := r.actionLine(action); line.Output != "" {
+			lines = append(lines, line)
+		}
+	}
+	return lines
+}
+
+// eventLine returns the line of an event; Line.event is its inverse.
+func (r *Recorder) eventLine(event dispatch.Event) Line {
+	switch event := event.(type) {
+	case dispatch.Job:
+		return Line{Input: inputJob, Job: event.ID, ArrivedJob: &event}
+	case dispatch.Outcome:
+		return r.about(event.Worker, Line{
+			Input: inputOutcome, Job: event.Job, Attempt: event.Attempt, Result: event.Result, Closed: event.Closed, Report: event.Report,
+		})
+	case dispatch.Started:
+		return r.about(event.Worker, Line{Input: inputStarted, Job: event.Job, Attempt: event.Attempt})
+	case dispatch.Progressed:
+		return r.about(event.Worker, Line{Input: inputProgress, Job: event.Job, Attempt: event.Attempt, Progress: event.Share})
+	case dispatch.ClientDisconnected:
+		return Line{Input: inputDisconnected, Job: event.Job}
+	case dispatch.HealthChecked:
+		return r.about(event.Worker, Line{Input: inputHealthChecked, Result: event.Result, Report: event.Report})
+	case dispatch.TimerFired:
+		return Line{Input: inputTimer}
+	case dispatch.Cordoned:
+		return r.about(event.Worker, Line{Input: inputCordoned})
+	case dispatch.Uncordoned:
+		return r.about(event.Worker, Line{Input: inputUncordoned})
+	case dispatch.WorkerList:
+		return r.workerListLine(event)
+	}
+	panic(fmt.Sprintf("an event that is not known: %T", event))
+}
+
+func (r *Recorder) workerListLine(list dispatch.WorkerList) Line {
+	line := Line{Input: inputWorkerList, ListKind: list.Kind}
+	for _, worker := range list.Workers {
+		endpoint := r.endpoint(worker.ID)
+		line.Workers = append(line.Workers, listedWorker{
+			Name: endpoint.ID, Addr: endpoint.Addr, State: endpoint.Lifecycle, Worker: worker,
+		})
+		r.namedWorkers[worker.ID] = true
+	}
+	return line
+}
+
+// actionLine returns the line of a decision. Other actions, such as timers and log lines, have none.
+func (r *Recorder) actionLine(action dispatch.Action) Line {
+	switch action := action.(type) {
+	case dispatch.Send:
+		return r.about(action.Worker, Line{Output: outputSend, Job: action.Job, DelayNanoseconds: int64(action.AttemptTimeout)})
+	case dispatch.Reject:
+		return Line{Output: outputReject, Job: action.Job, DelayNanoseconds: int64(action.RetryAfter)}
+	case dispatch.Fail:
+		return Line{Output: outputFail, Job: action.Job}
+	case dispatch.Cancel:
+		return Line{Output: outputCancel, Job: action.Job, Attempt: action.Attempt}
+	case dispatch.HealthCheck:
+		return r.about(action.Worker, Line{Output: outputHealthCheck})
+	case dispatch.CloseIdleConnections:
+		return r.about(action.Worker, Line{Output: outputCloseIdle})
+	case dispatch.Subscribe:
+		return Line{Output: outputSubscribe}
+	}
+	return Line{}
+}
+
+// event returns the event of a line; Recorder.eventLine is its inverse.
+func (l *Line) event() dispatch.Event {
+	switch l.Input {
+	case inputJob:
+		return *l.ArrivedJob
+	case inputOutcome:
+		return dispatch.Outcome{
+			Job: l.Job, Attempt: l.Attempt, Worker: l.WorkerNumber, Result: l.Result, Closed: l.Closed, Report: l.Report,
+		}
+	case inputStarted:
+		return dispatch.Started{Job: l.Job, Attempt: l.Attempt, Worker: l.WorkerNumber}
+	case inputProgress:
+		return dispatch.Progressed{Job: l.Job, Attempt: l.Attempt, Worker: l.WorkerNumber, Share: l.Progress}
+	case inputDisconnected:
+		return dispatch.ClientDisconnected{Job: l.Job}
+	case inputHealthChecked:
+		return dispatch.HealthChecked{Worker: l.WorkerNumber, Result: l.Result, Report: l.Report}
+	case inputCordoned:
+		return dispatch.Cordoned{Worker: l.WorkerNumber}
+	case inputUncordoned:
+		return dispatch.Uncordoned{Worker: l.WorkerNumber}
+	case inputWorkerList:
+		list := dispatch.WorkerList{Kind: l.ListKind}
+		for _, worker := range l.Workers {
+			list.Workers = append(list.Workers, worker.Worker)
+		}
+		return list
+	}
+	return dispatch.TimerFired{}
+}
