--- a/internal/capture/helpers_test.go
+++ b/internal/capture/helpers_test.go
@@ -33,7 +33,6 @@
 // scheduler is a recorded scheduler without sockets, whose clients and workers act at random.
 type scheduler struct {
 	observertest.Fixture
-	t        testing.TB
 	random   *rand.Rand
 	recorder *Recorder
 	jobs     int
@@ -53,8 +52,7 @@
 		tb.Fatal(err)
 	}
 	s := &scheduler{
-		Fixture:  observertest.Fixture{Now: 1718000000123456789},
-		t:        tb,
+		Fixture:  observertest.Fixture{T: tb, Now: 1718000000123456789},
 		random:   rand.New(rand.NewPCG(seed, 3)),
 		settings: start.Settings.Settings,
 	}
@@ -119,7 +117,7 @@
 		Hint: time.Duration(1 + s.random.IntN(400_000_000)),
 	}, Payload: requests.Payload{Method: "POST", Path: "/x", Body: []byte(payload)}})
 	if err != nil {
-		s.t.Fatal(err)
+		s.T.Fatal(err)
 	}
 	if s.random.IntN(30) == 0 {
 		s.Table.ClientDisconnected(request)
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -43,7 +43,7 @@
 	watch        *watchConnection
 	operators    *operatorListener    // nil: off
 	status       *statusListener      // nil: off
-	figures      *metrics.Exporter    // nil: off
+	exporter     *metrics.Exporter    // nil: off
 	addressLists *address.AccessLists // nil: off
 	dispatcher   *dispatch.Dispatcher // that decides, in whatever wraps it
 
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -141,12 +141,14 @@
 
 // openFeatures opens the operators' calls, the status call and metrics, where they are on.
 func (l *Loop) openFeatures(conf config.Config, ops config.Ops, metricTargets []metrics.Target) error {
+	counters := metrics.NewCounters(conf.Settings.Names)
+	if conf.Management.IsValid() || ops.Metrics != nil {
+		l.Requests.AddObserver(counters)
+	}
 	if conf.Management.IsValid() {
-		counts := metrics.NewTotals(conf.Settings.Names.Classes)
-		if err := l.serveOperators(conf.Management, counts); err != nil {
+		if err := l.serveOperators(conf.Management, counters); err != nil {
 			return fmt.Errorf("key \"management\": %w", err)
 		}
-		l.Requests.AddObserver(counts)
 	}
 	if ops.Status != nil {
 		table := status.New(*ops.Status, conf.Settings.Names, conf.Settings.StartNotifications, l.Now)
@@ -159,9 +161,9 @@
 		if ops.Metrics.UDPTarget.IsValid() {
 			metricTargets = append(metricTargets, &collectorSocket{address: ops.Metrics.UDPTarget, fd: -1})
 		}
-		l.figures = metrics.NewExporter(*ops.Metrics, conf.Settings.Names, l.Now, metricTargets...)
-		l.Requests.AddObserver(l.figures)
-		l.sendFigures(l.figures)
+		l.exporter = metrics.NewExporter(*ops.Metrics, counters, l.Now, metricTargets...)
+		l.Requests.AddObserver(l.exporter)
+		l.exportMetrics()
 	}
 	return nil
 }
--- a/internal/link/operator_connection.go
+++ b/internal/link/operator_connection.go
@@ -24,7 +24,7 @@
 // response however busy the scheduler is.
 type operatorListener struct {
 	managementListener // the oldest connection first
-	counts             *metrics.Totals
+	counters           *metrics.Counters
 	metricsText        []byte // that was sent last
 }
 
@@ -58,8 +58,8 @@
 }
 
 // serveOperators serves the operators' calls at their own address.
-func (l *Loop) serveOperators(address netip.AddrPort, counts *metrics.Totals) error {
-	listener := &operatorListener{managementListener: managementListener{loop: l}, counts: counts}
+func (l *Loop) serveOperators(address netip.AddrPort, counters *metrics.Counters) error {
+	listener := &operatorListener{managementListener: managementListener{loop: l}, counters: counters}
 	fd, err := l.Listen(address, listener)
 	if err != nil {
 		return err
