--- a/cmd/valvecove-testbed/common.go
+++ b/cmd/valvecove-testbed/common.go
@@ -57,14 +57,14 @@
 	return specs, nil
 }
 
-// subjectFlags is what a play is played with, as flags say it.
+// subjectFlags is what a run is played with, as flags say it.
 type subjectFlags struct {
 	Policy string   `name:"policy" help:"Policy: logic, or a yardstick; +aperture behind it narrows what its schedulers look at, with keys as in logic+aperture:least=20:cover=3. Virtual only." default:"logic"`
 	Set    []string `name:"set" help:"Change a key of the scenario, as in load.of=0.7; may be given again." sep:"none" placeholder:"KEY=VALUE"`
 	Binary string   `name:"binary" help:"The scheduler's program; live only. Default: valvecove beside this one, or else built." type:"path"`
 }
 
-// seedFlags are the plays of an experiment.
+// seedFlags are the runs of an experiment.
 type seedFlags struct {
 	Seeds       int    `name:"seeds" help:"Plays of each kind, on seeds that follow each other." default:"10"`
 	First       uint64 `name:"first" help:"The first seed." default:"1"`
--- a/cmd/valvecove-testbed/main.go
+++ b/cmd/valvecove-testbed/main.go
@@ -1,4 +1,4 @@
-// Valvecove-testbed runs experiments: it plays scenarios against schedulers, in virtual time or with real processes, judges what it
+// Valvecove-testbed runs experiments: it plays scenarios against schedulers, in simulated time or with real processes, judges what it
 // saw, and says what it came to. Nothing of it is in the serving path.
 package main
 
@@ -20,7 +20,7 @@
 	exitOK        = 0
 	exitUsage     = 1 // played, and not as expected: a rule broken, an expectation not met, drivers that disagree
 	exitViolation = 2 // usage, a faulty file, or this machine
-	exitInvalid   = 3 // the lab itself was too late: no result
+	exitInvalid   = 3 // the testbed itself was too late: no result
 )
 
 // commands are the command line.
@@ -60,7 +60,7 @@
 func main() {
 	debug.SetGCPercent(400) // plays leave much behind and hold little
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	context.AfterFunc(ctx, stop) // a second signal ends it at once: a play in virtual time does not look up
+	context.AfterFunc(ctx, stop) // a second signal ends it at once: a run in simulated time does not look up
 	code := run(ctx, os.Args[1:], &streams{os.Stdin, os.Stdout, os.Stderr})
 	stop()
 	os.Exit(code)
--- a/cmd/valvecove-testbed/main_test.go
+++ b/cmd/valvecove-testbed/main_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// A broken rule is told with the whole story of its query, in order of time.
+// A broken rule is told with the whole story of its request, in order of time.
 func TestStoriesAreTold(t *testing.T) {
 	_, out, _ := call(tiny, "play", "-", "--mutant", "answers-twice")
 	_, story, ok := strings.Cut(out, "\none-answer ")
--- a/cmd/valvecove-testbed/play.go
+++ b/cmd/valvecove-testbed/play.go
@@ -17,7 +17,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// outputFlags is where a play's report goes.
+// outputFlags is where a run's report goes.
 type outputFlags struct {
 	JSON   string `name:"json" help:"Write all figures as JSON to a file, or to standard output for -, with nothing else there." placeholder:"FILE" optional:""`
 	Report string `name:"report" help:"Write the report into this folder: index.html, which needs no network, figures.json and scenario.toml." placeholder:"DIR" type:"path"`
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// maxExplanations are told on the terminal; the report has all that the judge kept.
+// maxExplanations are told on the terminal; the report has all that the checker kept.
 const maxExplanations = 3
 
 // writeExplanations writes the whole story of the first broken rules, in order of time, one of each rule before a second.
@@ -81,7 +81,7 @@
 	}
 }
 
-// verdictError is a play's exit code.
+// verdictError is a run's exit code.
 func verdictError(p *experiment.RunResult) error {
 	switch {
 	case p.InvalidReason() != "":
@@ -157,7 +157,7 @@
 	return verdictError(p)
 }
 
-// progressDisplay writes a live play's progress from a goroutine of its own: the play waits for no terminal.
+// progressDisplay writes a live run's progress from a goroutine of its own: the run waits for no terminal.
 type progressDisplay struct {
 	lines    chan func(p *report.Progress)
 	finished sync.WaitGroup
@@ -175,7 +175,7 @@
 	return v
 }
 
-// showSnapshot shows how the play stands; it is skipped where the terminal is behind.
+// showSnapshot shows how the run stands; it is skipped where the terminal is behind.
 func (v *progressDisplay) showSnapshot(t *score.Snapshot) {
 	now := *t
 	now.Faults = append([]string(nil), t.Faults...)
@@ -268,7 +268,7 @@
 	}
 }
 
-// demoInstructions are commands to try on a play that stays.
+// demoInstructions are commands to try on a run that stays.
 func demoInstructions(places *process.Addresses, spec *scenario.Scenario) string {
 	text := "\nIt stays up until you interrupt it (Ctrl-C), and is judged then. Try:\n\n"
 	if len(places.Schedulers) > 0 {
--- a/internal/testbed/baseline/base.go
+++ b/internal/testbed/baseline/base.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	retryAfter     = 500 * time.Millisecond // with a refusal, where clients follow such advice
+	retryAfter     = 500 * time.Millisecond // with a rejection, where clients follow such advice
 	ejectionFactor = 20                     // a keyed repeat stays clear of its window's end by this part of it
 )
 
-// policy is what yardsticks differ in.
+// policy is what baseline policies differ in.
 type policy interface {
 	offer(j *job)            // it wants a worker
 	drop(j *job)             // and wants none any more
@@ -25,7 +25,7 @@
 	wake() time.Duration     // when a step is wanted at the latest; 0: never
 }
 
-// base is what all yardsticks have in common.
+// base is what all baseline policies have in common.
 type base struct {
 	policy
 	settings       dispatch.Settings
@@ -104,7 +104,7 @@
 		case dispatch.Started:
 			b.start(e.Job, e.Attempt)
 		case dispatch.Progressed:
-			b.start(e.Job, e.Attempt) // the note of its start may have been lost
+			b.start(e.Job, e.Attempt) // the callback of its start may have been lost
 		case dispatch.ClientDisconnected:
 			b.closeJob(b.jobs[e.Job])
 		}
@@ -149,7 +149,7 @@
 	j := &job{Job: e, class: &b.settings.Classes[e.Class]}
 	j.At = b.now + max(e.Remaining, 0)
 	j.Slots = max(1, e.Slots)
-	// A further try of a client leaves less time than a first one does, and its aim is that of the first.
+	// A further try of a client leaves less time than a first one does, and its objective is that of the first.
 	full := &b.fullUntil[e.Class]
 	*full = max(*full, min(e.Remaining, j.class.ClientTimeout))
 	j.arrivedAt = b.now - max(0, *full-max(e.Remaining, 0))
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -1,8 +1,8 @@
-// Package baseline has reference policies that any module can be held against in the same world: each is a
+// Package baseline has reference policies that any module can be held against in the same environment: each is a
 // ledger.Module that keeps the rules a scheduler must keep, and differs from the others in its choice of worker
-// alone. Random choice is the floor, the one that sees the true state of all worker nodes is the top.
+// alone. Random choice is the floor, the one that sees the true state of all workers is the top.
 //
-// What they have in common (base): a query is sent where its class may go and to no worker node that drains or is
+// What they have in common (base): a request is sent where its class may go and to no worker that drains or is
 // gone; a cold one is passed over as often as it lacks capacity; an attempt that proves never to have run is
 // followed by another elsewhere, one that may have run only as far as the class permits; what can't be sent any
 // more is refused where that is harmless, and failed elsewhere. They are the same play for the same seed.
@@ -16,9 +16,9 @@
 	"valvecove/internal/testbed/environment"
 )
 
-// Oracle is what only a yardstick in the lab may know.
+// Oracle is what only a baseline policy in the testbed may know.
 type Oracle interface {
-	// WorkerIndex is the world's number of the machine that a module knows as worker; not ok: there is none.
+	// WorkerIndex is the environment's number of the machine that a module knows as worker; not ok: there is none.
 	WorkerIndex(worker uint64) (node int, ok bool)
 	// View is a machine's true state, and what passes between it and the scheduler.
 	View(node int) environment.View
@@ -30,15 +30,15 @@
 // Maker makes a module that knows nothing.
 type Maker func(set dispatch.Settings, seed uint64, o Oracle) requests.Policy
 
-// Policy is one yardstick.
+// Policy is one baseline policy.
 type Policy struct {
 	Name        string
 	Description string // one sentence
-	// ForRun gives the maker of one play's modules. Those of one play may share what is true at an instant.
+	// ForRun gives the maker of one run's modules. Those of one run may share what is true at an instant.
 	ForRun func() Maker
 }
 
-// All are the yardsticks, from the floor to the top.
+// All are the baseline policies, from the floor to the top.
 func All() []Policy {
 	return []Policy{
 		{"random", "any worker node, each as likely", withChooser(func(b *base) chooser { return random{b} })},
@@ -63,7 +63,7 @@
 	}
 }
 
-// Find finds a yardstick by its name.
+// Find finds a baseline policy by its name.
 func Find(name string) (Policy, bool) {
 	all := All()
 	i := slices.IndexFunc(all, func(p Policy) bool { return p.Name == name })
--- a/internal/testbed/baseline/baseline_test.go
+++ b/internal/testbed/baseline/baseline_test.go
@@ -11,7 +11,7 @@
 	"valvecove/internal/testbed/environment"
 )
 
-// fakeOracle is an Oracle over worker nodes that a test sets: worker n+1 is node n.
+// fakeOracle is an Oracle over workers that a test sets: worker n+1 is node n.
 type fakeOracle struct {
 	truth []environment.View
 	work  func(job uint64) float64
@@ -158,7 +158,7 @@
 	}
 }
 
-// One large job among many small ones has a worker node kept free for it.
+// One large job among many small ones has a worker kept free for it.
 func TestAllSeeingKeepsRoom(t *testing.T) {
 	g := newFakeOracle(2)
 	g.truth[0].Free, g.truth[0].BacklogSeconds, g.truth[1].Free, g.truth[1].BacklogSeconds = 2, 0.1, 1, 0.3
@@ -178,7 +178,7 @@
 	}
 }
 
-// A job at a worker node that has stopped answering goes elsewhere too, if it may run twice.
+// A job at a worker that has stopped answering goes elsewhere too, if it may run twice.
 func TestAllSeeingRescues(t *testing.T) {
 	for effect, want := range map[dispatch.Idempotency]int{dispatch.Idempotent: 1, dispatch.NonIdempotent: 0} {
 		g, set := newFakeOracle(2), plain
--- a/internal/testbed/baseline/omniscient.go
+++ b/internal/testbed/baseline/omniscient.go
@@ -13,17 +13,17 @@
 const (
 	scanInterval          = 2 * time.Millisecond  // while a job is held: other schedulers' jobs end too
 	scanIntervalPerWorker = time.Microsecond      // longer in a large fleet, as each look goes through it
-	rescueInterval        = 50 * time.Millisecond // a look at worker nodes that have stopped answering
+	rescueInterval        = 50 * time.Millisecond // a look at workers that have stopped answering
 	maxFlightAge          = 250 * time.Millisecond
-	scanChunk             = 24   // worker nodes with room that are enough to choose from
+	scanChunk             = 24   // workers with room that are enough to choose from
 	maxDeferred           = 32   // jobs that fit nowhere which one look goes past
 	sizeMargin            = 1.15 // of a run's time, for its noise
-	faultyErrorRate       = 0.2  // share of attempts that end with an error at a worker node that is left alone
-	reserveMargin         = 0.7  // part of what pushes a cold worker node over
+	faultyErrorRate       = 0.2  // share of attempts that end with an error at a worker that is left alone
+	reserveMargin         = 0.7  // part of what pushes a cold worker over
 )
 
-// omniscient is the policy that sees the true state of all worker nodes, and the true work of each job. It has no queue
-// at any worker node: what can't start now is held, and the one whose start can wait least is sent first. (Shortest
+// omniscient is the policy that sees the true state of all workers, and the true work of each job. It has no queue
+// at any worker: what can't start now is held, and the one whose start can wait least is sent first. (Shortest
 // first earns less by up to 0.06 where more is asked for than can be done: worth is counted by work.)
 type omniscient struct {
 	*base
@@ -45,7 +45,7 @@
 	rescueAt     time.Duration // when that is due
 }
 
-// sharedFlight is what all schedulers of a play share: what they have sent and no worker node has begun, as its truth does
+// sharedFlight is what all schedulers of a run share: what they have sent and no worker has begun, as its truth does
 // not show that yet, and what tenants have asked of them together.
 type sharedFlight struct {
 	workers   []workerFlight
@@ -178,7 +178,7 @@
 	}
 }
 
-// wake is when held jobs are looked at again, and those that are out at worker nodes.
+// wake is when held jobs are looked at again, and those that are out at workers.
 func (p *omniscient) wake() time.Duration {
 	switch {
 	case len(p.queue) > 0:
@@ -225,7 +225,7 @@
 	}
 }
 
-// rescueAll has jobs that are out at a worker node which answers nothing go elsewhere too, where they may.
+// rescueAll has jobs that are out at a worker which answers nothing go elsewhere too, where they may.
 func (p *omniscient) rescueAll() {
 	for _, a := range p.inFlight {
 		if j := a.job; a.worker.index >= 0 && !j.closed && j.heldIndex == 0 && j.inFlight == 1 && p.settings.Hedging &&
@@ -288,10 +288,10 @@
 	p.deferred = aside[:0]
 }
 
-// isReachable tells whether a worker node has what was sent to it, and answers.
+// isReachable tells whether a worker has what was sent to it, and answers.
 func isReachable(v environment.View) bool { return v.Up && v.Reachable }
 
-// isHealthy tells whether a worker node is worth sending to.
+// isHealthy tells whether a worker is worth sending to.
 func isHealthy(v environment.View) bool {
 	return isReachable(v) && !v.Draining && v.ErrorRate < faultyErrorRate
 }
--- a/internal/testbed/baseline/simple.go
+++ b/internal/testbed/baseline/simple.go
@@ -18,7 +18,7 @@
 func (p *immediate) track(w *worker)       { p.chooser.track(w) }
 func (p *immediate) attemptEnded(*attempt) {}
 
-// wake is when the first of the held is past its aim.
+// wake is when the first of the held is past its objective.
 func (p *immediate) wake() (at time.Duration) {
 	for _, j := range p.queue {
 		if j.heldIndex > 0 && (at == 0 || j.objective < at) {
@@ -39,7 +39,7 @@
 
 func (p *immediate) drop(j *job) { j.heldIndex = 0 }
 
-// settle offers again what is held, if there is news of workers, and ends what is past its aim.
+// settle offers again what is held, if there is news of workers, and ends what is past its objective.
 func (p *immediate) settle() {
 	held := p.queue
 	p.queue = p.queue[:0]
--- a/internal/testbed/checker/checker.go
+++ b/internal/testbed/checker/checker.go
@@ -13,18 +13,18 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Options are what a judge is told besides the scenario.
+// Options are what a checker is told besides the scenario.
 type Options struct {
 	RealProcesses bool          // played by real processes: time limits are wider, and what only sockets show is judged
-	MaxLateness   time.Duration // the lab's own lateness beyond which a play is void; default 50 ms
+	MaxLateness   time.Duration // the testbed's own lateness beyond which a run is void; default 50 ms
 }
 
-// Checker keeps the books of one play. It is used by one goroutine.
+// Checker keeps the books of one run. It is used by one goroutine.
 type Checker struct {
 	spec    *scenario.Scenario
 	options Options
 	classes []class
-	cells   []int // by worker node
+	cells   []int // by worker
 	zones   []int
 	timeLimits
 
@@ -35,7 +35,7 @@
 	schedulers      []*scheduler
 	connRequests    map[uint64]int32 // requests asked on a client's connection
 	misbehaving     map[uint64]misbehavingClient
-	coldWork        map[int][]coldArrival // by worker node, onto a cold one
+	coldWork        map[int][]coldArrival // by worker, onto a cold one
 	fleetLog        eventRing
 	texts           textTable
 	retained        [2]retentionQueue // the safe ones, and the others
@@ -45,17 +45,17 @@
 	checkCounts     [ruleCount]int
 	violationCounts [ruleCount]int
 	counts          Counts
-	maxLateness     time.Duration // the lab's own lateness, at most
+	maxLateness     time.Duration // the testbed's own lateness, at most
 	recentLateness  lateness      // and lately
 }
 
-// lateness is how late the lab itself was, and when.
+// lateness is how late the testbed itself was, and when.
 type lateness struct{ observedAt, amount time.Duration }
 
-// latenessWindow is how long the lab's lateness is taken to show in what it sees.
+// latenessWindow is how long the testbed's lateness is taken to show in what it sees.
 const latenessWindow = time.Second
 
-// observationLateness is how late the lab may be with what it sees now.
+// observationLateness is how late the testbed may be with what it sees now.
 func (j *Checker) observationLateness() time.Duration {
 	if j.now-j.recentLateness.observedAt > latenessWindow {
 		return 0
@@ -67,27 +67,27 @@
 type timeLimits struct {
 	slack             time.Duration // after a deadline an answer still counts
 	clientDelay       time.Duration // a word between client and scheduler takes at most
-	workerDelay       time.Duration // the same between scheduler and worker node
-	dialDelay         time.Duration // from a scheduler's choice to the first byte of a query, at most
+	workerDelay       time.Duration // the same between scheduler and worker
+	dialDelay         time.Duration // from a scheduler's choice to the first byte of a request, at most
 	drainGrace        time.Duration // of a drain
 	rejectionDeadline time.Duration // prompt
-	heavyFactor       float64       // times its speed that the fastest worker node may be taken to do at the most
+	heavyFactor       float64       // times its speed that the fastest worker may be taken to do at the most
 	retention         time.Duration // a settled job is remembered
 	estimateFactor    float64       // times its true work, at least the mean, that a job may be taken for
 	maxSpeed          float64       // speed of a core
 	clientsCut        []interval    // clients and schedulers are cut off from each other, or slowed down
-	workersImpaired   []interval    // words between schedulers and worker nodes may never come
+	workersImpaired   []interval    // words between schedulers and workers may never come
 	workersCut        []interval    // or come when that is over
-	connectsImpaired  []interval    // connections to worker nodes may not come up
+	connectsImpaired  []interval    // connections to workers may not come up
 	killDelay         time.Duration // from SIGTERM to SIGKILL at the soonest
 	attemptLimit      int
 	hedging           bool
 }
 
-// Verdict is what a judge has found.
+// Verdict is what a checker has found.
 type Verdict struct {
 	Violations []Violation `json:"broken"`
-	Invalid    string      `json:"void,omitempty"` // why the play is no result; empty: it is one
+	Invalid    string      `json:"void,omitempty"` // why the run is no result; empty: it is one
 	Counts     Counts      `json:"counts"`
 	Rules      []RuleCount `json:"rules"`
 	NotChecked []string    `json:"left_out,omitempty"` // what this driver can't show, and why
@@ -98,7 +98,7 @@
 	Rule        string        `json:"rule"`
 	At          time.Duration `json:"at"`
 	JobID       uint64        `json:"job,omitempty"`  // 0 where it is about none
-	RequestID   string        `json:"call,omitempty"` // its query, where it is about one
+	RequestID   string        `json:"call,omitempty"` // its request, where it is about one
 	Text        string        `json:"text"`
 	Explanation []string      `json:"story"` // of the whole job, in order of time
 }
@@ -110,7 +110,7 @@
 	Violated int    `json:"broken"`
 }
 
-// Counts are what the judge saw.
+// Counts are what the checker saw.
 type Counts struct {
 	Jobs            int `json:"jobs"`
 	Requests        int `json:"tries"`
@@ -121,13 +121,13 @@
 	TimedOut        int `json:"gave_up"`  // by their clients, their time being up
 	ClientsLeft     int `json:"left"`     // by their clients, earlier
 	Excused         int `json:"excused"`  // of those without an answer: nothing was owed
-	Open            int `json:"open"`     // nothing had become of them when the play ended
-	Attempts        int `json:"attempts"` // that reached a worker node
+	Open            int `json:"open"`     // nothing had become of them when the run ended
+	Attempts        int `json:"attempts"` // that reached a worker
 	Started         int `json:"began"`    // to run
 	Duplicates      int `json:"repeats"`  // that a cell dropped
 	Misbehaving     int `json:"bad"`      // clients
 	Evicted         int `json:"crowded"`  // settled jobs forgotten early, for want of room
-	Unknown         int `json:"stray"`    // sights of what the judge didn't know, or no longer
+	Unknown         int `json:"stray"`    // trace events of what the checker didn't know, or no longer
 	Overlaps        int `json:"suspects"` // overlaps looked at, most of which cross on their way
 }
 
@@ -136,22 +136,22 @@
 
 const (
 	maxSettled     = 1 << 16 // jobs remembered, of each sort
-	maxJobLog      = 64      // sights of a job
-	maxFleetLog    = 4096    // sights of the fleet
-	maxColdWork    = 24      // told of a worker node that fell
+	maxJobLog      = 64      // trace events of a job
+	maxFleetLog    = 4096    // trace events of the fleet
+	maxColdWork    = 24      // told of a worker that fell
 	maxExplained   = 16      // breaches of a rule that are told in full
 	maxOverlaps    = 256     // overlaps looked at at once
 	maxConns       = 1 << 20 // whose requests are counted
-	maxMisbehaving = 1 << 14 // bad clients remembered that have had their answer
+	maxMisbehaving = 1 << 14 // misbehaving clients remembered that have had their answer
 )
 
 // idempotentRetention is how long safe jobs are remembered, besides what a late attempt may take: they are most.
 const idempotentRetention = time.Second
 
-// termGrace is how long after SIGTERM queries come in that the process may take with it when it is killed.
+// termGrace is how long after SIGTERM requests come in that the process may take with it when it is killed.
 const termGrace = 700 * time.Millisecond
 
-// New returns a judge of a play of a checked scenario.
+// New returns a checker of a run of a checked scenario.
 func New(spec *scenario.Scenario, opt Options) *Checker {
 	if opt.MaxLateness <= 0 {
 		opt.MaxLateness = 50 * time.Millisecond // as long as clients listen beyond a deadline: an answer in time may go unheard
@@ -265,13 +265,13 @@
 		slices.ContainsFunc(spec.Fleet.Kinds, func(k scenario.WorkerKind) bool { return k.OmitsStartNotifications || k.PauseEvery > 0 })
 }
 
-// impairingFaults are the faults by which words between schedulers and worker nodes are lost or come very late.
+// impairingFaults are the faults by which words between schedulers and workers are lost or come very late.
 var impairingFaults = map[string]bool{
 	"cut": true, "cut_one_way": true, "delay": true, "drop_idle": true, "half_open": true,
 	"never_up": true, "refuse": true, "reset_at": true, "slow_read": true,
 }
 
-// connectImpairingFaults are the faults by which connections to worker nodes do not come up.
+// connectImpairingFaults are the faults by which connections to workers do not come up.
 var connectImpairingFaults = map[string]bool{"cut": true, "cut_one_way": true, "never_up": true, "vanish": true, "replace": true}
 
 // impairmentMargin is how long before and after such a fault its effect may show.
@@ -285,7 +285,7 @@
 	return j.schedulers[max(n, 0)]
 }
 
-// Observe takes in a sight. Sights come in order of time.
+// Observe takes in a trace event. Trace events come in order of time.
 func (j *Checker) Observe(s *trace.Event) {
 	j.now = s.At
 	for i := range j.retained {
@@ -432,7 +432,7 @@
 	}
 }
 
-// unknownRequest takes a sight of a query that nobody knows.
+// unknownRequest takes a trace event of a request that nobody knows.
 func (j *Checker) unknownRequest(event *trace.Event) {
 	if b := j.jobs[event.JobID]; b != nil && event.Kind == trace.SchedulerUnreachable {
 		j.recordJobEvent(b, event, noRequest)
@@ -482,7 +482,7 @@
 	j.freeJobs = append(j.freeJobs, b)
 }
 
-// fleetEvent takes a sight of the fleet, of processes or of the lab itself.
+// fleetEvent takes a trace event of the fleet, of processes or of the testbed itself.
 func (j *Checker) fleetEvent(s *trace.Event) {
 	switch s.Kind {
 	case trace.ResourceUsage:
@@ -539,7 +539,7 @@
 	c.thaw(e.exitedAt)
 }
 
-// Verdict tells what was found, of what is still open too. The play may go on after it.
+// Verdict tells what was found, of what is still open too. The run may go on after it.
 func (j *Checker) Verdict() Verdict {
 	verdict := Verdict{Violations: []Violation{}, Counts: j.counts}
 	// What is open is judged on a copy of the findings.
--- a/internal/testbed/checker/explanation.go
+++ b/internal/testbed/checker/explanation.go
@@ -9,20 +9,20 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// logEntry is a sight as it is kept for stories. Most of the judge's memory is entries: they are small, and no pointers.
+// logEntry is a trace event as it is kept for stories. Most of the checker's memory is entries: they are small, and no pointers.
 type logEntry struct {
 	at        time.Duration
 	duration  time.Duration // budget, first byte or advice; of a start of a process, its number
 	worker    int32
 	scheduler int16
 	status    int16
-	text      uint16 // in the judge's words; results stand with their attempts and tries
+	text      uint16 // in the checker's words; results stand with their attempts and tries
 	request   uint8  // which of its job's; 255: none
-	sendings  uint8  // of a note
+	sendings  uint8  // of a callback
 	kind      trace.Kind
 }
 
-// textTable are the few texts that sights have, results apart.
+// textTable are the few texts that trace events have, results apart.
 type textTable struct {
 	texts []string // the first is empty
 	index map[string]uint16
@@ -66,7 +66,7 @@
 	return logEntry
 }
 
-// recordJobEvent logs a sight with its job. Where there is no room the middle of the log goes: how it began and how it ended
+// recordJobEvent logs a trace event with its job. Where there is no room the middle of the log goes: how it began and how it ended
 // say most.
 func (j *Checker) recordJobEvent(b *job, s *trace.Event, try int) {
 	if len(b.log) == maxJobLog {
@@ -78,7 +78,7 @@
 	b.log = append(b.log, e)
 }
 
-// eventRing is the last sights of the fleet.
+// eventRing is the last trace events of the fleet.
 type eventRing struct {
 	entries []logEntry
 	next    int
@@ -93,7 +93,7 @@
 	r.next = (r.next + 1) % maxFleetLog
 }
 
-// recordFleetEvent keeps a sight of the fleet, or of a query that nobody knows.
+// recordFleetEvent keeps a trace event of the fleet, or of a request that nobody knows.
 func (j *Checker) recordFleetEvent(s *trace.Event) {
 	e := j.texts.newEntry(s)
 	if s.Kind < trace.WorkerStarted {
@@ -123,7 +123,7 @@
 	b.violations = nil
 }
 
-// explainJob is what was seen of a job, and meanwhile of the schedulers and worker nodes that it met.
+// explainJob is what was seen of a job, and meanwhile of the schedulers and workers that it met.
 func (j *Checker) explainJob(b *job) []string {
 	nodes, scheds := map[int32]bool{}, map[int16]bool{}
 	for i := range b.attempts {
@@ -178,7 +178,7 @@
 	return lines[max(0, len(lines)-maxJobLog):]
 }
 
-// explainColdWork is what came to a cold worker node.
+// explainColdWork is what came to a cold worker.
 func (j *Checker) explainColdWork(node int) []string {
 	lines := []string{}
 	for _, p := range j.coldWork[node] {
--- a/internal/testbed/checker/history.go
+++ b/internal/testbed/checker/history.go
@@ -56,7 +56,7 @@
 	return jobs
 }
 
-// request is one query of a client.
+// request is one request of a client.
 type request struct {
 	id           string
 	key          string
@@ -65,10 +65,10 @@
 	deadline     time.Duration // its budget is over
 	endedAt      time.Duration // answered or ended, as its client saw it
 	exhaustedAt  time.Duration // when the scheduler knew that no further attempt is allowed; 0: one is
-	unreadUntil  time.Duration // until then an attempt was out that no worker node had read
+	unreadUntil  time.Duration // until then an attempt was out that no worker had read
 	scheduler    int
 	incarnation  int // of the scheduler
-	attemptCount int // attempts that have reached a worker node
+	attemptCount int // attempts that have reached a worker
 	responses    int
 	status       int
 	state        requestState
@@ -86,7 +86,7 @@
 	requestTimedOut
 )
 
-// attempt is one sending of a query, from when it has reached a worker node.
+// attempt is one sending of a request, from when it has reached a worker.
 type attempt struct {
 	result      string
 	firstByteAt time.Duration // its first byte was written
@@ -127,7 +127,7 @@
 	return nil, -1
 }
 
-// findAttempt finds what a sight at a worker node is about. Of two that are out there one is turned away, the last that
+// findAttempt finds what a trace event at a worker is about. Of two that are out there one is rejected, the last that
 // came; all else is about the first. Where none is out it is the last.
 func (b *job) findAttempt(try, node int, last bool) *attempt {
 	var found *attempt
@@ -161,7 +161,7 @@
 	exits           []processExit // by process
 	terminatedAt    time.Duration
 	freezes         []interval            // the last one lasts as long as its end is open
-	drainNotifiedAt map[int]time.Duration // by worker node: told so
+	drainNotifiedAt map[int]time.Duration // by worker: told so
 	overLimits      bool                  // of its limits, by this process
 }
 
@@ -187,7 +187,7 @@
 // forever is the end of what has none.
 const forever = time.Duration(math.MaxInt64)
 
-// interval is a part of the play.
+// interval is a part of the run.
 type interval struct{ start, end time.Duration }
 
 // anyOverlaps tells whether one of the spans has a part of the time from a to b.
@@ -271,7 +271,7 @@
 	return longest
 }
 
-// workerPlacement are the cells and zones of the scenario's worker nodes, by node. Nodes are dealt out to zones in turn, and
+// workerPlacement are the cells and zones of the scenario's workers, by node. Nodes are dealt out to zones in turn, and
 // cells are filled zone by zone, apart from those in which a zone ends and the next begins.
 func workerPlacement(spec *scenario.Scenario) (cells, zones []int) {
 	n, size, many := spec.Fleet.Workers, max(1, spec.Fleet.CellSize), max(1, len(spec.Fleet.Zones))
--- a/internal/testbed/checker/legal_test.go
+++ b/internal/testbed/checker/legal_test.go
@@ -20,7 +20,7 @@
 	s    []trace.Event
 	job  uint64
 	at   time.Duration
-	free map[int]time.Duration // until when worker nodes have an attempt of the job
+	free map[int]time.Duration // until when workers have an attempt of the job
 }
 
 func (h *history) draw(n int) int { return rapid.IntRange(0, n-1).Draw(h.t, "n") }
@@ -57,7 +57,7 @@
 	h.see(trace.Event{Kind: trace.JobSettled, JobID: h.job})
 }
 
-// try draws one query; again: its client may ask anew.
+// try draws one request; again: its client may ask anew.
 func (h *history) try(c *scenario.Class, call string, asked time.Duration) (again bool) {
 	h.free = map[int]time.Duration{}
 	risk, cell := time.Duration(0), -1
@@ -103,7 +103,7 @@
 	}
 }
 
-// attempt draws one sending of a query, to its end.
+// attempt draws one sending of a request, to its end.
 func (h *history) attempt(c *scenario.Class, call string, node int) (result string, ran bool) {
 	h.wait(time.Millisecond)
 	first := h.at
--- a/internal/testbed/checker/rules.go
+++ b/internal/testbed/checker/rules.go
@@ -145,7 +145,7 @@
 	return anyOverlaps(j.clientsCut, t.sentAt, at)
 }
 
-// ---- What worker nodes see ----
+// ---- What workers see ----
 
 func (j *Checker) attemptReceived(b *job, t *request, n int, s *trace.Event) {
 	j.counts.Attempts++
@@ -239,7 +239,7 @@
 	}
 }
 
-// shareScope tells whether two worker nodes drop each other's repeats.
+// shareScope tells whether two workers drop each other's repeats.
 func (j *Checker) shareScope(group string, x, y int) bool {
 	switch group {
 	case "cell":
@@ -311,7 +311,7 @@
 	}
 }
 
-// responseSeenBy is when a scheduler has heard what a worker node has answered at an instant.
+// responseSeenBy is when a scheduler has heard what a worker has answered at an instant.
 func (j *Checker) responseSeenBy(at time.Duration) time.Duration {
 	for _, s := range j.workersCut {
 		if s.start <= at+j.workerDelay && at < s.end {
@@ -341,7 +341,7 @@
 	}
 }
 
-// attemptRejected looks at why a worker node turned a query away.
+// attemptRejected looks at why a worker turned a request away.
 func (j *Checker) attemptRejected(b *job, s *trace.Event) {
 	switch s.Status {
 	case http.StatusBadRequest:
@@ -436,8 +436,8 @@
 	}
 }
 
-// objectiveHorizon is how long after it was asked a scheduler may have hoped to bring a query in by its aim, however wrong its
-// idea of the work. Of one held for heavy it knows that even the fastest worker node needs a good part of the work.
+// objectiveHorizon is how long after it was asked a scheduler may have hoped to bring a request in by its objective, however wrong its
+// idea of the work. Of one held for heavy it knows that even the fastest worker needs a good part of the work.
 func (j *Checker) objectiveHorizon(b *job, t *request) time.Duration {
 	c, budget := b.class, t.deadline-t.sentAt
 	work := float64(max(b.work, c.meanWork)) * j.estimateFactor
@@ -450,7 +450,7 @@
 
 // ---- Overlaps ----
 
-// resolveOverlaps looks at suspicions again, as a sight comes in that may settle some.
+// resolveOverlaps looks at suspicions again, as a trace event comes in that may settle some.
 func (j *Checker) resolveOverlaps(event *trace.Event) {
 	kept := j.overlaps[:0]
 	for _, overlap := range j.overlaps {
@@ -487,9 +487,9 @@
 	j.overlaps = kept
 }
 
-// ---- Cold worker nodes ----
+// ---- Cold workers ----
 
-// coldArrival is work that came to a cold worker node.
+// coldArrival is work that came to a cold worker.
 type coldArrival struct {
 	receivedAt time.Duration
 	scheduler  int
@@ -519,9 +519,9 @@
 	}
 }
 
-// ---- Bad clients, limits ----
+// ---- Misbehaving clients, limits ----
 
-// misbehaviorDeadline is the time within which a bad client of a kind has its error or its close.
+// misbehaviorDeadline is the time within which a misbehaving client of a kind has its error or its close.
 func (j *Checker) misbehaviorDeadline(kind string) time.Duration {
 	d := j.spec.Rules.MisbehaviorDeadline.Std()
 	if kind == "huge_body" {
--- a/internal/testbed/checker/rules_test.go
+++ b/internal/testbed/checker/rules_test.go
@@ -16,7 +16,7 @@
 
 var update = flag.Bool("update", false, "write what is found to the golden files")
 
-// verbs are the names of sights in scripts.
+// verbs are the names of trace events in scripts.
 var verbs = map[string]trace.Kind{
 	"due": trace.JobDue, "asked": trace.RequestSent, "answered": trace.ResponseReceived, "lost": trace.ConnectionLost, "left": trace.ClientLeft,
 	"gaveup": trace.ClientTimedOut, "settled": trace.JobSettled, "oddbegan": trace.MisbehavingClientConnected, "oddended": trace.MisbehavingClientAnswered,
@@ -31,7 +31,7 @@
 	"usage": trace.ResourceUsage, "late": trace.TestbedLate, "unread": trace.AttemptUnread,
 }
 
-// Each file of testdata is a history of sights, a line each, and below a line of dashes what the judge makes of it.
+// Each file of testdata is a history of trace events, a line each, and below a line of dashes what the checker makes of it.
 // "set" lines change the scenario before. A history has right beside wrong: what is not told was not blamed.
 func TestRules(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
@@ -84,7 +84,7 @@
 	return s.String()
 }
 
-// runScript has a judge watch a script.
+// runScript has a checker watch a script.
 func runScript(t *testing.T, script string) Verdict {
 	t.Helper()
 	spec, opt := scenario.Default(), Options{}
--- a/internal/testbed/checker/run_test.go
+++ b/internal/testbed/checker/run_test.go
@@ -11,7 +11,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// The judge deals cells and zones as the world does.
+// The checker deals cells and zones as the environment does.
 func TestRacks(t *testing.T) {
 	spec := scenario.Default()
 	spec.Fleet.Workers, spec.Fleet.Zones, spec.Fleet.CellSize = 23, []string{"a", "b", "c"}, 3
@@ -35,7 +35,7 @@
 	}
 }
 
-// The cost of a request, all its sights together, among 256 that are out at a time.
+// The cost of a request, all its trace events together, among 256 that are out at a time.
 func BenchmarkWatch(b *testing.B) {
 	const out = 256
 	story := []trace.Event{
--- a/internal/testbed/environment/arrivals.go
+++ b/internal/testbed/environment/arrivals.go
@@ -12,7 +12,7 @@
 
 // arrivals is when jobs fall due, and what they are. Each tenant's jobs of a class are a stream of their own with
 // random numbers of its own, drawn one job ahead: nothing that schedulers do shifts them. Only a closed load waits
-// for answers, as it must; there each client's n-th job is the same in every play of a seed.
+// for answers, as it must; there each client's n-th job is the same in every run of a seed.
 type arrivals struct {
 	clients       *clients
 	length        time.Duration
@@ -111,7 +111,7 @@
 		}
 	}
 	a.addClosedClients(a.sources, a.cumulative, a.closedClients, "closed", 0)
-	a.clients.env.schedule(a.length, func() {}) // the play isn't over before, whether or not jobs come
+	a.clients.env.schedule(a.length, func() {}) // the run isn't over before, whether or not jobs come
 }
 
 // startStream starts a stream of a cell's jobs, at so many times the cell's own rate.
@@ -323,7 +323,7 @@
 	return last
 }
 
-// loadShape is how the load's level moves about its mean of 1 in the course of a play, swinging by so much at most.
+// loadShape is how the load's level moves about its mean of 1 in the course of a run, swinging by so much at most.
 //
 //	steady       it does not
 //	bursty       it jumps between 1+swing and 1-swing, and stays at each for a time drawn exponentially, 1 s on the
@@ -366,7 +366,7 @@
 			s.jumps = append(s.jumps, last+1+time.Duration(s.rng.ExpFloat64()*float64(burstyHold)))
 			n++
 		}
-		for n > 1 && s.jumps[n-2] > instant { // a step of the play that was late asks of the past
+		for n > 1 && s.jumps[n-2] > instant { // a step of the run that was late asks of the past
 			n--
 		}
 		if s.startsLow == (n%2 == 1) {
--- a/internal/testbed/environment/arrivals_test.go
+++ b/internal/testbed/environment/arrivals_test.go
@@ -9,7 +9,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// dues are the jobs of a play in which all is served.
+// dues are the jobs of a run in which all is served.
 func dues(spec *scenario.Scenario, seed uint64, change func(s *stage)) []trace.Event {
 	s := newStage(spec, seed).begin()
 	if change != nil {
--- a/internal/testbed/environment/clients.go
+++ b/internal/testbed/environment/clients.go
@@ -13,10 +13,10 @@
 // clients is all clients: their jobs, each with its tries, of which one is open at a time, and the connections that
 // they share (front.go). A job is settled exactly once.
 //
-// A try waits for a connection, then for its answer, and ends with one sight: Answered, Lost, Left, GaveUp or
-// Unreached. It may be followed by another, with a new id, after a refusal
+// A try waits for a connection, then for its answer, and ends with one trace event: Answered, Lost, Left, GaveUp or
+// Unreached. It may be followed by another, with a new id, after a rejection
 // or where no scheduler was reached; after any other failure only if its class is safe, or keyed with a group that
-// holds all worker nodes and then within the window of the first try that may have run. No try begins once the
+// holds all workers and then within the window of the first try that may have run. No try begins once the
 // job's deadline has passed.
 //
 // A client listens for the rules' slack beyond its deadline before it closes, as an answer counts until then.
@@ -38,14 +38,14 @@
 	recentNext     int
 }
 
-// requestRetention is how long a query is known after its job was settled; by then a scheduler sends it no more. That of a
+// requestRetention is how long a request is known after its job was settled; by then a scheduler sends it no more. That of a
 // keyed class is known for its window longer.
 const requestRetention = 30 * time.Second
 
 // minBudget is the least time with which a client asks: budgets are whole milliseconds.
 const minBudget = time.Millisecond
 
-// answerSlack is the rules' slack where a scenario gives none, that of virtual time.
+// answerSlack is the rules' slack where a scenario gives none, that of simulated time.
 const answerSlack = 16 * time.Millisecond
 
 // class is a class of jobs, and its jobs by when their time is up.
@@ -78,7 +78,7 @@
 	client            *closedClient // whose job it is, under a closed load
 }
 
-// request is a client's query, as the world knows it.
+// request is a client's request, as the environment knows it.
 type request struct {
 	id     string
 	jobID  uint64
@@ -94,7 +94,7 @@
 	sentAt   time.Duration
 	tenant   int32
 	stage    requestStage
-	read     bool // the query has reached the scheduler
+	read     bool // the request has reached the scheduler
 	resent   bool // it has been sent a second time
 }
 
@@ -156,7 +156,7 @@
 // finished tells whether all jobs are settled and none will come.
 func (c *clients) finished() bool { return c.unsettled == 0 && c.env.now >= c.arrivals.length }
 
-// RequestsInFlight is how many queries clients wait for an answer to.
+// RequestsInFlight is how many requests clients wait for an answer to.
 func (w *Environment) RequestsInFlight() int { return w.clients.awaiting }
 
 // QuotaPerS is how many jobs a second are within a tenant's share.
@@ -167,7 +167,7 @@
 
 // ---- The life of a job ----
 
-// jobDue is the moment at which a job falls due; the lab meant it to at meant.
+// jobDue is the moment at which a job falls due; the testbed meant it to at meant.
 func (c *clients) jobDue(job *job, meant time.Duration) {
 	class := c.classes[job.class]
 	c.unsettled++
@@ -207,7 +207,7 @@
 	c.connPools[job.zone].acquire(t)
 }
 
-// writeRequest writes a try's query on a connection. Not ok: its time is up.
+// writeRequest writes a try's request on a connection. Not ok: its time is up.
 func (c *clients) writeRequest(t *request, clientConn *clientConn) (ok bool) {
 	job, k, now := t.job, c.classes[t.class], c.env.now
 	budget := min(job.deadline-now, k.requestTimeout) / time.Millisecond * time.Millisecond
@@ -352,7 +352,7 @@
 	l.close()
 }
 
-// describe says in a sight which try it is of.
+// describe says in a trace event which try it is of.
 func (c *clients) describe(t *request, s trace.Event) trace.Event {
 	s.RequestID, s.JobID, s.Number, s.Class, s.Tenant, s.IdempotencyKey = t.id, t.jobID, t.number, t.class, int(t.tenant), t.key
 	return s
@@ -398,7 +398,7 @@
 	return c.lastConn
 }
 
-// response is an answer as it stands on the wire, and the query that it is meant for.
+// response is an answer as it stands on the wire, and the request that it is meant for.
 type response struct {
 	requestID, body string
 	status          int
@@ -415,7 +415,7 @@
 	return outcomeFailed
 }
 
-// responseReceived is the arrival of an answer. Whatever it is, it is seen; one that is not for the query that the
+// responseReceived is the arrival of an answer. Whatever it is, it is seen; one that is not for the request that the
 // connection carries ends nothing.
 func (l *clientConn) responseReceived(response response) {
 	clients, t := l.pool.clients, l.request
@@ -444,7 +444,7 @@
 
 // ---- Ids ----
 
-// A query's id is its job's number and its own among the job's tries, scrambled: it follows from the seed alone,
+// A request's id is its job's number and its own among the job's tries, scrambled: it follows from the seed alone,
 // never comes twice, and leads back to the job without a table.
 const (
 	requestBits = 8
@@ -503,7 +503,7 @@
 	return string(b[:])
 }
 
-// findRequest finds a query by its id; nil: no client sent it. Queries are known for as long as an attempt of theirs may be
+// findRequest finds a request by its id; nil: no client sent it. Requests are known for as long as an attempt of theirs may be
 // anywhere.
 func (c *clients) findRequest(call string) *request {
 	if len(call) != 16 {
@@ -606,7 +606,7 @@
 	return t
 }
 
-// timeoutQueue is what falls due equally long after it was entered: a queue with one entry on the agenda, where a heap of
+// timeoutQueue is what falls due equally long after it was entered: a queue with one entry on the event queue, where a heap of
 // all would be too slow.
 type timeoutQueue struct {
 	env       *Environment
--- a/internal/testbed/environment/clients_test.go
+++ b/internal/testbed/environment/clients_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// answers gives each query, in the order of their coming, one of these statuses.
+// answers gives each request, in the order of their coming, one of these statuses.
 func answers(s *stage, after time.Duration, status ...int) func(in *simapi.Input) {
 	return func(in *simapi.Input) {
 		if in.Kind == simapi.RequestReceived && len(status) > 0 {
@@ -188,7 +188,7 @@
 	}
 }
 
-// A query that crosses the close of its idle connection is sent once more, with its id; one that was read is lost.
+// A request that crosses the close of its idle connection is sent once more, with its id; one that was read is lost.
 func TestCloseCrossesQuery(t *testing.T) {
 	s := one(2, nil)
 	var first *simapi.Input
@@ -217,7 +217,7 @@
 	}
 }
 
-// Where a scheduler has as many connections as it may, a query waits; one that is closed behind an answer makes room.
+// Where a scheduler has as many connections as it may, a request waits; one that is closed behind an answer makes room.
 func TestQueryWaitsForConnection(t *testing.T) {
 	s := one(2, func(spec *scenario.Scenario) { spec.Schedulers.Sockets = clientConnShare })
 	s.w.schedule(100*time.Millisecond, func() {
@@ -235,7 +235,7 @@
 	}
 }
 
-// An answer that nobody waits for any more, or that is for no query, is seen all the same.
+// An answer that nobody waits for any more, or that is for no request, is seen all the same.
 func TestSecondAnswerIsSeen(t *testing.T) {
 	s := one(0, nil)
 	s.run(2*time.Second, func(in *simapi.Input) {
@@ -249,7 +249,7 @@
 	}
 }
 
-// A query is known for keep after its job was settled, one of a keyed class for its window longer, then forgotten.
+// A request is known for keep after its job was settled, one of a keyed class for its window longer, then forgotten.
 func TestQueriesAreForgotten(t *testing.T) {
 	for class, known := range map[int]time.Duration{0: requestRetention, 3: requestRetention + 20*time.Second} {
 		s := one(class, nil)
@@ -268,7 +268,7 @@
 	}
 }
 
-// A client of a closed load asks again once it has its answer, and no two of its queries are open.
+// A client of a closed load asks again once it has its answer, and no two of its requests are open.
 func TestClosedLoad(t *testing.T) {
 	spec := calm(1, 10*time.Second)
 	spec.Load.CapacityShare, spec.Load.ClosedClients = 0, 5
@@ -284,7 +284,7 @@
 	}
 }
 
-// Bad clients come at their rate, carry an open query's id where their kind does, and each is seen to end once.
+// Misbehaving clients come at their rate, carry an open request's id where their kind does, and each is seen to end once.
 func TestBadClients(t *testing.T) {
 	spec := calm(1, 20*time.Second)
 	spec.Misbehaving = []scenario.MisbehavingClients{{Kind: "stolen_id", Rate: 10, At: scenario.Duration(2 * time.Second)}}
@@ -307,7 +307,7 @@
 	}
 }
 
-// The front notices a death late: until then connections are led there and refused.
+// The load balancer notices a death late: until then connections are led there and refused.
 func TestFrontNoticesLate(t *testing.T) {
 	spec := calm(2, 10*time.Second)
 	spec.Clients.Retries, spec.Load.CapacityShare, spec.Load.Rate = 0, 0, 100
@@ -369,7 +369,7 @@
 	s.begin()
 	var ins []simapi.Input
 	b.ReportAllocs()
-	for b.ResetTimer(); !s.w.Finished(); { // each query is answered at the next event
+	for b.ResetTimer(); !s.w.Finished(); { // each request is answered at the next event
 		at, _ := s.w.Next()
 		ins = s.w.Step(at, s.outs, ins[:0])
 		s.outs = s.outs[:0]
--- a/internal/testbed/environment/conn.go
+++ b/internal/testbed/environment/conn.go
@@ -9,17 +9,17 @@
 // The sides of a connection.
 const (
 	schedulerSide = iota // the scheduler's
-	farSide              // the client's or the worker node's
+	farSide              // the client's or the worker's
 )
 
-// conn is a connection between a scheduler and a client or a worker node. Each side closes for itself; the other
+// conn is a connection between a scheduler and a client or a worker. Each side closes for itself; the other
 // learns of it as of anything else, after the network's delay and in order.
 type conn struct {
 	id                simapi.Conn
 	scheduler         int
 	incarnation       int // which of the scheduler's processes it belongs to
 	worker            int // of a link
-	workerIncarnation int // of a link: which of the worker node's processes it leads to
+	workerIncarnation int // of a link: which of the worker's processes it leads to
 	up                bool
 	closed            [2]bool          // by side: closed there, or known there to be closed
 	resetSilently     [2]bool          // by side: closed there by a reset that the other side knows nothing of
@@ -29,7 +29,7 @@
 	state             any // what the far end keeps with it
 }
 
-// farEnd is a client or a worker node, at its end of a connection.
+// farEnd is a client or a worker, at its end of a connection.
 type farEnd interface {
 	endpoint() endpoint
 	connClosed(c *conn) // the scheduler has closed it, or its process is gone
--- a/internal/testbed/environment/discovery.go
+++ b/internal/testbed/environment/discovery.go
@@ -9,9 +9,9 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// discovery is the list of worker nodes, as one service for all schedulers (views.go has what each of these knows).
+// discovery is the list of workers, as one service for all schedulers (views.go has what each of these knows).
 //
-// It comes to know of a turn in a worker node's life after the notice for turns of its kind, give or take three
+// It comes to know of a turn in a worker's life after the notice for turns of its kind, give or take three
 // tenths. Once in a period it looks at what it has come to know, and what is new then makes the next generation of
 // its list, which goes out over all watches. Calls for a watch are handled in turn, each in lines / capacity, where a
 // list has a line for each entry and one at least; a call that waits for its turn for longer than the timeout fails.
@@ -23,7 +23,7 @@
 	dice           drawSource
 	revision       int64
 	entries        []listEntry
-	entryOf        []int // by worker node: its entry; a machine that took another's place has one of its own
+	entryOf        []int // by worker: its entry; a machine that took another's place has one of its own
 	changed        []int // entries of which something new is known
 	publishPlanned bool
 	phase          time.Duration    // of its period
@@ -37,12 +37,12 @@
 	staleAnswers int
 	noticeDelay  time.Duration
 	slowFactors  []float64
-	wrongEntries []int // by worker node
-	cutCounts    []int // by worker node: ways to it that are cut
+	wrongEntries []int // by worker
+	cutCounts    []int // by worker: ways to it that are cut
 	heldEvents   []lifeEventNotice
 }
 
-// listEntry is a worker node's line in the list.
+// listEntry is a worker's line in the list.
 type listEntry struct {
 	endpoint    requests.Endpoint // but for what changes
 	worker      int
@@ -71,7 +71,7 @@
 
 var endpointStateNames = [...]string{"removed", "up", "draining"}
 
-// lifeEventNotice is a turn in a worker node's life.
+// lifeEventNotice is a turn in a worker's life.
 type lifeEventNotice struct {
 	entry       int
 	event       lifeEvent
@@ -79,7 +79,7 @@
 	startedMs   int64
 }
 
-// What a worker node does that discovery comes to know of.
+// What a worker does that discovery comes to know of.
 type lifeEvent uint8
 
 const (
@@ -91,8 +91,8 @@
 )
 
 const (
-	firstRevision     = 40              // of the list at the play's start
-	newcomerShare     = 0.03            // share of the worker nodes that schedulers may not know yet at the start
+	firstRevision     = 40              // of the list at the run's start
+	newcomerShare     = 0.03            // share of the workers that schedulers may not know yet at the start
 	historyLength     = 256             // generations after which changes are told; further back the whole list is
 	heartbeatInterval = 2 * time.Second // between empty lines on a watch
 	moveGrace         = 1500 * time.Millisecond
@@ -138,7 +138,7 @@
 	d.env.schedule(0, func() { d.reportAcceptMode(d.address) })
 }
 
-// add makes a line for the machine that a worker node is now. It is not on the list yet.
+// add makes a line for the machine that a worker is now. It is not on the list yet.
 func (d *discovery) add(n *worker) *listEntry {
 	weight := 1.0
 	switch d.env.Spec.Fleet.Weights {
@@ -169,7 +169,7 @@
 
 // ---- What it comes to know ----
 
-// workerEvent is told by a worker node of a turn in its life, when that happens.
+// workerEvent is told by a worker of a turn in its life, when that happens.
 func (d *discovery) workerEvent(n *worker, what lifeEvent) {
 	if d.entries[d.entryOf[n.number]].endpoint.ID != n.id {
 		d.add(n)
@@ -453,7 +453,7 @@
 
 // ---- What may be done to discovery, until undo ----
 
-// reportAcceptMode lets a live driver know of how the address at an index takes connections.
+// reportAcceptMode lets a process driver know of how the address at an index takes connections.
 func (d *discovery) reportAcceptMode(index int) {
 	mode := simapi.AcceptAll
 	if d.outages > 0 || index != d.address {
@@ -517,7 +517,7 @@
 	})
 }
 
-// setReachable notes that it can reach an entry's machine or not, if that is still so.
+// setReachable callbacks that it can reach an entry's machine or not, if that is still so.
 func (d *discovery) setReachable(i int, does bool) {
 	if e := &d.entries[i]; does == (d.cutCounts[e.worker] == 0) && e.unreachable == does {
 		e.unreachable = !does
@@ -525,7 +525,7 @@
 	}
 }
 
-// countFaults counts one more of something for each of some worker nodes, until undo; first and last are for those of which
+// countFaults counts one more of something for each of some workers, until undo; first and last are for those of which
 // there was none, and is none any more.
 func (d *discovery) countFaults(counts []int, nodes []int, first, last func(n int)) (undo func()) {
 	step := func(by, edge int, turn func(n int)) {
--- a/internal/testbed/environment/discovery_test.go
+++ b/internal/testbed/environment/discovery_test.go
@@ -12,7 +12,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Whatever befalls worker nodes, discovery, the network and schedulers: once all is well again, each scheduler that
+// Whatever befalls workers, discovery, the network and schedulers: once all is well again, each scheduler that
 // has applied what it was told has discovery's list, that list is true, and what counts as told is what is so.
 func FuzzDiscovery(f *testing.F) { modeltest.Fuzz(f, runDiscovery) }
 
--- a/internal/testbed/environment/environment.go
+++ b/internal/testbed/environment/environment.go
@@ -1,4 +1,4 @@
-// Package environment is the lab's model of all that is round schedulers: worker nodes, discovery, the network, clients
+// Package environment is the testbed's model of all that is round schedulers: workers, discovery, the network, clients
 // and their front, and what goes wrong with them. It does no I/O and reads no clock; all that is random follows
 // from one seed, and each party draws from a stream of its own, so that what one does shifts no draw of another:
 // two schedulers are put through the same play.
@@ -20,10 +20,10 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Environment is one play's world. It is used by one goroutine.
+// Environment is one run's world. It is used by one goroutine.
 type Environment struct {
 	Spec  *scenario.Scenario
-	Epoch time.Duration // Unix time of the play's start
+	Epoch time.Duration // Unix time of the run's start
 
 	// WorkerAddrs gives machines other addresses than NodeAddr's own; nil: it doesn't.
 	WorkerAddrs func(place int) string
@@ -45,7 +45,7 @@
 	conns      map[simapi.Conn]*conn
 }
 
-// New draws a world from a checked scenario.
+// New draws an environment from a checked scenario.
 func New(spec *scenario.Scenario, seed uint64, epoch time.Duration, watch trace.Observer) *Environment {
 	environment := &Environment{Spec: spec, Epoch: epoch, seed: seed, observer: watch, conns: map[simapi.Conn]*conn{}}
 	if watch == nil {
@@ -70,7 +70,7 @@
 	return environment
 }
 
-// Next tells when the world wants to run at the latest; not ok: nothing will happen any more by itself.
+// Next tells when the environment wants to run at the latest; not ok: nothing will happen any more by itself.
 func (w *Environment) Next() (at time.Duration, ok bool) { return w.events.nextAt() }
 
 // Step takes what schedulers did, lets all happen that is due by now, and appends what reaches schedulers.
@@ -93,7 +93,7 @@
 // Finished tells whether every job is settled and no further one comes.
 func (w *Environment) Finished() bool { return w.clients.finished() }
 
-// schedule puts something on the agenda. What falls on one instant happens in the order in which it was put there.
+// schedule puts something on the event queue. What falls on one instant happens in the order in which it was put there.
 func (w *Environment) schedule(t time.Duration, do func()) { w.events.schedule(max(t, w.now), do) }
 
 func (w *Environment) after(d time.Duration, do func()) { w.schedule(w.now+max(d, 0), do) }
@@ -125,7 +125,7 @@
 	return rand.New(rand.NewPCG(w.seed^xxhash.Sum64String(name), uint64(n)))
 }
 
-// record reports a sight, as of now.
+// record reports a trace event, as of now.
 func (w *Environment) record(s trace.Event) {
 	w.event = s
 	w.event.At = w.now
--- a/internal/testbed/environment/event_queue.go
+++ b/internal/testbed/environment/event_queue.go
@@ -18,7 +18,7 @@
 }
 
 const (
-	slotBits = 26 // so many may be on the agenda at once, and the rest counts 2.7e11 in a play
+	slotBits = 26 // so many may be on the event queue at once, and the rest counts 2.7e11 in a run
 	slotMask = 1<<slotBits - 1
 )
 
--- a/internal/testbed/environment/event_queue_test.go
+++ b/internal/testbed/environment/event_queue_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Whatever is put there and taken in between, what is on the agenda comes by time, and of one time in the order in
+// Whatever is put there and taken in between, what is on the event queue comes by time, and of one time in the order in
 // which it was put there.
 func TestAgendaKeepsOrder(t *testing.T) {
 	type put struct {
--- a/internal/testbed/environment/faults.go
+++ b/internal/testbed/environment/faults.go
@@ -14,20 +14,20 @@
 
 // faultTimeline is the timeline of what goes wrong; package scenario says what each fault does.
 //
-// Whom a fault strikes is settled at the play's start, by the seed and the fault's place in the timeline alone. What
-// worker nodes suffer is counted for each, so that faults may overlap: what each adds is taken away at its end, in
-// whatever order they end, and the worker node is as it was once all are over.
+// Whom a fault strikes is settled at the run's start, by the seed and the fault's place in the timeline alone. What
+// workers suffer is counted for each, so that faults may overlap: what each adds is taken away at its end, in
+// whatever order they end, and the worker is as it was once all are over.
 type faultTimeline struct {
 	env            *Environment
-	workers        []workerFaults // by worker node
-	restartWaiters [][]func()     // by worker node: who waits for its next process
+	workers        []workerFaults // by worker
+	restartWaiters [][]func()     // by worker: who waits for its next process
 }
 
 func newFaultTimeline(w *Environment) *faultTimeline {
 	return &faultTimeline{env: w, workers: make([]workerFaults, len(w.workers)), restartWaiters: make([][]func(), len(w.workers))}
 }
 
-// workerFaults is what faults have put on a worker node.
+// workerFaults is what faults have put on a worker.
 type workerFaults struct {
 	hangs, fulls, mutes, refusals, silences, slowReads int
 	slowFactors, errorRates, resetBytes                []float64 // in order of time
@@ -45,7 +45,7 @@
 type activeFault struct {
 	*scenario.Fault
 	timeline     *faultTimeline
-	onWorkers    bool  // it is done to worker nodes
+	onWorkers    bool  // it is done to workers
 	workers      []int // and to these
 	onSchedulers bool
 	schedulers   []int
@@ -92,7 +92,7 @@
 	}
 }
 
-// matching is the worker nodes that match all that the target names.
+// matching is the workers that match all that the target names.
 func (f *faultTimeline) matching(spec *scenario.Fault) (list []int) {
 	t := &spec.Target
 	for i, n := range f.env.workers {
@@ -139,7 +139,7 @@
 	}
 }
 
-// recordWorkers says of worker nodes that it strikes them, or no longer does.
+// recordWorkers says of workers that it strikes them, or no longer does.
 func (x *activeFault) recordWorkers(what trace.Kind, nodes []int) {
 	for _, n := range nodes {
 		x.timeline.env.record(trace.Event{Kind: what, Worker: n, Text: x.Kind})
@@ -173,7 +173,7 @@
 	}
 }
 
-// workerStarted is told that a worker node has a new process.
+// workerStarted is told that a worker has a new process.
 func (f *faultTimeline) workerStarted(node int) {
 	waits := f.restartWaiters[node]
 	f.restartWaiters[node] = nil
--- a/internal/testbed/environment/faults_test.go
+++ b/internal/testbed/environment/faults_test.go
@@ -69,7 +69,7 @@
 		s.Check(off[x.Text] <= on[x.Text], "%q ends %d times", x.Text, off[x.Text])
 	}
 	s.Check(maps.Equal(on, off), "began: %v, ended: %v, of %s", on, off, scenario.Encode(spec))
-	holds := map[string]int{} // by worker node and what strikes it
+	holds := map[string]int{} // by worker and what strikes it
 	for _, x := range f.sights {
 		switch at := x.Text + " w-" + strconv.Itoa(x.Worker); x.Kind {
 		case trace.WorkerFaultStarted:
@@ -142,7 +142,7 @@
 	}
 }
 
-// Faults that overlap on a worker node add up, and each takes away what it added.
+// Faults that overlap on a worker add up, and each takes away what it added.
 func TestOverlap(t *testing.T) {
 	s := scenario.Duration(time.Second)
 	spec := quiet(1, 1)
@@ -174,7 +174,7 @@
 	}
 }
 
-// Worker nodes are struck in turn, for as long each, and the fault is over with the last of them.
+// Workers are struck in turn, for as long each, and the fault is over with the last of them.
 func TestSpread(t *testing.T) {
 	s := scenario.Duration(time.Second)
 	spec := quiet(4, 1)
--- a/internal/testbed/environment/harness_clients_test.go
+++ b/internal/testbed/environment/harness_clients_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// reply has a query answered.
+// reply has a request answered.
 func (t *stage) reply(in *simapi.Input, status int, after time.Duration) {
 	t.outs = append(t.outs, simapi.Output{
 		Kind: simapi.ResponseWritten, Scheduler: in.Scheduler, Conn: in.Conn, RequestID: in.Request.RequestID,
@@ -117,7 +117,7 @@
 	return list
 }
 
-// witness knows what clients may do, and holds them to it sight by sight.
+// witness knows what clients may do, and holds them to it trace event by trace event.
 type witness struct {
 	spec  *scenario.Scenario
 	check func(ok bool, format string, args ...any)
--- a/internal/testbed/environment/harness_faults_test.go
+++ b/internal/testbed/environment/harness_faults_test.go
@@ -31,7 +31,7 @@
 	mute       bool          // it never asks
 }
 
-// quiet is a play of such a world: of so many worker nodes, and without chance in the network.
+// quiet is a run of such an environment: of so many workers, and without chance in the network.
 func quiet(nodes, scheds int) *scenario.Scenario {
 	s := scenario.Default()
 	s.Fleet.Workers, s.Schedulers.Count, s.Length = nodes, scheds, scenario.Duration(5*time.Minute)
@@ -143,7 +143,7 @@
 	}
 }
 
-// all are the sights of some kinds since an index.
+// all are the trace events of some kinds since an index.
 func (f *fate) all(from int, kinds ...trace.Kind) (list []trace.Event) {
 	for _, s := range f.sights[from:] {
 		for _, k := range kinds {
--- a/internal/testbed/environment/harness_workers_test.go
+++ b/internal/testbed/environment/harness_workers_test.go
@@ -10,7 +10,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// rig is worker nodes and a network, with schedulers that do as a test says, and queries that it makes up.
+// rig is workers and a network, with schedulers that do as a test says, and requests that it makes up.
 type rig struct {
 	t      testing.TB
 	w      *Environment
@@ -20,14 +20,14 @@
 	outs   []simapi.Output // for the next step
 	life   []lifeEvent
 	told   bool
-	ack    func(in *simapi.Input) (status int, ok bool) // a scheduler's answer to a note
+	ack    func(in *simapi.Input) (status int, ok bool) // a scheduler's answer to a callback
 	see    func(s *trace.Event)
 	conns  uint64
 }
 
 const ms = time.Millisecond
 
-// plain is a fleet of one kind on a network without delays, whose worker nodes do as they should.
+// plain is a fleet of one kind on a network without delays, whose workers do as they should.
 func plain(nodes int) (*scenario.Scenario, *scenario.WorkerKind) {
 	s := scenario.Default()
 	s.Fleet.Workers, s.Network, s.Fleet.Kinds, s.Rules.OverloadFactor = nodes, scenario.Network{}, s.Fleet.Kinds[:1], 1000
@@ -113,7 +113,7 @@
 	return c
 }
 
-// query makes up a client's query of so much work.
+// request makes up a client's request of so much work.
 func (r *rig) query(call string, class int, work, slots float64) {
 	r.tries[call] = &request{id: call, class: class, work: work, slots: slots, key: "key-" + call}
 }
@@ -131,7 +131,7 @@
 	r.outs = append(r.outs, o)
 }
 
-// ask sends a query over a connection of its own, which stays.
+// ask sends a request over a connection of its own, which stays.
 func (r *rig) ask(node int, call string, class int, work, slots float64) simapi.Conn {
 	if r.tries[call] == nil {
 		r.query(call, class, work, slots)
@@ -162,7 +162,7 @@
 	return s
 }
 
-// notes are the notes of a call that schedulers must have been told, in that order.
+// notes are the callbacks of a call that schedulers must have been told, in that order.
 func (r *rig) notes(call string, want ...string) {
 	r.t.Helper()
 	var got []string
--- a/internal/testbed/environment/load_balancer.go
+++ b/internal/testbed/environment/load_balancer.go
@@ -20,7 +20,7 @@
 	next       []int           // by zone
 }
 
-// A third of a scheduler's descriptors is the most that clients' connections take up. Queries that find all of them
+// A third of a scheduler's descriptors is the most that clients' connections take up. Requests that find all of them
 // busy wait for one.
 const clientConnShare = 3
 
@@ -133,8 +133,8 @@
 	}
 }
 
-// connPool is the connections that the clients of a zone keep. Which idle one a query takes is drawn, as they belong to
-// many clients; when all are busy another is opened, and whichever is free first carries the query.
+// connPool is the connections that the clients of a zone keep. Which idle one a request takes is drawn, as they belong to
+// many clients; when all are busy another is opened, and whichever is free first carries the request.
 type connPool struct {
 	clients    *clients
 	zone       int
@@ -148,7 +148,7 @@
 	pool      *connPool
 	conn      *conn
 	openedFor *request // for which it is being opened; nil: it is up
-	request   *request // whose query it carries
+	request   *request // whose request it carries
 	idleIndex int      // among the idle ones; -1: it is none
 
 	// What is on its way, of which there is hardly ever more than one: these save a closure each time.
@@ -180,7 +180,7 @@
 	p.dial(t, sched)
 }
 
-// dial opens a connection to a scheduler, for a try; -1: the front has none, and refuses it.
+// dial opens a connection to a scheduler, for a try; -1: the load balancer has none, and refuses it.
 func (p *connPool) dial(t *request, sched int) {
 	environment, f := p.clients.env, p.clients.env.balancer
 	if sched < 0 {
@@ -231,7 +231,7 @@
 
 func (l *clientConn) endpoint() endpoint { return endpoint{clientEndpoint, l.pool.zone} }
 
-// sendRequest brings a query to the scheduler, and read is its arrival.
+// sendRequest brings a request to the scheduler, and read is its arrival.
 func (l *clientConn) sendRequest(a *simapi.ClientRequest) {
 	if l.pendingRequest != nil {
 		l.pool.clients.env.toSched(l.conn, func() { l.requestArrived(a) })
@@ -310,7 +310,7 @@
 	f.roomChanged()
 }
 
-// connClosed is the scheduler's closing of it. A query that crossed the close, so that nobody has read it, is sent once
+// connClosed is the scheduler's closing of it. A request that crossed the close, so that nobody has read it, is sent once
 // more over a new connection, as it is.
 func (l *clientConn) connClosed(*conn) {
 	clients, p, t, maker := l.pool.clients, l.pool, l.request, l.openedFor
--- a/internal/testbed/environment/misbehaving.go
+++ b/internal/testbed/environment/misbehaving.go
@@ -9,8 +9,8 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// misbehavingSource is the bad clients of one kind: they connect at random, with random numbers of their own. What they do on
-// their connections is bytes, so only a live driver plays it and tells what came of it.
+// misbehavingSource is the misbehaving clients of one kind: they connect at random, with random numbers of their own. What they do on
+// their connections is bytes, so only a process driver plays it and tells what came of it.
 type misbehavingSource struct {
 	clients *clients
 	spec    *scenario.MisbehavingClients
@@ -20,14 +20,14 @@
 	count   uint64
 }
 
-// misbehavingClient is a bad client.
+// misbehavingClient is a misbehaving client.
 type misbehavingClient struct {
 	clients  *clients
 	kind     string
 	answered bool // it has had an answer
 }
 
-// misbehavingTimeout is how long a bad client stays whom nobody answers.
+// misbehavingTimeout is how long a misbehaving client stays whom nobody answers.
 const misbehavingTimeout = 30 * time.Second
 
 func (c *clients) startMisbehaving() {
@@ -56,7 +56,7 @@
 	})
 }
 
-// connectNext is the next bad client's. The front leads it like any other, but it heeds no limit.
+// connectNext is the next misbehaving client's. The load balancer leads it like any other, but it heeds no limit.
 func (m *misbehavingSource) connectNext() {
 	environment := m.clients.env
 	m.count++
@@ -76,7 +76,7 @@
 	environment.after(misbehavingTimeout, func() { environment.closeSide(conn, farSide) })
 }
 
-// recentOpenRequest is the id of an open query, the one asked last; empty: of the last ones none is open.
+// recentOpenRequest is the id of an open request, the one asked last; empty: of the last ones none is open.
 func (c *clients) recentOpenRequest() string {
 	for i := range c.recentRequests {
 		t := c.recentRequests[(c.recentNext-1-i+len(c.recentRequests)*2)%len(c.recentRequests)]
--- a/internal/testbed/environment/network.go
+++ b/internal/testbed/environment/network.go
@@ -52,7 +52,7 @@
 	if cv := w.Spec.Network.Jitter; cv > 0 {
 		n.sigma = math.Sqrt(math.Log1p(cv * cv))
 	}
-	// What drops idle connections as a matter of course stands between schedulers and worker nodes.
+	// What drops idle connections as a matter of course stands between schedulers and workers.
 	if d := w.Spec.Network.DropsIdleAfter.Std(); d > 0 {
 		n.dropIdle(endpointGroup{kind: schedulerEndpoint}, endpointGroup{kind: workerEndpoint}, d)
 	}
@@ -140,7 +140,7 @@
 	return net.CrossZone.Std()
 }
 
-// zoneOf is the zone of a scheduler or worker node: both are dealt out in turn.
+// zoneOf is the zone of a scheduler or worker: both are dealt out in turn.
 func (n *network) zoneOf(p endpoint) int { return p.number % n.zones }
 
 // endpointGroup is some of the parties of a kind; only nil: all of them.
--- a/internal/testbed/environment/network_test.go
+++ b/internal/testbed/environment/network_test.go
@@ -121,7 +121,7 @@
 	if in := r.last(b, simapi.WorkerDisconnected); !in.Reset || n.attemptCount != 2 || len(n.conns) != 2 {
 		t.Fatalf("too late it was answered by %+v, and %d came", in, n.attemptCount)
 	}
-	// The worker node still has it; what it says there finds nobody.
+	// The worker still has it; what it says there finds nobody.
 	n.closeConn(r.w.conns[b].state.(*workerConn))
 	if r.pass(ms); r.w.conns[b] != nil {
 		t.Fatal("closed at both ends, it is still there")
--- a/internal/testbed/environment/scheduler_views.go
+++ b/internal/testbed/environment/scheduler_views.go
@@ -20,8 +20,8 @@
 	scheduler      int
 	versions       []version // by entry: what the scheduler's list says
 	revision       int64
-	knownStarts    []int // by worker node: the last start that it was told of
-	knownDrains    []int // by worker node: the start of which it was told that it drains or is gone; 0: none
+	knownStarts    []int // by worker: the last start that it was told of
+	knownDrains    []int // by worker: the start of which it was told that it drains or is gone; 0: none
 	pending        []pendingChange
 	nextCheck      time.Duration // when what is pending is looked at next; 0: never
 	call           *watchCall
@@ -175,14 +175,14 @@
 	}
 }
 
-// record reports a sight, if it is a scheduler's.
+// record reports a trace event, if it is a scheduler's.
 func (v *schedulerView) record(s trace.Event) {
 	if !v.discovery.env.schedulers[v.scheduler].planner {
 		v.discovery.env.record(s)
 	}
 }
 
-// touch notes that scheduler and discovery had to do with each other just now.
+// touch callbacks that scheduler and discovery had to do with each other just now.
 func (v *schedulerView) touch() {
 	v.lastContact = v.discovery.env.now
 	v.planCheck()
@@ -248,7 +248,7 @@
 	})
 }
 
-// knowsStart tells whether a scheduler was told of a worker node's last start.
+// knowsStart tells whether a scheduler was told of a worker's last start.
 func (d *discovery) knowsStart(sched int, n *worker) bool {
 	return d.views[sched].knownStarts[n.number] >= n.incarnation
 }
--- a/internal/testbed/environment/schedulers.go
+++ b/internal/testbed/environment/schedulers.go
@@ -9,7 +9,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// scheduler is a scheduler: one process after another, as the world deals with them. What is done to one that does not run
+// scheduler is a scheduler: one process after another, as the environment deals with them. What is done to one that does not run
 // means nothing, but for the address of discovery, which its next process reads from its configuration. Planners are
 // dealt with alike, and numbered after the schedulers; they are never ready, so no client comes to them, and nothing is
 // told of them: what counts is what is seen of schedulers.
@@ -20,7 +20,7 @@
 	alive       bool
 	ready       bool // /up answered 200 the last time
 	frozen      bool
-	draining    bool // the front was told to bring nothing new
+	draining    bool // the load balancer was told to bring nothing new
 	incarnation int  // counts processes
 
 	rng           *rand.Rand
@@ -37,7 +37,7 @@
 	crashRestartDelay = time.Second // a process that ended by itself, unasked, is started again after this
 	minReloadAge      = time.Second // no SIGHUP within this of its start
 
-	// At a planned restart the front goes on for a moment, and SIGKILL comes once the longest deadline has passed,
+	// At a planned restart the load balancer goes on for a moment, and SIGKILL comes once the longest deadline has passed,
 	// which counts as 3 s at most, and a grace.
 	balancerMinDelay    = 200 * time.Millisecond
 	balancerDelaySpread = 200 * time.Millisecond
@@ -53,7 +53,7 @@
 	return list
 }
 
-// record reports a sight of it.
+// record reports a trace event of it.
 func (s *scheduler) record(what trace.Kind, status int) {
 	if !s.planner {
 		s.env.record(trace.Event{Kind: what, Scheduler: s.number, Status: status})
@@ -220,7 +220,7 @@
 	s.env.discovery.views[s.number].reloaded()
 }
 
-// replace: a second process starts beside it and takes over. To the world it is the same scheduler all the time.
+// replace: a second process starts beside it and takes over. To the environment it is the same scheduler all the time.
 func (s *scheduler) replace() {
 	if s.alive && !s.terminated && s.ready {
 		s.record(trace.SchedulerReplaced, 0)
--- a/internal/testbed/environment/schedulers_test.go
+++ b/internal/testbed/environment/schedulers_test.go
@@ -8,7 +8,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// What becomes of a scheduler's process, as sights with the milliseconds at which they come, within 1 ms.
+// What becomes of a scheduler's process, as trace events with the milliseconds at which they come, within 1 ms.
 func TestSchedulersLife(t *testing.T) {
 	type step struct {
 		what trace.Kind
@@ -109,7 +109,7 @@
 	}
 }
 
-// After SIGTERM the front goes on for a moment, whatever /up says.
+// After SIGTERM the load balancer goes on for a moment, whatever /up says.
 func TestFrontAtPlannedRestart(t *testing.T) {
 	for seed := range uint64(8) {
 		f := newFate(t, quiet(4, 2), seed)
--- a/internal/testbed/environment/worker_attempts.go
+++ b/internal/testbed/environment/worker_attempts.go
@@ -11,7 +11,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// attempt is one sending of a query, at the worker node that it was sent to.
+// attempt is one sending of a request, at the worker that it was sent to.
 type attempt struct {
 	worker      *worker
 	requestID   string
@@ -19,7 +19,7 @@
 	scheduler   int
 	budget      time.Duration
 	firstByteAt time.Duration // when its first byte was written
-	knewStart   bool          // its scheduler knew then of the worker node's start
+	knewStart   bool          // its scheduler knew then of the worker's start
 	incarnation int           // of the process that took it
 
 	class             int
@@ -53,9 +53,9 @@
 	attemptEnded
 )
 
-// A worker node's readings of the protocol:
-//   - An id that no client sent, or a keyed query under another key than its client's, is answered 400; no id, 404.
-//   - One whose id is in hand already, given up or not, is turned away like what there is no room for: 503, X-Rejected.
+// A worker's readings of the protocol:
+//   - An id that no client sent, or a keyed request under another key than its client's, is answered 400; no id, 404.
+//   - One whose id is in hand already, given up or not, is rejected like what there is no room for: 503, X-Rejected.
 //     So is what its kind may not run, what takes more slots than there are, and anything new while it drains.
 //   - A job of k slots does k times its run time of work. While more slots are in use than there are cores, all jobs
 //     share these evenly.
@@ -138,7 +138,7 @@
 	n.respond(l, status, status == 503)
 }
 
-// drawOutcome draws what becomes of a run. It follows from the query and the worker node alone.
+// drawOutcome draws what becomes of a run. It follows from the request and the worker alone.
 func (n *worker) drawOutcome(attempt *attempt, work, noise float64) {
 	r := n.shared.dice.stream(xxhash.Sum64String(attempt.requestID), uint64(n.number))
 	z, fails, part, kind, early := r.NormFloat64(), r.Float64(), r.Float64(), r.Float64(), r.Float64()
@@ -372,7 +372,7 @@
 	}
 }
 
-// planTick has run called when the next is done, by what runs now. There is one entry on the agenda that counts: one that
+// planTick has run called when the next is done, by what runs now. There is one entry on the event queue that counts: one that
 // turns out to come too early plans anew, and later ones of the past mean nothing.
 func (n *worker) planTick() {
 	n.progressRate = 0
@@ -431,7 +431,7 @@
 
 // ---- Progress ----
 
-// planProgress has notes of progress told of what has begun. One entry on the agenda serves all that runs.
+// planProgress has callbacks of progress told of what has begun. One entry on the event queue serves all that runs.
 func (n *worker) planProgress(a *attempt) {
 	if n.kind.ProgressInterval <= 0 {
 		return
--- a/internal/testbed/environment/worker_callbacks.go
+++ b/internal/testbed/environment/worker_callbacks.go
@@ -9,15 +9,15 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// callbackQueue is the notes that a worker node owes schedulers. Each is told by calls of its own until one is answered, by
+// callbackQueue is the callbacks that a worker owes schedulers. Each is told by calls of its own until one is answered, by
 // 200 or 204, to whichever process of the scheduler runs by then.
 type callbackQueue struct {
-	firstID       uint64         // id, without the worker node's part, of the first of notes
+	firstID       uint64         // id, without the worker's part, of the first of notes
 	callbacks     []*callback    // in the order in which they were made; nil: answered or given up
 	outstanding   int            // that are neither, and the process's own
 	held          []*callback    // while it hangs
 	pendingCalls  []callbackCall // in the order in which their time is up
-	expiryPlanned bool           // an entry for that is on the agenda
+	expiryPlanned bool           // an entry for that is on the event queue
 }
 
 // callback is something that is to be told of an attempt.
@@ -32,7 +32,7 @@
 	result    string
 }
 
-// callbackCall is one sending of a note.
+// callbackCall is one sending of a callback.
 type callbackCall struct {
 	callback *callback
 	sending  int
@@ -83,7 +83,7 @@
 	return t
 }
 
-// find finds a note that is neither answered nor given up.
+// find finds a callback that is neither answered nor given up.
 func (p *callbackQueue) find(id uint64) *callback {
 	if i := id&(1<<32-1) - p.firstID; i < uint64(len(p.callbacks)) {
 		return p.callbacks[i]
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// sendCallback sends a note once.
+// sendCallback sends a callback once.
 func (n *worker) sendCallback(t *callback) {
 	callbackQueue := &n.callbacks
 	if t.closed {
@@ -117,7 +117,7 @@
 	}
 }
 
-// deliverCallback brings one sending of a note to its scheduler, unless it gets lost.
+// deliverCallback brings one sending of a callback to its scheduler, unless it gets lost.
 func (n *worker) deliverCallback(t *callback) {
 	late := time.Duration(0)
 	if n.kind.CallbackLossShare > 0 || n.kind.CallbackDelay > 0 {
@@ -134,7 +134,7 @@
 	}
 }
 
-// applyAck is a scheduler's answer to a note; status 0: the call has failed.
+// applyAck is a scheduler's answer to a callback; status 0: the call has failed.
 func (n *worker) applyAck(o *simapi.Output) {
 	id, status := o.CallbackID, o.Status
 	if arrive, ok := n.env.network.arrival(endpoint{schedulerEndpoint, o.Scheduler}, n.endpoint()); ok {
@@ -183,7 +183,7 @@
 	}
 }
 
-// retryCallback plans the next call of a note, unless there were enough.
+// retryCallback plans the next call of a callback, unless there were enough.
 func (n *worker) retryCallback(t *callback) {
 	t.awaiting = false
 	if t.sendings >= callbackAttempts {
@@ -210,7 +210,7 @@
 	}
 }
 
-// loseCallback gives up a note.
+// loseCallback gives up a callback.
 func (n *worker) loseCallback(t *callback) {
 	n.closeCallback(t)
 	n.env.record(trace.Event{Kind: trace.CallbackLost, RequestID: t.body.CallID, Worker: n.number, Text: t.body.State})
@@ -231,7 +231,7 @@
 	}
 }
 
-// loseCallbacks loses the notes of a process that has ended; those of the agent too when the machine has fallen silent.
+// loseCallbacks loses the callbacks of a process that has ended; those of the agent too when the machine has fallen silent.
 func (n *worker) loseCallbacks(agent bool) {
 	for _, t := range slices.Clone(n.callbacks.callbacks) {
 		if t != nil && (agent || !t.byAgent) {
--- a/internal/testbed/environment/worker_conns.go
+++ b/internal/testbed/environment/worker_conns.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// workerConn is a connection at a worker node's end.
+// workerConn is a connection at a worker's end.
 type workerConn struct {
 	worker         *worker
 	conn           *conn
@@ -216,7 +216,7 @@
 }
 
 // healthChecked is a sign of life that is asked for. Beside the queue, it costs a little work; the answer is 503 while even
-// the smallest job would be turned away.
+// the smallest job would be rejected.
 func (n *worker) healthChecked(workerConn *workerConn) {
 	n.env.record(trace.Event{Kind: trace.HealthChecked, Worker: n.number, Scheduler: workerConn.conn.scheduler})
 	if !n.env.Spec.Schedulers.HealthChecks {
--- a/internal/testbed/environment/worker_keys.go
+++ b/internal/testbed/environment/worker_keys.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// keyStore is what groups of worker nodes remember of the transfer keys that have come to them. A group's worker
+// keyStore is what groups of workers remember of the transfer keys that have come to them. A group's worker
 // nodes share it, whatever becomes of each of them.
 type keyStore struct {
 	records  map[keyID]*keyRecord
@@ -51,7 +51,7 @@
 	return id
 }
 
-// findKey finds what the worker node's group knows of an attempt's key; nil: nothing, or it isn't of a keyed class.
+// findKey finds what the worker's group knows of an attempt's key; nil: nothing, or it isn't of a keyed class.
 func (f *workerShared) findKey(n *worker, attempt *attempt) *keyRecord {
 	if attempt.key == "" || !f.classes[attempt.class].idempotentWithKey {
 		return nil
--- a/internal/testbed/environment/worker_lifecycle.go
+++ b/internal/testbed/environment/worker_lifecycle.go
@@ -189,7 +189,7 @@
 	return simapi.AcceptAll
 }
 
-// reportAcceptMode lets a live driver know of a change in how connections are taken; it is for no scheduler in particular.
+// reportAcceptMode lets a process driver know of a change in how connections are taken; it is for no scheduler in particular.
 func (n *worker) reportAcceptMode() {
 	if m := n.acceptMode(); m != n.reportedMode {
 		n.reportedMode = m
@@ -197,7 +197,7 @@
 	}
 }
 
-// ---- What may be done to a worker node ----
+// ---- What may be done to a worker ----
 //
 // back is when after this its process starts again, cold; 0: never. What is done to one whose process has ended
 // already only says anew when the next one starts; one that fell over, or is off the list, stays down. A hang, pause,
@@ -261,10 +261,10 @@
 // setErrorRate: a share of the attempts that it takes end with an error; < 0: its kind's own.
 func (n *worker) setErrorRate(rate float64) { n.errorRate = rate }
 
-// setFull: it turns away all work, with 503, and says so to probes.
+// setFull: it rejects all work, with 503, and says so to probes.
 func (n *worker) setFull(on bool) { n.rejectsAll = on && n.state == workerUp }
 
-// drain: it finishes what it has, hands back what waits if it is of such a kind, and turns away anything new, until
+// drain: it finishes what it has, hands back what waits if it is of such a kind, and rejects anything new, until
 // its process ends.
 func (n *worker) drain() {
 	if n.state != workerUp || n.draining {
@@ -285,7 +285,7 @@
 	}
 }
 
-// restart: it drains; its process ends once it has nothing left, neither work nor notes that are not answered, and
+// restart: it drains; its process ends once it has nothing left, neither work nor callbacks that are not answered, and
 // after 30 s at the latest. back counts from that end.
 func (n *worker) restart(back time.Duration) {
 	if n.state == workerUp {
--- a/internal/testbed/environment/worker_view.go
+++ b/internal/testbed/environment/worker_view.go
@@ -6,7 +6,7 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// View is a worker node's true state as it matters to one scheduler: what only a yardstick may know.
+// View is a worker's true state as it matters to one scheduler: what only a baseline policy may know.
 type View struct {
 	WorkerState               // Up: it takes work that reaches it, and answers
 	Reachable   bool          // what passes between the two arrives, both ways
--- a/internal/testbed/environment/worker_warmup.go
+++ b/internal/testbed/environment/worker_warmup.go
@@ -29,7 +29,7 @@
 	// One that warms up by work is warm once it has done what it could do in this part of its kind's Cold when warm, and
 	// never later than one that warms up by time. Kept busy, that takes it less than half as long.
 	warmUpWorkShare = 0.25
-	// What may arrive at a cold worker node beyond its budget, in mean jobs: a budget that chance breaks says nothing.
+	// What may arrive at a cold worker beyond its budget, in mean jobs: a budget that chance breaks says nothing.
 	overloadSlack = 1.25
 )
 
--- a/internal/testbed/environment/workers.go
+++ b/internal/testbed/environment/workers.go
@@ -12,11 +12,11 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// worker is a worker node: a machine, and on it one process after another. Its parts are in files of their own:
+// worker is a worker: a machine, and on it one process after another. Its parts are in files of their own:
 // node_links.go has its connections, node_work.go what it takes and runs, node_cold.go how it warms up and falls over,
 // node_keys.go what a group remembers of transfer keys, node_notes.go what it tells.
 //
-// An attempt that it has reached ends exactly once, as a Rejected, Finished, Returned or Died sight.
+// An attempt that it has reached ends exactly once, as a Rejected, Finished, Returned or Died trace event.
 type worker struct {
 	env         *Environment
 	shared      *workerShared
@@ -44,7 +44,7 @@
 	state             workerState
 	lifeTurn          int // counts turns of its life: what was planned before the last is void
 	startedAt         time.Duration
-	sincePast         bool // it has run since long before the play
+	sincePast         bool // it has run since long before the run
 	draining          bool
 	leaving           bool // its process ends once it has nothing left
 	restartAfter      time.Duration
@@ -52,7 +52,7 @@
 	overloaded        bool
 	hanging           bool
 	pausedUntil       time.Duration // nothing moves until then
-	rejectsAll        bool          // it turns away all
+	rejectsAll        bool          // it rejects all
 	silencesCallbacks bool          // tells no notes
 	diesAtAccept      bool          // at the next 202
 	diesRestartAfter  time.Duration
@@ -71,13 +71,13 @@
 	progressPerSlot   float64 // work done for each slot since the process began, in seconds at speed 1
 	progressRate      float64 // at which v grows, a second
 	progressAt        time.Duration
-	nextTick          time.Duration // the earliest entry of tick on the agenda; 0: none
+	nextTick          time.Duration // the earliest entry of tick on the event queue; 0: none
 	tick              func()
 	queuedWork        float64 // work that waits
 	runningEnds       float64 // sum over the running of slots x end
 	attemptCount      uint64  // counts attempts taken
 	resultCount       uint64  // counts results made
-	progressPlanned   bool    // an entry for progress notes is on the agenda
+	progressPlanned   bool    // an entry for progress notes is on the event queue
 
 	warming   warmUpState
 	callbacks callbackQueue
@@ -91,20 +91,20 @@
 	workerSilent             // the machine says nothing
 )
 
-// workerShared is what worker nodes share.
+// workerShared is what workers share.
 type workerShared struct {
 	env           *Environment
 	classes       []classRules
 	keys          keyStore
 	dice          drawSource
-	overloadSlack float64 // what may arrive at a cold worker node beyond its budget, in seconds of work
+	overloadSlack float64 // what may arrive at a cold worker beyond its budget, in seconds of work
 
 	findRequest func(call string) *request
 	knowsStart  func(sched int, n *worker) bool
 	onLifeEvent func(n *worker, what lifeEvent)
 }
 
-// classRules is what a worker node goes by of a class.
+// classRules is what a worker goes by of a class.
 type classRules struct {
 	idempotentWithKey bool
 	scope             string
@@ -139,7 +139,7 @@
 			kind: &spec.Fleet.Kinds[kinds[i]], zone: i % zones, rng: environment.rng("node", i), slowFactor: 1, errorRate: -1, sincePast: true,
 			attemptsByRequest: map[string]*attempt{},
 		}
-		// Cells are racks: each takes its worker nodes from one zone, apart from those in which a zone ends.
+		// Cells are racks: each takes its workers from one zone, apart from those in which a zone ends.
 		place := i / zones
 		for z := range n.zone {
 			place += (len(nodes) - z + zones - 1) / zones
@@ -153,7 +153,7 @@
 	return nodes
 }
 
-// dealKinds gives each kind its share of the fleet, to the nearest worker node, in a drawn order.
+// dealKinds gives each kind its share of the fleet, to the nearest worker, in a drawn order.
 func dealKinds(spec *scenario.Scenario, rng *rand.Rand) []int {
 	kinds, total := make([]int, spec.Fleet.Workers), 0.0
 	for i := range spec.Fleet.Kinds {
@@ -209,10 +209,10 @@
 // capacity is the work that it does a second once it is warm, on standard cores, were it not slowed.
 func (n *worker) capacity() float64 { return min(n.kind.Cores, float64(n.kind.Slots)) * n.coreSpeed }
 
-// placeIndex numbers machines: the first ones as their worker nodes, those that took their places after all of these.
+// placeIndex numbers machines: the first ones as their workers, those that took their places after all of these.
 func (n *worker) placeIndex() int { return n.number + n.machine*len(n.env.workers) }
 
-// WorkerAddr is where a machine listens, by its place (see node.place; of the first ones: their worker node's number): a
+// WorkerAddr is where a machine listens, by its place (see node.place; of the first ones: their worker's number): a
 // loopback address of its own.
 func (w *Environment) WorkerAddr(i int) string {
 	if w.WorkerAddrs != nil {
@@ -221,7 +221,7 @@
 	return "127." + strconv.Itoa(64+i/(254*254)) + "." + strconv.Itoa(1+i/254%254) + "." + strconv.Itoa(1+i%254) + ":9000"
 }
 
-// apply takes what a scheduler has done to the worker node. It arrives later.
+// apply takes what a scheduler has done to the worker. It arrives later.
 func (n *worker) apply(output *simapi.Output) {
 	if output.Kind == simapi.WorkerDialed {
 		n.env.record(trace.Event{Kind: trace.WorkerDialed, Worker: n.number, Scheduler: output.Scheduler, Conn: uint64(output.Conn)})
@@ -251,7 +251,7 @@
 	n.env.toFarEnd(conn, func() { n.requestArrived(workerConn, kind, a) })
 }
 
-// WorkerState is the true state of a worker node, for yardsticks that see everything.
+// WorkerState is the true state of a worker, for baseline policies that see everything.
 type WorkerState struct {
 	Up             bool // takes work, and will answer
 	Draining       bool
@@ -264,7 +264,7 @@
 	BacklogSeconds float64 // seconds of work at speed 1 that it has not done yet, running and waiting
 }
 
-// WorkerState tells the true state of worker node i. Speed is 0 while nothing moves in it. One that turns away all, tells
+// WorkerState tells the true state of worker i. Speed is 0 while nothing moves in it. One that rejects all, tells
 // nothing, is about to die or can't be connected to is not up. What the network does to it is not in it.
 func (w *Environment) WorkerState(i int) WorkerState {
 	n := w.workers[i]
@@ -282,7 +282,7 @@
 	return t
 }
 
-// Work tells the true work of a client's query: seconds on a standard core, and slots.
+// Work tells the true work of a client's request: seconds on a standard core, and slots.
 func (w *Environment) Work(call string) (work, slots float64, ok bool) {
 	t := w.clients.findRequest(call)
 	if t == nil {
--- a/internal/testbed/environment/workers_test.go
+++ b/internal/testbed/environment/workers_test.go
@@ -13,14 +13,14 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// nodeModel keeps the simplest books there are of one worker node: what may happen to an attempt, and in which order.
+// nodeModel keeps the simplest books there are of one worker: what may happen to an attempt, and in which order.
 type nodeModel struct {
 	s     *modeltest.Steps
 	kind  *scenario.WorkerKind
 	slots map[string]float64
 	in    []string        // reached, and not at an end, in order
 	begun map[string]bool // of those
-	again string          // reached a second time: it can but be turned away
+	again string          // reached a second time: it can but be rejected
 	last  string          // that began just now
 	stops string          // that was given up just now, and is to end by that
 	used  float64
@@ -77,7 +77,7 @@
 	check(len(m.in)-len(m.begun) <= room, "room that there is not")
 }
 
-// FuzzNode puts a worker node and the model through random queries and faults.
+// FuzzNode puts a worker and the model through random requests and faults.
 func FuzzNode(f *testing.F) {
 	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		spec, k := plain(1)
@@ -212,7 +212,7 @@
 	if fell := play(100*ms, 0.29, true); fell > 0 {
 		t.Fatalf("fell after %v at 2.9 times its capacity", fell)
 	}
-	fell := play(100*ms, 0.5, false) // most of it is turned away, and presses all the same
+	fell := play(100*ms, 0.5, false) // most of it is rejected, and presses all the same
 	if least := time.Duration(budget/0.5) * 100 * ms; fell != least {
 		t.Fatalf("fell after %v at 5 times its capacity, want %v", fell, least)
 	}
@@ -251,7 +251,7 @@
 		t.Fatalf("%q was given up with %d answers left", s.Text, len(answers))
 	}
 	answers = nil
-	// To a scheduler that is gone there is no answer; the one that runs there later gets the note.
+	// To a scheduler that is gone there is no answer; the one that runs there later gets the callback.
 	r.w.schedulers[0].alive = false
 	ask("c", 0.1, 5*time.Second)
 	r.w.schedulers[0].alive = true
@@ -332,7 +332,7 @@
 	}
 	r.notes("b", "done")
 	r.notes("f", "started", "done")
-	// Under another key than the client's it is no query of that client.
+	// Under another key than the client's it is no request of that client.
 	c := r.dial(0, 0)
 	r.step(r.w.now)
 	r.outs = append(r.outs, simapi.Output{Kind: simapi.AttemptWritten, Conn: c, RequestID: "a", IdempotencyKey: "other"})
@@ -509,7 +509,7 @@
 	undo()
 }
 
-// load sends so many queries to random worker nodes, and has some of these crash.
+// load sends so many requests to random workers, and has some of these crash.
 func (r *rig) load(queries int, each, crashes time.Duration) {
 	rng, conns := r.w.rng("load", 0), make([]simapi.Conn, len(r.w.workers))
 	calls := make([]string, 1<<16)
--- a/internal/testbed/experiment/agree.go
+++ b/internal/testbed/experiment/agree.go
@@ -14,7 +14,7 @@
 type Agreement struct {
 	Specs              []*scenario.Scenario
 	Seeds              []uint64 // of the live plays
-	ExtraSimulations   int      // further seeds in virtual time, which cost little, for its spread
+	ExtraSimulations   int      // further seeds in simulated time, which cost little, for its spread
 	ProcessParallelism int      // live plays at once; default 1. Those that were late are void
 	Subject            Subject
 	Job                Job
--- a/internal/testbed/experiment/aperture_test.go
+++ b/internal/testbed/experiment/aperture_test.go
@@ -22,7 +22,7 @@
 )
 
 // An aperture is asked for behind a policy's name or in the operators' file, and is the same either way; with one,
-// schedulers open links to few worker nodes, and the judge finds nothing.
+// schedulers open links to few workers, and the checker finds nothing.
 func TestAperture(t *testing.T) {
 	const keys = "least=8:off_below=0"
 	spec := small(t, "fleet.nodes=60", "schedulers.count=6", "schedulers.sockets=4096", "load.of=0.4")
--- a/internal/testbed/experiment/compare.go
+++ b/internal/testbed/experiment/compare.go
@@ -14,10 +14,10 @@
 	Subjects    []Subject
 	Driver      string
 	Parallelism int // plays at once; 0: as many as there are processors
-	Job         Job // what else is said of each play
+	Job         Job // what else is said of each run
 }
 
-// Run plays a contest: for each scenario and seed every subject, which meet the same world. A play that is void with
+// Run plays a contest: for each scenario and seed every subject, which meet the same environment. A run that is void with
 // one of them counts with none. There is a comparison for each scenario, and at the end one of all together if there
 // are several.
 func (c *Comparison) Run(ctx context.Context, told func(done, of int)) ([]*report.Comparison, error) {
@@ -65,7 +65,7 @@
 	return out, nil
 }
 
-// addResults enters the plays of one scenario and seed.
+// addResults enters the runs of one scenario and seed.
 func addResults(comparison *report.Comparison, row []*RunResult) {
 	void := false
 	for i, p := range row {
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -21,7 +21,7 @@
 	return s
 }
 
-// small is a play that takes milliseconds.
+// small is a run that takes milliseconds.
 func small(t *testing.T, changes ...string) *scenario.Scenario {
 	t.Helper()
 	spec, err := ApplyChanges(base(), append([]string{`length="4s"`, "fleet.nodes=5"}, changes...))
@@ -75,7 +75,7 @@
 	}
 }
 
-// What a play came to follows from scenario, subject and seed, whatever else is played beside it.
+// What a run came to follows from scenario, subject and seed, whatever else is played beside it.
 func TestBatchOrderAndResults(t *testing.T) {
 	spec := small(t)
 	var jobs []Job
@@ -125,7 +125,7 @@
 	}
 }
 
-// Both sides of a contest meet the same world; one that is the same twice differs by nothing.
+// Both sides of a contest meet the same environment; one that is the same twice differs by nothing.
 func TestContestIsPaired(t *testing.T) {
 	c := Comparison{
 		Specs: []*scenario.Scenario{small(t), small(t, "load.of=0.8")}, Seeds: Seeds(3, 3), Driver: scenario.DriverSimulation,
@@ -180,7 +180,7 @@
 	}
 }
 
-// A hunt finds a seeded fault by its rule, shrinks the play to what matters, and the file that it keeps plays it again.
+// A hunt finds a seeded fault by its rule, shrinks the run to what matters, and the file that it keeps plays it again.
 func TestHuntFindsShrinksAndKeeps(t *testing.T) {
 	h := Search{Seed: 5, Subject: Subject{Name: "mutant", Mutant: "answers-twice"}, Baseline: PolicyDispatch, MaxRuns: 2, Parallelism: 2, Keep: 2}
 	h.trim = func(s *scenario.Scenario) { // plays of milliseconds
@@ -299,7 +299,7 @@
 	}
 }
 
-// Whatever panics in a play is an error that names the play.
+// Whatever panics in a run is an error that names the run.
 func TestPanicNamesThePlay(t *testing.T) {
 	_, err := Run(context.Background(), Job{
 		Spec: small(t), Seed: 77, Driver: scenario.DriverSimulation,
--- a/internal/testbed/experiment/golden_test.go
+++ b/internal/testbed/experiment/golden_test.go
@@ -9,7 +9,7 @@
 	"valvecove/internal/testbed/report"
 )
 
-// The files of testdata/golden hold tables as the lab of d2a7518 writes them; nothing reads them but people and their scripts.
+// The files of testdata/golden hold tables as the testbed of d2a7518 writes them; nothing reads them but people and their scripts.
 // They are never regenerated except under a new form number.
 const (
 	goldenAgreement = "agreement-1.json"
--- a/internal/testbed/experiment/other_build.go
+++ b/internal/testbed/experiment/other_build.go
@@ -18,7 +18,7 @@
 const maxOutput = 64 << 20
 
 // runOtherBuild has another build's valvecove-testbed play a job. The scenario goes over as text, changes made, so that both
-// builds play the same; the figures come back as JSON. Its judge's word on rules is taken as it is.
+// builds play the same; the figures come back as JSON. Its checker's word on rules is taken as it is.
 func runOtherBuild(ctx context.Context, job Job) (*RunResult, error) {
 	spec, err := ApplyChanges(job.Spec, job.Subject.Set)
 	if err != nil {
@@ -35,7 +35,7 @@
 	cmd.Stdin = bytes.NewReader(scenario.Encode(spec))
 	out, errs := &boundedBuffer{limit: maxOutput}, &boundedBuffer{limit: 64 << 10}
 	cmd.Stdout, cmd.Stderr = out, errs
-	// A play that did not go as expected exits with 1, and has its figures all the same.
+	// A run that did not go as expected exits with 1, and has its figures all the same.
 	if err := cmd.Run(); err != nil && cmd.ProcessState.ExitCode() != 1 {
 		return nil, fmt.Errorf("%s: %w: %s", job.Subject.Testbed, err, bytes.TrimSpace(errs.Bytes()))
 	}
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -1,5 +1,5 @@
 // Package experiment plays scenarios, one or many, and says what came of them: single plays, comparisons paired by
-// seed, sweeps, the two drivers side by side, yardsticks, and hunts for the plays that go worst. What it says of a
+// seed, sweeps, the two drivers side by side, baseline policies, and hunts for the runs that go worst. What it says of a
 // virtual play follows from scenario, subject and seed alone, however many run at once.
 package experiment
 
@@ -32,41 +32,41 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// PolicyDispatch is the name of the policy that is in service; the others are yardsticks.
+// PolicyDispatch is the name of the policy that is in service; the others are baseline policies.
 const PolicyDispatch = "logic"
 
 // ApertureSuffix behind a policy's name puts an aperture before each of its modules, and keys of its section in the
 // operators' file may follow: "logic+aperture:least=20:cover=3".
 const ApertureSuffix = "+aperture"
 
-// Subject is what is put through a play.
+// Subject is what is put through a run.
 type Subject struct {
 	Name    string
-	Policy  string   // Logic (or empty) or a yardstick's name, and WithAperture where it has one; virtual only
+	Policy  string   // Logic (or empty) or a baseline policy's name, and WithAperture where it has one; virtual only
 	Mutant  string   // name of a seeded fault to put before each scheduler; virtual only; empty: none
 	Set     []string // changes to the scenario, "key=value" with the value as TOML has it
 	Binary  string   // the scheduler's program; live only
 	Testbed string   // another build's valvecove-testbed, which plays in place of this one; virtual only
 }
 
-// Job is one play to be played.
+// Job is one run to be played.
 type Job struct {
 	Spec    *scenario.Scenario
 	Seed    uint64
 	Driver  string // scenario.Virtual or scenario.Live
 	Subject Subject
-	// Observer is told what was seen besides judge and score, in the play's own goroutine; nil: nobody.
+	// Observer is told what was seen besides judge and score, in the run's own goroutine; nil: nobody.
 	Observer trace.Observer
-	// OnSnapshot is told how the play stands, in the play's own goroutine, at most once a second of it; nil: nobody.
+	// OnSnapshot is told how the run stands, in the run's own goroutine, at most once a second of it; nil: nobody.
 	OnSnapshot func(t *score.Snapshot)
-	// Unchecked leaves the judge out, where only speed or worth is asked for.
+	// Unchecked leaves the checker out, where only speed or worth is asked for.
 	Unchecked bool
-	// Starvation has tries looked for that wait or are refused while worker nodes are idle.
+	// Starvation has tries looked for that wait or are refused while workers are idle.
 	Starvation bool
 	Process    process.Options // Watch is overwritten
 }
 
-// RunResult is what came of a play.
+// RunResult is what came of a run.
 type RunResult struct {
 	Document   report.Document
 	Verdict    checker.Verdict
@@ -75,7 +75,7 @@
 	Process    *process.Outcome    // of a live one
 }
 
-// Result is the play's figures.
+// Result is the run's figures.
 func (p *RunResult) Result() *score.Result { return p.Document.Result }
 
 // Violations is how often a rule was broken.
@@ -87,7 +87,7 @@
 	return n
 }
 
-// InvalidReason is why the play is no result; empty: it is one.
+// InvalidReason is why the run is no result; empty: it is one.
 func (p *RunResult) InvalidReason() string {
 	if p.Document.Verdict == nil {
 		return ""
@@ -95,7 +95,7 @@
 	return p.Document.Verdict.Invalid
 }
 
-// MeetsExpectations tells whether all expectations were met, the play being a result.
+// MeetsExpectations tells whether all expectations were met, the run being a result.
 func (p *RunResult) MeetsExpectations() bool {
 	for _, m := range p.Document.Expectations {
 		if !m.OK {
@@ -141,10 +141,10 @@
 	return names
 }
 
-// ErrStopped is a play that a panic has ended.
+// ErrStopped is a run that a panic has ended.
 var ErrStopped = errors.New("the play has panicked")
 
-// Run plays one play. A panic in it, of the module or of the lab, is an error that says which play it was.
+// Run plays one run. A panic in it, of the module or of the testbed, is an error that says which play it was.
 func Run(ctx context.Context, job Job) (played *RunResult, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -195,7 +195,7 @@
 	return played, nil
 }
 
-// observers are the judge's and the score's of one play.
+// observers are the checker's and the score's of one run.
 type observers struct {
 	checker      *checker.Checker
 	score        *score.Score
--- a/internal/testbed/experiment/search.go
+++ b/internal/testbed/experiment/search.go
@@ -14,37 +14,37 @@
 	"valvecove/internal/testbed/starvation"
 )
 
-// Search looks for plays that go badly: scenarios and seeds drawn at random, each held against the yardstick that sees
+// Search looks for plays that go badly: scenarios and seeds drawn at random, each held against the baseline policy that sees
 // everything. The i-th draw follows from Seed and i alone, so that a hunt that is given more time finds all that a
 // shorter one did.
 type Search struct {
 	Seed        uint64
 	Subject     Subject
-	Baseline    string // the yardstick; default all-seeing
+	Baseline    string // the baseline policy; default all-seeing
 	Keep        int    // so many of the worst; default 8
 	Parallelism int    // plays at once
 	MaxRuns     int    // draws; 0: until the context ends
 	// Starvation hunts for starvation (package starve) and broken rules in plays drawn more widely, and for no regret: no
-	// yardstick is played.
+	// baseline policy is played.
 	Starvation bool
 
 	trim func(s *scenario.Scenario) // changes each draw; nil: nothing does
 }
 
-// Finding is a play that went badly.
+// Finding is a run that went badly.
 type Finding struct {
-	Spec            *scenario.Scenario // its Seed is the play's
+	Spec            *scenario.Scenario // its Seed is the run's
 	Rule            string             // that was broken, or starve.Rule; empty: none was
 	StarvedRequests int                // tries that were
-	Value           float64            // the mixed worth, and the yardstick's
+	Value           float64            // the mixed worth, and the baseline policy's
 	BaselineValue   float64
 	Faults          int    // left of those drawn
 	Drawn           int    // faults that were drawn
 	DrawNumber      int    // which draw it was
-	Error           string // what the play ended with, if it could not be played on
+	Error           string // what the run ended with, if it could not be played on
 }
 
-// Regret is how far a play stayed under the yardstick.
+// Regret is how far a run stayed under the baseline policy.
 func (f *Finding) Regret() float64 { return math.Max(0, f.BaselineValue-f.Value) }
 
 // Description says what is bad about a find.
@@ -92,7 +92,7 @@
 	Mean       float64 // regret
 }
 
-// minimisedShare of a regret must be left of it in a play that is to stand for the first.
+// minimisedShare of a regret must be left of it in a run that is to stand for the first.
 const minimisedShare = 0.8
 
 // most plays that shrinking one find may take.
@@ -188,7 +188,7 @@
 	return slices.ContainsFunc(got.Worst, func(o Finding) bool { return o.Spec == f.Spec })
 }
 
-// evaluate plays a scenario, and the yardstick beside it.
+// evaluate plays a scenario, and the baseline policy beside it.
 func (h *Search) evaluate(ctx context.Context, spec *scenario.Scenario, draw int) (*Finding, error) {
 	f := &Finding{Spec: spec, DrawNumber: draw, Drawn: len(spec.Faults), Faults: len(spec.Faults)}
 	runResult, err := Run(ctx, Job{
@@ -320,7 +320,7 @@
 	}
 }
 
-// searchedFaults are faults that virtual time shows well.
+// searchedFaults are faults that simulated time shows well.
 var searchedFaults = []string{
 	"crash", "vanish", "hang", "pause", "slow", "errors", "full", "drain", "restart", "replace", "gone",
 	"no_notes", "early_202_crash", "handback", "cut", "cut_one_way", "delay", "refuse", "never_up", "half_open", "drop_idle",
--- a/internal/testbed/experiment/table.go
+++ b/internal/testbed/experiment/table.go
@@ -84,7 +84,7 @@
 	Cells    []Cell `json:"cells"`
 }
 
-// Run plays them, in virtual time.
+// Run plays them, in simulated time.
 func (y *BaselineTable) Run(ctx context.Context, told func(done, of int)) ([]BaselineRow, error) {
 	var jobs []Job
 	for _, spec := range y.Specs {
@@ -135,7 +135,7 @@
 	return b.String()
 }
 
-// Speed is how fast virtual time ran in a play.
+// Speed is how fast simulated time ran in a run.
 type Speed struct {
 	Requests uint64
 	Elapsed  time.Duration
@@ -153,8 +153,8 @@
 // minLength is how long jobs come for at least: a fleet must fill before it says anything.
 const minLength = 8 * time.Second
 
-// ScaleFleet returns a scenario of so many worker nodes that is as busy as another, for so many jobs at least. Its schedulers
-// have the descriptors for that many clients: else these wait at the front, and the play shows nothing but that.
+// ScaleFleet returns a scenario of so many workers that is as busy as another, for so many jobs at least. Its schedulers
+// have the descriptors for that many clients: else these wait at the load balancer, and the run shows nothing but that.
 func ScaleFleet(spec *scenario.Scenario, nodes int, jobs float64) (*scenario.Scenario, error) {
 	changed := spec.Clone()
 	changed.Drivers = []string{scenario.DriverSimulation}
--- a/internal/testbed/fakeplatform/platform.go
+++ b/internal/testbed/fakeplatform/platform.go
@@ -1,5 +1,5 @@
 // Package fakeplatform is a small platform of stand-ins on 127.0.0.1, for tests with real processes of the scheduler: discovery,
-// worker nodes that tell of their jobs, and clients that keep their connections. It is simpler than the lab's world and
+// workers that tell of their jobs, and clients that keep their connections. It is simpler than the testbed's world and
 // judges nothing: it counts, and whoever uses it says what is right.
 package fakeplatform
 
@@ -20,14 +20,14 @@
 
 // Platform is the platform that schedulers run on.
 type Platform struct {
-	Listen    string    // where clients and worker nodes find the scheduler
+	Listen    string    // where clients and workers find the scheduler
 	Discovery string    // where discovery answers
 	Workers   []*Worker // with ids s-0, s-1, ...
 	servers   []*httptest.Server
 	closed    chan struct{}
 }
 
-// Worker is a worker node. It accepts every job, and tells that it has started; that it is done it tells once it is let.
+// Worker is a worker. It accepts every job, and tells that it has started; that it is done it tells once it is let.
 type Worker struct {
 	ID            string
 	mutex         sync.Mutex
@@ -35,7 +35,7 @@
 	release       chan struct{}
 }
 
-// New starts a platform with so many worker nodes, whose jobs last until their node is freed.
+// New starts a platform with so many workers, whose jobs last until their node is freed.
 func New(nodes int) (*Platform, error) {
 	platform := &Platform{closed: make(chan struct{})}
 	var err error
@@ -79,7 +79,7 @@
 	}
 }
 
-// watch answers a watch on the host group: the list, and then a sign of life each second.
+// watch answers a watch on the endpoint list: the list, and then a sign of life each second.
 func (p *Platform) watch(list string, w http.ResponseWriter, r *http.Request) {
 	for line := list; ; line = "\n" {
 		if _, err := io.WriteString(w, line); err != nil {
@@ -117,7 +117,7 @@
 	}()
 }
 
-// sendCallback tells of a job as worker nodes do: each call is tried until it is answered, ten times at most.
+// sendCallback tells of a job as workers do: each call is tried until it is answered, ten times at most.
 func (p *Platform) sendCallback(n *Worker, id, state string) {
 	note, _ := json.Marshal(map[string]string{"id": id, "from": n.ID, "state": state, "result": Result(id, n.ID)})
 	for range 10 {
--- a/internal/testbed/fakeplatform/process.go
+++ b/internal/testbed/fakeplatform/process.go
@@ -75,10 +75,10 @@
 	return res.StatusCode, string(text)
 }
 
-// Cordon takes a worker node out, and Resume brings it back; both tell the answer's status.
+// Cordon takes a worker out, and Resume brings it back; both tell the answer's status.
 func (s *Process) Cordon(node string) int { return s.setCordon(node, "suspend") }
 
-// Uncordon brings a worker node back.
+// Uncordon brings a worker back.
 func (s *Process) Uncordon(node string) int { return s.setCordon(node, "resume") }
 
 func (s *Process) setCordon(node, what string) int {
--- a/internal/testbed/fleet/addresses.go
+++ b/internal/testbed/fleet/addresses.go
@@ -11,12 +11,12 @@
 
 // The part of 127.0.0.0/8 that a rig has to itself: the addresses 127.net.x.y, with one port for all.
 const (
-	firstBlock       = 16 // of worker nodes, 250 to a block
+	firstBlock       = 16 // of workers, 250 to a block
 	lastBlock        = 254
 	perBlock         = 250
 	maxWorkers       = (lastBlock - firstBlock + 1) * perBlock
 	maxSockets       = 40_000         // descriptors that a scheduler is told it has
-	maxConns         = maxSockets / 6 // of them may be links to worker nodes
+	maxConns         = maxSockets / 6 // of them may be links to workers
 	spareDescriptors = 256            // descriptors of a process that are for anything else
 )
 
@@ -62,14 +62,14 @@
 // descriptorPlan is how the rig's descriptors are dealt out.
 type descriptorPlan struct {
 	limit         int // that the machine allows a process
-	workerConns   int // connections to worker nodes at once, at most
-	callbackConns int // connections of one worker node for its notes, at most
+	workerConns   int // connections to workers at once, at most
+	callbackConns int // connections of one worker for its notes, at most
 }
 
 var errDescriptors = errors.New("the rig has no room for them")
 
-// planDescriptors tells whether there is room for so many worker nodes and clients, and how it is dealt out: each worker node
-// has a listener, and one connection for its notes at least; the scheduler, or the proxy, has links to worker nodes.
+// planDescriptors tells whether there is room for so many workers and clients, and how it is dealt out: each worker
+// has a listener, and one connection for its notes at least; the scheduler, or the proxy, has links to workers.
 func planDescriptors(nodes, clients int) (descriptorPlan, error) {
 	var l unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &l); err != nil {
@@ -86,7 +86,7 @@
 	return r, nil
 }
 
-// needed is how many worker nodes there would be descriptors for.
+// needed is how many workers there would be descriptors for.
 func (r descriptorPlan) needed(clients int) int {
 	left := r.limit - spareDescriptors - clients
 	if n := (left - maxConns) / 2; 4*n+clients >= maxConns {
--- a/internal/testbed/fleet/child.go
+++ b/internal/testbed/fleet/child.go
@@ -11,8 +11,8 @@
 	"runtime/debug"
 )
 
-// The words between a play and the process that its rig runs in: one JSON value a line each way. The play says Spec and
-// then targets; the rig says news. The end of what the play says ends the rig.
+// The words between a run and the process that its rig runs in: one JSON value a line each way. The run says Spec and
+// then targets; the rig says news. The end of what the run says ends the rig.
 type childMessage struct {
 	Addresses *Addresses `json:"places,omitempty"` // it is up
 	Mark      string     `json:"mark,omitempty"`
@@ -64,7 +64,7 @@
 	return say.Encode(childMessage{Result: &result})
 }
 
-// RunProxyProcess is the whole of the yardstick's process.
+// RunProxyProcess is the whole of the baseline policy's process.
 func RunProxyProcess(in io.Reader) error {
 	debug.SetGCPercent(200) // as the scheduler has it
 	runtime.GOMAXPROCS(1)
--- a/internal/testbed/fleet/clients.go
+++ b/internal/testbed/fleet/clients.go
@@ -42,8 +42,8 @@
 	seconds        []Second
 	window         Second
 	answers        *hdrhistogram.Histogram // latency of those that were served in the window
-	failureReasons map[string]int          // failures in the whole play
-	jobs           int                     // asked for in the whole play
+	failureReasons map[string]int          // failures in the whole run
+	jobs           int                     // asked for in the whole run
 	settled        int                     // answered, or given up
 	endedClients   int                     // of those, not refused
 }
--- a/internal/testbed/fleet/conn.go
+++ b/internal/testbed/fleet/conn.go
@@ -147,7 +147,7 @@
 		c.fail(errTooLong)
 		return
 	}
-	c.received = append(c.received[:0], b...) // of bytes of its own this is a move to the front
+	c.received = append(c.received[:0], b...) // of bytes of its own this is a move to the load balancer
 }
 
 // write sends b, now or as soon as it can be. A failure is told later.
--- a/internal/testbed/fleet/discovery.go
+++ b/internal/testbed/fleet/discovery.go
@@ -14,14 +14,14 @@
 // heartbeatInterval is how long a watch is without a line at most.
 const heartbeatInterval = 2 * time.Second
 
-// discovery is the list of worker nodes and those who follow it.
+// discovery is the list of workers and those who follow it.
 type discovery struct {
 	timer
 	engine   *engine
 	rig      *Rig
 	listener *listener
 	revision int64
-	started  []int64 // when each worker node was last started, in ms of Unix time; 0: long ago
+	started  []int64 // when each worker was last started, in ms of Unix time; 0: long ago
 	calls    map[*discoveryCall]struct{}
 }
 
@@ -60,7 +60,7 @@
 	d.engine.setTimer(&d.timer, d.engine.now+heartbeatInterval, d)
 }
 
-// entry is a worker node as the list has it. Cells are of four, kinds are dealt out in turn.
+// entry is a worker as the list has it. Cells are of four, kinds are dealt out in turn.
 func (d *discovery) entry(b []byte, n int) []byte {
 	b = append(append(b, `{"instanceId":"w-`...), strconv.Itoa(n)...)
 	b = append(append(b, `","hostPort":"`...), d.rig.addresses.worker(n).String()...)
--- a/internal/testbed/fleet/engine.go
+++ b/internal/testbed/fleet/engine.go
@@ -13,7 +13,7 @@
 	"valvecove/internal/deadline"
 )
 
-// engine is one thread of the rig: a loop round epoll that has some of the worker nodes and some of the clients to
+// engine is one thread of the rig: a loop round epoll that has some of the workers and some of the clients to
 // itself. Only post and stop are for others.
 type engine struct {
 	core        int // that it is bound to; below 0: none
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -70,7 +70,7 @@
 	return a.StatusCode, string(text)
 }
 
-// A worker node speaks the protocol: probes, 202, notes in order that are sent again until they are taken, DELETE.
+// A worker speaks the protocol: probes, 202, notes in order that are sent again until they are taken, DELETE.
 func TestNode(t *testing.T) {
 	for _, notices := range []bool{true, false} {
 		r := testRig(t, Spec{Nodes: 2, StartNotifications: notices, Work: time.Millisecond, Slots: 1})
@@ -126,7 +126,7 @@
 	}
 }
 
-// A worker node that answers by itself does so once the job has run, in the order in which jobs came; one that is full
+// A worker that answers by itself does so once the job has run, in the order in which jobs came; one that is full
 // rejects, and dies as a process does.
 func TestNodeAnswers(t *testing.T) {
 	r := testRig(t, Spec{Nodes: 1, Responds: true, Work: time.Hour, Slots: 1, QueueLimit: 1})
@@ -303,7 +303,7 @@
 	}
 }
 
-// The real program and the yardstick serve each of a few jobs once.
+// The real program and the baseline policy serve each of a few jobs once.
 func TestPlay(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "valvecove")
 	if out, err := exec.Command("go", "build", "-o", binary, "valvecove/cmd/valvecove").CombinedOutput(); err != nil {
--- a/internal/testbed/fleet/golden_test.go
+++ b/internal/testbed/fleet/golden_test.go
@@ -10,7 +10,7 @@
 	"valvecove/internal/testbed/report"
 )
 
-// The golden file holds a report as the lab of d2a7518 writes it, with a value in every field. Reports are kept and taken
+// The golden file holds a report as the testbed of d2a7518 writes it, with a value in every field. Reports are kept and taken
 // into later ones: the file is never regenerated except under a new form number.
 const goldenReport = "report-1.json"
 
@@ -43,7 +43,7 @@
 	storedform.CheckGolden(t, goldenReport, b.Bytes())
 }
 
-// What a report calls its figures stands in tags, and so do the words between the processes of a play.
+// What a report calls its figures stands in tags, and so do the words between the processes of a run.
 func TestReportsAreTagged(t *testing.T) {
 	storedform.CheckTags(t, Report{}, childMessage{}, Spec{}, ProxyPlan{}, []netip.AddrPort{})
 }
--- a/internal/testbed/fleet/measure.go
+++ b/internal/testbed/fleet/measure.go
@@ -28,11 +28,11 @@
 // What is played without a scheduler.
 const (
 	Proxy   = "proxy"   // the standard library's reverse proxy, with the fewest requests out
-	Direct  = "direct"  // clients ask worker nodes, with nothing between
+	Direct  = "direct"  // clients ask workers, with nothing between
 	Ceiling = "ceiling" // as direct, and the jobs take no time: what the rig itself can do
 )
 
-// Row is what one play is of.
+// Row is what one run is of.
 type Row struct {
 	Subject            string  `json:"subject"` // a scheduler's build by name, or one of the above
 	Workers            int     `json:"nodes"`
@@ -51,7 +51,7 @@
 	Work         time.Duration // default 20 ms
 	Jobs         int           // if over 0, so many in all, however long that takes up to Length
 	Burst        int           // further jobs in the first second; a scheduler is up once it has the list
-	Restart      bool          // a third of the worker nodes restart within RestartsOver
+	Restart      bool          // a third of the workers restart within RestartsOver
 	SilentShare  float64       // a share of them is silent for a third of Length
 	Freeze       time.Duration // the scheduler is stopped for so long
 	Cores        []int         // the first is the scheduler's or the proxy's, the others are the engines'
@@ -65,7 +65,7 @@
 	restartWindow     = 10 * time.Second
 )
 
-// Measurement is one play's figures.
+// Measurement is one run's figures.
 type Measurement struct {
 	Row
 	Result
@@ -79,7 +79,7 @@
 	Disturbances []float64 `json:"trouble,omitempty"`
 }
 
-// InvalidReason says why the play is no result; empty: it is one. Where the rig is to be what limits it, it always is.
+// InvalidReason says why the run is no result; empty: it is one. Where the rig is to be what limits it, it always is.
 func (p *Measurement) InvalidReason() string {
 	if p.Subject == Ceiling {
 		return ""
--- a/internal/testbed/fleet/proxy.go
+++ b/internal/testbed/fleet/proxy.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// leastInFlight deals requests out: each goes to a worker node with the fewest out, in turn among those.
+// leastInFlight deals requests out: each goes to a worker with the fewest out, in turn among those.
 type leastInFlight struct {
 	lock     sync.Mutex
 	workers  []string
@@ -45,13 +45,13 @@
 	l.lock.Unlock()
 }
 
-// ProxyPlan is what the yardstick is told.
+// ProxyPlan is what the baseline policy is told.
 type ProxyPlan struct {
 	Listen string   `json:"listen"`
 	Nodes  []string `json:"nodes"` // addresses and ports
 }
 
-// NewProxy is the standard library's reverse proxy before worker nodes that answer by themselves. GET /up is its own.
+// NewProxy is the standard library's reverse proxy before workers that answer by themselves. GET /up is its own.
 func NewProxy(nodes []string) http.Handler {
 	leastInFlight := &leastInFlight{workers: nodes, inFlight: make([]int, len(nodes))}
 	transport := &http.Transport{
@@ -93,7 +93,7 @@
 // Put takes it back.
 func (b *bufferPool) Put(x []byte) { b.pool.Put(&x) }
 
-// ServeProxy serves as the yardstick until alive ends.
+// ServeProxy serves as the baseline policy until alive ends.
 func ServeProxy(p ProxyPlan, alive io.Reader) error {
 	listener, err := net.Listen("tcp", p.Listen)
 	if err != nil {
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -24,21 +24,21 @@
 // Spec is what a rig is to play.
 type Spec struct {
 	Nodes              int           `json:"nodes"`
-	Responds           bool          `json:"answers"` // worker nodes answer requests with the result; else by 202 and notes
+	Responds           bool          `json:"answers"` // workers answer requests with the result; else by 202 and notes
 	StartNotifications bool          `json:"notices"` // they tell of starts
 	Work               time.Duration `json:"work"`    // of each job, default 20 ms; below 0: none
-	Slots              int           `json:"slots"`   // of a worker node, default 4
+	Slots              int           `json:"slots"`   // of a worker, default 4
 	QueueLimit         int           `json:"room"`    // jobs that may wait at one, default 256
 	Clients            int           `json:"clients"` // that each wait for their answer
 	Hint               time.Duration `json:"hint"`    // that clients give of the work; 0: none
 	Burst              int           `json:"burst"`   // further jobs in the first second, of a client each
-	Jobs               int           `json:"jobs"`    // the play is over once so many are served or have failed; 0: once its time is
+	Jobs               int           `json:"jobs"`    // the run is over once so many are served or have failed; 0: once its time is
 	WarmUp             time.Duration `json:"warm"`    // before the window of the measurement
 	Length             time.Duration `json:"length"`  // of the window
 	Seed               uint64        `json:"seed"`
 	Cores              []int         `json:"cores"` // one for each engine; empty: one engine on any
 
-	Restarts       time.Duration `json:"restarts"` // each third worker node restarts in the course of this; 0: none does
+	Restarts       time.Duration `json:"restarts"` // each third worker restarts in the course of this; 0: none does
 	SilentShare    float64       `json:"silent"`   // a share of them, on consecutive addresses, goes silent
 	SilentFor      time.Duration `json:"silent_for"`
 	DisturbancesAt time.Duration `json:"troubles_at"` // when either begins, from when the clients begin
@@ -69,7 +69,7 @@
 
 // Addresses are where a rig's parties are.
 type Addresses struct {
-	Scheduler string   `json:"scheduler"` // where clients and worker nodes call one; nobody listens there yet
+	Scheduler string   `json:"scheduler"` // where clients and workers call one; nobody listens there yet
 	Discovery string   `json:"discovery"`
 	Workers   []string `json:"nodes"`
 }
@@ -82,21 +82,21 @@
 	P50         float64 `json:"p50_ms"` // of those served
 	P90         float64 `json:"p90_ms"`
 	P99         float64 `json:"p99_ms"`
-	Busiest     float64 `json:"busiest"`      // jobs that the busiest worker node ended, over its even part
-	Started     int     `json:"begun"`        // jobs that worker nodes began
+	Busiest     float64 `json:"busiest"`      // jobs that the busiest worker ended, over its even part
+	Started     int     `json:"begun"`        // jobs that workers began
 	Finished    int     `json:"done"`         // and ended
 	CPU         float64 `json:"rig_cpu"`      // cores that the rig's engines used
 	MaxCPU      float64 `json:"rig_cpu_most"` // part of its core that the busiest engine used
 	Lateness50  float64 `json:"late_p50_ms"`  // of the rig itself
 	Lateness99  float64 `json:"late_p99_ms"`
 	MaxLateness float64 `json:"late_max_ms"`
-	// In the whole play.
+	// In the whole run.
 	All            Second         `json:"all"`
 	Seconds        []Second       `json:"seconds"`       // whole ones, from when the clients began
 	FailureReasons map[string]int `json:"why,omitempty"` // failures by what they met with
 	Requested      int            `json:"asked"`
 	Settled        int            `json:"settled"`
-	Unexpected     int            `json:"odd"` // requests that worker nodes could not use
+	Unexpected     int            `json:"odd"` // requests that workers could not use
 	CallbacksLost  int            `json:"notes_lost"`
 	Descriptors    int            `json:"rig_descriptors"` // of the rig, at the end
 	Limit          int            `json:"descriptor_limit"`
@@ -109,7 +109,7 @@
 	maxCPU        = 0.85 // of a core
 )
 
-// InvalidReason says why the rig may have been what limited the play; empty: it was not.
+// InvalidReason says why the rig may have been what limited the run; empty: it was not.
 func (r *Result) InvalidReason() string {
 	switch {
 	case r.MaxCPU > maxCPU:
@@ -139,7 +139,7 @@
 	closed        bool
 }
 
-// NewRig brings up worker nodes and discovery.
+// NewRig brings up workers and discovery.
 func NewRig(spec Spec) (*Rig, error) {
 	spec.defaults()
 	rig := &Rig{spec: spec, startedAt: time.Now()}
@@ -209,7 +209,7 @@
 	return true
 }
 
-// Marks of a play, as Play tells them.
+// Marks of a run, as Play tells them.
 const (
 	MarkOpen  = "open"  // the window of the measurement
 	MarkClose = "close" // and its end
@@ -262,7 +262,7 @@
 	})
 }
 
-// startDisturbances sets what happens to an engine's worker nodes.
+// startDisturbances sets what happens to an engine's workers.
 func (r *Rig) startDisturbances(at int, engine *engine, went time.Duration) {
 	spec := &r.spec
 	from := went + spec.DisturbancesAt
@@ -282,7 +282,7 @@
 	}
 }
 
-// restart brings a worker node's process up anew.
+// restart brings a worker's process up anew.
 func (n *worker) restart() {
 	if err := n.open(); err != nil {
 		n.engine.fail(err)
--- a/internal/testbed/fleet/table.go
+++ b/internal/testbed/fleet/table.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Report is the plays of one or more runs of a table.
+// Report is the runs of one or more runs of a table.
 type Report struct {
 	Cores        int           `json:"cores"` // of the machine
 	Measurements []Measurement `json:"plays"`
@@ -47,7 +47,7 @@
 	return short(factor) + " times too high"
 }
 
-// rows gives the plays by row, in the order in which rows were first played.
+// rows gives the runs by row, in the order in which rows were first played.
 func (r *Report) rows() (order []Row, plays map[Row][]Measurement) {
 	plays = map[Row][]Measurement{}
 	for _, p := range r.Measurements {
@@ -176,7 +176,7 @@
 	return whole
 }
 
-// BySecond writes what was served in each second of each play, from when the clients began.
+// BySecond writes what was served in each second of each run, from when the clients began.
 func (r *Report) BySecond(w io.Writer) error {
 	var b strings.Builder
 	for i := range r.Measurements {
--- a/internal/testbed/fleet/workers.go
+++ b/internal/testbed/fleet/workers.go
@@ -11,7 +11,7 @@
 	"valvecove/internal/http1"
 )
 
-// worker is a stand-in worker node: it has slots, a waiting room that is served in order, and jobs that each take a slot
+// worker is a stand-in worker: it has slots, a waiting room that is served in order, and jobs that each take a slot
 // for the same time. What is withdrawn runs on, as it does at the co-operative's.
 type worker struct {
 	engine     *engine
@@ -32,7 +32,7 @@
 	unexpected int    // requests that it could not use
 }
 
-// job is one that a worker node has. It is used again.
+// job is one that a worker has. It is used again.
 type job struct {
 	timer
 	worker    *worker
@@ -41,7 +41,7 @@
 	abandoned bool        // with its process
 }
 
-// workerConn is a connection to a worker node.
+// workerConn is a connection to a worker.
 type workerConn struct {
 	conn
 	worker           *worker
@@ -246,7 +246,7 @@
 	callbackRetryDelay  = 100 * time.Millisecond
 )
 
-// callbackSender is a worker node's connections to the scheduler, by which it calls it with its notes.
+// callbackSender is a worker's connections to the scheduler, by which it calls it with its notes.
 type callbackSender struct {
 	worker  *worker
 	idle    []*callbackConn // the last one used last
@@ -269,7 +269,7 @@
 	callback *callback // nil: it is idle
 }
 
-// notify calls the scheduler with a note on a job.
+// notify calls the scheduler with a callback on a job.
 func (c *callbackSender) notify(call []byte, state string) {
 	b := make([]byte, 0, 128)
 	b = append(append(b, `{"id":"`...), call...)
@@ -283,7 +283,7 @@
 	c.proceed()
 }
 
-// proceed sends what waits. A worker node may always have one connection; further ones come out of what the machine
+// proceed sends what waits. A worker may always have one connection; further ones come out of what the machine
 // allows all of them together.
 func (c *callbackSender) proceed() {
 	n := c.worker
--- a/internal/testbed/mutation/doc.go
+++ b/internal/testbed/mutation/doc.go
@@ -1,7 +1,7 @@
 // Package mutation breaks schedulers on purpose: each mutant is a scheduler with one fault, of the kind that a change
-// might bring in, and names the rule by which the judge must find it. They show that the judge catches what it is for.
+// might bring in, and names the rule by which the checker must find it. They show that the checker catches what it is for.
 //
-// A mutant is put round the whole scheduler, at the border to the world (Wrap), or round its decision module alone
+// A mutant is put round the whole scheduler, at the border to the environment (Wrap), or round its decision module alone
 // (Module). One that sends what the scheduler did not send does it as a scheduler must: it dials a connection of its
 // own, writes once that is up, and closes it after the answer. Nothing in a mutant is drawn at random.
 package mutation
@@ -16,7 +16,7 @@
 // Mutant is a scheduler with one fault.
 type Mutant struct {
 	Name        string // stable, in small letters and hyphens
-	Rule        string // by which the judge must find it; see package judge
+	Rule        string // by which the checker must find it; see package judge
 	Description string // what it does
 	// Adjust makes a scenario one in which it shows.
 	Adjust func(s *scenario.Scenario)
--- a/internal/testbed/mutation/injector.go
+++ b/internal/testbed/mutation/injector.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// faultInjector stands between the world and a scheduler, and lets pass what its two hooks say.
+// faultInjector stands between the environment and a scheduler, and lets pass what its two hooks say.
 type faultInjector struct {
 	spec     *scenario.Scenario
 	inner    simapi.Scheduler
@@ -17,11 +17,11 @@
 	now          time.Duration
 	scheduler    int
 	running      bool
-	inputs       []simapi.Input // for the inner one, besides what came from the world
+	inputs       []simapi.Input // for the inner one, besides what came from the environment
 	outputs      []simapi.Output
 	innerOutputs []simapi.Output
 	requests     map[string]*trackedRequest
-	injected     map[simapi.Conn]*injectedAttempt // connections of ours to worker nodes
+	injected     map[simapi.Conn]*injectedAttempt // connections of ours to workers
 	connCount    uint64
 	delayed      []delayedAction // what is to be done, in order of time
 	count        int             // for hooks that strike every so often
@@ -92,7 +92,7 @@
 	return at, ok
 }
 
-// handleInput is what comes from the world.
+// handleInput is what comes from the environment.
 func (b *faultInjector) handleInput(input *simapi.Input) {
 	b.scheduler = input.Scheduler
 	switch input.Kind {
@@ -159,20 +159,20 @@
 	return b.count%n == 0
 }
 
-// feedInput brings something to the inner scheduler that the world knows nothing of.
+// feedInput brings something to the inner scheduler that the environment knows nothing of.
 func (b *faultInjector) feedInput(in simapi.Input) {
 	in.Scheduler = b.scheduler
 	b.inputs = append(b.inputs, in)
 }
 
-// respond answers a query in the inner scheduler's place, which takes its client for gone.
+// respond answers a request in the inner scheduler's place, which takes its client for gone.
 func (b *faultInjector) respond(q *trackedRequest, status int) {
 	q.answered = true
 	b.outputs = append(b.outputs, simapi.Output{Kind: simapi.ResponseWritten, Scheduler: b.scheduler, Conn: q.conn, RequestID: q.RequestID, Status: status})
 	b.feedInput(simapi.Input{Kind: simapi.ClientClosed, Conn: q.conn})
 }
 
-// sendAttempt sends a query to a worker node, over a connection of its own.
+// sendAttempt sends a request to a worker, over a connection of its own.
 func (b *faultInjector) sendAttempt(q *trackedRequest, node int) {
 	b.connCount++
 	conn := simapi.WorkerConn(b.scheduler, 1<<39|b.connCount)
@@ -197,12 +197,12 @@
 	}
 }
 
-// idempotencyOf is what running a query twice does, in the scenario's word.
+// idempotencyOf is what running a request twice does, in the scenario's word.
 func (b *faultInjector) idempotencyOf(q *trackedRequest) string {
 	return b.spec.Classes[q.Class].Idempotency
 }
 
-// otherWorker is a worker node other than the one given.
+// otherWorker is a worker other than the one given.
 func (b *faultInjector) otherWorker(node, by int) int {
 	return (node + by) % max(1, b.spec.Fleet.Workers)
 }
--- a/internal/testbed/mutation/mutants.go
+++ b/internal/testbed/mutation/mutants.go
@@ -364,7 +364,7 @@
 	}
 }
 
-// rejectAfter refuses queries of classes with an effect that were sent so long ago.
+// rejectAfter refuses requests of classes with an effect that were sent so long ago.
 func rejectAfter(effect string, after time.Duration) func(b *faultInjector, o *simapi.Output) bool {
 	return func(b *faultInjector, output *simapi.Output) bool {
 		trackedRequest := b.requests[output.RequestID]
@@ -382,7 +382,7 @@
 	}
 }
 
-// delayResponses holds answers of a status back until nine tenths of a query's time are over.
+// delayResponses holds answers of a status back until nine tenths of a request's time are over.
 func delayResponses(status int) func(b *faultInjector, o *simapi.Output) bool {
 	return func(b *faultInjector, o *simapi.Output) bool {
 		q := b.requests[o.RequestID]
--- a/internal/testbed/mutation/mutation_test.go
+++ b/internal/testbed/mutation/mutation_test.go
@@ -26,7 +26,7 @@
 	library = flag.Int("library", 0, "and plays of each scenario of the library")
 )
 
-// once are seeds of plays in which the honest program was blamed for what was the lab's fault.
+// once are seeds of runs in which the honest program was blamed for what was the testbed's fault.
 var once = []uint64{10833, 11002, 12212}
 
 // judged plays a scenario, with a mutant or (nil) with the honest program.
@@ -52,7 +52,7 @@
 	return j.Verdict()
 }
 
-// Each mutant is found by its rule's name in a play made for it, in which nobody blames the honest program.
+// Each mutant is found by its rule's name in a run made for it, in which nobody blames the honest program.
 func TestMutants(t *testing.T) {
 	names := map[string]bool{}
 	for _, m := range All() {
--- a/internal/testbed/mutation/policy.go
+++ b/internal/testbed/mutation/policy.go
@@ -66,7 +66,7 @@
 	return dst
 }
 
-// reportAs has one outcome of unsafe jobs pass for another that proves that nothing ran.
+// reportAs has one outcome of non-idempotent jobs pass for another that proves that nothing ran.
 func reportAs(r dispatch.Result) func(l *alteredPolicy, e dispatch.Event) (dispatch.Event, bool) {
 	return func(l *alteredPolicy, e dispatch.Event) (dispatch.Event, bool) {
 		if o, ok := e.(dispatch.Outcome); ok && o.Result == r && l.nonIdempotent[o.Job] {
@@ -77,7 +77,7 @@
 	}
 }
 
-// shortenTimeout waits only so long for attempts of unsafe jobs.
+// shortenTimeout waits only so long for attempts of non-idempotent jobs.
 func shortenTimeout(patience time.Duration) func(l *alteredPolicy, s dispatch.Send) dispatch.Send {
 	return func(l *alteredPolicy, s dispatch.Send) dispatch.Send {
 		if l.nonIdempotent[s.Job] {
@@ -87,7 +87,7 @@
 	}
 }
 
-// dropOutcomes hears of no worker node that drains or is gone.
+// dropOutcomes hears of no worker that drains or is gone.
 func dropOutcomes(_ *alteredPolicy, e dispatch.Event) (dispatch.Event, bool) {
 	list, ok := e.(dispatch.WorkerList)
 	if !ok {
--- a/internal/testbed/platform/golden_test.go
+++ b/internal/testbed/platform/golden_test.go
@@ -10,7 +10,7 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// The golden file is what the lab of d2a7518 told a scheduler by. It is never regenerated except under a new form number.
+// The golden file is what the testbed of d2a7518 told a scheduler by. It is never regenerated except under a new form number.
 const goldenConfig = "config-1.json"
 
 // goldenScenario gives each part of the configuration something to say.
--- a/internal/testbed/platform/platform.go
+++ b/internal/testbed/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is the lab's stand-in for what the platform tells a scheduler: its whole configuration as JSON, in
+// Package platform is the testbed's stand-in for what the platform tells a scheduler: its whole configuration as JSON, in
 // the platform's words, drawn from a scenario. Both drivers tell schedulers by it. Live, the text is the file that
-// PROXY_CONFIG names; in virtual time its settings are read from the same text by the same decoder as a real
+// PROXY_CONFIG names; in simulated time its settings are read from the same text by the same decoder as a real
 // scheduler's are.
 package platform
 
@@ -26,7 +26,7 @@
 	KnownEndpoints requests.EndpointList // as it last had it; perhaps old
 }
 
-// Prices that the co-operative puts on what schedulers do, as parts of the result. Modules weigh by them; the lab's
+// Prices that the co-operative puts on what schedulers do, as parts of the result. Modules weigh by them; the testbed's
 // figures count what was done instead of pricing it.
 const (
 	healthCheckPrice = 0.004
@@ -229,7 +229,7 @@
 	return settings
 }
 
-// setKinds tells of the worker nodes what holds for all of them: what one kind does not tell can't be relied on, and a
+// setKinds tells of the workers what holds for all of them: what one kind does not tell can't be relied on, and a
 // rule has to hold for the kind that is weakest after its start.
 func (s *settings) setKinds(kinds []scenario.WorkerKind) {
 	s.Domain = domain{StartNotifications: true, QueueOrder: "backfill", Callbacks: "1 it has started, 2 share done"}
--- a/internal/testbed/platform/platform_test.go
+++ b/internal/testbed/platform/platform_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// What one kind of worker node does not tell can't be relied on, and the weakest start is the one that counts.
+// What one kind of worker does not tell can't be relied on, and the weakest start is the one that counts.
 func TestKindsThatDiffer(t *testing.T) {
 	spec := scenario.Default()
 	spec.Fleet.Kinds[1].OmitsStartNotifications, spec.Fleet.Kinds[1].WarmUpCapacity = true, 0.2
--- a/internal/testbed/process/addresses.go
+++ b/internal/testbed/process/addresses.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// addressPlan is a play's own part of 127.0.0.0/8: the addresses 127.net.x.y, with one port for all. Each scheduler has
-// addresses of its own for each worker node and each discovery, so that whoever connects is known by where it does.
+// addressPlan is a run's own part of 127.0.0.0/8: the addresses 127.net.x.y, with one port for all. Each scheduler has
+// addresses of its own for each worker and each discovery, so that whoever connects is known by where it does.
 type addressPlan struct {
 	network    byte
 	port       uint16
@@ -21,7 +21,7 @@
 const (
 	maxSchedulers  = 200
 	maxDiscoveries = 1000  // times schedulers
-	maxListeners   = 50000 // worker nodes times schedulers
+	maxListeners   = 50000 // workers times schedulers
 	clientBlock    = 230   // 127.net.230.1 to .250: where clients connect from
 	clientHosts    = 250
 )
--- a/internal/testbed/process/callbacks.go
+++ b/internal/testbed/process/callbacks.go
@@ -15,10 +15,10 @@
 const (
 	callbackTimeout     = time.Second     // a call that has no answer by then has failed (driver.patience)
 	callbackIdleTimeout = 5 * time.Second // a connection without a call is closed then
-	maxCallbackCalls    = 4               // of one worker node to one scheduler at once; further ones wait, within their time
+	maxCallbackCalls    = 4               // of one worker to one scheduler at once; further ones wait, within their time
 )
 
-// callbackPool is a worker node's connections to a scheduler, by which it calls it with its notes.
+// callbackPool is a worker's connections to a scheduler, by which it calls it with its notes.
 type callbackPool struct {
 	driver            *driver
 	scheduler, worker int
@@ -43,7 +43,7 @@
 	timer *timer        // while it is
 }
 
-// sendCallback calls a scheduler with a note.
+// sendCallback calls a scheduler with a callback.
 func (d *driver) sendCallback(input *simapi.Input) {
 	n := input.Callback
 	body, err := jsoniter.ConfigDefault.Marshal(callbackForm{n.CallID, n.EndpointID, n.State, n.Progress, n.Result})
@@ -63,7 +63,7 @@
 	p.proceed()
 }
 
-// callbackForm is a note as the protocol writes it.
+// callbackForm is a callback as the protocol writes it.
 type callbackForm struct {
 	ID     string  `json:"id"`
 	From   string  `json:"from"`
--- a/internal/testbed/process/clients.go
+++ b/internal/testbed/process/clients.go
@@ -12,7 +12,7 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// client is a usual client's connection to a scheduler. It carries one query at a time.
+// client is a usual client's connection to a scheduler. It carries one request at a time.
 type client struct {
 	socketConn
 	driver    *driver
@@ -20,10 +20,10 @@
 	target    netip.AddrPort
 	scheduler int
 	request   *simapi.ClientRequest // that awaits its answer; nil: none does
-	resent    bool                  // the query crossed a close, and has been sent once more
+	resent    bool                  // the request crossed a close, and has been sent once more
 }
 
-// sendRequest carries a client's query over its connection, which begins with the first.
+// sendRequest carries a client's request over its connection, which begins with the first.
 func (d *driver) sendRequest(input *simapi.Input) {
 	c := d.clients[input.Conn]
 	if c == nil {
@@ -116,8 +116,8 @@
 			c.responseReceived(a, body)
 		}
 	case c.request != nil && err != nil && !c.resent && c.driver.schedulers[c.scheduler].alive:
-		// Closed by a scheduler that had not read the query, the connection is reset; had it read it, it would end
-		// without one. Such a query is sent once more, on a new connection.
+		// Closed by a scheduler that had not read the request, the connection is reset; had it read it, it would end
+		// without one. Such a request is sent once more, on a new connection.
 		c.resent = true
 		if err := c.driver.dial(&c.socketConn, c.driver.addresses.client(uint64(c.id)), c.target, c); err == nil {
 			c.sendRequest()
@@ -129,9 +129,9 @@
 	c.connCut()
 }
 
-// ---- The query as it is written ----
+// ---- The request as it is written ----
 
-// appendRequest writes a query as the protocol shows it.
+// appendRequest writes a request as the protocol shows it.
 func (d *driver) appendRequest(b []byte, to netip.AddrPort, clientRequest *simapi.ClientRequest) []byte {
 	class, tenant := d.spec.Classes[clientRequest.Class].Name, ""
 	if clientRequest.Tenant < len(d.spec.Tenants) {
@@ -164,7 +164,7 @@
 	return appendBody(b, clientRequest.RequestID, clientRequest.BodyLength)
 }
 
-// requestSubject is the last part of a query's path: what it is about, or else its id.
+// requestSubject is the last part of a request's path: what it is about, or else its id.
 func requestSubject(a *simapi.ClientRequest) string {
 	if a.IdempotencyKey != "" {
 		return a.IdempotencyKey
@@ -172,7 +172,7 @@
 	return a.RequestID
 }
 
-// appendBody writes a query's body, which follows from its id and length.
+// appendBody writes a request's body, which follows from its id and length.
 func appendBody(b []byte, call string, n int) []byte {
 	for end := len(b) + n; len(b) < end; {
 		b = append(b, call[:min(len(call), end-len(b))]...)
@@ -183,8 +183,8 @@
 	return b
 }
 
-// formTable remembers in what form queries were sent, so that a worker node can tell one that no client sent like that.
-// What is older than keepForms may be forgotten: no query is out for that long.
+// formTable remembers in what form requests were sent, so that a worker can tell one that no client sent like that.
+// What is older than keepForms may be forgotten: no request is out for that long.
 type formTable struct {
 	current, before map[string]*simapi.ClientRequest
 	since           time.Duration
@@ -206,7 +206,7 @@
 	return f.before[call]
 }
 
-// describeAlteration names what a worker node was sent otherwise than a client sent it; empty: nothing.
+// describeAlteration names what a worker was sent otherwise than a client sent it; empty: nothing.
 func (d *driver) describeAlteration(a *simapi.ClientRequest, q *http.Request, key string, body []byte) string {
 	path, ok := strings.CutPrefix(q.RequestURI, "/"+d.spec.Classes[a.Class].Name+"/")
 	switch {
--- a/internal/testbed/process/discovery.go
+++ b/internal/testbed/process/discovery.go
@@ -15,7 +15,7 @@
 
 const (
 	watchRequestTimeout   = time.Second // a connection that has asked nothing by then is not kept
-	maxDiscoveryAddresses = 64          // addresses at which discovery may be in a play
+	maxDiscoveryAddresses = 64          // addresses at which discovery may be in a run
 )
 
 // watch is a scheduler's connection to discovery. Of several the one that asked last counts: a scheduler that asks
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// openDiscovery sees to it that discovery has an address of an index, one for each scheduler. One that the world has said
+// openDiscovery sees to it that discovery has an address of an index, one for each scheduler. One that the environment has said
 // nothing of accepts.
 func (d *driver) openDiscovery(index int) error {
 	if index < 0 || index >= maxDiscoveryAddresses {
--- a/internal/testbed/process/driver.go
+++ b/internal/testbed/process/driver.go
@@ -16,15 +16,15 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// environmentModel is the world, as far as the driver deals with it.
+// environmentModel is the environment, as far as the driver deals with it.
 type environmentModel interface {
 	Next() (at time.Duration, ok bool)
 	Step(now time.Duration, outs []simapi.Output, dst []simapi.Input) []simapi.Input
 	Finished() bool
 }
 
-// driver plays the world on sockets. All that it has is used by one goroutine, in turns: what the sockets brought
-// becomes Outs, the world steps, its Ins are carried out. Other goroutines start and await processes and read their
+// driver plays the environment on sockets. All that it has is used by one goroutine, in turns: what the sockets brought
+// becomes Outs, the environment steps, its Ins are carried out. Other goroutines start and await processes and read their
 // figures; they speak to it through letters, and are spoken to through each scheduler's orders.
 type driver struct {
 	*poller
@@ -42,13 +42,13 @@
 	mailbox      chan func() // from other goroutines, to be run in the loop
 	done         chan struct{}
 	lateness     latenessMeter
-	failure      error // what ends the play
-	finished     bool  // the world is
+	failure      error // what ends the run
+	finished     bool  // the environment is
 
-	callbackTimeout time.Duration // with calls of worker nodes
+	callbackTimeout time.Duration // with calls of workers
 
-	onStart   func(time.Time) // is told of the instant from which the world's time counts
-	holding   bool            // the world stands still
+	onStart   func(time.Time) // is told of the instant from which the environment's time counts
+	holding   bool            // the environment stands still
 	heldSince time.Duration   // from then on
 	held      time.Duration   // how long it did before
 
@@ -146,7 +146,7 @@
 	}
 }
 
-// fail ends the play: the first reason counts.
+// fail ends the run: the first reason counts.
 func (d *driver) fail(err error) {
 	if d.failure == nil && err != nil {
 		d.failure = err
@@ -165,7 +165,7 @@
 
 func (d *driver) addOutput(o simapi.Output) { d.outputs = append(d.outputs, o) }
 
-// record reports a sight of the driver's own, at the end of the turn: those of the world may be of instants before now.
+// record reports a trace event of the driver's own, at the end of the turn: those of the environment may be of instants before now.
 func (d *driver) record(s trace.Event) { d.events = append(d.events, s) }
 
 // post has the loop run something soon; for other goroutines. It waits while too much waits, and gives up once the
@@ -199,7 +199,7 @@
 	}
 }
 
-// environmentTime is the world's time at an instant of the loop's. The world stands still while its schedulers start for the
+// environmentTime is the environment's time at an instant of the loop's. The environment stands still while its schedulers start for the
 // first time: clients are to come once there is somebody to come to, and a process takes a while to be there.
 func (d *driver) environmentTime(at time.Duration) time.Duration {
 	if d.holding {
@@ -208,7 +208,7 @@
 	return max(0, at-d.held)
 }
 
-// updateHold has the world stand still, or go on, as things are now.
+// updateHold has the environment stand still, or go on, as things are now.
 func (d *driver) updateHold() {
 	wait := false
 	for _, s := range d.schedulers {
@@ -232,7 +232,7 @@
 
 const maxHold = 30 * time.Second
 
-// nextAt is when the loop wants to run at the latest, an end in the world's time included.
+// nextAt is when the loop wants to run at the latest, an end in the environment's time included.
 func (d *driver) nextAt(end time.Duration) time.Duration {
 	at := d.now + time.Second
 	if !d.holding {
@@ -252,7 +252,7 @@
 
 // ---- The loop ----
 
-// run plays until the world is over, the end has come, the context ends or something fails. The first two end no
+// run plays until the environment is over, the end has come, the context ends or something fails. The first two end no
 // play that is to stay.
 func (d *driver) run(ctx context.Context, end time.Duration) error {
 	runtime.LockOSThread()
@@ -313,8 +313,8 @@
 	}
 }
 
-// stepEnvironment is the world's: what fell due since its last one, each at its own instant as in virtual time, and then what the
-// sockets have brought. So the lab's lateness delays what it does, and never what the world makes of it.
+// stepEnvironment is the environment's: what fell due since its last one, each at its own instant as in simulated time, and then what the
+// sockets have brought. So the testbed's lateness delays what it does, and never what the environment makes of it.
 func (d *driver) stepEnvironment(now time.Duration) {
 	d.inputs = d.inputs[:0]
 	worst := time.Duration(0)
--- a/internal/testbed/process/driver_test.go
+++ b/internal/testbed/process/driver_test.go
@@ -122,7 +122,7 @@
 	_ = c.Close()
 }
 
-// Clients write queries as the protocol shows them, and take answers in any framing.
+// Clients write requests as the protocol shows them, and take answers in any framing.
 func TestClients(t *testing.T) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /account-credit/{key}", func(w http.ResponseWriter, q *http.Request) {
@@ -202,7 +202,7 @@
 	}
 }
 
-// A query that crosses the close of its connection is sent once more; one that was read and dropped is not.
+// A request that crosses the close of its connection is sent once more; one that was read and dropped is not.
 func TestCrossedClose(t *testing.T) {
 	r := newRig(t, Options{})
 	l, err := net.Listen("tcp", r.d.schedulers[0].listen.String())
@@ -247,7 +247,7 @@
 	r.want(simapi.ClientConnClosed)
 }
 
-// scheduler is the test's end of a link to a worker node.
+// scheduler is the test's end of a link to a worker.
 type schedEnd struct {
 	net.Conn
 	r  *rig
@@ -280,7 +280,7 @@
 		"X-Budget-Ms: 77\r\nContent-Length: %d\r\n\r\n%s", key, call, key, len(body), body)
 }
 
-// A worker node tells the world of what comes, and answers by itself only what the protocol leaves no doubt about.
+// A worker tells the environment of what comes, and answers by itself only what the protocol leaves no doubt about.
 func TestNodes(t *testing.T) {
 	r := newRig(t, Options{})
 	s := r.connect(1)
@@ -296,7 +296,7 @@
 	r.d.post(func() {
 		r.d.requestForms.add(&simapi.ClientRequest{RequestID: "c1", Class: 3, IdempotencyKey: "k1", BodyLength: 40}, 0)
 	})
-	_, _ = io.WriteString(s, query("c1", "k1", body)) // the world has not accepted yet: this waits
+	_, _ = io.WriteString(s, query("c1", "k1", body)) // the environment has not accepted yet: this waits
 	r.do(up)
 	o := r.want(simapi.AttemptWritten)
 	if o.RequestID != "c1" || o.IdempotencyKey != "k1" || o.Budget != 77*time.Millisecond || o.Worker != 1 || o.FirstByteAt <= 0 {
@@ -333,7 +333,7 @@
 		"GET /else HTTP/1.1\r\nHost: w\r\n\r\n":                       404,
 		"POST /account-credit/k HTTP/1.1\r\nHost: w\r\n\r\n":          404, // without an id
 		strings.Replace(query("c1", "k1", body), "77", "soon", 1):     400,
-		query("any", misbehavingPrefix+"1", "x"):                      400, // a bad client's
+		query("any", misbehavingPrefix+"1", "x"):                      400, // a misbehaving client's
 		strings.Replace(query("c1", "k1", body), "POST", "DELETE", 1): 404,
 	} {
 		_, _ = io.WriteString(s, ask)
@@ -348,7 +348,7 @@
 	r.want(simapi.WorkerConnClosed)
 }
 
-// The world resets links at any byte, and closes them.
+// The environment resets links at any byte, and closes them.
 func TestLinkEnds(t *testing.T) {
 	r := newRig(t, Options{})
 	ask := query("x", "k", "body")
@@ -380,7 +380,7 @@
 		}
 	}
 	r.want(simapi.WorkerConnClosed)
-	// Closed by the world, and by the scheduler.
+	// Closed by the environment, and by the scheduler.
 	for _, reset := range []bool{false, true} {
 		s := r.connect(0)
 		r.do(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: r.want(simapi.WorkerDialed).Conn, Reset: reset})
@@ -436,7 +436,7 @@
 	}
 }
 
-// A note is a call of its own, and its outcome is told whatever becomes of it.
+// A callback is a call of its own, and its outcome is told whatever becomes of it.
 func TestNotes(t *testing.T) {
 	r := newRig(t, Options{})
 	result := "made"
@@ -535,7 +535,7 @@
 	if _, err := lines.ReadString('\n'); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("ended: %v", err)
 	}
-	// At another address, once the world has it there: a call that fails, the whole list, and what is no call.
+	// At another address, once the environment has it there: a call that fails, the whole list, and what is no call.
 	r.do(simapi.Input{Kind: simapi.DiscoveryAcceptModeChanged, Discovery: 1, Mode: simapi.AcceptAll}, simapi.Input{Kind: simapi.DiscoveryAcceptModeChanged, Mode: simapi.AcceptNone})
 	told := make(chan struct{})
 	r.d.post(func() { close(told) })
@@ -565,7 +565,7 @@
 	}
 }
 
-// Bad clients of every kind come to an end at a server that gives each an error, or closes.
+// Misbehaving clients of every kind come to an end at a server that gives each an error, or closes.
 func TestBadClients(t *testing.T) {
 	r := newRig(t, Options{})
 	var lock sync.Mutex
@@ -610,7 +610,7 @@
 	}
 }
 
-// Guests' queries are run without the world.
+// Guests' requests are run without the environment.
 func TestGuests(t *testing.T) {
 	r := newRig(t, Options{Guests: true})
 	notes := make(chan string, 4)
--- a/internal/testbed/process/lateness.go
+++ b/internal/testbed/process/lateness.go
@@ -7,22 +7,22 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the lab's own lateness. Live, an answer counts until 50 ms after its deadline: a lab that was later than
+// Bounds of the testbed's own lateness. Live, an answer counts until 50 ms after its deadline: a lab that was later than
 // that at any time may have put somebody else's answer beyond it, and one that is often half as late does not play
 // the delays that the scenario names.
 const (
 	MaxLateness      = 50 * time.Millisecond // nothing may be done later
 	MaxLateness999   = 25 * time.Millisecond // nor one thing in a thousand
-	recordedLateness = 5 * time.Millisecond  // a turn as late as that is a sight
+	recordedLateness = 5 * time.Millisecond  // a turn as late as that is a trace event
 )
 
-// Lateness is how late the lab was: the spans from when things were on the world's agenda to when they were done.
+// Lateness is how late the testbed was: the spans from when things were on the environment's event queue to when they were done.
 type Lateness struct {
-	Iterations          int64 // instants of the agenda
+	Iterations          int64 // instants of the event queue
 	P50, P99, P999, Max time.Duration
 }
 
-// InvalidReason says why a play with such a lateness is no result; empty: it is one.
+// InvalidReason says why a run with such a lateness is no result; empty: it is one.
 func (l Lateness) InvalidReason() string {
 	switch {
 	case l.Max > MaxLateness:
--- a/internal/testbed/process/load.go
+++ b/internal/testbed/process/load.go
@@ -132,7 +132,7 @@
 	nextDue time.Duration
 	sent    uint64
 	conns   []*loadConn
-	idle    []*loadConn // taken from the front, so that all are used
+	idle    []*loadConn // taken from the load balancer, so that all are used
 	waiting []time.Duration
 	open    int
 	reader  *reader
--- a/internal/testbed/process/misbehaving.go
+++ b/internal/testbed/process/misbehaving.go
@@ -15,8 +15,8 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// Bad clients have ids and paths of their own, so that a worker node knows theirs: it can use none. A query that
-// one has hidden in another's body is no bad client's to a worker node, but one that nobody has sent.
+// Misbehaving clients have ids and paths of their own, so that a worker knows theirs: it can use none. A request that
+// one has hidden in another's body is no misbehaving client's to a worker, but one that nobody has sent.
 const (
 	misbehavingPrefix = "odd-"
 	hiddenPrefix      = "hidden-"
@@ -38,7 +38,7 @@
 	maxFeedsAtOnce     = 16 // writes of one that never stops, before others have their turn
 )
 
-// misbehavingClient is a bad client: what it sends, how, and what it does once it is answered. It tells the world of its first
+// misbehavingClient is a misbehaving client: what it sends, how, and what it does once it is answered. It tells the environment of its first
 // answer, of any further one that says its request was served, and else of its end.
 type misbehavingClient struct {
 	driver        *driver
@@ -65,7 +65,7 @@
 	slowTimer        *timer        // of what it does slowly
 }
 
-// startMisbehaving begins a bad client.
+// startMisbehaving begins a misbehaving client.
 func (d *driver) startMisbehaving(in *simapi.Input) {
 	o := &misbehavingClient{
 		driver: d, id: in.Conn, scheduler: in.Scheduler, kind: in.Misbehavior.Kind,
@@ -200,7 +200,7 @@
 
 // ---- What they do ----
 
-// misbehavingRequest is a query of a bad client, whose parts it may spoil.
+// misbehavingRequest is a request of a misbehaving client, whose parts it may spoil.
 type misbehavingRequest struct {
 	class, path, id, caller, budget, key string
 	length                               string // Content-Length; empty: none
--- a/internal/testbed/process/poller.go
+++ b/internal/testbed/process/poller.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// clock is the time since the play began.
+// clock is the time since the run began.
 func (p *poller) clock() time.Duration { return time.Since(p.startedAt) }
 
 // wake wakes wait. Any goroutine may, also once the poller is closed.
--- a/internal/testbed/process/processes.go
+++ b/internal/testbed/process/processes.go
@@ -34,7 +34,7 @@
 	readyPollTimeout  = time.Second
 )
 
-// starter starts processes, all from one thread that lives as long as the play: a process that is to die with its
+// starter starts processes, all from one thread that lives as long as the run: a process that is to die with its
 // parent dies with the thread that it was started from.
 type starter struct {
 	commands chan func()
@@ -97,8 +97,8 @@
 	ready         bool
 	everReady     bool // one has been ready
 	readiness     *readinessPoll
-	callbackPools map[int]*callbackPool // of notes, by worker node
-	connCount     uint64                // opened to worker nodes so far
+	callbackPools map[int]*callbackPool // of notes, by worker
+	connCount     uint64                // opened to workers so far
 	log           *logFile
 	started       int
 	exits         []int // of the processes that ended by themselves
@@ -222,7 +222,7 @@
 	return nil
 }
 
-// replacesProcesses tells whether the play replaces processes: only then have they a management address, and a directory that
+// replacesProcesses tells whether the run replaces processes: only then have they a management address, and a directory that
 // they share with those before and after them.
 func (s *scheduler) replacesProcesses() bool {
 	return slices.ContainsFunc(s.driver.spec.Faults, func(f scenario.Fault) bool { return f.Kind == "sched_replace" })
@@ -237,7 +237,7 @@
 )
 
 // replace starts a second process beside the one that there is, and ends that once the second is ready. What becomes of the
-// first is nothing that the world is told.
+// first is nothing that the environment is told.
 func (s *scheduler) replace() {
 	if !s.alive {
 		return
@@ -322,7 +322,7 @@
 	}
 }
 
-// processEnded takes in that a process is gone. One that was killed by the world is gone already.
+// processEnded takes in that a process is gone. One that was killed by the environment is gone already.
 func (s *scheduler) processEnded(life, code int) {
 	if life != s.incarnation || !s.alive {
 		return
@@ -501,7 +501,7 @@
 	l.file, l.failure = nil, os.ErrClosed
 }
 
-// localEndpoints gives a list as a scheduler is told it: with the addresses at which it reaches the worker nodes.
+// localEndpoints gives a list as a scheduler is told it: with the addresses at which it reaches the workers.
 func (d *driver) localEndpoints(sched int, endpointList requests.EndpointList) requests.EndpointList {
 	hosts := make([]requests.Endpoint, len(endpointList.Endpoints))
 	for i, h := range endpointList.Endpoints {
--- a/internal/testbed/process/run.go
+++ b/internal/testbed/process/run.go
@@ -16,40 +16,40 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Options are what is said of a play beyond its scenario and seed.
+// Options are what is said of a run beyond its scenario and seed.
 type Options struct {
 	Binary   string          // the scheduler's program
 	Args     []string        // of it, before any that the scenario's operators' file brings
 	Env      []string        // further variables of its environment, beside PATH, TMPDIR and the platform's own
 	Dir      string          // for its configuration and logs, which stay; empty: one that is removed at the end
 	Cores    []int           // processor cores for the schedulers, dealt out in turn; the loop keeps off. Empty: any
-	Observer trace.Observer  // called in the play's own goroutine, so it must not wait for anything
+	Observer trace.Observer  // called in the run's own goroutine, so it must not wait for anything
 	Progress func(Progress)  // called every 250 ms from a goroutine of its own; what it has not taken in is skipped
-	OnStart  func(Addresses) // called once all is open and no scheduler runs yet, in the play's own goroutine
-	StayOpen bool            // goes on when the world is over, until the context ends, which is no error then
-	Guests   bool            // queries that no client of the world has sent are run, apart from it; see Places
+	OnStart  func(Addresses) // called once all is open and no scheduler runs yet, in the run's own goroutine
+	StayOpen bool            // goes on when the environment is over, until the context ends, which is no error then
+	Guests   bool            // requests that no client of the environment has sent are run, apart from it; see Places
 }
 
-// Progress is how a play stands.
+// Progress is how a run stands.
 type Progress struct {
 	At       time.Duration
 	Lateness Lateness
 }
 
-// Addresses is where things are in a play, for whoever wants to try them by hand.
+// Addresses is where things are in a run, for whoever wants to try them by hand.
 type Addresses struct {
 	Schedulers []string // address and port, by number
 	Discovery  []string // that each of them is told at first
 }
 
-// Outcome is a play that has been played, apart from what was seen of it.
+// Outcome is a run that has been played, apart from what was seen of it.
 type Outcome struct {
 	Length          time.Duration
 	Finished        bool   // every job was settled; else its time was up before
 	Invalid         string // why it is no result; empty: it is one
 	Lateness        Lateness
 	Unsupported     []string // what of the scenario it can't show
-	AlteredRequests []string // queries that reached worker nodes otherwise than a client sent them; the first 100
+	AlteredRequests []string // requests that reached workers otherwise than a client sent them; the first 100
 	Schedulers      []Process
 }
 
@@ -61,7 +61,7 @@
 	LogPath string // where their standard error is, the first 8 MB of it
 }
 
-// Run plays a checked scenario. A play that could be played is an outcome, void or not; an error is this machine's, or
+// Run plays a checked scenario. A run that could be played is an outcome, void or not; an error is this machine's, or
 // the context's.
 func Run(ctx context.Context, spec *scenario.Scenario, seed uint64, opt Options) (*Outcome, error) {
 	if err := checkDescriptors(spec); err != nil {
@@ -74,7 +74,7 @@
 	return runDriver(ctx, spec, opt, w, func(start time.Time) { w.Epoch = time.Duration(start.UnixNano()) })
 }
 
-// runDriver plays a world. begins is told of the instant from which its time counts.
+// runDriver plays an environment. begins is told of the instant from which its time counts.
 func runDriver(ctx context.Context, spec *scenario.Scenario, opt Options, environmentModel environmentModel, begins func(time.Time)) (
 	_ *Outcome, err error,
 ) {
@@ -124,7 +124,7 @@
 	return outcome, nil
 }
 
-// settleTime is for how long jobs may go on that fell due in the play's length.
+// settleTime is for how long jobs may go on that fell due in the run's length.
 func settleTime(spec *scenario.Scenario) time.Duration {
 	if spec.Settle > 0 {
 		return spec.Settle.Std()
@@ -158,7 +158,7 @@
 
 // ---- Where live ends ----
 
-// Descriptors that a play needs: a listener for each worker node and scheduler, both ends' worth of what schedulers
+// Descriptors that a run needs: a listener for each worker and scheduler, both ends' worth of what schedulers
 // may hold, notes, and some of its own.
 const reservedDescriptors = 256
 
@@ -167,7 +167,7 @@
 	return listens + s.Count*s.Sockets + reservedDescriptors
 }
 
-// checkDescriptors tells whether this machine can hold a play.
+// checkDescriptors tells whether this machine can hold a run.
 func checkDescriptors(spec *scenario.Scenario) error {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/testbed/process/run_test.go
+++ b/internal/testbed/process/run_test.go
@@ -36,8 +36,8 @@
 window = "5s"
 `
 
-// A play of the real program in which each process is replaced by another: every job is settled once, each answer is to a
-// query that was asked, none is lost, and all that the play started has ended with it.
+// A run of the real program in which each process is replaced by another: every job is settled once, each answer is to a
+// request that was asked, none is lost, and all that the run started has ended with it.
 func TestPlay(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "valvecove")
 	if out, err := exec.Command("go", "build", "-o", binary, "valvecove/cmd/valvecove").CombinedOutput(); err != nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// What can't be played is said, and a context ends a play.
+// What can't be played is said, and a context ends a run.
 func TestPlayFaults(t *testing.T) {
 	spec := testSpec(t, "")
 	refused := func(o Options, why string) {
@@ -113,7 +113,7 @@
 	}
 }
 
-// A play is void beyond either bound of lateness.
+// A run is void beyond either bound of lateness.
 func TestVoid(t *testing.T) {
 	m := newLatenessMeter()
 	for range 2000 {
--- a/internal/testbed/process/socket.go
+++ b/internal/testbed/process/socket.go
@@ -40,7 +40,7 @@
 
 var errPeerNotReading = errors.New("the other side reads nothing")
 
-// localError is a failure of this machine's, such as descriptors that have run out. It voids the play: nothing may be
+// localError is a failure of this machine's, such as descriptors that have run out. It voids the run: nothing may be
 // blamed on a scheduler for it.
 type localError struct{ err error }
 
--- a/internal/testbed/process/tags_test.go
+++ b/internal/testbed/process/tags_test.go
@@ -7,5 +7,5 @@
 	"valvecove/internal/storedform"
 )
 
-// What the lab's worker nodes and discovery send is written by names in tags.
+// What the testbed's workers and discovery send is written by names in tags.
 func TestWireIsTagged(t *testing.T) { storedform.CheckTags(t, callbackForm{}, requests.EndpointList{}) }
--- a/internal/testbed/process/usage.go
+++ b/internal/testbed/process/usage.go
@@ -73,7 +73,7 @@
 	return len(list)
 }
 
-// sampleProcesses takes the figures of all processes, the lab's too, again and again, until the loop has ended.
+// sampleProcesses takes the figures of all processes, the testbed's too, again and again, until the loop has ended.
 func (d *driver) sampleProcesses() {
 	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
--- a/internal/testbed/process/workers.go
+++ b/internal/testbed/process/workers.go
@@ -14,7 +14,7 @@
 	"valvecove/internal/testbed/simulation"
 )
 
-// worker is the stand-in for a worker node, and for the machines that take its place. What it does is the world's to
+// worker is the stand-in for a worker, and for the machines that take its place. What it does is the environment's to
 // say; it speaks HTTP.
 type worker struct {
 	driver   *driver
@@ -29,7 +29,7 @@
 	listeners []*listener
 }
 
-// newWorker opens a worker node. On a fault the node holds what there is to close.
+// newWorker opens a worker. On a fault the node holds what there is to close.
 func newWorker(d *driver, n int) (*worker, error) {
 	k := &worker{driver: d, number: n}
 	return k, k.setMode(0, simapi.AcceptAll)
@@ -84,7 +84,7 @@
 	}
 }
 
-// workerOf finds the worker node that an entry of the list stands for, and which of its machines; nil: there is none.
+// workerOf finds the worker that an entry of the list stands for, and which of its machines; nil: there is none.
 func (d *driver) workerOf(h *requests.Endpoint) (n *worker, which int) {
 	i, which := simulation.NodeOf(h.ID)
 	if i < 0 || i >= len(d.workers) {
@@ -93,7 +93,7 @@
 	return d.workers[i], which
 }
 
-// workerConn is a connection from a scheduler to a worker node. The kernel accepts it at once, the world when it does:
+// workerConn is a connection from a scheduler to a worker. The kernel accepts it at once, the environment when it does:
 // until then what comes waits.
 type workerConn struct {
 	socketConn
@@ -134,13 +134,13 @@
 	k.worker.driver.addOutput(o)
 }
 
-// accepted is the world's accepting of it. most > 0: the far end resets it after having read so many bytes.
+// accepted is the environment's accepting of it. most > 0: the far end resets it after having read so many bytes.
 func (k *workerConn) accepted(most int) {
 	k.open, k.resetAfter = true, most
 	k.proceed()
 }
 
-// closeByWorker closes it from the worker node's side.
+// closeByWorker closes it from the worker's side.
 func (k *workerConn) closeByWorker(reset bool) {
 	delete(k.worker.driver.workerConns, k.id)
 	if reset {
@@ -150,7 +150,7 @@
 	}
 }
 
-// reportClosed tells the world that it is over, by the scheduler's doing or by what the world wanted done at some byte.
+// reportClosed tells the environment that it is over, by the scheduler's doing or by what the environment wanted done at some byte.
 func (k *workerConn) reportClosed() {
 	delete(k.worker.driver.workerConns, k.id)
 	k.addOutput(simapi.Output{Kind: simapi.WorkerConnClosed})
@@ -196,7 +196,7 @@
 	}
 }
 
-// handleRequest tells the world of a request, or answers it where the protocol leaves nothing to say.
+// handleRequest tells the environment of a request, or answers it where the protocol leaves nothing to say.
 func (k *workerConn) handleRequest(request *http.Request, body []byte) {
 	path, _, _ := strings.Cut(request.RequestURI, "?")
 	switch withdrawn, isJob := strings.CutPrefix(path, "/jobs/"); {
@@ -232,7 +232,7 @@
 	case !ok || !ok2 || !ok3 || budget != "" && err != nil:
 		k.writeResponse(400, "")
 		return
-	case isMisbehavingPath(path): // a bad client's: a worker node can't use it
+	case isMisbehavingPath(path): // a misbehaving client's: a worker can't use it
 		if k.worker.machines[k.machine].mode != simapi.AcceptSilently {
 			k.writeResponse(400, "")
 		}
@@ -244,7 +244,7 @@
 		return
 	}
 	if a != nil {
-		// Nobody has sent the query in this form; under its own id it would pass for one that somebody has.
+		// Nobody has sent the request in this form; under its own id it would pass for one that somebody has.
 		if what := driver.describeAlteration(a, request, key, body); what != "" {
 			if len(driver.alteredRequests) < maxAltered {
 				driver.alteredRequests = append(driver.alteredRequests, fmt.Sprintf("query %s reached w-%d from scheduler %d with another %s",
@@ -260,10 +260,10 @@
 	})
 }
 
-// maxAltered is how many queries that came otherwise than a client sent them are named.
+// maxAltered is how many requests that came otherwise than a client sent them are named.
 const maxAltered = 100
 
-// respond is the worker node's, by the world.
+// respond is the worker's, by the environment.
 func (k *workerConn) respond(input *simapi.Input) {
 	fields := ""
 	if input.Rejected {
@@ -308,7 +308,7 @@
 
 // ---- Guests ----
 
-// runGuest runs a query that no client of the world has sent, for whoever tries things out by hand. The world knows
+// runGuest runs a request that no client of the environment has sent, for whoever tries things out by hand. The environment knows
 // nothing of it, so it takes nobody's place.
 func (k *workerConn) runGuest(call string) {
 	d, node, sched := k.worker.driver, k.worker, k.scheduler
@@ -326,5 +326,5 @@
 
 const guestDuration = 200 * time.Millisecond
 
-// guestCallbackID is the number of notes that the world knows nothing of.
+// guestCallbackID is the number of callbacks that the environment knows nothing of.
 const guestCallbackID = ^uint64(0)
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -54,7 +54,7 @@
 	return out
 }
 
-// MarshalJSON writes spreads, each play's headlines, and paired differences, without the plays' series.
+// MarshalJSON writes spreads, each run's headlines, and paired differences, without the runs' series.
 func (c *Comparison) MarshalJSON() ([]byte, error) {
 	type side struct {
 		Name    string         `json:"name"`
@@ -77,7 +77,7 @@
 	return json.Marshal(out)
 }
 
-// jsonHeadline is a play's headlines; null where there is none.
+// jsonHeadline is a run's headlines; null where there is none.
 type jsonHeadline struct {
 	Seed    uint64              `json:"seed"`
 	Figures map[string]*float64 `json:"figures"`
@@ -297,13 +297,13 @@
 	Build       string
 }
 
-// Curve is the plays with one value of the second parameter.
+// Curve is the runs with one value of the second parameter.
 type Curve struct {
 	Name   string
 	Points []Point // in order of X
 }
 
-// Point is the plays with one value of the parameter, over some seeds.
+// Point is the runs with one value of the parameter, over some seeds.
 type Point struct {
 	X       float64
 	Label   string // of a value that is no number; then X counts them
--- a/internal/testbed/report/golden_test.go
+++ b/internal/testbed/report/golden_test.go
@@ -12,7 +12,7 @@
 	"valvecove/internal/testbed/starvation"
 )
 
-// The files of testdata/golden hold figures as the lab of d2a7518 writes them, with a value in every field. Figures are kept,
+// The files of testdata/golden hold figures as the testbed of d2a7518 writes them, with a value in every field. Figures are kept,
 // and one build's lab reads another's: the files are never regenerated except under a new form number.
 const (
 	goldenPlay    = "play-1.json"
@@ -20,7 +20,7 @@
 	goldenSweeps  = "sweep-1.json"
 )
 
-// readPlay reads a play's report, but for its expectations, which are written only.
+// readPlay reads a run's report, but for its expectations, which are written only.
 func readPlay(t *testing.T) Document {
 	t.Helper()
 	var read struct {
--- a/internal/testbed/report/html.go
+++ b/internal/testbed/report/html.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// WriteHTML writes the report of a play as one file that refers to nothing else.
+// WriteHTML writes the report of a run as one file that refers to nothing else.
 func WriteHTML(w io.Writer, d Document) error {
 	result := d.Result
 	out := &document{Title: result.Name, Description: result.Description, Summary: []string{summaryOf(result)}, Tiles: tiles(result)}
@@ -388,7 +388,7 @@
 	return s, len(s.Tables) > 0
 }
 
-// maxWorkers is how many worker nodes a table shows.
+// maxWorkers is how many workers a table shows.
 const maxWorkers = 30
 
 func fleetSection(r *score.Result, t *timeline) section {
--- a/internal/testbed/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -195,7 +195,7 @@
 	summarize func(score.Series) float64
 }
 
-// timePlot is a plot of series by the second with the play's faults. top 0: as high as the values are.
+// timePlot is a plot of series by the second with the run's faults. top 0: as high as the values are.
 type timePlot struct {
 	id, title, yName string
 	height           pixels
@@ -206,7 +206,7 @@
 	labels           bool                 // faults are named, not just numbered
 }
 
-// timeline is what all plots of a play have in common.
+// timeline is what all plots of a run have in common.
 type timeline struct {
 	end    float64
 	faults []score.Fault
@@ -351,7 +351,7 @@
 	return used
 }
 
-// strip is the occupancy of worker nodes over time: a line for each, or for some that lie side by side.
+// strip is the occupancy of workers over time: a line for each, or for some that lie side by side.
 type strip struct {
 	ID, Title, Description   string
 	Remark                   string
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -1,4 +1,4 @@
-// Package report shows what came of plays: a line for each second while one runs, a page on the terminal at its end,
+// Package report shows what came of runs: a line for each second while one runs, a page on the terminal at its end,
 // JSON, and HTML in one file that needs nothing else: no network, no scripts.
 package report
 
@@ -14,18 +14,18 @@
 	"valvecove/internal/testbed/starvation"
 )
 
-// Verdict is what the judge found.
+// Verdict is what the checker found.
 type Verdict struct {
 	Violations     []Violation `json:"broken"`
 	ViolationCount int         `json:"broken_count"`   // with those of which Broken keeps no story; 0: as many as Broken
-	Invalid        string      `json:"void,omitempty"` // why the play is no result; empty: it is one
+	Invalid        string      `json:"void,omitempty"` // why the run is no result; empty: it is one
 	NotChecked     []string    `json:"left_out"`       // what this driver can't show, a sentence each
 }
 
 // Violation is a rule broken, with the request's whole story in order of time.
 type Violation struct {
 	Rule        string        `json:"rule"`
-	At          time.Duration `json:"at_ns"` // since the play's start
+	At          time.Duration `json:"at_ns"` // since the run's start
 	Text        string        `json:"text"`
 	Explanation []string      `json:"story"`
 }
@@ -53,7 +53,7 @@
 	return "no rule broken"
 }
 
-// Document is a play's report.
+// Document is a run's report.
 type Document struct {
 	Result       *score.Result       `json:"result"`
 	Verdict      *Verdict            `json:"verdict"` // nil: not judged
@@ -129,7 +129,7 @@
 	return formatNumber(millis) + " ms"
 }
 
-// formatSeconds writes seconds since the play's start.
+// formatSeconds writes seconds since the run's start.
 func formatSeconds(s float64) string { return strconv.FormatFloat(s, 'f', 1, 64) + " s" }
 
 // formatCount writes a whole number with its thousands apart.
@@ -159,7 +159,7 @@
 	return formatCount(n) + " " + many
 }
 
-// summaryOf is the few words under a play's name.
+// summaryOf is the few words under a run's name.
 func summaryOf(result *score.Result) string {
 	parts := []string{}
 	if result.Driver != "" {
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// played is a play that is written down: each job takes a course by its number. With nasty names all that is text in
+// played is a run that is written down: each job takes a course by its number. With nasty names all that is text in
 // it would do harm if it weren't escaped.
 func played(seed uint64, slower int, nasty bool) *score.Result {
 	spec := scenario.Default()
@@ -287,7 +287,7 @@
 	outline(t, b.String())
 }
 
-// A strip shows 10,000 worker nodes and a day's load in a page of bearable size.
+// A strip shows 10,000 workers and a day's load in a page of bearable size.
 func TestLargeHTML(t *testing.T) {
 	spec := scenario.Default()
 	spec.Fleet.Workers, spec.Length = 10_000, scenario.Duration(time.Hour)
--- a/internal/testbed/report/terminal.go
+++ b/internal/testbed/report/terminal.go
@@ -34,8 +34,8 @@
 	return os.Getenv("NO_COLOR") == "" && os.Getenv("TERM") != "dumb" && isTerminal(w)
 }
 
-// Progress writes how a play stands while it runs: on a terminal one line that changes, elsewhere a line for each
-// second of the play, and after a minute for every ten.
+// Progress writes how a run stands while it runs: on a terminal one line that changes, elsewhere a line for each
+// second of the run, and after a minute for every ten.
 type Progress struct {
 	w     io.Writer
 	tty   bool
@@ -47,7 +47,7 @@
 // NewProgress writes to w.
 func NewProgress(w io.Writer) *Progress { return &Progress{w: w, tty: isTerminal(w)} }
 
-// Wants tells whether Show would write a line for this instant of the play, so that nobody takes stock for nothing.
+// Wants tells whether Show would write a line for this instant of the run, so that nobody takes stock for nothing.
 func (p *Progress) Wants(at time.Duration) bool {
 	every := time.Second
 	if !p.tty && at > time.Minute {
@@ -56,7 +56,7 @@
 	return at > p.last.At && at/every != p.last.At/every
 }
 
-// Show takes in how a play stands, and writes a line if it is time for one.
+// Show takes in how a run stands, and writes a line if it is time for one.
 func (p *Progress) Show(t *score.Snapshot) {
 	if !p.Wants(t.At) {
 		return
@@ -142,7 +142,7 @@
 	}
 }
 
-// WritePage writes the page of figures that ends a play: at most 60 lines of 100 columns, with colours only where w is a
+// WritePage writes the page of figures that ends a run: at most 60 lines of 100 columns, with colours only where w is a
 // terminal and NO_COLOR is not set. v may be nil: not judged.
 func WritePage(w io.Writer, r *score.Result, v *Verdict, met []score.Evaluation) error {
 	p := &textPage{colour: useColors(w)}
--- a/internal/testbed/scenario/capacity.go
+++ b/internal/testbed/scenario/capacity.go
@@ -3,7 +3,7 @@
 // This file is what follows from a checked scenario by arithmetic alone. World, platform and figures go by the same
 // numbers: what is offered, what is a tenant's share and what schedulers are told of it must fit together.
 
-// Capacity is what the warm fleet can do as its kinds are described, before the draws of single worker nodes: seconds
+// Capacity is what the warm fleet can do as its kinds are described, before the draws of single workers: seconds
 // of work a second, on standard cores. A job of n slots is n times its run time of work.
 func (s *Scenario) Capacity() float64 {
 	each, shares := 0.0, 0.0
@@ -78,7 +78,7 @@
 	return s.Load.Quota * s.CapacityRate() * s.Tenants[i].Quota / shares
 }
 
-// ZoneOf is the zone of a scheduler, as an index in Fleet.Zones: like worker nodes they are dealt out in turn.
+// ZoneOf is the zone of a scheduler, as an index in Fleet.Zones: like workers they are dealt out in turn.
 func (s *Scenario) ZoneOf(sched int) int {
 	if len(s.Fleet.Zones) == 0 {
 		return 0
--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -13,7 +13,7 @@
 	"valvecove/internal/config"
 )
 
-// Bounds that keep a play within what a machine can hold.
+// Bounds that keep a run within what a machine can hold.
 const (
 	maxWorkers       = 100_000
 	maxSchedulers    = 128
@@ -32,7 +32,7 @@
 	needsSize  bool
 	needsFor   bool
 	hasFor     bool
-	takesNodes bool // On may name worker nodes though it isn't done to them
+	takesNodes bool // On may name workers though it isn't done to them
 }
 
 var faultRules = map[string]faultRule{
@@ -477,7 +477,7 @@
 	}
 }
 
-// NodeIndex is the index of the worker node that is named w-N in a fleet of so many.
+// NodeIndex is the index of the worker that is named w-N in a fleet of so many.
 func NodeIndex(name string, nodes int) (int, bool) {
 	digits, ok := strings.CutPrefix(name, "w-")
 	n, err := strconv.Atoi(digits)
--- a/internal/testbed/scenario/defaults.go
+++ b/internal/testbed/scenario/defaults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// MaxProcessWorkers is where live ends: each worker node is a listener of its own, and each scheduler may hold connections to
+// MaxProcessWorkers is where live ends: each worker is a listener of its own, and each scheduler may hold connections to
 // all of them. Larger fleets are virtual only.
 const MaxProcessWorkers = 1000
 
@@ -77,7 +77,7 @@
 	return []WorkerKind{std, slow}
 }
 
-// plainWorkerKind is a kind of worker node that says nothing of itself but its name.
+// plainWorkerKind is a kind of worker that says nothing of itself but its name.
 func plainWorkerKind() WorkerKind {
 	return WorkerKind{
 		Share: 1, Cores: 4, Speed: 1, Spread: 0.08, Slots: 4, Queue: 24, QueueOrder: "fifo", WarmUpCapacity: 0.35,
