--- a/internal/testbed/scenario/doc.go
+++ b/internal/testbed/scenario/doc.go
@@ -1,4 +1,4 @@
-// Package scenario is what a play of the lab is drawn from: a fleet, its load, its schedulers, and a timeline of
+// Package scenario is what a run of the testbed is drawn from: a fleet, its load, its schedulers, and a timeline of
 // faults, with expectations beside them. It is read from TOML, checked and given defaults here and nowhere else;
 // what is wrong is named by its key, as in
 //
@@ -10,12 +10,12 @@
 // # Faults
 //
 // A fault strikes at At. Its targets are all that match everything in On; Share leaves so much of them, drawn by the
-// play's seed, one at least. With Spread worker nodes and schedulers are struck in turn, evenly over so long; all
+// run's seed, one at least. With Spread workers and schedulers are struck in turn, evenly over so long; all
 // other faults, and half_open, strike at once. Faults may overlap: what one of them does ends with it, and what the
-// others do stays. Two that slow the same worker node multiply, of two that make it err the larger share holds, of two
+// others do stays. Two that slow the same worker multiply, of two that make it err the larger share holds, of two
 // that reset its connections the later; two that have it hang end with the later one.
 //
-// Worker nodes (On: names, cells, kind, zone, share). For is how long it holds; 0 is for good.
+// Workers (On: names, cells, kind, zone, share). For is how long it holds; 0 is for good.
 //
 //	crash            the process dies; connections are reset, new ones refused. For: until it starts again, cold
 //	vanish           the machine falls silent, nobody says so. For: until it starts again, cold
@@ -23,7 +23,7 @@
 //	pause            nothing in it moves. For is a must
 //	slow             its speed is divided by Size (default 2)
 //	errors           so much of what it runs, Size (default 0.5), ends with an error
-//	full             it turns away all work
+//	full             it rejects all work
 //	drain            it finishes what it has and takes nothing new, for good. No For: see restart
 //	restart          it drains, and its process ends once it has nothing left, after 30 s at the latest.
 //	                 For: from there until it starts again, cold
@@ -41,10 +41,10 @@
 //	slow_read        it reads requests so slowly that their last byte comes a second late
 //
 // The network, between two crowds: `between` (default schedulers) and `and` (default nodes); the pairs are schedulers
-// with nodes, discovery or clients, and nodes with discovery. On narrows the worker nodes or schedulers among them.
+// with nodes, discovery or clients, and nodes with discovery. On narrows the workers or schedulers among them.
 //
 //	cut              nothing passes, either way. What was sent meanwhile arrives when it ends; new connections never
-//	                 come up. Discovery takes worker nodes that it is cut off from for silent
+//	                 come up. Discovery takes workers that it is cut off from for silent
 //	cut_one_way      the same from `between` to `and` only
 //	delay            so much more each way on the mean, Size milliseconds
 //	drop_idle        connections that have been idle for Size seconds (default 1) are forgotten on the way: what is
@@ -54,7 +54,7 @@
 //
 //	disco_down       it answers nothing, and watches end
 //	disco_late       it comes to know of everything Size seconds later (default 5)
-//	disco_wrong      it lists worker nodes (On as for those) as up, though they are down, silent or drain
+//	disco_wrong      it lists workers (On as for those) as up, though they are down, silent or drain
 //	disco_old        it answers with the list and generation of the moment of the fault, whatever happens after
 //	disco_slow       its capacity is divided by Size (default 4)
 //	disco_moves      it answers at another address from now on, for good; the old one accepts nothing new, and its
@@ -74,7 +74,7 @@
 //	                 not ready, or is in its first second, gets it as soon as it is neither
 //	sched_replace    a second process starts beside it, and SIGTERM follows once that says that it is ready. No For
 //
-// Planners (On: planners, share), of plays that have any; schedulers are forwarders then.
+// Planners (On: planners, share), of runs that have any; schedulers are forwarders then.
 //
 //	planner_kill     SIGKILL. For: until it starts again; 0: never
 //	planner_term     SIGTERM, as at a planned restart. For: from its end until it starts again; 0: never
--- a/internal/testbed/scenario/expect.go
+++ b/internal/testbed/scenario/expect.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Metric is a figure of a play that expectations may name.
+// Metric is a figure of a run that expectations may name.
 type Metric struct {
 	Name        string
 	Description string
@@ -41,7 +41,7 @@
 	{Name: "rules_broken", Description: "how often a rule was broken"},
 }
 
-// Expectation is what a figure of a play is held to.
+// Expectation is what a figure of a run is held to.
 type Expectation struct {
 	Metric   string  // one of Figures
 	Group    string  // a class or tenant; empty: all
--- a/internal/testbed/scenario/golden_test.go
+++ b/internal/testbed/scenario/golden_test.go
@@ -15,7 +15,7 @@
 // The golden files were written by the build of d2a7518. Scenarios are kept and go from one build's lab to another's: the
 // files are never regenerated except under a new form number.
 const (
-	goldenVirtual = "scenario-virtual-1.toml" // every key that a play in virtual time may have
+	goldenVirtual = "scenario-virtual-1.toml" // every key that a run in simulated time may have
 	goldenLive    = "scenario-live-1.toml"    // those that are live only, and a closed load
 	goldenLoad    = "scenario-load-1.toml"    // a load by its share of the capacity
 )
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -14,13 +14,13 @@
 	DriverProcess    = "live"
 )
 
-// Scenario is a play before its seed is known.
+// Scenario is a run before its seed is known.
 type Scenario struct {
 	Name         string               `toml:"name"`    // defaults to the file's
 	Description  string               `toml:"about"`   // one sentence
-	Seed         int                  `toml:"seed"`    // of the play that it is kept for; 0: of none
+	Seed         int                  `toml:"seed"`    // of the run that it is kept for; 0: of none
 	Length       Duration             `toml:"length"`  // jobs fall due for so long
-	Settle       Duration             `toml:"settle"`  // and the play goes on for at most so long; default: the longest deadline and 2 s
+	Settle       Duration             `toml:"settle"`  // and the run goes on for at most so long; default: the longest deadline and 2 s
 	Drivers      []string             `toml:"drivers"` // default both
 	Fleet        Fleet                `toml:"fleet"`
 	Classes      []Class              `toml:"class"`  // default: the co-operative's four
@@ -38,16 +38,16 @@
 	Expect       []string             `toml:"expect"` // "in_time >= 0.95", "recovered_within <= 5s"
 }
 
-// Fleet is the worker nodes.
+// Fleet is the workers.
 type Fleet struct {
 	Workers  int          `toml:"nodes"`
 	Zones    []string     `toml:"zones"`     // dealt out in turn; default one, "a"
-	CellSize int          `toml:"cell_size"` // worker nodes that share the keys they have seen; default 4
+	CellSize int          `toml:"cell_size"` // workers that share the keys they have seen; default 4
 	Weights  string       `toml:"weights"`   // what discovery tells as weight: off, nominal, rough (default)
 	Kinds    []WorkerKind `toml:"kind"`      // default: the co-operative's two
 }
 
-// WorkerKind is a kind of worker node. A draw within its spread is made for each node.
+// WorkerKind is a kind of worker. A draw within its spread is made for each node.
 type WorkerKind struct {
 	Name                    string   `toml:"name"`
 	Share                   float64  `toml:"share"` // of the fleet
@@ -70,7 +70,7 @@
 	CancellationStops       bool     `toml:"cancel_stops"`  // DELETE ends running work; else nothing happens
 	ReturnsQueued           bool     `toml:"hands_back"`    // when it drains, what has not begun is returned
 	OmitsStartNotifications bool     `toml:"starts_untold"` // it tells no starts and no progress
-	ProgressInterval        Duration `toml:"progress"`      // between notes of progress; 0: none
+	ProgressInterval        Duration `toml:"progress"`      // between callbacks of progress; 0: none
 	HealthCheckWork         Duration `toml:"probe_work"`    // work of a probe
 	Accept                  Duration `toml:"accept"`        // from the last byte of an attempt to the 202
 	CallbackDelay           Duration `toml:"note_late"`     // mean further delay of notes
@@ -92,10 +92,10 @@
 	ObjectiveStretch    float64   `toml:"stretch"`
 	Deadline            Duration  `toml:"deadline"`
 	PriorityWeight      float64   `toml:"worth"`
-	Idempotency         string    `toml:"effect"` // safe, keyed, unsafe
+	Idempotency         string    `toml:"effect"` // safe, keyed, non-idempotent
 	DeduplicationScope  string    `toml:"group"`  // of keyed: cell, zone, all
 	DeduplicationWindow Duration  `toml:"window"`
-	Kind                string    `toml:"kind"` // the only kind of worker node that runs it; empty: any
+	Kind                string    `toml:"kind"` // the only kind of worker that runs it; empty: any
 }
 
 // Tenant is a member society.
@@ -128,14 +128,14 @@
 	MarkRetry           bool     `toml:"mark_retry"` // retries carry X-Again: 1
 }
 
-// MisbehaviorKinds are the kinds of bad clients.
+// MisbehaviorKinds are the kinds of misbehaving clients.
 var MisbehaviorKinds = []string{
 	"garbage", "endless_head", "wrong_length", "negative_length", "huge_length", "huge_body",
 	"unknown_class", "bad_deadline", "no_id", "stolen_id", "half_then_close", "flood", "insist", "silent", "smuggle",
 	"slow_head", "slow_reader",
 }
 
-// MisbehavingClients is a crowd of bad clients. Live only.
+// MisbehavingClients is a crowd of misbehaving clients. Live only.
 type MisbehavingClients struct {
 	Kind     string   `toml:"kind"` // one of BadKinds
 	Rate     float64  `toml:"rate"` // connections a second
@@ -153,10 +153,10 @@
 	DropsIdleAfter Duration `toml:"drops_idle"` // something on the way forgets connections idle for so long; 0: never
 }
 
-// Discovery is the list of worker nodes and how it comes to know of them.
+// Discovery is the list of workers and how it comes to know of them.
 type Discovery struct {
 	NoticeDelay       Duration `toml:"notice"`        // of a process that ended or drains
-	SilentNoticeDelay Duration `toml:"silent_notice"` // of a worker node that vanished or is cut off
+	SilentNoticeDelay Duration `toml:"silent_notice"` // of a worker that vanished or is cut off
 	AddDelay          Duration `toml:"add"`           // of a start
 	Period            Duration `toml:"period"`        // between looks at its own list
 	Capacity          float64  `toml:"capacity"`      // lines of lists a second; calls wait in turn and fail after timeout; 0: no limit
@@ -185,27 +185,27 @@
 	StartSpread     Duration `toml:"start_over"` // spread of their starts at the beginning
 }
 
-// Planners are those that decide for the schedulers, which only pass queries on then. Virtual only.
+// Planners are those that decide for the schedulers, which only pass requests on then. Virtual only.
 type Planners struct {
 	Count int      `toml:"count"` // 0: schedulers decide by themselves
 	Idle  int      `toml:"idle"`  // the last so many start by planner_start alone
 	Drops Duration `toml:"drops"` // each connection of theirs breaks after so long on the mean; 0: none does by itself
 }
 
-// Rules are the figures of the rules that the judge holds schedulers to.
+// Rules are the figures of the rules that the checker holds schedulers to.
 type Rules struct {
 	Slack               Duration `toml:"slack"`          // after a deadline an answer still counts; default 50 ms live, 16 ms virtual
 	DrainGrace          Duration `toml:"drain_grace"`    // default 500 ms
 	PollInterval        Duration `toml:"ask_every"`      // default 10 s
 	OverloadFactor      float64  `toml:"fall_factor"`    // default 3
 	OverloadWindow      Duration `toml:"fall"`           // default 2 s
-	MisbehaviorDeadline Duration `toml:"bad_answered"`   // bad clients are owed an error or a close within, default 3 s
+	MisbehaviorDeadline Duration `toml:"bad_answered"`   // misbehaving clients are owed an error or a close within, default 3 s
 	RejectionDeadline   Duration `toml:"give_up_within"` // default 250 ms: see judge
 }
 
 // FaultKinds says what may go wrong, and to whom it is done.
 var FaultKinds = map[string]string{
-	// Worker nodes. For 0 means for good.
+	// Workers. For 0 means for good.
 	"crash": "node", "vanish": "node", "hang": "node", "pause": "node", "slow": "node", "errors": "node",
 	"full": "node", "drain": "node", "restart": "node", "replace": "node", "gone": "node", "no_notes": "node",
 	"early_202_crash": "node", // it answers 202 and dies at that instant, at its next job
@@ -226,7 +226,7 @@
 	"planner_slow": "planner", "planner_drop": "planner", "planner_cut": "planners", "planner_cut_one_way": "planners",
 }
 
-// Fault is something that goes wrong in the course of a play. doc.go says what Size means for each kind.
+// Fault is something that goes wrong in the course of a run. doc.go says what Size means for each kind.
 type Fault struct {
 	Kind     string   `toml:"what"` // one of FaultKinds
 	At       Duration `toml:"at"`
@@ -240,10 +240,10 @@
 
 // Target says whom a fault strikes: all that match all that is given.
 type Target struct {
-	Names      []string `toml:"names"`      // of worker nodes: w-0, w-1, ...
-	Cells      []int    `toml:"cells"`      // of worker nodes
-	Kind       string   `toml:"kind"`       // of worker nodes
-	Zone       string   `toml:"zone"`       // of worker nodes
+	Names      []string `toml:"names"`      // of workers: w-0, w-1, ...
+	Cells      []int    `toml:"cells"`      // of workers
+	Kind       string   `toml:"kind"`       // of workers
+	Zone       string   `toml:"zone"`       // of workers
 	Share      float64  `toml:"share"`      // so much of those that match otherwise, drawn by the seed, one at least
 	Schedulers []int    `toml:"schedulers"` // by number; empty: all
 	Planners   []int    `toml:"planners"`   // by number; empty: all
--- a/internal/testbed/score/check.go
+++ b/internal/testbed/score/check.go
@@ -29,7 +29,7 @@
 	return json.Marshal(out)
 }
 
-// Check holds a result to expectations. broken is how often the judge found a rule broken. Shares and latencies of
+// Check holds a result to expectations. broken is how often the checker found a rule broken. Shares and latencies of
 // jobs of which none was due or served, as the case may be, meet nothing.
 func Check(expect []scenario.Expectation, r *Result, broken int) []Evaluation {
 	out := make([]Evaluation, len(expect))
--- a/internal/testbed/score/headline.go
+++ b/internal/testbed/score/headline.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Headline is a figure of a whole play by which plays are compared. Those that expectations know bear the same names.
+// Headline is a figure of a whole run by which plays are compared. Those that expectations know bear the same names.
 type Headline struct {
 	Name        string
 	Description string
@@ -65,7 +65,7 @@
 	return Headline{}, false
 }
 
-// Values is a headline's figure of each play.
+// Values is a headline's figure of each run.
 func (h Headline) Values(plays []*Result) []float64 {
 	out := make([]float64, len(plays))
 	for i, r := range plays {
--- a/internal/testbed/score/meter.go
+++ b/internal/testbed/score/meter.go
@@ -103,7 +103,7 @@
 	return hdrhistogram.New(1, maxLatency.Microseconds(), digits)
 }
 
-// Histograms of a whole play are kept to three digits, that of a second, which begins anew with each, to two.
+// Histograms of a whole run are kept to three digits, that of a second, which begins anew with each, to two.
 const (
 	latencyDigits = 3
 	secondDigits  = 2
--- a/internal/testbed/score/process.go
+++ b/internal/testbed/score/process.go
@@ -7,9 +7,9 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Process is what a scheduler's processes took, one after the other, or the lab's.
+// Process is what a scheduler's processes took, one after the other, or the testbed's.
 type Process struct {
-	Scheduler      int     `json:"scheduler"` // -1: the lab
+	Scheduler      int     `json:"scheduler"` // -1: the testbed
 	Starts         int     `json:"starts"`
 	Kills          int     `json:"kills"`
 	Terms          int     `json:"terms"`
@@ -19,7 +19,7 @@
 	Requests       int     `json:"tries"`
 	Attempts       int     `json:"attempts"`
 	CPU            float64 `json:"cpu_s"`
-	Cores          float64 `json:"cores"`  // CPU over the play's time
+	Cores          float64 `json:"cores"`  // CPU over the run's time
 	PeakMemory     int64   `json:"memory"` // peak, bytes
 	PeakFiles      int     `json:"files"`  // peak, descriptors
 	CPUBySecond    Series  `json:"cpu_by_second"`
--- a/internal/testbed/score/result.go
+++ b/internal/testbed/score/result.go
@@ -14,7 +14,7 @@
 
 // Outcomes.
 const (
-	OutcomeInTime     JobOutcome = iota // served within its aim
+	OutcomeInTime     JobOutcome = iota // served within its objective
 	OutcomeLate                         // served after it
 	OutcomeRejected                     // its last answer was 429 or 503
 	OutcomeFailed                       // its last answer was another
@@ -37,15 +37,15 @@
 	wasteKinds
 )
 
-// Result is the figures of a play. Shares are from 0 to 1, work is in seconds at speed 1 times slots, instants are in
-// seconds since the play's start, latencies in milliseconds. Series have a value for each second.
+// Result is the figures of a run. Shares are from 0 to 1, work is in seconds at speed 1 times slots, instants are in
+// seconds since the run's start, latencies in milliseconds. Series have a value for each second.
 type Result struct {
 	Name        string  `json:"name"`
 	Description string  `json:"about,omitempty"`
 	Driver      string  `json:"driver,omitempty"`
 	Seed        uint64  `json:"seed"`
 	Length      float64 `json:"length_s"` // jobs fell due for so long
-	End         float64 `json:"end_s"`    // the last sight
+	End         float64 `json:"end_s"`    // the last trace event
 	Capacity    float64 `json:"capacity"` // of the warm fleet, work a second, as its kinds are described
 
 	Value        Value               `json:"worth"`
@@ -94,10 +94,10 @@
 	EarnedWithinQuota      float64           `json:"worth_earned_within"`
 	EarnedShareWithinQuota float64           `json:"in_time_within"` // EarnedWithin over AskedWithin
 	Due                    int               `json:"due"`
-	Open                   int               `json:"open"` // not settled when the play ended
+	Open                   int               `json:"open"` // not settled when the run ended
 	Outcomes               [outcomeCount]int `json:"outcomes"`
 	Shares                 OutcomeShares     `json:"shares"`
-	Attempts               float64           `json:"attempts"` // for each settled job, of those that reached a worker node
+	Attempts               float64           `json:"attempts"` // for each settled job, of those that reached a worker
 	Latency                Latency           `json:"latency"`  // of those served, from when they were due
 	histogram              *hdrhistogram.Histogram
 }
@@ -123,21 +123,21 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Effort is what was done to serve, counted at clients and worker nodes.
+// Effort is what was done to serve, counted at clients and workers.
 type Effort struct {
 	Requests           int     `json:"tries"`
 	Retries            int     `json:"retries"`         // tries after a job's first
 	RequestsUnreached  int     `json:"tries_unreached"` // found no scheduler; not among Tries
-	Resent             int     `json:"resent"`          // the same query once more on a new connection
+	Resent             int     `json:"resent"`          // the same request once more on a new connection
 	RequestsServed     int     `json:"tries_served"`    // answers, by tries
 	RequestsRejected   int     `json:"tries_refused"`   // by schedulers
 	RequestsFailed     int     `json:"tries_failed"`
-	Attempts           int     `json:"attempts"` // that reached worker nodes
+	Attempts           int     `json:"attempts"` // that reached workers
 	PerJob             float64 `json:"attempts_per_job"`
 	MaxAttempts        int     `json:"attempts_most"` // of one job, over all its tries
-	Hedged             int     `json:"second_copies"` // while an earlier one of the query had neither ended nor been given up
+	Hedged             int     `json:"second_copies"` // while an earlier one of the request had neither ended nor been given up
 	Accepted           int     `json:"accepted"`
-	Rejected           int     `json:"turned_away"` // by worker nodes
+	Rejected           int     `json:"turned_away"` // by workers
 	Full               int     `json:"full"`        // of these, 503 and 504
 	Returned           int     `json:"returned"`    // handed back unstarted
 	Cancelled          int     `json:"withdrawn"`
@@ -145,15 +145,15 @@
 	Callbacks          int     `json:"notes"`
 	CallbacksLost      int     `json:"notes_lost"`
 	HealthChecks       int     `json:"probes"`
-	Connections        int     `json:"links"`          // connections opened to worker nodes
-	Overloads          int     `json:"pushed_over"`    // cold worker nodes
-	Duplicates         int     `json:"strays"`         // sights of attempts whose query is not known, or was over for long
-	Unknown            int     `json:"unknown"`        // sights of jobs or queries that are not open
+	Connections        int     `json:"links"`          // connections opened to workers
+	Overloads          int     `json:"pushed_over"`    // cold workers
+	Duplicates         int     `json:"strays"`         // trace events of attempts whose request is not known, or was over for long
+	Unknown            int     `json:"unknown"`        // trace events of jobs or requests that are not open
 	WorkAfterObjective float64 `json:"work_after_aim"` // of jobs served late; no waste
 	WorkRequested      float64 `json:"work_asked"`     // once for each job
-	WorkRun            float64 `json:"work_run"`       // by worker nodes
+	WorkRun            float64 `json:"work_run"`       // by workers
 	WorkUseful         float64 `json:"work_useful"`    // a served try's answer came of it
-	WorkPending        float64 `json:"work_pending"`   // done for tries that were open when the play ended
+	WorkPending        float64 `json:"work_pending"`   // done for tries that were open when the run ended
 }
 
 // Waste is work run that served nobody. What died on the way counts for as long as it ran, at most its work.
@@ -171,16 +171,16 @@
 // Occupancy is slots x time in use over slots x time up, as long as jobs fell due.
 type Occupancy struct {
 	Whole         float64     `json:"whole"`
-	Mean          float64     `json:"mean"` // over the worker nodes that were up for a second or more
+	Mean          float64     `json:"mean"` // over the workers that were up for a second or more
 	Busiest       float64     `json:"busiest"`
 	BusiestWorker int         `json:"busiest_node"`
 	OverMean      float64     `json:"busiest_over_mean"`
 	Workers       []WorkerUse `json:"nodes"`
 	CellSeconds   float64     `json:"strip_cell_s"`
-	Strip         []StripLine `json:"strip"` // to the end of the play
+	Strip         []StripLine `json:"strip"` // to the end of the run
 }
 
-// WorkerUse is a worker node's.
+// WorkerUse is a worker's.
 type WorkerUse struct {
 	Worker    int     `json:"node"`
 	Use       float64 `json:"use"`
@@ -191,14 +191,14 @@
 	Overloads int     `json:"pushed_over,omitempty"`
 }
 
-// StripLine is the occupancy of worker nodes First to Last over time; -1: none of them was up.
+// StripLine is the occupancy of workers First to Last over time; -1: none of them was up.
 type StripLine struct {
 	First int    `json:"first"`
 	Last  int    `json:"last"`
 	Use   Series `json:"use"`
 }
 
-// Seconds are the series of a play. Those that say "due" count a job when it was due, the others when it happened.
+// Seconds are the series of a run. Those that say "due" count a job when it was due, the others when it happened.
 type Seconds struct {
 	DueJobs        Series        `json:"due_jobs"`
 	DueValue       Series        `json:"due_worth"`
@@ -236,24 +236,24 @@
 	Off  float64 `json:"off"` // -1: it did not end
 }
 
-// Mark is something that befell a scheduler or a worker node.
+// Mark is something that befell a scheduler or a worker.
 type Mark struct {
 	At   float64 `json:"at"`
 	Text string  `json:"text"`
 }
 
-// MisbehavingCounts are of the bad clients of a kind.
+// MisbehavingCounts are of the misbehaving clients of a kind.
 type MisbehavingCounts struct {
 	Kind      string  `json:"kind"`
 	Connected int     `json:"connected"`
 	Errors    int     `json:"errors"` // were answered 4xx or 5xx
 	Closed    int     `json:"closed"`
 	Served    int     `json:"served"` // were answered otherwise
-	Open      int     `json:"open"`   // neither, when the play ended
+	Open      int     `json:"open"`   // neither, when the run ended
 	MaxWaitMs float64 `json:"longest_ms"`
 }
 
-// Lateness is the lab's own.
+// Lateness is the testbed's own.
 type Lateness struct {
 	Count int64   `json:"count"`
 	P999  float64 `json:"p99_9_ms"`
@@ -306,7 +306,7 @@
 
 func indexName(i int) string { return "w-" + strconv.Itoa(i) }
 
-// Result takes stock. The play may go on; what is open counts as open.
+// Result takes stock. The run may go on; what is open counts as open.
 func (s *Score) Result() *Result {
 	result := &Result{
 		Name: s.spec.Name, Description: s.spec.Description, Driver: s.options.Driver, Seed: s.options.Seed,
@@ -402,7 +402,7 @@
 	return w
 }
 
-// worstSpan finds the window of 10 s, from whole second to whole second, of whose worth the least was earned. A play
+// worstSpan finds the window of 10 s, from whole second to whole second, of whose worth the least was earned. A run
 // that is shorter is one window; a window in which nothing was asked for is none.
 func worstSpan(asked, earned Series, length int) (least, at float64) {
 	least = 1
@@ -561,7 +561,7 @@
 	return out
 }
 
-// Snapshot is how a play stands: cheap to take, while it runs.
+// Snapshot is how a run stands: cheap to take, while it runs.
 type Snapshot struct {
 	At        time.Duration
 	Due       int
--- a/internal/testbed/score/score.go
+++ b/internal/testbed/score/score.go
@@ -1,22 +1,22 @@
-// Package score turns what the world saw in a play into figures: the worth answered in time over the worth asked
+// Package score turns what the environment saw in a run into figures: the worth answered in time over the worth asked
 // for, latency from the time a job was due, goodput second by second, occupancy, attempts, waste, and what each
-// process took. It goes by the sights of package seen alone, never by a scheduler's word.
+// process took. It goes by the trace events of package seen alone, never by a scheduler's word.
 //
 // # Worth
 //
 // A job's worth is its class's, times its work at speed 1, times its slots; beyond its tenant's share it counts
 // Load.OverWorth of that. It is earned if the job's client has its 200 within the job's aim, counted from the time
-// the job was due, over all its tries. The figure of a play is mixed of four such shares: 40% the whole play, 15% the
+// the job was due, over all its tries. The figure of a run is mixed of four such shares: 40% the whole run, 15% the
 // worst 10 s (by the second in which jobs were due), 20% the worst class, 25% the worst tenant within its share.
 //
 // # Seconds
 //
-// Series are by the second of the play. "Asked" and "Earned" count a job in the second in which it was due, so that
+// Series are by the second of the run. "Asked" and "Earned" count a job in the second in which it was due, so that
 // Earned over Asked is a share of the same jobs; "Goodput" counts it in the second in which it was answered.
 //
 // # Bounds
 //
-// A Score keeps what is open: jobs not settled, queries and attempts not over, and a line for each worker node. Of
+// A Score keeps what is open: jobs not settled, requests and attempts not over, and a line for each worker. Of
 // what is over it keeps sums, one histogram for each class and tenant, and the series. An occupancy strip has at most
 // Options.Rows rows, whatever the fleet.
 package score
@@ -37,7 +37,7 @@
 	Rows   int    // of the occupancy strip; default 200
 }
 
-// Score takes in the sights of one play. It is used by one goroutine.
+// Score takes in the trace events of one run. It is used by one goroutine.
 type Score struct {
 	spec    *scenario.Scenario
 	options Options
@@ -108,7 +108,7 @@
 	requestTimedOut
 )
 
-// request is a client's query, until none of its attempts can come up any more.
+// request is a client's request, until none of its attempts can come up any more.
 type request struct {
 	id       string
 	job      *job // that with jobID, or else it is settled
@@ -125,7 +125,7 @@
 	next     *request // among the idle
 }
 
-// attempt is one that reached a worker node and has not ended there.
+// attempt is one that reached a worker and has not ended there.
 type attempt struct {
 	request             *request
 	worker              int
@@ -149,7 +149,7 @@
 	overloads    int
 }
 
-// stripRow is the occupancy of some worker nodes over time.
+// stripRow is the occupancy of some workers over time.
 type stripRow struct{ use, available binnedMeter }
 
 type group struct {
@@ -187,7 +187,7 @@
 }
 
 // How long a call that is over is still known, and how many such there are at most: an attempt that a scheduler sent
-// just before reaches its worker node after, and one that a cut of the network held up much later.
+// just before reaches its worker after, and one that a cut of the network held up much later.
 const (
 	settleGrace    = 30 * time.Second
 	maxSettleGrace = 1 << 14
@@ -196,10 +196,10 @@
 const (
 	maxFaults      = 10_000
 	maxMarks       = 1_000
-	maxMisbehaving = 100_000 // open connections of bad clients
+	maxMisbehaving = 100_000 // open connections of misbehaving clients
 )
 
-// New returns a score of a play of a checked scenario.
+// New returns a score of a run of a checked scenario.
 func New(spec *scenario.Scenario, opt Options) *Score {
 	if opt.Rows <= 0 {
 		opt.Rows = 200
@@ -235,7 +235,7 @@
 	return binnedMeter{width: width, integrals: make([]float64, 0, bins)}
 }
 
-// Observe takes in a sight. It is a seen.Watcher.
+// Observe takes in a trace event. It is a seen.Watcher.
 func (s *Score) Observe(x *trace.Event) {
 	s.now = max(s.now, x.At)
 	switch x.Kind {
@@ -322,7 +322,7 @@
 	}
 }
 
-// Jobs and queries, at clients.
+// Jobs and requests, at clients.
 
 func (s *Score) jobDue(event *trace.Event) {
 	if s.jobs[event.JobID] != nil { // a job is due once
@@ -434,7 +434,7 @@
 	s.retainRequest(request)
 }
 
-// open is the query's job, or nil if that is settled.
+// open is the request's job, or nil if that is settled.
 func (c *request) open() *job {
 	if c.job != nil && c.job.id == c.jobID {
 		return c.job
@@ -518,9 +518,9 @@
 	s.currentSecondIndex = now
 }
 
-// Attempts, at worker nodes.
+// Attempts, at workers.
 
-// attempt finds one of a query at a worker node: one that runs, or one that does not.
+// attempt finds one of a request at a worker: one that runs, or one that does not.
 func (s *Score) attempt(x *trace.Event, begun bool) *attempt {
 	c := s.requests[x.RequestID]
 	if c == nil {
@@ -611,7 +611,7 @@
 	return s.now
 }
 
-// attemptStopped takes in the end of an attempt at its worker node: "done", "died", or "" where it did not run.
+// attemptStopped takes in the end of an attempt at its worker: "done", "died", or "" where it did not run.
 func (s *Score) attemptStopped(event *trace.Event, how string) {
 	a := s.attempt(event, how == "done")
 	if a == nil {
@@ -666,7 +666,7 @@
 	s.retainRequest(request)
 }
 
-// countWaste books n finished runs of a query, whose end is known, that served nobody.
+// countWaste books n finished runs of a request, whose end is known, that served nobody.
 func (s *Score) countWaste(request *request, n int) {
 	if n == 0 {
 		return
@@ -686,7 +686,7 @@
 	}
 }
 
-// retainRequest puts a query that is over, and has no attempt that is not, among those to be forgotten.
+// retainRequest puts a request that is over, and has no attempt that is not, among those to be forgotten.
 func (s *Score) retainRequest(c *request) {
 	if c.ending == requestOpen || c.first != nil || c.retained {
 		return
@@ -705,7 +705,7 @@
 	}
 }
 
-// requestQueue is a ring of queries.
+// requestQueue is a ring of requests.
 type requestQueue struct {
 	ring   []*request // its length is a power of two
 	head   int
@@ -735,9 +735,9 @@
 	return c
 }
 
-// Worker nodes.
+// Workers.
 
-// workerAt is the line of a worker node. One that nobody saw start was there from the beginning.
+// workerAt is the line of a worker. One that nobody saw start was there from the beginning.
 func (s *Score) workerAt(i int) *workerUsage {
 	s.workers = growTo(s.workers, i)
 	n := &s.workers[i]
@@ -752,7 +752,7 @@
 	return n
 }
 
-// defaultSlots is a worker node's slots where nobody tells: the mean of the kinds.
+// defaultSlots is a worker's slots where nobody tells: the mean of the kinds.
 func (s *Score) defaultSlots() float64 {
 	var slots, shares float64
 	for i := range s.spec.Fleet.Kinds {
@@ -772,7 +772,7 @@
 	return min(i*len(s.rows)/max(1, s.spec.Fleet.Workers), len(s.rows)-1)
 }
 
-// setUp counts a worker node as up from now on.
+// setUp counts a worker as up from now on.
 func (s *Score) setUp(i int, slots float64) {
 	n := &s.workers[i]
 	n.known, n.isUp, n.slots = true, true, slots
@@ -811,7 +811,7 @@
 	s.workersUpCurve.add(s.now, -1)
 }
 
-// Faults and bad clients.
+// Faults and misbehaving clients.
 
 func (s *Score) faultStarted(text string) {
 	if len(s.faults) == maxFaults {
--- a/internal/testbed/score/score_test.go
+++ b/internal/testbed/score/score_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// spec is a small scenario: two classes, two tenants, three worker nodes of two slots.
+// spec is a small scenario: two classes, two tenants, three workers of two slots.
 func spec(seconds int) *scenario.Scenario {
 	s := scenario.Default()
 	s.Name, s.Length, s.Settle = "test", scenario.Duration(seconds)*scenario.Duration(time.Second), scenario.Duration(5*time.Second)
@@ -38,7 +38,7 @@
 	return s
 }
 
-// eventTape plays sights at instants in ms.
+// eventTape plays trace events at instants in ms.
 type eventTape struct{ *Score }
 
 func (t eventTape) at(at int, x trace.Event) {
@@ -56,7 +56,7 @@
 	calls int
 	runs  []*modelAttempt
 	ran   float64
-	slots [3]float64 // s in use, by worker node
+	slots [3]float64 // s in use, by worker
 }
 
 type modelJob struct {
@@ -103,7 +103,7 @@
 	}
 }
 
-// step does one random thing that the world might report.
+// step does one random thing that the environment might report.
 func (m *model) step() {
 	t := m.t
 	m.now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * ms
@@ -134,7 +134,7 @@
 		node := pick(3, "node")
 		for _, r := range m.runs {
 			if r.call == j.call && r.node == node {
-				return // one attempt of a query at a time at a worker node
+				return // one attempt of a request at a time at a worker
 			}
 		}
 		m.tell(trace.Event{Kind: trace.AttemptReceived, RequestID: j.call, Worker: node})
@@ -281,7 +281,7 @@
 	}
 }
 
-// Totals balance whatever happens, while a play goes on and at its end.
+// Totals balance whatever happens, while a run goes on and at its end.
 func TestTotalsBalance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{t: t, s: New(spec(90), Options{})}
@@ -348,7 +348,7 @@
 	}
 }
 
-// A run whose result a repeat brings a later try has served after all; a query sent once more is the same try; and a
+// A run whose result a repeat brings a later try has served after all; a request sent once more is the same try; and a
 // job that found no scheduler is unanswered.
 func TestTries(t *testing.T) {
 	s := eventTape{New(spec(60), Options{})}
@@ -527,7 +527,7 @@
 	}
 }
 
-// What processes, bad clients and marks come to.
+// What processes, misbehaving clients and marks come to.
 func TestProcesses(t *testing.T) {
 	s := eventTape{New(spec(10), Options{})}
 	s.at(0, trace.Event{Kind: trace.SchedulerStarted})
@@ -605,7 +605,7 @@
 	}
 }
 
-// steady is a play of which each job takes the same course.
+// steady is a run of which each job takes the same course.
 type steady struct {
 	s     *Score
 	x     trace.Event
@@ -629,7 +629,7 @@
 	p.s.Observe(&p.x)
 }
 
-// request plays a whole job: ten sights. Jobs come every 0.5 ms; ids are used again once they are forgotten.
+// request plays a whole job: ten trace events. Jobs come every 0.5 ms; ids are used again once they are forgotten.
 func (p *steady) request() {
 	p.n++
 	p.now += 500 * time.Microsecond
--- a/internal/testbed/simapi/simapi.go
+++ b/internal/testbed/simapi/simapi.go
@@ -1,13 +1,13 @@
-// Package simapi is what crosses the border between the lab's world and a scheduler: what reaches the scheduler's
-// sockets (In) and what leaves them (Out). Delays and losses of the network lie on the world's side of the border.
+// Package simapi is what crosses the border between the testbed's world and a scheduler: what reaches the scheduler's
+// sockets (In) and what leaves them (Out). Delays and losses of the network lie on the environment's side of the border.
 //
-// Both drivers speak it. In virtual time a Scheduler is the decisions and the ledger; live, the driver turns the
-// sockets of a real process into Outs, and carries out Ins on them. A play is the two sides taking turns:
+// Both drivers speak it. In simulated time a Scheduler is the decisions and the ledger; live, the driver turns the
+// sockets of a real process into Outs, and carries out Ins on them. A run is the two sides taking turns:
 //
 //	ins  = world.Step(now, outs, ins[:0])
 //	outs = scheduler.Step(now, ins, outs[:0])
 //
-// All instants are spans since the play's start. Nothing here reads a clock.
+// All instants are spans since the run's start. Nothing here reads a clock.
 package simapi
 
 import (
@@ -16,22 +16,22 @@
 	"valvecove/internal/requests"
 )
 
-// Conn is the number of a connection; never used twice in a play. Those of clients are given by the world, those to
-// worker nodes by whoever plays the scheduler (LinkConn).
+// Conn is the number of a connection; never used twice in a run. Those of clients are given by the environment, those to
+// workers by whoever plays the scheduler (LinkConn).
 type Conn uint64
 
 const workerConnBit = 1 << 63
 
-// WorkerConn is the n-th connection that a scheduler opens to worker nodes, counted over its restarts.
+// WorkerConn is the n-th connection that a scheduler opens to workers, counted over its restarts.
 func WorkerConn(sched int, n uint64) Conn { return Conn(workerConnBit | uint64(sched)<<40 | n) }
 
-// IsWorkerConn tells whether it leads to a worker node; else it is a client's.
+// IsWorkerConn tells whether it leads to a worker; else it is a client's.
 func (c Conn) IsWorkerConn() bool { return c&workerConnBit != 0 }
 
 // InputKind says what reaches a scheduler.
 type InputKind uint8
 
-// What the world does to a scheduler's process.
+// What the environment does to a scheduler's process.
 const (
 	Start            InputKind = iota // the process starts; Boot says with what
 	Terminate                         // SIGTERM
@@ -46,20 +46,20 @@
 
 // What reaches its sockets.
 const (
-	RequestReceived    InputKind = iota + 16 // the last byte of a query came over the client's connection Conn; Ask
+	RequestReceived    InputKind = iota + 16 // the last byte of a request came over the client's connection Conn; Ask
 	ClientClosed                             // the client closed Conn, or was reset
-	ClientMisbehaves                         // a bad client does Odd on Conn; live only
-	WorkerConnected                          // Conn to a worker node is up. Bytes > 0: the far end resets it after having read so many
+	ClientMisbehaves                         // a misbehaving client does Odd on Conn; live only
+	WorkerConnected                          // Conn to a worker is up. Bytes > 0: the far end resets it after having read so many
 	WorkerDisconnected                       // Conn did not come up (Reset false), or was closed or reset (Reset true) by the other side
-	ResponseReceived                         // the worker node's answer to what was last sent over Conn: Status, Rejected. Bytes > 0: only so many bytes of it, then a reset
-	CallbackReceived                         // a worker node's note, a call of its own: Note, NoteID; expects Acked
+	ResponseReceived                         // the worker's answer to what was last sent over Conn: Status, Rejected. Bytes > 0: only so many bytes of it, then a reset
+	CallbackReceived                         // a worker's note, a call of its own: Note, NoteID; expects Acked
 	ListReceived                             // news on the watch of discovery: List
 	WatchEnded                               // the watch ended, or a call to discovery failed
 	WatchHeartbeat                           // an empty line on the watch: nothing has changed. One comes every 2 s; it is for the scheduler's side to notice that none does, or that a call stays without an answer
 	WatchConnected                           // the connection for the watch is up; live, a kernel's business
 )
 
-// What concerns a live driver only, as there a kernel connects and accepts; in virtual time it means nothing.
+// What concerns a process driver only, as there a kernel connects and accepts; in simulated time it means nothing.
 const (
 	AcceptModeChanged          InputKind = iota + 48 // Node accepts connections by Mode from now on
 	DiscoveryAcceptModeChanged                       // the discovery at index Disco does
@@ -102,7 +102,7 @@
 	Discovery      int                   // index of the discovery address in its configuration
 }
 
-// ClientRequest is a client's query as it stands on the wire.
+// ClientRequest is a client's request as it stands on the wire.
 type ClientRequest struct {
 	RequestID      string
 	Class          int
@@ -115,12 +115,12 @@
 	Retry          bool          // X-Again: 1
 }
 
-// Misbehavior is what a bad client does with its connection, by the kinds of scenario.BadKinds. N is its number among
+// Misbehavior is what a misbehaving client does with its connection, by the kinds of scenario.BadKinds. N is its number among
 // those of this kind, from which what is drawn at random follows.
 type Misbehavior struct {
 	Kind      string
 	Number    uint64
-	RequestID string // of another client's open query, for the kinds that use one
+	RequestID string // of another client's open request, for the kinds that use one
 }
 
 // OutputKind says what comes from a scheduler.
@@ -133,12 +133,12 @@
 	Exited                                 // the process has ended by itself; Status is its exit code
 	ResponseWritten                        // the last byte of an answer is written to the client's connection Conn: Call, Status, After, Result
 	ClientConnClosed                       // the scheduler ended the client's connection Conn
-	WorkerDialed                           // it opens Conn to worker node Node
-	AttemptWritten                         // the last byte of a query is written to Conn: Call, Attempt, Key, Budget; its first at First
+	WorkerDialed                           // it opens Conn to worker Node
+	AttemptWritten                         // the last byte of a request is written to Conn: Call, Attempt, Key, Budget; its first at First
 	HealthCheckWritten                     // the same for a probe
-	WorkerConnClosed                       // it closes Conn to a worker node
-	CancellationReceived                   // DELETE /jobs/Call reached worker node Node over Conn
-	CallbackAnswered                       // it answers the note NoteID of Node with Status; 0: the call failed
+	WorkerConnClosed                       // it closes Conn to a worker
+	CancellationReceived                   // DELETE /jobs/Call reached worker Node over Conn
+	CallbackAnswered                       // it answers the callback NoteID of Node with Status; 0: the call failed
 	WatchRequested                         // it asks discovery for the watch from generation After on
 	ClientConnFailed                       // live only: the client's connection Conn never came up, so nothing was asked over it
 )
@@ -163,7 +163,7 @@
 	WantsLoadReport bool          // the probe asked for the load report
 }
 
-// Scheduler is one scheduler as the world meets it. Step takes what has reached it and appends what comes from it.
+// Scheduler is one scheduler as the environment meets it. Step takes what has reached it and appends what comes from it.
 type Scheduler interface {
 	Step(now time.Duration, ins []Input, dst []Output) []Output
 	// Next tells when it wants to run at the latest; not ok: only when something reaches it.
--- a/internal/testbed/simulation/level_counts.go
+++ b/internal/testbed/simulation/level_counts.go
@@ -7,15 +7,15 @@
 	"valvecove/internal/control/planner"
 )
 
-// LevelCounts count what forwarders and planners did over a play, over all their processes.
+// LevelCounts count what forwarders and planners did over a run, over all their processes.
 type LevelCounts struct {
 	Requests         int // that came to forwarders
-	Reoffered        int // offers to a planner of queries that had come before
+	Reoffered        int // offers to a planner of requests that had come before
 	Commands         int // of planners, as forwarders heard them
 	Rejected         int // of these, by forwarders' guards
 	RejectedByReason [message.ReasonCount]int
-	Moves            int // queries that planners handed on
-	Unconfirmed      int // queries taken from a planner that said nothing of them
+	Moves            int // requests that planners handed on
+	Unconfirmed      int // requests taken from a planner that said nothing of them
 	Expired          int // answered by forwarders at their deadline
 	Unplaced         int // or as nobody had room for them in time
 	Poison           int // or as they brought down two planners
@@ -25,7 +25,7 @@
 	Changes          int // of the planner that is followed, but for one that was lost
 	PresumedEnded    int // attempts that planners took to be over unheard of
 	Panics           int // of planners' modules
-	Returned         int // queries at which they panic
+	Returned         int // requests at which they panic
 	Malformed        int // messages to planners that make no sense
 	Unwritten        int // messages that could not be written
 }
@@ -58,7 +58,7 @@
 	x.Malformed += y.InvalidMessages
 }
 
-// Sum adds another play's figures.
+// Sum adds another run's figures.
 func (x *LevelCounts) Sum(y *LevelCounts) {
 	a, b := reflect.ValueOf(x).Elem(), reflect.ValueOf(y).Elem()
 	for i := range a.NumField() {
--- a/internal/testbed/simulation/levels.go
+++ b/internal/testbed/simulation/levels.go
@@ -13,8 +13,8 @@
 )
 
 // levelNetwork is what lies between forwarders and planners: connections that carry bytes in order, and gossip. It stands
-// beside the world, which knows of neither, and plays what the scenario does to them: cuts, and connections that
-// break. Whoever takes part is a seat, numbered as the world numbers schedulers; planners come after these. Each seat
+// beside the environment, which knows of neither, and plays what the scenario does to them: cuts, and connections that
+// break. Whoever takes part is a seat, numbered as the environment numbers schedulers; planners come after these. Each seat
 // draws from a stream of its own.
 type levelNetwork struct {
 	spec        *scenario.Scenario
@@ -37,7 +37,7 @@
 	// status tells whether a process runs there, and which one, and whether it is frozen.
 	status() (sprout int, runs, frozen bool)
 	deliver(n levelMessage)
-	endProcess() // of the process; the play is over
+	endProcess() // of the process; the run is over
 }
 
 // levelMessage is something that reaches a seat's process.
@@ -118,7 +118,7 @@
 	return t
 }
 
-// planPartition puts a cut on the agenda.
+// planPartition puts a cut on the event queue.
 func (t *levelNetwork) planPartition(f *scenario.Fault) {
 	levelPartition := &levelPartition{oneWay: f.Kind == "planner_cut_one_way"}
 	levelPartition.a, levelPartition.b = t.sideOf(f, f.Between), t.sideOf(f, f.And)
--- a/internal/testbed/simulation/levels_random_test.go
+++ b/internal/testbed/simulation/levels_random_test.go
@@ -103,7 +103,7 @@
 	return s
 }
 
-// judged plays, and gives what the judge says and the answers by status.
+// judged plays, and gives what the checker says and the answers by status.
 func judged(t *testing.T, spec *scenario.Scenario, seed uint64, opt Options) (*Outcome, checker.Verdict) {
 	t.Helper()
 	j := checker.New(spec, checker.Options{})
@@ -116,7 +116,7 @@
 	return got, j.Verdict()
 }
 
-// Whatever goes wrong among forwarders and planners, no rule is broken and each query has its one answer.
+// Whatever goes wrong among forwarders and planners, no rule is broken and each request has its one answer.
 func TestRandomTiers(t *testing.T) {
 	var next atomic.Int64
 	var all sync.WaitGroup
--- a/internal/testbed/simulation/levels_test.go
+++ b/internal/testbed/simulation/levels_test.go
@@ -68,9 +68,9 @@
 	say     func(d *spoiled, o planner.SendToForwarder, dst []planner.Action) []planner.Action
 }
 
-// spoiled is what a spoiler knows of a play.
+// spoiled is what a spoiler knows of a run.
 type spoiled struct {
-	drained uint64                    // a worker node that drains, by all lists
+	drained uint64                    // a worker that drains, by all lists
 	last    []planner.SendToForwarder // orders to send, a while ago
 	n       int
 }
@@ -201,7 +201,7 @@
 	}
 }
 
-// poisoned is a module that panics at some queries, whichever planner has it.
+// poisoned is a module that panics at some requests, whichever planner has it.
 type poisoned struct{ planner.Policy }
 
 // So few that no planner comes to the six panics in 10 s at which it lets all its heads go, none given back.
@@ -223,7 +223,7 @@
 	return m.Policy.Step(now, events, dst)
 }
 
-// Queries at which every planner's module panics cost each planner that has them a module, and no other query
+// Requests at which every planner's module panics cost each planner that has them a module, and no other request
 // anything: they are given up after the second, and never come to a third.
 func TestPoisonousQueries(t *testing.T) {
 	spec := parse(t, `
--- a/internal/testbed/simulation/norace_test.go
+++ b/internal/testbed/simulation/norace_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// playsAtOnce are as many random plays as take a few seconds.
+// playsAtOnce are as many random runs as take a few seconds.
 const playsAtOnce = 400
--- a/internal/testbed/simulation/planner.go
+++ b/internal/testbed/simulation/planner.go
@@ -23,10 +23,10 @@
 // maxMessagesPerIteration is how many things that have reached a planner it may take in in one turn.
 const maxMessagesPerIteration = 16
 
-// plannerNode is one planner, over all of its processes: an edge.Scheduler to the world, whom no client and no worker
+// plannerNode is one planner, over all of its processes: an edge.Scheduler to the environment, whom no client and no worker
 // node comes to.
 type plannerNode struct {
-	number      int // as the world counts it
+	number      int // as the environment counts it
 	name        string
 	spec        *scenario.Scenario
 	settings    config.Settings
@@ -49,7 +49,7 @@
 type plannerInput struct {
 	levelMessage
 	input           simapi.Input
-	fromEnvironment bool // it is the world's
+	fromEnvironment bool // it is the environment's
 }
 
 func newPlannerNode(spec *scenario.Scenario, n int, opt *Options, t *levelNetwork, f *LevelCounts) (*plannerNode, error) {
@@ -146,7 +146,7 @@
 	now           time.Duration
 	planner       *planner.Planner
 	members       *membership.PlannerMembership
-	listTable     *requests.Table // for its words of the host group alone
+	listTable     *requests.Table // for its words of the endpoint list alone
 	listUpdates   []dispatch.WorkerList
 	watchWanted   bool // the book wants the watch
 	timer         time.Duration
@@ -400,7 +400,7 @@
 	}
 }
 
-// handleEnvironment takes what the world does.
+// handleEnvironment takes what the environment does.
 func (p *plannerProcess) handleEnvironment(input *simapi.Input) {
 	switch input.Kind {
 	case simapi.ListReceived:
@@ -431,7 +431,7 @@
 	}
 }
 
-// ---- The host group: a ledger of no queries reads it, as in a scheduler ----
+// ---- The endpoint list: a ledger of no requests reads it, as in a scheduler ----
 
 // Step is the ledger's module: it takes its lists.
 func (p *plannerProcess) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
@@ -461,13 +461,13 @@
 	}
 }
 
-// Watch follows the host group.
+// Watch follows the endpoint list.
 func (p *plannerProcess) Watch(after int64) {
 	p.watching, p.watchDeadline = true, p.now+readyCheckTimeout
 	p.node.emit(simapi.Output{Kind: simapi.WatchRequested, RetryAfter: time.Duration(after)})
 }
 
-// Start and the others are for queries, of which there are none.
+// Start and the others are for requests, of which there are none.
 func (p *plannerProcess) Start(*requests.Attempt)     {}
 func (p *plannerProcess) Abandon(*requests.Attempt)   {}
 func (p *plannerProcess) Cancel(*requests.Attempt)    {}
@@ -476,7 +476,7 @@
 
 // ---- What is to be done ----
 
-// updateMembers takes in who is there, and which worker nodes.
+// updateMembers takes in who is there, and which workers.
 func (p *plannerProcess) updateMembers() {
 	actions := p.members.Step(p.now, p.events, p.actions[:0])
 	clear(p.events)
--- a/internal/testbed/simulation/process.go
+++ b/internal/testbed/simulation/process.go
@@ -20,7 +20,7 @@
 	finalFlushTime      = 150 * time.Millisecond
 
 	ownDescriptors    = 24
-	fullRetryAfter    = time.Second // when to come back to a scheduler that holds all the queries it can
+	fullRetryAfter    = time.Second // when to come back to a scheduler that holds all the requests it can
 	readyCheckTimeout = 500 * time.Millisecond
 	firstLineTimeout  = 4 * time.Second // a call to discovery may wait its turn for a while
 	nextLineTimeout   = 3 * time.Second // discovery writes one every 2 s
@@ -34,20 +34,20 @@
 	workerConns     *workerConns
 	timers          deadline.Queue[*timer]
 	clients         map[simapi.Conn]*clientConn
-	idleClients     clientConn // of the ring of client links without a query, the one idle longest first
+	idleClients     clientConn // of the ring of client links without a request, the one idle longest first
 	maxClients      int        // client links held at once
-	maxRequests     int        // and queries, which is fewer
-	bodyBudget      int        // bytes of queries' bodies
+	maxRequests     int        // and requests, which is fewer
+	bodyBudget      int        // bytes of requests' bodies
 	discovery       int
 	watching        bool
 	watchTimer      timer
 	ready           bool // /up answers 200
-	listChanged     bool // the host group may have changed
+	listChanged     bool // the endpoint list may have changed
 	draining        bool
-	rejectsRequests bool              // takes no query any more
+	rejectsRequests bool              // takes no request any more
 	finished        bool              // there is nothing more to stay for
 	forwarder       *forwarderProcess // nil: there are no planners
-	newRequestIDs   []string          // the calls of the queries taken since the last step, by their numbers from first on
+	newRequestIDs   []string          // the calls of the requests taken since the last step, by their numbers from first on
 	firstRequest    uint64
 }
 
@@ -258,7 +258,7 @@
 	p.after(killed, func() { p.finished = true })
 }
 
-// close takes no query any more, and ends the client links between queries.
+// close takes no request any more, and ends the client links between requests.
 func (p *process) close() {
 	p.rejectsRequests = true
 	for p.idleClients.next != &p.idleClients {
@@ -268,7 +268,7 @@
 
 // ---- Clients ----
 
-// clientConn is a client's connection: the Asker of the query that is in hand on it.
+// clientConn is a client's connection: the Asker of the request that is in hand on it.
 type clientConn struct {
 	process    *process
 	conn       simapi.Conn
@@ -281,7 +281,7 @@
 	k := p.clients[input.Conn]
 	switch {
 	case k == nil:
-		// Queries are fewer than links, so where links run out there is an idle one to make room.
+		// Requests are fewer than links, so where links run out there is an idle one to make room.
 		if len(p.clients) >= p.maxClients && p.idleClients.next != &p.idleClients {
 			p.idleClients.next.close()
 		}
@@ -324,7 +324,7 @@
 // zeroBody is every body: the ledger counts its bytes, and nobody reads it.
 var zeroBody [64 << 10]byte
 
-// RespondResult hands on what a worker node made.
+// RespondResult hands on what a worker made.
 func (k *clientConn) RespondResult(result []byte) { k.respond(200, 0, string(result)) }
 
 // RespondRejected refuses; the client may come back.
@@ -369,9 +369,9 @@
 	}
 }
 
-// ---- What a yardstick may see: process is its Oracle ----
+// ---- What a baseline policy may see: process is its Oracle ----
 
-// WorkerIndex is the world's number of a worker's machine.
+// WorkerIndex is the environment's number of a worker's machine.
 func (p *process) WorkerIndex(worker uint64) (node int, ok bool) {
 	node, machine := NodeOf(p.requests.Endpoint(worker).ID)
 	all := p.scheduler.spec.Fleet.Workers
@@ -383,7 +383,7 @@
 	return p.scheduler.model.source.View(p.scheduler.number, node)
 }
 
-// Work tells the true work of a query that came in since the last step.
+// Work tells the true work of a request that came in since the last step.
 func (p *process) Work(job uint64) (work, slots float64, ok bool) {
 	if p.scheduler.model.source == nil || job < p.firstRequest || job-p.firstRequest >= uint64(len(p.newRequestIDs)) {
 		return 0, 0, false
--- a/internal/testbed/simulation/process_test.go
+++ b/internal/testbed/simulation/process_test.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// Where worker nodes come and go, /up tells whether a query could be sent anywhere.
+// Where workers come and go, /up tells whether a request could be sent anywhere.
 func TestReady(t *testing.T) {
 	b := newHarness(t, nil)
 	b.start()
@@ -198,10 +198,10 @@
 	expect(t, "one is back", said(list("up"), simapi.Ready, simapi.Unready), line(simapi.Ready, "", 0))
 }
 
-// One query too many is refused at once, with advice; a connection too many has the one make room that has been idle
+// One request too many is refused at once, with advice; a connection too many has the one make room that has been idle
 // longest.
 func TestLimits(t *testing.T) {
-	b := newHarness(t, func(spec *scenario.Scenario) { spec.Schedulers.Sockets = 24 + 48 }) // 40 client links, 32 queries
+	b := newHarness(t, func(spec *scenario.Scenario) { spec.Schedulers.Sockets = 24 + 48 }) // 40 client links, 32 requests
 	b.start()
 	for n := 1; n <= 32; n++ {
 		if outs := b.ask(n, 5*sec); len(outs) > 0 {
--- a/internal/testbed/simulation/race_test.go
+++ b/internal/testbed/simulation/race_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// playsAtOnce are as many random plays as the race detector, which makes each ten times as slow, leaves the time for.
+// playsAtOnce are as many random runs as the race detector, which makes each ten times as slow, leaves the time for.
 const playsAtOnce = 40
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -15,21 +15,21 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// StartTime is the Unix time at which every play starts: 2026-01-01.
+// StartTime is the Unix time at which every run starts: 2026-01-01.
 const StartTime = 1767225600 * time.Second
 
-// LingerTime is how long a play goes on once every job is settled: what worker nodes have been given shows by then.
+// LingerTime is how long a run goes on once every job is settled: what workers have been given shows by then.
 const LingerTime = 2 * time.Second
 
 // maxRounds is how often one instant may pass between world and schedulers. What needs more goes round in circles.
 const maxRounds = 100_000
 
-// Options are what a play is played with.
+// Options are what a run is played with.
 type Options struct {
 	Model
 	Wrap      func(s simapi.Scheduler) simapi.Scheduler // puts something before each scheduler; nil: nothing
 	Observers []trace.Observer                          // told what was seen, each in turn
-	Until     time.Duration                             // the play ends here at the latest; 0: at its length and settling time
+	Until     time.Duration                             // the run ends here at the latest; 0: at its length and settling time
 	// Trace is told all that crossed the border, nil: nobody is; nothing of it may be kept.
 	Trace  func(now time.Duration, ins []simapi.Input, outs []simapi.Output)
 	Digest bool // sum up all that crossed the border
@@ -39,15 +39,15 @@
 	WrapPlanner func(planner int, m planner.Policy) planner.Policy
 }
 
-// Outcome counts what a play came to.
+// Outcome counts what a run came to.
 type Outcome struct {
 	End        time.Duration // when it ended
 	Finished   bool          // every job is settled
-	Steps      uint64        // of the world
+	Steps      uint64        // of the environment
 	Iterations uint64        // of schedulers
-	Requests   uint64        // queries that reached a scheduler
+	Requests   uint64        // requests that reached a scheduler
 	Responses  uint64        // and answers that left one
-	Attempts   uint64        // sent to worker nodes
+	Attempts   uint64        // sent to workers
 	Digest     uint64        // of all that crossed the border, if it was asked for
 	Levels     LevelCounts   // where there are planners
 }
@@ -181,7 +181,7 @@
 	return min(first, p.earliestNext)
 }
 
-// runRound is one turn of the world, and of each scheduler that something has reached or that is due.
+// runRound is one turn of the environment, and of each scheduler that something has reached or that is due.
 func (p *runner) runRound(now time.Duration) {
 	p.delivered = p.environment.Step(now, p.outputs, p.delivered[:0])
 	p.outcome.Steps++
--- a/internal/testbed/simulation/run_test.go
+++ b/internal/testbed/simulation/run_test.go
@@ -14,7 +14,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// busyDay has something of most parts of the world go wrong.
+// busyDay has something of most parts of the environment go wrong.
 const busyDay = `
 length = "8s"
 fleet = { nodes = 14, zones = ["a", "b"] }
@@ -139,7 +139,7 @@
 	}
 }
 
-// BenchmarkPlay tells how many requests are played a second, by worker nodes and module. From 1,000 worker nodes on logic
+// BenchmarkPlay tells how many requests are played a second, by workers and module. From 1,000 workers on logic
 // takes milliseconds for a request, so it is given few there.
 func BenchmarkPlay(b *testing.B) {
 	for _, nodes := range []int{10, 100, 1000, 10_000} {
--- a/internal/testbed/simulation/scheduler.go
+++ b/internal/testbed/simulation/scheduler.go
@@ -1,4 +1,4 @@
-// Package simulation plays a scenario in virtual time: one world and its schedulers, taking turns on one goroutine and
+// Package simulation plays a scenario in simulated time: one environment and its schedulers, taking turns on one goroutine and
 // a clock of their own. A scheduler here is the ledger and a module as in the real program, round them a model of
 // what internal/link does with connections and of what internal/server does on signals. The same scenario and seed are
 // the same play, byte for byte, whatever the machine.
@@ -27,7 +27,7 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// StateSource is the world as far as yardsticks may see it; *world.World is one.
+// StateSource is the environment as far as baseline policies may see it; *environment.Environment is one.
 type StateSource interface {
 	View(sched, place int) environment.View
 	Work(call string) (work, slots float64, ok bool)
--- a/internal/testbed/simulation/unsupported.go
+++ b/internal/testbed/simulation/unsupported.go
@@ -6,7 +6,7 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// Unsupported says what of a scenario a play in virtual time can't show, one sentence each. A verdict leaves that out, and
+// Unsupported says what of a scenario a run in simulated time can't show, one sentence each. A verdict leaves that out, and
 // says so.
 func Unsupported(spec *scenario.Scenario) []string {
 	all := []string{
@@ -37,7 +37,7 @@
 	return all
 }
 
-// partlySupportedFaults are those that virtual time shows in part.
+// partlySupportedFaults are those that simulated time shows in part.
 var partlySupportedFaults = map[string]string{
 	"reset_at": "a query that is reset before its last byte counts as wholly written by the scheduler, as small ones" +
 		" do for a kernel.",
--- a/internal/testbed/simulation/worker_conns.go
+++ b/internal/testbed/simulation/worker_conns.go
@@ -37,15 +37,15 @@
 	errStatus       = errors.New("status")
 )
 
-// workerConns model the connections to worker nodes as internal/link keeps them: the ledger's Carrier. What takes
-// a socket's time there takes none here, so that a query whose link is up is wholly written at once.
+// workerConns model the connections to workers as internal/link keeps them: the ledger's Carrier. What takes
+// a socket's time there takes none here, so that a request whose link is up is wholly written at once.
 type workerConns struct {
 	process      *process
 	endpoints    map[uint64]*endpointConns
 	order        []*endpointConns // map order decides nothing
 	conns        map[simapi.Conn]*workerConn
-	attemptConns map[*requests.Attempt]*workerConn // until the worker node has accepted
-	// cancellations are the attempts whose worker node is being told, and how many connections were tried for that.
+	attemptConns map[*requests.Attempt]*workerConn // until the worker has accepted
+	// cancellations are the attempts whose worker is being told, and how many connections were tried for that.
 	cancellations  map[*requests.Attempt]int
 	maxConns       int
 	idleCount      int           // idle links, over all hosts
@@ -56,10 +56,10 @@
 	idleTrustSetAt time.Duration // when that was set
 }
 
-// endpointConns are the links to one worker node.
+// endpointConns are the links to one worker.
 type endpointConns struct {
 	worker      uint64
-	workerIndex int // the world's number; -1: unknown
+	workerIndex int // the environment's number; -1: unknown
 	machine     int // which one in its place
 	addr        string
 	startedMs   int64
@@ -91,7 +91,7 @@
 	attempt *requests.Attempt // nil for a probe
 }
 
-// workerConn is a connection to a worker node.
+// workerConn is a connection to a worker.
 type workerConn struct {
 	timer         timer
 	timerSet      bool          // the alarm is set, perhaps for sooner than is due
@@ -136,7 +136,7 @@
 	return h
 }
 
-// NodeOf is the world's number of the worker node whose id discovery tells, and which machine in its place that is:
+// NodeOf is the environment's number of the worker whose id discovery tells, and which machine in its place that is:
 // "w-12" is the first, 0, "w-12.1" the one that took its place. node -1: it is none.
 func NodeOf(id string) (node, machine int) {
 	digits, ok := strings.CutPrefix(id, "w-")
@@ -156,7 +156,7 @@
 // Start starts an attempt.
 func (s *workerConns) Start(a *requests.Attempt) { s.startTask(a.Worker, connTask{taskAttempt, a}) }
 
-// Abandon lets the worker node know: before it has accepted by closing the link, after that by a DELETE.
+// Abandon lets the worker know: before it has accepted by closing the link, after that by a DELETE.
 func (s *workerConns) Abandon(a *requests.Attempt) {
 	if k := s.attemptConns[a]; k != nil {
 		k.closeWith(nil)
@@ -192,12 +192,12 @@
 	})
 }
 
-// CheckHealth asks a worker node for a sign of life.
+// CheckHealth asks a worker for a sign of life.
 func (s *workerConns) CheckHealth(worker uint64) {
 	s.startTask(worker, connTask{kind: taskHealthCheck})
 }
 
-// CloseIdleConnections closes the idle links to a worker node.
+// CloseIdleConnections closes the idle links to a worker.
 func (s *workerConns) CloseIdleConnections(worker uint64) {
 	h := s.endpoints[worker]
 	for h != nil && len(h.idle) > 0 {
@@ -205,7 +205,7 @@
 	}
 }
 
-// Watch follows the host group from a generation on.
+// Watch follows the endpoint list from a generation on.
 func (s *workerConns) Watch(after int64) { s.process.watch(after) }
 
 // retire closes links that have been idle for too long.
@@ -483,7 +483,7 @@
 	}
 	reason := requests.ReasonConnectionLost
 	if dropped && k.task.kind == taskHealthCheck {
-		reason = requests.ReasonNotSent // it says nothing of the worker node
+		reason = requests.ReasonNotSent // it says nothing of the worker
 	}
 	if k.stage >= requests.StageWritten && errors.Is(cause, errTimeout) {
 		reason = requests.ReasonTimeout
--- a/internal/testbed/simulation/worker_conns_test.go
+++ b/internal/testbed/simulation/worker_conns_test.go
@@ -28,7 +28,7 @@
 	wrong   string // the first thing that a scheduler may not do
 }
 
-// farConn is a connection as a worker node sees it.
+// farConn is a connection as a worker sees it.
 type farConn struct {
 	conn  simapi.Conn
 	node  int
@@ -187,7 +187,7 @@
 			}
 			a := byJob[[2]uint64{o.Job, uint64(o.Attempt)}]
 			if last := byJob[[2]uint64{o.Job, uint64(attempts[o.Job] - 1)}]; a.ended && o.Result == dispatch.NotSent && o.Closed {
-				a = last // of a query that has ended and been dropped: that attempt has no number of its own
+				a = last // of a request that has ended and been dropped: that attempt has no number of its own
 			}
 			s.Check(a != nil && !a.ended, "job %d attempt %d: an outcome %v for none that is out", o.Job, o.Attempt, o.Result)
 			a.ended = true
@@ -264,7 +264,7 @@
 			state, call, result := states[s.Pick(5)], strconv.Itoa(1+s.Pick(calls)), "r"
 			about := find(call, node)
 			if !about.written {
-				continue // what has not reached a worker node it tells nothing of
+				continue // what has not reached a worker it tells nothing of
 			}
 			about.may[map[string]dispatch.Result{
 				"started": dispatch.OK, "done": dispatch.OK, "failed": dispatch.Failed,
@@ -430,7 +430,7 @@
 }
 
 // An accepted attempt that is withdrawn ends once its DELETE is written: one whose connection does not come up in time is
-// tried again, and what its worker node tells meanwhile counts.
+// tried again, and what its worker tells meanwhile counts.
 func TestWithdrawnOnceWritten(t *testing.T) {
 	for name, c := range map[string]struct {
 		far  func(b *harness)
--- a/internal/testbed/starvation/checker.go
+++ b/internal/testbed/starvation/checker.go
@@ -11,7 +11,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Rule is the name under which a hunt keeps a play with starvation.
+// Rule is the name under which a hunt keeps a run with starvation.
 const Rule = "starvation"
 
 const (
@@ -20,23 +20,23 @@
 	healthyAfter       = 10 * time.Second       // of nothing wrong
 	startupWindow      = 2 * time.Second        // of a process, and from being told of a start
 	dialWindow         = 1300 * time.Millisecond
-	notificationWindow = 250 * time.Millisecond // a start is told within, or its worker node is unwell
+	notificationWindow = 250 * time.Millisecond // a start is told within, or its worker is unwell
 	windowShare        = 0.9                    // of a keyed job's window
-	crowdedShare       = 0.9                    // of the queries that a scheduler has descriptors for
+	crowdedShare       = 0.9                    // of the requests that a scheduler has descriptors for
 	maxFindings        = 16
-	maxTracked         = 64 // idle worker nodes looked at for one try, beside those that there have to be
+	maxTracked         = 64 // idle workers looked at for one try, beside those that there have to be
 	newClassEnds       = 30 // runs that a process needs to know a class by
 	driftFactor        = 2  // a factor that hints are off by, and that speeds may take up for sizes: runs show but their quotient
-	reserveRatio       = 20 // one worker node in so many is few
+	reserveRatio       = 20 // one worker in so many is few
 )
 
 // Verdict is what a watcher has found.
 type Verdict struct {
 	Requests   int       `json:"tries"`   // that running schedulers took
 	Queued     int       `json:"held"`    // of them, starved while held
-	QueuedLong int       `json:"whole"`   // starved with a worker node idle that had nothing to do at all
+	QueuedLong int       `json:"whole"`   // starved with a worker idle that had nothing to do at all
 	Rejected   int       `json:"refused"` // and by being refused
-	Excused    int       `json:"excused"` // refused with a worker node idle, and excused
+	Excused    int       `json:"excused"` // refused with a worker idle, and excused
 	Findings   []Finding `json:"cases,omitempty"`
 }
 
@@ -55,13 +55,13 @@
 	Text      string        `json:"text"`
 }
 
-// Checker keeps the books of one play. It is used by one goroutine.
+// Checker keeps the books of one run. It is used by one goroutine.
 type Checker struct {
 	spec         *scenario.Scenario
 	classes      []class
 	kinds        []workerKind
 	maxSpeed     float64
-	omitsStarts  bool // some worker nodes tell no starts, so that schedulers are told to count on none
+	omitsStarts  bool // some workers tell no starts, so that schedulers are told to count on none
 	clientsCut   []interval
 	attemptLimit int // tries that a scheduler holds at most
 	// A try that nothing was seen of for a second may have been on its way by so many connections that did not come up.
@@ -73,9 +73,9 @@
 	workers        []worker
 	schedulers     []scheduler
 	running        int                       // of them, are up
-	idleWorkers    [][slotBuckets][]int32    // by kind: worker nodes idle for a second
+	idleWorkers    [][slotBuckets][]int32    // by kind: workers idle for a second
 	oldRequests    [][slotBuckets][]*request // by kind and one more, 0 being any: tries held for a second
-	maturing       ringQueue[pendingIdle]    // worker nodes idle, and tries held, for less
+	maturing       ringQueue[pendingIdle]    // workers idle, and tries held, for less
 	started        ringQueue[startedAttempt]
 	recovering     deadline.Queue[*worker]
 	dials          ringQueue[dial]
@@ -86,7 +86,7 @@
 // interval is a time in which clients and schedulers may be cut off from each other.
 type interval struct{ start, end time.Duration }
 
-// New returns a watcher of a play of a checked scenario.
+// New returns a watcher of a run of a checked scenario.
 func New(spec *scenario.Scenario) *Checker {
 	checker := &Checker{
 		spec: spec, jobs: map[uint64]*job{}, requests: map[string]*request{}, dialed: map[uint64]bool{},
@@ -126,7 +126,7 @@
 		}
 		checker.clientsCut = append(checker.clientsCut, h)
 	}
-	const own = 24 // descriptors of a process beside its connections, of which a sixth are for worker nodes
+	const own = 24 // descriptors of a process beside its connections, of which a sixth are for workers
 	links := max(0, spec.Schedulers.Sockets-own)
 	links -= max(8, links/6)
 	checker.dialsPerWindow = max(1, int(idleWindow/max(spec.Schedulers.ConnTimeout.Std(), 1))-1)
@@ -134,7 +134,7 @@
 	return checker
 }
 
-// Observe takes in a sight. Sights come in order of time.
+// Observe takes in a trace event. Trace events come in order of time.
 func (w *Checker) Observe(s *trace.Event) {
 	for w.nextScan <= s.At {
 		w.now = w.nextScan
@@ -167,7 +167,7 @@
 		w.markUnhealthy(s.Worker)
 		if t, a := w.findAttempt(s, (*attempt).occupiesWorker); a != nil {
 			a.notExecuted = true
-			w.endAttempt(t, a, s.Kind == trace.AttemptRejected, true) // of what is handed back, a note tells
+			w.endAttempt(t, a, s.Kind == trace.AttemptRejected, true) // of what is handed back, a callback tells
 		}
 	case trace.AttemptStarted:
 		if t, a := w.findAttempt(s, (*attempt).occupiesWorker); a != nil && s.Text == "" && !w.kinds[w.workers[s.Worker].kind].omitsStarts {
@@ -336,7 +336,7 @@
 
 func (a *attempt) occupiesWorker() bool { return a.abandoned }
 
-// findAttempt finds the try of a sight and its first attempt at that node that is as asked for.
+// findAttempt finds the try of a trace event and its first attempt at that node that is as asked for.
 func (w *Checker) findAttempt(s *trace.Event, is func(a *attempt) bool) (*request, *attempt) {
 	t := w.requests[s.RequestID]
 	if t == nil {
@@ -350,7 +350,7 @@
 	return t, nil
 }
 
-// endAttempt ends an attempt for its scheduler, at its worker node, or both.
+// endAttempt ends an attempt for its scheduler, at its worker, or both.
 func (w *Checker) endAttempt(t *request, a *attempt, sched, node bool) {
 	if node && a.abandoned {
 		a.abandoned = false
@@ -381,7 +381,7 @@
 	}
 }
 
-// isFinalState tells whether a note says that an attempt has ended.
+// isFinalState tells whether a callback says that an attempt has ended.
 func isFinalState(state string) bool { return state != "started" && state != "running" }
 
 func (w *Checker) callbackAnswered(event *trace.Event) {
@@ -405,15 +405,15 @@
 	}
 }
 
-// ---- Worker nodes ----
+// ---- Workers ----
 
-// addUse takes slots of a worker node, or gives them back.
+// addUse takes slots of a worker, or gives them back.
 func (w *Checker) addUse(n *worker, slots float64) {
 	n.usedSlots += slots
 	w.updateIdle(n)
 }
 
-// markUnhealthy notes that something is wrong with a worker node.
+// markUnhealthy callbacks that something is wrong with a worker.
 func (w *Checker) markUnhealthy(i int) {
 	if i < 0 || i >= len(w.workers) {
 		return
@@ -432,7 +432,7 @@
 	w.updateIdle(n)
 }
 
-// updateIdle finds for which needs a worker node is idle, and since when.
+// updateIdle finds for which needs a worker is idle, and since when.
 func (w *Checker) updateIdle(n *worker) {
 	level := 0
 	if n.up && n.faults == 0 && n.healthySince <= w.now {
@@ -450,7 +450,7 @@
 	}
 }
 
-// removeIdle takes a worker node out of a set of the idle, if it is there.
+// removeIdle takes a worker out of a set of the idle, if it is there.
 func (w *Checker) removeIdle(n *worker, bucket int) {
 	at := n.idleIndex[bucket] - 1
 	if at < 0 {
@@ -507,7 +507,7 @@
 	}
 }
 
-// knowsWorker tells whether a scheduler has long enough known a worker node's process.
+// knowsWorker tells whether a scheduler has long enough known a worker's process.
 func (c *scheduler) knowsWorker(n *worker, now time.Duration) bool {
 	if c.known == nil {
 		return n.incarnation <= 1
@@ -537,7 +537,7 @@
 			w.running--
 		}
 		scheduler.up = false
-		// Nobody is told of its attempts any more; those that no worker node has read never come.
+		// Nobody is told of its attempts any more; those that no worker has read never come.
 		for i := len(scheduler.requests) - 1; i >= 0; i-- { // what is forgotten gives its place to a later one
 			t := scheduler.requests[i]
 			for k := range t.attempts {
@@ -556,7 +556,7 @@
 
 // ---- What is starved ----
 
-// recoverWorkers has worker nodes be well whose time has come.
+// recoverWorkers has workers be well whose time has come.
 func (w *Checker) recoverWorkers() {
 	for w.recovering.Len() > 0 && w.recovering.First().At <= w.now {
 		n := w.recovering.First()
@@ -659,7 +659,7 @@
 	return slices.ContainsFunc(w.clientsCut, func(h interval) bool { return h.start <= w.now && since <= h.end })
 }
 
-// anyIdle tells whether a worker node of a kind (-1: of any) is idle for a need.
+// anyIdle tells whether a worker of a kind (-1: of any) is idle for a need.
 func (w *Checker) anyIdle(kind, bucket int) bool {
 	for k := range w.idleWorkers {
 		if (kind < 0 || kind == k) && len(w.idleWorkers[k][bucket]) > 0 {
@@ -669,9 +669,9 @@
 	return false
 }
 
-// findIdleWorker finds a worker node that was plainly idle for a try, begun at from at the soonest.
+// findIdleWorker finds a worker that was plainly idle for a try, begun at from at the soonest.
 func (w *Checker) findIdleWorker(t *request, c *scheduler, from time.Duration, refused bool) *worker {
-	// One is as good as none where several schedulers share worker nodes and see nothing of each other's jobs there.
+	// One is as good as none where several schedulers share workers and see nothing of each other's jobs there.
 	more := 0
 	if w.running > 1 {
 		more = len(w.workers) / reserveRatio
@@ -712,7 +712,7 @@
 }
 
 // estimateRange is the least and the most that a scheduler may in reason take a job's work for, as hints are, as parts of
-// it. Where they are low its aim looks nearer than it is, where they are high as if it could not be done at all.
+// it. Where they are low its objective looks nearer than it is, where they are high as if it could not be done at all.
 func (w *Checker) estimateRange(c *scheduler, j *job) (low, high float64) {
 	switch l := &w.spec.Load; l.Hints {
 	case "rough":
@@ -733,7 +733,7 @@
 
 func durationOf(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// isAllowed tells whether a try's attempts allow another one at a worker node.
+// isAllowed tells whether a try's attempts allow another one at a worker.
 func (w *Checker) isAllowed(t *request, n *worker) bool {
 	if len(t.attempts) >= w.spec.Schedulers.AttemptLimit {
 		return false
--- a/internal/testbed/starvation/checker_test.go
+++ b/internal/testbed/starvation/checker_test.go
@@ -11,7 +11,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Verbs of sights in histories.
+// Verbs of trace events in histories.
 var verbs = map[string]trace.Kind{
 	"asked": trace.RequestSent, "answered": trace.ResponseReceived, "lost": trace.ConnectionLost, "sent": trace.AttemptSent, "reached": trace.AttemptReceived,
 	"rejected": trace.AttemptRejected, "began": trace.AttemptStarted, "finished": trace.AttemptFinished, "returned": trace.AttemptReturned,
@@ -22,8 +22,8 @@
 	"schedkill": trace.SchedulerKilled, "schedfroze": trace.SchedulerFrozen, "schedwoke": trace.SchedulerResumed, "settled": trace.JobSettled,
 }
 
-// spec has four worker nodes of four slots in cells of two, the first and the third of them "std", the others "slow",
-// and classes that are safe, keyed by cell, unsafe, and bound to "slow".
+// spec has four workers of four slots in cells of two, the first and the third of them "std", the others "slow",
+// and classes that are safe, keyed by cell, non-idempotent, and bound to "slow".
 func spec() *scenario.Scenario {
 	s := scenario.Default()
 	s.Fleet.Workers, s.Fleet.CellSize = 4, 2
@@ -35,7 +35,7 @@
 	return s
 }
 
-// stageSetup gives each history its beginning: all worker nodes stand, a scheduler runs, and it is 5 s later.
+// stageSetup gives each history its beginning: all workers stand, a scheduler runs, and it is 5 s later.
 const stageSetup = "0 schedup;0 stands node=0;0 stands node=1 kind=slow-4c;0 stands node=2;0 stands node=3 kind=slow-4c;"
 
 // due asks for the job's try as well: "due job=1 class=0 slots=1 work=0.1".
@@ -250,7 +250,7 @@
 	}
 }
 
-// The cost of a request, all its sights together, among 256 that are out at a time on 1,000 worker nodes.
+// The cost of a request, all its trace events together, among 256 that are out at a time on 1,000 workers.
 func BenchmarkWatch(b *testing.B) {
 	const out, nodes = 256, 1000
 	text := spec().Fleet.Kinds[0].Name
--- a/internal/testbed/starvation/model_test.go
+++ b/internal/testbed/starvation/model_test.go
@@ -13,7 +13,7 @@
 )
 
 // model finds starvation by the words of the package doc alone: at each look it plays the whole history again, as far
-// as the sights go that it knows, and keeps nothing but which tries it has told.
+// as the trace events go that it knows, and keeps nothing but which tries it has told.
 type model struct {
 	spec   *scenario.Scenario
 	past   []trace.Event
@@ -58,7 +58,7 @@
 
 func (t *modelRequest) held() bool { return t.open && !t.out() }
 
-// state is how things stand after the first n sights.
+// state is how things stand after the first n trace events.
 func (m *model) state(n int) *modelState {
 	n0 := m.spec.Fleet.Workers
 	s := &modelState{nodes: make([]modelWorker, n0), known: make([]knowledge, n0), tries: map[string]*modelRequest{}}
@@ -124,7 +124,7 @@
 	return s
 }
 
-// idle tells whether a worker node was idle for so many slots throughout the second before now.
+// idle tells whether a worker was idle for so many slots throughout the second before now.
 func (m *model) idle(node int, slots float64, now time.Duration) bool {
 	for n := 0; n <= len(m.past); n++ {
 		if n < len(m.past) && m.past[n].At <= now-idleWindow {
@@ -142,7 +142,7 @@
 	return true
 }
 
-// witness tells whether a worker node was idle for a try, begun at from.
+// witness tells whether a worker was idle for a try, begun at from.
 func (m *model) witness(s *modelState, t *modelRequest, from, now time.Duration, refused bool) bool {
 	class := &m.spec.Classes[t.job.Class]
 	need := float64(int(1) << slotBucket(t.job.Slots))
@@ -176,7 +176,7 @@
 	return false
 }
 
-// watch takes in a sight.
+// watch takes in a trace event.
 func (m *model) watch(x trace.Event) {
 	for ; m.tick <= x.At; m.tick += scanInterval {
 		s := m.state(len(m.past))
--- a/internal/testbed/starvation/run_test.go
+++ b/internal/testbed/starvation/run_test.go
@@ -33,7 +33,7 @@
 	return append(m.Dispatcher.Step(now, events, dst), turned...)
 }
 
-// A play of the module in service has no starvation; spoiled, it is all in the class that it is spoiled for.
+// A run of the module in service has no starvation; spoiled, it is all in the class that it is spoiled for.
 func TestPlays(t *testing.T) {
 	spec := scenario.Default()
 	spec.Length, spec.Load.CapacityShare = scenario.Duration(12*time.Second), 0.3
--- a/internal/testbed/starvation/state.go
+++ b/internal/testbed/starvation/state.go
@@ -29,7 +29,7 @@
 	window            time.Duration
 }
 
-// workerKind is a kind of worker node.
+// workerKind is a kind of worker.
 type workerKind struct {
 	warmUp      time.Duration
 	omitsStarts bool    // it tells no starts
@@ -46,7 +46,7 @@
 	deadline  time.Duration // until when its client waits
 }
 
-// request is one query of a client. It is kept until its client has its end and no attempt of it is left at a worker node.
+// request is one request of a client. It is kept until its client has its end and no attempt of it is left at a worker.
 type request struct {
 	job       *job
 	number    uint64 // of the job
@@ -55,7 +55,7 @@
 	sentAt    time.Duration // asked
 	heldSince time.Duration // nothing of it has been out since then, if nothing is
 	inFlight  int           // attempts that its scheduler takes to be out
-	undecided int           // attempts that worker nodes have
+	undecided int           // attempts that workers have
 	open      bool          // its client waits
 	reported  bool          // found to be starved
 	index     int           // in its scheduler's tries
@@ -69,7 +69,7 @@
 	sentAt      time.Duration
 	endedAt     time.Duration // its last byte was read
 	inFlight    bool          // its scheduler takes it to be out
-	abandoned   bool          // its worker node has it, or its end has not been told
+	abandoned   bool          // its worker has it, or its end has not been told
 	reached     bool
 	finished    bool
 	endKnown    bool // it was told to have begun
@@ -121,7 +121,7 @@
 	attempt int
 }
 
-// worker is a worker node.
+// worker is a worker.
 type worker struct {
 	deadline.Item // when it is well again, if that is to come
 	number        int
@@ -139,7 +139,7 @@
 	idleIndex     [slotBuckets]int           // in the set of those idle for a second, and one more; 0: it is not there
 }
 
-// knowledge is what a scheduler was told of a worker node.
+// knowledge is what a scheduler was told of a worker.
 type knowledge struct {
 	incarnation int // the last start; 0: the first
 	drained     bool
@@ -150,13 +150,13 @@
 type scheduler struct {
 	up, frozen, ending   bool
 	startedAt, resumedAt time.Duration
-	known                []knowledge // by worker node; nil: nothing beyond first starts
+	known                []knowledge // by worker; nil: nothing beyond first starts
 	requests             []*request
 	queued               [slotBuckets]int // tries without an attempt out
 	oldCount             int              // of them, for a second
 	open                 int
 	classEnds            []int // by class: runs that this process has heard of
-	dials, unconfirmed   int   // connections of late that have not come up; refusals excused by them
+	dials, unconfirmed   int   // connections of late that have not come up; rejections excused by them
 }
 
 // dial is a connection that a scheduler began to open.
@@ -166,7 +166,7 @@
 	scheduler, worker int
 }
 
-// workerPlacement are the cells and zones of the scenario's worker nodes, by node, as the world deals them out.
+// workerPlacement are the cells and zones of the scenario's workers, by node, as the environment deals them out.
 func workerPlacement(spec *scenario.Scenario) (cells, zones []int) {
 	n, size, many := spec.Fleet.Workers, max(1, spec.Fleet.CellSize), max(1, len(spec.Fleet.Zones))
 	cells, zones = make([]int, n), make([]int, n)
