--- a/cmd/valvecove-testbed/experiments.go
+++ b/cmd/valvecove-testbed/experiments.go
@@ -137,7 +137,7 @@
 	if err != nil {
 		return err
 	}
-	over, err := experiment.ParseVary(c.Vary)
+	ended, err := experiment.ParseVary(c.Vary)
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 	}
 	defer done()
 	work := experiment.Sweep{
-		Spec: spec, Vary: over, Curves: curves, Seeds: c.list(), Driver: c.Driver, Figure: c.Metric,
+		Spec: spec, Vary: ended, Curves: curves, Seeds: c.list(), Driver: c.Driver, Figure: c.Metric,
 		Subject:     experiment.Subject{Name: c.Policy, Policy: c.Policy, Set: c.Set, Binary: job.Subject.Binary},
 		Parallelism: c.parallelism(c.Driver), Job: job,
 	}
@@ -376,7 +376,7 @@
 	runtime.GOMAXPROCS(1)
 	fmt.Fprintf(streams.out, "| nodes | requests | requests/s, judged: least, median, most | unjudged |\n| ---: | ---: | --- | --- |\n")
 	for _, spec := range specs {
-		row := fmt.Sprintf("| %d |", spec.Fleet.Workers)
+		line := fmt.Sprintf("| %d |", spec.Fleet.Workers)
 		for i, unjudged := range []bool{false, true} {
 			var all []float64
 			for range max(1, c.Runs) {
@@ -390,13 +390,13 @@
 				}
 				all = append(all, experiment.Speed{Requests: p.Simulation.Requests, Elapsed: time.Since(from)}.PerSecond())
 				if i == 0 && len(all) == 1 {
-					row += fmt.Sprintf(" %d |", p.Simulation.Requests)
+					line += fmt.Sprintf(" %d |", p.Simulation.Requests)
 				}
 			}
 			low, middle, high := experiment.Spread(all)
-			row += fmt.Sprintf(" %.0f, %.0f, %.0f |", low, middle, high)
+			line += fmt.Sprintf(" %.0f, %.0f, %.0f |", low, middle, high)
 		}
-		fmt.Fprintln(streams.out, row)
+		fmt.Fprintln(streams.out, line)
 	}
 	return nil
 }
--- a/cmd/valvecove-testbed/fleet.go
+++ b/cmd/valvecove-testbed/fleet.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	rows, paths, err := c.rows(builds)
+	lines, paths, err := c.rows(builds)
 	if err != nil {
 		return err
 	}
@@ -111,19 +111,19 @@
 	}
 	began := time.Now()
 	for run := range c.Runs {
-		for i, row := range rows {
+		for i, line := range lines {
 			fmt.Fprintf(s.err, "%4.0fs  run %d of %d, row %d of %d: %s\n", time.Since(began).Seconds(), run+1, c.Runs, i+1,
-				len(rows), row)
-			options.Seed, options.Binary = c.Seed+uint64(run), paths[row.Subject]
+				len(lines), line)
+			options.Seed, options.Binary = c.Seed+uint64(run), paths[line.Subject]
 			if c.Logs != "" {
 				options.Dir = filepath.Join(c.Logs, fmt.Sprintf("run%d-row%d", run+1, i+1))
 				if err := os.MkdirAll(options.Dir, 0o755); err != nil {
 					return err
 				}
 			}
-			p, err := fleet.Measure(ctx, row, options)
+			p, err := fleet.Measure(ctx, line, options)
 			if err != nil {
-				return fmt.Errorf("%s: %w", row, err)
+				return fmt.Errorf("%s: %w", line, err)
 			}
 			report.Measurements = append(report.Measurements, p)
 		}
@@ -149,7 +149,7 @@
 }
 
 // rows are what is played in a run.
-func (c *fleetCommand) rows(builds []namedBuild) (rows []fleet.Row, paths map[string]string, err error) {
+func (c *fleetCommand) rows(builds []namedBuild) (lines []fleet.Row, paths map[string]string, err error) {
 	paths = map[string]string{}
 	for _, b := range builds {
 		paths[b.name] = b.path
@@ -160,22 +160,22 @@
 			}
 			for _, notices := range c.Notices {
 				for _, n := range c.Nodes {
-					rows = append(rows, fleet.Row{Subject: b.name, Workers: n, StartNotifications: notices == "on", Hint: factor})
+					lines = append(lines, fleet.Row{Subject: b.name, Workers: n, StartNotifications: notices == "on", Hint: factor})
 				}
 			}
 		}
 	}
-	for _, yardstick := range []string{fleet.Proxy, fleet.Direct} {
+	for _, baselinePolicy := range []string{fleet.Proxy, fleet.Direct} {
 		for _, n := range c.Nodes {
-			if slices.Contains(c.Baselines, yardstick) {
-				rows = append(rows, fleet.Row{Subject: yardstick, Workers: n})
+			if slices.Contains(c.Baselines, baselinePolicy) {
+				lines = append(lines, fleet.Row{Subject: baselinePolicy, Workers: n})
 			}
 		}
 	}
 	if slices.Contains(c.Baselines, fleet.Direct) {
-		rows = append(rows, fleet.Row{Subject: fleet.Ceiling, Workers: slices.Max(c.Nodes)})
+		lines = append(lines, fleet.Row{Subject: fleet.Ceiling, Workers: slices.Max(c.Nodes)})
 	}
-	return rows, paths, nil
+	return lines, paths, nil
 }
 
 func (c *fleetCommand) show(report *fleet.Report, streams *streams) error {
--- a/cmd/valvecove-testbed/main.go
+++ b/cmd/valvecove-testbed/main.go
@@ -85,12 +85,12 @@
 		return exitViolation
 	}
 	command.BindTo(ctx, (*context.Context)(nil))
-	var asked exitError
+	var sent exitError
 	switch err := command.Run(streams); {
 	case err == nil:
 		return exitOK
-	case errors.As(err, &asked):
-		return int(asked)
+	case errors.As(err, &sent):
+		return int(sent)
 	case errors.Is(err, context.Canceled):
 		fmt.Fprintln(streams.err, "valvecove-testbed: stopped")
 		return exitViolation
--- a/cmd/valvecove-testbed/main_test.go
+++ b/cmd/valvecove-testbed/main_test.go
@@ -13,7 +13,7 @@
 const tiny = "name = \"tiny\"\nlength = \"3s\"\n[fleet]\nnodes = 4\n"
 
 // call runs the command line with a scenario on its standard input.
-func call(in string, args ...string) (code int, out, errs string) {
+func call(in string, args ...string) (code int, outputs, errs string) {
 	var o, e bytes.Buffer
 	code = run(context.Background(), args, &streams{strings.NewReader(in), &o, &e})
 	return code, o.String(), e.String()
@@ -58,27 +58,27 @@
 		{"", "hunt --most 2 --at 1 --top logic --for 1m --out " + dir, 0, "2 plays", ""},
 		{"", "compare calm rude_words", 2, "", "virtual"},
 	} {
-		code, out, errs := call(c.in, strings.Fields(c.args)...)
-		if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(errs, c.errs) {
-			t.Errorf("valvecove-testbed %s: exit %d, expected %d\nout: %s\nerr: %s", c.args, code, c.code, out, errs)
+		code, outputs, errs := call(c.in, strings.Fields(c.args)...)
+		if code != c.code || !strings.Contains(outputs, c.out) || !strings.Contains(errs, c.errs) {
+			t.Errorf("valvecove-testbed %s: exit %d, expected %d\nout: %s\nerr: %s", c.args, code, c.code, outputs, errs)
 		}
 	}
 }
 
 // A broken rule is told with the whole story of its request, in order of time.
 func TestStoriesAreTold(t *testing.T) {
-	_, out, _ := call(tiny, "play", "-", "--mutant", "answers-twice")
-	_, story, ok := strings.Cut(out, "\none-answer ")
+	_, outputs, _ := call(tiny, "play", "-", "--mutant", "answers-twice")
+	_, story, ok := strings.Cut(outputs, "\none-answer ")
 	if !ok || !strings.Contains(story, "asked") || !strings.Contains(story, "answered") ||
 		strings.Index(story, "asked") > strings.Index(story, "answered") {
-		t.Errorf("no story is told:\n%s", out)
+		t.Errorf("no story is told:\n%s", outputs)
 	}
 }
 
 // What goes to standard output as JSON is nothing else, and a report's folder holds what plays it again.
 func TestReportsPlayAgain(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "report")
-	code, out, _ := call(tiny, "play", "-", "--seed", "5", "--json", "-", "--report", dir)
+	code, outputs, _ := call(tiny, "play", "-", "--seed", "5", "--json", "-", "--report", dir)
 	var doc struct {
 		Result struct {
 			Seed  uint64 `json:"seed"`
@@ -87,7 +87,7 @@
 			} `json:"whole"`
 		} `json:"result"`
 	}
-	if err := json.Unmarshal([]byte(out), &doc); err != nil || code != 0 || doc.Result.Seed != 5 || doc.Result.Whole.Due == 0 {
+	if err := json.Unmarshal([]byte(outputs), &doc); err != nil || code != 0 || doc.Result.Seed != 5 || doc.Result.Whole.Due == 0 {
 		t.Fatalf("exit %d, %v", code, err)
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "index.html"))
@@ -95,7 +95,7 @@
 		t.Errorf("index.html: %v", err)
 	}
 	_, again, _ := call("", "play", filepath.Join(dir, "scenario.toml"), "--seed", "5", "--json", "-")
-	if again != out {
+	if again != outputs {
 		t.Error("the scenario in the report's folder is another play")
 	}
 }
--- a/cmd/valvecove-testbed/play.go
+++ b/cmd/valvecove-testbed/play.go
@@ -65,12 +65,12 @@
 
 // writeExplanations writes the whole story of the first broken rules, in order of time, one of each rule before a second.
 func writeExplanations(w io.Writer, runResult *experiment.RunResult) {
-	told := map[string]int{}
+	notified := map[string]int{}
 	shown := 0
 	for round := 0; round < maxExplanations && shown < maxExplanations; round++ {
 		for _, b := range runResult.Verdict.Violations {
-			if told[b.Rule] == round && shown < maxExplanations {
-				told[b.Rule]++
+			if notified[b.Rule] == round && shown < maxExplanations {
+				notified[b.Rule]++
 				shown++
 				fmt.Fprintf(w, "\n%v\n", b)
 			}
@@ -252,7 +252,7 @@
 
 // staying has the lines to try shown once the last job fell due and was settled.
 func (c *demoCommand) staying(also trace.Observer, progressDisplay *progressDisplay, s *streams, places *process.Addresses, spec *scenario.Scenario) trace.Observer {
-	open, said := 0, false
+	open, reported := 0, false
 	return func(x *trace.Event) {
 		also(x)
 		switch x.Kind {
@@ -261,8 +261,8 @@
 		case trace.JobSettled:
 			open--
 		}
-		if !said && open == 0 && x.At >= spec.Length.Std() {
-			said = true
+		if !reported && open == 0 && x.At >= spec.Length.Std() {
+			reported = true
 			progressDisplay.printLine(s.err, demoInstructions(places, spec))
 		}
 	}
--- a/internal/testbed/checker/explanation.go
+++ b/internal/testbed/checker/explanation.go
@@ -260,13 +260,13 @@
 		}
 		return "begins at " + node + which
 	case trace.AttemptFinished:
-		made := ""
+		result := ""
 		for i := range b.attempts {
 			if a := &b.attempts[i]; e.status == 200 && a.worker == int(e.worker) && a.request == int(e.request) {
-				made = fmt.Sprintf(", %q", truncate(a.result))
+				result = fmt.Sprintf(", %q", truncate(a.result))
 			}
 		}
-		return fmt.Sprintf("has run at %s: %d%s%s", node, e.status, made, which)
+		return fmt.Sprintf("has run at %s: %d%s%s", node, e.status, result, which)
 	case trace.AttemptReturned:
 		return "handed back unstarted by " + node + which
 	case trace.AttemptDied:
--- a/internal/testbed/checker/history.go
+++ b/internal/testbed/checker/history.go
@@ -47,9 +47,9 @@
 		log      [14]logEntry
 	}
 	const many = 32
-	rooms, jobs := make([]room, many), make([]*job, many)
-	for i := range rooms {
-		r := &rooms[i]
+	blocks, jobs := make([]room, many), make([]*job, many)
+	for i := range blocks {
+		r := &blocks[i]
 		r.job.requests, r.job.attempts, r.job.log = r.requests[:0], r.attempts[:0], r.log[:0]
 		jobs[i] = &r.job
 	}
--- a/internal/testbed/checker/legal_test.go
+++ b/internal/testbed/checker/legal_test.go
@@ -109,12 +109,12 @@
 	first := h.at
 	h.wait(time.Millisecond)
 	h.see(trace.Event{Kind: trace.AttemptReceived, RequestID: call, Worker: node, FirstByteAt: first, IdempotencyKey: "k" + call})
-	end := func(s trace.Event, note string) {
+	end := func(s trace.Event, callback string) {
 		s.RequestID, s.Worker = call, node
 		h.see(s)
 		h.wait(time.Millisecond)
-		if note != "" {
-			h.see(trace.Event{Kind: trace.CallbackAnswered, RequestID: call, Worker: node, Text: note, Status: 204})
+		if callback != "" {
+			h.see(trace.Event{Kind: trace.CallbackAnswered, RequestID: call, Worker: node, Text: callback, Status: 204})
 		}
 	}
 	switch h.draw(5) {
--- a/internal/testbed/checker/rules.go
+++ b/internal/testbed/checker/rules.go
@@ -151,9 +151,9 @@
 	j.counts.Attempts++
 	j.checkCounts[ruleDrain]++
 	if c := j.scheduler(s.Scheduler); len(c.drainNotifiedAt) > 0 {
-		if told, ok := c.drainNotifiedAt[s.Worker]; ok && s.FirstByteAt > j.noticedAt(c, told)+j.drainGrace+j.observationLateness() {
+		if notified, ok := c.drainNotifiedAt[s.Worker]; ok && s.FirstByteAt > j.noticedAt(c, notified)+j.drainGrace+j.observationLateness() {
 			j.report(ruleDrain, b, t.id, "sent to w-%d %v after scheduler %d was told that it drains or is gone",
-				s.Worker, s.FirstByteAt-told, s.Scheduler)
+				s.Worker, s.FirstByteAt-notified, s.Scheduler)
 		}
 	}
 	t.attemptCount++
@@ -184,13 +184,13 @@
 
 // noticedAt is when a scheduler can have heard what was written to it: one that is frozen reads nothing, and what it had
 // begun before goes on when it wakes.
-func (j *Checker) noticedAt(c *scheduler, told time.Duration) time.Duration {
+func (j *Checker) noticedAt(c *scheduler, notified time.Duration) time.Duration {
 	for _, f := range c.freezes {
-		if told+j.drainGrace >= f.start && told < f.end && f.end < forever {
-			told = f.end
+		if notified+j.drainGrace >= f.start && notified < f.end && f.end < forever {
+			notified = f.end
 		}
 	}
-	return told
+	return notified
 }
 
 // isRepeatable tells whether trying again is harmless whatever has run.
@@ -441,11 +441,11 @@
 func (j *Checker) objectiveHorizon(b *job, t *request) time.Duration {
 	c, budget := b.class, t.deadline-t.sentAt
 	work := float64(max(b.work, c.meanWork)) * j.estimateFactor
-	aim := float64(c.objective) + c.objectiveStretch*work
+	objective := float64(c.objective) + c.objectiveStretch*work
 	if c.objectiveStretch > 0 {
-		aim = min(aim, float64(budget)-float64(budget-c.objective)/(j.heavyFactor*j.maxSpeed*c.objectiveStretch))
+		objective = min(objective, float64(budget)-float64(budget-c.objective)/(j.heavyFactor*j.maxSpeed*c.objectiveStretch))
 	}
-	return min(time.Duration(aim), budget)
+	return min(time.Duration(objective), budget)
 }
 
 // ---- Overlaps ----
--- a/internal/testbed/environment/arrivals.go
+++ b/internal/testbed/environment/arrivals.go
@@ -126,7 +126,7 @@
 
 func (s *arrivalStream) scheduleNext() {
 	gap := s.rng.ExpFloat64() / s.rate
-	if left := (s.arrivals.length - s.at).Seconds(); gap >= left {
+	if remaining := (s.arrivals.length - s.at).Seconds(); gap >= remaining {
 		return
 	}
 	s.at += time.Duration(gap * float64(time.Second))
--- a/internal/testbed/environment/arrivals_test.go
+++ b/internal/testbed/environment/arrivals_test.go
@@ -28,7 +28,7 @@
 	spec.Load.CapacityShare, spec.Load.Rate, spec.Tenants[2].Usage = 0, 40, 2
 	spec.Classes[0].Distribution, spec.Classes[1].Distribution, spec.Classes[2].Distribution = "exp", "pareto", "fixed"
 	counts, work, square := map[[2]int]int{}, [4]float64{}, [4]float64{}
-	slots, over := map[float64]int{}, [3]int{}
+	slots, ended := map[float64]int{}, [3]int{}
 	n := [4]int{}
 	for _, o := range dues(spec, 5, nil) {
 		counts[[2]int{o.Class, o.Tenant}]++
@@ -39,7 +39,7 @@
 			slots[o.Slots]++
 		}
 		if o.OverQuota {
-			over[o.Tenant]++
+			ended[o.Tenant]++
 		}
 	}
 	for i, c := range spec.Classes {
@@ -62,9 +62,9 @@
 	}
 	// 28.4 jobs a second are within shares: each of the three asks for more than its own, the third for thrice it.
 	for i, tenant := range spec.Tenants {
-		asked := 40 * tenant.Quota * tenant.Usage
-		if want := (asked - spec.QuotaRate(i)) * 400; math.Abs(float64(over[i])/want-1) > 0.15 {
-			t.Errorf("%s: %d jobs beyond its share, not %v", tenant.Name, over[i], want)
+		sent := 40 * tenant.Quota * tenant.Usage
+		if want := (sent - spec.QuotaRate(i)) * 400; math.Abs(float64(ended[i])/want-1) > 0.15 {
+			t.Errorf("%s: %d jobs beyond its share, not %v", tenant.Name, ended[i], want)
 		}
 	}
 }
--- a/internal/testbed/environment/clients.go
+++ b/internal/testbed/environment/clients.go
@@ -179,10 +179,10 @@
 	if class.idempotentWithKey {
 		job.key = c.idempotencyKey(job.number)
 	}
-	aim := min(class.LatencyObjective.Std()+time.Duration(class.ObjectiveStretch*job.work*float64(time.Second)), class.Deadline.Std())
+	objective := min(class.LatencyObjective.Std()+time.Duration(class.ObjectiveStretch*job.work*float64(time.Second)), class.Deadline.Std())
 	c.env.record(trace.Event{
 		Kind: trace.JobDue, JobID: job.number, Class: job.class, Tenant: job.tenant, Work: job.work, Slots: job.slots,
-		IdempotencyKey: job.key, LatencyObjective: aim, Deadline: class.Deadline.Std(), OverQuota: c.arrivals.isOverQuota(job.tenant, c.env.now), Lateness: c.env.now - meant,
+		IdempotencyKey: job.key, LatencyObjective: objective, Deadline: class.Deadline.Std(), OverQuota: c.arrivals.isOverQuota(job.tenant, c.env.now), Lateness: c.env.now - meant,
 	})
 	class.deadlines.add(job.number)
 	if job.leavesAfter > 0 {
@@ -423,15 +423,15 @@
 		Kind: trace.ResponseReceived, Status: response.status, RetryAfter: response.retryAfter, Text: response.body, Scheduler: l.conn.scheduler,
 		Conn: uint64(l.conn.id),
 	}
-	mine := t != nil && t.id == response.requestID
-	if mine {
+	own := t != nil && t.id == response.requestID
+	if own {
 		event = clients.describe(t, event)
 	} else if o := clients.findRequest(response.requestID); o != nil {
 		event = clients.describe(o, event)
 	}
 	event.RequestID = response.requestID
 	clients.env.record(event)
-	if !mine {
+	if !own {
 		if t == nil {
 			l.close() // it can't be trusted any more
 		}
--- a/internal/testbed/environment/clients_test.go
+++ b/internal/testbed/environment/clients_test.go
@@ -35,8 +35,8 @@
 	m := newWitness(spec, s)
 	t.check = m.see
 	t.begin()
-	var asked []simapi.Input
-	open, heard := map[simapi.Conn]bool{}, map[string]bool{}
+	var sent []simapi.Input
+	open, received := map[simapi.Conn]bool{}, map[string]bool{}
 	act := func(in *simapi.Input) {
 		load := t.w.balancer.connCounts
 		s.Check(t.w.schedulers[in.Scheduler].alive, "a dead scheduler hears something")
@@ -47,15 +47,15 @@
 		s.Check(len(in.Request.RequestID) == 16 && len(in.Request.IdempotencyKey)%32 == 0, "id %q, key %q", in.Request.RequestID, in.Request.IdempotencyKey)
 		q := t.w.clients.findRequest(in.Request.RequestID)
 		s.Check(q != nil && q.id == in.Request.RequestID && q.jobID == m.calls[q.id], "an asked query is not found")
-		s.Check(!heard[q.id], "a query that was read comes again")
-		heard[q.id] = true
-		asked = append(asked, *in)
+		s.Check(!received[q.id], "a query that was read comes again")
+		received[q.id] = true
+		sent = append(sent, *in)
 	}
 	heal := func() {}
 	for s.More() {
 		var q *simapi.Input
-		if len(asked) > 0 {
-			q = &asked[s.Pick(len(asked))]
+		if len(sent) > 0 {
+			q = &sent[s.Pick(len(sent))]
 		}
 		switch what := s.Pick(24); {
 		case what < 8 || q == nil:
@@ -97,7 +97,7 @@
 
 // What falls due is the same whatever schedulers answer, and so are the ids of tries.
 func TestArrivalsDoNotDependOnAnswers(t *testing.T) {
-	play := func(act func(t *stage, in *simapi.Input)) (due []trace.Event, ids map[string]uint64) {
+	play := func(act func(t *stage, in *simapi.Input)) (dueAt []trace.Event, ids map[string]uint64) {
 		spec := calm(2, 20*time.Second)
 		spec.Load.Shape, spec.Load.Swing, spec.Clients.Impatient = "bursty", 0.6, 0.1
 		s := newStage(spec, 7).begin()
@@ -176,12 +176,12 @@
 			defer s.w.clients.startRetryStorm(4)()
 		}
 		s.end(answers(s, 800*time.Millisecond, 503, 429, 200))
-		asked, settled := s.of(trace.RequestSent), s.of(trace.JobSettled)
-		if len(asked) != 3 || asked[0].RequestID == asked[1].RequestID || settled[0].Status != 200 {
-			t.Fatalf("%s: asked %d times, settled with %d", c.name, len(asked), settled[0].Status)
+		sent, settled := s.of(trace.RequestSent), s.of(trace.JobSettled)
+		if len(sent) != 3 || sent[0].RequestID == sent[1].RequestID || settled[0].Status != 200 {
+			t.Fatalf("%s: asked %d times, settled with %d", c.name, len(sent), settled[0].Status)
 		}
 		for i, grown := range []time.Duration{1, c.grows} {
-			if wait := asked[i+1].At - s.of(trace.ResponseReceived)[i].At; wait < c.least*grown || wait > c.most*grown {
+			if wait := sent[i+1].At - s.of(trace.ResponseReceived)[i].At; wait < c.least*grown || wait > c.most*grown {
 				t.Errorf("%s: came back after %v", c.name, wait)
 			}
 		}
@@ -208,11 +208,11 @@
 			s.outs = append(s.outs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: in.Scheduler, Conn: in.Conn})
 		}
 	})
-	asked, lost := s.of(trace.RequestSent), s.of(trace.ConnectionLost)
-	if len(asked) != 3 || asked[1].RequestID != asked[2].RequestID || asked[1].Conn == asked[2].Conn {
-		t.Fatalf("asked %+v", asked)
+	sent, lost := s.of(trace.RequestSent), s.of(trace.ConnectionLost)
+	if len(sent) != 3 || sent[1].RequestID != sent[2].RequestID || sent[1].Conn == sent[2].Conn {
+		t.Fatalf("asked %+v", sent)
 	}
-	if len(lost) != 1 || lost[0].Conn != asked[2].Conn || len(s.of(trace.JobSettled)) != 2 {
+	if len(lost) != 1 || lost[0].Conn != sent[2].Conn || len(s.of(trace.JobSettled)) != 2 {
 		t.Errorf("lost %+v, settled %d", lost, len(s.of(trace.JobSettled)))
 	}
 }
@@ -229,9 +229,9 @@
 			s.outs = append(s.outs, simapi.Output{Kind: simapi.ClientConnClosed, Conn: in.Conn})
 		}
 	})
-	asked, got := s.of(trace.RequestSent), s.of(trace.ResponseReceived)
-	if len(asked) != 2 || len(got) != 2 || asked[1].At < got[0].At || asked[0].Conn == asked[1].Conn {
-		t.Errorf("asked %+v, answered %+v", asked, got)
+	sent, got := s.of(trace.RequestSent), s.of(trace.ResponseReceived)
+	if len(sent) != 2 || len(got) != 2 || sent[1].At < got[0].At || sent[0].Conn == sent[1].Conn {
+		t.Errorf("asked %+v, answered %+v", sent, got)
 	}
 }
 
@@ -327,10 +327,10 @@
 		}
 	}
 	for second := range 10 {
-		refused, asked := counts[trace.SchedulerUnreachable][second], counts[trace.RequestSent][second]
+		refused, sent := counts[trace.SchedulerUnreachable][second], counts[trace.RequestSent][second]
 		dead, unseen := second >= 3 && second < 8, second == 3 || second == 4
-		if (refused[0] > 30) != unseen || refused[1] > 0 || (asked[0] > 30) == dead || asked[1] < 30 {
-			t.Errorf("second %d: refused %v, asked %v", second, refused, asked)
+		if (refused[0] > 30) != unseen || refused[1] > 0 || (sent[0] > 30) == dead || sent[1] < 30 {
+			t.Errorf("second %d: refused %v, asked %v", second, refused, sent)
 		}
 	}
 	// A death that is over before it is noticed never is.
--- a/internal/testbed/environment/discovery.go
+++ b/internal/testbed/environment/discovery.go
@@ -233,8 +233,8 @@
 	}
 	d.publishPlanned = true
 	period := d.env.Spec.Discovery.Period.Std()
-	turns := (d.env.now-d.phase)/period + 1
-	d.env.schedule(max(d.env.now, d.phase+turns*period), d.publish)
+	iterations := (d.env.now-d.phase)/period + 1
+	d.env.schedule(max(d.env.now, d.phase+iterations*period), d.publish)
 }
 
 // publish makes the next generation of what is new.
@@ -503,11 +503,11 @@
 		d.env.after(d.drawNoticeDelay(n, lifeStarted), func() {
 			var held []lifeEventNotice
 			d.heldEvents = slices.DeleteFunc(d.heldEvents, func(x lifeEventNotice) bool {
-				mine := d.entries[x.entry].worker == n && d.cutCounts[n] == 0
-				if mine {
+				own := d.entries[x.entry].worker == n && d.cutCounts[n] == 0
+				if own {
 					held = append(held, x)
 				}
-				return mine
+				return own
 			})
 			for _, x := range held {
 				d.applyNotice(x)
@@ -528,10 +528,10 @@
 // countFaults counts one more of something for each of some workers, until undo; first and last are for those of which
 // there was none, and is none any more.
 func (d *discovery) countFaults(counts []int, nodes []int, first, last func(n int)) (undo func()) {
-	step := func(by, edge int, turn func(n int)) {
+	step := func(by, edge int, iteration func(n int)) {
 		for _, n := range nodes {
-			if counts[n] += by; counts[n] == edge && turn != nil {
-				turn(n)
+			if counts[n] += by; counts[n] == edge && iteration != nil {
+				iteration(n)
 			}
 			d.markChanged(d.entryOf[n])
 		}
--- a/internal/testbed/environment/discovery_test.go
+++ b/internal/testbed/environment/discovery_test.go
@@ -105,24 +105,24 @@
 	for i, x := range f.scheds {
 		s.Check(x.gen == d.revision, "scheduler %d has generation %d of %d", i, x.gen, d.revision)
 		s.Check(maps.Equal(x.list, want), "scheduler %d has %v, and so it is: %v", i, x.list, want)
-		told := map[int]trace.Kind{}
+		notified := map[int]trace.Kind{}
 		for _, e := range f.all(0, trace.SchedulerStarted, trace.DrainNotified, trace.StartNotified) {
 			if e.Scheduler != i {
 				continue
 			}
 			if e.Kind == trace.SchedulerStarted {
-				told = map[int]trace.Kind{}
+				notified = map[int]trace.Kind{}
 				continue
 			}
-			s.Check(e.Kind == trace.StartNotified || told[e.Worker] != e.Kind || f.w.workers[e.Worker].incarnation > 1,
+			s.Check(e.Kind == trace.StartNotified || notified[e.Worker] != e.Kind || f.w.workers[e.Worker].incarnation > 1,
 				"told twice of the drain of a worker node that never started again")
-			told[e.Worker] = e.Kind
+			notified[e.Worker] = e.Kind
 		}
 		for _, n := range f.w.workers {
 			h, listed := want[n.id]
 			s.Check(!listed || d.knowsStart(i, n), "scheduler %d was not told of %s", i, n.id)
-			s.Check((told[n.number] == trace.DrainNotified) == (!listed && told[n.number] != 0 || h.Lifecycle == "draining"),
-				"scheduler %d: %s is %q, and was last told of by sight %d", i, n.id, h.Lifecycle, told[n.number])
+			s.Check((notified[n.number] == trace.DrainNotified) == (!listed && notified[n.number] != 0 || h.Lifecycle == "draining"),
+				"scheduler %d: %s is %q, and was last told of by sight %d", i, n.id, h.Lifecycle, notified[n.number])
 		}
 	}
 	s.Check(len(d.heldEvents) == 0 && len(d.calls) == 0 && d.serving == nil && d.noticeDelay == 0, "something is left over")
@@ -181,10 +181,10 @@
 			f.do(func() { x.after(f) })
 		}
 		f.run(45 * time.Second)
-		told := f.all(0, trace.DrainNotified)
-		if len(told) != 1 || told[0].Worker != 2 || told[0].At < listed+x.from-2*time.Millisecond ||
-			told[0].At > listed+x.until {
-			t.Errorf("%s: listed at %v, told: %v", name, listed, told)
+		notified := f.all(0, trace.DrainNotified)
+		if len(notified) != 1 || notified[0].Worker != 2 || notified[0].At < listed+x.from-2*time.Millisecond ||
+			notified[0].At > listed+x.until {
+			t.Errorf("%s: listed at %v, told: %v", name, listed, notified)
 		}
 	}
 }
@@ -279,9 +279,9 @@
 			t.Errorf("%s: heard %q, and should have %q", name, got, x.want)
 		}
 		// What is new in a line that is heard counts as told, and once.
-		news := strings.Count(x.want, "up") + strings.Count(x.want, "removed")
-		if told := f.all(0, trace.DrainNotified, trace.StartNotified); len(told) != news {
-			t.Errorf("%s: counts as told: %v", name, told)
+		updates := strings.Count(x.want, "up") + strings.Count(x.want, "removed")
+		if notified := f.all(0, trace.DrainNotified, trace.StartNotified); len(notified) != updates {
+			t.Errorf("%s: counts as told: %v", name, notified)
 		}
 	}
 }
--- a/internal/testbed/environment/event_queue_test.go
+++ b/internal/testbed/environment/event_queue_test.go
@@ -49,7 +49,7 @@
 // The case that once failed, laid out as the heap holds it: under the ninth entry the scan for the least child ran on,
 // from one that was less to the next, until it came to the thirteenth's children, which are less than what had gone up.
 func TestAgendaTakesAChild(t *testing.T) {
-	rows := []struct{ n, at int }{
+	lines := []struct{ n, at int }{
 		{1, 0},
 		{1, 1},
 		{1, 2},
@@ -80,7 +80,7 @@
 		{4, 200},
 	}
 	var a eventQueue
-	for _, r := range rows {
+	for _, r := range lines {
 		for range r.n {
 			a.schedule(time.Duration(r.at), func() {})
 		}
--- a/internal/testbed/environment/faults.go
+++ b/internal/testbed/environment/faults.go
@@ -146,13 +146,13 @@
 	}
 }
 
-func (x *activeFault) spread(targets []int, strike func(n int)) {
+func (x *activeFault) spread(targets []int, apply func(n int)) {
 	if x.remaining = len(targets); x.remaining == 0 {
 		x.remaining = 1
 		x.end()
 	}
 	for i, n := range targets {
-		x.timeline.env.after(x.Spread.Std()*time.Duration(i)/time.Duration(len(targets)), func() { strike(n) })
+		x.timeline.env.after(x.Spread.Std()*time.Duration(i)/time.Duration(len(targets)), func() { apply(n) })
 	}
 }
 
--- a/internal/testbed/environment/misbehaving.go
+++ b/internal/testbed/environment/misbehaving.go
@@ -46,7 +46,7 @@
 		return
 	}
 	gap := m.rng.ExpFloat64() / m.spec.Rate
-	if left := (m.until - m.nextAt).Seconds(); gap >= left {
+	if remaining := (m.until - m.nextAt).Seconds(); gap >= remaining {
 		return
 	}
 	m.nextAt += time.Duration(gap * float64(time.Second))
--- a/internal/testbed/environment/network_test.go
+++ b/internal/testbed/environment/network_test.go
@@ -130,15 +130,15 @@
 
 func TestSendWaitsForACut(t *testing.T) {
 	spec, _ := plain(1)
-	r, came := newRig(t, spec, 1), time.Duration(-1)
+	r, arrived := newRig(t, spec, 1), time.Duration(-1)
 	scheds, disco := endpointGroup{kind: schedulerEndpoint}, endpointGroup{kind: discoveryEndpoint}
 	back, there := r.w.network.partition(disco, scheds, true), r.w.network.partition(scheds, disco, true)
-	r.w.network.send(endpoint{schedulerEndpoint, 0}, endpoint{discoveryEndpoint, 0}, func() { came = r.w.now })
+	r.w.network.send(endpoint{schedulerEndpoint, 0}, endpoint{discoveryEndpoint, 0}, func() { arrived = r.w.now })
 	r.pass(time.Second)
 	back()
 	r.pass(time.Second)
 	there()
-	if r.pass(time.Second); came != 2*time.Second {
-		t.Fatalf("arrived at %v", came)
+	if r.pass(time.Second); arrived != 2*time.Second {
+		t.Fatalf("arrived at %v", arrived)
 	}
 }
--- a/internal/testbed/environment/scheduler_views.go
+++ b/internal/testbed/environment/scheduler_views.go
@@ -128,20 +128,20 @@
 	}
 	if watchMessage.reset {
 		next := 0
-		for i, had := range v.versions {
+		for i, previous := range v.versions {
 			if next < len(watchMessage.entries) && watchMessage.entries[next] == i {
 				next++
 				continue
 			}
 			// A start may have counted as told and never have arrived.
-			gone := version{endpointAbsent, had.incarnation, had.startedMs}
+			closed := version{endpointAbsent, previous.incarnation, previous.startedMs}
 			if n := v.discovery.entries[i].worker; v.discovery.entryOf[n] == i {
-				gone.incarnation = max(gone.incarnation, v.knownStarts[n])
-			} else if had.state == endpointAbsent {
+				closed.incarnation = max(closed.incarnation, v.knownStarts[n])
+			} else if previous.state == endpointAbsent {
 				continue
 			}
-			v.versions[i] = gone
-			v.learn(i, gone)
+			v.versions[i] = closed
+			v.learn(i, closed)
 		}
 	}
 	for i, e := range watchMessage.entries {
@@ -149,13 +149,13 @@
 		v.learn(e, watchMessage.versions[i])
 	}
 	v.revision = watchMessage.revision
-	left := v.pending[:0]
+	remaining := v.pending[:0]
 	for _, c := range v.pending {
 		if c.revision > watchMessage.revision {
-			left = append(left, c)
+			remaining = append(remaining, c)
 		}
 	}
-	v.pending = left
+	v.pending = remaining
 }
 
 // learn has a version of an entry count as told. What was said of a process before the last one told says nothing.
@@ -227,15 +227,15 @@
 		v.pending = v.pending[:0]
 		return
 	}
-	left := v.pending[:0]
+	remaining := v.pending[:0]
 	for i := range v.pending {
 		if c := v.pending[i]; late(&c) {
 			v.learn(c.entry, c.version)
 		} else {
-			left = append(left, c)
+			remaining = append(remaining, c)
 		}
 	}
-	v.pending = left
+	v.pending = remaining
 }
 
 // reloaded is told that the scheduler was sent a SIGHUP.
--- a/internal/testbed/environment/schedulers_test.go
+++ b/internal/testbed/environment/schedulers_test.go
@@ -104,8 +104,8 @@
 	if len(states) != 29 || states["w-3"] != "draining" || states["w-7"] != "" || states["w-4"] != "up" {
 		t.Errorf("known: %v", states)
 	}
-	if told := f.all(0, trace.DrainNotified); len(told) < 3 || told[len(told)-3].Worker+told[len(told)-2].Worker != 3+4 {
-		t.Errorf("told: %v", told) // w-3 again by its start, w-4 by the watch of either
+	if notified := f.all(0, trace.DrainNotified); len(notified) < 3 || notified[len(notified)-3].Worker+notified[len(notified)-2].Worker != 3+4 {
+		t.Errorf("told: %v", notified) // w-3 again by its start, w-4 by the watch of either
 	}
 }
 
--- a/internal/testbed/environment/worker_attempts.go
+++ b/internal/testbed/environment/worker_attempts.go
@@ -212,16 +212,16 @@
 	if n.kind.ExpiredJobs != "drop" || n.hanging {
 		return false
 	}
-	swept := false
+	varied := false
 	for i := 0; i < len(n.queue); {
 		if a := n.queue[i]; a.expiresAt > 0 && a.expiresAt <= n.env.now {
 			n.expireAttempt(a)
-			swept = true
+			varied = true
 		} else {
 			i++
 		}
 	}
-	return swept && n.hasRoom(slots)
+	return varied && n.hasRoom(slots)
 }
 
 func (n *worker) expireAttempt(a *attempt) {
--- a/internal/testbed/environment/worker_conns.go
+++ b/internal/testbed/environment/worker_conns.go
@@ -79,12 +79,12 @@
 		if workerConn.abandoned {
 			return
 		}
-		left := workerConn.conn.lastUsed + n.kind.ConnIdleTimeout.Std() - n.env.now
+		remaining := workerConn.conn.lastUsed + n.kind.ConnIdleTimeout.Std() - n.env.now
 		if workerConn.awaitingAnswer != nil || workerConn.reading > 0 || n.isPaused() {
-			left = max(left, n.kind.ConnIdleTimeout.Std()/2)
+			remaining = max(remaining, n.kind.ConnIdleTimeout.Std()/2)
 		}
-		if left > 0 {
-			n.closeWhenIdle(workerConn, left)
+		if remaining > 0 {
+			n.closeWhenIdle(workerConn, remaining)
 			return
 		}
 		n.closeConn(workerConn)
--- a/internal/testbed/environment/worker_lifecycle.go
+++ b/internal/testbed/environment/worker_lifecycle.go
@@ -57,9 +57,9 @@
 
 // afterUnlessChanged does something after a while, unless its life takes another turn before.
 func (n *worker) afterUnlessChanged(after time.Duration, do func()) {
-	turn := n.lifeTurn
+	iteration := n.lifeTurn
 	n.env.after(after, func() {
-		if n.lifeTurn == turn {
+		if n.lifeTurn == iteration {
 			do()
 		}
 	})
--- a/internal/testbed/environment/workers_test.go
+++ b/internal/testbed/environment/workers_test.go
@@ -70,11 +70,11 @@
 	case trace.WorkerHung, trace.WorkerStarted:
 		m.hung = x.Kind == trace.WorkerHung
 	}
-	room := m.kind.Queue + 1 // that one is on its way from reached to its fate
+	space := m.kind.Queue + 1 // that one is on its way from reached to its fate
 	if m.hung {
-		room += m.kind.Slots
+		space += m.kind.Slots
 	}
-	check(len(m.in)-len(m.begun) <= room, "room that there is not")
+	check(len(m.in)-len(m.begun) <= space, "room that there is not")
 }
 
 // FuzzNode puts a worker and the model through random requests and faults.
@@ -194,9 +194,9 @@
 	k.WarmUpCapacity, k.WarmUp, k.Queue, spec.Rules.OverloadFactor = 0.25, scenario.Duration(time.Hour), 1, 3
 	budget := 6 + 1.25*spec.MeanCost()
 	var r *rig
-	play := func(each time.Duration, work float64, told bool) time.Duration {
+	play := func(each time.Duration, work float64, notified bool) time.Duration {
 		r = newRig(t, spec, 1)
-		r.told = told
+		r.told = notified
 		r.w.workers[0].crash(time.Second)
 		r.run(time.Second)
 		for i := range 200 {
@@ -204,8 +204,8 @@
 			r.pass(each)
 		}
 		s, ok := r.first(trace.WorkerOverloaded, "")
-		if ok && s.Share != map[bool]float64{true: 1}[told] {
-			t.Fatalf("share of those told is %v, told %v", s.Share, told)
+		if ok && s.Share != map[bool]float64{true: 1}[notified] {
+			t.Fatalf("share of those told is %v, told %v", s.Share, notified)
 		}
 		return s.At - time.Second
 	}
@@ -238,31 +238,31 @@
 		answers = answers[1:]
 		return x, x >= 0
 	}
-	ask := func(call string, work float64, d time.Duration) {
+	request := func(call string, work float64, d time.Duration) {
 		r.ask(0, call, safeClass, work, 1)
 		r.pass(d)
 	}
 	answers = []int{500, 0, -1, 200}
-	ask("a", 0.1, time.Minute)
+	request("a", 0.1, time.Minute)
 	r.notes("a", "started", "done", "done", "done", "done")
 	answers = slices.Repeat([]int{503, -1}, 9)
-	ask("b", 0.1, time.Minute)
+	request("b", 0.1, time.Minute)
 	if s, _ := r.first(trace.CallbackLost, "b"); s.Text != "done" || len(answers) != 8 {
 		t.Fatalf("%q was given up with %d answers left", s.Text, len(answers))
 	}
 	answers = nil
 	// To a scheduler that is gone there is no answer; the one that runs there later gets the callback.
 	r.w.schedulers[0].alive = false
-	ask("c", 0.1, 5*time.Second)
+	request("c", 0.1, 5*time.Second)
 	r.w.schedulers[0].alive = true
 	r.pass(5 * time.Second)
 	r.notes("c", "started", "done")
 	// What is not told while it is mute stays untold; what a hang holds up is told after that.
 	n := r.w.workers[0]
 	n.setMute(true)
-	ask("d", 0.1, time.Second)
+	request("d", 0.1, time.Second)
 	n.setMute(false)
-	ask("e", 1, 500*ms)
+	request("e", 1, 500*ms)
 	n.setHang(true)
 	r.pass(time.Minute)
 	r.notes("d")
@@ -279,7 +279,7 @@
 	k.Accept, k.CallbackEarlyShare, k.CallbackTwiceShare = scenario.Duration(50*ms), 0.5, 1
 	for i := range 40 {
 		call, at := fmt.Sprint(i), r.w.now
-		ask(call, 0.01, time.Second)
+		request(call, 0.01, time.Second)
 		r.must(trace.AttemptAccepted, call, at+50*ms)
 		r.notes(call, "started", "done", "started", "done")
 		if s, _ := r.first(trace.CallbackAnswered, call); s.At < at+50*ms {
@@ -295,7 +295,7 @@
 	spec, _ := plain(8)
 	spec.Fleet.CellSize = 4
 	r := newRig(t, spec, 1)
-	ask := func(node int, call string) {
+	request := func(node int, call string) {
 		r.query(call, keyedClass, 1, 1)
 		r.tries[call].key = "key"
 		r.ask(node, call, keyedClass, 1, 1)
@@ -309,16 +309,16 @@
 			t.Fatalf("%q ended with %q, want the result of %q", call, s.Text, first)
 		}
 	}
-	ask(0, "a")
+	request(0, "a")
 	r.pass(500 * ms)
-	ask(1, "b")
-	ask(4, "c") // in the other cell
+	request(1, "b")
+	request(4, "c") // in the other cell
 	r.run(19 * time.Second)
-	ask(2, "d")
+	request(2, "d")
 	r.run(21 * time.Second)
-	ask(2, "e") // after its window
-	ask(3, "f")
-	ask(1, "g")
+	request(2, "e") // after its window
+	request(3, "f")
+	request(1, "g")
 	r.pass(500 * ms)
 	r.w.workers[2].crash(0) // the repeat that waits for it takes its place; the next one waits for that
 	r.pass(5 * time.Second)
@@ -346,8 +346,8 @@
 	spec, k := plain(1)
 	k.ConnLimit, k.ConnIdleTimeout, k.Handshake = 2, scenario.Duration(time.Second), scenario.Duration(20*ms)
 	r := newRig(t, spec, 1)
-	n, ask := r.w.workers[0], func(call string) simapi.Conn { return r.ask(0, call, safeClass, 0.01, 1) }
-	a, b, c := ask("a"), ask("b"), ask("above the cap")
+	n, request := r.w.workers[0], func(call string) simapi.Conn { return r.ask(0, call, safeClass, 0.01, 1) }
+	a, b, c := request("a"), request("b"), request("above the cap")
 	if r.last(b, simapi.WorkerConnected); r.last(c, simapi.WorkerDisconnected).Reset {
 		t.Fatal("one that did not come up looks like one that was reset")
 	}
@@ -358,17 +358,17 @@
 		t.Fatal("the idle one does not look like one that was reset")
 	}
 	r.do(func() { n.setRefusing(true) })
-	r.last(ask("refused"), simapi.WorkerDisconnected)
+	r.last(request("refused"), simapi.WorkerDisconnected)
 	r.do(func() { n.setRefusing(false) })
 	r.do(func() { n.setSilent(true) })
-	r.last(ask("silent"), 0)
+	r.last(request("silent"), 0)
 	r.do(func() { n.setSilent(false) })
 	n.setResetBytes(8)
-	if in := r.last(ask("reset while it is read"), simapi.WorkerConnected); in.Bytes != 8 {
+	if in := r.last(request("reset while it is read"), simapi.WorkerConnected); in.Bytes != 8 {
 		t.Fatalf("%+v", in)
 	}
 	n.setResetBytes(-9)
-	c = ask("reset in its answer")
+	c = request("reset in its answer")
 	r.pass(100 * ms)
 	r.last(c, simapi.WorkerDisconnected)
 	if i := slices.IndexFunc(r.ins, func(in simapi.Input) bool { return in.Bytes == 9 }); r.ins[i].Kind != simapi.ResponseReceived {
@@ -377,7 +377,7 @@
 	n.setSlowRead(true)
 	r.pass(2 * time.Second)
 	at := r.w.now
-	ask("slow")
+	request("slow")
 	r.pass(2 * time.Second)
 	r.must(trace.AttemptReceived, "slow", at+1020*ms)
 	if r.ins = slices.DeleteFunc(r.ins, func(in simapi.Input) bool { return in.Kind != simapi.AcceptModeChanged }); len(r.ins) != 4 ||
@@ -510,7 +510,7 @@
 }
 
 // load sends so many requests to random workers, and has some of these crash.
-func (r *rig) load(queries int, each, crashes time.Duration) {
+func (r *rig) load(requests int, each, crashes time.Duration) {
 	rng, conns := r.w.rng("load", 0), make([]simapi.Conn, len(r.w.workers))
 	calls := make([]string, 1<<16)
 	for i := range calls {
@@ -518,7 +518,7 @@
 		r.query(calls[i], i%4, 0.1*rng.ExpFloat64(), float64(1+i%2))
 	}
 	down := crashes
-	for i := range queries {
+	for i := range requests {
 		n := rng.IntN(len(conns))
 		if r.w.conns[conns[n]] == nil {
 			conns[n] = r.dial(n%len(r.w.schedulers), n)
--- a/internal/testbed/experiment/agree.go
+++ b/internal/testbed/experiment/agree.go
@@ -55,7 +55,7 @@
 }
 
 // Run plays them: virtual ones first.
-func (a *Agreement) Run(ctx context.Context, told func(done, of int)) ([]AgreementResult, error) {
+func (a *Agreement) Run(ctx context.Context, notified func(done, of int)) ([]AgreementResult, error) {
 	var virtual, lives []Job
 	for _, spec := range a.Specs {
 		for _, seed := range append(a.Seeds[:len(a.Seeds):len(a.Seeds)], Seeds(1<<40, a.ExtraSimulations)...) {
@@ -69,8 +69,8 @@
 	}
 	of, done := len(virtual)+len(lives), 0
 	tick := func() {
-		if done++; told != nil {
-			told(done, of)
+		if done++; notified != nil {
+			notified(done, of)
 		}
 	}
 	agreed := make([]AgreementResult, len(a.Specs))
--- a/internal/testbed/experiment/aperture_test.go
+++ b/internal/testbed/experiment/aperture_test.go
@@ -50,14 +50,14 @@
 		return len(all), string(b)
 	}
 	whole, _ := met(spec, PolicyDispatch)
-	few, asked := met(spec, PolicyDispatch+ApertureSuffix+":"+keys)
+	few, sent := met(spec, PolicyDispatch+ApertureSuffix+":"+keys)
 	if few > whole*2/3 || few < 120 {
 		t.Errorf("%d pairs of scheduler and worker node are linked, %d without an aperture", few, whole)
 	}
-	if _, filed := met(inFile, PolicyDispatch); filed != asked {
+	if _, filed := met(inFile, PolicyDispatch); filed != sent {
 		t.Error("by the operators' file it is another play")
 	}
-	if _, other := met(spec, "least-outstanding"+ApertureSuffix+":"+keys); other == asked {
+	if _, other := met(spec, "least-outstanding"+ApertureSuffix+":"+keys); other == sent {
 		t.Error("a yardstick with an aperture plays as the module does")
 	}
 	for _, policy := range []string{"logic+aperturex", "logic+aperture:least=none", "none+aperture"} {
@@ -99,10 +99,10 @@
 	if _, err := simulation.Run(spec, 1, opt); err != nil {
 		t.Fatal(err)
 	}
-	var out, warnings bytes.Buffer
+	var outputs, warnings bytes.Buffer
 	held := rec.Dump()
-	n, err := capture.Replay(bytes.NewReader(held), config.Ops{}, &out, &warnings)
+	n, err := capture.Replay(bytes.NewReader(held), config.Ops{}, &outputs, &warnings)
 	if n != 0 || err != nil || warnings.Len() > 0 || bytes.Count(held, []byte(`"out":"send"`)) < 50 {
-		t.Errorf("%d differences in %d bytes, %v, %s:\n%.500s", n, len(held), err, warnings.String(), out.String())
+		t.Errorf("%d differences in %d bytes, %v, %s:\n%.500s", n, len(held), err, warnings.String(), outputs.String())
 	}
 }
--- a/internal/testbed/experiment/compare.go
+++ b/internal/testbed/experiment/compare.go
@@ -20,7 +20,7 @@
 // Run plays a contest: for each scenario and seed every subject, which meet the same environment. A run that is void with
 // one of them counts with none. There is a comparison for each scenario, and at the end one of all together if there
 // are several.
-func (c *Comparison) Run(ctx context.Context, told func(done, of int)) ([]*report.Comparison, error) {
+func (c *Comparison) Run(ctx context.Context, notified func(done, of int)) ([]*report.Comparison, error) {
 	var jobs []Job
 	for _, spec := range c.Specs {
 		for _, seed := range c.Seeds {
@@ -38,21 +38,21 @@
 		}
 		return x
 	}
-	var out []*report.Comparison
+	var outputs []*report.Comparison
 	for _, spec := range c.Specs {
-		out = append(out, fresh(spec.Name, spec.Description, string(scenario.Encode(spec))))
+		outputs = append(outputs, fresh(spec.Name, spec.Description, string(scenario.Encode(spec))))
 	}
 	all := fresh("all scenarios", "", "")
 	sides := len(c.Subjects)
-	row := make([]*RunResult, 0, sides)
+	line := make([]*RunResult, 0, sides)
 	err := Batch(ctx, jobs, c.Parallelism, func(i int, p *RunResult) error {
-		if told != nil {
-			told(i+1, len(jobs))
+		if notified != nil {
+			notified(i+1, len(jobs))
 		}
-		if row = append(row, p); len(row) == sides {
-			addResults(out[i/sides/len(c.Seeds)], row)
-			addResults(all, row)
-			row = row[:0]
+		if line = append(line, p); len(line) == sides {
+			addResults(outputs[i/sides/len(c.Seeds)], line)
+			addResults(all, line)
+			line = line[:0]
 		}
 		return nil
 	})
@@ -60,22 +60,22 @@
 		return nil, err
 	}
 	if len(c.Specs) > 1 {
-		out = append(out, all)
+		outputs = append(outputs, all)
 	}
-	return out, nil
+	return outputs, nil
 }
 
 // addResults enters the runs of one scenario and seed.
-func addResults(comparison *report.Comparison, row []*RunResult) {
+func addResults(comparison *report.Comparison, line []*RunResult) {
 	void := false
-	for i, p := range row {
+	for i, p := range line {
 		comparison.Sides[i].Broken += p.Violations()
 		if p.InvalidReason() != "" {
 			comparison.Sides[i].Invalid++
 			void = true
 		}
 	}
-	for i, p := range row {
+	for i, p := range line {
 		if !void {
 			comparison.Sides[i].Results = append(comparison.Sides[i].Results, p.Result())
 		}
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -251,13 +251,13 @@
 		"crash"), find(0.25, "cut"), rule} {
 		h.keep(got, f, 2)
 	}
-	var left []string
+	var remaining []string
 	for _, f := range got.Worst {
-		left = append(left, f.Description())
+		remaining = append(remaining, f.Description())
 	}
 	want := []string{"rule drain broken", "worth 0.000 where 0.500 can be had"}
-	if !slices.Equal(left, want) {
-		t.Errorf("kept %v", left)
+	if !slices.Equal(remaining, want) {
+		t.Errorf("kept %v", remaining)
 	}
 }
 
--- a/internal/testbed/experiment/other_build.go
+++ b/internal/testbed/experiment/other_build.go
@@ -33,24 +33,24 @@
 	}
 	cmd := exec.CommandContext(ctx, job.Subject.Testbed, args...)
 	cmd.Stdin = bytes.NewReader(scenario.Encode(spec))
-	out, errs := &boundedBuffer{limit: maxOutput}, &boundedBuffer{limit: 64 << 10}
-	cmd.Stdout, cmd.Stderr = out, errs
+	outputs, errs := &boundedBuffer{limit: maxOutput}, &boundedBuffer{limit: 64 << 10}
+	cmd.Stdout, cmd.Stderr = outputs, errs
 	// A run that did not go as expected exits with 1, and has its figures all the same.
 	if err := cmd.Run(); err != nil && cmd.ProcessState.ExitCode() != 1 {
 		return nil, fmt.Errorf("%s: %w: %s", job.Subject.Testbed, err, bytes.TrimSpace(errs.Bytes()))
 	}
-	var told struct { // expectations are for that build to hold its play to
+	var notified struct { // expectations are for that build to hold its play to
 		Result  *score.Result   `json:"result"`
 		Verdict *report.Verdict `json:"verdict"`
 	}
-	if err := json.Unmarshal(out.Bytes(), &told); err != nil {
+	if err := json.Unmarshal(outputs.Bytes(), &notified); err != nil {
 		return nil, fmt.Errorf("%s: its figures can't be read: %w", job.Subject.Testbed, err)
 	}
-	if told.Result == nil {
+	if notified.Result == nil {
 		return nil, fmt.Errorf("%s: it told no figures", job.Subject.Testbed)
 	}
-	p := &RunResult{Document: report.Document{Result: told.Result, Verdict: told.Verdict, Build: job.Subject.Name}}
-	if v := told.Verdict; v != nil {
+	p := &RunResult{Document: report.Document{Result: notified.Result, Verdict: notified.Verdict, Build: job.Subject.Name}}
+	if v := notified.Verdict; v != nil {
 		p.Verdict.Invalid = v.Invalid
 		p.Verdict.Rules = []checker.RuleCount{{Rule: "all", Violated: v.Total()}}
 	}
@@ -64,8 +64,8 @@
 }
 
 func (b *boundedBuffer) Write(p []byte) (int, error) {
-	if room := b.limit - b.Len(); room > 0 {
-		b.Buffer.Write(p[:min(room, len(p))])
+	if space := b.limit - b.Len(); space > 0 {
+		b.Buffer.Write(p[:min(space, len(p))])
 	}
 	return len(p), nil
 }
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -324,16 +324,16 @@
 // apertureOf finds a policy's own name, and its aperture: as it is asked for there, or by the scenario's operators'
 // file; nil: there is none.
 func apertureOf(spec *scenario.Scenario, policy string) (name string, conf *aperture.Config, err error) {
-	name, keys, asked := strings.Cut(policy, ApertureSuffix)
+	name, keys, sent := strings.Cut(policy, ApertureSuffix)
 	text := spec.Schedulers.OperationsFile
-	if asked {
+	if sent {
 		if keys != "" && keys[0] != ':' {
 			return "", nil, fmt.Errorf("policy %q: expected keys behind %q as in :least=20:cover=3", policy, ApertureSuffix)
 		}
 		text = "[aperture]" + strings.ReplaceAll(keys, ":", "\n")
 	}
 	ops, err := config.DecodeOps(text)
-	if err != nil && asked {
+	if err != nil && sent {
 		err = fmt.Errorf("policy %q: %w", policy, err)
 	}
 	return name, ops.Aperture, err
--- a/internal/testbed/experiment/search.go
+++ b/internal/testbed/experiment/search.go
@@ -80,8 +80,8 @@
 
 // File is the find as a scenario file that plays it again.
 func (f *Finding) File() []byte {
-	head := fmt.Sprintf("# Kept by a hunt: %s. Draw %d, %d of %d faults left.\n", f.Description(), f.DrawNumber, f.Faults, f.Drawn)
-	return append([]byte(head), scenario.Encode(f.Spec)...)
+	first := fmt.Sprintf("# Kept by a hunt: %s. Draw %d, %d of %d faults left.\n", f.Description(), f.DrawNumber, f.Faults, f.Drawn)
+	return append([]byte(first), scenario.Encode(f.Spec)...)
 }
 
 // SearchResult is what a hunt came to.
@@ -99,7 +99,7 @@
 const maxMinimiseRuns = 150
 
 // Run hunts until the context ends or all draws are made, and shrinks what it keeps. told hears of each new find.
-func (h *Search) Run(ctx context.Context, told func(f *Finding, plays int)) (*SearchResult, error) {
+func (h *Search) Run(ctx context.Context, notified func(f *Finding, plays int)) (*SearchResult, error) {
 	parallelism, keep := h.Parallelism, h.Keep
 	if parallelism <= 0 {
 		parallelism = runtime.GOMAXPROCS(0)
@@ -135,8 +135,8 @@
 				if err := h.minimise(ctx, f); err != nil {
 					return got, err
 				}
-				if h.keep(got, f, keep) && told != nil {
-					told(f, got.Runs)
+				if h.keep(got, f, keep) && notified != nil {
+					notified(f, got.Runs)
 				}
 			}
 		}
@@ -229,9 +229,9 @@
 // minimise looks for a smaller play that is as bad in the same way: without faults that don't matter, then with shorter
 // ones, fewer parties, and plainer settings. It ends with the hunt's time, as small as it has come.
 func (h *Search) minimise(ctx context.Context, f *Finding) error {
-	left := maxMinimiseRuns
+	remaining := maxMinimiseRuns
 	try := func(change func(s *scenario.Scenario)) (bool, error) {
-		if left--; left < 0 || ctx.Err() != nil { // what is left of it is kept as it is
+		if remaining--; remaining < 0 || ctx.Err() != nil { // what is left of it is kept as it is
 			return false, nil
 		}
 		spec := f.Spec.Clone()
--- a/internal/testbed/experiment/sweep.go
+++ b/internal/testbed/experiment/sweep.go
@@ -26,8 +26,8 @@
 		return Vary{}, fmt.Errorf("%q: expected key=value,value or key=from..to/steps", text)
 	}
 	vary := Vary{Key: key}
-	if from, rest, isRange := strings.Cut(list, ".."); isRange {
-		to, steps, ok := strings.Cut(rest, "/")
+	if from, remainder, isRange := strings.Cut(list, ".."); isRange {
+		to, steps, ok := strings.Cut(remainder, "/")
 		a, errA := strconv.ParseFloat(from, 64)
 		b, errB := strconv.ParseFloat(to, 64)
 		n, errN := strconv.Atoi(steps)
@@ -85,12 +85,12 @@
 }
 
 // Run plays a sweep.
-func (s *Sweep) Run(ctx context.Context, told func(done, of int)) (*report.Sweep, error) {
+func (s *Sweep) Run(ctx context.Context, notified func(done, of int)) (*report.Sweep, error) {
 	second := s.Curves.Values
 	if len(second) == 0 {
 		second = []string{""}
 	}
-	out := &report.Sweep{
+	outputs := &report.Sweep{
 		Title: s.Spec.Name, Description: s.Spec.Description, Param: s.Vary.Key, Second: s.Curves.Key, Metric: s.Figure,
 		Scenario: string(scenario.Encode(s.Spec)), Build: s.Subject.Name,
 	}
@@ -123,14 +123,14 @@
 				jobs = append(jobs, job)
 			}
 		}
-		out.Curves = append(out.Curves, curve)
+		outputs.Curves = append(outputs.Curves, curve)
 	}
 	each := len(s.Seeds)
 	err := Batch(ctx, jobs, s.Parallelism, func(i int, p *RunResult) error {
-		if told != nil {
-			told(i+1, len(jobs))
+		if notified != nil {
+			notified(i+1, len(jobs))
 		}
-		point := &out.Curves[i/each/len(s.Vary.Values)].Points[i/each%len(s.Vary.Values)]
+		point := &outputs.Curves[i/each/len(s.Vary.Values)].Points[i/each%len(s.Vary.Values)]
 		point.Broken += p.Violations()
 		if p.InvalidReason() == "" {
 			point.Results = append(point.Results, p.Result())
@@ -140,8 +140,8 @@
 	if err != nil {
 		return nil, err
 	}
-	for i := range out.Curves {
-		slices.SortStableFunc(out.Curves[i].Points, func(a, b report.Point) int { return cmp.Compare(a.X, b.X) })
+	for i := range outputs.Curves {
+		slices.SortStableFunc(outputs.Curves[i].Points, func(a, b report.Point) int { return cmp.Compare(a.X, b.X) })
 	}
-	return out, nil
+	return outputs, nil
 }
--- a/internal/testbed/experiment/table.go
+++ b/internal/testbed/experiment/table.go
@@ -42,16 +42,16 @@
 
 // MarshalJSON writes null for a mean of nothing.
 func (c Cell) MarshalJSON() ([]byte, error) {
-	out := struct {
+	outputs := struct {
 		Mean   *float64 `json:"mean"`
 		SD     float64  `json:"sd"`
 		Plays  int      `json:"plays"`
 		Broken int      `json:"rules_broken"`
 	}{nil, c.SD, c.Runs, c.Violations}
 	if c.Runs > 0 {
-		out.Mean = &c.Mean
+		outputs.Mean = &c.Mean
 	}
-	return json.Marshal(out)
+	return json.Marshal(outputs)
 }
 
 func (c Cell) String() string {
@@ -85,7 +85,7 @@
 }
 
 // Run plays them, in simulated time.
-func (y *BaselineTable) Run(ctx context.Context, told func(done, of int)) ([]BaselineRow, error) {
+func (y *BaselineTable) Run(ctx context.Context, notified func(done, of int)) ([]BaselineRow, error) {
 	var jobs []Job
 	for _, spec := range y.Specs {
 		for _, policy := range y.Policies {
@@ -101,8 +101,8 @@
 	each, broken := len(y.Seeds), 0
 	var figures []float64
 	err := Batch(ctx, jobs, y.Parallelism, func(i int, p *RunResult) error {
-		if told != nil {
-			told(i+1, len(jobs))
+		if notified != nil {
+			notified(i+1, len(jobs))
 		}
 		figures, broken = append(figures, y.Metric.ValueOf(p.Result())), broken+p.Violations()
 		if len(figures) == each {
--- a/internal/testbed/fakeplatform/platform.go
+++ b/internal/testbed/fakeplatform/platform.go
@@ -42,14 +42,14 @@
 	if platform.Listen, err = FreeAddress(); err != nil {
 		return nil, err
 	}
-	var hosts []string
+	var endpoints []string
 	for i := range nodes {
 		n := &Worker{ID: "s-" + strconv.Itoa(i), runsByRequest: map[string]int{}, release: make(chan struct{})}
 		s := platform.serve(func(w http.ResponseWriter, r *http.Request) { platform.acceptAttempt(n, w, r) })
 		platform.Workers = append(platform.Workers, n)
-		hosts = append(hosts, fmt.Sprintf(`{"instanceId":"%s","hostPort":"%s","lifecycle":"up"}`, n.ID, s.Listener.Addr()))
+		endpoints = append(endpoints, fmt.Sprintf(`{"instanceId":"%s","hostPort":"%s","lifecycle":"up"}`, n.ID, s.Listener.Addr()))
 	}
-	list := fmt.Sprintf(`{"generation":1,"reset":true,"instances":[%s]}`+"\n", strings.Join(hosts, ","))
+	list := fmt.Sprintf(`{"generation":1,"reset":true,"instances":[%s]}`+"\n", strings.Join(endpoints, ","))
 	platform.Discovery = platform.serve(func(w http.ResponseWriter, r *http.Request) { platform.watch(list, w, r) }).Listener.Addr().String()
 	return platform, nil
 }
@@ -119,9 +119,9 @@
 
 // sendCallback tells of a job as workers do: each call is tried until it is answered, ten times at most.
 func (p *Platform) sendCallback(n *Worker, id, state string) {
-	note, _ := json.Marshal(map[string]string{"id": id, "from": n.ID, "state": state, "result": Result(id, n.ID)})
+	callback, _ := json.Marshal(map[string]string{"id": id, "from": n.ID, "state": state, "result": Result(id, n.ID)})
 	for range 10 {
-		res, err := http.Post("http://"+p.Listen+"/v1/job-events", "application/json", bytes.NewReader(note))
+		res, err := http.Post("http://"+p.Listen+"/v1/job-events", "application/json", bytes.NewReader(callback))
 		if err != nil {
 			continue
 		}
--- a/internal/testbed/fleet/addresses.go
+++ b/internal/testbed/fleet/addresses.go
@@ -77,8 +77,8 @@
 	}
 	r := descriptorPlan{limit: int(min(l.Cur, 1<<24))}
 	r.workerConns = min(4*nodes+clients, maxConns)
-	left := r.limit - spareDescriptors - clients - nodes - r.workerConns
-	r.callbackConns = min(16, left/max(1, nodes))
+	remaining := r.limit - spareDescriptors - clients - nodes - r.workerConns
+	r.callbackConns = min(16, remaining/max(1, nodes))
 	if nodes > maxWorkers || r.callbackConns < 1 {
 		return r, fmt.Errorf("%d worker nodes, %d clients: %w: %d descriptors are allowed, which ends at %d worker nodes; "+
 			"addresses end at %d", nodes, clients, errDescriptors, r.limit, r.needed(clients), maxWorkers)
@@ -88,9 +88,9 @@
 
 // needed is how many workers there would be descriptors for.
 func (r descriptorPlan) needed(clients int) int {
-	left := r.limit - spareDescriptors - clients
-	if n := (left - maxConns) / 2; 4*n+clients >= maxConns {
+	remaining := r.limit - spareDescriptors - clients
+	if n := (remaining - maxConns) / 2; 4*n+clients >= maxConns {
 		return n
 	}
-	return max(0, (left-clients)/6)
+	return max(0, (remaining-clients)/6)
 }
--- a/internal/testbed/fleet/child.go
+++ b/internal/testbed/fleet/child.go
@@ -21,9 +21,9 @@
 }
 
 // RunRigProcess is the whole of a rig's process.
-func RunRigProcess(in io.Reader, out io.Writer) error {
+func RunRigProcess(in io.Reader, outputs io.Writer) error {
 	debug.SetGCPercent(400) // much is left behind and little held
-	say := json.NewEncoder(out)
+	say := json.NewEncoder(outputs)
 	if err := serveRig(bufio.NewReader(in), say); err != nil {
 		_ = say.Encode(childMessage{Failure: err.Error()})
 		return err
@@ -32,9 +32,9 @@
 }
 
 func serveRig(in *bufio.Reader, say *json.Encoder) error {
-	hear := json.NewDecoder(in)
+	receive := json.NewDecoder(in)
 	var spec Spec
-	if err := hear.Decode(&spec); err != nil {
+	if err := receive.Decode(&spec); err != nil {
 		return fmt.Errorf("spec: %w", err)
 	}
 	runtime.GOMAXPROCS(len(spec.Cores) + 2) // each engine has a processor of the runtime's, whatever else goes on
@@ -48,13 +48,13 @@
 		return err
 	}
 	var targets []netip.AddrPort
-	if err := hear.Decode(&targets); err != nil {
+	if err := receive.Decode(&targets); err != nil {
 		return fmt.Errorf("targets: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
-		_ = hear.Decode(&struct{}{}) // nothing more is said
+		_ = receive.Decode(&struct{}{}) // nothing more is said
 		cancel()
 	}()
 	result, err := rig.Run(ctx, targets, func(mark string) { _ = say.Encode(childMessage{Mark: mark}) })
--- a/internal/testbed/fleet/engine.go
+++ b/internal/testbed/fleet/engine.go
@@ -115,10 +115,10 @@
 	var n [8]byte
 	_, _ = unix.Read(b.engine.wakeup, n[:])
 	b.engine.lock.Lock()
-	orders := b.engine.posted
+	commands := b.engine.posted
 	b.engine.posted = nil
 	b.engine.lock.Unlock()
-	for _, do := range orders {
+	for _, do := range commands {
 		do()
 	}
 }
@@ -171,10 +171,10 @@
 	timeout := -1
 	if e.timers.Len() > 0 {
 		at := e.timers.First().At
-		if left := at - e.clock(); left <= 0 {
+		if remaining := at - e.clock(); remaining <= 0 {
 			timeout = 0
 		} else if at != e.armed {
-			spec := unix.ItimerSpec{Value: unix.NsecToTimespec(int64(left))}
+			spec := unix.ItimerSpec{Value: unix.NsecToTimespec(int64(remaining))}
 			if err := unix.TimerfdSettime(e.timer, 0, &spec, nil); err != nil {
 				return fmt.Errorf("timer: %w", err)
 			}
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -74,7 +74,7 @@
 func TestNode(t *testing.T) {
 	for _, notices := range []bool{true, false} {
 		r := testRig(t, Spec{Nodes: 2, StartNotifications: notices, Work: time.Millisecond, Slots: 1})
-		notes := make(chan requests.Callback, 100)
+		callbacks := make(chan requests.Callback, 100)
 		at, err := net.Listen("tcp", r.Addresses().Scheduler)
 		if err != nil {
 			t.Fatal(err)
@@ -89,7 +89,7 @@
 				w.WriteHeader(http.StatusInternalServerError)
 				return
 			}
-			notes <- n
+			callbacks <- n
 			w.WriteHeader(http.StatusNoContent)
 		})}
 		go func() { _ = s.Serve(at) }()
@@ -115,7 +115,7 @@
 			want["a1 started"], want["a2 started"] = 1, 1
 		}
 		for range len(want) {
-			n := <-notes
+			n := <-callbacks
 			if want[n.CallID+" "+n.State]--; want[n.CallID+" "+n.State] != 0 || n.EndpointID != "w-1" {
 				t.Errorf("told twice, or not asked for: %+v", n)
 			}
@@ -306,8 +306,8 @@
 // The real program and the baseline policy serve each of a few jobs once.
 func TestPlay(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "valvecove")
-	if out, err := exec.Command("go", "build", "-o", binary, "valvecove/cmd/valvecove").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+	if outputs, err := exec.Command("go", "build", "-o", binary, "valvecove/cmd/valvecove").CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, outputs)
 	}
 	self := func(as string) []string { return []string{"/usr/bin/env", "FLEET_TEST_AS=" + as, os.Args[0]} }
 	o := Options{Rig: self("rig"), Proxy: self("proxy"), Binary: binary, Clients: 5, Jobs: 50, Length: time.Minute}
@@ -315,15 +315,15 @@
 		t.Skip(err)
 	}
 	report := &Report{}
-	for _, row := range []Row{{"build", 5, true, 1}, {"build", 5, false, 1}, {Proxy, 5, false, 0}, {Direct, 5, false, 0}} {
-		p, err := Measure(t.Context(), row, o)
+	for _, line := range []Row{{"build", 5, true, 1}, {"build", 5, false, 1}, {Proxy, 5, false, 0}, {Direct, 5, false, 0}} {
+		p, err := Measure(t.Context(), line, o)
 		if err != nil {
-			t.Fatalf("%v: %v", row, err)
+			t.Fatalf("%v: %v", line, err)
 		}
 		if p.All.Served != 50 || p.Settled != 50+p.All.Rejected || p.All.Failed > 0 || p.Unexpected > 0 || p.CallbacksLost > 0 ||
-			(p.Descriptors > 0) != (row.Subject != Direct) || len(p.FailureReasons) > 0 {
+			(p.Descriptors > 0) != (line.Subject != Direct) || len(p.FailureReasons) > 0 {
 			text, _ := json.Marshal(p)
-			t.Errorf("%v: %s", row, text)
+			t.Errorf("%v: %s", line, text)
 		}
 		p.MaxCPU, p.Lateness50, p.Lateness99 = 0, 0, 0 // how it goes here is of no interest
 		report.Measurements = append(report.Measurements, p, p)
--- a/internal/testbed/fleet/measure.go
+++ b/internal/testbed/fleet/measure.go
@@ -127,15 +127,15 @@
 }
 
 // rigSpec is what the rig is to play.
-func (o *Options) rigSpec(row Row) Spec {
+func (o *Options) rigSpec(line Row) Spec {
 	work := cmp.Or(o.Work, 20*time.Millisecond)
 	spec := Spec{
-		Nodes: row.Workers, StartNotifications: row.StartNotifications, Clients: o.Clients, Work: work, Jobs: o.Jobs, Burst: o.Burst,
+		Nodes: line.Workers, StartNotifications: line.StartNotifications, Clients: o.Clients, Work: work, Jobs: o.Jobs, Burst: o.Burst,
 		WarmUp: o.WarmUp, Length: o.Length, Seed: o.Seed, Cores: o.Cores[1:],
 		DisturbancesAt: o.WarmUp + disturbancesAfter, SilentShare: o.SilentShare, SilentFor: o.Length / 3,
 	}
-	spec.Hint = time.Duration(row.Hint * float64(work))
-	switch row.Subject {
+	spec.Hint = time.Duration(line.Hint * float64(work))
+	switch line.Subject {
 	case Proxy, Direct:
 		spec.Responds = true
 	case Ceiling:
@@ -174,7 +174,7 @@
 }
 
 // Measure plays one row.
-func Measure(ctx context.Context, row Row, options Options) (Measurement, error) {
+func Measure(ctx context.Context, line Row, options Options) (Measurement, error) {
 	if err := options.check(); err != nil {
 		return Measurement{}, err
 	}
@@ -196,7 +196,7 @@
 		// Processes that are to die with this one die with the thread that they were started from; this one lives as long as
 		// they do, and ends with the goroutine.
 		runtime.LockOSThread()
-		d := &measurement{options: options, row: row}
+		d := &measurement{options: options, row: line}
 		p, err := d.run(ctx)
 		d.close() // nothing of it is left when it is told
 		done <- ended{p, err}
@@ -313,19 +313,19 @@
 		return nil, err
 	}
 	defer func() { _ = file.Close() }()
-	hear, out, err := os.Pipe()
+	receive, outputs, err := os.Pipe()
 	if err != nil {
 		_ = say.Close()
 		return nil, err
 	}
-	defer func() { _ = out.Close() }()
-	command.Stdin, command.Stdout = file, out
+	defer func() { _ = outputs.Close() }()
+	command.Stdin, command.Stdout = file, outputs
 	p, err := d.start(command, cores)
 	if err != nil {
-		_, _ = say.Close(), hear.Close()
+		_, _ = say.Close(), receive.Close()
 		return nil, err
 	}
-	p.stdin, p.stdout = say, hear
+	p.stdin, p.stdout = say, receive
 	return p, nil
 }
 
@@ -333,11 +333,11 @@
 func (d *measurement) startRig(ctx context.Context) error {
 	c := exec.CommandContext(ctx, d.options.Rig[0], d.options.Rig[1:]...)
 	c.Stderr = os.Stderr
-	rest, err := otherCores(d.options.Cores[0])
+	remainder, err := otherCores(d.options.Cores[0])
 	if err != nil {
 		return err
 	}
-	if d.rig, err = d.startPiped(c, rest); err != nil {
+	if d.rig, err = d.startPiped(c, remainder); err != nil {
 		return fmt.Errorf("rig: %w", err)
 	}
 	d.encoder, d.decoder = json.NewEncoder(d.rig.stdin), json.NewDecoder(d.rig.stdout)
@@ -456,20 +456,20 @@
 )
 
 // configuration is what a scheduler is told: the co-operative's settings, without load reports.
-func (o *Options) configuration(row Row, addresses Addresses) []byte {
+func (o *Options) configuration(line Row, addresses Addresses) []byte {
 	spec := scenario.Default()
 	spec.Name = "fleet"
-	spec.Fleet.Workers, spec.Fleet.Zones = row.Workers, []string{zone}
+	spec.Fleet.Workers, spec.Fleet.Zones = line.Workers, []string{zone}
 	for i := range spec.Fleet.Kinds {
 		k := &spec.Fleet.Kinds[i]
-		k.OmitsStartNotifications, k.QueueOrder, k.WarmUpCapacity, k.WarmUp = !row.StartNotifications, "fifo", 0.3, scenario.Duration(8800*time.Millisecond)
+		k.OmitsStartNotifications, k.QueueOrder, k.WarmUpCapacity, k.WarmUp = !line.StartNotifications, "fifo", 0.3, scenario.Duration(8800*time.Millisecond)
 	}
 	spec.Schedulers.Sockets, spec.Schedulers.MemoryMB = maxSockets, memoryMB
-	told := 0.0
+	notified := 0.0
 	for i := range spec.Tenants {
-		told += spec.QuotaRate(i)
+		notified += spec.QuotaRate(i)
 	}
-	spec.Load.Quota *= quotaPerSecond / told
+	spec.Load.Quota *= quotaPerSecond / notified
 	return platform.Config(spec, 0, platform.Options{Name: "s1", Listen: addresses.Scheduler, Discovery: addresses.Discovery, Seed: o.Seed})
 }
 
@@ -550,13 +550,13 @@
 }
 
 // freeze stops the scheduler for a while, if it is to be.
-func (d *measurement) freeze(over chan struct{}) {
+func (d *measurement) freeze(ended chan struct{}) {
 	if d.options.Freeze <= 0 {
 		return
 	}
 	wait := func(span time.Duration) bool {
 		select {
-		case <-over:
+		case <-ended:
 			return false
 		case <-time.After(span):
 			return true
--- a/internal/testbed/fleet/table.go
+++ b/internal/testbed/fleet/table.go
@@ -20,8 +20,8 @@
 	if text == "none" {
 		return 0, nil
 	}
-	over, under, divided := strings.Cut(text, "/")
-	factor, err := strconv.ParseFloat(over, 64)
+	ended, under, divided := strings.Cut(text, "/")
+	factor, err := strconv.ParseFloat(ended, 64)
 	if err == nil && divided {
 		var by float64
 		by, err = strconv.ParseFloat(under, 64)
@@ -48,15 +48,15 @@
 }
 
 // rows gives the runs by row, in the order in which rows were first played.
-func (r *Report) rows() (order []Row, plays map[Row][]Measurement) {
+func (r *Report) rows() (sequence []Row, plays map[Row][]Measurement) {
 	plays = map[Row][]Measurement{}
 	for _, p := range r.Measurements {
 		if plays[p.Row] == nil {
-			order = append(order, p.Row)
+			sequence = append(sequence, p.Row)
 		}
 		plays[p.Row] = append(plays[p.Row], p)
 	}
-	return order, plays
+	return sequence, plays
 }
 
 // String is the row in words.
@@ -90,24 +90,24 @@
 	line := func(cells []string) { b.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
 	line(columns)
 	line(slices.Repeat([]string{"---"}, len(columns)))
-	order, plays := r.rows()
-	for _, row := range order {
+	sequence, plays := r.rows()
+	for _, row := range sequence {
 		line(tableCells(row, plays[row]))
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-func tableCells(row Row, all []Measurement) []string {
+func tableCells(line Row, all []Measurement) []string {
 	notices, hint := "-", "-"
-	if row.hasScheduler() {
-		notices, hint = map[bool]string{true: "yes", false: "no"}[row.StartNotifications], hintText(row.Hint)
+	if line.hasScheduler() {
+		notices, hint = map[bool]string{true: "yes", false: "no"}[line.StartNotifications], hintText(line.Hint)
 	}
-	out := []string{row.Subject, formatGrouped(float64(row.Workers), 0), notices, hint}
+	outputs := []string{line.Subject, formatGrouped(float64(line.Workers), 0), notices, hint}
 	sound := slices.DeleteFunc(slices.Clone(all), func(p Measurement) bool { return p.InvalidReason() != "" })
 	if len(sound) == 0 {
-		out = append(out, "void: "+all[0].InvalidReason())
-		return append(out, slices.Repeat([]string{""}, len(columns)-len(out))...)
+		outputs = append(outputs, "void: "+all[0].InvalidReason())
+		return append(outputs, slices.Repeat([]string{""}, len(columns)-len(outputs))...)
 	}
 	// spread gives least, median and most of those that there is a figure for.
 	spread := func(digits int, of func(*Measurement) (float64, bool)) string {
@@ -148,7 +148,7 @@
 	if n := len(all) - len(sound); n > 0 {
 		rate += fmt.Sprintf(" (%d void)", n)
 	}
-	return append(out, rate,
+	return append(outputs, rate,
 		spread(1, some(func(p *Measurement) float64 { return p.P50 })),
 		spread(1, some(func(p *Measurement) float64 { return p.P90 })),
 		spread(1, some(func(p *Measurement) float64 { return p.P99 })),
@@ -166,12 +166,12 @@
 // formatGrouped writes a number with its thousands set apart.
 func formatGrouped(x float64, digits int) string {
 	text := strconv.FormatFloat(x, 'f', digits, 64)
-	whole, rest, _ := strings.Cut(text, ".")
+	whole, remainder, _ := strings.Cut(text, ".")
 	for at := len(whole) - 3; at > 0 && whole[at-1] != '-'; at -= 3 {
 		whole = whole[:at] + "," + whole[at:]
 	}
-	if rest != "" {
-		whole += "." + rest
+	if remainder != "" {
+		whole += "." + remainder
 	}
 	return whole
 }
--- a/internal/testbed/fleet/usage.go
+++ b/internal/testbed/fleet/usage.go
@@ -23,8 +23,8 @@
 // peakMemory is the most memory that a process has had, in bytes.
 func peakMemory(pid int) int64 {
 	status, _ := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "status"))
-	_, rest, _ := bytes.Cut(status, []byte("\nVmHWM:"))
-	line, _, _ := bytes.Cut(rest, []byte("\n"))
+	_, remainder, _ := bytes.Cut(status, []byte("\nVmHWM:"))
+	line, _, _ := bytes.Cut(remainder, []byte("\n"))
 	fields := bytes.Fields(line)
 	if len(fields) == 0 {
 		return 0
--- a/internal/testbed/mutation/injector.go
+++ b/internal/testbed/mutation/injector.go
@@ -50,11 +50,11 @@
 }
 
 // wrap makes a Wrap of hooks. New hooks are made for each scheduler.
-func wrap(in func(b *faultInjector, in *simapi.Input) bool, out func(b *faultInjector, out *simapi.Output) bool) func(*scenario.Scenario,
+func wrap(in func(b *faultInjector, in *simapi.Input) bool, outputs func(b *faultInjector, out *simapi.Output) bool) func(*scenario.Scenario,
 	simapi.Scheduler) simapi.Scheduler {
 	return func(spec *scenario.Scenario, inner simapi.Scheduler) simapi.Scheduler {
 		return &faultInjector{
-			spec: spec, inner: inner, onInput: in, onOutput: out, requests: map[string]*trackedRequest{},
+			spec: spec, inner: inner, onInput: in, onOutput: outputs, requests: map[string]*trackedRequest{},
 			injected: map[simapi.Conn]*injectedAttempt{},
 		}
 	}
@@ -184,10 +184,10 @@
 func (b *faultInjector) injectedResponse(input *simapi.Input, e *injectedAttempt) {
 	switch input.Kind {
 	case simapi.WorkerConnected:
-		left := max(time.Millisecond, e.request.receivedAt+e.request.Budget-b.now).Truncate(time.Millisecond)
+		remaining := max(time.Millisecond, e.request.receivedAt+e.request.Budget-b.now).Truncate(time.Millisecond)
 		b.outputs = append(b.outputs, simapi.Output{
 			Kind: simapi.AttemptWritten, Scheduler: b.scheduler, Conn: input.Conn, Worker: e.worker, RequestID: e.request.RequestID,
-			IdempotencyKey: e.request.IdempotencyKey, Budget: left, FirstByteAt: b.now,
+			IdempotencyKey: e.request.IdempotencyKey, Budget: remaining, FirstByteAt: b.now,
 		})
 	case simapi.ResponseReceived:
 		b.outputs = append(b.outputs, simapi.Output{Kind: simapi.WorkerConnClosed, Scheduler: b.scheduler, Conn: input.Conn, Worker: e.worker})
--- a/internal/testbed/mutation/mutation_test.go
+++ b/internal/testbed/mutation/mutation_test.go
@@ -194,16 +194,16 @@
 // What goes on at the border stays in order, though a mutant keeps some of it back.
 func TestLater(t *testing.T) {
 	b := &faultInjector{running: true}
-	var did []int
+	var done []int
 	for _, n := range []int{3, 1, 2, 1} {
-		b.schedule(time.Duration(n), func() { did = append(did, n) })
+		b.schedule(time.Duration(n), func() { done = append(done, n) })
 	}
 	for len(b.delayed) > 0 {
 		b.delayed[0].run()
 		b.delayed = b.delayed[1:]
 	}
-	if !slices.Equal(did, []int{1, 1, 2, 3}) {
-		t.Errorf("done in the order %v", did)
+	if !slices.Equal(done, []int{1, 1, 2, 3}) {
+		t.Errorf("done in the order %v", done)
 	}
 	if m := All()[0]; strings.ToLower(m.Name) != m.Name {
 		t.Errorf("%s is not in small letters", m.Name)
--- a/internal/testbed/mutation/policy.go
+++ b/internal/testbed/mutation/policy.go
@@ -52,8 +52,8 @@
 		if j, ok := e.(dispatch.Job); ok {
 			l.nonIdempotent[j.ID] = l.settings.Classes[j.Class].Idempotency == dispatch.NonIdempotent
 		}
-		if told, pass := l.onEvent(l, e); pass {
-			l.altered = append(l.altered, told)
+		if notified, pass := l.onEvent(l, e); pass {
+			l.altered = append(l.altered, notified)
 		}
 	}
 	first := len(dst)
@@ -78,10 +78,10 @@
 }
 
 // shortenTimeout waits only so long for attempts of non-idempotent jobs.
-func shortenTimeout(patience time.Duration) func(l *alteredPolicy, s dispatch.Send) dispatch.Send {
+func shortenTimeout(timeout time.Duration) func(l *alteredPolicy, s dispatch.Send) dispatch.Send {
 	return func(l *alteredPolicy, s dispatch.Send) dispatch.Send {
 		if l.nonIdempotent[s.Job] {
-			s.AttemptTimeout = patience
+			s.AttemptTimeout = timeout
 		}
 		return s
 	}
@@ -93,12 +93,12 @@
 	if !ok {
 		return e, true
 	}
-	told := list
-	told.Workers = nil
+	notified := list
+	notified.Workers = nil
 	for _, w := range list.Workers {
 		if w.Ready && !w.Removed {
-			told.Workers = append(told.Workers, w)
+			notified.Workers = append(notified.Workers, w)
 		}
 	}
-	return told, list.Kind != dispatch.ListDelta || len(told.Workers) > 0
+	return notified, list.Kind != dispatch.ListDelta || len(notified.Workers) > 0
 }
--- a/internal/testbed/platform/platform_test.go
+++ b/internal/testbed/platform/platform_test.go
@@ -72,7 +72,7 @@
 	if err != nil || set.StartNotifications || set.ProgressInterval != 0 || set.WarmUpCapacity != 0.2 || set.WarmUp != 12*time.Second {
 		t.Errorf("%+v, %v", set.Settings, err)
 	}
-	if order := newSettings(spec, 0).Domain.QueueOrder; order != "fifo" {
-		t.Errorf("queue order %s", order)
+	if sequence := newSettings(spec, 0).Domain.QueueOrder; sequence != "fifo" {
+		t.Errorf("queue order %s", sequence)
 	}
 }
--- a/internal/testbed/process/discovery.go
+++ b/internal/testbed/process/discovery.go
@@ -100,8 +100,8 @@
 		return
 	}
 	after := int64(0)
-	if query := at.Query(); query.Get("stream") == "1" {
-		if after, err = strconv.ParseInt(query.Get("index"), 10, 64); err != nil {
+	if request := at.Query(); request.Get("stream") == "1" {
+		if after, err = strconv.ParseInt(request.Get("index"), 10, 64); err != nil {
 			w.reject(400)
 			return
 		}
--- a/internal/testbed/process/driver.go
+++ b/internal/testbed/process/driver.go
@@ -282,15 +282,15 @@
 
 // avoidSchedulerCores keeps the loop's thread off the schedulers' cores, where there are others, until it is undone.
 func (d *driver) avoidSchedulerCores() (undo func()) {
-	var all, rest unix.CPUSet
+	var all, remainder unix.CPUSet
 	if len(d.options.Cores) == 0 || unix.SchedGetaffinity(0, &all) != nil {
 		return func() {}
 	}
-	rest = all
+	remainder = all
 	for _, core := range d.options.Cores {
-		rest.Clear(core)
+		remainder.Clear(core)
 	}
-	if rest.Count() == 0 || unix.SchedSetaffinity(0, &rest) != nil {
+	if remainder.Count() == 0 || unix.SchedSetaffinity(0, &remainder) != nil {
 		return func() {}
 	}
 	return func() { _ = unix.SchedSetaffinity(0, &all) }
--- a/internal/testbed/process/driver_test.go
+++ b/internal/testbed/process/driver_test.go
@@ -161,13 +161,13 @@
 		}
 	})
 	r := newRig(t, Options{})
-	ask := func(conn simapi.Conn, call string) {
+	request := func(conn simapi.Conn, call string) {
 		r.do(simapi.Input{Kind: simapi.RequestReceived, Conn: conn, Request: &simapi.ClientRequest{
 			RequestID: call, Class: 3, Tenant: 1, IdempotencyKey: "k-" + call,
 			Budget: 480*time.Millisecond + 700, CostHint: 12 * time.Millisecond, Slots: 2, BodyLength: 300, Retry: true,
 		}})
 	}
-	ask(1, "nobody")
+	request(1, "nobody")
 	r.want(simapi.ClientConnFailed)
 	r.serve(mux)
 	for i, x := range []struct {
@@ -186,7 +186,7 @@
 		{call: "garbage"},
 	} {
 		conn := simapi.Conn(2 + max(0, i-4)) // the first five share one
-		ask(conn, x.call)
+		request(conn, x.call)
 		if x.status > 0 {
 			o := r.want(simapi.ResponseWritten)
 			o.Kind = 0
@@ -216,15 +216,15 @@
 		}
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	}
-	ask := func(call string) {
+	request := func(call string) {
 		r.do(simapi.Input{Kind: simapi.RequestReceived, Conn: 1, Request: &simapi.ClientRequest{RequestID: call, BodyLength: 10}})
 	}
 	r.d.post(func() { r.d.schedulers[0].alive, r.d.schedulers[0].incarnation = true, 2 })
-	ask("a")
+	request("a")
 	c, _ := l.Accept()
 	answer(c)
 	r.want(simapi.ResponseWritten)
-	ask("b")
+	request("b")
 	_, _ = c.Read(make([]byte, 1)) // the rest stays unread, so that the close is a reset
 	_ = c.Close()
 	if c, err = l.Accept(); err != nil {
@@ -234,7 +234,7 @@
 	if o := r.want(simapi.ResponseWritten); o.RequestID != "b" {
 		t.Errorf("%+v", o)
 	}
-	ask("c")
+	request("c")
 	if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
 		t.Error(err)
 	}
@@ -329,16 +329,16 @@
 			t.Errorf("%s: %v, %v", x.ask, a, err)
 		}
 	}
-	for ask, status := range map[string]int{
+	for request, status := range map[string]int{
 		"GET /else HTTP/1.1\r\nHost: w\r\n\r\n":                       404,
 		"POST /account-credit/k HTTP/1.1\r\nHost: w\r\n\r\n":          404, // without an id
 		strings.Replace(query("c1", "k1", body), "77", "soon", 1):     400,
 		query("any", misbehavingPrefix+"1", "x"):                      400, // a misbehaving client's
 		strings.Replace(query("c1", "k1", body), "POST", "DELETE", 1): 404,
 	} {
-		_, _ = io.WriteString(s, ask)
+		_, _ = io.WriteString(s, request)
 		if got := s.status(); got != status {
-			t.Errorf("%s: %d, expected %d", ask, got, status)
+			t.Errorf("%s: %d, expected %d", request, got, status)
 		}
 	}
 	_, _ = io.WriteString(s, "what?\r\n\r\n")
@@ -351,14 +351,14 @@
 // The environment resets links at any byte, and closes them.
 func TestLinkEnds(t *testing.T) {
 	r := newRig(t, Options{})
-	ask := query("x", "k", "body")
+	request := query("x", "k", "body")
 	// Reset after so many bytes read.
-	for most, told := range map[int]bool{10: false, len(ask): true} {
+	for most, notified := range map[int]bool{10: false, len(request): true} {
 		s := r.connect(0)
 		conn := r.want(simapi.WorkerDialed).Conn
-		_, _ = io.WriteString(s, ask)
+		_, _ = io.WriteString(s, request)
 		r.do(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn, Bytes: most})
-		if told {
+		if notified {
 			r.want(simapi.AttemptWritten)
 		}
 		r.want(simapi.WorkerConnClosed)
@@ -370,7 +370,7 @@
 	s := r.connect(0)
 	conn := r.want(simapi.WorkerDialed).Conn
 	r.do(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn})
-	_, _ = io.WriteString(s, ask)
+	_, _ = io.WriteString(s, request)
 	r.want(simapi.AttemptWritten)
 	r.do(simapi.Input{Kind: simapi.ResponseReceived, Conn: conn, Status: 202, Bytes: 9})
 	if b, err := io.ReadAll(s.in); string(b) != "HTTP/1.1 " || !errors.Is(err, syscall.ECONNRESET) {
@@ -399,7 +399,7 @@
 	s := r.connect(0)
 	conn := r.want(simapi.WorkerDialed).Conn
 	r.do(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn})
-	hear := func(machine, mode int) {
+	receive := func(machine, mode int) {
 		done := make(chan struct{})
 		r.do(simapi.Input{Kind: simapi.AcceptModeChanged, Worker: 0, Machine: machine, Mode: mode})
 		r.d.post(func() { close(done) })
@@ -407,7 +407,7 @@
 	}
 	at := r.d.addresses.worker(0, 0).String()
 	for _, mode := range []int{simapi.AcceptNone, simapi.AcceptSilently, simapi.AcceptNone, simapi.AcceptSilently} {
-		hear(0, mode)
+		receive(0, mode)
 		_, err := net.DialTimeout("tcp", at, 50*time.Millisecond)
 		var late net.Error
 		refused, silent := errors.Is(err, syscall.ECONNREFUSED), errors.As(err, &late) && late.Timeout()
@@ -421,12 +421,12 @@
 			t.Errorf("mode %d: the open link has no answer", mode)
 		}
 	}
-	hear(0, simapi.AcceptAll)
+	receive(0, simapi.AcceptAll)
 	r.connect(0)
 	r.want(simapi.WorkerDialed)
 	// The machine that takes its place is found elsewhere, and where the first was there is nobody.
-	hear(0, simapi.AcceptSilently)
-	hear(1, simapi.AcceptAll)
+	receive(0, simapi.AcceptSilently)
+	receive(1, simapi.AcceptAll)
 	r.connect(2 + 0)
 	if o := r.want(simapi.WorkerDialed); o.Worker != 0 || o.Machine != 1 {
 		t.Errorf("the second machine is dialled by %+v", o)
@@ -499,7 +499,7 @@
 // Discovery tells a watch all it has to tell, with the addresses that are the scheduler's, and ends it.
 func TestDiscovery(t *testing.T) {
 	r := newRig(t, Options{})
-	ask := func(at netip.AddrPort, path string) (*http.Response, *bufio.Reader) {
+	request := func(at netip.AddrPort, path string) (*http.Response, *bufio.Reader) {
 		c, err := net.Dial("tcp", at.String())
 		if err != nil {
 			t.Fatal(err)
@@ -525,7 +525,7 @@
 		}
 		r.do(simapi.Input{Kind: simapi.ListReceived, List: list}, simapi.Input{Kind: simapi.WatchHeartbeat}, simapi.Input{Kind: simapi.ListReceived, List: list})
 	}()
-	_, lines := ask(r.d.addresses.discovery(0, 0), "/discovery/hosts?stream=1&index=41")
+	_, lines := request(r.d.addresses.discovery(0, 0), "/discovery/hosts?stream=1&index=41")
 	for _, x := range []string{want, "", want} {
 		if line, err := lines.ReadString('\n'); err != nil || line != x+"\n" {
 			t.Errorf("%q, %v, expected %q", line, err, x)
@@ -537,9 +537,9 @@
 	}
 	// At another address, once the environment has it there: a call that fails, the whole list, and what is no call.
 	r.do(simapi.Input{Kind: simapi.DiscoveryAcceptModeChanged, Discovery: 1, Mode: simapi.AcceptAll}, simapi.Input{Kind: simapi.DiscoveryAcceptModeChanged, Mode: simapi.AcceptNone})
-	told := make(chan struct{})
-	r.d.post(func() { close(told) })
-	<-told
+	notified := make(chan struct{})
+	r.d.post(func() { close(notified) })
+	<-notified
 	if _, err := net.Dial("tcp", r.d.addresses.discovery(0, 0).String()); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("the old address: %v", err)
 	}
@@ -551,15 +551,15 @@
 		}
 		r.do(simapi.Input{Kind: simapi.ListReceived, List: list})
 	}()
-	if a, _ := ask(r.d.addresses.discovery(1, 0), "/discovery/hosts?stream=1&index=43"); a.StatusCode != 503 {
+	if a, _ := request(r.d.addresses.discovery(1, 0), "/discovery/hosts?stream=1&index=43"); a.StatusCode != 503 {
 		t.Errorf("a call that fails: %d", a.StatusCode)
 	}
-	a, body := ask(r.d.addresses.discovery(1, 0), "/discovery/hosts")
+	a, body := request(r.d.addresses.discovery(1, 0), "/discovery/hosts")
 	if text, _ := io.ReadAll(body); a.StatusCode != 200 || string(text) != want {
 		t.Errorf("%d %s", a.StatusCode, text)
 	}
 	for path, status := range map[string]int{"/else": 404, "/discovery/hosts?stream=1&index=x": 400} {
-		if a, _ := ask(r.d.addresses.discovery(1, 0), path); a.StatusCode != status {
+		if a, _ := request(r.d.addresses.discovery(1, 0), path); a.StatusCode != status {
 			t.Errorf("%s: %d", path, a.StatusCode)
 		}
 	}
@@ -569,10 +569,10 @@
 func TestBadClients(t *testing.T) {
 	r := newRig(t, Options{})
 	var lock sync.Mutex
-	asked := map[string]int{}
+	sent := map[string]int{}
 	r.serve(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		lock.Lock()
-		asked[q.URL.Path[strings.LastIndexByte(q.URL.Path, '/')+1:]]++
+		sent[q.URL.Path[strings.LastIndexByte(q.URL.Path, '/')+1:]]++
 		lock.Unlock()
 		w.WriteHeader(400)
 	}))
@@ -603,8 +603,8 @@
 		return ""
 	}
 	// By chunks, as net/http reads it, the smuggler's request is two.
-	insist, stolen, garbage := asked[at("insist")], asked[at("stolen_id")], asked[at("garbage")]
-	hidden := asked[hiddenPrefix+strings.TrimSuffix(at("smuggle"), "0")+"1"]
+	insist, stolen, garbage := sent[at("insist")], sent[at("stolen_id")], sent[at("garbage")]
+	hidden := sent[hiddenPrefix+strings.TrimSuffix(at("smuggle"), "0")+"1"]
 	if insist == 0 || stolen != 1 || garbage != 0 || hidden != 1 {
 		t.Errorf("insist %d, stolen_id %d, garbage %d, hidden %d", insist, stolen, garbage, hidden)
 	}
@@ -613,16 +613,16 @@
 // Guests' requests are run without the environment.
 func TestGuests(t *testing.T) {
 	r := newRig(t, Options{Guests: true})
-	notes := make(chan string, 4)
+	callbacks := make(chan string, 4)
 	r.serve(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		b, _ := io.ReadAll(q.Body)
-		notes <- string(b)
+		callbacks <- string(b)
 		w.WriteHeader(204)
 	}))
 	s := r.connect(0)
 	r.do(simapi.Input{Kind: simapi.WorkerConnected, Conn: r.want(simapi.WorkerDialed).Conn})
 	_, _ = io.WriteString(s, query("mine", "k", "x"))
-	status, started, done := s.status(), <-notes, <-notes
+	status, started, done := s.status(), <-callbacks, <-callbacks
 	if status != 202 || !strings.Contains(started, "started") || !strings.Contains(done, `"done","result":"mine ran`) {
 		t.Error(status, started, done)
 	}
@@ -657,37 +657,37 @@
 		known := requests.EndpointList{Revision: 9, Endpoints: []requests.Endpoint{{ID: "w-1", Lifecycle: "up"}}}
 		boot := &simapi.StartOptions{Name: "s1", Seed: 5, KnownEndpoints: known}
 		start := simapi.Input{Kind: simapi.Start, Start: boot}
-		asks := func(after int64, ready bool) { // in any order
+		polls := func(after int64, ready bool) { // in any order
 			t.Helper()
-			for asked := false; !asked || ready; {
+			for sent := false; !sent || ready; {
 				switch o := r.next(); {
 				case o.Kind == simapi.Ready && ready:
 					ready = false
-				case o.Kind == simapi.WatchRequested && !asked && int64(o.RetryAfter) == after:
-					asked = true
+				case o.Kind == simapi.WatchRequested && !sent && int64(o.RetryAfter) == after:
+					sent = true
 				default:
 					t.Fatalf("%+v", o)
 				}
 			}
 		}
 		r.do(start)
-		asks(9, true) // the generation that it was started with
+		polls(9, true) // the generation that it was started with
 		<-looked
 		if usage.Memory <= 0 || usage.OpenFiles <= 0 || usage.CPU <= 0 {
 			t.Errorf("%+v", usage)
 		}
 		r.do(simapi.Input{Kind: simapi.Freeze}, simapi.Input{Kind: simapi.Resume}, simapi.Input{Kind: simapi.Reload, Discovery: 1})
-		asks(9, false)
+		polls(9, false)
 		r.do(simapi.Input{Kind: simapi.Terminate})
 		if o := r.want(simapi.Exited); o.Status != 7 {
 			t.Errorf("%+v", o)
 		}
 		boot.KnownEndpoints.Revision = 10
 		r.do(start)
-		asks(10, true)
+		polls(10, true)
 		r.do(simapi.Input{Kind: simapi.Freeze}, simapi.Input{Kind: simapi.Kill}) // of which nothing is told
 		r.do(start)
-		asks(10, true)
+		polls(10, true)
 		log, err := os.ReadFile(r.d.schedulers[0].log.path)
 		text := string(log)
 		if err != nil || strings.Count(text, "begins") != 3 || !strings.Contains(text, "discovery moved") {
--- a/internal/testbed/process/fake_test.go
+++ b/internal/testbed/process/fake_test.go
@@ -32,11 +32,11 @@
 		return 1
 	}
 	fmt.Fprintln(os.Stderr, "begins")
-	ask := func() {
+	request := func() {
 		url := fmt.Sprintf("http://%v/discovery/hosts?stream=1&index=%d", c.Discovery, c.KnownEndpoints.Revision)
 		go func() { _, _ = http.Get(url) }() // its answer may come late, or never
 	}
-	ask()
+	request()
 	up := http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path != "/up" {
 			w.WriteHeader(http.StatusNotFound)
@@ -56,7 +56,7 @@
 			fmt.Fprintln(os.Stderr, "discovery moved")
 		}
 		c = next
-		ask()
+		request()
 	}
 	return 0
 }
--- a/internal/testbed/process/http.go
+++ b/internal/testbed/process/http.go
@@ -33,18 +33,18 @@
 
 // request reads one request from the start of b, n bytes long; n is 0 while it is not whole.
 func (r *reader) request(b []byte) (q *http.Request, body []byte, n int, err error) {
-	head, err := headerLength(b)
-	if head == 0 || err != nil {
+	first, err := headerLength(b)
+	if first == 0 || err != nil {
 		return nil, nil, 0, err
 	}
 	r.load(b)
 	if q, err = http.ReadRequest(r.buf); err != nil {
 		return nil, nil, 0, err
 	}
-	if q.TransferEncoding != nil && bytes.Contains(bytes.ToLower(b[:head]), []byte("\ncontent-length:")) {
+	if q.TransferEncoding != nil && bytes.Contains(bytes.ToLower(b[:first]), []byte("\ncontent-length:")) {
 		return nil, nil, 0, errTwoLengths // net/http picks one
 	}
-	body, n, err = r.body(b, head, q.ContentLength, q.Body, false)
+	body, n, err = r.body(b, first, q.ContentLength, q.Body, false)
 	return q, body, n, err
 }
 
@@ -52,8 +52,8 @@
 // will come: some answers end only with their connection.
 func (r *reader) response(b []byte, ended bool) (a *http.Response, body []byte, n int, err error) {
 	for offset := 0; ; {
-		head, err := headerLength(b[offset:])
-		if head == 0 || err != nil {
+		first, err := headerLength(b[offset:])
+		if first == 0 || err != nil {
 			return nil, nil, 0, err
 		}
 		r.load(b[offset:])
@@ -62,13 +62,13 @@
 			return nil, nil, 0, err
 		}
 		if response.StatusCode < 200 {
-			offset += head
+			offset += first
 			continue
 		}
 		if response.ContentLength < 0 && response.TransferEncoding == nil && !ended {
 			return nil, nil, 0, nil
 		}
-		body, n, err := r.body(b[offset:], head, response.ContentLength, response.Body, ended)
+		body, n, err := r.body(b[offset:], first, response.ContentLength, response.Body, ended)
 		if n > 0 {
 			n += offset
 		}
@@ -94,15 +94,15 @@
 }
 
 // body takes the body of the message just read, if it is whole. length below 0: it has none, or is in chunks.
-func (r *reader) body(b []byte, head int, length int64, from io.Reader, ended bool) (body []byte, n int, err error) {
+func (r *reader) body(b []byte, first int, length int64, from io.Reader, ended bool) (body []byte, n int, err error) {
 	switch {
 	case length > maxBody:
 		return nil, 0, errBodyTooLarge
-	case length >= 0 && int64(len(b)-head) < length:
+	case length >= 0 && int64(len(b)-first) < length:
 		return nil, 0, nil
 	case length >= 0:
-		n = head + int(length)
-		return b[head:n], n, nil
+		n = first + int(length)
+		return b[first:n], n, nil
 	}
 	body, err = io.ReadAll(io.LimitReader(from, maxBody+1))
 	switch {
--- a/internal/testbed/process/load.go
+++ b/internal/testbed/process/load.go
@@ -217,33 +217,33 @@
 
 // requestDue has the next request fall due.
 func (t *loadThread) requestDue(now time.Duration) {
-	due := t.nextDue
+	dueAt := t.nextDue
 	t.nextDue += time.Duration(t.rng.ExpFloat64() * t.meanGap)
-	if due >= t.options.WarmUp {
+	if dueAt >= t.options.WarmUp {
 		t.result.Due++
-		_ = t.result.Lateness.RecordValue((now - due).Microseconds())
+		_ = t.result.Lateness.RecordValue((now - dueAt).Microseconds())
 	}
 	t.open++
 	switch {
 	case len(t.idle) > 0:
-		t.sendRequest(due)
+		t.sendRequest(dueAt)
 	case len(t.waiting) < maxDue:
-		t.waiting = append(t.waiting, due)
+		t.waiting = append(t.waiting, dueAt)
 	default:
-		t.requestLost(due)
+		t.requestLost(dueAt)
 	}
 }
 
-func (t *loadThread) sendRequest(due time.Duration) {
+func (t *loadThread) sendRequest(dueAt time.Duration) {
 	c := t.idle[0]
 	t.idle = t.idle[1:]
-	c.dueAt, c.busy = due, true
+	c.dueAt, c.busy = dueAt, true
 	c.write(t.options.Request(t.number, t.sent))
 	t.sent++
 }
 
-func (t *loadThread) requestLost(due time.Duration) {
-	if t.open--; due >= t.options.WarmUp {
+func (t *loadThread) requestLost(dueAt time.Duration) {
+	if t.open--; dueAt >= t.options.WarmUp {
 		t.result.Failed++
 	}
 }
@@ -251,9 +251,9 @@
 // release gives a connection to the request that has waited longest.
 func (t *loadThread) release(c *loadConn) {
 	if t.idle = append(t.idle, c); len(t.waiting) > 0 {
-		due := t.waiting[0]
+		dueAt := t.waiting[0]
 		t.waiting = t.waiting[1:]
-		t.sendRequest(due)
+		t.sendRequest(dueAt)
 	}
 }
 
@@ -314,8 +314,8 @@
 // parseSimpleResponse reads an answer of the plainest form from the start of b: n bytes long, 0 while it is not whole or not of
 // that form; ended: it says that its connection ends.
 func parseSimpleResponse(b []byte) (status, n int, ended bool) {
-	head := bytes.Index(b, headerEnd)
-	if head < 12 || !bytes.HasPrefix(b, []byte("HTTP/1.1 ")) {
+	first := bytes.Index(b, headerEnd)
+	if first < 12 || !bytes.HasPrefix(b, []byte("HTTP/1.1 ")) {
 		return 0, 0, false
 	}
 	status, err := strconv.Atoi(string(b[9:12]))
@@ -323,7 +323,7 @@
 		return 0, 0, false
 	}
 	length := 0
-	switch value, ok := findField(b[:head+2], "\r\nContent-Length: "); {
+	switch value, ok := findField(b[:first+2], "\r\nContent-Length: "); {
 	case ok:
 		if length, err = strconv.Atoi(string(value)); err != nil || length < 0 || length > maxBody {
 			return 0, 0, false
@@ -331,20 +331,20 @@
 	case status != http.StatusNoContent:
 		return 0, 0, false
 	}
-	if n = head + len(headerEnd) + length; n > len(b) {
+	if n = first + len(headerEnd) + length; n > len(b) {
 		return 0, 0, false
 	}
-	value, _ := findField(b[:head+2], "\r\nConnection: ")
+	value, _ := findField(b[:first+2], "\r\nConnection: ")
 	return status, n, string(value) == "close"
 }
 
 // findField finds a field that is written just so in a head whose lines all end.
-func findField(head []byte, name string) (value []byte, ok bool) {
-	at := bytes.Index(head, []byte(name))
+func findField(first []byte, name string) (value []byte, ok bool) {
+	at := bytes.Index(first, []byte(name))
 	if at < 0 {
 		return nil, false
 	}
-	value = head[at+len(name):]
+	value = first[at+len(name):]
 	return value[:bytes.IndexByte(value, '\r')], true
 }
 
@@ -445,15 +445,15 @@
 
 func (c *responderConn) dataReceived(int) {
 	for !c.closed {
-		head := bytes.Index(c.received, headerEnd)
-		if head < 0 {
+		first := bytes.Index(c.received, headerEnd)
+		if first < 0 {
 			return
 		}
 		length := 0
-		if value, ok := findField(c.received[:head+2], "\r\nContent-Length: "); ok {
+		if value, ok := findField(c.received[:first+2], "\r\nContent-Length: "); ok {
 			length, _ = strconv.Atoi(string(value))
 		}
-		n := head + len(headerEnd) + length
+		n := first + len(headerEnd) + length
 		if length < 0 || n > len(c.received) {
 			return
 		}
--- a/internal/testbed/process/misbehaving.go
+++ b/internal/testbed/process/misbehaving.go
@@ -226,8 +226,8 @@
 	return misbehavingRequest
 }
 
-func (q misbehavingRequest) bytes(host string) []byte {
-	b := http1.AppendRequestStart(nil, "POST", q.path, host)
+func (q misbehavingRequest) bytes(endpoint string) []byte {
+	b := http1.AppendRequestStart(nil, "POST", q.path, endpoint)
 	for _, f := range [][2]string{
 		{"X-Call-Id", q.id},
 		{"X-Call-Class", q.class},
@@ -245,7 +245,7 @@
 
 // start does what its kind does. Each has an answer or a close coming, but for those that leave by themselves.
 func (o *misbehavingClient) start(do *simapi.Misbehavior) {
-	host := o.driver.addresses.scheduler(o.scheduler).String()
+	endpoint := o.driver.addresses.scheduler(o.scheduler).String()
 	misbehavingRequest := o.newRequest(0)
 	switch do.Kind {
 	case "garbage":
@@ -256,26 +256,26 @@
 		o.connect(append(b, "\r\n\r\n"...))
 	case "endless_head":
 		line := []byte(strings.Repeat("X-More: "+strings.Repeat("m", 100)+"\r\n", 40))
-		o.connect(http1.AppendRequestStart(nil, "POST", misbehavingRequest.path, host)).feed = func() []byte { return line }
+		o.connect(http1.AppendRequestStart(nil, "POST", misbehavingRequest.path, endpoint)).feed = func() []byte { return line }
 	case "wrong_length":
 		off := 1 + o.rng.IntN(len(misbehavingRequest.body)) // too long, and never whole; or too short, and the rest is no request
 		if do.Number%2 == 0 {
 			off = -off
 		}
 		misbehavingRequest.length = strconv.Itoa(len(misbehavingRequest.body) + off)
-		o.connect(misbehavingRequest.bytes(host))
+		o.connect(misbehavingRequest.bytes(endpoint))
 	case "negative_length":
 		misbehavingRequest.length = strconv.Itoa(-1 - o.rng.IntN(1000))
-		o.connect(misbehavingRequest.bytes(host))
+		o.connect(misbehavingRequest.bytes(endpoint))
 	case "huge_length":
 		misbehavingRequest.length = "9" + strings.Repeat("0", 8+o.rng.IntN(20))
-		o.connect(misbehavingRequest.bytes(host))
+		o.connect(misbehavingRequest.bytes(endpoint))
 	case "huge_body":
 		misbehavingRequest.length, misbehavingRequest.body = strconv.Itoa(hugeBody), ""
-		part, left := make([]byte, 64<<10), hugeBody
-		o.connect(misbehavingRequest.bytes(host)).feed = func() []byte {
-			n := min(left, len(part))
-			left -= n
+		part, remaining := make([]byte, 64<<10), hugeBody
+		o.connect(misbehavingRequest.bytes(endpoint)).feed = func() []byte {
+			n := min(remaining, len(part))
+			remaining -= n
 			if n == 0 {
 				return nil
 			}
@@ -284,30 +284,30 @@
 	case "unknown_class":
 		misbehavingRequest.class = "no-such-class"
 		misbehavingRequest.path = "/" + misbehavingRequest.class + "/" + misbehavingRequest.id
-		o.connect(misbehavingRequest.bytes(host))
+		o.connect(misbehavingRequest.bytes(endpoint))
 	case "bad_deadline":
 		misbehavingRequest.budget = []string{"soon", "-1", "1e3", "12ms", "99999999999999999999", "0x10"}[o.rng.IntN(6)]
-		o.connect(misbehavingRequest.bytes(host))
+		o.connect(misbehavingRequest.bytes(endpoint))
 	case "no_id":
 		misbehavingRequest.id = ""
-		o.connect(misbehavingRequest.bytes(host))
+		o.connect(misbehavingRequest.bytes(endpoint))
 	case "stolen_id":
 		if do.RequestID != "" {
 			misbehavingRequest.id = do.RequestID
 		}
-		o.connect(misbehavingRequest.bytes(host))
+		o.connect(misbehavingRequest.bytes(endpoint))
 	case "half_then_close":
-		b := misbehavingRequest.bytes(host)
+		b := misbehavingRequest.bytes(endpoint)
 		k := o.connect(b[:1+o.rng.IntN(len(b)-1)])
 		k.closeWhenFlushed = true
 	case "flood":
 		var b []byte
 		for i := range 200 + o.rng.IntN(300) {
-			b = append(b, o.newRequest(i).bytes(host)...)
+			b = append(b, o.newRequest(i).bytes(endpoint)...)
 		}
 		o.connect(b)
 	case "insist":
-		o.insistRequest = misbehavingRequest.bytes(host)
+		o.insistRequest = misbehavingRequest.bytes(endpoint)
 		o.connect(o.insistRequest)
 	case "silent":
 		o.connect(nil)
@@ -316,11 +316,11 @@
 		hidden.id = hiddenPrefix + hidden.id
 		hidden.path = "/" + hidden.class + "/" + hidden.id
 		misbehavingRequest.extraFields = "Transfer-Encoding: chunked\r\n"
-		misbehavingRequest.body = "0\r\n\r\n" + string(hidden.bytes(host)) // by chunks it ends before the hidden one, by length after it
+		misbehavingRequest.body = "0\r\n\r\n" + string(hidden.bytes(endpoint)) // by chunks it ends before the hidden one, by length after it
 		misbehavingRequest.length = strconv.Itoa(len(misbehavingRequest.body))
-		o.connect(misbehavingRequest.bytes(host))
+		o.connect(misbehavingRequest.bytes(endpoint))
 	case "slow_head":
-		b := misbehavingRequest.bytes(host)
+		b := misbehavingRequest.bytes(endpoint)
 		k := o.connect(b[:1])
 		at := 1
 		k.repeatSlowly(func() {
@@ -333,7 +333,7 @@
 		misbehavingRequest.class = "no-such-class"
 		misbehavingRequest.path = "/" + misbehavingRequest.class + "/" + misbehavingRequest.id
 		var b []byte
-		for one := misbehavingRequest.bytes(host); len(b) < 1<<20; {
+		for one := misbehavingRequest.bytes(endpoint); len(b) < 1<<20; {
 			b = append(b, one...)
 		}
 		k := o.connect(b)
--- a/internal/testbed/process/poller.go
+++ b/internal/testbed/process/poller.go
@@ -124,11 +124,11 @@
 	if !timed {
 		until = 0
 	}
-	switch left := until - p.clock(); {
-	case timed && left <= 0:
+	switch remaining := until - p.clock(); {
+	case timed && remaining <= 0:
 		timeout = 0
 	case until != p.armed:
-		at := unix.ItimerSpec{Value: unix.NsecToTimespec(max(0, int64(left)))}
+		at := unix.ItimerSpec{Value: unix.NsecToTimespec(max(0, int64(remaining)))}
 		if err := unix.TimerfdSettime(p.timer, 0, &at, nil); err != nil {
 			return fmt.Errorf("timer: %w", err)
 		}
--- a/internal/testbed/process/processes.go
+++ b/internal/testbed/process/processes.go
@@ -503,15 +503,15 @@
 
 // localEndpoints gives a list as a scheduler is told it: with the addresses at which it reaches the workers.
 func (d *driver) localEndpoints(sched int, endpointList requests.EndpointList) requests.EndpointList {
-	hosts := make([]requests.Endpoint, len(endpointList.Endpoints))
+	endpoints := make([]requests.Endpoint, len(endpointList.Endpoints))
 	for i, h := range endpointList.Endpoints {
 		if n, machine := d.workerOf(&h); n != nil {
 			if h.Addr = n.addr(machine, sched).String(); machine == len(n.machines)-1 {
 				n.id = h.ID
 			}
 		}
-		hosts[i] = h
+		endpoints[i] = h
 	}
-	endpointList.Endpoints = hosts
+	endpointList.Endpoints = endpoints
 	return endpointList
 }
--- a/internal/testbed/process/run_test.go
+++ b/internal/testbed/process/run_test.go
@@ -40,11 +40,11 @@
 // request that was asked, none is lost, and all that the run started has ended with it.
 func TestPlay(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "valvecove")
-	if out, err := exec.Command("go", "build", "-o", binary, "valvecove/cmd/valvecove").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+	if outputs, err := exec.Command("go", "build", "-o", binary, "valvecove/cmd/valvecove").CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, outputs)
 	}
 	settled, open := map[uint64]int{}, map[string]bool{}
-	last, due := time.Duration(0), 0
+	last, dueAt := time.Duration(0), 0
 	var progress atomic.Int32
 	o, err := Run(t.Context(), testSpec(t, calm+"[[fault]]\nwhat = \"sched_replace\"\nat = \"500ms\"\n"), 3, Options{
 		Binary:   binary,
@@ -55,7 +55,7 @@
 			}
 			switch last = s.At; s.Kind {
 			case trace.JobDue:
-				due++
+				dueAt++
 			case trace.JobSettled:
 				settled[s.JobID]++
 			case trace.RequestSent:
@@ -76,8 +76,8 @@
 			t.Errorf("job %d settled %d times", job, n)
 		}
 	}
-	if !o.Finished || due == 0 || len(settled) != due || len(o.AlteredRequests) > 0 || progress.Load() == 0 {
-		t.Errorf("%d due, %d settled, %+v", due, len(settled), o)
+	if !o.Finished || dueAt == 0 || len(settled) != dueAt || len(o.AlteredRequests) > 0 || progress.Load() == 0 {
+		t.Errorf("%d due, %d settled, %+v", dueAt, len(settled), o)
 	}
 	for _, p := range o.Schedulers {
 		if p.Starts != 2 || len(p.Exits) > 0 {
--- a/internal/testbed/process/unsupported.go
+++ b/internal/testbed/process/unsupported.go
@@ -28,10 +28,10 @@
 			all = append(all, fmt.Sprintf("net.%s is %v: below %v sockets hide it.", key, d, minDelay))
 		}
 	}
-	told := map[string]bool{}
+	notified := map[string]bool{}
 	for _, f := range spec.Faults {
-		if why, ok := partlySupportedFaults[f.Kind]; ok && !told[f.Kind] {
-			told[f.Kind] = true
+		if why, ok := partlySupportedFaults[f.Kind]; ok && !notified[f.Kind] {
+			notified[f.Kind] = true
 			all = append(all, fmt.Sprintf("Fault %s: %s", f.Kind, why))
 		}
 	}
--- a/internal/testbed/process/usage.go
+++ b/internal/testbed/process/usage.go
@@ -54,8 +54,8 @@
 
 // statusBytes reads a line of /proc/PID/status, in bytes.
 func statusBytes(status []byte, name string) int64 {
-	_, rest, _ := bytes.Cut(status, []byte("\n"+name))
-	line, _, _ := bytes.Cut(rest, []byte("\n"))
+	_, remainder, _ := bytes.Cut(status, []byte("\n"+name))
+	line, _, _ := bytes.Cut(remainder, []byte("\n"))
 	fields := bytes.Fields(line)
 	if len(fields) == 0 {
 		return 0
--- a/internal/testbed/process/workers.go
+++ b/internal/testbed/process/workers.go
@@ -171,8 +171,8 @@
 	if k.closed || !k.open {
 		return
 	}
-	over := k.resetAfter > 0 && k.bytesRead >= k.resetAfter
-	if over {
+	ended := k.resetAfter > 0 && k.bytesRead >= k.resetAfter
+	if ended {
 		k.received = k.received[:max(0, len(k.received)-(k.bytesRead-k.resetAfter))] // the rest was never read
 		k.bytesRead = k.resetAfter
 	}
@@ -190,7 +190,7 @@
 		k.consume(n)
 		k.requestBegun, k.firstByteAt = len(k.received) > 0, k.poller.now
 	}
-	if !k.closed && (over || len(k.received) > maxReadAhead) {
+	if !k.closed && (ended || len(k.received) > maxReadAhead) {
 		k.reset()
 		k.reportClosed()
 	}
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -31,12 +31,12 @@
 
 // Pairs are the paired differences of each further side from the first, by every headline.
 func (c *Comparison) Pairs() [][]score.Paired {
-	out := make([][]score.Paired, 0, len(c.Sides))
+	outputs := make([][]score.Paired, 0, len(c.Sides))
 	for i := 1; i < len(c.Sides); i++ {
 		a, b := &c.Sides[0], &c.Sides[i]
-		out = append(out, score.CompareAll(a.Name, b.Name, a.Results, b.Results))
+		outputs = append(outputs, score.CompareAll(a.Name, b.Name, a.Results, b.Results))
 	}
-	return out
+	return outputs
 }
 
 // chanceNote says what to make of many intervals at once.
@@ -47,11 +47,11 @@
 type means map[string]score.Spread
 
 func spreads(plays []*score.Result) means {
-	out := means{}
+	outputs := means{}
 	for _, h := range score.Headlines {
-		out[h.Name] = score.SpreadOf(h.Values(plays))
+		outputs[h.Name] = score.SpreadOf(h.Values(plays))
 	}
-	return out
+	return outputs
 }
 
 // MarshalJSON writes spreads, each run's headlines, and paired differences, without the runs' series.
@@ -63,7 +63,7 @@
 		Figures means          `json:"figures"`
 		Plays   []jsonHeadline `json:"plays"`
 	}
-	out := struct {
+	outputs := struct {
 		Title   string           `json:"title"`
 		About   string           `json:"about,omitempty"`
 		Build   string           `json:"build,omitempty"`
@@ -72,9 +72,9 @@
 		Reading string           `json:"reading"`
 	}{Title: c.Title, About: c.Description, Build: c.Build, Pairs: c.Pairs(), Reading: chanceNote}
 	for _, s := range c.Sides {
-		out.Sides = append(out.Sides, side{s.Name, s.Broken, s.Invalid, spreads(s.Results), headlines(s.Results)})
+		outputs.Sides = append(outputs.Sides, side{s.Name, s.Broken, s.Invalid, spreads(s.Results), headlines(s.Results)})
 	}
-	return json.Marshal(out)
+	return json.Marshal(outputs)
 }
 
 // jsonHeadline is a run's headlines; null where there is none.
@@ -84,18 +84,18 @@
 }
 
 func headlines(plays []*score.Result) []jsonHeadline {
-	out := make([]jsonHeadline, len(plays))
+	outputs := make([]jsonHeadline, len(plays))
 	for i, r := range plays {
-		out[i] = jsonHeadline{r.Seed, map[string]*float64{}}
+		outputs[i] = jsonHeadline{r.Seed, map[string]*float64{}}
 		for _, h := range score.Headlines {
 			if x := h.ValueOf(r); isNotFinite(x) {
-				out[i].Figures[h.Name] = nil
+				outputs[i].Figures[h.Name] = nil
 			} else {
-				out[i].Figures[h.Name] = &x
+				outputs[i].Figures[h.Name] = &x
 			}
 		}
 	}
-	return out
+	return outputs
 }
 
 // formatFigure writes a headline's figure in its unit.
@@ -226,34 +226,34 @@
 				}
 			}
 		}
-		asked := meanSeries(side.Results, func(s *score.Seconds) score.Series { return s.DueValue })
+		sent := meanSeries(side.Results, func(s *score.Seconds) score.Series { return s.DueValue })
 		earned := meanSeries(side.Results, func(s *score.Seconds) score.Series { return s.DueValueEarned })
 		if i == 0 {
-			lines = append(lines, lineSpec{name: "asked for", series: asked, area: true})
+			lines = append(lines, lineSpec{name: "asked for", series: sent, area: true})
 		}
 		if len(lines) < 6 {
 			lines = append(lines, lineSpec{name: side.Name, series: meanSeries(side.Results,
 				func(s *score.Seconds) score.Series { return s.GoodputValue })})
-			kept = append(kept, lineSpec{name: side.Name, class: fmt.Sprint("s", len(lines)), series: ratio(asked, earned, length)})
+			kept = append(kept, lineSpec{name: side.Name, class: fmt.Sprint("s", len(lines)), series: ratio(sent, earned, length)})
 		}
 	}
 	for _, h := range score.Headlines {
-		row := make([]string, len(c.Sides))
+		line := make([]string, len(c.Sides))
 		for i := range c.Sides {
-			row[i] = withSpread(h.Name, all[i][h.Name])
+			line[i] = withSpread(h.Name, all[i][h.Name])
 		}
-		figures.row(h.Name+", "+h.Description, row...)
+		figures.row(h.Name+", "+h.Description, line...)
 	}
 	figures.row("rules broken", broken...)
 	figures.row("plays", plays...)
 	figures.row("plays that were void, left out", void...)
 	document.Sections = append(document.Sections, section{ID: "figures", Title: "Side by side", Tables: []table{figures}})
-	over := section{
+	ended := section{
 		ID: "seconds", Title: "Over time",
 		Text: []string{"Means over the seeds. Faults strike whom the seed draws; their bands are those of the first."},
 	}
 	if t.end > 0 {
-		over.Plots = []*plot{
+		ended.Plots = []*plot{
 			t.plot(timePlot{
 				id: "goodput", title: "Goodput", yName: "worth a second", height: 300, text: formatNumber, labels: true,
 				lines: lines,
@@ -263,7 +263,7 @@
 				yName: "mean of two seconds", height: 240, top: 1, text: formatPercent, lines: kept,
 			}),
 		}
-		document.Sections = append(document.Sections, over)
+		document.Sections = append(document.Sections, ended)
 	}
 	for i, list := range c.Pairs() {
 		x := table{Head: []string{"", "difference", "95% interval", "spread (SD)", "p", "in words"}, TextColumns: true}
@@ -368,7 +368,7 @@
 		Points []point `json:"points"`
 		Knee   *int    `json:"knee"` // null: none
 	}
-	out := struct {
+	outputs := struct {
 		Title  string  `json:"title"`
 		About  string  `json:"about,omitempty"`
 		Build  string  `json:"build,omitempty"`
@@ -386,9 +386,9 @@
 		for _, p := range c.Points {
 			x.Points = append(x.Points, point{p.X, p.Label, p.Broken, spreads(p.Results)})
 		}
-		out.Curves = append(out.Curves, x)
+		outputs.Curves = append(outputs.Curves, x)
 	}
-	return json.Marshal(out)
+	return json.Marshal(outputs)
 }
 
 // sweptMetrics are the headlines that a sweep's table shows beside the one that is drawn.
@@ -411,15 +411,15 @@
 		for k := range c.Points {
 			p := &c.Points[k]
 			all := spreads(p.Results)
-			var row []string
+			var line []string
 			for _, name := range names {
-				row = append(row, withSpread(name, all[name]))
+				line = append(line, withSpread(name, all[name]))
 			}
 			first := p.label()
 			if ok && k == knee {
 				first += " (knee)"
 			}
-			t.row(first, append(row, formatCount(p.Broken))...)
+			t.row(first, append(line, formatCount(p.Broken))...)
 		}
 	}
 	return t
@@ -434,14 +434,14 @@
 	columns := []int{0, 1, 4, 6, 7, 8, 9, len(t.Head) - 1}
 	width := []int{24, 16, 10, 10, 10, 8, 8, 8}
 	cut := func(text string) string { before, _, _ := strings.Cut(text, " ±"); return before }
-	head := ""
+	first := ""
 	for i, c := range columns {
 		if i == 0 {
 			width[i] = -width[i] // to the left
 		}
-		head += fmt.Sprintf("%*s", width[i], truncateLine(t.Head[c], max(width[i], -width[i])-1))
+		first += fmt.Sprintf("%*s", width[i], truncateLine(t.Head[c], max(width[i], -width[i])-1))
 	}
-	textPage.line(faint, "%s", head)
+	textPage.line(faint, "%s", first)
 	for _, row := range t.Rows {
 		if len(row) == 1 {
 			textPage.line(strong, "%s", row[0].Text)
@@ -530,7 +530,7 @@
 			}
 		}
 	}
-	var said []string
+	var reported []string
 	for i := range s.Curves {
 		curve := &s.Curves[i]
 		class := "s" + strconv.Itoa(i%6+1)
@@ -556,8 +556,8 @@
 			name = s.Second + " " + name
 		}
 		plot.add(class, name, values, ys, false, false)
-		said = append(said, s.knee(curve))
+		reported = append(reported, s.knee(curve))
 	}
-	plot.Description = strings.Join(said, "; ") + "."
+	plot.Description = strings.Join(reported, "; ") + "."
 	return plot
 }
--- a/internal/testbed/report/html.go
+++ b/internal/testbed/report/html.go
@@ -83,13 +83,13 @@
 	return err
 }
 
-func (t *table) row(first string, rest ...string) {
-	row := make([]cell, 0, len(rest)+1)
-	row = append(row, cell{Text: first})
-	for _, text := range rest {
-		row = append(row, cell{Text: text})
+func (t *table) row(first string, remainder ...string) {
+	line := make([]cell, 0, len(remainder)+1)
+	line = append(line, cell{Text: first})
+	for _, text := range remainder {
+		line = append(line, cell{Text: text})
 	}
-	t.Rows = append(t.Rows, row)
+	t.Rows = append(t.Rows, line)
 }
 
 // ColumnCount is how many columns a row of one cell spans, and Last the last of them.
@@ -98,25 +98,25 @@
 
 // setClass gives the last row's cells from column i on a class.
 func (t *table) setClass(class string, columns ...int) {
-	row := t.Rows[len(t.Rows)-1]
+	line := t.Rows[len(t.Rows)-1]
 	for _, i := range columns {
-		row[i].Class = class
+		line[i].Class = class
 	}
 }
 
 // WriteHTML writes the report of a run as one file that refers to nothing else.
 func WriteHTML(w io.Writer, d Document) error {
 	result := d.Result
-	out := &document{Title: result.Name, Description: result.Description, Summary: []string{summaryOf(result)}, Tiles: tiles(result)}
+	outputs := &document{Title: result.Name, Description: result.Description, Summary: []string{summaryOf(result)}, Tiles: tiles(result)}
 	if d.Build != "" {
-		out.Summary = append(out.Summary, "Played with "+d.Build)
+		outputs.Summary = append(outputs.Summary, "Played with "+d.Build)
 	}
-	out.Badge = &badge{"good", d.Verdict.String()}
+	outputs.Badge = &badge{"good", d.Verdict.String()}
 	switch {
 	case d.Verdict.Total() > 0:
-		out.Badge.Class = "poor"
+		outputs.Badge.Class = "poor"
 	case d.Verdict == nil || d.Verdict.Invalid != "":
-		out.Badge.Class = ""
+		outputs.Badge.Class = ""
 	}
 	end := result.End
 	for end > result.Length && isQuietAfter(result, end-1) {
@@ -125,7 +125,7 @@
 	t := &timeline{end: end, faults: result.Faults, marks: result.Marks}
 	add := func(s section, ok bool) {
 		if ok {
-			out.Sections = append(out.Sections, s)
+			outputs.Sections = append(outputs.Sections, s)
 		}
 	}
 	add(verdictSection(d.Verdict))
@@ -139,7 +139,7 @@
 	add(misbehavingSection(result))
 	add(scenarioText(d.Scenario), d.Scenario != "")
 	add(section{ID: "reading", Title: "How to read this", Text: readingGuide}, true)
-	return out.write(w)
+	return outputs.write(w)
 }
 
 func scenarioText(text string) section {
@@ -188,12 +188,12 @@
 		{"occupancy", formatPercent(result.Fleet.Whole), "busiest " + formatPercent(result.Fleet.Busiest)},
 	}
 	if result.Recovery.Count > 0 {
-		note := plural(result.Recovery.Count, "disturbance", "disturbances") + ", the worst"
+		callback := plural(result.Recovery.Count, "disturbance", "disturbances") + ", the worst"
 		value := formatSeconds(result.Recovery.Seconds)
 		if !result.Recovery.All {
 			value = "not seen"
 		}
-		list = append(list, tile{"back after", value, note})
+		list = append(list, tile{"back after", value, callback})
 	}
 	return list
 }
@@ -233,16 +233,16 @@
 
 // ratio is earned over asked, second by second, as a mean with the second that follows; none where nothing was asked
 // for.
-func ratio(asked, earned score.Series, end float64) score.Series {
-	out := make(score.Series, min(len(asked), int(math.Ceil(end))))
-	for i := range out {
-		k := min(i+2, len(out))
-		out[i] = math.NaN()
-		if a := asked[i:k].Sum(); a > 0 {
-			out[i] = earned[i:k].Sum() / a
+func ratio(sent, earned score.Series, end float64) score.Series {
+	outputs := make(score.Series, min(len(sent), int(math.Ceil(end))))
+	for i := range outputs {
+		k := min(i+2, len(outputs))
+		outputs[i] = math.NaN()
+		if a := sent[i:k].Sum(); a > 0 {
+			outputs[i] = earned[i:k].Sum() / a
 		}
 	}
-	return out
+	return outputs
 }
 
 func timelineSection(r *score.Result, t *timeline) section {
@@ -254,7 +254,7 @@
 		kept = append(kept, lineSpec{name: c.Name, series: ratio(c.DueValue, c.DueValueEarned, r.Length)})
 		flight = append(flight, lineSpec{name: c.Name, series: c.InFlight})
 	}
-	out := section{ID: "seconds", Title: "Over time", Plots: []*plot{
+	outputs := section{ID: "seconds", Title: "Over time", Plots: []*plot{
 		t.plot(timePlot{
 			id: "goodput", title: "Asked for and answered in time", yName: "worth a second", height: 300,
 			text: formatNumber, labels: true, lines: []lineSpec{
@@ -287,9 +287,9 @@
 		}),
 	}}
 	if len(seconds.Classes) > 5 {
-		out.Text = []string{"Of the classes the first five are drawn."}
+		outputs.Text = []string{"Of the classes the first five are drawn."}
 	}
-	return out
+	return outputs
 }
 
 func groupTables(result *score.Result) []table {
@@ -312,7 +312,7 @@
 		Caption: "Latency of served jobs, from when they were due",
 		Head:    []string{"", "served", "p50", "p90", "p99", "p99.9", "slowest"},
 	}
-	row := func(g *score.Group) {
+	line := func(g *score.Group) {
 		cells := []string{formatCount(g.Due), formatNumber(g.Requested), formatPercent(g.EarnedShare), formatPercent(g.EarnedShareWithinQuota)}
 		for _, i := range shown {
 			cells = append(cells, formatPercent(float64(g.Outcomes[i])/float64(max(1, g.Due))))
@@ -324,7 +324,7 @@
 		l := &g.Latency
 		times.row(g.Name, formatCount(l.Count), formatMillis(l.P50), formatMillis(l.P90), formatMillis(l.P99), formatMillis(l.P999), formatMillis(l.Max))
 	}
-	row(&result.Whole)
+	line(&result.Whole)
 	for _, side := range []struct {
 		name   string
 		groups []score.Group
@@ -332,7 +332,7 @@
 		outcome.row(side.name)
 		times.row(side.name)
 		for i := range side.groups {
-			row(&side.groups[i])
+			line(&side.groups[i])
 		}
 	}
 	return []table{outcome, times}
--- a/internal/testbed/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -41,7 +41,7 @@
 
 // ticks are at round values, at most about n of them.
 func (s *scale) ticks(n int, text func(float64) string) []tick {
-	var out []tick
+	var outputs []tick
 	if s.log {
 		steps := []float64{1, 2, 5}
 		if math.Log10(s.high/s.low) > float64(n)/2 {
@@ -50,11 +50,11 @@
 		for power := math.Pow(10, math.Floor(math.Log10(s.low))); power <= s.high*1.001; power *= 10 {
 			for _, step := range steps {
 				if v := power * step; v >= s.low*0.999 && v <= s.high*1.001 {
-					out = append(out, tick{s.at(v), text(v)})
+					outputs = append(outputs, tick{s.at(v), text(v)})
 				}
 			}
 		}
-		return out
+		return outputs
 	}
 	step := roundUp((s.high - s.low) / float64(n))
 	if step <= 0 {
@@ -62,9 +62,9 @@
 	}
 	for i := int(math.Ceil(s.low/step - 1e-9)); float64(i)*step <= s.high+step*1e-9; i++ {
 		v := float64(i) * step
-		out = append(out, tick{s.at(v), text(v)})
+		outputs = append(outputs, tick{s.at(v), text(v)})
 	}
-	return out
+	return outputs
 }
 
 // roundUp is the next of 1, 2, 5, 10 and so on.
@@ -215,7 +215,7 @@
 
 func (t *timeline) plot(o timePlot) *plot {
 	plot := newPlot(o.id, o.title, "seconds since the play's start", o.yName, o.height)
-	lanes := t.bands(plot, o.labels)
+	levels := t.bands(plot, o.labels)
 	n := 0
 	for i := range o.lines {
 		n = max(n, len(o.lines[i].series))
@@ -226,8 +226,8 @@
 		copy(whole, o.lines[i].series)
 		o.lines[i].series = whole
 	}
-	plot.Top += pixels(14 * max(0, lanes-1))
-	plot.Height += pixels(14 * max(0, lanes-1))
+	plot.Top += pixels(14 * max(0, levels-1))
+	plot.Height += pixels(14 * max(0, levels-1))
 	plot.Bottom = plot.Height - 34
 	yScale := scale{high: o.top, log: o.log}
 	for i := range o.lines {
@@ -251,7 +251,7 @@
 	}
 	seconds := func(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
 	plot.axes(scale{high: max(t.end, 1)}, yScale, seconds, func(v float64) string { return shorten(o.text(v)) })
-	said := make([]string, 0, len(o.lines))
+	reported := make([]string, 0, len(o.lines))
 	var texts []string // of the hovers
 	each := 1
 	for i := range o.lines {
@@ -278,7 +278,7 @@
 			class = "s" + strconv.Itoa(i%6+1)
 		}
 		plot.add(class, lineSpec.name, values, ys, lineSpec.area, lineSpec.strong)
-		said = append(said, fmt.Sprintf("%s: mean %s, greatest %s", lineSpec.name, o.text(meanOf(lineSpec.series)), o.text(maxOf(lineSpec.series))))
+		reported = append(reported, fmt.Sprintf("%s: mean %s, greatest %s", lineSpec.name, o.text(meanOf(lineSpec.series)), o.text(maxOf(lineSpec.series))))
 	}
 	for k, text := range texts {
 		for i, f := range t.faults[:min(len(t.faults), maxBands)] {
@@ -289,7 +289,7 @@
 		from, to := plot.xScale.at(float64(k*each)), plot.xScale.at(float64((k+1)*each))
 		plot.Hovers = append(plot.Hovers, hover{from, to - from, text})
 	}
-	plot.Description = strings.Join(said, "; ") + "."
+	plot.Description = strings.Join(reported, "; ") + "."
 	if len(t.faults) > 0 {
 		plot.Description += fmt.Sprintf(" %s shown as bands.", plural(len(t.faults), "fault is", "faults are"))
 	}
@@ -330,16 +330,16 @@
 	fit:
 		for _, text := range labels {
 			wide := pixels(runeWidth * float64(len([]rune(text))))
-			for lane := range ends {
+			for level := range ends {
 				at, end := from, from+wide
 				if end > p.Right {
 					at, end = p.Right-wide, p.Right
 				}
-				if at < ends[lane]+4 {
+				if at < ends[level]+4 {
 					continue
 				}
-				b.Label, b.LabelX, b.LabelY, ends[lane] = text, at, pixels(18+14*lane), end
-				used = max(used, lane+1)
+				b.Label, b.LabelX, b.LabelY, ends[level] = text, at, pixels(18+14*level), end
+				used = max(used, level+1)
 				break fit
 			}
 		}
@@ -397,8 +397,8 @@
 	wide := strip.AreaW / pixels(columns)
 	strip.ScaleX, strip.ScaleY = strconv.FormatFloat(float64(wide), 'f', 4, 64), high.String()
 	paths := make([]strings.Builder, shades+1) // the last: none was up
-	for row := range lines {
-		use := lines[row].Use
+	for line := range lines {
+		use := lines[line].Use
 		shade := func(c int) int {
 			sum, n := 0.0, 0
 			for _, x := range use[min(c*each, len(use)):min((c+1)*each, len(use))] {
@@ -417,7 +417,7 @@
 				c++
 			}
 			if level > 0 { // idle is the ground that all is drawn on
-				fmt.Fprintf(&paths[level], "M%d %dh%dv1h-%dz", from, row, c-from, c-from)
+				fmt.Fprintf(&paths[level], "M%d %dh%dv1h-%dz", from, line, c-from, c-from)
 			}
 		}
 	}
@@ -431,9 +431,9 @@
 	x := scale{high: cell * float64(columns), from: strip.Left, to: strip.Left + strip.AreaW}
 	strip.XTicks = x.ticks(12, func(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) })
 	every := max(1, (len(lines)*14+int(strip.AreaH)-1)/int(strip.AreaH))
-	for row := 0; row < len(lines); row += every {
-		text := fmt.Sprint("w-", lines[row].First)
-		strip.YTicks = append(strip.YTicks, tick{strip.Top + (pixels(row)+0.5)*high, text})
+	for line := 0; line < len(lines); line += every {
+		text := fmt.Sprint("w-", lines[line].First)
+		strip.YTicks = append(strip.YTicks, tick{strip.Top + (pixels(line)+0.5)*high, text})
 	}
 	for i, f := range t.faults[:min(len(t.faults), maxBands)] {
 		from := x.at(f.On)
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -193,15 +193,15 @@
 }
 
 // thinSeries brings a series to at most n values, each of which stands for some seconds.
-func thinSeries(s score.Series, n int, of func(part score.Series) float64) (out score.Series, each int) {
+func thinSeries(s score.Series, n int, of func(part score.Series) float64) (outputs score.Series, each int) {
 	each = (len(s) + n - 1) / n
 	if each <= 1 {
 		return s, 1
 	}
 	for from := 0; from < len(s); from += each {
-		out = append(out, of(s[from:min(from+each, len(s))]))
+		outputs = append(outputs, of(s[from:min(from+each, len(s))]))
 	}
-	return out, each
+	return outputs, each
 }
 
 // meanOf and most pass over values that are none.
@@ -231,8 +231,8 @@
 // shorten takes zeros behind the point away, for the ticks of an axis.
 func shorten(text string) string {
 	end := strings.LastIndexAny(text, "0123456789") + 1
-	if head := text[:end]; strings.Contains(head, ".") {
-		return strings.TrimRight(strings.TrimRight(head, "0"), ".") + text[end:]
+	if first := text[:end]; strings.Contains(first, ".") {
+		return strings.TrimRight(strings.TrimRight(first, "0"), ".") + text[end:]
 	}
 	return text
 }
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -84,23 +84,23 @@
 	put(30_100, trace.Event{Kind: trace.MisbehavingClientAnswered, Conn: 1, Status: 400})
 	put(30_100, trace.Event{Kind: trace.TestbedLate, Lateness: 2 * time.Millisecond})
 	for i := range 1200 {
-		due, call, job, node := i*33, fmt.Sprint("c", i), uint64(i+1), i*7%10
+		dueAt, call, job, node := i*33, fmt.Sprint("c", i), uint64(i+1), i*7%10
 		took, status := 120+i*37%400+slower, 200
-		if at := due / 1000; at >= 12 && at < 18 && i%3 == 0 {
+		if at := dueAt / 1000; at >= 12 && at < 18 && i%3 == 0 {
 			took, status = 60, 503
 		}
-		put(due, trace.Event{
+		put(dueAt, trace.Event{
 			Kind: trace.JobDue, JobID: job, Class: i % 4, Tenant: i % 3, Work: 0.25, Slots: float64(1 + i%2),
 			LatencyObjective: 500 * time.Millisecond,
 		})
-		put(due, trace.Event{Kind: trace.RequestSent, JobID: job, RequestID: call})
+		put(dueAt, trace.Event{Kind: trace.RequestSent, JobID: job, RequestID: call})
 		if status == 200 {
-			put(due+2, trace.Event{Kind: trace.AttemptReceived, RequestID: call, Worker: node})
-			put(due+4, trace.Event{Kind: trace.AttemptStarted, RequestID: call, Worker: node})
-			put(due+took-2, trace.Event{Kind: trace.AttemptFinished, RequestID: call, Worker: node, Status: 200})
+			put(dueAt+2, trace.Event{Kind: trace.AttemptReceived, RequestID: call, Worker: node})
+			put(dueAt+4, trace.Event{Kind: trace.AttemptStarted, RequestID: call, Worker: node})
+			put(dueAt+took-2, trace.Event{Kind: trace.AttemptFinished, RequestID: call, Worker: node, Status: 200})
 		}
-		put(due+took, trace.Event{Kind: trace.ResponseReceived, RequestID: call, Status: status})
-		put(due+took, trace.Event{Kind: trace.JobSettled, JobID: job, Status: status})
+		put(dueAt+took, trace.Event{Kind: trace.ResponseReceived, RequestID: call, Status: status})
+		put(dueAt+took, trace.Event{Kind: trace.JobSettled, JobID: job, Status: status})
 	}
 	slices.SortStableFunc(all, func(a, b sight) int { return a.at - b.at })
 	for i := range all {
@@ -212,7 +212,7 @@
 	}
 	d := xml.NewDecoder(strings.NewReader(text))
 	d.Strict, d.AutoClose, d.Entity = false, []string{"meta", "link"}, xml.HTMLEntity
-	var out strings.Builder
+	var outputs strings.Builder
 	var path []string
 	ids := map[string]bool{}
 	titled := 0
@@ -234,7 +234,7 @@
 						t.Errorf("id %s twice", a.Value)
 					}
 					if ids[a.Value] = true; x.Name.Local == "section" {
-						fmt.Fprintln(&out, "section", a.Value)
+						fmt.Fprintln(&outputs, "section", a.Value)
 					}
 				case "href":
 					if !strings.HasPrefix(a.Value, "#") {
@@ -242,7 +242,7 @@
 					}
 				case "aria-labelledby":
 					titled++
-					fmt.Fprintln(&out, "  plot", strings.TrimSuffix(strings.Fields(a.Value)[0], "-t"))
+					fmt.Fprintln(&outputs, "  plot", strings.TrimSuffix(strings.Fields(a.Value)[0], "-t"))
 				}
 			}
 		case xml.EndElement:
@@ -250,7 +250,7 @@
 		case xml.CharData:
 			switch within := strings.Join(path, " "); {
 			case strings.HasSuffix(within, "thead tr th") && strings.TrimSpace(string(x)) != "":
-				fmt.Fprintln(&out, "  column", strings.TrimSpace(string(x)))
+				fmt.Fprintln(&outputs, "  column", strings.TrimSpace(string(x)))
 			case strings.HasSuffix(within, "figure svg desc") && len(x) < 20:
 				t.Errorf("plot described as %q", x)
 			}
@@ -259,7 +259,7 @@
 	if titled == 0 || titled != strings.Count(text, "<desc") || titled != strings.Count(text, `role="img"`) {
 		t.Error("a plot without title or description")
 	}
-	return out.String()
+	return outputs.String()
 }
 
 func TestHTML(t *testing.T) {
@@ -378,12 +378,12 @@
 	if err := WriteJSON(&b, v); err != nil {
 		t.Fatal(err)
 	}
-	var out map[string]any
-	if err := json.Unmarshal(b.Bytes(), &out); err != nil {
+	var outputs map[string]any
+	if err := json.Unmarshal(b.Bytes(), &outputs); err != nil {
 		t.Fatal(err)
 	}
 	for _, k := range keys {
-		if out[k] == nil {
+		if outputs[k] == nil {
 			t.Errorf("no %s", k)
 		}
 	}
--- a/internal/testbed/report/terminal.go
+++ b/internal/testbed/report/terminal.go
@@ -179,11 +179,11 @@
 		if !m.OK {
 			word, style = "NOT MET", poor
 		}
-		note := ""
+		callback := ""
 		if m.Remark != "" {
-			note = " (" + m.Remark + ")"
+			callback = " (" + m.Remark + ")"
 		}
-		p.line(style, "%s  %s: %s%s", word, m.Expectation, formatValue(m), note)
+		p.line(style, "%s  %s: %s%s", word, m.Expectation, formatValue(m), callback)
 	})
 }
 
@@ -199,15 +199,15 @@
 func (p *textPage) writeGroups(result *score.Result) {
 	p.line(faint, "%-18s%7s%8s%7s%8s%7s%9s%6s  %8s%8s%8s", "", "jobs", "in time", "late", "refused", "failed", "unansw.",
 		"lost", "p50", "p99", "max")
-	row := func(g *score.Group) {
+	line := func(g *score.Group) {
 		of := func(o score.JobOutcome) string { return formatPercent(float64(g.Outcomes[o]) / float64(max(1, g.Due))) }
 		p.line(plain, "%-18s%7d%8s%7s%8s%7s%9s%6s  %8s%8s%8s", truncateLine(g.Name, 17), g.Due, of(score.OutcomeInTime), of(score.OutcomeLate),
 			of(score.OutcomeRejected), of(score.OutcomeFailed), of(score.OutcomeUnanswered), of(score.OutcomeLost), formatMillis(g.Latency.P50),
 			formatMillis(g.Latency.P99), formatMillis(g.Latency.Max))
 	}
-	row(&result.Whole)
-	writeSome(p, result.Classes, 6, "classes", row)
-	writeSome(p, worstFirst(result.Tenants, 5), 5, "tenants", row)
+	line(&result.Whole)
+	writeSome(p, result.Classes, 6, "classes", line)
+	writeSome(p, worstFirst(result.Tenants, 5), 5, "tenants", line)
 	p.line(plain, "")
 }
 
--- a/internal/testbed/scenario/expect.go
+++ b/internal/testbed/scenario/expect.go
@@ -108,8 +108,8 @@
 	}
 	expectation.Metric, expectation.Operator = strings.TrimSpace(text[:i]), text[i:i+1]
 	bound := text[i+1:]
-	if rest, ok := strings.CutPrefix(bound, "="); ok {
-		bound = rest
+	if remainder, ok := strings.CutPrefix(bound, "="); ok {
+		bound = remainder
 		if expectation.Operator += "="; expectation.Operator == "==" {
 			expectation.Operator = "="
 		}
--- a/internal/testbed/scenario/read.go
+++ b/internal/testbed/scenario/read.go
@@ -84,13 +84,13 @@
 	next := s.Clone()
 	target, path := reflect.ValueOf(next).Elem(), key
 	for path != "" {
-		head, rest, _ := strings.Cut(path, ".")
-		name, index, indexed := strings.Cut(head, "[")
+		first, remainder, _ := strings.Cut(path, ".")
+		name, index, indexed := strings.Cut(first, "[")
 		field, ok := fieldOf(target, name)
 		if !ok {
 			return fmt.Errorf("key %q: there is no such key", key)
 		}
-		target, path = field, rest
+		target, path = field, remainder
 		if indexed {
 			i, err := strconv.Atoi(strings.TrimSuffix(index, "]"))
 			if err != nil || target.Kind() != reflect.Slice || i < 0 || i >= target.Len() {
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -179,10 +179,10 @@
 		if again, err := ParseExpectation(got.String()); err != nil || again != got {
 			t.Errorf("%q: written as %q, which reads as %v, %v", text, got.String(), again, err)
 		}
-		over, under := got.IsMet(got.Bound+1), got.IsMet(got.Bound-1)
+		ended, under := got.IsMet(got.Bound+1), got.IsMet(got.Bound-1)
 		if even := got.IsMet(got.Bound); got.IsMet(math.NaN()) || even != strings.Contains(got.Operator, "=") ||
-			over != strings.Contains(got.Operator, ">") || under != strings.Contains(got.Operator, "<") {
-			t.Errorf("%q: met by more %v, by as much %v, by less %v", text, over, even, under)
+			ended != strings.Contains(got.Operator, ">") || under != strings.Contains(got.Operator, "<") {
+			t.Errorf("%q: met by more %v, by as much %v, by less %v", text, ended, even, under)
 		}
 	}
 }
--- a/internal/testbed/score/check.go
+++ b/internal/testbed/score/check.go
@@ -17,35 +17,35 @@
 
 // MarshalJSON writes the expectation as a scenario does, and null for a figure that is none.
 func (m Evaluation) MarshalJSON() ([]byte, error) {
-	out := struct {
+	outputs := struct {
 		Expectation string   `json:"expectation"`
 		Got         *float64 `json:"got"`
 		OK          bool     `json:"ok"`
 		Note        string   `json:"note,omitempty"`
 	}{Expectation: m.Expectation.String(), OK: m.OK, Note: m.Remark}
 	if !math.IsNaN(m.Value) && !math.IsInf(m.Value, 0) {
-		out.Got = &m.Value
+		outputs.Got = &m.Value
 	}
-	return json.Marshal(out)
+	return json.Marshal(outputs)
 }
 
 // Check holds a result to expectations. broken is how often the checker found a rule broken. Shares and latencies of
 // jobs of which none was due or served, as the case may be, meet nothing.
 func Check(expect []scenario.Expectation, r *Result, broken int) []Evaluation {
-	out := make([]Evaluation, len(expect))
+	outputs := make([]Evaluation, len(expect))
 	for i, e := range expect {
 		m := Evaluation{Expectation: e}
 		m.Value, m.Remark = r.Figure(e.Metric, e.Group, broken)
 		m.OK = e.IsMet(m.Value)
-		out[i] = m
+		outputs[i] = m
 	}
-	return out
+	return outputs
 }
 
 // Figure is a figure by the name that expectations know it by, of a class, a tenant (whose worth in time is that
 // within its share) or all. Where it can't be had it is NaN, or +Inf for a disturbance that was not seen to end, and
 // note says why.
-func (r *Result) Figure(figure, of string, broken int) (x float64, note string) {
+func (r *Result) Figure(figure, of string, broken int) (x float64, callback string) {
 	switch figure {
 	case "rules_broken":
 		return float64(broken), ""
--- a/internal/testbed/score/headline.go
+++ b/internal/testbed/score/headline.go
@@ -67,18 +67,18 @@
 
 // Values is a headline's figure of each run.
 func (h Headline) Values(plays []*Result) []float64 {
-	out := make([]float64, len(plays))
+	outputs := make([]float64, len(plays))
 	for i, r := range plays {
-		out[i] = h.ValueOf(r)
+		outputs[i] = h.ValueOf(r)
 	}
-	return out
+	return outputs
 }
 
 // CompareAll compares two sides by every headline. a[i] and b[i] are plays of the same seed.
 func CompareAll(nameA, nameB string, a, b []*Result) []Paired {
-	out := make([]Paired, len(Headlines))
+	outputs := make([]Paired, len(Headlines))
 	for i, h := range Headlines {
-		out[i] = Compare(h.Name, nameA, nameB, h.Values(a), h.Values(b), h.Better)
+		outputs[i] = Compare(h.Name, nameA, nameB, h.Values(a), h.Values(b), h.Better)
 	}
-	return out
+	return outputs
 }
--- a/internal/testbed/score/meter.go
+++ b/internal/testbed/score/meter.go
@@ -56,14 +56,14 @@
 
 // means are the quantity's means over each bin. The last bin is taken as far as it has come.
 func (c *binnedMeter) means() Series {
-	out := make(Series, len(c.integrals))
+	outputs := make(Series, len(c.integrals))
 	for i, sum := range c.integrals {
 		from := time.Duration(i) * c.width
 		if span := min(c.width, c.updatedAt-from); i < maxBins-1 && span > 0 {
-			out[i] = clean(sum / span.Seconds())
+			outputs[i] = clean(sum / span.Seconds())
 		}
 	}
-	return out
+	return outputs
 }
 
 // growTo is a slice with room for place i.
--- a/internal/testbed/score/process.go
+++ b/internal/testbed/score/process.go
@@ -103,12 +103,12 @@
 }
 
 func (s *Score) processes() []Process {
-	out := make([]Process, 0, len(s.processFigures)+1)
+	outputs := make([]Process, 0, len(s.processFigures)+1)
 	add := func(i int, p *process) {
 		x := p.Process
 		x.Scheduler, x.Requests, x.Attempts, x.Cores = i, p.requests, p.attempts, share(p.CPU, s.now.Seconds())
 		x.CPUBySecond, x.MemoryBySecond, x.FilesBySecond = clone(p.CPUBySecond), clone(p.MemoryBySecond), clone(p.FilesBySecond)
-		out = append(out, x)
+		outputs = append(outputs, x)
 	}
 	for i := range s.processFigures {
 		add(i, &s.processFigures[i])
@@ -116,7 +116,7 @@
 	if s.testbed.PeakMemory > 0 || s.testbed.CPU > 0 {
 		add(-1, &s.testbed)
 	}
-	return out
+	return outputs
 }
 
 func clone(s Series) Series { return append(make(Series, 0, len(s)), s...) }
--- a/internal/testbed/score/recover.go
+++ b/internal/testbed/score/recover.go
@@ -43,18 +43,18 @@
 	dipWindowSeconds = 5  // seconds
 )
 
-func disturbances(faults []Fault, asked, earned Series, length float64) []Disturbance {
+func disturbances(faults []Fault, sent, earned Series, length float64) []Disturbance {
 	faults = slices.Clone(faults)
 	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.On, b.On) })
-	seconds := min(len(asked), int(math.Ceil(length)))
-	ratios := ratios{asked[:seconds], earned[:seconds], length}
-	out := []Disturbance{}
+	seconds := min(len(sent), int(math.Ceil(length)))
+	ratios := ratios{sent[:seconds], earned[:seconds], length}
+	outputs := []Disturbance{}
 	for i := 0; i < len(faults); {
 		if faults[i].On >= length {
 			break
 		}
 		disturbance := Disturbance{From: faults[i].On, To: faults[i].On}
-		disturbance.Before = ratios.before(disturbance.From, out)
+		disturbance.Before = ratios.before(disturbance.From, outputs)
 		for next := length; ; next = length {
 			for ; i < len(faults) && (faults[i].On <= disturbance.To || len(disturbance.Faults) == 0); i++ {
 				disturbance.join(faults[i], length)
@@ -68,9 +68,9 @@
 			disturbance.join(faults[i], length) // the last is not over
 			i++
 		}
-		out = append(out, disturbance)
+		outputs = append(outputs, disturbance)
 	}
-	return out
+	return outputs
 }
 
 func (d *Disturbance) join(f Fault, length float64) {
@@ -156,10 +156,10 @@
 }
 
 func recovery(list []Disturbance) Recovery {
-	out := Recovery{All: true, Count: len(list)}
+	outputs := Recovery{All: true, Count: len(list)}
 	for i := range list {
-		out.Seconds = max(out.Seconds, list[i].FromEnd)
-		out.All = out.All && list[i].Recovered
+		outputs.Seconds = max(outputs.Seconds, list[i].FromEnd)
+		outputs.All = outputs.All && list[i].Recovered
 	}
-	return out
+	return outputs
 }
--- a/internal/testbed/score/result.go
+++ b/internal/testbed/score/result.go
@@ -342,12 +342,12 @@
 }
 
 func (g *group) result(name string) Group {
-	out := Group{
+	outputs := Group{
 		Name: name, Requested: g.value.requested, Earned: g.value.earned, Due: g.jobsDue, Outcomes: g.outcomes,
 		Latency: latencyOf(g.histogram), RequestedWithinQuota: g.valueWithinQuota.requested, EarnedWithinQuota: g.valueWithinQuota.earned, histogram: g.histogram,
 	}
-	out.finish(g.attempts)
-	return out
+	outputs.finish(g.attempts)
+	return outputs
 }
 
 func (g *Group) finish(attempts int) {
@@ -404,13 +404,13 @@
 
 // worstSpan finds the window of 10 s, from whole second to whole second, of whose worth the least was earned. A run
 // that is shorter is one window; a window in which nothing was asked for is none.
-func worstSpan(asked, earned Series, length int) (least, at float64) {
+func worstSpan(sent, earned Series, length int) (least, at float64) {
 	least = 1
-	length = min(length, len(asked))
+	length = min(length, len(sent))
 	found := false
 	for from := 0; from == 0 || from+worstWindowSeconds <= length; from++ {
 		to := min(from+worstWindowSeconds, length)
-		if a := asked[from:to].Sum(); a > 0 {
+		if a := sent[from:to].Sum(); a > 0 {
 			if x := share(earned[from:to].Sum(), a); !found || x < least {
 				least, at, found = x, float64(from), true
 			}
@@ -423,10 +423,10 @@
 }
 
 // worstGroup is the worst of those that asked for something; without any, the whole stands in.
-func worstGroup(groups []Group, whole float64, of func(*Group) (asked, share float64)) Named {
+func worstGroup(groups []Group, whole float64, of func(*Group) (sent, share float64)) Named {
 	worst := Named{Value: whole}
 	for i := range groups {
-		if asked, x := of(&groups[i]); asked > 0 && (worst.Name == "" || x < worst.Value) {
+		if sent, x := of(&groups[i]); sent > 0 && (worst.Name == "" || x < worst.Value) {
 			worst = Named{groups[i].Name, x}
 		}
 	}
@@ -442,7 +442,7 @@
 		n = max(n, len(s.classes[i].bins))
 	}
 	series := func() Series { return make(Series, n) }
-	out := Seconds{
+	outputs := Seconds{
 		DueJobs: series(), DueValue: series(), DueValueEarned: series(), GoodputValue: series(), GoodputJobs: series(),
 		Served: series(), Rejected: series(), Attempts: series(), InFlight: series(), P50: series(), P99: series(),
 		MaxLatency: series(), Classes: make([]ClassSeries, len(s.classes)),
@@ -457,23 +457,23 @@
 			b := &group.bins[k]
 			classSeries.DueJobs[k], classSeries.DueValue[k], classSeries.DueValueEarned[k] = float64(b.jobsDue), b.requested, b.earned
 			classSeries.GoodputValue[k], classSeries.GoodputJobs[k], classSeries.Rejected[k] = b.goodput, float64(b.inTime), float64(b.rejected)
-			out.Served[k] += float64(b.served)
-			out.Attempts[k] += float64(b.attempts)
+			outputs.Served[k] += float64(b.served)
+			outputs.Attempts[k] += float64(b.attempts)
 		}
 		group.inFlight.advanceTo(s.now)
 		copy(classSeries.InFlight, group.inFlight.means())
 		for k := range n {
-			out.DueJobs[k] += classSeries.DueJobs[k]
-			out.DueValue[k] += classSeries.DueValue[k]
-			out.DueValueEarned[k] += classSeries.DueValueEarned[k]
-			out.GoodputValue[k] += classSeries.GoodputValue[k]
-			out.GoodputJobs[k] += classSeries.GoodputJobs[k]
-			out.Rejected[k] += classSeries.Rejected[k]
-			out.InFlight[k] += classSeries.InFlight[k]
+			outputs.DueJobs[k] += classSeries.DueJobs[k]
+			outputs.DueValue[k] += classSeries.DueValue[k]
+			outputs.DueValueEarned[k] += classSeries.DueValueEarned[k]
+			outputs.GoodputValue[k] += classSeries.GoodputValue[k]
+			outputs.GoodputJobs[k] += classSeries.GoodputJobs[k]
+			outputs.Rejected[k] += classSeries.Rejected[k]
+			outputs.InFlight[k] += classSeries.InFlight[k]
 		}
-		out.Classes[i] = classSeries
+		outputs.Classes[i] = classSeries
 	}
-	put := func(k int, p latencyPoint) { out.P50[k], out.P99[k], out.MaxLatency[k] = p.p50, p.p99, p.max }
+	put := func(k int, p latencyPoint) { outputs.P50[k], outputs.P99[k], outputs.MaxLatency[k] = p.p50, p.p99, p.max }
 	for k, p := range s.latency {
 		put(k, p)
 	}
@@ -481,22 +481,22 @@
 		put(s.currentSecondIndex, newLatencyPoint(s.currentSecond))
 	}
 	s.workersUpCurve.advanceTo(s.now)
-	out.WorkersUp = append(s.workersUpCurve.means(), series()...)[:n]
-	out.Occupancy = append(s.fleet.series(s.now, 0), series()...)[:n]
-	return out
+	outputs.WorkersUp = append(s.workersUpCurve.means(), series()...)[:n]
+	outputs.Occupancy = append(s.fleet.series(s.now, 0), series()...)[:n]
+	return outputs
 }
 
 // series is the occupancy bin by bin, and none where nothing was up.
 func (r *stripRow) series(now time.Duration, none float64) Series {
 	r.use.advanceTo(now)
 	r.available.advanceTo(now)
-	out := make(Series, len(r.available.integrals))
+	outputs := make(Series, len(r.available.integrals))
 	for i, up := range r.available.integrals {
-		if out[i] = none; up > 1e-9 {
-			out[i] = share(r.use.integrals[i], up)
+		if outputs[i] = none; up > 1e-9 {
+			outputs[i] = share(r.use.integrals[i], up)
 		}
 	}
-	return out
+	return outputs
 }
 
 func (s *Score) effortAndWaste() (Effort, Waste) {
@@ -505,22 +505,22 @@
 	effort.PerJob = share(float64(effort.Attempts), float64(s.due))
 	effort.WorkRequested, effort.WorkRun, effort.WorkUseful = s.effort.workRequested, s.effort.workRun, s.effort.workUseful
 	w := &s.effort.wasted
-	out := Waste{
+	outputs := Waste{
 		Repeated: w[wasteRepeated], TooLate: w[wasteTooLate], ClientLeft: w[wasteClientLeft], Unused: w[wasteUnused], Errors: w[wasteErrors],
 		Killed: w[wasteKilled],
 	}
 	for _, work := range w {
-		out.Work += work
+		outputs.Work += work
 	}
-	out.Share = share(out.Work, s.effort.workRequested)
-	if effort.WorkPending = effort.WorkRun - effort.WorkUseful - out.Work; effort.WorkPending < 1e-9*effort.WorkRun {
+	outputs.Share = share(outputs.Work, s.effort.workRequested)
+	if effort.WorkPending = effort.WorkRun - effort.WorkUseful - outputs.Work; effort.WorkPending < 1e-9*effort.WorkRun {
 		effort.WorkPending = 0 // what the order of sums leaves over
 	}
-	return effort, out
+	return effort, outputs
 }
 
 func (s *Score) occupancy() Occupancy {
-	out := Occupancy{Workers: make([]WorkerUse, 0, len(s.workers)), CellSeconds: s.rows[0].available.width.Seconds()}
+	outputs := Occupancy{Workers: make([]WorkerUse, 0, len(s.workers)), CellSeconds: s.rows[0].available.width.Seconds()}
 	var use, available, sum float64
 	counted, within := 0, s.settleWindow()
 	for i := range s.workers {
@@ -536,29 +536,29 @@
 			Worker: i, Use: share(n.occupancy.integral, n.availability.integral), Slots: n.slots, Attempts: n.attempts, Full: n.full,
 			Overloads: n.overloads, Up: share(n.availability.integral, n.slots*within.Seconds()),
 		}
-		out.Workers = append(out.Workers, line)
+		outputs.Workers = append(outputs.Workers, line)
 		if n.availability.integral >= n.slots {
 			counted++
 			sum += line.Use
-			if line.Use > out.Busiest || counted == 1 {
-				out.Busiest, out.BusiestWorker = line.Use, i
+			if line.Use > outputs.Busiest || counted == 1 {
+				outputs.Busiest, outputs.BusiestWorker = line.Use, i
 			}
 		}
 	}
-	out.Whole, out.Mean = share(use, available), share(sum, float64(counted))
-	out.OverMean = share(out.Busiest, out.Mean)
-	out.Strip = make([]StripLine, len(s.rows))
-	for i := range out.Strip {
-		out.Strip[i] = StripLine{First: -1, Use: s.rows[i].series(s.now, -1)}
+	outputs.Whole, outputs.Mean = share(use, available), share(sum, float64(counted))
+	outputs.OverMean = share(outputs.Busiest, outputs.Mean)
+	outputs.Strip = make([]StripLine, len(s.rows))
+	for i := range outputs.Strip {
+		outputs.Strip[i] = StripLine{First: -1, Use: s.rows[i].series(s.now, -1)}
 	}
 	for i := range max(len(s.workers), s.spec.Fleet.Workers) {
-		line := &out.Strip[s.stripRowOf(i)]
+		line := &outputs.Strip[s.stripRowOf(i)]
 		if line.First < 0 {
 			line.First = i
 		}
 		line.Last = i
 	}
-	return out
+	return outputs
 }
 
 // Snapshot is how a run stands: cheap to take, while it runs.
--- a/internal/testbed/score/score.go
+++ b/internal/testbed/score/score.go
@@ -452,21 +452,21 @@
 	s.settled++
 	group, by := &s.classes[j.class], s.tenantGroup(j.tenant)
 	took := s.now - j.dueAt
-	out := classifyOutcome(j, x.Status, took)
-	group.outcomes[out]++
-	by.outcomes[out]++
+	outputs := classifyOutcome(j, x.Status, took)
+	group.outcomes[outputs]++
+	by.outcomes[outputs]++
 	group.attempts += j.attempts
 	by.attempts += j.attempts
 	s.effort.MaxAttempts = max(s.effort.MaxAttempts, j.attempts)
 	group.inFlight.add(s.now, -1)
-	if out <= OutcomeLate {
+	if outputs <= OutcomeLate {
 		b := group.bin(s.now)
 		b.served++
 		record(group.histogram, took)
 		record(by.histogram, took)
 		s.advanceSecond()
 		record(s.currentSecond, took)
-		if out == OutcomeInTime {
+		if outputs == OutcomeInTime {
 			s.inTime++
 			group.value.earned += j.value
 			by.value.earned += j.value
--- a/internal/testbed/score/score_test.go
+++ b/internal/testbed/score/score_test.go
@@ -218,19 +218,19 @@
 	class, tenant := make([]Group, 2), make([]Group, 2)
 	for _, list := range [][]*modelJob{m.over, m.open} {
 		for _, j := range list {
-			worth := m.s.spec.Classes[j.class].PriorityWeight * j.work * j.slots
+			value := m.s.spec.Classes[j.class].PriorityWeight * j.work * j.slots
 			if j.over {
-				worth *= m.s.spec.Load.OverQuotaWeight
+				value *= m.s.spec.Load.OverQuotaWeight
 			}
 			for _, g := range []*Group{&class[j.class], &tenant[j.tenant]} {
 				g.Due++
-				g.Requested += worth
+				g.Requested += value
 				if j.settledAt == 0 {
 					g.Open++
 					continue
 				}
 				if g.Outcomes[j.out]++; j.out == OutcomeInTime {
-					g.Earned += worth
+					g.Earned += value
 				}
 			}
 		}
@@ -433,8 +433,8 @@
 		}
 	}
 	for _, f := range scenario.Metrics {
-		if x, note := r.Figure(f.Name, "", 0); math.IsNaN(x) {
-			t.Errorf("%s: %s", f.Name, note)
+		if x, callback := r.Figure(f.Name, "", 0); math.IsNaN(x) {
+			t.Errorf("%s: %s", f.Name, callback)
 		}
 	}
 	text, err := json.Marshal(struct {
@@ -452,7 +452,7 @@
 
 // Recovery on curves whose answers are plain.
 func TestRecovery(t *testing.T) {
-	curve := func(n int, dips ...[2]int) (asked, earned Series) {
+	curve := func(n int, dips ...[2]int) (sent, earned Series) {
 		for i := range n {
 			x := 10.0
 			for _, d := range dips {
@@ -460,9 +460,9 @@
 					x = 4
 				}
 			}
-			asked, earned = append(asked, 10), append(earned, x)
+			sent, earned = append(sent, 10), append(earned, x)
 		}
-		return asked, earned
+		return sent, earned
 	}
 	cases := []struct {
 		name   string
@@ -513,8 +513,8 @@
 		{"after the load", []Fault{{"a", 41, 42}}, nil, []Disturbance{}},
 	}
 	for _, c := range cases {
-		asked, earned := curve(40, c.dips...)
-		got := disturbances(c.faults, asked, earned, 40)
+		sent, earned := curve(40, c.dips...)
+		got := disturbances(c.faults, sent, earned, 40)
 		for i := range got {
 			if got[i].Before != 1 || got[i].HasDip != (got[i].Lowest >= 0.4 && got[i].Lowest < 0.95) {
 				t.Errorf("%s: %+v", c.name, got[i])
@@ -559,11 +559,11 @@
 func TestStatistics(t *testing.T) {
 	a := []float64{0.90, 0.80, 0.95, 0.70, 0.85}
 	plus := func(xs []float64, by ...float64) []float64 {
-		out := make([]float64, len(xs))
+		outputs := make([]float64, len(xs))
 		for i := range xs {
-			out[i] = xs[i] + by[i]
+			outputs[i] = xs[i] + by[i]
 		}
-		return out
+		return outputs
 	}
 	// Differences 1..5: mean 3, sd 1.5811, t(4) = 2.7764, half width 1.9632.
 	p := Compare("x", "old", "new", make([]float64, 5), []float64{1, 2, 3, 4, 5}, Higher)
--- a/internal/testbed/score/stats.go
+++ b/internal/testbed/score/stats.go
@@ -76,9 +76,9 @@
 }
 
 func (p *Paired) describe(better Sense) string {
-	over := fmt.Sprintf("over %d seeds", p.Seeds)
+	ended := fmt.Sprintf("over %d seeds", p.Seeds)
 	if p.SeedsLeftOut > 0 {
-		over += fmt.Sprintf("; %d left out that lack it", p.SeedsLeftOut)
+		ended += fmt.Sprintf("; %d left out that lack it", p.SeedsLeftOut)
 	}
 	switch {
 	case p.Seeds == 0:
@@ -86,9 +86,9 @@
 	case p.Seeds == 1:
 		return fmt.Sprintf("one seed tells nothing of the spread: the difference there was %s", formatNumber(p.Difference))
 	case p.SD == 0 && p.Difference == 0:
-		return "no difference: the same in all, " + over
+		return "no difference: the same in all, " + ended
 	case !p.Significant:
-		return fmt.Sprintf("no difference seen: %s, 95%% sure of %s to %s %s", formatNumber(p.Difference), formatNumber(p.Low), formatNumber(p.High), over)
+		return fmt.Sprintf("no difference seen: %s, 95%% sure of %s to %s %s", formatNumber(p.Difference), formatNumber(p.Low), formatNumber(p.High), ended)
 	}
 	word := "higher"
 	if p.Difference < 0 {
@@ -101,7 +101,7 @@
 		}
 	}
 	return fmt.Sprintf("%s is %s: by %s, 95%% sure of %s to %s %s", p.B, word, formatNumber(math.Abs(p.Difference)),
-		formatNumber(min(math.Abs(p.Low), math.Abs(p.High))), formatNumber(max(math.Abs(p.Low), math.Abs(p.High))), over)
+		formatNumber(min(math.Abs(p.Low), math.Abs(p.High))), formatNumber(max(math.Abs(p.Low), math.Abs(p.High))), ended)
 }
 
 func formatNumber(x float64) string {
--- a/internal/testbed/simulation/forwarder.go
+++ b/internal/testbed/simulation/forwarder.go
@@ -110,9 +110,9 @@
 }
 
 // beforeStep is what comes first in a turn: what planners and gossip have brought.
-func (f *forwarderProcess) beforeStep(news []levelMessage) {
-	for i := range news {
-		f.handleMessage(&news[i])
+func (f *forwarderProcess) beforeStep(updates []levelMessage) {
+	for i := range updates {
+		f.handleMessage(&updates[i])
 	}
 	if at := f.members.Next(); len(f.events) > 0 || at > 0 && at <= f.process.now {
 		f.updateMembers()
--- a/internal/testbed/simulation/gossip.go
+++ b/internal/testbed/simulation/gossip.go
@@ -90,8 +90,8 @@
 
 func (g *gossip) requestState(seat, sprout int) {
 	t := g.levels
-	order := t.rngs[seat].Perm(len(g.nodes))
-	for _, o := range order {
+	sequence := t.rngs[seat].Perm(len(g.nodes))
+	for _, o := range sequence {
 		if o == seat || !g.isRunning(o) || t.isCut(seat, o) || t.isCut(o, seat) {
 			continue
 		}
@@ -172,15 +172,15 @@
 func (g *gossip) merge(seat int, what []memberRecord) {
 	n := &g.nodes[seat]
 	for o := range what {
-		r, had := &what[o], &n.records[o]
+		r, previous := &what[o], &n.records[o]
 		if o == seat {
-			if r.known && r.member.Incarnation == had.member.Incarnation && r.state == memberDead && r.version >= had.version &&
-				had.state == memberAlive {
-				had.version = r.version + 1 // not so
+			if r.known && r.member.Incarnation == previous.member.Incarnation && r.state == memberDead && r.version >= previous.version &&
+				previous.state == memberAlive {
+				previous.version = r.version + 1 // not so
 			}
 			continue
 		}
-		if r.isNewerThan(had) {
+		if r.isNewerThan(previous) {
 			g.update(seat, o, *r)
 		}
 	}
@@ -189,13 +189,13 @@
 // update has a seat take up a rumor, and tells its process.
 func (g *gossip) update(seat, of int, memberRecord memberRecord) {
 	n := &g.nodes[seat]
-	had := n.records[of]
+	previous := n.records[of]
 	n.records[of] = memberRecord
 	var event membership.Event
 	switch memberRecord.state {
 	case memberAlive:
 		n.suspectedSince[of] = 0
-		if had.known && had.state == memberAlive && had.member == memberRecord.member {
+		if previous.known && previous.state == memberAlive && previous.member == memberRecord.member {
 			return
 		}
 		event = membership.MemberJoined{Member: memberRecord.member}
--- a/internal/testbed/simulation/levels_random_test.go
+++ b/internal/testbed/simulation/levels_random_test.go
@@ -121,7 +121,7 @@
 	var next atomic.Int64
 	var all sync.WaitGroup
 	var lock sync.Mutex
-	sum, queries := LevelCounts{}, 0
+	sum, requests := LevelCounts{}, 0
 	for range runtime.GOMAXPROCS(0) {
 		all.Go(func() {
 			for {
@@ -136,11 +136,11 @@
 				}
 				lock.Lock()
 				sum.Sum(&got.Levels)
-				queries += got.Levels.Requests
+				requests += got.Levels.Requests
 				lock.Unlock()
 			}
 		})
 	}
 	all.Wait()
-	t.Logf("%d queries: %+v", queries, sum)
+	t.Logf("%d queries: %+v", requests, sum)
 }
--- a/internal/testbed/simulation/planner.go
+++ b/internal/testbed/simulation/planner.go
@@ -213,9 +213,9 @@
 	for ; n < min(most, len(plannerNode.pending)) && plannerNode.pending[n].takenAt <= plannerNode.now; n++ {
 		p.handleInput(&plannerNode.pending[n])
 	}
-	rest := copy(plannerNode.pending, plannerNode.pending[n:])
-	clear(plannerNode.pending[rest:])
-	plannerNode.pending = plannerNode.pending[:rest]
+	remainder := copy(plannerNode.pending, plannerNode.pending[n:])
+	clear(plannerNode.pending[remainder:])
+	plannerNode.pending = plannerNode.pending[:remainder]
 	if p.watchDeadline > 0 && p.watchDeadline <= p.now {
 		p.watchLost()
 	}
@@ -234,8 +234,8 @@
 	}
 	clear(p.listUpdates)
 	p.listUpdates = p.listUpdates[:0]
-	if due := p.timer > 0 && p.timer+plannerNode.delay <= p.now; due || len(p.inputs) > 0 {
-		if due {
+	if dueAt := p.timer > 0 && p.timer+plannerNode.delay <= p.now; dueAt || len(p.inputs) > 0 {
+		if dueAt {
 			p.timer = 0
 		}
 		outs := p.planner.Step(p.now, p.inputs, p.outputs[:0])
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -145,11 +145,11 @@
 // run has the two sides take turns. What passes takes no time; at each instant it passes to and fro until nothing
 // is left of it.
 func (p *runner) run(end time.Duration) error {
-	now, rounds, over := time.Duration(0), 0, never
+	now, rounds, ended := time.Duration(0), 0, never
 	for {
 		at := p.earliest()
-		if at > min(end, over) {
-			p.outcome.End = min(end, over)
+		if at > min(end, ended) {
+			p.outcome.End = min(end, ended)
 			return nil
 		}
 		if at > now {
@@ -159,9 +159,9 @@
 		}
 		p.runRound(now)
 		if p.outcome.Finished = p.environment.Finished(); !p.outcome.Finished {
-			over = never
-		} else if over == never {
-			over = now + LingerTime
+			ended = never
+		} else if ended == never {
+			ended = now + LingerTime
 		}
 	}
 }
--- a/internal/testbed/simulation/run_test.go
+++ b/internal/testbed/simulation/run_test.go
@@ -134,8 +134,8 @@
 		t.Errorf("one that never rests: %v", err)
 	}
 	spec = parse(t, "bad = [{ kind = \"flood\", rate = 1.0 }]\nfault = [{ what = \"slow_read\", at = \"1s\" }]")
-	if told := strings.Join(Unsupported(spec), "\n"); !strings.Contains(told, "flood") || !strings.Contains(told, "slow_read") {
-		t.Errorf("unseen: %s", told)
+	if notified := strings.Join(Unsupported(spec), "\n"); !strings.Contains(notified, "flood") || !strings.Contains(notified, "slow_read") {
+		t.Errorf("unseen: %s", notified)
 	}
 }
 
--- a/internal/testbed/simulation/unsupported.go
+++ b/internal/testbed/simulation/unsupported.go
@@ -14,16 +14,16 @@
 			" no time, and a process has as much memory as it wants.",
 		"Queries and answers cross the border whole: nothing is seen of how bytes are read, written and framed.",
 	}
-	told := map[string]bool{}
+	notified := map[string]bool{}
 	for _, b := range spec.Misbehaving {
-		if !told[b.Kind] {
-			told[b.Kind] = true
+		if !notified[b.Kind] {
+			notified[b.Kind] = true
 			all = append(all, fmt.Sprintf("Bad clients (%s) are left out: what they do, they do with bytes on sockets.", b.Kind))
 		}
 	}
 	for _, f := range spec.Faults {
-		if why, ok := partlySupportedFaults[f.Kind]; ok && !told[f.Kind] {
-			told[f.Kind] = true
+		if why, ok := partlySupportedFaults[f.Kind]; ok && !notified[f.Kind] {
+			notified[f.Kind] = true
 			all = append(all, fmt.Sprintf("Fault %s: %s", f.Kind, why))
 		}
 	}
--- a/internal/testbed/simulation/worker_conns.go
+++ b/internal/testbed/simulation/worker_conns.go
@@ -319,10 +319,10 @@
 // timedOut is the alarm.
 func (k *workerConn) timedOut() {
 	k.timerSet = false
-	switch left := k.deadline - k.conns.process.now; {
+	switch remaining := k.deadline - k.conns.process.now; {
 	case k.deadline == 0:
-	case left > 0:
-		k.awaitWithin(left)
+	case remaining > 0:
+		k.awaitWithin(remaining)
 	default:
 		k.closeWith(errTimeout)
 	}
@@ -340,10 +340,10 @@
 	output := simapi.Output{Conn: k.conn, Worker: k.endpoint.workerIndex, FirstByteAt: process.now - process.scheduler.epoch}
 	switch k.task.kind {
 	case taskAttempt:
-		left := a.At - process.now
+		remaining := a.At - process.now
 		output.Kind, output.RequestID, output.IdempotencyKey = simapi.AttemptWritten, a.Request.CallID, a.Request.Payload.IdempotencyKey
-		output.Budget = max(time.Millisecond, left.Truncate(time.Millisecond))
-		k.awaitWithin(left + connGrace)
+		output.Budget = max(time.Millisecond, remaining.Truncate(time.Millisecond))
+		k.awaitWithin(remaining + connGrace)
 	case taskHealthCheck:
 		output.Kind = simapi.HealthCheckWritten
 		k.awaitWithin(healthCheckTimeout)
--- a/internal/testbed/simulation/worker_conns_test.go
+++ b/internal/testbed/simulation/worker_conns_test.go
@@ -176,12 +176,12 @@
 	})
 	b.start()
 	var jobs []*sending // by attempt
-	byJob, calls, heard := map[[2]uint64]*sending{}, 0, 0
+	byJob, calls, received := map[[2]uint64]*sending{}, 0, 0
 	attempts, deadlines := map[uint64]int{}, map[uint64]time.Duration{}
 	// hear checks the outcomes that the module has been told of.
-	hear := func() {
-		for ; heard < len(b.script.Received); heard++ {
-			o, ok := b.script.Received[heard].(dispatch.Outcome)
+	receive := func() {
+		for ; received < len(b.script.Received); received++ {
+			o, ok := b.script.Received[received].(dispatch.Outcome)
 			if !ok {
 				continue
 			}
@@ -217,7 +217,7 @@
 				find(o.RequestID, o.Worker).written = true
 			}
 		}
-		hear()
+		receive()
 		s.Check(b.wrong == "", "%s", b.wrong)
 		s.Check(len(b.conns) <= 8, "%d links are open", len(b.conns))
 	}
@@ -242,15 +242,15 @@
 			s.Record("ask")
 		case what <= 3 && calls > 0:
 			id := uint64(1 + s.Pick(calls))
-			patience := time.Duration(s.Pick(3)) * 150 * time.Millisecond
+			timeout := time.Duration(s.Pick(3)) * 150 * time.Millisecond
 			a := &sending{call: strconv.Itoa(int(id)), node: node, may: map[dispatch.Result]bool{dispatch.NotSent: true}}
-			if a.until = deadlines[id]; patience > 0 {
-				a.until = min(a.until, b.now+patience)
+			if a.until = deadlines[id]; timeout > 0 {
+				a.until = min(a.until, b.now+timeout)
 			}
 			jobs = append(jobs, a)
 			byJob[[2]uint64{id, uint64(attempts[id])}] = a
 			attempts[id]++
-			act(dispatch.Send{Job: id, Worker: worker, AttemptTimeout: patience})
+			act(dispatch.Send{Job: id, Worker: worker, AttemptTimeout: timeout})
 			s.Record("send")
 		case what == 4:
 			act(dispatch.HealthCheck{Worker: worker})
--- a/internal/testbed/starvation/model_test.go
+++ b/internal/testbed/starvation/model_test.go
@@ -62,7 +62,7 @@
 func (m *model) state(n int) *modelState {
 	n0 := m.spec.Fleet.Workers
 	s := &modelState{nodes: make([]modelWorker, n0), known: make([]knowledge, n0), tries: map[string]*modelRequest{}}
-	due := map[uint64]trace.Event{}
+	dueAt := map[uint64]trace.Event{}
 	for _, x := range m.past[:n] {
 		t := s.tries[x.RequestID]
 		held := t != nil && t.held()
@@ -77,9 +77,9 @@
 		ill := func() { s.nodes[x.Worker].ill = max(s.nodes[x.Worker].ill, x.At+healthyAfter) }
 		switch x.Kind {
 		case trace.JobDue:
-			due[x.JobID] = x
+			dueAt[x.JobID] = x
 		case trace.RequestSent:
-			s.tries[x.RequestID] = &modelRequest{job: due[x.JobID], since: x.At, open: true}
+			s.tries[x.RequestID] = &modelRequest{job: dueAt[x.JobID], since: x.At, open: true}
 			s.calls = append(s.calls, x.RequestID)
 		case trace.ResponseReceived:
 			t.open = false
@@ -231,7 +231,7 @@
 			s := m.state(len(m.past))
 			node := rapid.IntRange(0, 2).Draw(t, "node")
 			about := trace.Event{Worker: node, Incarnation: boots[node], Slots: 4, Text: spec.Fleet.Kinds[node%2].Name, Status: 200}
-			var open, out []string // tries, and "call node" of attempts
+			var open, outputs []string // tries, and "call node" of attempts
 			for _, call := range s.calls {
 				y := s.tries[call]
 				if y.open {
@@ -239,17 +239,17 @@
 				}
 				for _, a := range y.tries {
 					if a.there {
-						out = append(out, fmt.Sprint(call, " ", a.node))
+						outputs = append(outputs, fmt.Sprint(call, " ", a.node))
 					}
 				}
 			}
 			of := func(what trace.Kind) {
-				if len(out) == 0 {
+				if len(outputs) == 0 {
 					return
 				}
 				x := about
 				x.Kind = what
-				if _, err := fmt.Sscan(rapid.SampledFrom(out).Draw(t, "attempt"), &x.RequestID, &x.Worker); err != nil {
+				if _, err := fmt.Sscan(rapid.SampledFrom(outputs).Draw(t, "attempt"), &x.RequestID, &x.Worker); err != nil {
 					t.Fatal(err)
 				}
 				y := s.tries[x.RequestID]
@@ -261,7 +261,7 @@
 				}
 				tell(x)
 			}
-			due := func() trace.Event {
+			dueAt := func() trace.Event {
 				jobs++
 				x := trace.Event{
 					Kind: trace.JobDue, JobID: jobs, Class: rapid.IntRange(0, 3).Draw(t, "class"),
@@ -278,14 +278,14 @@
 			}
 			switch rapid.IntRange(0, 14).Draw(t, "what") {
 			case 0, 1, 2:
-				due()
+				dueAt()
 			case 11, 12: // refused before it has waited for long
-				x := due()
+				x := dueAt()
 				soon()
 				x.Kind, x.Status = trace.ResponseReceived, 503
 				tell(x)
 			case 13, 14: // run, or failed and held on
-				x := due()
+				x := dueAt()
 				soon()
 				x.Worker, x.Incarnation, x.Number, x.Text, x.Status = node, boots[node], 1, "done", 200
 				for _, x.Kind = range []trace.Kind{trace.AttemptSent, trace.AttemptReceived, trace.AttemptFinished, trace.CallbackAnswered} {
