--- a/cmd/valvecove-testbed/common.go
+++ b/cmd/valvecove-testbed/common.go
@@ -22,7 +22,7 @@
 func openScenario(name string, s *streams) (*scenario.Scenario, error) {
 	switch {
 	case name == "-":
-		text, err := io.ReadAll(io.LimitReader(s.in, 1<<20))
+		text, err := io.ReadAll(io.LimitReader(s.input, 1<<20))
 		if err != nil {
 			return nil, err
 		}
@@ -96,9 +96,9 @@
 	}
 	remove = func() { _ = os.RemoveAll(dir) }
 	path = filepath.Join(dir, "valvecove")
-	fmt.Fprintln(streams.err, "building valvecove ...")
+	fmt.Fprintln(streams.errors, "building valvecove ...")
 	build := exec.CommandContext(ctx, "go", "build", "-o", path, "valvecove/cmd/valvecove")
-	build.Stderr = streams.err
+	build.Stderr = streams.errors
 	if err := build.Run(); err != nil {
 		remove()
 		return "", nil, fmt.Errorf("valvecove can't be built here (%w); name a program with --binary", err)
@@ -144,7 +144,7 @@
 // saveJSON writes to a file, or to standard output for -.
 func saveJSON(to string, v any, s *streams) error {
 	if to == "-" {
-		return report.WriteJSON(s.out, v)
+		return report.WriteJSON(s.output, v)
 	}
 	return saveFile(filepath.Dir(to), filepath.Base(to), func(w io.Writer) error { return report.WriteJSON(w, v) })
 }
--- a/cmd/valvecove-testbed/experiments.go
+++ b/cmd/valvecove-testbed/experiments.go
@@ -86,7 +86,7 @@
 		Specs: specs, Seeds: c.list(), Subjects: []experiment.Subject{subject, b}, Driver: c.Driver,
 		Parallelism: c.parallelism(c.Driver), Job: job,
 	}
-	results, err := contest.Run(ctx, progressCounter(s.err, "compare"))
+	results, err := contest.Run(ctx, progressCounter(s.errors, "compare"))
 	if err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 			}
 		}
 		if c.JSON != "-" {
-			if err := report.ComparePage(s.out, comparison); err != nil {
+			if err := report.ComparePage(s.output, comparison); err != nil {
 				return err
 			}
 		}
@@ -119,7 +119,7 @@
 	return nil
 }
 
-type sweepCommand struct {
+type variationCommand struct {
 	Scenario string `arg:"" name:"scenario" help:"Name, file or -."`
 	Vary     string `name:"vary" help:"The key and its values: load.of=0.3,0.5,0.7 or load.of=0.2..1.2/11." required:""`
 	Curves   string `name:"curves" help:"A second key; a curve for each of its values."`
@@ -132,7 +132,7 @@
 }
 
 // Run plays it.
-func (c *sweepCommand) Run(ctx context.Context, streams *streams) error {
+func (c *variationCommand) Run(ctx context.Context, streams *streams) error {
 	spec, err := openScenario(c.Scenario, streams)
 	if err != nil {
 		return err
@@ -156,12 +156,12 @@
 		return err
 	}
 	defer done()
-	work := experiment.Sweep{
+	work := experiment.Variation{
 		Spec: spec, Vary: ended, Curves: curves, Seeds: c.list(), Driver: c.Driver, Figure: c.Metric,
 		Subject:     experiment.Subject{Name: c.Policy, Policy: c.Policy, Set: c.Set, Binary: job.Subject.Binary},
 		Parallelism: c.parallelism(c.Driver), Job: job,
 	}
-	sweep, err := work.Run(ctx, progressCounter(streams.err, "sweep"))
+	sweep, err := work.Run(ctx, progressCounter(streams.errors, "sweep"))
 	if err != nil {
 		return err
 	}
@@ -171,14 +171,14 @@
 		}
 	}
 	if c.Report != "" {
-		if err := saveFile(c.Report, "sweep.html", func(w io.Writer) error { return report.WriteSweep(w, sweep) }); err != nil {
+		if err := saveFile(c.Report, "sweep.html", func(w io.Writer) error { return report.WriteVariation(w, sweep) }); err != nil {
 			return err
 		}
 	}
 	if c.JSON == "-" {
 		return nil
 	}
-	return report.SweepPage(streams.out, sweep)
+	return report.VariationPage(streams.output, sweep)
 }
 
 func metricNames() string {
@@ -194,7 +194,7 @@
 	MaxRuns     int           `name:"most" help:"At most so many plays; 0: as many as there is time for." default:"0"`
 	Seed        uint64        `name:"seed" help:"Seed of the draws." default:"1"`
 	Keep        int           `name:"keep" help:"Keep so many of the worst." default:"8"`
-	Out         string        `name:"out" help:"Keep them in this folder, as scenario files to be played by play --from." type:"path" placeholder:"DIR"`
+	OutputDir   string        `name:"out" help:"Keep them in this folder, as scenario files to be played by play --from." type:"path" placeholder:"DIR"`
 	Parallelism int           `name:"at" help:"Plays at once; 0: as many as there are processors." default:"0"`
 	Policy      string        `name:"policy" help:"Policy that is hunted." default:"logic"`
 	Baseline    string        `name:"top" help:"Yardstick that it is held against." default:"all-seeing"`
@@ -211,21 +211,21 @@
 	}
 	from := time.Now()
 	got, err := h.Run(ctx, func(f *experiment.Finding, plays int) {
-		fmt.Fprintf(streams.err, "%6.0fs  play %d, draw %d: %s; %d of %d faults left\n", time.Since(from).Seconds(), plays, f.DrawNumber,
+		fmt.Fprintf(streams.errors, "%6.0fs  play %d, draw %d: %s; %d of %d faults left\n", time.Since(from).Seconds(), plays, f.DrawNumber,
 			f.Description(), f.Faults, f.Drawn)
 	})
 	if err != nil && ctx.Err() == nil {
 		return err
 	}
-	fmt.Fprintf(streams.out, "%d plays, mean regret %.3f, %d with a rule broken or stopped; kept:\n", got.Runs, got.Mean, got.Violations)
+	fmt.Fprintf(streams.output, "%d plays, mean regret %.3f, %d with a rule broken or stopped; kept:\n", got.Runs, got.Mean, got.Violations)
 	for i, f := range got.Worst {
-		fmt.Fprintf(streams.out, "%2d  %s (draw %d, seed %d)\n", i+1, f.Description(), f.DrawNumber, f.Spec.Seed)
+		fmt.Fprintf(streams.output, "%2d  %s (draw %d, seed %d)\n", i+1, f.Description(), f.DrawNumber, f.Spec.Seed)
 		for _, x := range f.Spec.Faults {
-			fmt.Fprintf(streams.out, "      %s at %v for %v\n", x.Kind, x.At.Std(), x.Duration.Std())
+			fmt.Fprintf(streams.output, "      %s at %v for %v\n", x.Kind, x.At.Std(), x.Duration.Std())
 		}
-		if c.Out != "" {
+		if c.OutputDir != "" {
 			text := f.File()
-			err := saveFile(c.Out, fmt.Sprintf("find-%d-draw-%d.toml", c.Seed, f.DrawNumber), func(w io.Writer) error {
+			err := saveFile(c.OutputDir, fmt.Sprintf("find-%d-draw-%d.toml", c.Seed, f.DrawNumber), func(w io.Writer) error {
 				_, err := w.Write(text)
 				return err
 			})
@@ -276,7 +276,7 @@
 		Specs: specs, Seeds: experiment.Seeds(c.First, max(1, c.Seeds)), ExtraSimulations: c.ExtraSimulations, ProcessParallelism: c.Parallelism,
 		Subject: experiment.Subject{Name: "valvecove", Binary: job.Subject.Binary}, Job: job,
 	}
-	table, err := work.Run(ctx, progressCounter(streams.err, "agree"))
+	table, err := work.Run(ctx, progressCounter(streams.errors, "agree"))
 	if err != nil {
 		return err
 	}
@@ -285,7 +285,7 @@
 			return err
 		}
 	}
-	fmt.Fprint(streams.out, experiment.AgreementMarkdown(table))
+	fmt.Fprint(streams.output, experiment.AgreementMarkdown(table))
 	for _, line := range table {
 		if !line.Within() || line.Violations > 0 {
 			return exitError(exitUsage)
@@ -294,7 +294,7 @@
 	return nil
 }
 
-type yardsticksCommand struct {
+type baselinesCommand struct {
 	Scenarios  []string `arg:"" name:"scenarios" optional:"" help:"Names or files; none: the library."`
 	FleetSizes []int    `name:"fleets" help:"Instead: the calm and the busy play at these numbers of worker nodes." placeholder:"N,N"`
 	Jobs       float64  `name:"jobs" help:"With --fleets: jobs of each play." default:"20000"`
@@ -305,7 +305,7 @@
 }
 
 // Run plays it.
-func (c *yardsticksCommand) Run(ctx context.Context, streams *streams) error {
+func (c *baselinesCommand) Run(ctx context.Context, streams *streams) error {
 	figure, ok := score.HeadlineOf(c.Metric)
 	if !ok {
 		return fmt.Errorf("--figure: %q is none of %s", c.Metric, metricNames())
@@ -324,7 +324,7 @@
 		c.Policies = experiment.PolicyNames()
 	}
 	work := experiment.BaselineTable{Specs: specs, Policies: c.Policies, Seeds: c.list(), Metric: figure, Parallelism: c.Parallelism}
-	table, err := work.Run(ctx, progressCounter(streams.err, "yardsticks"))
+	table, err := work.Run(ctx, progressCounter(streams.errors, "yardsticks"))
 	if err != nil {
 		return err
 	}
@@ -333,7 +333,7 @@
 			return err
 		}
 	}
-	fmt.Fprint(streams.out, work.Markdown(table))
+	fmt.Fprint(streams.output, work.Markdown(table))
 	return nil
 }
 
@@ -374,7 +374,7 @@
 		return err
 	}
 	runtime.GOMAXPROCS(1)
-	fmt.Fprintf(streams.out, "| nodes | requests | requests/s, judged: least, median, most | unjudged |\n| ---: | ---: | --- | --- |\n")
+	fmt.Fprintf(streams.output, "| nodes | requests | requests/s, judged: least, median, most | unjudged |\n| ---: | ---: | --- | --- |\n")
 	for _, spec := range specs {
 		line := fmt.Sprintf("| %d |", spec.Fleet.Workers)
 		for i, unjudged := range []bool{false, true} {
@@ -396,7 +396,7 @@
 			low, middle, high := experiment.Spread(all)
 			line += fmt.Sprintf(" %.0f, %.0f, %.0f |", low, middle, high)
 		}
-		fmt.Fprintln(streams.out, line)
+		fmt.Fprintln(streams.output, line)
 	}
 	return nil
 }
@@ -435,11 +435,11 @@
 			word = "MISSED"
 			missed++
 		}
-		fmt.Fprintf(s.out, "%-28s %-22s %s in %d of %d plays", mutant.Name, mutant.Rule, word, found, max(1, c.Seeds))
+		fmt.Fprintf(s.output, "%-28s %-22s %s in %d of %d plays", mutant.Name, mutant.Rule, word, found, max(1, c.Seeds))
 		if len(others) > 0 {
-			fmt.Fprintf(s.out, "; also %v", others)
+			fmt.Fprintf(s.output, "; also %v", others)
 		}
-		fmt.Fprintln(s.out)
+		fmt.Fprintln(s.output)
 	}
 	if missed > 0 {
 		return exitError(exitUsage)
@@ -456,7 +456,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(s.out, "%-26s %s\n", name, spec.Description)
+		fmt.Fprintf(s.output, "%-26s %s\n", name, spec.Description)
 	}
 	return nil
 }
@@ -471,14 +471,14 @@
 	for _, name := range c.Files {
 		if _, err := openScenario(name, streams); err != nil {
 			if text := err.Error(); strings.HasPrefix(text, name+":") {
-				fmt.Fprintln(streams.err, text)
+				fmt.Fprintln(streams.errors, text)
 			} else {
-				fmt.Fprintf(streams.err, "%s: %s\n", name, text)
+				fmt.Fprintf(streams.errors, "%s: %s\n", name, text)
 			}
 			faults++
 			continue
 		}
-		fmt.Fprintf(streams.out, "%s: sound\n", name)
+		fmt.Fprintf(streams.output, "%s: sound\n", name)
 	}
 	if faults > 0 {
 		return exitError(exitViolation)
@@ -490,6 +490,6 @@
 
 // Run says which build this is.
 func (versionCommand) Run(s *streams) error {
-	_, err := fmt.Fprintln(s.out, "valvecove-testbed", buildName())
+	_, err := fmt.Fprintln(s.output, "valvecove-testbed", buildName())
 	return err
 }
--- a/cmd/valvecove-testbed/fleet.go
+++ b/cmd/valvecove-testbed/fleet.go
@@ -77,12 +77,12 @@
 func (c *fleetCommand) Run(ctx context.Context, s *streams) error {
 	switch c.Role {
 	case "rig":
-		if fleet.RunRigProcess(s.in, s.out) != nil { // which has said so to who started it
+		if fleet.RunRigProcess(s.input, s.output) != nil { // which has said so to who started it
 			return exitError(exitViolation)
 		}
 		return nil
 	case "proxy":
-		return fleet.RunProxyProcess(s.in)
+		return fleet.RunProxyProcess(s.input)
 	}
 	report, err := c.earlier()
 	if err != nil {
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	lines, paths, err := c.rows(builds)
+	lines, paths, err := c.tableRows(builds)
 	if err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 	began := time.Now()
 	for run := range c.Runs {
 		for i, line := range lines {
-			fmt.Fprintf(s.err, "%4.0fs  run %d of %d, row %d of %d: %s\n", time.Since(began).Seconds(), run+1, c.Runs, i+1,
+			fmt.Fprintf(s.errors, "%4.0fs  run %d of %d, row %d of %d: %s\n", time.Since(began).Seconds(), run+1, c.Runs, i+1,
 				len(lines), line)
 			options.Seed, options.Binary = c.Seed+uint64(run), paths[line.Subject]
 			if c.Logs != "" {
@@ -148,8 +148,8 @@
 	return report, nil
 }
 
-// rows are what is played in a run.
-func (c *fleetCommand) rows(builds []namedBuild) (lines []fleet.Row, paths map[string]string, err error) {
+// tableRows are what is played in a run.
+func (c *fleetCommand) tableRows(builds []namedBuild) (lines []fleet.TableRow, paths map[string]string, err error) {
 	paths = map[string]string{}
 	for _, b := range builds {
 		paths[b.name] = b.path
@@ -160,7 +160,7 @@
 			}
 			for _, notices := range c.Notices {
 				for _, n := range c.Nodes {
-					lines = append(lines, fleet.Row{Subject: b.name, Workers: n, StartNotifications: notices == "on", Hint: factor})
+					lines = append(lines, fleet.TableRow{Subject: b.name, Workers: n, StartNotifications: notices == "on", Hint: factor})
 				}
 			}
 		}
@@ -168,12 +168,12 @@
 	for _, baselinePolicy := range []string{fleet.Proxy, fleet.Direct} {
 		for _, n := range c.Nodes {
 			if slices.Contains(c.Baselines, baselinePolicy) {
-				lines = append(lines, fleet.Row{Subject: baselinePolicy, Workers: n})
+				lines = append(lines, fleet.TableRow{Subject: baselinePolicy, Workers: n})
 			}
 		}
 	}
 	if slices.Contains(c.Baselines, fleet.Direct) {
-		lines = append(lines, fleet.Row{Subject: fleet.Ceiling, Workers: slices.Max(c.Nodes)})
+		lines = append(lines, fleet.TableRow{Subject: fleet.Ceiling, Workers: slices.Max(c.Nodes)})
 	}
 	return lines, paths, nil
 }
@@ -185,13 +185,13 @@
 		}
 	}
 	if c.JSON != "-" {
-		if err := report.Table(streams.out); err != nil {
+		if err := report.Table(streams.output); err != nil {
 			return err
 		}
-		fmt.Fprint(streams.out, "\n", fleet.Legend)
+		fmt.Fprint(streams.output, "\n", fleet.Legend)
 		if c.Seconds || c.Burst > 0 || c.Restart || c.Silent > 0 || c.Freeze > 0 {
-			fmt.Fprintln(streams.out)
-			if err := report.BySecond(streams.out); err != nil {
+			fmt.Fprintln(streams.output)
+			if err := report.BySecond(streams.output); err != nil {
 				return err
 			}
 		}
--- a/cmd/valvecove-testbed/load.go
+++ b/cmd/valvecove-testbed/load.go
@@ -35,18 +35,18 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(streams.out, "due %d, answered %d (%.0f/s), failed %d, open at the end %d\n", got.Due, got.Answered, got.Rate,
+	fmt.Fprintf(streams.output, "due %d, answered %d (%.0f/s), failed %d, open at the end %d\n", got.Scheduled, got.Answered, got.Rate,
 		got.Failed, got.Open)
 	for status, n := range got.Status {
-		fmt.Fprintf(streams.out, "  status %d: %d\n", status, n)
+		fmt.Fprintf(streams.output, "  status %d: %d\n", status, n)
 	}
 	ms := func(us int64) float64 { return float64(us) / 1000 }
-	fmt.Fprintf(streams.out, "latency from due, ms: p50 %.2f, p99 %.2f, p99.9 %.2f, max %.2f\n", ms(got.Latency.ValueAtQuantile(50)),
+	fmt.Fprintf(streams.output, "latency from due, ms: p50 %.2f, p99 %.2f, p99.9 %.2f, max %.2f\n", ms(got.Latency.ValueAtQuantile(50)),
 		ms(got.Latency.ValueAtQuantile(99)), ms(got.Latency.ValueAtQuantile(99.9)), ms(got.Latency.Max()))
-	fmt.Fprintf(streams.out, "lateness of the load, ms: p50 %.2f, p99 %.2f, p99.9 %.2f, max %.2f\n", ms(got.Lateness.ValueAtQuantile(50)),
+	fmt.Fprintf(streams.output, "lateness of the load, ms: p50 %.2f, p99 %.2f, p99.9 %.2f, max %.2f\n", ms(got.Lateness.ValueAtQuantile(50)),
 		ms(got.Lateness.ValueAtQuantile(99)), ms(got.Lateness.ValueAtQuantile(99.9)), ms(got.Lateness.Max()))
 	if why := got.InvalidReason(); why != "" {
-		fmt.Fprintln(streams.err, "void:", why)
+		fmt.Fprintln(streams.errors, "void:", why)
 		return exitError(exitInvalid)
 	}
 	return nil
--- a/cmd/valvecove-testbed/main.go
+++ b/cmd/valvecove-testbed/main.go
@@ -25,20 +25,20 @@
 
 // commands are the command line.
 type commands struct {
-	Demo       demoCommand       `cmd:"" name:"demo" help:"Bring up discovery, worker nodes, a scheduler and clients, kill a worker node on the way, and judge."`
-	Play       playCommand       `cmd:"" name:"play" help:"Play a scenario once, judge it, and show its figures."`
-	Compare    compareCommand    `cmd:"" name:"compare" help:"Play two builds, configurations or policies in the same plays, paired by seed."`
-	Sweep      sweepCommand      `cmd:"" name:"sweep" help:"Play a scenario with one key, or two, taking several values."`
-	Hunt       huntCommand       `cmd:"" name:"hunt" help:"Draw scenarios and faults at random, and keep the plays that go worst, shrunk."`
-	Agree      agreeCommand      `cmd:"" name:"agree" help:"Play scenarios with both drivers, and set them side by side."`
-	Yardsticks yardsticksCommand `cmd:"" name:"yardsticks" help:"Hold the module against reference policies, scenario by scenario."`
-	Speed      speedCommand      `cmd:"" name:"speed" help:"Measure how fast virtual time runs on one core, by fleet."`
-	Load       loadCommand       `cmd:"" name:"load" help:"Put an open load on an address, or on a responder of the lab's own."`
-	Fleet      fleetCommand      `cmd:"" name:"fleet" help:"Measure a scheduler before large fleets on sockets, beside the standard library's reverse proxy."`
-	Mutants    mutantsCommand    `cmd:"" name:"mutants" help:"Play each seeded fault, and say whether the judge finds it."`
-	List       listCommand       `cmd:"" name:"list" help:"List the scenarios of the library."`
-	Check      checkCommand      `cmd:"" name:"check" help:"Check scenario files."`
-	Version    versionCommand    `cmd:"" name:"version" help:"Say which build this is."`
+	Demo      demoCommand      `cmd:"" name:"demo" help:"Bring up discovery, worker nodes, a scheduler and clients, kill a worker node on the way, and judge."`
+	Play      playCommand      `cmd:"" name:"play" help:"Play a scenario once, judge it, and show its figures."`
+	Compare   compareCommand   `cmd:"" name:"compare" help:"Play two builds, configurations or policies in the same plays, paired by seed."`
+	Variation variationCommand `cmd:"" name:"sweep" help:"Play a scenario with one key, or two, taking several values."`
+	Hunt      huntCommand      `cmd:"" name:"hunt" help:"Draw scenarios and faults at random, and keep the plays that go worst, shrunk."`
+	Agree     agreeCommand     `cmd:"" name:"agree" help:"Play scenarios with both drivers, and set them side by side."`
+	Baselines baselinesCommand `cmd:"" name:"yardsticks" help:"Hold the module against reference policies, scenario by scenario."`
+	Speed     speedCommand     `cmd:"" name:"speed" help:"Measure how fast virtual time runs on one core, by fleet."`
+	Load      loadCommand      `cmd:"" name:"load" help:"Put an open load on an address, or on a responder of the lab's own."`
+	Fleet     fleetCommand     `cmd:"" name:"fleet" help:"Measure a scheduler before large fleets on sockets, beside the standard library's reverse proxy."`
+	Mutants   mutantsCommand   `cmd:"" name:"mutants" help:"Play each seeded fault, and say whether the judge finds it."`
+	List      listCommand      `cmd:"" name:"list" help:"List the scenarios of the library."`
+	Check     checkCommand     `cmd:"" name:"check" help:"Check scenario files."`
+	Version   versionCommand   `cmd:"" name:"version" help:"Say which build this is."`
 }
 
 const programDescription = `The lab of valvecove. SCENARIO is a name of the library ("valvecove-testbed list"), a file, or - for standard input.
@@ -53,8 +53,8 @@
 
 // streams are where a command reads and writes.
 type streams struct {
-	in       io.Reader
-	out, err io.Writer
+	input          io.Reader
+	output, errors io.Writer
 }
 
 func main() {
@@ -71,9 +71,9 @@
 	var c commands
 	ended := -1
 	parser, err := kong.New(&c, kong.Name("valvecove-testbed"), kong.Description(programDescription), kong.UsageOnError(),
-		kong.Writers(streams.out, streams.err), kong.Exit(func(code int) { ended = code }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
+		kong.Writers(streams.output, streams.errors), kong.Exit(func(code int) { ended = code }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
-		fmt.Fprintln(streams.err, "valvecove-testbed:", err)
+		fmt.Fprintln(streams.errors, "valvecove-testbed:", err)
 		return exitViolation
 	}
 	command, err := parser.Parse(args)
@@ -81,7 +81,7 @@
 		return ended
 	}
 	if err != nil {
-		fmt.Fprintln(streams.err, "valvecove-testbed:", err)
+		fmt.Fprintln(streams.errors, "valvecove-testbed:", err)
 		return exitViolation
 	}
 	command.BindTo(ctx, (*context.Context)(nil))
@@ -92,10 +92,10 @@
 	case errors.As(err, &sent):
 		return int(sent)
 	case errors.Is(err, context.Canceled):
-		fmt.Fprintln(streams.err, "valvecove-testbed: stopped")
+		fmt.Fprintln(streams.errors, "valvecove-testbed: stopped")
 		return exitViolation
 	default:
-		fmt.Fprintln(streams.err, "valvecove-testbed:", err)
+		fmt.Fprintln(streams.errors, "valvecove-testbed:", err)
 		return exitViolation
 	}
 }
--- a/cmd/valvecove-testbed/main_test.go
+++ b/cmd/valvecove-testbed/main_test.go
@@ -66,7 +66,7 @@
 }
 
 // A broken rule is told with the whole story of its request, in order of time.
-func TestStoriesAreTold(t *testing.T) {
+func TestExplanationsAreShown(t *testing.T) {
 	_, outputs, _ := call(tiny, "play", "-", "--mutant", "answers-twice")
 	_, story, ok := strings.Cut(outputs, "\none-answer ")
 	if !ok || !strings.Contains(story, "asked") || !strings.Contains(story, "answered") ||
--- a/cmd/valvecove-testbed/play.go
+++ b/cmd/valvecove-testbed/play.go
@@ -44,18 +44,18 @@
 	if o.JSON == "-" {
 		return nil
 	}
-	if err := report.WritePage(streams.out, p.Result(), p.Document.Verdict, p.Document.Expectations); err != nil {
+	if err := report.WritePage(streams.output, p.Result(), p.Document.Verdict, p.Document.Expectations); err != nil {
 		return err
 	}
 	if v := p.Starvation; v != nil {
-		fmt.Fprintf(streams.out, "starvation: %v\n", v)
+		fmt.Fprintf(streams.output, "starvation: %v\n", v)
 		for _, x := range v.Findings {
-			fmt.Fprintf(streams.out, "  %9.3f  %s\n", x.At.Seconds(), x.Text)
+			fmt.Fprintf(streams.output, "  %9.3f  %s\n", x.At.Seconds(), x.Text)
 		}
 	}
-	writeExplanations(streams.out, p)
+	writeExplanations(streams.output, p)
 	if o.Report != "" {
-		fmt.Fprintf(streams.out, "report: %s\n", filepath.Join(o.Report, "index.html"))
+		fmt.Fprintf(streams.output, "report: %s\n", filepath.Join(o.Report, "index.html"))
 	}
 	return nil
 }
@@ -142,7 +142,7 @@
 	}
 	defer done()
 	if !c.Quiet && c.JSON != "-" && c.Driver == scenario.DriverProcess {
-		show := newProgressDisplay(s.err)
+		show := newProgressDisplay(s.errors)
 		defer show.close()
 		job.OnSnapshot = show.showSnapshot
 	}
@@ -220,9 +220,9 @@
 		return err
 	}
 	defer remove()
-	fmt.Fprintf(streams.err, "%s\n%d worker nodes, %d scheduler, jobs for %s; everything is on 127.0.0.0/8 and ends with this.\n\n",
+	fmt.Fprintf(streams.errors, "%s\n%d worker nodes, %d scheduler, jobs for %s; everything is on 127.0.0.0/8 and ends with this.\n\n",
 		spec.Description, spec.Fleet.Workers, spec.Schedulers.Count, c.Length)
-	show := newProgressDisplay(streams.err)
+	show := newProgressDisplay(streams.errors)
 	var played *experiment.RunResult
 	var places process.Addresses
 	job := experiment.Job{
@@ -230,7 +230,7 @@
 		Subject: experiment.Subject{Name: "valvecove", Binary: path}, OnSnapshot: show.showSnapshot,
 		Observer: func(x *trace.Event) {
 			if line := describeEvent(x); line != "" {
-				show.printLine(streams.err, line)
+				show.printLine(streams.errors, line)
 			}
 		},
 		Process: process.Options{StayOpen: c.Stay, Guests: c.Stay, OnStart: func(p process.Addresses) { places = p }},
@@ -263,7 +263,7 @@
 		}
 		if !reported && open == 0 && x.At >= spec.Length.Std() {
 			reported = true
-			progressDisplay.printLine(s.err, demoInstructions(places, spec))
+			progressDisplay.printLine(s.errors, demoInstructions(places, spec))
 		}
 	}
 }
--- a/internal/testbed/baseline/baseline_test.go
+++ b/internal/testbed/baseline/baseline_test.go
@@ -199,8 +199,8 @@
 type ruledJob struct {
 	dispatch.Job
 	deadline time.Duration
-	over     bool
-	tries    []ruledAttempt
+	ended    bool
+	attempts []ruledAttempt
 }
 
 type ruledAttempt struct {
@@ -253,14 +253,14 @@
 			switch a := a.(type) {
 			case dispatch.Send:
 				j, w := all[a.Job], ready[a.Worker]
-				if j.over || w.ID == 0 || len(j.tries) >= set.AttemptLimit || now >= j.deadline {
+				if j.ended || w.ID == 0 || len(j.attempts) >= set.AttemptLimit || now >= j.deadline {
 					wrong("job %+v sent to worker %+v", j, w)
 				}
 				c := set.Classes[j.Class]
 				if c.Kinds != nil && !slices.Contains(c.Kinds, w.Kind) {
 					wrong("a job sent to a kind that its class may not go to")
 				}
-				for _, x := range j.tries {
+				for _, x := range j.attempts {
 					if !x.ended && (!set.Hedging || x.w.ID == w.ID) {
 						wrong("a second copy")
 					}
@@ -270,20 +270,20 @@
 						wrong("class %d sent again though it may have run", j.Class)
 					}
 				}
-				j.tries = append(j.tries, ruledAttempt{w: w, sent: now})
+				j.attempts = append(j.attempts, ruledAttempt{w: w, sent: now})
 			case dispatch.Reject:
 				j := all[a.Job]
 				c := set.Classes[j.Class]
-				if j.over || c.Idempotency != dispatch.Idempotent && (c.Idempotency != dispatch.IdempotentWithKey || c.DeduplicationScope != dispatch.ScopeAll) &&
-					slices.ContainsFunc(j.tries, ruledAttempt.risky) {
+				if j.ended || c.Idempotency != dispatch.Idempotent && (c.Idempotency != dispatch.IdempotentWithKey || c.DeduplicationScope != dispatch.ScopeAll) &&
+					slices.ContainsFunc(j.attempts, ruledAttempt.risky) {
 					wrong("job %+v refused", j)
 				}
-				j.over = true
+				j.ended = true
 			case dispatch.Fail:
-				if all[a.Job].over {
+				if all[a.Job].ended {
 					wrong("job %d answered twice", a.Job)
 				}
-				all[a.Job].over = true
+				all[a.Job].ended = true
 			case dispatch.SetTimer:
 				if a.After <= 0 {
 					wrong("timer of %v", a.After)
@@ -291,7 +291,7 @@
 			}
 		}
 		for _, id := range ids {
-			if j := all[id]; !j.over && now >= j.deadline {
+			if j := all[id]; !j.ended && now >= j.deadline {
 				wrong("job %d is open at its deadline", id)
 			}
 		}
@@ -327,15 +327,15 @@
 				continue
 			}
 			j := all[ids[max(0, len(ids)-1-rng.IntN(12))]]
-			i := slices.IndexFunc(j.tries, func(x ruledAttempt) bool { return !x.ended })
+			i := slices.IndexFunc(j.attempts, func(x ruledAttempt) bool { return !x.ended })
 			if i < 0 {
 				step(dispatch.TimerFired{})
 				continue
 			}
-			x := &j.tries[i]
+			x := &j.attempts[i]
 			x.ended, x.result = true, dispatch.Result(rng.IntN(int(dispatch.NotSent)+1))
-			j.over = j.over || x.result == dispatch.OK
-			step(dispatch.Outcome{Job: j.ID, Attempt: i, Worker: x.w.ID, Result: x.result, Closed: j.over})
+			j.ended = j.ended || x.result == dispatch.OK
+			step(dispatch.Outcome{Job: j.ID, Attempt: i, Worker: x.w.ID, Result: x.result, Closed: j.ended})
 		}
 	}
 	for range 100 { // all deadlines pass
--- a/internal/testbed/checker/history.go
+++ b/internal/testbed/checker/history.go
@@ -225,26 +225,26 @@
 
 // retentionQueue is a queue of settled jobs, the oldest first, that uses its room again.
 type retentionQueue struct {
-	ring       []retainedJob
-	head, size int
+	ring        []retainedJob
+	start, size int
 }
 
 func (f *retentionQueue) add(r retainedJob) {
 	if f.size == len(f.ring) {
 		ring := make([]retainedJob, max(64, 2*len(f.ring)))
 		for i := range f.size {
-			ring[i] = f.ring[(f.head+i)%len(f.ring)]
+			ring[i] = f.ring[(f.start+i)%len(f.ring)]
 		}
-		f.ring, f.head = ring, 0
+		f.ring, f.start = ring, 0
 	}
-	f.ring[(f.head+f.size)%len(f.ring)] = r
+	f.ring[(f.start+f.size)%len(f.ring)] = r
 	f.size++
 }
 
-func (f *retentionQueue) first() *retainedJob { return &f.ring[f.head] }
+func (f *retentionQueue) first() *retainedJob { return &f.ring[f.start] }
 
 func (f *retentionQueue) drop() {
-	f.head = (f.head + 1) % len(f.ring)
+	f.start = (f.start + 1) % len(f.ring)
 	f.size--
 }
 
--- a/internal/testbed/environment/clients.go
+++ b/internal/testbed/environment/clients.go
@@ -661,19 +661,19 @@
 // queue is a first-in first-out queue.
 type queue[T any] struct {
 	items []T
-	head  int
+	start int
 }
 
-func (q *queue[T]) len() int  { return len(q.items) - q.head }
-func (q *queue[T]) first() *T { return &q.items[q.head] }
+func (q *queue[T]) len() int  { return len(q.items) - q.start }
+func (q *queue[T]) first() *T { return &q.items[q.start] }
 func (q *queue[T]) push(x T)  { q.items = append(q.items, x) }
 
 func (q *queue[T]) pop() {
 	var none T
-	q.items[q.head] = none
-	if q.head++; q.head > 64 && q.head > len(q.items)/2 {
-		n := copy(q.items, q.items[q.head:])
+	q.items[q.start] = none
+	if q.start++; q.start > 64 && q.start > len(q.items)/2 {
+		n := copy(q.items, q.items[q.start:])
 		clear(q.items[n:])
-		q.items, q.head = q.items[:n], 0
+		q.items, q.start = q.items[:n], 0
 	}
 }
--- a/internal/testbed/environment/clients_test.go
+++ b/internal/testbed/environment/clients_test.go
@@ -63,12 +63,12 @@
 		case what < 16: // perhaps twice, or long after
 			t.reply(q, []int{200, 200, 503, 429, 500}[s.Pick(5)], time.Duration(s.Pick(3))*400*time.Millisecond)
 			if s.Pick(8) == 0 {
-				t.outs = append(t.outs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: q.Scheduler, Conn: q.Conn})
+				t.outputs = append(t.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: q.Scheduler, Conn: q.Conn})
 			}
 		case what < 18:
-			t.outs = append(t.outs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: q.Scheduler, Conn: simapi.Conn(1 + s.Pick(20))})
+			t.outputs = append(t.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: q.Scheduler, Conn: simapi.Conn(1 + s.Pick(20))})
 		case what == 18:
-			t.outs = append(t.outs, simapi.Output{Kind: simapi.ResponseWritten, Scheduler: q.Scheduler, Conn: q.Conn, RequestID: "nobody's"})
+			t.outputs = append(t.outputs, simapi.Output{Kind: simapi.ResponseWritten, Scheduler: q.Scheduler, Conn: q.Conn, RequestID: "nobody's"})
 		case what == 19:
 			t.kill(s.Pick(2))
 		case what == 20:
@@ -189,7 +189,7 @@
 }
 
 // A request that crosses the close of its idle connection is sent once more, with its id; one that was read is lost.
-func TestCloseCrossesQuery(t *testing.T) {
+func TestCloseCrossesRequest(t *testing.T) {
 	s := one(2, nil)
 	var first *simapi.Input
 	s.run(2*time.Second, func(in *simapi.Input) {
@@ -199,13 +199,13 @@
 		}
 	})
 	// The scheduler closes at 2 s, the client asks half a network's delay later.
-	s.outs = append(s.outs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: first.Scheduler, Conn: first.Conn})
+	s.outputs = append(s.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: first.Scheduler, Conn: first.Conn})
 	s.w.schedule(2*time.Second+500*time.Microsecond, func() {
 		s.w.clients.jobDue(s.w.clients.arrivals.drawJob(s.w.rng("one", 1), &jobSource{class: 2}), s.w.now)
 	})
 	s.run(3*time.Second, func(in *simapi.Input) {
 		if in.Kind == simapi.RequestReceived {
-			s.outs = append(s.outs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: in.Scheduler, Conn: in.Conn})
+			s.outputs = append(s.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: in.Scheduler, Conn: in.Conn})
 		}
 	})
 	sent, lost := s.of(trace.RequestSent), s.of(trace.ConnectionLost)
@@ -218,7 +218,7 @@
 }
 
 // Where a scheduler has as many connections as it may, a request waits; one that is closed behind an answer makes room.
-func TestQueryWaitsForConnection(t *testing.T) {
+func TestRequestWaitsForConnection(t *testing.T) {
 	s := one(2, func(spec *scenario.Scenario) { spec.Schedulers.Sockets = clientConnShare })
 	s.w.schedule(100*time.Millisecond, func() {
 		s.w.clients.jobDue(s.w.clients.arrivals.drawJob(s.w.rng("one", 1), &jobSource{class: 2}), s.w.now)
@@ -226,7 +226,7 @@
 	s.run(time.Second, func(in *simapi.Input) {
 		if in.Kind == simapi.RequestReceived {
 			s.reply(in, 200, 0)
-			s.outs = append(s.outs, simapi.Output{Kind: simapi.ClientConnClosed, Conn: in.Conn})
+			s.outputs = append(s.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Conn: in.Conn})
 		}
 	})
 	sent, got := s.of(trace.RequestSent), s.of(trace.ResponseReceived)
@@ -250,7 +250,7 @@
 }
 
 // A request is known for keep after its job was settled, one of a keyed class for its window longer, then forgotten.
-func TestQueriesAreForgotten(t *testing.T) {
+func TestRequestsAreForgotten(t *testing.T) {
 	for class, known := range map[int]time.Duration{0: requestRetention, 3: requestRetention + 20*time.Second} {
 		s := one(class, nil)
 		s.end(answers(s, 0, 503, 503, 503))
@@ -297,9 +297,9 @@
 			open++
 		}
 		for range in.Misbehavior.Number % 3 { // some have no answer, some two
-			s.outs = append(s.outs, simapi.Output{Kind: simapi.ResponseWritten, Conn: in.Conn, Status: 400})
+			s.outputs = append(s.outputs, simapi.Output{Kind: simapi.ResponseWritten, Conn: in.Conn, Status: 400})
 		}
-		s.outs = append(s.outs, simapi.Output{Kind: simapi.ClientConnClosed, Conn: in.Conn})
+		s.outputs = append(s.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Conn: in.Conn})
 	})
 	if began, ended := len(s.of(trace.MisbehavingClientConnected)), len(s.of(trace.MisbehavingClientAnswered)); began < 140 || began > 220 ||
 		ended != began || open != began {
@@ -317,11 +317,11 @@
 	s.end(func(in *simapi.Input) {
 		if in.Kind == simapi.RequestReceived {
 			s.reply(in, 200, 0)
-			s.outs = append(s.outs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: in.Scheduler, Conn: in.Conn})
+			s.outputs = append(s.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: in.Scheduler, Conn: in.Conn})
 		}
 	})
 	counts := map[trace.Kind]*[10][2]int{trace.SchedulerUnreachable: {}, trace.RequestSent: {}}
-	for _, o := range s.told {
+	for _, o := range s.events {
 		if n := counts[o.Kind]; n != nil && o.At < 10*time.Second {
 			n[o.At/time.Second][o.Scheduler]++
 		}
@@ -371,8 +371,8 @@
 	b.ReportAllocs()
 	for b.ResetTimer(); !s.w.Finished(); { // each request is answered at the next event
 		at, _ := s.w.Next()
-		ins = s.w.Step(at, s.outs, ins[:0])
-		s.outs = s.outs[:0]
+		ins = s.w.Step(at, s.outputs, ins[:0])
+		s.outputs = s.outputs[:0]
 		for i := range ins {
 			s.serve(&ins[i])
 		}
--- a/internal/testbed/environment/discovery_test.go
+++ b/internal/testbed/environment/discovery_test.go
@@ -21,7 +21,7 @@
 	if s.Pick(2) == 0 {
 		spec.Discovery.Capacity = 20
 	}
-	f := newFate(s.T, spec, uint64(s.Pick(8)))
+	f := newFaultHarness(s.T, spec, uint64(s.Pick(8)))
 	d := f.w.discovery
 	var undos []func()
 	for s.More() {
@@ -103,7 +103,7 @@
 		}
 	}
 	for i, x := range f.scheds {
-		s.Check(x.gen == d.revision, "scheduler %d has generation %d of %d", i, x.gen, d.revision)
+		s.Check(x.revision == d.revision, "scheduler %d has generation %d of %d", i, x.revision, d.revision)
 		s.Check(maps.Equal(x.list, want), "scheduler %d has %v, and so it is: %v", i, x.list, want)
 		notified := map[int]trace.Kind{}
 		for _, e := range f.all(0, trace.SchedulerStarted, trace.DrainNotified, trace.StartNotified) {
@@ -129,42 +129,42 @@
 }
 
 // When a drain counts as told.
-func TestToldAt(t *testing.T) {
+func TestNotificationTimes(t *testing.T) {
 	const drained = 20 * time.Second
 	scheds := endpointGroup{kind: schedulerEndpoint}
 	disco := endpointGroup{kind: discoveryEndpoint}
 	for name, x := range map[string]struct {
-		before      func(f *fate)
-		after       func(f *fate)
+		before      func(f *faultHarness)
+		after       func(f *faultHarness)
 		from, until time.Duration // of when it was listed
 	}{
 		"over a watch": {from: 0, until: 5 * time.Millisecond},
 		"on a watch that is cut off": {
-			before: func(f *fate) { f.w.network.partition(disco, scheds, true) },
+			before: func(f *faultHarness) { f.w.network.partition(disco, scheds, true) },
 			from:   6 * time.Second, until: 6 * time.Second,
 		},
 		"without a watch": {
-			before: func(f *fate) { f.scheds[0].mute = true; f.w.discovery.startOutage()() },
+			before: func(f *faultHarness) { f.scheds[0].silent = true; f.w.discovery.startOutage()() },
 			from:   9 * time.Second, until: 10 * time.Second,
 		}, // ask_every, from when it had the watch
 		"after a call that failed": {
-			before: func(f *fate) {
+			before: func(f *faultHarness) {
 				f.w.discovery.startOutage()
-				f.w.after(2*time.Second, func() { f.scheds[0].mute = true })
+				f.w.after(2*time.Second, func() { f.scheds[0].silent = true })
 			},
 			from: 38 * time.Second, until: 40 * time.Second,
 		},
 		"after SIGHUP": {
-			before: func(f *fate) { f.w.discovery.startOutage() }, after: func(f *fate) { f.w.schedulers[0].reload() },
+			before: func(f *faultHarness) { f.w.discovery.startOutage() }, after: func(f *faultHarness) { f.w.schedulers[0].reload() },
 			from: 8 * time.Second, until: 8100 * time.Millisecond,
 		},
 		"by the next process": {
-			before: func(f *fate) { f.w.schedulers[0].kill(10 * time.Second) },
+			before: func(f *faultHarness) { f.w.schedulers[0].kill(10 * time.Second) },
 			from:   5 * time.Second, until: 6 * time.Second,
 		},
-		"frozen": {before: func(f *fate) { f.w.schedulers[0].freeze(time.Minute) }, from: 0, until: 5 * time.Millisecond},
+		"frozen": {before: func(f *faultHarness) { f.w.schedulers[0].freeze(time.Minute) }, from: 0, until: 5 * time.Millisecond},
 	} {
-		f := newFate(t, quiet(4, 1), 1)
+		f := newFaultHarness(t, quiet(4, 1), 1)
 		f.run(drained - 3*time.Second)
 		if x.before != nil {
 			f.do(func() { x.before(f) })
@@ -191,30 +191,30 @@
 
 // Notices come late, each by its kind, and a machine that is cut off from discovery is silent to it.
 func TestNotices(t *testing.T) {
-	cut := func(f *fate) { f.w.discovery.isolate([]int{1}) }
-	crash := func(f *fate) { f.w.workers[1].crash(0) }
+	cut := func(f *faultHarness) { f.w.discovery.isolate([]int{1}) }
+	crash := func(f *faultHarness) { f.w.workers[1].crash(0) }
 	for name, x := range map[string]struct {
-		do       func(f *fate)
+		do       func(f *faultHarness)
 		from, to int // ms
 		state    string
 	}{
-		"drain":       {func(f *fate) { f.w.workers[1].drain() }, 700, 1800, "draining"},
+		"drain":       {func(f *faultHarness) { f.w.workers[1].drain() }, 700, 1800, "draining"},
 		"crash":       {crash, 700, 1800, "removed"},
-		"vanish":      {func(f *fate) { f.w.workers[1].vanish(0) }, 5600, 10900, "removed"},
+		"vanish":      {func(f *faultHarness) { f.w.workers[1].vanish(0) }, 5600, 10900, "removed"},
 		"cut":         {cut, 5600, 10900, "removed"},
-		"cut, crash":  {func(f *fate) { cut(f); crash(f) }, 5600, 10900, "removed"},
-		"crash, late": {func(f *fate) { f.w.discovery.delayNotices(5 * time.Second); crash(f) }, 5700, 6800, "removed"},
+		"cut, crash":  {func(f *faultHarness) { cut(f); crash(f) }, 5600, 10900, "removed"},
+		"crash, late": {func(f *faultHarness) { f.w.discovery.delayNotices(5 * time.Second); crash(f) }, 5700, 6800, "removed"},
 	} {
 		for seed := range uint64(5) {
-			f := newFate(t, quiet(4, 1), seed)
+			f := newFaultHarness(t, quiet(4, 1), seed)
 			f.run(10 * time.Second)
-			from := len(f.ins)
+			from := len(f.inputs)
 			f.do(func() { x.do(f) })
 			at := f.w.now
-			for len(f.came(from, simapi.ListReceived)) == 0 && f.w.now < at+15*time.Second {
+			for len(f.arrived(from, simapi.ListReceived)) == 0 && f.w.now < at+15*time.Second {
 				f.run(10 * time.Millisecond)
 			}
-			lists := f.came(from, simapi.ListReceived)
+			lists := f.arrived(from, simapi.ListReceived)
 			if len(lists) != 1 || len(lists[0].List.Endpoints) != 1 || lists[0].List.Endpoints[0].Lifecycle != x.state ||
 				(f.w.now-at).Milliseconds() < int64(x.from) || (f.w.now-at).Milliseconds() > int64(x.to) {
 				t.Errorf("%s: after %v: %v", name, f.w.now-at, lists)
@@ -226,40 +226,40 @@
 // What is done to discovery, and what a scheduler then hears of the list, in order.
 func TestListFaults(t *testing.T) {
 	var undo func()
-	one := func(f *fate) *worker { return f.w.workers[1] }
-	type act func(f *fate)
-	crash, start := func(f *fate) { one(f).crash(0) }, func(f *fate) { one(f).start() }
-	off := func(*fate) { undo() }
+	one := func(f *faultHarness) *worker { return f.w.workers[1] }
+	type act func(f *faultHarness)
+	crash, start := func(f *faultHarness) { one(f).crash(0) }, func(f *faultHarness) { one(f).start() }
+	off := func(*faultHarness) { undo() }
 	for name, x := range map[string]struct {
 		acts []act // with 20 s after each
 		want string
 	}{
 		"well":         {[]act{crash, start}, "removed up2 "},
-		"wrong":        {[]act{func(f *fate) { undo = f.w.discovery.listWrongly([]int{1}) }, crash, start, crash, off}, "up2 removed "},
-		"wrong, later": {[]act{crash, func(f *fate) { undo = f.w.discovery.listWrongly([]int{1}) }, off}, "removed up1 removed "},
-		"old":          {[]act{func(f *fate) { undo = f.w.discovery.freezeList() }, crash, off}, "removed "},
+		"wrong":        {[]act{func(f *faultHarness) { undo = f.w.discovery.listWrongly([]int{1}) }, crash, start, crash, off}, "up2 removed "},
+		"wrong, later": {[]act{crash, func(f *faultHarness) { undo = f.w.discovery.listWrongly([]int{1}) }, off}, "removed up1 removed "},
+		"old":          {[]act{func(f *faultHarness) { undo = f.w.discovery.freezeList() }, crash, off}, "removed "},
 		"down": {
-			[]act{func(f *fate) { undo = f.w.discovery.startOutage() }, crash, func(f *fate) { f.scheds[0].mute = true; undo() }},
+			[]act{func(f *faultHarness) { undo = f.w.discovery.startOutage() }, crash, func(f *faultHarness) { f.scheds[0].silent = true; undo() }},
 			"end failed ",
 		},
-		"cut": {[]act{func(f *fate) { f.w.after(9*time.Second, f.w.discovery.isolate([]int{1})) }}, "removed up1 "},
+		"cut": {[]act{func(f *faultHarness) { f.w.after(9*time.Second, f.w.discovery.isolate([]int{1})) }}, "removed up1 "},
 		"cut, then drains unseen": {[]act{
-			func(f *fate) { undo = f.w.discovery.isolate([]int{1}) },
-			func(f *fate) { one(f).drain() }, off,
+			func(f *faultHarness) { undo = f.w.discovery.isolate([]int{1}) },
+			func(f *faultHarness) { one(f).drain() }, off,
 		}, "removed draining "},
 		"moved": {[]act{
-			func(f *fate) { f.w.discovery.changeAddress() }, func(f *fate) { f.scheds[0].mute = true; f.w.schedulers[0].reload() },
+			func(f *faultHarness) { f.w.discovery.changeAddress() }, func(f *faultHarness) { f.scheds[0].silent = true; f.w.schedulers[0].reload() },
 			crash,
 		}, "end failed whole removed "},
 	} {
-		f := newFate(t, quiet(4, 1), 2)
+		f := newFaultHarness(t, quiet(4, 1), 2)
 		f.run(10 * time.Second)
-		from, got := len(f.ins), ""
+		from, got := len(f.inputs), ""
 		for _, a := range x.acts {
 			f.do(func() { a(f) })
 			f.run(20 * time.Second)
 		}
-		for _, in := range f.ins[from:] {
+		for _, in := range f.inputs[from:] {
 			switch {
 			case in.Kind == simapi.WatchEnded && got == "":
 				got = "end "
@@ -288,7 +288,7 @@
 
 // A call is answered by what changed since the generation that it names; by the whole list, where that says nothing.
 func TestSince(t *testing.T) {
-	f := newFate(t, quiet(6, 1), 1)
+	f := newFaultHarness(t, quiet(6, 1), 1)
 	for _, n := range f.w.workers[:4] {
 		f.do(n.drain)
 		f.run(3 * time.Second)
@@ -305,18 +305,18 @@
 func TestCapacity(t *testing.T) {
 	spec := quiet(10, 3)
 	spec.Discovery.Capacity = 5 // a list of ten takes 2 s
-	f := newFate(t, spec, 1)
+	f := newFaultHarness(t, spec, 1)
 	for _, s := range f.scheds {
-		s.mute = true
+		s.silent = true
 	}
 	f.run(time.Second)
 	for i := range f.scheds {
-		f.scheds[i].gen = 0
-		f.ask(i, f.w.now)
+		f.scheds[i].revision = 0
+		f.watchDiscovery(i, f.w.now)
 	}
 	f.run(8 * time.Second)
 	var got []string
-	for _, in := range f.ins {
+	for _, in := range f.inputs {
 		if in.Kind == simapi.ListReceived || in.Kind == simapi.WatchEnded {
 			got = append(got, map[simapi.InputKind]string{simapi.ListReceived: "list", simapi.WatchEnded: "failed"}[in.Kind])
 		}
@@ -325,14 +325,14 @@
 		t.Errorf("three calls at once came to %v", got) // after 2 s, 3 s and 4 s
 	}
 	f.do(func() {
-		f.scheds[0].gen, f.scheds[1].gen = 0, 0
-		f.ask(0, f.w.now)
-		f.ask(1, f.w.now)
+		f.scheds[0].revision, f.scheds[1].revision = 0, 0
+		f.watchDiscovery(0, f.w.now)
+		f.watchDiscovery(1, f.w.now)
 		f.w.after(time.Second, func() { f.w.schedulers[0].kill(0) }) // and with it what was made for it
 	})
-	from := len(f.ins)
+	from := len(f.inputs)
 	f.run(3100 * time.Millisecond)
-	if lists := f.came(from, simapi.ListReceived); len(lists) != 1 || lists[0].Scheduler != 1 {
+	if lists := f.arrived(from, simapi.ListReceived); len(lists) != 1 || lists[0].Scheduler != 1 {
 		t.Errorf("the list after one that nobody waits for any more: %v", lists)
 	}
 }
--- a/internal/testbed/environment/event_queue_test.go
+++ b/internal/testbed/environment/event_queue_test.go
@@ -9,7 +9,7 @@
 
 // Whatever is put there and taken in between, what is on the event queue comes by time, and of one time in the order in
 // which it was put there.
-func TestAgendaKeepsOrder(t *testing.T) {
+func TestEventQueueKeepsOrder(t *testing.T) {
 	type put struct {
 		at  time.Duration
 		seq int
@@ -48,7 +48,7 @@
 
 // The case that once failed, laid out as the heap holds it: under the ninth entry the scan for the least child ran on,
 // from one that was less to the next, until it came to the thirteenth's children, which are less than what had gone up.
-func TestAgendaTakesAChild(t *testing.T) {
+func TestEventQueueTakesAChild(t *testing.T) {
 	lines := []struct{ n, at int }{
 		{1, 0},
 		{1, 1},
--- a/internal/testbed/environment/faults_test.go
+++ b/internal/testbed/environment/faults_test.go
@@ -53,7 +53,7 @@
 		last = max(last, (x.At + x.Duration).Std())
 		ends++
 	}
-	f := newFate(s.T, spec, uint64(s.Pick(4)))
+	f := newFaultHarness(s.T, spec, uint64(s.Pick(4)))
 	f.run(500 * time.Millisecond)
 	before := f.state()
 	f.run(last + 60*time.Second) // drains, notices, lists and restarts take their time
@@ -70,7 +70,7 @@
 	}
 	s.Check(maps.Equal(on, off), "began: %v, ended: %v, of %s", on, off, scenario.Encode(spec))
 	holds := map[string]int{} // by worker and what strikes it
-	for _, x := range f.sights {
+	for _, x := range f.events {
 		switch at := x.Text + " w-" + strconv.Itoa(x.Worker); x.Kind {
 		case trace.WorkerFaultStarted:
 			holds[at]++
@@ -85,7 +85,7 @@
 }
 
 // state is what faults may change, but for what they leave behind by their nature: new processes and machines.
-func (f *fate) state() (all []any) {
+func (f *faultHarness) state() (all []any) {
 	for i, n := range f.w.workers {
 		t := f.w.WorkerState(i)
 		t.Speed = math.Round(1000 * t.Speed / n.coreSpeed)
@@ -96,7 +96,7 @@
 	}
 	d := f.w.discovery
 	return append(all, len(f.w.network.partitions), len(f.w.network.delays), len(f.w.network.idleDrops), d.outages, d.staleAnswers, d.noticeDelay, len(d.slowFactors),
-		slices.Clone(d.wrongEntries), slices.Clone(d.cutCounts), len(d.heldEvents), len(f.w.clients.retryFactors), len(f.came(0, 255)))
+		slices.Clone(d.wrongEntries), slices.Clone(d.cutCounts), len(d.heldEvents), len(f.w.clients.retryFactors), len(f.arrived(0, 255)))
 }
 
 // Targets are all that match what is named, less all but a share; the seed says which, and nothing else does.
@@ -116,7 +116,7 @@
 	struck := func(seed uint64, less int) (all [][]int) {
 		short := spec.Clone()
 		short.Faults = short.Faults[:len(short.Faults)-less]
-		f := newFaultTimeline(newFate(t, short, seed).w)
+		f := newFaultTimeline(newFaultHarness(t, short, seed).w)
 		for i := range short.Faults {
 			x := &activeFault{Fault: &short.Faults[i], timeline: f}
 			x.chooseTargets(i)
@@ -157,7 +157,7 @@
 		{Kind: "refuse", At: 2 * s, Duration: 4 * s},
 		{Kind: "refuse", At: 4 * s, Duration: 4 * s},
 	}
-	f := newFate(t, spec, 1)
+	f := newFaultHarness(t, spec, 1)
 	n := f.w.workers[0]
 	for _, want := range [][]any{
 		{1.0, -1.0, 0, false},
@@ -184,7 +184,7 @@
 		{Kind: "crash", At: 20 * s, Duration: 2 * s, Target: scenario.Target{Names: []string{"w-1"}}},
 		{Kind: "crash", At: 30 * s, Target: scenario.Target{Names: []string{"w-1"}}},
 	}
-	f := newFate(t, spec, 1)
+	f := newFaultHarness(t, spec, 1)
 	f.run(time.Minute)
 	var got []int
 	for _, x := range f.all(0, trace.FaultStarted, trace.WorkerHung, trace.WorkerRecovered, trace.WorkerStopped, trace.WorkerStarted, trace.FaultEnded) {
--- a/internal/testbed/environment/harness_clients_test.go
+++ b/internal/testbed/environment/harness_clients_test.go
@@ -11,10 +11,10 @@
 
 // stage is clients, their front and a network, with schedulers that do as a test says.
 type stage struct {
-	w     *Environment
-	told  []trace.Event
-	outs  []simapi.Output    // for the next step
-	check func(*trace.Event) // instead of told
+	w       *Environment
+	events  []trace.Event
+	outputs []simapi.Output    // for the next step
+	check   func(*trace.Event) // instead of told
 }
 
 // calm is the co-operative's deployment with one zone and so many schedulers.
@@ -31,7 +31,7 @@
 		if t.check != nil {
 			t.check(s)
 		} else {
-			t.told = append(t.told, *s)
+			t.events = append(t.events, *s)
 		}
 	}
 	w.network = newNetwork(w)
@@ -71,14 +71,14 @@
 func (t *stage) run(to time.Duration, act func(in *simapi.Input)) {
 	for {
 		at, ok := t.w.Next()
-		if len(t.outs) > 0 {
+		if len(t.outputs) > 0 {
 			at = t.w.now
 		} else if !ok || at > to {
 			t.w.now = to
 			return
 		}
-		outs := t.outs
-		t.outs = nil
+		outs := t.outputs
+		t.outputs = nil
 		for _, in := range t.w.Step(at, outs, nil) {
 			act(&in)
 		}
@@ -94,7 +94,7 @@
 
 // reply has a request answered.
 func (t *stage) reply(in *simapi.Input, status int, after time.Duration) {
-	t.outs = append(t.outs, simapi.Output{
+	t.outputs = append(t.outputs, simapi.Output{
 		Kind: simapi.ResponseWritten, Scheduler: in.Scheduler, Conn: in.Conn, RequestID: in.Request.RequestID,
 		Status: status, RetryAfter: after, Result: "r",
 	})
@@ -109,7 +109,7 @@
 
 // of is what was seen of a kind.
 func (t *stage) of(what trace.Kind) (list []trace.Event) {
-	for _, s := range t.told {
+	for _, s := range t.events {
 		if s.Kind == what {
 			list = append(list, s)
 		}
@@ -126,12 +126,12 @@
 }
 
 type witnessed struct {
-	due     trace.Event
-	open    *trace.Event // the try that was asked and has not ended
-	tries   int
-	status  int
-	risked  time.Duration
-	settled bool
+	dueEvent trace.Event
+	open     *trace.Event // the try that was asked and has not ended
+	tries    int
+	status   int
+	risked   time.Duration
+	settled  bool
 }
 
 func newWitness(spec *scenario.Scenario, s *modeltest.Steps) *witness {
@@ -145,13 +145,13 @@
 	}
 	m.check(s.Kind == trace.JobDue == (j == nil), "sight %d of job %d, known: %v", s.Kind, s.JobID, j != nil)
 	if s.Kind == trace.JobDue {
-		m.jobs[s.JobID] = &witnessed{due: *s, risked: -1}
+		m.jobs[s.JobID] = &witnessed{dueEvent: *s, risked: -1}
 		m.check(s.LatencyObjective <= s.Deadline && s.Work > 0 && s.Slots >= 1, "a job of no sense: %+v", *s)
 		return
 	}
 	m.check(!j.settled, "sight %d of a settled job", s.Kind)
-	class := &m.spec.Classes[j.due.Class]
-	deadline, slack := j.due.At+j.due.Deadline, m.spec.Rules.Slack.Std()
+	class := &m.spec.Classes[j.dueEvent.Class]
+	deadline, slack := j.dueEvent.At+j.dueEvent.Deadline, m.spec.Rules.Slack.Std()
 	switch s.Kind {
 	case trace.RequestSent:
 		m.check(j.open == nil || j.open.RequestID == s.RequestID && j.open.Conn != s.Conn, "two open tries of a job")
@@ -163,7 +163,7 @@
 		m.calls[s.RequestID] = s.JobID
 		m.check(s.Budget >= time.Millisecond && s.Budget%time.Millisecond == 0 && s.At+s.Budget <= deadline,
 			"a budget of %v with %v left", s.Budget, deadline-s.At)
-		m.check(s.IdempotencyKey == j.due.IdempotencyKey && (s.IdempotencyKey != "") == (class.Idempotency == "keyed"), "key %q", s.IdempotencyKey)
+		m.check(s.IdempotencyKey == j.dueEvent.IdempotencyKey && (s.IdempotencyKey != "") == (class.Idempotency == "keyed"), "key %q", s.IdempotencyKey)
 		if j.risked >= 0 {
 			within := class.Idempotency == "keyed" && class.DeduplicationScope == "all" && s.At < j.risked+class.DeduplicationWindow.Std()
 			m.check(class.Idempotency == "safe" || within, "%s tried again %v after one that may have run", class.Name,
--- a/internal/testbed/environment/harness_faults_test.go
+++ b/internal/testbed/environment/harness_faults_test.go
@@ -10,25 +10,25 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// fate is a whole world with hardly a client, and schedulers that do nothing but follow discovery.
-type fate struct {
-	t      testing.TB
-	w      *Environment
-	spec   *scenario.Scenario
-	scheds []*follower
-	sights []trace.Event
-	ins    []simapi.Input // all that came
-	outs   []simapi.Output
-	exit   bool // what follows SIGTERM is the process's own end
+// faultHarness is a whole world with hardly a client, and schedulers that do nothing but follow discovery.
+type faultHarness struct {
+	t       testing.TB
+	w       *Environment
+	spec    *scenario.Scenario
+	scheds  []*follower
+	events  []trace.Event
+	inputs  []simapi.Input // all that came
+	outputs []simapi.Output
+	exit    bool // what follows SIGTERM is the process's own end
 }
 
 // follower is a scheduler that keeps a list by what it is told.
 type follower struct {
-	up, frozen bool
-	list       map[string]requests.Endpoint
-	gen        int64
-	heard      time.Duration // when its watch spoke last
-	mute       bool          // it never asks
+	up, frozen   bool
+	list         map[string]requests.Endpoint
+	revision     int64
+	lastReceived time.Duration // when its watch spoke last
+	silent       bool          // it never asks
 }
 
 // quiet is a run of such an environment: of so many workers, and without chance in the network.
@@ -39,60 +39,60 @@
 	return s
 }
 
-func newFate(tb testing.TB, spec *scenario.Scenario, seed uint64) *fate {
+func newFaultHarness(tb testing.TB, spec *scenario.Scenario, seed uint64) *faultHarness {
 	tb.Helper()
 	if err := spec.Check(); err != nil && spec.Name != "" {
 		tb.Fatal(err)
 	}
-	f := &fate{t: tb, spec: spec}
+	f := &faultHarness{t: tb, spec: spec}
 	for range spec.Schedulers.Count + spec.Planners.Count {
 		f.scheds = append(f.scheds, &follower{})
 	}
-	f.w = New(spec, seed, 1000*time.Hour, func(s *trace.Event) { f.sights = append(f.sights, *s) })
+	f.w = New(spec, seed, 1000*time.Hour, func(s *trace.Event) { f.events = append(f.events, *s) })
 	return f
 }
 
 // run plays for a while.
-func (f *fate) run(d time.Duration) {
+func (f *faultHarness) run(d time.Duration) {
 	for to := f.w.now + d; ; {
 		at, ok := f.w.Next()
-		if len(f.outs) > 0 {
+		if len(f.outputs) > 0 {
 			at = f.w.now
 		} else if !ok || at > to {
 			at = to
 		}
 		at = min(at, f.w.now+500*time.Millisecond) // followers look at their watches
-		outs := f.outs
-		f.outs = nil
-		from := len(f.ins)
-		f.ins = f.w.Step(at, outs, f.ins)
-		for i := range f.ins[from:] {
-			f.take(&f.ins[from+i])
+		outs := f.outputs
+		f.outputs = nil
+		from := len(f.inputs)
+		f.inputs = f.w.Step(at, outs, f.inputs)
+		for i := range f.inputs[from:] {
+			f.take(&f.inputs[from+i])
 		}
 		for i, s := range f.scheds { // as the program, it takes a watch for lost that is silent for 3 s
-			if s.up && !s.frozen && !s.mute && at-s.heard > 3*time.Second {
-				f.ask(i, at)
+			if s.up && !s.frozen && !s.silent && at-s.lastReceived > 3*time.Second {
+				f.watchDiscovery(i, at)
 			}
 		}
-		if next, ok := f.w.Next(); at >= to && len(f.outs) == 0 && (!ok || next > to) {
+		if next, ok := f.w.Next(); at >= to && len(f.outputs) == 0 && (!ok || next > to) {
 			return
 		}
 	}
 }
 
 // do has something happen now.
-func (f *fate) do(what func()) {
+func (f *faultHarness) do(what func()) {
 	f.w.after(0, what)
 	f.run(0)
 }
 
-func (f *fate) ask(i int, now time.Duration) {
+func (f *faultHarness) watchDiscovery(i int, now time.Duration) {
 	s := f.scheds[i]
-	s.heard = now
-	f.outs = append(f.outs, simapi.Output{Kind: simapi.WatchRequested, Scheduler: i, RetryAfter: time.Duration(s.gen)})
+	s.lastReceived = now
+	f.outputs = append(f.outputs, simapi.Output{Kind: simapi.WatchRequested, Scheduler: i, RetryAfter: time.Duration(s.revision)})
 }
 
-func (f *fate) take(in *simapi.Input) {
+func (f *faultHarness) take(in *simapi.Input) {
 	if in.Kind >= simapi.AcceptModeChanged {
 		return
 	}
@@ -102,39 +102,39 @@
 	}
 	switch in.Kind {
 	case simapi.Start:
-		s.up, s.frozen, s.list, s.gen = true, false, map[string]requests.Endpoint{}, in.Start.KnownEndpoints.Revision
+		s.up, s.frozen, s.list, s.revision = true, false, map[string]requests.Endpoint{}, in.Start.KnownEndpoints.Revision
 		for _, h := range in.Start.KnownEndpoints.Endpoints {
 			s.list[h.ID] = h
 		}
-		f.outs = append(f.outs, simapi.Output{Kind: simapi.Ready, Scheduler: in.Scheduler})
-		if !s.mute {
-			f.ask(in.Scheduler, f.w.now)
+		f.outputs = append(f.outputs, simapi.Output{Kind: simapi.Ready, Scheduler: in.Scheduler})
+		if !s.silent {
+			f.watchDiscovery(in.Scheduler, f.w.now)
 		}
 	case simapi.Kill:
 		s.up = false
 	case simapi.Terminate:
 		if f.exit {
 			s.up = false
-			f.outs = append(f.outs, simapi.Output{Kind: simapi.Exited, Scheduler: in.Scheduler})
+			f.outputs = append(f.outputs, simapi.Output{Kind: simapi.Exited, Scheduler: in.Scheduler})
 		}
 	case simapi.Freeze, simapi.Resume:
 		s.frozen = in.Kind == simapi.Freeze
-		s.heard = f.w.now
+		s.lastReceived = f.w.now
 	case simapi.Reload:
-		s.gen = 0
-		f.ask(in.Scheduler, f.w.now)
+		s.revision = 0
+		f.watchDiscovery(in.Scheduler, f.w.now)
 	case simapi.WatchEnded:
-		s.heard = f.w.now - 2*time.Second // and asks again in a second
+		s.lastReceived = f.w.now - 2*time.Second // and asks again in a second
 	case simapi.ListReceived, simapi.WatchHeartbeat:
-		if s.heard = f.w.now; in.Kind == simapi.WatchHeartbeat {
+		if s.lastReceived = f.w.now; in.Kind == simapi.WatchHeartbeat {
 			return
 		}
 		if in.List.Reset {
 			s.list = map[string]requests.Endpoint{}
-		} else if g := in.List.Revision; g < s.gen || g == s.gen && len(in.List.Endpoints) > 0 {
-			f.t.Fatalf("at %v, generation %d follows %d", f.w.now, g, s.gen)
+		} else if g := in.List.Revision; g < s.revision || g == s.revision && len(in.List.Endpoints) > 0 {
+			f.t.Fatalf("at %v, generation %d follows %d", f.w.now, g, s.revision)
 		}
-		s.gen = in.List.Revision
+		s.revision = in.List.Revision
 		for _, h := range in.List.Endpoints {
 			if s.list[h.ID] = h; h.Lifecycle == "removed" {
 				delete(s.list, h.ID)
@@ -144,8 +144,8 @@
 }
 
 // all are the trace events of some kinds since an index.
-func (f *fate) all(from int, kinds ...trace.Kind) (list []trace.Event) {
-	for _, s := range f.sights[from:] {
+func (f *faultHarness) all(from int, kinds ...trace.Kind) (list []trace.Event) {
+	for _, s := range f.events[from:] {
 		for _, k := range kinds {
 			if s.Kind == k {
 				list = append(list, s)
@@ -155,9 +155,9 @@
 	return list
 }
 
-// came are the Ins of a kind since an index.
-func (f *fate) came(from int, kind simapi.InputKind) (list []simapi.Input) {
-	for _, in := range f.ins[from:] {
+// arrived are the Ins of a kind since an index.
+func (f *faultHarness) arrived(from int, kind simapi.InputKind) (list []simapi.Input) {
+	for _, in := range f.inputs[from:] {
 		if in.Kind == kind {
 			list = append(list, in)
 		}
--- a/internal/testbed/environment/harness_workers_test.go
+++ b/internal/testbed/environment/harness_workers_test.go
@@ -10,19 +10,19 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// rig is workers and a network, with schedulers that do as a test says, and requests that it makes up.
-type rig struct {
-	t      testing.TB
-	w      *Environment
-	tries  map[string]*request
-	sights []trace.Event
-	ins    []simapi.Input
-	outs   []simapi.Output // for the next step
-	life   []lifeEvent
-	told   bool
-	ack    func(in *simapi.Input) (status int, ok bool) // a scheduler's answer to a callback
-	see    func(s *trace.Event)
-	conns  uint64
+// workerHarness is workers and a network, with schedulers that do as a test says, and requests that it makes up.
+type workerHarness struct {
+	t        testing.TB
+	w        *Environment
+	tries    map[string]*request
+	events   []trace.Event
+	inputs   []simapi.Input
+	outputs  []simapi.Output // for the next step
+	life     []lifeEvent
+	notified bool
+	ack      func(in *simapi.Input) (status int, ok bool) // a scheduler's answer to a callback
+	see      func(s *trace.Event)
+	conns    uint64
 }
 
 const ms = time.Millisecond
@@ -47,11 +47,11 @@
 	keyedClass  = 3
 )
 
-func newRig(tb testing.TB, spec *scenario.Scenario, seed uint64) *rig {
+func newWorkerHarness(tb testing.TB, spec *scenario.Scenario, seed uint64) *workerHarness {
 	tb.Helper()
-	r := &rig{t: tb, tries: map[string]*request{}, told: true, ack: func(*simapi.Input) (int, bool) { return 204, true }}
+	r := &workerHarness{t: tb, tries: map[string]*request{}, notified: true, ack: func(*simapi.Input) (int, bool) { return 204, true }}
 	r.w = &Environment{Spec: spec, seed: seed, conns: map[simapi.Conn]*conn{}, observer: func(s *trace.Event) {
-		r.sights = append(r.sights, *s)
+		r.events = append(r.events, *s)
 		if r.see != nil {
 			r.see(s)
 		}
@@ -63,7 +63,7 @@
 	r.w.workers = newWorkers(r.w)
 	f := r.w.workers[0].shared
 	f.findRequest = func(call string) *request { return r.tries[call] }
-	f.knowsStart = func(int, *worker) bool { return r.told }
+	f.knowsStart = func(int, *worker) bool { return r.notified }
 	f.onLifeEvent = func(_ *worker, what lifeEvent) { r.life = append(r.life, what) }
 	for _, n := range r.w.workers {
 		n.begin()
@@ -72,9 +72,9 @@
 }
 
 // run plays until an instant. Schedulers answer notes as they come.
-func (r *rig) run(to time.Duration) {
-	for at, ok := r.w.Next(); len(r.outs) > 0 || ok && at <= to; at, ok = r.w.Next() {
-		if len(r.outs) > 0 {
+func (r *workerHarness) run(to time.Duration) {
+	for at, ok := r.w.Next(); len(r.outputs) > 0 || ok && at <= to; at, ok = r.w.Next() {
+		if len(r.outputs) > 0 {
 			at = r.w.now
 		}
 		r.step(at)
@@ -82,16 +82,16 @@
 	r.step(to)
 }
 
-func (r *rig) pass(d time.Duration) { r.run(r.w.now + d) }
+func (r *workerHarness) pass(d time.Duration) { r.run(r.w.now + d) }
 
-func (r *rig) step(at time.Duration) {
-	outs, from := r.outs, len(r.ins)
-	r.outs = nil
-	r.ins = r.w.Step(at, outs, r.ins)
-	for i := range r.ins[from:] {
-		if in := &r.ins[from+i]; in.Kind == simapi.CallbackReceived {
+func (r *workerHarness) step(at time.Duration) {
+	outs, from := r.outputs, len(r.inputs)
+	r.outputs = nil
+	r.inputs = r.w.Step(at, outs, r.inputs)
+	for i := range r.inputs[from:] {
+		if in := &r.inputs[from+i]; in.Kind == simapi.CallbackReceived {
 			if status, ok := r.ack(in); ok {
-				r.outs = append(r.outs, simapi.Output{
+				r.outputs = append(r.outputs, simapi.Output{
 					Kind: simapi.CallbackAnswered, Scheduler: in.Scheduler, Worker: in.Worker, CallbackID: in.CallbackID,
 					Status: status,
 				})
@@ -101,25 +101,25 @@
 }
 
 // do does something within a step.
-func (r *rig) do(what func()) {
+func (r *workerHarness) do(what func()) {
 	r.w.schedule(0, what)
 	r.step(r.w.now)
 }
 
-func (r *rig) dial(sched, node int) simapi.Conn {
+func (r *workerHarness) dial(sched, node int) simapi.Conn {
 	r.conns++
 	c := simapi.WorkerConn(sched, r.conns)
-	r.outs = append(r.outs, simapi.Output{Kind: simapi.WorkerDialed, Scheduler: sched, Worker: node, Conn: c})
+	r.outputs = append(r.outputs, simapi.Output{Kind: simapi.WorkerDialed, Scheduler: sched, Worker: node, Conn: c})
 	return c
 }
 
 // request makes up a client's request of so much work.
-func (r *rig) query(call string, class int, work, slots float64) {
+func (r *workerHarness) addRequest(call string, class int, work, slots float64) {
 	r.tries[call] = &request{id: call, class: class, work: work, slots: slots, key: "key-" + call}
 }
 
-// out has a scheduler do something over a connection.
-func (r *rig) out(c simapi.Conn, kind simapi.OutputKind, call string) {
+// apply has a scheduler do something over a connection.
+func (r *workerHarness) apply(c simapi.Conn, kind simapi.OutputKind, call string) {
 	n := r.w.conns[c]
 	if n == nil {
 		return
@@ -128,32 +128,32 @@
 	if t := r.tries[call]; t != nil {
 		o.IdempotencyKey = t.key
 	}
-	r.outs = append(r.outs, o)
+	r.outputs = append(r.outputs, o)
 }
 
-// ask sends a request over a connection of its own, which stays.
-func (r *rig) ask(node int, call string, class int, work, slots float64) simapi.Conn {
+// sendRequest sends a request over a connection of its own, which stays.
+func (r *workerHarness) sendRequest(node int, call string, class int, work, slots float64) simapi.Conn {
 	if r.tries[call] == nil {
-		r.query(call, class, work, slots)
+		r.addRequest(call, class, work, slots)
 	}
 	c := r.dial(0, node)
 	r.step(r.w.now)
-	r.out(c, simapi.AttemptWritten, call)
+	r.apply(c, simapi.AttemptWritten, call)
 	r.step(r.w.now)
 	return c
 }
 
 // first finds what was first seen of a call.
-func (r *rig) first(what trace.Kind, call string) (s trace.Event, ok bool) {
-	i := slices.IndexFunc(r.sights, func(s trace.Event) bool { return s.Kind == what && s.RequestID == call })
+func (r *workerHarness) first(what trace.Kind, call string) (s trace.Event, ok bool) {
+	i := slices.IndexFunc(r.events, func(s trace.Event) bool { return s.Kind == what && s.RequestID == call })
 	if i < 0 {
 		return s, false
 	}
-	return r.sights[i], true
+	return r.events[i], true
 }
 
 // must is the same, and it was seen at that time.
-func (r *rig) must(what trace.Kind, call string, at time.Duration) trace.Event {
+func (r *workerHarness) must(what trace.Kind, call string, at time.Duration) trace.Event {
 	r.t.Helper()
 	s, ok := r.first(what, call)
 	if d := s.At - at; !ok || d < 0 || d > 10*time.Microsecond {
@@ -162,11 +162,11 @@
 	return s
 }
 
-// notes are the callbacks of a call that schedulers must have been told, in that order.
-func (r *rig) notes(call string, want ...string) {
+// expectCallbacks are the callbacks of a call that schedulers must have been told, in that order.
+func (r *workerHarness) expectCallbacks(call string, want ...string) {
 	r.t.Helper()
 	var got []string
-	for _, in := range r.ins {
+	for _, in := range r.inputs {
 		if in.Kind == simapi.CallbackReceived && in.Callback.CallID == call {
 			got = append(got, in.Callback.State)
 		}
@@ -177,9 +177,9 @@
 }
 
 // last is what last came over a connection, and must be of a kind.
-func (r *rig) last(c simapi.Conn, kind simapi.InputKind) (in simapi.Input) {
+func (r *workerHarness) last(c simapi.Conn, kind simapi.InputKind) (in simapi.Input) {
 	r.t.Helper()
-	for _, x := range r.ins {
+	for _, x := range r.inputs {
 		if x.Conn == c {
 			in = x
 		}
--- a/internal/testbed/environment/network_test.go
+++ b/internal/testbed/environment/network_test.go
@@ -19,7 +19,7 @@
 		Delay: scenario.Duration(ms), CrossZone: scenario.Duration(10 * ms), ClientDelay: scenario.Duration(2 * ms),
 		Jitter: 0.5,
 	}
-	r := newRig(t, spec, 1)
+	r := newWorkerHarness(t, spec, 1)
 	check := func(from, to endpoint, want, cv float64) {
 		t.Helper()
 		const n = 20_000
@@ -49,11 +49,11 @@
 	check(near, sched, 1, 0.5)
 }
 
-// end is a far end that remembers.
-type end struct{ over bool }
+// testEndpoint is a far end that remembers.
+type testEndpoint struct{ closed bool }
 
-func (e *end) endpoint() endpoint { return endpoint{workerEndpoint, 0} }
-func (e *end) connClosed(_ *conn) { e.over = true }
+func (e *testEndpoint) endpoint() endpoint { return endpoint{workerEndpoint, 0} }
+func (e *testEndpoint) connClosed(_ *conn) { e.closed = true }
 
 // FuzzConn puts a connection through random sendings and cuts: what arrives is what was sent, in order, and once all
 // cuts have healed nothing is missing.
@@ -61,7 +61,7 @@
 	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		spec, _ := plain(1)
 		spec.Network = scenario.Network{Delay: scenario.Duration(5 * ms), Jitter: 1}
-		r, far := newRig(s.T, spec, uint64(s.Pick(256))), &end{}
+		r, far := newWorkerHarness(s.T, spec, uint64(s.Pick(256))), &testEndpoint{}
 		c := r.w.openConn(&conn{id: simapi.WorkerConn(0, 1), far: far, up: true})
 		send := []func(*conn, func()){r.w.toSched, r.w.toFarEnd}
 		var sent, got [2][]int
@@ -102,21 +102,21 @@
 		for side := range got { // what comes after a close is for nobody
 			s.Check(closed == side || len(got[side]) == len(sent[side]), "side %d: sent %v, got %v", side, sent[side], got[side])
 		}
-		s.Check(len(r.w.conns) == 1 == (closed < 0) && far.over == (closed == schedulerSide),
-			"closed by %d, %d connections are left, the far end knows of it %v", closed, len(r.w.conns), far.over)
+		s.Check(len(r.w.conns) == 1 == (closed < 0) && far.closed == (closed == schedulerSide),
+			"closed by %d, %d connections are left, the far end knows of it %v", closed, len(r.w.conns), far.closed)
 	})
 }
 
 func TestIdleConnectionsAreForgotten(t *testing.T) {
 	spec, k := plain(1)
 	k.ConnIdleTimeout, spec.Network.DropsIdleAfter = 0, scenario.Duration(time.Second)
-	r := newRig(t, spec, 1)
-	n, a, b := r.w.workers[0], r.ask(0, "a", safeClass, 0.1, 1), r.dial(0, 0)
+	r := newWorkerHarness(t, spec, 1)
+	n, a, b := r.w.workers[0], r.sendRequest(0, "a", safeClass, 0.1, 1), r.dial(0, 0)
 	r.pass(900 * ms)
-	r.out(a, simapi.AttemptWritten, "a")
+	r.apply(a, simapi.AttemptWritten, "a")
 	r.pass(300 * ms)
 	r.last(a, simapi.ResponseReceived)
-	r.out(b, simapi.AttemptWritten, "a")
+	r.apply(b, simapi.AttemptWritten, "a")
 	r.pass(ms)
 	if in := r.last(b, simapi.WorkerDisconnected); !in.Reset || n.attemptCount != 2 || len(n.conns) != 2 {
 		t.Fatalf("too late it was answered by %+v, and %d came", in, n.attemptCount)
@@ -130,7 +130,7 @@
 
 func TestSendWaitsForACut(t *testing.T) {
 	spec, _ := plain(1)
-	r, arrived := newRig(t, spec, 1), time.Duration(-1)
+	r, arrived := newWorkerHarness(t, spec, 1), time.Duration(-1)
 	scheds, disco := endpointGroup{kind: schedulerEndpoint}, endpointGroup{kind: discoveryEndpoint}
 	back, there := r.w.network.partition(disco, scheds, true), r.w.network.partition(scheds, disco, true)
 	r.w.network.send(endpoint{schedulerEndpoint, 0}, endpoint{discoveryEndpoint, 0}, func() { arrived = r.w.now })
--- a/internal/testbed/environment/scheduler_views.go
+++ b/internal/testbed/environment/scheduler_views.go
@@ -21,7 +21,7 @@
 	versions       []version // by entry: what the scheduler's list says
 	revision       int64
 	knownStarts    []int // by worker: the last start that it was told of
-	knownDrains    []int // by worker: the start of which it was told that it drains or is gone; 0: none
+	drainedStarts  []int // by worker: the start of which it was told that it drains or is gone; 0: none
 	pending        []pendingChange
 	nextCheck      time.Duration // when what is pending is looked at next; 0: never
 	call           *watchCall
@@ -45,7 +45,7 @@
 )
 
 func newSchedulerView(d *discovery, sched int) *schedulerView {
-	v := &schedulerView{discovery: d, scheduler: sched, knownStarts: make([]int, len(d.env.workers)), knownDrains: make([]int, len(d.env.workers))}
+	v := &schedulerView{discovery: d, scheduler: sched, knownStarts: make([]int, len(d.env.workers)), drainedStarts: make([]int, len(d.env.workers))}
 	for i, n := range d.env.workers {
 		v.knownStarts[i] = n.incarnation // long ago
 	}
@@ -68,7 +68,7 @@
 	v.discovery.abandonWatch(v)
 	v.lastCallFailed, v.pending = false, v.pending[:0]
 	for i := range v.knownStarts {
-		v.knownStarts[i], v.knownDrains[i] = 1, 0 // first starts are of long ago
+		v.knownStarts[i], v.drainedStarts[i] = 1, 0 // first starts are of long ago
 	}
 	for i := range v.discovery.entries {
 		e := &v.discovery.entries[i]
@@ -165,12 +165,12 @@
 		return
 	}
 	up := state.state != endpointAbsent && state.incarnation > v.knownStarts[n]
-	if up || state.state == endpointUp && v.knownDrains[n] == state.incarnation {
-		v.knownStarts[n], v.knownDrains[n] = state.incarnation, 0
+	if up || state.state == endpointUp && v.drainedStarts[n] == state.incarnation {
+		v.knownStarts[n], v.drainedStarts[n] = state.incarnation, 0
 		v.record(trace.Event{Kind: trace.StartNotified, Scheduler: v.scheduler, Worker: n, Incarnation: state.incarnation})
 	}
-	if state.state != endpointUp && v.knownDrains[n] != state.incarnation {
-		v.knownDrains[n] = state.incarnation
+	if state.state != endpointUp && v.drainedStarts[n] != state.incarnation {
+		v.drainedStarts[n] = state.incarnation
 		v.record(trace.Event{Kind: trace.DrainNotified, Scheduler: v.scheduler, Worker: n, Incarnation: state.incarnation})
 	}
 }
--- a/internal/testbed/environment/schedulers_test.go
+++ b/internal/testbed/environment/schedulers_test.go
@@ -16,15 +16,15 @@
 	}
 	again := []step{{trace.SchedulerStarted, 1000}, {trace.SchedulerReady, 1000}}
 	for name, x := range map[string]struct {
-		do   func(f *fate)
+		do   func(f *faultHarness)
 		want []step
 	}{
 		"kill": {
-			func(f *fate) { f.w.schedulers[0].kill(2 * time.Second) },
+			func(f *faultHarness) { f.w.schedulers[0].kill(2 * time.Second) },
 			[]step{{trace.SchedulerKilled, 0}, {trace.SchedulerStarted, 2000}, {trace.SchedulerReady, 2000}},
 		},
-		"kill for good": {func(f *fate) { f.w.schedulers[0].kill(0) }, []step{{trace.SchedulerKilled, 0}}},
-		"planned restart": {func(f *fate) { f.w.schedulers[0].terminate(time.Second) }, // the longest deadline counts as 3 s
+		"kill for good": {func(f *faultHarness) { f.w.schedulers[0].kill(0) }, []step{{trace.SchedulerKilled, 0}}},
+		"planned restart": {func(f *faultHarness) { f.w.schedulers[0].terminate(time.Second) }, // the longest deadline counts as 3 s
 			[]step{
 				{trace.SchedulerTerminated, 0},
 				{trace.SchedulerKilled, 3700},
@@ -32,18 +32,21 @@
 				{trace.SchedulerReady, 4700},
 			}},
 		"planned restart, ends by itself": {
-			func(f *fate) { f.exit = true; f.w.schedulers[0].terminate(time.Second) },
+			func(f *faultHarness) { f.exit = true; f.w.schedulers[0].terminate(time.Second) },
 			append([]step{{trace.SchedulerTerminated, 0}, {trace.SchedulerExited, 0}}, again...),
 		},
-		"crash": {func(f *fate) {
-			f.outs = append(f.outs, simapi.Output{Kind: simapi.Exited, Status: 2})
+		"crash": {func(f *faultHarness) {
+			f.outputs = append(f.outputs, simapi.Output{Kind: simapi.Exited, Status: 2})
 			f.scheds[0].up = false
 		}, append([]step{{trace.SchedulerExited, 0}}, again...)},
 		"freeze twice": {
-			func(f *fate) { f.w.schedulers[0].freeze(3 * time.Second); f.w.schedulers[0].freeze(time.Second) },
+			func(f *faultHarness) {
+				f.w.schedulers[0].freeze(3 * time.Second)
+				f.w.schedulers[0].freeze(time.Second)
+			},
 			[]step{{trace.SchedulerFrozen, 0}, {trace.SchedulerResumed, 3000}},
 		},
-		"freeze, killed, frozen again": {func(f *fate) {
+		"freeze, killed, frozen again": {func(f *faultHarness) {
 			f.w.schedulers[0].freeze(9 * time.Second)
 			f.w.schedulers[0].kill(time.Second)
 			f.w.after(2*time.Second, func() { f.w.schedulers[0].freeze(time.Second) })
@@ -55,15 +58,15 @@
 			{trace.SchedulerFrozen, 2000},
 			{trace.SchedulerResumed, 3000},
 		}},
-		"reload": {func(f *fate) { f.w.discovery.changeAddress(); f.w.schedulers[0].reload() }, []step{{trace.SchedulerReloaded, 0}}},
-		"reload in the first second": {func(f *fate) {
+		"reload": {func(f *faultHarness) { f.w.discovery.changeAddress(); f.w.schedulers[0].reload() }, []step{{trace.SchedulerReloaded, 0}}},
+		"reload in the first second": {func(f *faultHarness) {
 			f.w.schedulers[0].kill(time.Second)
 			f.w.after(1200*time.Millisecond, func() { f.w.schedulers[0].reload(); f.w.schedulers[0].reload() })
 		}, []step{{trace.SchedulerKilled, 0}, {trace.SchedulerStarted, 1000}, {trace.SchedulerReady, 1000}, {trace.SchedulerReloaded, 2000}}},
 	} {
-		f := newFate(t, quiet(4, 1), 3)
+		f := newFaultHarness(t, quiet(4, 1), 3)
 		f.run(5 * time.Second)
-		from, at := len(f.sights), f.w.now
+		from, at := len(f.events), f.w.now
 		f.do(func() { x.do(f) })
 		f.run(12 * time.Second)
 		got := f.all(from, trace.SchedulerStarted, trace.SchedulerReady, trace.SchedulerTerminated, trace.SchedulerKilled, trace.SchedulerFrozen, trace.SchedulerResumed,
@@ -81,7 +84,7 @@
 
 // A process starts with what the one before it had, by another seed, and at where discovery is.
 func TestBoot(t *testing.T) {
-	f := newFate(t, quiet(30, 2), 5)
+	f := newFaultHarness(t, quiet(30, 2), 5)
 	f.run(5 * time.Second)
 	f.do(func() { f.w.workers[3].drain(); f.w.workers[7].crash(0) })
 	f.run(5 * time.Second)
@@ -92,7 +95,7 @@
 		f.w.schedulers[0].reload()
 	})
 	f.run(5 * time.Second)
-	boots := f.came(0, simapi.Start)
+	boots := f.arrived(0, simapi.Start)
 	if len(boots) != 3 || boots[0].Start.Name != "s1" || boots[2].Scheduler != 1 || boots[2].Start.Name != "s2" ||
 		boots[0].Start.Seed == boots[1].Start.Seed || boots[1].Start.Seed == boots[2].Start.Seed || boots[2].Start.Discovery != 1 {
 		t.Fatalf("boots: %v", boots)
@@ -112,9 +115,9 @@
 // After SIGTERM the load balancer goes on for a moment, whatever /up says.
 func TestFrontAtPlannedRestart(t *testing.T) {
 	for seed := range uint64(8) {
-		f := newFate(t, quiet(4, 2), seed)
+		f := newFaultHarness(t, quiet(4, 2), seed)
 		f.run(5 * time.Second)
-		f.outs = append(f.outs, simapi.Output{Kind: simapi.Unready})
+		f.outputs = append(f.outputs, simapi.Output{Kind: simapi.Unready})
 		f.do(func() { f.w.schedulers[0].terminate(0) })
 		at := f.w.now
 		for f.w.balancer.admitted[0] {
@@ -128,17 +131,17 @@
 
 // A process that is gone has no connections, and what it did is not its successor's.
 func TestDeathEndsConnections(t *testing.T) {
-	f := newFate(t, quiet(4, 1), 1)
+	f := newFaultHarness(t, quiet(4, 1), 1)
 	f.run(5 * time.Second)
 	link := simapi.WorkerConn(0, 1)
-	f.outs = append(f.outs, simapi.Output{Kind: simapi.WorkerDialed, Conn: link, Worker: 1})
+	f.outputs = append(f.outputs, simapi.Output{Kind: simapi.WorkerDialed, Conn: link, Worker: 1})
 	f.run(time.Second)
 	if c := f.w.conns[link]; c == nil || !c.up {
 		t.Fatal("no connection came up")
 	}
 	f.do(func() { f.w.schedulers[0].kill(time.Second) })
 	f.run(500 * time.Millisecond)
-	f.outs = append(f.outs, simapi.Output{Kind: simapi.Ready}, simapi.Output{Kind: simapi.Exited}, simapi.Output{Kind: simapi.WatchRequested})
+	f.outputs = append(f.outputs, simapi.Output{Kind: simapi.Ready}, simapi.Output{Kind: simapi.Exited}, simapi.Output{Kind: simapi.WatchRequested})
 	f.run(400 * time.Millisecond)
 	if s := f.w.schedulers[0]; f.w.conns[link] != nil || s.ready || s.alive {
 		t.Errorf("connection %v, ready %v, alive %v", f.w.conns[link], s.ready, s.alive)
--- a/internal/testbed/environment/worker_keys.go
+++ b/internal/testbed/environment/worker_keys.go
@@ -29,8 +29,8 @@
 }
 
 type keyExpiryQueue struct {
-	list []*keyRecord
-	head int
+	list  []*keyRecord
+	start int
 }
 
 // keyGrace is how much longer than its window a key is known: what was sent in time may arrive a little later.
@@ -57,15 +57,15 @@
 		return nil
 	}
 	q := &f.keys.expiring[attempt.class]
-	for q.head < len(q.list) && q.list[q.head].until <= f.env.now {
-		if k := q.list[q.head]; f.keys.records[k.id] == k {
+	for q.start < len(q.list) && q.list[q.start].until <= f.env.now {
+		if k := q.list[q.start]; f.keys.records[k.id] == k {
 			delete(f.keys.records, k.id)
 		}
-		q.list[q.head] = nil
-		q.head++
+		q.list[q.start] = nil
+		q.start++
 	}
-	if q.head > len(q.list)/2 {
-		q.list, q.head = slices.Delete(q.list, 0, q.head), 0
+	if q.start > len(q.list)/2 {
+		q.list, q.start = slices.Delete(q.list, 0, q.start), 0
 	}
 	return f.keys.records[f.keyID(n, attempt)]
 }
--- a/internal/testbed/environment/workers_test.go
+++ b/internal/testbed/environment/workers_test.go
@@ -91,7 +91,7 @@
 		k.CallbackDelay, k.ProgressInterval = scenario.Duration(ms), scenario.Duration(50*ms)
 		spec.Network = scenario.Network{Delay: scenario.Duration(ms), Jitter: 0.5}
 		spec.Classes[unsafeClass].Noise = 0.5
-		r := newRig(s.T, spec, uint64(s.Pick(256)))
+		r := newWorkerHarness(s.T, spec, uint64(s.Pick(256)))
 		m := &nodeModel{s: s, kind: k, slots: map[string]float64{}, begun: map[string]bool{}}
 		r.see = m.saw
 		r.ack = func(_ *simapi.Input) (int, bool) { return []int{204, 200, 503, 0}[s.Pick(4)], s.Pick(8) > 0 }
@@ -105,12 +105,12 @@
 			case pick < 15:
 				call = fmt.Sprint("call-", i)
 				m.slots[call] = float64(int(1) << s.Pick(3))
-				r.query(call, unsafeClass, float64(1+s.Pick(100))/1000, m.slots[call])
+				r.addRequest(call, unsafeClass, float64(1+s.Pick(100))/1000, m.slots[call])
 				calls = append(calls, call)
-				r.out(c, simapi.AttemptWritten, call)
+				r.apply(c, simapi.AttemptWritten, call)
 			case pick < 19:
 				kinds := []simapi.OutputKind{simapi.AttemptWritten, simapi.WorkerConnClosed, simapi.CancellationReceived, simapi.HealthCheckWritten}
-				r.out(c, kinds[pick-15], call)
+				r.apply(c, kinds[pick-15], call)
 			case pick == 19:
 				n.setHang(s.Pick(2) == 0)
 			case pick == 20:
@@ -141,12 +141,12 @@
 func TestCoresAreShared(t *testing.T) {
 	spec, k := plain(1)
 	k.Cores, k.Slots = 2, 4
-	r := newRig(t, spec, 1)
-	r.ask(0, "a", safeClass, 1, 2)
+	r := newWorkerHarness(t, spec, 1)
+	r.sendRequest(0, "a", safeClass, 1, 2)
 	r.pass(500 * ms)
-	r.ask(0, "b", safeClass, 0.5, 2) // 4 slots on 2 cores: half speed each, until a is done
-	r.ask(0, "c", safeClass, 0.25, 4)
-	r.ask(0, "d", safeClass, 0.25, 1) // would fit once a is done, but c is before it
+	r.sendRequest(0, "b", safeClass, 0.5, 2) // 4 slots on 2 cores: half speed each, until a is done
+	r.sendRequest(0, "c", safeClass, 0.25, 4)
+	r.sendRequest(0, "d", safeClass, 0.25, 1) // would fit once a is done, but c is before it
 	if truth := r.w.WorkerState(0); truth.Free != 0 || truth.Queued != 2 || truth.BacklogSeconds != 0.5*2+0.5*2+0.25*4+0.25 {
 		t.Fatalf("the truth is %+v", truth)
 	}
@@ -157,8 +157,8 @@
 	if s := r.must(trace.AttemptFinished, "d", 2250*ms); s.Text != "d w-0/1#4" || s.Status != 200 {
 		t.Fatalf("its result is %q", s.Text)
 	}
-	r.notes("a", "started", "done")
-	if in := r.ins[len(r.ins)-1]; in.Callback.EndpointID != "w-0" || *in.Callback.Result != "d w-0/1#4" {
+	r.expectCallbacks("a", "started", "done")
+	if in := r.inputs[len(r.inputs)-1]; in.Callback.EndpointID != "w-0" || *in.Callback.Result != "d w-0/1#4" {
 		t.Fatalf("told %+v", in.Callback)
 	}
 }
@@ -167,12 +167,12 @@
 	for _, by := range []string{"time", "work"} {
 		spec, k := plain(1)
 		k.WarmUpBy, k.WarmUpCapacity, k.WarmUp, k.Queue = by, 0.25, scenario.Duration(8*time.Second), 100
-		r := newRig(t, spec, 1)
+		r := newWorkerHarness(t, spec, 1)
 		n := r.w.workers[0]
 		n.crash(time.Second)
 		r.run(time.Second)
 		for i := range 10 {
-			r.ask(0, fmt.Sprint(i), safeClass, 10, 4)
+			r.sendRequest(0, fmt.Sprint(i), safeClass, 10, 4)
 		}
 		for at := time.Duration(0); at <= 8*time.Second; at += 250 * ms {
 			r.run(time.Second + at)
@@ -193,14 +193,14 @@
 	spec, k := plain(1)
 	k.WarmUpCapacity, k.WarmUp, k.Queue, spec.Rules.OverloadFactor = 0.25, scenario.Duration(time.Hour), 1, 3
 	budget := 6 + 1.25*spec.MeanCost()
-	var r *rig
+	var r *workerHarness
 	play := func(each time.Duration, work float64, notified bool) time.Duration {
-		r = newRig(t, spec, 1)
-		r.told = notified
+		r = newWorkerHarness(t, spec, 1)
+		r.notified = notified
 		r.w.workers[0].crash(time.Second)
 		r.run(time.Second)
 		for i := range 200 {
-			r.ask(0, fmt.Sprint(i), safeClass, work, 1)
+			r.sendRequest(0, fmt.Sprint(i), safeClass, work, 1)
 			r.pass(each)
 		}
 		s, ok := r.first(trace.WorkerOverloaded, "")
@@ -216,7 +216,7 @@
 	if least := time.Duration(budget/0.5) * 100 * ms; fell != least {
 		t.Fatalf("fell after %v at 5 times its capacity, want %v", fell, least)
 	}
-	r.last(r.ask(0, "later", safeClass, 1, 1), simapi.WorkerDisconnected)
+	r.last(r.sendRequest(0, "later", safeClass, 1, 1), simapi.WorkerDisconnected)
 	r.w.workers[0].crash(time.Second)
 	if r.pass(time.Hour); r.w.workers[0].state == workerUp {
 		t.Fatal("it is back after its fall")
@@ -226,9 +226,9 @@
 	}
 }
 
-func TestNotes(t *testing.T) {
+func TestCallbacks(t *testing.T) {
 	spec, k := plain(1)
-	r := newRig(t, spec, 1)
+	r := newWorkerHarness(t, spec, 1)
 	var answers []int // to what is told of ends, -1 being none; 204 once they are used up
 	r.ack = func(in *simapi.Input) (int, bool) {
 		if in.Callback.State != "done" || len(answers) == 0 {
@@ -239,12 +239,12 @@
 		return x, x >= 0
 	}
 	request := func(call string, work float64, d time.Duration) {
-		r.ask(0, call, safeClass, work, 1)
+		r.sendRequest(0, call, safeClass, work, 1)
 		r.pass(d)
 	}
 	answers = []int{500, 0, -1, 200}
 	request("a", 0.1, time.Minute)
-	r.notes("a", "started", "done", "done", "done", "done")
+	r.expectCallbacks("a", "started", "done", "done", "done", "done")
 	answers = slices.Repeat([]int{503, -1}, 9)
 	request("b", 0.1, time.Minute)
 	if s, _ := r.first(trace.CallbackLost, "b"); s.Text != "done" || len(answers) != 8 {
@@ -256,7 +256,7 @@
 	request("c", 0.1, 5*time.Second)
 	r.w.schedulers[0].alive = true
 	r.pass(5 * time.Second)
-	r.notes("c", "started", "done")
+	r.expectCallbacks("c", "started", "done")
 	// What is not told while it is mute stays untold; what a hang holds up is told after that.
 	n := r.w.workers[0]
 	n.setMute(true)
@@ -265,15 +265,15 @@
 	request("e", 1, 500*ms)
 	n.setHang(true)
 	r.pass(time.Minute)
-	r.notes("d")
-	r.notes("e", "started")
-	if in := r.last(r.ask(0, "f", safeClass, 1, 1), simapi.ResponseReceived); in.Status != 202 {
+	r.expectCallbacks("d")
+	r.expectCallbacks("e", "started")
+	if in := r.last(r.sendRequest(0, "f", safeClass, 1, 1), simapi.ResponseReceived); in.Status != 202 {
 		t.Fatalf("a hung one answers %+v", in)
 	}
 	n.setHang(false)
 	r.pass(time.Minute)
-	r.notes("e", "started", "done")
-	r.notes("f", "started", "done")
+	r.expectCallbacks("e", "started", "done")
+	r.expectCallbacks("f", "started", "done")
 	// They wait for the 202, but for some.
 	early := 0
 	k.Accept, k.CallbackEarlyShare, k.CallbackTwiceShare = scenario.Duration(50*ms), 0.5, 1
@@ -281,7 +281,7 @@
 		call, at := fmt.Sprint(i), r.w.now
 		request(call, 0.01, time.Second)
 		r.must(trace.AttemptAccepted, call, at+50*ms)
-		r.notes(call, "started", "done", "started", "done")
+		r.expectCallbacks(call, "started", "done", "started", "done")
 		if s, _ := r.first(trace.CallbackAnswered, call); s.At < at+50*ms {
 			early++
 		}
@@ -294,11 +294,11 @@
 func TestKeysAreRemembered(t *testing.T) {
 	spec, _ := plain(8)
 	spec.Fleet.CellSize = 4
-	r := newRig(t, spec, 1)
+	r := newWorkerHarness(t, spec, 1)
 	request := func(node int, call string) {
-		r.query(call, keyedClass, 1, 1)
+		r.addRequest(call, keyedClass, 1, 1)
 		r.tries[call].key = "key"
-		r.ask(node, call, keyedClass, 1, 1)
+		r.sendRequest(node, call, keyedClass, 1, 1)
 	}
 	// ends checks when a call's run ended, and whether it was a run of its own.
 	ends := func(call string, at time.Duration, first string) {
@@ -330,12 +330,12 @@
 	if s := r.must(trace.AttemptFinished, "f", 22500*ms); s.Text != r.must(trace.AttemptFinished, "g", 22500*ms).Text {
 		t.Fatal("the repeat has another result than what ran in the place of the first")
 	}
-	r.notes("b", "done")
-	r.notes("f", "started", "done")
+	r.expectCallbacks("b", "done")
+	r.expectCallbacks("f", "started", "done")
 	// Under another key than the client's it is no request of that client.
 	c := r.dial(0, 0)
 	r.step(r.w.now)
-	r.outs = append(r.outs, simapi.Output{Kind: simapi.AttemptWritten, Conn: c, RequestID: "a", IdempotencyKey: "other"})
+	r.outputs = append(r.outputs, simapi.Output{Kind: simapi.AttemptWritten, Conn: c, RequestID: "a", IdempotencyKey: "other"})
 	r.step(r.w.now)
 	if s := r.must(trace.AttemptRejected, "a", r.w.now); s.Status != 400 || r.last(c, simapi.ResponseReceived).Status != 400 {
 		t.Fatalf("answered %d", s.Status)
@@ -345,8 +345,8 @@
 func TestLinks(t *testing.T) {
 	spec, k := plain(1)
 	k.ConnLimit, k.ConnIdleTimeout, k.Handshake = 2, scenario.Duration(time.Second), scenario.Duration(20*ms)
-	r := newRig(t, spec, 1)
-	n, request := r.w.workers[0], func(call string) simapi.Conn { return r.ask(0, call, safeClass, 0.01, 1) }
+	r := newWorkerHarness(t, spec, 1)
+	n, request := r.w.workers[0], func(call string) simapi.Conn { return r.sendRequest(0, call, safeClass, 0.01, 1) }
 	a, b, c := request("a"), request("b"), request("above the cap")
 	if r.last(b, simapi.WorkerConnected); r.last(c, simapi.WorkerDisconnected).Reset {
 		t.Fatal("one that did not come up looks like one that was reset")
@@ -371,8 +371,8 @@
 	c = request("reset in its answer")
 	r.pass(100 * ms)
 	r.last(c, simapi.WorkerDisconnected)
-	if i := slices.IndexFunc(r.ins, func(in simapi.Input) bool { return in.Bytes == 9 }); r.ins[i].Kind != simapi.ResponseReceived {
-		t.Fatalf("%+v", r.ins[i])
+	if i := slices.IndexFunc(r.inputs, func(in simapi.Input) bool { return in.Bytes == 9 }); r.inputs[i].Kind != simapi.ResponseReceived {
+		t.Fatalf("%+v", r.inputs[i])
 	}
 	n.setSlowRead(true)
 	r.pass(2 * time.Second)
@@ -380,57 +380,57 @@
 	request("slow")
 	r.pass(2 * time.Second)
 	r.must(trace.AttemptReceived, "slow", at+1020*ms)
-	if r.ins = slices.DeleteFunc(r.ins, func(in simapi.Input) bool { return in.Kind != simapi.AcceptModeChanged }); len(r.ins) != 4 ||
-		r.ins[0].Mode != simapi.AcceptNone || r.ins[1].Mode != simapi.AcceptAll || r.ins[2].Mode != simapi.AcceptSilently {
-		t.Fatalf("modes of accepting were %+v", r.ins)
+	if r.inputs = slices.DeleteFunc(r.inputs, func(in simapi.Input) bool { return in.Kind != simapi.AcceptModeChanged }); len(r.inputs) != 4 ||
+		r.inputs[0].Mode != simapi.AcceptNone || r.inputs[1].Mode != simapi.AcceptAll || r.inputs[2].Mode != simapi.AcceptSilently {
+		t.Fatalf("modes of accepting were %+v", r.inputs)
 	}
 }
 
 func TestDeaths(t *testing.T) {
 	spec, k := plain(4)
 	k.Accept, k.ReturnsQueued = scenario.Duration(ms), true
-	r := newRig(t, spec, 1)
+	r := newWorkerHarness(t, spec, 1)
 	// A machine that vanishes says nothing. Once it is back it resets what is said to a process that it has forgotten.
-	v, idle, busy := r.w.workers[0], r.dial(0, 0), r.ask(0, "v", safeClass, 10, 1)
+	v, idle, busy := r.w.workers[0], r.dial(0, 0), r.sendRequest(0, "v", safeClass, 10, 1)
 	r.pass(10 * ms)
 	v.vanish(time.Second)
-	r.query("v2", safeClass, 1, 1)
-	r.out(busy, simapi.AttemptWritten, "v2")
+	r.addRequest("v2", safeClass, 1, 1)
+	r.apply(busy, simapi.AttemptWritten, "v2")
 	r.pass(900 * ms)
 	r.last(busy, simapi.ResponseReceived)
 	r.must(trace.AttemptDied, "v", 10*ms)
-	r.notes("v", "started")
+	r.expectCallbacks("v", "started")
 	r.pass(200 * ms)
 	r.last(busy, simapi.WorkerDisconnected)
 	if r.last(idle, simapi.WorkerConnected); v.startedMs() != 1010 {
 		t.Fatalf("back at %v", v.startedMs())
 	}
-	r.out(idle, simapi.AttemptWritten, "v2")
+	r.apply(idle, simapi.AttemptWritten, "v2")
 	r.pass(ms)
 	if r.last(idle, simapi.WorkerDisconnected); v.attemptCount != 1 {
 		t.Fatal("it took what came over a connection of before")
 	}
 	// It answers 202 and dies at that instant.
 	r.w.workers[1].dieAtAccept(0)
-	c := r.ask(1, "d", safeClass, 1, 1)
+	c := r.sendRequest(1, "d", safeClass, 1, 1)
 	r.pass(time.Second)
 	r.last(c, simapi.WorkerDisconnected)
 	r.must(trace.AttemptAccepted, "d", r.must(trace.AttemptDied, "d", 1112*ms).At)
 	// A planned restart finishes what runs and hands back what waits.
 	p, at := r.w.workers[2], r.w.now
-	r.ask(2, "p0", safeClass, 1.9, 4)
-	r.ask(2, "p1", safeClass, 2, 1)
+	r.sendRequest(2, "p0", safeClass, 1.9, 4)
+	r.sendRequest(2, "p1", safeClass, 2, 1)
 	r.pass(100 * ms)
 	p.restart(time.Second)
 	r.pass(10 * ms)
 	r.must(trace.AttemptReturned, "p1", at+100*ms)
-	r.notes("p1", "returned")
-	if in := r.last(r.ask(2, "p2", safeClass, 1, 1), simapi.ResponseReceived); in.Status != 503 || !in.Rejected {
+	r.expectCallbacks("p1", "returned")
+	if in := r.last(r.sendRequest(2, "p2", safeClass, 1, 1), simapi.ResponseReceived); in.Status != 503 || !in.Rejected {
 		t.Fatalf("while it drains it said %+v", in)
 	}
 	r.pass(2 * time.Second)
 	r.must(trace.AttemptFinished, "p0", at+1900*ms)
-	if r.notes("p0", "started", "done"); p.state != workerDead {
+	if r.expectCallbacks("p0", "started", "done"); p.state != workerDead {
 		t.Fatal("it runs on with nothing left")
 	}
 	if r.pass(time.Second); p.state != workerUp || p.incarnation != 2 || p.id != "w-2" {
@@ -438,11 +438,11 @@
 	}
 	// Another machine takes its place. Where the first was there is silence, whoever has been told of what.
 	x := r.w.workers[3]
-	r.told, r.life = true, nil
+	r.notified, r.life = true, nil
 	x.replace(time.Second)
 	r.pass(2 * time.Second)
 	old, fresh := r.dial(0, 3), r.dial(0, 3)
-	r.outs[1].Machine = 1
+	r.outputs[1].Machine = 1
 	r.pass(time.Second)
 	r.last(old, 0)
 	r.last(fresh, simapi.WorkerConnected)
@@ -463,7 +463,7 @@
 func TestUnread(t *testing.T) {
 	spec, k := plain(4)
 	k.Accept = scenario.Duration(2 * time.Second)
-	r := newRig(t, spec, 1)
+	r := newWorkerHarness(t, spec, 1)
 	up := func(node int) simapi.Conn {
 		c := r.dial(0, node)
 		r.pass(10 * ms)
@@ -471,8 +471,8 @@
 		return c
 	}
 	send := func(c simapi.Conn, call string) {
-		r.query(call, safeClass, 1, 1)
-		r.out(c, simapi.AttemptWritten, call)
+		r.addRequest(call, safeClass, 1, 1)
+		r.apply(c, simapi.AttemptWritten, call)
 		r.pass(10 * ms)
 	}
 	silent, reset, paused, read := up(0), up(1), up(2), up(3)
@@ -480,13 +480,13 @@
 	send(silent, "silent")
 	r.w.workers[2].pause(time.Second)
 	send(paused, "paused")
-	r.query("reset", safeClass, 1, 1)
-	r.out(reset, simapi.AttemptWritten, "reset")
+	r.addRequest("reset", safeClass, 1, 1)
+	r.apply(reset, simapi.AttemptWritten, "reset")
 	r.w.workers[1].crash(0)
 	r.pass(10 * ms)
 	send(read, "read")
 	for _, c := range []simapi.Conn{silent, paused, read} {
-		r.out(c, simapi.WorkerConnClosed, "")
+		r.apply(c, simapi.WorkerConnClosed, "")
 	}
 	r.pass(2 * time.Second)
 	r.must(trace.AttemptUnread, "silent", 80*ms)
@@ -510,12 +510,12 @@
 }
 
 // load sends so many requests to random workers, and has some of these crash.
-func (r *rig) load(requests int, each, crashes time.Duration) {
+func (r *workerHarness) load(requests int, each, crashes time.Duration) {
 	rng, conns := r.w.rng("load", 0), make([]simapi.Conn, len(r.w.workers))
 	calls := make([]string, 1<<16)
 	for i := range calls {
 		calls[i] = fmt.Sprintf("%016x", i)
-		r.query(calls[i], i%4, 0.1*rng.ExpFloat64(), float64(1+i%2))
+		r.addRequest(calls[i], i%4, 0.1*rng.ExpFloat64(), float64(1+i%2))
 	}
 	down := crashes
 	for i := range requests {
@@ -527,8 +527,8 @@
 			r.w.workers[n].crash(time.Second)
 			down += crashes
 		}
-		if r.out(conns[n], simapi.AttemptWritten, calls[i%len(calls)]); len(r.ins) > 1<<16 {
-			r.ins = r.ins[:0]
+		if r.apply(conns[n], simapi.AttemptWritten, calls[i%len(calls)]); len(r.inputs) > 1<<16 {
+			r.inputs = r.inputs[:0]
 		}
 	}
 }
@@ -538,10 +538,10 @@
 		spec := scenario.Default()
 		spec.Fleet.Zones, spec.Schedulers.Count = []string{"a", "b"}, 2
 		spec.Fleet.Kinds[0].PauseEvery, spec.Fleet.Kinds[0].Pause = scenario.Duration(time.Second), scenario.Duration(10*ms)
-		r := newRig(t, spec, seed)
+		r := newWorkerHarness(t, spec, seed)
 		r.load(1000, 3*ms, 150*ms)
 		r.pass(time.Minute)
-		return r.sights
+		return r.events
 	}
 	a, b, c := play(1), play(1), play(2)
 	if !slices.Equal(a, b) || slices.Equal(a, c) || len(a) < 2500 {
@@ -552,7 +552,7 @@
 func TestFleet(t *testing.T) {
 	spec := scenario.Default()
 	spec.Fleet.Workers, spec.Fleet.Zones = 1000, []string{"a", "b", "c"}
-	r := newRig(t, spec, 1)
+	r := newWorkerHarness(t, spec, 1)
 	kinds, cells, addrs, size := map[string]int{}, map[[2]int]bool{}, map[string]bool{}, 0.0
 	for i, n := range r.w.workers {
 		kinds[n.kind.Name]++
@@ -570,7 +570,7 @@
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
 			spec := scenario.Default()
 			spec.Fleet.Workers = nodes
-			r := newRig(b, spec, 1)
+			r := newWorkerHarness(b, spec, 1)
 			r.w.observer = func(*trace.Event) {}
 			b.ReportAllocs()
 			r.load(b.N, 50*ms/time.Duration(nodes), 0) // 20 jobs a second for each
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -126,7 +126,7 @@
 }
 
 // Both sides of a contest meet the same environment; one that is the same twice differs by nothing.
-func TestContestIsPaired(t *testing.T) {
+func TestComparisonIsPaired(t *testing.T) {
 	c := Comparison{
 		Specs: []*scenario.Scenario{small(t), small(t, "load.of=0.8")}, Seeds: Seeds(3, 3), Driver: scenario.DriverSimulation,
 		Subjects: []Subject{{Name: "a", Policy: PolicyDispatch}, {Name: "b", Policy: PolicyDispatch}, {Name: "random", Policy: "random"}},
@@ -153,8 +153,8 @@
 	}
 }
 
-func TestSweepPoints(t *testing.T) {
-	s := Sweep{
+func TestVariationPoints(t *testing.T) {
+	s := Variation{
 		Spec: small(t), Vary: Vary{"load.of", []string{"0.9", "0.3"}}, Curves: Vary{"fleet.nodes", []string{"3", "6"}},
 		Seeds: Seeds(1, 2), Driver: scenario.DriverSimulation, Figure: "mix", Subject: Subject{Name: PolicyDispatch},
 	}
@@ -167,7 +167,7 @@
 			t.Fatalf("curve %s has its points out of order", c.Name)
 		}
 		low, high := c.Points[0].Results, c.Points[1].Results
-		if len(low) != 2 || len(high) != 2 || low[0].Whole.Due >= high[0].Whole.Due {
+		if len(low) != 2 || len(high) != 2 || low[0].Whole.JobsDue >= high[0].Whole.JobsDue {
 			t.Errorf("curve %s: the plays are not those of their points", c.Name)
 		}
 	}
@@ -181,7 +181,7 @@
 }
 
 // A hunt finds a seeded fault by its rule, shrinks the run to what matters, and the file that it keeps plays it again.
-func TestHuntFindsShrinksAndKeeps(t *testing.T) {
+func TestSearchFindsMinimisesAndKeeps(t *testing.T) {
 	h := Search{Seed: 5, Subject: Subject{Name: "mutant", Mutant: "answers-twice"}, Baseline: PolicyDispatch, MaxRuns: 2, Parallelism: 2, Keep: 2}
 	h.trim = func(s *scenario.Scenario) { // plays of milliseconds
 		s.Length, s.Fleet.Workers = scenario.Duration(3*time.Second), min(s.Fleet.Workers, 8)
@@ -262,7 +262,7 @@
 }
 
 // Yardsticks make a table: a line for each scenario, a cell for each policy, over all seeds.
-func TestYardsticksTable(t *testing.T) {
+func TestBaselineTable(t *testing.T) {
 	y := BaselineTable{
 		Specs: []*scenario.Scenario{small(t), small(t, "load.of=0.9")}, Policies: []string{"random", "all-seeing"},
 		Seeds: Seeds(1, 3),
--- a/internal/testbed/experiment/search.go
+++ b/internal/testbed/experiment/search.go
@@ -35,7 +35,7 @@
 type Finding struct {
 	Spec            *scenario.Scenario // its Seed is the run's
 	Rule            string             // that was broken, or starve.Rule; empty: none was
-	StarvedRequests int                // tries that were
+	WaitingRequests int                // tries that were
 	Value           float64            // the mixed worth, and the baseline policy's
 	BaselineValue   float64
 	Faults          int    // left of those drawn
@@ -53,7 +53,7 @@
 	case f.Error != "":
 		return "it stopped: " + strings.SplitN(f.Error, "\n", 2)[0]
 	case f.Rule == starvation.Rule:
-		return fmt.Sprintf("%d tries starved", f.StarvedRequests)
+		return fmt.Sprintf("%d tries starved", f.WaitingRequests)
 	case f.Rule != "":
 		return "rule " + f.Rule + " broken"
 	}
@@ -131,7 +131,7 @@
 			if f.Rule != "" || f.Error != "" {
 				got.Violations++
 			}
-			if h.isWorthKeeping(got, f, keep) {
+			if h.shouldKeep(got, f, keep) {
 				if err := h.minimise(ctx, f); err != nil {
 					return got, err
 				}
@@ -157,8 +157,8 @@
 	return f.Regret()
 }
 
-// isWorthKeeping tells whether a find may come among those kept.
-func (h *Search) isWorthKeeping(got *SearchResult, f *Finding, keep int) bool {
+// shouldKeep tells whether a find may come among those kept.
+func (h *Search) shouldKeep(got *SearchResult, f *Finding, keep int) bool {
 	return badness(f) >= 2 && !slices.ContainsFunc(got.Worst, func(o Finding) bool { return o.kind() == f.kind() }) ||
 		badness(f) < 2 && badness(f) > 0.05 && (len(got.Worst) < keep || badness(f) > badness(&got.Worst[len(got.Worst)-1]))
 }
@@ -205,7 +205,7 @@
 		}
 	}
 	if h.Starvation {
-		if f.StarvedRequests = runResult.Starvation.Count(); f.StarvedRequests > 0 && f.Rule == "" {
+		if f.WaitingRequests = runResult.Starvation.Count(); f.WaitingRequests > 0 && f.Rule == "" {
 			f.Rule = starvation.Rule
 		}
 		return f, nil
--- a/internal/testbed/experiment/sweep.go
+++ b/internal/testbed/experiment/variation.go
@@ -71,8 +71,8 @@
 	return append(all, list[from:])
 }
 
-// Sweep is one scenario with one key, or two, taking several values.
-type Sweep struct {
+// Variation is one scenario with one key, or two, taking several values.
+type Variation struct {
 	Spec        *scenario.Scenario
 	Vary        Vary
 	Curves      Vary // a curve for each; no values: one curve
@@ -85,12 +85,12 @@
 }
 
 // Run plays a sweep.
-func (s *Sweep) Run(ctx context.Context, notified func(done, of int)) (*report.Sweep, error) {
+func (s *Variation) Run(ctx context.Context, notified func(done, of int)) (*report.Variation, error) {
 	second := s.Curves.Values
 	if len(second) == 0 {
 		second = []string{""}
 	}
-	outputs := &report.Sweep{
+	outputs := &report.Variation{
 		Title: s.Spec.Name, Description: s.Spec.Description, Param: s.Vary.Key, Second: s.Curves.Key, Metric: s.Figure,
 		Scenario: string(scenario.Encode(s.Spec)), Build: s.Subject.Name,
 	}
--- a/internal/testbed/fleet/clients.go
+++ b/internal/testbed/fleet/clients.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	jobClass      = "status-check"
-	budget        = 5 * time.Second
-	slack         = 50 * time.Millisecond // an answer counts for so long after the budget
-	sweepInterval = 100 * time.Millisecond
-	maxReasons    = 32 // reasons of failures that are told apart
+	jobClass            = "status-check"
+	budget              = 5 * time.Second
+	slack               = 50 * time.Millisecond // an answer counts for so long after the budget
+	timeoutScanInterval = 100 * time.Millisecond
+	maxReasons          = 32 // reasons of failures that are told apart
 )
 
 // Second is what clients were answered in one second.
@@ -83,7 +83,7 @@
 // begin has the crowd's clients ask from now on.
 func (c *clientGroup) begin() {
 	c.sending, c.startedAt = true, c.engine.clock()
-	c.engine.setTimer(&c.timer, c.startedAt+sweepInterval, c)
+	c.engine.setTimer(&c.timer, c.startedAt+timeoutScanInterval, c)
 }
 
 // timerExpired has requests given up that have had no answer for too long.
@@ -96,7 +96,7 @@
 		}
 	}
 	if c.sending {
-		c.engine.setTimer(&c.timer, c.engine.now+sweepInterval, c)
+		c.engine.setTimer(&c.timer, c.engine.now+timeoutScanInterval, c)
 	}
 }
 
@@ -138,7 +138,7 @@
 		}
 		k.conn = c
 	}
-	b := append(append(engine.out[:0], "POST /"+jobClass+"/"...), k.requestID[:]...)
+	b := append(append(engine.writeBuffer[:0], "POST /"+jobClass+"/"...), k.requestID[:]...)
 	b = append(append(b, " HTTP/1.1\r\nHost: service.internal\r\nX-Call-Id: "...), k.requestID[:]...)
 	b = append(b, "\r\nX-Call-Class: "+jobClass+"\r\nX-Caller: "...)
 	b = append(b, tenants[k.number%len(tenants)]...)
@@ -150,8 +150,8 @@
 	}
 	b = append(b, "\r\nX-Call-Info: slots=1\r\nContent-Length: 24\r\n\r\n"...)
 	b = append(b, "status of a remittance\r\n"...)
-	engine.out = b
-	k.conn.write(engine.out)
+	engine.writeBuffer = b
+	k.conn.write(engine.writeBuffer)
 }
 
 func (c *clientConn) dataReceived(b []byte) int {
--- a/internal/testbed/fleet/engine.go
+++ b/internal/testbed/fleet/engine.go
@@ -27,7 +27,7 @@
 	generations []int32       // and how often each was taken into use, so that an event of an earlier use is told apart
 	events      [64]unix.EpollEvent
 	readBuffer  [64 << 10]byte // what is read goes through here
-	out         []byte         // and what is written through here
+	writeBuffer []byte         // and what is written through here
 	reader      messageReader
 	timers      deadline.Queue[*timer]
 	free        []*job // to be used again
@@ -271,26 +271,26 @@
 // fifo is a queue that keeps its room.
 type fifo[T any] struct {
 	items []T
-	head  int
+	start int
 }
 
-func (q *fifo[T]) len() int { return len(q.items) - q.head }
+func (q *fifo[T]) len() int { return len(q.items) - q.start }
 
 func (q *fifo[T]) push(x T) {
-	if q.head > 0 && len(q.items) == cap(q.items) {
-		n := copy(q.items, q.items[q.head:])
+	if q.start > 0 && len(q.items) == cap(q.items) {
+		n := copy(q.items, q.items[q.start:])
 		clear(q.items[n:])
-		q.items, q.head = q.items[:n], 0
+		q.items, q.start = q.items[:n], 0
 	}
 	q.items = append(q.items, x)
 }
 
 func (q *fifo[T]) pop() T {
-	x := q.items[q.head]
+	x := q.items[q.start]
 	var none T
-	q.items[q.head] = none
-	if q.head++; q.head == len(q.items) {
-		q.items, q.head = q.items[:0], 0
+	q.items[q.start] = none
+	if q.start++; q.start == len(q.items) {
+		q.items, q.start = q.items[:0], 0
 	}
 	return x
 }
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -315,7 +315,7 @@
 		t.Skip(err)
 	}
 	report := &Report{}
-	for _, line := range []Row{{"build", 5, true, 1}, {"build", 5, false, 1}, {Proxy, 5, false, 0}, {Direct, 5, false, 0}} {
+	for _, line := range []TableRow{{"build", 5, true, 1}, {"build", 5, false, 1}, {Proxy, 5, false, 0}, {Direct, 5, false, 0}} {
 		p, err := Measure(t.Context(), line, o)
 		if err != nil {
 			t.Fatalf("%v: %v", line, err)
@@ -336,11 +336,11 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := Measure(ctx, Row{"build", 5, true, 1}, o); err == nil {
+	if _, err := Measure(ctx, TableRow{"build", 5, true, 1}, o); err == nil {
 		t.Error("played after its end")
 	}
 	o.Binary = "/bin/false"
-	_, err := Measure(t.Context(), Row{"build", 5, true, 1}, o)
+	_, err := Measure(t.Context(), TableRow{"build", 5, true, 1}, o)
 	if err == nil || !strings.Contains(err.Error(), "build ended") {
 		t.Errorf("a program that ends: %v", err)
 	}
--- a/internal/testbed/fleet/measure.go
+++ b/internal/testbed/fleet/measure.go
@@ -32,8 +32,8 @@
 	Ceiling = "ceiling" // as direct, and the jobs take no time: what the rig itself can do
 )
 
-// Row is what one run is of.
-type Row struct {
+// TableRow is what one run is of.
+type TableRow struct {
 	Subject            string  `json:"subject"` // a scheduler's build by name, or one of the above
 	Workers            int     `json:"nodes"`
 	StartNotifications bool    `json:"notices"` // of starts; false for what is no scheduler
@@ -67,7 +67,7 @@
 
 // Measurement is one run's figures.
 type Measurement struct {
-	Row
+	TableRow
 	Result
 	Rate        float64 `json:"served_per_s"`
 	CPU         float64 `json:"cpu_us"` // of the scheduler's or proxy's process, for each request served; 0: none was
@@ -127,7 +127,7 @@
 }
 
 // rigSpec is what the rig is to play.
-func (o *Options) rigSpec(line Row) Spec {
+func (o *Options) rigSpec(line TableRow) Spec {
 	work := cmp.Or(o.Work, 20*time.Millisecond)
 	spec := Spec{
 		Nodes: line.Workers, StartNotifications: line.StartNotifications, Clients: o.Clients, Work: work, Jobs: o.Jobs, Burst: o.Burst,
@@ -174,7 +174,7 @@
 }
 
 // Measure plays one row.
-func Measure(ctx context.Context, line Row, options Options) (Measurement, error) {
+func Measure(ctx context.Context, line TableRow, options Options) (Measurement, error) {
 	if err := options.check(); err != nil {
 		return Measurement{}, err
 	}
@@ -196,7 +196,7 @@
 		// Processes that are to die with this one die with the thread that they were started from; this one lives as long as
 		// they do, and ends with the goroutine.
 		runtime.LockOSThread()
-		d := &measurement{options: options, row: line}
+		d := &measurement{options: options, tableRow: line}
 		p, err := d.run(ctx)
 		d.close() // nothing of it is left when it is told
 		done <- ended{p, err}
@@ -208,7 +208,7 @@
 // measurement has one row played.
 type measurement struct {
 	options         Options
-	row             Row
+	tableRow        TableRow
 	directory       string
 	removeDirectory bool
 	rig             *process
@@ -280,7 +280,7 @@
 }
 
 func (d *measurement) run(ctx context.Context) (Measurement, error) {
-	measurement := Measurement{Row: d.row, Disturbances: d.options.disturbances()}
+	measurement := Measurement{TableRow: d.tableRow, Disturbances: d.options.disturbances()}
 	if d.directory = d.options.Dir; d.directory == "" {
 		var err error
 		if d.directory, err = os.MkdirTemp("", "fleet-"); err != nil {
@@ -292,7 +292,7 @@
 		return measurement, err
 	}
 	targets := []string{d.addresses.Scheduler}
-	switch d.row.Subject {
+	switch d.tableRow.Subject {
 	case Direct, Ceiling:
 		targets = d.addresses.Workers
 	default:
@@ -341,7 +341,7 @@
 		return fmt.Errorf("rig: %w", err)
 	}
 	d.encoder, d.decoder = json.NewEncoder(d.rig.stdin), json.NewDecoder(d.rig.stdout)
-	if err := d.encoder.Encode(d.options.rigSpec(d.row)); err != nil {
+	if err := d.encoder.Encode(d.options.rigSpec(d.tableRow)); err != nil {
 		return fmt.Errorf("rig: %w", err)
 	}
 	n, err := d.receive()
@@ -382,13 +382,13 @@
 
 // awaitReady starts the scheduler or the proxy, and waits until it is up.
 func (d *measurement) awaitReady(ctx context.Context) error {
-	log, err := os.Create(filepath.Join(d.directory, d.row.Subject+".log"))
+	log, err := os.Create(filepath.Join(d.directory, d.tableRow.Subject+".log"))
 	if err != nil {
 		return err
 	}
 	defer func() { _ = log.Close() }()
 	if err = d.startSubject(ctx, log); err != nil {
-		return fmt.Errorf("%s: %w", d.row.Subject, err)
+		return fmt.Errorf("%s: %w", d.tableRow.Subject, err)
 	}
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for until := time.Now().Add(d.options.ReadyTimeout); ; {
@@ -406,7 +406,7 @@
 		case <-time.After(5 * time.Millisecond):
 		}
 		if time.Now().After(until) {
-			return fmt.Errorf("%s is not up after %v", d.row.Subject, d.options.ReadyTimeout)
+			return fmt.Errorf("%s is not up after %v", d.tableRow.Subject, d.options.ReadyTimeout)
 		}
 	}
 }
@@ -414,12 +414,12 @@
 func (d *measurement) exitError(log string) error {
 	text, _ := os.ReadFile(log)
 	text = bytes.TrimSpace(text)
-	return fmt.Errorf("%s ended (%v): %s", d.row.Subject, d.subject.ProcessState, text[max(0, len(text)-1000):])
+	return fmt.Errorf("%s ended (%v): %s", d.tableRow.Subject, d.subject.ProcessState, text[max(0, len(text)-1000):])
 }
 
 // startSubject starts the scheduler or the proxy.
 func (d *measurement) startSubject(ctx context.Context, log *os.File) error {
-	if d.row.Subject == Proxy {
+	if d.tableRow.Subject == Proxy {
 		c := exec.CommandContext(ctx, d.options.Proxy[0], d.options.Proxy[1:]...)
 		c.Stderr, c.Dir = log, d.directory
 		var err error
@@ -429,7 +429,7 @@
 		return json.NewEncoder(d.subject.stdin).Encode(ProxyPlan{Listen: d.addresses.Scheduler, Nodes: d.addresses.Workers})
 	}
 	conf := filepath.Join(d.directory, "config.json")
-	if err := os.WriteFile(conf, d.options.configuration(d.row, d.addresses), 0o600); err != nil {
+	if err := os.WriteFile(conf, d.options.configuration(d.tableRow, d.addresses), 0o600); err != nil {
 		return err
 	}
 	// The shell sets the limit on descriptors before the program is there, and is replaced by it.
@@ -456,7 +456,7 @@
 )
 
 // configuration is what a scheduler is told: the co-operative's settings, without load reports.
-func (o *Options) configuration(line Row, addresses Addresses) []byte {
+func (o *Options) configuration(line TableRow, addresses Addresses) []byte {
 	spec := scenario.Default()
 	spec.Name = "fleet"
 	spec.Fleet.Workers, spec.Fleet.Zones = line.Workers, []string{zone}
@@ -526,7 +526,7 @@
 			return p, ctx.Err()
 		case <-ended:
 			d.rig.kill()
-			return p, d.exitError(filepath.Join(d.directory, d.row.Subject+".log"))
+			return p, d.exitError(filepath.Join(d.directory, d.tableRow.Subject+".log"))
 		case n := <-all:
 			switch {
 			case n.err != nil:
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -126,7 +126,7 @@
 	spec          Spec
 	addresses     addressPlan
 	descriptors   descriptorPlan
-	hostAddress   string // the scheduler's, for notes
+	hostName      string // the scheduler's, for notes
 	callbackConns int
 	engines       []*engine
 	clientGroups  []*clientGroup
@@ -154,7 +154,7 @@
 	if rig.addresses, err = findAddresses(); err != nil {
 		return nil, err
 	}
-	rig.hostAddress = rig.addresses.scheduler().String()
+	rig.hostName = rig.addresses.scheduler().String()
 	if err := rig.build(); err != nil {
 		rig.Close()
 		return nil, err
@@ -188,7 +188,7 @@
 
 // Addresses tells where its parties are.
 func (r *Rig) Addresses() Addresses {
-	p := Addresses{Scheduler: r.hostAddress, Discovery: r.addresses.discovery().String()}
+	p := Addresses{Scheduler: r.hostName, Discovery: r.addresses.discovery().String()}
 	for i := range r.workers {
 		p.Workers = append(p.Workers, r.addresses.worker(i).String())
 	}
--- a/internal/testbed/fleet/table.go
+++ b/internal/testbed/fleet/table.go
@@ -47,20 +47,20 @@
 	return short(factor) + " times too high"
 }
 
-// rows gives the runs by row, in the order in which rows were first played.
-func (r *Report) rows() (sequence []Row, plays map[Row][]Measurement) {
-	plays = map[Row][]Measurement{}
+// tableRows gives the runs by row, in the order in which rows were first played.
+func (r *Report) tableRows() (sequence []TableRow, plays map[TableRow][]Measurement) {
+	plays = map[TableRow][]Measurement{}
 	for _, p := range r.Measurements {
-		if plays[p.Row] == nil {
-			sequence = append(sequence, p.Row)
+		if plays[p.TableRow] == nil {
+			sequence = append(sequence, p.TableRow)
 		}
-		plays[p.Row] = append(plays[p.Row], p)
+		plays[p.TableRow] = append(plays[p.TableRow], p)
 	}
 	return sequence, plays
 }
 
 // String is the row in words.
-func (r Row) String() string {
+func (r TableRow) String() string {
 	text := fmt.Sprintf("%s, %s worker nodes", r.Subject, formatGrouped(float64(r.Workers), 0))
 	if r.hasScheduler() {
 		text += ", notices " + map[bool]string{true: "on", false: "off"}[r.StartNotifications] + ", hint " + hintText(r.Hint)
@@ -69,7 +69,7 @@
 }
 
 // hasScheduler tells whether its subject is a scheduler.
-func (r Row) hasScheduler() bool {
+func (r TableRow) hasScheduler() bool {
 	return r.Subject != Proxy && r.Subject != Direct && r.Subject != Ceiling
 }
 
@@ -90,7 +90,7 @@
 	line := func(cells []string) { b.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
 	line(columns)
 	line(slices.Repeat([]string{"---"}, len(columns)))
-	sequence, plays := r.rows()
+	sequence, plays := r.tableRows()
 	for _, row := range sequence {
 		line(tableCells(row, plays[row]))
 	}
@@ -98,7 +98,7 @@
 	return err
 }
 
-func tableCells(line Row, all []Measurement) []string {
+func tableCells(line TableRow, all []Measurement) []string {
 	notices, hint := "-", "-"
 	if line.hasScheduler() {
 		notices, hint = map[bool]string{true: "yes", false: "no"}[line.StartNotifications], hintText(line.Hint)
--- a/internal/testbed/fleet/workers.go
+++ b/internal/testbed/fleet/workers.go
@@ -103,8 +103,8 @@
 
 func (k *workerConn) respond(status int, fields string, keepAlive bool) {
 	e := k.worker.engine
-	e.out = http1.AppendResponse(e.out[:0], status, fields, nil, keepAlive)
-	k.write(e.out)
+	e.writeBuffer = http1.AppendResponse(e.writeBuffer[:0], status, fields, nil, keepAlive)
+	k.write(e.writeBuffer)
 }
 
 func (k *workerConn) handleRequest(message *message) {
@@ -185,8 +185,8 @@
 		if k := j.conn; k == nil {
 			n.callbacks.notify(j.requestID, "done")
 		} else if k.awaitingResponse = false; !k.closed {
-			n.engine.out = http1.AppendResponse(n.engine.out[:0], http1.StatusOK, "", fmt.Appendf(nil, "%s ran on %s", j.requestID, n.id), true)
-			k.write(n.engine.out)
+			n.engine.writeBuffer = http1.AppendResponse(n.engine.writeBuffer[:0], http1.StatusOK, "", fmt.Appendf(nil, "%s ran on %s", j.requestID, n.id), true)
+			k.write(n.engine.writeBuffer)
 		}
 	}
 	n.engine.free = append(n.engine.free, j)
@@ -312,15 +312,15 @@
 	n := k.sender.worker
 	callback.attempts++
 	callback.conn, k.callback = k, callback
-	b := n.engine.out[:0]
+	b := n.engine.writeBuffer[:0]
 	b = append(b, "POST /v1/job-events HTTP/1.1\r\nHost: "...)
-	b = append(b, n.rig.hostAddress...)
+	b = append(b, n.rig.hostName...)
 	b = append(b, "\r\nContent-Type: application/json\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(callback.request)), 10)
 	b = append(b, "\r\n\r\n"...)
 	b = append(b, callback.request...)
-	n.engine.out = b
-	k.write(n.engine.out)
+	n.engine.writeBuffer = b
+	k.write(n.engine.writeBuffer)
 	n.engine.setTimer(&callback.timer, n.engine.now+callbackTimeout, callback)
 }
 
--- a/internal/testbed/mutation/mutation_test.go
+++ b/internal/testbed/mutation/mutation_test.go
@@ -26,8 +26,8 @@
 	library = flag.Int("library", 0, "and plays of each scenario of the library")
 )
 
-// once are seeds of runs in which the honest program was blamed for what was the testbed's fault.
-var once = []uint64{10833, 11002, 12212}
+// judgeOnce are seeds of runs in which the honest program was blamed for what was the testbed's fault.
+var judgeOnce = []uint64{10833, 11002, 12212}
 
 // judged plays a scenario, with a mutant or (nil) with the honest program.
 func judged(t *testing.T, spec *scenario.Scenario, seed uint64, m *Mutant) checker.Verdict {
@@ -95,7 +95,7 @@
 			}
 		})
 	}
-	seeds := slices.Clone(once)
+	seeds := slices.Clone(judgeOnce)
 	for n := range uint64(*plays) {
 		seeds = append(seeds, *first+n)
 	}
--- a/internal/testbed/process/addresses.go
+++ b/internal/testbed/process/addresses.go
@@ -19,11 +19,11 @@
 }
 
 const (
-	maxSchedulers  = 200
-	maxDiscoveries = 1000  // times schedulers
-	maxListeners   = 50000 // workers times schedulers
-	clientBlock    = 230   // 127.net.230.1 to .250: where clients connect from
-	clientHosts    = 250
+	maxSchedulers   = 200
+	maxDiscoveries  = 1000  // times schedulers
+	maxListeners    = 50000 // workers times schedulers
+	clientBlock     = 230   // 127.net.230.1 to .250: where clients connect from
+	clientAddresses = 250
 )
 
 // findAddresses finds a part that is free. Ports are below those that a kernel gives out by itself.
@@ -73,7 +73,7 @@
 
 // client is where the n-th connection of a client comes from.
 func (p addressPlan) client(n uint64) netip.AddrPort {
-	return netip.AddrPortFrom(p.at(clientBlock, 1+int(n%clientHosts)).Addr(), 0)
+	return netip.AddrPortFrom(p.at(clientBlock, 1+int(n%clientAddresses)).Addr(), 0)
 }
 
 var errAddresses = errors.New("there are not so many addresses for them")
--- a/internal/testbed/process/driver_test.go
+++ b/internal/testbed/process/driver_test.go
@@ -275,7 +275,7 @@
 	return a.StatusCode
 }
 
-func query(call, key, body string) string {
+func requestText(call, key, body string) string {
 	return fmt.Sprintf("POST /account-credit/%s HTTP/1.1\r\nHost: w\r\nX-Call-Id: %s\r\nIdempotency-Key: %s\r\n"+
 		"X-Budget-Ms: 77\r\nContent-Length: %d\r\n\r\n%s", key, call, key, len(body), body)
 }
@@ -296,7 +296,7 @@
 	r.d.post(func() {
 		r.d.requestForms.add(&simapi.ClientRequest{RequestID: "c1", Class: 3, IdempotencyKey: "k1", BodyLength: 40}, 0)
 	})
-	_, _ = io.WriteString(s, query("c1", "k1", body)) // the environment has not accepted yet: this waits
+	_, _ = io.WriteString(s, requestText("c1", "k1", body)) // the environment has not accepted yet: this waits
 	r.do(up)
 	o := r.want(simapi.AttemptWritten)
 	if o.RequestID != "c1" || o.IdempotencyKey != "k1" || o.Budget != 77*time.Millisecond || o.Worker != 1 || o.FirstByteAt <= 0 {
@@ -311,9 +311,9 @@
 		kind simapi.OutputKind
 		call string
 	}{
-		{query("c1", "k1", body[:39]+"!"), simapi.AttemptWritten, "c1!body"},
-		{query("c1", "k2", body), simapi.AttemptWritten, "c1!path"},
-		{query("unknown", "k2", "x"), simapi.AttemptWritten, "unknown"},
+		{requestText("c1", "k1", body[:39]+"!"), simapi.AttemptWritten, "c1!body"},
+		{requestText("c1", "k2", body), simapi.AttemptWritten, "c1!path"},
+		{requestText("unknown", "k2", "x"), simapi.AttemptWritten, "unknown"},
 		{"GET /alive HTTP/1.1\r\nHost: w\r\n\r\n", simapi.HealthCheckWritten, ""},
 		{"GET /metrics/load HTTP/1.1\r\nHost: w\r\n\r\n", simapi.HealthCheckWritten, ""},
 		{"DELETE /jobs/c1 HTTP/1.1\r\nHost: w\r\n\r\n", simapi.CancellationReceived, "c1"},
@@ -330,11 +330,11 @@
 		}
 	}
 	for request, status := range map[string]int{
-		"GET /else HTTP/1.1\r\nHost: w\r\n\r\n":                       404,
-		"POST /account-credit/k HTTP/1.1\r\nHost: w\r\n\r\n":          404, // without an id
-		strings.Replace(query("c1", "k1", body), "77", "soon", 1):     400,
-		query("any", misbehavingPrefix+"1", "x"):                      400, // a misbehaving client's
-		strings.Replace(query("c1", "k1", body), "POST", "DELETE", 1): 404,
+		"GET /else HTTP/1.1\r\nHost: w\r\n\r\n":                             404,
+		"POST /account-credit/k HTTP/1.1\r\nHost: w\r\n\r\n":                404, // without an id
+		strings.Replace(requestText("c1", "k1", body), "77", "soon", 1):     400,
+		requestText("any", misbehavingPrefix+"1", "x"):                      400, // a misbehaving client's
+		strings.Replace(requestText("c1", "k1", body), "POST", "DELETE", 1): 404,
 	} {
 		_, _ = io.WriteString(s, request)
 		if got := s.status(); got != status {
@@ -351,7 +351,7 @@
 // The environment resets links at any byte, and closes them.
 func TestLinkEnds(t *testing.T) {
 	r := newRig(t, Options{})
-	request := query("x", "k", "body")
+	request := requestText("x", "k", "body")
 	// Reset after so many bytes read.
 	for most, notified := range map[int]bool{10: false, len(request): true} {
 		s := r.connect(0)
@@ -394,7 +394,7 @@
 }
 
 // Refused, never up, and accepting again; what is open goes on meanwhile.
-func TestHear(t *testing.T) {
+func TestAcceptModes(t *testing.T) {
 	r := newRig(t, Options{})
 	s := r.connect(0)
 	conn := r.want(simapi.WorkerDialed).Conn
@@ -437,7 +437,7 @@
 }
 
 // A callback is a call of its own, and its outcome is told whatever becomes of it.
-func TestNotes(t *testing.T) {
+func TestCallbacks(t *testing.T) {
 	r := newRig(t, Options{})
 	result := "made"
 	tell := func(id uint64, state string) {
@@ -621,7 +621,7 @@
 	}))
 	s := r.connect(0)
 	r.do(simapi.Input{Kind: simapi.WorkerConnected, Conn: r.want(simapi.WorkerDialed).Conn})
-	_, _ = io.WriteString(s, query("mine", "k", "x"))
+	_, _ = io.WriteString(s, requestText("mine", "k", "x"))
 	status, started, done := s.status(), <-callbacks, <-callbacks
 	if status != 202 || !strings.Contains(started, "started") || !strings.Contains(done, `"done","result":"mine ran`) {
 		t.Error(status, started, done)
--- a/internal/testbed/process/load.go
+++ b/internal/testbed/process/load.go
@@ -37,13 +37,13 @@
 
 // LoadResult is what came of it.
 type LoadResult struct {
-	Due      uint64 // requests
-	Answered uint64 // by any status
-	Failed   uint64 // lost with their connection
-	Open     uint64 // unanswered at the end
-	Status   map[int]uint64
-	Length   time.Duration
-	Rate     float64 // answers a second
+	Scheduled uint64 // requests
+	Answered  uint64 // by any status
+	Failed    uint64 // lost with their connection
+	Open      uint64 // unanswered at the end
+	Status    map[int]uint64
+	Length    time.Duration
+	Rate      float64 // answers a second
 	// Latency runs from when a request was due to the last byte of its answer, so that one which had to wait for those
 	// before it is charged with its wait. Late is the load's own part of that: from when it was due to when its thread
 	// came to it. Both in microseconds.
@@ -110,7 +110,7 @@
 }
 
 func (r *LoadResult) add(o *LoadResult) {
-	r.Due += o.Due
+	r.Scheduled += o.Scheduled
 	r.Answered += o.Answered
 	r.Failed += o.Failed
 	r.Open += o.Open
@@ -211,7 +211,7 @@
 			return err
 		}
 	}
-	t.result.Open = t.result.Due - t.result.Answered - t.result.Failed
+	t.result.Open = t.result.Scheduled - t.result.Answered - t.result.Failed
 	return ctx.Err()
 }
 
@@ -220,7 +220,7 @@
 	dueAt := t.nextDue
 	t.nextDue += time.Duration(t.rng.ExpFloat64() * t.meanGap)
 	if dueAt >= t.options.WarmUp {
-		t.result.Due++
+		t.result.Scheduled++
 		_ = t.result.Lateness.RecordValue((now - dueAt).Microseconds())
 	}
 	t.open++
--- a/internal/testbed/process/run_test.go
+++ b/internal/testbed/process/run_test.go
@@ -171,8 +171,8 @@
 		for _, s := range status {
 			sum += got.Status[s]
 		}
-		if got.Due < 400 || got.Open != 0 || got.Answered != sum || got.Answered+got.Failed != got.Due ||
-			uint64(got.Latency.TotalCount()) != got.Answered || uint64(got.Lateness.TotalCount()) != got.Due ||
+		if got.Scheduled < 400 || got.Open != 0 || got.Answered != sum || got.Answered+got.Failed != got.Scheduled ||
+			uint64(got.Latency.TotalCount()) != got.Answered || uint64(got.Lateness.TotalCount()) != got.Scheduled ||
 			(got.Failed > 0) != (len(status) > 1) {
 			t.Errorf("%s: %+v", target, got)
 		}
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -39,8 +39,8 @@
 	return outputs
 }
 
-// chanceNote says what to make of many intervals at once.
-const chanceNote = "Each interval holds the true difference 95 times in 100; of twenty figures without any difference, " +
+// chanceRemark says what to make of many intervals at once.
+const chanceRemark = "Each interval holds the true difference 95 times in 100; of twenty figures without any difference, " +
 	"one will seem to have one."
 
 // means are the spreads of all headlines, by name.
@@ -70,7 +70,7 @@
 		Sides   []side           `json:"sides"`
 		Pairs   [][]score.Paired `json:"paired"`
 		Reading string           `json:"reading"`
-	}{Title: c.Title, About: c.Description, Build: c.Build, Pairs: c.Pairs(), Reading: chanceNote}
+	}{Title: c.Title, About: c.Description, Build: c.Build, Pairs: c.Pairs(), Reading: chanceRemark}
 	for _, s := range c.Sides {
 		outputs.Sides = append(outputs.Sides, side{s.Name, s.Broken, s.Invalid, spreads(s.Results), headlines(s.Results)})
 	}
@@ -174,7 +174,7 @@
 			textPage.line(map[string]string{"good": good, "poor": poor}[comparison.class(x)], "  %-18s%s", x.Metric, x.Verdict)
 		}
 	}
-	short, _, _ := strings.Cut(chanceNote, ";")
+	short, _, _ := strings.Cut(chanceRemark, ";")
 	textPage.line(faint, "%s", short+".")
 	_, err := io.WriteString(w, textPage.text.String())
 	return err
@@ -206,13 +206,13 @@
 	if c.Build != "" {
 		document.Summary = append(document.Summary, "Played with "+c.Build)
 	}
-	figures := table{Caption: "Means over the seeds, and how far the 95% interval of each reaches", Head: []string{""}}
+	figures := table{Caption: "Means over the seeds, and how far the 95% interval of each reaches", Columns: []string{""}}
 	t := &timeline{}
 	var lines, kept []lineSpec
 	all := make([]means, len(c.Sides))
 	broken, void, plays := []string{}, []string{}, []string{}
 	for i, side := range c.Sides {
-		figures.Head = append(figures.Head, side.Name)
+		figures.Columns = append(figures.Columns, side.Name)
 		all[i] = spreads(side.Results)
 		broken, void = append(broken, formatCount(side.Broken)), append(void, formatCount(side.Invalid))
 		plays = append(plays, formatCount(len(side.Results)))
@@ -242,11 +242,11 @@
 		for i := range c.Sides {
 			line[i] = withSpread(h.Name, all[i][h.Name])
 		}
-		figures.row(h.Name+", "+h.Description, line...)
+		figures.addRow(h.Name+", "+h.Description, line...)
 	}
-	figures.row("rules broken", broken...)
-	figures.row("plays", plays...)
-	figures.row("plays that were void, left out", void...)
+	figures.addRow("rules broken", broken...)
+	figures.addRow("plays", plays...)
+	figures.addRow("plays that were void, left out", void...)
 	document.Sections = append(document.Sections, section{ID: "figures", Title: "Side by side", Tables: []table{figures}})
 	ended := section{
 		ID: "seconds", Title: "Over time",
@@ -266,17 +266,17 @@
 		document.Sections = append(document.Sections, ended)
 	}
 	for i, list := range c.Pairs() {
-		x := table{Head: []string{"", "difference", "95% interval", "spread (SD)", "p", "in words"}, TextColumns: true}
+		x := table{Columns: []string{"", "difference", "95% interval", "spread (SD)", "p", "in words"}, TextColumns: true}
 		for k := range list {
 			p := &list[k]
-			x.row(p.Metric, formatNumber(p.Difference), formatNumber(p.Low)+" to "+formatNumber(p.High), formatNumber(p.SD), formatNumber(p.P), p.Verdict)
+			x.addRow(p.Metric, formatNumber(p.Difference), formatNumber(p.Low)+" to "+formatNumber(p.High), formatNumber(p.SD), formatNumber(p.P), p.Verdict)
 			x.setClass(strings.TrimSpace("text "+c.class(p)), 5)
 		}
 		s := section{
 			ID: fmt.Sprint("pairs-", i+1), Title: c.Sides[i+1].Name + " against " + c.Sides[0].Name,
 			Tables: []table{x},
 		}
-		s.Text = []string{"Differences are of plays with the same seed. " + chanceNote}
+		s.Text = []string{"Differences are of plays with the same seed. " + chanceRemark}
 		document.Sections = append(document.Sections, s)
 	}
 	if c.Scenario != "" {
@@ -285,8 +285,8 @@
 	return document.write(w)
 }
 
-// Sweep is plays over the values of a parameter, and perhaps of a second: a curve for each of those.
-type Sweep struct {
+// Variation is plays over the values of a parameter, and perhaps of a second: a curve for each of those.
+type Variation struct {
 	Title       string
 	Description string
 	Param       string
@@ -311,7 +311,7 @@
 	Broken  int
 }
 
-func (s *Sweep) headline() score.Headline {
+func (s *Variation) headline() score.Headline {
 	h, ok := score.HeadlineOf(s.Metric)
 	if !ok {
 		return score.Headlines[0]
@@ -328,7 +328,7 @@
 
 // Knee is the point of a curve where the sweep's figure bends most, as score.Knee finds it; not ok: there is none,
 // as with values that are no numbers.
-func (s *Sweep) Knee(c *Curve) (at int, ok bool) {
+func (s *Variation) Knee(c *Curve) (at int, ok bool) {
 	h := s.headline()
 	var xs, ys []float64
 	for i := range c.Points {
@@ -341,7 +341,7 @@
 }
 
 // knee says it in words.
-func (s *Sweep) knee(curve *Curve) string {
+func (s *Variation) knee(curve *Curve) string {
 	name := s.Param
 	if curve.Name != "" {
 		name += " with " + s.Second + " " + curve.Name
@@ -356,7 +356,7 @@
 }
 
 // MarshalJSON writes spreads of all headlines at each point, and the knees.
-func (s *Sweep) MarshalJSON() ([]byte, error) {
+func (s *Variation) MarshalJSON() ([]byte, error) {
 	type point struct {
 		X       float64 `json:"x"`
 		Label   string  `json:"label,omitempty"`
@@ -391,22 +391,22 @@
 	return json.Marshal(outputs)
 }
 
-// sweptMetrics are the headlines that a sweep's table shows beside the one that is drawn.
-var sweptMetrics = []string{"mix", "in_time", "worst_10s", "refused", "unanswered", "p50_ms", "p99_ms", "attempts", "waste"}
+// variationMetrics are the headlines that a sweep's table shows beside the one that is drawn.
+var variationMetrics = []string{"mix", "in_time", "worst_10s", "refused", "unanswered", "p50_ms", "p99_ms", "attempts", "waste"}
 
 // table is a sweep's, with the knees marked.
-func (s *Sweep) table() table {
-	names := append([]string{}, sweptMetrics...)
+func (s *Variation) table() table {
+	names := append([]string{}, variationMetrics...)
 	if h := s.headline().Name; h != "mix" {
 		names[0] = h
 	}
-	t := table{Caption: "Means over the seeds, and how far the 95% interval of each reaches", Head: []string{s.Param}}
-	t.Head = append(append(t.Head, names...), "rules broken")
+	t := table{Caption: "Means over the seeds, and how far the 95% interval of each reaches", Columns: []string{s.Param}}
+	t.Columns = append(append(t.Columns, names...), "rules broken")
 	for i := range s.Curves {
 		c := &s.Curves[i]
 		knee, ok := s.Knee(c)
 		if c.Name != "" {
-			t.row(strings.TrimSpace(s.Second + " " + c.Name))
+			t.addRow(strings.TrimSpace(s.Second + " " + c.Name))
 		}
 		for k := range c.Points {
 			p := &c.Points[k]
@@ -419,19 +419,19 @@
 			if ok && k == knee {
 				first += " (knee)"
 			}
-			t.row(first, append(line, formatCount(p.Broken))...)
+			t.addRow(first, append(line, formatCount(p.Broken))...)
 		}
 	}
 	return t
 }
 
-// SweepPage writes a sweep for a terminal.
-func SweepPage(w io.Writer, sweep *Sweep) error {
+// VariationPage writes a sweep for a terminal.
+func VariationPage(w io.Writer, sweep *Variation) error {
 	textPage := &textPage{colour: useColors(w)}
 	textPage.line(strong, "%s", sweep.Title)
 	t, headline := sweep.table(), sweep.headline()
-	t.Head[len(t.Head)-1] = "broken"
-	columns := []int{0, 1, 4, 6, 7, 8, 9, len(t.Head) - 1}
+	t.Columns[len(t.Columns)-1] = "broken"
+	columns := []int{0, 1, 4, 6, 7, 8, 9, len(t.Columns) - 1}
 	width := []int{24, 16, 10, 10, 10, 8, 8, 8}
 	cut := func(text string) string { before, _, _ := strings.Cut(text, " ±"); return before }
 	first := ""
@@ -439,10 +439,10 @@
 		if i == 0 {
 			width[i] = -width[i] // to the left
 		}
-		first += fmt.Sprintf("%*s", width[i], truncateLine(t.Head[c], max(width[i], -width[i])-1))
+		first += fmt.Sprintf("%*s", width[i], truncateLine(t.Columns[c], max(width[i], -width[i])-1))
 	}
 	textPage.line(faint, "%s", first)
-	for _, row := range t.Rows {
+	for _, row := range t.Lines {
 		if len(row) == 1 {
 			textPage.line(strong, "%s", row[0].Text)
 			continue
@@ -465,8 +465,8 @@
 	return err
 }
 
-// WriteSweep writes a sweep as one file of HTML: the curves with their knees, and a table.
-func WriteSweep(w io.Writer, sweep *Sweep) error {
+// WriteVariation writes a sweep as one file of HTML: the curves with their knees, and a table.
+func WriteVariation(w io.Writer, sweep *Variation) error {
 	h := sweep.headline()
 	document := &document{Title: sweep.Title, Description: sweep.Description}
 	if sweep.Build != "" {
@@ -489,7 +489,7 @@
 	return document.write(w)
 }
 
-func (s *Sweep) plot(h score.Headline) *plot {
+func (s *Variation) plot(h score.Headline) *plot {
 	plot := newPlot("sweep", h.Name+" over "+s.Param, s.Param, h.Description, 380)
 	xScale := scale{low: math.Inf(1), high: math.Inf(-1)}
 	yScale := scale{}
--- a/internal/testbed/report/golden_test.go
+++ b/internal/testbed/report/golden_test.go
@@ -15,9 +15,9 @@
 // The files of testdata/golden hold figures as the testbed of d2a7518 writes them, with a value in every field. Figures are kept,
 // and one build's lab reads another's: the files are never regenerated except under a new form number.
 const (
-	goldenPlay    = "play-1.json"
-	goldenCompare = "compare-1.json"
-	goldenSweeps  = "sweep-1.json"
+	goldenPlay       = "play-1.json"
+	goldenCompare    = "compare-1.json"
+	goldenVariations = "sweep-1.json"
 )
 
 // readPlay reads a run's report, but for its expectations, which are written only.
@@ -99,7 +99,7 @@
 	checkWritten(t, goldenCompare, goldenComparison(t))
 }
 
-func goldenSweep(t *testing.T) *Sweep {
+func goldenVariation(t *testing.T) *Variation {
 	t.Helper()
 	points := []Point{
 		{X: 0.25, Results: goldenPlays(t, 0.25)},
@@ -108,14 +108,14 @@
 		{X: 1, Results: goldenPlays(t, 0)},
 	}
 	labelled := []Point{{X: 1, Label: "fifo", Results: goldenPlays(t, 0)}, {X: 2, Label: "backfill", Results: goldenPlays(t, 0.125)}}
-	return &Sweep{
+	return &Variation{
 		Title: "load", Description: "What a sweep says.", Param: "load.of", Second: "fleet.kind[0].order", Build: "d2a7518",
 		Curves: []Curve{{Name: "a", Points: points}, {Name: "b", Points: labelled}},
 	}
 }
 
-func TestGoldenSweepIsWrittenToTheSameBytes(t *testing.T) {
-	checkWritten(t, goldenSweeps, goldenSweep(t))
+func TestGoldenVariationIsWrittenToTheSameBytes(t *testing.T) {
+	checkWritten(t, goldenVariations, goldenVariation(t))
 }
 
 // What a report calls its figures stands in tags. A comparison, a sweep and an expectation write themselves by structs of
--- a/internal/testbed/report/html.go
+++ b/internal/testbed/report/html.go
@@ -51,22 +51,22 @@
 	Caption     string
 	Summary     string // what it is folded up under; empty: it isn't
 	TextColumns bool   // the last column is text
-	Head        []string
-	Rows        [][]cell // one of one cell is a heading of those that follow
+	Columns     []string
+	Lines       [][]cell // one of one cell is a heading of those that follow
 }
 
 type cell struct{ Text, Class string }
 
 // Places that follow from others, for the template.
 
-func (p *plot) AreaH() pixels { return p.Bottom - p.Top }
-func (p *plot) TickX() pixels { return p.Left - 6 }
-func (p *plot) TickY() pixels { return p.Bottom + 4 }
-func (p *plot) TextY() pixels { return p.Bottom + 16 }
-func (p *plot) NameY() pixels { return p.Bottom + 30 }
+func (p *plot) AreaH() pixels { return p.BottomEdge - p.TopEdge }
+func (p *plot) TickX() pixels { return p.LeftEdge - 6 }
+func (p *plot) TickY() pixels { return p.BottomEdge + 4 }
+func (p *plot) TextY() pixels { return p.BottomEdge + 16 }
+func (p *plot) NameY() pixels { return p.BottomEdge + 30 }
 
-func (s *strip) Bottom() pixels { return s.Top + s.AreaH }
-func (s *strip) TextY() pixels  { return s.Top + s.AreaH + 16 }
+func (s *strip) Bottom() pixels { return s.TopEdge + s.AreaH }
+func (s *strip) TextY() pixels  { return s.TopEdge + s.AreaH + 16 }
 
 func (d *document) write(w io.Writer) error {
 	var b bytes.Buffer
@@ -83,22 +83,22 @@
 	return err
 }
 
-func (t *table) row(first string, remainder ...string) {
+func (t *table) addRow(first string, remainder ...string) {
 	line := make([]cell, 0, len(remainder)+1)
 	line = append(line, cell{Text: first})
 	for _, text := range remainder {
 		line = append(line, cell{Text: text})
 	}
-	t.Rows = append(t.Rows, line)
+	t.Lines = append(t.Lines, line)
 }
 
 // ColumnCount is how many columns a row of one cell spans, and Last the last of them.
-func (t table) ColumnCount() int { return len(t.Head) }
-func (t table) Last() int        { return len(t.Head) - 1 }
+func (t table) ColumnCount() int { return len(t.Columns) }
+func (t table) Last() int        { return len(t.Columns) - 1 }
 
 // setClass gives the last row's cells from column i on a class.
 func (t *table) setClass(class string, columns ...int) {
-	line := t.Rows[len(t.Rows)-1]
+	line := t.Lines[len(t.Lines)-1]
 	for _, i := range columns {
 		line[i].Class = class
 	}
@@ -179,7 +179,7 @@
 		{"worst 10 s", three(w.Worst10), "from " + formatSeconds(w.Worst10At)},
 		{"worst class", three(w.WorstClass.Value), w.WorstClass.Name},
 		{"worst tenant", three(w.WorstTenant.Value), w.WorstTenant.Name},
-		{"jobs", formatCount(result.Whole.Due), formatPercent(result.Whole.Shares.InTime) + " in time"},
+		{"jobs", formatCount(result.Whole.JobsDue), formatPercent(result.Whole.Shares.InTime) + " in time"},
 		{"p50", formatMillis(result.Whole.Latency.P50), "from due to served"},
 		{"p99", formatMillis(result.Whole.Latency.P99), "slowest " + formatMillis(result.Whole.Latency.Max)},
 		{"refused", formatPercent(result.Whole.Shares.Rejected), "of jobs"},
@@ -217,14 +217,14 @@
 }
 
 func expectationSection(met []score.Evaluation) (section, bool) {
-	t := table{Head: []string{"expected", "came to", "", ""}, TextColumns: true}
+	t := table{Columns: []string{"expected", "came to", "", ""}, TextColumns: true}
 	for i := range met {
 		m := &met[i]
 		word, class := "met", "good"
 		if !m.OK {
 			word, class = "not met", "poor"
 		}
-		t.row(m.Expectation.String(), formatValue(m), word, m.Remark)
+		t.addRow(m.Expectation.String(), formatValue(m), word, m.Remark)
 		t.setClass(class, 2)
 		t.setClass("text", 3)
 	}
@@ -295,42 +295,42 @@
 func groupTables(result *score.Result) []table {
 	outcome := table{
 		Caption: "Jobs by what became of them, and worth earned over worth asked for",
-		Head:    []string{"", "jobs", "worth", "earned", "in share"},
+		Columns: []string{"", "jobs", "worth", "earned", "in share"},
 	}
 	var shown []int // the usual outcomes, and the others where there are any
 	for i, name := range score.OutcomeNames {
 		if i < int(score.OutcomeLost) || result.Whole.Outcomes[i] > 0 {
 			shown = append(shown, i)
-			outcome.Head = append(outcome.Head, name)
+			outcome.Columns = append(outcome.Columns, name)
 		}
 	}
 	if result.Whole.Open > 0 {
-		outcome.Head = append(outcome.Head, "open")
+		outcome.Columns = append(outcome.Columns, "open")
 	}
-	outcome.Head = append(outcome.Head, "attempts a job")
+	outcome.Columns = append(outcome.Columns, "attempts a job")
 	times := table{
 		Caption: "Latency of served jobs, from when they were due",
-		Head:    []string{"", "served", "p50", "p90", "p99", "p99.9", "slowest"},
+		Columns: []string{"", "served", "p50", "p90", "p99", "p99.9", "slowest"},
 	}
 	line := func(g *score.Group) {
-		cells := []string{formatCount(g.Due), formatNumber(g.Requested), formatPercent(g.EarnedShare), formatPercent(g.EarnedShareWithinQuota)}
+		cells := []string{formatCount(g.JobsDue), formatNumber(g.Requested), formatPercent(g.EarnedShare), formatPercent(g.EarnedShareWithinQuota)}
 		for _, i := range shown {
-			cells = append(cells, formatPercent(float64(g.Outcomes[i])/float64(max(1, g.Due))))
+			cells = append(cells, formatPercent(float64(g.Outcomes[i])/float64(max(1, g.JobsDue))))
 		}
 		if result.Whole.Open > 0 {
 			cells = append(cells, formatCount(g.Open))
 		}
-		outcome.row(g.Name, append(cells, strconv.FormatFloat(g.Attempts, 'f', 3, 64))...)
+		outcome.addRow(g.Name, append(cells, strconv.FormatFloat(g.Attempts, 'f', 3, 64))...)
 		l := &g.Latency
-		times.row(g.Name, formatCount(l.Count), formatMillis(l.P50), formatMillis(l.P90), formatMillis(l.P99), formatMillis(l.P999), formatMillis(l.Max))
+		times.addRow(g.Name, formatCount(l.Count), formatMillis(l.P50), formatMillis(l.P90), formatMillis(l.P99), formatMillis(l.P999), formatMillis(l.Max))
 	}
 	line(&result.Whole)
 	for _, side := range []struct {
 		name   string
 		groups []score.Group
 	}{{"by class", result.Classes}, {"by tenant", result.Tenants}} {
-		outcome.row(side.name)
-		times.row(side.name)
+		outcome.addRow(side.name)
+		times.addRow(side.name)
 		for i := range side.groups {
 			line(&side.groups[i])
 		}
@@ -341,7 +341,7 @@
 func disturbanceSection(result *score.Result) (section, bool) {
 	back := table{
 		Caption: "Disturbances and when goodput was back",
-		Head:    []string{"faults", "from", "to", "share before", "at its lowest", "back, from its start", "from its end"},
+		Columns: []string{"faults", "from", "to", "share before", "at its lowest", "back, from its start", "from its end"},
 	}
 	for i := range result.Disturbances {
 		disturbance := &result.Disturbances[i]
@@ -356,13 +356,13 @@
 		if !disturbance.Recovered {
 			end = "not within " + end
 		}
-		back.row(strings.Join(disturbance.Faults, ", "), formatSeconds(disturbance.From), to, formatPercent(disturbance.Before), low, start, end)
+		back.addRow(strings.Join(disturbance.Faults, ", "), formatSeconds(disturbance.From), to, formatPercent(disturbance.Before), low, start, end)
 		if !disturbance.Recovered {
 			back.setClass("poor", 6)
 		}
 	}
 	list := table{
-		Caption: "The timeline, as numbered in the plots", Head: []string{"fault", "from", "to"},
+		Caption: "The timeline, as numbered in the plots", Columns: []string{"fault", "from", "to"},
 		Summary: plural(len(result.Faults), "fault", "faults") + " of the timeline",
 	}
 	for i, f := range result.Faults[:min(len(result.Faults), maxBands)] {
@@ -370,18 +370,18 @@
 		if f.Off >= 0 {
 			off = formatSeconds(f.Off)
 		}
-		list.row(fmt.Sprintf("%d. %s", i+1, f.Text), formatSeconds(f.On), off)
+		list.addRow(fmt.Sprintf("%d. %s", i+1, f.Text), formatSeconds(f.On), off)
 	}
 	marks := table{
 		Caption: "What befell schedulers, and worker nodes that were pushed over",
-		Head:    []string{"what", "when"}, Summary: plural(len(result.Marks), "mark", "marks"),
+		Columns: []string{"what", "when"}, Summary: plural(len(result.Marks), "mark", "marks"),
 	}
 	for _, m := range result.Marks[:min(len(result.Marks), maxBands)] {
-		marks.row(m.Text, formatSeconds(m.At))
+		marks.addRow(m.Text, formatSeconds(m.At))
 	}
 	s := section{ID: "faults", Title: "Faults and recovery"}
 	for _, t := range []table{back, list, marks} {
-		if len(t.Rows) > 0 {
+		if len(t.Lines) > 0 {
 			s.Tables = append(s.Tables, t)
 		}
 	}
@@ -408,7 +408,7 @@
 	section.Text = []string{fmt.Sprintf("Occupancy of the fleet %s; of the busiest, w-%d, %s, which is %s times the mean.",
 		formatPercent(occupancy.Whole), occupancy.BusiestWorker, formatPercent(occupancy.Busiest), formatNumber(occupancy.OverMean))}
 	nodes := table{
-		Head:    []string{"", "occupancy", "up", "slots", "attempts", "full", "pushed over"},
+		Columns: []string{"", "occupancy", "up", "slots", "attempts", "full", "pushed over"},
 		Summary: plural(len(occupancy.Workers), "worker node", "worker nodes") + ", the busiest first",
 	}
 	if len(occupancy.Workers) > maxWorkers {
@@ -425,7 +425,7 @@
 		return 0
 	})
 	for _, n := range list[:min(len(list), maxWorkers)] {
-		nodes.row(fmt.Sprint("w-", n.Worker), formatPercent(n.Use), formatPercent(n.Up), formatNumber(n.Slots), formatCount(n.Attempts),
+		nodes.addRow(fmt.Sprint("w-", n.Worker), formatPercent(n.Use), formatPercent(n.Up), formatNumber(n.Slots), formatCount(n.Attempts),
 			formatCount(n.Full), formatCount(n.Overloads))
 	}
 	section.Tables = []table{nodes}
@@ -434,7 +434,7 @@
 
 func effortSection(result *score.Result) section {
 	effort, w := &result.Effort, &result.Waste
-	a := table{Caption: "Counted at clients and worker nodes", Head: []string{"", "in all", "a job"}}
+	a := table{Caption: "Counted at clients and worker nodes", Columns: []string{"", "in all", "a job"}}
 	for _, entry := range []struct {
 		name string
 		n    int
@@ -462,10 +462,10 @@
 		{"attempts of queries long over", effort.Duplicates},
 		{"sights of what is not open", effort.Unknown},
 	} {
-		a.row(entry.name, formatCount(entry.n), formatNumber(float64(entry.n)/float64(max(1, result.Whole.Due))))
+		a.addRow(entry.name, formatCount(entry.n), formatNumber(float64(entry.n)/float64(max(1, result.Whole.JobsDue))))
 	}
-	a.row("most attempts of one job", formatCount(effort.MaxAttempts), "")
-	b := table{Caption: "Work, in seconds at speed 1 times slots", Head: []string{"", "work", "of the work asked for"}}
+	a.addRow("most attempts of one job", formatCount(effort.MaxAttempts), "")
+	b := table{Caption: "Work, in seconds at speed 1 times slots", Columns: []string{"", "work", "of the work asked for"}}
 	for _, entry := range []struct {
 		name string
 		work float64
@@ -483,14 +483,14 @@
 		{"waste: it died on the way", w.Killed},
 		{"for tries that were open at the end", effort.WorkPending},
 	} {
-		b.row(entry.name, formatNumber(entry.work), formatPercent(entry.work/max(effort.WorkRequested, 1e-9)))
+		b.addRow(entry.name, formatNumber(entry.work), formatPercent(entry.work/max(effort.WorkRequested, 1e-9)))
 	}
 	return section{ID: "effort", Title: "Attempts, waste, refusals", Tables: []table{b, a}}
 }
 
 func processSection(result *score.Result, t *timeline) (section, bool) {
 	section := section{ID: "processes", Title: "Processes"}
-	list := table{Head: []string{
+	list := table{Columns: []string{
 		"", "CPU", "cores", "peak memory", "peak descriptors", "tries", "attempts", "starts",
 		"kills", "SIGTERM", "freezes", "reloads", "exits",
 	}}
@@ -526,7 +526,7 @@
 	}
 	busy := len(drawn) > 0
 	for _, p := range result.Processes {
-		list.row(processName(p.Scheduler), formatSeconds(p.CPU), formatNumber(p.Cores), formatBytes(float64(p.PeakMemory)), formatCount(p.PeakFiles),
+		list.addRow(processName(p.Scheduler), formatSeconds(p.CPU), formatNumber(p.Cores), formatBytes(float64(p.PeakMemory)), formatCount(p.PeakFiles),
 			formatCount(p.Requests), formatCount(p.Attempts), formatCount(p.Starts), formatCount(p.Kills), formatCount(p.Terms), formatCount(p.Freezes),
 			formatCount(p.Reloads), formatCount(p.Exits))
 		busy = busy || p.Starts > 0
@@ -540,12 +540,12 @@
 }
 
 func misbehavingSection(result *score.Result) (section, bool) {
-	t := table{Head: []string{
+	t := table{Columns: []string{
 		"kind", "connected", "answered with an error", "closed", "answered otherwise",
 		"left waiting", "longest",
 	}}
 	for _, b := range result.Misbehaving {
-		t.row(b.Kind, formatCount(b.Connected), formatCount(b.Errors), formatCount(b.Closed), formatCount(b.Served), formatCount(b.Open),
+		t.addRow(b.Kind, formatCount(b.Connected), formatCount(b.Errors), formatCount(b.Closed), formatCount(b.Served), formatCount(b.Open),
 			formatMillis(b.MaxWaitMs))
 		if b.Served > 0 {
 			t.setClass("poor", 4)
--- a/internal/testbed/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -83,16 +83,16 @@
 
 // plot is a drawing that the template writes as SVG.
 type plot struct {
-	ID, Title, Description, YName, XName string
-	Width, Height                        pixels
-	Left, Right, Top, Bottom             pixels // borders of the area
-	XTicks, YTicks                       []tick
-	Bands                                []band
-	Marks                                []markLine
-	Curves                               []curve
-	Dots                                 []dot
-	Hovers                               []hover
-	xScale, yScale                       scale
+	ID, Title, Description, YName, XName     string
+	Width, Height                            pixels
+	LeftEdge, RightEdge, TopEdge, BottomEdge pixels // borders of the area
+	XTicks, YTicks                           []tick
+	Bands                                    []band
+	Marks                                    []markLine
+	Curves                                   []curve
+	Dots                                     []dot
+	Hovers                                   []hover
+	xScale, yScale                           scale
 }
 
 type band struct {
@@ -135,14 +135,14 @@
 
 func newPlot(id, title, xName, yName string, height pixels) *plot {
 	return &plot{
-		ID: id, Title: title, XName: xName, YName: yName, Width: plotWidth, Height: height, Left: 62, Right: plotWidth - 12, Top: 24,
-		Bottom: height - 34,
+		ID: id, Title: title, XName: xName, YName: yName, Width: plotWidth, Height: height, LeftEdge: 62, RightEdge: plotWidth - 12, TopEdge: 24,
+		BottomEdge: height - 34,
 	}
 }
 
 // axes sets the scales and their ticks. The area must have its borders by then.
 func (p *plot) axes(x, y scale, xText, yText func(float64) string) {
-	x.from, x.to, y.from, y.to = p.Left, p.Right, p.Bottom, p.Top
+	x.from, x.to, y.from, y.to = p.LeftEdge, p.RightEdge, p.BottomEdge, p.TopEdge
 	p.xScale, p.yScale = x, y
 	p.XTicks, p.YTicks = x.ticks(12, xText), y.ticks(5, yText)
 }
@@ -156,7 +156,7 @@
 	for i, y := range ys {
 		if isNotFinite(y) {
 			if down && area {
-				fmt.Fprintf(&b, "V%sZ", p.Bottom)
+				fmt.Fprintf(&b, "V%sZ", p.BottomEdge)
 			}
 			down = false
 			continue
@@ -166,7 +166,7 @@
 		case down:
 			fmt.Fprintf(&b, "L%s %s", current, y)
 		case area:
-			fmt.Fprintf(&b, "M%s %sV%s", current, p.Bottom, y)
+			fmt.Fprintf(&b, "M%s %sV%s", current, p.BottomEdge, y)
 		case i+1 == len(ys) || isNotFinite(ys[i+1]): // alone, it shows as a short line
 			fmt.Fprintf(&b, "M%s %sh1.5", current, y)
 		default:
@@ -175,7 +175,7 @@
 		down, last = true, current
 	}
 	if down && area {
-		fmt.Fprintf(&b, "H%sV%sZ", last, p.Bottom)
+		fmt.Fprintf(&b, "H%sV%sZ", last, p.BottomEdge)
 	}
 	return b.String()
 }
@@ -226,9 +226,9 @@
 		copy(whole, o.lines[i].series)
 		o.lines[i].series = whole
 	}
-	plot.Top += pixels(14 * max(0, levels-1))
+	plot.TopEdge += pixels(14 * max(0, levels-1))
 	plot.Height += pixels(14 * max(0, levels-1))
-	plot.Bottom = plot.Height - 34
+	plot.BottomEdge = plot.Height - 34
 	yScale := scale{high: o.top, log: o.log}
 	for i := range o.lines {
 		l := &o.lines[i]
@@ -305,13 +305,13 @@
 
 // bands marks faults and marks, and tells how many lanes of labels they take.
 func (t *timeline) bands(p *plot, named bool) (used int) {
-	xScale := scale{high: max(t.end, 1), from: p.Left, to: p.Right}
+	xScale := scale{high: max(t.end, 1), from: p.LeftEdge, to: p.RightEdge}
 	ends := make([]pixels, labelLanes) // of the labels in each lane
 	if !named {
 		ends = ends[:1]
 	}
 	for i := range ends {
-		ends[i] = p.Left - 100
+		ends[i] = p.LeftEdge - 100
 	}
 	for i, f := range t.faults[:min(len(t.faults), maxBands)] {
 		off := f.Off
@@ -332,8 +332,8 @@
 			wide := pixels(runeWidth * float64(len([]rune(text))))
 			for level := range ends {
 				at, end := from, from+wide
-				if end > p.Right {
-					at, end = p.Right-wide, p.Right
+				if end > p.RightEdge {
+					at, end = p.RightEdge-wide, p.RightEdge
 				}
 				if at < ends[level]+4 {
 					continue
@@ -353,14 +353,14 @@
 
 // strip is the occupancy of workers over time: a line for each, or for some that lie side by side.
 type strip struct {
-	ID, Title, Description   string
-	Remark                   string
-	Width, Height, Left, Top pixels
-	ScaleX, ScaleY           string
-	Levels                   []stripLevel
-	XTicks, YTicks           []tick
-	Bands                    []band
-	AreaW, AreaH             pixels
+	ID, Title, Description           string
+	Remark                           string
+	Width, Height, LeftEdge, TopEdge pixels
+	ScaleX, ScaleY                   string
+	Levels                           []stripLevel
+	XTicks, YTicks                   []tick
+	Bands                            []band
+	AreaW, AreaH                     pixels
 }
 
 // stripLevel is all cells of one shade, drawn as one path in units of cells.
@@ -389,10 +389,10 @@
 		high = 3
 	}
 	strip := &strip{
-		ID: "strip", Title: "Occupancy of worker nodes over time", Width: plotWidth, Left: 62, Top: 8, AreaW: plotWidth - 74,
+		ID: "strip", Title: "Occupancy of worker nodes over time", Width: plotWidth, LeftEdge: 62, TopEdge: 8, AreaW: plotWidth - 74,
 		AreaH: high * pixels(len(lines)),
 	}
-	strip.Height = strip.Top + strip.AreaH + 34
+	strip.Height = strip.TopEdge + strip.AreaH + 34
 	cell := o.CellSeconds * float64(each)
 	wide := strip.AreaW / pixels(columns)
 	strip.ScaleX, strip.ScaleY = strconv.FormatFloat(float64(wide), 'f', 4, 64), high.String()
@@ -428,12 +428,12 @@
 		}
 		strip.Levels = append(strip.Levels, stripLevel{"h" + strconv.Itoa(i), paths[i].String(), name})
 	}
-	x := scale{high: cell * float64(columns), from: strip.Left, to: strip.Left + strip.AreaW}
+	x := scale{high: cell * float64(columns), from: strip.LeftEdge, to: strip.LeftEdge + strip.AreaW}
 	strip.XTicks = x.ticks(12, func(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) })
 	every := max(1, (len(lines)*14+int(strip.AreaH)-1)/int(strip.AreaH))
 	for line := 0; line < len(lines); line += every {
 		text := fmt.Sprint("w-", lines[line].First)
-		strip.YTicks = append(strip.YTicks, tick{strip.Top + (pixels(line)+0.5)*high, text})
+		strip.YTicks = append(strip.YTicks, tick{strip.TopEdge + (pixels(line)+0.5)*high, text})
 	}
 	for i, f := range t.faults[:min(len(t.faults), maxBands)] {
 		from := x.at(f.On)
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -177,7 +177,7 @@
 		p.tty = onTerminal
 		for ms := 0; ms <= 90_000; ms += 250 {
 			x := score.Snapshot{
-				At: time.Duration(ms) * time.Millisecond, Due: ms / 10, InTime: ms / 20, Rejected: ms / 1000,
+				At: time.Duration(ms) * time.Millisecond, JobsDue: ms / 10, InTime: ms / 20, Rejected: ms / 1000,
 				InFlight: 12, WorkersUp: 9, Workers: 10,
 			}
 			if ms >= 2000 && ms < 3000 {
@@ -345,8 +345,8 @@
 	checkJSON(t, c, "sides", "paired")
 }
 
-func TestSweep(t *testing.T) {
-	s := &Sweep{Title: "slower", Param: "ms", Second: "side"}
+func TestVariation(t *testing.T) {
+	s := &Variation{Title: "slower", Param: "ms", Second: "side"}
 	var points []Point
 	for i, slower := range []int{0, 40, 80, 300, 320, 340} {
 		points = append(points, Point{X: float64(i + 1), Results: []*score.Result{played(1, slower, false)}})
@@ -357,12 +357,12 @@
 		t.Errorf("knee at %d, %v", at, ok)
 	}
 	var b bytes.Buffer
-	if err := SweepPage(&b, s); err != nil {
+	if err := VariationPage(&b, s); err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "sweep.golden", b.String())
 	b.Reset()
-	if err := WriteSweep(&b, s); err != nil {
+	if err := WriteVariation(&b, s); err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "sweep.outline", outline(t, b.String()))
--- a/internal/testbed/score/check.go
+++ b/internal/testbed/score/check.go
@@ -63,7 +63,7 @@
 	switch {
 	case group == nil:
 		return math.NaN(), "no class or tenant " + of
-	case group.Due == 0:
+	case group.JobsDue == 0:
 		return math.NaN(), "no job was due"
 	}
 	switch figure {
--- a/internal/testbed/score/recover.go
+++ b/internal/testbed/score/recover.go
@@ -85,16 +85,16 @@
 
 // ratios are worth earned and asked for, by the second in which jobs were due.
 type ratios struct {
-	asked, earned Series
-	length        float64
+	requested, earned Series
+	length            float64
 }
 
 func (r ratios) between(from, to int) (x float64, ok bool) {
-	from, to = max(from, 0), min(to, len(r.asked))
+	from, to = max(from, 0), min(to, len(r.requested))
 	if from >= to {
 		return 0, false
 	}
-	a := r.asked[from:to].Sum()
+	a := r.requested[from:to].Sum()
 	return share(r.earned[from:to].Sum(), a), a > 0
 }
 
@@ -112,9 +112,9 @@
 
 // measure finds the dip that d made before limit, and when it was over.
 func (r ratios) measure(disturbance *Disturbance, limit float64) {
-	end := min(int(limit), len(r.asked))
+	end := min(int(limit), len(r.requested))
 	if limit >= r.length {
-		end = len(r.asked)
+		end = len(r.requested)
 	}
 	down := func(t int) (x float64, yes, ok bool) {
 		x, ok = r.between(t, min(t+smoothingSeconds, end))
--- a/internal/testbed/score/score_test.go
+++ b/internal/testbed/score/score_test.go
@@ -48,29 +48,29 @@
 
 // model is what a score should come to, kept as plain lists.
 type model struct {
-	t     *rapid.T
-	s     *Score
-	now   time.Duration
-	open  []*modelJob
-	over  []*modelJob
-	calls int
-	runs  []*modelAttempt
-	ran   float64
-	slots [3]float64 // s in use, by worker
+	t        *rapid.T
+	s        *Score
+	now      time.Duration
+	open     []*modelJob
+	finished []*modelJob
+	calls    int
+	runs     []*modelAttempt
+	ran      float64
+	slots    [3]float64 // s in use, by worker
 }
 
 type modelJob struct {
-	id            uint64
-	due, aim      time.Duration
-	class, tenant int
-	over          bool
-	work, slots   float64
-	call          string // of the open try
-	tries         int
-	out           JobOutcome
-	end           JobOutcome // of the last try
-	hasTry        bool
-	settledAt     time.Duration
+	id               uint64
+	dueAt, objective time.Duration
+	class, tenant    int
+	overQuota        bool
+	work, slots      float64
+	call             string // of the open try
+	tries            int
+	outcome          JobOutcome
+	end              JobOutcome // of the last try
+	hasTry           bool
+	settledAt        time.Duration
 }
 
 type modelAttempt struct {
@@ -111,14 +111,14 @@
 	switch pick(8, "what") {
 	case 0, 1:
 		j := &modelJob{
-			id: uint64(len(m.open) + len(m.over) + 1), due: m.now, aim: time.Duration(100+pick(1500, "aim")) * ms,
-			class: pick(2, "class"), tenant: pick(2, "tenant"), over: pick(4, "over") == 0,
+			id: uint64(len(m.open) + len(m.finished) + 1), dueAt: m.now, objective: time.Duration(100+pick(1500, "aim")) * ms,
+			class: pick(2, "class"), tenant: pick(2, "tenant"), overQuota: pick(4, "over") == 0,
 			work: float64(1+pick(20, "work")) / 10, slots: float64(1 + pick(2, "slots")),
 		}
 		m.open = append(m.open, j)
 		m.tell(trace.Event{
-			Kind: trace.JobDue, JobID: j.id, Class: j.class, Tenant: j.tenant, OverQuota: j.over, Work: j.work,
-			Slots: j.slots, LatencyObjective: j.aim,
+			Kind: trace.JobDue, JobID: j.id, Class: j.class, Tenant: j.tenant, OverQuota: j.overQuota, Work: j.work,
+			Slots: j.slots, LatencyObjective: j.objective,
 		})
 	case 2, 3:
 		if len(m.open) == 0 {
@@ -194,16 +194,16 @@
 			return
 		}
 	}
-	j.out = j.end
+	j.outcome = j.end
 	if !j.hasTry {
-		j.out = OutcomeUnanswered
+		j.outcome = OutcomeUnanswered
 	}
-	if j.out == OutcomeInTime && m.now-j.due > j.aim {
-		j.out = OutcomeLate
+	if j.outcome == OutcomeInTime && m.now-j.dueAt > j.objective {
+		j.outcome = OutcomeLate
 	}
 	j.settledAt = m.now
 	m.tell(trace.Event{Kind: trace.JobSettled, JobID: j.id, Status: status})
-	m.open, m.over = append(m.open[:i], m.open[i+1:]...), append(m.over, j)
+	m.open, m.finished = append(m.open[:i], m.open[i+1:]...), append(m.finished, j)
 }
 
 // check compares the sums: each job is in one bucket, and parts make the whole.
@@ -216,20 +216,20 @@
 		}
 	}
 	class, tenant := make([]Group, 2), make([]Group, 2)
-	for _, list := range [][]*modelJob{m.over, m.open} {
+	for _, list := range [][]*modelJob{m.finished, m.open} {
 		for _, j := range list {
 			value := m.s.spec.Classes[j.class].PriorityWeight * j.work * j.slots
-			if j.over {
+			if j.overQuota {
 				value *= m.s.spec.Load.OverQuotaWeight
 			}
 			for _, g := range []*Group{&class[j.class], &tenant[j.tenant]} {
-				g.Due++
+				g.JobsDue++
 				g.Requested += value
 				if j.settledAt == 0 {
 					g.Open++
 					continue
 				}
-				if g.Outcomes[j.out]++; j.out == OutcomeInTime {
+				if g.Outcomes[j.outcome]++; j.outcome == OutcomeInTime {
 					g.Earned += value
 				}
 			}
@@ -239,12 +239,12 @@
 	for k, side := range [][2][]Group{{r.Classes, class}, {r.Tenants, tenant}} {
 		for i, want := range side[1] {
 			got := side[0][i]
-			if got.Due != want.Due || got.Open != want.Open || got.Outcomes != want.Outcomes {
+			if got.JobsDue != want.JobsDue || got.Open != want.Open || got.Outcomes != want.Outcomes {
 				m.t.Fatalf("%s: got %+v, want %+v", got.Name, got, want)
 			}
 			same("asked", got.Requested, want.Requested)
 			same("earned", got.Earned, want.Earned)
-			sums[k].Due += got.Due
+			sums[k].JobsDue += got.JobsDue
 			sums[k].Open += got.Open
 			sums[k].Requested += got.Requested
 			sums[k].Earned += got.Earned
@@ -253,14 +253,14 @@
 				sums[k].Outcomes[o] += n
 			}
 		}
-		if sums[k].Due != r.Whole.Due || sums[k].Open != r.Whole.Open || sums[k].Outcomes != r.Whole.Outcomes ||
+		if sums[k].JobsDue != r.Whole.JobsDue || sums[k].Open != r.Whole.Open || sums[k].Outcomes != r.Whole.Outcomes ||
 			sums[k].Attempts != float64(r.Whole.Latency.Count) {
 			m.t.Fatalf("parts %+v, whole %+v", sums[k], r.Whole)
 		}
 		same("asked of all", sums[k].Requested, r.Whole.Requested)
 		same("earned of all", sums[k].Earned, r.Whole.Earned)
 	}
-	same("due by second", r.Seconds.DueJobs.Sum(), float64(r.Whole.Due))
+	same("due by second", r.Seconds.DueJobs.Sum(), float64(r.Whole.JobsDue))
 	same("worth by second due", r.Seconds.DueValueEarned.Sum(), r.Whole.Earned)
 	same("goodput by second", r.Seconds.GoodputValue.Sum(), r.Whole.Earned)
 	same("jobs in time by second", r.Seconds.GoodputJobs.Sum(), float64(r.Whole.Outcomes[OutcomeInTime]))
@@ -384,7 +384,7 @@
 }
 
 // The mix, its parts, and what a tenant's excess is worth.
-func TestWorth(t *testing.T) {
+func TestValue(t *testing.T) {
 	s := eventTape{New(spec(30), Options{})}
 	for i := range 300 { // ten a second; those due from 10 to 14 s are late; of class 1 in the last 5 s none is served
 		at, status, took := i*100, 200, 100
--- a/internal/testbed/simulation/levels_random_test.go
+++ b/internal/testbed/simulation/levels_random_test.go
@@ -117,7 +117,7 @@
 }
 
 // Whatever goes wrong among forwarders and planners, no rule is broken and each request has its one answer.
-func TestRandomTiers(t *testing.T) {
+func TestRandomLevels(t *testing.T) {
 	var next atomic.Int64
 	var all sync.WaitGroup
 	var lock sync.Mutex
--- a/internal/testbed/simulation/levels_test.go
+++ b/internal/testbed/simulation/levels_test.go
@@ -35,7 +35,7 @@
 ]`
 
 // With planners, too, the same scenario and seed are the same bytes, whatever the machine does besides.
-func TestSameTiers(t *testing.T) {
+func TestSameLevels(t *testing.T) {
 	spec := parse(t, busyLevels)
 	play := func(seed uint64) uint64 {
 		got, err := Run(spec, seed, Options{Digest: true})
@@ -170,7 +170,7 @@
 			d := &spoiled{}
 			watch := func(x *trace.Event) {
 				if x.Kind == trace.DrainNotified && x.Worker == 3 {
-					d.drained = hostNumber("w-3")
+					d.drained = endpointNumber("w-3")
 				}
 			}
 			got, verdict := judged(t, spec, 1, Options{
@@ -225,7 +225,7 @@
 
 // Requests at which every planner's module panics cost each planner that has them a module, and no other request
 // anything: they are given up after the second, and never come to a third.
-func TestPoisonousQueries(t *testing.T) {
+func TestPoisonRequests(t *testing.T) {
 	spec := parse(t, `
 length = "6s"
 drivers = ["virtual"]
@@ -257,7 +257,7 @@
 }
 
 // Planners are what is in service, or nothing.
-func TestTiersTakeNoYardstick(t *testing.T) {
+func TestLevelsTakeNoBaselinePolicy(t *testing.T) {
 	if _, err := Run(parse(t, busyLevels), 1, Options{Model: policy("random")}); err == nil {
 		t.Error("a planner with a yardstick's module")
 	}
--- a/internal/testbed/simulation/process_test.go
+++ b/internal/testbed/simulation/process_test.go
@@ -12,8 +12,8 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// ask has a client ask on a connection of its own.
-func (b *harness) ask(n int, budget time.Duration) []simapi.Output {
+// sendRequest has a client ask on a connection of its own.
+func (b *harness) sendRequest(n int, budget time.Duration) []simapi.Output {
 	return b.step(simapi.Input{Kind: simapi.RequestReceived, Conn: simapi.Conn(n), Request: &simapi.ClientRequest{RequestID: fmt.Sprint("c", n), Budget: budget}})
 }
 
@@ -30,8 +30,8 @@
 	}
 }
 
-// said is what came of some kinds, in short.
-func said(outs []simapi.Output, kinds ...simapi.OutputKind) (all []string) {
+// messagesOf is what came of some kinds, in short.
+func messagesOf(outs []simapi.Output, kinds ...simapi.OutputKind) (all []string) {
 	for _, o := range outs {
 		if slices.Contains(kinds, o.Kind) {
 			all = append(all, fmt.Sprintf("%d:%s:%d", o.Kind, o.RequestID, o.Status))
@@ -59,28 +59,28 @@
 // The longest deadline counts as 3 s, so SIGKILL is due 3.7 s after SIGTERM.
 func TestDrain(t *testing.T) {
 	b := newHarness(t, nil)
-	expect(t, "start", said(b.start(), simapi.Ready), line(simapi.Ready, "", 0))
+	expect(t, "start", messagesOf(b.start(), simapi.Ready), line(simapi.Ready, "", 0))
 	b.now = sec
-	b.ask(1, 12*sec)
-	b.act(dispatch.Send{Job: 1, Worker: hostNumber("w-0")})
-	b.ask(5, 12*sec)
-	expect(t, "SIGTERM", said(b.step(simapi.Input{Kind: simapi.Terminate}), simapi.Unready), line(simapi.Unready, "", 0))
+	b.sendRequest(1, 12*sec)
+	b.act(dispatch.Send{Job: 1, Worker: endpointNumber("w-0")})
+	b.sendRequest(5, 12*sec)
+	expect(t, "SIGTERM", messagesOf(b.step(simapi.Input{Kind: simapi.Terminate}), simapi.Unready), line(simapi.Unready, "", 0))
 	b.step(simapi.Input{Kind: simapi.RequestReceived, Conn: 9, Request: &simapi.ClientRequest{RequestID: "c9", Budget: ms}})
-	expect(t, "an answer", said(b.act(dispatch.Fail{Job: 3}), simapi.ResponseWritten, simapi.ClientConnClosed), line(simapi.ResponseWritten, "c9", 500))
+	expect(t, "an answer", messagesOf(b.act(dispatch.Fail{Job: 3}), simapi.ResponseWritten, simapi.ClientConnClosed), line(simapi.ResponseWritten, "c9", 500))
 	b.now = 2 * sec
-	b.ask(2, 12*sec)
+	b.sendRequest(2, 12*sec)
 	b.step(simapi.Input{Kind: simapi.Terminate}) // a second one changes nothing
-	expect(t, "links between queries", said(b.until(sec+2800*ms), simapi.ClientConnClosed, simapi.ResponseWritten), line(simapi.ClientConnClosed, "", 0))
-	expect(t, "a late query", said(b.ask(3, 12*sec), simapi.ResponseWritten, simapi.ClientConnClosed), line(simapi.ResponseWritten, "c3", 503),
+	expect(t, "links between queries", messagesOf(b.until(sec+2800*ms), simapi.ClientConnClosed, simapi.ResponseWritten), line(simapi.ClientConnClosed, "", 0))
+	expect(t, "a late query", messagesOf(b.sendRequest(3, 12*sec), simapi.ResponseWritten, simapi.ClientConnClosed), line(simapi.ResponseWritten, "c3", 503),
 		line(simapi.ClientConnClosed, "", 0))
 	// What came later than 0.7 s after SIGTERM is answered, and so is what was never sent; what is out has a moment more.
-	expect(t, "until the last words", said(b.until(sec+3399*ms), simapi.ResponseWritten, simapi.Exited))
-	expect(t, "last words", said(b.until(sec+3400*ms), simapi.ResponseWritten), line(simapi.ResponseWritten, "c2", 503), line(simapi.ResponseWritten, "c5", 503))
-	expect(t, "until the last of all", said(b.until(sec+3549*ms), simapi.ResponseWritten, simapi.Exited))
-	expect(t, "the last of all", said(b.until(sec+3550*ms), simapi.ResponseWritten, simapi.ClientConnClosed), line(simapi.ResponseWritten, "c1", 500), line(simapi.ClientConnClosed, "", 0))
-	expect(t, "until the end", said(b.until(sec+3699*ms), simapi.ResponseWritten, simapi.Exited))
-	expect(t, "the end", said(b.until(sec+3700*ms), simapi.ResponseWritten, simapi.ClientConnClosed, simapi.Exited), line(simapi.Exited, "", 0))
-	if _, ok := b.s.Next(); ok || len(b.ask(4, sec)) > 0 {
+	expect(t, "until the last words", messagesOf(b.until(sec+3399*ms), simapi.ResponseWritten, simapi.Exited))
+	expect(t, "last words", messagesOf(b.until(sec+3400*ms), simapi.ResponseWritten), line(simapi.ResponseWritten, "c2", 503), line(simapi.ResponseWritten, "c5", 503))
+	expect(t, "until the last of all", messagesOf(b.until(sec+3549*ms), simapi.ResponseWritten, simapi.Exited))
+	expect(t, "the last of all", messagesOf(b.until(sec+3550*ms), simapi.ResponseWritten, simapi.ClientConnClosed), line(simapi.ResponseWritten, "c1", 500), line(simapi.ClientConnClosed, "", 0))
+	expect(t, "until the end", messagesOf(b.until(sec+3699*ms), simapi.ResponseWritten, simapi.Exited))
+	expect(t, "the end", messagesOf(b.until(sec+3700*ms), simapi.ResponseWritten, simapi.ClientConnClosed, simapi.Exited), line(simapi.Exited, "", 0))
+	if _, ok := b.s.Next(); ok || len(b.sendRequest(4, sec)) > 0 {
 		t.Error("one that has exited still acts")
 	}
 }
@@ -90,11 +90,11 @@
 func TestFreeze(t *testing.T) {
 	b := newHarness(t, nil)
 	b.start()
-	b.ask(1, sec)
-	b.act(dispatch.Send{Job: 1, Worker: hostNumber("w-0")})
+	b.sendRequest(1, sec)
+	b.act(dispatch.Send{Job: 1, Worker: endpointNumber("w-0")})
 	b.step(simapi.Input{Kind: simapi.Freeze})
-	b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: b.order[0].conn})
-	b.ask(2, sec)
+	b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: b.openConns[0].conn})
+	b.sendRequest(2, sec)
 	if _, ok := b.s.Next(); ok || len(b.until(3*sec)) > 0 {
 		t.Error("a frozen process acts")
 	}
@@ -104,7 +104,7 @@
 		o, ok := e.(dispatch.Outcome)
 		return ok && o.Result == dispatch.TimedOut
 	})
-	if !late || len(said(outs, simapi.WorkerConnClosed)) != 1 {
+	if !late || len(messagesOf(outs, simapi.WorkerConnClosed)) != 1 {
 		t.Errorf("heard %v, and did %v", b.script.Received, outs)
 	}
 	if q := b.script.Received[0].(dispatch.Job); q.ID != 2 {
@@ -117,15 +117,15 @@
 	b := newHarness(t, nil)
 	b.start()
 	probe := func() simapi.Conn {
-		return b.act(dispatch.HealthCheck{Worker: hostNumber("w-1")})[0].Conn
+		return b.act(dispatch.HealthCheck{Worker: endpointNumber("w-1")})[0].Conn
 	}
 	first := probe()
-	b.ask(1, sec)
+	b.sendRequest(1, sec)
 	b.step(simapi.Input{Kind: simapi.Freeze})
 	if outs := b.step(simapi.Input{Kind: simapi.Kill}); len(outs) > 0 || b.s.process != nil {
 		t.Errorf("a killed process said %v", outs)
 	}
-	if len(b.until(5*sec)) > 0 || len(b.ask(2, sec)) > 0 {
+	if len(b.until(5*sec)) > 0 || len(b.sendRequest(2, sec)) > 0 {
 		t.Error("a killed process acts")
 	}
 	b.script.Received = nil
@@ -194,8 +194,8 @@
 			Endpoints: []requests.Endpoint{{ID: "w-0", Lifecycle: state}},
 		}})
 	}
-	expect(t, "all drain", said(list("draining"), simapi.Ready, simapi.Unready), line(simapi.Unready, "", 0))
-	expect(t, "one is back", said(list("up"), simapi.Ready, simapi.Unready), line(simapi.Ready, "", 0))
+	expect(t, "all drain", messagesOf(list("draining"), simapi.Ready, simapi.Unready), line(simapi.Unready, "", 0))
+	expect(t, "one is back", messagesOf(list("up"), simapi.Ready, simapi.Unready), line(simapi.Ready, "", 0))
 }
 
 // One request too many is refused at once, with advice; a connection too many has the one make room that has been idle
@@ -204,24 +204,24 @@
 	b := newHarness(t, func(spec *scenario.Scenario) { spec.Schedulers.Sockets = 24 + 48 }) // 40 client links, 32 requests
 	b.start()
 	for n := 1; n <= 32; n++ {
-		if outs := b.ask(n, 5*sec); len(outs) > 0 {
+		if outs := b.sendRequest(n, 5*sec); len(outs) > 0 {
 			t.Fatalf("query %d: %v", n, outs)
 		}
 	}
 	for n := 33; n <= 40; n++ {
-		outs := b.ask(n, 5*sec)
-		expect(t, "one too many", said(outs, simapi.ResponseWritten, simapi.ClientConnClosed), line(simapi.ResponseWritten, fmt.Sprint("c", n), 503))
+		outs := b.sendRequest(n, 5*sec)
+		expect(t, "one too many", messagesOf(outs, simapi.ResponseWritten, simapi.ClientConnClosed), line(simapi.ResponseWritten, fmt.Sprint("c", n), 503))
 		if outs[0].RetryAfter != fullRetryAfter {
 			t.Errorf("come back after %v", outs[0].RetryAfter)
 		}
 	}
-	b.ask(33, 5*sec) // it has been used last
-	outs := b.ask(41, 5*sec)
+	b.sendRequest(33, 5*sec) // it has been used last
+	outs := b.sendRequest(41, 5*sec)
 	if len(outs) != 2 || outs[0].Kind != simapi.ClientConnClosed || outs[0].Conn != 34 {
 		t.Errorf("a connection too many: %+v", outs)
 	}
 	b.step(simapi.Input{Kind: simapi.ClientClosed, Conn: 1})
-	if outs := b.ask(42, 5*sec); len(said(outs, simapi.ResponseWritten)) > 0 {
+	if outs := b.sendRequest(42, 5*sec); len(messagesOf(outs, simapi.ResponseWritten)) > 0 {
 		t.Errorf("with room again: %+v", outs)
 	}
 }
--- a/internal/testbed/simulation/worker_conns.go
+++ b/internal/testbed/simulation/worker_conns.go
@@ -42,7 +42,7 @@
 type workerConns struct {
 	process      *process
 	endpoints    map[uint64]*endpointConns
-	order        []*endpointConns // map order decides nothing
+	endpointList []*endpointConns // map order decides nothing
 	conns        map[simapi.Conn]*workerConn
 	attemptConns map[*requests.Attempt]*workerConn // until the worker has accepted
 	// cancellations are the attempts whose worker is being told, and how many connections were tried for that.
@@ -126,7 +126,7 @@
 		h = &endpointConns{worker: worker}
 		h.workerIndex, h.machine = NodeOf(now.ID)
 		s.endpoints[worker] = h
-		s.order = append(s.order, h)
+		s.endpointList = append(s.endpointList, h)
 	}
 	if h.startedMs != now.StartedAtMs || h.addr != now.Addr {
 		h.addr, h.startedMs = now.Addr, now.StartedAtMs
@@ -219,7 +219,7 @@
 	if s.idleCount == 0 {
 		return
 	}
-	for _, h := range s.order {
+	for _, h := range s.endpointList {
 		for len(h.idle) > 0 && s.isStale(h.idle[0]) {
 			h.idle[0].closeWith(nil)
 		}
@@ -267,8 +267,8 @@
 // evictIdle closes an idle link of any host.
 func (s *workerConns) evictIdle() bool {
 	for s.idleCount > 0 {
-		s.evictFrom = (s.evictFrom + 1) % len(s.order)
-		if h := s.order[s.evictFrom]; len(h.idle) > 0 {
+		s.evictFrom = (s.evictFrom + 1) % len(s.endpointList)
+		if h := s.endpointList[s.evictFrom]; len(h.idle) > 0 {
 			h.idle[0].closeWith(nil)
 			return true
 		}
--- a/internal/testbed/simulation/worker_conns_test.go
+++ b/internal/testbed/simulation/worker_conns_test.go
@@ -18,24 +18,24 @@
 
 // harness is a scheduler whose module is scripted, and what the far side of its connections knows.
 type harness struct {
-	s       *Scheduler
-	script  *modeltest.ScriptedPolicy
-	now     time.Duration
-	outs    []simapi.Output // of the last step
-	conns   map[simapi.Conn]*farConn
-	order   []*farConn // those that are open
-	resting map[int][]simapi.Conn
-	wrong   string // the first thing that a scheduler may not do
+	s         *Scheduler
+	script    *modeltest.ScriptedPolicy
+	now       time.Duration
+	outs      []simapi.Output // of the last step
+	conns     map[simapi.Conn]*farConn
+	openConns []*farConn // those that are open
+	resting   map[int][]simapi.Conn
+	wrong     string // the first thing that a scheduler may not do
 }
 
 // farConn is a connection as a worker sees it.
 type farConn struct {
-	conn  simapi.Conn
-	node  int
-	up    bool
-	asked *simapi.Output // to be answered
-	last  simapi.OutputKind
-	since time.Duration // when that was answered
+	conn    simapi.Conn
+	node    int
+	up      bool
+	pending *simapi.Output // to be answered
+	last    simapi.OutputKind
+	since   time.Duration // when that was answered
 }
 
 // settling holds of an idle link that has just carried a request: a second answer may be on its way, so none is carried yet.
@@ -44,7 +44,7 @@
 	return c.last == simapi.AttemptWritten && b.now-c.since < reuseDelay
 }
 
-func hostNumber(id string) uint64 {
+func endpointNumber(id string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	return h.Sum64()
@@ -119,9 +119,9 @@
 		}
 		c = &farConn{conn: o.Conn, node: o.Worker}
 		b.conns[o.Conn] = c
-		b.order = append(b.order, c)
+		b.openConns = append(b.openConns, c)
 	case simapi.AttemptWritten, simapi.HealthCheckWritten, simapi.CancellationReceived:
-		if c == nil || !c.up || c.asked != nil || c.node != o.Worker {
+		if c == nil || !c.up || c.pending != nil || c.node != o.Worker {
 			b.fail("%d is written to connection %x to node %d, which is not free: %+v", o.Kind, o.Conn, o.Worker, c)
 			return
 		}
@@ -138,7 +138,7 @@
 			}
 			b.resting[o.Worker] = slices.Delete(r, at, at+1)
 		}
-		c.asked, c.last = &o, o.Kind
+		c.pending, c.last = &o, o.Kind
 	case simapi.WorkerConnClosed:
 		if c == nil {
 			b.fail("connection %x is closed, and is not open", o.Conn)
@@ -150,7 +150,7 @@
 
 func (b *harness) forget(c *farConn) {
 	delete(b.conns, c.conn)
-	b.order = slices.DeleteFunc(b.order, func(o *farConn) bool { return o == c })
+	b.openConns = slices.DeleteFunc(b.openConns, func(o *farConn) bool { return o == c })
 	b.resting[c.node] = slices.DeleteFunc(b.resting[c.node], func(id simapi.Conn) bool { return id == c.conn })
 }
 
@@ -228,11 +228,11 @@
 	}
 	for s.More() {
 		var c *farConn
-		if len(b.order) > 0 {
-			c = b.order[s.Pick(len(b.order))]
+		if len(b.openConns) > 0 {
+			c = b.openConns[s.Pick(len(b.openConns))]
 		}
 		node := s.Pick(harnessWorkers)
-		worker := hostNumber("w-" + strconv.Itoa(node))
+		worker := endpointNumber("w-" + strconv.Itoa(node))
 		switch what := s.Pick(12); {
 		case what == 0:
 			calls++
@@ -287,9 +287,9 @@
 				step(simapi.Input{Kind: simapi.WorkerConnected, Conn: c.conn, Worker: c.node})
 				s.Record("up")
 			}
-		case what <= 9 && c != nil && c.up && (c.asked == nil || s.Pick(4) == 0):
-			if c.asked != nil && c.asked.Kind == simapi.AttemptWritten {
-				find(c.asked.RequestID, c.node).may[dispatch.ConnectionReset] = true
+		case what <= 9 && c != nil && c.up && (c.pending == nil || s.Pick(4) == 0):
+			if c.pending != nil && c.pending.Kind == simapi.AttemptWritten {
+				find(c.pending.RequestID, c.node).may[dispatch.ConnectionReset] = true
 			}
 			b.forget(c)
 			step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: c.conn, Worker: c.node, Reset: s.Pick(2) == 0})
@@ -309,10 +309,10 @@
 				{202, false, 9, dispatch.ConnectionReset},
 			}
 			a := answers[s.Pick(len(answers))]
-			if c.asked.Kind == simapi.AttemptWritten {
-				find(c.asked.RequestID, c.node).may[a.result] = true
+			if c.pending.Kind == simapi.AttemptWritten {
+				find(c.pending.RequestID, c.node).may[a.result] = true
 			}
-			if c.asked = nil; a.bytes > 0 {
+			if c.pending = nil; a.bytes > 0 {
 				b.forget(c)
 			} else {
 				b.resting[c.node], c.since = append(b.resting[c.node], c.conn), b.now
@@ -367,7 +367,7 @@
 		}, dispatch.ConnectionReset},
 		{"told late of an attempt before", func(b *harness, conn simapi.Conn) {
 			b.step(simapi.Input{Kind: simapi.CallbackReceived, Callback: &requests.Callback{CallID: "c", EndpointID: "w-1", State: "returned"}})
-			if b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn}); len(b.order) > 0 || b.outs[0].Kind != simapi.WorkerConnClosed {
+			if b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn}); len(b.openConns) > 0 || b.outs[0].Kind != simapi.WorkerConnClosed {
 				b.fail("it is sent all the same: %+v", b.outs)
 			}
 		}, dispatch.WorkerFull},
@@ -380,9 +380,9 @@
 		b := newHarness(t, nil)
 		b.start()
 		b.step(simapi.Input{Kind: simapi.RequestReceived, Conn: 1, Request: &simapi.ClientRequest{RequestID: "c", Budget: time.Second}})
-		b.act(dispatch.Send{Job: 1, Worker: hostNumber("w-1")})
-		b.order[0].up = true // where the story says so
-		c.far(b, b.order[0].conn)
+		b.act(dispatch.Send{Job: 1, Worker: endpointNumber("w-1")})
+		b.openConns[0].up = true // where the story says so
+		c.far(b, b.openConns[0].conn)
 		o, _ := b.script.Received[len(b.script.Received)-1].(dispatch.Outcome)
 		if o.Result != c.want || b.wrong != "" {
 			t.Errorf("%s: %v, expected %v; %s", c.name, o.Result, c.want, b.wrong)
@@ -395,7 +395,7 @@
 	b := newHarness(t, nil)
 	b.start()
 	probe := func() simapi.Output {
-		b.act(dispatch.HealthCheck{Worker: hostNumber("w-0")})
+		b.act(dispatch.HealthCheck{Worker: endpointNumber("w-0")})
 		for _, o := range b.outs {
 			if o.Kind == simapi.WorkerDialed {
 				b.conns[o.Conn].up = true
@@ -406,7 +406,7 @@
 	}
 	first := probe()
 	b.resting[0] = []simapi.Conn{first.Conn}
-	b.conns[first.Conn].asked = nil
+	b.conns[first.Conn].pending = nil
 	b.step(simapi.Input{Kind: simapi.ResponseReceived, Conn: first.Conn, Status: 200})
 	b.now += 2 * time.Second
 	if again := probe(); again.Conn != first.Conn {
@@ -458,10 +458,10 @@
 		b := newHarness(t, nil)
 		b.start()
 		b.step(simapi.Input{Kind: simapi.RequestReceived, Conn: 1, Request: &simapi.ClientRequest{RequestID: "c", Budget: 9 * sec}})
-		b.act(dispatch.Send{Job: 1, Worker: hostNumber("w-1")})
-		conn := b.order[0].conn
+		b.act(dispatch.Send{Job: 1, Worker: endpointNumber("w-1")})
+		conn := b.openConns[0].conn
 		b.up()
-		b.conns[conn].asked = nil
+		b.conns[conn].pending = nil
 		b.step(simapi.Input{Kind: simapi.ResponseReceived, Conn: conn, Status: 202})
 		b.forget(b.conns[conn])
 		b.step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: conn, Reset: true})
@@ -482,7 +482,7 @@
 
 // up has the newest connection come up, if it still waits for that.
 func (b *harness) up() {
-	if c := b.order[len(b.order)-1]; !c.up {
+	if c := b.openConns[len(b.openConns)-1]; !c.up {
 		c.up = true
 		b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: c.conn, Worker: c.node})
 	}
@@ -491,8 +491,8 @@
 // answered has a DELETE go out on the newest connection, and be answered.
 func (b *harness) answered() {
 	b.up()
-	c := b.order[len(b.order)-1]
-	c.asked, c.since = nil, b.now
+	c := b.openConns[len(b.openConns)-1]
+	c.pending, c.since = nil, b.now
 	b.resting[c.node] = append(b.resting[c.node], c.conn)
 	b.step(simapi.Input{Kind: simapi.ResponseReceived, Conn: c.conn, Worker: c.node, Status: 204})
 }
--- a/internal/testbed/starvation/model_test.go
+++ b/internal/testbed/starvation/model_test.go
@@ -15,11 +15,11 @@
 // model finds starvation by the words of the package doc alone: at each look it plays the whole history again, as far
 // as the trace events go that it knows, and keeps nothing but which tries it has told.
 type model struct {
-	spec   *scenario.Scenario
-	past   []trace.Event
-	tick   time.Duration
-	told   map[string]bool
-	counts [3]int // held, refused, excused
+	spec     *scenario.Scenario
+	past     []trace.Event
+	tick     time.Duration
+	reported map[string]bool
+	counts   [3]int // held, refused, excused
 }
 
 type modelRequest struct {
@@ -30,10 +30,10 @@
 }
 
 type modelAttempt struct {
-	node                    int
-	sent                    time.Duration
-	out, there, ended, seen bool
-	unrun                   bool
+	node                         int
+	sent                         time.Duration
+	inFlight, there, ended, seen bool
+	unrun                        bool
 }
 
 type modelWorker struct {
@@ -52,11 +52,11 @@
 	known []knowledge
 }
 
-func (t *modelRequest) out() bool {
-	return slices.ContainsFunc(t.tries, func(a modelAttempt) bool { return a.out })
+func (t *modelRequest) hasInFlight() bool {
+	return slices.ContainsFunc(t.tries, func(a modelAttempt) bool { return a.inFlight })
 }
 
-func (t *modelRequest) held() bool { return t.open && !t.out() }
+func (t *modelRequest) held() bool { return t.open && !t.hasInFlight() }
 
 // state is how things stand after the first n trace events.
 func (m *model) state(n int) *modelState {
@@ -69,7 +69,7 @@
 		var a *modelAttempt
 		if t != nil {
 			for i := range t.tries {
-				if b := &t.tries[i]; a == nil && b.node == x.Worker && (b.out || b.there) {
+				if b := &t.tries[i]; a == nil && b.node == x.Worker && (b.inFlight || b.there) {
 					a = b
 				}
 			}
@@ -84,16 +84,16 @@
 		case trace.ResponseReceived:
 			t.open = false
 		case trace.AttemptSent:
-			t.tries = append(t.tries, modelAttempt{node: x.Worker, sent: x.At, out: true, there: true})
+			t.tries = append(t.tries, modelAttempt{node: x.Worker, sent: x.At, inFlight: true, there: true})
 		case trace.AttemptReceived:
 			a.seen = true
 		case trace.AttemptRejected:
 			ill()
-			a.out, a.there, a.unrun = false, false, true
+			a.inFlight, a.there, a.unrun = false, false, true
 		case trace.AttemptFinished:
-			a.ended, a.there = true, a.out
+			a.ended, a.there = true, a.inFlight
 		case trace.CallbackAnswered:
-			a.out, a.there = false, false
+			a.inFlight, a.there = false, false
 		case trace.WorkerPresent, trace.WorkerStarted:
 			s.nodes[x.Worker] = modelWorker{up: true, kind: x.Text, boot: x.Incarnation, slots: x.Slots, ill: s.nodes[x.Worker].ill}
 			if x.Kind == trace.WorkerStarted {
@@ -182,8 +182,8 @@
 		s := m.state(len(m.past))
 		for _, call := range s.calls {
 			t := s.tries[call]
-			if t.held() && !m.told[call] && m.tick-max(t.since, startupWindow) >= idleWindow && m.witness(s, t, t.since, m.tick, false) {
-				m.told[call] = true
+			if t.held() && !m.reported[call] && m.tick-max(t.since, startupWindow) >= idleWindow && m.witness(s, t, t.since, m.tick, false) {
+				m.reported[call] = true
 				m.counts[0]++
 			}
 		}
@@ -191,8 +191,8 @@
 	if x.Kind == trace.ResponseReceived && x.Status == 503 {
 		s := m.state(len(m.past))
 		t := s.tries[x.RequestID]
-		if t.held() && !m.told[x.RequestID] && m.witness(s, t, max(t.since, x.At-idleWindow), x.At, true) {
-			m.told[x.RequestID] = true
+		if t.held() && !m.reported[x.RequestID] && m.witness(s, t, max(t.since, x.At-idleWindow), x.At, true) {
+			m.reported[x.RequestID] = true
 			if x.At < startupWindow {
 				m.counts[2]++
 			} else {
@@ -210,7 +210,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		spec := spec()
 		spec.Fleet.Workers = 3
-		w, m := New(spec), &model{spec: spec, told: map[string]bool{}}
+		w, m := New(spec), &model{spec: spec, reported: map[string]bool{}}
 		now := time.Duration(0)
 		tell := func(x trace.Event) {
 			x.At = now
@@ -256,7 +256,7 @@
 				x.Number, x.Text = 1, "done"
 				i := slices.IndexFunc(y.tries, func(a modelAttempt) bool { return a.node == x.Worker && a.there })
 				if a := y.tries[i]; what == trace.AttemptReceived && a.seen || what == trace.AttemptFinished && (a.ended || !a.seen) ||
-					what == trace.AttemptRejected && a.ended || what == trace.CallbackAnswered && (!a.ended || !a.out) {
+					what == trace.AttemptRejected && a.ended || what == trace.CallbackAnswered && (!a.ended || !a.inFlight) {
 					return
 				}
 				tell(x)
--- a/internal/testbed/starvation/state.go
+++ b/internal/testbed/starvation/state.go
@@ -89,28 +89,28 @@
 
 // ringQueue is a first-in first-out one that uses its room again.
 type ringQueue[T any] struct {
-	ring       []T
-	head, size int
+	ring        []T
+	start, size int
 }
 
 func (q *ringQueue[T]) push(x T) {
 	if q.size == len(q.ring) {
 		ring := make([]T, max(64, 2*len(q.ring)))
 		for i := range q.size {
-			ring[i] = q.ring[(q.head+i)%len(q.ring)]
+			ring[i] = q.ring[(q.start+i)%len(q.ring)]
 		}
-		q.ring, q.head = ring, 0
+		q.ring, q.start = ring, 0
 	}
-	q.ring[(q.head+q.size)%len(q.ring)] = x
+	q.ring[(q.start+q.size)%len(q.ring)] = x
 	q.size++
 }
 
-func (q *ringQueue[T]) first() *T { return &q.ring[q.head] }
+func (q *ringQueue[T]) first() *T { return &q.ring[q.start] }
 
 func (q *ringQueue[T]) pop() {
 	var none T
-	q.ring[q.head] = none
-	q.head = (q.head + 1) % len(q.ring)
+	q.ring[q.start] = none
+	q.start = (q.start + 1) % len(q.ring)
 	q.size--
 }
 
