--- a/cmd/valvecove-testbed/experiments.go
+++ b/cmd/valvecove-testbed/experiments.go
@@ -137,7 +137,7 @@
 	if err != nil {
 		return err
 	}
-	ended, err := experiment.ParseVary(c.Vary)
+	varied, err := experiment.ParseVary(c.Vary)
 	if err != nil {
 		return err
 	}
@@ -157,28 +157,28 @@
 	}
 	defer done()
 	work := experiment.Variation{
-		Spec: spec, Vary: ended, Curves: curves, Seeds: c.list(), Driver: c.Driver, Figure: c.Metric,
+		Spec: spec, Vary: varied, Curves: curves, Seeds: c.list(), Driver: c.Driver, Figure: c.Metric,
 		Subject:     experiment.Subject{Name: c.Policy, Policy: c.Policy, Set: c.Set, Binary: job.Subject.Binary},
 		Parallelism: c.parallelism(c.Driver), Job: job,
 	}
-	sweep, err := work.Run(ctx, progressCounter(streams.errors, "sweep"))
+	variation, err := work.Run(ctx, progressCounter(streams.errors, "sweep"))
 	if err != nil {
 		return err
 	}
 	if c.JSON != "" {
-		if err := saveJSON(c.JSON, sweep, streams); err != nil {
+		if err := saveJSON(c.JSON, variation, streams); err != nil {
 			return err
 		}
 	}
 	if c.Report != "" {
-		if err := saveFile(c.Report, "sweep.html", func(w io.Writer) error { return report.WriteVariation(w, sweep) }); err != nil {
+		if err := saveFile(c.Report, "sweep.html", func(w io.Writer) error { return report.WriteVariation(w, variation) }); err != nil {
 			return err
 		}
 	}
 	if c.JSON == "-" {
 		return nil
 	}
-	return report.VariationPage(streams.output, sweep)
+	return report.VariationPage(streams.output, variation)
 }
 
 func metricNames() string {
--- a/cmd/valvecove-testbed/main_test.go
+++ b/cmd/valvecove-testbed/main_test.go
@@ -28,10 +28,10 @@
 		}
 	}
 	for _, c := range []struct {
-		in        string
-		args      string
-		code      int
-		out, errs string // that must be in what is written
+		in           string
+		args         string
+		code         int
+		output, errs string // that must be in what is written
 	}{
 		{"", "list", 0, "calm ", ""},
 		{"", "check " + kept, 0, "sound", ""},
@@ -59,7 +59,7 @@
 		{"", "compare calm rude_words", 2, "", "virtual"},
 	} {
 		code, outputs, errs := call(c.in, strings.Fields(c.args)...)
-		if code != c.code || !strings.Contains(outputs, c.out) || !strings.Contains(errs, c.errs) {
+		if code != c.code || !strings.Contains(outputs, c.output) || !strings.Contains(errs, c.errs) {
 			t.Errorf("valvecove-testbed %s: exit %d, expected %d\nout: %s\nerr: %s", c.args, code, c.code, outputs, errs)
 		}
 	}
@@ -83,11 +83,11 @@
 		Result struct {
 			Seed  uint64 `json:"seed"`
 			Whole struct {
-				Due int `json:"due"`
+				JobsDue int `json:"due"`
 			} `json:"whole"`
 		} `json:"result"`
 	}
-	if err := json.Unmarshal([]byte(outputs), &doc); err != nil || code != 0 || doc.Result.Seed != 5 || doc.Result.Whole.Due == 0 {
+	if err := json.Unmarshal([]byte(outputs), &doc); err != nil || code != 0 || doc.Result.Seed != 5 || doc.Result.Whole.JobsDue == 0 {
 		t.Fatalf("exit %d, %v", code, err)
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "index.html"))
--- a/internal/testbed/checker/history.go
+++ b/internal/testbed/checker/history.go
@@ -40,14 +40,14 @@
 
 // newJobBatch makes room for jobs, each with what most of them need.
 func newJobBatch() []*job {
-	type room struct {
+	type block struct {
 		job
 		requests [1]request
 		attempts [1]attempt
 		log      [14]logEntry
 	}
 	const many = 32
-	blocks, jobs := make([]room, many), make([]*job, many)
+	blocks, jobs := make([]block, many), make([]*job, many)
 	for i := range blocks {
 		r := &blocks[i]
 		r.job.requests, r.job.attempts, r.job.log = r.requests[:0], r.attempts[:0], r.log[:0]
--- a/internal/testbed/checker/legal_test.go
+++ b/internal/testbed/checker/legal_test.go
@@ -58,7 +58,7 @@
 }
 
 // try draws one request; again: its client may ask anew.
-func (h *history) try(c *scenario.Class, call string, asked time.Duration) (again bool) {
+func (h *history) try(c *scenario.Class, call string, sentAt time.Duration) (again bool) {
 	h.free = map[int]time.Duration{}
 	risk, cell := time.Duration(0), -1
 	answer := func(status int, text string) bool {
@@ -78,7 +78,7 @@
 			}
 			return answer(500, "")
 		}
-		may := sent < h.spec.Schedulers.AttemptLimit && h.at < asked+c.Deadline.Std()/2
+		may := sent < h.spec.Schedulers.AttemptLimit && h.at < sentAt+c.Deadline.Std()/2
 		if risk > 0 {
 			may = may && (c.Idempotency == "safe" || c.Idempotency == "keyed" && h.at < risk+c.DeduplicationWindow.Std()-time.Second)
 		}
--- a/internal/testbed/checker/run_test.go
+++ b/internal/testbed/checker/run_test.go
@@ -37,7 +37,7 @@
 
 // The cost of a request, all its trace events together, among 256 that are out at a time.
 func BenchmarkWatch(b *testing.B) {
-	const out = 256
+	const inFlight = 256
 	story := []trace.Event{
 		{Kind: trace.JobDue, Deadline: 5 * time.Second},
 		{Kind: trace.RequestSent, Budget: 5 * time.Second},
@@ -50,18 +50,18 @@
 		{Kind: trace.ResponseReceived, Status: 200, Text: "r"},
 		{Kind: trace.JobSettled, Status: 200},
 	}
-	calls := make([]string, b.N+out)
+	calls := make([]string, b.N+inFlight)
 	for i := range calls {
 		calls[i] = fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15)
 	}
 	j, now := New(scenario.Default(), Options{}), time.Duration(0)
 	b.ResetTimer()
-	for n := 0; n < b.N; n += out {
+	for n := 0; n < b.N; n += inFlight {
 		for i := range story {
 			s := &story[i]
-			for k := n; k < n+out; k++ {
+			for k := n; k < n+inFlight; k++ {
 				now += 5 * time.Microsecond
-				s.At, s.FirstByteAt, s.JobID, s.RequestID, s.Conn, s.Worker = now, now, uint64(k+1), calls[k], uint64(k%out), k%100
+				s.At, s.FirstByteAt, s.JobID, s.RequestID, s.Conn, s.Worker = now, now, uint64(k+1), calls[k], uint64(k%inFlight), k%100
 				j.Observe(s)
 			}
 		}
--- a/internal/testbed/experiment/aperture_test.go
+++ b/internal/testbed/experiment/aperture_test.go
@@ -58,7 +58,7 @@
 		t.Error("by the operators' file it is another play")
 	}
 	if _, other := met(spec, "least-outstanding"+ApertureSuffix+":"+keys); other == sent {
-		t.Error("a yardstick with an aperture plays as the module does")
+		t.Error("a baseline policy with an aperture runs as the module does")
 	}
 	for _, policy := range []string{"logic+aperturex", "logic+aperture:least=none", "none+aperture"} {
 		job := Job{Spec: spec, Seed: 1, Driver: scenario.DriverSimulation, Subject: Subject{Policy: policy}}
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -261,7 +261,7 @@
 	}
 }
 
-// Yardsticks make a table: a line for each scenario, a cell for each policy, over all seeds.
+// Baseline policies make a table: a line for each scenario, a cell for each policy, over all seeds.
 func TestBaselineTable(t *testing.T) {
 	y := BaselineTable{
 		Specs: []*scenario.Scenario{small(t), small(t, "load.of=0.9")}, Policies: []string{"random", "all-seeing"},
--- a/internal/testbed/fleet/measure.go
+++ b/internal/testbed/fleet/measure.go
@@ -482,9 +482,9 @@
 	}
 	var look sync.WaitGroup
 	var most atomic.Int64
-	over := make(chan struct{})
+	stopped := make(chan struct{})
 	defer look.Wait()
-	defer close(over)
+	defer close(stopped)
 	if d.subject != nil {
 		look.Go(func() {
 			tick := time.NewTicker(100 * time.Millisecond)
@@ -492,26 +492,26 @@
 			for {
 				most.Store(max(most.Load(), int64(countFiles(strconv.Itoa(pid)))))
 				select {
-				case <-over:
+				case <-stopped:
 					return
 				case <-tick.C:
 				}
 			}
 		})
-		look.Go(func() { d.freeze(over) })
+		look.Go(func() { d.freeze(stopped) })
 	}
 	cpu := time.Duration(0)
-	type heard struct {
+	type received struct {
 		childMessage
 		err error
 	}
-	all := make(chan heard)
+	all := make(chan received)
 	look.Go(func() {
 		for {
 			n, err := d.receive()
 			select {
-			case all <- heard{n, err}:
-			case <-over:
+			case all <- received{n, err}:
+			case <-stopped:
 				return
 			}
 			if err != nil || n.Result != nil {
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -123,20 +123,20 @@
 
 // Rig is a fleet, discovery and clients, dealt out to engines.
 type Rig struct {
-	spec          Spec
-	addresses     addressPlan
-	descriptors   descriptorPlan
-	hostName      string // the scheduler's, for notes
-	callbackConns int
-	engines       []*engine
-	clientGroups  []*clientGroup
-	workers       []*worker
-	discovery     *discovery
-	threads       sync.WaitGroup
-	startedAt     time.Time
-	callbacksLost atomic.Int64
-	jobs          atomic.Int64 // asked for so far, but for those that were refused
-	closed        bool
+	spec             Spec
+	addresses        addressPlan
+	descriptors      descriptorPlan
+	schedulerAddress string // the scheduler's, for notes
+	callbackConns    int
+	engines          []*engine
+	clientGroups     []*clientGroup
+	workers          []*worker
+	discovery        *discovery
+	threads          sync.WaitGroup
+	startedAt        time.Time
+	callbacksLost    atomic.Int64
+	jobs             atomic.Int64 // asked for so far, but for those that were refused
+	closed           bool
 }
 
 // NewRig brings up workers and discovery.
@@ -154,7 +154,7 @@
 	if rig.addresses, err = findAddresses(); err != nil {
 		return nil, err
 	}
-	rig.hostName = rig.addresses.scheduler().String()
+	rig.schedulerAddress = rig.addresses.scheduler().String()
 	if err := rig.build(); err != nil {
 		rig.Close()
 		return nil, err
@@ -188,7 +188,7 @@
 
 // Addresses tells where its parties are.
 func (r *Rig) Addresses() Addresses {
-	p := Addresses{Scheduler: r.hostName, Discovery: r.addresses.discovery().String()}
+	p := Addresses{Scheduler: r.schedulerAddress, Discovery: r.addresses.discovery().String()}
 	for i := range r.workers {
 		p.Workers = append(p.Workers, r.addresses.worker(i).String())
 	}
--- a/internal/testbed/fleet/table.go
+++ b/internal/testbed/fleet/table.go
@@ -91,19 +91,19 @@
 	line(columns)
 	line(slices.Repeat([]string{"---"}, len(columns)))
 	sequence, plays := r.tableRows()
-	for _, row := range sequence {
-		line(tableCells(row, plays[row]))
+	for _, tableRow := range sequence {
+		line(tableCells(tableRow, plays[tableRow]))
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-func tableCells(line TableRow, all []Measurement) []string {
+func tableCells(tableRow TableRow, all []Measurement) []string {
 	notices, hint := "-", "-"
-	if line.hasScheduler() {
-		notices, hint = map[bool]string{true: "yes", false: "no"}[line.StartNotifications], hintText(line.Hint)
+	if tableRow.hasScheduler() {
+		notices, hint = map[bool]string{true: "yes", false: "no"}[tableRow.StartNotifications], hintText(tableRow.Hint)
 	}
-	outputs := []string{line.Subject, formatGrouped(float64(line.Workers), 0), notices, hint}
+	outputs := []string{tableRow.Subject, formatGrouped(float64(tableRow.Workers), 0), notices, hint}
 	sound := slices.DeleteFunc(slices.Clone(all), func(p Measurement) bool { return p.InvalidReason() != "" })
 	if len(sound) == 0 {
 		outputs = append(outputs, "void: "+all[0].InvalidReason())
--- a/internal/testbed/fleet/workers.go
+++ b/internal/testbed/fleet/workers.go
@@ -314,7 +314,7 @@
 	callback.conn, k.callback = k, callback
 	b := n.engine.writeBuffer[:0]
 	b = append(b, "POST /v1/job-events HTTP/1.1\r\nHost: "...)
-	b = append(b, n.rig.hostName...)
+	b = append(b, n.rig.schedulerAddress...)
 	b = append(b, "\r\nContent-Type: application/json\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(callback.request)), 10)
 	b = append(b, "\r\n\r\n"...)
--- a/internal/testbed/mutation/injector.go
+++ b/internal/testbed/mutation/injector.go
@@ -11,8 +11,8 @@
 type faultInjector struct {
 	spec     *scenario.Scenario
 	inner    simapi.Scheduler
-	onInput  func(b *faultInjector, in *simapi.Input) (pass bool)   // nil: all passes
-	onOutput func(b *faultInjector, out *simapi.Output) (pass bool) // nil: all passes
+	onInput  func(b *faultInjector, input *simapi.Input) (pass bool)   // nil: all passes
+	onOutput func(b *faultInjector, output *simapi.Output) (pass bool) // nil: all passes
 
 	now          time.Duration
 	scheduler    int
@@ -50,11 +50,11 @@
 }
 
 // wrap makes a Wrap of hooks. New hooks are made for each scheduler.
-func wrap(in func(b *faultInjector, in *simapi.Input) bool, outputs func(b *faultInjector, out *simapi.Output) bool) func(*scenario.Scenario,
-	simapi.Scheduler) simapi.Scheduler {
+func wrap(onInput func(b *faultInjector, input *simapi.Input) bool, onOutput func(b *faultInjector, output *simapi.Output) bool,
+) func(*scenario.Scenario, simapi.Scheduler) simapi.Scheduler {
 	return func(spec *scenario.Scenario, inner simapi.Scheduler) simapi.Scheduler {
 		return &faultInjector{
-			spec: spec, inner: inner, onInput: in, onOutput: outputs, requests: map[string]*trackedRequest{},
+			spec: spec, inner: inner, onInput: onInput, onOutput: onOutput, requests: map[string]*trackedRequest{},
 			injected: map[simapi.Conn]*injectedAttempt{},
 		}
 	}
--- a/internal/testbed/mutation/policy.go
+++ b/internal/testbed/mutation/policy.go
@@ -31,7 +31,7 @@
 type alteredPolicy struct {
 	settings      dispatch.Settings
 	inner         requests.Policy
-	onEvent       func(l *alteredPolicy, e dispatch.Event) (told dispatch.Event, pass bool)
+	onEvent       func(l *alteredPolicy, e dispatch.Event) (altered dispatch.Event, pass bool)
 	onSend        func(l *alteredPolicy, s dispatch.Send) dispatch.Send // nil: as it is
 	nonIdempotent map[uint64]bool                                       // jobs that must never run twice
 	altered       []dispatch.Event
--- a/internal/testbed/process/driver_test.go
+++ b/internal/testbed/process/driver_test.go
@@ -307,7 +307,7 @@
 		t.Errorf("202: %d", got)
 	}
 	for _, x := range []struct {
-		ask  string
+		text string
 		kind simapi.OutputKind
 		call string
 	}{
@@ -318,15 +318,15 @@
 		{"GET /metrics/load HTTP/1.1\r\nHost: w\r\n\r\n", simapi.HealthCheckWritten, ""},
 		{"DELETE /jobs/c1 HTTP/1.1\r\nHost: w\r\n\r\n", simapi.CancellationReceived, "c1"},
 	} {
-		_, _ = io.WriteString(s, x.ask)
+		_, _ = io.WriteString(s, x.text)
 		o := r.want(x.kind)
-		if o.RequestID != x.call || o.WantsLoadReport != strings.Contains(x.ask, "load") {
-			t.Errorf("%s: %+v", x.ask, o)
+		if o.RequestID != x.call || o.WantsLoadReport != strings.Contains(x.text, "load") {
+			t.Errorf("%s: %+v", x.text, o)
 		}
 		answer(503)
 		a, err := http.ReadResponse(s.in, nil)
 		if err != nil || a.StatusCode != 503 || a.Header.Get("X-Rejected") != "1" {
-			t.Errorf("%s: %v, %v", x.ask, a, err)
+			t.Errorf("%s: %v, %v", x.text, a, err)
 		}
 	}
 	for request, status := range map[string]int{
@@ -473,11 +473,11 @@
 	r.serve(mux)
 	t.Cleanup(func() { close(hang) })
 	for id, x := range map[uint64]struct {
-		state    string
-		status   int
-		patience time.Duration // the machine may stand still for a while
+		state   string
+		status  int
+		timeout time.Duration // the machine may stand still for a while
 	}{2: {"done", 204, time.Minute}, 3: {"started", 400, time.Minute}, 4: {"lost", 0, time.Minute}, 5: {"failed", 0, 0}} {
-		r.d.post(func() { r.d.callbackTimeout = x.patience })
+		r.d.post(func() { r.d.callbackTimeout = x.timeout })
 		tell(id, x.state)
 		acked(id, x.status)
 	}
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -425,11 +425,11 @@
 	return t
 }
 
-// VariationPage writes a sweep for a terminal.
-func VariationPage(w io.Writer, sweep *Variation) error {
+// VariationPage writes a parameter variation for a terminal.
+func VariationPage(w io.Writer, variation *Variation) error {
 	textPage := &textPage{colour: useColors(w)}
-	textPage.line(strong, "%s", sweep.Title)
-	t, headline := sweep.table(), sweep.headline()
+	textPage.line(strong, "%s", variation.Title)
+	t, headline := variation.table(), variation.headline()
 	t.Columns[len(t.Columns)-1] = "broken"
 	columns := []int{0, 1, 4, 6, 7, 8, 9, len(t.Columns) - 1}
 	width := []int{24, 16, 10, 10, 10, 8, 8, 8}
@@ -442,49 +442,49 @@
 		first += fmt.Sprintf("%*s", width[i], truncateLine(t.Columns[c], max(width[i], -width[i])-1))
 	}
 	textPage.line(faint, "%s", first)
-	for _, row := range t.Lines {
-		if len(row) == 1 {
-			textPage.line(strong, "%s", row[0].Text)
+	for _, cells := range t.Lines {
+		if len(cells) == 1 {
+			textPage.line(strong, "%s", cells[0].Text)
 			continue
 		}
-		line := fmt.Sprintf("%*s%*s", width[0], truncateLine(row[0].Text, -width[0]-1), width[1], row[1].Text)
+		line := fmt.Sprintf("%*s%*s", width[0], truncateLine(cells[0].Text, -width[0]-1), width[1], cells[1].Text)
 		for i, c := range columns[2:] {
-			line += fmt.Sprintf("%*s", width[i+2], cut(row[c].Text))
+			line += fmt.Sprintf("%*s", width[i+2], cut(cells[c].Text))
 		}
 		textPage.line(plain, "%s", line)
 	}
-	for i := range sweep.Curves {
-		c := &sweep.Curves[i]
+	for i := range variation.Curves {
+		c := &variation.Curves[i]
 		var ys score.Series
 		for k := range c.Points {
 			ys = append(ys, score.SpreadOf(headline.Values(c.Points[k].Results)).Mean)
 		}
-		textPage.line(plain, "%s  %s", sparkline(ys, ys.Max()), sweep.knee(c))
+		textPage.line(plain, "%s  %s", sparkline(ys, ys.Max()), variation.knee(c))
 	}
 	_, err := io.WriteString(w, textPage.text.String())
 	return err
 }
 
 // WriteVariation writes a sweep as one file of HTML: the curves with their knees, and a table.
-func WriteVariation(w io.Writer, sweep *Variation) error {
-	h := sweep.headline()
-	document := &document{Title: sweep.Title, Description: sweep.Description}
-	if sweep.Build != "" {
-		document.Summary = append(document.Summary, "Played with "+sweep.Build)
+func WriteVariation(w io.Writer, variation *Variation) error {
+	h := variation.headline()
+	document := &document{Title: variation.Title, Description: variation.Description}
+	if variation.Build != "" {
+		document.Summary = append(document.Summary, "Played with "+variation.Build)
 	}
 	curves := section{
-		ID: "curve", Title: "The curve and its knee", Plots: []*plot{sweep.plot(h)},
+		ID: "curve", Title: "The curve and its knee", Plots: []*plot{variation.plot(h)},
 		Text: []string{"Each point is the mean over the seeds, with its 95% interval. With both axes brought to 0 to 1, " +
 			"the knee is the point farthest from the straight line between the first point and the last, on its better " +
 			"side; a curve that does not leave that line by a tenth there has none."},
 	}
-	for i := range sweep.Curves {
-		text := sweep.knee(&sweep.Curves[i])
+	for i := range variation.Curves {
+		text := variation.knee(&variation.Curves[i])
 		curves.Text = append(curves.Text, strings.ToUpper(text[:1])+text[1:]+".")
 	}
-	document.Sections = []section{curves, {ID: "figures", Title: "Figures", Tables: []table{sweep.table()}}}
-	if sweep.Scenario != "" {
-		document.Sections = append(document.Sections, scenarioText(sweep.Scenario))
+	document.Sections = []section{curves, {ID: "figures", Title: "Figures", Tables: []table{variation.table()}}}
+	if variation.Scenario != "" {
+		document.Sections = append(document.Sections, scenarioText(variation.Scenario))
 	}
 	return document.write(w)
 }
--- a/internal/testbed/report/golden_test.go
+++ b/internal/testbed/report/golden_test.go
@@ -27,7 +27,7 @@
 		Result   *score.Result       `json:"result"`
 		Verdict  *Verdict            `json:"verdict"`
 		Met      json.RawMessage     `json:"expectations"`
-		Starved  *starvation.Verdict `json:"starved"`
+		Findings *starvation.Verdict `json:"starved"`
 		Build    string              `json:"build"`
 		Scenario string              `json:"scenario"`
 	}
@@ -36,7 +36,7 @@
 	if err := decoder.Decode(&read); err != nil {
 		t.Fatal(err)
 	}
-	return Document{Result: read.Result, Verdict: read.Verdict, Starvation: read.Starved, Build: read.Build, Scenario: read.Scenario}
+	return Document{Result: read.Result, Verdict: read.Verdict, Starvation: read.Findings, Build: read.Build, Scenario: read.Scenario}
 }
 
 // goldenMet are the expectations of the golden file: one met, one not, and two without a figure.
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -57,12 +57,12 @@
 		spec.Tenants[0].Name = bad
 	}
 	s := score.New(spec, score.Options{Seed: seed, Driver: scenario.DriverSimulation})
-	type sight struct {
+	type timedEvent struct {
 		at int
 		trace.Event
 	}
-	var all []sight
-	put := func(at int, x trace.Event) { all = append(all, sight{at, x}) }
+	var all []timedEvent
+	put := func(at int, x trace.Event) { all = append(all, timedEvent{at, x}) }
 	for i := range 10 {
 		put(0, trace.Event{Kind: trace.WorkerStarted, Worker: i, Slots: 4})
 	}
@@ -102,7 +102,7 @@
 		put(dueAt+took, trace.Event{Kind: trace.ResponseReceived, RequestID: call, Status: status})
 		put(dueAt+took, trace.Event{Kind: trace.JobSettled, JobID: job, Status: status})
 	}
-	slices.SortStableFunc(all, func(a, b sight) int { return a.at - b.at })
+	slices.SortStableFunc(all, func(a, b timedEvent) int { return a.at - b.at })
 	for i := range all {
 		all[i].At = time.Duration(all[i].at) * time.Millisecond
 		s.Observe(&all[i].Event)
--- a/internal/testbed/score/check.go
+++ b/internal/testbed/score/check.go
@@ -17,29 +17,29 @@
 
 // MarshalJSON writes the expectation as a scenario does, and null for a figure that is none.
 func (m Evaluation) MarshalJSON() ([]byte, error) {
-	outputs := struct {
+	written := struct {
 		Expectation string   `json:"expectation"`
 		Got         *float64 `json:"got"`
 		OK          bool     `json:"ok"`
-		Note        string   `json:"note,omitempty"`
-	}{Expectation: m.Expectation.String(), OK: m.OK, Note: m.Remark}
+		Remark      string   `json:"note,omitempty"`
+	}{Expectation: m.Expectation.String(), OK: m.OK, Remark: m.Remark}
 	if !math.IsNaN(m.Value) && !math.IsInf(m.Value, 0) {
-		outputs.Got = &m.Value
+		written.Got = &m.Value
 	}
-	return json.Marshal(outputs)
+	return json.Marshal(written)
 }
 
 // Check holds a result to expectations. broken is how often the checker found a rule broken. Shares and latencies of
 // jobs of which none was due or served, as the case may be, meet nothing.
 func Check(expect []scenario.Expectation, r *Result, broken int) []Evaluation {
-	outputs := make([]Evaluation, len(expect))
+	evaluations := make([]Evaluation, len(expect))
 	for i, e := range expect {
 		m := Evaluation{Expectation: e}
 		m.Value, m.Remark = r.Figure(e.Metric, e.Group, broken)
 		m.OK = e.IsMet(m.Value)
-		outputs[i] = m
+		evaluations[i] = m
 	}
-	return outputs
+	return evaluations
 }
 
 // Figure is a figure by the name that expectations know it by, of a class, a tenant (whose worth in time is that
--- a/internal/testbed/score/score_test.go
+++ b/internal/testbed/score/score_test.go
@@ -177,7 +177,7 @@
 		ends := []struct {
 			what   trace.Kind
 			status int
-			out    JobOutcome
+			end    JobOutcome
 		}{
 			{trace.ResponseReceived, 200, OutcomeInTime},
 			{trace.ResponseReceived, 503, OutcomeRejected},
@@ -189,8 +189,8 @@
 		}
 		e := ends[rapid.IntRange(0, len(ends)-1).Draw(m.t, "end")]
 		m.tell(trace.Event{Kind: e.what, RequestID: j.call, Status: e.status})
-		j.call, j.end, status = "", e.out, e.status
-		if e.status != 200 && e.out != OutcomeClientLeft && rapid.Bool().Draw(m.t, "again") {
+		j.call, j.end, status = "", e.end, e.status
+		if e.status != 200 && e.end != OutcomeClientLeft && rapid.Bool().Draw(m.t, "again") {
 			return
 		}
 	}
--- a/internal/testbed/simulation/levels_test.go
+++ b/internal/testbed/simulation/levels_test.go
@@ -259,6 +259,6 @@
 // Planners are what is in service, or nothing.
 func TestLevelsTakeNoBaselinePolicy(t *testing.T) {
 	if _, err := Run(parse(t, busyLevels), 1, Options{Model: policy("random")}); err == nil {
-		t.Error("a planner with a yardstick's module")
+		t.Error("a planner with a baseline policy")
 	}
 }
--- a/internal/testbed/simulation/process.go
+++ b/internal/testbed/simulation/process.go
@@ -268,7 +268,7 @@
 
 // ---- Clients ----
 
-// clientConn is a client's connection: the Asker of the request that is in hand on it.
+// clientConn is a client's connection: the responder of the request in flight on it.
 type clientConn struct {
 	process    *process
 	conn       simapi.Conn
--- a/internal/testbed/starvation/checker_test.go
+++ b/internal/testbed/starvation/checker_test.go
@@ -252,7 +252,7 @@
 
 // The cost of a request, all its trace events together, among 256 that are out at a time on 1,000 workers.
 func BenchmarkWatch(b *testing.B) {
-	const out, nodes = 256, 1000
+	const inFlight, nodes = 256, 1000
 	text := spec().Fleet.Kinds[0].Name
 	story := []trace.Event{
 		{Kind: trace.JobDue, Deadline: 5 * time.Second, Slots: 1, Work: 0.1},
@@ -267,7 +267,7 @@
 		{Kind: trace.ResponseReceived, Status: 200, Text: "r"},
 		{Kind: trace.JobSettled, Status: 200},
 	}
-	calls := make([]string, b.N+out)
+	calls := make([]string, b.N+inFlight)
 	for i := range calls {
 		calls[i] = fmt.Sprintf("%016x", uint64(i)*0x9e3779b97f4a7c15)
 	}
@@ -280,12 +280,12 @@
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
-	for n := 0; n < b.N; n += out {
+	for n := 0; n < b.N; n += inFlight {
 		for i := range story {
 			s := &story[i]
-			for k := n; k < n+out; k++ {
+			for k := n; k < n+inFlight; k++ {
 				now += 5 * time.Microsecond
-				s.At, s.JobID, s.RequestID, s.Conn, s.Worker = now, uint64(k+1), calls[k], uint64(k%out), k%nodes
+				s.At, s.JobID, s.RequestID, s.Conn, s.Worker = now, uint64(k+1), calls[k], uint64(k%inFlight), k%nodes
 				w.Observe(s)
 			}
 		}
