--- a/cmd/valvecove-testbed/common.go
+++ b/cmd/valvecove-testbed/common.go
@@ -22,7 +22,7 @@
 func openScenario(name string, s *streams) (*scenario.Scenario, error) {
 	switch {
 	case name == "-":
-		text, err := io.ReadAll(io.LimitReader(s.in, 1<<20))
+		text, err := io.ReadAll(io.LimitReader(s.input, 1<<20))
 		if err != nil {
 			return nil, err
 		}
@@ -57,14 +57,14 @@
 	return specs, nil
 }
 
-// subjectFlags is what a play is played with, as flags say it.
+// subjectFlags is what a run is played with, as flags say it.
 type subjectFlags struct {
 	Policy string   `name:"policy" help:"Policy: logic, or a yardstick; +aperture behind it narrows what its schedulers look at, with keys as in logic+aperture:least=20:cover=3. Virtual only." default:"logic"`
 	Set    []string `name:"set" help:"Change a key of the scenario, as in load.of=0.7; may be given again." sep:"none" placeholder:"KEY=VALUE"`
 	Binary string   `name:"binary" help:"The scheduler's program; live only. Default: valvecove beside this one, or else built." type:"path"`
 }
 
-// seedFlags are the plays of an experiment.
+// seedFlags are the runs of an experiment.
 type seedFlags struct {
 	Seeds       int    `name:"seeds" help:"Plays of each kind, on seeds that follow each other." default:"10"`
 	First       uint64 `name:"first" help:"The first seed." default:"1"`
@@ -96,9 +96,9 @@
 	}
 	remove = func() { _ = os.RemoveAll(dir) }
 	path = filepath.Join(dir, "valvecove")
-	fmt.Fprintln(streams.err, "building valvecove ...")
+	fmt.Fprintln(streams.errors, "building valvecove ...")
 	build := exec.CommandContext(ctx, "go", "build", "-o", path, "valvecove/cmd/valvecove")
-	build.Stderr = streams.err
+	build.Stderr = streams.errors
 	if err := build.Run(); err != nil {
 		remove()
 		return "", nil, fmt.Errorf("valvecove can't be built here (%w); name a program with --binary", err)
@@ -144,7 +144,7 @@
 // saveJSON writes to a file, or to standard output for -.
 func saveJSON(to string, v any, s *streams) error {
 	if to == "-" {
-		return report.WriteJSON(s.out, v)
+		return report.WriteJSON(s.output, v)
 	}
 	return saveFile(filepath.Dir(to), filepath.Base(to), func(w io.Writer) error { return report.WriteJSON(w, v) })
 }
--- a/internal/testbed/environment/clients_test.go
+++ b/internal/testbed/environment/clients_test.go
@@ -35,8 +35,8 @@
 	m := newWitness(spec, s)
 	t.check = m.see
 	t.begin()
-	var asked []simapi.Input
-	open, heard := map[simapi.Conn]bool{}, map[string]bool{}
+	var sent []simapi.Input
+	open, received := map[simapi.Conn]bool{}, map[string]bool{}
 	act := func(in *simapi.Input) {
 		load := t.w.balancer.connCounts
 		s.Check(t.w.schedulers[in.Scheduler].alive, "a dead scheduler hears something")
@@ -47,15 +47,15 @@
 		s.Check(len(in.Request.RequestID) == 16 && len(in.Request.IdempotencyKey)%32 == 0, "id %q, key %q", in.Request.RequestID, in.Request.IdempotencyKey)
 		q := t.w.clients.findRequest(in.Request.RequestID)
 		s.Check(q != nil && q.id == in.Request.RequestID && q.jobID == m.calls[q.id], "an asked query is not found")
-		s.Check(!heard[q.id], "a query that was read comes again")
-		heard[q.id] = true
-		asked = append(asked, *in)
+		s.Check(!received[q.id], "a query that was read comes again")
+		received[q.id] = true
+		sent = append(sent, *in)
 	}
 	heal := func() {}
 	for s.More() {
 		var q *simapi.Input
-		if len(asked) > 0 {
-			q = &asked[s.Pick(len(asked))]
+		if len(sent) > 0 {
+			q = &sent[s.Pick(len(sent))]
 		}
 		switch what := s.Pick(24); {
 		case what < 8 || q == nil:
@@ -63,12 +63,12 @@
 		case what < 16: // perhaps twice, or long after
 			t.reply(q, []int{200, 200, 503, 429, 500}[s.Pick(5)], time.Duration(s.Pick(3))*400*time.Millisecond)
 			if s.Pick(8) == 0 {
-				t.outs = append(t.outs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: q.Scheduler, Conn: q.Conn})
+				t.outputs = append(t.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: q.Scheduler, Conn: q.Conn})
 			}
 		case what < 18:
-			t.outs = append(t.outs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: q.Scheduler, Conn: simapi.Conn(1 + s.Pick(20))})
+			t.outputs = append(t.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: q.Scheduler, Conn: simapi.Conn(1 + s.Pick(20))})
 		case what == 18:
-			t.outs = append(t.outs, simapi.Output{Kind: simapi.ResponseWritten, Scheduler: q.Scheduler, Conn: q.Conn, RequestID: "nobody's"})
+			t.outputs = append(t.outputs, simapi.Output{Kind: simapi.ResponseWritten, Scheduler: q.Scheduler, Conn: q.Conn, RequestID: "nobody's"})
 		case what == 19:
 			t.kill(s.Pick(2))
 		case what == 20:
@@ -97,7 +97,7 @@
 
 // What falls due is the same whatever schedulers answer, and so are the ids of tries.
 func TestArrivalsDoNotDependOnAnswers(t *testing.T) {
-	play := func(act func(t *stage, in *simapi.Input)) (due []trace.Event, ids map[string]uint64) {
+	play := func(act func(t *stage, in *simapi.Input)) (dueAt []trace.Event, ids map[string]uint64) {
 		spec := calm(2, 20*time.Second)
 		spec.Load.Shape, spec.Load.Swing, spec.Clients.Impatient = "bursty", 0.6, 0.1
 		s := newStage(spec, 7).begin()
@@ -130,7 +130,7 @@
 	}
 }
 
-// answers gives each query, in the order of their coming, one of these statuses.
+// answers gives each request, in the order of their coming, one of these statuses.
 func answers(s *stage, after time.Duration, status ...int) func(in *simapi.Input) {
 	return func(in *simapi.Input) {
 		if in.Kind == simapi.RequestReceived && len(status) > 0 {
@@ -176,20 +176,20 @@
 			defer s.w.clients.startRetryStorm(4)()
 		}
 		s.end(answers(s, 800*time.Millisecond, 503, 429, 200))
-		asked, settled := s.of(trace.RequestSent), s.of(trace.JobSettled)
-		if len(asked) != 3 || asked[0].RequestID == asked[1].RequestID || settled[0].Status != 200 {
-			t.Fatalf("%s: asked %d times, settled with %d", c.name, len(asked), settled[0].Status)
+		sent, settled := s.of(trace.RequestSent), s.of(trace.JobSettled)
+		if len(sent) != 3 || sent[0].RequestID == sent[1].RequestID || settled[0].Status != 200 {
+			t.Fatalf("%s: asked %d times, settled with %d", c.name, len(sent), settled[0].Status)
 		}
 		for i, grown := range []time.Duration{1, c.grows} {
-			if wait := asked[i+1].At - s.of(trace.ResponseReceived)[i].At; wait < c.least*grown || wait > c.most*grown {
+			if wait := sent[i+1].At - s.of(trace.ResponseReceived)[i].At; wait < c.least*grown || wait > c.most*grown {
 				t.Errorf("%s: came back after %v", c.name, wait)
 			}
 		}
 	}
 }
 
-// A query that crosses the close of its idle connection is sent once more, with its id; one that was read is lost.
-func TestCloseCrossesQuery(t *testing.T) {
+// A request that crosses the close of its idle connection is sent once more, with its id; one that was read is lost.
+func TestCloseCrossesRequest(t *testing.T) {
 	s := one(2, nil)
 	var first *simapi.Input
 	s.run(2*time.Second, func(in *simapi.Input) {
@@ -199,26 +199,26 @@
 		}
 	})
 	// The scheduler closes at 2 s, the client asks half a network's delay later.
-	s.outs = append(s.outs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: first.Scheduler, Conn: first.Conn})
+	s.outputs = append(s.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: first.Scheduler, Conn: first.Conn})
 	s.w.schedule(2*time.Second+500*time.Microsecond, func() {
 		s.w.clients.jobDue(s.w.clients.arrivals.drawJob(s.w.rng("one", 1), &jobSource{class: 2}), s.w.now)
 	})
 	s.run(3*time.Second, func(in *simapi.Input) {
 		if in.Kind == simapi.RequestReceived {
-			s.outs = append(s.outs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: in.Scheduler, Conn: in.Conn})
+			s.outputs = append(s.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: in.Scheduler, Conn: in.Conn})
 		}
 	})
-	asked, lost := s.of(trace.RequestSent), s.of(trace.ConnectionLost)
-	if len(asked) != 3 || asked[1].RequestID != asked[2].RequestID || asked[1].Conn == asked[2].Conn {
-		t.Fatalf("asked %+v", asked)
+	sent, lost := s.of(trace.RequestSent), s.of(trace.ConnectionLost)
+	if len(sent) != 3 || sent[1].RequestID != sent[2].RequestID || sent[1].Conn == sent[2].Conn {
+		t.Fatalf("asked %+v", sent)
 	}
-	if len(lost) != 1 || lost[0].Conn != asked[2].Conn || len(s.of(trace.JobSettled)) != 2 {
+	if len(lost) != 1 || lost[0].Conn != sent[2].Conn || len(s.of(trace.JobSettled)) != 2 {
 		t.Errorf("lost %+v, settled %d", lost, len(s.of(trace.JobSettled)))
 	}
 }
 
-// Where a scheduler has as many connections as it may, a query waits; one that is closed behind an answer makes room.
-func TestQueryWaitsForConnection(t *testing.T) {
+// Where a scheduler has as many connections as it may, a request waits; one that is closed behind an answer makes room.
+func TestRequestWaitsForConnection(t *testing.T) {
 	s := one(2, func(spec *scenario.Scenario) { spec.Schedulers.Sockets = clientConnShare })
 	s.w.schedule(100*time.Millisecond, func() {
 		s.w.clients.jobDue(s.w.clients.arrivals.drawJob(s.w.rng("one", 1), &jobSource{class: 2}), s.w.now)
@@ -226,16 +226,16 @@
 	s.run(time.Second, func(in *simapi.Input) {
 		if in.Kind == simapi.RequestReceived {
 			s.reply(in, 200, 0)
-			s.outs = append(s.outs, simapi.Output{Kind: simapi.ClientConnClosed, Conn: in.Conn})
+			s.outputs = append(s.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Conn: in.Conn})
 		}
 	})
-	asked, got := s.of(trace.RequestSent), s.of(trace.ResponseReceived)
-	if len(asked) != 2 || len(got) != 2 || asked[1].At < got[0].At || asked[0].Conn == asked[1].Conn {
-		t.Errorf("asked %+v, answered %+v", asked, got)
+	sent, got := s.of(trace.RequestSent), s.of(trace.ResponseReceived)
+	if len(sent) != 2 || len(got) != 2 || sent[1].At < got[0].At || sent[0].Conn == sent[1].Conn {
+		t.Errorf("asked %+v, answered %+v", sent, got)
 	}
 }
 
-// An answer that nobody waits for any more, or that is for no query, is seen all the same.
+// An answer that nobody waits for any more, or that is for no request, is seen all the same.
 func TestSecondAnswerIsSeen(t *testing.T) {
 	s := one(0, nil)
 	s.run(2*time.Second, func(in *simapi.Input) {
@@ -249,8 +249,8 @@
 	}
 }
 
-// A query is known for keep after its job was settled, one of a keyed class for its window longer, then forgotten.
-func TestQueriesAreForgotten(t *testing.T) {
+// A request is known for keep after its job was settled, one of a keyed class for its window longer, then forgotten.
+func TestRequestsAreForgotten(t *testing.T) {
 	for class, known := range map[int]time.Duration{0: requestRetention, 3: requestRetention + 20*time.Second} {
 		s := one(class, nil)
 		s.end(answers(s, 0, 503, 503, 503))
@@ -268,7 +268,7 @@
 	}
 }
 
-// A client of a closed load asks again once it has its answer, and no two of its queries are open.
+// A client of a closed load asks again once it has its answer, and no two of its requests are open.
 func TestClosedLoad(t *testing.T) {
 	spec := calm(1, 10*time.Second)
 	spec.Load.CapacityShare, spec.Load.ClosedClients = 0, 5
@@ -284,7 +284,7 @@
 	}
 }
 
-// Bad clients come at their rate, carry an open query's id where their kind does, and each is seen to end once.
+// Misbehaving clients come at their rate, carry an open request's id where their kind does, and each is seen to end once.
 func TestBadClients(t *testing.T) {
 	spec := calm(1, 20*time.Second)
 	spec.Misbehaving = []scenario.MisbehavingClients{{Kind: "stolen_id", Rate: 10, At: scenario.Duration(2 * time.Second)}}
@@ -297,9 +297,9 @@
 			open++
 		}
 		for range in.Misbehavior.Number % 3 { // some have no answer, some two
-			s.outs = append(s.outs, simapi.Output{Kind: simapi.ResponseWritten, Conn: in.Conn, Status: 400})
+			s.outputs = append(s.outputs, simapi.Output{Kind: simapi.ResponseWritten, Conn: in.Conn, Status: 400})
 		}
-		s.outs = append(s.outs, simapi.Output{Kind: simapi.ClientConnClosed, Conn: in.Conn})
+		s.outputs = append(s.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Conn: in.Conn})
 	})
 	if began, ended := len(s.of(trace.MisbehavingClientConnected)), len(s.of(trace.MisbehavingClientAnswered)); began < 140 || began > 220 ||
 		ended != began || open != began {
@@ -307,7 +307,7 @@
 	}
 }
 
-// The front notices a death late: until then connections are led there and refused.
+// The load balancer notices a death late: until then connections are led there and refused.
 func TestFrontNoticesLate(t *testing.T) {
 	spec := calm(2, 10*time.Second)
 	spec.Clients.Retries, spec.Load.CapacityShare, spec.Load.Rate = 0, 0, 100
@@ -317,20 +317,20 @@
 	s.end(func(in *simapi.Input) {
 		if in.Kind == simapi.RequestReceived {
 			s.reply(in, 200, 0)
-			s.outs = append(s.outs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: in.Scheduler, Conn: in.Conn})
+			s.outputs = append(s.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: in.Scheduler, Conn: in.Conn})
 		}
 	})
 	counts := map[trace.Kind]*[10][2]int{trace.SchedulerUnreachable: {}, trace.RequestSent: {}}
-	for _, o := range s.told {
+	for _, o := range s.events {
 		if n := counts[o.Kind]; n != nil && o.At < 10*time.Second {
 			n[o.At/time.Second][o.Scheduler]++
 		}
 	}
 	for second := range 10 {
-		refused, asked := counts[trace.SchedulerUnreachable][second], counts[trace.RequestSent][second]
+		refused, sent := counts[trace.SchedulerUnreachable][second], counts[trace.RequestSent][second]
 		dead, unseen := second >= 3 && second < 8, second == 3 || second == 4
-		if (refused[0] > 30) != unseen || refused[1] > 0 || (asked[0] > 30) == dead || asked[1] < 30 {
-			t.Errorf("second %d: refused %v, asked %v", second, refused, asked)
+		if (refused[0] > 30) != unseen || refused[1] > 0 || (sent[0] > 30) == dead || sent[1] < 30 {
+			t.Errorf("second %d: refused %v, asked %v", second, refused, sent)
 		}
 	}
 	// A death that is over before it is noticed never is.
@@ -369,10 +369,10 @@
 	s.begin()
 	var ins []simapi.Input
 	b.ReportAllocs()
-	for b.ResetTimer(); !s.w.Finished(); { // each query is answered at the next event
+	for b.ResetTimer(); !s.w.Finished(); { // each request is answered at the next event
 		at, _ := s.w.Next()
-		ins = s.w.Step(at, s.outs, ins[:0])
-		s.outs = s.outs[:0]
+		ins = s.w.Step(at, s.outputs, ins[:0])
+		s.outputs = s.outputs[:0]
 		for i := range ins {
 			s.serve(&ins[i])
 		}
--- a/internal/testbed/environment/worker_conns.go
+++ b/internal/testbed/environment/worker_conns.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// workerConn is a connection at a worker node's end.
+// workerConn is a connection at a worker's end.
 type workerConn struct {
 	worker         *worker
 	conn           *conn
@@ -79,12 +79,12 @@
 		if workerConn.abandoned {
 			return
 		}
-		left := workerConn.conn.lastUsed + n.kind.ConnIdleTimeout.Std() - n.env.now
+		remaining := workerConn.conn.lastUsed + n.kind.ConnIdleTimeout.Std() - n.env.now
 		if workerConn.awaitingAnswer != nil || workerConn.reading > 0 || n.isPaused() {
-			left = max(left, n.kind.ConnIdleTimeout.Std()/2)
+			remaining = max(remaining, n.kind.ConnIdleTimeout.Std()/2)
 		}
-		if left > 0 {
-			n.closeWhenIdle(workerConn, left)
+		if remaining > 0 {
+			n.closeWhenIdle(workerConn, remaining)
 			return
 		}
 		n.closeConn(workerConn)
@@ -216,7 +216,7 @@
 }
 
 // healthChecked is a sign of life that is asked for. Beside the queue, it costs a little work; the answer is 503 while even
-// the smallest job would be turned away.
+// the smallest job would be rejected.
 func (n *worker) healthChecked(workerConn *workerConn) {
 	n.env.record(trace.Event{Kind: trace.HealthChecked, Worker: n.number, Scheduler: workerConn.conn.scheduler})
 	if !n.env.Spec.Schedulers.HealthChecks {
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -21,7 +21,7 @@
 	return s
 }
 
-// small is a play that takes milliseconds.
+// small is a run that takes milliseconds.
 func small(t *testing.T, changes ...string) *scenario.Scenario {
 	t.Helper()
 	spec, err := ApplyChanges(base(), append([]string{`length="4s"`, "fleet.nodes=5"}, changes...))
@@ -75,7 +75,7 @@
 	}
 }
 
-// What a play came to follows from scenario, subject and seed, whatever else is played beside it.
+// What a run came to follows from scenario, subject and seed, whatever else is played beside it.
 func TestBatchOrderAndResults(t *testing.T) {
 	spec := small(t)
 	var jobs []Job
@@ -125,8 +125,8 @@
 	}
 }
 
-// Both sides of a contest meet the same world; one that is the same twice differs by nothing.
-func TestContestIsPaired(t *testing.T) {
+// Both sides of a contest meet the same environment; one that is the same twice differs by nothing.
+func TestComparisonIsPaired(t *testing.T) {
 	c := Comparison{
 		Specs: []*scenario.Scenario{small(t), small(t, "load.of=0.8")}, Seeds: Seeds(3, 3), Driver: scenario.DriverSimulation,
 		Subjects: []Subject{{Name: "a", Policy: PolicyDispatch}, {Name: "b", Policy: PolicyDispatch}, {Name: "random", Policy: "random"}},
@@ -153,8 +153,8 @@
 	}
 }
 
-func TestSweepPoints(t *testing.T) {
-	s := Sweep{
+func TestVariationPoints(t *testing.T) {
+	s := Variation{
 		Spec: small(t), Vary: Vary{"load.of", []string{"0.9", "0.3"}}, Curves: Vary{"fleet.nodes", []string{"3", "6"}},
 		Seeds: Seeds(1, 2), Driver: scenario.DriverSimulation, Figure: "mix", Subject: Subject{Name: PolicyDispatch},
 	}
@@ -167,7 +167,7 @@
 			t.Fatalf("curve %s has its points out of order", c.Name)
 		}
 		low, high := c.Points[0].Results, c.Points[1].Results
-		if len(low) != 2 || len(high) != 2 || low[0].Whole.Due >= high[0].Whole.Due {
+		if len(low) != 2 || len(high) != 2 || low[0].Whole.JobsDue >= high[0].Whole.JobsDue {
 			t.Errorf("curve %s: the plays are not those of their points", c.Name)
 		}
 	}
@@ -180,8 +180,8 @@
 	}
 }
 
-// A hunt finds a seeded fault by its rule, shrinks the play to what matters, and the file that it keeps plays it again.
-func TestHuntFindsShrinksAndKeeps(t *testing.T) {
+// A hunt finds a seeded fault by its rule, shrinks the run to what matters, and the file that it keeps plays it again.
+func TestSearchFindsMinimisesAndKeeps(t *testing.T) {
 	h := Search{Seed: 5, Subject: Subject{Name: "mutant", Mutant: "answers-twice"}, Baseline: PolicyDispatch, MaxRuns: 2, Parallelism: 2, Keep: 2}
 	h.trim = func(s *scenario.Scenario) { // plays of milliseconds
 		s.Length, s.Fleet.Workers = scenario.Duration(3*time.Second), min(s.Fleet.Workers, 8)
@@ -251,18 +251,18 @@
 		"crash"), find(0.25, "cut"), rule} {
 		h.keep(got, f, 2)
 	}
-	var left []string
+	var remaining []string
 	for _, f := range got.Worst {
-		left = append(left, f.Description())
+		remaining = append(remaining, f.Description())
 	}
 	want := []string{"rule drain broken", "worth 0.000 where 0.500 can be had"}
-	if !slices.Equal(left, want) {
-		t.Errorf("kept %v", left)
+	if !slices.Equal(remaining, want) {
+		t.Errorf("kept %v", remaining)
 	}
 }
 
-// Yardsticks make a table: a line for each scenario, a cell for each policy, over all seeds.
-func TestYardsticksTable(t *testing.T) {
+// Baseline policies make a table: a line for each scenario, a cell for each policy, over all seeds.
+func TestBaselineTable(t *testing.T) {
 	y := BaselineTable{
 		Specs: []*scenario.Scenario{small(t), small(t, "load.of=0.9")}, Policies: []string{"random", "all-seeing"},
 		Seeds: Seeds(1, 3),
@@ -299,7 +299,7 @@
 	}
 }
 
-// Whatever panics in a play is an error that names the play.
+// Whatever panics in a run is an error that names the run.
 func TestPanicNamesThePlay(t *testing.T) {
 	_, err := Run(context.Background(), Job{
 		Spec: small(t), Seed: 77, Driver: scenario.DriverSimulation,
--- a/internal/testbed/mutation/mutation_test.go
+++ b/internal/testbed/mutation/mutation_test.go
@@ -26,8 +26,8 @@
 	library = flag.Int("library", 0, "and plays of each scenario of the library")
 )
 
-// once are seeds of plays in which the honest program was blamed for what was the lab's fault.
-var once = []uint64{10833, 11002, 12212}
+// judgeOnce are seeds of runs in which the honest program was blamed for what was the testbed's fault.
+var judgeOnce = []uint64{10833, 11002, 12212}
 
 // judged plays a scenario, with a mutant or (nil) with the honest program.
 func judged(t *testing.T, spec *scenario.Scenario, seed uint64, m *Mutant) checker.Verdict {
@@ -52,7 +52,7 @@
 	return j.Verdict()
 }
 
-// Each mutant is found by its rule's name in a play made for it, in which nobody blames the honest program.
+// Each mutant is found by its rule's name in a run made for it, in which nobody blames the honest program.
 func TestMutants(t *testing.T) {
 	names := map[string]bool{}
 	for _, m := range All() {
@@ -95,7 +95,7 @@
 			}
 		})
 	}
-	seeds := slices.Clone(once)
+	seeds := slices.Clone(judgeOnce)
 	for n := range uint64(*plays) {
 		seeds = append(seeds, *first+n)
 	}
@@ -194,16 +194,16 @@
 // What goes on at the border stays in order, though a mutant keeps some of it back.
 func TestLater(t *testing.T) {
 	b := &faultInjector{running: true}
-	var did []int
+	var done []int
 	for _, n := range []int{3, 1, 2, 1} {
-		b.schedule(time.Duration(n), func() { did = append(did, n) })
+		b.schedule(time.Duration(n), func() { done = append(done, n) })
 	}
 	for len(b.delayed) > 0 {
 		b.delayed[0].run()
 		b.delayed = b.delayed[1:]
 	}
-	if !slices.Equal(did, []int{1, 1, 2, 3}) {
-		t.Errorf("done in the order %v", did)
+	if !slices.Equal(done, []int{1, 1, 2, 3}) {
+		t.Errorf("done in the order %v", done)
 	}
 	if m := All()[0]; strings.ToLower(m.Name) != m.Name {
 		t.Errorf("%s is not in small letters", m.Name)
--- a/internal/testbed/score/score_test.go
+++ b/internal/testbed/score/score_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// spec is a small scenario: two classes, two tenants, three worker nodes of two slots.
+// spec is a small scenario: two classes, two tenants, three workers of two slots.
 func spec(seconds int) *scenario.Scenario {
 	s := scenario.Default()
 	s.Name, s.Length, s.Settle = "test", scenario.Duration(seconds)*scenario.Duration(time.Second), scenario.Duration(5*time.Second)
@@ -38,7 +38,7 @@
 	return s
 }
 
-// eventTape plays sights at instants in ms.
+// eventTape plays trace events at instants in ms.
 type eventTape struct{ *Score }
 
 func (t eventTape) at(at int, x trace.Event) {
@@ -48,29 +48,29 @@
 
 // model is what a score should come to, kept as plain lists.
 type model struct {
-	t     *rapid.T
-	s     *Score
-	now   time.Duration
-	open  []*modelJob
-	over  []*modelJob
-	calls int
-	runs  []*modelAttempt
-	ran   float64
-	slots [3]float64 // s in use, by worker node
+	t        *rapid.T
+	s        *Score
+	now      time.Duration
+	open     []*modelJob
+	finished []*modelJob
+	calls    int
+	runs     []*modelAttempt
+	ran      float64
+	slots    [3]float64 // s in use, by worker
 }
 
 type modelJob struct {
-	id            uint64
-	due, aim      time.Duration
-	class, tenant int
-	over          bool
-	work, slots   float64
-	call          string // of the open try
-	tries         int
-	out           JobOutcome
-	end           JobOutcome // of the last try
-	hasTry        bool
-	settledAt     time.Duration
+	id               uint64
+	dueAt, objective time.Duration
+	class, tenant    int
+	overQuota        bool
+	work, slots      float64
+	call             string // of the open try
+	tries            int
+	outcome          JobOutcome
+	end              JobOutcome // of the last try
+	hasTry           bool
+	settledAt        time.Duration
 }
 
 type modelAttempt struct {
@@ -103,7 +103,7 @@
 	}
 }
 
-// step does one random thing that the world might report.
+// step does one random thing that the environment might report.
 func (m *model) step() {
 	t := m.t
 	m.now += time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * ms
@@ -111,14 +111,14 @@
 	switch pick(8, "what") {
 	case 0, 1:
 		j := &modelJob{
-			id: uint64(len(m.open) + len(m.over) + 1), due: m.now, aim: time.Duration(100+pick(1500, "aim")) * ms,
-			class: pick(2, "class"), tenant: pick(2, "tenant"), over: pick(4, "over") == 0,
+			id: uint64(len(m.open) + len(m.finished) + 1), dueAt: m.now, objective: time.Duration(100+pick(1500, "aim")) * ms,
+			class: pick(2, "class"), tenant: pick(2, "tenant"), overQuota: pick(4, "over") == 0,
 			work: float64(1+pick(20, "work")) / 10, slots: float64(1 + pick(2, "slots")),
 		}
 		m.open = append(m.open, j)
 		m.tell(trace.Event{
-			Kind: trace.JobDue, JobID: j.id, Class: j.class, Tenant: j.tenant, OverQuota: j.over, Work: j.work,
-			Slots: j.slots, LatencyObjective: j.aim,
+			Kind: trace.JobDue, JobID: j.id, Class: j.class, Tenant: j.tenant, OverQuota: j.overQuota, Work: j.work,
+			Slots: j.slots, LatencyObjective: j.objective,
 		})
 	case 2, 3:
 		if len(m.open) == 0 {
@@ -134,7 +134,7 @@
 		node := pick(3, "node")
 		for _, r := range m.runs {
 			if r.call == j.call && r.node == node {
-				return // one attempt of a query at a time at a worker node
+				return // one attempt of a request at a time at a worker
 			}
 		}
 		m.tell(trace.Event{Kind: trace.AttemptReceived, RequestID: j.call, Worker: node})
@@ -177,7 +177,7 @@
 		ends := []struct {
 			what   trace.Kind
 			status int
-			out    JobOutcome
+			end    JobOutcome
 		}{
 			{trace.ResponseReceived, 200, OutcomeInTime},
 			{trace.ResponseReceived, 503, OutcomeRejected},
@@ -189,21 +189,21 @@
 		}
 		e := ends[rapid.IntRange(0, len(ends)-1).Draw(m.t, "end")]
 		m.tell(trace.Event{Kind: e.what, RequestID: j.call, Status: e.status})
-		j.call, j.end, status = "", e.out, e.status
-		if e.status != 200 && e.out != OutcomeClientLeft && rapid.Bool().Draw(m.t, "again") {
+		j.call, j.end, status = "", e.end, e.status
+		if e.status != 200 && e.end != OutcomeClientLeft && rapid.Bool().Draw(m.t, "again") {
 			return
 		}
 	}
-	j.out = j.end
+	j.outcome = j.end
 	if !j.hasTry {
-		j.out = OutcomeUnanswered
+		j.outcome = OutcomeUnanswered
 	}
-	if j.out == OutcomeInTime && m.now-j.due > j.aim {
-		j.out = OutcomeLate
+	if j.outcome == OutcomeInTime && m.now-j.dueAt > j.objective {
+		j.outcome = OutcomeLate
 	}
 	j.settledAt = m.now
 	m.tell(trace.Event{Kind: trace.JobSettled, JobID: j.id, Status: status})
-	m.open, m.over = append(m.open[:i], m.open[i+1:]...), append(m.over, j)
+	m.open, m.finished = append(m.open[:i], m.open[i+1:]...), append(m.finished, j)
 }
 
 // check compares the sums: each job is in one bucket, and parts make the whole.
@@ -216,21 +216,21 @@
 		}
 	}
 	class, tenant := make([]Group, 2), make([]Group, 2)
-	for _, list := range [][]*modelJob{m.over, m.open} {
+	for _, list := range [][]*modelJob{m.finished, m.open} {
 		for _, j := range list {
-			worth := m.s.spec.Classes[j.class].PriorityWeight * j.work * j.slots
-			if j.over {
-				worth *= m.s.spec.Load.OverQuotaWeight
+			value := m.s.spec.Classes[j.class].PriorityWeight * j.work * j.slots
+			if j.overQuota {
+				value *= m.s.spec.Load.OverQuotaWeight
 			}
 			for _, g := range []*Group{&class[j.class], &tenant[j.tenant]} {
-				g.Due++
-				g.Requested += worth
+				g.JobsDue++
+				g.Requested += value
 				if j.settledAt == 0 {
 					g.Open++
 					continue
 				}
-				if g.Outcomes[j.out]++; j.out == OutcomeInTime {
-					g.Earned += worth
+				if g.Outcomes[j.outcome]++; j.outcome == OutcomeInTime {
+					g.Earned += value
 				}
 			}
 		}
@@ -239,12 +239,12 @@
 	for k, side := range [][2][]Group{{r.Classes, class}, {r.Tenants, tenant}} {
 		for i, want := range side[1] {
 			got := side[0][i]
-			if got.Due != want.Due || got.Open != want.Open || got.Outcomes != want.Outcomes {
+			if got.JobsDue != want.JobsDue || got.Open != want.Open || got.Outcomes != want.Outcomes {
 				m.t.Fatalf("%s: got %+v, want %+v", got.Name, got, want)
 			}
 			same("asked", got.Requested, want.Requested)
 			same("earned", got.Earned, want.Earned)
-			sums[k].Due += got.Due
+			sums[k].JobsDue += got.JobsDue
 			sums[k].Open += got.Open
 			sums[k].Requested += got.Requested
 			sums[k].Earned += got.Earned
@@ -253,14 +253,14 @@
 				sums[k].Outcomes[o] += n
 			}
 		}
-		if sums[k].Due != r.Whole.Due || sums[k].Open != r.Whole.Open || sums[k].Outcomes != r.Whole.Outcomes ||
+		if sums[k].JobsDue != r.Whole.JobsDue || sums[k].Open != r.Whole.Open || sums[k].Outcomes != r.Whole.Outcomes ||
 			sums[k].Attempts != float64(r.Whole.Latency.Count) {
 			m.t.Fatalf("parts %+v, whole %+v", sums[k], r.Whole)
 		}
 		same("asked of all", sums[k].Requested, r.Whole.Requested)
 		same("earned of all", sums[k].Earned, r.Whole.Earned)
 	}
-	same("due by second", r.Seconds.DueJobs.Sum(), float64(r.Whole.Due))
+	same("due by second", r.Seconds.DueJobs.Sum(), float64(r.Whole.JobsDue))
 	same("worth by second due", r.Seconds.DueValueEarned.Sum(), r.Whole.Earned)
 	same("goodput by second", r.Seconds.GoodputValue.Sum(), r.Whole.Earned)
 	same("jobs in time by second", r.Seconds.GoodputJobs.Sum(), float64(r.Whole.Outcomes[OutcomeInTime]))
@@ -281,7 +281,7 @@
 	}
 }
 
-// Totals balance whatever happens, while a play goes on and at its end.
+// Totals balance whatever happens, while a run goes on and at its end.
 func TestTotalsBalance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{t: t, s: New(spec(90), Options{})}
@@ -348,7 +348,7 @@
 	}
 }
 
-// A run whose result a repeat brings a later try has served after all; a query sent once more is the same try; and a
+// A run whose result a repeat brings a later try has served after all; a request sent once more is the same try; and a
 // job that found no scheduler is unanswered.
 func TestTries(t *testing.T) {
 	s := eventTape{New(spec(60), Options{})}
@@ -384,7 +384,7 @@
 }
 
 // The mix, its parts, and what a tenant's excess is worth.
-func TestWorth(t *testing.T) {
+func TestValue(t *testing.T) {
 	s := eventTape{New(spec(30), Options{})}
 	for i := range 300 { // ten a second; those due from 10 to 14 s are late; of class 1 in the last 5 s none is served
 		at, status, took := i*100, 200, 100
@@ -433,8 +433,8 @@
 		}
 	}
 	for _, f := range scenario.Metrics {
-		if x, note := r.Figure(f.Name, "", 0); math.IsNaN(x) {
-			t.Errorf("%s: %s", f.Name, note)
+		if x, callback := r.Figure(f.Name, "", 0); math.IsNaN(x) {
+			t.Errorf("%s: %s", f.Name, callback)
 		}
 	}
 	text, err := json.Marshal(struct {
@@ -452,7 +452,7 @@
 
 // Recovery on curves whose answers are plain.
 func TestRecovery(t *testing.T) {
-	curve := func(n int, dips ...[2]int) (asked, earned Series) {
+	curve := func(n int, dips ...[2]int) (sent, earned Series) {
 		for i := range n {
 			x := 10.0
 			for _, d := range dips {
@@ -460,9 +460,9 @@
 					x = 4
 				}
 			}
-			asked, earned = append(asked, 10), append(earned, x)
+			sent, earned = append(sent, 10), append(earned, x)
 		}
-		return asked, earned
+		return sent, earned
 	}
 	cases := []struct {
 		name   string
@@ -513,8 +513,8 @@
 		{"after the load", []Fault{{"a", 41, 42}}, nil, []Disturbance{}},
 	}
 	for _, c := range cases {
-		asked, earned := curve(40, c.dips...)
-		got := disturbances(c.faults, asked, earned, 40)
+		sent, earned := curve(40, c.dips...)
+		got := disturbances(c.faults, sent, earned, 40)
 		for i := range got {
 			if got[i].Before != 1 || got[i].HasDip != (got[i].Lowest >= 0.4 && got[i].Lowest < 0.95) {
 				t.Errorf("%s: %+v", c.name, got[i])
@@ -527,7 +527,7 @@
 	}
 }
 
-// What processes, bad clients and marks come to.
+// What processes, misbehaving clients and marks come to.
 func TestProcesses(t *testing.T) {
 	s := eventTape{New(spec(10), Options{})}
 	s.at(0, trace.Event{Kind: trace.SchedulerStarted})
@@ -559,11 +559,11 @@
 func TestStatistics(t *testing.T) {
 	a := []float64{0.90, 0.80, 0.95, 0.70, 0.85}
 	plus := func(xs []float64, by ...float64) []float64 {
-		out := make([]float64, len(xs))
+		outputs := make([]float64, len(xs))
 		for i := range xs {
-			out[i] = xs[i] + by[i]
+			outputs[i] = xs[i] + by[i]
 		}
-		return out
+		return outputs
 	}
 	// Differences 1..5: mean 3, sd 1.5811, t(4) = 2.7764, half width 1.9632.
 	p := Compare("x", "old", "new", make([]float64, 5), []float64{1, 2, 3, 4, 5}, Higher)
@@ -605,7 +605,7 @@
 	}
 }
 
-// steady is a play of which each job takes the same course.
+// steady is a run of which each job takes the same course.
 type steady struct {
 	s     *Score
 	x     trace.Event
@@ -629,7 +629,7 @@
 	p.s.Observe(&p.x)
 }
 
-// request plays a whole job: ten sights. Jobs come every 0.5 ms; ids are used again once they are forgotten.
+// request plays a whole job: ten trace events. Jobs come every 0.5 ms; ids are used again once they are forgotten.
 func (p *steady) request() {
 	p.n++
 	p.now += 500 * time.Microsecond
--- a/internal/testbed/simulation/levels_random_test.go
+++ b/internal/testbed/simulation/levels_random_test.go
@@ -103,7 +103,7 @@
 	return s
 }
 
-// judged plays, and gives what the judge says and the answers by status.
+// judged plays, and gives what the checker says and the answers by status.
 func judged(t *testing.T, spec *scenario.Scenario, seed uint64, opt Options) (*Outcome, checker.Verdict) {
 	t.Helper()
 	j := checker.New(spec, checker.Options{})
@@ -116,12 +116,12 @@
 	return got, j.Verdict()
 }
 
-// Whatever goes wrong among forwarders and planners, no rule is broken and each query has its one answer.
-func TestRandomTiers(t *testing.T) {
+// Whatever goes wrong among forwarders and planners, no rule is broken and each request has its one answer.
+func TestRandomLevels(t *testing.T) {
 	var next atomic.Int64
 	var all sync.WaitGroup
 	var lock sync.Mutex
-	sum, queries := LevelCounts{}, 0
+	sum, requests := LevelCounts{}, 0
 	for range runtime.GOMAXPROCS(0) {
 		all.Go(func() {
 			for {
@@ -136,11 +136,11 @@
 				}
 				lock.Lock()
 				sum.Sum(&got.Levels)
-				queries += got.Levels.Requests
+				requests += got.Levels.Requests
 				lock.Unlock()
 			}
 		})
 	}
 	all.Wait()
-	t.Logf("%d queries: %+v", queries, sum)
+	t.Logf("%d queries: %+v", requests, sum)
 }
