--- a/internal/link/worker_connection_test.go
+++ b/internal/link/worker_connection_test.go
@@ -63,7 +63,7 @@
 			w.runIterations()
 		}
 	}
-	for range 2 { // past all timeouts, and then past those of what this called for
+	for range 2 + 2*maxCancelTries { // past all timeouts, and then past those of what this called for: a DELETE that is tried again
 		w.now += 10 * time.Second
 		w.runIterations()
 	}
