--- /dev/null
+++ b/docs/names_in_pages_test.go
@@ -0,0 +1,126 @@
+package docs
+
+import (
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// goSource is the text of all Go files of the module: of the tests, or of the others.
+func goSource(t *testing.T, tests bool) string {
+	t.Helper()
+	var all strings.Builder
+	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() && (entry.Name() == "testdata" || entry.Name() == ".git") {
+			return filepath.SkipDir
+		}
+		if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") != tests {
+			return nil
+		}
+		text, err := os.ReadFile(path)
+		all.Write(text)
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return all.String()
+}
+
+var (
+	testNames = regexp.MustCompile(`\b(?:Test|Fuzz)[A-Z]\w*`)
+	codeSpans = regexp.MustCompile("`([^`\n]+)`")
+	paths     = regexp.MustCompile(`^(?:cmd|deploy|dispatch|docs|internal|scenarios)/[\w./-]+$`)
+	dotted    = regexp.MustCompile(`^(?:\w+\.)+([A-Z]\w+)$`)
+)
+
+// Tests that the design pages name exist.
+func TestDesignPagesNameTests(t *testing.T) {
+	pages, err := filepath.Glob("design/*.md")
+	if err != nil || len(pages) == 0 {
+		t.Fatal(pages, err)
+	}
+	source := goSource(t, true)
+	found := 0
+	for _, name := range pages {
+		for _, test := range testNames.FindAllString(page(t, name), -1) {
+			found++
+			if !strings.Contains(source, "\nfunc "+test+"(") {
+				t.Errorf("%s names %s, and there is no such test", name, test)
+			}
+		}
+	}
+	if found < 50 {
+		t.Errorf("the design pages name %d tests", found)
+	}
+}
+
+// Paths and exported names in ARCHITECTURE.md exist, and it names every package of the program.
+func TestArchitectureNamesCode(t *testing.T) {
+	text, source := page(t, "../ARCHITECTURE.md"), goSource(t, false)
+	named := map[string]bool{}
+	for _, span := range codeSpans.FindAllStringSubmatch(text, -1) {
+		code := span[1]
+		named[code] = true
+		if paths.MatchString(code) {
+			if _, err := os.Stat(filepath.Join("..", code)); err != nil {
+				t.Errorf("ARCHITECTURE.md names %s: %v", code, err)
+			}
+		}
+		if m := dotted.FindStringSubmatch(code); m != nil {
+			declared := regexp.MustCompile(`(?m)^(?:type ` + m[1] + `\b|func (?:\([^)]*\) )?` + m[1] + `\b)`)
+			if !declared.MatchString(source) {
+				t.Errorf("ARCHITECTURE.md names %s, and nothing is declared as %s", code, m[1])
+			}
+		}
+	}
+	for _, pattern := range []string{"../cmd/*", "../internal/*", "../internal/control/*"} {
+		folders, err := filepath.Glob(pattern)
+		if err != nil || len(folders) == 0 {
+			t.Fatal(pattern, err)
+		}
+		for _, folder := range folders {
+			if name := filepath.ToSlash(strings.TrimPrefix(folder, "../")); !named[name] {
+				t.Errorf("ARCHITECTURE.md does not name the package %s", name)
+			}
+		}
+	}
+}
+
+// Log messages and attributes that operators are given stand in the code as they do in the pages.
+func TestLogLinesAreTheCodes(t *testing.T) {
+	source := goSource(t, false)
+	found := 0
+	for _, table := range []struct{ page, header string }{
+		{"../FEATURES.md", "| `msg` | level | attributes |\n"},
+		{"on-call.md", "| log line | meaning |\n"},
+	} {
+		_, text, ok := strings.Cut(page(t, table.page), table.header)
+		if !ok {
+			t.Errorf("%s has no table that begins with %s", table.page, table.header)
+		}
+		text, _, _ = strings.Cut(text, "\n\n")
+		for line := range strings.Lines(text) {
+			columns := strings.Split(line, " | ")
+			words := codeSpans.FindAllStringSubmatch(columns[0], -1)
+			if table.page == "../FEATURES.md" {
+				words = append(words, codeSpans.FindAllStringSubmatch(columns[len(columns)-1], -1)...)
+			}
+			for _, word := range words {
+				found++
+				if !strings.Contains(source, `"`+word[1]+`"`) {
+					t.Errorf("%s has %q, and the code has no such text", table.page, word[1])
+				}
+			}
+		}
+	}
+	if found < 60 {
+		t.Errorf("%d messages and attributes found", found)
+	}
+}
