--- a/cmd/valvecove/check.go
+++ b/cmd/valvecove/check.go
@@ -134,7 +134,7 @@
 		c.Settings.AttemptLimit, c.Settings.ConnectTimeout, onOff(c.Settings.Hedging), onOff(c.Settings.Cancellation),
 		onOff(c.Settings.HealthChecks)))
 	p.line("schedulers", fmt.Sprintf("number %d of %d, numbered from 0", c.Settings.ReplicaIndex, max(1, c.Settings.Replicas)))
-	p.line("stop", fmt.Sprintf("%v after SIGTERM", server.KilledAfter(c.Settings)))
+	p.line("stop", fmt.Sprintf("%v after SIGTERM", server.KillDelay(c.Settings)))
 	p.line("log", log(ops.Log))
 	p.line()
 	p.line("class", "effect", "aim", "stretch", "deadline", "worth", "late", "kinds", "zones")
--- a/internal/server/addresses_test.go
+++ b/internal/server/addresses_test.go
@@ -19,8 +19,8 @@
 	return c
 }
 
-// gone expects that a connection ends without a byte.
-func (s *started) gone(c net.Conn, sends string) {
+// expectClosed expects that a connection ends without a byte.
+func (s *started) expectClosed(c net.Conn, sends string) {
 	_, _ = io.WriteString(c, sends)
 	b, _ := io.ReadAll(c) // a reset ends it too
 	if len(b) > 0 {
@@ -28,8 +28,8 @@
 	}
 }
 
-// Over real sockets: who may not connect is closed and logged, on both listeners; a front's header names the client on
-// each line; from others, or malformed, it closes the link.
+// Over real sockets: who may not connect is closed and logged, on both listeners; a load balancer's header names the client on
+// each line; from others, or malformed, it closes the connection.
 func TestAddressLists(t *testing.T) {
 	port := freePort(t)
 	s := startWith(t, conf, "[addresses]\nallow = ['127.0.0.0/8']\ndeny = ['127.0.0.66/32']\ntrusted_fronts = ['127.0.0.9/32']\n"+
@@ -40,31 +40,31 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.gone(c, "")
+		s.expectClosed(c, "")
 		s.log(`level=WARN msg="connection refused" scheduler=n0 why="in addresses.deny" client=` + c.LocalAddr().String())
 		_ = c.Close()
 	}
 	const v2 = "\r\n\r\n\x00\r\nQUIT\n\x21\x11\x00\x0c\xcb\x00\x71\x07\x0a\x14\x00\x01\xc9\x3a\x23\x28"
 	for _, header := range []string{"PROXY TCP4 203.0.113.7 10.20.0.1 51514 9000\r\n", v2} {
 		c := s.from("127.0.0.9")
-		_, _ = io.WriteString(c, header+query)
-		if line, _ := bufio.NewReader(c).ReadString('\n'); line != givenUp {
+		_, _ = io.WriteString(c, header+request)
+		if line, _ := bufio.NewReader(c).ReadString('\n'); line != unavailable {
 			t.Errorf("after %q: %q", header, line)
 		}
 		whose := " client=203.0.113.7:51514 via=" + c.LocalAddr().String()
 		s.log(`msg="client link open" scheduler=n0` + whose)
 		s.log(`msg="query answered" scheduler=n0 query=1 status=503` + whose)
-		stranger := s.from("127.0.0.10")
-		s.gone(stranger, header+query)
-		s.log(`why="PROXY header from an address that is not trusted" client=` + stranger.LocalAddr().String())
+		untrusted := s.from("127.0.0.10")
+		s.expectClosed(untrusted, header+request)
+		s.log(`why="PROXY header from an address that is not trusted" client=` + untrusted.LocalAddr().String())
 	}
 	c := s.from("127.0.0.9")
-	s.gone(c, "PROXY TCP4 nowhere\r\n"+query)
+	s.expectClosed(c, "PROXY TCP4 nowhere\r\n"+request)
 	s.log(`msg="link closed" scheduler=n0 why="malformed PROXY header" client=` + c.LocalAddr().String())
 	c = s.from("127.0.0.9")
-	_, _ = io.WriteString(c, "\r\n\r\n\x00\r\nQUIT\n\x20\x00\x00\x00GET /up HTTP/1.1\r\n\r\n") // the front's own
+	_, _ = io.WriteString(c, "\r\n\r\n\x00\r\nQUIT\n\x20\x00\x00\x00GET /up HTTP/1.1\r\n\r\n") // the load balancer's own
 	if line, _ := bufio.NewReader(c).ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
-		t.Errorf("/up by the front itself: %q", line)
+		t.Errorf("/up by the load balancer itself: %q", line)
 	}
 	own := c.LocalAddr().String()
 	s.log(`msg="client link open" scheduler=n0 client=` + own + " via=" + own)
--- a/internal/server/capture_test.go
+++ b/internal/server/capture_test.go
@@ -12,8 +12,8 @@
 	"valvecove/internal/config"
 )
 
-// dumped asks for the capture and reads the log up to its end.
-func (s *started) dumped() string {
+// dumpCapture asks for the capture and reads the log up to its end.
+func (s *started) dumpCapture() string {
 	s.signal(syscall.SIGUSR1)
 	var text strings.Builder
 	for s.lines.Scan() {
@@ -31,12 +31,12 @@
 func TestCaptureAndReplay(t *testing.T) {
 	w := work(t, "[capture]")
 	answer := w.submit("9b1f03aa5c7e2d41")
-	w.take()
-	w.tell(`{"id":"9b1f03aa5c7e2d41","from":"s-1","state":"started"}`)
-	w.tell(`{"id":"9b1f03aa5c7e2d41","from":"s-1","state":"done","result":"booked: 42 rupees"}`)
+	w.accept()
+	w.callBack(`{"id":"9b1f03aa5c7e2d41","from":"s-1","state":"started"}`)
+	w.callBack(`{"id":"9b1f03aa5c7e2d41","from":"s-1","state":"done","result":"booked: 42 rupees"}`)
 	body(t, answer)
 	_, _ = w.talk("POST /b HTTP/1.1\r\nX-Call-Class: b\r\nContent-Length: 0\r\n\r\n").ReadString('\n')
-	text := w.dumped()
+	text := w.dumpCapture()
 	w.stop()
 	for _, want := range []string{
 		`"in":"head","id":"9b1f03aa5c7e2d41","method":"POST","path":"/a","class":"a","tenant":"swat-society"`,
@@ -56,8 +56,8 @@
 	garbage := filepath.Join(t.TempDir(), "garbage")
 	w.write(garbage, "msg=draining\n"+`{"time":"2026-01-01T00:00:00Z","level":"INFO","msg":"draining"}`+"\n")
 	for _, c := range []struct {
-		file, ops, out, warning string
-		code                    int
+		file, ops, output, warning string
+		code                       int
 	}{
 		{file, "", "", "", 0},
 		{file, "[replay.settings.classes.a]\npromise = 1", "9b1f03aa5c7e2d41 was s-1, now ", "", 1},
@@ -69,21 +69,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var out, warnings bytes.Buffer
-		code := capture.ReplayCommand(c.file, ops, &out, &warnings)
-		if code != c.code || !strings.Contains(out.String(), c.out) || !strings.Contains(warnings.String(), c.warning) || c.out == "" && out.Len() > 0 {
-			t.Errorf("%s with %q: %d, %q, %q", c.file, c.ops, code, out.String(), warnings.String())
+		var output, warnings bytes.Buffer
+		code := capture.ReplayCommand(c.file, ops, &output, &warnings)
+		if code != c.code || !strings.Contains(output.String(), c.output) || !strings.Contains(warnings.String(), c.warning) || c.output == "" && output.Len() > 0 {
+			t.Errorf("%s with %q: %d, %q, %q", c.file, c.ops, code, output.String(), warnings.String())
 		}
 	}
 }
 
 // A log that nobody takes in holds up neither the jobs nor the end, whatever is on.
 func TestLogStuck(t *testing.T) {
-	t.Run("capture", func(t *testing.T) { stuck(t, "[capture]") })
-	t.Run("no feature", func(t *testing.T) { stuck(t, "[log]\nlevel = 'debug'") })
+	t.Run("capture", func(t *testing.T) { testStuckLog(t, "[capture]") })
+	t.Run("no feature", func(t *testing.T) { testStuckLog(t, "[log]\nlevel = 'debug'") })
 }
 
-func stuck(t *testing.T, ops string) {
+func testStuckLog(t *testing.T, ops string) {
 	t.Helper()
 	logs, log, err := os.Pipe()
 	if err != nil {
@@ -112,8 +112,8 @@
 	if ops == "[capture]" {
 		s.signal(syscall.SIGUSR1)
 	}
-	if line, _ := s.talk(query).ReadString('\n'); line != givenUp {
-		t.Errorf("a query while the log is stuck: %q", line)
+	if line, _ := s.talk(request).ReadString('\n'); line != unavailable {
+		t.Errorf("a request while the log is stuck: %q", line)
 	}
 	s.signal(syscall.SIGTERM)
 	if err := <-s.end; err != nil {
--- /dev/null
+++ b/internal/server/drain.go
@@ -0,0 +1,87 @@
+package server
+
+import (
+	"errors"
+	"time"
+
+	"valvecove/internal/config"
+	"valvecove/internal/link"
+)
+
+// After SIGTERM new connections still come for a moment, and clients keep using those that they have. SIGKILL comes no
+// sooner than the longest client timeout, of which maxDrain counts at most, and killMargin more. A request that comes later
+// than killMargin after SIGTERM must be answered before that.
+const (
+	maxDrain   = 3 * time.Second
+	killMargin = 700 * time.Millisecond
+)
+
+// Steps of the drain, by the time that is left until SIGKILL.
+const (
+	closeBeforeKill        = 900 * time.Millisecond // a request that comes later would hardly be served in time
+	rejectQueuedBeforeKill = 300 * time.Millisecond // what came late, or was never sent, is answered
+	finishAllBeforeKill    = 150 * time.Millisecond // whatever is still open is answered
+)
+
+const (
+	// handOverLinger is how long a replaced process stays, for operators' calls that are under way.
+	handOverLinger = 500 * time.Millisecond
+	// handOverRetryDelay is how long a hand-over waits for state that is not settled yet.
+	handOverRetryDelay = time.Millisecond
+)
+
+// KillDelay returns how long after SIGTERM a scheduler stays, which is when SIGKILL comes at the earliest.
+func KillDelay(settings config.Settings) time.Duration {
+	delay := killMargin
+	for _, class := range settings.Classes {
+		delay = max(delay, killMargin+min(class.ClientTimeout, maxDrain))
+	}
+	return delay
+}
+
+// stop begins to drain, or ends a process that only stands by. It does so once: a second SIGTERM must not begin the drain
+// anew.
+func (s *server) stop() {
+	if !s.advance(draining) {
+		return
+	}
+	if s.loop.LeaveStandby() {
+		s.logger.Info("standing down")
+		s.advance(finished)
+		return
+	}
+	s.logger.Info("draining")
+	s.drain()
+	s.handOver()
+}
+
+// drain serves on for as long as there is time to, and sees to it that nothing is left unanswered.
+func (s *server) drain() {
+	delay := KillDelay(s.conf.Settings)
+	s.loop.Drain()
+	s.loop.After(max(delay-closeBeforeKill, delay/2), s.loop.Close)
+	s.loop.After(delay-rejectQueuedBeforeKill, func() {
+		s.loop.FinishRequestsSince(delay - rejectQueuedBeforeKill - killMargin)
+		s.loop.RejectQueued()
+	})
+	s.loop.After(delay-finishAllBeforeKill, s.loop.FinishAllRequests)
+	// Until then it stays even with nothing in flight. One that has ended looks like one that has died: the load balancer
+	// takes seconds to notice, and clients go on to try it. One that is there answers 503.
+	s.loop.After(delay, s.finish)
+}
+
+// finish has the loop end once it is quiet.
+func (s *server) finish() { s.advance(finished) }
+
+// handOver gives all state to the process that is to replace this one, if one stands by. Should it fail, this one drains on.
+func (s *server) handOver() {
+	err := s.loop.Relinquish()
+	switch {
+	case err == nil:
+		s.loop.After(handOverLinger, s.finish)
+	case errors.Is(err, link.ErrNotSettled):
+		s.loop.After(handOverRetryDelay, s.handOver)
+	case !errors.Is(err, link.ErrNoSuccessor):
+		s.logger.Error("still the owner", "error", err)
+	}
+}
--- a/internal/server/log_test.go
+++ b/internal/server/log_test.go
@@ -9,35 +9,35 @@
 	"testing"
 )
 
-// A scheduler that knows 10,000 worker nodes at its start says so in few lines; in JSON each is an object with the
+// A scheduler that knows 10,000 workers at its start says so in few lines; in JSON each is an object with the
 // fields that it should have.
 func TestLogOfALargeStart(t *testing.T) {
-	hosts := ""
+	endpoints := ""
 	for n := range 9_999 {
-		hosts += fmt.Sprintf(`{"instanceId":"t-%d","lifecycle":"up"},`, n)
+		endpoints += fmt.Sprintf(`{"instanceId":"t-%d","lifecycle":"up"},`, n)
 	}
 	discovery, err := net.Listen("tcp", "127.0.0.1:0") // it takes the call and says nothing, so that no watch is lost
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = discovery.Close() }()
-	s := startWith(t, strings.NewReplacer(`"instances":[`, `"instances":[`+hosts, "127.0.0.1:1", discovery.Addr().String()).
+	s := startWith(t, strings.NewReplacer(`"instances":[`, `"instances":[`+endpoints, "127.0.0.1:1", discovery.Addr().String()).
 		Replace(conf), "[log]\nformat = 'json'")
 	s.signal(syscall.SIGTERM)
 	if err := <-s.end; err != nil {
 		t.Error(err)
 	}
-	lines, told := 1, 0
+	lines, reported := 1, 0
 	for ; s.lines.Scan(); lines++ {
 		var f map[string]any
 		if err := json.Unmarshal(s.lines.Bytes(), &f); err != nil || f["time"] == nil || f["level"] != "INFO" || f["scheduler"] != "n0" {
 			t.Errorf("%q: %v", s.lines.Text(), err)
 		}
 		if added, ok := f["added"].(float64); ok {
-			told += int(added)
+			reported += int(added)
 		}
 	}
-	if lines > 5 || told != 10_000 {
-		t.Errorf("%d lines, %d hosts told", lines, told)
+	if lines > 5 || reported != 10_000 {
+		t.Errorf("%d lines, %d endpoints reported", lines, reported)
 	}
 }
--- a/internal/server/figures_test.go
+++ b/internal/server/metrics_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// collect listens for figures.
+// collect listens for metrics.
 func collect(t *testing.T, at string) net.PacketConn {
 	t.Helper()
 	l, err := net.ListenPacket("udp", at)
@@ -21,8 +21,8 @@
 	return l
 }
 
-// heard reads batches until one has the text that is wanted.
-func heard(t *testing.T, from net.PacketConn, want string, most int) {
+// awaitBatch reads batches until one has the text that is wanted.
+func awaitBatch(t *testing.T, from net.PacketConn, want string, maxBytes int) {
 	t.Helper()
 	b := make([]byte, 1<<16)
 	for {
@@ -30,7 +30,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n >= most || bytes.HasSuffix(b[:n], []byte("\n")) {
+		if n >= maxBytes || bytes.HasSuffix(b[:n], []byte("\n")) {
 			t.Errorf("a batch of %d bytes: %q", n, b[:n])
 		}
 		if bytes.Contains(b[:n], []byte(want)) {
@@ -42,23 +42,23 @@
 // serve has a job done.
 func (w *worked) serve(id string) {
 	answer := w.submit(id)
-	w.take()
-	w.tell(`{"id":"` + id + `","from":"s-1","state":"started"}`)
-	w.tell(`{"id":"` + id + `","from":"s-1","state":"done","result":"booked"}`)
+	w.accept()
+	w.callBack(`{"id":"` + id + `","from":"s-1","state":"started"}`)
+	w.callBack(`{"id":"` + id + `","from":"s-1","state":"done","result":"booked"}`)
 	if status, text := body(w.T, answer); status != "200" || text != "booked" {
 		w.Errorf("%s: %s %s", id, status, text)
 	}
 }
 
-const servedFigure = "valvecove.jobs:1|c|#tenant:swat-society,class:a,outcome:served"
+const servedLine = "valvecove.jobs:1|c|#tenant:swat-society,class:a,outcome:served"
 
-// A collector hears of each job; once it is gone jobs are served as ever, and batches that are lost are counted, as the
-// file beside it tells; when it is back it hears figures again.
-func TestFiguresByUDP(t *testing.T) {
+// A collector gets each job; once it is closed jobs are served as before, and batches that are lost are counted, as the
+// file beside it says; when it is back it gets metrics again.
+func TestMetricsByUDP(t *testing.T) {
 	l, file := collect(t, "127.0.0.1:0"), filepath.Join(t.TempDir(), "figures")
 	w := work(t, "[figures]\nflush_ms = 10\nmax_batch_bytes = 300\nudp_target = '"+l.LocalAddr().String()+"'\nfile = '"+file+"'")
 	w.serve("1")
-	heard(t, l, servedFigure, 300)
+	awaitBatch(t, l, servedLine, 300)
 	at := l.LocalAddr().String()
 	_ = l.Close()
 	for n, text := 2, []byte{}; !bytes.Contains(text, []byte("valvecove.figures_send_errors:")); n++ {
@@ -69,30 +69,30 @@
 		}
 	}
 	l = collect(t, at)
-	heard(t, l, "valvecove.open:0|g|#tenant:swat-society,class:a", 300)
+	awaitBatch(t, l, "valvecove.open:0|g|#tenant:swat-society,class:a", 300)
 	w.stop()
 }
 
 // What has not been flushed is at the end, to a file or to standard error; with both a file and a collector both get it.
-func TestLastFigures(t *testing.T) {
+func TestMetricsAreFlushedAtTheEnd(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "figures")
 	l := collect(t, "127.0.0.1:0")
 	w := work(t, "[figures]\nflush_ms = 3600000\nfile = '"+file+"'\nudp_target = '"+l.LocalAddr().String()+"'")
 	w.serve("1")
 	w.stop()
 	text, err := os.ReadFile(file)
-	if err != nil || strings.Count(string(text), servedFigure+"\n") != 1 {
+	if err != nil || strings.Count(string(text), servedLine+"\n") != 1 {
 		t.Errorf("%v, %q", err, text)
 	}
-	heard(t, l, servedFigure, 1400)
+	awaitBatch(t, l, servedLine, 1400)
 	w = work(t, "[figures]\nflush_ms = 3600000")
 	w.serve("1")
 	w.stop()
-	w.log(servedFigure)
+	w.log(servedLine)
 }
 
 // A file that can't be opened ends the start.
-func TestFiguresFile(t *testing.T) {
+func TestMetricsFileCannotBeOpened(t *testing.T) {
 	s := &started{T: t, path: t.TempDir() + "/config.json", ops: t.TempDir() + "/ops.toml"}
 	s.configure(conf)
 	s.write(s.ops, "[figures]\nfile = '"+t.TempDir()+"/none/figures'")
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,18 +1,15 @@
-// Package server is start and stop: limits, readiness, signals, drain, and a new configuration under way.
+// Package server runs a scheduler process: it loads the configuration, opens the event loop, and handles signals, reloads,
+// the drain at the end and the hand-over to a successor. It owns the process's limits and its log. It decides nothing about
+// requests and opens no connection itself.
 package server
 
 import (
 	"cmp"
-	"errors"
-	"fmt"
 	"io"
 	"log/slog"
-	"math"
 	"os"
 	"os/signal"
-	"runtime"
 	"runtime/debug"
-	"strings"
 	"syscall"
 	"time"
 
@@ -20,227 +17,140 @@
 	"valvecove/internal/config"
 	"valvecove/internal/link"
 	"valvecove/internal/logging"
-	"valvecove/internal/metrics"
 )
 
-// After SIGTERM new connections still come for a moment, and clients keep using the links that they have. SIGKILL
-// comes no sooner than the longest deadline, or killAfter where that is longer, and killSpare more. What comes later
-// than killSpare after SIGTERM must be answered before that.
+// flushTimeout is how long, at the end, a log or a disk is given to take what is pending.
+const flushTimeout = 200 * time.Millisecond
+
+// maxPendingLog is how many bytes of log, or of metrics for a file, may be pending.
+const maxPendingLog = 256 << 10
+
+// server is a scheduler process. All its methods run in the event loop.
+type server struct {
+	getenv    func(string) string
+	conf      config.Config
+	loop      *link.Loop
+	state     state
+	failure   error // of the loop; nil: none
+	logWriter *asyncwriter.Writer
+	logger    *slog.Logger
+}
+
+// state is how far a server has come.
+type state int
+
 const (
-	killAfter = 3 * time.Second
-	killSpare = 700 * time.Millisecond
-	lastTaken = 900 * time.Millisecond // before SIGKILL: a query that comes later would hardly be served in time
-	lastWords = 300 * time.Millisecond // before SIGKILL: whatever came late, or was never sent, is answered
-	lastOfAll = 150 * time.Millisecond // before SIGKILL: whatever is still open is answered
-	lastCalls = 500 * time.Millisecond // after a hand-over: for operators whose calls are under way
-	lastFlush = 200 * time.Millisecond // at the end: for a log or a disk that takes in what waits
-
-	logWaiting = 256 << 10 // bytes of log that may wait
+	serving  state = iota
+	draining       // was told to stop
+	finished       // stays only until its last responses are written
 )
 
-// scheduler is one that runs.
-type scheduler struct {
-	env      func(string) string
-	conf     config.Config
-	loop     *link.Loop
-	draining bool
-	over     bool                // there is nothing more to stay for
-	failed   error               // why it can't go on
-	spool    *asyncwriter.Writer // before standard error
-	log      *slog.Logger
+// String returns the state's name.
+func (s state) String() string { return [...]string{"serving", "draining", "finished"}[s] }
+
+// advance makes the transition to a later state. It reports whether the server was not there yet.
+func (s *server) advance(next state) bool {
+	if next <= s.state {
+		return false
+	}
+	s.state = next
+	return true
 }
 
-// Run runs until it has been told to stop and has drained. ops names the operators' file; without one no
-// feature is on.
-func Run(env func(string) string, ops string, log io.Writer) error {
-	// From the first moment on: by default SIGHUP ends a process, and with it all that it has taken.
+// Run runs a scheduler until it was told to stop and has drained, or has been replaced. opsPath names the operators' file;
+// without one no feature is on. An error is a fault of the start, or one that the loop can't go on with.
+func Run(getenv func(string) string, opsPath string, log io.Writer) error {
+	// From the first moment on: by default SIGHUP ends a process, and with it all that it has admitted.
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
 	signal.Ignore(syscall.SIGPIPE)
-	c, err := config.Load(env)
-	if err != nil {
-		return err
-	}
-	features, err := config.LoadOps(ops)
-	if err == nil {
-		err = features.Check(c)
-	}
+	conf, ops, err := loadConfig(getenv, opsPath)
 	if err != nil {
 		return err
 	}
-	limit(c.Limits)
-	// Standard error may be slow or gone: nobody waits for it.
-	s := &scheduler{env: env, conf: c, spool: asyncwriter.NewWriter(log, logWaiting, func(n uint64) string {
-		return logging.FormatLine(features.Log, c.Name, slog.LevelWarn, "log lost, as it was not taken in", slog.Uint64("pieces", n))
-	})}
-	defer s.spool.Close(lastFlush)
-	logs := logging.NewFactory(features.Log, c.Name, s.spool)
-	s.log = logs.NewLogger()
-	if features.Capture != nil {
+	applyLimits(conf.Limits)
+	instance := &server{getenv: getenv, conf: conf, logWriter: newLogWriter(log, ops.Log, conf.Name)}
+	defer instance.logWriter.Close(flushTimeout)
+	if ops.Capture != nil {
 		signal.Notify(signals, syscall.SIGUSR1)
 	}
-	var targets []metrics.Target
-	if f := features.Metrics; f != nil && f.File != "" {
-		file, err := os.OpenFile(f.File, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o640)
-		if err != nil {
-			return fmt.Errorf("key \"figures.file\": %w", err)
-		}
-		defer func() { _ = file.Close() }()
-		lines := asyncwriter.NewWriter(file, logWaiting, nil)
-		defer lines.Close(lastFlush)
-		targets = append(targets, offered{lines})
-	} else if f != nil && !f.UDPTarget.IsValid() {
-		targets = append(targets, offered{s.spool})
-	}
-	loop, err := link.Open(c, features, logs, targets...)
+	targets, err := instance.openMetricTargets(ops.Metrics)
 	if err != nil {
 		return err
 	}
-	if s.loop = loop; loop.Capture != nil {
-		defer loop.Capture.Close(lastFlush)
-	}
-	defer loop.FlushMetrics()
-	told, end := make(chan os.Signal, cap(signals)), make(chan struct{})
-	loop.OnWake(func() {
-		for len(told) > 0 {
-			s.told(<-told)
-		}
-	})
-	defer close(end)
-	go func() {
-		for {
-			select {
-			case sig := <-signals:
-				told <- sig
-				loop.Wake()
-			case <-end:
-				return
-			}
-		}
-	}()
-	loop.OnShareLimits(func(half bool) {
-		most := HeapLimit(s.conf.Limits)
-		if half {
-			most /= 2
-		}
-		debug.SetMemoryLimit(most)
-	})
-	loop.OnFail(func(err error) { s.failed = err })
-	loop.OnSuccessor(func() {
-		if s.draining { // it has come late, but not too late
-			s.loop.After(0, s.handOver)
-		}
-	})
-	if at := loop.Addr(); at.IsValid() {
-		s.log.Info("listening", "addr", at.String())
-	} else {
-		s.log.Info("another process serves here, and is to be replaced")
+	defer targets.close()
+	if err := instance.open(ops, targets); err != nil {
+		return err
 	}
-	err = loop.Run(func() bool { return s.over && loop.IsQuiet() || s.failed != nil })
-	return cmp.Or(err, s.failed)
+	defer instance.close()
+	defer instance.forwardSignals(signals)()
+	err = instance.loop.Run(instance.hasEnded)
+	return cmp.Or(err, instance.failure)
 }
 
-// offered is a target of figures that a spool stands before.
-type offered struct{ *asyncwriter.Writer }
-
-// Send hands a batch on whole.
-func (o offered) Send(batch []byte) error { return o.TryWrite(batch) }
-
-// told does what a signal asks for. It runs in the loop.
-func (s *scheduler) told(sig os.Signal) {
-	switch {
-	case sig == syscall.SIGHUP:
-		s.reload()
-	case sig == syscall.SIGUSR1:
-		s.dump()
-	case !s.draining: // once: a second SIGTERM must not begin the drain anew
-		s.draining = true
-		if s.loop.LeaveStandby() {
-			s.log.Info("standing down")
-			s.over = true
-			return
-		}
-		s.log.Info("draining")
-		s.drain()
-		s.handOver()
+// loadConfig loads the platform's file and the operators' file, and checks them against each other.
+func loadConfig(getenv func(string) string, opsPath string) (config.Config, config.Ops, error) {
+	conf, err := config.Load(getenv)
+	if err != nil {
+		return config.Config{}, config.Ops{}, err
 	}
-}
-
-// dump writes a copy of what the capture holds to the log, in one piece.
-func (s *scheduler) dump() {
-	held := s.loop.Capture.Dump()
-	switch {
-	case held == nil:
-		s.log.Info("the capture is in files", "pieces_lost", s.loop.Capture.Lost())
-	case s.spool.WriteLarge(held):
-		s.log.Info("capture written", "bytes", len(held), "segments_lost", s.loop.Capture.Lost())
-	default:
-		s.log.Warn("a capture is still being written")
+	ops, err := config.LoadOps(opsPath)
+	if err == nil {
+		err = ops.Check(conf)
 	}
+	return conf, ops, err
 }
 
-// drain serves on for as long as there is time to, and sees to it that nothing is left unanswered.
-func (s *scheduler) drain() {
-	killed := KilledAfter(s.conf.Settings)
-	s.loop.Drain()
-	s.loop.After(max(killed-lastTaken, killed/2), s.loop.Close)
-	s.loop.After(killed-lastWords, func() {
-		s.loop.FinishRequestsSince(killed - lastWords - killSpare)
-		s.loop.RejectQueued()
+// newLogWriter returns a writer in front of the log, which may be slow or gone: nobody waits for it.
+func newLogWriter(log io.Writer, conf config.Log, scheduler string) *asyncwriter.Writer {
+	return asyncwriter.NewWriter(log, maxPendingLog, func(pieces uint64) string {
+		return logging.FormatLine(conf, scheduler, slog.LevelWarn, "log lost, as it was not taken in", slog.Uint64("pieces", pieces))
 	})
-	s.loop.After(killed-lastOfAll, s.loop.FinishAllRequests)
-	// Until then it stays even with nothing in hand. One that has ended looks like one that has died: the front takes
-	// seconds to notice, and clients go on to try it. One that is there answers 503.
-	s.loop.After(killed, func() { s.over = true })
-}
-
-// handOver gives all that is here to the process that is to replace this one, if one stands by. Should it fail, this one
-// drains on.
-func (s *scheduler) handOver() {
-	switch err := s.loop.Relinquish(); {
-	case err == nil:
-		s.loop.After(lastCalls, func() { s.over = true })
-	case errors.Is(err, link.ErrNotSettled):
-		s.loop.After(time.Millisecond, s.handOver)
-	case !errors.Is(err, link.ErrNoSuccessor):
-		s.log.Error("still the owner", "error", err)
-	}
 }
 
-// reload goes on by the file as it is now; one with a fault changes nothing. While draining too: queries in hand
-// still need worker nodes, and drains and starts among those are still to be heard of.
-func (s *scheduler) reload() {
-	next, kept, err := s.conf.Reload(s.env)
+// open opens the loop.
+func (s *server) open(ops config.Ops, targets metricTargets) error {
+	loggers := logging.NewFactory(ops.Log, s.conf.Name, s.logWriter)
+	s.logger = loggers.NewLogger()
+	loop, err := link.Open(s.conf, ops, loggers, targets.targets...)
 	if err != nil {
-		s.log.Error("configuration kept as it was", "error", err)
-		return
+		return err
 	}
-	limit(next.Limits)
-	s.loop.Reload(next)
-	s.conf = next
-	s.log.Info("configuration read anew", "discovery", next.Discovery.String())
-	if len(kept) > 0 {
-		s.log.Warn("some of it changes at the next start only", "keys", strings.Join(kept, " "))
+	s.loop = loop
+	loop.OnShareLimits(s.shareMemory)
+	loop.OnFail(func(err error) { s.failure = err })
+	loop.OnSuccessor(func() {
+		if s.state != serving { // it has come late, but not too late
+			s.loop.After(0, s.handOver)
+		}
+	})
+	if address := loop.Addr(); address.IsValid() {
+		s.logger.Info("listening", "addr", address.String())
+	} else {
+		s.logger.Info("another process serves here, and is to be replaced")
 	}
+	return nil
 }
 
-// limit keeps the runtime inside what the machine allows.
-func limit(l config.Limits) {
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(l.Cores))))
-	debug.SetMemoryLimit(HeapLimit(l))
-	debug.SetGCPercent(200)
+// close writes out what the features hold.
+func (s *server) close() {
+	s.loop.FlushMetrics()
+	if s.loop.Capture != nil {
+		s.loop.Capture.Close(flushTimeout)
+	}
 }
 
-// HeapLimit is how many bytes the collector is held to. Memory beyond the heap needs room too, and running into the
-// cap is a crash, so it works harder well before that.
-func HeapLimit(l config.Limits) int64 { return int64(l.MemoryMB) << 20 * 6 / 10 }
+// hasEnded reports whether the loop is to end.
+func (s *server) hasEnded() bool {
+	return s.state == finished && s.loop.IsQuiet() || s.failure != nil
+}
 
-// KilledAfter is how long after SIGTERM a scheduler stays, which is when SIGKILL is due.
-func KilledAfter(s config.Settings) time.Duration {
-	killed := killSpare
-	for _, c := range s.Classes {
-		killed = max(killed, killSpare+min(c.ClientTimeout, killAfter))
+// shareMemory limits memory to half of what is configured while another process shares it.
+func (s *server) shareMemory(half bool) {
+	limit := HeapLimit(s.conf.Limits)
+	if half {
+		limit /= 2
 	}
-	return killed
+	debug.SetMemoryLimit(limit)
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -103,47 +103,46 @@
 	return l
 }
 
-// hears expects a connection and the first line that comes on it.
-func (s *started) hears(l net.Listener, want string) {
+// expectLine expects a connection and the first line that comes on it.
+func (s *started) expectLine(l net.Listener, want string) {
 	c, err := l.Accept()
 	if err != nil {
 		s.Fatal(err)
 	}
 	s.Cleanup(func() { _ = c.Close() })
 	if line, _ := bufio.NewReader(c).ReadString('\n'); line != want+" HTTP/1.1\r\n" {
-		s.Errorf("heard %q, expected %s", line, want)
+		s.Errorf("received %q, expected %s", line, want)
 	}
 }
 
 const (
-	query = "POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: 1\r\nContent-Length: 0\r\n\r\n"
-	// The only worker node refuses connections, so the module gives a query up sooner or later.
-	givenUp = "HTTP/1.1 503 Service Unavailable\r\n"
+	request = "POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: 1\r\nContent-Length: 0\r\n\r\n"
+	// The only worker refuses connections, so the policy gives a request up sooner or later.
+	unavailable = "HTTP/1.1 503 Service Unavailable\r\n"
 )
 
-// A scheduler is up once it can serve; told to stop with a query in hand, it answers that and ends without a
-// fault.
+// A scheduler is up once it can serve. On SIGTERM with a request in flight it responds to that and ends without an error.
 func TestStartAndDrain(t *testing.T) {
 	s := start(t, conf)
 	if line, _ := s.talk("GET /up HTTP/1.1\r\n\r\n").ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
 		t.Errorf("/up: %q", line)
 	}
-	answer := s.talk(query)
-	told := time.Now()
+	answer := s.talk(request)
+	stoppedAt := time.Now()
 	s.signal(syscall.SIGTERM)
-	if line, _ := answer.ReadString('\n'); line != givenUp {
-		t.Errorf("the query in hand: %q", line)
+	if line, _ := answer.ReadString('\n'); line != unavailable {
+		t.Errorf("the request in flight: %q", line)
 	}
 	if err := <-s.end; err != nil {
 		t.Error(err)
 	}
-	// With nothing in hand it stays all the same: gone early, it would look as if it had died.
-	if stayed, due := time.Since(told), 500*time.Millisecond+killSpare; stayed < due {
-		t.Errorf("ended %v after SIGTERM, %v before SIGKILL is due", stayed, due-stayed)
+	// With nothing in flight it stays all the same: ended early, it would look as if it had died.
+	if stayed, killDelay := time.Since(stoppedAt), 500*time.Millisecond+killMargin; stayed < killDelay {
+		t.Errorf("ended %v after SIGTERM, %v before SIGKILL is due", stayed, killDelay-stayed)
 	}
 }
 
-// On SIGHUP the file is read again: its discovery is watched, and a query in hand is still answered. A file with
+// On SIGHUP the file is read again: its discovery is watched, and a request in flight still gets its response. A file with
 // a fault is logged with its key and changes nothing; another one, while draining, is still heeded.
 func TestReload(t *testing.T) {
 	worker, second, third := listen(t), listen(t), listen(t)
@@ -153,71 +152,71 @@
 			"500000", "60000000", `"discovery":"127.0.0.1:1"`, `"discovery":"`+discovery.Addr().String()+`"`).Replace(conf)
 	}
 	s := start(t, with(worker))
-	answer, other := s.talk(query), s.dial()
+	answer, other := s.talk(request), s.dial()
 	s.configure(with(second))
 	s.signal(syscall.SIGHUP)
 	s.log(`msg="configuration read anew" scheduler=n0 discovery=` + second.Addr().String())
-	s.hears(second, watch)
+	s.expectLine(second, watch)
 	s.configure(strings.Replace(with(third), `"sockets":64`, `"sockets":6`, 1))
 	s.signal(syscall.SIGHUP)
 	s.log(`level=ERROR msg="configuration kept as it was" scheduler=n0 error="` + s.path + `: key \"limits.sockets\"`)
 	s.signal(syscall.SIGTERM)
 	s.log("draining")
 	_, _ = io.WriteString(other, "GET /up HTTP/1.1\r\n\r\n") // a client goes on using the link that it has
-	if line, _ := bufio.NewReader(other).ReadString('\n'); line != givenUp {
+	if line, _ := bufio.NewReader(other).ReadString('\n'); line != unavailable {
 		t.Errorf("/up while draining: %q", line)
 	}
 	s.configure(with(third))
 	s.signal(syscall.SIGHUP)
 	s.log(`msg="configuration read anew" scheduler=n0 discovery=` + third.Addr().String())
-	s.hears(third, watch)
-	const note = `{"id":"1","from":"s-1","state":"done","result":"r"}`
-	s.talk("POST /v1/job-events HTTP/1.1\r\nContent-Length: " + strconv.Itoa(len(note)) + "\r\n\r\n" + note)
+	s.expectLine(third, watch)
+	const callback = `{"id":"1","from":"s-1","state":"done","result":"r"}`
+	s.talk("POST /v1/job-events HTTP/1.1\r\nContent-Length: " + strconv.Itoa(len(callback)) + "\r\n\r\n" + callback)
 	if line, _ := answer.ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
-		t.Errorf("the query in hand: %q", line)
+		t.Errorf("the request in flight: %q", line)
 	}
 	if err := <-s.end; err != nil {
 		t.Error(err)
 	}
 }
 
-// Told to stop before any list of worker nodes has come, it refuses what it holds and ends without a fault.
+// On SIGTERM before any endpoint list has come, it rejects what is queued and ends without an error.
 func TestTermBeforeTheFirstList(t *testing.T) {
 	from, to := strings.Index(conf, `"known"`), strings.Index(conf, `"settings"`)
 	s := start(t, strings.NewReplacer("80000", "50000000", "500000", "60000000").Replace(conf[:from]+conf[to:]))
-	if line, _ := s.talk("GET /up HTTP/1.1\r\n\r\n").ReadString('\n'); line != givenUp {
+	if line, _ := s.talk("GET /up HTTP/1.1\r\n\r\n").ReadString('\n'); line != unavailable {
 		t.Errorf("/up: %q", line)
 	}
-	answer := s.talk(query)
+	answer := s.talk(request)
 	s.signal(syscall.SIGTERM)
-	if line, _ := answer.ReadString('\n'); line != givenUp {
-		t.Errorf("the query in hand: %q", line)
+	if line, _ := answer.ReadString('\n'); line != unavailable {
+		t.Errorf("the request in flight: %q", line)
 	}
 	if err := <-s.end; err != nil {
 		t.Error(err)
 	}
 }
 
-// A worker node that hangs while the scheduler is told to stop costs nobody the answer: a query that is out there, with
-// more time than is left until SIGKILL, gets its final one, and the process ends by itself.
-func TestWorkerNodeHangsAtTerm(t *testing.T) {
+// A worker that hangs on SIGTERM costs no client its response: a request that is in flight there, with more time than is
+// left until SIGKILL, gets its final response, and the process ends by itself.
+func TestTermWithAHangingWorker(t *testing.T) {
 	worker := listen(t)
 	s := start(t, strings.NewReplacer(`"hostPort":"127.0.0.1:1"`, `"hostPort":"`+worker.Addr().String()+`"`, "80000", "50000000",
 		"500000", "60000000").Replace(conf))
-	answer := s.talk(query)
-	s.hears(worker, "POST /a")
+	answer := s.talk(request)
+	s.expectLine(worker, "POST /a")
 	s.signal(syscall.SIGTERM)
 	if line, _ := answer.ReadString('\n'); line != "HTTP/1.1 500 Internal Server Error\r\n" {
-		t.Errorf("the query that is out: %q", line)
+		t.Errorf("the request that is in flight: %q", line)
 	}
 	if err := <-s.end; err != nil {
 		t.Error(err)
 	}
 }
 
-// Idle clients, however many, take nobody's place: with all descriptors for clients in use and discovery down, the scheduler
-// is ready, watches the next discovery, reaches worker nodes, and hears their notes.
-func TestIdleClientsTakeNobodysPlace(t *testing.T) {
+// Idle clients, however many, leave room for others: with all descriptors for clients in use and discovery down, the scheduler
+// is ready, watches the next discovery, reaches workers, and receives their callbacks.
+func TestIdleClientsLeaveRoomForOthers(t *testing.T) {
 	worker, discovery := listen(t), listen(t)
 	text := strings.NewReplacer(`"hostPort":"127.0.0.1:1"`, `"hostPort":"`+worker.Addr().String()+`"`, "80000", "50000000",
 		"500000", "60000000").Replace(conf)
@@ -232,16 +231,16 @@
 	}
 	s.configure(strings.Replace(text, `"discovery":"127.0.0.1:1"`, `"discovery":"`+discovery.Addr().String()+`"`, 1))
 	s.signal(syscall.SIGHUP)
-	s.hears(discovery, "GET /discovery/hosts?stream=1&index=0")
-	answer := s.talk(query)
-	s.hears(worker, "POST /a")
+	s.expectLine(discovery, "GET /discovery/hosts?stream=1&index=0")
+	answer := s.talk(request)
+	s.expectLine(worker, "POST /a")
 	for range 150 {
 		s.dial()
 	}
-	const note = `{"id":"1","from":"s-1","state":"done","result":"r"}`
-	s.talk("POST /v1/job-events HTTP/1.1\r\nContent-Length: " + strconv.Itoa(len(note)) + "\r\n\r\n" + note)
+	const callback = `{"id":"1","from":"s-1","state":"done","result":"r"}`
+	s.talk("POST /v1/job-events HTTP/1.1\r\nContent-Length: " + strconv.Itoa(len(callback)) + "\r\n\r\n" + callback)
 	if line, _ := answer.ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
-		t.Errorf("the query: %q", line)
+		t.Errorf("the request: %q", line)
 	}
 	s.signal(syscall.SIGTERM)
 	if err := <-s.end; err != nil {
@@ -254,7 +253,7 @@
 func TestPushedListIsWatched(t *testing.T) {
 	discovery := listen(t)
 	s := start(t, strings.Replace(conf, `"discovery":"127.0.0.1:1"`, `"discovery":"`+discovery.Addr().String()+`"`, 1))
-	s.hears(discovery, "GET /discovery/hosts?stream=1&index=1")
+	s.expectLine(discovery, "GET /discovery/hosts?stream=1&index=1")
 	s.signal(syscall.SIGTERM)
 	if err := <-s.end; err != nil {
 		t.Error(err)
--- a/internal/server/status_test.go
+++ b/internal/server/status_test.go
@@ -43,27 +43,27 @@
 	return status, strings.TrimSpace(string(b))
 }
 
-// worked is a scheduler and its one worker node, which the test plays.
+// worked is a scheduler and its one worker, which the test plays.
 type worked struct {
 	*started
-	host  net.Listener
-	polls *bufio.Reader
-	side  net.Conn
+	worker net.Listener
+	polls  *bufio.Reader
+	side   net.Conn
 }
 
-// work starts a scheduler whose jobs have a minute, with one worker node.
+// work starts a scheduler whose jobs have a minute, with one worker.
 func work(t *testing.T, ops string) *worked {
 	t.Helper()
-	w := &worked{host: listen(t)}
-	w.started = startWith(t, strings.NewReplacer(`"hostPort":"127.0.0.1:1"`, `"hostPort":"`+w.host.Addr().String()+`"`,
+	w := &worked{worker: listen(t)}
+	w.started = startWith(t, strings.NewReplacer(`"hostPort":"127.0.0.1:1"`, `"hostPort":"`+w.worker.Addr().String()+`"`,
 		"80000", "50000000", "500000", "60000000", `"settings":{`,
 		`"settings":{"domain":{"tells_start":true,"progress":2000000},"tenants":[{"name":"swat-society"}],`).Replace(conf), ops)
 	return w
 }
 
-// take plays the worker node, which accepts a request.
-func (w *worked) take() {
-	c, err := w.host.Accept()
+// accept plays the worker, which accepts a request.
+func (w *worked) accept() {
+	c, err := w.worker.Accept()
 	if err != nil {
 		w.Fatal(err)
 	}
@@ -76,11 +76,11 @@
 	return w.talk("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Caller: swat-society\r\nX-Call-Id: " + id + "\r\nContent-Length: 0\r\n\r\n")
 }
 
-// tell plays a worker node's note, and waits for its answer.
-func (w *worked) tell(note string) {
-	r := w.talk("POST /v1/job-events HTTP/1.1\r\nContent-Length: " + strconv.Itoa(len(note)) + "\r\n\r\n" + note)
+// callBack plays a worker's callback, and waits for the response.
+func (w *worked) callBack(callback string) {
+	r := w.talk("POST /v1/job-events HTTP/1.1\r\nContent-Length: " + strconv.Itoa(len(callback)) + "\r\n\r\n" + callback)
 	if line, _ := r.ReadString('\n'); line != "HTTP/1.1 204 No Content\r\n" {
-		w.Errorf("%s: %q", note, line)
+		w.Errorf("%s: %q", callback, line)
 	}
 }
 
@@ -100,8 +100,7 @@
 	}
 }
 
-// A branch follows a payout over real sockets: held back by nothing, sent, started, under way, done; and another
-// that its worker node loses. While draining too.
+// A client follows a job over real sockets: sent, started, under way, done. While draining too.
 func TestStatusCall(t *testing.T) {
 	port := freePort(t)
 	w := work(t, "[status]\nlisten_port = "+port)
@@ -113,26 +112,26 @@
 	w.polls = bufio.NewReader(w.side)
 	w.poll("9b1f03aa5c7e2d41", "404", "no such id")
 	answer := w.submit("9b1f03aa5c7e2d41")
-	w.take()
+	w.accept()
 	const start = `{"id":"9b1f03aa5c7e2d41","class":"a","tenant":"swat-society",`
-	note := func(rest string) { w.tell(`{"id":"9b1f03aa5c7e2d41","from":"s-1",` + rest) }
+	callBack := func(fields string) { w.callBack(`{"id":"9b1f03aa5c7e2d41","from":"s-1",` + fields) }
 	w.poll("9b1f03aa5c7e2d41", "200", start+`"state":"waiting","worker":"s-1"}`)
-	note(`"state":"started"}`)
+	callBack(`"state":"started"}`)
 	w.poll("9b1f03aa5c7e2d41", "200", start+`"state":"running","worker":"s-1"}`)
-	note(`"state":"running","share":0.4}`)
+	callBack(`"state":"running","share":0.4}`)
 	w.poll("9b1f03aa5c7e2d41", "200", start+`"state":"running","worker":"s-1","share":0.4}`)
-	note(`"state":"done","result":"booked"}`)
+	callBack(`"state":"done","result":"booked"}`)
 	if status, text := body(t, answer); status != "200" || text != "booked" {
 		t.Errorf("the client got %s %s", status, text)
 	}
 	w.poll("9b1f03aa5c7e2d41", "200", start+`"state":"ended","worker":"s-1","outcome":"served"}`)
 	w.submit("2")
-	w.take()
+	w.accept()
 	w.signal(syscall.SIGTERM)
 	w.log("draining")
-	w.tell(`{"id":"2","from":"s-1","state":"started"}`)
+	w.callBack(`{"id":"2","from":"s-1","state":"started"}`)
 	w.poll("2", "200", `{"id":"2","class":"a","tenant":"swat-society","state":"running","worker":"s-1"}`)
-	w.tell(`{"id":"2","from":"s-1","state":"done","result":""}`)
+	w.callBack(`{"id":"2","from":"s-1","state":"done","result":""}`)
 	if err := <-w.end; err != nil {
 		t.Error(err)
 	}
