--- a/internal/testbed/simapi/simapi.go
+++ b/internal/testbed/simapi/simapi.go
@@ -1,13 +1,14 @@
-// Package simapi is what crosses the border between the testbed's world and a scheduler: what reaches the scheduler's
-// sockets (In) and what leaves them (Out). Delays and losses of the network lie on the environment's side of the border.
+// Package simapi is the interface between the testbed's environment and a scheduler under test: what reaches the
+// scheduler's sockets and process (Input) and what leaves them (Output). Network delays and losses are on the
+// environment's side of it.
 //
-// Both drivers speak it. In simulated time a Scheduler is the decisions and the ledger; live, the driver turns the
-// sockets of a real process into Outs, and carries out Ins on them. A run is the two sides taking turns:
+// Both drivers use it. The simulation driver runs the dispatch policy and the request table as a Scheduler; the process
+// driver translates the sockets of a real process to Outputs and carries out Inputs on them. A run alternates:
 //
-//	ins  = world.Step(now, outs, ins[:0])
-//	outs = scheduler.Step(now, ins, outs[:0])
+//	inputs = environment.Step(now, outputs, inputs[:0])
+//	outputs = scheduler.Step(now, inputs, outputs[:0])
 //
-// All instants are spans since the run's start. Nothing here reads a clock.
+// All instants are durations since the start of the run. The package reads no clock and has no state.
 package simapi
 
 import (
@@ -16,73 +17,80 @@
 	"valvecove/internal/requests"
 )
 
-// Conn is the number of a connection; never used twice in a run. Those of clients are given by the environment, those to
-// workers by whoever plays the scheduler (LinkConn).
+// Conn identifies a connection; a number is never used twice in a run. The environment numbers the connections of
+// clients, the driver of a scheduler those to workers (WorkerConn).
 type Conn uint64
 
-const workerConnBit = 1 << 63
+// The parts of a Conn to a worker.
+const (
+	workerConnBit  = 1 << 63
+	schedulerShift = 40
+)
 
-// WorkerConn is the n-th connection that a scheduler opens to workers, counted over its restarts.
-func WorkerConn(sched int, n uint64) Conn { return Conn(workerConnBit | uint64(sched)<<40 | n) }
+// WorkerConn returns the n-th connection that a scheduler opens to workers, counted over its restarts.
+func WorkerConn(scheduler int, n uint64) Conn {
+	return Conn(workerConnBit | uint64(scheduler)<<schedulerShift | n)
+}
 
-// IsWorkerConn tells whether it leads to a worker; else it is a client's.
+// IsWorkerConn reports whether the connection leads to a worker; else it is a client's.
 func (c Conn) IsWorkerConn() bool { return c&workerConnBit != 0 }
 
-// InputKind says what reaches a scheduler.
+// InputKind is the kind of an Input. The comment of each kind names the fields that it sets.
 type InputKind uint8
 
-// What the environment does to a scheduler's process.
+// Kinds of input that act on a scheduler's process.
 const (
-	Start            InputKind = iota // the process starts; Boot says with what
+	Start            InputKind = iota // the process starts with Input.Start
 	Terminate                         // SIGTERM
-	Kill                              // SIGKILL: its connections are reset, and nothing of it is left
-	Freeze                            // SIGSTOP: its sockets stay, nothing is read
+	Kill                              // SIGKILL: the connections of the process are reset
+	Freeze                            // SIGSTOP: its sockets stay open and unread
 	Resume                            // SIGCONT
-	Reload                            // SIGHUP, after its configuration named the discovery at index Disco
-	Replace                           // a second process starts, and the first gets SIGTERM once that is ready; live only
-	SlowDown                          // of a planner: it takes in and does everything Late late from now on
-	BreakConnections                  // of a planner: its connections to forwarders and other planners break
+	Reload                            // SIGHUP, after its configuration named the discovery address with index Discovery
+	Replace                           // a second process starts, and the first gets SIGTERM once that is ready; process driver only
+	SlowDown                          // planners only: everything is handled Delay late from now on
+	BreakConnections                  // planners only: its connections to forwarders and other planners break
 )
 
-// What reaches its sockets.
+// Kinds of input that reach a scheduler's sockets.
 const (
-	RequestReceived    InputKind = iota + 16 // the last byte of a request came over the client's connection Conn; Ask
-	ClientClosed                             // the client closed Conn, or was reset
-	ClientMisbehaves                         // a misbehaving client does Odd on Conn; live only
-	WorkerConnected                          // Conn to a worker is up. Bytes > 0: the far end resets it after having read so many
-	WorkerDisconnected                       // Conn did not come up (Reset false), or was closed or reset (Reset true) by the other side
-	ResponseReceived                         // the worker's answer to what was last sent over Conn: Status, Rejected. Bytes > 0: only so many bytes of it, then a reset
-	CallbackReceived                         // a worker's note, a call of its own: Note, NoteID; expects Acked
-	ListReceived                             // news on the watch of discovery: List
+	RequestReceived    InputKind = iota + 16 // the last byte of a request arrived on Conn: Request
+	ClientClosed                             // the client closed Conn, or it was reset
+	ClientMisbehaves                         // a misbehaving client acts on Conn: Misbehavior; process driver only
+	WorkerConnected                          // Conn to a worker is open. Bytes > 0: the far end resets it after it has read so many
+	WorkerDisconnected                       // Conn was not opened (Reset false), or was closed or reset (Reset true) by the far end
+	ResponseReceived                         // the worker's response to what was last sent on Conn: Status, Rejected. Bytes > 0: only so many bytes of it arrive before a reset
+	CallbackReceived                         // a callback of Worker, to be answered by CallbackAnswered: Callback, CallbackID
+	ListReceived                             // an update on the watch of discovery: List
 	WatchEnded                               // the watch ended, or a call to discovery failed
-	WatchHeartbeat                           // an empty line on the watch: nothing has changed. One comes every 2 s; it is for the scheduler's side to notice that none does, or that a call stays without an answer
-	WatchConnected                           // the connection for the watch is up; live, a kernel's business
+	WatchHeartbeat                           // an empty line on the watch, every 2 s; its absence is for the scheduler to detect
+	WatchConnected                           // the connection for the watch is open; with real processes the kernel knows
 )
 
-// What concerns a process driver only, as there a kernel connects and accepts; in simulated time it means nothing.
+// Kinds of input for the process driver, where a kernel accepts connections. The simulation driver ignores them.
 const (
-	AcceptModeChanged          InputKind = iota + 48 // Node accepts connections by Mode from now on
-	DiscoveryAcceptModeChanged                       // the discovery at index Disco does
+	AcceptModeChanged          InputKind = iota + 48 // Worker accepts connections by Mode from now on
+	DiscoveryAcceptModeChanged                       // the discovery address with index Discovery does
 )
 
-// Modes of accepting.
+// Modes in which a worker or discovery accepts connections.
 const (
-	AcceptAll      = iota
-	AcceptNone     // connections are refused
-	AcceptSilently // they never come up
+	AcceptAll      = iota // connections are accepted
+	AcceptNone            // connections are refused
+	AcceptSilently        // connections are neither accepted nor refused
 )
 
-// Input is something that reaches scheduler Sched. Planners, where a scenario has any, are numbered after the schedulers.
+// Input is one thing that reaches the scheduler with index Scheduler. Planners, where a scenario has any, are numbered after
+// the schedulers. Fields that the Kind does not name are zero.
 type Input struct {
 	Kind        InputKind
 	Reset       bool
 	Rejected    bool // X-Rejected: 1
 	Scheduler   int
 	Worker      int
-	Status      int
-	Discovery   int
-	Mode        int
-	Machine     int // Hear: which machine in Node's place; 0: the first
+	Status      int // HTTP status
+	Discovery   int // index of an address of discovery
+	Mode        int // AcceptAll and the others
+	Machine     int // AcceptModeChanged: which machine of Worker; 0: the first
 	Bytes       int
 	Conn        Conn
 	CallbackID  uint64
@@ -94,11 +102,11 @@
 	Delay       time.Duration
 }
 
-// StartOptions is what a scheduler starts with.
+// StartOptions are what a scheduler's process starts with.
 type StartOptions struct {
 	Name           string
 	Seed           uint64
-	KnownEndpoints requests.EndpointList // as it last had it; perhaps old
+	KnownEndpoints requests.EndpointList // the list that the scheduler had last; it may be stale
 	Discovery      int                   // index of the discovery address in its configuration
 }
 
@@ -111,61 +119,59 @@
 	Budget         time.Duration // X-Budget-Ms
 	CostHint       time.Duration // X-Call-Cost; 0: none
 	Slots          float64       // slots= in X-Call-Info
-	BodyLength     int           // length
+	BodyLength     int           // bytes
 	Retry          bool          // X-Again: 1
 }
 
-// Misbehavior is what a misbehaving client does with its connection, by the kinds of scenario.BadKinds. N is its number among
-// those of this kind, from which what is drawn at random follows.
+// Misbehavior is what a misbehaving client does on its connection.
 type Misbehavior struct {
-	Kind      string
-	Number    uint64
+	Kind      string // one of scenario.MisbehaviorKinds
+	Number    uint64 // counts the clients of this kind; random draws follow from it
 	RequestID string // of another client's open request, for the kinds that use one
 }
 
-// OutputKind says what comes from a scheduler.
+// OutputKind is the kind of an Output. The comment of each kind names the fields that it sets.
 type OutputKind uint8
 
-// What comes from a scheduler.
+// Kinds of output.
 const (
 	Ready                OutputKind = iota // GET /up answers 200
-	Unready                                // GET /up answers 503, after it was ready
-	Exited                                 // the process has ended by itself; Status is its exit code
-	ResponseWritten                        // the last byte of an answer is written to the client's connection Conn: Call, Status, After, Result
-	ClientConnClosed                       // the scheduler ended the client's connection Conn
-	WorkerDialed                           // it opens Conn to worker Node
-	AttemptWritten                         // the last byte of a request is written to Conn: Call, Attempt, Key, Budget; its first at First
-	HealthCheckWritten                     // the same for a probe
+	Unready                                // GET /up answers 503 after it was ready
+	Exited                                 // the process ended by itself: Status is its exit code
+	ResponseWritten                        // the last byte of a response is written to the client's Conn: RequestID, Status, RetryAfter, Result
+	ClientConnClosed                       // the scheduler closed the client's Conn
+	WorkerDialed                           // it opens Conn to Worker
+	AttemptWritten                         // the last byte of an attempt is written to Conn: RequestID, IdempotencyKey, Budget, FirstByteAt
+	HealthCheckWritten                     // the last byte of a health check is written to Conn: WantsLoadReport, FirstByteAt
 	WorkerConnClosed                       // it closes Conn to a worker
-	CancellationReceived                   // DELETE /jobs/Call reached worker Node over Conn
-	CallbackAnswered                       // it answers the callback NoteID of Node with Status; 0: the call failed
-	WatchRequested                         // it asks discovery for the watch from generation After on
-	ClientConnFailed                       // live only: the client's connection Conn never came up, so nothing was asked over it
+	CancellationReceived                   // DELETE /jobs/RequestID reached Worker on Conn
+	CallbackAnswered                       // it answers callback CallbackID of Worker with Status; 0: the call failed
+	WatchRequested                         // it requests the watch from revision RetryAfter on
+	ClientConnFailed                       // process driver only: the client's Conn was never opened, so nothing was sent on it
 )
 
-// Output is something that comes from scheduler Sched.
+// Output is one thing that comes from the scheduler with index Scheduler. Fields that the Kind does not name are zero.
 type Output struct {
-	Kind      OutputKind
-	Scheduler int
-	Worker    int
-	Status    int
-	// Dial: at which machine in Node's place, the first being 0. One that took another's place has an id and an address
-	// of its own.
-	Machine         int
+	Kind            OutputKind
+	Scheduler       int
+	Worker          int
+	Status          int // HTTP status or exit code
+	Machine         int // WorkerDialed: which machine of Worker, 0 the first; a replacement has an ID and an address of its own
 	Conn            Conn
 	CallbackID      uint64
 	RequestID       string
 	IdempotencyKey  string
-	Result          string        // body of an answer
+	Result          string        // body of a response
 	Budget          time.Duration // X-Budget-Ms
-	FirstByteAt     time.Duration // when the first byte was written
-	RetryAfter      time.Duration // Retry-After; 0: none. With Watch: the generation, as a number
-	WantsLoadReport bool          // the probe asked for the load report
+	FirstByteAt     time.Duration // when the first byte was written, since the start of the run
+	RetryAfter      time.Duration // Retry-After; 0: none. WatchRequested: the revision, as a number
+	WantsLoadReport bool          // the health check asked for the load report
 }
 
-// Scheduler is one scheduler as the environment meets it. Step takes what has reached it and appends what comes from it.
+// Scheduler is one scheduler under test, over all of its processes.
 type Scheduler interface {
-	Step(now time.Duration, ins []Input, dst []Output) []Output
-	// Next tells when it wants to run at the latest; not ok: only when something reaches it.
+	// Step handles the inputs that have reached the scheduler by now, and appends its outputs to dst. It keeps neither slice.
+	Step(now time.Duration, inputs []Input, dst []Output) []Output
+	// Next returns when Step has to be called at the latest; not ok: only once there is an input.
 	Next() (at time.Duration, ok bool)
 }
