--- a/internal/testbed/mutation/mutation_test.go
+++ b/internal/testbed/mutation/mutation_test.go
@@ -156,7 +156,7 @@
 	}
 	kinds := make([]string, 0, len(scenario.FaultKinds))
 	for kind, to := range scenario.FaultKinds {
-		if !strings.HasPrefix(to, "planner") { // there are none
+		if !strings.HasPrefix(string(to), "planner") { // there are none
 			kinds = append(kinds, kind)
 		}
 	}
--- a/internal/testbed/scenario/capacity.go
+++ b/internal/testbed/scenario/capacity.go
@@ -1,24 +1,24 @@
 package scenario
 
-// This file is what follows from a checked scenario by arithmetic alone. World, platform and figures go by the same
-// numbers: what is offered, what is a tenant's share and what schedulers are told of it must fit together.
+// This file holds what follows from a checked scenario by arithmetic. The environment, the configuration of schedulers
+// and the metrics of a run use the same numbers, so that load, quotas and capacity agree.
 
-// Capacity is what the warm fleet can do as its kinds are described, before the draws of single worker nodes: seconds
-// of work a second, on standard cores. A job of n slots is n times its run time of work.
+// Capacity returns what the fleet can do once it is warm, in seconds of work on standard cores per second. A job of n
+// slots is n times its run time of work. The differences between workers of one kind are not counted.
 func (s *Scenario) Capacity() float64 {
-	each, shares := 0.0, 0.0
+	sum, shares := 0.0, 0.0
 	for i := range s.Fleet.Kinds {
-		k := &s.Fleet.Kinds[i]
-		each += k.Share * min(k.Cores, float64(k.Slots)) * k.Speed
-		shares += k.Share
+		kind := &s.Fleet.Kinds[i]
+		sum += kind.Share * min(kind.Cores, float64(kind.Slots)) * kind.Speed
+		shares += kind.Share
 	}
 	if shares <= 0 {
 		return 0
 	}
-	return float64(s.Fleet.Workers) * each / shares
+	return float64(s.Fleet.Workers) * sum / shares
 }
 
-// MeanSlots is the mean of the slots that a job of the class takes; 1 where nothing is said of them.
+// MeanSlots returns how many slots a job of the class takes on average; 1 where the class gives no shares.
 func (c *Class) MeanSlots() float64 {
 	sum, shares, slots := 0.0, 0.0, 1.0
 	for _, share := range c.Slots {
@@ -32,13 +32,13 @@
 	return sum / shares
 }
 
-// MeanCost is the work of the mean job in seconds on standard cores, slots times run time.
+// MeanCost returns the work of the mean job, slots times run time, in seconds on standard cores.
 func (s *Scenario) MeanCost() float64 {
 	sum, shares := 0.0, 0.0
 	for i := range s.Classes {
-		c := &s.Classes[i]
-		sum += c.Share * c.Work.Std().Seconds() * c.MeanSlots()
-		shares += c.Share
+		class := &s.Classes[i]
+		sum += class.Share * class.Work.Std().Seconds() * class.MeanSlots()
+		shares += class.Share
 	}
 	if shares <= 0 {
 		return 0
@@ -46,7 +46,7 @@
 	return sum / shares
 }
 
-// CapacityRate is how many mean jobs a second the warm fleet can do.
+// CapacityRate returns how many mean jobs a second the fleet can do once it is warm.
 func (s *Scenario) CapacityRate() float64 {
 	cost := s.MeanCost()
 	if cost <= 0 {
@@ -55,7 +55,7 @@
 	return s.Capacity() / cost
 }
 
-// Rate is how many jobs a second clients ask for on average, before any tenant's Usage; 0 where the load is closed.
+// Rate returns how many jobs a second clients request on average, before any tenant's Usage; 0 where the load is closed.
 func (s *Scenario) Rate() float64 {
 	switch {
 	case s.Load.ClosedClients > 0:
@@ -66,22 +66,23 @@
 	return s.Load.CapacityShare * s.CapacityRate()
 }
 
-// QuotaRate is how many jobs a second, over all schedulers, are within the share of the tenant at index i.
-func (s *Scenario) QuotaRate(i int) float64 {
+// QuotaRate returns how many jobs a second, over all schedulers, are within the quota of the tenant at an index.
+func (s *Scenario) QuotaRate(tenant int) float64 {
 	shares := 0.0
-	for _, t := range s.Tenants {
-		shares += t.Quota
+	for i := range s.Tenants {
+		shares += s.Tenants[i].Quota
 	}
 	if shares <= 0 {
 		return 0
 	}
-	return s.Load.Quota * s.CapacityRate() * s.Tenants[i].Quota / shares
+	return s.Load.Quota * s.CapacityRate() * s.Tenants[tenant].Quota / shares
 }
 
-// ZoneOf is the zone of a scheduler, as an index in Fleet.Zones: like worker nodes they are dealt out in turn.
-func (s *Scenario) ZoneOf(sched int) int {
+// ZoneOf returns the zone of a scheduler as an index in Fleet.Zones. Schedulers are assigned to zones in turn, as workers
+// are.
+func (s *Scenario) ZoneOf(scheduler int) int {
 	if len(s.Fleet.Zones) == 0 {
 		return 0
 	}
-	return sched % len(s.Fleet.Zones)
+	return scheduler % len(s.Fleet.Zones)
 }
--- a/internal/testbed/scenario/capacity_test.go
+++ b/internal/testbed/scenario/capacity_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// What is offered, what a tenant may have and what the fleet can do fit together.
-func TestCapacity(t *testing.T) {
+// The load, the quotas and the capacity agree.
+func TestScenario_Capacity(t *testing.T) {
 	s := &Scenario{
 		Fleet: Fleet{Workers: 10, Zones: []string{"a", "b"}, Kinds: []WorkerKind{
 			{Share: 3, Cores: 4, Slots: 4, Speed: 1},
--- a/internal/testbed/scenario/encode.go
+++ b/internal/testbed/scenario/encode.go
@@ -7,10 +7,11 @@
 	"strings"
 )
 
-// Encode writes a scenario as TOML that Parse reads back as the same. What has its default is left out, but the name.
+// Encode writes a scenario as TOML that Parse reads back as the same. Values that are the default are left out, except
+// the name.
 func Encode(s *Scenario) []byte {
 	base, derived := Default(), s.Clone()
-	derived.applyDerivedDefaults(func(string) bool { return false })
+	derived.applyDerivedDefaults(noneGiven)
 	base.Drivers, base.Settle = derived.Drivers, derived.Settle
 	base.Load.CapacityShare, base.Load.HintFactor = derived.Load.CapacityShare, derived.Load.HintFactor
 	var e encoder
@@ -20,100 +21,109 @@
 
 type encoder struct{ text strings.Builder }
 
-// table writes what differs from base: plain values first, since a table's end is the next one's head.
-func (e *encoder) table(under string, t, base reflect.Value) {
-	for _, nested := range []bool{false, true} {
-		for i := range t.NumField() {
-			v, b, name := t.Field(i), base.Field(i), t.Type().Field(i).Tag.Get("toml")
-			key := name
-			if under != "" {
-				key = under + "." + name
-			}
-			tables := v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct
-			same := key != "name" && reflect.DeepEqual(v.Interface(), b.Interface())
-			if same || nested != (tables || v.Kind() == reflect.Struct) {
-				continue
-			}
-			switch {
-			case tables:
-				for j := range v.Len() {
-					fmt.Fprintf(&e.text, "\n[[%s]]\n", key)
-					e.table(key, v.Index(j), entryBase(v.Index(j)))
-				}
-			case nested:
-				fmt.Fprintf(&e.text, "\n[%s]\n", key)
-				e.table(key, v, b)
-			default:
-				fmt.Fprintf(&e.text, "%s = ", name)
-				e.value(v)
-				e.text.WriteByte('\n')
+// table writes the fields that differ from base: plain values first, since in TOML a table ends where the next begins.
+func (e *encoder) table(key string, table, base reflect.Value) {
+	for i := range table.NumField() {
+		field, name := table.Field(i), table.Type().Field(i).Tag.Get(tagName)
+		innerKey := joinKeys(key, name)
+		isName := innerKey == "name"
+		if !isTable(field) && !isTableList(field) && (isName || !isEqual(field, base.Field(i))) {
+			fmt.Fprintf(&e.text, "%s = ", name)
+			e.value(field)
+			e.text.WriteByte('\n')
+		}
+	}
+	for i := range table.NumField() {
+		field := table.Field(i)
+		if isEqual(field, base.Field(i)) {
+			continue
+		}
+		innerKey := joinKeys(key, table.Type().Field(i).Tag.Get(tagName))
+		switch {
+		case isTableList(field):
+			for j := range field.Len() {
+				fmt.Fprintf(&e.text, "\n[[%s]]\n", innerKey)
+				e.table(innerKey, field.Index(j), entryBase(field.Index(j)))
 			}
+		case isTable(field):
+			fmt.Fprintf(&e.text, "\n[%s]\n", innerKey)
+			e.table(innerKey, field, base.Field(i))
 		}
 	}
 }
 
-// entryBase is what an entry of a list has for the keys that are not written.
-func entryBase(v reflect.Value) reflect.Value {
-	base := plain(v.Type())
-	if f, ok := v.Interface().(Fault); ok {
-		one := &Scenario{Faults: []Fault{{Kind: f.Kind}}}
-		one.applyDerivedDefaults(func(string) bool { return false })
-		one.Faults[0].Kind = ""
-		return reflect.ValueOf(one.Faults[0])
+func isTable(value reflect.Value) bool { return value.Kind() == reflect.Struct }
+
+func isTableList(value reflect.Value) bool {
+	return value.Kind() == reflect.Slice && value.Type().Elem().Kind() == reflect.Struct
+}
+
+func isEqual(a, b reflect.Value) bool { return reflect.DeepEqual(a.Interface(), b.Interface()) }
+
+// entryBase returns an entry of a list with the defaults of the keys that are not written.
+func entryBase(entry reflect.Value) reflect.Value {
+	fault, isFault := entry.Interface().(Fault)
+	if !isFault {
+		return defaultEntry(entry.Type())
 	}
-	return base
+	base := Fault{Kind: fault.Kind}
+	base.applyDerivedDefaults()
+	base.Kind = ""
+	return reflect.ValueOf(base)
 }
 
-func (e *encoder) value(v reflect.Value) {
-	if s, ok := v.Interface().(Duration); ok {
-		e.quoted(s.String())
+func (e *encoder) value(value reflect.Value) {
+	if duration, ok := value.Interface().(Duration); ok {
+		e.quoted(duration.String())
 		return
 	}
-	switch v.Kind() {
+	switch value.Kind() {
 	case reflect.String:
-		e.quoted(v.String())
+		e.quoted(value.String())
 	case reflect.Bool:
-		e.text.WriteString(strconv.FormatBool(v.Bool()))
+		e.text.WriteString(strconv.FormatBool(value.Bool()))
 	case reflect.Int:
-		e.text.WriteString(strconv.FormatInt(v.Int(), 10))
+		e.text.WriteString(strconv.FormatInt(value.Int(), 10))
 	case reflect.Float64:
-		e.text.WriteString(strconv.FormatFloat(v.Float(), 'g', -1, 64))
+		e.text.WriteString(strconv.FormatFloat(value.Float(), 'g', -1, 64))
 	case reflect.Slice:
-		e.text.WriteByte('[')
-		for i := range v.Len() {
-			if i > 0 {
-				e.text.WriteString(", ")
-			}
-			e.value(v.Index(i))
-		}
-		e.text.WriteByte(']')
+		e.list(value)
 	default:
-		panic("scenario: no TOML for " + v.Type().String())
+		panic("scenario: no TOML for " + value.Type().String())
+	}
+}
+
+func (e *encoder) list(list reflect.Value) {
+	e.text.WriteByte('[')
+	for i := range list.Len() {
+		if i > 0 {
+			e.text.WriteString(", ")
+		}
+		e.value(list.Index(i))
 	}
+	e.text.WriteByte(']')
 }
 
-// quoted writes a basic string; one of several lines, as operators' files are, as such.
+// quoted writes a string: one of several lines, as operations files are, in TOML's multi-line form.
 func (e *encoder) quoted(text string) {
-	lines := strings.Contains(text, "\n") && !strings.Contains(text, "\r")
-	quote := `"`
-	if lines {
-		quote = `"""`
-		e.text.WriteString(quote + "\n")
-	} else {
-		e.text.WriteString(quote)
+	isMultiLine := strings.Contains(text, "\n") && !strings.Contains(text, "\r")
+	opening, closing := `"`, `"`
+	if isMultiLine {
+		opening, closing = "\"\"\"\n", `"""`
 	}
-	for _, r := range text {
+	e.text.WriteString(opening)
+	for _, char := range text {
 		switch {
-		case r == '\n' && lines:
+		case char == '\n' && isMultiLine:
 			e.text.WriteByte('\n')
-		case r == '"' || r == '\\':
+		case char == '"' || char == '\\':
 			e.text.WriteByte('\\')
-			e.text.WriteRune(r)
-		case r < ' ' || r == 0x7f:
-			fmt.Fprintf(&e.text, `\u%04X`, r)
+			e.text.WriteRune(char)
+		case char < ' ' || char == 0x7f:
+			fmt.Fprintf(&e.text, `\u%04X`, char)
 		default:
-			e.text.WriteRune(r)
+			e.text.WriteRune(char)
 		}
 	}
-	e.text.WriteString(quote)
+	e.text.WriteString(closing)
 }
--- a/internal/testbed/scenario/expect.go
+++ b/internal/testbed/scenario/expect.go
@@ -3,23 +3,25 @@
 import (
 	"fmt"
 	"math"
-	"slices"
 	"strconv"
 	"strings"
 	"time"
 )
 
-// Metric is a figure of a play that expectations may name.
+// metricRecovery is counted in seconds; the other metrics of time are in milliseconds.
+const metricRecovery = "recovered_within"
+
+// Metric is a measure of a run that expectations may name.
 type Metric struct {
 	Name        string
 	Description string
-	Share       bool // from 0 to 1
-	Parts       bool // there is one for each class and each tenant, too
-	Time        bool // may be written as a span; Unit is what it is counted in then
-	Unit        time.Duration
+	Share       bool          // from 0 to 1
+	Parts       bool          // each class and each tenant has one, too
+	Time        bool          // the bound may be written as a duration
+	Unit        time.Duration // of metrics of time
 }
 
-// Metrics are all of them.
+// Metrics has all metrics that expectations may name.
 var Metrics = []Metric{
 	{Name: "in_time", Description: "worth answered in time over worth asked for", Share: true, Parts: true},
 	{Name: "served", Description: "jobs served, late ones included, over jobs", Share: true, Parts: true},
@@ -35,117 +37,140 @@
 	{Name: "waste", Description: "work done that no client got an answer from, over work asked for"},
 	{Name: "attempts", Description: "attempts that reached worker nodes, over jobs"},
 	{
-		Name: "recovered_within", Description: "seconds from the end of the last fault until goodput is back where it was",
+		Name: metricRecovery, Description: "seconds from the end of the last fault until goodput is back where it was",
 		Time: true, Unit: time.Second,
 	},
 	{Name: "rules_broken", Description: "how often a rule was broken"},
 }
 
-// Expectation is what a figure of a play is held to.
+// Expectation is a bound that a metric of a run is checked against.
 type Expectation struct {
-	Metric   string  // one of Figures
+	Metric   string  // the name of one of Metrics
 	Group    string  // a class or tenant; empty: all
 	Operator string  // >=, <=, >, <, =
-	Bound    float64 // spans in seconds, those of figures in ms in ms
+	Bound    float64 // of metrics of time in the metric's unit
 }
 
-// IsMet tells whether a figure is as expected. One that could not be had (NaN) is not.
-func (e Expectation) IsMet(x float64) bool {
+// IsMet reports whether a value is as expected. NaN, for a value that is not available, never is.
+func (e Expectation) IsMet(value float64) bool {
 	switch e.Operator {
 	case ">=":
-		return x >= e.Bound
+		return value >= e.Bound
 	case "<=":
-		return x <= e.Bound
+		return value <= e.Bound
 	case ">":
-		return x > e.Bound
+		return value > e.Bound
 	case "<":
-		return x < e.Bound
+		return value < e.Bound
 	}
-	return x == e.Bound
+	return value == e.Bound
 }
 
+// String writes the expectation as ParseExpectation reads it.
 func (e Expectation) String() string {
-	of, unit := "", ""
+	group, unit := "", ""
 	if e.Group != "" {
-		of = "[" + e.Group + "]"
+		group = "[" + e.Group + "]"
 	}
-	if e.Metric == "recovered_within" {
+	if e.Metric == metricRecovery {
 		unit = "s"
 	}
-	return e.Metric + of + " " + e.Operator + " " + strconv.FormatFloat(e.Bound, 'g', -1, 64) + unit
+	return e.Metric + group + " " + e.Operator + " " + strconv.FormatFloat(e.Bound, 'g', -1, 64) + unit
 }
 
-// Expectations are those of a checked scenario.
+// Expectations returns the expectations of a checked scenario.
 func (s *Scenario) Expectations() []Expectation {
 	list := make([]Expectation, 0, len(s.Expect))
 	for _, text := range s.Expect {
-		if e, err := s.expectation(text); err == nil {
-			list = append(list, e)
+		if parsed, err := s.expectation(text); err == nil {
+			list = append(list, parsed)
 		}
 	}
 	return list
 }
 
+// expectation parses an expectation and checks that the scenario has its class or tenant.
 func (s *Scenario) expectation(text string) (Expectation, error) {
-	e, err := ParseExpectation(text)
-	if err != nil || e.Group == "" {
-		return e, err
+	parsed, err := ParseExpectation(text)
+	if err != nil || parsed.Group == "" {
+		return parsed, err
 	}
-	if !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == e.Group }) &&
-		!slices.ContainsFunc(s.Tenants, func(t Tenant) bool { return t.Name == e.Group }) {
-		return e, fmt.Errorf("%q in %q is neither a class nor a tenant", e.Group, text)
+	if !s.hasClass(parsed.Group) && !s.hasTenant(parsed.Group) {
+		return parsed, fmt.Errorf("%q in %q is neither a class nor a tenant", parsed.Group, text)
 	}
-	return e, nil
+	return parsed, nil
 }
 
-// ParseExpectation reads what is written as in "in_time[account-credit] >= 0.9" or "recovered_within <= 5s".
-// "recovered_within = 5s" says the latter too.
+// ParseExpectation reads an expectation as in "in_time[account-credit] >= 0.9" or "recovered_within <= 5s".
+// "recovered_within = 5s" means the same as the latter.
 func ParseExpectation(text string) (Expectation, error) {
-	var e Expectation
-	i := strings.IndexAny(text, "<>=")
-	if i < 0 {
-		return e, fmt.Errorf("expected a figure, one of >= <= > < =, and a bound, got %q", text)
-	}
-	e.Metric, e.Operator = strings.TrimSpace(text[:i]), text[i:i+1]
-	bound := text[i+1:]
-	if rest, ok := strings.CutPrefix(bound, "="); ok {
-		bound = rest
-		if e.Operator += "="; e.Operator == "==" {
-			e.Operator = "="
-		}
+	parsed, bound, err := splitExpectation(text)
+	if err != nil {
+		return parsed, err
 	}
-	bound = strings.TrimSpace(bound)
-	if name, of, ok := strings.Cut(e.Metric, "["); ok {
-		if of, ok = strings.CutSuffix(of, "]"); !ok || strings.TrimSpace(of) == "" {
-			return e, fmt.Errorf("expected a class or tenant in brackets, got %q", text)
-		}
-		e.Metric, e.Group = strings.TrimSpace(name), strings.TrimSpace(of)
+	metric, err := metricNamed(parsed.Metric)
+	if err != nil {
+		return parsed, err
 	}
-	n := slices.IndexFunc(Metrics, func(f Metric) bool { return f.Name == e.Metric })
-	if n < 0 {
-		names := make([]string, len(Metrics))
-		for i, f := range Metrics {
-			names[i] = f.Name
-		}
-		return e, fmt.Errorf("%q is none of the figures: %s", e.Metric, strings.Join(names, ", "))
+	if parsed.Group != "" && !metric.Parts {
+		return parsed, fmt.Errorf("%s is of the whole play, not of %q", parsed.Metric, parsed.Group)
+	}
+	parsed.Bound, err = metric.parseBound(parsed.Operator, bound)
+	if err != nil {
+		return parsed, err
+	}
+	if parsed.Operator == "=" && metric.Name == metricRecovery {
+		parsed.Operator = "<="
+	}
+	return parsed, nil
+}
+
+// splitExpectation splits a text at its operator. The bound is still to be parsed.
+func splitExpectation(text string) (parsed Expectation, bound string, err error) {
+	at := strings.IndexAny(text, "<>=")
+	if at < 0 {
+		return parsed, "", fmt.Errorf("expected a figure, one of >= <= > < =, and a bound, got %q", text)
+	}
+	parsed.Metric, parsed.Operator = strings.TrimSpace(text[:at]), text[at:at+1]
+	bound, hasEqualSign := strings.CutPrefix(text[at+1:], "=")
+	if hasEqualSign && parsed.Operator != "=" { // "==" is "="
+		parsed.Operator += "="
 	}
-	f := Metrics[n]
-	if e.Group != "" && !f.Parts {
-		return e, fmt.Errorf("%s is of the whole play, not of %q", e.Metric, e.Group)
+	name, group, hasGroup := strings.Cut(parsed.Metric, "[")
+	if !hasGroup {
+		return parsed, strings.TrimSpace(bound), nil
 	}
-	var err error
-	if e.Bound, err = strconv.ParseFloat(bound, 64); err != nil {
-		d, spanErr := time.ParseDuration(bound)
-		if spanErr != nil || !f.Time {
-			return e, fmt.Errorf("expected a number after %s, got %q", e.Operator, bound)
+	group, isClosed := strings.CutSuffix(group, "]")
+	parsed.Metric, parsed.Group = strings.TrimSpace(name), strings.TrimSpace(group)
+	if !isClosed || parsed.Group == "" {
+		return parsed, "", fmt.Errorf("expected a class or tenant in brackets, got %q", text)
+	}
+	return parsed, strings.TrimSpace(bound), nil
+}
+
+func metricNamed(name string) (*Metric, error) {
+	names := make([]string, len(Metrics))
+	for i := range Metrics {
+		if Metrics[i].Name == name {
+			return &Metrics[i], nil
 		}
-		e.Bound = float64(d) / float64(f.Unit)
+		names[i] = Metrics[i].Name
 	}
-	if math.IsNaN(e.Bound) || math.IsInf(e.Bound, 0) || e.Bound < 0 || f.Share && e.Bound > 1 {
-		return e, fmt.Errorf("%s never comes to %q", e.Metric, bound)
+	return nil, fmt.Errorf("%q is none of the figures: %s", name, strings.Join(names, ", "))
+}
+
+// parseBound reads a number, or a duration for a metric that may be one, and checks that the metric can reach it.
+func (m *Metric) parseBound(operator, text string) (float64, error) {
+	bound, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		duration, durationErr := time.ParseDuration(text)
+		if durationErr != nil || !m.Time {
+			return 0, fmt.Errorf("expected a number after %s, got %q", operator, text)
+		}
+		bound = float64(duration) / float64(m.Unit)
 	}
-	if e.Operator == "=" && f.Name == "recovered_within" {
-		e.Operator = "<="
+	if math.IsNaN(bound) || math.IsInf(bound, 0) || bound < 0 || m.Share && bound > 1 {
+		return 0, fmt.Errorf("%s never comes to %q", m.Name, text)
 	}
-	return e, nil
+	return bound, nil
 }
--- a/internal/testbed/scenario/golden_test.go
+++ b/internal/testbed/scenario/golden_test.go
@@ -2,67 +2,102 @@
 
 import (
 	"reflect"
-	"slices"
 	"strings"
 	"testing"
-	"time"
 
 	"github.com/BurntSushi/toml"
 
 	"valvecove/internal/storedform"
 )
 
-// The golden files were written by the build of d2a7518. Scenarios are kept and go from one build's lab to another's: the
-// files are never regenerated except under a new form number.
+// The golden files were written by the build of d2a7518. Scenarios are stored, and other builds read them: the files are
+// never regenerated except under a new form number.
 const (
-	goldenVirtual = "scenario-virtual-1.toml" // every key that a play in virtual time may have
-	goldenLive    = "scenario-live-1.toml"    // those that are live only, and a closed load
-	goldenLoad    = "scenario-load-1.toml"    // a load by its share of the capacity
+	goldenSimulation = "scenario-virtual-1.toml" // every key that the simulation driver supports
+	goldenProcess    = "scenario-live-1.toml"    // the keys for the process driver only, and a closed load
+	goldenLoad       = "scenario-load-1.toml"    // a load by its share of the capacity
 )
 
-var goldenScenarios = []string{goldenVirtual, goldenLive, goldenLoad}
+var goldenScenarios = []string{goldenSimulation, goldenProcess, goldenLoad}
 
 func goldenScenario(t *testing.T, name string) *Scenario {
 	t.Helper()
-	s, err := Parse("golden", storedform.Golden(t, name))
+	parsed, err := Parse("golden", storedform.Golden(t, name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return parsed
 }
 
-func TestGoldenScenariosAreWrittenToTheSameBytes(t *testing.T) {
+func TestEncode_GoldenBytes(t *testing.T) {
 	for _, name := range goldenScenarios {
 		storedform.CheckGolden(t, name, Encode(goldenScenario(t, name)))
 	}
 }
 
-// What is read is what the keys say, at least one of each table.
-func TestGoldenScenariosAreRead(t *testing.T) {
-	s := goldenScenario(t, goldenVirtual)
-	kind, class, fault := s.Fleet.Kinds[0], s.Classes[0], s.Faults[0]
-	if s.Name != "every-key-virtual" || s.Seed != 41 || s.Settle != Duration(17500*time.Millisecond) || s.Fleet.CellSize != 3 ||
-		kind.WarmUpBy != "work" || !kind.OmitsStartNotifications || !kind.CancellationStops || kind.HealthCheckWork != 60*microsecond || class.CV != 1.5 ||
-		class.Deadline != 4*second || !slices.Equal(class.Slots, []float64{0.5, 0.25, 0.125, 0.125}) || s.Tenants[0].Usage != 1.5 ||
-		s.Load.Rate != 35.5 || s.Load.HintFactor != 4 || !s.Clients.MarkRetry || s.Network.DropsIdleAfter != 20*second ||
-		s.Discovery.Capacity != 5000 || s.LoadBalancer.NoticeDelay != 1500*millisecond || s.Schedulers.AttemptLimit != 4 || s.Schedulers.HealthChecks ||
-		s.Planners.Drops != 50*second || s.Rules.OverloadFactor != 2.5 || fault.Size != 3.5 || fault.Spread != second ||
-		!slices.Equal(fault.Target.Cells, []int{0, 1}) || fault.Target.Share != 0.5 || s.Faults[1].And != "discovery" ||
-		s.Faults[4].Target.Class != "quote" || len(s.Expect) != 3 {
-		t.Errorf("read %+v", s)
-	}
-	s = goldenScenario(t, goldenLive)
-	if s.Load.ClosedClients != 25 || s.Load.CapacityShare != 0 || !reflect.DeepEqual(s.Misbehaving, []MisbehavingClients{{"slow_head", 2.5, 3 * second, 9 * second}}) ||
-		!strings.HasPrefix(s.Schedulers.OperationsFile, "[log]\nformat = \"json\"\n") {
-		t.Errorf("read %+v", s)
-	}
-	if s = goldenScenario(t, goldenLoad); s.Load.CapacityShare != 0.85 {
-		t.Errorf("read %+v", s)
+// field is one value of a scenario that was read, with the value that its file has.
+type field struct {
+	key       string
+	got, want any
+}
+
+func checkFields(t *testing.T, fields []field) {
+	t.Helper()
+	for _, f := range fields {
+		if !reflect.DeepEqual(f.got, f.want) {
+			t.Errorf("%s: got %v, want %v", f.key, f.got, f.want)
+		}
 	}
 }
 
-// The golden files have every key that there is, and no other.
-func TestGoldenScenariosHaveEveryKey(t *testing.T) {
+// At least one value of each table is checked.
+func TestParse_GoldenIsRead(t *testing.T) {
+	s := goldenScenario(t, goldenSimulation)
+	kind, class, fault := s.Fleet.Kinds[0], s.Classes[0], s.Faults[0]
+	checkFields(t, []field{
+		{"name", s.Name, "every-key-virtual"},
+		{"seed", s.Seed, 41},
+		{"settle", s.Settle, 17500 * millisecond},
+		{"fleet.cell_size", s.Fleet.CellSize, 3},
+		{"fleet.kind.warm_by", kind.WarmUpBy, "work"},
+		{"fleet.kind.starts_untold", kind.OmitsStartNotifications, true},
+		{"fleet.kind.cancel_stops", kind.CancellationStops, true},
+		{"fleet.kind.probe_work", kind.HealthCheckWork, 60 * microsecond},
+		{"class.cv", class.CV, 1.5},
+		{"class.deadline", class.Deadline, 4 * second},
+		{"class.slots", class.Slots, []float64{0.5, 0.25, 0.125, 0.125}},
+		{"tenant.usage", s.Tenants[0].Usage, 1.5},
+		{"load.rate", s.Load.Rate, 35.5},
+		{"load.hint_factor", s.Load.HintFactor, 4.0},
+		{"clients.mark_retry", s.Clients.MarkRetry, true},
+		{"net.drops_idle", s.Network.DropsIdleAfter, 20 * second},
+		{"discovery.capacity", s.Discovery.Capacity, 5000.0},
+		{"front.notice", s.LoadBalancer.NoticeDelay, 1500 * millisecond},
+		{"schedulers.try_limit", s.Schedulers.AttemptLimit, 4},
+		{"schedulers.probes", s.Schedulers.HealthChecks, false},
+		{"planners.drops", s.Planners.Drops, 50 * second},
+		{"rules.fall_factor", s.Rules.OverloadFactor, 2.5},
+		{"fault.size", fault.Size, 3.5},
+		{"fault.spread", fault.Spread, second},
+		{"fault.on.cells", fault.Target.Cells, []int{0, 1}},
+		{"fault.on.share", fault.Target.Share, 0.5},
+		{"fault.and", s.Faults[1].And, "discovery"},
+		{"fault.on.class", s.Faults[4].Target.Class, "quote"},
+		{"expect", len(s.Expect), 3},
+	})
+	s = goldenScenario(t, goldenProcess)
+	checkFields(t, []field{
+		{"load.closed", s.Load.ClosedClients, 25},
+		{"load.of of a closed load", s.Load.CapacityShare, 0.0},
+		{"bad", s.Misbehaving, []MisbehavingClients{{"slow_head", 2.5, 3 * second, 9 * second}}},
+		{"schedulers.ops", strings.HasPrefix(s.Schedulers.OperationsFile, "[log]\nformat = \"json\"\n"), true},
+	})
+	s = goldenScenario(t, goldenLoad)
+	checkFields(t, []field{{"load.of", s.Load.CapacityShare, 0.85}})
+}
+
+// The golden files have every key of a scenario, and no other.
+func TestParse_GoldenHasEveryKey(t *testing.T) {
 	found := map[string]bool{}
 	for _, name := range goldenScenarios {
 		var table map[string]any
@@ -113,5 +148,5 @@
 	return keys
 }
 
-// Each key stands in a tag: none follows from its Go field, which a rename would change.
-func TestScenarioIsTagged(t *testing.T) { storedform.CheckTagsBy(t, "toml", Scenario{}) }
+// Each key stands in a tag, so that renaming a Go field does not change it.
+func TestScenario_IsTagged(t *testing.T) { storedform.CheckTagsBy(t, "toml", Scenario{}) }
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -1,26 +1,18 @@
 package scenario
 
-import "time"
-
-// Duration is a span of time, written as in "250ms".
-type Duration time.Duration
-
-// Std is the span as the standard library has it.
-func (s Duration) Std() time.Duration { return time.Duration(s) }
-
-// Drivers of a scenario.
+// The drivers that can run a scenario, as the key drivers names them.
 const (
 	DriverSimulation = "virtual"
 	DriverProcess    = "live"
 )
 
-// Scenario is a play before its seed is known.
+// Scenario describes a run, but for its seed.
 type Scenario struct {
-	Name         string               `toml:"name"`    // defaults to the file's
+	Name         string               `toml:"name"`    // default: the file's
 	Description  string               `toml:"about"`   // one sentence
-	Seed         int                  `toml:"seed"`    // of the play that it is kept for; 0: of none
-	Length       Duration             `toml:"length"`  // jobs fall due for so long
-	Settle       Duration             `toml:"settle"`  // and the play goes on for at most so long; default: the longest deadline and 2 s
+	Seed         int                  `toml:"seed"`    // of the run that the scenario is kept for; 0: of none
+	Length       Duration             `toml:"length"`  // for how long jobs become due
+	Settle       Duration             `toml:"settle"`  // for how long the run goes on after that, at most; default: the longest deadline and 2 s
 	Drivers      []string             `toml:"drivers"` // default both
 	Fleet        Fleet                `toml:"fleet"`
 	Classes      []Class              `toml:"class"`  // default: the co-operative's four
@@ -38,48 +30,48 @@
 	Expect       []string             `toml:"expect"` // "in_time >= 0.95", "recovered_within <= 5s"
 }
 
-// Fleet is the worker nodes.
+// Fleet describes the workers.
 type Fleet struct {
 	Workers  int          `toml:"nodes"`
-	Zones    []string     `toml:"zones"`     // dealt out in turn; default one, "a"
-	CellSize int          `toml:"cell_size"` // worker nodes that share the keys they have seen; default 4
-	Weights  string       `toml:"weights"`   // what discovery tells as weight: off, nominal, rough (default)
+	Zones    []string     `toml:"zones"`     // assigned to workers in turn; default one, "a"
+	CellSize int          `toml:"cell_size"` // workers that share the idempotency keys they have seen; default 4
+	Weights  string       `toml:"weights"`   // the weights that discovery publishes: off, nominal, rough (default)
 	Kinds    []WorkerKind `toml:"kind"`      // default: the co-operative's two
 }
 
-// WorkerKind is a kind of worker node. A draw within its spread is made for each node.
+// WorkerKind describes the workers of one kind. The speed of each is drawn at random.
 type WorkerKind struct {
 	Name                    string   `toml:"name"`
 	Share                   float64  `toml:"share"` // of the fleet
 	Cores                   float64  `toml:"cores"`
-	Speed                   float64  `toml:"speed"`         // of a core, against a standard one
-	Spread                  float64  `toml:"spread"`        // coefficient of variation of the speed between nodes
+	Speed                   float64  `toml:"speed"`         // of a core, relative to a standard one
+	Spread                  float64  `toml:"spread"`        // coefficient of variation of the speed between workers
 	Slots                   int      `toml:"slots"`         // jobs at once; beyond the cores they share them
-	Queue                   int      `toml:"queue"`         // jobs that may wait; beyond that, 'full'
-	QueueOrder              string   `toml:"order"`         // fifo (the head waits until it fits) or backfill (whatever fits first)
-	WarmUpCapacity          float64  `toml:"cold_from"`     // share of the capacity that a start begins with
-	WarmUp                  Duration `toml:"cold"`          // until it is warm
+	Queue                   int      `toml:"queue"`         // jobs that may be queued; it rejects more as full
+	QueueOrder              string   `toml:"order"`         // fifo (the first job waits until it fits) or backfill (the first job that fits)
+	WarmUpCapacity          float64  `toml:"cold_from"`     // share of the capacity after a start
+	WarmUp                  Duration `toml:"cold"`          // until it has its whole capacity
 	WarmUpBy                string   `toml:"warm_by"`       // time or work
 	PauseEvery              Duration `toml:"pause_every"`   // mean; 0: never
 	Pause                   Duration `toml:"pause"`         // mean length
-	ErrorRate               float64  `toml:"error_rate"`    // of jobs that run and end with an error
-	ConnLimit               int      `toml:"conns"`         // connections that it holds
-	Handshake               Duration `toml:"handshake"`     // work that a new connection costs it, and what its first request waits
-	ConnIdleTimeout         Duration `toml:"idle"`          // it closes connections idle for so long
-	ExpiredJobs             string   `toml:"expired"`       // what it does with waiting work whose budget is over: run or drop
-	CancellationStops       bool     `toml:"cancel_stops"`  // DELETE ends running work; else nothing happens
-	ReturnsQueued           bool     `toml:"hands_back"`    // when it drains, what has not begun is returned
-	OmitsStartNotifications bool     `toml:"starts_untold"` // it tells no starts and no progress
-	ProgressInterval        Duration `toml:"progress"`      // between notes of progress; 0: none
-	HealthCheckWork         Duration `toml:"probe_work"`    // work of a probe
+	ErrorRate               float64  `toml:"error_rate"`    // share of jobs that end with an error after they ran
+	ConnLimit               int      `toml:"conns"`         // open connections at most
+	Handshake               Duration `toml:"handshake"`     // work that a new connection costs it, and the delay of its first request
+	ConnIdleTimeout         Duration `toml:"idle"`          // after which it closes idle connections
+	ExpiredJobs             string   `toml:"expired"`       // what it does with queued jobs whose deadline has passed: run or drop
+	CancellationStops       bool     `toml:"cancel_stops"`  // DELETE stops a running job; else it has no effect
+	ReturnsQueued           bool     `toml:"hands_back"`    // when it drains, it returns the jobs that have not started
+	OmitsStartNotifications bool     `toml:"starts_untold"` // it sends no notifications of starts and of progress
+	ProgressInterval        Duration `toml:"progress"`      // between notifications of progress; 0: none
+	HealthCheckWork         Duration `toml:"probe_work"`    // work of a health check
 	Accept                  Duration `toml:"accept"`        // from the last byte of an attempt to the 202
-	CallbackDelay           Duration `toml:"note_late"`     // mean further delay of notes
-	CallbackEarlyShare      float64  `toml:"note_early"`    // share of jobs whose start is told before the 202
-	CallbackTwiceShare      float64  `toml:"note_twice"`    // share of notes sent again though answered
-	CallbackLossShare       float64  `toml:"note_lost"`     // share of notes' calls that never arrive (each is tried up to ten times)
+	CallbackDelay           Duration `toml:"note_late"`     // mean further delay of notifications
+	CallbackEarlyShare      float64  `toml:"note_early"`    // share of jobs whose start is notified before the 202
+	CallbackTwiceShare      float64  `toml:"note_twice"`    // share of notifications sent again though answered
+	CallbackLossShare       float64  `toml:"note_lost"`     // share of attempts at notifications that never arrive; each is attempted up to ten times
 }
 
-// Class is a class of jobs, and what a scheduler is told of it.
+// Class describes a class of jobs and its service objectives.
 type Class struct {
 	Name                string    `toml:"name"`
 	Share               float64   `toml:"share"` // of the jobs
@@ -87,7 +79,7 @@
 	Distribution        string    `toml:"dist"`  // fixed, exp, lognormal, pareto
 	CV                  float64   `toml:"cv"`    // of lognormal and pareto
 	Noise               float64   `toml:"noise"` // log-normal spread of one job's runs
-	Slots               []float64 `toml:"slots"` // shares of jobs that take 1, 2, 4, 8 slots
+	Slots               []float64 `toml:"slots"` // shares of the jobs that take 1, 2, 4, 8 slots
 	LatencyObjective    Duration  `toml:"aim"`
 	ObjectiveStretch    float64   `toml:"stretch"`
 	Deadline            Duration  `toml:"deadline"`
@@ -95,80 +87,80 @@
 	Idempotency         string    `toml:"effect"` // safe, keyed, unsafe
 	DeduplicationScope  string    `toml:"group"`  // of keyed: cell, zone, all
 	DeduplicationWindow Duration  `toml:"window"`
-	Kind                string    `toml:"kind"` // the only kind of worker node that runs it; empty: any
+	Kind                string    `toml:"kind"` // the only kind of worker that runs it; empty: any
 }
 
-// Tenant is a member society.
+// Tenant is a customer of the service.
 type Tenant struct {
 	Name  string  `toml:"name"`
-	Quota float64 `toml:"share"` // of the service
-	Usage float64 `toml:"usage"` // what it asks for, as a multiple of its share of the load; default 1
+	Quota float64 `toml:"share"` // share of the service
+	Usage float64 `toml:"usage"` // its load, as a multiple of its share; default 1
 }
 
-// Load is what clients ask for.
+// Load describes the requests of clients. One of CapacityShare, Rate and ClosedClients is given.
 type Load struct {
-	CapacityShare   float64 `toml:"of"`          // work offered, as a share of what the warm fleet can do
-	Rate            float64 `toml:"rate"`        // or jobs a second; one of the two
+	CapacityShare   float64 `toml:"of"`          // work requested, as a share of the capacity of the warm fleet
+	Rate            float64 `toml:"rate"`        // jobs a second
 	Shape           string  `toml:"shape"`       // steady, bursty, swell (rises to a peak at 2/3), month_start (falls off from the start)
-	Swing           float64 `toml:"swing"`       // of bursty, swell and month_start: by so much above and below the mean
-	Hints           string  `toml:"hints"`       // none, exact, rough (log-normal), wrong (all by hint_factor)
-	HintFactor      float64 `toml:"hint_factor"` // spread (log) of rough ones, default 0.5; factor of wrong ones
-	OverQuotaWeight float64 `toml:"over_worth"`  // worth beyond a tenant's share, default 0.1
-	Quota           float64 `toml:"quota"`       // the tenants' shares are of this part of the capacity, default 0.8
-	ClosedClients   int     `toml:"closed"`      // instead of an open load: so many clients that each wait for their answer and ask again at once
+	Swing           float64 `toml:"swing"`       // of bursty, swell and month_start: deviation from the mean, as a share of it
+	Hints           string  `toml:"hints"`       // of the work of a job: none, exact, rough (log-normal), wrong (all by hint_factor)
+	HintFactor      float64 `toml:"hint_factor"` // log-normal spread of rough hints, default 0.5; factor of wrong ones, default 3
+	OverQuotaWeight float64 `toml:"over_worth"`  // factor of the priority weight beyond a tenant's quota, default 0.1
+	Quota           float64 `toml:"quota"`       // the part of the capacity that tenants' quotas share, default 0.8
+	ClosedClients   int     `toml:"closed"`      // clients that each send the next request on the response to the last
 }
 
-// Clients is how clients act.
+// Clients describes how clients behave.
 type Clients struct {
-	Retries             int      `toml:"retries"`    // further tries
-	Backoff             Duration `toml:"backoff"`    // before the first, doubling, drawn between half and one and a half
+	Retries             int      `toml:"retries"`    // of a request, at most
+	Backoff             Duration `toml:"backoff"`    // before the first retry, doubling, with a factor drawn from 0.5 to 1.5
 	HonourRetryAfter    float64  `toml:"honour"`     // share of clients that follow Retry-After
-	Impatient           float64  `toml:"impatient"`  // share of jobs whose client leaves early, at a moment drawn evenly up to its deadline
-	RequestTimeoutShare float64  `toml:"try_share"`  // of a class's deadline that one try may take; default 1
+	Impatient           float64  `toml:"impatient"`  // share of jobs whose client leaves early, at a time drawn evenly up to its deadline
+	RequestTimeoutShare float64  `toml:"try_share"`  // of a class's deadline that one request may take; default 1
 	MarkRetry           bool     `toml:"mark_retry"` // retries carry X-Again: 1
 }
 
-// MisbehaviorKinds are the kinds of bad clients.
+// MisbehaviorKinds has the kinds of misbehaving clients.
 var MisbehaviorKinds = []string{
 	"garbage", "endless_head", "wrong_length", "negative_length", "huge_length", "huge_body",
 	"unknown_class", "bad_deadline", "no_id", "stolen_id", "half_then_close", "flood", "insist", "silent", "smuggle",
 	"slow_head", "slow_reader",
 }
 
-// MisbehavingClients is a crowd of bad clients. Live only.
+// MisbehavingClients describes a group of misbehaving clients, for the process driver only.
 type MisbehavingClients struct {
-	Kind     string   `toml:"kind"` // one of BadKinds
+	Kind     string   `toml:"kind"` // one of MisbehaviorKinds
 	Rate     float64  `toml:"rate"` // connections a second
 	At       Duration `toml:"at"`
-	Duration Duration `toml:"for"` // default: to the end
+	Duration Duration `toml:"for"` // 0: to the end of the run
 }
 
-// Network is the network. Delays are one-way means.
+// Network describes the network. Delays are means, one way.
 type Network struct {
 	Delay          Duration `toml:"delay"`      // within a zone
 	CrossZone      Duration `toml:"cross"`      // between zones
-	ClientDelay    Duration `toml:"client"`     // clients and schedulers
+	ClientDelay    Duration `toml:"client"`     // between clients and schedulers
 	Jitter         float64  `toml:"jitter"`     // coefficient of variation
-	Handshake      Duration `toml:"handshake"`  // a new connection's further delay
-	DropsIdleAfter Duration `toml:"drops_idle"` // something on the way forgets connections idle for so long; 0: never
+	Handshake      Duration `toml:"handshake"`  // further delay of a new connection
+	DropsIdleAfter Duration `toml:"drops_idle"` // after which the network forgets idle connections; 0: never
 }
 
-// Discovery is the list of worker nodes and how it comes to know of them.
+// Discovery describes the discovery service, and how fast it notices changes of the fleet.
 type Discovery struct {
-	NoticeDelay       Duration `toml:"notice"`        // of a process that ended or drains
-	SilentNoticeDelay Duration `toml:"silent_notice"` // of a worker node that vanished or is cut off
-	AddDelay          Duration `toml:"add"`           // of a start
-	Period            Duration `toml:"period"`        // between looks at its own list
-	Capacity          float64  `toml:"capacity"`      // lines of lists a second; calls wait in turn and fail after timeout; 0: no limit
+	NoticeDelay       Duration `toml:"notice"`        // of a worker that ended or is draining
+	SilentNoticeDelay Duration `toml:"silent_notice"` // of a worker that vanished or is partitioned
+	AddDelay          Duration `toml:"add"`           // of a worker that started
+	Period            Duration `toml:"period"`        // between updates of its list
+	Capacity          float64  `toml:"capacity"`      // endpoints listed a second; calls are queued and fail after timeout; 0: no limit
 	Timeout           Duration `toml:"timeout"`
 }
 
-// LoadBalancer spreads clients' connections over schedulers.
+// LoadBalancer describes the load balancer between clients and schedulers.
 type LoadBalancer struct {
-	NoticeDelay Duration `toml:"notice"` // a scheduler's death is noticed so late
+	NoticeDelay Duration `toml:"notice"` // until it notices that a scheduler has ended
 }
 
-// Schedulers is what each scheduler is told and given.
+// Schedulers describes the schedulers: their number, resources and settings.
 type Schedulers struct {
 	Count           int      `toml:"count"`
 	Cores           float64  `toml:"cores"`
@@ -181,72 +173,24 @@
 	MaxRetryAfter   Duration `toml:"max_retry_after"`
 	ConnIdleTimeout Duration `toml:"conn_idle"`
 	ConnTimeout     Duration `toml:"conn_timeout"`
-	OperationsFile  string   `toml:"ops"`        // text of an operators' file for valvecove --config; live only
-	StartSpread     Duration `toml:"start_over"` // spread of their starts at the beginning
+	OperationsFile  string   `toml:"ops"`        // text of a file for valvecove --config, for the process driver only
+	StartSpread     Duration `toml:"start_over"` // time over which they start at the beginning
 }
 
-// Planners are those that decide for the schedulers, which only pass queries on then. Virtual only.
+// Planners describes the planners, for the simulation driver only. With planners, schedulers are forwarders.
 type Planners struct {
-	Count int      `toml:"count"` // 0: schedulers decide by themselves
-	Idle  int      `toml:"idle"`  // the last so many start by planner_start alone
-	Drops Duration `toml:"drops"` // each connection of theirs breaks after so long on the mean; 0: none does by itself
+	Count int      `toml:"count"` // 0: schedulers decide themselves
+	Idle  int      `toml:"idle"`  // the last ones, which only the fault planner_start starts
+	Drops Duration `toml:"drops"` // mean time until a connection of theirs breaks; 0: never by itself
 }
 
-// Rules are the figures of the rules that the judge holds schedulers to.
+// Rules are the parameters of the invariants that the checker checks.
 type Rules struct {
-	Slack               Duration `toml:"slack"`          // after a deadline an answer still counts; default 50 ms live, 16 ms virtual
+	Slack               Duration `toml:"slack"`          // by which a response may be late; default 50 ms with processes, 16 ms in simulation
 	DrainGrace          Duration `toml:"drain_grace"`    // default 500 ms
 	PollInterval        Duration `toml:"ask_every"`      // default 10 s
 	OverloadFactor      float64  `toml:"fall_factor"`    // default 3
 	OverloadWindow      Duration `toml:"fall"`           // default 2 s
-	MisbehaviorDeadline Duration `toml:"bad_answered"`   // bad clients are owed an error or a close within, default 3 s
-	RejectionDeadline   Duration `toml:"give_up_within"` // default 250 ms: see judge
-}
-
-// FaultKinds says what may go wrong, and to whom it is done.
-var FaultKinds = map[string]string{
-	// Worker nodes. For 0 means for good.
-	"crash": "node", "vanish": "node", "hang": "node", "pause": "node", "slow": "node", "errors": "node",
-	"full": "node", "drain": "node", "restart": "node", "replace": "node", "gone": "node", "no_notes": "node",
-	"early_202_crash": "node", // it answers 202 and dies at that instant, at its next job
-	"handback":        "node", // what waits is returned
-	// The network, between `between` and `and`, or of nodes.
-	"cut": "net", "cut_one_way": "net", "delay": "net", "refuse": "node", "never_up": "node", "reset_at": "node",
-	"half_open": "node", "drop_idle": "net", "slow_read": "node",
-	// Discovery.
-	"disco_down": "disco", "disco_late": "disco", "disco_wrong": "disco", "disco_old": "disco", "disco_slow": "disco",
-	"disco_moves": "disco",
-	// Clients.
-	"burst": "clients", "storm": "clients",
-	// Schedulers.
-	"sched_kill": "sched", "sched_term": "sched", "sched_freeze": "sched", "sched_reload": "sched",
-	"sched_replace": "sched",
-	// Planners, and the network among them and schedulers.
-	"planner_kill": "planner", "planner_term": "planner", "planner_freeze": "planner", "planner_start": "planner",
-	"planner_slow": "planner", "planner_drop": "planner", "planner_cut": "planners", "planner_cut_one_way": "planners",
-}
-
-// Fault is something that goes wrong in the course of a play. doc.go says what Size means for each kind.
-type Fault struct {
-	Kind     string   `toml:"what"` // one of FaultKinds
-	At       Duration `toml:"at"`
-	Duration Duration `toml:"for"`
-	Spread   Duration `toml:"spread"` // targets are struck over so long, in turn
-	Target   Target   `toml:"on"`
-	Between  string   `toml:"between"` // of net faults: schedulers, nodes, discovery, clients, planners
-	And      string   `toml:"and"`
-	Size     float64  `toml:"size"`
-}
-
-// Target says whom a fault strikes: all that match all that is given.
-type Target struct {
-	Names      []string `toml:"names"`      // of worker nodes: w-0, w-1, ...
-	Cells      []int    `toml:"cells"`      // of worker nodes
-	Kind       string   `toml:"kind"`       // of worker nodes
-	Zone       string   `toml:"zone"`       // of worker nodes
-	Share      float64  `toml:"share"`      // so much of those that match otherwise, drawn by the seed, one at least
-	Schedulers []int    `toml:"schedulers"` // by number; empty: all
-	Planners   []int    `toml:"planners"`   // by number; empty: all
-	Tenant     string   `toml:"tenant"`
-	Class      string   `toml:"class"`
+	MisbehaviorDeadline Duration `toml:"bad_answered"`   // until a misbehaving client is answered with an error or disconnected, default 3 s
+	RejectionDeadline   Duration `toml:"give_up_within"` // until a rejection is due, default 250 ms: see package checker
 }
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -1,6 +1,7 @@
 package scenario
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"os"
@@ -11,9 +12,9 @@
 	"pgregory.net/rapid"
 )
 
-// Every fault of a faulty file is named by its key.
-func TestFaultyKeysAreNamed(t *testing.T) {
-	for _, x := range []struct{ text, key string }{
+// Errors name the key that is wrong.
+func TestParse_NamesFaultyKeys(t *testing.T) {
+	for _, test := range []struct{ text, key string }{
 		{`lenght = "20s"`, "lenght"},
 		{`length = 20`, "length"},
 		{`length = "20"`, "length"},
@@ -154,14 +155,18 @@
 		{`expect = ["in_time >= 5s"]`, "expect[0]"},
 		{`expect = ["rules_broken <= 0", "luck >= 1"]`, "expect[1]"},
 	} {
-		_, err := Parse("x", []byte(x.text))
-		if err == nil || !strings.Contains(err.Error(), fmt.Sprintf("key %q:", x.key)) {
-			t.Errorf("%s\nwants key %q named, got: %v", x.text, x.key, err)
+		_, err := Parse("x", []byte(test.text))
+		if err == nil || !strings.Contains(err.Error(), fmt.Sprintf("key %q:", test.key)) {
+			t.Errorf("%s\nwants key %q named, got: %v", test.text, test.key, err)
+		}
+		var keyErr *KeyError
+		if !errors.As(err, &keyErr) {
+			t.Errorf("%s\ngot an error without a key: %v", test.text, err)
 		}
 	}
 }
 
-func TestExpectations(t *testing.T) {
+func TestParseExpectation(t *testing.T) {
 	for text, want := range map[string]Expectation{
 		"in_time >= 0.95":                 {"in_time", "", ">=", 0.95},
 		"in_time[account-credit]>=0.9":    {"in_time", "account-credit", ">=", 0.9},
@@ -179,19 +184,35 @@
 		if again, err := ParseExpectation(got.String()); err != nil || again != got {
 			t.Errorf("%q: written as %q, which reads as %v, %v", text, got.String(), again, err)
 		}
-		over, under := got.IsMet(got.Bound+1), got.IsMet(got.Bound-1)
-		if even := got.IsMet(got.Bound); got.IsMet(math.NaN()) || even != strings.Contains(got.Operator, "=") ||
-			over != strings.Contains(got.Operator, ">") || under != strings.Contains(got.Operator, "<") {
-			t.Errorf("%q: met by more %v, by as much %v, by less %v", text, over, even, under)
+		checkOperator(t, got)
+	}
+}
+
+// checkOperator checks what values around the bound meet an expectation.
+func checkOperator(t *testing.T, e Expectation) {
+	t.Helper()
+	for _, test := range []struct {
+		value float64
+		sign  string
+	}{
+		{e.Bound + 1, ">"},
+		{e.Bound, "="},
+		{e.Bound - 1, "<"},
+	} {
+		if got, want := e.IsMet(test.value), strings.Contains(e.Operator, test.sign); got != want {
+			t.Errorf("%v: met by %v: got %v, want %v", e, test.value, got, want)
 		}
 	}
+	if e.IsMet(math.NaN()) {
+		t.Errorf("%v: met by NaN", e)
+	}
 }
 
-// What is written reads back as the same, whatever stands in a scenario.
-func TestEncodeRoundTrip(t *testing.T) {
+// Parse reads what Encode writes as the same scenario, whatever its values.
+func TestEncode_RoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Default()
-		shake(t, "", reflect.ValueOf(s).Elem())
+		mutate(t, "", reflect.ValueOf(s).Elem())
 		s.applyDerivedDefaults(func(string) bool { return true })
 		text := Encode(s)
 		got, err := read("other", text)
@@ -207,25 +228,25 @@
 	})
 }
 
-// shake changes some of the values. The lists that may not be empty are not.
-func shake(t *rapid.T, key string, v reflect.Value) {
-	least := 0
+// mutate changes some of the values. The lists that need an entry keep one.
+func mutate(t *rapid.T, key string, v reflect.Value) {
+	minLength := 0
 	if key == "class" || key == "tenant" || key == "kind" {
-		least = 1
+		minLength = 1
 	}
 	switch {
 	case v.Kind() == reflect.Struct:
 		for i := range v.NumField() {
-			shake(t, v.Type().Field(i).Tag.Get("toml"), v.Field(i))
+			mutate(t, v.Type().Field(i).Tag.Get("toml"), v.Field(i))
 		}
 	case !rapid.Bool().Draw(t, key):
 	case v.Kind() == reflect.Slice:
-		n := rapid.IntRange(least, 3).Draw(t, key)
+		n := rapid.IntRange(minLength, 3).Draw(t, key)
 		if v.SetZero(); n > 0 {
 			v.Set(reflect.MakeSlice(v.Type(), n, n))
 		}
 		for i := range n {
-			shake(t, "", v.Index(i))
+			mutate(t, "", v.Index(i))
 		}
 	case key == "what":
 		v.SetString(rapid.SampledFrom([]string{"crash", "cut", "slow", "x"}).Draw(t, key))
@@ -240,8 +261,8 @@
 	}
 }
 
-// A default scenario is sound, and an empty file is one.
-func TestDefault(t *testing.T) {
+// An empty file is the default scenario, and that is valid.
+func TestDefault_IsEmptyFile(t *testing.T) {
 	s, err := Parse("calm", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -256,19 +277,19 @@
 	}
 }
 
-func TestSet(t *testing.T) {
+func TestScenario_Set(t *testing.T) {
 	s, err := Parse("x", []byte("[[fault]]\nwhat = \"slow\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []struct{ key, value string }{
+	for _, change := range []struct{ key, value string }{
 		{"fault[0].size", "3.5"},
 		{"load.rate", "40"},
 		{"fleet.nodes", "12"},
 		{"class[2].deadline", `"3s"`},
 		{"fault[0].on.names", `["w-11"]`},
 	} {
-		if err := s.Set(x.key, x.value); err != nil {
+		if err := s.Set(change.key, change.value); err != nil {
 			t.Error(err)
 		}
 	}
@@ -278,7 +299,7 @@
 		t.Errorf("set to %s", Encode(s))
 	}
 	before := s.Clone()
-	for _, x := range []struct{ key, value string }{
+	for _, change := range []struct{ key, value string }{
 		{"fault[1].size", "3"},
 		{"fault[0].sise", "3"},
 		{"load", "3"},
@@ -288,24 +309,24 @@
 		{"fleet.nodes", "1\nx = 2"},
 		{"", "1"},
 	} {
-		if err := s.Set(x.key, x.value); err == nil || !strings.Contains(err.Error(), "key ") {
-			t.Errorf("%s = %s: got %v", x.key, x.value, err)
+		if err := s.Set(change.key, change.value); err == nil || !strings.Contains(err.Error(), "key ") {
+			t.Errorf("%s = %s: got %v", change.key, change.value, err)
 		}
 	}
 	if !reflect.DeepEqual(s, before) {
-		t.Error("a value that was refused left its trace")
+		t.Error("a rejected value changed the scenario")
 	}
 }
 
-// Each kind of fault has its rule and its line in the package's page.
-func TestFaultKindsAreDescribed(t *testing.T) {
+// Each kind of fault has its rule, and its line in the package comment.
+func TestFaultKinds_AreDescribed(t *testing.T) {
 	page, err := os.ReadFile("doc.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for what := range FaultKinds {
-		if _, ok := faultRules[what]; !ok || !strings.Contains(string(page), "\n//\t"+what+" ") {
-			t.Errorf("%s is not described", what)
+	for kind := range FaultKinds {
+		if _, ok := faultRules[kind]; !ok || !strings.Contains(string(page), "\n//\t"+kind+" ") {
+			t.Errorf("%s is not described", kind)
 		}
 	}
 	if len(faultRules) != len(FaultKinds) {
