--- a/internal/link/metrics_sender.go
+++ b/internal/link/metrics_sender.go
@@ -7,7 +7,6 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/internal/eventloop"
-	"valvecove/internal/metrics"
 )
 
 // maxBatchesPerIteration is how many batches of metrics are sent in one iteration, so that connections are served too.
@@ -51,27 +50,28 @@
 	return nil
 }
 
-// sendFigures gathers metrics and sends them, again and again.
-func (l *Loop) sendFigures(sent *metrics.Exporter) {
-	l.After(sent.Interval(), func() {
-		l.sendFigures(sent)
-		sent.Gather()
-		l.sendFigureBatches(sent)
+// exportMetrics gathers and sends metrics, again and again at the exporter's interval.
+func (l *Loop) exportMetrics() {
+	l.After(l.exporter.Interval(), func() {
+		l.exportMetrics()
+		l.exporter.Gather()
+		l.sendMetrics()
 	})
 }
 
-func (l *Loop) sendFigureBatches(sent *metrics.Exporter) {
-	if more := sent.Send(maxBatchesPerIteration); more {
-		l.After(0, func() { l.sendFigureBatches(sent) })
+// sendMetrics sends what was gathered, a few batches in each iteration of the loop.
+func (l *Loop) sendMetrics() {
+	if more := l.exporter.Send(maxBatchesPerIteration); more {
+		l.After(0, l.sendMetrics)
 	}
 }
 
-// FlushFigures sends all metrics that there are, at the end.
-func (l *Loop) FlushFigures() {
-	if l.figures == nil {
+// FlushMetrics gathers and sends all metrics, at the end.
+func (l *Loop) FlushMetrics() {
+	if l.exporter == nil {
 		return
 	}
-	l.figures.Gather()
-	for l.figures.Send(maxBatchesPerIteration) {
+	l.exporter.Gather()
+	for l.exporter.Send(maxBatchesPerIteration) {
 	}
 }
