--- a/cmd/valvecove-testbed/fleet.go
+++ b/cmd/valvecove-testbed/fleet.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"io"
 	"os"
 	"path/filepath"
 	"runtime"
@@ -14,190 +15,255 @@
 	"valvecove/internal/testbed/fleet"
 )
 
-// fleetCommand measures schedulers before large fleets, and is the processes that it starts for that.
+// Processes that a measurement starts from this program, as values of --as.
+const (
+	roleRig   = "rig"
+	roleProxy = "proxy"
+)
+
+// fleetCommand measures schedulers in front of large fleets. It is also the processes that a measurement starts.
 type fleetCommand struct {
-	Nodes     []int         `name:"nodes" help:"Worker nodes." default:"10,100,1000,3000"`
-	Notices   []string      `name:"notices" help:"Whether worker nodes tell of starts." enum:"on,off" default:"on,off"`
+	Nodes     []int         `name:"nodes" help:"Numbers of workers." default:"10,100,1000,3000"`
+	Notices   []string      `name:"notices" help:"Whether workers notify the scheduler of starts." enum:"on,off" default:"on,off"`
 	Hints     []string      `name:"hints" help:"Factors that hints of the work are wrong by: 1, 1/30, 30; none: no hints." default:"1,1/30,30"`
 	Binary    []string      `name:"binary" help:"The scheduler's program, as PATH or NAME=PATH; may be given again. Default: valvecove beside this one, or else built." sep:"none" placeholder:"NAME=PATH"`
-	Baselines []string      `name:"yardsticks" help:"Also played at each number of worker nodes: the reverse proxy, and clients that ask worker nodes directly. none: neither." enum:"proxy,direct,none" default:"proxy,direct"`
+	Baselines []string      `name:"yardsticks" help:"Also measured at each number of workers: the reverse proxy, and clients that call workers directly. none: neither." enum:"proxy,direct,none" default:"proxy,direct"`
 	For       time.Duration `name:"for" help:"How long is measured." default:"10s"`
-	WarmUp    time.Duration `name:"warm" help:"And what goes before that." default:"3s"`
-	Runs      int           `name:"runs" help:"Plays of each row." default:"1"`
-	Clients   int           `name:"clients" help:"Clients that each wait for their answer." default:"200"`
-	Work      time.Duration `name:"work" help:"What a job takes." default:"20ms"`
-	Burst     int           `name:"burst" help:"So many further jobs in the first second, while the whole list arrives; nothing is warm then." default:"0"`
-	Restart   bool          `name:"restart-third" help:"A third of the worker nodes restart within 10 s."`
-	Silent    float64       `name:"silent" help:"This part of the worker nodes, all in one place, is silent for a third of the time." default:"0"`
+	WarmUp    time.Duration `name:"warm" help:"Warm-up before that." default:"3s"`
+	Runs      int           `name:"runs" help:"Measurements of each configuration." default:"1"`
+	Clients   int           `name:"clients" help:"Clients that each wait for their response." default:"200"`
+	Work      time.Duration `name:"work" help:"Run time of a job." default:"20ms"`
+	Burst     int           `name:"burst" help:"So many further jobs in the first second, while the whole endpoint list arrives; nothing is warm then." default:"0"`
+	Restart   bool          `name:"restart-third" help:"A third of the workers restart within 10 s."`
+	Silent    float64       `name:"silent" help:"This share of the workers, all in one place, is silent for a third of the time." default:"0"`
 	Freeze    time.Duration `name:"freeze" help:"The scheduler is stopped for so long." default:"0s"`
-	Seconds   bool          `name:"seconds" help:"Also print what was served second by second. So it is with any of the four above."`
+	Seconds   bool          `name:"seconds" help:"Also print what was served second by second; implied by any of the four above."`
 	JSON      string        `name:"json" help:"Write all figures as JSON to a file, or to standard output for -, with nothing else there." placeholder:"FILE"`
-	With      []string      `name:"with" help:"Take in the plays of an earlier --json FILE; may be given again. With --runs=0 nothing is played." sep:"none" placeholder:"FILE" type:"existingfile"`
+	With      []string      `name:"with" help:"Include the measurements of an earlier --json FILE; may be given again. With --runs=0 nothing is measured." sep:"none" placeholder:"FILE" type:"existingfile"`
 	Logs      string        `name:"logs" help:"Keep schedulers' configurations and logs under this folder." type:"path"`
 	Seed      uint64        `name:"seed" help:"Seed of ids." default:"1"`
-	Role      string        `name:"as" hidden:"" enum:",rig,proxy" default:"" help:"Be one of the processes that this starts, as standard input says."`
+	Role      string        `name:"as" hidden:"" enum:",rig,proxy" default:"" help:"Be one of the processes that a measurement starts, configured by standard input."`
 }
 
-// Help is what its help adds.
+// Help is appended to the subcommand's help.
 func (c *fleetCommand) Help() string {
-	return `One scheduler on a core to itself, stand-in worker nodes with four slots each, and clients that each wait for
-their answer, on sockets of 127.0.0.0/8. Stop all else on the machine: what is measured is processor time and delay.`
-}
-
-// namedBuild is a build that is measured.
-type namedBuild struct{ name, path string }
-
-func (c *fleetCommand) builds(ctx context.Context, s *streams) (all []namedBuild, remove func(), err error) {
-	remove = func() {}
-	for _, b := range c.Binary {
-		name, path, ok := strings.Cut(b, "=")
-		if !ok {
-			name, path = filepath.Base(b), b
-		}
-		if path, err = filepath.Abs(path); err != nil {
-			return nil, remove, err
-		}
-		if name == "" || name == fleet.Proxy || name == fleet.Direct || name == fleet.Ceiling ||
-			name != filepath.Base(name) || slices.ContainsFunc(all, func(o namedBuild) bool { return o.name == name }) {
-			return nil, remove, fmt.Errorf("--binary %s: %q is no name for a build, or not its alone", b, name)
-		}
-		if !executable(path) {
-			return nil, remove, fmt.Errorf("--binary %s: no program", b)
-		}
-		all = append(all, namedBuild{name, path})
-	}
-	if len(all) == 0 && c.Runs > 0 {
-		path, done, err := schedulerBinary(ctx, "", s)
-		return []namedBuild{{"valvecove", path}}, done, err
-	}
-	return all, remove, nil
+	return `One scheduler on a core to itself, fake workers with four slots each, and clients that each wait for their
+response, on sockets of 127.0.0.0/8. Stop all else on the machine: processor time and delay are measured.`
 }
 
-// Run plays all rows, run by run, so that what changes on the machine meets all of them alike.
-func (c *fleetCommand) Run(ctx context.Context, s *streams) error {
+// Run measures all configurations, run by run, so that what changes on the machine affects all of them alike.
+func (c *fleetCommand) Run(ctx context.Context, streams *standardStreams) error {
 	switch c.Role {
-	case "rig":
-		if fleet.RunRigProcess(s.in, s.out) != nil { // which has said so to who started it
-			return exitError(exitViolation)
+	case roleRig:
+		if fleet.RunRigProcess(streams.stdin, streams.stdout) != nil { // which has reported the error to its parent
+			return exitError(exitUsage)
 		}
 		return nil
-	case "proxy":
-		return fleet.RunProxyProcess(s.in)
+	case roleProxy:
+		return fleet.RunProxyProcess(streams.stdin)
 	}
-	report, err := c.earlier()
+	report, err := c.earlierMeasurements()
 	if err != nil {
 		return err
 	}
-	builds, remove, err := c.builds(ctx, s)
+	builds, remove, err := c.builds(ctx, streams)
 	defer remove()
 	if err != nil {
 		return err
 	}
-	rows, paths, err := c.rows(builds)
+	configurations, err := c.configurations(builds)
 	if err != nil {
 		return err
 	}
-	self, err := os.Executable()
+	options, err := c.options()
 	if err != nil {
 		return err
 	}
-	o := fleet.Options{
-		Rig: []string{self, "fleet", "--as=rig"}, Proxy: []string{self, "fleet", "--as=proxy"},
-		Clients: c.Clients, WarmUp: c.WarmUp, Length: c.For, Work: c.Work, Burst: c.Burst, Restart: c.Restart, SilentShare: c.Silent,
-		Freeze: c.Freeze,
-	}
-	if c.Burst > 0 {
-		o.WarmUp = 0
-	}
-	began := time.Now()
+	start := time.Now()
 	for run := range c.Runs {
-		for i, row := range rows {
-			fmt.Fprintf(s.err, "%4.0fs  run %d of %d, row %d of %d: %s\n", time.Since(began).Seconds(), run+1, c.Runs, i+1,
-				len(rows), row)
-			o.Seed, o.Binary = c.Seed+uint64(run), paths[row.Subject]
-			if c.Logs != "" {
-				o.Dir = filepath.Join(c.Logs, fmt.Sprintf("run%d-row%d", run+1, i+1))
-				if err := os.MkdirAll(o.Dir, 0o755); err != nil {
-					return err
-				}
+		for i, configuration := range configurations {
+			fmt.Fprintf(streams.stderr, "%4.0fs  run %d of %d, row %d of %d: %s\n", time.Since(start).Seconds(), run+1, c.Runs, i+1,
+				len(configurations), configuration)
+			options.Seed = c.Seed + uint64(run)
+			options.Binary = binaryOf(builds, configuration.Subject)
+			if options.Dir, err = c.logDir(run, i); err != nil {
+				return err
 			}
-			p, err := fleet.Measure(ctx, row, o)
+			measurement, err := fleet.Measure(ctx, configuration, options)
 			if err != nil {
-				return fmt.Errorf("%s: %w", row, err)
+				return fmt.Errorf("%s: %w", configuration, err)
 			}
-			report.Measurements = append(report.Measurements, p)
+			report.Measurements = append(report.Measurements, measurement)
 		}
 	}
-	return c.show(report, s)
+	return c.writeReport(report, streams)
 }
 
-// earlier is the report that this one goes on from.
-func (c *fleetCommand) earlier() (*fleet.Report, error) {
+// earlierMeasurements is a report with the measurements of the files that --with names.
+func (c *fleetCommand) earlierMeasurements() (*fleet.Report, error) {
 	report := &fleet.Report{Cores: runtime.NumCPU(), Measurements: []fleet.Measurement{}}
 	for _, name := range c.With {
 		text, err := os.ReadFile(name)
 		if err != nil {
 			return nil, err
 		}
-		var r fleet.Report
-		if err := json.Unmarshal(text, &r); err != nil {
+		var earlier fleet.Report
+		if err := json.Unmarshal(text, &earlier); err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		report.Measurements = append(report.Measurements, r.Measurements...)
+		report.Measurements = append(report.Measurements, earlier.Measurements...)
 	}
 	return report, nil
 }
 
-// rows are what is played in a run.
-func (c *fleetCommand) rows(builds []namedBuild) (rows []fleet.Row, paths map[string]string, err error) {
-	paths = map[string]string{}
-	for _, b := range builds {
-		paths[b.name] = b.path
+// namedBuild is a build of the scheduler that is measured.
+type namedBuild struct{ name, path string }
+
+// builds are those that --binary names, or the scheduler's own program. The caller calls remove also after an error.
+func (c *fleetCommand) builds(ctx context.Context, streams *standardStreams) (all []namedBuild, remove func(), err error) {
+	remove = func() {}
+	for _, value := range c.Binary {
+		build, err := parseBuild(value)
+		if err != nil {
+			return nil, remove, err
+		}
+		isNameTaken := slices.ContainsFunc(all, func(other namedBuild) bool { return other.name == build.name })
+		if isNameTaken || !isBuildName(build.name) {
+			return nil, remove, fmt.Errorf("--binary %s: %q is no name for a build, or not its alone", value, build.name)
+		}
+		if !isExecutable(build.path) {
+			return nil, remove, fmt.Errorf("--binary %s: no program", value)
+		}
+		all = append(all, build)
+	}
+	if len(all) > 0 || c.Runs <= 0 {
+		return all, remove, nil
+	}
+	path, removeBuilt, err := schedulerBinary(ctx, "", streams)
+	if err != nil {
+		return nil, remove, err
+	}
+	return []namedBuild{{"valvecove", path}}, removeBuilt, nil
+}
+
+// parseBuild reads PATH or NAME=PATH.
+func parseBuild(value string) (namedBuild, error) {
+	name, path, ok := strings.Cut(value, "=")
+	if !ok {
+		name, path = filepath.Base(value), value
+	}
+	path, err := filepath.Abs(path)
+	return namedBuild{name, path}, err
+}
+
+// isBuildName reports whether a name can stand for a build: it is no path, and no baseline has it.
+func isBuildName(name string) bool {
+	switch name {
+	case "", fleet.Proxy, fleet.Direct, fleet.Ceiling:
+		return false
+	}
+	return name == filepath.Base(name)
+}
+
+// binaryOf is the program of a build; empty for a baseline.
+func binaryOf(builds []namedBuild, name string) string {
+	for _, build := range builds {
+		if build.name == name {
+			return build.path
+		}
+	}
+	return ""
+}
+
+// configurations are what is measured in each run.
+func (c *fleetCommand) configurations(builds []namedBuild) ([]fleet.Row, error) {
+	var all []fleet.Row
+	for _, build := range builds {
 		for _, hint := range c.Hints {
 			factor, err := fleet.ParseHint(hint)
 			if err != nil {
-				return nil, nil, err
+				return nil, err
 			}
 			for _, notices := range c.Notices {
-				for _, n := range c.Nodes {
-					rows = append(rows, fleet.Row{Subject: b.name, Workers: n, StartNotifications: notices == "on", Hint: factor})
+				for _, workers := range c.Nodes {
+					all = append(all, fleet.Row{Subject: build.name, Workers: workers, StartNotifications: notices == "on", Hint: factor})
 				}
 			}
 		}
 	}
-	for _, yardstick := range []string{fleet.Proxy, fleet.Direct} {
-		for _, n := range c.Nodes {
-			if slices.Contains(c.Baselines, yardstick) {
-				rows = append(rows, fleet.Row{Subject: yardstick, Workers: n})
-			}
+	return append(all, c.baselines()...), nil
+}
+
+// baselines are the configurations without a scheduler.
+func (c *fleetCommand) baselines() []fleet.Row {
+	var all []fleet.Row
+	for _, baseline := range []string{fleet.Proxy, fleet.Direct} {
+		if !slices.Contains(c.Baselines, baseline) {
+			continue
+		}
+		for _, workers := range c.Nodes {
+			all = append(all, fleet.Row{Subject: baseline, Workers: workers})
 		}
 	}
 	if slices.Contains(c.Baselines, fleet.Direct) {
-		rows = append(rows, fleet.Row{Subject: fleet.Ceiling, Workers: slices.Max(c.Nodes)})
+		all = append(all, fleet.Row{Subject: fleet.Ceiling, Workers: slices.Max(c.Nodes)})
 	}
-	return rows, paths, nil
+	return all
 }
 
-func (c *fleetCommand) show(report *fleet.Report, s *streams) error {
+// options are what all measurements have in common.
+func (c *fleetCommand) options() (fleet.Options, error) {
+	self, err := os.Executable()
+	if err != nil {
+		return fleet.Options{}, err
+	}
+	options := fleet.Options{
+		Rig: []string{self, "fleet", "--as=" + roleRig}, Proxy: []string{self, "fleet", "--as=" + roleProxy},
+		Clients: c.Clients, WarmUp: c.WarmUp, Length: c.For, Work: c.Work, Burst: c.Burst, Restart: c.Restart, SilentShare: c.Silent,
+		Freeze: c.Freeze,
+	}
+	if c.Burst > 0 { // the burst comes first
+		options.WarmUp = 0
+	}
+	return options, nil
+}
+
+// logDir makes the folder of a measurement's logs, both numbers from 0; empty: none is kept.
+func (c *fleetCommand) logDir(run, configuration int) (string, error) {
+	if c.Logs == "" {
+		return "", nil
+	}
+	dir := filepath.Join(c.Logs, fmt.Sprintf("run%d-row%d", run+1, configuration+1))
+	return dir, os.MkdirAll(dir, 0o755)
+}
+
+// writeReport writes the JSON and the tables.
+func (c *fleetCommand) writeReport(report *fleet.Report, streams *standardStreams) error {
 	if c.JSON != "" {
-		if err := saveJSON(c.JSON, report, s); err != nil {
+		if err := saveJSON(c.JSON, report, streams); err != nil {
 			return err
 		}
 	}
 	if c.JSON != "-" {
-		if err := report.Table(s.out); err != nil {
+		if err := c.writeTables(report, streams.stdout); err != nil {
 			return err
 		}
-		fmt.Fprint(s.out, "\n", fleet.Legend)
-		if c.Seconds || c.Burst > 0 || c.Restart || c.Silent > 0 || c.Freeze > 0 {
-			fmt.Fprintln(s.out)
-			if err := report.BySecond(s.out); err != nil {
-				return err
-			}
-		}
 	}
-	if slices.ContainsFunc(report.Measurements, func(p fleet.Measurement) bool { return p.InvalidReason() != "" }) {
+	isInvalid := func(measurement fleet.Measurement) bool { return measurement.InvalidReason() != "" }
+	if slices.ContainsFunc(report.Measurements, isInvalid) {
 		return exitError(exitInvalid)
 	}
 	return nil
 }
+
+func (c *fleetCommand) writeTables(report *fleet.Report, w io.Writer) error {
+	if err := report.Table(w); err != nil {
+		return err
+	}
+	fmt.Fprint(w, "\n", fleet.Legend)
+	if !c.Seconds && c.Burst <= 0 && !c.Restart && c.Silent <= 0 && c.Freeze <= 0 {
+		return nil
+	}
+	fmt.Fprintln(w)
+	return report.BySecond(w)
+}
--- a/cmd/valvecove-testbed/load.go
+++ b/cmd/valvecove-testbed/load.go
@@ -3,51 +3,65 @@
 import (
 	"context"
 	"fmt"
+	"io"
 	"time"
 
+	"github.com/HdrHistogram/hdrhistogram-go"
+
 	"valvecove/internal/testbed/process"
 )
 
+// Parameters of a load that have no flag.
+const (
+	loadWarmUp     = time.Second
+	responderCores = 2
+)
+
 type loadCommand struct {
-	Target string        `name:"target" help:"Address and port on 127.0.0.0/8; empty: a responder of the lab's own, which answers all at once." default:""`
+	Target string        `name:"target" help:"Address and port on 127.0.0.0/8; empty: a responder of the testbed's own, which answers at once." default:""`
 	Rate   float64       `name:"rate" help:"Requests a second." default:"30000"`
 	Conns  int           `name:"conns" help:"Connections." default:"256"`
 	Cores  int           `name:"cores" help:"Threads that make the load." default:"2"`
 	For    time.Duration `name:"for" help:"How long requests fall due." default:"10s"`
-	Seed   uint64        `name:"seed" help:"Seed of the moments." default:"1"`
+	Seed   uint64        `name:"seed" help:"Seed of the arrival times." default:"1"`
 }
 
-// Run puts the load on, and shows latency from when requests were due.
-func (c *loadCommand) Run(ctx context.Context, s *streams) error {
+// Run applies the load, and prints the latency from when requests were due.
+func (c *loadCommand) Run(ctx context.Context, streams *standardStreams) error {
 	target := c.Target
 	if target == "" {
-		r, err := process.StartResponder("127.0.0.1:0", 2, nil)
+		responder, err := process.StartResponder("127.0.0.1:0", responderCores, nil)
 		if err != nil {
 			return err
 		}
-		defer func() { _ = r.Close() }()
-		target = r.Addr
+		defer func() { _ = responder.Close() }()
+		target = responder.Addr
 	}
-	got, err := process.Load(ctx, process.LoadOptions{
+	result, err := process.Load(ctx, process.LoadOptions{
 		Target: target, Rate: c.Rate, Conns: c.Conns, Cores: c.Cores, Length: c.For,
-		WarmUp: time.Second, Seed: c.Seed,
+		WarmUp: loadWarmUp, Seed: c.Seed,
 	})
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "due %d, answered %d (%.0f/s), failed %d, open at the end %d\n", got.Due, got.Answered, got.Rate,
-		got.Failed, got.Open)
-	for status, n := range got.Status {
-		fmt.Fprintf(s.out, "  status %d: %d\n", status, n)
+	fmt.Fprintf(streams.stdout, "due %d, answered %d (%.0f/s), failed %d, open at the end %d\n", result.Due, result.Answered,
+		result.Rate, result.Failed, result.Open)
+	for status, responses := range result.Status {
+		fmt.Fprintf(streams.stdout, "  status %d: %d\n", status, responses)
 	}
-	ms := func(us int64) float64 { return float64(us) / 1000 }
-	fmt.Fprintf(s.out, "latency from due, ms: p50 %.2f, p99 %.2f, p99.9 %.2f, max %.2f\n", ms(got.Latency.ValueAtQuantile(50)),
-		ms(got.Latency.ValueAtQuantile(99)), ms(got.Latency.ValueAtQuantile(99.9)), ms(got.Latency.Max()))
-	fmt.Fprintf(s.out, "lateness of the load, ms: p50 %.2f, p99 %.2f, p99.9 %.2f, max %.2f\n", ms(got.Lateness.ValueAtQuantile(50)),
-		ms(got.Lateness.ValueAtQuantile(99)), ms(got.Lateness.ValueAtQuantile(99.9)), ms(got.Lateness.Max()))
-	if why := got.InvalidReason(); why != "" {
-		fmt.Fprintln(s.err, "void:", why)
+	writePercentiles(streams.stdout, "latency from due", result.Latency)
+	writePercentiles(streams.stdout, "lateness of the load", result.Lateness)
+	if reason := result.InvalidReason(); reason != "" {
+		fmt.Fprintln(streams.stderr, "void:", reason)
 		return exitError(exitInvalid)
 	}
 	return nil
 }
+
+// writePercentiles prints a histogram of microseconds in milliseconds.
+func writePercentiles(w io.Writer, title string, histogram *hdrhistogram.Histogram) {
+	milliseconds := func(microseconds int64) float64 { return float64(microseconds) / 1000 }
+	fmt.Fprintf(w, "%s, ms: p50 %.2f, p99 %.2f, p99.9 %.2f, max %.2f\n", title,
+		milliseconds(histogram.ValueAtQuantile(50)), milliseconds(histogram.ValueAtQuantile(99)),
+		milliseconds(histogram.ValueAtQuantile(99.9)), milliseconds(histogram.Max()))
+}
--- a/cmd/valvecove-testbed/main.go
+++ b/cmd/valvecove-testbed/main.go
@@ -1,5 +1,6 @@
-// Valvecove-testbed runs experiments: it plays scenarios against schedulers, in virtual time or with real processes, judges what it
-// saw, and says what it came to. Nothing of it is in the serving path.
+// Command valvecove-testbed runs scenarios against schedulers, in simulated time or with real processes, checks that the
+// invariants held, and reports the figures. It has one subcommand a file. It is a tool for development: nothing of it is
+// on the serving path, and it connects to nothing but what it starts itself.
 package main
 
 import (
@@ -15,87 +16,97 @@
 	"github.com/alecthomas/kong"
 )
 
-// Exit codes.
+// Exit codes of all subcommands.
 const (
 	exitOK        = 0
-	exitUsage     = 1 // played, and not as expected: a rule broken, an expectation not met, drivers that disagree
-	exitViolation = 2 // usage, a faulty file, or this machine
-	exitInvalid   = 3 // the lab itself was too late: no result
+	exitViolation = 1 // a rule was broken, an expectation not met, or the drivers disagree
+	exitUsage     = 2 // wrong usage, a faulty file, something this machine could not do, or interrupted
+	exitInvalid   = 3 // the testbed itself was too late: the run is no result
 )
 
-// commands are the command line.
+// garbageCollectionPercent lets the heap grow to five times the live data: a run allocates much and retains little.
+const garbageCollectionPercent = 400
+
+// commands are the subcommands.
 type commands struct {
-	Demo       demoCommand       `cmd:"" name:"demo" help:"Bring up discovery, worker nodes, a scheduler and clients, kill a worker node on the way, and judge."`
-	Play       playCommand       `cmd:"" name:"play" help:"Play a scenario once, judge it, and show its figures."`
-	Compare    compareCommand    `cmd:"" name:"compare" help:"Play two builds, configurations or policies in the same plays, paired by seed."`
-	Sweep      sweepCommand      `cmd:"" name:"sweep" help:"Play a scenario with one key, or two, taking several values."`
-	Hunt       huntCommand       `cmd:"" name:"hunt" help:"Draw scenarios and faults at random, and keep the plays that go worst, shrunk."`
-	Agree      agreeCommand      `cmd:"" name:"agree" help:"Play scenarios with both drivers, and set them side by side."`
-	Yardsticks yardsticksCommand `cmd:"" name:"yardsticks" help:"Hold the module against reference policies, scenario by scenario."`
-	Speed      speedCommand      `cmd:"" name:"speed" help:"Measure how fast virtual time runs on one core, by fleet."`
-	Load       loadCommand       `cmd:"" name:"load" help:"Put an open load on an address, or on a responder of the lab's own."`
-	Fleet      fleetCommand      `cmd:"" name:"fleet" help:"Measure a scheduler before large fleets on sockets, beside the standard library's reverse proxy."`
-	Mutants    mutantsCommand    `cmd:"" name:"mutants" help:"Play each seeded fault, and say whether the judge finds it."`
-	List       listCommand       `cmd:"" name:"list" help:"List the scenarios of the library."`
-	Check      checkCommand      `cmd:"" name:"check" help:"Check scenario files."`
-	Version    versionCommand    `cmd:"" name:"version" help:"Say which build this is."`
+	Demo           demoCommand           `cmd:"" name:"demo" help:"Start discovery, workers, a scheduler and clients, kill a worker on the way, and check the run."`
+	Play           playCommand           `cmd:"" name:"play" help:"Run a scenario once, check its invariants, and show its figures."`
+	Compare        compareCommand        `cmd:"" name:"compare" help:"Run two builds, configurations or policies on the same scenarios, paired by seed."`
+	ParameterStudy parameterStudyCommand `cmd:"" name:"sweep" help:"Run a scenario with one key, or two, taking several values."`
+	Search         searchCommand         `cmd:"" name:"hunt" help:"Draw scenarios and faults at random, and keep the worst runs, minimised."`
+	Agreement      agreementCommand      `cmd:"" name:"agree" help:"Run scenarios with both drivers, and set their figures side by side."`
+	Baselines      baselinesCommand      `cmd:"" name:"yardsticks" help:"Compare the dispatch policy with the baseline policies, scenario by scenario."`
+	Speed          speedCommand          `cmd:"" name:"speed" help:"Measure how fast the simulation runs on one core, by fleet size."`
+	Load           loadCommand           `cmd:"" name:"load" help:"Put an open load on an address, or on a responder of the testbed's own."`
+	Fleet          fleetCommand          `cmd:"" name:"fleet" help:"Measure a scheduler in front of large fleets on sockets, beside the standard library's reverse proxy."`
+	Mutants        mutantsCommand        `cmd:"" name:"mutants" help:"Run each mutant, and say whether the invariant checker finds it."`
+	List           listCommand           `cmd:"" name:"list" help:"List the scenarios of the library."`
+	Check          checkCommand          `cmd:"" name:"check" help:"Check scenario files."`
+	Version        versionCommand        `cmd:"" name:"version" help:"Print which build this is."`
 }
 
-const programDescription = `The lab of valvecove. SCENARIO is a name of the library ("valvecove-testbed list"), a file, or - for standard input.
+const programDescription = `The testbed of valvecove. SCENARIO is a name of the library ("valvecove-testbed list"), a file, or - for standard input.
 
-Exit codes: 0 as expected; 1 played, and a rule was broken, an expectation not met, or the drivers disagree; 2 wrong usage,
-a faulty file, or something this machine could not do; 3 the lab itself was too late, so the play is no result.`
+Exit codes: 0 as expected; 1 a rule was broken, an expectation not met, or the drivers disagree; 2 wrong usage, a faulty
+file, something this machine could not do, or interrupted; 3 the testbed itself was too late, so the run is no result.`
 
-// exitError ends a command with a code other than 0, its words having been said.
+// exitError ends a subcommand with an exit code other than 0. Its cause has been printed already.
 type exitError int
 
 func (e exitError) Error() string { return fmt.Sprintf("exit %d", int(e)) }
 
-// streams are where a command reads and writes.
-type streams struct {
-	in       io.Reader
-	out, err io.Writer
+// standardStreams are what a subcommand reads and writes.
+type standardStreams struct {
+	stdin          io.Reader
+	stdout, stderr io.Writer
 }
 
 func main() {
-	debug.SetGCPercent(400) // plays leave much behind and hold little
+	debug.SetGCPercent(garbageCollectionPercent)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	context.AfterFunc(ctx, stop) // a second signal ends it at once: a play in virtual time does not look up
-	code := run(ctx, os.Args[1:], &streams{os.Stdin, os.Stdout, os.Stderr})
+	// A second signal ends the process at once: a simulated run does not look at its context.
+	context.AfterFunc(ctx, stop)
+	code := run(ctx, os.Args[1:], &standardStreams{stdin: os.Stdin, stdout: os.Stdout, stderr: os.Stderr})
 	stop()
 	os.Exit(code)
 }
 
-// run is the program but for the process round it.
-func run(ctx context.Context, args []string, s *streams) (code int) {
-	var c commands
-	ended := -1
-	parser, err := kong.New(&c, kong.Name("valvecove-testbed"), kong.Description(programDescription), kong.UsageOnError(),
-		kong.Writers(s.out, s.err), kong.Exit(func(code int) { ended = code }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
+// run runs a command line and returns the exit code.
+func run(ctx context.Context, args []string, streams *standardStreams) int {
+	var line commands
+	helpExitCode := -1 // until help has been printed
+	parser, err := kong.New(&line, kong.Name("valvecove-testbed"), kong.Description(programDescription), kong.UsageOnError(),
+		kong.Writers(streams.stdout, streams.stderr), kong.Exit(func(code int) { helpExitCode = code }),
+		kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
-		fmt.Fprintln(s.err, "valvecove-testbed:", err)
-		return exitViolation
+		fmt.Fprintln(streams.stderr, "valvecove-testbed:", err)
+		return exitUsage
 	}
 	command, err := parser.Parse(args)
-	if ended >= 0 { // help was asked for
-		return ended
+	if helpExitCode >= 0 {
+		return helpExitCode
 	}
 	if err != nil {
-		fmt.Fprintln(s.err, "valvecove-testbed:", err)
-		return exitViolation
+		fmt.Fprintln(streams.stderr, "valvecove-testbed:", err)
+		return exitUsage
 	}
 	command.BindTo(ctx, (*context.Context)(nil))
-	var asked exitError
-	switch err := command.Run(s); {
+	return exitCode(command.Run(streams), streams)
+}
+
+// exitCode turns the error of a subcommand into the exit code, and prints it unless that has been done.
+func exitCode(err error, streams *standardStreams) int {
+	var exit exitError
+	switch {
 	case err == nil:
 		return exitOK
-	case errors.As(err, &asked):
-		return int(asked)
+	case errors.As(err, &exit):
+		return int(exit)
 	case errors.Is(err, context.Canceled):
-		fmt.Fprintln(s.err, "valvecove-testbed: stopped")
-		return exitViolation
+		fmt.Fprintln(streams.stderr, "valvecove-testbed: stopped")
+		return exitUsage
 	default:
-		fmt.Fprintln(s.err, "valvecove-testbed:", err)
-		return exitViolation
+		fmt.Fprintln(streams.stderr, "valvecove-testbed:", err)
+		return exitUsage
 	}
 }
--- a/cmd/valvecove-testbed/main_test.go
+++ b/cmd/valvecove-testbed/main_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"encoding/json"
 	"os"
 	"path/filepath"
@@ -10,28 +9,31 @@
 	"testing"
 )
 
-const tiny = "name = \"tiny\"\nlength = \"3s\"\n[fleet]\nnodes = 4\n"
+// tinyScenario takes milliseconds in simulated time.
+const tinyScenario = "name = \"tiny\"\nlength = \"3s\"\n[fleet]\nnodes = 4\n"
 
-// call runs the command line with a scenario on its standard input.
-func call(in string, args ...string) (code int, out, errs string) {
-	var o, e bytes.Buffer
-	code = run(context.Background(), args, &streams{strings.NewReader(in), &o, &e})
-	return code, o.String(), e.String()
+// runCommandLine runs the program with a text on its standard input.
+func runCommandLine(t *testing.T, stdin string, args ...string) (code int, stdout, stderr string) {
+	t.Helper()
+	var stdoutBuffer, stderrBuffer bytes.Buffer
+	streams := &standardStreams{stdin: strings.NewReader(stdin), stdout: &stdoutBuffer, stderr: &stderrBuffer}
+	code = run(t.Context(), args, streams)
+	return code, stdoutBuffer.String(), stderrBuffer.String()
 }
 
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
 	kept, faulty := filepath.Join(dir, "kept.toml"), filepath.Join(dir, "faulty.toml")
-	for path, text := range map[string]string{kept: "seed = 7\n" + tiny, faulty: tiny + "[load]\noff = 3\n"} {
+	for path, text := range map[string]string{kept: "seed = 7\n" + tinyScenario, faulty: tinyScenario + "[load]\noff = 3\n"} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, c := range []struct {
-		in        string
-		args      string
-		code      int
-		out, errs string // that must be in what is written
+		stdin          string
+		args           string
+		code           int
+		stdout, stderr string // parts of what is written
 	}{
 		{"", "list", 0, "calm ", ""},
 		{"", "check " + kept, 0, "sound", ""},
@@ -41,61 +43,64 @@
 		{"", "plai calm", 2, "", "plai"},
 		{"", "--help", 0, "Exit codes", ""},
 		{"", "version", 0, "valvecove-testbed", ""},
-		{tiny, "play -", 0, "No rule broken", ""},
-		{tiny, "play - --set load.of=many", 2, "", "load.of"},
-		{tiny, "play - --policy none", 2, "", "none"},
-		{tiny + "expect = [\"served >= 1\", \"p50_ms <= 1\"]\n", "play -", 2, "", "expect"},
-		{"expect = [\"p50_ms <= 1\"]\n" + tiny, "play -", 1, "p50_ms", ""},
-		{tiny, "play - --mutant answers-twice", 1, "one-answer", ""},
+		{tinyScenario, "play -", 0, "No rule broken", ""},
+		{tinyScenario, "play - --set load.of=many", 2, "", "load.of"},
+		{tinyScenario, "play - --policy none", 2, "", "none"},
+		{tinyScenario + "expect = [\"served >= 1\", \"p50_ms <= 1\"]\n", "play -", 2, "", "expect"},
+		{"expect = [\"p50_ms <= 1\"]\n" + tinyScenario, "play -", 1, "p50_ms", ""},
+		{tinyScenario, "play - --mutant answers-twice", 1, "one-answer", ""},
 		{"", "play --from " + kept, 0, "seed 7", ""},
 		{"", "play --from " + kept + " --seed 8", 2, "", "seed 7"},
 		{"", "play --from " + faulty, 2, "", "load.off"},
-		{tiny, "sweep - --vary load.of=0.3,0.9 --seeds 2", 0, "load.of", ""},
-		{tiny, "sweep - --vary load.of=0.3,0.9 --figure none", 2, "", "none"},
-		{tiny, "compare - --b random --seeds 3", 0, "random", ""},
-		{tiny, "compare -", 2, "", "both sides"},
+		{tinyScenario, "sweep - --vary load.of=0.3,0.9 --seeds 2", 0, "load.of", ""},
+		{tinyScenario, "sweep - --vary load.of=0.3,0.9 --figure none", 2, "", "none"},
+		{tinyScenario, "compare - --b random --seeds 3", 0, "random", ""},
+		{tinyScenario, "compare -", 2, "", "both sides"},
 		{"", "mutants answers-twice drain-late", 0, "found", ""},
 		{"", "hunt --most 2 --at 1 --top logic --for 1m --out " + dir, 0, "2 plays", ""},
 		{"", "compare calm rude_words", 2, "", "virtual"},
 	} {
-		code, out, errs := call(c.in, strings.Fields(c.args)...)
-		if code != c.code || !strings.Contains(out, c.out) || !strings.Contains(errs, c.errs) {
-			t.Errorf("valvecove-testbed %s: exit %d, expected %d\nout: %s\nerr: %s", c.args, code, c.code, out, errs)
-		}
+		t.Run(c.args, func(t *testing.T) {
+			code, stdout, stderr := runCommandLine(t, c.stdin, strings.Fields(c.args)...)
+			if code != c.code || !strings.Contains(stdout, c.stdout) || !strings.Contains(stderr, c.stderr) {
+				t.Errorf("exit %d, expected %d\nstandard output: %s\nstandard error: %s", code, c.code, stdout, stderr)
+			}
+		})
 	}
 }
 
-// A broken rule is told with the whole story of its query, in order of time.
-func TestStoriesAreTold(t *testing.T) {
-	_, out, _ := call(tiny, "play", "-", "--mutant", "answers-twice")
-	_, story, ok := strings.Cut(out, "\none-answer ")
-	if !ok || !strings.Contains(story, "asked") || !strings.Contains(story, "answered") ||
-		strings.Index(story, "asked") > strings.Index(story, "answered") {
-		t.Errorf("no story is told:\n%s", out)
+// A violation is printed with the whole history of its request, in order of time.
+func TestViolationsAreExplained(t *testing.T) {
+	_, stdout, _ := runCommandLine(t, tinyScenario, "play", "-", "--mutant", "answers-twice")
+	_, explanation, ok := strings.Cut(stdout, "\none-answer ")
+	if !ok || !strings.Contains(explanation, "asked") || !strings.Contains(explanation, "answered") ||
+		strings.Index(explanation, "asked") > strings.Index(explanation, "answered") {
+		t.Errorf("the violation is not explained:\n%s", stdout)
 	}
 }
 
-// What goes to standard output as JSON is nothing else, and a report's folder holds what plays it again.
-func TestReportsPlayAgain(t *testing.T) {
+// JSON on standard output is alone there, and the folder of a report holds a scenario that gives the same run again.
+func TestReportsRunAgain(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "report")
-	code, out, _ := call(tiny, "play", "-", "--seed", "5", "--json", "-", "--report", dir)
-	var doc struct {
+	code, stdout, _ := runCommandLine(t, tinyScenario, "play", "-", "--seed", "5", "--json", "-", "--report", dir)
+	var document struct {
 		Result struct {
 			Seed  uint64 `json:"seed"`
 			Whole struct {
-				Due int `json:"due"`
+				JobsDue int `json:"due"`
 			} `json:"whole"`
 		} `json:"result"`
 	}
-	if err := json.Unmarshal([]byte(out), &doc); err != nil || code != 0 || doc.Result.Seed != 5 || doc.Result.Whole.Due == 0 {
+	err := json.Unmarshal([]byte(stdout), &document)
+	if err != nil || code != exitOK || document.Result.Seed != 5 || document.Result.Whole.JobsDue == 0 {
 		t.Fatalf("exit %d, %v", code, err)
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "index.html"))
 	if err != nil || !bytes.Contains(page, []byte("<svg")) {
 		t.Errorf("index.html: %v", err)
 	}
-	_, again, _ := call("", "play", filepath.Join(dir, "scenario.toml"), "--seed", "5", "--json", "-")
-	if again != out {
-		t.Error("the scenario in the report's folder is another play")
+	_, again, _ := runCommandLine(t, "", "play", filepath.Join(dir, "scenario.toml"), "--seed", "5", "--json", "-")
+	if again != stdout {
+		t.Error("the scenario in the report's folder gives another run")
 	}
 }
--- a/cmd/valvecove-testbed/play.go
+++ b/cmd/valvecove-testbed/play.go
@@ -2,309 +2,101 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
-	"sync"
-	"time"
 
 	"valvecove/internal/testbed/experiment"
-	"valvecove/internal/testbed/process"
-	"valvecove/internal/testbed/report"
 	"valvecove/internal/testbed/scenario"
-	"valvecove/internal/testbed/score"
-	"valvecove/internal/testbed/trace"
 )
 
-// outputFlags is where a play's report goes.
-type outputFlags struct {
-	JSON   string `name:"json" help:"Write all figures as JSON to a file, or to standard output for -, with nothing else there." placeholder:"FILE" optional:""`
-	Report string `name:"report" help:"Write the report into this folder: index.html, which needs no network, figures.json and scenario.toml." placeholder:"DIR" type:"path"`
-}
-
-func (o *outputFlags) writeResult(p *experiment.RunResult, s *streams) error {
-	if o.Report != "" {
-		if err := saveFile(o.Report, "index.html", func(w io.Writer) error { return report.WriteHTML(w, p.Document) }); err != nil {
-			return err
-		}
-		if err := saveFile(o.Report, "figures.json", func(w io.Writer) error { return report.WriteJSON(w, p.Document) }); err != nil {
-			return err
-		}
-		text := []byte(p.Document.Scenario)
-		if err := saveFile(o.Report, "scenario.toml", func(w io.Writer) error { _, err := w.Write(text); return err }); err != nil {
-			return err
-		}
-	}
-	if o.JSON != "" {
-		if err := saveJSON(o.JSON, p.Document, s); err != nil {
-			return err
-		}
-	}
-	if o.JSON == "-" {
-		return nil
-	}
-	if err := report.WritePage(s.out, p.Result(), p.Document.Verdict, p.Document.Expectations); err != nil {
-		return err
-	}
-	if v := p.Starvation; v != nil {
-		fmt.Fprintf(s.out, "starvation: %v\n", v)
-		for _, x := range v.Findings {
-			fmt.Fprintf(s.out, "  %9.3f  %s\n", x.At.Seconds(), x.Text)
-		}
-	}
-	writeExplanations(s.out, p)
-	if o.Report != "" {
-		fmt.Fprintf(s.out, "report: %s\n", filepath.Join(o.Report, "index.html"))
-	}
-	return nil
-}
-
-// maxExplanations are told on the terminal; the report has all that the judge kept.
-const maxExplanations = 3
-
-// writeExplanations writes the whole story of the first broken rules, in order of time, one of each rule before a second.
-func writeExplanations(w io.Writer, p *experiment.RunResult) {
-	told := map[string]int{}
-	shown := 0
-	for round := 0; round < maxExplanations && shown < maxExplanations; round++ {
-		for _, b := range p.Verdict.Violations {
-			if told[b.Rule] == round && shown < maxExplanations {
-				told[b.Rule]++
-				shown++
-				fmt.Fprintf(w, "\n%v\n", b)
-			}
-		}
-	}
-	if more := p.Violations() - shown; shown > 0 && more > 0 {
-		fmt.Fprintf(w, "\n… and %d more; --json and --report have the stories of the first of each rule\n", more)
-	}
-}
-
-// verdictError is a play's exit code.
-func verdictError(p *experiment.RunResult) error {
-	switch {
-	case p.InvalidReason() != "":
-		return exitError(exitInvalid)
-	case p.Violations() > 0 || !p.MeetsExpectations():
-		return exitError(exitUsage)
-	}
-	return nil
-}
-
 type playCommand struct {
 	Scenario   string `arg:"" name:"scenario" optional:"" help:"Name, file or -."`
-	From       string `name:"from" help:"Play a kept file again, exactly: with the seed that it names." placeholder:"FILE" type:"existingfile"`
-	Driver     string `name:"driver" help:"virtual or live." enum:"virtual,live" default:"virtual"`
+	From       string `name:"from" help:"Run a kept file again, exactly: with the seed that it names." placeholder:"FILE" type:"existingfile"`
+	Driver     string `name:"driver" help:"virtual (simulated time) or live (real processes)." enum:"virtual,live" default:"virtual"`
 	Seed       uint64 `name:"seed" help:"Seed; 0: that of the scenario, or else 1." default:"0"`
-	Mutant     string `name:"mutant" help:"Put a seeded fault before each scheduler; virtual only. See valvecove-testbed mutants."`
-	Starvation bool   `name:"starve" help:"Look for tries that wait or are refused while worker nodes are idle."`
+	Mutant     string `name:"mutant" help:"Put a mutant in front of each scheduler; virtual only. See valvecove-testbed mutants."`
+	Starvation bool   `name:"starve" help:"Look for attempts that wait or are rejected while workers are idle."`
 	Quiet      bool   `name:"quiet" short:"q" help:"No progress."`
 	Logs       string `name:"logs" help:"Keep the schedulers' configuration and logs in this folder; live only." type:"path"`
 	subjectFlags
 	outputFlags
 }
 
-// Run plays it.
-func (c *playCommand) Run(ctx context.Context, s *streams) error {
-	if (c.Scenario == "") == (c.From == "") {
-		return fmt.Errorf("play needs a scenario, or --from FILE")
-	}
-	name := c.Scenario
-	if c.From != "" {
-		if name = c.From; filepath.Base(name) == name {
-			name = "." + string(os.PathSeparator) + name
-		}
-	}
-	spec, err := openScenario(name, s)
+// Run runs the scenario once.
+func (c *playCommand) Run(ctx context.Context, streams *standardStreams) error {
+	job, err := c.job(streams)
 	if err != nil {
 		return err
 	}
-	seed := c.Seed
-	switch {
-	case c.From != "" && spec.Seed == 0:
-		return fmt.Errorf("%s: key \"seed\": missing; it was not kept for a play", c.From)
-	case c.From != "" && seed != 0 && seed != uint64(spec.Seed):
-		return fmt.Errorf("--from plays %s exactly, with seed %d", c.From, spec.Seed)
-	case seed == 0:
-		seed = max(1, uint64(spec.Seed))
-	}
-	job := experiment.Job{
-		Spec: spec, Seed: seed, Driver: c.Driver, Starvation: c.Starvation,
-		Subject: experiment.Subject{Name: c.Policy, Policy: c.Policy, Mutant: c.Mutant, Set: c.Set, Binary: c.Binary},
-	}
-	if c.Driver == scenario.DriverProcess {
-		job.Subject.Name, job.Subject.Policy = "valvecove", ""
-	}
-	done, err := prepare(ctx, &job, c.Logs, s)
+	remove, err := prepareProcesses(ctx, &job, c.Logs, streams)
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer remove()
 	if !c.Quiet && c.JSON != "-" && c.Driver == scenario.DriverProcess {
-		show := newProgressDisplay(s.err)
-		defer show.close()
-		job.OnSnapshot = show.showSnapshot
+		display := newProgressDisplay(streams.stderr)
+		defer display.close()
+		job.OnSnapshot = display.showSnapshot
 	}
-	p, err := experiment.Run(ctx, job)
+	result, err := experiment.Run(ctx, job)
 	if err != nil {
 		return err
 	}
-	p.Document.Build = buildName() + ", " + p.Document.Build
-	if err := c.writeResult(p, s); err != nil {
+	result.Document.Build = buildName() + ", " + result.Document.Build
+	if err := c.writeResult(result, streams); err != nil {
 		return err
 	}
-	return verdictError(p)
+	return verdictError(result)
 }
 
-// progressDisplay writes a live play's progress from a goroutine of its own: the play waits for no terminal.
-type progressDisplay struct {
-	lines    chan func(p *report.Progress)
-	finished sync.WaitGroup
-}
-
-func newProgressDisplay(w io.Writer) *progressDisplay {
-	v := &progressDisplay{lines: make(chan func(p *report.Progress), 64)}
-	v.finished.Go(func() {
-		p := report.NewProgress(w)
-		for do := range v.lines {
-			do(p)
-		}
-		p.Done()
-	})
-	return v
-}
-
-// showSnapshot shows how the play stands; it is skipped where the terminal is behind.
-func (v *progressDisplay) showSnapshot(t *score.Snapshot) {
-	now := *t
-	now.Faults = append([]string(nil), t.Faults...)
-	select {
-	case v.lines <- func(p *report.Progress) { p.Show(&now) }:
-	default:
+// job turns the flags into a job.
+func (c *playCommand) job(streams *standardStreams) (experiment.Job, error) {
+	if (c.Scenario == "") == (c.From == "") {
+		return experiment.Job{}, errors.New("play needs a scenario, or --from FILE")
 	}
-}
-
-// printLine writes a line between those of progress.
-func (v *progressDisplay) printLine(w io.Writer, line string) {
-	select {
-	case v.lines <- func(p *report.Progress) { p.Done(); fmt.Fprintln(w, line) }:
-	default:
+	name := c.Scenario
+	if c.From != "" {
+		name = asPath(c.From)
 	}
-}
-
-func (v *progressDisplay) close() {
-	close(v.lines)
-	v.finished.Wait()
-}
-
-type demoCommand struct {
-	Stay   bool   `name:"stay" help:"Keep everything up at the end, with lines to try, until interrupted."`
-	Binary string `name:"binary" help:"The scheduler's program. Default: valvecove beside this one, or else built." type:"path"`
-	Seed   uint64 `name:"seed" help:"Seed." default:"1"`
-	Length string `name:"length" help:"How long jobs come for." default:"20s"`
-	outputFlags
-}
-
-// Run plays the library's demo, live.
-func (c *demoCommand) Run(ctx context.Context, s *streams) error {
-	spec, err := openScenario("demo", s)
+	spec, err := openScenario(name, streams)
 	if err != nil {
-		return err
+		return experiment.Job{}, err
 	}
-	if err := spec.Set("length", fmt.Sprintf("%q", c.Length)); err != nil {
-		return fmt.Errorf("--length: %w", err)
-	}
-	path, remove, err := schedulerBinary(ctx, c.Binary, s)
+	seed, err := c.seed(spec)
 	if err != nil {
-		return err
+		return experiment.Job{}, err
 	}
-	defer remove()
-	fmt.Fprintf(s.err, "%s\n%d worker nodes, %d scheduler, jobs for %s; everything is on 127.0.0.0/8 and ends with this.\n\n",
-		spec.Description, spec.Fleet.Workers, spec.Schedulers.Count, c.Length)
-	show := newProgressDisplay(s.err)
-	var played *experiment.RunResult
-	var places process.Addresses
 	job := experiment.Job{
-		Spec: spec, Seed: c.Seed, Driver: scenario.DriverProcess,
-		Subject: experiment.Subject{Name: "valvecove", Binary: path}, OnSnapshot: show.showSnapshot,
-		Observer: func(x *trace.Event) {
-			if line := describeEvent(x); line != "" {
-				show.printLine(s.err, line)
-			}
-		},
-		Process: process.Options{StayOpen: c.Stay, Guests: c.Stay, OnStart: func(p process.Addresses) { places = p }},
-	}
-	if c.Stay {
-		job.Observer = c.staying(job.Observer, show, s, &places, spec)
-	}
-	played, err = experiment.Run(ctx, job)
-	show.close()
-	if err != nil {
-		return err
-	}
-	played.Document.Build = buildName()
-	if err := c.writeResult(played, s); err != nil {
-		return err
+		Spec: spec, Seed: seed, Driver: c.Driver, Starvation: c.Starvation,
+		Subject: experiment.Subject{Name: c.Policy, Policy: c.Policy, Mutant: c.Mutant, Set: c.Set, Binary: c.Binary},
 	}
-	return verdictError(played)
-}
-
-// staying has the lines to try shown once the last job fell due and was settled.
-func (c *demoCommand) staying(also trace.Observer, v *progressDisplay, s *streams, places *process.Addresses, spec *scenario.Scenario) trace.Observer {
-	open, said := 0, false
-	return func(x *trace.Event) {
-		also(x)
-		switch x.Kind {
-		case trace.JobDue:
-			open++
-		case trace.JobSettled:
-			open--
-		}
-		if !said && open == 0 && x.At >= spec.Length.Std() {
-			said = true
-			v.printLine(s.err, demoInstructions(places, spec))
-		}
+	if c.Driver == scenario.DriverProcess {
+		job.Subject.Name = "valvecove"
+		job.Subject.Policy = ""
 	}
+	return job, nil
 }
 
-// demoInstructions are commands to try on a play that stays.
-func demoInstructions(places *process.Addresses, spec *scenario.Scenario) string {
-	text := "\nIt stays up until you interrupt it (Ctrl-C), and is judged then. Try:\n\n"
-	if len(places.Schedulers) > 0 {
-		at := places.Schedulers[0]
-		class, tenant := spec.Classes[0].Name, spec.Tenants[0].Name
-		text += fmt.Sprintf("  curl -i http://%s/up\n", at)
-		text += fmt.Sprintf("  curl -i -X POST http://%s/%s/42 -H 'X-Call-Id: 00000000000000a1' -H 'X-Call-Class: %s' "+
-			"-H 'X-Caller: %s' -H 'X-Budget-Ms: %d' -d 'hello'\n", at, class, class, tenant,
-			spec.Classes[0].Deadline.Std().Milliseconds()) // less looks like a client's later try, whose aim is past
-	}
-	if len(places.Discovery) > 0 {
-		text += fmt.Sprintf("  curl http://%s/discovery/hosts\n", places.Discovery[0])
+// asPath makes sure that a file's name is not taken for a name of the library.
+func asPath(file string) string {
+	if filepath.Base(file) == file {
+		return "." + string(os.PathSeparator) + file
 	}
-	return text
+	return file
 }
 
-// describeEvent is a line about what a newcomer wants to hear of; empty: nothing.
-func describeEvent(x *trace.Event) string {
-	at := fmt.Sprintf("%6.2fs  ", x.At.Seconds())
-	switch x.Kind {
-	case trace.SchedulerStarted:
-		return at + fmt.Sprintf("scheduler %d starts", x.Scheduler)
-	case trace.SchedulerReady:
-		return at + fmt.Sprintf("scheduler %d is ready: GET /up answers 200", x.Scheduler)
-	case trace.FaultStarted:
-		return at + "fault: " + x.Text
-	case trace.FaultEnded:
-		return at + "over: " + x.Text
-	case trace.WorkerStopped:
-		return at + fmt.Sprintf("worker node w-%d is down", x.Worker)
-	case trace.WorkerStarted:
-		if x.At > time.Second {
-			return at + fmt.Sprintf("worker node w-%d is up again, cold", x.Worker)
-		}
-	case trace.DrainNotified:
-		return at + fmt.Sprintf("scheduler %d hears that w-%d is gone or drains", x.Scheduler, x.Worker)
-	}
-	return ""
+// seed returns the seed of the run: that of a kept file, or that of the flag, or that of the scenario, or else 1.
+func (c *playCommand) seed(spec *scenario.Scenario) (uint64, error) {
+	kept := uint64(spec.Seed)
+	switch {
+	case c.From != "" && kept == 0:
+		return 0, fmt.Errorf("%s: key \"seed\": missing; it was not kept for a play", c.From)
+	case c.From != "" && c.Seed != 0 && c.Seed != kept:
+		return 0, fmt.Errorf("--from plays %s exactly, with seed %d", c.From, kept)
+	case c.Seed == 0:
+		return max(1, kept), nil
+	}
+	return c.Seed, nil
 }
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -154,7 +154,7 @@
 }
 
 func TestSweepPoints(t *testing.T) {
-	s := Sweep{
+	s := ParameterStudy{
 		Spec: small(t), Vary: Vary{"load.of", []string{"0.9", "0.3"}}, Curves: Vary{"fleet.nodes", []string{"3", "6"}},
 		Seeds: Seeds(1, 2), Driver: scenario.DriverSimulation, Figure: "mix", Subject: Subject{Name: PolicyDispatch},
 	}
--- a/internal/testbed/experiment/sweep.go
+++ b/internal/testbed/experiment/parameter_study.go
@@ -71,8 +71,8 @@
 	return append(all, list[from:])
 }
 
-// Sweep is one scenario with one key, or two, taking several values.
-type Sweep struct {
+// ParameterStudy is one scenario with one key, or two, taking several values.
+type ParameterStudy struct {
 	Spec        *scenario.Scenario
 	Vary        Vary
 	Curves      Vary // a curve for each; no values: one curve
@@ -85,7 +85,7 @@
 }
 
 // Run plays a sweep.
-func (s *Sweep) Run(ctx context.Context, told func(done, of int)) (*report.Sweep, error) {
+func (s *ParameterStudy) Run(ctx context.Context, told func(done, of int)) (*report.Sweep, error) {
 	second := s.Curves.Values
 	if len(second) == 0 {
 		second = []string{""}
