--- /dev/null
+++ b/internal/link/client_log.go
@@ -0,0 +1,29 @@
+package link
+
+import (
+	"context"
+	"log/slog"
+)
+
+// LogAttributes says which client a line of the log is about.
+func (c *clientConnection) LogAttributes() []slog.Attr {
+	if c.loop().addressLists == nil {
+		return nil
+	}
+	attrs := []slog.Attr{slog.String("client", c.clientAddress.String())}
+	if c.proxyAddress.IsValid() {
+		attrs = append(attrs, slog.String("via", c.proxyAddress.String()))
+	}
+	return attrs
+}
+
+// isLogEnabled reports whether a line about the connection or its requests is to be written: where addresses are of interest,
+// unless the level is off or too many have been written lately. What the line is made of is worth making only then.
+func (c *clientConnection) isLogEnabled(level slog.Level) bool {
+	return c.loop().addressLists != nil && c.loop().connectionLog.Enabled(context.Background(), level)
+}
+
+// logEvent writes such a line.
+func (c *clientConnection) logEvent(level slog.Level, event string, attrs ...slog.Attr) {
+	c.loop().connectionLog.LogAttrs(context.Background(), level, event, append(attrs, c.LogAttributes()...)...)
+}
