--- a/cmd/valvecove/main_test.go
+++ b/cmd/valvecove/main_test.go
@@ -9,7 +9,9 @@
 	"testing"
 )
 
-const platform = `{"name":"n0","listen":"127.0.0.1:9000","discovery":"127.0.0.1:8500","limits":{"memory_mb":64,"sockets":256},
+// Texts of both configuration files.
+const (
+	platformFile = `{"name":"n0","listen":"127.0.0.1:9000","discovery":"127.0.0.1:8500","limits":{"memory_mb":64,"sockets":256},
 "known":{"generation":7,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"up"}]},
 "settings":{"replicas_of_me":3,"me":1,"discovery":"subscribe","zones":["z"],"kinds":["m","l"],
 "classes":[{"name":"status-check","promise":80000,"give_up":5000000,"idempotency":"pure","gain":2},
@@ -17,18 +19,18 @@
 {"name":"cash-payout","promise":500000,"give_up":9000000,"late_share":0.3}],
 "tenants":[{"name":"swat-society","quota_per_s":12},{"name":"mardan-society"}],"bounds":{"try_limit":6,"connect_timeout":250000}}}`
 
-const ours = "[log]\nformat = 'json'\nlevel = 'warn'\n[status]\nlisten_port = 9100\n[figures]\nudp_target = '127.0.0.1:8125'\n" +
-	"[addresses]\ndeny = ['10.20.9.0/24']"
+	opsFile = "[log]\nformat = 'json'\nlevel = 'warn'\n[status]\nlisten_port = 9100\n[figures]\nudp_target = '127.0.0.1:8125'\n" +
+		"[addresses]\ndeny = ['10.20.9.0/24']"
+)
 
-// Each command line has its exit code, and says on standard output and on standard error what it should, and nothing
-// on the one that it has nothing for.
+// Each command line gives its exit code, and prints what it should on standard output and on standard error.
 func TestCommandLine(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
-		"sound": platform, "ours": ours, "text": "no capture", "port": "[status]\nlisten_port = 9000",
-		"few": strings.Replace(platform, `"sockets":256`, `"sockets":6`, 1), "level": "[log]\nlevel = 'all'\n[capture]\ndir = 'none'",
+		"sound": platformFile, "ours": opsFile, "text": "no capture", "port": "[status]\nlisten_port = 9000",
+		"few": strings.Replace(platformFile, `"sockets":256`, `"sockets":6`, 1), "level": "[log]\nlevel = 'all'\n[capture]\ndir = 'none'",
 		"dirs":  "[capture]\ndir = 'none'\n[figures]\nfile = '/'",
-		"wrong": strings.NewReplacer(`"give_up":9000000`, `"give_up":0`, `"127.0.0.1:8500"`, `"there"`).Replace(platform),
+		"wrong": strings.NewReplacer(`"give_up":9000000`, `"give_up":0`, `"127.0.0.1:8500"`, `"there"`).Replace(platformFile),
 	} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -36,9 +38,10 @@
 	}
 	t.Chdir(dir)
 	for _, c := range []struct {
-		args, platform string // PROXY_CONFIG names the second
+		args           string
+		platform       string // value of PROXY_CONFIG
 		code           int
-		stdout, stderr string // parts, in this order; none: nothing
+		stdout, stderr string // parts, in this order; empty: nothing is printed there
 	}{
 		{"", "", 1, "", "valvecove: PROXY_CONFIG: not set"},
 		{"serve", "", 1, "", "valvecove: PROXY_CONFIG: not set"},
@@ -81,17 +84,19 @@
 			"figures    statsd every 10s by UDP to 127.0.0.1:8125, batches under 1400 bytes\n|" +
 			"addresses  allow everyone, deny 10.20.9.0/24, trusted fronts none\n", ""},
 	} {
-		var stdout, stderr bytes.Buffer
-		env := func(name string) string { return map[string]string{"PROXY_CONFIG": c.platform}[name] }
-		code := execute(strings.Fields(c.args), env, &stdout, &stderr)
-		if code != c.code || !inOrder(stdout.String(), c.stdout) || !inOrder(stderr.String(), c.stderr) {
-			t.Errorf("%s: %d, expected %d\n%s--\n%s", c.args, code, c.code, &stdout, &stderr)
-		}
+		t.Run(c.args, func(t *testing.T) {
+			var stdout, stderr bytes.Buffer
+			variable := func(name string) string { return map[string]string{"PROXY_CONFIG": c.platform}[name] }
+			code := execute(strings.Fields(c.args), variable, &stdout, &stderr)
+			if code != c.code || !containsInOrder(stdout.String(), c.stdout) || !containsInOrder(stderr.String(), c.stderr) {
+				t.Errorf("exit %d, expected %d\n%s--\n%s", code, c.code, &stdout, &stderr)
+			}
+		})
 	}
 }
 
-// inOrder tells whether a text has these parts in it, one after the other; none: it is empty.
-func inOrder(text, parts string) bool {
+// containsInOrder reports whether a text has these parts in it, one after the other; without parts, whether it is empty.
+func containsInOrder(text, parts string) bool {
 	if parts == "" {
 		return text == ""
 	}
@@ -105,7 +110,7 @@
 	return true
 }
 
-// The version says what the build noted, and what it did not.
+// The version says what the build recorded, and what it did not record.
 func TestVersion(t *testing.T) {
 	info := &debug.BuildInfo{GoVersion: "go1.26.8", Settings: []debug.BuildSetting{
 		{Key: "vcs.revision", Value: "8c1f"},
@@ -113,7 +118,7 @@
 		{Key: "GOOS", Value: "linux"},
 		{Key: "GOARCH", Value: "amd64"},
 	}}
-	if got := versionOf(info); got != "valvecove unknown\nrevision  8c1f, modified\ngo        1.26.8 linux/amd64" {
+	if got := describeBuild(info); got != "valvecove unknown\nrevision  8c1f, modified\ngo        1.26.8 linux/amd64" {
 		t.Errorf("%q", got)
 	}
 }
--- a/cmd/valvecove/names_test.go
+++ b/cmd/valvecove/names_test.go
@@ -6,5 +6,5 @@
 	"valvecove/internal/storedform"
 )
 
-// Each command, argument and option says its own name: none takes that of its Go field, which a rename would change.
+// Each subcommand, argument and option has an explicit name, so that a rename of its Go field does not change it.
 func TestCommandLineNamesAreExplicit(t *testing.T) { storedform.CheckTagsBy(t, "name", commands{}) }
--- /dev/null
+++ b/cmd/valvecove/preview.go
@@ -0,0 +1,251 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"net/netip"
+	"slices"
+	"strconv"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/config"
+	"valvecove/internal/link"
+	"valvecove/internal/server"
+)
+
+// configFiles are the names of both configuration files.
+type configFiles struct {
+	platform string
+	ops      string // empty: there is none
+}
+
+// preview is a page of text in columns that says what serve would do with a configuration.
+type preview struct {
+	conf   config.Config
+	ops    config.Ops
+	writer *tabwriter.Writer
+}
+
+// writePreview writes the page of a sound configuration.
+func writePreview(w io.Writer, files configFiles, conf config.Config, ops config.Ops) error {
+	page := preview{conf: conf, ops: ops, writer: tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)}
+	page.line("platform", files.platform)
+	page.line("ours", orDefault(files.ops, "none, so that all features are off"))
+	page.addresses()
+	page.limits()
+	page.dispatching()
+	page.line()
+	page.classes()
+	page.line()
+	page.tenants()
+	page.line()
+	page.features()
+	return page.writer.Flush()
+}
+
+func (p *preview) line(columns ...string) { fmt.Fprintln(p.writer, strings.Join(columns, "\t")) }
+
+// addresses says who the scheduler is, and where it listens and connects to.
+func (p *preview) addresses() {
+	p.line("name", orDefault(p.conf.Name, "none"))
+	p.line("listen", p.conf.Listen.String())
+	if p.conf.Management.IsValid() {
+		stateDir := orDefault(p.conf.StateDir, "no directory, as TMPDIR is not set")
+		p.line("management", p.conf.Management.String()+", see docs/on-call.md; what outlives the process is in "+stateDir)
+	}
+	watch := "whose list is pushed, and watched there"
+	if p.conf.Settings.MustSubscribe {
+		watch = "subscribed to"
+	}
+	p.line("discovery", p.conf.Discovery.String()+", "+watch)
+	if workers := len(p.conf.KnownEndpoints.Endpoints); workers > 0 {
+		p.line("known", fmt.Sprintf("%d worker nodes, generation %d", workers, p.conf.KnownEndpoints.Revision))
+	} else {
+		p.line("known", "no worker nodes: not ready until discovery answers")
+	}
+}
+
+// limits says how the scheduler divides its descriptors and memory.
+func (p *preview) limits() {
+	const bytesPerMBShift = 20
+	limits := p.conf.Limits
+	shares := link.SharesOf(p.conf, p.ops)
+	p.line("limits", fmt.Sprintf("%v cores, %d MB, %d descriptors", limits.Cores, limits.MemoryMB, limits.Sockets))
+	p.line("descriptors", fmt.Sprintf("%d its own, %d for features, %d server links, %d client links (%d queries at once)",
+		shares.Own, shares.Features, shares.Workers, shares.Clients, shares.Requests))
+	p.line("memory", fmt.Sprintf("heap held to %d MB; client links' buffers %d MB, bodies of queries %d MB",
+		server.HeapLimit(limits)>>bytesPerMBShift, shares.Buffers>>bytesPerMBShift, shares.Buffers>>bytesPerMBShift))
+}
+
+// dispatching says what bounds attempts, the scheduler's place among its replicas, how it stops, and how it logs.
+func (p *preview) dispatching() {
+	settings := p.conf.Settings
+	p.line("attempts", fmt.Sprintf("%d a query at most, connecting within %v, second copies %s, cancelling %s, probes %s",
+		settings.AttemptLimit, settings.ConnectTimeout, onOrOff(settings.Hedging), onOrOff(settings.Cancellation),
+		onOrOff(settings.HealthChecks)))
+	p.line("schedulers", fmt.Sprintf("number %d of %d, numbered from 0", settings.ReplicaIndex, max(1, settings.Replicas)))
+	p.line("stop", fmt.Sprintf("%v after SIGTERM", server.KilledAfter(settings)))
+	p.line("log", describeLog(p.ops.Log))
+}
+
+// classes is a table of the classes.
+func (p *preview) classes() {
+	names := p.conf.Settings.Names
+	p.line("class", "effect", "aim", "stretch", "deadline", "worth", "late", "kinds", "zones")
+	for i, class := range p.conf.Settings.Classes {
+		p.line(names.Classes[i], describeIdempotency(class), class.LatencyObjective.String(), formatNumber(class.ObjectiveStretch),
+			class.ClientTimeout.String(), formatNumber(class.PriorityWeight), formatNumber(class.LateValue),
+			joinNames(class.Kinds, names.MachineTypes), joinNames(class.Zones, names.Zones))
+	}
+}
+
+// tenants is a table of the tenants.
+func (p *preview) tenants() {
+	p.line("tenant", "quota a second")
+	tenants := p.conf.Settings.Names.Tenants
+	for i, name := range tenants {
+		quota := "no limit"
+		if p.conf.Settings.TenantQuota[i] > 0 {
+			quota = formatNumber(p.conf.Settings.TenantQuota[i])
+		}
+		p.line(name, quota)
+	}
+	if len(tenants) == 0 {
+		p.line("none", "queries need not name one")
+	}
+}
+
+// features is a table of the features that the operators' file turns on.
+func (p *preview) features() {
+	const off = "off"
+	p.line("feature")
+	p.line("status", orDefault(p.statusFeature(), off))
+	p.line("capture", orDefault(p.captureFeature(), off))
+	p.line("figures", orDefault(p.metricsFeature(), off))
+	p.line("addresses", orDefault(p.addressesFeature(), off))
+	p.line("aperture", orDefault(p.apertureFeature(), off))
+}
+
+func (p *preview) statusFeature() string {
+	status := p.ops.Status
+	if status == nil {
+		return ""
+	}
+	return fmt.Sprintf("at %v, ended jobs kept for %v, %d at most", p.ops.StatusAddr(p.conf), status.Retention, status.MaxEntries)
+}
+
+func (p *preview) captureFeature() string {
+	capture := p.ops.Capture
+	switch {
+	case capture == nil:
+		return ""
+	case capture.Dir != "":
+		return fmt.Sprintf("in %s, %d files of %d MB", capture.Dir, capture.Files, capture.FileMB)
+	}
+	return fmt.Sprintf("a ring of %d KB, written on SIGUSR1", capture.MemoryKB)
+}
+
+func (p *preview) metricsFeature() string {
+	metrics := p.ops.Metrics
+	if metrics == nil {
+		return ""
+	}
+	var targets []string
+	if metrics.UDPTarget.IsValid() {
+		targets = append(targets, "by UDP to "+metrics.UDPTarget.String())
+	}
+	if metrics.File != "" {
+		targets = append(targets, "to "+metrics.File)
+	}
+	return fmt.Sprintf("%s every %v %s, batches under %d bytes", metrics.Format, metrics.FlushInterval,
+		orDefault(strings.Join(targets, " and "), "to standard error"), metrics.MaxBatchBytes)
+}
+
+func (p *preview) addressesFeature() string {
+	addresses := p.ops.Addresses
+	if addresses == nil {
+		return ""
+	}
+	return fmt.Sprintf("allow %s, deny %s, trusted fronts %s", joinPrefixes(addresses.Allow, "everyone"),
+		joinPrefixes(addresses.Deny, "nobody"), joinPrefixes(addresses.TrustedProxies, "none"))
+}
+
+func (p *preview) apertureFeature() string {
+	aperture := p.ops.Aperture
+	replicas := p.conf.Settings.Replicas
+	switch {
+	case aperture == nil:
+		return ""
+	case replicas < 2:
+		return "nothing to do, as there is one scheduler"
+	case !aperture.Enabled(replicas):
+		return fmt.Sprintf("off, as there are %d schedulers, and it is from %d on", replicas, aperture.MinSchedulers)
+	}
+	return fmt.Sprintf("%d worker nodes at least, each at %d schedulers at least, up to %s times as many under "+
+		"load; fleets under %d whole", aperture.MinWorkers, aperture.Coverage, formatNumber(aperture.MaxWidening), aperture.MinFleet)
+}
+
+// orDefault returns a text, or another one if it is empty.
+func orDefault(text, fallback string) string {
+	if text == "" {
+		return fallback
+	}
+	return text
+}
+
+func onOrOff(on bool) string {
+	if on {
+		return "on"
+	}
+	return "off"
+}
+
+func formatNumber(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
+
+func describeLog(log config.Log) string {
+	format := "text"
+	if log.JSON {
+		format = "json"
+	}
+	return format + ", " + strings.ToLower(log.Level.String()) + " and above"
+}
+
+// describeIdempotency says what executing a request of the class twice does, in the words of the settings.
+func describeIdempotency(class dispatch.Class) string {
+	switch class.Idempotency {
+	case dispatch.Idempotent:
+		return "pure"
+	case dispatch.IdempotentWithKey:
+		scopes := [...]string{dispatch.ScopeCell: "cell", dispatch.ScopeZone: "zone", dispatch.ScopeAll: "all"}
+		return fmt.Sprintf("token (%s, %v)", scopes[class.DeduplicationScope], class.DeduplicationWindow.Round(time.Millisecond))
+	}
+	return "never twice"
+}
+
+// joinNames lists the names of indices, sorted; an index without a name stays a number.
+func joinNames(indices []int, names []string) string {
+	if indices == nil {
+		return "any"
+	}
+	var list []string
+	for _, i := range indices {
+		if i >= 0 && i < len(names) {
+			list = append(list, names[i])
+		} else {
+			list = append(list, strconv.Itoa(i))
+		}
+	}
+	slices.Sort(list)
+	return orDefault(strings.Join(list, ","), "none")
+}
+
+func joinPrefixes(prefixes []netip.Prefix, whenEmpty string) string {
+	var texts []string
+	for _, prefix := range prefixes {
+		texts = append(texts, prefix.String())
+	}
+	return orDefault(strings.Join(texts, " "), whenEmpty)
+}
