--- a/scenarios/race_test.go
+++ b/scenarios/race_test.go
@@ -2,4 +2,5 @@
 
 package scenarios
 
-const raced = true
+// raceDetector says whether the tests run with the race detector.
+const raceDetector = true
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -1,6 +1,6 @@
-// Package scenarios is the library of plays that the lab comes with: calm and busy days, every line of the incident
-// record, the troubles of worker nodes, network, discovery, schedulers and clients one by one and overlapping, and
-// fleets of 100 to 10,000 worker nodes. Package scenario says what the files mean.
+// Package scenarios is the testbed's library of scenarios: ordinary days, every line of the incident record, the faults of
+// workers, network, discovery, schedulers and clients, one by one and overlapping, and fleets of 100 to 10,000 workers.
+// It owns the files and opens them by name. Package scenario defines what they mean.
 package scenarios
 
 import (
@@ -12,35 +12,35 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// Library is the files, each named for its scenario.
+// Library holds the files. Each is named after its scenario.
 //
 //go:embed *.toml
 var Library embed.FS
 
-const suffix = ".toml"
+const fileSuffix = ".toml"
 
-// Names are the names of the library's scenarios, in order.
+// Names returns the names of the library's scenarios, sorted.
 func Names() []string {
 	entries, err := Library.ReadDir(".")
 	if err != nil {
-		panic(err) // it is part of the program
+		panic(err) // the root of an embedded file system can always be read
 	}
 	names := make([]string, len(entries))
-	for i, e := range entries {
-		names[i] = strings.TrimSuffix(e.Name(), suffix)
+	for i, entry := range entries {
+		names[i] = strings.TrimSuffix(entry.Name(), fileSuffix)
 	}
 	return names
 }
 
-// Open reads one of them. The error of one that there is not satisfies errors.Is(err, fs.ErrNotExist).
+// Open reads a scenario of the library. The error for an unknown name satisfies errors.Is(err, fs.ErrNotExist).
 func Open(name string) (*scenario.Scenario, error) {
-	text, err := Library.ReadFile(name + suffix)
+	text, err := Library.ReadFile(name + fileSuffix)
 	if err != nil {
 		return nil, fmt.Errorf("scenario %q is not in the library: %w", name, fs.ErrNotExist)
 	}
-	s, err := scenario.Parse(name, text)
+	spec, err := scenario.Parse(name, text)
 	if err != nil {
-		return nil, fmt.Errorf("%s%s: %w", name, suffix, err)
+		return nil, fmt.Errorf("%s%s: %w", name, fileSuffix, err)
 	}
-	return s, nil
+	return spec, nil
 }
--- a/scenarios/scenarios_test.go
+++ b/scenarios/scenarios_test.go
@@ -12,47 +12,67 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// Every file is sound, says what it is about, and reads back as it is written. Together they hold
-// each kind of fault and of bad client, each shape of load, and the fleets.
-func TestLibrary(t *testing.T) {
-	names, about, has := map[string]bool{}, map[string]string{}, map[string]bool{}
-	for _, file := range Names() {
-		s, err := Open(file)
+// openAll opens the whole library.
+func openAll(t *testing.T) map[string]*scenario.Scenario {
+	t.Helper()
+	specs := map[string]*scenario.Scenario{}
+	for _, name := range Names() {
+		spec, err := Open(name)
 		if err != nil {
-			t.Error(err)
-			continue
+			t.Fatal(err)
 		}
-		if s.Name != file || names[s.Name] {
-			t.Errorf("%s is named %q, which has to be the file's own", file, s.Name)
+		specs[name] = spec
+	}
+	return specs
+}
+
+// Each file is named as its scenario, has a description and expectations of its own, and reads back as it is written.
+func TestLibraryFiles(t *testing.T) {
+	fileOfDescription := map[string]string{}
+	for file, spec := range openAll(t) {
+		if spec.Name != file {
+			t.Errorf("%s is named %q, which has to be the file's own", file, spec.Name)
 		}
-		if names[s.Name] = true; !strings.HasSuffix(s.Description, ".") || about[s.Description] != "" {
-			t.Errorf("%s has no sentence of its own: %q", file, s.Description)
+		if !strings.HasSuffix(spec.Description, ".") || fileOfDescription[spec.Description] != "" {
+			t.Errorf("%s has no sentence of its own: %q", file, spec.Description)
 		}
-		if about[s.Description] = file; len(s.Expectations()) != len(s.Expect) {
-			t.Errorf("%s expects %q", file, s.Expect)
+		fileOfDescription[spec.Description] = file
+		if len(spec.Expectations()) != len(spec.Expect) {
+			t.Errorf("%s expects %q", file, spec.Expect)
 		}
-		if again, err := scenario.Parse("x", scenario.Encode(s)); err != nil || !reflect.DeepEqual(again, s) {
+		again, err := scenario.Parse("x", scenario.Encode(spec))
+		if err != nil || !reflect.DeepEqual(again, spec) {
 			t.Errorf("%s does not read back as written: %v", file, err)
 		}
-		has[s.Load.Shape] = true
-		for _, f := range s.Faults {
-			has[f.Kind] = true
+	}
+}
+
+// The library has each kind of fault and of misbehaving client, each shape of load, and the large fleets.
+func TestLibraryIsComplete(t *testing.T) {
+	has := map[string]bool{}
+	for _, spec := range openAll(t) {
+		has[spec.Load.Shape] = true
+		has[strconv.Itoa(spec.Fleet.Workers)] = true
+		for _, fault := range spec.Faults {
+			has[fault.Kind] = true
 		}
-		for _, b := range s.Misbehaving {
-			has[b.Kind] = true
+		for _, client := range spec.Misbehaving {
+			has[client.Kind] = true
 		}
-		has[strconv.Itoa(s.Fleet.Workers)] = true
 	}
-	wanted := append(slices.Clone(scenario.MisbehaviorKinds), "steady", "bursty", "swell", "month_start", "100", "1000", "10000")
-	for what := range scenario.FaultKinds {
-		wanted = append(wanted, what)
+	required := append(slices.Clone(scenario.MisbehaviorKinds), "steady", "bursty", "swell", "month_start", "100", "1000", "10000")
+	for kind := range scenario.FaultKinds {
+		required = append(required, kind)
 	}
-	for _, what := range wanted {
+	for _, what := range required {
 		if !has[what] {
 			t.Errorf("the library has no %s", what)
 		}
 	}
+}
+
+func TestOpenUnknownScenario(t *testing.T) {
 	if _, err := Open("no_such"); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("a scenario that there is not: %v", err)
+		t.Errorf("got %v, expected fs.ErrNotExist", err)
 	}
 }
--- a/scenarios/unraced_test.go
+++ /dev/null
@@ -1,5 +0,0 @@
-//go:build !race
-
-package scenarios
-
-const raced = false
