--- a/internal/testbed/experiment/agree.go
+++ b/internal/testbed/experiment/agree.go
@@ -14,7 +14,7 @@
 type Agreement struct {
 	Specs              []*scenario.Scenario
 	Seeds              []uint64 // of the live plays
-	ExtraSimulations   int      // further seeds in simulated time, which cost little, for its spread
+	ExtraSimulations   int      // further seeds in virtual time, which cost little, for its spread
 	ProcessParallelism int      // live plays at once; default 1. Those that were late are void
 	Subject            Subject
 	Job                Job
@@ -55,7 +55,7 @@
 }
 
 // Run plays them: virtual ones first.
-func (a *Agreement) Run(ctx context.Context, notified func(done, of int)) ([]AgreementResult, error) {
+func (a *Agreement) Run(ctx context.Context, told func(done, of int)) ([]AgreementResult, error) {
 	var virtual, lives []Job
 	for _, spec := range a.Specs {
 		for _, seed := range append(a.Seeds[:len(a.Seeds):len(a.Seeds)], Seeds(1<<40, a.ExtraSimulations)...) {
@@ -69,8 +69,8 @@
 	}
 	of, done := len(virtual)+len(lives), 0
 	tick := func() {
-		if done++; notified != nil {
-			notified(done, of)
+		if done++; told != nil {
+			told(done, of)
 		}
 	}
 	agreed := make([]AgreementResult, len(a.Specs))
--- a/internal/testbed/experiment/compare.go
+++ b/internal/testbed/experiment/compare.go
@@ -14,13 +14,13 @@
 	Subjects    []Subject
 	Driver      string
 	Parallelism int // plays at once; 0: as many as there are processors
-	Job         Job // what else is said of each run
+	Job         Job // what else is said of each play
 }
 
-// Run plays a contest: for each scenario and seed every subject, which meet the same environment. A run that is void with
+// Run plays a contest: for each scenario and seed every subject, which meet the same world. A play that is void with
 // one of them counts with none. There is a comparison for each scenario, and at the end one of all together if there
 // are several.
-func (c *Comparison) Run(ctx context.Context, notified func(done, of int)) ([]*report.Comparison, error) {
+func (c *Comparison) Run(ctx context.Context, told func(done, of int)) ([]*report.Comparison, error) {
 	var jobs []Job
 	for _, spec := range c.Specs {
 		for _, seed := range c.Seeds {
@@ -38,21 +38,21 @@
 		}
 		return x
 	}
-	var outputs []*report.Comparison
+	var out []*report.Comparison
 	for _, spec := range c.Specs {
-		outputs = append(outputs, fresh(spec.Name, spec.Description, string(scenario.Encode(spec))))
+		out = append(out, fresh(spec.Name, spec.Description, string(scenario.Encode(spec))))
 	}
 	all := fresh("all scenarios", "", "")
 	sides := len(c.Subjects)
-	line := make([]*RunResult, 0, sides)
+	row := make([]*RunResult, 0, sides)
 	err := Batch(ctx, jobs, c.Parallelism, func(i int, p *RunResult) error {
-		if notified != nil {
-			notified(i+1, len(jobs))
+		if told != nil {
+			told(i+1, len(jobs))
 		}
-		if line = append(line, p); len(line) == sides {
-			addResults(outputs[i/sides/len(c.Seeds)], line)
-			addResults(all, line)
-			line = line[:0]
+		if row = append(row, p); len(row) == sides {
+			addResults(out[i/sides/len(c.Seeds)], row)
+			addResults(all, row)
+			row = row[:0]
 		}
 		return nil
 	})
@@ -60,22 +60,22 @@
 		return nil, err
 	}
 	if len(c.Specs) > 1 {
-		outputs = append(outputs, all)
+		out = append(out, all)
 	}
-	return outputs, nil
+	return out, nil
 }
 
-// addResults enters the runs of one scenario and seed.
-func addResults(comparison *report.Comparison, line []*RunResult) {
+// addResults enters the plays of one scenario and seed.
+func addResults(comparison *report.Comparison, row []*RunResult) {
 	void := false
-	for i, p := range line {
+	for i, p := range row {
 		comparison.Sides[i].Broken += p.Violations()
 		if p.InvalidReason() != "" {
 			comparison.Sides[i].Invalid++
 			void = true
 		}
 	}
-	for i, p := range line {
+	for i, p := range row {
 		if !void {
 			comparison.Sides[i].Results = append(comparison.Sides[i].Results, p.Result())
 		}
