--- a/internal/testbed/fakeplatform/process.go
+++ b/internal/testbed/fakeplatform/process.go
@@ -13,29 +13,43 @@
 	"syscall"
 )
 
-// Process is a scheduler that runs on a plant.
+// configText is the configuration file of a scheduler: its listen, discovery and management addresses, and its settings.
+const configText = `{"name":"n0","listen":"%s","discovery":"%s","management":"%s","limits":{"sockets":256},"settings":%s}`
+
+// metricPrefix precedes the name of every metric of the scheduler.
+const metricPrefix = "edge_proxy."
+
+// noMetric is what Metric returns for a metric that the scheduler does not have.
+const noMetric = -1
+
+// Process is a scheduler process on a platform.
 type Process struct {
-	ManagementAddress string // where it answers operators
-	Log               bytes.Buffer
+	ManagementAddress string       // address of the operators' calls
+	Log               bytes.Buffer // standard error; to be read only after the process has ended
 	command           *exec.Cmd
-	done              chan struct{}
+	done              chan struct{} // closed when the process has ended
 }
 
-// Start starts a scheduler: a command that serves, with variables of its environment besides those of the platform. work is
-// a folder for its configuration; settings are those of the platform's file. dir is what TMPDIR names; none: it is not set.
-func (p *Platform) Start(command []string, env []string, work, dir, settings string) (*Process, error) {
-	process := &Process{command: exec.Command(command[0], command[1:]...), done: make(chan struct{})}
-	var err error
-	if process.ManagementAddress, err = FreeAddress(); err != nil {
+// Start starts a scheduler process. command is the program with its arguments; env is added to the environment of the
+// test. workDir is the directory for the configuration file, tempDir the value of TMPDIR, which may be empty. settings is
+// the JSON object of the scheduler's settings. The caller ends the process by Kill or Terminate.
+func (p *Platform) Start(command, env []string, workDir, tempDir, settings string) (*Process, error) {
+	address, err := FreeAddress()
+	if err != nil {
 		return nil, err
 	}
-	conf := filepath.Join(work, strings.ReplaceAll(process.ManagementAddress, ":", "-")+".json")
-	text := fmt.Appendf(nil, `{"name":"n0","listen":"%s","discovery":"%s","management":"%s","limits":{"sockets":256},"settings":%s}`,
-		p.Listen, p.Discovery, process.ManagementAddress, settings)
-	if err := os.WriteFile(conf, text, 0o600); err != nil {
+	configPath := filepath.Join(workDir, strings.ReplaceAll(address, ":", "-")+".json")
+	config := fmt.Appendf(nil, configText, p.Listen, p.Discovery, address, settings)
+	if err := os.WriteFile(configPath, config, 0o600); err != nil {
 		return nil, err
 	}
-	process.command.Env = append(append(os.Environ(), env...), "PROXY_CONFIG="+conf, "TMPDIR="+dir, "PROXY_MANAGEMENT=")
+	process := &Process{
+		ManagementAddress: address,
+		command:           exec.Command(command[0], command[1:]...),
+		done:              make(chan struct{}),
+	}
+	process.command.Env = append(os.Environ(), env...)
+	process.command.Env = append(process.command.Env, "PROXY_CONFIG="+configPath, "TMPDIR="+tempDir, "PROXY_MANAGEMENT=")
 	process.command.Stderr = &process.Log
 	if err := process.command.Start(); err != nil {
 		return nil, err
@@ -47,59 +61,60 @@
 	return process, nil
 }
 
-// Kill ends it at once, if it has not ended.
-func (s *Process) Kill() {
-	_ = s.command.Process.Kill()
-	<-s.done
+// Kill ends the process by SIGKILL, if it still runs, and waits until it has ended.
+func (p *Process) Kill() {
+	_ = p.command.Process.Kill()
+	<-p.done
 }
 
-// Terminate asks it to end by SIGTERM, waits until it has, and tells its exit code.
-func (s *Process) Terminate() int {
-	_ = s.command.Process.Signal(syscall.SIGTERM)
-	<-s.done
-	return s.command.ProcessState.ExitCode()
+// Terminate ends the process by SIGTERM, waits until it has ended, and returns its exit code.
+func (p *Process) Terminate() int {
+	_ = p.command.Process.Signal(syscall.SIGTERM)
+	<-p.done
+	return p.command.ProcessState.ExitCode()
 }
 
-// CallOperators makes an operator's call. Status 0: there was no answer.
-func (s *Process) CallOperators(method, path string) (status int, body string) {
-	r, err := http.NewRequest(method, "http://"+s.ManagementAddress+path, nil)
+// CallOperators makes an operators' call. A status of 0 means that there was no response.
+func (p *Process) CallOperators(method, path string) (status int, body string) {
+	request, err := http.NewRequest(method, "http://"+p.ManagementAddress+path, nil)
 	if err != nil {
 		return 0, ""
 	}
-	res, err := http.DefaultClient.Do(r)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return 0, ""
 	}
-	defer func() { _ = res.Body.Close() }()
-	text, _ := io.ReadAll(res.Body)
-	return res.StatusCode, string(text)
+	defer func() { _ = response.Body.Close() }()
+	text, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(text)
 }
 
-// Cordon takes a worker out, and Resume brings it back; both tell the answer's status.
-func (s *Process) Cordon(node string) int { return s.setCordon(node, "suspend") }
+// Cordon takes a worker out of service by an operators' call and returns the status of the response, 0 for none.
+func (p *Process) Cordon(worker string) int { return p.callWorker(worker, "suspend") }
 
-// Uncordon brings a worker back.
-func (s *Process) Uncordon(node string) int { return s.setCordon(node, "resume") }
+// Uncordon brings a cordoned worker back and returns the status of the response, 0 for none.
+func (p *Process) Uncordon(worker string) int { return p.callWorker(worker, "resume") }
 
-func (s *Process) setCordon(node, what string) int {
-	status, _ := s.CallOperators("PUT", "/v1/worker-nodes/"+node+"/"+what)
+// callWorker makes an operators' call on a worker and returns the status of the response.
+func (p *Process) callWorker(worker, action string) int {
+	status, _ := p.CallOperators(http.MethodPut, "/v1/worker-nodes/"+worker+"/"+action)
 	return status
 }
 
-// Ready tells whether it says that it is ready.
-func (s *Process) Ready() bool {
-	status, _ := s.CallOperators("GET", "/v1/readyz")
+// Ready reports whether the scheduler says that it is ready.
+func (p *Process) Ready() bool {
+	status, _ := p.CallOperators(http.MethodGet, "/v1/readyz")
 	return status == http.StatusOK
 }
 
-// Metric reads one of its figures; -1: it has none of that name.
-func (s *Process) Metric(name string) int {
-	_, text := s.CallOperators("GET", "/v1/metrics")
-	_, after, _ := strings.Cut(text, "edge_proxy."+name+"=")
-	value, _, _ := strings.Cut(after, "\n")
-	n, err := strconv.Atoi(value)
+// Metric returns the value of a whole-number metric by its name without prefix, or -1 if the scheduler has none.
+func (p *Process) Metric(name string) int {
+	_, text := p.CallOperators(http.MethodGet, "/v1/metrics")
+	_, after, _ := strings.Cut(text, metricPrefix+name+"=")
+	line, _, _ := strings.Cut(after, "\n")
+	value, err := strconv.Atoi(line)
 	if err != nil {
-		return -1
+		return noMetric
 	}
-	return n
+	return value
 }
--- /dev/null
+++ b/internal/testbed/fakeplatform/worker.go
@@ -0,0 +1,99 @@
+package fakeplatform
+
+import (
+	"bytes"
+	"encoding/json"
+	"io"
+	"maps"
+	"net/http"
+	"sync"
+)
+
+// callbackAttempts is how often a worker sends one callback at most.
+const callbackAttempts = 10
+
+// Worker is a fake worker. It accepts every attempt and reports at once that it has started. It reports that the attempt
+// is done after Free. Its methods may be called from several goroutines at once.
+type Worker struct {
+	ID            string
+	mutex         sync.Mutex
+	runsByRequest map[string]int // by X-Call-Id
+	release       chan struct{}  // closed by Free
+}
+
+// callback is the body of a callback of a worker to the scheduler.
+type callback struct {
+	Worker  string `json:"from"`
+	Request string `json:"id"`
+	Result  string `json:"result"`
+	State   string `json:"state"`
+}
+
+// Result returns what a worker answers for a request.
+func Result(request, worker string) string { return request + " by " + worker }
+
+// Free lets the worker's jobs finish, both the running and the later ones. It is called once.
+func (w *Worker) Free() { close(w.release) }
+
+// Runs returns how often the worker has run each request, by X-Call-Id, and the sum over all requests. The map is the
+// caller's own.
+func (w *Worker) Runs() (byRequest map[string]int, total int) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	for _, runs := range w.runsByRequest {
+		total += runs
+	}
+	return maps.Clone(w.runsByRequest), total
+}
+
+// countRun counts a run of a request.
+func (w *Worker) countRun(request string) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.runsByRequest[request]++
+}
+
+// acceptAttempt accepts an attempt and runs it. A cancellation, which is no POST, has no effect: a running job goes on.
+func (p *Platform) acceptAttempt(worker *Worker, w http.ResponseWriter, r *http.Request) {
+	_, _ = io.Copy(io.Discard, r.Body)
+	if r.Method != http.MethodPost {
+		return
+	}
+	request := r.Header.Get("X-Call-Id")
+	worker.countRun(request)
+	w.WriteHeader(http.StatusAccepted)
+	go p.runAttempt(worker, request)
+}
+
+// runAttempt reports the start of an attempt, and its end once the worker is freed.
+func (p *Platform) runAttempt(worker *Worker, request string) {
+	p.sendCallback(worker, request, "started")
+	select {
+	case <-worker.release:
+		p.sendCallback(worker, request, "done")
+	case <-p.closed:
+	}
+}
+
+// sendCallback sends a callback until the scheduler answers it with success, or the attempts are used up.
+func (p *Platform) sendCallback(worker *Worker, request, state string) {
+	body, err := json.Marshal(callback{Worker: worker.ID, Request: request, Result: Result(request, worker.ID), State: state})
+	if err != nil {
+		return
+	}
+	for range callbackAttempts {
+		if p.postCallback(body) {
+			return
+		}
+	}
+}
+
+// postCallback sends a callback once and reports whether it succeeded.
+func (p *Platform) postCallback(body []byte) bool {
+	response, err := http.Post("http://"+p.Listen+"/v1/job-events", "application/json", bytes.NewReader(body))
+	if err != nil {
+		return false
+	}
+	_ = response.Body.Close()
+	return response.StatusCode < http.StatusMultipleChoices
+}
