--- a/cmd/valvecove-testbed/fleet.go
+++ b/cmd/valvecove-testbed/fleet.go
@@ -176,8 +176,8 @@
 }
 
 // configurations are what is measured in each run.
-func (c *fleetCommand) configurations(builds []namedBuild) ([]fleet.Row, error) {
-	var all []fleet.Row
+func (c *fleetCommand) configurations(builds []namedBuild) ([]fleet.TableRow, error) {
+	var all []fleet.TableRow
 	for _, build := range builds {
 		for _, hint := range c.Hints {
 			factor, err := fleet.ParseHint(hint)
@@ -186,7 +186,7 @@
 			}
 			for _, notices := range c.Notices {
 				for _, workers := range c.Nodes {
-					all = append(all, fleet.Row{Subject: build.name, Workers: workers, StartNotifications: notices == "on", Hint: factor})
+					all = append(all, fleet.TableRow{Subject: build.name, Workers: workers, StartNotifications: notices == "on", Hint: factor})
 				}
 			}
 		}
@@ -195,18 +195,18 @@
 }
 
 // baselines are the configurations without a scheduler.
-func (c *fleetCommand) baselines() []fleet.Row {
-	var all []fleet.Row
+func (c *fleetCommand) baselines() []fleet.TableRow {
+	var all []fleet.TableRow
 	for _, baseline := range []string{fleet.Proxy, fleet.Direct} {
 		if !slices.Contains(c.Baselines, baseline) {
 			continue
 		}
 		for _, workers := range c.Nodes {
-			all = append(all, fleet.Row{Subject: baseline, Workers: workers})
+			all = append(all, fleet.TableRow{Subject: baseline, Workers: workers})
 		}
 	}
 	if slices.Contains(c.Baselines, fleet.Direct) {
-		all = append(all, fleet.Row{Subject: fleet.Ceiling, Workers: slices.Max(c.Nodes)})
+		all = append(all, fleet.TableRow{Subject: fleet.Ceiling, Workers: slices.Max(c.Nodes)})
 	}
 	return all
 }
--- a/cmd/valvecove-testbed/load.go
+++ b/cmd/valvecove-testbed/load.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(streams.stdout, "due %d, answered %d (%.0f/s), failed %d, open at the end %d\n", result.Due, result.Answered,
+	fmt.Fprintf(streams.stdout, "due %d, answered %d (%.0f/s), failed %d, open at the end %d\n", result.Scheduled, result.Answered,
 		result.Rate, result.Failed, result.Open)
 	for status, responses := range result.Status {
 		fmt.Fprintf(streams.stdout, "  status %d: %d\n", status, responses)
--- a/cmd/valvecove-testbed/main_test.go
+++ b/cmd/valvecove-testbed/main_test.go
@@ -70,7 +70,7 @@
 }
 
 // A violation is printed with the whole history of its request, in order of time.
-func TestViolationsAreExplained(t *testing.T) {
+func TestExplanationsAreShown(t *testing.T) {
 	_, stdout, _ := runCommandLine(t, tinyScenario, "play", "-", "--mutant", "answers-twice")
 	_, explanation, ok := strings.Cut(stdout, "\none-answer ")
 	if !ok || !strings.Contains(explanation, "asked") || !strings.Contains(explanation, "answered") ||
--- a/cmd/valvecove-testbed/parameter_study.go
+++ b/cmd/valvecove-testbed/variation.go
@@ -11,7 +11,7 @@
 	"valvecove/internal/testbed/score"
 )
 
-type parameterStudyCommand struct {
+type variationCommand struct {
 	Scenario string `arg:"" name:"scenario" help:"Name, file or -."`
 	Vary     string `name:"vary" help:"The key and its values: load.of=0.3,0.5,0.7 or load.of=0.2..1.2/11." required:""`
 	Curves   string `name:"curves" help:"A second key; a curve for each of its values."`
@@ -24,56 +24,56 @@
 }
 
 // Run runs the scenario with each value, on all seeds.
-func (c *parameterStudyCommand) Run(ctx context.Context, streams *standardStreams) error {
-	study, err := c.study(streams)
+func (c *variationCommand) Run(ctx context.Context, streams *standardStreams) error {
+	variation, err := c.variation(streams)
 	if err != nil {
 		return err
 	}
-	study.Job = experiment.Job{Driver: c.Driver, Subject: experiment.Subject{Binary: c.Binary}}
-	remove, err := prepareProcesses(ctx, &study.Job, "", streams)
+	variation.Job = experiment.Job{Driver: c.Driver, Subject: experiment.Subject{Binary: c.Binary}}
+	remove, err := prepareProcesses(ctx, &variation.Job, "", streams)
 	if err != nil {
 		return err
 	}
 	defer remove()
-	study.Subject.Binary = study.Job.Subject.Binary
-	result, err := study.Run(ctx, newProgressCounter(streams.stderr, "sweep"))
+	variation.Subject.Binary = variation.Job.Subject.Binary
+	result, err := variation.Run(ctx, newProgressCounter(streams.stderr, "sweep"))
 	if err != nil {
 		return err
 	}
 	return c.writeResult(result, streams)
 }
 
-// study turns the flags into a study, without what the process driver needs.
-func (c *parameterStudyCommand) study(streams *standardStreams) (experiment.ParameterStudy, error) {
-	study := experiment.ParameterStudy{
+// variation turns the flags into a variation, without what the process driver needs.
+func (c *variationCommand) variation(streams *standardStreams) (experiment.Variation, error) {
+	variation := experiment.Variation{
 		Seeds: c.list(), Driver: c.Driver, Figure: c.Metric, Parallelism: c.parallelism(c.Driver),
 		Subject: experiment.Subject{Name: c.Policy, Policy: c.Policy, Set: c.Set},
 	}
 	var err error
-	if study.Spec, err = openScenario(c.Scenario, streams); err != nil {
-		return study, err
+	if variation.Spec, err = openScenario(c.Scenario, streams); err != nil {
+		return variation, err
 	}
-	if study.Vary, err = experiment.ParseVary(c.Vary); err != nil {
-		return study, err
+	if variation.Vary, err = experiment.ParseVary(c.Vary); err != nil {
+		return variation, err
 	}
 	if c.Curves != "" {
-		if study.Curves, err = experiment.ParseVary(c.Curves); err != nil {
-			return study, err
+		if variation.Curves, err = experiment.ParseVary(c.Curves); err != nil {
+			return variation, err
 		}
 	}
 	_, err = findMetric(c.Metric)
-	return study, err
+	return variation, err
 }
 
 // writeResult writes the JSON, the page of HTML, and the page on standard output.
-func (c *parameterStudyCommand) writeResult(result *report.Sweep, streams *standardStreams) error {
+func (c *variationCommand) writeResult(result *report.Variation, streams *standardStreams) error {
 	if c.JSON != "" {
 		if err := saveJSON(c.JSON, result, streams); err != nil {
 			return err
 		}
 	}
 	if c.Report != "" {
-		err := saveFile(c.Report, "sweep.html", func(w io.Writer) error { return report.WriteSweep(w, result) })
+		err := saveFile(c.Report, "sweep.html", func(w io.Writer) error { return report.WriteVariation(w, result) })
 		if err != nil {
 			return err
 		}
@@ -81,7 +81,7 @@
 	if c.JSON == "-" {
 		return nil
 	}
-	return report.SweepPage(streams.stdout, result)
+	return report.VariationPage(streams.stdout, result)
 }
 
 // findMetric returns the metric that --figure names.
--- a/internal/testbed/checker/legal_test.go
+++ b/internal/testbed/checker/legal_test.go
@@ -20,7 +20,7 @@
 	s    []trace.Event
 	job  uint64
 	at   time.Duration
-	free map[int]time.Duration // until when worker nodes have an attempt of the job
+	free map[int]time.Duration // until when workers have an attempt of the job
 }
 
 func (h *history) draw(n int) int { return rapid.IntRange(0, n-1).Draw(h.t, "n") }
@@ -57,8 +57,8 @@
 	h.see(trace.Event{Kind: trace.JobSettled, JobID: h.job})
 }
 
-// try draws one query; again: its client may ask anew.
-func (h *history) try(c *scenario.Class, call string, asked time.Duration) (again bool) {
+// try draws one request; again: its client may ask anew.
+func (h *history) try(c *scenario.Class, call string, sentAt time.Duration) (again bool) {
 	h.free = map[int]time.Duration{}
 	risk, cell := time.Duration(0), -1
 	answer := func(status int, text string) bool {
@@ -78,7 +78,7 @@
 			}
 			return answer(500, "")
 		}
-		may := sent < h.spec.Schedulers.AttemptLimit && h.at < asked+c.Deadline.Std()/2
+		may := sent < h.spec.Schedulers.AttemptLimit && h.at < sentAt+c.Deadline.Std()/2
 		if risk > 0 {
 			may = may && (c.Idempotency == "safe" || c.Idempotency == "keyed" && h.at < risk+c.DeduplicationWindow.Std()-time.Second)
 		}
@@ -103,18 +103,18 @@
 	}
 }
 
-// attempt draws one sending of a query, to its end.
+// attempt draws one sending of a request, to its end.
 func (h *history) attempt(c *scenario.Class, call string, node int) (result string, ran bool) {
 	h.wait(time.Millisecond)
 	first := h.at
 	h.wait(time.Millisecond)
 	h.see(trace.Event{Kind: trace.AttemptReceived, RequestID: call, Worker: node, FirstByteAt: first, IdempotencyKey: "k" + call})
-	end := func(s trace.Event, note string) {
+	end := func(s trace.Event, callback string) {
 		s.RequestID, s.Worker = call, node
 		h.see(s)
 		h.wait(time.Millisecond)
-		if note != "" {
-			h.see(trace.Event{Kind: trace.CallbackAnswered, RequestID: call, Worker: node, Text: note, Status: 204})
+		if callback != "" {
+			h.see(trace.Event{Kind: trace.CallbackAnswered, RequestID: call, Worker: node, Text: callback, Status: 204})
 		}
 	}
 	switch h.draw(5) {
--- a/internal/testbed/experiment/aperture_test.go
+++ b/internal/testbed/experiment/aperture_test.go
@@ -22,7 +22,7 @@
 )
 
 // An aperture is asked for behind a policy's name or in the operators' file, and is the same either way; with one,
-// schedulers open links to few worker nodes, and the judge finds nothing.
+// schedulers open links to few workers, and the checker finds nothing.
 func TestAperture(t *testing.T) {
 	const keys = "least=8:off_below=0"
 	spec := small(t, "fleet.nodes=60", "schedulers.count=6", "schedulers.sockets=4096", "load.of=0.4")
@@ -50,15 +50,15 @@
 		return len(all), string(b)
 	}
 	whole, _ := met(spec, PolicyDispatch)
-	few, asked := met(spec, PolicyDispatch+ApertureSuffix+":"+keys)
+	few, sent := met(spec, PolicyDispatch+ApertureSuffix+":"+keys)
 	if few > whole*2/3 || few < 120 {
 		t.Errorf("%d pairs of scheduler and worker node are linked, %d without an aperture", few, whole)
 	}
-	if _, filed := met(inFile, PolicyDispatch); filed != asked {
+	if _, filed := met(inFile, PolicyDispatch); filed != sent {
 		t.Error("by the operators' file it is another play")
 	}
-	if _, other := met(spec, "least-outstanding"+ApertureSuffix+":"+keys); other == asked {
-		t.Error("a yardstick with an aperture plays as the module does")
+	if _, other := met(spec, "least-outstanding"+ApertureSuffix+":"+keys); other == sent {
+		t.Error("a baseline policy with an aperture runs as the module does")
 	}
 	for _, policy := range []string{"logic+aperturex", "logic+aperture:least=none", "none+aperture"} {
 		job := Job{Spec: spec, Seed: 1, Driver: scenario.DriverSimulation, Subject: Subject{Policy: policy}}
@@ -99,10 +99,10 @@
 	if _, err := simulation.Run(spec, 1, opt); err != nil {
 		t.Fatal(err)
 	}
-	var out, warnings bytes.Buffer
+	var outputs, warnings bytes.Buffer
 	held := rec.Dump()
-	n, err := capture.Replay(bytes.NewReader(held), config.Ops{}, &out, &warnings)
+	n, err := capture.Replay(bytes.NewReader(held), config.Ops{}, &outputs, &warnings)
 	if n != 0 || err != nil || warnings.Len() > 0 || bytes.Count(held, []byte(`"out":"send"`)) < 50 {
-		t.Errorf("%d differences in %d bytes, %v, %s:\n%.500s", n, len(held), err, warnings.String(), out.String())
+		t.Errorf("%d differences in %d bytes, %v, %s:\n%.500s", n, len(held), err, warnings.String(), outputs.String())
 	}
 }
--- a/internal/testbed/experiment/table.go
+++ b/internal/testbed/experiment/table.go
@@ -42,16 +42,16 @@
 
 // MarshalJSON writes null for a mean of nothing.
 func (c Cell) MarshalJSON() ([]byte, error) {
-	out := struct {
+	outputs := struct {
 		Mean   *float64 `json:"mean"`
 		SD     float64  `json:"sd"`
 		Plays  int      `json:"plays"`
 		Broken int      `json:"rules_broken"`
 	}{nil, c.SD, c.Runs, c.Violations}
 	if c.Runs > 0 {
-		out.Mean = &c.Mean
+		outputs.Mean = &c.Mean
 	}
-	return json.Marshal(out)
+	return json.Marshal(outputs)
 }
 
 func (c Cell) String() string {
@@ -84,8 +84,8 @@
 	Cells    []Cell `json:"cells"`
 }
 
-// Run plays them, in virtual time.
-func (y *BaselineTable) Run(ctx context.Context, told func(done, of int)) ([]BaselineRow, error) {
+// Run plays them, in simulated time.
+func (y *BaselineTable) Run(ctx context.Context, notified func(done, of int)) ([]BaselineRow, error) {
 	var jobs []Job
 	for _, spec := range y.Specs {
 		for _, policy := range y.Policies {
@@ -101,8 +101,8 @@
 	each, broken := len(y.Seeds), 0
 	var figures []float64
 	err := Batch(ctx, jobs, y.Parallelism, func(i int, p *RunResult) error {
-		if told != nil {
-			told(i+1, len(jobs))
+		if notified != nil {
+			notified(i+1, len(jobs))
 		}
 		figures, broken = append(figures, y.Metric.ValueOf(p.Result())), broken+p.Violations()
 		if len(figures) == each {
@@ -135,7 +135,7 @@
 	return b.String()
 }
 
-// Speed is how fast virtual time ran in a play.
+// Speed is how fast simulated time ran in a run.
 type Speed struct {
 	Requests uint64
 	Elapsed  time.Duration
@@ -153,8 +153,8 @@
 // minLength is how long jobs come for at least: a fleet must fill before it says anything.
 const minLength = 8 * time.Second
 
-// ScaleFleet returns a scenario of so many worker nodes that is as busy as another, for so many jobs at least. Its schedulers
-// have the descriptors for that many clients: else these wait at the front, and the play shows nothing but that.
+// ScaleFleet returns a scenario of so many workers that is as busy as another, for so many jobs at least. Its schedulers
+// have the descriptors for that many clients: else these wait at the load balancer, and the run shows nothing but that.
 func ScaleFleet(spec *scenario.Scenario, nodes int, jobs float64) (*scenario.Scenario, error) {
 	changed := spec.Clone()
 	changed.Drivers = []string{scenario.DriverSimulation}
--- a/internal/testbed/fleet/measure.go
+++ b/internal/testbed/fleet/measure.go
@@ -28,12 +28,12 @@
 // What is played without a scheduler.
 const (
 	Proxy   = "proxy"   // the standard library's reverse proxy, with the fewest requests out
-	Direct  = "direct"  // clients ask worker nodes, with nothing between
+	Direct  = "direct"  // clients ask workers, with nothing between
 	Ceiling = "ceiling" // as direct, and the jobs take no time: what the rig itself can do
 )
 
-// Row is what one play is of.
-type Row struct {
+// TableRow is what one run is of.
+type TableRow struct {
 	Subject            string  `json:"subject"` // a scheduler's build by name, or one of the above
 	Workers            int     `json:"nodes"`
 	StartNotifications bool    `json:"notices"` // of starts; false for what is no scheduler
@@ -51,7 +51,7 @@
 	Work         time.Duration // default 20 ms
 	Jobs         int           // if over 0, so many in all, however long that takes up to Length
 	Burst        int           // further jobs in the first second; a scheduler is up once it has the list
-	Restart      bool          // a third of the worker nodes restart within RestartsOver
+	Restart      bool          // a third of the workers restart within RestartsOver
 	SilentShare  float64       // a share of them is silent for a third of Length
 	Freeze       time.Duration // the scheduler is stopped for so long
 	Cores        []int         // the first is the scheduler's or the proxy's, the others are the engines'
@@ -65,9 +65,9 @@
 	restartWindow     = 10 * time.Second
 )
 
-// Measurement is one play's figures.
+// Measurement is one run's figures.
 type Measurement struct {
-	Row
+	TableRow
 	Result
 	Rate        float64 `json:"served_per_s"`
 	CPU         float64 `json:"cpu_us"` // of the scheduler's or proxy's process, for each request served; 0: none was
@@ -79,7 +79,7 @@
 	Disturbances []float64 `json:"trouble,omitempty"`
 }
 
-// InvalidReason says why the play is no result; empty: it is one. Where the rig is to be what limits it, it always is.
+// InvalidReason says why the run is no result; empty: it is one. Where the rig is to be what limits it, it always is.
 func (p *Measurement) InvalidReason() string {
 	if p.Subject == Ceiling {
 		return ""
@@ -127,15 +127,15 @@
 }
 
 // rigSpec is what the rig is to play.
-func (o *Options) rigSpec(row Row) Spec {
+func (o *Options) rigSpec(line TableRow) Spec {
 	work := cmp.Or(o.Work, 20*time.Millisecond)
 	spec := Spec{
-		Nodes: row.Workers, StartNotifications: row.StartNotifications, Clients: o.Clients, Work: work, Jobs: o.Jobs, Burst: o.Burst,
+		Nodes: line.Workers, StartNotifications: line.StartNotifications, Clients: o.Clients, Work: work, Jobs: o.Jobs, Burst: o.Burst,
 		WarmUp: o.WarmUp, Length: o.Length, Seed: o.Seed, Cores: o.Cores[1:],
 		DisturbancesAt: o.WarmUp + disturbancesAfter, SilentShare: o.SilentShare, SilentFor: o.Length / 3,
 	}
-	spec.Hint = time.Duration(row.Hint * float64(work))
-	switch row.Subject {
+	spec.Hint = time.Duration(line.Hint * float64(work))
+	switch line.Subject {
 	case Proxy, Direct:
 		spec.Responds = true
 	case Ceiling:
@@ -174,7 +174,7 @@
 }
 
 // Measure plays one row.
-func Measure(ctx context.Context, row Row, options Options) (Measurement, error) {
+func Measure(ctx context.Context, line TableRow, options Options) (Measurement, error) {
 	if err := options.check(); err != nil {
 		return Measurement{}, err
 	}
@@ -196,7 +196,7 @@
 		// Processes that are to die with this one die with the thread that they were started from; this one lives as long as
 		// they do, and ends with the goroutine.
 		runtime.LockOSThread()
-		d := &measurement{options: options, row: row}
+		d := &measurement{options: options, tableRow: line}
 		p, err := d.run(ctx)
 		d.close() // nothing of it is left when it is told
 		done <- ended{p, err}
@@ -208,7 +208,7 @@
 // measurement has one row played.
 type measurement struct {
 	options         Options
-	row             Row
+	tableRow        TableRow
 	directory       string
 	removeDirectory bool
 	rig             *process
@@ -280,7 +280,7 @@
 }
 
 func (d *measurement) run(ctx context.Context) (Measurement, error) {
-	measurement := Measurement{Row: d.row, Disturbances: d.options.disturbances()}
+	measurement := Measurement{TableRow: d.tableRow, Disturbances: d.options.disturbances()}
 	if d.directory = d.options.Dir; d.directory == "" {
 		var err error
 		if d.directory, err = os.MkdirTemp("", "fleet-"); err != nil {
@@ -292,7 +292,7 @@
 		return measurement, err
 	}
 	targets := []string{d.addresses.Scheduler}
-	switch d.row.Subject {
+	switch d.tableRow.Subject {
 	case Direct, Ceiling:
 		targets = d.addresses.Workers
 	default:
@@ -313,19 +313,19 @@
 		return nil, err
 	}
 	defer func() { _ = file.Close() }()
-	hear, out, err := os.Pipe()
+	receive, outputs, err := os.Pipe()
 	if err != nil {
 		_ = say.Close()
 		return nil, err
 	}
-	defer func() { _ = out.Close() }()
-	command.Stdin, command.Stdout = file, out
+	defer func() { _ = outputs.Close() }()
+	command.Stdin, command.Stdout = file, outputs
 	p, err := d.start(command, cores)
 	if err != nil {
-		_, _ = say.Close(), hear.Close()
+		_, _ = say.Close(), receive.Close()
 		return nil, err
 	}
-	p.stdin, p.stdout = say, hear
+	p.stdin, p.stdout = say, receive
 	return p, nil
 }
 
@@ -333,15 +333,15 @@
 func (d *measurement) startRig(ctx context.Context) error {
 	c := exec.CommandContext(ctx, d.options.Rig[0], d.options.Rig[1:]...)
 	c.Stderr = os.Stderr
-	rest, err := otherCores(d.options.Cores[0])
+	remainder, err := otherCores(d.options.Cores[0])
 	if err != nil {
 		return err
 	}
-	if d.rig, err = d.startPiped(c, rest); err != nil {
+	if d.rig, err = d.startPiped(c, remainder); err != nil {
 		return fmt.Errorf("rig: %w", err)
 	}
 	d.encoder, d.decoder = json.NewEncoder(d.rig.stdin), json.NewDecoder(d.rig.stdout)
-	if err := d.encoder.Encode(d.options.rigSpec(d.row)); err != nil {
+	if err := d.encoder.Encode(d.options.rigSpec(d.tableRow)); err != nil {
 		return fmt.Errorf("rig: %w", err)
 	}
 	n, err := d.receive()
@@ -382,13 +382,13 @@
 
 // awaitReady starts the scheduler or the proxy, and waits until it is up.
 func (d *measurement) awaitReady(ctx context.Context) error {
-	log, err := os.Create(filepath.Join(d.directory, d.row.Subject+".log"))
+	log, err := os.Create(filepath.Join(d.directory, d.tableRow.Subject+".log"))
 	if err != nil {
 		return err
 	}
 	defer func() { _ = log.Close() }()
 	if err = d.startSubject(ctx, log); err != nil {
-		return fmt.Errorf("%s: %w", d.row.Subject, err)
+		return fmt.Errorf("%s: %w", d.tableRow.Subject, err)
 	}
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for until := time.Now().Add(d.options.ReadyTimeout); ; {
@@ -406,7 +406,7 @@
 		case <-time.After(5 * time.Millisecond):
 		}
 		if time.Now().After(until) {
-			return fmt.Errorf("%s is not up after %v", d.row.Subject, d.options.ReadyTimeout)
+			return fmt.Errorf("%s is not up after %v", d.tableRow.Subject, d.options.ReadyTimeout)
 		}
 	}
 }
@@ -414,12 +414,12 @@
 func (d *measurement) exitError(log string) error {
 	text, _ := os.ReadFile(log)
 	text = bytes.TrimSpace(text)
-	return fmt.Errorf("%s ended (%v): %s", d.row.Subject, d.subject.ProcessState, text[max(0, len(text)-1000):])
+	return fmt.Errorf("%s ended (%v): %s", d.tableRow.Subject, d.subject.ProcessState, text[max(0, len(text)-1000):])
 }
 
 // startSubject starts the scheduler or the proxy.
 func (d *measurement) startSubject(ctx context.Context, log *os.File) error {
-	if d.row.Subject == Proxy {
+	if d.tableRow.Subject == Proxy {
 		c := exec.CommandContext(ctx, d.options.Proxy[0], d.options.Proxy[1:]...)
 		c.Stderr, c.Dir = log, d.directory
 		var err error
@@ -429,7 +429,7 @@
 		return json.NewEncoder(d.subject.stdin).Encode(ProxyPlan{Listen: d.addresses.Scheduler, Nodes: d.addresses.Workers})
 	}
 	conf := filepath.Join(d.directory, "config.json")
-	if err := os.WriteFile(conf, d.options.configuration(d.row, d.addresses), 0o600); err != nil {
+	if err := os.WriteFile(conf, d.options.configuration(d.tableRow, d.addresses), 0o600); err != nil {
 		return err
 	}
 	// The shell sets the limit on descriptors before the program is there, and is replaced by it.
@@ -456,20 +456,20 @@
 )
 
 // configuration is what a scheduler is told: the co-operative's settings, without load reports.
-func (o *Options) configuration(row Row, addresses Addresses) []byte {
+func (o *Options) configuration(line TableRow, addresses Addresses) []byte {
 	spec := scenario.Default()
 	spec.Name = "fleet"
-	spec.Fleet.Workers, spec.Fleet.Zones = row.Workers, []string{zone}
+	spec.Fleet.Workers, spec.Fleet.Zones = line.Workers, []string{zone}
 	for i := range spec.Fleet.Kinds {
 		k := &spec.Fleet.Kinds[i]
-		k.OmitsStartNotifications, k.QueueOrder, k.WarmUpCapacity, k.WarmUp = !row.StartNotifications, "fifo", 0.3, scenario.Duration(8800*time.Millisecond)
+		k.OmitsStartNotifications, k.QueueOrder, k.WarmUpCapacity, k.WarmUp = !line.StartNotifications, "fifo", 0.3, scenario.Duration(8800*time.Millisecond)
 	}
 	spec.Schedulers.Sockets, spec.Schedulers.MemoryMB = maxSockets, memoryMB
-	told := 0.0
+	notified := 0.0
 	for i := range spec.Tenants {
-		told += spec.QuotaRate(i)
+		notified += spec.QuotaRate(i)
 	}
-	spec.Load.Quota *= quotaPerSecond / told
+	spec.Load.Quota *= quotaPerSecond / notified
 	return platform.Config(spec, 0, platform.Options{Name: "s1", Listen: addresses.Scheduler, Discovery: addresses.Discovery, Seed: o.Seed})
 }
 
@@ -482,9 +482,9 @@
 	}
 	var look sync.WaitGroup
 	var most atomic.Int64
-	over := make(chan struct{})
+	stopped := make(chan struct{})
 	defer look.Wait()
-	defer close(over)
+	defer close(stopped)
 	if d.subject != nil {
 		look.Go(func() {
 			tick := time.NewTicker(100 * time.Millisecond)
@@ -492,26 +492,26 @@
 			for {
 				most.Store(max(most.Load(), int64(countFiles(strconv.Itoa(pid)))))
 				select {
-				case <-over:
+				case <-stopped:
 					return
 				case <-tick.C:
 				}
 			}
 		})
-		look.Go(func() { d.freeze(over) })
+		look.Go(func() { d.freeze(stopped) })
 	}
 	cpu := time.Duration(0)
-	type heard struct {
+	type received struct {
 		childMessage
 		err error
 	}
-	all := make(chan heard)
+	all := make(chan received)
 	look.Go(func() {
 		for {
 			n, err := d.receive()
 			select {
-			case all <- heard{n, err}:
-			case <-over:
+			case all <- received{n, err}:
+			case <-stopped:
 				return
 			}
 			if err != nil || n.Result != nil {
@@ -526,7 +526,7 @@
 			return p, ctx.Err()
 		case <-ended:
 			d.rig.kill()
-			return p, d.exitError(filepath.Join(d.directory, d.row.Subject+".log"))
+			return p, d.exitError(filepath.Join(d.directory, d.tableRow.Subject+".log"))
 		case n := <-all:
 			switch {
 			case n.err != nil:
@@ -550,13 +550,13 @@
 }
 
 // freeze stops the scheduler for a while, if it is to be.
-func (d *measurement) freeze(over chan struct{}) {
+func (d *measurement) freeze(ended chan struct{}) {
 	if d.options.Freeze <= 0 {
 		return
 	}
 	wait := func(span time.Duration) bool {
 		select {
-		case <-over:
+		case <-ended:
 			return false
 		case <-time.After(span):
 			return true
--- a/internal/testbed/fleet/workers.go
+++ b/internal/testbed/fleet/workers.go
@@ -11,7 +11,7 @@
 	"valvecove/internal/http1"
 )
 
-// worker is a stand-in worker node: it has slots, a waiting room that is served in order, and jobs that each take a slot
+// worker is a stand-in worker: it has slots, a waiting room that is served in order, and jobs that each take a slot
 // for the same time. What is withdrawn runs on, as it does at the co-operative's.
 type worker struct {
 	engine     *engine
@@ -32,7 +32,7 @@
 	unexpected int    // requests that it could not use
 }
 
-// job is one that a worker node has. It is used again.
+// job is one that a worker has. It is used again.
 type job struct {
 	timer
 	worker    *worker
@@ -41,7 +41,7 @@
 	abandoned bool        // with its process
 }
 
-// workerConn is a connection to a worker node.
+// workerConn is a connection to a worker.
 type workerConn struct {
 	conn
 	worker           *worker
@@ -103,8 +103,8 @@
 
 func (k *workerConn) respond(status int, fields string, keepAlive bool) {
 	e := k.worker.engine
-	e.out = http1.AppendResponse(e.out[:0], status, fields, nil, keepAlive)
-	k.write(e.out)
+	e.writeBuffer = http1.AppendResponse(e.writeBuffer[:0], status, fields, nil, keepAlive)
+	k.write(e.writeBuffer)
 }
 
 func (k *workerConn) handleRequest(message *message) {
@@ -185,8 +185,8 @@
 		if k := j.conn; k == nil {
 			n.callbacks.notify(j.requestID, "done")
 		} else if k.awaitingResponse = false; !k.closed {
-			n.engine.out = http1.AppendResponse(n.engine.out[:0], http1.StatusOK, "", fmt.Appendf(nil, "%s ran on %s", j.requestID, n.id), true)
-			k.write(n.engine.out)
+			n.engine.writeBuffer = http1.AppendResponse(n.engine.writeBuffer[:0], http1.StatusOK, "", fmt.Appendf(nil, "%s ran on %s", j.requestID, n.id), true)
+			k.write(n.engine.writeBuffer)
 		}
 	}
 	n.engine.free = append(n.engine.free, j)
@@ -246,7 +246,7 @@
 	callbackRetryDelay  = 100 * time.Millisecond
 )
 
-// callbackSender is a worker node's connections to the scheduler, by which it calls it with its notes.
+// callbackSender is a worker's connections to the scheduler, by which it calls it with its notes.
 type callbackSender struct {
 	worker  *worker
 	idle    []*callbackConn // the last one used last
@@ -269,7 +269,7 @@
 	callback *callback // nil: it is idle
 }
 
-// notify calls the scheduler with a note on a job.
+// notify calls the scheduler with a callback on a job.
 func (c *callbackSender) notify(call []byte, state string) {
 	b := make([]byte, 0, 128)
 	b = append(append(b, `{"id":"`...), call...)
@@ -283,7 +283,7 @@
 	c.proceed()
 }
 
-// proceed sends what waits. A worker node may always have one connection; further ones come out of what the machine
+// proceed sends what waits. A worker may always have one connection; further ones come out of what the machine
 // allows all of them together.
 func (c *callbackSender) proceed() {
 	n := c.worker
@@ -312,15 +312,15 @@
 	n := k.sender.worker
 	callback.attempts++
 	callback.conn, k.callback = k, callback
-	b := n.engine.out[:0]
+	b := n.engine.writeBuffer[:0]
 	b = append(b, "POST /v1/job-events HTTP/1.1\r\nHost: "...)
-	b = append(b, n.rig.hostAddress...)
+	b = append(b, n.rig.schedulerAddress...)
 	b = append(b, "\r\nContent-Type: application/json\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(callback.request)), 10)
 	b = append(b, "\r\n\r\n"...)
 	b = append(b, callback.request...)
-	n.engine.out = b
-	k.write(n.engine.out)
+	n.engine.writeBuffer = b
+	k.write(n.engine.writeBuffer)
 	n.engine.setTimer(&callback.timer, n.engine.now+callbackTimeout, callback)
 }
 
--- a/internal/testbed/mutation/policy.go
+++ b/internal/testbed/mutation/policy.go
@@ -31,7 +31,7 @@
 type alteredPolicy struct {
 	settings      dispatch.Settings
 	inner         requests.Policy
-	onEvent       func(l *alteredPolicy, e dispatch.Event) (told dispatch.Event, pass bool)
+	onEvent       func(l *alteredPolicy, e dispatch.Event) (altered dispatch.Event, pass bool)
 	onSend        func(l *alteredPolicy, s dispatch.Send) dispatch.Send // nil: as it is
 	nonIdempotent map[uint64]bool                                       // jobs that must never run twice
 	altered       []dispatch.Event
@@ -52,8 +52,8 @@
 		if j, ok := e.(dispatch.Job); ok {
 			l.nonIdempotent[j.ID] = l.settings.Classes[j.Class].Idempotency == dispatch.NonIdempotent
 		}
-		if told, pass := l.onEvent(l, e); pass {
-			l.altered = append(l.altered, told)
+		if notified, pass := l.onEvent(l, e); pass {
+			l.altered = append(l.altered, notified)
 		}
 	}
 	first := len(dst)
@@ -66,7 +66,7 @@
 	return dst
 }
 
-// reportAs has one outcome of unsafe jobs pass for another that proves that nothing ran.
+// reportAs has one outcome of non-idempotent jobs pass for another that proves that nothing ran.
 func reportAs(r dispatch.Result) func(l *alteredPolicy, e dispatch.Event) (dispatch.Event, bool) {
 	return func(l *alteredPolicy, e dispatch.Event) (dispatch.Event, bool) {
 		if o, ok := e.(dispatch.Outcome); ok && o.Result == r && l.nonIdempotent[o.Job] {
@@ -77,28 +77,28 @@
 	}
 }
 
-// shortenTimeout waits only so long for attempts of unsafe jobs.
-func shortenTimeout(patience time.Duration) func(l *alteredPolicy, s dispatch.Send) dispatch.Send {
+// shortenTimeout waits only so long for attempts of non-idempotent jobs.
+func shortenTimeout(timeout time.Duration) func(l *alteredPolicy, s dispatch.Send) dispatch.Send {
 	return func(l *alteredPolicy, s dispatch.Send) dispatch.Send {
 		if l.nonIdempotent[s.Job] {
-			s.AttemptTimeout = patience
+			s.AttemptTimeout = timeout
 		}
 		return s
 	}
 }
 
-// dropOutcomes hears of no worker node that drains or is gone.
+// dropOutcomes hears of no worker that drains or is gone.
 func dropOutcomes(_ *alteredPolicy, e dispatch.Event) (dispatch.Event, bool) {
 	list, ok := e.(dispatch.WorkerList)
 	if !ok {
 		return e, true
 	}
-	told := list
-	told.Workers = nil
+	notified := list
+	notified.Workers = nil
 	for _, w := range list.Workers {
 		if w.Ready && !w.Removed {
-			told.Workers = append(told.Workers, w)
+			notified.Workers = append(notified.Workers, w)
 		}
 	}
-	return told, list.Kind != dispatch.ListDelta || len(told.Workers) > 0
+	return notified, list.Kind != dispatch.ListDelta || len(notified.Workers) > 0
 }
--- a/internal/testbed/process/run_test.go
+++ b/internal/testbed/process/run_test.go
@@ -36,15 +36,15 @@
 window = "5s"
 `
 
-// A play of the real program in which each process is replaced by another: every job is settled once, each answer is to a
-// query that was asked, none is lost, and all that the play started has ended with it.
+// A run of the real program in which each process is replaced by another: every job is settled once, each answer is to a
+// request that was asked, none is lost, and all that the run started has ended with it.
 func TestPlay(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "valvecove")
-	if out, err := exec.Command("go", "build", "-o", binary, "valvecove/cmd/valvecove").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+	if outputs, err := exec.Command("go", "build", "-o", binary, "valvecove/cmd/valvecove").CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, outputs)
 	}
 	settled, open := map[uint64]int{}, map[string]bool{}
-	last, due := time.Duration(0), 0
+	last, dueAt := time.Duration(0), 0
 	var progress atomic.Int32
 	o, err := Run(t.Context(), testSpec(t, calm+"[[fault]]\nwhat = \"sched_replace\"\nat = \"500ms\"\n"), 3, Options{
 		Binary:   binary,
@@ -55,7 +55,7 @@
 			}
 			switch last = s.At; s.Kind {
 			case trace.JobDue:
-				due++
+				dueAt++
 			case trace.JobSettled:
 				settled[s.JobID]++
 			case trace.RequestSent:
@@ -76,8 +76,8 @@
 			t.Errorf("job %d settled %d times", job, n)
 		}
 	}
-	if !o.Finished || due == 0 || len(settled) != due || len(o.AlteredRequests) > 0 || progress.Load() == 0 {
-		t.Errorf("%d due, %d settled, %+v", due, len(settled), o)
+	if !o.Finished || dueAt == 0 || len(settled) != dueAt || len(o.AlteredRequests) > 0 || progress.Load() == 0 {
+		t.Errorf("%d due, %d settled, %+v", dueAt, len(settled), o)
 	}
 	for _, p := range o.Schedulers {
 		if p.Starts != 2 || len(p.Exits) > 0 {
@@ -86,7 +86,7 @@
 	}
 }
 
-// What can't be played is said, and a context ends a play.
+// What can't be played is said, and a context ends a run.
 func TestPlayFaults(t *testing.T) {
 	spec := testSpec(t, "")
 	refused := func(o Options, why string) {
@@ -113,7 +113,7 @@
 	}
 }
 
-// A play is void beyond either bound of lateness.
+// A run is void beyond either bound of lateness.
 func TestVoid(t *testing.T) {
 	m := newLatenessMeter()
 	for range 2000 {
@@ -171,8 +171,8 @@
 		for _, s := range status {
 			sum += got.Status[s]
 		}
-		if got.Due < 400 || got.Open != 0 || got.Answered != sum || got.Answered+got.Failed != got.Due ||
-			uint64(got.Latency.TotalCount()) != got.Answered || uint64(got.Lateness.TotalCount()) != got.Due ||
+		if got.Scheduled < 400 || got.Open != 0 || got.Answered != sum || got.Answered+got.Failed != got.Scheduled ||
+			uint64(got.Latency.TotalCount()) != got.Answered || uint64(got.Lateness.TotalCount()) != got.Scheduled ||
 			(got.Failed > 0) != (len(status) > 1) {
 			t.Errorf("%s: %+v", target, got)
 		}
--- a/internal/testbed/report/compare.go
+++ b/internal/testbed/report/compare.go
@@ -31,30 +31,30 @@
 
 // Pairs are the paired differences of each further side from the first, by every headline.
 func (c *Comparison) Pairs() [][]score.Paired {
-	out := make([][]score.Paired, 0, len(c.Sides))
+	outputs := make([][]score.Paired, 0, len(c.Sides))
 	for i := 1; i < len(c.Sides); i++ {
 		a, b := &c.Sides[0], &c.Sides[i]
-		out = append(out, score.CompareAll(a.Name, b.Name, a.Results, b.Results))
+		outputs = append(outputs, score.CompareAll(a.Name, b.Name, a.Results, b.Results))
 	}
-	return out
+	return outputs
 }
 
-// chanceNote says what to make of many intervals at once.
-const chanceNote = "Each interval holds the true difference 95 times in 100; of twenty figures without any difference, " +
+// chanceRemark says what to make of many intervals at once.
+const chanceRemark = "Each interval holds the true difference 95 times in 100; of twenty figures without any difference, " +
 	"one will seem to have one."
 
 // means are the spreads of all headlines, by name.
 type means map[string]score.Spread
 
 func spreads(plays []*score.Result) means {
-	out := means{}
+	outputs := means{}
 	for _, h := range score.Headlines {
-		out[h.Name] = score.SpreadOf(h.Values(plays))
+		outputs[h.Name] = score.SpreadOf(h.Values(plays))
 	}
-	return out
+	return outputs
 }
 
-// MarshalJSON writes spreads, each play's headlines, and paired differences, without the plays' series.
+// MarshalJSON writes spreads, each run's headlines, and paired differences, without the runs' series.
 func (c *Comparison) MarshalJSON() ([]byte, error) {
 	type side struct {
 		Name    string         `json:"name"`
@@ -63,39 +63,39 @@
 		Figures means          `json:"figures"`
 		Plays   []jsonHeadline `json:"plays"`
 	}
-	out := struct {
+	outputs := struct {
 		Title   string           `json:"title"`
 		About   string           `json:"about,omitempty"`
 		Build   string           `json:"build,omitempty"`
 		Sides   []side           `json:"sides"`
 		Pairs   [][]score.Paired `json:"paired"`
 		Reading string           `json:"reading"`
-	}{Title: c.Title, About: c.Description, Build: c.Build, Pairs: c.Pairs(), Reading: chanceNote}
+	}{Title: c.Title, About: c.Description, Build: c.Build, Pairs: c.Pairs(), Reading: chanceRemark}
 	for _, s := range c.Sides {
-		out.Sides = append(out.Sides, side{s.Name, s.Broken, s.Invalid, spreads(s.Results), headlines(s.Results)})
+		outputs.Sides = append(outputs.Sides, side{s.Name, s.Broken, s.Invalid, spreads(s.Results), headlines(s.Results)})
 	}
-	return json.Marshal(out)
+	return json.Marshal(outputs)
 }
 
-// jsonHeadline is a play's headlines; null where there is none.
+// jsonHeadline is a run's headlines; null where there is none.
 type jsonHeadline struct {
 	Seed    uint64              `json:"seed"`
 	Figures map[string]*float64 `json:"figures"`
 }
 
 func headlines(plays []*score.Result) []jsonHeadline {
-	out := make([]jsonHeadline, len(plays))
+	outputs := make([]jsonHeadline, len(plays))
 	for i, r := range plays {
-		out[i] = jsonHeadline{r.Seed, map[string]*float64{}}
+		outputs[i] = jsonHeadline{r.Seed, map[string]*float64{}}
 		for _, h := range score.Headlines {
 			if x := h.ValueOf(r); isNotFinite(x) {
-				out[i].Figures[h.Name] = nil
+				outputs[i].Figures[h.Name] = nil
 			} else {
-				out[i].Figures[h.Name] = &x
+				outputs[i].Figures[h.Name] = &x
 			}
 		}
 	}
-	return out
+	return outputs
 }
 
 // formatFigure writes a headline's figure in its unit.
@@ -174,7 +174,7 @@
 			textPage.line(map[string]string{"good": good, "poor": poor}[comparison.class(x)], "  %-18s%s", x.Metric, x.Verdict)
 		}
 	}
-	short, _, _ := strings.Cut(chanceNote, ";")
+	short, _, _ := strings.Cut(chanceRemark, ";")
 	textPage.line(faint, "%s", short+".")
 	_, err := io.WriteString(w, textPage.text.String())
 	return err
@@ -206,13 +206,13 @@
 	if c.Build != "" {
 		document.Summary = append(document.Summary, "Played with "+c.Build)
 	}
-	figures := table{Caption: "Means over the seeds, and how far the 95% interval of each reaches", Head: []string{""}}
+	figures := table{Caption: "Means over the seeds, and how far the 95% interval of each reaches", Columns: []string{""}}
 	t := &timeline{}
 	var lines, kept []lineSpec
 	all := make([]means, len(c.Sides))
 	broken, void, plays := []string{}, []string{}, []string{}
 	for i, side := range c.Sides {
-		figures.Head = append(figures.Head, side.Name)
+		figures.Columns = append(figures.Columns, side.Name)
 		all[i] = spreads(side.Results)
 		broken, void = append(broken, formatCount(side.Broken)), append(void, formatCount(side.Invalid))
 		plays = append(plays, formatCount(len(side.Results)))
@@ -226,34 +226,34 @@
 				}
 			}
 		}
-		asked := meanSeries(side.Results, func(s *score.Seconds) score.Series { return s.DueValue })
+		sent := meanSeries(side.Results, func(s *score.Seconds) score.Series { return s.DueValue })
 		earned := meanSeries(side.Results, func(s *score.Seconds) score.Series { return s.DueValueEarned })
 		if i == 0 {
-			lines = append(lines, lineSpec{name: "asked for", series: asked, area: true})
+			lines = append(lines, lineSpec{name: "asked for", series: sent, area: true})
 		}
 		if len(lines) < 6 {
 			lines = append(lines, lineSpec{name: side.Name, series: meanSeries(side.Results,
 				func(s *score.Seconds) score.Series { return s.GoodputValue })})
-			kept = append(kept, lineSpec{name: side.Name, class: fmt.Sprint("s", len(lines)), series: ratio(asked, earned, length)})
+			kept = append(kept, lineSpec{name: side.Name, class: fmt.Sprint("s", len(lines)), series: ratio(sent, earned, length)})
 		}
 	}
 	for _, h := range score.Headlines {
-		row := make([]string, len(c.Sides))
+		line := make([]string, len(c.Sides))
 		for i := range c.Sides {
-			row[i] = withSpread(h.Name, all[i][h.Name])
+			line[i] = withSpread(h.Name, all[i][h.Name])
 		}
-		figures.row(h.Name+", "+h.Description, row...)
+		figures.addRow(h.Name+", "+h.Description, line...)
 	}
-	figures.row("rules broken", broken...)
-	figures.row("plays", plays...)
-	figures.row("plays that were void, left out", void...)
+	figures.addRow("rules broken", broken...)
+	figures.addRow("plays", plays...)
+	figures.addRow("plays that were void, left out", void...)
 	document.Sections = append(document.Sections, section{ID: "figures", Title: "Side by side", Tables: []table{figures}})
-	over := section{
+	ended := section{
 		ID: "seconds", Title: "Over time",
 		Text: []string{"Means over the seeds. Faults strike whom the seed draws; their bands are those of the first."},
 	}
 	if t.end > 0 {
-		over.Plots = []*plot{
+		ended.Plots = []*plot{
 			t.plot(timePlot{
 				id: "goodput", title: "Goodput", yName: "worth a second", height: 300, text: formatNumber, labels: true,
 				lines: lines,
@@ -263,20 +263,20 @@
 				yName: "mean of two seconds", height: 240, top: 1, text: formatPercent, lines: kept,
 			}),
 		}
-		document.Sections = append(document.Sections, over)
+		document.Sections = append(document.Sections, ended)
 	}
 	for i, list := range c.Pairs() {
-		x := table{Head: []string{"", "difference", "95% interval", "spread (SD)", "p", "in words"}, TextColumns: true}
+		x := table{Columns: []string{"", "difference", "95% interval", "spread (SD)", "p", "in words"}, TextColumns: true}
 		for k := range list {
 			p := &list[k]
-			x.row(p.Metric, formatNumber(p.Difference), formatNumber(p.Low)+" to "+formatNumber(p.High), formatNumber(p.SD), formatNumber(p.P), p.Verdict)
+			x.addRow(p.Metric, formatNumber(p.Difference), formatNumber(p.Low)+" to "+formatNumber(p.High), formatNumber(p.SD), formatNumber(p.P), p.Verdict)
 			x.setClass(strings.TrimSpace("text "+c.class(p)), 5)
 		}
 		s := section{
 			ID: fmt.Sprint("pairs-", i+1), Title: c.Sides[i+1].Name + " against " + c.Sides[0].Name,
 			Tables: []table{x},
 		}
-		s.Text = []string{"Differences are of plays with the same seed. " + chanceNote}
+		s.Text = []string{"Differences are of plays with the same seed. " + chanceRemark}
 		document.Sections = append(document.Sections, s)
 	}
 	if c.Scenario != "" {
@@ -285,8 +285,8 @@
 	return document.write(w)
 }
 
-// Sweep is plays over the values of a parameter, and perhaps of a second: a curve for each of those.
-type Sweep struct {
+// Variation is plays over the values of a parameter, and perhaps of a second: a curve for each of those.
+type Variation struct {
 	Title       string
 	Description string
 	Param       string
@@ -297,13 +297,13 @@
 	Build       string
 }
 
-// Curve is the plays with one value of the second parameter.
+// Curve is the runs with one value of the second parameter.
 type Curve struct {
 	Name   string
 	Points []Point // in order of X
 }
 
-// Point is the plays with one value of the parameter, over some seeds.
+// Point is the runs with one value of the parameter, over some seeds.
 type Point struct {
 	X       float64
 	Label   string // of a value that is no number; then X counts them
@@ -311,7 +311,7 @@
 	Broken  int
 }
 
-func (s *Sweep) headline() score.Headline {
+func (s *Variation) headline() score.Headline {
 	h, ok := score.HeadlineOf(s.Metric)
 	if !ok {
 		return score.Headlines[0]
@@ -328,7 +328,7 @@
 
 // Knee is the point of a curve where the sweep's figure bends most, as score.Knee finds it; not ok: there is none,
 // as with values that are no numbers.
-func (s *Sweep) Knee(c *Curve) (at int, ok bool) {
+func (s *Variation) Knee(c *Curve) (at int, ok bool) {
 	h := s.headline()
 	var xs, ys []float64
 	for i := range c.Points {
@@ -341,7 +341,7 @@
 }
 
 // knee says it in words.
-func (s *Sweep) knee(curve *Curve) string {
+func (s *Variation) knee(curve *Curve) string {
 	name := s.Param
 	if curve.Name != "" {
 		name += " with " + s.Second + " " + curve.Name
@@ -356,7 +356,7 @@
 }
 
 // MarshalJSON writes spreads of all headlines at each point, and the knees.
-func (s *Sweep) MarshalJSON() ([]byte, error) {
+func (s *Variation) MarshalJSON() ([]byte, error) {
 	type point struct {
 		X       float64 `json:"x"`
 		Label   string  `json:"label,omitempty"`
@@ -368,7 +368,7 @@
 		Points []point `json:"points"`
 		Knee   *int    `json:"knee"` // null: none
 	}
-	out := struct {
+	outputs := struct {
 		Title  string  `json:"title"`
 		About  string  `json:"about,omitempty"`
 		Build  string  `json:"build,omitempty"`
@@ -386,110 +386,110 @@
 		for _, p := range c.Points {
 			x.Points = append(x.Points, point{p.X, p.Label, p.Broken, spreads(p.Results)})
 		}
-		out.Curves = append(out.Curves, x)
+		outputs.Curves = append(outputs.Curves, x)
 	}
-	return json.Marshal(out)
+	return json.Marshal(outputs)
 }
 
-// sweptMetrics are the headlines that a sweep's table shows beside the one that is drawn.
-var sweptMetrics = []string{"mix", "in_time", "worst_10s", "refused", "unanswered", "p50_ms", "p99_ms", "attempts", "waste"}
+// variationMetrics are the headlines that a sweep's table shows beside the one that is drawn.
+var variationMetrics = []string{"mix", "in_time", "worst_10s", "refused", "unanswered", "p50_ms", "p99_ms", "attempts", "waste"}
 
 // table is a sweep's, with the knees marked.
-func (s *Sweep) table() table {
-	names := append([]string{}, sweptMetrics...)
+func (s *Variation) table() table {
+	names := append([]string{}, variationMetrics...)
 	if h := s.headline().Name; h != "mix" {
 		names[0] = h
 	}
-	t := table{Caption: "Means over the seeds, and how far the 95% interval of each reaches", Head: []string{s.Param}}
-	t.Head = append(append(t.Head, names...), "rules broken")
+	t := table{Caption: "Means over the seeds, and how far the 95% interval of each reaches", Columns: []string{s.Param}}
+	t.Columns = append(append(t.Columns, names...), "rules broken")
 	for i := range s.Curves {
 		c := &s.Curves[i]
 		knee, ok := s.Knee(c)
 		if c.Name != "" {
-			t.row(strings.TrimSpace(s.Second + " " + c.Name))
+			t.addRow(strings.TrimSpace(s.Second + " " + c.Name))
 		}
 		for k := range c.Points {
 			p := &c.Points[k]
 			all := spreads(p.Results)
-			var row []string
+			var line []string
 			for _, name := range names {
-				row = append(row, withSpread(name, all[name]))
+				line = append(line, withSpread(name, all[name]))
 			}
 			first := p.label()
 			if ok && k == knee {
 				first += " (knee)"
 			}
-			t.row(first, append(row, formatCount(p.Broken))...)
+			t.addRow(first, append(line, formatCount(p.Broken))...)
 		}
 	}
 	return t
 }
 
-// SweepPage writes a sweep for a terminal.
-func SweepPage(w io.Writer, sweep *Sweep) error {
+// VariationPage writes a parameter variation for a terminal.
+func VariationPage(w io.Writer, variation *Variation) error {
 	textPage := &textPage{colour: useColors(w)}
-	textPage.line(strong, "%s", sweep.Title)
-	t, headline := sweep.table(), sweep.headline()
-	t.Head[len(t.Head)-1] = "broken"
-	columns := []int{0, 1, 4, 6, 7, 8, 9, len(t.Head) - 1}
+	textPage.line(strong, "%s", variation.Title)
+	t, headline := variation.table(), variation.headline()
+	t.Columns[len(t.Columns)-1] = "broken"
+	columns := []int{0, 1, 4, 6, 7, 8, 9, len(t.Columns) - 1}
 	width := []int{24, 16, 10, 10, 10, 8, 8, 8}
 	cut := func(text string) string { before, _, _ := strings.Cut(text, " ±"); return before }
-	head := ""
+	first := ""
 	for i, c := range columns {
 		if i == 0 {
 			width[i] = -width[i] // to the left
 		}
-		head += fmt.Sprintf("%*s", width[i], truncateLine(t.Head[c], max(width[i], -width[i])-1))
+		first += fmt.Sprintf("%*s", width[i], truncateLine(t.Columns[c], max(width[i], -width[i])-1))
 	}
-	textPage.line(faint, "%s", head)
-	for _, row := range t.Rows {
-		if len(row) == 1 {
-			textPage.line(strong, "%s", row[0].Text)
+	textPage.line(faint, "%s", first)
+	for _, cells := range t.Lines {
+		if len(cells) == 1 {
+			textPage.line(strong, "%s", cells[0].Text)
 			continue
 		}
-		line := fmt.Sprintf("%*s%*s", width[0], truncateLine(row[0].Text, -width[0]-1), width[1], row[1].Text)
+		line := fmt.Sprintf("%*s%*s", width[0], truncateLine(cells[0].Text, -width[0]-1), width[1], cells[1].Text)
 		for i, c := range columns[2:] {
-			line += fmt.Sprintf("%*s", width[i+2], cut(row[c].Text))
+			line += fmt.Sprintf("%*s", width[i+2], cut(cells[c].Text))
 		}
 		textPage.line(plain, "%s", line)
 	}
-	for i := range sweep.Curves {
-		c := &sweep.Curves[i]
+	for i := range variation.Curves {
+		c := &variation.Curves[i]
 		var ys score.Series
 		for k := range c.Points {
 			ys = append(ys, score.SpreadOf(headline.Values(c.Points[k].Results)).Mean)
 		}
-		textPage.line(plain, "%s  %s", sparkline(ys, ys.Max()), sweep.knee(c))
+		textPage.line(plain, "%s  %s", sparkline(ys, ys.Max()), variation.knee(c))
 	}
 	_, err := io.WriteString(w, textPage.text.String())
 	return err
 }
 
-// WriteSweep writes a sweep as one file of HTML: the curves with their knees, and a table.
-func WriteSweep(w io.Writer, sweep *Sweep) error {
-	h := sweep.headline()
-	document := &document{Title: sweep.Title, Description: sweep.Description}
-	if sweep.Build != "" {
-		document.Summary = append(document.Summary, "Played with "+sweep.Build)
+// WriteVariation writes a sweep as one file of HTML: the curves with their knees, and a table.
+func WriteVariation(w io.Writer, variation *Variation) error {
+	h := variation.headline()
+	document := &document{Title: variation.Title, Description: variation.Description}
+	if variation.Build != "" {
+		document.Summary = append(document.Summary, "Played with "+variation.Build)
 	}
 	curves := section{
-		ID: "curve", Title: "The curve and its knee", Plots: []*plot{sweep.plot(h)},
+		ID: "curve", Title: "The curve and its knee", Plots: []*plot{variation.plot(h)},
 		Text: []string{"Each point is the mean over the seeds, with its 95% interval. With both axes brought to 0 to 1, " +
 			"the knee is the point farthest from the straight line between the first point and the last, on its better " +
 			"side; a curve that does not leave that line by a tenth there has none."},
 	}
-	for i := range sweep.Curves {
-		text := sweep.knee(&sweep.Curves[i])
+	for i := range variation.Curves {
+		text := variation.knee(&variation.Curves[i])
 		curves.Text = append(curves.Text, strings.ToUpper(text[:1])+text[1:]+".")
 	}
-	document.Sections = []section{curves, {ID: "figures", Title: "Figures", Tables: []table{sweep.table()}}}
-	if sweep.Scenario != "" {
-		document.Sections = append(document.Sections, scenarioText(sweep.Scenario))
+	document.Sections = []section{curves, {ID: "figures", Title: "Figures", Tables: []table{variation.table()}}}
+	if variation.Scenario != "" {
+		document.Sections = append(document.Sections, scenarioText(variation.Scenario))
 	}
 	return document.write(w)
 }
 
-func (s *Sweep) plot(h score.Headline) *plot {
+func (s *Variation) plot(h score.Headline) *plot {
 	plot := newPlot("sweep", h.Name+" over "+s.Param, s.Param, h.Description, 380)
 	xScale := scale{low: math.Inf(1), high: math.Inf(-1)}
 	yScale := scale{}
@@ -530,7 +530,7 @@
 			}
 		}
 	}
-	var said []string
+	var reported []string
 	for i := range s.Curves {
 		curve := &s.Curves[i]
 		class := "s" + strconv.Itoa(i%6+1)
@@ -556,8 +556,8 @@
 			name = s.Second + " " + name
 		}
 		plot.add(class, name, values, ys, false, false)
-		said = append(said, s.knee(curve))
+		reported = append(reported, s.knee(curve))
 	}
-	plot.Description = strings.Join(said, "; ") + "."
+	plot.Description = strings.Join(reported, "; ") + "."
 	return plot
 }
--- a/internal/testbed/report/terminal.go
+++ b/internal/testbed/report/terminal.go
@@ -34,8 +34,8 @@
 	return os.Getenv("NO_COLOR") == "" && os.Getenv("TERM") != "dumb" && isTerminal(w)
 }
 
-// Progress writes how a play stands while it runs: on a terminal one line that changes, elsewhere a line for each
-// second of the play, and after a minute for every ten.
+// Progress writes how a run stands while it runs: on a terminal one line that changes, elsewhere a line for each
+// second of the run, and after a minute for every ten.
 type Progress struct {
 	w     io.Writer
 	tty   bool
@@ -47,7 +47,7 @@
 // NewProgress writes to w.
 func NewProgress(w io.Writer) *Progress { return &Progress{w: w, tty: isTerminal(w)} }
 
-// Wants tells whether Show would write a line for this instant of the play, so that nobody takes stock for nothing.
+// Wants tells whether Show would write a line for this instant of the run, so that nobody takes stock for nothing.
 func (p *Progress) Wants(at time.Duration) bool {
 	every := time.Second
 	if !p.tty && at > time.Minute {
@@ -56,7 +56,7 @@
 	return at > p.last.At && at/every != p.last.At/every
 }
 
-// Show takes in how a play stands, and writes a line if it is time for one.
+// Show takes in how a run stands, and writes a line if it is time for one.
 func (p *Progress) Show(t *score.Snapshot) {
 	if !p.Wants(t.At) {
 		return
@@ -77,7 +77,7 @@
 func (p *Progress) line(t *score.Snapshot, since time.Duration) string {
 	rate := func(now, before int) string { return formatNumber(float64(now-before) / since.Seconds()) }
 	line := fmt.Sprintf("%6s  asked %4s/s  in time %4s/s  refused %4s/s  in flight %5s  nodes %d/%d",
-		fmt.Sprint(int(t.At.Seconds()), " s"), rate(t.Due, p.last.Due), rate(t.InTime, p.last.InTime),
+		fmt.Sprint(int(t.At.Seconds()), " s"), rate(t.JobsDue, p.last.JobsDue), rate(t.InTime, p.last.InTime),
 		rate(t.Rejected, p.last.Rejected), formatCount(t.InFlight), t.WorkersUp, t.Workers)
 	for i, f := range t.Faults {
 		f, _, _ = strings.Cut(f, ":") // what, without whom it strikes
@@ -142,7 +142,7 @@
 	}
 }
 
-// WritePage writes the page of figures that ends a play: at most 60 lines of 100 columns, with colours only where w is a
+// WritePage writes the page of figures that ends a run: at most 60 lines of 100 columns, with colours only where w is a
 // terminal and NO_COLOR is not set. v may be nil: not judged.
 func WritePage(w io.Writer, r *score.Result, v *Verdict, met []score.Evaluation) error {
 	p := &textPage{colour: useColors(w)}
@@ -179,11 +179,11 @@
 		if !m.OK {
 			word, style = "NOT MET", poor
 		}
-		note := ""
+		callback := ""
 		if m.Remark != "" {
-			note = " (" + m.Remark + ")"
+			callback = " (" + m.Remark + ")"
 		}
-		p.line(style, "%s  %s: %s%s", word, m.Expectation, formatValue(m), note)
+		p.line(style, "%s  %s: %s%s", word, m.Expectation, formatValue(m), callback)
 	})
 }
 
@@ -199,15 +199,17 @@
 func (p *textPage) writeGroups(result *score.Result) {
 	p.line(faint, "%-18s%7s%8s%7s%8s%7s%9s%6s  %8s%8s%8s", "", "jobs", "in time", "late", "refused", "failed", "unansw.",
 		"lost", "p50", "p99", "max")
-	row := func(g *score.Group) {
-		of := func(o score.JobOutcome) string { return formatPercent(float64(g.Outcomes[o]) / float64(max(1, g.Due))) }
-		p.line(plain, "%-18s%7d%8s%7s%8s%7s%9s%6s  %8s%8s%8s", truncateLine(g.Name, 17), g.Due, of(score.OutcomeInTime), of(score.OutcomeLate),
+	line := func(g *score.Group) {
+		of := func(o score.JobOutcome) string {
+			return formatPercent(float64(g.Outcomes[o]) / float64(max(1, g.JobsDue)))
+		}
+		p.line(plain, "%-18s%7d%8s%7s%8s%7s%9s%6s  %8s%8s%8s", truncateLine(g.Name, 17), g.JobsDue, of(score.OutcomeInTime), of(score.OutcomeLate),
 			of(score.OutcomeRejected), of(score.OutcomeFailed), of(score.OutcomeUnanswered), of(score.OutcomeLost), formatMillis(g.Latency.P50),
 			formatMillis(g.Latency.P99), formatMillis(g.Latency.Max))
 	}
-	row(&result.Whole)
-	writeSome(p, result.Classes, 6, "classes", row)
-	writeSome(p, worstFirst(result.Tenants, 5), 5, "tenants", row)
+	line(&result.Whole)
+	writeSome(p, result.Classes, 6, "classes", line)
+	writeSome(p, worstFirst(result.Tenants, 5), 5, "tenants", line)
 	p.line(plain, "")
 }
 
--- a/internal/testbed/score/check.go
+++ b/internal/testbed/score/check.go
@@ -17,35 +17,35 @@
 
 // MarshalJSON writes the expectation as a scenario does, and null for a figure that is none.
 func (m Evaluation) MarshalJSON() ([]byte, error) {
-	out := struct {
+	written := struct {
 		Expectation string   `json:"expectation"`
 		Got         *float64 `json:"got"`
 		OK          bool     `json:"ok"`
-		Note        string   `json:"note,omitempty"`
-	}{Expectation: m.Expectation.String(), OK: m.OK, Note: m.Remark}
+		Remark      string   `json:"note,omitempty"`
+	}{Expectation: m.Expectation.String(), OK: m.OK, Remark: m.Remark}
 	if !math.IsNaN(m.Value) && !math.IsInf(m.Value, 0) {
-		out.Got = &m.Value
+		written.Got = &m.Value
 	}
-	return json.Marshal(out)
+	return json.Marshal(written)
 }
 
-// Check holds a result to expectations. broken is how often the judge found a rule broken. Shares and latencies of
+// Check holds a result to expectations. broken is how often the checker found a rule broken. Shares and latencies of
 // jobs of which none was due or served, as the case may be, meet nothing.
 func Check(expect []scenario.Expectation, r *Result, broken int) []Evaluation {
-	out := make([]Evaluation, len(expect))
+	evaluations := make([]Evaluation, len(expect))
 	for i, e := range expect {
 		m := Evaluation{Expectation: e}
 		m.Value, m.Remark = r.Figure(e.Metric, e.Group, broken)
 		m.OK = e.IsMet(m.Value)
-		out[i] = m
+		evaluations[i] = m
 	}
-	return out
+	return evaluations
 }
 
 // Figure is a figure by the name that expectations know it by, of a class, a tenant (whose worth in time is that
 // within its share) or all. Where it can't be had it is NaN, or +Inf for a disturbance that was not seen to end, and
 // note says why.
-func (r *Result) Figure(figure, of string, broken int) (x float64, note string) {
+func (r *Result) Figure(figure, of string, broken int) (x float64, callback string) {
 	switch figure {
 	case "rules_broken":
 		return float64(broken), ""
@@ -63,7 +63,7 @@
 	switch {
 	case group == nil:
 		return math.NaN(), "no class or tenant " + of
-	case group.Due == 0:
+	case group.JobsDue == 0:
 		return math.NaN(), "no job was due"
 	}
 	switch figure {
--- a/internal/testbed/score/process.go
+++ b/internal/testbed/score/process.go
@@ -7,9 +7,9 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Process is what a scheduler's processes took, one after the other, or the lab's.
+// Process is what a scheduler's processes took, one after the other, or the testbed's.
 type Process struct {
-	Scheduler      int     `json:"scheduler"` // -1: the lab
+	Scheduler      int     `json:"scheduler"` // -1: the testbed
 	Starts         int     `json:"starts"`
 	Kills          int     `json:"kills"`
 	Terms          int     `json:"terms"`
@@ -19,7 +19,7 @@
 	Requests       int     `json:"tries"`
 	Attempts       int     `json:"attempts"`
 	CPU            float64 `json:"cpu_s"`
-	Cores          float64 `json:"cores"`  // CPU over the play's time
+	Cores          float64 `json:"cores"`  // CPU over the run's time
 	PeakMemory     int64   `json:"memory"` // peak, bytes
 	PeakFiles      int     `json:"files"`  // peak, descriptors
 	CPUBySecond    Series  `json:"cpu_by_second"`
@@ -103,12 +103,12 @@
 }
 
 func (s *Score) processes() []Process {
-	out := make([]Process, 0, len(s.processFigures)+1)
+	outputs := make([]Process, 0, len(s.processFigures)+1)
 	add := func(i int, p *process) {
 		x := p.Process
 		x.Scheduler, x.Requests, x.Attempts, x.Cores = i, p.requests, p.attempts, share(p.CPU, s.now.Seconds())
 		x.CPUBySecond, x.MemoryBySecond, x.FilesBySecond = clone(p.CPUBySecond), clone(p.MemoryBySecond), clone(p.FilesBySecond)
-		out = append(out, x)
+		outputs = append(outputs, x)
 	}
 	for i := range s.processFigures {
 		add(i, &s.processFigures[i])
@@ -116,7 +116,7 @@
 	if s.testbed.PeakMemory > 0 || s.testbed.CPU > 0 {
 		add(-1, &s.testbed)
 	}
-	return out
+	return outputs
 }
 
 func clone(s Series) Series { return append(make(Series, 0, len(s)), s...) }
--- a/internal/testbed/score/result.go
+++ b/internal/testbed/score/result.go
@@ -14,7 +14,7 @@
 
 // Outcomes.
 const (
-	OutcomeInTime     JobOutcome = iota // served within its aim
+	OutcomeInTime     JobOutcome = iota // served within its objective
 	OutcomeLate                         // served after it
 	OutcomeRejected                     // its last answer was 429 or 503
 	OutcomeFailed                       // its last answer was another
@@ -37,15 +37,15 @@
 	wasteKinds
 )
 
-// Result is the figures of a play. Shares are from 0 to 1, work is in seconds at speed 1 times slots, instants are in
-// seconds since the play's start, latencies in milliseconds. Series have a value for each second.
+// Result is the figures of a run. Shares are from 0 to 1, work is in seconds at speed 1 times slots, instants are in
+// seconds since the run's start, latencies in milliseconds. Series have a value for each second.
 type Result struct {
 	Name        string  `json:"name"`
 	Description string  `json:"about,omitempty"`
 	Driver      string  `json:"driver,omitempty"`
 	Seed        uint64  `json:"seed"`
 	Length      float64 `json:"length_s"` // jobs fell due for so long
-	End         float64 `json:"end_s"`    // the last sight
+	End         float64 `json:"end_s"`    // the last trace event
 	Capacity    float64 `json:"capacity"` // of the warm fleet, work a second, as its kinds are described
 
 	Value        Value               `json:"worth"`
@@ -93,11 +93,11 @@
 	RequestedWithinQuota   float64           `json:"worth_asked_within"` // of jobs within their tenant's share
 	EarnedWithinQuota      float64           `json:"worth_earned_within"`
 	EarnedShareWithinQuota float64           `json:"in_time_within"` // EarnedWithin over AskedWithin
-	Due                    int               `json:"due"`
-	Open                   int               `json:"open"` // not settled when the play ended
+	JobsDue                int               `json:"due"`
+	Open                   int               `json:"open"` // not settled when the run ended
 	Outcomes               [outcomeCount]int `json:"outcomes"`
 	Shares                 OutcomeShares     `json:"shares"`
-	Attempts               float64           `json:"attempts"` // for each settled job, of those that reached a worker node
+	Attempts               float64           `json:"attempts"` // for each settled job, of those that reached a worker
 	Latency                Latency           `json:"latency"`  // of those served, from when they were due
 	histogram              *hdrhistogram.Histogram
 }
@@ -123,21 +123,21 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Effort is what was done to serve, counted at clients and worker nodes.
+// Effort is what was done to serve, counted at clients and workers.
 type Effort struct {
 	Requests           int     `json:"tries"`
 	Retries            int     `json:"retries"`         // tries after a job's first
 	RequestsUnreached  int     `json:"tries_unreached"` // found no scheduler; not among Tries
-	Resent             int     `json:"resent"`          // the same query once more on a new connection
+	Resent             int     `json:"resent"`          // the same request once more on a new connection
 	RequestsServed     int     `json:"tries_served"`    // answers, by tries
 	RequestsRejected   int     `json:"tries_refused"`   // by schedulers
 	RequestsFailed     int     `json:"tries_failed"`
-	Attempts           int     `json:"attempts"` // that reached worker nodes
+	Attempts           int     `json:"attempts"` // that reached workers
 	PerJob             float64 `json:"attempts_per_job"`
 	MaxAttempts        int     `json:"attempts_most"` // of one job, over all its tries
-	Hedged             int     `json:"second_copies"` // while an earlier one of the query had neither ended nor been given up
+	Hedged             int     `json:"second_copies"` // while an earlier one of the request had neither ended nor been given up
 	Accepted           int     `json:"accepted"`
-	Rejected           int     `json:"turned_away"` // by worker nodes
+	Rejected           int     `json:"turned_away"` // by workers
 	Full               int     `json:"full"`        // of these, 503 and 504
 	Returned           int     `json:"returned"`    // handed back unstarted
 	Cancelled          int     `json:"withdrawn"`
@@ -145,15 +145,15 @@
 	Callbacks          int     `json:"notes"`
 	CallbacksLost      int     `json:"notes_lost"`
 	HealthChecks       int     `json:"probes"`
-	Connections        int     `json:"links"`          // connections opened to worker nodes
-	Overloads          int     `json:"pushed_over"`    // cold worker nodes
-	Duplicates         int     `json:"strays"`         // sights of attempts whose query is not known, or was over for long
-	Unknown            int     `json:"unknown"`        // sights of jobs or queries that are not open
+	Connections        int     `json:"links"`          // connections opened to workers
+	Overloads          int     `json:"pushed_over"`    // cold workers
+	Duplicates         int     `json:"strays"`         // trace events of attempts whose request is not known, or was over for long
+	Unknown            int     `json:"unknown"`        // trace events of jobs or requests that are not open
 	WorkAfterObjective float64 `json:"work_after_aim"` // of jobs served late; no waste
 	WorkRequested      float64 `json:"work_asked"`     // once for each job
-	WorkRun            float64 `json:"work_run"`       // by worker nodes
+	WorkRun            float64 `json:"work_run"`       // by workers
 	WorkUseful         float64 `json:"work_useful"`    // a served try's answer came of it
-	WorkPending        float64 `json:"work_pending"`   // done for tries that were open when the play ended
+	WorkPending        float64 `json:"work_pending"`   // done for tries that were open when the run ended
 }
 
 // Waste is work run that served nobody. What died on the way counts for as long as it ran, at most its work.
@@ -171,16 +171,16 @@
 // Occupancy is slots x time in use over slots x time up, as long as jobs fell due.
 type Occupancy struct {
 	Whole         float64     `json:"whole"`
-	Mean          float64     `json:"mean"` // over the worker nodes that were up for a second or more
+	Mean          float64     `json:"mean"` // over the workers that were up for a second or more
 	Busiest       float64     `json:"busiest"`
 	BusiestWorker int         `json:"busiest_node"`
 	OverMean      float64     `json:"busiest_over_mean"`
 	Workers       []WorkerUse `json:"nodes"`
 	CellSeconds   float64     `json:"strip_cell_s"`
-	Strip         []StripLine `json:"strip"` // to the end of the play
+	Strip         []StripLine `json:"strip"` // to the end of the run
 }
 
-// WorkerUse is a worker node's.
+// WorkerUse is a worker's.
 type WorkerUse struct {
 	Worker    int     `json:"node"`
 	Use       float64 `json:"use"`
@@ -191,14 +191,14 @@
 	Overloads int     `json:"pushed_over,omitempty"`
 }
 
-// StripLine is the occupancy of worker nodes First to Last over time; -1: none of them was up.
+// StripLine is the occupancy of workers First to Last over time; -1: none of them was up.
 type StripLine struct {
 	First int    `json:"first"`
 	Last  int    `json:"last"`
 	Use   Series `json:"use"`
 }
 
-// Seconds are the series of a play. Those that say "due" count a job when it was due, the others when it happened.
+// Seconds are the series of a run. Those that say "due" count a job when it was due, the others when it happened.
 type Seconds struct {
 	DueJobs        Series        `json:"due_jobs"`
 	DueValue       Series        `json:"due_worth"`
@@ -236,24 +236,24 @@
 	Off  float64 `json:"off"` // -1: it did not end
 }
 
-// Mark is something that befell a scheduler or a worker node.
+// Mark is something that befell a scheduler or a worker.
 type Mark struct {
 	At   float64 `json:"at"`
 	Text string  `json:"text"`
 }
 
-// MisbehavingCounts are of the bad clients of a kind.
+// MisbehavingCounts are of the misbehaving clients of a kind.
 type MisbehavingCounts struct {
 	Kind      string  `json:"kind"`
 	Connected int     `json:"connected"`
 	Errors    int     `json:"errors"` // were answered 4xx or 5xx
 	Closed    int     `json:"closed"`
 	Served    int     `json:"served"` // were answered otherwise
-	Open      int     `json:"open"`   // neither, when the play ended
+	Open      int     `json:"open"`   // neither, when the run ended
 	MaxWaitMs float64 `json:"longest_ms"`
 }
 
-// Lateness is the lab's own.
+// Lateness is the testbed's own.
 type Lateness struct {
 	Count int64   `json:"count"`
 	P999  float64 `json:"p99_9_ms"`
@@ -306,7 +306,7 @@
 
 func indexName(i int) string { return "w-" + strconv.Itoa(i) }
 
-// Result takes stock. The play may go on; what is open counts as open.
+// Result takes stock. The run may go on; what is open counts as open.
 func (s *Score) Result() *Result {
 	result := &Result{
 		Name: s.spec.Name, Description: s.spec.Description, Driver: s.options.Driver, Seed: s.options.Seed,
@@ -342,12 +342,12 @@
 }
 
 func (g *group) result(name string) Group {
-	out := Group{
-		Name: name, Requested: g.value.requested, Earned: g.value.earned, Due: g.jobsDue, Outcomes: g.outcomes,
+	outputs := Group{
+		Name: name, Requested: g.value.requested, Earned: g.value.earned, JobsDue: g.jobsDue, Outcomes: g.outcomes,
 		Latency: latencyOf(g.histogram), RequestedWithinQuota: g.valueWithinQuota.requested, EarnedWithinQuota: g.valueWithinQuota.earned, histogram: g.histogram,
 	}
-	out.finish(g.attempts)
-	return out
+	outputs.finish(g.attempts)
+	return outputs
 }
 
 func (g *Group) finish(attempts int) {
@@ -355,9 +355,9 @@
 	for _, n := range g.Outcomes {
 		settled += n
 	}
-	g.Open = g.Due - settled
+	g.Open = g.JobsDue - settled
 	g.EarnedShare, g.EarnedShareWithinQuota = share(g.Earned, g.Requested), share(g.EarnedWithinQuota, g.RequestedWithinQuota)
-	of := func(n int) float64 { return share(float64(n), float64(g.Due)) }
+	of := func(n int) float64 { return share(float64(n), float64(g.JobsDue)) }
 	o := &g.Outcomes
 	g.Shares = OutcomeShares{
 		of(o[OutcomeInTime] + o[OutcomeLate]), of(o[OutcomeInTime]), of(o[OutcomeRejected]), of(o[OutcomeFailed]), of(o[OutcomeUnanswered]),
@@ -375,7 +375,7 @@
 		all.Earned += c.Earned
 		all.RequestedWithinQuota += c.RequestedWithinQuota
 		all.EarnedWithinQuota += c.EarnedWithinQuota
-		all.Due += c.Due
+		all.JobsDue += c.JobsDue
 		for k, n := range c.Outcomes {
 			all.Outcomes[k] += n
 		}
@@ -402,15 +402,15 @@
 	return w
 }
 
-// worstSpan finds the window of 10 s, from whole second to whole second, of whose worth the least was earned. A play
+// worstSpan finds the window of 10 s, from whole second to whole second, of whose worth the least was earned. A run
 // that is shorter is one window; a window in which nothing was asked for is none.
-func worstSpan(asked, earned Series, length int) (least, at float64) {
+func worstSpan(sent, earned Series, length int) (least, at float64) {
 	least = 1
-	length = min(length, len(asked))
+	length = min(length, len(sent))
 	found := false
 	for from := 0; from == 0 || from+worstWindowSeconds <= length; from++ {
 		to := min(from+worstWindowSeconds, length)
-		if a := asked[from:to].Sum(); a > 0 {
+		if a := sent[from:to].Sum(); a > 0 {
 			if x := share(earned[from:to].Sum(), a); !found || x < least {
 				least, at, found = x, float64(from), true
 			}
@@ -423,10 +423,10 @@
 }
 
 // worstGroup is the worst of those that asked for something; without any, the whole stands in.
-func worstGroup(groups []Group, whole float64, of func(*Group) (asked, share float64)) Named {
+func worstGroup(groups []Group, whole float64, of func(*Group) (sent, share float64)) Named {
 	worst := Named{Value: whole}
 	for i := range groups {
-		if asked, x := of(&groups[i]); asked > 0 && (worst.Name == "" || x < worst.Value) {
+		if sent, x := of(&groups[i]); sent > 0 && (worst.Name == "" || x < worst.Value) {
 			worst = Named{groups[i].Name, x}
 		}
 	}
@@ -442,7 +442,7 @@
 		n = max(n, len(s.classes[i].bins))
 	}
 	series := func() Series { return make(Series, n) }
-	out := Seconds{
+	outputs := Seconds{
 		DueJobs: series(), DueValue: series(), DueValueEarned: series(), GoodputValue: series(), GoodputJobs: series(),
 		Served: series(), Rejected: series(), Attempts: series(), InFlight: series(), P50: series(), P99: series(),
 		MaxLatency: series(), Classes: make([]ClassSeries, len(s.classes)),
@@ -457,23 +457,25 @@
 			b := &group.bins[k]
 			classSeries.DueJobs[k], classSeries.DueValue[k], classSeries.DueValueEarned[k] = float64(b.jobsDue), b.requested, b.earned
 			classSeries.GoodputValue[k], classSeries.GoodputJobs[k], classSeries.Rejected[k] = b.goodput, float64(b.inTime), float64(b.rejected)
-			out.Served[k] += float64(b.served)
-			out.Attempts[k] += float64(b.attempts)
+			outputs.Served[k] += float64(b.served)
+			outputs.Attempts[k] += float64(b.attempts)
 		}
 		group.inFlight.advanceTo(s.now)
 		copy(classSeries.InFlight, group.inFlight.means())
 		for k := range n {
-			out.DueJobs[k] += classSeries.DueJobs[k]
-			out.DueValue[k] += classSeries.DueValue[k]
-			out.DueValueEarned[k] += classSeries.DueValueEarned[k]
-			out.GoodputValue[k] += classSeries.GoodputValue[k]
-			out.GoodputJobs[k] += classSeries.GoodputJobs[k]
-			out.Rejected[k] += classSeries.Rejected[k]
-			out.InFlight[k] += classSeries.InFlight[k]
+			outputs.DueJobs[k] += classSeries.DueJobs[k]
+			outputs.DueValue[k] += classSeries.DueValue[k]
+			outputs.DueValueEarned[k] += classSeries.DueValueEarned[k]
+			outputs.GoodputValue[k] += classSeries.GoodputValue[k]
+			outputs.GoodputJobs[k] += classSeries.GoodputJobs[k]
+			outputs.Rejected[k] += classSeries.Rejected[k]
+			outputs.InFlight[k] += classSeries.InFlight[k]
 		}
-		out.Classes[i] = classSeries
+		outputs.Classes[i] = classSeries
+	}
+	put := func(k int, p latencyPoint) {
+		outputs.P50[k], outputs.P99[k], outputs.MaxLatency[k] = p.p50, p.p99, p.max
 	}
-	put := func(k int, p latencyPoint) { out.P50[k], out.P99[k], out.MaxLatency[k] = p.p50, p.p99, p.max }
 	for k, p := range s.latency {
 		put(k, p)
 	}
@@ -481,46 +483,46 @@
 		put(s.currentSecondIndex, newLatencyPoint(s.currentSecond))
 	}
 	s.workersUpCurve.advanceTo(s.now)
-	out.WorkersUp = append(s.workersUpCurve.means(), series()...)[:n]
-	out.Occupancy = append(s.fleet.series(s.now, 0), series()...)[:n]
-	return out
+	outputs.WorkersUp = append(s.workersUpCurve.means(), series()...)[:n]
+	outputs.Occupancy = append(s.fleet.series(s.now, 0), series()...)[:n]
+	return outputs
 }
 
 // series is the occupancy bin by bin, and none where nothing was up.
 func (r *stripRow) series(now time.Duration, none float64) Series {
 	r.use.advanceTo(now)
 	r.available.advanceTo(now)
-	out := make(Series, len(r.available.integrals))
+	outputs := make(Series, len(r.available.integrals))
 	for i, up := range r.available.integrals {
-		if out[i] = none; up > 1e-9 {
-			out[i] = share(r.use.integrals[i], up)
+		if outputs[i] = none; up > 1e-9 {
+			outputs[i] = share(r.use.integrals[i], up)
 		}
 	}
-	return out
+	return outputs
 }
 
 func (s *Score) effortAndWaste() (Effort, Waste) {
 	effort := s.effort.Effort
 	effort.RequestsServed, effort.RequestsRejected, effort.RequestsFailed = s.responses[0], s.responses[1], s.responses[2]
-	effort.PerJob = share(float64(effort.Attempts), float64(s.due))
+	effort.PerJob = share(float64(effort.Attempts), float64(s.jobsDue))
 	effort.WorkRequested, effort.WorkRun, effort.WorkUseful = s.effort.workRequested, s.effort.workRun, s.effort.workUseful
 	w := &s.effort.wasted
-	out := Waste{
+	outputs := Waste{
 		Repeated: w[wasteRepeated], TooLate: w[wasteTooLate], ClientLeft: w[wasteClientLeft], Unused: w[wasteUnused], Errors: w[wasteErrors],
 		Killed: w[wasteKilled],
 	}
 	for _, work := range w {
-		out.Work += work
+		outputs.Work += work
 	}
-	out.Share = share(out.Work, s.effort.workRequested)
-	if effort.WorkPending = effort.WorkRun - effort.WorkUseful - out.Work; effort.WorkPending < 1e-9*effort.WorkRun {
+	outputs.Share = share(outputs.Work, s.effort.workRequested)
+	if effort.WorkPending = effort.WorkRun - effort.WorkUseful - outputs.Work; effort.WorkPending < 1e-9*effort.WorkRun {
 		effort.WorkPending = 0 // what the order of sums leaves over
 	}
-	return effort, out
+	return effort, outputs
 }
 
 func (s *Score) occupancy() Occupancy {
-	out := Occupancy{Workers: make([]WorkerUse, 0, len(s.workers)), CellSeconds: s.rows[0].available.width.Seconds()}
+	outputs := Occupancy{Workers: make([]WorkerUse, 0, len(s.workers)), CellSeconds: s.stripRows[0].available.width.Seconds()}
 	var use, available, sum float64
 	counted, within := 0, s.settleWindow()
 	for i := range s.workers {
@@ -536,35 +538,35 @@
 			Worker: i, Use: share(n.occupancy.integral, n.availability.integral), Slots: n.slots, Attempts: n.attempts, Full: n.full,
 			Overloads: n.overloads, Up: share(n.availability.integral, n.slots*within.Seconds()),
 		}
-		out.Workers = append(out.Workers, line)
+		outputs.Workers = append(outputs.Workers, line)
 		if n.availability.integral >= n.slots {
 			counted++
 			sum += line.Use
-			if line.Use > out.Busiest || counted == 1 {
-				out.Busiest, out.BusiestWorker = line.Use, i
+			if line.Use > outputs.Busiest || counted == 1 {
+				outputs.Busiest, outputs.BusiestWorker = line.Use, i
 			}
 		}
 	}
-	out.Whole, out.Mean = share(use, available), share(sum, float64(counted))
-	out.OverMean = share(out.Busiest, out.Mean)
-	out.Strip = make([]StripLine, len(s.rows))
-	for i := range out.Strip {
-		out.Strip[i] = StripLine{First: -1, Use: s.rows[i].series(s.now, -1)}
+	outputs.Whole, outputs.Mean = share(use, available), share(sum, float64(counted))
+	outputs.OverMean = share(outputs.Busiest, outputs.Mean)
+	outputs.Strip = make([]StripLine, len(s.stripRows))
+	for i := range outputs.Strip {
+		outputs.Strip[i] = StripLine{First: -1, Use: s.stripRows[i].series(s.now, -1)}
 	}
 	for i := range max(len(s.workers), s.spec.Fleet.Workers) {
-		line := &out.Strip[s.stripRowOf(i)]
+		line := &outputs.Strip[s.stripRowOf(i)]
 		if line.First < 0 {
 			line.First = i
 		}
 		line.Last = i
 	}
-	return out
+	return outputs
 }
 
-// Snapshot is how a play stands: cheap to take, while it runs.
+// Snapshot is how a run stands: cheap to take, while it runs.
 type Snapshot struct {
 	At        time.Duration
-	Due       int
+	JobsDue   int
 	InTime    int
 	Settled   int
 	Rejected  int // tries
@@ -577,7 +579,7 @@
 // Snapshot takes one. It keeps the room of t.Faults.
 func (s *Score) Snapshot(t *Snapshot) {
 	*t = Snapshot{
-		At: s.now, Due: s.due, InTime: s.inTime, Settled: s.settled, Rejected: s.responses[requestRejected-requestServed],
+		At: s.now, JobsDue: s.jobsDue, InTime: s.inTime, Settled: s.settled, Rejected: s.responses[requestRejected-requestServed],
 		InFlight: len(s.jobs), WorkersUp: s.workersUp, Workers: max(len(s.workers), s.spec.Fleet.Workers), Faults: t.Faults[:0],
 	}
 	for i := range s.faults {
--- a/internal/testbed/simulation/unsupported.go
+++ b/internal/testbed/simulation/unsupported.go
@@ -6,7 +6,7 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// Unsupported says what of a scenario a play in virtual time can't show, one sentence each. A verdict leaves that out, and
+// Unsupported says what of a scenario a run in simulated time can't show, one sentence each. A verdict leaves that out, and
 // says so.
 func Unsupported(spec *scenario.Scenario) []string {
 	all := []string{
@@ -14,16 +14,16 @@
 			" no time, and a process has as much memory as it wants.",
 		"Queries and answers cross the border whole: nothing is seen of how bytes are read, written and framed.",
 	}
-	told := map[string]bool{}
+	notified := map[string]bool{}
 	for _, b := range spec.Misbehaving {
-		if !told[b.Kind] {
-			told[b.Kind] = true
+		if !notified[b.Kind] {
+			notified[b.Kind] = true
 			all = append(all, fmt.Sprintf("Bad clients (%s) are left out: what they do, they do with bytes on sockets.", b.Kind))
 		}
 	}
 	for _, f := range spec.Faults {
-		if why, ok := partlySupportedFaults[f.Kind]; ok && !told[f.Kind] {
-			told[f.Kind] = true
+		if why, ok := partlySupportedFaults[f.Kind]; ok && !notified[f.Kind] {
+			notified[f.Kind] = true
 			all = append(all, fmt.Sprintf("Fault %s: %s", f.Kind, why))
 		}
 	}
@@ -37,7 +37,7 @@
 	return all
 }
 
-// partlySupportedFaults are those that virtual time shows in part.
+// partlySupportedFaults are those that simulated time shows in part.
 var partlySupportedFaults = map[string]string{
 	"reset_at": "a query that is reset before its last byte counts as wholly written by the scheduler, as small ones" +
 		" do for a kernel.",
