--- a/cmd/valvecove/preview.go
+++ b/cmd/valvecove/preview.go
@@ -87,7 +87,7 @@
 		settings.AttemptLimit, settings.ConnectTimeout, onOrOff(settings.Hedging), onOrOff(settings.Cancellation),
 		onOrOff(settings.HealthChecks)))
 	p.line("schedulers", fmt.Sprintf("number %d of %d, numbered from 0", settings.ReplicaIndex, max(1, settings.Replicas)))
-	p.line("stop", fmt.Sprintf("%v after SIGTERM", server.KilledAfter(settings)))
+	p.line("stop", fmt.Sprintf("%v after SIGTERM", server.KillDelay(settings)))
 	p.line("log", describeLog(p.ops.Log))
 }
 
