--- a/cmd/valvecove-testbed/main.go
+++ b/cmd/valvecove-testbed/main.go
@@ -29,20 +29,20 @@
 
 // commands are the subcommands.
 type commands struct {
-	Demo           demoCommand           `cmd:"" name:"demo" help:"Start discovery, workers, a scheduler and clients, kill a worker on the way, and check the run."`
-	Play           playCommand           `cmd:"" name:"play" help:"Run a scenario once, check its invariants, and show its figures."`
-	Compare        compareCommand        `cmd:"" name:"compare" help:"Run two builds, configurations or policies on the same scenarios, paired by seed."`
-	ParameterStudy parameterStudyCommand `cmd:"" name:"sweep" help:"Run a scenario with one key, or two, taking several values."`
-	Search         searchCommand         `cmd:"" name:"hunt" help:"Draw scenarios and faults at random, and keep the worst runs, minimised."`
-	Agreement      agreementCommand      `cmd:"" name:"agree" help:"Run scenarios with both drivers, and set their figures side by side."`
-	Baselines      baselinesCommand      `cmd:"" name:"yardsticks" help:"Compare the dispatch policy with the baseline policies, scenario by scenario."`
-	Speed          speedCommand          `cmd:"" name:"speed" help:"Measure how fast the simulation runs on one core, by fleet size."`
-	Load           loadCommand           `cmd:"" name:"load" help:"Put an open load on an address, or on a responder of the testbed's own."`
-	Fleet          fleetCommand          `cmd:"" name:"fleet" help:"Measure a scheduler in front of large fleets on sockets, beside the standard library's reverse proxy."`
-	Mutants        mutantsCommand        `cmd:"" name:"mutants" help:"Run each mutant, and say whether the invariant checker finds it."`
-	List           listCommand           `cmd:"" name:"list" help:"List the scenarios of the library."`
-	Check          checkCommand          `cmd:"" name:"check" help:"Check scenario files."`
-	Version        versionCommand        `cmd:"" name:"version" help:"Print which build this is."`
+	Demo      demoCommand      `cmd:"" name:"demo" help:"Start discovery, workers, a scheduler and clients, kill a worker on the way, and check the run."`
+	Play      playCommand      `cmd:"" name:"play" help:"Run a scenario once, check its invariants, and show its figures."`
+	Compare   compareCommand   `cmd:"" name:"compare" help:"Run two builds, configurations or policies on the same scenarios, paired by seed."`
+	Variation variationCommand `cmd:"" name:"sweep" help:"Run a scenario with one key, or two, taking several values."`
+	Search    searchCommand    `cmd:"" name:"hunt" help:"Draw scenarios and faults at random, and keep the worst runs, minimised."`
+	Agreement agreementCommand `cmd:"" name:"agree" help:"Run scenarios with both drivers, and set their figures side by side."`
+	Baselines baselinesCommand `cmd:"" name:"yardsticks" help:"Compare the dispatch policy with the baseline policies, scenario by scenario."`
+	Speed     speedCommand     `cmd:"" name:"speed" help:"Measure how fast the simulation runs on one core, by fleet size."`
+	Load      loadCommand      `cmd:"" name:"load" help:"Put an open load on an address, or on a responder of the testbed's own."`
+	Fleet     fleetCommand     `cmd:"" name:"fleet" help:"Measure a scheduler in front of large fleets on sockets, beside the standard library's reverse proxy."`
+	Mutants   mutantsCommand   `cmd:"" name:"mutants" help:"Run each mutant, and say whether the invariant checker finds it."`
+	List      listCommand      `cmd:"" name:"list" help:"List the scenarios of the library."`
+	Check     checkCommand     `cmd:"" name:"check" help:"Check scenario files."`
+	Version   versionCommand   `cmd:"" name:"version" help:"Print which build this is."`
 }
 
 const programDescription = `The testbed of valvecove. SCENARIO is a name of the library ("valvecove-testbed list"), a file, or - for standard input.
