--- a/internal/testbed/checker/checker.go
+++ b/internal/testbed/checker/checker.go
@@ -13,13 +13,13 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Options are what a checker is told besides the scenario.
+// Options are the settings of a checker besides the scenario.
 type Options struct {
-	RealProcesses bool          // played by real processes: time limits are wider, and what only sockets show is judged
-	MaxLateness   time.Duration // the testbed's own lateness beyond which a run is void; default 50 ms
+	RealProcesses bool          // the schedulers are real processes: time limits are wider, and what only sockets show is checked
+	MaxLateness   time.Duration // the testbed's own lateness beyond which a run is invalid; default 50 ms
 }
 
-// Checker keeps the books of one run. It is used by one goroutine.
+// Checker keeps the history of one run and checks it. It is used by one goroutine.
 type Checker struct {
 	spec    *scenario.Scenario
 	options Options
@@ -84,16 +84,16 @@
 	hedging           bool
 }
 
-// Verdict is what a checker has found.
+// Verdict is the result of checking a run.
 type Verdict struct {
 	Violations []Violation `json:"broken"`
-	Invalid    string      `json:"void,omitempty"` // why the run is no result; empty: it is one
+	Invalid    string      `json:"void,omitempty"` // why the run is invalid; empty: it is valid
 	Counts     Counts      `json:"counts"`
 	Rules      []RuleCount `json:"rules"`
 	NotChecked []string    `json:"left_out,omitempty"` // what this driver can't show, and why
 }
 
-// Violation is one rule broken, by one job or one party.
+// Violation is one rule broken, by one job or one scheduler, worker or client.
 type Violation struct {
 	Rule        string        `json:"rule"`
 	At          time.Duration `json:"at"`
@@ -110,7 +110,7 @@
 	Violated int    `json:"broken"`
 }
 
-// Counts are what the checker saw.
+// Counts count what the checker observed.
 type Counts struct {
 	Jobs            int `json:"jobs"`
 	Requests        int `json:"tries"`
@@ -202,6 +202,23 @@
 		k := &spec.Fleet.Kinds[i]
 		f.maxSpeed = max(f.maxSpeed, k.Speed*(1+3*k.Spread))
 	}
+	f.setEstimateFactors(spec)
+	longest := time.Duration(0)
+	for i := range spec.Classes {
+		longest = max(longest, spec.Classes[i].Deadline.Std())
+	}
+	f.killDelay = min(longest, 3*time.Second) + termGrace
+	for i := range spec.Faults {
+		f.addFault(&spec.Faults[i])
+	}
+	if n.DropsIdleAfter > 0 {
+		f.workersImpaired = append(f.workersImpaired, interval{0, forever})
+	}
+	return f
+}
+
+// setEstimateFactors sets how far a scheduler's estimate of a job's work may be off, by the scenario's hints.
+func (f *timeLimits) setEstimateFactors(spec *scenario.Scenario) {
 	f.estimateFactor, f.heavyFactor = 4, 4
 	switch l := &spec.Load; l.Hints {
 	case "exact":
@@ -214,42 +231,34 @@
 	if hasProlongedRuns(spec) {
 		f.estimateFactor *= 4
 	}
-	longest := time.Duration(0)
-	for i := range spec.Classes {
-		longest = max(longest, spec.Classes[i].Deadline.Std())
+}
+
+// addFault widens the limits by a fault of the timeline, and adds the interval in which it excuses what.
+func (f *timeLimits) addFault(fault *scenario.Fault) {
+	interval := interval{fault.At.Std(), forever}
+	if fault.Duration > 0 {
+		interval.end = interval.start + (fault.Duration + fault.Spread).Std() + 2*f.clientDelay
 	}
-	f.killDelay = min(longest, 3*time.Second) + termGrace
-	for i := range spec.Faults {
-		fault := &spec.Faults[i]
-		interval := interval{fault.At.Std(), forever}
+	nodes := fault.Between == "nodes" || fault.And == "nodes"
+	if fault.Kind == "delay" && nodes {
+		f.workerDelay += 2 * time.Duration(fault.Size*float64(time.Millisecond))
+	}
+	if nodes && (fault.Kind == "cut" || fault.Kind == "cut_one_way") {
+		f.workersCut = append(f.workersCut, interval)
+	}
+	if connectImpairingFaults[fault.Kind] {
+		f.connectsImpaired = append(f.connectsImpaired, interval)
+	}
+	switch clients := fault.Between == "clients" || fault.And == "clients"; {
+	case clients && scenario.FaultKinds[fault.Kind] == "net":
+		f.clientsCut = append(f.clientsCut, interval)
+	case impairingFaults[fault.Kind]:
+		interval.start -= impairmentMargin
 		if fault.Duration > 0 {
-			interval.end = interval.start + (fault.Duration + fault.Spread).Std() + 2*f.clientDelay
-		}
-		nodes := fault.Between == "nodes" || fault.And == "nodes"
-		if fault.Kind == "delay" && nodes {
-			f.workerDelay += 2 * time.Duration(fault.Size*float64(time.Millisecond))
+			interval.end += impairmentMargin
 		}
-		if nodes && (fault.Kind == "cut" || fault.Kind == "cut_one_way") {
-			f.workersCut = append(f.workersCut, interval)
-		}
-		if connectImpairingFaults[fault.Kind] {
-			f.connectsImpaired = append(f.connectsImpaired, interval)
-		}
-		switch clients := fault.Between == "clients" || fault.And == "clients"; {
-		case clients && scenario.FaultKinds[fault.Kind] == "net":
-			f.clientsCut = append(f.clientsCut, interval)
-		case impairingFaults[fault.Kind]:
-			interval.start -= impairmentMargin
-			if fault.Duration > 0 {
-				interval.end += impairmentMargin
-			}
-			f.workersImpaired = append(f.workersImpaired, interval)
-		}
-	}
-	if n.DropsIdleAfter > 0 {
-		f.workersImpaired = append(f.workersImpaired, interval{0, forever})
+		f.workersImpaired = append(f.workersImpaired, interval)
 	}
-	return f
 }
 
 // prolongingFaults are the faults by which runs look longer to schedulers than they are, or are so for a while: what they
@@ -285,78 +294,86 @@
 	return j.schedulers[max(n, 0)]
 }
 
-// Observe takes in a trace event. Trace events come in order of time.
-func (j *Checker) Observe(s *trace.Event) {
-	j.now = s.At
-	for i := range j.retained {
-		for f := &j.retained[i]; f.size > 0 && (f.first().retainedUntil < s.At || f.size > maxSettled); {
-			j.evictOldest(f)
-		}
-	}
+// Observe handles an event of the trace. Events have to come in order of time; the event is not kept.
+func (j *Checker) Observe(event *trace.Event) {
+	j.now = event.At
+	j.evictSettled()
 	if len(j.overlaps) > 0 {
-		j.resolveOverlaps(s)
+		j.resolveOverlaps(event)
 	}
-	if s.Kind >= trace.WorkerStarted {
-		j.fleetEvent(s)
+	if event.Kind >= trace.WorkerStarted {
+		j.fleetEvent(event)
 		return
 	}
-	switch s.Kind {
+	switch event.Kind {
 	case trace.JobDue:
-		j.jobDue(s)
-		return
+		j.jobDue(event)
 	case trace.RequestSent:
-		j.requestSent(s)
-		return
+		j.requestSent(event)
 	case trace.JobSettled:
-		j.jobSettled(s)
-		return
+		j.jobSettled(event)
 	case trace.HealthChecked, trace.WorkerConnected, trace.AttemptSent, trace.WorkerDialed, trace.WorkerFaultStarted, trace.WorkerFaultEnded, trace.WorkerPresent:
-		return
 	case trace.MisbehavingClientConnected:
-		j.counts.Misbehaving++
-		if len(j.misbehaving) > maxMisbehaving {
-			maps.DeleteFunc(j.misbehaving, func(_ uint64, b misbehavingClient) bool { return b.answered })
-		}
-		j.misbehaving[s.Conn] = misbehavingClient{connectedAt: s.At, kind: s.Text}
-		return
+		j.misbehavingClientConnected(event)
 	case trace.MisbehavingClientAnswered:
-		j.misbehavingClientAnswered(s)
-		return
+		j.misbehavingClientAnswered(event)
 	case trace.ColdWorkReceived:
-		j.coldWorkReceived(s)
-		return
+		j.coldWorkReceived(event)
 	case trace.WorkerOverloaded:
-		j.workerOverloaded(s)
-		return
+		j.workerOverloaded(event)
+	default:
+		j.requestEvent(event)
 	}
-	b := j.jobsByRequest[s.RequestID]
+}
+
+// evictSettled forgets the settled jobs whose time is up, or for which there is no space.
+func (j *Checker) evictSettled() {
+	for i := range j.retained {
+		for f := &j.retained[i]; f.size > 0 && (f.first().retainedUntil < j.now || f.size > maxSettled); {
+			j.evictOldest(f)
+		}
+	}
+}
+
+// misbehavingClientConnected remembers a misbehaving client, which is owed a response or a close.
+func (j *Checker) misbehavingClientConnected(event *trace.Event) {
+	j.counts.Misbehaving++
+	if len(j.misbehaving) > maxMisbehaving {
+		maps.DeleteFunc(j.misbehaving, func(_ uint64, b misbehavingClient) bool { return b.answered })
+	}
+	j.misbehaving[event.Conn] = misbehavingClient{connectedAt: event.At, kind: event.Text}
+}
+
+// requestEvent handles an event of one request.
+func (j *Checker) requestEvent(event *trace.Event) {
+	b := j.jobsByRequest[event.RequestID]
 	if b == nil {
-		j.unknownRequest(s)
+		j.unknownRequest(event)
 		return
 	}
-	t, n := b.findRequest(s.RequestID)
-	j.recordJobEvent(b, s, n)
-	switch s.Kind {
+	t, n := b.findRequest(event.RequestID)
+	j.recordJobEvent(b, event, n)
+	switch event.Kind {
 	case trace.ResponseReceived:
-		j.responseReceived(b, t, s)
+		j.responseReceived(b, t, event)
 	case trace.ConnectionLost:
 		j.counts.ConnectionsLost++
-		j.requestEnded(b, t, requestConnLost, s.At)
+		j.requestEnded(b, t, requestConnLost, event.At)
 	case trace.ClientLeft:
 		j.counts.ClientsLeft++
-		j.requestEnded(b, t, requestClientLeft, s.At)
+		j.requestEnded(b, t, requestClientLeft, event.At)
 	case trace.ClientTimedOut:
 		j.counts.TimedOut++
-		j.requestEnded(b, t, requestTimedOut, s.At)
+		j.requestEnded(b, t, requestTimedOut, event.At)
 	case trace.SchedulerUnreachable: // it was asked once, crossed a close, and found no other connection
-		j.requestEnded(b, t, requestClientLeft, s.At)
+		j.requestEnded(b, t, requestClientLeft, event.At)
 	case trace.AttemptReceived:
-		j.attemptReceived(b, t, n, s)
+		j.attemptReceived(b, t, n, event)
 	case trace.AttemptUnread:
-		t.unreadUntil = s.At
+		t.unreadUntil = event.At
 	default:
-		if a := b.findAttempt(n, s.Worker, s.Kind == trace.AttemptRejected); a != nil {
-			j.attemptEvent(b, t, a, s)
+		if a := b.findAttempt(n, event.Worker, event.Kind == trace.AttemptRejected); a != nil {
+			j.attemptEvent(b, t, a, event)
 		}
 	}
 }
@@ -483,54 +500,64 @@
 }
 
 // fleetEvent takes a trace event of the fleet, of processes or of the testbed itself.
-func (j *Checker) fleetEvent(s *trace.Event) {
-	switch s.Kind {
+func (j *Checker) fleetEvent(event *trace.Event) {
+	switch event.Kind {
 	case trace.ResourceUsage:
-		if s.Scheduler >= 0 {
-			j.checkUsage(s)
+		if event.Scheduler >= 0 {
+			j.checkUsage(event)
 		}
 		return
 	case trace.TestbedLate:
-		j.maxLateness = max(j.maxLateness, s.Lateness)
-		if s.Lateness >= j.observationLateness() {
-			j.recentLateness = lateness{s.At, s.Lateness}
+		j.maxLateness = max(j.maxLateness, event.Lateness)
+		if event.Lateness >= j.observationLateness() {
+			j.recentLateness = lateness{event.At, event.Lateness}
 		}
 		return
 	}
-	j.recordFleetEvent(s)
-	switch scheduler := j.scheduler(s.Scheduler); s.Kind {
+	j.recordFleetEvent(event)
+	j.schedulerEvent(event)
+}
+
+// schedulerEvent handles an event of a scheduler's process, or of what it was notified of.
+func (j *Checker) schedulerEvent(event *trace.Event) {
+	switch scheduler := j.scheduler(event.Scheduler); event.Kind {
 	case trace.DrainNotified:
-		if _, known := scheduler.drainNotifiedAt[s.Worker]; !known {
-			scheduler.drainNotifiedAt[s.Worker] = s.At
+		if _, known := scheduler.drainNotifiedAt[event.Worker]; !known {
+			scheduler.drainNotifiedAt[event.Worker] = event.At
 		}
 	case trace.StartNotified:
-		delete(scheduler.drainNotifiedAt, s.Worker)
+		delete(scheduler.drainNotifiedAt, event.Worker)
 	case trace.SchedulerStarted:
-		if scheduler.up || scheduler.exits[scheduler.incarnation].exitedAt > 0 {
-			scheduler.exits = append(scheduler.exits, processExit{})
-			scheduler.incarnation++
-		}
-		scheduler.up, scheduler.terminatedAt, scheduler.overLimits = true, 0, false
-		clear(scheduler.drainNotifiedAt)
+		scheduler.start()
 	case trace.SchedulerTerminated:
-		scheduler.terminatedAt = s.At
+		scheduler.terminatedAt = event.At
 	case trace.SchedulerKilled:
-		scheduler.end(processExit{exitedAt: s.At, terminatedAt: scheduler.terminatedAt, killed: true})
+		scheduler.end(processExit{exitedAt: event.At, terminatedAt: scheduler.terminatedAt, killed: true})
 	case trace.SchedulerExited:
 		j.checkCounts[ruleCrash]++
 		if scheduler.terminatedAt == 0 {
-			j.report(ruleCrash, nil, "", "scheduler %d ended by itself with status %d, without SIGTERM", s.Scheduler,
-				s.Status)
+			j.report(ruleCrash, nil, "", "scheduler %d ended by itself with status %d, without SIGTERM", event.Scheduler,
+				event.Status)
 		}
-		scheduler.end(processExit{exitedAt: s.At, terminatedAt: scheduler.terminatedAt})
+		scheduler.end(processExit{exitedAt: event.At, terminatedAt: scheduler.terminatedAt})
 	case trace.SchedulerFrozen:
-		scheduler.thaw(s.At)
-		scheduler.freezes = append(scheduler.freezes, interval{s.At, forever})
+		scheduler.thaw(event.At)
+		scheduler.freezes = append(scheduler.freezes, interval{event.At, forever})
 	case trace.SchedulerResumed:
-		scheduler.thaw(s.At)
+		scheduler.thaw(event.At)
 	}
 }
 
+// start begins the history of a new process.
+func (c *scheduler) start() {
+	if c.up || c.exits[c.incarnation].exitedAt > 0 {
+		c.exits = append(c.exits, processExit{})
+		c.incarnation++
+	}
+	c.up, c.terminatedAt, c.overLimits = true, 0, false
+	clear(c.drainNotifiedAt)
+}
+
 func (c *scheduler) end(e processExit) {
 	if c.exits[c.incarnation].exitedAt == 0 {
 		c.exits[c.incarnation] = e
@@ -539,50 +566,24 @@
 	c.thaw(e.exitedAt)
 }
 
-// Verdict tells what was found, of what is still open too. The run may go on after it.
+// Verdict returns what was found so far, including in requests that are still open. The run may go on after it.
 func (j *Checker) Verdict() Verdict {
 	verdict := Verdict{Violations: []Violation{}, Counts: j.counts}
-	// What is open is judged on a copy of the findings.
-	found, looked, broke := slices.Clone(j.violations), j.checkCounts, j.violationCounts
-	type mark struct {
-		b        *job
-		broken   uint32
-		breaches []int
-	}
-	var marks []mark
-	for _, b := range j.jobs {
-		marks = append(marks, mark{b, b.brokenRules, b.violations})
-	}
-	slices.SortFunc(marks, func(a, b mark) int { return cmp.Compare(a.b.id, b.b.id) })
-	for _, m := range marks {
-		m.b.violations = slices.Clone(m.breaches)
-		for i := range m.b.requests {
-			if t := &m.b.requests[i]; t.state == requestOpen {
-				verdict.Counts.Open++
-				if j.now > t.deadline+j.slack+2*j.clientDelay {
-					j.checkUnanswered(m.b, t, j.now, false, &verdict.Counts)
-				}
-			}
-		}
+	// What is open is checked on a copy of the findings.
+	found, checked, violated := slices.Clone(j.violations), j.checkCounts, j.violationCounts
+	saved := j.saveJobs()
+	for _, state := range saved {
+		j.checkOpenRequests(state.job, &verdict.Counts)
 	}
 	for _, o := range j.overlaps {
 		if o.provedOpenAt > 0 && j.now > o.provedOpenAt+j.workerDelay {
 			j.reportOverlap(o)
 		}
 	}
-	conns := make([]uint64, 0, len(j.misbehaving))
-	for c := range j.misbehaving {
-		conns = append(conns, c)
-	}
-	slices.Sort(conns)
-	for _, c := range conns {
-		if b := j.misbehaving[c]; !b.answered && j.now > b.connectedAt+j.misbehaviorDeadline(b.kind) {
-			j.reportUnansweredClient(b)
-		}
-	}
-	for _, m := range marks {
-		for _, i := range m.b.violations {
-			j.violations[i].Explanation = j.explainJob(m.b)
+	j.checkOpenMisbehaving()
+	for _, state := range saved {
+		for _, i := range state.job.violations {
+			j.violations[i].Explanation = j.explainJob(state.job)
 		}
 	}
 	verdict.Violations = append(verdict.Violations, j.violations...)
@@ -590,26 +591,77 @@
 	for r := range ruleCount {
 		verdict.Rules = append(verdict.Rules, RuleCount{r.String(), j.checkCounts[r], j.violationCounts[r]})
 	}
-	j.violations, j.checkCounts, j.violationCounts = found, looked, broke
-	for _, m := range marks {
-		m.b.brokenRules, m.b.violations = m.broken, m.breaches
+	j.violations, j.checkCounts, j.violationCounts = found, checked, violated
+	for _, state := range saved {
+		state.job.brokenRules, state.job.violations = state.brokenRules, state.violations
 	}
 	if j.maxLateness > j.options.MaxLateness {
 		verdict.Invalid = fmt.Sprintf("the lab itself was %v late, more than %v", j.maxLateness, j.options.MaxLateness)
 	}
+	verdict.NotChecked = j.notChecked()
+	return verdict
+}
+
+// savedJob is the part of a job that checking what is open changes.
+type savedJob struct {
+	job         *job
+	brokenRules uint32
+	violations  []int
+}
+
+// saveJobs saves all jobs, in order of their numbers, and gives each its own copy of its violations.
+func (j *Checker) saveJobs() []savedJob {
+	var saved []savedJob
+	for _, b := range j.jobs {
+		saved = append(saved, savedJob{b, b.brokenRules, b.violations})
+	}
+	slices.SortFunc(saved, func(a, b savedJob) int { return cmp.Compare(a.job.id, b.job.id) })
+	for _, state := range saved {
+		state.job.violations = slices.Clone(state.violations)
+	}
+	return saved
+}
+
+// checkOpenRequests counts a job's open requests, and checks those whose time is up.
+func (j *Checker) checkOpenRequests(b *job, counts *Counts) {
+	for i := range b.requests {
+		t := &b.requests[i]
+		if t.state != requestOpen {
+			continue
+		}
+		counts.Open++
+		if j.now > t.deadline+j.slack+2*j.clientDelay {
+			j.checkUnanswered(b, t, j.now, false, counts)
+		}
+	}
+}
+
+// checkOpenMisbehaving reports misbehaving clients that are owed a response or a close, in order of their connections.
+func (j *Checker) checkOpenMisbehaving() {
+	for _, conn := range slices.Sorted(maps.Keys(j.misbehaving)) {
+		client := j.misbehaving[conn]
+		if !client.answered && j.now > client.connectedAt+j.misbehaviorDeadline(client.kind) {
+			j.reportUnansweredClient(client)
+		}
+	}
+}
+
+// notChecked names what this run can't show, and why.
+func (j *Checker) notChecked() []string {
+	var list []string
 	if len(j.workersImpaired) > 0 {
-		verdict.NotChecked = append(verdict.NotChecked, "one-attempt-per-node, attempts: overlaps that begin while words to worker nodes"+
+		list = append(list, "one-attempt-per-node, attempts: overlaps that begin while words to worker nodes"+
 			" may get lost (by "+j.impairedBy()+"), as a scheduler may have given the earlier one up")
 	}
 	if 2*j.clientDelay > j.slack {
-		verdict.NotChecked = append(verdict.NotChecked, "one-answer, in time: clients close before an answer of the last moment can have"+
+		list = append(list, "one-answer, in time: clients close before an answer of the last moment can have"+
 			" come, as words may take longer than the slack")
 	}
 	if !j.options.RealProcesses {
-		verdict.NotChecked = append(verdict.NotChecked, "bad-clients: there are no bytes on sockets in virtual time",
+		list = append(list, "bad-clients: there are no bytes on sockets in virtual time",
 			"limits: there are no processes in virtual time, whose memory and descriptors could be counted")
 	}
-	return verdict
+	return list
 }
 
 func (j *Checker) impairedBy() string {
--- a/internal/testbed/checker/doc.go
+++ b/internal/testbed/checker/doc.go
@@ -1,10 +1,11 @@
-// Package checker holds schedulers to their rules. Its books are its own: they are kept from what was seen at clients,
-// workers and discovery (package seen), never from a scheduler's word, and the run decides nothing by them.
+// Package checker checks a run against the rules for schedulers. It keeps its own history of every job, from the trace of
+// what clients, workers and discovery saw (package trace) and never from what a scheduler reports. It explains each
+// violation by the events of its job. It never influences the run.
 //
 // # The rules
 //
 // The names in the first column are stable. Figures are those of the scenario (scenario.Rules, Schedulers, Classes).
-// "May have run" is said of an attempt that reached a worker, unless that node has turned it away unseen or
+// "May have run" (possibly executed) is said of an attempt that reached a worker, unless that node has turned it away unseen or
 // handed it back unstarted before. An attempt that never reached one never ran, whatever the scheduler makes of it.
 // The later of two attempts is the one whose first byte was written later. P is PROTOCOL, W is WIRE.
 //
@@ -69,25 +70,25 @@
 //     and the scheduler has answered the callback that said so. Then a rejection or failure is due within give_up_within.
 //   - There was nothing left to hope for: an answer past its objective earns nothing, so holding a request ends in reason when
 //     no worker could bring it in time any more. The aim depends on the job's work, of which schedulers have but
-//     a rough idea; the checker takes them to believe in as much as the scenario's hints can make them (hopeful in
+//     a rough idea; the checker takes them to believe in as much as the scenario's hints can make them (objectiveHorizon in
 //     rules.go), bounded by the budget, and in more where something makes runs look long: untold starts, pauses,
 //     freezes, slowness. A rejection is held back when it comes give_up_within after that, nothing of the request having
 //     been out for as long. Jobs so heavy, or so badly known, that this is past their time are not judged.
 //
 // Out is also what was written and lies unread, swallowed by the network or a silent machine, until its connection ends
-// for the scheduler (seen.Unread); what was answered to a scheduler that is cut off from workers, until the cut
+// for the scheduler (trace.AttemptUnread); what was answered to a scheduler that is cut off from workers, until the cut
 // ends; and, for as long as a dial may take, what may wait for a connection while something keeps these from coming up.
 // A connection that the network has forgotten, which a worker takes for its scheduler's giving up, says nothing.
 //
 // Of a request that met a frozen scheduler, or a cut between that and its client, neither is asked.
 //
-// # The testbed's own lateness
+// # Lateness of the testbed
 //
-// Late trace events widen time limits by as much for a second. Beyond Options.Late they make the run void.
+// Late trace events widen time limits by as much for a second. Beyond Options.Late they make the run invalid.
 //
 // # Memory and time
 //
 // A trace event costs a map access or two. A job is remembered until it has been settled for as long as the longest window
 // of a class, and never more than 65,536 settled jobs, with at most 64 trace events each; the fleet's last 4,096 trace events are
-// kept to be told between those of a job. Of each rule the first 16 breaches are told in full, the others counted.
+// kept to be told between those of a job. Of each rule the first 16 breaches are explained in full, the others counted.
 package checker
--- a/internal/testbed/checker/explanation.go
+++ b/internal/testbed/checker/explanation.go
@@ -125,35 +125,7 @@
 
 // explainJob is what was seen of a job, and meanwhile of the schedulers and workers that it met.
 func (j *Checker) explainJob(b *job) []string {
-	nodes, scheds := map[int32]bool{}, map[int16]bool{}
-	for i := range b.attempts {
-		nodes[int32(b.attempts[i].worker)] = true
-	}
-	for i := range b.requests {
-		scheds[int16(b.requests[i].scheduler)] = true
-	}
-	last := b.dueAt
-	for i := range b.log {
-		last = max(last, b.log[i].at)
-	}
-	var around []logEntry
-	j.fleetLog.eachSince(b.dueAt, func(logEntry *logEntry) {
-		met := false
-		switch {
-		case logEntry.at > last:
-		case logEntry.kind == trace.DrainNotified || logEntry.kind == trace.StartNotified:
-			met = nodes[logEntry.worker] && scheds[logEntry.scheduler]
-		case logEntry.kind >= trace.WorkerStarted && logEntry.kind <= trace.WorkerRecovered || logEntry.kind == trace.WorkerOverloaded:
-			met = nodes[logEntry.worker]
-		case logEntry.kind >= trace.SchedulerStarted && logEntry.kind <= trace.SchedulerExited:
-			met = scheds[logEntry.scheduler]
-		case logEntry.kind == trace.FaultStarted || logEntry.kind == trace.FaultEnded:
-			met = true
-		}
-		if met {
-			around = append(around, *logEntry)
-		}
-	})
+	around := j.fleetEntriesOf(b)
 	lines := make([]string, 0, len(b.log)+len(around)+1)
 	for i := range b.log {
 		if i == maxJobLog/2 && b.omitted > 0 {
@@ -171,6 +143,41 @@
 	return lines
 }
 
+// fleetEntriesOf returns the log entries of the schedulers and workers that a job met, from when it was due to its last entry.
+func (j *Checker) fleetEntriesOf(b *job) []logEntry {
+	workers, schedulers := map[int32]bool{}, map[int16]bool{}
+	for i := range b.attempts {
+		workers[int32(b.attempts[i].worker)] = true
+	}
+	for i := range b.requests {
+		schedulers[int16(b.requests[i].scheduler)] = true
+	}
+	last := b.dueAt
+	for i := range b.log {
+		last = max(last, b.log[i].at)
+	}
+	var around []logEntry
+	j.fleetLog.eachSince(b.dueAt, func(logEntry *logEntry) {
+		if logEntry.at <= last && concerns(logEntry, workers, schedulers) {
+			around = append(around, *logEntry)
+		}
+	})
+	return around
+}
+
+// concerns reports whether an entry of the fleet is about one of these workers and schedulers, or about all.
+func concerns(entry *logEntry, workers map[int32]bool, schedulers map[int16]bool) bool {
+	switch kind := entry.kind; {
+	case kind == trace.DrainNotified || kind == trace.StartNotified:
+		return workers[entry.worker] && schedulers[entry.scheduler]
+	case kind >= trace.WorkerStarted && kind <= trace.WorkerRecovered || kind == trace.WorkerOverloaded:
+		return workers[entry.worker]
+	case kind >= trace.SchedulerStarted && kind <= trace.SchedulerExited:
+		return schedulers[entry.scheduler]
+	}
+	return entry.kind == trace.FaultStarted || entry.kind == trace.FaultEnded
+}
+
 // explainFleet is what was seen of the fleet from an instant on.
 func (j *Checker) explainFleet(from time.Duration) []string {
 	lines := []string{}
@@ -200,37 +207,18 @@
 }
 
 // describe says what an entry means; b is the job that it is about, if any.
-func (j *Checker) describe(e *logEntry, b *job) string {
-	node, which, text := fmt.Sprintf("w-%d", e.worker), "", j.texts.texts[e.text]
-	if b != nil && len(b.requests) > 1 && int(e.request) < len(b.requests) {
-		which = fmt.Sprintf(" (try %d)", e.request+1)
+func (j *Checker) describe(logEntry *logEntry, b *job) string {
+	node, which, text := fmt.Sprintf("w-%d", logEntry.worker), "", j.texts.texts[logEntry.text]
+	if b != nil && len(b.requests) > 1 && int(logEntry.request) < len(b.requests) {
+		which = fmt.Sprintf(" (try %d)", logEntry.request+1)
 	}
-	switch e.kind {
+	switch logEntry.kind {
 	case trace.JobDue:
-		tenant := ""
-		if b.tenant >= 0 && b.tenant < len(j.spec.Tenants) {
-			tenant = " of " + j.spec.Tenants[b.tenant].Name
-		}
-		return fmt.Sprintf("due: %s%s, %v of work on %g slots, given up after %v", b.class.name, tenant, b.work,
-			b.slots, b.deadline)
+		return j.describeDue(b)
 	case trace.RequestSent:
-		t := &b.requests[e.request]
-		key := ""
-		if t.key != "" {
-			key = ", key " + t.key
-		}
-		return fmt.Sprintf("asked of scheduler %d as %s, budget %v%s%s", e.scheduler, t.id, e.duration, key, which)
+		return describeSent(logEntry, b) + which
 	case trace.ResponseReceived:
-		after := ""
-		if e.duration > 0 {
-			after = fmt.Sprintf(", to come back after %v", e.duration)
-		}
-		if b != nil && e.status == 200 && int(e.request) < len(b.requests) {
-			after += fmt.Sprintf(", %q", truncate(b.requests[e.request].responseBody))
-		} else if b == nil {
-			after += " to query " + text
-		}
-		return fmt.Sprintf("answered with %d%s%s", e.status, after, which)
+		return describeResponse(logEntry, b, text) + which
 	case trace.ConnectionLost:
 		return "its connection ended without an answer" + which
 	case trace.ClientLeft:
@@ -240,18 +228,28 @@
 	case trace.SchedulerUnreachable:
 		return "no connection came up for it" + which
 	case trace.JobSettled:
-		return fmt.Sprintf("settled, the last answer being %d", e.status)
+		return fmt.Sprintf("settled, the last answer being %d", logEntry.status)
+	}
+	if logEntry.kind < trace.WorkerStarted && logEntry.kind != trace.WorkerOverloaded {
+		return describeAttempt(logEntry, b, node, which, text)
+	}
+	return j.describeFleet(logEntry, node, text)
+}
+
+// describeAttempt describes an event of an attempt at a worker; which names the request, where its job has several.
+func describeAttempt(logEntry *logEntry, b *job, node, which, text string) string {
+	switch logEntry.kind {
 	case trace.AttemptReceived:
 		if text != "" {
 			text = " by query " + text
 		}
-		return fmt.Sprintf("reached %s%s from scheduler %d, its first byte written at %.6f s%s", node, text, e.scheduler,
-			e.duration.Seconds(), which)
+		return fmt.Sprintf("reached %s%s from scheduler %d, its first byte written at %.6f s%s", node, text, logEntry.scheduler,
+			logEntry.duration.Seconds(), which)
 	case trace.AttemptUnread:
 		return fmt.Sprintf("what was written to %s at %.6f s was not read there before its connection ended%s", node,
-			e.duration.Seconds(), which)
+			logEntry.duration.Seconds(), which)
 	case trace.AttemptRejected:
-		return fmt.Sprintf("turned away by %s with %d%s", node, e.status, which)
+		return fmt.Sprintf("turned away by %s with %d%s", node, logEntry.status, which)
 	case trace.AttemptAccepted:
 		return "accepted by " + node + which
 	case trace.AttemptStarted:
@@ -260,13 +258,7 @@
 		}
 		return "begins at " + node + which
 	case trace.AttemptFinished:
-		result := ""
-		for i := range b.attempts {
-			if a := &b.attempts[i]; e.status == 200 && a.worker == int(e.worker) && a.request == int(e.request) {
-				result = fmt.Sprintf(", %q", truncate(a.result))
-			}
-		}
-		return fmt.Sprintf("has run at %s: %d%s%s", node, e.status, result, which)
+		return describeFinished(logEntry, b, node) + which
 	case trace.AttemptReturned:
 		return "handed back unstarted by " + node + which
 	case trace.AttemptDied:
@@ -277,14 +269,66 @@
 		}
 		return "withdrawn at " + node + which
 	case trace.CallbackAnswered:
-		return fmt.Sprintf("note %q of %s answered with %d by scheduler %d, sending %d%s", text, node, e.status, e.scheduler,
-			e.sendings, which)
+		return fmt.Sprintf("note %q of %s answered with %d by scheduler %d, sending %d%s", text, node, logEntry.status, logEntry.scheduler,
+			logEntry.sendings, which)
 	case trace.CallbackLost:
 		return fmt.Sprintf("note %q of %s given up%s", text, node, which)
+	}
+	return fmt.Sprintf("sight %d", logEntry.kind)
+}
+
+// describeDue describes a job that falls due.
+func (j *Checker) describeDue(b *job) string {
+	tenant := ""
+	if b.tenant >= 0 && b.tenant < len(j.spec.Tenants) {
+		tenant = " of " + j.spec.Tenants[b.tenant].Name
+	}
+	return fmt.Sprintf("due: %s%s, %v of work on %g slots, given up after %v", b.class.name, tenant, b.work,
+		b.slots, b.deadline)
+}
+
+// describeSent describes a request that is sent.
+func describeSent(e *logEntry, b *job) string {
+	t := &b.requests[e.request]
+	key := ""
+	if t.key != "" {
+		key = ", key " + t.key
+	}
+	return fmt.Sprintf("asked of scheduler %d as %s, budget %v%s", e.scheduler, t.id, e.duration, key)
+}
+
+// describeResponse describes a response; text is the request's ID where its job is not known.
+func describeResponse(e *logEntry, b *job, text string) string {
+	after := ""
+	if e.duration > 0 {
+		after = fmt.Sprintf(", to come back after %v", e.duration)
+	}
+	if b != nil && e.status == 200 && int(e.request) < len(b.requests) {
+		after += fmt.Sprintf(", %q", truncate(b.requests[e.request].responseBody))
+	} else if b == nil {
+		after += " to query " + text
+	}
+	return fmt.Sprintf("answered with %d%s", e.status, after)
+}
+
+// describeFinished describes a run that has ended, and its result.
+func describeFinished(e *logEntry, b *job, node string) string {
+	result := ""
+	for i := range b.attempts {
+		if a := &b.attempts[i]; e.status == 200 && a.worker == int(e.worker) && a.request == int(e.request) {
+			result = fmt.Sprintf(", %q", truncate(a.result))
+		}
+	}
+	return fmt.Sprintf("has run at %s: %d%s", node, e.status, result)
+}
+
+// describeFleet describes an entry of the fleet, of a process or of a fault.
+func (j *Checker) describeFleet(logEntry *logEntry, node, text string) string {
+	switch logEntry.kind {
 	case trace.WorkerOverloaded:
 		return node + " is pushed over"
 	case trace.WorkerStarted:
-		return fmt.Sprintf("%s starts (process %d)", node, e.duration)
+		return fmt.Sprintf("%s starts (process %d)", node, logEntry.duration)
 	case trace.WorkerStopped:
 		return node + "'s process ends"
 	case trace.WorkerDraining:
@@ -294,25 +338,25 @@
 	case trace.WorkerRecovered:
 		return node + " is well again"
 	case trace.DrainNotified:
-		return fmt.Sprintf("scheduler %d is told that %s drains or is gone", e.scheduler, node)
+		return fmt.Sprintf("scheduler %d is told that %s drains or is gone", logEntry.scheduler, node)
 	case trace.StartNotified:
-		return fmt.Sprintf("scheduler %d is told of the start of %s (process %d)", e.scheduler, node, e.duration)
+		return fmt.Sprintf("scheduler %d is told of the start of %s (process %d)", logEntry.scheduler, node, logEntry.duration)
 	case trace.SchedulerExited:
-		return fmt.Sprintf("scheduler %d ends by itself with %d", e.scheduler, e.status)
+		return fmt.Sprintf("scheduler %d ends by itself with %d", logEntry.scheduler, logEntry.status)
 	case trace.SchedulerStarted, trace.SchedulerReady, trace.SchedulerTerminated, trace.SchedulerKilled, trace.SchedulerFrozen, trace.SchedulerResumed, trace.SchedulerReloaded,
 		trace.SchedulerReplaced:
-		return fmt.Sprintf("scheduler %d %s", e.scheduler, [...]string{
+		return fmt.Sprintf("scheduler %d %s", logEntry.scheduler, [...]string{
 			"starts", "is ready", "gets SIGTERM", "gets SIGKILL",
 			"is frozen", "goes on", "gets SIGHUP",
-		}[e.kind-trace.SchedulerStarted])
+		}[logEntry.kind-trace.SchedulerStarted])
 	case trace.FaultStarted:
 		return "fault: " + text
 	case trace.FaultEnded:
 		return "over: " + text
 	case trace.ResourceUsage:
-		return fmt.Sprintf("scheduler %d holds %s", e.scheduler, text)
+		return fmt.Sprintf("scheduler %d holds %s", logEntry.scheduler, text)
 	}
-	return fmt.Sprintf("sight %d", e.kind)
+	return fmt.Sprintf("sight %d", logEntry.kind)
 }
 
 // truncate cuts what may be long.
@@ -324,7 +368,7 @@
 	return s
 }
 
-// String is a breach with its story, as people read it.
+// String returns the violation with its explanation, several lines as people read them.
 func (b Violation) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%s at %.6f s", b.Rule, b.At.Seconds())
--- a/internal/testbed/checker/legal_test.go
+++ b/internal/testbed/checker/legal_test.go
@@ -58,13 +58,19 @@
 }
 
 // try draws one request; again: its client may ask anew.
-func (h *history) try(c *scenario.Class, call string, sentAt time.Duration) (again bool) {
+func (h *history) try(class *scenario.Class, call string, sentAt time.Duration) (again bool) {
 	h.free = map[int]time.Duration{}
-	risk, cell := time.Duration(0), -1
-	answer := func(status int, text string) bool {
+	risk, cell := time.Duration(0), -1 // when an attempt was first possibly executed, and in which cell
+	respond := func(status int, text string) bool {
 		h.wait(200 * time.Microsecond)
 		h.see(trace.Event{Kind: trace.ResponseReceived, RequestID: call, Status: status, Text: text})
-		return status != 200 && (isRejection(status) || c.Idempotency == "safe")
+		return status != 200 && (isRejection(status) || class.Idempotency == "safe")
+	}
+	reject := func(status int) bool {
+		if risk == 0 || class.Idempotency == "safe" {
+			return respond(status, "")
+		}
+		return respond(500, "")
 	}
 	for sent := 0; ; sent++ {
 		switch h.draw(6) {
@@ -73,36 +79,38 @@
 			h.see(trace.Event{Kind: trace.ClientLeft, RequestID: call})
 			return false
 		case 1:
-			if risk == 0 || c.Idempotency == "safe" {
-				return answer(503, "")
-			}
-			return answer(500, "")
-		}
-		may := sent < h.spec.Schedulers.AttemptLimit && h.at < sentAt+c.Deadline.Std()/2
-		if risk > 0 {
-			may = may && (c.Idempotency == "safe" || c.Idempotency == "keyed" && h.at < risk+c.DeduplicationWindow.Std()-time.Second)
-		}
-		if !may {
-			if risk == 0 || c.Idempotency == "safe" {
-				return answer(429, "")
-			}
-			return answer(500, "")
+			return reject(503)
 		}
-		node := h.draw(h.spec.Fleet.Workers)
-		if risk > 0 && c.Idempotency == "keyed" {
-			node = cell*h.spec.Fleet.CellSize + h.draw(h.spec.Fleet.CellSize)
-			node = min(node, h.spec.Fleet.Workers-1)
+		if sent >= h.spec.Schedulers.AttemptLimit || h.at >= sentAt+class.Deadline.Std()/2 || !h.mayRepeat(class, risk) {
+			return reject(429)
 		}
-		result, ran := h.attempt(c, call, node)
+		worker := h.drawWorker(class, risk, cell)
+		result, ran := h.attempt(class, call, worker)
 		if result != "" {
-			return answer(200, result)
+			return respond(200, result)
 		}
 		if ran && risk == 0 {
-			risk, cell = h.at, node/h.spec.Fleet.CellSize
+			risk, cell = h.at, worker/h.spec.Fleet.CellSize
 		}
 	}
 }
 
+// mayRepeat reports whether a further attempt is allowed after one that was possibly executed at risk; 0: none was.
+func (h *history) mayRepeat(class *scenario.Class, risk time.Duration) bool {
+	return risk == 0 || class.Idempotency == "safe" ||
+		class.Idempotency == "keyed" && h.at < risk+class.DeduplicationWindow.Std()-time.Second
+}
+
+// drawWorker draws the worker of an attempt: of the same cell, where the key of a possibly executed one is known.
+func (h *history) drawWorker(class *scenario.Class, risk time.Duration, cell int) int {
+	worker := h.draw(h.spec.Fleet.Workers)
+	if risk > 0 && class.Idempotency == "keyed" {
+		worker = cell*h.spec.Fleet.CellSize + h.draw(h.spec.Fleet.CellSize)
+		worker = min(worker, h.spec.Fleet.Workers-1)
+	}
+	return worker
+}
+
 // attempt draws one sending of a request, to its end.
 func (h *history) attempt(c *scenario.Class, call string, node int) (result string, ran bool) {
 	h.wait(time.Millisecond)
@@ -154,48 +162,55 @@
 		spec.Schedulers.Hedging = rapid.Bool().Draw(t, "copies")
 		spec.Schedulers.AttemptLimit = rapid.IntRange(1, 4).Draw(t, "tries")
 		spec.Classes[3].DeduplicationScope = rapid.SampledFrom([]string{"cell", "all"}).Draw(t, "group")
-		var all []trace.Event
-		for n := range rapid.IntRange(1, 8).Draw(t, "jobs") {
-			h := &history{t: t, spec: spec, job: uint64(n + 1)}
-			h.run()
-			all = append(all, h.s...)
-		}
-		slices.SortStableFunc(all, func(a, b trace.Event) int { return int(a.At - b.At) })
-		j := New(spec, Options{})
-		for i := range all {
-			j.Observe(&all[i])
-		}
-		for _, b := range j.Verdict().Violations {
-			t.Errorf("blamed: %s", b)
-		}
-		// The same with one answer doubled, or one result swapped.
-		served := []int{}
-		for i := range all {
-			if all[i].Kind == trace.ResponseReceived {
-				served = append(served, i)
+		events := drawHistories(t, spec)
+		for _, violation := range verdictOf(spec, events).Violations {
+			t.Errorf("blamed: %s", violation)
+		}
+		// The same with one response doubled, or one result changed.
+		responses := []int{}
+		for i := range events {
+			if events[i].Kind == trace.ResponseReceived {
+				responses = append(responses, i)
 			}
 		}
-		if len(served) == 0 {
+		if len(responses) == 0 {
 			return
 		}
-		i := rapid.SampledFrom(served).Draw(t, "i")
+		i := rapid.SampledFrom(responses).Draw(t, "i")
 		rule := "made-by-node"
-		if all[i].Status == 200 {
-			all[i].Text += "!"
+		if events[i].Status == 200 {
+			events[i].Text += "!"
 		} else {
 			rule = "one-answer"
-			all = slices.Insert(all, i, all[i])
+			events = slices.Insert(events, i, events[i])
 		}
-		j = New(spec, Options{})
-		for i := range all {
-			j.Observe(&all[i])
-		}
-		if v := j.Verdict(); len(v.Violations) != 1 || v.Violations[0].Rule != rule {
-			t.Errorf("want %s, found %v", rule, v.Violations)
+		if verdict := verdictOf(spec, events); len(verdict.Violations) != 1 || verdict.Violations[0].Rule != rule {
+			t.Errorf("want %s, found %v", rule, verdict.Violations)
 		}
 	})
 }
 
+// drawHistories draws the histories of some jobs that keep all rules, as one trace.
+func drawHistories(t *rapid.T, spec *scenario.Scenario) []trace.Event {
+	var all []trace.Event
+	for n := range rapid.IntRange(1, 8).Draw(t, "jobs") {
+		h := &history{t: t, spec: spec, job: uint64(n + 1)}
+		h.run()
+		all = append(all, h.s...)
+	}
+	slices.SortStableFunc(all, func(a, b trace.Event) int { return int(a.At - b.At) })
+	return all
+}
+
+// verdictOf has a new checker observe a trace.
+func verdictOf(spec *scenario.Scenario, events []trace.Event) Verdict {
+	checker := New(spec, Options{})
+	for i := range events {
+		checker.Observe(&events[i])
+	}
+	return checker.Verdict()
+}
+
 // What is settled is forgotten, and the room for it used again.
 func TestMemory(t *testing.T) {
 	spec := scenario.Default()
--- a/internal/testbed/checker/rules.go
+++ b/internal/testbed/checker/rules.go
@@ -105,33 +105,48 @@
 
 // checkUnanswered says whether an answer was owed. cut: the connection has ended; else its time is up.
 func (j *Checker) checkUnanswered(b *job, t *request, at time.Duration, cut bool, counts *Counts) {
-	c := j.scheduler(t.scheduler)
-	why := "no answer by the end of its budget"
-	if cut {
-		why = "its connection ended without an answer"
-	}
+	exit := j.scheduler(t.scheduler).exits[t.incarnation]
 	idle := t.attemptCount == 0 && (t.firstOnConn || cut && at-t.sentAt <= 2*j.clientDelay)
-	switch e := c.exits[t.incarnation]; {
-	case e.exitedAt > 0 && t.sentAt+j.clientDelay >= e.exitedAt, e.exitedAt > 0 && e.terminatedAt == 0: // not taken by then; killed, or a crash
-	case e.exitedAt > 0 && e.killed:
-		if t.sentAt <= e.terminatedAt+termGrace+j.clientDelay || t.sentAt+j.clientDelay+j.slack >= e.exitedAt || e.exitedAt < e.terminatedAt+j.killDelay ||
-			c.frozenDuring(e.terminatedAt, e.exitedAt) || anyOverlaps(j.clientsCut, t.sentAt, e.exitedAt) {
-			break
-		}
-		j.report(ruleOneAnswer, b, t.id, "SIGKILL found it unanswered, though it came %v after SIGTERM", t.sentAt-e.terminatedAt)
-		return
-	case e.exitedAt > 0:
-		if idle && t.firstOnConn || anyOverlaps(j.clientsCut, t.sentAt, e.exitedAt) {
-			break
-		}
-		j.report(ruleOneAnswer, b, t.id, "its scheduler ended after SIGTERM without having answered it")
-		return
+	fault := ""
+	switch {
+	case exit.exitedAt > 0:
+		fault = j.unansweredAtExit(t, exit, idle)
 	case cut && idle, j.isExcused(t, at):
+	case cut:
+		fault = "its connection ended without an answer"
 	default:
-		j.report(ruleOneAnswer, b, t.id, "%s", why)
+		fault = "no answer by the end of its budget"
+	}
+	if fault == "" {
+		counts.Excused++
 		return
 	}
-	counts.Excused++
+	j.report(ruleOneAnswer, b, t.id, "%s", fault)
+}
+
+// unansweredAtExit returns what is wrong with a request that its scheduler's exit left unanswered, or nothing if it is
+// excused. idle: the scheduler had sent nothing for it, and may not have read it.
+func (j *Checker) unansweredAtExit(t *request, exit processExit, idle bool) string {
+	switch {
+	case t.sentAt+j.clientDelay >= exit.exitedAt: // not admitted by then
+	case exit.terminatedAt == 0: // killed, or a crash
+	case exit.killed:
+		if !j.isExcusedByKill(t, exit) {
+			return fmt.Sprintf("SIGKILL found it unanswered, though it came %v after SIGTERM", t.sentAt-exit.terminatedAt)
+		}
+	case idle && t.firstOnConn, anyOverlaps(j.clientsCut, t.sentAt, exit.exitedAt):
+	default:
+		return "its scheduler ended after SIGTERM without having answered it"
+	}
+	return ""
+}
+
+// isExcusedByKill reports whether a request may go unanswered as SIGKILL followed a SIGTERM.
+func (j *Checker) isExcusedByKill(t *request, exit processExit) bool {
+	return t.sentAt <= exit.terminatedAt+termGrace+j.clientDelay || t.sentAt+j.clientDelay+j.slack >= exit.exitedAt ||
+		exit.exitedAt < exit.terminatedAt+j.killDelay ||
+		j.scheduler(t.scheduler).frozenDuring(exit.terminatedAt, exit.exitedAt) ||
+		anyOverlaps(j.clientsCut, t.sentAt, exit.exitedAt)
 }
 
 // isExcused tells whether a try that ended at an instant had met a freeze or a cut that excuses a missing answer.
@@ -147,20 +162,39 @@
 
 // ---- What workers see ----
 
-func (j *Checker) attemptReceived(b *job, t *request, n int, s *trace.Event) {
+func (j *Checker) attemptReceived(b *job, t *request, n int, event *trace.Event) {
 	j.counts.Attempts++
 	j.checkCounts[ruleDrain]++
+	j.checkDrain(b, t, event)
+	t.attemptCount++
+	j.checkCounts[ruleAttempts]++
+	if t.attemptCount > j.attemptLimit {
+		j.report(ruleAttempts, b, t.id, "sent %d times, of %d allowed", t.attemptCount, j.attemptLimit)
+	}
+	j.checkSending(b, t, event)
+	at := len(b.attempts)
+	b.attempts = append(b.attempts, attempt{firstByteAt: min(event.FirstByteAt, event.At), request: n, worker: event.Worker})
+	for i := range at {
+		early, late := i, at
+		if b.attempts[at].firstByteAt < b.attempts[i].firstByteAt {
+			early, late = at, i
+		}
+		j.checkPair(b, t, early, late, event.Scheduler)
+	}
+}
+
+// checkDrain checks that the scheduler did not send to a worker that it had to know to drain.
+func (j *Checker) checkDrain(b *job, t *request, s *trace.Event) {
 	if c := j.scheduler(s.Scheduler); len(c.drainNotifiedAt) > 0 {
 		if notified, ok := c.drainNotifiedAt[s.Worker]; ok && s.FirstByteAt > j.noticedAt(c, notified)+j.drainGrace+j.observationLateness() {
 			j.report(ruleDrain, b, t.id, "sent to w-%d %v after scheduler %d was told that it drains or is gone",
 				s.Worker, s.FirstByteAt-notified, s.Scheduler)
 		}
 	}
-	t.attemptCount++
-	j.checkCounts[ruleAttempts]++
-	if t.attemptCount > j.attemptLimit {
-		j.report(ruleAttempts, b, t.id, "sent %d times, of %d allowed", t.attemptCount, j.attemptLimit)
-	}
+}
+
+// checkSending checks the key of an attempt, and that its request was still open.
+func (j *Checker) checkSending(b *job, t *request, s *trace.Event) {
 	if b.class.idempotentWithKey && s.IdempotencyKey != t.key {
 		j.report(ruleKeyScope, b, t.id, "came to w-%d with key %q, its client's is %q", s.Worker, s.IdempotencyKey, t.key)
 	}
@@ -171,15 +205,6 @@
 	if t.state == requestAnswered && isRejection(t.status) && !b.class.isRepeatable() {
 		j.report(ruleRefusalHarmless, b, t.id, "came to w-%d after it had been refused", s.Worker)
 	}
-	at := len(b.attempts)
-	b.attempts = append(b.attempts, attempt{firstByteAt: min(s.FirstByteAt, s.At), request: n, worker: s.Worker})
-	for i := range at {
-		early, late := i, at
-		if b.attempts[at].firstByteAt < b.attempts[i].firstByteAt {
-			early, late = at, i
-		}
-		j.checkPair(b, t, early, late, s.Scheduler)
-	}
 }
 
 // noticedAt is when a scheduler can have heard what was written to it: one that is frozen reads nothing, and what it had
@@ -197,45 +222,56 @@
 func (c *class) isRepeatable() bool { return c.idempotent || c.idempotentWithKey && c.scope == "all" }
 
 // checkPair holds two attempts of a job against each other.
-func (j *Checker) checkPair(b *job, t *request, early, late, sched int) {
-	x, attempt := &b.attempts[early], &b.attempts[late]
-	if x.request != attempt.request {
-		first := &b.requests[min(x.request, attempt.request)]
-		if b.class.nonIdempotent && first.state == requestAnswered && isRejection(first.status) {
-			j.checkCounts[rulePayoutOnce]++
-			if x.possiblyExecuted(attempt.firstByteAt) {
-				j.report(rulePayoutOnce, b, t.id,
-					"tried again after a refusal and sent to w-%d, though it may have run at w-%d", attempt.worker, x.worker)
-			}
-		}
+func (j *Checker) checkPair(b *job, t *request, early, late, scheduler int) {
+	first, second := &b.attempts[early], &b.attempts[late]
+	if first.request != second.request {
+		j.checkRetryAfterRejection(b, t, first, second)
 		return
 	}
-	if x.possiblyExecuted(attempt.firstByteAt) {
-		switch c := b.class; {
-		case c.nonIdempotent:
-			j.report(rulePayoutOnce, b, t.id, "sent to w-%d, though it may have run at w-%d", attempt.worker, x.worker)
-		case c.idempotentWithKey && !j.shareScope(c.scope, x.worker, attempt.worker):
-			j.report(ruleKeyScope, b, t.id, "sent to w-%d, which is not of the %s of w-%d, where it may have run",
-				attempt.worker, c.scope, x.worker)
-		case c.idempotentWithKey && attempt.firstByteAt-x.firstByteAt >= c.window:
-			j.report(ruleKeyScope, b, t.id, "sent again %v after it may have run, in a window of %v",
-				attempt.firstByteAt-x.firstByteAt, c.window)
-		}
+	if first.possiblyExecuted(second.firstByteAt) {
+		j.checkRepeat(b, t, first, second)
 	}
 	if b.class.nonIdempotent {
 		j.checkCounts[rulePayoutOnce]++
 	} else if b.class.idempotentWithKey {
 		j.checkCounts[ruleKeyScope]++
 	}
-	if (x.worker == attempt.worker || !j.hedging) && x.inFlight(attempt.firstByteAt) && !anyOverlaps(j.workersImpaired, attempt.firstByteAt, attempt.firstByteAt) &&
-		len(j.overlaps) < maxOverlaps {
+	if (first.worker == second.worker || !j.hedging) && first.inFlight(second.firstByteAt) &&
+		!anyOverlaps(j.workersImpaired, second.firstByteAt, second.firstByteAt) && len(j.overlaps) < maxOverlaps {
 		r := ruleAttempts
-		if x.worker == attempt.worker {
+		if first.worker == second.worker {
 			r = ruleOnePerWorker
 		}
 		j.checkCounts[r]++
 		j.counts.Overlaps++
-		j.overlaps = append(j.overlaps, overlap{job: b, rule: r, early: early, late: late, scheduler: sched, worker: x.worker})
+		j.overlaps = append(j.overlaps, overlap{job: b, rule: r, early: early, late: late, scheduler: scheduler, worker: first.worker})
+	}
+}
+
+// checkRetryAfterRejection checks an attempt at a non-idempotent job whose earlier request was rejected.
+func (j *Checker) checkRetryAfterRejection(b *job, t *request, first, second *attempt) {
+	earlier := &b.requests[min(first.request, second.request)]
+	if !b.class.nonIdempotent || earlier.state != requestAnswered || !isRejection(earlier.status) {
+		return
+	}
+	j.checkCounts[rulePayoutOnce]++
+	if first.possiblyExecuted(second.firstByteAt) {
+		j.report(rulePayoutOnce, b, t.id,
+			"tried again after a refusal and sent to w-%d, though it may have run at w-%d", second.worker, first.worker)
+	}
+}
+
+// checkRepeat checks the second of two attempts at one request, of which the first was possibly executed.
+func (j *Checker) checkRepeat(b *job, t *request, first, second *attempt) {
+	switch c := b.class; {
+	case c.nonIdempotent:
+		j.report(rulePayoutOnce, b, t.id, "sent to w-%d, though it may have run at w-%d", second.worker, first.worker)
+	case c.idempotentWithKey && !j.shareScope(c.scope, first.worker, second.worker):
+		j.report(ruleKeyScope, b, t.id, "sent to w-%d, which is not of the %s of w-%d, where it may have run",
+			second.worker, c.scope, first.worker)
+	case c.idempotentWithKey && second.firstByteAt-first.firstByteAt >= c.window:
+		j.report(ruleKeyScope, b, t.id, "sent again %v after it may have run, in a window of %v",
+			second.firstByteAt-first.firstByteAt, c.window)
 	}
 }
 
@@ -258,59 +294,69 @@
 }
 
 // attemptEvent takes what became of an attempt.
-func (j *Checker) attemptEvent(b *job, t *request, a *attempt, s *trace.Event) {
-	switch s.Kind {
+func (j *Checker) attemptEvent(b *job, t *request, attempt *attempt, event *trace.Event) {
+	switch event.Kind {
 	case trace.AttemptRejected:
-		j.attemptRejected(b, s)
-		a.notExecuted = true
-		a.markEnded(s.At)
-		a.markEndKnown(j.responseSeenBy(s.At))
+		j.attemptRejected(b, event)
+		attempt.notExecuted = true
+		attempt.markEnded(event.At)
+		attempt.markEndKnown(j.responseSeenBy(event.At))
 		j.updateExhausted(b, t)
 	case trace.AttemptStarted:
-		if s.Text == "repeat" {
+		if event.Text == "repeat" {
 			j.counts.Duplicates++
 			return
 		}
 		j.counts.Started++
-		j.attemptStarted(b, t, a)
+		j.attemptStarted(b, t, attempt)
 	case trace.AttemptAccepted:
-		a.accepted = true
+		attempt.accepted = true
 	case trace.AttemptFinished:
-		a.markEnded(s.At)
-		a.result, a.succeeded = s.Text, s.Status == http.StatusOK
-		if !a.succeeded && !a.accepted { // an error in place of the 202
-			a.markEndKnown(j.responseSeenBy(s.At))
-			if b.class.nonIdempotent && t.exhaustedAt == 0 {
-				t.exhaustedAt = a.endKnownAt
-			}
-			j.updateExhausted(b, t)
-		}
+		j.attemptFinished(b, t, attempt, event)
 	case trace.AttemptReturned:
-		a.notExecuted = true
-		a.markEnded(s.At)
+		attempt.notExecuted = true
+		attempt.markEnded(event.At)
 	case trace.AttemptDied:
-		a.markEnded(s.At)
+		attempt.markEnded(event.At)
 	case trace.AttemptCancelled:
-		if a.markEnded(s.At); s.Text == "" {
-			a.markEndKnown(s.At)
+		if attempt.markEnded(event.At); event.Text == "" {
+			attempt.markEndKnown(event.At)
 		}
 	case trace.CallbackAnswered:
-		if s.Status/100 != 2 || s.Scheduler != t.scheduler || t.incarnation != j.scheduler(s.Scheduler).incarnation {
-			return
-		}
-		switch s.Text {
-		case "failed", "lost":
-			a.markEndKnown(s.At)
-			if b.class.nonIdempotent && t.exhaustedAt == 0 {
-				t.exhaustedAt = s.At
-			}
-		case "returned":
-			a.markEndKnown(s.At)
+		j.callbackAnswered(b, t, attempt, event)
+	}
+}
+
+// attemptFinished handles the end of an attempt that ran, or an error in place of the 202.
+func (j *Checker) attemptFinished(b *job, t *request, a *attempt, s *trace.Event) {
+	a.markEnded(s.At)
+	a.result, a.succeeded = s.Text, s.Status == http.StatusOK
+	if !a.succeeded && !a.accepted { // an error in place of the 202
+		a.markEndKnown(j.responseSeenBy(s.At))
+		if b.class.nonIdempotent && t.exhaustedAt == 0 {
+			t.exhaustedAt = a.endKnownAt
 		}
 		j.updateExhausted(b, t)
 	}
 }
 
+// callbackAnswered handles a callback that its scheduler has answered, which knows the state from then on.
+func (j *Checker) callbackAnswered(b *job, t *request, attempt *attempt, event *trace.Event) {
+	if event.Status/100 != 2 || event.Scheduler != t.scheduler || t.incarnation != j.scheduler(event.Scheduler).incarnation {
+		return
+	}
+	switch event.Text {
+	case "failed", "lost":
+		attempt.markEndKnown(event.At)
+		if b.class.nonIdempotent && t.exhaustedAt == 0 {
+			t.exhaustedAt = event.At
+		}
+	case "returned":
+		attempt.markEndKnown(event.At)
+	}
+	j.updateExhausted(b, t)
+}
+
 // responseSeenBy is when a scheduler has heard what a worker has answered at an instant.
 func (j *Checker) responseSeenBy(at time.Duration) time.Duration {
 	for _, s := range j.workersCut {
--- a/internal/testbed/checker/rules_test.go
+++ b/internal/testbed/checker/rules_test.go
@@ -153,55 +153,54 @@
 	}
 }
 
-func setField(t *testing.T, spec *scenario.Scenario, s *trace.Event, key, value string) {
+// fieldValue is the text of a field in a script, read in each of its forms.
+type fieldValue struct {
+	text     string
+	number   int
+	duration time.Duration
+	float    float64
+}
+
+// fieldSetters set the fields of an event by their names in scripts.
+var fieldSetters = map[string]func(event *trace.Event, value fieldValue){
+	"job":    func(event *trace.Event, value fieldValue) { event.JobID = uint64(value.number) },
+	"call":   func(event *trace.Event, value fieldValue) { event.RequestID = value.text },
+	"key":    func(event *trace.Event, value fieldValue) { event.IdempotencyKey = value.text },
+	"text":   func(event *trace.Event, value fieldValue) { event.Text = value.text },
+	"try":    func(event *trace.Event, value fieldValue) { event.Number = value.number },
+	"sched":  func(event *trace.Event, value fieldValue) { event.Scheduler = value.number },
+	"node":   func(event *trace.Event, value fieldValue) { event.Worker = value.number },
+	"boot":   func(event *trace.Event, value fieldValue) { event.Incarnation = value.number },
+	"status": func(event *trace.Event, value fieldValue) { event.Status = value.number },
+	"conn":   func(event *trace.Event, value fieldValue) { event.Conn = uint64(value.number) },
+	"files":  func(event *trace.Event, value fieldValue) { event.OpenFiles = value.number },
+	"memory": func(event *trace.Event, value fieldValue) { event.Memory = int64(value.number) },
+	"share":  func(event *trace.Event, value fieldValue) { event.Share = value.float },
+	"work":   func(event *trace.Event, value fieldValue) { event.Work, event.Slots = value.float, 1 },
+	"budget": func(event *trace.Event, value fieldValue) { event.Budget = value.duration },
+	"first":  func(event *trace.Event, value fieldValue) { event.FirstByteAt = value.duration },
+	"after":  func(event *trace.Event, value fieldValue) { event.RetryAfter = value.duration },
+	"span":   func(event *trace.Event, value fieldValue) { event.Lateness = value.duration },
+}
+
+// setField sets a field of an event; a class is named by a part of its name.
+func setField(t *testing.T, spec *scenario.Scenario, event *trace.Event, key, text string) {
 	t.Helper()
-	n, _ := strconv.Atoi(value)
-	d, _ := time.ParseDuration(value)
-	x, _ := strconv.ParseFloat(value, 64)
-	switch key {
-	case "job":
-		s.JobID = uint64(n)
-	case "class":
+	if key == "class" {
 		for i := range spec.Classes {
-			if strings.Contains(spec.Classes[i].Name, value) {
-				s.Class = i
+			if strings.Contains(spec.Classes[i].Name, text) {
+				event.Class = i
 			}
 		}
-	case "call":
-		s.RequestID = value
-	case "key":
-		s.IdempotencyKey = value
-	case "text":
-		s.Text = value
-	case "try":
-		s.Number = n
-	case "sched":
-		s.Scheduler = n
-	case "node":
-		s.Worker = n
-	case "boot":
-		s.Incarnation = n
-	case "status":
-		s.Status = n
-	case "conn":
-		s.Conn = uint64(n)
-	case "files":
-		s.OpenFiles = n
-	case "memory":
-		s.Memory = int64(n)
-	case "share":
-		s.Share = x
-	case "work":
-		s.Work, s.Slots = x, 1
-	case "budget":
-		s.Budget = d
-	case "first":
-		s.FirstByteAt = d
-	case "after":
-		s.RetryAfter = d
-	case "span":
-		s.Lateness = d
-	default:
-		t.Fatalf("%s is no part of a sight", key)
+		return
+	}
+	set := fieldSetters[key]
+	if set == nil {
+		t.Fatalf("%s is no field of an event", key)
 	}
+	value := fieldValue{text: text}
+	value.number, _ = strconv.Atoi(text)
+	value.duration, _ = time.ParseDuration(text)
+	value.float, _ = strconv.ParseFloat(text, 64)
+	set(event, value)
 }
