--- a/internal/testbed/baseline/base.go
+++ b/internal/testbed/baseline/base.go
@@ -90,23 +90,23 @@
 	}
 }
 
-// Step is a ledger.Module's.
+// Step implements requests.Policy.
 func (b *base) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	b.now, b.dst = max(now, b.now), dst
-	for _, e := range events {
-		switch e := e.(type) {
+	for _, event := range events {
+		switch event := event.(type) {
 		case dispatch.WorkerList:
-			b.applyList(e)
+			b.applyList(event)
 		case dispatch.Job:
-			b.addJob(e)
+			b.addJob(event)
 		case dispatch.Outcome:
-			b.attemptOutcome(e)
+			b.attemptOutcome(event)
 		case dispatch.Started:
-			b.start(e.Job, e.Attempt)
+			b.start(event.Job, event.Attempt)
 		case dispatch.Progressed:
-			b.start(e.Job, e.Attempt) // the callback of its start may have been lost
+			b.start(event.Job, event.Attempt) // the callback of its start may have been lost
 		case dispatch.ClientDisconnected:
-			b.closeJob(b.jobs[e.Job])
+			b.closeJob(b.jobs[event.Job])
 		}
 	}
 	for b.deadlines.Len() > 0 && b.deadlines.First().At <= b.now {
@@ -142,19 +142,19 @@
 
 // ---- Jobs ----
 
-func (b *base) addJob(e dispatch.Job) {
-	if b.jobs[e.ID] != nil || e.Class < 0 || e.Class >= len(b.settings.Classes) {
+func (b *base) addJob(arrival dispatch.Job) {
+	if b.jobs[arrival.ID] != nil || arrival.Class < 0 || arrival.Class >= len(b.settings.Classes) {
 		return
 	}
-	j := &job{Job: e, class: &b.settings.Classes[e.Class]}
-	j.At = b.now + max(e.Remaining, 0)
-	j.Slots = max(1, e.Slots)
+	j := &job{Job: arrival, class: &b.settings.Classes[arrival.Class]}
+	j.At = b.now + max(arrival.Remaining, 0)
+	j.Slots = max(1, arrival.Slots)
 	// A further try of a client leaves less time than a first one does, and its objective is that of the first.
-	full := &b.fullUntil[e.Class]
-	*full = max(*full, min(e.Remaining, j.class.ClientTimeout))
-	j.arrivedAt = b.now - max(0, *full-max(e.Remaining, 0))
+	full := &b.fullUntil[arrival.Class]
+	*full = max(*full, min(arrival.Remaining, j.class.ClientTimeout))
+	j.arrivedAt = b.now - max(0, *full-max(arrival.Remaining, 0))
 	j.objective = min(j.arrivedAt+j.class.LatencyObjective+seconds(j.class.ObjectiveStretch*b.estimateWork(j)), j.At)
-	b.jobs[e.ID] = j
+	b.jobs[arrival.ID] = j
 	b.deadlines.Add(j)
 	b.offer(j)
 }
@@ -220,33 +220,40 @@
 	return slices.ContainsFunc(j.attempts, func(a *attempt) bool { return a.worker == w })
 }
 
-// isAllowed tells whether the rules let a job go to a ready worker now.
-func (b *base) isAllowed(j *job, w *worker) bool {
+// isAllowed reports whether the rules let a job go to a ready worker now.
+func (b *base) isAllowed(j *job, worker *worker) bool {
 	class := j.class
-	if class.Kinds != nil && !slices.Contains(class.Kinds, w.Kind) || class.Zones != nil && !slices.Contains(class.Zones, w.Zone) {
+	if class.Kinds != nil && !slices.Contains(class.Kinds, worker.Kind) || class.Zones != nil && !slices.Contains(class.Zones, worker.Zone) {
 		return false
 	}
-	if len(j.attempts) == 0 {
-		return true
-	}
-	if j.inFlight > 0 && !b.settings.Hedging {
+	if len(j.attempts) > 0 && j.inFlight > 0 && !b.settings.Hedging {
 		return false
 	}
 	for _, a := range j.attempts {
-		if !a.ended && a.worker == w {
+		if !a.ended && a.worker == worker {
 			return false
 		}
-		if !a.possiblyExecuted() || class.Idempotency == dispatch.Idempotent {
-			continue
-		}
-		if class.Idempotency == dispatch.NonIdempotent || b.now-a.sentAt >= class.DeduplicationWindow-class.DeduplicationWindow/ejectionFactor ||
-			class.DeduplicationScope == dispatch.ScopeZone && a.zone != w.Zone || class.DeduplicationScope == dispatch.ScopeCell && a.cell != w.Cell {
+		if a.possiblyExecuted() && !b.mayRepeat(class, a, worker) {
 			return false
 		}
 	}
 	return true
 }
 
+// mayRepeat reports whether a job may go to a worker after an attempt that was possibly executed.
+func (b *base) mayRepeat(class *dispatch.Class, a *attempt, w *worker) bool {
+	switch class.Idempotency {
+	case dispatch.Idempotent:
+		return true
+	case dispatch.NonIdempotent:
+		return false
+	}
+	window := class.DeduplicationWindow - class.DeduplicationWindow/ejectionFactor
+	return b.now-a.sentAt < window &&
+		(class.DeduplicationScope != dispatch.ScopeZone || a.zone == w.Zone) &&
+		(class.DeduplicationScope != dispatch.ScopeCell || a.cell == w.Cell)
+}
+
 // hasRoom tells whether a job may have a further attempt, and one could still earn.
 func (b *base) hasRoom(j *job) bool {
 	return !j.closed && b.now < j.objective && len(j.attempts) < b.settings.AttemptLimit
--- a/internal/testbed/baseline/baseline_test.go
+++ b/internal/testbed/baseline/baseline_test.go
@@ -222,9 +222,101 @@
 	}
 }
 
-func checkRules(t *testing.T, p Policy, seed uint64) {
-	t.Helper()
-	rng := rand.New(rand.NewPCG(seed, 9))
+// referee holds a policy to the rules against random events.
+type referee struct {
+	t        *testing.T
+	policy   Policy
+	seed     uint64
+	settings dispatch.Settings
+	module   requests.Policy
+	now      time.Duration
+	jobs     map[uint64]*ruledJob
+	ids      []uint64
+	ready    map[uint64]dispatch.Worker
+	list     dispatch.WorkerList
+}
+
+func (r *referee) fail(format string, args ...any) {
+	r.t.Helper()
+	r.t.Fatalf("%s, seed %d, at %v: "+format, append([]any{r.policy.Name, r.seed, r.now}, args...)...)
+}
+
+// step has the policy handle events, and checks what it does.
+func (r *referee) step(events ...dispatch.Event) {
+	r.t.Helper()
+	for _, action := range r.module.Step(r.now, events, nil) {
+		r.check(action)
+	}
+	for _, id := range r.ids {
+		if j := r.jobs[id]; !j.ended && r.now >= j.deadline {
+			r.fail("job %d is open at its deadline", id)
+		}
+	}
+}
+
+func (r *referee) check(action dispatch.Action) {
+	r.t.Helper()
+	switch a := action.(type) {
+	case dispatch.Send:
+		r.checkSend(r.jobs[a.Job], r.ready[a.Worker])
+	case dispatch.Reject:
+		j := r.jobs[a.Job]
+		c := r.settings.Classes[j.Class]
+		if j.ended || c.Idempotency != dispatch.Idempotent && (c.Idempotency != dispatch.IdempotentWithKey || c.DeduplicationScope != dispatch.ScopeAll) &&
+			slices.ContainsFunc(j.attempts, ruledAttempt.risky) {
+			r.fail("job %+v refused", j)
+		}
+		j.ended = true
+	case dispatch.Fail:
+		if r.jobs[a.Job].ended {
+			r.fail("job %d answered twice", a.Job)
+		}
+		r.jobs[a.Job].ended = true
+	case dispatch.SetTimer:
+		if a.After <= 0 {
+			r.fail("timer of %v", a.After)
+		}
+	}
+}
+
+func (r *referee) checkSend(j *ruledJob, w dispatch.Worker) {
+	r.t.Helper()
+	if j.ended || w.ID == 0 || len(j.attempts) >= r.settings.AttemptLimit || r.now >= j.deadline {
+		r.fail("job %+v sent to worker %+v", j, w)
+	}
+	c := r.settings.Classes[j.Class]
+	if c.Kinds != nil && !slices.Contains(c.Kinds, w.Kind) {
+		r.fail("a job sent to a kind that its class may not go to")
+	}
+	for _, x := range j.attempts {
+		if !x.ended && (!r.settings.Hedging || x.w.ID == w.ID) {
+			r.fail("a second copy")
+		}
+		if x.risky() && !r.mayRepeat(&c, x, w) {
+			r.fail("class %d sent again though it may have run", j.Class)
+		}
+	}
+	j.attempts = append(j.attempts, ruledAttempt{w: w, sent: r.now})
+}
+
+// mayRepeat reports whether a job may go to a worker after an attempt that may have run.
+func (r *referee) mayRepeat(c *dispatch.Class, x ruledAttempt, w dispatch.Worker) bool {
+	same := c.DeduplicationScope == dispatch.ScopeAll || c.DeduplicationScope == dispatch.ScopeZone && x.w.Zone == w.Zone ||
+		c.DeduplicationScope == dispatch.ScopeCell && x.w.Cell == w.Cell
+	return c.Idempotency == dispatch.Idempotent ||
+		c.Idempotency == dispatch.IdempotentWithKey && same && r.now-x.sent <= c.DeduplicationWindow
+}
+
+// setReady changes whether a worker of the list is ready; the policy is told of it with the list.
+func (r *referee) setReady(n int, ready bool) {
+	r.list.Workers[n].Ready = ready
+	if delete(r.ready, uint64(n+1)); ready {
+		r.ready[uint64(n+1)] = r.list.Workers[n]
+	}
+}
+
+// ruledSettings are the settings of a seed: a class of each idempotency.
+func ruledSettings(seed uint64) dispatch.Settings {
 	set := plain
 	set.Hedging, set.MustSubscribe, set.PollInterval = seed%2 == 0, seed%3 == 0, time.Second
 	set.Classes = nil
@@ -238,108 +330,56 @@
 		}
 		set.Classes = append(set.Classes, c)
 	}
+	return set
+}
+
+func checkRules(t *testing.T, p Policy, seed uint64) {
+	t.Helper()
 	const nodes = 6
-	g := newFakeOracle(nodes)
-	m := p.ForRun()(set, seed, g)
-	now, all, ready := time.Second, map[uint64]*ruledJob{}, map[uint64]dispatch.Worker{}
-	list := listOf(nodes)
-	var ids []uint64
-	wrong := func(format string, args ...any) {
-		t.Helper()
-		t.Fatalf("%s, seed %d, at %v: "+format, append([]any{p.Name, seed, now}, args...)...)
-	}
-	step := func(events ...dispatch.Event) {
-		for _, a := range m.Step(now, events, nil) {
-			switch a := a.(type) {
-			case dispatch.Send:
-				j, w := all[a.Job], ready[a.Worker]
-				if j.ended || w.ID == 0 || len(j.attempts) >= set.AttemptLimit || now >= j.deadline {
-					wrong("job %+v sent to worker %+v", j, w)
-				}
-				c := set.Classes[j.Class]
-				if c.Kinds != nil && !slices.Contains(c.Kinds, w.Kind) {
-					wrong("a job sent to a kind that its class may not go to")
-				}
-				for _, x := range j.attempts {
-					if !x.ended && (!set.Hedging || x.w.ID == w.ID) {
-						wrong("a second copy")
-					}
-					same := c.DeduplicationScope == dispatch.ScopeAll || c.DeduplicationScope == dispatch.ScopeZone && x.w.Zone == w.Zone ||
-						c.DeduplicationScope == dispatch.ScopeCell && x.w.Cell == w.Cell
-					if x.risky() && (c.Idempotency == dispatch.NonIdempotent || c.Idempotency == dispatch.IdempotentWithKey && (!same || now-x.sent > c.DeduplicationWindow)) {
-						wrong("class %d sent again though it may have run", j.Class)
-					}
-				}
-				j.attempts = append(j.attempts, ruledAttempt{w: w, sent: now})
-			case dispatch.Reject:
-				j := all[a.Job]
-				c := set.Classes[j.Class]
-				if j.ended || c.Idempotency != dispatch.Idempotent && (c.Idempotency != dispatch.IdempotentWithKey || c.DeduplicationScope != dispatch.ScopeAll) &&
-					slices.ContainsFunc(j.attempts, ruledAttempt.risky) {
-					wrong("job %+v refused", j)
-				}
-				j.ended = true
-			case dispatch.Fail:
-				if all[a.Job].ended {
-					wrong("job %d answered twice", a.Job)
-				}
-				all[a.Job].ended = true
-			case dispatch.SetTimer:
-				if a.After <= 0 {
-					wrong("timer of %v", a.After)
-				}
-			}
-		}
-		for _, id := range ids {
-			if j := all[id]; !j.ended && now >= j.deadline {
-				wrong("job %d is open at its deadline", id)
-			}
-		}
-	}
-	tell := func(n int, state bool) {
-		list.Workers[n].Ready = state
-		if delete(ready, uint64(n+1)); state {
-			ready[uint64(n+1)] = list.Workers[n]
-		}
+	rng, g := rand.New(rand.NewPCG(seed, 9)), newFakeOracle(nodes)
+	r := &referee{
+		t: t, policy: p, seed: seed, settings: ruledSettings(seed), now: time.Second, jobs: map[uint64]*ruledJob{},
+		ready: map[uint64]dispatch.Worker{}, list: listOf(nodes),
 	}
+	r.module = p.ForRun()(r.settings, seed, g)
 	for n := range nodes {
-		tell(n, true)
+		r.setReady(n, true)
 	}
-	step(list)
+	r.step(r.list)
 	for range 400 {
-		now += time.Duration(rng.IntN(40)) * time.Millisecond
+		r.now += time.Duration(rng.IntN(40)) * time.Millisecond
 		switch rng.IntN(6) {
 		case 0:
 			n := rng.IntN(nodes)
 			g.truth[n].Up = rng.IntN(4) > 0
-			tell(n, rng.IntN(3) > 0)
-			step(list)
+			r.setReady(n, rng.IntN(3) > 0)
+			r.step(r.list)
 		case 1:
-			step(dispatch.WorkerList{Kind: dispatch.ListUnavailable})
+			r.step(dispatch.WorkerList{Kind: dispatch.ListUnavailable})
 		case 2, 3:
-			id := uint64(len(ids) + 1)
+			id := uint64(len(r.ids) + 1)
 			j := &ruledJob{Job: dispatch.Job{ID: id, Class: rng.IntN(3), Remaining: 2 * time.Second, Slots: float64(1 + rng.IntN(2))}}
-			j.deadline = now + j.Remaining
-			all[id], ids = j, append(ids, id)
-			step(j.Job)
+			j.deadline = r.now + j.Remaining
+			r.jobs[id], r.ids = j, append(r.ids, id)
+			r.step(j.Job)
 		default:
-			if len(ids) == 0 {
+			if len(r.ids) == 0 {
 				continue
 			}
-			j := all[ids[max(0, len(ids)-1-rng.IntN(12))]]
+			j := r.jobs[r.ids[max(0, len(r.ids)-1-rng.IntN(12))]]
 			i := slices.IndexFunc(j.attempts, func(x ruledAttempt) bool { return !x.ended })
 			if i < 0 {
-				step(dispatch.TimerFired{})
+				r.step(dispatch.TimerFired{})
 				continue
 			}
 			x := &j.attempts[i]
 			x.ended, x.result = true, dispatch.Result(rng.IntN(int(dispatch.NotSent)+1))
 			j.ended = j.ended || x.result == dispatch.OK
-			step(dispatch.Outcome{Job: j.ID, Attempt: i, Worker: x.w.ID, Result: x.result, Closed: j.ended})
+			r.step(dispatch.Outcome{Job: j.ID, Attempt: i, Worker: x.w.ID, Result: x.result, Closed: j.ended})
 		}
 	}
 	for range 100 { // all deadlines pass
-		now += 30 * time.Millisecond
-		step(dispatch.TimerFired{})
+		r.now += 30 * time.Millisecond
+		r.step(dispatch.TimerFired{})
 	}
 }
--- a/internal/testbed/baseline/omniscient.go
+++ b/internal/testbed/baseline/omniscient.go
@@ -255,25 +255,14 @@
 			p.expire(job)
 			continue
 		}
-		switch worker := p.choose(job); {
-		case worker != nil:
-			if p.reservedFor == job {
-				p.reserved, p.reservedFor = nil, nil
-			}
-			p.send(job, worker)
-			worker.usableConns++
-			f := p.flightOf(worker)
-			f.slots, f.since = f.slots+job.Slots, p.now
-			if p.warmUpShare(worker) < 1 {
-				f.coldSpending = append(f.coldSpending, coldSpend{p.now, job.work * job.Slots})
-			}
-			worker.freeSlots -= job.Slots
-		default:
-			if p.reservedFor == nil && job.Slots > 1 && p.now > job.objective-seconds(2*job.work/p.maxSpeed) {
-				p.reserveWorker(job)
-			}
-			aside = append(aside, job)
+		if worker := p.choose(job); worker != nil {
+			p.sendNow(job, worker)
+			continue
+		}
+		if p.reservedFor == nil && job.Slots > 1 && p.now > job.objective-seconds(2*job.work/p.maxSpeed) {
+			p.reserveWorker(job)
 		}
+		aside = append(aside, job)
 	}
 	if len(aside) == 0 {
 		p.full = p.now
@@ -288,6 +277,21 @@
 	p.deferred = aside[:0]
 }
 
+// sendNow sends a job to a worker, and accounts for it until the worker's state shows it.
+func (p *omniscient) sendNow(job *job, worker *worker) {
+	if p.reservedFor == job {
+		p.reserved, p.reservedFor = nil, nil
+	}
+	p.send(job, worker)
+	worker.usableConns++
+	f := p.flightOf(worker)
+	f.slots, f.since = f.slots+job.Slots, p.now
+	if p.warmUpShare(worker) < 1 {
+		f.coldSpending = append(f.coldSpending, coldSpend{p.now, job.work * job.Slots})
+	}
+	worker.freeSlots -= job.Slots
+}
+
 // isReachable tells whether a worker has what was sent to it, and answers.
 func isReachable(v environment.View) bool { return v.Up && v.Reachable }
 
@@ -317,7 +321,7 @@
 }
 
 // choose picks a worker that can start the job now, and end it in time: of those that it fits best the fastest.
-func (p *omniscient) choose(j *job) (pick *worker) {
+func (p *omniscient) choose(job *job) (pick *worker) {
 	for i := 0; ; i++ {
 		for i >= len(p.candidates) && p.scanned < len(p.ready) {
 			p.inspect(p.ready[(p.scanStart+p.scanned)%len(p.ready)])
@@ -327,17 +331,22 @@
 			break
 		}
 		w := p.candidates[i]
-		run := w.state.ReadDelay + seconds(sizeMargin*j.work/w.state.Speed)
-		if w.freeSlots < j.Slots || p.now+run > j.objective || w == p.reserved && p.reservedFor != j || !p.isAllowed(j, w) || !p.mayUse(j, w) {
+		run := w.state.ReadDelay + seconds(sizeMargin*job.work/w.state.Speed)
+		if w.freeSlots < job.Slots || p.now+run > job.objective || w == p.reserved && p.reservedFor != job || !p.isAllowed(job, w) || !p.mayUse(job, w) {
 			continue
 		}
-		if pick == nil || w.freeSlots < pick.freeSlots || w.freeSlots == pick.freeSlots && w.state.Speed > pick.state.Speed {
+		if pick == nil || fitsBetter(w, pick) {
 			pick = w
 		}
 	}
 	return pick
 }
 
+// fitsBetter reports whether a worker has fewer free slots than another, or as many and is faster.
+func fitsBetter(w, other *worker) bool {
+	return w.freeSlots < other.freeSlots || w.freeSlots == other.freeSlots && w.state.Speed > other.state.Speed
+}
+
 // mayUse tells whether a worker that is cold has room for a job in what may be sent to it without pushing it over.
 func (p *omniscient) mayUse(j *job, w *worker) bool {
 	if p.warmUpShare(w) == 1 {
--- a/internal/testbed/mutation/doc.go
+++ b/internal/testbed/mutation/doc.go
@@ -1,9 +1,9 @@
-// Package mutation breaks schedulers on purpose: each mutant is a scheduler with one fault, of the kind that a change
-// might bring in, and names the rule by which the checker must find it. They show that the checker catches what it is for.
+// Package mutation tests the checkers by mutation: each mutant is a scheduler with one seeded fault, of the kind that a change
+// might bring in, and names the rule by which the checker must find it.
 //
-// A mutant is put round the whole scheduler, at the border to the environment (Wrap), or round its decision module alone
-// (Module). One that sends what the scheduler did not send does it as a scheduler must: it dials a connection of its
-// own, writes once that is up, and closes it after the answer. Nothing in a mutant is drawn at random.
+// A mutant wraps the whole scheduler at the simulation interface (Wrap), or its dispatch policy alone (Policy). One that sends
+// what the scheduler did not send does so as a scheduler must: it dials a connection of its own, writes once that is open, and
+// closes it after the response. Mutants draw nothing at random.
 package mutation
 
 import (
@@ -16,13 +16,13 @@
 // Mutant is a scheduler with one fault.
 type Mutant struct {
 	Name        string // stable, in small letters and hyphens
-	Rule        string // by which the checker must find it; see package judge
+	Rule        string // by which the checker must find it; see package checker
 	Description string // what it does
-	// Adjust makes a scenario one in which it shows.
+	// Adjust changes a scenario so that the fault shows; nil: it shows in any.
 	Adjust func(s *scenario.Scenario)
-	// Wrap puts the fault round a scheduler; nil: there is none.
+	// Wrap wraps a scheduler; nil: the fault is not there.
 	Wrap func(spec *scenario.Scenario, inner simapi.Scheduler) simapi.Scheduler
-	// Policy makes the decision module with the fault in it; nil: there is none.
+	// Policy makes the dispatch policy with the fault in it; nil: the fault is not there.
 	Policy func(set dispatch.Settings, seed uint64) requests.Policy
 }
 
--- a/internal/testbed/mutation/mutants.go
+++ b/internal/testbed/mutation/mutants.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/http"
+	"slices"
 	"time"
 
 	"valvecove/dispatch"
@@ -16,6 +17,25 @@
 
 // All are the mutants, in the order of the rules that they break. Each call makes them anew.
 func All() []Mutant {
+	return slices.Concat(
+		responseMutants(),
+		terminationMutants(),
+		payoutMutants(),
+		keyMutants(),
+		rejectionMutants(),
+		drainMutants(),
+		warmUpMutants(),
+		duplicateMutants(),
+		attemptMutants(),
+		resultMutants(),
+		promptnessMutants(),
+		requestIDMutants(),
+		crashMutants(),
+	)
+}
+
+// responseMutants are the mutants that break one-answer.
+func responseMutants() []Mutant {
 	return []Mutant{
 		{
 			Name: "answers-twice", Rule: "one-answer",
@@ -69,6 +89,12 @@
 				return true
 			}),
 		},
+	}
+}
+
+// terminationMutants are the mutants that break one-answer after SIGTERM.
+func terminationMutants() []Mutant {
+	return []Mutant{
 		{
 			Name: "quits-on-term", Rule: "one-answer",
 			Description: "exits on SIGTERM with queries in hand",
@@ -94,7 +120,12 @@
 				return in.Kind != simapi.RequestReceived || !b.notified
 			}, nil),
 		},
+	}
+}
 
+// payoutMutants are the mutants that break payout-once.
+func payoutMutants() []Mutant {
+	return []Mutant{
 		{
 			Name: "payout-after-reset", Rule: "payout-once",
 			Description: "takes a connection that broke under a payout for one that never came up",
@@ -140,7 +171,12 @@
 				}
 			}),
 		},
+	}
+}
 
+// keyMutants are the mutants that break key-scope.
+func keyMutants() []Mutant {
+	return []Mutant{
 		{
 			Name: "key-outside-cell", Rule: "key-scope",
 			Description: "takes all worker nodes for one cell",
@@ -174,7 +210,12 @@
 				return true
 			}),
 		},
+	}
+}
 
+// rejectionMutants are the mutants that break refusal-harmless.
+func rejectionMutants() []Mutant {
+	return []Mutant{
 		{
 			Name: "refuses-run-payout", Rule: "refusal-harmless",
 			Description: "refuses payouts that have been out for 150 ms",
@@ -196,7 +237,12 @@
 				return true
 			}),
 		},
+	}
+}
 
+// drainMutants are the mutants that break drain.
+func drainMutants() []Mutant {
+	return []Mutant{
 		{
 			Name: "drain-late", Rule: "drain",
 			Description: "acts on news of the fleet 1.2 s after it was told",
@@ -219,7 +265,12 @@
 			},
 			Policy: alterPolicy(dropOutcomes, nil),
 		},
+	}
+}
 
+// warmUpMutants are the mutants that break cold.
+func warmUpMutants() []Mutant {
+	return []Mutant{
 		{
 			Name: "cold-flooded", Rule: "cold",
 			Description: "sends a copy of each safe query to whichever worker node started last",
@@ -246,7 +297,12 @@
 				return true
 			}, nil),
 		},
+	}
+}
 
+// duplicateMutants are the mutants that break one-attempt-per-node.
+func duplicateMutants() []Mutant {
+	return []Mutant{
 		{
 			Name: "two-on-one-node", Rule: "one-attempt-per-node",
 			Description: "sends some safe queries to the same worker node twice",
@@ -257,7 +313,12 @@
 				return true
 			}),
 		},
+	}
+}
 
+// attemptMutants are the mutants that break attempts.
+func attemptMutants() []Mutant {
+	return []Mutant{
 		{
 			Name: "tries-on", Rule: "attempts",
 			Description: "sends some safe queries more often than is allowed",
@@ -282,7 +343,12 @@
 				return true
 			}),
 		},
+	}
+}
 
+// resultMutants are the mutants that break made-by-node.
+func resultMutants() []Mutant {
+	return []Mutant{
 		{
 			Name: "makes-results", Rule: "made-by-node",
 			Description: "serves some queries with a result of its own",
@@ -306,7 +372,12 @@
 				return true
 			}),
 		},
+	}
+}
 
+// promptnessMutants are the mutants that break prompt-refusal.
+func promptnessMutants() []Mutant {
+	return []Mutant{
 		{
 			Name: "holds-refusals", Rule: "prompt-refusal",
 			Description: "holds refusals back until nine tenths of a query's time are over",
@@ -319,7 +390,12 @@
 			Adjust:      withFaults(scenario.Fault{Kind: "errors", At: scenario.Duration(second), Size: 0.5}),
 			Wrap:        wrap(nil, delayResponses(http.StatusInternalServerError)),
 		},
+	}
+}
 
+// requestIDMutants are the mutants that break id-unknown.
+func requestIDMutants() []Mutant {
+	return []Mutant{
 		{
 			Name: "changes-ids", Rule: "id-unknown",
 			Description: "sends some queries on under an id of its own",
@@ -330,7 +406,12 @@
 				return true
 			}),
 		},
+	}
+}
 
+// crashMutants are the mutants that break crash.
+func crashMutants() []Mutant {
+	return []Mutant{
 		{
 			Name: "crashes", Rule: "crash",
 			Description: "ends by itself in the midst of things",
--- a/internal/testbed/mutation/mutation_test.go
+++ b/internal/testbed/mutation/mutation_test.go
@@ -142,18 +142,31 @@
 		s.Fleet.Zones = []string{"a", "b"}
 	}
 	for i := range s.Fleet.Kinds {
-		k := &s.Fleet.Kinds[i]
-		k.QueueOrder, k.ExpiredJobs, k.ReturnsQueued = pick("fifo", "backfill"), pick("run", "drop"), rng.IntN(2) == 0
-		k.CancellationStops, k.ErrorRate = rng.IntN(4) == 0, float64(rng.IntN(2))*0.02
-		k.CallbackDelay = scenario.Duration(rng.IntN(20)) * scenario.Duration(time.Millisecond)
-		if rng.IntN(4) == 0 {
-			k.PauseEvery, k.Pause = scenario.Duration(5*time.Second), scenario.Duration(300*time.Millisecond)
-		}
+		drawWorkerKind(rng, &s.Fleet.Kinds[i])
 	}
 	if c := &s.Classes[3]; rng.IntN(2) == 0 {
 		c.DeduplicationScope = pick("cell", "zone", "all")
 		c.DeduplicationWindow = scenario.Duration(1+rng.IntN(20)) * scenario.Duration(time.Second)
 	}
+	kinds := faultKinds()
+	for range 1 + rng.IntN(4) {
+		addFault(rng, s, drawFault(rng, kinds))
+	}
+	return s
+}
+
+func drawWorkerKind(rng *rand.Rand, k *scenario.WorkerKind) {
+	pick := func(of ...string) string { return pickOne(rng, of...) }
+	k.QueueOrder, k.ExpiredJobs, k.ReturnsQueued = pick("fifo", "backfill"), pick("run", "drop"), rng.IntN(2) == 0
+	k.CancellationStops, k.ErrorRate = rng.IntN(4) == 0, float64(rng.IntN(2))*0.02
+	k.CallbackDelay = scenario.Duration(rng.IntN(20)) * scenario.Duration(time.Millisecond)
+	if rng.IntN(4) == 0 {
+		k.PauseEvery, k.Pause = scenario.Duration(5*time.Second), scenario.Duration(300*time.Millisecond)
+	}
+}
+
+// faultKinds are the kinds of faults of scenarios without planners, in order.
+func faultKinds() []string {
 	kinds := make([]string, 0, len(scenario.FaultKinds))
 	for kind, to := range scenario.FaultKinds {
 		if !strings.HasPrefix(to, "planner") { // there are none
@@ -161,32 +174,39 @@
 		}
 	}
 	slices.Sort(kinds)
-	for range 1 + rng.IntN(4) {
-		f := scenario.Fault{Kind: pick(kinds...), At: scenario.Duration(1000+rng.IntN(5000)) * scenario.Duration(time.Millisecond)}
-		f.Duration = scenario.Duration(200+rng.IntN(4000)) * scenario.Duration(time.Millisecond)
-		switch scenario.FaultKinds[f.Kind] {
-		case "node":
-			f.Target.Share = 0.1 + 0.4*rng.Float64()
-		case "net":
-			f.Between, f.And = "schedulers", pick("nodes", "discovery", "clients")
-			if f.Kind == "drop_idle" {
-				f.And = pick("nodes", "clients")
-			}
+	return kinds
+}
+
+func drawFault(rng *rand.Rand, kinds []string) scenario.Fault {
+	pick := func(of ...string) string { return pickOne(rng, of...) }
+	f := scenario.Fault{Kind: pick(kinds...), At: scenario.Duration(1000+rng.IntN(5000)) * scenario.Duration(time.Millisecond)}
+	f.Duration = scenario.Duration(200+rng.IntN(4000)) * scenario.Duration(time.Millisecond)
+	switch scenario.FaultKinds[f.Kind] {
+	case "node":
+		f.Target.Share = 0.1 + 0.4*rng.Float64()
+	case "net":
+		f.Between, f.And = "schedulers", pick("nodes", "discovery", "clients")
+		if f.Kind == "drop_idle" {
+			f.And = pick("nodes", "clients")
 		}
-		for _, size := range []float64{0, 4, -10} { // whichever the kind takes
-			f.Size = size
-			s.Faults = append(s.Faults, f)
-			if rng.IntN(2) == 0 && size == 0 && f.Kind == "reset_at" || s.Check() != nil {
-				if s.Faults[len(s.Faults)-1].Duration = 0; s.Check() == nil {
-					break
-				}
-				s.Faults = s.Faults[:len(s.Faults)-1]
-				continue
+	}
+	return f
+}
+
+// addFault adds a fault with whichever size its kind takes, if it takes one.
+func addFault(rng *rand.Rand, s *scenario.Scenario, f scenario.Fault) {
+	for _, size := range []float64{0, 4, -10} { // whichever the kind takes
+		f.Size = size
+		s.Faults = append(s.Faults, f)
+		if rng.IntN(2) == 0 && size == 0 && f.Kind == "reset_at" || s.Check() != nil {
+			if s.Faults[len(s.Faults)-1].Duration = 0; s.Check() == nil {
+				break
 			}
-			break
+			s.Faults = s.Faults[:len(s.Faults)-1]
+			continue
 		}
+		break
 	}
-	return s
 }
 
 func pickOne[T any](rng *rand.Rand, of ...T) T { return of[rng.IntN(len(of))] }
