--- a/internal/testbed/mutation/mutation_test.go
+++ b/internal/testbed/mutation/mutation_test.go
@@ -169,7 +169,7 @@
 func faultKinds() []string {
 	kinds := make([]string, 0, len(scenario.FaultKinds))
 	for kind, to := range scenario.FaultKinds {
-		if !strings.HasPrefix(to, "planner") { // there are none
+		if !strings.HasPrefix(string(to), "planner") { // there are none
 			kinds = append(kinds, kind)
 		}
 	}
