--- a/internal/testbed/experiment/agree.go
+++ b/internal/testbed/experiment/agreement.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"math"
+	"slices"
 	"strings"
 
 	"valvecove/internal/testbed/scenario"
@@ -20,6 +21,9 @@
 	Job                Job
 }
 
+// firstExtraSeed is far from the seeds that both drivers run.
+const firstExtraSeed = 1 << 40
+
 // AgreementMetrics are the figures that are set side by side.
 var AgreementMetrics = []string{"in_time", "served", "refused", "failed", "unanswered", "lost"}
 
@@ -54,66 +58,85 @@
 	return true
 }
 
-// Run plays them: virtual ones first.
-func (a *Agreement) Run(ctx context.Context, notified func(done, of int)) ([]AgreementResult, error) {
-	var virtual, lives []Job
-	for _, spec := range a.Specs {
-		for _, seed := range append(a.Seeds[:len(a.Seeds):len(a.Seeds)], Seeds(1<<40, a.ExtraSimulations)...) {
-			virtual = append(virtual, Job{Spec: spec, Seed: seed, Driver: scenario.DriverSimulation, Subject: a.Subject})
-		}
-		for _, seed := range a.Seeds {
-			job := a.Job
-			job.Spec, job.Seed, job.Driver, job.Subject = spec, seed, scenario.DriverProcess, a.Subject
-			lives = append(lives, job)
-		}
-	}
-	of, done := len(virtual)+len(lives), 0
-	tick := func() {
-		if done++; notified != nil {
-			notified(done, of)
-		}
-	}
+// Run runs the scenarios with both drivers, simulated runs first. Unless it is nil, onProgress is called after each run.
+func (a *Agreement) Run(ctx context.Context, onProgress func(done, total int)) ([]AgreementResult, error) {
+	simulations, processes := a.jobs()
 	agreed := make([]AgreementResult, len(a.Specs))
-	results := make([][2][]*score.Result, len(a.Specs))
-	collect := func(which, each, at int, jobs []Job) error {
-		return Batch(ctx, jobs, at, func(i int, p *RunResult) error {
-			tick()
-			line := &agreed[i/each]
-			line.Violations += p.Violations()
-			if p.InvalidReason() != "" {
-				line.Invalid++
-				return nil
-			}
-			results[i/each][which] = append(results[i/each][which], p.Result())
-			return nil
-		})
+	done := 0
+	countRun := func() {
+		done++
+		if onProgress != nil {
+			onProgress(done, len(simulations)+len(processes))
+		}
 	}
-	if err := collect(0, len(a.Seeds)+a.ExtraSimulations, 0, virtual); err != nil {
+	simulated, err := a.collect(ctx, simulations, 0, agreed, countRun)
+	if err != nil {
 		return nil, err
 	}
-	if err := collect(1, len(a.Seeds), max(1, a.ProcessParallelism), lives); err != nil {
+	live, err := a.collect(ctx, processes, max(1, a.ProcessParallelism), agreed, countRun)
+	if err != nil {
 		return nil, err
 	}
 	for i, spec := range a.Specs {
 		agreed[i].Scenario = spec.Name
 		for _, name := range AgreementMetrics {
-			h, ok := score.HeadlineOf(name)
+			metric, ok := score.HeadlineOf(name)
 			if !ok {
 				return nil, fmt.Errorf("no figure is called %s", name)
 			}
-			both := AgreementFigure{Metric: name, Simulation: newCell(h.Values(results[i][0])), Process: newCell(h.Values(results[i][1]))}
-			if both.Process.Runs == 0 || both.Simulation.Runs == 0 {
-				agreed[i].Figures = append(agreed[i].Figures, both) // nothing to compare
-				continue
-			}
-			both.Bound = 3*both.Simulation.SD/math.Sqrt(float64(max(1, both.Process.Runs))) + Allowance
-			both.Within = math.Abs(both.Simulation.Mean-both.Process.Mean) <= both.Bound
-			agreed[i].Figures = append(agreed[i].Figures, both)
+			figure := newAgreementFigure(name, metric.Values(simulated[i]), metric.Values(live[i]))
+			agreed[i].Figures = append(agreed[i].Figures, figure)
 		}
 	}
 	return agreed, nil
 }
 
+// jobs are the runs of both drivers, scenario by scenario.
+func (a *Agreement) jobs() (simulations, processes []Job) {
+	simulationSeeds := append(slices.Clone(a.Seeds), Seeds(firstExtraSeed, a.ExtraSimulations)...)
+	for _, spec := range a.Specs {
+		for _, seed := range simulationSeeds {
+			simulations = append(simulations, Job{Spec: spec, Seed: seed, Driver: scenario.DriverSimulation, Subject: a.Subject})
+		}
+		for _, seed := range a.Seeds {
+			job := a.Job
+			job.Spec, job.Seed, job.Driver, job.Subject = spec, seed, scenario.DriverProcess, a.Subject
+			processes = append(processes, job)
+		}
+	}
+	return simulations, processes
+}
+
+// collect runs the jobs of one driver, counts violations and invalid runs, and returns the other results by scenario.
+func (a *Agreement) collect(
+	ctx context.Context, jobs []Job, parallelism int, agreed []AgreementResult, countRun func(),
+) ([][]*score.Result, error) {
+	results := make([][]*score.Result, len(a.Specs))
+	err := Batch(ctx, jobs, parallelism, func(i int, run *RunResult) error {
+		countRun()
+		number := i * len(a.Specs) / len(jobs) // each scenario has as many jobs
+		agreed[number].Violations += run.Violations()
+		if run.InvalidReason() != "" {
+			agreed[number].Invalid++
+			return nil
+		}
+		results[number] = append(results[number], run.Result())
+		return nil
+	})
+	return results, err
+}
+
+// newAgreementFigure compares the values of both drivers. Without values of one of them they are not within the bound.
+func newAgreementFigure(name string, simulated, live []float64) AgreementFigure {
+	figure := AgreementFigure{Metric: name, Simulation: newCell(simulated), Process: newCell(live)}
+	if figure.Process.Runs == 0 || figure.Simulation.Runs == 0 {
+		return figure
+	}
+	figure.Bound = 3*figure.Simulation.SD/math.Sqrt(float64(figure.Process.Runs)) + Allowance
+	figure.Within = math.Abs(figure.Simulation.Mean-figure.Process.Mean) <= figure.Bound
+	return figure
+}
+
 // AgreementMarkdown writes the table as the docs have it.
 func AgreementMarkdown(table []AgreementResult) string {
 	var b strings.Builder
--- a/internal/testbed/experiment/compare.go
+++ b/internal/testbed/experiment/compare.go
@@ -7,52 +7,37 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// Comparison is several subjects in the same plays; the others are compared with the first.
+// Comparison is several subjects on the same scenarios and seeds; the others are compared with the first.
 type Comparison struct {
 	Specs       []*scenario.Scenario
 	Seeds       []uint64
 	Subjects    []Subject
 	Driver      string
-	Parallelism int // plays at once; 0: as many as there are processors
-	Job         Job // what else is said of each run
+	Parallelism int // runs at once; 0: as many as there are processors
+	Job         Job // what else is set in each run
 }
 
-// Run plays a contest: for each scenario and seed every subject, which meet the same environment. A run that is void with
-// one of them counts with none. There is a comparison for each scenario, and at the end one of all together if there
-// are several.
-func (c *Comparison) Run(ctx context.Context, notified func(done, of int)) ([]*report.Comparison, error) {
-	var jobs []Job
+// Run runs every subject on each scenario and seed, in the same environment. A run that is invalid with one subject counts
+// with none. It returns a comparison for each scenario, and one of all together at the end if there are several. Unless it
+// is nil, onProgress is called after each run.
+func (c *Comparison) Run(ctx context.Context, onProgress func(done, total int)) ([]*report.Comparison, error) {
+	jobs := c.jobs()
+	var comparisons []*report.Comparison
 	for _, spec := range c.Specs {
-		for _, seed := range c.Seeds {
-			for _, s := range c.Subjects {
-				job := c.Job
-				job.Spec, job.Seed, job.Driver, job.Subject = spec, seed, c.Driver, s
-				jobs = append(jobs, job)
-			}
-		}
+		comparisons = append(comparisons, c.newReport(spec.Name, spec.Description, string(scenario.Encode(spec))))
 	}
-	fresh := func(title, about, text string) *report.Comparison {
-		x := &report.Comparison{Title: title, Description: about, Scenario: text}
-		for _, s := range c.Subjects {
-			x.Sides = append(x.Sides, report.Side{Name: s.Name})
-		}
-		return x
-	}
-	var outputs []*report.Comparison
-	for _, spec := range c.Specs {
-		outputs = append(outputs, fresh(spec.Name, spec.Description, string(scenario.Encode(spec))))
-	}
-	all := fresh("all scenarios", "", "")
+	overall := c.newReport("all scenarios", "", "")
 	sides := len(c.Subjects)
-	line := make([]*RunResult, 0, sides)
-	err := Batch(ctx, jobs, c.Parallelism, func(i int, p *RunResult) error {
-		if notified != nil {
-			notified(i+1, len(jobs))
+	group := make([]*RunResult, 0, sides) // of one scenario and seed
+	err := Batch(ctx, jobs, c.Parallelism, func(i int, run *RunResult) error {
+		if onProgress != nil {
+			onProgress(i+1, len(jobs))
 		}
-		if line = append(line, p); len(line) == sides {
-			addResults(outputs[i/sides/len(c.Seeds)], line)
-			addResults(all, line)
-			line = line[:0]
+		group = append(group, run)
+		if len(group) == sides {
+			addResults(comparisons[i/sides/len(c.Seeds)], group)
+			addResults(overall, group)
+			group = group[:0]
 		}
 		return nil
 	})
@@ -60,24 +45,49 @@
 		return nil, err
 	}
 	if len(c.Specs) > 1 {
-		outputs = append(outputs, all)
+		comparisons = append(comparisons, overall)
 	}
-	return outputs, nil
+	return comparisons, nil
 }
 
-// addResults enters the runs of one scenario and seed.
-func addResults(comparison *report.Comparison, line []*RunResult) {
-	void := false
-	for i, p := range line {
-		comparison.Sides[i].Broken += p.Violations()
-		if p.InvalidReason() != "" {
-			comparison.Sides[i].Invalid++
-			void = true
+// jobs are the runs by scenario, seed and subject.
+func (c *Comparison) jobs() []Job {
+	var jobs []Job
+	for _, spec := range c.Specs {
+		for _, seed := range c.Seeds {
+			for _, subject := range c.Subjects {
+				job := c.Job
+				job.Spec, job.Seed, job.Driver, job.Subject = spec, seed, c.Driver, subject
+				jobs = append(jobs, job)
+			}
 		}
 	}
-	for i, p := range line {
-		if !void {
-			comparison.Sides[i].Results = append(comparison.Sides[i].Results, p.Result())
+	return jobs
+}
+
+// newReport is a comparison without results.
+func (c *Comparison) newReport(title, description, scenarioText string) *report.Comparison {
+	comparison := &report.Comparison{Title: title, Description: description, Scenario: scenarioText}
+	for _, subject := range c.Subjects {
+		comparison.Sides = append(comparison.Sides, report.Side{Name: subject.Name})
+	}
+	return comparison
+}
+
+// addResults enters the runs of one scenario and seed, one for each side.
+func addResults(comparison *report.Comparison, runs []*RunResult) {
+	isInvalid := false
+	for i, run := range runs {
+		comparison.Sides[i].Broken += run.Violations()
+		if run.InvalidReason() != "" {
+			comparison.Sides[i].Invalid++
+			isInvalid = true
 		}
 	}
+	if isInvalid {
+		return
+	}
+	for i, run := range runs {
+		comparison.Sides[i].Results = append(comparison.Sides[i].Results, run.Result())
+	}
 }
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -14,7 +14,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// base is the default play, with a name.
+// base is the default scenario, with a name.
 func base() *scenario.Scenario {
 	s := scenario.Default()
 	s.Name = "base"
@@ -75,7 +75,7 @@
 	}
 }
 
-// What a run came to follows from scenario, subject and seed, whatever else is played beside it.
+// The result of a run follows from scenario, subject and seed, whatever else runs at the same time.
 func TestBatchOrderAndResults(t *testing.T) {
 	spec := small(t)
 	var jobs []Job
@@ -125,7 +125,7 @@
 	}
 }
 
-// Both sides of a contest meet the same environment; one that is the same twice differs by nothing.
+// All sides of a comparison meet the same environment, and a subject does not differ from itself.
 func TestComparisonIsPaired(t *testing.T) {
 	c := Comparison{
 		Specs: []*scenario.Scenario{small(t), small(t, "load.of=0.8")}, Seeds: Seeds(3, 3), Driver: scenario.DriverSimulation,
@@ -180,17 +180,17 @@
 	}
 }
 
-// A hunt finds a seeded fault by its rule, shrinks the run to what matters, and the file that it keeps plays it again.
+// A search finds a mutant by its rule, minimises the run, and keeps a file that gives the same run again.
 func TestSearchFindsMinimisesAndKeeps(t *testing.T) {
-	h := Search{Seed: 5, Subject: Subject{Name: "mutant", Mutant: "answers-twice"}, Baseline: PolicyDispatch, MaxRuns: 2, Parallelism: 2, Keep: 2}
-	h.trim = func(s *scenario.Scenario) { // plays of milliseconds
+	search := Search{Seed: 5, Subject: Subject{Name: "mutant", Mutant: "answers-twice"}, Baseline: PolicyDispatch, MaxRuns: 2, Parallelism: 2, Keep: 2}
+	search.trim = func(s *scenario.Scenario) { // plays of milliseconds
 		s.Length, s.Fleet.Workers = scenario.Duration(3*time.Second), min(s.Fleet.Workers, 8)
 		for i := range s.Faults {
 			f := &s.Faults[i]
 			f.At, f.Duration, f.Spread = f.At/10, f.Duration/10, f.Spread/10
 		}
 	}
-	got, err := h.Run(context.Background(), nil)
+	got, err := search.Run(context.Background(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,25 +199,25 @@
 		t.Fatalf("%d plays with a rule broken, kept %v", got.Violations, got.Worst)
 	}
 	f := got.Worst[i]
-	if f.Drawn == 0 || f.Faults != 0 || f.Spec.Fleet.Workers >= h.Draw(f.DrawNumber).Fleet.Workers {
+	if f.Drawn == 0 || f.Faults != 0 || f.Spec.Fleet.Workers >= search.Draw(f.DrawNumber).Fleet.Workers {
 		t.Errorf("the answer given twice needs no fault of the world, and %d of %d are left", f.Faults, f.Drawn)
 	}
 	kept, err := scenario.Parse("kept", f.File())
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := Run(context.Background(), Job{Spec: kept, Seed: uint64(kept.Seed), Driver: scenario.DriverSimulation, Subject: h.Subject})
+	p, err := Run(context.Background(), Job{Spec: kept, Seed: uint64(kept.Seed), Driver: scenario.DriverSimulation, Subject: search.Subject})
 	if err != nil || p.Result().Value.Mix != f.Value || p.Violations() == 0 {
 		t.Errorf("%v: the kept play is another", err)
 	}
-	h.Starvation = true // breaks are kept just so, and nobody plays beside it
-	if got, err = h.Run(context.Background(), nil); err != nil || got.Violations == 0 || got.Worst[0].BaselineValue != 0 {
+	search.Starvation = true // breaks are kept just so, and nobody plays beside it
+	if got, err = search.Run(context.Background(), nil); err != nil || got.Violations == 0 || got.Worst[0].BaselineValue != 0 {
 		t.Errorf("%+v, %v: expected a hunt for starvation to keep broken rules, and to play no yardstick", got, err)
 	}
 }
 
-// A longer hunt begins as a shorter one: a draw follows from the seed and its number.
-func TestDrawsAreTheirNumbers(t *testing.T) {
+// A longer search begins as a shorter one: a draw follows from the seed and its number.
+func TestDrawFollowsFromSeedAndNumber(t *testing.T) {
 	a, b := Search{Seed: 9}, Search{Seed: 9, MaxRuns: 3}
 	kinds := map[string]bool{}
 	for i := range 300 {
@@ -236,8 +236,8 @@
 	}
 }
 
-func TestKeepOneOfAKind(t *testing.T) {
-	h, got := Search{}, &SearchResult{}
+func TestSearchKeepsOneOfAKind(t *testing.T) {
+	got := &SearchResult{}
 	find := func(regret float64, kinds ...string) *Finding {
 		f := &Finding{Spec: &scenario.Scenario{}, BaselineValue: regret}
 		for _, k := range kinds {
@@ -249,7 +249,7 @@
 	rule.Rule = "drain"
 	for _, f := range []*Finding{find(0.2, "hang"), find(0.3, "hang"), find(0.1, "hang"), find(0.5, "crash", "hang"), find(0.4, "hang",
 		"crash"), find(0.25, "cut"), rule} {
-		h.keep(got, f, 2)
+		got.keep(f, 2)
 	}
 	var remaining []string
 	for _, f := range got.Worst {
@@ -287,7 +287,7 @@
 }
 
 // Fleets of any size have so many jobs and are as busy.
-func TestFleet(t *testing.T) {
+func TestScaleFleet(t *testing.T) {
 	for _, n := range []int{3, 100, 3000} {
 		f, err := ScaleFleet(base(), n, 9000)
 		if err != nil {
@@ -300,7 +300,7 @@
 }
 
 // Whatever panics in a run is an error that names the run.
-func TestPanicNamesThePlay(t *testing.T) {
+func TestPanicNamesTheRun(t *testing.T) {
 	_, err := Run(context.Background(), Job{
 		Spec: small(t), Seed: 77, Driver: scenario.DriverSimulation,
 		Observer: func(*trace.Event) { panic("on purpose") },
--- a/internal/testbed/experiment/other_build.go
+++ b/internal/testbed/experiment/other_build.go
@@ -14,11 +14,14 @@
 	"valvecove/internal/testbed/score"
 )
 
-// most of another build's output that is taken in.
-const maxOutput = 64 << 20
+// Bounds on what is kept of another build's output.
+const (
+	maxOutputBytes = 64 << 20
+	maxErrorBytes  = 64 << 10
+)
 
-// runOtherBuild has another build's valvecove-testbed play a job. The scenario goes over as text, changes made, so that both
-// builds play the same; the figures come back as JSON. Its checker's word on rules is taken as it is.
+// runOtherBuild has another build's valvecove-testbed run a job. The scenario goes over as text, with changes made, so that
+// both builds run the same; the figures come back as JSON. The verdict is that of the other build's checker.
 func runOtherBuild(ctx context.Context, job Job) (*RunResult, error) {
 	spec, err := ApplyChanges(job.Spec, job.Subject.Set)
 	if err != nil {
@@ -33,31 +36,31 @@
 	}
 	cmd := exec.CommandContext(ctx, job.Subject.Testbed, args...)
 	cmd.Stdin = bytes.NewReader(scenario.Encode(spec))
-	outputs, errs := &boundedBuffer{limit: maxOutput}, &boundedBuffer{limit: 64 << 10}
-	cmd.Stdout, cmd.Stderr = outputs, errs
+	stdout, stderr := &boundedBuffer{limit: maxOutputBytes}, &boundedBuffer{limit: maxErrorBytes}
+	cmd.Stdout, cmd.Stderr = stdout, stderr
 	// A run that did not go as expected exits with 1, and has its figures all the same.
 	if err := cmd.Run(); err != nil && cmd.ProcessState.ExitCode() != 1 {
-		return nil, fmt.Errorf("%s: %w: %s", job.Subject.Testbed, err, bytes.TrimSpace(errs.Bytes()))
+		return nil, fmt.Errorf("%s: %w: %s", job.Subject.Testbed, err, bytes.TrimSpace(stderr.Bytes()))
 	}
-	var notified struct { // expectations are for that build to hold its play to
+	var output struct { // expectations are for that build to hold its play to
 		Result  *score.Result   `json:"result"`
 		Verdict *report.Verdict `json:"verdict"`
 	}
-	if err := json.Unmarshal(outputs.Bytes(), &notified); err != nil {
+	if err := json.Unmarshal(stdout.Bytes(), &output); err != nil {
 		return nil, fmt.Errorf("%s: its figures can't be read: %w", job.Subject.Testbed, err)
 	}
-	if notified.Result == nil {
+	if output.Result == nil {
 		return nil, fmt.Errorf("%s: it told no figures", job.Subject.Testbed)
 	}
-	p := &RunResult{Document: report.Document{Result: notified.Result, Verdict: notified.Verdict, Build: job.Subject.Name}}
-	if v := notified.Verdict; v != nil {
+	p := &RunResult{Document: report.Document{Result: output.Result, Verdict: output.Verdict, Build: job.Subject.Name}}
+	if v := output.Verdict; v != nil {
 		p.Verdict.Invalid = v.Invalid
 		p.Verdict.Rules = []checker.RuleCount{{Rule: "all", Violated: v.Total()}}
 	}
 	return p, nil
 }
 
-// boundedBuffer keeps so much of what is written to it, and takes the rest in unread.
+// boundedBuffer keeps what is written to it up to a limit, and discards what follows.
 type boundedBuffer struct {
 	bytes.Buffer
 	limit int
--- a/internal/testbed/experiment/variation.go
+++ b/internal/testbed/experiment/variation.go
@@ -19,37 +19,51 @@
 	Values []string // as TOML has them
 }
 
+// maxSteps bounds the values of a range.
+const maxSteps = 1000
+
 // ParseVary reads "key=v1,v2,v3" or "key=from..to/steps" (numbers, both ends included).
 func ParseVary(text string) (Vary, error) {
 	key, list, ok := splitChange(text)
 	if !ok {
 		return Vary{}, fmt.Errorf("%q: expected key=value,value or key=from..to/steps", text)
 	}
-	vary := Vary{Key: key}
-	if from, remainder, isRange := strings.Cut(list, ".."); isRange {
-		to, steps, ok := strings.Cut(remainder, "/")
-		a, errA := strconv.ParseFloat(from, 64)
-		b, errB := strconv.ParseFloat(to, 64)
-		n, errN := strconv.Atoi(steps)
-		if !ok || errA != nil || errB != nil || errN != nil || n < 2 || n > 1000 {
-			return vary, fmt.Errorf("%q: expected key=from..to/steps with numbers, and 2 to 1000 steps", text)
+	if strings.Contains(list, "..") {
+		values, ok := parseRange(list)
+		if !ok {
+			return Vary{}, fmt.Errorf("%q: expected key=from..to/steps with numbers, and 2 to %d steps", text, maxSteps)
 		}
-		for i := range n {
-			x := a + (b-a)*float64(i)/float64(n-1)
-			vary.Values = append(vary.Values, strconv.FormatFloat(math.Round(x*1e9)/1e9, 'g', -1, 64))
-		}
-		return vary, nil
+		return Vary{Key: key, Values: values}, nil
 	}
-	for _, one := range splitValues(list) {
-		if one = strings.TrimSpace(one); one == "" {
-			return vary, fmt.Errorf("%q: a value is empty", text)
+	vary := Vary{Key: key}
+	for _, value := range splitValues(list) {
+		value = strings.TrimSpace(value)
+		if value == "" {
+			return Vary{}, fmt.Errorf("%q: a value is empty", text)
 		}
-		vary.Values = append(vary.Values, one)
+		vary.Values = append(vary.Values, value)
 	}
 	return vary, nil
 }
 
-// splitValues parts a list at its commas, but not at those in brackets, braces or quotes.
+// parseRange returns the values of "from..to/steps".
+func parseRange(text string) (values []string, ok bool) {
+	fromText, toAndSteps, _ := strings.Cut(text, "..")
+	toText, stepsText, ok := strings.Cut(toAndSteps, "/")
+	from, fromErr := strconv.ParseFloat(fromText, 64)
+	to, toErr := strconv.ParseFloat(toText, 64)
+	steps, stepsErr := strconv.Atoi(stepsText)
+	if !ok || fromErr != nil || toErr != nil || stepsErr != nil || steps < 2 || steps > maxSteps {
+		return nil, false
+	}
+	for i := range steps {
+		value := from + (to-from)*float64(i)/float64(steps-1)
+		values = append(values, strconv.FormatFloat(math.Round(value*1e9)/1e9, 'g', -1, 64))
+	}
+	return values, true
+}
+
+// splitValues splits a list at its commas, but not at those in brackets, braces or quotes.
 func splitValues(list string) []string {
 	var all []string
 	depth, quoted, from := 0, false, 0
@@ -75,73 +89,98 @@
 type Variation struct {
 	Spec        *scenario.Scenario
 	Vary        Vary
-	Curves      Vary // a curve for each; no values: one curve
+	Curves      Vary // a curve for each value; no values: one curve
 	Seeds       []uint64
 	Driver      string
 	Subject     Subject
 	Figure      string // the headline that is drawn
-	Parallelism int
-	Job         Job
+	Parallelism int    // runs at once; 0: as many as there are processors
+	Job         Job    // what else is set in each run
 }
 
-// Run plays a sweep.
-func (s *Variation) Run(ctx context.Context, notified func(done, of int)) (*report.Variation, error) {
-	second := s.Curves.Values
-	if len(second) == 0 {
-		second = []string{""}
+// Run runs the scenario with each pair of values on all seeds. It checks all values before the first run. Unless it is nil,
+// onProgress is called after each run.
+func (v *Variation) Run(ctx context.Context, onProgress func(done, total int)) (*report.Variation, error) {
+	result := &report.Variation{
+		Title: v.Spec.Name, Description: v.Spec.Description, Param: v.Vary.Key, Second: v.Curves.Key, Metric: v.Figure,
+		Scenario: string(scenario.Encode(v.Spec)), Build: v.Subject.Name,
 	}
-	outputs := &report.Variation{
-		Title: s.Spec.Name, Description: s.Spec.Description, Param: s.Vary.Key, Second: s.Curves.Key, Metric: s.Figure,
-		Scenario: string(scenario.Encode(s.Spec)), Build: s.Subject.Name,
-	}
-	numbers := true
-	for _, a := range s.Vary.Values {
-		_, err := strconv.ParseFloat(a, 64)
-		numbers = numbers && err == nil
+	curveValues := v.Curves.Values
+	if len(curveValues) == 0 {
+		curveValues = []string{""}
 	}
 	var jobs []Job
-	for _, b := range second {
-		curve := report.Curve{Name: b}
-		for k, a := range s.Vary.Values {
-			point := report.Point{X: float64(k), Label: a}
-			if numbers {
-				point.X, _ = strconv.ParseFloat(a, 64)
-				point.Label = ""
-			}
-			curve.Points = append(curve.Points, point)
-			subject := s.Subject
-			subject.Set = append(subject.Set[:len(subject.Set):len(subject.Set)], s.Vary.Key+"="+a)
-			if b != "" {
-				subject.Set = append(subject.Set, s.Curves.Key+"="+b)
-			}
-			if _, err := ApplyChanges(s.Spec, subject.Set); err != nil {
-				return nil, err // before anything is played
-			}
-			for _, seed := range s.Seeds {
-				job := s.Job
-				job.Spec, job.Seed, job.Driver, job.Subject = s.Spec, seed, s.Driver, subject
-				jobs = append(jobs, job)
+	for _, curveValue := range curveValues {
+		result.Curves = append(result.Curves, report.Curve{Name: curveValue, Points: newPoints(v.Vary.Values)})
+		for _, value := range v.Vary.Values {
+			pointJobs, err := v.pointJobs(value, curveValue)
+			if err != nil {
+				return nil, err
 			}
+			jobs = append(jobs, pointJobs...)
 		}
-		outputs.Curves = append(outputs.Curves, curve)
 	}
-	each := len(s.Seeds)
-	err := Batch(ctx, jobs, s.Parallelism, func(i int, p *RunResult) error {
-		if notified != nil {
-			notified(i+1, len(jobs))
-		}
-		point := &outputs.Curves[i/each/len(s.Vary.Values)].Points[i/each%len(s.Vary.Values)]
-		point.Broken += p.Violations()
-		if p.InvalidReason() == "" {
-			point.Results = append(point.Results, p.Result())
+	err := Batch(ctx, jobs, v.Parallelism, func(i int, run *RunResult) error {
+		if onProgress != nil {
+			onProgress(i+1, len(jobs))
 		}
+		pointNumber := i / len(v.Seeds)
+		curve := &result.Curves[pointNumber/len(v.Vary.Values)]
+		addToPoint(&curve.Points[pointNumber%len(v.Vary.Values)], run)
 		return nil
 	})
 	if err != nil {
 		return nil, err
 	}
-	for i := range outputs.Curves {
-		slices.SortStableFunc(outputs.Curves[i].Points, func(a, b report.Point) int { return cmp.Compare(a.X, b.X) })
+	for _, curve := range result.Curves {
+		slices.SortStableFunc(curve.Points, func(a, b report.Point) int { return cmp.Compare(a.X, b.X) })
+	}
+	return result, nil
+}
+
+// newPoints are the points of a curve: at the values if all are numbers, or else at 0, 1, 2 with the values as labels.
+func newPoints(values []string) []report.Point {
+	points := make([]report.Point, len(values))
+	for i, value := range values {
+		x, err := strconv.ParseFloat(value, 64)
+		if err != nil {
+			return newLabelledPoints(values)
+		}
+		points[i].X = x
+	}
+	return points
+}
+
+func newLabelledPoints(values []string) []report.Point {
+	points := make([]report.Point, len(values))
+	for i, value := range values {
+		points[i] = report.Point{X: float64(i), Label: value}
+	}
+	return points
+}
+
+// pointJobs are the runs of a point, one for each seed.
+func (v *Variation) pointJobs(value, curveValue string) ([]Job, error) {
+	subject := v.Subject
+	subject.Set = append(slices.Clone(subject.Set), v.Vary.Key+"="+value)
+	if curveValue != "" {
+		subject.Set = append(subject.Set, v.Curves.Key+"="+curveValue)
+	}
+	if _, err := ApplyChanges(v.Spec, subject.Set); err != nil {
+		return nil, err
+	}
+	var jobs []Job
+	for _, seed := range v.Seeds {
+		job := v.Job
+		job.Spec, job.Seed, job.Driver, job.Subject = v.Spec, seed, v.Driver, subject
+		jobs = append(jobs, job)
+	}
+	return jobs, nil
+}
+
+func addToPoint(point *report.Point, run *RunResult) {
+	point.Broken += run.Violations()
+	if run.InvalidReason() == "" {
+		point.Results = append(point.Results, run.Result())
 	}
-	return outputs, nil
 }
