--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -167,7 +167,7 @@
 			t.Fatalf("curve %s has its points out of order", c.Name)
 		}
 		low, high := c.Points[0].Results, c.Points[1].Results
-		if len(low) != 2 || len(high) != 2 || low[0].Whole.Due >= high[0].Whole.Due {
+		if len(low) != 2 || len(high) != 2 || low[0].Whole.JobsDue >= high[0].Whole.JobsDue {
 			t.Errorf("curve %s: the plays are not those of their points", c.Name)
 		}
 	}
--- a/internal/testbed/report/golden_test.go
+++ b/internal/testbed/report/golden_test.go
@@ -44,8 +44,8 @@
 	return []score.Evaluation{
 		{Expectation: scenario.Expectation{Metric: "in_time", Operator: ">=", Bound: 0.5}, Value: 0.75, OK: true},
 		{Expectation: scenario.Expectation{Metric: "p99_ms", Group: "cash-payout", Operator: "<=", Bound: 100}, Value: 250.5},
-		{Expectation: scenario.Expectation{Metric: "in_time", Operator: ">", Bound: 0.9}, Value: math.NaN(), Remark: "none was due"},
-		{Expectation: scenario.Expectation{Metric: "recovered_within", Operator: "<=", Bound: 5}, Value: math.Inf(1), Remark: "not seen to end"},
+		{Expectation: scenario.Expectation{Metric: "in_time", Operator: ">", Bound: 0.9}, Value: math.NaN(), Reason: "none was due"},
+		{Expectation: scenario.Expectation{Metric: "recovered_within", Operator: "<=", Bound: 5}, Value: math.Inf(1), Reason: "not seen to end"},
 	}
 }
 
--- a/internal/testbed/report/html.go
+++ b/internal/testbed/report/html.go
@@ -179,7 +179,7 @@
 		{"worst 10 s", three(w.Worst10), "from " + formatSeconds(w.Worst10At)},
 		{"worst class", three(w.WorstClass.Value), w.WorstClass.Name},
 		{"worst tenant", three(w.WorstTenant.Value), w.WorstTenant.Name},
-		{"jobs", formatCount(result.Whole.Due), formatPercent(result.Whole.Shares.InTime) + " in time"},
+		{"jobs", formatCount(result.Whole.JobsDue), formatPercent(result.Whole.Shares.InTime) + " in time"},
 		{"p50", formatMillis(result.Whole.Latency.P50), "from due to served"},
 		{"p99", formatMillis(result.Whole.Latency.P99), "slowest " + formatMillis(result.Whole.Latency.Max)},
 		{"refused", formatPercent(result.Whole.Shares.Rejected), "of jobs"},
@@ -224,7 +224,7 @@
 		if !m.OK {
 			word, class = "not met", "poor"
 		}
-		t.row(m.Expectation.String(), formatValue(m), word, m.Remark)
+		t.row(m.Expectation.String(), formatValue(m), word, m.Reason)
 		t.setClass(class, 2)
 		t.setClass("text", 3)
 	}
@@ -313,9 +313,9 @@
 		Head:    []string{"", "served", "p50", "p90", "p99", "p99.9", "slowest"},
 	}
 	row := func(g *score.Group) {
-		cells := []string{formatCount(g.Due), formatNumber(g.Requested), formatPercent(g.EarnedShare), formatPercent(g.EarnedShareWithinQuota)}
+		cells := []string{formatCount(g.JobsDue), formatNumber(g.Requested), formatPercent(g.EarnedShare), formatPercent(g.EarnedShareWithinQuota)}
 		for _, i := range shown {
-			cells = append(cells, formatPercent(float64(g.Outcomes[i])/float64(max(1, g.Due))))
+			cells = append(cells, formatPercent(float64(g.Outcomes[i])/float64(max(1, g.JobsDue))))
 		}
 		if result.Whole.Open > 0 {
 			cells = append(cells, formatCount(g.Open))
@@ -462,7 +462,7 @@
 		{"attempts of queries long over", effort.Duplicates},
 		{"sights of what is not open", effort.Unknown},
 	} {
-		a.row(entry.name, formatCount(entry.n), formatNumber(float64(entry.n)/float64(max(1, result.Whole.Due))))
+		a.row(entry.name, formatCount(entry.n), formatNumber(float64(entry.n)/float64(max(1, result.Whole.JobsDue))))
 	}
 	a.row("most attempts of one job", formatCount(effort.MaxAttempts), "")
 	b := table{Caption: "Work, in seconds at speed 1 times slots", Head: []string{"", "work", "of the work asked for"}}
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -177,7 +177,7 @@
 		p.tty = onTerminal
 		for ms := 0; ms <= 90_000; ms += 250 {
 			x := score.Snapshot{
-				At: time.Duration(ms) * time.Millisecond, Due: ms / 10, InTime: ms / 20, Rejected: ms / 1000,
+				At: time.Duration(ms) * time.Millisecond, JobsDue: ms / 10, InTime: ms / 20, Rejected: ms / 1000,
 				InFlight: 12, WorkersUp: 9, Workers: 10,
 			}
 			if ms >= 2000 && ms < 3000 {
--- a/internal/testbed/report/terminal.go
+++ b/internal/testbed/report/terminal.go
@@ -77,7 +77,7 @@
 func (p *Progress) line(t *score.Snapshot, since time.Duration) string {
 	rate := func(now, before int) string { return formatNumber(float64(now-before) / since.Seconds()) }
 	line := fmt.Sprintf("%6s  asked %4s/s  in time %4s/s  refused %4s/s  in flight %5s  nodes %d/%d",
-		fmt.Sprint(int(t.At.Seconds()), " s"), rate(t.Due, p.last.Due), rate(t.InTime, p.last.InTime),
+		fmt.Sprint(int(t.At.Seconds()), " s"), rate(t.JobsDue, p.last.JobsDue), rate(t.InTime, p.last.InTime),
 		rate(t.Rejected, p.last.Rejected), formatCount(t.InFlight), t.WorkersUp, t.Workers)
 	for i, f := range t.Faults {
 		f, _, _ = strings.Cut(f, ":") // what, without whom it strikes
@@ -180,8 +180,8 @@
 			word, style = "NOT MET", poor
 		}
 		note := ""
-		if m.Remark != "" {
-			note = " (" + m.Remark + ")"
+		if m.Reason != "" {
+			note = " (" + m.Reason + ")"
 		}
 		p.line(style, "%s  %s: %s%s", word, m.Expectation, formatValue(m), note)
 	})
@@ -200,8 +200,10 @@
 	p.line(faint, "%-18s%7s%8s%7s%8s%7s%9s%6s  %8s%8s%8s", "", "jobs", "in time", "late", "refused", "failed", "unansw.",
 		"lost", "p50", "p99", "max")
 	row := func(g *score.Group) {
-		of := func(o score.JobOutcome) string { return formatPercent(float64(g.Outcomes[o]) / float64(max(1, g.Due))) }
-		p.line(plain, "%-18s%7d%8s%7s%8s%7s%9s%6s  %8s%8s%8s", truncateLine(g.Name, 17), g.Due, of(score.OutcomeInTime), of(score.OutcomeLate),
+		of := func(o score.JobOutcome) string {
+			return formatPercent(float64(g.Outcomes[o]) / float64(max(1, g.JobsDue)))
+		}
+		p.line(plain, "%-18s%7d%8s%7s%8s%7s%9s%6s  %8s%8s%8s", truncateLine(g.Name, 17), g.JobsDue, of(score.OutcomeInTime), of(score.OutcomeLate),
 			of(score.OutcomeRejected), of(score.OutcomeFailed), of(score.OutcomeUnanswered), of(score.OutcomeLost), formatMillis(g.Latency.P50),
 			formatMillis(g.Latency.P99), formatMillis(g.Latency.Max))
 	}
--- a/internal/testbed/score/check.go
+++ b/internal/testbed/score/check.go
@@ -12,7 +12,7 @@
 	Expectation scenario.Expectation
 	Value       float64 // NaN: there is no such figure; +Inf: not seen to end
 	OK          bool
-	Remark      string // why there is none
+	Reason      string // why there is none
 }
 
 // MarshalJSON writes the expectation as a scenario does, and null for a figure that is none.
@@ -22,7 +22,7 @@
 		Got         *float64 `json:"got"`
 		OK          bool     `json:"ok"`
 		Note        string   `json:"note,omitempty"`
-	}{Expectation: m.Expectation.String(), OK: m.OK, Note: m.Remark}
+	}{Expectation: m.Expectation.String(), OK: m.OK, Note: m.Reason}
 	if !math.IsNaN(m.Value) && !math.IsInf(m.Value, 0) {
 		out.Got = &m.Value
 	}
@@ -35,17 +35,17 @@
 	out := make([]Evaluation, len(expect))
 	for i, e := range expect {
 		m := Evaluation{Expectation: e}
-		m.Value, m.Remark = r.Figure(e.Metric, e.Group, broken)
+		m.Value, m.Reason = r.MetricValue(e.Metric, e.Group, broken)
 		m.OK = e.IsMet(m.Value)
 		out[i] = m
 	}
 	return out
 }
 
-// Figure is a figure by the name that expectations know it by, of a class, a tenant (whose worth in time is that
+// MetricValue is a figure by the name that expectations know it by, of a class, a tenant (whose worth in time is that
 // within its share) or all. Where it can't be had it is NaN, or +Inf for a disturbance that was not seen to end, and
 // note says why.
-func (r *Result) Figure(figure, of string, broken int) (x float64, note string) {
+func (r *Result) MetricValue(figure, of string, broken int) (x float64, note string) {
 	switch figure {
 	case "rules_broken":
 		return float64(broken), ""
@@ -63,7 +63,7 @@
 	switch {
 	case group == nil:
 		return math.NaN(), "no class or tenant " + of
-	case group.Due == 0:
+	case group.JobsDue == 0:
 		return math.NaN(), "no job was due"
 	}
 	switch figure {
--- a/internal/testbed/score/headline.go
+++ b/internal/testbed/score/headline.go
@@ -50,7 +50,7 @@
 
 func metricOf(name string) func(*Result) float64 {
 	return func(r *Result) float64 {
-		x, _ := r.Figure(name, "", 0)
+		x, _ := r.MetricValue(name, "", 0)
 		return x
 	}
 }
--- a/internal/testbed/score/result.go
+++ b/internal/testbed/score/result.go
@@ -93,7 +93,7 @@
 	RequestedWithinQuota   float64           `json:"worth_asked_within"` // of jobs within their tenant's share
 	EarnedWithinQuota      float64           `json:"worth_earned_within"`
 	EarnedShareWithinQuota float64           `json:"in_time_within"` // EarnedWithin over AskedWithin
-	Due                    int               `json:"due"`
+	JobsDue                int               `json:"due"`
 	Open                   int               `json:"open"` // not settled when the play ended
 	Outcomes               [outcomeCount]int `json:"outcomes"`
 	Shares                 OutcomeShares     `json:"shares"`
@@ -343,7 +343,7 @@
 
 func (g *group) result(name string) Group {
 	out := Group{
-		Name: name, Requested: g.value.requested, Earned: g.value.earned, Due: g.jobsDue, Outcomes: g.outcomes,
+		Name: name, Requested: g.value.requested, Earned: g.value.earned, JobsDue: g.jobsDue, Outcomes: g.outcomes,
 		Latency: latencyOf(g.histogram), RequestedWithinQuota: g.valueWithinQuota.requested, EarnedWithinQuota: g.valueWithinQuota.earned, histogram: g.histogram,
 	}
 	out.finish(g.attempts)
@@ -355,9 +355,9 @@
 	for _, n := range g.Outcomes {
 		settled += n
 	}
-	g.Open = g.Due - settled
+	g.Open = g.JobsDue - settled
 	g.EarnedShare, g.EarnedShareWithinQuota = share(g.Earned, g.Requested), share(g.EarnedWithinQuota, g.RequestedWithinQuota)
-	of := func(n int) float64 { return share(float64(n), float64(g.Due)) }
+	of := func(n int) float64 { return share(float64(n), float64(g.JobsDue)) }
 	o := &g.Outcomes
 	g.Shares = OutcomeShares{
 		of(o[OutcomeInTime] + o[OutcomeLate]), of(o[OutcomeInTime]), of(o[OutcomeRejected]), of(o[OutcomeFailed]), of(o[OutcomeUnanswered]),
@@ -375,7 +375,7 @@
 		all.Earned += c.Earned
 		all.RequestedWithinQuota += c.RequestedWithinQuota
 		all.EarnedWithinQuota += c.EarnedWithinQuota
-		all.Due += c.Due
+		all.JobsDue += c.JobsDue
 		for k, n := range c.Outcomes {
 			all.Outcomes[k] += n
 		}
@@ -502,7 +502,7 @@
 func (s *Score) effortAndWaste() (Effort, Waste) {
 	effort := s.effort.Effort
 	effort.RequestsServed, effort.RequestsRejected, effort.RequestsFailed = s.responses[0], s.responses[1], s.responses[2]
-	effort.PerJob = share(float64(effort.Attempts), float64(s.due))
+	effort.PerJob = share(float64(effort.Attempts), float64(s.jobsDue))
 	effort.WorkRequested, effort.WorkRun, effort.WorkUseful = s.effort.workRequested, s.effort.workRun, s.effort.workUseful
 	w := &s.effort.wasted
 	out := Waste{
@@ -520,7 +520,7 @@
 }
 
 func (s *Score) occupancy() Occupancy {
-	out := Occupancy{Workers: make([]WorkerUse, 0, len(s.workers)), CellSeconds: s.rows[0].available.width.Seconds()}
+	out := Occupancy{Workers: make([]WorkerUse, 0, len(s.workers)), CellSeconds: s.strip[0].available.width.Seconds()}
 	var use, available, sum float64
 	counted, within := 0, s.settleWindow()
 	for i := range s.workers {
@@ -547,9 +547,9 @@
 	}
 	out.Whole, out.Mean = share(use, available), share(sum, float64(counted))
 	out.OverMean = share(out.Busiest, out.Mean)
-	out.Strip = make([]StripLine, len(s.rows))
+	out.Strip = make([]StripLine, len(s.strip))
 	for i := range out.Strip {
-		out.Strip[i] = StripLine{First: -1, Use: s.rows[i].series(s.now, -1)}
+		out.Strip[i] = StripLine{First: -1, Use: s.strip[i].series(s.now, -1)}
 	}
 	for i := range max(len(s.workers), s.spec.Fleet.Workers) {
 		line := &out.Strip[s.stripRowOf(i)]
@@ -564,7 +564,7 @@
 // Snapshot is how a play stands: cheap to take, while it runs.
 type Snapshot struct {
 	At        time.Duration
-	Due       int
+	JobsDue   int
 	InTime    int
 	Settled   int
 	Rejected  int // tries
@@ -577,7 +577,7 @@
 // Snapshot takes one. It keeps the room of t.Faults.
 func (s *Score) Snapshot(t *Snapshot) {
 	*t = Snapshot{
-		At: s.now, Due: s.due, InTime: s.inTime, Settled: s.settled, Rejected: s.responses[requestRejected-requestServed],
+		At: s.now, JobsDue: s.jobsDue, InTime: s.inTime, Settled: s.settled, Rejected: s.responses[requestRejected-requestServed],
 		InFlight: len(s.jobs), WorkersUp: s.workersUp, Workers: max(len(s.workers), s.spec.Fleet.Workers), Faults: t.Faults[:0],
 	}
 	for i := range s.faults {
--- a/internal/testbed/score/score.go
+++ b/internal/testbed/score/score.go
@@ -32,9 +32,9 @@
 
 // Options is what a score is told beside the scenario.
 type Options struct {
-	Seed   uint64
-	Driver string // scenario.Virtual or scenario.Live
-	Rows   int    // of the occupancy strip; default 200
+	Seed      uint64
+	Driver    string // scenario.Virtual or scenario.Live
+	StripRows int    // of the occupancy strip; default 200
 }
 
 // Score takes in the sights of one play. It is used by one goroutine.
@@ -57,7 +57,7 @@
 	latency            []latencyPoint // of the seconds before
 
 	workers         []workerUsage
-	rows            []stripRow
+	strip           []stripRow
 	fleet           stripRow // by the second
 	workersUp       int
 	workersUpCurve  binnedMeter
@@ -70,7 +70,7 @@
 	effort          effort
 	misbehaving     []MisbehavingCounts
 	misbehavingOpen map[uint64]misbehavingConn
-	due             int
+	jobsDue         int
 	settled         int
 	inTime          int
 	responses       [3]int // tries answered: served, refused, failed
@@ -201,8 +201,8 @@
 
 // New returns a score of a play of a checked scenario.
 func New(spec *scenario.Scenario, opt Options) *Score {
-	if opt.Rows <= 0 {
-		opt.Rows = 200
+	if opt.StripRows <= 0 {
+		opt.StripRows = 200
 	}
 	score := &Score{
 		spec: spec, options: opt, length: spec.Length.Std(),
@@ -222,10 +222,10 @@
 	score.latency = make([]latencyPoint, 0, seconds)
 	score.workersUpCurve = newBinnedMeter(time.Second, seconds)
 	score.fleet = stripRow{use: newBinnedMeter(time.Second, seconds), available: newBinnedMeter(time.Second, seconds)}
-	score.rows = make([]stripRow, min(opt.Rows, max(1, spec.Fleet.Workers)))
+	score.strip = make([]stripRow, min(opt.StripRows, max(1, spec.Fleet.Workers)))
 	cell := (whole/(600*time.Second) + 1) * time.Second
-	for i := range score.rows {
-		score.rows[i] = stripRow{use: newBinnedMeter(cell, int(whole/cell)+2), available: newBinnedMeter(cell, int(whole/cell)+2)}
+	for i := range score.strip {
+		score.strip[i] = stripRow{use: newBinnedMeter(cell, int(whole/cell)+2), available: newBinnedMeter(cell, int(whole/cell)+2)}
 	}
 	score.workers = make([]workerUsage, spec.Fleet.Workers)
 	return score
@@ -345,7 +345,7 @@
 		j.value *= s.spec.Load.OverQuotaWeight
 	}
 	s.jobs[event.JobID] = j
-	s.due++
+	s.jobsDue++
 	s.effort.workRequested += j.work
 
 	of, by := &s.classes[event.Class], s.tenantGroup(event.Tenant)
@@ -707,30 +707,30 @@
 
 // requestQueue is a ring of queries.
 type requestQueue struct {
-	ring   []*request // its length is a power of two
-	head   int
-	length int
+	ring       []*request // its length is a power of two
+	firstIndex int
+	length     int
 }
 
 func (q *requestQueue) len() int        { return q.length }
-func (q *requestQueue) first() *request { return q.ring[q.head] }
+func (q *requestQueue) first() *request { return q.ring[q.firstIndex] }
 
 func (q *requestQueue) push(c *request) {
 	if q.length == len(q.ring) {
 		ring := make([]*request, max(64, 2*q.length))
 		for i := range q.length {
-			ring[i] = q.ring[(q.head+i)&(q.length-1)]
+			ring[i] = q.ring[(q.firstIndex+i)&(q.length-1)]
 		}
-		q.ring, q.head = ring, 0
+		q.ring, q.firstIndex = ring, 0
 	}
-	q.ring[(q.head+q.length)&(len(q.ring)-1)] = c
+	q.ring[(q.firstIndex+q.length)&(len(q.ring)-1)] = c
 	q.length++
 }
 
 func (q *requestQueue) pop() *request {
-	c := q.ring[q.head]
-	q.ring[q.head] = nil
-	q.head = (q.head + 1) & (len(q.ring) - 1)
+	c := q.ring[q.firstIndex]
+	q.ring[q.firstIndex] = nil
+	q.firstIndex = (q.firstIndex + 1) & (len(q.ring) - 1)
 	q.length--
 	return c
 }
@@ -766,10 +766,10 @@
 	return slots / shares
 }
 
-func (s *Score) stripRow(i int) *stripRow { return &s.rows[s.stripRowOf(i)] }
+func (s *Score) stripRow(i int) *stripRow { return &s.strip[s.stripRowOf(i)] }
 
 func (s *Score) stripRowOf(i int) int {
-	return min(i*len(s.rows)/max(1, s.spec.Fleet.Workers), len(s.rows)-1)
+	return min(i*len(s.strip)/max(1, s.spec.Fleet.Workers), len(s.strip)-1)
 }
 
 // setUp counts a worker node as up from now on.
--- a/internal/testbed/score/score_test.go
+++ b/internal/testbed/score/score_test.go
@@ -223,7 +223,7 @@
 				worth *= m.s.spec.Load.OverQuotaWeight
 			}
 			for _, g := range []*Group{&class[j.class], &tenant[j.tenant]} {
-				g.Due++
+				g.JobsDue++
 				g.Requested += worth
 				if j.settledAt == 0 {
 					g.Open++
@@ -239,12 +239,12 @@
 	for k, side := range [][2][]Group{{r.Classes, class}, {r.Tenants, tenant}} {
 		for i, want := range side[1] {
 			got := side[0][i]
-			if got.Due != want.Due || got.Open != want.Open || got.Outcomes != want.Outcomes {
+			if got.JobsDue != want.JobsDue || got.Open != want.Open || got.Outcomes != want.Outcomes {
 				m.t.Fatalf("%s: got %+v, want %+v", got.Name, got, want)
 			}
 			same("asked", got.Requested, want.Requested)
 			same("earned", got.Earned, want.Earned)
-			sums[k].Due += got.Due
+			sums[k].JobsDue += got.JobsDue
 			sums[k].Open += got.Open
 			sums[k].Requested += got.Requested
 			sums[k].Earned += got.Earned
@@ -253,14 +253,14 @@
 				sums[k].Outcomes[o] += n
 			}
 		}
-		if sums[k].Due != r.Whole.Due || sums[k].Open != r.Whole.Open || sums[k].Outcomes != r.Whole.Outcomes ||
+		if sums[k].JobsDue != r.Whole.JobsDue || sums[k].Open != r.Whole.Open || sums[k].Outcomes != r.Whole.Outcomes ||
 			sums[k].Attempts != float64(r.Whole.Latency.Count) {
 			m.t.Fatalf("parts %+v, whole %+v", sums[k], r.Whole)
 		}
 		same("asked of all", sums[k].Requested, r.Whole.Requested)
 		same("earned of all", sums[k].Earned, r.Whole.Earned)
 	}
-	same("due by second", r.Seconds.DueJobs.Sum(), float64(r.Whole.Due))
+	same("due by second", r.Seconds.DueJobs.Sum(), float64(r.Whole.JobsDue))
 	same("worth by second due", r.Seconds.DueValueEarned.Sum(), r.Whole.Earned)
 	same("goodput by second", r.Seconds.GoodputValue.Sum(), r.Whole.Earned)
 	same("jobs in time by second", r.Seconds.GoodputJobs.Sum(), float64(r.Whole.Outcomes[OutcomeInTime]))
@@ -429,11 +429,11 @@
 	}, r, 1)
 	for i, want := range []bool{true, false, true, false, false} {
 		if met[i].OK != want {
-			t.Errorf("%v: got %v %s", met[i].Expectation, met[i].Value, met[i].Remark)
+			t.Errorf("%v: got %v %s", met[i].Expectation, met[i].Value, met[i].Reason)
 		}
 	}
 	for _, f := range scenario.Metrics {
-		if x, note := r.Figure(f.Name, "", 0); math.IsNaN(x) {
+		if x, note := r.MetricValue(f.Name, "", 0); math.IsNaN(x) {
 			t.Errorf("%s: %s", f.Name, note)
 		}
 	}
--- a/scenarios/plays_test.go
+++ b/scenarios/plays_test.go
@@ -42,7 +42,7 @@
 			}
 			for _, m := range p.Document.Expectations {
 				if !m.OK {
-					t.Errorf("expected %v, got %.4g %s", m.Expectation, m.Value, m.Remark)
+					t.Errorf("expected %v, got %.4g %s", m.Expectation, m.Value, m.Reason)
 				}
 			}
 			if len(p.Document.Expectations) == 0 {
