--- a/internal/testbed/score/check.go
+++ b/internal/testbed/score/check.go
@@ -7,48 +7,51 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// Evaluation is an expectation and what became of it.
+// Evaluation is an expectation with the value that a run has for it.
 type Evaluation struct {
 	Expectation scenario.Expectation
-	Value       float64 // NaN: there is no such figure; +Inf: not seen to end
+	Value       float64 // NaN: not available; +Inf: not seen to end
 	OK          bool
-	Reason      string // why there is none
+	Reason      string // why the value is not available
 }
 
-// MarshalJSON writes the expectation as a scenario does, and null for a figure that is none.
-func (m Evaluation) MarshalJSON() ([]byte, error) {
-	out := struct {
+// MarshalJSON writes the expectation as a scenario does, and null for a value that is no number.
+func (e Evaluation) MarshalJSON() ([]byte, error) {
+	form := struct {
 		Expectation string   `json:"expectation"`
-		Got         *float64 `json:"got"`
+		Value       *float64 `json:"got"`
 		OK          bool     `json:"ok"`
-		Note        string   `json:"note,omitempty"`
-	}{Expectation: m.Expectation.String(), OK: m.OK, Note: m.Reason}
-	if !math.IsNaN(m.Value) && !math.IsInf(m.Value, 0) {
-		out.Got = &m.Value
+		Reason      string   `json:"note,omitempty"`
+	}{Expectation: e.Expectation.String(), OK: e.OK, Reason: e.Reason}
+	if !math.IsNaN(e.Value) && !math.IsInf(e.Value, 0) {
+		form.Value = &e.Value
 	}
-	return json.Marshal(out)
+	return json.Marshal(form)
 }
 
-// Check holds a result to expectations. broken is how often the judge found a rule broken. Shares and latencies of
-// jobs of which none was due or served, as the case may be, meet nothing.
-func Check(expect []scenario.Expectation, r *Result, broken int) []Evaluation {
-	out := make([]Evaluation, len(expect))
-	for i, e := range expect {
-		m := Evaluation{Expectation: e}
-		m.Value, m.Reason = r.MetricValue(e.Metric, e.Group, broken)
-		m.OK = e.IsMet(m.Value)
-		out[i] = m
+// Check evaluates expectations. Violations is how many violations of invariants the checker found. Shares and latencies
+// of groups without a job that counts meet nothing.
+func Check(expectations []scenario.Expectation, result *Result, violations int) []Evaluation {
+	evaluations := make([]Evaluation, len(expectations))
+	for i, expectation := range expectations {
+		value, reason := result.MetricValue(expectation.Metric, expectation.Group, violations)
+		evaluations[i] = Evaluation{
+			Expectation: expectation,
+			Value:       value,
+			OK:          expectation.IsMet(value),
+			Reason:      reason,
+		}
 	}
-	return out
+	return evaluations
 }
 
-// MetricValue is a figure by the name that expectations know it by, of a class, a tenant (whose worth in time is that
-// within its share) or all. Where it can't be had it is NaN, or +Inf for a disturbance that was not seen to end, and
-// note says why.
-func (r *Result) MetricValue(figure, of string, broken int) (x float64, note string) {
-	switch figure {
+// MetricValue returns the value of a metric by its name in expectations, of a class, a tenant (its value earned is that
+// within its quota) or, without a group, of all. A value that is not available is NaN, or +Inf for a disturbance that was
+// not seen to end; the reason is given then.
+func (r *Result) MetricValue(metric, group string, violations int) (value float64, reason string) {
+	switch metric {
 	case "rules_broken":
-		return float64(broken), ""
+		return float64(violations), ""
 	case "waste":
 		return r.Waste.Share, ""
 	case "attempts":
@@ -59,55 +62,69 @@
 		}
 		return r.Recovery.Seconds, ""
 	}
-	group, tenant := r.group(of)
+	members, isTenant := r.group(group)
 	switch {
-	case group == nil:
-		return math.NaN(), "no class or tenant " + of
-	case group.JobsDue == 0:
+	case members == nil:
+		return math.NaN(), "no class or tenant " + group
+	case members.JobsDue == 0:
 		return math.NaN(), "no job was due"
+	case metric == "in_time" && isTenant:
+		return members.earnedWithinQuota()
 	}
-	switch figure {
+	return members.metricValue(metric)
+}
+
+// metricValue returns the value of a metric that groups have.
+func (g *Group) metricValue(metric string) (value float64, reason string) {
+	switch metric {
 	case "in_time":
-		if tenant {
-			if group.RequestedWithinQuota <= 0 {
-				return math.NaN(), "no job within its share was due"
-			}
-			return group.EarnedShareWithinQuota, ""
-		}
-		return group.EarnedShare, ""
+		return g.EarnedShare, ""
 	case "served":
-		return group.Shares.Served, ""
+		return g.Shares.Served, ""
 	case "refused":
-		return group.Shares.Rejected, ""
+		return g.Shares.Rejected, ""
 	case "failed":
-		return group.Shares.Failed, ""
+		return g.Shares.Failed, ""
 	case "lost":
-		return group.Shares.Lost, ""
+		return g.Shares.Lost, ""
 	case "unanswered":
-		return group.Shares.Unanswered, ""
-	case "p50_ms", "p99_ms":
-		if group.Latency.Count == 0 {
-			return math.NaN(), "no job was served"
-		}
-		if figure == "p50_ms" {
-			return group.Latency.P50, ""
-		}
-		return group.Latency.P99, ""
+		return g.Shares.Unanswered, ""
+	case "p50_ms":
+		return g.latencyValue(g.Latency.P50)
+	case "p99_ms":
+		return g.latencyValue(g.Latency.P99)
+	}
+	return math.NaN(), "no figure " + metric
+}
+
+// latencyValue returns a latency in milliseconds, if a job was served.
+func (g *Group) latencyValue(latency float64) (value float64, reason string) {
+	if g.Latency.Count == 0 {
+		return math.NaN(), "no job was served"
+	}
+	return latency, ""
+}
+
+// earnedWithinQuota returns the share of the value that a tenant requested within its quota.
+func (g *Group) earnedWithinQuota() (value float64, reason string) {
+	if g.RequestedWithinQuota <= 0 {
+		return math.NaN(), "no job within its share was due"
 	}
-	return math.NaN(), "no figure " + figure
+	return g.EarnedShareWithinQuota, ""
 }
 
-func (r *Result) group(of string) (g *Group, tenant bool) {
-	if of == "" {
+// group returns the class or tenant of a name, or all jobs for an empty name; nil if there is none.
+func (r *Result) group(name string) (members *Group, isTenant bool) {
+	if name == "" {
 		return &r.Whole, false
 	}
 	for i := range r.Classes {
-		if r.Classes[i].Name == of {
+		if r.Classes[i].Name == name {
 			return &r.Classes[i], false
 		}
 	}
 	for i := range r.Tenants {
-		if r.Tenants[i].Name == of {
+		if r.Tenants[i].Name == name {
 			return &r.Tenants[i], true
 		}
 	}
--- a/internal/testbed/score/headline.go
+++ b/internal/testbed/score/headline.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// Headline is a figure of a whole play by which plays are compared. Those that expectations know bear the same names.
+// Headline is a metric of a whole run by which runs are compared. It has the name that expectations use, if they have it.
 type Headline struct {
 	Name        string
 	Description string
 	Better      Sense
-	ValueOf     func(r *Result) float64 // NaN: there is none
+	ValueOf     func(result *Result) float64 // NaN: not available
 }
 
-// Headlines are all of them, the most telling first.
+// Headlines has all headlines, the most important first.
 var Headlines = []Headline{
 	{
 		"mix", "40% the whole play, 15% its worst 10 s, 20% the worst class, 25% the worst tenant within its share", Higher,
@@ -48,37 +48,38 @@
 	},
 }
 
-func metricOf(name string) func(*Result) float64 {
-	return func(r *Result) float64 {
-		x, _ := r.MetricValue(name, "", 0)
-		return x
+// metricOf returns the function that computes a metric of expectations, of all jobs.
+func metricOf(metric string) func(*Result) float64 {
+	return func(result *Result) float64 {
+		value, _ := result.MetricValue(metric, "", 0)
+		return value
 	}
 }
 
-// HeadlineOf finds one by its name.
+// HeadlineOf returns the headline of a name, and false if there is none.
 func HeadlineOf(name string) (Headline, bool) {
-	for _, h := range Headlines {
-		if h.Name == name {
-			return h, true
+	for _, headline := range Headlines {
+		if headline.Name == name {
+			return headline, true
 		}
 	}
 	return Headline{}, false
 }
 
-// Values is a headline's figure of each play.
-func (h Headline) Values(plays []*Result) []float64 {
-	out := make([]float64, len(plays))
-	for i, r := range plays {
-		out[i] = h.ValueOf(r)
+// Values returns the headline's value of each run.
+func (h Headline) Values(runs []*Result) []float64 {
+	values := make([]float64, len(runs))
+	for i, result := range runs {
+		values[i] = h.ValueOf(result)
 	}
-	return out
+	return values
 }
 
-// CompareAll compares two sides by every headline. a[i] and b[i] are plays of the same seed.
+// CompareAll compares two sides by every headline. The runs a[i] and b[i] are of the same seed.
 func CompareAll(nameA, nameB string, a, b []*Result) []Paired {
-	out := make([]Paired, len(Headlines))
-	for i, h := range Headlines {
-		out[i] = Compare(h.Name, nameA, nameB, h.Values(a), h.Values(b), h.Better)
+	comparisons := make([]Paired, len(Headlines))
+	for i, headline := range Headlines {
+		comparisons[i] = Compare(headline.Name, nameA, nameB, headline.Values(a), headline.Values(b), headline.Better)
 	}
-	return out
+	return comparisons
 }
--- /dev/null
+++ b/internal/testbed/score/knee.go
@@ -0,0 +1,62 @@
+package score
+
+import "math"
+
+const (
+	minKneeDistance = 0.1 // from the chord, in normalised axes
+	minKneePoints   = 3
+)
+
+// Knee returns the index of the point at which a curve bends most, and false if it has no knee. The points are in order of
+// x, and both axes are normalised to 0..1. The knee is the point farthest from the chord between the first and the last, on
+// its better side: where a metric that is better higher begins to fall, or has risen most of its way. With Neither both
+// sides count. A curve has no knee if it has fewer than three points, a value that is no number, or no point that is a tenth
+// away from the chord.
+func Knee(x, y []float64, better Sense) (index int, ok bool) {
+	count := min(len(x), len(y))
+	if count < minKneePoints {
+		return 0, false
+	}
+	normalX, okX := normalise(x[:count], x[0], x[count-1])
+	low, high := bounds(y[:count])
+	normalY, okY := normalise(y[:count], low, high)
+	if !okX || !okY {
+		return 0, false
+	}
+	slope := normalY[count-1] - normalY[0]
+	largest := 0.0
+	for i := 1; i < count-1; i++ {
+		distance := (normalY[i] - normalY[0] - slope*normalX[i]) / math.Hypot(1, slope)
+		switch better {
+		case Lower:
+			distance = -distance
+		case Neither:
+			distance = math.Abs(distance)
+		}
+		if distance > largest {
+			index, largest = i, distance
+		}
+	}
+	return index, largest >= minKneeDistance
+}
+
+// normalise maps values from low to high to 0..1, and returns false if high is not above low.
+func normalise(values []float64, low, high float64) ([]float64, bool) {
+	if !(high > low) || math.IsInf(high-low, 0) {
+		return nil, false
+	}
+	normal := make([]float64, len(values))
+	for i, value := range values {
+		normal[i] = (value - low) / (high - low)
+	}
+	return normal, true
+}
+
+// bounds returns the smallest and the largest value; NaN, if one is no number.
+func bounds(values []float64) (low, high float64) {
+	low, high = values[0], values[0]
+	for _, value := range values {
+		low, high = min(low, value), max(high, value)
+	}
+	return low, high
+}
--- a/internal/testbed/score/meter.go
+++ b/internal/testbed/score/meter.go
@@ -6,19 +6,23 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxBins bounds every series over time: a day by the second. What falls later counts in the last bin.
+// maxBins bounds every series over time: a day by the second. What is later counts in the last bin.
 const maxBins = 86_400
 
-// meter adds up a quantity over time, as far as a horizon: slots in use, say, in seconds.
+// rounding is what sums of floating-point numbers may differ from 0 by.
+const rounding = 1e-9
+
+// meter integrates a level over time, as in slots in use, in seconds.
 type meter struct {
 	updatedAt time.Duration
 	level     float64
 	integral  float64
 }
 
-func (m *meter) add(at time.Duration, by float64) {
+// add changes the level at an instant.
+func (m *meter) add(at time.Duration, change float64) {
 	m.advanceTo(at)
-	m.level += by
+	m.level += change
 }
 
 func (m *meter) advanceTo(at time.Duration) {
@@ -28,67 +32,80 @@
 	}
 }
 
-// binnedMeter is the same bin by bin.
+// binnedMeter integrates a level over time, bin by bin.
 type binnedMeter struct {
-	width     time.Duration // width
+	width     time.Duration // of a bin
 	updatedAt time.Duration
 	level     float64
 	integrals []float64
 }
 
-func (c *binnedMeter) add(at time.Duration, by float64) {
-	c.advanceTo(at)
-	c.level += by
+func newBinnedMeter(width time.Duration, bins int) binnedMeter {
+	return binnedMeter{width: width, integrals: make([]float64, 0, bins)}
+}
+
+// add changes the level at an instant.
+func (b *binnedMeter) add(at time.Duration, change float64) {
+	b.advanceTo(at)
+	b.level += change
 }
 
-func (c *binnedMeter) advanceTo(at time.Duration) {
-	for c.updatedAt < at {
-		i := min(int(c.updatedAt/c.width), maxBins-1)
-		end := min(at, time.Duration(i+1)*c.width)
+func (b *binnedMeter) advanceTo(at time.Duration) {
+	for b.updatedAt < at {
+		i := min(int(b.updatedAt/b.width), maxBins-1)
+		end := min(at, time.Duration(i+1)*b.width)
 		if i == maxBins-1 {
 			end = at
 		}
-		c.integrals = growTo(c.integrals, i)
-		c.integrals[i] += c.level * (end - c.updatedAt).Seconds()
-		c.updatedAt = end
+		b.integrals = growTo(b.integrals, i)
+		b.integrals[i] += b.level * (end - b.updatedAt).Seconds()
+		b.updatedAt = end
 	}
 }
 
-// means are the quantity's means over each bin. The last bin is taken as far as it has come.
-func (c *binnedMeter) means() Series {
-	out := make(Series, len(c.integrals))
-	for i, sum := range c.integrals {
-		from := time.Duration(i) * c.width
-		if span := min(c.width, c.updatedAt-from); i < maxBins-1 && span > 0 {
-			out[i] = clean(sum / span.Seconds())
+// addFromStart counts a quantity as if it had been there from the start until the present.
+func (b *binnedMeter) addFromStart(quantity float64) {
+	for i := range b.integrals {
+		from := time.Duration(i) * b.width
+		b.integrals[i] += quantity * (min(b.updatedAt, from+b.width) - from).Seconds()
+	}
+}
+
+// means returns the mean level of each bin. The last bin is taken as far as it has passed.
+func (b *binnedMeter) means() Series {
+	means := make(Series, len(b.integrals))
+	for i, integral := range b.integrals {
+		from := time.Duration(i) * b.width
+		if passed := min(b.width, b.updatedAt-from); i < maxBins-1 && passed > 0 {
+			means[i] = clean(integral / passed.Seconds())
 		}
 	}
-	return out
+	return means
 }
 
-// growTo is a slice with room for place i.
-func growTo[T any](s []T, i int) []T {
-	if i < len(s) {
-		return s
+// growTo returns a slice that has an index.
+func growTo[T any](slice []T, index int) []T {
+	if index < len(slice) {
+		return slice
 	}
-	if i < cap(s) {
-		return s[:i+1]
+	if index < cap(slice) {
+		return slice[:index+1]
 	}
-	return append(s, make([]T, i+1-len(s))...)
+	return append(slice, make([]T, index+1-len(slice))...)
 }
 
-// bin is the bin of a second.
+// secondOf returns the bin of an instant, where bins are seconds.
 func secondOf(at time.Duration) int { return min(int(max(at, 0)/time.Second), maxBins-1) }
 
-// clean takes away what adding and taking away in floating point leaves over.
-func clean(x float64) float64 {
-	if x < 1e-9 && x > -1e-9 {
+// clean returns 0 for what is 0 but for errors of rounding.
+func clean(value float64) float64 {
+	if value < rounding && value > -rounding {
 		return 0
 	}
-	return x
+	return value
 }
 
-// share is a part of a whole; of nothing, none.
+// share returns a part as a share of a whole; 0 if the whole is nothing.
 func share(part, whole float64) float64 {
 	if whole <= 0 {
 		return 0
@@ -96,41 +113,34 @@
 	return clean(part / whole)
 }
 
-// Spans of time are kept in microseconds up to longest; what is longer counts as that.
+// maxLatency is the longest latency of a histogram; longer ones count as that. Histograms are in microseconds.
 const maxLatency = 10 * time.Minute
 
-func newHistogram(digits int) *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxLatency.Microseconds(), digits)
-}
-
-// Histograms of a whole play are kept to three digits, that of a second, which begins anew with each, to two.
+// Digits of histograms: of a whole run, and of a second, whose histogram is reset for the next.
 const (
 	latencyDigits = 3
 	secondDigits  = 2
 )
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// Within its bounds a histogram takes every value.
-	_ = h.RecordValue(min(max(d, time.Microsecond), maxLatency).Microseconds())
+func newHistogram(digits int) *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxLatency.Microseconds(), digits)
 }
 
-func milliseconds(us int64) float64 { return float64(us) / 1000 }
-
-func latencyOf(h *hdrhistogram.Histogram) Latency {
-	return Latency{
-		Count: h.TotalCount(),
-		P50:   milliseconds(h.ValueAtQuantile(50)),
-		P90:   milliseconds(h.ValueAtQuantile(90)),
-		P99:   milliseconds(h.ValueAtQuantile(99)),
-		P999:  milliseconds(h.ValueAtQuantile(99.9)),
-		Max:   milliseconds(h.Max()),
-	}
+// record adds a latency to a histogram.
+func record(histogram *hdrhistogram.Histogram, latency time.Duration) {
+	// A histogram accepts every value within its bounds.
+	_ = histogram.RecordValue(min(max(latency, time.Microsecond), maxLatency).Microseconds())
 }
 
-// quantile counts a quantity as if it had been there from the start until the present.
-func (c *binnedMeter) quantile(q float64) {
-	for i := range c.integrals {
-		from := time.Duration(i) * c.width
-		c.integrals[i] += q * (min(c.updatedAt, from+c.width) - from).Seconds()
+func milliseconds(microseconds int64) float64 { return float64(microseconds) / 1000 }
+
+func latencyOf(histogram *hdrhistogram.Histogram) Latency {
+	return Latency{
+		Count: histogram.TotalCount(),
+		P50:   milliseconds(histogram.ValueAtQuantile(50)),
+		P90:   milliseconds(histogram.ValueAtQuantile(90)),
+		P99:   milliseconds(histogram.ValueAtQuantile(99)),
+		P999:  milliseconds(histogram.ValueAtQuantile(99.9)),
+		Max:   milliseconds(histogram.Max()),
 	}
 }
--- a/internal/testbed/score/process.go
+++ b/internal/testbed/score/process.go
@@ -7,9 +7,9 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Process is what a scheduler's processes took, one after the other, or the lab's.
+// Process is what the processes of a scheduler used, one after the other, or those of the testbed.
 type Process struct {
-	Scheduler      int     `json:"scheduler"` // -1: the lab
+	Scheduler      int     `json:"scheduler"` // -1: the testbed
 	Starts         int     `json:"starts"`
 	Kills          int     `json:"kills"`
 	Terms          int     `json:"terms"`
@@ -19,104 +19,139 @@
 	Requests       int     `json:"tries"`
 	Attempts       int     `json:"attempts"`
 	CPU            float64 `json:"cpu_s"`
-	Cores          float64 `json:"cores"`  // CPU over the play's time
+	Cores          float64 `json:"cores"`  // CPU over the time of the run
 	PeakMemory     int64   `json:"memory"` // peak, bytes
 	PeakFiles      int     `json:"files"`  // peak, descriptors
 	CPUBySecond    Series  `json:"cpu_by_second"`
-	MemoryBySecond Series  `json:"memory_by_second"` // bytes, peak of the second; 0: not looked at
+	MemoryBySecond Series  `json:"memory_by_second"` // bytes, peak of the second; 0: not sampled
 	FilesBySecond  Series  `json:"files_by_second"`
 }
 
+// testbedProcess is the index of the testbed's own process.
+const testbedProcess = -1
+
 type process struct {
 	Process
-	requests, attempts int
-	sampledAt          time.Duration // of the last figures
-	cpu                time.Duration // of this process, by then
+	requests  int
+	attempts  int
+	sampledAt time.Duration // of the last sample
+	cpu       time.Duration // of the present process at the last sample
 }
 
-func (s *Score) processOf(i int) *process {
-	if i < 0 {
+func (s *Score) processOf(scheduler int) *process {
+	if scheduler < 0 {
 		return &s.testbed
 	}
-	s.processFigures = growTo(s.processFigures, i)
-	return &s.processFigures[i]
+	s.processFigures = growTo(s.processFigures, scheduler)
+	return &s.processFigures[scheduler]
 }
 
-func (s *Score) processEvent(event *trace.Event) {
-	process := s.processOf(event.Scheduler)
-	switch event.Kind {
-	case trace.SchedulerStarted:
-		if process.Starts++; process.Starts > 1 {
-			s.markScheduler(event.Scheduler, "up again")
-		}
-		process.cpu, process.sampledAt = 0, s.now
-	case trace.SchedulerKilled:
-		process.Kills++
-		s.markScheduler(event.Scheduler, "killed")
-	case trace.SchedulerTerminated:
-		process.Terms++
-		s.markScheduler(event.Scheduler, "told to end")
-	case trace.SchedulerFrozen:
-		process.Freezes++
-		s.markScheduler(event.Scheduler, "frozen")
-	case trace.SchedulerResumed:
-		s.markScheduler(event.Scheduler, "resumed")
-	case trace.SchedulerReloaded:
-		process.Reloads++
-		s.markScheduler(event.Scheduler, "told to reload")
-	case trace.SchedulerExited:
-		process.Exits++
-		s.markScheduler(event.Scheduler, "ended with "+strconv.Itoa(event.Status))
-	case trace.ResourceUsage:
-		process.recordUsage(s.now, event)
+func (s *Score) schedulerStarted(event *trace.Event) {
+	started := s.processOf(event.Scheduler)
+	started.Starts++
+	if started.Starts > 1 {
+		s.markScheduler(event.Scheduler, "up again")
 	}
+	started.cpu, started.sampledAt = 0, s.now
 }
 
-func (s *Score) markScheduler(sched int, what string) {
-	s.addMark("scheduler " + strconv.Itoa(sched) + " " + what)
+func (s *Score) schedulerKilled(event *trace.Event) {
+	s.processOf(event.Scheduler).Kills++
+	s.markScheduler(event.Scheduler, "killed")
 }
 
-// recordUsage takes in figures of the process. Its CPU is spread evenly over the time since the last ones.
-func (p *process) recordUsage(now time.Duration, event *trace.Event) {
-	p.PeakMemory, p.PeakFiles = max(p.PeakMemory, event.Memory), max(p.PeakFiles, event.OpenFiles)
-	last := secondOf(now)
-	p.CPUBySecond, p.MemoryBySecond, p.FilesBySecond = growTo(p.CPUBySecond, last), growTo(p.MemoryBySecond, last), growTo(p.FilesBySecond, last)
-	p.MemoryBySecond[last] = max(p.MemoryBySecond[last], float64(event.Memory))
-	p.FilesBySecond[last] = max(p.FilesBySecond[last], float64(event.OpenFiles))
-	spent := (event.CPU - p.cpu).Seconds()
-	if spent > 0 {
-		p.CPU += spent
-		if now <= p.sampledAt {
-			p.CPUBySecond[last] += spent
-		}
-		for at := p.sampledAt; at < now; {
-			i := secondOf(at)
-			end := min(now, time.Duration(i+1)*time.Second)
-			if i == maxBins-1 {
-				end = now
-			}
-			p.CPUBySecond[i] += spent * float64(end-at) / float64(now-p.sampledAt)
-			at = end
-		}
+func (s *Score) schedulerTerminated(event *trace.Event) {
+	s.processOf(event.Scheduler).Terms++
+	s.markScheduler(event.Scheduler, "told to end")
+}
+
+func (s *Score) schedulerFrozen(event *trace.Event) {
+	s.processOf(event.Scheduler).Freezes++
+	s.markScheduler(event.Scheduler, "frozen")
+}
+
+func (s *Score) schedulerResumed(event *trace.Event) {
+	s.processOf(event.Scheduler)
+	s.markScheduler(event.Scheduler, "resumed")
+}
+
+func (s *Score) schedulerReloaded(event *trace.Event) {
+	s.processOf(event.Scheduler).Reloads++
+	s.markScheduler(event.Scheduler, "told to reload")
+}
+
+func (s *Score) schedulerExited(event *trace.Event) {
+	s.processOf(event.Scheduler).Exits++
+	s.markScheduler(event.Scheduler, "ended with "+strconv.Itoa(event.Status))
+}
+
+// schedulerSeen lists a scheduler among the processes.
+func (s *Score) schedulerSeen(event *trace.Event) { s.processOf(event.Scheduler) }
+
+func (s *Score) resourceUsage(event *trace.Event) {
+	s.processOf(event.Scheduler).addSample(s.now, event)
+}
+
+func (s *Score) markScheduler(scheduler int, text string) {
+	s.addMark("scheduler " + strconv.Itoa(scheduler) + " " + text)
+}
+
+// addSample counts a sample of a process's resources.
+func (p *process) addSample(now time.Duration, event *trace.Event) {
+	p.PeakMemory = max(p.PeakMemory, event.Memory)
+	p.PeakFiles = max(p.PeakFiles, event.OpenFiles)
+	second := secondOf(now)
+	p.CPUBySecond = growTo(p.CPUBySecond, second)
+	p.MemoryBySecond = growTo(p.MemoryBySecond, second)
+	p.FilesBySecond = growTo(p.FilesBySecond, second)
+	p.MemoryBySecond[second] = max(p.MemoryBySecond[second], float64(event.Memory))
+	p.FilesBySecond[second] = max(p.FilesBySecond[second], float64(event.OpenFiles))
+	if spent := (event.CPU - p.cpu).Seconds(); spent > 0 {
+		p.addCPU(now, spent)
 	}
 	p.cpu, p.sampledAt = event.CPU, now
 }
 
-func (s *Score) processes() []Process {
-	out := make([]Process, 0, len(s.processFigures)+1)
-	add := func(i int, p *process) {
-		x := p.Process
-		x.Scheduler, x.Requests, x.Attempts, x.Cores = i, p.requests, p.attempts, share(p.CPU, s.now.Seconds())
-		x.CPUBySecond, x.MemoryBySecond, x.FilesBySecond = clone(p.CPUBySecond), clone(p.MemoryBySecond), clone(p.FilesBySecond)
-		out = append(out, x)
+// addCPU spreads CPU seconds evenly over the time since the last sample.
+func (p *process) addCPU(now time.Duration, spent float64) {
+	p.CPU += spent
+	if now <= p.sampledAt {
+		p.CPUBySecond[secondOf(now)] += spent
 	}
+	for at := p.sampledAt; at < now; {
+		second := secondOf(at)
+		end := min(now, time.Duration(second+1)*time.Second)
+		if second == maxBins-1 {
+			end = now
+		}
+		p.CPUBySecond[second] += spent * float64(end-at) / float64(now-p.sampledAt)
+		at = end
+	}
+}
+
+// processes returns the processes of all schedulers, and of the testbed if it was sampled.
+func (s *Score) processes() []Process {
+	list := make([]Process, 0, len(s.processFigures)+1)
 	for i := range s.processFigures {
-		add(i, &s.processFigures[i])
+		list = append(list, s.processFigures[i].result(i, s.now))
 	}
 	if s.testbed.PeakMemory > 0 || s.testbed.CPU > 0 {
-		add(-1, &s.testbed)
+		list = append(list, s.testbed.result(testbedProcess, s.now))
 	}
-	return out
+	return list
+}
+
+func (p *process) result(scheduler int, now time.Duration) Process {
+	result := p.Process
+	result.Scheduler = scheduler
+	result.Requests = p.requests
+	result.Attempts = p.attempts
+	result.Cores = share(p.CPU, now.Seconds())
+	result.CPUBySecond = cloneSeries(p.CPUBySecond)
+	result.MemoryBySecond = cloneSeries(p.MemoryBySecond)
+	result.FilesBySecond = cloneSeries(p.FilesBySecond)
+	return result
 }
 
-func clone(s Series) Series { return append(make(Series, 0, len(s)), s...) }
+// cloneSeries returns a copy that is not nil, as a nil series is the same in JSON as an empty one.
+func cloneSeries(series Series) Series { return append(make(Series, 0, len(series)), series...) }
--- /dev/null
+++ b/internal/testbed/score/requests.go
@@ -0,0 +1,261 @@
+package score
+
+import (
+	"net/http"
+	"time"
+
+	"valvecove/internal/testbed/trace"
+)
+
+// A request that has ended is known for a while, and up to a number of them: an attempt that a scheduler sent before may
+// reach its worker later, and much later after a network partition.
+const (
+	settleGrace    = 30 * time.Second
+	maxSettleGrace = 1 << 14
+)
+
+// requestEnding is how a request ended for its client.
+type requestEnding uint8
+
+const (
+	requestOpen requestEnding = iota
+	requestServed
+	requestRejected
+	requestFailed
+	requestLost
+	requestClientLeft
+	requestTimedOut
+)
+
+// isResponse reports whether the request ended by a response.
+func (e requestEnding) isResponse() bool { return e >= requestServed && e <= requestFailed }
+
+// responseCounts counts requests by the endings that are responses.
+type responseCounts [requestFailed - requestServed + 1]int
+
+func (c *responseCounts) add(ending requestEnding) { c[ending-requestServed]++ }
+
+func (c *responseCounts) of(ending requestEnding) int { return c[ending-requestServed] }
+
+// request is a request of a client, until none of its attempts can arrive any more.
+type request struct {
+	id       string
+	job      *job // the job while its id is jobID; later it is settled
+	jobID    uint64
+	class    int
+	work     float64
+	slots    float64
+	ending   requestEnding
+	attempts int      // that finished well while the client waits
+	reruns   int      // attempts that a cell deduplicated
+	first    *attempt // of those that have not ended, oldest first
+	retained bool
+	endedAt  time.Duration
+	next     *request // in the free list
+}
+
+// openJob returns the request's job, or nil if that is settled.
+func (r *request) openJob() *job {
+	if r.job != nil && r.job.id == r.jobID {
+		return r.job
+	}
+	return nil
+}
+
+func (s *Score) newRequest() *request {
+	reused := s.freeRequests
+	if reused == nil {
+		return &request{}
+	}
+	s.freeRequests = reused.next
+	return reused
+}
+
+func (s *Score) requestSent(event *trace.Event) {
+	sender := s.jobs[event.JobID]
+	if known := s.requests[event.RequestID]; known != nil {
+		s.requestResent(known, sender)
+		return
+	}
+	if sender == nil {
+		s.effort.Unknown++
+		return
+	}
+	sender.requests++
+	sender.lastEnding = requestOpen
+	s.effort.Requests++
+	if sender.requests > 1 {
+		s.effort.Retries++
+	}
+	s.processOf(event.Scheduler).requests++
+	sent := s.newRequest()
+	*sent = request{
+		id:    event.RequestID,
+		job:   sender,
+		jobID: sender.id,
+		class: sender.class,
+		work:  sender.work,
+		slots: sender.slots,
+	}
+	s.requests[event.RequestID] = sent
+}
+
+// requestResent counts a request that is sent again on a new connection, as the first one closed while idle.
+func (s *Score) requestResent(resent *request, sender *job) {
+	s.effort.Resent++
+	if resent.ending == requestLost && sender != nil {
+		resent.ending = requestOpen
+		sender.lastEnding = requestOpen
+	}
+}
+
+func (s *Score) responseReceived(event *trace.Event) {
+	ending := requestFailed
+	switch {
+	case event.Status == http.StatusOK:
+		ending = requestServed
+	case isRejection(event.Status):
+		ending = requestRejected
+	}
+	s.endRequest(event, ending)
+}
+
+func (s *Score) connectionLost(event *trace.Event) { s.endRequest(event, requestLost) }
+func (s *Score) clientLeft(event *trace.Event)     { s.endRequest(event, requestClientLeft) }
+func (s *Score) clientTimedOut(event *trace.Event) { s.endRequest(event, requestTimedOut) }
+
+// schedulerUnreachable counts a request that found no scheduler, and so was not sent.
+func (s *Score) schedulerUnreachable(event *trace.Event) {
+	s.effort.RequestsUnreached++
+	if sender := s.jobs[event.JobID]; sender != nil {
+		sender.lastEnding = requestTimedOut
+	}
+}
+
+// endRequest counts how a request ended for its client.
+func (s *Score) endRequest(event *trace.Event, ending requestEnding) {
+	ended := s.requests[event.RequestID]
+	if ended == nil || ended.ending != requestOpen {
+		s.effort.Unknown++
+		return
+	}
+	ended.ending = ending
+	if ending.isResponse() {
+		s.responses.add(ending)
+	}
+	if ending == requestRejected {
+		s.classes[ended.class].bin(s.now).rejected++
+	}
+	sender := ended.openJob()
+	if sender != nil {
+		sender.lastEnding = ending
+	}
+	unused := ended.attempts
+	if ending == requestServed {
+		switch {
+		case ended.attempts > 0:
+			s.effort.workUseful += ended.work
+			unused--
+		case ended.reruns > 0 && sender != nil && sender.wasteCount > 0: // the result is that of an earlier request's attempt
+			sender.wasteCount--
+			s.effort.workUseful += ended.work
+			s.effort.wasted[sender.lastWaste] -= ended.work
+		}
+	}
+	s.countWaste(ended, unused)
+	s.retainRequest(ended)
+}
+
+// wasteCause is why the work of an attempt served nobody.
+type wasteCause uint8
+
+const (
+	wasteRepeated   wasteCause = iota // another attempt gave the response
+	wasteTooLate                      // its client had timed out
+	wasteClientLeft                   // its client had left
+	wasteUnused                       // its client was rejected, got an error or lost its connection
+	wasteErrors                       // it ended with an error
+	wasteKilled                       // its worker died
+	wasteCauses
+)
+
+// countWaste counts finished attempts of a request that has ended, which served nobody.
+func (s *Score) countWaste(ended *request, attempts int) {
+	if attempts == 0 {
+		return
+	}
+	cause := wasteUnused
+	switch ended.ending {
+	case requestServed:
+		cause = wasteRepeated
+	case requestTimedOut:
+		cause = wasteTooLate
+	case requestClientLeft:
+		cause = wasteClientLeft
+	}
+	s.effort.wasted[cause] += float64(attempts) * ended.work
+	if sender := ended.openJob(); sender != nil && cause != wasteRepeated {
+		sender.wasteCount += attempts
+		sender.lastWaste = cause
+	}
+}
+
+// retainRequest queues a request to be forgotten, if it has ended and has no open attempt, and forgets those whose time
+// has come.
+func (s *Score) retainRequest(ended *request) {
+	if ended.ending == requestOpen || ended.first != nil || ended.retained {
+		return
+	}
+	ended.retained = true
+	ended.endedAt = s.now
+	s.retained.push(ended)
+	for s.retained.length > 0 && (s.now-s.retained.first().endedAt > settleGrace || s.retained.length > maxSettleGrace) {
+		s.forgetRequest(s.retained.pop())
+	}
+}
+
+// forgetRequest forgets a request, unless an attempt has arrived after all or it was sent again.
+func (s *Score) forgetRequest(ended *request) {
+	ended.retained = false
+	if ended.first != nil || ended.ending == requestOpen {
+		return
+	}
+	delete(s.requests, ended.id)
+	*ended = request{next: s.freeRequests}
+	s.freeRequests = ended
+}
+
+// requestQueue is a queue in a ring buffer.
+type requestQueue struct {
+	ring       []*request // its length is a power of two
+	firstIndex int
+	length     int
+}
+
+const minRequestQueue = 64
+
+func (q *requestQueue) first() *request { return q.ring[q.firstIndex] }
+
+func (q *requestQueue) push(last *request) {
+	if q.length == len(q.ring) {
+		q.grow()
+	}
+	q.ring[(q.firstIndex+q.length)&(len(q.ring)-1)] = last
+	q.length++
+}
+
+func (q *requestQueue) grow() {
+	ring := make([]*request, max(minRequestQueue, 2*q.length))
+	for i := range q.length {
+		ring[i] = q.ring[(q.firstIndex+i)&(q.length-1)]
+	}
+	q.ring, q.firstIndex = ring, 0
+}
+
+func (q *requestQueue) pop() *request {
+	first := q.ring[q.firstIndex]
+	q.ring[q.firstIndex] = nil
+	q.firstIndex = (q.firstIndex + 1) & (len(q.ring) - 1)
+	q.length--
+	return first
+}
