--- a/cmd/valvecove-testbed/play.go
+++ b/cmd/valvecove-testbed/play.go
@@ -17,7 +17,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// outputFlags is where a play's report goes.
+// outputFlags is where a run's report goes.
 type outputFlags struct {
 	JSON   string `name:"json" help:"Write all figures as JSON to a file, or to standard output for -, with nothing else there." placeholder:"FILE" optional:""`
 	Report string `name:"report" help:"Write the report into this folder: index.html, which needs no network, figures.json and scenario.toml." placeholder:"DIR" type:"path"`
@@ -44,33 +44,33 @@
 	if o.JSON == "-" {
 		return nil
 	}
-	if err := report.WritePage(streams.out, p.Result(), p.Document.Verdict, p.Document.Expectations); err != nil {
+	if err := report.WritePage(streams.output, p.Result(), p.Document.Verdict, p.Document.Expectations); err != nil {
 		return err
 	}
 	if v := p.Starvation; v != nil {
-		fmt.Fprintf(streams.out, "starvation: %v\n", v)
+		fmt.Fprintf(streams.output, "starvation: %v\n", v)
 		for _, x := range v.Findings {
-			fmt.Fprintf(streams.out, "  %9.3f  %s\n", x.At.Seconds(), x.Text)
+			fmt.Fprintf(streams.output, "  %9.3f  %s\n", x.At.Seconds(), x.Text)
 		}
 	}
-	writeExplanations(streams.out, p)
+	writeExplanations(streams.output, p)
 	if o.Report != "" {
-		fmt.Fprintf(streams.out, "report: %s\n", filepath.Join(o.Report, "index.html"))
+		fmt.Fprintf(streams.output, "report: %s\n", filepath.Join(o.Report, "index.html"))
 	}
 	return nil
 }
 
-// maxExplanations are told on the terminal; the report has all that the judge kept.
+// maxExplanations are told on the terminal; the report has all that the checker kept.
 const maxExplanations = 3
 
 // writeExplanations writes the whole story of the first broken rules, in order of time, one of each rule before a second.
 func writeExplanations(w io.Writer, runResult *experiment.RunResult) {
-	told := map[string]int{}
+	notified := map[string]int{}
 	shown := 0
 	for round := 0; round < maxExplanations && shown < maxExplanations; round++ {
 		for _, b := range runResult.Verdict.Violations {
-			if told[b.Rule] == round && shown < maxExplanations {
-				told[b.Rule]++
+			if notified[b.Rule] == round && shown < maxExplanations {
+				notified[b.Rule]++
 				shown++
 				fmt.Fprintf(w, "\n%v\n", b)
 			}
@@ -81,7 +81,7 @@
 	}
 }
 
-// verdictError is a play's exit code.
+// verdictError is a run's exit code.
 func verdictError(p *experiment.RunResult) error {
 	switch {
 	case p.InvalidReason() != "":
@@ -142,7 +142,7 @@
 	}
 	defer done()
 	if !c.Quiet && c.JSON != "-" && c.Driver == scenario.DriverProcess {
-		show := newProgressDisplay(s.err)
+		show := newProgressDisplay(s.errors)
 		defer show.close()
 		job.OnSnapshot = show.showSnapshot
 	}
@@ -157,7 +157,7 @@
 	return verdictError(p)
 }
 
-// progressDisplay writes a live play's progress from a goroutine of its own: the play waits for no terminal.
+// progressDisplay writes a live run's progress from a goroutine of its own: the run waits for no terminal.
 type progressDisplay struct {
 	lines    chan func(p *report.Progress)
 	finished sync.WaitGroup
@@ -175,7 +175,7 @@
 	return v
 }
 
-// showSnapshot shows how the play stands; it is skipped where the terminal is behind.
+// showSnapshot shows how the run stands; it is skipped where the terminal is behind.
 func (v *progressDisplay) showSnapshot(t *score.Snapshot) {
 	now := *t
 	now.Faults = append([]string(nil), t.Faults...)
@@ -220,9 +220,9 @@
 		return err
 	}
 	defer remove()
-	fmt.Fprintf(streams.err, "%s\n%d worker nodes, %d scheduler, jobs for %s; everything is on 127.0.0.0/8 and ends with this.\n\n",
+	fmt.Fprintf(streams.errors, "%s\n%d worker nodes, %d scheduler, jobs for %s; everything is on 127.0.0.0/8 and ends with this.\n\n",
 		spec.Description, spec.Fleet.Workers, spec.Schedulers.Count, c.Length)
-	show := newProgressDisplay(streams.err)
+	show := newProgressDisplay(streams.errors)
 	var played *experiment.RunResult
 	var places process.Addresses
 	job := experiment.Job{
@@ -230,7 +230,7 @@
 		Subject: experiment.Subject{Name: "valvecove", Binary: path}, OnSnapshot: show.showSnapshot,
 		Observer: func(x *trace.Event) {
 			if line := describeEvent(x); line != "" {
-				show.printLine(streams.err, line)
+				show.printLine(streams.errors, line)
 			}
 		},
 		Process: process.Options{StayOpen: c.Stay, Guests: c.Stay, OnStart: func(p process.Addresses) { places = p }},
@@ -252,7 +252,7 @@
 
 // staying has the lines to try shown once the last job fell due and was settled.
 func (c *demoCommand) staying(also trace.Observer, progressDisplay *progressDisplay, s *streams, places *process.Addresses, spec *scenario.Scenario) trace.Observer {
-	open, said := 0, false
+	open, reported := 0, false
 	return func(x *trace.Event) {
 		also(x)
 		switch x.Kind {
@@ -261,14 +261,14 @@
 		case trace.JobSettled:
 			open--
 		}
-		if !said && open == 0 && x.At >= spec.Length.Std() {
-			said = true
-			progressDisplay.printLine(s.err, demoInstructions(places, spec))
+		if !reported && open == 0 && x.At >= spec.Length.Std() {
+			reported = true
+			progressDisplay.printLine(s.errors, demoInstructions(places, spec))
 		}
 	}
 }
 
-// demoInstructions are commands to try on a play that stays.
+// demoInstructions are commands to try on a run that stays.
 func demoInstructions(places *process.Addresses, spec *scenario.Scenario) string {
 	text := "\nIt stays up until you interrupt it (Ctrl-C), and is judged then. Try:\n\n"
 	if len(places.Schedulers) > 0 {
--- a/internal/testbed/environment/event_queue_test.go
+++ b/internal/testbed/environment/event_queue_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Whatever is put there and taken in between, what is on the agenda comes by time, and of one time in the order in
+// Whatever is put there and taken in between, what is on the event queue comes by time, and of one time in the order in
 // which it was put there.
-func TestAgendaKeepsOrder(t *testing.T) {
+func TestEventQueueKeepsOrder(t *testing.T) {
 	type put struct {
 		at  time.Duration
 		seq int
@@ -48,8 +48,8 @@
 
 // The case that once failed, laid out as the heap holds it: under the ninth entry the scan for the least child ran on,
 // from one that was less to the next, until it came to the thirteenth's children, which are less than what had gone up.
-func TestAgendaTakesAChild(t *testing.T) {
-	rows := []struct{ n, at int }{
+func TestEventQueueTakesAChild(t *testing.T) {
+	lines := []struct{ n, at int }{
 		{1, 0},
 		{1, 1},
 		{1, 2},
@@ -80,7 +80,7 @@
 		{4, 200},
 	}
 	var a eventQueue
-	for _, r := range rows {
+	for _, r := range lines {
 		for range r.n {
 			a.schedule(time.Duration(r.at), func() {})
 		}
--- a/internal/testbed/environment/scheduler_views.go
+++ b/internal/testbed/environment/scheduler_views.go
@@ -20,8 +20,8 @@
 	scheduler      int
 	versions       []version // by entry: what the scheduler's list says
 	revision       int64
-	knownStarts    []int // by worker node: the last start that it was told of
-	knownDrains    []int // by worker node: the start of which it was told that it drains or is gone; 0: none
+	knownStarts    []int // by worker: the last start that it was told of
+	drainedStarts  []int // by worker: the start of which it was told that it drains or is gone; 0: none
 	pending        []pendingChange
 	nextCheck      time.Duration // when what is pending is looked at next; 0: never
 	call           *watchCall
@@ -45,7 +45,7 @@
 )
 
 func newSchedulerView(d *discovery, sched int) *schedulerView {
-	v := &schedulerView{discovery: d, scheduler: sched, knownStarts: make([]int, len(d.env.workers)), knownDrains: make([]int, len(d.env.workers))}
+	v := &schedulerView{discovery: d, scheduler: sched, knownStarts: make([]int, len(d.env.workers)), drainedStarts: make([]int, len(d.env.workers))}
 	for i, n := range d.env.workers {
 		v.knownStarts[i] = n.incarnation // long ago
 	}
@@ -68,7 +68,7 @@
 	v.discovery.abandonWatch(v)
 	v.lastCallFailed, v.pending = false, v.pending[:0]
 	for i := range v.knownStarts {
-		v.knownStarts[i], v.knownDrains[i] = 1, 0 // first starts are of long ago
+		v.knownStarts[i], v.drainedStarts[i] = 1, 0 // first starts are of long ago
 	}
 	for i := range v.discovery.entries {
 		e := &v.discovery.entries[i]
@@ -128,20 +128,20 @@
 	}
 	if watchMessage.reset {
 		next := 0
-		for i, had := range v.versions {
+		for i, previous := range v.versions {
 			if next < len(watchMessage.entries) && watchMessage.entries[next] == i {
 				next++
 				continue
 			}
 			// A start may have counted as told and never have arrived.
-			gone := version{endpointAbsent, had.incarnation, had.startedMs}
+			closed := version{endpointAbsent, previous.incarnation, previous.startedMs}
 			if n := v.discovery.entries[i].worker; v.discovery.entryOf[n] == i {
-				gone.incarnation = max(gone.incarnation, v.knownStarts[n])
-			} else if had.state == endpointAbsent {
+				closed.incarnation = max(closed.incarnation, v.knownStarts[n])
+			} else if previous.state == endpointAbsent {
 				continue
 			}
-			v.versions[i] = gone
-			v.learn(i, gone)
+			v.versions[i] = closed
+			v.learn(i, closed)
 		}
 	}
 	for i, e := range watchMessage.entries {
@@ -149,13 +149,13 @@
 		v.learn(e, watchMessage.versions[i])
 	}
 	v.revision = watchMessage.revision
-	left := v.pending[:0]
+	remaining := v.pending[:0]
 	for _, c := range v.pending {
 		if c.revision > watchMessage.revision {
-			left = append(left, c)
+			remaining = append(remaining, c)
 		}
 	}
-	v.pending = left
+	v.pending = remaining
 }
 
 // learn has a version of an entry count as told. What was said of a process before the last one told says nothing.
@@ -165,24 +165,24 @@
 		return
 	}
 	up := state.state != endpointAbsent && state.incarnation > v.knownStarts[n]
-	if up || state.state == endpointUp && v.knownDrains[n] == state.incarnation {
-		v.knownStarts[n], v.knownDrains[n] = state.incarnation, 0
+	if up || state.state == endpointUp && v.drainedStarts[n] == state.incarnation {
+		v.knownStarts[n], v.drainedStarts[n] = state.incarnation, 0
 		v.record(trace.Event{Kind: trace.StartNotified, Scheduler: v.scheduler, Worker: n, Incarnation: state.incarnation})
 	}
-	if state.state != endpointUp && v.knownDrains[n] != state.incarnation {
-		v.knownDrains[n] = state.incarnation
+	if state.state != endpointUp && v.drainedStarts[n] != state.incarnation {
+		v.drainedStarts[n] = state.incarnation
 		v.record(trace.Event{Kind: trace.DrainNotified, Scheduler: v.scheduler, Worker: n, Incarnation: state.incarnation})
 	}
 }
 
-// record reports a sight, if it is a scheduler's.
+// record reports a trace event, if it is a scheduler's.
 func (v *schedulerView) record(s trace.Event) {
 	if !v.discovery.env.schedulers[v.scheduler].planner {
 		v.discovery.env.record(s)
 	}
 }
 
-// touch notes that scheduler and discovery had to do with each other just now.
+// touch callbacks that scheduler and discovery had to do with each other just now.
 func (v *schedulerView) touch() {
 	v.lastContact = v.discovery.env.now
 	v.planCheck()
@@ -227,15 +227,15 @@
 		v.pending = v.pending[:0]
 		return
 	}
-	left := v.pending[:0]
+	remaining := v.pending[:0]
 	for i := range v.pending {
 		if c := v.pending[i]; late(&c) {
 			v.learn(c.entry, c.version)
 		} else {
-			left = append(left, c)
+			remaining = append(remaining, c)
 		}
 	}
-	v.pending = left
+	v.pending = remaining
 }
 
 // reloaded is told that the scheduler was sent a SIGHUP.
@@ -248,7 +248,7 @@
 	})
 }
 
-// knowsStart tells whether a scheduler was told of a worker node's last start.
+// knowsStart tells whether a scheduler was told of a worker's last start.
 func (d *discovery) knowsStart(sched int, n *worker) bool {
 	return d.views[sched].knownStarts[n.number] >= n.incarnation
 }
--- a/internal/testbed/experiment/search.go
+++ b/internal/testbed/experiment/search.go
@@ -14,37 +14,37 @@
 	"valvecove/internal/testbed/starvation"
 )
 
-// Search looks for plays that go badly: scenarios and seeds drawn at random, each held against the yardstick that sees
+// Search looks for plays that go badly: scenarios and seeds drawn at random, each held against the baseline policy that sees
 // everything. The i-th draw follows from Seed and i alone, so that a hunt that is given more time finds all that a
 // shorter one did.
 type Search struct {
 	Seed        uint64
 	Subject     Subject
-	Baseline    string // the yardstick; default all-seeing
+	Baseline    string // the baseline policy; default all-seeing
 	Keep        int    // so many of the worst; default 8
 	Parallelism int    // plays at once
 	MaxRuns     int    // draws; 0: until the context ends
 	// Starvation hunts for starvation (package starve) and broken rules in plays drawn more widely, and for no regret: no
-	// yardstick is played.
+	// baseline policy is played.
 	Starvation bool
 
 	trim func(s *scenario.Scenario) // changes each draw; nil: nothing does
 }
 
-// Finding is a play that went badly.
+// Finding is a run that went badly.
 type Finding struct {
-	Spec            *scenario.Scenario // its Seed is the play's
+	Spec            *scenario.Scenario // its Seed is the run's
 	Rule            string             // that was broken, or starve.Rule; empty: none was
-	StarvedRequests int                // tries that were
-	Value           float64            // the mixed worth, and the yardstick's
+	WaitingRequests int                // tries that were
+	Value           float64            // the mixed worth, and the baseline policy's
 	BaselineValue   float64
 	Faults          int    // left of those drawn
 	Drawn           int    // faults that were drawn
 	DrawNumber      int    // which draw it was
-	Error           string // what the play ended with, if it could not be played on
+	Error           string // what the run ended with, if it could not be played on
 }
 
-// Regret is how far a play stayed under the yardstick.
+// Regret is how far a run stayed under the baseline policy.
 func (f *Finding) Regret() float64 { return math.Max(0, f.BaselineValue-f.Value) }
 
 // Description says what is bad about a find.
@@ -53,7 +53,7 @@
 	case f.Error != "":
 		return "it stopped: " + strings.SplitN(f.Error, "\n", 2)[0]
 	case f.Rule == starvation.Rule:
-		return fmt.Sprintf("%d tries starved", f.StarvedRequests)
+		return fmt.Sprintf("%d tries starved", f.WaitingRequests)
 	case f.Rule != "":
 		return "rule " + f.Rule + " broken"
 	}
@@ -80,8 +80,8 @@
 
 // File is the find as a scenario file that plays it again.
 func (f *Finding) File() []byte {
-	head := fmt.Sprintf("# Kept by a hunt: %s. Draw %d, %d of %d faults left.\n", f.Description(), f.DrawNumber, f.Faults, f.Drawn)
-	return append([]byte(head), scenario.Encode(f.Spec)...)
+	first := fmt.Sprintf("# Kept by a hunt: %s. Draw %d, %d of %d faults left.\n", f.Description(), f.DrawNumber, f.Faults, f.Drawn)
+	return append([]byte(first), scenario.Encode(f.Spec)...)
 }
 
 // SearchResult is what a hunt came to.
@@ -92,14 +92,14 @@
 	Mean       float64 // regret
 }
 
-// minimisedShare of a regret must be left of it in a play that is to stand for the first.
+// minimisedShare of a regret must be left of it in a run that is to stand for the first.
 const minimisedShare = 0.8
 
 // most plays that shrinking one find may take.
 const maxMinimiseRuns = 150
 
 // Run hunts until the context ends or all draws are made, and shrinks what it keeps. told hears of each new find.
-func (h *Search) Run(ctx context.Context, told func(f *Finding, plays int)) (*SearchResult, error) {
+func (h *Search) Run(ctx context.Context, notified func(f *Finding, plays int)) (*SearchResult, error) {
 	parallelism, keep := h.Parallelism, h.Keep
 	if parallelism <= 0 {
 		parallelism = runtime.GOMAXPROCS(0)
@@ -131,12 +131,12 @@
 			if f.Rule != "" || f.Error != "" {
 				got.Violations++
 			}
-			if h.isWorthKeeping(got, f, keep) {
+			if h.shouldKeep(got, f, keep) {
 				if err := h.minimise(ctx, f); err != nil {
 					return got, err
 				}
-				if h.keep(got, f, keep) && told != nil {
-					told(f, got.Runs)
+				if h.keep(got, f, keep) && notified != nil {
+					notified(f, got.Runs)
 				}
 			}
 		}
@@ -157,8 +157,8 @@
 	return f.Regret()
 }
 
-// isWorthKeeping tells whether a find may come among those kept.
-func (h *Search) isWorthKeeping(got *SearchResult, f *Finding, keep int) bool {
+// shouldKeep tells whether a find may come among those kept.
+func (h *Search) shouldKeep(got *SearchResult, f *Finding, keep int) bool {
 	return badness(f) >= 2 && !slices.ContainsFunc(got.Worst, func(o Finding) bool { return o.kind() == f.kind() }) ||
 		badness(f) < 2 && badness(f) > 0.05 && (len(got.Worst) < keep || badness(f) > badness(&got.Worst[len(got.Worst)-1]))
 }
@@ -188,7 +188,7 @@
 	return slices.ContainsFunc(got.Worst, func(o Finding) bool { return o.Spec == f.Spec })
 }
 
-// evaluate plays a scenario, and the yardstick beside it.
+// evaluate plays a scenario, and the baseline policy beside it.
 func (h *Search) evaluate(ctx context.Context, spec *scenario.Scenario, draw int) (*Finding, error) {
 	f := &Finding{Spec: spec, DrawNumber: draw, Drawn: len(spec.Faults), Faults: len(spec.Faults)}
 	runResult, err := Run(ctx, Job{
@@ -205,7 +205,7 @@
 		}
 	}
 	if h.Starvation {
-		if f.StarvedRequests = runResult.Starvation.Count(); f.StarvedRequests > 0 && f.Rule == "" {
+		if f.WaitingRequests = runResult.Starvation.Count(); f.WaitingRequests > 0 && f.Rule == "" {
 			f.Rule = starvation.Rule
 		}
 		return f, nil
@@ -229,9 +229,9 @@
 // minimise looks for a smaller play that is as bad in the same way: without faults that don't matter, then with shorter
 // ones, fewer parties, and plainer settings. It ends with the hunt's time, as small as it has come.
 func (h *Search) minimise(ctx context.Context, f *Finding) error {
-	left := maxMinimiseRuns
+	remaining := maxMinimiseRuns
 	try := func(change func(s *scenario.Scenario)) (bool, error) {
-		if left--; left < 0 || ctx.Err() != nil { // what is left of it is kept as it is
+		if remaining--; remaining < 0 || ctx.Err() != nil { // what is left of it is kept as it is
 			return false, nil
 		}
 		spec := f.Spec.Clone()
@@ -320,7 +320,7 @@
 	}
 }
 
-// searchedFaults are faults that virtual time shows well.
+// searchedFaults are faults that simulated time shows well.
 var searchedFaults = []string{
 	"crash", "vanish", "hang", "pause", "slow", "errors", "full", "drain", "restart", "replace", "gone",
 	"no_notes", "early_202_crash", "handback", "cut", "cut_one_way", "delay", "refuse", "never_up", "half_open", "drop_idle",
--- a/internal/testbed/fleet/engine.go
+++ b/internal/testbed/fleet/engine.go
@@ -13,7 +13,7 @@
 	"valvecove/internal/deadline"
 )
 
-// engine is one thread of the rig: a loop round epoll that has some of the worker nodes and some of the clients to
+// engine is one thread of the rig: a loop round epoll that has some of the workers and some of the clients to
 // itself. Only post and stop are for others.
 type engine struct {
 	core        int // that it is bound to; below 0: none
@@ -27,7 +27,7 @@
 	generations []int32       // and how often each was taken into use, so that an event of an earlier use is told apart
 	events      [64]unix.EpollEvent
 	readBuffer  [64 << 10]byte // what is read goes through here
-	out         []byte         // and what is written through here
+	writeBuffer []byte         // and what is written through here
 	reader      messageReader
 	timers      deadline.Queue[*timer]
 	free        []*job // to be used again
@@ -115,10 +115,10 @@
 	var n [8]byte
 	_, _ = unix.Read(b.engine.wakeup, n[:])
 	b.engine.lock.Lock()
-	orders := b.engine.posted
+	commands := b.engine.posted
 	b.engine.posted = nil
 	b.engine.lock.Unlock()
-	for _, do := range orders {
+	for _, do := range commands {
 		do()
 	}
 }
@@ -171,10 +171,10 @@
 	timeout := -1
 	if e.timers.Len() > 0 {
 		at := e.timers.First().At
-		if left := at - e.clock(); left <= 0 {
+		if remaining := at - e.clock(); remaining <= 0 {
 			timeout = 0
 		} else if at != e.armed {
-			spec := unix.ItimerSpec{Value: unix.NsecToTimespec(int64(left))}
+			spec := unix.ItimerSpec{Value: unix.NsecToTimespec(int64(remaining))}
 			if err := unix.TimerfdSettime(e.timer, 0, &spec, nil); err != nil {
 				return fmt.Errorf("timer: %w", err)
 			}
@@ -271,26 +271,26 @@
 // fifo is a queue that keeps its room.
 type fifo[T any] struct {
 	items []T
-	head  int
+	start int
 }
 
-func (q *fifo[T]) len() int { return len(q.items) - q.head }
+func (q *fifo[T]) len() int { return len(q.items) - q.start }
 
 func (q *fifo[T]) push(x T) {
-	if q.head > 0 && len(q.items) == cap(q.items) {
-		n := copy(q.items, q.items[q.head:])
+	if q.start > 0 && len(q.items) == cap(q.items) {
+		n := copy(q.items, q.items[q.start:])
 		clear(q.items[n:])
-		q.items, q.head = q.items[:n], 0
+		q.items, q.start = q.items[:n], 0
 	}
 	q.items = append(q.items, x)
 }
 
 func (q *fifo[T]) pop() T {
-	x := q.items[q.head]
+	x := q.items[q.start]
 	var none T
-	q.items[q.head] = none
-	if q.head++; q.head == len(q.items) {
-		q.items, q.head = q.items[:0], 0
+	q.items[q.start] = none
+	if q.start++; q.start == len(q.items) {
+		q.items, q.start = q.items[:0], 0
 	}
 	return x
 }
--- a/internal/testbed/fleet/table.go
+++ b/internal/testbed/fleet/table.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Report is the plays of one or more runs of a table.
+// Report is the runs of one or more runs of a table.
 type Report struct {
 	Cores        int           `json:"cores"` // of the machine
 	Measurements []Measurement `json:"plays"`
@@ -20,8 +20,8 @@
 	if text == "none" {
 		return 0, nil
 	}
-	over, under, divided := strings.Cut(text, "/")
-	factor, err := strconv.ParseFloat(over, 64)
+	ended, under, divided := strings.Cut(text, "/")
+	factor, err := strconv.ParseFloat(ended, 64)
 	if err == nil && divided {
 		var by float64
 		by, err = strconv.ParseFloat(under, 64)
@@ -47,20 +47,20 @@
 	return short(factor) + " times too high"
 }
 
-// rows gives the plays by row, in the order in which rows were first played.
-func (r *Report) rows() (order []Row, plays map[Row][]Measurement) {
-	plays = map[Row][]Measurement{}
+// tableRows gives the runs by row, in the order in which rows were first played.
+func (r *Report) tableRows() (sequence []TableRow, plays map[TableRow][]Measurement) {
+	plays = map[TableRow][]Measurement{}
 	for _, p := range r.Measurements {
-		if plays[p.Row] == nil {
-			order = append(order, p.Row)
+		if plays[p.TableRow] == nil {
+			sequence = append(sequence, p.TableRow)
 		}
-		plays[p.Row] = append(plays[p.Row], p)
+		plays[p.TableRow] = append(plays[p.TableRow], p)
 	}
-	return order, plays
+	return sequence, plays
 }
 
 // String is the row in words.
-func (r Row) String() string {
+func (r TableRow) String() string {
 	text := fmt.Sprintf("%s, %s worker nodes", r.Subject, formatGrouped(float64(r.Workers), 0))
 	if r.hasScheduler() {
 		text += ", notices " + map[bool]string{true: "on", false: "off"}[r.StartNotifications] + ", hint " + hintText(r.Hint)
@@ -69,7 +69,7 @@
 }
 
 // hasScheduler tells whether its subject is a scheduler.
-func (r Row) hasScheduler() bool {
+func (r TableRow) hasScheduler() bool {
 	return r.Subject != Proxy && r.Subject != Direct && r.Subject != Ceiling
 }
 
@@ -90,24 +90,24 @@
 	line := func(cells []string) { b.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
 	line(columns)
 	line(slices.Repeat([]string{"---"}, len(columns)))
-	order, plays := r.rows()
-	for _, row := range order {
-		line(tableCells(row, plays[row]))
+	sequence, plays := r.tableRows()
+	for _, tableRow := range sequence {
+		line(tableCells(tableRow, plays[tableRow]))
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-func tableCells(row Row, all []Measurement) []string {
+func tableCells(tableRow TableRow, all []Measurement) []string {
 	notices, hint := "-", "-"
-	if row.hasScheduler() {
-		notices, hint = map[bool]string{true: "yes", false: "no"}[row.StartNotifications], hintText(row.Hint)
+	if tableRow.hasScheduler() {
+		notices, hint = map[bool]string{true: "yes", false: "no"}[tableRow.StartNotifications], hintText(tableRow.Hint)
 	}
-	out := []string{row.Subject, formatGrouped(float64(row.Workers), 0), notices, hint}
+	outputs := []string{tableRow.Subject, formatGrouped(float64(tableRow.Workers), 0), notices, hint}
 	sound := slices.DeleteFunc(slices.Clone(all), func(p Measurement) bool { return p.InvalidReason() != "" })
 	if len(sound) == 0 {
-		out = append(out, "void: "+all[0].InvalidReason())
-		return append(out, slices.Repeat([]string{""}, len(columns)-len(out))...)
+		outputs = append(outputs, "void: "+all[0].InvalidReason())
+		return append(outputs, slices.Repeat([]string{""}, len(columns)-len(outputs))...)
 	}
 	// spread gives least, median and most of those that there is a figure for.
 	spread := func(digits int, of func(*Measurement) (float64, bool)) string {
@@ -148,7 +148,7 @@
 	if n := len(all) - len(sound); n > 0 {
 		rate += fmt.Sprintf(" (%d void)", n)
 	}
-	return append(out, rate,
+	return append(outputs, rate,
 		spread(1, some(func(p *Measurement) float64 { return p.P50 })),
 		spread(1, some(func(p *Measurement) float64 { return p.P90 })),
 		spread(1, some(func(p *Measurement) float64 { return p.P99 })),
@@ -166,17 +166,17 @@
 // formatGrouped writes a number with its thousands set apart.
 func formatGrouped(x float64, digits int) string {
 	text := strconv.FormatFloat(x, 'f', digits, 64)
-	whole, rest, _ := strings.Cut(text, ".")
+	whole, remainder, _ := strings.Cut(text, ".")
 	for at := len(whole) - 3; at > 0 && whole[at-1] != '-'; at -= 3 {
 		whole = whole[:at] + "," + whole[at:]
 	}
-	if rest != "" {
-		whole += "." + rest
+	if remainder != "" {
+		whole += "." + remainder
 	}
 	return whole
 }
 
-// BySecond writes what was served in each second of each play, from when the clients began.
+// BySecond writes what was served in each second of each run, from when the clients began.
 func (r *Report) BySecond(w io.Writer) error {
 	var b strings.Builder
 	for i := range r.Measurements {
--- a/internal/testbed/process/driver_test.go
+++ b/internal/testbed/process/driver_test.go
@@ -122,7 +122,7 @@
 	_ = c.Close()
 }
 
-// Clients write queries as the protocol shows them, and take answers in any framing.
+// Clients write requests as the protocol shows them, and take answers in any framing.
 func TestClients(t *testing.T) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /account-credit/{key}", func(w http.ResponseWriter, q *http.Request) {
@@ -161,13 +161,13 @@
 		}
 	})
 	r := newRig(t, Options{})
-	ask := func(conn simapi.Conn, call string) {
+	request := func(conn simapi.Conn, call string) {
 		r.do(simapi.Input{Kind: simapi.RequestReceived, Conn: conn, Request: &simapi.ClientRequest{
 			RequestID: call, Class: 3, Tenant: 1, IdempotencyKey: "k-" + call,
 			Budget: 480*time.Millisecond + 700, CostHint: 12 * time.Millisecond, Slots: 2, BodyLength: 300, Retry: true,
 		}})
 	}
-	ask(1, "nobody")
+	request(1, "nobody")
 	r.want(simapi.ClientConnFailed)
 	r.serve(mux)
 	for i, x := range []struct {
@@ -186,7 +186,7 @@
 		{call: "garbage"},
 	} {
 		conn := simapi.Conn(2 + max(0, i-4)) // the first five share one
-		ask(conn, x.call)
+		request(conn, x.call)
 		if x.status > 0 {
 			o := r.want(simapi.ResponseWritten)
 			o.Kind = 0
@@ -202,7 +202,7 @@
 	}
 }
 
-// A query that crosses the close of its connection is sent once more; one that was read and dropped is not.
+// A request that crosses the close of its connection is sent once more; one that was read and dropped is not.
 func TestCrossedClose(t *testing.T) {
 	r := newRig(t, Options{})
 	l, err := net.Listen("tcp", r.d.schedulers[0].listen.String())
@@ -216,15 +216,15 @@
 		}
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	}
-	ask := func(call string) {
+	request := func(call string) {
 		r.do(simapi.Input{Kind: simapi.RequestReceived, Conn: 1, Request: &simapi.ClientRequest{RequestID: call, BodyLength: 10}})
 	}
 	r.d.post(func() { r.d.schedulers[0].alive, r.d.schedulers[0].incarnation = true, 2 })
-	ask("a")
+	request("a")
 	c, _ := l.Accept()
 	answer(c)
 	r.want(simapi.ResponseWritten)
-	ask("b")
+	request("b")
 	_, _ = c.Read(make([]byte, 1)) // the rest stays unread, so that the close is a reset
 	_ = c.Close()
 	if c, err = l.Accept(); err != nil {
@@ -234,7 +234,7 @@
 	if o := r.want(simapi.ResponseWritten); o.RequestID != "b" {
 		t.Errorf("%+v", o)
 	}
-	ask("c")
+	request("c")
 	if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
 		t.Error(err)
 	}
@@ -247,7 +247,7 @@
 	r.want(simapi.ClientConnClosed)
 }
 
-// scheduler is the test's end of a link to a worker node.
+// scheduler is the test's end of a link to a worker.
 type schedEnd struct {
 	net.Conn
 	r  *rig
@@ -275,12 +275,12 @@
 	return a.StatusCode
 }
 
-func query(call, key, body string) string {
+func requestText(call, key, body string) string {
 	return fmt.Sprintf("POST /account-credit/%s HTTP/1.1\r\nHost: w\r\nX-Call-Id: %s\r\nIdempotency-Key: %s\r\n"+
 		"X-Budget-Ms: 77\r\nContent-Length: %d\r\n\r\n%s", key, call, key, len(body), body)
 }
 
-// A worker node tells the world of what comes, and answers by itself only what the protocol leaves no doubt about.
+// A worker tells the environment of what comes, and answers by itself only what the protocol leaves no doubt about.
 func TestNodes(t *testing.T) {
 	r := newRig(t, Options{})
 	s := r.connect(1)
@@ -296,7 +296,7 @@
 	r.d.post(func() {
 		r.d.requestForms.add(&simapi.ClientRequest{RequestID: "c1", Class: 3, IdempotencyKey: "k1", BodyLength: 40}, 0)
 	})
-	_, _ = io.WriteString(s, query("c1", "k1", body)) // the world has not accepted yet: this waits
+	_, _ = io.WriteString(s, requestText("c1", "k1", body)) // the environment has not accepted yet: this waits
 	r.do(up)
 	o := r.want(simapi.AttemptWritten)
 	if o.RequestID != "c1" || o.IdempotencyKey != "k1" || o.Budget != 77*time.Millisecond || o.Worker != 1 || o.FirstByteAt <= 0 {
@@ -307,38 +307,38 @@
 		t.Errorf("202: %d", got)
 	}
 	for _, x := range []struct {
-		ask  string
+		text string
 		kind simapi.OutputKind
 		call string
 	}{
-		{query("c1", "k1", body[:39]+"!"), simapi.AttemptWritten, "c1!body"},
-		{query("c1", "k2", body), simapi.AttemptWritten, "c1!path"},
-		{query("unknown", "k2", "x"), simapi.AttemptWritten, "unknown"},
+		{requestText("c1", "k1", body[:39]+"!"), simapi.AttemptWritten, "c1!body"},
+		{requestText("c1", "k2", body), simapi.AttemptWritten, "c1!path"},
+		{requestText("unknown", "k2", "x"), simapi.AttemptWritten, "unknown"},
 		{"GET /alive HTTP/1.1\r\nHost: w\r\n\r\n", simapi.HealthCheckWritten, ""},
 		{"GET /metrics/load HTTP/1.1\r\nHost: w\r\n\r\n", simapi.HealthCheckWritten, ""},
 		{"DELETE /jobs/c1 HTTP/1.1\r\nHost: w\r\n\r\n", simapi.CancellationReceived, "c1"},
 	} {
-		_, _ = io.WriteString(s, x.ask)
+		_, _ = io.WriteString(s, x.text)
 		o := r.want(x.kind)
-		if o.RequestID != x.call || o.WantsLoadReport != strings.Contains(x.ask, "load") {
-			t.Errorf("%s: %+v", x.ask, o)
+		if o.RequestID != x.call || o.WantsLoadReport != strings.Contains(x.text, "load") {
+			t.Errorf("%s: %+v", x.text, o)
 		}
 		answer(503)
 		a, err := http.ReadResponse(s.in, nil)
 		if err != nil || a.StatusCode != 503 || a.Header.Get("X-Rejected") != "1" {
-			t.Errorf("%s: %v, %v", x.ask, a, err)
+			t.Errorf("%s: %v, %v", x.text, a, err)
 		}
 	}
-	for ask, status := range map[string]int{
-		"GET /else HTTP/1.1\r\nHost: w\r\n\r\n":                       404,
-		"POST /account-credit/k HTTP/1.1\r\nHost: w\r\n\r\n":          404, // without an id
-		strings.Replace(query("c1", "k1", body), "77", "soon", 1):     400,
-		query("any", misbehavingPrefix+"1", "x"):                      400, // a bad client's
-		strings.Replace(query("c1", "k1", body), "POST", "DELETE", 1): 404,
+	for request, status := range map[string]int{
+		"GET /else HTTP/1.1\r\nHost: w\r\n\r\n":                             404,
+		"POST /account-credit/k HTTP/1.1\r\nHost: w\r\n\r\n":                404, // without an id
+		strings.Replace(requestText("c1", "k1", body), "77", "soon", 1):     400,
+		requestText("any", misbehavingPrefix+"1", "x"):                      400, // a misbehaving client's
+		strings.Replace(requestText("c1", "k1", body), "POST", "DELETE", 1): 404,
 	} {
-		_, _ = io.WriteString(s, ask)
+		_, _ = io.WriteString(s, request)
 		if got := s.status(); got != status {
-			t.Errorf("%s: %d, expected %d", ask, got, status)
+			t.Errorf("%s: %d, expected %d", request, got, status)
 		}
 	}
 	_, _ = io.WriteString(s, "what?\r\n\r\n")
@@ -348,17 +348,17 @@
 	r.want(simapi.WorkerConnClosed)
 }
 
-// The world resets links at any byte, and closes them.
+// The environment resets links at any byte, and closes them.
 func TestLinkEnds(t *testing.T) {
 	r := newRig(t, Options{})
-	ask := query("x", "k", "body")
+	request := requestText("x", "k", "body")
 	// Reset after so many bytes read.
-	for most, told := range map[int]bool{10: false, len(ask): true} {
+	for most, notified := range map[int]bool{10: false, len(request): true} {
 		s := r.connect(0)
 		conn := r.want(simapi.WorkerDialed).Conn
-		_, _ = io.WriteString(s, ask)
+		_, _ = io.WriteString(s, request)
 		r.do(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn, Bytes: most})
-		if told {
+		if notified {
 			r.want(simapi.AttemptWritten)
 		}
 		r.want(simapi.WorkerConnClosed)
@@ -370,7 +370,7 @@
 	s := r.connect(0)
 	conn := r.want(simapi.WorkerDialed).Conn
 	r.do(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn})
-	_, _ = io.WriteString(s, ask)
+	_, _ = io.WriteString(s, request)
 	r.want(simapi.AttemptWritten)
 	r.do(simapi.Input{Kind: simapi.ResponseReceived, Conn: conn, Status: 202, Bytes: 9})
 	if b, err := io.ReadAll(s.in); string(b) != "HTTP/1.1 " || !errors.Is(err, syscall.ECONNRESET) {
@@ -380,7 +380,7 @@
 		}
 	}
 	r.want(simapi.WorkerConnClosed)
-	// Closed by the world, and by the scheduler.
+	// Closed by the environment, and by the scheduler.
 	for _, reset := range []bool{false, true} {
 		s := r.connect(0)
 		r.do(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: r.want(simapi.WorkerDialed).Conn, Reset: reset})
@@ -394,12 +394,12 @@
 }
 
 // Refused, never up, and accepting again; what is open goes on meanwhile.
-func TestHear(t *testing.T) {
+func TestAcceptModes(t *testing.T) {
 	r := newRig(t, Options{})
 	s := r.connect(0)
 	conn := r.want(simapi.WorkerDialed).Conn
 	r.do(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn})
-	hear := func(machine, mode int) {
+	receive := func(machine, mode int) {
 		done := make(chan struct{})
 		r.do(simapi.Input{Kind: simapi.AcceptModeChanged, Worker: 0, Machine: machine, Mode: mode})
 		r.d.post(func() { close(done) })
@@ -407,7 +407,7 @@
 	}
 	at := r.d.addresses.worker(0, 0).String()
 	for _, mode := range []int{simapi.AcceptNone, simapi.AcceptSilently, simapi.AcceptNone, simapi.AcceptSilently} {
-		hear(0, mode)
+		receive(0, mode)
 		_, err := net.DialTimeout("tcp", at, 50*time.Millisecond)
 		var late net.Error
 		refused, silent := errors.Is(err, syscall.ECONNREFUSED), errors.As(err, &late) && late.Timeout()
@@ -421,12 +421,12 @@
 			t.Errorf("mode %d: the open link has no answer", mode)
 		}
 	}
-	hear(0, simapi.AcceptAll)
+	receive(0, simapi.AcceptAll)
 	r.connect(0)
 	r.want(simapi.WorkerDialed)
 	// The machine that takes its place is found elsewhere, and where the first was there is nobody.
-	hear(0, simapi.AcceptSilently)
-	hear(1, simapi.AcceptAll)
+	receive(0, simapi.AcceptSilently)
+	receive(1, simapi.AcceptAll)
 	r.connect(2 + 0)
 	if o := r.want(simapi.WorkerDialed); o.Worker != 0 || o.Machine != 1 {
 		t.Errorf("the second machine is dialled by %+v", o)
@@ -436,8 +436,8 @@
 	}
 }
 
-// A note is a call of its own, and its outcome is told whatever becomes of it.
-func TestNotes(t *testing.T) {
+// A callback is a call of its own, and its outcome is told whatever becomes of it.
+func TestCallbacks(t *testing.T) {
 	r := newRig(t, Options{})
 	result := "made"
 	tell := func(id uint64, state string) {
@@ -473,11 +473,11 @@
 	r.serve(mux)
 	t.Cleanup(func() { close(hang) })
 	for id, x := range map[uint64]struct {
-		state    string
-		status   int
-		patience time.Duration // the machine may stand still for a while
+		state   string
+		status  int
+		timeout time.Duration // the machine may stand still for a while
 	}{2: {"done", 204, time.Minute}, 3: {"started", 400, time.Minute}, 4: {"lost", 0, time.Minute}, 5: {"failed", 0, 0}} {
-		r.d.post(func() { r.d.callbackTimeout = x.patience })
+		r.d.post(func() { r.d.callbackTimeout = x.timeout })
 		tell(id, x.state)
 		acked(id, x.status)
 	}
@@ -499,7 +499,7 @@
 // Discovery tells a watch all it has to tell, with the addresses that are the scheduler's, and ends it.
 func TestDiscovery(t *testing.T) {
 	r := newRig(t, Options{})
-	ask := func(at netip.AddrPort, path string) (*http.Response, *bufio.Reader) {
+	request := func(at netip.AddrPort, path string) (*http.Response, *bufio.Reader) {
 		c, err := net.Dial("tcp", at.String())
 		if err != nil {
 			t.Fatal(err)
@@ -525,7 +525,7 @@
 		}
 		r.do(simapi.Input{Kind: simapi.ListReceived, List: list}, simapi.Input{Kind: simapi.WatchHeartbeat}, simapi.Input{Kind: simapi.ListReceived, List: list})
 	}()
-	_, lines := ask(r.d.addresses.discovery(0, 0), "/discovery/hosts?stream=1&index=41")
+	_, lines := request(r.d.addresses.discovery(0, 0), "/discovery/hosts?stream=1&index=41")
 	for _, x := range []string{want, "", want} {
 		if line, err := lines.ReadString('\n'); err != nil || line != x+"\n" {
 			t.Errorf("%q, %v, expected %q", line, err, x)
@@ -535,11 +535,11 @@
 	if _, err := lines.ReadString('\n'); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("ended: %v", err)
 	}
-	// At another address, once the world has it there: a call that fails, the whole list, and what is no call.
+	// At another address, once the environment has it there: a call that fails, the whole list, and what is no call.
 	r.do(simapi.Input{Kind: simapi.DiscoveryAcceptModeChanged, Discovery: 1, Mode: simapi.AcceptAll}, simapi.Input{Kind: simapi.DiscoveryAcceptModeChanged, Mode: simapi.AcceptNone})
-	told := make(chan struct{})
-	r.d.post(func() { close(told) })
-	<-told
+	notified := make(chan struct{})
+	r.d.post(func() { close(notified) })
+	<-notified
 	if _, err := net.Dial("tcp", r.d.addresses.discovery(0, 0).String()); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("the old address: %v", err)
 	}
@@ -551,28 +551,28 @@
 		}
 		r.do(simapi.Input{Kind: simapi.ListReceived, List: list})
 	}()
-	if a, _ := ask(r.d.addresses.discovery(1, 0), "/discovery/hosts?stream=1&index=43"); a.StatusCode != 503 {
+	if a, _ := request(r.d.addresses.discovery(1, 0), "/discovery/hosts?stream=1&index=43"); a.StatusCode != 503 {
 		t.Errorf("a call that fails: %d", a.StatusCode)
 	}
-	a, body := ask(r.d.addresses.discovery(1, 0), "/discovery/hosts")
+	a, body := request(r.d.addresses.discovery(1, 0), "/discovery/hosts")
 	if text, _ := io.ReadAll(body); a.StatusCode != 200 || string(text) != want {
 		t.Errorf("%d %s", a.StatusCode, text)
 	}
 	for path, status := range map[string]int{"/else": 404, "/discovery/hosts?stream=1&index=x": 400} {
-		if a, _ := ask(r.d.addresses.discovery(1, 0), path); a.StatusCode != status {
+		if a, _ := request(r.d.addresses.discovery(1, 0), path); a.StatusCode != status {
 			t.Errorf("%s: %d", path, a.StatusCode)
 		}
 	}
 }
 
-// Bad clients of every kind come to an end at a server that gives each an error, or closes.
+// Misbehaving clients of every kind come to an end at a server that gives each an error, or closes.
 func TestBadClients(t *testing.T) {
 	r := newRig(t, Options{})
 	var lock sync.Mutex
-	asked := map[string]int{}
+	sent := map[string]int{}
 	r.serve(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		lock.Lock()
-		asked[q.URL.Path[strings.LastIndexByte(q.URL.Path, '/')+1:]]++
+		sent[q.URL.Path[strings.LastIndexByte(q.URL.Path, '/')+1:]]++
 		lock.Unlock()
 		w.WriteHeader(400)
 	}))
@@ -603,26 +603,26 @@
 		return ""
 	}
 	// By chunks, as net/http reads it, the smuggler's request is two.
-	insist, stolen, garbage := asked[at("insist")], asked[at("stolen_id")], asked[at("garbage")]
-	hidden := asked[hiddenPrefix+strings.TrimSuffix(at("smuggle"), "0")+"1"]
+	insist, stolen, garbage := sent[at("insist")], sent[at("stolen_id")], sent[at("garbage")]
+	hidden := sent[hiddenPrefix+strings.TrimSuffix(at("smuggle"), "0")+"1"]
 	if insist == 0 || stolen != 1 || garbage != 0 || hidden != 1 {
 		t.Errorf("insist %d, stolen_id %d, garbage %d, hidden %d", insist, stolen, garbage, hidden)
 	}
 }
 
-// Guests' queries are run without the world.
+// Guests' requests are run without the environment.
 func TestGuests(t *testing.T) {
 	r := newRig(t, Options{Guests: true})
-	notes := make(chan string, 4)
+	callbacks := make(chan string, 4)
 	r.serve(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		b, _ := io.ReadAll(q.Body)
-		notes <- string(b)
+		callbacks <- string(b)
 		w.WriteHeader(204)
 	}))
 	s := r.connect(0)
 	r.do(simapi.Input{Kind: simapi.WorkerConnected, Conn: r.want(simapi.WorkerDialed).Conn})
-	_, _ = io.WriteString(s, query("mine", "k", "x"))
-	status, started, done := s.status(), <-notes, <-notes
+	_, _ = io.WriteString(s, requestText("mine", "k", "x"))
+	status, started, done := s.status(), <-callbacks, <-callbacks
 	if status != 202 || !strings.Contains(started, "started") || !strings.Contains(done, `"done","result":"mine ran`) {
 		t.Error(status, started, done)
 	}
@@ -657,37 +657,37 @@
 		known := requests.EndpointList{Revision: 9, Endpoints: []requests.Endpoint{{ID: "w-1", Lifecycle: "up"}}}
 		boot := &simapi.StartOptions{Name: "s1", Seed: 5, KnownEndpoints: known}
 		start := simapi.Input{Kind: simapi.Start, Start: boot}
-		asks := func(after int64, ready bool) { // in any order
+		polls := func(after int64, ready bool) { // in any order
 			t.Helper()
-			for asked := false; !asked || ready; {
+			for sent := false; !sent || ready; {
 				switch o := r.next(); {
 				case o.Kind == simapi.Ready && ready:
 					ready = false
-				case o.Kind == simapi.WatchRequested && !asked && int64(o.RetryAfter) == after:
-					asked = true
+				case o.Kind == simapi.WatchRequested && !sent && int64(o.RetryAfter) == after:
+					sent = true
 				default:
 					t.Fatalf("%+v", o)
 				}
 			}
 		}
 		r.do(start)
-		asks(9, true) // the generation that it was started with
+		polls(9, true) // the generation that it was started with
 		<-looked
 		if usage.Memory <= 0 || usage.OpenFiles <= 0 || usage.CPU <= 0 {
 			t.Errorf("%+v", usage)
 		}
 		r.do(simapi.Input{Kind: simapi.Freeze}, simapi.Input{Kind: simapi.Resume}, simapi.Input{Kind: simapi.Reload, Discovery: 1})
-		asks(9, false)
+		polls(9, false)
 		r.do(simapi.Input{Kind: simapi.Terminate})
 		if o := r.want(simapi.Exited); o.Status != 7 {
 			t.Errorf("%+v", o)
 		}
 		boot.KnownEndpoints.Revision = 10
 		r.do(start)
-		asks(10, true)
+		polls(10, true)
 		r.do(simapi.Input{Kind: simapi.Freeze}, simapi.Input{Kind: simapi.Kill}) // of which nothing is told
 		r.do(start)
-		asks(10, true)
+		polls(10, true)
 		log, err := os.ReadFile(r.d.schedulers[0].log.path)
 		text := string(log)
 		if err != nil || strings.Count(text, "begins") != 3 || !strings.Contains(text, "discovery moved") {
--- a/internal/testbed/process/poller.go
+++ b/internal/testbed/process/poller.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// clock is the time since the play began.
+// clock is the time since the run began.
 func (p *poller) clock() time.Duration { return time.Since(p.startedAt) }
 
 // wake wakes wait. Any goroutine may, also once the poller is closed.
@@ -124,11 +124,11 @@
 	if !timed {
 		until = 0
 	}
-	switch left := until - p.clock(); {
-	case timed && left <= 0:
+	switch remaining := until - p.clock(); {
+	case timed && remaining <= 0:
 		timeout = 0
 	case until != p.armed:
-		at := unix.ItimerSpec{Value: unix.NsecToTimespec(max(0, int64(left)))}
+		at := unix.ItimerSpec{Value: unix.NsecToTimespec(max(0, int64(remaining)))}
 		if err := unix.TimerfdSettime(p.timer, 0, &at, nil); err != nil {
 			return fmt.Errorf("timer: %w", err)
 		}
--- a/internal/testbed/process/usage.go
+++ b/internal/testbed/process/usage.go
@@ -54,8 +54,8 @@
 
 // statusBytes reads a line of /proc/PID/status, in bytes.
 func statusBytes(status []byte, name string) int64 {
-	_, rest, _ := bytes.Cut(status, []byte("\n"+name))
-	line, _, _ := bytes.Cut(rest, []byte("\n"))
+	_, remainder, _ := bytes.Cut(status, []byte("\n"+name))
+	line, _, _ := bytes.Cut(remainder, []byte("\n"))
 	fields := bytes.Fields(line)
 	if len(fields) == 0 {
 		return 0
@@ -73,7 +73,7 @@
 	return len(list)
 }
 
-// sampleProcesses takes the figures of all processes, the lab's too, again and again, until the loop has ended.
+// sampleProcesses takes the figures of all processes, the testbed's too, again and again, until the loop has ended.
 func (d *driver) sampleProcesses() {
 	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
--- a/internal/testbed/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -41,7 +41,7 @@
 
 // ticks are at round values, at most about n of them.
 func (s *scale) ticks(n int, text func(float64) string) []tick {
-	var out []tick
+	var outputs []tick
 	if s.log {
 		steps := []float64{1, 2, 5}
 		if math.Log10(s.high/s.low) > float64(n)/2 {
@@ -50,11 +50,11 @@
 		for power := math.Pow(10, math.Floor(math.Log10(s.low))); power <= s.high*1.001; power *= 10 {
 			for _, step := range steps {
 				if v := power * step; v >= s.low*0.999 && v <= s.high*1.001 {
-					out = append(out, tick{s.at(v), text(v)})
+					outputs = append(outputs, tick{s.at(v), text(v)})
 				}
 			}
 		}
-		return out
+		return outputs
 	}
 	step := roundUp((s.high - s.low) / float64(n))
 	if step <= 0 {
@@ -62,9 +62,9 @@
 	}
 	for i := int(math.Ceil(s.low/step - 1e-9)); float64(i)*step <= s.high+step*1e-9; i++ {
 		v := float64(i) * step
-		out = append(out, tick{s.at(v), text(v)})
+		outputs = append(outputs, tick{s.at(v), text(v)})
 	}
-	return out
+	return outputs
 }
 
 // roundUp is the next of 1, 2, 5, 10 and so on.
@@ -83,16 +83,16 @@
 
 // plot is a drawing that the template writes as SVG.
 type plot struct {
-	ID, Title, Description, YName, XName string
-	Width, Height                        pixels
-	Left, Right, Top, Bottom             pixels // borders of the area
-	XTicks, YTicks                       []tick
-	Bands                                []band
-	Marks                                []markLine
-	Curves                               []curve
-	Dots                                 []dot
-	Hovers                               []hover
-	xScale, yScale                       scale
+	ID, Title, Description, YName, XName     string
+	Width, Height                            pixels
+	LeftEdge, RightEdge, TopEdge, BottomEdge pixels // borders of the area
+	XTicks, YTicks                           []tick
+	Bands                                    []band
+	Marks                                    []markLine
+	Curves                                   []curve
+	Dots                                     []dot
+	Hovers                                   []hover
+	xScale, yScale                           scale
 }
 
 type band struct {
@@ -135,14 +135,14 @@
 
 func newPlot(id, title, xName, yName string, height pixels) *plot {
 	return &plot{
-		ID: id, Title: title, XName: xName, YName: yName, Width: plotWidth, Height: height, Left: 62, Right: plotWidth - 12, Top: 24,
-		Bottom: height - 34,
+		ID: id, Title: title, XName: xName, YName: yName, Width: plotWidth, Height: height, LeftEdge: 62, RightEdge: plotWidth - 12, TopEdge: 24,
+		BottomEdge: height - 34,
 	}
 }
 
 // axes sets the scales and their ticks. The area must have its borders by then.
 func (p *plot) axes(x, y scale, xText, yText func(float64) string) {
-	x.from, x.to, y.from, y.to = p.Left, p.Right, p.Bottom, p.Top
+	x.from, x.to, y.from, y.to = p.LeftEdge, p.RightEdge, p.BottomEdge, p.TopEdge
 	p.xScale, p.yScale = x, y
 	p.XTicks, p.YTicks = x.ticks(12, xText), y.ticks(5, yText)
 }
@@ -156,7 +156,7 @@
 	for i, y := range ys {
 		if isNotFinite(y) {
 			if down && area {
-				fmt.Fprintf(&b, "V%sZ", p.Bottom)
+				fmt.Fprintf(&b, "V%sZ", p.BottomEdge)
 			}
 			down = false
 			continue
@@ -166,7 +166,7 @@
 		case down:
 			fmt.Fprintf(&b, "L%s %s", current, y)
 		case area:
-			fmt.Fprintf(&b, "M%s %sV%s", current, p.Bottom, y)
+			fmt.Fprintf(&b, "M%s %sV%s", current, p.BottomEdge, y)
 		case i+1 == len(ys) || isNotFinite(ys[i+1]): // alone, it shows as a short line
 			fmt.Fprintf(&b, "M%s %sh1.5", current, y)
 		default:
@@ -175,7 +175,7 @@
 		down, last = true, current
 	}
 	if down && area {
-		fmt.Fprintf(&b, "H%sV%sZ", last, p.Bottom)
+		fmt.Fprintf(&b, "H%sV%sZ", last, p.BottomEdge)
 	}
 	return b.String()
 }
@@ -195,7 +195,7 @@
 	summarize func(score.Series) float64
 }
 
-// timePlot is a plot of series by the second with the play's faults. top 0: as high as the values are.
+// timePlot is a plot of series by the second with the run's faults. top 0: as high as the values are.
 type timePlot struct {
 	id, title, yName string
 	height           pixels
@@ -206,7 +206,7 @@
 	labels           bool                 // faults are named, not just numbered
 }
 
-// timeline is what all plots of a play have in common.
+// timeline is what all plots of a run have in common.
 type timeline struct {
 	end    float64
 	faults []score.Fault
@@ -215,7 +215,7 @@
 
 func (t *timeline) plot(o timePlot) *plot {
 	plot := newPlot(o.id, o.title, "seconds since the play's start", o.yName, o.height)
-	lanes := t.bands(plot, o.labels)
+	levels := t.bands(plot, o.labels)
 	n := 0
 	for i := range o.lines {
 		n = max(n, len(o.lines[i].series))
@@ -226,9 +226,9 @@
 		copy(whole, o.lines[i].series)
 		o.lines[i].series = whole
 	}
-	plot.Top += pixels(14 * max(0, lanes-1))
-	plot.Height += pixels(14 * max(0, lanes-1))
-	plot.Bottom = plot.Height - 34
+	plot.TopEdge += pixels(14 * max(0, levels-1))
+	plot.Height += pixels(14 * max(0, levels-1))
+	plot.BottomEdge = plot.Height - 34
 	yScale := scale{high: o.top, log: o.log}
 	for i := range o.lines {
 		l := &o.lines[i]
@@ -251,7 +251,7 @@
 	}
 	seconds := func(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) }
 	plot.axes(scale{high: max(t.end, 1)}, yScale, seconds, func(v float64) string { return shorten(o.text(v)) })
-	said := make([]string, 0, len(o.lines))
+	reported := make([]string, 0, len(o.lines))
 	var texts []string // of the hovers
 	each := 1
 	for i := range o.lines {
@@ -278,7 +278,7 @@
 			class = "s" + strconv.Itoa(i%6+1)
 		}
 		plot.add(class, lineSpec.name, values, ys, lineSpec.area, lineSpec.strong)
-		said = append(said, fmt.Sprintf("%s: mean %s, greatest %s", lineSpec.name, o.text(meanOf(lineSpec.series)), o.text(maxOf(lineSpec.series))))
+		reported = append(reported, fmt.Sprintf("%s: mean %s, greatest %s", lineSpec.name, o.text(meanOf(lineSpec.series)), o.text(maxOf(lineSpec.series))))
 	}
 	for k, text := range texts {
 		for i, f := range t.faults[:min(len(t.faults), maxBands)] {
@@ -289,7 +289,7 @@
 		from, to := plot.xScale.at(float64(k*each)), plot.xScale.at(float64((k+1)*each))
 		plot.Hovers = append(plot.Hovers, hover{from, to - from, text})
 	}
-	plot.Description = strings.Join(said, "; ") + "."
+	plot.Description = strings.Join(reported, "; ") + "."
 	if len(t.faults) > 0 {
 		plot.Description += fmt.Sprintf(" %s shown as bands.", plural(len(t.faults), "fault is", "faults are"))
 	}
@@ -305,13 +305,13 @@
 
 // bands marks faults and marks, and tells how many lanes of labels they take.
 func (t *timeline) bands(p *plot, named bool) (used int) {
-	xScale := scale{high: max(t.end, 1), from: p.Left, to: p.Right}
+	xScale := scale{high: max(t.end, 1), from: p.LeftEdge, to: p.RightEdge}
 	ends := make([]pixels, labelLanes) // of the labels in each lane
 	if !named {
 		ends = ends[:1]
 	}
 	for i := range ends {
-		ends[i] = p.Left - 100
+		ends[i] = p.LeftEdge - 100
 	}
 	for i, f := range t.faults[:min(len(t.faults), maxBands)] {
 		off := f.Off
@@ -330,16 +330,16 @@
 	fit:
 		for _, text := range labels {
 			wide := pixels(runeWidth * float64(len([]rune(text))))
-			for lane := range ends {
+			for level := range ends {
 				at, end := from, from+wide
-				if end > p.Right {
-					at, end = p.Right-wide, p.Right
+				if end > p.RightEdge {
+					at, end = p.RightEdge-wide, p.RightEdge
 				}
-				if at < ends[lane]+4 {
+				if at < ends[level]+4 {
 					continue
 				}
-				b.Label, b.LabelX, b.LabelY, ends[lane] = text, at, pixels(18+14*lane), end
-				used = max(used, lane+1)
+				b.Label, b.LabelX, b.LabelY, ends[level] = text, at, pixels(18+14*level), end
+				used = max(used, level+1)
 				break fit
 			}
 		}
@@ -351,16 +351,16 @@
 	return used
 }
 
-// strip is the occupancy of worker nodes over time: a line for each, or for some that lie side by side.
+// strip is the occupancy of workers over time: a line for each, or for some that lie side by side.
 type strip struct {
-	ID, Title, Description   string
-	Remark                   string
-	Width, Height, Left, Top pixels
-	ScaleX, ScaleY           string
-	Levels                   []stripLevel
-	XTicks, YTicks           []tick
-	Bands                    []band
-	AreaW, AreaH             pixels
+	ID, Title, Description           string
+	Remark                           string
+	Width, Height, LeftEdge, TopEdge pixels
+	ScaleX, ScaleY                   string
+	Levels                           []stripLevel
+	XTicks, YTicks                   []tick
+	Bands                            []band
+	AreaW, AreaH                     pixels
 }
 
 // stripLevel is all cells of one shade, drawn as one path in units of cells.
@@ -389,16 +389,16 @@
 		high = 3
 	}
 	strip := &strip{
-		ID: "strip", Title: "Occupancy of worker nodes over time", Width: plotWidth, Left: 62, Top: 8, AreaW: plotWidth - 74,
+		ID: "strip", Title: "Occupancy of worker nodes over time", Width: plotWidth, LeftEdge: 62, TopEdge: 8, AreaW: plotWidth - 74,
 		AreaH: high * pixels(len(lines)),
 	}
-	strip.Height = strip.Top + strip.AreaH + 34
+	strip.Height = strip.TopEdge + strip.AreaH + 34
 	cell := o.CellSeconds * float64(each)
 	wide := strip.AreaW / pixels(columns)
 	strip.ScaleX, strip.ScaleY = strconv.FormatFloat(float64(wide), 'f', 4, 64), high.String()
 	paths := make([]strings.Builder, shades+1) // the last: none was up
-	for row := range lines {
-		use := lines[row].Use
+	for line := range lines {
+		use := lines[line].Use
 		shade := func(c int) int {
 			sum, n := 0.0, 0
 			for _, x := range use[min(c*each, len(use)):min((c+1)*each, len(use))] {
@@ -417,7 +417,7 @@
 				c++
 			}
 			if level > 0 { // idle is the ground that all is drawn on
-				fmt.Fprintf(&paths[level], "M%d %dh%dv1h-%dz", from, row, c-from, c-from)
+				fmt.Fprintf(&paths[level], "M%d %dh%dv1h-%dz", from, line, c-from, c-from)
 			}
 		}
 	}
@@ -428,12 +428,12 @@
 		}
 		strip.Levels = append(strip.Levels, stripLevel{"h" + strconv.Itoa(i), paths[i].String(), name})
 	}
-	x := scale{high: cell * float64(columns), from: strip.Left, to: strip.Left + strip.AreaW}
+	x := scale{high: cell * float64(columns), from: strip.LeftEdge, to: strip.LeftEdge + strip.AreaW}
 	strip.XTicks = x.ticks(12, func(v float64) string { return strconv.FormatFloat(v, 'g', 6, 64) })
 	every := max(1, (len(lines)*14+int(strip.AreaH)-1)/int(strip.AreaH))
-	for row := 0; row < len(lines); row += every {
-		text := fmt.Sprint("w-", lines[row].First)
-		strip.YTicks = append(strip.YTicks, tick{strip.Top + (pixels(row)+0.5)*high, text})
+	for line := 0; line < len(lines); line += every {
+		text := fmt.Sprint("w-", lines[line].First)
+		strip.YTicks = append(strip.YTicks, tick{strip.TopEdge + (pixels(line)+0.5)*high, text})
 	}
 	for i, f := range t.faults[:min(len(t.faults), maxBands)] {
 		from := x.at(f.On)
--- a/internal/testbed/report/report_test.go
+++ b/internal/testbed/report/report_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// played is a play that is written down: each job takes a course by its number. With nasty names all that is text in
+// played is a run that is written down: each job takes a course by its number. With nasty names all that is text in
 // it would do harm if it weren't escaped.
 func played(seed uint64, slower int, nasty bool) *score.Result {
 	spec := scenario.Default()
@@ -57,12 +57,12 @@
 		spec.Tenants[0].Name = bad
 	}
 	s := score.New(spec, score.Options{Seed: seed, Driver: scenario.DriverSimulation})
-	type sight struct {
+	type timedEvent struct {
 		at int
 		trace.Event
 	}
-	var all []sight
-	put := func(at int, x trace.Event) { all = append(all, sight{at, x}) }
+	var all []timedEvent
+	put := func(at int, x trace.Event) { all = append(all, timedEvent{at, x}) }
 	for i := range 10 {
 		put(0, trace.Event{Kind: trace.WorkerStarted, Worker: i, Slots: 4})
 	}
@@ -84,25 +84,25 @@
 	put(30_100, trace.Event{Kind: trace.MisbehavingClientAnswered, Conn: 1, Status: 400})
 	put(30_100, trace.Event{Kind: trace.TestbedLate, Lateness: 2 * time.Millisecond})
 	for i := range 1200 {
-		due, call, job, node := i*33, fmt.Sprint("c", i), uint64(i+1), i*7%10
+		dueAt, call, job, node := i*33, fmt.Sprint("c", i), uint64(i+1), i*7%10
 		took, status := 120+i*37%400+slower, 200
-		if at := due / 1000; at >= 12 && at < 18 && i%3 == 0 {
+		if at := dueAt / 1000; at >= 12 && at < 18 && i%3 == 0 {
 			took, status = 60, 503
 		}
-		put(due, trace.Event{
+		put(dueAt, trace.Event{
 			Kind: trace.JobDue, JobID: job, Class: i % 4, Tenant: i % 3, Work: 0.25, Slots: float64(1 + i%2),
 			LatencyObjective: 500 * time.Millisecond,
 		})
-		put(due, trace.Event{Kind: trace.RequestSent, JobID: job, RequestID: call})
+		put(dueAt, trace.Event{Kind: trace.RequestSent, JobID: job, RequestID: call})
 		if status == 200 {
-			put(due+2, trace.Event{Kind: trace.AttemptReceived, RequestID: call, Worker: node})
-			put(due+4, trace.Event{Kind: trace.AttemptStarted, RequestID: call, Worker: node})
-			put(due+took-2, trace.Event{Kind: trace.AttemptFinished, RequestID: call, Worker: node, Status: 200})
+			put(dueAt+2, trace.Event{Kind: trace.AttemptReceived, RequestID: call, Worker: node})
+			put(dueAt+4, trace.Event{Kind: trace.AttemptStarted, RequestID: call, Worker: node})
+			put(dueAt+took-2, trace.Event{Kind: trace.AttemptFinished, RequestID: call, Worker: node, Status: 200})
 		}
-		put(due+took, trace.Event{Kind: trace.ResponseReceived, RequestID: call, Status: status})
-		put(due+took, trace.Event{Kind: trace.JobSettled, JobID: job, Status: status})
+		put(dueAt+took, trace.Event{Kind: trace.ResponseReceived, RequestID: call, Status: status})
+		put(dueAt+took, trace.Event{Kind: trace.JobSettled, JobID: job, Status: status})
 	}
-	slices.SortStableFunc(all, func(a, b sight) int { return a.at - b.at })
+	slices.SortStableFunc(all, func(a, b timedEvent) int { return a.at - b.at })
 	for i := range all {
 		all[i].At = time.Duration(all[i].at) * time.Millisecond
 		s.Observe(&all[i].Event)
@@ -212,7 +212,7 @@
 	}
 	d := xml.NewDecoder(strings.NewReader(text))
 	d.Strict, d.AutoClose, d.Entity = false, []string{"meta", "link"}, xml.HTMLEntity
-	var out strings.Builder
+	var outputs strings.Builder
 	var path []string
 	ids := map[string]bool{}
 	titled := 0
@@ -234,7 +234,7 @@
 						t.Errorf("id %s twice", a.Value)
 					}
 					if ids[a.Value] = true; x.Name.Local == "section" {
-						fmt.Fprintln(&out, "section", a.Value)
+						fmt.Fprintln(&outputs, "section", a.Value)
 					}
 				case "href":
 					if !strings.HasPrefix(a.Value, "#") {
@@ -242,7 +242,7 @@
 					}
 				case "aria-labelledby":
 					titled++
-					fmt.Fprintln(&out, "  plot", strings.TrimSuffix(strings.Fields(a.Value)[0], "-t"))
+					fmt.Fprintln(&outputs, "  plot", strings.TrimSuffix(strings.Fields(a.Value)[0], "-t"))
 				}
 			}
 		case xml.EndElement:
@@ -250,7 +250,7 @@
 		case xml.CharData:
 			switch within := strings.Join(path, " "); {
 			case strings.HasSuffix(within, "thead tr th") && strings.TrimSpace(string(x)) != "":
-				fmt.Fprintln(&out, "  column", strings.TrimSpace(string(x)))
+				fmt.Fprintln(&outputs, "  column", strings.TrimSpace(string(x)))
 			case strings.HasSuffix(within, "figure svg desc") && len(x) < 20:
 				t.Errorf("plot described as %q", x)
 			}
@@ -259,7 +259,7 @@
 	if titled == 0 || titled != strings.Count(text, "<desc") || titled != strings.Count(text, `role="img"`) {
 		t.Error("a plot without title or description")
 	}
-	return out.String()
+	return outputs.String()
 }
 
 func TestHTML(t *testing.T) {
@@ -287,7 +287,7 @@
 	outline(t, b.String())
 }
 
-// A strip shows 10,000 worker nodes and a day's load in a page of bearable size.
+// A strip shows 10,000 workers and a day's load in a page of bearable size.
 func TestLargeHTML(t *testing.T) {
 	spec := scenario.Default()
 	spec.Fleet.Workers, spec.Length = 10_000, scenario.Duration(time.Hour)
@@ -345,8 +345,8 @@
 	checkJSON(t, c, "sides", "paired")
 }
 
-func TestSweep(t *testing.T) {
-	s := &Sweep{Title: "slower", Param: "ms", Second: "side"}
+func TestVariation(t *testing.T) {
+	s := &Variation{Title: "slower", Param: "ms", Second: "side"}
 	var points []Point
 	for i, slower := range []int{0, 40, 80, 300, 320, 340} {
 		points = append(points, Point{X: float64(i + 1), Results: []*score.Result{played(1, slower, false)}})
@@ -357,12 +357,12 @@
 		t.Errorf("knee at %d, %v", at, ok)
 	}
 	var b bytes.Buffer
-	if err := SweepPage(&b, s); err != nil {
+	if err := VariationPage(&b, s); err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "sweep.golden", b.String())
 	b.Reset()
-	if err := WriteSweep(&b, s); err != nil {
+	if err := WriteVariation(&b, s); err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "sweep.outline", outline(t, b.String()))
@@ -378,12 +378,12 @@
 	if err := WriteJSON(&b, v); err != nil {
 		t.Fatal(err)
 	}
-	var out map[string]any
-	if err := json.Unmarshal(b.Bytes(), &out); err != nil {
+	var outputs map[string]any
+	if err := json.Unmarshal(b.Bytes(), &outputs); err != nil {
 		t.Fatal(err)
 	}
 	for _, k := range keys {
-		if out[k] == nil {
+		if outputs[k] == nil {
 			t.Errorf("no %s", k)
 		}
 	}
--- a/internal/testbed/simulation/worker_conns.go
+++ b/internal/testbed/simulation/worker_conns.go
@@ -37,15 +37,15 @@
 	errStatus       = errors.New("status")
 )
 
-// workerConns model the connections to worker nodes as internal/link keeps them: the ledger's Carrier. What takes
-// a socket's time there takes none here, so that a query whose link is up is wholly written at once.
+// workerConns model the connections to workers as internal/link keeps them: the ledger's Carrier. What takes
+// a socket's time there takes none here, so that a request whose link is up is wholly written at once.
 type workerConns struct {
 	process      *process
 	endpoints    map[uint64]*endpointConns
-	order        []*endpointConns // map order decides nothing
+	endpointList []*endpointConns // map order decides nothing
 	conns        map[simapi.Conn]*workerConn
-	attemptConns map[*requests.Attempt]*workerConn // until the worker node has accepted
-	// cancellations are the attempts whose worker node is being told, and how many connections were tried for that.
+	attemptConns map[*requests.Attempt]*workerConn // until the worker has accepted
+	// cancellations are the attempts whose worker is being told, and how many connections were tried for that.
 	cancellations  map[*requests.Attempt]int
 	maxConns       int
 	idleCount      int           // idle links, over all hosts
@@ -56,10 +56,10 @@
 	idleTrustSetAt time.Duration // when that was set
 }
 
-// endpointConns are the links to one worker node.
+// endpointConns are the links to one worker.
 type endpointConns struct {
 	worker      uint64
-	workerIndex int // the world's number; -1: unknown
+	workerIndex int // the environment's number; -1: unknown
 	machine     int // which one in its place
 	addr        string
 	startedMs   int64
@@ -91,7 +91,7 @@
 	attempt *requests.Attempt // nil for a probe
 }
 
-// workerConn is a connection to a worker node.
+// workerConn is a connection to a worker.
 type workerConn struct {
 	timer         timer
 	timerSet      bool          // the alarm is set, perhaps for sooner than is due
@@ -126,7 +126,7 @@
 		h = &endpointConns{worker: worker}
 		h.workerIndex, h.machine = NodeOf(now.ID)
 		s.endpoints[worker] = h
-		s.order = append(s.order, h)
+		s.endpointList = append(s.endpointList, h)
 	}
 	if h.startedMs != now.StartedAtMs || h.addr != now.Addr {
 		h.addr, h.startedMs = now.Addr, now.StartedAtMs
@@ -136,7 +136,7 @@
 	return h
 }
 
-// NodeOf is the world's number of the worker node whose id discovery tells, and which machine in its place that is:
+// NodeOf is the environment's number of the worker whose id discovery tells, and which machine in its place that is:
 // "w-12" is the first, 0, "w-12.1" the one that took its place. node -1: it is none.
 func NodeOf(id string) (node, machine int) {
 	digits, ok := strings.CutPrefix(id, "w-")
@@ -156,7 +156,7 @@
 // Start starts an attempt.
 func (s *workerConns) Start(a *requests.Attempt) { s.startTask(a.Worker, connTask{taskAttempt, a}) }
 
-// Abandon lets the worker node know: before it has accepted by closing the link, after that by a DELETE.
+// Abandon lets the worker know: before it has accepted by closing the link, after that by a DELETE.
 func (s *workerConns) Abandon(a *requests.Attempt) {
 	if k := s.attemptConns[a]; k != nil {
 		k.closeWith(nil)
@@ -192,12 +192,12 @@
 	})
 }
 
-// CheckHealth asks a worker node for a sign of life.
+// CheckHealth asks a worker for a sign of life.
 func (s *workerConns) CheckHealth(worker uint64) {
 	s.startTask(worker, connTask{kind: taskHealthCheck})
 }
 
-// CloseIdleConnections closes the idle links to a worker node.
+// CloseIdleConnections closes the idle links to a worker.
 func (s *workerConns) CloseIdleConnections(worker uint64) {
 	h := s.endpoints[worker]
 	for h != nil && len(h.idle) > 0 {
@@ -205,7 +205,7 @@
 	}
 }
 
-// Watch follows the host group from a generation on.
+// Watch follows the endpoint list from a generation on.
 func (s *workerConns) Watch(after int64) { s.process.watch(after) }
 
 // retire closes links that have been idle for too long.
@@ -219,7 +219,7 @@
 	if s.idleCount == 0 {
 		return
 	}
-	for _, h := range s.order {
+	for _, h := range s.endpointList {
 		for len(h.idle) > 0 && s.isStale(h.idle[0]) {
 			h.idle[0].closeWith(nil)
 		}
@@ -267,8 +267,8 @@
 // evictIdle closes an idle link of any host.
 func (s *workerConns) evictIdle() bool {
 	for s.idleCount > 0 {
-		s.evictFrom = (s.evictFrom + 1) % len(s.order)
-		if h := s.order[s.evictFrom]; len(h.idle) > 0 {
+		s.evictFrom = (s.evictFrom + 1) % len(s.endpointList)
+		if h := s.endpointList[s.evictFrom]; len(h.idle) > 0 {
 			h.idle[0].closeWith(nil)
 			return true
 		}
@@ -319,10 +319,10 @@
 // timedOut is the alarm.
 func (k *workerConn) timedOut() {
 	k.timerSet = false
-	switch left := k.deadline - k.conns.process.now; {
+	switch remaining := k.deadline - k.conns.process.now; {
 	case k.deadline == 0:
-	case left > 0:
-		k.awaitWithin(left)
+	case remaining > 0:
+		k.awaitWithin(remaining)
 	default:
 		k.closeWith(errTimeout)
 	}
@@ -340,10 +340,10 @@
 	output := simapi.Output{Conn: k.conn, Worker: k.endpoint.workerIndex, FirstByteAt: process.now - process.scheduler.epoch}
 	switch k.task.kind {
 	case taskAttempt:
-		left := a.At - process.now
+		remaining := a.At - process.now
 		output.Kind, output.RequestID, output.IdempotencyKey = simapi.AttemptWritten, a.Request.CallID, a.Request.Payload.IdempotencyKey
-		output.Budget = max(time.Millisecond, left.Truncate(time.Millisecond))
-		k.awaitWithin(left + connGrace)
+		output.Budget = max(time.Millisecond, remaining.Truncate(time.Millisecond))
+		k.awaitWithin(remaining + connGrace)
 	case taskHealthCheck:
 		output.Kind = simapi.HealthCheckWritten
 		k.awaitWithin(healthCheckTimeout)
@@ -483,7 +483,7 @@
 	}
 	reason := requests.ReasonConnectionLost
 	if dropped && k.task.kind == taskHealthCheck {
-		reason = requests.ReasonNotSent // it says nothing of the worker node
+		reason = requests.ReasonNotSent // it says nothing of the worker
 	}
 	if k.stage >= requests.StageWritten && errors.Is(cause, errTimeout) {
 		reason = requests.ReasonTimeout
--- a/internal/testbed/starvation/model_test.go
+++ b/internal/testbed/starvation/model_test.go
@@ -13,13 +13,13 @@
 )
 
 // model finds starvation by the words of the package doc alone: at each look it plays the whole history again, as far
-// as the sights go that it knows, and keeps nothing but which tries it has told.
+// as the trace events go that it knows, and keeps nothing but which tries it has told.
 type model struct {
-	spec   *scenario.Scenario
-	past   []trace.Event
-	tick   time.Duration
-	told   map[string]bool
-	counts [3]int // held, refused, excused
+	spec     *scenario.Scenario
+	past     []trace.Event
+	tick     time.Duration
+	reported map[string]bool
+	counts   [3]int // held, refused, excused
 }
 
 type modelRequest struct {
@@ -30,10 +30,10 @@
 }
 
 type modelAttempt struct {
-	node                    int
-	sent                    time.Duration
-	out, there, ended, seen bool
-	unrun                   bool
+	node                         int
+	sent                         time.Duration
+	inFlight, there, ended, seen bool
+	unrun                        bool
 }
 
 type modelWorker struct {
@@ -52,24 +52,24 @@
 	known []knowledge
 }
 
-func (t *modelRequest) out() bool {
-	return slices.ContainsFunc(t.tries, func(a modelAttempt) bool { return a.out })
+func (t *modelRequest) hasInFlight() bool {
+	return slices.ContainsFunc(t.tries, func(a modelAttempt) bool { return a.inFlight })
 }
 
-func (t *modelRequest) held() bool { return t.open && !t.out() }
+func (t *modelRequest) held() bool { return t.open && !t.hasInFlight() }
 
-// state is how things stand after the first n sights.
+// state is how things stand after the first n trace events.
 func (m *model) state(n int) *modelState {
 	n0 := m.spec.Fleet.Workers
 	s := &modelState{nodes: make([]modelWorker, n0), known: make([]knowledge, n0), tries: map[string]*modelRequest{}}
-	due := map[uint64]trace.Event{}
+	dueAt := map[uint64]trace.Event{}
 	for _, x := range m.past[:n] {
 		t := s.tries[x.RequestID]
 		held := t != nil && t.held()
 		var a *modelAttempt
 		if t != nil {
 			for i := range t.tries {
-				if b := &t.tries[i]; a == nil && b.node == x.Worker && (b.out || b.there) {
+				if b := &t.tries[i]; a == nil && b.node == x.Worker && (b.inFlight || b.there) {
 					a = b
 				}
 			}
@@ -77,23 +77,23 @@
 		ill := func() { s.nodes[x.Worker].ill = max(s.nodes[x.Worker].ill, x.At+healthyAfter) }
 		switch x.Kind {
 		case trace.JobDue:
-			due[x.JobID] = x
+			dueAt[x.JobID] = x
 		case trace.RequestSent:
-			s.tries[x.RequestID] = &modelRequest{job: due[x.JobID], since: x.At, open: true}
+			s.tries[x.RequestID] = &modelRequest{job: dueAt[x.JobID], since: x.At, open: true}
 			s.calls = append(s.calls, x.RequestID)
 		case trace.ResponseReceived:
 			t.open = false
 		case trace.AttemptSent:
-			t.tries = append(t.tries, modelAttempt{node: x.Worker, sent: x.At, out: true, there: true})
+			t.tries = append(t.tries, modelAttempt{node: x.Worker, sent: x.At, inFlight: true, there: true})
 		case trace.AttemptReceived:
 			a.seen = true
 		case trace.AttemptRejected:
 			ill()
-			a.out, a.there, a.unrun = false, false, true
+			a.inFlight, a.there, a.unrun = false, false, true
 		case trace.AttemptFinished:
-			a.ended, a.there = true, a.out
+			a.ended, a.there = true, a.inFlight
 		case trace.CallbackAnswered:
-			a.out, a.there = false, false
+			a.inFlight, a.there = false, false
 		case trace.WorkerPresent, trace.WorkerStarted:
 			s.nodes[x.Worker] = modelWorker{up: true, kind: x.Text, boot: x.Incarnation, slots: x.Slots, ill: s.nodes[x.Worker].ill}
 			if x.Kind == trace.WorkerStarted {
@@ -124,7 +124,7 @@
 	return s
 }
 
-// idle tells whether a worker node was idle for so many slots throughout the second before now.
+// idle tells whether a worker was idle for so many slots throughout the second before now.
 func (m *model) idle(node int, slots float64, now time.Duration) bool {
 	for n := 0; n <= len(m.past); n++ {
 		if n < len(m.past) && m.past[n].At <= now-idleWindow {
@@ -142,7 +142,7 @@
 	return true
 }
 
-// witness tells whether a worker node was idle for a try, begun at from.
+// witness tells whether a worker was idle for a try, begun at from.
 func (m *model) witness(s *modelState, t *modelRequest, from, now time.Duration, refused bool) bool {
 	class := &m.spec.Classes[t.job.Class]
 	need := float64(int(1) << slotBucket(t.job.Slots))
@@ -176,14 +176,14 @@
 	return false
 }
 
-// watch takes in a sight.
+// watch takes in a trace event.
 func (m *model) watch(x trace.Event) {
 	for ; m.tick <= x.At; m.tick += scanInterval {
 		s := m.state(len(m.past))
 		for _, call := range s.calls {
 			t := s.tries[call]
-			if t.held() && !m.told[call] && m.tick-max(t.since, startupWindow) >= idleWindow && m.witness(s, t, t.since, m.tick, false) {
-				m.told[call] = true
+			if t.held() && !m.reported[call] && m.tick-max(t.since, startupWindow) >= idleWindow && m.witness(s, t, t.since, m.tick, false) {
+				m.reported[call] = true
 				m.counts[0]++
 			}
 		}
@@ -191,8 +191,8 @@
 	if x.Kind == trace.ResponseReceived && x.Status == 503 {
 		s := m.state(len(m.past))
 		t := s.tries[x.RequestID]
-		if t.held() && !m.told[x.RequestID] && m.witness(s, t, max(t.since, x.At-idleWindow), x.At, true) {
-			m.told[x.RequestID] = true
+		if t.held() && !m.reported[x.RequestID] && m.witness(s, t, max(t.since, x.At-idleWindow), x.At, true) {
+			m.reported[x.RequestID] = true
 			if x.At < startupWindow {
 				m.counts[2]++
 			} else {
@@ -210,7 +210,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		spec := spec()
 		spec.Fleet.Workers = 3
-		w, m := New(spec), &model{spec: spec, told: map[string]bool{}}
+		w, m := New(spec), &model{spec: spec, reported: map[string]bool{}}
 		now := time.Duration(0)
 		tell := func(x trace.Event) {
 			x.At = now
@@ -231,7 +231,7 @@
 			s := m.state(len(m.past))
 			node := rapid.IntRange(0, 2).Draw(t, "node")
 			about := trace.Event{Worker: node, Incarnation: boots[node], Slots: 4, Text: spec.Fleet.Kinds[node%2].Name, Status: 200}
-			var open, out []string // tries, and "call node" of attempts
+			var open, outputs []string // tries, and "call node" of attempts
 			for _, call := range s.calls {
 				y := s.tries[call]
 				if y.open {
@@ -239,29 +239,29 @@
 				}
 				for _, a := range y.tries {
 					if a.there {
-						out = append(out, fmt.Sprint(call, " ", a.node))
+						outputs = append(outputs, fmt.Sprint(call, " ", a.node))
 					}
 				}
 			}
 			of := func(what trace.Kind) {
-				if len(out) == 0 {
+				if len(outputs) == 0 {
 					return
 				}
 				x := about
 				x.Kind = what
-				if _, err := fmt.Sscan(rapid.SampledFrom(out).Draw(t, "attempt"), &x.RequestID, &x.Worker); err != nil {
+				if _, err := fmt.Sscan(rapid.SampledFrom(outputs).Draw(t, "attempt"), &x.RequestID, &x.Worker); err != nil {
 					t.Fatal(err)
 				}
 				y := s.tries[x.RequestID]
 				x.Number, x.Text = 1, "done"
 				i := slices.IndexFunc(y.tries, func(a modelAttempt) bool { return a.node == x.Worker && a.there })
 				if a := y.tries[i]; what == trace.AttemptReceived && a.seen || what == trace.AttemptFinished && (a.ended || !a.seen) ||
-					what == trace.AttemptRejected && a.ended || what == trace.CallbackAnswered && (!a.ended || !a.out) {
+					what == trace.AttemptRejected && a.ended || what == trace.CallbackAnswered && (!a.ended || !a.inFlight) {
 					return
 				}
 				tell(x)
 			}
-			due := func() trace.Event {
+			dueAt := func() trace.Event {
 				jobs++
 				x := trace.Event{
 					Kind: trace.JobDue, JobID: jobs, Class: rapid.IntRange(0, 3).Draw(t, "class"),
@@ -278,14 +278,14 @@
 			}
 			switch rapid.IntRange(0, 14).Draw(t, "what") {
 			case 0, 1, 2:
-				due()
+				dueAt()
 			case 11, 12: // refused before it has waited for long
-				x := due()
+				x := dueAt()
 				soon()
 				x.Kind, x.Status = trace.ResponseReceived, 503
 				tell(x)
 			case 13, 14: // run, or failed and held on
-				x := due()
+				x := dueAt()
 				soon()
 				x.Worker, x.Incarnation, x.Number, x.Text, x.Status = node, boots[node], 1, "done", 200
 				for _, x.Kind = range []trace.Kind{trace.AttemptSent, trace.AttemptReceived, trace.AttemptFinished, trace.CallbackAnswered} {
