--- a/internal/testbed/report/html.go
+++ b/internal/testbed/report/html.go
@@ -224,7 +224,7 @@
 		if !m.OK {
 			word, class = "not met", "poor"
 		}
-		t.addRow(m.Expectation.String(), formatValue(m), word, m.Remark)
+		t.addRow(m.Expectation.String(), formatValue(m), word, m.Reason)
 		t.setClass(class, 2)
 		t.setClass("text", 3)
 	}
--- a/internal/testbed/report/terminal.go
+++ b/internal/testbed/report/terminal.go
@@ -179,11 +179,11 @@
 		if !m.OK {
 			word, style = "NOT MET", poor
 		}
-		callback := ""
-		if m.Remark != "" {
-			callback = " (" + m.Remark + ")"
+		reason := ""
+		if m.Reason != "" {
+			reason = " (" + m.Reason + ")"
 		}
-		p.line(style, "%s  %s: %s%s", word, m.Expectation, formatValue(m), callback)
+		p.line(style, "%s  %s: %s%s", word, m.Expectation, formatValue(m), reason)
 	})
 }
 
