--- a/scenarios/plays_test.go
+++ b/scenarios/plays_test.go
@@ -55,7 +55,7 @@
 	}
 	for _, outcome := range result.Document.Expectations {
 		if !outcome.OK {
-			t.Errorf("expected %v, got %.4g %s", outcome.Expectation, outcome.Value, outcome.Remark)
+			t.Errorf("expected %v, got %.4g %s", outcome.Expectation, outcome.Value, outcome.Reason)
 		}
 	}
 	if len(result.Document.Expectations) == 0 {
