--- /dev/null
+++ b/internal/testbed/report/run_effort.go
@@ -0,0 +1,148 @@
+package report
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+
+	"valvecove/internal/testbed/score"
+)
+
+// effortSection shows how many attempts and how much work the run took.
+func effortSection(result *score.Result) section {
+	return section{
+		ID: "effort", Title: "Attempts, waste, refusals",
+		Tables: []table{workTable(&result.Effort, &result.Waste), countTable(&result.Effort, result.Whole.JobsDue)},
+	}
+}
+
+// countTable returns what was counted at clients and workers, in all and for each job.
+func countTable(effort *score.Effort, jobs int) table {
+	counts := table{Caption: "Counted at clients and worker nodes", Columns: []string{"", "in all", "a job"}}
+	for _, entry := range []struct {
+		name  string
+		count int
+	}{
+		{"tries of clients", effort.Requests},
+		{"retries of clients", effort.Retries},
+		{"tries that found no scheduler", effort.RequestsUnreached},
+		{"sent once more on a new connection", effort.Resent},
+		{"tries served", effort.RequestsServed},
+		{"tries refused by schedulers", effort.RequestsRejected},
+		{"tries failed", effort.RequestsFailed},
+		{"attempts at worker nodes", effort.Attempts},
+		{"second copies", effort.Hedged},
+		{"accepted", effort.Accepted},
+		{"turned away by worker nodes", effort.Rejected},
+		{"of these, full", effort.Full},
+		{"handed back unstarted", effort.Returned},
+		{"withdrawn", effort.Cancelled},
+		{"repeats that a cell dropped", effort.DuplicatesDropped},
+		{"notes", effort.Callbacks},
+		{"notes lost", effort.CallbacksLost},
+		{"probes", effort.HealthChecks},
+		{"connections opened to worker nodes", effort.Connections},
+		{"cold worker nodes pushed over", effort.Overloads},
+		{"attempts of queries long over", effort.Duplicates},
+		{"sights of what is not open", effort.Unknown},
+	} {
+		counts.addRow(entry.name, formatCount(entry.count), formatNumber(float64(entry.count)/float64(max(1, jobs))))
+	}
+	counts.addRow("most attempts of one job", formatCount(effort.MaxAttempts), "")
+	return counts
+}
+
+// workTable returns the work of workers and what it was wasted on, in all and as a fraction of the work requested.
+func workTable(effort *score.Effort, waste *score.Waste) table {
+	const minWork = 1e-9 // that fractions are of
+	works := table{
+		Caption: "Work, in seconds at speed 1 times slots",
+		Columns: []string{"", "work", "of the work asked for"},
+	}
+	for _, entry := range []struct {
+		name string
+		work float64
+	}{
+		{"asked for", effort.WorkRequested},
+		{"run by worker nodes", effort.WorkRun},
+		{"of which an answer came", effort.WorkUseful},
+		{"of which it came after the aim", effort.WorkAfterObjective},
+		{"waste", waste.Work},
+		{"waste: another run had given the answer", waste.Repeated},
+		{"waste: the client's time was up", waste.TooLate},
+		{"waste: the client had gone", waste.ClientLeft},
+		{"waste: the client was refused, failed or cut off", waste.Unused},
+		{"waste: it ended with an error", waste.Errors},
+		{"waste: it died on the way", waste.Killed},
+		{"for tries that were open at the end", effort.WorkPending},
+	} {
+		works.addRow(entry.name, formatNumber(entry.work), formatPercent(entry.work/max(effort.WorkRequested, minWork)))
+	}
+	return works
+}
+
+// maxDrawnProcesses is how many processes the plots of a run show.
+const maxDrawnProcesses = 6
+
+// processSection shows the processes and what they used.
+func processSection(result *score.Result, timeline *timeline) (processes section, hasContent bool) {
+	processes = section{ID: "processes", Title: "Processes", Tables: []table{processTable(result.Processes)}}
+	measured := mostCPUFirst(result.Processes)
+	if len(measured) > maxDrawnProcesses {
+		processes.Text = append(processes.Text, "Drawn are the six that took the most CPU.")
+		measured = measured[:maxDrawnProcesses]
+	}
+	if len(measured) > 0 {
+		for _, spec := range processPlots(measured) {
+			processes.Plots = append(processes.Plots, timeline.plot(spec))
+		}
+	}
+	if lateness := &result.Lateness; lateness.Count > 0 {
+		processes.Text = append(processes.Text, fmt.Sprintf("The lab itself was late %s: p99.9 %s, at most %s.",
+			plural(lateness.Count, "time", "times"), formatMillis(lateness.P999), formatMillis(lateness.Max)))
+	}
+	wasStarted := func(process score.Process) bool { return process.Starts > 0 }
+	return processes, len(measured) > 0 || slices.ContainsFunc(result.Processes, wasStarted)
+}
+
+// mostCPUFirst returns the processes whose CPU time was measured, sorted with the greatest first.
+func mostCPUFirst(processes []score.Process) []score.Process {
+	measured := slices.DeleteFunc(slices.Clone(processes), func(process score.Process) bool {
+		return len(process.CPUBySecond) == 0
+	})
+	slices.SortStableFunc(measured, func(a, b score.Process) int { return cmp.Compare(b.CPU, a.CPU) })
+	return measured
+}
+
+// processPlots returns the plots of what processes used.
+func processPlots(processes []score.Process) []timePlot {
+	const peak = "peak of each second"
+	var cpu, memory, files []lineSpec
+	for _, process := range processes {
+		name := processName(process.Scheduler)
+		cpu = append(cpu, lineSpec{name: name, series: process.CPUBySecond})
+		memory = append(memory, lineSpec{name: name, series: process.MemoryBySecond, gaps: true, summarize: maxOf})
+		files = append(files, lineSpec{name: name, series: process.FilesBySecond, gaps: true, summarize: maxOf})
+	}
+	return []timePlot{
+		{id: "cpu", title: "CPU", yName: "cores", height: 180, text: formatNumber, lines: cpu},
+		{id: "memory", title: "Memory", yName: peak, height: 180, text: formatBytes, lines: memory},
+		{id: "files", title: "Descriptors", yName: peak, height: 160, text: formatNumber, lines: files},
+	}
+}
+
+// processTable lists all processes.
+func processTable(processes []score.Process) table {
+	list := table{Columns: []string{
+		"", "CPU", "cores", "peak memory", "peak descriptors", "tries", "attempts", "starts",
+		"kills", "SIGTERM", "freezes", "reloads", "exits",
+	}}
+	for _, process := range processes {
+		list.addRow(processName(process.Scheduler), formatSeconds(process.CPU), formatNumber(process.Cores),
+			formatBytes(float64(process.PeakMemory)), formatCount(process.PeakFiles), formatCount(process.Requests),
+			formatCount(process.Attempts), formatCount(process.Starts), formatCount(process.Kills),
+			formatCount(process.Terms), formatCount(process.Freezes), formatCount(process.Reloads),
+			formatCount(process.Exits))
+	}
+	return list
+}
