--- a/internal/testbed/report/run_html.go
+++ b/internal/testbed/report/run_html.go
@@ -147,7 +147,7 @@
 		if !evaluation.OK {
 			word, class = "not met", classPoor
 		}
-		list.addRow(evaluation.Expectation.String(), formatValue(evaluation), word, evaluation.Remark)
+		list.addRow(evaluation.Expectation.String(), formatValue(evaluation), word, evaluation.Reason)
 		list.setClass(class, wordColumn)
 		list.setClass(classText, remarkColumn)
 	}
--- a/internal/testbed/report/run_text.go
+++ b/internal/testbed/report/run_text.go
@@ -293,9 +293,9 @@
 	if !evaluation.OK {
 		word, style = "NOT MET", poor
 	}
-	remark := ""
-	if evaluation.Remark != "" {
-		remark = " (" + evaluation.Remark + ")"
+	reason := ""
+	if evaluation.Reason != "" {
+		reason = " (" + evaluation.Reason + ")"
 	}
-	p.line(style, "%s  %s: %s%s", word, evaluation.Expectation, formatValue(evaluation), remark)
+	p.line(style, "%s  %s: %s%s", word, evaluation.Expectation, formatValue(evaluation), reason)
 }
