--- a/internal/testbed/fleet/child.go
+++ b/internal/testbed/fleet/child.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"bufio"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -11,67 +10,75 @@
 	"runtime/debug"
 )
 
-// The words between a run and the process that its rig runs in: one JSON value a line each way. The run says Spec and
-// then targets; the rig says news. The end of what the run says ends the rig.
+// Garbage collection targets, in percent of the live heap.
+const (
+	rigGCPercent   = 400 // the rig allocates much and keeps little
+	proxyGCPercent = 200 // as the scheduler's
+)
+
+// extraProcessors is how many processors of the Go runtime the rig has besides one for each engine.
+const extraProcessors = 2
+
+// childMessage is a message from the rig's process to the measurement, one JSON value a line. One field is set. The
+// measurement sends the Spec first and the targets next; the end of its stream ends the rig.
 type childMessage struct {
-	Addresses *Addresses `json:"places,omitempty"` // it is up
+	Addresses *Addresses `json:"places,omitempty"` // the rig is ready
 	Mark      string     `json:"mark,omitempty"`
-	Result    *Result    `json:"result,omitempty"` // its last word
-	Failure   string     `json:"fault,omitempty"`  // or that
+	Result    *Result    `json:"result,omitempty"` // the last message
+	Failure   string     `json:"fault,omitempty"`  // the last message, without a result
 }
 
-// RunRigProcess is the whole of a rig's process.
-func RunRigProcess(in io.Reader, outputs io.Writer) error {
-	debug.SetGCPercent(400) // much is left behind and little held
-	say := json.NewEncoder(outputs)
-	if err := serveRig(bufio.NewReader(in), say); err != nil {
-		_ = say.Encode(childMessage{Failure: err.Error()})
+// RunRigProcess is the main function of the rig's process. It reads from input and writes to output until the run is
+// over.
+func RunRigProcess(input io.Reader, output io.Writer) error {
+	debug.SetGCPercent(rigGCPercent)
+	encoder := json.NewEncoder(output)
+	if err := serveRig(json.NewDecoder(input), encoder); err != nil {
+		_ = encoder.Encode(childMessage{Failure: err.Error()})
 		return err
 	}
 	return nil
 }
 
-func serveRig(in *bufio.Reader, say *json.Encoder) error {
-	receive := json.NewDecoder(in)
+func serveRig(decoder *json.Decoder, encoder *json.Encoder) error {
 	var spec Spec
-	if err := receive.Decode(&spec); err != nil {
+	if err := decoder.Decode(&spec); err != nil {
 		return fmt.Errorf("spec: %w", err)
 	}
-	runtime.GOMAXPROCS(len(spec.Cores) + 2) // each engine has a processor of the runtime's, whatever else goes on
+	runtime.GOMAXPROCS(len(spec.Cores) + extraProcessors)
 	rig, err := NewRig(spec)
 	if err != nil {
 		return err
 	}
 	defer rig.Close()
-	places := rig.Addresses()
-	if err := say.Encode(childMessage{Addresses: &places}); err != nil {
+	addresses := rig.Addresses()
+	if err := encoder.Encode(childMessage{Addresses: &addresses}); err != nil {
 		return err
 	}
 	var targets []netip.AddrPort
-	if err := receive.Decode(&targets); err != nil {
+	if err := decoder.Decode(&targets); err != nil {
 		return fmt.Errorf("targets: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() {
-		_ = receive.Decode(&struct{}{}) // nothing more is said
+		_ = decoder.Decode(&struct{}{}) // returns at the end of the stream
 		cancel()
 	}()
-	result, err := rig.Run(ctx, targets, func(mark string) { _ = say.Encode(childMessage{Mark: mark}) })
+	result, err := rig.Run(ctx, targets, func(mark string) { _ = encoder.Encode(childMessage{Mark: mark}) })
 	if err != nil {
 		return err
 	}
-	return say.Encode(childMessage{Result: &result})
+	return encoder.Encode(childMessage{Result: &result})
 }
 
-// RunProxyProcess is the whole of the baseline policy's process.
-func RunProxyProcess(in io.Reader) error {
-	debug.SetGCPercent(200) // as the scheduler has it
+// RunProxyProcess is the main function of the proxy's process. It reads a ProxyPlan, and serves until input ends.
+func RunProxyProcess(input io.Reader) error {
+	debug.SetGCPercent(proxyGCPercent)
 	runtime.GOMAXPROCS(1)
-	b := bufio.NewReader(in)
 	var plan ProxyPlan
-	if err := json.NewDecoder(b).Decode(&plan); err != nil {
+	if err := json.NewDecoder(input).Decode(&plan); err != nil {
 		return fmt.Errorf("plan: %w", err)
 	}
-	return ServeProxy(plan, in)
+	return ServeProxy(plan, input)
 }
--- a/internal/testbed/fleet/clients.go
+++ b/internal/testbed/fleet/clients.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"fmt"
+	"net/http"
 	"net/netip"
 	"strconv"
 	"time"
@@ -12,185 +13,262 @@
 
 const (
 	jobClass            = "status-check"
-	budget              = 5 * time.Second
-	slack               = 50 * time.Millisecond // an answer counts for so long after the budget
+	requestBody         = "status of a remittance\r\n"
+	budget              = 5 * time.Second       // that clients announce for a request
+	budgetGrace         = 50 * time.Millisecond // a response is awaited for so long after the budget
 	timeoutScanInterval = 100 * time.Millisecond
-	maxReasons          = 32 // reasons of failures that are told apart
+	failureDelay        = 10 * time.Millisecond // from a failure to the next request
+	maxReasons          = 32                    // reasons of failures that are counted apart
 )
 
-// Second is what clients were answered in one second.
+// Second counts the outcomes of the clients' requests, in one second or another span of time.
 type Second struct {
 	Served   int `json:"served"`
 	Rejected int `json:"refused"`
 	Failed   int `json:"failed"`
 }
 
-func (s *Second) add(o Second) {
-	s.Served += o.Served
-	s.Rejected += o.Rejected
-	s.Failed += o.Failed
+func (s *Second) add(other Second) {
+	s.Served += other.Served
+	s.Rejected += other.Rejected
+	s.Failed += other.Failed
 }
 
-// clientGroup is the clients of one engine, and what became of their requests.
+// clientGroup holds the clients of one engine and counts what became of their requests.
 type clientGroup struct {
-	timer
+	timer          // the next scan for requests without a response
 	engine         *engine
 	rig            *Rig
 	clients        []*client
 	sending        bool
-	startedAt      time.Duration // when it began
-	seconds        []Second
-	window         Second
-	answers        *hdrhistogram.Histogram // latency of those that were served in the window
-	failureReasons map[string]int          // failures in the whole run
-	jobs           int                     // asked for in the whole run
-	settled        int                     // answered, or given up
-	endedClients   int                     // of those, not refused
+	startedAt      time.Duration
+	seconds        []Second                // from startedAt
+	window         Second                  // in the measurement window
+	latency        *hdrhistogram.Histogram // of the requests served in the window
+	failureReasons map[string]int          // in the whole run, as are the counts below
+	requested      int
+	settled        int // requests whose outcome is known
+	ended          int // settled requests without those rejected
 }
 
-// client asks and waits for the answer, then asks again. A lone one asks once.
+// client sends a request, waits for the response, and sends the next. A single-request client sends one.
 type client struct {
-	timer     // its first request
+	timer     // the next request, at the start and after a failure
 	group     *clientGroup
 	number    int
 	single    bool
 	target    netip.AddrPort
-	conn      *clientConn // nil: it has none
+	conn      *clientConn // nil without a connection
 	count     uint64      // of its requests so far
 	requestID [16]byte
-	busy      bool // its request is out
-	retry     bool // and was sent a second time
+	inFlight  bool
+	retried   bool // the request was sent a second time
 	sentAt    time.Duration
 }
 
+// clientConn is a client's connection to its target.
 type clientConn struct {
 	conn
 	client    *client
 	responses int
 }
 
-func newClientGroup(r *Rig, e *engine) *clientGroup {
-	return &clientGroup{engine: e, rig: r, answers: newHistogram(), failureReasons: map[string]int{}}
+func newClientGroup(rig *Rig, engine *engine) *clientGroup {
+	return &clientGroup{engine: engine, rig: rig, latency: newHistogram(), failureReasons: map[string]int{}}
 }
 
-// add makes a client that asks for the first time at a time after the beginning.
-func (c *clientGroup) add(number int, lone bool, to netip.AddrPort, at time.Duration) {
-	k := &client{group: c, number: number, single: lone, target: to}
-	c.clients = append(c.clients, k)
-	c.engine.setTimer(&k.timer, c.startedAt+at, k)
+// add makes a client that sends its first request some time after the group's start.
+func (g *clientGroup) add(number int, single bool, target netip.AddrPort, delay time.Duration) {
+	added := &client{group: g, number: number, single: single, target: target}
+	g.clients = append(g.clients, added)
+	g.engine.setTimer(&added.timer, g.startedAt+delay, added)
 }
 
-// begin has the crowd's clients ask from now on.
-func (c *clientGroup) begin() {
-	c.sending, c.startedAt = true, c.engine.clock()
-	c.engine.setTimer(&c.timer, c.startedAt+timeoutScanInterval, c)
+// start sets the group's time zero. The group's clients may send from then on.
+func (g *clientGroup) start() {
+	g.sending = true
+	g.startedAt = g.engine.clock()
+	g.engine.setTimer(&g.timer, g.startedAt+timeoutScanInterval, g)
 }
 
-// timerExpired has requests given up that have had no answer for too long.
-func (c *clientGroup) timerExpired() {
-	for _, k := range c.clients {
-		if k.busy && c.engine.now-k.sentAt > budget+slack {
-			k.conn.close()
-			k.conn = nil
-			k.settle(Second{Failed: 1}, "no answer")
+// timerExpired gives up requests that are past their budget.
+func (g *clientGroup) timerExpired() {
+	for _, client := range g.clients {
+		if client.inFlight && g.engine.now-client.sentAt > budget+budgetGrace {
+			client.conn.close()
+			client.conn = nil
+			client.settle(Second{Failed: 1}, "no answer")
 		}
 	}
-	if c.sending {
-		c.engine.setTimer(&c.timer, c.engine.now+timeoutScanInterval, c)
+	if g.sending {
+		g.engine.setTimer(&g.timer, g.engine.now+timeoutScanInterval, g)
 	}
 }
 
-func (k *client) timerExpired() { k.nextRequest() }
+// countFailure counts a reason of a failure. Beyond maxReasons, new reasons are not counted.
+func (g *clientGroup) countFailure(reason string) {
+	if _, known := g.failureReasons[reason]; known || len(g.failureReasons) < maxReasons {
+		g.failureReasons[reason]++
+	}
+}
+
+// countOutcome adds an outcome to the second that now is in.
+func (g *clientGroup) countOutcome(outcome Second, now time.Duration) {
+	g.settled++
+	if outcome.Rejected > 0 {
+		g.rig.returnJob()
+	} else {
+		g.ended++
+	}
+	at := int((now - g.startedAt) / time.Second)
+	for at >= len(g.seconds) {
+		g.seconds = append(g.seconds, Second{})
+	}
+	g.seconds[at].add(outcome)
+}
+
+// close resets the clients' connections. The engine must have ended.
+func (g *clientGroup) close() {
+	for _, client := range g.clients {
+		if client.conn != nil {
+			client.conn.reset()
+		}
+	}
+}
+
+func (c *client) timerExpired() { c.nextRequest() }
 
-// nextRequest sends the next request.
-func (k *client) nextRequest() {
-	clientGroup := k.group
-	if !clientGroup.sending || k.single && k.count > 0 || !clientGroup.rig.nextJob() {
+// nextRequest sends the next request, if there is one.
+func (c *client) nextRequest() {
+	group := c.group
+	if !group.sending || c.single && c.count > 0 || !group.rig.takeJob() {
 		return
 	}
-	k.count++
-	clientGroup.jobs++
-	x := mixBits(clientGroup.rig.spec.Seed, uint64(k.number)<<40|k.count)
+	c.count++
+	group.requested++
+	c.setRequestID(mixBits(group.rig.spec.Seed, uint64(c.number)<<40|c.count))
+	c.inFlight = true
+	c.retried = false
+	c.sentAt = group.engine.clock()
+	c.send()
+}
+
+// setRequestID writes the request's identifier in hexadecimal digits.
+func (c *client) setRequestID(number uint64) {
 	const digits = "0123456789abcdef"
-	for i := range k.requestID {
-		k.requestID[i] = digits[x>>(60-4*i)&15]
+	for i := range c.requestID {
+		c.requestID[i] = digits[number>>(60-4*i)&15]
 	}
-	k.busy, k.retry, k.sentAt = true, false, clientGroup.engine.clock()
-	k.send()
 }
 
-// mixBits makes a number that differs for each n, and looks drawn.
-func mixBits(seed, n uint64) uint64 {
-	x := n + seed*0x9e3779b97f4a7c15
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return x ^ x>>31
+// mixBits is the SplitMix64 finaliser: it maps each number to another that looks random.
+func mixBits(seed, number uint64) uint64 {
+	mixed := number + seed*0x9e3779b97f4a7c15
+	mixed = (mixed ^ mixed>>30) * 0xbf58476d1ce4e5b9
+	mixed = (mixed ^ mixed>>27) * 0x94d049bb133111eb
+	return mixed ^ mixed>>31
 }
 
-// send writes the request, on a new connection where there is none.
-func (k *client) send() {
-	engine, r := k.group.engine, k.group.rig
-	if k.conn == nil {
-		c := &clientConn{client: k}
-		if err := engine.dial(&c.conn, netip.AddrPort{}, k.target, c); err != nil {
-			k.fail(err)
+// send writes the request, on a new connection if there is none.
+func (c *client) send() {
+	engine := c.group.engine
+	if c.conn == nil {
+		opened := &clientConn{client: c}
+		if err := engine.dial(&opened.conn, netip.AddrPort{}, c.target, opened); err != nil {
+			c.fail(err)
 			return
 		}
-		k.conn = c
+		c.conn = opened
 	}
-	b := append(append(engine.writeBuffer[:0], "POST /"+jobClass+"/"...), k.requestID[:]...)
-	b = append(append(b, " HTTP/1.1\r\nHost: service.internal\r\nX-Call-Id: "...), k.requestID[:]...)
+	engine.writeBuffer = c.appendRequest(engine.writeBuffer[:0])
+	c.conn.write(engine.writeBuffer)
+}
+
+func (c *client) appendRequest(b []byte) []byte {
+	b = append(b, "POST /"+jobClass+"/"...)
+	b = append(b, c.requestID[:]...)
+	b = append(b, " HTTP/1.1\r\nHost: service.internal\r\nX-Call-Id: "...)
+	b = append(b, c.requestID[:]...)
 	b = append(b, "\r\nX-Call-Class: "+jobClass+"\r\nX-Caller: "...)
-	b = append(b, tenants[k.number%len(tenants)]...)
+	b = append(b, tenants[c.number%len(tenants)]...)
 	b = append(b, "\r\nX-Budget-Ms: "...)
 	b = strconv.AppendInt(b, budget.Milliseconds(), 10)
-	if r.spec.Hint > 0 {
+	if hint := c.group.rig.spec.Hint; hint > 0 {
 		b = append(b, "\r\nX-Call-Cost: "...)
-		b = strconv.AppendInt(b, r.spec.Hint.Microseconds(), 10)
+		b = strconv.AppendInt(b, hint.Microseconds(), 10)
+	}
+	b = append(b, "\r\nX-Call-Info: slots=1\r\nContent-Length: "...)
+	b = strconv.AppendInt(b, int64(len(requestBody)), 10)
+	b = append(b, "\r\n\r\n"...)
+	return append(b, requestBody...)
+}
+
+// fail settles the request by the error of its connection.
+func (c *client) fail(err error) { c.settle(Second{Failed: 1}, err.Error()) }
+
+// settle counts the outcome of the request, and sends the next one. After a failure, which has a reason, it waits
+// before that: a client of a target that does not listen would otherwise take all of the engine's time.
+func (c *client) settle(outcome Second, failureReason string) {
+	group := c.group
+	now := group.engine.clock()
+	c.inFlight = false
+	group.countOutcome(outcome, now)
+	if group.engine.measuring {
+		group.window.add(outcome)
+		if outcome.Served > 0 {
+			record(group.latency, now-c.sentAt)
+		}
+	}
+	if failureReason != "" {
+		group.countFailure(failureReason)
+		group.engine.setTimer(&c.timer, now+failureDelay, c)
+		return
+	}
+	c.nextRequest()
+}
+
+// handleResponse settles the request by its response.
+func (c *client) handleResponse(response *message) {
+	switch isOwn := bytes.HasPrefix(response.body, c.requestID[:]); {
+	case response.status == http.StatusOK && isOwn:
+		c.settle(Second{Served: 1}, "")
+	case response.status == http.StatusTooManyRequests || response.status == http.StatusServiceUnavailable:
+		c.settle(Second{Rejected: 1}, "")
+	case response.status == http.StatusOK:
+		c.settle(Second{Failed: 1}, "another request's answer")
+	default:
+		c.settle(Second{Failed: 1}, "status "+strconv.Itoa(response.status))
 	}
-	b = append(b, "\r\nX-Call-Info: slots=1\r\nContent-Length: 24\r\n\r\n"...)
-	b = append(b, "status of a remittance\r\n"...)
-	engine.writeBuffer = b
-	k.conn.write(engine.writeBuffer)
 }
 
 func (c *clientConn) dataReceived(b []byte) int {
 	client := c.client
-	var message message
-	size, err := c.engine.reader.read(b, &message)
-	switch {
-	case err == nil && size == 0:
+	var response message
+	size, err := c.engine.reader.read(b, &response)
+	if err == nil && size == 0 {
 		return 0
-	case err != nil || message.status == 0 || !client.busy:
+	}
+	if err != nil || response.status == 0 || !client.inFlight {
 		c.close()
 		client.conn = nil
-		if client.busy {
+		if client.inFlight {
 			client.fail(fmt.Errorf("no answer that can be read: %w", err))
 		} else {
-			client.group.reason("more than one answer")
+			client.group.countFailure("more than one answer")
 		}
 		return size
 	}
 	c.responses++
-	if message.lastOnConn {
+	if response.lastOnConn {
 		c.close()
 		client.conn = nil
 	}
-	switch own := bytes.HasPrefix(message.body, client.requestID[:]); {
-	case message.status == 200 && own:
-		client.settle(Second{Served: 1}, "")
-	case message.status == 429 || message.status == 503:
-		client.settle(Second{Rejected: 1}, "")
-	case message.status == 200:
-		client.settle(Second{Failed: 1}, "another request's answer")
-	default:
-		client.settle(Second{Failed: 1}, "status "+strconv.Itoa(message.status))
-	}
+	client.handleResponse(&response)
 	return size
 }
 
-// connClosed takes in that the connection is gone. A request that may have crossed the close between two requests is sent
-// once more.
+// connClosed settles the request in flight. If the connection was used before, the target may have closed it as idle
+// while the request was on its way; then the request is sent once more.
 func (c *clientConn) connClosed(err error) {
 	client := c.client
 	if client.conn != c {
@@ -198,9 +276,9 @@
 	}
 	client.conn = nil
 	switch {
-	case !client.busy:
-	case c.responses > 0 && !client.retry:
-		client.retry = true
+	case !client.inFlight:
+	case c.responses > 0 && !client.retried:
+		client.retried = true
 		client.send()
 	case err == nil:
 		client.settle(Second{Failed: 1}, "closed")
@@ -208,50 +286,3 @@
 		client.fail(err)
 	}
 }
-
-// fail settles a request by what its connection met with.
-func (k *client) fail(err error) { k.settle(Second{Failed: 1}, err.Error()) }
-
-// settle takes in the answer, or that there is none, and asks anew. One that failed waits a little: where nobody
-// listens, asking at once would be all that the rig does.
-func (k *client) settle(second Second, why string) {
-	clientGroup := k.group
-	now := clientGroup.engine.clock()
-	k.busy = false
-	if clientGroup.settled++; second.Rejected > 0 {
-		clientGroup.rig.jobs.Add(-1) // the job is still to be done
-	} else {
-		clientGroup.endedClients++
-	}
-	at := int((now - clientGroup.startedAt) / time.Second)
-	for at >= len(clientGroup.seconds) {
-		clientGroup.seconds = append(clientGroup.seconds, Second{})
-	}
-	clientGroup.seconds[at].add(second)
-	if clientGroup.engine.measuring {
-		clientGroup.window.add(second)
-		if second.Served > 0 {
-			record(clientGroup.answers, now-k.sentAt)
-		}
-	}
-	if why != "" {
-		clientGroup.reason(why)
-		clientGroup.engine.setTimer(&k.timer, now+10*time.Millisecond, k)
-		return
-	}
-	k.nextRequest()
-}
-
-func (c *clientGroup) reason(why string) {
-	if _, known := c.failureReasons[why]; known || len(c.failureReasons) < maxReasons {
-		c.failureReasons[why]++
-	}
-}
-
-func (c *clientGroup) close() {
-	for _, k := range c.clients {
-		if k.conn != nil {
-			k.conn.reset()
-		}
-	}
-}
--- a/internal/testbed/fleet/conn.go
+++ b/internal/testbed/fleet/conn.go
@@ -10,9 +10,8 @@
 
 const (
 	streamEvents = unix.EPOLLIN | unix.EPOLLRDHUP
-	maxUnsent    = 64 << 20 // bytes that may wait for a peer to read: a few lists of a large fleet
+	maxUnsent    = 64 << 20 // bytes that may wait until they can be written: a few snapshots of a large endpoint list
 	maxUnread    = 1 << 20  // bytes of one message
-	backlog      = 4096
 )
 
 var (
@@ -20,31 +19,35 @@
 	errTooLong        = errors.New("a message is too long")
 )
 
-// conn is one end of a TCP connection.
+// conn is one end of a TCP connection. It belongs to one engine, and only that engine's thread may use it.
 type conn struct {
 	engine    *engine
 	fd        int
-	owner     peer
+	owner     connOwner
 	connected bool
 	closed    bool
-	paused    bool // its machine says and hears nothing
+	paused    bool // neither sends nor receives
 	events    uint32
-	received  []byte // the start of a message
-	unsent    []byte // not written yet
+	received  []byte // an incomplete message
+	unsent    []byte // accepted by write, and not yet written to the socket
 }
 
-// peer is whom a connection speaks for.
-type peer interface {
-	// dataReceived takes whole messages from the start of what has come, and returns how many bytes that were.
+// connOwner is the party that a connection belongs to.
+type connOwner interface {
+	// dataReceived handles the complete messages at the start of b, and returns their length. It may close the
+	// connection. b is only valid during the call.
 	dataReceived(b []byte) int
-	// connClosed tells that the other side has closed it (nil) or reset it, or that it has not come up. It is closed here.
+	// connClosed reports that the peer has closed the connection (nil), or that the connection failed. The conn is
+	// closed already.
 	connClosed(err error)
 }
 
+// sockaddr converts an IPv4 address for system calls.
 func sockaddr(at netip.AddrPort) *unix.SockaddrInet4 {
 	return &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}
 }
 
+// newSocket makes a non-blocking TCP socket.
 func newSocket() (int, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -53,25 +56,17 @@
 	return fd, nil
 }
 
-// dial begins a connection; who hears how it fares. A fault of this machine's ends the engine. from may be invalid.
-func (e *engine) dial(c *conn, from, target netip.AddrPort, who peer) error {
+// dial initialises dialed and begins to connect it; its owner is told if that fails later. An error other than a refusal
+// by the target ends the engine too. from is the local address; if it is invalid, the kernel chooses one.
+func (e *engine) dial(dialed *conn, from, target netip.AddrPort, owner connOwner) error {
 	descriptor, err := newSocket()
 	if err != nil {
 		e.fail(err)
 		return err
 	}
-	if from.IsValid() {
-		// The port is chosen on connecting: so each target has all ports for each far end.
-		_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)
-		err = unix.Bind(descriptor, sockaddr(from))
-	}
-	if err == nil {
-		if err = unix.Connect(descriptor, sockaddr(target)); errors.Is(err, unix.EINPROGRESS) {
-			err = nil
-		}
-	}
+	err = connect(descriptor, from, target)
 	if err == nil {
-		err = e.adopt(c, descriptor, who)
+		err = e.adopt(dialed, descriptor, owner)
 	}
 	if err != nil {
 		_ = unix.Close(descriptor)
@@ -81,33 +76,49 @@
 		}
 		return err
 	}
-	c.connected = false
-	c.setEvents(streamEvents | unix.EPOLLOUT)
+	dialed.connected = false
+	dialed.setEvents(streamEvents | unix.EPOLLOUT)
 	return nil
 }
 
-// adopt takes on an accepted connection.
-func (e *engine) adopt(c *conn, fd int, who peer) error {
+// connect begins to connect a socket, without waiting for the outcome.
+func connect(descriptor int, from, target netip.AddrPort) error {
+	if from.IsValid() {
+		// The port is chosen on connecting, so that all ports are available for each target.
+		_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)
+		if err := unix.Bind(descriptor, sockaddr(from)); err != nil {
+			return err
+		}
+	}
+	err := unix.Connect(descriptor, sockaddr(target))
+	if errors.Is(err, unix.EINPROGRESS) {
+		return nil
+	}
+	return err
+}
+
+// adopt initialises adopted with a socket that is connected. The conn owns the socket unless adopt fails.
+func (e *engine) adopt(adopted *conn, fd int, owner connOwner) error {
 	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	*c = conn{engine: e, fd: fd, owner: who, connected: true, events: streamEvents}
-	return e.add(fd, c.events, c)
+	*adopted = conn{engine: e, fd: fd, owner: owner, connected: true, events: streamEvents}
+	return e.add(fd, adopted.events, adopted)
 }
 
+// setEvents sets the events that the connection is watched for, once it is no longer paused.
 func (c *conn) setEvents(mask uint32) {
-	if c.events != mask && !c.closed {
-		if c.events = mask; !c.paused {
-			c.engine.change(c.fd, mask)
-		}
+	if c.events == mask || c.closed {
+		return
+	}
+	c.events = mask
+	if !c.paused {
+		c.engine.change(c.fd, mask)
 	}
 }
 
+// ready handles events of the socket.
 func (c *conn) ready(events uint32) {
 	if !c.connected {
-		code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
-		if err == nil && code != 0 {
-			err = unix.Errno(code)
-		}
-		if err != nil {
+		if err := c.socketError(); err != nil {
 			c.fail(err)
 			return
 		}
@@ -124,17 +135,26 @@
 	}
 }
 
+// socketError returns why connecting failed, or nil.
+func (c *conn) socketError() error {
+	code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
+	if err == nil && code != 0 {
+		err = unix.Errno(code)
+	}
+	return err
+}
+
+// read reads once, and passes what there is to the owner.
 func (c *conn) read() {
-	b := c.engine.readBuffer[:]
-	n, err := unix.Read(c.fd, b)
+	n, err := unix.Read(c.fd, c.engine.readBuffer[:])
 	switch {
-	case err == unix.EAGAIN || err == unix.EINTR:
+	case errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EINTR):
 		return
 	case err != nil || n == 0:
 		c.fail(err)
 		return
 	}
-	b = b[:n]
+	b := c.engine.readBuffer[:n]
 	if len(c.received) > 0 {
 		c.received = append(c.received, b...)
 		b = c.received
@@ -143,43 +163,47 @@
 	if c.closed {
 		return
 	}
-	if b = b[taken:]; len(b) > maxUnread {
+	remainder := b[taken:]
+	if len(remainder) > maxUnread {
 		c.fail(errTooLong)
 		return
 	}
-	c.received = append(c.received[:0], b...) // of bytes of its own this is a move to the load balancer
+	c.received = append(c.received[:0], remainder...) // within c.received, this moves the remainder to the front
 }
 
-// write sends b, now or as soon as it can be. A failure is told later.
+// write sends b, at once or as soon as the socket takes it. It copies what it keeps. The owner is told of a failure.
 func (c *conn) write(b []byte) {
 	if c.closed {
 		return
 	}
 	if len(c.unsent) == 0 && !c.paused {
-		// On loopback a connection is mostly up as soon as it is asked for. An error comes with an event that deals with it.
+		// On loopback, connecting mostly succeeds at once, so that a write is worth a try. An error is ignored: it also
+		// causes an event, and is handled there.
 		if n, err := unix.Write(c.fd, b); err == nil {
 			if b = b[n:]; len(b) == 0 {
 				return
 			}
 		}
 	}
-	if c.unsent = append(c.unsent, b...); len(c.unsent) > maxUnsent {
+	c.unsent = append(c.unsent, b...)
+	if len(c.unsent) > maxUnsent {
 		c.fail(errPeerNotReading)
 		return
 	}
 	c.setEvents(c.events | unix.EPOLLOUT)
 }
 
+// flush writes what is unsent, as far as the socket takes it.
 func (c *conn) flush() {
 	for len(c.unsent) > 0 {
 		n, err := unix.Write(c.fd, c.unsent)
-		if err == unix.EINTR {
+		switch {
+		case errors.Is(err, unix.EINTR):
 			continue
-		}
-		if err != nil {
-			if err != unix.EAGAIN {
-				c.fail(err)
-			}
+		case errors.Is(err, unix.EAGAIN):
+			return
+		case err != nil:
+			c.fail(err)
 			return
 		}
 		c.unsent = c.unsent[:copy(c.unsent, c.unsent[n:])]
@@ -188,11 +212,11 @@
 	c.setEvents(c.events &^ unix.EPOLLOUT)
 }
 
-// setPaused has it say and hear nothing, or ends that. What is said meanwhile waits.
-func (c *conn) setPaused(on bool) {
+// setPaused has the connection neither send nor receive, or ends that. What is written meanwhile waits.
+func (c *conn) setPaused(paused bool) {
 	switch {
-	case c.closed || c.paused == on:
-	case on:
+	case c.closed || c.paused == paused:
+	case paused:
 		c.paused = true
 		c.engine.remove(c.fd)
 	default:
@@ -203,12 +227,13 @@
 	}
 }
 
+// fail closes the connection and tells its owner.
 func (c *conn) fail(err error) {
 	c.close()
 	c.owner.connClosed(err)
 }
 
-// close closes it from this side; who is not told.
+// close closes the connection. The owner is not told.
 func (c *conn) close() {
 	if c.closed || c.engine == nil {
 		return
@@ -221,70 +246,10 @@
 	c.received, c.unsent = nil, nil
 }
 
-// reset closes it so that the other side sees a reset.
+// reset closes the connection in such a way that the peer sees a reset. The owner is not told.
 func (c *conn) reset() {
 	if !c.closed && c.engine != nil {
 		_ = unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 		c.close()
 	}
 }
-
-// listener accepts connections at one address.
-type listener struct {
-	engine  *engine
-	fd      int
-	address netip.AddrPort
-	accept  func(fd int)
-}
-
-// dropAll is a socket filter that lets nothing pass.
-var dropAll = unix.SockFprog{Len: 1, Filter: &unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K}}
-
-func (e *engine) listenAt(address netip.AddrPort, accept func(fd int)) (*listener, error) {
-	descriptor, err := newSocket()
-	if err != nil {
-		return nil, err
-	}
-	_ = unix.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	l := &listener{engine: e, fd: descriptor, address: address, accept: accept}
-	if err = unix.Bind(descriptor, sockaddr(address)); err == nil {
-		if err = unix.Listen(descriptor, backlog); err == nil {
-			err = e.add(descriptor, unix.EPOLLIN, l)
-		}
-	}
-	if err != nil {
-		_ = unix.Close(descriptor)
-		return nil, fmt.Errorf("listening at %v: %w", address, err)
-	}
-	return l, nil
-}
-
-// ready accepts one connection; where more wait, the descriptor stays ready.
-func (l *listener) ready(uint32) {
-	fd, _, err := unix.Accept4(l.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-	switch err {
-	case nil:
-		l.accept(fd)
-	case unix.EINTR, unix.ECONNABORTED, unix.EAGAIN:
-	default: // descriptors or memory
-		l.engine.fail(fmt.Errorf("accepting at %v: %w", l.address, err))
-	}
-}
-
-// setPaused has connections not come up, or ends that: those that still try then do.
-func (l *listener) setPaused(on bool) {
-	var err error
-	if on {
-		err = unix.SetsockoptSockFprog(l.fd, unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &dropAll)
-	} else {
-		err = unix.SetsockoptInt(l.fd, unix.SOL_SOCKET, unix.SO_DETACH_FILTER, 0)
-	}
-	if err != nil {
-		l.engine.fail(fmt.Errorf("filter at %v: %w", l.address, err))
-	}
-}
-
-func (l *listener) close() {
-	l.engine.remove(l.fd)
-	_ = unix.Close(l.fd)
-}
--- /dev/null
+++ b/internal/testbed/fleet/descriptors.go
@@ -0,0 +1,56 @@
+package fleet
+
+import (
+	"errors"
+	"fmt"
+
+	"golang.org/x/sys/unix"
+)
+
+const (
+	maxSockets        = 40_000         // descriptors that a scheduler is told it has
+	maxWorkerConns    = maxSockets / 6 // connections that a scheduler then opens to workers, at most
+	connsPerWorker    = 4              // that a scheduler opens to one worker, besides those of the clients
+	maxCallbackConns  = 16             // connections of one worker for callbacks
+	spareDescriptors  = 256            // of the rig's process, for anything else
+	maxRigDescriptors = 1 << 24        // a higher limit, or none, counts as this
+)
+
+// descriptorPlan is how the rig divides the descriptors that its process may have.
+type descriptorPlan struct {
+	limit         int // of the process
+	workerConns   int // connections to all workers
+	callbackConns int // connections of one worker for callbacks
+}
+
+var errDescriptors = errors.New("the rig has no room for them")
+
+// planDescriptors divides the descriptors for so many workers and clients. It returns errDescriptors if there are too
+// few, or too few addresses. Each worker needs a listener, and at least one connection for callbacks; the scheduler or
+// the proxy has connections to the workers.
+func planDescriptors(workers, clients int) (descriptorPlan, error) {
+	var limit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
+		return descriptorPlan{}, fmt.Errorf("descriptors: %w", err)
+	}
+	plan := descriptorPlan{limit: int(min(limit.Cur, maxRigDescriptors))}
+	plan.workerConns = min(connsPerWorker*workers+clients, maxWorkerConns)
+	remaining := plan.limit - spareDescriptors - clients - workers - plan.workerConns
+	plan.callbackConns = min(maxCallbackConns, remaining/max(1, workers))
+	if workers > maxWorkers || plan.callbackConns < 1 {
+		return plan, fmt.Errorf("%d worker nodes, %d clients: %w: %d descriptors are allowed, which ends at %d worker nodes; "+
+			"addresses end at %d", workers, clients, errDescriptors, plan.limit, plan.workerLimit(clients), maxWorkers)
+	}
+	return plan, nil
+}
+
+// workerLimit returns how many workers there are enough descriptors for.
+func (p descriptorPlan) workerLimit(clients int) int {
+	const perWorker = 2 // a listener and one connection for callbacks
+	remaining := p.limit - spareDescriptors - clients
+	workers := (remaining - maxWorkerConns) / perWorker
+	if connsPerWorker*workers+clients >= maxWorkerConns {
+		return workers
+	}
+	return max(0, (remaining-clients)/(perWorker+connsPerWorker))
+}
--- a/internal/testbed/fleet/discovery.go
+++ b/internal/testbed/fleet/discovery.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"bytes"
 	"net/http"
 	"net/netip"
 	"net/url"
@@ -11,134 +10,183 @@
 	"valvecove/internal/http1"
 )
 
-// heartbeatInterval is how long a watch is without a line at most.
-const heartbeatInterval = 2 * time.Second
+const (
+	// heartbeatInterval is how often a watch gets an empty line.
+	heartbeatInterval = 2 * time.Second
+	workersPerCell    = 4
+	entryLength       = 160 // bytes of a worker's entry, about
+	jsonContentType   = "Content-Type: application/json\r\n"
+)
 
-// discovery is the list of workers and those who follow it.
+// discovery serves the endpoint list, as a snapshot or as a watch.
 type discovery struct {
 	timer
-	engine   *engine
-	rig      *Rig
-	listener *listener
-	revision int64
-	started  []int64 // when each worker was last started, in ms of Unix time; 0: long ago
-	calls    map[*discoveryCall]struct{}
+	engine      *engine
+	rig         *Rig
+	listener    *listener
+	revision    int64
+	startedAtMs []int64 // of each worker, Unix time; 0 before its first restart
+	conns       map[*discoveryConn]struct{}
 }
 
-// discoveryCall is one connection.
-type discoveryCall struct {
+// discoveryConn is a connection to discovery.
+type discoveryConn struct {
 	conn
 	discovery *discovery
 	watches   bool
 }
 
-func newDiscovery(r *Rig, e *engine, at netip.AddrPort) (*discovery, error) {
-	discovery := &discovery{
-		engine: e, rig: r, revision: 1, started: make([]int64, r.spec.Nodes),
-		calls: map[*discoveryCall]struct{}{},
+func newDiscovery(rig *Rig, engine *engine, address netip.AddrPort) (*discovery, error) {
+	created := &discovery{
+		engine:      engine,
+		rig:         rig,
+		revision:    1,
+		startedAtMs: make([]int64, rig.spec.Nodes),
+		conns:       map[*discoveryConn]struct{}{},
 	}
-	e.setTimer(&discovery.timer, heartbeatInterval, discovery)
+	engine.setTimer(&created.timer, heartbeatInterval, created)
 	var err error
-	discovery.listener, err = e.listenAt(at, func(fd int) {
-		c := &discoveryCall{discovery: discovery}
-		if err := e.adopt(&c.conn, fd, c); err != nil {
-			e.fail(err)
-			return
-		}
-		discovery.calls[c] = struct{}{}
-	})
-	return discovery, err
+	created.listener, err = engine.listenAt(address, created.accept)
+	return created, err
+}
+
+func (d *discovery) accept(fd int) {
+	accepted := &discoveryConn{discovery: d}
+	if err := d.engine.adopt(&accepted.conn, fd, accepted); err != nil {
+		d.engine.fail(err)
+		return
+	}
+	d.conns[accepted] = struct{}{}
+}
+
+// close closes the sockets. The engine must have ended.
+func (d *discovery) close() {
+	if d.listener == nil {
+		return
+	}
+	for conn := range d.conns {
+		conn.reset()
+	}
+	d.listener.close()
 }
 
-// timerExpired writes empty lines.
+// timerExpired sends the heartbeat.
 func (d *discovery) timerExpired() {
-	for c := range d.calls {
-		if c.watches {
-			c.writeLine("")
+	d.broadcast("")
+	d.engine.setTimer(&d.timer, d.engine.now+heartbeatInterval, d)
+}
+
+// broadcast writes a line to all watches.
+func (d *discovery) broadcast(line string) {
+	for conn := range d.conns {
+		if conn.watches {
+			conn.writeLine(line)
 		}
 	}
-	d.engine.setTimer(&d.timer, d.engine.now+heartbeatInterval, d)
 }
 
-// entry is a worker as the list has it. Cells are of four, kinds are dealt out in turn.
-func (d *discovery) entry(b []byte, n int) []byte {
-	b = append(append(b, `{"instanceId":"w-`...), strconv.Itoa(n)...)
-	b = append(append(b, `","hostPort":"`...), d.rig.addresses.worker(n).String()...)
-	b = append(append(b, `","zone":"`...), zone...)
-	b = append(append(b, `","machineType":"`...), kinds[n%len(kinds)]...)
-	b = append(append(b, `","cell":`...), strconv.Itoa(n/4)...)
-	b = append(append(b, `,"lifecycle":"up","weight":1.0,"startedAtMs":`...), strconv.FormatInt(d.started[n], 10)...)
-	return append(b, '}')
+// restarted announces a worker's restart to all watches. It runs on discovery's engine.
+func (d *discovery) restarted(worker int, at time.Time) {
+	d.revision++
+	d.startedAtMs[worker] = at.UnixMilli()
+	b := d.appendListStart(nil, false)
+	b = d.appendEntry(b, worker)
+	d.broadcast(string(append(b, "]}"...)))
 }
 
 // snapshot is the whole list.
 func (d *discovery) snapshot() string {
-	b := make([]byte, 0, 64+160*len(d.started))
-	b = append(strconv.AppendInt(append(b, `{"generation":`...), d.revision, 10), `,"reset":true,"instances":[`...)
-	for n := range d.started {
-		if n > 0 {
+	b := make([]byte, 0, 64+entryLength*len(d.startedAtMs))
+	b = d.appendListStart(b, true)
+	for worker := range d.startedAtMs {
+		if worker > 0 {
 			b = append(b, ',')
 		}
-		b = d.entry(b, n)
+		b = d.appendEntry(b, worker)
 	}
 	return string(append(b, "]}"...))
 }
 
-// restarted tells those who watch of a start.
-func (d *discovery) restarted(n int, at time.Time) {
-	d.revision++
-	d.started[n] = at.UnixMilli()
-	b := append(strconv.AppendInt([]byte(`{"generation":`), d.revision, 10), `,"reset":false,"instances":[`...)
-	text := string(append(d.entry(b, n), "]}"...))
-	for c := range d.calls {
-		if c.watches {
-			c.writeLine(text)
-		}
-	}
+// unchanged is a list without entries, for a watch that has the current revision already.
+func (d *discovery) unchanged() string { return string(append(d.appendListStart(nil, false), "]}"...)) }
+
+// appendListStart appends a list of the current revision up to its entries. A reset list replaces all earlier ones.
+func (d *discovery) appendListStart(b []byte, reset bool) []byte {
+	b = append(b, `{"generation":`...)
+	b = strconv.AppendInt(b, d.revision, 10)
+	b = append(b, `,"reset":`...)
+	b = strconv.AppendBool(b, reset)
+	return append(b, `,"instances":[`...)
 }
 
-func (c *discoveryCall) connClosed(error) { delete(c.discovery.calls, c) }
+// appendEntry appends a worker's entry.
+func (d *discovery) appendEntry(b []byte, worker int) []byte {
+	b = append(b, `{"instanceId":"w-`...)
+	b = strconv.AppendInt(b, int64(worker), 10)
+	b = append(append(b, `","hostPort":"`...), d.rig.addresses.worker(worker).String()...)
+	b = append(append(b, `","zone":"`...), zone...)
+	b = append(append(b, `","machineType":"`...), kinds[worker%len(kinds)]...)
+	b = append(b, `","cell":`...)
+	b = strconv.AppendInt(b, int64(worker/workersPerCell), 10)
+	b = append(b, `,"lifecycle":"up","weight":1.0,"startedAtMs":`...)
+	b = strconv.AppendInt(b, d.startedAtMs[worker], 10)
+	return append(b, '}')
+}
 
-func (c *discoveryCall) dataReceived(b []byte) int {
-	if c.watches { // it has nothing more to say
+func (c *discoveryConn) connClosed(error) { delete(c.discovery.conns, c) }
+
+func (c *discoveryConn) dataReceived(b []byte) int {
+	if c.watches { // a watch sends no further request
 		return len(b)
 	}
-	var message message
-	size, err := c.engine.reader.read(b, &message)
+	var request message
+	size, err := c.engine.reader.read(b, &request)
 	if err == nil && size == 0 {
 		return 0
 	}
-	var uRL *url.URL
+	var target *url.URL
 	if err == nil {
-		uRL, err = url.ParseRequestURI(string(message.target))
+		target, err = url.ParseRequestURI(string(request.target))
 	}
-	switch {
-	case err != nil:
+	if err != nil {
 		c.write(http1.AppendResponse(nil, http1.StatusBadRequest, "", nil, false))
 		c.close()
-		delete(c.discovery.calls, c)
-	case string(message.method) != http.MethodGet || uRL.Path != "/discovery/hosts":
+		delete(c.discovery.conns, c)
+		return size
+	}
+	c.handleRequest(string(request.method), target)
+	return size
+}
+
+func (c *discoveryConn) handleRequest(method string, target *url.URL) {
+	switch {
+	case method != http.MethodGet || target.Path != "/discovery/hosts":
 		c.write(http1.AppendResponse(nil, http1.StatusNotFound, "", nil, true))
-	case uRL.Query().Get("stream") == "1":
-		c.watches = true
-		c.write([]byte("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"))
-		// The first line is the whole list, unless there is nothing new in it.
-		if after, _ := strconv.ParseInt(uRL.Query().Get("index"), 10, 64); after == c.discovery.revision {
-			c.writeLine(`{"generation":` + strconv.FormatInt(after, 10) + `,"reset":false,"instances":[]}`)
-		} else {
-			c.writeLine(c.discovery.snapshot())
-		}
+	case target.Query().Get("stream") == "1":
+		revision, _ := strconv.ParseInt(target.Query().Get("index"), 10, 64)
+		c.startWatch(revision)
 	default:
-		c.write(http1.AppendResponse(nil, http1.StatusOK, "Content-Type: application/json\r\n", []byte(c.discovery.snapshot()), true))
+		snapshot := []byte(c.discovery.snapshot())
+		c.write(http1.AppendResponse(nil, http1.StatusOK, jsonContentType, snapshot, true))
+	}
+}
+
+// startWatch begins a watch by a client that has a revision of the list, or 0.
+func (c *discoveryConn) startWatch(revision int64) {
+	c.watches = true
+	c.write([]byte("HTTP/1.1 200 OK\r\n" + jsonContentType + "Transfer-Encoding: chunked\r\n\r\n"))
+	if revision == c.discovery.revision {
+		c.writeLine(c.discovery.unchanged())
+	} else {
+		c.writeLine(c.discovery.snapshot())
 	}
-	return size
 }
 
-func (c *discoveryCall) writeLine(text string) {
-	var b bytes.Buffer
-	b.WriteString(strconv.FormatInt(int64(len(text)+1), 16))
-	b.WriteString("\r\n")
-	b.WriteString(text)
-	b.WriteString("\n\r\n")
-	c.write(b.Bytes())
+// writeLine writes a line as one chunk.
+func (c *discoveryConn) writeLine(line string) {
+	b := strconv.AppendInt(nil, int64(len(line)+1), 16)
+	b = append(b, "\r\n"...)
+	b = append(b, line...)
+	b = append(b, "\n\r\n"...)
+	c.write(b)
 }
--- a/internal/testbed/fleet/doc.go
+++ b/internal/testbed/fleet/doc.go
@@ -1,19 +1,18 @@
-// Package fleet measures what one scheduler makes of a large fleet: thousands of stand-in workers, discovery, and
-// clients that each wait for their answer, on sockets of 127.0.0.0/8, all in one process beside the scheduler's.
+// Package fleet measures a scheduler in front of a large fleet: thousands of stand-in workers, discovery, and clients
+// that each wait for their response, on real sockets of 127.0.0.0/8.
 //
-// A worker here is as lean as the protocol allows: a listener, four slots, a waiting room, and notes. Its jobs are
-// timers and cost no processor time. The rig's loops share nothing, and read HTTP by a parser of their own that knows
-// what the protocol needs and nothing else. The process driver is the one that is exact about what clients, workers
-// and the network do; this one is for load and for numbers of connections.
+// All of these parties are one rig, in a process of its own beside the scheduler's. The rig is built for load and for
+// numbers of connections. A worker is a listener, slots, a queue and callbacks; its jobs are timers and cost no
+// processor time. The rig's engines share nothing, and parse only the parts of HTTP that the protocol needs. The package
+// is not exact about the behaviour of clients, workers and the network; the process driver is.
 //
-// What a measurement needs besides: the scheduler has a core to itself, and the rig others. The rig measures its own
-// lateness and its own processor time, and a run in which it may have been what limited the scheduler is void. Beside
-// a scheduler the same clients and workers are played with the standard library's reverse proxy, sending to the
-// worker with the fewest requests out (proxy), and with nothing between (direct): what the clients could have at
-// best.
+// The scheduler has a core to itself, and the rig has others. The rig measures its own lateness and processor time, and
+// a run in which the rig may have been the limit is void (see Result.InvalidReason). For comparison, the same clients
+// and workers also run with the standard library's reverse proxy, which picks the worker with the fewest requests in
+// flight (Proxy), and with nothing between them (Direct), which is the best that the clients could have.
 //
-// Clients that are refused ask for the next job at once, whatever Retry-After says: a scheduler that refuses what it
-// could serve is seen to. One that failed waits for 10 ms.
+// A client that is rejected sends its next request at once, whatever Retry-After says. So a scheduler that rejects what
+// it could serve shows it. A client whose request failed waits for 10 ms.
 //
 //	                    rig (process of its own)                          core of its own
 //	clients ---- POST /status-check/... ------------------------------->  scheduler | proxy
@@ -21,6 +20,6 @@
 //	workers ------- POST /v1/job-events --------------------------->     |
 //	discovery <--------- GET /discovery/hosts?stream=1 ------------------------
 //
-// Left out, against real workers: cold starts, slots beyond one for each job, limits on connections and idle ones,
-// the cost of a new connection, and delays of the network.
+// Not modelled, against real workers: cold starts, jobs that take more than one slot, limits on connections and on idle
+// ones, the cost of a new connection, and network delay.
 package fleet
--- a/internal/testbed/fleet/engine.go
+++ b/internal/testbed/fleet/engine.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"runtime"
 	"sync"
@@ -13,86 +14,78 @@
 	"valvecove/internal/deadline"
 )
 
-// engine is one thread of the rig: a loop round epoll that has some of the workers and some of the clients to
-// itself. Only post and stop are for others.
+const (
+	eventsPerWait    = 64
+	readBufferLength = 64 << 10 // bytes
+	noDescriptor     = -1
+	notArmed         = time.Duration(-1)
+)
+
+// engine is one thread of the rig: an event loop on epoll that owns some of the workers and some of the clients. Only
+// post, stop and done are for other goroutines.
 type engine struct {
-	core        int // that it is bound to; below 0: none
+	core        int // that the thread is bound to, or anyCore
 	startedAt   time.Time
-	now         time.Duration // since began, as of the event or alarm that is being dealt with
+	now         time.Duration // clock at the event or timer being handled
 	epoll       int
-	timer       int
-	wakeup      int
-	armed       time.Duration // what the timer is set to
-	owners      []owner       // by descriptor
-	generations []int32       // and how often each was taken into use, so that an event of an earlier use is told apart
-	events      [64]unix.EpollEvent
-	readBuffer  [64 << 10]byte // what is read goes through here
-	writeBuffer []byte         // and what is written through here
+	timer       int           // descriptor of a timer, as epoll's own timeout is in milliseconds
+	wakeup      int           // descriptor of an event that post signals
+	armed       time.Duration // what the timer is set to; notArmed once it has expired
+	handlers    []handler     // by descriptor
+	generations []int32       // by descriptor: how often it was reused, which tells apart events of an earlier use
+	events      [eventsPerWait]unix.EpollEvent
+	readBuffer  [readBufferLength]byte // shared by all connections
+	writeBuffer []byte                 // shared by all connections
 	reader      messageReader
 	timers      deadline.Queue[*timer]
-	free        []*job // to be used again
-	measuring   bool   // the window of the measurement is open
+	freeJobs    []*job // for reuse
+	measuring   bool   // the measurement window is open
 	lateness    *hdrhistogram.Histogram
-	cpuAt       time.Duration // of the thread, when the window was opened
-	cpu         time.Duration // of the thread in the window
+	cpuAt       time.Duration // processor time of the thread when the window was opened
+	cpu         time.Duration // processor time of the thread in the window
 
-	lock     sync.Mutex
+	lock     sync.Mutex // guards posted and closed
 	posted   []func()
-	closed   bool // the bell is closed
+	closed   bool
 	stopping bool
 	failure  error         // that ended it
-	done     chan struct{} // closed once it has; what it holds may be looked at from then on
-}
-
-// owner is told what its descriptor is ready for.
-type owner interface{ ready(events uint32) }
-
-// timer is something that happens at a time.
-type timer struct {
-	deadline.Item
-	owner timerTarget
+	done     chan struct{} // closed once it has ended; from then on any goroutine may read its fields
 }
 
-type timerTarget interface{ timerExpired() }
-
-// timerFunc is an alarm that calls a function.
-type timerFunc func()
+// handler is called when its descriptor is ready.
+type handler interface{ ready(events uint32) }
 
-func (c timerFunc) timerExpired() { c() }
-
-// maxLateness bounds lateness and latency as they are kept, in microseconds.
-const maxLateness = int64(time.Minute / time.Microsecond)
-
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxLateness, 3) }
-
-func record(h *hdrhistogram.Histogram, span time.Duration) {
-	_ = h.RecordValue(min(max(span.Microseconds(), 0), maxLateness))
+// newEngine makes an engine whose clock starts at startedAt. The caller has to close it.
+func newEngine(core int, startedAt time.Time) (*engine, error) {
+	created := &engine{
+		core: core, startedAt: startedAt, epoll: noDescriptor, timer: noDescriptor, wakeup: noDescriptor,
+		lateness: newHistogram(), done: make(chan struct{}),
+	}
+	if err := created.open(); err != nil {
+		created.close()
+		return nil, fmt.Errorf("epoll, timer and bell: %w", err)
+	}
+	return created, nil
 }
 
-func newEngine(core int, began time.Time) (*engine, error) {
-	engine := &engine{
-		core: core, startedAt: began, epoll: -1, timer: -1, wakeup: -1, lateness: newHistogram(),
-		done: make(chan struct{}),
+// open makes the engine's own descriptors.
+func (e *engine) open() (err error) {
+	if e.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
+		return err
 	}
-	var err error
-	if engine.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err == nil {
-		// A timer of its own: epoll's is in milliseconds.
-		if engine.timer, err = unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC); err == nil {
-			if engine.wakeup, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err == nil {
-				if err = engine.add(engine.timer, unix.EPOLLIN, timerOwner{}); err == nil {
-					err = engine.add(engine.wakeup, unix.EPOLLIN, wakeupOwner{engine})
-				}
-			}
-		}
+	if e.timer, err = unix.TimerfdCreate(unix.CLOCK_MONOTONIC, unix.TFD_NONBLOCK|unix.TFD_CLOEXEC); err != nil {
+		return err
 	}
-	if err != nil {
-		engine.close()
-		return nil, fmt.Errorf("epoll, timer and bell: %w", err)
+	if e.wakeup, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err != nil {
+		return err
 	}
-	return engine, nil
+	if err = e.add(e.timer, unix.EPOLLIN, timerHandler{e}); err != nil {
+		return err
+	}
+	return e.add(e.wakeup, unix.EPOLLIN, wakeupHandler{e})
 }
 
-// close gives up the engine's own descriptors; it has ended, or was never run.
+// close closes the engine's own descriptors. Its thread must have ended, or never have run.
 func (e *engine) close() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -101,45 +94,59 @@
 		if *fd >= 0 {
 			_ = unix.Close(*fd)
 		}
-		*fd = -1
+		*fd = noDescriptor
 	}
 }
 
-type timerOwner struct{}
+// timerHandler notes that the timer has expired. The expired timers themselves are handled after each event.
+type timerHandler struct{ engine *engine }
 
-func (timerOwner) ready(uint32) {} // it is set anew before each wait that needs it
+func (h timerHandler) ready(uint32) {
+	h.engine.armed = notArmed
+	var count [8]byte
+	_, _ = unix.Read(h.engine.timer, count[:])
+}
 
-type wakeupOwner struct{ engine *engine }
+// wakeupHandler calls what was posted.
+type wakeupHandler struct{ engine *engine }
 
-func (b wakeupOwner) ready(uint32) {
-	var n [8]byte
-	_, _ = unix.Read(b.engine.wakeup, n[:])
-	b.engine.lock.Lock()
-	commands := b.engine.posted
-	b.engine.posted = nil
-	b.engine.lock.Unlock()
-	for _, do := range commands {
-		do()
+func (h wakeupHandler) ready(uint32) {
+	var count [8]byte
+	_, _ = unix.Read(h.engine.wakeup, count[:])
+	for _, action := range h.engine.takePosted() {
+		action()
 	}
 }
 
-// post has something done in the engine. Any goroutine may; once the engine has ended nothing comes of it.
-func (e *engine) post(do func()) {
+func (e *engine) takePosted() []func() {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	posted := e.posted
+	e.posted = nil
+	return posted
+}
+
+// post has a function called on the engine's thread. Any goroutine may call it. Once the engine has ended, the function
+// is not called.
+func (e *engine) post(action func()) {
 	var one [8]byte
 	binary.NativeEndian.PutUint64(one[:], 1)
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	if !e.closed {
-		e.posted = append(e.posted, do)
-		_, _ = unix.Write(e.wakeup, one[:])
+	if e.closed {
+		return
 	}
+	e.posted = append(e.posted, action)
+	_, _ = unix.Write(e.wakeup, one[:])
 }
 
+// stop ends the engine. Any goroutine may call it; done tells when it has ended.
 func (e *engine) stop() { e.post(func() { e.stopping = true }) }
 
+// clock is the time since startedAt.
 func (e *engine) clock() time.Duration { return time.Since(e.startedAt) }
 
-// fail ends the engine.
+// fail ends the engine. The first error is kept.
 func (e *engine) fail(err error) {
 	if e.failure == nil {
 		e.failure = err
@@ -147,15 +154,14 @@
 	e.stopping = true
 }
 
-// run is the engine's thread. It returns after stop, or at a fault of this machine's.
+// run is the engine's thread. It returns after stop, or at a failure of a system call.
 func (e *engine) run() {
 	defer close(e.done)
-	runtime.LockOSThread() // and never unlocked: a thread that was bound to a core ends with its goroutine
+	// It is never unlocked: a thread that was bound to a core has to end with its goroutine.
+	runtime.LockOSThread()
 	if e.core >= 0 {
-		var set unix.CPUSet
-		set.Set(e.core)
-		if err := unix.SchedSetaffinity(0, &set); err != nil {
-			e.fail(fmt.Errorf("core %d: %w", e.core, err))
+		if err := e.bindThread(); err != nil {
+			e.fail(err)
 		}
 	}
 	for !e.stopping {
@@ -165,76 +171,66 @@
 	}
 }
 
-// runIteration waits for something to be ready or due, and deals with it. Alarms are looked at after each event, as a turn may
-// have many.
+func (e *engine) bindThread() error {
+	var set unix.CPUSet
+	set.Set(e.core)
+	if err := unix.SchedSetaffinity(0, &set); err != nil {
+		return fmt.Errorf("core %d: %w", e.core, err)
+	}
+	return nil
+}
+
+// runIteration waits for events and handles them. Timers are looked at after each event, as an iteration may have many.
 func (e *engine) runIteration() error {
-	timeout := -1
-	if e.timers.Len() > 0 {
-		at := e.timers.First().At
-		if remaining := at - e.clock(); remaining <= 0 {
-			timeout = 0
-		} else if at != e.armed {
-			spec := unix.ItimerSpec{Value: unix.NsecToTimespec(int64(remaining))}
-			if err := unix.TimerfdSettime(e.timer, 0, &spec, nil); err != nil {
-				return fmt.Errorf("timer: %w", err)
-			}
-			e.armed = at
-		}
+	timeout, err := e.armTimer()
+	if err != nil {
+		return err
 	}
-	n, err := unix.EpollWait(e.epoll, e.events[:], timeout)
-	if err != nil && err != unix.EINTR {
+	count, err := unix.EpollWait(e.epoll, e.events[:], timeout)
+	if err != nil && !errors.Is(err, unix.EINTR) {
 		return fmt.Errorf("epoll: %w", err)
 	}
 	e.fireTimers()
-	for i := range e.events[:max(n, 0)] {
-		ev := &e.events[i]
-		fd := int(ev.Fd)
-		if fd == e.timer {
-			e.armed = -1
-			var times [8]byte
-			_, _ = unix.Read(fd, times[:])
-		}
-		if who := e.owners[fd]; who != nil && e.generations[fd] == ev.Pad {
-			who.ready(ev.Events)
+	for i := range e.events[:max(count, 0)] {
+		event := &e.events[i]
+		fd := int(event.Fd)
+		if handler := e.handlers[fd]; handler != nil && e.generations[fd] == event.Pad {
+			handler.ready(event.Events)
 		}
 		e.fireTimers()
 	}
 	return nil
 }
 
-// fireTimers does what is due.
-func (e *engine) fireTimers() {
-	e.now = e.clock()
-	for e.timers.Len() > 0 {
-		a := e.timers.First()
-		late := e.now - a.At
-		if late < 0 {
-			return
-		}
-		e.timers.Remove(a)
-		if e.measuring {
-			record(e.lateness, late)
-		}
-		a.owner.timerExpired()
-		e.now = e.clock()
+// armTimer sets the timer to the first deadline. It returns epoll's timeout: 0 if the deadline has passed, else -1 for
+// none.
+func (e *engine) armTimer() (timeout int, err error) {
+	const poll, block = 0, -1
+	if e.timers.Len() == 0 {
+		return block, nil
 	}
+	expiry := e.timers.First().At
+	remaining := expiry - e.clock()
+	if remaining <= 0 {
+		return poll, nil
+	}
+	if expiry == e.armed {
+		return block, nil
+	}
+	spec := unix.ItimerSpec{Value: unix.NsecToTimespec(int64(remaining))}
+	if err := unix.TimerfdSettime(e.timer, 0, &spec, nil); err != nil {
+		return block, fmt.Errorf("timer: %w", err)
+	}
+	e.armed = expiry
+	return block, nil
 }
 
-// setTimer has an alarm ring at a time.
-func (e *engine) setTimer(a *timer, at time.Duration, who timerTarget) {
-	e.timers.Remove(a)
-	a.At, a.owner = at, who
-	e.timers.Add(a)
-}
-
-// at has something done at a time.
-func (e *engine) at(at time.Duration, do func()) { e.setTimer(&timer{}, at, timerFunc(do)) }
-
-// setMeasuring opens the window of the measurement, or closes it.
+// setMeasuring opens or closes the measurement window.
 func (e *engine) setMeasuring(open bool) {
-	var t unix.Timespec
-	_ = unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t)
-	if cpu := time.Duration(t.Nano()); open {
+	var threadTime unix.Timespec
+	_ = unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &threadTime)
+	cpu := time.Duration(threadTime.Nano())
+	if open {
 		e.cpuAt = cpu
 	} else if e.measuring {
 		e.cpu = cpu - e.cpuAt
@@ -242,55 +238,30 @@
 	e.measuring = open
 }
 
-// add has a descriptor watched.
-func (e *engine) add(fd int, events uint32, who owner) error {
-	for fd >= len(e.owners) {
-		e.owners, e.generations = append(e.owners, nil), append(e.generations, 0)
+// add watches a descriptor for events.
+func (e *engine) add(fd int, events uint32, added handler) error {
+	for fd >= len(e.handlers) {
+		e.handlers = append(e.handlers, nil)
+		e.generations = append(e.generations, 0)
 	}
 	e.generations[fd]++
-	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: e.generations[fd]}
-	if err := unix.EpollCtl(e.epoll, unix.EPOLL_CTL_ADD, fd, &ev); err != nil {
+	event := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: e.generations[fd]}
+	if err := unix.EpollCtl(e.epoll, unix.EPOLL_CTL_ADD, fd, &event); err != nil {
 		return fmt.Errorf("epoll: %w", err)
 	}
-	e.owners[fd] = who
+	e.handlers[fd] = added
 	return nil
 }
 
+// change sets the events that a descriptor is watched for.
 func (e *engine) change(fd int, events uint32) {
-	ev := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: e.generations[fd]}
-	_ = unix.EpollCtl(e.epoll, unix.EPOLL_CTL_MOD, fd, &ev)
+	event := unix.EpollEvent{Events: events, Fd: int32(fd), Pad: e.generations[fd]}
+	_ = unix.EpollCtl(e.epoll, unix.EPOLL_CTL_MOD, fd, &event)
 }
 
-// remove ends the watch of a descriptor; it may stay open.
+// remove ends the watch of a descriptor. It does not close it.
 func (e *engine) remove(fd int) {
 	_ = unix.EpollCtl(e.epoll, unix.EPOLL_CTL_DEL, fd, nil)
-	e.owners[fd] = nil
+	e.handlers[fd] = nil
 	e.generations[fd]++
 }
-
-// fifo is a queue that keeps its room.
-type fifo[T any] struct {
-	items []T
-	start int
-}
-
-func (q *fifo[T]) len() int { return len(q.items) - q.start }
-
-func (q *fifo[T]) push(x T) {
-	if q.start > 0 && len(q.items) == cap(q.items) {
-		n := copy(q.items, q.items[q.start:])
-		clear(q.items[n:])
-		q.items, q.start = q.items[:n], 0
-	}
-	q.items = append(q.items, x)
-}
-
-func (q *fifo[T]) pop() T {
-	x := q.items[q.start]
-	var none T
-	q.items[q.start] = none
-	if q.start++; q.start == len(q.items) {
-		q.items, q.start = q.items[:0], 0
-	}
-	return x
-}
--- a/internal/testbed/fleet/fleet_test.go
+++ b/internal/testbed/fleet/fleet_test.go
@@ -285,7 +285,7 @@
 			t.Errorf("%d worker nodes: %v", n, err)
 		}
 	}
-	if got := (descriptorPlan{limit: 20_000}).needed(200); got != 6439 {
+	if got := (descriptorPlan{limit: 20_000}).workerLimit(200); got != 6439 {
 		t.Errorf("%d", got)
 	}
 }
--- a/internal/testbed/fleet/message.go
+++ b/internal/testbed/fleet/message.go
@@ -7,61 +7,66 @@
 	"valvecove/internal/http1"
 )
 
-// message is what the rig needs of a request or of an answer. Its parts lie in the bytes that it was read from.
+// message is what the rig needs of a request or of a response. Its slices refer to the bytes that it was read from.
 type message struct {
 	method, target []byte // of a request
-	status         int    // of an answer
+	status         int    // of a response; 0 for a request
 	requestID      []byte // X-Call-Id
 	body           []byte
-	lastOnConn     bool // the connection ends with it
+	lastOnConn     bool // the connection closes after it
 }
 
-// errFraming says that a body is not framed by a Content-Length. Nobody here sends any other.
+// errFraming says that a body is not framed by Content-Length. No party of a run sends any other.
 var errFraming = errors.New("a message without a Content-Length")
 
-// messageReader reads messages. It is used again, so that reading allocates nothing.
+// messageReader reads messages. It keeps its memory, so that reading does not allocate.
 type messageReader struct {
 	request  http1.Request
 	response http1.Response
 }
 
-// read takes one message from the start of b, n bytes long; n is 0 while it is not complete. Interim answers are passed over.
-func (r *messageReader) read(b []byte, m *message) (n int, err error) {
-	*m = message{}
+// read parses one message at the start of b, and returns its length. That is 0 while the message is incomplete. Interim
+// responses are skipped.
+func (r *messageReader) read(b []byte, parsed *message) (size int, err error) {
+	*parsed = message{}
 	if bytes.HasPrefix(b, []byte("HTTP/1.")) {
-		n, err = r.readResponse(b, m)
+		size, err = r.readResponse(b, parsed)
 	} else {
-		n, err = r.readRequest(b, m)
+		size, err = r.readRequest(b, parsed)
 	}
 	if errors.Is(err, http1.ErrIncomplete) {
 		return 0, nil
 	}
-	return n, err
+	return size, err
 }
 
-func (r *messageReader) readRequest(b []byte, m *message) (int, error) {
+func (r *messageReader) readRequest(b []byte, parsed *message) (int, error) {
 	request := &r.request
-	n, err := request.Parse(b)
+	size, err := request.Parse(b)
 	if request.IsChunked() {
 		return 0, errFraming
 	}
 	if err != nil {
 		return 0, err
 	}
-	m.method, m.target, m.requestID = request.Method, request.Target, request.Get("X-Call-Id")
-	m.body, m.lastOnConn = request.Body, !request.KeepAlive
-	return n, nil
+	parsed.method, parsed.target = request.Method, request.Target
+	parsed.requestID = request.Get("X-Call-Id")
+	parsed.body = request.Body
+	parsed.lastOnConn = !request.KeepAlive
+	return size, nil
 }
 
-func (r *messageReader) readResponse(b []byte, m *message) (int, error) {
+func (r *messageReader) readResponse(b []byte, parsed *message) (int, error) {
 	response := &r.response
-	n, err := response.Parse(b, false)
+	size, err := response.Parse(b, false)
 	if response.IsChunked() || response.EndsWithConnection() {
 		return 0, errFraming
 	}
 	if err != nil {
 		return 0, err
 	}
-	m.status, m.body, m.lastOnConn = response.StatusCode, response.Body, !response.KeepAlive
-	return n, nil
+	parsed.status = response.StatusCode
+	parsed.body = response.Body
+	parsed.lastOnConn = !response.KeepAlive
+	return size, nil
 }
--- a/internal/testbed/fleet/proxy.go
+++ b/internal/testbed/fleet/proxy.go
@@ -13,20 +13,21 @@
 	"time"
 )
 
-// leastInFlight deals requests out: each goes to a worker with the fewest out, in turn among those.
+// leastInFlight picks the worker with the fewest requests in flight, in turn among equals.
 type leastInFlight struct {
 	lock     sync.Mutex
 	workers  []string
 	inFlight []int
-	next     int
+	next     int // where the search starts
 }
 
+// acquire picks a worker and counts a request to it. It returns the worker's index, for release.
 func (l *leastInFlight) acquire() int {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	best := -1
-	for k := range l.workers {
-		i := (l.next + k) % len(l.workers)
+	for offset := range l.workers {
+		i := (l.next + offset) % len(l.workers)
 		if best < 0 || l.inFlight[i] < l.inFlight[best] {
 			best = i
 		}
@@ -39,75 +40,84 @@
 	return best
 }
 
-func (l *leastInFlight) release(i int) {
+// release takes back a request that acquire counted.
+func (l *leastInFlight) release(worker int) {
 	l.lock.Lock()
-	l.inFlight[i]--
-	l.lock.Unlock()
+	defer l.lock.Unlock()
+	l.inFlight[worker]--
 }
 
-// ProxyPlan is what the baseline policy is told.
+// ProxyPlan tells the proxy's process where to listen and where to forward.
 type ProxyPlan struct {
 	Listen string   `json:"listen"`
-	Nodes  []string `json:"nodes"` // addresses and ports
+	Nodes  []string `json:"nodes"` // addresses of the workers, with their ports
 }
 
-// NewProxy is the standard library's reverse proxy before workers that answer by themselves. GET /up is its own.
+const (
+	proxyDialTimeout  = time.Second
+	proxyIdleConns    = 1024     // kept open to each worker
+	proxyBufferLength = 32 << 10 // bytes
+)
+
+// NewProxy returns the baseline policy: the standard library's reverse proxy in front of workers that respond with the
+// result. It responds to GET /up by itself. nodes must not be empty.
 func NewProxy(nodes []string) http.Handler {
-	leastInFlight := &leastInFlight{workers: nodes, inFlight: make([]int, len(nodes))}
-	transport := &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
-		MaxIdleConnsPerHost: 1024,
-		DisableCompression:  true,
-	}
-	type chosen struct{}
+	balancer := &leastInFlight{workers: nodes, inFlight: make([]int, len(nodes))}
+	type workerKey struct{}
 	proxy := &httputil.ReverseProxy{
-		Transport: transport,
-		Rewrite: func(q *httputil.ProxyRequest) {
-			q.Out.URL.Scheme, q.Out.URL.Host = "http", q.In.Context().Value(chosen{}).(string)
+		Transport: &http.Transport{
+			DialContext:         (&net.Dialer{Timeout: proxyDialTimeout}).DialContext,
+			MaxIdleConnsPerHost: proxyIdleConns,
+			DisableCompression:  true,
+		},
+		Rewrite: func(request *httputil.ProxyRequest) {
+			worker := request.In.Context().Value(workerKey{}).(string)
+			request.Out.URL.Scheme, request.Out.URL.Host = "http", worker
 		},
 		ErrorLog:     log.New(io.Discard, "", 0),
 		ErrorHandler: func(w http.ResponseWriter, _ *http.Request, _ error) { w.WriteHeader(http.StatusBadGateway) },
 		BufferPool:   &bufferPool{},
 	}
-	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		if q.URL.Path == "/up" {
+	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+		if request.URL.Path == "/up" {
 			return
 		}
-		i := leastInFlight.acquire()
-		defer leastInFlight.release(i)
-		proxy.ServeHTTP(w, q.WithContext(context.WithValue(q.Context(), chosen{}, leastInFlight.workers[i])))
+		index := balancer.acquire()
+		defer balancer.release(index)
+		ctx := context.WithValue(request.Context(), workerKey{}, balancer.workers[index])
+		proxy.ServeHTTP(w, request.WithContext(ctx))
 	})
 }
 
-// bufferPool are httputil's, used again.
+// bufferPool keeps the reverse proxy's buffers for reuse. It is an httputil.BufferPool.
 type bufferPool struct{ pool sync.Pool }
 
-// Get gives a buffer.
+// Get returns a buffer.
 func (b *bufferPool) Get() []byte {
-	if x, ok := b.pool.Get().(*[]byte); ok {
-		return *x
+	if buffer, ok := b.pool.Get().(*[]byte); ok {
+		return *buffer
 	}
-	return make([]byte, 32<<10)
+	return make([]byte, proxyBufferLength)
 }
 
-// Put takes it back.
-func (b *bufferPool) Put(x []byte) { b.pool.Put(&x) }
+// Put takes a buffer back.
+func (b *bufferPool) Put(buffer []byte) { b.pool.Put(&buffer) }
 
-// ServeProxy serves as the baseline policy until alive ends.
-func ServeProxy(p ProxyPlan, alive io.Reader) error {
-	listener, err := net.Listen("tcp", p.Listen)
+// ServeProxy serves the baseline policy until alive ends.
+func ServeProxy(plan ProxyPlan, alive io.Reader) error {
+	listener, err := net.Listen("tcp", plan.Listen)
 	if err != nil {
 		return err
 	}
-	if len(p.Nodes) == 0 {
+	if len(plan.Nodes) == 0 {
 		return errors.New("a proxy needs worker nodes")
 	}
-	s := &http.Server{Handler: NewProxy(p.Nodes)}
+	server := &http.Server{Handler: NewProxy(plan.Nodes)}
 	go func() {
 		_, _ = io.Copy(io.Discard, alive)
-		_ = s.Close()
+		_ = server.Close()
 	}()
-	if err := s.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("proxy: %w", err)
 	}
 	return nil
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -3,154 +3,47 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"net/netip"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"github.com/HdrHistogram/hdrhistogram-go"
-	"golang.org/x/sys/unix"
-)
-
-// zone, kinds and tenants are the co-operative's.
-const zone = "a"
-
-var (
-	kinds   = []string{"std-4c", "slow-4c"}
-	tenants = []string{"khyber-society", "mardan-society", "swat-society"}
 )
 
-// Spec is what a rig is to play.
-type Spec struct {
-	Nodes              int           `json:"nodes"`
-	Responds           bool          `json:"answers"` // workers answer requests with the result; else by 202 and notes
-	StartNotifications bool          `json:"notices"` // they tell of starts
-	Work               time.Duration `json:"work"`    // of each job, default 20 ms; below 0: none
-	Slots              int           `json:"slots"`   // of a worker, default 4
-	QueueLimit         int           `json:"room"`    // jobs that may wait at one, default 256
-	Clients            int           `json:"clients"` // that each wait for their answer
-	Hint               time.Duration `json:"hint"`    // that clients give of the work; 0: none
-	Burst              int           `json:"burst"`   // further jobs in the first second, of a client each
-	Jobs               int           `json:"jobs"`    // the run is over once so many are served or have failed; 0: once its time is
-	WarmUp             time.Duration `json:"warm"`    // before the window of the measurement
-	Length             time.Duration `json:"length"`  // of the window
-	Seed               uint64        `json:"seed"`
-	Cores              []int         `json:"cores"` // one for each engine; empty: one engine on any
-
-	Restarts       time.Duration `json:"restarts"` // each third worker restarts in the course of this; 0: none does
-	SilentShare    float64       `json:"silent"`   // a share of them, on consecutive addresses, goes silent
-	SilentFor      time.Duration `json:"silent_for"`
-	DisturbancesAt time.Duration `json:"troubles_at"` // when either begins, from when the clients begin
-	restartDown    time.Duration // how long a restart takes; default 500 ms
-}
-
-// drawWork is how long a job takes.
-func (s *Spec) drawWork() time.Duration { return max(0, s.Work) }
-
-func (s *Spec) defaults() {
-	set := func(x *int, to int) {
-		if *x == 0 {
-			*x = to
-		}
-	}
-	if s.Work == 0 {
-		s.Work = 20 * time.Millisecond
-	}
-	set(&s.Slots, 4)
-	set(&s.QueueLimit, 256)
-	if len(s.Cores) == 0 {
-		s.Cores = []int{-1}
-	}
-	if s.restartDown == 0 {
-		s.restartDown = 500 * time.Millisecond
-	}
-}
-
-// Addresses are where a rig's parties are.
+// Addresses are where the parties of a rig listen.
 type Addresses struct {
-	Scheduler string   `json:"scheduler"` // where clients and workers call one; nobody listens there yet
+	Scheduler string   `json:"scheduler"` // where clients and workers reach the scheduler; the rig does not listen there
 	Discovery string   `json:"discovery"`
 	Workers   []string `json:"nodes"`
 }
 
-// Result is what a rig saw.
-type Result struct {
-	// In the window of the measurement.
-	Second              // what clients were answered
-	Window      float64 `json:"window_s"`
-	P50         float64 `json:"p50_ms"` // of those served
-	P90         float64 `json:"p90_ms"`
-	P99         float64 `json:"p99_ms"`
-	Busiest     float64 `json:"busiest"`      // jobs that the busiest worker ended, over its even part
-	Started     int     `json:"begun"`        // jobs that workers began
-	Finished    int     `json:"done"`         // and ended
-	CPU         float64 `json:"rig_cpu"`      // cores that the rig's engines used
-	MaxCPU      float64 `json:"rig_cpu_most"` // part of its core that the busiest engine used
-	Lateness50  float64 `json:"late_p50_ms"`  // of the rig itself
-	Lateness99  float64 `json:"late_p99_ms"`
-	MaxLateness float64 `json:"late_max_ms"`
-	// In the whole run.
-	All            Second         `json:"all"`
-	Seconds        []Second       `json:"seconds"`       // whole ones, from when the clients began
-	FailureReasons map[string]int `json:"why,omitempty"` // failures by what they met with
-	Requested      int            `json:"asked"`
-	Settled        int            `json:"settled"`
-	Unexpected     int            `json:"odd"` // requests that workers could not use
-	CallbacksLost  int            `json:"notes_lost"`
-	Descriptors    int            `json:"rig_descriptors"` // of the rig, at the end
-	Limit          int            `json:"descriptor_limit"`
-}
-
-// Bounds of the rig's own lateness and use of its cores. A job's 20 ms are measured to within 5%.
-const (
-	maxLateness50 = 0.5  // ms
-	maxLateness99 = 2.0  // ms
-	maxCPU        = 0.85 // of a core
-)
-
-// InvalidReason says why the rig may have been what limited the run; empty: it was not.
-func (r *Result) InvalidReason() string {
-	switch {
-	case r.MaxCPU > maxCPU:
-		return fmt.Sprintf("a core of the rig was busy for %.0f%% of the time, %.0f%% is allowed", 100*r.MaxCPU, 100*maxCPU)
-	case r.Lateness50 > maxLateness50 || r.Lateness99 > maxLateness99:
-		return fmt.Sprintf("the rig was late by %.2f ms (median) and %.2f ms (99th percentile), %.1f and %.1f are allowed",
-			r.Lateness50, r.Lateness99, maxLateness50, maxLateness99)
-	}
-	return ""
-}
-
-// Rig is a fleet, discovery and clients, dealt out to engines.
+// Rig is a fleet of workers, discovery and clients, divided among engines. It is good for one run.
 type Rig struct {
 	spec             Spec
 	addresses        addressPlan
 	descriptors      descriptorPlan
-	schedulerAddress string // the scheduler's, for notes
-	callbackConns    int
+	schedulerAddress string
 	engines          []*engine
-	clientGroups     []*clientGroup
+	clientGroups     []*clientGroup // one for each engine
 	workers          []*worker
 	discovery        *discovery
-	threads          sync.WaitGroup
+	threads          sync.WaitGroup // of the engines
 	startedAt        time.Time
 	callbacksLost    atomic.Int64
-	jobs             atomic.Int64 // asked for so far, but for those that were refused
+	jobs             atomic.Int64 // requested so far, without those that were rejected
 	closed           bool
 }
 
-// NewRig brings up workers and discovery.
+// NewRig starts workers and discovery. The caller has to close the rig.
 func NewRig(spec Spec) (*Rig, error) {
-	spec.defaults()
+	spec.setDefaults()
+	if err := spec.check(); err != nil {
+		return nil, err
+	}
 	rig := &Rig{spec: spec, startedAt: time.Now()}
 	var err error
-	if spec.Nodes < 1 || spec.Length < 0 || spec.WarmUp < 0 {
-		return nil, fmt.Errorf("%d worker nodes, %v warm and %v long: nothing to play", spec.Nodes, spec.WarmUp, spec.Length)
-	}
 	if rig.descriptors, err = planDescriptors(spec.Nodes, spec.Clients+spec.Burst); err != nil {
 		return nil, err
 	}
-	rig.callbackConns = rig.descriptors.callbackConns
 	if rig.addresses, err = findAddresses(); err != nil {
 		return nil, err
 	}
@@ -159,144 +52,138 @@
 		rig.Close()
 		return nil, err
 	}
-	for _, e := range rig.engines {
-		rig.threads.Go(e.run)
+	for _, engine := range rig.engines {
+		rig.threads.Go(engine.run)
 	}
 	return rig, nil
 }
 
 func (r *Rig) build() error {
 	for _, core := range r.spec.Cores {
-		e, err := newEngine(core, r.startedAt)
+		engine, err := newEngine(core, r.startedAt)
 		if err != nil {
 			return err
 		}
-		r.engines = append(r.engines, e)
-		r.clientGroups = append(r.clientGroups, newClientGroup(r, e))
+		r.engines = append(r.engines, engine)
+		r.clientGroups = append(r.clientGroups, newClientGroup(r, engine))
 	}
 	for i := range r.spec.Nodes {
-		n, err := newWorker(r, r.engines[i%len(r.engines)], i)
+		worker, err := newWorker(r, r.engines[i%len(r.engines)], i)
 		if err != nil {
 			return err
 		}
-		r.workers = append(r.workers, n)
+		r.workers = append(r.workers, worker)
 	}
 	var err error
 	r.discovery, err = newDiscovery(r, r.engines[0], r.addresses.discovery())
 	return err
 }
 
-// Addresses tells where its parties are.
+// Addresses returns where the parties of the rig listen.
 func (r *Rig) Addresses() Addresses {
-	p := Addresses{Scheduler: r.schedulerAddress, Discovery: r.addresses.discovery().String()}
+	addresses := Addresses{Scheduler: r.schedulerAddress, Discovery: r.addresses.discovery().String()}
 	for i := range r.workers {
-		p.Workers = append(p.Workers, r.addresses.worker(i).String())
+		addresses.Workers = append(addresses.Workers, r.addresses.worker(i).String())
 	}
-	return p
+	return addresses
 }
 
-// nextJob takes another job to ask for, if there is one.
-func (r *Rig) nextJob() bool {
-	for r.spec.Jobs > 0 {
-		n := r.jobs.Load()
-		if n >= int64(r.spec.Jobs) {
+// takeJob reserves the next job to request. It reports false once Spec.Jobs are requested. Any engine may call it.
+func (r *Rig) takeJob() bool {
+	if r.spec.Jobs <= 0 {
+		return true
+	}
+	for {
+		requested := r.jobs.Load()
+		if requested >= int64(r.spec.Jobs) {
 			return false
 		}
-		if r.jobs.CompareAndSwap(n, n+1) {
-			break
+		if r.jobs.CompareAndSwap(requested, requested+1) {
+			return true
 		}
 	}
-	return true
 }
 
-// Marks of a run, as Play tells them.
+// returnJob gives back a job that was rejected, so that it is requested again.
+func (r *Rig) returnJob() { r.jobs.Add(-1) }
+
+// Marks that Run reports.
 const (
-	MarkOpen  = "open"  // the window of the measurement
-	MarkClose = "close" // and its end
+	MarkOpen  = "open"  // the measurement window has opened
+	MarkClose = "close" // the measurement window has closed
 )
 
-// Run has clients ask at the targets, dealt out evenly, until the time is over or all jobs are done. mark is called
-// as the window is opened and closed. A rig plays once.
+// Run has the clients send requests to the targets, divided evenly, until the time is over or all jobs are done. It
+// calls mark, which may be nil, with MarkOpen and MarkClose. The result is filled in also where it returns an error.
 func (r *Rig) Run(ctx context.Context, targets []netip.AddrPort, mark func(string)) (Result, error) {
 	if len(targets) == 0 {
 		return Result{}, errors.New("no target")
 	}
-	r.begin(targets)
 	if mark == nil {
 		mark = func(string) {}
 	}
-	went := time.Now()
-	err := r.sleep(ctx, went.Add(r.spec.WarmUp), nil)
+	r.startClients(targets)
+	startedAt := time.Now()
+	err := r.wait(ctx, startedAt.Add(r.spec.WarmUp), nil)
 	if err == nil {
-		r.onEngines(func(_ int, e *engine) { e.setMeasuring(true) })
+		r.onEngines(func(_ int, engine *engine) { engine.setMeasuring(true) })
 		mark(MarkOpen)
-		err = r.sleep(ctx, went.Add(r.spec.WarmUp+r.spec.Length), func() bool {
-			ended := 0
-			r.onEngines(func(i int, _ *engine) { ended += r.clientGroups[i].endedClients })
-			return ended >= r.spec.Jobs
-		})
+		err = r.wait(ctx, startedAt.Add(r.spec.WarmUp+r.spec.Length), r.allJobsEnded)
 	}
-	length := time.Since(went) - r.spec.WarmUp
-	r.onEngines(func(i int, e *engine) {
-		e.setMeasuring(false)
-		r.clientGroups[i].sending = false
+	length := time.Since(startedAt) - r.spec.WarmUp
+	r.onEngines(func(index int, engine *engine) {
+		engine.setMeasuring(false)
+		r.clientGroups[index].sending = false
 	})
 	mark(MarkClose)
-	res := r.result(length)
-	return res, errors.Join(err, r.failure())
+	result := r.result(length)
+	return result, errors.Join(err, r.failure())
 }
 
-// begin has clients ask: those of the crowd come one after another, so that they are not in step.
-func (r *Rig) begin(targets []netip.AddrPort) {
-	to := func(i, of int) netip.AddrPort { return targets[i*max(1, len(targets)/max(1, of))%len(targets)] }
-	r.onEngines(func(at int, e *engine) {
-		c := r.clientGroups[at]
-		c.begin()
-		for i := at; i < r.spec.Clients; i += len(r.engines) {
-			c.add(i, false, to(i, r.spec.Clients), r.spec.drawWork()*time.Duration(i)/time.Duration(r.spec.Clients))
+// startClients has the clients begin. Their first requests are spread over time, so that they are not in step.
+func (r *Rig) startClients(targets []netip.AddrPort) {
+	clients, burst := r.spec.Clients, r.spec.Burst
+	target := func(index, count int) netip.AddrPort {
+		stride := max(1, len(targets)/max(1, count))
+		return targets[index*stride%len(targets)]
+	}
+	r.onEngines(func(index int, engine *engine) {
+		group := r.clientGroups[index]
+		group.start()
+		for i := index; i < clients; i += len(r.engines) {
+			delay := r.spec.workTime() * time.Duration(i) / time.Duration(clients)
+			group.add(i, false, target(i, clients), delay)
 		}
-		for i := at; i < r.spec.Burst; i += len(r.engines) {
-			c.add(r.spec.Clients+i, true, to(i, r.spec.Burst), time.Second*time.Duration(i)/time.Duration(r.spec.Burst))
+		for i := index; i < burst; i += len(r.engines) {
+			delay := time.Second * time.Duration(i) / time.Duration(burst)
+			group.add(clients+i, true, target(i, burst), delay)
 		}
-		r.startDisturbances(at, e, c.startedAt)
+		r.scheduleDisturbances(index, engine, group.startedAt)
 	})
 }
 
-// startDisturbances sets what happens to an engine's workers.
-func (r *Rig) startDisturbances(at int, engine *engine, went time.Duration) {
+// scheduleDisturbances sets the timers for restarts and silence of one engine's workers.
+func (r *Rig) scheduleDisturbances(index int, engine *engine, startedAt time.Duration) {
 	spec := &r.spec
-	from := went + spec.DisturbancesAt
-	first := len(r.workers) / 3
-	silent := int(spec.SilentShare*float64(len(r.workers)) + 0.5)
-	for i := at; i < len(r.workers); i += len(r.engines) {
-		n := r.workers[i]
+	from := startedAt + spec.DisturbancesAt
+	firstSilent := len(r.workers) / 3
+	silentCount := int(spec.SilentShare*float64(len(r.workers)) + 0.5)
+	for i := index; i < len(r.workers); i += len(r.engines) {
+		worker := r.workers[i]
 		if spec.Restarts > 0 && i%3 == 0 {
-			when := from + spec.Restarts*time.Duration(i)/time.Duration(len(r.workers))
-			engine.at(when, n.stop)
-			engine.at(when+spec.restartDown, n.restart)
+			stopAt := from + spec.Restarts*time.Duration(i)/time.Duration(len(r.workers))
+			engine.at(stopAt, worker.stop)
+			engine.at(stopAt+spec.restartDown, worker.restart)
 		}
-		if i >= first && i < first+silent {
-			engine.at(from, func() { n.setSilent(true) })
-			engine.at(from+spec.SilentFor, func() { n.setSilent(false) })
+		if i >= firstSilent && i < firstSilent+silentCount {
+			engine.at(from, func() { worker.setSilent(true) })
+			engine.at(from+spec.SilentFor, func() { worker.setSilent(false) })
 		}
 	}
 }
 
-// restart brings a worker's process up anew.
-func (n *worker) restart() {
-	if err := n.open(); err != nil {
-		n.engine.fail(err)
-		return
-	}
-	if n.silent {
-		n.listener.setPaused(true)
-	}
-	now, d := time.Now(), n.rig.discovery
-	d.engine.post(func() { d.restarted(n.number, now) })
-}
-
-// onEngines has something done in each engine in turn, and waits for it. In one that has ended it is done here.
-func (r *Rig) onEngines(action func(i int, e *engine)) {
+// onEngines calls a function on each engine in turn, and waits for it. For an engine that has ended, it is called here.
+func (r *Rig) onEngines(action func(index int, engine *engine)) {
 	for i, engine := range r.engines {
 		done := make(chan struct{})
 		engine.post(func() {
@@ -315,19 +202,22 @@
 	}
 }
 
-// sleep waits until a time, the end of the context, a fault, or until done, which is asked now and then.
-func (r *Rig) sleep(ctx context.Context, until time.Time, done func() bool) error {
-	timer := time.NewTimer(time.Until(until))
+const waitPollInterval = 20 * time.Millisecond
+
+// wait returns at a deadline, at the end of the context, when an engine fails, or, in a run of limited jobs, when done
+// reports true. done may be nil.
+func (r *Rig) wait(ctx context.Context, deadline time.Time, done func() bool) error {
+	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
-	look := time.NewTicker(20 * time.Millisecond)
-	defer look.Stop()
+	poll := time.NewTicker(waitPollInterval)
+	defer poll.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-timer.C:
 			return nil
-		case <-look.C:
+		case <-poll.C:
 			if r.failure() != nil || r.spec.Jobs > 0 && done != nil && done() {
 				return nil
 			}
@@ -335,13 +225,20 @@
 	}
 }
 
-// failure is what ended an engine.
+// allJobsEnded reports whether Spec.Jobs jobs are served or have failed.
+func (r *Rig) allJobsEnded() bool {
+	ended := 0
+	r.onEngines(func(index int, _ *engine) { ended += r.clientGroups[index].ended })
+	return ended >= r.spec.Jobs
+}
+
+// failure returns the error that ended an engine, if one has.
 func (r *Rig) failure() error {
-	for _, e := range r.engines {
+	for _, engine := range r.engines {
 		select {
-		case <-e.done:
-			if e.failure != nil {
-				return e.failure
+		case <-engine.done:
+			if engine.failure != nil {
+				return engine.failure
 			}
 		default:
 		}
@@ -349,97 +246,27 @@
 	return nil
 }
 
-func (r *Rig) result(length time.Duration) Result {
-	res := Result{
-		FailureReasons: map[string]int{}, CallbacksLost: int(r.callbacksLost.Load()), Limit: r.descriptors.limit,
-		Descriptors: countFiles("self"), Window: length.Seconds(),
-	}
-	latency, late := newHistogram(), newHistogram()
-	most := 0
-	r.onEngines(func(i int, engine *engine) {
-		clientGroup := r.clientGroups[i]
-		res.add(clientGroup.window)
-		for at, s := range clientGroup.seconds {
-			if at >= len(res.Seconds) {
-				res.Seconds = append(res.Seconds, Second{})
-			}
-			res.Seconds[at].add(s)
-			res.All.add(s)
-		}
-		latency.Merge(clientGroup.answers)
-		late.Merge(engine.lateness)
-		for why, n := range clientGroup.failureReasons {
-			res.FailureReasons[why] += n
-		}
-		res.Requested += clientGroup.jobs
-		res.Settled += clientGroup.settled
-		cpu := engine.cpu.Seconds() / length.Seconds()
-		res.CPU += cpu
-		res.MaxCPU = max(res.MaxCPU, cpu)
-		for k := i; k < len(r.workers); k += len(r.engines) {
-			n := r.workers[k]
-			res.Started += n.started
-			res.Finished += n.finished
-			res.Unexpected += n.unexpected
-			most = max(most, n.finished)
-		}
-	})
-	if res.Finished > 0 {
-		res.Busiest = float64(most) * float64(len(r.workers)) / float64(res.Finished)
-	}
-	if whole := int((length + r.spec.WarmUp) / time.Second); len(res.Seconds) > whole {
-		res.Seconds = res.Seconds[:whole]
-	}
-	at := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	res.P50, res.P90, res.P99 = at(latency, 50), at(latency, 90), at(latency, 99)
-	res.Lateness50, res.Lateness99, res.MaxLateness = at(late, 50), at(late, 99), at(late, 100)
-	return res
-}
-
-// Close ends the rig.
+// Close stops the engines and closes all sockets. It may be called more than once.
 func (r *Rig) Close() {
 	if r.closed {
 		return
 	}
 	r.closed = true
-	for _, e := range r.engines {
-		e.stop()
+	for _, engine := range r.engines {
+		engine.stop()
 	}
 	r.threads.Wait()
-	for _, c := range r.clientGroups {
-		c.close()
+	for _, group := range r.clientGroups {
+		group.close()
 	}
-	for _, n := range r.workers {
-		for k := range n.links {
-			k.reset()
-		}
-		for k := range n.callbacks.open {
-			k.reset()
-		}
-		if n.listener != nil {
-			n.listener.close()
-		}
+	for _, worker := range r.workers {
+		worker.close()
 	}
-	if d := r.discovery; d != nil && d.listener != nil {
-		for c := range d.calls {
-			c.reset()
-		}
-		d.listener.close()
+	if r.discovery != nil {
+		r.discovery.close()
 	}
-	for _, e := range r.engines {
-		e.close()
+	for _, engine := range r.engines {
+		engine.close()
 	}
 	r.addresses.close()
 }
-
-// pin has the calling thread, and what it starts, run on these cores.
-func pin(cores ...int) error {
-	var set unix.CPUSet
-	for _, c := range cores {
-		set.Set(c)
-	}
-	if err := unix.SchedSetaffinity(0, &set); err != nil {
-		return fmt.Errorf("cores %v: %w", cores, err)
-	}
-	return nil
-}
--- a/internal/testbed/fleet/table.go
+++ b/internal/testbed/fleet/table.go
@@ -3,210 +3,173 @@
 import (
 	"fmt"
 	"io"
-	"maps"
 	"slices"
 	"strconv"
 	"strings"
 )
 
-// Report is the runs of one or more runs of a table.
+// Report holds the runs of a table.
 type Report struct {
 	Cores        int           `json:"cores"` // of the machine
 	Measurements []Measurement `json:"plays"`
 }
 
-// ParseHint reads a factor by which hints are wrong: 1, 30 or 1/30; none: there are none.
-func ParseHint(text string) (float64, error) {
-	if text == "none" {
-		return 0, nil
-	}
-	ended, under, divided := strings.Cut(text, "/")
-	factor, err := strconv.ParseFloat(ended, 64)
-	if err == nil && divided {
-		var by float64
-		by, err = strconv.ParseFloat(under, 64)
-		factor /= by
-	}
-	if err != nil || !(factor > 0 && factor <= 1e6) {
-		return 0, fmt.Errorf("hint %q: expected none, or a factor such as 1, 30 or 1/30", text)
-	}
-	return factor, nil
-}
-
-// hintText is a hint's factor in words.
-func hintText(factor float64) string {
-	short := func(x float64) string { return strconv.FormatFloat(x, 'g', 4, 64) }
-	switch {
-	case factor == 0:
-		return "none"
-	case factor == 1:
-		return "right"
-	case factor < 1:
-		return short(1/factor) + " times too low"
-	}
-	return short(factor) + " times too high"
-}
-
-// tableRows gives the runs by row, in the order in which rows were first played.
-func (r *Report) tableRows() (sequence []TableRow, plays map[TableRow][]Measurement) {
-	plays = map[TableRow][]Measurement{}
-	for _, p := range r.Measurements {
-		if plays[p.TableRow] == nil {
-			sequence = append(sequence, p.TableRow)
+// groupByRow returns the runs by row, and the rows in the order of their first runs.
+func (r *Report) groupByRow() (tableRows []TableRow, runs map[TableRow][]Measurement) {
+	runs = map[TableRow][]Measurement{}
+	for _, run := range r.Measurements {
+		if runs[run.TableRow] == nil {
+			tableRows = append(tableRows, run.TableRow)
 		}
-		plays[p.TableRow] = append(plays[p.TableRow], p)
+		runs[run.TableRow] = append(runs[run.TableRow], run)
 	}
-	return sequence, plays
+	return tableRows, runs
 }
 
-// String is the row in words.
+// String describes the row for a reader.
 func (r TableRow) String() string {
 	text := fmt.Sprintf("%s, %s worker nodes", r.Subject, formatGrouped(float64(r.Workers), 0))
-	if r.hasScheduler() {
-		text += ", notices " + map[bool]string{true: "on", false: "off"}[r.StartNotifications] + ", hint " + hintText(r.Hint)
+	if !r.hasScheduler() {
+		return text
 	}
-	return text
+	notices := "off"
+	if r.StartNotifications {
+		notices = "on"
+	}
+	return text + ", notices " + notices + ", hint " + hintText(r.Hint)
 }
 
-// hasScheduler tells whether its subject is a scheduler.
-func (r TableRow) hasScheduler() bool {
-	return r.Subject != Proxy && r.Subject != Direct && r.Subject != Ceiling
+// figureColumn is a column of the table with a figure of each run.
+type figureColumn struct {
+	title  string
+	digits int // after the decimal point
+	value  func(*Measurement) float64
+	exists func(*Measurement) bool // whether a run has the figure
 }
 
-var columns = []string{
-	"subject", "worker nodes", "start notices", "hint", "served/s", "p50 ms", "p90 ms", "p99 ms",
-	"CPU µs", "refused", "failed", "runs", "busiest", "memory MB", "descriptors", "rig",
-}
+// Whether a run has a figure.
+func always(*Measurement) bool               { return true }
+func hasServed(run *Measurement) bool        { return run.Served > 0 }
+func hasProcess(run *Measurement) bool       { return run.Descriptors > 0 }
+func processServed(run *Measurement) bool    { return hasServed(run) && hasProcess(run) }
+func runsPerServed(run *Measurement) float64 { return float64(run.Started) / float64(run.Served) }
 
-// Legend says what the columns are.
+var (
+	rowTitles     = []string{"subject", "worker nodes", "start notices", "hint"}
+	figureColumns = []figureColumn{
+		{"served/s", 0, func(run *Measurement) float64 { return run.Rate }, always},
+		{"p50 ms", 1, func(run *Measurement) float64 { return run.P50 }, hasServed},
+		{"p90 ms", 1, func(run *Measurement) float64 { return run.P90 }, hasServed},
+		{"p99 ms", 1, func(run *Measurement) float64 { return run.P99 }, hasServed},
+		{"CPU µs", 0, func(run *Measurement) float64 { return run.CPU }, processServed},
+		{"refused", 0, func(run *Measurement) float64 { return float64(run.Rejected) }, always},
+		{"failed", 0, func(run *Measurement) float64 { return float64(run.Failed) }, always},
+		{"runs", 2, runsPerServed, hasServed},
+		{"busiest", 2, func(run *Measurement) float64 { return run.Busiest }, processServed},
+		{"memory MB", 0, func(run *Measurement) float64 { return run.Memory }, hasProcess},
+		{"descriptors", 0, func(run *Measurement) float64 { return float64(run.Descriptors) }, hasProcess},
+	}
+	rigTitle = "rig"
+)
+
+// Legend explains the columns of the table.
 const Legend = "Several plays of a row: least / median / most, where they differ. CPU µs: of the scheduler's or proxy's " +
 	"process, for each request served. runs: jobs that worker nodes began, for each that was served. busiest: jobs of " +
 	"the busiest worker node over its even part. memory and descriptors: the most that the process had. rig: what its " +
 	"busiest core was used, and its own lateness, 99th percentile.\n"
 
-// Table writes a row of Markdown for each row that was played. Plays that are void are left out and counted.
+// Table writes a Markdown table with a line for each row. Void runs are left out and counted.
 func (r *Report) Table(w io.Writer) error {
 	var b strings.Builder
-	line := func(cells []string) { b.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
-	line(columns)
-	line(slices.Repeat([]string{"---"}, len(columns)))
-	sequence, plays := r.tableRows()
-	for _, tableRow := range sequence {
-		line(tableCells(tableRow, plays[tableRow]))
+	writeLine := func(cells []string) { b.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
+	titles := tableTitles()
+	writeLine(titles)
+	writeLine(slices.Repeat([]string{"---"}, len(titles)))
+	tableRows, runs := r.groupByRow()
+	for _, tableRow := range tableRows {
+		writeLine(tableCells(tableRow, runs[tableRow]))
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-func tableCells(tableRow TableRow, all []Measurement) []string {
+func tableTitles() []string {
+	titles := slices.Clone(rowTitles)
+	for _, column := range figureColumns {
+		titles = append(titles, column.title)
+	}
+	return append(titles, rigTitle)
+}
+
+// tableCells returns the line of a row. runs must not be empty.
+func tableCells(tableRow TableRow, runs []Measurement) []string {
+	cells := tableRow.cells()
+	valid := slices.DeleteFunc(slices.Clone(runs), func(run Measurement) bool { return run.InvalidReason() != "" })
+	if len(valid) == 0 {
+		cells = append(cells, "void: "+runs[0].InvalidReason())
+		return append(cells, slices.Repeat([]string{""}, len(tableTitles())-len(cells))...)
+	}
+	for _, column := range figureColumns {
+		cells = append(cells, column.cell(valid))
+	}
+	if voidCount := len(runs) - len(valid); voidCount > 0 {
+		cells[len(rowTitles)] += fmt.Sprintf(" (%d void)", voidCount)
+	}
+	return append(cells, rigCell(valid))
+}
+
+// cells returns the cells that name the row.
+func (r TableRow) cells() []string {
 	notices, hint := "-", "-"
-	if tableRow.hasScheduler() {
-		notices, hint = map[bool]string{true: "yes", false: "no"}[tableRow.StartNotifications], hintText(tableRow.Hint)
-	}
-	outputs := []string{tableRow.Subject, formatGrouped(float64(tableRow.Workers), 0), notices, hint}
-	sound := slices.DeleteFunc(slices.Clone(all), func(p Measurement) bool { return p.InvalidReason() != "" })
-	if len(sound) == 0 {
-		outputs = append(outputs, "void: "+all[0].InvalidReason())
-		return append(outputs, slices.Repeat([]string{""}, len(columns)-len(outputs))...)
-	}
-	// spread gives least, median and most of those that there is a figure for.
-	spread := func(digits int, of func(*Measurement) (float64, bool)) string {
-		var values []float64
-		for i := range sound {
-			if x, ok := of(&sound[i]); ok {
-				values = append(values, x)
-			}
-		}
-		if len(values) == 0 {
-			return "-"
-		}
-		slices.Sort(values)
-		n := len(values)
-		least, most := formatGrouped(values[0], digits), formatGrouped(values[n-1], digits)
-		if least == most {
-			return least
+	if r.hasScheduler() {
+		notices, hint = "no", hintText(r.Hint)
+		if r.StartNotifications {
+			notices = "yes"
 		}
-		return least + " / " + formatGrouped((values[(n-1)/2]+values[n/2])/2, digits) + " / " + most
 	}
-	some := func(of func(*Measurement) float64) func(*Measurement) (float64, bool) {
-		return func(p *Measurement) (float64, bool) { return of(p), p.Served > 0 }
+	return []string{r.Subject, formatGrouped(float64(r.Workers), 0), notices, hint}
+}
+
+// cell returns the minimum, median and maximum of the figure, or one number if they look the same.
+func (c *figureColumn) cell(runs []Measurement) string {
+	var values []float64
+	for i := range runs {
+		if run := &runs[i]; c.exists(run) {
+			values = append(values, c.value(run))
+		}
 	}
-	each := func(of func(*Measurement) float64) func(*Measurement) (float64, bool) {
-		return func(p *Measurement) (float64, bool) { return of(p), true }
+	if len(values) == 0 {
+		return "-"
 	}
-	process := func(of func(*Measurement) float64) func(*Measurement) (float64, bool) {
-		return func(p *Measurement) (float64, bool) { return of(p), p.Descriptors > 0 }
+	slices.Sort(values)
+	count := len(values)
+	lowest, highest := formatGrouped(values[0], c.digits), formatGrouped(values[count-1], c.digits)
+	if lowest == highest {
+		return lowest
 	}
-	most := func(digits int, of func(*Measurement) float64) string {
-		x := 0.0
-		for i := range sound {
-			x = max(x, of(&sound[i]))
-		}
-		return formatGrouped(x, digits)
-	}
-	rate := spread(0, each(func(p *Measurement) float64 { return p.Rate }))
-	if n := len(all) - len(sound); n > 0 {
-		rate += fmt.Sprintf(" (%d void)", n)
-	}
-	return append(outputs, rate,
-		spread(1, some(func(p *Measurement) float64 { return p.P50 })),
-		spread(1, some(func(p *Measurement) float64 { return p.P90 })),
-		spread(1, some(func(p *Measurement) float64 { return p.P99 })),
-		spread(0, func(p *Measurement) (float64, bool) { return p.CPU, p.Served > 0 && p.Descriptors > 0 }),
-		spread(0, each(func(p *Measurement) float64 { return float64(p.Rejected) })),
-		spread(0, each(func(p *Measurement) float64 { return float64(p.Failed) })),
-		spread(2, some(func(p *Measurement) float64 { return float64(p.Started) / float64(p.Served) })),
-		spread(2, func(p *Measurement) (float64, bool) { return p.Busiest, p.Served > 0 && p.Descriptors > 0 }),
-		spread(0, process(func(p *Measurement) float64 { return p.Memory })),
-		spread(0, process(func(p *Measurement) float64 { return float64(p.Descriptors) })),
-		most(0, func(p *Measurement) float64 { return 100 * p.MaxCPU })+"%, "+
-			most(2, func(p *Measurement) float64 { return p.Lateness99 })+" ms")
+	median := (values[(count-1)/2] + values[count/2]) / 2
+	return lowest + " / " + formatGrouped(median, c.digits) + " / " + highest
 }
 
-// formatGrouped writes a number with its thousands set apart.
-func formatGrouped(x float64, digits int) string {
-	text := strconv.FormatFloat(x, 'f', digits, 64)
-	whole, remainder, _ := strings.Cut(text, ".")
+// rigCell returns the maximum use and lateness of the rig.
+func rigCell(runs []Measurement) string {
+	cpu, lateness := 0.0, 0.0
+	for i := range runs {
+		cpu = max(cpu, 100*runs[i].MaxCPU)
+		lateness = max(lateness, runs[i].Lateness99)
+	}
+	return formatGrouped(cpu, 0) + "%, " + formatGrouped(lateness, 2) + " ms"
+}
+
+// formatGrouped formats a number with commas between groups of three digits.
+func formatGrouped(number float64, digits int) string {
+	text := strconv.FormatFloat(number, 'f', digits, 64)
+	whole, fraction, _ := strings.Cut(text, ".")
 	for at := len(whole) - 3; at > 0 && whole[at-1] != '-'; at -= 3 {
 		whole = whole[:at] + "," + whole[at:]
 	}
-	if remainder != "" {
-		whole += "." + remainder
+	if fraction != "" {
+		whole += "." + fraction
 	}
 	return whole
 }
-
-// BySecond writes what was served in each second of each run, from when the clients began.
-func (r *Report) BySecond(w io.Writer) error {
-	var b strings.Builder
-	for i := range r.Measurements {
-		measurement := &r.Measurements[i]
-		b.WriteString(measurement.String())
-		if len(measurement.Disturbances) == 2 {
-			fmt.Fprintf(&b, "; trouble from %.1f s to %.1f s, ", measurement.Disturbances[0], measurement.Disturbances[1])
-			if back := measurement.RecoveredAfter(); back >= 0 {
-				fmt.Fprintf(&b, "back at 95%% after %d s", back)
-			} else {
-				b.WriteString("not back at 95%")
-			}
-		}
-		b.WriteString("\n  served ")
-		for _, s := range measurement.Seconds {
-			fmt.Fprintf(&b, " %d", s.Served)
-		}
-		b.WriteString("\n  refused")
-		for _, s := range measurement.Seconds {
-			fmt.Fprintf(&b, " %d", s.Rejected)
-		}
-		b.WriteString("\n  failed ")
-		for _, s := range measurement.Seconds {
-			fmt.Fprintf(&b, " %d", s.Failed)
-		}
-		b.WriteString("\n")
-		for _, why := range slices.Sorted(maps.Keys(measurement.FailureReasons)) {
-			fmt.Fprintf(&b, "  failed %d times: %s\n", measurement.FailureReasons[why], why)
-		}
-	}
-	_, err := io.WriteString(w, b.String())
-	return err
-}
--- a/internal/testbed/fleet/usage.go
+++ b/internal/testbed/fleet/usage.go
@@ -10,17 +10,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// processCPU is the processor time that a process has used; below 0: it is gone.
+// processCPU returns the processor time that a process has used, or -1 if it has ended.
 func processCPU(pid int) time.Duration {
-	// The clock of a process's CPU time: its number is made of the pid, as clock_getcpuclockid does it.
-	var t unix.Timespec
-	if unix.ClockGettime(int32(^pid<<3|2), &t) != nil {
+	// The clock's number encodes the process number, as clock_getcpuclockid does it.
+	const scheduledClock = 2
+	clock := int32(^pid<<3 | scheduledClock)
+	var used unix.Timespec
+	if unix.ClockGettime(clock, &used) != nil {
 		return -1
 	}
-	return time.Duration(t.Nano())
+	return time.Duration(used.Nano())
 }
 
-// peakMemory is the most memory that a process has had, in bytes.
+// peakMemory returns the peak resident memory of a process in bytes, or 0 if that is unknown.
 func peakMemory(pid int) int64 {
 	status, _ := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "status"))
 	_, remainder, _ := bytes.Cut(status, []byte("\nVmHWM:"))
@@ -29,17 +31,17 @@
 	if len(fields) == 0 {
 		return 0
 	}
-	n, _ := strconv.ParseInt(string(fields[0]), 10, 64)
-	return n << 10
+	kibibytes, _ := strconv.ParseInt(string(fields[0]), 10, 64)
+	return kibibytes << 10
 }
 
-// countFiles counts the descriptors of a process, by its number or as self. Where the kernel counts them, it tells their
-// number as a size.
+// countFiles counts the open descriptors of a process, given by its number or as "self". Kernels that keep the count
+// report it as the size of the directory.
 func countFiles(process string) int {
-	dir := filepath.Join("/proc", process, "fd")
-	if info, err := os.Stat(dir); err == nil && info.Size() > 0 {
+	directory := filepath.Join("/proc", process, "fd")
+	if info, err := os.Stat(directory); err == nil && info.Size() > 0 {
 		return int(info.Size())
 	}
-	list, _ := os.ReadDir(dir)
-	return len(list)
+	entries, _ := os.ReadDir(directory)
+	return len(entries)
 }
