--- /dev/null
+++ b/internal/testbed/fleet/clients_test.go
@@ -0,0 +1,59 @@
+package fleet
+
+import (
+	"io"
+	"net/http"
+	"net/netip"
+	"testing"
+	"time"
+)
+
+// Each request has one outcome, by its response, whatever the scheduler does.
+func TestClientsCountEachRequestOnce(t *testing.T) {
+	rig := testRig(t, Spec{
+		Nodes: 1, Clients: 3, Burst: 2, Jobs: 60, Length: time.Minute, Work: time.Millisecond,
+		Hint: 30 * time.Millisecond,
+	})
+	serveScheduler(t, rig, respondInOrder(t))
+	got, err := rig.Run(t.Context(), []netip.AddrPort{rig.addresses.scheduler()}, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.All != (Second{Served: 36, Rejected: 12, Failed: 24}) || got.Requested != 72 || got.Settled != 72 ||
+		got.FailureReasons["status 500"] != 12 || got.FailureReasons["another request's answer"] != 12 {
+		t.Errorf("%+v", got)
+	}
+}
+
+// respondInOrder rejects, fails, mixes up and serves requests in order: of six, three are served.
+func respondInOrder(t *testing.T) http.HandlerFunc {
+	t.Helper()
+	behaviours := make(chan int, 1000)
+	for i := range cap(behaviours) {
+		behaviours <- i % 6
+	}
+	return func(w http.ResponseWriter, request *http.Request) {
+		checkClientHeaders(t, request.Header)
+		switch <-behaviours {
+		case 0:
+			w.WriteHeader(http.StatusServiceUnavailable)
+		case 1:
+			w.WriteHeader(http.StatusInternalServerError)
+		case 2:
+			_, _ = io.WriteString(w, "of another")
+		case 3:
+			w.Header().Set("Connection", "close")
+			fallthrough
+		default:
+			_, _ = io.WriteString(w, request.Header.Get("X-Call-Id")+" ran")
+		}
+	}
+}
+
+func checkClientHeaders(t *testing.T, header http.Header) {
+	t.Helper()
+	if header.Get("X-Call-Cost") != "30000" || header.Get("X-Budget-Ms") != "5000" ||
+		header.Get("X-Call-Class") != jobClass {
+		t.Errorf("%v", header)
+	}
+}
--- /dev/null
+++ b/internal/testbed/fleet/measure_test.go
@@ -0,0 +1,100 @@
+package fleet
+
+import (
+	"context"
+	"encoding/json"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+// buildScheduler builds the real program, and returns its path.
+func buildScheduler(t *testing.T) string {
+	t.Helper()
+	binary := filepath.Join(t.TempDir(), "valvecove")
+	if output, err := exec.Command("go", "build", "-o", binary, "valvecove/cmd/valvecove").CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, output)
+	}
+	return binary
+}
+
+// The real program and the baseline policy serve each of a few jobs once; a run that cannot be played fails.
+func TestMeasure(t *testing.T) {
+	options := Options{
+		Rig: childCommand("rig"), Proxy: childCommand("proxy"), Binary: buildScheduler(t), Clients: 5, Jobs: 50,
+		Length: time.Minute,
+	}
+	if _, err := FindCores(); err != nil {
+		t.Skip(err)
+	}
+	scheduler := TableRow{"build", 5, true, 1}
+	t.Run("each job is served once", func(t *testing.T) {
+		report := &Report{}
+		for _, measured := range []TableRow{scheduler, {"build", 5, false, 1}, {Proxy, 5, false, 0}, {Direct, 5, false, 0}} {
+			figures := measureJobs(t, measured, options)
+			report.Measurements = append(report.Measurements, figures, figures)
+		}
+		report.Measurements[1].Lateness99 = 2 * maxLateness99
+		checkTable(t, report)
+	})
+	t.Run("cancelled", func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		cancel()
+		if _, err := Measure(ctx, scheduler, options); err == nil {
+			t.Error("a run after the end of its context")
+		}
+	})
+	t.Run("program that ends", func(t *testing.T) {
+		options.Binary = "/bin/false"
+		_, err := Measure(t.Context(), scheduler, options)
+		if err == nil || !strings.Contains(err.Error(), "build ended") {
+			t.Errorf("a program that ends: %v", err)
+		}
+	})
+}
+
+// measureJobs measures a row of 50 jobs, and expects each to be served once. The figures are returned as of a valid run:
+// how late the rig is during a test does not matter.
+func measureJobs(t *testing.T, measured TableRow, options Options) Measurement {
+	t.Helper()
+	figures, err := Measure(t.Context(), measured, options)
+	if err != nil {
+		t.Fatalf("%v: %v", measured, err)
+	}
+	hasSubject := measured.Subject != Direct
+	if figures.All.Served != 50 || figures.Settled != 50+figures.All.Rejected || figures.All.Failed > 0 ||
+		figures.Unexpected > 0 || figures.CallbacksLost > 0 || (figures.Descriptors > 0) != hasSubject ||
+		len(figures.FailureReasons) > 0 {
+		text, _ := json.Marshal(figures)
+		t.Errorf("%v: %s", measured, text)
+	}
+	figures.MaxCPU, figures.Lateness50, figures.Lateness99 = 0, 0, 0
+	return figures
+}
+
+// checkTable expects two lines of titles and four lines of figures, one of them with a void run.
+func checkTable(t *testing.T, report *Report) {
+	t.Helper()
+	var b strings.Builder
+	if err := report.Table(&b); err != nil || strings.Count(b.String(), "\n") != 6 ||
+		!strings.Contains(b.String(), "(1 void)") || !strings.Contains(b.String(), "| build | 5 | yes | right | ") {
+		t.Errorf("%v: %s", err, b.String())
+	}
+}
+
+// Recovery is the first whole second that is nearly as good as before the disturbance.
+func TestRecoveredAfter(t *testing.T) {
+	figures := Measurement{Disturbances: []float64{2, 3.5}}
+	for _, served := range []int{100, 100, 100, 3, 50, 94, 95} {
+		figures.Seconds = append(figures.Seconds, Second{Served: served})
+	}
+	if got := figures.RecoveredAfter(); got != 2 {
+		t.Errorf("%d", got)
+	}
+	figures.Seconds = figures.Seconds[:6]
+	if got := figures.RecoveredAfter(); got != -1 {
+		t.Errorf("%d", got)
+	}
+}
