--- a/internal/testbed/starvation/model_test.go
+++ b/internal/testbed/starvation/model_test.go
@@ -12,325 +12,528 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// model finds starvation by the words of the package doc alone: at each look it plays the whole history again, as far
-// as the trace events go that it knows, and keeps nothing but which tries it has told.
+// model finds starvation by the package comment alone: at each scan it replays the whole history, as far as it knows its
+// kinds of events, and keeps nothing but which requests it has reported.
 type model struct {
 	spec     *scenario.Scenario
-	past     []trace.Event
-	tick     time.Duration
+	kinds    map[string]workerKind
+	maxSpeed float64
+	history  []trace.Event
+	nextScan time.Duration
 	reported map[string]bool
-	counts   [3]int // held, refused, excused
+	counts   modelCounts
 }
 
+type modelCounts struct{ queued, rejected, excused int }
+
 type modelRequest struct {
-	job   trace.Event // its Due
-	since time.Duration
-	open  bool
-	tries []modelAttempt
+	job         trace.Event // that the job fell due
+	queuedSince time.Duration
+	open        bool
+	attempts    []modelAttempt
 }
 
 type modelAttempt struct {
-	node                         int
-	sent                         time.Duration
-	inFlight, there, ended, seen bool
-	unrun                        bool
+	worker      int
+	sentAt      time.Duration
+	inFlight    bool
+	atWorker    bool
+	finished    bool
+	received    bool
+	notExecuted bool
 }
 
 type modelWorker struct {
-	up    bool
-	kind  string
-	boot  int
-	ill   time.Duration
-	used  float64
-	slots float64
+	up          bool
+	kind        string
+	incarnation int
+	healthyFrom time.Duration
+	usedSlots   float64
+	slots       float64
 }
 
+// modelState is what a history leads to.
 type modelState struct {
-	nodes []modelWorker
-	tries map[string]*modelRequest
-	calls []string
-	known []knowledge
-}
-
-func (t *modelRequest) hasInFlight() bool {
-	return slices.ContainsFunc(t.tries, func(a modelAttempt) bool { return a.inFlight })
-}
-
-func (t *modelRequest) held() bool { return t.open && !t.hasInFlight() }
-
-// state is how things stand after the first n trace events.
-func (m *model) state(n int) *modelState {
-	n0 := m.spec.Fleet.Workers
-	s := &modelState{nodes: make([]modelWorker, n0), known: make([]knowledge, n0), tries: map[string]*modelRequest{}}
-	dueAt := map[uint64]trace.Event{}
-	for _, x := range m.past[:n] {
-		t := s.tries[x.RequestID]
-		held := t != nil && t.held()
-		var a *modelAttempt
-		if t != nil {
-			for i := range t.tries {
-				if b := &t.tries[i]; a == nil && b.node == x.Worker && (b.inFlight || b.there) {
-					a = b
-				}
+	spec     *scenario.Scenario
+	jobs     map[uint64]trace.Event // that they fell due
+	workers  []modelWorker
+	requests map[string]*modelRequest
+	ids      []string // of the requests, in order of time
+	known    []knowledge
+}
+
+func newModel(spec *scenario.Scenario) *model {
+	m := &model{spec: spec, kinds: map[string]workerKind{}, reported: map[string]bool{}}
+	for i := range spec.Fleet.Kinds {
+		kind := newWorkerKind(&spec.Fleet.Kinds[i])
+		m.kinds[spec.Fleet.Kinds[i].Name] = kind
+		m.maxSpeed = max(m.maxSpeed, kind.maxSpeed)
+	}
+	return m
+}
+
+func (r *modelRequest) isQueued() bool {
+	return r.open && !slices.ContainsFunc(r.attempts, func(a modelAttempt) bool { return a.inFlight })
+}
+
+// unresolvedAt returns the first attempt at a worker that is in flight or occupies the worker, or nil.
+func (r *modelRequest) unresolvedAt(worker int) *modelAttempt {
+	index := slices.IndexFunc(r.attempts, func(a modelAttempt) bool {
+		return a.worker == worker && (a.inFlight || a.atWorker)
+	})
+	if index < 0 {
+		return nil
+	}
+	return &r.attempts[index]
+}
+
+// stateAfter returns the state after the first events of the history.
+func (m *model) stateAfter(events int) *modelState {
+	state := &modelState{
+		spec:     m.spec,
+		jobs:     map[uint64]trace.Event{},
+		workers:  make([]modelWorker, m.spec.Fleet.Workers),
+		known:    make([]knowledge, m.spec.Fleet.Workers),
+		requests: map[string]*modelRequest{},
+	}
+	for i := range m.history[:events] {
+		state.apply(&m.history[i])
+	}
+	for _, request := range state.requests {
+		for _, attempt := range request.attempts {
+			if attempt.atWorker {
+				state.workers[attempt.worker].usedSlots += request.job.Slots
 			}
 		}
-		ill := func() { s.nodes[x.Worker].ill = max(s.nodes[x.Worker].ill, x.At+healthyAfter) }
-		switch x.Kind {
-		case trace.JobDue:
-			dueAt[x.JobID] = x
-		case trace.RequestSent:
-			s.tries[x.RequestID] = &modelRequest{job: dueAt[x.JobID], since: x.At, open: true}
-			s.calls = append(s.calls, x.RequestID)
-		case trace.ResponseReceived:
-			t.open = false
-		case trace.AttemptSent:
-			t.tries = append(t.tries, modelAttempt{node: x.Worker, sent: x.At, inFlight: true, there: true})
-		case trace.AttemptReceived:
-			a.seen = true
-		case trace.AttemptRejected:
-			ill()
-			a.inFlight, a.there, a.unrun = false, false, true
-		case trace.AttemptFinished:
-			a.ended, a.there = true, a.inFlight
-		case trace.CallbackAnswered:
-			a.inFlight, a.there = false, false
-		case trace.WorkerPresent, trace.WorkerStarted:
-			s.nodes[x.Worker] = modelWorker{up: true, kind: x.Text, boot: x.Incarnation, slots: x.Slots, ill: s.nodes[x.Worker].ill}
-			if x.Kind == trace.WorkerStarted {
-				s.nodes[x.Worker].ill = x.At + max(healthyAfter, m.spec.Fleet.Kinds[0].WarmUp.Std())
-			}
-		case trace.WorkerStopped:
-			s.nodes[x.Worker].up = false
-		case trace.WorkerRecovered:
-			ill()
-		case trace.StartNotified, trace.DrainNotified:
-			k := &s.known[x.Worker]
-			k.knownAt, k.drained = x.At, x.Kind == trace.DrainNotified
-			if !k.drained {
-				k.incarnation = x.Incarnation
-			}
+	}
+	return state
+}
+
+func (s *modelState) apply(event *trace.Event) {
+	request := s.requests[event.RequestID]
+	if request == nil {
+		s.applyRequest(event)
+		s.applyWorker(event)
+		return
+	}
+	wasQueued := request.isQueued()
+	s.applyAttempt(event, request)
+	if !wasQueued && request.isQueued() {
+		request.queuedSince = event.At
+	}
+}
+
+func (s *modelState) applyRequest(event *trace.Event) {
+	switch event.Kind {
+	case trace.JobDue:
+		s.jobs[event.JobID] = *event
+	case trace.RequestSent:
+		s.requests[event.RequestID] = &modelRequest{job: s.jobs[event.JobID], queuedSince: event.At, open: true}
+		s.ids = append(s.ids, event.RequestID)
+	}
+}
+
+func (s *modelState) applyAttempt(event *trace.Event, request *modelRequest) {
+	attempt := request.unresolvedAt(event.Worker)
+	switch event.Kind {
+	case trace.ResponseReceived:
+		request.open = false
+	case trace.AttemptSent:
+		request.attempts = append(request.attempts,
+			modelAttempt{worker: event.Worker, sentAt: event.At, inFlight: true, atWorker: true})
+	case trace.AttemptReceived:
+		attempt.received = true
+	case trace.AttemptRejected:
+		s.markUnhealthy(event)
+		attempt.inFlight, attempt.atWorker, attempt.notExecuted = false, false, true
+	case trace.AttemptFinished:
+		attempt.finished, attempt.atWorker = true, attempt.inFlight
+	case trace.CallbackAnswered:
+		attempt.inFlight, attempt.atWorker = false, false
+	}
+}
+
+func (s *modelState) applyWorker(event *trace.Event) {
+	worker := &s.workers[event.Worker]
+	switch event.Kind {
+	case trace.WorkerPresent, trace.WorkerStarted:
+		healthyFrom := worker.healthyFrom
+		if event.Kind == trace.WorkerStarted {
+			healthyFrom = event.At + max(healthyAfter, s.spec.Fleet.Kinds[0].WarmUp.Std())
 		}
-		if t != nil && !held && t.held() {
-			t.since = x.At
+		*worker = modelWorker{
+			up: true, kind: event.Text, incarnation: event.Incarnation, slots: event.Slots, healthyFrom: healthyFrom,
 		}
-	}
-	for _, t := range s.tries {
-		for _, a := range t.tries {
-			if a.there {
-				s.nodes[a.node].used += t.job.Slots
-			}
+	case trace.WorkerStopped:
+		worker.up = false
+	case trace.WorkerRecovered:
+		s.markUnhealthy(event)
+	case trace.StartNotified, trace.DrainNotified:
+		known := &s.known[event.Worker]
+		known.notifiedAt, known.drained = event.At, event.Kind == trace.DrainNotified
+		if !known.drained {
+			known.incarnation = event.Incarnation
 		}
 	}
-	return s
 }
 
-// idle tells whether a worker was idle for so many slots throughout the second before now.
-func (m *model) idle(node int, slots float64, now time.Duration) bool {
-	for n := 0; n <= len(m.past); n++ {
-		if n < len(m.past) && m.past[n].At <= now-idleWindow {
-			continue // the state that held a second ago is after all of these
+func (s *modelState) markUnhealthy(event *trace.Event) {
+	worker := &s.workers[event.Worker]
+	worker.healthyFrom = max(worker.healthyFrom, event.At+healthyAfter)
+}
+
+// wasIdle tells whether a worker was idle for a number of slots throughout the idle window before now.
+func (m *model) wasIdle(number int, slots float64, now time.Duration) bool {
+	windowStart := now - idleWindow
+	for events := 0; events <= len(m.history); events++ {
+		if events < len(m.history) && m.history[events].At <= windowStart {
+			continue // the state at the start of the window is after all of these
 		}
-		at := now - idleWindow
-		if n > 0 {
-			at = max(at, m.past[n-1].At)
+		at := windowStart
+		if events > 0 {
+			at = max(at, m.history[events-1].At)
 		}
-		x := m.state(n).nodes[node]
-		if !x.up || x.ill > at || x.slots-x.used < slots {
+		worker := m.stateAfter(events).workers[number]
+		if !worker.up || worker.healthyFrom > at || worker.slots-worker.usedSlots < slots {
 			return false
 		}
 	}
 	return true
 }
 
-// witness tells whether a worker was idle for a try, begun at from.
-func (m *model) witness(s *modelState, t *modelRequest, from, now time.Duration, refused bool) bool {
-	class := &m.spec.Classes[t.job.Class]
-	need := float64(int(1) << slotBucket(t.job.Slots))
+// idleSearch asks which workers were idle for a request, whose execution could have begun at start.
+type idleSearch struct {
+	state      *modelState
+	request    *modelRequest
+	start, now time.Duration
+	rejected   bool
+}
+
+// hasIdleWorker tells whether enough workers were idle.
+func (m *model) hasIdleWorker(search idleSearch) bool {
+	bucket := slotBucket(search.request.job.Slots)
 	wanted := 1
-	for _, o := range s.tries {
-		if o != t && o.held() && slotBucket(o.job.Slots) > slotBucket(t.job.Slots) {
+	for _, other := range search.state.requests {
+		if other != search.request && other.isQueued() && slotBucket(other.job.Slots) > bucket {
 			wanted = 2
 		}
 	}
-	for i, n := range s.nodes {
-		k := s.known[i]
-		late := func(speed float64) bool { return from+durationOf(t.job.Work/speed) > t.job.At+t.job.LatencyObjective }
-		w := New(m.spec)
-		is := slices.IndexFunc(m.spec.Fleet.Kinds, func(k scenario.WorkerKind) bool { return k.Name == n.kind })
-		least, fast := w.kinds[is].minSpeed, w.maxSpeed
-		may := len(t.tries) < m.spec.Schedulers.AttemptLimit && (class.Kind == "" || class.Kind == n.kind) &&
-			!k.drained && max(k.incarnation, 1) >= n.boot && (k.knownAt == 0 || now-k.knownAt >= startupWindow) &&
-			!(late(least) && (refused || !late(fast))) && from+durationOf(t.job.Work/least) <= t.job.At+t.job.Deadline
-		for _, a := range t.tries {
-			if !a.unrun && (class.Idempotency == "unsafe" || class.Idempotency == "keyed" && (a.node/2 != i/2 ||
-				float64(now-a.sent) >= windowShare*float64(class.DeduplicationWindow))) {
-				may = false
-			}
-		}
-		if may && m.idle(i, need, now) {
-			if wanted--; wanted == 0 {
-				return true
-			}
+	for number := range search.state.workers {
+		if m.isCandidate(search, number) && m.wasIdle(number, bucketSlots(bucket), search.now) {
+			wanted--
 		}
 	}
-	return false
+	return wanted <= 0
 }
 
-// watch takes in a trace event.
-func (m *model) watch(x trace.Event) {
-	for ; m.tick <= x.At; m.tick += scanInterval {
-		s := m.state(len(m.past))
-		for _, call := range s.calls {
-			t := s.tries[call]
-			if t.held() && !m.reported[call] && m.tick-max(t.since, startupWindow) >= idleWindow && m.witness(s, t, t.since, m.tick, false) {
-				m.reported[call] = true
-				m.counts[0]++
-			}
+// isCandidate tells whether a worker, if it was idle, could have executed the request.
+func (m *model) isCandidate(search idleSearch, number int) bool {
+	class := &m.spec.Classes[search.request.job.Class]
+	worker := &search.state.workers[number]
+	known := &search.state.known[number]
+	isKnown := !known.drained && max(known.incarnation, 1) >= worker.incarnation &&
+		(known.notifiedAt == 0 || search.now-known.notifiedAt >= startupWindow)
+	isBoundElsewhere := class.Kind != "" && class.Kind != worker.kind
+	return isKnown && !isBoundElsewhere && m.isInTime(search, worker.kind) && m.allowsAttempt(search, number)
+}
+
+// isInTime tells whether a kind's slowest worker executes the request by its objective and deadline, or, for a queued one,
+// no worker can by its objective.
+func (m *model) isInTime(search idleSearch, kind string) bool {
+	job := &search.request.job
+	endAt := func(speed float64) time.Duration { return search.start + durationOf(job.Work/speed) }
+	objective := job.At + job.LatencyObjective
+	slowest := endAt(m.kinds[kind].minSpeed)
+	if slowest > objective && (search.rejected || endAt(m.maxSpeed) <= objective) {
+		return false
+	}
+	return slowest <= job.At+job.Deadline
+}
+
+// allowsAttempt tells whether the request's attempts allow another one at a worker.
+func (m *model) allowsAttempt(search idleSearch, number int) bool {
+	class := &m.spec.Classes[search.request.job.Class]
+	if len(search.request.attempts) >= m.spec.Schedulers.AttemptLimit {
+		return false
+	}
+	for _, attempt := range search.request.attempts {
+		if attempt.notExecuted || class.Idempotency == "safe" {
+			continue
+		}
+		isSameCell := attempt.worker/m.spec.Fleet.CellSize == number/m.spec.Fleet.CellSize
+		isInWindow := float64(search.now-attempt.sentAt) < windowShare*float64(class.DeduplicationWindow)
+		if class.Idempotency == "unsafe" || !isSameCell || !isInWindow {
+			return false
 		}
 	}
-	if x.Kind == trace.ResponseReceived && x.Status == 503 {
-		s := m.state(len(m.past))
-		t := s.tries[x.RequestID]
-		if t.held() && !m.reported[x.RequestID] && m.witness(s, t, max(t.since, x.At-idleWindow), x.At, true) {
-			m.reported[x.RequestID] = true
-			if x.At < startupWindow {
-				m.counts[2]++
-			} else {
-				m.counts[1]++
-			}
+	return true
+}
+
+// observe takes in a trace event.
+func (m *model) observe(event trace.Event) {
+	for ; m.nextScan <= event.At; m.nextScan += scanInterval {
+		m.scan()
+	}
+	if event.Kind == trace.ResponseReceived && event.Status == 503 {
+		m.reject(event)
+	}
+	m.history = append(m.history, event)
+}
+
+func (m *model) scan() {
+	state := m.stateAfter(len(m.history))
+	for _, id := range state.ids {
+		request := state.requests[id]
+		isOld := m.nextScan-max(request.queuedSince, startupWindow) >= idleWindow
+		if !request.isQueued() || m.reported[id] || !isOld {
+			continue
 		}
+		if m.hasIdleWorker(idleSearch{state: state, request: request, start: request.queuedSince, now: m.nextScan}) {
+			m.reported[id] = true
+			m.counts.queued++
+		}
+	}
+}
+
+func (m *model) reject(event trace.Event) {
+	state := m.stateAfter(len(m.history))
+	request := state.requests[event.RequestID]
+	if !request.isQueued() || m.reported[event.RequestID] {
+		return
+	}
+	start := max(request.queuedSince, event.At-idleWindow)
+	if !m.hasIdleWorker(idleSearch{state: state, request: request, start: start, now: event.At, rejected: true}) {
+		return
+	}
+	m.reported[event.RequestID] = true
+	if event.At < startupWindow {
+		m.counts.excused++
+	} else {
+		m.counts.rejected++
 	}
-	m.past = append(m.past, x)
 }
 
 const ms = time.Millisecond
 
-// Against the model, in whatever order things happen.
-func TestModel(t *testing.T) {
+// modelRun draws a history, step by step, which the checker and the model both take in.
+type modelRun struct {
+	t            *rapid.T
+	spec         *scenario.Scenario
+	checker      *Checker
+	model        *model
+	now          time.Duration
+	incarnations []int // by worker
+	jobs         uint64
+	state        *modelState // before the step
+	worker       int         // that the step draws
+}
+
+// TestChecker_AgreesWithModel compares the checker with the model, in whatever order things happen.
+func TestChecker_AgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		spec := spec()
+		spec := newSpec()
 		spec.Fleet.Workers = 3
-		w, m := New(spec), &model{spec: spec, reported: map[string]bool{}}
-		now := time.Duration(0)
-		tell := func(x trace.Event) {
-			x.At = now
-			m.watch(x)
-			w.Observe(&x)
-		}
-		for i := range 3 {
-			tell(trace.Event{Kind: trace.WorkerPresent, Worker: i, Incarnation: 1, Slots: 4, Text: spec.Fleet.Kinds[i%2].Name})
+		run := &modelRun{t: t, spec: spec, checker: New(spec), model: newModel(spec), incarnations: []int{1, 1, 1}}
+		for i := range spec.Fleet.Workers {
+			run.observe(trace.Event{Kind: trace.WorkerPresent, Worker: i, Incarnation: 1, Slots: 4, Text: run.kindOf(i)})
 		}
-		tell(trace.Event{Kind: trace.SchedulerStarted})
-		boots := []int{1, 1, 1}
-		jobs := uint64(0)
+		run.observe(trace.Event{Kind: trace.SchedulerStarted})
 		for range rapid.IntRange(20, 60).Draw(t, "steps") {
-			now += rapid.SampledFrom([]time.Duration{
-				0, 7 * ms, 250 * ms, 800 * ms,
-				2 * time.Second,
-			}).Draw(t, "passes")
-			s := m.state(len(m.past))
-			node := rapid.IntRange(0, 2).Draw(t, "node")
-			about := trace.Event{Worker: node, Incarnation: boots[node], Slots: 4, Text: spec.Fleet.Kinds[node%2].Name, Status: 200}
-			var open, outputs []string // tries, and "call node" of attempts
-			for _, call := range s.calls {
-				y := s.tries[call]
-				if y.open {
-					open = append(open, call)
-				}
-				for _, a := range y.tries {
-					if a.there {
-						outputs = append(outputs, fmt.Sprint(call, " ", a.node))
-					}
-				}
-			}
-			of := func(what trace.Kind) {
-				if len(outputs) == 0 {
-					return
-				}
-				x := about
-				x.Kind = what
-				if _, err := fmt.Sscan(rapid.SampledFrom(outputs).Draw(t, "attempt"), &x.RequestID, &x.Worker); err != nil {
-					t.Fatal(err)
-				}
-				y := s.tries[x.RequestID]
-				x.Number, x.Text = 1, "done"
-				i := slices.IndexFunc(y.tries, func(a modelAttempt) bool { return a.node == x.Worker && a.there })
-				if a := y.tries[i]; what == trace.AttemptReceived && a.seen || what == trace.AttemptFinished && (a.ended || !a.seen) ||
-					what == trace.AttemptRejected && a.ended || what == trace.CallbackAnswered && (!a.ended || !a.inFlight) {
-					return
-				}
-				tell(x)
-			}
-			dueAt := func() trace.Event {
-				jobs++
-				x := trace.Event{
-					Kind: trace.JobDue, JobID: jobs, Class: rapid.IntRange(0, 3).Draw(t, "class"),
-					Slots: rapid.SampledFrom([]float64{1, 2, 4}).Draw(t, "slots"), RequestID: fmt.Sprint("c", jobs),
-					Work: rapid.SampledFrom([]float64{0.1, 2, 5}).Draw(t, "work"), LatencyObjective: 3 * time.Second, Deadline: 9 * time.Second,
-				}
-				tell(x)
-				x.Kind = trace.RequestSent
-				tell(x)
-				return x
-			}
-			soon := func() {
-				now += rapid.SampledFrom([]time.Duration{0, ms, 120 * ms, 450 * ms}).Draw(t, "soon")
-			}
-			switch rapid.IntRange(0, 14).Draw(t, "what") {
-			case 0, 1, 2:
-				dueAt()
-			case 11, 12: // refused before it has waited for long
-				x := dueAt()
-				soon()
-				x.Kind, x.Status = trace.ResponseReceived, 503
-				tell(x)
-			case 13, 14: // run, or failed and held on
-				x := dueAt()
-				soon()
-				x.Worker, x.Incarnation, x.Number, x.Text, x.Status = node, boots[node], 1, "done", 200
-				for _, x.Kind = range []trace.Kind{trace.AttemptSent, trace.AttemptReceived, trace.AttemptFinished, trace.CallbackAnswered} {
-					tell(x)
-					soon()
-				}
-				if x.Kind = trace.ResponseReceived; rapid.Bool().Draw(t, "answers") {
-					tell(x)
-				}
-			case 3, 4:
-				if i := slices.IndexFunc(open, func(c string) bool {
-					y := s.tries[c]
-					return !slices.ContainsFunc(y.tries, func(a modelAttempt) bool { return a.node == node })
-				}); i >= 0 {
-					about.Kind, about.RequestID = trace.AttemptSent, open[i]
-					tell(about)
-				}
-			case 5:
-				if len(open) > 0 {
-					about.Kind, about.RequestID = trace.ResponseReceived, rapid.SampledFrom(open).Draw(t, "answered")
-					about.Status = rapid.SampledFrom([]int{200, 503, 503}).Draw(t, "status")
-					tell(about)
-				}
-			case 6:
-				of(trace.AttemptReceived)
-			case 7:
-				of(trace.AttemptFinished)
-			case 8:
-				of(rapid.SampledFrom([]trace.Kind{trace.CallbackAnswered, trace.CallbackAnswered, trace.AttemptRejected}).Draw(t, "end"))
-			case 9:
-				if used := s.nodes[node].used; used == 0 {
-					about.Kind = trace.WorkerStopped
-					tell(about)
-					boots[node]++
-					about.Kind, about.Incarnation = trace.WorkerStarted, boots[node]
-					tell(about)
-				}
-			case 10:
-				about.Kind = rapid.SampledFrom([]trace.Kind{trace.StartNotified, trace.StartNotified, trace.DrainNotified, trace.WorkerRecovered}).Draw(t, "told")
-				tell(about)
-			}
-			v := w.Verdict()
-			if got := [3]int{v.Queued, v.Rejected, v.Excused}; got != m.counts {
-				t.Fatalf("at %v: held, refused, excused %v, the model has %v\n%+v", now, got, m.counts, v.Findings)
-			}
+			run.step()
+			run.check()
 		}
 	})
 }
+
+func (r *modelRun) kindOf(worker int) string { return r.spec.Fleet.Kinds[worker%2].Name }
+
+func (r *modelRun) observe(event trace.Event) {
+	event.At = r.now
+	r.model.observe(event)
+	r.checker.Observe(&event)
+}
+
+func (r *modelRun) check() {
+	verdict := r.checker.Verdict()
+	if got := (modelCounts{verdict.Queued, verdict.Rejected, verdict.Excused}); got != r.model.counts {
+		r.t.Fatalf("at %v: %+v, the model has %+v\n%+v", r.now, got, r.model.counts, verdict.Findings)
+	}
+}
+
+func (r *modelRun) pass(label string, times ...time.Duration) {
+	r.now += rapid.SampledFrom(times).Draw(r.t, label)
+}
+
+// step lets time pass and draws one thing that happens.
+func (r *modelRun) step() {
+	r.pass("passes", 0, 7*ms, 250*ms, 800*ms, 2*time.Second)
+	r.state = r.model.stateAfter(len(r.model.history))
+	r.worker = rapid.IntRange(0, 2).Draw(r.t, "node")
+	switch rapid.IntRange(0, 14).Draw(r.t, "what") {
+	case 0, 1, 2:
+		r.sendRequest()
+	case 3, 4:
+		r.sendAttempt()
+	case 5:
+		r.respond()
+	case 6:
+		r.resolve(trace.AttemptReceived)
+	case 7:
+		r.resolve(trace.AttemptFinished)
+	case 8:
+		ends := []trace.Kind{trace.CallbackAnswered, trace.CallbackAnswered, trace.AttemptRejected}
+		r.resolve(rapid.SampledFrom(ends).Draw(r.t, "end"))
+	case 9:
+		r.restartWorker()
+	case 10:
+		r.notify()
+	case 11, 12:
+		r.rejectEarly()
+	case 13, 14:
+		r.execute()
+	}
+}
+
+// workerEvent returns an event of the step's worker.
+func (r *modelRun) workerEvent(kind trace.Kind) trace.Event {
+	return trace.Event{
+		Kind: kind, Worker: r.worker, Incarnation: r.incarnations[r.worker], Slots: 4, Text: r.kindOf(r.worker), Status: 200,
+	}
+}
+
+func (r *modelRun) sendRequest() trace.Event {
+	r.jobs++
+	event := trace.Event{Kind: trace.JobDue, JobID: r.jobs, LatencyObjective: 3 * time.Second, Deadline: 9 * time.Second}
+	event.RequestID = fmt.Sprint("c", r.jobs)
+	event.Class = rapid.IntRange(0, 3).Draw(r.t, "class")
+	event.Slots = rapid.SampledFrom([]float64{1, 2, 4}).Draw(r.t, "slots")
+	event.Work = rapid.SampledFrom([]float64{0.1, 2, 5}).Draw(r.t, "work")
+	r.observe(event)
+	event.Kind = trace.RequestSent
+	r.observe(event)
+	return event
+}
+
+// rejectEarly rejects a new request before it has been queued for long.
+func (r *modelRun) rejectEarly() {
+	event := r.sendRequest()
+	r.passBriefly()
+	event.Kind, event.Status = trace.ResponseReceived, 503
+	r.observe(event)
+}
+
+// execute runs an attempt of a new request, which is queued again if no response follows.
+func (r *modelRun) execute() {
+	event := r.sendRequest()
+	r.passBriefly()
+	event.Worker, event.Incarnation = r.worker, r.incarnations[r.worker]
+	event.Number, event.Text, event.Status = 1, stateDone, 200
+	for _, kind := range []trace.Kind{trace.AttemptSent, trace.AttemptReceived, trace.AttemptFinished, trace.CallbackAnswered} {
+		event.Kind = kind
+		r.observe(event)
+		r.passBriefly()
+	}
+	event.Kind = trace.ResponseReceived
+	if rapid.Bool().Draw(r.t, "answers") {
+		r.observe(event)
+	}
+}
+
+func (r *modelRun) passBriefly() { r.pass("soon", 0, ms, 120*ms, 450*ms) }
+
+// openRequests returns the requests whose clients wait.
+func (r *modelRun) openRequests() []string {
+	var open []string
+	for _, id := range r.state.ids {
+		if r.state.requests[id].open {
+			open = append(open, id)
+		}
+	}
+	return open
+}
+
+// sendAttempt sends an attempt of the first open request that has had none at the step's worker.
+func (r *modelRun) sendAttempt() {
+	for _, id := range r.openRequests() {
+		isHere := func(a modelAttempt) bool { return a.worker == r.worker }
+		if slices.ContainsFunc(r.state.requests[id].attempts, isHere) {
+			continue
+		}
+		event := r.workerEvent(trace.AttemptSent)
+		event.RequestID = id
+		r.observe(event)
+		return
+	}
+}
+
+func (r *modelRun) respond() {
+	open := r.openRequests()
+	if len(open) == 0 {
+		return
+	}
+	event := r.workerEvent(trace.ResponseReceived)
+	event.RequestID = rapid.SampledFrom(open).Draw(r.t, "answered")
+	event.Status = rapid.SampledFrom([]int{200, 503, 503}).Draw(r.t, "status")
+	r.observe(event)
+}
+
+// modelAttemptKey names an attempt that occupies a worker.
+type modelAttemptKey struct {
+	requestID string
+	worker    int
+}
+
+// resolve has an event happen to an attempt that occupies a worker, if it can.
+func (r *modelRun) resolve(kind trace.Kind) {
+	var keys []modelAttemptKey
+	for _, id := range r.state.ids {
+		for _, attempt := range r.state.requests[id].attempts {
+			if attempt.atWorker {
+				keys = append(keys, modelAttemptKey{id, attempt.worker})
+			}
+		}
+	}
+	if len(keys) == 0 {
+		return
+	}
+	key := rapid.SampledFrom(keys).Draw(r.t, "attempt")
+	attempts := r.state.requests[key.requestID].attempts
+	index := slices.IndexFunc(attempts, func(a modelAttempt) bool { return a.worker == key.worker && a.atWorker })
+	if !attempts[index].canTake(kind) {
+		return
+	}
+	event := r.workerEvent(kind)
+	event.RequestID, event.Worker, event.Number, event.Text = key.requestID, key.worker, 1, stateDone
+	r.observe(event)
+}
+
+// canTake tells whether an event of the kind may happen to an attempt that occupies its worker.
+func (a *modelAttempt) canTake(kind trace.Kind) bool {
+	switch kind {
+	case trace.AttemptReceived:
+		return !a.received
+	case trace.AttemptFinished:
+		return a.received && !a.finished
+	case trace.AttemptRejected:
+		return !a.finished
+	case trace.CallbackAnswered:
+		return a.finished && a.inFlight
+	default:
+		return true
+	}
+}
+
+// restartWorker restarts the step's worker if it is empty.
+func (r *modelRun) restartWorker() {
+	if r.state.workers[r.worker].usedSlots > 0 {
+		return
+	}
+	r.observe(r.workerEvent(trace.WorkerStopped))
+	r.incarnations[r.worker]++
+	r.observe(r.workerEvent(trace.WorkerStarted))
+}
+
+func (r *modelRun) notify() {
+	kinds := []trace.Kind{trace.StartNotified, trace.StartNotified, trace.DrainNotified, trace.WorkerRecovered}
+	r.observe(r.workerEvent(rapid.SampledFrom(kinds).Draw(r.t, "told")))
+}
--- /dev/null
+++ b/internal/testbed/starvation/requests.go
@@ -0,0 +1,174 @@
+package starvation
+
+import (
+	"net/http"
+	"time"
+
+	"valvecove/internal/testbed/trace"
+)
+
+// notRegistered is the scheduler of a request that the checker has dropped.
+const notRegistered = -1
+
+// notOld is the index of a request that has not been queued for the idle window.
+const notOld = -1
+
+// request is a request of a client. It is kept until its client has its end and no attempt of it is left at a worker.
+type request struct {
+	job         *job
+	jobID       uint64
+	id          string
+	scheduler   int // that received it, or notRegistered
+	sentAt      time.Duration
+	queuedSince time.Duration // if it is queued
+	inFlight    int           // attempts that have not ended for its scheduler
+	atWorkers   int           // attempts that occupy a worker
+	open        bool          // its client waits
+	reported    bool          // as starved
+	index       int           // in its scheduler's requests
+	oldIndex    int           // in the set of requests queued for the idle window, or notOld
+	attempts    []*attempt
+}
+
+// isQueued tells whether the request waits at its scheduler without an attempt in flight.
+func (r *request) isQueued() bool { return r.open && r.inFlight == 0 }
+
+// queueEntry is a request that was queued at an instant, and may be so still.
+type queueEntry struct {
+	since   time.Duration
+	request *request
+}
+
+func (c *Checker) jobDue(event *trace.Event) {
+	if event.Class < 0 || event.Class >= len(c.classes) {
+		return
+	}
+	c.jobs[event.JobID] = &job{
+		class:     event.Class,
+		bucket:    slotBucket(event.Slots),
+		slots:     max(1, event.Slots),
+		work:      event.Work,
+		objective: event.At + event.LatencyObjective,
+		deadline:  event.At + event.Deadline,
+	}
+}
+
+func (c *Checker) jobSettled(event *trace.Event) { delete(c.jobs, event.JobID) }
+
+// requestSent registers a request, or moves one to another connection: the first was closed before it was read.
+func (c *Checker) requestSent(event *trace.Event) {
+	sent := c.requests[event.RequestID]
+	if sent != nil {
+		c.closeRequest(sent)
+		c.dropRequest(sent)
+	} else {
+		wanted := c.jobs[event.JobID]
+		if wanted == nil {
+			return
+		}
+		sent = &request{job: wanted, jobID: event.JobID, id: event.RequestID, oldIndex: notOld, scheduler: notRegistered}
+		c.verdict.Requests++
+	}
+	c.requests[event.RequestID] = sent
+	receiver := &c.schedulers[event.Scheduler]
+	sent.sentAt = event.At
+	sent.open = true
+	sent.scheduler = event.Scheduler
+	sent.index = len(receiver.requests)
+	receiver.requests = append(receiver.requests, sent)
+	receiver.open++
+	if sent.isQueued() {
+		c.startWaiting(sent)
+	}
+}
+
+// requestEnded is the end of a request for its client, with a response or without.
+func (c *Checker) requestEnded(event *trace.Event) {
+	ended := c.requests[event.RequestID]
+	if ended == nil || !ended.open {
+		return
+	}
+	if isRejection(event) && ended.isQueued() && !ended.reported {
+		c.requestRejected(ended)
+	}
+	c.closeRequest(ended)
+}
+
+func isRejection(event *trace.Event) bool {
+	return event.Kind == trace.ResponseReceived &&
+		(event.Status == http.StatusTooManyRequests || event.Status == http.StatusServiceUnavailable)
+}
+
+// closeRequest ends a request for its client and its scheduler.
+func (c *Checker) closeRequest(ended *request) {
+	if !ended.open {
+		return
+	}
+	if ended.isQueued() {
+		c.stopWaiting(ended)
+	}
+	ended.open = false
+	c.schedulers[ended.scheduler].open--
+	c.dropIfFinished(ended)
+}
+
+// dropIfFinished drops a request that neither its client nor a worker has any more.
+func (c *Checker) dropIfFinished(ended *request) {
+	if !ended.open && ended.atWorkers == 0 {
+		c.dropRequest(ended)
+	}
+}
+
+// dropRequest takes a request out of the checker's registers.
+func (c *Checker) dropRequest(dropped *request) {
+	if dropped.scheduler == notRegistered {
+		return
+	}
+	owner := &c.schedulers[dropped.scheduler]
+	owner.requests = swapRemove(owner.requests, dropped.index, func(moved *request) { moved.index = dropped.index })
+	delete(c.requests, dropped.id)
+	dropped.scheduler = notRegistered
+}
+
+// startWaiting is called when a request begins to be queued.
+func (c *Checker) startWaiting(queued *request) {
+	queued.queuedSince = c.now
+	c.schedulers[queued.scheduler].queued[queued.job.bucket]++
+	c.newlyQueued.push(queueEntry{since: c.now, request: queued})
+}
+
+// stopWaiting is called when a request is queued no longer.
+func (c *Checker) stopWaiting(queued *request) {
+	c.schedulers[queued.scheduler].queued[queued.job.bucket]--
+	c.removeOld(queued)
+}
+
+// addOldRequests puts the requests that have been queued for the idle window into their sets.
+func (c *Checker) addOldRequests() {
+	for c.newlyQueued.size > 0 && c.now-c.newlyQueued.first().since >= idleWindow {
+		entry := c.newlyQueued.pop()
+		queued := entry.request
+		if !queued.isQueued() || queued.queuedSince != entry.since || queued.oldIndex != notOld || queued.reported {
+			continue
+		}
+		set := c.oldSet(queued.job)
+		queued.oldIndex = len(*set)
+		*set = append(*set, queued)
+		c.schedulers[queued.scheduler].oldCount++
+	}
+}
+
+// removeOld takes a request out of the set of those queued for the idle window, if it is in one.
+func (c *Checker) removeOld(queued *request) {
+	if queued.oldIndex == notOld {
+		return
+	}
+	set := c.oldSet(queued.job)
+	*set = swapRemove(*set, queued.oldIndex, func(moved *request) { moved.oldIndex = queued.oldIndex })
+	queued.oldIndex = notOld
+	c.schedulers[queued.scheduler].oldCount--
+}
+
+func (c *Checker) oldSet(queued *job) *[]*request {
+	return &c.oldRequests[c.classes[queued.class].kind+1][queued.bucket]
+}
--- a/internal/testbed/starvation/run_test.go
+++ b/internal/testbed/starvation/run_test.go
@@ -14,59 +14,65 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// spoiledPolicy is the module in service, but for jobs of one class, of which it hears nothing, so that they are held, or of
-// which it refuses each at once.
-type spoiledPolicy struct {
+// faultyPolicy is the dispatcher, from which the jobs of class 0 are withheld: they stay queued, or are rejected at once.
+type faultyPolicy struct {
 	*dispatch.Dispatcher
-	refuses bool
+	rejects bool
 }
 
-func (m spoiledPolicy) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
-	var turned []dispatch.Action
-	events = slices.DeleteFunc(slices.Clone(events), func(e dispatch.Event) bool {
-		j, ok := e.(dispatch.Job)
-		if ok && j.Class == 0 && m.refuses {
-			turned = append(turned, dispatch.Reject{Job: j.ID})
+// Step implements requests.Policy.
+func (p faultyPolicy) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+	var rejections []dispatch.Action
+	events = slices.DeleteFunc(slices.Clone(events), func(event dispatch.Event) bool {
+		job, isJob := event.(dispatch.Job)
+		if !isJob || job.Class != 0 {
+			return false
 		}
-		return ok && j.Class == 0
+		if p.rejects {
+			rejections = append(rejections, dispatch.Reject{Job: job.ID})
+		}
+		return true
 	})
-	return append(m.Dispatcher.Step(now, events, dst), turned...)
+	return append(p.Dispatcher.Step(now, events, dst), rejections...)
 }
 
-// A run of the module in service has no starvation; spoiled, it is all in the class that it is spoiled for.
-func TestPlays(t *testing.T) {
+// A run of the dispatcher has no starvation. With a faulty policy, all of it is in the class that the fault concerns.
+func TestChecker_SimulatedRun(t *testing.T) {
 	spec := scenario.Default()
 	spec.Length, spec.Load.CapacityShare = scenario.Duration(12*time.Second), 0.3
 	spec.Fleet.Kinds[0].CallbackLossShare, spec.Fleet.Kinds[1].CallbackLossShare = 0, 0
-	for _, c := range []struct {
-		name            string
-		spoils, refuses bool
-		held, refused   bool
+	for _, test := range []struct {
+		name             string
+		isFaulty         bool
+		rejects          bool
+		queued, rejected bool
 	}{
-		{name: "as it is"},
-		{name: "held", spoils: true, held: true},
-		{name: "refused", spoils: true, refuses: true, refused: true},
+		{name: "the dispatcher"},
+		{name: "a policy that queues", isFaulty: true, queued: true},
+		{name: "a policy that rejects", isFaulty: true, rejects: true, rejected: true},
 	} {
-		w := starvation.New(spec)
-		opt := simulation.Options{Observers: []trace.Observer{w.Observe}}
-		opt.Module = func(set dispatch.Settings, seed uint64, _ baseline.Oracle) requests.Policy {
-			if d := dispatch.New(set, seed); c.spoils {
-				return spoiledPolicy{d, c.refuses}
-			} else {
-				return d
+		t.Run(test.name, func(t *testing.T) {
+			checker := starvation.New(spec)
+			options := simulation.Options{Observers: []trace.Observer{checker.Observe}}
+			options.Module = func(settings dispatch.Settings, seed uint64, _ baseline.Oracle) requests.Policy {
+				dispatcher := dispatch.New(settings, seed)
+				if test.isFaulty {
+					return faultyPolicy{dispatcher, test.rejects}
+				}
+				return dispatcher
 			}
-		}
-		if _, err := simulation.Run(spec, 1, opt); err != nil {
-			t.Fatal(err)
-		}
-		v := w.Verdict()
-		if v.Requests < 100 || v.Queued > 0 != c.held || v.Rejected > 0 != c.refused {
-			t.Errorf("%s: %s", c.name, v.String())
-		}
-		for _, x := range v.Findings {
-			if x.Class != spec.Classes[0].Name || x.Rejected != c.refuses {
-				t.Errorf("%s: %+v", c.name, x)
+			if _, err := simulation.Run(spec, 1, options); err != nil {
+				t.Fatal(err)
 			}
-		}
+			verdict := checker.Verdict()
+			if verdict.Requests < 100 || verdict.Queued > 0 != test.queued || verdict.Rejected > 0 != test.rejected {
+				t.Error(verdict.String())
+			}
+			for _, finding := range verdict.Findings {
+				if finding.Class != spec.Classes[0].Name || finding.Rejected != test.rejects {
+					t.Errorf("%+v", finding)
+				}
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/testbed/starvation/schedulers.go
@@ -0,0 +1,154 @@
+package starvation
+
+import (
+	"time"
+
+	"valvecove/internal/testbed/trace"
+)
+
+// scheduler is a scheduler, of which one process runs at a time.
+type scheduler struct {
+	up          bool
+	frozen      bool
+	terminating bool
+	startedAt   time.Duration
+	resumedAt   time.Duration // 0: its process was never frozen
+	known       []knowledge   // by worker; nil: nothing but the workers' first processes
+	requests    []*request    // that it received
+	open        int           // of them, whose clients wait
+	queued      [slotBuckets]int
+	oldCount    int   // of the queued ones, for the idle window
+	classEnds   []int // by class: executions of whose end this process was notified
+	dials       int   // recent connections that are not up
+	excused     int   // rejections that those have excused
+}
+
+// knowledge is what a scheduler was notified of about a worker.
+type knowledge struct {
+	incarnation int // of the last start; 0: the first
+	drained     bool
+	notifiedAt  time.Duration
+}
+
+// dial is a connection that a scheduler began to open.
+type dial struct {
+	dialedAt  time.Duration
+	conn      uint64
+	scheduler int
+	worker    int
+}
+
+func (c *Checker) schedulerEvent(event *trace.Event) {
+	affected := &c.schedulers[event.Scheduler]
+	switch event.Kind {
+	case trace.SchedulerStarted:
+		c.schedulerStarted(affected)
+	case trace.SchedulerTerminated:
+		affected.terminating = true
+	case trace.SchedulerFrozen:
+		affected.frozen = true
+	case trace.SchedulerResumed:
+		affected.frozen = false
+		affected.resumedAt = event.At
+	case trace.SchedulerKilled, trace.SchedulerExited:
+		c.schedulerStopped(affected)
+	}
+}
+
+func (c *Checker) schedulerStarted(started *scheduler) {
+	if !started.up {
+		c.running++
+	}
+	started.up = true
+	started.frozen = false
+	started.terminating = false
+	started.startedAt = c.now
+	started.resumedAt = 0
+	clear(started.known)
+	clear(started.classEnds)
+}
+
+// schedulerStopped ends a scheduler's attempts: nobody is notified of them any more. Those that no worker has read are
+// never read.
+func (c *Checker) schedulerStopped(stopped *scheduler) {
+	if stopped.up {
+		c.running--
+	}
+	stopped.up = false
+	for i := len(stopped.requests) - 1; i >= 0; i-- { // backward: a later request takes the place of a dropped one
+		owner := stopped.requests[i]
+		for _, ended := range owner.attempts {
+			if ended.finished || !ended.received {
+				c.releaseWorker(owner, ended)
+			}
+			c.endForScheduler(owner, ended)
+		}
+	}
+}
+
+func (c *Checker) schedulerNotified(event *trace.Event) {
+	notified := &c.schedulers[event.Scheduler]
+	if notified.known == nil {
+		notified.known = make([]knowledge, len(c.workers))
+	}
+	known := &notified.known[event.Worker]
+	known.notifiedAt = event.At
+	known.drained = event.Kind == trace.DrainNotified
+	if !known.drained {
+		known.incarnation = event.Incarnation
+	}
+}
+
+// knowsWorker tells whether a scheduler was notified of a worker's process, and had the time to act on it.
+func (s *scheduler) knowsWorker(target *worker, now time.Duration) bool {
+	if s.known == nil {
+		return target.incarnation <= 1
+	}
+	known := &s.known[target.number]
+	isCurrent := max(known.incarnation, 1) >= target.incarnation
+	hadTime := known.notifiedAt == 0 || now-known.notifiedAt >= startupWindow
+	return !known.drained && isCurrent && hadTime
+}
+
+// isServing tells whether a scheduler's process accepts and dispatches requests.
+func (s *scheduler) isServing() bool { return s.up && !s.frozen && !s.terminating }
+
+// isAccountable tells whether a scheduler could have acted during the idle window on what has been queued since an instant.
+func (s *scheduler) isAccountable(since, now time.Duration) bool {
+	return s.isServing() && now-max(since, s.startedAt+startupWindow, s.resumedAt) >= idleWindow
+}
+
+// isSettling tells whether a scheduler was started or resumed so recently that it may reject.
+func (s *scheduler) isSettling(now time.Duration) bool {
+	return now-s.startedAt < startupWindow || s.resumedAt > 0 && now-s.resumedAt < idleWindow
+}
+
+func (c *Checker) workerDialed(event *trace.Event) {
+	c.dialed[event.Conn] = true
+	c.schedulers[event.Scheduler].dials++
+	c.dials.push(dial{dialedAt: event.At, conn: event.Conn, scheduler: event.Scheduler, worker: event.Worker})
+}
+
+func (c *Checker) workerConnected(event *trace.Event) {
+	if c.dialed[event.Conn] {
+		c.endDial(event.Conn, event.Scheduler)
+	}
+}
+
+// checkDials counts workers as unhealthy to which a connection has not come up in time.
+func (c *Checker) checkDials() {
+	for c.dials.size > 0 && c.now-c.dials.first().dialedAt >= dialWindow {
+		oldest := c.dials.pop()
+		if c.dialed[oldest.conn] {
+			c.endDial(oldest.conn, oldest.scheduler)
+			c.markUnhealthy(oldest.worker)
+		}
+	}
+}
+
+func (c *Checker) endDial(conn uint64, number int) {
+	delete(c.dialed, conn)
+	dialer := &c.schedulers[number]
+	dialer.dials--
+	dialer.excused = min(dialer.excused, dialer.dials)
+}
--- /dev/null
+++ b/internal/testbed/starvation/workers.go
@@ -0,0 +1,207 @@
+package starvation
+
+import (
+	"math"
+	"slices"
+	"time"
+
+	"valvecove/internal/deadline"
+	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/trace"
+)
+
+// minSpeedShare bounds how slow a worker may be, as a part of its kind's speed.
+const minSpeedShare = 0.1
+
+// workerKind is what the scenario says of a kind of workers.
+type workerKind struct {
+	warmUp             time.Duration
+	omitsStarts        bool // its workers send no callbacks of starts
+	minSpeed, maxSpeed float64
+}
+
+func newWorkerKind(spec *scenario.WorkerKind) workerKind {
+	deviation := spec.Speed * math.Sqrt(3) * spec.Spread // speeds are distributed uniformly, with this deviation at most
+	return workerKind{
+		warmUp:      spec.WarmUp.Std(),
+		omitsStarts: spec.OmitsStartNotifications,
+		minSpeed:    max(minSpeedShare*spec.Speed, spec.Speed-deviation),
+		maxSpeed:    spec.Speed + deviation,
+	}
+}
+
+// worker is a worker. Its item of the queue of recovering workers has the instant at which it is healthy again.
+type worker struct {
+	deadline.Item
+	number      int
+	kind        int
+	cell        int
+	zone        int
+	incarnation int
+	slots       float64
+	usedSlots   float64 // by attempts that occupy it
+	up          bool
+	faults      int                        // of the scenario, that affect it now
+	healthyFrom time.Duration              // later than now: it is unhealthy
+	idleBuckets int                        // number of buckets, from the first, for which it has slots free
+	idleSince   [slotBuckets]time.Duration // for those buckets
+	idleIndex   [slotBuckets]int           // index plus one in the set of those idle for the idle window; 0: it is in none
+}
+
+// idleEntry is a worker that became idle for a bucket at an instant, and may be so still.
+type idleEntry struct {
+	since  time.Duration
+	worker int
+	bucket int
+}
+
+func (c *Checker) isWorker(number int) bool { return number >= 0 && number < len(c.workers) }
+
+func (c *Checker) workerEvent(event *trace.Event) {
+	if !c.isWorker(event.Worker) {
+		return
+	}
+	affected := &c.workers[event.Worker]
+	switch event.Kind {
+	case trace.WorkerFaultStarted:
+		affected.faults++
+	case trace.WorkerFaultEnded:
+		affected.faults = max(0, affected.faults-1)
+		c.markUnhealthy(event.Worker)
+	case trace.WorkerPresent, trace.WorkerStarted:
+		c.workerStarted(affected, event)
+	case trace.WorkerStopped, trace.WorkerDraining, trace.WorkerOverloaded:
+		affected.up = false
+	case trace.WorkerHung, trace.WorkerRecovered:
+		c.markUnhealthy(event.Worker)
+	}
+	c.updateIdle(affected)
+}
+
+// workerStarted is a worker's new process, or its first one. A worker of an unknown kind stays down.
+func (c *Checker) workerStarted(started *worker, event *trace.Event) {
+	started.up = false
+	c.updateIdle(started) // leaves the sets of its former kind
+	isKind := func(kind scenario.WorkerKind) bool { return kind.Name == event.Text }
+	kind := slices.IndexFunc(c.spec.Fleet.Kinds, isKind)
+	if kind < 0 {
+		return
+	}
+	started.up = true
+	started.kind = kind
+	started.incarnation = event.Incarnation
+	started.slots = event.Slots
+	if event.Kind == trace.WorkerStarted {
+		c.setHealthyFrom(started, event.At+max(healthyAfter, c.kinds[kind].warmUp))
+	}
+}
+
+// markUnhealthy records a sign that something is wrong with a worker.
+func (c *Checker) markUnhealthy(number int) {
+	if c.isWorker(number) {
+		c.setHealthyFrom(&c.workers[number], c.now+healthyAfter)
+	}
+}
+
+// setHealthyFrom counts a worker as unhealthy until an instant, if it is not so for longer already.
+func (c *Checker) setHealthyFrom(affected *worker, at time.Duration) {
+	if at <= affected.healthyFrom {
+		return
+	}
+	c.recovering.Remove(affected)
+	affected.healthyFrom = at
+	affected.At = at
+	c.recovering.Add(affected)
+	c.updateIdle(affected)
+}
+
+// recoverWorkers counts workers as healthy, and as idle since then, whose time has come.
+func (c *Checker) recoverWorkers() {
+	now := c.now
+	for c.recovering.Len() > 0 && c.recovering.First().At <= now {
+		recovered := c.recovering.First()
+		c.recovering.Remove(recovered)
+		c.now = recovered.At
+		c.updateIdle(recovered)
+	}
+	c.now = now
+}
+
+// addUse takes slots of a worker, or gives back a negative number of them.
+func (c *Checker) addUse(used *worker, slots float64) {
+	used.usedSlots += slots
+	c.updateIdle(used)
+}
+
+// updateIdle finds the buckets for which a worker is idle from now on.
+func (c *Checker) updateIdle(changed *worker) {
+	idleBuckets := 0
+	if changed.up && changed.faults == 0 && changed.healthyFrom <= c.now {
+		free := changed.slots - changed.usedSlots
+		for idleBuckets < slotBuckets && free >= bucketSlots(idleBuckets) {
+			idleBuckets++
+		}
+	}
+	for changed.idleBuckets < idleBuckets {
+		bucket := changed.idleBuckets
+		changed.idleSince[bucket] = c.now
+		c.newlyIdle.push(idleEntry{since: c.now, worker: changed.number, bucket: bucket})
+		changed.idleBuckets++
+	}
+	for changed.idleBuckets > idleBuckets {
+		changed.idleBuckets--
+		c.removeIdle(changed, changed.idleBuckets)
+	}
+}
+
+// addIdleWorkers puts the workers that have been idle for the idle window into their sets.
+func (c *Checker) addIdleWorkers() {
+	for c.newlyIdle.size > 0 && c.now-c.newlyIdle.first().since >= idleWindow {
+		entry := c.newlyIdle.pop()
+		idle := &c.workers[entry.worker]
+		if idle.idleBuckets <= entry.bucket || idle.idleSince[entry.bucket] != entry.since || idle.idleIndex[entry.bucket] != 0 {
+			continue
+		}
+		set := &c.idleWorkers[idle.kind][entry.bucket]
+		*set = append(*set, int32(idle.number))
+		idle.idleIndex[entry.bucket] = len(*set)
+	}
+}
+
+// removeIdle takes a worker out of the set of those idle for a bucket, if it is in it.
+func (c *Checker) removeIdle(busy *worker, bucket int) {
+	index := busy.idleIndex[bucket] - 1
+	if index < 0 {
+		return
+	}
+	set := &c.idleWorkers[busy.kind][bucket]
+	*set = swapRemove(*set, index, func(moved int32) { c.workers[moved].idleIndex[bucket] = index + 1 })
+	busy.idleIndex[bucket] = 0
+}
+
+// anyIdle tells whether a worker of a kind has been idle for the idle window.
+func (c *Checker) anyIdle(kind, bucket int) bool {
+	for i := range c.idleWorkers {
+		if (kind == anyKind || kind == i) && len(c.idleWorkers[i][bucket]) > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// workerPlacement returns the cells and zones of the scenario's workers, by number. Workers are dealt to zones in rotation,
+// and cells are filled zone by zone, as the environment does it.
+func workerPlacement(spec *scenario.Scenario) (cells, zones []int) {
+	workers, cellSize, zoneCount := spec.Fleet.Workers, max(1, spec.Fleet.CellSize), max(1, len(spec.Fleet.Zones))
+	cells = make([]int, workers)
+	zones = make([]int, workers)
+	place := 0
+	for zone := range zoneCount {
+		for number := zone; number < workers; number += zoneCount {
+			cells[number] = place / cellSize
+			zones[number] = zone
+			place++
+		}
+	}
+	return cells, zones
+}
