--- a/internal/testbed/simulation/forwarder.go
+++ b/internal/testbed/simulation/forwarder.go
@@ -211,20 +211,20 @@
 }
 
 func (f *forwarderProcess) carryOut(actions []membership.Action) {
-	for _, a := range actions {
-		switch a := a.(type) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case membership.SetPlanners:
-			f.wantedPlanners = a.Names
-			f.forwarder.SetPlanners(a.Names)
+			f.wantedPlanners = action.Names
+			f.forwarder.SetPlanners(action.Names)
 			for _, k := range f.plannerConns {
-				f.updateWanted(k, a.Names)
+				f.updateWanted(k, action.Names)
 			}
 		case membership.SetForwarderIndex:
-			f.forwarder.SetForwarderIndex(a.Index, a.Count)
+			f.forwarder.SetForwarderIndex(action.Index, action.Count)
 		case membership.Announce:
-			f.levels.gossip.announce(f.seat, a.Member)
+			f.levels.gossip.announce(f.seat, action.Member)
 		case membership.LogLine:
-			f.process.scheduler.model.logger(f.seat).LogAttrs(context.Background(), slog.LevelInfo, a.Message, a.Attributes...)
+			f.process.scheduler.model.logger(f.seat).LogAttrs(context.Background(), slog.LevelInfo, action.Message, action.Attributes...)
 		}
 	}
 	clear(actions)
--- a/internal/testbed/simulation/levels_random_test.go
+++ b/internal/testbed/simulation/levels_random_test.go
@@ -63,44 +63,54 @@
 	}
 	for range rng.IntN(9) {
 		f := scenario.Fault{Kind: kinds[rng.IntN(len(kinds))], At: span(100, int(s.Length/msSpan)), Duration: span(20, 3000)}
-		switch scenario.FaultKinds[f.Kind] {
-		case "planner":
+		drawTarget(rng, s, &f)
+		addFault(s, f)
+	}
+	return s
+}
+
+// drawTarget draws whom a fault concerns.
+func drawTarget(rng *rand.Rand, s *scenario.Scenario, f *scenario.Fault) {
+	switch scenario.FaultKinds[f.Kind] {
+	case "planner":
+		f.Target.Planners = []int{rng.IntN(s.Planners.Count)}
+	case "planners":
+		ends := [][2]string{
+			{"planners", "schedulers"},
+			{"schedulers", "planners"},
+			{"planners", "planners"},
+			{"planners", "discovery"},
+			{"schedulers", "schedulers"},
+		}[rng.IntN(5)]
+		f.Between, f.And = ends[0], ends[1]
+		if f.Between == "planners" || f.And == "planners" {
 			f.Target.Planners = []int{rng.IntN(s.Planners.Count)}
-		case "planners":
-			ends := [][2]string{
-				{"planners", "schedulers"},
-				{"schedulers", "planners"},
-				{"planners", "planners"},
-				{"planners", "discovery"},
-				{"schedulers", "schedulers"},
-			}[rng.IntN(5)]
-			f.Between, f.And = ends[0], ends[1]
-			if f.Between == "planners" || f.And == "planners" {
-				f.Target.Planners = []int{rng.IntN(s.Planners.Count)}
-			}
-			if f.Between == "schedulers" || f.And == "schedulers" {
-				f.Target.Schedulers = rng.Perm(s.Schedulers.Count)[:rng.IntN(s.Schedulers.Count+1)]
-			}
-		case "sched":
-			f.Target.Schedulers = []int{rng.IntN(s.Schedulers.Count)}
-		case "node":
-			f.Target.Share = 0.1 + 0.5*rng.Float64()
-		case "net":
-			f.Between, f.And = "schedulers", []string{"nodes", "discovery"}[rng.IntN(2)]
 		}
-		for _, size := range []float64{0, 2, 80} { // whichever its kind takes
-			f.Size = size
-			s.Faults = append(s.Faults, f)
-			if s.Check() == nil {
-				break
-			}
-			if s.Faults[len(s.Faults)-1].Duration = 0; s.Check() == nil {
-				break
-			}
-			s.Faults = s.Faults[:len(s.Faults)-1]
+		if f.Between == "schedulers" || f.And == "schedulers" {
+			f.Target.Schedulers = rng.Perm(s.Schedulers.Count)[:rng.IntN(s.Schedulers.Count+1)]
 		}
+	case "sched":
+		f.Target.Schedulers = []int{rng.IntN(s.Schedulers.Count)}
+	case "node":
+		f.Target.Share = 0.1 + 0.5*rng.Float64()
+	case "net":
+		f.Between, f.And = "schedulers", []string{"nodes", "discovery"}[rng.IntN(2)]
+	}
+}
+
+// addFault adds a fault with the first size that its kind takes, without a duration if it takes none.
+func addFault(s *scenario.Scenario, f scenario.Fault) {
+	for _, size := range []float64{0, 2, 80} { // whichever its kind takes
+		f.Size = size
+		s.Faults = append(s.Faults, f)
+		if s.Check() == nil {
+			break
+		}
+		if s.Faults[len(s.Faults)-1].Duration = 0; s.Check() == nil {
+			break
+		}
+		s.Faults = s.Faults[:len(s.Faults)-1]
 	}
-	return s
 }
 
 // judged plays, and gives what the checker says and the answers by status.
--- a/internal/testbed/simulation/levels_test.go
+++ b/internal/testbed/simulation/levels_test.go
@@ -154,6 +154,21 @@
 	},
 }
 
+// alter replaces the commands to send a request by what say makes of them.
+func (d *spoiled) alter(
+	outs []planner.Action, say func(*spoiled, planner.SendToForwarder, []planner.Action) []planner.Action,
+) (dst []planner.Action) {
+	for _, o := range outs {
+		if command, ok := sendCommand(o); ok {
+			d.n++
+			dst = say(d, command, dst)
+		} else {
+			dst = append(dst, o)
+		}
+	}
+	return dst
+}
+
 // Whatever a planner orders, its forwarders' guards let nothing through that breaks a rule.
 func TestSpoiledPlanners(t *testing.T) {
 	for name, s := range spoilers {
@@ -175,16 +190,8 @@
 			}
 			got, verdict := judged(t, spec, 1, Options{
 				Observers: []trace.Observer{watch},
-				AlterPlanner: func(_ int, outs []planner.Action) (dst []planner.Action) {
-					for _, o := range outs {
-						if command, ok := sendCommand(o); ok {
-							d.n++
-							dst = s.say(d, command, dst)
-						} else {
-							dst = append(dst, o)
-						}
-					}
-					return dst
+				AlterPlanner: func(_ int, outs []planner.Action) []planner.Action {
+					return d.alter(outs, s.say)
 				},
 			})
 			for _, b := range verdict.Violations {
--- a/internal/testbed/simulation/planner.go
+++ b/internal/testbed/simulation/planner.go
@@ -201,62 +201,93 @@
 	return plannerProcess
 }
 
-// runIteration takes in what has come and is due, has the book decide, and writes what it says.
+// runIteration processes what has arrived and is due, steps the planner, and writes its messages.
 func (p *plannerProcess) runIteration() (exited bool) {
-	plannerNode := p.node
-	p.now = plannerNode.epoch + plannerNode.now
-	// Of much that waits, as after a freeze, it takes in a part at a time, and decides on that before it reads on.
-	n, most := 0, len(plannerNode.pending)
-	if most > 1 {
-		most = 1 + plannerNode.levels.rngs[plannerNode.number].IntN(maxMessagesPerIteration)
-	}
-	for ; n < min(most, len(plannerNode.pending)) && plannerNode.pending[n].takenAt <= plannerNode.now; n++ {
-		p.handleInput(&plannerNode.pending[n])
-	}
-	remainder := copy(plannerNode.pending, plannerNode.pending[n:])
-	clear(plannerNode.pending[remainder:])
-	plannerNode.pending = plannerNode.pending[:remainder]
+	p.now = p.node.epoch + p.node.now
+	p.takePending()
 	if p.watchDeadline > 0 && p.watchDeadline <= p.now {
 		p.watchLost()
 	}
 	p.applyLists()
-	if at := p.members.Next(); len(p.events) > 0 || at > 0 && at+plannerNode.delay <= p.now {
+	if at := p.members.Next(); len(p.events) > 0 || at > 0 && at+p.node.delay <= p.now {
 		p.updateMembers()
 	}
+	p.redialDue()
+	p.queueListUpdates()
+	p.stepPlanner()
+	p.flushWriters()
+	p.applyLists()
+	return p.exited
+}
+
+// takePending processes the pending inputs. Of many that wait, as after a freeze, it takes a random number only, so that
+// the planner decides before the rest is read.
+func (p *plannerProcess) takePending() {
+	node := p.node
+	taken, limit := 0, len(node.pending)
+	if limit > 1 {
+		limit = 1 + node.levels.rngs[node.number].IntN(maxMessagesPerIteration)
+	}
+	for ; taken < min(limit, len(node.pending)) && node.pending[taken].takenAt <= node.now; taken++ {
+		p.handleInput(&node.pending[taken])
+	}
+	remaining := copy(node.pending, node.pending[taken:])
+	clear(node.pending[remaining:])
+	node.pending = node.pending[:remaining]
+}
+
+// redialDue connects to the peers whose redial time has come.
+func (p *plannerProcess) redialDue() {
 	for i := range p.redialAt {
 		if p.redialAt[i] > 0 && p.redialAt[i] <= p.now {
 			p.redialAt[i] = 0
 			p.connect(i)
 		}
 	}
+}
+
+// queueListUpdates passes new endpoint lists to the planner.
+func (p *plannerProcess) queueListUpdates() {
 	for i := range p.listUpdates {
 		p.inputs = append(p.inputs, planner.EndpointsChanged{Endpoints: p.listUpdates[i]})
 	}
 	clear(p.listUpdates)
 	p.listUpdates = p.listUpdates[:0]
-	if dueAt := p.timer > 0 && p.timer+plannerNode.delay <= p.now; dueAt || len(p.inputs) > 0 {
-		if dueAt {
-			p.timer = 0
-		}
-		outs := p.planner.Step(p.now, p.inputs, p.outputs[:0])
-		if plannerNode.options.AlterPlanner != nil {
-			outs = plannerNode.options.AlterPlanner(plannerNode.number-plannerNode.spec.Schedulers.Count, outs)
-		}
-		clear(p.inputs)
-		p.inputs = p.inputs[:0]
-		for i := range outs {
-			p.carryOut(outs[i])
-		}
-		clear(outs)
-		p.outputs = outs[:0]
+}
+
+// stepPlanner steps the planner if it has inputs or its timer is due, and carries out its actions.
+func (p *plannerProcess) stepPlanner() {
+	timerDue := p.timer > 0 && p.timer+p.node.delay <= p.now
+	if !timerDue && len(p.inputs) == 0 {
+		return
 	}
-	for _, k := range p.conns {
-		if k.connected && k.writer.Len() > 0 {
-			plannerNode.levels.send(k.stream, k.end, k.writer.Take(plannerNode.levels.buffer()))
+	if timerDue {
+		p.timer = 0
+	}
+	outputs := p.planner.Step(p.now, p.inputs, p.outputs[:0])
+	if alter := p.node.options.AlterPlanner; alter != nil {
+		outputs = alter(p.node.number-p.node.spec.Schedulers.Count, outputs)
+	}
+	clear(p.inputs)
+	p.inputs = p.inputs[:0]
+	for i := range outputs {
+		p.carryOut(outputs[i])
+	}
+	clear(outputs)
+	p.outputs = outputs[:0]
+}
+
+// flushWriters sends what was written to the connections.
+func (p *plannerProcess) flushWriters() {
+	for _, conn := range p.conns {
+		if conn.connected && conn.writer.Len() > 0 {
+			p.flush(conn)
 		}
 	}
-	p.applyLists()
-	return p.exited
+}
+
+func (p *plannerProcess) flush(conn *plannerPeerConn) {
+	p.node.levels.send(conn.stream, conn.end, conn.writer.Take(p.node.levels.buffer()))
 }
 
 // nextAt is when a turn is due at the latest, apart from what has come.
@@ -294,44 +325,58 @@
 	case memberEvent:
 		p.events = append(p.events, n.event)
 	case streamAccepted:
-		seat, end := n.stream.peerOf(p.node.number)
-		k := &plannerPeerConn{stream: n.stream, end: end, seat: seat, connected: true, reader: codec.NewReader(0)}
-		if p.node.levels.isPlanner(seat) {
-			k.peer = plannerName(seat - p.node.spec.Schedulers.Count)
-		}
-		p.register(k)
+		p.accept(n.stream)
 	case streamConnected:
-		if k := p.sessions[planner.SessionID(n.stream.id)]; k != nil {
-			k.connected = true
-			p.backoff[k.seat-p.node.spec.Schedulers.Count] = 0
-			p.connUp(k)
+		if conn := p.session(n.stream); conn != nil {
+			conn.connected = true
+			p.backoff[conn.seat-p.node.spec.Schedulers.Count] = 0
+			p.connUp(conn)
 		}
 	case streamRefused, streamLost:
-		if k := p.sessions[planner.SessionID(n.stream.id)]; k != nil {
-			p.unregister(k, n.timedOut)
+		if conn := p.session(n.stream); conn != nil {
+			p.unregister(conn, n.timedOut)
 		}
 	case streamData:
-		plannerPeerConn := p.sessions[planner.SessionID(n.stream.id)]
-		if plannerPeerConn == nil || !plannerPeerConn.connected {
+		if conn := p.session(n.stream); conn != nil && conn.connected {
+			p.dataReceived(conn, n.bytes)
+		}
+	}
+}
+
+// session returns the connection of a stream, or nil.
+func (p *plannerProcess) session(stream *stream) *plannerPeerConn {
+	return p.sessions[planner.SessionID(stream.id)]
+}
+
+// accept registers a connection that a forwarder or another planner has dialed.
+func (p *plannerProcess) accept(stream *stream) {
+	seat, end := stream.peerOf(p.node.number)
+	conn := &plannerPeerConn{stream: stream, end: end, seat: seat, connected: true, reader: codec.NewReader(0)}
+	if p.node.levels.isPlanner(seat) {
+		conn.peer = plannerName(seat - p.node.spec.Schedulers.Count)
+	}
+	p.register(conn)
+}
+
+// dataReceived passes the messages of a connection to the planner. A frame that cannot be read ends the connection.
+func (p *plannerProcess) dataReceived(conn *plannerPeerConn, data []byte) {
+	conn.reader.Feed(data)
+	p.node.levels.recycle(data)
+	for {
+		envelope, ok, err := conn.reader.Next()
+		if err != nil {
+			p.node.levels.closeStream(conn.stream, conn.end)
+			p.unregister(conn, false)
+		}
+		if err != nil || !ok {
 			return
 		}
-		plannerPeerConn.reader.Feed(n.bytes)
-		p.node.levels.recycle(n.bytes)
-		for {
-			envelope, ok, err := plannerPeerConn.reader.Next()
-			if err != nil {
-				p.node.levels.closeStream(plannerPeerConn.stream, plannerPeerConn.end)
-				p.unregister(plannerPeerConn, false)
-			}
-			if err != nil || !ok {
-				return
-			}
-			envelope = envelope.Clone() // it is to outlive the reader's next one
-			if plannerPeerConn.peer == "" {
-				p.inputs = append(p.inputs, planner.ForwarderMessage{Session: planner.SessionID(plannerPeerConn.stream.id), Envelope: envelope})
-			} else {
-				p.inputs = append(p.inputs, planner.PeerMessage{Peer: plannerPeerConn.peer, Envelope: envelope})
-			}
+		envelope = envelope.Clone() // it outlives the reader's next one
+		if conn.peer == "" {
+			session := planner.SessionID(conn.stream.id)
+			p.inputs = append(p.inputs, planner.ForwarderMessage{Session: session, Envelope: envelope})
+		} else {
+			p.inputs = append(p.inputs, planner.PeerMessage{Peer: conn.peer, Envelope: envelope})
 		}
 	}
 }
@@ -346,19 +391,19 @@
 }
 
 // connUp tells that a connection is up. Of two with one peer the newer one counts.
-func (p *plannerProcess) connUp(k *plannerPeerConn) {
-	if k.peer == "" {
-		p.inputs = append(p.inputs, planner.SessionOpened{Session: planner.SessionID(k.stream.id)})
+func (p *plannerProcess) connUp(conn *plannerPeerConn) {
+	if conn.peer == "" {
+		p.inputs = append(p.inputs, planner.SessionOpened{Session: planner.SessionID(conn.stream.id)})
 		return
 	}
 	for _, o := range append([]*plannerPeerConn(nil), p.conns...) {
-		if o != k && o.peer == k.peer && o.connected {
+		if o != conn && o.peer == conn.peer && o.connected {
 			p.node.levels.closeStream(o.stream, o.end)
 			p.unregister(o, false)
 		}
 	}
-	p.inputs = append(p.inputs, planner.PeerConnected{Peer: k.peer})
-	p.events = append(p.events, membership.PlannerConnected{Name: k.peer})
+	p.inputs = append(p.inputs, planner.PeerConnected{Peer: conn.peer})
+	p.events = append(p.events, membership.PlannerConnected{Name: conn.peer})
 }
 
 // unregister takes a connection out of the books.
@@ -481,49 +526,40 @@
 	actions := p.members.Step(p.now, p.events, p.actions[:0])
 	clear(p.events)
 	p.events = p.events[:0]
-	for _, a := range actions {
-		switch a := a.(type) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case membership.SetPlanners:
-			p.wantedPeers = a.Names
+			p.wantedPeers = action.Names
 			for i := range p.redialAt {
 				if p.redialAt[i] == 0 {
 					p.connect(i)
 				}
 			}
 		case membership.SetPeers:
-			p.inputs = append(p.inputs, planner.PeersChanged{Names: a.Names})
+			p.inputs = append(p.inputs, planner.PeersChanged{Names: action.Names})
 		case membership.SetPartition:
-			p.inputs = append(p.inputs, planner.PartitionChanged{Owner: a.Owner})
+			p.inputs = append(p.inputs, planner.PartitionChanged{Owner: action.Owner})
 		case membership.Announce:
-			p.node.levels.gossip.announce(p.node.number, a.Member)
+			p.node.levels.gossip.announce(p.node.number, action.Member)
 		case membership.LogLine:
-			p.node.model.logger(p.node.number).LogAttrs(context.Background(), slog.LevelInfo, a.Message, a.Attributes...)
+			p.node.model.logger(p.node.number).LogAttrs(context.Background(), slog.LevelInfo, action.Message, action.Attributes...)
 		}
 	}
 	clear(actions)
 	p.actions = actions[:0]
 }
 
+// carryOut performs an action of the planner.
 func (p *plannerProcess) carryOut(action planner.Action) {
 	switch action := action.(type) {
 	case planner.SendToForwarder:
-		if k := p.sessions[action.Session]; k != nil && k.connected {
-			p.node.send(&k.writer, action.Envelope)
+		if conn := p.sessions[action.Session]; conn != nil && conn.connected {
+			p.node.send(&conn.writer, action.Envelope)
 		}
 	case planner.SendToPeer:
-		for _, k := range p.conns {
-			if k.peer == action.Peer && k.connected {
-				p.node.send(&k.writer, action.Envelope)
-			}
-		}
+		p.sendToPeer(action)
 	case planner.CloseSession:
-		if k := p.sessions[action.Session]; k != nil && k.peer == "" {
-			if k.writer.Len() > 0 {
-				p.node.levels.send(k.stream, k.end, k.writer.Take(p.node.levels.buffer()))
-			}
-			p.node.levels.closeStream(k.stream, k.end)
-			p.unregister(k, false)
-		}
+		p.closeSession(action.Session)
 	case planner.SetTimer:
 		if at := p.now + action.After; p.timer == 0 || at < p.timer {
 			p.timer = at
@@ -538,6 +574,27 @@
 	}
 }
 
+func (p *plannerProcess) sendToPeer(action planner.SendToPeer) {
+	for _, conn := range p.conns {
+		if conn.peer == action.Peer && conn.connected {
+			p.node.send(&conn.writer, action.Envelope)
+		}
+	}
+}
+
+// closeSession sends what is written to a forwarder's connection, and closes it.
+func (p *plannerProcess) closeSession(id planner.SessionID) {
+	conn := p.sessions[id]
+	if conn == nil || conn.peer != "" {
+		return
+	}
+	if conn.writer.Len() > 0 {
+		p.flush(conn)
+	}
+	p.node.levels.closeStream(conn.stream, conn.end)
+	p.unregister(conn, false)
+}
+
 // send writes a message. What can't be written is left out, as it would be in a real process.
 func (s *plannerNode) send(w *codec.Writer, envelope message.Envelope) {
 	if w.Add(envelope) != nil {
--- a/internal/testbed/simulation/process.go
+++ b/internal/testbed/simulation/process.go
@@ -83,54 +83,28 @@
 }
 
 // handleInput is one thing that has come in.
-func (p *process) handleInput(in *simapi.Input) {
-	switch in.Kind {
+func (p *process) handleInput(input *simapi.Input) {
+	switch input.Kind {
 	case simapi.RequestReceived:
-		p.requestReceived(in)
+		p.requestReceived(input)
 	case simapi.ClientClosed:
-		if k := p.clients[in.Conn]; k != nil {
+		if k := p.clients[input.Conn]; k != nil {
 			k.clientClosed()
 		}
-	case simapi.WorkerConnected:
-		if k := p.workerConns.conns[in.Conn]; k != nil {
-			k.connected()
-		}
-	case simapi.WorkerDisconnected:
-		if k := p.workerConns.conns[in.Conn]; k != nil {
-			k.disconnected(in.Reset)
-		}
-	case simapi.ResponseReceived:
-		if k := p.workerConns.conns[in.Conn]; k != nil {
-			k.responseReceived(in)
+	case simapi.WorkerConnected, simapi.WorkerDisconnected, simapi.ResponseReceived:
+		if conn := p.workerConns.conns[input.Conn]; conn != nil {
+			conn.handleInput(input)
 		}
 	case simapi.CallbackReceived:
-		status := 204
-		if _, err := p.requests.HandleCallback(*in.Callback); err != nil {
-			status = 400
-		}
-		p.emit(simapi.Output{Kind: simapi.CallbackAnswered, Worker: in.Worker, CallbackID: in.CallbackID, Status: status})
-	case simapi.ListReceived:
-		if p.watching {
-			p.expectWatch(nextLineTimeout)
-			p.requests.UpdateEndpoints(*in.List)
-			p.listChanged = true
-		}
-	case simapi.WatchHeartbeat:
+		p.callbackReceived(input)
+	case simapi.ListReceived, simapi.WatchHeartbeat, simapi.WatchConnected:
 		if p.watching {
-			p.expectWatch(nextLineTimeout)
-		}
-	case simapi.WatchConnected:
-		if p.watching {
-			p.expectWatch(firstLineTimeout)
+			p.watchReceived(input)
 		}
 	case simapi.WatchEnded:
 		p.watchLost()
 	case simapi.Reload:
-		if in.Discovery != p.discovery {
-			p.discovery = in.Discovery
-			p.requests.ResetRevision()
-			p.watch(0)
-		}
+		p.reload(input.Discovery)
 	case simapi.Terminate:
 		if !p.draining { // once: a second SIGTERM must not begin the drain anew
 			p.drain()
@@ -138,6 +112,38 @@
 	}
 }
 
+// callbackReceived processes a worker's callback, and answers it.
+func (p *process) callbackReceived(in *simapi.Input) {
+	status := 204
+	if _, err := p.requests.HandleCallback(*in.Callback); err != nil {
+		status = 400
+	}
+	p.emit(simapi.Output{Kind: simapi.CallbackAnswered, Worker: in.Worker, CallbackID: in.CallbackID, Status: status})
+}
+
+// watchReceived processes an event of the endpoint list watch, and extends the watch's deadline.
+func (p *process) watchReceived(in *simapi.Input) {
+	if in.Kind == simapi.WatchConnected {
+		p.expectWatch(firstLineTimeout)
+		return
+	}
+	p.expectWatch(nextLineTimeout)
+	if in.Kind == simapi.ListReceived {
+		p.requests.UpdateEndpoints(*in.List)
+		p.listChanged = true
+	}
+}
+
+// reload applies a changed discovery address.
+func (p *process) reload(discovery int) {
+	if discovery == p.discovery {
+		return
+	}
+	p.discovery = discovery
+	p.requests.ResetRevision()
+	p.watch(0)
+}
+
 // runIteration is what ends each turn of the loop: timers, one step of the ledger, and whether there is more to stay for.
 func (p *process) runIteration() (exited bool) {
 	if p.forwarder != nil {
@@ -278,32 +284,32 @@
 }
 
 func (p *process) requestReceived(input *simapi.Input) {
-	k := p.clients[input.Conn]
+	conn := p.clients[input.Conn]
 	switch {
-	case k == nil:
+	case conn == nil:
 		// Requests are fewer than links, so where links run out there is an idle one to make room.
 		if len(p.clients) >= p.maxClients && p.idleClients.next != &p.idleClients {
 			p.idleClients.next.close()
 		}
-		k = &clientConn{process: p, conn: input.Conn}
-		p.clients[input.Conn] = k
-	case k.prev == nil:
+		conn = &clientConn{process: p, conn: input.Conn}
+		p.clients[input.Conn] = conn
+	case conn.prev == nil:
 		panic("virtual: connection " + strconv.FormatUint(uint64(input.Conn), 16) + " asks again before its answer")
 	default:
-		k.removeIdle()
+		conn.removeIdle()
 	}
 	clientRequest := input.Request
-	k.requestID = clientRequest.RequestID
+	conn.requestID = clientRequest.RequestID
 	switch {
 	case p.rejectsRequests:
-		k.respond(503, 0, "")
+		conn.respond(503, 0, "")
 		return
 	case p.requests.OpenCount() >= p.maxRequests || p.requests.PayloadBytes()+clientRequest.BodyLength > p.bodyBudget:
-		k.respond(503, min(fullRetryAfter, p.scheduler.settings.MaxRetryAfter), "")
+		conn.respond(503, min(fullRetryAfter, p.scheduler.settings.MaxRetryAfter), "")
 		return
 	}
 	request, err := p.requests.Admit(p.now, requests.Arrival{
-		CallID: clientRequest.RequestID, Responder: k,
+		CallID: clientRequest.RequestID, Responder: conn,
 		Job: dispatch.Job{
 			Class: clientRequest.Class, Tenant: clientRequest.Tenant, Remaining: clientRequest.Budget.Truncate(time.Millisecond),
 			Hint: clientRequest.CostHint.Truncate(time.Microsecond), Slots: max(1, clientRequest.Slots), Retry: clientRequest.Retry,
@@ -311,10 +317,10 @@
 		Payload: requests.Payload{Method: "POST", IdempotencyKey: clientRequest.IdempotencyKey, Body: zeroBody[:min(clientRequest.BodyLength, len(zeroBody))]},
 	})
 	if err != nil {
-		k.respond(409, 0, "")
+		conn.respond(409, 0, "")
 		return
 	}
-	k.request = request
+	conn.request = request
 	if len(p.newRequestIDs) == 0 {
 		p.firstRequest = request.ID
 	}
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -187,6 +187,27 @@
 	p.outcome.Steps++
 	p.outputs = p.outputs[:0]
 	p.reached = p.reached[:0]
+	p.distributeInputs()
+	p.markReached(now)
+	slices.Sort(p.reached)
+	for _, n := range p.reached {
+		p.stepScheduler(now, n)
+	}
+	p.earliestNext = never
+	for _, at := range p.nextAt {
+		p.earliestNext = min(p.earliestNext, at)
+	}
+	p.countOutputs()
+	if p.options.Trace != nil {
+		p.options.Trace(now, p.delivered, p.outputs)
+	}
+	if p.digest != nil {
+		p.addToDigest(now)
+	}
+}
+
+// distributeInputs gives each scheduler its inputs of this round.
+func (p *runner) distributeInputs() {
 	for i := range p.delivered {
 		in := &p.delivered[i]
 		if in.Kind == simapi.RequestReceived {
@@ -197,28 +218,33 @@
 		}
 		p.inputs[in.Scheduler] = append(p.inputs[in.Scheduler], *in)
 	}
+}
+
+// markReached adds the schedulers that a message between levels has reached, and those that are due.
+func (p *runner) markReached(now time.Duration) {
 	if p.levels != nil {
 		for _, n := range p.levels.runDue(now) {
-			if !slices.Contains(p.reached, n) {
-				p.reached = append(p.reached, n)
-			}
+			p.markScheduler(n)
 		}
 	}
-	if p.earliestNext <= now {
-		for n, at := range p.nextAt {
-			if at <= now && !slices.Contains(p.reached, n) {
-				p.reached = append(p.reached, n)
-			}
-		}
+	if p.earliestNext > now {
+		return
 	}
-	slices.Sort(p.reached)
-	for _, n := range p.reached {
-		p.stepScheduler(now, n)
+	for n, at := range p.nextAt {
+		if at <= now {
+			p.markScheduler(n)
+		}
 	}
-	p.earliestNext = never
-	for _, at := range p.nextAt {
-		p.earliestNext = min(p.earliestNext, at)
+}
+
+func (p *runner) markScheduler(n int) {
+	if !slices.Contains(p.reached, n) {
+		p.reached = append(p.reached, n)
 	}
+}
+
+// countOutputs adds this round's outputs to the outcome.
+func (p *runner) countOutputs() {
 	for i := range p.outputs {
 		switch p.outputs[i].Kind {
 		case simapi.ResponseWritten:
@@ -227,12 +253,6 @@
 			p.outcome.Attempts++
 		}
 	}
-	if p.options.Trace != nil {
-		p.options.Trace(now, p.delivered, p.outputs)
-	}
-	if p.digest != nil {
-		p.addToDigest(now)
-	}
 }
 
 // stepScheduler is a scheduler's.
--- a/internal/testbed/simulation/run_test.go
+++ b/internal/testbed/simulation/run_test.go
@@ -145,17 +145,7 @@
 	for _, nodes := range []int{10, 100, 1000, 10_000} {
 		for _, name := range []string{"least-outstanding", "logic"} {
 			b.Run(strconv.Itoa(nodes)+"/"+name, func(b *testing.B) {
-				spec, requests := scenario.Default(), uint64(0)
-				spec.Fleet.Workers, spec.Schedulers.Count = nodes, min(64, max(1, nodes/50))
-				spec.Schedulers.Sockets, spec.Schedulers.MemoryMB = 65536, 1024
-				work := 20_000
-				if name == "logic" {
-					work = 2000
-				}
-				spec.Length = scenario.Duration(max(time.Second, time.Duration(work/nodes)*time.Second))
-				if nodes > 1000 && name == "logic" {
-					spec.Load.CapacityShare = 0.05
-				}
+				spec, requests := benchmarkScenario(nodes, name), uint64(0)
 				for b.Loop() {
 					got, err := Run(spec, 1, Options{Model: policy(name)})
 					if err != nil {
@@ -169,3 +159,18 @@
 		}
 	}
 }
+
+// benchmarkScenario is a run of so many workers that a policy takes some seconds for.
+func benchmarkScenario(nodes int, policyName string) *scenario.Scenario {
+	spec, work := scenario.Default(), 20_000
+	spec.Fleet.Workers, spec.Schedulers.Count = nodes, min(64, max(1, nodes/50))
+	spec.Schedulers.Sockets, spec.Schedulers.MemoryMB = 65536, 1024
+	if policyName == "logic" {
+		work = 2000
+	}
+	spec.Length = scenario.Duration(max(time.Second, time.Duration(work/nodes)*time.Second))
+	if nodes > 1000 && policyName == "logic" {
+		spec.Load.CapacityShare = 0.05
+	}
+	return spec
+}
--- a/internal/testbed/simulation/worker_conns.go
+++ b/internal/testbed/simulation/worker_conns.go
@@ -121,19 +121,19 @@
 
 // endpoint finds the links to a worker, and drops those to a process that has been replaced.
 func (s *workerConns) endpoint(worker uint64) *endpointConns {
-	h, now := s.endpoints[worker], s.process.requests.Endpoint(worker)
-	if h == nil {
-		h = &endpointConns{worker: worker}
-		h.workerIndex, h.machine = NodeOf(now.ID)
-		s.endpoints[worker] = h
-		s.endpointList = append(s.endpointList, h)
-	}
-	if h.startedMs != now.StartedAtMs || h.addr != now.Addr {
-		h.addr, h.startedMs = now.Addr, now.StartedAtMs
-		h.incarnation++
+	endpoint, now := s.endpoints[worker], s.process.requests.Endpoint(worker)
+	if endpoint == nil {
+		endpoint = &endpointConns{worker: worker}
+		endpoint.workerIndex, endpoint.machine = NodeOf(now.ID)
+		s.endpoints[worker] = endpoint
+		s.endpointList = append(s.endpointList, endpoint)
+	}
+	if endpoint.startedMs != now.StartedAtMs || endpoint.addr != now.Addr {
+		endpoint.addr, endpoint.startedMs = now.Addr, now.StartedAtMs
+		endpoint.incarnation++
 		s.CloseIdleConnections(worker)
 	}
-	return h
+	return endpoint
 }
 
 // NodeOf is the environment's number of the worker whose id discovery tells, and which machine in its place that is:
@@ -330,9 +330,9 @@
 
 // write sends the errand's request, whole.
 func (k *workerConn) write() {
-	process, a := k.conns.process, k.task.attempt
-	if k.task.kind == taskAttempt && a.At-process.now < time.Millisecond {
-		k.deadline = 0 // the ledger gives it up in a moment, and the link ends with it
+	process, attempt := k.conns.process, k.task.attempt
+	if k.task.kind == taskAttempt && attempt.At-process.now < time.Millisecond {
+		k.deadline = 0 // the ledger gives it up in a moment, and the connection ends with it
 		return
 	}
 	k.state = connAwaiting
@@ -340,15 +340,15 @@
 	output := simapi.Output{Conn: k.conn, Worker: k.endpoint.workerIndex, FirstByteAt: process.now - process.scheduler.epoch}
 	switch k.task.kind {
 	case taskAttempt:
-		remaining := a.At - process.now
-		output.Kind, output.RequestID, output.IdempotencyKey = simapi.AttemptWritten, a.Request.CallID, a.Request.Payload.IdempotencyKey
+		remaining := attempt.At - process.now
+		output.Kind, output.RequestID, output.IdempotencyKey = simapi.AttemptWritten, attempt.Request.CallID, attempt.Request.Payload.IdempotencyKey
 		output.Budget = max(time.Millisecond, remaining.Truncate(time.Millisecond))
 		k.awaitWithin(remaining + connGrace)
 	case taskHealthCheck:
 		output.Kind = simapi.HealthCheckWritten
 		k.awaitWithin(healthCheckTimeout)
 	case taskCancel:
-		output.Kind, output.RequestID = simapi.CancellationReceived, a.Request.CallID
+		output.Kind, output.RequestID = simapi.CancellationReceived, attempt.Request.CallID
 		k.awaitWithin(cancelTimeout)
 	}
 	process.emit(output)
@@ -360,7 +360,19 @@
 	}
 }
 
-// connected and down are told by the other side, answered too.
+// handleInput processes what the worker's side of the connection did.
+func (k *workerConn) handleInput(in *simapi.Input) {
+	switch in.Kind {
+	case simapi.WorkerConnected:
+		k.connected()
+	case simapi.WorkerDisconnected:
+		k.disconnected(in.Reset)
+	case simapi.ResponseReceived:
+		k.responseReceived(in)
+	}
+}
+
+// connected writes the task to a connection that has come up, unless it is no longer wanted.
 func (k *workerConn) connected() {
 	switch {
 	case k.state != connConnecting:
@@ -397,27 +409,7 @@
 		k.closeWith(errReset)
 		return
 	}
-	reason, well := requests.ReasonWorkerError, in.Status/100 == 2
-	switch refused := in.Status == 503 || in.Status == 504; {
-	case refused && (k.task.kind == taskHealthCheck || in.Rejected):
-		reason = requests.ReasonRejected
-	case in.Status/100 == 4 && k.task.kind == taskAttempt:
-		reason = requests.ReasonInvalidRequest
-	}
-	switch a := k.task.attempt; {
-	case k.task.kind == taskAttempt && well:
-		k.conns.process.requests.ReportResponse(a, in.Status)
-		k.setStage(requests.StageAccepted)
-		delete(k.conns.attemptConns, a)
-		k.task = connTask{}
-	case well:
-		k.finishTask(nil)
-	default:
-		if k.task.kind == taskAttempt {
-			k.conns.process.requests.ReportResponse(a, in.Status)
-		}
-		k.finishTask(&requests.AttemptError{Stage: k.stage, Reason: reason, Cause: errStatus})
-	}
+	k.finishByStatus(in)
 	if k.state != connAwaiting { // what it ended has ended the link too
 		return
 	}
@@ -428,6 +420,37 @@
 	}
 }
 
+// finishByStatus ends the task, or accepts the attempt, by the response's status.
+func (k *workerConn) finishByStatus(in *simapi.Input) {
+	task, success := k.task, in.Status/100 == 2
+	reason := k.failureReason(in)
+	if task.kind == taskAttempt {
+		k.conns.process.requests.ReportResponse(task.attempt, in.Status)
+	}
+	switch {
+	case !success:
+		k.finishTask(&requests.AttemptError{Stage: k.stage, Reason: reason, Cause: errStatus})
+	case task.kind == taskAttempt:
+		k.setStage(requests.StageAccepted)
+		delete(k.conns.attemptConns, task.attempt)
+		k.task = connTask{}
+	default:
+		k.finishTask(nil)
+	}
+}
+
+// failureReason returns what a response other than 2xx says of the task.
+func (k *workerConn) failureReason(in *simapi.Input) requests.Reason {
+	unavailable := in.Status == 503 || in.Status == 504
+	switch {
+	case unavailable && (k.task.kind == taskHealthCheck || in.Rejected):
+		return requests.ReasonRejected
+	case in.Status/100 == 4 && k.task.kind == taskAttempt:
+		return requests.ReasonInvalidRequest
+	}
+	return requests.ReasonWorkerError
+}
+
 // finishTask ends the errand.
 func (k *workerConn) finishTask(fault *requests.AttemptError) {
 	e := k.task
@@ -456,39 +479,52 @@
 	if k.state == connClosed {
 		return
 	}
-	workerConns := k.conns
 	if k.state == connIdle {
-		for i, o := range k.endpoint.idle {
-			if o == k {
-				k.endpoint.idle = append(k.endpoint.idle[:i], k.endpoint.idle[i+1:]...)
-				workerConns.idleCount--
-				break
-			}
-		}
+		k.removeIdle()
 	}
 	dropped := k.state == connAwaiting && k.idleFor > 0 && !k.responseBegun && cause != nil && !errors.Is(cause, errTimeout)
 	k.state = connClosed
-	workerConns.process.stop(&k.timer)
-	if k.conn != 0 {
-		delete(workerConns.conns, k.conn)
-		if !k.peerClosed {
-			workerConns.process.emit(simapi.Output{Kind: simapi.WorkerConnClosed, Conn: k.conn, Worker: k.endpoint.workerIndex})
-		}
-	}
+	k.conns.process.stop(&k.timer)
+	k.release()
 	if dropped {
-		workerConns.reduceTrust(k.idleFor)
+		k.conns.reduceTrust(k.idleFor)
+	}
+	if k.task.kind != taskNone {
+		k.finishTask(&requests.AttemptError{Stage: k.stage, Reason: k.closeReason(cause, dropped), Cause: cause})
 	}
-	if k.task.kind == taskNone {
+}
+
+// removeIdle takes the connection from the endpoint's idle ones.
+func (k *workerConn) removeIdle() {
+	for i, other := range k.endpoint.idle {
+		if other == k {
+			k.endpoint.idle = append(k.endpoint.idle[:i], k.endpoint.idle[i+1:]...)
+			k.conns.idleCount--
+			return
+		}
+	}
+}
+
+// release gives up the connection's number, if it was dialed, and closes it unless the worker has.
+func (k *workerConn) release() {
+	if k.conn == 0 {
 		return
 	}
-	reason := requests.ReasonConnectionLost
-	if dropped && k.task.kind == taskHealthCheck {
-		reason = requests.ReasonNotSent // it says nothing of the worker
+	delete(k.conns.conns, k.conn)
+	if !k.peerClosed {
+		k.conns.process.emit(simapi.Output{Kind: simapi.WorkerConnClosed, Conn: k.conn, Worker: k.endpoint.workerIndex})
 	}
-	if k.stage >= requests.StageWritten && errors.Is(cause, errTimeout) {
-		reason = requests.ReasonTimeout
+}
+
+// closeReason returns why a task failed whose connection was closed; dropped: it had been idle, and broke without a response.
+func (k *workerConn) closeReason(cause error, dropped bool) requests.Reason {
+	switch {
+	case k.stage >= requests.StageWritten && errors.Is(cause, errTimeout):
+		return requests.ReasonTimeout
+	case dropped && k.task.kind == taskHealthCheck:
+		return requests.ReasonNotSent // it says nothing of the worker
 	}
-	k.finishTask(&requests.AttemptError{Stage: k.stage, Reason: reason, Cause: cause})
+	return requests.ReasonConnectionLost
 }
 
 // timer calls act once it is due.
--- a/internal/testbed/simulation/worker_conns_test.go
+++ b/internal/testbed/simulation/worker_conns_test.go
@@ -125,19 +125,7 @@
 			b.fail("%d is written to connection %x to node %d, which is not free: %+v", o.Kind, o.Conn, o.Worker, c)
 			return
 		}
-		// One that has just come up, or the one that was used last.
-		if r := b.resting[o.Worker]; slices.Contains(r, o.Conn) {
-			at := slices.Index(r, o.Conn)
-			for _, newer := range r[at+1:] {
-				if o.Kind != simapi.AttemptWritten || !b.settling(newer) {
-					b.fail("an older idle link than the last one is used")
-				}
-			}
-			if o.Kind == simapi.AttemptWritten && b.settling(o.Conn) {
-				b.fail("a link carries again that has just done so")
-			}
-			b.resting[o.Worker] = slices.Delete(r, at, at+1)
-		}
+		b.checkReuse(o)
 		c.pending, c.last = &o, o.Kind
 	case simapi.WorkerConnClosed:
 		if c == nil {
@@ -148,6 +136,24 @@
 	}
 }
 
+// checkReuse checks that what is written goes to a connection that has just come up, or to the idle one that was used last.
+func (b *harness) checkReuse(o simapi.Output) {
+	idle := b.resting[o.Worker]
+	at := slices.Index(idle, o.Conn)
+	if at < 0 {
+		return
+	}
+	for _, newer := range idle[at+1:] {
+		if o.Kind != simapi.AttemptWritten || !b.settling(newer) {
+			b.fail("an older idle link than the last one is used")
+		}
+	}
+	if o.Kind == simapi.AttemptWritten && b.settling(o.Conn) {
+		b.fail("a link carries again that has just done so")
+	}
+	b.resting[o.Worker] = slices.Delete(idle, at, at+1)
+}
+
 func (b *harness) forget(c *farConn) {
 	delete(b.conns, c.conn)
 	b.openConns = slices.DeleteFunc(b.openConns, func(o *farConn) bool { return o == c })
@@ -168,178 +174,258 @@
 // at a time, the one used last is used first, and none is used that is not up.
 func FuzzLinks(f *testing.F) { modeltest.Fuzz(f, runLinks) }
 
-func runLinks(s *modeltest.Steps) {
-	b := newHarness(s.T, func(spec *scenario.Scenario) {
-		spec.Schedulers.Sockets = 24 + 48 // eight of them for server links
-		spec.Schedulers.ConnIdleTimeout = scenario.Duration(4 * time.Second)
-		spec.Schedulers.AttemptLimit = 1000
-	})
-	b.start()
-	var jobs []*sending // by attempt
-	byJob, calls, received := map[[2]uint64]*sending{}, 0, 0
-	attempts, deadlines := map[uint64]int{}, map[uint64]time.Duration{}
-	// hear checks the outcomes that the module has been told of.
-	receive := func() {
-		for ; received < len(b.script.Received); received++ {
-			o, ok := b.script.Received[received].(dispatch.Outcome)
-			if !ok {
-				continue
-			}
-			a := byJob[[2]uint64{o.Job, uint64(o.Attempt)}]
-			if last := byJob[[2]uint64{o.Job, uint64(attempts[o.Job] - 1)}]; a.ended && o.Result == dispatch.NotSent && o.Closed {
-				a = last // of a request that has ended and been dropped: that attempt has no number of its own
-			}
-			s.Check(a != nil && !a.ended, "job %d attempt %d: an outcome %v for none that is out", o.Job, o.Attempt, o.Result)
-			a.ended = true
-			switch o.Result {
-			case dispatch.ConnectFailed:
-				s.Check(!a.written, "could not connect, though it was written")
-			case dispatch.TimedOut:
-				s.Check(b.now >= a.until, "timed out at %v, before %v", b.now, a.until)
-			case dispatch.Cancelled:
-			default:
-				s.Check(a.may[o.Result], "ended with %v; written %v, may %v", o.Result, a.written, a.may)
-			}
-		}
+// linksRun is one run of random steps, and the attempts of it as the model knows them.
+type linksRun struct {
+	*modeltest.Steps
+	harness   *harness
+	attempts  []*sending // in the order in which they were started
+	byNumber  map[attemptNumber]*sending
+	counts    map[uint64]int           // attempts by job
+	deadlines map[uint64]time.Duration // by job
+	calls     int                      // requests sent so far
+	received  int                      // events of the policy that were checked
+}
+
+// attemptNumber names an attempt as the policy does.
+type attemptNumber struct{ job, attempt uint64 }
+
+func runLinks(steps *modeltest.Steps) {
+	run := &linksRun{
+		Steps: steps, byNumber: map[attemptNumber]*sending{}, counts: map[uint64]int{}, deadlines: map[uint64]time.Duration{},
+		harness: newHarness(steps.T, func(spec *scenario.Scenario) {
+			spec.Schedulers.Sockets = 24 + 48 // eight of them for connections to workers
+			spec.Schedulers.ConnIdleTimeout = scenario.Duration(4 * time.Second)
+			spec.Schedulers.AttemptLimit = 1000
+		}),
 	}
-	find := func(call string, node int) *sending {
-		for _, a := range jobs { // of several that are out the first: no other is sent
-			if a.call == call && a.node == node && !a.ended {
-				return a
-			}
-		}
-		return &sending{may: map[dispatch.Result]bool{}}
+	run.harness.start()
+	for steps.More() {
+		run.randomStep()
 	}
-	step := func(ins ...simapi.Input) {
-		b.step(ins...)
-		for i := range b.outs {
-			if o := &b.outs[i]; o.Kind == simapi.AttemptWritten {
-				find(o.RequestID, o.Worker).written = true
-			}
+	for range 8 { // past every deadline, and every timeout of a connection
+		run.harness.now += time.Second
+		run.step()
+	}
+	run.checkEnd()
+}
+
+// randomStep draws one thing that happens, and has it happen.
+func (r *linksRun) randomStep() {
+	conn := r.pickConn()
+	node := r.Pick(harnessWorkers)
+	worker := endpointNumber("w-" + strconv.Itoa(node))
+	switch what := r.Pick(12); {
+	case what == 0:
+		r.sendRequest()
+	case what <= 3 && r.calls > 0:
+		r.startAttempt(node, worker)
+	case what == 4:
+		r.act(dispatch.HealthCheck{Worker: worker})
+		r.Record("probe")
+	case what == 5 && r.calls > 0:
+		id := 1 + r.Pick(r.calls)
+		r.act(dispatch.Cancel{Job: uint64(id), Attempt: r.Pick(3)}, dispatch.CloseIdleConnections{Worker: worker})
+		r.Record("cancel")
+	case what == 6 && r.calls > 0:
+		r.callback(node)
+	case what <= 8 && conn.isConnecting():
+		r.finishDial(conn)
+	case what <= 9 && conn.isUp():
+		r.useConn(conn)
+	default:
+		r.harness.now += time.Duration(1+r.Pick(200)) * 10 * time.Millisecond
+		r.step()
+		r.Record("wait")
+	}
+}
+
+// pickConn draws an open connection; nil: there is none.
+func (r *linksRun) pickConn() *farConn {
+	if len(r.harness.openConns) == 0 {
+		return nil
+	}
+	return r.harness.openConns[r.Pick(len(r.harness.openConns))]
+}
+
+func (c *farConn) isConnecting() bool { return c != nil && !c.up }
+
+func (c *farConn) isUp() bool { return c != nil && c.up }
+
+// step has inputs reach the scheduler, and checks what it does.
+func (r *linksRun) step(ins ...simapi.Input) {
+	b := r.harness
+	b.step(ins...)
+	for i := range b.outs {
+		if o := &b.outs[i]; o.Kind == simapi.AttemptWritten {
+			r.find(o.RequestID, o.Worker).written = true
 		}
-		receive()
-		s.Check(b.wrong == "", "%s", b.wrong)
-		s.Check(len(b.conns) <= 8, "%d links are open", len(b.conns))
-	}
-	act := func(actions ...dispatch.Action) {
-		b.script.Next = actions
-		b.s.process.requests.DiscoveryFailed()
-		step()
-	}
-	for s.More() {
-		var c *farConn
-		if len(b.openConns) > 0 {
-			c = b.openConns[s.Pick(len(b.openConns))]
+	}
+	for ; r.received < len(b.script.Received); r.received++ {
+		if outcome, ok := b.script.Received[r.received].(dispatch.Outcome); ok {
+			r.checkOutcome(outcome)
 		}
-		node := s.Pick(harnessWorkers)
-		worker := endpointNumber("w-" + strconv.Itoa(node))
-		switch what := s.Pick(12); {
-		case what == 0:
-			calls++
-			budget := time.Duration(1+s.Pick(20)) * 100 * time.Millisecond
-			deadlines[uint64(calls)] = b.now + budget
-			step(simapi.Input{Kind: simapi.RequestReceived, Conn: simapi.Conn(calls), Request: &simapi.ClientRequest{RequestID: strconv.Itoa(calls), Budget: budget}})
-			s.Record("ask")
-		case what <= 3 && calls > 0:
-			id := uint64(1 + s.Pick(calls))
-			timeout := time.Duration(s.Pick(3)) * 150 * time.Millisecond
-			a := &sending{call: strconv.Itoa(int(id)), node: node, may: map[dispatch.Result]bool{dispatch.NotSent: true}}
-			if a.until = deadlines[id]; timeout > 0 {
-				a.until = min(a.until, b.now+timeout)
-			}
-			jobs = append(jobs, a)
-			byJob[[2]uint64{id, uint64(attempts[id])}] = a
-			attempts[id]++
-			act(dispatch.Send{Job: id, Worker: worker, AttemptTimeout: timeout})
-			s.Record("send")
-		case what == 4:
-			act(dispatch.HealthCheck{Worker: worker})
-			s.Record("probe")
-		case what == 5 && calls > 0:
-			id := 1 + s.Pick(calls)
-			act(dispatch.Cancel{Job: uint64(id), Attempt: s.Pick(3)}, dispatch.CloseIdleConnections{Worker: worker})
-			s.Record("cancel")
-		case what == 6 && calls > 0:
-			states := []string{"started", "done", "failed", "returned", "lost"}
-			state, call, result := states[s.Pick(5)], strconv.Itoa(1+s.Pick(calls)), "r"
-			about := find(call, node)
-			if !about.written {
-				continue // what has not reached a worker it tells nothing of
-			}
-			about.may[map[string]dispatch.Result{
-				"started": dispatch.OK, "done": dispatch.OK, "failed": dispatch.Failed,
-				"returned": dispatch.WorkerFull, "lost": dispatch.ConnectionReset,
-			}[state]] = true
-			step(simapi.Input{Kind: simapi.CallbackReceived, Worker: node, CallbackID: 5, Callback: &requests.Callback{
-				CallID: call, EndpointID: "w-" + strconv.Itoa(node),
-				State: state, Result: &result,
-			}})
-			i := slices.IndexFunc(b.outs, func(o simapi.Output) bool { return o.Kind == simapi.CallbackAnswered })
-			s.Check(i >= 0 && b.outs[i].Status == 204 && b.outs[i].CallbackID == 5, "a note was answered by %+v", b.outs)
-			s.Record(state)
-		case what <= 8 && c != nil && !c.up:
-			if s.Pick(4) == 0 {
-				b.forget(c)
-				step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: c.conn, Worker: c.node})
-				s.Record("refuse")
-			} else {
-				c.up = true
-				step(simapi.Input{Kind: simapi.WorkerConnected, Conn: c.conn, Worker: c.node})
-				s.Record("up")
-			}
-		case what <= 9 && c != nil && c.up && (c.pending == nil || s.Pick(4) == 0):
-			if c.pending != nil && c.pending.Kind == simapi.AttemptWritten {
-				find(c.pending.RequestID, c.node).may[dispatch.ConnectionReset] = true
-			}
-			b.forget(c)
-			step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: c.conn, Worker: c.node, Reset: s.Pick(2) == 0})
-			s.Record("down")
-		case what <= 9 && c != nil && c.up:
-			answers := []struct {
-				status   int
-				rejected bool
-				bytes    int
-				result   dispatch.Result
-			}{
-				{202, false, 0, dispatch.OK},
-				{503, true, 0, dispatch.WorkerFull},
-				{503, false, 0, dispatch.Failed},
-				{500, false, 0, dispatch.Failed},
-				{404, false, 0, dispatch.NotSent},
-				{202, false, 9, dispatch.ConnectionReset},
-			}
-			a := answers[s.Pick(len(answers))]
-			if c.pending.Kind == simapi.AttemptWritten {
-				find(c.pending.RequestID, c.node).may[a.result] = true
-			}
-			if c.pending = nil; a.bytes > 0 {
-				b.forget(c)
-			} else {
-				b.resting[c.node], c.since = append(b.resting[c.node], c.conn), b.now
-			}
-			step(simapi.Input{
-				Kind: simapi.ResponseReceived, Conn: c.conn, Worker: c.node, Status: a.status, Rejected: a.rejected,
-				Bytes: a.bytes,
-			})
-			s.Record("answer " + strconv.Itoa(a.status))
-		default:
-			b.now += time.Duration(1+s.Pick(200)) * 10 * time.Millisecond
-			step()
-			s.Record("wait")
+	}
+	r.Check(b.wrong == "", "%s", b.wrong)
+	r.Check(len(b.conns) <= 8, "%d links are open", len(b.conns))
+}
+
+// act has the policy do something.
+func (r *linksRun) act(actions ...dispatch.Action) {
+	r.harness.script.Next = actions
+	r.harness.s.process.requests.DiscoveryFailed()
+	r.step()
+}
+
+// checkOutcome checks an outcome that the policy has been told of.
+func (r *linksRun) checkOutcome(o dispatch.Outcome) {
+	a := r.byNumber[attemptNumber{o.Job, uint64(o.Attempt)}]
+	if last := r.byNumber[attemptNumber{o.Job, uint64(r.counts[o.Job] - 1)}]; a.ended && o.Result == dispatch.NotSent && o.Closed {
+		a = last // of a request that has ended and been dropped: that attempt has no number of its own
+	}
+	r.Check(a != nil && !a.ended, "job %d attempt %d: an outcome %v for none that is out", o.Job, o.Attempt, o.Result)
+	a.ended = true
+	switch o.Result {
+	case dispatch.ConnectFailed:
+		r.Check(!a.written, "could not connect, though it was written")
+	case dispatch.TimedOut:
+		r.Check(r.harness.now >= a.until, "timed out at %v, before %v", r.harness.now, a.until)
+	case dispatch.Cancelled:
+	default:
+		r.Check(a.may[o.Result], "ended with %v; written %v, may %v", o.Result, a.written, a.may)
+	}
+}
+
+// find returns the attempt of a request that is in flight at a worker. Of several it is the first: no other is sent.
+func (r *linksRun) find(call string, node int) *sending {
+	for _, a := range r.attempts {
+		if a.call == call && a.node == node && !a.ended {
+			return a
 		}
 	}
-	for range 8 { // past every deadline, and every link's patience
-		b.now += time.Second
-		step()
+	return &sending{may: map[dispatch.Result]bool{}}
+}
+
+func (r *linksRun) sendRequest() {
+	r.calls++
+	budget := time.Duration(1+r.Pick(20)) * 100 * time.Millisecond
+	r.deadlines[uint64(r.calls)] = r.harness.now + budget
+	r.step(simapi.Input{
+		Kind: simapi.RequestReceived, Conn: simapi.Conn(r.calls),
+		Request: &simapi.ClientRequest{RequestID: strconv.Itoa(r.calls), Budget: budget},
+	})
+	r.Record("ask")
+}
+
+func (r *linksRun) startAttempt(node int, worker uint64) {
+	id := uint64(1 + r.Pick(r.calls))
+	timeout := time.Duration(r.Pick(3)) * 150 * time.Millisecond
+	a := &sending{call: strconv.Itoa(int(id)), node: node, may: map[dispatch.Result]bool{dispatch.NotSent: true}}
+	if a.until = r.deadlines[id]; timeout > 0 {
+		a.until = min(a.until, r.harness.now+timeout)
+	}
+	r.attempts = append(r.attempts, a)
+	r.byNumber[attemptNumber{id, uint64(r.counts[id])}] = a
+	r.counts[id]++
+	r.act(dispatch.Send{Job: id, Worker: worker, AttemptTimeout: timeout})
+	r.Record("send")
+}
+
+// callback has a worker report the state of an attempt that was written to it.
+func (r *linksRun) callback(node int) {
+	states := []string{"started", "done", "failed", "returned", "lost"}
+	state, call, result := states[r.Pick(5)], strconv.Itoa(1+r.Pick(r.calls)), "r"
+	about := r.find(call, node)
+	if !about.written {
+		return // a worker reports nothing of what has not reached it
 	}
-	for _, a := range jobs {
-		s.Check(a.ended, "an attempt of %s at node %d has no outcome", a.call, a.node)
+	about.may[map[string]dispatch.Result{
+		"started": dispatch.OK, "done": dispatch.OK, "failed": dispatch.Failed,
+		"returned": dispatch.WorkerFull, "lost": dispatch.ConnectionReset,
+	}[state]] = true
+	r.step(simapi.Input{Kind: simapi.CallbackReceived, Worker: node, CallbackID: 5, Callback: &requests.Callback{
+		CallID: call, EndpointID: "w-" + strconv.Itoa(node),
+		State: state, Result: &result,
+	}})
+	outs := r.harness.outs
+	i := slices.IndexFunc(outs, func(o simapi.Output) bool { return o.Kind == simapi.CallbackAnswered })
+	r.Check(i >= 0 && outs[i].Status == 204 && outs[i].CallbackID == 5, "a callback was answered by %+v", outs)
+	r.Record(state)
+}
+
+// finishDial has a dialed worker accept or refuse.
+func (r *linksRun) finishDial(conn *farConn) {
+	if r.Pick(4) == 0 {
+		r.harness.forget(conn)
+		r.step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: conn.conn, Worker: conn.node})
+		r.Record("refuse")
+		return
+	}
+	conn.up = true
+	r.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn.conn, Worker: conn.node})
+	r.Record("up")
+}
+
+// useConn has a worker respond to what was written, or break the connection.
+func (r *linksRun) useConn(conn *farConn) {
+	if conn.pending != nil && r.Pick(4) != 0 {
+		r.respond(conn)
+		return
+	}
+	r.allow(conn, dispatch.ConnectionReset)
+	r.harness.forget(conn)
+	r.step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: conn.conn, Worker: conn.node, Reset: r.Pick(2) == 0})
+	r.Record("down")
+}
+
+// allow notes that the attempt written to a connection may end so.
+func (r *linksRun) allow(conn *farConn, result dispatch.Result) {
+	if conn.pending != nil && conn.pending.Kind == simapi.AttemptWritten {
+		r.find(conn.pending.RequestID, conn.node).may[result] = true
+	}
+}
+
+// workerResponse is a way in which a worker responds, and the outcome that it may lead to.
+type workerResponse struct {
+	status   int
+	rejected bool
+	bytes    int
+	result   dispatch.Result
+}
+
+var workerResponses = []workerResponse{
+	{202, false, 0, dispatch.OK},
+	{503, true, 0, dispatch.WorkerFull},
+	{503, false, 0, dispatch.Failed},
+	{500, false, 0, dispatch.Failed},
+	{404, false, 0, dispatch.NotSent},
+	{202, false, 9, dispatch.ConnectionReset},
+}
+
+func (r *linksRun) respond(conn *farConn) {
+	response := workerResponses[r.Pick(len(workerResponses))]
+	r.allow(conn, response.result)
+	if conn.pending = nil; response.bytes > 0 {
+		r.harness.forget(conn)
+	} else {
+		r.harness.resting[conn.node], conn.since = append(r.harness.resting[conn.node], conn.conn), r.harness.now
+	}
+	r.step(simapi.Input{
+		Kind: simapi.ResponseReceived, Conn: conn.conn, Worker: conn.node, Status: response.status, Rejected: response.rejected,
+		Bytes: response.bytes,
+	})
+	r.Record("answer " + strconv.Itoa(response.status))
+}
+
+// checkEnd checks that every attempt has ended, and that nothing is left of any connection.
+func (r *linksRun) checkEnd() {
+	for _, a := range r.attempts {
+		r.Check(a.ended, "an attempt of %s at node %d has no outcome", a.call, a.node)
 	}
-	p := b.s.process
-	s.Check(len(p.workerConns.conns)+len(p.workerConns.attemptConns)+p.workerConns.idleCount+len(b.conns) == 0,
+	p := r.harness.s.process
+	r.Check(len(p.workerConns.conns)+len(p.workerConns.attemptConns)+p.workerConns.idleCount+len(r.harness.conns) == 0,
 		"%d links, %d carried, %d idle; the far side has %d", len(p.workerConns.conns), len(p.workerConns.attemptConns),
-		p.workerConns.idleCount, len(b.conns))
-	s.Check(p.timers.Len() == 1, "%d timers are left besides the one that retires links", p.timers.Len()-1)
+		p.workerConns.idleCount, len(r.harness.conns))
+	r.Check(p.timers.Len() == 1, "%d timers are left besides the one that retires links", p.timers.Len()-1)
 }
 
 // What the module is told of an attempt follows from how far it had come, as in the ledger's table.
