--- a/internal/testbed/simulation/forwarder.go
+++ b/internal/testbed/simulation/forwarder.go
@@ -13,8 +13,8 @@
 	"valvecove/internal/requests"
 )
 
-// forwarderProcess is what a scheduler's process has besides, where there are planners: package follow as the ledger's
-// module, connections to planners, and what gossip tells.
+// forwarderProcess is the part of a scheduler's process that is there only if the scenario has planners: the forwarder,
+// which is the request table's policy, its connections to planners, and its membership.
 type forwarderProcess struct {
 	process        *process
 	levels         *levelNetwork
@@ -23,7 +23,7 @@
 	forwarder      *forwarder.Forwarder
 	members        *membership.ForwarderMembership
 	plannerConns   []*plannerConn // by planner
-	wantedPlanners []string       // of the planners that it is to be connected to
+	wantedPlanners []string       // names of the planners to be connected to
 	events         []membership.Event
 	actions        []membership.Action
 	seed           uint64
@@ -34,11 +34,11 @@
 	seat         int
 	name         string
 	wanted       bool
-	stream       *stream // nil: there is none
+	stream       *stream // nil: not connected
 	connected    bool
 	backoff      time.Duration
 	retry        timer
-	retryPlanned bool // for the retry
+	retryPlanned bool // the retry timer is set
 	writer       codec.Writer
 	reader       *codec.Reader
 }
@@ -48,8 +48,8 @@
 	maxRedialDelay = time.Second
 )
 
-// standaloneAperture is what a forwarder without planners looks at: as little of the fleet as may be, as all the others have lost their
-// planners too, and what many share they push over.
+// standaloneAperture keeps a forwarder without planners to a small part of the fleet. The other forwarders have lost their
+// planners too, and workers that all of them use would be overloaded.
 var standaloneAperture = aperture.Config{MinWorkers: 8, Coverage: 2, MinFleet: 2, MaxWidening: 8, WidenThreshold: 0.1, Retention: 30 * time.Second}
 
 func newForwarder(p *process, name string, seed uint64) *forwarderProcess {
@@ -71,10 +71,10 @@
 	return membership.Member{Name: f.name, Incarnation: uint64(f.process.scheduler.epoch + f.process.scheduler.now)}
 }
 
-// join begins to take part in gossip.
+// join makes the process a member of gossip.
 func (f *forwarderProcess) join() { f.levels.gossip.join(f.seat, f.member()) }
 
-// newPolicy makes the ledger's module: at the start, and after one has panicked.
+// newPolicy returns a new forwarder as the request table's policy: at the start, and after a policy has panicked.
 func (f *forwarderProcess) newPolicy() requests.Policy {
 	set := f.process.scheduler.settings.Settings
 	f.seed++
@@ -96,7 +96,7 @@
 	return f
 }
 
-// Step has the follower decide, and gathers what it says to planners.
+// Step steps the forwarder, and encodes its messages to planners.
 func (f *forwarderProcess) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	dst = f.forwarder.Step(now, events, dst)
 	for _, e := range f.forwarder.Outbox() {
@@ -109,7 +109,7 @@
 	return dst
 }
 
-// beforeStep is what comes first in a turn: what planners and gossip have brought.
+// beforeStep begins an iteration: it processes the messages of planners and gossip.
 func (f *forwarderProcess) beforeStep(updates []levelMessage) {
 	for i := range updates {
 		f.handleMessage(&updates[i])
@@ -122,7 +122,7 @@
 	}
 }
 
-// afterStep is what comes last: what is to be written is.
+// afterStep ends an iteration: it sends the encoded messages, and closes connections to draining planners.
 func (f *forwarderProcess) afterStep() {
 	f.carryOut(f.members.Step(f.process.now, nil, f.actions[:0]))
 	for _, k := range f.plannerConns {
@@ -148,40 +148,40 @@
 		f.events = append(f.events, n.event)
 		return
 	}
-	var plannerConn *plannerConn
+	var conn *plannerConn
 	for _, x := range f.plannerConns {
 		if x.stream == n.stream {
-			plannerConn = x
+			conn = x
 		}
 	}
-	if plannerConn == nil {
-		return // of a connection that was left
+	if conn == nil {
+		return // of a connection that was given up
 	}
 	switch n.kind {
 	case streamConnected:
-		plannerConn.connected, plannerConn.backoff = true, 0
-		plannerConn.reader, plannerConn.writer = codec.NewReader(0), codec.Writer{}
-		f.forwarder.SessionChanged(plannerConn.name, true)
+		conn.connected, conn.backoff = true, 0
+		conn.reader, conn.writer = codec.NewReader(0), codec.Writer{}
+		f.forwarder.SessionChanged(conn.name, true)
 	case streamRefused, streamLost:
-		f.connLost(plannerConn)
+		f.connLost(conn)
 	case streamData:
-		plannerConn.reader.Feed(n.bytes)
+		conn.reader.Feed(n.bytes)
 		f.levels.recycle(n.bytes)
 		for {
-			envelope, ok, err := plannerConn.reader.Next()
+			envelope, ok, err := conn.reader.Next()
 			if err != nil {
-				f.levels.closeStream(plannerConn.stream, 0)
-				f.connLost(plannerConn)
+				f.levels.closeStream(conn.stream, 0)
+				f.connLost(conn)
 			}
 			if err != nil || !ok {
 				return
 			}
-			f.forwarder.Receive(f.process.now, plannerConn.name, envelope)
+			f.forwarder.Receive(f.process.now, conn.name, envelope)
 		}
 	}
 }
 
-// connLost is the end of a connection, or of an attempt at one.
+// connLost records that a connection, or an attempt to connect, has ended. It plans the next attempt if one is wanted.
 func (f *forwarderProcess) connLost(k *plannerConn) {
 	was := k.connected
 	k.stream, k.connected = nil, false
@@ -195,19 +195,19 @@
 	}
 }
 
-// connect dials a planner, if there is no connection yet and one is wanted.
+// connect dials a planner if a connection is wanted and there is none.
 func (f *forwarderProcess) connect(k *plannerConn) {
 	if k.wanted && k.stream == nil {
 		k.stream = f.levels.dial(f.seat, k.seat)
 	}
 }
 
-// updateMembers takes in what gossip has told.
+// updateMembers processes the events of gossip.
 func (f *forwarderProcess) updateMembers() {
 	f.carryOut(f.members.Step(f.process.now, f.events, f.actions[:0]))
 	clear(f.events)
 	f.events = f.events[:0]
-	f.forwarder.SetPlanners(f.wantedPlanners) // the order of planners may be another one now
+	f.forwarder.SetPlanners(f.wantedPlanners) // their order may have changed
 }
 
 func (f *forwarderProcess) carryOut(actions []membership.Action) {
@@ -231,19 +231,19 @@
 	f.actions = actions[:0]
 }
 
-// updateWanted notes whether there ought to be a connection to a planner.
-func (f *forwarderProcess) updateWanted(plannerConn *plannerConn, names []string) {
-	was := plannerConn.wanted
-	plannerConn.wanted = false
+// updateWanted records whether a planner is among those to be connected to, and dials it if it has become one.
+func (f *forwarderProcess) updateWanted(conn *plannerConn, names []string) {
+	was := conn.wanted
+	conn.wanted = false
 	for _, name := range names {
-		plannerConn.wanted = plannerConn.wanted || name == plannerConn.name
+		conn.wanted = conn.wanted || name == conn.name
 	}
-	if plannerConn.wanted && !was {
-		if plannerConn.retryPlanned {
-			plannerConn.retryPlanned = false
-			f.process.stop(&plannerConn.retry)
+	if conn.wanted && !was {
+		if conn.retryPlanned {
+			conn.retryPlanned = false
+			f.process.stop(&conn.retry)
 		}
-		plannerConn.backoff = 0
-		f.connect(plannerConn)
+		conn.backoff = 0
+		f.connect(conn)
 	}
 }
--- a/internal/testbed/simulation/gossip.go
+++ b/internal/testbed/simulation/gossip.go
@@ -7,10 +7,10 @@
 	"valvecove/internal/control/membership"
 )
 
-// gossip is a model of the engine that tells forwarders and planners of each other: what each says of itself spreads
-// in rounds to some others drawn at random, whoever does not answer is asked through others, and taken for dead if
-// that does not help for a while, which spreads too, until it says otherwise. Two that a cut keeps apart hear of each
-// other as long as there is a way round it.
+// gossip models the membership protocol of forwarders and planners, in the manner of SWIM. Each node sends its records to
+// a few random others in rounds. A node that does not answer a probe, directly or through others, is suspected, and
+// declared dead after suspicionTimeout; it may refute that. Two nodes that a partition separates learn of each other as
+// long as a third one reaches both.
 type gossip struct {
 	levels *levelNetwork
 	nodes  []gossipNode
@@ -20,23 +20,23 @@
 	gossipInterval   = 200 * time.Millisecond
 	gossipFanout     = 3
 	probeInterval    = 500 * time.Millisecond
-	indirectProbes   = 3 // others, where the way to it is cut
+	indirectProbes   = 3 // other nodes asked to probe one that does not answer
 	suspicionTimeout = 2 * time.Second
 )
 
-// gossipNode is a seat's view.
+// gossipNode is one seat's view of the others.
 type gossipNode struct {
-	incarnation    int // of the process; 0: none has begun
+	incarnation    int // of the process; 0: none has joined
 	records        []memberRecord
-	suspectedSince []time.Duration // since when, by seat; 0: not
+	suspectedSince []time.Duration // by seat; 0: not suspected
 	candidates     []int           // scratch
 }
 
-// memberRecord is what is said of a seat's process.
+// memberRecord is what is known of a seat's process.
 type memberRecord struct {
 	known   bool
 	member  membership.Member
-	version uint64 // counts what its process has said of itself
+	version uint64 // counts the process's announcements of itself
 	state   memberState
 }
 
@@ -48,18 +48,18 @@
 	memberLeft
 )
 
-func (r *memberRecord) isNewerThan(memberRecord *memberRecord) bool {
+func (r *memberRecord) isNewerThan(other *memberRecord) bool {
 	switch {
-	case !memberRecord.known || !r.known:
+	case !other.known || !r.known:
 		return r.known
-	case r.member.Incarnation != memberRecord.member.Incarnation:
-		return r.member.Incarnation > memberRecord.member.Incarnation
-	case r.state == memberLeft || memberRecord.state == memberLeft:
-		return r.state > memberRecord.state
-	case r.version != memberRecord.version:
-		return r.version > memberRecord.version
+	case r.member.Incarnation != other.member.Incarnation:
+		return r.member.Incarnation > other.member.Incarnation
+	case r.state == memberLeft || other.state == memberLeft:
+		return r.state > other.state
+	case r.version != other.version:
+		return r.version > other.version
 	}
-	return r.state > memberRecord.state
+	return r.state > other.state
 }
 
 func (g *gossip) start(t *levelNetwork) {
@@ -72,13 +72,13 @@
 	}
 }
 
-// isRunning tells whether a seat's process takes part.
+// isRunning reports whether a seat's process is a member and runs.
 func (g *gossip) isRunning(seat int) bool {
-	sprout, runs, frozen := g.levels.seats[seat].status()
-	return runs && !frozen && sprout == g.nodes[seat].incarnation
+	incarnation, runs, frozen := g.levels.seats[seat].status()
+	return runs && !frozen && incarnation == g.nodes[seat].incarnation
 }
 
-// join has a process begin to take part: it asks one that it can reach for all that is known there.
+// join makes a process a member: it requests the state of a random member that it can reach.
 func (g *gossip) join(seat int, me membership.Member) {
 	n := &g.nodes[seat]
 	n.incarnation, _, _ = g.levels.seats[seat].status()
@@ -88,7 +88,7 @@
 	g.requestState(seat, n.incarnation)
 }
 
-func (g *gossip) requestState(seat, sprout int) {
+func (g *gossip) requestState(seat, incarnation int) {
 	t := g.levels
 	sequence := t.rngs[seat].Perm(len(g.nodes))
 	for _, o := range sequence {
@@ -104,20 +104,20 @@
 		return
 	}
 	t.schedule(t.now+time.Second, func() {
-		if g.isRunning(seat) && g.nodes[seat].incarnation == sprout {
-			g.requestState(seat, sprout)
+		if g.isRunning(seat) && g.nodes[seat].incarnation == incarnation {
+			g.requestState(seat, incarnation)
 		}
 	})
 }
 
-// announce has a process tell something new of itself.
+// announce changes a process's record of itself.
 func (g *gossip) announce(seat int, me membership.Member) {
 	r := &g.nodes[seat].records[seat]
 	r.member = me
 	r.version++
 }
 
-// leave has a process say that it leaves.
+// leave spreads that a process leaves.
 func (g *gossip) leave(seat int) {
 	n := &g.nodes[seat]
 	if n.records[seat].known && n.records[seat].state != memberLeft {
@@ -126,7 +126,7 @@
 	}
 }
 
-// gossipRound has a seat tell others what it knows, now and then.
+// gossipRound schedules the rounds in which a seat sends its records to others.
 func (g *gossip) gossipRound(seat int, after time.Duration) {
 	g.levels.schedule(g.levels.now+after, func() {
 		if g.isRunning(seat) {
@@ -154,7 +154,7 @@
 	}
 }
 
-// sendAll sends all that one knows to another. It may be lost.
+// sendAll sends all records of a node to another. They are lost if a partition separates the two.
 func (g *gossip) sendAll(from, to int) {
 	t := g.levels
 	if t.isCut(from, to) {
@@ -168,7 +168,7 @@
 	})
 }
 
-// merge takes in what another knows.
+// merge updates a node's records by those of another that are newer.
 func (g *gossip) merge(seat int, what []memberRecord) {
 	n := &g.nodes[seat]
 	for o := range what {
@@ -176,7 +176,7 @@
 		if o == seat {
 			if r.known && r.member.Incarnation == previous.member.Incarnation && r.state == memberDead && r.version >= previous.version &&
 				previous.state == memberAlive {
-				previous.version = r.version + 1 // not so
+				previous.version = r.version + 1 // refutes its death
 			}
 			continue
 		}
@@ -186,28 +186,28 @@
 	}
 }
 
-// update has a seat take up a rumor, and tells its process.
-func (g *gossip) update(seat, of int, memberRecord memberRecord) {
+// update changes a record of a seat, and notifies its process.
+func (g *gossip) update(seat, of int, record memberRecord) {
 	n := &g.nodes[seat]
 	previous := n.records[of]
-	n.records[of] = memberRecord
+	n.records[of] = record
 	var event membership.Event
-	switch memberRecord.state {
+	switch record.state {
 	case memberAlive:
 		n.suspectedSince[of] = 0
-		if previous.known && previous.state == memberAlive && previous.member == memberRecord.member {
+		if previous.known && previous.state == memberAlive && previous.member == record.member {
 			return
 		}
-		event = membership.MemberJoined{Member: memberRecord.member}
+		event = membership.MemberJoined{Member: record.member}
 	case memberLeft:
-		event = membership.MemberLeft{Name: memberRecord.member.Name, Incarnation: memberRecord.member.Incarnation}
+		event = membership.MemberLeft{Name: record.member.Name, Incarnation: record.member.Incarnation}
 	case memberDead:
-		event = membership.MemberDied{Name: memberRecord.member.Name, Incarnation: memberRecord.member.Incarnation}
+		event = membership.MemberDied{Name: record.member.Name, Incarnation: record.member.Incarnation}
 	}
 	g.levels.deliver(seat, levelMessage{kind: memberEvent, event: event})
 }
 
-// probeRound has a seat ask one of the others, and all that it suspects, whether they are there.
+// probeRound schedules the rounds in which a seat probes one random member and all that it suspects.
 func (g *gossip) probeRound(seat int, after time.Duration) {
 	g.levels.schedule(g.levels.now+after, func() {
 		if g.isRunning(seat) {
@@ -245,7 +245,7 @@
 	}
 }
 
-// isReachable tells whether a process answers, straight or through some others.
+// isReachable reports whether a process answers a probe, directly or through others.
 func (g *gossip) isReachable(seat, to int, others []int) bool {
 	answers := func(from int) bool {
 		return g.isRunning(to) && g.nodes[to].records[to].member.Incarnation == g.nodes[seat].records[to].member.Incarnation &&
--- a/internal/testbed/simulation/level_counts.go
+++ b/internal/testbed/simulation/level_counts.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/control/planner"
 )
 
-// LevelCounts count what forwarders and planners did over a run, over all their processes.
+// LevelCounts counts what forwarders and planners did in a run, over all their processes.
 type LevelCounts struct {
 	Requests         int // that came to forwarders
 	Reoffered        int // offers to a planner of requests that had come before
@@ -58,7 +58,7 @@
 	x.Malformed += y.InvalidMessages
 }
 
-// Sum adds another run's figures.
+// Sum adds another run's counts.
 func (x *LevelCounts) Sum(y *LevelCounts) {
 	a, b := reflect.ValueOf(x).Elem(), reflect.ValueOf(y).Elem()
 	for i := range a.NumField() {
--- a/internal/testbed/simulation/levels.go
+++ b/internal/testbed/simulation/levels.go
@@ -12,10 +12,10 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// levelNetwork is what lies between forwarders and planners: connections that carry bytes in order, and gossip. It stands
-// beside the environment, which knows of neither, and plays what the scenario does to them: cuts, and connections that
-// break. Whoever takes part is a seat, numbered as the environment numbers schedulers; planners come after these. Each seat
-// draws from a stream of its own.
+// levelNetwork models the network between forwarders and planners: streams that carry bytes in order, and gossip. It also
+// applies the scenario's partitions and connection breaks to them. The environment knows nothing of it. A process takes
+// part under the number of its seat: forwarders have their numbers as schedulers, planners follow. Each seat has a
+// random generator of its own.
 type levelNetwork struct {
 	spec        *scenario.Scenario
 	now         time.Duration
@@ -24,49 +24,49 @@
 	events      actionQueue
 	eventCount  uint64
 	streamCount uint64
-	streams     [][]*stream // by seat: what it has an end of
+	streams     [][]*stream // by seat: those that it has an end of
 	partitions  []*levelPartition
 	sigma       float64 // log-normal spread of delays
 	gossip      gossip
-	reached     []int // seats that something has reached since the last look
+	reached     []int // seats that got a message since the last call of runDue
 	freeBuffers [][]byte
 }
 
-// levelNode is a process, or the place of one, as others meet it. What reaches one that is frozen waits there.
+// levelNode is a seat as the network sees it. Messages to a frozen process wait in its node.
 type levelNode interface {
-	// status tells whether a process runs there, and which one, and whether it is frozen.
-	status() (sprout int, runs, frozen bool)
+	// status returns the incarnation of the process, and whether it runs and is frozen.
+	status() (incarnation int, runs, frozen bool)
 	deliver(n levelMessage)
-	endProcess() // of the process; the run is over
+	endProcess() // at the end of the run
 }
 
-// levelMessage is something that reaches a seat's process.
+// levelMessage is an event of a stream or of gossip for a seat's process.
 type levelMessage struct {
 	kind     levelMessageKind
 	stream   *stream
 	bytes    []byte
-	timedOut bool // Lost: for want of any sign of life
+	timedOut bool // of streamLost: nothing was heard for streamTimeout
 	event    membership.Event
-	takenAt  time.Duration // when it is taken in; kept by the seat
+	takenAt  time.Duration // when the node processes it
 }
 
 type levelMessageKind uint8
 
 const (
-	streamAccepted  levelMessageKind = iota // somebody has connected
-	streamConnected                         // who was dialed has taken it
-	streamRefused                           // or has not
+	streamAccepted  levelMessageKind = iota // another seat has connected
+	streamConnected                         // the dialed seat has accepted
+	streamRefused                           // it has not
 	streamData
 	streamLost
 	memberEvent
 )
 
 const (
-	dialTimeout   = 250 * time.Millisecond // a connection comes up within this or not at all
-	streamTimeout = 5 * time.Second        // what was sent arrives within this, or the connection is given up
+	dialTimeout   = 250 * time.Millisecond // of a dial that gets no answer
+	streamTimeout = 5 * time.Second        // of data that a partition holds up
 )
 
-// stream is a connection between two seats. The first has dialed.
+// stream is a connection between two seats. The first one has dialed.
 type stream struct {
 	id         uint64
 	seats      [2]int
@@ -74,11 +74,11 @@
 	directions [2]streamDirection // by the end that sends
 }
 
-// streamDirection is one direction of a wire.
+// streamDirection is one direction of a stream.
 type streamDirection struct {
 	queue       []segment
-	lastArrival time.Duration // when the last of it arrives
-	stalled     bool          // by a cut
+	lastArrival time.Duration // of the last queued segment
+	stalled     bool          // by a partition
 	stallCount  uint64        // counts stalls
 }
 
@@ -88,7 +88,7 @@
 	bytes     []byte
 }
 
-// levelPartition is a fault that keeps seats apart.
+// levelPartition is a network fault that separates seats.
 type levelPartition struct {
 	a, b   []bool // by seat
 	oneWay bool
@@ -118,20 +118,20 @@
 	return t
 }
 
-// planPartition puts a cut on the event queue.
+// planPartition schedules the start and the end of a partition.
 func (t *levelNetwork) planPartition(f *scenario.Fault) {
-	levelPartition := &levelPartition{oneWay: f.Kind == "planner_cut_one_way"}
-	levelPartition.a, levelPartition.b = t.sideOf(f, f.Between), t.sideOf(f, f.And)
-	if f.Between == f.And { // those named are cut off from the others
-		for i := range levelPartition.b {
-			levelPartition.b[i] = t.isPlanner(i) == (f.Between == "planners") && (!levelPartition.a[i] || !t.isNarrowed(f))
+	partition := &levelPartition{oneWay: f.Kind == "planner_cut_one_way"}
+	partition.a, partition.b = t.sideOf(f, f.Between), t.sideOf(f, f.And)
+	if f.Between == f.And { // the targets are separated from the others
+		for i := range partition.b {
+			partition.b[i] = t.isPlanner(i) == (f.Between == "planners") && (!partition.a[i] || !t.isNarrowed(f))
 		}
 	}
-	t.partitions = append(t.partitions, levelPartition)
-	t.schedule(f.At.Std(), func() { levelPartition.active = true })
+	t.partitions = append(t.partitions, partition)
+	t.schedule(f.At.Std(), func() { partition.active = true })
 	if f.Duration > 0 {
 		t.schedule((f.At + f.Duration).Std(), func() {
-			levelPartition.active = false
+			partition.active = false
 			t.resumeStalled()
 		})
 	}
@@ -144,7 +144,7 @@
 	return len(f.Target.Schedulers) > 0
 }
 
-// sideOf is the seats at one side of a cut.
+// sideOf returns, by seat, who is on one side of a partition.
 func (t *levelNetwork) sideOf(f *scenario.Fault, name string) []bool {
 	some, from, only := make([]bool, len(t.seats)), 0, f.Target.Schedulers
 	to := t.spec.Schedulers.Count
@@ -200,7 +200,7 @@
 	heap.Push(&t.events, scheduledAction{max(at, t.now), t.eventCount, do})
 }
 
-// nextAt is when something is due.
+// nextAt returns the time of the first scheduled action, or never.
 func (t *levelNetwork) nextAt() time.Duration {
 	if len(t.events) == 0 {
 		return never
@@ -208,7 +208,7 @@
 	return t.events[0].at
 }
 
-// runDue has all happen that is due, and gives the seats that something has reached.
+// runDue runs all actions that are due, and returns the seats that got a message.
 func (t *levelNetwork) runDue(now time.Duration) []int {
 	t.now = now
 	t.reached = t.reached[:0]
@@ -218,7 +218,7 @@
 	return t.reached
 }
 
-// delay draws how long the way from seat to seat takes.
+// delay draws the network delay from seat to seat.
 func (t *levelNetwork) delay(from, to int) time.Duration {
 	mean := t.spec.Network.Delay.Std()
 	if t.spec.ZoneOf(from) != t.spec.ZoneOf(to) {
@@ -230,9 +230,9 @@
 	return mean
 }
 
-// ---- Wires ----
+// ---- Streams ----
 
-// dial has a seat connect to another. It hears of what comes of it: wireUp or wireNone.
+// dial connects a seat to another. The seat then gets streamConnected or streamRefused.
 func (t *levelNetwork) dial(from, target int) *stream {
 	t.streamCount++
 	stream := &stream{id: t.streamCount, seats: [2]int{from, target}}
@@ -270,7 +270,7 @@
 	return stream
 }
 
-// send writes to a wire from one of its ends. It keeps the bytes until they have arrived.
+// send writes to a stream from one of its ends. It owns the bytes until they have arrived.
 func (t *levelNetwork) send(w *stream, end int, bytes []byte) {
 	if w.open[end] {
 		t.enqueue(w, end, segment{kind: streamData, bytes: bytes})
@@ -286,41 +286,41 @@
 	}
 }
 
-// deliverNext brings the first of what is on its way, unless there is a cut.
+// deliverNext delivers the first queued segment, or stalls the direction if a partition separates the ends.
 func (t *levelNetwork) deliverNext(stream *stream, end int) {
-	streamDirection := &stream.directions[end]
+	direction := &stream.directions[end]
 	from, receiver := stream.seats[end], stream.seats[1-end]
-	if len(streamDirection.queue) == 0 || streamDirection.stalled {
+	if len(direction.queue) == 0 || direction.stalled {
 		return
 	}
 	if t.isCut(from, receiver) {
-		streamDirection.stalled = true
-		streamDirection.stallCount++
-		begun := streamDirection.stallCount
+		direction.stalled = true
+		direction.stallCount++
+		begun := direction.stallCount
 		t.schedule(t.now+streamTimeout, func() {
-			if streamDirection.stalled && streamDirection.stallCount == begun && stream.open[end] {
+			if direction.stalled && direction.stallCount == begun && stream.open[end] {
 				t.notifyLost(stream, end, true)
 				t.enqueue(stream, end, segment{kind: streamLost})
 			}
 		})
 		return
 	}
-	segment := streamDirection.queue[0]
-	if streamDirection.queue = streamDirection.queue[1:]; len(streamDirection.queue) > 0 {
-		t.schedule(streamDirection.queue[0].arrivesAt, func() { t.deliverNext(stream, end) })
+	next := direction.queue[0]
+	if direction.queue = direction.queue[1:]; len(direction.queue) > 0 {
+		t.schedule(direction.queue[0].arrivesAt, func() { t.deliverNext(stream, end) })
 	} else {
-		streamDirection.queue = nil
+		direction.queue = nil
 	}
 	switch {
-	case !stream.open[1-end]: // nobody is there any more
-	case segment.kind == streamLost:
+	case !stream.open[1-end]: // the receiver has closed
+	case next.kind == streamLost:
 		t.notifyLost(stream, 1-end, false)
 	default:
-		t.deliver(receiver, levelMessage{kind: segment.kind, stream: stream, bytes: segment.bytes})
+		t.deliver(receiver, levelMessage{kind: next.kind, stream: stream, bytes: next.bytes})
 	}
 }
 
-// resumeStalled has what was held up by a cut go on.
+// resumeStalled continues the directions that no partition stalls any more.
 func (t *levelNetwork) resumeStalled() {
 	for seat := range t.streams {
 		for _, stream := range t.streams[seat] {
@@ -341,7 +341,7 @@
 	}
 }
 
-// closeStream closes a wire from one of its ends.
+// closeStream closes a stream from one of its ends.
 func (t *levelNetwork) closeStream(w *stream, end int) {
 	if w.open[end] {
 		t.removeStream(w, end)
@@ -349,7 +349,7 @@
 	}
 }
 
-// notifyLost has an end hear that its wire is no more.
+// notifyLost tells an end that its stream is lost.
 func (t *levelNetwork) notifyLost(w *stream, end int, silent bool) {
 	if w.open[end] {
 		t.removeStream(w, end)
@@ -368,7 +368,7 @@
 	}
 }
 
-// breakStream has both ends hear that it is no more.
+// breakStream tells both ends that their stream is lost.
 func (t *levelNetwork) breakStream(w *stream) {
 	if w.open[0] && w.open[1] {
 		t.notifyLost(w, 0, false)
@@ -376,14 +376,14 @@
 	}
 }
 
-// breakStreams breaks all wires of a seat.
+// breakStreams breaks all streams of a seat.
 func (t *levelNetwork) breakStreams(seat int) {
 	for _, w := range append([]*stream(nil), t.streams[seat]...) {
 		t.breakStream(w)
 	}
 }
 
-// processEnded is the end of a seat's process: all its wires are reset.
+// processEnded closes all streams of a seat whose process has ended.
 func (t *levelNetwork) processEnded(seat int) {
 	for _, w := range append([]*stream(nil), t.streams[seat]...) {
 		end := 0
@@ -399,7 +399,7 @@
 	t.reached = append(t.reached, seat)
 }
 
-// peerOf is who is at the other end of a seat's wire, and which end is the seat's.
+// peerOf returns the seat at the other end of a seat's stream, and which end is the seat's own.
 func (w *stream) peerOf(seat int) (other, end int) {
 	if w.seats[0] == seat {
 		return w.seats[1], 0
@@ -407,7 +407,7 @@
 	return w.seats[0], 1
 }
 
-// buffer is an empty one, for what is to be sent.
+// buffer returns an empty buffer for data to send.
 func (t *levelNetwork) buffer() []byte {
 	if last := len(t.freeBuffers) - 1; last >= 0 {
 		b := t.freeBuffers[last]
@@ -417,7 +417,7 @@
 	return nil
 }
 
-// recycle takes a buffer back whose bytes were taken in.
+// recycle takes back a buffer whose bytes were read.
 func (t *levelNetwork) recycle(b []byte) {
 	if cap(b) > 0 && cap(b) <= 64<<10 && len(t.freeBuffers) < 256 {
 		t.freeBuffers = append(t.freeBuffers, b)
--- a/internal/testbed/simulation/levels_random_test.go
+++ b/internal/testbed/simulation/levels_random_test.go
@@ -21,8 +21,8 @@
 
 const msSpan = scenario.Duration(time.Millisecond)
 
-// drawLevels draws a short day of any number of forwarders and planners, and what goes wrong on it: with planners and
-// the network among them in the first place, and with all else besides.
+// drawLevels draws a short scenario with any number of forwarders and planners, and its faults: most of planners and the
+// network, some of everything else.
 func drawLevels(rng *rand.Rand) *scenario.Scenario {
 	s := scenario.Default()
 	span := func(from, to int) scenario.Duration { return scenario.Duration(from+rng.IntN(to-from)) * msSpan }
@@ -69,7 +69,7 @@
 	return s
 }
 
-// drawTarget draws whom a fault concerns.
+// drawTarget draws the targets of a fault.
 func drawTarget(rng *rand.Rand, s *scenario.Scenario, f *scenario.Fault) {
 	switch scenario.FaultKinds[f.Kind] {
 	case "planner":
@@ -113,7 +113,7 @@
 	}
 }
 
-// judged plays, and gives what the checker says and the answers by status.
+// judged runs a scenario, and returns its outcome and the checker's verdict.
 func judged(t *testing.T, spec *scenario.Scenario, seed uint64, opt Options) (*Outcome, checker.Verdict) {
 	t.Helper()
 	j := checker.New(spec, checker.Options{})
@@ -126,8 +126,8 @@
 	return got, j.Verdict()
 }
 
-// Whatever goes wrong among forwarders and planners, no rule is broken and each request has its one answer.
-func TestRandomLevels(t *testing.T) {
+// TestRandomRunsWithPlanners checks that no rule is broken, and each request gets one response, under random faults.
+func TestRandomRunsWithPlanners(t *testing.T) {
 	var next atomic.Int64
 	var all sync.WaitGroup
 	var lock sync.Mutex
--- a/internal/testbed/simulation/levels_test.go
+++ b/internal/testbed/simulation/levels_test.go
@@ -12,7 +12,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// busyLevels has something of most of what may go wrong among forwarders and planners.
+// busyLevels is a scenario with most kinds of faults of forwarders and planners.
 const busyLevels = `
 length = "8s"
 drivers = ["virtual"]
@@ -34,8 +34,8 @@
   { what = "restart", at = "3s", for = "500ms", on.share = 0.3 },
 ]`
 
-// With planners, too, the same scenario and seed are the same bytes, whatever the machine does besides.
-func TestSameLevels(t *testing.T) {
+// TestRunWithPlannersIsDeterministic checks that a run with planners, too, is determined by scenario and seed.
+func TestRunWithPlannersIsDeterministic(t *testing.T) {
 	spec := parse(t, busyLevels)
 	play := func(seed uint64) uint64 {
 		got, err := Run(spec, seed, Options{Digest: true})
@@ -62,14 +62,14 @@
 	runtime.GOMAXPROCS(old)
 }
 
-// spoiler is a fault that is seeded in a planner: what it says besides an order to send, or in place of it.
-type spoiler struct {
+// commandFault is a fault that is seeded in a planner: it sends other commands besides, or in place of, a command to send.
+type commandFault struct {
 	stopped []message.RejectReason // for any of these reasons
-	say     func(d *spoiled, o planner.SendToForwarder, dst []planner.Action) []planner.Action
+	say     func(d *commandHistory, o planner.SendToForwarder, dst []planner.Action) []planner.Action
 }
 
-// spoiled is what a spoiler knows of a run.
-type spoiled struct {
+// commandHistory is what a commandFault knows of a run.
+type commandHistory struct {
 	drained uint64                    // a worker that drains, by all lists
 	last    []planner.SendToForwarder // orders to send, a while ago
 	n       int
@@ -85,45 +85,45 @@
 	return command, ok
 }
 
-// again is an order to send that was changed.
+// again returns a changed copy of a command to send.
 func again(o planner.SendToForwarder, change func(m *message.SendCommand)) planner.SendToForwarder {
 	o.Envelope = o.Envelope.Clone()
 	change(o.Envelope.Message.(*message.SendCommand))
 	return o
 }
 
-// insteadOf is another message in the place of an order to send.
+// insteadOf returns another message in place of a command to send.
 func insteadOf(o planner.SendToForwarder, m message.Message) planner.SendToForwarder {
 	o.Envelope.Message = m
 	return o
 }
 
-var spoilers = map[string]spoiler{
-	"each order twice": {[]message.RejectReason{message.ReasonDuplicateCommand}, func(_ *spoiled, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
+var commandFaults = map[string]commandFault{
+	"each order twice": {[]message.RejectReason{message.ReasonDuplicateCommand}, func(_ *commandHistory, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
 		return append(dst, o, o)
 	}},
 	"a copy at the same worker node": {
 		[]message.RejectReason{message.ReasonDuplicateAtWorker},
-		func(_ *spoiled, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
+		func(_ *commandHistory, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
 			return append(dst, o, again(o, func(m *message.SendCommand) { m.Attempt++ }))
 		},
 	},
 	"to a worker node that drains": {
 		[]message.RejectReason{message.ReasonWorkerDraining, message.ReasonUnknownWorker},
-		func(d *spoiled, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
+		func(d *commandHistory, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
 			if d.drained > 0 {
 				o = again(o, func(m *message.SendCommand) { m.WorkerID = d.drained })
 			}
 			return append(dst, o)
 		},
 	},
-	"of an old epoch": {[]message.RejectReason{message.ReasonStaleEpoch}, func(_ *spoiled, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
+	"of an old epoch": {[]message.RejectReason{message.ReasonStaleEpoch}, func(_ *commandHistory, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
 		old := o
 		old.Envelope.Epoch--
 		return append(dst, old, o)
 	}},
 	// A second order for whatever was sent a while ago: it is out, may have run, or is over.
-	"for what may have run": {[]message.RejectReason{message.ReasonPossiblyExecuted, message.ReasonOutsideScope}, func(d *spoiled, o planner.SendToForwarder,
+	"for what may have run": {[]message.RejectReason{message.ReasonPossiblyExecuted, message.ReasonOutsideScope}, func(d *commandHistory, o planner.SendToForwarder,
 		dst []planner.Action,
 	) []planner.Action {
 		if len(d.last) > 6 {
@@ -139,7 +139,7 @@
 	}},
 	"a refusal of what may have run": {
 		[]message.RejectReason{message.ReasonUnsafeRejection},
-		func(d *spoiled, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
+		func(d *commandHistory, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
 			if dst = append(dst, o); d.n%5 == 0 {
 				dst = append(dst, insteadOf(o, &message.RejectCommand{RequestID: o.Envelope.Message.(*message.SendCommand).RequestID}))
 			}
@@ -148,15 +148,15 @@
 	},
 	"of another forwarder's query": {
 		[]message.RejectReason{message.ReasonUnknownRequest},
-		func(_ *spoiled, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
+		func(_ *commandHistory, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
 			return append(dst, again(o, func(m *message.SendCommand) { m.RequestID += 1 << 20 }), o)
 		},
 	},
 }
 
 // alter replaces the commands to send a request by what say makes of them.
-func (d *spoiled) alter(
-	outs []planner.Action, say func(*spoiled, planner.SendToForwarder, []planner.Action) []planner.Action,
+func (d *commandHistory) alter(
+	outs []planner.Action, say func(*commandHistory, planner.SendToForwarder, []planner.Action) []planner.Action,
 ) (dst []planner.Action) {
 	for _, o := range outs {
 		if command, ok := sendCommand(o); ok {
@@ -169,9 +169,9 @@
 	return dst
 }
 
-// Whatever a planner orders, its forwarders' guards let nothing through that breaks a rule.
-func TestSpoiledPlanners(t *testing.T) {
-	for name, s := range spoilers {
+// TestForwardersRejectInvalidCommands checks that forwarders reject commands that would break a rule.
+func TestForwardersRejectInvalidCommands(t *testing.T) {
+	for name, s := range commandFaults {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			spec := parse(t, `
@@ -182,7 +182,7 @@
 planners = { count = 2 }
 load = { of = 0.5 }
 fault = [{ what = "drain", at = "1s", on.names = ["w-3"] }, { what = "crash", at = "3s", for = "1s", on.share = 0.2 }]`)
-			d := &spoiled{}
+			d := &commandHistory{}
 			watch := func(x *trace.Event) {
 				if x.Kind == trace.DrainNotified && x.Worker == 3 {
 					d.drained = endpointNumber("w-3")
@@ -208,21 +208,21 @@
 	}
 }
 
-// poisoned is a module that panics at some requests, whichever planner has it.
-type poisoned struct{ planner.Policy }
+// poisonedPolicy is a policy that panics at some requests, in any planner.
+type poisonedPolicy struct{ planner.Policy }
 
-// So few that no planner comes to the six panics in 10 s at which it lets all its heads go, none given back.
-func poisonous(j dispatch.Job) bool { return j.Class == 0 && j.Hint%37 == 0 && j.Hint > 0 }
+// isPoison selects so few requests that no planner reaches six panics in 10 s, at which it would drop all its requests.
+func isPoison(j dispatch.Job) bool { return j.Class == 0 && j.Hint%37 == 0 && j.Hint > 0 }
 
-func (m poisoned) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+func (m poisonedPolicy) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	for _, e := range events {
 		switch e := e.(type) {
 		case dispatch.Job:
-			if poisonous(e) {
+			if isPoison(e) {
 				panic("poisonous")
 			}
 		case dispatch.JobResumed:
-			if poisonous(e.Job) {
+			if isPoison(e.Job) {
 				panic("poisonous")
 			}
 		}
@@ -230,8 +230,8 @@
 	return m.Policy.Step(now, events, dst)
 }
 
-// Requests at which every planner's module panics cost each planner that has them a module, and no other request
-// anything: they are given up after the second, and never come to a third.
+// TestPoisonRequests checks that a request at which every planner's policy panics costs two planners their policy, never a
+// third one, and that no other request is affected.
 func TestPoisonRequests(t *testing.T) {
 	spec := parse(t, `
 length = "6s"
@@ -243,7 +243,7 @@
 clients = { retries = 0 }`)
 	failed, served := 0, 0
 	got, verdict := judged(t, spec, 2, Options{
-		WrapPlanner: func(_ int, m planner.Policy) planner.Policy { return poisoned{m} },
+		WrapPlanner: func(_ int, m planner.Policy) planner.Policy { return poisonedPolicy{m} },
 		Observers: []trace.Observer{func(x *trace.Event) {
 			switch {
 			case x.Kind == trace.ResponseReceived && x.Status == 200:
@@ -263,8 +263,8 @@
 	}
 }
 
-// Planners are what is in service, or nothing.
-func TestLevelsTakeNoBaselinePolicy(t *testing.T) {
+// TestPlannersRejectBaselinePolicy checks that a scenario with planners does not run with a baseline policy.
+func TestPlannersRejectBaselinePolicy(t *testing.T) {
 	if _, err := Run(parse(t, busyLevels), 1, Options{Model: policy("random")}); err == nil {
 		t.Error("a planner with a baseline policy")
 	}
--- a/internal/testbed/simulation/planner.go
+++ b/internal/testbed/simulation/planner.go
@@ -20,11 +20,11 @@
 
 func plannerName(n int) string { return "p" + strconv.Itoa(n+1) }
 
-// maxMessagesPerIteration is how many things that have reached a planner it may take in in one turn.
+// maxMessagesPerIteration bounds the inputs that a planner processes in one iteration.
 const maxMessagesPerIteration = 16
 
-// plannerNode is one planner, over all of its processes: an edge.Scheduler to the environment, whom no client and no worker
-// node comes to.
+// plannerNode is one planner over all of its processes. To the environment it is a simapi.Scheduler that no client and no
+// worker connects to.
 type plannerNode struct {
 	number      int // as the environment counts it
 	name        string
@@ -38,18 +38,18 @@
 	incarnation int
 	process     *plannerProcess // nil: none runs
 	frozen      bool
-	delay       time.Duration // so late it is with everything
+	delay       time.Duration // added to the time of everything that it does
 	pending     []plannerInput
-	lastTakenAt time.Duration // when the last of these is taken in
+	lastTakenAt time.Duration // of the last pending input
 	outputs     []simapi.Output
 	counts      *LevelCounts
 }
 
-// plannerInput is something that has reached it.
+// plannerInput is an input of the environment, or a message of the network.
 type plannerInput struct {
 	levelMessage
 	input           simapi.Input
-	fromEnvironment bool // it is the environment's
+	fromEnvironment bool // input is set, not levelMessage
 }
 
 func newPlannerNode(spec *scenario.Scenario, n int, opt *Options, t *levelNetwork, f *LevelCounts) (*plannerNode, error) {
@@ -61,7 +61,7 @@
 	}, err
 }
 
-func (s *plannerNode) status() (sprout int, runs, frozen bool) {
+func (s *plannerNode) status() (incarnation int, runs, frozen bool) {
 	return s.incarnation, s.process != nil, s.frozen
 }
 
@@ -77,7 +77,7 @@
 	s.pending = append(s.pending, n)
 }
 
-// Step is one turn of the process's loop.
+// Step runs one iteration of the process at the time now, since the start of the run. It appends the outputs to dst.
 func (s *plannerNode) Step(now time.Duration, ins []simapi.Input, dst []simapi.Output) []simapi.Output {
 	s.now, s.outputs = max(now, s.now), dst
 	for i := range ins {
@@ -91,7 +91,7 @@
 	return dst
 }
 
-// Next tells when the process wants a turn at the latest.
+// Next returns the latest time of the next iteration; ok is false if no process runs or it is frozen.
 func (s *plannerNode) Next() (at time.Duration, ok bool) {
 	if s.process == nil || s.frozen {
 		return 0, false
@@ -146,15 +146,15 @@
 	now           time.Duration
 	planner       *planner.Planner
 	members       *membership.PlannerMembership
-	listTable     *requests.Table // for its words of the endpoint list alone
+	listTable     *requests.Table // holds no requests: it only reads the endpoint list
 	listUpdates   []dispatch.WorkerList
-	watchWanted   bool // the book wants the watch
+	watchWanted   bool // the planner wants to watch the endpoint list
 	timer         time.Duration
 	discovery     int
 	watching      bool
 	watchDeadline time.Duration // when the watch counts as lost; 0: never
 	sessions      map[planner.SessionID]*plannerPeerConn
-	conns         []*plannerPeerConn // map order decides nothing
+	conns         []*plannerPeerConn // the sessions in order, as a map has none
 	wantedPeers   []string           // peers to be connected to
 	redialAt      []time.Duration
 	backoff       []time.Duration
@@ -165,40 +165,40 @@
 	exited        bool
 }
 
-// plannerPeerConn is a connection of a forwarder, or one with another planner.
+// plannerPeerConn is a connection with a forwarder or another planner.
 type plannerPeerConn struct {
 	stream    *stream
 	end       int
 	seat      int
-	peer      string // empty: a forwarder's
+	peer      string // name of the other planner; empty: a forwarder
 	connected bool
 	writer    codec.Writer
 	reader    *codec.Reader
 }
 
-func newPlannerProcess(plannerNode *plannerNode, boot *simapi.StartOptions) *plannerProcess {
-	plannerProcess := &plannerProcess{
-		node: plannerNode, now: plannerNode.epoch + plannerNode.now, discovery: boot.Discovery, sessions: map[planner.SessionID]*plannerPeerConn{},
-		redialAt: make([]time.Duration, plannerNode.spec.Planners.Count), backoff: make([]time.Duration, plannerNode.spec.Planners.Count),
+func newPlannerProcess(node *plannerNode, boot *simapi.StartOptions) *plannerProcess {
+	proc := &plannerProcess{
+		node: node, now: node.epoch + node.now, discovery: boot.Discovery, sessions: map[planner.SessionID]*plannerPeerConn{},
+		redialAt: make([]time.Duration, node.spec.Planners.Count), backoff: make([]time.Duration, node.spec.Planners.Count),
 	}
-	member := membership.Member{Name: plannerNode.name, Role: membership.RolePlanner, Incarnation: uint64(plannerProcess.now), Addr: plannerNode.name}
-	plannerProcess.members = membership.NewPlannerMembership(member, membership.Config{})
-	plannerProcess.listTable = requests.New(1, plannerNode.settings.Names, func() requests.Policy { return plannerProcess }, boot.KnownEndpoints, plannerProcess, slog.New(slog.DiscardHandler))
+	member := membership.Member{Name: node.name, Role: membership.RolePlanner, Incarnation: uint64(proc.now), Addr: node.name}
+	proc.members = membership.NewPlannerMembership(member, membership.Config{})
+	proc.listTable = requests.New(1, node.settings.Names, func() requests.Policy { return proc }, boot.KnownEndpoints, proc, slog.New(slog.DiscardHandler))
 	seed := boot.Seed
-	plannerProcess.planner = planner.New(planner.Config{
-		Name: plannerNode.name, Incarnation: uint64(plannerProcess.now), Version: codec.Version,
-		Settings: plannerNode.settings.Settings, NewPolicy: func() planner.Policy {
+	proc.planner = planner.New(planner.Config{
+		Name: node.name, Incarnation: uint64(proc.now), Version: codec.Version,
+		Settings: node.settings.Settings, NewPolicy: func() planner.Policy {
 			seed++
-			var m planner.Policy = dispatch.New(plannerNode.settings.Settings, seed)
-			if plannerNode.options.WrapPlanner != nil {
-				m = plannerNode.options.WrapPlanner(plannerNode.number-plannerNode.spec.Schedulers.Count, m)
+			var policy planner.Policy = dispatch.New(node.settings.Settings, seed)
+			if node.options.WrapPlanner != nil {
+				policy = node.options.WrapPlanner(node.number-node.spec.Schedulers.Count, policy)
 			}
-			return m
+			return policy
 		},
 	})
-	plannerNode.levels.gossip.join(plannerNode.number, member)
-	plannerProcess.timer = plannerProcess.now
-	return plannerProcess
+	node.levels.gossip.join(node.number, member)
+	proc.timer = proc.now
+	return proc
 }
 
 // runIteration processes what has arrived and is due, steps the planner, and writes its messages.
@@ -290,7 +290,7 @@
 	p.node.levels.send(conn.stream, conn.end, conn.writer.Take(p.node.levels.buffer()))
 }
 
-// nextAt is when a turn is due at the latest, apart from what has come.
+// nextAt returns the time of the next iteration, pending inputs apart.
 func (p *plannerProcess) nextAt() time.Duration {
 	next := never
 	soon := func(t time.Duration) {
@@ -314,7 +314,7 @@
 	return next
 }
 
-// ---- What comes in ----
+// ---- Inputs ----
 
 func (p *plannerProcess) handleInput(n *plannerInput) {
 	if n.fromEnvironment {
@@ -381,7 +381,7 @@
 	}
 }
 
-// register takes a connection into the books.
+// register adds a connection.
 func (p *plannerProcess) register(k *plannerPeerConn) {
 	p.sessions[planner.SessionID(k.stream.id)] = k
 	p.conns = append(p.conns, k)
@@ -390,7 +390,7 @@
 	}
 }
 
-// connUp tells that a connection is up. Of two with one peer the newer one counts.
+// connUp notifies the planner of a new connection. It closes an older one with the same peer.
 func (p *plannerProcess) connUp(conn *plannerPeerConn) {
 	if conn.peer == "" {
 		p.inputs = append(p.inputs, planner.SessionOpened{Session: planner.SessionID(conn.stream.id)})
@@ -406,30 +406,30 @@
 	p.events = append(p.events, membership.PlannerConnected{Name: conn.peer})
 }
 
-// unregister takes a connection out of the books.
-func (p *plannerProcess) unregister(plannerPeerConn *plannerPeerConn, silent bool) {
-	delete(p.sessions, planner.SessionID(plannerPeerConn.stream.id))
+// unregister removes a connection, notifies the planner, and plans to redial a peer that this planner dials.
+func (p *plannerProcess) unregister(conn *plannerPeerConn, silent bool) {
+	delete(p.sessions, planner.SessionID(conn.stream.id))
 	for i, o := range p.conns {
-		if o == plannerPeerConn {
+		if o == conn {
 			p.conns = append(p.conns[:i], p.conns[i+1:]...)
 			break
 		}
 	}
 	switch {
-	case plannerPeerConn.peer == "":
-		p.inputs = append(p.inputs, planner.SessionClosed{Session: planner.SessionID(plannerPeerConn.stream.id)})
-	case plannerPeerConn.connected:
-		p.inputs = append(p.inputs, planner.PeerDisconnected{Peer: plannerPeerConn.peer})
-		p.events = append(p.events, membership.PlannerDisconnected{Name: plannerPeerConn.peer, Silent: silent})
-	}
-	plannerPeerConn.connected = false
-	if i := plannerPeerConn.seat - p.node.spec.Schedulers.Count; plannerPeerConn.peer != "" && plannerPeerConn.seat > p.node.number {
+	case conn.peer == "":
+		p.inputs = append(p.inputs, planner.SessionClosed{Session: planner.SessionID(conn.stream.id)})
+	case conn.connected:
+		p.inputs = append(p.inputs, planner.PeerDisconnected{Peer: conn.peer})
+		p.events = append(p.events, membership.PlannerDisconnected{Name: conn.peer, Silent: silent})
+	}
+	conn.connected = false
+	if i := conn.seat - p.node.spec.Schedulers.Count; conn.peer != "" && conn.seat > p.node.number {
 		p.backoff[i] = min(max(2*p.backoff[i], minRedialDelay), maxRedialDelay)
 		p.redialAt[i] = p.now + p.backoff[i]/2 + time.Duration(p.node.levels.rngs[p.node.number].Int64N(int64(p.backoff[i])))
 	}
 }
 
-// connect dials another planner. The one that is counted first does.
+// connect dials another planner if it is wanted. Of two planners the one with the lower number dials.
 func (p *plannerProcess) connect(i int) {
 	seat := p.node.spec.Schedulers.Count + i
 	name := plannerName(i)
@@ -445,7 +445,7 @@
 	}
 }
 
-// handleEnvironment takes what the environment does.
+// handleEnvironment processes an input of the environment.
 func (p *plannerProcess) handleEnvironment(input *simapi.Input) {
 	switch input.Kind {
 	case simapi.ListReceived:
@@ -476,9 +476,9 @@
 	}
 }
 
-// ---- The endpoint list: a ledger of no requests reads it, as in a scheduler ----
+// ---- The endpoint list: a request table without requests reads it ----
 
-// Step is the ledger's module: it takes its lists.
+// Step implements the policy of the request table: it collects the endpoint lists.
 func (p *plannerProcess) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	for _, e := range events {
 		if l, ok := e.(dispatch.WorkerList); ok {
@@ -506,22 +506,22 @@
 	}
 }
 
-// Watch follows the endpoint list.
+// Watch subscribes to the changes of the endpoint list after a revision; 0: beginning with a snapshot.
 func (p *plannerProcess) Watch(after int64) {
 	p.watching, p.watchDeadline = true, p.now+readyCheckTimeout
 	p.node.emit(simapi.Output{Kind: simapi.WatchRequested, RetryAfter: time.Duration(after)})
 }
 
-// Start and the others are for requests, of which there are none.
+// Start and the methods below do nothing, as the table has no requests.
 func (p *plannerProcess) Start(*requests.Attempt)     {}
 func (p *plannerProcess) Abandon(*requests.Attempt)   {}
 func (p *plannerProcess) Cancel(*requests.Attempt)    {}
 func (p *plannerProcess) CheckHealth(uint64)          {}
 func (p *plannerProcess) CloseIdleConnections(uint64) {}
 
-// ---- What is to be done ----
+// ---- Actions ----
 
-// updateMembers takes in who is there, and which workers.
+// updateMembers steps the membership with its events, and carries out its actions.
 func (p *plannerProcess) updateMembers() {
 	actions := p.members.Step(p.now, p.events, p.actions[:0])
 	clear(p.events)
@@ -595,7 +595,7 @@
 	p.unregister(conn, false)
 }
 
-// send writes a message. What can't be written is left out, as it would be in a real process.
+// send encodes a message. One that cannot be encoded is counted and dropped, as in a real process.
 func (s *plannerNode) send(w *codec.Writer, envelope message.Envelope) {
 	if w.Add(envelope) != nil {
 		s.counts.Unwritten++
--- a/internal/testbed/simulation/process.go
+++ b/internal/testbed/simulation/process.go
@@ -11,7 +11,8 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// The figures of internal/server's stop, and of internal/link's descriptors, memory and patience with discovery.
+// Constants of the real process: the shutdown of internal/server, and the descriptors, memory and discovery timeouts of
+// internal/link.
 const (
 	stopTimeout         = 3 * time.Second
 	stopMargin          = 700 * time.Millisecond
@@ -20,13 +21,13 @@
 	finalFlushTime      = 150 * time.Millisecond
 
 	ownDescriptors    = 24
-	fullRetryAfter    = time.Second // when to come back to a scheduler that holds all the requests it can
+	fullRetryAfter    = time.Second // Retry-After of a scheduler at its request limit
 	readyCheckTimeout = 500 * time.Millisecond
-	firstLineTimeout  = 4 * time.Second // a call to discovery may wait its turn for a while
+	firstLineTimeout  = 4 * time.Second // a call to discovery may be queued
 	nextLineTimeout   = 3 * time.Second // discovery writes one every 2 s
 )
 
-// process is one process of a scheduler, from its start to its end. Its clock is Unix time, as a real one's is.
+// process is one process of a scheduler, from its start to its end. Its clock is Unix time.
 type process struct {
 	scheduler       *Scheduler
 	now             time.Duration
@@ -34,55 +35,55 @@
 	workerConns     *workerConns
 	timers          deadline.Queue[*timer]
 	clients         map[simapi.Conn]*clientConn
-	idleClients     clientConn // of the ring of client links without a request, the one idle longest first
-	maxClients      int        // client links held at once
-	maxRequests     int        // and requests, which is fewer
-	bodyBudget      int        // bytes of requests' bodies
+	idleClients     clientConn // head of the ring of idle client connections, the longest idle first
+	maxClients      int        // limit of client connections
+	maxRequests     int        // limit of open requests, which is lower
+	bodyBudget      int        // limit of the bytes of request bodies
 	discovery       int
 	watching        bool
 	watchTimer      timer
 	ready           bool // /up answers 200
 	listChanged     bool // the endpoint list may have changed
 	draining        bool
-	rejectsRequests bool              // takes no request any more
-	finished        bool              // there is nothing more to stay for
+	rejectsRequests bool              // new requests are rejected
+	finished        bool              // the process exits once no request is open
 	forwarder       *forwarderProcess // nil: there are no planners
-	newRequestIDs   []string          // the calls of the requests taken since the last step, by their numbers from first on
+	newRequestIDs   []string          // of the requests admitted since the last step, the first of which is firstRequest
 	firstRequest    uint64
 }
 
 func newProcess(scheduler *Scheduler, boot *simapi.StartOptions) *process {
-	process := &process{scheduler: scheduler, now: scheduler.epoch + scheduler.now, clients: map[simapi.Conn]*clientConn{}, discovery: boot.Discovery, listChanged: true}
-	process.idleClients.prev, process.idleClients.next = &process.idleClients, &process.idleClients
-	process.watchTimer.act = process.watchLost
+	proc := &process{scheduler: scheduler, now: scheduler.epoch + scheduler.now, clients: map[simapi.Conn]*clientConn{}, discovery: boot.Discovery, listChanged: true}
+	proc.idleClients.prev, proc.idleClients.next = &proc.idleClients, &proc.idleClients
+	proc.watchTimer.act = proc.watchLost
 	sch := &scheduler.spec.Schedulers
 	most := sch.Sockets - ownDescriptors
 	servers := max(8, most/6)
-	process.maxClients, process.bodyBudget = most-servers, sch.MemoryMB<<20/6
-	process.maxRequests = process.maxClients - max(8, process.maxClients/10)
-	process.workerConns = newWorkerConns(process, servers, scheduler.settings.ConnectTimeout, scheduler.settings.ConnIdleTimeout)
+	proc.maxClients, proc.bodyBudget = most-servers, sch.MemoryMB<<20/6
+	proc.maxRequests = proc.maxClients - max(8, proc.maxClients/10)
+	proc.workerConns = newWorkerConns(proc, servers, scheduler.settings.ConnectTimeout, scheduler.settings.ConnIdleTimeout)
 	seed := boot.Seed
 	module := func() requests.Policy {
-		if process.forwarder != nil {
-			return process.forwarder.newPolicy()
+		if proc.forwarder != nil {
+			return proc.forwarder.newPolicy()
 		}
 		seed++
 		if scheduler.model.Module == nil {
 			return dispatch.New(scheduler.settings.Settings, seed)
 		}
-		return scheduler.model.Module(scheduler.settings.Settings, seed, process)
+		return scheduler.model.Module(scheduler.settings.Settings, seed, proc)
 	}
 	if scheduler.levels != nil {
-		process.forwarder = newForwarder(process, boot.Name, seed)
+		proc.forwarder = newForwarder(proc, boot.Name, seed)
 	}
-	process.requests = requests.New(scheduler.settings.AttemptLimit, scheduler.settings.Names, module, boot.KnownEndpoints, process.workerConns, scheduler.model.logger(scheduler.number))
-	if process.forwarder != nil {
-		process.forwarder.join()
+	proc.requests = requests.New(scheduler.settings.AttemptLimit, scheduler.settings.Names, module, boot.KnownEndpoints, proc.workerConns, scheduler.model.logger(scheduler.number))
+	if proc.forwarder != nil {
+		proc.forwarder.join()
 	}
-	return process
+	return proc
 }
 
-// handleInput is one thing that has come in.
+// handleInput processes an input of the environment.
 func (p *process) handleInput(input *simapi.Input) {
 	switch input.Kind {
 	case simapi.RequestReceived:
@@ -144,7 +145,7 @@
 	p.watch(0)
 }
 
-// runIteration is what ends each turn of the loop: timers, one step of the ledger, and whether there is more to stay for.
+// runIteration runs due timers and one step of the request table, and reports whether the process has exited.
 func (p *process) runIteration() (exited bool) {
 	if p.forwarder != nil {
 		p.forwarder.beforeStep(p.scheduler.pendingMessages)
@@ -177,7 +178,7 @@
 	return false
 }
 
-// nextAt is when a turn is due at the latest.
+// nextAt returns the latest time of the next iteration.
 func (p *process) nextAt() (at time.Duration, ok bool) {
 	at, ok = p.requests.NextStep()
 	if p.timers.Len() > 0 && (!ok || p.timers.First().At < at) {
@@ -225,14 +226,14 @@
 
 // ---- Discovery ----
 
-// watch asks for the watch, and leaves the one before.
+// watch subscribes to the endpoint list, and replaces the watch before.
 func (p *process) watch(after int64) {
 	p.watching = true
 	p.expectWatch(readyCheckTimeout)
 	p.emit(simapi.Output{Kind: simapi.WatchRequested, RetryAfter: time.Duration(after)})
 }
 
-// expectWatch gives up the watch if nothing is heard of it for so long.
+// expectWatch sets the time within which the watch has to send something.
 func (p *process) expectWatch(within time.Duration) {
 	p.stop(&p.watchTimer)
 	p.start(&p.watchTimer, within)
@@ -248,7 +249,7 @@
 
 // ---- Stopping ----
 
-// drain serves on for as long as there is time to, and sees to it that nothing is left unanswered.
+// drain goes on serving until shortly before the process would be killed, and then answers every open request.
 func (p *process) drain() {
 	p.draining, p.listChanged = true, true
 	killed := stopMargin
@@ -264,7 +265,7 @@
 	p.after(killed, func() { p.finished = true })
 }
 
-// close takes no request any more, and ends the client links between requests.
+// close rejects new requests, and closes idle client connections.
 func (p *process) close() {
 	p.rejectsRequests = true
 	for p.idleClients.next != &p.idleClients {
@@ -274,27 +275,27 @@
 
 // ---- Clients ----
 
-// clientConn is a client's connection: the responder of the request in flight on it.
+// clientConn is a client's connection, and the responder of the request in flight on it.
 type clientConn struct {
 	process    *process
 	conn       simapi.Conn
-	request    *requests.Request // in hand
+	request    *requests.Request // in flight; nil: none
 	requestID  string
-	prev, next *clientConn // among the idle
+	prev, next *clientConn // in the ring of idle connections
 }
 
 func (p *process) requestReceived(input *simapi.Input) {
 	conn := p.clients[input.Conn]
 	switch {
 	case conn == nil:
-		// Requests are fewer than links, so where links run out there is an idle one to make room.
+		// Fewer requests than connections are allowed, so at the limit there is an idle connection to close.
 		if len(p.clients) >= p.maxClients && p.idleClients.next != &p.idleClients {
 			p.idleClients.next.close()
 		}
 		conn = &clientConn{process: p, conn: input.Conn}
 		p.clients[input.Conn] = conn
 	case conn.prev == nil:
-		panic("virtual: connection " + strconv.FormatUint(uint64(input.Conn), 16) + " asks again before its answer")
+		panic("simulation: connection " + strconv.FormatUint(uint64(input.Conn), 16) + " asks again before its answer")
 	default:
 		conn.removeIdle()
 	}
@@ -327,18 +328,18 @@
 	p.newRequestIDs = append(p.newRequestIDs, clientRequest.RequestID)
 }
 
-// zeroBody is every body: the ledger counts its bytes, and nobody reads it.
+// zeroBody backs every request body: only its length counts.
 var zeroBody [64 << 10]byte
 
-// RespondResult hands on what a worker made.
+// RespondResult responds with a worker's result.
 func (k *clientConn) RespondResult(result []byte) { k.respond(200, 0, string(result)) }
 
-// RespondRejected refuses; the client may come back.
+// RespondRejected rejects the request; the client may retry after the given time.
 func (k *clientConn) RespondRejected(after time.Duration) {
 	k.respond(503, after.Round(time.Millisecond), "")
 }
 
-// RespondFailed promises nothing.
+// RespondFailed responds that the request has failed, possibly after it was executed.
 func (k *clientConn) RespondFailed() { k.respond(500, 0, "") }
 
 func (k *clientConn) respond(status int, after time.Duration, result string) {
@@ -375,21 +376,21 @@
 	}
 }
 
-// ---- What a baseline policy may see: process is its Oracle ----
+// ---- The oracle of baseline policies ----
 
-// WorkerIndex is the environment's number of a worker's machine.
+// WorkerIndex returns the environment's number of a worker's machine; ok is false if it is unknown.
 func (p *process) WorkerIndex(worker uint64) (node int, ok bool) {
 	node, machine := NodeOf(p.requests.Endpoint(worker).ID)
 	all := p.scheduler.spec.Fleet.Workers
 	return node + machine*all, node >= 0 && node < all && p.scheduler.model.source != nil
 }
 
-// View shows the true state of a machine.
+// View returns the true state of a machine.
 func (p *process) View(node int) environment.View {
 	return p.scheduler.model.source.View(p.scheduler.number, node)
 }
 
-// Work tells the true work of a request that came in since the last step.
+// Work returns the true work of a request that was admitted since the last step; ok is false for any other.
 func (p *process) Work(job uint64) (work, slots float64, ok bool) {
 	if p.scheduler.model.source == nil || job < p.firstRequest || job-p.firstRequest >= uint64(len(p.newRequestIDs)) {
 		return 0, 0, false
--- a/internal/testbed/simulation/process_test.go
+++ b/internal/testbed/simulation/process_test.go
@@ -12,12 +12,12 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// sendRequest has a client ask on a connection of its own.
+// sendRequest sends a client's request on a connection of its own.
 func (b *harness) sendRequest(n int, budget time.Duration) []simapi.Output {
 	return b.step(simapi.Input{Kind: simapi.RequestReceived, Conn: simapi.Conn(n), Request: &simapi.ClientRequest{RequestID: fmt.Sprint("c", n), Budget: budget}})
 }
 
-// until lets time pass, each turn at its due time, and gathers what comes.
+// until runs every iteration that is due until end, and returns the outputs.
 func (b *harness) until(end time.Duration) (all []simapi.Output) {
 	for {
 		at, ok := b.s.Next()
@@ -30,7 +30,7 @@
 	}
 }
 
-// messagesOf is what came of some kinds, in short.
+// messagesOf returns the outputs of some kinds, in a short form.
 func messagesOf(outs []simapi.Output, kinds ...simapi.OutputKind) (all []string) {
 	for _, o := range outs {
 		if slices.Contains(kinds, o.Kind) {
@@ -56,7 +56,7 @@
 	ms  = time.Millisecond
 )
 
-// The longest deadline counts as 3 s, so SIGKILL is due 3.7 s after SIGTERM.
+// TestDrain checks the steps of a shutdown. The longest deadline counts as 3 s, so SIGKILL is due 3.7 s after SIGTERM.
 func TestDrain(t *testing.T) {
 	b := newHarness(t, nil)
 	expect(t, "start", messagesOf(b.start(), simapi.Ready), line(simapi.Ready, "", 0))
@@ -85,8 +85,8 @@
 	}
 }
 
-// A frozen process takes nothing in and does nothing. What came meanwhile is taken in once it goes on, and what fell
-// due meanwhile is seen then.
+// TestFreeze checks that a frozen process does nothing, and that it processes the inputs and timers of that time once it
+// is resumed.
 func TestFreeze(t *testing.T) {
 	b := newHarness(t, nil)
 	b.start()
@@ -112,7 +112,7 @@
 	}
 }
 
-// What is killed is gone; the next process knows what it is started with, and numbers its connections further.
+// TestKill checks that a killed process loses its state, and that the next one continues the connection numbers.
 func TestKill(t *testing.T) {
 	b := newHarness(t, nil)
 	b.start()
@@ -139,7 +139,7 @@
 	}
 }
 
-// Another discovery is asked for all that it knows; what the old list held goes on until it speaks.
+// TestReload checks that a new discovery is asked for a snapshot, and that the old endpoint list stays until it arrives.
 func TestReload(t *testing.T) {
 	b := newHarness(t, nil)
 	b.start()
@@ -183,7 +183,7 @@
 	}
 }
 
-// Where workers come and go, /up tells whether a request could be sent anywhere.
+// TestReady checks that /up reports whether there is a worker to send a request to.
 func TestReady(t *testing.T) {
 	b := newHarness(t, nil)
 	b.start()
@@ -198,8 +198,8 @@
 	expect(t, "one is back", messagesOf(list("up"), simapi.Ready, simapi.Unready), line(simapi.Ready, "", 0))
 }
 
-// One request too many is refused at once, with advice; a connection too many has the one make room that has been idle
-// longest.
+// TestLimits checks that a request over the limit is rejected at once, with a Retry-After, and that a connection over the
+// limit closes the one that has been idle longest.
 func TestLimits(t *testing.T) {
 	b := newHarness(t, func(spec *scenario.Scenario) { spec.Schedulers.Sockets = 24 + 48 }) // 40 client links, 32 requests
 	b.start()
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -18,96 +18,96 @@
 // StartTime is the Unix time at which every run starts: 2026-01-01.
 const StartTime = 1767225600 * time.Second
 
-// LingerTime is how long a run goes on once every job is settled: what workers have been given shows by then.
+// LingerTime is how long a run continues after every job is settled, for workers to finish their attempts.
 const LingerTime = 2 * time.Second
 
-// maxRounds is how often one instant may pass between world and schedulers. What needs more goes round in circles.
+// maxRounds bounds the rounds of environment and schedulers at one instant. A run that needs more is in a loop.
 const maxRounds = 100_000
 
-// Options are what a run is played with.
+// Options configure a run.
 type Options struct {
 	Model
-	Wrap      func(s simapi.Scheduler) simapi.Scheduler // puts something before each scheduler; nil: nothing
-	Observers []trace.Observer                          // told what was seen, each in turn
-	Until     time.Duration                             // the run ends here at the latest; 0: at its length and settling time
-	// Trace is told all that crossed the border, nil: nobody is; nothing of it may be kept.
+	Wrap      func(s simapi.Scheduler) simapi.Scheduler // wraps each scheduler; may be nil
+	Observers []trace.Observer                          // called with every event, in this order
+	Until     time.Duration                             // latest end of the run; 0: its length and settling time
+	// Trace is called with the inputs and outputs of each round, and must not retain them; may be nil.
 	Trace  func(now time.Duration, ins []simapi.Input, outs []simapi.Output)
-	Digest bool // sum up all that crossed the border
-	// AlterPlanner is what a planner says instead of what it decided; nil: that. It may change the list that it is given.
+	Digest bool // compute the digest of all inputs and outputs
+	// AlterPlanner replaces the actions of a planner, and may change the slice that it is given; may be nil.
 	AlterPlanner func(planner int, outs []planner.Action) []planner.Action
-	// WrapPlanner puts something before a module of a planner; nil: nothing.
+	// WrapPlanner wraps each policy of a planner; may be nil.
 	WrapPlanner func(planner int, m planner.Policy) planner.Policy
 }
 
-// Outcome counts what a run came to.
+// Outcome is the result of a run.
 type Outcome struct {
 	End        time.Duration // when it ended
 	Finished   bool          // every job is settled
 	Steps      uint64        // of the environment
 	Iterations uint64        // of schedulers
 	Requests   uint64        // requests that reached a scheduler
-	Responses  uint64        // and answers that left one
+	Responses  uint64        // responses that left one
 	Attempts   uint64        // sent to workers
-	Digest     uint64        // of all that crossed the border, if it was asked for
-	Levels     LevelCounts   // where there are planners
+	Digest     uint64        // of all inputs and outputs, if Options.Digest is set
+	Levels     LevelCounts   // if the scenario has planners
 }
 
-// Run plays a checked scenario to its end. An error says that it could not be played.
+// Run runs a checked scenario to its end. An error means that the scenario could not be run, or loops.
 func Run(spec *scenario.Scenario, seed uint64, opt Options) (*Outcome, error) {
-	runner := runner{options: &opt, outcome: &Outcome{}}
+	sim := runner{options: &opt, outcome: &Outcome{}}
 	shown := *spec
-	shown.Misbehaving = nil // see Unseen
-	runner.environment = environment.New(&shown, seed, StartTime, combineObservers(opt.Observers))
+	shown.Misbehaving = nil // see Unsupported
+	sim.environment = environment.New(&shown, seed, StartTime, combineObservers(opt.Observers))
 	if spec.Planners.Count > 0 {
 		if opt.Module != nil {
 			return nil, errors.New("where there are planners, the module is the one that is in service")
 		}
-		runner.levels = newLevelNetwork(spec, seed)
+		sim.levels = newLevelNetwork(spec, seed)
 	}
 	for n := range spec.Schedulers.Count {
-		s, err := NewScheduler(spec, n, StartTime, opt.Model, runner.environment)
+		s, err := NewScheduler(spec, n, StartTime, opt.Model, sim.environment)
 		if err != nil {
 			return nil, err
 		}
-		if runner.levels != nil {
-			s.levels, s.counts, runner.levels.seats[n] = runner.levels, &runner.outcome.Levels, s
+		if sim.levels != nil {
+			s.levels, s.counts, sim.levels.seats[n] = sim.levels, &sim.outcome.Levels, s
 		}
 		var side simapi.Scheduler = s
 		if opt.Wrap != nil {
 			side = opt.Wrap(side)
 		}
-		runner.schedulers = append(runner.schedulers, side)
+		sim.schedulers = append(sim.schedulers, side)
 	}
 	for n := range spec.Planners.Count {
 		n += spec.Schedulers.Count
-		s, err := newPlannerNode(spec, n, runner.options, runner.levels, &runner.outcome.Levels)
+		s, err := newPlannerNode(spec, n, sim.options, sim.levels, &sim.outcome.Levels)
 		if err != nil {
 			return nil, err
 		}
-		runner.levels.seats[n], runner.schedulers = s, append(runner.schedulers, s)
+		sim.levels.seats[n], sim.schedulers = s, append(sim.schedulers, s)
 	}
-	runner.nextAt, runner.inputs = make([]time.Duration, len(runner.schedulers)), make([][]simapi.Input, len(runner.schedulers))
-	for n := range runner.nextAt {
-		runner.nextAt[n] = never
+	sim.nextAt, sim.inputs = make([]time.Duration, len(sim.schedulers)), make([][]simapi.Input, len(sim.schedulers))
+	for n := range sim.nextAt {
+		sim.nextAt[n] = never
 	}
 	if opt.Digest {
-		runner.digest = xxhash.New()
+		sim.digest = xxhash.New()
 	}
 	end := spec.Length.Std() + spec.Settle.Std()
 	if opt.Until > 0 {
 		end = min(end, opt.Until)
 	}
-	runner.earliestNext = never
-	err := runner.run(end)
-	if runner.levels != nil {
-		for _, s := range runner.levels.seats {
+	sim.earliestNext = never
+	err := sim.run(end)
+	if sim.levels != nil {
+		for _, s := range sim.levels.seats {
 			s.endProcess()
 		}
 	}
-	if runner.digest != nil {
-		runner.outcome.Digest = runner.digest.Sum64()
+	if sim.digest != nil {
+		sim.outcome.Digest = sim.digest.Sum64()
 	}
-	return runner.outcome, err
+	return sim.outcome, err
 }
 
 func combineObservers(all []trace.Observer) trace.Observer {
@@ -132,18 +132,18 @@
 	environment  *environment.Environment
 	levels       *levelNetwork // nil: there are no planners
 	schedulers   []simapi.Scheduler
-	nextAt       []time.Duration  // by scheduler: when it wants a turn
+	nextAt       []time.Duration  // by scheduler: when its next iteration is due
 	earliestNext time.Duration    // the first of these
 	inputs       [][]simapi.Input // by scheduler, of this round
-	reached      []int            // schedulers that something has reached in this round
+	reached      []int            // schedulers to step in this round
 	delivered    []simapi.Input
 	outputs      []simapi.Output
 	digest       *xxhash.Digest
 	text         []byte
 }
 
-// run has the two sides take turns. What passes takes no time; at each instant it passes to and fro until nothing
-// is left of it.
+// run steps the environment and the schedulers in rounds. Passing inputs and outputs takes no simulated time: an instant
+// has as many rounds as it takes until none are left.
 func (p *runner) run(end time.Duration) error {
 	now, rounds, ended := time.Duration(0), 0, never
 	for {
@@ -166,7 +166,7 @@
 	}
 }
 
-// earliest is when something will happen next.
+// earliest returns the time of the next round.
 func (p *runner) earliest() time.Duration {
 	if len(p.outputs) > 0 {
 		return 0
@@ -181,7 +181,7 @@
 	return min(first, p.earliestNext)
 }
 
-// runRound is one turn of the environment, and of each scheduler that something has reached or that is due.
+// runRound steps the environment, and each scheduler that has inputs or is due.
 func (p *runner) runRound(now time.Duration) {
 	p.delivered = p.environment.Step(now, p.outputs, p.delivered[:0])
 	p.outcome.Steps++
@@ -255,7 +255,7 @@
 	}
 }
 
-// stepScheduler is a scheduler's.
+// stepScheduler runs one iteration of a scheduler.
 func (p *runner) stepScheduler(now time.Duration, n int) {
 	p.outcome.Iterations++
 	p.outputs = p.schedulers[n].Step(now, p.inputs[n], p.outputs)
--- a/internal/testbed/simulation/run_test.go
+++ b/internal/testbed/simulation/run_test.go
@@ -14,7 +14,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// busyDay has something of most parts of the environment go wrong.
+// busyDay is a scenario with faults of most parts of the environment.
 const busyDay = `
 length = "8s"
 fleet = { nodes = 14, zones = ["a", "b"] }
@@ -51,8 +51,9 @@
 	return m
 }
 
-// The same scenario and seed are the same bytes, whatever the machine does besides; another seed is another play.
-func TestSamePlay(t *testing.T) {
+// TestRunIsDeterministic checks that a scenario and a seed determine a run byte for byte, whatever else the machine runs, and
+// that another seed gives another run.
+func TestRunIsDeterministic(t *testing.T) {
 	spec := parse(t, busyDay)
 	play := func(seed uint64, name string) uint64 {
 		got, err := Run(spec, seed, Options{Model: policy(name), Digest: true})
@@ -84,8 +85,8 @@
 	}
 }
 
-// What schedulers do shifts nothing of what they are put through: the same jobs fall due, and the same goes wrong.
-func TestSameTrials(t *testing.T) {
+// TestFaultsAreIndependentOfPolicy checks that jobs and faults are the same whatever the schedulers' policy does.
+func TestFaultsAreIndependentOfPolicy(t *testing.T) {
 	spec, want := parse(t, busyDay), ""
 	for _, name := range []string{"logic", "random", "round-robin", "two-choices", "least-outstanding", "all-seeing"} {
 		var b strings.Builder
@@ -111,7 +112,7 @@
 	}
 }
 
-// chatter is a scheduler that says something whenever it is asked, and wants to be asked at once.
+// chatter is a scheduler with an output in every iteration, and another iteration always due.
 type chatter struct{ simapi.Scheduler }
 
 func (c chatter) Step(time.Duration, []simapi.Input, []simapi.Output) []simapi.Output {
@@ -139,9 +140,9 @@
 	}
 }
 
-// BenchmarkPlay tells how many requests are played a second, by workers and module. From 1,000 workers on logic
-// takes milliseconds for a request, so it is given few there.
-func BenchmarkPlay(b *testing.B) {
+// BenchmarkRun measures the requests simulated a second, by number of workers and policy. From 1,000 workers on, the policy
+// in service takes milliseconds for a request, so it gets few there.
+func BenchmarkRun(b *testing.B) {
 	for _, nodes := range []int{10, 100, 1000, 10_000} {
 		for _, name := range []string{"least-outstanding", "logic"} {
 			b.Run(strconv.Itoa(nodes)+"/"+name, func(b *testing.B) {
--- a/internal/testbed/simulation/scheduler.go
+++ b/internal/testbed/simulation/scheduler.go
@@ -1,14 +1,15 @@
-// Package simulation plays a scenario in simulated time: one environment and its schedulers, taking turns on one goroutine and
-// a clock of their own. A scheduler here is the ledger and a module as in the real program, round them a model of
-// what internal/link does with connections and of what internal/server does on signals. The same scenario and seed are
-// the same play, byte for byte, whatever the machine.
+// Package simulation runs a scenario in simulated time. It owns the clock, and steps one environment and its schedulers in
+// turn on one goroutine. A simulated scheduler consists of the request table and the policy of the real program, and of
+// models of its connections (internal/link) and of its reaction to signals (internal/server). A scenario and a seed
+// determine a run byte for byte, on any machine.
 //
-// Where a scenario has planners, schedulers are forwarders: their module is package follow, as in the real program, and
-// planners are package planner's books, each with a module of its own. Between them lies a model of connections, which
-// carry frames (package frame) in order and may be cut or break, and one of the gossip that package membership goes by.
+// If a scenario has planners, its schedulers are forwarders: their policy is package forwarder, and each planner runs
+// package planner with a dispatch policy of its own, as in the real programs. They are connected by a model of streams,
+// which carry the frames of package codec in order and may be cut or broken, and by a model of gossip, which supplies
+// package membership with events.
 //
-// What takes no time here takes little in a real process: parsing, writing, deciding. What this driver can't show
-// (Unseen) is to be left out of its verdicts.
+// Parsing, writing and deciding take no simulated time; in a real process they take little. The package opens no socket,
+// starts no process and reads no wall clock. Unsupported lists what it cannot show of a scenario; verdicts leave that out.
 package simulation
 
 import (
@@ -27,17 +28,17 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// StateSource is the environment as far as baseline policies may see it; *environment.Environment is one.
+// StateSource gives baseline policies the true state of workers and requests. *environment.Environment implements it.
 type StateSource interface {
 	View(sched, place int) environment.View
 	Work(call string) (work, slots float64, ok bool)
 }
 
-// Model says what a scheduler runs.
+// Model selects the policy and the log of each scheduler.
 type Model struct {
-	// Module makes a module that knows nothing; nil: dispatch.New.
+	// Module returns a new policy without any state; nil: dispatch.New.
 	Module func(set dispatch.Settings, seed uint64, o baseline.Oracle) requests.Policy
-	// Log is where scheduler n writes its lines; nil: nowhere.
+	// Log returns the logger of scheduler n; nil: nothing is logged.
 	Log func(n int) *slog.Logger
 
 	source StateSource
@@ -50,7 +51,7 @@
 	return m.Log(n)
 }
 
-// Scheduler is one scheduler, over all of its processes: an edge.Scheduler.
+// Scheduler is one simulated scheduler over all of its processes. It implements simapi.Scheduler.
 type Scheduler struct {
 	number        int
 	spec          *scenario.Scenario
@@ -60,7 +61,7 @@
 	now           time.Duration
 	process       *process // nil: none runs
 	frozen        bool
-	pendingInputs []simapi.Input // at the sockets of a frozen process, and its signals
+	pendingInputs []simapi.Input // inputs and signals that wait while the process is frozen
 	connCount     uint64         // opened so far, by all its processes
 	outputs       []simapi.Output
 
@@ -71,15 +72,15 @@
 	counts          *LevelCounts
 }
 
-// NewScheduler returns scheduler n of a checked scenario, whose play starts at the Unix time epoch. see is what an
-// Oracle answers by; nil: it knows nothing.
+// NewScheduler returns scheduler n of a checked scenario whose run starts at the Unix time epoch. The baseline policies'
+// oracle reads from see; if it is nil, the oracle knows nothing.
 func NewScheduler(spec *scenario.Scenario, n int, epoch time.Duration, model Model, see StateSource) (*Scheduler, error) {
 	set, err := platform.Settings(spec, n)
 	model.source = see
 	return &Scheduler{number: n, spec: spec, settings: set, epoch: epoch, model: model}, err
 }
 
-// Step is one turn of the process's loop.
+// Step runs one iteration of the process at the time now, since the start of the run. It appends the outputs to dst.
 func (s *Scheduler) Step(now time.Duration, ins []simapi.Input, dst []simapi.Output) []simapi.Output {
 	s.now, s.outputs = max(now, s.now), dst
 	if s.process != nil {
@@ -125,7 +126,7 @@
 	}
 }
 
-// endProcess is that of its process.
+// endProcess ends the process, if one runs.
 func (s *Scheduler) endProcess() {
 	if s.process != nil && s.process.forwarder != nil {
 		s.counts.addForwarder(s.process.forwarder)
@@ -134,25 +135,25 @@
 	s.process, s.frozen = nil, false
 }
 
-func (s *Scheduler) status() (sprout int, runs, frozen bool) {
+func (s *Scheduler) status() (incarnation int, runs, frozen bool) {
 	return s.incarnation, s.process != nil, s.frozen
 }
 
-// deliver has something come from a planner, or by gossip.
+// deliver queues a message of a planner or of gossip.
 func (s *Scheduler) deliver(n levelMessage) {
 	if s.process != nil {
 		s.pendingMessages = append(s.pendingMessages, n)
 	}
 }
 
-// send writes a message. What can't be written is left out, as it would be in a real process.
+// send encodes a message. One that cannot be encoded is counted and dropped, as in a real process.
 func (s *Scheduler) send(w *codec.Writer, envelope message.Envelope) {
 	if w.Add(envelope) != nil {
 		s.counts.Unwritten++
 	}
 }
 
-// Next tells when the process wants a turn at the latest.
+// Next returns the latest time of the next iteration; ok is false if no process runs or it is frozen.
 func (s *Scheduler) Next() (at time.Duration, ok bool) {
 	if s.process == nil || s.frozen {
 		return 0, false
--- a/internal/testbed/simulation/transcript.go
+++ b/internal/testbed/simulation/transcript.go
@@ -8,7 +8,7 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// AppendInput writes something that reached a scheduler as a line, each field in it.
+// AppendInput appends a line with all fields of an input to b.
 func AppendInput(b []byte, now time.Duration, input *simapi.Input) []byte {
 	b = appendNumbers(append(b, "in"...), int64(now), int64(input.Kind), int64(input.Scheduler), int64(input.Worker), int64(input.Conn),
 		int64(input.Status), int64(input.Discovery), int64(input.Mode), int64(input.Machine), int64(input.Bytes), int64(input.CallbackID), boolBit(input.Reset),
@@ -43,7 +43,7 @@
 	return append(b, '\n')
 }
 
-// AppendOutput does the same with something that came from one.
+// AppendOutput appends a line with all fields of an output to b.
 func AppendOutput(b []byte, now time.Duration, o *simapi.Output) []byte {
 	b = appendNumbers(append(b, "out"...), int64(now), int64(o.Kind), int64(o.Scheduler), int64(o.Worker), int64(o.Machine), int64(o.Status),
 		int64(o.Conn), int64(o.CallbackID), int64(o.Budget), int64(o.FirstByteAt), int64(o.RetryAfter), boolBit(o.WantsLoadReport))
--- a/internal/testbed/simulation/unsupported.go
+++ b/internal/testbed/simulation/unsupported.go
@@ -6,8 +6,8 @@
 	"valvecove/internal/testbed/scenario"
 )
 
-// Unsupported says what of a scenario a run in simulated time can't show, one sentence each. A verdict leaves that out, and
-// says so.
+// Unsupported lists what a run in simulated time cannot show of a scenario, a sentence each. Verdicts leave that out, and
+// say so.
 func Unsupported(spec *scenario.Scenario) []string {
 	all := []string{
 		"CPU, memory and descriptors of the schedulers' processes are not measured: deciding, reading and writing take" +
@@ -37,7 +37,7 @@
 	return all
 }
 
-// partlySupportedFaults are those that simulated time shows in part.
+// partlySupportedFaults says, by kind, what a run in simulated time leaves out of a fault.
 var partlySupportedFaults = map[string]string{
 	"reset_at": "a query that is reset before its last byte counts as wholly written by the scheduler, as small ones" +
 		" do for a kernel.",
--- a/internal/testbed/simulation/worker_conns.go
+++ b/internal/testbed/simulation/worker_conns.go
@@ -11,22 +11,22 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// The figures of internal/link's server links.
+// Constants of the connections to workers, as in internal/link.
 const (
 	healthCheckTimeout = 500 * time.Millisecond
 	cancelTimeout      = time.Second
-	connGrace          = time.Second // a link outlasts its attempt by so long, in case the answer still comes
+	connGrace          = time.Second // a connection outlasts its attempt by this, for a late response
 	retireInterval     = time.Second
 	minIdleTrust       = 20 * time.Millisecond
 	idleTrustGrowth    = 10 * time.Second
 	maxIdleTrust       = time.Minute // beyond that it is without limit
 
-	reuseDelay       = 10 * time.Millisecond // before a link carries again
-	cancelAttempts   = 4                     // connections are tried for a DELETE
+	reuseDelay       = 10 * time.Millisecond // before a connection carries the next attempt
+	cancelAttempts   = 4                     // limit of connections tried for a DELETE
 	cancelRetryDelay = 50 * time.Millisecond
 )
 
-// What ends links, as causes of faults.
+// Causes for which connections and attempts end.
 var (
 	errRefused      = errors.New("connection refused")
 	errReset        = errors.New("connection reset")
@@ -37,34 +37,34 @@
 	errStatus       = errors.New("status")
 )
 
-// workerConns model the connections to workers as internal/link keeps them: the ledger's Carrier. What takes
-// a socket's time there takes none here, so that a request whose link is up is wholly written at once.
+// workerConns models the connections to workers of internal/link. The request table starts attempts through it. Writing
+// takes no simulated time: a request is written whole as soon as its connection is up.
 type workerConns struct {
 	process      *process
 	endpoints    map[uint64]*endpointConns
-	endpointList []*endpointConns // map order decides nothing
+	endpointList []*endpointConns // the endpoints in order, as a map has none
 	conns        map[simapi.Conn]*workerConn
 	attemptConns map[*requests.Attempt]*workerConn // until the worker has accepted
 	// cancellations are the attempts whose worker is being told, and how many connections were tried for that.
 	cancellations  map[*requests.Attempt]int
 	maxConns       int
-	idleCount      int           // idle links, over all hosts
-	evictFrom      int           // where in order evict looks first
-	dialTimeout    time.Duration // a connection comes up within this or not at all
-	idleTimeout    time.Duration // and is not kept for longer when idle; 0: for ever
-	idleTrust      time.Duration // nor for longer than has lately gone well; 0: as long as may be
-	idleTrustSetAt time.Duration // when that was set
+	idleCount      int           // idle connections, over all endpoints
+	evictFrom      int           // index into endpointList at which evictIdle continues
+	dialTimeout    time.Duration // limit for a connection to come up
+	idleTimeout    time.Duration // limit for a connection to be idle; 0: none
+	idleTrust      time.Duration // idle time that was safe lately; 0: no limit
+	idleTrustSetAt time.Duration // when idleTrust was set
 }
 
-// endpointConns are the links to one worker.
+// endpointConns holds the connections to one worker.
 type endpointConns struct {
 	worker      uint64
 	workerIndex int // the environment's number; -1: unknown
-	machine     int // which one in its place
+	machine     int // counts the machines that replaced one another
 	addr        string
 	startedMs   int64
-	incarnation int           // counts processes: a link to an earlier one is of no use
-	idle        []*workerConn // the last one used last
+	incarnation int           // counts processes: connections to earlier ones are not reused
+	idle        []*workerConn // the most recently used one last
 }
 
 type connState uint8
@@ -72,7 +72,7 @@
 const (
 	connConnecting connState = iota
 	connIdle
-	connAwaiting // an errand is written and its answer awaited
+	connAwaiting // a task is written and its response awaited
 	connClosed
 )
 
@@ -85,7 +85,7 @@
 	taskCancel
 )
 
-// connTask is what a link is used for, one at a time.
+// connTask is what a connection is used for, one at a time.
 type connTask struct {
 	kind    taskKind
 	attempt *requests.Attempt // nil for a probe
@@ -94,20 +94,20 @@
 // workerConn is a connection to a worker.
 type workerConn struct {
 	timer         timer
-	timerSet      bool          // the alarm is set, perhaps for sooner than is due
-	deadline      time.Duration // an answer is waited for; 0: none is
+	timerSet      bool          // the timer is set, perhaps earlier than deadline
+	deadline      time.Duration // for a response; 0: none is awaited
 	conns         *workerConns
 	endpoint      *endpointConns
 	conn          simapi.Conn // 0: never dialled
 	incarnation   int
 	state         connState
 	stage         requests.Stage
-	responseBegun bool // part of an answer has come
-	peerClosed    bool // the other side has ended it
+	responseBegun bool // part of a response was received
+	peerClosed    bool // the worker has closed it
 	task          connTask
-	lastTask      taskKind // what it was used for
+	lastTask      taskKind // kind of the task before
 	idleSince     time.Duration
-	idleFor       time.Duration // how long it had been idle before its errand; 0: it is new
+	idleFor       time.Duration // how long it had been idle before its task; 0: it is new
 }
 
 func newWorkerConns(p *process, most int, dial, idleFor time.Duration) *workerConns {
@@ -119,7 +119,7 @@
 	return s
 }
 
-// endpoint finds the links to a worker, and drops those to a process that has been replaced.
+// endpoint returns the connections to a worker, and closes idle ones to a process that was replaced.
 func (s *workerConns) endpoint(worker uint64) *endpointConns {
 	endpoint, now := s.endpoints[worker], s.process.requests.Endpoint(worker)
 	if endpoint == nil {
@@ -136,8 +136,8 @@
 	return endpoint
 }
 
-// NodeOf is the environment's number of the worker whose id discovery tells, and which machine in its place that is:
-// "w-12" is the first, 0, "w-12.1" the one that took its place. node -1: it is none.
+// NodeOf returns the environment's number of the worker with a discovery id, and the number of its machine: "w-12" is
+// machine 0 of worker 12, "w-12.1" the machine that replaced it. For any other id, node is -1.
 func NodeOf(id string) (node, machine int) {
 	digits, ok := strings.CutPrefix(id, "w-")
 	digits, later, took := strings.Cut(digits, ".")
@@ -151,12 +151,12 @@
 	return node, machine
 }
 
-// ---- What the ledger wants ----
+// ---- Called by the request table ----
 
 // Start starts an attempt.
 func (s *workerConns) Start(a *requests.Attempt) { s.startTask(a.Worker, connTask{taskAttempt, a}) }
 
-// Abandon lets the worker know: before it has accepted by closing the link, after that by a DELETE.
+// Abandon cancels an attempt: before the worker has accepted, it closes the connection; afterwards, it sends a DELETE.
 func (s *workerConns) Abandon(a *requests.Attempt) {
 	if k := s.attemptConns[a]; k != nil {
 		k.closeWith(nil)
@@ -173,7 +173,7 @@
 	}
 }
 
-// cancelEnded takes in how a DELETE ended. What broke is tried again, on another connection.
+// cancelEnded handles the end of a DELETE. If its connection broke, it is retried on another one.
 func (s *workerConns) cancelEnded(attempt *requests.Attempt, fault *requests.AttemptError) {
 	broke := fault != nil && fault.Reason == requests.ReasonConnectionLost
 	wanted := !attempt.HasEnded() || fault != nil && fault.Stage >= requests.StageWritten
@@ -192,12 +192,12 @@
 	})
 }
 
-// CheckHealth asks a worker for a sign of life.
+// CheckHealth sends a worker a health check.
 func (s *workerConns) CheckHealth(worker uint64) {
 	s.startTask(worker, connTask{kind: taskHealthCheck})
 }
 
-// CloseIdleConnections closes the idle links to a worker.
+// CloseIdleConnections closes the idle connections to a worker.
 func (s *workerConns) CloseIdleConnections(worker uint64) {
 	h := s.endpoints[worker]
 	for h != nil && len(h.idle) > 0 {
@@ -205,10 +205,10 @@
 	}
 }
 
-// Watch follows the endpoint list from a generation on.
+// Watch subscribes to the changes of the endpoint list after a revision; 0: beginning with a snapshot.
 func (s *workerConns) Watch(after int64) { s.process.watch(after) }
 
-// retire closes links that have been idle for too long.
+// retire closes connections that have been idle for too long, and slowly raises idleTrust.
 func (s *workerConns) retire() {
 	s.process.after(retireInterval, s.retire)
 	if s.idleTrust > 0 && s.process.now-s.idleTrustSetAt >= idleTrustGrowth {
@@ -231,7 +231,7 @@
 	return s.idleTimeout > 0 && age >= s.idleTimeout || s.idleTrust > 0 && age >= s.idleTrust
 }
 
-// reduceTrust takes in that a link broke which had been idle for so long and then got no answer.
+// reduceTrust lowers idleTrust after a connection broke that had been idle for the given time and got no response.
 func (s *workerConns) reduceTrust(idle time.Duration) {
 	if s.idleTrust == 0 || idle < s.idleTrust {
 		s.idleTrust = max(idle/2, minIdleTrust)
@@ -239,32 +239,32 @@
 	s.idleTrustSetAt = s.process.now
 }
 
-// startTask gives an errand to the link that was used last, or to a new one.
-func (s *workerConns) startTask(worker uint64, connTask connTask) {
-	endpointConns := s.endpoint(worker)
-	for i := len(endpointConns.idle) - 1; i >= 0; i-- {
-		workerConn := endpointConns.idle[i]
-		if s.isStale(workerConn) {
-			workerConn.closeWith(nil)
+// startTask assigns a task to the most recently used idle connection, or to a new one.
+func (s *workerConns) startTask(worker uint64, task connTask) {
+	endpoint := s.endpoint(worker)
+	for i := len(endpoint.idle) - 1; i >= 0; i-- {
+		conn := endpoint.idle[i]
+		if s.isStale(conn) {
+			conn.closeWith(nil)
 			continue
 		}
-		if connTask.kind == taskAttempt && workerConn.lastTask == taskAttempt && s.process.now-workerConn.idleSince < reuseDelay {
+		if task.kind == taskAttempt && conn.lastTask == taskAttempt && s.process.now-conn.idleSince < reuseDelay {
 			continue
 		}
-		endpointConns.idle = append(endpointConns.idle[:i], endpointConns.idle[i+1:]...)
+		endpoint.idle = append(endpoint.idle[:i], endpoint.idle[i+1:]...)
 		s.idleCount--
-		workerConn.idleFor = max(s.process.now-workerConn.idleSince, 1)
-		workerConn.assign(connTask)
-		workerConn.write()
+		conn.idleFor = max(s.process.now-conn.idleSince, 1)
+		conn.assign(task)
+		conn.write()
 		return
 	}
-	k := &workerConn{conns: s, endpoint: endpointConns, incarnation: endpointConns.incarnation, state: connConnecting}
+	k := &workerConn{conns: s, endpoint: endpoint, incarnation: endpoint.incarnation, state: connConnecting}
 	k.timer.act = k.timedOut
-	k.assign(connTask)
+	k.assign(task)
 	k.dial()
 }
 
-// evictIdle closes an idle link of any host.
+// evictIdle closes an idle connection of any endpoint; false: there is none.
 func (s *workerConns) evictIdle() bool {
 	for s.idleCount > 0 {
 		s.evictFrom = (s.evictFrom + 1) % len(s.endpointList)
@@ -276,25 +276,25 @@
 	return false
 }
 
-// ---- One link ----
+// ---- One connection ----
 
 func (k *workerConn) dial() {
-	workerConns := k.conns
+	conns := k.conns
 	switch {
-	case len(workerConns.conns) >= workerConns.maxConns && !workerConns.evictIdle():
+	case len(conns.conns) >= conns.maxConns && !conns.evictIdle():
 		k.closeWith(errNoDescriptor)
 		return
 	case k.endpoint.workerIndex < 0:
 		k.closeWith(errNoAddress)
 		return
 	}
-	k.conn = workerConns.process.newConn()
-	workerConns.conns[k.conn] = k
-	workerConns.process.emit(simapi.Output{Kind: simapi.WorkerDialed, Conn: k.conn, Worker: k.endpoint.workerIndex, Machine: k.endpoint.machine})
-	k.awaitWithin(workerConns.dialTimeout)
+	k.conn = conns.process.newConn()
+	conns.conns[k.conn] = k
+	conns.process.emit(simapi.Output{Kind: simapi.WorkerDialed, Conn: k.conn, Worker: k.endpoint.workerIndex, Machine: k.endpoint.machine})
+	k.awaitWithin(conns.dialTimeout)
 }
 
-// assign gives the link its errand.
+// assign sets the task of the connection.
 func (k *workerConn) assign(e connTask) {
 	k.task, k.lastTask, k.stage, k.responseBegun = e, e.kind, requests.StageNotConnected, false
 	if e.kind == taskAttempt {
@@ -302,8 +302,8 @@
 	}
 }
 
-// awaitWithin gives the other side so long. An alarm that is set for sooner is let be, as most answers come well before, and
-// the next errand's time is later.
+// awaitWithin sets the deadline of a response. A timer that is set for earlier stays, and is set anew when it fires: most
+// responses come well before, so that this saves changes of the timer queue.
 func (k *workerConn) awaitWithin(span time.Duration) {
 	p := k.conns.process
 	if k.deadline = p.now + span; k.timerSet {
@@ -316,7 +316,7 @@
 	p.start(&k.timer, span)
 }
 
-// timedOut is the alarm.
+// timedOut is called by the timer: it closes the connection if its deadline has passed.
 func (k *workerConn) timedOut() {
 	k.timerSet = false
 	switch remaining := k.deadline - k.conns.process.now; {
@@ -328,11 +328,11 @@
 	}
 }
 
-// write sends the errand's request, whole.
+// write writes the request of the task.
 func (k *workerConn) write() {
 	process, attempt := k.conns.process, k.task.attempt
 	if k.task.kind == taskAttempt && attempt.At-process.now < time.Millisecond {
-		k.deadline = 0 // the ledger gives it up in a moment, and the connection ends with it
+		k.deadline = 0 // the request table is about to abandon it, which closes the connection
 		return
 	}
 	k.state = connAwaiting
@@ -376,7 +376,7 @@
 func (k *workerConn) connected() {
 	switch {
 	case k.state != connConnecting:
-	case k.task.kind == taskAttempt && k.task.attempt.HasEnded(), // by a late note of an attempt before
+	case k.task.kind == taskAttempt && k.task.attempt.HasEnded(), // by a late callback of an earlier attempt
 		k.task.kind == taskCancel && k.task.attempt.EndedByWorker():
 		k.closeWith(nil)
 	default:
@@ -398,10 +398,10 @@
 	}
 }
 
-// responseReceived settles the errand by the answer's status. Bytes > 0: it breaks off.
+// responseReceived ends the task by the response's status. If Bytes > 0, the response broke off.
 func (k *workerConn) responseReceived(in *simapi.Input) {
 	switch {
-	case k.state != connAwaiting: // it says something that nobody asked for
+	case k.state != connAwaiting: // an unexpected response
 		k.closeWith(nil)
 		return
 	case in.Bytes > 0:
@@ -410,7 +410,7 @@
 		return
 	}
 	k.finishByStatus(in)
-	if k.state != connAwaiting { // what it ended has ended the link too
+	if k.state != connAwaiting { // the end of the task has closed the connection
 		return
 	}
 	if k.incarnation == k.conns.endpoint(k.endpoint.worker).incarnation {
@@ -451,7 +451,7 @@
 	return requests.ReasonWorkerError
 }
 
-// finishTask ends the errand.
+// finishTask ends the task, and reports its result; fault nil: it succeeded.
 func (k *workerConn) finishTask(fault *requests.AttemptError) {
 	e := k.task
 	k.task = connTask{}
@@ -466,7 +466,7 @@
 	}
 }
 
-// makeIdle puts the link back among the idle.
+// makeIdle makes the connection available for the next task.
 func (k *workerConn) makeIdle() {
 	k.deadline = 0
 	k.state, k.idleSince = connIdle, k.conns.process.now
@@ -474,7 +474,7 @@
 	k.conns.idleCount++
 }
 
-// closeWith closes the link, whatever its state; an errand that it had ends with how far it had come.
+// closeWith closes the connection in any state. Its task, if any, fails with the cause, at the stage that it had reached.
 func (k *workerConn) closeWith(cause error) {
 	if k.state == connClosed {
 		return
@@ -527,7 +527,7 @@
 	return requests.ReasonConnectionLost
 }
 
-// timer calls act once it is due.
+// timer is an entry of a process's timer queue; act is called when it is due.
 type timer struct {
 	deadline.Item
 	act func()
--- a/internal/testbed/simulation/worker_conns_test.go
+++ b/internal/testbed/simulation/worker_conns_test.go
@@ -16,7 +16,7 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// harness is a scheduler whose module is scripted, and what the far side of its connections knows.
+// harness is a scheduler with a scripted policy, and the other side of its connections.
 type harness struct {
 	s         *Scheduler
 	script    *modeltest.ScriptedPolicy
@@ -38,7 +38,8 @@
 	since   time.Duration // when that was answered
 }
 
-// settling holds of an idle link that has just carried a request: a second answer may be on its way, so none is carried yet.
+// settling reports whether an idle connection has just carried a request: it may still get a second response, so it must not
+// carry another one yet.
 func (b *harness) settling(id simapi.Conn) bool {
 	c := b.conns[id]
 	return c.last == simapi.AttemptWritten && b.now-c.since < reuseDelay
@@ -78,7 +79,7 @@
 	return b.step(simapi.Input{Kind: simapi.Start, Start: &simapi.StartOptions{Name: "n0", KnownEndpoints: known}})
 }
 
-// step has things reach the scheduler, and turns it until it wants nothing more at this instant.
+// step passes inputs to the scheduler, and runs its iterations until none is due at this instant.
 func (b *harness) step(ins ...simapi.Input) []simapi.Output {
 	b.outs = b.s.Step(b.now, ins, b.outs[:0])
 	for range 100 {
@@ -93,7 +94,7 @@
 	return b.outs
 }
 
-// act has the module do something.
+// act makes the policy return the actions.
 func (b *harness) act(actions ...dispatch.Action) []simapi.Output {
 	b.script.Next = actions
 	b.s.process.requests.DiscoveryFailed() // something to step for
@@ -106,7 +107,7 @@
 	}
 }
 
-// meet takes in what has come from the scheduler, by what a connection may do.
+// meet processes an output of the scheduler, and checks that its connection allows it.
 func (b *harness) meet(o simapi.Output) {
 	c := b.conns[o.Conn]
 	switch o.Kind {
@@ -170,12 +171,12 @@
 	ended   bool
 }
 
-// Each attempt ends exactly once, as far as it has come and by what has happened to it; a link carries one request
-// at a time, the one used last is used first, and none is used that is not up.
-func FuzzLinks(f *testing.F) { modeltest.Fuzz(f, runLinks) }
+// FuzzWorkerConns checks that each attempt ends exactly once, with a result that fits its stage and what happened to it, and
+// that a connection carries one request at a time, is up, and is the most recently used idle one.
+func FuzzWorkerConns(f *testing.F) { modeltest.Fuzz(f, runWorkerConns) }
 
-// linksRun is one run of random steps, and the attempts of it as the model knows them.
-type linksRun struct {
+// connsRun is one run of random steps, and the attempts of it as the model knows them.
+type connsRun struct {
 	*modeltest.Steps
 	harness   *harness
 	attempts  []*sending // in the order in which they were started
@@ -189,8 +190,8 @@
 // attemptNumber names an attempt as the policy does.
 type attemptNumber struct{ job, attempt uint64 }
 
-func runLinks(steps *modeltest.Steps) {
-	run := &linksRun{
+func runWorkerConns(steps *modeltest.Steps) {
+	run := &connsRun{
 		Steps: steps, byNumber: map[attemptNumber]*sending{}, counts: map[uint64]int{}, deadlines: map[uint64]time.Duration{},
 		harness: newHarness(steps.T, func(spec *scenario.Scenario) {
 			spec.Schedulers.Sockets = 24 + 48 // eight of them for connections to workers
@@ -209,8 +210,8 @@
 	run.checkEnd()
 }
 
-// randomStep draws one thing that happens, and has it happen.
-func (r *linksRun) randomStep() {
+// randomStep draws one input or action, and runs it.
+func (r *connsRun) randomStep() {
 	conn := r.pickConn()
 	node := r.Pick(harnessWorkers)
 	worker := endpointNumber("w-" + strconv.Itoa(node))
@@ -240,7 +241,7 @@
 }
 
 // pickConn draws an open connection; nil: there is none.
-func (r *linksRun) pickConn() *farConn {
+func (r *connsRun) pickConn() *farConn {
 	if len(r.harness.openConns) == 0 {
 		return nil
 	}
@@ -252,7 +253,7 @@
 func (c *farConn) isUp() bool { return c != nil && c.up }
 
 // step has inputs reach the scheduler, and checks what it does.
-func (r *linksRun) step(ins ...simapi.Input) {
+func (r *connsRun) step(ins ...simapi.Input) {
 	b := r.harness
 	b.step(ins...)
 	for i := range b.outs {
@@ -269,15 +270,15 @@
 	r.Check(len(b.conns) <= 8, "%d links are open", len(b.conns))
 }
 
-// act has the policy do something.
-func (r *linksRun) act(actions ...dispatch.Action) {
+// act makes the policy return the actions.
+func (r *connsRun) act(actions ...dispatch.Action) {
 	r.harness.script.Next = actions
 	r.harness.s.process.requests.DiscoveryFailed()
 	r.step()
 }
 
 // checkOutcome checks an outcome that the policy has been told of.
-func (r *linksRun) checkOutcome(o dispatch.Outcome) {
+func (r *connsRun) checkOutcome(o dispatch.Outcome) {
 	a := r.byNumber[attemptNumber{o.Job, uint64(o.Attempt)}]
 	if last := r.byNumber[attemptNumber{o.Job, uint64(r.counts[o.Job] - 1)}]; a.ended && o.Result == dispatch.NotSent && o.Closed {
 		a = last // of a request that has ended and been dropped: that attempt has no number of its own
@@ -296,7 +297,7 @@
 }
 
 // find returns the attempt of a request that is in flight at a worker. Of several it is the first: no other is sent.
-func (r *linksRun) find(call string, node int) *sending {
+func (r *connsRun) find(call string, node int) *sending {
 	for _, a := range r.attempts {
 		if a.call == call && a.node == node && !a.ended {
 			return a
@@ -305,7 +306,7 @@
 	return &sending{may: map[dispatch.Result]bool{}}
 }
 
-func (r *linksRun) sendRequest() {
+func (r *connsRun) sendRequest() {
 	r.calls++
 	budget := time.Duration(1+r.Pick(20)) * 100 * time.Millisecond
 	r.deadlines[uint64(r.calls)] = r.harness.now + budget
@@ -316,7 +317,7 @@
 	r.Record("ask")
 }
 
-func (r *linksRun) startAttempt(node int, worker uint64) {
+func (r *connsRun) startAttempt(node int, worker uint64) {
 	id := uint64(1 + r.Pick(r.calls))
 	timeout := time.Duration(r.Pick(3)) * 150 * time.Millisecond
 	a := &sending{call: strconv.Itoa(int(id)), node: node, may: map[dispatch.Result]bool{dispatch.NotSent: true}}
@@ -331,7 +332,7 @@
 }
 
 // callback has a worker report the state of an attempt that was written to it.
-func (r *linksRun) callback(node int) {
+func (r *connsRun) callback(node int) {
 	states := []string{"started", "done", "failed", "returned", "lost"}
 	state, call, result := states[r.Pick(5)], strconv.Itoa(1+r.Pick(r.calls)), "r"
 	about := r.find(call, node)
@@ -353,7 +354,7 @@
 }
 
 // finishDial has a dialed worker accept or refuse.
-func (r *linksRun) finishDial(conn *farConn) {
+func (r *connsRun) finishDial(conn *farConn) {
 	if r.Pick(4) == 0 {
 		r.harness.forget(conn)
 		r.step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: conn.conn, Worker: conn.node})
@@ -366,7 +367,7 @@
 }
 
 // useConn has a worker respond to what was written, or break the connection.
-func (r *linksRun) useConn(conn *farConn) {
+func (r *connsRun) useConn(conn *farConn) {
 	if conn.pending != nil && r.Pick(4) != 0 {
 		r.respond(conn)
 		return
@@ -378,7 +379,7 @@
 }
 
 // allow notes that the attempt written to a connection may end so.
-func (r *linksRun) allow(conn *farConn, result dispatch.Result) {
+func (r *connsRun) allow(conn *farConn, result dispatch.Result) {
 	if conn.pending != nil && conn.pending.Kind == simapi.AttemptWritten {
 		r.find(conn.pending.RequestID, conn.node).may[result] = true
 	}
@@ -401,7 +402,7 @@
 	{202, false, 9, dispatch.ConnectionReset},
 }
 
-func (r *linksRun) respond(conn *farConn) {
+func (r *connsRun) respond(conn *farConn) {
 	response := workerResponses[r.Pick(len(workerResponses))]
 	r.allow(conn, response.result)
 	if conn.pending = nil; response.bytes > 0 {
@@ -417,7 +418,7 @@
 }
 
 // checkEnd checks that every attempt has ended, and that nothing is left of any connection.
-func (r *linksRun) checkEnd() {
+func (r *connsRun) checkEnd() {
 	for _, a := range r.attempts {
 		r.Check(a.ended, "an attempt of %s at node %d has no outcome", a.call, a.node)
 	}
@@ -428,7 +429,7 @@
 	r.Check(p.timers.Len() == 1, "%d timers are left besides the one that retires links", p.timers.Len()-1)
 }
 
-// What the module is told of an attempt follows from how far it had come, as in the ledger's table.
+// TestResultByStage checks that the result of an attempt that fails follows from the stage that it had reached.
 func TestResultByStage(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -476,8 +477,8 @@
 	}
 }
 
-// Links that break after being idle are trusted for half as long, and trust comes back.
-func TestTrustInIdleLinks(t *testing.T) {
+// TestIdleTrust checks that a connection that breaks after being idle halves the idle time allowed, and that it recovers.
+func TestIdleTrust(t *testing.T) {
 	b := newHarness(t, nil)
 	b.start()
 	probe := func() simapi.Output {
@@ -515,9 +516,9 @@
 	}
 }
 
-// An accepted attempt that is withdrawn ends once its DELETE is written: one whose connection does not come up in time is
-// tried again, and what its worker tells meanwhile counts.
-func TestWithdrawnOnceWritten(t *testing.T) {
+// TestCancelAfterWrite checks that an accepted attempt that is cancelled ends once its DELETE is written: a DELETE whose
+// connection does not come up in time is retried, and callbacks of the worker count until then.
+func TestCancelAfterWrite(t *testing.T) {
 	for name, c := range map[string]struct {
 		far  func(b *harness)
 		want []dispatch.Result
@@ -566,7 +567,7 @@
 	}
 }
 
-// up has the newest connection come up, if it still waits for that.
+// up accepts the newest connection, if it is still connecting.
 func (b *harness) up() {
 	if c := b.openConns[len(b.openConns)-1]; !c.up {
 		c.up = true
@@ -574,7 +575,7 @@
 	}
 }
 
-// answered has a DELETE go out on the newest connection, and be answered.
+// answered expects a DELETE on the newest connection, and responds to it.
 func (b *harness) answered() {
 	b.up()
 	c := b.openConns[len(b.openConns)-1]
