--- a/internal/testbed/simulation/planner.go
+++ b/internal/testbed/simulation/planner.go
@@ -20,11 +20,11 @@
 
 func plannerName(n int) string { return "p" + strconv.Itoa(n+1) }
 
-// maxMessagesPerIteration is how many things that have reached a planner it may take in in one turn.
+// maxMessagesPerIteration bounds the inputs that a planner processes in one iteration.
 const maxMessagesPerIteration = 16
 
-// plannerNode is one planner, over all of its processes: an edge.Scheduler to the environment, whom no client and no worker
-// node comes to.
+// plannerNode is one planner over all of its processes. To the environment it is a simapi.Scheduler that no client and no
+// worker connects to.
 type plannerNode struct {
 	number      int // as the environment counts it
 	name        string
@@ -38,18 +38,18 @@
 	incarnation int
 	process     *plannerProcess // nil: none runs
 	frozen      bool
-	delay       time.Duration // so late it is with everything
+	delay       time.Duration // added to the time of everything that it does
 	pending     []plannerInput
-	lastTakenAt time.Duration // when the last of these is taken in
+	lastTakenAt time.Duration // of the last pending input
 	outputs     []simapi.Output
 	counts      *LevelCounts
 }
 
-// plannerInput is something that has reached it.
+// plannerInput is an input of the environment, or a message of the network.
 type plannerInput struct {
 	levelMessage
 	input           simapi.Input
-	fromEnvironment bool // it is the environment's
+	fromEnvironment bool // input is set, not levelMessage
 }
 
 func newPlannerNode(spec *scenario.Scenario, n int, opt *Options, t *levelNetwork, f *LevelCounts) (*plannerNode, error) {
@@ -61,7 +61,7 @@
 	}, err
 }
 
-func (s *plannerNode) status() (sprout int, runs, frozen bool) {
+func (s *plannerNode) status() (incarnation int, runs, frozen bool) {
 	return s.incarnation, s.process != nil, s.frozen
 }
 
@@ -77,7 +77,7 @@
 	s.pending = append(s.pending, n)
 }
 
-// Step is one turn of the process's loop.
+// Step runs one iteration of the process at the time now, since the start of the run. It appends the outputs to dst.
 func (s *plannerNode) Step(now time.Duration, ins []simapi.Input, dst []simapi.Output) []simapi.Output {
 	s.now, s.outputs = max(now, s.now), dst
 	for i := range ins {
@@ -91,7 +91,7 @@
 	return dst
 }
 
-// Next tells when the process wants a turn at the latest.
+// Next returns the latest time of the next iteration; ok is false if no process runs or it is frozen.
 func (s *plannerNode) Next() (at time.Duration, ok bool) {
 	if s.process == nil || s.frozen {
 		return 0, false
@@ -146,15 +146,15 @@
 	now           time.Duration
 	planner       *planner.Planner
 	members       *membership.PlannerMembership
-	listTable     *requests.Table // for its words of the endpoint list alone
+	listTable     *requests.Table // holds no requests: it only reads the endpoint list
 	listUpdates   []dispatch.WorkerList
-	watchWanted   bool // the book wants the watch
+	watchWanted   bool // the planner wants to watch the endpoint list
 	timer         time.Duration
 	discovery     int
 	watching      bool
 	watchDeadline time.Duration // when the watch counts as lost; 0: never
 	sessions      map[planner.SessionID]*plannerPeerConn
-	conns         []*plannerPeerConn // map order decides nothing
+	conns         []*plannerPeerConn // the sessions in order, as a map has none
 	wantedPeers   []string           // peers to be connected to
 	redialAt      []time.Duration
 	backoff       []time.Duration
@@ -165,101 +165,132 @@
 	exited        bool
 }
 
-// plannerPeerConn is a connection of a forwarder, or one with another planner.
+// plannerPeerConn is a connection with a forwarder or another planner.
 type plannerPeerConn struct {
 	stream    *stream
 	end       int
 	seat      int
-	peer      string // empty: a forwarder's
+	peer      string // name of the other planner; empty: a forwarder
 	connected bool
 	writer    codec.Writer
 	reader    *codec.Reader
 }
 
-func newPlannerProcess(plannerNode *plannerNode, boot *simapi.StartOptions) *plannerProcess {
-	plannerProcess := &plannerProcess{
-		node: plannerNode, now: plannerNode.epoch + plannerNode.now, discovery: boot.Discovery, sessions: map[planner.SessionID]*plannerPeerConn{},
-		redialAt: make([]time.Duration, plannerNode.spec.Planners.Count), backoff: make([]time.Duration, plannerNode.spec.Planners.Count),
+func newPlannerProcess(node *plannerNode, boot *simapi.StartOptions) *plannerProcess {
+	proc := &plannerProcess{
+		node: node, now: node.epoch + node.now, discovery: boot.Discovery, sessions: map[planner.SessionID]*plannerPeerConn{},
+		redialAt: make([]time.Duration, node.spec.Planners.Count), backoff: make([]time.Duration, node.spec.Planners.Count),
 	}
-	member := membership.Member{Name: plannerNode.name, Role: membership.RolePlanner, Incarnation: uint64(plannerProcess.now), Addr: plannerNode.name}
-	plannerProcess.members = membership.NewPlannerMembership(member, membership.Config{})
-	plannerProcess.listTable = requests.New(1, plannerNode.settings.Names, func() requests.Policy { return plannerProcess }, boot.KnownEndpoints, plannerProcess, slog.New(slog.DiscardHandler))
+	member := membership.Member{Name: node.name, Role: membership.RolePlanner, Incarnation: uint64(proc.now), Addr: node.name}
+	proc.members = membership.NewPlannerMembership(member, membership.Config{})
+	proc.listTable = requests.New(1, node.settings.Names, func() requests.Policy { return proc }, boot.KnownEndpoints, proc, slog.New(slog.DiscardHandler))
 	seed := boot.Seed
-	plannerProcess.planner = planner.New(planner.Config{
-		Name: plannerNode.name, Incarnation: uint64(plannerProcess.now), Version: codec.Version,
-		Settings: plannerNode.settings.Settings, NewPolicy: func() planner.Policy {
+	proc.planner = planner.New(planner.Config{
+		Name: node.name, Incarnation: uint64(proc.now), Version: codec.Version,
+		Settings: node.settings.Settings, NewPolicy: func() planner.Policy {
 			seed++
-			var m planner.Policy = dispatch.New(plannerNode.settings.Settings, seed)
-			if plannerNode.options.WrapPlanner != nil {
-				m = plannerNode.options.WrapPlanner(plannerNode.number-plannerNode.spec.Schedulers.Count, m)
+			var policy planner.Policy = dispatch.New(node.settings.Settings, seed)
+			if node.options.WrapPlanner != nil {
+				policy = node.options.WrapPlanner(node.number-node.spec.Schedulers.Count, policy)
 			}
-			return m
+			return policy
 		},
 	})
-	plannerNode.levels.gossip.join(plannerNode.number, member)
-	plannerProcess.timer = plannerProcess.now
-	return plannerProcess
+	node.levels.gossip.join(node.number, member)
+	proc.timer = proc.now
+	return proc
 }
 
-// runIteration takes in what has come and is due, has the book decide, and writes what it says.
+// runIteration processes what has arrived and is due, steps the planner, and writes its messages.
 func (p *plannerProcess) runIteration() (exited bool) {
-	plannerNode := p.node
-	p.now = plannerNode.epoch + plannerNode.now
-	// Of much that waits, as after a freeze, it takes in a part at a time, and decides on that before it reads on.
-	n, most := 0, len(plannerNode.pending)
-	if most > 1 {
-		most = 1 + plannerNode.levels.rngs[plannerNode.number].IntN(maxMessagesPerIteration)
-	}
-	for ; n < min(most, len(plannerNode.pending)) && plannerNode.pending[n].takenAt <= plannerNode.now; n++ {
-		p.handleInput(&plannerNode.pending[n])
-	}
-	remainder := copy(plannerNode.pending, plannerNode.pending[n:])
-	clear(plannerNode.pending[remainder:])
-	plannerNode.pending = plannerNode.pending[:remainder]
+	p.now = p.node.epoch + p.node.now
+	p.takePending()
 	if p.watchDeadline > 0 && p.watchDeadline <= p.now {
 		p.watchLost()
 	}
 	p.applyLists()
-	if at := p.members.Next(); len(p.events) > 0 || at > 0 && at+plannerNode.delay <= p.now {
+	if at := p.members.Next(); len(p.events) > 0 || at > 0 && at+p.node.delay <= p.now {
 		p.updateMembers()
 	}
+	p.redialDue()
+	p.queueListUpdates()
+	p.stepPlanner()
+	p.flushWriters()
+	p.applyLists()
+	return p.exited
+}
+
+// takePending processes the pending inputs. Of many that wait, as after a freeze, it takes a random number only, so that
+// the planner decides before the rest is read.
+func (p *plannerProcess) takePending() {
+	node := p.node
+	taken, limit := 0, len(node.pending)
+	if limit > 1 {
+		limit = 1 + node.levels.rngs[node.number].IntN(maxMessagesPerIteration)
+	}
+	for ; taken < min(limit, len(node.pending)) && node.pending[taken].takenAt <= node.now; taken++ {
+		p.handleInput(&node.pending[taken])
+	}
+	remaining := copy(node.pending, node.pending[taken:])
+	clear(node.pending[remaining:])
+	node.pending = node.pending[:remaining]
+}
+
+// redialDue connects to the peers whose redial time has come.
+func (p *plannerProcess) redialDue() {
 	for i := range p.redialAt {
 		if p.redialAt[i] > 0 && p.redialAt[i] <= p.now {
 			p.redialAt[i] = 0
 			p.connect(i)
 		}
 	}
+}
+
+// queueListUpdates passes new endpoint lists to the planner.
+func (p *plannerProcess) queueListUpdates() {
 	for i := range p.listUpdates {
 		p.inputs = append(p.inputs, planner.EndpointsChanged{Endpoints: p.listUpdates[i]})
 	}
 	clear(p.listUpdates)
 	p.listUpdates = p.listUpdates[:0]
-	if dueAt := p.timer > 0 && p.timer+plannerNode.delay <= p.now; dueAt || len(p.inputs) > 0 {
-		if dueAt {
-			p.timer = 0
-		}
-		outs := p.planner.Step(p.now, p.inputs, p.outputs[:0])
-		if plannerNode.options.AlterPlanner != nil {
-			outs = plannerNode.options.AlterPlanner(plannerNode.number-plannerNode.spec.Schedulers.Count, outs)
-		}
-		clear(p.inputs)
-		p.inputs = p.inputs[:0]
-		for i := range outs {
-			p.carryOut(outs[i])
-		}
-		clear(outs)
-		p.outputs = outs[:0]
+}
+
+// stepPlanner steps the planner if it has inputs or its timer is due, and carries out its actions.
+func (p *plannerProcess) stepPlanner() {
+	timerDue := p.timer > 0 && p.timer+p.node.delay <= p.now
+	if !timerDue && len(p.inputs) == 0 {
+		return
 	}
-	for _, k := range p.conns {
-		if k.connected && k.writer.Len() > 0 {
-			plannerNode.levels.send(k.stream, k.end, k.writer.Take(plannerNode.levels.buffer()))
+	if timerDue {
+		p.timer = 0
+	}
+	outputs := p.planner.Step(p.now, p.inputs, p.outputs[:0])
+	if alter := p.node.options.AlterPlanner; alter != nil {
+		outputs = alter(p.node.number-p.node.spec.Schedulers.Count, outputs)
+	}
+	clear(p.inputs)
+	p.inputs = p.inputs[:0]
+	for i := range outputs {
+		p.carryOut(outputs[i])
+	}
+	clear(outputs)
+	p.outputs = outputs[:0]
+}
+
+// flushWriters sends what was written to the connections.
+func (p *plannerProcess) flushWriters() {
+	for _, conn := range p.conns {
+		if conn.connected && conn.writer.Len() > 0 {
+			p.flush(conn)
 		}
 	}
-	p.applyLists()
-	return p.exited
 }
 
-// nextAt is when a turn is due at the latest, apart from what has come.
+func (p *plannerProcess) flush(conn *plannerPeerConn) {
+	p.node.levels.send(conn.stream, conn.end, conn.writer.Take(p.node.levels.buffer()))
+}
+
+// nextAt returns the time of the next iteration, pending inputs apart.
 func (p *plannerProcess) nextAt() time.Duration {
 	next := never
 	soon := func(t time.Duration) {
@@ -283,7 +314,7 @@
 	return next
 }
 
-// ---- What comes in ----
+// ---- Inputs ----
 
 func (p *plannerProcess) handleInput(n *plannerInput) {
 	if n.fromEnvironment {
@@ -294,49 +325,63 @@
 	case memberEvent:
 		p.events = append(p.events, n.event)
 	case streamAccepted:
-		seat, end := n.stream.peerOf(p.node.number)
-		k := &plannerPeerConn{stream: n.stream, end: end, seat: seat, connected: true, reader: codec.NewReader(0)}
-		if p.node.levels.isPlanner(seat) {
-			k.peer = plannerName(seat - p.node.spec.Schedulers.Count)
-		}
-		p.register(k)
+		p.accept(n.stream)
 	case streamConnected:
-		if k := p.sessions[planner.SessionID(n.stream.id)]; k != nil {
-			k.connected = true
-			p.backoff[k.seat-p.node.spec.Schedulers.Count] = 0
-			p.connUp(k)
+		if conn := p.session(n.stream); conn != nil {
+			conn.connected = true
+			p.backoff[conn.seat-p.node.spec.Schedulers.Count] = 0
+			p.connUp(conn)
 		}
 	case streamRefused, streamLost:
-		if k := p.sessions[planner.SessionID(n.stream.id)]; k != nil {
-			p.unregister(k, n.timedOut)
+		if conn := p.session(n.stream); conn != nil {
+			p.unregister(conn, n.timedOut)
 		}
 	case streamData:
-		plannerPeerConn := p.sessions[planner.SessionID(n.stream.id)]
-		if plannerPeerConn == nil || !plannerPeerConn.connected {
+		if conn := p.session(n.stream); conn != nil && conn.connected {
+			p.dataReceived(conn, n.bytes)
+		}
+	}
+}
+
+// session returns the connection of a stream, or nil.
+func (p *plannerProcess) session(stream *stream) *plannerPeerConn {
+	return p.sessions[planner.SessionID(stream.id)]
+}
+
+// accept registers a connection that a forwarder or another planner has dialed.
+func (p *plannerProcess) accept(stream *stream) {
+	seat, end := stream.peerOf(p.node.number)
+	conn := &plannerPeerConn{stream: stream, end: end, seat: seat, connected: true, reader: codec.NewReader(0)}
+	if p.node.levels.isPlanner(seat) {
+		conn.peer = plannerName(seat - p.node.spec.Schedulers.Count)
+	}
+	p.register(conn)
+}
+
+// dataReceived passes the messages of a connection to the planner. A frame that cannot be read ends the connection.
+func (p *plannerProcess) dataReceived(conn *plannerPeerConn, data []byte) {
+	conn.reader.Feed(data)
+	p.node.levels.recycle(data)
+	for {
+		envelope, ok, err := conn.reader.Next()
+		if err != nil {
+			p.node.levels.closeStream(conn.stream, conn.end)
+			p.unregister(conn, false)
+		}
+		if err != nil || !ok {
 			return
 		}
-		plannerPeerConn.reader.Feed(n.bytes)
-		p.node.levels.recycle(n.bytes)
-		for {
-			envelope, ok, err := plannerPeerConn.reader.Next()
-			if err != nil {
-				p.node.levels.closeStream(plannerPeerConn.stream, plannerPeerConn.end)
-				p.unregister(plannerPeerConn, false)
-			}
-			if err != nil || !ok {
-				return
-			}
-			envelope = envelope.Clone() // it is to outlive the reader's next one
-			if plannerPeerConn.peer == "" {
-				p.inputs = append(p.inputs, planner.ForwarderMessage{Session: planner.SessionID(plannerPeerConn.stream.id), Envelope: envelope})
-			} else {
-				p.inputs = append(p.inputs, planner.PeerMessage{Peer: plannerPeerConn.peer, Envelope: envelope})
-			}
+		envelope = envelope.Clone() // it outlives the reader's next one
+		if conn.peer == "" {
+			session := planner.SessionID(conn.stream.id)
+			p.inputs = append(p.inputs, planner.ForwarderMessage{Session: session, Envelope: envelope})
+		} else {
+			p.inputs = append(p.inputs, planner.PeerMessage{Peer: conn.peer, Envelope: envelope})
 		}
 	}
 }
 
-// register takes a connection into the books.
+// register adds a connection.
 func (p *plannerProcess) register(k *plannerPeerConn) {
 	p.sessions[planner.SessionID(k.stream.id)] = k
 	p.conns = append(p.conns, k)
@@ -345,46 +390,46 @@
 	}
 }
 
-// connUp tells that a connection is up. Of two with one peer the newer one counts.
-func (p *plannerProcess) connUp(k *plannerPeerConn) {
-	if k.peer == "" {
-		p.inputs = append(p.inputs, planner.SessionOpened{Session: planner.SessionID(k.stream.id)})
+// connUp notifies the planner of a new connection. It closes an older one with the same peer.
+func (p *plannerProcess) connUp(conn *plannerPeerConn) {
+	if conn.peer == "" {
+		p.inputs = append(p.inputs, planner.SessionOpened{Session: planner.SessionID(conn.stream.id)})
 		return
 	}
 	for _, o := range append([]*plannerPeerConn(nil), p.conns...) {
-		if o != k && o.peer == k.peer && o.connected {
+		if o != conn && o.peer == conn.peer && o.connected {
 			p.node.levels.closeStream(o.stream, o.end)
 			p.unregister(o, false)
 		}
 	}
-	p.inputs = append(p.inputs, planner.PeerConnected{Peer: k.peer})
-	p.events = append(p.events, membership.PlannerConnected{Name: k.peer})
+	p.inputs = append(p.inputs, planner.PeerConnected{Peer: conn.peer})
+	p.events = append(p.events, membership.PlannerConnected{Name: conn.peer})
 }
 
-// unregister takes a connection out of the books.
-func (p *plannerProcess) unregister(plannerPeerConn *plannerPeerConn, silent bool) {
-	delete(p.sessions, planner.SessionID(plannerPeerConn.stream.id))
+// unregister removes a connection, notifies the planner, and plans to redial a peer that this planner dials.
+func (p *plannerProcess) unregister(conn *plannerPeerConn, silent bool) {
+	delete(p.sessions, planner.SessionID(conn.stream.id))
 	for i, o := range p.conns {
-		if o == plannerPeerConn {
+		if o == conn {
 			p.conns = append(p.conns[:i], p.conns[i+1:]...)
 			break
 		}
 	}
 	switch {
-	case plannerPeerConn.peer == "":
-		p.inputs = append(p.inputs, planner.SessionClosed{Session: planner.SessionID(plannerPeerConn.stream.id)})
-	case plannerPeerConn.connected:
-		p.inputs = append(p.inputs, planner.PeerDisconnected{Peer: plannerPeerConn.peer})
-		p.events = append(p.events, membership.PlannerDisconnected{Name: plannerPeerConn.peer, Silent: silent})
-	}
-	plannerPeerConn.connected = false
-	if i := plannerPeerConn.seat - p.node.spec.Schedulers.Count; plannerPeerConn.peer != "" && plannerPeerConn.seat > p.node.number {
+	case conn.peer == "":
+		p.inputs = append(p.inputs, planner.SessionClosed{Session: planner.SessionID(conn.stream.id)})
+	case conn.connected:
+		p.inputs = append(p.inputs, planner.PeerDisconnected{Peer: conn.peer})
+		p.events = append(p.events, membership.PlannerDisconnected{Name: conn.peer, Silent: silent})
+	}
+	conn.connected = false
+	if i := conn.seat - p.node.spec.Schedulers.Count; conn.peer != "" && conn.seat > p.node.number {
 		p.backoff[i] = min(max(2*p.backoff[i], minRedialDelay), maxRedialDelay)
 		p.redialAt[i] = p.now + p.backoff[i]/2 + time.Duration(p.node.levels.rngs[p.node.number].Int64N(int64(p.backoff[i])))
 	}
 }
 
-// connect dials another planner. The one that is counted first does.
+// connect dials another planner if it is wanted. Of two planners the one with the lower number dials.
 func (p *plannerProcess) connect(i int) {
 	seat := p.node.spec.Schedulers.Count + i
 	name := plannerName(i)
@@ -400,7 +445,7 @@
 	}
 }
 
-// handleEnvironment takes what the environment does.
+// handleEnvironment processes an input of the environment.
 func (p *plannerProcess) handleEnvironment(input *simapi.Input) {
 	switch input.Kind {
 	case simapi.ListReceived:
@@ -431,9 +476,9 @@
 	}
 }
 
-// ---- The endpoint list: a ledger of no requests reads it, as in a scheduler ----
+// ---- The endpoint list: a request table without requests reads it ----
 
-// Step is the ledger's module: it takes its lists.
+// Step implements the policy of the request table: it collects the endpoint lists.
 func (p *plannerProcess) Step(_ time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	for _, e := range events {
 		if l, ok := e.(dispatch.WorkerList); ok {
@@ -461,69 +506,60 @@
 	}
 }
 
-// Watch follows the endpoint list.
+// Watch subscribes to the changes of the endpoint list after a revision; 0: beginning with a snapshot.
 func (p *plannerProcess) Watch(after int64) {
 	p.watching, p.watchDeadline = true, p.now+readyCheckTimeout
 	p.node.emit(simapi.Output{Kind: simapi.WatchRequested, RetryAfter: time.Duration(after)})
 }
 
-// Start and the others are for requests, of which there are none.
+// Start and the methods below do nothing, as the table has no requests.
 func (p *plannerProcess) Start(*requests.Attempt)     {}
 func (p *plannerProcess) Abandon(*requests.Attempt)   {}
 func (p *plannerProcess) Cancel(*requests.Attempt)    {}
 func (p *plannerProcess) CheckHealth(uint64)          {}
 func (p *plannerProcess) CloseIdleConnections(uint64) {}
 
-// ---- What is to be done ----
+// ---- Actions ----
 
-// updateMembers takes in who is there, and which workers.
+// updateMembers steps the membership with its events, and carries out its actions.
 func (p *plannerProcess) updateMembers() {
 	actions := p.members.Step(p.now, p.events, p.actions[:0])
 	clear(p.events)
 	p.events = p.events[:0]
-	for _, a := range actions {
-		switch a := a.(type) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case membership.SetPlanners:
-			p.wantedPeers = a.Names
+			p.wantedPeers = action.Names
 			for i := range p.redialAt {
 				if p.redialAt[i] == 0 {
 					p.connect(i)
 				}
 			}
 		case membership.SetPeers:
-			p.inputs = append(p.inputs, planner.PeersChanged{Names: a.Names})
+			p.inputs = append(p.inputs, planner.PeersChanged{Names: action.Names})
 		case membership.SetPartition:
-			p.inputs = append(p.inputs, planner.PartitionChanged{Owner: a.Owner})
+			p.inputs = append(p.inputs, planner.PartitionChanged{Owner: action.Owner})
 		case membership.Announce:
-			p.node.levels.gossip.announce(p.node.number, a.Member)
+			p.node.levels.gossip.announce(p.node.number, action.Member)
 		case membership.LogLine:
-			p.node.model.logger(p.node.number).LogAttrs(context.Background(), slog.LevelInfo, a.Message, a.Attributes...)
+			p.node.model.logger(p.node.number).LogAttrs(context.Background(), slog.LevelInfo, action.Message, action.Attributes...)
 		}
 	}
 	clear(actions)
 	p.actions = actions[:0]
 }
 
+// carryOut performs an action of the planner.
 func (p *plannerProcess) carryOut(action planner.Action) {
 	switch action := action.(type) {
 	case planner.SendToForwarder:
-		if k := p.sessions[action.Session]; k != nil && k.connected {
-			p.node.send(&k.writer, action.Envelope)
+		if conn := p.sessions[action.Session]; conn != nil && conn.connected {
+			p.node.send(&conn.writer, action.Envelope)
 		}
 	case planner.SendToPeer:
-		for _, k := range p.conns {
-			if k.peer == action.Peer && k.connected {
-				p.node.send(&k.writer, action.Envelope)
-			}
-		}
+		p.sendToPeer(action)
 	case planner.CloseSession:
-		if k := p.sessions[action.Session]; k != nil && k.peer == "" {
-			if k.writer.Len() > 0 {
-				p.node.levels.send(k.stream, k.end, k.writer.Take(p.node.levels.buffer()))
-			}
-			p.node.levels.closeStream(k.stream, k.end)
-			p.unregister(k, false)
-		}
+		p.closeSession(action.Session)
 	case planner.SetTimer:
 		if at := p.now + action.After; p.timer == 0 || at < p.timer {
 			p.timer = at
@@ -538,7 +574,28 @@
 	}
 }
 
-// send writes a message. What can't be written is left out, as it would be in a real process.
+func (p *plannerProcess) sendToPeer(action planner.SendToPeer) {
+	for _, conn := range p.conns {
+		if conn.peer == action.Peer && conn.connected {
+			p.node.send(&conn.writer, action.Envelope)
+		}
+	}
+}
+
+// closeSession sends what is written to a forwarder's connection, and closes it.
+func (p *plannerProcess) closeSession(id planner.SessionID) {
+	conn := p.sessions[id]
+	if conn == nil || conn.peer != "" {
+		return
+	}
+	if conn.writer.Len() > 0 {
+		p.flush(conn)
+	}
+	p.node.levels.closeStream(conn.stream, conn.end)
+	p.unregister(conn, false)
+}
+
+// send encodes a message. One that cannot be encoded is counted and dropped, as in a real process.
 func (s *plannerNode) send(w *codec.Writer, envelope message.Envelope) {
 	if w.Add(envelope) != nil {
 		s.counts.Unwritten++
