--- a/internal/testbed/simulation/levels_random_test.go
+++ b/internal/testbed/simulation/levels_random_test.go
@@ -21,8 +21,8 @@
 
 const msSpan = scenario.Duration(time.Millisecond)
 
-// drawLevels draws a short day of any number of forwarders and planners, and what goes wrong on it: with planners and
-// the network among them in the first place, and with all else besides.
+// drawLevels draws a short scenario with any number of forwarders and planners, and its faults: most of planners and the
+// network, some of everything else.
 func drawLevels(rng *rand.Rand) *scenario.Scenario {
 	s := scenario.Default()
 	span := func(from, to int) scenario.Duration { return scenario.Duration(from+rng.IntN(to-from)) * msSpan }
@@ -63,47 +63,57 @@
 	}
 	for range rng.IntN(9) {
 		f := scenario.Fault{Kind: kinds[rng.IntN(len(kinds))], At: span(100, int(s.Length/msSpan)), Duration: span(20, 3000)}
-		switch scenario.FaultKinds[f.Kind] {
-		case "planner":
+		drawTarget(rng, s, &f)
+		addFault(s, f)
+	}
+	return s
+}
+
+// drawTarget draws the targets of a fault.
+func drawTarget(rng *rand.Rand, s *scenario.Scenario, f *scenario.Fault) {
+	switch scenario.FaultKinds[f.Kind] {
+	case "planner":
+		f.Target.Planners = []int{rng.IntN(s.Planners.Count)}
+	case "planners":
+		ends := [][2]string{
+			{"planners", "schedulers"},
+			{"schedulers", "planners"},
+			{"planners", "planners"},
+			{"planners", "discovery"},
+			{"schedulers", "schedulers"},
+		}[rng.IntN(5)]
+		f.Between, f.And = ends[0], ends[1]
+		if f.Between == "planners" || f.And == "planners" {
 			f.Target.Planners = []int{rng.IntN(s.Planners.Count)}
-		case "planners":
-			ends := [][2]string{
-				{"planners", "schedulers"},
-				{"schedulers", "planners"},
-				{"planners", "planners"},
-				{"planners", "discovery"},
-				{"schedulers", "schedulers"},
-			}[rng.IntN(5)]
-			f.Between, f.And = ends[0], ends[1]
-			if f.Between == "planners" || f.And == "planners" {
-				f.Target.Planners = []int{rng.IntN(s.Planners.Count)}
-			}
-			if f.Between == "schedulers" || f.And == "schedulers" {
-				f.Target.Schedulers = rng.Perm(s.Schedulers.Count)[:rng.IntN(s.Schedulers.Count+1)]
-			}
-		case "sched":
-			f.Target.Schedulers = []int{rng.IntN(s.Schedulers.Count)}
-		case "node":
-			f.Target.Share = 0.1 + 0.5*rng.Float64()
-		case "net":
-			f.Between, f.And = "schedulers", []string{"nodes", "discovery"}[rng.IntN(2)]
 		}
-		for _, size := range []float64{0, 2, 80} { // whichever its kind takes
-			f.Size = size
-			s.Faults = append(s.Faults, f)
-			if s.Check() == nil {
-				break
-			}
-			if s.Faults[len(s.Faults)-1].Duration = 0; s.Check() == nil {
-				break
-			}
-			s.Faults = s.Faults[:len(s.Faults)-1]
+		if f.Between == "schedulers" || f.And == "schedulers" {
+			f.Target.Schedulers = rng.Perm(s.Schedulers.Count)[:rng.IntN(s.Schedulers.Count+1)]
 		}
+	case "sched":
+		f.Target.Schedulers = []int{rng.IntN(s.Schedulers.Count)}
+	case "node":
+		f.Target.Share = 0.1 + 0.5*rng.Float64()
+	case "net":
+		f.Between, f.And = "schedulers", []string{"nodes", "discovery"}[rng.IntN(2)]
+	}
+}
+
+// addFault adds a fault with the first size that its kind takes, without a duration if it takes none.
+func addFault(s *scenario.Scenario, f scenario.Fault) {
+	for _, size := range []float64{0, 2, 80} { // whichever its kind takes
+		f.Size = size
+		s.Faults = append(s.Faults, f)
+		if s.Check() == nil {
+			break
+		}
+		if s.Faults[len(s.Faults)-1].Duration = 0; s.Check() == nil {
+			break
+		}
+		s.Faults = s.Faults[:len(s.Faults)-1]
 	}
-	return s
 }
 
-// judged plays, and gives what the checker says and the answers by status.
+// judged runs a scenario, and returns its outcome and the checker's verdict.
 func judged(t *testing.T, spec *scenario.Scenario, seed uint64, opt Options) (*Outcome, checker.Verdict) {
 	t.Helper()
 	j := checker.New(spec, checker.Options{})
@@ -116,8 +126,8 @@
 	return got, j.Verdict()
 }
 
-// Whatever goes wrong among forwarders and planners, no rule is broken and each request has its one answer.
-func TestRandomLevels(t *testing.T) {
+// TestRandomRunsWithPlanners checks that no rule is broken, and each request gets one response, under random faults.
+func TestRandomRunsWithPlanners(t *testing.T) {
 	var next atomic.Int64
 	var all sync.WaitGroup
 	var lock sync.Mutex
