--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -54,7 +54,29 @@
 
 // Run runs a checked scenario to its end. An error means that the scenario could not be run, or loops.
 func Run(spec *scenario.Scenario, seed uint64, opt Options) (*Outcome, error) {
-	sim := runner{options: &opt, outcome: &Outcome{}}
+	sim, err := newRunner(spec, seed, &opt)
+	if err != nil {
+		return nil, err
+	}
+	end := spec.Length.Std() + spec.Settle.Std()
+	if opt.Until > 0 {
+		end = min(end, opt.Until)
+	}
+	err = sim.run(end)
+	if sim.levels != nil {
+		for _, s := range sim.levels.seats {
+			s.endProcess()
+		}
+	}
+	if sim.digest != nil {
+		sim.outcome.Digest = sim.digest.Sum64()
+	}
+	return sim.outcome, err
+}
+
+// newRunner makes the environment, the schedulers and the planners of a run.
+func newRunner(spec *scenario.Scenario, seed uint64, opt *Options) (*runner, error) {
+	sim := &runner{options: opt, outcome: &Outcome{}, earliestNext: never}
 	shown := *spec
 	shown.Misbehaving = nil // see Unsupported
 	sim.environment = environment.New(&shown, seed, StartTime, combineObservers(opt.Observers))
@@ -65,49 +87,51 @@
 		sim.levels = newLevelNetwork(spec, seed)
 	}
 	for n := range spec.Schedulers.Count {
-		s, err := NewScheduler(spec, n, StartTime, opt.Model, sim.environment)
-		if err != nil {
+		if err := sim.addScheduler(spec, n); err != nil {
 			return nil, err
 		}
-		if sim.levels != nil {
-			s.levels, s.counts, sim.levels.seats[n] = sim.levels, &sim.outcome.Levels, s
-		}
-		var side simapi.Scheduler = s
-		if opt.Wrap != nil {
-			side = opt.Wrap(side)
-		}
-		sim.schedulers = append(sim.schedulers, side)
 	}
 	for n := range spec.Planners.Count {
-		n += spec.Schedulers.Count
-		s, err := newPlannerNode(spec, n, sim.options, sim.levels, &sim.outcome.Levels)
-		if err != nil {
+		if err := sim.addPlanner(spec, spec.Schedulers.Count+n); err != nil {
 			return nil, err
 		}
-		sim.levels.seats[n], sim.schedulers = s, append(sim.schedulers, s)
 	}
-	sim.nextAt, sim.inputs = make([]time.Duration, len(sim.schedulers)), make([][]simapi.Input, len(sim.schedulers))
+	sim.inputs = make([][]simapi.Input, len(sim.schedulers))
+	sim.nextAt = make([]time.Duration, len(sim.schedulers))
 	for n := range sim.nextAt {
 		sim.nextAt[n] = never
 	}
 	if opt.Digest {
 		sim.digest = xxhash.New()
 	}
-	end := spec.Length.Std() + spec.Settle.Std()
-	if opt.Until > 0 {
-		end = min(end, opt.Until)
+	return sim, nil
+}
+
+func (p *runner) addScheduler(spec *scenario.Scenario, n int) error {
+	s, err := NewScheduler(spec, n, StartTime, p.options.Model, p.environment)
+	if err != nil {
+		return err
 	}
-	sim.earliestNext = never
-	err := sim.run(end)
-	if sim.levels != nil {
-		for _, s := range sim.levels.seats {
-			s.endProcess()
-		}
+	if p.levels != nil {
+		s.levels, s.counts, p.levels.seats[n] = p.levels, &p.outcome.Levels, s
 	}
-	if sim.digest != nil {
-		sim.outcome.Digest = sim.digest.Sum64()
+	var side simapi.Scheduler = s
+	if p.options.Wrap != nil {
+		side = p.options.Wrap(side)
 	}
-	return sim.outcome, err
+	p.schedulers = append(p.schedulers, side)
+	return nil
+}
+
+// addPlanner adds the planner at a seat.
+func (p *runner) addPlanner(spec *scenario.Scenario, seat int) error {
+	node, err := newPlannerNode(spec, seat, p.options, p.levels, &p.outcome.Levels)
+	if err != nil {
+		return err
+	}
+	p.levels.seats[seat] = node
+	p.schedulers = append(p.schedulers, node)
+	return nil
 }
 
 func combineObservers(all []trace.Observer) trace.Observer {
@@ -124,8 +148,10 @@
 	}
 }
 
+// never is later than any time of a run.
 const never = time.Duration(1<<63 - 1)
 
+// runner steps the two sides of a run.
 type runner struct {
 	options      *Options
 	outcome      *Outcome
