--- a/dispatch/endpoints.go
+++ b/dispatch/endpoints.go
@@ -116,12 +116,27 @@
 	}
 }
 
+// checkCandidates are the workers that one is drawn from to be checked. Where searches go by preference these
+// are such as the next one looks at: a check of any other tells nothing of use, and opens a connection.
+func (d *Dispatcher) checkCandidates(dst []*workerInfo) []*workerInfo {
+	if !d.available.isOrdered() {
+		return d.workerList
+	}
+	bucket := d.workerList[d.rng.IntN(len(d.workerList))].bucket
+	if bucket == nil || !bucket.isSteady() || len(bucket.levels[0]) == 0 {
+		return d.workerList
+	}
+	return appendPreferred(dst, bucket.levels[0], d.available.preferredCount(bucket))
+}
+
 // chooseCheck is the worker not checked for longest, of some drawn at random, so that not all dispatchers
 // check the same ones. Those of other zones are checked as far as our own is the busier.
 func (d *Dispatcher) chooseCheck(j *jobInfo) (oldest *workerInfo) {
 	own := d.settings.Zone
-	for range min(len(d.workerList), checkSamples) {
-		w := d.workerList[d.rng.IntN(len(d.workerList))]
+	var buffer [preferredWorkers]*workerInfo
+	candidates := d.checkCandidates(buffer[:0])
+	for range min(len(candidates), checkSamples) {
+		w := candidates[d.rng.IntN(len(candidates))]
 		isNear := w.Zone == own || d.rng.Float64() < d.zoneBusy[own]*(1-d.zoneBusy[w.Zone])
 		isDue := w.Ready && !w.checking && d.now-w.checkedAt >= minCheckInterval
 		if isDue && j.class.allows(w.Kind, w.Zone) && (isNear || d.settings.CrossZoneCost == 0) &&
--- a/dispatch/preference_test.go
+++ b/dispatch/preference_test.go
@@ -30,6 +30,19 @@
 	}
 }
 
+// Health checks go to workers that searches look at, and open no connections to others.
+func TestHealthChecksFollowTheTraffic(t *testing.T) {
+	settings := sharedSettings()
+	settings.HealthChecks, settings.HealthCheckCost = true, 0.004
+	for _, workers := range []int{200, 3200} {
+		fleet := newSharedFleet(1, workers, 2, 4, 60*ms, settings)
+		fleet.serve(func(int) float64 { return 40 }, 25*time.Second)
+		if opened := fleet.connectionsOpened(); opened > preferredWorkers+20 || fleet.checked < 500 {
+			t.Errorf("%d workers: %v connections opened, %d health checks", workers, opened, fleet.checked)
+		}
+	}
+}
+
 // Dispatchers that prefer some workers each use all alike together, and meet at a worker less often than if each used them all.
 // Before there were preferences the busiest worker had 1.15 times the mean here, and 0.20 of the attempts waited for a slot where
 // the load was 0.56.
--- a/dispatch/shared_fleet_test.go
+++ b/dispatch/shared_fleet_test.go
@@ -25,6 +25,7 @@
 	rejected    int
 	sent        int
 	queued      int // attempts that waited for a slot
+	checked     int
 }
 
 type sharedDispatcher struct {
@@ -107,6 +108,7 @@
 		case Send:
 			f.send(s, action)
 		case HealthCheck:
+			f.checked++
 			f.connect(s, action.Worker)
 			f.after(2*f.delay, func() {
 				f.release(s, action.Worker)
