--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -22,70 +22,105 @@
 
 // admit takes in a job that first came so long ago; nil: its id is in use, or its class unknown.
 func (d *Dispatcher) admit(arrival Job, age time.Duration) *jobInfo {
-	if d.jobs[arrival.ID] != nil || arrival.Class < 0 || arrival.Class >= len(d.settings.Classes) {
+	isKnownClass := arrival.Class >= 0 && arrival.Class < len(d.settings.Classes)
+	if d.jobs[arrival.ID] != nil || !isKnownClass {
 		return nil
 	}
-	class, remaining := &d.settings.Classes[arrival.Class], max(arrival.Remaining, 0)
-	job := &jobInfo{Job: arrival, class: class, heapIndex: -1}
-	job.arrivedAt, job.deadline = d.now-age, d.now+remaining
-	job.Slots, job.Hint = max(1, finite(arrival.Slots)), max(0, arrival.Hint)
-	job.demand = max(job.Slots, finite(arrival.Memory))
-	job.work = d.expectedWork(job)
-	// A retry has the objective of its first try, which had the longest time left that its class has seen.
-	full := &d.fullTimeout[arrival.Class]
-	*full = max(*full, min(arrival.Remaining+age, class.ClientTimeout))
-	firstTryAt := d.now - max(0, *full-remaining)
-	stretch := seconds(class.ObjectiveStretch * job.work)
-	job.objectiveAt = min(firstTryAt+class.LatencyObjective+stretch, job.deadline)
-	job.longChance = d.longScore(job)
-	d.arrivals++
-	d.meanWeight += meanRate * (class.PriorityWeight - d.meanWeight)
-	d.meanCost += (d.warmUpCost(job) - d.meanCost) * max(meanRate, 1/d.arrivals)
+	job := d.newJob(arrival, age)
+	d.observeArrival(job)
 	d.jobs[arrival.ID] = job
-	checks := min(checksPerJob, healthCheckBudget/max(d.settings.HealthCheckCost, 1e-9))
-	d.checkTokens = min(d.checkTokens+checks, float64(len(d.workerList)))
+	d.earnCheckTokens()
 	job.bindTimers()
 	d.setTimer(&job.deadlineTimer, job.deadline)
 	d.setTimer(&job.objectiveTimer, job.objectiveAt-d.fastestRun(job, 0))
 	return job
 }
 
+// newJob makes the entry of a job that first came so long ago, with its predictions and its objective.
+func (d *Dispatcher) newJob(arrival Job, age time.Duration) *jobInfo {
+	job := &jobInfo{Job: arrival, class: &d.settings.Classes[arrival.Class], heapIndex: -1}
+	job.Slots = max(1, finite(arrival.Slots))
+	job.Hint = max(0, arrival.Hint)
+	job.demand = max(job.Slots, finite(arrival.Memory))
+	job.arrivedAt = d.now - age
+	job.deadline = d.now + max(arrival.Remaining, 0)
+	job.work = d.expectedWork(job)
+	job.objectiveAt = d.objectiveOf(job, age)
+	job.longChance = d.longScore(job)
+	return job
+}
+
+// objectiveOf is the instant until which a job's answer earns in full. A client's retry has the objective of its first
+// try, which had the longest time left that its class has seen.
+func (d *Dispatcher) objectiveOf(job *jobInfo, age time.Duration) time.Duration {
+	full := &d.fullTimeout[job.Class]
+	*full = max(*full, min(job.Remaining+age, job.class.ClientTimeout))
+	elapsed := max(0, *full-max(job.Remaining, 0))
+	firstTryAt := d.now - elapsed
+	stretch := seconds(job.class.ObjectiveStretch * job.work)
+	return min(firstTryAt+job.class.LatencyObjective+stretch, job.deadline)
+}
+
+// observeArrival takes a job into the means over all jobs.
+func (d *Dispatcher) observeArrival(job *jobInfo) {
+	d.arrivals++
+	costRate := max(meanRate, 1/d.arrivals) // the first ones count in full
+	d.meanWeight += meanRate * (job.class.PriorityWeight - d.meanWeight)
+	d.meanCost += (d.warmUpCost(job) - d.meanCost) * costRate
+}
+
+// earnCheckTokens adds what one job pays for health checks: as many as their budget allows at their price.
+func (d *Dispatcher) earnCheckTokens() {
+	affordable := healthCheckBudget / max(d.settings.HealthCheckCost, 1e-9)
+	earned := min(checksPerJob, affordable)
+	d.checkTokens = min(d.checkTokens+earned, float64(len(d.workerList)))
+}
+
 // chargeQuota demotes a job whose tenant is beyond this dispatcher's share of its quota.
-func (d *Dispatcher) chargeQuota(j *jobInfo) {
-	if j.Tenant < 0 || j.Tenant >= len(d.quotaTokens) || d.settings.TenantQuota[j.Tenant] <= 0 {
+func (d *Dispatcher) chargeQuota(job *jobInfo) {
+	isKnownTenant := job.Tenant >= 0 && job.Tenant < len(d.quotaTokens)
+	if !isKnownTenant || d.settings.TenantQuota[job.Tenant] <= 0 {
 		return
 	}
-	tokens, rate := &d.quotaTokens[j.Tenant], d.settings.TenantQuota[j.Tenant]*d.quotaShare()
-	refill := rate * (d.now - d.quotaRefilledAt[j.Tenant]).Seconds()
-	*tokens = min(*tokens+refill, max(quotaBurstSpan*rate, quotaBurst))
-	d.quotaRefilledAt[j.Tenant] = d.now
-	if *tokens < 1 {
-		j.standing = overQuota
-		return
+	rate := d.settings.TenantQuota[job.Tenant] * d.quotaShare()
+	burst := max(quotaBurstSpan*rate, quotaBurst)
+	refill := rate * (d.now - d.quotaRefilledAt[job.Tenant]).Seconds()
+	tokens := min(d.quotaTokens[job.Tenant]+refill, burst)
+	d.quotaRefilledAt[job.Tenant] = d.now
+	if tokens < 1 {
+		job.standing = overQuota
+	} else {
+		tokens--
 	}
-	*tokens--
+	d.quotaTokens[job.Tenant] = tokens
 }
 
 // finish gives a job its final answer, unless its response has begun.
-func (d *Dispatcher) finish(j *jobInfo) {
-	if j.closed || j.streaming {
+func (d *Dispatcher) finish(job *jobInfo) {
+	if job.closed || job.streaming {
 		return
 	}
-	if d.mayReject(j) {
-		d.emit(Reject{Job: j.ID, RetryAfter: min(max(0, j.deadline-d.now), d.settings.MaxRetryAfter)})
+	if d.mayReject(job) {
+		remaining := max(0, job.deadline-d.now)
+		d.emit(Reject{Job: job.ID, RetryAfter: min(remaining, d.settings.MaxRetryAfter)})
 	} else {
-		d.emit(Fail{Job: j.ID})
+		d.emit(Fail{Job: job.ID})
 	}
-	d.closeJob(j)
+	d.closeJob(job)
 }
 
 // onObjectivePassed acts when no worker could meet an unstarted job's objective any more. It demotes the job,
 // as all would wait past tau else, or rejects it in time where a late answer is worthless.
 func (d *Dispatcher) onObjectivePassed(job *jobInfo) {
 	// What runs, or is in flight for one of many dispatchers, goes on: its client would only come again.
-	job.recheckOnEnd = d.settings.Replicas > manyReplicas && job.inFlight > 0 || job.isRunning()
+	isInFlightForMany := d.settings.Replicas > manyReplicas && job.inFlight > 0
+	job.recheckOnEnd = isInFlightForMany || job.isRunning()
+	if job.closed || job.recheckOnEnd {
+		return
+	}
 	worthless := d.lateIsWorthless(job)
-	if job.closed || job.recheckOnEnd || job.standing == outOfReach && !worthless {
+	isDemotedForGood := job.standing == outOfReach && !worthless
+	if isDemotedForGood {
 		return
 	}
 	if worthless && d.mayReject(job) && d.isOutOfReach(job) && !d.takeTrial(job) {
@@ -100,14 +135,16 @@
 }
 
 // isOutOfReach tells whether a job would be late even if it ran as much shorter as the spread of runs allows.
-func (d *Dispatcher) isOutOfReach(j *jobInfo) bool {
-	return j.standing == outOfReach && j.inFlight == 0 || d.now+d.fastestRun(j, reachSpreads) > j.objectiveAt
+func (d *Dispatcher) isOutOfReach(job *jobInfo) bool {
+	isDemotedInQueue := job.standing == outOfReach && job.inFlight == 0
+	return isDemotedInQueue || d.now+d.fastestRun(job, reachSpreads) > job.objectiveAt
 }
 
 // takeTrial lets some go all the same while workers idle: what rejects jobs must not prevent its correction.
-func (d *Dispatcher) takeTrial(j *jobInfo) bool {
+func (d *Dispatcher) takeTrial(job *jobInfo) bool {
 	d.trialTokens += trialRate
-	if j.standing == outOfReach || d.trialTokens < 1 || d.available.idle == 0 {
+	isDue := d.trialTokens >= 1 && d.available.idle > 0
+	if job.standing == outOfReach || !isDue {
 		d.trialTokens = min(d.trialTokens, trialBurst)
 		return false
 	}
@@ -116,7 +153,11 @@
 }
 
 // lateIsWorthless tells whether a late answer earns less than its miss costs under the miss budget.
-func (d *Dispatcher) lateIsWorthless(j *jobInfo) bool {
-	tail, late := d.settings.TailShare, j.class.LateValue
-	return late <= 0 || tail > 0 && late*(1-tail)*missCostSlope*d.settings.MissBudget <= tail
+func (d *Dispatcher) lateIsWorthless(job *jobInfo) bool {
+	tailShare, lateValue := d.settings.TailShare, job.class.LateValue
+	if lateValue <= 0 {
+		return true
+	}
+	credit := lateValue * (1 - tailShare) * missCostSlope * d.settings.MissBudget
+	return tailShare > 0 && credit <= tailShare
 }
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -111,22 +111,10 @@
 	if attempt == nil || attempt.started {
 		return
 	}
-	job, worker, delay := attempt.job, attempt.worker, d.now-attempt.sentAt
-	attempt.started, attempt.startedAt = true, d.now
-	d.markAlive(worker)
-	attempt.progressAt, worker.progressAt = d.now, d.now
-	isPrompt := delay <= d.promptStart(job.class)
-	d.minStartDelay = min(d.minStartDelay, delay)
-	if attempt.sentAt == d.pilotSentAt {
-		d.pilotSentAt = 0
-	}
+	job, worker := attempt.job, attempt.worker
+	d.markStarted(attempt)
 	d.observeIdleConnection(attempt, true)
-	if isPrompt || !d.spansStall(attempt) {
-		d.adjustLimit(attempt, isPrompt)
-		if !isPrompt {
-			d.meanLateStart += (delay - d.meanLateStart) / lateStartDivisor
-		}
-	}
+	d.observeStartDelay(attempt)
 	worker.runningSlots += job.Slots
 	d.observeSlots(worker, worker.runningSlots)
 	d.setTimer(&attempt.timer, d.dueAt(attempt))
@@ -135,6 +123,33 @@
 	}
 }
 
+// markStarted enters a start with the attempt and its worker.
+func (d *Dispatcher) markStarted(attempt *attemptInfo) {
+	attempt.started = true
+	attempt.startedAt = d.now
+	d.markAlive(attempt.worker)
+	attempt.progressAt = d.now
+	attempt.worker.progressAt = d.now
+	if attempt.sentAt == d.pilotSentAt {
+		d.pilotSentAt = 0
+	}
+}
+
+// observeStartDelay learns from how soon an attempt started, and adjusts its worker's limit. A late start tells nothing
+// where this process was stalled meanwhile.
+func (d *Dispatcher) observeStartDelay(attempt *attemptInfo) {
+	delay := d.now - attempt.sentAt
+	isPrompt := delay <= d.promptStart(attempt.job.class)
+	d.minStartDelay = min(d.minStartDelay, delay)
+	if !isPrompt && d.spansStall(attempt) {
+		return
+	}
+	d.adjustLimit(attempt, isPrompt)
+	if !isPrompt {
+		d.meanLateStart += (delay - d.meanLateStart) / lateStartDivisor
+	}
+}
+
 // isStuck tells whether an overdue attempt may be lost. One whose worker gets on with others is queued there,
 // one that tells of progress is long: hedging them would add to the load that made them late.
 func (d *Dispatcher) isStuck(a *attemptInfo) bool {
--- a/dispatch/predictor.go
+++ b/dispatch/predictor.go
@@ -60,29 +60,48 @@
 
 // learnFromRun takes in a finished run. Sizes are corrected slowly and speeds quickly, so that a slow spell
 // is attributed to the worker. Runs on warming workers teach nothing.
-func (d *Dispatcher) learnFromRun(a *attemptInfo, run time.Duration) {
-	job, worker := a.job, a.worker
-	if d.spansStall(a) {
+func (d *Dispatcher) learnFromRun(attempt *attemptInfo, run time.Duration) {
+	if d.spansStall(attempt) {
 		return
 	}
-	d.observeOverrun(a, run)
-	if d.warmUpShare(worker) < 1 {
+	d.observeOverrun(attempt, run)
+	if d.warmUpShare(attempt.worker) < 1 {
 		return
 	}
+	job, worker := attempt.job, attempt.worker
 	runLog := math.Log(max(run.Seconds(), minWork))
 	// By what is known now: else each of the many in flight would correct the same error once more.
 	expectedLog := math.Log(d.expectedWork(job))
-	d.spread += meanRate * (min(math.Abs(expectedLog-runLog-worker.logSpeed), maxFeature) - d.spread)
+	d.observeSpread(expectedLog - runLog - worker.logSpeed)
 	d.learnSpeed(worker, expectedLog-runLog)
 	workLog := runLog + worker.logSpeed // as this run shows it
 	d.learnWeights(job, workLog > d.longCut)
 	d.rememberKey(job.Key, math.Exp(workLog))
-	d.sizeCorrection[job.Class][slotBucket(job)] += sizeRate * clamp(workLog-expectedLog, maxSizeStep)
+	correction := &d.sizeCorrection[job.Class][slotBucket(job)]
+	*correction += sizeRate * clamp(workLog-expectedLog, maxSizeStep)
+	if workLog < d.longCut {
+		d.observeShortSojourn(d.now - job.arrivedAt)
+	}
+	d.moveLongCut(workLog)
+}
+
+// observeSpread takes in by how much, in logs, a run differed from the expected.
+func (d *Dispatcher) observeSpread(distance float64) {
+	d.spread += meanRate * (min(math.Abs(distance), maxFeature) - d.spread)
+}
+
+// observeShortSojourn takes in the sojourn of a short job: only these count for the paper's mu_short.
+func (d *Dispatcher) observeShortSojourn(sojourn time.Duration) {
+	bounded := min(sojourn.Seconds(), maxSojourns*d.muShort)
+	d.muShort += meanRate * (bounded - d.muShort)
+}
+
+// moveLongCut moves the cut between short and long by one run: the steps up and down balance where longJobShare of the
+// runs lie beyond it.
+func (d *Dispatcher) moveLongCut(workLog float64) {
 	step := cutRate
-	if workLog < d.longCut { // only short jobs count for the paper's mu_short
+	if workLog < d.longCut {
 		step = -step * longJobShare / (1 - longJobShare)
-		sojourn := (d.now - job.arrivedAt).Seconds()
-		d.muShort += meanRate * (min(sojourn, maxSojourns*d.muShort) - d.muShort)
 	}
 	d.longCut += step * (1 - longJobShare)
 }
