--- /dev/null
+++ b/internal/eventloop/faultinjection/faultinjection_test.go
@@ -0,0 +1,93 @@
+package faultinjection
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/internal/eventloop"
+)
+
+func TestRuleChoosesCalls(t *testing.T) {
+	now := time.Duration(0)
+	i := New(1, func() time.Duration { return now })
+	i.Add(Rule{
+		Calls:      []eventloop.Call{eventloop.CallRead},
+		Descriptor: func(descriptor int) bool { return descriptor == 7 },
+		From:       time.Second, Until: 2 * time.Second,
+		Skip: 1, Times: 2,
+		Errnos: []unix.Errno{unix.ECONNRESET},
+	})
+	var hit []int
+	for n := range 8 {
+		i.Intercept(eventloop.CallWrite, 7)
+		i.Intercept(eventloop.CallRead, 8)
+		if i.Intercept(eventloop.CallRead, 7).Errno == unix.ECONNRESET {
+			hit = append(hit, n)
+		}
+		now += 250 * time.Millisecond
+	}
+	if !slices.Equal(hit, []int{5, 6}) {
+		t.Errorf("hit %v", hit)
+	}
+	if i.Calls(eventloop.CallRead) != 16 || i.Injected(eventloop.CallRead) != 2 || i.TotalInjected() != 2 {
+		t.Errorf("%d calls, %d hit, %d of all kinds", i.Calls(eventloop.CallRead), i.Injected(eventloop.CallRead), i.TotalInjected())
+	}
+}
+
+func TestShareIsDrawnFromTheSeed(t *testing.T) {
+	const calls = 10_000
+	draw := func(seed uint64) (hits []bool, count int) {
+		i := New(seed, nil)
+		i.Add(Rule{Share: 0.3, Errnos: []unix.Errno{unix.ENFILE, unix.EINTR}})
+		for range calls {
+			hits = append(hits, i.Intercept(eventloop.CallAccept, 3).Errno != 0)
+		}
+		return hits, i.TotalInjected()
+	}
+	first, count := draw(1)
+	again, _ := draw(1)
+	other, _ := draw(2)
+	if !slices.Equal(first, again) || slices.Equal(first, other) {
+		t.Error("the draw does not follow the seed")
+	}
+	if count < calls/4 || count > calls*7/20 {
+		t.Errorf("%d of %d hit", count, calls)
+	}
+}
+
+func TestReadsAndWritesFallShort(t *testing.T) {
+	i := New(1, nil)
+	i.Add(Rule{Calls: []eventloop.Call{eventloop.CallRead, eventloop.CallWrite}, MaxLength: 3})
+	syscalls := i.Syscalls()
+	pair, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _, _ = unix.Close(pair[0]), unix.Close(pair[1]) })
+	n, err := syscalls.Write(pair[0], make([]byte, 100))
+	if err != nil || n < 1 || n > 3 {
+		t.Errorf("wrote %d: %v", n, err)
+	}
+	if _, err := unix.Write(pair[0], make([]byte, 100)); err != nil {
+		t.Fatal(err)
+	}
+	if n, err = syscalls.Read(pair[1], make([]byte, 100)); err != nil || n < 1 || n > 3 {
+		t.Errorf("read %d: %v", n, err)
+	}
+}
+
+func TestStallRunsBeforeTheCall(t *testing.T) {
+	now := time.Duration(0)
+	i := New(1, nil)
+	i.Add(Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Stall: func() { now += 150 * time.Millisecond }})
+	if i.Intercept(eventloop.CallWrite, 3) != (eventloop.Injection{}) || now != 150*time.Millisecond {
+		t.Errorf("the clock is at %v", now)
+	}
+	i.Clear()
+	if i.Intercept(eventloop.CallWrite, 3); now != 150*time.Millisecond || i.Injected(eventloop.CallWrite) != 1 {
+		t.Error("a rule that was dropped applies")
+	}
+}
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -77,7 +77,7 @@
 // Add has the handler called for events of a descriptor. On success the loop owns the descriptor, else the caller does.
 func (l *Loop) Add(descriptor int, events uint32, handler Handler) error {
 	event := unix.EpollEvent{Events: events, Fd: int32(descriptor)}
-	if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, descriptor, &event); err != nil {
+	if err := l.syscalls.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, descriptor, &event); err != nil {
 		return fmt.Errorf("epoll add: %w", err)
 	}
 	for len(l.handlers) <= descriptor {
@@ -93,7 +93,7 @@
 
 // Modify changes which events of a descriptor the loop waits for.
 func (l *Loop) Modify(fd int, events uint32) {
-	_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_MOD, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)})
+	_ = l.syscalls.EpollCtl(l.epoll, unix.EPOLL_CTL_MOD, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)})
 }
 
 // Remove closes a descriptor: at once, or, while events are handed out, once all are. Of one that was removed before, it does
@@ -103,12 +103,12 @@
 		return
 	}
 	l.handlers[fd] = registration{}
-	_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_DEL, fd, nil)
+	_ = l.syscalls.EpollCtl(l.epoll, unix.EPOLL_CTL_DEL, fd, nil)
 	if l.gathering {
 		l.closing = append(l.closing, fd)
 		return
 	}
-	_ = unix.Close(fd)
+	_ = l.syscalls.Close(fd)
 	l.reportClosed()
 }
 
@@ -119,7 +119,7 @@
 // and by the step, finds them free.
 func (l *Loop) closeRemoved() {
 	for _, fd := range l.closing {
-		_ = unix.Close(fd)
+		_ = l.syscalls.Close(fd)
 	}
 	if len(l.closing) > 0 {
 		l.closing = l.closing[:0]
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -43,10 +43,12 @@
 	MaxEvents int                  // gathered in one iteration; at least 1024 are
 	Log       *slog.Logger         // panics of handlers
 	Hooks     Hooks
+	Syscalls  Syscalls
 }
 
 // Loop is an event loop. Everything runs on the goroutine that calls Run, but for Wake and Post, which any may call.
 type Loop struct {
+	syscalls   Syscalls
 	epoll      int
 	wakeFD     int
 	clock      func() time.Duration
@@ -67,6 +69,7 @@
 // New returns a loop that has nothing to do yet.
 func New(config Config) (*Loop, error) {
 	loop := &Loop{
+		syscalls:   config.Syscalls,
 		clock:      config.Clock,
 		now:        config.Clock(),
 		log:        config.Log,
@@ -75,10 +78,10 @@
 		readBuffer: make([]byte, readBufferSize),
 	}
 	var err error
-	if loop.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
+	if loop.epoll, err = loop.syscalls.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
 	}
-	if loop.wakeFD, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err != nil {
+	if loop.wakeFD, err = loop.syscalls.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err != nil {
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
 	return loop, loop.Add(loop.wakeFD, unix.EPOLLIN, (*waker)(loop))
@@ -88,13 +91,16 @@
 func (l *Loop) CloseDescriptors() {
 	for fd, registered := range l.handlers {
 		if registered.handler != nil {
-			_ = unix.Close(fd)
+			_ = l.syscalls.Close(fd)
 		}
 	}
 	l.handlers = nil
-	_ = unix.Close(l.epoll)
+	_ = l.syscalls.Close(l.epoll)
 }
 
+// Syscalls returns what makes the loop's system calls, for the connections on it.
+func (l *Loop) Syscalls() *Syscalls { return &l.syscalls }
+
 // EpollFD returns the epoll descriptor, which is itself ready to be read while an event waits to be handed out.
 func (l *Loop) EpollFD() int { return l.epoll }
 
@@ -122,7 +128,7 @@
 // RunOnce runs one iteration: it waits for so many milliseconds at most, or without limit if that is negative, handles what
 // is ready and what is due, steps, and does what was left for after the step.
 func (l *Loop) RunOnce(timeoutMillis int) error {
-	n, err := unix.EpollWait(l.epoll, l.events, timeoutMillis)
+	n, err := l.syscalls.EpollWait(l.epoll, l.events, timeoutMillis)
 	if err != nil && !errors.Is(err, unix.EINTR) {
 		return fmt.Errorf("epoll wait: %w", err)
 	}
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -33,9 +33,9 @@
 }
 
 // newSocket opens a non-blocking TCP socket of the family of an address.
-func newSocket(address netip.AddrPort) (fd int, sockaddr unix.Sockaddr, err error) {
+func (l *Loop) newSocket(address netip.AddrPort) (fd int, sockaddr unix.Sockaddr, err error) {
 	family, sockaddr := Sockaddr(address)
-	fd, err = unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	fd, err = l.syscalls.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return -1, nil, fmt.Errorf("socket: %w", err)
 	}
@@ -43,13 +43,13 @@
 }
 
 // Dial starts a connection, and does not wait for it. The caller owns the socket; see Stream.ConnectError.
-func Dial(address netip.AddrPort) (fd int, err error) {
-	fd, sockaddr, err := newSocket(address)
+func (l *Loop) Dial(address netip.AddrPort) (fd int, err error) {
+	fd, sockaddr, err := l.newSocket(address)
 	if err != nil {
 		return -1, err
 	}
-	if err := unix.Connect(fd, sockaddr); err != nil && !errors.Is(err, unix.EINPROGRESS) {
-		_ = unix.Close(fd)
+	if err := l.syscalls.Connect(fd, sockaddr); err != nil && !errors.Is(err, unix.EINPROGRESS) {
+		_ = l.syscalls.Close(fd)
 		return -1, fmt.Errorf("connect: %w", err)
 	}
 	return fd, nil
@@ -58,23 +58,23 @@
 // Listen opens a socket whose connections the owner accepts, and adds it. Options are of the socket, as SO_REUSEPORT, which
 // lets another process listen there too.
 func (l *Loop) Listen(address netip.AddrPort, owner Handler, options ...int) (fd int, err error) {
-	fd, sockaddr, err := newSocket(address)
+	fd, sockaddr, err := l.newSocket(address)
 	if err != nil {
 		return -1, err
 	}
 	for _, option := range options {
-		if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, option, 1); err != nil {
-			_ = unix.Close(fd)
+		if err := l.syscalls.SetsockoptInt(fd, unix.SOL_SOCKET, option, 1); err != nil {
+			_ = l.syscalls.Close(fd)
 			return -1, fmt.Errorf("listening at %v: %w", address, err)
 		}
 	}
-	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBufferSize) // accepted sockets inherit these
-	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, socketBufferSize)
-	if err := unix.Bind(fd, sockaddr); err != nil {
+	_ = l.syscalls.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
+	_ = l.syscalls.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBufferSize) // accepted sockets inherit these
+	_ = l.syscalls.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, socketBufferSize)
+	if err := l.syscalls.Bind(fd, sockaddr); err != nil {
 		return -1, fmt.Errorf("listening at %v: %w", address, err)
 	}
-	if err := unix.Listen(fd, listenBacklog); err != nil {
+	if err := l.syscalls.Listen(fd, listenBacklog); err != nil {
 		return -1, fmt.Errorf("listening at %v: %w", address, err)
 	}
 	return fd, l.Add(fd, unix.EPOLLIN, owner)
--- a/internal/eventloop/stream.go
+++ b/internal/eventloop/stream.go
@@ -28,7 +28,7 @@
 
 // OpenStream makes a stream of a socket and adds it, with its owner as the handler. On an error the caller owns the socket.
 func (l *Loop) OpenStream(fd int, events uint32, owner Handler) (Stream, error) {
-	_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+	_ = l.syscalls.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	if err := l.Add(fd, events, owner); err != nil {
 		return Stream{}, err
 	}
@@ -69,7 +69,7 @@
 
 // ConnectError returns how a connection that was started came out, once it can be written to.
 func (s *Stream) ConnectError() error {
-	code, err := unix.GetsockoptInt(s.fd, unix.SOL_SOCKET, unix.SO_ERROR)
+	code, err := s.loop.syscalls.GetsockoptInt(s.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
 		err = unix.Errno(code)
 	}
@@ -79,7 +79,7 @@
 // Fill reads what has come, at most one read buffer of it. ended reports that no more will come.
 func (s *Stream) Fill() (ended bool, err error) {
 	for {
-		n, err := unix.Read(s.fd, s.loop.readBuffer)
+		n, err := s.loop.syscalls.Read(s.fd, s.loop.readBuffer)
 		switch {
 		case errors.Is(err, unix.EINTR):
 		case errors.Is(err, unix.EAGAIN):
@@ -99,7 +99,7 @@
 // not even copy it. n counts the bytes; ended reports that no more will come.
 func (s *Stream) Discard() (n int, ended bool, err error) {
 	for range maxDiscards {
-		got, _, err := unix.Recvfrom(s.fd, s.loop.readBuffer, unix.MSG_TRUNC|unix.MSG_DONTWAIT)
+		got, err := s.loop.syscalls.Recvfrom(s.fd, s.loop.readBuffer, unix.MSG_TRUNC|unix.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, unix.EINTR):
 		case errors.Is(err, unix.EAGAIN):
@@ -152,7 +152,7 @@
 func (s *Stream) write(b []byte) (int, error) {
 	done := 0
 	for done < len(b) {
-		n, err := unix.Write(s.fd, b[done:])
+		n, err := s.loop.syscalls.Write(s.fd, b[done:])
 		switch {
 		case errors.Is(err, unix.EINTR):
 		case errors.Is(err, unix.EAGAIN):
@@ -187,7 +187,7 @@
 }
 
 // CloseWrite ends what this side sends; the peer may still send.
-func (s *Stream) CloseWrite() { _ = unix.Shutdown(s.fd, unix.SHUT_WR) }
+func (s *Stream) CloseWrite() { _ = s.loop.syscalls.Shutdown(s.fd, unix.SHUT_WR) }
 
 // Close closes the socket and drops the buffers. Closing twice does nothing.
 func (s *Stream) Close() {
--- a/internal/eventloop/stream_test.go
+++ b/internal/eventloop/stream_test.go
@@ -164,7 +164,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fd, err := Dial(AddrPort(bound))
+	fd, err := l.Dial(AddrPort(bound))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/eventloop/wake.go
+++ b/internal/eventloop/wake.go
@@ -1,7 +1,5 @@
 package eventloop
 
-import "golang.org/x/sys/unix"
-
 // Post has the loop call act soon. It may be called from any goroutine.
 func (l *Loop) Post(act func()) {
 	l.posting.Lock()
@@ -11,7 +9,7 @@
 }
 
 // Wake has the loop call its hook Woken soon. It may be called from any goroutine.
-func (l *Loop) Wake() { _, _ = unix.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0}) }
+func (l *Loop) Wake() { _, _ = l.syscalls.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0}) }
 
 // waker is the handler of the descriptor that wakes the loop, and the owner of timers and acts that have no other.
 type waker Loop
@@ -19,7 +17,7 @@
 // HandleEvents calls what was posted, and the hook.
 func (w *waker) HandleEvents(uint32) {
 	var count [8]byte
-	_, _ = unix.Read(w.wakeFD, count[:])
+	_, _ = w.syscalls.Read(w.wakeFD, count[:])
 	w.posting.Lock()
 	posted := w.posted
 	w.posted = nil
--- a/internal/link/client_address.go
+++ b/internal/link/client_address.go
@@ -6,8 +6,6 @@
 	"log/slog"
 	"net/netip"
 
-	"golang.org/x/sys/unix"
-
 	"valvecove/internal/address"
 )
 
@@ -26,7 +24,7 @@
 	if reason == "" {
 		return true
 	}
-	_ = unix.Close(socket)
+	_ = l.Syscalls().Close(socket)
 	if l.connectionLog.Enabled(context.Background(), slog.LevelWarn) {
 		l.connectionLog.LogAttrs(context.Background(), slog.LevelWarn, "connection refused", slog.String("why", reason),
 			slog.String("client", from.String()))
--- a/internal/link/client_listener.go
+++ b/internal/link/client_listener.go
@@ -114,7 +114,7 @@
 
 // acceptOne accepts a connection. more is false if there is none, or no descriptor for it.
 func (l *clientListener) acceptOne() (more bool) {
-	socket, sockaddr, err := unix.Accept4(l.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+	socket, sockaddr, err := l.loop.Syscalls().Accept4(l.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	switch {
 	case errors.Is(err, unix.EINTR) || errors.Is(err, unix.ECONNABORTED):
 		return true
@@ -143,7 +143,7 @@
 	var err error
 	if connection.Stream, err = l.loop.OpenStream(socket, eventloop.StreamEvents, connection); err != nil {
 		l.loop.log.Error("accepting failed", "error", err)
-		_ = unix.Close(socket)
+		_ = l.loop.Syscalls().Close(socket)
 		return
 	}
 	l.connections[connection] = struct{}{}
--- a/internal/link/discovery_watch.go
+++ b/internal/link/discovery_watch.go
@@ -126,7 +126,7 @@
 	}
 	w.Stream, err = w.loop.OpenStream(fd, eventloop.StreamEvents|unix.EPOLLOUT, w)
 	if err != nil {
-		_ = unix.Close(fd)
+		_ = w.loop.Syscalls().Close(fd)
 	}
 	return err
 }
--- a/internal/link/generated_settings_test.go
+++ b/internal/link/generated_settings_test.go
@@ -20,6 +20,7 @@
 	"valvecove/dispatch"
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
+	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
@@ -228,7 +229,7 @@
 // open is Open, but that the loop is on the test's clock and its connections lead to the test.
 func (d *deployment) open() {
 	log := slog.New(loud{d.T})
-	l, err := newLoop(log, log, func() time.Duration { return d.now }, 0)
+	l, err := newLoop(log, log, func() time.Duration { return d.now }, 0, eventloop.Syscalls{})
 	if err != nil {
 		d.T.Fatal(err)
 	}
--- a/internal/link/harness_test.go
+++ b/internal/link/harness_test.go
@@ -11,6 +11,7 @@
 	"valvecove/dispatch"
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
+	"valvecove/internal/eventloop"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
 )
@@ -39,7 +40,7 @@
 	w := &harness{Steps: s, policy: &modeltest.ScriptedPolicy{}, now: 1000 * time.Hour}
 	w.clock = func() time.Duration { return w.now }
 	silent := slog.New(slog.DiscardHandler)
-	l, err := newLoop(silent, silent, func() time.Duration { return w.clock() }, 0)
+	l, err := newLoop(silent, silent, func() time.Duration { return w.clock() }, 0, eventloop.Syscalls{})
 	if err != nil {
 		s.T.Fatal(err)
 	}
--- a/internal/link/hotrestart_channel.go
+++ b/internal/link/hotrestart_channel.go
@@ -61,7 +61,8 @@
 
 func (c *frameChannel) receiveMessage(control []byte) (n, controlSize, flags int, err error) {
 	for {
-		n, controlSize, flags, _, err = unix.Recvmsg(c.FD(), c.loop.ReadBuffer(), control, unix.MSG_CMSG_CLOEXEC|unix.MSG_DONTWAIT)
+		n, controlSize, flags, err = c.loop.Syscalls().Recvmsg(c.FD(), c.loop.ReadBuffer(), control,
+			unix.MSG_CMSG_CLOEXEC|unix.MSG_DONTWAIT)
 		if !errors.Is(err, unix.EINTR) {
 			return n, controlSize, flags, err
 		}
@@ -87,7 +88,7 @@
 // closeWithDescriptors closes the channel, and the descriptors of frames that were not handled.
 func (c *frameChannel) closeWithDescriptors() {
 	for _, descriptor := range c.descriptors {
-		_ = unix.Close(descriptor)
+		_ = c.loop.Syscalls().Close(descriptor)
 	}
 	c.descriptors = nil
 	c.Close()
@@ -129,7 +130,7 @@
 	}
 	message, err = frame.Message()
 	if err != nil {
-		closeDescriptor(descriptor)
+		c.loop.closeDescriptor(descriptor)
 		return nil, hotrestart.NoDescriptor, 0, err
 	}
 	return message, descriptor, size, nil
@@ -162,7 +163,7 @@
 		rights = unix.UnixRights(descriptor)
 	}
 	for len(encoded) > 0 {
-		n, err := unix.SendmsgN(c.FD(), encoded, rights, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
+		n, err := c.loop.Syscalls().SendmsgN(c.FD(), encoded, rights, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
 		if err == nil {
 			encoded, rights = encoded[n:], nil // the descriptor goes with the first byte
 			continue
@@ -199,8 +200,8 @@
 		if remaining <= 0 {
 			return errPeerNotResponding
 		}
-		polled := []unix.PollFd{{Fd: int32(c.FD()), Events: events}}
-		n, err := unix.Poll(polled, int((remaining+time.Millisecond-1)/time.Millisecond))
+		polled := unix.PollFd{Fd: int32(c.FD()), Events: events}
+		n, err := c.loop.Syscalls().Poll(&polled, int((remaining+time.Millisecond-1)/time.Millisecond))
 		if err != nil && !errors.Is(err, unix.EINTR) {
 			return err
 		}
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -70,12 +70,12 @@
 }
 
 func (r *predecessorRole) listen(addresses []string) error {
-	fd, err := listenForSuccessor(addresses)
+	fd, err := r.loop.listenForSuccessor(addresses)
 	if err != nil {
 		return err
 	}
 	if err := r.loop.Add(fd, unix.EPOLLIN, r); err != nil {
-		_ = unix.Close(fd)
+		_ = r.loop.Syscalls().Close(fd)
 		return err
 	}
 	r.listenerFD = fd
@@ -86,7 +86,7 @@
 
 // HandleEvents accepts a successor, or rejects it.
 func (r *predecessorRole) HandleEvents(uint32) {
-	socket, _, err := unix.Accept4(r.listenerFD, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+	socket, _, err := r.loop.Syscalls().Accept4(r.listenerFD, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 	if err != nil {
 		return
 	}
@@ -96,10 +96,10 @@
 	conn := &successorConn{role: r}
 	conn.loop = r.loop
 	if conn.Stream, err = r.loop.OpenStream(socket, eventloop.StreamEvents, conn); err != nil {
-		_ = unix.Close(socket)
+		_ = r.loop.Syscalls().Close(socket)
 		return
 	}
-	if reason := r.protocol.HandleConnect(isPeerOwnUser(socket)); reason != nil {
+	if reason := r.protocol.HandleConnect(r.loop.isPeerOwnUser(socket)); reason != nil {
 		r.loop.log.Warn("successor turned away", "why", reason)
 		_ = conn.sendMessage(hotrestart.Reject{Reason: reason.Error()})
 		conn.closeWithDescriptors()
@@ -154,7 +154,7 @@
 }
 
 func (c *successorConn) handleMessage(message hotrestart.Message, descriptor int) error {
-	closeDescriptor(descriptor) // a successor passes none
+	c.loop.closeDescriptor(descriptor) // a successor passes none
 	action, err := c.role.protocol.HandleMessage(message)
 	switch action {
 	case hotrestart.ActionReject:
@@ -235,7 +235,7 @@
 // takenOverBeforeShutdown shuts the connection down, and tells whether the successor had said that it has taken over. Nothing
 // that it says later reaches this process, and it finds that out: there are never two owners.
 func (c *successorConn) takenOverBeforeShutdown() bool {
-	_ = unix.Shutdown(c.FD(), unix.SHUT_RDWR)
+	_ = c.loop.Syscalls().Shutdown(c.FD(), unix.SHUT_RDWR)
 	for {
 		before := len(c.Input())
 		if ended, err := c.receive(); err != nil || ended || len(c.Input()) == before {
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -52,18 +52,18 @@
 // connect opens a session with the predecessor.
 func (r *successorRole) connect() error {
 	loop := r.loop
-	socket, err := dialPredecessor(hotrestart.SocketAddresses(r.stateDir, r.listenAddress))
+	socket, err := loop.dialPredecessor(hotrestart.SocketAddresses(r.stateDir, r.listenAddress))
 	if err != nil {
 		return err
 	}
-	if !isPeerOwnUser(socket) {
-		_ = unix.Close(socket)
+	if !loop.isPeerOwnUser(socket) {
+		_ = loop.Syscalls().Close(socket)
 		loop.log.Warn("another user's process has the place of the one to be replaced, and is left alone")
 		return unix.EPERM
 	}
 	if r.Stream, err = loop.OpenStream(socket, eventloop.StreamEvents, r); err != nil {
 		r.Stream = eventloop.Stream{}
-		_ = unix.Close(socket)
+		_ = loop.Syscalls().Close(socket)
 		return err
 	}
 	if err := r.sendMessage(hotrestart.Handshake{Version: hotrestart.ProtocolVersion}); err != nil {
@@ -126,7 +126,7 @@
 func (r *successorRole) handleMessage(message hotrestart.Message, descriptor int) error {
 	action, err := r.protocol.HandleMessage(message)
 	if err != nil {
-		closeDescriptor(descriptor)
+		r.loop.closeDescriptor(descriptor)
 		return err
 	}
 	if action == hotrestart.ActionTakeOver {
@@ -157,7 +157,7 @@
 func (r *successorRole) handleAccept(accept hotrestart.Accept, listenerFD int) error {
 	r.loop.StopTimer(r.handshakeTimer)
 	r.discardReceived()
-	closeDescriptor(r.listenerFD) // of an earlier session
+	r.loop.closeDescriptor(r.listenerFD) // of an earlier session
 	r.listenerFD = listenerFD
 	r.loop.Requests.SetCordoned(accept.CordonedWorkers)
 	for _, message := range r.pendingCalls.Messages() {
@@ -272,13 +272,13 @@
 // discardReceived lets go of what a predecessor has sent of its state.
 func (r *successorRole) discardReceived() {
 	for _, descriptor := range r.received.Descriptors() {
-		closeDescriptor(descriptor)
+		r.loop.closeDescriptor(descriptor)
 	}
 	r.received = hotrestart.ReceivedState{}
 }
 
 func (r *successorRole) closeListener() {
-	closeDescriptor(r.listenerFD)
+	r.loop.closeDescriptor(r.listenerFD)
 	r.listenerFD = hotrestart.NoDescriptor
 }
 
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -250,7 +250,7 @@
 func TestSilentSuccessorIsDisconnected(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
-	silent, err := dialPredecessor(hotrestart.SocketAddresses(dir, address))
+	silent, err := predecessor.loop.dialPredecessor(hotrestart.SocketAddresses(dir, address))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/link/hotrestart_transfer.go
+++ b/internal/link/hotrestart_transfer.go
@@ -100,7 +100,7 @@
 		if err != nil {
 			return err
 		}
-		closeDescriptor(descriptor) // a successor passes none
+		t.loop.closeDescriptor(descriptor) // a successor passes none
 		t.successor.Consume(size)
 		action, err := t.successor.role.protocol.HandleMessage(message)
 		if err != nil || action == hotrestart.ActionRelinquish {
@@ -270,7 +270,7 @@
 	if client.Stream, err = c.loop.OpenStream(received.Descriptor, events, client); err != nil {
 		c.loop.log.Error("a client link is lost", "error", err)
 		client.Stream = eventloop.Stream{}
-		_ = unix.Close(received.Descriptor)
+		_ = c.loop.Syscalls().Close(received.Descriptor)
 		return client, nil
 	}
 	client.SetBuffers(received.Input, received.Output)
@@ -320,7 +320,7 @@
 	worker, known := s.loop.Requests.WorkerNumber(received.WorkerID)
 	attempt := s.loop.Requests.InFlightAttempt(received.RequestID, received.Attempt)
 	if !known || received.State != hotrestart.WorkerIdle && attempt == nil {
-		_ = unix.Close(received.Descriptor)
+		_ = s.loop.Syscalls().Close(received.Descriptor)
 		return
 	}
 	endpoint := s.endpoint(worker)
@@ -340,7 +340,7 @@
 	}
 	var err error
 	if connection.Stream, err = s.loop.OpenStream(received.Descriptor, events, connection); err != nil {
-		_ = unix.Close(received.Descriptor)
+		_ = s.loop.Syscalls().Close(received.Descriptor)
 		if attempt != nil {
 			lost := &requests.AttemptError{Stage: received.Stage, Reason: requests.ReasonConnectionLost, Cause: err}
 			s.loop.Requests.EndAttempt(attempt, nil, lost)
--- a/internal/link/lifecycle.go
+++ b/internal/link/lifecycle.go
@@ -4,8 +4,6 @@
 	"net/netip"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"valvecove/internal/config"
 	"valvecove/internal/eventloop"
 )
@@ -21,7 +19,7 @@
 	if l.clients.fd < 0 { // the process that serves has the socket
 		return netip.AddrPort{}
 	}
-	sockaddr, _ := unix.Getsockname(l.clients.fd)
+	sockaddr, _ := l.Syscalls().Getsockname(l.clients.fd)
 	return eventloop.AddrPort(sockaddr)
 }
 
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -70,12 +70,13 @@
 }
 
 // newLoop returns a loop that has no connections yet. maxEvents is how many descriptors may be ready at once.
-func newLoop(log, connectionLog *slog.Logger, clock func() time.Duration, maxEvents int) (*Loop, error) {
-	loop := &Loop{log: log, connectionLog: connectionLog, dial: eventloop.Dial}
+func newLoop(log, connectionLog *slog.Logger, clock func() time.Duration, maxEvents int, syscalls eventloop.Syscalls) (*Loop, error) {
+	loop := &Loop{log: log, connectionLog: connectionLog}
 	events, err := eventloop.New(eventloop.Config{
 		Clock:     clock,
 		MaxEvents: maxEvents,
 		Log:       log,
+		Syscalls:  syscalls,
 		Hooks: eventloop.Hooks{
 			NextStep:          loop.nextStep,
 			Step:              func(now time.Duration) { loop.Requests.Step(now) },
@@ -87,6 +88,7 @@
 		return nil, err
 	}
 	loop.Loop = events
+	loop.dial = events.Dial
 	return loop, nil
 }
 
--- a/internal/link/management.go
+++ b/internal/link/management.go
@@ -35,7 +35,7 @@
 // accept accepts connections, so many at a time at most. admit closes those that it does not admit; add owns the socket.
 func (l *managementListener) accept(maxConnections int, admit func(socket int, from netip.AddrPort) bool, add func(socket int)) {
 	for range maxConnections {
-		socket, sockaddr, err := unix.Accept4(l.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
+		socket, sockaddr, err := l.loop.Syscalls().Accept4(l.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		if err != nil { // none waits, or no descriptor is left: there is another event for it
 			return
 		}
@@ -51,7 +51,7 @@
 	c.lastActivity = l.loop.Now()
 	var err error
 	if c.Stream, err = l.loop.OpenStream(socket, eventloop.StreamEvents, handler); err != nil {
-		_ = unix.Close(socket)
+		_ = l.loop.Syscalls().Close(socket)
 		return false
 	}
 	c.element = l.connections.PushBack(handler)
--- a/internal/link/metrics_sender.go
+++ b/internal/link/metrics_sender.go
@@ -15,8 +15,9 @@
 // collectorSocket sends metrics to a UDP address, and never waits. The socket is connected, as otherwise there would be no
 // error where nobody listens.
 type collectorSocket struct {
-	address netip.AddrPort
-	fd      int // -1: none is open
+	syscalls *eventloop.Syscalls
+	address  netip.AddrPort
+	fd       int // -1: none is open
 }
 
 // Send sends one batch, without the line end of its last metric.
@@ -26,11 +27,11 @@
 			return err
 		}
 	}
-	_, err := unix.SendmsgN(c.fd, batch[:len(batch)-1], nil, nil, unix.MSG_DONTWAIT)
+	_, err := c.syscalls.SendmsgN(c.fd, batch[:len(batch)-1], nil, unix.MSG_DONTWAIT)
 	switch {
 	case err == nil || errors.Is(err, unix.ECONNREFUSED) || errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.EMSGSIZE):
 	default:
-		_ = unix.Close(c.fd) // the next one may work
+		_ = c.syscalls.Close(c.fd) // the next one may work
 		c.fd = -1
 	}
 	return err
@@ -38,12 +39,12 @@
 
 func (c *collectorSocket) open() error {
 	family, sockaddr := eventloop.Sockaddr(c.address)
-	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	fd, err := c.syscalls.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return err
 	}
-	if err := unix.Connect(fd, sockaddr); err != nil {
-		_ = unix.Close(fd)
+	if err := c.syscalls.Connect(fd, sockaddr); err != nil {
+		_ = c.syscalls.Close(fd)
 		return err
 	}
 	c.fd = fd
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -13,6 +13,7 @@
 	"valvecove/internal/capture"
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
+	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/logging"
 	"valvecove/internal/metrics"
@@ -26,7 +27,12 @@
 // Open returns a loop that listens and is ready to run, with the features that are on. metricTargets are targets of metrics
 // besides a collector. An error names the key of the configuration that is at fault.
 func Open(conf config.Config, ops config.Ops, log *logging.Factory, metricTargets ...metrics.Target) (*Loop, error) {
-	loop, err := newLoop(log.NewLogger(), log.NewLogger(), clockSinceEpoch(), conf.Limits.Sockets)
+	return open(eventloop.Syscalls{}, conf, ops, log, metricTargets...)
+}
+
+// open is Open with the system calls that syscalls makes.
+func open(syscalls eventloop.Syscalls, conf config.Config, ops config.Ops, log *logging.Factory, metricTargets ...metrics.Target) (*Loop, error) {
+	loop, err := newLoop(log.NewLogger(), log.NewLogger(), clockSinceEpoch(), conf.Limits.Sockets, syscalls)
 	if err != nil {
 		return nil, err
 	}
@@ -159,7 +165,7 @@
 	}
 	if ops.Metrics != nil {
 		if ops.Metrics.UDPTarget.IsValid() {
-			metricTargets = append(metricTargets, &collectorSocket{address: ops.Metrics.UDPTarget, fd: -1})
+			metricTargets = append(metricTargets, &collectorSocket{syscalls: l.Syscalls(), address: ops.Metrics.UDPTarget, fd: -1})
 		}
 		l.exporter = metrics.NewExporter(*ops.Metrics, counters, l.Now, metricTargets...)
 		l.Requests.AddObserver(l.exporter)
--- a/internal/link/worker_connection.go
+++ b/internal/link/worker_connection.go
@@ -75,7 +75,7 @@
 		return err
 	}
 	if c.Stream, err = pool.loop.OpenStream(socket, eventloop.StreamEvents|unix.EPOLLOUT, c); err != nil {
-		_ = unix.Close(socket)
+		_ = pool.loop.Syscalls().Close(socket)
 		return err
 	}
 	pool.openCount++
@@ -87,7 +87,7 @@
 // gathered, and a request written to it would end as a reset, and be possibly executed.
 func (c *workerConnection) isAlive() bool {
 	var b [1]byte
-	_, _, err := unix.Recvfrom(c.FD(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	_, err := c.pool.loop.Syscalls().Recvfrom(c.FD(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return errors.Is(err, unix.EAGAIN)
 }
 
