--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -62,13 +62,6 @@
 	onFail        func(error)     // the process can't go on
 }
 
-// clockSinceEpoch returns a clock that counts time from the Unix epoch, so that any start time that discovery names is
-// positive. It follows the monotonic clock from here on.
-func clockSinceEpoch() func() time.Duration {
-	origin := time.Now()
-	return func() time.Duration { return time.Duration(origin.UnixNano()) + time.Since(origin) }
-}
-
 // newLoop returns a loop that has no connections yet. maxEvents is how many descriptors may be ready at once.
 func newLoop(log, connectionLog *slog.Logger, clock func() time.Duration, maxEvents int) (*Loop, error) {
 	loop := &Loop{log: log, connectionLog: connectionLog, dial: eventloop.Dial}
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -11,6 +11,7 @@
 	"valvecove/internal/address"
 	"valvecove/internal/aperture"
 	"valvecove/internal/capture"
+	"valvecove/internal/clock"
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
 	"valvecove/internal/hotrestart"
@@ -26,7 +27,7 @@
 // Open returns a loop that listens and is ready to run, with the features that are on. metricTargets are targets of metrics
 // besides a collector. An error names the key of the configuration that is at fault.
 func Open(conf config.Config, ops config.Ops, log *logging.Factory, metricTargets ...metrics.Target) (*Loop, error) {
-	loop, err := newLoop(log.NewLogger(), log.NewLogger(), clockSinceEpoch(), conf.Limits.Sockets)
+	loop, err := newLoop(log.NewLogger(), log.NewLogger(), clock.SinceEpoch(clock.Now), conf.Limits.Sockets)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -10,6 +10,7 @@
 	"log/slog"
 	"time"
 
+	"valvecove/internal/clock"
 	"valvecove/internal/config"
 )
 
@@ -32,7 +33,7 @@
 	return &Factory{
 		handler: handler.WithAttrs([]slog.Attr{slog.String("scheduler", scheduler)}),
 		level:   conf.Level,
-		now:     time.Now,
+		now:     clock.Now,
 	}
 }
 
