--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -11,6 +11,7 @@
 	"valvecove/internal/address"
 	"valvecove/internal/aperture"
 	"valvecove/internal/capture"
+	"valvecove/internal/clock"
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
 	"valvecove/internal/eventloop"
@@ -32,7 +33,7 @@
 
 // open is Open with the system calls that syscalls makes.
 func open(syscalls eventloop.Syscalls, conf config.Config, ops config.Ops, log *logging.Factory, metricTargets ...metrics.Target) (*Loop, error) {
-	loop, err := newLoop(log.NewLogger(), log.NewLogger(), clockSinceEpoch(), conf.Limits.Sockets, syscalls)
+	loop, err := newLoop(log.NewLogger(), log.NewLogger(), clock.SinceEpoch(clock.Now), conf.Limits.Sockets, syscalls)
 	if err != nil {
 		return nil, err
 	}
