--- a/internal/hotrestart/calls.go
+++ b/internal/hotrestart/calls.go
@@ -42,22 +42,13 @@
 	return messages
 }
 
-// Complete answers the call that the result is for. A result for no pending call is ignored.
+// Complete answers the call that the result is for, whichever came before it: a call that is rejected has its result at
+// once, and one that is carried out only when the file is written. A result for no pending call is ignored.
 func (p *PendingCalls) Complete(result CordonResult) {
 	i := slices.IndexFunc(p.calls, func(call pendingCall) bool { return call.sequence == result.Sequence })
-	if i >= 0 {
-		p.completeAt(i, result)
+	if i < 0 {
+		return
 	}
-}
-
-// CompleteOldest answers the oldest pending call if the result is for it. Any other result is ignored.
-func (p *PendingCalls) CompleteOldest(result CordonResult) {
-	if len(p.calls) > 0 && p.calls[0].sequence == result.Sequence {
-		p.completeAt(0, result)
-	}
-}
-
-func (p *PendingCalls) completeAt(i int, result CordonResult) {
 	call := p.calls[i]
 	p.calls = slices.Delete(p.calls, i, i+1)
 	call.Respond(result.StatusCode, result.Message)
--- a/internal/hotrestart/calls_test.go
+++ b/internal/hotrestart/calls_test.go
@@ -25,13 +25,13 @@
 	if got := pending.Messages(); !slices.Equal(got, []SetCordon{first, third}) {
 		t.Errorf("still pending: %v", got)
 	}
-	pending.CompleteOldest(CordonResult{3, 200, "serving"})
-	pending.CompleteOldest(CordonResult{1, 200, "out"})
+	pending.Complete(CordonResult{3, 200, "serving"})
 	remaining := pending.TakeAll()
-	if len(remaining) != 1 || remaining[0].WorkerID != "s-0" || remaining[0].Cordoned || len(pending.Messages()) != 0 {
+	if len(remaining) != 1 || remaining[0].WorkerID != "s-0" || !remaining[0].Cordoned || len(pending.Messages()) != 0 {
 		t.Errorf("taken: %v, still pending: %v", remaining, pending.Messages())
 	}
-	if want := []string{"s-1 404 no such worker node", "s-0 200 out"}; !slices.Equal(answers, want) {
+	pending.Complete(CordonResult{1, 200, "out"})
+	if want := []string{"s-1 404 no such worker node", "s-0 200 serving"}; !slices.Equal(answers, want) {
 		t.Errorf("answers %q, expected %q", answers, want)
 	}
 	if next := add("s-2", true); next.Sequence != 4 {
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -140,7 +140,7 @@
 	case hotrestart.CordonedWorkers:
 		r.loop.Requests.SetCordoned(message.WorkerIDs)
 	case hotrestart.CordonResult:
-		r.pendingCalls.CompleteOldest(message)
+		r.pendingCalls.Complete(message)
 	case hotrestart.SetCordon:
 		r.loop.applyForwardedCordon(message, func(result hotrestart.CordonResult) {
 			if r.IsOpen() {
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"errors"
+	"fmt"
 	"net/netip"
+	"slices"
 	"strings"
 	"testing"
 
@@ -231,6 +233,39 @@
 	}
 }
 
+// A forwarded cordon call that is rejected is answered while an earlier one waits for the file. Both are answered with their own
+// result, and so is a later one: none is left for the hot restart.
+func TestForwardedCordonResultsInAnyOrder(t *testing.T) {
+	dir := t.TempDir()
+	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
+	written := make(chan func(), 1) // what the loop is to run once the file is written
+	predecessor.loop.cordonStore = hotrestart.NewCordonStore(dir, 1, func(finish func()) { written <- finish })
+	successor := predecessor.startSuccessor(dir, address)
+	var answers []string
+	call := func(workerID string, cordoned bool) {
+		successor.loop.setCordoned(workerID, cordoned, func(statusCode int, message string) {
+			answers = append(answers, fmt.Sprint(workerID, " ", statusCode, " ", message))
+		})
+	}
+	expect := func(want ...string) {
+		t.Helper()
+		predecessor.runIterations()
+		successor.runIterations()
+		if !slices.Equal(answers, want) {
+			t.Errorf("answers %q, expected %q", answers, want)
+		}
+	}
+	call("s-0", true)
+	call("s-9", true)
+	expect("s-9 404 no such worker node")
+	(<-written)()
+	expect("s-9 404 no such worker node", "s-0 200 out")
+	call("s-0", false)
+	predecessor.runIterations()
+	(<-written)()
+	expect("s-9 404 no such worker node", "s-0 200 out", "s-0 200 serving")
+}
+
 // A process that is told to end while it stands by takes nothing along, and the next can stand by.
 func TestLeaveStandby(t *testing.T) {
 	dir := t.TempDir()
