--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -91,8 +91,11 @@
 	return nil
 }
 
-// Modify changes which events of a descriptor the loop waits for.
+// Modify changes which events of a descriptor the loop waits for. Of one that the loop does not have, it does nothing.
 func (l *Loop) Modify(fd int, events uint32) {
+	if fd < 0 || fd >= len(l.handlers) || l.handlers[fd].handler == nil {
+		return
+	}
 	_ = l.syscalls.EpollCtl(l.epoll, unix.EPOLL_CTL_MOD, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)})
 }
 
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -28,8 +28,8 @@
 }
 
 // After calls act in the iteration in which the delay has passed, for no handler in particular.
-func (l *Loop) After(delay time.Duration, act func()) {
-	l.StartTimer(delay, (*waker)(l), act)
+func (l *Loop) After(delay time.Duration, act func()) *Timer {
+	return l.StartTimer(delay, (*waker)(l), act)
 }
 
 // runTimers runs the timers that are due, and those that these start and that are due at once.
--- a/internal/link/client_listener.go
+++ b/internal/link/client_listener.go
@@ -2,19 +2,16 @@
 
 import (
 	"container/list"
-	"errors"
 	"net/netip"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"valvecove/dispatch"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/requests"
 )
 
 const (
-	acceptRetryDelay   = 50 * time.Millisecond // after no descriptor was to be had
+	acceptRetryDelay   = 50 * time.Millisecond // while no connection can be evicted
 	maxAcceptsPerEvent = 128                   // in a flood of new connections, the present ones are served too
 
 	evictedFraction            = 32 // one of so many descriptors is for connections that are evicted and not closed yet
@@ -24,8 +21,7 @@
 
 // clientListener accepts the connections of clients, and of workers that send callbacks, and keeps account of them.
 type clientListener struct {
-	loop             *Loop
-	fd               int // -1: another process has the socket
+	acceptor         // without a socket while another process has it
 	connections      map[*clientConnection]struct{}
 	maxConnections   int // without those that are evicted
 	maxRequests      int // open at once; fewer than connections, as the callbacks that end requests need connections too
@@ -42,10 +38,8 @@
 	evicted    list.List // shut down to make room, and not closed yet
 	maxEvicted int
 
-	acceptPaused bool
-	resumeTimer  *eventloop.Timer
-	draining     bool // not ready, though requests are still admitted
-	closing      bool // no request is admitted
+	draining bool // not ready, though requests are still admitted
+	closing  bool // no request is admitted
 
 	settings *dispatch.Settings
 	classes  map[string]int // indexes by name
@@ -55,8 +49,7 @@
 // openClientListener makes the listener, which has no socket yet, with limits on descriptors and on bytes of buffers.
 func (l *Loop) openClientListener(connections, bufferBytes int, settings *dispatch.Settings, names requests.NameTable) {
 	l.clients = &clientListener{
-		loop:        l,
-		fd:          -1,
+		acceptor:    acceptor{loop: l, fd: eventloop.NoDescriptor},
 		connections: map[*clientConnection]struct{}{},
 		settings:    settings,
 		classes:     indexByName(names.Classes),
@@ -100,7 +93,7 @@
 func (l *clientListener) HandleEvents(uint32) {
 	for range maxAcceptsPerEvent {
 		if l.activeCount() >= l.maxConnections && !l.evict() {
-			l.pauseAccepting()
+			l.pause(acceptRetryDelay)
 			return
 		}
 		if len(l.connections)+l.loop.ClosingCount() >= l.maxConnections+l.maxEvicted {
@@ -112,21 +105,17 @@
 	}
 }
 
-// acceptOne accepts a connection. more is false if there is none, or no descriptor for it.
+// acceptOne accepts a connection. more is false if there is none, or it can't be accepted now: of what may be lacking, only
+// descriptors of this process are there again for an eviction.
 func (l *clientListener) acceptOne() (more bool) {
-	socket, sockaddr, err := l.loop.Syscalls().Accept4(l.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-	switch {
-	case errors.Is(err, unix.EINTR) || errors.Is(err, unix.ECONNABORTED):
-		return true
-	case errors.Is(err, unix.EAGAIN):
-		return false
-	case err != nil: // EMFILE, ENFILE, ENOMEM
-		l.loop.log.Error("accepting failed", "error", err)
+	socket, from, result := l.accept()
+	if result == acceptNoDescriptor {
 		l.evict()
-		l.pauseAccepting()
+	}
+	if result != acceptedOne {
 		return false
 	}
-	if from := eventloop.AddrPort(sockaddr); l.loop.admitAddress(socket, from) {
+	if l.loop.admitAddress(socket, from) {
 		l.addConnection(socket, from)
 	}
 	return true
@@ -153,23 +142,6 @@
 // HandlePanic has nothing to end: the listener goes on.
 func (l *clientListener) HandlePanic() {}
 
-// pauseAccepting accepts nothing until a connection ends, or for a while.
-func (l *clientListener) pauseAccepting() {
-	if !l.acceptPaused {
-		l.acceptPaused = true
-		l.loop.Modify(l.fd, 0)
-		l.loop.StopTimer(l.resumeTimer)
-		l.resumeTimer = l.loop.StartTimer(acceptRetryDelay, l, l.resumeAccepting)
-	}
-}
-
-func (l *clientListener) resumeAccepting() {
-	if l.acceptPaused {
-		l.acceptPaused = false
-		l.loop.Modify(l.fd, unix.EPOLLIN)
-	}
-}
-
 func (l *clientListener) resumeIfRoom() {
 	if l.activeCount() < l.maxConnections {
 		l.resumeAccepting()
