--- a/internal/link/harness_tcp_test.go
+++ b/internal/link/harness_tcp_test.go
@@ -10,7 +10,6 @@
 
 	"golang.org/x/sys/unix"
 
-	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
 )
 
@@ -24,8 +23,14 @@
 }
 
 // connectClient gives the client's end of a TCP connection, which the loop has yet to accept.
-func (w *harness) connectClient() *peer {
-	_, sa := eventloop.Sockaddr(w.loop.Addr())
+func (w *harness) connectClient() *peer { return w.connectTo(w.loop.clients.fd) }
+
+// connectTo gives the far end of a TCP connection to a listening socket.
+func (w *harness) connectTo(listener int) *peer {
+	sa, err := unix.Getsockname(listener)
+	if err != nil {
+		w.T.Fatal(err)
+	}
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
 		err = unix.Connect(fd, sa)
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -30,10 +30,9 @@
 
 // predecessorRole is the side of a process that serves: it awaits a successor.
 type predecessorRole struct {
-	loop       *Loop
-	listenerFD int
-	protocol   hotrestart.Predecessor
-	successor  *successorConn // nil: none is connected
+	acceptor  // at the Unix socket
+	protocol  hotrestart.Predecessor
+	successor *successorConn // nil: none is connected
 }
 
 // successorConn is the connection to a successor.
@@ -57,7 +56,7 @@
 }
 
 func (l *Loop) awaitSuccessorWithRetries(addresses []string, retries int) {
-	role := &predecessorRole{loop: l}
+	role := &predecessorRole{acceptor: acceptor{loop: l, fd: eventloop.NoDescriptor}}
 	err := role.listen(addresses)
 	switch {
 	case err == nil:
@@ -78,7 +77,7 @@
 		_ = r.loop.Syscalls().Close(fd)
 		return err
 	}
-	r.listenerFD = fd
+	r.fd = fd
 	return nil
 }
 
@@ -86,8 +85,8 @@
 
 // HandleEvents accepts a successor, or rejects it.
 func (r *predecessorRole) HandleEvents(uint32) {
-	socket, _, err := r.loop.Syscalls().Accept4(r.listenerFD, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-	if err != nil {
+	socket, _, result := r.accept()
+	if result != acceptedOne {
 		return
 	}
 	if present := r.successor; present != nil { // it may have gone just now, perhaps to come again
@@ -95,6 +94,7 @@
 	}
 	conn := &successorConn{role: r}
 	conn.loop = r.loop
+	var err error
 	if conn.Stream, err = r.loop.OpenStream(socket, eventloop.StreamEvents, conn); err != nil {
 		_ = r.loop.Syscalls().Close(socket)
 		return
@@ -273,5 +273,6 @@
 	l.watch.stop()
 	l.Remove(l.clients.fd)
 	l.clients.fd = hotrestart.NoDescriptor
-	l.Remove(l.predecessorRole.listenerFD)
+	l.Remove(l.predecessorRole.fd)
+	l.predecessorRole.fd = eventloop.NoDescriptor
 }
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -156,7 +156,7 @@
 	if err := hotrestart.WriteCordonFile(dir, []string{"s-0"}); err != nil {
 		t.Fatal(err)
 	}
-	predecessor.loop.Remove(predecessor.loop.predecessorRole.listenerFD)
+	predecessor.loop.Remove(predecessor.loop.predecessorRole.fd)
 	predecessor.runIterations()
 	predecessor.loop.predecessorRole.successor.closeWithDescriptors()
 	predecessor.runIterations()
--- a/internal/link/management.go
+++ b/internal/link/management.go
@@ -14,8 +14,7 @@
 // managementListener accepts connections at an address beside the clients': few, and each of them timed. It is part of the
 // listener of a kind of connection.
 type managementListener struct {
-	loop        *Loop
-	fd          int
+	acceptor
 	connections list.List // of handlers, in the order in which they are evicted
 }
 
@@ -32,14 +31,14 @@
 // HandlePanic has nothing to end: the listener goes on.
 func (l *managementListener) HandlePanic() {}
 
-// accept accepts connections, so many at a time at most. admit closes those that it does not admit; add owns the socket.
-func (l *managementListener) accept(maxConnections int, admit func(socket int, from netip.AddrPort) bool, add func(socket int)) {
+// acceptAll accepts connections, so many at a time at most. admit closes those that it does not admit; add owns the socket.
+func (l *managementListener) acceptAll(maxConnections int, admit func(socket int, from netip.AddrPort) bool, add func(socket int)) {
 	for range maxConnections {
-		socket, sockaddr, err := l.loop.Syscalls().Accept4(l.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-		if err != nil { // none waits, or no descriptor is left: there is another event for it
+		socket, from, result := l.accept()
+		if result != acceptedOne { // none waits, or there is another event once the acceptor goes on
 			return
 		}
-		if admit(socket, eventloop.AddrPort(sockaddr)) {
+		if admit(socket, from) {
 			add(socket)
 		}
 	}
--- a/internal/link/operator_connection.go
+++ b/internal/link/operator_connection.go
@@ -59,7 +59,7 @@
 
 // serveOperators serves the operators' calls at their own address.
 func (l *Loop) serveOperators(address netip.AddrPort, counters *metrics.Counters) error {
-	listener := &operatorListener{managementListener: managementListener{loop: l}, counters: counters}
+	listener := &operatorListener{managementListener: managementListener{acceptor: acceptor{loop: l}}, counters: counters}
 	fd, err := l.Listen(address, listener)
 	if err != nil {
 		return err
@@ -78,7 +78,7 @@
 
 // HandleEvents accepts whoever connects: the address is the operators' alone.
 func (l *operatorListener) HandleEvents(uint32) {
-	l.accept(maxOperatorConnections, func(int, netip.AddrPort) bool { return true }, l.addConnection)
+	l.acceptAll(maxOperatorConnections, func(int, netip.AddrPort) bool { return true }, l.addConnection)
 }
 
 // addConnection serves a socket, which it owns.
--- a/internal/link/status_connection.go
+++ b/internal/link/status_connection.go
@@ -31,7 +31,7 @@
 
 // serveStatus serves the status call.
 func (l *Loop) serveStatus(address netip.AddrPort, table *status.Table) error {
-	listener := &statusListener{managementListener: managementListener{loop: l}, table: table}
+	listener := &statusListener{managementListener: managementListener{acceptor: acceptor{loop: l}}, table: table}
 	fd, err := l.Listen(address, listener)
 	if err != nil {
 		return err
@@ -44,7 +44,7 @@
 
 // HandleEvents accepts connections.
 func (l *statusListener) HandleEvents(uint32) {
-	l.accept(maxStatusConnections, l.loop.admitAddress, l.addConnection)
+	l.acceptAll(maxStatusConnections, l.loop.admitAddress, l.addConnection)
 }
 
 // addConnection serves a socket, which it owns. Where there are too many, the one that has been quiet longest is ended.
