--- a/internal/eventloop/errorclass.go
+++ b/internal/eventloop/errorclass.go
@@ -146,3 +146,31 @@
 	}
 	return rules.otherwise
 }
+
+// CallError says which call an error is of. Its text is that of the error.
+type CallError struct {
+	Call Call
+	Err  error
+}
+
+func (e *CallError) Error() string { return e.Err.Error() }
+
+// Unwrap returns the error.
+func (e *CallError) Unwrap() error { return e.Err }
+
+// NewCallError adds the call to an error; nil stays nil.
+func NewCallError(call Call, err error) error {
+	if err == nil {
+		return nil
+	}
+	return &CallError{Call: call, Err: err}
+}
+
+// ClassOf classifies an error that says which call it is of. Any other is ErrorUnusable.
+func ClassOf(err error) ErrorClass {
+	var failed *CallError
+	if !errors.As(err, &failed) {
+		return ErrorUnusable
+	}
+	return Classify(failed.Call, failed.Err)
+}
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -78,7 +78,7 @@
 func (l *Loop) Add(descriptor int, events uint32, handler Handler) error {
 	event := unix.EpollEvent{Events: events, Fd: int32(descriptor)}
 	if err := l.syscalls.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, descriptor, &event); err != nil {
-		return fmt.Errorf("epoll add: %w", err)
+		return fmt.Errorf("epoll add: %w", NewCallError(CallEpollControl, err))
 	}
 	for len(l.handlers) <= descriptor {
 		l.handlers = append(l.handlers, registration{})
@@ -93,16 +93,21 @@
 
 // Modify changes which events of a descriptor the loop waits for. Of one that the loop does not have, it does nothing.
 func (l *Loop) Modify(fd int, events uint32) {
-	if fd < 0 || fd >= len(l.handlers) || l.handlers[fd].handler == nil {
+	if !l.has(fd) {
 		return
 	}
 	_ = l.syscalls.EpollCtl(l.epoll, unix.EPOLL_CTL_MOD, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)})
 }
 
-// Remove closes a descriptor: at once, or, while events are handed out, once all are. Of one that was removed before, it does
-// nothing.
+// has reports whether the loop owns a descriptor.
+func (l *Loop) has(fd int) bool {
+	return fd >= 0 && fd < len(l.handlers) && l.handlers[fd].handler != nil
+}
+
+// Remove closes a descriptor: at once, or, while events are handed out, once all are. Of one that the loop does not have, it
+// does nothing.
 func (l *Loop) Remove(fd int) {
-	if l.handlers[fd].handler == nil {
+	if !l.has(fd) {
 		return
 	}
 	l.handlers[fd] = registration{}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -77,14 +77,27 @@
 		events:     make([]unix.EpollEvent, max(config.MaxEvents, minEvents)),
 		readBuffer: make([]byte, readBufferSize),
 	}
-	var err error
-	if loop.epoll, err = loop.syscalls.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
-		return nil, fmt.Errorf("epoll: %w", err)
+	if err := loop.open(); err != nil {
+		return nil, err
 	}
-	if loop.wakeFD, err = loop.syscalls.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err != nil {
-		return nil, fmt.Errorf("eventfd: %w", err)
+	return loop, nil
+}
+
+// open opens the loop's own descriptors, or none.
+func (l *Loop) open() (err error) {
+	if l.epoll, err = l.syscalls.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
+		return fmt.Errorf("epoll: %w", NewCallError(CallEpollCreate, err))
+	}
+	if l.wakeFD, err = l.syscalls.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err != nil {
+		_ = l.syscalls.Close(l.epoll)
+		return fmt.Errorf("eventfd: %w", NewCallError(CallEventfd, err))
 	}
-	return loop, loop.Add(loop.wakeFD, unix.EPOLLIN, (*waker)(loop))
+	if err := l.Add(l.wakeFD, unix.EPOLLIN, (*waker)(l)); err != nil {
+		_ = l.syscalls.Close(l.wakeFD)
+		_ = l.syscalls.Close(l.epoll)
+		return err
+	}
+	return nil
 }
 
 // CloseDescriptors closes all descriptors that the loop has, and its own. It is for a loop that ends before its process does.
@@ -130,7 +143,7 @@
 func (l *Loop) RunOnce(timeoutMillis int) error {
 	n, err := l.syscalls.EpollWait(l.epoll, l.events, timeoutMillis)
 	if err != nil && !errors.Is(err, unix.EINTR) {
-		return fmt.Errorf("epoll wait: %w", err)
+		return fmt.Errorf("epoll wait: %w", NewCallError(CallEpollWait, err))
 	}
 	l.UpdateNow()
 	l.dispatch(l.events[:max(n, 0)])
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -37,7 +37,7 @@
 	family, sockaddr := Sockaddr(address)
 	fd, err = l.syscalls.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return -1, nil, fmt.Errorf("socket: %w", err)
+		return -1, nil, fmt.Errorf("socket: %w", NewCallError(CallSocket, err))
 	}
 	return fd, sockaddr, nil
 }
@@ -50,7 +50,7 @@
 	}
 	if err := l.syscalls.Connect(fd, sockaddr); err != nil && !errors.Is(err, unix.EINPROGRESS) {
 		_ = l.syscalls.Close(fd)
-		return -1, fmt.Errorf("connect: %w", err)
+		return -1, fmt.Errorf("connect: %w", NewCallError(CallConnect, err))
 	}
 	return fd, nil
 }
@@ -62,20 +62,28 @@
 	if err != nil {
 		return -1, err
 	}
+	if err := l.startListening(fd, sockaddr, options); err != nil {
+		_ = l.syscalls.Close(fd)
+		return -1, fmt.Errorf("listening at %v: %w", address, err)
+	}
+	if err := l.Add(fd, unix.EPOLLIN, owner); err != nil {
+		_ = l.syscalls.Close(fd)
+		return -1, err
+	}
+	return fd, nil
+}
+
+func (l *Loop) startListening(descriptor int, sockaddr unix.Sockaddr, options []int) error {
 	for _, option := range options {
-		if err := l.syscalls.SetsockoptInt(fd, unix.SOL_SOCKET, option, 1); err != nil {
-			_ = l.syscalls.Close(fd)
-			return -1, fmt.Errorf("listening at %v: %w", address, err)
+		if err := l.syscalls.SetsockoptInt(descriptor, unix.SOL_SOCKET, option, 1); err != nil {
+			return NewCallError(CallSetOption, err)
 		}
 	}
-	_ = l.syscalls.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	_ = l.syscalls.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBufferSize) // accepted sockets inherit these
-	_ = l.syscalls.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, socketBufferSize)
-	if err := l.syscalls.Bind(fd, sockaddr); err != nil {
-		return -1, fmt.Errorf("listening at %v: %w", address, err)
-	}
-	if err := l.syscalls.Listen(fd, listenBacklog); err != nil {
-		return -1, fmt.Errorf("listening at %v: %w", address, err)
+	_ = l.syscalls.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
+	_ = l.syscalls.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBufferSize) // accepted sockets inherit these
+	_ = l.syscalls.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_SNDBUF, socketBufferSize)
+	if err := l.syscalls.Bind(descriptor, sockaddr); err != nil {
+		return NewCallError(CallBind, err)
 	}
-	return fd, l.Add(fd, unix.EPOLLIN, owner)
+	return NewCallError(CallListen, l.syscalls.Listen(descriptor, listenBacklog))
 }
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -52,17 +52,21 @@
 
 // awaitSuccessor listens for a successor at the first of the addresses that can be bound.
 func (l *Loop) awaitSuccessor(addresses []string) {
-	l.awaitSuccessorWithRetries(addresses, maxListenRetries)
+	l.awaitSuccessorWithRetries(addresses, maxListenRetries, listenRetryInterval)
 }
 
-func (l *Loop) awaitSuccessorWithRetries(addresses []string, retries int) {
+// awaitSuccessorWithRetries tries again, so many times, where the address is in use, and for as long as it takes where the
+// machine lacks something.
+func (l *Loop) awaitSuccessorWithRetries(addresses []string, retries int, backoff time.Duration) {
 	role := &predecessorRole{acceptor: acceptor{loop: l, fd: eventloop.NoDescriptor}}
 	err := role.listen(addresses)
 	switch {
 	case err == nil:
 		l.predecessorRole = role
 	case errors.Is(err, unix.EADDRINUSE) && retries > 0:
-		l.After(listenRetryInterval, func() { l.awaitSuccessorWithRetries(addresses, retries-1) })
+		l.After(listenRetryInterval, func() { l.awaitSuccessorWithRetries(addresses, retries-1, backoff) })
+	case isMomentary(err):
+		l.After(backoff, func() { l.awaitSuccessorWithRetries(addresses, retries, min(2*backoff, maxReopenBackoff)) })
 	default: // this process can still be replaced, by a drain
 		l.log.Warn("no successor can reach this process", "error", err)
 	}
--- a/internal/link/hotrestart_socket.go
+++ b/internal/link/hotrestart_socket.go
@@ -1,12 +1,14 @@
 package link
 
 import (
+	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
 )
 
@@ -15,35 +17,57 @@
 	successorBacklog = 4  // successors that wait for the event loop
 )
 
-// dialPredecessor connects to a predecessor at the first address that answers; an error means that there is none.
+// dialPredecessor connects to a predecessor at the first address that answers; an error means that there is none, or, of a
+// class that is a shortage, that there may be one.
 func (l *Loop) dialPredecessor(addresses []string) (fd int, err error) {
-	for _, address := range addresses {
-		if fd, err = l.openUnixSocket(address, l.Syscalls().Connect); err == nil {
-			return fd, nil
-		}
-	}
-	return hotrestart.NoDescriptor, err
+	return l.openFirst(addresses, l.connectUnix)
 }
 
 // listenForSuccessor listens at the first address that can be bound. It removes the socket file that an earlier process has
 // left.
 func (l *Loop) listenForSuccessor(addresses []string) (fd int, err error) {
-	for _, address := range addresses {
-		if !hotrestart.IsAbstract(address) {
-			_ = os.Remove(address) // where that fails, so does bind
+	return l.openFirst(addresses, func(fd int, address unix.Sockaddr) error {
+		if name := address.(*unix.SockaddrUnix).Name; !hotrestart.IsAbstract(name) {
+			_ = os.Remove(name) // where that fails, so does bind
 		}
-		if fd, err = l.openUnixSocket(address, l.bindAndListen); err == nil {
+		return l.bindAndListen(fd, address)
+	})
+}
+
+// openFirst opens a socket at the first address at which setUp succeeds. Of the errors it returns the last one, but a shortage
+// before any other: with that gone, the address may do.
+func (l *Loop) openFirst(addresses []string, setUp func(fd int, address unix.Sockaddr) error) (int, error) {
+	var failure error
+	for _, address := range addresses {
+		fd, err := l.openUnixSocket(address, setUp)
+		if err == nil {
 			return fd, nil
 		}
+		if !isMomentary(failure) {
+			failure = err
+		}
+	}
+	return hotrestart.NoDescriptor, failure
+}
+
+// connectUnix connects to a Unix socket. One that was interrupted may be connected or not.
+func (l *Loop) connectUnix(fd int, address unix.Sockaddr) error {
+	for {
+		err := l.Syscalls().Connect(fd, address)
+		if errors.Is(err, unix.EISCONN) {
+			return nil
+		}
+		if !errors.Is(err, unix.EINTR) {
+			return eventloop.NewCallError(eventloop.CallConnect, err)
+		}
 	}
-	return hotrestart.NoDescriptor, err
 }
 
 func (l *Loop) bindAndListen(fd int, address unix.Sockaddr) error {
 	if err := l.Syscalls().Bind(fd, address); err != nil {
-		return err
+		return eventloop.NewCallError(eventloop.CallBind, err)
 	}
-	return l.Syscalls().Listen(fd, successorBacklog)
+	return eventloop.NewCallError(eventloop.CallListen, l.Syscalls().Listen(fd, successorBacklog))
 }
 
 // openUnixSocket opens a socket and has setUp bind or connect it.
@@ -55,7 +79,7 @@
 	defer release()
 	fd, err := l.Syscalls().Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return hotrestart.NoDescriptor, err
+		return hotrestart.NoDescriptor, eventloop.NewCallError(eventloop.CallSocket, err)
 	}
 	if err := setUp(fd, address); err != nil {
 		_ = l.Syscalls().Close(fd)
@@ -72,7 +96,7 @@
 	}
 	directory, err := l.Syscalls().Open(filepath.Dir(path), unix.O_PATH|unix.O_DIRECTORY|unix.O_CLOEXEC)
 	if err != nil {
-		return nil, nil, err
+		return nil, nil, eventloop.NewCallError(eventloop.CallOpen, err)
 	}
 	name := fmt.Sprintf("/proc/self/fd/%d/%s", directory, filepath.Base(path))
 	return &unix.SockaddrUnix{Name: name}, func() { _ = l.Syscalls().Close(directory) }, nil
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -39,7 +39,7 @@
 		startedAt:     l.Now(),
 	}
 	role.loop = l
-	if role.connect() != nil {
+	if l.startup.retry(role.connect) != nil {
 		return false
 	}
 	l.successorRole = role
@@ -191,10 +191,7 @@
 // startServing takes the predecessor's place: clients connect here from now on, and the next successor does.
 func (r *successorRole) startServing() {
 	loop := r.loop
-	if err := r.openListener(); err != nil {
-		loop.onFail(err)
-		return
-	}
+	r.listen(loop.Now()+startTimeout, minStartBackoff)
 	loop.awaitSuccessor(hotrestart.SocketAddresses(r.stateDir, r.listenAddress))
 	loop.shareLimits(false)
 	for _, call := range r.pendingCalls.TakeAll() { // the predecessor may have carried them out, or not
@@ -202,17 +199,30 @@
 	}
 }
 
+// listen has clients connect here. What it has taken over is served meanwhile: where it fails for a moment it is tried again, up
+// to a deadline of the loop's clock.
+func (r *successorRole) listen(deadline, backoff time.Duration) {
+	loop := r.loop
+	err := r.openListener()
+	switch {
+	case err == nil || loop.hasRelinquished():
+	case isMomentary(err) && loop.Now() < deadline:
+		loop.After(backoff, func() { r.listen(deadline, min(2*backoff, maxStartBackoff)) })
+	default:
+		loop.onFail(err)
+	}
+}
+
 // openListener uses the predecessor's socket, or opens one if it has not passed its own.
-func (r *successorRole) openListener() (err error) {
+func (r *successorRole) openListener() error {
 	loop := r.loop
 	if r.listenerFD == hotrestart.NoDescriptor {
-		loop.clients.fd, err = loop.Listen(r.listenAddress, loop.clients, unix.SO_REUSEPORT)
-		return err
+		return loop.listenForClients(r.listenAddress, unix.SO_REUSEPORT)
 	}
-	loop.clients.fd = r.listenerFD
 	if err := loop.Add(r.listenerFD, unix.EPOLLIN, loop.clients); err != nil {
 		return fmt.Errorf("%w: %w", errListenerUnusable, err)
 	}
+	loop.clients.fd = r.listenerFD
 	r.listenerFD = hotrestart.NoDescriptor
 	return nil
 }
@@ -239,7 +249,9 @@
 		r.serveAlone(cause)
 		return
 	}
-	r.closeListener()
+	if !r.isServing() { // else the socket is this process's own, though it may not be added yet
+		r.closeListener()
+	}
 }
 
 // serveAlone goes on without a predecessor's state, except for what is in the file.
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -47,6 +47,7 @@
 	addressLists *address.AccessLists // nil: off
 	dispatcher   *dispatch.Dispatcher // that decides, in whatever wraps it
 
+	startup            startup
 	limits             config.Limits
 	featureDescriptors int  // of the limit on descriptors, what features take up
 	sharesLimits       bool // another process runs beside this one, and has half of the limits
@@ -71,7 +72,7 @@
 
 // newLoop returns a loop that has no connections yet. maxEvents is how many descriptors may be ready at once.
 func newLoop(log, connectionLog *slog.Logger, clock func() time.Duration, maxEvents int, syscalls eventloop.Syscalls) (*Loop, error) {
-	loop := &Loop{log: log, connectionLog: connectionLog}
+	loop := &Loop{log: log, connectionLog: connectionLog, startup: newStartup(clock)}
 	events, err := eventloop.New(eventloop.Config{
 		Clock:     clock,
 		MaxEvents: maxEvents,
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"net/netip"
 	"strings"
 
 	"golang.org/x/sys/unix"
@@ -32,33 +33,51 @@
 
 // open is Open with the system calls that syscalls makes.
 func open(syscalls eventloop.Syscalls, conf config.Config, ops config.Ops, log *logging.Factory, metricTargets ...metrics.Target) (*Loop, error) {
-	loop, err := newLoop(log.NewLogger(), log.NewLogger(), clockSinceEpoch(), conf.Limits.Sockets, syscalls)
+	clock := clockSinceEpoch()
+	start := newStartup(clock)
+	var loop *Loop
+	err := start.retry(func() (err error) {
+		loop, err = newLoop(log.NewLogger(), log.NewLogger(), clock, conf.Limits.Sockets, syscalls)
+		return err
+	})
 	if err != nil {
 		return nil, err
 	}
-	if ops.Addresses != nil {
-		loop.addressLists = address.New(*ops.Addresses)
-	}
-	loop.limits = conf.Limits
-	loop.featureDescriptors = countFeatureDescriptors(conf, ops)
-	workers, clients := splitDescriptors(conf.Limits.Sockets, loop.featureDescriptors)
-	loop.openWorkerPool(workers, conf.Settings.ConnectTimeout, conf.Settings.ConnIdleTimeout)
-	loop.openWatch(conf)
-	if err := loop.openRequestTable(conf, ops, log); err != nil {
+	loop.startup = start
+	loop.UpdateNow()
+	if err := loop.openConnections(conf, ops, log, metricTargets); err != nil {
+		loop.CloseDescriptors()
 		return nil, err
 	}
-	loop.openClientListener(clients, bufferBudget(conf.Limits), &conf.Settings.Settings, conf.Settings.Names)
-	if err := loop.listenOrJoin(conf); err != nil {
-		return nil, err
+	return loop, nil
+}
+
+// openConnections opens what the configuration asks for, on a loop that has nothing yet.
+func (l *Loop) openConnections(conf config.Config, ops config.Ops, log *logging.Factory, metricTargets []metrics.Target) error {
+	if ops.Addresses != nil {
+		l.addressLists = address.New(*ops.Addresses)
+	}
+	l.limits = conf.Limits
+	l.featureDescriptors = countFeatureDescriptors(conf, ops)
+	workers, clients := splitDescriptors(conf.Limits.Sockets, l.featureDescriptors)
+	l.openWorkerPool(workers, conf.Settings.ConnectTimeout, conf.Settings.ConnIdleTimeout)
+	l.openWatch(conf)
+	if err := l.openRequestTable(conf, ops, log); err != nil {
+		return err
 	}
-	if err := loop.openFeatures(conf, ops, metricTargets); err != nil {
-		return nil, err
+	l.openClientListener(clients, bufferBudget(conf.Limits), &conf.Settings.Settings, conf.Settings.Names)
+	if err := l.listenOrJoin(conf); err != nil {
+		return err
 	}
-	loop.watch.start(len(conf.KnownEndpoints.Endpoints) > 0)
-	if wait := loop.watch.machine.InitialWait(); wait > 0 && loop.Requests.HasReadyWorker() {
-		loop.Requests.AwaitEndpoints(loop.Now() + wait)
+	if err := l.openFeatures(conf, ops, metricTargets); err != nil {
+		return err
 	}
-	return loop, nil
+	l.UpdateNow() // a start may take a while
+	l.watch.start(len(conf.KnownEndpoints.Endpoints) > 0)
+	if wait := l.watch.machine.InitialWait(); wait > 0 && l.Requests.HasReadyWorker() {
+		l.Requests.AwaitEndpoints(l.Now() + wait)
+	}
+	return nil
 }
 
 func (l *Loop) openWatch(conf config.Config) {
@@ -113,10 +132,9 @@
 // listenOrJoin listens for clients. With a management address it takes the place of the process that serves here, or, if there
 // is none, serves at once: several processes may listen at the clients' address then, so that one that can't be reached by its
 // successor can be replaced too.
-func (l *Loop) listenOrJoin(conf config.Config) (err error) {
+func (l *Loop) listenOrJoin(conf config.Config) error {
 	if !conf.Management.IsValid() {
-		l.clients.fd, err = l.Listen(conf.Listen, l.clients)
-		return err
+		return l.startup.retry(func() error { return l.listenForClients(conf.Listen) })
 	}
 	l.onFail = func(err error) { l.log.Error("can't go on", "error", err) }
 	l.restoreCordoned(conf.StateDir)
@@ -124,7 +142,7 @@
 	if l.joinPredecessor(conf.StateDir, conf.Listen) {
 		return nil
 	}
-	l.clients.fd, err = l.Listen(conf.Listen, l.clients, unix.SO_REUSEPORT)
+	err := l.startup.retry(func() error { return l.listenForClients(conf.Listen, unix.SO_REUSEPORT) })
 	if err != nil {
 		return err
 	}
@@ -132,6 +150,14 @@
 	return nil
 }
 
+func (l *Loop) listenForClients(address netip.AddrPort, options ...int) error {
+	fd, err := l.Listen(address, l.clients, options...)
+	if err == nil {
+		l.clients.fd = fd
+	}
+	return err
+}
+
 // restoreCordoned cordons the workers that an earlier process had cordoned. Where that can't be read the process serves all
 // the same: a worker that should be cordoned is so again with the operators' next call.
 func (l *Loop) restoreCordoned(stateDir string) {
@@ -152,13 +178,13 @@
 		l.Requests.AddObserver(counters)
 	}
 	if conf.Management.IsValid() {
-		if err := l.serveOperators(conf.Management, counters); err != nil {
+		if err := l.startup.retry(func() error { return l.serveOperators(conf.Management, counters) }); err != nil {
 			return fmt.Errorf("key \"management\": %w", err)
 		}
 	}
 	if ops.Status != nil {
 		table := status.New(*ops.Status, conf.Settings.Names, conf.Settings.StartNotifications, l.Now)
-		if err := l.serveStatus(ops.StatusAddr(conf), table); err != nil {
+		if err := l.startup.retry(func() error { return l.serveStatus(ops.StatusAddr(conf), table) }); err != nil {
 			return fmt.Errorf("key \"status.listen_port\": %w", err)
 		}
 		l.Requests.AddObserver(table)
--- /dev/null
+++ b/internal/link/startup_test.go
@@ -0,0 +1,177 @@
+package link
+
+import (
+	"errors"
+	"io"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/internal/config"
+	"valvecove/internal/eventloop"
+	"valvecove/internal/eventloop/faultinjection"
+	"valvecove/internal/hotrestart"
+	"valvecove/internal/logging"
+	"valvecove/internal/modeltest"
+)
+
+const startConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","limits":{"sockets":64},
+"known":{"generation":1,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"up"}]},
+"settings":{"classes":[{"name":"a","promise":80000,"give_up":500000,"idempotency":"pure"}],
+"bounds":{"try_limit":2,"connect_timeout":250000}}}`
+
+// startCalls are the calls that a start can't do without.
+var startCalls = []eventloop.Call{
+	eventloop.CallSocket, eventloop.CallBind, eventloop.CallListen,
+	eventloop.CallEpollCreate, eventloop.CallEventfd, eventloop.CallEpollControl,
+}
+
+// openWithFaults opens a loop while the rules apply. Times of rules count from now.
+func openWithFaults(t *testing.T, rules ...faultinjection.Rule) (*Loop, error) {
+	t.Helper()
+	conf, err := config.Decode([]byte(startConfig), func(string) string { return "" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	start := time.Now()
+	injector := faultinjection.New(1, func() time.Duration { return time.Since(start) })
+	for _, rule := range rules {
+		injector.Add(rule)
+	}
+	return open(injector.Syscalls(), conf, config.Ops{}, logging.NewFactory(config.Log{}, "n0", io.Discard))
+}
+
+// A start goes through 2 s in which any of its calls fails, or all of them do.
+func TestStartOutlastsFailuresOfAMoment(t *testing.T) {
+	failing := map[string][]eventloop.Call{"all": startCalls}
+	for _, call := range startCalls {
+		failing[call.String()] = []eventloop.Call{call}
+	}
+	for name, calls := range failing {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				before := time.Now()
+				loop, err := openWithFaults(t, faultinjection.Rule{
+					Calls: calls, Until: 2 * time.Second, Errnos: []unix.Errno{unix.ENOMEM, unix.ENFILE, unix.ENOBUFS, unix.EMFILE, unix.EINTR},
+				})
+				if err != nil {
+					t.Fatal(err)
+				}
+				defer loop.CloseDescriptors()
+				if took := time.Since(before); !loop.Addr().IsValid() || took < 2*time.Second || took > 2*time.Second+2*maxStartBackoff {
+					t.Errorf("listens at %v, %v after the start", loop.Addr(), took)
+				}
+			})
+		})
+	}
+}
+
+// A start that can't do ends with its message: at once, where waiting is of no use, after a while, where an address is in use,
+// and else before a start has to be over. It leaves no descriptor behind.
+func TestStartThatFails(t *testing.T) {
+	tests := map[string]struct {
+		call    eventloop.Call
+		errno   unix.Errno
+		message string
+		timeout time.Duration
+	}{
+		"no memory for a socket":     {eventloop.CallSocket, unix.ENOMEM, "socket: cannot allocate memory", startTimeout},
+		"no memory for epoll":        {eventloop.CallEpollCreate, unix.ENOMEM, "epoll: cannot allocate memory", startTimeout},
+		"no memory for eventfd":      {eventloop.CallEventfd, unix.ENOMEM, "eventfd: cannot allocate memory", startTimeout},
+		"no memory to add it":        {eventloop.CallEpollControl, unix.ENOMEM, "epoll add: cannot allocate memory", startTimeout},
+		"the address is in use":      {eventloop.CallBind, unix.EADDRINUSE, "listening at 127.0.0.1:0: address already in use", addressInUseTimeout},
+		"the address is not allowed": {eventloop.CallBind, unix.EACCES, "listening at 127.0.0.1:0: permission denied", 0},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				before := time.Now()
+				freeBefore := lowestFreeDescriptor(t)
+				_, err := openWithFaults(t, faultinjection.Rule{Calls: []eventloop.Call{test.call}, Errnos: []unix.Errno{test.errno}})
+				took := time.Since(before)
+				if err == nil || !strings.HasSuffix(err.Error(), test.message) || !errors.Is(err, test.errno) {
+					t.Errorf("%v, expected %s", err, test.message)
+				}
+				if took > test.timeout || took < test.timeout-maxStartBackoff {
+					t.Errorf("it ended after %v, expected %v", took, test.timeout)
+				}
+				if free := lowestFreeDescriptor(t); free != freeBefore {
+					t.Errorf("descriptor %d is left open", freeBefore)
+				}
+			})
+		})
+	}
+}
+
+// lowestFreeDescriptor returns the number of the descriptor that is opened next.
+func lowestFreeDescriptor(t *testing.T) int {
+	t.Helper()
+	fd, err := unix.Eventfd(0, unix.EFD_CLOEXEC)
+	if err != nil {
+		t.Fatal(err)
+	}
+	_ = unix.Close(fd)
+	return fd
+}
+
+// A process that is to replace another one finds it though the first calls fail, and the one that serves is found once its own
+// calls succeed again.
+func TestSuccessorIsFoundThroughFailures(t *testing.T) {
+	dir := t.TempDir()
+	w := newHarness(&modeltest.Steps{T: t})
+	w.enableHotRestart()
+	w.listen()
+	addresses := hotrestart.SocketAddresses(dir, w.loop.Addr())
+	injector := w.injectFaults(1, faultinjection.Rule{
+		Calls: []eventloop.Call{eventloop.CallSocket, eventloop.CallBind, eventloop.CallListen}, Times: 8,
+		Errnos: []unix.Errno{unix.ENFILE, unix.ENOMEM, unix.EMFILE},
+	})
+	w.loop.awaitSuccessor(addresses)
+	for range 10 {
+		w.now += maxReopenBackoff
+		w.runIterations()
+	}
+	if injector.TotalInjected() != 8 || w.loop.predecessorRole == nil {
+		t.Fatalf("%d calls failed, and nobody can reach it", injector.TotalInjected())
+	}
+
+	successor := newHarness(w.Steps)
+	successor.enableHotRestart()
+	successor.injectFaults(2, faultinjection.Rule{
+		Calls: []eventloop.Call{eventloop.CallSocket, eventloop.CallConnect}, Times: 4,
+		Errnos: []unix.Errno{unix.ENFILE, unix.EAGAIN, unix.EINTR},
+	})
+	if !successor.loop.joinPredecessor(dir, w.loop.Addr()) {
+		t.Error("it does not find the one that serves")
+	}
+}
+
+// A process that has taken over goes on with what it has while the socket that clients connect to can't be used for a moment.
+func TestTakeOverOutlastsFailures(t *testing.T) {
+	dir := t.TempDir()
+	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
+	successor := predecessor.startSuccessor(dir, address)
+	successor.loop.OnFail(func(err error) { t.Errorf("the process ends: %v", err) })
+	listener := successor.loop.successorRole.listenerFD
+	injector := successor.injectFaults(1, faultinjection.Rule{
+		Calls: []eventloop.Call{eventloop.CallEpollControl}, Times: 5, Errnos: []unix.Errno{unix.ENOMEM},
+		Descriptor: func(descriptor int) bool { return descriptor == listener },
+	})
+	if err := predecessor.handOverTo(successor); err != nil {
+		t.Fatal(err)
+	}
+	for range 10 {
+		successor.now += maxStartBackoff
+		successor.runIterations()
+	}
+	if injector.TotalInjected() != 5 || successor.loop.Addr() != address {
+		t.Errorf("%d calls failed; it listens at %v, expected %v", injector.TotalInjected(), successor.loop.Addr(), address)
+	}
+	successor.connectClient()
+	if successor.runUntilQuiet(); len(successor.loop.clients.connections) != 1 {
+		t.Error("a client is not accepted")
+	}
+}
