--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -1,7 +1,6 @@
 package eventloop
 
 import (
-	"errors"
 	"fmt"
 	"net/netip"
 
@@ -42,13 +41,14 @@
 	return fd, sockaddr, nil
 }
 
-// Dial starts a connection, and does not wait for it. The caller owns the socket; see Stream.ConnectError.
+// Dial starts a connection, and does not wait for it: one that is interrupted goes on, as any that is in progress. The caller
+// owns the socket; see Stream.ConnectError. An error says by its class whether it is this machine's or the peer's.
 func (l *Loop) Dial(address netip.AddrPort) (fd int, err error) {
 	fd, sockaddr, err := l.newSocket(address)
 	if err != nil {
 		return -1, err
 	}
-	if err := l.syscalls.Connect(fd, sockaddr); err != nil && !errors.Is(err, unix.EINPROGRESS) {
+	if err := l.syscalls.Connect(fd, sockaddr); err != nil && Classify(CallConnect, err) != ErrorPending {
 		_ = l.syscalls.Close(fd)
 		return -1, fmt.Errorf("connect: %w", NewCallError(CallConnect, err))
 	}
--- a/internal/eventloop/stream_test.go
+++ b/internal/eventloop/stream_test.go
@@ -154,7 +154,21 @@
 }
 
 func TestDialReachesAListener(t *testing.T) {
+	for _, errno := range []unix.Errno{0, unix.EINTR} {
+		t.Run(unix.ErrnoName(errno), func(t *testing.T) { testDial(t, errno) })
+	}
+}
+
+// testDial dials a listener; connect fails with an errno, but for 0.
+func testDial(t *testing.T, connectErrno unix.Errno) {
+	t.Helper()
 	l := newTestLoop(t)
+	l.Syscalls().Interceptor = func(call Call, _ int) (injection Injection) {
+		if call == CallConnect {
+			injection.Errno = connectErrno
+		}
+		return injection
+	}
 	listener := &testHandler{loop: l, handle: l.record("connection")}
 	var err error
 	if listener.fd, err = l.Listen(netip.MustParseAddrPort("127.0.0.1:0"), listener, unix.SO_REUSEPORT); err != nil {
