--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -210,15 +210,16 @@
 // Relinquish hands over all that this process has to the successor, in one step: the successor owns it once it says so, and
 // until then nothing has changed here. Nothing else is done meanwhile: of two processes that act, both would be owners.
 //
-// It returns ErrNoSuccessor if none stands by, and ErrNotSettled if the policy has not heard of all events or a file is being
-// written. After any other error this process is still the owner.
+// It returns ErrNoSuccessor if none stands by, and ErrNotSettled if the policy has not heard of all events, an attempt has no
+// connection yet or a file is being written. After any other error this process is still the owner.
 func (l *Loop) Relinquish() error {
 	role := l.predecessorRole
 	if role == nil || role.protocol.State() != hotrestart.PredecessorPaired {
 		return ErrNoSuccessor
 	}
 	l.Requests.AwaitEndpoints(0) // requests that wait for endpoints are handed over too
-	if !l.Requests.FlushEvents(l.Now()) || l.cordonStore != nil && l.cordonStore.IsWriting() {
+	l.workers.endWaitingDials()
+	if !l.Requests.FlushEvents(l.Now()) || l.workers.hasWaitingDials() || l.cordonStore != nil && l.cordonStore.IsWriting() {
 		return ErrNotSettled
 	}
 	startedAt := l.Clock()
--- a/internal/link/worker_cancel.go
+++ b/internal/link/worker_cancel.go
@@ -27,7 +27,11 @@
 // not have come up in time, or was reset or dropped unseen, and the DELETE with it. A worker that responds knows. One that
 // does not may be cut off, and go on with the attempt, which then ends by its timeout.
 func (p *workerPool) handleCancelResult(attempt *requests.Attempt, failure *requests.AttemptError) {
-	isLost := failure != nil && failure.Reason == requests.ReasonConnectionLost
+	neverSent := failure != nil && failure.Reason == requests.ReasonNotSent // this machine lacked something: that passes
+	isLost := failure != nil && failure.Reason == requests.ReasonConnectionLost || neverSent
+	if neverSent {
+		p.cancelTries[attempt]--
+	}
 	isOfUse := !attempt.HasEnded() || failure != nil && failure.Stage >= requests.StageWritten
 	if !isLost || !isOfUse || attempt.EndedByWorker() || p.cancelTries[attempt] >= maxCancelTries {
 		delete(p.cancelTries, attempt)
--- a/internal/link/worker_connection.go
+++ b/internal/link/worker_connection.go
@@ -46,6 +46,10 @@
 	errWorkerPanicked   = errors.New("panic")
 )
 
+// minDialBackoff is how long a connection waits that this machine lacked something to open; each time that it does it waits for
+// twice as long.
+const minDialBackoff = time.Millisecond
+
 // workerConnection is a connection to a worker. It has one exchange at a time.
 type workerConnection struct {
 	eventloop.Stream
@@ -59,10 +63,41 @@
 	timer       *eventloop.Timer
 	idleSince   time.Duration
 	idleBefore  time.Duration // how long it had been idle before the present exchange; 0: it was new
+	dialUntil   time.Duration // while the machine lacks something to open it, it is tried again until then
+	dialDelayed bool          // it has lacked something
+}
+
+// connect opens the connection. Where this machine lacks something for it, the worker has no part in that, and the lack may be
+// over in a moment: the exchange waits, for half of the time that a connection has to come up. What is left is for that.
+func (c *workerConnection) connect() {
+	c.dialUntil = c.pool.loop.Now() + c.pool.connectTimeout/2
+	c.tryConnect(minDialBackoff)
+}
+
+func (c *workerConnection) tryConnect(backoff time.Duration) {
+	if c.isObsolete() {
+		c.terminate(nil)
+		return
+	}
+	err := c.dial()
+	if err == nil {
+		return
+	}
+	if !isLocalShortage(err) || c.pool.loop.Now()+backoff > c.dialUntil {
+		c.terminate(err)
+		return
+	}
+	c.dialDelayed = true
+	c.timer = c.pool.loop.StartTimer(backoff, c, func() { c.tryConnect(2 * backoff) })
 }
 
-// connect opens the connection.
-func (c *workerConnection) connect() error {
+// isWaitingToDial reports whether there is an exchange, and nothing yet to open a connection for it with.
+func (c *workerConnection) isWaitingToDial() bool { return c.state == workerConnecting && !c.IsOpen() }
+
+// isLocalShortage reports whether a connection could not be opened for what this machine lacks: nothing was sent.
+func isLocalShortage(err error) bool { return errors.Is(err, errNoDescriptor) || isMomentary(err) }
+
+func (c *workerConnection) dial() error {
 	pool := c.pool
 	if pool.openCount >= pool.maxConnections && !pool.evictIdle() {
 		return errNoDescriptor
@@ -75,11 +110,12 @@
 		return err
 	}
 	if c.Stream, err = pool.loop.OpenStream(socket, eventloop.StreamEvents|unix.EPOLLOUT, c); err != nil {
+		c.Stream = eventloop.Stream{}
 		_ = pool.loop.Syscalls().Close(socket)
 		return err
 	}
 	pool.openCount++
-	c.setTimeout(pool.connectTimeout)
+	c.setTimeout(c.dialUntil + pool.connectTimeout - pool.connectTimeout/2 - pool.loop.Now())
 	return nil
 }
 
@@ -176,12 +212,16 @@
 }
 
 // failureReason returns what the end of the connection says of the exchange. Of a health check that was lost with an idle
-// connection, or got a stray response, it says nothing about the worker.
+// connection, or got a stray response, it says nothing about the worker. Nor does a connection that this machine could not open,
+// or opened so late that it had not all its time to come up. One that was begun and then could not reach the worker is the
+// worker's, whatever errno says so: that is what a worker looks like that has been cut off.
 func (c *workerConnection) failureReason(cause error, wasDropped bool) requests.Reason {
 	isHealthCheck := c.exchange.kind == exchangeHealthCheck
 	switch {
 	case c.stage >= requests.StageWritten && errors.Is(cause, errResponseTimeout):
 		return requests.ReasonTimeout
+	case c.stage == requests.StageNotConnected && (isLocalShortage(cause) || c.dialDelayed && errors.Is(cause, errResponseTimeout)):
+		return requests.ReasonNotSent
 	case isHealthCheck && (wasDropped || errors.Is(cause, errStrayResponse)):
 		return requests.ReasonNotSent
 	default:
--- a/internal/link/worker_pool.go
+++ b/internal/link/worker_pool.go
@@ -118,11 +118,25 @@
 	}
 	c := &workerConnection{pool: p, endpoint: endpoint, incarnation: endpoint.incarnation, state: workerConnecting}
 	c.assign(next)
-	p.loop.Protect(c, func() {
-		if err := c.connect(); err != nil {
-			c.terminate(err)
+	p.loop.Protect(c, c.connect)
+}
+
+// endWaitingDials ends the attempts that have no connection yet, as never sent: there is nothing to be handed over of them.
+func (p *workerPool) endWaitingDials() {
+	for _, c := range p.byAttempt {
+		if c.isWaitingToDial() {
+			c.terminate(errNoDescriptor)
 		}
-	})
+	}
+}
+
+func (p *workerPool) hasWaitingDials() bool {
+	for _, c := range p.byAttempt {
+		if c.isWaitingToDial() {
+			return true
+		}
+	}
+	return false
 }
 
 // takeIdle takes the idle connection that was used last and may be used for a kind of exchange; nil: there is none. It closes
