--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -39,7 +39,7 @@
 		startedAt:     l.Now(),
 	}
 	role.loop = l
-	if role.connect() != nil {
+	if l.startup.retry(role.connect) != nil {
 		return false
 	}
 	l.successorRole = role
@@ -52,18 +52,18 @@
 // connect opens a session with the predecessor.
 func (r *successorRole) connect() error {
 	loop := r.loop
-	socket, err := dialPredecessor(hotrestart.SocketAddresses(r.stateDir, r.listenAddress))
+	socket, err := loop.dialPredecessor(hotrestart.SocketAddresses(r.stateDir, r.listenAddress))
 	if err != nil {
 		return err
 	}
-	if !isPeerOwnUser(socket) {
-		_ = unix.Close(socket)
+	if !loop.isPeerOwnUser(socket) {
+		_ = loop.Syscalls().Close(socket)
 		loop.log.Warn("another user's process has the place of the one to be replaced, and is left alone")
 		return unix.EPERM
 	}
 	if r.Stream, err = loop.OpenStream(socket, eventloop.StreamEvents, r); err != nil {
 		r.Stream = eventloop.Stream{}
-		_ = unix.Close(socket)
+		_ = loop.Syscalls().Close(socket)
 		return err
 	}
 	if err := r.sendMessage(hotrestart.Handshake{Version: hotrestart.ProtocolVersion}); err != nil {
@@ -126,7 +126,7 @@
 func (r *successorRole) handleMessage(message hotrestart.Message, descriptor int) error {
 	action, err := r.protocol.HandleMessage(message)
 	if err != nil {
-		closeDescriptor(descriptor)
+		r.loop.closeDescriptor(descriptor)
 		return err
 	}
 	if action == hotrestart.ActionTakeOver {
@@ -140,7 +140,7 @@
 	case hotrestart.CordonedWorkers:
 		r.loop.Requests.SetCordoned(message.WorkerIDs)
 	case hotrestart.CordonResult:
-		r.pendingCalls.CompleteOldest(message)
+		r.pendingCalls.Complete(message)
 	case hotrestart.SetCordon:
 		r.loop.applyForwardedCordon(message, func(result hotrestart.CordonResult) {
 			if r.IsOpen() {
@@ -157,7 +157,7 @@
 func (r *successorRole) handleAccept(accept hotrestart.Accept, listenerFD int) error {
 	r.loop.StopTimer(r.handshakeTimer)
 	r.discardReceived()
-	closeDescriptor(r.listenerFD) // of an earlier session
+	r.loop.closeDescriptor(r.listenerFD) // of an earlier session
 	r.listenerFD = listenerFD
 	r.loop.Requests.SetCordoned(accept.CordonedWorkers)
 	for _, message := range r.pendingCalls.Messages() {
@@ -191,10 +191,7 @@
 // startServing takes the predecessor's place: clients connect here from now on, and the next successor does.
 func (r *successorRole) startServing() {
 	loop := r.loop
-	if err := r.openListener(); err != nil {
-		loop.onFail(err)
-		return
-	}
+	r.listen(loop.Now()+startTimeout, minStartBackoff)
 	loop.awaitSuccessor(hotrestart.SocketAddresses(r.stateDir, r.listenAddress))
 	loop.shareLimits(false)
 	for _, call := range r.pendingCalls.TakeAll() { // the predecessor may have carried them out, or not
@@ -202,17 +199,30 @@
 	}
 }
 
+// listen has clients connect here. What it has taken over is served meanwhile: where it fails for a moment it is tried again, up
+// to a deadline of the loop's clock.
+func (r *successorRole) listen(deadline, backoff time.Duration) {
+	loop := r.loop
+	err := r.openListener()
+	switch {
+	case err == nil || loop.hasRelinquished():
+	case isMomentary(err) && loop.Now() < deadline:
+		loop.After(backoff, func() { r.listen(deadline, min(2*backoff, maxStartBackoff)) })
+	default:
+		loop.onFail(err)
+	}
+}
+
 // openListener uses the predecessor's socket, or opens one if it has not passed its own.
-func (r *successorRole) openListener() (err error) {
+func (r *successorRole) openListener() error {
 	loop := r.loop
 	if r.listenerFD == hotrestart.NoDescriptor {
-		loop.clients.fd, err = loop.Listen(r.listenAddress, loop.clients, unix.SO_REUSEPORT)
-		return err
+		return loop.listenForClients(r.listenAddress, unix.SO_REUSEPORT)
 	}
-	loop.clients.fd = r.listenerFD
 	if err := loop.Add(r.listenerFD, unix.EPOLLIN, loop.clients); err != nil {
 		return fmt.Errorf("%w: %w", errListenerUnusable, err)
 	}
+	loop.clients.fd = r.listenerFD
 	r.listenerFD = hotrestart.NoDescriptor
 	return nil
 }
@@ -239,7 +249,9 @@
 		r.serveAlone(cause)
 		return
 	}
-	r.closeListener()
+	if !r.isServing() { // else the socket is this process's own, though it may not be added yet
+		r.closeListener()
+	}
 }
 
 // serveAlone goes on without a predecessor's state, except for what is in the file.
@@ -272,13 +284,13 @@
 // discardReceived lets go of what a predecessor has sent of its state.
 func (r *successorRole) discardReceived() {
 	for _, descriptor := range r.received.Descriptors() {
-		closeDescriptor(descriptor)
+		r.loop.closeDescriptor(descriptor)
 	}
 	r.received = hotrestart.ReceivedState{}
 }
 
 func (r *successorRole) closeListener() {
-	closeDescriptor(r.listenerFD)
+	r.loop.closeDescriptor(r.listenerFD)
 	r.listenerFD = hotrestart.NoDescriptor
 }
 
