--- a/cmd/valvecove-testbed/main.go
+++ b/cmd/valvecove-testbed/main.go
@@ -39,6 +39,7 @@
 	Speed     speedCommand     `cmd:"" name:"speed" help:"Measure how fast the simulation runs on one core, by fleet size."`
 	Load      loadCommand      `cmd:"" name:"load" help:"Put an open load on an address, or on a responder of the testbed's own."`
 	Fleet     fleetCommand     `cmd:"" name:"fleet" help:"Measure a scheduler in front of large fleets on sockets, beside the standard library's reverse proxy."`
+	Growth    growthCommand    `cmd:"" name:"growth" help:"Measure what a scheduler needs as its fleet grows, beside what the standing test allows."`
 	Mutants   mutantsCommand   `cmd:"" name:"mutants" help:"Run each mutant, and say whether the invariant checker finds it."`
 	List      listCommand      `cmd:"" name:"list" help:"List the scenarios of the library."`
 	Check     checkCommand     `cmd:"" name:"check" help:"Check scenario files."`
--- a/internal/testbed/fleet/child.go
+++ b/internal/testbed/fleet/child.go
@@ -25,6 +25,7 @@
 	Addresses *Addresses `json:"places,omitempty"` // the rig is ready
 	Mark      string     `json:"mark,omitempty"`
 	Result    *Result    `json:"result,omitempty"` // the last message
+	Usage     *RigUsage  `json:"usage,omitempty"`  // with the result
 	Failure   string     `json:"fault,omitempty"`  // the last message, without a result
 }
 
@@ -69,7 +70,8 @@
 	if err != nil {
 		return err
 	}
-	return encoder.Encode(childMessage{Result: &result})
+	usage := rig.usage()
+	return encoder.Encode(childMessage{Result: &result, Usage: &usage})
 }
 
 // RunProxyProcess is the main function of the proxy's process. It reads a ProxyPlan, and serves until input ends.
--- a/internal/testbed/fleet/clients.go
+++ b/internal/testbed/fleet/clients.go
@@ -47,8 +47,9 @@
 	latency        *hdrhistogram.Histogram // of the requests served in the window
 	failureReasons map[string]int          // in the whole run, as are the counts below
 	requested      int
-	settled        int // requests whose outcome is known
-	ended          int // settled requests without those rejected
+	settled        int       // requests whose outcome is known
+	ended          int       // settled requests; with clients at their own pace without those rejected, as these ask again
+	arrivals       *arrivals // nil: clients send at their own pace
 }
 
 // client sends a request, waits for the response, and sends the next. A single-request client sends one.
@@ -115,7 +116,7 @@
 // countOutcome adds an outcome to the second that now is in.
 func (g *clientGroup) countOutcome(outcome Second, now time.Duration) {
 	g.settled++
-	if outcome.Rejected > 0 {
+	if outcome.Rejected > 0 && g.arrivals == nil {
 		g.rig.returnJob()
 	} else {
 		g.ended++
@@ -221,6 +222,12 @@
 	}
 	if failureReason != "" {
 		group.countFailure(failureReason)
+	}
+	if group.arrivals != nil {
+		group.arrivals.idle = append(group.arrivals.idle, c)
+		return
+	}
+	if failureReason != "" {
 		group.engine.setTimer(&c.timer, now+failureDelay, c)
 		return
 	}
--- a/internal/testbed/fleet/collect.go
+++ b/internal/testbed/fleet/collect.go
@@ -55,6 +55,7 @@
 				return collector.figures, message.err
 			}
 			if message.Result != nil {
+				m.readUsage(message.Usage)
 				collector.complete(message.Result)
 				return collector.figures, nil
 			}
@@ -63,6 +64,16 @@
 	}
 }
 
+// readUsage takes in what the scheduler has used in all, while it still runs.
+func (m *measurement) readUsage(used *RigUsage) {
+	if used != nil {
+		m.usage.RigUsage = *used
+	}
+	if m.subject != nil {
+		m.usage.CPU = processCPU(m.subject.Process.Pid)
+	}
+}
+
 // receiveAll passes the rig's messages on, up to the result or a failure.
 func (m *measurement) receiveAll(messages chan<- rigMessage, stopped <-chan struct{}) {
 	for {
--- a/internal/testbed/fleet/discovery.go
+++ b/internal/testbed/fleet/discovery.go
@@ -27,6 +27,8 @@
 	revision    int64
 	startedAtMs []int64 // of each worker, Unix time; 0 before its first restart
 	conns       map[*discoveryConn]struct{}
+	changes     listChanges
+	listBytes   int // written to watches and in answers
 }
 
 // discoveryConn is a connection to discovery.
@@ -45,6 +47,7 @@
 		conns:       map[*discoveryConn]struct{}{},
 	}
 	engine.setTimer(&created.timer, heartbeatInterval, created)
+	created.startChanges(rig.spec.ChangeInterval)
 	var err error
 	created.listener, err = engine.listenAt(address, created.accept)
 	return created, err
@@ -128,7 +131,8 @@
 	b = append(append(b, `","machineType":"`...), kinds[worker%len(kinds)]...)
 	b = append(b, `","cell":`...)
 	b = strconv.AppendInt(b, int64(worker/workersPerCell), 10)
-	b = append(b, `,"lifecycle":"up","weight":1.0,"startedAtMs":`...)
+	b = append(append(b, `,"lifecycle":"`...), d.changes.lifecycle(worker)...)
+	b = append(b, `","weight":1.0,"startedAtMs":`...)
 	b = strconv.AppendInt(b, d.startedAtMs[worker], 10)
 	return append(b, '}')
 }
@@ -167,6 +171,7 @@
 		c.startWatch(revision)
 	default:
 		snapshot := []byte(c.discovery.snapshot())
+		c.discovery.listBytes += len(snapshot)
 		c.write(http1.AppendResponse(nil, http1.StatusOK, jsonContentType, snapshot, true))
 	}
 }
@@ -188,5 +193,6 @@
 	b = append(b, "\r\n"...)
 	b = append(b, line...)
 	b = append(b, "\n\r\n"...)
+	c.discovery.listBytes += len(b)
 	c.write(b)
 }
--- a/internal/testbed/fleet/golden_test.go
+++ b/internal/testbed/fleet/golden_test.go
@@ -45,5 +45,5 @@
 
 // What a report calls its figures stands in tags, and so do the words between the processes of a run.
 func TestReportsAreTagged(t *testing.T) {
-	storedform.CheckTags(t, Report{}, childMessage{}, Spec{}, ProxyPlan{}, []netip.AddrPort{})
+	storedform.CheckTags(t, Report{}, GrowthReport{}, childMessage{}, Spec{}, ProxyPlan{}, []netip.AddrPort{})
 }
--- /dev/null
+++ b/internal/testbed/fleet/growth_test.go
@@ -0,0 +1,64 @@
+package fleet
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+// The connections and the lists of the real program grow within what the standing test allows. Nothing that a slower machine
+// changes is judged.
+func TestGrowth(t *testing.T) {
+	if _, err := FindCores(); err != nil {
+		t.Skip(err)
+	}
+	growth := &Growth{Workers: 20, Ratio: 10, Options: Options{
+		Rig: childCommand("rig"), Binary: buildScheduler(t), Clients: 1, Jobs: 240, Length: time.Minute, Work: 20 * time.Millisecond,
+		Rate: 80, ChangeInterval: 100 * time.Millisecond, Sockets: 1000, MemoryMB: 64,
+	}}
+	report, err := MeasureGrowth(t.Context(), growth)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, figures := range []*GrowthFigures{&report.Usual, &report.Large} {
+		if figures.Requested < growth.Jobs || figures.Served != 1 || figures.Connections == 0 || figures.ListBytes == 0 ||
+			figures.CPU <= 0 || figures.Memory <= 0 || figures.Descriptors == 0 {
+			t.Errorf("not measured: %+v", figures)
+		}
+	}
+	for _, verdict := range report.Verdicts() {
+		if verdict.IsCount && !verdict.IsKept() {
+			t.Errorf("%+v", verdict)
+		}
+	}
+}
+
+// The bounds are those of the standing test, for the fleet of 3,200 workers.
+func TestGrowthVerdicts(t *testing.T) {
+	report := &GrowthReport{
+		Usual: GrowthFigures{
+			Workers: 200, CPU: 0.24, Memory: 14, Descriptors: 300, Connections: 215, ListBytes: 40_000, Served: 1,
+		},
+		Large: GrowthFigures{
+			Workers: 3200, CPU: 0.45, Memory: 41.8, Descriptors: 640, Connections: 577, ListBytes: 1_744_000, Served: 0.85,
+		},
+	}
+	checkVerdicts := func(kept bool) {
+		t.Helper()
+		for _, verdict := range report.Verdicts() {
+			if verdict.IsKept() != kept {
+				t.Errorf("%+v: expected %v", verdict, kept)
+			}
+		}
+	}
+	checkVerdicts(true)
+	report.Large = GrowthFigures{
+		Workers: 3200, CPU: 0.46, Memory: 41.9, Descriptors: 641, Connections: 578, ListBytes: 1_744_001, Served: 0.84,
+		Invalid: "the rig was late",
+	}
+	checkVerdicts(false)
+	var b strings.Builder
+	if err := report.Write(&b); err != nil || strings.Count(b.String(), "EXCEEDED") != 6 || !strings.Contains(b.String(), "void") {
+		t.Errorf("%v: %s", err, b.String())
+	}
+}
--- a/internal/testbed/fleet/measure.go
+++ b/internal/testbed/fleet/measure.go
@@ -9,6 +9,7 @@
 	"os/exec"
 	"path/filepath"
 	"runtime"
+	"time"
 )
 
 // Measurement holds the figures of one run: the rig's results, and what the measured process used.
@@ -63,14 +64,21 @@
 // Measure runs one row: it starts the rig and the subject as processes of their own, and ends both before it returns.
 // A run whose figures are void is no error; see Measurement.InvalidReason.
 func Measure(ctx context.Context, tableRow TableRow, options Options) (Measurement, error) {
+	figures, _, err := measure(ctx, tableRow, options)
+	return figures, err
+}
+
+// measure is Measure with what the measured process used in all.
+func measure(ctx context.Context, tableRow TableRow, options Options) (Measurement, processUsage, error) {
 	if err := options.check(); err != nil {
-		return Measurement{}, err
+		return Measurement{}, processUsage{}, err
 	}
 	if err := options.setDefaults(); err != nil {
-		return Measurement{}, err
+		return Measurement{}, processUsage{}, err
 	}
 	type outcome struct {
 		figures Measurement
+		usage   processUsage
 		err     error
 	}
 	done := make(chan outcome)
@@ -81,10 +89,10 @@
 		measurement := &measurement{options: options, tableRow: tableRow}
 		figures, err := measurement.run(ctx)
 		measurement.close()
-		done <- outcome{figures, err}
+		done <- outcome{figures, measurement.usage, err}
 	}()
 	result := <-done
-	return result.figures, result.err
+	return result.figures, result.usage, result.err
 }
 
 // measurement is one run in progress. It owns the processes and, if it made it, the directory.
@@ -98,6 +106,13 @@
 	decoder         *json.Decoder // from the rig
 	addresses       Addresses
 	subject         *process // the scheduler or the proxy; nil if there is neither
+	usage           processUsage
+}
+
+// processUsage is what the measured process used from its start on.
+type processUsage struct {
+	RigUsage
+	CPU time.Duration
 }
 
 // close kills the processes and removes a temporary directory.
--- a/internal/testbed/fleet/options.go
+++ b/internal/testbed/fleet/options.go
@@ -45,6 +45,11 @@
 	Dir          string        // where logs and configuration are kept; empty: a temporary directory
 	Seed         uint64
 	ReadyTimeout time.Duration // how long the scheduler or proxy may take to start; default 20 s
+
+	Rate           float64       // requests a second, in place of the clients' own pace; 0: theirs
+	ChangeInterval time.Duration // between two changes of the endpoint list; 0: it does not change
+	Sockets        int           // descriptors that the scheduler is told it has, and may open; default 40,000
+	MemoryMB       int           // that the scheduler is told it has; default 2,048
 }
 
 const (
@@ -58,6 +63,8 @@
 // setDefaults fills in what is unset.
 func (o *Options) setDefaults() error {
 	o.ReadyTimeout = cmp.Or(o.ReadyTimeout, defaultReadyTimeout)
+	o.Sockets = cmp.Or(o.Sockets, maxSockets)
+	o.MemoryMB = cmp.Or(o.MemoryMB, memoryMB)
 	if len(o.Cores) > 0 {
 		return nil
 	}
@@ -111,6 +118,8 @@
 		Length:             o.Length,
 		Seed:               o.Seed,
 		Cores:              o.Cores[1:],
+		Rate:               o.Rate,
+		ChangeInterval:     o.ChangeInterval,
 		SilentShare:        o.SilentShare,
 		SilentFor:          o.Length / 3,
 		DisturbancesAt:     o.WarmUp + disturbancesAfter,
--- a/internal/testbed/fleet/result.go
+++ b/internal/testbed/fleet/result.go
@@ -54,6 +54,26 @@
 	return ""
 }
 
+// RigUsage counts what a scheduler used of a rig, in the whole run.
+type RigUsage struct {
+	Connections int `json:"connections"` // that workers accepted
+	ListBytes   int `json:"list_bytes"`  // that discovery sent
+}
+
+// usage sums up what was used. It is called after the run.
+func (r *Rig) usage() RigUsage {
+	var used RigUsage
+	r.onEngines(func(index int, engine *engine) {
+		if engine == r.discovery.engine {
+			used.ListBytes = r.discovery.listBytes
+		}
+		for i := index; i < len(r.workers); i += len(r.engines) {
+			used.Connections += r.workers[i].accepted
+		}
+	})
+	return used
+}
+
 // resultBuilder sums up the figures of the rig's engines.
 type resultBuilder struct {
 	Result
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -150,6 +150,10 @@
 	r.onEngines(func(index int, engine *engine) {
 		group := r.clientGroups[index]
 		group.start()
+		if r.spec.Rate > 0 {
+			group.startArrivals(index, len(r.engines), r.spec.Rate, targets[0])
+			return
+		}
 		for i := index; i < clients; i += len(r.engines) {
 			delay := r.spec.workTime() * time.Duration(i) / time.Duration(clients)
 			group.add(i, false, target(i, clients), delay)
--- a/internal/testbed/fleet/spec.go
+++ b/internal/testbed/fleet/spec.go
@@ -28,6 +28,8 @@
 	WarmUp             time.Duration `json:"warm"`    // from the clients' start to the opening of the measurement window
 	Length             time.Duration `json:"length"`  // of the window
 	Seed               uint64        `json:"seed"`    // of the request identifiers
+	Rate               float64       `json:"rate"`    // requests a second, in place of the clients' own pace; 0: theirs
+	ChangeInterval     time.Duration `json:"changes"` // between two changes that discovery tells; 0: it tells none
 	Cores              []int         `json:"cores"`   // one engine is bound to each; empty: one engine on any core
 
 	Restarts       time.Duration `json:"restarts"`    // every third worker restarts in the course of this; 0: none does
--- a/internal/testbed/fleet/subject.go
+++ b/internal/testbed/fleet/subject.go
@@ -95,7 +95,7 @@
 	}
 	// The shell sets the limit on descriptors and then replaces itself by the program.
 	command := exec.CommandContext(ctx, "/bin/sh", "-c", `ulimit -n "$0" && exec "$@"`,
-		strconv.Itoa(int(min(limit.Max, maxSockets))), m.options.Binary)
+		strconv.Itoa(int(min(limit.Max, uint64(m.options.Sockets)))), m.options.Binary)
 	command.Env = []string{
 		"PATH=" + os.Getenv("PATH"), "GOMAXPROCS=1", "PROXY_NAME=s1", "PROXY_LISTEN=" + m.addresses.Scheduler,
 		"PROXY_DISCOVERY=" + m.addresses.Discovery, "PROXY_CONFIG=" + configPath,
@@ -125,7 +125,7 @@
 		kind.WarmUpCapacity = warmUpCapacity
 		kind.WarmUp = scenario.Duration(warmUpTime)
 	}
-	spec.Schedulers.Sockets, spec.Schedulers.MemoryMB = maxSockets, memoryMB
+	spec.Schedulers.Sockets, spec.Schedulers.MemoryMB = o.Sockets, o.MemoryMB
 	quota := 0.0
 	for i := range spec.Tenants {
 		quota += spec.QuotaRate(i)
--- a/internal/testbed/fleet/worker.go
+++ b/internal/testbed/fleet/worker.go
@@ -31,6 +31,7 @@
 	started    int    // jobs, in the measurement window
 	finished   int    // jobs, in the measurement window
 	unexpected int    // requests that it could not use
+	accepted   int    // connections, in the whole run
 }
 
 // job is a job of a worker. Jobs are reused through engine.freeJobs.
@@ -69,6 +70,7 @@
 		return
 	}
 	w.conns[accepted] = struct{}{}
+	w.accepted++
 	accepted.setPaused(w.silent)
 }
 
