--- a/internal/link/hotrestart_transfer.go
+++ b/internal/link/hotrestart_transfer.go
@@ -350,7 +350,7 @@
 	s.openCount++
 	connection.SetBuffers(received.Input, received.Output)
 	if connection.state == workerIdle {
-		endpoint.idle = append(endpoint.idle, connection)
+		s.addIdle(connection)
 		return
 	}
 	connection.restoreAttempt(attempt)
--- a/internal/link/worker_connection.go
+++ b/internal/link/worker_connection.go
@@ -1,6 +1,7 @@
 package link
 
 import (
+	"container/list"
 	"errors"
 	"fmt"
 	"time"
@@ -62,6 +63,7 @@
 	stage       requests.Stage // of the present exchange
 	timer       *eventloop.Timer
 	idleSince   time.Duration
+	idleElement *list.Element // of the pool's list, while it is idle
 	idleBefore  time.Duration // how long it had been idle before the present exchange; 0: it was new
 	dialUntil   time.Duration // while the machine lacks something to open it, it is tried again until then
 	dialDelayed bool          // it has lacked something
@@ -181,7 +183,7 @@
 	c.pool.loop.StopTimer(c.timer)
 	c.state = workerIdle
 	c.idleSince = c.pool.loop.Now()
-	c.endpoint.idle = append(c.endpoint.idle, c)
+	c.pool.addIdle(c)
 }
 
 // terminate closes the connection, whatever its state. Its exchange ends with the stage that it had reached.
@@ -190,7 +192,7 @@
 		return
 	}
 	if c.state == workerIdle {
-		c.endpoint.removeIdle(c)
+		c.pool.removeIdle(c)
 	}
 	wasDropped := c.wasDroppedWhileIdle(cause)
 	c.state = workerClosed
--- a/internal/link/worker_pool.go
+++ b/internal/link/worker_pool.go
@@ -1,6 +1,7 @@
 package link
 
 import (
+	"container/list"
 	"net/netip"
 	"time"
 
@@ -22,6 +23,7 @@
 	byAttempt          map[*requests.Attempt]*workerConnection // until the worker has accepted
 	cancelTries        map[*requests.Attempt]int               // connections tried to cancel an attempt, while it is being cancelled
 	openCount          int                                     // of connections
+	idle               list.List                               // connections to all workers, the one that has been idle longest first
 	maxConnections     int                                     // open at once
 	connectTimeout     time.Duration                           // for a connection to come up
 	idleTimeout        time.Duration                           // for which a connection is kept idle; 0: for ever
@@ -151,31 +153,47 @@
 		if next == exchangeAttempt && c.lastKind == exchangeAttempt && p.loop.Now()-c.idleSince < reuseDelay {
 			continue
 		}
-		endpoint.removeIdle(c)
+		p.removeIdle(c)
 		return c
 	}
 	return nil
 }
 
+// addIdle takes a connection among the idle. Those that a predecessor hands over come in the order of their workers.
+func (p *workerPool) addIdle(connection *workerConnection) {
+	earlier := p.idle.Back()
+	for earlier != nil && earlier.Value.(*workerConnection).idleSince > connection.idleSince {
+		earlier = earlier.Prev()
+	}
+	if earlier == nil {
+		connection.idleElement = p.idle.PushFront(connection)
+	} else {
+		connection.idleElement = p.idle.InsertAfter(connection, earlier)
+	}
+	connection.endpoint.idle = append(connection.endpoint.idle, connection)
+}
+
 // removeIdle takes a connection from among the idle.
-func (e *endpointConnections) removeIdle(connection *workerConnection) {
-	for i, idle := range e.idle {
+func (p *workerPool) removeIdle(connection *workerConnection) {
+	endpoint := connection.endpoint
+	p.idle.Remove(connection.idleElement)
+	for i, idle := range endpoint.idle {
 		if idle == connection {
-			e.idle = append(e.idle[:i], e.idle[i+1:]...)
+			endpoint.idle = append(endpoint.idle[:i], endpoint.idle[i+1:]...)
 			return
 		}
 	}
 }
 
-// evictIdle closes an idle connection to any worker, and reports whether there was one.
+// evictIdle closes the connection that has been idle longest, to any worker, and reports whether there was one. The others
+// are the likelier to be used again.
 func (p *workerPool) evictIdle() bool {
-	for _, endpoint := range p.endpoints {
-		if len(endpoint.idle) > 0 {
-			endpoint.idle[0].terminate(nil)
-			return true
-		}
+	oldest := p.idle.Front()
+	if oldest == nil {
+		return false
 	}
-	return false
+	oldest.Value.(*workerConnection).terminate(nil)
+	return true
 }
 
 // closeExpired closes connections that have been idle for too long, again and again.
--- /dev/null
+++ b/internal/link/worker_pool_test.go
@@ -0,0 +1,106 @@
+package link
+
+import (
+	"fmt"
+	"net/netip"
+	"testing"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/modeltest"
+	"valvecove/internal/requests"
+)
+
+// poolHarness has several workers, each with an address of its own. All answer health checks at once.
+type poolHarness struct {
+	*harness
+	workers []uint64
+	opened  map[uint64]int // connections, by worker
+}
+
+func newPoolHarness(t *testing.T, count, maxConnections int) *poolHarness {
+	t.Helper()
+	w := &poolHarness{harness: newHarness(&modeltest.Steps{T: t}), opened: map[uint64]int{}}
+	list := requests.EndpointList{Reset: true}
+	for n := range count {
+		list.Endpoints = append(list.Endpoints, requests.Endpoint{
+			ID: fmt.Sprintf("w-%d", n), Addr: fmt.Sprintf("127.0.1.%d:1", n), Lifecycle: "up",
+		})
+	}
+	w.policy.Received = nil
+	w.loop.Requests.UpdateEndpoints(list)
+	w.runIterations()
+	for _, event := range w.policy.Received {
+		if list, ok := event.(dispatch.WorkerList); ok {
+			for _, worker := range list.Workers {
+				if worker.Ready {
+					w.workers = append(w.workers, worker.ID)
+				}
+			}
+		}
+	}
+	if len(w.workers) != count {
+		t.Fatalf("%d workers are known, expected %d", len(w.workers), count)
+	}
+	w.loop.workers.maxConnections = maxConnections
+	return w
+}
+
+// use has an exchange with a worker, and time pass.
+func (w *poolHarness) use(worker int) {
+	id := w.workers[worker]
+	before := len(w.dialed)
+	w.loop.workers.CheckHealth(id)
+	w.runIterations()
+	w.opened[id] += len(w.dialed) - before
+	address := w.loop.workers.endpoints[id].address
+	for _, p := range w.dialed {
+		if p.dialedAddress == address {
+			p.read(1 << 20)
+			p.write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+		}
+	}
+	w.now += 100 * time.Millisecond
+	w.runIterations()
+}
+
+// openTo counts the idle connections to a worker.
+func (w *poolHarness) openTo(worker int) int {
+	return len(w.loop.workers.endpoints[w.workers[worker]].idle)
+}
+
+// Where no more connections may be open, the one that has been idle longest makes room: workers that are in use keep theirs.
+func TestLongestIdleConnectionIsEvicted(t *testing.T) {
+	const workers, inUse, room = 40, 3, 5
+	w := newPoolHarness(t, workers, room)
+	for round := range workers - inUse {
+		for worker := range inUse {
+			w.use(worker)
+		}
+		w.use(inUse + round) // another one each time
+	}
+	for worker := range inUse {
+		if opened := w.opened[w.workers[worker]]; opened != 1 || w.openTo(worker) != 1 {
+			t.Errorf("worker %d, in use all the time: %d connections opened, %d open", worker, opened, w.openTo(worker))
+		}
+	}
+	if pool := w.loop.workers; pool.openCount != room || pool.idle.Len() != room {
+		t.Errorf("%d connections open, %d idle, expected %d", pool.openCount, pool.idle.Len(), room)
+	}
+}
+
+// Connections that come in another order than that in which they became idle are evicted in the latter.
+func TestRestoredConnectionsAreEvictedByTheirIdleTimes(t *testing.T) {
+	w := newHarness(&modeltest.Steps{T: t})
+	pool := w.loop.workers
+	for _, idleSince := range []time.Duration{3, 1, 4, 2} {
+		endpoint := &endpointConnections{address: netip.AddrPort{}}
+		pool.addIdle(&workerConnection{pool: pool, endpoint: endpoint, state: workerIdle, idleSince: idleSince})
+	}
+	for want := time.Duration(1); want <= 4; want++ {
+		if got := pool.idle.Front().Value.(*workerConnection).idleSince; got != want {
+			t.Errorf("evicted the one that is idle since %d, expected %d", got, want)
+		}
+		pool.evictIdle()
+	}
+}
