--- a/dispatch/attemptinfo.go
+++ b/dispatch/attemptinfo.go
@@ -50,13 +50,6 @@
 	}
 }
 
-// chargeWarmUp enters an attempt with what its worker has been sent, if that warms up.
-func (d *Dispatcher) chargeWarmUp(a *attemptInfo) {
-	if d.warmUpShare(a.worker) < 1 {
-		a.worker.warmUpSpends = append(a.worker.warmUpSpends, spend{a.sentAt, d.warmUpCost(a.job)})
-	}
-}
-
 // findInFlight returns an attempt that is in flight; nil: an event about it is void.
 func (d *Dispatcher) findInFlight(job uint64, number int, worker uint64) *attemptInfo {
 	j := d.jobs[job]
@@ -98,24 +91,6 @@
 	return a.progressAt + settings.ProgressInterval*3/2
 }
 
-// countLateAttempts counts the attempts that start late, one for each job: a wide job waits more often than others.
-func (d *Dispatcher) countLateAttempts() {
-	isLate := func(class int, a *attemptInfo) bool {
-		return d.now-a.sentAt > d.promptStart(&d.settings.Classes[class])
-	}
-	isOver := func(a *attemptInfo) bool {
-		return a.started || a.ended || d.now-a.sentAt >= silenceFactor*d.meanLateStart
-	}
-	d.unstarted.update(isLate, isOver)
-	d.lateCount = 0
-	for _, a := range d.unstarted.late {
-		isLatest := a.number == len(a.job.attempts)-1
-		if a.job.heapIndex < 0 && !a.job.closed && isLatest && !a.mayBeDropped() {
-			d.lateCount++
-		}
-	}
-}
-
 // TimeUntilOverdue is how much longer an attempt may take before it is overlong by what was expected of its job; not ok:
 // it is not in flight.
 func (d *Dispatcher) TimeUntilOverdue(job uint64, attempt int) (remaining time.Duration, ok bool) {
--- a/dispatch/capacity.go
+++ b/dispatch/concurrency.go
@@ -5,7 +5,10 @@
 	"time"
 )
 
-// Concurrency limits: one slot more with each prompt start that they bound, half on rejection or failure.
+// Concurrency limits, the design's room rule: each worker starts with room for one job; the limit grows
+// by one when a job that it bounded starts promptly, and halves on a rejection or failure. Halves are
+// rounded down, and one is the least.
+
 const (
 	promptDivisor    = 4                      // a start within the objective divided by this is prompt
 	minLateOverflows = 2                      // late starts with as many slots running as a kind ever had
@@ -78,6 +81,14 @@
 	worker.decreasedAt, worker.limit = d.now, max(1, worker.limit-1)
 }
 
+// halveLimit answers a rejection or failure. What was sent before the last decrease tells of the same event.
+func (d *Dispatcher) halveLimit(a *attemptInfo) {
+	if w := a.worker; a.sentAt >= w.decreasedAt {
+		w.decreasedAt, w.limit = d.now, max(1, math.Floor(w.limit/2))
+		d.markDirty(w)
+	}
+}
+
 // backOff leaves a worker alone, longer each time until an attempt starts promptly there.
 func (d *Dispatcher) backOff(w *workerInfo, least time.Duration) {
 	w.backoff = min(max(least, 2*w.backoff), maxBackoff)
@@ -96,3 +107,22 @@
 func (d *Dispatcher) mayHaveCapacity(w *workerInfo) bool {
 	return w.Ready && d.now >= w.backoffUntil && (w.usedSlots == 0 || w.usedSlots+1 <= w.limit)
 }
+
+// countLateAttempts counts the attempts that start late, one for each job: a wide job waits more often than
+// others.
+func (d *Dispatcher) countLateAttempts() {
+	isLate := func(class int, a *attemptInfo) bool {
+		return d.now-a.sentAt > d.promptStart(&d.settings.Classes[class])
+	}
+	isOver := func(a *attemptInfo) bool {
+		return a.started || a.ended || d.now-a.sentAt >= silenceFactor*d.meanLateStart
+	}
+	d.unstarted.update(isLate, isOver)
+	d.lateCount = 0
+	for _, a := range d.unstarted.late {
+		isLatest := a.number == len(a.job.attempts)-1
+		if a.job.heapIndex < 0 && !a.job.closed && isLatest && !a.mayBeDropped() {
+			d.lateCount++
+		}
+	}
+}
--- a/dispatch/connections.go
+++ b/dispatch/connections.go
@@ -1,5 +1,8 @@
 package dispatch
 
+// Idle connections: how long one may have been idle to be trusted with an attempt. The design is silent
+// on it; what is lost on a connection that was dropped unseen was possibly executed.
+
 import (
 	"math/bits"
 	"time"
@@ -10,10 +13,11 @@
 	idleMemory     = 10 * time.Second // outcomes on idle connections are forgotten after this
 	maxIdleSpan    = 10 * time.Second // after this a bound on idle times is doubled
 	minIdleFailing = 1.5              // recent failures: two, less what is forgotten of them
+	careDivisor    = 4                // jobs not safe to repeat trust connections for this part of the time
 )
 
-// idleHistory counts how attempts fared by how long their connections had been idle: bucket n is from 2^n to 2^(n+1)
-// milliseconds.
+// idleHistory counts how attempts fared by how long their connections had been idle: bucket n is from 2^n
+// to 2^(n+1) milliseconds.
 type idleHistory [idleBuckets]outcomeCounts
 
 type outcomeCounts struct{ succeeded, failed float64 }
@@ -50,9 +54,9 @@
 
 func minIdleOf(bucket int) time.Duration { return time.Millisecond << bucket }
 
-// observeIdleConnection takes in how an attempt on an idle connection went. Where of connections idle for so long or longer
-// two have failed of late, and more than succeeded, the connections are at fault and not the workers: a rack that is silent
-// has but its part of them.
+// observeIdleConnection takes in how an attempt on an idle connection went. Where of connections idle for
+// so long or longer two have failed of late, and more than succeeded, the connections are at fault and not
+// the workers: a rack that is silent has but its part of them.
 func (d *Dispatcher) observeIdleConnection(a *attemptInfo, success bool) {
 	if a.connIdle == 0 {
 		return
@@ -78,3 +82,24 @@
 		d.maxIdle, d.maxIdleSetAt = 2*d.maxIdle, d.now
 	}
 }
+
+// guardConnection guards against connections dropped unseen while idle: what is sent on one is lost. Those
+// idle for longer than has lately gone well are closed first.
+func (d *Dispatcher) guardConnection(attempt *attemptInfo) {
+	worker, maxIdle, idle := attempt.worker, d.maxIdle, d.now-attempt.worker.lastEndAt
+	if attempt.job.class.Idempotency != Idempotent {
+		maxIdle /= careDivisor
+	}
+	if d.settings.ConnIdleTimeout > 0 && idle >= d.settings.ConnIdleTimeout {
+		worker.connections = min(worker.connections, len(worker.inFlight)-1)
+	}
+	if worker.connections < len(worker.inFlight) { // a new one is opened
+		worker.connections = len(worker.inFlight)
+		return
+	}
+	attempt.connIdle = idle
+	if d.maxIdle > 0 && idle > maxIdle {
+		d.emit(CloseIdleConnections{Worker: worker.ID})
+		attempt.connIdle, worker.connections = 0, len(worker.inFlight)
+	}
+}
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -11,8 +11,11 @@
 // ignored; a second arrival of an open job's id is ignored; the last of several entries for one worker in a list counts;
 // negative, infinite or missing figures are read as absent; a clock that steps back is held at its highest value.
 //
-// The decisions are in queue.go (order of jobs), picker.go (choice of a worker), predictor.go (expected run times),
-// capacity.go (concurrency limits), outlier.go (ejection), slowstart.go (warming workers), attempts.go (retries and hedged
-// requests), admission.go (quotas, objectives, answers without an attempt) and endpoints.go (the list of workers, cordons,
-// health checks). The other files hold the interface, state, indexes and estimates, and decide nothing.
+// The mechanism, in the order of a job's life: admission.go makes its entry, with a score from prediction.go; quota.go and
+// objective.go say whether it can still earn in full; queue.go says which job leaves next, and picker.go for which worker,
+// of those that concurrency.go, slowstart.go, outlier.go and cordon.go leave; attempts.go sends it; what its start and its
+// end teach goes into concurrency.go, learning.go and connections.go; retry.go and hedging.go say when it is sent again, and
+// admission.go gives the final answer. reservation.go keeps a worker free for a large job, healthcheck.go checks workers,
+// subscription.go asks for the list of them, and maintenance.go ages what was learnt. These files decide. The others hold
+// the interface, state, indexes and estimates, and decide nothing.
 package dispatch
--- /dev/null
+++ b/dispatch/maintenance.go
@@ -0,0 +1,82 @@
+package dispatch
+
+import (
+	"math"
+	"time"
+)
+
+// Maintenance, at a fixed interval: the subscription is renewed, estimates age, and what follows from the
+// fleet as a whole is brought up to date.
+
+const maintenanceInterval = 250 * time.Millisecond
+
+// maintain renews the subscription and what follows from the fleet as a whole.
+func (d *Dispatcher) maintain() {
+	d.setTimer(&d.maintenance, d.now+maintenanceInterval)
+	if d.settings.MustSubscribe && d.subscription == unsubscribed && d.now >= d.subscribeAt {
+		d.subscription = subscribing
+		d.emit(Subscribe{})
+	}
+	d.decayEstimates()
+	d.assignLots()
+	fleet := d.summarise()
+	d.mostEjected, d.allBroken = 2*fleet.ejected > fleet.ready, fleet.broken == fleet.ready
+	if fleet.ready > 0 {
+		d.topSpeed = fleet.topSpeed
+	}
+	// Runs show only the quotient of size and speed: the two must not drift off together.
+	if mean := fleet.speeds / float64(max(1, fleet.ready)); math.Abs(mean) > maxMeanSpeed {
+		d.rescaleSpeeds(clamp(mean-clamp(mean, maxMeanSpeed), maxRescale))
+	}
+}
+
+// decayEstimates lets what was learnt of sizes, connections, zones and speeds drift back for want of news,
+// by one round of maintenance.
+func (d *Dispatcher) decayEstimates() {
+	for class := range d.overrunFactor {
+		factor := d.overrunFactor[class] * (1 - maintenanceInterval.Seconds()/overrunMemory.Seconds())
+		d.overrunFactor[class] = max(1, factor)
+	}
+	d.decayIdleConnections()
+	for z := range d.zoneBusy {
+		d.zoneBusy[z] *= 1 - maintenanceInterval.Seconds()/speedMemory.Seconds()
+	}
+	for _, w := range d.workerList {
+		was := w.logSpeed
+		if w.learnedAt == 0 {
+			w.logSpeed = w.machine.logSpeed
+		} else if d.now-w.learnedAt > speedGrace {
+			distance := w.machine.logSpeed - w.logSpeed
+			w.logSpeed += distance * maintenanceInterval.Seconds() / speedMemory.Seconds()
+		}
+		if w.logSpeed != was {
+			w.speed = math.Exp(w.logSpeed)
+		}
+	}
+}
+
+// fleetSummary is what maintenance goes by, of the ready workers.
+type fleetSummary struct {
+	ready, ejected, broken int
+	speeds                 float64 // sum of their log speeds
+	topSpeed               float64 // the greatest
+}
+
+func (d *Dispatcher) summarise() fleetSummary {
+	fleet := fleetSummary{topSpeed: -maxFeature}
+	for _, w := range d.workerList {
+		if !w.Ready {
+			continue
+		}
+		fleet.ready++
+		fleet.speeds += w.logSpeed
+		fleet.topSpeed = max(fleet.topSpeed, w.logSpeed)
+		if w.broken {
+			fleet.broken++
+		}
+		if w.ejectionTime > 0 {
+			fleet.ejected++
+		}
+	}
+	return fleet
+}
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -1,12 +1,14 @@
 package dispatch
 
+// Outlier ejection: silence, failure and slowness of workers, told apart by symptom. The design is silent
+// on it: it is for what is not the ordinary path.
+
 import (
 	"fmt"
 	"math"
 	"time"
 )
 
-// Ejection of outliers: silence, failure and slowness, told apart by symptom.
 const (
 	minEjection   = 500 * time.Millisecond // doubles with each failed trial
 	maxEjection   = 8 * time.Second
@@ -132,3 +134,16 @@
 	}
 	d.adjustLimit(a, false)
 }
+
+// markAlive takes in a sign of life.
+func (d *Dispatcher) markAlive(w *workerInfo) {
+	w.aliveAt, w.connFailures = d.now, 0
+	// A worker that was lost and answers again has most likely restarted, though no list has said so yet.
+	if w.connLost {
+		w.connLost, w.returnedAt = false, d.now
+	}
+	if w.failures == 0 && w.ejectionTime > 0 {
+		w.ejectionTime, w.ejectedUntil, w.broken = 0, 0, false
+	}
+	d.markDirty(w)
+}
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -1,7 +1,6 @@
 package dispatch
 
 import (
-	"cmp"
 	"math"
 )
 
@@ -18,26 +17,6 @@
 	}
 }
 
-// assigneeRank is this dispatcher's place among those that may send jobs to a warming worker: all agree on it.
-func (d *Dispatcher) assigneeRank(w *workerInfo) (rank, assignees int) {
-	if w.Assignees > 0 {
-		return max(0, w.AssigneeRank), w.Assignees
-	}
-	index, replicas := d.settings.ReplicaIndex, max(1, d.settings.Replicas)
-	if d.sharing.Replicas > 0 {
-		index, replicas = d.sharing.ReplicaIndex, d.sharing.Replicas
-	}
-	return int((uint64(index) + w.ID*hashFactor>>32) % uint64(replicas)), replicas
-}
-
-// quotaShare is this dispatcher's of each tenant's quota.
-func (d *Dispatcher) quotaShare() float64 {
-	if d.sharing.QuotaShare > 0 {
-		return d.sharing.QuotaShare
-	}
-	return 1 / float64(max(1, cmp.Or(d.sharing.Replicas, d.settings.Replicas)))
-}
-
 // onJobResumed takes in a job with its attempts so far.
 func (d *Dispatcher) onJobResumed(e JobResumed) {
 	j := d.admit(e.Job, max(0, e.Age))
--- a/dispatch/picker.go
+++ b/dispatch/picker.go
@@ -1,5 +1,8 @@
 package dispatch
 
+// The picker, by the design's sentence: the ready worker with the fewest of this dispatcher's slots in
+// use, of those able to start the job now, drawn among equals.
+
 import (
 	"cmp"
 	"math"
@@ -112,42 +115,6 @@
 	return cost, weight, fresh
 }
 
-// canEarn tells whether a job would meet its objective on a worker, or has no such hope on any.
-func (d *Dispatcher) canEarn(j *jobInfo, w *workerInfo) bool {
-	return j.demoted() || d.mayTryUncordoned(j, w) || d.now+d.expectedRun(j, w) <= j.objectiveAt
-}
-
-// reserveWorker keeps the worker with least to finish free for a large job that is over tau and fits nowhere:
-// smaller jobs would backfill it for ever. Sent before it fits, the job would block the worker's own queue.
-func (d *Dispatcher) reserveWorker(job *jobInfo) {
-	if d.reserved != nil && d.reserved.Ready {
-		return
-	}
-	d.reserved, d.reservedFor = nil, job
-	from, count := d.sample(len(d.workerList), maxScanned, maxScanned)
-	for i := range count {
-		worker := d.workerList[(from+i)%len(d.workerList)]
-		if !d.mayReserve(job, worker) {
-			continue
-		}
-		if d.reserved == nil || worker.remainingLoad() < d.reserved.remainingLoad() {
-			d.reserved = worker
-		}
-	}
-}
-
-// mayReserve tells whether a worker could run a job in time, once it has room.
-func (d *Dispatcher) mayReserve(job *jobInfo, worker *workerInfo) bool {
-	isUsable := worker.Ready && !worker.rejects(job) && !d.isEjected(worker)
-	if !isUsable || !job.class.allows(worker.Kind, worker.Zone) || !d.mayAttempt(job, worker) {
-		return false
-	}
-	return job.demoted() || d.now+d.expectedRun(job, worker) <= job.objectiveAt
-}
-
-// remainingLoad is what a worker has to finish of ours, in slots at speed 1.
-func (w *workerInfo) remainingLoad() float64 { return w.usedSlots / w.speed }
-
 // allows binds a class to kinds and zones of workers at every attempt, whatever is down or full.
 func (c *Class) allows(kind, zone int) bool {
 	return (c.Kinds == nil || slices.Contains(c.Kinds, kind)) &&
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -1,8 +1,10 @@
 package dispatch
 
+// The queue, by the paper's and the design's sentence: at each release jobs held for over tau = 3 x
+// mu_short leave first, the oldest of them first; otherwise the lowest score leaves, ties to the oldest.
+
 import "cmp"
 
-// The queue, by the paper: shortest predicted job first, with a starvation timeout tau.
 const (
 	tauFactor   = 3.0 // tau is so many mean sojourns of short jobs, as in the paper
 	maxDeferred = 12  // jobs that fit nowhere and are set aside in one pass
@@ -103,3 +105,7 @@
 		d.deferJob(job)
 	}
 }
+
+// isSharded tells whether each worker is assigned to a few dispatchers, so that how our own jobs fare there
+// tells of their capacity.
+func (d *Dispatcher) isSharded() bool { return len(d.workerList) > 0 && d.workerList[0].Assignees > 1 }
--- /dev/null
+++ b/dispatch/retry.go
@@ -0,0 +1,84 @@
+package dispatch
+
+import "slices"
+
+// Retries: when a worker may be sent a job, for the first time or again, and what follows from the end of
+// an attempt. The design is silent on them; they follow from the idempotency of a job's class.
+
+const dedupMarginDivisor = 20 // this part of a deduplication window is left for delays
+
+// provesNotExecuted are the results of attempts that ran nothing.
+var provesNotExecuted = [...]bool{WorkerFull: true, ConnectFailed: true, NotSent: true}
+
+func (a *attemptInfo) possiblyExecuted() bool {
+	return !a.ended || int(a.result) >= len(provesNotExecuted) || !provesNotExecuted[a.result]
+}
+
+// mayAttempt is the one place that knows when a worker may be sent a job, for the first time or again.
+func (d *Dispatcher) mayAttempt(j *jobInfo, w *workerInfo) bool {
+	if j.closed || j.streaming || d.now >= j.deadline || d.isAtLimit(j) ||
+		j.inFlight > 0 && !d.settings.Hedging {
+		return false
+	}
+	return !slices.ContainsFunc(j.attempts, func(a *attemptInfo) bool {
+		return !a.ended && a.worker == w || a.possiblyExecuted() && !d.mayRepeat(j.class, a, w)
+	})
+}
+
+// mayRepeat tells whether a worker may be sent the job of an attempt that was possibly executed.
+func (d *Dispatcher) mayRepeat(class *Class, a *attemptInfo, w *workerInfo) bool {
+	if class.Idempotency != IdempotentWithKey {
+		return class.Idempotency == Idempotent
+	}
+	scope := class.DeduplicationScope
+	if scope == ScopeZone && a.zone != w.Zone || scope == ScopeCell && a.cell != w.Cell {
+		return false
+	}
+	margin := max(class.DeduplicationWindow/dedupMarginDivisor, d.settings.ConnectTimeout) // to connect
+	return d.now-a.sentAt < class.DeduplicationWindow-margin
+}
+
+// mayReject tells whether the client may be told that another try is harmless.
+func (d *Dispatcher) mayReject(j *jobInfo) bool {
+	return j.class.Idempotency == Idempotent ||
+		j.class.Idempotency == IdempotentWithKey && j.class.DeduplicationScope == ScopeAll ||
+		!slices.ContainsFunc(j.attempts, (*attemptInfo).possiblyExecuted)
+}
+
+func (d *Dispatcher) isAtLimit(j *jobInfo) bool {
+	return len(j.attempts) >= max(1, d.settings.AttemptLimit)
+}
+
+// onOutcome takes in the end of an attempt: its job ends, or is queued for another one.
+func (d *Dispatcher) onOutcome(outcome Outcome) {
+	attempt := d.findInFlight(outcome.Job, outcome.Attempt, outcome.Worker)
+	if attempt == nil {
+		return
+	}
+	job := attempt.job
+	d.endAttempt(attempt, outcome)
+	if !attempt.orphaned { // else it tells of a process that has gone
+		d.onResult(attempt)
+	}
+	d.forgetWorker(attempt.worker)
+	if job.recheckOnEnd && !job.closed { // in flight at its objective, it was not looked at again
+		job.recheckOnEnd = false
+		d.setTimer(&job.objectiveTimer, d.now)
+	}
+	if outcome.Closed || job.closed || outcome.Result == OK {
+		d.closeJob(job)
+	} else {
+		d.requeue(job)
+	}
+}
+
+// requeue queues a job for a further attempt, where none is in flight and one may be made.
+func (d *Dispatcher) requeue(j *jobInfo) {
+	switch {
+	case j.heapIndex >= 0 || j.inFlight > 0:
+	case d.isAtLimit(j) || j.class.Idempotency == NonIdempotent && !d.mayReject(j):
+		d.finish(j)
+	default:
+		d.enqueue(j)
+	}
+}
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -1,11 +1,17 @@
 package dispatch
 
-import "slices"
+// Slow start: what a worker that warms up may be sent within Settings.OverloadWindow, by all dispatchers
+// together. The design is silent on it; the platform's rule on recovering workers bounds it.
+
+import (
+	"math"
+	"slices"
+)
 
-// Slow start: what a warming worker may be sent within Settings.OverloadWindow.
 const (
-	warmUpMargin = 0.4 // of the budget is used, as sizes have heavy tails
-	jobsPerOwner = 2.0 // mean jobs that one owner's part of a budget holds
+	warmUpMargin = 0.4  // of the budget is used, as sizes have heavy tails
+	jobsPerOwner = 2.0  // mean jobs that one owner's part of a budget holds
+	minWarmUp    = 0.01 // share of its capacity that a worker has at least
 )
 
 // warmUpAllows keeps what was sent to a warming worker, rejected jobs too, under our part of its budget.
@@ -56,3 +62,47 @@
 	distance := j.warmUpDraw - w.lotStart
 	return distance > 0 && distance*max(1, cost/(d.meanCost+1e-9)) <= w.lotWidth
 }
+
+// chargeWarmUp enters an attempt with what its worker has been sent, if that warms up.
+func (d *Dispatcher) chargeWarmUp(a *attemptInfo) {
+	if d.warmUpShare(a.worker) < 1 {
+		a.worker.warmUpSpends = append(a.worker.warmUpSpends, spend{a.sentAt, d.warmUpCost(a.job)})
+	}
+}
+
+// warmUpShare is the least part of its capacity that a worker has, by when it started; 1: it is warm.
+func (d *Dispatcher) warmUpShare(w *workerInfo) float64 {
+	boot := max(w.BootAt, w.returnedAt)
+	if boot <= 0 || d.settings.WarmUp <= 0 || d.now-boot >= d.settings.WarmUp {
+		return 1
+	}
+	age := max(0, (d.now - boot).Seconds())
+	share := d.settings.WarmUpCapacity + (1-d.settings.WarmUpCapacity)*age/d.settings.WarmUp.Seconds()
+	return max(minWarmUp, share)
+}
+
+// warmUpBudget is the work that all dispatchers may send a warming worker within a window. Its full
+// capacity is estimated from the slots that its kind has been seen to have.
+func (d *Dispatcher) warmUpBudget(w *workerInfo) float64 {
+	k := d.machineKind(w.Kind)
+	capacity := max(1, k.maxSlots) * math.Exp(k.logSpeed) * d.warmUpShare(w)
+	return warmUpMargin * d.settings.OverloadFactor * capacity * d.settings.OverloadWindow.Seconds()
+}
+
+// warmUpCost is what a job takes of such a budget.
+func (d *Dispatcher) warmUpCost(j *jobInfo) float64 {
+	return j.work * j.Slots * d.overrunFactor[j.Class]
+}
+
+// assigneeRank is this dispatcher's place among those that may send jobs to a warming worker: all agree on
+// it.
+func (d *Dispatcher) assigneeRank(w *workerInfo) (rank, assignees int) {
+	if w.Assignees > 0 {
+		return max(0, w.AssigneeRank), w.Assignees
+	}
+	index, replicas := d.settings.ReplicaIndex, max(1, d.settings.Replicas)
+	if d.sharing.Replicas > 0 {
+		index, replicas = d.sharing.ReplicaIndex, d.sharing.Replicas
+	}
+	return int((uint64(index) + w.ID*hashFactor>>32) % uint64(replicas)), replicas
+}
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -112,46 +112,6 @@
 	return ready
 }
 
-// fleetSummary is what maintenance goes by, of the ready workers.
-type fleetSummary struct {
-	ready, ejected, broken int
-	speeds                 float64 // sum of their log speeds
-	topSpeed               float64 // the greatest
-}
-
-func (d *Dispatcher) summarise() fleetSummary {
-	fleet := fleetSummary{topSpeed: -maxFeature}
-	for _, w := range d.workerList {
-		if !w.Ready {
-			continue
-		}
-		fleet.ready++
-		fleet.speeds += w.logSpeed
-		fleet.topSpeed = max(fleet.topSpeed, w.logSpeed)
-		if w.broken {
-			fleet.broken++
-		}
-		if w.ejectionTime > 0 {
-			fleet.ejected++
-		}
-	}
-	return fleet
-}
-
-// isCordoned tells whether a worker is kept from jobs by the operators.
-func (d *Dispatcher) isCordoned(w *workerInfo) bool {
-	_, is := d.cordoned[w.ID]
-	return is
-}
-
-// updateAllCordoned notes whether all listed workers are cordoned.
-func (d *Dispatcher) updateAllCordoned() {
-	d.allCordoned = len(d.cordoned) > 0 && len(d.workerList) > 0
-	for _, w := range d.workerList {
-		d.allCordoned = d.allCordoned && (!w.listed || d.isCordoned(w))
-	}
-}
-
 // AvoidedWorkers counts the listed workers that this dispatcher avoids now, as cordoned or as ejected.
 func (d *Dispatcher) AvoidedWorkers() int {
 	avoided := 0
@@ -173,49 +133,3 @@
 	}
 	return slots
 }
-
-// isSharded tells whether each worker is assigned to a few dispatchers, so that how our own jobs fare there tells of their
-// capacity.
-func (d *Dispatcher) isSharded() bool { return len(d.workerList) > 0 && d.workerList[0].Assignees > 1 }
-
-// awaitsCheck tells whether a worker is being checked and has given no sign of life since.
-func (w *workerInfo) awaitsCheck() bool { return w.checking && w.aliveAt < w.checkedAt }
-
-// markAlive takes in a sign of life.
-func (d *Dispatcher) markAlive(w *workerInfo) {
-	w.aliveAt, w.connFailures = d.now, 0
-	// A worker that was lost and answers again has most likely restarted, though no list has said so yet.
-	if w.connLost {
-		w.connLost, w.returnedAt = false, d.now
-	}
-	if w.failures == 0 && w.ejectionTime > 0 {
-		w.ejectionTime, w.ejectedUntil, w.broken = 0, 0, false
-	}
-	d.markDirty(w)
-}
-
-// halveLimit answers a rejection or failure. What was sent before the last decrease tells of the same event.
-func (d *Dispatcher) halveLimit(a *attemptInfo) {
-	if w := a.worker; a.sentAt >= w.decreasedAt {
-		w.decreasedAt, w.limit = d.now, max(1, math.Floor(w.limit/2))
-		d.markDirty(w)
-	}
-}
-
-// onHealthChecked takes in the end of a health check.
-func (d *Dispatcher) onHealthChecked(e HealthChecked) {
-	worker := d.workers[e.Worker]
-	if worker == nil {
-		return
-	}
-	worker.checking = false
-	switch e.Result {
-	case OK:
-		d.minCheckDelay = min(d.minCheckDelay, d.now-worker.checkedAt)
-		d.markAlive(worker)
-		d.applyReport(worker, e.Report)
-	case WorkerFull, NotSent: // it tells nothing of the worker's health
-	default:
-		d.eject(worker, true, "does not answer a probe")
-	}
-}
