--- a/internal/aperture/aperture.go
+++ b/internal/aperture/aperture.go
@@ -178,11 +178,13 @@
 	return kept
 }
 
-// appendFreedLinks closes the idle connections that lead to workers outside of the subset.
+// appendFreedLinks closes the idle connections that lead to workers outside of the subset. A worker may be in use again by
+// now: it has come back at once, or another attempt there was resumed.
 func (a *Aperture) appendFreedLinks(dst []dispatch.Action) []dispatch.Action {
 	for _, id := range a.deselected {
 		worker := a.fleet.workers[id]
-		if worker == nil || !worker.reported { // else it has come back at once
+		isInUse := worker != nil && (worker.reported || worker.inFlight > 0)
+		if !isInUse {
 			dst = append(dst, dispatch.CloseIdleConnections{Worker: id})
 		}
 	}
--- a/internal/aperture/changes_test.go
+++ b/internal/aperture/changes_test.go
@@ -185,6 +185,33 @@
 	}
 }
 
+// A worker that leaves the subset with the end of a resumed attempt, and the list, and has another resumed attempt, all in one
+// step, keeps its connections: an attempt is in flight there. Without that other attempt they are closed.
+func TestConnectionsOfResumedAttemptStay(t *testing.T) {
+	for _, isResumedAgain := range []bool{false, true} {
+		deployed := deploy(t, 40, 40, cellSettings, testConfig, testFleet(1000, 20))
+		aperture := deployed.apertures[0]
+		policy := policyOf(aperture)
+		outside := slices.IndexFunc(deployed.list, func(w dispatch.Worker) bool { return !policy.knows(w.ID) })
+		id := deployed.list[outside].ID
+		resumed := func(job uint64) dispatch.Event {
+			return dispatch.JobResumed{Job: dispatch.Job{ID: job}, Attempts: []dispatch.PastAttempt{{Worker: id}}}
+		}
+		aperture.Step(deployed.now, []dispatch.Event{resumed(1)}, nil)
+		events := []dispatch.Event{
+			dispatch.Outcome{Job: 1, Worker: id},
+			dispatch.WorkerList{Kind: dispatch.ListFull, Workers: slices.Delete(deployed.list, outside, outside+1)},
+		}
+		if isResumedAgain {
+			events = append(events, resumed(2))
+		}
+		actions := aperture.Step(deployed.now, events, nil)
+		if isClosed := slices.Contains(actions, dispatch.Action(dispatch.CloseIdleConnections{Worker: id})); isClosed == isResumedAgain {
+			t.Errorf("resumed again: %v, connections closed: %v", isResumedAgain, isClosed)
+		}
+	}
+}
+
 // What the aperture changes before discovery has sent anything, and while its list is lost, is reported as the list that was
 // known: taken for an update of discovery, it would have the policy believe that it follows the list, and not subscribe.
 func TestOwnUpdatesAreNotListUpdates(t *testing.T) {
