--- a/internal/control/planner/invariants_test.go
+++ b/internal/control/planner/invariants_test.go
@@ -138,6 +138,11 @@
 			references[req.attempts[i].worker]++
 		}
 	}
+	for worker := range references {
+		if p.workers.byID[worker.ID] != worker {
+			return fmt.Errorf("worker %d is forgotten, with %d attempts", worker.ID, references[worker])
+		}
+	}
 	for i, worker := range p.workers.list {
 		if worker.index != i || p.workers.byID[worker.ID] != worker || worker.references != references[worker] {
 			return fmt.Errorf("worker %d: index %d at %d, %d attempts, counted %d", worker.ID, worker.index, i, references[worker],
--- a/internal/control/planner/offer.go
+++ b/internal/control/planner/offer.go
@@ -22,11 +22,28 @@
 		return // the forwarder offers all of them to others once it reads the goodbye
 	}
 	p.stats.Offers++
-	var unread []attempt
-	if known := f.requests[offer.RequestID]; known != nil {
-		unread = unreadCommands(known, f.epoch, len(offer.Summary.Attempts))
-		p.abandonRequest(known)
+	known := f.requests[offer.RequestID]
+	if known == nil {
+		p.decideOnOffer(f, offer, nil)
+		return
+	}
+	unread := unreadCommands(known, f.epoch, len(offer.Summary.Attempts))
+	p.referToWorkers(unread, 1) // else they could be forgotten with the request
+	p.abandonRequest(known)
+	p.decideOnOffer(f, offer, unread)
+	p.referToWorkers(unread, -1)
+}
+
+// referToWorkers counts attempts that are in no request, each so many times.
+func (p *Planner) referToWorkers(attempts []attempt, count int) {
+	for i := range attempts {
+		p.addReferences(attempts[i].worker, count)
 	}
+}
+
+// decideOnOffer accepts an offer of a request that is not known, or doesn't. unread are attempts to add to those that the
+// offer has.
+func (p *Planner) decideOnOffer(f *forwarder, offer *message.RequestOffer, unread []attempt) {
 	if !p.acceptsOffer(f, &offer.Summary) {
 		p.rejectOffer(f, offer)
 		return
--- a/internal/control/planner/transcript_test.go
+++ b/internal/control/planner/transcript_test.go
@@ -99,13 +99,11 @@
 		}
 	}
 	flush()
-	if err := checkInvariants(s.planner); err != nil {
-		s.t.Error(err)
-	}
 	return result.String()
 }
 
 func (s *transcript) step() {
+	s.t.Helper()
 	if s.timerAt > 0 && s.timerAt <= s.now {
 		s.timerAt = 0
 	}
@@ -120,6 +118,9 @@
 		}
 		s.lines = append(s.lines, actionText(action))
 	}
+	if err := checkInvariants(s.planner); err != nil {
+		s.t.Errorf("after %v: %v", s.now-time.Hour, err)
+	}
 }
 
 // wait lets time pass, with a step whenever the timer fires.
