--- a/internal/control/forwarder/checks_test.go
+++ b/internal/control/forwarder/checks_test.go
@@ -29,7 +29,6 @@
 	sentAt      time.Duration
 	ended       bool
 	notExecuted bool // that is certain
-	recalled    bool // its request was closed before its last byte was written
 }
 
 // checkSend checks an attempt that is about to be sent against all rules.
@@ -162,24 +161,34 @@
 	env.offers = env.offers[:0]
 }
 
-// checkPastAttempts checks what a planner is told of the attempts of a request. Those that the request table did not send,
-// as a callback of that worker had ended one, or that it recalled, are listed as not executed.
+// checkPastAttempts checks what a planner is told of the attempts of a request: all that were sent, in their order, and between
+// them those that the request table did not send.
 func (env *environment) checkPastAttempts(planner string, request *checkedRequest, listed []message.PastAttempt) {
-	listed = slices.DeleteFunc(slices.Clone(listed), func(past message.PastAttempt) bool {
-		return past.Ended && past.Result == dispatch.NotSent && !past.PossiblyExecuted
-	})
-	sent := slices.DeleteFunc(slices.Clone(request.attempts), func(attempt *checkedAttempt) bool { return attempt.recalled })
-	if len(listed) != len(sent) {
-		env.violation("%s is told of %d attempts of %s, of %d", planner, len(listed), request.name, len(sent))
-		return
-	}
+	sent := request.attempts
 	for i, past := range listed {
-		attempt := sent[i]
-		if past.WorkerID != attempt.worker || past.SentAgo != env.now-attempt.sentAt ||
-			past.PossiblyExecuted == attempt.notExecuted {
-			env.violation("%s is told %+v of %s, which is %+v", planner, past, request.name, attempt)
+		if len(sent) == 0 || past.WorkerID != sent[0].worker || past.SentAgo != env.now-sent[0].sentAt {
+			if !isUnsent(past, listed[:i]) {
+				env.violation("%s is told %+v of %s, which was not sent", planner, past, request.name)
+			}
+			continue
+		}
+		if past.PossiblyExecuted == sent[0].notExecuted {
+			env.violation("%s is told %+v of %s, which is %+v", planner, past, request.name, sent[0])
 		}
+		sent = sent[1:]
 	}
+	if len(sent) > 0 {
+		env.violation("%s is told of %d attempts of %s, and not of %+v", planner, len(listed), request.name, sent[0])
+	}
+}
+
+// isUnsent reports whether an attempt is listed as one that the request table did not send, as a callback of that worker had
+// ended an earlier one.
+func isUnsent(past message.PastAttempt, earlier []message.PastAttempt) bool {
+	isNotExecuted := past.Ended && past.Result == dispatch.NotSent && !past.PossiblyExecuted
+	return isNotExecuted && slices.ContainsFunc(earlier, func(attempt message.PastAttempt) bool {
+		return attempt.WorkerID == past.WorkerID && attempt.Ended
+	})
 }
 
 // countAssigned counts the requests that a session has.
--- a/internal/control/forwarder/random_test.go
+++ b/internal/control/forwarder/random_test.go
@@ -11,7 +11,7 @@
 )
 
 var (
-	runs      = flag.Uint64("runs", 60, "number of random runs")
+	runs      = flag.Uint64("runs", 200, "number of random runs")
 	firstSeed = flag.Uint64("first-seed", 0, "seed of the first random run")
 )
 
--- a/internal/control/forwarder/workers_test.go
+++ b/internal/control/forwarder/workers_test.go
@@ -117,8 +117,8 @@
 	for _, checked := range env.requestsByID[attempt.Request.ID].attempts {
 		if checked.attempt == attempt {
 			checked.ended = true
-			checked.recalled = attempt.Request.IsClosed() && attempt.Stage < requests.StageWritten
-			checked.notExecuted = checked.notExecuted || checked.recalled
+			isRecalled := attempt.Request.IsClosed() && attempt.Stage < requests.StageWritten // before its last byte was written
+			checked.notExecuted = checked.notExecuted || isRecalled
 		}
 	}
 }
