--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -19,7 +19,7 @@
 			}
 			m.framing, m.contentLength = framingLength, length
 		case field.hasName("Transfer-Encoding"):
-			if isChunked || !bytes.EqualFold(field.Value, []byte("chunked")) {
+			if isChunked || !equalFold(field.Value, "chunked") {
 				return &ParseError{StatusCode: StatusNotImplemented, Reason: "transfer coding not supported"}
 			}
 			isChunked = true
@@ -46,9 +46,9 @@
 		option, options, _ = bytes.Cut(options, []byte(","))
 		option = bytes.TrimSpace(option)
 		switch {
-		case bytes.EqualFold(option, []byte("close")):
+		case equalFold(option, "close"):
 			m.KeepAlive = false
-		case bytes.EqualFold(option, []byte("keep-alive")):
+		case equalFold(option, "keep-alive"):
 			m.KeepAlive = true
 		}
 	}
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -12,9 +12,7 @@
 type Field struct{ Name, Value []byte }
 
 // hasName compares the name, whatever its case.
-func (f Field) hasName(name string) bool {
-	return len(f.Name) == len(name) && bytes.EqualFold(f.Name, []byte(name))
-}
+func (f Field) hasName(name string) bool { return equalFold(f.Name, name) }
 
 // Message is what a request and a response have in common. Its parts lie in the bytes that were parsed, but for a chunked
 // body, which lies in a buffer of the message's own. All of it is valid until these bytes are overwritten, or the message
--- a/internal/http1/parse_test.go
+++ b/internal/http1/parse_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"errors"
+	"reflect"
 	"strings"
 	"testing"
 )
@@ -113,6 +114,43 @@
 	}
 }
 
+// Words of the protocol are ASCII, in upper or lower case. A Kelvin sign is no k, and a long s no s, though Unicode folds them.
+func TestWordsAreFoldedInASCIIOnly(t *testing.T) {
+	for text, want := range map[string]error{
+		"POST / HTTP/1.1\r\nTransfer-Encoding: CHUNked\r\n\r\n0\r\n\r\n":      nil,
+		"POST / HTTP/1.1\r\nTransfer-Encoding: chun\u212aed\r\n\r\n0\r\n\r\n": &ParseError{StatusNotImplemented, "transfer coding not supported"},
+	} {
+		var request Request
+		if _, err := request.Parse([]byte(text)); !reflect.DeepEqual(err, want) {
+			t.Errorf("%q: %v, expected %v", text, err, want)
+		}
+	}
+	for option, keepAlive := range map[string]bool{
+		"close": false, "CLOSE": false, "clo\u017fe": true,
+	} {
+		if got := keepsAlive(t, "HTTP/1.1", option); got != keepAlive {
+			t.Errorf("HTTP/1.1, %q: keep-alive is %v", option, got)
+		}
+	}
+	for option, keepAlive := range map[string]bool{
+		"keep-alive": true, "Keep-Alive": true, "\u212aeep-alive": false,
+	} {
+		if got := keepsAlive(t, "HTTP/1.0", option); got != keepAlive {
+			t.Errorf("HTTP/1.0, %q: keep-alive is %v", option, got)
+		}
+	}
+}
+
+// keepsAlive parses a request of a version with a connection option.
+func keepsAlive(t *testing.T, version, option string) bool {
+	t.Helper()
+	var request Request
+	if _, err := request.Parse([]byte("GET / " + version + "\r\nConnection: " + option + "\r\n\r\n")); err != nil {
+		t.Fatalf("%q: %v", option, err)
+	}
+	return request.KeepAlive
+}
+
 // A client that waits before it sends the body is known by the header alone.
 func TestExpectContinueWithoutBody(t *testing.T) {
 	var request Request
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -62,7 +62,7 @@
 func (r *Request) parseExpect() {
 	for _, field := range r.Fields {
 		if field.hasName("Expect") {
-			r.ExpectContinue = bytes.EqualFold(field.Value, []byte("100-continue"))
+			r.ExpectContinue = equalFold(field.Value, "100-continue")
 		}
 	}
 }
--- a/internal/http1/syntax.go
+++ b/internal/http1/syntax.go
@@ -24,6 +24,27 @@
 	return len(text) > 0
 }
 
+// equalFold reports whether text is the word, whatever the case of ASCII letters. Unlike bytes.EqualFold it does not fold other
+// characters: a Kelvin sign is no k (RFC 9110, 5.6.2: tokens are ASCII).
+func equalFold(text []byte, word string) bool {
+	if len(text) != len(word) {
+		return false
+	}
+	for i, char := range text {
+		if lowerCase(char) != lowerCase(word[i]) {
+			return false
+		}
+	}
+	return true
+}
+
+func lowerCase(char byte) byte {
+	if 'A' <= char && char <= 'Z' {
+		return char + ('a' - 'A')
+	}
+	return char
+}
+
 // IsVisible reports whether text has nothing but visible ASCII characters, so that it can stand in a request line or a field
 // as it is. The empty text has none that is not.
 func IsVisible(text []byte) bool {
