--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -44,7 +44,7 @@
 	for len(options) > 0 {
 		var option []byte
 		option, options, _ = bytes.Cut(options, []byte(","))
-		option = bytes.TrimSpace(option)
+		option = trimBlanks(option)
 		switch {
 		case equalFold(option, "close"):
 			m.KeepAlive = false
--- a/internal/http1/chunked.go
+++ b/internal/http1/chunked.go
@@ -103,7 +103,7 @@
 // parseChunkSize reads the size in front of a chunk; extensions behind it are ignored.
 func parseChunkSize(line []byte) (int, error) {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
-	digits = bytes.TrimSpace(digits)
+	digits = trimBlanks(digits)
 	if len(digits) == 0 || len(digits) > maxChunkSizeDigits {
 		return 0, badRequest("bad chunk size")
 	}
--- a/internal/http1/chunked_test.go
+++ b/internal/http1/chunked_test.go
@@ -46,6 +46,8 @@
 		"data behind chunk":  "1\r\nab\r\n",
 		"line without end":   string(make([]byte, maxChunkLineSize+1)),
 		"blanks in the size": "1 1\r\n",
+		"no-break space":     "\u00a01\r\na\r\n0\r\n\r\n",
+		"form feed":          "1\f\r\na\r\n0\r\n\r\n",
 	} {
 		var decoder ChunkDecoder
 		stream := []byte(input)
--- a/internal/http1/parse_test.go
+++ b/internal/http1/parse_test.go
@@ -126,7 +126,7 @@
 		}
 	}
 	for option, keepAlive := range map[string]bool{
-		"close": false, "CLOSE": false, "clo\u017fe": true,
+		"close": false, "CLOSE": false, "clo\u017fe": true, "x, \tclose \t,y": false, "\u00a0close": true,
 	} {
 		if got := keepsAlive(t, "HTTP/1.1", option); got != keepAlive {
 			t.Errorf("HTTP/1.1, %q: keep-alive is %v", option, got)
