--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -59,6 +59,16 @@
 	}
 }
 
+// null stands for an absent value, also where a value has precedence over another one.
+func TestDecodeNullStretch(t *testing.T) {
+	for text, want := range map[string]float64{`"aim_stretch":1.5`: 1.5, `"aim_stretch":null`: 2, `"later":null`: 2} {
+		config, err := Decode([]byte(strings.Replace(validPlatform, `"aim_stretch":1.5`, text, 1)), noEnvironment)
+		if err != nil || config.Settings.Classes[1].ObjectiveStretch != want {
+			t.Errorf("%s: %v, classes %+v, expected stretch %v", text, err, config.Settings.Classes, want)
+		}
+	}
+}
+
 func TestDecodeErrorsNameTheKey(t *testing.T) {
 	for _, test := range []struct{ name, old, new, want string }{
 		{"malformed address", `"127.0.0.1:9000"`, `"here"`, `key "listen": expected an address and port, got "here"`},
--- a/internal/config/settings_classes.go
+++ b/internal/config/settings_classes.go
@@ -35,10 +35,10 @@
 	d.settings.Names.Classes = append(d.settings.Names.Classes, name)
 }
 
-// readExplicitStretch reads the stretch that a class names itself. Unlike elsewhere, null does not stand for an absent value:
-// it stays unread, which the object then reports as malformed.
+// readExplicitStretch reads the stretch that a class names itself. A class without one has that of the section domain.
 func (d *settingsDecoder) readExplicitStretch(class int) {
 	if !d.isPresent() {
+		d.skip()
 		return
 	}
 	if d.explicitStretch == nil {
