--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -66,6 +66,18 @@
 	}
 }
 
+// Of several errors in recorded settings the same one is reported each time.
+func TestOverrideReportsSameError(t *testing.T) {
+	ops := decodeValidOps(t, "[replay.settings]\nzone = 1")
+	for range 50 {
+		_, err := ops.Override(json.RawMessage(`{"zone":0,"prices":1,"zones":1,"bounds":{"probes":1,"cancelling":1},"rules":1}`))
+		var keyError *KeyError
+		if !errors.As(err, &keyError) || keyError.Key != "replay.settings.bounds.cancelling" {
+			t.Fatalf("%v, expected the first error by the order of keys", err)
+		}
+	}
+}
+
 func TestValueErrorMessage(t *testing.T) {
 	for want, value := range map[string]any{
 		"expected x":            nil,
--- a/internal/config/ops_replay.go
+++ b/internal/config/ops_replay.go
@@ -21,8 +21,8 @@
 	return Replay{settings: settings.keys}
 }
 
-// exactJSON keeps numbers as they are written.
-var exactJSON = jsoniter.Config{UseNumber: true}.Froze()
+// exactJSON keeps numbers as they are written, and writes keys in one order: the first error of a text is reported.
+var exactJSON = jsoniter.Config{UseNumber: true, SortMapKeys: true}.Froze()
 
 // override replaces values in the text of recorded settings. path is where the replacements stand.
 func (r *Replay) override(recorded []byte, path []string) ([]byte, error) {
