--- a/internal/testbed/starvation/checker_test.go
+++ b/internal/testbed/starvation/checker_test.go
@@ -244,6 +244,10 @@
 // Settings of a scenario that excuse what is starvation without them.
 func TestChecker_Scenarios(t *testing.T) {
 	underestimated := "5 due work=1 objective=1800ms;5.9 response status=503"
+	overestimated := "5 due work=1;5.1 response status=503"
+	ends := func(count int) string { // of the class, one after the other
+		return strings.Repeat("3 due job=7;3 attempt job=7;3 received job=7;3.1 callback job=7 text=done;3.1 response job=7;", count)
+	}
 	for _, test := range []struct {
 		name, history, want string
 		change              func(s *scenario.Scenario)
@@ -260,6 +264,22 @@
 		},
 		{"hints exact", underestimated, "0 1 0", func(*scenario.Scenario) {}},
 		{"hints a fifth", underestimated, "0 0 0", func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "wrong", 0.2 }},
+		{
+			"hints a fifth, not learnt yet", ends(minClassEnds-1) + underestimated, "0 0 0",
+			func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "wrong", 0.2 },
+		},
+		{
+			"hints a fifth, learnt", ends(minClassEnds) + underestimated, "0 1 0",
+			func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "wrong", 0.2 },
+		},
+		{
+			"hints twenty times, not learnt yet", ends(minClassEnds-1) + overestimated, "0 0 0",
+			func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "wrong", 20 },
+		},
+		{
+			"hints twenty times, learnt", ends(minClassEnds) + overestimated, "0 1 0",
+			func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "wrong", 20 },
+		},
 		{"hints rough", underestimated, "0 0 0", func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "rough", 1 }},
 		{"hints twenty times", underestimated, "0 0 0", func(s *scenario.Scenario) { s.Load.Hints, s.Load.HintFactor = "wrong", 20 }},
 		{"no hints", "5 due work=1;5.1 response status=503", "0 1 0", func(s *scenario.Scenario) { s.Load.Hints = "none" }},
--- a/internal/testbed/starvation/detection.go
+++ b/internal/testbed/starvation/detection.go
@@ -15,7 +15,7 @@
 // Bounds on a scheduler's estimates of work.
 const (
 	minClassEnds    = 30   // executions after which a process has learnt how wrong the hints of a class are
-	maxLearntFactor = 2    // by which estimates may be too large then: executions show speed and hint as one quotient only
+	maxLearntFactor = 2    // by which estimates may be wrong then: executions show speed and hint as one quotient only
 	meanFactor      = 2    // by which work may differ from the mean of its class without hints
 	roughDeviation  = 2    // standard deviations of rough hints
 	minWork         = 1e-9 // seconds
@@ -232,7 +232,7 @@
 	case "wrong":
 		low, high = min(1, load.HintFactor), max(1, load.HintFactor)
 		if owner.classEnds[estimated.class] >= minClassEnds {
-			high = min(high, maxLearntFactor)
+			low, high = max(low, 1.0/maxLearntFactor), min(high, maxLearntFactor)
 		}
 		return low, high
 	default:
--- a/internal/testbed/starvation/doc.go
+++ b/internal/testbed/starvation/doc.go
@@ -45,8 +45,8 @@
 //     rejection for each such connection; and rejections where those and the attempts sent make up the limit on attempts.
 //   - Wrong hints. The least estimate of the work that the hint allows has to meet the objective as well, which follows from
 //     the work, and the largest one the deadline. Rough hints may be wrong by twice their deviation. Hints that are wrong
-//     by a factor may be so by that factor, and overestimates by 2 at most once a process was notified of 30 ends of the
-//     class. Without hints, the estimate is between half and twice the class's mean.
+//     by a factor may be so by that factor, and estimates by 2 either way at most once a process was notified of 30 ends of
+//     the class. Without hints, the estimate is between half and twice the class's mean.
 //   - Free slots beside other attempts, where a kind sends no callbacks of starts: only empty workers count as idle there.
 //   - A worker that is reserved for a larger request: while the scheduler has one queued, one more worker has to be idle.
 //   - Few idle workers, where several schedulers run: they know nothing of each other's jobs. One worker in 20 of the
