--- a/internal/testbed/checker/checker.go
+++ b/internal/testbed/checker/checker.go
@@ -162,7 +162,7 @@
 		connRequests:  map[uint64]int32{}, misbehaving: map[uint64]misbehavingClient{}, coldWork: map[int][]coldArrival{},
 		texts: textTable{[]string{""}, map[string]uint16{}},
 	}
-	checker.cells, checker.zones = workerPlacement(spec)
+	checker.cells, checker.zones = spec.WorkerPlacement()
 	checker.timeLimits = newTimeLimits(spec, opt.RealProcesses)
 	for range max(1, spec.Schedulers.Count) {
 		checker.schedulers = append(checker.schedulers, newScheduler())
--- a/internal/testbed/checker/history.go
+++ b/internal/testbed/checker/history.go
@@ -270,18 +270,3 @@
 	}
 	return longest
 }
-
-// workerPlacement are the cells and zones of the scenario's workers, by node. Nodes are dealt out to zones in turn, and
-// cells are filled zone by zone, apart from those in which a zone ends and the next begins.
-func workerPlacement(spec *scenario.Scenario) (cells, zones []int) {
-	n, size, many := spec.Fleet.Workers, max(1, spec.Fleet.CellSize), max(1, len(spec.Fleet.Zones))
-	cells, zones = make([]int, n), make([]int, n)
-	place := 0
-	for z := range many {
-		for i := z; i < n; i += many {
-			cells[i], zones[i] = place/size, z
-			place++
-		}
-	}
-	return cells, zones
-}
--- a/internal/testbed/checker/run_test.go
+++ b/internal/testbed/checker/run_test.go
@@ -15,7 +15,7 @@
 func TestRacks(t *testing.T) {
 	spec := scenario.Default()
 	spec.Fleet.Workers, spec.Fleet.Zones, spec.Fleet.CellSize = 23, []string{"a", "b", "c"}, 3
-	cells, zones := workerPlacement(spec)
+	cells, zones := spec.WorkerPlacement()
 	listed := 0
 	trace := func(_ time.Duration, ins []simapi.Input, _ []simapi.Output) {
 		for _, in := range ins {
--- a/internal/testbed/starvation/checker.go
+++ b/internal/testbed/starvation/checker.go
@@ -95,7 +95,7 @@
 	for i := range checker.schedulers {
 		checker.schedulers[i].classEnds = make([]int, len(spec.Classes))
 	}
-	cells, zones := workerPlacement(spec)
+	cells, zones := spec.WorkerPlacement()
 	for i := range checker.workers {
 		target := &checker.workers[i]
 		target.number, target.cell, target.zone = i, cells[i], zones[i]
--- a/internal/testbed/starvation/workers.go
+++ b/internal/testbed/starvation/workers.go
@@ -188,20 +188,3 @@
 	}
 	return false
 }
-
-// workerPlacement returns the cells and zones of the scenario's workers, by number. Workers are dealt to zones in rotation,
-// and cells are filled zone by zone, as the environment does it.
-func workerPlacement(spec *scenario.Scenario) (cells, zones []int) {
-	workers, cellSize, zoneCount := spec.Fleet.Workers, max(1, spec.Fleet.CellSize), max(1, len(spec.Fleet.Zones))
-	cells = make([]int, workers)
-	zones = make([]int, workers)
-	place := 0
-	for zone := range zoneCount {
-		for number := zone; number < workers; number += zoneCount {
-			cells[number] = place / cellSize
-			zones[number] = zone
-			place++
-		}
-	}
-	return cells, zones
-}
