--- a/internal/testbed/fleet/conn.go
+++ b/internal/testbed/fleet/conn.go
@@ -6,6 +6,8 @@
 	"net/netip"
 
 	"golang.org/x/sys/unix"
+
+	"valvecove/internal/testbed/loopback"
 )
 
 const (
@@ -42,24 +44,10 @@
 	connClosed(err error)
 }
 
-// sockaddr converts an IPv4 address for system calls.
-func sockaddr(at netip.AddrPort) *unix.SockaddrInet4 {
-	return &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}
-}
-
-// newSocket makes a non-blocking TCP socket.
-func newSocket() (int, error) {
-	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		return -1, fmt.Errorf("socket: %w", err)
-	}
-	return fd, nil
-}
-
 // dial initialises dialed and begins to connect it; its owner is told if that fails later. An error other than a refusal
 // by the target ends the engine too. from is the local address; if it is invalid, the kernel chooses one.
 func (e *engine) dial(dialed *conn, from, target netip.AddrPort, owner connOwner) error {
-	descriptor, err := newSocket()
+	descriptor, err := loopback.NewSocket()
 	if err != nil {
 		e.fail(err)
 		return err
@@ -86,11 +74,11 @@
 	if from.IsValid() {
 		// The port is chosen on connecting, so that all ports are available for each target.
 		_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)
-		if err := unix.Bind(descriptor, sockaddr(from)); err != nil {
+		if err := unix.Bind(descriptor, loopback.Sockaddr(from)); err != nil {
 			return err
 		}
 	}
-	err := unix.Connect(descriptor, sockaddr(target))
+	err := unix.Connect(descriptor, loopback.Sockaddr(target))
 	if errors.Is(err, unix.EINPROGRESS) {
 		return nil
 	}
--- a/internal/testbed/fleet/listener.go
+++ b/internal/testbed/fleet/listener.go
@@ -6,6 +6,8 @@
 	"net/netip"
 
 	"golang.org/x/sys/unix"
+
+	"valvecove/internal/testbed/loopback"
 )
 
 // listenBacklog is how many connections may wait to be accepted.
@@ -24,7 +26,7 @@
 
 // listenAt starts to listen. accept is called on the engine's thread with the descriptor of each connection.
 func (e *engine) listenAt(address netip.AddrPort, accept func(fd int)) (*listener, error) {
-	descriptor, err := newSocket()
+	descriptor, err := loopback.NewSocket()
 	if err != nil {
 		return nil, err
 	}
@@ -38,7 +40,7 @@
 
 func (l *listener) open() error {
 	_ = unix.SetsockoptInt(l.fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if err := unix.Bind(l.fd, sockaddr(l.address)); err != nil {
+	if err := unix.Bind(l.fd, loopback.Sockaddr(l.address)); err != nil {
 		return err
 	}
 	if err := unix.Listen(l.fd, listenBacklog); err != nil {
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -268,5 +268,5 @@
 	for _, engine := range r.engines {
 		engine.close()
 	}
-	r.addresses.close()
+	r.addresses.Close()
 }
--- a/internal/testbed/process/addresses.go
+++ b/internal/testbed/process/addresses.go
@@ -4,76 +4,63 @@
 	"errors"
 	"fmt"
 	"net/netip"
-	"os"
 
-	"golang.org/x/sys/unix"
+	"valvecove/internal/testbed/loopback"
 )
 
-// addressPlan is a run's own part of 127.0.0.0/8: the addresses 127.net.x.y, with one port for all. Each scheduler has
-// addresses of its own for each worker and each discovery, so that whoever connects is known by where it does.
+// addressPlan says who has which address of the run's network. Each scheduler has addresses of its own for each worker and
+// each discovery, so that whoever connects is known by where it does.
 type addressPlan struct {
-	network    byte
-	port       uint16
-	schedulers int
-	lockSocket int // a socket that holds the part against other plays
+	*loopback.Network // nil: none is reserved yet
+	schedulers        int
 }
 
 const (
-	maxSchedulers   = 200
-	maxDiscoveries  = 1000  // times schedulers
-	maxListeners    = 50000 // workers times schedulers
-	clientBlock     = 230   // 127.net.230.1 to .250: where clients connect from
-	clientAddresses = 250
+	maxSchedulers  = 200
+	maxDiscoveries = 1000  // times schedulers
+	maxListeners   = 50000 // workers times schedulers
 )
 
-// findAddresses finds a part that is free. Ports are below those that a kernel gives out by itself.
-func findAddresses(scheds int) (addressPlan, error) {
-	var last error
-	pid := os.Getpid()
-	for i := range 200 {
-		p := addressPlan{network: byte(2 + (pid+i)%250), port: uint16(20000 + (pid+i*37)%10000), schedulers: scheds}
-		fd, err := newSocket()
-		if err != nil {
-			return p, err
-		}
-		if err = unix.Bind(fd, sockaddr(p.at(255, 254))); err == nil {
-			if err = unix.Listen(fd, 1); err == nil {
-				p.lockSocket = fd
-				return p, nil
-			}
-		}
-		_ = unix.Close(fd)
-		last = err
-	}
-	return addressPlan{}, fmt.Errorf("no part of 127.0.0.0/8 is free: %w", last)
-}
+// Blocks of the network; block 0 has the schedulers.
+const (
+	firstDiscoveryBlock = 2
+	firstWorkerBlock    = 16
+	clientBlock         = 230 // where clients connect from
+)
 
-func (p addressPlan) close() { _ = unix.Close(p.lockSocket) }
+const firstPort = 20000 // of the range for runs
 
-func (p addressPlan) at(third, fourth int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, p.network, byte(third), byte(fourth)}), p.port)
+// findAddresses reserves a network that is free.
+func findAddresses(schedulers int) (addressPlan, error) {
+	network, err := loopback.Reserve(firstPort)
+	return addressPlan{network, schedulers}, err
+}
+
+// close gives the network up, if one is reserved.
+func (p addressPlan) close() {
+	if p.Network != nil {
+		p.Close()
+	}
 }
 
-func (p addressPlan) scheduler(i int) netip.AddrPort { return p.at(0, 1+i) }
+func (p addressPlan) scheduler(i int) netip.AddrPort { return p.At(0, 1+i) }
 
 // management is where the n-th process of a scheduler answers operators: neighbours in time have ports of their own.
 func (p addressPlan) management(sched, n int) netip.AddrPort {
-	return netip.AddrPortFrom(p.scheduler(sched).Addr(), p.port+1+uint16(n%2))
+	return netip.AddrPortFrom(p.scheduler(sched).Addr(), p.scheduler(sched).Port()+1+uint16(n%2))
 }
 
 func (p addressPlan) discovery(index, sched int) netip.AddrPort {
-	n := index*p.schedulers + sched
-	return p.at(2+n/250, 1+n%250)
+	return p.AtNumber(firstDiscoveryBlock, index*p.schedulers+sched)
 }
 
 func (p addressPlan) worker(n, sched int) netip.AddrPort {
-	n = n*p.schedulers + sched
-	return p.at(16+n/250, 1+n%250)
+	return p.AtNumber(firstWorkerBlock, n*p.schedulers+sched)
 }
 
 // client is where the n-th connection of a client comes from.
 func (p addressPlan) client(n uint64) netip.AddrPort {
-	return netip.AddrPortFrom(p.at(clientBlock, 1+int(n%clientAddresses)).Addr(), 0)
+	return netip.AddrPortFrom(p.AtNumber(clientBlock, int(n%loopback.BlockSize)).Addr(), 0)
 }
 
 var errAddresses = errors.New("there are not so many addresses for them")
--- a/internal/testbed/process/driver.go
+++ b/internal/testbed/process/driver.go
@@ -79,7 +79,6 @@
 		watches: map[int]*watch{}, watchCallers: map[*watch]struct{}{}, clients: map[simapi.Conn]*client{},
 		workerConns: map[simapi.Conn]*workerConn{}, misbehaving: map[simapi.Conn]*misbehavingClient{}, callbackTimeout: callbackTimeout,
 	}
-	d.addresses.lockSocket = -1
 	d.starter.run()
 	defer func() {
 		if err != nil {
@@ -138,9 +137,7 @@
 			l.close()
 		}
 	}
-	if d.addresses.lockSocket >= 0 {
-		d.addresses.close()
-	}
+	d.addresses.close()
 	if d.poller != nil {
 		d.poller.close()
 	}
--- a/internal/testbed/process/socket.go
+++ b/internal/testbed/process/socket.go
@@ -7,6 +7,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"valvecove/internal/testbed/loopback"
 	"valvecove/internal/testbed/simapi"
 )
 
@@ -47,14 +48,10 @@
 func (f localError) Error() string { return f.err.Error() }
 func (f localError) Unwrap() error { return f.err }
 
-func sockaddr(at netip.AddrPort) *unix.SockaddrInet4 {
-	return &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}
-}
-
 func newSocket() (int, error) {
-	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	fd, err := loopback.NewSocket()
 	if err != nil {
-		return -1, localError{fmt.Errorf("socket: %w", err)}
+		return -1, localError{err}
 	}
 	return fd, nil
 }
@@ -70,12 +67,12 @@
 	if from.IsValid() {
 		// The port is chosen on connecting: so each of many addresses has all ports for each far end.
 		_ = unix.SetsockoptInt(descriptor, unix.IPPROTO_IP, unix.IP_BIND_ADDRESS_NO_PORT, 1)
-		if err := unix.Bind(descriptor, sockaddr(from)); err != nil {
+		if err := unix.Bind(descriptor, loopback.Sockaddr(from)); err != nil {
 			_ = unix.Close(descriptor)
 			return localError{fmt.Errorf("binding to %v: %w", from, err)}
 		}
 	}
-	if err := unix.Connect(descriptor, sockaddr(target)); err != nil && err != unix.EINPROGRESS {
+	if err := unix.Connect(descriptor, loopback.Sockaddr(target)); err != nil && err != unix.EINPROGRESS {
 		_ = unix.Close(descriptor)
 		if err == unix.EADDRNOTAVAIL || err == unix.EAGAIN {
 			return localError{fmt.Errorf("connecting to %v: no port left: %w", target, err)}
@@ -285,7 +282,7 @@
 		return nil, err
 	}
 	_ = unix.SetsockoptInt(descriptor, unix.SOL_SOCKET, how, 1)
-	if err := unix.Bind(descriptor, sockaddr(address)); err != nil {
+	if err := unix.Bind(descriptor, loopback.Sockaddr(address)); err != nil {
 		_ = unix.Close(descriptor)
 		return nil, fmt.Errorf("binding to %v: %w", address, err)
 	}
