--- a/internal/testbed/environment/arrivals.go
+++ b/internal/testbed/environment/arrivals.go
@@ -160,51 +160,72 @@
 // streams of its own, so that all else falls due as it would have. Bursts that overlap add up, those below 1
 // multiply. To a closed load more clients come, as many as are a part of it; it never has fewer.
 func (c *clients) startBurst(tenant, class int, factor float64) (undo func()) {
-	arrivals := c.arrivals
-	var (
-		struck []*jobSource
-		reach  []float64
-		share  float64
-		before float64
-	)
-	for i, k := range arrivals.sources {
-		if (tenant < 0 || k.tenant == tenant) && (class < 0 || k.class == class) {
-			struck = append(struck, k)
-			share += arrivals.cumulative[i] - before
-			reach = append(reach, share)
-		}
-		before = arrivals.cumulative[i]
-	}
+	struck, cumulative := c.arrivals.matchingSources(tenant, class)
 	if factor < 1 {
-		for _, k := range struck {
-			k.quietFactors = append(k.quietFactors, &factor)
-		}
-		return func() {
-			for _, k := range struck {
-				k.quietFactors = slices.DeleteFunc(k.quietFactors, func(f *float64) bool { return f == &factor })
-			}
+		return startQuiet(struck, factor)
+	}
+	c.arrivals.burstStreams++
+	if c.arrivals.closedClients > 0 {
+		return c.arrivals.addBurstClients(struck, cumulative, factor)
+	}
+	return c.arrivals.addBurstStreams(struck, factor)
+}
+
+// matchingSources is the sources of a tenant's jobs (-1: all) of a class (-1: all), and their cumulative shares of the
+// load.
+func (a *arrivals) matchingSources(tenant, class int) (sources []*jobSource, cumulative []float64) {
+	share, before := 0.0, 0.0
+	for i, source := range a.sources {
+		if (tenant < 0 || source.tenant == tenant) && (class < 0 || source.class == class) {
+			share += a.cumulative[i] - before
+			sources = append(sources, source)
+			cumulative = append(cumulative, share)
 		}
+		before = a.cumulative[i]
+	}
+	return sources, cumulative
+}
+
+// startQuiet multiplies what sources ask for by a factor below 1, until undo.
+func startQuiet(sources []*jobSource, factor float64) (undo func()) {
+	for _, source := range sources {
+		source.quietFactors = append(source.quietFactors, &factor)
 	}
-	arrivals.burstStreams++
-	if arrivals.closedClients > 0 {
-		for i := range reach {
-			reach[i] /= share
+	return func() {
+		for _, source := range sources {
+			source.quietFactors = slices.DeleteFunc(source.quietFactors, func(f *float64) bool { return f == &factor })
 		}
-		n := int(math.Round((factor - 1) * share * float64(arrivals.closedClients)))
-		more := arrivals.addClosedClients(struck, reach, n, "burst", arrivals.burstStreams<<32)
-		return func() {
-			for _, s := range more {
-				s.stopped = true
-			}
+	}
+}
+
+// addBurstClients adds clients to a closed load until undo: what sources have of it, times factor-1.
+func (a *arrivals) addBurstClients(sources []*jobSource, cumulative []float64, factor float64) (undo func()) {
+	share := 0.0
+	if len(cumulative) > 0 {
+		share = cumulative[len(cumulative)-1]
+	}
+	for i := range cumulative {
+		cumulative[i] /= share
+	}
+	count := int(math.Round((factor - 1) * share * float64(a.closedClients)))
+	added := a.addClosedClients(sources, cumulative, count, "burst", a.burstStreams<<32)
+	return func() {
+		for _, client := range added {
+			client.stopped = true
 		}
 	}
-	var more []*arrivalStream
-	for i, k := range struck {
-		more = append(more, arrivals.startStream(k, c.env.rng("burst", arrivals.burstStreams<<32+i), factor-1))
+}
+
+// addBurstStreams adds streams of jobs to an open load until undo: of each source one at factor-1 times its rate.
+func (a *arrivals) addBurstStreams(sources []*jobSource, factor float64) (undo func()) {
+	var added []*arrivalStream
+	for i, source := range sources {
+		rng := a.clients.env.rng("burst", a.burstStreams<<32+i)
+		added = append(added, a.startStream(source, rng, factor-1))
 	}
 	return func() {
-		for _, s := range more {
-			s.stopped = true
+		for _, stream := range added {
+			stream.stopped = true
 		}
 	}
 }
--- a/internal/testbed/environment/clients.go
+++ b/internal/testbed/environment/clients.go
@@ -209,17 +209,17 @@
 
 // writeRequest writes a try's request on a connection. Not ok: its time is up.
 func (c *clients) writeRequest(t *request, clientConn *clientConn) (ok bool) {
-	job, k, now := t.job, c.classes[t.class], c.env.now
-	budget := min(job.deadline-now, k.requestTimeout) / time.Millisecond * time.Millisecond
-	if budget < minBudget || k.outsideWindow(job, now) {
+	job, class, now := t.job, c.classes[t.class], c.env.now
+	budget := min(job.deadline-now, class.requestTimeout) / time.Millisecond * time.Millisecond
+	if budget < minBudget || class.outsideWindow(job, now) {
 		return false
 	}
 	t.stage, t.sentAt, t.conn, t.read, clientConn.request = requestSent, now, clientConn, false, t
 	c.awaiting++
 	c.recentRequests[c.recentNext%len(c.recentRequests)] = t
 	c.recentNext++
-	if k.requestTimeout < k.Deadline.Std() && job.deadline-now > k.requestTimeout {
-		k.requestDeadlines.add(t.jobID<<requestBits | uint64(t.number))
+	if class.requestTimeout < class.Deadline.Std() && job.deadline-now > class.requestTimeout {
+		class.requestDeadlines.add(t.jobID<<requestBits | uint64(t.number))
 	}
 	a := &simapi.ClientRequest{
 		RequestID: t.id, Class: t.class, Tenant: job.tenant, IdempotencyKey: t.key, Budget: budget, CostHint: job.costHint,
@@ -235,7 +235,7 @@
 
 // endRequest ends a try, and settles its job or has it tried again.
 func (c *clients) endRequest(t *request, how requestOutcome, after time.Duration) {
-	job, k := t.job, c.classes[t.class]
+	job, class := t.job, c.classes[t.class]
 	if t.stage == requestSent {
 		c.awaiting--
 	}
@@ -244,12 +244,12 @@
 	}
 	t.stage, t.job, t.conn, job.open = requestEnded, nil, nil, nil
 	if how == outcomeServed || job.requests > c.env.Spec.Clients.Retries || job.requests >= maxRequests ||
-		how == outcomeFailed && !k.idempotent && !k.hasRetries {
+		how == outcomeFailed && !class.idempotent && !class.hasRetries {
 		c.settleJob(job)
 		return
 	}
 	at := c.env.now + c.retryDelay(job, after)
-	if at > job.deadline-minBudget || k.outsideWindow(job, at) {
+	if at > job.deadline-minBudget || class.outsideWindow(job, at) {
 		c.settleJob(job)
 		return
 	}
--- a/internal/testbed/environment/conn.go
+++ b/internal/testbed/environment/conn.go
@@ -49,13 +49,13 @@
 // toFarEnd is the same the other way.
 func (w *Environment) toFarEnd(c *conn, do func()) { w.transmit(c, farSide, do) }
 
-func (w *Environment) transmit(conn *conn, side int, do func()) {
+func (w *Environment) transmit(conn *conn, side int, onArrival func()) {
 	from, target := endpoint{schedulerEndpoint, conn.scheduler}, conn.far.endpoint()
 	if side == schedulerSide {
 		from, target = target, from
 	}
 	if cut := w.network.partitionBetween(from, target); cut != nil {
-		cut.held = append(cut.held, func() { w.transmit(conn, side, do) })
+		cut.held = append(cut.held, func() { w.transmit(conn, side, onArrival) })
 		return
 	}
 	if d := w.network.idleDropAfter(from, target); d > 0 && w.now-conn.lastUsed > d {
@@ -68,7 +68,7 @@
 	w.schedule(conn.arrivesBy[side], func() {
 		switch {
 		case !conn.closed[side]:
-			do()
+			onArrival()
 		case conn.resetSilently[side]:
 			w.tear(conn, 1-side)
 		}
--- a/internal/testbed/environment/fault_description.go
+++ b/internal/testbed/environment/fault_description.go
@@ -14,44 +14,55 @@
 
 // describe says what a fault does to whom, as in "slow 3: w-1, w-7, for 8s".
 func (x *activeFault) describe() string {
-	b := strings.Builder{}
-	b.WriteString(x.Kind)
+	text := x.Kind
 	if x.Size != 0 {
-		b.WriteString(" " + strconv.FormatFloat(x.Size, 'g', -1, 64))
+		text += " " + strconv.FormatFloat(x.Size, 'g', -1, 64)
 	}
-	var whom []string
-	if kind := scenario.FaultKinds[x.Kind]; kind == "net" || kind == "planners" {
-		whom = append(whom, x.Between+" and "+x.And)
+	if targets := x.describeTargets(); len(targets) > 0 {
+		text += ": " + strings.Join(targets, ", ")
 	}
-	if x.onWorkers && (len(x.workers) < len(x.timeline.env.workers) || len(whom) == 0) {
-		whom = append(whom, nameTargets(x.workers, "w-", 0, "worker nodes"))
+	if x.Duration > 0 {
+		text += ", for " + x.Duration.String()
 	}
-	all := x.timeline.env.Spec.Schedulers.Count
-	if x.onSchedulers && (len(x.schedulers) < all || len(whom) == 0) {
-		whom = append(whom, nameTargets(x.schedulers, "s", 1, "schedulers"))
+	return text
+}
+
+// describeTargets names whom the fault strikes. All workers or schedulers at a side of the network go without saying.
+func (x *activeFault) describeTargets() (targets []string) {
+	spec := x.timeline.env.Spec
+	scope := scenario.FaultKinds[x.Kind]
+	if scope == scenario.FaultScopeNetwork || scope == scenario.FaultScopePlannerNetwork {
+		targets = append(targets, x.Between+" and "+x.And)
 	}
-	if on := &x.Target; scenario.FaultKinds[x.Kind] == "planners" {
-		if len(on.Planners) > 0 {
-			whom = append(whom, nameTargets(on.Planners, "p", 1, "planners"))
-		}
-		if len(on.Schedulers) > 0 {
-			whom = append(whom, nameTargets(on.Schedulers, "s", 1, "schedulers"))
-		}
-	} else if x.onPlanners {
-		whom = append(whom, nameTargets(x.planners, "p", 1-all, "planners"))
+	if x.onWorkers && (len(x.workers) < len(x.timeline.env.workers) || len(targets) == 0) {
+		targets = append(targets, nameTargets(x.workers, "w-", 0, "worker nodes"))
+	}
+	if x.onSchedulers && (len(x.schedulers) < spec.Schedulers.Count || len(targets) == 0) {
+		targets = append(targets, nameTargets(x.schedulers, "s", 1, "schedulers"))
+	}
+	switch {
+	case scope == scenario.FaultScopePlannerNetwork:
+		targets = append(targets, x.describePlannerNetwork()...)
+	case x.onPlanners:
+		targets = append(targets, nameTargets(x.planners, "p", 1-spec.Schedulers.Count, "planners"))
 	}
 	for _, name := range []string{x.Target.Tenant, x.Target.Class} {
 		if name != "" {
-			whom = append(whom, name)
+			targets = append(targets, name)
 		}
 	}
-	if len(whom) > 0 {
-		b.WriteString(": " + strings.Join(whom, ", "))
+	return targets
+}
+
+// describePlannerNetwork names the planners and schedulers that a fault between them is limited to.
+func (x *activeFault) describePlannerNetwork() (targets []string) {
+	if len(x.Target.Planners) > 0 {
+		targets = append(targets, nameTargets(x.Target.Planners, "p", 1, "planners"))
 	}
-	if x.Duration > 0 {
-		b.WriteString(", for " + x.Duration.String())
+	if len(x.Target.Schedulers) > 0 {
+		targets = append(targets, nameTargets(x.Target.Schedulers, "s", 1, "schedulers"))
 	}
-	return b.String()
+	return targets
 }
 
 func nameTargets(list []int, prefix string, from int, many string) string {
--- a/internal/testbed/environment/fault_shared.go
+++ b/internal/testbed/environment/fault_shared.go
@@ -10,51 +10,87 @@
 // This file applies the faults that strike all of their targets at once: those of the network, of discovery and of the
 // load.
 
-// applyToAll is what is done to all targets at once.
+// applyToAll strikes all targets at once. A fault that is over with that has no undo.
 func (x *activeFault) applyToAll() (undo func()) {
-	environment := x.timeline.env
+	switch scenario.FaultKinds[x.Kind] {
+	case scenario.FaultScopeNetwork, scenario.FaultScopePlannerNetwork:
+		return x.applyToNetwork()
+	case scenario.FaultScopeDiscovery:
+		return x.applyToDiscovery()
+	}
+	clients := x.timeline.env.clients
+	switch x.Kind {
+	case "half_open":
+		return x.timeline.env.network.dropIdle(endpointGroup{kind: schedulerEndpoint}, x.partyGroup("nodes"), durationOf(x.Size))
+	case "burst":
+		return clients.startBurst(x.tenantIndex(), x.classIndex(), x.Size)
+	case "storm":
+		return clients.startRetryStorm(x.Size)
+	}
+	panic("world: no such fault: " + x.Kind)
+}
+
+// applyToNetwork strikes what passes between two groups of endpoints.
+func (x *activeFault) applyToNetwork() (undo func()) {
+	network := x.timeline.env.network
+	from, target := x.partyGroup(x.Between), x.partyGroup(x.And)
 	switch x.Kind {
 	case "cut", "cut_one_way":
-		undo = environment.network.partition(x.partyGroup(x.Between), x.partyGroup(x.And), x.Kind == "cut_one_way")
-		if x.Between == "discovery" && x.And == "nodes" || x.Between == "nodes" && x.And == "discovery" {
-			passes, reach := undo, environment.discovery.isolate(x.workers)
-			undo = func() {
-				passes()
-				reach()
-			}
-		}
-		return undo
+		return x.partition(from, target)
 	case "planner_cut", "planner_cut_one_way":
 		if x.onPlanners {
-			return environment.network.partition(x.partyGroup(x.Between), x.partyGroup(x.And), x.Kind == "planner_cut_one_way")
+			return network.partition(from, target, x.Kind == "planner_cut_one_way")
 		}
 		return func() {} // what passes between planners and schedulers is the driver's
 	case "delay":
-		return environment.network.addDelay(x.partyGroup(x.Between), x.partyGroup(x.And), time.Duration(x.Size*float64(time.Millisecond)))
+		return network.addDelay(from, target, time.Duration(x.Size*float64(time.Millisecond)))
 	case "drop_idle":
-		return environment.network.dropIdle(x.partyGroup(x.Between), x.partyGroup(x.And), durationOf(x.Size))
-	case "half_open":
-		return environment.network.dropIdle(endpointGroup{kind: schedulerEndpoint}, x.partyGroup("nodes"), durationOf(x.Size))
+		return network.dropIdle(from, target, durationOf(x.Size))
+	}
+	panic("world: no such fault of the network: " + x.Kind)
+}
+
+// partition cuts the network between two groups. Discovery takes the workers that are cut off from it for silent.
+func (x *activeFault) partition(from, target endpointGroup) (undo func()) {
+	heal := x.timeline.env.network.partition(from, target, x.Kind == "cut_one_way")
+	if !x.isBetween("discovery") || !x.isBetween("nodes") {
+		return heal
+	}
+	reach := x.timeline.env.discovery.isolate(x.workers)
+	return func() {
+		heal()
+		reach()
+	}
+}
+
+// applyToDiscovery strikes discovery.
+func (x *activeFault) applyToDiscovery() (undo func()) {
+	discovery := x.timeline.env.discovery
+	switch x.Kind {
 	case "disco_down":
-		return environment.discovery.startOutage()
+		return discovery.startOutage()
 	case "disco_late":
-		return environment.discovery.delayNotices(durationOf(x.Size))
+		return discovery.delayNotices(durationOf(x.Size))
 	case "disco_wrong":
-		return environment.discovery.listWrongly(x.workers)
+		return discovery.listWrongly(x.workers)
 	case "disco_old":
-		return environment.discovery.freezeList()
+		return discovery.freezeList()
 	case "disco_slow":
-		return environment.discovery.slowDown(x.Size)
+		return discovery.slowDown(x.Size)
 	case "disco_moves":
-		environment.discovery.changeAddress()
+		discovery.changeAddress()
 		x.end()
 		return nil
-	case "burst":
-		tenant := slices.IndexFunc(environment.Spec.Tenants, func(t scenario.Tenant) bool { return t.Name == x.Target.Tenant })
-		class := slices.IndexFunc(environment.Spec.Classes, func(c scenario.Class) bool { return c.Name == x.Target.Class })
-		return environment.clients.startBurst(tenant, class, x.Size)
-	case "storm":
-		return environment.clients.startRetryStorm(x.Size)
 	}
-	panic("world: no such fault: " + x.Kind)
+	panic("world: no such fault of discovery: " + x.Kind)
+}
+
+// tenantIndex is the index of the tenant that the target names; -1: none.
+func (x *activeFault) tenantIndex() int {
+	return slices.IndexFunc(x.timeline.env.Spec.Tenants, func(t scenario.Tenant) bool { return t.Name == x.Target.Tenant })
+}
+
+// classIndex is the index of the class that the target names; -1: none.
+func (x *activeFault) classIndex() int {
+	return slices.IndexFunc(x.timeline.env.Spec.Classes, func(c scenario.Class) bool { return c.Name == x.Target.Class })
 }
--- a/internal/testbed/environment/fault_targets.go
+++ b/internal/testbed/environment/fault_targets.go
@@ -10,41 +10,52 @@
 
 // This file chooses whom a fault strikes.
 
-// chooseTargets settles whom it strikes. i is its place in the timeline.
-func (x *activeFault) chooseTargets(i int) {
-	f, spec := x.timeline, x.Fault
-	kind := scenario.FaultKinds[spec.Kind]
-	x.onWorkers, x.onSchedulers = kind == "node" || spec.Kind == "disco_wrong", kind == "sched"
-	if kind == "net" {
-		x.onWorkers = spec.Between == "nodes" || spec.And == "nodes"
-		x.onSchedulers = spec.Between == "schedulers" || spec.And == "schedulers"
-	}
+// chooseTargets settles whom the fault strikes. number is its place in the timeline.
+func (x *activeFault) chooseTargets(number int) {
+	scope := scenario.FaultKinds[x.Kind]
+	x.onWorkers = scope == scenario.FaultScopeWorker || x.Kind == "disco_wrong" || scope == scenario.FaultScopeNetwork && x.isBetween("nodes")
+	x.onSchedulers = scope == scenario.FaultScopeScheduler || scope == scenario.FaultScopeNetwork && x.isBetween("schedulers")
+	x.onPlanners = scope == scenario.FaultScopePlanner || scope == scenario.FaultScopePlannerNetwork && x.isBetween("discovery")
 	if x.onWorkers {
-		x.workers = f.drawShare(f.matching(spec), spec.Target.Share, i)
+		x.workers = x.timeline.drawShare(x.timeline.matching(x.Fault), x.Target.Share, number)
 	}
-	all := f.env.Spec.Schedulers.Count
-	if kind == "planner" || kind == "planners" && (spec.And == "discovery" || spec.Between == "discovery") {
-		x.onPlanners = true
-		for n := range f.env.Spec.Planners.Count {
-			if len(spec.Target.Planners) == 0 || slices.Contains(spec.Target.Planners, n) {
-				x.planners = append(x.planners, all+n)
-			}
-		}
-		x.planners = f.drawShare(x.planners, spec.Target.Share, i)
+	if x.onPlanners {
+		x.planners = x.timeline.drawShare(x.matchingPlanners(), x.Target.Share, number)
 	}
 	if x.onSchedulers {
-		if x.Kind == "sched_reload" && len(spec.Target.Schedulers) == 0 { // planners have the same address
-			all = len(f.env.schedulers)
+		x.schedulers = x.matchingSchedulers()
+		if !x.onWorkers {
+			x.schedulers = x.timeline.drawShare(x.schedulers, x.Target.Share, number)
 		}
-		for n := range all {
-			if len(spec.Target.Schedulers) == 0 || slices.Contains(spec.Target.Schedulers, n) {
-				x.schedulers = append(x.schedulers, n)
-			}
+	}
+}
+
+// isBetween reports whether a group of endpoints stands at one side of a fault of the network.
+func (x *activeFault) isBetween(name string) bool { return x.Between == name || x.And == name }
+
+// matchingPlanners is the planners that match the target, by their numbers, which count on after the schedulers.
+func (x *activeFault) matchingPlanners() (list []int) {
+	spec := x.timeline.env.Spec
+	for i := range spec.Planners.Count {
+		if len(x.Target.Planners) == 0 || slices.Contains(x.Target.Planners, i) {
+			list = append(list, spec.Schedulers.Count+i)
 		}
-		if !x.onWorkers {
-			x.schedulers = f.drawShare(x.schedulers, spec.Target.Share, i)
+	}
+	return list
+}
+
+// matchingSchedulers is the schedulers that match the target.
+func (x *activeFault) matchingSchedulers() (list []int) {
+	count := x.timeline.env.Spec.Schedulers.Count
+	if x.Kind == "sched_reload" && len(x.Target.Schedulers) == 0 { // planners have the same address
+		count = len(x.timeline.env.schedulers)
+	}
+	for i := range count {
+		if len(x.Target.Schedulers) == 0 || slices.Contains(x.Target.Schedulers, i) {
+			list = append(list, i)
 		}
 	}
+	return list
 }
 
 // matching is the workers that match all that the target names.
--- a/internal/testbed/environment/fault_workers.go
+++ b/internal/testbed/environment/fault_workers.go
@@ -14,103 +14,152 @@
 	slowFactors, errorRates, resetBytes                []float64 // in order of time
 }
 
+// applyToWorker strikes one worker.
 func (x *activeFault) applyToWorker(i int) {
-	n, workerFaults, back := x.timeline.env.workers[i], &x.timeline.workers[i], x.Duration.Std()
+	strike := &workerStrike{activeFault: x, worker: x.timeline.env.workers[i], faults: &x.timeline.workers[i]}
 	x.recordWorkers(trace.WorkerFaultStarted, []int{i})
-	spared := func() { x.recordWorkers(trace.WorkerFaultEnded, []int{i}) }
-	whenBack := func() {
-		if back > 0 {
-			x.timeline.restartWaiters[i] = append(x.timeline.restartWaiters[i], spared, x.end)
-		}
-	}
-	until := func(undo func()) {
-		x.endLater(func() {
-			undo()
-			spared()
-		})
-	}
-	count := func(c *int, set func(on bool)) {
-		*c++
-		set(true)
-		until(func() {
-			*c--
-			set(*c > 0)
-		})
+	switch x.Kind {
+	case "crash", "vanish", "restart", "replace", "early_202_crash":
+		strike.endProcess()
+		strike.endAtNextStart()
+	case "drain":
+		strike.worker.drain()
+	case "gone":
+		strike.worker.remove()
+	case "handback":
+		strike.worker.returnQueued()
+		strike.recordEnd()
+		x.end()
+	case "pause":
+		strike.worker.pause(x.Duration.Std())
+		strike.endLater(func() {})
+	case "hang", "full", "no_notes", "refuse", "never_up", "slow_read":
+		strike.setCondition(strike.condition())
+	case "slow", "errors", "reset_at":
+		strike.addSize(strike.sizes())
+	default:
+		panic("world: no such fault of a worker node: " + x.Kind)
 	}
-	// Of several that hold at once, what applies follows from all of their sizes.
-	list := func(l *[]float64, set func()) {
-		*l = append(*l, x.Size)
-		set()
-		until(func() {
-			at := slices.Index(*l, x.Size)
-			*l = slices.Delete(*l, at, at+1)
-			set()
-		})
+}
+
+// workerStrike is an active fault at one of the workers that it strikes.
+type workerStrike struct {
+	*activeFault
+	worker *worker
+	faults *workerFaults // of all faults, on this worker
+}
+
+func (s *workerStrike) recordEnd() {
+	s.recordWorkers(trace.WorkerFaultEnded, []int{s.worker.number})
+}
+
+// endLater ends the strike after the fault's duration, if it ever ends.
+func (s *workerStrike) endLater(undo func()) {
+	s.activeFault.endLater(func() {
+		undo()
+		s.recordEnd()
+	})
+}
+
+// endAtNextStart ends the strike when the worker has its next process, if it is to have one.
+func (s *workerStrike) endAtNextStart() {
+	if s.Duration > 0 {
+		waiters := &s.timeline.restartWaiters[s.worker.number]
+		*waiters = append(*waiters, s.recordEnd, s.end)
 	}
-	switch x.Kind {
+}
+
+// endProcess ends the worker's process, now or once it accepts an attempt.
+func (s *workerStrike) endProcess() {
+	restartAfter := s.Duration.Std()
+	switch s.Kind {
 	case "crash":
-		n.crash(back)
-		whenBack()
+		s.worker.crash(restartAfter)
 	case "vanish":
-		n.vanish(back)
-		whenBack()
+		s.worker.vanish(restartAfter)
 	case "restart":
-		n.restart(back)
-		whenBack()
+		s.worker.restart(restartAfter)
 	case "replace":
-		n.replace(back)
-		whenBack()
+		s.worker.replace(restartAfter)
 	case "early_202_crash":
-		n.dieAtAccept(back)
-		whenBack()
-	case "drain":
-		n.drain()
-	case "gone":
-		n.remove()
-	case "handback":
-		n.returnQueued()
-		spared()
-		x.end()
-	case "pause":
-		n.pause(back)
-		until(func() {})
+		s.worker.dieAtAccept(restartAfter)
+	}
+}
+
+// condition is what the fault switches on, and the count of the faults that hold it on.
+func (s *workerStrike) condition() (count *int, set func(on bool)) {
+	switch s.Kind {
 	case "hang":
-		count(&workerFaults.hangs, n.setHang)
+		return &s.faults.hangs, s.worker.setHang
 	case "full":
-		count(&workerFaults.fulls, n.setFull)
+		return &s.faults.fulls, s.worker.setFull
 	case "no_notes":
-		count(&workerFaults.mutes, n.setMute)
+		return &s.faults.mutes, s.worker.setMute
 	case "refuse":
-		count(&workerFaults.refusals, n.setRefusing)
+		return &s.faults.refusals, s.worker.setRefusing
 	case "never_up":
-		count(&workerFaults.silences, n.setSilent)
-	case "slow_read":
-		count(&workerFaults.slowReads, n.setSlowRead)
-	case "slow": // they multiply
-		list(&workerFaults.slowFactors, func() {
-			factor := 1.0
-			for _, by := range workerFaults.slowFactors {
-				factor *= by
-			}
-			n.setSlowFactor(factor)
-		})
-	case "errors": // the largest share
-		list(&workerFaults.errorRates, func() {
-			rate := -1.0
-			for _, r := range workerFaults.errorRates {
-				rate = max(rate, r)
-			}
-			n.setErrorRate(rate)
-		})
-	case "reset_at": // the last
-		list(&workerFaults.resetBytes, func() {
-			bytes := 0
-			if k := len(workerFaults.resetBytes); k > 0 {
-				bytes = int(workerFaults.resetBytes[k-1])
-			}
-			n.setResetBytes(bytes)
-		})
-	default:
-		panic("world: no such fault of a worker node: " + x.Kind)
+		return &s.faults.silences, s.worker.setSilent
+	default: // slow_read
+		return &s.faults.slowReads, s.worker.setSlowRead
+	}
+}
+
+// setCondition switches a condition on, and off again once no fault holds it on any more.
+func (s *workerStrike) setCondition(count *int, set func(on bool)) {
+	*count++
+	set(true)
+	s.endLater(func() {
+		*count--
+		set(*count > 0)
+	})
+}
+
+// sizes are the sizes of the faults of this kind that hold at once, and apply has the worker follow all of them.
+func (s *workerStrike) sizes() (sizes *[]float64, apply func()) {
+	switch s.Kind {
+	case "slow":
+		return &s.faults.slowFactors, s.applySlowFactors
+	case "errors":
+		return &s.faults.errorRates, s.applyErrorRates
+	default: // reset_at
+		return &s.faults.resetBytes, s.applyResetBytes
+	}
+}
+
+// addSize adds the fault's size to those that hold, until it ends.
+func (s *workerStrike) addSize(sizes *[]float64, apply func()) {
+	*sizes = append(*sizes, s.Size)
+	apply()
+	s.endLater(func() {
+		i := slices.Index(*sizes, s.Size)
+		*sizes = slices.Delete(*sizes, i, i+1)
+		apply()
+	})
+}
+
+// applySlowFactors slows the worker down by the product of all factors.
+func (s *workerStrike) applySlowFactors() {
+	product := 1.0
+	for _, factor := range s.faults.slowFactors {
+		product *= factor
+	}
+	s.worker.setSlowFactor(product)
+}
+
+// applyErrorRates has the worker fail at the largest of all rates.
+func (s *workerStrike) applyErrorRates() {
+	largest := -1.0
+	for _, rate := range s.faults.errorRates {
+		largest = max(largest, rate)
+	}
+	s.worker.setErrorRate(largest)
+}
+
+// applyResetBytes has the worker reset connections after as many bytes as the latest fault says.
+func (s *workerStrike) applyResetBytes() {
+	bytes := 0
+	if n := len(s.faults.resetBytes); n > 0 {
+		bytes = int(s.faults.resetBytes[n-1])
 	}
+	s.worker.setResetBytes(bytes)
 }
--- a/internal/testbed/environment/scheduler_views.go
+++ b/internal/testbed/environment/scheduler_views.go
@@ -100,22 +100,22 @@
 }
 
 // messageArrived is told of what has come over a watch to the scheduler's socket.
-func (v *schedulerView) messageArrived(c *watchCall, watchMessage *watchMessage) {
+func (v *schedulerView) messageArrived(call *watchCall, message *watchMessage) {
 	s := v.discovery.env.schedulers[v.scheduler]
-	if v.call != c || !s.alive || s.incarnation != c.incarnation {
+	if v.call != call || !s.alive || s.incarnation != call.incarnation {
 		return
 	}
-	input := simapi.Input{Kind: watchMessage.kind, Scheduler: v.scheduler}
-	switch watchMessage.kind {
+	input := simapi.Input{Kind: message.kind, Scheduler: v.scheduler}
+	switch message.kind {
 	case simapi.ListReceived:
-		input.List = &requests.EndpointList{Revision: watchMessage.revision, Reset: watchMessage.reset, Endpoints: make([]requests.Endpoint, len(watchMessage.entries))}
-		for i, e := range watchMessage.entries {
-			input.List.Endpoints[i] = v.discovery.entries[e].endpointAt(watchMessage.versions[i])
+		input.List = &requests.EndpointList{Revision: message.revision, Reset: message.reset, Endpoints: make([]requests.Endpoint, len(message.entries))}
+		for i, e := range message.entries {
+			input.List.Endpoints[i] = v.discovery.entries[e].endpointAt(message.versions[i])
 		}
 		v.lastCallFailed = false
-		v.applyList(watchMessage)
+		v.applyList(message)
 	case simapi.WatchEnded:
-		v.lastCallFailed, v.call = !c.wasOpen, nil
+		v.lastCallFailed, v.call = !call.wasOpen, nil
 		v.touch()
 	}
 	v.discovery.env.deliver(input)
--- a/internal/testbed/environment/worker_attempts.go
+++ b/internal/testbed/environment/worker_attempts.go
@@ -66,71 +66,108 @@
 const earlyErrorShare = 0.25
 
 // attemptReceived takes an attempt whose last byte has been read.
-func (n *worker) attemptReceived(l *workerConn, a *attempt) {
-	f := n.shared
-	if l.unreadAttempt == a {
-		l.unreadAttempt = nil
+func (n *worker) attemptReceived(conn *workerConn, attempt *attempt) {
+	if conn.unreadAttempt == attempt {
+		conn.unreadAttempt = nil
 	}
 	n.env.record(trace.Event{
-		Kind: trace.AttemptReceived, RequestID: a.requestID, Worker: n.number, Incarnation: n.incarnation, Scheduler: a.scheduler,
-		Conn: uint64(l.conn.id), IdempotencyKey: a.key, Budget: a.budget, FirstByteAt: a.firstByteAt,
+		Kind: trace.AttemptReceived, RequestID: attempt.requestID, Worker: n.number, Incarnation: n.incarnation,
+		Scheduler: attempt.scheduler, Conn: uint64(conn.conn.id), IdempotencyKey: attempt.key, Budget: attempt.budget,
+		FirstByteAt: attempt.firstByteAt,
 	})
-	t := f.findRequest(a.requestID)
-	switch {
-	case a.requestID == "":
-		n.reject(l, a, 404)
-		return
-	case t == nil || f.classes[t.class].idempotentWithKey && a.key != t.key:
-		n.reject(l, a, 400)
+	request := n.shared.findRequest(attempt.requestID)
+	if status := n.checkRequest(attempt, request); status != 0 {
+		n.reject(conn, attempt, status)
 		return
 	}
-	rules := &f.classes[t.class]
-	a.class, a.slots, a.incarnation = t.class, t.slots, n.incarnation
-	if n.coldWorkReceived(a, t.work*t.slots) {
+	attempt.class, attempt.slots, attempt.incarnation = request.class, request.slots, n.incarnation
+	if n.coldWorkReceived(attempt, request.work*request.slots) {
 		return
 	}
-	keyRecord := f.findKey(n, a)
-	switch {
-	case n.draining || n.rejectsAll || n.attemptsByRequest[a.requestID] != nil || a.slots > float64(n.kind.Slots),
-		rules.kind >= 0 && rules.kind != n.kindIndex,
-		keyRecord == nil && !n.hasRoom(a.slots) && !n.dropExpired(a.slots):
-		n.reject(l, a, 503)
+	keyRecord := n.shared.findKey(n, attempt)
+	if !n.canTake(attempt, keyRecord) {
+		n.reject(conn, attempt, 503)
 		return
 	}
-	n.drawOutcome(a, t.work, rules.noise)
-	if a.failsBeforeAccept && keyRecord == nil {
-		n.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: a.requestID, Worker: n.number, Incarnation: n.incarnation})
-		n.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: a.requestID, Worker: n.number, Status: 500})
-		n.respond(l, 500, false)
+	n.drawOutcome(attempt, request.work, n.shared.classes[attempt.class].noise)
+	if attempt.failsBeforeAccept && keyRecord == nil {
+		n.failBeforeAccept(conn, attempt)
 		return
 	}
+	n.takeAttempt(conn, attempt, keyRecord)
+	n.acceptLater(attempt)
+}
+
+// checkRequest is the status that answers an attempt of no request, or of another one's than it says; 0: it is in order.
+func (n *worker) checkRequest(attempt *attempt, request *request) (status int) {
+	switch {
+	case attempt.requestID == "":
+		return 404
+	case request == nil || n.shared.classes[request.class].idempotentWithKey && attempt.key != request.key:
+		return 400
+	}
+	return 0
+}
+
+// canTake reports whether the worker takes an attempt. keyRecord is what is known of its key; nil: nothing, so that it
+// needs room of its own.
+func (n *worker) canTake(attempt *attempt, keyRecord *keyRecord) bool {
+	class := &n.shared.classes[attempt.class]
+	switch {
+	case n.draining || n.rejectsAll:
+		return false
+	case n.attemptsByRequest[attempt.requestID] != nil:
+		return false
+	case attempt.slots > float64(n.kind.Slots):
+		return false
+	case class.kind >= 0 && class.kind != n.kindIndex:
+		return false
+	}
+	return keyRecord != nil || n.hasRoom(attempt.slots) || n.dropExpired(attempt.slots)
+}
+
+// failBeforeAccept ends an attempt with an error in place of its 202.
+func (n *worker) failBeforeAccept(conn *workerConn, attempt *attempt) {
+	n.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: attempt.requestID, Worker: n.number, Incarnation: n.incarnation})
+	n.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: attempt.requestID, Worker: n.number, Status: 500})
+	n.respond(conn, 500, false)
+}
+
+// takeAttempt enters an attempt in the worker's tables, and has it run, wait for a slot, or wait for the run of another
+// with its key.
+func (n *worker) takeAttempt(conn *workerConn, attempt *attempt, keyRecord *keyRecord) {
 	n.attemptCount++
-	a.number, a.conn, l.awaitingAnswer = n.attemptCount, l, a
-	if a.budget > 0 {
-		a.expiresAt = n.env.now + a.budget
+	attempt.number, attempt.conn, conn.awaitingAnswer = n.attemptCount, conn, attempt
+	if attempt.budget > 0 {
+		attempt.expiresAt = n.env.now + attempt.budget
 	}
-	a.allIndex = len(n.attempts)
-	n.attempts = append(n.attempts, a)
-	n.attemptsByRequest[a.requestID] = a
+	attempt.allIndex = len(n.attempts)
+	n.attempts = append(n.attempts, attempt)
+	n.attemptsByRequest[attempt.requestID] = attempt
 	if keyRecord != nil {
-		keyRecord.addWaiter(a)
-	} else {
-		f.rememberKey(n, a)
-		n.startOrQueue(a)
-	}
-	if accept := n.kind.Accept.Std(); accept > 0 {
-		n.env.after(accept, func() {
-			if n.incarnation == a.incarnation && n.state == workerUp {
-				if n.isPaused() {
-					n.inbox = append(n.inbox, func() { n.accept(a) })
-				} else {
-					n.accept(a)
-				}
-			}
-		})
+		keyRecord.addWaiter(attempt)
 		return
 	}
-	n.accept(a)
+	n.shared.rememberKey(n, attempt)
+	n.startOrQueue(attempt)
+}
+
+// acceptLater answers an attempt with 202 after the time that its kind of worker takes for that.
+func (n *worker) acceptLater(attempt *attempt) {
+	delay := n.kind.Accept.Std()
+	if delay <= 0 {
+		n.accept(attempt)
+		return
+	}
+	n.env.after(delay, func() {
+		switch {
+		case n.incarnation != attempt.incarnation || n.state != workerUp:
+		case n.isPaused():
+			n.inbox = append(n.inbox, func() { n.accept(attempt) })
+		default:
+			n.accept(attempt)
+		}
+	})
 }
 
 func (n *worker) reject(l *workerConn, a *attempt, status int) {
@@ -266,33 +303,33 @@
 }
 
 // removeAttempt takes an attempt out of all tables, whatever its state; the work done is settled by then.
-func (n *worker) removeAttempt(a *attempt) {
-	switch a.state {
+func (n *worker) removeAttempt(attempt *attempt) {
+	switch attempt.state {
 	case attemptQueued:
-		if i := slices.Index(n.queue, a); i >= 0 {
+		if i := slices.Index(n.queue, attempt); i >= 0 {
 			n.queue = slices.Delete(n.queue, i, i+1)
 		}
-		if n.queuedWork -= a.work * a.slots; len(n.queue) == 0 {
+		if n.queuedWork -= attempt.work * attempt.slots; len(n.queue) == 0 {
 			n.queuedWork = 0
 		}
 	case attemptRunning:
-		n.running.remove(a.heapIndex)
-		n.usedSlots -= a.slots
-		if n.runningEnds -= a.slots * a.endProgress; len(n.running) == 0 {
+		n.running.remove(attempt.heapIndex)
+		n.usedSlots -= attempt.slots
+		if n.runningEnds -= attempt.slots * attempt.endProgress; len(n.running) == 0 {
 			n.usedSlots, n.runningEnds = 0, 0
 		}
 	case attemptDuplicate:
-		a.keyRecord.waiters = slices.DeleteFunc(a.keyRecord.waiters, func(o *attempt) bool { return o == a })
+		attempt.keyRecord.removeWaiter(attempt)
 	case attemptEnded:
 		return
 	}
-	a.state = attemptEnded
+	attempt.state = attemptEnded
 	last := len(n.attempts) - 1
-	n.attempts[a.allIndex] = n.attempts[last]
-	n.attempts[a.allIndex].allIndex = a.allIndex
+	n.attempts[attempt.allIndex] = n.attempts[last]
+	n.attempts[attempt.allIndex].allIndex = attempt.allIndex
 	n.attempts[last] = nil
 	n.attempts = n.attempts[:last]
-	delete(n.attemptsByRequest, a.requestID)
+	delete(n.attemptsByRequest, attempt.requestID)
 }
 
 // ---- Its cores ----
--- a/internal/testbed/environment/worker_conns.go
+++ b/internal/testbed/environment/worker_conns.go
@@ -114,7 +114,7 @@
 }
 
 // requestArrived is the arrival of a request. Its process deals with it once its last byte has been read.
-func (n *worker) requestArrived(workerConn *workerConn, kind simapi.OutputKind, a *attempt) {
+func (n *worker) requestArrived(workerConn *workerConn, kind simapi.OutputKind, attempt *attempt) {
 	if workerConn.abandoned || workerConn.index < 0 {
 		n.ghostReceived(workerConn)
 		return
@@ -131,13 +131,13 @@
 		workerConn.reading++
 		n.afterInProcess(wait, func() {
 			if workerConn.reading--; !workerConn.abandoned {
-				n.handleRequest(workerConn, kind, a)
+				n.handleRequest(workerConn, kind, attempt)
 			}
 		})
 	case n.isPaused():
-		n.inbox = append(n.inbox, func() { n.handleRequest(workerConn, kind, a) })
+		n.inbox = append(n.inbox, func() { n.handleRequest(workerConn, kind, attempt) })
 	default:
-		n.handleRequest(workerConn, kind, a)
+		n.handleRequest(workerConn, kind, attempt)
 	}
 }
 
--- a/internal/testbed/environment/worker_keys.go
+++ b/internal/testbed/environment/worker_keys.go
@@ -93,6 +93,11 @@
 	}
 }
 
+// removeWaiter forgets an attempt that waits for the result.
+func (k *keyRecord) removeWaiter(a *attempt) {
+	k.waiters = slices.DeleteFunc(k.waiters, func(waiter *attempt) bool { return waiter == a })
+}
+
 // finishDuplicate ends an attempt with the result of another's run.
 func (n *worker) finishDuplicate(a *attempt, result string) {
 	n.whenRunning(func() {
