--- a/internal/testbed/environment/arrivals_test.go
+++ b/internal/testbed/environment/arrivals_test.go
@@ -108,7 +108,12 @@
 func TestBurst(t *testing.T) {
 	spec := calm(1, 150*time.Second)
 	base := dues(spec, 9, nil)
-	same := func(a, b trace.Event) bool { return a.At == b.At && a.Class == b.Class && a.Work == b.Work }
+	all := 0
+	for _, o := range base {
+		if inBurst(&o) {
+			all++
+		}
+	}
 	for _, factor := range []float64{3, 0.25, 0} {
 		got := dues(spec, 9, func(s *stage) {
 			s.w.schedule(50*time.Second, func() { s.w.after(50*time.Second, s.w.clients.startBurst(1, -1, factor)) })
@@ -117,22 +122,33 @@
 		if factor < 1 {
 			long, short = base, got
 		}
-		differ, all := 0, 0
-		for _, o := range long {
-			in := o.Tenant == 1 && o.At >= 50*time.Second && o.At < 100*time.Second
-			if len(short) > 0 && same(o, short[0]) {
-				short = short[1:]
-			} else if differ++; !in {
+		differ, left := jobsBeyond(long, short)
+		for _, o := range differ {
+			if !inBurst(&o) {
 				t.Fatalf("factor %v: a job of tenant %d at %v comes or goes", factor, o.Tenant, o.At)
 			}
 		}
-		for _, o := range base {
-			if o.Tenant == 1 && o.At >= 50*time.Second && o.At < 100*time.Second {
-				all++
-			}
+		want := math.Abs(factor-1) * float64(all)
+		if len(left) > 0 || math.Abs(float64(len(differ))-want) > 5*math.Sqrt(want) {
+			t.Errorf("factor %v: %d jobs differ, not %v; %d are out of place", factor, len(differ), want, len(left))
 		}
-		if want := math.Abs(factor-1) * float64(all); len(short) > 0 || math.Abs(float64(differ)-want) > 5*math.Sqrt(want) {
-			t.Errorf("factor %v: %d jobs differ, not %v; %d are out of place", factor, differ, want, len(short))
+	}
+}
+
+// inBurst reports whether a job falls due in the burst of TestBurst.
+func inBurst(o *trace.Event) bool {
+	return o.Tenant == 1 && o.At >= 50*time.Second && o.At < 100*time.Second
+}
+
+// jobsBeyond is the jobs of long that are not those of short, in order, and what is left of short.
+func jobsBeyond(long, short []trace.Event) (differ, left []trace.Event) {
+	same := func(a, b trace.Event) bool { return a.At == b.At && a.Class == b.Class && a.Work == b.Work }
+	for _, o := range long {
+		if len(short) > 0 && same(o, short[0]) {
+			short = short[1:]
+		} else {
+			differ = append(differ, o)
 		}
 	}
+	return differ, short
 }
--- a/internal/testbed/environment/clients_test.go
+++ b/internal/testbed/environment/clients_test.go
@@ -15,7 +15,33 @@
 // have run is only repeated where that is allowed.
 func FuzzClients(f *testing.F) { modeltest.Fuzz(f, runClients) }
 
+// clientsModel plays schedulers to the clients: it answers, closes and fails at random.
+type clientsModel struct {
+	*modeltest.Steps
+	stage    *stage
+	witness  *witness
+	sent     []simapi.Input // requests that schedulers have read
+	open     map[simapi.Conn]bool
+	received map[string]bool // by request id
+	heal     func()
+}
+
 func runClients(s *modeltest.Steps) {
+	spec := clientsSpec(s)
+	t := newStage(spec, uint64(s.Pick(16)))
+	m := &clientsModel{
+		Steps: s, stage: t, witness: newWitness(spec, s), open: map[simapi.Conn]bool{}, received: map[string]bool{}, heal: func() {},
+	}
+	t.check = m.witness.see
+	t.begin()
+	for s.More() {
+		m.step()
+	}
+	m.checkEnd()
+}
+
+// clientsSpec draws the scenario of a run of FuzzClients.
+func clientsSpec(s *modeltest.Steps) *scenario.Scenario {
 	spec := calm(2, 4*time.Second)
 	spec.Load.CapacityShare, spec.Load.Rate = 0, 40
 	spec.Classes[3].DeduplicationScope, spec.Classes[3].DeduplicationWindow = "all", scenario.Duration(2*time.Second)
@@ -31,68 +57,79 @@
 	if s.Pick(4) == 0 {
 		spec.Schedulers.Sockets = 12 // clients must wait for each other's connections
 	}
-	t := newStage(spec, uint64(s.Pick(16)))
-	m := newWitness(spec, s)
-	t.check = m.see
-	t.begin()
-	var sent []simapi.Input
-	open, received := map[simapi.Conn]bool{}, map[string]bool{}
-	act := func(in *simapi.Input) {
-		load := t.w.balancer.connCounts
-		s.Check(t.w.schedulers[in.Scheduler].alive, "a dead scheduler hears something")
-		s.Check(max(load[0], load[1]) <= t.w.balancer.maxConns, "%v connections of %d", load, t.w.balancer.maxConns)
-		if open[in.Conn] = in.Kind == simapi.RequestReceived; !open[in.Conn] {
-			return
-		}
-		s.Check(len(in.Request.RequestID) == 16 && len(in.Request.IdempotencyKey)%32 == 0, "id %q, key %q", in.Request.RequestID, in.Request.IdempotencyKey)
-		q := t.w.clients.findRequest(in.Request.RequestID)
-		s.Check(q != nil && q.id == in.Request.RequestID && q.jobID == m.calls[q.id], "an asked query is not found")
-		s.Check(!received[q.id], "a query that was read comes again")
-		received[q.id] = true
-		sent = append(sent, *in)
+	return spec
+}
+
+// act takes what reaches a scheduler.
+func (m *clientsModel) act(in *simapi.Input) {
+	environment := m.stage.w
+	load := environment.balancer.connCounts
+	m.Check(environment.schedulers[in.Scheduler].alive, "a dead scheduler hears something")
+	m.Check(max(load[0], load[1]) <= environment.balancer.maxConns, "%v connections of %d", load, environment.balancer.maxConns)
+	if m.open[in.Conn] = in.Kind == simapi.RequestReceived; !m.open[in.Conn] {
+		return
 	}
-	heal := func() {}
-	for s.More() {
-		var q *simapi.Input
-		if len(sent) > 0 {
-			q = &sent[s.Pick(len(sent))]
-		}
-		switch what := s.Pick(24); {
-		case what < 8 || q == nil:
-			t.run(t.w.now+time.Duration(s.Pick(200))*time.Millisecond, act)
-		case what < 16: // perhaps twice, or long after
-			t.reply(q, []int{200, 200, 503, 429, 500}[s.Pick(5)], time.Duration(s.Pick(3))*400*time.Millisecond)
-			if s.Pick(8) == 0 {
-				t.outputs = append(t.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: q.Scheduler, Conn: q.Conn})
-			}
-		case what < 18:
-			t.outputs = append(t.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: q.Scheduler, Conn: simapi.Conn(1 + s.Pick(20))})
-		case what == 18:
-			t.outputs = append(t.outputs, simapi.Output{Kind: simapi.ResponseWritten, Scheduler: q.Scheduler, Conn: q.Conn, RequestID: "nobody's"})
-		case what == 19:
-			t.kill(s.Pick(2))
-		case what == 20:
-			t.up(s.Pick(2))
-		case what == 21:
-			heal()
-			heal = t.w.network.partition(endpointGroup{kind: clientEndpoint}, endpointGroup{kind: schedulerEndpoint}, s.Pick(2) == 0)
-		case what == 22:
-			heal()
-			heal = t.w.clients.startRetryStorm(4)
-		default:
-			heal()
-			heal = t.w.clients.startBurst(s.Pick(3), -1, []float64{0.5, 3}[s.Pick(2)])
+	m.Check(len(in.Request.RequestID) == 16 && len(in.Request.IdempotencyKey)%32 == 0, "id %q, key %q", in.Request.RequestID, in.Request.IdempotencyKey)
+	q := environment.clients.findRequest(in.Request.RequestID)
+	m.Check(q != nil && q.id == in.Request.RequestID && q.jobID == m.witness.calls[q.id], "an asked query is not found")
+	m.Check(!m.received[q.id], "a query that was read comes again")
+	m.received[q.id] = true
+	m.sent = append(m.sent, *in)
+}
+
+// step draws what happens next.
+func (m *clientsModel) step() {
+	var q *simapi.Input
+	if len(m.sent) > 0 {
+		q = &m.sent[m.Pick(len(m.sent))]
+	}
+	t := m.stage
+	switch what := m.Pick(24); {
+	case what < 8 || q == nil:
+		t.run(t.w.now+time.Duration(m.Pick(200))*time.Millisecond, m.act)
+	case what < 16: // perhaps twice, or long after
+		t.reply(q, []int{200, 200, 503, 429, 500}[m.Pick(5)], time.Duration(m.Pick(3))*400*time.Millisecond)
+		if m.Pick(8) == 0 {
+			t.outputs = append(t.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: q.Scheduler, Conn: q.Conn})
 		}
+	case what < 18:
+		t.outputs = append(t.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: q.Scheduler, Conn: simapi.Conn(1 + m.Pick(20))})
+	case what == 18:
+		t.outputs = append(t.outputs, simapi.Output{Kind: simapi.ResponseWritten, Scheduler: q.Scheduler, Conn: q.Conn, RequestID: "nobody's"})
+	case what == 19:
+		t.kill(m.Pick(2))
+	case what == 20:
+		t.up(m.Pick(2))
+	default:
+		m.heal()
+		m.heal = m.disturb(what)
 	}
-	t.end(act)
-	for n, j := range m.jobs {
-		s.Check(j.settled && t.w.clients.jobs.openJob(n) == nil, "job %d is not settled", n)
+}
+
+// disturb begins a fault of the network or of the load.
+func (m *clientsModel) disturb(what int) (undo func()) {
+	switch what {
+	case 21:
+		return m.stage.w.network.partition(endpointGroup{kind: clientEndpoint}, endpointGroup{kind: schedulerEndpoint}, m.Pick(2) == 0)
+	case 22:
+		return m.stage.w.clients.startRetryStorm(4)
+	default:
+		return m.stage.w.clients.startBurst(m.Pick(3), -1, []float64{0.5, 3}[m.Pick(2)])
 	}
-	s.Check(t.w.RequestsInFlight() == 0, "%d open tries at the end", t.w.RequestsInFlight())
-	heal()
-	t.run(t.w.now+2*time.Second, act)
+}
+
+// checkEnd plays to the end, where every job is settled and nothing is left over.
+func (m *clientsModel) checkEnd() {
+	t := m.stage
+	t.end(m.act)
+	for n, j := range m.witness.jobs {
+		m.Check(j.settled && t.w.clients.jobs.openJob(n) == nil, "job %d is not settled", n)
+	}
+	m.Check(t.w.RequestsInFlight() == 0, "%d open tries at the end", t.w.RequestsInFlight())
+	m.heal()
+	t.run(t.w.now+2*time.Second, m.act)
 	idle, load := len(t.w.clients.connPools[0].idle), t.w.balancer.connCounts[0]+t.w.balancer.connCounts[1]
-	s.Check(idle == load, "%d connections counted, %d idle ones at the end", load, idle)
+	m.Check(idle == load, "%d connections counted, %d idle ones at the end", load, idle)
 }
 
 // What falls due is the same whatever schedulers answer, and so are the ids of tries.
@@ -333,6 +370,12 @@
 			t.Errorf("second %d: refused %v, asked %v", second, refused, sent)
 		}
 	}
+	checkNoticeDelays(t, s)
+}
+
+// checkNoticeDelays checks of scheduler 1 when the load balancer notices what becomes of it.
+func checkNoticeDelays(t *testing.T, s *stage) {
+	t.Helper()
 	// A death that is over before it is noticed never is.
 	s.kill(1)
 	s.run(s.w.now+time.Second, s.serve)
--- a/internal/testbed/environment/discovery_test.go
+++ b/internal/testbed/environment/discovery_test.go
@@ -16,116 +16,174 @@
 // has applied what it was told has discovery's list, that list is true, and what counts as told is what is so.
 func FuzzDiscovery(f *testing.F) { modeltest.Fuzz(f, runDiscovery) }
 
+// discoveryModel puts a fleet through random faults, and knows what its schedulers should have heard of it.
+type discoveryModel struct {
+	*faultHarness
+	steps *modeltest.Steps
+	undos []func() // of the faults that hold
+}
+
 func runDiscovery(s *modeltest.Steps) {
 	spec := quiet(2+s.Pick(7), 1+s.Pick(3))
 	if s.Pick(2) == 0 {
 		spec.Discovery.Capacity = 20
 	}
-	f := newFaultHarness(s.T, spec, uint64(s.Pick(8)))
-	d := f.w.discovery
-	var undos []func()
+	m := &discoveryModel{faultHarness: newFaultHarness(s.T, spec, uint64(s.Pick(8))), steps: s}
 	for s.More() {
-		n, sched := f.w.workers[s.Pick(len(f.w.workers))], f.w.schedulers[s.Pick(len(f.w.schedulers))]
-		back := time.Duration(s.Pick(8)) * 700 * time.Millisecond
-		some := []int{n.number, (n.number + 1) % len(f.w.workers)}
-		undo := func() {}
-		what := s.Pick(20)
-		if what > 16 {
-			f.run(time.Duration(1+s.Pick(40)) * 150 * time.Millisecond)
-			continue
+		m.step()
+	}
+	for _, undo := range m.undos {
+		m.do(undo)
+	}
+	m.run(100 * time.Second) // the longest drain is 30 s, and lists a line each 50 ms
+	want := m.endpoints()
+	for i, x := range m.scheds {
+		s.Check(x.revision == m.w.discovery.revision, "scheduler %d has generation %d of %d", i, x.revision, m.w.discovery.revision)
+		s.Check(maps.Equal(x.list, want), "scheduler %d has %v, and so it is: %v", i, x.list, want)
+		m.checkNotified(i, want)
+	}
+	d := m.w.discovery
+	s.Check(len(d.heldEvents) == 0 && len(d.calls) == 0 && d.serving == nil && d.noticeDelay == 0, "something is left over")
+}
+
+// step draws a fault, the end of one, or a while in which nothing else happens.
+func (m *discoveryModel) step() {
+	n, sched := m.w.workers[m.steps.Pick(len(m.w.workers))], m.w.schedulers[m.steps.Pick(len(m.w.schedulers))]
+	back := time.Duration(m.steps.Pick(8)) * 700 * time.Millisecond
+	undo := func() {}
+	what := m.steps.Pick(20)
+	switch {
+	case what > 16:
+		m.run(time.Duration(1+m.steps.Pick(40)) * 150 * time.Millisecond)
+		return
+	case what == 16:
+		m.do(m.endFault)
+	case what >= 12:
+		m.do(func() { undo = m.disturbOthers(what, n, sched, back) })
+	case what >= 6:
+		m.do(func() { undo = m.disturbDiscovery(what, m.twoWorkers(n)) })
+	default:
+		m.do(func() { m.endWorker(what, n, back) })
+	}
+	m.undos = append(m.undos, undo)
+}
+
+// twoWorkers is a worker and the next one.
+func (m *discoveryModel) twoWorkers(n *worker) []int {
+	return []int{n.number, (n.number + 1) % len(m.w.workers)}
+}
+
+// endWorker ends a worker's process, or has it drain.
+func (m *discoveryModel) endWorker(what int, n *worker, back time.Duration) {
+	switch what {
+	case 0:
+		n.crash(back)
+	case 1:
+		n.vanish(back)
+	case 2:
+		n.restart(back)
+	case 3:
+		n.replace(back)
+	case 4:
+		n.drain()
+	case 5:
+		if n.number > 0 {
+			n.remove()
 		}
-		f.do(func() {
-			switch what {
-			case 0:
-				n.crash(back)
-			case 1:
-				n.vanish(back)
-			case 2:
-				n.restart(back)
-			case 3:
-				n.replace(back)
-			case 4:
-				n.drain()
-			case 5:
-				if n.number > 0 {
-					n.remove()
-				}
-			case 6:
-				undo = d.startOutage()
-			case 7:
-				if d.noticeDelay < 10*time.Second { // else nothing would be known in the end
-					undo = d.delayNotices(2 * time.Second)
-				}
-			case 8:
-				undo = d.listWrongly(some)
-			case 9:
-				undo = d.freezeList()
-			case 10:
-				undo = d.slowDown(3)
-			case 11:
-				d.changeAddress()
-				for _, x := range f.w.schedulers {
-					x.reload()
-				}
-			case 12:
-				undo = f.w.network.partition(endpointGroup{kind: schedulerEndpoint, members: map[int]bool{sched.number: true}}, endpointGroup{kind: discoveryEndpoint}, s.Pick(2) == 0)
-			case 13:
-				pass, reach := f.w.network.partition(endpointGroup{kind: workerEndpoint, members: map[int]bool{some[0]: true, some[1]: true}},
-					endpointGroup{kind: discoveryEndpoint}, false), d.isolate(some)
-				undo = func() { pass(); reach() }
-			case 14:
-				sched.kill(back + time.Millisecond)
-			case 15:
-				sched.freeze(back)
-			case 16:
-				if len(undos) > 0 {
-					i := s.Pick(len(undos))
-					undos[i]()
-					undos = append(undos[:i], undos[i+1:]...)
-				}
-			}
-		})
-		undos = append(undos, undo)
 	}
-	for _, undo := range undos {
-		f.do(undo)
+}
+
+// disturbDiscovery begins a fault of discovery.
+func (m *discoveryModel) disturbDiscovery(what int, some []int) (undo func()) {
+	d := m.w.discovery
+	switch what {
+	case 6:
+		return d.startOutage()
+	case 7:
+		if d.noticeDelay < 10*time.Second { // else nothing would be known in the end
+			return d.delayNotices(2 * time.Second)
+		}
+	case 8:
+		return d.listWrongly(some)
+	case 9:
+		return d.freezeList()
+	case 10:
+		return d.slowDown(3)
+	case 11:
+		d.changeAddress()
+		for _, x := range m.w.schedulers {
+			x.reload()
+		}
 	}
-	f.run(100 * time.Second) // the longest drain is 30 s, and lists a line each 50 ms
-	want := map[string]requests.Endpoint{}
-	for _, n := range f.w.workers {
-		e := &d.entries[d.entryOf[n.number]]
-		if up := n.state == workerUp && !n.removed; up {
-			state := map[bool]string{false: "up", true: "draining"}[n.draining]
-			want[n.id] = requests.Endpoint{
-				ID: n.id, Addr: f.w.WorkerAddr(n.placeIndex()), Zone: "a", MachineType: n.kind.Name, Cell: n.cell,
-				Lifecycle: state, Weight: e.endpoint.Weight, StartedAtMs: n.startedMs(),
-			}
+	return func() {}
+}
+
+// disturbOthers cuts discovery off, or ends or freezes a scheduler.
+func (m *discoveryModel) disturbOthers(what int, n *worker, sched *scheduler, back time.Duration) (undo func()) {
+	disco := endpointGroup{kind: discoveryEndpoint}
+	switch what {
+	case 12:
+		return m.w.network.partition(endpointGroup{kind: schedulerEndpoint, members: map[int]bool{sched.number: true}}, disco, m.steps.Pick(2) == 0)
+	case 13:
+		some := m.twoWorkers(n)
+		pass, reach := m.w.network.partition(endpointGroup{kind: workerEndpoint, members: map[int]bool{some[0]: true, some[1]: true}}, disco, false),
+			m.w.discovery.isolate(some)
+		return func() { pass(); reach() }
+	case 14:
+		sched.kill(back + time.Millisecond)
+	case 15:
+		sched.freeze(back)
+	}
+	return func() {}
+}
+
+// endFault ends one of the faults that hold.
+func (m *discoveryModel) endFault() {
+	if len(m.undos) > 0 {
+		i := m.steps.Pick(len(m.undos))
+		m.undos[i]()
+		m.undos = append(m.undos[:i], m.undos[i+1:]...)
+	}
+}
+
+// endpoints is what discovery's list should say in the end.
+func (m *discoveryModel) endpoints() map[string]requests.Endpoint {
+	list := map[string]requests.Endpoint{}
+	for _, n := range m.w.workers {
+		if n.state != workerUp || n.removed {
+			continue
+		}
+		entry := &m.w.discovery.entries[m.w.discovery.entryOf[n.number]]
+		list[n.id] = requests.Endpoint{
+			ID: n.id, Addr: m.w.WorkerAddr(n.placeIndex()), Zone: "a", MachineType: n.kind.Name, Cell: n.cell,
+			Lifecycle: map[bool]string{false: "up", true: "draining"}[n.draining], Weight: entry.endpoint.Weight, StartedAtMs: n.startedMs(),
 		}
 	}
-	for i, x := range f.scheds {
-		s.Check(x.revision == d.revision, "scheduler %d has generation %d of %d", i, x.revision, d.revision)
-		s.Check(maps.Equal(x.list, want), "scheduler %d has %v, and so it is: %v", i, x.list, want)
-		notified := map[int]trace.Kind{}
-		for _, e := range f.all(0, trace.SchedulerStarted, trace.DrainNotified, trace.StartNotified) {
-			if e.Scheduler != i {
-				continue
-			}
-			if e.Kind == trace.SchedulerStarted {
-				notified = map[int]trace.Kind{}
-				continue
-			}
-			s.Check(e.Kind == trace.StartNotified || notified[e.Worker] != e.Kind || f.w.workers[e.Worker].incarnation > 1,
-				"told twice of the drain of a worker node that never started again")
-			notified[e.Worker] = e.Kind
+	return list
+}
+
+// checkNotified checks of what a scheduler counts as told that it is so, and that of each worker.
+func (m *discoveryModel) checkNotified(i int, want map[string]requests.Endpoint) {
+	s := m.steps
+	notified := map[int]trace.Kind{}
+	for _, e := range m.all(0, trace.SchedulerStarted, trace.DrainNotified, trace.StartNotified) {
+		if e.Scheduler != i {
+			continue
 		}
-		for _, n := range f.w.workers {
-			h, listed := want[n.id]
-			s.Check(!listed || d.knowsStart(i, n), "scheduler %d was not told of %s", i, n.id)
-			s.Check((notified[n.number] == trace.DrainNotified) == (!listed && notified[n.number] != 0 || h.Lifecycle == "draining"),
-				"scheduler %d: %s is %q, and was last told of by sight %d", i, n.id, h.Lifecycle, notified[n.number])
+		if e.Kind == trace.SchedulerStarted {
+			notified = map[int]trace.Kind{}
+			continue
 		}
+		s.Check(e.Kind == trace.StartNotified || notified[e.Worker] != e.Kind || m.w.workers[e.Worker].incarnation > 1,
+			"told twice of the drain of a worker node that never started again")
+		notified[e.Worker] = e.Kind
+	}
+	for _, n := range m.w.workers {
+		h, listed := want[n.id]
+		s.Check(!listed || m.w.discovery.knowsStart(i, n), "scheduler %d was not told of %s", i, n.id)
+		s.Check((notified[n.number] == trace.DrainNotified) == (!listed && notified[n.number] != 0 || h.Lifecycle == "draining"),
+			"scheduler %d: %s is %q, and was last told of by sight %d", i, n.id, h.Lifecycle, notified[n.number])
 	}
-	s.Check(len(d.heldEvents) == 0 && len(d.calls) == 0 && d.serving == nil && d.noticeDelay == 0, "something is left over")
 }
 
 // When a drain counts as told.
@@ -223,6 +281,27 @@
 	}
 }
 
+// describeLists says in short what a scheduler heard of the list, in order: which worker's line it was is left out.
+func describeLists(inputs []simapi.Input) (heard string) {
+	for _, in := range inputs {
+		switch {
+		case in.Kind == simapi.WatchEnded && heard == "":
+			heard = "end "
+		case in.Kind == simapi.WatchEnded && heard == "end ": // and again and again
+			heard += "failed "
+		case in.Kind == simapi.ListReceived && in.List.Reset:
+			heard += "whole "
+		case in.Kind == simapi.ListReceived && len(in.List.Endpoints) == 1:
+			if h := in.List.Endpoints[0]; h.Lifecycle != "up" {
+				heard += h.Lifecycle + " "
+			} else {
+				heard += map[bool]string{true: "up1 ", false: "up2 "}[h.StartedAtMs == 0]
+			}
+		}
+	}
+	return heard
+}
+
 // What is done to discovery, and what a scheduler then hears of the list, in order.
 func TestListFaults(t *testing.T) {
 	var undo func()
@@ -254,27 +333,12 @@
 	} {
 		f := newFaultHarness(t, quiet(4, 1), 2)
 		f.run(10 * time.Second)
-		from, got := len(f.inputs), ""
+		from := len(f.inputs)
 		for _, a := range x.acts {
 			f.do(func() { a(f) })
 			f.run(20 * time.Second)
 		}
-		for _, in := range f.inputs[from:] {
-			switch {
-			case in.Kind == simapi.WatchEnded && got == "":
-				got = "end "
-			case in.Kind == simapi.WatchEnded && got == "end ": // and again and again
-				got += "failed "
-			case in.Kind == simapi.ListReceived && in.List.Reset:
-				got += "whole "
-			case in.Kind == simapi.ListReceived && len(in.List.Endpoints) == 1:
-				if h := in.List.Endpoints[0]; h.Lifecycle != "up" {
-					got += h.Lifecycle + " "
-				} else {
-					got += map[bool]string{true: "up1 ", false: "up2 "}[h.StartedAtMs == 0]
-				}
-			}
-		}
+		got := describeLists(f.inputs[from:])
 		if got != x.want {
 			t.Errorf("%s: heard %q, and should have %q", name, got, x.want)
 		}
--- a/internal/testbed/environment/faults_test.go
+++ b/internal/testbed/environment/faults_test.go
@@ -21,37 +21,14 @@
 	spec := quiet(6, 2)
 	spec.Name, spec.Discovery.Capacity = "faults", 100
 	spec.Planners.Count, spec.Drivers = 2, []string{scenario.DriverSimulation}
-	kinds := slices.Sorted(maps.Keys(scenario.FaultKinds))
-	ends, last := 0, time.Duration(0)
+	last := time.Duration(0)
 	for s.More() && len(spec.Faults) < 30 {
-		x := scenario.Fault{Kind: kinds[s.Pick(len(kinds))], At: scenario.Duration(4+s.Pick(60)) * scenario.Duration(time.Second) / 4}
-		x.Duration = scenario.Duration(1+s.Pick(40)) * scenario.Duration(time.Second) / 8
-		switch scenario.FaultKinds[x.Kind] {
-		case "net":
-			x.Between, x.And = "schedulers", []string{"nodes", "clients", "discovery"}[s.Pick(3)]
-			if x.And == "discovery" && x.Kind == "drop_idle" {
-				x.And = "nodes"
-			}
-		case "node", "planner":
-			x.Target.Share = float64(s.Pick(10)) / 10
-		case "planners":
-			x.Between, x.And = "planners", []string{"schedulers", "planners", "discovery"}[s.Pick(3)]
-		}
-		switch x.Kind {
-		case "drain", "gone", "early_202_crash", "sched_term", "planner_term":
-			continue // they change the fleet for good, or end when something else happens
-		case "handback", "sched_reload", "sched_replace", "disco_moves", "planner_start", "planner_drop":
-			x.Duration = 0
-		case "planner_slow", "slow", "disco_slow", "burst", "storm", "half_open", "disco_late", "delay", "drop_idle":
-			x.Size = float64(2 + s.Pick(4))
-		case "errors":
-			x.Size = 0.5
-		case "reset_at":
-			x.Size = float64(1 + s.Pick(99))
+		x, ok := drawFault(s)
+		if !ok {
+			continue
 		}
 		spec.Faults = append(spec.Faults, x)
 		last = max(last, (x.At + x.Duration).Std())
-		ends++
 	}
 	f := newFaultHarness(s.T, spec, uint64(s.Pick(4)))
 	f.run(500 * time.Millisecond)
@@ -60,6 +37,43 @@
 	if after := f.state(); !reflect.DeepEqual(before, after) {
 		s.Check(false, "%+v\nwas before\n%+v\nfaults: %s", after, before, scenario.Encode(spec))
 	}
+	f.checkEnds(s)
+	f.checkWorkerEnds(s)
+}
+
+// drawFault draws a fault that leaves nothing behind once it is over. Not ok: its kind does.
+func drawFault(s *modeltest.Steps) (x scenario.Fault, ok bool) {
+	kinds := slices.Sorted(maps.Keys(scenario.FaultKinds))
+	x = scenario.Fault{Kind: kinds[s.Pick(len(kinds))], At: scenario.Duration(4+s.Pick(60)) * scenario.Duration(time.Second) / 4}
+	x.Duration = scenario.Duration(1+s.Pick(40)) * scenario.Duration(time.Second) / 8
+	switch scenario.FaultKinds[x.Kind] {
+	case "net":
+		x.Between, x.And = "schedulers", []string{"nodes", "clients", "discovery"}[s.Pick(3)]
+		if x.And == "discovery" && x.Kind == "drop_idle" {
+			x.And = "nodes"
+		}
+	case "node", "planner":
+		x.Target.Share = float64(s.Pick(10)) / 10
+	case "planners":
+		x.Between, x.And = "planners", []string{"schedulers", "planners", "discovery"}[s.Pick(3)]
+	}
+	switch x.Kind {
+	case "drain", "gone", "early_202_crash", "sched_term", "planner_term":
+		return x, false // they change the fleet for good, or end when something else happens
+	case "handback", "sched_reload", "sched_replace", "disco_moves", "planner_start", "planner_drop":
+		x.Duration = 0
+	case "planner_slow", "slow", "disco_slow", "burst", "storm", "half_open", "disco_late", "delay", "drop_idle":
+		x.Size = float64(2 + s.Pick(4))
+	case "errors":
+		x.Size = 0.5
+	case "reset_at":
+		x.Size = float64(1 + s.Pick(99))
+	}
+	return x, true
+}
+
+// checkEnds checks that each fault that began has ended, once.
+func (f *faultHarness) checkEnds(s *modeltest.Steps) {
 	on, off := map[string]int{}, map[string]int{}
 	for _, x := range f.all(0, trace.FaultStarted) {
 		on[x.Text]++
@@ -68,7 +82,11 @@
 		off[x.Text]++
 		s.Check(off[x.Text] <= on[x.Text], "%q ends %d times", x.Text, off[x.Text])
 	}
-	s.Check(maps.Equal(on, off), "began: %v, ended: %v, of %s", on, off, scenario.Encode(spec))
+	s.Check(maps.Equal(on, off), "began: %v, ended: %v, of %s", on, off, scenario.Encode(f.spec))
+}
+
+// checkWorkerEnds checks the same of each worker that a fault struck.
+func (f *faultHarness) checkWorkerEnds(s *modeltest.Steps) {
 	holds := map[string]int{} // by worker and what strikes it
 	for _, x := range f.events {
 		switch at := x.Text + " w-" + strconv.Itoa(x.Worker); x.Kind {
--- a/internal/testbed/environment/harness_clients_test.go
+++ b/internal/testbed/environment/harness_clients_test.go
@@ -140,7 +140,7 @@
 
 func (m *witness) see(s *trace.Event) {
 	j := m.jobs[s.JobID]
-	if s.Kind == trace.ResponseReceived && (j == nil || j.open == nil || j.open.RequestID != s.RequestID || j.open.Conn != s.Conn) {
+	if s.Kind == trace.ResponseReceived && (j == nil || !j.awaits(s)) {
 		return // nobody waited for it
 	}
 	m.check(s.Kind == trace.JobDue == (j == nil), "sight %d of job %d, known: %v", s.Kind, s.JobID, j != nil)
@@ -150,46 +150,61 @@
 		return
 	}
 	m.check(!j.settled, "sight %d of a settled job", s.Kind)
-	class := &m.spec.Classes[j.dueEvent.Class]
-	deadline, slack := j.dueEvent.At+j.dueEvent.Deadline, m.spec.Rules.Slack.Std()
 	switch s.Kind {
 	case trace.RequestSent:
-		m.check(j.open == nil || j.open.RequestID == s.RequestID && j.open.Conn != s.Conn, "two open tries of a job")
-		if j.open == nil {
-			m.check(m.calls[s.RequestID] == 0, "id %s comes twice", s.RequestID)
-			m.check(s.Number >= j.tries && s.Number <= m.spec.Clients.Retries, "try %d after %d", s.Number, j.tries)
-			j.tries = s.Number + 1
-		}
-		m.calls[s.RequestID] = s.JobID
-		m.check(s.Budget >= time.Millisecond && s.Budget%time.Millisecond == 0 && s.At+s.Budget <= deadline,
-			"a budget of %v with %v left", s.Budget, deadline-s.At)
-		m.check(s.IdempotencyKey == j.dueEvent.IdempotencyKey && (s.IdempotencyKey != "") == (class.Idempotency == "keyed"), "key %q", s.IdempotencyKey)
-		if j.risked >= 0 {
-			within := class.Idempotency == "keyed" && class.DeduplicationScope == "all" && s.At < j.risked+class.DeduplicationWindow.Std()
-			m.check(class.Idempotency == "safe" || within, "%s tried again %v after one that may have run", class.Name,
-				s.At-j.risked)
-		}
-		open := *s
-		j.open = &open
-		return
+		m.requestSent(j, s)
 	case trace.JobSettled:
 		m.check(j.open == nil, "settled with an open try")
-		m.check(s.Status == j.status && s.At <= deadline+slack, "settled with %d at %v", s.Status, s.At-deadline)
+		m.check(s.Status == j.status && s.At <= m.deadline(j)+m.spec.Rules.Slack.Std(), "settled with %d at %v", s.Status, s.At-m.deadline(j))
 		j.settled = true
-		return
 	case trace.SchedulerUnreachable: // perhaps of one that nobody had read
 		m.check(s.Number+1 >= j.tries, "an old try ends again")
 		j.tries, j.status = s.Number+1, 0
+		j.open = nil
 	case trace.ResponseReceived, trace.ConnectionLost, trace.ClientTimedOut, trace.ClientLeft:
-		m.check(j.open != nil && j.open.RequestID == s.RequestID && j.open.Conn == s.Conn, "sight %d of no open try", s.Kind)
-		if j.status = s.Status; s.Status != 200 && s.Status != 429 && s.Status != 503 && j.risked < 0 {
-			j.risked = j.open.At
-		}
-		waited := s.At - j.open.At
-		m.check(waited <= j.open.Budget+slack+time.Millisecond, "waited %v of %v", waited, j.open.Budget)
-		m.check(s.Kind != trace.ClientTimedOut || waited >= j.open.Budget+slack, "gave up after %v", waited)
+		m.check(j.awaits(s), "sight %d of no open try", s.Kind)
+		m.requestEnded(j, s)
 	default:
 		m.check(false, "sight %d", s.Kind)
 	}
+}
+
+// awaits reports whether an event is of the job's open try, on its connection.
+func (j *witnessed) awaits(s *trace.Event) bool {
+	return j.open != nil && j.open.RequestID == s.RequestID && j.open.Conn == s.Conn
+}
+
+func (m *witness) deadline(j *witnessed) time.Duration { return j.dueEvent.At + j.dueEvent.Deadline }
+
+// requestSent checks a try that is sent, for the first time or once more.
+func (m *witness) requestSent(j *witnessed, s *trace.Event) {
+	class, deadline := &m.spec.Classes[j.dueEvent.Class], m.deadline(j)
+	m.check(j.open == nil || j.open.RequestID == s.RequestID && j.open.Conn != s.Conn, "two open tries of a job")
+	if j.open == nil {
+		m.check(m.calls[s.RequestID] == 0, "id %s comes twice", s.RequestID)
+		m.check(s.Number >= j.tries && s.Number <= m.spec.Clients.Retries, "try %d after %d", s.Number, j.tries)
+		j.tries = s.Number + 1
+	}
+	m.calls[s.RequestID] = s.JobID
+	m.check(s.Budget >= time.Millisecond && s.Budget%time.Millisecond == 0 && s.At+s.Budget <= deadline,
+		"a budget of %v with %v left", s.Budget, deadline-s.At)
+	m.check(s.IdempotencyKey == j.dueEvent.IdempotencyKey && (s.IdempotencyKey != "") == (class.Idempotency == "keyed"), "key %q", s.IdempotencyKey)
+	if j.risked >= 0 {
+		within := class.Idempotency == "keyed" && class.DeduplicationScope == "all" && s.At < j.risked+class.DeduplicationWindow.Std()
+		m.check(class.Idempotency == "safe" || within, "%s tried again %v after one that may have run", class.Name,
+			s.At-j.risked)
+	}
+	open := *s
+	j.open = &open
+}
+
+// requestEnded checks the end of the open try.
+func (m *witness) requestEnded(j *witnessed, s *trace.Event) {
+	if j.status = s.Status; s.Status != 200 && s.Status != 429 && s.Status != 503 && j.risked < 0 {
+		j.risked = j.open.At
+	}
+	waited, slack := s.At-j.open.At, m.spec.Rules.Slack.Std()
+	m.check(waited <= j.open.Budget+slack+time.Millisecond, "waited %v of %v", waited, j.open.Budget)
+	m.check(s.Kind != trace.ClientTimedOut || waited >= j.open.Budget+slack, "gave up after %v", waited)
 	j.open = nil
 }
--- a/internal/testbed/environment/harness_faults_test.go
+++ b/internal/testbed/environment/harness_faults_test.go
@@ -102,14 +102,7 @@
 	}
 	switch in.Kind {
 	case simapi.Start:
-		s.up, s.frozen, s.list, s.revision = true, false, map[string]requests.Endpoint{}, in.Start.KnownEndpoints.Revision
-		for _, h := range in.Start.KnownEndpoints.Endpoints {
-			s.list[h.ID] = h
-		}
-		f.outputs = append(f.outputs, simapi.Output{Kind: simapi.Ready, Scheduler: in.Scheduler})
-		if !s.silent {
-			f.watchDiscovery(in.Scheduler, f.w.now)
-		}
+		f.started(in)
 	case simapi.Kill:
 		s.up = false
 	case simapi.Terminate:
@@ -125,20 +118,38 @@
 		f.watchDiscovery(in.Scheduler, f.w.now)
 	case simapi.WatchEnded:
 		s.lastReceived = f.w.now - 2*time.Second // and asks again in a second
-	case simapi.ListReceived, simapi.WatchHeartbeat:
-		if s.lastReceived = f.w.now; in.Kind == simapi.WatchHeartbeat {
-			return
-		}
-		if in.List.Reset {
-			s.list = map[string]requests.Endpoint{}
-		} else if g := in.List.Revision; g < s.revision || g == s.revision && len(in.List.Endpoints) > 0 {
-			f.t.Fatalf("at %v, generation %d follows %d", f.w.now, g, s.revision)
-		}
-		s.revision = in.List.Revision
-		for _, h := range in.List.Endpoints {
-			if s.list[h.ID] = h; h.Lifecycle == "removed" {
-				delete(s.list, h.ID)
-			}
+	case simapi.WatchHeartbeat:
+		s.lastReceived = f.w.now
+	case simapi.ListReceived:
+		s.lastReceived = f.w.now
+		f.applyList(s, in.List)
+	}
+}
+
+// started has a scheduler start with the list that it is given.
+func (f *faultHarness) started(in *simapi.Input) {
+	s, known := f.scheds[in.Scheduler], in.Start.KnownEndpoints
+	s.up, s.frozen, s.list, s.revision = true, false, map[string]requests.Endpoint{}, known.Revision
+	for _, h := range known.Endpoints {
+		s.list[h.ID] = h
+	}
+	f.outputs = append(f.outputs, simapi.Output{Kind: simapi.Ready, Scheduler: in.Scheduler})
+	if !s.silent {
+		f.watchDiscovery(in.Scheduler, f.w.now)
+	}
+}
+
+// applyList has a scheduler follow what discovery tells.
+func (f *faultHarness) applyList(s *follower, list *requests.EndpointList) {
+	if list.Reset {
+		s.list = map[string]requests.Endpoint{}
+	} else if g := list.Revision; g < s.revision || g == s.revision && len(list.Endpoints) > 0 {
+		f.t.Fatalf("at %v, generation %d follows %d", f.w.now, g, s.revision)
+	}
+	s.revision = list.Revision
+	for _, h := range list.Endpoints {
+		if s.list[h.ID] = h; h.Lifecycle == "removed" {
+			delete(s.list, h.ID)
 		}
 	}
 }
--- a/internal/testbed/environment/network_test.go
+++ b/internal/testbed/environment/network_test.go
@@ -61,52 +61,76 @@
 	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		spec, _ := plain(1)
 		spec.Network = scenario.Network{Delay: scenario.Duration(5 * ms), Jitter: 1}
-		r, far := newWorkerHarness(s.T, spec, uint64(s.Pick(256))), &testEndpoint{}
-		c := r.w.openConn(&conn{id: simapi.WorkerConn(0, 1), far: far, up: true})
-		send := []func(*conn, func()){r.w.toSched, r.w.toFarEnd}
-		var sent, got [2][]int
-		var undo []func()
-		closed, cuts := -1, []bool{} // by which side; of those in force, which are one way
+		m := &connModel{workerHarness: newWorkerHarness(s.T, spec, uint64(s.Pick(256))), steps: s, far: &testEndpoint{}, closed: -1}
+		m.conn = m.w.openConn(&conn{id: simapi.WorkerConn(0, 1), far: m.far, up: true})
 		for i := 0; s.More(); i++ {
-			pick := s.Pick(16)
-			s.Record(fmt.Sprint(pick))
-			switch side := pick % 2; {
-			case pick < 8 && closed != 1-side:
-				sent[side] = append(sent[side], i)
-				send[side](c, func() { got[side] = append(got[side], i) })
-			case pick >= 8 && pick < 10:
-				undo = append(undo, r.w.network.partition(endpointGroup{kind: schedulerEndpoint}, endpointGroup{kind: workerEndpoint}, side == 1))
-				cuts = append(cuts, side == 1)
-			case pick < 12 && len(undo) > 0:
-				k := s.Pick(len(undo))
-				undo[k]()
-				undo, cuts = slices.Delete(undo, k, k+1), slices.Delete(cuts, k, k+1)
-			case pick == 12 && closed < 0 && i > 20:
-				closed = s.Pick(2)
-				r.w.closeSide(c, closed)
-			default:
-				r.pass(time.Duration(s.Pick(20)) * ms)
-			}
-			for side := range got {
-				s.Check(len(got[side]) <= len(sent[side]) && slices.Equal(got[side], sent[side][:len(got[side])]),
-					"side %d: sent %v, got %v", side, sent[side], got[side])
-			}
-			_, back := r.w.network.arrival(endpoint{workerEndpoint, 0}, endpoint{schedulerEndpoint, 0})
-			_, _, up := r.w.network.connectDelays(endpoint{schedulerEndpoint, 0}, endpoint{workerEndpoint, 0})
-			s.Check(back == !slices.Contains(cuts, false) && up == (len(cuts) == 0), "cuts %v: back %v, up %v", cuts, back, up)
+			m.step(i)
+			m.check()
 		}
-		for _, heal := range undo {
-			heal()
-		}
-		r.pass(time.Minute)
-		for side := range got { // what comes after a close is for nobody
-			s.Check(closed == side || len(got[side]) == len(sent[side]), "side %d: sent %v, got %v", side, sent[side], got[side])
-		}
-		s.Check(len(r.w.conns) == 1 == (closed < 0) && far.closed == (closed == schedulerSide),
-			"closed by %d, %d connections are left, the far end knows of it %v", closed, len(r.w.conns), far.closed)
+		m.checkEnd()
 	})
 }
 
+// connModel knows what is to arrive over a connection.
+type connModel struct {
+	*workerHarness
+	steps     *modeltest.Steps
+	far       *testEndpoint
+	conn      *conn
+	sent, got [2][]int // by the side that it is sent to
+	closed    int      // by which side; -1: by none
+	undo      []func() // of the cuts in force
+	cuts      []bool   // which of these are one way
+}
+
+// step draws what happens next.
+func (m *connModel) step(i int) {
+	pick := m.steps.Pick(16)
+	m.steps.Record(fmt.Sprint(pick))
+	switch side := pick % 2; {
+	case pick < 8 && m.closed != 1-side:
+		m.sent[side] = append(m.sent[side], i)
+		send := []func(*conn, func()){m.w.toSched, m.w.toFarEnd}[side]
+		send(m.conn, func() { m.got[side] = append(m.got[side], i) })
+	case pick >= 8 && pick < 10:
+		m.undo = append(m.undo, m.w.network.partition(endpointGroup{kind: schedulerEndpoint}, endpointGroup{kind: workerEndpoint}, side == 1))
+		m.cuts = append(m.cuts, side == 1)
+	case pick < 12 && len(m.undo) > 0:
+		k := m.steps.Pick(len(m.undo))
+		m.undo[k]()
+		m.undo, m.cuts = slices.Delete(m.undo, k, k+1), slices.Delete(m.cuts, k, k+1)
+	case pick == 12 && m.closed < 0 && i > 20:
+		m.closed = m.steps.Pick(2)
+		m.w.closeSide(m.conn, m.closed)
+	default:
+		m.pass(time.Duration(m.steps.Pick(20)) * ms)
+	}
+}
+
+// check compares what has arrived with what was sent, and what the network says with the cuts in force.
+func (m *connModel) check() {
+	for side := range m.got {
+		sent, got := m.sent[side], m.got[side]
+		m.steps.Check(len(got) <= len(sent) && slices.Equal(got, sent[:len(got)]), "side %d: sent %v, got %v", side, sent, got)
+	}
+	_, back := m.w.network.arrival(endpoint{workerEndpoint, 0}, endpoint{schedulerEndpoint, 0})
+	_, _, up := m.w.network.connectDelays(endpoint{schedulerEndpoint, 0}, endpoint{workerEndpoint, 0})
+	m.steps.Check(back == !slices.Contains(m.cuts, false) && up == (len(m.cuts) == 0), "cuts %v: back %v, up %v", m.cuts, back, up)
+}
+
+// checkEnd heals all cuts: nothing is missing then.
+func (m *connModel) checkEnd() {
+	for _, heal := range m.undo {
+		heal()
+	}
+	m.pass(time.Minute)
+	for side := range m.got { // what comes after a close is for nobody
+		m.steps.Check(m.closed == side || len(m.got[side]) == len(m.sent[side]), "side %d: sent %v, got %v", side, m.sent[side], m.got[side])
+	}
+	m.steps.Check(len(m.w.conns) == 1 == (m.closed < 0) && m.far.closed == (m.closed == schedulerSide),
+		"closed by %d, %d connections are left, the far end knows of it %v", m.closed, len(m.w.conns), m.far.closed)
+}
+
 func TestIdleConnectionsAreForgotten(t *testing.T) {
 	spec, k := plain(1)
 	k.ConnIdleTimeout, spec.Network.DropsIdleAfter = 0, scenario.Duration(time.Second)
--- a/internal/testbed/environment/workers_test.go
+++ b/internal/testbed/environment/workers_test.go
@@ -28,15 +28,8 @@
 }
 
 func (m *nodeModel) saw(x *trace.Event) {
-	check := func(ok bool, what string) { m.s.Check(ok, "%v: %s of %q", x.At, what, x.RequestID) }
-	// An error at the door takes no slot: there it has ended by now.
-	if atDoor := x.Kind == trace.AttemptFinished && x.RequestID == m.last; m.last != "" && !atDoor {
-		check(m.used <= float64(m.kind.Slots), "run in a slot that there is not, by "+m.last)
-		for i := 0; m.kind.QueueOrder == "fifo" && m.in[i] != m.last; i++ {
-			check(m.begun[m.in[i]], "run out of turn, by "+m.last)
-		}
-	}
-	check(m.stops == "" || x.Kind == trace.AttemptDied && x.RequestID == m.stops && x.Text == "cancelled", "run of what is cancelled")
+	m.checkRun(x)
+	m.check(m.stops == "" || x.Kind == trace.AttemptDied && x.RequestID == m.stops && x.Text == "cancelled", x, "run of what is cancelled")
 	m.last, m.stops = "", ""
 	at := slices.Index(m.in, x.RequestID)
 	switch x.Kind {
@@ -51,93 +44,154 @@
 		}
 		m.in = append(m.in, x.RequestID)
 	case trace.AttemptStarted:
-		check(at >= 0 && !m.begun[x.RequestID], "second run")
+		m.check(at >= 0 && !m.begun[x.RequestID], x, "second run")
 		m.begun[x.RequestID], m.last = true, x.RequestID
 		m.used += m.slots[x.RequestID]
 	case trace.AttemptRejected, trace.AttemptReturned, trace.AttemptDied, trace.AttemptFinished:
 		if m.again == x.RequestID {
-			check(x.Kind == trace.AttemptRejected && x.Status == 503, "second attempt taken")
+			m.check(x.Kind == trace.AttemptRejected && x.Status == 503, x, "second attempt taken")
 			m.again = ""
 			return
 		}
-		check(at >= 0 && (x.Text != "cancelled" || m.kind.CancellationStops), "second end, or one by a cancel that stops nothing")
-		check(x.Kind == trace.AttemptDied || m.begun[x.RequestID] == (x.Kind == trace.AttemptFinished), "wrong end")
-		if m.begun[x.RequestID] {
-			m.used -= m.slots[x.RequestID]
-		}
-		m.in = slices.Delete(m.in, at, at+1)
-		delete(m.begun, x.RequestID)
+		m.ended(x, at)
 	case trace.WorkerHung, trace.WorkerStarted:
 		m.hung = x.Kind == trace.WorkerHung
 	}
+	m.checkRoom(x)
+}
+
+func (m *nodeModel) check(ok bool, x *trace.Event, what string) {
+	m.s.Check(ok, "%v: %s of %q", x.At, what, x.RequestID)
+}
+
+// checkRun checks that what began just now has a slot, and its turn.
+func (m *nodeModel) checkRun(x *trace.Event) {
+	// An error at the door takes no slot: there it has ended by now.
+	if atDoor := x.Kind == trace.AttemptFinished && x.RequestID == m.last; m.last == "" || atDoor {
+		return
+	}
+	m.check(m.used <= float64(m.kind.Slots), x, "run in a slot that there is not, by "+m.last)
+	for i := 0; m.kind.QueueOrder == "fifo" && m.in[i] != m.last; i++ {
+		m.check(m.begun[m.in[i]], x, "run out of turn, by "+m.last)
+	}
+}
+
+// ended takes the end of an attempt, the at-th of those that have none.
+func (m *nodeModel) ended(x *trace.Event, at int) {
+	m.check(at >= 0 && (x.Text != "cancelled" || m.kind.CancellationStops), x, "second end, or one by a cancel that stops nothing")
+	m.check(x.Kind == trace.AttemptDied || m.begun[x.RequestID] == (x.Kind == trace.AttemptFinished), x, "wrong end")
+	if m.begun[x.RequestID] {
+		m.used -= m.slots[x.RequestID]
+	}
+	m.in = slices.Delete(m.in, at, at+1)
+	delete(m.begun, x.RequestID)
+}
+
+// checkRoom checks that no more wait than there is room for.
+func (m *nodeModel) checkRoom(x *trace.Event) {
 	space := m.kind.Queue + 1 // that one is on its way from reached to its fate
 	if m.hung {
 		space += m.kind.Slots
 	}
-	check(len(m.in)-len(m.begun) <= space, "room that there is not")
+	m.check(len(m.in)-len(m.begun) <= space, x, "room that there is not")
 }
 
 // FuzzNode puts a worker and the model through random requests and faults.
 func FuzzNode(f *testing.F) {
 	modeltest.Fuzz(f, func(s *modeltest.Steps) {
-		spec, k := plain(1)
-		k.Cores, k.Slots, k.Queue = float64(1+s.Pick(4)), 2+s.Pick(5), s.Pick(6)
-		k.QueueOrder = []string{"fifo", "backfill"}[s.Pick(2)]
-		k.ExpiredJobs = []string{"run", "drop"}[s.Pick(2)]
-		k.CancellationStops, k.ReturnsQueued, k.OmitsStartNotifications = s.Pick(2) == 0, s.Pick(2) == 0, s.Pick(4) == 0
-		k.WarmUpBy = []string{"time", "work"}[s.Pick(2)]
-		k.Accept, k.Handshake = scenario.Duration(s.Pick(3))*scenario.Duration(ms), scenario.Duration(s.Pick(3))*scenario.Duration(ms)
-		k.ErrorRate, k.CallbackEarlyShare, k.CallbackLossShare, k.CallbackTwiceShare = 0.1, 0.2, 0.1, 0.1
-		k.CallbackDelay, k.ProgressInterval = scenario.Duration(ms), scenario.Duration(50*ms)
-		spec.Network = scenario.Network{Delay: scenario.Duration(ms), Jitter: 0.5}
-		spec.Classes[unsafeClass].Noise = 0.5
-		r := newWorkerHarness(s.T, spec, uint64(s.Pick(256)))
-		m := &nodeModel{s: s, kind: k, slots: map[string]float64{}, begun: map[string]bool{}}
-		r.see = m.saw
-		r.ack = func(_ *simapi.Input) (int, bool) { return []int{204, 200, 503, 0}[s.Pick(4)], s.Pick(8) > 0 }
-		n, conns, calls := r.w.workers[0], []simapi.Conn{r.dial(0, 0)}, []string{"unknown"}
+		m := newNodeSteps(s)
 		for i := 0; s.More(); i++ {
-			pick, c, call := s.Pick(32), conns[s.Pick(len(conns))], calls[s.Pick(len(calls))]
-			s.Record(fmt.Sprintf("%v:%d", r.w.now, pick))
-			switch {
-			case pick < 3:
-				conns = append(conns, r.dial(0, 0))
-			case pick < 15:
-				call = fmt.Sprint("call-", i)
-				m.slots[call] = float64(int(1) << s.Pick(3))
-				r.addRequest(call, unsafeClass, float64(1+s.Pick(100))/1000, m.slots[call])
-				calls = append(calls, call)
-				r.apply(c, simapi.AttemptWritten, call)
-			case pick < 19:
-				kinds := []simapi.OutputKind{simapi.AttemptWritten, simapi.WorkerConnClosed, simapi.CancellationReceived, simapi.HealthCheckWritten}
-				r.apply(c, kinds[pick-15], call)
-			case pick == 19:
-				n.setHang(s.Pick(2) == 0)
-			case pick == 20:
-				n.pause(time.Duration(s.Pick(50)) * ms)
-			case pick == 21:
-				n.setSlowFactor(float64(1 + s.Pick(3)))
-			case pick == 22:
-				ends := []func(time.Duration){n.crash, n.vanish, n.restart, n.replace, n.dieAtAccept}
-				ends[s.Pick(len(ends))](time.Duration(1+s.Pick(50)) * ms)
-			case pick == 23:
-				[]func(){n.drain, n.returnQueued}[s.Pick(2)]()
-			case pick == 24:
-				[]func(bool){n.setFull, n.setMute, n.setSlowRead}[s.Pick(3)](s.Pick(2) == 0)
-			default:
-				r.pass(time.Duration(s.Pick(40)) * ms)
-			}
+			m.step(i)
 		}
-		n.setHang(false)
-		r.pass(5 * time.Minute)
-		s.Check(len(m.in) == 0 && m.used == 0, "%v has no end, %v slots are in use", m.in, m.used)
-		s.Check(len(n.attempts)+len(n.attemptsByRequest)+len(n.queue)+len(n.running)+n.callbacks.outstanding+len(n.callbacks.callbacks) == 0 && n.usedSlots == 0,
-			"left over: %+v", n)
-		t := r.w.WorkerState(0)
-		s.Check(n.state != workerUp || t.Free == t.Slots && t.BacklogSeconds < 1e-6 && t.Speed > 0, "at rest it is %+v", t)
+		m.checkEnd()
 	})
 }
 
+// nodeSteps plays a scheduler to one worker, with a model of it.
+type nodeSteps struct {
+	*workerHarness
+	*nodeModel
+	worker *worker
+	conns  []simapi.Conn
+	calls  []string
+}
+
+// newNodeSteps draws a kind of worker.
+func newNodeSteps(s *modeltest.Steps) *nodeSteps {
+	spec, k := plain(1)
+	k.Cores, k.Slots, k.Queue = float64(1+s.Pick(4)), 2+s.Pick(5), s.Pick(6)
+	k.QueueOrder = []string{"fifo", "backfill"}[s.Pick(2)]
+	k.ExpiredJobs = []string{"run", "drop"}[s.Pick(2)]
+	k.CancellationStops, k.ReturnsQueued, k.OmitsStartNotifications = s.Pick(2) == 0, s.Pick(2) == 0, s.Pick(4) == 0
+	k.WarmUpBy = []string{"time", "work"}[s.Pick(2)]
+	k.Accept, k.Handshake = scenario.Duration(s.Pick(3))*scenario.Duration(ms), scenario.Duration(s.Pick(3))*scenario.Duration(ms)
+	k.ErrorRate, k.CallbackEarlyShare, k.CallbackLossShare, k.CallbackTwiceShare = 0.1, 0.2, 0.1, 0.1
+	k.CallbackDelay, k.ProgressInterval = scenario.Duration(ms), scenario.Duration(50*ms)
+	spec.Network = scenario.Network{Delay: scenario.Duration(ms), Jitter: 0.5}
+	spec.Classes[unsafeClass].Noise = 0.5
+	r := newWorkerHarness(s.T, spec, uint64(s.Pick(256)))
+	m := &nodeModel{s: s, kind: k, slots: map[string]float64{}, begun: map[string]bool{}}
+	r.see = m.saw
+	r.ack = func(_ *simapi.Input) (int, bool) { return []int{204, 200, 503, 0}[s.Pick(4)], s.Pick(8) > 0 }
+	return &nodeSteps{workerHarness: r, nodeModel: m, worker: r.w.workers[0], conns: []simapi.Conn{r.dial(0, 0)}, calls: []string{"unknown"}}
+}
+
+// step draws what happens next.
+func (m *nodeSteps) step(i int) {
+	s := m.s
+	pick, c, call := s.Pick(32), m.conns[s.Pick(len(m.conns))], m.calls[s.Pick(len(m.calls))]
+	s.Record(fmt.Sprintf("%v:%d", m.w.now, pick))
+	switch {
+	case pick < 3:
+		m.conns = append(m.conns, m.dial(0, 0))
+	case pick < 15:
+		call = fmt.Sprint("call-", i)
+		m.slots[call] = float64(int(1) << s.Pick(3))
+		m.addRequest(call, unsafeClass, float64(1+s.Pick(100))/1000, m.slots[call])
+		m.calls = append(m.calls, call)
+		m.apply(c, simapi.AttemptWritten, call)
+	case pick < 19:
+		kinds := []simapi.OutputKind{simapi.AttemptWritten, simapi.WorkerConnClosed, simapi.CancellationReceived, simapi.HealthCheckWritten}
+		m.apply(c, kinds[pick-15], call)
+	case pick < 25:
+		m.disturb(pick)
+	default:
+		m.pass(time.Duration(s.Pick(40)) * ms)
+	}
+}
+
+// disturb begins or ends a fault of the worker.
+func (m *nodeSteps) disturb(pick int) {
+	n, s := m.worker, m.s
+	switch pick {
+	case 19:
+		n.setHang(s.Pick(2) == 0)
+	case 20:
+		n.pause(time.Duration(s.Pick(50)) * ms)
+	case 21:
+		n.setSlowFactor(float64(1 + s.Pick(3)))
+	case 22:
+		ends := []func(time.Duration){n.crash, n.vanish, n.restart, n.replace, n.dieAtAccept}
+		ends[s.Pick(len(ends))](time.Duration(1+s.Pick(50)) * ms)
+	case 23:
+		[]func(){n.drain, n.returnQueued}[s.Pick(2)]()
+	case 24:
+		[]func(bool){n.setFull, n.setMute, n.setSlowRead}[s.Pick(3)](s.Pick(2) == 0)
+	}
+}
+
+// checkEnd plays until all that was taken has ended: nothing is left over.
+func (m *nodeSteps) checkEnd() {
+	n, s := m.worker, m.s
+	n.setHang(false)
+	m.pass(5 * time.Minute)
+	s.Check(len(m.in) == 0 && m.used == 0, "%v has no end, %v slots are in use", m.in, m.used)
+	s.Check(len(n.attempts)+len(n.attemptsByRequest)+len(n.queue)+len(n.running)+n.callbacks.outstanding+len(n.callbacks.callbacks) == 0 && n.usedSlots == 0,
+		"left over: %+v", n)
+	t := m.w.WorkerState(0)
+	s.Check(n.state != workerUp || t.Free == t.Slots && t.BacklogSeconds < 1e-6 && t.Speed > 0, "at rest it is %+v", t)
+}
+
 func TestCoresAreShared(t *testing.T) {
 	spec, k := plain(1)
 	k.Cores, k.Slots = 2, 4
