--- a/internal/testbed/environment/arrivals_test.go
+++ b/internal/testbed/environment/arrivals_test.go
@@ -122,15 +122,15 @@
 		if factor < 1 {
 			long, short = base, got
 		}
-		differ, left := jobsBeyond(long, short)
+		differ, unmatched := jobsBeyond(long, short)
 		for _, o := range differ {
 			if !inBurst(&o) {
 				t.Fatalf("factor %v: a job of tenant %d at %v comes or goes", factor, o.Tenant, o.At)
 			}
 		}
 		want := math.Abs(factor-1) * float64(all)
-		if len(left) > 0 || math.Abs(float64(len(differ))-want) > 5*math.Sqrt(want) {
-			t.Errorf("factor %v: %d jobs differ, not %v; %d are out of place", factor, len(differ), want, len(left))
+		if len(unmatched) > 0 || math.Abs(float64(len(differ))-want) > 5*math.Sqrt(want) {
+			t.Errorf("factor %v: %d jobs differ, not %v; %d are out of place", factor, len(differ), want, len(unmatched))
 		}
 	}
 }
@@ -140,8 +140,8 @@
 	return o.Tenant == 1 && o.At >= 50*time.Second && o.At < 100*time.Second
 }
 
-// jobsBeyond is the jobs of long that are not those of short, in order, and what is left of short.
-func jobsBeyond(long, short []trace.Event) (differ, left []trace.Event) {
+// jobsBeyond is the jobs of long that are not those of short, in order, and what of short is not among those of long.
+func jobsBeyond(long, short []trace.Event) (differ, unmatched []trace.Event) {
 	same := func(a, b trace.Event) bool { return a.At == b.At && a.Class == b.Class && a.Work == b.Work }
 	for _, o := range long {
 		if len(short) > 0 && same(o, short[0]) {
--- a/internal/testbed/environment/discovery_test.go
+++ b/internal/testbed/environment/discovery_test.go
@@ -282,24 +282,24 @@
 }
 
 // describeLists says in short what a scheduler heard of the list, in order: which worker's line it was is left out.
-func describeLists(inputs []simapi.Input) (heard string) {
+func describeLists(inputs []simapi.Input) (description string) {
 	for _, in := range inputs {
 		switch {
-		case in.Kind == simapi.WatchEnded && heard == "":
-			heard = "end "
-		case in.Kind == simapi.WatchEnded && heard == "end ": // and again and again
-			heard += "failed "
+		case in.Kind == simapi.WatchEnded && description == "":
+			description = "end "
+		case in.Kind == simapi.WatchEnded && description == "end ": // and again and again
+			description += "failed "
 		case in.Kind == simapi.ListReceived && in.List.Reset:
-			heard += "whole "
+			description += "whole "
 		case in.Kind == simapi.ListReceived && len(in.List.Endpoints) == 1:
 			if h := in.List.Endpoints[0]; h.Lifecycle != "up" {
-				heard += h.Lifecycle + " "
+				description += h.Lifecycle + " "
 			} else {
-				heard += map[bool]string{true: "up1 ", false: "up2 "}[h.StartedAtMs == 0]
+				description += map[bool]string{true: "up1 ", false: "up2 "}[h.StartedAtMs == 0]
 			}
 		}
 	}
-	return heard
+	return description
 }
 
 // What is done to discovery, and what a scheduler then hears of the list, in order.
--- a/internal/testbed/environment/fault_workers.go
+++ b/internal/testbed/environment/fault_workers.go
@@ -16,150 +16,150 @@
 
 // applyToWorker strikes one worker.
 func (x *activeFault) applyToWorker(i int) {
-	strike := &workerStrike{activeFault: x, worker: x.timeline.env.workers[i], faults: &x.timeline.workers[i]}
+	target := &faultyWorker{activeFault: x, worker: x.timeline.env.workers[i], faults: &x.timeline.workers[i]}
 	x.recordWorkers(trace.WorkerFaultStarted, []int{i})
 	switch x.Kind {
 	case "crash", "vanish", "restart", "replace", "early_202_crash":
-		strike.endProcess()
-		strike.endAtNextStart()
+		target.endProcess()
+		target.endAtNextStart()
 	case "drain":
-		strike.worker.drain()
+		target.worker.drain()
 	case "gone":
-		strike.worker.remove()
+		target.worker.remove()
 	case "handback":
-		strike.worker.returnQueued()
-		strike.recordEnd()
+		target.worker.returnQueued()
+		target.recordEnd()
 		x.end()
 	case "pause":
-		strike.worker.pause(x.Duration.Std())
-		strike.endLater(func() {})
+		target.worker.pause(x.Duration.Std())
+		target.endLater(func() {})
 	case "hang", "full", "no_notes", "refuse", "never_up", "slow_read":
-		strike.setCondition(strike.condition())
+		target.setCondition(target.condition())
 	case "slow", "errors", "reset_at":
-		strike.addSize(strike.sizes())
+		target.addSize(target.sizes())
 	default:
 		panic("world: no such fault of a worker node: " + x.Kind)
 	}
 }
 
-// workerStrike is an active fault at one of the workers that it strikes.
-type workerStrike struct {
+// faultyWorker is an active fault at one of the workers that it strikes.
+type faultyWorker struct {
 	*activeFault
 	worker *worker
 	faults *workerFaults // of all faults, on this worker
 }
 
-func (s *workerStrike) recordEnd() {
-	s.recordWorkers(trace.WorkerFaultEnded, []int{s.worker.number})
+func (f *faultyWorker) recordEnd() {
+	f.recordWorkers(trace.WorkerFaultEnded, []int{f.worker.number})
 }
 
 // endLater ends the strike after the fault's duration, if it ever ends.
-func (s *workerStrike) endLater(undo func()) {
-	s.activeFault.endLater(func() {
+func (f *faultyWorker) endLater(undo func()) {
+	f.activeFault.endLater(func() {
 		undo()
-		s.recordEnd()
+		f.recordEnd()
 	})
 }
 
 // endAtNextStart ends the strike when the worker has its next process, if it is to have one.
-func (s *workerStrike) endAtNextStart() {
-	if s.Duration > 0 {
-		waiters := &s.timeline.restartWaiters[s.worker.number]
-		*waiters = append(*waiters, s.recordEnd, s.end)
+func (f *faultyWorker) endAtNextStart() {
+	if f.Duration > 0 {
+		waiters := &f.timeline.restartWaiters[f.worker.number]
+		*waiters = append(*waiters, f.recordEnd, f.end)
 	}
 }
 
 // endProcess ends the worker's process, now or once it accepts an attempt.
-func (s *workerStrike) endProcess() {
-	restartAfter := s.Duration.Std()
-	switch s.Kind {
+func (f *faultyWorker) endProcess() {
+	restartAfter := f.Duration.Std()
+	switch f.Kind {
 	case "crash":
-		s.worker.crash(restartAfter)
+		f.worker.crash(restartAfter)
 	case "vanish":
-		s.worker.vanish(restartAfter)
+		f.worker.vanish(restartAfter)
 	case "restart":
-		s.worker.restart(restartAfter)
+		f.worker.restart(restartAfter)
 	case "replace":
-		s.worker.replace(restartAfter)
+		f.worker.replace(restartAfter)
 	case "early_202_crash":
-		s.worker.dieAtAccept(restartAfter)
+		f.worker.dieAtAccept(restartAfter)
 	}
 }
 
 // condition is what the fault switches on, and the count of the faults that hold it on.
-func (s *workerStrike) condition() (count *int, set func(on bool)) {
-	switch s.Kind {
+func (f *faultyWorker) condition() (count *int, set func(on bool)) {
+	switch f.Kind {
 	case "hang":
-		return &s.faults.hangs, s.worker.setHang
+		return &f.faults.hangs, f.worker.setHang
 	case "full":
-		return &s.faults.fulls, s.worker.setFull
+		return &f.faults.fulls, f.worker.setFull
 	case "no_notes":
-		return &s.faults.mutes, s.worker.setMute
+		return &f.faults.mutes, f.worker.setMute
 	case "refuse":
-		return &s.faults.refusals, s.worker.setRefusing
+		return &f.faults.refusals, f.worker.setRefusing
 	case "never_up":
-		return &s.faults.silences, s.worker.setSilent
+		return &f.faults.silences, f.worker.setSilent
 	default: // slow_read
-		return &s.faults.slowReads, s.worker.setSlowRead
+		return &f.faults.slowReads, f.worker.setSlowRead
 	}
 }
 
 // setCondition switches a condition on, and off again once no fault holds it on any more.
-func (s *workerStrike) setCondition(count *int, set func(on bool)) {
+func (f *faultyWorker) setCondition(count *int, set func(on bool)) {
 	*count++
 	set(true)
-	s.endLater(func() {
+	f.endLater(func() {
 		*count--
 		set(*count > 0)
 	})
 }
 
 // sizes are the sizes of the faults of this kind that hold at once, and apply has the worker follow all of them.
-func (s *workerStrike) sizes() (sizes *[]float64, apply func()) {
-	switch s.Kind {
+func (f *faultyWorker) sizes() (sizes *[]float64, apply func()) {
+	switch f.Kind {
 	case "slow":
-		return &s.faults.slowFactors, s.applySlowFactors
+		return &f.faults.slowFactors, f.applySlowFactors
 	case "errors":
-		return &s.faults.errorRates, s.applyErrorRates
+		return &f.faults.errorRates, f.applyErrorRates
 	default: // reset_at
-		return &s.faults.resetBytes, s.applyResetBytes
+		return &f.faults.resetBytes, f.applyResetBytes
 	}
 }
 
 // addSize adds the fault's size to those that hold, until it ends.
-func (s *workerStrike) addSize(sizes *[]float64, apply func()) {
-	*sizes = append(*sizes, s.Size)
+func (f *faultyWorker) addSize(sizes *[]float64, apply func()) {
+	*sizes = append(*sizes, f.Size)
 	apply()
-	s.endLater(func() {
-		i := slices.Index(*sizes, s.Size)
+	f.endLater(func() {
+		i := slices.Index(*sizes, f.Size)
 		*sizes = slices.Delete(*sizes, i, i+1)
 		apply()
 	})
 }
 
 // applySlowFactors slows the worker down by the product of all factors.
-func (s *workerStrike) applySlowFactors() {
+func (f *faultyWorker) applySlowFactors() {
 	product := 1.0
-	for _, factor := range s.faults.slowFactors {
+	for _, factor := range f.faults.slowFactors {
 		product *= factor
 	}
-	s.worker.setSlowFactor(product)
+	f.worker.setSlowFactor(product)
 }
 
 // applyErrorRates has the worker fail at the largest of all rates.
-func (s *workerStrike) applyErrorRates() {
+func (f *faultyWorker) applyErrorRates() {
 	largest := -1.0
-	for _, rate := range s.faults.errorRates {
+	for _, rate := range f.faults.errorRates {
 		largest = max(largest, rate)
 	}
-	s.worker.setErrorRate(largest)
+	f.worker.setErrorRate(largest)
 }
 
 // applyResetBytes has the worker reset connections after as many bytes as the latest fault says.
-func (s *workerStrike) applyResetBytes() {
+func (f *faultyWorker) applyResetBytes() {
 	bytes := 0
-	if n := len(s.faults.resetBytes); n > 0 {
-		bytes = int(s.faults.resetBytes[n-1])
+	if n := len(f.faults.resetBytes); n > 0 {
+		bytes = int(f.faults.resetBytes[n-1])
 	}
-	s.worker.setResetBytes(bytes)
+	f.worker.setResetBytes(bytes)
 }
