--- a/internal/testbed/process/clients.go
+++ b/internal/testbed/process/clients.go
@@ -25,18 +25,18 @@
 
 // sendRequest carries a client's request over its connection, which begins with the first.
 func (d *driver) sendRequest(input *simapi.Input) {
-	c := d.clients[input.Conn]
-	if c == nil {
-		c = &client{driver: d, id: input.Conn, scheduler: input.Scheduler, target: d.addresses.scheduler(input.Scheduler)}
-		d.clients[input.Conn] = c
-		if err := d.dial(&c.socketConn, d.addresses.client(uint64(input.Conn)), c.target, c); err != nil {
-			c.connFailed(err)
+	conn := d.clients[input.Conn]
+	if conn == nil {
+		conn = &client{driver: d, id: input.Conn, scheduler: input.Scheduler, target: d.addresses.scheduler(input.Scheduler)}
+		d.clients[input.Conn] = conn
+		if err := d.dial(&conn.socketConn, d.addresses.client(uint64(input.Conn)), conn.target, conn); err != nil {
+			conn.connFailed(err)
 			return
 		}
 	}
-	c.request, c.resent = input.Request, false
+	conn.request, conn.resent = input.Request, false
 	d.requestForms.add(input.Request, d.now)
-	c.sendRequest()
+	conn.sendRequest()
 }
 
 func (c *client) sendRequest() {
--- a/internal/testbed/process/driver.go
+++ b/internal/testbed/process/driver.go
@@ -234,20 +234,20 @@
 
 // nextAt is when the loop wants to run at the latest, an end in the environment's time included.
 func (d *driver) nextAt(end time.Duration) time.Duration {
-	at := d.now + time.Second
+	next := d.now + time.Second
 	if !d.holding {
 		if len(d.outputs) > 0 {
 			return 0
 		}
-		if next, ok := d.environment.Next(); ok {
-			end = min(end, next)
+		if environmentNext, ok := d.environment.Next(); ok {
+			end = min(end, environmentNext)
 		}
-		at = min(at, end+d.held)
+		next = min(next, end+d.held)
 	}
 	if d.timers.Len() > 0 {
-		at = min(at, d.timers.First().At)
+		next = min(next, d.timers.First().At)
 	}
-	return at
+	return next
 }
 
 // ---- The loop ----
@@ -346,51 +346,74 @@
 }
 
 // carryOut does what reaches a scheduler.
-func (d *driver) carryOut(in *simapi.Input) {
-	switch in.Kind {
-	case simapi.Start:
-		d.schedulers[in.Scheduler].start(in.Start)
-	case simapi.Terminate, simapi.Kill, simapi.Freeze, simapi.Resume:
-		d.schedulers[in.Scheduler].signal(in.Kind)
-	case simapi.Replace:
-		d.schedulers[in.Scheduler].replace()
-	case simapi.Reload:
-		d.failIfLocal(d.openDiscovery(in.Discovery))
-		d.schedulers[in.Scheduler].reload(in.Discovery)
+func (d *driver) carryOut(input *simapi.Input) {
+	switch input.Kind {
+	case simapi.Start, simapi.Terminate, simapi.Kill, simapi.Freeze, simapi.Resume, simapi.Replace, simapi.Reload:
+		d.controlProcess(input)
 	case simapi.RequestReceived:
-		d.sendRequest(in)
+		d.sendRequest(input)
 	case simapi.ClientClosed:
-		d.closeClient(in.Conn)
+		d.closeClient(input.Conn)
 	case simapi.ClientMisbehaves:
-		d.startMisbehaving(in)
-	case simapi.WorkerConnected:
-		if k := d.workerConns[in.Conn]; k != nil {
-			k.accepted(in.Bytes)
-		}
-	case simapi.WorkerDisconnected:
-		if k := d.workerConns[in.Conn]; k != nil {
-			k.closeByWorker(in.Reset)
-		}
-	case simapi.ResponseReceived:
-		if k := d.workerConns[in.Conn]; k != nil {
-			k.respond(in)
-		}
+		d.startMisbehaving(input)
+	case simapi.WorkerConnected, simapi.WorkerDisconnected, simapi.ResponseReceived:
+		d.actOnWorkerConn(input)
 	case simapi.CallbackReceived:
-		d.sendCallback(in)
-	case simapi.ListReceived:
-		d.sendList(in)
-	case simapi.WatchHeartbeat:
-		d.sendHeartbeat(in)
-	case simapi.WatchEnded:
-		d.endWatch(in)
+		d.sendCallback(input)
+	case simapi.ListReceived, simapi.WatchHeartbeat, simapi.WatchEnded:
+		d.actOnWatch(input)
 	case simapi.WatchConnected:
 	case simapi.AcceptModeChanged:
-		if in.Worker < len(d.workers) {
-			d.failIfLocal(d.workers[in.Worker].setMode(in.Machine, in.Mode))
+		if input.Worker < len(d.workers) {
+			d.failIfLocal(d.workers[input.Worker].setMode(input.Machine, input.Mode))
 		}
 	case simapi.DiscoveryAcceptModeChanged:
-		d.failIfLocal(d.setDiscoveryMode(in.Discovery, in.Mode))
+		d.failIfLocal(d.setDiscoveryMode(input.Discovery, input.Mode))
+	default:
+		d.fail(fmt.Errorf("the world hands over something of kind %d, which is not known here", input.Kind))
+	}
+}
+
+// controlProcess starts, ends or signals a scheduler's process.
+func (d *driver) controlProcess(input *simapi.Input) {
+	target := d.schedulers[input.Scheduler]
+	switch input.Kind {
+	case simapi.Start:
+		target.start(input.Start)
+	case simapi.Replace:
+		target.replace()
+	case simapi.Reload:
+		d.failIfLocal(d.openDiscovery(input.Discovery))
+		target.reload(input.Discovery)
 	default:
-		d.fail(fmt.Errorf("the world hands over something of kind %d, which is not known here", in.Kind))
+		target.signal(input.Kind)
+	}
+}
+
+// actOnWorkerConn does what a worker does on a connection, if that is still there.
+func (d *driver) actOnWorkerConn(input *simapi.Input) {
+	conn := d.workerConns[input.Conn]
+	if conn == nil {
+		return
+	}
+	switch input.Kind {
+	case simapi.WorkerConnected:
+		conn.accepted(input.Bytes)
+	case simapi.WorkerDisconnected:
+		conn.closeByWorker(input.Reset)
+	case simapi.ResponseReceived:
+		conn.respond(input)
+	}
+}
+
+// actOnWatch does what discovery does on a scheduler's watch.
+func (d *driver) actOnWatch(input *simapi.Input) {
+	switch input.Kind {
+	case simapi.ListReceived:
+		d.sendList(input)
+	case simapi.WatchHeartbeat:
+		d.sendHeartbeat(input)
+	case simapi.WatchEnded:
+		d.endWatch(input)
 	}
 }
--- a/internal/testbed/process/socket.go
+++ b/internal/testbed/process/socket.go
@@ -61,7 +61,7 @@
 
 // dial begins a connection. How it fares is told to peer, but for what fails at once. from may be invalid, or an
 // address of this machine with port 0.
-func (p *poller) dial(s *socketConn, from, target netip.AddrPort, who peer) error {
+func (p *poller) dial(conn *socketConn, from, target netip.AddrPort, who peer) error {
 	descriptor, err := newSocket()
 	if err != nil {
 		return err
@@ -82,10 +82,10 @@
 		}
 		return err
 	}
-	*s = socketConn{poller: p, fd: descriptor, peer: who, events: streamEvents | unix.EPOLLOUT}
-	if err := p.add(descriptor, s.events, s); err != nil {
+	*conn = socketConn{poller: p, fd: descriptor, peer: who, events: streamEvents | unix.EPOLLOUT}
+	if err := p.add(descriptor, conn.events, conn); err != nil {
 		_ = unix.Close(descriptor)
-		s.closed = true
+		conn.closed = true
 		return localError{err}
 	}
 	return nil
--- a/internal/testbed/process/workers.go
+++ b/internal/testbed/process/workers.go
@@ -219,14 +219,15 @@
 	}
 }
 
+// handleAttempt takes an attempt that has been read whole.
 func (k *workerConn) handleAttempt(request *http.Request, path string, body []byte) {
 	driver := k.worker.driver
-	call, ok := singleValue(request.Header, "X-Call-Id")
+	requestID, ok := singleValue(request.Header, "X-Call-Id")
 	key, ok2 := singleValue(request.Header, "Idempotency-Key")
 	budget, ok3 := singleValue(request.Header, "X-Budget-Ms")
-	ms, err := strconv.ParseUint(budget, 10, 40)
+	budgetMs, err := strconv.ParseUint(budget, 10, 40)
 	switch {
-	case call == "":
+	case requestID == "":
 		k.writeResponse(404, "")
 		return
 	case !ok || !ok2 || !ok3 || budget != "" && err != nil:
@@ -238,24 +239,24 @@
 		}
 		return
 	}
-	a := driver.requestForms.find(call)
-	if a == nil && driver.options.Guests && !isHiddenRequest(call) {
-		k.runGuest(call)
+	form := driver.requestForms.find(requestID)
+	if form == nil && driver.options.Guests && !isHiddenRequest(requestID) {
+		k.runGuest(requestID)
 		return
 	}
-	if a != nil {
+	if form != nil {
 		// Nobody has sent the request in this form; under its own id it would pass for one that somebody has.
-		if what := driver.describeAlteration(a, request, key, body); what != "" {
+		if what := driver.describeAlteration(form, request, key, body); what != "" {
 			if len(driver.alteredRequests) < maxAltered {
 				driver.alteredRequests = append(driver.alteredRequests, fmt.Sprintf("query %s reached w-%d from scheduler %d with another %s",
-					call, k.worker.number, k.scheduler, what))
+					requestID, k.worker.number, k.scheduler, what))
 			}
-			call += "!" + what
+			requestID += "!" + what
 		}
 	}
 	k.awaitingResponse = true
 	k.addOutput(simapi.Output{
-		Kind: simapi.AttemptWritten, RequestID: call, IdempotencyKey: key, Budget: time.Duration(ms) * time.Millisecond,
+		Kind: simapi.AttemptWritten, RequestID: requestID, IdempotencyKey: key, Budget: time.Duration(budgetMs) * time.Millisecond,
 		FirstByteAt: k.firstByteAt,
 	})
 }
