--- a/internal/testbed/process/driver_test.go
+++ b/internal/testbed/process/driver_test.go
@@ -124,52 +124,10 @@
 
 // Clients write requests as the protocol shows them, and take answers in any framing.
 func TestClients(t *testing.T) {
-	mux := http.NewServeMux()
-	mux.HandleFunc("POST /account-credit/{key}", func(w http.ResponseWriter, q *http.Request) {
-		call := q.Header.Get("X-Call-Id")
-		body, _ := io.ReadAll(q.Body)
-		for name, value := range map[string]string{
-			"X-Call-Class": "account-credit", "X-Caller": "mardan-society",
-			"X-Budget-Ms": "480", "Idempotency-Key": q.PathValue("key"), "X-Call-Cost": "12000",
-			"X-Call-Info": "slots=2", "X-Again": "1",
-		} {
-			if got := q.Header.Get(name); got != value {
-				t.Errorf("%s: %q, expected %q", name, got, value)
-			}
-		}
-		if len(body) != 300 || !strings.HasPrefix(string(body), call) {
-			t.Errorf("body %q", body)
-		}
-		switch call {
-		case "chunked":
-			_, _ = io.WriteString(w, "made in ")
-			w.(http.Flusher).Flush()
-			_, _ = io.WriteString(w, "chunks")
-		case "refused":
-			w.Header().Set("Retry-After", "0.25")
-			w.WriteHeader(503)
-		case "interim":
-			raw(w, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-		case "unframed":
-			raw(w, "HTTP/1.0 500 Oh\r\n\r\nuntil the end")
-		case "cut":
-			raw(w, "")
-		case "garbage":
-			raw(w, "what?\r\n\r\n")
-		default:
-			_, _ = io.WriteString(w, "made")
-		}
-	})
 	r := newRig(t, Options{})
-	request := func(conn simapi.Conn, call string) {
-		r.do(simapi.Input{Kind: simapi.RequestReceived, Conn: conn, Request: &simapi.ClientRequest{
-			RequestID: call, Class: 3, Tenant: 1, IdempotencyKey: "k-" + call,
-			Budget: 480*time.Millisecond + 700, CostHint: 12 * time.Millisecond, Slots: 2, BodyLength: 300, Retry: true,
-		}})
-	}
-	request(1, "nobody")
+	r.sendRequest(1, "nobody")
 	r.want(simapi.ClientConnFailed)
-	r.serve(mux)
+	r.serve(framingHandler(t))
 	for i, x := range []struct {
 		call, result string
 		status       int // 0: the connection ends instead
@@ -186,7 +144,7 @@
 		{call: "garbage"},
 	} {
 		conn := simapi.Conn(2 + max(0, i-4)) // the first five share one
-		request(conn, x.call)
+		r.sendRequest(conn, x.call)
 		if x.status > 0 {
 			o := r.want(simapi.ResponseWritten)
 			o.Kind = 0
@@ -202,6 +160,60 @@
 	}
 }
 
+// sendRequest has a client send a request with all that one may have.
+func (r *rig) sendRequest(conn simapi.Conn, call string) {
+	r.do(simapi.Input{Kind: simapi.RequestReceived, Conn: conn, Request: &simapi.ClientRequest{
+		RequestID: call, Class: 3, Tenant: 1, IdempotencyKey: "k-" + call,
+		Budget: 480*time.Millisecond + 700, CostHint: 12 * time.Millisecond, Slots: 2, BodyLength: 300, Retry: true,
+	}})
+}
+
+// framingHandler checks the requests of sendRequest, and answers them in all framings, by their ids.
+func framingHandler(t *testing.T) http.Handler {
+	t.Helper()
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST /account-credit/{key}", func(w http.ResponseWriter, q *http.Request) {
+		call := q.Header.Get("X-Call-Id")
+		body, _ := io.ReadAll(q.Body)
+		for name, value := range map[string]string{
+			"X-Call-Class": "account-credit", "X-Caller": "mardan-society",
+			"X-Budget-Ms": "480", "Idempotency-Key": q.PathValue("key"), "X-Call-Cost": "12000",
+			"X-Call-Info": "slots=2", "X-Again": "1",
+		} {
+			if got := q.Header.Get(name); got != value {
+				t.Errorf("%s: %q, expected %q", name, got, value)
+			}
+		}
+		if len(body) != 300 || !strings.HasPrefix(string(body), call) {
+			t.Errorf("body %q", body)
+		}
+		answerFramed(w, call)
+	})
+	return mux
+}
+
+func answerFramed(w http.ResponseWriter, call string) {
+	switch call {
+	case "chunked":
+		_, _ = io.WriteString(w, "made in ")
+		w.(http.Flusher).Flush()
+		_, _ = io.WriteString(w, "chunks")
+	case "refused":
+		w.Header().Set("Retry-After", "0.25")
+		w.WriteHeader(503)
+	case "interim":
+		raw(w, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	case "unframed":
+		raw(w, "HTTP/1.0 500 Oh\r\n\r\nuntil the end")
+	case "cut":
+		raw(w, "")
+	case "garbage":
+		raw(w, "what?\r\n\r\n")
+	default:
+		_, _ = io.WriteString(w, "made")
+	}
+}
+
 // A request that crosses the close of its connection is sent once more; one that was read and dropped is not.
 func TestCrossedClose(t *testing.T) {
 	r := newRig(t, Options{})
@@ -289,9 +301,6 @@
 		t.Fatalf("%+v", dial)
 	}
 	up := simapi.Input{Kind: simapi.WorkerConnected, Conn: dial.Conn}
-	answer := func(status int) {
-		r.do(simapi.Input{Kind: simapi.ResponseReceived, Conn: dial.Conn, Status: status, Rejected: status == 503})
-	}
 	body := string(appendBody(nil, "c1", 40))
 	r.d.post(func() {
 		r.d.requestForms.add(&simapi.ClientRequest{RequestID: "c1", Class: 3, IdempotencyKey: "k1", BodyLength: 40}, 0)
@@ -302,10 +311,27 @@
 	if o.RequestID != "c1" || o.IdempotencyKey != "k1" || o.Budget != 77*time.Millisecond || o.Worker != 1 || o.FirstByteAt <= 0 {
 		t.Errorf("%+v", o)
 	}
-	answer(202)
+	s.answer(dial.Conn, 202)
 	if got := s.status(); got != 202 {
 		t.Errorf("202: %d", got)
 	}
+	s.checkForwarded(dial.Conn, body)
+	s.checkAnsweredByItself(body)
+	_, _ = io.WriteString(s, "what?\r\n\r\n")
+	if got := s.status(); got != 400 || s.status() != 0 {
+		t.Errorf("garbage: %d", got)
+	}
+	r.want(simapi.WorkerConnClosed)
+}
+
+// answer has the environment answer what was read last.
+func (s *schedEnd) answer(conn simapi.Conn, status int) {
+	s.r.do(simapi.Input{Kind: simapi.ResponseReceived, Conn: conn, Status: status, Rejected: status == 503})
+}
+
+// checkForwarded checks what the worker passes on to the environment.
+func (s *schedEnd) checkForwarded(conn simapi.Conn, body string) {
+	s.r.Helper()
 	for _, x := range []struct {
 		text string
 		kind simapi.OutputKind
@@ -319,16 +345,21 @@
 		{"DELETE /jobs/c1 HTTP/1.1\r\nHost: w\r\n\r\n", simapi.CancellationReceived, "c1"},
 	} {
 		_, _ = io.WriteString(s, x.text)
-		o := r.want(x.kind)
+		o := s.r.want(x.kind)
 		if o.RequestID != x.call || o.WantsLoadReport != strings.Contains(x.text, "load") {
-			t.Errorf("%s: %+v", x.text, o)
+			s.r.Errorf("%s: %+v", x.text, o)
 		}
-		answer(503)
+		s.answer(conn, 503)
 		a, err := http.ReadResponse(s.in, nil)
 		if err != nil || a.StatusCode != 503 || a.Header.Get("X-Rejected") != "1" {
-			t.Errorf("%s: %v, %v", x.text, a, err)
+			s.r.Errorf("%s: %v, %v", x.text, a, err)
 		}
 	}
+}
+
+// checkAnsweredByItself checks what the worker answers without the environment.
+func (s *schedEnd) checkAnsweredByItself(body string) {
+	s.r.Helper()
 	for request, status := range map[string]int{
 		"GET /else HTTP/1.1\r\nHost: w\r\n\r\n":                             404,
 		"POST /account-credit/k HTTP/1.1\r\nHost: w\r\n\r\n":                404, // without an id
@@ -338,14 +369,9 @@
 	} {
 		_, _ = io.WriteString(s, request)
 		if got := s.status(); got != status {
-			t.Errorf("%s: %d, expected %d", request, got, status)
+			s.r.Errorf("%s: %d, expected %d", request, got, status)
 		}
 	}
-	_, _ = io.WriteString(s, "what?\r\n\r\n")
-	if got := s.status(); got != 400 || s.status() != 0 {
-		t.Errorf("garbage: %d", got)
-	}
-	r.want(simapi.WorkerConnClosed)
 }
 
 // The environment resets links at any byte, and closes them.
@@ -648,61 +674,65 @@
 
 func TestProcesses(t *testing.T) {
 	before := runtime.NumGoroutine()
-	t.Run("play", func(t *testing.T) {
-		var usage trace.Event
-		looked := make(chan struct{})
-		exe, err := os.Executable()
-		if err != nil {
-			t.Fatal(err)
-		}
-		r := newRig(t, Options{Binary: exe, Env: []string{"LIVE_FAKE=1"}, Cores: []int{0}, Observer: func(s *trace.Event) {
-			if s.Kind == trace.ResourceUsage && s.Scheduler == 0 && usage.Kind == 0 {
-				usage = *s
-				close(looked)
-			}
-		}})
-		known := requests.EndpointList{Revision: 9, Endpoints: []requests.Endpoint{{ID: "w-1", Lifecycle: "up"}}}
-		boot := &simapi.StartOptions{Name: "s1", Seed: 5, KnownEndpoints: known}
-		start := simapi.Input{Kind: simapi.Start, Start: boot}
-		polls := func(after int64, ready bool) { // in any order
-			t.Helper()
-			for sent := false; !sent || ready; {
-				switch o := r.next(); {
-				case o.Kind == simapi.Ready && ready:
-					ready = false
-				case o.Kind == simapi.WatchRequested && !sent && int64(o.RetryAfter) == after:
-					sent = true
-				default:
-					t.Fatalf("%+v", o)
-				}
-			}
-		}
-		r.do(start)
-		polls(9, true) // the generation that it was started with
-		<-looked
-		if usage.Memory <= 0 || usage.OpenFiles <= 0 || usage.CPU <= 0 {
-			t.Errorf("%+v", usage)
-		}
-		r.do(simapi.Input{Kind: simapi.Freeze}, simapi.Input{Kind: simapi.Resume}, simapi.Input{Kind: simapi.Reload, Discovery: 1})
-		polls(9, false)
-		r.do(simapi.Input{Kind: simapi.Terminate})
-		if o := r.want(simapi.Exited); o.Status != 7 {
-			t.Errorf("%+v", o)
-		}
-		boot.KnownEndpoints.Revision = 10
-		r.do(start)
-		polls(10, true)
-		r.do(simapi.Input{Kind: simapi.Freeze}, simapi.Input{Kind: simapi.Kill}) // of which nothing is told
-		r.do(start)
-		polls(10, true)
-		log, err := os.ReadFile(r.d.schedulers[0].log.path)
-		text := string(log)
-		if err != nil || strings.Count(text, "begins") != 3 || !strings.Contains(text, "discovery moved") {
-			t.Errorf("log %s, %v", log, err)
-		}
-	})
+	t.Run("play", playProcesses)
 	// What has ended may still be on its way out; what has not keeps the test from ending.
 	for runtime.NumGoroutine() > before {
 		runtime.Gosched()
 	}
 }
+
+func playProcesses(t *testing.T) {
+	exe, err := os.Executable()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var usage trace.Event
+	looked := make(chan struct{})
+	r := newRig(t, Options{Binary: exe, Env: []string{"LIVE_FAKE=1"}, Cores: []int{0}, Observer: func(s *trace.Event) {
+		if s.Kind == trace.ResourceUsage && s.Scheduler == 0 && usage.Kind == 0 {
+			usage = *s
+			close(looked)
+		}
+	}})
+	known := requests.EndpointList{Revision: 9, Endpoints: []requests.Endpoint{{ID: "w-1", Lifecycle: "up"}}}
+	boot := &simapi.StartOptions{Name: "s1", Seed: 5, KnownEndpoints: known}
+	start := simapi.Input{Kind: simapi.Start, Start: boot}
+	r.do(start)
+	r.wantPoll(9, true) // the generation that it was started with
+	<-looked
+	if usage.Memory <= 0 || usage.OpenFiles <= 0 || usage.CPU <= 0 {
+		t.Errorf("%+v", usage)
+	}
+	r.do(simapi.Input{Kind: simapi.Freeze}, simapi.Input{Kind: simapi.Resume}, simapi.Input{Kind: simapi.Reload, Discovery: 1})
+	r.wantPoll(9, false)
+	r.do(simapi.Input{Kind: simapi.Terminate})
+	if o := r.want(simapi.Exited); o.Status != 7 {
+		t.Errorf("%+v", o)
+	}
+	boot.KnownEndpoints.Revision = 10
+	r.do(start)
+	r.wantPoll(10, true)
+	r.do(simapi.Input{Kind: simapi.Freeze}, simapi.Input{Kind: simapi.Kill}) // of which nothing is told
+	r.do(start)
+	r.wantPoll(10, true)
+	log, err := os.ReadFile(r.d.schedulers[0].log.path)
+	text := string(log)
+	if err != nil || strings.Count(text, "begins") != 3 || !strings.Contains(text, "discovery moved") {
+		t.Errorf("log %s, %v", log, err)
+	}
+}
+
+// wantPoll waits for a scheduler's poll of discovery for what came after a revision, and for it to be ready, in any order.
+func (r *rig) wantPoll(after int64, ready bool) {
+	r.Helper()
+	for sent := false; !sent || ready; {
+		switch o := r.next(); {
+		case o.Kind == simapi.Ready && ready:
+			ready = false
+		case o.Kind == simapi.WatchRequested && !sent && int64(o.RetryAfter) == after:
+			sent = true
+		default:
+			r.Fatalf("%+v", o)
+		}
+	}
+}
--- a/internal/testbed/process/misbehaving.go
+++ b/internal/testbed/process/misbehaving.go
@@ -256,7 +256,7 @@
 // coming, but for those that leave by themselves.
 var misbehaviors = map[string]func(o *misbehavingClient, request misbehavingRequest, spec *simapi.Misbehavior){
 	"garbage":         (*misbehavingClient).sendGarbage,
-	"endless_head":    (*misbehavingClient).sendEndlessHead,
+	"endless_head":    (*misbehavingClient).sendEndlessHeader,
 	"wrong_length":    (*misbehavingClient).sendWrongLength,
 	"negative_length": (*misbehavingClient).sendNegativeLength,
 	"huge_length":     (*misbehavingClient).sendHugeLength,
@@ -270,7 +270,7 @@
 	"insist":          (*misbehavingClient).sendInsistently,
 	"silent":          (*misbehavingClient).sendNothing,
 	"smuggle":         (*misbehavingClient).sendSmuggled,
-	"slow_head":       (*misbehavingClient).sendHeadSlowly,
+	"slow_head":       (*misbehavingClient).sendHeaderSlowly,
 	"slow_reader":     (*misbehavingClient).readSlowly,
 }
 
@@ -293,7 +293,7 @@
 	o.connect(append(b, "\r\n\r\n"...))
 }
 
-func (o *misbehavingClient) sendEndlessHead(request misbehavingRequest, _ *simapi.Misbehavior) {
+func (o *misbehavingClient) sendEndlessHeader(request misbehavingRequest, _ *simapi.Misbehavior) {
 	line := []byte(strings.Repeat("X-More: "+strings.Repeat("m", 100)+"\r\n", 40))
 	o.connect(http1.AppendRequestStart(nil, "POST", request.path, request.endpoint)).feed = func() []byte { return line }
 }
@@ -389,8 +389,8 @@
 	o.connect(request.bytes())
 }
 
-// sendHeadSlowly sends a request byte by byte.
-func (o *misbehavingClient) sendHeadSlowly(request misbehavingRequest, _ *simapi.Misbehavior) {
+// sendHeaderSlowly sends a request byte by byte.
+func (o *misbehavingClient) sendHeaderSlowly(request misbehavingRequest, _ *simapi.Misbehavior) {
 	b := request.bytes()
 	conn, sent := o.connect(b[:1]), 1
 	conn.repeatSlowly(func() {
--- a/internal/testbed/process/run_test.go
+++ b/internal/testbed/process/run_test.go
@@ -43,41 +43,23 @@
 	if outputs, err := exec.Command("go", "build", "-o", binary, "valvecove/cmd/valvecove").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, outputs)
 	}
-	settled, open := map[uint64]int{}, map[string]bool{}
-	last, dueAt := time.Duration(0), 0
+	history := &jobHistory{TB: t, settled: map[uint64]int{}, open: map[string]bool{}}
 	var progress atomic.Int32
 	o, err := Run(t.Context(), testSpec(t, calm+"[[fault]]\nwhat = \"sched_replace\"\nat = \"500ms\"\n"), 3, Options{
 		Binary:   binary,
 		Progress: func(Progress) { progress.Add(1) },
-		Observer: func(s *trace.Event) {
-			if s.At < last {
-				t.Errorf("%v after %v", s.At, last)
-			}
-			switch last = s.At; s.Kind {
-			case trace.JobDue:
-				dueAt++
-			case trace.JobSettled:
-				settled[s.JobID]++
-			case trace.RequestSent:
-				open[s.RequestID] = true
-			case trace.ResponseReceived:
-				if !open[s.RequestID] {
-					t.Errorf("an answer to %s, which awaits none", s.RequestID)
-				}
-				delete(open, s.RequestID)
-			}
-		},
+		Observer: history.see,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for job, n := range settled {
+	for job, n := range history.settled {
 		if n != 1 {
 			t.Errorf("job %d settled %d times", job, n)
 		}
 	}
-	if !o.Finished || dueAt == 0 || len(settled) != dueAt || len(o.AlteredRequests) > 0 || progress.Load() == 0 {
-		t.Errorf("%d due, %d settled, %+v", dueAt, len(settled), o)
+	if !o.Finished || history.jobCount == 0 || len(history.settled) != history.jobCount || len(o.AlteredRequests) > 0 || progress.Load() == 0 {
+		t.Errorf("%d due, %d settled, %+v", history.jobCount, len(history.settled), o)
 	}
 	for _, p := range o.Schedulers {
 		if p.Starts != 2 || len(p.Exits) > 0 {
@@ -86,6 +68,34 @@
 	}
 }
 
+// jobHistory counts the jobs of a run, and checks that each answer is to an open request.
+type jobHistory struct {
+	testing.TB
+	last     time.Duration
+	jobCount int
+	settled  map[uint64]int  // by job
+	open     map[string]bool // by request id
+}
+
+func (h *jobHistory) see(s *trace.Event) {
+	if s.At < h.last {
+		h.Errorf("%v after %v", s.At, h.last)
+	}
+	switch h.last = s.At; s.Kind {
+	case trace.JobDue:
+		h.jobCount++
+	case trace.JobSettled:
+		h.settled[s.JobID]++
+	case trace.RequestSent:
+		h.open[s.RequestID] = true
+	case trace.ResponseReceived:
+		if !h.open[s.RequestID] {
+			h.Errorf("an answer to %s, which awaits none", s.RequestID)
+		}
+		delete(h.open, s.RequestID)
+	}
+}
+
 // What can't be played is said, and a context ends a run.
 func TestPlayFaults(t *testing.T) {
 	spec := testSpec(t, "")
@@ -146,8 +156,16 @@
 			t.Error(err)
 		}
 	}()
+	rude := newRudeServer()
+	defer rude.Close()
+	checkLoad(t, r.Addr, 200)
+	checkLoad(t, rude.Listener.Addr().String(), 200, 503)
+}
+
+// newRudeServer closes every other connection, in one way or another.
+func newRudeServer() *httptest.Server {
 	var n atomic.Int32
-	rude := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		switch n.Add(1) % 4 {
 		case 0:
 			raw(w, "")
@@ -158,25 +176,31 @@
 			w.(http.Flusher).Flush() // in chunks
 		}
 	}))
-	defer rude.Close()
-	for target, status := range map[string][]int{r.Addr: {200}, rude.Listener.Addr().String(): {200, 503}} {
-		got, err := Load(t.Context(), LoadOptions{
-			Target: target, Rate: 2000, Conns: 8, Length: 300 * time.Millisecond,
-			WarmUp: 50 * time.Millisecond, Grace: 20 * time.Second, Seed: 1,
-		})
-		if err != nil {
-			t.Fatal(err)
-		}
-		sum := uint64(0)
-		for _, s := range status {
-			sum += got.Status[s]
-		}
-		if got.Scheduled < 400 || got.Open != 0 || got.Answered != sum || got.Answered+got.Failed != got.Scheduled ||
-			uint64(got.Latency.TotalCount()) != got.Answered || uint64(got.Lateness.TotalCount()) != got.Scheduled ||
-			(got.Failed > 0) != (len(status) > 1) {
-			t.Errorf("%s: %+v", target, got)
-		}
+}
+
+// checkLoad puts a load on a server that answers with these statuses. Of one that has several, some requests fail.
+func checkLoad(t *testing.T, target string, statuses ...int) {
+	t.Helper()
+	got, err := Load(t.Context(), LoadOptions{
+		Target: target, Rate: 2000, Conns: 8, Length: 300 * time.Millisecond,
+		WarmUp: 50 * time.Millisecond, Grace: 20 * time.Second, Seed: 1,
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	sum := uint64(0)
+	for _, status := range statuses {
+		sum += got.Status[status]
+	}
+	if got.Scheduled < 400 || got.Open != 0 || got.Answered != sum || got.Answered+got.Failed != got.Scheduled ||
+		uint64(got.Latency.TotalCount()) != got.Answered || uint64(got.Lateness.TotalCount()) != got.Scheduled ||
+		(got.Failed > 0) != (len(statuses) > 1) {
+		t.Errorf("%s: %+v", target, got)
 	}
+}
+
+// A load that can't be made is refused.
+func TestLoadOptions(t *testing.T) {
 	for _, o := range []LoadOptions{
 		{Target: "here"},
 		{Target: "10.0.0.1:80", Rate: 1, Length: 1},
