--- /dev/null
+++ b/internal/testbed/checker/fleet_events.go
@@ -0,0 +1,88 @@
+package checker
+
+import (
+	"time"
+
+	"valvecove/internal/testbed/trace"
+)
+
+// This file holds what becomes of workers and schedulers, event by event.
+
+func newScheduler() *scheduler {
+	return &scheduler{exits: make([]processExit, 1), drainNotifiedAt: map[int]time.Duration{}}
+}
+
+// scheduler gives the books of a scheduler.
+func (j *Checker) scheduler(n int) *scheduler {
+	for n >= len(j.schedulers) {
+		j.schedulers = append(j.schedulers, newScheduler())
+	}
+	return j.schedulers[max(n, 0)]
+}
+
+// fleetEvent takes a trace event of the fleet, of processes or of the testbed itself.
+func (j *Checker) fleetEvent(event *trace.Event) {
+	switch event.Kind {
+	case trace.ResourceUsage:
+		if event.Scheduler >= 0 {
+			j.checkUsage(event)
+		}
+		return
+	case trace.TestbedLate:
+		j.maxLateness = max(j.maxLateness, event.Lateness)
+		if event.Lateness >= j.observationLateness() {
+			j.recentLateness = lateness{event.At, event.Lateness}
+		}
+		return
+	}
+	j.recordFleetEvent(event)
+	j.schedulerEvent(event)
+}
+
+// schedulerEvent handles an event of a scheduler's process, or of what it was notified of.
+func (j *Checker) schedulerEvent(event *trace.Event) {
+	switch scheduler := j.scheduler(event.Scheduler); event.Kind {
+	case trace.DrainNotified:
+		if _, known := scheduler.drainNotifiedAt[event.Worker]; !known {
+			scheduler.drainNotifiedAt[event.Worker] = event.At
+		}
+	case trace.StartNotified:
+		delete(scheduler.drainNotifiedAt, event.Worker)
+	case trace.SchedulerStarted:
+		scheduler.start()
+	case trace.SchedulerTerminated:
+		scheduler.terminatedAt = event.At
+	case trace.SchedulerKilled:
+		scheduler.end(processExit{exitedAt: event.At, terminatedAt: scheduler.terminatedAt, killed: true})
+	case trace.SchedulerExited:
+		j.checkCounts[ruleCrash]++
+		if scheduler.terminatedAt == 0 {
+			j.report(ruleCrash, nil, "", "scheduler %d ended by itself with status %d, without SIGTERM", event.Scheduler,
+				event.Status)
+		}
+		scheduler.end(processExit{exitedAt: event.At, terminatedAt: scheduler.terminatedAt})
+	case trace.SchedulerFrozen:
+		scheduler.thaw(event.At)
+		scheduler.freezes = append(scheduler.freezes, interval{event.At, forever})
+	case trace.SchedulerResumed:
+		scheduler.thaw(event.At)
+	}
+}
+
+// start begins the history of a new process.
+func (c *scheduler) start() {
+	if c.up || c.exits[c.incarnation].exitedAt > 0 {
+		c.exits = append(c.exits, processExit{})
+		c.incarnation++
+	}
+	c.up, c.terminatedAt, c.overLimits = true, 0, false
+	clear(c.drainNotifiedAt)
+}
+
+func (c *scheduler) end(e processExit) {
+	if c.exits[c.incarnation].exitedAt == 0 {
+		c.exits[c.incarnation] = e
+	}
+	c.up = false
+	c.thaw(e.exitedAt)
+}
--- /dev/null
+++ b/internal/testbed/checker/verdict.go
@@ -0,0 +1,170 @@
+package checker
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"time"
+)
+
+// This file holds the verdict on a run.
+
+// Verdict is the result of checking a run.
+type Verdict struct {
+	Violations []Violation `json:"broken"`
+	Invalid    string      `json:"void,omitempty"` // why the run is invalid; empty: it is valid
+	Counts     Counts      `json:"counts"`
+	Rules      []RuleCount `json:"rules"`
+	NotChecked []string    `json:"left_out,omitempty"` // what this driver can't show, and why
+}
+
+// Violation is one rule broken, by one job or one scheduler, worker or client.
+type Violation struct {
+	Rule        string        `json:"rule"`
+	At          time.Duration `json:"at"`
+	JobID       uint64        `json:"job,omitempty"`  // 0 where it is about none
+	RequestID   string        `json:"call,omitempty"` // its request, where it is about one
+	Text        string        `json:"text"`
+	Explanation []string      `json:"story"` // of the whole job, in order of time
+}
+
+// RuleCount tells how often a rule came up, and how many jobs or parties broke it; Verdict.Broken tells the first of them.
+type RuleCount struct {
+	Rule     string `json:"rule"`
+	Checked  int    `json:"looked"`
+	Violated int    `json:"broken"`
+}
+
+// Counts count what the checker observed.
+type Counts struct {
+	Jobs            int `json:"jobs"`
+	Requests        int `json:"tries"`
+	Served          int `json:"served"` // tries, as the next ones
+	Rejected        int `json:"refused"`
+	Failed          int `json:"failed"`
+	ConnectionsLost int `json:"lost"`     // their connection ended
+	TimedOut        int `json:"gave_up"`  // by their clients, their time being up
+	ClientsLeft     int `json:"left"`     // by their clients, earlier
+	Excused         int `json:"excused"`  // of those without an answer: nothing was owed
+	Open            int `json:"open"`     // nothing had become of them when the run ended
+	Attempts        int `json:"attempts"` // that reached a worker
+	Started         int `json:"began"`    // to run
+	Duplicates      int `json:"repeats"`  // that a cell dropped
+	Misbehaving     int `json:"bad"`      // clients
+	Evicted         int `json:"crowded"`  // settled jobs forgotten early, for want of room
+	Unknown         int `json:"stray"`    // trace events of what the checker didn't know, or no longer
+	Overlaps        int `json:"suspects"` // overlaps looked at, most of which cross on their way
+}
+
+// Verdict returns what was found so far, including in requests that are still open. The run may go on after it.
+func (j *Checker) Verdict() Verdict {
+	verdict := Verdict{Violations: []Violation{}, Counts: j.counts}
+	// What is open is checked on a copy of the findings.
+	found, checked, violated := slices.Clone(j.violations), j.checkCounts, j.violationCounts
+	saved := j.saveJobs()
+	for _, state := range saved {
+		j.checkOpenRequests(state.job, &verdict.Counts)
+	}
+	for _, o := range j.overlaps {
+		if o.provedOpenAt > 0 && j.now > o.provedOpenAt+j.workerDelay {
+			j.reportOverlap(o)
+		}
+	}
+	j.checkOpenMisbehaving()
+	for _, state := range saved {
+		for _, i := range state.job.violations {
+			j.violations[i].Explanation = j.explainJob(state.job)
+		}
+	}
+	verdict.Violations = append(verdict.Violations, j.violations...)
+	slices.SortStableFunc(verdict.Violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	for r := range ruleCount {
+		verdict.Rules = append(verdict.Rules, RuleCount{r.String(), j.checkCounts[r], j.violationCounts[r]})
+	}
+	j.violations, j.checkCounts, j.violationCounts = found, checked, violated
+	for _, state := range saved {
+		state.job.brokenRules, state.job.violations = state.brokenRules, state.violations
+	}
+	if j.maxLateness > j.options.MaxLateness {
+		verdict.Invalid = fmt.Sprintf("the lab itself was %v late, more than %v", j.maxLateness, j.options.MaxLateness)
+	}
+	verdict.NotChecked = j.notChecked()
+	return verdict
+}
+
+// savedJob is the part of a job that checking what is open changes.
+type savedJob struct {
+	job         *job
+	brokenRules uint32
+	violations  []int
+}
+
+// saveJobs saves all jobs, in order of their numbers, and gives each its own copy of its violations.
+func (j *Checker) saveJobs() []savedJob {
+	var saved []savedJob
+	for _, b := range j.jobs {
+		saved = append(saved, savedJob{b, b.brokenRules, b.violations})
+	}
+	slices.SortFunc(saved, func(a, b savedJob) int { return cmp.Compare(a.job.id, b.job.id) })
+	for _, state := range saved {
+		state.job.violations = slices.Clone(state.violations)
+	}
+	return saved
+}
+
+// checkOpenRequests counts a job's open requests, and checks those whose time is up.
+func (j *Checker) checkOpenRequests(b *job, counts *Counts) {
+	for i := range b.requests {
+		t := &b.requests[i]
+		if t.state != requestOpen {
+			continue
+		}
+		counts.Open++
+		if j.now > t.deadline+j.slack+2*j.clientDelay {
+			j.checkUnanswered(b, t, j.now, false, counts)
+		}
+	}
+}
+
+// checkOpenMisbehaving reports misbehaving clients that are owed a response or a close, in order of their connections.
+func (j *Checker) checkOpenMisbehaving() {
+	for _, conn := range slices.Sorted(maps.Keys(j.misbehaving)) {
+		client := j.misbehaving[conn]
+		if !client.answered && j.now > client.connectedAt+j.misbehaviorDeadline(client.kind) {
+			j.reportUnansweredClient(client)
+		}
+	}
+}
+
+// notChecked names what this run can't show, and why.
+func (j *Checker) notChecked() []string {
+	var list []string
+	if len(j.workersImpaired) > 0 {
+		list = append(list, "one-attempt-per-node, attempts: overlaps that begin while words to worker nodes"+
+			" may get lost (by "+j.impairedBy()+"), as a scheduler may have given the earlier one up")
+	}
+	if 2*j.clientDelay > j.slack {
+		list = append(list, "one-answer, in time: clients close before an answer of the last moment can have"+
+			" come, as words may take longer than the slack")
+	}
+	if !j.options.RealProcesses {
+		list = append(list, "bad-clients: there are no bytes on sockets in virtual time",
+			"limits: there are no processes in virtual time, whose memory and descriptors could be counted")
+	}
+	return list
+}
+
+func (j *Checker) impairedBy() string {
+	var by []string
+	for i := range j.spec.Faults {
+		if a := &j.spec.Faults[i]; impairingFaults[a.Kind] && !slices.Contains(by, a.Kind) {
+			by = append(by, a.Kind)
+		}
+	}
+	if j.spec.Network.DropsIdleAfter > 0 {
+		by = append(by, "net.drops_idle")
+	}
+	return strings.Join(by, ", ")
+}
