--- a/internal/testbed/process/processes.go
+++ b/internal/testbed/process/processes.go
@@ -1,15 +1,12 @@
 package process
 
 import (
-	"errors"
 	"fmt"
-	"io"
 	"net/http"
 	"net/netip"
 	"os"
 	"os/exec"
 	"path/filepath"
-	"runtime"
 	"slices"
 	"strconv"
 	"sync"
@@ -17,15 +14,14 @@
 	"syscall"
 	"time"
 
-	"golang.org/x/sys/unix"
-
-	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 	"valvecove/internal/testbed/platform"
 	"valvecove/internal/testbed/scenario"
 	"valvecove/internal/testbed/simapi"
 )
 
+// This file holds a scheduler of a run with real processes: it starts, signals, replaces and awaits them.
+
 const (
 	maxLog            = 8 << 20 // bytes of a scheduler's log that are kept
 	maxCommands       = 64
@@ -34,53 +30,6 @@
 	readyPollTimeout  = time.Second
 )
 
-// starter starts processes, all from one thread that lives as long as the run: a process that is to die with its
-// parent dies with the thread that it was started from.
-type starter struct {
-	commands chan func()
-	running  sync.WaitGroup
-}
-
-func (s *starter) run() {
-	s.running.Go(func() {
-		runtime.LockOSThread()
-		defer runtime.UnlockOSThread()
-		for do := range s.commands {
-			do()
-		}
-	})
-}
-
-func (s *starter) close() {
-	close(s.commands)
-	s.running.Wait()
-}
-
-// start starts a command on a core (below 0: any).
-func (s *starter) start(command *exec.Cmd, core int) error {
-	done := make(chan error)
-	s.commands <- func() {
-		if core < 0 {
-			done <- command.Start()
-			return
-		}
-		// Set for this thread it is inherited; set for the process once that runs, some of its threads would miss it.
-		var all, one unix.CPUSet
-		if err := unix.SchedGetaffinity(0, &all); err != nil {
-			done <- fmt.Errorf("cores: %w", err)
-			return
-		}
-		one.Set(core)
-		if err := unix.SchedSetaffinity(0, &one); err != nil {
-			done <- fmt.Errorf("core %d: %w", core, err)
-			return
-		}
-		err := command.Start()
-		done <- errors.Join(err, unix.SchedSetaffinity(0, &all))
-	}
-	return <-done
-}
-
 // scheduler is one of the schedulers: its process, if it has one, and what the driver keeps with it. Orders are
 // carried out by a goroutine of its own, in order; all else belongs to the loop.
 type scheduler struct {
@@ -377,130 +326,6 @@
 	})
 }
 
-// ---- Whether it is up ----
-
-// readinessPoll asks a process for /up, again and again.
-type readinessPoll struct {
-	socketConn
-	scheduler *scheduler
-	timer     *timer // the next look, or the end of this one's patience
-	waiting   bool
-	stopped   bool
-}
-
-func (s *scheduler) pollReady() {
-	s.readiness = &readinessPoll{scheduler: s}
-	s.readiness.poll()
-}
-
-func (u *readinessPoll) stop() {
-	u.stopped = true
-	u.scheduler.driver.stop(u.timer)
-	u.reset()
-}
-
-func (u *readinessPoll) pollAfter(after time.Duration) {
-	u.scheduler.driver.stop(u.timer)
-	u.waiting = false
-	u.timer = u.scheduler.driver.after(after, u.poll)
-}
-
-func (u *readinessPoll) poll() {
-	driver := u.scheduler.driver
-	if u.closed || u.poller == nil {
-		if err := driver.dial(&u.socketConn, driver.addresses.client(0), u.scheduler.listen, u); err != nil {
-			if u.closed = true; !driver.failIfLocal(err) {
-				u.pollAfter(readyPollFirst)
-			}
-			return
-		}
-	}
-	u.waiting = true
-	u.timer = driver.after(readyPollTimeout, func() {
-		u.reset()
-		u.pollAfter(readyPollFirst)
-	})
-	driver.writeBuffer = append(http1.AppendRequestStart(driver.writeBuffer[:0], "GET", "/up", u.scheduler.listen.String()), "\r\n"...)
-	u.write(driver.writeBuffer)
-}
-
-func (u *readinessPoll) dataReceived(int) {
-	response, _, n, err := u.scheduler.driver.reader.response(u.received, false)
-	if err != nil || n > 0 && !u.waiting {
-		u.reset()
-		u.connClosed(err)
-		return
-	}
-	if n == 0 {
-		return
-	}
-	u.consume(n)
-	if response.Close {
-		u.reset()
-	}
-	if u.responseReceived(response.StatusCode == 200); !u.stopped {
-		u.pollAfter(readyPollInterval)
-	}
-}
-
-func (u *readinessPoll) connClosed(error) {
-	if !u.stopped && u.waiting {
-		u.pollAfter(readyPollFirst)
-	}
-}
-
-func (u *readinessPoll) responseReceived(up bool) {
-	if s := u.scheduler; up != s.ready {
-		s.ready, s.everReady = up, s.everReady || up
-		kind := simapi.Unready
-		if up {
-			kind = simapi.Ready
-		}
-		s.driver.addOutput(simapi.Output{Kind: kind, Scheduler: s.number})
-	}
-}
-
-// ---- Its log ----
-
-// logFile keeps the start of what a scheduler's processes write, and how much more there was.
-type logFile struct {
-	path    string
-	lock    sync.Mutex // a process may still write while its successor does
-	file    *os.File
-	kept    int
-	dropped int
-	failure error
-}
-
-// Write takes everything, so that no process is ever held up by its log or ended for it.
-func (l *logFile) Write(b []byte) (int, error) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	if l.file == nil && l.failure == nil {
-		l.file, l.failure = os.Create(l.path)
-	}
-	keep := b[:min(len(b), maxLog-l.kept)]
-	if l.failure == nil && len(keep) > 0 {
-		_, l.failure = l.file.Write(keep)
-	}
-	l.kept += len(keep)
-	l.dropped += len(b) - len(keep)
-	return len(b), nil
-}
-
-func (l *logFile) close() {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	if l.file == nil {
-		return
-	}
-	if l.dropped > 0 {
-		_, _ = io.WriteString(l.file, fmt.Sprintf("\n... and %d bytes more\n", l.dropped))
-	}
-	_ = l.file.Close()
-	l.file, l.failure = nil, os.ErrClosed
-}
-
 // localEndpoints gives a list as a scheduler is told it: with the addresses at which it reaches the workers.
 func (d *driver) localEndpoints(sched int, endpointList requests.EndpointList) requests.EndpointList {
 	endpoints := make([]requests.Endpoint, len(endpointList.Endpoints))
--- /dev/null
+++ b/internal/testbed/process/readiness.go
@@ -0,0 +1,91 @@
+package process
+
+import (
+	"time"
+
+	"valvecove/internal/http1"
+	"valvecove/internal/testbed/simapi"
+)
+
+// This file holds the poll of whether a scheduler is ready.
+
+// readinessPoll asks a process for /up, again and again.
+type readinessPoll struct {
+	socketConn
+	scheduler *scheduler
+	timer     *timer // the next look, or the end of this one's patience
+	waiting   bool
+	stopped   bool
+}
+
+func (s *scheduler) pollReady() {
+	s.readiness = &readinessPoll{scheduler: s}
+	s.readiness.poll()
+}
+
+func (u *readinessPoll) stop() {
+	u.stopped = true
+	u.scheduler.driver.stop(u.timer)
+	u.reset()
+}
+
+func (u *readinessPoll) pollAfter(after time.Duration) {
+	u.scheduler.driver.stop(u.timer)
+	u.waiting = false
+	u.timer = u.scheduler.driver.after(after, u.poll)
+}
+
+func (u *readinessPoll) poll() {
+	driver := u.scheduler.driver
+	if u.closed || u.poller == nil {
+		if err := driver.dial(&u.socketConn, driver.addresses.client(0), u.scheduler.listen, u); err != nil {
+			if u.closed = true; !driver.failIfLocal(err) {
+				u.pollAfter(readyPollFirst)
+			}
+			return
+		}
+	}
+	u.waiting = true
+	u.timer = driver.after(readyPollTimeout, func() {
+		u.reset()
+		u.pollAfter(readyPollFirst)
+	})
+	driver.writeBuffer = append(http1.AppendRequestStart(driver.writeBuffer[:0], "GET", "/up", u.scheduler.listen.String()), "\r\n"...)
+	u.write(driver.writeBuffer)
+}
+
+func (u *readinessPoll) dataReceived(int) {
+	response, _, n, err := u.scheduler.driver.reader.response(u.received, false)
+	if err != nil || n > 0 && !u.waiting {
+		u.reset()
+		u.connClosed(err)
+		return
+	}
+	if n == 0 {
+		return
+	}
+	u.consume(n)
+	if response.Close {
+		u.reset()
+	}
+	if u.responseReceived(response.StatusCode == 200); !u.stopped {
+		u.pollAfter(readyPollInterval)
+	}
+}
+
+func (u *readinessPoll) connClosed(error) {
+	if !u.stopped && u.waiting {
+		u.pollAfter(readyPollFirst)
+	}
+}
+
+func (u *readinessPoll) responseReceived(up bool) {
+	if s := u.scheduler; up != s.ready {
+		s.ready, s.everReady = up, s.everReady || up
+		kind := simapi.Unready
+		if up {
+			kind = simapi.Ready
+		}
+		s.driver.addOutput(simapi.Output{Kind: kind, Scheduler: s.number})
+	}
+}
