--- a/cmd/valvecove-testbed/demo.go
+++ b/cmd/valvecove-testbed/demo.go
@@ -33,7 +33,7 @@
 		return err
 	}
 	defer remove()
-	fmt.Fprintf(streams.stderr, "%s\n%d worker nodes, %d scheduler, jobs for %s; everything is on 127.0.0.0/8 and ends with this.\n\n",
+	fmt.Fprintf(streams.stderr, "%s\n%d workers, %d scheduler, jobs for %s; everything is on 127.0.0.0/8 and ends with this.\n\n",
 		spec.Description, spec.Fleet.Workers, spec.Schedulers.Count, c.Length)
 	display := newProgressDisplay(streams.stderr)
 	printLine := func(line string) { display.printLine(streams.stderr, line) }
@@ -122,10 +122,10 @@
 	case trace.FaultEnded:
 		text = "over: " + event.Text
 	case trace.WorkerStopped:
-		text = fmt.Sprintf("worker node w-%d is down", event.Worker)
+		text = fmt.Sprintf("worker w-%d is down", event.Worker)
 	case trace.WorkerStarted:
 		if event.At > time.Second { // not those that start with the run
-			text = fmt.Sprintf("worker node w-%d is up again, cold", event.Worker)
+			text = fmt.Sprintf("worker w-%d is up again, cold", event.Worker)
 		}
 	case trace.DrainNotified:
 		text = fmt.Sprintf("scheduler %d hears that w-%d is gone or drains", event.Scheduler, event.Worker)
--- a/cmd/valvecove-testbed/main_test.go
+++ b/cmd/valvecove-testbed/main_test.go
@@ -57,7 +57,7 @@
 		{tinyScenario, "compare - --b random --seeds 3", 0, "random", ""},
 		{tinyScenario, "compare -", 2, "", "both sides"},
 		{"", "mutants answers-twice drain-late", 0, "found", ""},
-		{"", "hunt --most 2 --at 1 --top logic --for 1m --out " + dir, 0, "2 plays", ""},
+		{"", "hunt --most 2 --at 1 --top logic --for 1m --out " + dir, 0, "2 runs", ""},
 		{"", "compare calm rude_words", 2, "", "virtual"},
 	} {
 		t.Run(c.args, func(t *testing.T) {
@@ -73,8 +73,8 @@
 func TestExplanationsAreShown(t *testing.T) {
 	_, stdout, _ := runCommandLine(t, tinyScenario, "play", "-", "--mutant", "answers-twice")
 	_, explanation, ok := strings.Cut(stdout, "\none-answer ")
-	if !ok || !strings.Contains(explanation, "asked") || !strings.Contains(explanation, "answered") ||
-		strings.Index(explanation, "asked") > strings.Index(explanation, "answered") {
+	if !ok || !strings.Contains(explanation, "sent to") || !strings.Contains(explanation, "answered") ||
+		strings.Index(explanation, "sent to") > strings.Index(explanation, "answered") {
 		t.Errorf("the violation is not explained:\n%s", stdout)
 	}
 }
--- a/cmd/valvecove-testbed/mutants.go
+++ b/cmd/valvecove-testbed/mutants.go
@@ -31,7 +31,7 @@
 			outcome = "MISSED"
 			missed++
 		}
-		fmt.Fprintf(streams.stdout, "%-28s %-22s %s in %d of %d plays", mutant.Name, mutant.Rule, outcome, found, c.runs())
+		fmt.Fprintf(streams.stdout, "%-28s %-22s %s in %d of %d runs", mutant.Name, mutant.Rule, outcome, found, c.runs())
 		if len(otherRules) > 0 {
 			fmt.Fprintf(streams.stdout, "; also %v", otherRules)
 		}
--- a/cmd/valvecove-testbed/output.go
+++ b/cmd/valvecove-testbed/output.go
@@ -91,7 +91,7 @@
 		}
 	}
 	if more := result.Violations() - shown; shown > 0 && more > 0 {
-		fmt.Fprintf(w, "\n… and %d more; --json and --report have the stories of the first of each rule\n", more)
+		fmt.Fprintf(w, "\n… and %d more; --json and --report have the explanations of the first of each rule\n", more)
 	}
 }
 
--- a/cmd/valvecove-testbed/play.go
+++ b/cmd/valvecove-testbed/play.go
@@ -92,9 +92,9 @@
 	kept := uint64(spec.Seed)
 	switch {
 	case c.From != "" && kept == 0:
-		return 0, fmt.Errorf("%s: key \"seed\": missing; it was not kept for a play", c.From)
+		return 0, fmt.Errorf("%s: key \"seed\": missing; it was not kept for a run", c.From)
 	case c.From != "" && c.Seed != 0 && c.Seed != kept:
-		return 0, fmt.Errorf("--from plays %s exactly, with seed %d", c.From, kept)
+		return 0, fmt.Errorf("--from runs %s exactly, with seed %d", c.From, kept)
 	case c.Seed == 0:
 		return max(1, kept), nil
 	}
--- a/cmd/valvecove-testbed/progress.go
+++ b/cmd/valvecove-testbed/progress.go
@@ -16,7 +16,7 @@
 	return func(done, total int) {
 		if tenth := 10 * done / max(1, total); tenth != lastTenth {
 			lastTenth = tenth
-			fmt.Fprintf(w, "%s: %d of %d plays\n", command, done, total)
+			fmt.Fprintf(w, "%s: %d of %d runs\n", command, done, total)
 		}
 	}
 }
--- a/cmd/valvecove-testbed/search.go
+++ b/cmd/valvecove-testbed/search.go
@@ -31,13 +31,13 @@
 	}
 	start := time.Now()
 	result, err := search.Run(ctx, func(finding *experiment.Finding, runs int) {
-		fmt.Fprintf(streams.stderr, "%6.0fs  play %d, draw %d: %s; %d of %d faults left\n", time.Since(start).Seconds(), runs,
+		fmt.Fprintf(streams.stderr, "%6.0fs  run %d, draw %d: %s; %d of %d faults left\n", time.Since(start).Seconds(), runs,
 			finding.DrawNumber, finding.Description(), finding.Faults, finding.Drawn)
 	})
 	if err != nil && ctx.Err() == nil {
 		return err
 	}
-	fmt.Fprintf(streams.stdout, "%d plays, mean regret %.3f, %d with a rule broken or stopped; kept:\n",
+	fmt.Fprintf(streams.stdout, "%d runs, mean regret %.3f, %d with a rule broken or stopped; kept:\n",
 		result.Runs, result.Mean, result.Violations)
 	for i := range result.Worst {
 		if err := c.writeFinding(i+1, &result.Worst[i], streams); err != nil {
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -41,18 +41,18 @@
 // All are the baseline policies, from the floor to the top.
 func All() []Policy {
 	return []Policy{
-		{"random", "any worker node, each as likely", withChooser(func(b *base) chooser { return random{b} })},
-		{"round-robin", "the worker nodes in turn", withChooser(func(b *base) chooser { return &roundRobin{base: b} })},
+		{"random", "any worker, each as likely", withChooser(func(b *base) chooser { return random{b} })},
+		{"round-robin", "the workers in turn", withChooser(func(b *base) chooser { return &roundRobin{base: b} })},
 		{
-			"two-choices", "the one with fewer queries of the scheduler's own out, of two drawn at random",
+			"two-choices", "the one with fewer of the scheduler's own requests in flight, of two drawn at random",
 			withChooser(func(b *base) chooser { return twoChoices{b} }),
 		},
 		{
-			"least-outstanding", "the one with the fewest queries of the scheduler's own out",
+			"least-outstanding", "the one with the fewest of the scheduler's own requests in flight",
 			withChooser(func(b *base) chooser { return &leastOutstanding{base: b} }),
 		},
-		{"all-seeing", "the query first whose start can wait least, to a worker node that truly can start it now and" +
-			" be in time; what can't be in time is refused", func() Maker {
+		{"all-seeing", "the request first whose start can wait least, to a worker that truly can start it now and" +
+			" be in time; what can't be in time is rejected", func() Maker {
 			flight := &sharedFlight{}
 			return func(set dispatch.Settings, seed uint64, o Oracle) requests.Policy {
 				b := newBase(set, seed)
--- a/internal/testbed/checker/attempt_rules.go
+++ b/internal/testbed/checker/attempt_rules.go
@@ -34,7 +34,7 @@
 func (j *Checker) checkDrain(b *job, t *request, s *trace.Event) {
 	if c := j.scheduler(s.Scheduler); len(c.drainNotifiedAt) > 0 {
 		if notified, ok := c.drainNotifiedAt[s.Worker]; ok && s.FirstByteAt > j.noticedAt(c, notified)+j.drainGrace+j.observationLateness() {
-			j.report(ruleDrain, b, t.id, "sent to w-%d %v after scheduler %d was told that it drains or is gone",
+			j.report(ruleDrain, b, t.id, "sent to w-%d %v after scheduler %d was notified that it drains or is gone",
 				s.Worker, s.FirstByteAt-notified, s.Scheduler)
 		}
 	}
@@ -50,7 +50,7 @@
 		j.report(ruleOneAnswer, b, t.id, "sent to w-%d %v after it was over", s.Worker, s.FirstByteAt-t.endedAt)
 	}
 	if t.state == requestAnswered && isRejection(t.status) && !b.class.isRepeatable() {
-		j.report(ruleRefusalHarmless, b, t.id, "came to w-%d after it had been refused", s.Worker)
+		j.report(ruleRefusalHarmless, b, t.id, "came to w-%d after it had been rejected", s.Worker)
 	}
 }
 
@@ -104,7 +104,7 @@
 	j.checkCounts[rulePayoutOnce]++
 	if first.possiblyExecuted(second.firstByteAt) {
 		j.report(rulePayoutOnce, b, t.id,
-			"tried again after a refusal and sent to w-%d, though it may have run at w-%d", second.worker, first.worker)
+			"tried again after a rejection and sent to w-%d, though it may have run at w-%d", second.worker, first.worker)
 	}
 }
 
@@ -238,8 +238,8 @@
 func (j *Checker) attemptRejected(b *job, s *trace.Event) {
 	switch s.Status {
 	case http.StatusBadRequest:
-		j.report(ruleIDUnknown, b, s.RequestID, "w-%d got query %q, which no client sent in this form", s.Worker, s.RequestID)
+		j.report(ruleIDUnknown, b, s.RequestID, "w-%d got request %q, which no client sent in this form", s.Worker, s.RequestID)
 	case http.StatusNotFound:
-		j.report(ruleIDUnknown, b, s.RequestID, "w-%d got a query without an id", s.Worker)
+		j.report(ruleIDUnknown, b, s.RequestID, "w-%d got a request without an id", s.Worker)
 	}
 }
--- a/internal/testbed/checker/explanation.go
+++ b/internal/testbed/checker/explanation.go
@@ -210,7 +210,7 @@
 func (j *Checker) describe(logEntry *logEntry, b *job) string {
 	node, which, text := fmt.Sprintf("w-%d", logEntry.worker), "", j.texts.texts[logEntry.text]
 	if b != nil && len(b.requests) > 1 && int(logEntry.request) < len(b.requests) {
-		which = fmt.Sprintf(" (try %d)", logEntry.request+1)
+		which = fmt.Sprintf(" (request %d)", logEntry.request+1)
 	}
 	switch logEntry.kind {
 	case trace.JobDue:
@@ -224,7 +224,7 @@
 	case trace.ClientLeft:
 		return "its client went away" + which
 	case trace.ClientTimedOut:
-		return "its client gave up" + which
+		return "its client timed out" + which
 	case trace.SchedulerUnreachable:
 		return "no connection came up for it" + which
 	case trace.JobSettled:
@@ -241,7 +241,7 @@
 	switch logEntry.kind {
 	case trace.AttemptReceived:
 		if text != "" {
-			text = " by query " + text
+			text = " by request " + text
 		}
 		return fmt.Sprintf("reached %s%s from scheduler %d, its first byte written at %.6f s%s", node, text, logEntry.scheduler,
 			logEntry.duration.Seconds(), which)
@@ -249,7 +249,7 @@
 		return fmt.Sprintf("what was written to %s at %.6f s was not read there before its connection ended%s", node,
 			logEntry.duration.Seconds(), which)
 	case trace.AttemptRejected:
-		return fmt.Sprintf("turned away by %s with %d%s", node, logEntry.status, which)
+		return fmt.Sprintf("rejected by %s with %d%s", node, logEntry.status, which)
 	case trace.AttemptAccepted:
 		return "accepted by " + node + which
 	case trace.AttemptStarted:
@@ -260,21 +260,21 @@
 	case trace.AttemptFinished:
 		return describeFinished(logEntry, b, node) + which
 	case trace.AttemptReturned:
-		return "handed back unstarted by " + node + which
+		return "returned unstarted by " + node + which
 	case trace.AttemptDied:
 		return fmt.Sprintf("died at %s: %s%s", node, text, which)
 	case trace.AttemptCancelled:
 		if text != "" {
 			node += ", its connection being " + text + " on the way"
 		}
-		return "withdrawn at " + node + which
+		return "cancelled at " + node + which
 	case trace.CallbackAnswered:
-		return fmt.Sprintf("note %q of %s answered with %d by scheduler %d, sending %d%s", text, node, logEntry.status, logEntry.scheduler,
+		return fmt.Sprintf("callback %q of %s answered with %d by scheduler %d, sending %d%s", text, node, logEntry.status, logEntry.scheduler,
 			logEntry.sendings, which)
 	case trace.CallbackLost:
-		return fmt.Sprintf("note %q of %s given up%s", text, node, which)
+		return fmt.Sprintf("callback %q of %s abandoned%s", text, node, which)
 	}
-	return fmt.Sprintf("sight %d", logEntry.kind)
+	return fmt.Sprintf("trace event %d", logEntry.kind)
 }
 
 // describeDue describes a job that falls due.
@@ -283,7 +283,7 @@
 	if b.tenant >= 0 && b.tenant < len(j.spec.Tenants) {
 		tenant = " of " + j.spec.Tenants[b.tenant].Name
 	}
-	return fmt.Sprintf("due: %s%s, %v of work on %g slots, given up after %v", b.class.name, tenant, b.work,
+	return fmt.Sprintf("due: %s%s, %v of work on %g slots, deadline %v", b.class.name, tenant, b.work,
 		b.slots, b.deadline)
 }
 
@@ -294,7 +294,7 @@
 	if t.key != "" {
 		key = ", key " + t.key
 	}
-	return fmt.Sprintf("asked of scheduler %d as %s, budget %v%s", e.scheduler, t.id, e.duration, key)
+	return fmt.Sprintf("sent to scheduler %d as %s, budget %v%s", e.scheduler, t.id, e.duration, key)
 }
 
 // describeResponse describes a response; text is the request's ID where its job is not known.
@@ -306,7 +306,7 @@
 	if b != nil && e.status == 200 && int(e.request) < len(b.requests) {
 		after += fmt.Sprintf(", %q", truncate(b.requests[e.request].responseBody))
 	} else if b == nil {
-		after += " to query " + text
+		after += " to request " + text
 	}
 	return fmt.Sprintf("answered with %d%s", e.status, after)
 }
@@ -326,7 +326,7 @@
 func (j *Checker) describeFleet(logEntry *logEntry, node, text string) string {
 	switch logEntry.kind {
 	case trace.WorkerOverloaded:
-		return node + " is pushed over"
+		return node + " is overloaded"
 	case trace.WorkerStarted:
 		return fmt.Sprintf("%s starts (process %d)", node, logEntry.duration)
 	case trace.WorkerStopped:
@@ -338,9 +338,9 @@
 	case trace.WorkerRecovered:
 		return node + " is well again"
 	case trace.DrainNotified:
-		return fmt.Sprintf("scheduler %d is told that %s drains or is gone", logEntry.scheduler, node)
+		return fmt.Sprintf("scheduler %d is notified that %s drains or is gone", logEntry.scheduler, node)
 	case trace.StartNotified:
-		return fmt.Sprintf("scheduler %d is told of the start of %s (process %d)", logEntry.scheduler, node, logEntry.duration)
+		return fmt.Sprintf("scheduler %d is notified of the start of %s (process %d)", logEntry.scheduler, node, logEntry.duration)
 	case trace.SchedulerExited:
 		return fmt.Sprintf("scheduler %d ends by itself with %d", logEntry.scheduler, logEntry.status)
 	case trace.SchedulerStarted, trace.SchedulerReady, trace.SchedulerTerminated, trace.SchedulerKilled, trace.SchedulerFrozen, trace.SchedulerResumed, trace.SchedulerReloaded,
@@ -356,7 +356,7 @@
 	case trace.ResourceUsage:
 		return fmt.Sprintf("scheduler %d holds %s", logEntry.scheduler, text)
 	}
-	return fmt.Sprintf("sight %d", logEntry.kind)
+	return fmt.Sprintf("trace event %d", logEntry.kind)
 }
 
 // truncate cuts what may be long.
@@ -376,7 +376,7 @@
 		fmt.Fprintf(&text, ", job %d", b.JobID)
 	}
 	if b.RequestID != "" {
-		fmt.Fprintf(&text, ", query %s", b.RequestID)
+		fmt.Fprintf(&text, ", request %s", b.RequestID)
 	}
 	fmt.Fprintf(&text, ": %s\n", b.Text)
 	for _, l := range b.Explanation {
--- a/internal/testbed/checker/legal_test.go
+++ b/internal/testbed/checker/legal_test.go
@@ -235,13 +235,13 @@
 		watch(time.Duration(n)*time.Microsecond, n+1)
 	}
 	if j.counts.Evicted == 0 || len(j.jobs) > maxSettled+1 || len(j.jobsByRequest) != len(j.jobs) {
-		t.Errorf("%d jobs and %d queries are remembered, %d were forgotten early", len(j.jobs), len(j.jobsByRequest),
+		t.Errorf("%d jobs and %d requests are remembered, %d were forgotten early", len(j.jobs), len(j.jobsByRequest),
 			j.counts.Evicted)
 	}
 	early := j.counts.Evicted
 	watch(time.Hour, 1<<40)
 	if len(j.jobs) != 1 || len(j.jobsByRequest) != 1 || j.counts.Evicted != early {
-		t.Errorf("an hour later %d jobs and %d queries are remembered", len(j.jobs), len(j.jobsByRequest))
+		t.Errorf("an hour later %d jobs and %d requests are remembered", len(j.jobs), len(j.jobsByRequest))
 	}
 	for n := range uint64(100) {
 		j.Observe(&trace.Event{At: time.Hour, Kind: trace.CallbackAnswered, RequestID: "10000000000", Worker: int(n)})
--- a/internal/testbed/checker/request_events.go
+++ b/internal/testbed/checker/request_events.go
@@ -133,7 +133,7 @@
 	switch event.Kind {
 	case trace.ResponseReceived:
 		j.recordFleetEvent(event)
-		j.report(ruleOneAnswer, nil, event.RequestID, "a client had an answer to a query that it had not asked, or had long had one to")
+		j.report(ruleOneAnswer, nil, event.RequestID, "a client had an answer to a request that it had not sent, or had long had one to")
 	case trace.AttemptReceived:
 		j.counts.Attempts++
 		j.recordFleetEvent(event)
--- a/internal/testbed/checker/response_rules.go
+++ b/internal/testbed/checker/response_rules.go
@@ -18,7 +18,7 @@
 	t.responseBody = event.Text
 	switch t.responses++; {
 	case t.responses > 1:
-		j.report(ruleOneAnswer, b, t.id, "its client had a second answer to one query")
+		j.report(ruleOneAnswer, b, t.id, "its client had a second answer to one request")
 		return
 	case t.state != requestOpen: // its client had gone, and heard it all the same
 		return
@@ -118,7 +118,7 @@
 	n := t.indexIn(b)
 	for i := range b.attempts {
 		if a := &b.attempts[i]; a.request == n && a.possiblyExecuted(at) {
-			j.report(ruleRefusalHarmless, b, t.id, "refused with %d, though it may have run at w-%d", t.status, a.worker)
+			j.report(ruleRefusalHarmless, b, t.id, "rejected with %d, though it may have run at w-%d", t.status, a.worker)
 			return
 		}
 	}
@@ -137,7 +137,7 @@
 			return
 		}
 	}
-	j.report(ruleMadeByWorker, b, t.id, "served with %q, which no worker node made for it", truncate(s.Text))
+	j.report(ruleMadeByWorker, b, t.id, "served with %q, which no worker made for it", truncate(s.Text))
 }
 
 // updateExhausted notes when a scheduler knows that no attempt is left to it.
@@ -188,7 +188,7 @@
 	hope := t.sentAt + j.objectiveHorizon(b, t)
 	if answeredAt > max(hope, last)+within {
 		j.report(rulePromptRefusal, b, t.id,
-			"refused %v after it was asked, when nothing had been out of it for %v, and nothing to hope for after %v",
+			"rejected %v after it was sent, when no attempt of it had been in flight for %v, and nothing to hope for after %v",
 			answeredAt-t.sentAt, answeredAt-last, hope-t.sentAt)
 	}
 }
--- a/internal/testbed/checker/verdict.go
+++ b/internal/testbed/checker/verdict.go
@@ -88,7 +88,7 @@
 		state.job.brokenRules, state.job.violations = state.brokenRules, state.violations
 	}
 	if j.maxLateness > j.options.MaxLateness {
-		verdict.Invalid = fmt.Sprintf("the lab itself was %v late, more than %v", j.maxLateness, j.options.MaxLateness)
+		verdict.Invalid = fmt.Sprintf("the testbed itself was %v late, more than %v", j.maxLateness, j.options.MaxLateness)
 	}
 	verdict.NotChecked = j.notChecked()
 	return verdict
@@ -142,7 +142,7 @@
 func (j *Checker) notChecked() []string {
 	var list []string
 	if len(j.workersImpaired) > 0 {
-		list = append(list, "one-attempt-per-node, attempts: overlaps that begin while words to worker nodes"+
+		list = append(list, "one-attempt-per-node, attempts: overlaps that begin while messages to workers"+
 			" may get lost (by "+j.impairedBy()+"), as a scheduler may have given the earlier one up")
 	}
 	if 2*j.clientDelay > j.slack {
--- a/internal/testbed/checker/worker_rules.go
+++ b/internal/testbed/checker/worker_rules.go
@@ -33,7 +33,7 @@
 		return
 	}
 	before := len(j.violations)
-	j.report(ruleCold, nil, "", "w-%d was pushed over while cold, %.0f %% of the work from schedulers told of its start",
+	j.report(ruleCold, nil, "", "w-%d was overloaded while warming up, %.0f %% of the work from schedulers notified of its start",
 		s.Worker, 100*s.Share)
 	if len(j.violations) > before {
 		j.violations[before].Explanation = j.explainColdWork(s.Worker)
@@ -61,15 +61,15 @@
 	j.checkCounts[ruleBadClients]++
 	switch took := event.At - b.connectedAt; {
 	case event.Status == http.StatusOK:
-		j.report(ruleBadClients, nil, "", "a bad client (%s) was served as if its request had run", b.kind)
+		j.report(ruleBadClients, nil, "", "a misbehaving client (%s) was served as if its request had run", b.kind)
 	case !again && took > j.misbehaviorDeadline(b.kind)+j.observationLateness():
-		j.report(ruleBadClients, nil, "", "a bad client (%s) waited %v for an error or a close", b.kind, took)
+		j.report(ruleBadClients, nil, "", "a misbehaving client (%s) waited %v for an error or a close", b.kind, took)
 	}
 }
 
 func (j *Checker) reportUnansweredClient(b misbehavingClient) {
 	j.checkCounts[ruleBadClients]++
-	j.report(ruleBadClients, nil, "", "a bad client (%s) of %v has neither an error nor a close", b.kind, b.connectedAt)
+	j.report(ruleBadClients, nil, "", "a misbehaving client (%s) of %v has neither an error nor a close", b.kind, b.connectedAt)
 }
 
 func (j *Checker) checkUsage(event *trace.Event) {
--- a/internal/testbed/environment/clients_test.go
+++ b/internal/testbed/environment/clients_test.go
@@ -71,8 +71,8 @@
 	}
 	m.Check(len(in.Request.RequestID) == 16 && len(in.Request.IdempotencyKey)%32 == 0, "id %q, key %q", in.Request.RequestID, in.Request.IdempotencyKey)
 	q := environment.clients.findRequest(in.Request.RequestID)
-	m.Check(q != nil && q.id == in.Request.RequestID && q.jobID == m.witness.calls[q.id], "an asked query is not found")
-	m.Check(!m.received[q.id], "a query that was read comes again")
+	m.Check(q != nil && q.id == in.Request.RequestID && q.jobID == m.witness.calls[q.id], "a request that was sent is not found")
+	m.Check(!m.received[q.id], "a request that was read comes again")
 	m.received[q.id] = true
 	m.sent = append(m.sent, *in)
 }
@@ -340,7 +340,7 @@
 	})
 	if began, ended := len(s.of(trace.MisbehavingClientConnected)), len(s.of(trace.MisbehavingClientAnswered)); began < 140 || began > 220 ||
 		ended != began || open != began {
-		t.Errorf("%d came, %d had an end, %d an open query's id", began, ended, open)
+		t.Errorf("%d came, %d had an end, %d an open request's id", began, ended, open)
 	}
 }
 
--- a/internal/testbed/environment/discovery_test.go
+++ b/internal/testbed/environment/discovery_test.go
@@ -175,14 +175,14 @@
 			continue
 		}
 		s.Check(e.Kind == trace.StartNotified || notified[e.Worker] != e.Kind || m.w.workers[e.Worker].incarnation > 1,
-			"told twice of the drain of a worker node that never started again")
+			"told twice of the drain of a worker that never started again")
 		notified[e.Worker] = e.Kind
 	}
 	for _, n := range m.w.workers {
 		h, listed := want[n.id]
 		s.Check(!listed || m.w.discovery.knowsStart(i, n), "scheduler %d was not told of %s", i, n.id)
 		s.Check((notified[n.number] == trace.DrainNotified) == (!listed && notified[n.number] != 0 || h.Lifecycle == "draining"),
-			"scheduler %d: %s is %q, and was last told of by sight %d", i, n.id, h.Lifecycle, notified[n.number])
+			"scheduler %d: %s is %q, and was last told of by trace event %d", i, n.id, h.Lifecycle, notified[n.number])
 	}
 }
 
--- a/internal/testbed/environment/event_queue.go
+++ b/internal/testbed/environment/event_queue.go
@@ -41,7 +41,7 @@
 		a.actions = append(a.actions, do)
 	}
 	if place > slotMask {
-		panic("world: too much is on the agenda")
+		panic("environment: the event queue is full")
 	}
 	a.lastID++
 	queuedEvent := queuedEvent{instant, a.lastID<<slotBits | place}
--- a/internal/testbed/environment/fault_description.go
+++ b/internal/testbed/environment/fault_description.go
@@ -35,7 +35,7 @@
 		targets = append(targets, x.Between+" and "+x.And)
 	}
 	if x.onWorkers && (len(x.workers) < len(x.timeline.env.workers) || len(targets) == 0) {
-		targets = append(targets, nameTargets(x.workers, "w-", 0, "worker nodes"))
+		targets = append(targets, nameTargets(x.workers, "w-", 0, "workers"))
 	}
 	if x.onSchedulers && (len(x.schedulers) < spec.Schedulers.Count || len(targets) == 0) {
 		targets = append(targets, nameTargets(x.schedulers, "s", 1, "schedulers"))
--- a/internal/testbed/environment/fault_schedulers.go
+++ b/internal/testbed/environment/fault_schedulers.go
@@ -41,6 +41,6 @@
 		scheduler.env.deliver(simapi.Input{Kind: simapi.SlowDown, Scheduler: i, Delay: time.Duration(x.Size * float64(time.Millisecond))})
 		x.endLater(func() { scheduler.env.deliver(simapi.Input{Kind: simapi.SlowDown, Scheduler: i}) })
 	default:
-		panic("world: no such fault of a scheduler: " + x.Kind)
+		panic("environment: no such fault of a scheduler: " + x.Kind)
 	}
 }
--- a/internal/testbed/environment/fault_shared.go
+++ b/internal/testbed/environment/fault_shared.go
@@ -27,7 +27,7 @@
 	case "storm":
 		return clients.startRetryStorm(x.Size)
 	}
-	panic("world: no such fault: " + x.Kind)
+	panic("environment: no such fault: " + x.Kind)
 }
 
 // applyToNetwork strikes what passes between two groups of endpoints.
@@ -47,7 +47,7 @@
 	case "drop_idle":
 		return network.dropIdle(from, target, durationOf(x.Size))
 	}
-	panic("world: no such fault of the network: " + x.Kind)
+	panic("environment: no such fault of the network: " + x.Kind)
 }
 
 // partition cuts the network between two groups. Discovery takes the workers that are cut off from it for silent.
@@ -82,7 +82,7 @@
 		x.end()
 		return nil
 	}
-	panic("world: no such fault of discovery: " + x.Kind)
+	panic("environment: no such fault of discovery: " + x.Kind)
 }
 
 // tenantIndex is the index of the tenant that the target names; -1: none.
--- a/internal/testbed/environment/fault_workers.go
+++ b/internal/testbed/environment/fault_workers.go
@@ -38,7 +38,7 @@
 	case "slow", "errors", "reset_at":
 		target.addSize(target.sizes())
 	default:
-		panic("world: no such fault of a worker node: " + x.Kind)
+		panic("environment: no such fault of a worker: " + x.Kind)
 	}
 }
 
--- a/internal/testbed/environment/harness_clients_test.go
+++ b/internal/testbed/environment/harness_clients_test.go
@@ -143,13 +143,13 @@
 	if s.Kind == trace.ResponseReceived && (j == nil || !j.awaits(s)) {
 		return // nobody waited for it
 	}
-	m.check(s.Kind == trace.JobDue == (j == nil), "sight %d of job %d, known: %v", s.Kind, s.JobID, j != nil)
+	m.check(s.Kind == trace.JobDue == (j == nil), "trace event %d of job %d, known: %v", s.Kind, s.JobID, j != nil)
 	if s.Kind == trace.JobDue {
 		m.jobs[s.JobID] = &witnessed{dueEvent: *s, risked: -1}
 		m.check(s.LatencyObjective <= s.Deadline && s.Work > 0 && s.Slots >= 1, "a job of no sense: %+v", *s)
 		return
 	}
-	m.check(!j.settled, "sight %d of a settled job", s.Kind)
+	m.check(!j.settled, "trace event %d of a settled job", s.Kind)
 	switch s.Kind {
 	case trace.RequestSent:
 		m.requestSent(j, s)
@@ -162,10 +162,10 @@
 		j.tries, j.status = s.Number+1, 0
 		j.open = nil
 	case trace.ResponseReceived, trace.ConnectionLost, trace.ClientTimedOut, trace.ClientLeft:
-		m.check(j.awaits(s), "sight %d of no open try", s.Kind)
+		m.check(j.awaits(s), "trace event %d of no open try", s.Kind)
 		m.requestEnded(j, s)
 	default:
-		m.check(false, "sight %d", s.Kind)
+		m.check(false, "trace event %d", s.Kind)
 	}
 }
 
--- a/internal/testbed/environment/harness_workers_test.go
+++ b/internal/testbed/environment/harness_workers_test.go
@@ -157,7 +157,7 @@
 	r.t.Helper()
 	s, ok := r.first(what, call)
 	if d := s.At - at; !ok || d < 0 || d > 10*time.Microsecond {
-		r.t.Fatalf("sight %d of %q: found %v, at %v, want %v", what, call, ok, s.At, at)
+		r.t.Fatalf("trace event %d of %q: found %v, at %v, want %v", what, call, ok, s.At, at)
 	}
 	return s
 }
@@ -172,7 +172,7 @@
 		}
 	}
 	if !slices.Equal(got, want) {
-		r.t.Fatalf("notes of %q are %v, want %v", call, got, want)
+		r.t.Fatalf("callbacks of %q are %v, want %v", call, got, want)
 	}
 }
 
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -200,7 +200,7 @@
 	}
 	f := got.Worst[i]
 	if f.Drawn == 0 || f.Faults != 0 || f.Spec.Fleet.Workers >= search.Draw(f.DrawNumber).Fleet.Workers {
-		t.Errorf("the answer given twice needs no fault of the world, and %d of %d are left", f.Faults, f.Drawn)
+		t.Errorf("the answer given twice needs no fault of the environment, and %d of %d are left", f.Faults, f.Drawn)
 	}
 	kept, err := scenario.Parse("kept", f.File())
 	if err != nil {
--- a/internal/testbed/experiment/other_build.go
+++ b/internal/testbed/experiment/other_build.go
@@ -28,7 +28,7 @@
 		return nil, err
 	}
 	if job.Driver != scenario.DriverSimulation {
-		return nil, fmt.Errorf("%s: another build's lab plays in virtual time only; live, name its scheduler", job.Subject.Name)
+		return nil, fmt.Errorf("%s: another build's testbed runs in virtual time only; for real processes, name its scheduler", job.Subject.Name)
 	}
 	args := []string{"play", "-", "--driver", scenario.DriverSimulation, "--seed", strconv.FormatUint(job.Seed, 10), "--json", "-"}
 	if job.Subject.Policy != "" {
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -87,7 +87,7 @@
 }
 
 // ErrStopped is a run that a panic has ended.
-var ErrStopped = errors.New("the play has panicked")
+var ErrStopped = errors.New("the run has panicked")
 
 // Run makes one run. A panic in it, of the policy or of the testbed, is returned as an error that wraps ErrStopped and
 // names the run.
--- a/internal/testbed/experiment/search.go
+++ b/internal/testbed/experiment/search.go
@@ -213,7 +213,7 @@
 	case f.Error != "":
 		return "it stopped: " + firstLine(f.Error)
 	case f.Rule == starvation.Rule:
-		return fmt.Sprintf("%d tries starved", f.StarvationCount)
+		return fmt.Sprintf("%d requests starved", f.StarvationCount)
 	case f.Rule != "":
 		return "rule " + f.Rule + " broken"
 	}
--- a/internal/testbed/fleet/descriptors.go
+++ b/internal/testbed/fleet/descriptors.go
@@ -38,7 +38,7 @@
 	remaining := plan.limit - spareDescriptors - clients - workers - plan.workerConns
 	plan.callbackConns = min(maxCallbackConns, remaining/max(1, workers))
 	if workers > maxWorkers || plan.callbackConns < 1 {
-		return plan, fmt.Errorf("%d worker nodes, %d clients: %w: %d descriptors are allowed, which ends at %d worker nodes; "+
+		return plan, fmt.Errorf("%d workers, %d clients: %w: %d descriptors are allowed, which ends at %d workers; "+
 			"addresses end at %d", workers, clients, errDescriptors, plan.limit, plan.workerLimit(clients), maxWorkers)
 	}
 	return plan, nil
--- a/internal/testbed/fleet/options.go
+++ b/internal/testbed/fleet/options.go
@@ -69,11 +69,11 @@
 // check validates the options.
 func (o *Options) check() error {
 	if o.Clients < 1 || o.Length <= 0 || o.WarmUp < 0 || o.Burst < 0 || o.SilentShare < 0 || o.SilentShare >= 1 {
-		return errors.New("a play needs a client and a length, and a silent share is below 1")
+		return errors.New("a run needs a client and a length, and a silent share is below 1")
 	}
 	disturbances := o.disturbances()
 	if disturbances != nil && disturbances[1] > (o.WarmUp+o.Length).Seconds() {
-		return fmt.Errorf("the trouble ends %.1f s after the clients begin, and the play after %v: play for longer",
+		return fmt.Errorf("the fault ends %.1f s after the clients begin, and the run after %v: make it longer",
 			disturbances[1], o.WarmUp+o.Length)
 	}
 	return nil
--- a/internal/testbed/fleet/proxy.go
+++ b/internal/testbed/fleet/proxy.go
@@ -110,7 +110,7 @@
 		return err
 	}
 	if len(plan.Nodes) == 0 {
-		return errors.New("a proxy needs worker nodes")
+		return errors.New("a proxy needs workers")
 	}
 	server := &http.Server{Handler: NewProxy(plan.Nodes)}
 	go func() {
--- a/internal/testbed/fleet/spec.go
+++ b/internal/testbed/fleet/spec.go
@@ -56,7 +56,7 @@
 
 func (s *Spec) check() error {
 	if s.Nodes < 1 || s.Length < 0 || s.WarmUp < 0 {
-		return fmt.Errorf("%d worker nodes, %v warm and %v long: nothing to play", s.Nodes, s.WarmUp, s.Length)
+		return fmt.Errorf("%d workers, %v warm and %v long: nothing to run", s.Nodes, s.WarmUp, s.Length)
 	}
 	return nil
 }
--- a/internal/testbed/fleet/table.go
+++ b/internal/testbed/fleet/table.go
@@ -28,7 +28,7 @@
 
 // String describes the row for a reader.
 func (r TableRow) String() string {
-	text := fmt.Sprintf("%s, %s worker nodes", r.Subject, formatGrouped(float64(r.Workers), 0))
+	text := fmt.Sprintf("%s, %s workers", r.Subject, formatGrouped(float64(r.Workers), 0))
 	if !r.hasScheduler() {
 		return text
 	}
@@ -55,7 +55,7 @@
 func runsPerServed(run *Measurement) float64 { return float64(run.Started) / float64(run.Served) }
 
 var (
-	rowTitles     = []string{"subject", "worker nodes", "start notices", "hint"}
+	rowTitles     = []string{"subject", "workers", "start notices", "hint"}
 	figureColumns = []figureColumn{
 		{"served/s", 0, func(run *Measurement) float64 { return run.Rate }, always},
 		{"p50 ms", 1, func(run *Measurement) float64 { return run.P50 }, hasServed},
@@ -73,9 +73,9 @@
 )
 
 // Legend explains the columns of the table.
-const Legend = "Several plays of a row: least / median / most, where they differ. CPU µs: of the scheduler's or proxy's " +
-	"process, for each request served. runs: jobs that worker nodes began, for each that was served. busiest: jobs of " +
-	"the busiest worker node over its even part. memory and descriptors: the most that the process had. rig: what its " +
+const Legend = "Several runs of a row: least / median / most, where they differ. CPU µs: of the scheduler's or proxy's " +
+	"process, for each request served. runs: jobs that workers began, for each that was served. busiest: jobs of " +
+	"the busiest worker over its even part. memory and descriptors: the most that the process had. rig: what its " +
 	"busiest core was used, and its own lateness, 99th percentile.\n"
 
 // Table writes a Markdown table with a line for each row. Void runs are left out and counted.
--- a/internal/testbed/mutation/mutants.go
+++ b/internal/testbed/mutation/mutants.go
@@ -56,7 +56,7 @@
 		},
 		{
 			Name: "answers-late", Rule: "one-answer",
-			Description: "writes some answers 100 ms after the query's time is up",
+			Description: "writes some answers 100 ms after the request's time is up",
 			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
 				q := b.requests[o.RequestID]
 				if o.Kind != simapi.ResponseWritten || q == nil || !b.every(10) {
@@ -81,7 +81,7 @@
 		},
 		{
 			Name: "sends-when-over", Rule: "one-answer",
-			Description: "sends some queries on 600 ms after their final answer",
+			Description: "sends some requests on 600 ms after their final answer",
 			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
 				if q := b.requests[o.RequestID]; o.Kind == simapi.ResponseWritten && q != nil && b.every(10) {
 					b.schedule(b.now+600*millisecond, func() { b.sendAttempt(q, b.otherWorker(b.count, 0)) })
@@ -97,7 +97,7 @@
 	return []Mutant{
 		{
 			Name: "quits-on-term", Rule: "one-answer",
-			Description: "exits on SIGTERM with queries in hand",
+			Description: "exits on SIGTERM with requests in flight",
 			Adjust:      withFaults(scenario.Fault{Kind: "sched_term", At: scenario.Duration(3 * second), Duration: scenario.Duration(500 * millisecond)}),
 			Wrap: wrap(func(b *faultInjector, in *simapi.Input) bool {
 				if in.Kind == simapi.Terminate {
@@ -111,7 +111,7 @@
 		},
 		{
 			Name: "deaf-after-term", Rule: "one-answer",
-			Description: "takes queries after SIGTERM that it never answers",
+			Description: "takes requests after SIGTERM that it never answers",
 			Adjust:      withFaults(scenario.Fault{Kind: "sched_term", At: scenario.Duration(3 * second), Duration: scenario.Duration(500 * millisecond)}),
 			Wrap: wrap(func(b *faultInjector, in *simapi.Input) bool {
 				if in.Kind == simapi.Start || in.Kind == simapi.Terminate {
@@ -149,7 +149,7 @@
 		},
 		{
 			Name: "payout-copied", Rule: "payout-once",
-			Description: "sends some payouts to a second worker node while the first has them",
+			Description: "sends some payouts to a second worker while the first has them",
 			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
 				if q := b.requests[o.RequestID]; o.Kind == simapi.AttemptWritten && q != nil && b.idempotencyOf(q) == "unsafe" && b.every(10) {
 					b.sendAttempt(q, b.otherWorker(o.Worker, 1))
@@ -179,7 +179,7 @@
 	return []Mutant{
 		{
 			Name: "key-outside-cell", Rule: "key-scope",
-			Description: "takes all worker nodes for one cell",
+			Description: "takes all workers for one cell",
 			Adjust: func(s *scenario.Scenario) {
 				withLongTimeouts(s, "keyed")
 				withFaults(scenario.Fault{Kind: "hang", At: scenario.Duration(2 * second), Target: scenario.Target{Share: 0.3}})(s)
@@ -202,7 +202,7 @@
 		},
 		{
 			Name: "key-changed", Rule: "key-scope",
-			Description: "sends some keyed queries under a key of its own",
+			Description: "sends some keyed requests under a key of its own",
 			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
 				if o.Kind == simapi.AttemptWritten && o.IdempotencyKey != "" && b.every(10) {
 					o.IdempotencyKey = "0" + o.IdempotencyKey
@@ -218,17 +218,17 @@
 	return []Mutant{
 		{
 			Name: "refuses-run-payout", Rule: "refusal-harmless",
-			Description: "refuses payouts that have been out for 150 ms",
+			Description: "rejects payouts that have been in flight for 150 ms",
 			Wrap:        wrap(nil, rejectAfter("unsafe", 150*millisecond)),
 		},
 		{
 			Name: "refuses-run-credit", Rule: "refusal-harmless",
-			Description: "refuses keyed queries that have been out for 150 ms",
+			Description: "rejects keyed requests that have been in flight for 150 ms",
 			Wrap:        wrap(nil, rejectAfter("keyed", 150*millisecond)),
 		},
 		{
 			Name: "refuses-for-failure", Rule: "refusal-harmless",
-			Description: "words failures as refusals",
+			Description: "reports failures as rejections",
 			Adjust:      withFaults(scenario.Fault{Kind: "errors", At: scenario.Duration(second), Size: 0.5}),
 			Wrap: wrap(nil, func(_ *faultInjector, o *simapi.Output) bool {
 				if o.Kind == simapi.ResponseWritten && o.Status == http.StatusInternalServerError {
@@ -245,7 +245,7 @@
 	return []Mutant{
 		{
 			Name: "drain-late", Rule: "drain",
-			Description: "acts on news of the fleet 1.2 s after it was told",
+			Description: "acts on updates of the endpoint list 1.2 s late",
 			Adjust:      withFaults(scenario.Fault{Kind: "drain", At: scenario.Duration(2 * second), Target: scenario.Target{Share: 0.5}}),
 			Wrap: wrap(func(b *faultInjector, in *simapi.Input) bool {
 				if in.Kind != simapi.ListReceived {
@@ -258,7 +258,7 @@
 		},
 		{
 			Name: "sends-to-removed", Rule: "drain",
-			Description: "never hears that a worker node has left the list",
+			Description: "never learns that a worker has left the list",
 			Adjust: func(s *scenario.Scenario) {
 				withFaults(scenario.Fault{Kind: "gone", At: scenario.Duration(2 * second), Target: scenario.Target{Share: 0.8}})(s)
 				s.Load.CapacityShare, s.Discovery.NoticeDelay, s.Length = 0.9, scenario.Duration(100*millisecond), scenario.Duration(10*second)
@@ -273,7 +273,7 @@
 	return []Mutant{
 		{
 			Name: "cold-flooded", Rule: "cold",
-			Description: "sends a copy of each safe query to whichever worker node started last",
+			Description: "sends a copy of each safe request to whichever worker started last",
 			Adjust: func(s *scenario.Scenario) {
 				withFaults(scenario.Fault{
 					Kind: "crash", At: scenario.Duration(second), Duration: scenario.Duration(second),
@@ -305,7 +305,7 @@
 	return []Mutant{
 		{
 			Name: "two-on-one-node", Rule: "one-attempt-per-node",
-			Description: "sends some safe queries to the same worker node twice",
+			Description: "sends some safe requests to the same worker twice",
 			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
 				if q := b.requests[o.RequestID]; o.Kind == simapi.AttemptWritten && q != nil && b.idempotencyOf(q) == "safe" && b.every(2) {
 					b.sendAttempt(q, o.Worker)
@@ -321,7 +321,7 @@
 	return []Mutant{
 		{
 			Name: "tries-on", Rule: "attempts",
-			Description: "sends some safe queries more often than is allowed",
+			Description: "sends some safe requests more often than is allowed",
 			Adjust:      func(s *scenario.Scenario) { s.Schedulers.AttemptLimit = 3 },
 			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
 				if q := b.requests[o.RequestID]; o.Kind == simapi.AttemptWritten && q != nil && b.idempotencyOf(q) == "safe" && b.every(20) {
@@ -334,7 +334,7 @@
 		},
 		{
 			Name: "copies-forbidden", Rule: "attempts",
-			Description: "sends second copies where there may be none",
+			Description: "sends hedged requests where there may be none",
 			Adjust:      func(s *scenario.Scenario) { s.Schedulers.Hedging = false },
 			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
 				if q := b.requests[o.RequestID]; o.Kind == simapi.AttemptWritten && q != nil && b.idempotencyOf(q) == "safe" && b.every(4) {
@@ -351,7 +351,7 @@
 	return []Mutant{
 		{
 			Name: "makes-results", Rule: "made-by-node",
-			Description: "serves some queries with a result of its own",
+			Description: "serves some requests with a result of its own",
 			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
 				if o.Kind == simapi.ResponseWritten && o.Status == http.StatusOK && b.every(10) {
 					o.Result = "paid"
@@ -361,7 +361,7 @@
 		},
 		{
 			Name: "mixes-results", Rule: "made-by-node",
-			Description: "serves some queries with the result of the one before",
+			Description: "serves some requests with the result of the one before",
 			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
 				if o.Kind == simapi.ResponseWritten && o.Status == http.StatusOK {
 					was := b.lastRequest
@@ -380,13 +380,13 @@
 	return []Mutant{
 		{
 			Name: "holds-refusals", Rule: "prompt-refusal",
-			Description: "holds refusals back until nine tenths of a query's time are over",
+			Description: "holds rejections back until nine tenths of a request's time are over",
 			Adjust:      func(s *scenario.Scenario) { s.Load.CapacityShare, s.Load.Hints = 1.6, "exact" },
 			Wrap:        wrap(nil, delayResponses(http.StatusServiceUnavailable)),
 		},
 		{
 			Name: "holds-failures", Rule: "prompt-refusal",
-			Description: "holds failures back until nine tenths of a query's time are over",
+			Description: "holds failures back until nine tenths of a request's time are over",
 			Adjust:      withFaults(scenario.Fault{Kind: "errors", At: scenario.Duration(second), Size: 0.5}),
 			Wrap:        wrap(nil, delayResponses(http.StatusInternalServerError)),
 		},
@@ -398,7 +398,7 @@
 	return []Mutant{
 		{
 			Name: "changes-ids", Rule: "id-unknown",
-			Description: "sends some queries on under an id of its own",
+			Description: "sends some requests on under an id of its own",
 			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
 				if o.Kind == simapi.AttemptWritten && b.every(20) {
 					o.RequestID = "f" + o.RequestID[1:] + "0"
--- a/internal/testbed/process/addresses.go
+++ b/internal/testbed/process/addresses.go
@@ -81,7 +81,7 @@
 // hasAddresses tells whether there are addresses for so many.
 func (p addressPlan) hasAddresses(nodes, discos int) error {
 	if p.schedulers > maxSchedulers || nodes*p.schedulers > maxListeners || discos*p.schedulers > maxDiscoveries {
-		return fmt.Errorf("%d schedulers, %d worker nodes, %d discoveries: %w", p.schedulers, nodes, discos, errAddresses)
+		return fmt.Errorf("%d schedulers, %d workers, %d discoveries: %w", p.schedulers, nodes, discos, errAddresses)
 	}
 	return nil
 }
--- a/internal/testbed/process/driver.go
+++ b/internal/testbed/process/driver.go
@@ -370,7 +370,7 @@
 	case simapi.DiscoveryAcceptModeChanged:
 		d.failIfLocal(d.setDiscoveryMode(input.Discovery, input.Mode))
 	default:
-		d.fail(fmt.Errorf("the world hands over something of kind %d, which is not known here", input.Kind))
+		d.fail(fmt.Errorf("the environment gives an input of kind %d, which the process driver does not know", input.Kind))
 	}
 }
 
--- a/internal/testbed/process/driver_test.go
+++ b/internal/testbed/process/driver_test.go
@@ -483,7 +483,7 @@
 	acked := func(id uint64, status int) {
 		t.Helper()
 		if o := r.want(simapi.CallbackAnswered); o.CallbackID != id || o.Status != status || o.Worker != 1 {
-			t.Errorf("%+v, expected note %d with %d", o, id, status)
+			t.Errorf("%+v, expected callback %d with %d", o, id, status)
 		}
 	}
 	tell(1, "done")
--- a/internal/testbed/process/lateness.go
+++ b/internal/testbed/process/lateness.go
@@ -26,9 +26,9 @@
 func (l Lateness) InvalidReason() string {
 	switch {
 	case l.Max > MaxLateness:
-		return fmt.Sprintf("the lab was late by %v, %v is allowed", l.Max, MaxLateness)
+		return fmt.Sprintf("the testbed was late by %v, %v is allowed", l.Max, MaxLateness)
 	case l.P999 > MaxLateness999:
-		return fmt.Sprintf("the lab was late by %v or more in one of 1000 turns, %v is allowed", l.P999, MaxLateness999)
+		return fmt.Sprintf("the testbed was late by %v or more in one of 1000 turns, %v is allowed", l.P999, MaxLateness999)
 	}
 	return ""
 }
--- a/internal/testbed/process/misbehaving.go
+++ b/internal/testbed/process/misbehaving.go
@@ -278,7 +278,7 @@
 func (o *misbehavingClient) start(spec *simapi.Misbehavior) {
 	misbehave := misbehaviors[spec.Kind]
 	if misbehave == nil {
-		o.driver.fail(fmt.Errorf("bad clients of kind %q are not known here, only %s", spec.Kind,
+		o.driver.fail(fmt.Errorf("misbehaving clients of kind %q are not known here, only %s", spec.Kind,
 			strings.Join(scenario.MisbehaviorKinds, ", ")))
 		return
 	}
--- a/internal/testbed/process/run.go
+++ b/internal/testbed/process/run.go
@@ -174,11 +174,11 @@
 		return fmt.Errorf("limit on descriptors: %w", err)
 	}
 	if spec.Schedulers.Count < 1 || spec.Fleet.Workers < 1 {
-		return fmt.Errorf("a live play needs a scheduler and a worker node, %d and %d are given", spec.Schedulers.Count,
+		return fmt.Errorf("a live run needs a scheduler and a worker, %d and %d are given", spec.Schedulers.Count,
 			spec.Fleet.Workers)
 	}
 	if need := descriptorsNeeded(spec); uint64(need) > limit.Cur {
-		return fmt.Errorf("%d worker nodes and %d schedulers need %d descriptors live, %d are allowed (ulimit -n); "+
+		return fmt.Errorf("%d workers and %d schedulers need %d descriptors live, %d are allowed (ulimit -n); "+
 			"virtual time needs none", spec.Fleet.Workers, spec.Schedulers.Count, need, limit.Cur)
 	}
 	return nil
--- a/internal/testbed/process/unsupported.go
+++ b/internal/testbed/process/unsupported.go
@@ -13,12 +13,12 @@
 // Unsupported says what of a scenario a live play can't show, one sentence each. A verdict leaves that out, and says so.
 func Unsupported(spec *scenario.Scenario) []string {
 	all := []string{
-		"A connection is up for a scheduler as soon as the kernel has it up: what the world's delays and limits on" +
+		"A connection is up for a scheduler as soon as the kernel has it up: what the environment's delays and limits on" +
 			" connections do to it shows in what comes over it, not in its coming up.",
 		"A scheduler is told its memory and its part of a core, and both are measured; it is held to neither.",
 	}
 	if spec.Fleet.Workers > scenario.MaxProcessWorkers {
-		all = append(all, fmt.Sprintf("%d worker nodes are more than the %d that are tried live: each is a listener"+
+		all = append(all, fmt.Sprintf("%d workers are more than the %d that are tried live: each is a listener"+
 			" for each scheduler.", spec.Fleet.Workers, scenario.MaxProcessWorkers))
 	}
 	net := &spec.Network
@@ -40,9 +40,9 @@
 
 // partlySupportedFaults are those that live shows in part.
 var partlySupportedFaults = map[string]string{
-	"cut": "a new connection comes up, and is silent from there on; the scheduler takes a query that it writes to it" +
+	"cut": "a new connection comes up, and is silent from there on; the scheduler takes a request that it writes to it" +
 		" for one that may have run.",
 	"cut_one_way": "as for cut.",
-	"slow_read":   "queries count as read a second late; the scheduler's writes take no longer than ever.",
+	"slow_read":   "requests count as read a second late; the scheduler's writes take no longer than ever.",
 	"delay":       "it acts on what comes over connections, not on how long they take to come up.",
 }
--- a/internal/testbed/process/workers.go
+++ b/internal/testbed/process/workers.go
@@ -248,7 +248,7 @@
 		// Nobody has sent the request in this form; under its own id it would pass for one that somebody has.
 		if what := driver.describeAlteration(form, request, key, body); what != "" {
 			if len(driver.alteredRequests) < maxAltered {
-				driver.alteredRequests = append(driver.alteredRequests, fmt.Sprintf("query %s reached w-%d from scheduler %d with another %s",
+				driver.alteredRequests = append(driver.alteredRequests, fmt.Sprintf("request %s reached w-%d from scheduler %d with another %s",
 					requestID, k.worker.number, k.scheduler, what))
 			}
 			requestID += "!" + what
--- a/internal/testbed/report/comparison_html.go
+++ b/internal/testbed/report/comparison_html.go
@@ -30,7 +30,7 @@
 			ID:     fmt.Sprint("pairs-", i+1),
 			Title:  comparison.Sides[i+1].Name + " against " + comparison.Sides[0].Name,
 			Tables: []table{pairTable(pairs)},
-			Text:   []string{"Differences are of plays with the same seed. " + chanceRemark},
+			Text:   []string{"Differences are of runs with the same seed. " + chanceRemark},
 		})
 	}
 	document.addScenario(comparison.Scenario)
@@ -57,8 +57,8 @@
 		})
 	}
 	addSides("rules broken", func(side int) string { return formatCount(c.Sides[side].Broken) })
-	addSides("plays", func(side int) string { return formatCount(len(c.Sides[side].Results)) })
-	addSides("plays that were void, left out", func(side int) string { return formatCount(c.Sides[side].Invalid) })
+	addSides("runs", func(side int) string { return formatCount(len(c.Sides[side].Results)) })
+	addSides("runs that were void, left out", func(side int) string { return formatCount(c.Sides[side].Invalid) })
 	return figures
 }
 
--- a/internal/testbed/report/run_effort.go
+++ b/internal/testbed/report/run_effort.go
@@ -11,40 +11,40 @@
 // effortSection shows how many attempts and how much work the run took.
 func effortSection(result *score.Result) section {
 	return section{
-		ID: "effort", Title: "Attempts, waste, refusals",
+		ID: "effort", Title: "Attempts, waste, rejections",
 		Tables: []table{workTable(&result.Effort, &result.Waste), countTable(&result.Effort, result.Whole.JobsDue)},
 	}
 }
 
 // countTable returns what was counted at clients and workers, in all and for each job.
 func countTable(effort *score.Effort, jobs int) table {
-	counts := table{Caption: "Counted at clients and worker nodes", Columns: []string{"", "in all", "a job"}}
+	counts := table{Caption: "Counted at clients and workers", Columns: []string{"", "in all", "a job"}}
 	for _, entry := range []struct {
 		name  string
 		count int
 	}{
-		{"tries of clients", effort.Requests},
+		{"requests of clients", effort.Requests},
 		{"retries of clients", effort.Retries},
-		{"tries that found no scheduler", effort.RequestsUnreached},
+		{"requests that found no scheduler", effort.RequestsUnreached},
 		{"sent once more on a new connection", effort.Resent},
-		{"tries served", effort.RequestsServed},
-		{"tries refused by schedulers", effort.RequestsRejected},
-		{"tries failed", effort.RequestsFailed},
-		{"attempts at worker nodes", effort.Attempts},
-		{"second copies", effort.Hedged},
+		{"requests served", effort.RequestsServed},
+		{"requests rejected by schedulers", effort.RequestsRejected},
+		{"requests failed", effort.RequestsFailed},
+		{"attempts at workers", effort.Attempts},
+		{"hedged requests", effort.Hedged},
 		{"accepted", effort.Accepted},
-		{"turned away by worker nodes", effort.Rejected},
+		{"rejected by workers", effort.Rejected},
 		{"of these, full", effort.Full},
-		{"handed back unstarted", effort.Returned},
-		{"withdrawn", effort.Cancelled},
+		{"returned unstarted", effort.Returned},
+		{"cancelled", effort.Cancelled},
 		{"repeats that a cell dropped", effort.DuplicatesDropped},
-		{"notes", effort.Callbacks},
-		{"notes lost", effort.CallbacksLost},
-		{"probes", effort.HealthChecks},
-		{"connections opened to worker nodes", effort.Connections},
-		{"cold worker nodes pushed over", effort.Overloads},
-		{"attempts of queries long over", effort.Duplicates},
-		{"sights of what is not open", effort.Unknown},
+		{"callbacks", effort.Callbacks},
+		{"callbacks lost", effort.CallbacksLost},
+		{"health checks", effort.HealthChecks},
+		{"connections opened to workers", effort.Connections},
+		{"warming workers overloaded", effort.Overloads},
+		{"attempts of requests long over", effort.Duplicates},
+		{"trace events of what is not open", effort.Unknown},
 	} {
 		counts.addRow(entry.name, formatCount(entry.count), formatNumber(float64(entry.count)/float64(max(1, jobs))))
 	}
@@ -64,17 +64,17 @@
 		work float64
 	}{
 		{"asked for", effort.WorkRequested},
-		{"run by worker nodes", effort.WorkRun},
+		{"run by workers", effort.WorkRun},
 		{"of which an answer came", effort.WorkUseful},
-		{"of which it came after the aim", effort.WorkAfterObjective},
+		{"of which it came after the latency objective", effort.WorkAfterObjective},
 		{"waste", waste.Work},
 		{"waste: another run had given the answer", waste.Repeated},
 		{"waste: the client's time was up", waste.TooLate},
 		{"waste: the client had gone", waste.ClientLeft},
-		{"waste: the client was refused, failed or cut off", waste.Unused},
+		{"waste: the client was rejected, failed or cut off", waste.Unused},
 		{"waste: it ended with an error", waste.Errors},
 		{"waste: it died on the way", waste.Killed},
-		{"for tries that were open at the end", effort.WorkPending},
+		{"for requests that were open at the end", effort.WorkPending},
 	} {
 		works.addRow(entry.name, formatNumber(entry.work), formatPercent(entry.work/max(effort.WorkRequested, minWork)))
 	}
@@ -98,7 +98,7 @@
 		}
 	}
 	if lateness := &result.Lateness; lateness.Count > 0 {
-		processes.Text = append(processes.Text, fmt.Sprintf("The lab itself was late %s: p99.9 %s, at most %s.",
+		processes.Text = append(processes.Text, fmt.Sprintf("The testbed itself was late %s: p99.9 %s, at most %s.",
 			plural(lateness.Count, "time", "times"), formatMillis(lateness.P999), formatMillis(lateness.Max)))
 	}
 	wasStarted := func(process score.Process) bool { return process.Starts > 0 }
@@ -134,7 +134,7 @@
 // processTable lists all processes.
 func processTable(processes []score.Process) table {
 	list := table{Columns: []string{
-		"", "CPU", "cores", "peak memory", "peak descriptors", "tries", "attempts", "starts",
+		"", "CPU", "cores", "peak memory", "peak descriptors", "requests", "attempts", "starts",
 		"kills", "SIGTERM", "freezes", "reloads", "exits",
 	}}
 	for _, process := range processes {
--- a/internal/testbed/report/run_html.go
+++ b/internal/testbed/report/run_html.go
@@ -65,19 +65,19 @@
 
 var readingGuide = []string{
 	"Worth: a job's is that of its class, times its work, times its slots; beyond its tenant's share it counts only a " +
-		"part. It is earned if the answer is there within the job's aim, counted from when the job was due, over all " +
-		"tries. \"In share\" leaves out what is beyond a tenant's share. The mix is 40% the whole play, 15% its worst " +
+		"part. It is earned if the answer is there within the job's latency objective, counted from when the job was due, over all " +
+		"requests. \"In share\" leaves out what is beyond a tenant's share. The mix is 40% the whole run, 15% its worst " +
 		"10 s, 20% the worst class, 25% the worst tenant within its share.",
 	"Each job is in one of these: in time, late (both served), refused (its last answer was 429 or 503), failed (its " +
 		"last answer was another), unanswered (its client's time was up), lost (its last connection ended without an " +
-		"answer), left (its client went away by itself), open (not over when the play was).",
+		"answer), left (its client went away by itself), open (not over when the run was).",
 	"Latency runs from when a job was due to its served answer, waiting and retries of its client included. Jobs that " +
 		"were not served have none.",
 	"Occupancy is slots in use, over time, over slots up. Waste is work that served nobody; what died on the way " +
 		"counts for as long as it ran.",
 	"A disturbance is a fault, or several that run into each other. Goodput is back when the share of the worth due " +
 		"in a second, as a mean over that second and the next, that was earned is 95% of what it was over the 10 s before.",
-	"Everything here was seen at clients and worker nodes. Nothing is a scheduler's word.",
+	"Everything here was seen at clients and workers. Nothing is a scheduler's word.",
 }
 
 // tiles returns the figures for the head of the page.
@@ -85,7 +85,7 @@
 	value, whole := &result.Value, &result.Whole
 	tiles := []tile{
 		{"worth, mixed", formatFixed(value.Mix), "in time over asked for"},
-		{"whole play", formatFixed(value.Whole), ""},
+		{"whole run", formatFixed(value.Whole), ""},
 		{"worst 10 s", formatFixed(value.Worst10), "from " + formatSeconds(value.Worst10At)},
 		{"worst class", formatFixed(value.WorstClass.Value), value.WorstClass.Name},
 		{"worst tenant", formatFixed(value.WorstTenant.Value), value.WorstTenant.Name},
@@ -120,7 +120,7 @@
 	}
 	verdictSection = section{ID: "verdict", Title: "Verdict", Text: []string{capitalize(verdict.String()) + "."}}
 	if unexplained := verdict.Total() - len(verdict.Violations); unexplained > 0 {
-		verdictSection.Text = append(verdictSection.Text, fmt.Sprintf("Of %d of them no story was kept.", unexplained))
+		verdictSection.Text = append(verdictSection.Text, fmt.Sprintf("Of %d of them no explanation was kept.", unexplained))
 	}
 	for _, reason := range verdict.NotChecked {
 		verdictSection.Text = append(verdictSection.Text, "Left out: "+reason)
--- a/internal/testbed/report/run_tables.go
+++ b/internal/testbed/report/run_tables.go
@@ -150,7 +150,7 @@
 // markTable lists the marks of the timeline.
 func markTable(marks []score.Mark) table {
 	list := table{
-		Caption: "What befell schedulers, and worker nodes that were pushed over",
+		Caption: "What befell schedulers, and workers that were overloaded",
 		Columns: []string{"what", "when"},
 		Summary: plural(len(marks), "mark", "marks"),
 	}
@@ -164,10 +164,10 @@
 func workerTable(workers []score.WorkerUse) table {
 	list := table{
 		Columns: []string{"", "occupancy", "up", "slots", "attempts", "full", "pushed over"},
-		Summary: plural(len(workers), "worker node", "worker nodes") + ", the busiest first",
+		Summary: plural(len(workers), "worker", "workers") + ", the busiest first",
 	}
 	if len(workers) > maxListedWorkers {
-		list.Summary = fmt.Sprintf("The %d busiest of %s worker nodes", maxListedWorkers, formatCount(len(workers)))
+		list.Summary = fmt.Sprintf("The %d busiest of %s workers", maxListedWorkers, formatCount(len(workers)))
 	}
 	sorted := slices.Clone(workers)
 	slices.SortStableFunc(sorted, func(a, b score.WorkerUse) int { return cmp.Compare(b.Use, a.Use) })
@@ -194,5 +194,5 @@
 			list.setClass(classPoor, openColumn)
 		}
 	}
-	return section{ID: "bad", Title: "Bad clients", Tables: []table{list}}, len(result.Misbehaving) > 0
+	return section{ID: "bad", Title: "Misbehaving clients", Tables: []table{list}}, len(result.Misbehaving) > 0
 }
--- a/internal/testbed/report/run_text.go
+++ b/internal/testbed/report/run_text.go
@@ -67,7 +67,7 @@
 	}
 	parts = append(parts,
 		"seed "+strconv.FormatUint(result.Seed, 10),
-		plural(len(result.Fleet.Workers), "worker node", "worker nodes"),
+		plural(len(result.Fleet.Workers), "worker", "workers"),
 		plural(schedulers, "scheduler", "schedulers"),
 		formatSeconds(result.Length)+" of load",
 		formatSeconds(result.End)+" in all")
@@ -96,7 +96,7 @@
 
 func (p *textPage) writeValue(value *score.Value) {
 	p.line(strong, "worth answered in time over worth asked for  %.3f  %s", value.Mix, bar(value.Mix, barWidth))
-	p.line(plain, "  whole play %.3f; worst 10 s %.3f, from %.0f s on", value.Whole, value.Worst10, value.Worst10At)
+	p.line(plain, "  whole run %.3f; worst 10 s %.3f, from %.0f s on", value.Whole, value.Worst10, value.Worst10At)
 	p.line(plain, "  worst class %.3f, %s; worst tenant %.3f, %s",
 		value.WorstClass.Value, truncateLine(value.WorstClass.Name, valueNameWidth),
 		value.WorstTenant.Value, truncateLine(value.WorstTenant.Name, valueNameWidth))
@@ -204,16 +204,16 @@
 
 func (p *textPage) writeEffort(result *score.Result) {
 	effort, waste, fleet := &result.Effort, &result.Waste, &result.Fleet
-	p.line(plain, "attempts    %.3f a job, %d at most; second copies %s; turned away %s, handed back %s, withdrawn %s",
+	p.line(plain, "attempts    %.3f a job, %d at most; hedged %s; rejected %s, returned %s, cancelled %s",
 		effort.PerJob, effort.MaxAttempts, formatCount(effort.Hedged), formatCount(effort.Rejected),
 		formatCount(effort.Returned), formatCount(effort.Cancelled))
-	p.line(plain, "waste       %s of work asked, in s: repeated %s, too late %s, died or failed %s; after aim %s",
+	p.line(plain, "waste       %s of work asked, in s: repeated %s, too late %s, failed %s; past objective %s",
 		formatPercent(waste.Share), formatNumber(waste.Repeated), formatNumber(waste.TooLate+waste.ClientLeft+waste.Unused),
 		formatNumber(waste.Killed+waste.Errors), formatNumber(effort.WorkAfterObjective))
-	p.line(plain, "clients     tries %s, retries %s, refused %s; probes %s, links %s, notes %s", formatCount(effort.Requests),
+	p.line(plain, "requests    %s, retries %s, rejected %s; checks %s, connections %s, callbacks %s", formatCount(effort.Requests),
 		formatCount(effort.Retries), formatCount(effort.RequestsRejected), formatCount(effort.HealthChecks),
 		formatCount(effort.Connections), formatCount(effort.Callbacks))
-	p.line(plain, "fleet       occupancy %s; busiest w-%d %s, %s times the mean; pushed over %d", formatPercent(fleet.Whole),
+	p.line(plain, "fleet       occupancy %s; busiest w-%d %s, %s times the mean; overloaded %d", formatPercent(fleet.Whole),
 		fleet.BusiestWorker, formatPercent(fleet.Busiest), formatNumber(fleet.OverMean), effort.Overloads)
 	p.writeMisbehaving(result.Misbehaving)
 	p.writeProcesses(result)
@@ -232,7 +232,7 @@
 		total.Served += counts.Served
 		total.Open += counts.Open
 	}
-	p.line(plain, "bad clients %s: errors %s, closed %s, served %s, left waiting %s", formatCount(total.Connected),
+	p.line(plain, "misbehaving %s: errors %s, closed %s, served %s, left waiting %s", formatCount(total.Connected),
 		formatCount(total.Errors), formatCount(total.Closed), formatCount(total.Served), formatCount(total.Open))
 }
 
@@ -245,7 +245,7 @@
 			formatNumber(process.Cores), formatBytes(float64(process.PeakMemory)), formatCount(process.PeakFiles))
 	})
 	if lateness := &result.Lateness; lateness.Count > 0 {
-		p.line(plain, "lab late    %s; p99.9 %s, max %s", plural(lateness.Count, "time", "times"),
+		p.line(plain, "lateness    testbed late %s; p99.9 %s, max %s", plural(lateness.Count, "time", "times"),
 			formatMillis(lateness.P999), formatMillis(lateness.Max))
 	}
 }
@@ -253,7 +253,7 @@
 // processName returns the name of a scheduler's process, or that of the testbed for a negative index.
 func processName(scheduler int) string {
 	if scheduler < 0 {
-		return "lab"
+		return "testbed"
 	}
 	return fmt.Sprint("scheduler ", scheduler)
 }
--- a/internal/testbed/report/run_timeline.go
+++ b/internal/testbed/report/run_timeline.go
@@ -49,11 +49,11 @@
 			lines: inFlightLines(seconds),
 		},
 		{
-			id: "refusals", title: "Refusals and attempts", yName: "a second", height: 200, text: formatNumber,
+			id: "rejections", title: "Rejections and attempts", yName: "a second", height: 200, text: formatNumber,
 			lines: []lineSpec{
 				{name: "jobs due", series: seconds.DueJobs, area: true},
-				{name: "tries refused by schedulers", series: seconds.Rejected, strong: true},
-				{name: "attempts at worker nodes", series: seconds.Attempts},
+				{name: "requests rejected by schedulers", series: seconds.Rejected, strong: true},
+				{name: "attempts at workers", series: seconds.Attempts},
 			},
 		},
 	}
@@ -95,14 +95,14 @@
 		upShare[i] = workersUp / float64(max(1, len(fleet.Workers)))
 	}
 	occupancy := timePlot{
-		id: "occupancy", title: "Occupancy of the fleet, and worker nodes up", yName: "of slots up, and of all",
+		id: "occupancy", title: "Occupancy of the fleet, and workers up", yName: "of slots up, and of all",
 		height: 180, top: 1, text: formatPercent, lines: []lineSpec{
 			{name: "occupancy", series: result.Seconds.Occupancy, area: true},
-			{name: "worker nodes up", series: upShare},
+			{name: "workers up", series: upShare},
 		},
 	}
 	return section{
-		ID: "fleet", Title: "Worker nodes",
+		ID: "fleet", Title: "Workers",
 		Text: []string{fmt.Sprintf("Occupancy of the fleet %s; of the busiest, w-%d, %s, which is %s times the mean.",
 			formatPercent(fleet.Whole), fleet.BusiestWorker, formatPercent(fleet.Busiest), formatNumber(fleet.OverMean))},
 		Strip:  timeline.strip(fleet),
--- a/internal/testbed/report/strip.go
+++ b/internal/testbed/report/strip.go
@@ -75,7 +75,7 @@
 	}
 	lineHeight := grid.lineHeight()
 	strip := &strip{
-		ID: "strip", Title: "Occupancy of worker nodes over time",
+		ID: "strip", Title: "Occupancy of workers over time",
 		Width: plotWidth, LeftEdge: plotLeftEdge, TopEdge: stripTopEdge,
 		AreaW: plotWidth - plotLeftEdge - plotRightMargin, AreaH: lineHeight * pixels(len(grid.lines)),
 	}
@@ -93,10 +93,10 @@
 		strip.Bands = append(strip.Bands, band{X: xScale.at(fault.On), Text: fmt.Sprintf("%d. %s", i+1, fault.Text)})
 	}
 	if workers := divideUp(len(occupancy.Workers), len(grid.lines)); workers > 1 {
-		strip.Remark = fmt.Sprintf("each line up to %d worker nodes side by side", workers)
+		strip.Remark = fmt.Sprintf("each line up to %d workers side by side", workers)
 	}
 	strip.Description = fmt.Sprintf("%s in %s, each cell %s. The fleet's occupancy is %s; the busiest, w-%d, has %s.",
-		plural(len(occupancy.Workers), "worker node", "worker nodes"), plural(len(grid.lines), "line", "lines"),
+		plural(len(occupancy.Workers), "worker", "workers"), plural(len(grid.lines), "line", "lines"),
 		formatSeconds(grid.secondsInColumn), formatPercent(occupancy.Whole), occupancy.BusiestWorker,
 		formatPercent(occupancy.Busiest))
 	return strip
--- a/internal/testbed/report/timeline.go
+++ b/internal/testbed/report/timeline.go
@@ -53,7 +53,7 @@
 
 // plot draws a plot over time.
 func (t *timeline) plot(spec timePlot) *plot {
-	plot := newPlot(spec.id, spec.title, "seconds since the play's start", spec.yName, spec.height)
+	plot := newPlot(spec.id, spec.title, "seconds since the run's start", spec.yName, spec.height)
 	labelLevels := t.addBands(plot, spec.labels)
 	plot.addHeadroom(labelHeight * pixels(max(0, labelLevels-1)))
 	spec.lines = t.padded(spec.lines)
--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -61,7 +61,7 @@
 	}
 	check.distinct("drivers", s.Drivers)
 	if s.SupportsDriver(DriverProcess) && s.Fleet.Workers > MaxProcessWorkers {
-		check.report("drivers", "live ends at %d worker nodes, and fleet.nodes is %d", MaxProcessWorkers, s.Fleet.Workers)
+		check.report("drivers", "live ends at %d workers, and fleet.nodes is %d", MaxProcessWorkers, s.Fleet.Workers)
 	}
 }
 
--- a/internal/testbed/scenario/check_class.go
+++ b/internal/testbed/scenario/check_class.go
@@ -79,9 +79,9 @@
 	}
 	switch {
 	case !isKnown:
-		check.report(key+".kind", "%q is no kind of worker node here", class.Kind)
+		check.report(key+".kind", "%q is no kind of worker here", class.Kind)
 	case !fits:
-		check.report(key+".slots", "a job of %d slots fits no worker node that may run it", slots)
+		check.report(key+".slots", "a job of %d slots fits no worker that may run it", slots)
 	}
 }
 
--- a/internal/testbed/scenario/check_environment.go
+++ b/internal/testbed/scenario/check_environment.go
@@ -47,7 +47,7 @@
 		check.durationInRange(key+".at", misbehaving.At, 0, s.Length-1)
 		check.durationInRange(key+".for", misbehaving.Duration, 0, maxDuration)
 		if !s.SupportsDriver(DriverProcess) {
-			check.report(key, "bad clients are live only, and live is not among drivers")
+			check.report(key, "misbehaving clients are live only, and live is not among drivers")
 		}
 	}
 }
--- a/internal/testbed/scenario/check_fault.go
+++ b/internal/testbed/scenario/check_fault.go
@@ -25,9 +25,9 @@
 func (s *Scenario) checkFaultTime(check *validator, key string, fault *Fault, rule *faultRule) {
 	switch {
 	case fault.At < 0 || fault.At >= s.Length:
-		check.report(key+".at", "%v is outside the play, which is %v long", fault.At, s.Length)
+		check.report(key+".at", "%v is outside the run, which is %v long", fault.At, s.Length)
 	case fault.Spread < 0 || fault.At+fault.Spread > s.Length:
-		check.report(key+".spread", "%v reaches outside the play, which is %v long", fault.Spread, s.Length)
+		check.report(key+".spread", "%v reaches outside the run, which is %v long", fault.Spread, s.Length)
 	case fault.Spread > 0 && !rule.canSpread():
 		check.report(key+".spread", "%s strikes all at once", fault.Kind)
 	}
@@ -147,7 +147,7 @@
 func (s *Scenario) checkTargetNames(check *validator, key string, target *Target) {
 	for i, name := range target.Names {
 		if _, exists := NodeIndex(name, s.Fleet.Workers); !exists {
-			check.report(entryKey(key, i), "%q matches nothing: worker nodes are w-0 to w-%d", name, s.Fleet.Workers-1)
+			check.report(entryKey(key, i), "%q matches nothing: workers are w-0 to w-%d", name, s.Fleet.Workers-1)
 		}
 	}
 }
@@ -177,7 +177,7 @@
 func (s *Scenario) checkTargetKind(check *validator, key string, target *Target) {
 	isPresent := func(kind WorkerKind) bool { return kind.Name == target.Kind && kind.Share > 0 }
 	if !slices.ContainsFunc(s.Fleet.Kinds, isPresent) {
-		check.report(key, "%q matches nothing: there is no worker node of that kind", target.Kind)
+		check.report(key, "%q matches nothing: there is no worker of that kind", target.Kind)
 	}
 }
 
--- a/internal/testbed/scenario/expect.go
+++ b/internal/testbed/scenario/expect.go
@@ -25,9 +25,9 @@
 var Metrics = []Metric{
 	{Name: "in_time", Description: "worth answered in time over worth asked for", Share: true, Parts: true},
 	{Name: "served", Description: "jobs served, late ones included, over jobs", Share: true, Parts: true},
-	{Name: "refused", Description: "jobs whose last answer was a refusal, over jobs", Share: true, Parts: true},
+	{Name: "refused", Description: "jobs whose last answer was a rejection, over jobs", Share: true, Parts: true},
 	{Name: "failed", Description: "jobs whose last answer was a failure, over jobs", Share: true, Parts: true},
-	{Name: "lost", Description: "jobs whose last try ended with its connection, over jobs", Share: true, Parts: true},
+	{Name: "lost", Description: "jobs whose last request ended with its connection, over jobs", Share: true, Parts: true},
 	{Name: "unanswered", Description: "jobs whose clients gave up without an answer, over jobs", Share: true, Parts: true},
 	{
 		Name: "p50_ms", Description: "median time from when a job fell due to its served answer, in ms", Parts: true, Time: true,
@@ -35,7 +35,7 @@
 	},
 	{Name: "p99_ms", Description: "its 99th percentile, in ms", Parts: true, Time: true, Unit: time.Millisecond},
 	{Name: "waste", Description: "work done that no client got an answer from, over work asked for"},
-	{Name: "attempts", Description: "attempts that reached worker nodes, over jobs"},
+	{Name: "attempts", Description: "attempts that reached workers, over jobs"},
 	{
 		Name: metricRecovery, Description: "seconds from the end of the last fault until goodput is back where it was",
 		Time: true, Unit: time.Second,
@@ -113,7 +113,7 @@
 		return parsed, err
 	}
 	if parsed.Group != "" && !metric.Parts {
-		return parsed, fmt.Errorf("%s is of the whole play, not of %q", parsed.Metric, parsed.Group)
+		return parsed, fmt.Errorf("%s is of the whole run, not of %q", parsed.Metric, parsed.Group)
 	}
 	parsed.Bound, err = metric.parseBound(parsed.Operator, bound)
 	if err != nil {
--- a/internal/testbed/score/headline.go
+++ b/internal/testbed/score/headline.go
@@ -13,7 +13,7 @@
 // Headlines has all headlines, the most important first.
 var Headlines = []Headline{
 	{
-		"mix", "40% the whole play, 15% its worst 10 s, 20% the worst class, 25% the worst tenant within its share", Higher,
+		"mix", "40% the whole run, 15% its worst 10 s, 20% the worst class, 25% the worst tenant within its share", Higher,
 		func(r *Result) float64 { return r.Value.Mix },
 	},
 	{"in_time", "worth answered in time over worth asked for", Higher, func(r *Result) float64 { return r.Value.Whole }},
@@ -24,10 +24,10 @@
 		func(r *Result) float64 { return r.Value.WorstTenant.Value },
 	},
 	{"served", "jobs served, late ones included, over jobs", Higher, metricOf("served")},
-	{"refused", "jobs whose last answer was a refusal, over jobs", Lower, metricOf("refused")},
+	{"refused", "jobs whose last answer was a rejection, over jobs", Lower, metricOf("refused")},
 	{"failed", "jobs whose last answer was a failure, over jobs", Lower, metricOf("failed")},
 	{"unanswered", "jobs whose clients gave up without an answer, over jobs", Lower, metricOf("unanswered")},
-	{"lost", "jobs whose last try ended with its connection, over jobs", Lower, metricOf("lost")},
+	{"lost", "jobs whose last request ended with its connection, over jobs", Lower, metricOf("lost")},
 	{"p50_ms", "median time from when a job fell due to its served answer, in ms", Lower, metricOf("p50_ms")},
 	{"p99_ms", "its 99th percentile, in ms", Lower, metricOf("p99_ms")},
 	{"p99_9_ms", "its 99.9th percentile, in ms", Lower, func(r *Result) float64 {
@@ -36,14 +36,14 @@
 		}
 		return r.Whole.Latency.P999
 	}},
-	{"attempts", "attempts that reached worker nodes, over jobs", Lower, metricOf("attempts")},
+	{"attempts", "attempts that reached workers, over jobs", Lower, metricOf("attempts")},
 	{"waste", "work done that no client got an answer from, over work asked for", Lower, metricOf("waste")},
 	{
 		"recovered_within", "seconds from the end of a disturbance until goodput was back, the worst of them", Lower,
 		metricOf("recovered_within"),
 	},
 	{
-		"busiest_over_mean", "occupancy of the busiest worker node over the mean", Lower,
+		"busiest_over_mean", "occupancy of the busiest worker over the mean", Lower,
 		func(r *Result) float64 { return r.Fleet.OverMean },
 	},
 }
--- a/internal/testbed/score/workers.go
+++ b/internal/testbed/score/workers.go
@@ -114,5 +114,5 @@
 func (s *Score) workerOverloaded(event *trace.Event) {
 	s.workerAt(event.Worker).overloads++
 	s.effort.Overloads++
-	s.addMark("worker node " + workerName(event.Worker) + " pushed over")
+	s.addMark("worker " + workerName(event.Worker) + " pushed over")
 }
--- a/internal/testbed/simulation/levels_random_test.go
+++ b/internal/testbed/simulation/levels_random_test.go
@@ -152,5 +152,5 @@
 		})
 	}
 	all.Wait()
-	t.Logf("%d queries: %+v", requests, sum)
+	t.Logf("%d requests: %+v", requests, sum)
 }
--- a/internal/testbed/simulation/levels_test.go
+++ b/internal/testbed/simulation/levels_test.go
@@ -108,7 +108,7 @@
 			return append(dst, o, again(o, func(m *message.SendCommand) { m.Attempt++ }))
 		},
 	},
-	"to a worker node that drains": {
+	"to a worker that drains": {
 		[]message.RejectReason{message.ReasonWorkerDraining, message.ReasonUnknownWorker},
 		func(d *commandHistory, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
 			if d.drained > 0 {
@@ -146,7 +146,7 @@
 			return dst
 		},
 	},
-	"of another forwarder's query": {
+	"of another forwarder's request": {
 		[]message.RejectReason{message.ReasonUnknownRequest},
 		func(_ *commandHistory, o planner.SendToForwarder, dst []planner.Action) []planner.Action {
 			return append(dst, again(o, func(m *message.SendCommand) { m.RequestID += 1 << 20 }), o)
--- a/internal/testbed/simulation/process_test.go
+++ b/internal/testbed/simulation/process_test.go
@@ -70,8 +70,8 @@
 	b.now = 2 * sec
 	b.sendRequest(2, 12*sec)
 	b.step(simapi.Input{Kind: simapi.Terminate}) // a second one changes nothing
-	expect(t, "links between queries", messagesOf(b.until(sec+2800*ms), simapi.ClientConnClosed, simapi.ResponseWritten), line(simapi.ClientConnClosed, "", 0))
-	expect(t, "a late query", messagesOf(b.sendRequest(3, 12*sec), simapi.ResponseWritten, simapi.ClientConnClosed), line(simapi.ResponseWritten, "c3", 503),
+	expect(t, "connections between requests", messagesOf(b.until(sec+2800*ms), simapi.ClientConnClosed, simapi.ResponseWritten), line(simapi.ClientConnClosed, "", 0))
+	expect(t, "a late request", messagesOf(b.sendRequest(3, 12*sec), simapi.ResponseWritten, simapi.ClientConnClosed), line(simapi.ResponseWritten, "c3", 503),
 		line(simapi.ClientConnClosed, "", 0))
 	// What came later than 0.7 s after SIGTERM is answered, and so is what was never sent; what is out has a moment more.
 	expect(t, "until the last words", messagesOf(b.until(sec+3399*ms), simapi.ResponseWritten, simapi.Exited))
@@ -205,7 +205,7 @@
 	b.start()
 	for n := 1; n <= 32; n++ {
 		if outs := b.sendRequest(n, 5*sec); len(outs) > 0 {
-			t.Fatalf("query %d: %v", n, outs)
+			t.Fatalf("request %d: %v", n, outs)
 		}
 	}
 	for n := 33; n <= 40; n++ {
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -181,7 +181,7 @@
 		if at > now {
 			now, rounds = at, 0
 		} else if rounds++; rounds > maxRounds {
-			return fmt.Errorf("the play goes round in circles at %v", now)
+			return fmt.Errorf("the run goes round in circles at %v", now)
 		}
 		p.runRound(now)
 		if p.outcome.Finished = p.environment.Finished(); !p.outcome.Finished {
--- a/internal/testbed/simulation/unsupported.go
+++ b/internal/testbed/simulation/unsupported.go
@@ -12,13 +12,13 @@
 	all := []string{
 		"CPU, memory and descriptors of the schedulers' processes are not measured: deciding, reading and writing take" +
 			" no time, and a process has as much memory as it wants.",
-		"Queries and answers cross the border whole: nothing is seen of how bytes are read, written and framed.",
+		"Requests and responses pass whole between environment and scheduler: nothing is seen of how bytes are read, written and framed.",
 	}
 	notified := map[string]bool{}
 	for _, b := range spec.Misbehaving {
 		if !notified[b.Kind] {
 			notified[b.Kind] = true
-			all = append(all, fmt.Sprintf("Bad clients (%s) are left out: what they do, they do with bytes on sockets.", b.Kind))
+			all = append(all, fmt.Sprintf("Misbehaving clients (%s) are left out: what they do, they do with bytes on sockets.", b.Kind))
 		}
 	}
 	for _, f := range spec.Faults {
@@ -39,9 +39,9 @@
 
 // partlySupportedFaults says, by kind, what a run in simulated time leaves out of a fault.
 var partlySupportedFaults = map[string]string{
-	"reset_at": "a query that is reset before its last byte counts as wholly written by the scheduler, as small ones" +
+	"reset_at": "a request that is reset before its last byte counts as wholly written by the scheduler, as small ones" +
 		" do for a kernel.",
-	"slow_read":     "queries arrive late as a whole; a write that takes its time is not seen.",
+	"slow_read":     "requests arrive late as a whole; a write that takes its time is not seen.",
 	"sched_replace": "a process that replaces another takes over at once, and loses nothing.",
 	"sched_reload":  "of the configuration file read anew, only the address of discovery counts.",
 }
--- a/internal/testbed/simulation/worker_conns.go
+++ b/internal/testbed/simulation/worker_conns.go
@@ -32,10 +32,10 @@
 var (
 	errRefused      = errors.New("connection refused")
 	errReset        = errors.New("connection reset")
-	errEnded        = errors.New("ended by the worker node")
+	errEnded        = errors.New("ended by the worker")
 	errTimeout      = errors.New("no answer in time")
-	errNoDescriptor = errors.New("no descriptor left for a server link")
-	errNoAddress    = errors.New("the host has no address")
+	errNoDescriptor = errors.New("no descriptor left for a worker connection")
+	errNoAddress    = errors.New("the worker has no address")
 	errStatus       = errors.New("status")
 )
 
--- a/internal/testbed/starvation/verdict.go
+++ b/internal/testbed/starvation/verdict.go
@@ -26,9 +26,9 @@
 // String returns the verdict in one line.
 func (v *Verdict) String() string {
 	if v.Count() == 0 {
-		return "no try starved"
+		return "no request starved"
 	}
-	return fmt.Sprintf("%d of %d tries starved: %d held, %d refused; for %d of them a worker node had nothing to do",
+	return fmt.Sprintf("%d of %d requests starved: %d queued, %d rejected; for %d of them a worker had nothing to do",
 		v.Count(), v.Requests, v.Queued, v.Rejected, v.FullyIdle)
 }
 
@@ -68,14 +68,14 @@
 }
 
 func (c *Checker) findingText(affected *request, idle *worker, class string, rejected bool) string {
-	ending := "held"
+	ending := "queued"
 	if rejected {
-		ending = "refused"
+		ending = "rejected"
 	}
 	queuedFor := (c.now - affected.queuedSince).Seconds()
 	idleFor := (c.now - idle.idleSince[affected.job.bucket]).Seconds()
-	return fmt.Sprintf("try %s of job %d (%s, %g slots) was %s by scheduler %d after %.2f s without "+
-		"an attempt out, its %d so far ended, while w-%d had %g of %g slots free for %.1f s",
+	return fmt.Sprintf("request %s of job %d (%s, %g slots) was %s by scheduler %d after %.2f s without "+
+		"an attempt in flight, its %d so far ended, while w-%d had %g of %g slots free for %.1f s",
 		affected.id, affected.jobID, class, affected.job.slots, ending, affected.scheduler, queuedFor,
 		len(affected.attempts), idle.number, idle.slots-idle.usedSlots, idle.slots, idleFor)
 }
