--- a/internal/discovery/model_test.go
+++ b/internal/discovery/model_test.go
@@ -22,7 +22,7 @@
 
 const (
 	maxDelayAfterRecovery       = 2500 * msec // what is known already is received so soon after the server can be reached again
-	maxDelayAfterRecoveryPushed = 800 * msec  // and where lists are pushed
+	maxDelayAfterRecoveryPushed = 500 * msec  // and where lists are pushed, and count at once: the time to stop sending
 	serverTimeout               = 3 * sec     // a request that is queued at the server for longer fails there
 	never                       = time.Duration(1) << 62
 	startTime                   = 1000 * time.Hour
@@ -74,6 +74,7 @@
 	lastLine    time.Duration
 	connecting  bool
 	connected   bool
+	unanswered  bool          // the present connection never comes up, as it was begun while nothing passed
 	queueDelay  time.Duration // of the next request
 	answerAt    time.Duration // of the present request
 	pending     []listChange  // not received yet
@@ -125,6 +126,7 @@
 	d.silentAt = never
 	d.connects = append(d.connects, d.now)
 	d.watch.Connect(d.now)
+	d.unanswered = d.partitioned && d.Pick(2) == 0
 	if d.down && !d.partitioned {
 		d.connecting = false
 		d.watch.Ended(d.now, false)
@@ -165,7 +167,7 @@
 
 // advanceRequest lets the request of a new watch come up, be queued, and be answered.
 func (d *discoveryModel) advanceRequest() {
-	if d.connecting && !d.connected && d.isReachable() {
+	if d.connecting && !d.connected && d.isReachable() && !d.unanswered {
 		d.connected = true
 		d.answerAt = d.now + d.queueDelay
 		d.watch.Connected(d.now)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -10,9 +10,11 @@
 
 // Time limits of one connection.
 const (
-	connectTimeout   = 500 * time.Millisecond // short, so that one that does not come up leaves time for another attempt
-	firstLineTimeout = 4 * time.Second        // the request may be queued at the server
-	lineTimeout      = 3 * time.Second        // the server sends a line, empty or not, every 2 s
+	connectTimeout        = 500 * time.Millisecond  // short, so that one that does not come up leaves time for another attempt
+	patientConnectTimeout = 1500 * time.Millisecond // for every second one that does not: the server may be slow to accept
+	pushedConnectTimeout  = 400 * time.Millisecond  // to a server of one's own, whose list counts at once when it is back
+	firstLineTimeout      = 4 * time.Second         // the request may be queued at the server
+	lineTimeout           = 3 * time.Second         // the server sends a line, empty or not, every 2 s
 )
 
 // Config describes the endpoint list and who follows it.
@@ -36,6 +38,7 @@
 	connectedAt time.Duration // start of the current connection attempt
 	failures    int           // connections in a row that received nothing
 	refusedAt   time.Duration // last connection that failed at once; 0: none since a line was received
+	patient     bool          // the next connection has more time to come up
 
 	staleness stalenessClock
 }
@@ -79,6 +82,7 @@
 	w.transition(eventChangeServer)
 	w.failures = 0
 	w.refusedAt = 0
+	w.patient = false
 	if w.staleness.serverChangedAt == 0 {
 		w.staleness.serverChangedAt = now
 	}
@@ -92,7 +96,7 @@
 func (w *Watch) Connect(now time.Duration) {
 	if w.transition(eventConnect) {
 		w.connectedAt = now
-		w.deadline = now + connectTimeout
+		w.deadline = now + w.connectTimeout()
 	}
 }
 
@@ -131,6 +135,24 @@
 		}
 	}
 	w.deadline = now + w.backoff(now)
+	if previous == Connecting && timedOut {
+		w.patient = !w.patient
+		if w.config.Pushed { // the time that it had was backoff enough
+			w.deadline = now
+		}
+	}
+}
+
+// connectTimeout is how long the present connection may take to come up.
+func (w *Watch) connectTimeout() time.Duration {
+	switch {
+	case w.config.Pushed:
+		return pushedConnectTimeout
+	case w.patient:
+		return patientConnectTimeout
+	default:
+		return connectTimeout
+	}
 }
 
 // StalenessDeadline is the instant from which a change that has not been received may count as known here; none does
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -155,6 +155,31 @@
 	}
 }
 
+// A server that is slow to accept connections is reached all the same: those that come up too late are followed by one that
+// has more time.
+func TestSlowServerIsReached(t *testing.T) {
+	const within = 5 * sec
+	for _, acceptDelay := range []time.Duration{300 * msec, 700 * msec, 1200 * msec} {
+		for _, schedulers := range []int{1, 300} {
+			w := New(Config{PollInterval: 10 * sec, Schedulers: schedulers}, drawMax, startTime)
+			w.Restart(startTime)
+			now := startTime
+			for now < startTime+within && w.State() != AwaitingFirstLine {
+				now, _ = w.NextDeadline()
+				w.Connect(now)
+				if timeout, _ := w.NextDeadline(); timeout > now+acceptDelay {
+					w.Connected(now + acceptDelay)
+				} else {
+					w.Ended(timeout, true)
+				}
+			}
+			if w.State() != AwaitingFirstLine {
+				t.Errorf("accepted after %v, %d schedulers: %v, and not reached within %v", acceptDelay, schedulers, w.State(), within)
+			}
+		}
+	}
+}
+
 // The states that follow each other, and the events that have no meaning in one.
 func TestTransitions(t *testing.T) {
 	const invalid = State(99)
