--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -7,6 +7,8 @@
 	maxSimultaneousSchedulers = 8                      // so many may connect together; more spread their connections
 	maxFirstConnectDelay      = 750 * time.Millisecond // of a process among many that start together; its requests wait
 	maxServerChangeDelay      = time.Second            // of the first connection to another server
+	minServerChangeDelay      = 250 * time.Millisecond // the longest one left where servers change again and again
+	serverChangeAllowance     = 2 * time.Second        // from the first change that has brought no list to the connection
 )
 
 // What a connection to a healthy server takes.
@@ -40,6 +42,13 @@
 
 func (w *Watch) maxFirstDelay() time.Duration { return min(maxFirstConnectDelay, w.maxBackoff()) }
 
+// serverChangeDelay is the longest delay of the first connection to another server. It shrinks while one change follows the
+// other and none brings a list: put off in full each time, the connection would never be made.
+func (w *Watch) serverChangeDelay(now time.Duration) time.Duration {
+	remaining := w.staleness.serverChangedAt + serverChangeAllowance - now
+	return min(maxServerChangeDelay, max(minServerChangeDelay, remaining))
+}
+
 // backoff draws how long the next connection is put off. It grows with failures, so that an overloaded server gets fewer,
 // and is bounded so that a change is still received in time. A part of it is kept even where that time is past.
 func (w *Watch) backoff(now time.Duration) time.Duration {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -88,7 +88,7 @@
 	}
 	w.deadline = now
 	if w.spreadsConnections() {
-		w.deadline += w.randomUpTo(maxServerChangeDelay)
+		w.deadline += w.randomUpTo(w.serverChangeDelay(now))
 	}
 }
 
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -180,6 +180,26 @@
 	}
 }
 
+// However fast one server is named after the other, a connection is made in the time in which the first change counts as
+// known, though each may be put off.
+func TestServerChangesInARow(t *testing.T) {
+	for _, interval := range []time.Duration{msec, 100 * msec, 300 * msec, 600 * msec, 900 * msec} {
+		w := newWatching(Config{PollInterval: 10 * sec, Schedulers: 300}, drawMax)
+		now, connected := startTime, false
+		for ; now < startTime+specServerChangeStaleness && !connected; now += interval {
+			w.ChangeServer(now)
+			at, _ := w.NextDeadline()
+			connected = at < now+interval
+		}
+		if at, _ := w.NextDeadline(); at > startTime+specServerChangeStaleness+minServerChangeDelay {
+			t.Errorf("another server every %v: the first connection after %v", interval, at-startTime)
+		}
+		if !connected && interval > minServerChangeDelay {
+			t.Errorf("another server every %v: no connection within %v", interval, now-startTime)
+		}
+	}
+}
+
 // The states that follow each other, and the events that have no meaning in one.
 func TestTransitions(t *testing.T) {
 	const invalid = State(99)
