--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -5,6 +5,7 @@
 	"io"
 	"net"
 	"os"
+	"os/signal"
 	"path/filepath"
 	"runtime"
 	"strconv"
@@ -180,6 +181,45 @@
 	}
 }
 
+// While the loop is held up, by reading a configuration that is slow to come, many more are named, and the process is told
+// to stop. It goes on by the last of them, and stops.
+func TestManySignalsWhileTheLoopIsHeldUp(t *testing.T) {
+	const reloads = 64
+	last := listen(t)
+	s := start(t, conf)
+	slow := s.path + ".slow"
+	if err := syscall.Mkfifo(slow, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(slow, s.path); err != nil {
+		t.Fatal(err)
+	}
+	s.signal(syscall.SIGHUP)
+	writer, err := os.OpenFile(s.path, os.O_WRONLY, 0) // returns once the loop reads
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Remove(s.path); err != nil {
+		t.Fatal(err)
+	}
+	s.configure(strings.Replace(conf, `"discovery":"127.0.0.1:1"`, `"discovery":"`+last.Addr().String()+`"`, 1))
+	delivered := make(chan os.Signal, 1)
+	signal.Notify(delivered, syscall.SIGHUP)
+	defer signal.Stop(delivered)
+	for range reloads {
+		s.signal(syscall.SIGHUP)
+		<-delivered // each is taken in by itself
+	}
+	s.signal(syscall.SIGTERM)
+	_, _ = io.WriteString(writer, conf)
+	_ = writer.Close()
+	s.log(`msg="configuration read anew" scheduler=n0 discovery=` + last.Addr().String())
+	s.log("draining")
+	if err := <-s.end; err != nil {
+		t.Error(err)
+	}
+}
+
 // On SIGTERM before any endpoint list has come, it rejects what is queued and ends without an error.
 func TestTermBeforeTheFirstList(t *testing.T) {
 	from, to := strings.Index(conf, `"known"`), strings.Index(conf, `"settings"`)
--- a/internal/server/signals.go
+++ b/internal/server/signals.go
@@ -3,23 +3,51 @@
 import (
 	"os"
 	"strings"
+	"sync/atomic"
 	"syscall"
 )
 
+// signalKinds are the signals that are handled apart from each other, in the order in which those that came together are: a
+// new configuration holds for what follows.
+var signalKinds = [...]os.Signal{syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGTERM, syscall.SIGINT}
+
+// pendingSignals has the signals that have come and are not handled yet. Several of one kind count as one: each asks for
+// what has to be done once, after the last of them. So however many come while the loop is held up, none is lost.
+type pendingSignals [len(signalKinds)]atomic.Bool
+
+// add takes in a signal, from any goroutine.
+func (p *pendingSignals) add(received os.Signal) {
+	for i, kind := range signalKinds {
+		if kind == received {
+			p[i].Store(true)
+		}
+	}
+}
+
+// take returns what has come since the last call.
+func (p *pendingSignals) take() (received []os.Signal) {
+	for i, kind := range signalKinds {
+		if p[i].Swap(false) {
+			received = append(received, kind)
+		}
+	}
+	return received
+}
+
 // forwardSignals has signals handled in the loop. The function that it returns ends that.
 func (s *server) forwardSignals(signals <-chan os.Signal) (stop func()) {
-	forwarded := make(chan os.Signal, cap(signals))
+	var pending pendingSignals
 	stopped := make(chan struct{})
 	s.loop.OnWake(func() {
-		for len(forwarded) > 0 {
-			s.handleSignal(<-forwarded)
+		for _, received := range pending.take() {
+			s.handleSignal(received)
 		}
 	})
 	go func() {
 		for {
 			select {
 			case received := <-signals:
-				forwarded <- received
+				pending.add(received)
 				s.loop.Wake()
 			case <-stopped:
 				return
