--- a/internal/link/client_closing_test.go
+++ b/internal/link/client_closing_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"fmt"
 	"net/netip"
+	"slices"
 	"strings"
 	"testing"
 
@@ -170,6 +171,63 @@
 	}
 }
 
+// A request of which a part has been read when its connection would be closed gets its response: where the scheduler is told to
+// close, or the connection was silent until then, the rest may still come; where room is made, it is rejected.
+func TestHalfARequestAtTheClose(t *testing.T) {
+	admitted, up := clientRequests[0].text, clientRequests[6].text
+	for name, c := range map[string]struct {
+		request string
+		shut    func(w *harness)
+		want    int
+	}{
+		"told to close": {admitted, func(w *harness) { w.loop.Close() }, 503},
+		"to make room": {admitted, func(w *harness) {
+			for w.loop.clients.evict() {
+			}
+		}, 503},
+		"limits are lowered": {admitted, func(w *harness) { w.loop.clients.setLimits(0, 1<<20) }, 503},
+		"idle": {up, func(w *harness) {
+			w.now += requestReadTimeout
+			w.loop.UpdateNow()
+			w.loop.clients.closeExpired()
+		}, 200},
+	} {
+		for read, isRead := range map[string]bool{"read": true, "unread": false} {
+			for client, first := range map[string]string{"new": "", "known": numberedRequest(up, 1)} {
+				if name == "idle" && (isRead || first != "") {
+					continue // it had its time, or has as much anew
+				}
+				t.Run(name+", "+read+", "+client, func(t *testing.T) {
+					w := newHarness(&modeltest.Steps{T: t})
+					w.listen()
+					w.checkHalfRequest(first, numberedRequest(c.request, 2), isRead, c.shut, c.want)
+				})
+			}
+		}
+	}
+}
+
+// checkHalfRequest has a client send a request in two halves, and its connection closed in between.
+func (w *harness) checkHalfRequest(first, request string, isRead bool, shut func(w *harness), want int) {
+	p := w.connectClient()
+	p.write([]byte(first))
+	w.runIterations()
+	w.now += evictionGrace
+	w.runIterations()
+	p.statuses(w.T)
+	p.received = nil
+	p.write([]byte(request[:len(request)/2]))
+	if isRead {
+		w.runIterations()
+	}
+	shut(w)
+	p.write([]byte(request[len(request)/2:]))
+	w.runIterations()
+	if got := p.statuses(w.T); !slices.Equal(got, []int{want}) {
+		w.T.Errorf("answered %v, expected %d; ended %v", got, want, p.ended)
+	}
+}
+
 // Told to close, a scheduler answers all that it has read, each request once and the last with the word that the connection
 // ends, however many had been sent ahead.
 func TestCloseRespondsToWhatWasRead(t *testing.T) {
--- a/internal/link/client_expiry.go
+++ b/internal/link/client_expiry.go
@@ -59,7 +59,8 @@
 
 // evict shuts down the connection that is missed least to make room, and reports whether there was one. What had just come in
 // on it is handled first; what comes later its client sends again elsewhere. A connection that is new, or just had its last
-// response, is spared: it may be a usual client's or a worker's, whose request is on its way.
+// response, is spared: it may be a usual client's or a worker's, whose request is on its way. A request of which a part has
+// come is rejected.
 func (l *clientListener) evict() bool {
 	for _, waiting := range []*list.List{&l.rejectedOnly, &l.finished, &l.silent, &l.idle} {
 		hasGrace := waiting == &l.finished || waiting == &l.silent
@@ -68,7 +69,11 @@
 			if hasGrace && l.loop.Now()-c.lastActivity < evictionGrace {
 				break
 			}
-			if c.dismiss(&l.evicted) {
+			c.dismiss(&l.evicted)
+			if c.isAmidRequest() {
+				c.rejectForRoom()
+			}
+			if !c.IsOpen() || c.waitingList == &l.evicted {
 				l.closeExcessEvicted()
 				return true
 			}
@@ -131,15 +136,26 @@
 	}
 }
 
-// dismiss shuts down a connection without a request in flight, unless one has just come in. It reports whether the connection
-// makes room.
-func (c *clientConnection) dismiss(waiting *list.List) bool {
+// dismiss shuts down a connection without a request in flight, unless one, or a part of one, has come in.
+func (c *clientConnection) dismiss(waiting *list.List) {
 	element := c.waitingElement
 	c.loop().Protect(c, func() { c.HandleEvents(unix.EPOLLIN) })
-	if c.IsOpen() && element != nil && c.waitingElement == element {
+	if c.IsOpen() && element != nil && c.waitingElement == element && !c.isAmidRequest() {
 		c.linger(waiting)
 	}
-	return !c.IsOpen() || c.waitingList == waiting
+}
+
+// isAmidRequest reports whether the connection is between requests but for a part of one.
+func (c *clientConnection) isAmidRequest() bool {
+	return c.IsOpen() && c.isReading() && c.proxyHeaderDone && len(c.slots) == 0 && len(c.Input()) > 0
+}
+
+// rejectForRoom rejects a request of which a part has come, and evicts the connection if it takes the response at once.
+func (c *clientConnection) rejectForRoom() {
+	c.rejectInput(503, "no room for the connection\n")
+	if c.IsOpen() && len(c.slots) == 0 && len(c.Output()) == 0 {
+		c.linger(&c.listener.evicted)
+	}
 }
 
 // closesAfterResponse reports whether the connection is to end with the responses that are due on it now.
