--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -74,7 +74,9 @@
 	case ConnectFailed, ConnectionReset:
 		d.onConnectionFailure(attempt)
 	case TimedOut:
-		d.halveLimit(attempt)
+		if job.deadline-attempt.sentAt >= d.promptStart(job.class) { // else it had too little time to tell of a queue
+			d.halveLimit(attempt)
+		}
 	}
 }
 
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -55,6 +55,38 @@
 	}
 }
 
+// Workers may drop a job with very little time left without a word. That is no sign of a queue: such jobs among others leave
+// a worker's limit as it is, and those that have time are sent as before. One that had time and is silent is such a sign.
+func TestDroppedJobWithLittleTimeTellsNothing(t *testing.T) {
+	const limit = 8
+	for _, remaining := range []time.Duration{ms, 2 * ms, 5 * ms} {
+		for class := range testSettings().Classes {
+			s := newHarness(t, testSettings())
+			s.workers(1)
+			s.d.workers[1].limit = limit
+			sent := 0
+			for id := uint64(1); id <= 20; id++ {
+				job := s.job(id, class, 0)
+				job.Remaining = remaining
+				s.step(job)
+				sent += len(taken[Send](s))
+				s.wait(remaining)
+				s.step(Outcome{Job: id, Worker: 1, Result: TimedOut, Closed: true})
+			}
+			if w := s.d.workers[1]; sent == 0 || w.limit != limit || w.ejectionTime > 0 || w.backoffUntil > s.now {
+				t.Errorf("%v left, class %d: %d sent, limit %v, ejected for %v, backed off %v",
+					remaining, class, sent, w.limit, w.ejectionTime, w.backoffUntil > s.now)
+			}
+			s.step(s.job(100, class, 0))
+			s.wait(5 * time.Second)
+			s.step(Outcome{Job: 100, Worker: 1, Result: TimedOut, Closed: true})
+			if s.d.workers[1].limit >= limit {
+				t.Errorf("class %d: a job that was silent for all its time left the limit at %v", class, s.d.workers[1].limit)
+			}
+		}
+	}
+}
+
 // Incident: late starts had most workers ejected, so that the dead ones counted as healthy too and drew all work.
 func TestBrokenWorkerStaysEjectedWhenMostAre(t *testing.T) {
 	s := newHarness(t, testSettings())
