--- /dev/null
+++ b/internal/link/budget_test.go
@@ -0,0 +1,110 @@
+package link
+
+import (
+	"testing"
+	"time"
+
+	"valvecove/internal/http1"
+	"valvecove/internal/modeltest"
+)
+
+// The rules on the time that a worker is given: it is at most what is left to the client, with this slack. A process may be held
+// up for as long, once, and something passes on the way to and from it.
+const (
+	budgetSlack = 150 * time.Millisecond
+	longestHold = 150 * time.Millisecond
+	longestWay  = 10 * time.Millisecond // from the client, and to the worker
+)
+
+// stallAfterReading has the process held up right after the nth reading of its clock from here on.
+func (w *harness) stallAfterReading(nth int) (readings *int) {
+	readings = new(int)
+	w.clock = func() time.Duration {
+		now := w.now
+		if *readings++; *readings == nth {
+			w.now += longestHold
+		}
+		return now
+	}
+	return readings
+}
+
+// Wherever between two readings of its clock and the write the process is held up, the time told is within the slack, also with
+// what passes on the way.
+func TestBudgetHoldsThroughAStall(t *testing.T) {
+	for nth := 1; ; nth++ {
+		w := newAttemptHarness(t)
+		links := w.delayConnections()
+		q := w.sendAttempt(0)
+		w.now = q.Deadline - 400*time.Millisecond
+		(*links)[0].release()
+		readings := w.stallAfterReading(nth)
+		w.runOnce()
+		if *readings < nth { // the iteration reads its clock fewer times
+			if nth < 4 {
+				t.Errorf("only %d readings were tried", nth-1)
+			}
+			return
+		}
+		(*links)[0].read(1 << 12)
+		if sent, remaining := (*links)[0].budgetSent(t), q.Deadline-w.now-longestWay; sent > remaining+budgetSlack {
+			t.Errorf("held up after reading %d: told %v, %v are left", nth, sent, remaining)
+		} else if nth <= 2 && sent > remaining { // the clock is read again before the write
+			t.Errorf("held up after reading %d, which is not the last: told %v, %v are left", nth, sent, remaining)
+		}
+	}
+}
+
+// A small request that its socket does not take whole is either whole at the worker while the time told holds, or never is, also
+// where the event that there is room comes together with the end of that time.
+func TestBudgetOfASmallRequestThatWaits(t *testing.T) {
+	for _, late := range []time.Duration{smallWriteTimeout - time.Millisecond, smallWriteTimeout, smallWriteTimeout + 1, longestHold, time.Second} {
+		w := newAttemptHarness(t)
+		first := w.sendAttempt(0)
+		worker := &delayedPeer{peer: w.dialed[0]}
+		worker.read(1 << 12)
+		worker.write([]byte(acceptedResponse))
+		w.runIterations()
+		w.applyCallback(first, "done")
+		w.now += reuseDelay
+		worker.received = nil
+		worker.filledBytes = fillSocket(w.loop.workers.endpoint(w.workerNumber()).idle[0].FD())
+		q := w.sendAttempt(0)
+		w.now += late
+		worker.release()
+		w.runIterations()
+		worker.read(1 << 12)
+		var m http1.Request
+		_, err := m.Parse(worker.received)
+		if whole := err == nil; whole != (late <= smallWriteTimeout) || len(w.dialed) != 1 {
+			t.Fatalf("%v late: whole %v, %d connections", late, whole, len(w.dialed))
+		} else if whole && worker.budgetSent(t) > q.Deadline-w.now-longestWay+budgetSlack-longestHold+smallWriteTimeout {
+			t.Errorf("%v late: told %v, %v are left", late, worker.budgetSent(t), q.Deadline-w.now)
+		}
+	}
+}
+
+// A process that takes over an attempt in the middle of its writing does not know by when it has to be written: it writes the
+// rest at once, or never.
+func TestRestOfARequestAfterAHotRestart(t *testing.T) {
+	for _, late := range []time.Duration{0, smallWriteTimeout + 1} {
+		s, dir := &modeltest.Steps{T: t}, t.TempDir()
+		base, at := newPredecessorHarness(s, dir)
+		w := &attemptHarness{harness: base}
+		w.sendAttempt(http1.MaxBodySize)
+		next := w.startSuccessor(dir, at)
+		if err := w.handOverTo(next); err != nil {
+			t.Fatal(err)
+		}
+		next.now += late
+		p := w.dialed[len(w.dialed)-1]
+		for range 64 {
+			p.read(1 << 20)
+			next.runIterations()
+		}
+		var m http1.Request
+		if _, err := m.Parse(p.received); (err == nil) != (late == 0) {
+			t.Errorf("%v after the take-over: parsed with %v", late, err)
+		}
+	}
+}
--- a/internal/link/hotrestart_transfer.go
+++ b/internal/link/hotrestart_transfer.go
@@ -363,7 +363,12 @@
 		k.setTimeout(k.pool.connectTimeout)
 		return
 	}
-	k.setTimeout(attempt.At - k.pool.loop.Now() + responseGrace)
+	if k.stage < requests.StageWritten { // what the worker was told of the time is older than is known here
+		k.writeUntil = k.pool.loop.Clock() + smallWriteTimeout
+		k.setTimeout(smallWriteTimeout)
+	} else {
+		k.setTimeout(attempt.At - k.pool.loop.Now() + responseGrace)
+	}
 	k.UpdateEvents()
 }
 
--- a/internal/link/worker_attempts_test.go
+++ b/internal/link/worker_attempts_test.go
@@ -432,7 +432,7 @@
 	(*links)[0].release()
 	w.runIterations()
 	(*links)[0].read(1 << 12)
-	if got, remaining := (*links)[0].budgetSent(t), q.Deadline-w.now; got > remaining || got < remaining-time.Millisecond {
+	if got, remaining := (*links)[0].budgetSent(t), q.Deadline-w.now-budgetMargin; got > remaining || got < remaining-time.Millisecond {
 		t.Errorf("told %v, %v are left", got, remaining)
 	}
 }
--- a/internal/link/worker_connection.go
+++ b/internal/link/worker_connection.go
@@ -57,6 +57,7 @@
 	lastKind    exchangeKind   // of the present exchange, or the last one
 	stage       requests.Stage // of the present exchange
 	timer       *eventloop.Timer
+	writeUntil  time.Duration // of the present exchange: what is not written by then never is
 	idleSince   time.Duration
 	idleBefore  time.Duration // how long it had been idle before the present exchange; 0: it was new
 }
@@ -129,6 +130,10 @@
 // continueExchange sends what waits of the request, and reads what has come of the response.
 func (c *workerConnection) continueExchange(events uint32) {
 	if events&unix.EPOLLOUT != 0 && len(c.Output()) > 0 {
+		if c.pool.loop.Clock() > c.writeUntil { // an event comes before the timer that is due with it
+			c.terminate(errResponseTimeout)
+			return
+		}
 		if err := c.Flush(); err != nil {
 			c.terminate(err)
 			return
--- a/internal/link/worker_exchange.go
+++ b/internal/link/worker_exchange.go
@@ -15,6 +15,15 @@
 	responseGrace      = time.Second // a connection outlasts its attempt by so long, in case the response still comes
 
 	maxSingleWrite = 4 << 10 // bytes of a payload that any socket's buffer takes whole
+
+	// budgetMargin is taken off the time that a worker is given: what passes unseen on the way from the client and to the worker.
+	// The slack that the rules leave is for a process that is held up after its last look at the clock.
+	budgetMargin = 20 * time.Millisecond
+	// smallWriteTimeout is how long a payload of maxSingleWrite may wait for its socket's buffer all the same, and what another
+	// process had begun to write.
+	smallWriteTimeout = 50 * time.Millisecond
+	// maxClockAge is how old a reading of the clock may be when an attempt is written by it.
+	maxClockAge = 5 * time.Millisecond
 )
 
 // exchangeKind says what a connection to a worker is used for.
@@ -74,6 +83,7 @@
 		return
 	}
 	c.setTimeout(timeout)
+	c.writeUntil = loop.Clock() + timeout
 	loop.writeBuffer = buffer
 	c.state = workerAwaitingResponse
 	c.setStage(requests.StagePartlyWritten)
@@ -102,17 +112,33 @@
 }
 
 // appendAttempt appends the request of an attempt. The time that the worker is given is what remains now, however late the
-// connection came up. A large payload may go in parts: that it takes the time for a connection at most is taken off.
+// connection came up, and also if the process is held up meanwhile.
 func (c *workerConnection) appendAttempt(buffer []byte, attempt *requests.Attempt, address string) (request []byte, timeout time.Duration, ok bool) {
-	remaining := attempt.At - c.pool.loop.Clock()
-	if remaining < time.Millisecond {
-		return nil, 0, false
+	start, loop := len(buffer), c.pool.loop
+	for {
+		now := loop.Clock()
+		remaining := attempt.At - now
+		if remaining < time.Millisecond {
+			return nil, 0, false
+		}
+		buffer, timeout = c.appendAttemptAt(buffer[:start], attempt, address, remaining)
+		if loop.Clock()-now <= maxClockAge {
+			return buffer, timeout, true
+		}
 	}
+}
+
+// appendAttemptAt appends the request of an attempt for which so much time remains. A large payload may go in parts: that it
+// takes the time for a connection at most is taken off.
+func (c *workerConnection) appendAttemptAt(buffer []byte, attempt *requests.Attempt, address string, remaining time.Duration) (request []byte, timeout time.Duration) {
 	payload := &attempt.Request.Payload
 	timeout = min(c.pool.connectTimeout, remaining/2)
 	if len(payload.Body) > maxSingleWrite {
 		remaining -= timeout
+	} else {
+		timeout = min(timeout, smallWriteTimeout)
 	}
+	remaining -= min(budgetMargin, remaining/2)
 	buffer = http1.AppendRequestStart(buffer, payload.Method, payload.Path, address)
 	buffer = http1.AppendField(buffer, "X-Call-Id", attempt.Request.CallID)
 	buffer = http1.AppendField(buffer, "Idempotency-Key", payload.IdempotencyKey)
@@ -122,7 +148,7 @@
 	buffer = strconv.AppendInt(buffer, int64(len(payload.Body)), 10)
 	buffer = append(buffer, "\r\n\r\n"...)
 	buffer = append(buffer, payload.Body...)
-	return buffer, timeout, true
+	return buffer, timeout
 }
 
 // reportIfWritten takes in that the last byte was sent, if it was: from there on, an attempt is possibly executed.
