--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -9,6 +9,7 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"slices"
 	"sync"
 	"time"
 
@@ -58,6 +59,8 @@
 	handlers   []registration    // by descriptor
 	events     []unix.EpollEvent // as many as there may be descriptors: an iteration gathers all that is ready
 	gathering  bool              // the iteration's events are being handed out
+	pending    []unix.EpollEvent // that waited when PendingEvents last looked
+	pendingAt  time.Duration     // when that was
 	closing    []int             // closed once they are, so that no event of this iteration meets a reused descriptor
 	timers     deadline.Queue[*Timer]
 	afterStep  []func() // at the end of the present iteration
@@ -143,6 +146,21 @@
 	return nil
 }
 
+// PendingEvents returns the events of a descriptor that wait for the next iteration, as they were no longer ago than a span.
+func (l *Loop) PendingEvents(descriptor int, maxAge time.Duration) (events uint32) {
+	if now := l.clock(); l.pendingAt <= l.now || now-l.pendingAt > maxAge {
+		l.pending = slices.Grow(l.pending[:0], len(l.events))[:len(l.events)]
+		n, _ := l.syscalls.EpollWait(l.epoll, l.pending, 0) // where it fails, the next iteration learns of them
+		l.pending, l.pendingAt = l.pending[:max(n, 0)], now
+	}
+	for _, event := range l.pending {
+		if int(event.Fd) == descriptor {
+			events |= event.Events
+		}
+	}
+	return events
+}
+
 // AfterStep has act called at the end of the present iteration, after Step, or without it if none is due. It is to be called
 // during an iteration, by the loop's goroutine.
 func (l *Loop) AfterStep(act func()) { l.afterStep = append(l.afterStep, act) }
--- a/internal/link/client_connection.go
+++ b/internal/link/client_connection.go
@@ -65,10 +65,11 @@
 	sendsCallbacks bool            // the last useful request was a callback: the peer is a worker
 	continueSent   bool            // for the request that is being read
 
-	halfClosed      bool // the peer has ended its side
-	halfCloseProbed bool // and has been sent something to find out whether it still reads
-	inputEnded      bool // and all that it sent was read
-	inputOverrun    bool // it has sent too much ahead of its responses: what still comes is discarded
+	halfClosed      bool          // the peer has ended its side
+	halfCloseProbed bool          // and has been sent something to find out whether it still reads
+	probedAt        time.Duration // when it last was
+	inputEnded      bool          // and all that it sent was read
+	inputOverrun    bool          // it has sent too much ahead of its responses: what still comes is discarded
 
 	arrivals           []arrival     // of the input
 	currentRequestSize int           // bytes at the start of the input that are the request being handled; 0: none is
@@ -195,7 +196,12 @@
 	if c.halfCloseProbed {
 		return
 	}
+	c.probe()
+}
+
+func (c *clientConnection) probe() {
 	c.halfCloseProbed = true
+	c.probedAt = c.loop().Clock()
 	if c.Send([]byte(http1.ContinueResponse)) != nil || c.ConnectError() != nil {
 		c.terminate()
 	}
--- a/internal/link/hotrestart_transfer.go
+++ b/internal/link/hotrestart_transfer.go
@@ -174,7 +174,7 @@
 func (k *workerConnection) transferRecord() hotrestart.WorkerConnection {
 	record := hotrestart.WorkerConnection{
 		WorkerID:   k.endpoint.id,
-		State:      transferredStates[k.state],
+		State:      k.transferredState(),
 		Stage:      k.stage,
 		Input:      k.Input(),
 		Output:     k.Output(),
@@ -187,6 +187,15 @@
 	return record
 }
 
+// transferredState is the connection's state as it is handed over. Whoever goes on with one that holds its attempt looks anew
+// at whether anybody waits for it.
+func (k *workerConnection) transferredState() hotrestart.WorkerConnectionState {
+	if k.state == workerHolding {
+		return hotrestart.WorkerConnecting
+	}
+	return transferredStates[k.state]
+}
+
 // transferredStates are the states of connections as they are handed over.
 var transferredStates = map[workerConnectionState]hotrestart.WorkerConnectionState{
 	workerConnecting:       hotrestart.WorkerConnecting,
--- a/internal/link/worker_connection.go
+++ b/internal/link/worker_connection.go
@@ -17,6 +17,7 @@
 const (
 	workerConnecting workerConnectionState = iota
 	workerIdle
+	workerHolding          // it is up, and its attempt is held for a moment
 	workerAwaitingResponse // a request is written, or being written
 	workerClosed
 )
@@ -27,6 +28,8 @@
 		return "connecting"
 	case workerIdle:
 		return "idle"
+	case workerHolding:
+		return "holding"
 	case workerAwaitingResponse:
 		return "awaiting response"
 	case workerClosed:
@@ -107,7 +110,7 @@
 	switch c.state {
 	case workerConnecting:
 		c.completeConnect(events)
-	case workerIdle: // it was closed, or something comes that nobody asked for
+	case workerIdle, workerHolding: // it was closed, or something comes that nobody asked for
 		c.terminate(nil)
 	case workerClosed, workerAwaitingResponse:
 	}
--- a/internal/link/worker_exchange.go
+++ b/internal/link/worker_exchange.go
@@ -5,6 +5,7 @@
 	"strconv"
 	"time"
 
+	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 )
@@ -74,7 +75,7 @@
 	}
 }
 
-// writeRequest sends the exchange's request.
+// writeRequest sends the exchange's request, once it is known that somebody waits for it.
 func (c *workerConnection) writeRequest() {
 	loop := c.pool.loop
 	buffer, timeout, ok := c.appendRequest(loop.writeBuffer[:0])
@@ -82,9 +83,12 @@
 		loop.StopTimer(c.timer)
 		return
 	}
-	c.setTimeout(timeout)
-	c.writeUntil = loop.Clock() + timeout
 	loop.writeBuffer = buffer
+	c.writeUntil = loop.Clock() + timeout
+	if c.isHeld() { // the last look at the clock before the write
+		return
+	}
+	c.setTimeout(timeout)
 	c.state = workerAwaitingResponse
 	c.setStage(requests.StagePartlyWritten)
 	if err := c.Send(buffer); err != nil {
@@ -94,6 +98,29 @@
 	c.reportIfWritten()
 }
 
+// isHeld holds an attempt for which it is not certain that its client still waits, and reports whether it does, or has ended it.
+func (c *workerConnection) isHeld() bool {
+	if c.exchange.kind != exchangeAttempt {
+		return false
+	}
+	hold := c.pool.loop.attemptHold(c.exchange.attempt)
+	if c.state == workerClosed { // its client turned out to be gone
+		return true
+	}
+	if hold > 0 {
+		c.hold(hold)
+	}
+	return hold > 0
+}
+
+// hold has the request written a moment later.
+func (c *workerConnection) hold(span time.Duration) {
+	c.state = workerHolding
+	c.SetEvents(eventloop.StreamEvents)
+	c.pool.loop.StopTimer(c.timer)
+	c.timer = c.pool.loop.StartTimer(span, c, c.writeRequest)
+}
+
 // appendRequest returns how long the exchange may take from now on; ok is false if it is too late for it.
 func (c *workerConnection) appendRequest(buffer []byte) (request []byte, timeout time.Duration, ok bool) {
 	attempt, address := c.exchange.attempt, c.endpoint.address.String()
--- a/internal/requests/request.go
+++ b/internal/requests/request.go
@@ -114,6 +114,9 @@
 	return r.outcome
 }
 
+// Responder is the frontend's side of the request, as it was given at admission.
+func (r *Request) Responder() Responder { return r.responder }
+
 // become makes the transition to a state, and reports whether it is one that may follow. If not, nothing changes.
 func (r *Request) become(next requestState) bool {
 	if !r.state.canBecome(next) {
