--- a/internal/link/worker_connection.go
+++ b/internal/link/worker_connection.go
@@ -126,7 +126,7 @@
 		return
 	}
 	if events&unix.EPOLLOUT != 0 {
-		c.writeRequest()
+		c.writeRequestLate()
 	}
 }
 
--- a/internal/link/worker_exchange.go
+++ b/internal/link/worker_exchange.go
@@ -118,7 +118,19 @@
 	c.state = workerHolding
 	c.SetEvents(eventloop.StreamEvents)
 	c.pool.loop.StopTimer(c.timer)
-	c.timer = c.pool.loop.StartTimer(span, c, c.writeRequest)
+	c.timer = c.pool.loop.StartTimer(span, c, c.writeRequestLate)
+}
+
+// writeRequestLate sends the request of an exchange that was begun in an earlier iteration. Its worker may have begun to drain
+// since: it gets no attempt then, which says nothing about it.
+func (c *workerConnection) writeRequestLate() {
+	attempt, table := c.exchange.attempt, c.pool.loop.Requests
+	if c.exchange.kind == exchangeAttempt && !table.MayReceive(attempt.Worker) {
+		table.EndAttempt(attempt, nil, &requests.AttemptError{Stage: c.stage, Reason: requests.ReasonNotSent})
+		c.terminate(nil)
+		return
+	}
+	c.writeRequest()
 }
 
 // appendRequest returns how long the exchange may take from now on; ok is false if it is too late for it.
--- a/internal/requests/endpointlist.go
+++ b/internal/requests/endpointlist.go
@@ -60,6 +60,10 @@
 	return false
 }
 
+// MayReceive reports whether a worker is listed as ready, and not cordoned, as far as is known now. An attempt whose
+// connection comes up late was started by what was known before.
+func (t *Table) MayReceive(worker uint64) bool { return t.listed[worker].Ready && !t.cordoned[worker] }
+
 // ListedCount is the number of workers in the endpoint list.
 func (t *Table) ListedCount() int { return len(t.listed) }
 
