--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -11,10 +11,14 @@
 	hedgeBurst         = 10.0 // saved up, by each of a few dispatchers
 	fleetHedgeBurst    = 30.0 // and by all of many
 	slackDivisor       = 3    // unstarted for its slack divided by this, a job is hedged
-	dedupMarginDivisor = 20   // this part of a deduplication window is left for delays
+	dedupMarginDivisor = 20   // this part of a deduplication window is left for delays, or repeatMargin if it is more
 	careDivisor        = 4    // jobs not safe to repeat accept connections idle for this part of the time
 )
 
+// repeatMargin is what may pass between the choice of a worker and the last byte there, besides connecting: the process may be held
+// up for 150 ms, a request goes in parts for 50 ms at most, and the rest is for the way.
+const repeatMargin = 210 * time.Millisecond
+
 // provesNotExecuted are the results of attempts that ran nothing.
 var provesNotExecuted = [...]bool{WorkerFull: true, ConnectFailed: true, NotSent: true}
 
@@ -42,7 +46,7 @@
 	if scope == ScopeZone && a.zone != w.Zone || scope == ScopeCell && a.cell != w.Cell {
 		return false
 	}
-	margin := max(class.DeduplicationWindow/dedupMarginDivisor, d.settings.ConnectTimeout) // to connect
+	margin := max(class.DeduplicationWindow/dedupMarginDivisor, d.settings.ConnectTimeout+repeatMargin)
 	return d.now-a.sentAt < class.DeduplicationWindow-margin
 }
 
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -138,6 +138,31 @@
 	}
 }
 
+// A repeat arrives within the window, to the last instant at which it is chosen: its connection may take the whole time for one,
+// the process may be held up, and the request may go in parts.
+func TestRepeatArrivesWithinItsWindow(t *testing.T) {
+	const inParts = 50 * ms
+	for _, window := range []time.Duration{500 * ms, time.Second, 2 * time.Second, 20 * time.Second} {
+		set := testSettings()
+		set.Classes[0] = Class{Idempotency: IdempotentWithKey, DeduplicationScope: ScopeAll, DeduplicationWindow: window, ClientTimeout: time.Minute}
+		d := New(set, 1)
+		worker := &workerInfo{}
+		attempt := &attemptInfo{worker: &workerInfo{}, sentAt: time.Hour, ended: true, result: ConnectionReset}
+		latest := time.Duration(-1)
+		for age := time.Duration(0); age < window; age += time.Millisecond {
+			if d.now = time.Hour + age; d.mayRepeat(&d.settings.Classes[0], attempt, worker) {
+				latest = age
+			}
+		}
+		if latest+set.ConnectTimeout+longestHold+inParts >= window {
+			t.Errorf("window %v: chosen %v after the first attempt", window, latest)
+		}
+		if least := window/2 - set.ConnectTimeout; latest < least { // no more of it is given away than has to be
+			t.Errorf("window %v: given up after %v", window, latest)
+		}
+	}
+}
+
 // Of many dispatchers none rejects what is in flight and unstarted past its objective: it runs all the same, and its client would
 // come again at another. It ends by its deadline, or once its attempt has ended.
 func TestManyReplicasKeepAttemptsInFlight(t *testing.T) {
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -219,14 +219,18 @@
 	}
 }
 
-// mayFollow tells whether a worker may be sent a job after an earlier attempt. What is sent now may wait for its connection.
+// longestHold is how long a process may be held up between reading its clock and writing.
+const longestHold = 150 * ms
+
+// mayFollow tells whether a worker may be sent a job after an earlier attempt. What is sent now may wait for its connection, and for
+// this process.
 func (r *ruleChecker) mayFollow(c *Class, earlier observedAttempt, w Worker) bool {
 	if !earlier.possiblyExecuted() || c.Idempotency == Idempotent {
 		return true
 	}
 	same := c.DeduplicationScope == ScopeAll || c.DeduplicationScope == ScopeZone && earlier.worker.Zone == w.Zone ||
 		c.DeduplicationScope == ScopeCell && earlier.worker.Cell == w.Cell
-	return c.Idempotency != NonIdempotent && same && r.now-earlier.sentAt+r.set.ConnectTimeout <= c.DeduplicationWindow
+	return c.Idempotency != NonIdempotent && same && r.now-earlier.sentAt+r.set.ConnectTimeout+longestHold <= c.DeduplicationWindow
 }
 
 // randomSettings draws widely, beyond what any known deployment has.
--- a/internal/link/budget_test.go
+++ b/internal/link/budget_test.go
@@ -108,3 +108,26 @@
 		}
 	}
 }
+
+// A large request whose connection has taken its time is written within the time for a connection and little more, or never: a
+// repeat has to arrive within its window.
+func TestLargeRequestOnALateConnection(t *testing.T) {
+	for _, late := range []time.Duration{smallWriteTimeout - 1, smallWriteTimeout} {
+		w := newAttemptHarness(t)
+		links := w.delayConnections()
+		w.sendAttempt(http1.MaxBodySize)
+		w.now += w.loop.workers.connectTimeout
+		p := (*links)[0]
+		p.release()
+		w.runOnce()
+		w.now += late
+		for range 64 {
+			p.read(1 << 20)
+			w.runIterations()
+		}
+		var m http1.Request
+		if _, err := m.Parse(p.received); (err == nil) != (late < smallWriteTimeout) {
+			t.Errorf("%v after its connection came up: parsed with %v", late, err)
+		}
+	}
+}
--- a/internal/link/hotrestart_transfer.go
+++ b/internal/link/hotrestart_transfer.go
@@ -366,7 +366,7 @@
 }
 
 func (k *workerConnection) restoreAttempt(attempt *requests.Attempt) {
-	k.exchange = exchange{kind: exchangeAttempt, attempt: attempt}
+	k.exchange = exchange{kind: exchangeAttempt, attempt: attempt, begunAt: k.pool.loop.Now()}
 	k.pool.byAttempt[attempt] = k
 	if k.state == workerConnecting {
 		k.setTimeout(k.pool.connectTimeout)
--- a/internal/link/worker_exchange.go
+++ b/internal/link/worker_exchange.go
@@ -20,8 +20,9 @@
 	// budgetMargin is taken off the time that a worker is given: what passes unseen on the way from the client and to the worker.
 	// The slack that the rules leave is for a process that is held up after its last look at the clock.
 	budgetMargin = 20 * time.Millisecond
-	// smallWriteTimeout is how long a payload of maxSingleWrite may wait for its socket's buffer all the same, and what another
-	// process had begun to write.
+	// smallWriteTimeout is how long a payload of maxSingleWrite may wait for its socket's buffer all the same, what another
+	// process had begun to write, and a large payload whose connection has taken all the time for one. A repeat has to arrive
+	// within its window, and leaves so much time for it.
 	smallWriteTimeout = 50 * time.Millisecond
 	// maxClockAge is how old a reading of the clock may be when an attempt is written by it.
 	maxClockAge = 5 * time.Millisecond
@@ -55,11 +56,13 @@
 type exchange struct {
 	kind    exchangeKind
 	attempt *requests.Attempt // that is sent or cancelled
+	begunAt time.Duration
 }
 
 // assign gives the connection its exchange.
 func (c *workerConnection) assign(next exchange) {
 	c.exchange = next
+	c.exchange.begunAt = c.pool.loop.Now()
 	c.lastKind = next.kind
 	c.stage = requests.StageNotConnected
 	if next.kind == exchangeAttempt {
@@ -168,14 +171,14 @@
 }
 
 // appendAttemptAt appends the request of an attempt for which so much time remains. A large payload may go in parts: that it
-// takes the time for a connection at most is taken off.
+// takes what its connection has left of the time for one at most is taken off.
 func (c *workerConnection) appendAttemptAt(buffer []byte, attempt *requests.Attempt, address string, remaining time.Duration) (request []byte, timeout time.Duration) {
 	payload := &attempt.Request.Payload
-	timeout = min(c.pool.connectTimeout, remaining/2)
+	timeout = smallWriteTimeout
 	if len(payload.Body) > maxSingleWrite {
+		connectingFor := c.pool.loop.Now() - c.exchange.begunAt
+		timeout = min(max(c.pool.connectTimeout-connectingFor, smallWriteTimeout), remaining/2)
 		remaining -= timeout
-	} else {
-		timeout = min(timeout, smallWriteTimeout)
 	}
 	remaining -= min(budgetMargin, remaining/2)
 	buffer = http1.AppendRequestStart(buffer, payload.Method, payload.Path, address)
