--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -16,13 +16,35 @@
 	killMargin = 700 * time.Millisecond
 )
 
-// Steps of the drain, by the time that is left until SIGKILL.
+// Steps of the drain, by the time that is left until SIGKILL. The process may be held up for 0.15 s when SIGTERM comes, and again
+// when a step is due: all answers are written by then all the same.
 const (
-	closeBeforeKill        = 900 * time.Millisecond // a request that comes later would hardly be served in time
-	rejectQueuedBeforeKill = 300 * time.Millisecond // what came late, or was never sent, is answered
-	finishAllBeforeKill    = 150 * time.Millisecond // whatever is still open is answered
+	closeBeforeKill        = 1100 * time.Millisecond // a request that comes later would hardly be served in time
+	rejectQueuedBeforeKill = 500 * time.Millisecond  // what came late, or was never sent, is answered
+	finishAllBeforeKill    = 350 * time.Millisecond  // whatever is still open is answered
 )
 
+// drainSchedule is when the steps of a drain are taken, counted from SIGTERM.
+type drainSchedule struct {
+	closeAt        time.Duration // connections between requests are closed, and no request is admitted any more
+	rejectQueuedAt time.Duration
+	lateSince      time.Duration // what came later than this is answered with what is queued
+	finishAllAt    time.Duration
+	endAt          time.Duration // the process ends; SIGKILL comes no sooner
+}
+
+func newDrainSchedule(settings config.Settings) drainSchedule {
+	end := KillDelay(settings)
+	rejectQueuedAt := end - rejectQueuedBeforeKill
+	return drainSchedule{
+		closeAt:        min(max(end-closeBeforeKill, end/2), rejectQueuedAt),
+		rejectQueuedAt: rejectQueuedAt,
+		lateSince:      killMargin,
+		finishAllAt:    end - finishAllBeforeKill,
+		endAt:          end,
+	}
+}
+
 const (
 	// handOverLinger is how long a replaced process stays, for operators' calls that are under way.
 	handOverLinger = 500 * time.Millisecond
@@ -57,17 +79,19 @@
 
 // drain serves on for as long as there is time to, and sees to it that nothing is left unanswered.
 func (s *server) drain() {
-	delay := KillDelay(s.conf.Settings)
+	schedule := newDrainSchedule(s.conf.Settings)
 	s.loop.Drain()
-	s.loop.After(max(delay-closeBeforeKill, delay/2), s.loop.Close)
-	s.loop.After(delay-rejectQueuedBeforeKill, func() {
-		s.loop.FinishRequestsSince(delay - rejectQueuedBeforeKill - killMargin)
+	s.loop.After(schedule.closeAt, s.loop.Close)
+	s.loop.After(schedule.rejectQueuedAt, func() {
+		if late := schedule.rejectQueuedAt - schedule.lateSince; late > 0 {
+			s.loop.FinishRequestsSince(late)
+		}
 		s.loop.RejectQueued()
 	})
-	s.loop.After(delay-finishAllBeforeKill, s.loop.FinishAllRequests)
+	s.loop.After(schedule.finishAllAt, s.loop.FinishAllRequests)
 	// Until then it stays even with nothing in flight. One that has ended looks like one that has died: the load balancer
 	// takes seconds to notice, and clients go on to try it. One that is there answers 503.
-	s.loop.After(delay, s.finish)
+	s.loop.After(schedule.endAt, s.finish)
 }
 
 // finish has the loop end once it is quiet.
