--- a/dispatch/codec.go
+++ b/dispatch/codec.go
@@ -15,6 +15,7 @@
 	writing      bool
 	invalid      bool          // what was read makes no sense
 	now          time.Duration // instants are held as distances from it
+	clockAhead   time.Duration // of the reader's clock before the writer's
 	jobs         []*jobInfo    // by their place in the snapshot
 	jobPlaces    map[*jobInfo]int
 	workers      []*workerInfo
@@ -87,6 +88,14 @@
 	}
 }
 
+// clockReading holds an instant as it is, and reads it as the reader's clock has it.
+func (c *codec) clockReading(x *time.Duration) {
+	c.duration(x)
+	if !c.writing {
+		*x += c.clockAhead
+	}
+}
+
 func (c *codec) flags(xs ...*bool) {
 	for _, x := range xs {
 		v := int64(0)
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -274,10 +274,17 @@
 
 // observedRandomRun shows each step's events to someone before the dispatcher gets them, and its actions after that.
 func observedRandomRun(seed uint64, steps int, beside func(*Dispatcher, time.Duration, []Event, []Action)) (*ruleChecker, *Dispatcher, []Action) {
+	return observedRandomRunFrom(0, seed, steps, beside)
+}
+
+// observedRandomRunFrom is observedRandomRun on a clock that begins at start.
+func observedRandomRunFrom(
+	start time.Duration, seed uint64, steps int, beside func(*Dispatcher, time.Duration, []Event, []Action),
+) (*ruleChecker, *Dispatcher, []Action) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := randomSettings(rng)
 	d, r := New(set, seed), newRuleChecker(set)
-	r.now = time.Duration(rng.IntN(1e9))
+	r.now = start + time.Duration(rng.IntN(1e9))
 	var log []Action
 	id := uint64(0)
 	for range steps {
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -24,13 +24,17 @@
 
 // Restore returns a dispatcher that goes on from a snapshot. The settings may differ from those that it was taken under, but
 // for the number of classes and tenants. The error is ErrInvalidSnapshot.
-func Restore(settings Settings, b []byte) (d *Dispatcher, err error) {
+func Restore(settings Settings, b []byte) (*Dispatcher, error) { return RestoreOnClock(settings, b, 0) }
+
+// RestoreOnClock is Restore for a process whose clock is ahead of that of the process which took the snapshot: all instants
+// in it move by that much. If it is behind, clockAhead is negative.
+func RestoreOnClock(settings Settings, b []byte, clockAhead time.Duration) (d *Dispatcher, err error) {
 	defer func() {
 		if recover() != nil { // no bytes may bring the process down
 			d, err = nil, ErrInvalidSnapshot
 		}
 	}()
-	c := &codec{b: b}
+	c := &codec{b: b, clockAhead: clockAhead}
 	d = New(settings, 0)
 	c.dispatcher(d)
 	if c.invalid || len(c.b) > 0 {
@@ -40,14 +44,14 @@
 }
 
 func (c *codec) dispatcher(dispatcher *Dispatcher) {
-	c.duration(&dispatcher.now)
+	c.clockReading(&dispatcher.now)
 	c.now = dispatcher.now
 	c.random(dispatcher)
 	c.figures(dispatcher)
 	c.learnt(dispatcher)
 	sortedMap(c, dispatcher.cordoned, func(id *uint64, since *time.Duration) {
 		c.uint(id)
-		c.duration(since)
+		c.clockReading(since)
 	})
 	c.flags(&dispatcher.allCordoned)
 	c.population(dispatcher)
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"math/rand/v2"
 	"reflect"
+	"slices"
 	"testing"
 	"time"
 )
@@ -23,19 +24,31 @@
 	})
 }
 
+// So does one that is restored by a process whose clock is ahead or behind, as after a step of the wall clock between the
+// starts of the two.
+func TestRestoreOnClock(t *testing.T) {
+	for _, ahead := range []time.Duration{-time.Hour, -3 * time.Second, 3 * time.Second, time.Hour} {
+		for seed := range uint64(10) {
+			r := &restoredBeside{t: t, rng: rand.New(rand.NewPCG(seed, 3)), interval: 11, clockAhead: ahead}
+			observedRandomRunFrom(2*time.Hour, seed, 400, r.observe)
+		}
+	}
+}
+
 // restoredBeside has a restored dispatcher run beside the one whose snapshot it was made from.
 type restoredBeside struct {
-	t        *testing.T
-	rng      *rand.Rand
-	interval int // of snapshots, in steps on average
-	restored *Dispatcher
-	step     int
+	t          *testing.T
+	rng        *rand.Rand
+	interval   int           // of snapshots, in steps on average
+	clockAhead time.Duration // of the restored one's clock
+	restored   *Dispatcher
+	step       int
 }
 
 // observe sees each step twice, before it with its events alone, and after it with its actions.
 func (r *restoredBeside) observe(d *Dispatcher, now time.Duration, events []Event, actions []Action) {
 	if actions != nil {
-		if got := r.restored.Step(now, events, []Action{}); !reflect.DeepEqual(got, actions) {
+		if got := r.restored.Step(now+r.clockAhead, r.onItsClock(events), []Action{}); !reflect.DeepEqual(got, actions) {
 			r.t.Fatalf("step %d: %v, expected %v", r.step, got, actions)
 		}
 		r.step++
@@ -56,14 +69,37 @@
 func (r *restoredBeside) restore(d *Dispatcher) {
 	state := d.Snapshot(nil)
 	var err error
-	if r.restored, err = Restore(d.settings, state); err != nil {
+	if r.restored, err = RestoreOnClock(d.settings, state, r.clockAhead); err != nil {
+		r.t.Fatal(err)
+	}
+	back, err := RestoreOnClock(d.settings, r.restored.Snapshot(nil), -r.clockAhead)
+	if err != nil {
 		r.t.Fatal(err)
 	}
-	if again := r.restored.Snapshot(nil); !bytes.Equal(again, state) {
+	if again := back.Snapshot(nil); !bytes.Equal(again, state) {
 		r.t.Fatalf("step %d: a restored one has another snapshot", r.step)
 	}
 }
 
+// onItsClock returns events with their instants as the restored one's clock has them.
+func (r *restoredBeside) onItsClock(events []Event) []Event {
+	events = slices.Clone(events)
+	for i, event := range events {
+		list, ok := event.(WorkerList)
+		if !ok {
+			continue
+		}
+		list.Workers = slices.Clone(list.Workers)
+		for n := range list.Workers {
+			if list.Workers[n].BootAt > 0 {
+				list.Workers[n].BootAt += r.clockAhead
+			}
+		}
+		events[i] = list
+	}
+	return events
+}
+
 // keyOf is the key of a job that arrives by an event; 0: none does, or it has no key.
 func keyOf(e Event) uint64 {
 	switch e := e.(type) {
