--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -5,6 +5,7 @@
 package clock
 
 import (
+	"math"
 	"time"
 
 	"golang.org/x/sys/unix"
@@ -29,3 +30,26 @@
 	}
 	return time.Duration(reading.Nano())
 }
+
+// Limits of Together.
+const (
+	maxTogetherTries  = 10
+	togetherPrecision = 100 * time.Microsecond
+)
+
+// Together reads two clocks at one moment, as closely as the machine allows: a process may be held up between two readings,
+// so they are taken anew until monotonic, which is read before and after the other, shows that it was not.
+func Together(clock, monotonic func() time.Duration) (clockReading, monotonicReading time.Duration) {
+	least := time.Duration(math.MaxInt64)
+	for range maxTogetherTries {
+		before := monotonic()
+		reading := clock()
+		if passed := monotonic() - before; passed < least {
+			least, clockReading, monotonicReading = passed, reading, before+passed/2
+		}
+		if least <= togetherPrecision {
+			break
+		}
+	}
+	return clockReading, monotonicReading
+}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -36,6 +36,26 @@
 	}
 }
 
+// Two clocks are read at one moment, also by a process that is held up between readings a few times.
+func TestTogether(t *testing.T) {
+	for heldUp := range 9 {
+		now, readings := time.Duration(0), 0
+		monotonic := func() time.Duration {
+			readings++
+			now += time.Microsecond
+			if readings <= 2*heldUp {
+				now += 150 * time.Millisecond
+			}
+			return now
+		}
+		clock := func() time.Duration { return now + time.Hour }
+		reading, at := Together(clock, monotonic)
+		if off := reading - at - time.Hour; off.Abs() > time.Microsecond {
+			t.Errorf("held up %d times: read %v apart", heldUp, off)
+		}
+	}
+}
+
 // clockReaders are the functions that read a clock of the machine, by the path of their package.
 var clockReaders = map[string][]string{
 	"time":                  {"Now", "Since", "Until"},
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -23,7 +23,7 @@
 		"ban.frame":     SetCordon{Sequence: 3, WorkerID: "s-3", Cordoned: true},
 		"banned.frame":  CordonResult{Sequence: 3, StatusCode: 404, Message: "no such worker node"},
 		"bans.frame":    CordonedWorkers{WorkerIDs: []string{"s-3", "s-4"}},
-		"begin.frame":   TransferBegin{},
+		"begin.frame":   TransferBegin{}, // of builds that send no clocks
 		"module.frame":  SnapshotChunk{0, 1, 2, 0x80, 0xff},
 		"estate.frame":  goldenRequestTable(),
 		"query.frame":   goldenOpenRequest(),
@@ -31,9 +31,14 @@
 		"server.frame":  goldenWorkerConnection(),
 		"end.frame":     TransferEnd{FrameCount: 5},
 		"taken.frame":   TakenOver{},
+
+		"begin-clocks.frame": TransferBegin{Clock: at, Monotonic: 86_400*time.Second + 987_654_321},
 	}
 }
 
+// earlierForms are the golden files that lack fields which another one of the same kind has.
+var earlierForms = map[string]bool{"begin.frame": true}
+
 func goldenRequestTable() RequestTable {
 	endpoint := requests.Endpoint{
 		ID: "s-0", Addr: "10.0.0.1:7000", Zone: "z1", MachineType: "m5", Cell: 4, Lifecycle: "up", Weight: 8,
@@ -124,30 +129,38 @@
 	}
 	seen := map[FrameKind]bool{}
 	for name, want := range goldenMessages() {
-		seen[want.Kind()] = true
-		if hasFields(want) {
-			for _, field := range storedform.Zero(want) {
-				t.Errorf("%s: %s is not set", name, field)
-			}
-		}
-		storedform.CheckGolden(t, name, encode(t, want))
-		golden := storedform.Golden(t, name)
-		frame, size, err := ReadFrame(golden)
-		if err != nil || size != len(golden) || frame.Kind != want.Kind() {
-			t.Fatalf("%s: %v of %d bytes, %v", name, frame.Kind, size, err)
-		}
-		if _, ok := want.(SnapshotChunk); !ok && !hasFields(want) && len(frame.Body) > 0 {
-			t.Errorf("%s: a body %q", name, frame.Body)
-		}
-		if got, err := frame.Message(); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %+v, %v, expected %+v", name, got, err, want)
+		checkGoldenFrame(t, name, want)
+		if !earlierForms[name] {
+			seen[want.Kind()] = true
 		}
 	}
 	for kind := KindHandshake; kind < kindLimit; kind++ {
 		if !seen[kind] {
-			t.Errorf("%v has no golden file", kind)
+			t.Errorf("%v has no golden file of today's form", kind)
+		}
+	}
+}
+
+func checkGoldenFrame(t *testing.T, name string, want Message) {
+	t.Helper()
+	hasBody := hasFields(want) && !earlierForms[name]
+	if hasBody {
+		for _, field := range storedform.Zero(want) {
+			t.Errorf("%s: %s is not set", name, field)
 		}
 	}
+	storedform.CheckGolden(t, name, encode(t, want))
+	golden := storedform.Golden(t, name)
+	frame, size, err := ReadFrame(golden)
+	if err != nil || size != len(golden) || frame.Kind != want.Kind() {
+		t.Fatalf("%s: %v of %d bytes, %v", name, frame.Kind, size, err)
+	}
+	if _, ok := want.(SnapshotChunk); !ok && !hasBody && len(frame.Body) > 0 {
+		t.Errorf("%s: a body %q", name, frame.Body)
+	}
+	if got, err := frame.Message(); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("%s: %+v, %v, expected %+v", name, got, err, want)
+	}
 }
 
 // What reflection writes into frames has its names in tags: renamed in Go, it is still read by processes of other builds.
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -10,7 +10,8 @@
 )
 
 // The other process may be of another build: the names in the tags, and the order of the fields, are part of the protocol.
-// Bodies are JSON, except that SnapshotChunk is sent as it is, and that TransferBegin and TakenOver have none.
+// Bodies are JSON, except that SnapshotChunk is sent as it is, and that TakenOver has none. TransferBegin has none from builds
+// that send no clocks, and those builds ignore the body that others send.
 
 // Message is what one frame says. Each type of this file that has a Kind method is one.
 type Message interface {
@@ -53,8 +54,8 @@
 	WorkerIDs []string `json:"Out"`
 }
 
-// TransferBegin opens the transfer of the predecessor's state.
-type TransferBegin struct{}
+// TransferBegin opens the transfer of the predecessor's state. All instants in it are of the predecessor's clock.
+type TransferBegin ClockReadings
 
 // SnapshotChunk is a piece of the dispatch policy's snapshot, which comes in order.
 type SnapshotChunk []byte
@@ -179,8 +180,13 @@
 
 func encodeBody(message Message) ([]byte, error) {
 	switch message := message.(type) {
-	case TransferBegin, TakenOver:
+	case TakenOver:
 		return nil, nil
+	case TransferBegin:
+		if message == (TransferBegin{}) {
+			return nil, nil
+		}
+		return json.Marshal(message)
 	case SnapshotChunk:
 		return message, nil
 	default:
@@ -196,7 +202,7 @@
 	KindSetCordon:        decodeJSON[SetCordon],
 	KindCordonResult:     decodeJSON[CordonResult],
 	KindCordonedWorkers:  decodeJSON[CordonedWorkers],
-	KindTransferBegin:    func([]byte) (Message, error) { return TransferBegin{}, nil },
+	KindTransferBegin:    decodeTransferBegin,
 	KindSnapshotChunk:    func(body []byte) (Message, error) { return SnapshotChunk(body), nil },
 	KindRequestTable:     decodeJSON[RequestTable],
 	KindOpenRequest:      decodeJSON[OpenRequest],
@@ -224,6 +230,13 @@
 	return message, err
 }
 
+func decodeTransferBegin(body []byte) (Message, error) {
+	if len(body) == 0 {
+		return TransferBegin{}, nil
+	}
+	return decodeJSON[TransferBegin](body)
+}
+
 // decodeReject ignores errors: a successor whose rejection can't be read is rejected all the same.
 func decodeReject(body []byte) (Message, error) {
 	var reject Reject
--- a/internal/hotrestart/received.go
+++ b/internal/hotrestart/received.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"time"
 
 	"valvecove/internal/requests"
 )
@@ -12,6 +13,9 @@
 // ReceivedState is what a successor has received of its predecessor's state. It owns the descriptors in it until the caller
 // restores the connections, or closes them (see Descriptors).
 type ReceivedState struct {
+	// ClockAhead is by how much this process's clock is ahead of the predecessor's, as SetClocks found. The instants in
+	// PolicySnapshot are the predecessor's; all others are moved by Finish.
+	ClockAhead        time.Duration
 	PolicySnapshot    []byte
 	RequestTable      requests.State
 	OpenRequests      []requests.OpenRequest
@@ -57,6 +61,22 @@
 	return fmt.Sprintf("%v without its descriptor", e.Kind)
 }
 
+// SetClocks compares what the predecessor's clocks said, which has just come, with what this process's clocks say now.
+func (s *ReceivedState) SetClocks(predecessor TransferBegin, now ClockReadings) {
+	s.ClockAhead = now.AheadOf(ClockReadings(predecessor))
+}
+
+// Finish returns the state, once all of it has come, with its instants as this process's clock has them. The error is that of
+// Check.
+func (s *ReceivedState) Finish() (ReceivedState, error) {
+	if err := s.Check(); err != nil {
+		return ReceivedState{}, err
+	}
+	finished := *s
+	finished.moveClock(s.ClockAhead)
+	return finished, nil
+}
+
 // Check returns a *MissingDescriptorError unless each connection has its socket.
 func (s *ReceivedState) Check() error {
 	for _, connection := range s.ClientConnections {
--- a/internal/link/harness_test.go
+++ b/internal/link/harness_test.go
@@ -23,6 +23,7 @@
 	policy *modeltest.ScriptedPolicy
 	now    time.Duration
 	clock  func() time.Duration // what the loop reads; returns now
+	ahead  time.Duration        // of now before the monotonic clock that all processes share
 	dialed []*peer              // the far ends of connections to workers and watches, in the order of their opening
 }
 
@@ -43,6 +44,7 @@
 	if err != nil {
 		s.T.Fatal(err)
 	}
+	l.monotonic = func() time.Duration { return w.now - w.ahead }
 	l.dial = func(at netip.AddrPort) (int, error) {
 		p, fd := w.socketPair()
 		p.dialedAddress = at
--- a/internal/link/hotrestart_fuzz_test.go
+++ b/internal/link/hotrestart_fuzz_test.go
@@ -14,7 +14,8 @@
 )
 
 // Wherever a hot restart cuts the bytes of a request, of an attempt, of a worker's response or of what has been answered, one
-// client on one connection gets each response once, and workers get each attempt once and whole.
+// client on one connection gets each response once, and workers get each attempt once and whole. The wall clock is stepped
+// before each start.
 func FuzzHotRestart(f *testing.F) {
 	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := newHotRestartModel(choices)
@@ -40,6 +41,7 @@
 	client   *peer
 	workers  []*peer // the far ends of worker connections, of all processes; the last has had the latest attempt
 
+	restarts  int
 	requested int    // requests that the client has begun to send; they are numbered from 1
 	attempts  int    // that came to the worker
 	answered  int    // requests that the worker is done with
@@ -95,7 +97,8 @@
 }
 
 func (m *hotRestartModel) restart() {
-	successor := m.startSuccessor(m.dir, m.address)
+	successor := m.startSuccessorAfterStep(m.dir, m.address, clockSteps[m.restarts%len(clockSteps)])
+	m.restarts++
 	err := m.handOverTo(successor)
 	m.Check(err == nil, "hot restart: %v", err)
 	m.Check(m.loop.hasRelinquished() && successor.loop.predecessorRole != nil, "not replaced")
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -147,6 +147,8 @@
 				_ = r.sendMessage(result)
 			}
 		})
+	case hotrestart.TransferBegin:
+		r.received.SetClocks(message, r.loop.readClocks())
 	default:
 		r.received.Add(message, descriptor)
 	}
@@ -172,8 +174,8 @@
 // takeOver makes this process the owner of all that has come. It says so first: from here on the predecessor lets go, and
 // nothing below can fail but by ending this process.
 func (r *successorRole) takeOver() error {
-	received := r.received
-	if err := received.Check(); err != nil {
+	received, err := r.received.Finish()
+	if err != nil {
 		return err
 	}
 	if err := r.sendMessage(hotrestart.TakenOver{}); err != nil {
@@ -184,7 +186,7 @@
 	r.loop.restoreState(received)
 	r.startServing()
 	r.loop.log.Info("taken over", "queries", len(received.OpenRequests), "client_links", len(received.ClientConnections),
-		"server_links", len(received.WorkerConnections))
+		"server_links", len(received.WorkerConnections), "clock_ahead", received.ClockAhead)
 	return nil
 }
 
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -5,6 +5,7 @@
 	"net/netip"
 	"strings"
 	"testing"
+	"time"
 
 	"golang.org/x/sys/unix"
 
@@ -37,9 +38,14 @@
 
 // startSuccessor returns a new world that stands by to replace this one.
 func (w *harness) startSuccessor(dir string, address netip.AddrPort) *harness {
+	return w.startSuccessorAfterStep(dir, address, 0)
+}
+
+// startSuccessorAfterStep is startSuccessor where the wall clock was stepped between the starts of the two processes.
+func (w *harness) startSuccessorAfterStep(dir string, address netip.AddrPort, step time.Duration) *harness {
 	successor := newHarness(w.Steps)
 	successor.enableHotRestart()
-	successor.now, successor.loop.clients.settings = w.now, w.loop.clients.settings
+	successor.now, successor.ahead, successor.loop.clients.settings = w.now+step, w.ahead+step, w.loop.clients.settings
 	w.Check(successor.loop.joinPredecessor(dir, address), "no predecessor")
 	for successor.successorState() == hotrestart.SuccessorJoining {
 		w.runIterations()
@@ -290,3 +296,84 @@
 		}
 	}
 }
+
+// clockSteps are steps of the wall clock between the starts of two processes.
+var clockSteps = []time.Duration{-time.Hour, -3 * time.Second, 0, 3 * time.Second, time.Hour}
+
+// The wall clock may be stepped between the starts of two processes: what is handed over lives as long as it would have, and
+// has been idle for as long as it was. An attempt that ends in its last millisecond is still answered.
+func TestHotRestartAfterClockStep(t *testing.T) {
+	for _, step := range clockSteps {
+		dir := t.TempDir()
+		predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
+		_, silentClient := predecessor.socketPair()
+		predecessor.loop.clients.addConnection(silentClient, address)
+		client := predecessor.sendRequest(address)
+		predecessor.policy.Next = []dispatch.Action{dispatch.Send{Job: 1, Worker: predecessor.workerNumber()}}
+		predecessor.loop.Requests.Wake()
+		predecessor.runIterations()
+		predecessor.dialed[0].write([]byte("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))
+		predecessor.runIterations()
+		predecessor.now += time.Second
+		predecessor.runIterations()
+		successor := predecessor.startSuccessorAfterStep(dir, address, step)
+		predecessor.loop.dispatcher.Step(predecessor.now, nil, nil) // its next maintenance is due in 250 ms
+		before := predecessor.agesOfState()
+		want := stateAges{4 * time.Second, 4 * time.Second, time.Second, time.Second, time.Second, time.Second}
+		if before != want {
+			t.Fatalf("before the step: %+v, expected %+v", before, want)
+		}
+		if err := predecessor.handOverTo(successor); err != nil {
+			t.Fatal(err)
+		}
+		if after := successor.agesOfState(); after != before {
+			t.Errorf("stepped by %v: %+v, before %+v", step, after, before)
+		}
+		early := successor.loop.dispatcher.Step(successor.now+249*time.Millisecond, nil, nil)
+		onTime := successor.loop.dispatcher.Step(successor.now+250*time.Millisecond, nil, nil)
+		if len(early) != 0 || len(onTime) != 1 || onTime[0] != (dispatch.SetTimer{After: 250 * time.Millisecond}) {
+			t.Errorf("stepped by %v: the dispatcher acts too early or late: %v, then %v", step, early, onTime)
+		}
+		successor.now += before.untilDeadline - time.Millisecond
+		successor.runIterations()
+		if client.read(1 << 16); len(client.received) > 0 || client.ended {
+			t.Errorf("stepped by %v: answered before the deadline: %q", step, client.received)
+		}
+		result := "made"
+		_, _ = successor.loop.Requests.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result})
+		successor.runIterations()
+		if client.read(1 << 16); !strings.HasSuffix(string(client.received), "made") {
+			t.Errorf("stepped by %v: the client got %q", step, client.received)
+		}
+	}
+}
+
+// stateAges are the spans of what is handed over, by the clock of the process that has it.
+type stateAges struct {
+	untilDeadline, untilAttemptExpires, sinceArrival, sinceSent, clientSilent, workerIdle time.Duration
+}
+
+// agesOfState returns the spans of request 1, of its attempt, of the client that has sent nothing, and of the idle connection
+// to the worker.
+func (w *harness) agesOfState() stateAges {
+	request := w.loop.Requests.Request(1)
+	attempt := w.loop.Requests.InFlightAttempt(1, 0)
+	if request == nil || attempt == nil {
+		return stateAges{}
+	}
+	ages := stateAges{
+		untilDeadline: request.Deadline - w.now, untilAttemptExpires: attempt.At - w.now,
+		sinceArrival: w.now - request.ArrivedAt, sinceSent: w.now - request.FirstSentAt,
+	}
+	for client := range w.loop.clients.connections {
+		if client.history == historyNoRequest {
+			ages.clientSilent = w.now - client.lastActivity
+		}
+	}
+	for _, worker := range w.loop.workers.endpoints {
+		for _, connection := range worker.idle {
+			ages.workerIdle = w.now - connection.idleSince
+		}
+	}
+	return ages
+}
--- a/internal/link/hotrestart_transfer.go
+++ b/internal/link/hotrestart_transfer.go
@@ -8,6 +8,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/dispatch"
+	"valvecove/internal/clock"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/requests"
@@ -32,7 +33,7 @@
 
 // run returns nil once the successor has answered TakenOver.
 func (t *stateTransfer) run() error {
-	t.send(hotrestart.TransferBegin{}, hotrestart.NoDescriptor)
+	t.send(hotrestart.TransferBegin(t.loop.readClocks()), hotrestart.NoDescriptor)
 	t.frameCount = 0
 	t.sendPolicySnapshot()
 	t.sendRequests()
@@ -45,6 +46,12 @@
 	return t.awaitTakenOver()
 }
 
+// readClocks reads at one moment the loop's clock and the one that it shares with the other process.
+func (l *Loop) readClocks() hotrestart.ClockReadings {
+	reading, monotonic := clock.Together(l.Clock, l.monotonic)
+	return hotrestart.ClockReadings{Clock: reading, Monotonic: monotonic}
+}
+
 func (t *stateTransfer) send(message hotrestart.Message, descriptor int) {
 	if t.err == nil {
 		t.err = t.successor.sendMessageBefore(t.deadline, message, descriptor)
@@ -210,7 +217,7 @@
 		responders[w.requestID] = w.slot
 	}
 	l.Requests.TakeOver(l.Now(), received.RequestTable, received.OpenRequests, responders,
-		func() requests.Policy { return l.restorePolicy(received.PolicySnapshot) })
+		func() requests.Policy { return l.restorePolicy(received.PolicySnapshot, received.ClockAhead) })
 	for _, w := range waiting {
 		w.slot.request = l.Requests.Request(w.requestID)
 	}
@@ -225,12 +232,13 @@
 	}
 }
 
-// restorePolicy returns the policy that goes on from a snapshot, or nil if the snapshot is of no use to this build.
-func (l *Loop) restorePolicy(snapshot []byte) requests.Policy {
+// restorePolicy returns the policy that goes on from a snapshot, or nil if the snapshot is of no use to this build. The clock
+// here is ahead of the one that the snapshot's instants are of.
+func (l *Loop) restorePolicy(snapshot []byte, clockAhead time.Duration) requests.Policy {
 	if l.wrapRestored == nil {
 		return nil
 	}
-	dispatcher, err := dispatch.Restore(*l.clients.settings, snapshot)
+	dispatcher, err := dispatch.RestoreOnClock(*l.clients.settings, snapshot, clockAhead)
 	if err != nil {
 		l.log.Warn("what the process before had learnt is of no use here", "bytes", len(snapshot), "error", err)
 		return nil
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -15,6 +15,7 @@
 	"valvecove/dispatch"
 	"valvecove/internal/address"
 	"valvecove/internal/capture"
+	"valvecove/internal/clock"
 	"valvecove/internal/config"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
@@ -34,9 +35,10 @@
 	connectionLog *slog.Logger // about client connections, whose lines must not crowd out the others
 
 	dial        func(address netip.AddrPort) (fd int, err error)
-	writeBuffer []byte         // what is being written
-	request     http1.Request  // that was parsed last
-	response    http1.Response // that was parsed last
+	monotonic   func() time.Duration // the clock that all processes of the machine share
+	writeBuffer []byte               // what is being written
+	request     http1.Request        // that was parsed last
+	response    http1.Response       // that was parsed last
 
 	clients      *clientListener
 	workers      *workerPool
@@ -63,10 +65,10 @@
 }
 
 // newLoop returns a loop that has no connections yet. maxEvents is how many descriptors may be ready at once.
-func newLoop(log, connectionLog *slog.Logger, clock func() time.Duration, maxEvents int) (*Loop, error) {
-	loop := &Loop{log: log, connectionLog: connectionLog, dial: eventloop.Dial}
+func newLoop(log, connectionLog *slog.Logger, readClock func() time.Duration, maxEvents int) (*Loop, error) {
+	loop := &Loop{log: log, connectionLog: connectionLog, dial: eventloop.Dial, monotonic: clock.Monotonic}
 	events, err := eventloop.New(eventloop.Config{
-		Clock:     clock,
+		Clock:     readClock,
 		MaxEvents: maxEvents,
 		Log:       log,
 		Hooks: eventloop.Hooks{
