--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -32,12 +32,13 @@
 		"end.frame":     TransferEnd{FrameCount: 5},
 		"taken.frame":   TakenOver{},
 
-		"begin-clocks.frame": TransferBegin{Clock: at, Monotonic: 86_400*time.Second + 987_654_321},
+		"estate-starts.frame": goldenRequestTableWithStarts(),
+		"begin-clocks.frame":  TransferBegin{Clock: at, Monotonic: 86_400*time.Second + 987_654_321},
 	}
 }
 
 // earlierForms are the golden files that lack fields which another one of the same kind has.
-var earlierForms = map[string]bool{"begin.frame": true}
+var earlierForms = map[string]bool{"begin.frame": true, "estate.frame": true}
 
 func goldenRequestTable() RequestTable {
 	endpoint := requests.Endpoint{
@@ -54,6 +55,14 @@
 	}
 }
 
+// goldenRequestTableWithStarts is of builds that work out when workers started.
+func goldenRequestTableWithStarts() RequestTable {
+	table := goldenRequestTable()
+	table.Starts = []requests.WorkerStart{{EndpointID: "s-0", ListedMs: 1_764_633_000_000, At: at - 600*time.Second}}
+	table.LeastAge = 250 * time.Millisecond
+	return table
+}
+
 func goldenOpenRequest() OpenRequest {
 	payload := requests.Payload{Method: "POST", Path: "/v1/jobs?a=1&b=2", IdempotencyKey: "key-7", Body: []byte("{\"x\": 1}\n\xff")}
 	job := dispatch.Job{
@@ -143,8 +152,7 @@
 
 func checkGoldenFrame(t *testing.T, name string, want Message) {
 	t.Helper()
-	hasBody := hasFields(want) && !earlierForms[name]
-	if hasBody {
+	if hasFields(want) && !earlierForms[name] {
 		for _, field := range storedform.Zero(want) {
 			t.Errorf("%s: %s is not set", name, field)
 		}
@@ -155,7 +163,7 @@
 	if err != nil || size != len(golden) || frame.Kind != want.Kind() {
 		t.Fatalf("%s: %v of %d bytes, %v", name, frame.Kind, size, err)
 	}
-	if _, ok := want.(SnapshotChunk); !ok && !hasBody && len(frame.Body) > 0 {
+	if _, ok := want.(SnapshotChunk); !ok && !hasFields(want) && len(frame.Body) > 0 {
 		t.Errorf("%s: a body %q", name, frame.Body)
 	}
 	if got, err := frame.Message(); err != nil || !reflect.DeepEqual(got, want) {
--- a/internal/link/discovery_watch.go
+++ b/internal/link/discovery_watch.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"net/netip"
 	"strconv"
+	"time"
 
 	jsoniter "github.com/json-iterator/go"
 	"golang.org/x/sys/unix"
@@ -34,6 +35,8 @@
 	revision         int64            // of the list at hand when the connection was opened
 	streaming        bool             // the response has begun, and its body is read
 	receivedEvent    bool             // since the last connection was opened
+	lineAt           time.Duration    // when the last line was received
+	lineBeforeAt     time.Duration    // and the last one of an earlier iteration; 0: none
 	body             http1.ChunkDecoder
 	scanner          discovery.EventScanner
 }
@@ -261,8 +264,7 @@
 		if token.Kind == discovery.TokenNone {
 			continue
 		}
-		w.machine.Received(w.loop.Now())
-		w.resetTimer()
+		w.receivedLine()
 		if token.Kind == discovery.TokenEvent {
 			if err := w.applyEvent(token.Event); err != nil {
 				return err
@@ -272,6 +274,16 @@
 	return nil
 }
 
+// receivedLine takes in a line, be it empty or an event.
+func (w *watchConnection) receivedLine() {
+	now := w.loop.Now()
+	if now > w.lineAt {
+		w.lineAt, w.lineBeforeAt = now, w.lineAt
+	}
+	w.machine.Received(now)
+	w.resetTimer()
+}
+
 // applyEvent hands an event, which is JSON, to the request table.
 func (w *watchConnection) applyEvent(event []byte) error {
 	var list requests.EndpointList
@@ -283,6 +295,7 @@
 		w.loop.log.Info("watch began", "discovery", w.server.String(), "after", w.revision, "revision", list.Revision,
 			"snapshot", list.Reset, "entries", len(list.Endpoints))
 	}
+	list.Receipt = requests.Receipt{At: w.loop.Now(), LastViewAt: w.lineBeforeAt}
 	w.loop.Requests.UpdateEndpoints(list)
 	return nil
 }
--- a/internal/link/discovery_watch_test.go
+++ b/internal/link/discovery_watch_test.go
@@ -204,3 +204,37 @@
 		}
 	}
 }
+
+// A worker that is told of while the watch goes on has not started before the line before, which may have been empty: one that
+// looks as if it had counts from when it was told. By a clock that may be right, it started when it is told to have.
+func TestWatchBoundsStartTimes(t *testing.T) {
+	watched, server := newWatchedHarness(t)
+	send := func(text string) {
+		server.write([]byte(chunk(text + "\n")))
+		watched.runIterations()
+	}
+	server.write([]byte(watchResponse))
+	send(`{"generation":1,"reset":true,"instances":[{"instanceId":"s-0","hostPort":"127.0.0.1:1","lifecycle":"up"}]}`)
+	watched.now += time.Minute
+	send("") // nothing has changed
+	watched.now += 2 * time.Second
+	for _, test := range []struct{ listedAgo, wantAgo time.Duration }{
+		{time.Hour, 0},
+		{30 * time.Second, 0}, // while nothing had changed
+		{800 * time.Millisecond, 800 * time.Millisecond},
+		{30 * time.Second, 30 * time.Second}, // our clock was shown to be right
+	} {
+		watched.policy.Received = nil
+		started := watched.now - test.listedAgo
+		send(fmt.Sprintf(`{"generation":2,"instances":[{"instanceId":"s-0","hostPort":"127.0.0.1:1","lifecycle":"up","startedAtMs":%d}]}`,
+			started.Milliseconds()))
+		list, ok := watched.policy.Received[len(watched.policy.Received)-1].(dispatch.WorkerList)
+		if !ok || len(list.Workers) != 1 {
+			t.Fatalf("received %v", watched.policy.Received)
+		}
+		if got := watched.now - list.Workers[0].BootAt; got != test.wantAgo {
+			t.Errorf("told to have started %v ago: %v, expected %v", test.listedAgo, got, test.wantAgo)
+		}
+		watched.now += 500 * time.Millisecond
+	}
+}
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -90,7 +90,9 @@
 		}
 		return policy
 	}
-	l.Requests = requests.New(conf.Settings.AttemptLimit, conf.Settings.Names, newPolicy, conf.KnownEndpoints, l.workers, decisionLog)
+	known := conf.KnownEndpoints
+	known.Receipt.At = l.Now()
+	l.Requests = requests.New(conf.Settings.AttemptLimit, conf.Settings.Names, newPolicy, known, l.workers, decisionLog)
 	if l.Capture != nil {
 		l.Capture.LookupEndpoint = l.Requests.Endpoint
 		l.Requests.AddObserver(l.Capture)
--- a/internal/requests/clockdifference.go
+++ b/internal/requests/clockdifference.go
@@ -19,6 +19,13 @@
 // OnClock returns the state with its instants moved.
 func (s State) OnClock(ahead time.Duration) State {
 	s.PolicyTimer = MoveInstant(s.PolicyTimer, ahead)
+	s.LeastAge = MoveInstant(s.LeastAge, ahead)
+	if ahead != 0 {
+		s.Starts = s.allStarts()
+		for i := range s.Starts {
+			s.Starts[i].At = MoveInstant(s.Starts[i].At, ahead)
+		}
+	}
 	return s
 }
 
--- a/internal/requests/endpoint.go
+++ b/internal/requests/endpoint.go
@@ -4,7 +4,6 @@
 	"hash/fnv"
 	"slices"
 	"strconv"
-	"time"
 
 	"valvecove/dispatch"
 )
@@ -26,6 +25,7 @@
 	Revision  int64      `json:"generation"`
 	Reset     bool       `json:"reset"` // it is the whole list
 	Endpoints []Endpoint `json:"instances"`
+	Receipt   Receipt    `json:"-"`
 }
 
 // States of an endpoint that matter here.
@@ -46,11 +46,12 @@
 type endpointTable struct {
 	numbers  map[string]uint64
 	byNumber map[uint64]Endpoint
+	starts   startTimes
 	hash     func(id string) uint64
 }
 
 func newEndpointTable() endpointTable {
-	return endpointTable{numbers: map[string]uint64{}, byNumber: map[uint64]Endpoint{}, hash: hashID}
+	return endpointTable{numbers: map[string]uint64{}, byNumber: map[uint64]Endpoint{}, starts: newStartTimes(), hash: hashID}
 }
 
 // assignNumber returns the number of an endpoint, which it gets now if it has none. It is never 0.
@@ -75,8 +76,10 @@
 	return hash.Sum64()
 }
 
-// apply enters the endpoints of a list, and returns them as the policy's workers. Endpoints without an id are skipped.
-func (t *endpointTable) apply(list EndpointList, names NameTable) []dispatch.Worker {
+// apply enters the endpoints of a list, and returns them as the policy's workers. Endpoints without an id are skipped. known is
+// how many were listed before.
+func (t *endpointTable) apply(list EndpointList, names NameTable, known int) []dispatch.Worker {
+	t.starts.observe(list, known)
 	workers := make([]dispatch.Worker, 0, len(list.Endpoints))
 	for _, endpoint := range list.Endpoints {
 		if endpoint.ID == "" {
@@ -87,12 +90,14 @@
 			endpoint.Addr = t.byNumber[number].Addr // a removal need not repeat the address
 		}
 		t.byNumber[number] = endpoint
-		workers = append(workers, endpoint.worker(number, names))
+		worker := endpoint.worker(number, names)
+		worker.BootAt = t.starts.startedAt(number, endpoint.StartedAtMs)
+		workers = append(workers, worker)
 	}
 	return workers
 }
 
-// worker is the endpoint as the policy knows it.
+// worker is the endpoint as the policy knows it, but for when it started.
 func (e *Endpoint) worker(number uint64, names NameTable) dispatch.Worker {
 	return dispatch.Worker{
 		ID:      number,
@@ -102,7 +107,6 @@
 		Size:    e.Weight,
 		Cell:    e.Cell,
 		Zone:    slices.Index(names.Zones, e.Zone),
-		BootAt:  time.Duration(max(0, e.StartedAtMs)) * time.Millisecond,
 	}
 }
 
@@ -114,6 +118,7 @@
 	for number, endpoint := range t.byNumber {
 		if _, isListed := listed[number]; !isListed && !isInUse(number) {
 			delete(t.byNumber, number)
+			delete(t.starts.byWorker, number)
 			delete(t.numbers, endpoint.ID)
 		}
 	}
--- a/internal/requests/endpoint_test.go
+++ b/internal/requests/endpoint_test.go
@@ -15,7 +15,7 @@
 	for _, id := range ids {
 		list.Endpoints = append(list.Endpoints, Endpoint{ID: id})
 	}
-	table.apply(list, NameTable{})
+	table.apply(list, NameTable{}, 0)
 	return table.numbers
 }
 
--- a/internal/requests/endpointlist.go
+++ b/internal/requests/endpointlist.go
@@ -67,7 +67,7 @@
 func (t *Table) applyEndpoints(list EndpointList, kind dispatch.ListKind) {
 	isWhole := kind != dispatch.ListDelta
 	t.revision = list.Revision
-	workers := t.endpoints.apply(list, t.names)
+	workers := t.endpoints.apply(list, t.names, len(t.listed))
 	t.countChanges(workers, isWhole)
 	if isWhole {
 		clear(t.listed)
--- a/internal/requests/snapshot.go
+++ b/internal/requests/snapshot.go
@@ -19,6 +19,18 @@
 	Endpoints   []Endpoint    `json:"Hosts"`  // all that are remembered
 	ListedIDs   []string      `json:"Listed"` // those that are in the endpoint list
 	CordonedIDs []string      `json:"Out"`
+
+	// What follows is missing from builds that take start times as they are told, and is ignored by them.
+
+	Starts   []WorkerStart `json:"Starts,omitempty"`   // that are not as they were told
+	LeastAge time.Duration `json:"LeastAge,omitempty"` // at which a start was told, by the process's clock; 0: not known
+}
+
+// WorkerStart is when a worker started.
+type WorkerStart struct {
+	EndpointID string        `json:"Host"`
+	ListedMs   int64         `json:"Listed"` // by discovery, as Unix time in milliseconds
+	At         time.Duration `json:"At"`     // by the process's clock
 }
 
 // OpenRequest is the serialisable state of a request that is owed a response or has attempts in flight. Its booleans
@@ -60,6 +72,8 @@
 		PolicyTimer: t.policyTimer,
 		Revision:    t.revision,
 		CordonedIDs: t.Cordoned(),
+		Starts:      t.endpoints.starts.snapshot(t.endpoints.byNumber),
+		LeastAge:    t.endpoints.starts.leastAge,
 	}
 	for _, worker := range slices.Sorted(maps.Keys(t.endpoints.byNumber)) {
 		endpoint := t.endpoints.byNumber[worker]
--- /dev/null
+++ b/internal/requests/starttime_test.go
@@ -0,0 +1,321 @@
+package requests
+
+import (
+	"fmt"
+	"log/slog"
+	"testing"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/modeltest"
+)
+
+// clockErrors are by how much the process's clock is ahead of the workers'.
+var clockErrors = []time.Duration{-time.Hour, -3 * time.Second, 0, 3 * time.Second, time.Hour}
+
+// trueNow is an instant of the workers' clock.
+const trueNow = 1_764_633_600 * time.Second
+
+// startTimesFixture is a table whose process has a clock that is wrong, and the lists that it receives.
+type startTimesFixture struct {
+	table      *Table
+	clockAhead time.Duration
+	now        time.Duration // of the workers' clock
+	lastViewAt time.Duration // of the process's clock
+}
+
+func newStartTimesFixture(clockAhead time.Duration) *startTimesFixture {
+	policy := &modeltest.ScriptedPolicy{}
+	table := newTestTable(policy, 0, newRecordingTransport())
+	return &startTimesFixture{table: table, clockAhead: clockAhead, now: trueNow}
+}
+
+// wait lets time pass, and has the list be current at its end.
+func (f *startTimesFixture) wait(passed time.Duration) {
+	f.now += passed
+	f.lastViewAt = f.now + f.clockAhead
+}
+
+// receive takes in a list.
+func (f *startTimesFixture) receive(isReset bool, endpoints ...Endpoint) {
+	receipt := Receipt{At: f.now + f.clockAhead, LastViewAt: f.lastViewAt}
+	f.table.UpdateEndpoints(EndpointList{Reset: isReset, Endpoints: endpoints, Receipt: receipt})
+}
+
+// receiveFleet takes in ten workers that started long ago or at different times, but for s-0.
+func (f *startTimesFixture) receiveFleet(newest Endpoint) {
+	endpoints := []Endpoint{newest}
+	for n := 1; n < 10; n++ {
+		endpoints = append(endpoints, f.started(n, time.Duration(n-1)*24*time.Hour)) // the first of them long ago
+	}
+	endpoints[1].StartedAtMs = 0
+	f.receive(true, endpoints...)
+	f.wait(0)
+}
+
+// started is a worker that started some time ago.
+func (f *startTimesFixture) started(number int, ago time.Duration) Endpoint {
+	return Endpoint{
+		ID: fmt.Sprint("s-", number), Addr: "10.0.0.1:80", Lifecycle: lifecycleUp, StartedAtMs: (f.now - ago).Milliseconds(),
+	}
+}
+
+// age is how old the policy takes a worker to be; negative: it is known as started long ago.
+func (f *startTimesFixture) age(number int) time.Duration {
+	worker := f.table.listed[hashID(fmt.Sprint("s-", number))]
+	if worker.BootAt == 0 {
+		return -1
+	}
+	return f.now + f.clockAhead - worker.BootAt
+}
+
+// expectAge checks how old a worker is taken to be.
+func (f *startTimesFixture) expectAge(t *testing.T, what string, number int, least, most time.Duration) {
+	t.Helper()
+	if age := f.age(number); age < least || age > most {
+		t.Errorf("clock ahead by %v, %s: s-%d is taken to be %v old, expected %v to %v", f.clockAhead, what, number, age, least, most)
+	}
+}
+
+// A worker that is told of while the list is followed is never taken for older than it is, and not for much younger. With a
+// right clock it is as old as it is told to be.
+func TestStartTimes_ListedByChange(t *testing.T) {
+	for _, ahead := range clockErrors {
+		f := newStartTimesFixture(ahead)
+		f.receiveFleet(f.started(0, 0))
+		f.wait(30 * time.Second)
+		f.now += 300 * time.Millisecond
+		f.receive(false, f.started(0, 200*time.Millisecond)) // restarted
+		f.expectAge(t, "restarted", 0, 0, 200*time.Millisecond)
+		f.receive(false, f.started(10, 100*time.Millisecond)) // joined
+		f.expectAge(t, "joined", 10, 0, 200*time.Millisecond)
+		if ahead == 0 && (f.age(0) != 200*time.Millisecond || f.age(10) != 100*time.Millisecond) {
+			t.Errorf("by a right clock %v and %v old", f.age(0), f.age(10))
+		}
+		f.wait(4 * time.Second)
+		f.expectAge(t, "4 s later", 0, 4*time.Second, 4200*time.Millisecond)
+	}
+}
+
+// The first list may be all that a process knows: of ten workers, the one that has just started is cold.
+func TestStartTimes_FirstList(t *testing.T) {
+	for _, ahead := range clockErrors {
+		f := newStartTimesFixture(ahead)
+		f.receiveFleet(f.started(0, 300*time.Millisecond))
+		f.expectAge(t, "first list", 0, 0, 300*time.Millisecond)
+		f.expectAge(t, "first list", 1, -1, -1)
+		f.expectAge(t, "first list", 2, 23*time.Hour, 24*time.Hour)
+		if ahead == 0 && f.age(0) != 300*time.Millisecond {
+			t.Errorf("by a right clock %v old", f.age(0))
+		}
+	}
+}
+
+// No worker is taken for younger than when it was first told of, and so none is held back for longer than a slow start takes.
+func TestStartTimes_NoneIsHeldBackLong(t *testing.T) {
+	for _, ahead := range clockErrors {
+		for _, ago := range []time.Duration{time.Millisecond, 2 * time.Second, time.Minute, time.Hour - time.Second, 2 * time.Hour} {
+			f := newStartTimesFixture(ahead)
+			f.receiveFleet(f.started(0, ago))
+			const slowStart = 20 * time.Second
+			f.wait(slowStart)
+			for n := range 10 {
+				if age := f.age(n); age >= 0 && age < slowStart {
+					t.Errorf("clock ahead by %v, s-0 started %v ago: after %v s-%d is %v old", ahead, ago, slowStart, n, age)
+				}
+			}
+		}
+	}
+}
+
+// A fleet that has been started together counts as warm, unless our clock shows that it is not.
+func TestStartTimes_FleetStartedTogether(t *testing.T) {
+	for _, ahead := range clockErrors {
+		f := newStartTimesFixture(ahead)
+		var endpoints []Endpoint
+		for n := range 10 {
+			endpoints = append(endpoints, f.started(n, 2*time.Hour+time.Duration(n)*time.Second))
+		}
+		f.receive(true, endpoints...)
+		for n := range 10 {
+			f.expectAge(t, "started together", n, time.Minute, 4*time.Hour)
+		}
+	}
+}
+
+// What merely repeats a start changes nothing: a list after the watch was lost, a worker that begins to drain, one that comes
+// back after it was removed.
+func TestStartTimes_Repeated(t *testing.T) {
+	for _, ahead := range clockErrors {
+		f := newStartTimesFixture(ahead)
+		f.receiveFleet(f.started(0, 0))
+		f.wait(time.Second)
+		joined := f.started(10, 100*time.Millisecond)
+		f.receive(false, joined)
+		before := f.table.listed[hashID("s-10")].BootAt
+		draining := joined
+		draining.Lifecycle = "draining"
+		for what, repeat := range map[string]func(){
+			"whole list": func() { f.receive(true, joined) },
+			"draining":   func() { f.receive(false, draining) },
+			"back": func() {
+				f.receive(false, Endpoint{ID: "s-10", Lifecycle: lifecycleRemoved})
+				f.wait(time.Second)
+				f.receive(false, joined)
+			},
+		} {
+			f.wait(10 * time.Second)
+			f.now += 5 * time.Second // the watch was lost
+			repeat()
+			if at := f.table.listed[hashID("s-10")].BootAt; at != before {
+				t.Errorf("clock ahead by %v, %s: started %v later", ahead, what, at-before)
+			}
+		}
+	}
+}
+
+// While the list can't be followed workers start, and are told of later. A clock that may be right is believed, and one that
+// is an hour ahead is not.
+func TestStartTimes_AfterOutage(t *testing.T) {
+	for _, ahead := range clockErrors {
+		f := newStartTimesFixture(ahead)
+		f.receiveFleet(f.started(0, time.Hour/2))
+		f.wait(time.Minute)
+		f.now += 8 * time.Second
+		f.receive(true, f.started(0, 6*time.Second), f.started(1, 7*time.Second))
+		most := 6 * time.Second
+		if ahead > 0 && ahead < 8*time.Second {
+			most += ahead // it can't be told from a right clock
+		}
+		f.expectAge(t, "after an outage", 0, 0, most)
+		if ahead == 0 && (f.age(0) != 6*time.Second || f.age(1) != 7*time.Second) {
+			t.Errorf("by a right clock %v and %v old", f.age(0), f.age(1))
+		}
+	}
+}
+
+// A change that is told late, while the list is followed, holds a worker back for that delay at most.
+func TestStartTimes_ListedLate(t *testing.T) {
+	for _, ahead := range clockErrors {
+		f := newStartTimesFixture(ahead)
+		f.receiveFleet(f.started(0, time.Hour/2))
+		f.wait(time.Minute)
+		f.now += 500 * time.Millisecond
+		f.receive(false, f.started(0, 4*time.Second))
+		f.expectAge(t, "told 4 s late", 0, 0, 4*time.Second)
+	}
+}
+
+// A process that takes over knows when workers started, by its own clock, as the one before did, and takes none for restarted.
+func TestStartTimes_HandedOver(t *testing.T) {
+	for _, ahead := range clockErrors {
+		for _, step := range clockErrors {
+			f, successor := newStartTimesFixture(ahead), newStartTimesFixture(ahead+step)
+			list := []Endpoint{f.started(0, 300*time.Millisecond), f.started(2, 24*time.Hour), f.started(3, 0), f.started(4, 0)}
+			list[2].StartedAtMs, list[3].StartedAtMs = 0, 0
+			f.receive(true, list...)
+			f.wait(30 * time.Second)
+			f.receive(false, f.started(10, 100*time.Millisecond))
+			successor.now = f.now
+			successor.receive(true, list...)
+			state, open := f.table.Snapshot()
+			now := successor.now + successor.clockAhead
+			successor.table.TakeOver(now, state.OnClock(step), open, nil, func() Policy { return &modeltest.ScriptedPolicy{} })
+			successor.receive(false, f.started(10, 100*time.Millisecond))
+			for _, n := range []int{0, 2, 10} {
+				if got, want := successor.age(n), f.age(n); got != want {
+					t.Errorf("clock ahead by %v, stepped by %v: s-%d is %v old, before %v", ahead, step, n, got, want)
+				}
+			}
+		}
+	}
+}
+
+// loadedFleet is a table with its dispatcher under an even load, whose workers finish each job after 25 ms.
+type loadedFleet struct {
+	*startTimesFixture
+	transport *recordingTransport
+	sent      map[string]int // jobs by worker
+	running   []*Attempt
+	finishAt  []time.Duration
+}
+
+const (
+	loadInterval = 2500 * time.Microsecond // between jobs
+	jobLength    = 25 * time.Millisecond
+)
+
+func newLoadedFleet(clockAhead time.Duration) *loadedFleet {
+	settings := dispatch.Settings{
+		Replicas: 1, AttemptLimit: 3, StartNotifications: true, ConnectTimeout: 250 * time.Millisecond,
+		PollInterval: 10 * time.Second, WarmUp: 8 * time.Second, WarmUpCapacity: 0.2, OverloadFactor: 1.5,
+		OverloadWindow: time.Second,
+		Classes: []dispatch.Class{{
+			LatencyObjective: 400 * time.Millisecond, ObjectiveStretch: 2, ClientTimeout: 5 * time.Second, LateValue: 0.3,
+		}},
+	}
+	transport := newRecordingTransport()
+	newPolicy := func() Policy { return dispatch.New(settings, 1) }
+	table := New(3, NameTable{Classes: []string{"a"}}, newPolicy, EndpointList{}, transport, slog.New(slog.DiscardHandler))
+	fixture := &startTimesFixture{table: table, clockAhead: clockAhead, now: trueNow}
+	return &loadedFleet{startTimesFixture: fixture, transport: transport, sent: map[string]int{}}
+}
+
+// run loads the fleet for a while.
+func (l *loadedFleet) run(t *testing.T, length time.Duration) {
+	t.Helper()
+	for end := l.now + length; l.now < end; l.now += loadInterval {
+		local := l.now + l.clockAhead
+		for len(l.running) > 0 && l.finishAt[0] <= local {
+			l.table.EndAttempt(l.running[0], []byte("r"), nil)
+			l.running, l.finishAt = l.running[1:], l.finishAt[1:]
+		}
+		job := dispatch.Job{Remaining: 5 * time.Second, Hint: jobLength}
+		arrival := Arrival{CallID: local.String(), Job: job, Responder: &countingResponder{}}
+		if _, err := l.table.Admit(local, arrival); err != nil {
+			t.Fatal(err)
+		}
+		l.table.Step(local)
+		for _, attempt := range l.transport.started {
+			l.sent[attempt.EndpointID]++
+			l.running, l.finishAt = append(l.running, attempt), append(l.finishAt, local+jobLength)
+		}
+		l.transport.started = nil
+	}
+}
+
+// One of ten workers has just started: however wrong our clock is, it gets the part of an even share, over 4 s, that it gets
+// with a right clock.
+func TestStartTimes_ShareOfColdWorker(t *testing.T) {
+	for what, play := range map[string]func(l *loadedFleet){
+		"first list": func(l *loadedFleet) { l.receiveFleet(l.started(0, 0)) },
+		"change": func(l *loadedFleet) {
+			l.receiveFleet(l.started(0, 24*time.Hour))
+			l.run(t, 2*time.Second)
+			l.wait(0)
+			clear(l.sent)
+			l.receive(false, l.started(0, 0))
+		},
+	} {
+		sent := map[time.Duration]int{}
+		for _, ahead := range clockErrors {
+			l := newLoadedFleet(ahead)
+			play(l)
+			l.run(t, 4*time.Second)
+			all := 0
+			for _, jobs := range l.sent {
+				all += jobs
+			}
+			sent[ahead] = l.sent["s-0"]
+			t.Logf("%s, clock ahead by %v: %d of %d, %.2f of an even share", what, ahead, sent[ahead], all, 10*float64(sent[ahead])/float64(all))
+			if sent[ahead] == 0 || 20*sent[ahead] > 15*all/10 {
+				t.Errorf("%s, clock ahead by %v: %d of %d jobs", what, ahead, sent[ahead], all)
+			}
+		}
+		for _, ahead := range clockErrors {
+			if sent[ahead] != sent[0] {
+				t.Errorf("%s, clock ahead by %v: %d jobs, %d with a right clock", what, ahead, sent[ahead], sent[0])
+			}
+		}
+	}
+}
--- a/internal/requests/takeover.go
+++ b/internal/requests/takeover.go
@@ -17,6 +17,7 @@
 ) {
 	t.awaitUntil = 0
 	t.restoreEndpoints(state)
+	t.restoreStarts(state)
 	t.SetCordoned(state.CordonedIDs)
 	t.lastID = max(t.lastID, state.LastID)
 	for i := range open {
@@ -58,6 +59,17 @@
 	}
 }
 
+// restoreStarts has the workers started when another process found that they did: its policy, which may go on here, knows them
+// so.
+func (t *Table) restoreStarts(state State) {
+	starts := &t.endpoints.starts
+	starts.restore(state, t.endpoints.numbers)
+	for number, worker := range t.listed {
+		worker.BootAt = starts.startedAt(number, t.endpoints.byNumber[number].StartedAtMs)
+		t.listed[number] = worker
+	}
+}
+
 // restoreRequest enters a request of another process, and notifies the observers as if it had been admitted here.
 func (t *Table) restoreRequest(open *OpenRequest, responder Responder) {
 	if responder == nil {
