--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -12,6 +12,7 @@
 	"valvecove/internal/address"
 	"valvecove/internal/aperture"
 	"valvecove/internal/capture"
+	"valvecove/internal/clock"
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
 	"valvecove/internal/eventloop"
@@ -33,11 +34,11 @@
 
 // open is Open with the system calls that syscalls makes.
 func open(syscalls eventloop.Syscalls, conf config.Config, ops config.Ops, log *logging.Factory, metricTargets ...metrics.Target) (*Loop, error) {
-	clock := clockSinceEpoch()
-	start := newStartup(clock)
+	monotonic := clock.SinceEpoch(clock.Now)
+	start := newStartup(monotonic)
 	var loop *Loop
 	err := start.retry(func() (err error) {
-		loop, err = newLoop(log.NewLogger(), log.NewLogger(), clock, conf.Limits.Sockets, syscalls)
+		loop, err = newLoop(log.NewLogger(), log.NewLogger(), monotonic, conf.Limits.Sockets, syscalls)
 		return err
 	})
 	if err != nil {
