--- a/dispatch/preference.go
+++ b/dispatch/preference.go
@@ -90,6 +90,14 @@
 	d.available.reorder()
 }
 
+// replica is this dispatcher's number among those that share the workers, from 0, and how many these are.
+func (d *Dispatcher) replica() (index, replicas int) {
+	if d.sharing.Replicas > 0 {
+		return d.sharing.ReplicaIndex, d.sharing.Replicas
+	}
+	return d.settings.ReplicaIndex, max(1, d.settings.Replicas)
+}
+
 // appendPreferred appends the most preferred workers of a level that is a heap, in order.
 func appendPreferred(dst, level []*workerInfo, count int) []*workerInfo {
 	var frontier [2*preferredWorkers + 2]int // indexes of those of which each may be next
--- a/internal/testbed/fleet/rig.go
+++ b/internal/testbed/fleet/rig.go
@@ -272,5 +272,5 @@
 	for _, engine := range r.engines {
 		engine.close()
 	}
-	r.addresses.close()
+	r.addresses.Close()
 }
