--- a/internal/link/worker_pool_test.go
+++ b/internal/link/worker_pool_test.go
@@ -69,10 +69,10 @@
 	return len(w.loop.workers.endpoints[w.workers[worker]].idle)
 }
 
-// Where no more connections may be open, the one that has been idle longest makes room: workers that are in use keep theirs.
+// Where no more connections may be open, the one that has been idle longest is closed for another: workers that are in use keep theirs.
 func TestLongestIdleConnectionIsEvicted(t *testing.T) {
-	const workers, inUse, room = 40, 3, 5
-	w := newPoolHarness(t, workers, room)
+	const workers, inUse, capacity = 40, 3, 5
+	w := newPoolHarness(t, workers, capacity)
 	for round := range workers - inUse {
 		for worker := range inUse {
 			w.use(worker)
@@ -84,8 +84,8 @@
 			t.Errorf("worker %d, in use all the time: %d connections opened, %d open", worker, opened, w.openTo(worker))
 		}
 	}
-	if pool := w.loop.workers; pool.openCount != room || pool.idle.Len() != room {
-		t.Errorf("%d connections open, %d idle, expected %d", pool.openCount, pool.idle.Len(), room)
+	if pool := w.loop.workers; pool.openCount != capacity || pool.idle.Len() != capacity {
+		t.Errorf("%d connections open, %d idle, expected %d", pool.openCount, pool.idle.Len(), capacity)
 	}
 }
 
