--- a/dispatch/preference_test.go
+++ b/dispatch/preference_test.go
@@ -194,3 +194,135 @@
 		t.Fatal("a dispatcher at the other side of the ring prefers some of the same workers")
 	}
 }
+
+// Whatever happens to a large fleet, the index holds each worker where it says, its levels of steady workers are heaps once
+// searches go by them, and the preferred are the first by preference.
+func TestIndexStaysOrdered(t *testing.T) {
+	for seed := range uint64(6) {
+		run := &indexRun{t: t, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Hour}
+		settings := testSettings()
+		settings.Replicas, settings.ReplicaIndex, settings.StartNotifications = 7, int(seed), false
+		settings.WarmUp = 2 * time.Second
+		settings.WarmUpCapacity, settings.OverloadFactor, settings.OverloadWindow = 0.3, 3, time.Second
+		run.d = New(settings, seed)
+		orderedSteps := 0
+		for range 3000 {
+			run.step()
+			checkIndex(t, &run.d.available)
+			if run.d.available.isOrdered() {
+				orderedSteps++
+			}
+		}
+		if orderedSteps < 500 || orderedSteps > 2950 {
+			t.Errorf("seed %d: searches went by preference after %d of 3000 steps", seed, orderedSteps)
+		}
+	}
+}
+
+// indexRun drives a dispatcher with events at random.
+type indexRun struct {
+	t        *testing.T
+	d        *Dispatcher
+	rng      *rand.Rand
+	now      time.Duration
+	lastJob  uint64
+	attempts map[uint64]int
+	inFlight []Send
+}
+
+func (r *indexRun) step() {
+	r.now += time.Duration(r.rng.IntN(20)) * ms
+	for _, action := range r.d.Step(r.now, []Event{r.event()}, nil) {
+		if send, isSend := action.(Send); isSend {
+			r.inFlight = append(r.inFlight, send)
+		}
+	}
+}
+
+func (r *indexRun) event() Event {
+	worker := uint64(1 + r.rng.IntN(200))
+	switch choice := r.rng.IntN(100); {
+	case choice < 10:
+		entry := Worker{ID: worker, Kind: int(worker % 2), Zone: int(worker % 3), Ready: r.rng.IntN(6) > 0, Removed: r.rng.IntN(8) == 0}
+		if r.rng.IntN(20) == 0 {
+			entry.BootAt = r.now
+		}
+		return WorkerList{Workers: []Worker{entry}}
+	case choice < 12:
+		return Cordoned{Worker: worker}
+	case choice < 20:
+		return Uncordoned{Worker: worker}
+	case choice < 55 || len(r.inFlight) == 0:
+		r.lastJob++
+		return Job{ID: r.lastJob, Remaining: 5 * time.Second, Hint: 50 * ms, Slots: 1}
+	}
+	return r.outcome()
+}
+
+// outcome ends an attempt at random.
+func (r *indexRun) outcome() Event {
+	ended := r.rng.IntN(len(r.inFlight))
+	send := r.inFlight[ended]
+	r.inFlight = append(r.inFlight[:ended], r.inFlight[ended+1:]...)
+	if r.attempts == nil {
+		r.attempts = map[uint64]int{}
+	}
+	attempt := r.attempts[send.Job]
+	r.attempts[send.Job]++
+	result := OK
+	if r.rng.IntN(20) == 0 {
+		result = []Result{WorkerFull, Failed, ConnectFailed}[r.rng.IntN(3)]
+	}
+	return Outcome{Job: send.Job, Attempt: attempt, Worker: send.Worker, Result: result, Closed: result == OK}
+}
+
+func checkIndex(t *testing.T, index *workerIndex) {
+	t.Helper()
+	steady, idle := 0, 0
+	for _, b := range index.buckets {
+		size := 0
+		for i, level := range b.levels {
+			size += len(level)
+			checkLevel(t, level, b, i)
+			if index.isOrdered() && b.isSteady() {
+				checkHeap(t, level)
+			}
+		}
+		if size != b.size {
+			t.Fatalf("a bucket of %d workers counts %d", size, b.size)
+		}
+		if b.isSteady() && len(b.levels) > 0 {
+			steady, idle = steady+size, idle+len(b.levels[0])
+		}
+	}
+	if steady != index.steady || idle != index.idle {
+		t.Fatalf("%d steady workers and %d idle ones, counted %d and %d", steady, idle, index.steady, index.idle)
+	}
+}
+
+func checkLevel(t *testing.T, level []*workerInfo, b *bucket, number int) {
+	t.Helper()
+	for slot, worker := range level {
+		if worker.bucket != b || worker.level != number || worker.slot != slot {
+			t.Fatalf("worker %d stands elsewhere than it says", worker.ID)
+		}
+	}
+}
+
+func checkHeap(t *testing.T, level []*workerInfo) {
+	t.Helper()
+	if len(level) == 0 {
+		return
+	}
+	for slot, worker := range level[1:] {
+		if parent := level[slot/2]; parent.preference > worker.preference {
+			t.Fatalf("worker %d stands above one that is preferred", parent.ID)
+		}
+	}
+	sorted := slices.Clone(level)
+	slices.SortFunc(sorted, func(a, b *workerInfo) int { return a.preference - b.preference })
+	count := min(len(level), preferredWorkers)
+	if preferred := appendPreferred(nil, level, count); !slices.Equal(preferred, sorted[:count]) {
+		t.Fatal("the preferred workers are not the first by preference")
+	}
+}
