--- a/internal/control/validator/dispatcher_test.go
+++ b/internal/control/validator/dispatcher_test.go
@@ -59,7 +59,7 @@
 		PriorityWeight: 1, DeduplicationScope: dispatch.DeduplicationScope(rng.IntN(3)),
 		DeduplicationWindow: time.Duration(1+rng.IntN(20)) * 100 * time.Millisecond,
 	}}
-	c := &agreementCase{settings: settings, seed: seed, validator: New(settings)}
+	c := &agreementCase{settings: settings, seed: seed}
 	c.list = dispatch.WorkerList{Kind: dispatch.ListFull, Workers: []dispatch.Worker{randomWorker(rng, agreementWorker)}}
 	c.previous = make([]previousAttempt, rng.IntN(4))
 	for i := range c.previous {
@@ -70,6 +70,8 @@
 	for i := range c.previous {
 		c.list.Workers = append(c.list.Workers, randomWorker(rng, uint64(firstPreviousWorker+i)))
 	}
+	c.settings.ConnectTimeout = time.Duration(rng.IntN(3)) * 100 * time.Millisecond
+	c.validator = New(c.settings)
 	c.observe()
 	return c
 }
--- a/internal/control/validator/model_test.go
+++ b/internal/control/validator/model_test.go
@@ -264,7 +264,9 @@
 	otherZone := class.DeduplicationScope == dispatch.ScopeZone && previous.zone != worker.Zone
 	reasons.add(message.ReasonPossiblyExecuted, class.Idempotency == dispatch.NonIdempotent)
 	reasons.add(message.ReasonOutsideScope, withKey && (otherCell || otherZone))
-	reasons.add(message.ReasonWindowExpired, withKey && 20*(h.now-previous.sentAt) >= 19*class.DeduplicationWindow)
+	isInMargin := 20*(h.now-previous.sentAt) >= 19*class.DeduplicationWindow ||
+		h.now-previous.sentAt+h.settings.ConnectTimeout+repeatMargin >= class.DeduplicationWindow
+	reasons.add(message.ReasonWindowExpired, withKey && isInMargin)
 }
 
 // ---- Random runs ----
@@ -453,6 +455,7 @@
 func randomSettings(s *modeltest.Steps) dispatch.Settings {
 	settings := dispatch.Settings{
 		AttemptLimit: 1 + s.Pick(4), Hedging: s.Pick(3) > 0, Cancellation: s.Pick(2) == 0, HealthChecks: s.Pick(2) == 0,
+		ConnectTimeout: time.Duration(s.Pick(3)) * 100 * time.Millisecond,
 	}
 	for range 1 + s.Pick(3) {
 		class := dispatch.Class{
--- a/internal/control/validator/rules.go
+++ b/internal/control/validator/rules.go
@@ -186,15 +186,22 @@
 		return message.ReasonOutsideScope
 	case class.DeduplicationScope == dispatch.ScopeZone && worker.zone != previous.zone:
 		return message.ReasonOutsideScope
-	case v.now-previous.sentAt >= usableWindow(class.DeduplicationWindow):
+	case v.now-previous.sentAt >= v.usableWindow(class.DeduplicationWindow):
 		return message.ReasonWindowExpired
 	}
 	return message.ReasonNone
 }
 
-// usableWindow is the part of a deduplication window in which a request is repeated. The rest is a margin for differing
-// clocks and for the time in transit.
-func usableWindow(window time.Duration) time.Duration {
-	const marginDivisor = 20
-	return window - window/marginDivisor
+const (
+	// windowMarginDivisor leaves this part of a deduplication window for differing clocks and for the time in transit.
+	windowMarginDivisor = 20
+
+	// repeatMargin is left of a window at least, besides the time for a connection: what the dispatcher leaves for a process
+	// that is held up, for a request that goes in parts, and for the way (mayRepeat in package dispatch).
+	repeatMargin = 210 * time.Millisecond
+)
+
+// usableWindow is the part of a deduplication window in which a request is repeated.
+func (v *Validator) usableWindow(window time.Duration) time.Duration {
+	return window - max(window/windowMarginDivisor, v.settings.ConnectTimeout+repeatMargin)
 }
