--- a/internal/testbed/checker/run_test.go
+++ b/internal/testbed/checker/run_test.go
@@ -19,10 +19,11 @@
 	listed := 0
 	trace := func(_ time.Duration, ins []simapi.Input, _ []simapi.Output) {
 		for _, in := range ins {
-			if in.Start == nil {
+			start, ok := in.Message.(simapi.Start)
+			if !ok {
 				continue
 			}
-			for _, h := range in.Start.KnownEndpoints.Endpoints {
+			for _, h := range start.KnownEndpoints.Endpoints {
 				n, _ := scenario.NodeIndex(h.ID, spec.Fleet.Workers)
 				if listed++; cells[n] != h.Cell || spec.Fleet.Zones[zones[n]] != h.Zone {
 					t.Errorf("%s is of cell %d in zone %s, the judge says %d in %d", h.ID, h.Cell, h.Zone, cells[n], zones[n])
--- a/internal/testbed/environment/clients.go
+++ b/internal/testbed/environment/clients.go
@@ -104,25 +104,41 @@
 // Capacity is how many seconds of work a second the warm fleet can do, on standard cores.
 func (w *Environment) Capacity() float64 { return w.Spec.Capacity() }
 
-// apply takes an answer, or the end of a connection. What is for a connection that its client has closed, or that
-// there never was, goes nowhere.
-func (c *clients) apply(o *simapi.Output) {
-	conn := c.env.conns[o.Conn]
-	if conn == nil || o.Conn.IsWorkerConn() || conn.scheduler != o.Scheduler {
+// openConn is a client's connection to a scheduler; nil: its client has closed it, or there never was one. What is for
+// that goes nowhere.
+func (c *clients) openConn(scheduler int, id simapi.Conn) *conn {
+	conn := c.env.conns[id]
+	if conn == nil || id.IsWorkerConn() || conn.scheduler != scheduler {
+		return nil
+	}
+	return conn
+}
+
+// responseWritten takes a scheduler's answer.
+func (c *clients) responseWritten(scheduler int, message *simapi.ResponseWritten) {
+	conn := c.openConn(scheduler, message.Conn)
+	if conn == nil {
 		return
 	}
-	switch o.Kind {
-	case simapi.ResponseWritten:
-		a := response{o.RequestID, o.Result, o.Status, o.RetryAfter}
-		switch far := conn.far.(type) {
-		case *clientConn:
-			far.sendResponse(a)
-		case *misbehavingClient:
-			c.env.toFarEnd(conn, func() { far.responseReceived(conn, a) })
-		}
-	case simapi.ClientConnClosed:
+	a := response{message.RequestID, message.Result, message.Status, message.RetryAfter}
+	switch far := conn.far.(type) {
+	case *clientConn:
+		far.sendResponse(a)
+	case *misbehavingClient:
+		c.env.toFarEnd(conn, func() { far.responseReceived(conn, a) })
+	}
+}
+
+// schedulerClosed takes a scheduler's close of a connection.
+func (c *clients) schedulerClosed(scheduler int, id simapi.Conn) {
+	if conn := c.openConn(scheduler, id); conn != nil {
 		c.env.closeSide(conn, schedulerSide)
-	case simapi.ClientConnFailed:
+	}
+}
+
+// connFailed takes it that a connection never came up.
+func (c *clients) connFailed(scheduler int, id simapi.Conn) {
+	if conn := c.openConn(scheduler, id); conn != nil {
 		conn.closed[schedulerSide], conn.closed[farSide] = true, true
 		delete(c.env.conns, conn.id)
 		conn.far.connClosed(conn)
--- a/internal/testbed/environment/clients_test.go
+++ b/internal/testbed/environment/clients_test.go
@@ -20,7 +20,7 @@
 	*modeltest.Steps
 	stage    *stage
 	witness  *witness
-	sent     []simapi.Input // requests that schedulers have read
+	sent     []*readRequest
 	open     map[simapi.Conn]bool
 	received map[string]bool // by request id
 	heal     func()
@@ -66,22 +66,28 @@
 	load := environment.balancer.connCounts
 	m.Check(environment.schedulers[in.Scheduler].alive, "a dead scheduler hears something")
 	m.Check(max(load[0], load[1]) <= environment.balancer.maxConns, "%v connections of %d", load, environment.balancer.maxConns)
-	if m.open[in.Conn] = in.Kind == simapi.RequestReceived; !m.open[in.Conn] {
+	if closed, ok := in.Message.(simapi.ClientClosed); ok {
+		m.open[closed.Conn] = false
+	}
+	read := requestOf(in)
+	if read == nil {
 		return
 	}
-	m.Check(len(in.Request.RequestID) == 16 && len(in.Request.IdempotencyKey)%32 == 0, "id %q, key %q", in.Request.RequestID, in.Request.IdempotencyKey)
-	q := environment.clients.findRequest(in.Request.RequestID)
-	m.Check(q != nil && q.id == in.Request.RequestID && q.jobID == m.witness.calls[q.id], "a request that was sent is not found")
+	m.open[read.Conn] = true
+	request := read.Request
+	m.Check(len(request.RequestID) == 16 && len(request.IdempotencyKey)%32 == 0, "id %q, key %q", request.RequestID, request.IdempotencyKey)
+	q := environment.clients.findRequest(request.RequestID)
+	m.Check(q != nil && q.id == request.RequestID && q.jobID == m.witness.calls[q.id], "a request that was sent is not found")
 	m.Check(!m.received[q.id], "a request that was read comes again")
 	m.received[q.id] = true
-	m.sent = append(m.sent, *in)
+	m.sent = append(m.sent, read)
 }
 
 // step draws what happens next.
 func (m *clientsModel) step() {
-	var q *simapi.Input
+	var q *readRequest
 	if len(m.sent) > 0 {
-		q = &m.sent[m.Pick(len(m.sent))]
+		q = m.sent[m.Pick(len(m.sent))]
 	}
 	t := m.stage
 	switch what := m.Pick(24); {
@@ -90,12 +96,12 @@
 	case what < 16: // perhaps twice, or long after
 		t.reply(q, []int{200, 200, 503, 429, 500}[m.Pick(5)], time.Duration(m.Pick(3))*400*time.Millisecond)
 		if m.Pick(8) == 0 {
-			t.outputs = append(t.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: q.Scheduler, Conn: q.Conn})
+			t.closeConn(q.scheduler, q.Conn)
 		}
 	case what < 18:
-		t.outputs = append(t.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: q.Scheduler, Conn: simapi.Conn(1 + m.Pick(20))})
+		t.closeConn(q.scheduler, simapi.Conn(1+m.Pick(20)))
 	case what == 18:
-		t.outputs = append(t.outputs, simapi.Output{Kind: simapi.ResponseWritten, Scheduler: q.Scheduler, Conn: q.Conn, RequestID: "nobody's"})
+		t.outputs = append(t.outputs, simapi.Output{Scheduler: q.scheduler, Message: simapi.ResponseWritten{Conn: q.Conn, RequestID: "nobody's"}})
 	case what == 19:
 		t.kill(m.Pick(2))
 	case what == 20:
@@ -149,8 +155,9 @@
 	want, ids := play((*stage).serve)
 	n := 0
 	got, others := play(func(s *stage, in *simapi.Input) {
-		if n++; in.Kind == simapi.RequestReceived && n%3 > 0 {
-			s.reply(in, 300+100*(n%5), time.Second)
+		q := requestOf(in)
+		if n++; q != nil && n%3 > 0 {
+			s.reply(q, 300+100*(n%5), time.Second)
 		}
 		if n%200 == 0 {
 			s.kill(n / 200 % 2)
@@ -170,8 +177,8 @@
 // answers gives each request, in the order of their coming, one of these statuses.
 func answers(s *stage, after time.Duration, status ...int) func(in *simapi.Input) {
 	return func(in *simapi.Input) {
-		if in.Kind == simapi.RequestReceived && len(status) > 0 {
-			s.reply(in, status[0], after)
+		if q := requestOf(in); q != nil && len(status) > 0 {
+			s.reply(q, status[0], after)
 			status = status[1:]
 		}
 	}
@@ -228,21 +235,21 @@
 // A request that crosses the close of its idle connection is sent once more, with its id; one that was read is lost.
 func TestCloseCrossesRequest(t *testing.T) {
 	s := one(2, nil)
-	var first *simapi.Input
+	var first *readRequest
 	s.run(2*time.Second, func(in *simapi.Input) {
-		if in.Kind == simapi.RequestReceived && first == nil {
-			first = &simapi.Input{Scheduler: in.Scheduler, Conn: in.Conn, Request: in.Request}
-			s.reply(in, 200, 0)
+		if q := requestOf(in); q != nil && first == nil {
+			first = q
+			s.reply(q, 200, 0)
 		}
 	})
 	// The scheduler closes at 2 s, the client asks half a network's delay later.
-	s.outputs = append(s.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: first.Scheduler, Conn: first.Conn})
+	s.closeConn(first.scheduler, first.Conn)
 	s.w.schedule(2*time.Second+500*time.Microsecond, func() {
 		s.w.clients.jobDue(s.w.clients.arrivals.drawJob(s.w.rng("one", 1), &jobSource{class: 2}), s.w.now)
 	})
 	s.run(3*time.Second, func(in *simapi.Input) {
-		if in.Kind == simapi.RequestReceived {
-			s.outputs = append(s.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: in.Scheduler, Conn: in.Conn})
+		if q := requestOf(in); q != nil {
+			s.closeConn(q.scheduler, q.Conn)
 		}
 	})
 	sent, lost := s.of(trace.RequestSent), s.of(trace.ConnectionLost)
@@ -261,9 +268,9 @@
 		s.w.clients.jobDue(s.w.clients.arrivals.drawJob(s.w.rng("one", 1), &jobSource{class: 2}), s.w.now)
 	})
 	s.run(time.Second, func(in *simapi.Input) {
-		if in.Kind == simapi.RequestReceived {
-			s.reply(in, 200, 0)
-			s.outputs = append(s.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Conn: in.Conn})
+		if q := requestOf(in); q != nil {
+			s.reply(q, 200, 0)
+			s.closeConn(0, q.Conn)
 		}
 	})
 	sent, got := s.of(trace.RequestSent), s.of(trace.ResponseReceived)
@@ -276,9 +283,9 @@
 func TestSecondAnswerIsSeen(t *testing.T) {
 	s := one(0, nil)
 	s.run(2*time.Second, func(in *simapi.Input) {
-		if in.Kind == simapi.RequestReceived {
-			s.reply(in, 503, 0)
-			s.reply(in, 200, 0)
+		if q := requestOf(in); q != nil {
+			s.reply(q, 503, 0)
+			s.reply(q, 200, 0)
 		}
 	})
 	if got := s.of(trace.ResponseReceived); len(got) < 2 || got[0].RequestID != got[1].RequestID || got[1].Status != 200 {
@@ -312,7 +319,8 @@
 	s, most := newStage(spec, 3).begin(), 0
 	s.end(func(in *simapi.Input) {
 		most = max(most, s.w.RequestsInFlight())
-		o := simapi.Output{Kind: simapi.ResponseWritten, Conn: in.Conn, RequestID: in.Request.RequestID, Status: 200}
+		q := requestOf(in)
+		o := simapi.Output{Message: simapi.ResponseWritten{Conn: q.Conn, RequestID: q.Request.RequestID, Status: 200}}
 		s.w.after(100*time.Millisecond, func() { s.w.apply(&o) })
 	})
 	// Each turn takes 100 ms and the way there and back.
@@ -327,16 +335,17 @@
 	spec.Misbehaving = []scenario.MisbehavingClients{{Kind: "stolen_id", Rate: 10, At: scenario.Duration(2 * time.Second)}}
 	s, open := newStage(spec, 1).begin(), 0
 	s.end(func(in *simapi.Input) {
-		if in.Kind != simapi.ClientMisbehaves {
+		message, ok := in.Message.(simapi.ClientMisbehaves)
+		if !ok {
 			return
 		}
-		if s.w.clients.findRequest(in.Misbehavior.RequestID) != nil {
+		if s.w.clients.findRequest(message.RequestID) != nil {
 			open++
 		}
-		for range in.Misbehavior.Number % 3 { // some have no answer, some two
-			s.outputs = append(s.outputs, simapi.Output{Kind: simapi.ResponseWritten, Conn: in.Conn, Status: 400})
+		for range message.Number % 3 { // some have no answer, some two
+			s.outputs = append(s.outputs, simapi.Output{Message: simapi.ResponseWritten{Conn: message.Conn, Status: 400}})
 		}
-		s.outputs = append(s.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Conn: in.Conn})
+		s.closeConn(0, message.Conn)
 	})
 	if began, ended := len(s.of(trace.MisbehavingClientConnected)), len(s.of(trace.MisbehavingClientAnswered)); began < 140 || began > 220 ||
 		ended != began || open != began {
@@ -352,9 +361,9 @@
 	s.w.schedule(3*time.Second, func() { s.kill(0) })
 	s.w.schedule(8*time.Second, func() { s.up(0) })
 	s.end(func(in *simapi.Input) {
-		if in.Kind == simapi.RequestReceived {
-			s.reply(in, 200, 0)
-			s.outputs = append(s.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: in.Scheduler, Conn: in.Conn})
+		if q := requestOf(in); q != nil {
+			s.reply(q, 200, 0)
+			s.closeConn(q.scheduler, q.Conn)
 		}
 	})
 	counts := map[trace.Kind]*[10][2]int{trace.SchedulerUnreachable: {}, trace.RequestSent: {}}
--- a/internal/testbed/environment/conn.go
+++ b/internal/testbed/environment/conn.go
@@ -106,12 +106,12 @@
 		conn.far.connClosed(conn)
 		return
 	}
-	kind := simapi.ClientClosed
+	var message simapi.InputMessage = simapi.ClientClosed{Conn: conn.id}
 	if l, ok := conn.state.(*workerConn); ok {
-		kind = simapi.WorkerDisconnected
+		message = simapi.WorkerDisconnected{Worker: conn.worker, Conn: conn.id, Reset: conn.up}
 		l.schedulerClosed()
 	}
-	w.deliver(simapi.Input{Kind: kind, Scheduler: conn.scheduler, Worker: conn.worker, Conn: conn.id, Reset: conn.up})
+	w.deliver(simapi.Input{Scheduler: conn.scheduler, Message: message})
 }
 
 // closeSide closes a connection at one side. The other side hears of it, unless it has closed too: a scheduler by an In
--- a/internal/testbed/environment/discovery_faults.go
+++ b/internal/testbed/environment/discovery_faults.go
@@ -15,7 +15,7 @@
 	if d.outages > 0 || index != d.address {
 		mode = simapi.AcceptNone
 	}
-	d.env.inputs = append(d.env.inputs, simapi.Input{Kind: simapi.DiscoveryAcceptModeChanged, Discovery: index, Mode: mode})
+	d.env.inputs = append(d.env.inputs, simapi.Input{Message: simapi.DiscoveryAcceptModeChanged{Discovery: index, Mode: mode}})
 }
 
 // startOutage: it answers nothing, and watches end.
--- a/internal/testbed/environment/discovery_test.go
+++ b/internal/testbed/environment/discovery_test.go
@@ -269,11 +269,11 @@
 			from := len(f.inputs)
 			f.do(func() { x.do(f) })
 			at := f.w.now
-			for len(f.arrived(from, simapi.ListReceived)) == 0 && f.w.now < at+15*time.Second {
+			for len(arrived[simapi.ListReceived](f, from)) == 0 && f.w.now < at+15*time.Second {
 				f.run(10 * time.Millisecond)
 			}
-			lists := f.arrived(from, simapi.ListReceived)
-			if len(lists) != 1 || len(lists[0].List.Endpoints) != 1 || lists[0].List.Endpoints[0].Lifecycle != x.state ||
+			lists := arrived[simapi.ListReceived](f, from)
+			if len(lists) != 1 || len(lists[0].message.List.Endpoints) != 1 || lists[0].message.List.Endpoints[0].Lifecycle != x.state ||
 				(f.w.now-at).Milliseconds() < int64(x.from) || (f.w.now-at).Milliseconds() > int64(x.to) {
 				t.Errorf("%s: after %v: %v", name, f.w.now-at, lists)
 			}
@@ -284,24 +284,38 @@
 // describeLists says in short what a scheduler heard of the list, in order: which worker's line it was is left out.
 func describeLists(inputs []simapi.Input) (description string) {
 	for _, in := range inputs {
-		switch {
-		case in.Kind == simapi.WatchEnded && description == "":
-			description = "end "
-		case in.Kind == simapi.WatchEnded && description == "end ": // and again and again
-			description += "failed "
-		case in.Kind == simapi.ListReceived && in.List.Reset:
-			description += "whole "
-		case in.Kind == simapi.ListReceived && len(in.List.Endpoints) == 1:
-			if h := in.List.Endpoints[0]; h.Lifecycle != "up" {
-				description += h.Lifecycle + " "
-			} else {
-				description += map[bool]string{true: "up1 ", false: "up2 "}[h.StartedAtMs == 0]
+		switch message := in.Message.(type) {
+		case simapi.WatchEnded:
+			switch description {
+			case "":
+				description = "end "
+			case "end ": // and again and again
+				description += "failed "
 			}
+		case simapi.ListReceived:
+			description += describeList(message.List)
 		}
 	}
 	return description
 }
 
+func describeList(list *requests.EndpointList) string {
+	switch {
+	case list.Reset:
+		return "whole "
+	case len(list.Endpoints) != 1:
+		return ""
+	}
+	h := list.Endpoints[0]
+	switch {
+	case h.Lifecycle != "up":
+		return h.Lifecycle + " "
+	case h.StartedAtMs == 0:
+		return "up1 "
+	}
+	return "up2 "
+}
+
 // What is done to discovery, and what a scheduler then hears of the list, in order.
 func TestListFaults(t *testing.T) {
 	var undo func()
@@ -381,8 +395,11 @@
 	f.run(8 * time.Second)
 	var got []string
 	for _, in := range f.inputs {
-		if in.Kind == simapi.ListReceived || in.Kind == simapi.WatchEnded {
-			got = append(got, map[simapi.InputKind]string{simapi.ListReceived: "list", simapi.WatchEnded: "failed"}[in.Kind])
+		switch in.Message.(type) {
+		case simapi.ListReceived:
+			got = append(got, "list")
+		case simapi.WatchEnded:
+			got = append(got, "failed")
 		}
 	}
 	if len(got) != 3 || got[0] != "list" || got[1] != "failed" || got[2] != "list" {
@@ -396,7 +413,7 @@
 	})
 	from := len(f.inputs)
 	f.run(3100 * time.Millisecond)
-	if lists := f.arrived(from, simapi.ListReceived); len(lists) != 1 || lists[0].Scheduler != 1 {
+	if lists := arrived[simapi.ListReceived](f, from); len(lists) != 1 || lists[0].scheduler != 1 {
 		t.Errorf("the list after one that nobody waits for any more: %v", lists)
 	}
 }
--- a/internal/testbed/environment/discovery_watches.go
+++ b/internal/testbed/environment/discovery_watches.go
@@ -16,8 +16,8 @@
 	address     int // of the address that was called
 	incarnation int // of the scheduler
 	after       int64
-	wasOpen     bool            // it was open once
-	queue       []*watchMessage // on the way to the scheduler, in order
+	wasOpen     bool           // it was open once
+	queue       []watchMessage // on the way to the scheduler, in order
 }
 
 type watchCallStage uint8
@@ -30,22 +30,34 @@
 	watchEnded
 )
 
-// watchMessage is something that discovery writes on a watch.
-type watchMessage struct {
-	kind     simapi.InputKind // Listed, Quiet, Unlisted
+// watchMessage is what discovery writes on a watch: a *listUpdate, a watchHeartbeat or a watchEnd.
+type watchMessage interface{ watchMessage() }
+
+// listUpdate is a line of changes of the list.
+type listUpdate struct {
 	revision int64
 	reset    bool
 	entries  []int
 	versions []version
 }
 
-// apply takes a scheduler's call for the watch. An earlier one of the same scheduler's is left by that.
-func (d *discovery) apply(o *simapi.Output) {
-	scheduler, v := d.env.schedulers[o.Scheduler], d.views[o.Scheduler]
+// watchHeartbeat is an empty line.
+type watchHeartbeat struct{}
+
+// watchEnd is the end of the watch, or of a call for it that failed.
+type watchEnd struct{}
+
+func (*listUpdate) watchMessage()    {}
+func (watchHeartbeat) watchMessage() {}
+func (watchEnd) watchMessage()       {}
+
+// watchRequested takes a scheduler's call for the watch. An earlier one of the same scheduler's is left by that.
+func (d *discovery) watchRequested(number int, revision int64) {
+	scheduler, v := d.env.schedulers[number], d.views[number]
 	if !scheduler.alive {
 		return
 	}
-	watchCall := &watchCall{view: v, address: scheduler.discovery, incarnation: scheduler.incarnation, after: int64(o.RetryAfter)}
+	watchCall := &watchCall{view: v, address: scheduler.discovery, incarnation: scheduler.incarnation, after: revision}
 	if v.call == nil {
 		v.askingSince = d.env.now
 	}
@@ -59,7 +71,7 @@
 	}
 	d.env.after(way+back, func() {
 		if watchCall.stage == watchSending {
-			d.env.deliver(simapi.Input{Kind: simapi.WatchConnected, Scheduler: scheduler.number})
+			d.env.deliver(simapi.Input{Scheduler: scheduler.number, Message: simapi.WatchConnected{}})
 		}
 		d.env.network.send(me, it, func() { d.callReceived(watchCall) })
 	})
@@ -144,13 +156,13 @@
 	if s := d.env.schedulers[c.view.scheduler]; c.stage != watchOpen || !s.alive || s.incarnation != c.incarnation {
 		return
 	}
-	d.send(c, &watchMessage{kind: simapi.WatchHeartbeat})
+	d.send(c, watchHeartbeat{})
 	d.env.after(heartbeatInterval, func() { d.sendHeartbeat(c) })
 }
 
 // changesSince is what has changed after a generation; the whole list, if it can't tell.
-func (d *discovery) changesSince(after int64) *watchMessage {
-	m := &watchMessage{kind: simapi.ListReceived, revision: d.revision, reset: after <= 0 || after > d.revision || after < d.revision-historyLength}
+func (d *discovery) changesSince(after int64) *listUpdate {
+	m := &listUpdate{revision: d.revision, reset: after <= 0 || after > d.revision || after < d.revision-historyLength}
 	for i := range d.entries {
 		e := &d.entries[i]
 		if m.reset && e.listed.state != endpointAbsent || !m.reset && e.revision > after {
@@ -161,7 +173,7 @@
 }
 
 // send writes something on a watch. All arrives in order, however long the network takes for each.
-func (d *discovery) send(c *watchCall, m *watchMessage) {
+func (d *discovery) send(c *watchCall, m watchMessage) {
 	c.queue = append(c.queue, m)
 	d.env.network.send(endpoint{discoveryEndpoint, 0}, endpoint{schedulerEndpoint, c.view.scheduler}, func() {
 		first := c.queue[0]
@@ -176,6 +188,6 @@
 		return
 	}
 	d.endCall(c)
-	d.send(c, &watchMessage{kind: simapi.WatchEnded})
+	d.send(c, watchEnd{})
 	c.view.touch()
 }
--- a/internal/testbed/environment/environment.go
+++ b/internal/testbed/environment/environment.go
@@ -100,23 +100,46 @@
 
 // deliver hands something to a scheduler. What reaches one that does not run is lost; what reaches a frozen one waits at
 // its sockets, which is the driver's to play.
-func (w *Environment) deliver(e simapi.Input) {
-	if w.schedulers[e.Scheduler].alive || e.Kind == simapi.Start || e.Kind == simapi.Kill {
-		w.inputs = append(w.inputs, e)
+func (w *Environment) deliver(input simapi.Input) {
+	if w.schedulers[input.Scheduler].alive || actsOnNoProcess(input.Message) {
+		w.inputs = append(w.inputs, input)
 	}
 }
 
+// actsOnNoProcess reports whether a message is for a scheduler that does not run, or runs no more.
+func actsOnNoProcess(message simapi.InputMessage) bool {
+	switch message.(type) {
+	case simapi.Start, simapi.Kill:
+		return true
+	}
+	return false
+}
+
 // apply takes something that a scheduler did. What a process did that is gone by now is not known to its successor.
-func (w *Environment) apply(o *simapi.Output) {
-	switch o.Kind {
+func (w *Environment) apply(output *simapi.Output) {
+	switch message := output.Message.(type) {
 	case simapi.Ready, simapi.Unready, simapi.Exited:
-		w.schedulers[o.Scheduler].apply(o)
-	case simapi.ResponseWritten, simapi.ClientConnClosed, simapi.ClientConnFailed:
-		w.clients.apply(o)
+		w.schedulers[output.Scheduler].apply(message)
+	case simapi.ResponseWritten:
+		w.clients.responseWritten(output.Scheduler, &message)
+	case simapi.ClientConnClosed:
+		w.clients.schedulerClosed(output.Scheduler, message.Conn)
+	case simapi.ClientConnFailed:
+		w.clients.connFailed(output.Scheduler, message.Conn)
 	case simapi.WatchRequested:
-		w.discovery.apply(o)
-	case simapi.WorkerDialed, simapi.AttemptWritten, simapi.HealthCheckWritten, simapi.WorkerConnClosed, simapi.CancellationReceived, simapi.CallbackAnswered:
-		w.workers[o.Worker].apply(o)
+		w.discovery.watchRequested(output.Scheduler, message.Revision)
+	case simapi.WorkerDialed:
+		w.workers[message.Worker].dialed(output.Scheduler, &message)
+	case simapi.AttemptWritten:
+		w.workers[message.Worker].attemptWritten(output.Scheduler, &message)
+	case simapi.HealthCheckWritten:
+		w.workers[message.Worker].healthCheckWritten(output.Scheduler, message.Conn)
+	case simapi.CancellationWritten:
+		w.workers[message.Worker].cancellationWritten(output.Scheduler, &message)
+	case simapi.WorkerConnClosed:
+		w.workers[message.Worker].schedulerClosed(output.Scheduler, message.Conn)
+	case simapi.CallbackAnswered:
+		w.workers[message.Worker].applyAck(output.Scheduler, &message)
 	}
 }
 
--- a/internal/testbed/environment/fault_schedulers.go
+++ b/internal/testbed/environment/fault_schedulers.go
@@ -35,11 +35,11 @@
 		scheduler.start()
 		x.end()
 	case "planner_drop":
-		scheduler.env.deliver(simapi.Input{Kind: simapi.BreakConnections, Scheduler: i})
+		scheduler.env.deliver(simapi.Input{Scheduler: i, Message: simapi.BreakConnections{}})
 		x.end()
 	case "planner_slow": // of two that hold at once the later one counts, until either ends
-		scheduler.env.deliver(simapi.Input{Kind: simapi.SlowDown, Scheduler: i, Delay: time.Duration(x.Size * float64(time.Millisecond))})
-		x.endLater(func() { scheduler.env.deliver(simapi.Input{Kind: simapi.SlowDown, Scheduler: i}) })
+		scheduler.env.deliver(simapi.Input{Scheduler: i, Message: simapi.SlowDown{Delay: time.Duration(x.Size * float64(time.Millisecond))}})
+		x.endLater(func() { scheduler.env.deliver(simapi.Input{Scheduler: i, Message: simapi.SlowDown{}}) })
 	default:
 		panic("environment: no such fault of a scheduler: " + x.Kind)
 	}
--- a/internal/testbed/environment/faults_test.go
+++ b/internal/testbed/environment/faults_test.go
@@ -114,7 +114,7 @@
 	}
 	d := f.w.discovery
 	return append(all, len(f.w.network.partitions), len(f.w.network.delays), len(f.w.network.idleDrops), d.outages, d.staleAnswers, d.noticeDelay, len(d.slowFactors),
-		slices.Clone(d.wrongEntries), slices.Clone(d.cutCounts), len(d.heldEvents), len(f.w.clients.retryFactors), len(f.arrived(0, 255)))
+		slices.Clone(d.wrongEntries), slices.Clone(d.cutCounts), len(d.heldEvents), len(f.w.clients.retryFactors))
 }
 
 // Targets are all that match what is named, less all but a share; the seed says which, and nothing else does.
--- a/internal/testbed/environment/harness_clients_test.go
+++ b/internal/testbed/environment/harness_clients_test.go
@@ -93,17 +93,36 @@
 }
 
 // reply has a request answered.
-func (t *stage) reply(in *simapi.Input, status int, after time.Duration) {
-	t.outputs = append(t.outputs, simapi.Output{
-		Kind: simapi.ResponseWritten, Scheduler: in.Scheduler, Conn: in.Conn, RequestID: in.Request.RequestID,
-		Status: status, RetryAfter: after, Result: "r",
-	})
+func (t *stage) reply(in *readRequest, status int, after time.Duration) {
+	t.outputs = append(t.outputs, simapi.Output{Scheduler: in.scheduler, Message: simapi.ResponseWritten{
+		Conn: in.Conn, RequestID: in.Request.RequestID, Status: status, RetryAfter: after, Result: "r",
+	}})
+}
+
+// closeConn has a scheduler close a client's connection.
+func (t *stage) closeConn(scheduler int, conn simapi.Conn) {
+	t.outputs = append(t.outputs, simapi.Output{Scheduler: scheduler, Message: simapi.ClientConnClosed{Conn: conn}})
+}
+
+// readRequest is a request that a scheduler has read.
+type readRequest struct {
+	scheduler int
+	simapi.RequestReceived
+}
+
+// requestOf is the request that an input brings; nil: it brings none.
+func requestOf(in *simapi.Input) *readRequest {
+	message, ok := in.Message.(simapi.RequestReceived)
+	if !ok {
+		return nil
+	}
+	return &readRequest{in.Scheduler, message}
 }
 
 // serve answers everything at once.
 func (t *stage) serve(in *simapi.Input) {
-	if in.Kind == simapi.RequestReceived {
-		t.reply(in, 200, 0)
+	if q := requestOf(in); q != nil {
+		t.reply(q, 200, 0)
 	}
 }
 
--- a/internal/testbed/environment/harness_faults_test.go
+++ b/internal/testbed/environment/harness_faults_test.go
@@ -89,30 +89,32 @@
 func (f *faultHarness) watchDiscovery(i int, now time.Duration) {
 	s := f.scheds[i]
 	s.lastReceived = now
-	f.outputs = append(f.outputs, simapi.Output{Kind: simapi.WatchRequested, Scheduler: i, RetryAfter: time.Duration(s.revision)})
+	f.outputs = append(f.outputs, simapi.Output{Scheduler: i, Message: simapi.WatchRequested{Revision: s.revision}})
 }
 
 func (f *faultHarness) take(in *simapi.Input) {
-	if in.Kind >= simapi.AcceptModeChanged {
+	switch in.Message.(type) {
+	case simapi.AcceptModeChanged, simapi.DiscoveryAcceptModeChanged:
 		return
 	}
 	s := f.scheds[in.Scheduler]
-	if !s.up && in.Kind != simapi.Start {
-		f.t.Fatalf("at %v, scheduler %d does not run and hears %d", f.w.now, in.Scheduler, in.Kind)
+	if _, starts := in.Message.(simapi.Start); !s.up && !starts {
+		f.t.Fatalf("at %v, scheduler %d does not run and hears %T", f.w.now, in.Scheduler, in.Message)
 	}
-	switch in.Kind {
+	switch message := in.Message.(type) {
 	case simapi.Start:
-		f.started(in)
+		f.started(in.Scheduler, &message.KnownEndpoints)
 	case simapi.Kill:
 		s.up = false
 	case simapi.Terminate:
 		if f.exit {
 			s.up = false
-			f.outputs = append(f.outputs, simapi.Output{Kind: simapi.Exited, Scheduler: in.Scheduler})
+			f.outputs = append(f.outputs, simapi.Output{Scheduler: in.Scheduler, Message: simapi.Exited{}})
 		}
-	case simapi.Freeze, simapi.Resume:
-		s.frozen = in.Kind == simapi.Freeze
-		s.lastReceived = f.w.now
+	case simapi.Freeze:
+		s.frozen, s.lastReceived = true, f.w.now
+	case simapi.Resume:
+		s.frozen, s.lastReceived = false, f.w.now
 	case simapi.Reload:
 		s.revision = 0
 		f.watchDiscovery(in.Scheduler, f.w.now)
@@ -122,20 +124,20 @@
 		s.lastReceived = f.w.now
 	case simapi.ListReceived:
 		s.lastReceived = f.w.now
-		f.applyList(s, in.List)
+		f.applyList(s, message.List)
 	}
 }
 
 // started has a scheduler start with the list that it is given.
-func (f *faultHarness) started(in *simapi.Input) {
-	s, known := f.scheds[in.Scheduler], in.Start.KnownEndpoints
+func (f *faultHarness) started(number int, known *requests.EndpointList) {
+	s := f.scheds[number]
 	s.up, s.frozen, s.list, s.revision = true, false, map[string]requests.Endpoint{}, known.Revision
 	for _, h := range known.Endpoints {
 		s.list[h.ID] = h
 	}
-	f.outputs = append(f.outputs, simapi.Output{Kind: simapi.Ready, Scheduler: in.Scheduler})
+	f.outputs = append(f.outputs, simapi.Output{Scheduler: number, Message: simapi.Ready{}})
 	if !s.silent {
-		f.watchDiscovery(in.Scheduler, f.w.now)
+		f.watchDiscovery(number, f.w.now)
 	}
 }
 
@@ -166,11 +168,17 @@
 	return list
 }
 
-// arrived are the Ins of a kind since an index.
-func (f *faultHarness) arrived(from int, kind simapi.InputKind) (list []simapi.Input) {
+// arrival is a message that reached a scheduler.
+type arrival[T simapi.InputMessage] struct {
+	scheduler int
+	message   T
+}
+
+// arrived are the messages of a type that reached schedulers since an index.
+func arrived[T simapi.InputMessage](f *faultHarness, from int) (list []arrival[T]) {
 	for _, in := range f.inputs[from:] {
-		if in.Kind == kind {
-			list = append(list, in)
+		if message, ok := in.Message.(T); ok {
+			list = append(list, arrival[T]{in.Scheduler, message})
 		}
 	}
 	return list
--- a/internal/testbed/environment/harness_workers_test.go
+++ b/internal/testbed/environment/harness_workers_test.go
@@ -20,7 +20,7 @@
 	outputs  []simapi.Output // for the next step
 	life     []lifeEvent
 	notified bool
-	ack      func(in *simapi.Input) (status int, ok bool) // a scheduler's answer to a callback
+	ack      func(callback *simapi.CallbackReceived) (status int, ok bool) // a scheduler's answer to a callback
 	see      func(s *trace.Event)
 	conns    uint64
 }
@@ -49,7 +49,7 @@
 
 func newWorkerHarness(tb testing.TB, spec *scenario.Scenario, seed uint64) *workerHarness {
 	tb.Helper()
-	r := &workerHarness{t: tb, tries: map[string]*request{}, notified: true, ack: func(*simapi.Input) (int, bool) { return 204, true }}
+	r := &workerHarness{t: tb, tries: map[string]*request{}, notified: true, ack: func(*simapi.CallbackReceived) (int, bool) { return 204, true }}
 	r.w = &Environment{Spec: spec, seed: seed, conns: map[simapi.Conn]*conn{}, observer: func(s *trace.Event) {
 		r.events = append(r.events, *s)
 		if r.see != nil {
@@ -88,14 +88,15 @@
 	outs, from := r.outputs, len(r.inputs)
 	r.outputs = nil
 	r.inputs = r.w.Step(at, outs, r.inputs)
-	for i := range r.inputs[from:] {
-		if in := &r.inputs[from+i]; in.Kind == simapi.CallbackReceived {
-			if status, ok := r.ack(in); ok {
-				r.outputs = append(r.outputs, simapi.Output{
-					Kind: simapi.CallbackAnswered, Scheduler: in.Scheduler, Worker: in.Worker, CallbackID: in.CallbackID,
-					Status: status,
-				})
-			}
+	for _, in := range r.inputs[from:] {
+		callback, ok := in.Message.(simapi.CallbackReceived)
+		if !ok {
+			continue
+		}
+		if status, ok := r.ack(&callback); ok {
+			r.outputs = append(r.outputs, simapi.Output{Scheduler: in.Scheduler, Message: simapi.CallbackAnswered{
+				Worker: callback.Worker, CallbackID: callback.CallbackID, Status: status,
+			}})
 		}
 	}
 }
@@ -106,29 +107,50 @@
 	r.step(r.w.now)
 }
 
-func (r *workerHarness) dial(sched, node int) simapi.Conn {
+func (r *workerHarness) dial(sched, node int) simapi.Conn { return r.dialMachine(sched, node, 0) }
+
+// dialMachine has a scheduler open a connection to one of a worker's machines.
+func (r *workerHarness) dialMachine(sched, node, machine int) simapi.Conn {
 	r.conns++
 	c := simapi.WorkerConn(sched, r.conns)
-	r.outputs = append(r.outputs, simapi.Output{Kind: simapi.WorkerDialed, Scheduler: sched, Worker: node, Conn: c})
+	r.outputs = append(r.outputs, simapi.Output{Scheduler: sched, Message: simapi.WorkerDialed{Worker: node, Machine: machine, Conn: c}})
 	return c
 }
 
-// request makes up a client's request of so much work.
+// addRequest makes up a client's request of so much work.
 func (r *workerHarness) addRequest(call string, class int, work, slots float64) {
 	r.tries[call] = &request{id: call, class: class, work: work, slots: slots, key: "key-" + call}
 }
 
-// apply has a scheduler do something over a connection.
-func (r *workerHarness) apply(c simapi.Conn, kind simapi.OutputKind, call string) {
-	n := r.w.conns[c]
-	if n == nil {
-		return
+// act has a scheduler do something over a connection to a worker, if that is there.
+func (r *workerHarness) act(c simapi.Conn, message func(worker int) simapi.OutputMessage) {
+	if n := r.w.conns[c]; n != nil {
+		r.outputs = append(r.outputs, simapi.Output{Scheduler: n.scheduler, Message: message(n.worker)})
 	}
-	o := simapi.Output{Kind: kind, Scheduler: n.scheduler, Worker: n.worker, Conn: c, RequestID: call, Budget: 5 * time.Second}
+}
+
+func (r *workerHarness) writeAttempt(c simapi.Conn, call string) {
+	key := ""
 	if t := r.tries[call]; t != nil {
-		o.IdempotencyKey = t.key
+		key = t.key
 	}
-	r.outputs = append(r.outputs, o)
+	r.act(c, func(worker int) simapi.OutputMessage {
+		return simapi.AttemptWritten{Worker: worker, Conn: c, RequestID: call, IdempotencyKey: key, Budget: 5 * time.Second}
+	})
+}
+
+func (r *workerHarness) writeHealthCheck(c simapi.Conn) {
+	r.act(c, func(worker int) simapi.OutputMessage { return simapi.HealthCheckWritten{Worker: worker, Conn: c} })
+}
+
+func (r *workerHarness) writeCancellation(c simapi.Conn, call string) {
+	r.act(c, func(worker int) simapi.OutputMessage {
+		return simapi.CancellationWritten{Worker: worker, Conn: c, RequestID: call}
+	})
+}
+
+func (r *workerHarness) closeConn(c simapi.Conn) {
+	r.act(c, func(worker int) simapi.OutputMessage { return simapi.WorkerConnClosed{Worker: worker, Conn: c} })
 }
 
 // sendRequest sends a request over a connection of its own, which stays.
@@ -138,7 +160,7 @@
 	}
 	c := r.dial(0, node)
 	r.step(r.w.now)
-	r.apply(c, simapi.AttemptWritten, call)
+	r.writeAttempt(c, call)
 	r.step(r.w.now)
 	return c
 }
@@ -167,8 +189,8 @@
 	r.t.Helper()
 	var got []string
 	for _, in := range r.inputs {
-		if in.Kind == simapi.CallbackReceived && in.Callback.CallID == call {
-			got = append(got, in.Callback.State)
+		if m, ok := in.Message.(simapi.CallbackReceived); ok && m.Callback.CallID == call {
+			got = append(got, m.Callback.State)
 		}
 	}
 	if !slices.Equal(got, want) {
@@ -176,16 +198,41 @@
 	}
 }
 
-// last is what last came over a connection, and must be of a kind.
-func (r *workerHarness) last(c simapi.Conn, kind simapi.InputKind) (in simapi.Input) {
+// connOf is the connection to a worker that a message came over; 0: none.
+func connOf(message simapi.InputMessage) simapi.Conn {
+	switch m := message.(type) {
+	case simapi.WorkerConnected:
+		return m.Conn
+	case simapi.WorkerDisconnected:
+		return m.Conn
+	case simapi.ResponseReceived:
+		return m.Conn
+	}
+	return 0
+}
+
+// last is what last came over a connection, and must be of a type.
+func last[T simapi.InputMessage](r *workerHarness, c simapi.Conn) (message T) {
 	r.t.Helper()
-	for _, x := range r.inputs {
-		if x.Conn == c {
-			in = x
+	var found simapi.InputMessage
+	for _, in := range r.inputs {
+		if connOf(in.Message) == c {
+			found = in.Message
 		}
 	}
-	if in.Kind != kind {
-		r.t.Fatalf("connection %x brought %+v, want kind %d", c, in, kind)
+	message, ok := found.(T)
+	if !ok {
+		r.t.Fatalf("connection %x brought %T %+v, want %T", c, found, found, message)
+	}
+	return message
+}
+
+// nothing checks that nothing came over a connection.
+func (r *workerHarness) nothing(c simapi.Conn) {
+	r.t.Helper()
+	for _, in := range r.inputs {
+		if connOf(in.Message) == c {
+			r.t.Fatalf("connection %x brought %T %+v", c, in.Message, in.Message)
+		}
 	}
-	return in
 }
--- a/internal/testbed/environment/load_balancer.go
+++ b/internal/testbed/environment/load_balancer.go
@@ -245,7 +245,7 @@
 	if l.request != nil && l.request.id == a.RequestID {
 		l.request.read = true
 	}
-	l.pool.clients.env.deliver(simapi.Input{Kind: simapi.RequestReceived, Scheduler: l.conn.scheduler, Conn: l.conn.id, Request: a})
+	l.pool.clients.env.deliver(simapi.Input{Scheduler: l.conn.scheduler, Message: simapi.RequestReceived{Conn: l.conn.id, Request: a}})
 }
 
 // sendResponse brings an answer to the client.
--- a/internal/testbed/environment/misbehaving.go
+++ b/internal/testbed/environment/misbehaving.go
@@ -67,12 +67,12 @@
 	o := &misbehavingClient{clients: m.clients, kind: m.spec.Kind}
 	conn := environment.openConn(&conn{id: m.clients.nextConn(), scheduler: sched, up: true, far: o})
 	environment.record(trace.Event{Kind: trace.MisbehavingClientConnected, Scheduler: sched, Conn: uint64(conn.id), Text: o.kind})
-	do := &simapi.Misbehavior{Kind: o.kind, Number: m.count - 1}
+	message := simapi.ClientMisbehaves{Conn: conn.id, Kind: o.kind, Number: m.count - 1}
 	switch o.kind {
 	case "stolen_id", "flood", "insist":
-		do.RequestID = m.clients.recentOpenRequest()
+		message.RequestID = m.clients.recentOpenRequest()
 	}
-	environment.deliver(simapi.Input{Kind: simapi.ClientMisbehaves, Scheduler: sched, Conn: conn.id, Misbehavior: do})
+	environment.deliver(simapi.Input{Scheduler: sched, Message: message})
 	environment.after(misbehavingTimeout, func() { environment.closeSide(conn, farSide) })
 }
 
--- a/internal/testbed/environment/network_test.go
+++ b/internal/testbed/environment/network_test.go
@@ -137,12 +137,12 @@
 	r := newWorkerHarness(t, spec, 1)
 	n, a, b := r.w.workers[0], r.sendRequest(0, "a", safeClass, 0.1, 1), r.dial(0, 0)
 	r.pass(900 * ms)
-	r.apply(a, simapi.AttemptWritten, "a")
+	r.writeAttempt(a, "a")
 	r.pass(300 * ms)
-	r.last(a, simapi.ResponseReceived)
-	r.apply(b, simapi.AttemptWritten, "a")
+	last[simapi.ResponseReceived](r, a)
+	r.writeAttempt(b, "a")
 	r.pass(ms)
-	if in := r.last(b, simapi.WorkerDisconnected); !in.Reset || n.attemptCount != 2 || len(n.conns) != 2 {
+	if in := last[simapi.WorkerDisconnected](r, b); !in.Reset || n.attemptCount != 2 || len(n.conns) != 2 {
 		t.Fatalf("too late it was answered by %+v, and %d came", in, n.attemptCount)
 	}
 	// The worker still has it; what it says there finds nobody.
--- a/internal/testbed/environment/scheduler_views.go
+++ b/internal/testbed/environment/scheduler_views.go
@@ -87,7 +87,7 @@
 	if !v.discovery.env.schedulers[v.scheduler].alive {
 		return
 	}
-	m := &watchMessage{kind: simapi.ListReceived, revision: v.discovery.revision, entries: changed}
+	m := &listUpdate{revision: v.discovery.revision, entries: changed}
 	for _, i := range changed {
 		as := v.discovery.entries[i].listed
 		m.versions = append(m.versions, as)
@@ -100,36 +100,45 @@
 }
 
 // messageArrived is told of what has come over a watch to the scheduler's socket.
-func (v *schedulerView) messageArrived(call *watchCall, message *watchMessage) {
+func (v *schedulerView) messageArrived(call *watchCall, message watchMessage) {
 	s := v.discovery.env.schedulers[v.scheduler]
 	if v.call != call || !s.alive || s.incarnation != call.incarnation {
 		return
 	}
-	input := simapi.Input{Kind: message.kind, Scheduler: v.scheduler}
-	switch message.kind {
-	case simapi.ListReceived:
-		input.List = &requests.EndpointList{Revision: message.revision, Reset: message.reset, Endpoints: make([]requests.Endpoint, len(message.entries))}
-		for i, e := range message.entries {
-			input.List.Endpoints[i] = v.discovery.entries[e].endpointAt(message.versions[i])
-		}
+	var input simapi.InputMessage
+	switch message := message.(type) {
+	case *listUpdate:
+		input = simapi.ListReceived{List: v.updateOf(message)}
 		v.lastCallFailed = false
 		v.applyList(message)
-	case simapi.WatchEnded:
+	case watchHeartbeat:
+		input = simapi.WatchHeartbeat{}
+	case watchEnd:
+		input = simapi.WatchEnded{}
 		v.lastCallFailed, v.call = !call.wasOpen, nil
 		v.touch()
 	}
-	v.discovery.env.deliver(input)
+	v.discovery.env.deliver(simapi.Input{Scheduler: v.scheduler, Message: input})
+}
+
+// updateOf is a line of changes as it stands on the wire.
+func (v *schedulerView) updateOf(update *listUpdate) *requests.EndpointList {
+	list := &requests.EndpointList{Revision: update.revision, Reset: update.reset, Endpoints: make([]requests.Endpoint, len(update.entries))}
+	for i, e := range update.entries {
+		list.Endpoints[i] = v.discovery.entries[e].endpointAt(update.versions[i])
+	}
+	return list
 }
 
 // applyList notes what a list says.
-func (v *schedulerView) applyList(watchMessage *watchMessage) {
+func (v *schedulerView) applyList(update *listUpdate) {
 	for len(v.versions) < len(v.discovery.entries) {
 		v.versions = append(v.versions, version{})
 	}
-	if watchMessage.reset {
+	if update.reset {
 		next := 0
 		for i, previous := range v.versions {
-			if next < len(watchMessage.entries) && watchMessage.entries[next] == i {
+			if next < len(update.entries) && update.entries[next] == i {
 				next++
 				continue
 			}
@@ -144,14 +153,14 @@
 			v.learn(i, closed)
 		}
 	}
-	for i, e := range watchMessage.entries {
-		v.versions[e] = watchMessage.versions[i]
-		v.learn(e, watchMessage.versions[i])
+	for i, e := range update.entries {
+		v.versions[e] = update.versions[i]
+		v.learn(e, update.versions[i])
 	}
-	v.revision = watchMessage.revision
+	v.revision = update.revision
 	remaining := v.pending[:0]
 	for _, c := range v.pending {
-		if c.revision > watchMessage.revision {
+		if c.revision > update.revision {
 			remaining = append(remaining, c)
 		}
 	}
--- a/internal/testbed/environment/schedulers.go
+++ b/internal/testbed/environment/schedulers.go
@@ -85,7 +85,7 @@
 	s.alive, s.ready, s.frozen, s.draining, s.terminated, s.reloadPending = true, false, false, false, false, false
 	s.startedAt, s.thawsAt, s.discovery = s.env.now, 0, s.env.discovery.address
 	s.record(trace.SchedulerStarted, 0)
-	s.env.deliver(simapi.Input{Kind: simapi.Start, Scheduler: s.number, Start: &simapi.StartOptions{
+	s.env.deliver(simapi.Input{Scheduler: s.number, Message: simapi.Start{
 		Name:           s.name(),
 		Seed:           s.env.rng("boot", s.number<<20|s.incarnation).Uint64(), // whatever else was drawn
 		KnownEndpoints: v.endpointList(), Discovery: s.discovery,
@@ -99,11 +99,11 @@
 }
 
 // apply takes what is seen of its process from outside.
-func (s *scheduler) apply(output *simapi.Output) {
+func (s *scheduler) apply(message simapi.OutputMessage) {
 	if !s.alive {
 		return
 	}
-	switch output.Kind {
+	switch message := message.(type) {
 	case simapi.Ready:
 		s.ready = true
 		s.record(trace.SchedulerReady, 0)
@@ -113,7 +113,7 @@
 		s.ready = false
 		s.env.balancer.schedulerChanged(s)
 	case simapi.Exited:
-		s.record(trace.SchedulerExited, output.Status)
+		s.record(trace.SchedulerExited, message.Status)
 		back := s.restartAfter
 		if !s.terminated {
 			back = crashRestartDelay
@@ -151,7 +151,7 @@
 		return
 	}
 	s.record(trace.SchedulerKilled, 0)
-	s.env.deliver(simapi.Input{Kind: simapi.Kill, Scheduler: s.number})
+	s.env.deliver(simapi.Input{Scheduler: s.number, Message: simapi.Kill{}})
 	s.processEnded(back)
 }
 
@@ -163,7 +163,7 @@
 	}
 	s.terminated, s.restartAfter, s.reloadPending = true, back, false
 	s.record(trace.SchedulerTerminated, 0)
-	s.env.deliver(simapi.Input{Kind: simapi.Terminate, Scheduler: s.number})
+	s.env.deliver(simapi.Input{Scheduler: s.number, Message: simapi.Terminate{}})
 	s.afterInProcess(balancerMinDelay+time.Duration(s.rng.Float64()*float64(balancerDelaySpread)), func() {
 		s.draining = true
 		s.env.balancer.drop(s)
@@ -185,7 +185,7 @@
 	if !s.frozen {
 		s.frozen = true
 		s.record(trace.SchedulerFrozen, 0)
-		s.env.deliver(simapi.Input{Kind: simapi.Freeze, Scheduler: s.number})
+		s.env.deliver(simapi.Input{Scheduler: s.number, Message: simapi.Freeze{}})
 		s.env.balancer.schedulerChanged(s)
 	}
 	s.afterInProcess(duration, func() {
@@ -194,7 +194,7 @@
 		}
 		s.frozen = false
 		s.record(trace.SchedulerResumed, 0)
-		s.env.deliver(simapi.Input{Kind: simapi.Resume, Scheduler: s.number})
+		s.env.deliver(simapi.Input{Scheduler: s.number, Message: simapi.Resume{}})
 		s.env.balancer.schedulerChanged(s)
 	})
 }
@@ -216,7 +216,7 @@
 	}
 	s.reloadPending, s.discovery = false, s.env.discovery.address
 	s.record(trace.SchedulerReloaded, 0)
-	s.env.deliver(simapi.Input{Kind: simapi.Reload, Scheduler: s.number, Discovery: s.discovery})
+	s.env.deliver(simapi.Input{Scheduler: s.number, Message: simapi.Reload{Discovery: s.discovery}})
 	s.env.discovery.views[s.number].reloaded()
 }
 
@@ -224,6 +224,6 @@
 func (s *scheduler) replace() {
 	if s.alive && !s.terminated && s.ready {
 		s.record(trace.SchedulerReplaced, 0)
-		s.env.deliver(simapi.Input{Kind: simapi.Replace, Scheduler: s.number})
+		s.env.deliver(simapi.Input{Scheduler: s.number, Message: simapi.Replace{}})
 	}
 }
--- a/internal/testbed/environment/schedulers_test.go
+++ b/internal/testbed/environment/schedulers_test.go
@@ -36,7 +36,7 @@
 			append([]step{{trace.SchedulerTerminated, 0}, {trace.SchedulerExited, 0}}, again...),
 		},
 		"crash": {func(f *faultHarness) {
-			f.outputs = append(f.outputs, simapi.Output{Kind: simapi.Exited, Status: 2})
+			f.outputs = append(f.outputs, simapi.Output{Message: simapi.Exited{Status: 2}})
 			f.scheds[0].up = false
 		}, append([]step{{trace.SchedulerExited, 0}}, again...)},
 		"freeze twice": {
@@ -95,13 +95,13 @@
 		f.w.schedulers[0].reload()
 	})
 	f.run(5 * time.Second)
-	boots := f.arrived(0, simapi.Start)
-	if len(boots) != 3 || boots[0].Start.Name != "s1" || boots[2].Scheduler != 1 || boots[2].Start.Name != "s2" ||
-		boots[0].Start.Seed == boots[1].Start.Seed || boots[1].Start.Seed == boots[2].Start.Seed || boots[2].Start.Discovery != 1 {
+	boots := arrived[simapi.Start](f, 0)
+	if len(boots) != 3 || boots[0].message.Name != "s1" || boots[2].scheduler != 1 || boots[2].message.Name != "s2" ||
+		boots[0].message.Seed == boots[1].message.Seed || boots[1].message.Seed == boots[2].message.Seed || boots[2].message.Discovery != 1 {
 		t.Fatalf("boots: %v", boots)
 	}
 	states := map[string]string{}
-	for _, h := range boots[2].Start.KnownEndpoints.Endpoints {
+	for _, h := range boots[2].message.KnownEndpoints.Endpoints {
 		states[h.ID] = h.Lifecycle
 	}
 	if len(states) != 29 || states["w-3"] != "draining" || states["w-7"] != "" || states["w-4"] != "up" {
@@ -117,7 +117,7 @@
 	for seed := range uint64(8) {
 		f := newFaultHarness(t, quiet(4, 2), seed)
 		f.run(5 * time.Second)
-		f.outputs = append(f.outputs, simapi.Output{Kind: simapi.Unready})
+		f.outputs = append(f.outputs, simapi.Output{Message: simapi.Unready{}})
 		f.do(func() { f.w.schedulers[0].terminate(0) })
 		at := f.w.now
 		for f.w.balancer.admitted[0] {
@@ -134,14 +134,16 @@
 	f := newFaultHarness(t, quiet(4, 1), 1)
 	f.run(5 * time.Second)
 	link := simapi.WorkerConn(0, 1)
-	f.outputs = append(f.outputs, simapi.Output{Kind: simapi.WorkerDialed, Conn: link, Worker: 1})
+	f.outputs = append(f.outputs, simapi.Output{Message: simapi.WorkerDialed{Conn: link, Worker: 1}})
 	f.run(time.Second)
 	if c := f.w.conns[link]; c == nil || !c.up {
 		t.Fatal("no connection came up")
 	}
 	f.do(func() { f.w.schedulers[0].kill(time.Second) })
 	f.run(500 * time.Millisecond)
-	f.outputs = append(f.outputs, simapi.Output{Kind: simapi.Ready}, simapi.Output{Kind: simapi.Exited}, simapi.Output{Kind: simapi.WatchRequested})
+	for _, message := range []simapi.OutputMessage{simapi.Ready{}, simapi.Exited{}, simapi.WatchRequested{}} {
+		f.outputs = append(f.outputs, simapi.Output{Message: message})
+	}
 	f.run(400 * time.Millisecond)
 	if s := f.w.schedulers[0]; f.w.conns[link] != nil || s.ready || s.alive {
 		t.Errorf("connection %v, ready %v, alive %v", f.w.conns[link], s.ready, s.alive)
--- a/internal/testbed/environment/worker_callbacks.go
+++ b/internal/testbed/environment/worker_callbacks.go
@@ -129,15 +129,15 @@
 	}
 	if arrive, ok := n.env.network.arrival(n.endpoint(), endpoint{schedulerEndpoint, t.scheduler}); ok {
 		n.env.schedule(arrive+late, func() {
-			n.env.deliver(simapi.Input{Kind: simapi.CallbackReceived, Scheduler: t.scheduler, Worker: n.number, CallbackID: t.id, Callback: &t.body})
+			n.env.deliver(simapi.Input{Scheduler: t.scheduler, Message: simapi.CallbackReceived{Worker: n.number, CallbackID: t.id, Callback: &t.body}})
 		})
 	}
 }
 
 // applyAck is a scheduler's answer to a callback; status 0: the call has failed.
-func (n *worker) applyAck(o *simapi.Output) {
-	id, status := o.CallbackID, o.Status
-	if arrive, ok := n.env.network.arrival(endpoint{schedulerEndpoint, o.Scheduler}, n.endpoint()); ok {
+func (n *worker) applyAck(scheduler int, message *simapi.CallbackAnswered) {
+	id, status := message.CallbackID, message.Status
+	if arrive, ok := n.env.network.arrival(endpoint{schedulerEndpoint, scheduler}, n.endpoint()); ok {
 		n.env.schedule(arrive, func() { n.callbackAnswered(id, status) })
 	}
 }
--- a/internal/testbed/environment/worker_conns.go
+++ b/internal/testbed/environment/worker_conns.go
@@ -27,11 +27,12 @@
 const slowReadFor = time.Second
 
 // dialed is a scheduler's attempt to connect.
-func (n *worker) dialed(o *simapi.Output) {
+func (n *worker) dialed(scheduler int, message *simapi.WorkerDialed) {
+	n.env.record(trace.Event{Kind: trace.WorkerDialed, Worker: n.number, Scheduler: scheduler, Conn: uint64(message.Conn)})
 	l := &workerConn{worker: n, machine: n.machine, index: -1, fresh: true}
-	l.conn = n.env.openConn(&conn{id: o.Conn, scheduler: o.Scheduler, worker: n.number, workerIncarnation: n.incarnation, far: n, state: l})
-	way, back, ok := n.env.network.connectDelays(endpoint{schedulerEndpoint, o.Scheduler}, n.endpoint())
-	if !ok || o.Machine != n.machine {
+	l.conn = n.env.openConn(&conn{id: message.Conn, scheduler: scheduler, worker: n.number, workerIncarnation: n.incarnation, far: n, state: l})
+	way, back, ok := n.env.network.connectDelays(endpoint{schedulerEndpoint, scheduler}, n.endpoint())
+	if !ok || message.Machine != n.machine {
 		l.machine = -1 // to nowhere
 		return
 	}
@@ -65,7 +66,9 @@
 	n.env.schedule(conn.arrivesBy[schedulerSide], func() {
 		if !conn.closed[schedulerSide] {
 			conn.up = true
-			n.env.deliver(simapi.Input{Kind: simapi.WorkerConnected, Scheduler: conn.scheduler, Worker: n.number, Conn: conn.id, Bytes: max(0, workerConn.resetBytes)})
+			n.env.deliver(simapi.Input{Scheduler: conn.scheduler, Message: simapi.WorkerConnected{
+				Worker: n.number, Conn: conn.id, ResetAfter: max(0, workerConn.resetBytes),
+			}})
 		}
 	})
 	if n.kind.ConnIdleTimeout > 0 {
@@ -113,42 +116,78 @@
 	}
 }
 
-// requestArrived is the arrival of a request. Its process deals with it once its last byte has been read.
-func (n *worker) requestArrived(workerConn *workerConn, kind simapi.OutputKind, attempt *attempt) {
-	if workerConn.abandoned || workerConn.index < 0 {
-		n.ghostReceived(workerConn)
+// openConn is a scheduler's connection to the worker; nil: it is over.
+func (n *worker) openConn(scheduler int, id simapi.Conn) *workerConn {
+	conn := n.env.conns[id]
+	if conn == nil || conn.far != farEnd(n) || conn.scheduler != scheduler {
+		return nil
+	}
+	return conn.state.(*workerConn)
+}
+
+// attemptWritten takes an attempt that a scheduler has written. It arrives later.
+func (n *worker) attemptWritten(scheduler int, message *simapi.AttemptWritten) {
+	conn := n.openConn(scheduler, message.Conn)
+	if conn == nil {
+		return
+	}
+	a := &attempt{
+		worker: n, requestID: message.RequestID, key: message.IdempotencyKey, scheduler: scheduler, budget: message.Budget,
+		firstByteAt: message.FirstByteAt, knewStart: !n.warming.warm && n.shared.knowsStart(scheduler, n),
+	}
+	n.env.record(trace.Event{Kind: trace.AttemptSent, RequestID: a.requestID, Worker: n.number, Scheduler: scheduler})
+	conn.unreadAttempt = a
+	n.env.toFarEnd(conn.conn, func() { n.requestArrived(conn, func() { n.attemptReceived(conn, a) }) })
+}
+
+// healthCheckWritten takes a health check that a scheduler has written. It arrives later.
+func (n *worker) healthCheckWritten(scheduler int, id simapi.Conn) {
+	if conn := n.openConn(scheduler, id); conn != nil {
+		n.env.toFarEnd(conn.conn, func() { n.requestArrived(conn, func() { n.healthChecked(conn) }) })
+	}
+}
+
+// cancellationWritten takes a cancellation that a scheduler has written. It arrives later.
+func (n *worker) cancellationWritten(scheduler int, message *simapi.CancellationWritten) {
+	if conn := n.openConn(scheduler, message.Conn); conn != nil {
+		requestID := message.RequestID
+		n.env.toFarEnd(conn.conn, func() { n.requestArrived(conn, func() { n.cancelReceived(conn, requestID) }) })
+	}
+}
+
+// schedulerClosed takes a scheduler's close of a connection.
+func (n *worker) schedulerClosed(scheduler int, id simapi.Conn) {
+	if conn := n.openConn(scheduler, id); conn != nil {
+		conn.schedulerClosed()
+		n.env.closeSide(conn.conn, schedulerSide)
+	}
+}
+
+// requestArrived is the arrival of a request. Its process handles it once its last byte has been read.
+func (n *worker) requestArrived(conn *workerConn, handle func()) {
+	if conn.abandoned || conn.index < 0 {
+		n.ghostReceived(conn)
 		return
 	}
 	wait := time.Duration(0)
-	if workerConn.fresh {
-		workerConn.fresh, wait = false, n.kind.Handshake.Std()
+	if conn.fresh {
+		conn.fresh, wait = false, n.kind.Handshake.Std()
 	}
 	if n.slowReads {
 		wait += slowReadFor
 	}
 	switch {
 	case wait > 0:
-		workerConn.reading++
+		conn.reading++
 		n.afterInProcess(wait, func() {
-			if workerConn.reading--; !workerConn.abandoned {
-				n.handleRequest(workerConn, kind, attempt)
+			if conn.reading--; !conn.abandoned {
+				handle()
 			}
 		})
 	case n.isPaused():
-		n.inbox = append(n.inbox, func() { n.handleRequest(workerConn, kind, attempt) })
+		n.inbox = append(n.inbox, handle)
 	default:
-		n.handleRequest(workerConn, kind, attempt)
-	}
-}
-
-func (n *worker) handleRequest(l *workerConn, kind simapi.OutputKind, a *attempt) {
-	switch kind {
-	case simapi.AttemptWritten:
-		n.attemptReceived(l, a)
-	case simapi.HealthCheckWritten:
-		n.healthChecked(l)
-	case simapi.CancellationReceived:
-		n.cancelReceived(l, a.requestID)
+		handle()
 	}
 }
 
@@ -205,10 +244,9 @@
 	c, bytes := workerConn.conn, max(0, -workerConn.resetBytes)
 	n.env.toSched(c, func() {
 		workerConn.pendingAccept = nil
-		n.env.deliver(simapi.Input{
-			Kind: simapi.ResponseReceived, Scheduler: c.scheduler, Worker: n.number, Conn: c.id, Status: status, Rejected: rejected,
-			Bytes: bytes,
-		})
+		n.env.deliver(simapi.Input{Scheduler: c.scheduler, Message: simapi.ResponseReceived{
+			Worker: n.number, Conn: c.id, Status: status, Rejected: rejected, Bytes: bytes,
+		}})
 	})
 	if bytes > 0 {
 		n.closeConn(workerConn)
--- a/internal/testbed/environment/worker_lifecycle.go
+++ b/internal/testbed/environment/worker_lifecycle.go
@@ -193,7 +193,7 @@
 func (n *worker) reportAcceptMode() {
 	if m := n.acceptMode(); m != n.reportedMode {
 		n.reportedMode = m
-		n.env.inputs = append(n.env.inputs, simapi.Input{Kind: simapi.AcceptModeChanged, Worker: n.number, Machine: n.machine, Mode: m})
+		n.env.inputs = append(n.env.inputs, simapi.Input{Message: simapi.AcceptModeChanged{Worker: n.number, Machine: n.machine, Mode: m}})
 	}
 }
 
--- a/internal/testbed/environment/workers.go
+++ b/internal/testbed/environment/workers.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"valvecove/internal/testbed/scenario"
-	"valvecove/internal/testbed/simapi"
 	"valvecove/internal/testbed/trace"
 )
 
@@ -221,36 +220,6 @@
 	return "127." + strconv.Itoa(64+i/(254*254)) + "." + strconv.Itoa(1+i/254%254) + "." + strconv.Itoa(1+i%254) + ":9000"
 }
 
-// apply takes what a scheduler has done to the worker. It arrives later.
-func (n *worker) apply(output *simapi.Output) {
-	if output.Kind == simapi.WorkerDialed {
-		n.env.record(trace.Event{Kind: trace.WorkerDialed, Worker: n.number, Scheduler: output.Scheduler, Conn: uint64(output.Conn)})
-		n.dialed(output)
-		return
-	}
-	if output.Kind == simapi.CallbackAnswered {
-		n.applyAck(output)
-		return
-	}
-	conn := n.env.conns[output.Conn]
-	if conn == nil || conn.far != farEnd(n) || conn.scheduler != output.Scheduler {
-		return // it is over
-	}
-	workerConn, kind := conn.state.(*workerConn), output.Kind
-	if kind == simapi.WorkerConnClosed {
-		workerConn.schedulerClosed()
-		n.env.closeSide(conn, schedulerSide)
-		return
-	}
-	a := &attempt{worker: n, requestID: output.RequestID, key: output.IdempotencyKey, scheduler: output.Scheduler, budget: output.Budget, firstByteAt: output.FirstByteAt}
-	a.knewStart = kind == simapi.AttemptWritten && !n.warming.warm && n.shared.knowsStart(output.Scheduler, n)
-	if kind == simapi.AttemptWritten {
-		n.env.record(trace.Event{Kind: trace.AttemptSent, RequestID: a.requestID, Worker: n.number, Scheduler: a.scheduler})
-		workerConn.unreadAttempt = a
-	}
-	n.env.toFarEnd(conn, func() { n.requestArrived(workerConn, kind, a) })
-}
-
 // WorkerState is the true state of a worker, for baseline policies that see everything.
 type WorkerState struct {
 	Up             bool // takes work, and will answer
--- a/internal/testbed/environment/workers_test.go
+++ b/internal/testbed/environment/workers_test.go
@@ -132,7 +132,7 @@
 	r := newWorkerHarness(s.T, spec, uint64(s.Pick(256)))
 	m := &nodeModel{s: s, kind: k, slots: map[string]float64{}, begun: map[string]bool{}}
 	r.see = m.saw
-	r.ack = func(_ *simapi.Input) (int, bool) { return []int{204, 200, 503, 0}[s.Pick(4)], s.Pick(8) > 0 }
+	r.ack = func(_ *simapi.CallbackReceived) (int, bool) { return []int{204, 200, 503, 0}[s.Pick(4)], s.Pick(8) > 0 }
 	return &nodeSteps{workerHarness: r, nodeModel: m, worker: r.w.workers[0], conns: []simapi.Conn{r.dial(0, 0)}, calls: []string{"unknown"}}
 }
 
@@ -149,10 +149,9 @@
 		m.slots[call] = float64(int(1) << s.Pick(3))
 		m.addRequest(call, unsafeClass, float64(1+s.Pick(100))/1000, m.slots[call])
 		m.calls = append(m.calls, call)
-		m.apply(c, simapi.AttemptWritten, call)
+		m.writeAttempt(c, call)
 	case pick < 19:
-		kinds := []simapi.OutputKind{simapi.AttemptWritten, simapi.WorkerConnClosed, simapi.CancellationReceived, simapi.HealthCheckWritten}
-		m.apply(c, kinds[pick-15], call)
+		m.useConn(pick, c, call)
 	case pick < 25:
 		m.disturb(pick)
 	default:
@@ -160,6 +159,20 @@
 	}
 }
 
+// useConn has a scheduler do something over a connection.
+func (m *nodeSteps) useConn(pick int, c simapi.Conn, call string) {
+	switch pick {
+	case 15:
+		m.writeAttempt(c, call)
+	case 16:
+		m.closeConn(c)
+	case 17:
+		m.writeCancellation(c, call)
+	case 18:
+		m.writeHealthCheck(c)
+	}
+}
+
 // disturb begins or ends a fault of the worker.
 func (m *nodeSteps) disturb(pick int) {
 	n, s := m.worker, m.s
@@ -212,8 +225,9 @@
 		t.Fatalf("its result is %q", s.Text)
 	}
 	r.expectCallbacks("a", "started", "done")
-	if in := r.inputs[len(r.inputs)-1]; in.Callback.EndpointID != "w-0" || *in.Callback.Result != "d w-0/1#4" {
-		t.Fatalf("told %+v", in.Callback)
+	received, _ := r.inputs[len(r.inputs)-1].Message.(simapi.CallbackReceived)
+	if received.Callback == nil || received.Callback.EndpointID != "w-0" || *received.Callback.Result != "d w-0/1#4" {
+		t.Fatalf("received %+v", received)
 	}
 }
 
@@ -270,7 +284,7 @@
 	if least := time.Duration(budget/0.5) * 100 * ms; fell != least {
 		t.Fatalf("fell after %v at 5 times its capacity, want %v", fell, least)
 	}
-	r.last(r.sendRequest(0, "later", safeClass, 1, 1), simapi.WorkerDisconnected)
+	last[simapi.WorkerDisconnected](r, r.sendRequest(0, "later", safeClass, 1, 1))
 	r.w.workers[0].crash(time.Second)
 	if r.pass(time.Hour); r.w.workers[0].state == workerUp {
 		t.Fatal("it is back after its fall")
@@ -284,7 +298,7 @@
 	spec, k := plain(1)
 	r := newWorkerHarness(t, spec, 1)
 	var answers []int // to what is told of ends, -1 being none; 204 once they are used up
-	r.ack = func(in *simapi.Input) (int, bool) {
+	r.ack = func(in *simapi.CallbackReceived) (int, bool) {
 		if in.Callback.State != "done" || len(answers) == 0 {
 			return 204, true
 		}
@@ -321,7 +335,7 @@
 	r.pass(time.Minute)
 	r.expectCallbacks("d")
 	r.expectCallbacks("e", "started")
-	if in := r.last(r.sendRequest(0, "f", safeClass, 1, 1), simapi.ResponseReceived); in.Status != 202 {
+	if in := last[simapi.ResponseReceived](r, r.sendRequest(0, "f", safeClass, 1, 1)); in.Status != 202 {
 		t.Fatalf("a hung one answers %+v", in)
 	}
 	n.setHang(false)
@@ -389,9 +403,9 @@
 	// Under another key than the client's it is no request of that client.
 	c := r.dial(0, 0)
 	r.step(r.w.now)
-	r.outputs = append(r.outputs, simapi.Output{Kind: simapi.AttemptWritten, Conn: c, RequestID: "a", IdempotencyKey: "other"})
+	r.outputs = append(r.outputs, simapi.Output{Message: simapi.AttemptWritten{Conn: c, RequestID: "a", IdempotencyKey: "other"}})
 	r.step(r.w.now)
-	if s := r.must(trace.AttemptRejected, "a", r.w.now); s.Status != 400 || r.last(c, simapi.ResponseReceived).Status != 400 {
+	if s := r.must(trace.AttemptRejected, "a", r.w.now); s.Status != 400 || last[simapi.ResponseReceived](r, c).Status != 400 {
 		t.Fatalf("answered %d", s.Status)
 	}
 }
@@ -402,31 +416,40 @@
 	r := newWorkerHarness(t, spec, 1)
 	n, request := r.w.workers[0], func(call string) simapi.Conn { return r.sendRequest(0, call, safeClass, 0.01, 1) }
 	a, b, c := request("a"), request("b"), request("above the cap")
-	if r.last(b, simapi.WorkerConnected); r.last(c, simapi.WorkerDisconnected).Reset {
+	if last[simapi.WorkerConnected](r, b); last[simapi.WorkerDisconnected](r, c).Reset {
 		t.Fatal("one that did not come up looks like one that was reset")
 	}
 	r.pass(1010 * ms)
 	r.must(trace.AttemptReceived, "a", 20*ms)
-	r.last(a, simapi.ResponseReceived)
-	if r.pass(10 * ms); !r.last(b, simapi.WorkerDisconnected).Reset {
+	last[simapi.ResponseReceived](r, a)
+	if r.pass(10 * ms); !last[simapi.WorkerDisconnected](r, b).Reset {
 		t.Fatal("the idle one does not look like one that was reset")
 	}
 	r.do(func() { n.setRefusing(true) })
-	r.last(request("refused"), simapi.WorkerDisconnected)
+	last[simapi.WorkerDisconnected](r, request("refused"))
 	r.do(func() { n.setRefusing(false) })
 	r.do(func() { n.setSilent(true) })
-	r.last(request("silent"), 0)
+	r.nothing(request("silent"))
 	r.do(func() { n.setSilent(false) })
 	n.setResetBytes(8)
-	if in := r.last(request("reset while it is read"), simapi.WorkerConnected); in.Bytes != 8 {
+	if in := last[simapi.WorkerConnected](r, request("reset while it is read")); in.ResetAfter != 8 {
 		t.Fatalf("%+v", in)
 	}
 	n.setResetBytes(-9)
 	c = request("reset in its answer")
 	r.pass(100 * ms)
-	r.last(c, simapi.WorkerDisconnected)
-	if i := slices.IndexFunc(r.inputs, func(in simapi.Input) bool { return in.Bytes == 9 }); r.inputs[i].Kind != simapi.ResponseReceived {
-		t.Fatalf("%+v", r.inputs[i])
+	last[simapi.WorkerDisconnected](r, c)
+	if !slices.ContainsFunc(r.inputs, func(in simapi.Input) bool {
+		response, ok := in.Message.(simapi.ResponseReceived)
+		return ok && response.Bytes == 9
+	}) {
+		t.Fatalf("no response of 9 bytes: %+v", r.inputs)
+	}
+	if slices.ContainsFunc(r.inputs, func(in simapi.Input) bool {
+		connected, ok := in.Message.(simapi.WorkerConnected)
+		return ok && connected.ResetAfter == 9
+	}) {
+		t.Fatalf("a connection was to be reset while it was read: %+v", r.inputs)
 	}
 	n.setSlowRead(true)
 	r.pass(2 * time.Second)
@@ -434,9 +457,14 @@
 	request("slow")
 	r.pass(2 * time.Second)
 	r.must(trace.AttemptReceived, "slow", at+1020*ms)
-	if r.inputs = slices.DeleteFunc(r.inputs, func(in simapi.Input) bool { return in.Kind != simapi.AcceptModeChanged }); len(r.inputs) != 4 ||
-		r.inputs[0].Mode != simapi.AcceptNone || r.inputs[1].Mode != simapi.AcceptAll || r.inputs[2].Mode != simapi.AcceptSilently {
-		t.Fatalf("modes of accepting were %+v", r.inputs)
+	var modes []int
+	for _, in := range r.inputs {
+		if changed, ok := in.Message.(simapi.AcceptModeChanged); ok {
+			modes = append(modes, changed.Mode)
+		}
+	}
+	if len(modes) != 4 || modes[0] != simapi.AcceptNone || modes[1] != simapi.AcceptAll || modes[2] != simapi.AcceptSilently {
+		t.Fatalf("modes of accepting were %v", modes)
 	}
 }
 
@@ -449,26 +477,26 @@
 	r.pass(10 * ms)
 	v.vanish(time.Second)
 	r.addRequest("v2", safeClass, 1, 1)
-	r.apply(busy, simapi.AttemptWritten, "v2")
+	r.writeAttempt(busy, "v2")
 	r.pass(900 * ms)
-	r.last(busy, simapi.ResponseReceived)
+	last[simapi.ResponseReceived](r, busy)
 	r.must(trace.AttemptDied, "v", 10*ms)
 	r.expectCallbacks("v", "started")
 	r.pass(200 * ms)
-	r.last(busy, simapi.WorkerDisconnected)
-	if r.last(idle, simapi.WorkerConnected); v.startedMs() != 1010 {
+	last[simapi.WorkerDisconnected](r, busy)
+	if last[simapi.WorkerConnected](r, idle); v.startedMs() != 1010 {
 		t.Fatalf("back at %v", v.startedMs())
 	}
-	r.apply(idle, simapi.AttemptWritten, "v2")
+	r.writeAttempt(idle, "v2")
 	r.pass(ms)
-	if r.last(idle, simapi.WorkerDisconnected); v.attemptCount != 1 {
+	if last[simapi.WorkerDisconnected](r, idle); v.attemptCount != 1 {
 		t.Fatal("it took what came over a connection of before")
 	}
 	// It answers 202 and dies at that instant.
 	r.w.workers[1].dieAtAccept(0)
 	c := r.sendRequest(1, "d", safeClass, 1, 1)
 	r.pass(time.Second)
-	r.last(c, simapi.WorkerDisconnected)
+	last[simapi.WorkerDisconnected](r, c)
 	r.must(trace.AttemptAccepted, "d", r.must(trace.AttemptDied, "d", 1112*ms).At)
 	// A planned restart finishes what runs and hands back what waits.
 	p, at := r.w.workers[2], r.w.now
@@ -479,7 +507,7 @@
 	r.pass(10 * ms)
 	r.must(trace.AttemptReturned, "p1", at+100*ms)
 	r.expectCallbacks("p1", "returned")
-	if in := r.last(r.sendRequest(2, "p2", safeClass, 1, 1), simapi.ResponseReceived); in.Status != 503 || !in.Rejected {
+	if in := last[simapi.ResponseReceived](r, r.sendRequest(2, "p2", safeClass, 1, 1)); in.Status != 503 || !in.Rejected {
 		t.Fatalf("while it drains it said %+v", in)
 	}
 	r.pass(2 * time.Second)
@@ -495,11 +523,10 @@
 	r.notified, r.life = true, nil
 	x.replace(time.Second)
 	r.pass(2 * time.Second)
-	old, fresh := r.dial(0, 3), r.dial(0, 3)
-	r.outputs[1].Machine = 1
+	old, fresh := r.dial(0, 3), r.dialMachine(0, 3, 1)
 	r.pass(time.Second)
-	r.last(old, 0)
-	r.last(fresh, simapi.WorkerConnected)
+	r.nothing(old)
+	last[simapi.WorkerConnected](r, fresh)
 	if x.placeIndex() != len(r.w.workers)+3 || r.w.View(0, 3).Reachable || !r.w.View(0, x.placeIndex()).Connectable {
 		t.Fatalf("it is at %d, and is seen as %+v and %+v", x.placeIndex(), r.w.View(0, 3), r.w.View(0, x.placeIndex()))
 	}
@@ -521,12 +548,12 @@
 	up := func(node int) simapi.Conn {
 		c := r.dial(0, node)
 		r.pass(10 * ms)
-		r.last(c, simapi.WorkerConnected)
+		last[simapi.WorkerConnected](r, c)
 		return c
 	}
 	send := func(c simapi.Conn, call string) {
 		r.addRequest(call, safeClass, 1, 1)
-		r.apply(c, simapi.AttemptWritten, call)
+		r.writeAttempt(c, call)
 		r.pass(10 * ms)
 	}
 	silent, reset, paused, read := up(0), up(1), up(2), up(3)
@@ -535,12 +562,12 @@
 	r.w.workers[2].pause(time.Second)
 	send(paused, "paused")
 	r.addRequest("reset", safeClass, 1, 1)
-	r.apply(reset, simapi.AttemptWritten, "reset")
+	r.writeAttempt(reset, "reset")
 	r.w.workers[1].crash(0)
 	r.pass(10 * ms)
 	send(read, "read")
 	for _, c := range []simapi.Conn{silent, paused, read} {
-		r.apply(c, simapi.WorkerConnClosed, "")
+		r.closeConn(c)
 	}
 	r.pass(2 * time.Second)
 	r.must(trace.AttemptUnread, "silent", 80*ms)
@@ -581,7 +608,7 @@
 			r.w.workers[n].crash(time.Second)
 			down += crashes
 		}
-		if r.apply(conns[n], simapi.AttemptWritten, calls[i%len(calls)]); len(r.inputs) > 1<<16 {
+		if r.writeAttempt(conns[n], calls[i%len(calls)]); len(r.inputs) > 1<<16 {
 			r.inputs = r.inputs[:0]
 		}
 	}
--- a/internal/testbed/mutation/injector.go
+++ b/internal/testbed/mutation/injector.go
@@ -9,15 +9,14 @@
 
 // faultInjector stands between the environment and a scheduler, and lets pass what its two hooks say.
 type faultInjector struct {
-	spec     *scenario.Scenario
-	inner    simapi.Scheduler
-	onInput  func(b *faultInjector, input *simapi.Input) (pass bool)   // nil: all passes
-	onOutput func(b *faultInjector, output *simapi.Output) (pass bool) // nil: all passes
+	spec  *scenario.Scenario
+	inner simapi.Scheduler
+	hooks hooks
 
 	now          time.Duration
 	scheduler    int
 	running      bool
-	inputs       []simapi.Input // for the inner one, besides what came from the environment
+	inputs       []simapi.Input // for the inner one, and some that the environment knows nothing of
 	outputs      []simapi.Output
 	innerOutputs []simapi.Output
 	requests     map[string]*trackedRequest
@@ -49,13 +48,18 @@
 	run func()
 }
 
-// wrap makes a Wrap of hooks. New hooks are made for each scheduler.
-func wrap(onInput func(b *faultInjector, input *simapi.Input) bool, onOutput func(b *faultInjector, output *simapi.Output) bool,
-) func(*scenario.Scenario, simapi.Scheduler) simapi.Scheduler {
+// hooks are what a mutant does with what passes. Each may change it, and says whether it is to pass; nil: all passes.
+type hooks struct {
+	input    func(b *faultInjector, message simapi.InputMessage) (pass bool)
+	response func(b *faultInjector, response *simapi.ResponseWritten) (pass bool)
+	attempt  func(b *faultInjector, attempt *simapi.AttemptWritten) (pass bool)
+}
+
+// wrap makes a Wrap of hooks. A new injector is made for each scheduler.
+func wrap(hooks hooks) func(*scenario.Scenario, simapi.Scheduler) simapi.Scheduler {
 	return func(spec *scenario.Scenario, inner simapi.Scheduler) simapi.Scheduler {
 		return &faultInjector{
-			spec: spec, inner: inner, onInput: onInput, onOutput: onOutput, requests: map[string]*trackedRequest{},
-			injected: map[simapi.Conn]*injectedAttempt{},
+			spec: spec, inner: inner, hooks: hooks, requests: map[string]*trackedRequest{}, injected: map[simapi.Conn]*injectedAttempt{},
 		}
 	}
 }
@@ -95,23 +99,55 @@
 // handleInput is what comes from the environment.
 func (b *faultInjector) handleInput(input *simapi.Input) {
 	b.scheduler = input.Scheduler
-	switch input.Kind {
-	case simapi.Start, simapi.Kill:
+	switch message := input.Message.(type) {
+	case simapi.Start:
+		b.reset()
+		b.running = true
+	case simapi.Kill:
 		b.reset()
-		b.running = input.Kind == simapi.Start
 	case simapi.RequestReceived:
-		b.requests[input.Request.RequestID] = &trackedRequest{ClientRequest: *input.Request, receivedAt: b.now, conn: input.Conn}
-	case simapi.WorkerConnected, simapi.WorkerDisconnected, simapi.ResponseReceived:
-		if e := b.injected[input.Conn]; e != nil {
-			b.injectedResponse(input, e)
-			return
-		}
+		b.requests[message.Request.RequestID] = &trackedRequest{ClientRequest: *message.Request, receivedAt: b.now, conn: message.Conn}
 	}
-	if b.onInput == nil || b.onInput(b, input) {
+	if b.handleInjected(input.Message) {
+		return
+	}
+	if b.hooks.input == nil || b.hooks.input(b, input.Message) {
 		b.inputs = append(b.inputs, *input)
 	}
 }
 
+// handleInjected takes what comes over a connection of ours, and reports whether it did.
+func (b *faultInjector) handleInjected(input simapi.InputMessage) bool {
+	switch message := input.(type) {
+	case simapi.WorkerConnected:
+		if e := b.injected[message.Conn]; e != nil {
+			b.writeInjected(message.Conn, e)
+			return true
+		}
+	case simapi.WorkerDisconnected:
+		if b.injected[message.Conn] != nil {
+			delete(b.injected, message.Conn)
+			return true
+		}
+	case simapi.ResponseReceived:
+		if e := b.injected[message.Conn]; e != nil {
+			b.addOutput(simapi.WorkerConnClosed{Conn: message.Conn, Worker: e.worker})
+			delete(b.injected, message.Conn)
+			return true
+		}
+	}
+	return false
+}
+
+// writeInjected writes an attempt of ours to its connection.
+func (b *faultInjector) writeInjected(conn simapi.Conn, e *injectedAttempt) {
+	remaining := max(time.Millisecond, e.request.receivedAt+e.request.Budget-b.now).Truncate(time.Millisecond)
+	b.addOutput(simapi.AttemptWritten{
+		Conn: conn, Worker: e.worker, RequestID: e.request.RequestID, IdempotencyKey: e.request.IdempotencyKey, Budget: remaining,
+		FirstByteAt: b.now,
+	})
+}
+
 // reset is the end of a process.
 func (b *faultInjector) reset() {
 	clear(b.requests)
@@ -121,26 +157,39 @@
 
 // handleOutput is what comes from the inner scheduler.
 func (b *faultInjector) handleOutput(output *simapi.Output) {
-	if !b.running && output.Kind != simapi.Exited {
+	_, exited := output.Message.(simapi.Exited)
+	if !b.running && !exited {
 		return
 	}
-	trackedRequest := b.requests[output.RequestID]
-	switch output.Kind {
-	case simapi.AttemptWritten:
-		if trackedRequest != nil {
-			trackedRequest.attempts++
-		}
+	switch message := output.Message.(type) {
 	case simapi.Exited:
 		b.reset()
-	}
-	if b.onOutput == nil || b.onOutput(b, output) {
 		b.outputs = append(b.outputs, *output)
-	}
-	if trackedRequest != nil && output.Kind == simapi.ResponseWritten {
-		trackedRequest.answered = true
+	case simapi.AttemptWritten:
+		if tracked := b.requests[message.RequestID]; tracked != nil {
+			tracked.attempts++
+		}
+		if b.hooks.attempt == nil || b.hooks.attempt(b, &message) {
+			b.addOutput(message)
+		}
+	case simapi.ResponseWritten:
+		tracked := b.requests[message.RequestID]
+		if b.hooks.response == nil || b.hooks.response(b, &message) {
+			b.addOutput(message)
+		}
+		if tracked != nil {
+			tracked.answered = true
+		}
+	default:
+		b.outputs = append(b.outputs, *output)
 	}
 }
 
+// addOutput brings something to the environment as if it came from the scheduler.
+func (b *faultInjector) addOutput(message simapi.OutputMessage) {
+	b.outputs = append(b.outputs, simapi.Output{Scheduler: b.scheduler, Message: message})
+}
+
 // schedule has something done at an instant, unless the process has ended by then.
 func (b *faultInjector) schedule(t time.Duration, do func()) {
 	t = max(t, b.now+1)
@@ -160,16 +209,15 @@
 }
 
 // feedInput brings something to the inner scheduler that the environment knows nothing of.
-func (b *faultInjector) feedInput(in simapi.Input) {
-	in.Scheduler = b.scheduler
-	b.inputs = append(b.inputs, in)
+func (b *faultInjector) feedInput(message simapi.InputMessage) {
+	b.inputs = append(b.inputs, simapi.Input{Scheduler: b.scheduler, Message: message})
 }
 
 // respond answers a request in the inner scheduler's place, which takes its client for gone.
 func (b *faultInjector) respond(q *trackedRequest, status int) {
 	q.answered = true
-	b.outputs = append(b.outputs, simapi.Output{Kind: simapi.ResponseWritten, Scheduler: b.scheduler, Conn: q.conn, RequestID: q.RequestID, Status: status})
-	b.feedInput(simapi.Input{Kind: simapi.ClientClosed, Conn: q.conn})
+	b.addOutput(simapi.ResponseWritten{Conn: q.conn, RequestID: q.RequestID, Status: status})
+	b.feedInput(simapi.ClientClosed{Conn: q.conn})
 }
 
 // sendAttempt sends a request to a worker, over a connection of its own.
@@ -177,24 +225,7 @@
 	b.connCount++
 	conn := simapi.WorkerConn(b.scheduler, 1<<39|b.connCount)
 	b.injected[conn] = &injectedAttempt{node, q}
-	b.outputs = append(b.outputs, simapi.Output{Kind: simapi.WorkerDialed, Scheduler: b.scheduler, Conn: conn, Worker: node})
-}
-
-// injectedResponse is what comes over a connection of ours.
-func (b *faultInjector) injectedResponse(input *simapi.Input, e *injectedAttempt) {
-	switch input.Kind {
-	case simapi.WorkerConnected:
-		remaining := max(time.Millisecond, e.request.receivedAt+e.request.Budget-b.now).Truncate(time.Millisecond)
-		b.outputs = append(b.outputs, simapi.Output{
-			Kind: simapi.AttemptWritten, Scheduler: b.scheduler, Conn: input.Conn, Worker: e.worker, RequestID: e.request.RequestID,
-			IdempotencyKey: e.request.IdempotencyKey, Budget: remaining, FirstByteAt: b.now,
-		})
-	case simapi.ResponseReceived:
-		b.outputs = append(b.outputs, simapi.Output{Kind: simapi.WorkerConnClosed, Scheduler: b.scheduler, Conn: input.Conn, Worker: e.worker})
-		delete(b.injected, input.Conn)
-	default:
-		delete(b.injected, input.Conn)
-	}
+	b.addOutput(simapi.WorkerDialed{Conn: conn, Worker: node})
 }
 
 // idempotencyOf is what running a request twice does, in the scenario's word.
--- a/internal/testbed/mutation/mutants.go
+++ b/internal/testbed/mutation/mutants.go
@@ -40,54 +40,54 @@
 		{
 			Name: "answers-twice", Rule: "one-answer",
 			Description: "writes some answers twice",
-			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
-				if o.Kind == simapi.ResponseWritten && b.every(10) {
-					b.outputs = append(b.outputs, *o)
+			Wrap: wrap(hooks{response: func(b *faultInjector, response *simapi.ResponseWritten) bool {
+				if b.every(10) {
+					b.addOutput(*response)
 				}
 				return true
-			}),
+			}}),
 		},
 		{
 			Name: "answers-none", Rule: "one-answer",
 			Description: "forgets to write some answers",
-			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
-				return o.Kind != simapi.ResponseWritten || !b.every(10)
-			}),
+			Wrap: wrap(hooks{response: func(b *faultInjector, _ *simapi.ResponseWritten) bool {
+				return !b.every(10)
+			}}),
 		},
 		{
 			Name: "answers-late", Rule: "one-answer",
 			Description: "writes some answers 100 ms after the request's time is up",
-			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
-				q := b.requests[o.RequestID]
-				if o.Kind != simapi.ResponseWritten || q == nil || !b.every(10) {
+			Wrap: wrap(hooks{response: func(b *faultInjector, response *simapi.ResponseWritten) bool {
+				q := b.requests[response.RequestID]
+				if q == nil || !b.every(10) {
 					return true
 				}
-				late := *o
-				b.schedule(q.receivedAt+q.Budget+100*millisecond, func() { b.outputs = append(b.outputs, late) })
+				late := *response
+				b.schedule(q.receivedAt+q.Budget+100*millisecond, func() { b.addOutput(late) })
 				return false
-			}),
+			}}),
 		},
 		{
 			Name: "cuts-unanswered", Rule: "one-answer",
 			Description: "closes some connections in place of an answer",
-			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
-				if o.Kind != simapi.ResponseWritten || !b.every(10) {
+			Wrap: wrap(hooks{response: func(b *faultInjector, response *simapi.ResponseWritten) bool {
+				if !b.every(10) {
 					return true
 				}
-				b.outputs = append(b.outputs, simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: o.Scheduler, Conn: o.Conn})
-				b.feedInput(simapi.Input{Kind: simapi.ClientClosed, Conn: o.Conn})
+				b.addOutput(simapi.ClientConnClosed{Conn: response.Conn})
+				b.feedInput(simapi.ClientClosed{Conn: response.Conn})
 				return false
-			}),
+			}}),
 		},
 		{
 			Name: "sends-when-over", Rule: "one-answer",
 			Description: "sends some requests on 600 ms after their final answer",
-			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
-				if q := b.requests[o.RequestID]; o.Kind == simapi.ResponseWritten && q != nil && b.every(10) {
+			Wrap: wrap(hooks{response: func(b *faultInjector, response *simapi.ResponseWritten) bool {
+				if q := b.requests[response.RequestID]; q != nil && b.every(10) {
 					b.schedule(b.now+600*millisecond, func() { b.sendAttempt(q, b.otherWorker(b.count, 0)) })
 				}
 				return true
-			}),
+			}}),
 		},
 	}
 }
@@ -99,26 +99,31 @@
 			Name: "quits-on-term", Rule: "one-answer",
 			Description: "exits on SIGTERM with requests in flight",
 			Adjust:      withFaults(scenario.Fault{Kind: "sched_term", At: scenario.Duration(3 * second), Duration: scenario.Duration(500 * millisecond)}),
-			Wrap: wrap(func(b *faultInjector, in *simapi.Input) bool {
-				if in.Kind == simapi.Terminate {
-					b.outputs = append(b.outputs, simapi.Output{Kind: simapi.Exited, Scheduler: b.scheduler})
-					b.feedInput(simapi.Input{Kind: simapi.Kill})
+			Wrap: wrap(hooks{input: func(b *faultInjector, input simapi.InputMessage) bool {
+				if _, ok := input.(simapi.Terminate); ok {
+					b.addOutput(simapi.Exited{})
+					b.feedInput(simapi.Kill{})
 					b.reset()
 					return false
 				}
 				return true
-			}, nil),
+			}}),
 		},
 		{
 			Name: "deaf-after-term", Rule: "one-answer",
 			Description: "takes requests after SIGTERM that it never answers",
 			Adjust:      withFaults(scenario.Fault{Kind: "sched_term", At: scenario.Duration(3 * second), Duration: scenario.Duration(500 * millisecond)}),
-			Wrap: wrap(func(b *faultInjector, in *simapi.Input) bool {
-				if in.Kind == simapi.Start || in.Kind == simapi.Terminate {
-					b.notified = in.Kind == simapi.Terminate
+			Wrap: wrap(hooks{input: func(b *faultInjector, input simapi.InputMessage) bool {
+				switch input.(type) {
+				case simapi.Start:
+					b.notified = false
+				case simapi.Terminate:
+					b.notified = true
+				case simapi.RequestReceived:
+					return !b.notified
 				}
-				return in.Kind != simapi.RequestReceived || !b.notified
-			}, nil),
+				return true
+			}}),
 		},
 	}
 }
@@ -150,12 +155,12 @@
 		{
 			Name: "payout-copied", Rule: "payout-once",
 			Description: "sends some payouts to a second worker while the first has them",
-			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
-				if q := b.requests[o.RequestID]; o.Kind == simapi.AttemptWritten && q != nil && b.idempotencyOf(q) == "unsafe" && b.every(10) {
-					b.sendAttempt(q, b.otherWorker(o.Worker, 1))
+			Wrap: wrap(hooks{attempt: func(b *faultInjector, attempt *simapi.AttemptWritten) bool {
+				if q := b.requests[attempt.RequestID]; q != nil && b.idempotencyOf(q) == "unsafe" && b.every(10) {
+					b.sendAttempt(q, b.otherWorker(attempt.Worker, 1))
 				}
 				return true
-			}),
+			}}),
 		},
 		{
 			Name: "payout-for-safe", Rule: "payout-once",
@@ -203,12 +208,12 @@
 		{
 			Name: "key-changed", Rule: "key-scope",
 			Description: "sends some keyed requests under a key of its own",
-			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
-				if o.Kind == simapi.AttemptWritten && o.IdempotencyKey != "" && b.every(10) {
-					o.IdempotencyKey = "0" + o.IdempotencyKey
+			Wrap: wrap(hooks{attempt: func(b *faultInjector, attempt *simapi.AttemptWritten) bool {
+				if attempt.IdempotencyKey != "" && b.every(10) {
+					attempt.IdempotencyKey = "0" + attempt.IdempotencyKey
 				}
 				return true
-			}),
+			}}),
 		},
 	}
 }
@@ -219,23 +224,23 @@
 		{
 			Name: "refuses-run-payout", Rule: "refusal-harmless",
 			Description: "rejects payouts that have been in flight for 150 ms",
-			Wrap:        wrap(nil, rejectAfter("unsafe", 150*millisecond)),
+			Wrap:        wrap(rejectAfter("unsafe", 150*millisecond)),
 		},
 		{
 			Name: "refuses-run-credit", Rule: "refusal-harmless",
 			Description: "rejects keyed requests that have been in flight for 150 ms",
-			Wrap:        wrap(nil, rejectAfter("keyed", 150*millisecond)),
+			Wrap:        wrap(rejectAfter("keyed", 150*millisecond)),
 		},
 		{
 			Name: "refuses-for-failure", Rule: "refusal-harmless",
 			Description: "reports failures as rejections",
 			Adjust:      withFaults(scenario.Fault{Kind: "errors", At: scenario.Duration(second), Size: 0.5}),
-			Wrap: wrap(nil, func(_ *faultInjector, o *simapi.Output) bool {
-				if o.Kind == simapi.ResponseWritten && o.Status == http.StatusInternalServerError {
-					o.Status = http.StatusServiceUnavailable
+			Wrap: wrap(hooks{response: func(_ *faultInjector, response *simapi.ResponseWritten) bool {
+				if response.Status == http.StatusInternalServerError {
+					response.Status = http.StatusServiceUnavailable
 				}
 				return true
-			}),
+			}}),
 		},
 	}
 }
@@ -247,14 +252,13 @@
 			Name: "drain-late", Rule: "drain",
 			Description: "acts on updates of the endpoint list 1.2 s late",
 			Adjust:      withFaults(scenario.Fault{Kind: "drain", At: scenario.Duration(2 * second), Target: scenario.Target{Share: 0.5}}),
-			Wrap: wrap(func(b *faultInjector, in *simapi.Input) bool {
-				if in.Kind != simapi.ListReceived {
+			Wrap: wrap(hooks{input: func(b *faultInjector, input simapi.InputMessage) bool {
+				if _, ok := input.(simapi.ListReceived); !ok {
 					return true
 				}
-				late := *in
-				b.schedule(b.now+1200*millisecond, func() { b.inputs = append(b.inputs, late) })
+				b.schedule(b.now+1200*millisecond, func() { b.feedInput(input) })
 				return false
-			}, nil),
+			}}),
 		},
 		{
 			Name: "sends-to-removed", Rule: "drain",
@@ -281,21 +285,21 @@
 				})(s)
 				s.Load.CapacityShare = 0.9
 			},
-			Wrap: wrap(func(b *faultInjector, in *simapi.Input) bool {
-				switch {
-				case in.Kind == simapi.ListReceived:
-					for _, h := range in.List.Endpoints {
+			Wrap: wrap(hooks{input: func(b *faultInjector, input simapi.InputMessage) bool {
+				switch message := input.(type) {
+				case simapi.ListReceived:
+					for _, h := range message.List.Endpoints {
 						if n, ok := scenario.NodeIndex(h.ID, b.spec.Fleet.Workers); ok && h.Lifecycle == "up" && h.StartedAtMs > 0 {
 							b.count, b.notified = n, true
 						}
 					}
-				case in.Kind == simapi.RequestReceived && b.notified:
-					if q := b.requests[in.Request.RequestID]; b.idempotencyOf(q) == "safe" {
+				case simapi.RequestReceived:
+					if q := b.requests[message.Request.RequestID]; b.notified && b.idempotencyOf(q) == "safe" {
 						b.sendAttempt(q, b.count)
 					}
 				}
 				return true
-			}, nil),
+			}}),
 		},
 	}
 }
@@ -306,12 +310,12 @@
 		{
 			Name: "two-on-one-node", Rule: "one-attempt-per-node",
 			Description: "sends some safe requests to the same worker twice",
-			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
-				if q := b.requests[o.RequestID]; o.Kind == simapi.AttemptWritten && q != nil && b.idempotencyOf(q) == "safe" && b.every(2) {
-					b.sendAttempt(q, o.Worker)
+			Wrap: wrap(hooks{attempt: func(b *faultInjector, attempt *simapi.AttemptWritten) bool {
+				if q := b.requests[attempt.RequestID]; q != nil && b.idempotencyOf(q) == "safe" && b.every(2) {
+					b.sendAttempt(q, attempt.Worker)
 				}
 				return true
-			}),
+			}}),
 		},
 	}
 }
@@ -323,25 +327,25 @@
 			Name: "tries-on", Rule: "attempts",
 			Description: "sends some safe requests more often than is allowed",
 			Adjust:      func(s *scenario.Scenario) { s.Schedulers.AttemptLimit = 3 },
-			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
-				if q := b.requests[o.RequestID]; o.Kind == simapi.AttemptWritten && q != nil && b.idempotencyOf(q) == "safe" && b.every(20) {
+			Wrap: wrap(hooks{attempt: func(b *faultInjector, attempt *simapi.AttemptWritten) bool {
+				if q := b.requests[attempt.RequestID]; q != nil && b.idempotencyOf(q) == "safe" && b.every(20) {
 					for n := range 3 {
-						b.sendAttempt(q, b.otherWorker(o.Worker, n+1))
+						b.sendAttempt(q, b.otherWorker(attempt.Worker, n+1))
 					}
 				}
 				return true
-			}),
+			}}),
 		},
 		{
 			Name: "copies-forbidden", Rule: "attempts",
 			Description: "sends hedged requests where there may be none",
 			Adjust:      func(s *scenario.Scenario) { s.Schedulers.Hedging = false },
-			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
-				if q := b.requests[o.RequestID]; o.Kind == simapi.AttemptWritten && q != nil && b.idempotencyOf(q) == "safe" && b.every(4) {
-					b.sendAttempt(q, b.otherWorker(o.Worker, 1))
+			Wrap: wrap(hooks{attempt: func(b *faultInjector, attempt *simapi.AttemptWritten) bool {
+				if q := b.requests[attempt.RequestID]; q != nil && b.idempotencyOf(q) == "safe" && b.every(4) {
+					b.sendAttempt(q, b.otherWorker(attempt.Worker, 1))
 				}
 				return true
-			}),
+			}}),
 		},
 	}
 }
@@ -352,25 +356,25 @@
 		{
 			Name: "makes-results", Rule: "made-by-node",
 			Description: "serves some requests with a result of its own",
-			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
-				if o.Kind == simapi.ResponseWritten && o.Status == http.StatusOK && b.every(10) {
-					o.Result = "paid"
+			Wrap: wrap(hooks{response: func(b *faultInjector, response *simapi.ResponseWritten) bool {
+				if response.Status == http.StatusOK && b.every(10) {
+					response.Result = "paid"
 				}
 				return true
-			}),
+			}}),
 		},
 		{
 			Name: "mixes-results", Rule: "made-by-node",
 			Description: "serves some requests with the result of the one before",
-			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
-				if o.Kind == simapi.ResponseWritten && o.Status == http.StatusOK {
+			Wrap: wrap(hooks{response: func(b *faultInjector, response *simapi.ResponseWritten) bool {
+				if response.Status == http.StatusOK {
 					was := b.lastRequest
-					if b.lastRequest = o.Result; was != "" && b.every(10) {
-						o.Result = was
+					if b.lastRequest = response.Result; was != "" && b.every(10) {
+						response.Result = was
 					}
 				}
 				return true
-			}),
+			}}),
 		},
 	}
 }
@@ -382,13 +386,13 @@
 			Name: "holds-refusals", Rule: "prompt-refusal",
 			Description: "holds rejections back until nine tenths of a request's time are over",
 			Adjust:      func(s *scenario.Scenario) { s.Load.CapacityShare, s.Load.Hints = 1.6, "exact" },
-			Wrap:        wrap(nil, delayResponses(http.StatusServiceUnavailable)),
+			Wrap:        wrap(delayResponses(http.StatusServiceUnavailable)),
 		},
 		{
 			Name: "holds-failures", Rule: "prompt-refusal",
 			Description: "holds failures back until nine tenths of a request's time are over",
 			Adjust:      withFaults(scenario.Fault{Kind: "errors", At: scenario.Duration(second), Size: 0.5}),
-			Wrap:        wrap(nil, delayResponses(http.StatusInternalServerError)),
+			Wrap:        wrap(delayResponses(http.StatusInternalServerError)),
 		},
 	}
 }
@@ -399,12 +403,12 @@
 		{
 			Name: "changes-ids", Rule: "id-unknown",
 			Description: "sends some requests on under an id of its own",
-			Wrap: wrap(nil, func(b *faultInjector, o *simapi.Output) bool {
-				if o.Kind == simapi.AttemptWritten && b.every(20) {
-					o.RequestID = "f" + o.RequestID[1:] + "0"
+			Wrap: wrap(hooks{attempt: func(b *faultInjector, attempt *simapi.AttemptWritten) bool {
+				if b.every(20) {
+					attempt.RequestID = "f" + attempt.RequestID[1:] + "0"
 				}
 				return true
-			}),
+			}}),
 		},
 	}
 }
@@ -415,17 +419,17 @@
 		{
 			Name: "crashes", Rule: "crash",
 			Description: "ends by itself in the midst of things",
-			Wrap: wrap(func(b *faultInjector, in *simapi.Input) bool {
-				if in.Kind == simapi.Start && !b.notified {
+			Wrap: wrap(hooks{input: func(b *faultInjector, input simapi.InputMessage) bool {
+				if _, ok := input.(simapi.Start); ok && !b.notified {
 					b.notified = true
 					b.schedule(3*second, func() {
-						b.outputs = append(b.outputs, simapi.Output{Kind: simapi.Exited, Scheduler: b.scheduler, Status: 2})
-						b.feedInput(simapi.Input{Kind: simapi.Kill})
+						b.addOutput(simapi.Exited{Status: 2})
+						b.feedInput(simapi.Kill{})
 						b.reset()
 					})
 				}
 				return true
-			}, nil),
+			}}),
 		},
 	}
 }
@@ -445,33 +449,41 @@
 	}
 }
 
-// rejectAfter refuses requests of classes with an effect that were sent so long ago.
-func rejectAfter(effect string, after time.Duration) func(b *faultInjector, o *simapi.Output) bool {
-	return func(b *faultInjector, output *simapi.Output) bool {
-		trackedRequest := b.requests[output.RequestID]
-		if trackedRequest == nil || b.idempotencyOf(trackedRequest) != effect {
-			return true
-		}
-		if output.Kind == simapi.AttemptWritten && trackedRequest.attempts == 1 {
-			b.schedule(b.now+after, func() {
-				if !trackedRequest.answered {
-					b.respond(trackedRequest, http.StatusServiceUnavailable)
-				}
-			})
+// rejectAfter rejects requests of classes with an effect that were sent so long ago, in the scheduler's place.
+func rejectAfter(effect string, after time.Duration) hooks {
+	tracked := func(b *faultInjector, requestID string) *trackedRequest {
+		if q := b.requests[requestID]; q != nil && b.idempotencyOf(q) == effect {
+			return q
 		}
-		return output.Kind != simapi.ResponseWritten || !trackedRequest.answered
+		return nil
+	}
+	return hooks{
+		attempt: func(b *faultInjector, attempt *simapi.AttemptWritten) bool {
+			if q := tracked(b, attempt.RequestID); q != nil && q.attempts == 1 {
+				b.schedule(b.now+after, func() {
+					if !q.answered {
+						b.respond(q, http.StatusServiceUnavailable)
+					}
+				})
+			}
+			return true
+		},
+		response: func(b *faultInjector, response *simapi.ResponseWritten) bool {
+			q := tracked(b, response.RequestID)
+			return q == nil || !q.answered
+		},
 	}
 }
 
 // delayResponses holds answers of a status back until nine tenths of a request's time are over.
-func delayResponses(status int) func(b *faultInjector, o *simapi.Output) bool {
-	return func(b *faultInjector, o *simapi.Output) bool {
-		q := b.requests[o.RequestID]
-		if o.Kind != simapi.ResponseWritten || o.Status != status || q == nil {
+func delayResponses(status int) hooks {
+	return hooks{response: func(b *faultInjector, response *simapi.ResponseWritten) bool {
+		q := b.requests[response.RequestID]
+		if response.Status != status || q == nil {
 			return true
 		}
-		held := *o
-		b.schedule(q.receivedAt+q.Budget*9/10, func() { b.outputs = append(b.outputs, held) })
+		late := *response
+		b.schedule(q.receivedAt+q.Budget*9/10, func() { b.addOutput(late) })
 		return false
-	}
+	}}
 }
--- a/internal/testbed/process/callbacks.go
+++ b/internal/testbed/process/callbacks.go
@@ -44,20 +44,20 @@
 }
 
 // sendCallback calls a scheduler with a callback.
-func (d *driver) sendCallback(input *simapi.Input) {
-	n := input.Callback
+func (d *driver) sendCallback(sched int, message *simapi.CallbackReceived) {
+	n := message.Callback
 	body, err := jsoniter.ConfigDefault.Marshal(callbackForm{n.CallID, n.EndpointID, n.State, n.Progress, n.Result})
 	if err != nil {
 		d.fail(err)
 		return
 	}
-	s := d.schedulers[input.Scheduler]
-	p := s.callbackPools[input.Worker]
+	s := d.schedulers[sched]
+	p := s.callbackPools[message.Worker]
 	if p == nil {
-		p = &callbackPool{driver: d, scheduler: input.Scheduler, worker: input.Worker}
-		s.callbackPools[input.Worker] = p
+		p = &callbackPool{driver: d, scheduler: sched, worker: message.Worker}
+		s.callbackPools[message.Worker] = p
 	}
-	c := &callbackCall{id: input.CallbackID, body: body}
+	c := &callbackCall{id: message.CallbackID, body: body}
 	c.timer = d.after(d.callbackTimeout, func() { p.callTimedOut(c) })
 	p.waiting = append(p.waiting, c)
 	p.proceed()
@@ -99,7 +99,7 @@
 func (p *callbackPool) callEnded(c *callbackCall, status int) {
 	p.driver.stop(c.timer)
 	if c.id != guestCallbackID {
-		p.driver.addOutput(simapi.Output{Kind: simapi.CallbackAnswered, Scheduler: p.scheduler, Worker: p.worker, CallbackID: c.id, Status: status})
+		p.driver.addOutput(p.scheduler, simapi.CallbackAnswered{Worker: p.worker, CallbackID: c.id, Status: status})
 	}
 }
 
--- a/internal/testbed/process/clients.go
+++ b/internal/testbed/process/clients.go
@@ -24,18 +24,18 @@
 }
 
 // sendRequest carries a client's request over its connection, which begins with the first.
-func (d *driver) sendRequest(input *simapi.Input) {
-	conn := d.clients[input.Conn]
+func (d *driver) sendRequest(sched int, message *simapi.RequestReceived) {
+	conn := d.clients[message.Conn]
 	if conn == nil {
-		conn = &client{driver: d, id: input.Conn, scheduler: input.Scheduler, target: d.addresses.scheduler(input.Scheduler)}
-		d.clients[input.Conn] = conn
-		if err := d.dial(&conn.socketConn, d.addresses.client(uint64(input.Conn)), conn.target, conn); err != nil {
+		conn = &client{driver: d, id: message.Conn, scheduler: sched, target: d.addresses.scheduler(sched)}
+		d.clients[message.Conn] = conn
+		if err := d.dial(&conn.socketConn, d.addresses.client(uint64(message.Conn)), conn.target, conn); err != nil {
 			conn.connFailed(err)
 			return
 		}
 	}
-	conn.request, conn.resent = input.Request, false
-	d.requestForms.add(input.Request, d.now)
+	conn.request, conn.resent = message.Request, false
+	d.requestForms.add(message.Request, d.now)
 	conn.sendRequest()
 }
 
@@ -75,12 +75,11 @@
 }
 
 func (c *client) responseReceived(a *http.Response, body []byte) {
-	o := simapi.Output{
-		Kind: simapi.ResponseWritten, Scheduler: c.scheduler, Conn: c.id, RequestID: c.request.RequestID, Status: a.StatusCode,
-		Result: string(body), RetryAfter: retryAfter(a.Header),
+	message := simapi.ResponseWritten{
+		Conn: c.id, RequestID: c.request.RequestID, Status: a.StatusCode, Result: string(body), RetryAfter: retryAfter(a.Header),
 	}
 	c.request = nil
-	c.driver.addOutput(o)
+	c.driver.addOutput(c.scheduler, message)
 }
 
 // retryAfter is the advice in an answer: seconds, whole or decimal. A date, or what makes no sense, is none.
@@ -95,14 +94,14 @@
 // connCut tells that the scheduler has ended the connection.
 func (c *client) connCut() {
 	delete(c.driver.clients, c.id)
-	c.driver.addOutput(simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: c.scheduler, Conn: c.id})
+	c.driver.addOutput(c.scheduler, simapi.ClientConnClosed{Conn: c.id})
 }
 
 // connFailed tells that it never came up.
 func (c *client) connFailed(err error) {
 	if !c.driver.failIfLocal(err) {
 		delete(c.driver.clients, c.id)
-		c.driver.addOutput(simapi.Output{Kind: simapi.ClientConnFailed, Scheduler: c.scheduler, Conn: c.id})
+		c.driver.addOutput(c.scheduler, simapi.ClientConnFailed{Conn: c.id})
 	}
 }
 
--- a/internal/testbed/process/discovery.go
+++ b/internal/testbed/process/discovery.go
@@ -10,6 +10,7 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"valvecove/internal/http1"
+	"valvecove/internal/requests"
 	"valvecove/internal/testbed/simapi"
 )
 
@@ -109,7 +110,7 @@
 		w.wantsSnapshot = true // asked for anew it is whole, and once it is told the call is over
 	}
 	w.driver.watches[w.scheduler] = w // the one before is silent from now on, until its scheduler closes it
-	w.driver.addOutput(simapi.Output{Kind: simapi.WatchRequested, Scheduler: w.scheduler, RetryAfter: time.Duration(after)})
+	w.driver.addOutput(w.scheduler, simapi.WatchRequested{Revision: after})
 }
 
 func (w *watch) reject(status int) {
@@ -157,12 +158,12 @@
 }
 
 // sendList hands on news of the fleet.
-func (d *driver) sendList(in *simapi.Input) {
-	watch := d.watches[in.Scheduler]
+func (d *driver) sendList(sched int, list *requests.EndpointList) {
+	watch := d.watches[sched]
 	if watch == nil {
 		return // the scheduler has left meanwhile
 	}
-	text, err := jsoniter.ConfigDefault.Marshal(d.localEndpoints(in.Scheduler, *in.List))
+	text, err := jsoniter.ConfigDefault.Marshal(d.localEndpoints(sched, *list))
 	if err != nil {
 		d.fail(err)
 		return
@@ -181,15 +182,15 @@
 }
 
 // sendHeartbeat tells that there is no news.
-func (d *driver) sendHeartbeat(in *simapi.Input) {
-	if w := d.watches[in.Scheduler]; w != nil && w.responding {
+func (d *driver) sendHeartbeat(sched int) {
+	if w := d.watches[sched]; w != nil && w.responding {
 		w.writeLine(nil)
 	}
 }
 
 // endWatch ends a watch, or has the call for it fail: in 503 before anything was said, by a reset after that.
-func (d *driver) endWatch(in *simapi.Input) {
-	w := d.watches[in.Scheduler]
+func (d *driver) endWatch(sched int) {
+	w := d.watches[sched]
 	switch {
 	case w == nil:
 	case w.responding:
--- a/internal/testbed/process/driver.go
+++ b/internal/testbed/process/driver.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"math"
 	"runtime"
+	"syscall"
 	"time"
 
 	"golang.org/x/sys/unix"
@@ -163,7 +164,10 @@
 	return false
 }
 
-func (d *driver) addOutput(o simapi.Output) { d.outputs = append(d.outputs, o) }
+// addOutput has the environment learn of something that a scheduler did.
+func (d *driver) addOutput(sched int, message simapi.OutputMessage) {
+	d.outputs = append(d.outputs, simapi.Output{Scheduler: sched, Message: message})
+}
 
 // record reports a trace event of the driver's own, at the end of the turn: those of the environment may be of instants before now.
 func (d *driver) record(s trace.Event) { d.events = append(d.events, s) }
@@ -347,73 +351,73 @@
 
 // carryOut does what reaches a scheduler.
 func (d *driver) carryOut(input *simapi.Input) {
-	switch input.Kind {
+	switch message := input.Message.(type) {
 	case simapi.Start, simapi.Terminate, simapi.Kill, simapi.Freeze, simapi.Resume, simapi.Replace, simapi.Reload:
-		d.controlProcess(input)
+		d.controlProcess(d.schedulers[input.Scheduler], message)
 	case simapi.RequestReceived:
-		d.sendRequest(input)
+		d.sendRequest(input.Scheduler, &message)
 	case simapi.ClientClosed:
-		d.closeClient(input.Conn)
+		d.closeClient(message.Conn)
 	case simapi.ClientMisbehaves:
-		d.startMisbehaving(input)
+		d.startMisbehaving(input.Scheduler, &message)
 	case simapi.WorkerConnected, simapi.WorkerDisconnected, simapi.ResponseReceived:
-		d.actOnWorkerConn(input)
+		d.actOnWorkerConn(message)
 	case simapi.CallbackReceived:
-		d.sendCallback(input)
-	case simapi.ListReceived, simapi.WatchHeartbeat, simapi.WatchEnded:
-		d.actOnWatch(input)
+		d.sendCallback(input.Scheduler, &message)
+	case simapi.ListReceived:
+		d.sendList(input.Scheduler, message.List)
+	case simapi.WatchHeartbeat:
+		d.sendHeartbeat(input.Scheduler)
+	case simapi.WatchEnded:
+		d.endWatch(input.Scheduler)
 	case simapi.WatchConnected:
 	case simapi.AcceptModeChanged:
-		if input.Worker < len(d.workers) {
-			d.failIfLocal(d.workers[input.Worker].setMode(input.Machine, input.Mode))
+		if message.Worker < len(d.workers) {
+			d.failIfLocal(d.workers[message.Worker].setMode(message.Machine, message.Mode))
 		}
 	case simapi.DiscoveryAcceptModeChanged:
-		d.failIfLocal(d.setDiscoveryMode(input.Discovery, input.Mode))
+		d.failIfLocal(d.setDiscoveryMode(message.Discovery, message.Mode))
 	default:
-		d.fail(fmt.Errorf("the environment gives an input of kind %d, which the process driver does not know", input.Kind))
+		d.fail(fmt.Errorf("the environment gives an input %T, which the process driver does not know", message))
 	}
 }
 
 // controlProcess starts, ends or signals a scheduler's process.
-func (d *driver) controlProcess(input *simapi.Input) {
-	target := d.schedulers[input.Scheduler]
-	switch input.Kind {
+func (d *driver) controlProcess(target *scheduler, input simapi.InputMessage) {
+	switch message := input.(type) {
 	case simapi.Start:
-		target.start(input.Start)
+		target.start(&message)
 	case simapi.Replace:
 		target.replace()
 	case simapi.Reload:
-		d.failIfLocal(d.openDiscovery(input.Discovery))
-		target.reload(input.Discovery)
-	default:
-		target.signal(input.Kind)
+		d.failIfLocal(d.openDiscovery(message.Discovery))
+		target.reload(message.Discovery)
+	case simapi.Kill:
+		target.reportNotReady()
+		target.enqueue(target.kill)
+	case simapi.Terminate:
+		target.signal(syscall.SIGTERM)
+	case simapi.Freeze:
+		target.signal(syscall.SIGSTOP)
+	case simapi.Resume:
+		target.signal(syscall.SIGCONT)
 	}
 }
 
 // actOnWorkerConn does what a worker does on a connection, if that is still there.
-func (d *driver) actOnWorkerConn(input *simapi.Input) {
-	conn := d.workerConns[input.Conn]
-	if conn == nil {
-		return
-	}
-	switch input.Kind {
+func (d *driver) actOnWorkerConn(input simapi.InputMessage) {
+	switch message := input.(type) {
 	case simapi.WorkerConnected:
-		conn.accepted(input.Bytes)
+		if conn := d.workerConns[message.Conn]; conn != nil {
+			conn.accepted(message.ResetAfter)
+		}
 	case simapi.WorkerDisconnected:
-		conn.closeByWorker(input.Reset)
+		if conn := d.workerConns[message.Conn]; conn != nil {
+			conn.closeByWorker(message.Reset)
+		}
 	case simapi.ResponseReceived:
-		conn.respond(input)
-	}
-}
-
-// actOnWatch does what discovery does on a scheduler's watch.
-func (d *driver) actOnWatch(input *simapi.Input) {
-	switch input.Kind {
-	case simapi.ListReceived:
-		d.sendList(input)
-	case simapi.WatchHeartbeat:
-		d.sendHeartbeat(input)
-	case simapi.WatchEnded:
-		d.endWatch(input)
+		if conn := d.workerConns[message.Conn]; conn != nil {
+			conn.respond(&message)
+		}
 	}
 }
--- a/internal/testbed/process/driver_test.go
+++ b/internal/testbed/process/driver_test.go
@@ -95,13 +95,15 @@
 	return simapi.Output{}
 }
 
-func (r *rig) want(kind simapi.OutputKind) simapi.Output {
+// want is what comes next from schedulers, which must be of a type.
+func want[T simapi.OutputMessage](r *rig) T {
 	r.Helper()
 	o := r.next()
-	if o.Kind != kind {
-		r.Fatalf("got %+v, expected kind %d", o, kind)
+	message, ok := o.Message.(T)
+	if !ok {
+		r.Fatalf("got %T %+v, expected %T", o.Message, o, message)
 	}
-	return o
+	return message
 }
 
 // serve serves HTTP where a scheduler would.
@@ -126,7 +128,7 @@
 func TestClients(t *testing.T) {
 	r := newRig(t, Options{})
 	r.sendRequest(1, "nobody")
-	r.want(simapi.ClientConnFailed)
+	want[simapi.ClientConnFailed](r)
 	r.serve(framingHandler(t))
 	for i, x := range []struct {
 		call, result string
@@ -146,14 +148,13 @@
 		conn := simapi.Conn(2 + max(0, i-4)) // the first five share one
 		r.sendRequest(conn, x.call)
 		if x.status > 0 {
-			o := r.want(simapi.ResponseWritten)
-			o.Kind = 0
-			if o != (simapi.Output{Conn: conn, RequestID: x.call, Status: x.status, Result: x.result, RetryAfter: x.after}) {
+			o := want[simapi.ResponseWritten](r)
+			if o != (simapi.ResponseWritten{Conn: conn, RequestID: x.call, Status: x.status, Result: x.result, RetryAfter: x.after}) {
 				t.Errorf("%s: %+v", x.call, o)
 			}
 		}
 		if x.status == 0 || x.ends {
-			if o := r.want(simapi.ClientConnClosed); o.Conn != conn {
+			if o := want[simapi.ClientConnClosed](r); o.Conn != conn {
 				t.Errorf("%s: %+v", x.call, o)
 			}
 		}
@@ -162,10 +163,10 @@
 
 // sendRequest has a client send a request with all that one may have.
 func (r *rig) sendRequest(conn simapi.Conn, call string) {
-	r.do(simapi.Input{Kind: simapi.RequestReceived, Conn: conn, Request: &simapi.ClientRequest{
+	r.do(simapi.Input{Message: simapi.RequestReceived{Conn: conn, Request: &simapi.ClientRequest{
 		RequestID: call, Class: 3, Tenant: 1, IdempotencyKey: "k-" + call,
 		Budget: 480*time.Millisecond + 700, CostHint: 12 * time.Millisecond, Slots: 2, BodyLength: 300, Retry: true,
-	}})
+	}}})
 }
 
 // framingHandler checks the requests of sendRequest, and answers them in all framings, by their ids.
@@ -229,13 +230,13 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	}
 	request := func(call string) {
-		r.do(simapi.Input{Kind: simapi.RequestReceived, Conn: 1, Request: &simapi.ClientRequest{RequestID: call, BodyLength: 10}})
+		r.do(simapi.Input{Message: simapi.RequestReceived{Conn: 1, Request: &simapi.ClientRequest{RequestID: call, BodyLength: 10}}})
 	}
 	r.d.post(func() { r.d.schedulers[0].alive, r.d.schedulers[0].incarnation = true, 2 })
 	request("a")
 	c, _ := l.Accept()
 	answer(c)
-	r.want(simapi.ResponseWritten)
+	want[simapi.ResponseWritten](r)
 	request("b")
 	_, _ = c.Read(make([]byte, 1)) // the rest stays unread, so that the close is a reset
 	_ = c.Close()
@@ -243,7 +244,7 @@
 		t.Fatal(err)
 	}
 	answer(c)
-	if o := r.want(simapi.ResponseWritten); o.RequestID != "b" {
+	if o := want[simapi.ResponseWritten](r); o.RequestID != "b" {
 		t.Errorf("%+v", o)
 	}
 	request("c")
@@ -256,7 +257,7 @@
 		got += string(b[:n])
 	}
 	_ = c.Close()
-	r.want(simapi.ClientConnClosed)
+	want[simapi.ClientConnClosed](r)
 }
 
 // scheduler is the test's end of a link to a worker.
@@ -296,18 +297,18 @@
 func TestNodes(t *testing.T) {
 	r := newRig(t, Options{})
 	s := r.connect(1)
-	dial := r.want(simapi.WorkerDialed)
+	dial := want[simapi.WorkerDialed](r)
 	if dial.Worker != 1 || dial.Conn != simapi.WorkerConn(0, 1) {
 		t.Fatalf("%+v", dial)
 	}
-	up := simapi.Input{Kind: simapi.WorkerConnected, Conn: dial.Conn}
+	up := simapi.Input{Message: simapi.WorkerConnected{Conn: dial.Conn}}
 	body := string(appendBody(nil, "c1", 40))
 	r.d.post(func() {
 		r.d.requestForms.add(&simapi.ClientRequest{RequestID: "c1", Class: 3, IdempotencyKey: "k1", BodyLength: 40}, 0)
 	})
 	_, _ = io.WriteString(s, requestText("c1", "k1", body)) // the environment has not accepted yet: this waits
 	r.do(up)
-	o := r.want(simapi.AttemptWritten)
+	o := want[simapi.AttemptWritten](r)
 	if o.RequestID != "c1" || o.IdempotencyKey != "k1" || o.Budget != 77*time.Millisecond || o.Worker != 1 || o.FirstByteAt <= 0 {
 		t.Errorf("%+v", o)
 	}
@@ -321,12 +322,12 @@
 	if got := s.status(); got != 400 || s.status() != 0 {
 		t.Errorf("garbage: %d", got)
 	}
-	r.want(simapi.WorkerConnClosed)
+	want[simapi.WorkerConnClosed](r)
 }
 
 // answer has the environment answer what was read last.
 func (s *schedEnd) answer(conn simapi.Conn, status int) {
-	s.r.do(simapi.Input{Kind: simapi.ResponseReceived, Conn: conn, Status: status, Rejected: status == 503})
+	s.r.do(simapi.Input{Message: simapi.ResponseReceived{Conn: conn, Status: status, Rejected: status == 503}})
 }
 
 // checkForwarded checks what the worker passes on to the environment.
@@ -334,20 +335,18 @@
 	s.r.Helper()
 	for _, x := range []struct {
 		text string
-		kind simapi.OutputKind
-		call string
+		want simapi.OutputMessage // but for the first byte's instant
 	}{
-		{requestText("c1", "k1", body[:39]+"!"), simapi.AttemptWritten, "c1!body"},
-		{requestText("c1", "k2", body), simapi.AttemptWritten, "c1!path"},
-		{requestText("unknown", "k2", "x"), simapi.AttemptWritten, "unknown"},
-		{"GET /alive HTTP/1.1\r\nHost: w\r\n\r\n", simapi.HealthCheckWritten, ""},
-		{"GET /metrics/load HTTP/1.1\r\nHost: w\r\n\r\n", simapi.HealthCheckWritten, ""},
-		{"DELETE /jobs/c1 HTTP/1.1\r\nHost: w\r\n\r\n", simapi.CancellationReceived, "c1"},
+		{requestText("c1", "k1", body[:39]+"!"), attempt(conn, "c1!body", "k1")},
+		{requestText("c1", "k2", body), attempt(conn, "c1!path", "k2")},
+		{requestText("unknown", "k2", "x"), attempt(conn, "unknown", "k2")},
+		{"GET /alive HTTP/1.1\r\nHost: w\r\n\r\n", simapi.HealthCheckWritten{Worker: 1, Conn: conn}},
+		{"GET /metrics/load HTTP/1.1\r\nHost: w\r\n\r\n", simapi.HealthCheckWritten{Worker: 1, Conn: conn, WantsLoadReport: true}},
+		{"DELETE /jobs/c1 HTTP/1.1\r\nHost: w\r\n\r\n", simapi.CancellationWritten{Worker: 1, Conn: conn, RequestID: "c1"}},
 	} {
 		_, _ = io.WriteString(s, x.text)
-		o := s.r.want(x.kind)
-		if o.RequestID != x.call || o.WantsLoadReport != strings.Contains(x.text, "load") {
-			s.r.Errorf("%s: %+v", x.text, o)
+		if got := withoutFirstByte(s.r.next().Message); got != x.want {
+			s.r.Errorf("%s: %+v", x.text, got)
 		}
 		s.answer(conn, 503)
 		a, err := http.ReadResponse(s.in, nil)
@@ -357,6 +356,27 @@
 	}
 }
 
+// attempt is an attempt of requestText, as worker 1 passes it on.
+func attempt(conn simapi.Conn, call, key string) simapi.OutputMessage {
+	return simapi.AttemptWritten{Worker: 1, Conn: conn, RequestID: call, IdempotencyKey: key, Budget: 77 * time.Millisecond}
+}
+
+// withoutFirstByte is a message without the instant of its first byte.
+func withoutFirstByte(message simapi.OutputMessage) simapi.OutputMessage {
+	switch m := message.(type) {
+	case simapi.AttemptWritten:
+		m.FirstByteAt = 0
+		return m
+	case simapi.HealthCheckWritten:
+		m.FirstByteAt = 0
+		return m
+	case simapi.CancellationWritten:
+		m.FirstByteAt = 0
+		return m
+	}
+	return message
+}
+
 // checkAnsweredByItself checks what the worker answers without the environment.
 func (s *schedEnd) checkAnsweredByItself(body string) {
 	s.r.Helper()
@@ -381,42 +401,42 @@
 	// Reset after so many bytes read.
 	for most, notified := range map[int]bool{10: false, len(request): true} {
 		s := r.connect(0)
-		conn := r.want(simapi.WorkerDialed).Conn
+		conn := want[simapi.WorkerDialed](r).Conn
 		_, _ = io.WriteString(s, request)
-		r.do(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn, Bytes: most})
+		r.do(simapi.Input{Message: simapi.WorkerConnected{Conn: conn, ResetAfter: most}})
 		if notified {
-			r.want(simapi.AttemptWritten)
+			want[simapi.AttemptWritten](r)
 		}
-		r.want(simapi.WorkerConnClosed)
+		want[simapi.WorkerConnClosed](r)
 		if _, err := s.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("reset after %d bytes: %v", most, err)
 		}
 	}
 	// Reset after so many bytes of the answer.
 	s := r.connect(0)
-	conn := r.want(simapi.WorkerDialed).Conn
-	r.do(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn})
+	conn := want[simapi.WorkerDialed](r).Conn
+	r.do(simapi.Input{Message: simapi.WorkerConnected{Conn: conn}})
 	_, _ = io.WriteString(s, request)
-	r.want(simapi.AttemptWritten)
-	r.do(simapi.Input{Kind: simapi.ResponseReceived, Conn: conn, Status: 202, Bytes: 9})
+	want[simapi.AttemptWritten](r)
+	r.do(simapi.Input{Message: simapi.ResponseReceived{Conn: conn, Status: 202, Bytes: 9}})
 	if b, err := io.ReadAll(s.in); string(b) != "HTTP/1.1 " || !errors.Is(err, syscall.ECONNRESET) {
 		// A reset may overtake what was written before it, as on any network.
 		if !errors.Is(err, syscall.ECONNRESET) || len(b) > 0 {
 			t.Errorf("%q, %v", b, err)
 		}
 	}
-	r.want(simapi.WorkerConnClosed)
+	want[simapi.WorkerConnClosed](r)
 	// Closed by the environment, and by the scheduler.
 	for _, reset := range []bool{false, true} {
 		s := r.connect(0)
-		r.do(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: r.want(simapi.WorkerDialed).Conn, Reset: reset})
+		r.do(simapi.Input{Message: simapi.WorkerDisconnected{Conn: want[simapi.WorkerDialed](r).Conn, Reset: reset}})
 		if _, err := s.Read(make([]byte, 1)); errors.Is(err, syscall.ECONNRESET) != reset {
 			t.Errorf("reset %v: %v", reset, err)
 		}
 	}
 	_ = r.connect(0).Close()
-	r.want(simapi.WorkerDialed)
-	r.want(simapi.WorkerConnClosed)
+	want[simapi.WorkerDialed](r)
+	want[simapi.WorkerConnClosed](r)
 }
 
 // silentDialTimeout is how long a dial waits that nobody answers.
@@ -426,11 +446,11 @@
 func TestAcceptModes(t *testing.T) {
 	r := newRig(t, Options{})
 	s := r.connect(0)
-	conn := r.want(simapi.WorkerDialed).Conn
-	r.do(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn})
+	conn := want[simapi.WorkerDialed](r).Conn
+	r.do(simapi.Input{Message: simapi.WorkerConnected{Conn: conn}})
 	receive := func(machine, mode int) {
 		done := make(chan struct{})
-		r.do(simapi.Input{Kind: simapi.AcceptModeChanged, Worker: 0, Machine: machine, Mode: mode})
+		r.do(simapi.Input{Message: simapi.AcceptModeChanged{Worker: 0, Machine: machine, Mode: mode}})
 		r.d.post(func() { close(done) })
 		<-done
 	}
@@ -448,20 +468,20 @@
 			t.Errorf("mode %d: %v", mode, err)
 		}
 		_, _ = io.WriteString(s, "GET /alive HTTP/1.1\r\nHost: w\r\n\r\n")
-		r.want(simapi.HealthCheckWritten)
-		r.do(simapi.Input{Kind: simapi.ResponseReceived, Conn: conn, Status: 200})
+		want[simapi.HealthCheckWritten](r)
+		r.do(simapi.Input{Message: simapi.ResponseReceived{Conn: conn, Status: 200}})
 		if s.status() != 200 {
 			t.Errorf("mode %d: the open link has no answer", mode)
 		}
 	}
 	receive(0, simapi.AcceptAll)
 	r.connect(0)
-	r.want(simapi.WorkerDialed)
+	want[simapi.WorkerDialed](r)
 	// The machine that takes its place is found elsewhere, and where the first was there is nobody.
 	receive(0, simapi.AcceptSilently)
 	receive(1, simapi.AcceptAll)
 	r.connect(2 + 0)
-	if o := r.want(simapi.WorkerDialed); o.Worker != 0 || o.Machine != 1 {
+	if o := want[simapi.WorkerDialed](r); o.Worker != 0 || o.Machine != 1 {
 		t.Errorf("the second machine is dialled by %+v", o)
 	}
 	if _, err := net.DialTimeout("tcp", at, silentDialTimeout); err == nil {
@@ -478,11 +498,11 @@
 		if state == "done" {
 			n.Result = &result
 		}
-		r.do(simapi.Input{Kind: simapi.CallbackReceived, Worker: 1, CallbackID: id, Callback: n})
+		r.do(simapi.Input{Message: simapi.CallbackReceived{Worker: 1, CallbackID: id, Callback: n}})
 	}
 	acked := func(id uint64, status int) {
 		t.Helper()
-		if o := r.want(simapi.CallbackAnswered); o.CallbackID != id || o.Status != status || o.Worker != 1 {
+		if o := want[simapi.CallbackAnswered](r); o.CallbackID != id || o.Status != status || o.Worker != 1 {
 			t.Errorf("%+v, expected callback %d with %d", o, id, status)
 		}
 	}
@@ -521,7 +541,7 @@
 	}
 	got := map[uint64]int{}
 	for range 50 {
-		o := r.want(simapi.CallbackAnswered)
+		o := want[simapi.CallbackAnswered](r)
 		got[o.CallbackID] = o.Status
 	}
 	if len(got) != 50 || got[10] != 204 || got[59] != 204 {
@@ -549,27 +569,31 @@
 	list := &requests.EndpointList{Revision: 43, Endpoints: []requests.Endpoint{
 		{ID: "w-1.1", Zone: "a", MachineType: "m", Lifecycle: "up", Weight: 1},
 	}}
-	want := fmt.Sprintf(`{"generation":43,"reset":false,"instances":[{"instanceId":"w-1.1","hostPort":"%v","zone":"a",`+
+	wantLine := fmt.Sprintf(`{"generation":43,"reset":false,"instances":[{"instanceId":"w-1.1","hostPort":"%v","zone":"a",`+
 		`"machineType":"m","cell":0,"lifecycle":"up","weight":1,"startedAtMs":0}]}`,
 		r.d.addresses.worker(2+1, 0)) // after the first two
 	go func() {
-		if o := r.want(simapi.WatchRequested); o.RetryAfter != 41 {
+		if o := want[simapi.WatchRequested](r); o.Revision != 41 {
 			t.Errorf("%+v", o)
 		}
-		r.do(simapi.Input{Kind: simapi.ListReceived, List: list}, simapi.Input{Kind: simapi.WatchHeartbeat}, simapi.Input{Kind: simapi.ListReceived, List: list})
+		received := simapi.Input{Message: simapi.ListReceived{List: list}}
+		r.do(received, simapi.Input{Message: simapi.WatchHeartbeat{}}, received)
 	}()
 	_, lines := request(r.d.addresses.discovery(0, 0), "/discovery/hosts?stream=1&index=41")
-	for _, x := range []string{want, "", want} {
+	for _, x := range []string{wantLine, "", wantLine} {
 		if line, err := lines.ReadString('\n'); err != nil || line != x+"\n" {
 			t.Errorf("%q, %v, expected %q", line, err, x)
 		}
 	}
-	r.do(simapi.Input{Kind: simapi.WatchEnded})
+	r.do(simapi.Input{Message: simapi.WatchEnded{}})
 	if _, err := lines.ReadString('\n'); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("ended: %v", err)
 	}
 	// At another address, once the environment has it there: a call that fails, the whole list, and what is no call.
-	r.do(simapi.Input{Kind: simapi.DiscoveryAcceptModeChanged, Discovery: 1, Mode: simapi.AcceptAll}, simapi.Input{Kind: simapi.DiscoveryAcceptModeChanged, Mode: simapi.AcceptNone})
+	r.do(
+		simapi.Input{Message: simapi.DiscoveryAcceptModeChanged{Discovery: 1, Mode: simapi.AcceptAll}},
+		simapi.Input{Message: simapi.DiscoveryAcceptModeChanged{Mode: simapi.AcceptNone}},
+	)
 	notified := make(chan struct{})
 	r.d.post(func() { close(notified) })
 	<-notified
@@ -577,18 +601,18 @@
 		t.Errorf("the old address: %v", err)
 	}
 	go func() {
-		r.want(simapi.WatchRequested)
-		r.do(simapi.Input{Kind: simapi.WatchEnded})
-		if o := r.want(simapi.WatchRequested); o.RetryAfter != 0 {
+		want[simapi.WatchRequested](r)
+		r.do(simapi.Input{Message: simapi.WatchEnded{}})
+		if o := want[simapi.WatchRequested](r); o.Revision != 0 {
 			t.Errorf("%+v", o)
 		}
-		r.do(simapi.Input{Kind: simapi.ListReceived, List: list})
+		r.do(simapi.Input{Message: simapi.ListReceived{List: list}})
 	}()
 	if a, _ := request(r.d.addresses.discovery(1, 0), "/discovery/hosts?stream=1&index=43"); a.StatusCode != 503 {
 		t.Errorf("a call that fails: %d", a.StatusCode)
 	}
 	a, body := request(r.d.addresses.discovery(1, 0), "/discovery/hosts")
-	if text, _ := io.ReadAll(body); a.StatusCode != 200 || string(text) != want {
+	if text, _ := io.ReadAll(body); a.StatusCode != 200 || string(text) != wantLine {
 		t.Errorf("%d %s", a.StatusCode, text)
 	}
 	for path, status := range map[string]int{"/else": 404, "/discovery/hosts?stream=1&index=x": 400} {
@@ -613,17 +637,22 @@
 	for i, kind := range scenario.MisbehaviorKinds {
 		conn := simapi.Conn(i + 1)
 		kinds[conn] = kind
-		r.do(simapi.Input{Kind: simapi.ClientMisbehaves, Conn: conn, Misbehavior: &simapi.Misbehavior{Kind: kind, Number: 1, RequestID: "open"}})
+		r.do(simapi.Input{Message: simapi.ClientMisbehaves{Conn: conn, Kind: kind, Number: 1, RequestID: "open"}})
 	}
 	for len(kinds) > 0 {
+		conn := simapi.Conn(0)
 		o := r.next()
-		kind := kinds[o.Conn]
-		switch delete(kinds, o.Conn); {
-		case o.Kind == simapi.ClientConnClosed:
-		case o.Kind == simapi.ResponseWritten && o.Status >= 400:
+		switch message := o.Message.(type) {
+		case simapi.ClientConnClosed:
+			conn = message.Conn
+		case simapi.ResponseWritten:
+			if conn = message.Conn; message.Status < 400 {
+				t.Errorf("%s: %+v", kinds[conn], o)
+			}
 		default:
-			t.Errorf("%s: %+v", kind, o)
+			t.Fatalf("%T: %+v", o.Message, o)
 		}
+		delete(kinds, conn)
 	}
 	lock.Lock()
 	defer lock.Unlock()
@@ -653,7 +682,7 @@
 		w.WriteHeader(204)
 	}))
 	s := r.connect(0)
-	r.do(simapi.Input{Kind: simapi.WorkerConnected, Conn: r.want(simapi.WorkerDialed).Conn})
+	r.do(simapi.Input{Message: simapi.WorkerConnected{Conn: want[simapi.WorkerDialed](r).Conn}})
 	_, _ = io.WriteString(s, requestText("mine", "k", "x"))
 	status, started, done := s.status(), <-callbacks, <-callbacks
 	if status != 202 || !strings.Contains(started, "started") || !strings.Contains(done, `"done","result":"mine ran`) {
@@ -695,25 +724,24 @@
 		}
 	}})
 	known := requests.EndpointList{Revision: 9, Endpoints: []requests.Endpoint{{ID: "w-1", Lifecycle: "up"}}}
-	boot := &simapi.StartOptions{Name: "s1", Seed: 5, KnownEndpoints: known}
-	start := simapi.Input{Kind: simapi.Start, Start: boot}
-	r.do(start)
+	boot := simapi.Start{Name: "s1", Seed: 5, KnownEndpoints: known}
+	r.do(simapi.Input{Message: boot})
 	r.wantPoll(9, true) // the generation that it was started with
 	<-looked
 	if usage.Memory <= 0 || usage.OpenFiles <= 0 || usage.CPU <= 0 {
 		t.Errorf("%+v", usage)
 	}
-	r.do(simapi.Input{Kind: simapi.Freeze}, simapi.Input{Kind: simapi.Resume}, simapi.Input{Kind: simapi.Reload, Discovery: 1})
+	r.do(simapi.Input{Message: simapi.Freeze{}}, simapi.Input{Message: simapi.Resume{}}, simapi.Input{Message: simapi.Reload{Discovery: 1}})
 	r.wantPoll(9, false)
-	r.do(simapi.Input{Kind: simapi.Terminate})
-	if o := r.want(simapi.Exited); o.Status != 7 {
+	r.do(simapi.Input{Message: simapi.Terminate{}})
+	if o := want[simapi.Exited](r); o.Status != 7 {
 		t.Errorf("%+v", o)
 	}
 	boot.KnownEndpoints.Revision = 10
-	r.do(start)
+	r.do(simapi.Input{Message: boot})
 	r.wantPoll(10, true)
-	r.do(simapi.Input{Kind: simapi.Freeze}, simapi.Input{Kind: simapi.Kill}) // of which nothing is told
-	r.do(start)
+	r.do(simapi.Input{Message: simapi.Freeze{}}, simapi.Input{Message: simapi.Kill{}}) // of which nothing is told
+	r.do(simapi.Input{Message: boot})
 	r.wantPoll(10, true)
 	log, err := os.ReadFile(r.d.schedulers[0].log.path)
 	text := string(log)
@@ -726,10 +754,12 @@
 func (r *rig) wantPoll(after int64, ready bool) {
 	r.Helper()
 	for sent := false; !sent || ready; {
-		switch o := r.next(); {
-		case o.Kind == simapi.Ready && ready:
+		o := r.next()
+		_, isReady := o.Message.(simapi.Ready)
+		switch {
+		case isReady && ready:
 			ready = false
-		case o.Kind == simapi.WatchRequested && !sent && int64(o.RetryAfter) == after:
+		case !sent && o.Message == simapi.OutputMessage(simapi.WatchRequested{Revision: after}):
 			sent = true
 		default:
 			r.Fatalf("%+v", o)
--- a/internal/testbed/process/misbehaving.go
+++ b/internal/testbed/process/misbehaving.go
@@ -67,14 +67,14 @@
 }
 
 // startMisbehaving begins a misbehaving client.
-func (d *driver) startMisbehaving(in *simapi.Input) {
+func (d *driver) startMisbehaving(sched int, message *simapi.ClientMisbehaves) {
 	o := &misbehavingClient{
-		driver: d, id: in.Conn, scheduler: in.Scheduler, kind: in.Misbehavior.Kind,
-		rng: rand.New(rand.NewPCG(in.Misbehavior.Number, xxhash.Sum64String(in.Misbehavior.Kind))), insistUntil: d.now + insistTime,
+		driver: d, id: message.Conn, scheduler: sched, kind: message.Kind,
+		rng: rand.New(rand.NewPCG(message.Number, xxhash.Sum64String(message.Kind))), insistUntil: d.now + insistTime,
 	}
 	d.misbehaving[o.id] = o
 	o.timer = d.after(misbehavingTimeout, o.close)
-	o.start(in.Misbehavior)
+	o.start(message)
 	if o.open == 0 && !o.ended { // nothing came up
 		o.end()
 	}
@@ -116,7 +116,7 @@
 func (o *misbehavingClient) end() {
 	if !o.reported && !o.ended {
 		o.reported = true
-		o.driver.addOutput(simapi.Output{Kind: simapi.ClientConnClosed, Scheduler: o.scheduler, Conn: o.id})
+		o.driver.addOutput(o.scheduler, simapi.ClientConnClosed{Conn: o.id})
 	}
 	o.close()
 }
@@ -141,7 +141,7 @@
 func (o *misbehavingClient) responseReceived(k *misbehavingConn, status int) {
 	if !o.reported || status/100 == 2 {
 		o.reported = true
-		o.driver.addOutput(simapi.Output{Kind: simapi.ResponseWritten, Scheduler: o.scheduler, Conn: o.id, Status: status})
+		o.driver.addOutput(o.scheduler, simapi.ResponseWritten{Conn: o.id, Status: status})
 	}
 	switch {
 	case o.kind == "flood" || o.kind == "slow_reader": // there is more to come
@@ -254,7 +254,7 @@
 
 // misbehaviors is what clients of each kind do, with a request that is in order so far. Each has an answer or a close
 // coming, but for those that leave by themselves.
-var misbehaviors = map[string]func(o *misbehavingClient, request misbehavingRequest, spec *simapi.Misbehavior){
+var misbehaviors = map[string]func(o *misbehavingClient, request misbehavingRequest, spec *simapi.ClientMisbehaves){
 	"garbage":         (*misbehavingClient).sendGarbage,
 	"endless_head":    (*misbehavingClient).sendEndlessHeader,
 	"wrong_length":    (*misbehavingClient).sendWrongLength,
@@ -275,7 +275,7 @@
 }
 
 // start does what the client's kind does.
-func (o *misbehavingClient) start(spec *simapi.Misbehavior) {
+func (o *misbehavingClient) start(spec *simapi.ClientMisbehaves) {
 	misbehave := misbehaviors[spec.Kind]
 	if misbehave == nil {
 		o.driver.fail(fmt.Errorf("misbehaving clients of kind %q are not known here, only %s", spec.Kind,
@@ -285,7 +285,7 @@
 	misbehave(o, o.newRequest(0), spec)
 }
 
-func (o *misbehavingClient) sendGarbage(_ misbehavingRequest, _ *simapi.Misbehavior) {
+func (o *misbehavingClient) sendGarbage(_ misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	b := make([]byte, 1+o.rng.IntN(8<<10))
 	for i := range b {
 		b[i] = byte(o.rng.Uint32())
@@ -293,14 +293,14 @@
 	o.connect(append(b, "\r\n\r\n"...))
 }
 
-func (o *misbehavingClient) sendEndlessHeader(request misbehavingRequest, _ *simapi.Misbehavior) {
+func (o *misbehavingClient) sendEndlessHeader(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	line := []byte(strings.Repeat("X-More: "+strings.Repeat("m", 100)+"\r\n", 40))
 	o.connect(http1.AppendRequestStart(nil, "POST", request.path, request.endpoint)).feed = func() []byte { return line }
 }
 
 // sendWrongLength says a length that is too long, so that the request is never whole, or too short, so that the rest is
 // no request.
-func (o *misbehavingClient) sendWrongLength(request misbehavingRequest, spec *simapi.Misbehavior) {
+func (o *misbehavingClient) sendWrongLength(request misbehavingRequest, spec *simapi.ClientMisbehaves) {
 	off := 1 + o.rng.IntN(len(request.body))
 	if spec.Number%2 == 0 {
 		off = -off
@@ -309,17 +309,17 @@
 	o.connect(request.bytes())
 }
 
-func (o *misbehavingClient) sendNegativeLength(request misbehavingRequest, _ *simapi.Misbehavior) {
+func (o *misbehavingClient) sendNegativeLength(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	request.length = strconv.Itoa(-1 - o.rng.IntN(1000))
 	o.connect(request.bytes())
 }
 
-func (o *misbehavingClient) sendHugeLength(request misbehavingRequest, _ *simapi.Misbehavior) {
+func (o *misbehavingClient) sendHugeLength(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	request.length = "9" + strings.Repeat("0", 8+o.rng.IntN(20))
 	o.connect(request.bytes())
 }
 
-func (o *misbehavingClient) sendHugeBody(request misbehavingRequest, _ *simapi.Misbehavior) {
+func (o *misbehavingClient) sendHugeBody(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	request.length, request.body = strconv.Itoa(hugeBody), ""
 	part, remaining := make([]byte, 64<<10), hugeBody
 	o.connect(request.bytes()).feed = func() []byte {
@@ -332,36 +332,36 @@
 	}
 }
 
-func (o *misbehavingClient) sendUnknownClass(request misbehavingRequest, _ *simapi.Misbehavior) {
+func (o *misbehavingClient) sendUnknownClass(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	request.setClass(unknownClass)
 	o.connect(request.bytes())
 }
 
-func (o *misbehavingClient) sendBadDeadline(request misbehavingRequest, _ *simapi.Misbehavior) {
+func (o *misbehavingClient) sendBadDeadline(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	request.budget = []string{"soon", "-1", "1e3", "12ms", "99999999999999999999", "0x10"}[o.rng.IntN(6)]
 	o.connect(request.bytes())
 }
 
-func (o *misbehavingClient) sendNoID(request misbehavingRequest, _ *simapi.Misbehavior) {
+func (o *misbehavingClient) sendNoID(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	request.id = ""
 	o.connect(request.bytes())
 }
 
 // sendStolenID sends a request under the id of another client's.
-func (o *misbehavingClient) sendStolenID(request misbehavingRequest, spec *simapi.Misbehavior) {
+func (o *misbehavingClient) sendStolenID(request misbehavingRequest, spec *simapi.ClientMisbehaves) {
 	if spec.RequestID != "" {
 		request.id = spec.RequestID
 	}
 	o.connect(request.bytes())
 }
 
-func (o *misbehavingClient) sendHalfThenClose(request misbehavingRequest, _ *simapi.Misbehavior) {
+func (o *misbehavingClient) sendHalfThenClose(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	b := request.bytes()
 	o.connect(b[:1+o.rng.IntN(len(b)-1)]).closeWhenFlushed = true
 }
 
 // sendFlood sends hundreds of requests at once.
-func (o *misbehavingClient) sendFlood(_ misbehavingRequest, _ *simapi.Misbehavior) {
+func (o *misbehavingClient) sendFlood(_ misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	var b []byte
 	for i := range 200 + o.rng.IntN(300) {
 		request := o.newRequest(i)
@@ -371,15 +371,17 @@
 }
 
 // sendInsistently sends the same request again and again, until it is served.
-func (o *misbehavingClient) sendInsistently(request misbehavingRequest, _ *simapi.Misbehavior) {
+func (o *misbehavingClient) sendInsistently(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	o.insistRequest = request.bytes()
 	o.connect(o.insistRequest)
 }
 
-func (o *misbehavingClient) sendNothing(_ misbehavingRequest, _ *simapi.Misbehavior) { o.connect(nil) }
+func (o *misbehavingClient) sendNothing(_ misbehavingRequest, _ *simapi.ClientMisbehaves) {
+	o.connect(nil)
+}
 
 // sendSmuggled hides a request in another's body: by chunks the body ends before the hidden one, by length after it.
-func (o *misbehavingClient) sendSmuggled(request misbehavingRequest, _ *simapi.Misbehavior) {
+func (o *misbehavingClient) sendSmuggled(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	hidden := o.newRequest(1)
 	hidden.id = hiddenPrefix + hidden.id
 	hidden.setClass(hidden.class)
@@ -390,7 +392,7 @@
 }
 
 // sendHeaderSlowly sends a request byte by byte.
-func (o *misbehavingClient) sendHeaderSlowly(request misbehavingRequest, _ *simapi.Misbehavior) {
+func (o *misbehavingClient) sendHeaderSlowly(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	b := request.bytes()
 	conn, sent := o.connect(b[:1]), 1
 	conn.repeatSlowly(func() {
@@ -402,7 +404,7 @@
 }
 
 // readSlowly sends a megabyte of requests and reads the answers a few bytes at a time.
-func (o *misbehavingClient) readSlowly(request misbehavingRequest, _ *simapi.Misbehavior) {
+func (o *misbehavingClient) readSlowly(request misbehavingRequest, _ *simapi.ClientMisbehaves) {
 	request.setClass(unknownClass)
 	var b []byte
 	for one := request.bytes(); len(b) < 1<<20; {
--- a/internal/testbed/process/processes.go
+++ b/internal/testbed/process/processes.go
@@ -38,7 +38,7 @@
 	name          string
 	listen        netip.AddrPort
 	configPath    string // its configuration file
-	startOptions  *simapi.StartOptions
+	startOptions  *simapi.Start
 	commands      chan func()
 	idle          sync.WaitGroup
 	incarnation   int  // counts processes
@@ -115,12 +115,12 @@
 }
 
 // start starts a process; the one before it has been killed or has ended.
-func (s *scheduler) start(boot *simapi.StartOptions) {
-	s.startOptions = boot
+func (s *scheduler) start(options *simapi.Start) {
+	s.startOptions = options
 	s.incarnation++
 	s.started++
 	s.alive, s.ready = true, false
-	life, text, c := s.incarnation, s.configuration(boot.Discovery), s.command()
+	life, text, c := s.incarnation, s.configuration(options.Discovery), s.command()
 	s.enqueue(func() {
 		s.kill() // only one may have the address
 		err := s.configure(text)
@@ -278,7 +278,7 @@
 	}
 	s.reportNotReady()
 	s.exits = append(s.exits, code)
-	s.driver.addOutput(simapi.Output{Kind: simapi.Exited, Scheduler: s.number, Status: code})
+	s.driver.addOutput(s.number, simapi.Exited{Status: code})
 }
 
 func (s *scheduler) reportNotReady() {
@@ -289,19 +289,9 @@
 	}
 }
 
-// signals of the orders that are signals and nothing else.
-var signals = map[simapi.InputKind]syscall.Signal{
-	simapi.Terminate: syscall.SIGTERM, simapi.Freeze: syscall.SIGSTOP,
-	simapi.Resume: syscall.SIGCONT,
-}
-
-func (s *scheduler) signal(kind simapi.InputKind) {
-	if kind == simapi.Kill {
-		s.reportNotReady()
-		s.enqueue(s.kill)
-		return
-	}
-	s.enqueue(func() { s.sendSignal(signals[kind]) })
+// signal sends a signal once all before has been carried out.
+func (s *scheduler) signal(sig syscall.Signal) {
+	s.enqueue(func() { s.sendSignal(sig) })
 }
 
 // sendSignal sends a signal, if there is a process to take it. It is an order.
--- a/internal/testbed/process/readiness.go
+++ b/internal/testbed/process/readiness.go
@@ -82,10 +82,10 @@
 func (u *readinessPoll) responseReceived(up bool) {
 	if s := u.scheduler; up != s.ready {
 		s.ready, s.everReady = up, s.everReady || up
-		kind := simapi.Unready
 		if up {
-			kind = simapi.Ready
+			s.driver.addOutput(s.number, simapi.Ready{})
+		} else {
+			s.driver.addOutput(s.number, simapi.Unready{})
 		}
-		s.driver.addOutput(simapi.Output{Kind: kind, Scheduler: s.number})
 	}
 }
--- a/internal/testbed/process/workers.go
+++ b/internal/testbed/process/workers.go
@@ -123,15 +123,16 @@
 		return
 	}
 	n.driver.workerConns[k.id] = k
-	k.addOutput(simapi.Output{Kind: simapi.WorkerDialed, Machine: which})
+	k.addOutput(simapi.WorkerDialed{Worker: n.number, Machine: which, Conn: k.id})
 }
 
-func (k *workerConn) addOutput(o simapi.Output) {
-	o.Scheduler, o.Worker, o.Conn = k.scheduler, k.worker.number, k.id
-	if o.FirstByteAt > 0 {
-		o.FirstByteAt = k.worker.driver.environmentTime(o.FirstByteAt)
-	}
-	k.worker.driver.addOutput(o)
+func (k *workerConn) addOutput(message simapi.OutputMessage) {
+	k.worker.driver.addOutput(k.scheduler, message)
+}
+
+// firstByteTime is when the first byte of the request came, in the environment's time.
+func (k *workerConn) firstByteTime() time.Duration {
+	return k.worker.driver.environmentTime(k.firstByteAt)
 }
 
 // accepted is the environment's accepting of it. most > 0: the far end resets it after having read so many bytes.
@@ -153,7 +154,7 @@
 // reportClosed tells the environment that it is over, by the scheduler's doing or by what the environment wanted done at some byte.
 func (k *workerConn) reportClosed() {
 	delete(k.worker.driver.workerConns, k.id)
-	k.addOutput(simapi.Output{Kind: simapi.WorkerConnClosed})
+	k.addOutput(simapi.WorkerConnClosed{Worker: k.worker.number, Conn: k.id})
 }
 
 func (k *workerConn) connClosed(error) { k.reportClosed() }
@@ -202,13 +203,13 @@
 	switch withdrawn, isJob := strings.CutPrefix(path, "/jobs/"); {
 	case request.Method == http.MethodGet && path == "/alive":
 		k.awaitingResponse = true
-		k.addOutput(simapi.Output{Kind: simapi.HealthCheckWritten, FirstByteAt: k.firstByteAt})
+		k.addOutput(simapi.HealthCheckWritten{Worker: k.worker.number, Conn: k.id, FirstByteAt: k.firstByteTime()})
 	case request.Method == http.MethodGet && path == "/metrics/load":
 		k.awaitingResponse = true
-		k.addOutput(simapi.Output{Kind: simapi.HealthCheckWritten, FirstByteAt: k.firstByteAt, WantsLoadReport: true})
+		k.addOutput(simapi.HealthCheckWritten{Worker: k.worker.number, Conn: k.id, FirstByteAt: k.firstByteTime(), WantsLoadReport: true})
 	case request.Method == http.MethodDelete && isJob && withdrawn != "":
 		k.awaitingResponse = true
-		k.addOutput(simapi.Output{Kind: simapi.CancellationReceived, FirstByteAt: k.firstByteAt, RequestID: withdrawn})
+		k.addOutput(simapi.CancellationWritten{Worker: k.worker.number, Conn: k.id, RequestID: withdrawn, FirstByteAt: k.firstByteTime()})
 	case request.Method == http.MethodPost:
 		k.handleAttempt(request, path, body)
 	default:
@@ -255,9 +256,9 @@
 		}
 	}
 	k.awaitingResponse = true
-	k.addOutput(simapi.Output{
-		Kind: simapi.AttemptWritten, RequestID: requestID, IdempotencyKey: key, Budget: time.Duration(budgetMs) * time.Millisecond,
-		FirstByteAt: k.firstByteAt,
+	k.addOutput(simapi.AttemptWritten{
+		Worker: k.worker.number, Conn: k.id, RequestID: requestID, IdempotencyKey: key,
+		Budget: time.Duration(budgetMs) * time.Millisecond, FirstByteAt: k.firstByteTime(),
 	})
 }
 
@@ -265,19 +266,19 @@
 const maxAltered = 100
 
 // respond is the worker's, by the environment.
-func (k *workerConn) respond(input *simapi.Input) {
+func (k *workerConn) respond(response *simapi.ResponseReceived) {
 	fields := ""
-	if input.Rejected {
+	if response.Rejected {
 		fields = "X-Rejected: 1\r\n"
 	}
-	if input.Bytes > 0 {
-		b := http1.AppendResponse(nil, input.Status, fields, nil, true)
+	if response.Bytes > 0 {
+		b := http1.AppendResponse(nil, response.Status, fields, nil, true)
 		k.awaitingResponse = false
-		k.write(b[:min(input.Bytes, len(b))])
+		k.write(b[:min(response.Bytes, len(b))])
 		k.closeWhenFlushed(true)
 		return
 	}
-	k.writeResponse(input.Status, fields)
+	k.writeResponse(response.Status, fields)
 	k.awaitingResponse = false
 	if k.closing {
 		k.closeWhenFlushed(false)
@@ -303,7 +304,7 @@
 func (k *workerConn) flushed() {
 	if k.closing && !k.awaitingResponse && !k.closed {
 		k.closeByWorker(k.resetting)
-		k.addOutput(simapi.Output{Kind: simapi.WorkerConnClosed})
+		k.addOutput(simapi.WorkerConnClosed{Worker: k.worker.number, Conn: k.id})
 	}
 }
 
@@ -319,7 +320,7 @@
 		if result != "" {
 			n.Result = &result
 		}
-		d.sendCallback(&simapi.Input{Kind: simapi.CallbackReceived, Scheduler: sched, Worker: node.number, Callback: n, CallbackID: guestCallbackID})
+		d.sendCallback(sched, &simapi.CallbackReceived{Worker: node.number, Callback: n, CallbackID: guestCallbackID})
 	}
 	say("started", "")
 	d.after(guestDuration, func() { say("done", fmt.Sprintf("%s ran on %s for %v", call, node.id, guestDuration)) })
--- /dev/null
+++ b/internal/testbed/simapi/input.go
@@ -0,0 +1,182 @@
+package simapi
+
+import (
+	"time"
+
+	"valvecove/internal/requests"
+)
+
+// This file holds the messages that reach a scheduler.
+
+// InputMessage is one of the messages below.
+type InputMessage interface{ inputMessage() }
+
+// Messages that act on a scheduler's process.
+type (
+	// Start starts a process.
+	Start struct {
+		Name           string
+		Seed           uint64
+		KnownEndpoints requests.EndpointList // the list that the scheduler had last; it may be stale
+		Discovery      int                   // index of the discovery address in its configuration
+	}
+
+	// Terminate is SIGTERM.
+	Terminate struct{}
+
+	// Kill is SIGKILL: the connections of the process are reset.
+	Kill struct{}
+
+	// Freeze is SIGSTOP: the sockets of the process stay open and unread.
+	Freeze struct{}
+
+	// Resume is SIGCONT.
+	Resume struct{}
+
+	// Reload is SIGHUP, after the configuration named another discovery address.
+	Reload struct {
+		Discovery int // index of the address
+	}
+
+	// Replace starts a second process, and the first gets SIGTERM once that is ready. It is for the process driver only.
+	Replace struct{}
+
+	// SlowDown has a planner handle everything late from now on.
+	SlowDown struct {
+		Delay time.Duration
+	}
+
+	// BreakConnections breaks the connections of a planner to forwarders and other planners.
+	BreakConnections struct{}
+)
+
+// Messages that reach a scheduler's sockets from clients.
+type (
+	// RequestReceived is the last byte of a client's request.
+	RequestReceived struct {
+		Conn    Conn
+		Request *ClientRequest
+	}
+
+	// ClientClosed is the close or the reset of a client's connection.
+	ClientClosed struct {
+		Conn Conn
+	}
+
+	// ClientMisbehaves has a misbehaving client act on its connection. It is for the process driver only.
+	ClientMisbehaves struct {
+		Conn      Conn
+		Kind      string // one of scenario.MisbehaviorKinds
+		Number    uint64 // counts the clients of this kind; random draws follow from it
+		RequestID string // of another client's open request, for the kinds that use one
+	}
+)
+
+// ClientRequest is a client's request as it stands on the wire.
+type ClientRequest struct {
+	RequestID      string
+	Class          int
+	Tenant         int
+	IdempotencyKey string        // Idempotency-Key; empty: none
+	Budget         time.Duration // X-Budget-Ms
+	CostHint       time.Duration // X-Call-Cost; 0: none
+	Slots          float64       // slots= in X-Call-Info
+	BodyLength     int           // bytes
+	Retry          bool          // X-Again: 1
+}
+
+// Messages that reach a scheduler's sockets from workers.
+type (
+	// WorkerConnected is the opening of a connection.
+	WorkerConnected struct {
+		Worker     int
+		Conn       Conn
+		ResetAfter int // the worker resets the connection after it has read so many bytes; 0: it does not
+	}
+
+	// WorkerDisconnected is a connection that was not opened, or that the worker has closed or reset.
+	WorkerDisconnected struct {
+		Worker int
+		Conn   Conn
+		Reset  bool // it had been open
+	}
+
+	// ResponseReceived is the worker's response to what was last sent on the connection.
+	ResponseReceived struct {
+		Worker   int
+		Conn     Conn
+		Status   int  // HTTP status
+		Rejected bool // X-Rejected: 1
+		Bytes    int  // only so many bytes of it arrive before a reset; 0: all
+	}
+
+	// CallbackReceived is a worker's callback, which CallbackAnswered answers.
+	CallbackReceived struct {
+		Worker     int
+		CallbackID uint64
+		Callback   *requests.Callback
+	}
+)
+
+// Messages that reach a scheduler's sockets from discovery.
+type (
+	// ListReceived is an update on the watch.
+	ListReceived struct {
+		List *requests.EndpointList
+	}
+
+	// WatchEnded is the end of the watch, or a call for it that failed.
+	WatchEnded struct{}
+
+	// WatchHeartbeat is an empty line on the watch, every 2 s; its absence is for the scheduler to detect.
+	WatchHeartbeat struct{}
+
+	// WatchConnected is the opening of the connection for the watch; with real processes the kernel knows.
+	WatchConnected struct{}
+)
+
+// Messages to the process driver, where a kernel accepts connections. The simulation driver ignores them.
+type (
+	// AcceptModeChanged says how a worker accepts connections from now on.
+	AcceptModeChanged struct {
+		Worker  int
+		Machine int // which machine of the worker; 0: the first
+		Mode    int // AcceptAll and the others
+	}
+
+	// DiscoveryAcceptModeChanged says how an address of discovery accepts connections from now on.
+	DiscoveryAcceptModeChanged struct {
+		Discovery int // index of the address
+		Mode      int // AcceptAll and the others
+	}
+)
+
+// Modes in which a worker or discovery accepts connections.
+const (
+	AcceptAll      = iota // connections are accepted
+	AcceptNone            // connections are refused
+	AcceptSilently        // connections are neither accepted nor refused
+)
+
+func (Start) inputMessage()                      {}
+func (Terminate) inputMessage()                  {}
+func (Kill) inputMessage()                       {}
+func (Freeze) inputMessage()                     {}
+func (Resume) inputMessage()                     {}
+func (Reload) inputMessage()                     {}
+func (Replace) inputMessage()                    {}
+func (SlowDown) inputMessage()                   {}
+func (BreakConnections) inputMessage()           {}
+func (RequestReceived) inputMessage()            {}
+func (ClientClosed) inputMessage()               {}
+func (ClientMisbehaves) inputMessage()           {}
+func (WorkerConnected) inputMessage()            {}
+func (WorkerDisconnected) inputMessage()         {}
+func (ResponseReceived) inputMessage()           {}
+func (CallbackReceived) inputMessage()           {}
+func (ListReceived) inputMessage()               {}
+func (WatchEnded) inputMessage()                 {}
+func (WatchHeartbeat) inputMessage()             {}
+func (WatchConnected) inputMessage()             {}
+func (AcceptModeChanged) inputMessage()          {}
+func (DiscoveryAcceptModeChanged) inputMessage() {}
--- a/internal/testbed/simulation/planner.go
+++ b/internal/testbed/simulation/planner.go
@@ -42,8 +42,7 @@
 // plannerInput is an input of the environment, or a message of the network.
 type plannerInput struct {
 	levelMessage
-	input           simapi.Input
-	fromEnvironment bool // input is set, not levelMessage
+	input simapi.InputMessage // nil: it is a levelMessage
 }
 
 func newPlannerNode(spec *scenario.Scenario, n int, opt *Options, t *levelNetwork, f *LevelCounts) (*plannerNode, error) {
@@ -75,10 +74,10 @@
 func (s *plannerNode) Step(now time.Duration, ins []simapi.Input, dst []simapi.Output) []simapi.Output {
 	s.now, s.outputs = max(now, s.now), dst
 	for i := range ins {
-		s.handleInput(&ins[i])
+		s.handleInput(ins[i].Message)
 	}
 	if s.process != nil && !s.frozen && s.process.runIteration() {
-		s.emit(simapi.Output{Kind: simapi.Exited})
+		s.emit(simapi.Exited{})
 		s.endProcess()
 	}
 	dst, s.outputs = s.outputs, nil
@@ -97,18 +96,17 @@
 	return max(at, s.now), true
 }
 
-func (s *plannerNode) emit(o simapi.Output) {
-	o.Scheduler = s.number
-	s.outputs = append(s.outputs, o)
+func (s *plannerNode) emit(message simapi.OutputMessage) {
+	s.outputs = append(s.outputs, simapi.Output{Scheduler: s.number, Message: message})
 }
 
-func (s *plannerNode) handleInput(input *simapi.Input) {
-	switch input.Kind {
+func (s *plannerNode) handleInput(input simapi.InputMessage) {
+	switch message := input.(type) {
 	case simapi.Start:
 		s.incarnation++
 		s.frozen, s.lastTakenAt = false, s.now
 		s.pending = s.pending[:0]
-		s.process = newPlannerProcess(s, input.Start)
+		s.process = newPlannerProcess(s, &message)
 	case simapi.Kill:
 		s.endProcess()
 	case simapi.Freeze:
@@ -116,12 +114,12 @@
 	case simapi.Resume:
 		s.frozen = false
 	case simapi.SlowDown:
-		s.delay = input.Delay
+		s.delay = message.Delay
 	case simapi.BreakConnections:
 		s.levels.breakStreams(s.number)
 	default:
 		if s.process != nil {
-			s.enqueue(plannerInput{input: *input, fromEnvironment: true}, s.now)
+			s.enqueue(plannerInput{input: input}, s.now)
 		}
 	}
 }
--- a/internal/testbed/simulation/planner_process.go
+++ b/internal/testbed/simulation/planner_process.go
@@ -40,15 +40,15 @@
 	exited        bool
 }
 
-func newPlannerProcess(node *plannerNode, boot *simapi.StartOptions) *plannerProcess {
+func newPlannerProcess(node *plannerNode, start *simapi.Start) *plannerProcess {
 	proc := &plannerProcess{
-		node: node, now: node.epoch + node.now, discovery: boot.Discovery, sessions: map[planner.SessionID]*plannerPeerConn{},
+		node: node, now: node.epoch + node.now, discovery: start.Discovery, sessions: map[planner.SessionID]*plannerPeerConn{},
 		redialAt: make([]time.Duration, node.spec.Planners.Count), backoff: make([]time.Duration, node.spec.Planners.Count),
 	}
 	member := membership.Member{Name: node.name, Role: membership.RolePlanner, Incarnation: uint64(proc.now), Addr: node.name}
 	proc.members = membership.NewPlannerMembership(member, membership.Config{})
-	proc.listTable = requests.New(1, node.settings.Names, func() requests.Policy { return proc }, boot.KnownEndpoints, proc, slog.New(slog.DiscardHandler))
-	seed := boot.Seed
+	proc.listTable = requests.New(1, node.settings.Names, func() requests.Policy { return proc }, start.KnownEndpoints, proc, slog.New(slog.DiscardHandler))
+	seed := start.Seed
 	proc.planner = planner.New(planner.Config{
 		Name: node.name, Incarnation: uint64(proc.now), Version: codec.Version,
 		Settings: node.settings.Settings, NewPolicy: func() planner.Policy {
@@ -166,8 +166,8 @@
 }
 
 func (p *plannerProcess) handleInput(n *plannerInput) {
-	if n.fromEnvironment {
-		p.handleEnvironment(&n.input)
+	if n.input != nil {
+		p.handleEnvironment(n.input)
 		return
 	}
 	switch n.kind {
@@ -193,12 +193,12 @@
 }
 
 // handleEnvironment processes an input of the environment.
-func (p *plannerProcess) handleEnvironment(input *simapi.Input) {
-	switch input.Kind {
+func (p *plannerProcess) handleEnvironment(input simapi.InputMessage) {
+	switch message := input.(type) {
 	case simapi.ListReceived:
 		if p.watching {
 			p.watchDeadline = p.now + nextLineTimeout
-			p.listTable.UpdateEndpoints(*input.List)
+			p.listTable.UpdateEndpoints(*message.List)
 		}
 	case simapi.WatchHeartbeat:
 		if p.watching {
@@ -211,8 +211,8 @@
 	case simapi.WatchEnded:
 		p.watchLost()
 	case simapi.Reload:
-		if input.Discovery != p.discovery {
-			p.discovery = input.Discovery
+		if message.Discovery != p.discovery {
+			p.discovery = message.Discovery
 			p.listTable.ResetRevision()
 			p.inputs = append(p.inputs, planner.EndpointSourceChanged{})
 			p.Watch(0)
@@ -254,7 +254,7 @@
 // Watch subscribes to the changes of the endpoint list after a revision; 0: beginning with a snapshot.
 func (p *plannerProcess) Watch(after int64) {
 	p.watching, p.watchDeadline = true, p.now+readyCheckTimeout
-	p.node.emit(simapi.Output{Kind: simapi.WatchRequested, RetryAfter: time.Duration(after)})
+	p.node.emit(simapi.WatchRequested{Revision: after})
 }
 
 // Start and the methods below do nothing, as the table has no requests.
--- a/internal/testbed/simulation/process.go
+++ b/internal/testbed/simulation/process.go
@@ -52,8 +52,8 @@
 	firstRequest    uint64
 }
 
-func newProcess(scheduler *Scheduler, boot *simapi.StartOptions) *process {
-	proc := &process{scheduler: scheduler, now: scheduler.epoch + scheduler.now, clients: map[simapi.Conn]*clientConn{}, discovery: boot.Discovery, listChanged: true}
+func newProcess(scheduler *Scheduler, start *simapi.Start) *process {
+	proc := &process{scheduler: scheduler, now: scheduler.epoch + scheduler.now, clients: map[simapi.Conn]*clientConn{}, discovery: start.Discovery, listChanged: true}
 	proc.idleClients.prev, proc.idleClients.next = &proc.idleClients, &proc.idleClients
 	proc.watchTimer.act = proc.watchLost
 	sch := &scheduler.spec.Schedulers
@@ -62,7 +62,7 @@
 	proc.maxClients, proc.bodyBudget = most-servers, sch.MemoryMB<<20/6
 	proc.maxRequests = proc.maxClients - max(8, proc.maxClients/10)
 	proc.workerConns = newWorkerConns(proc, servers, scheduler.settings.ConnectTimeout, scheduler.settings.ConnIdleTimeout)
-	seed := boot.Seed
+	seed := start.Seed
 	module := func() requests.Policy {
 		if proc.forwarder != nil {
 			return proc.forwarder.newPolicy()
@@ -74,9 +74,9 @@
 		return scheduler.model.Module(scheduler.settings.Settings, seed, proc)
 	}
 	if scheduler.levels != nil {
-		proc.forwarder = newForwarder(proc, boot.Name, seed)
+		proc.forwarder = newForwarder(proc, start.Name, seed)
 	}
-	proc.requests = requests.New(scheduler.settings.AttemptLimit, scheduler.settings.Names, module, boot.KnownEndpoints, proc.workerConns, scheduler.model.logger(scheduler.number))
+	proc.requests = requests.New(scheduler.settings.AttemptLimit, scheduler.settings.Names, module, start.KnownEndpoints, proc.workerConns, scheduler.model.logger(scheduler.number))
 	if proc.forwarder != nil {
 		proc.forwarder.join()
 	}
@@ -84,28 +84,32 @@
 }
 
 // handleInput processes an input of the environment.
-func (p *process) handleInput(input *simapi.Input) {
-	switch input.Kind {
+func (p *process) handleInput(input simapi.InputMessage) {
+	switch message := input.(type) {
 	case simapi.RequestReceived:
-		p.requestReceived(input)
+		p.requestReceived(message.Conn, message.Request)
 	case simapi.ClientClosed:
-		if k := p.clients[input.Conn]; k != nil {
+		if k := p.clients[message.Conn]; k != nil {
 			k.clientClosed()
 		}
-	case simapi.WorkerConnected, simapi.WorkerDisconnected, simapi.ResponseReceived:
-		if conn := p.workerConns.conns[input.Conn]; conn != nil {
-			conn.handleInput(input)
+	case simapi.WorkerConnected:
+		if conn := p.workerConns.conns[message.Conn]; conn != nil {
+			conn.connected()
 		}
-	case simapi.CallbackReceived:
-		p.callbackReceived(input)
-	case simapi.ListReceived, simapi.WatchHeartbeat, simapi.WatchConnected:
-		if p.watching {
-			p.watchReceived(input)
+	case simapi.WorkerDisconnected:
+		if conn := p.workerConns.conns[message.Conn]; conn != nil {
+			conn.disconnected(message.Reset)
 		}
-	case simapi.WatchEnded:
-		p.watchLost()
+	case simapi.ResponseReceived:
+		if conn := p.workerConns.conns[message.Conn]; conn != nil {
+			conn.responseReceived(&message)
+		}
+	case simapi.CallbackReceived:
+		p.callbackReceived(&message)
+	case simapi.ListReceived, simapi.WatchHeartbeat, simapi.WatchConnected, simapi.WatchEnded:
+		p.watchReceived(input)
 	case simapi.Reload:
-		p.reload(input.Discovery)
+		p.reload(message.Discovery)
 	case simapi.Terminate:
 		if !p.draining { // once: a second SIGTERM must not begin the drain anew
 			p.drain()
@@ -114,24 +118,30 @@
 }
 
 // callbackReceived processes a worker's callback, and answers it.
-func (p *process) callbackReceived(in *simapi.Input) {
+func (p *process) callbackReceived(message *simapi.CallbackReceived) {
 	status := 204
-	if _, err := p.requests.HandleCallback(*in.Callback); err != nil {
+	if _, err := p.requests.HandleCallback(*message.Callback); err != nil {
 		status = 400
 	}
-	p.emit(simapi.Output{Kind: simapi.CallbackAnswered, Worker: in.Worker, CallbackID: in.CallbackID, Status: status})
+	p.emit(simapi.CallbackAnswered{Worker: message.Worker, CallbackID: message.CallbackID, Status: status})
 }
 
-// watchReceived processes an event of the endpoint list watch, and extends the watch's deadline.
-func (p *process) watchReceived(in *simapi.Input) {
-	if in.Kind == simapi.WatchConnected {
-		p.expectWatch(firstLineTimeout)
+// watchReceived processes an event of the endpoint list watch, if there is one, and extends the watch's deadline.
+func (p *process) watchReceived(input simapi.InputMessage) {
+	if !p.watching {
 		return
 	}
-	p.expectWatch(nextLineTimeout)
-	if in.Kind == simapi.ListReceived {
-		p.requests.UpdateEndpoints(*in.List)
+	switch message := input.(type) {
+	case simapi.WatchConnected:
+		p.expectWatch(firstLineTimeout)
+	case simapi.WatchHeartbeat:
+		p.expectWatch(nextLineTimeout)
+	case simapi.ListReceived:
+		p.expectWatch(nextLineTimeout)
+		p.requests.UpdateEndpoints(*message.List)
 		p.listChanged = true
+	case simapi.WatchEnded:
+		p.watchLost()
 	}
 }
 
@@ -172,7 +182,7 @@
 		if p.forwarder != nil {
 			p.scheduler.levels.gossip.leave(p.scheduler.number)
 		}
-		p.emit(simapi.Output{Kind: simapi.Exited})
+		p.emit(simapi.Exited{})
 		return true
 	}
 	return false
@@ -195,17 +205,16 @@
 func (p *process) reportReady() {
 	if ready := !p.draining && p.requests.HasReadyWorker(); ready != p.ready {
 		p.ready = ready
-		kind := simapi.Unready
 		if ready {
-			kind = simapi.Ready
+			p.emit(simapi.Ready{})
+		} else {
+			p.emit(simapi.Unready{})
 		}
-		p.emit(simapi.Output{Kind: kind})
 	}
 }
 
-func (p *process) emit(o simapi.Output) {
-	o.Scheduler = p.scheduler.number
-	p.scheduler.outputs = append(p.scheduler.outputs, o)
+func (p *process) emit(message simapi.OutputMessage) {
+	p.scheduler.outputs = append(p.scheduler.outputs, simapi.Output{Scheduler: p.scheduler.number, Message: message})
 }
 
 func (p *process) newConn() simapi.Conn {
@@ -230,7 +239,7 @@
 func (p *process) watch(after int64) {
 	p.watching = true
 	p.expectWatch(readyCheckTimeout)
-	p.emit(simapi.Output{Kind: simapi.WatchRequested, RetryAfter: time.Duration(after)})
+	p.emit(simapi.WatchRequested{Revision: after})
 }
 
 // expectWatch sets the time within which the watch has to send something.
@@ -284,22 +293,21 @@
 	prev, next *clientConn // in the ring of idle connections
 }
 
-func (p *process) requestReceived(input *simapi.Input) {
-	conn := p.clients[input.Conn]
+func (p *process) requestReceived(id simapi.Conn, clientRequest *simapi.ClientRequest) {
+	conn := p.clients[id]
 	switch {
 	case conn == nil:
 		// Fewer requests than connections are allowed, so at the limit there is an idle connection to close.
 		if len(p.clients) >= p.maxClients && p.idleClients.next != &p.idleClients {
 			p.idleClients.next.close()
 		}
-		conn = &clientConn{process: p, conn: input.Conn}
-		p.clients[input.Conn] = conn
+		conn = &clientConn{process: p, conn: id}
+		p.clients[id] = conn
 	case conn.prev == nil:
-		panic("simulation: connection " + strconv.FormatUint(uint64(input.Conn), 16) + " asks again before its answer")
+		panic("simulation: connection " + strconv.FormatUint(uint64(id), 16) + " asks again before its answer")
 	default:
 		conn.removeIdle()
 	}
-	clientRequest := input.Request
 	conn.requestID = clientRequest.RequestID
 	switch {
 	case p.rejectsRequests:
@@ -343,7 +351,7 @@
 func (k *clientConn) RespondFailed() { k.respond(500, 0, "") }
 
 func (k *clientConn) respond(status int, after time.Duration, result string) {
-	k.process.emit(simapi.Output{Kind: simapi.ResponseWritten, Conn: k.conn, RequestID: k.requestID, Status: status, RetryAfter: after, Result: result})
+	k.process.emit(simapi.ResponseWritten{Conn: k.conn, RequestID: k.requestID, Status: status, RetryAfter: after, Result: result})
 	k.request = nil
 	if k.process.rejectsRequests {
 		k.close()
@@ -364,7 +372,7 @@
 func (k *clientConn) close() {
 	k.removeIdle()
 	delete(k.process.clients, k.conn)
-	k.process.emit(simapi.Output{Kind: simapi.ClientConnClosed, Conn: k.conn})
+	k.process.emit(simapi.ClientConnClosed{Conn: k.conn})
 }
 
 func (k *clientConn) clientClosed() {
--- a/internal/testbed/simulation/process_test.go
+++ b/internal/testbed/simulation/process_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"reflect"
 	"slices"
 	"testing"
 	"time"
@@ -14,7 +15,9 @@
 
 // sendRequest sends a client's request on a connection of its own.
 func (b *harness) sendRequest(n int, budget time.Duration) []simapi.Output {
-	return b.step(simapi.Input{Kind: simapi.RequestReceived, Conn: simapi.Conn(n), Request: &simapi.ClientRequest{RequestID: fmt.Sprint("c", n), Budget: budget}})
+	return b.step(simapi.Input{Message: simapi.RequestReceived{
+		Conn: simapi.Conn(n), Request: &simapi.ClientRequest{RequestID: fmt.Sprint("c", n), Budget: budget},
+	}})
 }
 
 // until runs every iteration that is due until end, and returns the outputs.
@@ -30,16 +33,27 @@
 	}
 }
 
-// messagesOf returns the outputs of some kinds, in a short form.
-func messagesOf(outs []simapi.Output, kinds ...simapi.OutputKind) (all []string) {
+// messagesOf returns the outputs of the types of some messages, in a short form.
+func messagesOf(outs []simapi.Output, types ...simapi.OutputMessage) (all []string) {
 	for _, o := range outs {
-		if slices.Contains(kinds, o.Kind) {
-			all = append(all, fmt.Sprintf("%d:%s:%d", o.Kind, o.RequestID, o.Status))
+		if slices.ContainsFunc(types, func(m simapi.OutputMessage) bool { return reflect.TypeOf(m) == reflect.TypeOf(o.Message) }) {
+			all = append(all, line(o.Message))
 		}
 	}
 	return all
 }
 
+// line is a message in a short form: its type, and what a response or an exit says.
+func line(message simapi.OutputMessage) string {
+	switch m := message.(type) {
+	case simapi.ResponseWritten:
+		return fmt.Sprintf("%T:%s:%d", m, m.RequestID, m.Status)
+	case simapi.Exited:
+		return fmt.Sprintf("%T:%d", m, m.Status)
+	}
+	return fmt.Sprintf("%T", message)
+}
+
 func expect(t *testing.T, what string, got []string, want ...string) {
 	t.Helper()
 	if !slices.Equal(got, want) {
@@ -47,10 +61,6 @@
 	}
 }
 
-func line(kind simapi.OutputKind, call string, status int) string {
-	return fmt.Sprintf("%d:%s:%d", kind, call, status)
-}
-
 const (
 	sec = time.Second
 	ms  = time.Millisecond
@@ -59,27 +69,31 @@
 // TestDrain checks the steps of a shutdown. The longest deadline counts as 3 s, so SIGKILL is due 3.7 s after SIGTERM.
 func TestDrain(t *testing.T) {
 	b := newHarness(t, nil)
-	expect(t, "start", messagesOf(b.start(), simapi.Ready), line(simapi.Ready, "", 0))
+	expect(t, "start", messagesOf(b.start(), simapi.Ready{}), line(simapi.Ready{}))
 	b.now = sec
 	b.sendRequest(1, 12*sec)
 	b.act(dispatch.Send{Job: 1, Worker: endpointNumber("w-0")})
 	b.sendRequest(5, 12*sec)
-	expect(t, "SIGTERM", messagesOf(b.step(simapi.Input{Kind: simapi.Terminate}), simapi.Unready), line(simapi.Unready, "", 0))
-	b.step(simapi.Input{Kind: simapi.RequestReceived, Conn: 9, Request: &simapi.ClientRequest{RequestID: "c9", Budget: ms}})
-	expect(t, "an answer", messagesOf(b.act(dispatch.Fail{Job: 3}), simapi.ResponseWritten, simapi.ClientConnClosed), line(simapi.ResponseWritten, "c9", 500))
+	expect(t, "SIGTERM", messagesOf(b.step(simapi.Input{Message: simapi.Terminate{}}), simapi.Unready{}), line(simapi.Unready{}))
+	b.step(simapi.Input{Message: simapi.RequestReceived{Conn: 9, Request: &simapi.ClientRequest{RequestID: "c9", Budget: ms}}})
+	expect(t, "an answer", messagesOf(b.act(dispatch.Fail{Job: 3}), simapi.ResponseWritten{}, simapi.ClientConnClosed{}),
+		line(simapi.ResponseWritten{RequestID: "c9", Status: 500}))
 	b.now = 2 * sec
 	b.sendRequest(2, 12*sec)
-	b.step(simapi.Input{Kind: simapi.Terminate}) // a second one changes nothing
-	expect(t, "connections between requests", messagesOf(b.until(sec+2800*ms), simapi.ClientConnClosed, simapi.ResponseWritten), line(simapi.ClientConnClosed, "", 0))
-	expect(t, "a late request", messagesOf(b.sendRequest(3, 12*sec), simapi.ResponseWritten, simapi.ClientConnClosed), line(simapi.ResponseWritten, "c3", 503),
-		line(simapi.ClientConnClosed, "", 0))
+	b.step(simapi.Input{Message: simapi.Terminate{}}) // a second one changes nothing
+	expect(t, "connections between requests", messagesOf(b.until(sec+2800*ms), simapi.ClientConnClosed{}, simapi.ResponseWritten{}), line(simapi.ClientConnClosed{}))
+	expect(t, "a late request", messagesOf(b.sendRequest(3, 12*sec), simapi.ResponseWritten{}, simapi.ClientConnClosed{}),
+		line(simapi.ResponseWritten{RequestID: "c3", Status: 503}),
+		line(simapi.ClientConnClosed{}))
 	// What came later than 0.7 s after SIGTERM is answered, and so is what was never sent; what is out has a moment more.
-	expect(t, "until the last words", messagesOf(b.until(sec+3399*ms), simapi.ResponseWritten, simapi.Exited))
-	expect(t, "last words", messagesOf(b.until(sec+3400*ms), simapi.ResponseWritten), line(simapi.ResponseWritten, "c2", 503), line(simapi.ResponseWritten, "c5", 503))
-	expect(t, "until the last of all", messagesOf(b.until(sec+3549*ms), simapi.ResponseWritten, simapi.Exited))
-	expect(t, "the last of all", messagesOf(b.until(sec+3550*ms), simapi.ResponseWritten, simapi.ClientConnClosed), line(simapi.ResponseWritten, "c1", 500), line(simapi.ClientConnClosed, "", 0))
-	expect(t, "until the end", messagesOf(b.until(sec+3699*ms), simapi.ResponseWritten, simapi.Exited))
-	expect(t, "the end", messagesOf(b.until(sec+3700*ms), simapi.ResponseWritten, simapi.ClientConnClosed, simapi.Exited), line(simapi.Exited, "", 0))
+	expect(t, "until the last words", messagesOf(b.until(sec+3399*ms), simapi.ResponseWritten{}, simapi.Exited{}))
+	expect(t, "last words", messagesOf(b.until(sec+3400*ms), simapi.ResponseWritten{}),
+		line(simapi.ResponseWritten{RequestID: "c2", Status: 503}), line(simapi.ResponseWritten{RequestID: "c5", Status: 503}))
+	expect(t, "until the last of all", messagesOf(b.until(sec+3549*ms), simapi.ResponseWritten{}, simapi.Exited{}))
+	expect(t, "the last of all", messagesOf(b.until(sec+3550*ms), simapi.ResponseWritten{}, simapi.ClientConnClosed{}),
+		line(simapi.ResponseWritten{RequestID: "c1", Status: 500}), line(simapi.ClientConnClosed{}))
+	expect(t, "until the end", messagesOf(b.until(sec+3699*ms), simapi.ResponseWritten{}, simapi.Exited{}))
+	expect(t, "the end", messagesOf(b.until(sec+3700*ms), simapi.ResponseWritten{}, simapi.ClientConnClosed{}, simapi.Exited{}), line(simapi.Exited{}))
 	if _, ok := b.s.Next(); ok || len(b.sendRequest(4, sec)) > 0 {
 		t.Error("one that has exited still acts")
 	}
@@ -92,19 +106,19 @@
 	b.start()
 	b.sendRequest(1, sec)
 	b.act(dispatch.Send{Job: 1, Worker: endpointNumber("w-0")})
-	b.step(simapi.Input{Kind: simapi.Freeze})
-	b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: b.openConns[0].conn})
+	b.step(simapi.Input{Message: simapi.Freeze{}})
+	b.step(simapi.Input{Message: simapi.WorkerConnected{Conn: b.openConns[0].conn}})
 	b.sendRequest(2, sec)
 	if _, ok := b.s.Next(); ok || len(b.until(3*sec)) > 0 {
 		t.Error("a frozen process acts")
 	}
 	b.script.Received = nil
-	outs := b.step(simapi.Input{Kind: simapi.Resume})
+	outs := b.step(simapi.Input{Message: simapi.Resume{}})
 	late := slices.ContainsFunc(b.script.Received, func(e dispatch.Event) bool {
 		o, ok := e.(dispatch.Outcome)
 		return ok && o.Result == dispatch.TimedOut
 	})
-	if !late || len(messagesOf(outs, simapi.WorkerConnClosed)) != 1 {
+	if !late || len(messagesOf(outs, simapi.WorkerConnClosed{})) != 1 {
 		t.Errorf("heard %v, and did %v", b.script.Received, outs)
 	}
 	if q := b.script.Received[0].(dispatch.Job); q.ID != 2 {
@@ -117,12 +131,13 @@
 	b := newHarness(t, nil)
 	b.start()
 	probe := func() simapi.Conn {
-		return b.act(dispatch.HealthCheck{Worker: endpointNumber("w-1")})[0].Conn
+		dialed, _ := b.act(dispatch.HealthCheck{Worker: endpointNumber("w-1")})[0].Message.(simapi.WorkerDialed)
+		return dialed.Conn
 	}
 	first := probe()
 	b.sendRequest(1, sec)
-	b.step(simapi.Input{Kind: simapi.Freeze})
-	if outs := b.step(simapi.Input{Kind: simapi.Kill}); len(outs) > 0 || b.s.process != nil {
+	b.step(simapi.Input{Message: simapi.Freeze{}})
+	if outs := b.step(simapi.Input{Message: simapi.Kill{}}); len(outs) > 0 || b.s.process != nil {
 		t.Errorf("a killed process said %v", outs)
 	}
 	if len(b.until(5*sec)) > 0 || len(b.sendRequest(2, sec)) > 0 {
@@ -143,24 +158,24 @@
 func TestReload(t *testing.T) {
 	b := newHarness(t, nil)
 	b.start()
-	if outs := b.act(dispatch.Subscribe{}); len(outs) != 1 || outs[0].Kind != simapi.WatchRequested || outs[0].RetryAfter != 7 {
+	if outs := b.act(dispatch.Subscribe{}); len(outs) != 1 || outs[0].Message != (simapi.WatchRequested{Revision: 7}) {
 		t.Errorf("watching: %+v", outs)
 	}
-	if outs := b.step(simapi.Input{Kind: simapi.Reload}); len(outs) > 0 {
+	if outs := b.step(simapi.Input{Message: simapi.Reload{}}); len(outs) > 0 {
 		t.Errorf("the same discovery: %+v", outs)
 	}
-	outs := b.step(simapi.Input{Kind: simapi.Reload, Discovery: 1})
-	if len(outs) != 1 || outs[0].Kind != simapi.WatchRequested || outs[0].RetryAfter != 0 {
+	outs := b.step(simapi.Input{Message: simapi.Reload{Discovery: 1}})
+	if len(outs) != 1 || outs[0].Message != (simapi.WatchRequested{}) {
 		t.Errorf("another discovery: %+v", outs)
 	}
 	b.script.Received = nil
-	b.step(simapi.Input{Kind: simapi.ListReceived, List: &requests.EndpointList{Revision: 3, Reset: true}})
-	outs = b.step(simapi.Input{Kind: simapi.WatchEnded})
+	b.step(simapi.Input{Message: simapi.ListReceived{List: &requests.EndpointList{Revision: 3, Reset: true}}})
+	outs = b.step(simapi.Input{Message: simapi.WatchEnded{}})
 	if len(b.script.Received) != 2 || b.script.Received[1].(dispatch.WorkerList).Kind != dispatch.ListUnavailable || len(outs) > 0 {
 		t.Errorf("heard %+v", b.script.Received)
 	}
 	b.script.Received = nil
-	if b.step(simapi.Input{Kind: simapi.WatchEnded}); len(b.script.Received) > 0 {
+	if b.step(simapi.Input{Message: simapi.WatchEnded{}}); len(b.script.Received) > 0 {
 		t.Errorf("no watch, and lost: %+v", b.script.Received)
 	}
 	// A call that does not come up is given up soon, and one that nobody answers later.
@@ -169,8 +184,8 @@
 		span time.Duration
 	}{
 		{nil, readyCheckTimeout},
-		{[]simapi.Input{{Kind: simapi.WatchConnected}}, firstLineTimeout},
-		{[]simapi.Input{{Kind: simapi.WatchConnected}, {Kind: simapi.WatchHeartbeat}}, nextLineTimeout},
+		{[]simapi.Input{{Message: simapi.WatchConnected{}}}, firstLineTimeout},
+		{[]simapi.Input{{Message: simapi.WatchConnected{}}, {Message: simapi.WatchHeartbeat{}}}, nextLineTimeout},
 	} {
 		b.act(dispatch.Subscribe{})
 		b.step(c.ins...)
@@ -189,13 +204,12 @@
 	b.start()
 	b.act(dispatch.Subscribe{})
 	list := func(state string) []simapi.Output {
-		return b.step(simapi.Input{Kind: simapi.ListReceived, List: &requests.EndpointList{
-			Revision: 8, Reset: true,
-			Endpoints: []requests.Endpoint{{ID: "w-0", Lifecycle: state}},
-		}})
+		return b.step(simapi.Input{Message: simapi.ListReceived{List: &requests.EndpointList{
+			Revision: 8, Reset: true, Endpoints: []requests.Endpoint{{ID: "w-0", Lifecycle: state}},
+		}}})
 	}
-	expect(t, "all drain", messagesOf(list("draining"), simapi.Ready, simapi.Unready), line(simapi.Unready, "", 0))
-	expect(t, "one is back", messagesOf(list("up"), simapi.Ready, simapi.Unready), line(simapi.Ready, "", 0))
+	expect(t, "all drain", messagesOf(list("draining"), simapi.Ready{}, simapi.Unready{}), line(simapi.Unready{}))
+	expect(t, "one is back", messagesOf(list("up"), simapi.Ready{}, simapi.Unready{}), line(simapi.Ready{}))
 }
 
 // TestLimits checks that a request over the limit is rejected at once, with a Retry-After, and that a connection over the
@@ -210,18 +224,18 @@
 	}
 	for n := 33; n <= 40; n++ {
 		outs := b.sendRequest(n, 5*sec)
-		expect(t, "one too many", messagesOf(outs, simapi.ResponseWritten, simapi.ClientConnClosed), line(simapi.ResponseWritten, fmt.Sprint("c", n), 503))
-		if outs[0].RetryAfter != fullRetryAfter {
-			t.Errorf("come back after %v", outs[0].RetryAfter)
+		expect(t, "one too many", messagesOf(outs, simapi.ResponseWritten{}, simapi.ClientConnClosed{}), line(simapi.ResponseWritten{RequestID: fmt.Sprint("c", n), Status: 503}))
+		if rejected, _ := outs[0].Message.(simapi.ResponseWritten); rejected.RetryAfter != fullRetryAfter {
+			t.Errorf("come back after %v", rejected.RetryAfter)
 		}
 	}
 	b.sendRequest(33, 5*sec) // it has been used last
 	outs := b.sendRequest(41, 5*sec)
-	if len(outs) != 2 || outs[0].Kind != simapi.ClientConnClosed || outs[0].Conn != 34 {
+	if len(outs) != 2 || outs[0].Message != (simapi.ClientConnClosed{Conn: 34}) {
 		t.Errorf("a connection too many: %+v", outs)
 	}
-	b.step(simapi.Input{Kind: simapi.ClientClosed, Conn: 1})
-	if outs := b.sendRequest(42, 5*sec); len(messagesOf(outs, simapi.ResponseWritten)) > 0 {
+	b.step(simapi.Input{Message: simapi.ClientClosed{Conn: 1}})
+	if outs := b.sendRequest(42, 5*sec); len(messagesOf(outs, simapi.ResponseWritten{})) > 0 {
 		t.Errorf("with room again: %+v", outs)
 	}
 }
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -236,7 +236,7 @@
 func (p *runner) distributeInputs() {
 	for i := range p.delivered {
 		in := &p.delivered[i]
-		if in.Kind == simapi.RequestReceived {
+		if _, ok := in.Message.(simapi.RequestReceived); ok {
 			p.outcome.Requests++
 		}
 		if len(p.inputs[in.Scheduler]) == 0 {
@@ -272,7 +272,7 @@
 // countOutputs adds this round's outputs to the outcome.
 func (p *runner) countOutputs() {
 	for i := range p.outputs {
-		switch p.outputs[i].Kind {
+		switch p.outputs[i].Message.(type) {
 		case simapi.ResponseWritten:
 			p.outcome.Responses++
 		case simapi.AttemptWritten:
--- a/internal/testbed/simulation/run_test.go
+++ b/internal/testbed/simulation/run_test.go
@@ -116,7 +116,7 @@
 type chatter struct{ simapi.Scheduler }
 
 func (c chatter) Step(time.Duration, []simapi.Input, []simapi.Output) []simapi.Output {
-	return []simapi.Output{{Kind: simapi.Unready}}
+	return []simapi.Output{{Message: simapi.Unready{}}}
 }
 func (c chatter) Next() (time.Duration, bool) { return 0, true }
 
--- a/internal/testbed/simulation/scheduler.go
+++ b/internal/testbed/simulation/scheduler.go
@@ -61,8 +61,8 @@
 	now           time.Duration
 	process       *process // nil: none runs
 	frozen        bool
-	pendingInputs []simapi.Input // inputs and signals that wait while the process is frozen
-	connCount     uint64         // opened so far, by all its processes
+	pendingInputs []simapi.InputMessage // inputs and signals that wait while the process is frozen
+	connCount     uint64                // opened so far, by all its processes
 	outputs       []simapi.Output
 
 	// Where there are planners.
@@ -87,7 +87,7 @@
 		s.process.now = s.epoch + s.now
 	}
 	for i := range ins {
-		s.handleInput(&ins[i])
+		s.handleInput(ins[i].Message)
 	}
 	if s.process != nil && !s.frozen && s.process.runIteration() {
 		s.endProcess()
@@ -96,11 +96,11 @@
 	return dst
 }
 
-func (s *Scheduler) handleInput(input *simapi.Input) {
-	switch input.Kind {
+func (s *Scheduler) handleInput(input simapi.InputMessage) {
+	switch message := input.(type) {
 	case simapi.Start:
 		s.incarnation++
-		s.process, s.frozen, s.pendingMessages = newProcess(s, input.Start), false, s.pendingMessages[:0]
+		s.process, s.frozen, s.pendingMessages = newProcess(s, &message), false, s.pendingMessages[:0]
 		clear(s.pendingInputs)
 		s.pendingInputs = s.pendingInputs[:0]
 	case simapi.Kill:
@@ -110,8 +110,8 @@
 	case simapi.Resume:
 		s.frozen = false
 		waiting := s.pendingInputs
-		for i := range waiting {
-			s.process.handleInput(&waiting[i])
+		for _, input := range waiting {
+			s.process.handleInput(input)
 		}
 		clear(waiting)
 		s.pendingInputs = waiting[:0]
@@ -119,7 +119,7 @@
 		switch {
 		case s.process == nil: // what reaches a process that is gone is lost
 		case s.frozen:
-			s.pendingInputs = append(s.pendingInputs, *input)
+			s.pendingInputs = append(s.pendingInputs, input)
 		default:
 			s.process.handleInput(input)
 		}
--- a/internal/testbed/simulation/worker_conn.go
+++ b/internal/testbed/simulation/worker_conn.go
@@ -66,7 +66,7 @@
 	}
 	k.conn = conns.process.newConn()
 	conns.conns[k.conn] = k
-	conns.process.emit(simapi.Output{Kind: simapi.WorkerDialed, Conn: k.conn, Worker: k.endpoint.workerIndex, Machine: k.endpoint.machine})
+	conns.process.emit(simapi.WorkerDialed{Conn: k.conn, Worker: k.endpoint.workerIndex, Machine: k.endpoint.machine})
 	k.awaitWithin(conns.dialTimeout)
 }
 
@@ -113,21 +113,22 @@
 	}
 	k.state = connAwaiting
 	k.setStage(requests.StageWritten)
-	output := simapi.Output{Conn: k.conn, Worker: k.endpoint.workerIndex, FirstByteAt: process.now - process.scheduler.epoch}
+	worker, firstByteAt := k.endpoint.workerIndex, process.now-process.scheduler.epoch
 	switch k.task.kind {
 	case taskAttempt:
 		remaining := attempt.At - process.now
-		output.Kind, output.RequestID, output.IdempotencyKey = simapi.AttemptWritten, attempt.Request.CallID, attempt.Request.Payload.IdempotencyKey
-		output.Budget = max(time.Millisecond, remaining.Truncate(time.Millisecond))
 		k.awaitWithin(remaining + connGrace)
+		process.emit(simapi.AttemptWritten{
+			Worker: worker, Conn: k.conn, RequestID: attempt.Request.CallID, IdempotencyKey: attempt.Request.Payload.IdempotencyKey,
+			Budget: max(time.Millisecond, remaining.Truncate(time.Millisecond)), FirstByteAt: firstByteAt,
+		})
 	case taskHealthCheck:
-		output.Kind = simapi.HealthCheckWritten
 		k.awaitWithin(healthCheckTimeout)
+		process.emit(simapi.HealthCheckWritten{Worker: worker, Conn: k.conn, FirstByteAt: firstByteAt})
 	case taskCancel:
-		output.Kind, output.RequestID = simapi.CancellationReceived, attempt.Request.CallID
 		k.awaitWithin(cancelTimeout)
+		process.emit(simapi.CancellationWritten{Worker: worker, Conn: k.conn, RequestID: attempt.Request.CallID, FirstByteAt: firstByteAt})
 	}
-	process.emit(output)
 }
 
 func (k *workerConn) setStage(stage requests.Stage) {
@@ -136,18 +137,6 @@
 	}
 }
 
-// handleInput processes what the worker's side of the connection did.
-func (k *workerConn) handleInput(in *simapi.Input) {
-	switch in.Kind {
-	case simapi.WorkerConnected:
-		k.connected()
-	case simapi.WorkerDisconnected:
-		k.disconnected(in.Reset)
-	case simapi.ResponseReceived:
-		k.responseReceived(in)
-	}
-}
-
 // connected writes the task to a connection that has come up, unless it is no longer wanted.
 func (k *workerConn) connected() {
 	switch {
@@ -175,7 +164,7 @@
 }
 
 // responseReceived ends the task by the response's status. If Bytes > 0, the response broke off.
-func (k *workerConn) responseReceived(in *simapi.Input) {
+func (k *workerConn) responseReceived(in *simapi.ResponseReceived) {
 	switch {
 	case k.state != connAwaiting: // an unexpected response
 		k.closeWith(nil)
@@ -197,7 +186,7 @@
 }
 
 // finishByStatus ends the task, or accepts the attempt, by the response's status.
-func (k *workerConn) finishByStatus(in *simapi.Input) {
+func (k *workerConn) finishByStatus(in *simapi.ResponseReceived) {
 	task, success := k.task, in.Status/100 == 2
 	reason := k.failureReason(in)
 	if task.kind == taskAttempt {
@@ -216,7 +205,7 @@
 }
 
 // failureReason returns what a response other than 2xx says of the task.
-func (k *workerConn) failureReason(in *simapi.Input) requests.Reason {
+func (k *workerConn) failureReason(in *simapi.ResponseReceived) requests.Reason {
 	unavailable := in.Status == 503 || in.Status == 504
 	switch {
 	case unavailable && (k.task.kind == taskHealthCheck || in.Rejected):
@@ -288,7 +277,7 @@
 	}
 	delete(k.conns.conns, k.conn)
 	if !k.peerClosed {
-		k.conns.process.emit(simapi.Output{Kind: simapi.WorkerConnClosed, Conn: k.conn, Worker: k.endpoint.workerIndex})
+		k.conns.process.emit(simapi.WorkerConnClosed{Conn: k.conn, Worker: k.endpoint.workerIndex})
 	}
 }
 
--- a/internal/testbed/simulation/worker_conns_test.go
+++ b/internal/testbed/simulation/worker_conns_test.go
@@ -30,19 +30,19 @@
 
 // farConn is a connection as a worker sees it.
 type farConn struct {
-	conn    simapi.Conn
-	node    int
-	up      bool
-	pending *simapi.Output // to be answered
-	last    simapi.OutputKind
-	since   time.Duration // when that was answered
+	conn        simapi.Conn
+	node        int
+	up          bool
+	pending     simapi.OutputMessage // to be answered; nil: nothing is
+	lastAttempt bool                 // what was written last was an attempt
+	since       time.Duration        // when that was answered
 }
 
 // settling reports whether an idle connection has just carried a request: it may still get a second response, so it must not
 // carry another one yet.
 func (b *harness) settling(id simapi.Conn) bool {
 	c := b.conns[id]
-	return c.last == simapi.AttemptWritten && b.now-c.since < reuseDelay
+	return c.lastAttempt && b.now-c.since < reuseDelay
 }
 
 func endpointNumber(id string) uint64 {
@@ -76,7 +76,7 @@
 	for n := range harnessWorkers {
 		known.Endpoints = append(known.Endpoints, requests.Endpoint{ID: "w-" + strconv.Itoa(n), Addr: "a:" + strconv.Itoa(n), Lifecycle: "up"})
 	}
-	return b.step(simapi.Input{Kind: simapi.Start, Start: &simapi.StartOptions{Name: "n0", KnownEndpoints: known}})
+	return b.step(simapi.Input{Message: simapi.Start{Name: "n0", KnownEndpoints: known}})
 }
 
 // step passes inputs to the scheduler, and runs its iterations until none is due at this instant.
@@ -89,7 +89,7 @@
 		b.outs = b.s.Step(b.now, nil, b.outs)
 	}
 	for i := range b.outs {
-		b.meet(b.outs[i])
+		b.meet(b.outs[i].Message)
 	}
 	return b.outs
 }
@@ -108,51 +108,65 @@
 }
 
 // meet processes an output of the scheduler, and checks that its connection allows it.
-func (b *harness) meet(o simapi.Output) {
-	c := b.conns[o.Conn]
-	switch o.Kind {
+func (b *harness) meet(message simapi.OutputMessage) {
+	switch m := message.(type) {
 	case simapi.WorkerDialed:
-		if c != nil {
-			b.fail("connection %x is dialled twice", o.Conn)
-		}
-		if slices.ContainsFunc(b.resting[o.Worker], func(id simapi.Conn) bool { return !b.settling(id) }) {
-			b.fail("node %d is dialled though an idle link is there", o.Worker)
-		}
-		c = &farConn{conn: o.Conn, node: o.Worker}
-		b.conns[o.Conn] = c
-		b.openConns = append(b.openConns, c)
-	case simapi.AttemptWritten, simapi.HealthCheckWritten, simapi.CancellationReceived:
-		if c == nil || !c.up || c.pending != nil || c.node != o.Worker {
-			b.fail("%d is written to connection %x to node %d, which is not free: %+v", o.Kind, o.Conn, o.Worker, c)
-			return
-		}
-		b.checkReuse(o)
-		c.pending, c.last = &o, o.Kind
+		b.dialed(m.Conn, m.Worker)
+	case simapi.AttemptWritten:
+		b.written(message, m.Conn, m.Worker)
+	case simapi.HealthCheckWritten:
+		b.written(message, m.Conn, m.Worker)
+	case simapi.CancellationWritten:
+		b.written(message, m.Conn, m.Worker)
 	case simapi.WorkerConnClosed:
+		c := b.conns[m.Conn]
 		if c == nil {
-			b.fail("connection %x is closed, and is not open", o.Conn)
+			b.fail("connection %x is closed, and is not open", m.Conn)
 			return
 		}
 		b.forget(c)
 	}
 }
 
+func (b *harness) dialed(conn simapi.Conn, worker int) {
+	if b.conns[conn] != nil {
+		b.fail("connection %x is dialled twice", conn)
+	}
+	if slices.ContainsFunc(b.resting[worker], func(id simapi.Conn) bool { return !b.settling(id) }) {
+		b.fail("node %d is dialled though an idle link is there", worker)
+	}
+	c := &farConn{conn: conn, node: worker}
+	b.conns[conn] = c
+	b.openConns = append(b.openConns, c)
+}
+
+func (b *harness) written(message simapi.OutputMessage, conn simapi.Conn, worker int) {
+	c := b.conns[conn]
+	if c == nil || !c.up || c.pending != nil || c.node != worker {
+		b.fail("%T is written to connection %x to node %d, which is not free: %+v", message, conn, worker, c)
+		return
+	}
+	_, isAttempt := message.(simapi.AttemptWritten)
+	b.checkReuse(isAttempt, conn, worker)
+	c.pending, c.lastAttempt = message, isAttempt
+}
+
 // checkReuse checks that what is written goes to a connection that has just come up, or to the idle one that was used last.
-func (b *harness) checkReuse(o simapi.Output) {
-	idle := b.resting[o.Worker]
-	at := slices.Index(idle, o.Conn)
+func (b *harness) checkReuse(isAttempt bool, conn simapi.Conn, worker int) {
+	idle := b.resting[worker]
+	at := slices.Index(idle, conn)
 	if at < 0 {
 		return
 	}
 	for _, newer := range idle[at+1:] {
-		if o.Kind != simapi.AttemptWritten || !b.settling(newer) {
+		if !isAttempt || !b.settling(newer) {
 			b.fail("an older idle link than the last one is used")
 		}
 	}
-	if o.Kind == simapi.AttemptWritten && b.settling(o.Conn) {
+	if isAttempt && b.settling(conn) {
 		b.fail("a link carries again that has just done so")
 	}
-	b.resting[o.Worker] = slices.Delete(idle, at, at+1)
+	b.resting[worker] = slices.Delete(idle, at, at+1)
 }
 
 func (b *harness) forget(c *farConn) {
@@ -256,9 +270,9 @@
 func (r *connsRun) step(ins ...simapi.Input) {
 	b := r.harness
 	b.step(ins...)
-	for i := range b.outs {
-		if o := &b.outs[i]; o.Kind == simapi.AttemptWritten {
-			r.find(o.RequestID, o.Worker).written = true
+	for _, o := range b.outs {
+		if m, ok := o.Message.(simapi.AttemptWritten); ok {
+			r.find(m.RequestID, m.Worker).written = true
 		}
 	}
 	for ; r.received < len(b.script.Received); r.received++ {
@@ -310,10 +324,9 @@
 	r.calls++
 	budget := time.Duration(1+r.Pick(20)) * 100 * time.Millisecond
 	r.deadlines[uint64(r.calls)] = r.harness.now + budget
-	r.step(simapi.Input{
-		Kind: simapi.RequestReceived, Conn: simapi.Conn(r.calls),
-		Request: &simapi.ClientRequest{RequestID: strconv.Itoa(r.calls), Budget: budget},
-	})
+	r.step(simapi.Input{Message: simapi.RequestReceived{
+		Conn: simapi.Conn(r.calls), Request: &simapi.ClientRequest{RequestID: strconv.Itoa(r.calls), Budget: budget},
+	}})
 	r.Record("ask")
 }
 
@@ -343,13 +356,12 @@
 		"started": dispatch.OK, "done": dispatch.OK, "failed": dispatch.Failed,
 		"returned": dispatch.WorkerFull, "lost": dispatch.ConnectionReset,
 	}[state]] = true
-	r.step(simapi.Input{Kind: simapi.CallbackReceived, Worker: node, CallbackID: 5, Callback: &requests.Callback{
-		CallID: call, EndpointID: "w-" + strconv.Itoa(node),
-		State: state, Result: &result,
-	}})
+	r.step(simapi.Input{Message: simapi.CallbackReceived{Worker: node, CallbackID: 5, Callback: &requests.Callback{
+		CallID: call, EndpointID: "w-" + strconv.Itoa(node), State: state, Result: &result,
+	}}})
 	outs := r.harness.outs
-	i := slices.IndexFunc(outs, func(o simapi.Output) bool { return o.Kind == simapi.CallbackAnswered })
-	r.Check(i >= 0 && outs[i].Status == 204 && outs[i].CallbackID == 5, "a callback was answered by %+v", outs)
+	answers := messages[simapi.CallbackAnswered](outs)
+	r.Check(len(answers) > 0 && answers[0].Status == 204 && answers[0].CallbackID == 5, "a callback was answered by %+v", outs)
 	r.Record(state)
 }
 
@@ -357,12 +369,12 @@
 func (r *connsRun) finishDial(conn *farConn) {
 	if r.Pick(4) == 0 {
 		r.harness.forget(conn)
-		r.step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: conn.conn, Worker: conn.node})
+		r.step(simapi.Input{Message: simapi.WorkerDisconnected{Conn: conn.conn, Worker: conn.node}})
 		r.Record("refuse")
 		return
 	}
 	conn.up = true
-	r.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn.conn, Worker: conn.node})
+	r.step(simapi.Input{Message: simapi.WorkerConnected{Conn: conn.conn, Worker: conn.node}})
 	r.Record("up")
 }
 
@@ -374,14 +386,14 @@
 	}
 	r.allow(conn, dispatch.ConnectionReset)
 	r.harness.forget(conn)
-	r.step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: conn.conn, Worker: conn.node, Reset: r.Pick(2) == 0})
+	r.step(simapi.Input{Message: simapi.WorkerDisconnected{Conn: conn.conn, Worker: conn.node, Reset: r.Pick(2) == 0}})
 	r.Record("down")
 }
 
 // allow notes that the attempt written to a connection may end so.
 func (r *connsRun) allow(conn *farConn, result dispatch.Result) {
-	if conn.pending != nil && conn.pending.Kind == simapi.AttemptWritten {
-		r.find(conn.pending.RequestID, conn.node).may[result] = true
+	if m, ok := conn.pending.(simapi.AttemptWritten); ok {
+		r.find(m.RequestID, conn.node).may[result] = true
 	}
 }
 
@@ -410,10 +422,9 @@
 	} else {
 		r.harness.resting[conn.node], conn.since = append(r.harness.resting[conn.node], conn.conn), r.harness.now
 	}
-	r.step(simapi.Input{
-		Kind: simapi.ResponseReceived, Conn: conn.conn, Worker: conn.node, Status: response.status, Rejected: response.rejected,
-		Bytes: response.bytes,
-	})
+	r.step(simapi.Input{Message: simapi.ResponseReceived{
+		Conn: conn.conn, Worker: conn.node, Status: response.status, Rejected: response.rejected, Bytes: response.bytes,
+	}})
 	r.Record("answer " + strconv.Itoa(response.status))
 }
 
@@ -436,37 +447,39 @@
 		far  func(b *harness, conn simapi.Conn) // after the dial
 		want dispatch.Result
 	}{
-		{"refused", func(b *harness, conn simapi.Conn) { b.step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: conn}) }, dispatch.ConnectFailed},
+		{"refused", func(b *harness, conn simapi.Conn) {
+			b.step(simapi.Input{Message: simapi.WorkerDisconnected{Conn: conn}})
+		}, dispatch.ConnectFailed},
 		{"never up", func(b *harness, _ simapi.Conn) { b.now += 250 * time.Millisecond; b.step() }, dispatch.ConnectFailed},
 		{"reset once written", func(b *harness, conn simapi.Conn) {
-			b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn})
-			b.step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: conn, Reset: true})
+			b.step(simapi.Input{Message: simapi.WorkerConnected{Conn: conn}})
+			b.step(simapi.Input{Message: simapi.WorkerDisconnected{Conn: conn, Reset: true}})
 		}, dispatch.ConnectionReset},
 		{"reset in the answer", func(b *harness, conn simapi.Conn) {
-			b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn})
-			b.step(simapi.Input{Kind: simapi.ResponseReceived, Conn: conn, Status: 202, Bytes: 3})
+			b.step(simapi.Input{Message: simapi.WorkerConnected{Conn: conn}})
+			b.step(simapi.Input{Message: simapi.ResponseReceived{Conn: conn, Status: 202, Bytes: 3}})
 		}, dispatch.ConnectionReset},
 		{"lost once accepted", func(b *harness, conn simapi.Conn) {
-			b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn})
-			b.step(simapi.Input{Kind: simapi.ResponseReceived, Conn: conn, Status: 202})
-			b.step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: conn, Reset: true}) // means nothing any more
-			b.step(simapi.Input{Kind: simapi.CallbackReceived, Callback: &requests.Callback{CallID: "c", EndpointID: "w-1", State: "lost"}})
+			b.step(simapi.Input{Message: simapi.WorkerConnected{Conn: conn}})
+			b.step(simapi.Input{Message: simapi.ResponseReceived{Conn: conn, Status: 202}})
+			b.step(simapi.Input{Message: simapi.WorkerDisconnected{Conn: conn, Reset: true}}) // means nothing any more
+			b.step(simapi.Input{Message: simapi.CallbackReceived{Callback: &requests.Callback{CallID: "c", EndpointID: "w-1", State: "lost"}}})
 		}, dispatch.ConnectionReset},
 		{"told late of an attempt before", func(b *harness, conn simapi.Conn) {
-			b.step(simapi.Input{Kind: simapi.CallbackReceived, Callback: &requests.Callback{CallID: "c", EndpointID: "w-1", State: "returned"}})
-			if b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn}); len(b.openConns) > 0 || b.outs[0].Kind != simapi.WorkerConnClosed {
+			b.step(simapi.Input{Message: simapi.CallbackReceived{Callback: &requests.Callback{CallID: "c", EndpointID: "w-1", State: "returned"}}})
+			if b.step(simapi.Input{Message: simapi.WorkerConnected{Conn: conn}}); len(b.openConns) > 0 || len(messages[simapi.WorkerConnClosed](b.outs[:1])) == 0 {
 				b.fail("it is sent all the same: %+v", b.outs)
 			}
 		}, dispatch.WorkerFull},
 		{"silent", func(b *harness, conn simapi.Conn) {
-			b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: conn})
+			b.step(simapi.Input{Message: simapi.WorkerConnected{Conn: conn}})
 			b.now += time.Second
 			b.step()
 		}, dispatch.TimedOut},
 	} {
 		b := newHarness(t, nil)
 		b.start()
-		b.step(simapi.Input{Kind: simapi.RequestReceived, Conn: 1, Request: &simapi.ClientRequest{RequestID: "c", Budget: time.Second}})
+		b.step(simapi.Input{Message: simapi.RequestReceived{Conn: 1, Request: &simapi.ClientRequest{RequestID: "c", Budget: time.Second}}})
 		b.act(dispatch.Send{Job: 1, Worker: endpointNumber("w-1")})
 		b.openConns[0].up = true // where the story says so
 		c.far(b, b.openConns[0].conn)
@@ -481,26 +494,25 @@
 func TestIdleTrust(t *testing.T) {
 	b := newHarness(t, nil)
 	b.start()
-	probe := func() simapi.Output {
+	probe := func() simapi.HealthCheckWritten {
 		b.act(dispatch.HealthCheck{Worker: endpointNumber("w-0")})
-		for _, o := range b.outs {
-			if o.Kind == simapi.WorkerDialed {
-				b.conns[o.Conn].up = true
-				b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: o.Conn})
-			}
+		for _, m := range messages[simapi.WorkerDialed](b.outs) {
+			b.conns[m.Conn].up = true
+			b.step(simapi.Input{Message: simapi.WorkerConnected{Conn: m.Conn}})
 		}
-		return b.outs[len(b.outs)-1]
+		written := messages[simapi.HealthCheckWritten](b.outs)
+		return written[len(written)-1]
 	}
 	first := probe()
 	b.resting[0] = []simapi.Conn{first.Conn}
 	b.conns[first.Conn].pending = nil
-	b.step(simapi.Input{Kind: simapi.ResponseReceived, Conn: first.Conn, Status: 200})
+	b.step(simapi.Input{Message: simapi.ResponseReceived{Conn: first.Conn, Status: 200}})
 	b.now += 2 * time.Second
 	if again := probe(); again.Conn != first.Conn {
 		t.Fatalf("an idle link is not used again: %+v", again)
 	}
 	b.forget(b.conns[first.Conn])
-	b.step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: first.Conn, Reset: true})
+	b.step(simapi.Input{Message: simapi.WorkerDisconnected{Conn: first.Conn, Reset: true}})
 	if got := b.s.process.workerConns.idleTrust; got != time.Second {
 		t.Errorf("trusted for %v after 2 s went wrong", got)
 	}
@@ -536,22 +548,22 @@
 		"never":        {func(b *harness) { b.until(b.now + 4*sec) }, nil},
 		"till its end": {func(b *harness) { b.until(b.now + 10*sec) }, []dispatch.Result{dispatch.TimedOut}},
 		"handed back": {func(b *harness) {
-			b.step(simapi.Input{Kind: simapi.CallbackReceived, Callback: &requests.Callback{CallID: "c", EndpointID: "w-1", State: "returned"}})
-			if b.up(); slices.ContainsFunc(b.outs, func(o simapi.Output) bool { return o.Kind == simapi.CancellationReceived }) {
+			b.step(simapi.Input{Message: simapi.CallbackReceived{Callback: &requests.Callback{CallID: "c", EndpointID: "w-1", State: "returned"}}})
+			if b.up(); len(messages[simapi.CancellationWritten](b.outs)) > 0 {
 				b.fail("a DELETE for what has ended")
 			}
 		}, []dispatch.Result{dispatch.WorkerFull}},
 	} {
 		b := newHarness(t, nil)
 		b.start()
-		b.step(simapi.Input{Kind: simapi.RequestReceived, Conn: 1, Request: &simapi.ClientRequest{RequestID: "c", Budget: 9 * sec}})
+		b.step(simapi.Input{Message: simapi.RequestReceived{Conn: 1, Request: &simapi.ClientRequest{RequestID: "c", Budget: 9 * sec}}})
 		b.act(dispatch.Send{Job: 1, Worker: endpointNumber("w-1")})
 		conn := b.openConns[0].conn
 		b.up()
 		b.conns[conn].pending = nil
-		b.step(simapi.Input{Kind: simapi.ResponseReceived, Conn: conn, Status: 202})
+		b.step(simapi.Input{Message: simapi.ResponseReceived{Conn: conn, Status: 202}})
 		b.forget(b.conns[conn])
-		b.step(simapi.Input{Kind: simapi.WorkerDisconnected, Conn: conn, Reset: true})
+		b.step(simapi.Input{Message: simapi.WorkerDisconnected{Conn: conn, Reset: true}})
 		b.script.Received = nil
 		b.act(dispatch.Cancel{Job: 1})
 		c.far(b)
@@ -571,7 +583,7 @@
 func (b *harness) up() {
 	if c := b.openConns[len(b.openConns)-1]; !c.up {
 		c.up = true
-		b.step(simapi.Input{Kind: simapi.WorkerConnected, Conn: c.conn, Worker: c.node})
+		b.step(simapi.Input{Message: simapi.WorkerConnected{Conn: c.conn, Worker: c.node}})
 	}
 }
 
@@ -581,5 +593,15 @@
 	c := b.openConns[len(b.openConns)-1]
 	c.pending, c.since = nil, b.now
 	b.resting[c.node] = append(b.resting[c.node], c.conn)
-	b.step(simapi.Input{Kind: simapi.ResponseReceived, Conn: c.conn, Worker: c.node, Status: 204})
+	b.step(simapi.Input{Message: simapi.ResponseReceived{Conn: c.conn, Worker: c.node, Status: 204}})
+}
+
+// messages are the outputs of a type.
+func messages[T simapi.OutputMessage](outs []simapi.Output) (list []T) {
+	for _, o := range outs {
+		if m, ok := o.Message.(T); ok {
+			list = append(list, m)
+		}
+	}
+	return list
 }
