--- a/internal/link/hotrestart_transfer.go
+++ b/internal/link/hotrestart_transfer.go
@@ -8,6 +8,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/dispatch"
+	"valvecove/internal/clock"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/requests"
@@ -32,7 +33,7 @@
 
 // run returns nil once the successor has answered TakenOver.
 func (t *stateTransfer) run() error {
-	t.send(hotrestart.TransferBegin{}, hotrestart.NoDescriptor)
+	t.send(hotrestart.TransferBegin(t.loop.readClocks()), hotrestart.NoDescriptor)
 	t.frameCount = 0
 	t.sendPolicySnapshot()
 	t.sendRequests()
@@ -45,6 +46,12 @@
 	return t.awaitTakenOver()
 }
 
+// readClocks reads at one moment the loop's clock and the one that it shares with the other process.
+func (l *Loop) readClocks() hotrestart.ClockReadings {
+	reading, monotonic := clock.Together(l.Clock, l.monotonic)
+	return hotrestart.ClockReadings{Clock: reading, Monotonic: monotonic}
+}
+
 func (t *stateTransfer) send(message hotrestart.Message, descriptor int) {
 	if t.err == nil {
 		t.err = t.successor.sendMessageBefore(t.deadline, message, descriptor)
@@ -174,7 +181,7 @@
 func (k *workerConnection) transferRecord() hotrestart.WorkerConnection {
 	record := hotrestart.WorkerConnection{
 		WorkerID:   k.endpoint.id,
-		State:      transferredStates[k.state],
+		State:      k.transferredState(),
 		Stage:      k.stage,
 		Input:      k.Input(),
 		Output:     k.Output(),
@@ -187,6 +194,15 @@
 	return record
 }
 
+// transferredState is the connection's state as it is handed over. Whoever goes on with one that holds its attempt looks anew
+// at whether anybody waits for it.
+func (k *workerConnection) transferredState() hotrestart.WorkerConnectionState {
+	if k.state == workerHolding {
+		return hotrestart.WorkerConnecting
+	}
+	return transferredStates[k.state]
+}
+
 // transferredStates are the states of connections as they are handed over.
 var transferredStates = map[workerConnectionState]hotrestart.WorkerConnectionState{
 	workerConnecting:       hotrestart.WorkerConnecting,
@@ -210,7 +226,7 @@
 		responders[w.requestID] = w.slot
 	}
 	l.Requests.TakeOver(l.Now(), received.RequestTable, received.OpenRequests, responders,
-		func() requests.Policy { return l.restorePolicy(received.PolicySnapshot) })
+		func() requests.Policy { return l.restorePolicy(received.PolicySnapshot, received.ClockAhead) })
 	for _, w := range waiting {
 		w.slot.request = l.Requests.Request(w.requestID)
 	}
@@ -225,12 +241,13 @@
 	}
 }
 
-// restorePolicy returns the policy that goes on from a snapshot, or nil if the snapshot is of no use to this build.
-func (l *Loop) restorePolicy(snapshot []byte) requests.Policy {
+// restorePolicy returns the policy that goes on from a snapshot, or nil if the snapshot is of no use to this build. The clock
+// here is ahead of the one that the snapshot's instants are of.
+func (l *Loop) restorePolicy(snapshot []byte, clockAhead time.Duration) requests.Policy {
 	if l.wrapRestored == nil {
 		return nil
 	}
-	dispatcher, err := dispatch.Restore(*l.clients.settings, snapshot)
+	dispatcher, err := dispatch.RestoreOnClock(*l.clients.settings, snapshot, clockAhead)
 	if err != nil {
 		l.log.Warn("what the process before had learnt is of no use here", "bytes", len(snapshot), "error", err)
 		return nil
@@ -357,13 +374,18 @@
 }
 
 func (k *workerConnection) restoreAttempt(attempt *requests.Attempt) {
-	k.exchange = exchange{kind: exchangeAttempt, attempt: attempt}
+	k.exchange = exchange{kind: exchangeAttempt, attempt: attempt, begunAt: k.pool.loop.Now()}
 	k.pool.byAttempt[attempt] = k
 	if k.state == workerConnecting {
 		k.setTimeout(k.pool.connectTimeout)
 		return
 	}
-	k.setTimeout(attempt.At - k.pool.loop.Now() + responseGrace)
+	if k.stage < requests.StageWritten { // what the worker was told of the time is older than is known here
+		k.writeUntil = k.pool.loop.Clock() + smallWriteTimeout
+		k.setTimeout(smallWriteTimeout)
+	} else {
+		k.setTimeout(attempt.At - k.pool.loop.Now() + responseGrace)
+	}
 	k.UpdateEvents()
 }
 
