--- a/internal/testbed/baseline/base.go
+++ b/internal/testbed/baseline/base.go
@@ -160,7 +160,7 @@
 }
 
 // estimateWork is the work that a job is taken for where its true work is not seen: its hint, or else as much as leaves it
-// half of its client's patience.
+// half of its client's timeout.
 func (b *base) estimateWork(j *job) float64 {
 	if j.Hint > 0 {
 		return j.Hint.Seconds()
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -5,7 +5,7 @@
 // What they have in common (base): a request is sent where its class may go and to no worker that drains or is
 // gone; a cold one is passed over as often as it lacks capacity; an attempt that proves never to have run is
 // followed by another elsewhere, one that may have run only as far as the class permits; what can't be sent any
-// more is refused where that is harmless, and failed elsewhere. They are the same play for the same seed.
+// more is refused where that is harmless, and failed elsewhere. They decide the same for the same seed.
 package baseline
 
 import (
--- a/internal/testbed/checker/explanation.go
+++ b/internal/testbed/checker/explanation.go
@@ -9,7 +9,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// logEntry is a trace event as it is kept for stories. Most of the checker's memory is entries: they are small, and no pointers.
+// logEntry is a trace event as it is kept for explanations. Most of the checker's memory is entries: they are small, and no pointers.
 type logEntry struct {
 	at        time.Duration
 	duration  time.Duration // budget, first byte or advice; of a start of a process, its number
@@ -111,7 +111,7 @@
 	}
 }
 
-// attachExplanation puts a job's story to its breaches, as it is about to be forgotten.
+// attachExplanation puts a job's explanation to its violations, as it is about to be forgotten.
 func (j *Checker) attachExplanation(b *job) {
 	if len(b.violations) == 0 {
 		return
--- a/internal/testbed/checker/history.go
+++ b/internal/testbed/checker/history.go
@@ -34,7 +34,7 @@
 	log         []logEntry
 	omitted     int // entries that the log had no room for
 	brokenRules uint32
-	violations  []int // in Judge.found
+	violations  []int // in Checker.violations
 	settled     bool
 }
 
--- a/internal/testbed/checker/time_limits.go
+++ b/internal/testbed/checker/time_limits.go
@@ -37,7 +37,7 @@
 
 func newTimeLimits(spec *scenario.Scenario, live bool) timeLimits {
 	r, n := &spec.Rules, &spec.Network
-	// Delays are log-normal; no play is so long that one lies six deviations out.
+	// Delays are log-normal; no run is so long that one lies six deviations out.
 	far := math.Exp(6 * math.Sqrt(math.Log1p(n.Jitter*n.Jitter)))
 	long := func(d time.Duration) time.Duration { return time.Duration(far * float64(d)) }
 	f := timeLimits{
--- a/internal/testbed/environment/client_jobs.go
+++ b/internal/testbed/environment/client_jobs.go
@@ -19,7 +19,7 @@
 	class, tenant     int
 	zone              int
 	requests          int
-	status            int // of the answer to the last try
+	status            int // of the response to the last request
 	bodyLength        int
 	honoursRetryAfter bool
 	overQuota         bool
@@ -27,7 +27,7 @@
 	costHint          time.Duration
 	dueAt, deadline   time.Duration
 	leavesAfter       time.Duration // its client goes away so long after it fell due; 0: it doesn't
-	firstRiskAt       time.Duration // when the first try was asked that may have run; -1: none was
+	firstRiskAt       time.Duration // when the first request was sent that may have run; -1: none was
 	key               string
 	open              *request      // the open one
 	client            *closedClient // whose job it is, under a closed load
@@ -37,7 +37,7 @@
 type request struct {
 	id     string
 	jobID  uint64
-	number int // which of the job's tries
+	number int // which of the job's requests
 	class  int
 	key    string
 	work   float64 // s on a standard core, before the noise of a run
@@ -61,7 +61,7 @@
 	requestEnded
 )
 
-// How a try ends.
+// How a request ends.
 type requestOutcome uint8
 
 const (
@@ -95,7 +95,7 @@
 	c.sendNext(job)
 }
 
-// sendNext begins the job's next try.
+// sendNext begins the job's next request.
 func (c *clients) sendNext(job *job) {
 	if job.overQuota {
 		return
@@ -111,7 +111,7 @@
 	c.connPools[job.zone].acquire(t)
 }
 
-// writeRequest writes a try's request on a connection. Not ok: its time is up.
+// writeRequest writes a request on a connection. Not ok: its time is up.
 func (c *clients) writeRequest(t *request, clientConn *clientConn) (ok bool) {
 	job, class, now := t.job, c.classes[t.class], c.env.now
 	budget := min(job.deadline-now, class.requestTimeout) / time.Millisecond * time.Millisecond
@@ -137,7 +137,7 @@
 	return true
 }
 
-// endRequest ends a try, and settles its job or has it tried again.
+// endRequest ends a request, and settles its job or has it sent again.
 func (c *clients) endRequest(t *request, how requestOutcome, after time.Duration) {
 	job, class := t.job, c.classes[t.class]
 	if t.stage == requestSent {
@@ -165,7 +165,7 @@
 	return k.hasRetries && j.firstRiskAt >= 0 && at >= j.firstRiskAt+k.DeduplicationWindow.Std()
 }
 
-// retryDelay is how long a client waits before its job's next try. Of after, the scheduler's advice, only storms and the
+// retryDelay is how long a client waits before its job's next request. Of after, the scheduler's advice, only storms and the
 // client's own ways keep it.
 func (c *clients) retryDelay(j *job, after time.Duration) time.Duration {
 	if j.honoursRetryAfter && after > 0 && len(c.retryFactors) == 0 {
@@ -203,7 +203,7 @@
 	c.settleJob(j)
 }
 
-// isUnsettled tells whether a job's deadline is still to come, and timeUp is it.
+// isUnsettled tells whether a job's deadline is still to come, and jobDeadline is it.
 func (c *clients) isUnsettled(n uint64) bool { return c.jobs.openJob(n) != nil }
 
 func (c *clients) jobDeadline(n uint64) {
@@ -212,7 +212,7 @@
 	c.settleJob(j)
 }
 
-// abandonRequest ends a job's open try without an answer, if it has one.
+// abandonRequest ends a job's open request without a response, if it has one.
 func (c *clients) abandonRequest(job *job, why trace.Kind) {
 	t := job.open
 	if t == nil {
@@ -227,13 +227,13 @@
 	t.stage, t.job, t.conn, job.open = requestEnded, nil, nil, nil
 }
 
-// requestUnreached ends a try that reached no scheduler; -1: it was led to none.
+// requestUnreached ends a request that reached no scheduler; -1: it was led to none.
 func (c *clients) requestUnreached(t *request, sched int) {
 	c.env.record(c.describe(t, trace.Event{Kind: trace.SchedulerUnreachable, Scheduler: sched}))
 	c.endRequest(t, outcomeUnreached, 0)
 }
 
-// isOpenRequest tells whether the end of a try's time is still to come, and tryUp is it. Its job has time for more.
+// isOpenRequest tells whether the end of a request's time is still to come, and requestDeadline is it. Its job has time for more.
 func (c *clients) isOpenRequest(id uint64) bool {
 	j := c.jobs.openJob(id >> requestBits)
 	return j != nil && j.open != nil && j.open.number == int(id%maxRequests) && j.open.stage == requestSent
@@ -248,7 +248,7 @@
 	c.endRequest(t, outcomeFailed, 0)
 }
 
-// closeConn closes the connection that a try waits on.
+// closeConn closes the connection that a request waits on.
 func (c *clients) closeConn(t *request, why trace.Kind) {
 	l := t.conn
 	c.env.record(c.describe(t, trace.Event{Kind: why, Scheduler: l.conn.scheduler, Conn: uint64(l.conn.id)}))
@@ -256,7 +256,7 @@
 	l.close()
 }
 
-// describe says in a trace event which try it is of.
+// describe says in a trace event which request it is of.
 func (c *clients) describe(t *request, s trace.Event) trace.Event {
 	s.RequestID, s.JobID, s.Number, s.Class, s.Tenant, s.IdempotencyKey = t.id, t.jobID, t.number, t.class, int(t.tenant), t.key
 	return s
--- a/internal/testbed/environment/clients.go
+++ b/internal/testbed/environment/clients.go
@@ -10,14 +10,14 @@
 // This file holds the clients of the environment as one: who they are, how they start, and what reaches them from
 // schedulers.
 
-// clients is all clients: their jobs, each with its tries, of which one is open at a time, and the connections that
-// they share (front.go). A job is settled exactly once.
+// clients is all clients: their jobs, each with its requests, of which one is open at a time, and the connections that
+// they share (load_balancer.go). A job is settled exactly once.
 //
-// A try waits for a connection, then for its answer, and ends with one trace event: Answered, Lost, Left, GaveUp or
-// Unreached. It may be followed by another, with a new id, after a rejection
-// or where no scheduler was reached; after any other failure only if its class is safe, or keyed with a group that
-// holds all workers and then within the window of the first try that may have run. No try begins once the
-// job's deadline has passed.
+// A request waits for a connection, then for its response, and ends with one trace event: ResponseReceived,
+// ConnectionLost, ClientLeft, ClientTimedOut or SchedulerUnreachable. It may be followed by another, with a new id, after
+// a rejection or where no scheduler was reached; after any other failure only if its class is idempotent, or idempotent
+// with a key that all workers recognise, and then within the window of the first request that may have run. No request
+// begins once the job's deadline has passed.
 //
 // A client listens for the rules' slack beyond its deadline before it closes, as an answer counts until then.
 type clients struct {
@@ -49,9 +49,9 @@
 type class struct {
 	*scenario.Class
 	idempotent, idempotentWithKey, hasRetries bool
-	requestTimeout                            time.Duration // that one try may take
+	requestTimeout                            time.Duration // that one request may take
 	deadlines                                 *timeoutQueue // jobs, by when their time is up
-	requestDeadlines                          *timeoutQueue // tries, by when theirs is, where a job may have several
+	requestDeadlines                          *timeoutQueue // requests, by when theirs is, where a job may have several
 	retained                                  *timeoutQueue // settled jobs, by when they may be forgotten
 }
 
--- a/internal/testbed/environment/conn.go
+++ b/internal/testbed/environment/conn.go
@@ -43,7 +43,7 @@
 
 // toSched brings something over a connection to its scheduler: do runs when it arrives there, in order, unless that
 // side is closed by then. What a cut holds up arrives after that. What the network swallows never arrives: whoever
-// waits for it has patience of its own.
+// waits for it has a timeout of its own.
 func (w *Environment) toSched(c *conn, do func()) { w.transmit(c, schedulerSide, do) }
 
 // toFarEnd is the same the other way.
@@ -114,8 +114,8 @@
 	w.deliver(simapi.Input{Scheduler: conn.scheduler, Message: message})
 }
 
-// closeSide closes a connection at one side. The other side hears of it, unless it has closed too: a scheduler by an In
-// (Left or LinkDown), the far end by ended.
+// closeSide closes a connection at one side. The other side is notified, unless it has closed too: a scheduler by a
+// simapi.ClientClosed or simapi.WorkerDisconnected, the far end by connClosed.
 func (w *Environment) closeSide(c *conn, side int) {
 	if c.closed[side] {
 		return
--- a/internal/testbed/environment/discovery.go
+++ b/internal/testbed/environment/discovery.go
@@ -11,7 +11,7 @@
 // This file holds discovery's list of workers: its entries, how it comes to know of workers, and how it publishes what
 // has changed.
 
-// discovery is the list of workers, as one service for all schedulers (views.go has what each of these knows).
+// discovery is the list of workers, as one service for all schedulers (scheduler_views.go has what each of these knows).
 //
 // It comes to know of a turn in a worker's life after the notice for turns of its kind, give or take three
 // tenths. Once in a period it looks at what it has come to know, and what is new then makes the next generation of
--- a/internal/testbed/environment/discovery_faults.go
+++ b/internal/testbed/environment/discovery_faults.go
@@ -73,7 +73,7 @@
 	})
 }
 
-// setReachable callbacks that it can reach an entry's machine or not, if that is still so.
+// setReachable records that it can reach an entry's machine or not, if that is still so.
 func (d *discovery) setReachable(i int, does bool) {
 	if e := &d.entries[i]; does == (d.cutCounts[e.worker] == 0) && e.unreachable == does {
 		e.unreachable = !does
--- a/internal/testbed/environment/discovery_watches.go
+++ b/internal/testbed/environment/discovery_watches.go
@@ -67,7 +67,7 @@
 	me, it := endpoint{schedulerEndpoint, scheduler.number}, endpoint{discoveryEndpoint, 0}
 	way, back, ok := d.env.network.connectDelays(me, it)
 	if !ok {
-		return // it never comes up, and the scheduler has patience of its own
+		return // it never comes up, and the scheduler has a timeout of its own
 	}
 	d.env.after(way+back, func() {
 		if watchCall.stage == watchSending {
--- a/internal/testbed/environment/environment.go
+++ b/internal/testbed/environment/environment.go
@@ -1,10 +1,10 @@
 // Package environment is the testbed's model of all that is round schedulers: workers, discovery, the network, clients
-// and their front, and what goes wrong with them. It does no I/O and reads no clock; all that is random follows
-// from one seed, and each party draws from a stream of its own, so that what one does shifts no draw of another:
-// two schedulers are put through the same play.
+// and their load balancer, and their faults. It does no I/O and reads no clock. All that is random follows from one
+// seed, and each party draws from a stream of its own, so that what one does shifts no draw of another: two schedulers
+// meet the same environment.
 //
-// The border to the schedulers is package edge. Both drivers call Step; between two calls nothing happens. What the
-// world saw goes to a seen.Watcher.
+// The interface to schedulers is package simapi. Both drivers call Step; between two calls nothing happens. What clients,
+// workers and discovery observed goes to a trace.Observer.
 package environment
 
 import (
@@ -20,7 +20,7 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// Environment is one run's world. It is used by one goroutine.
+// Environment is the environment of one run. It is used by one goroutine.
 type Environment struct {
 	Spec  *scenario.Scenario
 	Epoch time.Duration // Unix time of the run's start
@@ -99,7 +99,7 @@
 func (w *Environment) after(d time.Duration, do func()) { w.schedule(w.now+max(d, 0), do) }
 
 // deliver hands something to a scheduler. What reaches one that does not run is lost; what reaches a frozen one waits at
-// its sockets, which is the driver's to play.
+// its sockets, which is the driver's to model.
 func (w *Environment) deliver(input simapi.Input) {
 	if w.schedulers[input.Scheduler].alive || actsOnNoProcess(input.Message) {
 		w.inputs = append(w.inputs, input)
--- a/internal/testbed/environment/event_queue.go
+++ b/internal/testbed/environment/event_queue.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// eventQueue is what is to happen, by time and then by the order in which it was put there. A heap of its own, since a
-// play spends a good part of its time here: what is to be done lies apart, so that an entry has 16 bytes and no
-// pointer, and the four below another share a cache line.
+// eventQueue is what is to happen, by time and then by the order in which it was put there. It is a heap of its own, since
+// a run spends a good part of its time here: the actions lie apart, so that an entry has 16 bytes and no pointer, and the
+// four below another share a cache line.
 type eventQueue struct {
 	items   []queuedEvent
 	actions []func()
-	free    []uint32 // places in todo
+	free    []uint32 // unused places in actions
 	lastID  uint64
 }
 
 type queuedEvent struct {
 	at time.Duration
-	id uint64 // counts entries; its last bits are the place in todo
+	id uint64 // counts entries; its last bits are the place in actions
 }
 
 const (
--- a/internal/testbed/environment/job_table.go
+++ b/internal/testbed/environment/job_table.go
@@ -40,7 +40,7 @@
 	return b.record(n).job
 }
 
-// setRequest enters a job's latest try, and returns the one before.
+// setRequest enters a job's latest request, and returns the one before.
 func (b *jobTable) setRequest(t *request) *request {
 	p := b.record(t.jobID)
 	before := p.request
--- a/internal/testbed/environment/load_balancer.go
+++ b/internal/testbed/environment/load_balancer.go
@@ -159,7 +159,7 @@
 	deliverResponse func()
 }
 
-// acquire finds a connection for a try.
+// acquire finds a connection for a request.
 func (p *connPool) acquire(t *request) {
 	t.stage = requestSeeking
 	if n := len(p.idle); n > 0 {
@@ -180,7 +180,7 @@
 	p.dial(t, sched)
 }
 
-// dial opens a connection to a scheduler, for a try; -1: the load balancer has none, and refuses it.
+// dial opens a connection to a scheduler, for a request; -1: the load balancer has none, and refuses it.
 func (p *connPool) dial(t *request, sched int) {
 	environment, f := p.clients.env, p.clients.env.balancer
 	if sched < 0 {
@@ -222,7 +222,7 @@
 	p.clients.env.balancer.roomChanged()
 }
 
-// requestFailed ends a try for which no connection came up, unless it has one by now.
+// requestFailed ends a request for which no connection came up, unless it has one by now.
 func (p *connPool) requestFailed(t *request, sched int) {
 	if t.stage == requestSeeking {
 		p.clients.requestUnreached(t, sched)
--- a/internal/testbed/environment/request_ids.go
+++ b/internal/testbed/environment/request_ids.go
@@ -7,7 +7,7 @@
 // This file holds the ids of requests, the idempotency keys, and the random numbers of each job. All follow from the seed
 // and the job's number.
 
-// A request's id is its job's number and its own among the job's tries, scrambled: it follows from the seed alone,
+// A request's id is its job's number and its own among the job's requests, scrambled: it follows from the seed alone,
 // never comes twice, and leads back to the job without a table.
 const (
 	requestBits = 8
@@ -53,9 +53,9 @@
 	}
 }
 
-func (c *clients) requestID(job uint64, try int) string {
+func (c *clients) requestID(job uint64, number int) string {
 	var b [16]byte
-	putHex(b[:], c.requestIDs.apply(job<<requestBits|uint64(try)))
+	putHex(b[:], c.requestIDs.apply(job<<requestBits|uint64(number)))
 	return string(b[:])
 }
 
@@ -84,15 +84,15 @@
 	return c.jobs.find(x>>requestBits, int(x%maxRequests))
 }
 
-// What a job's own random numbers are drawn for. They follow from its number and the try alone.
+// What a job's own random numbers are drawn for. They follow from its number and the request's alone.
 const (
 	drawZone = iota
 	drawConn
 	drawWait
 )
 
-func (c *clients) drawBits(job uint64, try, what int) uint64 {
-	return mix64(mix64(c.salt+job<<requestBits+uint64(try)) + uint64(what)*0x9e3779b97f4a7c15)
+func (c *clients) drawBits(job uint64, number, what int) uint64 {
+	return mix64(mix64(c.salt+job<<requestBits+uint64(number)) + uint64(what)*0x9e3779b97f4a7c15)
 }
 
 // unitInterval turns random bits into a number from 0 up to 1.
--- a/internal/testbed/environment/scheduler_views.go
+++ b/internal/testbed/environment/scheduler_views.go
@@ -8,13 +8,13 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// schedulerView is what a scheduler has been told by discovery, and what counts as told.
+// schedulerView is what a scheduler has been notified of by discovery, and what counts as notified.
 //
-// A change counts as told once it has reached the scheduler's socket. Where it has not, it counts 6 s after it was
-// listed and a watch, or a call for one, was there to tell it on, whatever the network does to that; without one, once
-// the scheduler has neither watched nor asked for as long as the rules allow, or four times as long after a call that
-// failed; and 4 s after a SIGHUP that came later than the change. Each is seen once (seen.Drained, seen.Started), and
-// again by a process that starts with a list that says so.
+// A change counts as notified once it has reached the scheduler's socket. Where it has not, it counts 6 s after it was
+// listed and a watch, or a call for one, was there to send it on, whatever the network does to that; without one, once
+// the scheduler has neither watched nor polled for as long as the rules allow, or four times as long after a call that
+// failed; and 4 s after a SIGHUP that came later than the change. Each is recorded once (trace.DrainNotified,
+// trace.StartNotified), and again for a process that starts with a list that says so.
 type schedulerView struct {
 	discovery      *discovery
 	scheduler      int
@@ -130,7 +130,7 @@
 	return list
 }
 
-// applyList notes what a list says.
+// applyList records what a list says.
 func (v *schedulerView) applyList(update *listUpdate) {
 	for len(v.versions) < len(v.discovery.entries) {
 		v.versions = append(v.versions, version{})
@@ -191,7 +191,7 @@
 	}
 }
 
-// touch callbacks that scheduler and discovery had to do with each other just now.
+// touch records that scheduler and discovery had to do with each other just now.
 func (v *schedulerView) touch() {
 	v.lastContact = v.discovery.env.now
 	v.planCheck()
--- a/internal/testbed/environment/worker_attempts.go
+++ b/internal/testbed/environment/worker_attempts.go
@@ -26,8 +26,8 @@
 
 	class             int
 	conn              *workerConn // that its 202 is owed on; nil: answered, or given up before
-	mayNotify         bool        // its 202 is due or past: notes may be told
-	notifiesEarly     bool        // notes may be told before
+	mayNotify         bool        // its 202 is due or past: callbacks may be sent
+	notifiesEarly     bool        // callbacks may be sent before
 	expiresAt         time.Duration
 	slots             float64
 	work              float64 // of this run, for each slot, in seconds at speed 1
@@ -195,7 +195,7 @@
 	}
 }
 
-// accept answers an attempt with 202, unless its link is gone, and lets its notes go.
+// accept answers an attempt with 202, unless its connection is gone, and lets its callbacks go.
 func (n *worker) accept(attempt *attempt) {
 	if l := attempt.conn; l != nil {
 		attempt.conn = nil
--- a/internal/testbed/environment/worker_callbacks.go
+++ b/internal/testbed/environment/worker_callbacks.go
@@ -9,10 +9,10 @@
 	"valvecove/internal/testbed/trace"
 )
 
-// callbackQueue is the callbacks that a worker owes schedulers. Each is told by calls of its own until one is answered, by
+// callbackQueue is the callbacks that a worker owes schedulers. Each is sent by calls of its own until one is answered, by
 // 200 or 204, to whichever process of the scheduler runs by then.
 type callbackQueue struct {
-	firstID       uint64         // id, without the worker's part, of the first of notes
+	firstID       uint64         // id, without the worker's part, of the first of callbacks
 	callbacks     []*callback    // in the order in which they were made; nil: answered or given up
 	outstanding   int            // that are neither, and the process's own
 	held          []*callback    // while it hangs
--- a/internal/testbed/environment/worker_lifecycle.go
+++ b/internal/testbed/environment/worker_lifecycle.go
@@ -334,7 +334,7 @@
 	})
 }
 
-// setMute: no notes are told; what was not told stays untold.
+// setMute: no callbacks are sent; what was not sent by its end never is.
 func (n *worker) setMute(on bool) { n.silencesCallbacks = on && n.state == workerUp }
 
 // dieAtAccept: it answers 202 to the next job and dies at that instant.
@@ -350,7 +350,7 @@
 // setSilent: connections never come up, those there go on.
 func (n *worker) setSilent(on bool) { n.acceptsSilently = on; n.reportAcceptMode() }
 
-// setResetBytes: each new connection is reset after it has read so many bytes, which is the driver's to play, as it knows how
+// setResetBytes: each new connection is reset after it has read so many bytes, which is the driver's to carry out, as it knows how
 // long requests are: only those that were read to their end come here, and the end comes as Hangup. < 0: after so many
 // bytes of its first answer are written. 0: as ever.
 func (n *worker) setResetBytes(bytes int) { n.resetBytes = bytes }
--- a/internal/testbed/environment/workers.go
+++ b/internal/testbed/environment/workers.go
@@ -12,10 +12,12 @@
 )
 
 // worker is a worker: a machine, and on it one process after another. Its parts are in files of their own:
-// node_links.go has its connections, node_work.go what it takes and runs, node_cold.go how it warms up and falls over,
-// node_keys.go what a group remembers of transfer keys, node_notes.go what it tells.
+// worker_conns.go has its connections, worker_attempts.go, worker_queue.go and worker_cores.go what it takes and runs,
+// worker_warmup.go how it warms up and is overloaded, worker_keys.go what a group remembers of idempotency keys,
+// worker_callbacks.go its callbacks, worker_lifecycle.go its processes and its faults.
 //
-// An attempt that it has reached ends exactly once, as a Rejected, Finished, Returned or Died trace event.
+// An attempt that it has received ends exactly once, as trace event AttemptRejected, AttemptFinished, AttemptReturned or
+// AttemptDied.
 type worker struct {
 	env         *Environment
 	shared      *workerShared
@@ -52,7 +54,7 @@
 	hanging           bool
 	pausedUntil       time.Duration // nothing moves until then
 	rejectsAll        bool          // it rejects all
-	silencesCallbacks bool          // tells no notes
+	silencesCallbacks bool          // sends no callbacks
 	diesAtAccept      bool          // at the next 202
 	diesRestartAfter  time.Duration
 	inbox             []func() // what came while it was paused
@@ -76,7 +78,7 @@
 	runningEnds       float64 // sum over the running of slots x end
 	attemptCount      uint64  // counts attempts taken
 	resultCount       uint64  // counts results made
-	progressPlanned   bool    // an entry for progress notes is on the event queue
+	progressPlanned   bool    // an entry for progress callbacks is on the event queue
 
 	warming   warmUpState
 	callbacks callbackQueue
@@ -211,7 +213,7 @@
 // placeIndex numbers machines: the first ones as their workers, those that took their places after all of these.
 func (n *worker) placeIndex() int { return n.number + n.machine*len(n.env.workers) }
 
-// WorkerAddr is where a machine listens, by its place (see node.place; of the first ones: their worker's number): a
+// WorkerAddr is where a machine listens, by its place (see placeIndex; of the first ones: their worker's number): a
 // loopback address of its own.
 func (w *Environment) WorkerAddr(i int) string {
 	if w.WorkerAddrs != nil {
--- a/internal/testbed/experiment/agreement.go
+++ b/internal/testbed/experiment/agreement.go
@@ -14,9 +14,9 @@
 // Agreement is scenarios played by both drivers, on the same seeds.
 type Agreement struct {
 	Specs              []*scenario.Scenario
-	Seeds              []uint64 // of the live plays
+	Seeds              []uint64 // of the live runs
 	ExtraSimulations   int      // further seeds in simulated time, which cost little, for its spread
-	ProcessParallelism int      // live plays at once; default 1. Those that were late are void
+	ProcessParallelism int      // live runs at once; default 1. Those that were late are void
 	Subject            Subject
 	Job                Job
 }
@@ -27,7 +27,7 @@
 // AgreementMetrics are the figures that are set side by side.
 var AgreementMetrics = []string{"in_time", "served", "refused", "failed", "unanswered", "lost"}
 
-// Allowance is what live and virtual may differ by beyond three times the spread of single virtual plays: what the
+// Allowance is what live and virtual may differ by beyond three times the spread of single virtual runs: what the
 // model leaves out (time to decide, parse and write, the kernel's scheduling) may cost as much.
 const Allowance = 0.03
 
@@ -44,7 +44,7 @@
 type AgreementResult struct {
 	Scenario   string            `json:"scenario"`
 	Figures    []AgreementFigure `json:"figures"`
-	Invalid    int               `json:"void"` // live plays that are no result
+	Invalid    int               `json:"void"` // live runs that are no result
 	Violations int               `json:"rules_broken"`
 }
 
--- a/internal/testbed/experiment/other_build.go
+++ b/internal/testbed/experiment/other_build.go
@@ -42,7 +42,7 @@
 	if err := cmd.Run(); err != nil && cmd.ProcessState.ExitCode() != 1 {
 		return nil, fmt.Errorf("%s: %w: %s", job.Subject.Testbed, err, bytes.TrimSpace(stderr.Bytes()))
 	}
-	var output struct { // expectations are for that build to hold its play to
+	var output struct { // expectations are for that build to hold its run to
 		Result  *score.Result   `json:"result"`
 		Verdict *report.Verdict `json:"verdict"`
 	}
--- a/internal/testbed/fleet/collect.go
+++ b/internal/testbed/fleet/collect.go
@@ -11,7 +11,7 @@
 
 const descriptorSampleInterval = 100 * time.Millisecond
 
-// collector gathers the figures of a run while the rig plays it.
+// collector gathers the figures of a run while the rig runs it.
 type collector struct {
 	figures        Measurement
 	pid            int           // of the measured process; 0: there is none
--- a/internal/testbed/fleet/spec.go
+++ b/internal/testbed/fleet/spec.go
@@ -13,7 +13,7 @@
 	tenants = []string{"khyber-society", "mardan-society", "swat-society"}
 )
 
-// Spec describes what a rig plays.
+// Spec describes what a rig runs.
 type Spec struct {
 	Nodes              int           `json:"nodes"`   // number of workers
 	Responds           bool          `json:"answers"` // workers respond with the result; otherwise with 202, and callbacks
--- a/internal/testbed/mutation/doc.go
+++ b/internal/testbed/mutation/doc.go
@@ -26,7 +26,7 @@
 	Policy func(set dispatch.Settings, seed uint64) requests.Policy
 }
 
-// Scenario is a short play in which the mutant shows.
+// Scenario is a short run in which the mutant shows.
 func (m *Mutant) Scenario() *scenario.Scenario {
 	s := scenario.Default()
 	s.Name = "mutant-" + m.Name
--- a/internal/testbed/process/callbacks.go
+++ b/internal/testbed/process/callbacks.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	callbackTimeout     = time.Second     // a call that has no answer by then has failed (driver.patience)
+	callbackTimeout     = time.Second     // a call that has no answer by then has failed (driver.callbackTimeout)
 	callbackIdleTimeout = 5 * time.Second // a connection without a call is closed then
 	maxCallbackCalls    = 4               // of one worker to one scheduler at once; further ones wait, within their time
 )
 
-// callbackPool is a worker's connections to a scheduler, by which it calls it with its notes.
+// callbackPool is a worker's connections to a scheduler, for its callbacks.
 type callbackPool struct {
 	driver            *driver
 	scheduler, worker int
--- a/internal/testbed/process/driver.go
+++ b/internal/testbed/process/driver.go
@@ -24,9 +24,10 @@
 	Finished() bool
 }
 
-// driver plays the environment on sockets. All that it has is used by one goroutine, in turns: what the sockets brought
-// becomes Outs, the environment steps, its Ins are carried out. Other goroutines start and await processes and read their
-// figures; they speak to it through letters, and are spoken to through each scheduler's orders.
+// driver carries the environment out on sockets. All that it has is used by one goroutine, in iterations: what the sockets
+// brought becomes outputs, the environment steps, and its inputs are carried out. Other goroutines start and await
+// processes and read their figures. They reach the loop through its mailbox, and are reached through each scheduler's
+// commands.
 type driver struct {
 	*poller
 	spec         *scenario.Scenario
@@ -253,8 +254,8 @@
 
 // ---- The loop ----
 
-// run plays until the environment is over, the end has come, the context ends or something fails. The first two end no
-// play that is to stay.
+// run runs until the environment is over, the end has come, the context ends or something fails. The first two end no
+// run that is to stay open.
 func (d *driver) run(ctx context.Context, end time.Duration) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
--- a/internal/testbed/process/lateness.go
+++ b/internal/testbed/process/lateness.go
@@ -7,7 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the testbed's own lateness. Live, an answer counts until 50 ms after its deadline: a lab that was later than
+// Bounds of the testbed's own lateness. Live, an answer counts until 50 ms after its deadline: a testbed that was later than
 // that at any time may have put somebody else's answer beyond it, and one that is often half as late does not play
 // the delays that the scenario names.
 const (
--- a/internal/testbed/process/processes.go
+++ b/internal/testbed/process/processes.go
@@ -46,7 +46,7 @@
 	ready         bool
 	everReady     bool // one has been ready
 	readiness     *readinessPoll
-	callbackPools map[int]*callbackPool // of notes, by worker
+	callbackPools map[int]*callbackPool // by worker
 	connCount     uint64                // opened to workers so far
 	log           *logFile
 	started       int
--- a/internal/testbed/process/readiness.go
+++ b/internal/testbed/process/readiness.go
@@ -13,7 +13,7 @@
 type readinessPoll struct {
 	socketConn
 	scheduler *scheduler
-	timer     *timer // the next look, or the end of this one's patience
+	timer     *timer // the next poll, or the timeout of this one
 	waiting   bool
 	stopped   bool
 }
--- a/internal/testbed/process/run.go
+++ b/internal/testbed/process/run.go
@@ -159,7 +159,7 @@
 // ---- Where live ends ----
 
 // Descriptors that a run needs: a listener for each worker and scheduler, both ends' worth of what schedulers
-// may hold, notes, and some of its own.
+// may hold, callbacks, and some of its own.
 const reservedDescriptors = 256
 
 func descriptorsNeeded(spec *scenario.Scenario) int {
--- a/internal/testbed/process/unsupported.go
+++ b/internal/testbed/process/unsupported.go
@@ -10,7 +10,7 @@
 // minDelay is the shortest delay that can be told from what sockets and the loop take by themselves.
 const minDelay = 200 * time.Microsecond
 
-// Unsupported says what of a scenario a live play can't show, one sentence each. A verdict leaves that out, and says so.
+// Unsupported says what of a scenario a live run can't show, one sentence each. A verdict leaves that out, and says so.
 func Unsupported(spec *scenario.Scenario) []string {
 	all := []string{
 		"A connection is up for a scheduler as soon as the kernel has it up: what the environment's delays and limits on" +
