--- a/cmd/valvecove-testbed/demo.go
+++ b/cmd/valvecove-testbed/demo.go
@@ -93,7 +93,7 @@
 
 // demoInstructions are commands to try on a demo that stays up.
 func demoInstructions(addresses *process.Addresses, spec *scenario.Scenario) string {
-	text := "\nIt stays up until you interrupt it (Ctrl-C), and is judged then. Try:\n\n"
+	text := "\nIt stays up until you interrupt it (Ctrl-C), and is checked then. Try:\n\n"
 	if len(addresses.Schedulers) > 0 {
 		address := addresses.Schedulers[0]
 		class := spec.Classes[0]
--- a/cmd/valvecove-testbed/speed.go
+++ b/cmd/valvecove-testbed/speed.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	runtime.GOMAXPROCS(1)
-	fmt.Fprintf(streams.stdout, "| nodes | requests | requests/s, judged: least, median, most | unjudged |\n| ---: | ---: | --- | --- |\n")
+	fmt.Fprintf(streams.stdout, "| nodes | requests | requests/s, checked: least, median, most | unchecked |\n| ---: | ---: | --- | --- |\n")
 	for _, spec := range specs {
 		checked, requests, err := c.measure(ctx, spec, false)
 		if err != nil {
--- a/internal/testbed/experiment/search.go
+++ b/internal/testbed/experiment/search.go
@@ -222,7 +222,7 @@
 
 // File is the finding as a scenario file that runs it again.
 func (f *Finding) File() []byte {
-	comment := fmt.Sprintf("# Kept by a hunt: %s. Draw %d, %d of %d faults left.\n", f.Description(), f.DrawNumber, f.Faults, f.Drawn)
+	comment := fmt.Sprintf("# Kept by a search: %s. Draw %d, %d of %d faults left.\n", f.Description(), f.DrawNumber, f.Faults, f.Drawn)
 	return append([]byte(comment), scenario.Encode(f.Spec)...)
 }
 
--- a/internal/testbed/process/lateness.go
+++ b/internal/testbed/process/lateness.go
@@ -28,7 +28,7 @@
 	case l.Max > MaxLateness:
 		return fmt.Sprintf("the testbed was late by %v, %v is allowed", l.Max, MaxLateness)
 	case l.P999 > MaxLateness999:
-		return fmt.Sprintf("the testbed was late by %v or more in one of 1000 turns, %v is allowed", l.P999, MaxLateness999)
+		return fmt.Sprintf("the testbed was late by %v or more in one of 1000 iterations, %v is allowed", l.P999, MaxLateness999)
 	}
 	return ""
 }
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -41,7 +41,7 @@
 func (v *Verdict) String() string {
 	switch {
 	case v == nil:
-		return "not judged"
+		return "not checked"
 	case v.Invalid != "":
 		return "void: " + v.Invalid
 	case v.Total() == 1:
--- a/internal/testbed/report/run_text.go
+++ b/internal/testbed/report/run_text.go
@@ -86,7 +86,7 @@
 	if verdict == nil {
 		return
 	}
-	writeSome(p, verdict.Violations, maxPageViolations, "breaches", func(violation *Violation) {
+	writeSome(p, verdict.Violations, maxPageViolations, "violations", func(violation *Violation) {
 		p.line(poor, "  %s at %s: %s", violation.Rule, formatSeconds(violation.At.Seconds()), violation.Text)
 	})
 	writeSome(p, verdict.NotChecked, maxPageNotChecked, "things left out", func(reason *string) {
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -82,7 +82,7 @@
 	sim.environment = environment.New(&shown, seed, StartTime, combineObservers(opt.Observers))
 	if spec.Planners.Count > 0 {
 		if opt.Module != nil {
-			return nil, errors.New("where there are planners, the module is the one that is in service")
+			return nil, errors.New("where there are planners, the dispatch policy is the one in service")
 		}
 		sim.levels = newLevelNetwork(spec, seed)
 	}
