--- a/internal/testbed/environment/discovery_faults.go
+++ b/internal/testbed/environment/discovery_faults.go
@@ -15,7 +15,7 @@
 	if d.outages > 0 || index != d.address {
 		mode = simapi.AcceptNone
 	}
-	d.env.inputs = append(d.env.inputs, simapi.Input{Kind: simapi.DiscoveryAcceptModeChanged, Discovery: index, Mode: mode})
+	d.env.inputs = append(d.env.inputs, simapi.Input{Message: simapi.DiscoveryAcceptModeChanged{Discovery: index, Mode: mode}})
 }
 
 // startOutage: it answers nothing, and watches end.
@@ -73,7 +73,7 @@
 	})
 }
 
-// setReachable callbacks that it can reach an entry's machine or not, if that is still so.
+// setReachable records that it can reach an entry's machine or not, if that is still so.
 func (d *discovery) setReachable(i int, does bool) {
 	if e := &d.entries[i]; does == (d.cutCounts[e.worker] == 0) && e.unreachable == does {
 		e.unreachable = !does
