--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -77,8 +77,8 @@
 // Add has the handler called for events of a descriptor. On success the loop owns the descriptor, else the caller does.
 func (l *Loop) Add(descriptor int, events uint32, handler Handler) error {
 	event := unix.EpollEvent{Events: events, Fd: int32(descriptor)}
-	if err := unix.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, descriptor, &event); err != nil {
-		return fmt.Errorf("epoll add: %w", err)
+	if err := l.syscalls.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, descriptor, &event); err != nil {
+		return fmt.Errorf("epoll add: %w", NewCallError(CallEpollControl, err))
 	}
 	for len(l.handlers) <= descriptor {
 		l.handlers = append(l.handlers, registration{})
@@ -91,24 +91,32 @@
 	return nil
 }
 
-// Modify changes which events of a descriptor the loop waits for.
+// Modify changes which events of a descriptor the loop waits for. Of one that the loop does not have, it does nothing.
 func (l *Loop) Modify(fd int, events uint32) {
-	_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_MOD, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)})
+	if !l.has(fd) {
+		return
+	}
+	_ = l.syscalls.EpollCtl(l.epoll, unix.EPOLL_CTL_MOD, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)})
+}
+
+// has reports whether the loop owns a descriptor.
+func (l *Loop) has(fd int) bool {
+	return fd >= 0 && fd < len(l.handlers) && l.handlers[fd].handler != nil
 }
 
-// Remove closes a descriptor: at once, or, while events are handed out, once all are. Of one that was removed before, it does
-// nothing.
+// Remove closes a descriptor: at once, or, while events are handed out, once all are. Of one that the loop does not have, it
+// does nothing.
 func (l *Loop) Remove(fd int) {
-	if l.handlers[fd].handler == nil {
+	if !l.has(fd) {
 		return
 	}
 	l.handlers[fd] = registration{}
-	_ = unix.EpollCtl(l.epoll, unix.EPOLL_CTL_DEL, fd, nil)
+	_ = l.syscalls.EpollCtl(l.epoll, unix.EPOLL_CTL_DEL, fd, nil)
 	if l.gathering {
 		l.closing = append(l.closing, fd)
 		return
 	}
-	_ = unix.Close(fd)
+	_ = l.syscalls.Close(fd)
 	l.reportClosed()
 }
 
@@ -119,7 +127,7 @@
 // and by the step, finds them free.
 func (l *Loop) closeRemoved() {
 	for _, fd := range l.closing {
-		_ = unix.Close(fd)
+		_ = l.syscalls.Close(fd)
 	}
 	if len(l.closing) > 0 {
 		l.closing = l.closing[:0]
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -49,6 +49,7 @@
 	addressLists *address.AccessLists // nil: off
 	dispatcher   *dispatch.Dispatcher // that decides, in whatever wraps it
 
+	startup            startup
 	limits             config.Limits
 	featureDescriptors int  // of the limit on descriptors, what features take up
 	sharesLimits       bool // another process runs beside this one, and has half of the limits
@@ -65,12 +66,15 @@
 }
 
 // newLoop returns a loop that has no connections yet. maxEvents is how many descriptors may be ready at once.
-func newLoop(log, connectionLog *slog.Logger, readClock func() time.Duration, maxEvents int) (*Loop, error) {
-	loop := &Loop{log: log, connectionLog: connectionLog, dial: eventloop.Dial, monotonic: clock.Monotonic}
+func newLoop(
+	log, connectionLog *slog.Logger, readClock func() time.Duration, maxEvents int, syscalls eventloop.Syscalls,
+) (*Loop, error) {
+	loop := &Loop{log: log, connectionLog: connectionLog, startup: newStartup(readClock), monotonic: clock.Monotonic}
 	events, err := eventloop.New(eventloop.Config{
 		Clock:     readClock,
 		MaxEvents: maxEvents,
 		Log:       log,
+		Syscalls:  syscalls,
 		Hooks: eventloop.Hooks{
 			NextStep:          loop.nextStep,
 			Step:              func(now time.Duration) { loop.Requests.Step(now) },
@@ -82,6 +86,7 @@
 		return nil, err
 	}
 	loop.Loop = events
+	loop.dial = events.Dial
 	return loop, nil
 }
 
