--- a/internal/requests/starttime.go
+++ b/internal/requests/starttime.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"math"
 	"slices"
 	"time"
 )
@@ -19,6 +20,9 @@
 	// longestSlowStart is how long no slow start takes: of workers that started further apart, one is warm.
 	longestSlowStart = time.Minute
 
+	// maxClockError is how far off clocks may be. A start that shows more is a mistake, and shows nothing of other starts.
+	maxClockError = 24 * time.Hour
+
 	// Of a first list, so few workers are taken for cold on the suspicion that our clock is ahead: one in ten, or a single one
 	// of four or more. If more started together, that was more likely a while ago than our clock is wrong, and a process that
 	// took them for cold would reject what they can serve.
@@ -62,8 +66,9 @@
 		return
 	}
 	for _, endpoint := range list.Endpoints {
-		if endpoint.StartedAtMs > 0 {
-			s.observeAge(s.receipt.At - unixInstant(endpoint.StartedAtMs))
+		age := s.receipt.At - unixInstant(endpoint.StartedAtMs)
+		if endpoint.StartedAtMs > 0 && age >= -maxClockError {
+			s.observeAge(age)
 		}
 	}
 	s.startedAsOne = list.startedAsOne(known)
@@ -170,4 +175,7 @@
 }
 
 // unixInstant is a Unix time as the process's clock has it, if that is right.
-func unixInstant(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
+func unixInstant(ms int64) time.Duration {
+	const latest = math.MaxInt64 / int64(time.Millisecond)
+	return time.Duration(min(ms, latest)) * time.Millisecond
+}
--- a/internal/requests/starttime_test.go
+++ b/internal/requests/starttime_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"log/slog"
+	"math"
 	"testing"
 	"time"
 
@@ -174,6 +175,18 @@
 	}
 }
 
+// A start that can't be meant, however far in the future, shows nothing of the other workers.
+func TestStartTimes_Impossible(t *testing.T) {
+	for _, startedAtMs := range []int64{math.MaxInt64, 1 << 62, (trueNow + 48*time.Hour).Milliseconds()} {
+		f := newStartTimesFixture(0)
+		f.receiveFleet(f.started(0, 300*time.Millisecond))
+		f.wait(time.Second)
+		f.receive(false, Endpoint{ID: "s-1", Lifecycle: lifecycleUp, StartedAtMs: startedAtMs}, f.started(2, 100*time.Millisecond))
+		f.expectAge(t, "beside an impossible one", 2, 100*time.Millisecond, 100*time.Millisecond)
+		f.expectAge(t, "impossible", 1, 0, 0)
+	}
+}
+
 // While the list can't be followed workers start, and are told of later. A clock that may be right is believed, and one that
 // is an hour ahead is not.
 func TestStartTimes_AfterOutage(t *testing.T) {
