--- a/internal/requests/starttime.go
+++ b/internal/requests/starttime.go
@@ -49,8 +49,9 @@
 	byWorker map[uint64]startTime
 	// leastAge is the least age, by the process's clock, at which a start was told. That clock is ahead of the workers' by
 	// at most this much; if it is negative, the clock is behind, by at least this much.
-	leastAge  time.Duration
-	anyListed bool // leastAge is known
+	leastAge   time.Duration
+	anyListed  bool // leastAge is known
+	seemsAhead bool // a start looked older than the list before it allows
 
 	receipt      Receipt // of the list that is being taken in
 	startedAsOne bool    // more of its workers started together than are taken for cold on a suspicion
@@ -105,11 +106,12 @@
 		return s.leastAge
 	case s.leastAge <= promptNotice: // it is not ahead
 		return 0
-	case lastViewAt > 0 && listed >= lastViewAt-promptNotice: // the worker started since the list before, as it is told
-		return 0
 	case lastViewAt == 0 && s.startedAsOne:
 		return 0
+	case lastViewAt > 0 && !s.seemsAhead && listed >= lastViewAt-promptNotice: // it started since the list before
+		return 0
 	default: // our clock may be ahead: the newest worker may have started just now, and others so much earlier
+		s.seemsAhead = s.seemsAhead || lastViewAt > 0
 		return s.leastAge
 	}
 }
--- a/internal/requests/starttime_test.go
+++ b/internal/requests/starttime_test.go
@@ -207,6 +207,22 @@
 	}
 }
 
+// Once a start was listed that shows our clock to be ahead, be it by some seconds, starts during an outage are taken for no
+// older than they are.
+func TestStartTimes_AfterOutageWithClockShownAhead(t *testing.T) {
+	for _, ahead := range clockErrors {
+		f := newStartTimesFixture(ahead)
+		f.receiveFleet(f.started(0, time.Hour/2))
+		f.wait(time.Minute)
+		f.now += 300 * time.Millisecond
+		f.receive(false, f.started(1, 200*time.Millisecond))
+		f.wait(time.Minute)
+		f.now += 8 * time.Second
+		f.receive(true, f.started(0, 6*time.Second))
+		f.expectAge(t, "after an outage", 0, 5800*time.Millisecond, 6*time.Second)
+	}
+}
+
 // A change that is told late, while the list is followed, holds a worker back for that delay at most.
 func TestStartTimes_ListedLate(t *testing.T) {
 	for _, ahead := range clockErrors {
