--- a/internal/link/hotrestart_transfer.go
+++ b/internal/link/hotrestart_transfer.go
@@ -181,7 +181,7 @@
 func (k *workerConnection) transferRecord() hotrestart.WorkerConnection {
 	record := hotrestart.WorkerConnection{
 		WorkerID:   k.endpoint.id,
-		State:      transferredStates[k.state],
+		State:      k.transferredState(),
 		Stage:      k.stage,
 		Input:      k.Input(),
 		Output:     k.Output(),
@@ -194,6 +194,15 @@
 	return record
 }
 
+// transferredState is the connection's state as it is handed over. Whoever goes on with one that holds its attempt looks anew
+// at whether anybody waits for it.
+func (k *workerConnection) transferredState() hotrestart.WorkerConnectionState {
+	if k.state == workerHolding {
+		return hotrestart.WorkerConnecting
+	}
+	return transferredStates[k.state]
+}
+
 // transferredStates are the states of connections as they are handed over.
 var transferredStates = map[workerConnectionState]hotrestart.WorkerConnectionState{
 	workerConnecting:       hotrestart.WorkerConnecting,
@@ -365,13 +374,18 @@
 }
 
 func (k *workerConnection) restoreAttempt(attempt *requests.Attempt) {
-	k.exchange = exchange{kind: exchangeAttempt, attempt: attempt}
+	k.exchange = exchange{kind: exchangeAttempt, attempt: attempt, begunAt: k.pool.loop.Now()}
 	k.pool.byAttempt[attempt] = k
 	if k.state == workerConnecting {
 		k.setTimeout(k.pool.connectTimeout)
 		return
 	}
-	k.setTimeout(attempt.At - k.pool.loop.Now() + responseGrace)
+	if k.stage < requests.StageWritten { // what the worker was told of the time is older than is known here
+		k.writeUntil = k.pool.loop.Clock() + smallWriteTimeout
+		k.setTimeout(smallWriteTimeout)
+	} else {
+		k.setTimeout(attempt.At - k.pool.loop.Now() + responseGrace)
+	}
 	k.UpdateEvents()
 }
 
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -66,9 +66,7 @@
 }
 
 // newLoop returns a loop that has no connections yet. maxEvents is how many descriptors may be ready at once.
-func newLoop(
-	log, connectionLog *slog.Logger, readClock func() time.Duration, maxEvents int, syscalls eventloop.Syscalls,
-) (*Loop, error) {
+func newLoop(log, connectionLog *slog.Logger, readClock func() time.Duration, maxEvents int, syscalls eventloop.Syscalls) (*Loop, error) {
 	loop := &Loop{log: log, connectionLog: connectionLog, startup: newStartup(readClock), monotonic: clock.Monotonic}
 	events, err := eventloop.New(eventloop.Config{
 		Clock:     readClock,
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -34,11 +34,11 @@
 
 // open is Open with the system calls that syscalls makes.
 func open(syscalls eventloop.Syscalls, conf config.Config, ops config.Ops, log *logging.Factory, metricTargets ...metrics.Target) (*Loop, error) {
-	now := clock.SinceEpoch(clock.Now)
-	start := newStartup(now)
+	monotonic := clock.SinceEpoch(clock.Now)
+	start := newStartup(monotonic)
 	var loop *Loop
 	err := start.retry(func() (err error) {
-		loop, err = newLoop(log.NewLogger(), log.NewLogger(), now, conf.Limits.Sockets, syscalls)
+		loop, err = newLoop(log.NewLogger(), log.NewLogger(), monotonic, conf.Limits.Sockets, syscalls)
 		return err
 	})
 	if err != nil {
--- a/internal/link/worker_connection.go
+++ b/internal/link/worker_connection.go
@@ -17,6 +17,7 @@
 const (
 	workerConnecting workerConnectionState = iota
 	workerIdle
+	workerHolding          // it is up, and its attempt is held for a moment
 	workerAwaitingResponse // a request is written, or being written
 	workerClosed
 )
@@ -27,6 +28,8 @@
 		return "connecting"
 	case workerIdle:
 		return "idle"
+	case workerHolding:
+		return "holding"
 	case workerAwaitingResponse:
 		return "awaiting response"
 	case workerClosed:
@@ -61,6 +64,7 @@
 	lastKind    exchangeKind   // of the present exchange, or the last one
 	stage       requests.Stage // of the present exchange
 	timer       *eventloop.Timer
+	writeUntil  time.Duration // of the present exchange: what is not written by then never is
 	idleSince   time.Duration
 	idleBefore  time.Duration // how long it had been idle before the present exchange; 0: it was new
 	dialUntil   time.Duration // while the machine lacks something to open it, it is tried again until then
@@ -142,7 +146,7 @@
 	switch c.state {
 	case workerConnecting:
 		c.completeConnect(events)
-	case workerIdle: // it was closed, or something comes that nobody asked for
+	case workerIdle, workerHolding: // it was closed, or something comes that nobody asked for
 		c.terminate(nil)
 	case workerClosed, workerAwaitingResponse:
 	}
@@ -158,13 +162,17 @@
 		return
 	}
 	if events&unix.EPOLLOUT != 0 {
-		c.writeRequest()
+		c.writeRequestLate()
 	}
 }
 
 // continueExchange sends what waits of the request, and reads what has come of the response.
 func (c *workerConnection) continueExchange(events uint32) {
 	if events&unix.EPOLLOUT != 0 && len(c.Output()) > 0 {
+		if c.pool.loop.Clock() > c.writeUntil { // an event comes before the timer that is due with it
+			c.terminate(errResponseTimeout)
+			return
+		}
 		if err := c.Flush(); err != nil {
 			c.terminate(err)
 			return
--- a/internal/testbed/environment/worker_attempts.go
+++ b/internal/testbed/environment/worker_attempts.go
@@ -3,7 +3,6 @@
 import (
 	"math"
 	"slices"
-	"strconv"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -11,6 +10,9 @@
 	"valvecove/internal/testbed/trace"
 )
 
+// This file holds what a worker does with an attempt that reaches it: it takes or rejects it, accepts it with a 202, and
+// forgets it at its end.
+
 // attempt is one sending of a request, at the worker that it was sent to.
 type attempt struct {
 	worker      *worker
@@ -66,71 +68,108 @@
 const earlyErrorShare = 0.25
 
 // attemptReceived takes an attempt whose last byte has been read.
-func (n *worker) attemptReceived(l *workerConn, a *attempt) {
-	f := n.shared
-	if l.unreadAttempt == a {
-		l.unreadAttempt = nil
+func (n *worker) attemptReceived(conn *workerConn, attempt *attempt) {
+	if conn.unreadAttempt == attempt {
+		conn.unreadAttempt = nil
 	}
 	n.env.record(trace.Event{
-		Kind: trace.AttemptReceived, RequestID: a.requestID, Worker: n.number, Incarnation: n.incarnation, Scheduler: a.scheduler,
-		Conn: uint64(l.conn.id), IdempotencyKey: a.key, Budget: a.budget, FirstByteAt: a.firstByteAt,
+		Kind: trace.AttemptReceived, RequestID: attempt.requestID, Worker: n.number, Incarnation: n.incarnation,
+		Scheduler: attempt.scheduler, Conn: uint64(conn.conn.id), IdempotencyKey: attempt.key, Budget: attempt.budget,
+		FirstByteAt: attempt.firstByteAt,
 	})
-	t := f.findRequest(a.requestID)
-	switch {
-	case a.requestID == "":
-		n.reject(l, a, 404)
-		return
-	case t == nil || f.classes[t.class].idempotentWithKey && a.key != t.key:
-		n.reject(l, a, 400)
+	request := n.shared.findRequest(attempt.requestID)
+	if status := n.checkRequest(attempt, request); status != 0 {
+		n.reject(conn, attempt, status)
 		return
 	}
-	rules := &f.classes[t.class]
-	a.class, a.slots, a.incarnation = t.class, t.slots, n.incarnation
-	if n.coldWorkReceived(a, t.work*t.slots) {
+	attempt.class, attempt.slots, attempt.incarnation = request.class, request.slots, n.incarnation
+	if n.coldWorkReceived(attempt, request.work*request.slots) {
 		return
 	}
-	keyRecord := f.findKey(n, a)
-	switch {
-	case n.draining || n.rejectsAll || n.attemptsByRequest[a.requestID] != nil || a.slots > float64(n.kind.Slots),
-		rules.kind >= 0 && rules.kind != n.kindIndex,
-		keyRecord == nil && !n.hasRoom(a.slots) && !n.dropExpired(a.slots):
-		n.reject(l, a, 503)
+	keyRecord := n.shared.findKey(n, attempt)
+	if !n.canTake(attempt, keyRecord) {
+		n.reject(conn, attempt, 503)
 		return
 	}
-	n.drawOutcome(a, t.work, rules.noise)
-	if a.failsBeforeAccept && keyRecord == nil {
-		n.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: a.requestID, Worker: n.number, Incarnation: n.incarnation})
-		n.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: a.requestID, Worker: n.number, Status: 500})
-		n.respond(l, 500, false)
+	n.drawOutcome(attempt, request.work, n.shared.classes[attempt.class].noise)
+	if attempt.failsBeforeAccept && keyRecord == nil {
+		n.failBeforeAccept(conn, attempt)
 		return
 	}
+	n.takeAttempt(conn, attempt, keyRecord)
+	n.acceptLater(attempt)
+}
+
+// checkRequest is the status that answers an attempt of no request, or of another one's than it says; 0: it is in order.
+func (n *worker) checkRequest(attempt *attempt, request *request) (status int) {
+	switch {
+	case attempt.requestID == "":
+		return 404
+	case request == nil || n.shared.classes[request.class].idempotentWithKey && attempt.key != request.key:
+		return 400
+	}
+	return 0
+}
+
+// canTake reports whether the worker takes an attempt. keyRecord is what is known of its key; nil: nothing, so that it
+// needs room of its own.
+func (n *worker) canTake(attempt *attempt, keyRecord *keyRecord) bool {
+	class := &n.shared.classes[attempt.class]
+	switch {
+	case n.draining || n.rejectsAll:
+		return false
+	case n.attemptsByRequest[attempt.requestID] != nil:
+		return false
+	case attempt.slots > float64(n.kind.Slots):
+		return false
+	case class.kind >= 0 && class.kind != n.kindIndex:
+		return false
+	}
+	return keyRecord != nil || n.hasRoom(attempt.slots) || n.dropExpired(attempt.slots)
+}
+
+// failBeforeAccept ends an attempt with an error in place of its 202.
+func (n *worker) failBeforeAccept(conn *workerConn, attempt *attempt) {
+	n.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: attempt.requestID, Worker: n.number, Incarnation: n.incarnation})
+	n.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: attempt.requestID, Worker: n.number, Status: 500})
+	n.respond(conn, 500, false)
+}
+
+// takeAttempt enters an attempt in the worker's tables, and has it run, wait for a slot, or wait for the run of another
+// with its key.
+func (n *worker) takeAttempt(conn *workerConn, attempt *attempt, keyRecord *keyRecord) {
 	n.attemptCount++
-	a.number, a.conn, l.awaitingAnswer = n.attemptCount, l, a
-	if a.budget > 0 {
-		a.expiresAt = n.env.now + a.budget
+	attempt.number, attempt.conn, conn.awaitingAnswer = n.attemptCount, conn, attempt
+	if attempt.budget > 0 {
+		attempt.expiresAt = n.env.now + attempt.budget
 	}
-	a.allIndex = len(n.attempts)
-	n.attempts = append(n.attempts, a)
-	n.attemptsByRequest[a.requestID] = a
+	attempt.allIndex = len(n.attempts)
+	n.attempts = append(n.attempts, attempt)
+	n.attemptsByRequest[attempt.requestID] = attempt
 	if keyRecord != nil {
-		keyRecord.addWaiter(a)
-	} else {
-		f.rememberKey(n, a)
-		n.startOrQueue(a)
+		keyRecord.addWaiter(attempt)
+		return
 	}
-	if accept := n.kind.Accept.Std(); accept > 0 {
-		n.env.after(accept, func() {
-			if n.incarnation == a.incarnation && n.state == workerUp {
-				if n.isPaused() {
-					n.inbox = append(n.inbox, func() { n.accept(a) })
-				} else {
-					n.accept(a)
-				}
-			}
-		})
+	n.shared.rememberKey(n, attempt)
+	n.startOrQueue(attempt)
+}
+
+// acceptLater answers an attempt with 202 after the time that its kind of worker takes for that.
+func (n *worker) acceptLater(attempt *attempt) {
+	delay := n.kind.Accept.Std()
+	if delay <= 0 {
+		n.accept(attempt)
 		return
 	}
-	n.accept(a)
+	n.env.after(delay, func() {
+		switch {
+		case n.incarnation != attempt.incarnation || n.state != workerUp:
+		case n.isPaused():
+			n.inbox = append(n.inbox, func() { n.accept(attempt) })
+		default:
+			n.accept(attempt)
+		}
+	})
 }
 
 func (n *worker) reject(l *workerConn, a *attempt, status int) {
@@ -196,327 +235,32 @@
 	n.runDue()
 }
 
-// ---- Its waiting room ----
-
-// hasRoom tells whether there is room for a job of so many slots, running or waiting.
-func (n *worker) hasRoom(slots float64) bool {
-	free := float64(n.kind.Slots) - n.usedSlots
-	if n.hanging { // what it would have begun waits as well
-		return float64(len(n.queue)) < float64(n.kind.Queue)+free
-	}
-	return len(n.queue) < n.kind.Queue || slots <= free && (len(n.queue) == 0 || n.kind.QueueOrder == "backfill")
-}
-
-// dropExpired makes room by dropping waiting attempts whose time is up, where the kind drops those.
-func (n *worker) dropExpired(slots float64) bool {
-	if n.kind.ExpiredJobs != "drop" || n.hanging {
-		return false
-	}
-	varied := false
-	for i := 0; i < len(n.queue); {
-		if a := n.queue[i]; a.expiresAt > 0 && a.expiresAt <= n.env.now {
-			n.expireAttempt(a)
-			varied = true
-		} else {
-			i++
-		}
-	}
-	return varied && n.hasRoom(slots)
-}
-
-func (n *worker) expireAttempt(a *attempt) {
-	n.removeAttempt(a)
-	n.env.record(trace.Event{Kind: trace.AttemptDied, RequestID: a.requestID, Worker: n.number, Text: "expired"})
-	n.shared.releaseKey(a)
-}
-
-// startOrQueue begins an attempt, or has it wait.
-func (n *worker) startOrQueue(a *attempt) {
-	a.state = attemptQueued
-	n.queuedWork += a.work * a.slots
-	n.queue = append(n.queue, a)
-	if len(n.queue) == 1 || n.kind.QueueOrder == "backfill" {
-		n.runDue()
-	}
-}
-
-// returnQueue hands back what waits.
-func (n *worker) returnQueue() {
-	for len(n.queue) > 0 {
-		a := n.queue[0]
-		n.removeAttempt(a)
-		n.returnAttempt(a)
-	}
-	n.maybeExit()
-}
-
-// returnAttempt returns an attempt that has been dropped: by its answer, if that is owed yet.
-func (n *worker) returnAttempt(attempt *attempt) {
-	if l := attempt.conn; l != nil {
-		attempt.conn, attempt.mayNotify = nil, true
-		if l.awaitingAnswer == attempt {
-			l.awaitingAnswer = nil
-		}
-		n.reject(l, attempt, 503)
-	} else {
-		n.env.record(trace.Event{Kind: trace.AttemptReturned, RequestID: attempt.requestID, Worker: n.number})
-		n.notify(attempt, "returned", 0)
-	}
-	n.shared.releaseKey(attempt)
-}
-
 // removeAttempt takes an attempt out of all tables, whatever its state; the work done is settled by then.
-func (n *worker) removeAttempt(a *attempt) {
-	switch a.state {
+func (n *worker) removeAttempt(attempt *attempt) {
+	switch attempt.state {
 	case attemptQueued:
-		if i := slices.Index(n.queue, a); i >= 0 {
+		if i := slices.Index(n.queue, attempt); i >= 0 {
 			n.queue = slices.Delete(n.queue, i, i+1)
 		}
-		if n.queuedWork -= a.work * a.slots; len(n.queue) == 0 {
+		if n.queuedWork -= attempt.work * attempt.slots; len(n.queue) == 0 {
 			n.queuedWork = 0
 		}
 	case attemptRunning:
-		n.running.remove(a.heapIndex)
-		n.usedSlots -= a.slots
-		if n.runningEnds -= a.slots * a.endProgress; len(n.running) == 0 {
+		n.running.remove(attempt.heapIndex)
+		n.usedSlots -= attempt.slots
+		if n.runningEnds -= attempt.slots * attempt.endProgress; len(n.running) == 0 {
 			n.usedSlots, n.runningEnds = 0, 0
 		}
 	case attemptDuplicate:
-		a.keyRecord.waiters = slices.DeleteFunc(a.keyRecord.waiters, func(o *attempt) bool { return o == a })
+		attempt.keyRecord.removeWaiter(attempt)
 	case attemptEnded:
 		return
 	}
-	a.state = attemptEnded
+	attempt.state = attemptEnded
 	last := len(n.attempts) - 1
-	n.attempts[a.allIndex] = n.attempts[last]
-	n.attempts[a.allIndex].allIndex = a.allIndex
+	n.attempts[attempt.allIndex] = n.attempts[last]
+	n.attempts[attempt.allIndex].allIndex = attempt.allIndex
 	n.attempts[last] = nil
 	n.attempts = n.attempts[:last]
-	delete(n.attemptsByRequest, a.requestID)
-}
-
-// ---- Its cores ----
-
-// advance brings the work done up to now.
-func (n *worker) advance() {
-	if d := n.env.now - n.progressAt; d > 0 {
-		done := n.progressRate * d.Seconds()
-		n.progressPerSlot += done
-		n.warming.workDone += done * n.usedSlots
-		n.progressAt = n.env.now
-	}
-}
-
-// addOverhead is work beside all slots, of a handshake or probe. A free core does it at no cost to anybody; else what runs
-// loses so much.
-func (n *worker) addOverhead(work time.Duration) {
-	if n.usedSlots+1 <= n.kind.Cores || len(n.running) == 0 || work <= 0 {
-		return
-	}
-	n.advance()
-	n.progressPerSlot -= work.Seconds() / n.usedSlots // its pending entry comes too early by that, and sees so
-}
-
-// runDue ends what is done, begins what fits, and plans what is next.
-func (n *worker) runDue() {
-	if n.state != workerUp || n.isPaused() {
-		return
-	}
-	n.advance()
-	for len(n.running) > 0 && n.running[0].endProgress <= n.progressPerSlot+workTolerance {
-		a := n.running[0]
-		n.removeAttempt(a)
-		n.finishAttempt(a)
-	}
-	if !n.hanging {
-		n.startQueued()
-	}
-	n.planTick()
-	n.maybeExit()
-}
-
-// workTolerance is far less than a job's work, and more than what rounding to nanoseconds and in sums comes to.
-const workTolerance = 1e-8
-
-// startQueued begins what fits. In a fifo the head waits until it fits, and all others behind it.
-func (n *worker) startQueued() {
-	for i := 0; i < len(n.queue); {
-		a := n.queue[i]
-		switch {
-		case n.kind.ExpiredJobs == "drop" && a.expiresAt > 0 && a.expiresAt <= n.env.now:
-			n.expireAttempt(a)
-		case a.slots <= float64(n.kind.Slots)-n.usedSlots:
-			n.startAttempt(a, i)
-		case n.kind.QueueOrder == "backfill":
-			i++
-		default:
-			return
-		}
-	}
-}
-
-// startAttempt begins the i-th of what waits.
-func (n *worker) startAttempt(attempt *attempt, i int) {
-	n.queue = slices.Delete(n.queue, i, i+1)
-	if n.queuedWork -= attempt.work * attempt.slots; len(n.queue) == 0 {
-		n.queuedWork = 0
-	}
-	attempt.state, attempt.startProgress, attempt.endProgress = attemptRunning, n.progressPerSlot, n.progressPerSlot+attempt.work
-	n.usedSlots += attempt.slots
-	n.runningEnds += attempt.slots * attempt.endProgress
-	n.running.add(attempt)
-	n.env.record(trace.Event{Kind: trace.AttemptStarted, RequestID: attempt.requestID, Worker: n.number, Incarnation: n.incarnation})
-	if !n.kind.OmitsStartNotifications {
-		n.notify(attempt, "started", 0)
-		n.planProgress(attempt)
-	}
-}
-
-// planTick has run called when the next is done, by what runs now. There is one entry on the event queue that counts: one that
-// turns out to come too early plans anew, and later ones of the past mean nothing.
-func (n *worker) planTick() {
-	n.progressRate = 0
-	if n.state != workerUp || n.hanging || n.isPaused() {
-		return
-	}
-	n.progressRate = n.coreSpeed / n.slowFactor * n.capacityShare() * min(1, n.kind.Cores/max(n.usedSlots, 1e-9))
-	if len(n.running) == 0 {
-		return
-	}
-	at := n.env.now + max(1, durationOf((n.running[0].endProgress-n.progressPerSlot)/n.progressRate))
-	if step, ok := n.nextWarmUpStep(); ok {
-		at = min(at, step)
-	}
-	if n.nextTick <= n.env.now || at < n.nextTick {
-		n.nextTick = at
-		n.env.schedule(at, n.tick)
-	}
-}
-
-// durationOf is a span, rounded up.
-func durationOf(s float64) time.Duration { return time.Duration(min(math.Ceil(s*1e9), 1<<60)) }
-
-func (n *worker) tickDue() {
-	if n.env.now == n.nextTick {
-		n.nextTick = 0
-		n.runDue()
-	}
-}
-
-// finishAttempt is the end of a run.
-func (n *worker) finishAttempt(attempt *attempt) {
-	status, state := 200, "done"
-	if attempt.fails {
-		status, state = 500, "failed"
-	} else {
-		n.resultCount++
-		attempt.result = n.makeResult(attempt)
-	}
-	n.env.record(trace.Event{Kind: trace.AttemptFinished, RequestID: attempt.requestID, Worker: n.number, Text: attempt.result, Status: status})
-	n.notify(attempt, state, 0)
-	if attempt.fails {
-		n.shared.releaseKey(attempt)
-	} else {
-		n.shared.attemptSucceeded(attempt)
-	}
-}
-
-// makeResult is what a run has made; no two are the same.
-func (n *worker) makeResult(a *attempt) string {
-	b := make([]byte, 0, 64)
-	b = append(append(append(append(b, a.requestID...), ' '), n.id...), '/')
-	b = append(strconv.AppendInt(b, int64(n.incarnation), 10), '#')
-	return string(strconv.AppendUint(b, n.resultCount, 10))
-}
-
-// ---- Progress ----
-
-// planProgress has callbacks of progress told of what has begun. One entry on the event queue serves all that runs.
-func (n *worker) planProgress(a *attempt) {
-	if n.kind.ProgressInterval <= 0 {
-		return
-	}
-	if a.nextProgressAt = n.env.now + n.kind.ProgressInterval.Std(); !n.progressPlanned {
-		n.progressPlanned = true
-		n.scheduleProgress(a.nextProgressAt)
-	}
-}
-
-func (n *worker) scheduleProgress(at time.Duration) {
-	boot := n.incarnation
-	n.env.schedule(at, func() {
-		if n.incarnation == boot && n.state == workerUp {
-			n.whenRunning(n.sendProgress)
-		}
-	})
-}
-
-// sendProgress tells of all whose time it is. While it hangs there is no progress to tell.
-func (n *worker) sendProgress() {
-	n.runDue()
-	next := time.Duration(math.MaxInt64)
-	for _, a := range n.running {
-		if a.nextProgressAt <= n.env.now {
-			if !n.hanging {
-				n.notify(a, "running", min(1, max(0, (n.progressPerSlot-a.startProgress)/a.work)))
-			}
-			a.nextProgressAt = n.env.now + n.kind.ProgressInterval.Std()
-		}
-		next = min(next, a.nextProgressAt)
-	}
-	if n.progressPlanned = len(n.running) > 0; n.progressPlanned {
-		n.scheduleProgress(next)
-	}
-}
-
-// runningHeap is what runs, what ends first at its head.
-type runningHeap []*attempt
-
-func (h runningHeap) less(i, j int) bool {
-	return h[i].endProgress < h[j].endProgress || h[i].endProgress == h[j].endProgress && h[i].number < h[j].number
-}
-
-func (h runningHeap) swap(i, j int) {
-	h[i], h[j] = h[j], h[i]
-	h[i].heapIndex, h[j].heapIndex = i, j
-}
-
-func (h *runningHeap) add(a *attempt) {
-	a.heapIndex = len(*h)
-	*h = append(*h, a)
-	h.up(a.heapIndex)
-}
-
-func (h *runningHeap) remove(i int) {
-	last := len(*h) - 1
-	h.swap(i, last)
-	(*h)[last] = nil
-	*h = (*h)[:last]
-	if i < last {
-		h.down(i)
-		h.up(i)
-	}
-}
-
-func (h runningHeap) up(i int) {
-	for i > 0 && h.less(i, (i-1)/2) {
-		h.swap(i, (i-1)/2)
-		i = (i - 1) / 2
-	}
-}
-
-func (h runningHeap) down(i int) {
-	for {
-		least := i
-		for c := 2*i + 1; c <= 2*i+2 && c < len(h); c++ {
-			if h.less(c, least) {
-				least = c
-			}
-		}
-		if least == i {
-			return
-		}
-		h.swap(i, least)
-		i = least
-	}
+	delete(n.attemptsByRequest, attempt.requestID)
 }
