--- a/internal/requests/starttime.go
+++ b/internal/requests/starttime.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"math"
 	"slices"
 	"time"
 )
@@ -19,6 +20,9 @@
 	// longestSlowStart is how long no slow start takes: of workers that started further apart, one is warm.
 	longestSlowStart = time.Minute
 
+	// maxClockError is how far off clocks may be. A start that shows more is a mistake, and shows nothing of other starts.
+	maxClockError = 24 * time.Hour
+
 	// Of a first list, so few workers are taken for cold on the suspicion that our clock is ahead: one in ten, or a single one
 	// of four or more. If more started together, that was more likely a while ago than our clock is wrong, and a process that
 	// took them for cold would reject what they can serve.
@@ -45,8 +49,9 @@
 	byWorker map[uint64]startTime
 	// leastAge is the least age, by the process's clock, at which a start was told. That clock is ahead of the workers' by
 	// at most this much; if it is negative, the clock is behind, by at least this much.
-	leastAge  time.Duration
-	anyListed bool // leastAge is known
+	leastAge   time.Duration
+	anyListed  bool // leastAge is known
+	seemsAhead bool // a start looked older than the list before it allows
 
 	receipt      Receipt // of the list that is being taken in
 	startedAsOne bool    // more of its workers started together than are taken for cold on a suspicion
@@ -62,8 +67,9 @@
 		return
 	}
 	for _, endpoint := range list.Endpoints {
-		if endpoint.StartedAtMs > 0 {
-			s.observeAge(s.receipt.At - unixInstant(endpoint.StartedAtMs))
+		age := s.receipt.At - unixInstant(endpoint.StartedAtMs)
+		if endpoint.StartedAtMs > 0 && age >= -maxClockError {
+			s.observeAge(age)
 		}
 	}
 	s.startedAsOne = list.startedAsOne(known)
@@ -100,11 +106,12 @@
 		return s.leastAge
 	case s.leastAge <= promptNotice: // it is not ahead
 		return 0
-	case lastViewAt > 0 && listed >= lastViewAt-promptNotice: // the worker started since the list before, as it is told
-		return 0
 	case lastViewAt == 0 && s.startedAsOne:
 		return 0
+	case lastViewAt > 0 && !s.seemsAhead && listed >= lastViewAt-promptNotice: // it started since the list before
+		return 0
 	default: // our clock may be ahead: the newest worker may have started just now, and others so much earlier
+		s.seemsAhead = s.seemsAhead || lastViewAt > 0
 		return s.leastAge
 	}
 }
@@ -170,4 +177,7 @@
 }
 
 // unixInstant is a Unix time as the process's clock has it, if that is right.
-func unixInstant(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
+func unixInstant(ms int64) time.Duration {
+	const latest = math.MaxInt64 / int64(time.Millisecond)
+	return time.Duration(min(ms, latest)) * time.Millisecond
+}
--- a/internal/requests/starttime_test.go
+++ b/internal/requests/starttime_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"log/slog"
+	"math"
 	"testing"
 	"time"
 
@@ -174,6 +175,18 @@
 	}
 }
 
+// A start that can't be meant, however far in the future, shows nothing of the other workers.
+func TestStartTimes_Impossible(t *testing.T) {
+	for _, startedAtMs := range []int64{math.MaxInt64, 1 << 62, (trueNow + 48*time.Hour).Milliseconds()} {
+		f := newStartTimesFixture(0)
+		f.receiveFleet(f.started(0, 300*time.Millisecond))
+		f.wait(time.Second)
+		f.receive(false, Endpoint{ID: "s-1", Lifecycle: lifecycleUp, StartedAtMs: startedAtMs}, f.started(2, 100*time.Millisecond))
+		f.expectAge(t, "beside an impossible one", 2, 100*time.Millisecond, 100*time.Millisecond)
+		f.expectAge(t, "impossible", 1, 0, 0)
+	}
+}
+
 // While the list can't be followed workers start, and are told of later. A clock that may be right is believed, and one that
 // is an hour ahead is not.
 func TestStartTimes_AfterOutage(t *testing.T) {
@@ -194,6 +207,22 @@
 	}
 }
 
+// Once a start was listed that shows our clock to be ahead, be it by some seconds, starts during an outage are taken for no
+// older than they are.
+func TestStartTimes_AfterOutageWithClockShownAhead(t *testing.T) {
+	for _, ahead := range clockErrors {
+		f := newStartTimesFixture(ahead)
+		f.receiveFleet(f.started(0, time.Hour/2))
+		f.wait(time.Minute)
+		f.now += 300 * time.Millisecond
+		f.receive(false, f.started(1, 200*time.Millisecond))
+		f.wait(time.Minute)
+		f.now += 8 * time.Second
+		f.receive(true, f.started(0, 6*time.Second))
+		f.expectAge(t, "after an outage", 0, 5800*time.Millisecond, 6*time.Second)
+	}
+}
+
 // A change that is told late, while the list is followed, holds a worker back for that delay at most.
 func TestStartTimes_ListedLate(t *testing.T) {
 	for _, ahead := range clockErrors {
