--- a/dispatch/preference.go
+++ b/dispatch/preference.go
@@ -100,23 +100,32 @@
 
 // appendPreferred appends the most preferred workers of a level that is a heap, in order.
 func appendPreferred(dst, level []*workerInfo, count int) []*workerInfo {
-	var frontier [2*preferredWorkers + 2]int // indexes of those of which each may be next
-	open := 1
-	for len(dst) < count && open > 0 {
-		least := 0
-		for i := 1; i < open; i++ {
-			if level[frontier[i]].preference < level[frontier[least]].preference {
-				least = i
-			}
-		}
-		next := frontier[least]
-		dst = append(dst, level[next])
-		open--
-		frontier[least] = frontier[open]
-		for child := 2*next + 1; child <= 2*next+2 && child < len(level); child++ {
-			frontier[open] = child
-			open++
+	var buffer [preferredWorkers + 2]heapEntry
+	open := insertEntry(buffer[:0], level, 0) // those of which each may be next, the last one first
+	for len(dst) < count && len(open) > 0 {
+		next := open[len(open)-1]
+		open = open[:len(open)-1]
+		dst = append(dst, level[next.slot()])
+		for child := 2*next.slot() + 1; child <= 2*next.slot()+2 && child < len(level); child++ {
+			open = insertEntry(open, level, child)
 		}
 	}
 	return dst
 }
+
+// heapEntry is a worker's preference, and then its slot in its level.
+type heapEntry uint64
+
+func (e heapEntry) slot() int { return int(uint32(e)) }
+
+// insertEntry puts a worker in its place among entries, of which the last is the most preferred.
+func insertEntry(entries []heapEntry, level []*workerInfo, slot int) []heapEntry {
+	entry := heapEntry(level[slot].preference)<<32 | heapEntry(slot)
+	entries = append(entries, entry)
+	i := len(entries) - 1
+	for ; i > 0 && entries[i-1] < entry; i-- {
+		entries[i] = entries[i-1]
+	}
+	entries[i] = entry
+	return entries
+}
