--- a/internal/testbed/fleet/process.go
+++ b/internal/testbed/fleet/process.go
@@ -19,12 +19,6 @@
 	stdout io.ReadCloser  // nil without pipes
 }
 
-const (
-	niceness = -10 // nice value of the rig and of what it measures
-	// getpriority returns 20 less the nice value, so that no result is negative.
-	getpriorityOffset = 20
-)
-
 // startProcess starts a process on the cores given. It has to be called from a locked thread, which the child does not
 // outlive.
 func startProcess(command *exec.Cmd, cores []int) (*process, error) {
@@ -37,12 +31,7 @@
 	if err := setAffinity(cores...); err != nil {
 		return nil, err
 	}
-	// It inherits the nice value too, where the machine allows a negative one.
-	priority, err := unix.Getpriority(unix.PRIO_PROCESS, 0)
-	if err == nil && unix.Setpriority(unix.PRIO_PROCESS, 0, niceness) == nil {
-		defer func() { _ = unix.Setpriority(unix.PRIO_PROCESS, 0, getpriorityOffset-priority) }()
-	}
-	err = command.Start()
+	err := command.Start()
 	if err := errors.Join(err, unix.SchedSetaffinity(0, &previous)); err != nil {
 		return nil, err
 	}
