--- a/internal/eventloop/stream.go
+++ b/internal/eventloop/stream.go
@@ -1,7 +1,7 @@
 package eventloop
 
 import (
-	"errors"
+	"time"
 
 	"golang.org/x/sys/unix"
 )
@@ -15,6 +15,13 @@
 // maxDiscards is how many reads one call of Discard makes, so that other streams are served too.
 const maxDiscards = 16
 
+const (
+	maxTransferTries = 16                    // of one read or write that is interrupted each time
+	minTransferPause = time.Millisecond      // after the machine lacked memory for a read or a write; it doubles while that lasts
+	maxTransferPause = 50 * time.Millisecond // the longest
+	transferNothing  = -1                    // of a read or write: there is nothing to be had, or no room, now
+)
+
 // Stream is a non-blocking socket with what was read and is not consumed yet, and what was not sent yet. The zero value is a
 // closed one. It is not copied once it is in use.
 type Stream struct {
@@ -22,8 +29,12 @@
 	fd     int
 	input  []byte
 	output []byte
-	events uint32 // asked of epoll
+	events uint32 // that are waited for
 	open   bool
+
+	paused uint32        // events of these are not waited for now: the machine lacked memory for what they stand for
+	resume *Timer        // while any are paused
+	pause  time.Duration // the last one, since a read or write went well; 0: there was none
 }
 
 // OpenStream makes a stream of a socket and adds it, with its owner as the handler. On an error the caller owns the socket.
@@ -76,44 +87,100 @@
 	return err
 }
 
-// Fill reads what has come, at most one read buffer of it. ended reports that no more will come.
+// Fill reads what has come, at most one read buffer of it. ended reports that no more will come. Where the machine lacks memory
+// for it, it is read later.
 func (s *Stream) Fill() (ended bool, err error) {
-	for {
-		n, err := s.loop.syscalls.Read(s.fd, s.loop.readBuffer)
-		switch {
-		case errors.Is(err, unix.EINTR):
-		case errors.Is(err, unix.EAGAIN):
-			return false, nil
-		case err != nil:
-			return true, err
-		case n == 0:
-			return true, nil
-		default:
-			s.AppendInput(s.loop.readBuffer[:n])
-			return false, nil // level-triggered: there is another event for the rest
-		}
+	n, err := s.transfer(CallRead, func() (int, error) { return s.loop.syscalls.Read(s.fd, s.loop.readBuffer) })
+	switch {
+	case err != nil:
+		return true, err
+	case n == 0:
+		return true, nil
+	case n > 0:
+		s.AppendInput(s.loop.readBuffer[:n])
 	}
+	return false, nil // level-triggered: there is another event for the rest
 }
 
 // Discard reads what has come without keeping it, so much at most that other streams are served too. For TCP the kernel does
 // not even copy it. n counts the bytes; ended reports that no more will come.
 func (s *Stream) Discard() (n int, ended bool, err error) {
 	for range maxDiscards {
-		got, err := s.loop.syscalls.Recvfrom(s.fd, s.loop.readBuffer, unix.MSG_TRUNC|unix.MSG_DONTWAIT)
+		got, err := s.transfer(CallReceive, func() (int, error) {
+			return s.loop.syscalls.Recvfrom(s.fd, s.loop.readBuffer, unix.MSG_TRUNC|unix.MSG_DONTWAIT)
+		})
 		switch {
-		case errors.Is(err, unix.EINTR):
-		case errors.Is(err, unix.EAGAIN):
-			return n, false, nil
 		case err != nil:
 			return n, true, err
+		case got == transferNothing:
+			return n, false, nil
 		case got == 0:
 			return n, true, nil
 		}
-		n += max(got, 0)
+		n += got
 	}
 	return n, false, nil
 }
 
+// transfer makes a call that reads or writes. It returns transferNothing if that has to wait: for an event, or, where the
+// machine lacks memory, for a while, in which there are no events for such calls: they would be there again at once. Any other
+// error is the end of the connection, whichever errno it is.
+func (s *Stream) transfer(call Call, act func() (int, error)) (n int, err error) {
+	for range maxTransferTries {
+		if n, err = act(); err == nil {
+			s.pause = 0
+			return n, nil
+		}
+		switch class := Classify(call, err); {
+		case class == ErrorRetry:
+			continue
+		case class == ErrorPending:
+			return transferNothing, nil
+		case class.IsShortage():
+			s.pauseFor(call)
+			return transferNothing, nil
+		}
+		return transferNothing, err
+	}
+	s.pauseFor(call)
+	return transferNothing, nil
+}
+
+// pauseFor waits for no events for a kind of call for a while, which is longer each time that it is needed again.
+func (s *Stream) pauseFor(call Call) {
+	events := uint32(StreamEvents)
+	if call == CallWrite {
+		events = unix.EPOLLOUT
+	}
+	if !s.open || s.paused&events != 0 {
+		return
+	}
+	s.paused |= events
+	if s.resume == nil {
+		s.pause = min(max(minTransferPause, 2*s.pause), maxTransferPause)
+		s.resume = s.loop.After(s.pause, s.endPause)
+	}
+	s.updateInterest()
+}
+
+// PauseInput waits for no input for a while, after the machine lacked memory to read it by other means than Fill.
+func (s *Stream) PauseInput() { s.pauseFor(CallRead) }
+
+func (s *Stream) endPause() {
+	s.resume, s.paused = nil, 0
+	s.updateInterest()
+}
+
+// updateInterest tells epoll what is waited for. While some events are paused, those that can't be left out, for an error and
+// the end of both sides, come only once.
+func (s *Stream) updateInterest() {
+	if s.paused == 0 {
+		s.loop.Modify(s.fd, s.events)
+		return
+	}
+	s.loop.Modify(s.fd, s.events&^s.paused|unix.EPOLLET)
+}
+
 // Consume drops the first n bytes of the input.
 func (s *Stream) Consume(n int) { s.input = dropFront(s.input, n) }
 
@@ -152,16 +219,11 @@
 func (s *Stream) write(b []byte) (int, error) {
 	done := 0
 	for done < len(b) {
-		n, err := s.loop.syscalls.Write(s.fd, b[done:])
-		switch {
-		case errors.Is(err, unix.EINTR):
-		case errors.Is(err, unix.EAGAIN):
-			return done, nil
-		case err != nil:
+		n, err := s.transfer(CallWrite, func() (int, error) { return s.loop.syscalls.Write(s.fd, b[done:]) })
+		if err != nil || n == transferNothing {
 			return done, err
-		default:
-			done += n
 		}
+		done += n
 	}
 	return done, nil
 }
@@ -182,7 +244,7 @@
 func (s *Stream) SetEvents(events uint32) {
 	if events != s.events && s.open {
 		s.events = events
-		s.loop.Modify(s.fd, events)
+		s.updateInterest()
 	}
 }
 
@@ -193,6 +255,8 @@
 func (s *Stream) Close() {
 	if s.open {
 		s.open = false
+		s.loop.StopTimer(s.resume)
+		s.resume, s.paused = nil, 0
 		s.loop.Remove(s.fd)
 		s.input, s.output = nil, nil
 	}
--- a/internal/link/hotrestart_channel.go
+++ b/internal/link/hotrestart_channel.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	controlBufferSize    = 256                    // for descriptors that come with one read
-	passedDescriptorWait = 100 * time.Microsecond // before another try, while too many are on their way
+	controlBufferSize = 256                    // for descriptors that come with one read
+	shortageWait      = 100 * time.Microsecond // before another try, while too many descriptors are on their way, or memory lacks
 )
 
 // Errors of a channel.
@@ -24,6 +24,7 @@
 	errHandshakeTimeout   = errors.New("no handshake in time")
 	errHandlerPanicked    = errors.New("panic")
 	errPeerNotListening   = errors.New("a message could not be sent")
+	errInputDelayed       = errors.New("no memory to receive a message")
 	errSuccessorHasClosed = errors.New("the successor has closed its connection")
 )
 
@@ -36,13 +37,16 @@
 	pendingCalls hotrestart.PendingCalls // cordon calls that were forwarded to the peer
 }
 
-// receive reads what has come, with the descriptors; one scratch buffer of it at most. ended tells that no more will come.
+// receive reads what has come, with the descriptors; one scratch buffer of it at most. ended tells that no more will come. After
+// errInputDelayed it is to be tried again in a moment.
 func (c *frameChannel) receive() (ended bool, err error) {
 	var control [controlBufferSize]byte
 	n, controlSize, flags, err := c.receiveMessage(control[:])
 	switch {
-	case errors.Is(err, unix.EAGAIN):
+	case eventloop.Classify(eventloop.CallReceiveMessage, err) == eventloop.ErrorPending:
 		return false, nil
+	case eventloop.Classify(eventloop.CallReceiveMessage, err).IsShortage():
+		return false, errInputDelayed
 	case err != nil:
 		return true, err
 	}
@@ -182,8 +186,8 @@
 		return nil
 	case errors.Is(err, unix.EAGAIN):
 		return c.waitUntilReady(deadline, unix.POLLOUT)
-	case errors.Is(err, unix.ETOOMANYREFS): // descriptors that the peer has not read yet
-		time.Sleep(passedDescriptorWait)
+	case eventloop.Classify(eventloop.CallSendMessage, err).IsShortage(): // as of descriptors that the peer has not read yet
+		time.Sleep(shortageWait)
 		if c.loop.Clock() >= deadline {
 			return errPeerNotReading
 		}
@@ -202,7 +206,11 @@
 		}
 		polled := unix.PollFd{Fd: int32(c.FD()), Events: events}
 		n, err := c.loop.Syscalls().Poll(&polled, int((remaining+time.Millisecond-1)/time.Millisecond))
-		if err != nil && !errors.Is(err, unix.EINTR) {
+		switch class := eventloop.Classify(eventloop.CallPoll, err); {
+		case err == nil || class == eventloop.ErrorRetry:
+		case class.IsShortage():
+			time.Sleep(shortageWait)
+		default:
 			return err
 		}
 		if n > 0 {
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -149,6 +149,10 @@
 		}
 	}
 	ended, err := c.receive()
+	if errors.Is(err, errInputDelayed) {
+		c.PauseInput()
+		return
+	}
 	if err == nil {
 		err = c.handleMessages(c.handleMessage)
 	}
@@ -238,12 +242,20 @@
 }
 
 // takenOverBeforeShutdown shuts the connection down, and tells whether the successor had said that it has taken over. Nothing
-// that it says later reaches this process, and it finds that out: there are never two owners.
+// that it says later reaches this process, and it finds that out: there are never two owners. It reads all that has come,
+// however long this machine lacks something for that: that nothing was said must be certain.
 func (c *successorConn) takenOverBeforeShutdown() bool {
-	_ = c.loop.Syscalls().Shutdown(c.FD(), unix.SHUT_RDWR)
+	for isMomentary(eventloop.NewCallError(eventloop.CallShutdown, c.loop.Syscalls().Shutdown(c.FD(), unix.SHUT_RDWR))) {
+		time.Sleep(shortageWait)
+	}
 	for {
 		before := len(c.Input())
-		if ended, err := c.receive(); err != nil || ended || len(c.Input()) == before {
+		ended, err := c.receive()
+		if errors.Is(err, errInputDelayed) {
+			time.Sleep(shortageWait)
+			continue
+		}
+		if err != nil || ended || len(c.Input()) == before {
 			break
 		}
 	}
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -109,6 +109,10 @@
 func (r *successorRole) receiveAndHandle() bool {
 	before := len(r.Input())
 	ended, err := r.receive()
+	if errors.Is(err, errInputDelayed) {
+		r.PauseInput()
+		return false
+	}
 	received := len(r.Input()) > before
 	if err == nil {
 		err = r.handleMessages(r.handleMessage)
@@ -169,14 +173,15 @@
 	return nil
 }
 
-// takeOver makes this process the owner of all that has come. It says so first: from here on the predecessor lets go, and
-// nothing below can fail but by ending this process.
+// takeOver makes this process the owner of all that has come. It says so first, and goes on once the kernel has taken all of
+// that: from there on the predecessor lets go, and nothing below can fail but by ending this process. Before that the predecessor
+// may close the connection and stay the owner.
 func (r *successorRole) takeOver() error {
 	received := r.received
 	if err := received.Check(); err != nil {
 		return err
 	}
-	if err := r.sendMessage(hotrestart.TakenOver{}); err != nil {
+	if err := r.sendMessageBefore(r.loop.Clock()+transferTimeout, hotrestart.TakenOver{}, hotrestart.NoDescriptor); err != nil {
 		return err
 	}
 	r.protocol.TookOver()
--- a/internal/link/hotrestart_transfer.go
+++ b/internal/link/hotrestart_transfer.go
@@ -114,6 +114,10 @@
 		return err
 	}
 	ended, err := t.successor.receive()
+	if errors.Is(err, errInputDelayed) {
+		time.Sleep(shortageWait) // up to the deadline
+		return nil
+	}
 	if err != nil || ended {
 		return errors.Join(errSuccessorHasClosed, err)
 	}
@@ -359,6 +363,7 @@
 func (k *workerConnection) restoreAttempt(attempt *requests.Attempt) {
 	k.exchange = exchange{kind: exchangeAttempt, attempt: attempt}
 	k.pool.byAttempt[attempt] = k
+	k.connectUntil = k.pool.loop.Now() + k.pool.connectTimeout
 	if k.state == workerConnecting {
 		k.setTimeout(k.pool.connectTimeout)
 		return
--- /dev/null
+++ b/internal/link/transfer_fault_test.go
@@ -0,0 +1,163 @@
+package link
+
+import (
+	"net/netip"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/dispatch"
+	"valvecove/internal/eventloop"
+	"valvecove/internal/eventloop/faultinjection"
+	"valvecove/internal/modeltest"
+)
+
+// connectionErrnos are what a broken connection may show.
+var connectionErrnos = []unix.Errno{unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.EPIPE}
+
+// failTransfers has reads and writes of one descriptor fail.
+func (w *harness) failTransfers(fd int, errno unix.Errno) {
+	w.injectFaults(1, faultinjection.Rule{
+		Calls: []eventloop.Call{
+			eventloop.CallRead, eventloop.CallReceive, eventloop.CallReceiveMessage, eventloop.CallWrite, eventloop.CallSendMessage,
+		},
+		Descriptor: func(descriptor int) bool { return descriptor == fd },
+		Errnos:     []unix.Errno{errno},
+	})
+}
+
+// A connection to a worker that breaks after the last byte was written ends its attempt as possibly executed, whatever the
+// errno.
+func TestWorkerConnectionBreaksWithAnyErrno(t *testing.T) {
+	for _, errno := range connectionErrnos {
+		w := newAttemptHarness(t)
+		q := w.sendAttempt(0)
+		for _, connection := range w.loop.workers.byAttempt {
+			w.failTransfers(connection.FD(), errno)
+		}
+		w.dialed[0].write([]byte("HTTP/1.1 202"))
+		w.runIterations()
+		w.expect(errno.Error(), q, dispatch.ConnectionReset)
+	}
+}
+
+// A client whose connection breaks has gone, whatever the errno: nothing is sent of what it asked for.
+func TestClientConnectionBreaksWithAnyErrno(t *testing.T) {
+	for _, errno := range connectionErrnos {
+		w := newHarness(&modeltest.Steps{T: t})
+		p, fd := w.socketPair()
+		w.loop.clients.addConnection(fd, netip.AddrPort{})
+		p.write([]byte(requestOfSize(1, 0)))
+		w.runIterations()
+		if open := w.loop.Requests.OpenCount(); open != 1 {
+			t.Fatalf("%d requests open", open)
+		}
+		w.failTransfers(fd, errno)
+		p.write([]byte("more"))
+		w.runIterations()
+		if w.loop.Requests.OpenCount() != 0 || len(w.loop.clients.connections) != 0 {
+			t.Errorf("%v: %d requests open, %d connections", errno, w.loop.Requests.OpenCount(), len(w.loop.clients.connections))
+		}
+	}
+}
+
+// A watch that breaks is opened anew, whatever the errno.
+func TestWatchBreaksWithAnyErrno(t *testing.T) {
+	for _, errno := range connectionErrnos {
+		w := newHarness(&modeltest.Steps{T: t})
+		w.loop.Requests.WatchEndpoints()
+		w.runIterations()
+		if !w.loop.watch.isOpen() || len(w.dialed) != 1 {
+			t.Fatalf("%d connections", len(w.dialed))
+		}
+		w.failTransfers(w.loop.watch.FD(), errno)
+		w.dialed[0].write([]byte("HTTP/1.1 200"))
+		w.runIterations()
+		if w.loop.watch.isOpen() {
+			t.Errorf("%v: still open", errno)
+		}
+		w.loop.Syscalls().Interceptor = nil
+		w.now += time.Minute
+		if w.runIterations(); !w.loop.watch.isOpen() || len(w.dialed) != 2 {
+			t.Errorf("%v: not opened anew", errno)
+		}
+	}
+}
+
+// What a machine without memory writes late tells the worker the time that is left then, and is no mark against it.
+func TestRequestWrittenLateTellsTheTimeLeft(t *testing.T) {
+	const late = 120 * time.Millisecond
+	w := newAttemptHarness(t)
+	injector := w.injectFaults(1, faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Errnos: []unix.Errno{unix.ENOBUFS}})
+	q := w.sendAttempt(0)
+	for range late / time.Millisecond {
+		w.now += time.Millisecond
+		w.runIterations()
+	}
+	injector.Clear()
+	for range 50 {
+		w.now += time.Millisecond
+		w.runIterations()
+	}
+	w.expect("under way", q)
+	w.dialed[0].read(1 << 12)
+	_, budget, _ := strings.Cut(string(w.dialed[0].received), "X-Budget-Ms: ")
+	budget, _, _ = strings.Cut(budget, "\r\n")
+	budgetMs, err := strconv.Atoi(budget)
+	if remaining := q.Deadline - w.now; err != nil || time.Duration(budgetMs)*time.Millisecond > remaining+50*time.Millisecond {
+		t.Errorf("a budget of %q, with %v to go: %v", budget, remaining, err)
+	}
+}
+
+func TestRequestNeverWrittenIsNoMarkAgainstItsWorker(t *testing.T) {
+	w := newAttemptHarness(t)
+	w.injectFaults(1, faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Errnos: []unix.Errno{unix.ENOMEM}})
+	q := w.sendAttempt(0)
+	for range w.loop.workers.connectTimeout/time.Millisecond + 1 {
+		w.now += time.Millisecond
+		w.runIterations()
+	}
+	w.expect("given up", q, dispatch.NotSent)
+}
+
+// lackMemoryFor has the next calls of some kinds fail.
+func (w *harness) lackMemoryFor(calls []eventloop.Call) {
+	if len(calls) > 0 {
+		w.injectFaults(1, faultinjection.Rule{Calls: calls, Times: 20, Errnos: []unix.Errno{unix.ENOBUFS, unix.ENOMEM, unix.EINTR}})
+	}
+}
+
+// There is one owner, whatever either process lacks while the successor says that it has taken over, and however long.
+func TestOneOwnerThroughShortagesDuringTransfer(t *testing.T) {
+	for name, faults := range map[string]struct{ predecessor, successor []eventloop.Call }{
+		"saying so":  {nil, []eventloop.Call{eventloop.CallWrite, eventloop.CallSendMessage}},
+		"hearing it": {[]eventloop.Call{eventloop.CallReceiveMessage, eventloop.CallPoll, eventloop.CallShutdown}, nil},
+		"both":       {[]eventloop.Call{eventloop.CallReceiveMessage, eventloop.CallSendMessage}, []eventloop.Call{eventloop.CallSendMessage}},
+	} {
+		for _, lapses := range []bool{false, true} { // the predecessor's deadline for it
+			t.Run(name+", late "+strconv.FormatBool(lapses), func(t *testing.T) {
+				dir := t.TempDir()
+				predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
+				predecessor.sendRequest(address)
+				successor := predecessor.startSuccessor(dir, address)
+				predecessor.lackMemoryFor(faults.predecessor)
+				successor.lackMemoryFor(faults.successor)
+				if lapses {
+					predecessor.clock = func() time.Duration {
+						predecessor.now += 40 * time.Millisecond
+						return predecessor.now
+					}
+				}
+				role := successor.loop.successorRole
+				err := predecessor.handOverTo(successor)
+				isOwner, hasOwner := role.isServing(), !predecessor.loop.hasRelinquished()
+				if isOwner == hasOwner || (err == nil) != isOwner {
+					t.Errorf("the successor serves: %v, the predecessor: %v (%v)", isOwner, hasOwner, err)
+				}
+			})
+		}
+	}
+}
--- a/internal/link/worker_connection.go
+++ b/internal/link/worker_connection.go
@@ -53,24 +53,23 @@
 // workerConnection is a connection to a worker. It has one exchange at a time.
 type workerConnection struct {
 	eventloop.Stream
-	pool        *workerPool
-	endpoint    *endpointConnections
-	incarnation int // of the worker's process when the connection was opened
-	state       workerConnectionState
-	exchange    exchange
-	lastKind    exchangeKind   // of the present exchange, or the last one
-	stage       requests.Stage // of the present exchange
-	timer       *eventloop.Timer
-	idleSince   time.Duration
-	idleBefore  time.Duration // how long it had been idle before the present exchange; 0: it was new
-	dialUntil   time.Duration // while the machine lacks something to open it, it is tried again until then
-	dialDelayed bool          // it has lacked something
+	pool         *workerPool
+	endpoint     *endpointConnections
+	incarnation  int // of the worker's process when the connection was opened
+	state        workerConnectionState
+	exchange     exchange
+	lastKind     exchangeKind   // of the present exchange, or the last one
+	stage        requests.Stage // of the present exchange
+	timer        *eventloop.Timer
+	idleSince    time.Duration
+	idleBefore   time.Duration // how long it had been idle before the present exchange; 0: it was new
+	connectUntil time.Duration // by then the connection is to be up, and the present exchange's first byte taken
+	dialDelayed  bool          // this machine has lacked something for that
 }
 
 // connect opens the connection. Where this machine lacks something for it, the worker has no part in that, and the lack may be
 // over in a moment: the exchange waits, for half of the time that a connection has to come up. What is left is for that.
 func (c *workerConnection) connect() {
-	c.dialUntil = c.pool.loop.Now() + c.pool.connectTimeout/2
 	c.tryConnect(minDialBackoff)
 }
 
@@ -83,7 +82,7 @@
 	if err == nil {
 		return
 	}
-	if !isLocalShortage(err) || c.pool.loop.Now()+backoff > c.dialUntil {
+	if !isLocalShortage(err) || c.pool.loop.Now()+backoff > c.connectUntil-c.pool.connectTimeout/2 {
 		c.terminate(err)
 		return
 	}
@@ -97,6 +96,11 @@
 // isLocalShortage reports whether a connection could not be opened for what this machine lacks: nothing was sent.
 func isLocalShortage(err error) bool { return errors.Is(err, errNoDescriptor) || isMomentary(err) }
 
+// isOwnDelay reports whether a connection may have ended for having been held back by this machine.
+func isOwnDelay(cause error) bool {
+	return errors.Is(cause, errResponseTimeout) || errors.Is(cause, errClosedByWorker)
+}
+
 func (c *workerConnection) dial() error {
 	pool := c.pool
 	if pool.openCount >= pool.maxConnections && !pool.evictIdle() {
@@ -115,7 +119,7 @@
 		return err
 	}
 	pool.openCount++
-	c.setTimeout(c.dialUntil + pool.connectTimeout - pool.connectTimeout/2 - pool.loop.Now())
+	c.setTimeout(c.connectUntil - pool.loop.Now())
 	return nil
 }
 
@@ -123,8 +127,12 @@
 // gathered, and a request written to it would end as a reset, and be possibly executed.
 func (c *workerConnection) isAlive() bool {
 	var b [1]byte
-	_, err := c.pool.loop.Syscalls().Recvfrom(c.FD(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-	return errors.Is(err, unix.EAGAIN)
+	for {
+		_, err := c.pool.loop.Syscalls().Recvfrom(c.FD(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		if !errors.Is(err, unix.EINTR) {
+			return errors.Is(err, unix.EAGAIN)
+		}
+	}
 }
 
 // setTimeout ends the connection after a while, in place of an earlier timeout.
@@ -157,7 +165,10 @@
 		c.terminate(err)
 		return
 	}
-	if events&unix.EPOLLOUT != 0 {
+	switch {
+	case c.dialDelayed && events&(unix.EPOLLRDHUP|unix.EPOLLHUP) != 0: // it was up, and has ended while its request was held back
+		c.terminate(errClosedByWorker)
+	case events&unix.EPOLLOUT != 0:
 		c.writeRequest()
 	}
 }
@@ -220,7 +231,7 @@
 	switch {
 	case c.stage >= requests.StageWritten && errors.Is(cause, errResponseTimeout):
 		return requests.ReasonTimeout
-	case c.stage == requests.StageNotConnected && (isLocalShortage(cause) || c.dialDelayed && errors.Is(cause, errResponseTimeout)):
+	case c.stage == requests.StageNotConnected && (isLocalShortage(cause) || c.dialDelayed && isOwnDelay(cause)):
 		return requests.ReasonNotSent
 	case isHealthCheck && (wasDropped || errors.Is(cause, errStrayResponse)):
 		return requests.ReasonNotSent
--- a/internal/link/worker_exchange.go
+++ b/internal/link/worker_exchange.go
@@ -14,7 +14,8 @@
 	cancelTimeout      = time.Second
 	responseGrace      = time.Second // a connection outlasts its attempt by so long, in case the response still comes
 
-	maxSingleWrite = 4 << 10 // bytes of a payload that any socket's buffer takes whole
+	maxSingleWrite     = 4 << 10                // bytes of a payload that any socket's buffer takes whole
+	singleWriteTimeout = 100 * time.Millisecond // for one that goes in parts all the same, as the machine lacked memory
 )
 
 // exchangeKind says what a connection to a worker is used for.
@@ -52,6 +53,7 @@
 	c.exchange = next
 	c.lastKind = next.kind
 	c.stage = requests.StageNotConnected
+	c.connectUntil = c.pool.loop.Now() + c.pool.connectTimeout
 	if next.kind == exchangeAttempt {
 		c.pool.byAttempt[next.attempt] = c
 	}
@@ -81,9 +83,23 @@
 		c.terminate(err)
 		return
 	}
+	if len(c.Output()) == len(buffer) {
+		c.deferRequest()
+		return
+	}
 	c.reportIfWritten()
 }
 
+// deferRequest has the request made anew once the socket takes something: it has taken nothing, and the time that the worker is
+// told would not be true by then.
+func (c *workerConnection) deferRequest() {
+	c.TakeOutput()
+	c.state = workerConnecting
+	c.setStage(requests.StageNotConnected)
+	c.dialDelayed = true
+	c.setTimeout(max(0, c.connectUntil-c.pool.loop.Now()))
+}
+
 // appendRequest returns how long the exchange may take from now on; ok is false if it is too late for it.
 func (c *workerConnection) appendRequest(buffer []byte) (request []byte, timeout time.Duration, ok bool) {
 	attempt, address := c.exchange.attempt, c.endpoint.address.String()
@@ -112,6 +128,8 @@
 	timeout = min(c.pool.connectTimeout, remaining/2)
 	if len(payload.Body) > maxSingleWrite {
 		remaining -= timeout
+	} else {
+		timeout = min(timeout, singleWriteTimeout)
 	}
 	buffer = http1.AppendRequestStart(buffer, payload.Method, payload.Path, address)
 	buffer = http1.AppendField(buffer, "X-Call-Id", attempt.Request.CallID)
