--- a/internal/eventloop/errorclass.go
+++ b/internal/eventloop/errorclass.go
@@ -55,6 +55,9 @@
 // IsShortage reports whether something is lacking at this machine that may be there again in a moment.
 func (c ErrorClass) IsShortage() bool { return c == ErrorNoDescriptor || c == ErrorNoResource }
 
+// IsMomentary reports whether the same call may succeed in a moment, without an event for it.
+func (c ErrorClass) IsMomentary() bool { return c == ErrorRetry || c.IsShortage() }
+
 // classifiedErrors are the errors that do not belong to a call's default class.
 type classifiedErrors struct {
 	class  ErrorClass
@@ -166,7 +169,7 @@
 	return &CallError{Call: call, Err: err}
 }
 
-// ClassOf classifies an error that says which call it is of. Any other is ErrorUnusable.
+// ClassOf classifies an error that says which call it is of. Any other, and nil, is ErrorUnusable.
 func ClassOf(err error) ErrorClass {
 	var failed *CallError
 	if !errors.As(err, &failed) {
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"log/slog"
 	"runtime/debug"
+	"time"
 
 	"golang.org/x/sys/unix"
 )
@@ -57,8 +58,18 @@
 type registration struct {
 	handler  Handler
 	priority Priority
+	events   uint32        // that are waited for
+	added    bool          // epoll has the descriptor
+	retry    *Timer        // while epoll could not be told of the events
+	backoff  time.Duration // before it
 }
 
+// Pauses before epoll is told once more what a descriptor waits for.
+const (
+	minInterestBackoff = time.Millisecond
+	maxInterestBackoff = 50 * time.Millisecond
+)
+
 // Protect calls act and contains a panic: it is logged, and ends the handler that it happened in.
 func (l *Loop) Protect(handler Handler, act func()) {
 	defer func() {
@@ -76,10 +87,27 @@
 
 // Add has the handler called for events of a descriptor. On success the loop owns the descriptor, else the caller does.
 func (l *Loop) Add(descriptor int, events uint32, handler Handler) error {
-	event := unix.EpollEvent{Events: events, Fd: int32(descriptor)}
-	if err := l.syscalls.EpollCtl(l.epoll, unix.EPOLL_CTL_ADD, descriptor, &event); err != nil {
-		return fmt.Errorf("epoll add: %w", NewCallError(CallEpollControl, err))
+	l.register(descriptor, events, handler)
+	if err := l.tellInterest(descriptor); err != nil {
+		l.handlers[descriptor] = registration{}
+		return err
 	}
+	return nil
+}
+
+// addEventually is Add, but that a descriptor that epoll lacks memory for is added later, as soon as it can be: of a connection
+// that was accepted, its peer may have sent a request already.
+func (l *Loop) addEventually(descriptor int, events uint32, handler Handler) error {
+	err := l.Add(descriptor, events, handler)
+	if !ClassOf(err).IsMomentary() {
+		return err
+	}
+	l.register(descriptor, events, handler)
+	l.retryInterest(descriptor)
+	return nil
+}
+
+func (l *Loop) register(descriptor int, events uint32, handler Handler) {
 	for len(l.handlers) <= descriptor {
 		l.handlers = append(l.handlers, registration{})
 	}
@@ -87,16 +115,51 @@
 	if prioritized, ok := handler.(Prioritized); ok {
 		priority = prioritized.Priority()
 	}
-	l.handlers[descriptor] = registration{handler: handler, priority: priority}
-	return nil
+	l.handlers[descriptor] = registration{handler: handler, priority: priority, events: events}
 }
 
-// Modify changes which events of a descriptor the loop waits for. Of one that the loop does not have, it does nothing.
+// Modify changes which events of a descriptor the loop waits for. Of one that the loop does not have, it does nothing. Where
+// epoll can't be told for a moment, it is as soon as it can.
 func (l *Loop) Modify(fd int, events uint32) {
 	if !l.has(fd) {
 		return
 	}
-	_ = l.syscalls.EpollCtl(l.epoll, unix.EPOLL_CTL_MOD, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)})
+	l.handlers[fd].events = events
+	if l.handlers[fd].retry == nil {
+		l.updateInterest(fd)
+	}
+}
+
+func (l *Loop) updateInterest(descriptor int) {
+	if ClassOf(l.tellInterest(descriptor)).IsMomentary() {
+		l.retryInterest(descriptor)
+		return
+	}
+	l.handlers[descriptor].backoff = 0
+}
+
+// tellInterest tells epoll what is waited for.
+func (l *Loop) tellInterest(descriptor int) error {
+	registered := &l.handlers[descriptor]
+	operation := unix.EPOLL_CTL_MOD
+	if !registered.added {
+		operation = unix.EPOLL_CTL_ADD
+	}
+	event := unix.EpollEvent{Events: registered.events, Fd: int32(descriptor)}
+	if err := l.syscalls.EpollCtl(l.epoll, operation, descriptor, &event); err != nil {
+		return fmt.Errorf("epoll add: %w", NewCallError(CallEpollControl, err))
+	}
+	registered.added = true
+	return nil
+}
+
+func (l *Loop) retryInterest(descriptor int) {
+	registered := &l.handlers[descriptor]
+	registered.backoff = min(max(minInterestBackoff, 2*registered.backoff), maxInterestBackoff)
+	registered.retry = l.After(registered.backoff, func() {
+		l.handlers[descriptor].retry = nil
+		l.updateInterest(descriptor)
+	})
 }
 
 // has reports whether the loop owns a descriptor.
@@ -106,17 +169,18 @@
 
 // Remove closes a descriptor: at once, or, while events are handed out, once all are. Of one that the loop does not have, it
 // does nothing.
-func (l *Loop) Remove(fd int) {
-	if !l.has(fd) {
+func (l *Loop) Remove(descriptor int) {
+	if !l.has(descriptor) {
 		return
 	}
-	l.handlers[fd] = registration{}
-	_ = l.syscalls.EpollCtl(l.epoll, unix.EPOLL_CTL_DEL, fd, nil)
+	l.StopTimer(l.handlers[descriptor].retry)
+	l.handlers[descriptor] = registration{}
+	_ = l.syscalls.EpollCtl(l.epoll, unix.EPOLL_CTL_DEL, descriptor, nil)
 	if l.gathering {
-		l.closing = append(l.closing, fd)
+		l.closing = append(l.closing, descriptor)
 		return
 	}
-	_ = l.syscalls.Close(fd)
+	_ = l.syscalls.Close(descriptor)
 	l.reportClosed()
 }
 
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -6,7 +6,6 @@
 package eventloop
 
 import (
-	"errors"
 	"fmt"
 	"log/slog"
 	"sync"
@@ -142,7 +141,7 @@
 // is ready and what is due, steps, and does what was left for after the step.
 func (l *Loop) RunOnce(timeoutMillis int) error {
 	n, err := l.syscalls.EpollWait(l.epoll, l.events, timeoutMillis)
-	if err != nil && !errors.Is(err, unix.EINTR) {
+	if err != nil && !Classify(CallEpollWait, err).IsMomentary() { // else what is due is done all the same
 		return fmt.Errorf("epoll wait: %w", NewCallError(CallEpollWait, err))
 	}
 	l.UpdateNow()
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -10,6 +10,7 @@
 const (
 	socketBufferSize = 64 << 10 // bytes, the kernel's, by accepted socket: it would hold megabytes
 	listenBacklog    = 4096     // connections
+	maxOptionTries   = 8        // of one option, while the machine lacks something for it
 )
 
 // Sockaddr returns an address as the kernel has it, and its family; an IPv4 address written as IPv6 is IPv4.
@@ -73,15 +74,25 @@
 	return fd, nil
 }
 
+// setOption sets an option that a socket can do without, such as one of another family.
+func (l *Loop) setOption(descriptor, level, option, value int) {
+	for range maxOptionTries {
+		err := l.syscalls.SetsockoptInt(descriptor, level, option, value)
+		if err == nil || !Classify(CallSetOption, err).IsMomentary() {
+			return
+		}
+	}
+}
+
 func (l *Loop) startListening(descriptor int, sockaddr unix.Sockaddr, options []int) error {
 	for _, option := range options {
 		if err := l.syscalls.SetsockoptInt(descriptor, unix.SOL_SOCKET, option, 1); err != nil {
 			return NewCallError(CallSetOption, err)
 		}
 	}
-	_ = l.syscalls.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	_ = l.syscalls.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBufferSize) // accepted sockets inherit these
-	_ = l.syscalls.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_SNDBUF, socketBufferSize)
+	l.setOption(descriptor, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
+	l.setOption(descriptor, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBufferSize) // accepted sockets inherit these
+	l.setOption(descriptor, unix.SOL_SOCKET, unix.SO_SNDBUF, socketBufferSize)
 	if err := l.syscalls.Bind(descriptor, sockaddr); err != nil {
 		return NewCallError(CallBind, err)
 	}
--- a/internal/eventloop/stream.go
+++ b/internal/eventloop/stream.go
@@ -39,8 +39,8 @@
 
 // OpenStream makes a stream of a socket and adds it, with its owner as the handler. On an error the caller owns the socket.
 func (l *Loop) OpenStream(fd int, events uint32, owner Handler) (Stream, error) {
-	_ = l.syscalls.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
-	if err := l.Add(fd, events, owner); err != nil {
+	l.setOption(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+	if err := l.addEventually(fd, events, owner); err != nil {
 		return Stream{}, err
 	}
 	return Stream{loop: l, fd: fd, events: events, open: true}, nil
--- a/internal/eventloop/stream_fault_test.go
+++ b/internal/eventloop/stream_fault_test.go
@@ -58,12 +58,9 @@
 
 func openFaultStream(l *testLoop) (owner *faultOwner, peer int) {
 	l.t.Helper()
-	ends, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
-	if err != nil {
-		l.t.Fatal(err)
-	}
-	l.t.Cleanup(func() { _ = unix.Close(ends[1]) })
+	ends := testSocketPair(l.t)
 	owner = &faultOwner{}
+	var err error
 	if owner.Stream, err = l.OpenStream(ends[0], StreamEvents, owner); err != nil {
 		l.t.Fatal(err)
 	}
--- a/internal/eventloop/wake.go
+++ b/internal/eventloop/wake.go
@@ -9,7 +9,17 @@
 }
 
 // Wake has the loop call its hook Woken soon. It may be called from any goroutine.
-func (l *Loop) Wake() { _, _ = l.syscalls.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0}) }
+func (l *Loop) Wake() {
+	for range maxWakeTries {
+		_, err := l.syscalls.Write(l.wakeFD, []byte{1, 0, 0, 0, 0, 0, 0, 0})
+		if Classify(CallWrite, err) != ErrorRetry { // else it was interrupted; its counter being full wakes the loop as well
+			return
+		}
+	}
+}
+
+// maxWakeTries bounds how often a wake that is interrupted is made again.
+const maxWakeTries = 1000
 
 // waker is the handler of the descriptor that wakes the loop, and the owner of timers and acts that have no other.
 type waker Loop
--- a/internal/link/startup.go
+++ b/internal/link/startup.go
@@ -15,10 +15,7 @@
 )
 
 // isMomentary reports whether what failed may succeed in a moment.
-func isMomentary(err error) bool {
-	class := eventloop.ClassOf(err)
-	return err != nil && (class == eventloop.ErrorRetry || class.IsShortage())
-}
+func isMomentary(err error) bool { return eventloop.ClassOf(err).IsMomentary() }
 
 // startup opens what a process needs before it serves, in the face of failures of a moment.
 type startup struct {
