--- a/internal/hotrestart/cordon_file.go
+++ b/internal/hotrestart/cordon_file.go
@@ -3,9 +3,11 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"io/fs"
-	"os"
 	"path/filepath"
+
+	"valvecove/internal/filesystem"
 )
 
 // The file of cordoned workers, in the state directory.
@@ -17,7 +19,6 @@
 	MaxCordonFileSize = 1 << 20
 
 	cordonFileVersion = 1
-	cordonFileMode    = 0o600
 )
 
 type cordonFile struct {
@@ -39,14 +40,23 @@
 // Unwrap returns the cause.
 func (e *CordonFileError) Unwrap() error { return e.Err }
 
-// ReadCordonFile returns the ids of the workers that an earlier process has cordoned. Without a file, or with an empty
-// stateDir, there are none. Any error is a *CordonFileError.
+// ReadCordonFile is LoadCordonFile from the disk.
 func ReadCordonFile(stateDir string) ([]string, error) {
+	return LoadCordonFile(filesystem.Disk, stateDir)
+}
+
+// LoadCordonFile returns the ids of the workers that an earlier process has cordoned. Without a file, or with an empty
+// stateDir, there are none. Any error is a *CordonFileError.
+func LoadCordonFile(files filesystem.FileSystem, stateDir string) ([]string, error) {
 	if stateDir == "" {
 		return nil, nil
 	}
 	path := filepath.Join(stateDir, CordonFileName)
-	content, err := readLimited(path, MaxCordonFileSize)
+	var content []byte
+	err := filesystem.RetryInterrupted(func() (err error) {
+		content, err = readLimited(files, path, MaxCordonFileSize)
+		return err
+	})
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -60,15 +70,20 @@
 	return workerIDs, nil
 }
 
-func readLimited(path string, limit int64) ([]byte, error) {
-	info, err := os.Stat(path)
+func readLimited(files filesystem.FileSystem, path string, limit int64) ([]byte, error) {
+	file, err := files.OpenReader(path)
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > limit {
-		return nil, fmt.Errorf("%d bytes, at most %d allowed", info.Size(), limit)
+	defer func() { _ = file.Close() }()
+	content, err := io.ReadAll(io.LimitReader(file, limit+1))
+	if err != nil {
+		return nil, err
 	}
-	return os.ReadFile(path)
+	if int64(len(content)) > limit {
+		return nil, fmt.Errorf("over %d bytes", limit)
+	}
+	return content, nil
 }
 
 func decodeCordonFile(content []byte) ([]string, error) {
@@ -85,17 +100,5 @@
 // WriteCordonFile replaces the file of cordoned workers in stateDir as a whole: a reader finds the old content or the new
 // one. Any error is a *CordonFileError.
 func WriteCordonFile(stateDir string, workerIDs []string) error {
-	path := filepath.Join(stateDir, CordonFileName)
-	content, err := json.Marshal(cordonFile{cordonFileVersion, workerIDs})
-	if err != nil {
-		return &CordonFileError{path, err}
-	}
-	temporary := path + ".new"
-	if err := os.WriteFile(temporary, append(content, '\n'), cordonFileMode); err != nil {
-		return &CordonFileError{path, err}
-	}
-	if err := os.Rename(temporary, path); err != nil {
-		return &CordonFileError{path, err}
-	}
-	return nil
+	return newCordonFileWriter(filesystem.Disk, stateDir).write(workerIDs)
 }
