--- /dev/null
+++ b/internal/hotrestart/cordon_retry_test.go
@@ -0,0 +1,160 @@
+package hotrestart
+
+import (
+	"errors"
+	"math/rand/v2"
+	"slices"
+	"strconv"
+	"syscall"
+	"testing"
+	"time"
+
+	"valvecove/internal/filesystem/filesystemtest"
+)
+
+// What could not be written is written again with growing delays until it is stored, the newest content only. The change from
+// success to failure is told of once, and so is the one back.
+func TestCordonStore_RetriesUntilStored(t *testing.T) {
+	disk, loop := diskWithOldCordons(), newEventLoop()
+	store := loop.newStore(disk, crashStateDir)
+	disk.SetFault(filesystemtest.FailAll(syscall.ENOSPC, filesystemtest.Write))
+	loop.now = time.Hour
+	var results []error
+	save := func(workerIDs ...string) {
+		store.Save(workerIDs, func(err error) { results = append(results, err) })
+		loop.runOne()
+	}
+	save("s-5")
+	checkDelays(t, loop)
+	save("s-2")
+	state := store.State()
+	if state.Stored || state.UnsavedFrom != time.Hour || !errors.Is(state.LastError, syscall.ENOSPC) || len(loop.changes) != 1 {
+		t.Errorf("while it fails: %+v, told of %v", state, loop.changes)
+	}
+	disk.SetFault(nil)
+	loop.runTimer(t)
+	loop.runOne()
+	if got := disk.Files()[crashPath]; got != newCordons || !store.State().Stored || store.State().LastError != nil {
+		t.Errorf("stored %q, %+v", got, store.State())
+	}
+	if len(loop.changes) != 2 || loop.changes[1] != nil || len(loop.timers) != 0 {
+		t.Errorf("told of %v, %d timers left", loop.changes, len(loop.timers))
+	}
+	if len(results) != 2 || !errors.Is(results[0], syscall.ENOSPC) || !errors.Is(results[1], syscall.ENOSPC) {
+		t.Errorf("calls were answered %v", results)
+	}
+}
+
+// checkDelays expects writes that fail to be repeated with exponential backoff.
+func checkDelays(t *testing.T, loop *eventLoop) {
+	t.Helper()
+	want := []time.Duration{
+		100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond,
+		1600 * time.Millisecond, 3200 * time.Millisecond, 5 * time.Second, 5 * time.Second,
+	}
+	for _, delay := range want {
+		if got := loop.runTimer(t); got != delay {
+			t.Errorf("a delay of %v, expected %v", got, delay)
+		}
+		loop.runOne()
+	}
+}
+
+// What was saved along with too many others is written too, though nobody is told so.
+func TestCordonStore_StoresBeyondTooManySaves(t *testing.T) {
+	disk, loop := diskWithOldCordons(), newEventLoop()
+	store := loop.newStore(disk, crashStateDir)
+	store.config.MaxCallbacks = 1
+	var results []error
+	for _, id := range []string{"s-7", "s-8", "s-2"} {
+		store.Save([]string{id}, func(err error) { results = append(results, err) })
+	}
+	loop.runOne()
+	loop.finishWrite(store)
+	if want := []error{ErrTooManySaves, ErrTooManySaves, nil}; !slices.Equal(results, want) {
+		t.Errorf("calls were answered %v, expected %v", results, want)
+	}
+	if got := disk.Files()[crashPath]; got != newCordons || !store.State().Stored {
+		t.Errorf("stored %q, %+v", got, store.State())
+	}
+}
+
+// A fenced store changes the file no more, neither by a write in progress nor by a retry, and goes on once it has it back.
+func TestCordonStore_Fence(t *testing.T) {
+	disk, loop := diskWithOldCordons(), newEventLoop()
+	store := loop.newStore(disk, crashStateDir)
+	reached, proceed := make(chan struct{}), make(chan struct{})
+	disk.SetFault(func(call filesystemtest.Call) filesystemtest.Fault {
+		if call.Operation == filesystemtest.Write {
+			reached <- struct{}{}
+			<-proceed
+		}
+		return filesystemtest.Fault{}
+	})
+	var result error
+	store.Save(newWorkerIDs, func(err error) { result = err })
+	<-reached
+	if store.Fence() {
+		t.Error("fenced during a write that has just begun")
+	}
+	loop.now = fenceDelay
+	for range 2 {
+		if !store.Fence() {
+			t.Error("not fenced though the write hangs")
+		}
+	}
+	close(proceed)
+	loop.runOne()
+	disk.SetFault(nil)
+	store.Keep([]string{"s-9"})
+	if got := disk.Files()[crashPath]; got != oldCordons || !errors.Is(result, errFenced) || store.IsWriting() || len(loop.timers) != 0 {
+		t.Errorf("fenced: the file is %q, answered %v, writing %v", got, result, store.IsWriting())
+	}
+	store.Unfence()
+	loop.runOne()
+	if got, err := LoadCordonFile(disk, crashStateDir); err != nil || !slices.Equal(got, []string{"s-9"}) || !store.State().Stored {
+		t.Errorf("after it was taken back: %v, %v", got, err)
+	}
+}
+
+// Under any share of failing calls, what was answered without an error is durable, and in the end the newest is.
+func TestCordonStore_UnderRandomFaults(t *testing.T) {
+	for seed := range uint64(200) {
+		random := rand.New(rand.NewPCG(seed, 2))
+		disk, loop := filesystemtest.New(nil), newEventLoop()
+		store := loop.newStore(disk, crashStateDir)
+		disk.SetFault(filesystemtest.FailShare(seed, 0.05+0.6*random.Float64()))
+		newest := ""
+		for number := range 20 {
+			newest = "s-" + strconv.Itoa(number)
+			saved := newest
+			store.Save([]string{saved}, func(err error) {
+				if err == nil {
+					checkDurable(t, disk, saved)
+				}
+			})
+			loop.runOne()
+			if random.IntN(3) == 0 && len(loop.timers) > 0 {
+				loop.runTimer(t)
+				loop.finishWrite(store)
+			}
+		}
+		disk.SetFault(nil)
+		for !store.State().Stored {
+			loop.runTimer(t)
+			loop.finishWrite(store)
+		}
+		checkDurable(t, disk, newest)
+	}
+}
+
+// checkDurable expects a power failure to leave exactly these workers in the file.
+func checkDurable(t *testing.T, disk *filesystemtest.Disk, workerID string) {
+	t.Helper()
+	for _, outcome := range disk.AfterPowerLoss() {
+		outcome.SetFault(nil)
+		if got, err := LoadCordonFile(outcome, crashStateDir); err != nil || !slices.Equal(got, []string{workerID}) {
+			t.Fatalf("a power failure leaves %v, %v, expected %s", got, err, workerID)
+		}
+	}
+}
--- a/internal/hotrestart/cordon_store.go
+++ b/internal/hotrestart/cordon_store.go
@@ -1,47 +1,105 @@
 package hotrestart
 
-import "errors"
+import (
+	"errors"
+	"time"
+
+	"valvecove/internal/filesystem"
+)
 
 // ErrTooManySaves means that the state directory does not keep up with the calls.
 var ErrTooManySaves = errors.New("too many calls wait for the directory")
 
+// Waits of a CordonStore.
+const (
+	// minWriteRetryDelay is how long after a failed write the next one begins. The delay doubles with each failure in a row.
+	minWriteRetryDelay = 100 * time.Millisecond
+	maxWriteRetryDelay = 5 * time.Second
+
+	// fenceDelay is how long a write in progress keeps the file from being left to another process.
+	fenceDelay = 250 * time.Millisecond
+)
+
+// CordonStoreConfig says where a CordonStore writes, and how it is tied to the event loop.
+type CordonStoreConfig struct {
+	Files    filesystem.FileSystem
+	StateDir string
+	// MaxCallbacks is how many calls of Save may wait at a time.
+	MaxCallbacks int
+	// Now returns the time of the event loop.
+	Now func() time.Duration
+	// Post is called by the store's goroutine, and must have its argument run on the event loop.
+	Post func(func())
+	// After has its argument run on the event loop once the delay has passed.
+	After func(delay time.Duration, act func())
+	// Changed is called on the event loop with the error when writes begin to fail, and with nil once what was saved is
+	// stored again.
+	Changed func(error)
+}
+
+// CordonStoreState tells whether what was saved last is on the disk.
+type CordonStoreState struct {
+	Stored      bool
+	UnsavedFrom time.Duration // since when it is not, by the loop's clock
+	LastError   error         // of the last write, if that failed
+}
+
 // CordonStore keeps the file of cordoned workers. A goroutine of its own writes the file, so that the event loop waits for
-// no disk. What is saved during a write is written next, the newest only.
+// no disk. What is saved during a write is written next, the newest only. What could not be written is written again, with
+// exponential backoff, until it is stored. All use of it is on the event loop.
 type CordonStore struct {
-	stateDir         string
-	maxCallbacks     int
-	post             func(func())
-	writes           chan []string // to the goroutine; a write is in progress from when it is sent to when it is finished
+	config           CordonStoreConfig
+	writer           *cordonFileWriter
+	tasks            chan func() // of the goroutine; holds a write and a removal of stray files at most
 	writing          bool
+	writeStartedAt   time.Duration
 	newest           []string
+	unsaved          bool // newest is not stored
+	changed          bool // newest was set after the write in progress began
+	unsavedFrom      time.Duration
+	retryDelay       time.Duration // of the next failure
+	retryPending     bool
+	fenced           bool
+	lastError        error
 	callbacks        []func(error) // of Save, in order
 	callbacksOfWrite int           // how many of them, from the first, the write in progress completes
 }
 
-// NewCordonStore returns a store for stateDir, whose goroutine runs as long as the process. At most maxCallbacks calls of
-// Save may wait at a time. post is called by the goroutine, and must have its argument run on the event loop; all other use
-// of the store is on the event loop.
-func NewCordonStore(stateDir string, maxCallbacks int, post func(func())) *CordonStore {
-	store := &CordonStore{stateDir: stateDir, maxCallbacks: maxCallbacks, post: post, writes: make(chan []string, 1)}
+// NewCordonStore returns a store whose goroutine runs as long as the process.
+func NewCordonStore(config CordonStoreConfig) *CordonStore {
+	store := &CordonStore{
+		config:     config,
+		writer:     newCordonFileWriter(config.Files, config.StateDir),
+		tasks:      make(chan func(), 2),
+		retryDelay: minWriteRetryDelay,
+	}
 	go store.run()
 	return store
 }
 
 func (s *CordonStore) run() {
-	for workerIDs := range s.writes {
-		err := WriteCordonFile(s.stateDir, workerIDs)
-		s.post(func() { s.writeFinished(err) })
+	for task := range s.tasks {
+		task()
 	}
 }
 
+// State tells whether what was saved last is stored.
+func (s *CordonStore) State() CordonStoreState {
+	return CordonStoreState{Stored: !s.unsaved, UnsavedFrom: s.unsavedFrom, LastError: s.lastError}
+}
+
 // IsWriting tells whether a write is in progress.
 func (s *CordonStore) IsWriting() bool { return s.writing }
 
+// RemoveStrayFiles removes what killed processes have left half done. It is to be called once, by the process that owns the
+// file.
+func (s *CordonStore) RemoveStrayFiles() { s.tasks <- s.writer.removeStrayFiles }
+
 // Save has the ids written. done is called on the event loop once they are, or something newer, or with the error; at once
-// with ErrTooManySaves if too many calls wait, in which case the ids are written along with the next write.
+// with ErrTooManySaves if too many calls wait. Whatever the error, the ids are written as soon as that is possible.
 func (s *CordonStore) Save(workerIDs []string, done func(error)) {
-	s.newest = workerIDs
-	if len(s.callbacks) >= s.maxCallbacks {
+	s.setNewest(workerIDs)
+	if len(s.callbacks) >= s.config.MaxCallbacks {
 		done(ErrTooManySaves)
 		return
 	}
@@ -49,21 +107,90 @@
 	s.startWrite()
 }
 
+// Keep is Save for ids that nobody waits for.
+func (s *CordonStore) Keep(workerIDs []string) {
+	s.setNewest(workerIDs)
+	s.startWrite()
+}
+
+func (s *CordonStore) setNewest(workerIDs []string) {
+	if !s.unsaved {
+		s.unsavedFrom = s.config.Now()
+	}
+	s.newest, s.unsaved, s.changed = workerIDs, true, true
+}
+
 func (s *CordonStore) startWrite() {
-	if s.writing || len(s.callbacks) == 0 {
+	if s.writing || s.fenced || !s.unsaved {
 		return
 	}
 	s.writing = true
+	s.changed = false
+	s.writeStartedAt = s.config.Now()
 	s.callbacksOfWrite = len(s.callbacks)
-	s.writes <- s.newest
+	workerIDs := s.newest
+	s.tasks <- func() {
+		err := s.writer.write(workerIDs)
+		s.config.Post(func() { s.writeFinished(err) })
+	}
 }
 
 func (s *CordonStore) writeFinished(err error) {
+	s.writing = false
+	if !errors.Is(err, errFenced) {
+		s.recordResult(err)
+	}
 	completed := s.callbacks[:s.callbacksOfWrite:s.callbacksOfWrite]
 	s.callbacks = s.callbacks[s.callbacksOfWrite:]
-	s.writing = false
 	for _, done := range completed {
 		done(err)
 	}
+	if err == nil || len(s.callbacks) > 0 {
+		s.startWrite()
+		return
+	}
+	s.retryLater()
+}
+
+// recordResult takes in how a write has ended, and tells of a change from success to failure or back.
+func (s *CordonStore) recordResult(err error) {
+	hadFailed := s.lastError != nil
+	s.lastError = err
+	if err == nil {
+		s.unsaved = s.changed
+		s.unsavedFrom = s.writeStartedAt
+		s.retryDelay = minWriteRetryDelay
+	}
+	if hadFailed != (err != nil) {
+		s.config.Changed(err)
+	}
+}
+
+func (s *CordonStore) retryLater() {
+	if s.retryPending || s.fenced {
+		return
+	}
+	s.retryPending = true
+	s.config.After(s.retryDelay, func() {
+		s.retryPending = false
+		s.startWrite()
+	})
+	s.retryDelay = min(2*s.retryDelay, maxWriteRetryDelay)
+}
+
+// Fence leaves the file to another process: this one changes it no more. It returns false, and changes nothing, while a write
+// is in progress that may still be waited for. What is not stored is for the other process to write.
+func (s *CordonStore) Fence() bool {
+	if s.writing && s.config.Now()-s.writeStartedAt < fenceDelay || !s.writer.fence.close() {
+		return false
+	}
+	s.fenced = true
+	return true
+}
+
+// Unfence takes the file back, as the other process did not take over.
+func (s *CordonStore) Unfence() {
+	s.fenced = false
+	s.writer.fence.open()
 	s.startWrite()
 }
--- a/internal/hotrestart/cordon_store_test.go
+++ b/internal/hotrestart/cordon_store_test.go
@@ -8,6 +8,9 @@
 	"slices"
 	"strings"
 	"testing"
+	"time"
+
+	"valvecove/internal/filesystem"
 )
 
 // The file has the bytes that processes of all builds read.
@@ -46,19 +49,57 @@
 	}
 }
 
-// eventLoop runs what the goroutine of a store posts.
-type eventLoop struct{ posted chan func() }
+// eventLoop runs what the goroutine of a store posts, and the timers that it starts, by a clock that the test moves.
+type eventLoop struct {
+	posted  chan func()
+	now     time.Duration
+	timers  []loopTimer
+	changes []error // that the store has told of
+}
+
+type loopTimer struct {
+	at  time.Duration
+	act func()
+}
 
-func newEventLoop() *eventLoop { return &eventLoop{make(chan func(), 1)} }
+func newEventLoop() *eventLoop { return &eventLoop{posted: make(chan func(), 1)} }
 
-func (l *eventLoop) post(act func()) { l.posted <- act }
+// newStore returns a store of at most 2 waiting calls.
+func (l *eventLoop) newStore(files filesystem.FileSystem, stateDir string) *CordonStore {
+	return NewCordonStore(CordonStoreConfig{
+		Files: files, StateDir: stateDir, MaxCallbacks: 2,
+		Now:     func() time.Duration { return l.now },
+		Post:    func(act func()) { l.posted <- act },
+		After:   func(delay time.Duration, act func()) { l.timers = append(l.timers, loopTimer{l.now + delay, act}) },
+		Changed: func(err error) { l.changes = append(l.changes, err) },
+	})
+}
 
 func (l *eventLoop) runOne() { (<-l.posted)() }
 
+// finishWrite takes in the end of a write, if one is in progress.
+func (l *eventLoop) finishWrite(store *CordonStore) {
+	if store.IsWriting() {
+		l.runOne()
+	}
+}
+
+// runTimer moves the clock to the only timer and runs it. It returns how far that was.
+func (l *eventLoop) runTimer(t *testing.T) time.Duration {
+	t.Helper()
+	if len(l.timers) != 1 {
+		t.Fatalf("%d timers, expected 1", len(l.timers))
+	}
+	timer, before := l.timers[0], l.now
+	l.timers, l.now = nil, timer.at
+	timer.act()
+	return l.now - before
+}
+
 // Calls are completed once what they saved, or something newer, is in the file.
 func TestCordonStore_Save(t *testing.T) {
 	dir, loop := t.TempDir(), newEventLoop()
-	store := NewCordonStore(dir, 2, loop.post)
+	store := loop.newStore(filesystem.Disk, dir)
 	var completed []string
 	save := func(name string, workerIDs ...string) {
 		store.Save(workerIDs, func(err error) {
@@ -90,7 +131,7 @@
 
 func TestCordonStore_ReportsFailure(t *testing.T) {
 	loop := newEventLoop()
-	store := NewCordonStore(filepath.Join(t.TempDir(), "missing"), 1, loop.post)
+	store := loop.newStore(filesystem.Disk, filepath.Join(t.TempDir(), "missing"))
 	var got error
 	store.Save([]string{"s-0"}, func(err error) { got = err })
 	loop.runOne()
--- a/internal/link/cordon.go
+++ b/internal/link/cordon.go
@@ -1,12 +1,86 @@
 package link
 
-import "valvecove/internal/hotrestart"
+import (
+	jsoniter "github.com/json-iterator/go"
+
+	"valvecove/internal/hotrestart"
+)
 
 // openCordonStore has cordoned workers kept in stateDir; without one nothing is kept.
 func (l *Loop) openCordonStore(stateDir string) {
 	if stateDir != "" {
-		l.cordonStore = hotrestart.NewCordonStore(stateDir, maxOperatorConnections, l.Post)
+		l.cordonStore = hotrestart.NewCordonStore(hotrestart.CordonStoreConfig{
+			Files:        l.files,
+			StateDir:     stateDir,
+			MaxCallbacks: maxOperatorConnections,
+			Now:          l.Now,
+			Post:         l.Post,
+			After:        l.After,
+			Changed:      l.logCordonStore,
+		})
+	}
+}
+
+// logCordonStore tells that the cordoned workers can't be stored, or that they are stored again.
+func (l *Loop) logCordonStore(err error) {
+	if err != nil { // what was changed holds all the same, for as long as this process or a successor lives
+		l.log.Error("worker nodes out by hand are not kept", "error", err)
+		return
+	}
+	l.log.Info("worker nodes out by hand are kept again")
+}
+
+// ownCordonFile makes this process the one that writes the file of cordoned workers.
+func (l *Loop) ownCordonFile() {
+	if l.cordonStore != nil {
+		l.cordonStore.RemoveStrayFiles()
+	}
+}
+
+// fenceCordonStore leaves the file of cordoned workers to a successor. It returns false if a write has to be waited for.
+func (l *Loop) fenceCordonStore() bool { return l.cordonStore == nil || l.cordonStore.Fence() }
+
+// unfenceCordonStore takes the file back from a successor that did not take over.
+func (l *Loop) unfenceCordonStore() {
+	if l.cordonStore != nil {
+		l.cordonStore.Unfence()
+	}
+}
+
+// unstoredCordonCount is 1 if the last change of the cordoned workers is held in memory only, and else 0.
+func (l *Loop) unstoredCordonCount() int {
+	if l.cordonStore == nil || l.hasRelinquished() || l.cordonStore.State().Stored {
+		return 0
+	}
+	return 1
+}
+
+// cordonReport is the body of the operators' call for the cordoned workers.
+type cordonReport struct {
+	WorkerIDs  []string `json:"out"`
+	Stored     bool     `json:"kept"`
+	UnstoredMs int64    `json:"not_kept_ms,omitempty"`
+	LastError  string   `json:"error,omitempty"`
+}
+
+// cordonReport returns which workers are cordoned, and whether that is stored, as a line of JSON.
+func (l *Loop) cordonReport() []byte {
+	report := cordonReport{WorkerIDs: l.Requests.Cordoned()}
+	if report.WorkerIDs == nil {
+		report.WorkerIDs = []string{}
+	}
+	if l.cordonStore == nil {
+		report.LastError = "no directory to keep them in"
+	} else if state := l.cordonStore.State(); state.Stored {
+		report.Stored = true
+	} else {
+		report.UnstoredMs = (l.Now() - state.UnsavedFrom).Milliseconds()
+		if state.LastError != nil {
+			report.LastError = state.LastError.Error()
+		}
 	}
+	text, _ := jsoniter.ConfigDefault.Marshal(report) // of strings and numbers: it can't fail
+	return append(text, '\n')
 }
 
 // setCordoned cordons or uncordons a worker, here or in the process that owns the requests. respond is called with how the
@@ -45,8 +119,7 @@
 		return
 	}
 	l.cordonStore.Save(l.Requests.Cordoned(), func(err error) {
-		if err != nil { // the change holds all the same, for as long as this process lives
-			l.log.Error("worker nodes out by hand are not kept", "error", err)
+		if err != nil { // the change holds, and is stored as soon as that is possible
 			respond(503, "not kept: "+err.Error())
 			return
 		}
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -175,6 +175,9 @@
 	if err := c.sendMessageBefore(loop.Clock()+transferTimeout, accept, loop.clients.fd); err != nil {
 		return err
 	}
+	if loop.unstoredCordonCount() > 0 { // else the successor would take the file for newer, should this process die
+		loop.notifyCordoned()
+	}
 	loop.log.Info("successor stands by")
 	loop.shareLimits(true)
 	if loop.onSuccessor != nil {
@@ -207,14 +210,14 @@
 // until then nothing has changed here. Nothing else is done meanwhile: of two processes that act, both would be owners.
 //
 // It returns ErrNoSuccessor if none stands by, and ErrNotSettled if the policy has not heard of all events or a file is being
-// written. After any other error this process is still the owner.
+// written. What could not be written is written by the successor. After any other error this process is still the owner.
 func (l *Loop) Relinquish() error {
 	role := l.predecessorRole
 	if role == nil || role.protocol.State() != hotrestart.PredecessorPaired {
 		return ErrNoSuccessor
 	}
 	l.Requests.AwaitEndpoints(0) // requests that wait for endpoints are handed over too
-	if !l.Requests.FlushEvents(l.Now()) || l.cordonStore != nil && l.cordonStore.IsWriting() {
+	if !l.Requests.FlushEvents(l.Now()) || !l.fenceCordonStore() {
 		return ErrNotSettled
 	}
 	startedAt := l.Clock()
@@ -223,6 +226,7 @@
 	err := transfer.run()
 	if err != nil && !role.successor.takenOverBeforeShutdown() {
 		role.successor.disconnect(err)
+		l.unfenceCordonStore()
 		return fmt.Errorf("handing over: %w", err)
 	}
 	l.releaseTransferred(transfer)
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -21,13 +21,14 @@
 // successorRole is the side of a process that is to replace another one: it stands by, and then takes over.
 type successorRole struct {
 	frameChannel
-	protocol       hotrestart.Successor
-	stateDir       string
-	listenAddress  netip.AddrPort
-	listenerFD     int // the socket that clients connect to, from the predecessor; NoDescriptor: not yet
-	received       hotrestart.ReceivedState
-	handshakeTimer *eventloop.Timer
-	startedAt      time.Duration // by the loop's clock
+	protocol        hotrestart.Successor
+	stateDir        string
+	listenAddress   netip.AddrPort
+	listenerFD      int // the socket that clients connect to, from the predecessor; NoDescriptor: not yet
+	received        hotrestart.ReceivedState
+	cordonsNotified bool // the predecessor has told of a change of the cordoned workers, in this session
+	handshakeTimer  *eventloop.Timer
+	startedAt       time.Duration // by the loop's clock
 }
 
 // joinPredecessor tells whether there is a process to take over from; this one stands by then.
@@ -139,6 +140,7 @@
 		r.loop.onFail(fmt.Errorf("the process that serves turns this one away: %s", message.Reason))
 	case hotrestart.CordonedWorkers:
 		r.loop.Requests.SetCordoned(message.WorkerIDs)
+		r.cordonsNotified = true
 	case hotrestart.CordonResult:
 		r.pendingCalls.CompleteOldest(message)
 	case hotrestart.SetCordon:
@@ -160,6 +162,7 @@
 	closeDescriptor(r.listenerFD) // of an earlier session
 	r.listenerFD = listenerFD
 	r.loop.Requests.SetCordoned(accept.CordonedWorkers)
+	r.cordonsNotified = false
 	for _, message := range r.pendingCalls.Messages() {
 		if err := r.sendMessage(message); err != nil {
 			return err
@@ -197,6 +200,10 @@
 	}
 	loop.awaitSuccessor(hotrestart.SocketAddresses(r.stateDir, r.listenAddress))
 	loop.shareLimits(false)
+	loop.ownCordonFile()
+	if loop.cordonStore != nil { // the predecessor may have held what it could not store
+		loop.cordonStore.Keep(loop.Requests.Cordoned())
+	}
 	for _, call := range r.pendingCalls.TakeAll() { // the predecessor may have carried them out, or not
 		loop.setCordoned(call.WorkerID, call.Cordoned, call.Respond)
 	}
@@ -242,19 +249,26 @@
 	r.closeListener()
 }
 
-// serveAlone goes on without a predecessor's state, except for what is in the file.
+// serveAlone goes on without a predecessor's state, except for the cordoned workers.
 func (r *successorRole) serveAlone(cause error) {
-	loop := r.loop
-	cordoned, err := hotrestart.ReadCordonFile(r.stateDir)
-	if err != nil {
-		loop.log.Error("worker nodes out by hand can't be read", "error", err)
-	} else {
-		loop.Requests.SetCordoned(cordoned)
+	if !r.cordonsNotified {
+		r.readCordons()
 	}
-	loop.log.Warn("the process to be replaced has gone: serving without what it had", "cause", cause)
+	r.loop.log.Warn("the process to be replaced has gone: serving without what it had", "cause", cause)
 	r.startServing()
 }
 
+// readCordons takes the cordoned workers from the file. That may be older than the last change that the predecessor has told
+// of, which it may not have been able to store.
+func (r *successorRole) readCordons() {
+	cordoned, err := hotrestart.LoadCordonFile(r.loop.files, r.stateDir)
+	if err != nil {
+		r.loop.log.Error("worker nodes out by hand can't be read", "error", err)
+		return
+	}
+	r.loop.Requests.SetCordoned(cordoned)
+}
+
 // LeaveStandby has a process that stands by leave the one that serves alone, and tells whether it was one.
 func (l *Loop) LeaveStandby() bool {
 	role := l.successorRole
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -17,6 +17,7 @@
 	"valvecove/internal/capture"
 	"valvecove/internal/config"
 	"valvecove/internal/eventloop"
+	"valvecove/internal/filesystem"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/http1"
 	"valvecove/internal/metrics"
@@ -53,6 +54,7 @@
 
 	predecessorRole *predecessorRole                           // nil: no successor can come
 	successorRole   *successorRole                             // nil: there is nothing to be taken over
+	files           filesystem.FileSystem                      // of the state directory
 	cordonStore     *hotrestart.CordonStore                    // nil: which workers are cordoned is not kept
 	wrapRestored    func(*dispatch.Dispatcher) requests.Policy // wraps a dispatcher from another process; nil: none can go on here
 
@@ -71,7 +73,7 @@
 
 // newLoop returns a loop that has no connections yet. maxEvents is how many descriptors may be ready at once.
 func newLoop(log, connectionLog *slog.Logger, clock func() time.Duration, maxEvents int) (*Loop, error) {
-	loop := &Loop{log: log, connectionLog: connectionLog, dial: eventloop.Dial}
+	loop := &Loop{log: log, connectionLog: connectionLog, dial: eventloop.Dial, files: filesystem.Disk}
 	events, err := eventloop.New(eventloop.Config{
 		Clock:     clock,
 		MaxEvents: maxEvents,
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -122,6 +122,7 @@
 	if err != nil {
 		return err
 	}
+	l.ownCordonFile()
 	l.awaitSuccessor(hotrestart.SocketAddresses(conf.StateDir, conf.Listen))
 	return nil
 }
@@ -129,7 +130,7 @@
 // restoreCordoned cordons the workers that an earlier process had cordoned. Where that can't be read the process serves all
 // the same: a worker that should be cordoned is so again with the operators' next call.
 func (l *Loop) restoreCordoned(stateDir string) {
-	cordoned, err := hotrestart.ReadCordonFile(stateDir)
+	cordoned, err := hotrestart.LoadCordonFile(l.files, stateDir)
 	if err != nil {
 		l.log.Error("worker nodes out by hand can't be read", "error", err)
 	}
--- a/internal/link/operator_calls.go
+++ b/internal/link/operator_calls.go
@@ -11,6 +11,7 @@
 const (
 	pathReady   = "/v1/readyz"
 	pathMetrics = "/v1/metrics"
+	pathCordons = "/v1/worker-nodes"
 	pathWorkers = "/v1/worker-nodes/" // followed by a worker's ID and an action
 )
 
@@ -36,6 +37,10 @@
 		if c.checkMethod(method, "GET") {
 			c.respondMetrics()
 		}
+	case path == pathCordons:
+		if c.checkMethod(method, "GET") {
+			c.respondCordons()
+		}
 	case isWorkerCall:
 		if c.checkMethod(method, "PUT") {
 			c.setCordoned(workerID, action == actionCordon)
@@ -75,13 +80,27 @@
 func (c *operatorConnection) respondMetrics() {
 	listener, loop := c.listener, c.listener.loop
 	listener.metricsText = listener.counters.AppendText(listener.metricsText[:0], metrics.Gauges{
-		OpenRequests:   loop.inFlightCount(),
-		ListedWorkers:  loop.Requests.ListedCount(),
-		AvoidedWorkers: loop.avoidedCount(),
+		OpenRequests:    loop.inFlightCount(),
+		ListedWorkers:   loop.Requests.ListedCount(),
+		AvoidedWorkers:  loop.avoidedCount(),
+		UnstoredCordons: loop.unstoredCordonCount(),
 	})
 	c.respond(200, "Content-Type: text/plain; charset=utf-8\r\nCache-Control: no-store\r\n", listener.metricsText)
 }
 
+// respondCordons responds with the cordoned workers, and whether they are stored. Only the process that owns them knows.
+func (c *operatorConnection) respondCordons() {
+	loop := c.listener.loop
+	switch {
+	case loop.hasRelinquished():
+		c.respond(503, "", []byte("this process has been replaced\n"))
+	case loop.successorRole != nil && !loop.successorRole.isServing():
+		c.respond(503, "", []byte("this process stands by\n"))
+	default:
+		c.respond(200, "Content-Type: application/json\r\nCache-Control: no-store\r\n", loop.cordonReport())
+	}
+}
+
 // setCordoned cordons or uncordons a worker, and responds once that holds and is stored.
 func (c *operatorConnection) setCordoned(workerID string, cordoned bool) {
 	c.listener.loop.setCordoned(workerID, cordoned, func(statusCode int, message string) {
--- a/internal/link/operator_connection_test.go
+++ b/internal/link/operator_connection_test.go
@@ -57,7 +57,7 @@
 }
 
 const metricsAtFirst = "edge_proxy.success.a=0\nedge_proxy.busy.a=0\nedge_proxy.failure.a=0\nedge_proxy.backend_calls=0\n" +
-	"edge_proxy.inflight=0\nedge_proxy.hosts_listed=1\nedge_proxy.hosts_down=0"
+	"edge_proxy.inflight=0\nedge_proxy.hosts_listed=1\nedge_proxy.hosts_down=0\nedge_proxy.hosts_out_not_kept=0"
 
 // An operator's call is answered once, in whatever pieces it comes, with a close; callers that stall make room for
 // those that don't, and none is held for ever.
@@ -67,6 +67,8 @@
 		{"GET /v1/metrics?x HTTP/1.1\r\nConnection: keep-alive\r\n\r\n", "200 " + metricsAtFirst},
 		{"GET /v1/metrics HTTP/1.1\r\nContent-Length: 2\r\n\r\nhiGET /v1/readyz HTTP/1.1\r\n\r\n", "200 " + metricsAtFirst},
 		{"POST /v1/readyz HTTP/1.1\r\n\r\n", "405 GET only"},
+		{"GET /v1/worker-nodes HTTP/1.1\r\n\r\n", `200 {"out":[],"kept":false,"error":"no directory to keep them in"}`},
+		{"PUT /v1/worker-nodes HTTP/1.1\r\n\r\n", "405 GET only"},
 		{"GET /v1/worker-nodes/s-0/suspend HTTP/1.1\r\n\r\n", "405 PUT only"},
 		{"PUT /v1/worker-nodes/s-1/suspend HTTP/1.1\r\n\r\n", "404 no such worker node"},
 		{"PUT /v1/worker-nodes//suspend HTTP/1.1\r\n\r\n", "404 no such path"},
@@ -181,10 +183,10 @@
 	w.loop.Requests = requests.New(6, requests.NameTable{}, newPolicy, endpoints, w.loop.workers, slog.New(slog.DiscardHandler))
 	w.runIterations()
 	for _, call := range []struct{ action, answer, figure string }{
-		{"suspend", "200 out", "edge_proxy.hosts_down=1"},
-		{"suspend", "200 out", "edge_proxy.hosts_down=1"},
-		{"resume", "200 serving", "edge_proxy.hosts_down=0"},
-		{"resume", "200 serving", "edge_proxy.hosts_down=0"},
+		{"suspend", "200 out", "edge_proxy.hosts_down=1\nedge_proxy.hosts_out_not_kept=0"},
+		{"suspend", "200 out", "edge_proxy.hosts_down=1\nedge_proxy.hosts_out_not_kept=0"},
+		{"resume", "200 serving", "edge_proxy.hosts_down=0\nedge_proxy.hosts_out_not_kept=0"},
+		{"resume", "200 serving", "edge_proxy.hosts_down=0\nedge_proxy.hosts_out_not_kept=0"},
 	} {
 		caller := w.connectOperator()
 		figure := ""
--- a/internal/metrics/counters_test.go
+++ b/internal/metrics/counters_test.go
@@ -136,8 +136,8 @@
 	want := "edge_proxy.success.status-check=0\nedge_proxy.success.account-credit=2\n" +
 		"edge_proxy.busy.status-check=1\nedge_proxy.busy.account-credit=0\n" +
 		"edge_proxy.failure.status-check=0\nedge_proxy.failure.account-credit=0\n" +
-		"edge_proxy.backend_calls=2\nedge_proxy.inflight=5\nedge_proxy.hosts_listed=7\nedge_proxy.hosts_down=3\n"
-	if text := f.counters.AppendText(nil, Gauges{OpenRequests: 5, ListedWorkers: 7, AvoidedWorkers: 3}); string(text) != want {
+		"edge_proxy.backend_calls=2\nedge_proxy.inflight=5\nedge_proxy.hosts_listed=7\nedge_proxy.hosts_down=3\nedge_proxy.hosts_out_not_kept=1\n"
+	if text := f.counters.AppendText(nil, Gauges{OpenRequests: 5, ListedWorkers: 7, AvoidedWorkers: 3, UnstoredCordons: 1}); string(text) != want {
 		t.Errorf("text %q, expected %q", text, want)
 	}
 }
--- a/internal/metrics/operators_text.go
+++ b/internal/metrics/operators_text.go
@@ -21,6 +21,8 @@
 	OpenRequests   int // admitted and not ended
 	ListedWorkers  int // in the endpoint list
 	AvoidedWorkers int // of those, that are cordoned or avoided by the dispatch policy
+	// UnstoredCordons is 1 as long as the last change of the cordoned workers is in memory only.
+	UnstoredCordons int
 }
 
 // AppendText appends the text of the operators' metrics call to dst, a "name=value" line for each figure, and returns the
@@ -41,7 +43,8 @@
 	dst = appendFigure(dst, "backend_calls", c.attemptsWritten)
 	dst = appendFigure(dst, "inflight", uint64(gauges.OpenRequests))
 	dst = appendFigure(dst, "hosts_listed", uint64(gauges.ListedWorkers))
-	return appendFigure(dst, "hosts_down", uint64(gauges.AvoidedWorkers))
+	dst = appendFigure(dst, "hosts_down", uint64(gauges.AvoidedWorkers))
+	return appendFigure(dst, "hosts_out_not_kept", uint64(gauges.UnstoredCordons))
 }
 
 func appendFigure(dst []byte, name string, value uint64) []byte {
