--- a/internal/capture/files.go
+++ b/internal/capture/files.go
@@ -1,8 +1,9 @@
 package capture
 
 import (
+	"errors"
 	"fmt"
-	"io"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"slices"
@@ -13,6 +14,7 @@
 
 	"valvecove/internal/asyncwriter"
 	"valvecove/internal/config"
+	"valvecove/internal/filesystem"
 )
 
 const (
@@ -22,12 +24,15 @@
 	megabyte         = 1 << 20
 	// maxPendingBytes is how many bytes may wait for the disk.
 	maxPendingBytes = megabyte
+	// maxTakenNumbers bounds the numbers in a row that are skipped as another process has files with them.
+	maxTakenNumbers = 100
 )
 
 // files keeps segments on a disk, one a file. The disk is touched by the queue's goroutine only, which owns the fields so
 // marked.
 type files struct {
 	*asyncwriter.Queue
+	disk          filesystem.FileSystem
 	pathPrefix    string // of all files, before their number
 	maxFileBytes  int
 	maxFiles      int
@@ -35,26 +40,33 @@
 	segmentBytes  int
 	segmentLost   bool         // a part of the segment could not be kept
 	failedSegment atomic.Int64 // in which the disk failed
-
-	file       *os.File // the queue's
-	fileNumber int      // the queue's
+	keptSegment   atomic.Int64 // the last one whose opening line is in a file
+
+	// The queue's:
+	file       filesystem.File // nil: none is open
+	filePath   string
+	fileBytes  int64
+	fileNumber int
+	strayPath  string // of a file that holds nothing and could not be removed; empty: none
 }
 
-// newFiles opens the first file at once: a directory that can't be written to is an error of the start.
-func newFiles(capture config.Capture, schedulerName string) (*files, error) {
+// newFiles opens the first file at once: a directory that can't be written to is an error of the start, unless it is the disk
+// that fails or is full, which may pass.
+func newFiles(disk filesystem.FileSystem, capture config.Capture, schedulerName string) (*files, error) {
 	f := &files{
+		disk:         disk,
 		pathPrefix:   filepath.Join(capture.Dir, fileNameOf(schedulerName)+"-"),
 		maxFileBytes: capture.FileMB * megabyte,
 		maxFiles:     capture.Files,
 	}
 	earlier, err := f.list()
-	if err != nil {
+	if err != nil && !filesystem.MayPass(err) {
 		return nil, err
 	}
 	if len(earlier) > 0 {
 		f.fileNumber = f.numberOf(earlier[len(earlier)-1])
 	}
-	if err := f.openNextFile(); err != nil {
+	if err := f.openNextFile(); err != nil && !filesystem.MayPass(err) {
 		return nil, err
 	}
 	f.Queue = asyncwriter.NewQueue(maxPendingBytes)
@@ -75,14 +87,14 @@
 // list returns the paths of this scheduler's files, oldest first.
 func (f *files) list() ([]string, error) {
 	directory, namePrefix := filepath.Split(f.pathPrefix)
-	entries, err := os.ReadDir(filepath.Dir(f.pathPrefix))
+	names, err := f.disk.ListNames(filepath.Dir(f.pathPrefix))
 	if err != nil {
 		return nil, err
 	}
 	var paths []string
-	for _, entry := range entries {
-		if isFileName(entry.Name(), namePrefix) {
-			paths = append(paths, filepath.Join(directory, entry.Name()))
+	for _, name := range names {
+		if isFileName(name, namePrefix) {
+			paths = append(paths, filepath.Join(directory, name))
 		}
 	}
 	slices.Sort(paths)
@@ -102,43 +114,95 @@
 	return number
 }
 
-// openNextFile closes the file, opens another, and removes the oldest beyond maxFiles.
+// openNextFile closes the file and opens another.
 func (f *files) openNextFile() error {
+	f.closeFile()
+	if f.strayPath != "" {
+		return f.openFile(f.strayPath, os.O_CREATE|os.O_TRUNC|os.O_WRONLY)
+	}
+	var err error
+	for range maxTakenNumbers {
+		path := fmt.Sprintf("%s%0*d%s", f.pathPrefix, fileNumberDigits, f.fileNumber+1, fileSuffix)
+		err = f.openFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY)
+		if err == nil || errors.Is(err, fs.ErrExist) {
+			f.fileNumber++
+		}
+		if !errors.Is(err, fs.ErrExist) {
+			break
+		}
+	}
+	return err
+}
+
+func (f *files) openFile(path string, flags int) error {
+	return filesystem.RetryInterrupted(func() error {
+		file, err := f.disk.OpenFile(path, flags, filePermissions)
+		if err != nil {
+			return err
+		}
+		f.file, f.filePath, f.fileBytes = file, path, 0
+		f.strayPath = ""
+		return nil
+	})
+}
+
+func (f *files) closeFile() {
 	if f.file != nil {
 		_ = f.file.Close()
 		f.file = nil
 	}
-	f.fileNumber++
-	path := fmt.Sprintf("%s%0*d%s", f.pathPrefix, fileNumberDigits, f.fileNumber, fileSuffix)
-	file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, filePermissions)
-	if err != nil {
-		return err
+}
+
+// discardFile removes a file that holds no whole segment. One that can't be removed is used for the next segment: while the
+// disk fails no files gather, in whose place kept ones would have to go.
+func (f *files) discardFile() {
+	f.closeFile()
+	remove := func() error { return f.disk.Remove(f.filePath) }
+	if err := filesystem.RetryInterrupted(remove); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		f.strayPath = f.filePath
 	}
-	f.file = file
-	paths, err := f.list()
-	for len(paths) > f.maxFiles && err == nil {
-		err = os.Remove(paths[0])
+}
+
+// removeOldest removes the oldest files beyond maxFiles. What the disk keeps from being removed goes after the next segment.
+func (f *files) removeOldest() {
+	paths, _ := f.list()
+	for len(paths) > f.maxFiles {
+		_ = f.disk.Remove(paths[0])
 		paths = paths[1:]
 	}
-	return err
 }
 
-// write appends lines to the file of a segment. Of a write that fails nothing stays, and nothing is written after it: no
-// line is cut, and none is missing in between.
+// write appends lines to the file of a segment. Of a write that fails nothing stays, or where it can't be cut away a part at the
+// end of the file; and nothing is written after it: no line is missing in between, and none is glued to a part of another.
 func (f *files) write(segment int64, lines []byte) error {
 	if f.failedSegment.Load() == segment {
 		return os.ErrClosed
 	}
-	end, err := f.file.Seek(0, io.SeekEnd)
-	if err == nil {
-		if _, err = f.file.Write(lines); err != nil {
-			_ = f.file.Truncate(end)
-		}
-	}
+	written, err := filesystem.WriteAll(f.file, lines)
 	if err != nil {
+		_ = filesystem.RetryInterrupted(func() error { return f.file.Truncate(f.fileBytes) })
 		f.failedSegment.Store(segment)
+		return err
 	}
-	return err
+	f.fileBytes += int64(written)
+	return nil
+}
+
+// writeOpening writes the opening line of a segment to a file of its own.
+func (f *files) writeOpening(segment int64, line []byte) error {
+	if segment > 1 || f.file == nil { // else the file is open since the start
+		if err := f.openNextFile(); err != nil {
+			f.failedSegment.Store(segment)
+			return err
+		}
+	}
+	if err := f.write(segment, line); err != nil {
+		f.discardFile()
+		return err
+	}
+	f.keptSegment.Store(segment)
+	f.removeOldest()
+	return nil
 }
 
 func (f *files) open(line []byte) bool {
@@ -147,15 +211,7 @@
 	f.segmentBytes = len(line)
 	f.segmentLost = false
 	segment := f.segment
-	return f.enqueue(len(line), func() error {
-		if segment > 1 { // the first file is open
-			if err := f.openNextFile(); f.file == nil {
-				f.failedSegment.Store(segment)
-				return err
-			}
-		}
-		return f.write(segment, line)
-	})
+	return f.enqueue(len(line), func() error { return f.writeOpening(segment, line) })
 }
 
 func (f *files) add(lines []byte) bool {
@@ -173,6 +229,7 @@
 	return !f.segmentLost
 }
 
+func (f *files) kept() bool                  { return f.keptSegment.Load() == f.segment }
 func (f *files) full() bool                  { return f.segmentBytes >= f.maxFileBytes }
 func (f *files) dump() []byte                { return nil }
 func (f *files) lost() uint64                { return f.Dropped() + f.Failed() }
--- a/internal/capture/reader.go
+++ b/internal/capture/reader.go
@@ -14,6 +14,7 @@
 	warnings io.Writer
 
 	lineNumber   int
+	cut          *LineError     // the line before, if that is malformed
 	step         []numberedLine // the lines of the step that is being read
 	hasSegment   bool
 	skippedSteps int // those without a dispatcher to take them
@@ -24,9 +25,9 @@
 	number int
 }
 
-// read reads a whole capture. A last line that is malformed was cut off; any other is an error.
+// read reads a whole capture. A malformed line that is the last one, or is followed by the start of a segment, was cut off;
+// any other is an error.
 func (r *reader) read(from *bufio.Reader) error {
-	var malformed *LineError
 	for ended := false; !ended; {
 		text, err := from.ReadBytes('\n')
 		ended = errors.Is(err, io.EOF)
@@ -34,40 +35,84 @@
 			return err
 		}
 		r.lineNumber++
-		text = bytes.TrimSpace(text)
-		if len(text) == 0 {
+		if text = bytes.TrimSpace(text); len(text) == 0 {
 			continue
 		}
-		if malformed != nil {
-			return malformed
+		if err := r.readLine(text); err != nil {
+			return err
 		}
-		if !isCaptureLine(text) {
-			continue
+	}
+	return r.finish()
+}
+
+// readLine reads a line that is not empty.
+func (r *reader) readLine(text []byte) error {
+	var line Line
+	isLine := isCaptureLine(text)
+	if isLine {
+		if err := json.Unmarshal(text, &line); err != nil {
+			return r.readMalformed(text, &LineError{r.lineNumber, err})
+		}
+	}
+	if r.cut != nil && line.Input != inputStart {
+		return r.cut
+	}
+	if !isLine {
+		return nil
+	}
+	if err := r.take(line); err != nil {
+		return &LineError{r.lineNumber, err}
+	}
+	return nil
+}
+
+// readMalformed reads a line that is none. It may be one that was cut off by a failing disk or a kill, with the start of the
+// next segment glued to it.
+func (r *reader) readMalformed(text []byte, malformed *LineError) error {
+	if r.cut != nil {
+		return r.cut
+	}
+	r.cut = malformed
+	for offset := 1; ; {
+		found := bytes.Index(text[offset:], lineStart)
+		if found < 0 {
+			return nil
 		}
+		offset += found
 		var line Line
-		if err := json.Unmarshal(text, &line); err != nil {
-			malformed = &LineError{r.lineNumber, err}
-		} else if err := r.take(line); err != nil {
-			return &LineError{r.lineNumber, err}
+		if json.Unmarshal(text[offset:], &line) == nil && line.Input == inputStart {
+			if err := r.take(line); err != nil {
+				return &LineError{r.lineNumber, err}
+			}
+			return nil
 		}
+		offset++
 	}
-	return r.finish(malformed)
 }
 
+// lineStart begins each line of a capture.
+var lineStart = []byte(`{"t":`)
+
 // logPrefix begins each line of a log in JSON; no line of a capture has such a field.
 var logPrefix = []byte(`{"time":`)
 
 // isCaptureLine tells lines of a capture from those of a log that it was written into.
 func isCaptureLine(text []byte) bool { return text[0] == '{' && !bytes.HasPrefix(text, logPrefix) }
 
-// finish warns of what was skipped.
-func (r *reader) finish(cut *LineError) error {
-	if cut != nil {
-		r.warn("line %d is cut short and skipped: %v", cut.Line, cut.Err)
+// skipCut warns of a line that was cut off, and of the step that it was of.
+func (r *reader) skipCut() {
+	if r.cut != nil {
+		r.warn("line %d is cut short and skipped: %v", r.cut.Line, r.cut.Err)
 	}
 	if len(r.step) > 0 {
 		r.warn("the step from line %d on is cut short and skipped", r.step[0].number)
 	}
+	r.cut, r.step = nil, nil
+}
+
+// finish warns of what was skipped.
+func (r *reader) finish() error {
+	r.skipCut()
 	if r.skippedSteps > 0 {
 		r.warn("%d steps before the first segment, or after the module had failed, are skipped", r.skippedSteps)
 	}
@@ -90,12 +135,16 @@
 	if isStepLine {
 		return r.takeStepLine(line)
 	}
-	if len(r.step) > 0 {
-		return fmt.Errorf("%q within the step that began at line %d", kind, r.step[0].number)
-	}
 	if kind != inputStart {
+		if len(r.step) > 0 {
+			return fmt.Errorf("%q within the step that began at line %d", kind, r.step[0].number)
+		}
 		return nil
 	}
+	r.skipCut()
+	if r.hasSegment && line.Reason == reasonGap {
+		r.warn("before line %d the capture has a gap: what happened in it is not replayed", r.lineNumber)
+	}
 	if err := r.player.startSegment(line); err != nil {
 		return err
 	}
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -1,6 +1,7 @@
 package capture
 
 import (
+	"bytes"
 	"fmt"
 	"log/slog"
 	"runtime/debug"
@@ -11,6 +12,7 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/config"
+	"valvecove/internal/filesystem"
 	"valvecove/internal/requests"
 )
 
@@ -45,6 +47,8 @@
 
 	namedWorkers map[uint64]bool // those that the segment has named
 	segmentLost  bool            // nothing more of the segment can be kept
+	inGap        bool            // the log tells of a loss, and not yet that the capture goes on
+	lostLines    uint64          // that were not handed to the sink, as their segment was lost
 	openedAt     time.Duration   // when a segment was last opened, or was lost
 	lines        []byte          // those to hand to the sink together
 	limiter      floodLimiter
@@ -53,6 +57,12 @@
 // New returns a recorder of the scheduler that starts with a configuration. now is the Unix time. An error means that the
 // directory of the capture can't be used, or that the configuration has no valid settings.
 func New(capture config.Capture, start config.Config, now func() time.Duration, log *slog.Logger) (*Recorder, error) {
+	return newRecorder(filesystem.Disk, capture, start, now, log)
+}
+
+func newRecorder(
+	disk filesystem.FileSystem, capture config.Capture, start config.Config, now func() time.Duration, log *slog.Logger,
+) (*Recorder, error) {
 	settings, err := compactSettings(start.PlatformSettings)
 	if err != nil {
 		return nil, err
@@ -65,7 +75,7 @@
 		recorder.sink = &ring{maxBytes: capture.MemoryKB * kilobyte}
 		return recorder, nil
 	}
-	if recorder.sink, err = newFiles(capture, start.Name); err != nil {
+	if recorder.sink, err = newFiles(disk, capture, start.Name); err != nil {
 		return nil, err
 	}
 	return recorder, nil
@@ -86,6 +96,9 @@
 // Lost counts the segments, or pieces of them, that could not be kept.
 func (r *Recorder) Lost() uint64 { return r.sink.lost() }
 
+// LostLines counts the lines that were not even tried to be kept, as a part of their segment before them was lost.
+func (r *Recorder) LostLines() uint64 { return r.lostLines }
+
 // Close writes what still waits for a disk, and gives up after the timeout.
 func (r *Recorder) Close(timeout time.Duration) { r.sink.close(timeout) }
 
@@ -111,12 +124,31 @@
 		Input: inputStart, Reason: reason, Seed: strconv.FormatUint(r.seed, 16), DispatcherNumber: r.dispatchers,
 		Settings: r.settings, Snapshot: r.current.Snapshot(nil), CallIDs: r.callIDs,
 	}))
-	r.segmentLost = !r.sink.open(r.lines)
+	if r.segmentLost = !r.sink.open(r.lines); r.segmentLost {
+		r.beginGap()
+	}
 	r.lines = r.lines[:0]
 }
 
+// beginGap tells once that something is lost.
+func (r *Recorder) beginGap() {
+	if !r.inGap {
+		r.inGap = true
+		r.log.Warn("the capture has a gap", "pieces_lost", r.Lost())
+	}
+}
+
+// endGapIfKept tells that the capture goes on.
+func (r *Recorder) endGapIfKept() {
+	if r.inGap && !r.segmentLost && r.sink.kept() {
+		r.inGap = false
+		r.log.Info("the capture goes on", "pieces_lost", r.Lost(), "lines_lost", r.lostLines)
+	}
+}
+
 // openSegmentIfDue begins a segment where the one before is full, or was lost some time ago.
 func (r *Recorder) openSegmentIfDue(now time.Duration) {
+	r.endGapIfKept()
 	switch {
 	case r.segmentLost && now-r.openedAt >= segmentRetryInterval:
 		r.openSegment(reasonGap)
@@ -140,6 +172,10 @@
 	if !r.segmentLost && len(r.lines) > 0 && !r.sink.add(r.lines) {
 		r.segmentLost = true
 		r.openedAt = r.now()
+		r.beginGap()
+	}
+	if r.segmentLost {
+		r.lostLines += uint64(bytes.Count(r.lines, []byte{'\n'}))
 	}
 	r.lines = r.lines[:0]
 	if cap(r.lines) > maxKeptBuffer {
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -5,9 +5,9 @@
 	"errors"
 	"fmt"
 	"io"
-	"os"
 
 	"valvecove/internal/config"
+	"valvecove/internal/filesystem"
 )
 
 // LineError reports a line that can't be replayed.
@@ -46,7 +46,7 @@
 // ReplayCommand is `valvecove replay`. It returns the exit code: 0 if no decision differs, 1 if one does, 2 if the capture
 // could not be replayed.
 func ReplayCommand(path string, ops config.Ops, output, warnings io.Writer) int {
-	file, err := os.Open(path)
+	file, err := filesystem.Disk.OpenReader(path)
 	if err != nil {
 		fmt.Fprintln(warnings, "valvecove replay:", err)
 		return exitFailed
--- a/internal/capture/ring.go
+++ b/internal/capture/ring.go
@@ -67,5 +67,6 @@
 	return all
 }
 
+func (r *ring) kept() bool          { return true }
 func (r *ring) lost() uint64        { return r.lostSegments }
 func (r *ring) close(time.Duration) {}
--- a/internal/capture/sink.go
+++ b/internal/capture/sink.go
@@ -8,6 +8,8 @@
 	open(line []byte) bool
 	// add adds lines to the segment. It returns false if they are lost, as is then all that follows in the segment.
 	add(lines []byte) bool
+	// kept tells whether the segment has begun to be kept: a disk may still fail with what it was given.
+	kept() bool
 	// full tells whether it is time for another segment.
 	full() bool
 	// dump returns a copy of what is in memory; nil if the sink keeps nothing there.
--- a/internal/server/signals.go
+++ b/internal/server/signals.go
@@ -64,7 +64,7 @@
 	text := capture.Dump()
 	switch {
 	case text == nil:
-		s.logger.Info("the capture is in files", "pieces_lost", capture.Lost())
+		s.logger.Info("the capture is in files", "pieces_lost", capture.Lost(), "lines_lost", capture.LostLines())
 	case s.logWriter.WriteLarge(text):
 		s.logger.Info("capture written", "bytes", len(text), "segments_lost", capture.Lost())
 	default:
