--- a/internal/filesystem/filesystem.go
+++ b/internal/filesystem/filesystem.go
@@ -16,7 +16,7 @@
 	// OpenFile opens a file to write to. flags are those of os.OpenFile.
 	OpenFile(path string, flags int, mode fs.FileMode) (File, error)
 	// OpenReader opens a file to read from.
-	OpenReader(path string) (io.ReadCloser, error)
+	OpenReader(path string) (io.ReadSeekCloser, error)
 	// ListNames returns the names in a directory, sorted.
 	ListNames(directory string) ([]string, error)
 	// Rename gives a file another name, in place of the file that had it.
@@ -51,7 +51,13 @@
 	return file, nil
 }
 
-func (disk) OpenReader(path string) (io.ReadCloser, error) { return os.Open(path) }
+func (disk) OpenReader(path string) (io.ReadSeekCloser, error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	return file, nil
+}
 
 func (disk) ListNames(directory string) ([]string, error) {
 	entries, err := os.ReadDir(directory)
--- a/internal/filesystem/filesystemtest/disk.go
+++ b/internal/filesystem/filesystemtest/disk.go
@@ -187,18 +187,24 @@
 }
 
 // OpenReader opens a file to read from.
-func (d *Disk) OpenReader(path string) (reader io.ReadCloser, err error) {
+func (d *Disk) OpenReader(path string) (reader io.ReadSeekCloser, err error) {
 	err = d.call(OpenReader, path, func() error {
 		file := d.names[path]
 		if file == nil {
 			return fs.ErrNotExist
 		}
-		reader = io.NopCloser(bytes.NewReader(slices.Clone(file.content)))
+		reader = openReader{bytes.NewReader(slices.Clone(file.content))}
 		return nil
 	})
 	return reader, err
 }
 
+// openReader is a file that is open to be read from.
+type openReader struct{ *bytes.Reader }
+
+// Close closes the file.
+func (openReader) Close() error { return nil }
+
 // ListNames returns the names in a directory.
 func (d *Disk) ListNames(directory string) (names []string, err error) {
 	err = d.call(List, directory, func() error {
--- /dev/null
+++ b/internal/filesystem/lines_test.go
@@ -0,0 +1,115 @@
+package filesystem_test
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+
+	"valvecove/internal/filesystem"
+	"valvecove/internal/filesystem/filesystemtest"
+)
+
+const linesPath = "/dir/lines"
+
+func openLineFile(t *testing.T, disk *filesystemtest.Disk) *filesystem.LineFile {
+	t.Helper()
+	file, err := filesystem.OpenLineFile(disk, linesPath, 0o640)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return file
+}
+
+// Whatever share of the calls fails, and wherever writes are cut: each line of the file is one that was written, in order, and
+// no text of which the write succeeded is missing.
+func TestLineFileUnderRandomFaults(t *testing.T) {
+	lost, total := 0, 0
+	for seed := range uint64(100) {
+		disk := filesystemtest.New(nil)
+		file := openLineFile(t, disk)
+		disk.SetFault(filesystemtest.FailShare(seed, 0.4))
+		var written, kept []string
+		for number := range 40 {
+			lines := []string{fmt.Sprintf("%d-a", number), fmt.Sprintf("%d-b", number)}
+			written = append(written, lines...)
+			if _, err := file.Write([]byte(strings.Join(lines, "\n") + "\n")); err == nil {
+				kept = append(kept, lines...)
+			}
+		}
+		disk.SetFault(nil)
+		if _, err := file.Write([]byte("end\n")); err != nil {
+			t.Fatal(err)
+		}
+		got := strings.Split(strings.TrimSuffix(disk.Files()[linesPath], "\n"), "\n")
+		checkLines(t, seed, got, append(written, "end"), append(kept, "end"))
+		lost += len(written) + 1 - len(got)
+		total += len(written) + 1
+	}
+	if lost == 0 || lost > total/2 {
+		t.Errorf("%d of %d lines lost: the faults say nothing", lost, total)
+	}
+}
+
+// checkLines expects a part of all lines, in order, with those that must be there.
+func checkLines(t *testing.T, seed uint64, got, all, must []string) {
+	t.Helper()
+	next := 0
+	for _, line := range got {
+		found := slices.Index(all[next:], line)
+		if found < 0 {
+			t.Fatalf("seed %d: %q was not written after %q", seed, line, all[:next])
+		}
+		next += found + 1
+	}
+	for _, line := range must {
+		if !slices.Contains(got, line) {
+			t.Fatalf("seed %d: %q was written without an error, and is missing", seed, line)
+		}
+	}
+}
+
+// A process that is killed at any byte of a write leaves a part of a line; the next process begins a line of its own.
+func TestLineFileAfterKill(t *testing.T) {
+	for size := range len("one\ntwo\n") + 1 {
+		disk := filesystemtest.New(map[string]string{linesPath: "zero\n"})
+		file := openLineFile(t, disk)
+		calls := len(disk.Calls())
+		disk.SetFault(filesystemtest.KillAt(calls, size))
+		_, _ = file.Write([]byte("one\ntwo\n"))
+		after := disk.AfterKill()
+		if _, err := openLineFile(t, after).Write([]byte("three\n")); err != nil {
+			t.Fatal(err)
+		}
+		want := "zero\n" + "one\ntwo\n"[:size]
+		if !strings.HasSuffix(want, "\n") {
+			want += "\n"
+		}
+		if got := after.Files()[linesPath]; got != want+"three\n" {
+			t.Errorf("killed after %d bytes: %q", size, got)
+		}
+	}
+}
+
+// A full disk at the start is waited for; a wrong path is an error.
+func TestOpenLineFile(t *testing.T) {
+	disk := filesystemtest.New(nil)
+	disk.SetFault(filesystemtest.FailAll(syscall.ENOSPC))
+	file := openLineFile(t, disk)
+	if _, err := file.Write([]byte("a\n")); !errors.Is(err, syscall.ENOSPC) {
+		t.Errorf("while the disk is full: %v", err)
+	}
+	disk.SetFault(nil)
+	if _, err := file.Write([]byte("b\n")); err != nil || disk.Files()[linesPath] != "b\n" {
+		t.Errorf("%v, wrote %q", err, disk.Files())
+	}
+	if err := file.Close(); err != nil {
+		t.Error(err)
+	}
+	disk.SetFault(filesystemtest.FailAll(syscall.EACCES))
+	if _, err := filesystem.OpenLineFile(disk, linesPath, 0); !errors.Is(err, syscall.EACCES) {
+		t.Errorf("without the right: %v", err)
+	}
+}
--- a/internal/server/metric_targets.go
+++ b/internal/server/metric_targets.go
@@ -2,18 +2,20 @@
 
 import (
 	"fmt"
-	"os"
 
 	"valvecove/internal/asyncwriter"
 	"valvecove/internal/config"
+	"valvecove/internal/filesystem"
 	"valvecove/internal/metrics"
 )
 
+const metricsFileMode = 0o640
+
 // metricTargets are the targets of metrics that are files or the log. The loop has the one that is a socket.
 type metricTargets struct {
 	targets []metrics.Target
-	writer  *asyncwriter.Writer // in front of the file
-	file    *os.File            // nil: none
+	writer  *asyncwriter.Writer  // in front of the file
+	file    *filesystem.LineFile // nil: none
 }
 
 // asyncTarget is a target in front of which an asynchronous writer stands.
@@ -33,7 +35,7 @@
 		}
 		return metricTargets{targets: []metrics.Target{asyncTarget{s.logWriter}}}, nil
 	}
-	file, err := os.OpenFile(conf.File, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o640)
+	file, err := filesystem.OpenLineFile(s.files, conf.File, metricsFileMode)
 	if err != nil {
 		return metricTargets{}, fmt.Errorf("key \"figures.file\": %w", err)
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -15,6 +15,7 @@
 
 	"valvecove/internal/asyncwriter"
 	"valvecove/internal/config"
+	"valvecove/internal/filesystem"
 	"valvecove/internal/link"
 	"valvecove/internal/logging"
 )
@@ -34,6 +35,7 @@
 	failure   error // of the loop; nil: none
 	logWriter *asyncwriter.Writer
 	logger    *slog.Logger
+	files     filesystem.FileSystem // of metrics
 }
 
 // state is how far a server has come.
@@ -70,7 +72,7 @@
 		return err
 	}
 	applyLimits(conf.Limits)
-	instance := &server{getenv: getenv, conf: conf, logWriter: newLogWriter(log, ops.Log, conf.Name)}
+	instance := &server{getenv: getenv, conf: conf, files: filesystem.Disk, logWriter: newLogWriter(log, ops.Log, conf.Name)}
 	defer instance.logWriter.Close(flushTimeout)
 	if ops.Capture != nil {
 		signal.Notify(signals, syscall.SIGUSR1)
@@ -104,7 +106,7 @@
 
 // newLogWriter returns a writer in front of the log, which may be slow or gone: nobody waits for it.
 func newLogWriter(log io.Writer, conf config.Log, scheduler string) *asyncwriter.Writer {
-	return asyncwriter.NewWriter(log, maxPendingLog, func(pieces uint64) string {
+	return asyncwriter.NewWriter(filesystem.NewLineWriter(log), maxPendingLog, func(pieces uint64) string {
 		return logging.FormatLine(conf, scheduler, slog.LevelWarn, "log lost, as it was not taken in", slog.Uint64("pieces", pieces))
 	})
 }
