--- a/internal/asyncwriter/writer.go
+++ b/internal/asyncwriter/writer.go
@@ -31,19 +31,17 @@
 	return len(text), nil
 }
 
-// TryWrite copies and enqueues text, and never waits. It returns ErrNotWritten if this text was dropped, or if the
-// destination has failed since the last call.
+// TryWrite copies and enqueues text, and never waits. It returns ErrNotWritten if this text was dropped, or else once for each
+// earlier text that could not be written.
 func (w *Writer) TryWrite(text []byte) error {
-	if !w.enqueueDropNotice() {
+	if !w.enqueueDropNotice() || !w.Enqueue(len(text), w.writeTask(bytes.Clone(text))) {
 		return ErrNotWritten
 	}
-	accepted := w.Enqueue(len(text), w.writeTask(bytes.Clone(text)))
-	failed := w.Failed()
-	if accepted && failed == w.reportedFailures {
-		return nil
+	if w.reportedFailures < w.Failed() {
+		w.reportedFailures++
+		return ErrNotWritten
 	}
-	w.reportedFailures = failed
-	return ErrNotWritten
+	return nil
 }
 
 // enqueueDropNotice tells of dropped pieces where there are new ones. It returns false if there is no room for that: the
--- a/internal/asyncwriter/writer_test.go
+++ b/internal/asyncwriter/writer_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"fmt"
+	"io"
 	"testing"
 	"time"
 
@@ -134,3 +135,39 @@
 		steps.Check(written == model.expected, "wrote %q, expected %q", written, model.expected)
 	})
 }
+
+// failingWriter fails as long as it is told to.
+type failingWriter struct{ fails bool }
+
+func (w *failingWriter) Write(text []byte) (int, error) {
+	if w.fails {
+		return 0, io.ErrShortWrite
+	}
+	return len(text), nil
+}
+
+// Each text that could not be written is reported once, also when several fail between two calls.
+func TestTryWriteReportsEachFailure(t *testing.T) {
+	destination := &failingWriter{fails: true}
+	writer := NewWriter(destination, maxPending, nil)
+	await := func() {
+		done := make(chan struct{})
+		writer.Enqueue(0, func() error { close(done); return nil })
+		<-done
+	}
+	for range 5 {
+		_, _ = writer.Write([]byte("a")) // reports at most the failures before it
+	}
+	await()
+	destination.fails = false
+	reported := writer.reportedFailures
+	for range 10 {
+		if writer.TryWrite([]byte("b")) != nil {
+			reported++
+		}
+		await()
+	}
+	if reported != 5 || writer.Failed() != 5 {
+		t.Errorf("%d of %d failures reported", reported, writer.Failed())
+	}
+}
