--- a/dispatch/picker.go
+++ b/dispatch/picker.go
@@ -1,5 +1,8 @@
 package dispatch
 
+// The picker, by the design's sentence: the ready worker with the fewest of this dispatcher's slots in
+// use, of those able to start the job now, drawn among equals.
+
 import (
 	"cmp"
 	"math"
@@ -112,29 +115,6 @@
 	return cost, weight, fresh
 }
 
-// canEarn tells whether a job would meet its objective on a worker, or has no such hope on any.
-func (d *Dispatcher) canEarn(j *jobInfo, w *workerInfo) bool {
-	return j.demoted() || d.mayTryUncordoned(j, w) || d.now+d.expectedRun(j, w) <= j.objectiveAt
-}
-
-// reserveWorker keeps the worker with least to finish free for a large job that is over tau and fits nowhere:
-// smaller jobs would backfill it for ever. Sent before it fits, the job would block the worker's own queue.
-func (d *Dispatcher) reserveWorker(j *jobInfo) {
-	if d.reserved != nil && d.reserved.Ready {
-		return
-	}
-	d.reserved, d.reservedFor = nil, j
-	from, n := d.sample(len(d.workerList), maxScanned, maxScanned)
-	for i := range n {
-		w := d.workerList[(from+i)%len(d.workerList)]
-		isFit := w.Ready && !w.rejects(j) && j.class.allows(w.Kind, w.Zone) && d.mayAttempt(j, w) &&
-			!d.isEjected(w) && (j.demoted() || d.now+d.expectedRun(j, w) <= j.objectiveAt)
-		if isFit && (d.reserved == nil || w.usedSlots/w.speed < d.reserved.usedSlots/d.reserved.speed) {
-			d.reserved = w
-		}
-	}
-}
-
 // allows binds a class to kinds and zones of workers at every attempt, whatever is down or full.
 func (c *Class) allows(kind, zone int) bool {
 	return (c.Kinds == nil || slices.Contains(c.Kinds, kind)) &&
--- a/dispatch/predictor.go
+++ b/dispatch/prediction.go
@@ -5,7 +5,10 @@
 	"time"
 )
 
-// The predictor: an online logistic model of the chance of running long, and learnt sizes. Logs are natural.
+// Prediction: the score of a job is its chance of running long, by an online logistic model over the
+// hint, the slots and the class, and the key's past, as the design has it in place of the paper's model
+// of prompts. Logs are natural.
+
 const (
 	longJobShare   = 0.3  // of jobs are long: the cut is this learnt quantile
 	cutRate        = 0.02 // of the cut, in logs a run
@@ -19,8 +22,8 @@
 	minWork        = 1e-4 // seconds
 	overrunSpreads = 2.5  // a run is too long by this many mean log distances of runs from the expected
 	reachSpreads   = 2.0  // and an objective out of reach that a run shorter by this many would not meet
-	maxMeanSpeed   = 0.3  // mean log speed of the fleet: what is beyond counts as size
-	maxRescale     = 0.1  // log, at a time: jobs in flight keep the sizes they came with
+	speedRate      = 0.2  // a worker's speed follows its last five or so jobs
+	maxKindStep    = 1.0  // log, of a kind's speed at one job, before its rate
 )
 
 // longScore is the paper's score of a job: its chance of running long.
@@ -30,6 +33,17 @@
 	return 1 / (1 + math.Exp(-(d.weights[j.Class] + d.weights[n]*hint + d.weights[n+1]*slots)))
 }
 
+// features are those of the logistic model: how far a job's work lies beyond the cut, and its slots, both
+// in logs.
+func (d *Dispatcher) features(j *jobInfo) (hint, slots float64) {
+	return clamp(math.Log(j.work)-d.longCut, maxFeature), clamp(math.Log2(j.Slots), maxFeature)
+}
+
+func slotBucket(j *jobInfo) int { return min(slotBuckets-1, int(math.Log2(j.Slots))) }
+
+// isShort tells whether a job is expected to run for less than the cut between short and long.
+func (d *Dispatcher) isShort(j *jobInfo) bool { return math.Log(j.work) < d.longCut }
+
 // expectedWork is a job's run time on a worker of speed 1, in seconds, by what has been learnt.
 func (d *Dispatcher) expectedWork(j *jobInfo) float64 {
 	guess := j.class.LatencyObjective // without a hint it stands in, and the correction does the rest
@@ -57,45 +71,3 @@
 func (d *Dispatcher) maxPlausibleRun(a *attemptInfo) time.Duration {
 	return seconds(a.expectedRun.Seconds() * math.Exp(overrunSpreads*d.spread))
 }
-
-// learnFromRun takes in a finished run. Sizes are corrected slowly and speeds quickly, so that a slow spell
-// is attributed to the worker. Runs on warming workers teach nothing.
-func (d *Dispatcher) learnFromRun(a *attemptInfo, run time.Duration) {
-	job, worker := a.job, a.worker
-	if d.spansStall(a) {
-		return
-	}
-	d.observeOverrun(a, run)
-	if d.warmUpShare(worker) < 1 {
-		return
-	}
-	runLog := math.Log(max(run.Seconds(), minWork))
-	// By what is known now: else each of the many in flight would correct the same error once more.
-	expectedLog := math.Log(d.expectedWork(job))
-	d.spread += meanRate * (min(math.Abs(expectedLog-runLog-worker.logSpeed), maxFeature) - d.spread)
-	d.learnSpeed(worker, expectedLog-runLog)
-	workLog := runLog + worker.logSpeed // as this run shows it
-	d.learnWeights(job, workLog > d.longCut)
-	d.rememberKey(job.Key, math.Exp(workLog))
-	d.sizeCorrection[job.Class][slotBucket(job)] += sizeRate * clamp(workLog-expectedLog, maxSizeStep)
-	step := cutRate
-	if workLog < d.longCut { // only short jobs count for the paper's mu_short
-		step = -step * longJobShare / (1 - longJobShare)
-		sojourn := (d.now - job.arrivedAt).Seconds()
-		d.muShort += meanRate * (min(sojourn, maxSojourns*d.muShort) - d.muShort)
-	}
-	d.longCut += step * (1 - longJobShare)
-}
-
-// learnWeights is one step of gradient ascent on the logistic model.
-func (d *Dispatcher) learnWeights(j *jobInfo, isLong bool) {
-	gradient := -d.longScore(j)
-	if isLong {
-		gradient++
-	}
-	hint, slots := d.features(j)
-	n := len(d.settings.Classes)
-	d.weights[j.Class] += modelRate * gradient
-	d.weights[n] = max(minHintWeight, d.weights[n]+modelRate*gradient*hint)
-	d.weights[n+1] += modelRate * gradient * slots
-}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -9,6 +9,7 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"slices"
 	"sync"
 	"time"
 
@@ -43,10 +44,12 @@
 	MaxEvents int                  // gathered in one iteration; at least 1024 are
 	Log       *slog.Logger         // panics of handlers
 	Hooks     Hooks
+	Syscalls  Syscalls
 }
 
 // Loop is an event loop. Everything runs on the goroutine that calls Run, but for Wake and Post, which any may call.
 type Loop struct {
+	syscalls   Syscalls
 	epoll      int
 	wakeFD     int
 	clock      func() time.Duration
@@ -56,6 +59,8 @@
 	handlers   []registration    // by descriptor
 	events     []unix.EpollEvent // as many as there may be descriptors: an iteration gathers all that is ready
 	gathering  bool              // the iteration's events are being handed out
+	pending    []unix.EpollEvent // that waited when PendingEvents last looked
+	pendingAt  time.Duration     // when that was
 	closing    []int             // closed once they are, so that no event of this iteration meets a reused descriptor
 	timers     deadline.Queue[*Timer]
 	afterStep  []func() // at the end of the present iteration
@@ -67,6 +72,7 @@
 // New returns a loop that has nothing to do yet.
 func New(config Config) (*Loop, error) {
 	loop := &Loop{
+		syscalls:   config.Syscalls,
 		clock:      config.Clock,
 		now:        config.Clock(),
 		log:        config.Log,
@@ -74,27 +80,43 @@
 		events:     make([]unix.EpollEvent, max(config.MaxEvents, minEvents)),
 		readBuffer: make([]byte, readBufferSize),
 	}
-	var err error
-	if loop.epoll, err = unix.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
-		return nil, fmt.Errorf("epoll: %w", err)
+	if err := loop.open(); err != nil {
+		return nil, err
 	}
-	if loop.wakeFD, err = unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err != nil {
-		return nil, fmt.Errorf("eventfd: %w", err)
+	return loop, nil
+}
+
+// open opens the loop's own descriptors, or none.
+func (l *Loop) open() (err error) {
+	if l.epoll, err = l.syscalls.EpollCreate1(unix.EPOLL_CLOEXEC); err != nil {
+		return fmt.Errorf("epoll: %w", NewCallError(CallEpollCreate, err))
+	}
+	if l.wakeFD, err = l.syscalls.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC); err != nil {
+		_ = l.syscalls.Close(l.epoll)
+		return fmt.Errorf("eventfd: %w", NewCallError(CallEventfd, err))
 	}
-	return loop, loop.Add(loop.wakeFD, unix.EPOLLIN, (*waker)(loop))
+	if err := l.Add(l.wakeFD, unix.EPOLLIN, (*waker)(l)); err != nil {
+		_ = l.syscalls.Close(l.wakeFD)
+		_ = l.syscalls.Close(l.epoll)
+		return err
+	}
+	return nil
 }
 
 // CloseDescriptors closes all descriptors that the loop has, and its own. It is for a loop that ends before its process does.
 func (l *Loop) CloseDescriptors() {
 	for fd, registered := range l.handlers {
 		if registered.handler != nil {
-			_ = unix.Close(fd)
+			_ = l.syscalls.Close(fd)
 		}
 	}
 	l.handlers = nil
-	_ = unix.Close(l.epoll)
+	_ = l.syscalls.Close(l.epoll)
 }
 
+// Syscalls returns what makes the loop's system calls, for the connections on it.
+func (l *Loop) Syscalls() *Syscalls { return &l.syscalls }
+
 // EpollFD returns the epoll descriptor, which is itself ready to be read while an event waits to be handed out.
 func (l *Loop) EpollFD() int { return l.epoll }
 
@@ -122,9 +144,9 @@
 // RunOnce runs one iteration: it waits for so many milliseconds at most, or without limit if that is negative, handles what
 // is ready and what is due, steps, and does what was left for after the step.
 func (l *Loop) RunOnce(timeoutMillis int) error {
-	n, err := unix.EpollWait(l.epoll, l.events, timeoutMillis)
+	n, err := l.syscalls.EpollWait(l.epoll, l.events, timeoutMillis)
 	if err != nil && !errors.Is(err, unix.EINTR) {
-		return fmt.Errorf("epoll wait: %w", err)
+		return fmt.Errorf("epoll wait: %w", NewCallError(CallEpollWait, err))
 	}
 	l.UpdateNow()
 	l.dispatch(l.events[:max(n, 0)])
@@ -137,6 +159,21 @@
 	return nil
 }
 
+// PendingEvents returns the events of a descriptor that wait for the next iteration, as they were no longer ago than a span.
+func (l *Loop) PendingEvents(descriptor int, maxAge time.Duration) (events uint32) {
+	if now := l.clock(); l.pendingAt <= l.now || now-l.pendingAt > maxAge {
+		l.pending = slices.Grow(l.pending[:0], len(l.events))[:len(l.events)]
+		n, _ := l.syscalls.EpollWait(l.epoll, l.pending, 0) // where it fails, the next iteration learns of them
+		l.pending, l.pendingAt = l.pending[:max(n, 0)], now
+	}
+	for _, event := range l.pending {
+		if int(event.Fd) == descriptor {
+			events |= event.Events
+		}
+	}
+	return events
+}
+
 // AfterStep has act called at the end of the present iteration, after Step, or without it if none is due. It is to be called
 // during an iteration, by the loop's goroutine.
 func (l *Loop) AfterStep(act func()) { l.afterStep = append(l.afterStep, act) }
--- a/internal/eventloop/socket.go
+++ b/internal/eventloop/socket.go
@@ -1,7 +1,6 @@
 package eventloop
 
 import (
-	"errors"
 	"fmt"
 	"net/netip"
 
@@ -33,24 +32,25 @@
 }
 
 // newSocket opens a non-blocking TCP socket of the family of an address.
-func newSocket(address netip.AddrPort) (fd int, sockaddr unix.Sockaddr, err error) {
+func (l *Loop) newSocket(address netip.AddrPort) (fd int, sockaddr unix.Sockaddr, err error) {
 	family, sockaddr := Sockaddr(address)
-	fd, err = unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	fd, err = l.syscalls.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return -1, nil, fmt.Errorf("socket: %w", err)
+		return -1, nil, fmt.Errorf("socket: %w", NewCallError(CallSocket, err))
 	}
 	return fd, sockaddr, nil
 }
 
-// Dial starts a connection, and does not wait for it. The caller owns the socket; see Stream.ConnectError.
-func Dial(address netip.AddrPort) (fd int, err error) {
-	fd, sockaddr, err := newSocket(address)
+// Dial starts a connection, and does not wait for it: one that is interrupted goes on, as any that is in progress. The caller
+// owns the socket; see Stream.ConnectError. An error says by its class whether it is this machine's or the peer's.
+func (l *Loop) Dial(address netip.AddrPort) (fd int, err error) {
+	fd, sockaddr, err := l.newSocket(address)
 	if err != nil {
 		return -1, err
 	}
-	if err := unix.Connect(fd, sockaddr); err != nil && !errors.Is(err, unix.EINPROGRESS) {
-		_ = unix.Close(fd)
-		return -1, fmt.Errorf("connect: %w", err)
+	if err := l.syscalls.Connect(fd, sockaddr); err != nil && Classify(CallConnect, err) != ErrorPending {
+		_ = l.syscalls.Close(fd)
+		return -1, fmt.Errorf("connect: %w", NewCallError(CallConnect, err))
 	}
 	return fd, nil
 }
@@ -58,24 +58,32 @@
 // Listen opens a socket whose connections the owner accepts, and adds it. Options are of the socket, as SO_REUSEPORT, which
 // lets another process listen there too.
 func (l *Loop) Listen(address netip.AddrPort, owner Handler, options ...int) (fd int, err error) {
-	fd, sockaddr, err := newSocket(address)
+	fd, sockaddr, err := l.newSocket(address)
 	if err != nil {
 		return -1, err
 	}
+	if err := l.startListening(fd, sockaddr, options); err != nil {
+		_ = l.syscalls.Close(fd)
+		return -1, fmt.Errorf("listening at %v: %w", address, err)
+	}
+	if err := l.Add(fd, unix.EPOLLIN, owner); err != nil {
+		_ = l.syscalls.Close(fd)
+		return -1, err
+	}
+	return fd, nil
+}
+
+func (l *Loop) startListening(descriptor int, sockaddr unix.Sockaddr, options []int) error {
 	for _, option := range options {
-		if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, option, 1); err != nil {
-			_ = unix.Close(fd)
-			return -1, fmt.Errorf("listening at %v: %w", address, err)
+		if err := l.syscalls.SetsockoptInt(descriptor, unix.SOL_SOCKET, option, 1); err != nil {
+			return NewCallError(CallSetOption, err)
 		}
 	}
-	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBufferSize) // accepted sockets inherit these
-	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, socketBufferSize)
-	if err := unix.Bind(fd, sockaddr); err != nil {
-		return -1, fmt.Errorf("listening at %v: %w", address, err)
-	}
-	if err := unix.Listen(fd, listenBacklog); err != nil {
-		return -1, fmt.Errorf("listening at %v: %w", address, err)
+	_ = l.syscalls.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
+	_ = l.syscalls.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_RCVBUF, socketBufferSize) // accepted sockets inherit these
+	_ = l.syscalls.SetsockoptInt(descriptor, unix.SOL_SOCKET, unix.SO_SNDBUF, socketBufferSize)
+	if err := l.syscalls.Bind(descriptor, sockaddr); err != nil {
+		return NewCallError(CallBind, err)
 	}
-	return fd, l.Add(fd, unix.EPOLLIN, owner)
+	return NewCallError(CallListen, l.syscalls.Listen(descriptor, listenBacklog))
 }
--- a/internal/link/cordon.go
+++ b/internal/link/cordon.go
@@ -1,6 +1,8 @@
 package link
 
 import (
+	"time"
+
 	jsoniter "github.com/json-iterator/go"
 
 	"valvecove/internal/hotrestart"
@@ -15,7 +17,7 @@
 			MaxCallbacks: maxOperatorConnections,
 			Now:          l.Now,
 			Post:         l.Post,
-			After:        l.After,
+			After:        func(delay time.Duration, act func()) { l.After(delay, act) },
 			Changed:      l.logCordonStore,
 		})
 	}
--- a/internal/link/harness_test.go
+++ b/internal/link/harness_test.go
@@ -11,6 +11,7 @@
 	"valvecove/dispatch"
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
+	"valvecove/internal/eventloop"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
 )
@@ -23,6 +24,7 @@
 	policy *modeltest.ScriptedPolicy
 	now    time.Duration
 	clock  func() time.Duration // what the loop reads; returns now
+	ahead  time.Duration        // of now before the monotonic clock that all processes share
 	dialed []*peer              // the far ends of connections to workers and watches, in the order of their opening
 }
 
@@ -39,10 +41,11 @@
 	w := &harness{Steps: s, policy: &modeltest.ScriptedPolicy{}, now: 1000 * time.Hour}
 	w.clock = func() time.Duration { return w.now }
 	silent := slog.New(slog.DiscardHandler)
-	l, err := newLoop(silent, silent, func() time.Duration { return w.clock() }, 0)
+	l, err := newLoop(silent, silent, func() time.Duration { return w.clock() }, 0, eventloop.Syscalls{})
 	if err != nil {
 		s.T.Fatal(err)
 	}
+	l.monotonic = func() time.Duration { return w.now - w.ahead }
 	l.dial = func(at netip.AddrPort) (int, error) {
 		p, fd := w.socketPair()
 		p.dialedAddress = at
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -30,10 +30,9 @@
 
 // predecessorRole is the side of a process that serves: it awaits a successor.
 type predecessorRole struct {
-	loop       *Loop
-	listenerFD int
-	protocol   hotrestart.Predecessor
-	successor  *successorConn // nil: none is connected
+	acceptor  // at the Unix socket
+	protocol  hotrestart.Predecessor
+	successor *successorConn // nil: none is connected
 }
 
 // successorConn is the connection to a successor.
@@ -53,32 +52,36 @@
 
 // awaitSuccessor listens for a successor at the first of the addresses that can be bound.
 func (l *Loop) awaitSuccessor(addresses []string) {
-	l.awaitSuccessorWithRetries(addresses, maxListenRetries)
+	l.awaitSuccessorWithRetries(addresses, maxListenRetries, listenRetryInterval)
 }
 
-func (l *Loop) awaitSuccessorWithRetries(addresses []string, retries int) {
-	role := &predecessorRole{loop: l}
+// awaitSuccessorWithRetries tries again, so many times, where the address is in use, and for as long as it takes where the
+// machine lacks something.
+func (l *Loop) awaitSuccessorWithRetries(addresses []string, retries int, backoff time.Duration) {
+	role := &predecessorRole{acceptor: acceptor{loop: l, fd: eventloop.NoDescriptor}}
 	err := role.listen(addresses)
 	switch {
 	case err == nil:
 		l.predecessorRole = role
 	case errors.Is(err, unix.EADDRINUSE) && retries > 0:
-		l.After(listenRetryInterval, func() { l.awaitSuccessorWithRetries(addresses, retries-1) })
+		l.After(listenRetryInterval, func() { l.awaitSuccessorWithRetries(addresses, retries-1, backoff) })
+	case isMomentary(err):
+		l.After(backoff, func() { l.awaitSuccessorWithRetries(addresses, retries, min(2*backoff, maxReopenBackoff)) })
 	default: // this process can still be replaced, by a drain
 		l.log.Warn("no successor can reach this process", "error", err)
 	}
 }
 
 func (r *predecessorRole) listen(addresses []string) error {
-	fd, err := listenForSuccessor(addresses)
+	fd, err := r.loop.listenForSuccessor(addresses)
 	if err != nil {
 		return err
 	}
 	if err := r.loop.Add(fd, unix.EPOLLIN, r); err != nil {
-		_ = unix.Close(fd)
+		_ = r.loop.Syscalls().Close(fd)
 		return err
 	}
-	r.listenerFD = fd
+	r.fd = fd
 	return nil
 }
 
@@ -86,8 +89,8 @@
 
 // HandleEvents accepts a successor, or rejects it.
 func (r *predecessorRole) HandleEvents(uint32) {
-	socket, _, err := unix.Accept4(r.listenerFD, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-	if err != nil {
+	socket, _, result := r.accept()
+	if result != acceptedOne {
 		return
 	}
 	if present := r.successor; present != nil { // it may have gone just now, perhaps to come again
@@ -95,11 +98,12 @@
 	}
 	conn := &successorConn{role: r}
 	conn.loop = r.loop
+	var err error
 	if conn.Stream, err = r.loop.OpenStream(socket, eventloop.StreamEvents, conn); err != nil {
-		_ = unix.Close(socket)
+		_ = r.loop.Syscalls().Close(socket)
 		return
 	}
-	if reason := r.protocol.HandleConnect(isPeerOwnUser(socket)); reason != nil {
+	if reason := r.protocol.HandleConnect(r.loop.isPeerOwnUser(socket)); reason != nil {
 		r.loop.log.Warn("successor turned away", "why", reason)
 		_ = conn.sendMessage(hotrestart.Reject{Reason: reason.Error()})
 		conn.closeWithDescriptors()
@@ -154,7 +158,7 @@
 }
 
 func (c *successorConn) handleMessage(message hotrestart.Message, descriptor int) error {
-	closeDescriptor(descriptor) // a successor passes none
+	c.loop.closeDescriptor(descriptor) // a successor passes none
 	action, err := c.role.protocol.HandleMessage(message)
 	switch action {
 	case hotrestart.ActionReject:
@@ -209,15 +213,17 @@
 // Relinquish hands over all that this process has to the successor, in one step: the successor owns it once it says so, and
 // until then nothing has changed here. Nothing else is done meanwhile: of two processes that act, both would be owners.
 //
-// It returns ErrNoSuccessor if none stands by, and ErrNotSettled if the policy has not heard of all events or a file is being
-// written. What could not be written is written by the successor. After any other error this process is still the owner.
+// It returns ErrNoSuccessor if none stands by, and ErrNotSettled if the policy has not heard of all events, an attempt has no
+// connection yet or a file is being written; what could not be written the successor writes. After any other error this process is
+// still the owner.
 func (l *Loop) Relinquish() error {
 	role := l.predecessorRole
 	if role == nil || role.protocol.State() != hotrestart.PredecessorPaired {
 		return ErrNoSuccessor
 	}
 	l.Requests.AwaitEndpoints(0) // requests that wait for endpoints are handed over too
-	if !l.Requests.FlushEvents(l.Now()) || !l.fenceCordonStore() {
+	l.workers.endWaitingDials()
+	if !l.Requests.FlushEvents(l.Now()) || l.workers.hasWaitingDials() || !l.fenceCordonStore() {
 		return ErrNotSettled
 	}
 	startedAt := l.Clock()
@@ -239,7 +245,7 @@
 // takenOverBeforeShutdown shuts the connection down, and tells whether the successor had said that it has taken over. Nothing
 // that it says later reaches this process, and it finds that out: there are never two owners.
 func (c *successorConn) takenOverBeforeShutdown() bool {
-	_ = unix.Shutdown(c.FD(), unix.SHUT_RDWR)
+	_ = c.loop.Syscalls().Shutdown(c.FD(), unix.SHUT_RDWR)
 	for {
 		before := len(c.Input())
 		if ended, err := c.receive(); err != nil || ended || len(c.Input()) == before {
@@ -277,5 +283,6 @@
 	l.watch.stop()
 	l.Remove(l.clients.fd)
 	l.clients.fd = hotrestart.NoDescriptor
-	l.Remove(l.predecessorRole.listenerFD)
+	l.Remove(l.predecessorRole.fd)
+	l.predecessorRole.fd = eventloop.NoDescriptor
 }
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -15,6 +15,7 @@
 	"valvecove/dispatch"
 	"valvecove/internal/address"
 	"valvecove/internal/capture"
+	"valvecove/internal/clock"
 	"valvecove/internal/config"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/filesystem"
@@ -35,9 +36,10 @@
 	connectionLog *slog.Logger // about client connections, whose lines must not crowd out the others
 
 	dial        func(address netip.AddrPort) (fd int, err error)
-	writeBuffer []byte         // what is being written
-	request     http1.Request  // that was parsed last
-	response    http1.Response // that was parsed last
+	monotonic   func() time.Duration // the clock that all processes of the machine share
+	writeBuffer []byte               // what is being written
+	request     http1.Request        // that was parsed last
+	response    http1.Response       // that was parsed last
 
 	clients      *clientListener
 	workers      *workerPool
@@ -48,6 +50,7 @@
 	addressLists *address.AccessLists // nil: off
 	dispatcher   *dispatch.Dispatcher // that decides, in whatever wraps it
 
+	startup            startup
 	limits             config.Limits
 	featureDescriptors int  // of the limit on descriptors, what features take up
 	sharesLimits       bool // another process runs beside this one, and has half of the limits
@@ -64,20 +67,14 @@
 	onFail        func(error)     // the process can't go on
 }
 
-// clockSinceEpoch returns a clock that counts time from the Unix epoch, so that any start time that discovery names is
-// positive. It follows the monotonic clock from here on.
-func clockSinceEpoch() func() time.Duration {
-	origin := time.Now()
-	return func() time.Duration { return time.Duration(origin.UnixNano()) + time.Since(origin) }
-}
-
 // newLoop returns a loop that has no connections yet. maxEvents is how many descriptors may be ready at once.
-func newLoop(log, connectionLog *slog.Logger, clock func() time.Duration, maxEvents int) (*Loop, error) {
-	loop := &Loop{log: log, connectionLog: connectionLog, dial: eventloop.Dial, files: filesystem.Disk}
+func newLoop(log, connectionLog *slog.Logger, readClock func() time.Duration, maxEvents int, syscalls eventloop.Syscalls) (*Loop, error) {
+	loop := &Loop{log: log, connectionLog: connectionLog, startup: newStartup(readClock), monotonic: clock.Monotonic, files: filesystem.Disk}
 	events, err := eventloop.New(eventloop.Config{
-		Clock:     clock,
+		Clock:     readClock,
 		MaxEvents: maxEvents,
 		Log:       log,
+		Syscalls:  syscalls,
 		Hooks: eventloop.Hooks{
 			NextStep:          loop.nextStep,
 			Step:              func(now time.Duration) { loop.Requests.Step(now) },
@@ -89,6 +86,7 @@
 		return nil, err
 	}
 	loop.Loop = events
+	loop.dial = events.Dial
 	return loop, nil
 }
 
--- /dev/null
+++ b/internal/testbed/environment/fault_targets.go
@@ -0,0 +1,109 @@
+package environment
+
+import (
+	"math"
+	"slices"
+	"strconv"
+
+	"valvecove/internal/testbed/scenario"
+)
+
+// This file chooses whom a fault strikes.
+
+// chooseTargets settles whom the fault strikes. number is its place in the timeline.
+func (x *activeFault) chooseTargets(number int) {
+	scope := scenario.FaultKinds[x.Kind]
+	x.onWorkers = scope == scenario.FaultScopeWorker || x.Kind == "disco_wrong" || scope == scenario.FaultScopeNetwork && x.isBetween("nodes")
+	x.onSchedulers = scope == scenario.FaultScopeScheduler || scope == scenario.FaultScopeNetwork && x.isBetween("schedulers")
+	x.onPlanners = scope == scenario.FaultScopePlanner || scope == scenario.FaultScopePlannerNetwork && x.isBetween("discovery")
+	if x.onWorkers {
+		x.workers = x.timeline.drawShare(x.timeline.matching(x.Fault), x.Target.Share, number)
+	}
+	if x.onPlanners {
+		x.planners = x.timeline.drawShare(x.matchingPlanners(), x.Target.Share, number)
+	}
+	if x.onSchedulers {
+		x.schedulers = x.matchingSchedulers()
+		if !x.onWorkers {
+			x.schedulers = x.timeline.drawShare(x.schedulers, x.Target.Share, number)
+		}
+	}
+}
+
+// isBetween reports whether a group of endpoints stands at one side of a fault of the network.
+func (x *activeFault) isBetween(name string) bool { return x.Between == name || x.And == name }
+
+// matchingPlanners is the planners that match the target, by their numbers, which count on after the schedulers.
+func (x *activeFault) matchingPlanners() (list []int) {
+	spec := x.timeline.env.Spec
+	for i := range spec.Planners.Count {
+		if len(x.Target.Planners) == 0 || slices.Contains(x.Target.Planners, i) {
+			list = append(list, spec.Schedulers.Count+i)
+		}
+	}
+	return list
+}
+
+// matchingSchedulers is the schedulers that match the target.
+func (x *activeFault) matchingSchedulers() (list []int) {
+	count := x.timeline.env.Spec.Schedulers.Count
+	if x.Kind == "sched_reload" && len(x.Target.Schedulers) == 0 { // planners have the same address
+		count = len(x.timeline.env.schedulers)
+	}
+	for i := range count {
+		if len(x.Target.Schedulers) == 0 || slices.Contains(x.Target.Schedulers, i) {
+			list = append(list, i)
+		}
+	}
+	return list
+}
+
+// matching is the workers that match all that the target names.
+func (f *faultTimeline) matching(spec *scenario.Fault) (list []int) {
+	t := &spec.Target
+	for i, n := range f.env.workers {
+		if (len(t.Names) == 0 || slices.Contains(t.Names, "w-"+strconv.Itoa(i))) &&
+			(len(t.Cells) == 0 || slices.Contains(t.Cells, n.cell)) && (t.Kind == "" || t.Kind == n.kind.Name) &&
+			(t.Zone == "" || t.Zone == f.env.Spec.Fleet.Zones[n.zone]) {
+			list = append(list, i)
+		}
+	}
+	return list
+}
+
+// drawShare draws a share of those who match, one at least; 0: all.
+func (f *faultTimeline) drawShare(list []int, share float64, fault int) []int {
+	if share <= 0 || len(list) == 0 {
+		return list
+	}
+	rng := f.env.rng("fault", fault)
+	rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
+	list = list[:min(len(list), max(1, int(math.Round(share*float64(len(list))))))]
+	slices.Sort(list)
+	return list
+}
+
+// partyGroup is who stands at one side of a fault of the network.
+func (x *activeFault) partyGroup(name string) endpointGroup {
+	some := func(kind endpointKind, list []int, all int) endpointGroup {
+		c := endpointGroup{kind: kind}
+		if len(list) < all {
+			c.members = make(map[int]bool, len(list))
+			for _, n := range list {
+				c.members[n] = true
+			}
+		}
+		return c
+	}
+	switch name {
+	case "schedulers":
+		return some(schedulerEndpoint, x.schedulers, len(x.timeline.env.schedulers))
+	case "nodes":
+		return some(workerEndpoint, x.workers, len(x.timeline.env.workers))
+	case "planners":
+		return some(schedulerEndpoint, x.planners, len(x.timeline.env.schedulers))
+	case "discovery":
+		return endpointGroup{kind: discoveryEndpoint}
+	}
+	return endpointGroup{kind: clientEndpoint}
+}
