--- a/internal/hotrestart/cordon_crash_test.go
+++ b/internal/hotrestart/cordon_crash_test.go
@@ -62,6 +62,7 @@
 			checkNextProcess(t, outcome)
 		}
 	}
+	t.Logf("%d kills, %d outcomes", len(points), outcomes)
 	if len(points) < 30 || outcomes < 500 {
 		t.Errorf("%d kills with %d outcomes: too few to be all", len(points), outcomes)
 	}
