--- a/internal/eventloop/stream.go
+++ b/internal/eventloop/stream.go
@@ -166,6 +166,9 @@
 // PauseInput waits for no input for a while, after the machine lacked memory to read it by other means than Fill.
 func (s *Stream) PauseInput() { s.pauseFor(CallRead) }
 
+// IsOutputPaused reports whether the machine has just lacked memory for a write.
+func (s *Stream) IsOutputPaused() bool { return s.paused&unix.EPOLLOUT != 0 }
+
 func (s *Stream) endPause() {
 	s.resume, s.paused = nil, 0
 	s.updateInterest()
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -19,7 +19,7 @@
 			}
 			m.framing, m.contentLength = framingLength, length
 		case field.hasName("Transfer-Encoding"):
-			if isChunked || !bytes.EqualFold(field.Value, []byte("chunked")) {
+			if isChunked || !equalFold(field.Value, "chunked") {
 				return &ParseError{StatusCode: StatusNotImplemented, Reason: "transfer coding not supported"}
 			}
 			isChunked = true
@@ -44,11 +44,11 @@
 	for len(options) > 0 {
 		var option []byte
 		option, options, _ = bytes.Cut(options, []byte(","))
-		option = bytes.TrimSpace(option)
+		option = trimBlanks(option)
 		switch {
-		case bytes.EqualFold(option, []byte("close")):
+		case equalFold(option, "close"):
 			m.KeepAlive = false
-		case bytes.EqualFold(option, []byte("keep-alive")):
+		case equalFold(option, "keep-alive"):
 			m.KeepAlive = true
 		}
 	}
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -183,6 +183,9 @@
 	if err := c.sendMessageBefore(loop.Clock()+transferTimeout, accept, loop.clients.fd); err != nil {
 		return err
 	}
+	if loop.unstoredCordonCount() > 0 { // else the successor would take the file for newer, should this process die
+		loop.notifyCordoned()
+	}
 	loop.log.Info("successor stands by")
 	loop.shareLimits(true)
 	if loop.onSuccessor != nil {
@@ -215,7 +218,8 @@
 // until then nothing has changed here. Nothing else is done meanwhile: of two processes that act, both would be owners.
 //
 // It returns ErrNoSuccessor if none stands by, and ErrNotSettled if the policy has not heard of all events, an attempt has no
-// connection yet or a file is being written. After any other error this process is still the owner.
+// connection yet or a file is being written; what could not be written the successor writes. After any other error this process is
+// still the owner.
 func (l *Loop) Relinquish() error {
 	role := l.predecessorRole
 	if role == nil || role.protocol.State() != hotrestart.PredecessorPaired {
@@ -223,7 +227,7 @@
 	}
 	l.Requests.AwaitEndpoints(0) // requests that wait for endpoints are handed over too
 	l.workers.endWaitingDials()
-	if !l.Requests.FlushEvents(l.Now()) || l.workers.hasWaitingDials() || l.cordonStore != nil && l.cordonStore.IsWriting() {
+	if !l.Requests.FlushEvents(l.Now()) || l.workers.hasWaitingDials() || !l.fenceCordonStore() {
 		return ErrNotSettled
 	}
 	startedAt := l.Clock()
@@ -232,6 +236,7 @@
 	err := transfer.run()
 	if err != nil && !role.successor.takenOverBeforeShutdown() {
 		role.successor.disconnect(err)
+		l.unfenceCordonStore()
 		return fmt.Errorf("handing over: %w", err)
 	}
 	l.releaseTransferred(transfer)
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -115,7 +115,9 @@
 		}
 		return policy
 	}
-	l.Requests = requests.New(conf.Settings.AttemptLimit, conf.Settings.Names, newPolicy, conf.KnownEndpoints, l.workers, decisionLog)
+	known := conf.KnownEndpoints
+	known.Receipt.At = l.Now()
+	l.Requests = requests.New(conf.Settings.AttemptLimit, conf.Settings.Names, newPolicy, known, l.workers, decisionLog)
 	if l.Capture != nil {
 		l.Capture.LookupEndpoint = l.Requests.Endpoint
 		l.Requests.AddObserver(l.Capture)
@@ -147,6 +149,7 @@
 	if err != nil {
 		return err
 	}
+	l.ownCordonFile()
 	l.awaitSuccessor(hotrestart.SocketAddresses(conf.StateDir, conf.Listen))
 	return nil
 }
@@ -162,7 +165,7 @@
 // restoreCordoned cordons the workers that an earlier process had cordoned. Where that can't be read the process serves all
 // the same: a worker that should be cordoned is so again with the operators' next call.
 func (l *Loop) restoreCordoned(stateDir string) {
-	cordoned, err := hotrestart.ReadCordonFile(stateDir)
+	cordoned, err := hotrestart.LoadCordonFile(l.files, stateDir)
 	if err != nil {
 		l.log.Error("worker nodes out by hand can't be read", "error", err)
 	}
--- a/internal/link/worker_connection.go
+++ b/internal/link/worker_connection.go
@@ -17,6 +17,7 @@
 const (
 	workerConnecting workerConnectionState = iota
 	workerIdle
+	workerHolding          // it is up, and its attempt is held for a moment
 	workerAwaitingResponse // a request is written, or being written
 	workerClosed
 )
@@ -27,6 +28,8 @@
 		return "connecting"
 	case workerIdle:
 		return "idle"
+	case workerHolding:
+		return "holding"
 	case workerAwaitingResponse:
 		return "awaiting response"
 	case workerClosed:
@@ -53,18 +56,18 @@
 // workerConnection is a connection to a worker. It has one exchange at a time.
 type workerConnection struct {
 	eventloop.Stream
-	pool         *workerPool
-	endpoint     *endpointConnections
-	incarnation  int // of the worker's process when the connection was opened
-	state        workerConnectionState
-	exchange     exchange
-	lastKind     exchangeKind   // of the present exchange, or the last one
-	stage        requests.Stage // of the present exchange
-	timer        *eventloop.Timer
-	idleSince    time.Duration
-	idleBefore   time.Duration // how long it had been idle before the present exchange; 0: it was new
-	connectUntil time.Duration // by then the connection is to be up, and the present exchange's first byte taken
-	dialDelayed  bool          // this machine has lacked something for that
+	pool        *workerPool
+	endpoint    *endpointConnections
+	incarnation int // of the worker's process when the connection was opened
+	state       workerConnectionState
+	exchange    exchange
+	lastKind    exchangeKind   // of the present exchange, or the last one
+	stage       requests.Stage // of the present exchange
+	timer       *eventloop.Timer
+	writeUntil  time.Duration // of the present exchange: what is not written by then never is
+	idleSince   time.Duration
+	idleBefore  time.Duration // how long it had been idle before the present exchange; 0: it was new
+	dialDelayed bool          // this machine has lacked something for the connection, or for the first byte on it
 }
 
 // connect opens the connection. Where this machine lacks something for it, the worker has no part in that, and the lack may be
@@ -82,7 +85,7 @@
 	if err == nil {
 		return
 	}
-	if !isLocalShortage(err) || c.pool.loop.Now()+backoff > c.connectUntil-c.pool.connectTimeout/2 {
+	if !isLocalShortage(err) || c.pool.loop.Now()+backoff > c.connectDeadline()-c.pool.connectTimeout/2 {
 		c.terminate(err)
 		return
 	}
@@ -90,6 +93,11 @@
 	c.timer = c.pool.loop.StartTimer(backoff, c, func() { c.tryConnect(2 * backoff) })
 }
 
+// connectDeadline is when the connection is to be up, and the first byte of its exchange taken.
+func (c *workerConnection) connectDeadline() time.Duration {
+	return c.exchange.begunAt + c.pool.connectTimeout
+}
+
 // isWaitingToDial reports whether there is an exchange, and nothing yet to open a connection for it with.
 func (c *workerConnection) isWaitingToDial() bool { return c.state == workerConnecting && !c.IsOpen() }
 
@@ -119,7 +127,7 @@
 		return err
 	}
 	pool.openCount++
-	c.setTimeout(c.connectUntil - pool.loop.Now())
+	c.setTimeout(c.connectDeadline() - pool.loop.Now())
 	return nil
 }
 
@@ -150,7 +158,7 @@
 	switch c.state {
 	case workerConnecting:
 		c.completeConnect(events)
-	case workerIdle: // it was closed, or something comes that nobody asked for
+	case workerIdle, workerHolding: // it was closed, or something comes that nobody asked for
 		c.terminate(nil)
 	case workerClosed, workerAwaitingResponse:
 	}
@@ -169,13 +177,17 @@
 	case c.dialDelayed && events&(unix.EPOLLRDHUP|unix.EPOLLHUP) != 0: // it was up, and has ended while its request was held back
 		c.terminate(errClosedByWorker)
 	case events&unix.EPOLLOUT != 0:
-		c.writeRequest()
+		c.writeRequestLate()
 	}
 }
 
 // continueExchange sends what waits of the request, and reads what has come of the response.
 func (c *workerConnection) continueExchange(events uint32) {
 	if events&unix.EPOLLOUT != 0 && len(c.Output()) > 0 {
+		if c.pool.loop.Clock() > c.writeUntil { // an event comes before the timer that is due with it
+			c.terminate(errResponseTimeout)
+			return
+		}
 		if err := c.Flush(); err != nil {
 			c.terminate(err)
 			return
--- a/internal/testbed/environment/conn.go
+++ b/internal/testbed/environment/conn.go
@@ -43,19 +43,19 @@
 
 // toSched brings something over a connection to its scheduler: do runs when it arrives there, in order, unless that
 // side is closed by then. What a cut holds up arrives after that. What the network swallows never arrives: whoever
-// waits for it has patience of its own.
+// waits for it has a timeout of its own.
 func (w *Environment) toSched(c *conn, do func()) { w.transmit(c, schedulerSide, do) }
 
 // toFarEnd is the same the other way.
 func (w *Environment) toFarEnd(c *conn, do func()) { w.transmit(c, farSide, do) }
 
-func (w *Environment) transmit(conn *conn, side int, do func()) {
+func (w *Environment) transmit(conn *conn, side int, onArrival func()) {
 	from, target := endpoint{schedulerEndpoint, conn.scheduler}, conn.far.endpoint()
 	if side == schedulerSide {
 		from, target = target, from
 	}
 	if cut := w.network.partitionBetween(from, target); cut != nil {
-		cut.held = append(cut.held, func() { w.transmit(conn, side, do) })
+		cut.held = append(cut.held, func() { w.transmit(conn, side, onArrival) })
 		return
 	}
 	if d := w.network.idleDropAfter(from, target); d > 0 && w.now-conn.lastUsed > d {
@@ -68,7 +68,7 @@
 	w.schedule(conn.arrivesBy[side], func() {
 		switch {
 		case !conn.closed[side]:
-			do()
+			onArrival()
 		case conn.resetSilently[side]:
 			w.tear(conn, 1-side)
 		}
@@ -106,16 +106,16 @@
 		conn.far.connClosed(conn)
 		return
 	}
-	kind := simapi.ClientClosed
+	var message simapi.InputMessage = simapi.ClientClosed{Conn: conn.id}
 	if l, ok := conn.state.(*workerConn); ok {
-		kind = simapi.WorkerDisconnected
+		message = simapi.WorkerDisconnected{Worker: conn.worker, Conn: conn.id, Reset: conn.up}
 		l.schedulerClosed()
 	}
-	w.deliver(simapi.Input{Kind: kind, Scheduler: conn.scheduler, Worker: conn.worker, Conn: conn.id, Reset: conn.up})
+	w.deliver(simapi.Input{Scheduler: conn.scheduler, Message: message})
 }
 
-// closeSide closes a connection at one side. The other side hears of it, unless it has closed too: a scheduler by an In
-// (Left or LinkDown), the far end by ended.
+// closeSide closes a connection at one side. The other side is notified, unless it has closed too: a scheduler by a
+// simapi.ClientClosed or simapi.WorkerDisconnected, the far end by connClosed.
 func (w *Environment) closeSide(c *conn, side int) {
 	if c.closed[side] {
 		return
--- a/internal/testbed/environment/workers.go
+++ b/internal/testbed/environment/workers.go
@@ -8,15 +8,16 @@
 	"time"
 
 	"valvecove/internal/testbed/scenario"
-	"valvecove/internal/testbed/simapi"
 	"valvecove/internal/testbed/trace"
 )
 
 // worker is a worker: a machine, and on it one process after another. Its parts are in files of their own:
-// node_links.go has its connections, node_work.go what it takes and runs, node_cold.go how it warms up and falls over,
-// node_keys.go what a group remembers of transfer keys, node_notes.go what it tells.
+// worker_conns.go has its connections, worker_attempts.go, worker_queue.go and worker_cores.go what it takes and runs,
+// worker_warmup.go how it warms up and is overloaded, worker_keys.go what a group remembers of idempotency keys,
+// worker_callbacks.go its callbacks, worker_lifecycle.go its processes and its faults.
 //
-// An attempt that it has reached ends exactly once, as a Rejected, Finished, Returned or Died trace event.
+// An attempt that it has received ends exactly once, as trace event AttemptRejected, AttemptFinished, AttemptReturned or
+// AttemptDied.
 type worker struct {
 	env         *Environment
 	shared      *workerShared
@@ -53,7 +54,7 @@
 	hanging           bool
 	pausedUntil       time.Duration // nothing moves until then
 	rejectsAll        bool          // it rejects all
-	silencesCallbacks bool          // tells no notes
+	silencesCallbacks bool          // sends no callbacks
 	diesAtAccept      bool          // at the next 202
 	diesRestartAfter  time.Duration
 	inbox             []func() // what came while it was paused
@@ -77,7 +78,7 @@
 	runningEnds       float64 // sum over the running of slots x end
 	attemptCount      uint64  // counts attempts taken
 	resultCount       uint64  // counts results made
-	progressPlanned   bool    // an entry for progress notes is on the event queue
+	progressPlanned   bool    // an entry for progress callbacks is on the event queue
 
 	warming   warmUpState
 	callbacks callbackQueue
@@ -212,7 +213,7 @@
 // placeIndex numbers machines: the first ones as their workers, those that took their places after all of these.
 func (n *worker) placeIndex() int { return n.number + n.machine*len(n.env.workers) }
 
-// WorkerAddr is where a machine listens, by its place (see node.place; of the first ones: their worker's number): a
+// WorkerAddr is where a machine listens, by its place (see placeIndex; of the first ones: their worker's number): a
 // loopback address of its own.
 func (w *Environment) WorkerAddr(i int) string {
 	if w.WorkerAddrs != nil {
@@ -221,36 +222,6 @@
 	return "127." + strconv.Itoa(64+i/(254*254)) + "." + strconv.Itoa(1+i/254%254) + "." + strconv.Itoa(1+i%254) + ":9000"
 }
 
-// apply takes what a scheduler has done to the worker. It arrives later.
-func (n *worker) apply(output *simapi.Output) {
-	if output.Kind == simapi.WorkerDialed {
-		n.env.record(trace.Event{Kind: trace.WorkerDialed, Worker: n.number, Scheduler: output.Scheduler, Conn: uint64(output.Conn)})
-		n.dialed(output)
-		return
-	}
-	if output.Kind == simapi.CallbackAnswered {
-		n.applyAck(output)
-		return
-	}
-	conn := n.env.conns[output.Conn]
-	if conn == nil || conn.far != farEnd(n) || conn.scheduler != output.Scheduler {
-		return // it is over
-	}
-	workerConn, kind := conn.state.(*workerConn), output.Kind
-	if kind == simapi.WorkerConnClosed {
-		workerConn.schedulerClosed()
-		n.env.closeSide(conn, schedulerSide)
-		return
-	}
-	a := &attempt{worker: n, requestID: output.RequestID, key: output.IdempotencyKey, scheduler: output.Scheduler, budget: output.Budget, firstByteAt: output.FirstByteAt}
-	a.knewStart = kind == simapi.AttemptWritten && !n.warming.warm && n.shared.knowsStart(output.Scheduler, n)
-	if kind == simapi.AttemptWritten {
-		n.env.record(trace.Event{Kind: trace.AttemptSent, RequestID: a.requestID, Worker: n.number, Scheduler: a.scheduler})
-		workerConn.unreadAttempt = a
-	}
-	n.env.toFarEnd(conn, func() { n.requestArrived(workerConn, kind, a) })
-}
-
 // WorkerState is the true state of a worker, for baseline policies that see everything.
 type WorkerState struct {
 	Up             bool // takes work, and will answer
--- a/internal/testbed/experiment/other_build.go
+++ b/internal/testbed/experiment/other_build.go
@@ -28,7 +28,7 @@
 		return nil, err
 	}
 	if job.Driver != scenario.DriverSimulation {
-		return nil, fmt.Errorf("%s: another build's lab plays in virtual time only; live, name its scheduler", job.Subject.Name)
+		return nil, fmt.Errorf("%s: another build's testbed runs in virtual time only; for real processes, name its scheduler", job.Subject.Name)
 	}
 	args := []string{"play", "-", "--driver", scenario.DriverSimulation, "--seed", strconv.FormatUint(job.Seed, 10), "--json", "-"}
 	if job.Subject.Policy != "" {
@@ -42,7 +42,7 @@
 	if err := cmd.Run(); err != nil && cmd.ProcessState.ExitCode() != 1 {
 		return nil, fmt.Errorf("%s: %w: %s", job.Subject.Testbed, err, bytes.TrimSpace(stderr.Bytes()))
 	}
-	var output struct { // expectations are for that build to hold its play to
+	var output struct { // expectations are for that build to hold its run to
 		Result  *score.Result   `json:"result"`
 		Verdict *report.Verdict `json:"verdict"`
 	}
--- a/internal/testbed/fleet/spec.go
+++ b/internal/testbed/fleet/spec.go
@@ -13,7 +13,7 @@
 	tenants = []string{"khyber-society", "mardan-society", "swat-society"}
 )
 
-// Spec describes what a rig plays.
+// Spec describes what a rig runs.
 type Spec struct {
 	Nodes              int           `json:"nodes"`   // number of workers
 	Responds           bool          `json:"answers"` // workers respond with the result; otherwise with 202, and callbacks
@@ -56,7 +56,7 @@
 
 func (s *Spec) check() error {
 	if s.Nodes < 1 || s.Length < 0 || s.WarmUp < 0 {
-		return fmt.Errorf("%d worker nodes, %v warm and %v long: nothing to play", s.Nodes, s.WarmUp, s.Length)
+		return fmt.Errorf("%d workers, %v warm and %v long: nothing to run", s.Nodes, s.WarmUp, s.Length)
 	}
 	return nil
 }
--- a/internal/testbed/process/driver.go
+++ b/internal/testbed/process/driver.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"math"
 	"runtime"
+	"syscall"
 	"time"
 
 	"golang.org/x/sys/unix"
@@ -23,9 +24,10 @@
 	Finished() bool
 }
 
-// driver plays the environment on sockets. All that it has is used by one goroutine, in turns: what the sockets brought
-// becomes Outs, the environment steps, its Ins are carried out. Other goroutines start and await processes and read their
-// figures; they speak to it through letters, and are spoken to through each scheduler's orders.
+// driver carries the environment out on sockets. All that it has is used by one goroutine, in iterations: what the sockets
+// brought becomes outputs, the environment steps, and its inputs are carried out. Other goroutines start and await
+// processes and read their figures. They reach the loop through its mailbox, and are reached through each scheduler's
+// commands.
 type driver struct {
 	*poller
 	spec         *scenario.Scenario
@@ -79,7 +81,6 @@
 		watches: map[int]*watch{}, watchCallers: map[*watch]struct{}{}, clients: map[simapi.Conn]*client{},
 		workerConns: map[simapi.Conn]*workerConn{}, misbehaving: map[simapi.Conn]*misbehavingClient{}, callbackTimeout: callbackTimeout,
 	}
-	d.addresses.lockSocket = -1
 	d.starter.run()
 	defer func() {
 		if err != nil {
@@ -138,9 +139,7 @@
 			l.close()
 		}
 	}
-	if d.addresses.lockSocket >= 0 {
-		d.addresses.close()
-	}
+	d.addresses.close()
 	if d.poller != nil {
 		d.poller.close()
 	}
@@ -163,7 +162,10 @@
 	return false
 }
 
-func (d *driver) addOutput(o simapi.Output) { d.outputs = append(d.outputs, o) }
+// addOutput has the environment learn of something that a scheduler did.
+func (d *driver) addOutput(sched int, message simapi.OutputMessage) {
+	d.outputs = append(d.outputs, simapi.Output{Scheduler: sched, Message: message})
+}
 
 // record reports a trace event of the driver's own, at the end of the turn: those of the environment may be of instants before now.
 func (d *driver) record(s trace.Event) { d.events = append(d.events, s) }
@@ -234,26 +236,26 @@
 
 // nextAt is when the loop wants to run at the latest, an end in the environment's time included.
 func (d *driver) nextAt(end time.Duration) time.Duration {
-	at := d.now + time.Second
+	next := d.now + time.Second
 	if !d.holding {
 		if len(d.outputs) > 0 {
 			return 0
 		}
-		if next, ok := d.environment.Next(); ok {
-			end = min(end, next)
+		if environmentNext, ok := d.environment.Next(); ok {
+			end = min(end, environmentNext)
 		}
-		at = min(at, end+d.held)
+		next = min(next, end+d.held)
 	}
 	if d.timers.Len() > 0 {
-		at = min(at, d.timers.First().At)
+		next = min(next, d.timers.First().At)
 	}
-	return at
+	return next
 }
 
 // ---- The loop ----
 
-// run plays until the environment is over, the end has come, the context ends or something fails. The first two end no
-// play that is to stay.
+// run runs until the environment is over, the end has come, the context ends or something fails. The first two end no
+// run that is to stay open.
 func (d *driver) run(ctx context.Context, end time.Duration) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -346,51 +348,74 @@
 }
 
 // carryOut does what reaches a scheduler.
-func (d *driver) carryOut(in *simapi.Input) {
-	switch in.Kind {
-	case simapi.Start:
-		d.schedulers[in.Scheduler].start(in.Start)
-	case simapi.Terminate, simapi.Kill, simapi.Freeze, simapi.Resume:
-		d.schedulers[in.Scheduler].signal(in.Kind)
-	case simapi.Replace:
-		d.schedulers[in.Scheduler].replace()
-	case simapi.Reload:
-		d.failIfLocal(d.openDiscovery(in.Discovery))
-		d.schedulers[in.Scheduler].reload(in.Discovery)
+func (d *driver) carryOut(input *simapi.Input) {
+	switch message := input.Message.(type) {
+	case simapi.Start, simapi.Terminate, simapi.Kill, simapi.Freeze, simapi.Resume, simapi.Replace, simapi.Reload:
+		d.controlProcess(d.schedulers[input.Scheduler], message)
 	case simapi.RequestReceived:
-		d.sendRequest(in)
+		d.sendRequest(input.Scheduler, &message)
 	case simapi.ClientClosed:
-		d.closeClient(in.Conn)
+		d.closeClient(message.Conn)
 	case simapi.ClientMisbehaves:
-		d.startMisbehaving(in)
-	case simapi.WorkerConnected:
-		if k := d.workerConns[in.Conn]; k != nil {
-			k.accepted(in.Bytes)
-		}
-	case simapi.WorkerDisconnected:
-		if k := d.workerConns[in.Conn]; k != nil {
-			k.closeByWorker(in.Reset)
-		}
-	case simapi.ResponseReceived:
-		if k := d.workerConns[in.Conn]; k != nil {
-			k.respond(in)
-		}
+		d.startMisbehaving(input.Scheduler, &message)
+	case simapi.WorkerConnected, simapi.WorkerDisconnected, simapi.ResponseReceived:
+		d.actOnWorkerConn(message)
 	case simapi.CallbackReceived:
-		d.sendCallback(in)
+		d.sendCallback(input.Scheduler, &message)
 	case simapi.ListReceived:
-		d.sendList(in)
+		d.sendList(input.Scheduler, message.List)
 	case simapi.WatchHeartbeat:
-		d.sendHeartbeat(in)
+		d.sendHeartbeat(input.Scheduler)
 	case simapi.WatchEnded:
-		d.endWatch(in)
+		d.endWatch(input.Scheduler)
 	case simapi.WatchConnected:
 	case simapi.AcceptModeChanged:
-		if in.Worker < len(d.workers) {
-			d.failIfLocal(d.workers[in.Worker].setMode(in.Machine, in.Mode))
+		if message.Worker < len(d.workers) {
+			d.failIfLocal(d.workers[message.Worker].setMode(message.Machine, message.Mode))
 		}
 	case simapi.DiscoveryAcceptModeChanged:
-		d.failIfLocal(d.setDiscoveryMode(in.Discovery, in.Mode))
+		d.failIfLocal(d.setDiscoveryMode(message.Discovery, message.Mode))
 	default:
-		d.fail(fmt.Errorf("the world hands over something of kind %d, which is not known here", in.Kind))
+		d.fail(fmt.Errorf("the environment gives an input %T, which the process driver does not know", message))
+	}
+}
+
+// controlProcess starts, ends or signals a scheduler's process.
+func (d *driver) controlProcess(target *scheduler, input simapi.InputMessage) {
+	switch message := input.(type) {
+	case simapi.Start:
+		target.start(&message)
+	case simapi.Replace:
+		target.replace()
+	case simapi.Reload:
+		d.failIfLocal(d.openDiscovery(message.Discovery))
+		target.reload(message.Discovery)
+	case simapi.Kill:
+		target.reportNotReady()
+		target.enqueue(target.kill)
+	case simapi.Terminate:
+		target.signal(syscall.SIGTERM)
+	case simapi.Freeze:
+		target.signal(syscall.SIGSTOP)
+	case simapi.Resume:
+		target.signal(syscall.SIGCONT)
+	}
+}
+
+// actOnWorkerConn does what a worker does on a connection, if that is still there.
+func (d *driver) actOnWorkerConn(input simapi.InputMessage) {
+	switch message := input.(type) {
+	case simapi.WorkerConnected:
+		if conn := d.workerConns[message.Conn]; conn != nil {
+			conn.accepted(message.ResetAfter)
+		}
+	case simapi.WorkerDisconnected:
+		if conn := d.workerConns[message.Conn]; conn != nil {
+			conn.closeByWorker(message.Reset)
+		}
+	case simapi.ResponseReceived:
+		if conn := d.workerConns[message.Conn]; conn != nil {
+			conn.respond(&message)
+		}
 	}
 }
