--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -30,10 +30,9 @@
 
 // predecessorRole is the side of a process that serves: it awaits a successor.
 type predecessorRole struct {
-	loop       *Loop
-	listenerFD int
-	protocol   hotrestart.Predecessor
-	successor  *successorConn // nil: none is connected
+	acceptor  // at the Unix socket
+	protocol  hotrestart.Predecessor
+	successor *successorConn // nil: none is connected
 }
 
 // successorConn is the connection to a successor.
@@ -53,17 +52,21 @@
 
 // awaitSuccessor listens for a successor at the first of the addresses that can be bound.
 func (l *Loop) awaitSuccessor(addresses []string) {
-	l.awaitSuccessorWithRetries(addresses, maxListenRetries)
+	l.awaitSuccessorWithRetries(addresses, maxListenRetries, listenRetryInterval)
 }
 
-func (l *Loop) awaitSuccessorWithRetries(addresses []string, retries int) {
-	role := &predecessorRole{loop: l}
+// awaitSuccessorWithRetries tries again, so many times, where the address is in use, and for as long as it takes where the
+// machine lacks something.
+func (l *Loop) awaitSuccessorWithRetries(addresses []string, retries int, backoff time.Duration) {
+	role := &predecessorRole{acceptor: acceptor{loop: l, fd: eventloop.NoDescriptor}}
 	err := role.listen(addresses)
 	switch {
 	case err == nil:
 		l.predecessorRole = role
 	case errors.Is(err, unix.EADDRINUSE) && retries > 0:
-		l.After(listenRetryInterval, func() { l.awaitSuccessorWithRetries(addresses, retries-1) })
+		l.After(listenRetryInterval, func() { l.awaitSuccessorWithRetries(addresses, retries-1, backoff) })
+	case isMomentary(err):
+		l.After(backoff, func() { l.awaitSuccessorWithRetries(addresses, retries, min(2*backoff, maxReopenBackoff)) })
 	default: // this process can still be replaced, by a drain
 		l.log.Warn("no successor can reach this process", "error", err)
 	}
@@ -78,7 +81,7 @@
 		_ = r.loop.Syscalls().Close(fd)
 		return err
 	}
-	r.listenerFD = fd
+	r.fd = fd
 	return nil
 }
 
@@ -86,8 +89,8 @@
 
 // HandleEvents accepts a successor, or rejects it.
 func (r *predecessorRole) HandleEvents(uint32) {
-	socket, _, err := r.loop.Syscalls().Accept4(r.listenerFD, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
-	if err != nil {
+	socket, _, result := r.accept()
+	if result != acceptedOne {
 		return
 	}
 	if present := r.successor; present != nil { // it may have gone just now, perhaps to come again
@@ -95,6 +98,7 @@
 	}
 	conn := &successorConn{role: r}
 	conn.loop = r.loop
+	var err error
 	if conn.Stream, err = r.loop.OpenStream(socket, eventloop.StreamEvents, conn); err != nil {
 		_ = r.loop.Syscalls().Close(socket)
 		return
@@ -206,15 +210,16 @@
 // Relinquish hands over all that this process has to the successor, in one step: the successor owns it once it says so, and
 // until then nothing has changed here. Nothing else is done meanwhile: of two processes that act, both would be owners.
 //
-// It returns ErrNoSuccessor if none stands by, and ErrNotSettled if the policy has not heard of all events or a file is being
-// written. After any other error this process is still the owner.
+// It returns ErrNoSuccessor if none stands by, and ErrNotSettled if the policy has not heard of all events, an attempt has no
+// connection yet or a file is being written. After any other error this process is still the owner.
 func (l *Loop) Relinquish() error {
 	role := l.predecessorRole
 	if role == nil || role.protocol.State() != hotrestart.PredecessorPaired {
 		return ErrNoSuccessor
 	}
 	l.Requests.AwaitEndpoints(0) // requests that wait for endpoints are handed over too
-	if !l.Requests.FlushEvents(l.Now()) || l.cordonStore != nil && l.cordonStore.IsWriting() {
+	l.workers.endWaitingDials()
+	if !l.Requests.FlushEvents(l.Now()) || l.workers.hasWaitingDials() || l.cordonStore != nil && l.cordonStore.IsWriting() {
 		return ErrNotSettled
 	}
 	startedAt := l.Clock()
@@ -273,5 +278,6 @@
 	l.watch.stop()
 	l.Remove(l.clients.fd)
 	l.clients.fd = hotrestart.NoDescriptor
-	l.Remove(l.predecessorRole.listenerFD)
+	l.Remove(l.predecessorRole.fd)
+	l.predecessorRole.fd = eventloop.NoDescriptor
 }
