--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -4,6 +4,7 @@
 // together. The design is silent on it; the platform's rule on recovering workers bounds it.
 
 import (
+	"cmp"
 	"math"
 	"slices"
 )
@@ -31,10 +32,16 @@
 	rank, assignees := d.assigneeRank(worker)
 	// Equal parts for many dispatchers would hold no job: all agree on a few owners of each worker.
 	owners := max(1, min(assignees, int(budget/(jobsPerOwner*d.meanCost+1e-9))))
-	isOwner := rank < owners || worker.uncordonedAt > 0
+	isOwner := rank < owners || worker.uncordonedAt > 0 && d.allMayTry(d.warmUpCost(job), budget)
 	return isOwner && d.now-d.bornAt > window && work <= budget/float64(owners)
 }
 
+// allMayTry tells whether a budget holds a job of such a cost from each dispatcher: a cordon ends at all of
+// them at once, and none knows whether others have tried the worker.
+func (d *Dispatcher) allMayTry(cost, budget float64) bool {
+	return cost*float64(max(1, cmp.Or(d.sharing.Replicas, d.settings.Replicas))) <= budget
+}
+
 // assignLots gives each warming worker an interval of the numbers from 0 to 1 that jobs draw: its part of an
 // even spread of jobs, or less where its budget allows less. Only jobs that could go elsewhere go by it, so
 // that the sum over dispatchers that know nothing of each other follows what the rest of the fleet is given.
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -276,22 +276,21 @@
 }
 
 const (
-	lotteryReplicas = 300
-	lotteryWarm     = 24
-	lotteryWarming  = 8
-	lotterySlots    = 4                      // of a worker
-	lotteryRunTime  = 300 * time.Millisecond // of a job
+	lotteryWarm    = 24
+	lotteryWarming = 8
+	lotterySlots   = 4                      // of a worker
+	lotteryRunTime = 300 * time.Millisecond // of a job
 )
 
-func newLottery(t *testing.T) *lottery {
+func newLottery(t *testing.T, replicas int, capacity float64) *lottery {
 	t.Helper()
 	workers := lotteryWarm + lotteryWarming + 1 // their ids count from 1
 	l := &lottery{
 		t: t, set: testSettings(), rng: rand.New(rand.NewPCG(5, 6)), start: time.Hour, list: WorkerList{Kind: ListFull},
-		all: make([]*Dispatcher, lotteryReplicas), numbers: make([]map[uint64]int, lotteryReplicas),
+		all: make([]*Dispatcher, replicas), numbers: make([]map[uint64]int, replicas),
 		free: make([]time.Duration, workers*lotterySlots), sent: make([]int, workers), spent: make([][]time.Duration, workers),
 	}
-	l.set.Replicas, l.set.WarmUp, l.set.WarmUpCapacity, l.set.OverloadFactor, l.set.OverloadWindow = lotteryReplicas, 8*time.Second, 0.4, 3, 2*time.Second
+	l.set.Replicas, l.set.WarmUp, l.set.WarmUpCapacity, l.set.OverloadFactor, l.set.OverloadWindow = replicas, 8*time.Second, capacity, 3, 2*time.Second
 	for id := range uint64(lotteryWarm + lotteryWarming) {
 		w := Worker{ID: id + 1, Ready: true}
 		if id >= lotteryWarm {
@@ -353,7 +352,7 @@
 
 // restart has a dispatcher restart now and then. It knows nothing of what it has sent.
 func (l *lottery) restart() {
-	if i := l.rng.IntN(lotteryReplicas); l.rng.IntN(30) == 0 {
+	if i := l.rng.IntN(len(l.all)); l.rng.IntN(30*300) < len(l.all) {
 		l.begin(i)
 		l.runs = slices.DeleteFunc(l.runs, func(r lotteryRun) bool { return r.dispatcher == i })
 	}
@@ -362,45 +361,89 @@
 // arrive has so many jobs come on average; some dispatchers get several times the mean.
 func (l *lottery) arrive(now time.Duration, mean float64) {
 	for n := l.rng.Float64() * 2 * mean; n > 0; n-- {
-		i := int(float64(lotteryReplicas) * l.rng.Float64() * l.rng.Float64())
+		i := int(float64(len(l.all)) * l.rng.Float64() * l.rng.Float64())
 		l.jobs++
 		l.step(i, now, Job{ID: l.jobs, Class: 0, Remaining: 5 * time.Second, Hint: lotteryRunTime, Slots: 1}, TimerFired{})
 	}
 }
 
-// checkBudgets checks what each warming worker has been sent within a window.
+// checkBudgets checks what each warming worker has been sent within a window, against what makes it fall.
 func (l *lottery) checkBudgets(now time.Duration) {
 	for w := range l.spent {
 		l.spent[w] = slices.DeleteFunc(l.spent[w], func(at time.Duration) bool { return now-at > l.set.OverloadWindow })
-		share := 0.4 + 0.6*(now-l.start).Seconds()/8
-		most := l.set.OverloadFactor * share * lotterySlots / lotteryRunTime.Seconds() * l.set.OverloadWindow.Seconds()
-		if n := float64(len(l.spent[w])); n > most+2*math.Sqrt(most)+2 {
-			l.t.Fatalf("worker %d got %v jobs within a window at %v, of %.0f", w, n, now-l.start, most)
+		share := l.set.WarmUpCapacity + (1-l.set.WarmUpCapacity)*(now-l.start).Seconds()/l.set.WarmUp.Seconds()
+		budget := l.set.OverloadFactor * share * lotterySlots / lotteryRunTime.Seconds() * l.set.OverloadWindow.Seconds()
+		if n := float64(len(l.spent[w])); n > fallsAt(budget) {
+			l.t.Fatalf("%d dispatchers: worker %d got %v jobs within a window at %v, of %.0f", len(l.all), w, n, now-l.start, budget)
 		}
 	}
 }
 
+// fallsAt is how many jobs of mean work a cold worker stands within a window in which n are allowed.
+func fallsAt(n float64) float64 {
+	if n < 30 {
+		return n + 3*math.Sqrt(n) + 3
+	}
+	return n + 2*math.Sqrt(n) + 2
+}
+
 // Hundreds of dispatchers draw lots for the warming workers of a fleet whose other workers are offered more than they can do:
 // each warming worker gets its share of what the others get, in any window no more than the budget with what chance adds to it,
-// and none is left unused.
+// and none is left unused. The budget holds for few dispatchers as for many, and while each worker may have few jobs only.
 func TestWarmingWorkersAreChosenByLottery(t *testing.T) {
 	t.Parallel()
-	l := newLottery(t)
-	offered := 1.4 * lotteryWarm * lotterySlots / lotteryRunTime.Seconds()
-	for now := l.start; now < l.start+8*time.Second; now += 10 * time.Millisecond {
-		l.advance(now)
-		l.restart()
-		l.arrive(now, offered/100)
-		l.checkBudgets(now)
-	}
-	others := 0
-	for _, n := range l.sent[1 : lotteryWarm+1] {
-		others += n
+	for _, replicas := range []int{1, 2, 3, 8, 9, 40, 300} {
+		for _, capacity := range []float64{0.02, 0.1, 0.4} {
+			l := newLottery(t, replicas, capacity)
+			offered := 1.4 * lotteryWarm * lotterySlots / lotteryRunTime.Seconds()
+			for now := l.start; now < l.start+l.set.WarmUp; now += 10 * time.Millisecond {
+				l.advance(now)
+				l.restart()
+				l.arrive(now, offered/100)
+				l.checkBudgets(now)
+			}
+			others := 0
+			for _, n := range l.sent[1 : lotteryWarm+1] {
+				others += n
+			}
+			for w := lotteryWarm + 1; w <= lotteryWarm+lotteryWarming; w++ {
+				if least := others / lotteryWarm / 8; l.sent[w] < least {
+					t.Errorf("%d dispatchers: warming worker %d got %d jobs, fewer than %d", replicas, w, l.sent[w], least)
+				}
+			}
+			t.Logf("%d dispatchers, from %v: warm ones got %d jobs each, warming ones %v", replicas, capacity, others/lotteryWarm,
+				l.sent[lotteryWarm+1:])
+		}
 	}
-	for w := lotteryWarm + 1; w <= lotteryWarm+lotteryWarming; w++ {
-		if least := others / lotteryWarm / 8; l.sent[w] < least {
-			t.Errorf("warming worker %d got %d jobs, fewer than %d", w, l.sent[w], least)
+}
+
+// The operators end a cordon at all dispatchers at once: the worker, which counts as restarted, is used at once by those that together
+// stay within what it stands, however many they are.
+func TestUncordonByAllStaysWithinTheBudget(t *testing.T) {
+	const run = 100 * ms
+	for _, replicas := range []int{1, 2, 3, 8, 40, 300} {
+		set := testSettings()
+		set.Replicas, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = replicas, 20*time.Second, 0.2, 3, 2*time.Second
+		sent := 0
+		for me := range replicas {
+			set.ReplicaIndex = me
+			s := newHarness(t, set)
+			s.workers(1)
+			s.wait(3 * time.Second)
+			s.step(Cordoned{Worker: 1})
+			s.step(Uncordoned{Worker: 1})
+			for id := range uint64(3) {
+				s.step(s.job(id+1, 0, run))
+				for _, send := range taken[Send](s) {
+					sent++
+					s.step(Started{Job: send.Job, Worker: 1})
+					s.step(s.done(send.Job, 0, 1, OK))
+				}
+			}
+		}
+		budget := set.OverloadFactor * set.WarmUpCapacity * set.OverloadWindow.Seconds() / run.Seconds()
+		if float64(sent) > fallsAt(budget) || sent == 0 {
+			t.Errorf("%d dispatchers sent %d jobs at once, of %.0f", replicas, sent, budget)
 		}
 	}
-	t.Logf("warm ones got %d jobs each, warming ones %v", others/lotteryWarm, l.sent[lotteryWarm+1:])
 }
