--- a/internal/link/client_closing_test.go
+++ b/internal/link/client_closing_test.go
@@ -137,18 +137,7 @@
 // A request that was there before its connection is shut is taken, and answered; one that comes on a connection that is shut finds its
 // end, and no reset.
 func TestRequestsThatCrossAClose(t *testing.T) {
-	for name, shut := range map[string]func(w *harness){
-		"told to close": func(w *harness) { w.loop.Close() },
-		"to make room": func(w *harness) {
-			for w.loop.clients.evict() {
-			}
-		},
-		"idle": func(w *harness) { // before the iteration that has an event for what has come
-			w.now += requestReadTimeout + expiryInterval
-			w.loop.UpdateNow()
-			w.loop.clients.closeExpired()
-		},
-	} {
+	for name, shut := range shutters() {
 		t.Run(name, func(t *testing.T) {
 			w := newHarness(&modeltest.Steps{T: t})
 			w.listen()
@@ -337,3 +326,73 @@
 		t.Errorf("ended: the deaf one %v, the slow one %v", deaf.ended, slow.ended)
 	}
 }
+
+// shutters are the ways in which a connection without a request in flight is shut.
+func shutters() map[string]func(w *harness) {
+	return map[string]func(w *harness){
+		"told to close": func(w *harness) { w.loop.Close() },
+		"to make room": func(w *harness) {
+			for w.loop.clients.evict() {
+			}
+		},
+		"idle": func(w *harness) { // before the iteration that has an event for what has come
+			w.now += requestReadTimeout + expiryInterval
+			w.loop.UpdateNow()
+			w.loop.clients.closeExpired()
+		},
+	}
+}
+
+// The largest request that was there whole before its connection is shut is answered, though one read does not take all of it.
+func TestLargeRequestBeforeAClose(t *testing.T) {
+	for name, shut := range shutters() {
+		t.Run(name, func(t *testing.T) {
+			w := newHarness(&modeltest.Steps{T: t})
+			w.listen()
+			p := w.connectClient()
+			w.runIterations()
+			w.now += evictionGrace
+			w.runIterations()
+			request := requestOfSize(1, http1.MaxBodySize)
+			if n, err := unix.Write(p.fd, []byte(request)); n != len(request) {
+				t.Fatalf("%d bytes written, %v", n, err)
+			}
+			shut(w)
+			w.runIterations()
+			w.policy.Next = append(w.policy.Next, dispatch.Fail{Job: 1})
+			w.loop.Requests.Wake()
+			w.runIterations()
+			if got := p.statuses(t); len(got) != 1 {
+				t.Errorf("answered %v, connection ended %v", got, p.ended)
+			}
+		})
+	}
+}
+
+// Of a request that was read in part when its connection is shut, its client is told that nothing was done, also if the rest comes
+// later; where it may be the start of a PROXY header, nothing is written.
+func TestPartOfARequestBeforeAClose(t *testing.T) {
+	for name, shut := range shutters() {
+		t.Run(name, func(t *testing.T) {
+			w := newHarness(&modeltest.Steps{T: t})
+			w.listen()
+			p := w.connectClient()
+			request := requestOfSize(1, 100)
+			p.write([]byte(request[:150]))
+			w.runIterations()
+			w.now += evictionGrace
+			w.runIterations()
+			shut(w)
+			w.runIterations()
+			p.write([]byte(request[150:]))
+			w.runIterations()
+			if err := w.readToEnd(p); err != nil {
+				t.Fatalf("after %q: %v", p.received, err)
+			}
+			got := p.statuses(t)
+			if len(got) != 1 || got[0] != 503 && got[0] != 408 || w.loop.Requests.OpenCount() != 0 {
+				t.Errorf("answered %v, %d requests taken", got, w.loop.Requests.OpenCount())
+			}
+		})
+	}
+}
--- a/internal/link/client_expiry.go
+++ b/internal/link/client_expiry.go
@@ -131,16 +131,29 @@
 	}
 }
 
-// dismiss shuts down a connection without a request in flight, unless one has just come in. It reports whether the connection
-// makes room.
+// dismiss shuts down a connection without a request in flight, unless one has just come in. Of one that has come in part its
+// client is told that nothing was done. It reports whether the connection makes room.
 func (c *clientConnection) dismiss(waiting *list.List) bool {
 	element := c.waitingElement
-	c.loop().Protect(c, func() { c.HandleEvents(unix.EPOLLIN) })
+	c.loop().Protect(c, c.readAll)
 	if c.IsOpen() && element != nil && c.waitingElement == element {
-		c.linger(waiting)
+		if len(c.Input()) > 0 && c.isReading() && c.proxyHeaderDone {
+			c.rejectInput(503, "no room for this connection any more\n")
+		}
+		if len(c.Output()) == 0 {
+			c.linger(waiting)
+		}
 	}
 	return !c.IsOpen() || c.waitingList == waiting
 }
 
+// readAll handles all that has come. One read takes less than the largest request.
+func (c *clientConnection) readAll() {
+	for before := -1; c.IsOpen() && c.waitingElement != nil && len(c.Input()) > before; {
+		before = len(c.Input())
+		c.HandleEvents(unix.EPOLLIN)
+	}
+}
+
 // closesAfterResponse reports whether the connection is to end with the responses that are due on it now.
 func (c *clientConnection) closesAfterResponse() bool { return c.listener.closing && !c.sendsCallbacks }
