--- a/internal/link/client_closing_test.go
+++ b/internal/link/client_closing_test.go
@@ -396,3 +396,37 @@
 		})
 	}
 }
+
+// A panic while a request is handled costs no client the response to a request that was read, on a connection that is new or has
+// others in flight; the attempts of these end, and the loop goes on.
+func TestPanicLeavesNoRequestUnanswered(t *testing.T) {
+	for _, inFlight := range []int{0, 1, 3} {
+		w := newHarness(&modeltest.Steps{T: t})
+		w.listen()
+		p := w.connectClient()
+		for n := range inFlight {
+			p.write([]byte(requestOfSize(n+1, 0)))
+		}
+		w.runIterations()
+		settings := w.loop.clients.settings
+		w.loop.clients.settings = nil // handling a request reads it
+		p.write([]byte(requestOfSize(9, 0)))
+		w.runIterations()
+		w.loop.clients.settings = settings
+		w.runIterations()
+		got := p.statuses(t)
+		for _, status := range got {
+			if status != 500 {
+				t.Errorf("%d in flight: answered %v", inFlight, got)
+			}
+		}
+		if len(got) != inFlight+1 || !p.ended || w.loop.Requests.OpenCount() != 0 {
+			t.Errorf("%d in flight: answered %v, ended %v, %d requests open", inFlight, got, p.ended, w.loop.Requests.OpenCount())
+		}
+		other := w.connectClient()
+		other.write([]byte("GET /up HTTP/1.1\r\n\r\n"))
+		if w.runIterations(); len(other.statuses(t)) != 1 {
+			t.Error("the loop does not go on")
+		}
+	}
+}
--- a/internal/link/client_connection.go
+++ b/internal/link/client_connection.go
@@ -69,6 +69,7 @@
 	halfCloseProbed bool          // and has been sent something to find out whether it still reads
 	probedAt        time.Duration // when it last was
 	inputEnded      bool          // and all that it sent was read
+	panicked        bool          // what it is in the midst of can't be gone on with
 	inputOverrun    bool          // it has sent too much ahead of its responses: what still comes is discarded
 
 	arrivals           []arrival     // of the input
@@ -103,8 +104,15 @@
 // just come up is written to, and what a worker says of an attempt before the end of the connection that carried it.
 func (c *clientConnection) Priority() eventloop.Priority { return eventloop.PriorityHigh }
 
-// HandlePanic ends the connection.
-func (c *clientConnection) HandlePanic() { c.terminate() }
+// HandlePanic ends the connection, with a response to each request that was read. A second panic ends it at once.
+func (c *clientConnection) HandlePanic() {
+	if c.panicked {
+		c.terminate()
+		return
+	}
+	c.panicked = true
+	c.loop().Protect(c, c.failAll)
+}
 
 // HandleEvents sends and reads what can be, and handles requests.
 func (c *clientConnection) HandleEvents(events uint32) {
--- a/internal/link/client_connection_test.go
+++ b/internal/link/client_connection_test.go
@@ -302,9 +302,12 @@
 	good.write([]byte(numberedRequest(clientRequests[6].text, 2)))
 	w.runIterations()
 	good.read(1 << 10)
-	if bad.read(1); !bad.ended || !strings.HasPrefix(string(good.received), "HTTP/1.1 200 ") {
+	if bad.read(1 << 10); !bad.ended || !strings.HasPrefix(string(good.received), "HTTP/1.1 200 ") {
 		t.Errorf("after a panic: its connection ended %v, another got %q", bad.ended, good.received)
 	}
+	if got := bad.statuses(t); len(got) != 1 || got[0] != 500 {
+		t.Errorf("after a panic its client was answered %v", got)
+	}
 	if last := w.policy.Received[len(w.policy.Received)-1]; last != (dispatch.ClientDisconnected{Job: 1}) {
 		t.Errorf("after a panic the policy heard %v last", last)
 	}
--- a/internal/link/client_responses.go
+++ b/internal/link/client_responses.go
@@ -83,6 +83,35 @@
 	c.loop().Requests.ClientDisconnected(request)
 }
 
+// failAll responds to all requests that were read, also to one in the midst of which a panic came, and ends the connection.
+func (c *clientConnection) failAll() {
+	if !c.IsOpen() || c.phase == clientLingering {
+		c.terminate()
+		return
+	}
+	if len(c.Input()) > 0 && c.currentRequestSize == 0 && c.isReading() { // it has no slot yet
+		c.reserveSlot(false)
+	}
+	unsent := c.slots
+	c.slots = nil
+	c.advancePhase(clientFinishing)
+	for i, slot := range unsent {
+		c.slots = unsent[i+1:] // the last response says that the connection ends
+		if !slot.isComplete {
+			slot.isComplete, slot.statusCode, slot.body, slot.retryAfter = true, 500, nil, 0
+		}
+		if err := c.sendResponse(slot); err != nil {
+			c.terminate()
+			break
+		}
+	}
+	c.slots = nil
+	for _, slot := range unsent {
+		slot.abandon()
+	}
+	c.readRequests()
+}
+
 // sendResponses sends the responses that are next in order and complete.
 func (c *clientConnection) sendResponses() {
 	for c.IsOpen() && len(c.slots) > 0 && c.slots[0].isComplete {
