--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -8,13 +8,12 @@
 // Retries: when a worker may be sent a job, for the first time or again, and what follows from the end of
 // an attempt. The design is silent on them; they follow from the idempotency of a job's class.
 
-const (
-	dedupMarginDivisor = 20 // this part of a deduplication window is left for delays, or the next, if it is more
+// dedupMarginDivisor is the part of a deduplication window that is left for delays, or repeatMargin if that is more.
+const dedupMarginDivisor = 20
 
-	// repeatMargin is what may pass between the choice of a worker and the last byte there, besides connecting:
-	// the process may be held up for 150 ms, a request goes in parts for 50 ms, and 10 ms are for the way.
-	repeatMargin = 210 * time.Millisecond
-)
+// repeatMargin is what may pass between the choice of a worker and the last byte there, besides connecting: the
+// process may be held up for 150 ms, a request goes in parts for 50 ms at most, and the rest is for the way.
+const repeatMargin = 210 * time.Millisecond
 
 // provesNotExecuted are the results of attempts that ran nothing.
 var provesNotExecuted = [...]bool{WorkerFull: true, ConnectFailed: true, NotSent: true}
