--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"valvecove/internal/config"
+	"valvecove/internal/eventloop"
 	"valvecove/internal/link"
 )
 
@@ -78,20 +79,35 @@
 }
 
 // drain serves on for as long as there is time to, and sees to it that nothing is left unanswered.
-func (s *server) drain() {
-	schedule := newDrainSchedule(s.conf.Settings)
-	s.loop.Drain()
-	s.loop.After(schedule.closeAt, s.loop.Close)
-	s.loop.After(schedule.rejectQueuedAt, func() {
-		if late := schedule.rejectQueuedAt - schedule.lateSince; late > 0 {
-			s.loop.FinishRequestsSince(late)
+func (s *server) drain() { newDrainSchedule(s.conf.Settings).run(s.loop, s.finish) }
+
+// drainable is what a drain does with a loop. *link.Loop is one.
+type drainable interface {
+	After(span time.Duration, act func()) *eventloop.Timer
+	Drain()
+	Close()
+	RejectQueued()
+	FinishRequestsSince(span time.Duration)
+	FinishAllRequests()
+}
+
+// run takes the steps, the first one at once.
+func (d drainSchedule) run(loop drainable, end func()) {
+	loop.Drain()
+	loop.After(d.closeAt, loop.Close)
+	loop.After(d.rejectQueuedAt, func() {
+		if late := d.rejectQueuedAt - d.lateSince; late > 0 {
+			loop.FinishRequestsSince(late)
 		}
-		s.loop.RejectQueued()
+		loop.RejectQueued()
+	})
+	loop.After(d.finishAllAt, func() {
+		loop.FinishAllRequests()
+		loop.Close() // of connections that have come since, too: what comes on one that stays open may meet SIGKILL
 	})
-	s.loop.After(schedule.finishAllAt, s.loop.FinishAllRequests)
 	// Until then it stays even with nothing in flight. One that has ended looks like one that has died: the load balancer
 	// takes seconds to notice, and clients go on to try it. One that is there answers 503.
-	s.loop.After(schedule.endAt, s.finish)
+	loop.After(d.endAt, end)
 }
 
 // finish has the loop end once it is quiet.
--- a/internal/server/drain_test.go
+++ b/internal/server/drain_test.go
@@ -1,11 +1,14 @@
 package server
 
 import (
+	"cmp"
+	"slices"
 	"testing"
 	"time"
 
 	"valvecove/dispatch"
 	"valvecove/internal/config"
+	"valvecove/internal/eventloop"
 )
 
 // Whatever the longest deadline of a deployment, every request has its answer before SIGKILL, also where the process is held up for
@@ -37,3 +40,47 @@
 		}
 	}
 }
+
+// recordingLoop notes the steps of a drain, in their order, and takes those that are due at an instant.
+type recordingLoop struct {
+	steps []string
+	later []laterStep
+}
+
+type laterStep struct {
+	at  time.Duration
+	act func()
+}
+
+func (r *recordingLoop) After(span time.Duration, act func()) *eventloop.Timer {
+	r.later = append(r.later, laterStep{span, act})
+	return nil
+}
+
+func (r *recordingLoop) Drain()             { r.steps = append(r.steps, "drain") }
+func (r *recordingLoop) Close()             { r.steps = append(r.steps, "close") }
+func (r *recordingLoop) RejectQueued()      { r.steps = append(r.steps, "reject queued") }
+func (r *recordingLoop) FinishAllRequests() { r.steps = append(r.steps, "finish all") }
+func (r *recordingLoop) FinishRequestsSince(span time.Duration) {
+	r.steps = append(r.steps, "finish the last "+span.String())
+}
+
+// The last answers are followed by another close: a client may have connected since the first one, and what it sends at the moment of
+// SIGKILL would be lost. What came later than 0.7 s after SIGTERM is answered first, where there is such.
+func TestDrainSteps(t *testing.T) {
+	for deadline, want := range map[time.Duration][]string{
+		300 * time.Millisecond: {"drain", "close", "reject queued", "finish all", "close", "end"},
+		3 * time.Second:        {"drain", "close", "finish the last 2.5s", "reject queued", "finish all", "close", "end"},
+	} {
+		loop := &recordingLoop{}
+		settings := config.Settings{Settings: dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: deadline}}}}
+		newDrainSchedule(settings).run(loop, func() { loop.steps = append(loop.steps, "end") })
+		slices.SortStableFunc(loop.later, func(a, b laterStep) int { return cmp.Compare(a.at, b.at) })
+		for _, step := range loop.later {
+			step.act()
+		}
+		if !slices.Equal(loop.steps, want) {
+			t.Errorf("deadline %v: %q", deadline, loop.steps)
+		}
+	}
+}
