--- a/internal/testbed/checker/attempt_rules.go
+++ b/internal/testbed/checker/attempt_rules.go
@@ -45,7 +45,7 @@
 	if b.class.idempotentWithKey && s.IdempotencyKey != t.key {
 		j.report(ruleKeyScope, b, t.id, "came to w-%d with key %q, its client's is %q", s.Worker, s.IdempotencyKey, t.key)
 	}
-	if t.state != requestOpen && s.FirstByteAt > t.endedAt+j.dialDelay && !j.scheduler(t.scheduler).frozenDuring(t.endedAt, s.FirstByteAt) &&
+	if t.state != requestOpen && s.FirstByteAt > t.endedAt+j.lateSend+j.observationLateness() && !j.scheduler(t.scheduler).frozenDuring(t.endedAt, s.FirstByteAt) &&
 		!anyOverlaps(j.clientsCut, t.endedAt, s.FirstByteAt) {
 		j.report(ruleOneAnswer, b, t.id, "sent to w-%d %v after it was over", s.Worker, s.FirstByteAt-t.endedAt)
 	}
--- a/internal/testbed/checker/checker.go
+++ b/internal/testbed/checker/checker.go
@@ -29,7 +29,6 @@
 	jobs            map[uint64]*job
 	jobsByRequest   map[string]*job
 	schedulers      []*scheduler
-	connRequests    map[uint64]int32 // requests asked on a client's connection
 	misbehaving     map[uint64]misbehavingClient
 	coldWork        map[int][]coldArrival // by worker, onto a cold one
 	fleetLog        eventRing
@@ -69,7 +68,6 @@
 	maxColdWork    = 24      // told of a worker that fell
 	maxExplained   = 16      // breaches of a rule that are told in full
 	maxOverlaps    = 256     // overlaps looked at at once
-	maxConns       = 1 << 20 // whose requests are counted
 	maxMisbehaving = 1 << 14 // misbehaving clients remembered that have had their answer
 )
 
@@ -84,7 +82,7 @@
 	checker := &Checker{
 		spec: spec, options: opt, classes: classes(spec), jobs: make(map[uint64]*job, 1024),
 		jobsByRequest: make(map[string]*job, 1024),
-		connRequests:  map[uint64]int32{}, misbehaving: map[uint64]misbehavingClient{}, coldWork: map[int][]coldArrival{},
+		misbehaving:   map[uint64]misbehavingClient{}, coldWork: map[int][]coldArrival{},
 		texts: textTable{[]string{""}, map[string]uint16{}},
 	}
 	checker.cells, checker.zones = spec.WorkerPlacement()
--- a/internal/testbed/checker/doc.go
+++ b/internal/testbed/checker/doc.go
@@ -12,7 +12,7 @@
 //	one-answer             each request that a running scheduler has taken gets one final answer, seen by its client
 //	                       within its budget, the slack and the network's delay. Broken by a second answer; by none
 //	                       in time; by a connection that the scheduler ends without a whole answer; by an attempt
-//	                       whose first byte is written later than a dial may take after the request was over.
+//	                       whose first byte is written later than 0.1 s after its client saw the end, or left.
 //	                       P The rules on sockets; W The contract, 1
 //	payout-once            a job of a non-idempotent class reaches no worker while an earlier attempt at it may have run,
 //	                       and begins to run once at most. It is known by the job over all its tries, since clients
@@ -51,8 +51,8 @@
 //     its answer up. What was still on its way when the process ended was never taken.
 //   - A request that met a frozen scheduler, unless that woke a slack or more before the time was up.
 //   - A request whose client was cut off from the scheduler, or slowed down, by a fault of the scenario.
-//   - A close that crosses the request, which comes within the time that a word takes there and back; and the close of
-//     a connection on which nothing had been asked before. Both only if nothing was sent on for the request.
+//   - A close that crosses the request, which comes within the time that a word takes there and back, on a new connection
+//     as on any other, and only if nothing was sent on for the request.
 //   - A client that leaves by itself, and one that gives up before an answer of the budget's last moment can have come.
 //
 // # Attempts that overlap
--- a/internal/testbed/checker/history.go
+++ b/internal/testbed/checker/history.go
@@ -72,7 +72,6 @@
 	responses    int
 	status       int
 	state        requestState
-	firstOnConn  bool // on its connection
 	resent       bool // it was sent a second time, on another connection
 }
 
--- a/internal/testbed/checker/request_events.go
+++ b/internal/testbed/checker/request_events.go
@@ -83,10 +83,6 @@
 		j.counts.Unknown++
 		return
 	}
-	if len(j.connRequests) >= maxConns {
-		clear(j.connRequests) // what comes over one next counts as its first request, which is excused more
-	}
-	j.connRequests[event.Conn]++
 	scheduler := j.scheduler(event.Scheduler)
 	t, n := b.findRequest(event.RequestID)
 	if t == nil {
@@ -99,7 +95,7 @@
 	} else {
 		t.state, t.resent = requestOpen, true
 	}
-	t.sentAt, t.deadline, t.firstOnConn = event.At, event.At+event.Budget, j.connRequests[event.Conn] == 1
+	t.sentAt, t.deadline = event.At, event.At+event.Budget
 	t.scheduler, t.incarnation = event.Scheduler, scheduler.incarnation
 	j.recordJobEvent(b, event, n)
 }
--- a/internal/testbed/checker/response_rules.go
+++ b/internal/testbed/checker/response_rules.go
@@ -56,7 +56,7 @@
 // checkUnanswered says whether an answer was owed. cut: the connection has ended; else its time is up.
 func (j *Checker) checkUnanswered(b *job, t *request, at time.Duration, cut bool, counts *Counts) {
 	exit := j.scheduler(t.scheduler).exits[t.incarnation]
-	idle := t.attemptCount == 0 && (t.firstOnConn || cut && at-t.sentAt <= 2*j.clientDelay)
+	idle := t.attemptCount == 0 && cut && at-t.sentAt <= 2*j.clientDelay+j.observationLateness()
 	fault := ""
 	switch {
 	case exit.exitedAt > 0:
@@ -84,7 +84,7 @@
 		if !j.isExcusedByKill(t, exit) {
 			return fmt.Sprintf("SIGKILL found it unanswered, though it came %v after SIGTERM", t.sentAt-exit.terminatedAt)
 		}
-	case idle && t.firstOnConn, anyOverlaps(j.clientsCut, t.sentAt, exit.exitedAt):
+	case idle, anyOverlaps(j.clientsCut, t.sentAt, exit.exitedAt):
 	default:
 		return "its scheduler ended after SIGTERM without having answered it"
 	}
--- a/internal/testbed/checker/time_limits.go
+++ b/internal/testbed/checker/time_limits.go
@@ -17,6 +17,7 @@
 	clientDelay       time.Duration // a word between client and scheduler takes at most
 	workerDelay       time.Duration // the same between scheduler and worker
 	dialDelay         time.Duration // from a scheduler's choice to the first byte of a request, at most
+	lateSend          time.Duration // after its client saw the end of a request, an attempt may begin
 	drainGrace        time.Duration // of a drain
 	rejectionDeadline time.Duration // prompt
 	heavyFactor       float64       // times its speed that the fastest worker may be taken to do at the most
@@ -35,6 +36,9 @@
 // termGrace is how long after SIGTERM requests come in that the process may take with it when it is killed.
 const termGrace = 700 * time.Millisecond
 
+// lateSendGrace is how long after a client's close, or the answer, an attempt may begin.
+const lateSendGrace = 100 * time.Millisecond
+
 func newTimeLimits(spec *scenario.Scenario, live bool) timeLimits {
 	r, n := &spec.Rules, &spec.Network
 	// Delays are log-normal; no play is so long that one lies six deviations out.
@@ -59,6 +63,7 @@
 		f.slack = wait
 	}
 	f.dialDelay += wait
+	f.lateSend = lateSendGrace + f.clientDelay + wait
 	for i := range spec.Fleet.Kinds {
 		k := &spec.Fleet.Kinds[i]
 		f.maxSpeed = max(f.maxSpeed, k.Speed*(1+3*k.Spread))
