--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -82,7 +82,7 @@
 	sim.environment = environment.New(&shown, seed, StartTime, combineObservers(opt.Observers))
 	if spec.Planners.Count > 0 {
 		if opt.Module != nil {
-			return nil, errors.New("where there are planners, the module is the one that is in service")
+			return nil, errors.New("where there are planners, the dispatch policy is the one in service")
 		}
 		sim.levels = newLevelNetwork(spec, seed)
 	}
@@ -236,7 +236,7 @@
 func (p *runner) distributeInputs() {
 	for i := range p.delivered {
 		in := &p.delivered[i]
-		if in.Kind == simapi.RequestReceived {
+		if _, ok := in.Message.(simapi.RequestReceived); ok {
 			p.outcome.Requests++
 		}
 		if len(p.inputs[in.Scheduler]) == 0 {
@@ -272,7 +272,7 @@
 // countOutputs adds this round's outputs to the outcome.
 func (p *runner) countOutputs() {
 	for i := range p.outputs {
-		switch p.outputs[i].Kind {
+		switch p.outputs[i].Message.(type) {
 		case simapi.ResponseWritten:
 			p.outcome.Responses++
 		case simapi.AttemptWritten:
