--- a/internal/link/generated_settings_test.go
+++ b/internal/link/generated_settings_test.go
@@ -7,6 +7,7 @@
 	"errors"
 	"fmt"
 	"log/slog"
+	"math"
 	"math/rand/v2"
 	"net/netip"
 	"slices"
@@ -41,6 +42,12 @@
 	revision      int        // of discovery's list: its generation
 	dials         int        // of discovery
 	late          bool       // some connections come up late, and some are closed by workers after an answer
+	decide        func(p *peer, f *farEnd, t *attempt)
+	budget        time.Duration // of each request; 0: drawn
+	dialDiscovery func() error  // what a call of discovery meets; nil: it is answered
+	neverUp       bool          // the next connections to discovery never come up
+	dialCount     int           // of workers and discovery
+	lastLine      time.Duration // of discovery's empty lines
 	known         map[*peer]*farEnd
 }
 
@@ -57,6 +64,7 @@
 type farEnd struct {
 	node   *workerNode // nil: discovery
 	filler int         // bytes that hold the connection up, not taken out yet
+	silent bool        // discovery, on a watch that has broken unseen
 	up     time.Duration
 	try    *attempt // the one that it has not answered
 }
@@ -74,6 +82,7 @@
 	key        string
 	deadline   time.Duration
 	answers    int
+	status     int // of the last answer
 	clientLeft bool
 	results    []string
 	tries      []*attempt
@@ -126,6 +135,9 @@
 
 type object = map[string]any
 
+// never is an instant that does not come.
+const never = time.Duration(math.MaxInt64)
+
 // generated draws a whole configuration as the platform tells it; set may then set some of the settings.
 func generated(rng *rand.Rand, nodes []*workerNode, zones, kinds []string, set func(settings object)) []byte {
 	flip := func() bool { return rng.IntN(2) == 0 }
@@ -272,6 +284,12 @@
 			f.node = n
 		}
 	}
+	d.dialCount++
+	if f.node == nil && d.dialDiscovery != nil {
+		if err := d.dialDiscovery(); err != nil {
+			return -1, err
+		}
+	}
 	if f.node != nil && f.node.down > d.now {
 		return -1, unix.ECONNREFUSED
 	}
@@ -280,6 +298,9 @@
 	if f.node == nil {
 		d.discovery = append(d.discovery, p)
 		d.dials++
+		if d.neverUp {
+			f.filler, f.up = fillSocket(fd), never
+		}
 	} else if d.late && d.rng.IntN(3) == 0 { // what fills it up is no byte of the loop's
 		for zeros := make([]byte, 64<<10); ; {
 			n, err := unix.Write(fd, zeros)
@@ -312,10 +333,7 @@
 		for _, c := range d.callers {
 			d.readResponses(c)
 		}
-		for _, p := range d.callbackPeers {
-			p.read(16 << 10)
-			p.received = p.received[:0]
-		}
+		d.readCallbackResponses()
 		d.dialed = slices.DeleteFunc(d.dialed, func(p *peer) bool {
 			if p.ended || p.closed {
 				p.close()
@@ -326,6 +344,18 @@
 	}
 }
 
+// readCallbackResponses drops what workers are answered. A connection that was silent for long is followed by another.
+func (d *deployment) readCallbackResponses() {
+	for i, p := range d.callbackPeers {
+		p.read(16 << 10)
+		p.received = p.received[:0]
+		if p.ended {
+			p.close()
+			d.callbackPeers[i] = d.connect()
+		}
+	}
+}
+
 // readFarEnd reads what has come on a connection, and reports whether anything has.
 func (d *deployment) readFarEnd(p *peer) (more bool) {
 	before, f := len(p.received), d.known[p]
@@ -409,6 +439,10 @@
 		return
 	}
 	f.try = t
+	if d.decide != nil {
+		d.decide(p, f, t)
+		return
+	}
 	d.decideAttempt(p, f, t)
 }
 
@@ -552,6 +586,9 @@
 	class, name := set.Classes[q.class], set.Names.Classes[q.class]
 	budget := class.ClientTimeout / time.Duration(1+d.rng.IntN(3))
 	budget = max(budget.Truncate(time.Millisecond), time.Millisecond)
+	if d.budget > 0 {
+		budget = d.budget
+	}
 	q.deadline = d.now + budget
 	header := fmt.Sprintf("POST /%s/%x HTTP/1.1\r\nHost: h\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget-Ms: %d\r\n", name, d.rng.IntN(9), q.id, name, budget.Milliseconds())
 	if class.Idempotency == dispatch.IdempotentWithKey {
@@ -586,6 +623,7 @@
 			d.Check(c.request != nil, "an answer that nobody waits for: %d", m.StatusCode)
 			q := c.request
 			q.answers++
+			q.status = m.StatusCode
 			c.request = nil
 			d.Check(d.now <= q.deadline+50*time.Millisecond, "%s was answered %v late", q.id, d.now-q.deadline)
 			d.Check(m.StatusCode == 200 || m.StatusCode == 500 || m.StatusCode == 503, "%s was answered %d", q.id, m.StatusCode)
