--- a/internal/link/discovery_watch_test.go
+++ b/internal/link/discovery_watch_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"valvecove/dispatch"
+	"valvecove/internal/config"
 	"valvecove/internal/discovery"
 	"valvecove/internal/modeltest"
 )
@@ -204,3 +205,78 @@
 		}
 	}
 }
+
+// Configurations that come one after the other, each with another discovery, some of which never accept, or answer once the
+// next one is named: the last is watched from revision 0 on, on the only connection that is left, before its list counts as
+// known; and nothing that the others say is taken in.
+func TestServersNamedInARow(t *testing.T) {
+	const lastRevision = 1000
+	for _, interval := range []time.Duration{0, time.Millisecond, 400 * time.Millisecond, 900 * time.Millisecond} {
+		for _, schedulers := range []int{1, 300} {
+			t.Run(fmt.Sprintf("%v, %d", interval, schedulers), func(t *testing.T) {
+				watched := newHarness(&modeltest.Steps{T: t})
+				latest := func(n int64) int64 { return n - 1 }
+				config := discovery.Config{PollInterval: 10 * time.Second, Schedulers: schedulers}
+				watched.loop.watch = watched.loop.newWatchConnection(netip.AddrPort{}, config, latest)
+				watched.loop.Requests.WatchEndpoints()
+				watched.runIterations()
+				watched.policy.Received = nil
+				last := watched.nameServersInARow(interval)
+				known := watched.now + 4*time.Second
+				for len(watched.dialed) == 0 || watched.dialed[len(watched.dialed)-1].dialedAddress != last {
+					if watched.now += 10 * time.Millisecond; watched.now >= known {
+						t.Fatalf("%v is not watched when its list counts as known", last)
+					}
+					watched.runIterations()
+				}
+				watched.expectOnlyLast(t, lastRevision)
+			})
+		}
+	}
+}
+
+// nameServersInARow names ten discoveries, so far apart. Each connection that is made is answered, some only once the next is
+// named, or never comes up.
+func (w *harness) nameServersInARow(interval time.Duration) (last netip.AddrPort) {
+	const servers = 10
+	for n := range servers {
+		up := w.loop.dial
+		if n%3 == 1 {
+			w.delayConnections()
+		}
+		last = netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(100+n))
+		w.loop.Reload(config.Config{Discovery: last, Limits: config.Limits{Sockets: 100}})
+		for end := w.now + interval; ; w.now = min(end, w.now+50*time.Millisecond) {
+			w.runIterations()
+			if w.now == end {
+				break
+			}
+		}
+		for i, p := range w.dialed[:max(0, len(w.dialed)-1)] {
+			p.write([]byte(watchResponse + chunk(fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[]}`, 10+i))))
+		}
+		w.loop.dial = up
+	}
+	return last
+}
+
+// expectOnlyLast expects the connection made last to be the only one, and its list the only one that is taken in.
+func (w *harness) expectOnlyLast(t *testing.T, revision int64) {
+	t.Helper()
+	last := w.dialed[len(w.dialed)-1]
+	for _, p := range w.dialed {
+		p.read(1 << 20)
+		if p.ended != (p != last) {
+			t.Errorf("the connection to %v has ended: %v", p.dialedAddress, p.ended)
+		}
+	}
+	if !strings.HasPrefix(string(last.received), "GET /discovery/hosts?stream=1&index=0 ") {
+		t.Errorf("requested %q", last.received)
+	}
+	last.write([]byte(watchResponse + chunk(fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[]}`, revision))))
+	w.runIterations()
+	received := slices.DeleteFunc(w.takeRevisions(), func(r int64) bool { return r == watchLost }) // of those that did not come up
+	if !slices.Equal(received, []int64{revision}) {
+		t.Errorf("revisions %v, wanted that of the last server", received)
+	}
+}
