--- /dev/null
+++ b/internal/server/drain_test.go
@@ -0,0 +1,192 @@
+package server
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// hangingWorkers take requests and never answer any.
+type hangingWorkers struct {
+	net.Listener
+	received sync.Map // by call ID
+}
+
+func (w *hangingWorkers) serve() {
+	for {
+		connection, err := w.Accept()
+		if err != nil {
+			return
+		}
+		go func() {
+			for reader := bufio.NewReader(connection); ; {
+				request, err := http.ReadRequest(reader)
+				if err != nil {
+					return
+				}
+				w.received.Store(request.Header.Get("X-Call-Id"), true)
+			}
+		}()
+	}
+}
+
+// persistentClient sends one request after the other up to the scheduler's end, on a connection that it keeps.
+type persistentClient struct {
+	name     string
+	address  string
+	answered map[string]bool // by call ID
+
+	mutex      sync.Mutex // for what follows
+	connection *net.TCPConn
+	ended      bool
+}
+
+// run sends requests until the scheduler has ended.
+func (c *persistentClient) run() {
+	var reader *bufio.Reader
+	for n := 0; ; n++ {
+		connection, isNew := c.connect()
+		if connection == nil {
+			return
+		}
+		if isNew {
+			reader = bufio.NewReader(connection)
+		}
+		id := fmt.Sprintf("%s-%d", c.name, n)
+		_, _ = fmt.Fprintf(connection, "POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: %s\r\nX-Budget-Ms: 200\r\nContent-Length: 0\r\n\r\n", id)
+		response, err := http.ReadResponse(reader, nil)
+		if err == nil {
+			_, err = io.Copy(io.Discard, response.Body)
+		}
+		c.answered[id] = err == nil || errors.Is(err, os.ErrDeadlineExceeded) && hasResponse(connection)
+		if err != nil || response.Close { // what crossed a close is sent again, on another connection
+			c.disconnect()
+		}
+	}
+}
+
+// connect returns the client's connection; nil: the scheduler has ended.
+func (c *persistentClient) connect() (connection *net.TCPConn, isNew bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.ended {
+		return nil, false
+	}
+	if c.connection != nil {
+		return c.connection, false
+	}
+	dialed, err := net.Dial("tcp", c.address)
+	if err != nil {
+		return nil, false
+	}
+	c.connection = dialed.(*net.TCPConn)
+	return c.connection, true
+}
+
+func (c *persistentClient) disconnect() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	_ = c.connection.Close()
+	c.connection = nil
+}
+
+// stop lets the client know that the scheduler has ended: what it has not written by now does not come.
+func (c *persistentClient) stop() {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.ended = true
+	if c.connection != nil {
+		_ = c.connection.SetReadDeadline(time.Unix(1, 0))
+	}
+}
+
+// hasResponse reports whether a response has come that was not read when the scheduler ended.
+func hasResponse(connection *net.TCPConn) bool {
+	_ = connection.SetReadDeadline(time.Time{})
+	raw, err := connection.SyscallConn()
+	if err != nil {
+		return false
+	}
+	received := make([]byte, 1<<10)
+	size := 0
+	_ = raw.Read(func(fd uintptr) bool {
+		size, _ = syscall.Read(int(fd), received)
+		return true
+	})
+	return size > 0 && bytes.HasPrefix(received[:size], []byte("HTTP/1.1 "))
+}
+
+// Where deadlines are short, SIGKILL is due soon after SIGTERM. Whatever else is under way then, with workers that hang through all
+// of it and clients that go on on the connections that they have, each request that was sent to a worker is answered.
+func TestTermWithShortDeadlines(t *testing.T) {
+	const clients = 4
+	for name, reloads := range map[string]int{"discovery is down": 0, "a new configuration": 1, "several": 5} {
+		t.Run(name, func(t *testing.T) {
+			workers := &hangingWorkers{Listener: listen(t)}
+			go workers.serve()
+			text := strings.NewReplacer(`"hostPort":"127.0.0.1:1"`, `"hostPort":"`+workers.Addr().String()+`"`, "500000", "300000").Replace(conf)
+			s := start(t, text)
+			var all []*persistentClient
+			var running sync.WaitGroup
+			for n := range clients {
+				c := &persistentClient{name: fmt.Sprint("c", n), address: s.addr, answered: map[string]bool{}}
+				all = append(all, c)
+				running.Go(c.run)
+			}
+			s.expectAccepted(workers)
+			for range reloads {
+				silent := listen(t) // its backlog takes the connection, and it says nothing
+				s.configure(strings.Replace(text, `"discovery":"127.0.0.1:1"`, `"discovery":"`+silent.Addr().String()+`"`, 1))
+				s.signal(syscall.SIGHUP)
+			}
+			s.signal(syscall.SIGTERM)
+			if err := <-s.end; err != nil {
+				t.Error(err)
+			}
+			for _, c := range all {
+				c.stop()
+			}
+			running.Wait()
+			for _, c := range all {
+				c.expectAnswered(t, workers)
+			}
+		})
+	}
+}
+
+// expectAnswered expects an answer to each request of the client that workers have received.
+func (c *persistentClient) expectAnswered(t *testing.T, workers *hangingWorkers) {
+	t.Helper()
+	workers.received.Range(func(id, _ any) bool {
+		if strings.HasPrefix(id.(string), c.name+"-") && !c.answered[id.(string)] {
+			t.Errorf("%s was sent to a worker, and not answered", id)
+		}
+		return true
+	})
+}
+
+// expectAccepted waits until a request has been sent to a worker.
+func (s *started) expectAccepted(workers *hangingWorkers) {
+	answer := s.talk("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: first\r\nContent-Length: 0\r\n\r\n")
+	if _, err := answer.ReadString('\n'); err != nil {
+		s.Fatal(err)
+	}
+	some := false
+	workers.received.Range(func(any, any) bool {
+		some = true
+		return false
+	})
+	if !some {
+		s.Fatal("no request was sent to a worker")
+	}
+}
