--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -15,6 +15,8 @@
 		ReplicaIndex: max(0, e.ReplicaIndex),
 		QuotaShare:   clamp(finite(e.QuotaShare), 1),
 	}
+	d.rings.changed = true
+	d.updatePreferences()
 }
 
 // onJobResumed takes in a job with its attempts so far.
