--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -76,7 +76,8 @@
 	case ConnectFailed, ConnectionReset:
 		d.onConnectionFailure(attempt)
 	case TimedOut:
-		if job.deadline-attempt.sentAt >= d.promptStart(job.class) { // else it had too little time to tell of a queue
+		hadTime := job.deadline-attempt.sentAt >= d.promptStart(job.class)
+		if hadTime { // else it tells nothing of a queue
 			d.halveLimit(attempt)
 		}
 	}
