--- a/internal/link/hotrestart_transfer.go
+++ b/internal/link/hotrestart_transfer.go
@@ -121,6 +121,10 @@
 		return err
 	}
 	ended, err := t.successor.receive()
+	if errors.Is(err, errInputDelayed) {
+		time.Sleep(shortageWait) // up to the deadline
+		return nil
+	}
 	if err != nil || ended {
 		return errors.Join(errSuccessorHasClosed, err)
 	}
--- a/internal/link/worker_exchange.go
+++ b/internal/link/worker_exchange.go
@@ -98,9 +98,23 @@
 		c.terminate(err)
 		return
 	}
+	if len(c.Output()) == len(buffer) && c.IsOutputPaused() {
+		c.deferRequest()
+		return
+	}
 	c.reportIfWritten()
 }
 
+// deferRequest has the request made anew once the machine has memory to write it: the socket has taken nothing, and the time that
+// the worker is told would not be true by then.
+func (c *workerConnection) deferRequest() {
+	c.TakeOutput()
+	c.state = workerConnecting
+	c.setStage(requests.StageNotConnected)
+	c.dialDelayed = true
+	c.setTimeout(max(0, c.connectDeadline()-c.pool.loop.Now()))
+}
+
 // isHeld holds an attempt for which it is not certain that its client still waits, and reports whether it does, or has ended it.
 func (c *workerConnection) isHeld() bool {
 	if c.exchange.kind != exchangeAttempt {
