--- a/internal/testbed/fleet/clients_test.go
+++ b/internal/testbed/fleet/clients_test.go
@@ -25,6 +25,21 @@
 	}
 }
 
+// At a rate each request is sent once, whatever becomes of it, and none waits for an earlier one.
+func TestArrivalsSendEachRequestOnce(t *testing.T) {
+	rig := testRig(t, Spec{
+		Nodes: 1, Clients: 1, Jobs: 60, Rate: 1000, Length: time.Minute, Work: time.Millisecond, Hint: 30 * time.Millisecond,
+	})
+	serveScheduler(t, rig, respondInOrder(t))
+	got, err := rig.Run(t.Context(), []netip.AddrPort{rig.addresses.scheduler()}, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.All != (Second{Served: 30, Rejected: 10, Failed: 20}) || got.Requested != 60 || got.Settled != 60 {
+		t.Errorf("%+v", got)
+	}
+}
+
 // respondInOrder rejects, fails, mixes up and serves requests in order: of six, three are served.
 func respondInOrder(t *testing.T) http.HandlerFunc {
 	t.Helper()
--- a/internal/testbed/fleet/growth_test.go
+++ b/internal/testbed/fleet/growth_test.go
@@ -7,26 +7,29 @@
 )
 
 // The connections and the lists of the real program grow within what the standing test allows. Nothing that a slower machine
-// changes is judged.
+// changes is judged: a few clients wait for their responses, so that few jobs run at once however long they take.
 func TestGrowth(t *testing.T) {
 	if _, err := FindCores(); err != nil {
 		t.Skip(err)
 	}
 	growth := &Growth{Workers: 20, Ratio: 10, Options: Options{
-		Rig: childCommand("rig"), Binary: buildScheduler(t), Clients: 1, Jobs: 240, Length: time.Minute, Work: 20 * time.Millisecond,
-		Rate: 80, ChangeInterval: 100 * time.Millisecond, Sockets: 1000, MemoryMB: 64,
+		Rig: childCommand("rig"), Binary: buildScheduler(t), Clients: 4, Jobs: 400, Length: time.Minute, Work: 20 * time.Millisecond,
+		ChangeInterval: 500 * time.Millisecond, Sockets: 1000, MemoryMB: 64,
 	}}
 	report, err := MeasureGrowth(t.Context(), growth)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, figures := range []*GrowthFigures{&report.Usual, &report.Large} {
-		if figures.Requested < growth.Jobs || figures.Served != 1 || figures.Connections == 0 || figures.ListBytes == 0 ||
+		if figures.Requested == 0 || figures.Served <= 0 || figures.Connections == 0 || figures.ListBytes == 0 ||
 			figures.CPU <= 0 || figures.Memory <= 0 || figures.Descriptors == 0 {
 			t.Errorf("not measured: %+v", figures)
 		}
 	}
 	for _, verdict := range report.Verdicts() {
+		if verdict.IsCount {
+			t.Logf("%s: %v, %v, allowed %v", verdict.Name, verdict.Usual, verdict.Large, verdict.Allowed)
+		}
 		if verdict.IsCount && !verdict.IsKept() {
 			t.Errorf("%+v", verdict)
 		}
