--- a/cmd/valvecove/preview.go
+++ b/cmd/valvecove/preview.go
@@ -62,9 +62,9 @@
 	}
 	p.line("discovery", p.conf.Discovery.String()+", "+watch)
 	if workers := len(p.conf.KnownEndpoints.Endpoints); workers > 0 {
-		p.line("known", fmt.Sprintf("%d worker nodes, generation %d", workers, p.conf.KnownEndpoints.Revision))
+		p.line("known", fmt.Sprintf("%d workers, revision %d", workers, p.conf.KnownEndpoints.Revision))
 	} else {
-		p.line("known", "no worker nodes: not ready until discovery answers")
+		p.line("known", "no workers: not ready until discovery answers")
 	}
 }
 
@@ -74,16 +74,16 @@
 	limits := p.conf.Limits
 	shares := link.SharesOf(p.conf, p.ops)
 	p.line("limits", fmt.Sprintf("%v cores, %d MB, %d descriptors", limits.Cores, limits.MemoryMB, limits.Sockets))
-	p.line("descriptors", fmt.Sprintf("%d its own, %d for features, %d server links, %d client links (%d queries at once)",
+	p.line("descriptors", fmt.Sprintf("%d its own, %d for features, %d worker connections, %d client connections (%d requests at once)",
 		shares.Own, shares.Features, shares.Workers, shares.Clients, shares.Requests))
-	p.line("memory", fmt.Sprintf("heap held to %d MB; client links' buffers %d MB, bodies of queries %d MB",
+	p.line("memory", fmt.Sprintf("heap held to %d MB; buffers of client connections %d MB, bodies of requests %d MB",
 		server.HeapLimit(limits)>>bytesPerMBShift, shares.Buffers>>bytesPerMBShift, shares.Buffers>>bytesPerMBShift))
 }
 
 // dispatching says what bounds attempts, the scheduler's place among its replicas, how it stops, and how it logs.
 func (p *preview) dispatching() {
 	settings := p.conf.Settings
-	p.line("attempts", fmt.Sprintf("%d a query at most, connecting within %v, second copies %s, cancelling %s, probes %s",
+	p.line("attempts", fmt.Sprintf("%d a request at most, connecting within %v, hedging %s, cancellation %s, health checks %s",
 		settings.AttemptLimit, settings.ConnectTimeout, onOrOff(settings.Hedging), onOrOff(settings.Cancellation),
 		onOrOff(settings.HealthChecks)))
 	p.line("schedulers", fmt.Sprintf("number %d of %d, numbered from 0", settings.ReplicaIndex, max(1, settings.Replicas)))
@@ -114,7 +114,7 @@
 		p.line(name, quota)
 	}
 	if len(tenants) == 0 {
-		p.line("none", "queries need not name one")
+		p.line("none", "requests need not name one")
 	}
 }
 
@@ -184,7 +184,7 @@
 	case !aperture.Enabled(replicas):
 		return fmt.Sprintf("off, as there are %d schedulers, and it is from %d on", replicas, aperture.MinSchedulers)
 	}
-	return fmt.Sprintf("%d worker nodes at least, each at %d schedulers at least, up to %s times as many under "+
+	return fmt.Sprintf("%d workers at least, each at %d schedulers at least, up to %s times as many under "+
 		"load; fleets under %d whole", aperture.MinWorkers, aperture.Coverage, formatNumber(aperture.MaxWidening), aperture.MinFleet)
 }
 
--- a/internal/eventloop/handler.go
+++ b/internal/eventloop/handler.go
@@ -78,7 +78,7 @@
 			if described, ok := handler.(Described); ok {
 				attrs = append(attrs, described.LogAttributes()...)
 			}
-			l.log.LogAttrs(context.Background(), slog.LevelError, "panic on a link, which ends", attrs...)
+			l.log.LogAttrs(context.Background(), slog.LevelError, "panic in a connection, which ends", attrs...)
 			handler.HandlePanic()
 		}
 	}()
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -195,7 +195,7 @@
 	if isDescriptorOpen(broken.fd) {
 		t.Error("the descriptor of the handler that panicked is open")
 	}
-	for _, part := range []string{`msg="panic on a link, which ends"`, "panic=scripted", "of=handler", "stack="} {
+	for _, part := range []string{`msg="panic in a connection, which ends"`, "panic=scripted", "of=handler", "stack="} {
 		if !strings.Contains(l.log.String(), part) {
 			t.Errorf("no %s in %s", part, l.log.String())
 		}
--- a/internal/link/client_address.go
+++ b/internal/link/client_address.go
@@ -75,7 +75,7 @@
 		reason = errSecondProxyLine
 	}
 	if c.isLogEnabled(slog.LevelWarn) {
-		c.logEvent(slog.LevelWarn, "link closed", slog.String("why", reason.Error()))
+		c.logEvent(slog.LevelWarn, "client connection closed", slog.String("why", reason.Error()))
 	}
 	c.terminate()
 }
--- a/internal/link/client_address_test.go
+++ b/internal/link/client_address_test.go
@@ -67,7 +67,7 @@
 			whose = " client=" + start.client + " via=" + frontAddr
 		}
 		checkWhoseLines(s, log.String(), whose, refused, answered)
-		s.Check(answered == 0 || strings.Contains(log.String(), "client link open"), "no line says who it was: %q", log.String())
+		s.Check(answered == 0 || strings.Contains(log.String(), "client connection open"), "no line says who it was: %q", log.String())
 	})
 }
 
--- a/internal/link/client_input.go
+++ b/internal/link/client_input.go
@@ -64,7 +64,7 @@
 	}
 	c.leaveWaitingList()
 	if c.history == historyNoRequest && c.isLogEnabled(slog.LevelInfo) {
-		c.logEvent(slog.LevelInfo, "client link open")
+		c.logEvent(slog.LevelInfo, "client connection open")
 	}
 	c.advanceHistory(historyRequest)
 	c.continueSent = false
--- a/internal/link/client_responses.go
+++ b/internal/link/client_responses.go
@@ -56,7 +56,7 @@
 func (s *responseSlot) complete(statusCode int, body []byte, retryAfter time.Duration) {
 	connection := s.connection
 	if s.request != nil && connection.isLogEnabled(slog.LevelInfo) {
-		connection.logEvent(slog.LevelInfo, "query answered", slog.String("query", s.request.CallID), slog.Int("status", statusCode))
+		connection.logEvent(slog.LevelInfo, "request answered", slog.String("request", s.request.CallID), slog.Int("status", statusCode))
 	}
 	s.request = nil
 	if s.isComplete || !connection.IsOpen() {
@@ -77,7 +77,7 @@
 	}
 	c := s.connection
 	if c.isLogEnabled(slog.LevelInfo) {
-		c.logEvent(slog.LevelInfo, "query left by its client", slog.String("query", request.CallID))
+		c.logEvent(slog.LevelInfo, "request abandoned by its client", slog.String("request", request.CallID))
 	}
 	s.request = nil
 	c.loop().Requests.ClientDisconnected(request)
--- a/internal/link/cordon.go
+++ b/internal/link/cordon.go
@@ -26,10 +26,10 @@
 // logCordonStore tells that the cordoned workers can't be stored, or that they are stored again.
 func (l *Loop) logCordonStore(err error) {
 	if err != nil { // what was changed holds all the same, for as long as this process or a successor lives
-		l.log.Error("worker nodes out by hand are not kept", "error", err)
+		l.log.Error("cordoned workers are not stored", "error", err)
 		return
 	}
-	l.log.Info("worker nodes out by hand are kept again")
+	l.log.Info("cordoned workers are stored again")
 }
 
 // ownCordonFile makes this process the one that writes the file of cordoned workers.
@@ -113,7 +113,7 @@
 	if cordoned {
 		state = "out"
 	}
-	l.log.Info("worker node by hand", "host", workerID, "now", state)
+	l.log.Info("worker cordon changed", "worker", workerID, "state", state)
 	l.notifyCordoned()
 	if l.cordonStore == nil {
 		// Whoever has the answer is shown the change by the next call, which may be accepted in this iteration.
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -241,8 +241,8 @@
 	}
 	l.releaseTransferred(transfer)
 	took := (l.Clock() - startedAt).Round(10 * time.Microsecond)
-	l.log.Info("handed over", "queries", transfer.requestCount, "client_links", len(transfer.clientConnections),
-		"server_links", len(transfer.workerConnections), "module_bytes", transfer.snapshotSize, "took", took.String())
+	l.log.Info("handed over", "requests", transfer.requestCount, "client_connections", len(transfer.clientConnections),
+		"worker_connections", len(transfer.workerConnections), "snapshot_bytes", transfer.snapshotSize, "took", took.String())
 	return nil
 }
 
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -193,8 +193,8 @@
 	r.received = hotrestart.ReceivedState{}
 	r.loop.restoreState(received)
 	r.startServing()
-	r.loop.log.Info("taken over", "queries", len(received.OpenRequests), "client_links", len(received.ClientConnections),
-		"server_links", len(received.WorkerConnections), "clock_ahead", received.ClockAhead)
+	r.loop.log.Info("taken over", "requests", len(received.OpenRequests), "client_connections", len(received.ClientConnections),
+		"worker_connections", len(received.WorkerConnections), "clock_ahead", received.ClockAhead)
 	return nil
 }
 
@@ -282,7 +282,7 @@
 func (r *successorRole) readCordons() {
 	cordoned, err := hotrestart.LoadCordonFile(r.loop.files, r.stateDir)
 	if err != nil {
-		r.loop.log.Error("worker nodes out by hand can't be read", "error", err)
+		r.loop.log.Error("cordoned workers can't be read", "error", err)
 		return
 	}
 	r.loop.Requests.SetCordoned(cordoned)
--- a/internal/link/hotrestart_transfer.go
+++ b/internal/link/hotrestart_transfer.go
@@ -289,7 +289,7 @@
 	}
 	var err error
 	if client.Stream, err = c.loop.OpenStream(received.Descriptor, events, client); err != nil {
-		c.loop.log.Error("a client link is lost", "error", err)
+		c.loop.log.Error("a client connection is lost", "error", err)
 		client.Stream = eventloop.Stream{}
 		_ = c.loop.Syscalls().Close(received.Descriptor)
 		return client, nil
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -167,11 +167,11 @@
 func (l *Loop) restoreCordoned(stateDir string) {
 	cordoned, err := hotrestart.LoadCordonFile(l.files, stateDir)
 	if err != nil {
-		l.log.Error("worker nodes out by hand can't be read", "error", err)
+		l.log.Error("cordoned workers can't be read", "error", err)
 	}
 	l.Requests.SetCordoned(cordoned)
 	if len(cordoned) > 0 {
-		l.log.Info("worker nodes out by hand", "hosts", strings.Join(cordoned, " "))
+		l.log.Info("cordoned workers", "workers", strings.Join(cordoned, " "))
 	}
 }
 
--- a/internal/link/worker_connection.go
+++ b/internal/link/worker_connection.go
@@ -41,11 +41,11 @@
 
 // Why a connection to a worker ends, or is not opened. Errors of the network and of the parser are passed on as they are.
 var (
-	errNoDescriptor     = errors.New("no descriptor left for a server link")
-	errClosedByWorker   = errors.New("ended by the worker node")
+	errNoDescriptor     = errors.New("no descriptor left for a worker connection")
+	errClosedByWorker   = errors.New("closed by the worker")
 	errResponseTimeout  = errors.New("no answer in time")
 	errResponseTooLarge = errors.New("an answer without end")
-	errStrayResponse    = errors.New("an answer to what the link was used for before")
+	errStrayResponse    = errors.New("a response to an earlier request")
 	errEarlyResponse    = errors.New("an answer before the last byte was written")
 	errWorkerPanicked   = errors.New("panic")
 )
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -58,16 +58,16 @@
 		var text, js bytes.Buffer
 		for _, level := range levels {
 			for _, logger := range []*slog.Logger{NewFactory(config.Log{Level: minLevel}, "n3", &text).NewLogger(), NewFactory(config.Log{JSON: true, Level: minLevel}, "n3", &js).NewLogger()} {
-				logger.Log(context.Background(), level, "link closed", "why", errors.New("a \"b\"\nc"), "client", "192.0.2.1:7", "bytes", 12)
+				logger.Log(context.Background(), level, "client connection closed", "why", errors.New("a \"b\"\nc"), "client", "192.0.2.1:7", "bytes", 12)
 			}
 		}
-		want := " level=" + minLevel.String() + ` msg="link closed" scheduler=n3 why="a \"b\"\nc" client=192.0.2.1:7 bytes=12` + "\n"
+		want := " level=" + minLevel.String() + ` msg="client connection closed" scheduler=n3 why="a \"b\"\nc" client=192.0.2.1:7 bytes=12` + "\n"
 		if got := strings.Count(text.String(), "\n"); got != len(levels)-i || !strings.Contains(text.String(), want) {
 			t.Errorf("%v: %d lines\n%s", minLevel, got, &text)
 		}
 		for line := range strings.Lines(js.String()) {
 			var f struct{ Time, Msg, Scheduler, Why string }
-			if err := json.Unmarshal([]byte(line), &f); err != nil || f.Time == "" || f.Msg+f.Scheduler+f.Why != "link closedn3a \"b\"\nc" {
+			if err := json.Unmarshal([]byte(line), &f); err != nil || f.Time == "" || f.Msg+f.Scheduler+f.Why != "client connection closedn3a \"b\"\nc" {
 				t.Errorf("%+v, %v: %s", f, err, line)
 			}
 		}
--- a/internal/requests/log.go
+++ b/internal/requests/log.go
@@ -77,7 +77,7 @@
 		entries = append(entries, strconv.FormatUint(worker.ID, 10)+"="+endpoint.ID+"@"+endpoint.Addr)
 	}
 	for line := range slices.Chunk(entries, numbersPerLine) {
-		t.logger.Debug("hosts by number", "hosts", strings.Join(line, " "), "more", omitted)
+		t.logger.Debug("endpoints by number", "endpoints", strings.Join(line, " "), "more", omitted)
 	}
 }
 
@@ -97,8 +97,8 @@
 				ready++
 			}
 		}
-		t.logger.Info("host group", "added", changes.added, "gone", changes.removed,
-			"first", strings.Join(changes.firstAdded, " "), "listed", len(t.listed), "ready", ready, "generation", t.revision)
+		t.logger.Info("endpoint list changed", "added", changes.added, "removed", changes.removed,
+			"first", strings.Join(changes.firstAdded, " "), "listed", len(t.listed), "ready", ready, "revision", t.revision)
 	}
 	*changes = endpointChanges{loggedAt: now}
 }
@@ -111,9 +111,9 @@
 	}
 	attrs := []slog.Attr{slog.String("text", text)}
 	if ids := t.endpointsNamedIn(text); len(ids) > 0 {
-		attrs = append(attrs, slog.String("host", strings.Join(ids, " ")))
+		attrs = append(attrs, slog.String("worker", strings.Join(ids, " ")))
 	}
-	t.logger.LogAttrs(context.Background(), slog.LevelInfo, "module", attrs...)
+	t.logger.LogAttrs(context.Background(), slog.LevelInfo, "dispatcher", attrs...)
 }
 
 // endpointsNamedIn returns the ids of the workers that a text names as "worker N", in order.
--- a/internal/requests/log_test.go
+++ b/internal/requests/log_test.go
@@ -50,7 +50,7 @@
 // lines, and what changes nothing logs nothing.
 func TestLog_SummarisesEndpointChanges(t *testing.T) {
 	f := newLogFixture(endpointRange(0, 10_000))
-	f.step(t, 0, `msg="host group" added=10000 gone=0 first="s-0 s-1 s-2 s-3 s-4" listed=10000 ready=10000 generation=0`)
+	f.step(t, 0, `msg="endpoint list changed" added=10000 removed=0 first="s-0 s-1 s-2 s-3 s-4" listed=10000 ready=10000 revision=0`)
 	for n := range 50 {
 		f.table.UpdateEndpoints(endpointRange(10_000+n, 10_001+n))
 		f.table.UpdateEndpoints(EndpointList{Revision: int64(n), Endpoints: []Endpoint{
@@ -59,10 +59,10 @@
 		}})
 		f.step(t, time.Millisecond, "")
 	}
-	f.step(t, time.Second, `added=50 gone=50 first="s-10000 s-10001 s-10002 s-10003 s-10004" listed=10000 ready=9999 generation=49`)
+	f.step(t, time.Second, `added=50 removed=50 first="s-10000 s-10001 s-10002 s-10003 s-10004" listed=10000 ready=9999 revision=49`)
 	endpoints := slices.Concat(endpointRange(100, 200).Endpoints, endpointRange(20_000, 20_001).Endpoints)
 	f.table.UpdateEndpoints(EndpointList{Reset: true, Endpoints: endpoints})
-	f.step(t, time.Second, "added=1 gone=9900 first=s-20000 listed=101 ready=101")
+	f.step(t, time.Second, "added=1 removed=9900 first=s-20000 listed=101 ready=101")
 	f.table.UpdateEndpoints(EndpointList{Revision: 7})
 	f.step(t, time.Second, "")
 }
@@ -79,15 +79,15 @@
 // What the policy says of a worker is logged with the endpoint's id.
 func TestLog_NamesWorkersOfPolicyMessages(t *testing.T) {
 	f := newLogFixture(endpointRange(0, 2))
-	f.step(t, 0, `msg="host group"`)
+	f.step(t, 0, `msg="endpoint list changed"`)
 	for text, endpoint := range map[string]string{
 		"worker 17, worker x, worker ": "",
 		"of none":                      "",
-		fmt.Sprintf("worker %d reset: set aside", hashID("s-1")):             ` host=s-1`,
-		fmt.Sprintf("worker %d not worker %d", hashID("s-1"), hashID("s-0")): ` host="s-1 s-0"`,
+		fmt.Sprintf("worker %d reset: set aside", hashID("s-1")):             ` worker=s-1`,
+		fmt.Sprintf("worker %d not worker %d", hashID("s-1"), hashID("s-0")): ` worker="s-1 s-0"`,
 	} {
 		f.policy.Next = append(f.policy.Next, dispatch.Log{Text: text})
 		f.table.DiscoveryFailed()
-		f.step(t, 0, fmt.Sprintf("msg=module text=%q%s\n", text, endpoint))
+		f.step(t, 0, fmt.Sprintf("msg=dispatcher text=%q%s\n", text, endpoint))
 	}
 }
--- a/internal/server/addresses_test.go
+++ b/internal/server/addresses_test.go
@@ -52,22 +52,22 @@
 			t.Errorf("after %q: %q", header, line)
 		}
 		whose := " client=203.0.113.7:51514 via=" + c.LocalAddr().String()
-		s.log(`msg="client link open" scheduler=n0` + whose)
-		s.log(`msg="query answered" scheduler=n0 query=1 status=503` + whose)
+		s.log(`msg="client connection open" scheduler=n0` + whose)
+		s.log(`msg="request answered" scheduler=n0 request=1 status=503` + whose)
 		untrusted := s.from("127.0.0.10")
 		s.expectClosed(untrusted, header+request)
 		s.log(`why="PROXY header from an address that is not trusted" client=` + untrusted.LocalAddr().String())
 	}
 	c := s.from("127.0.0.9")
 	s.expectClosed(c, "PROXY TCP4 nowhere\r\n"+request)
-	s.log(`msg="link closed" scheduler=n0 why="malformed PROXY header" client=` + c.LocalAddr().String())
+	s.log(`msg="client connection closed" scheduler=n0 why="malformed PROXY header" client=` + c.LocalAddr().String())
 	c = s.from("127.0.0.9")
 	_, _ = io.WriteString(c, "\r\n\r\n\x00\r\nQUIT\n\x20\x00\x00\x00GET /up HTTP/1.1\r\n\r\n") // the load balancer's own
 	if line, _ := bufio.NewReader(c).ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
 		t.Errorf("/up by the load balancer itself: %q", line)
 	}
 	own := c.LocalAddr().String()
-	s.log(`msg="client link open" scheduler=n0 client=` + own + " via=" + own)
+	s.log(`msg="client connection open" scheduler=n0 client=` + own + " via=" + own)
 }
 
 // With the lists off nothing is said of links, and a header is what it was: bytes that can't be read.
