--- a/internal/link/transfer_fault_test.go
+++ b/internal/link/transfer_fault_test.go
@@ -161,3 +161,88 @@
 		}
 	}
 }
+
+// A connection beside the clients' that breaks is closed, whatever the errno, and the next one is served.
+func TestConnectionsBesideClientsBreakWithAnyErrno(t *testing.T) {
+	for _, errno := range connectionErrnos {
+		w := newOperatorHarness(&modeltest.Steps{T: t})
+		p := w.connectOperator()
+		w.failTransfers(w.loop.operators.connections.Front().Value.(*operatorConnection).FD(), errno)
+		p.write([]byte("GET "))
+		w.runIterations()
+		w.loop.Syscalls().Interceptor = nil
+		if open := w.loop.operators.connections.Len(); open != 0 {
+			t.Errorf("%v: %d operators' connections", errno, open)
+		}
+		if answer := w.callOperator("GET " + pathReady + " HTTP/1.1\r\n\r\n"); !strings.HasPrefix(answer, "200 ") {
+			t.Errorf("%v: the next operator got %q", errno, answer)
+		}
+
+		dir := t.TempDir()
+		predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
+		successor := predecessor.startSuccessor(dir, address)
+		predecessor.failTransfers(predecessor.loop.predecessorRole.successor.FD(), errno)
+		successor.loop.successorRole.closeWithDescriptors()
+		predecessor.runIterations()
+		if predecessor.loop.Syscalls().Interceptor = nil; predecessor.loop.predecessorRole.successor != nil || predecessor.loop.sharesLimits {
+			t.Errorf("%v: the successor still counts as connected", errno)
+		}
+		if err := predecessor.handOverTo(predecessor.startSuccessor(dir, address)); err != nil {
+			t.Errorf("%v: the next successor: %v", errno, err)
+		}
+	}
+}
+
+// A watch that can't be opened for what this machine lacks is opened later, and serving goes on.
+func TestWatchIsOpenedOnceItCanBe(t *testing.T) {
+	for _, shortage := range localShortages {
+		w := newAttemptHarness(t)
+		w.failDials(2, shortage.call, shortage.errno)
+		w.loop.Requests.WatchEndpoints()
+		w.runIterations()
+		if len(w.dialed) != 0 || w.loop.watch.isOpen() {
+			t.Fatalf("%v: opened", shortage.errno)
+		}
+		for range 60 {
+			w.now += time.Second
+			w.runIterations()
+		}
+		if len(w.dialed) == 0 {
+			t.Errorf("%v: not opened later", shortage.errno)
+		}
+	}
+}
+
+// Metrics that can't be sent for what this machine lacks are dropped, and later ones are sent.
+func TestCollectorSocketOutlastsShortages(t *testing.T) {
+	receiver, err := unix.Socket(unix.AF_INET, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = unix.Close(receiver) })
+	if err := unix.Bind(receiver, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	bound, err := unix.Getsockname(receiver)
+	if err != nil {
+		t.Fatal(err)
+	}
+	injector := faultinjection.New(1, nil)
+	syscalls := injector.Syscalls()
+	for _, call := range []eventloop.Call{eventloop.CallSocket, eventloop.CallConnect, eventloop.CallSendMessage} {
+		collector := &collectorSocket{syscalls: &syscalls, address: eventloop.AddrPort(bound), fd: eventloop.NoDescriptor}
+		injector.Add(faultinjection.Rule{Calls: []eventloop.Call{call}, Errnos: []unix.Errno{unix.ENOBUFS}})
+		if collector.Send([]byte("lost\n")) == nil {
+			t.Errorf("%v failed, and nothing is said of it", call)
+		}
+		injector.Clear()
+		if err := collector.Send([]byte("sent\n")); err != nil {
+			t.Errorf("after %v had failed: %v", call, err)
+		}
+		buffer := make([]byte, 64)
+		if n, err := unix.Read(receiver, buffer); err != nil || string(buffer[:n]) != "sent" {
+			t.Errorf("received %q: %v", buffer[:max(n, 0)], err)
+		}
+		_ = unix.Close(collector.fd)
+	}
+}
