--- a/internal/link/worker_connection.go
+++ b/internal/link/worker_connection.go
@@ -1,6 +1,7 @@
 package link
 
 import (
+	"container/list"
 	"errors"
 	"fmt"
 	"time"
@@ -66,6 +67,7 @@
 	timer       *eventloop.Timer
 	writeUntil  time.Duration // of the present exchange: what is not written by then never is
 	idleSince   time.Duration
+	idleElement *list.Element // of the pool's list, while it is idle
 	idleBefore  time.Duration // how long it had been idle before the present exchange; 0: it was new
 	dialDelayed bool          // this machine has lacked something for the connection, or for the first byte on it
 }
@@ -204,7 +206,7 @@
 	c.pool.loop.StopTimer(c.timer)
 	c.state = workerIdle
 	c.idleSince = c.pool.loop.Now()
-	c.endpoint.idle = append(c.endpoint.idle, c)
+	c.pool.addIdle(c)
 }
 
 // terminate closes the connection, whatever its state. Its exchange ends with the stage that it had reached.
@@ -213,7 +215,7 @@
 		return
 	}
 	if c.state == workerIdle {
-		c.endpoint.removeIdle(c)
+		c.pool.removeIdle(c)
 	}
 	wasDropped := c.wasDroppedWhileIdle(cause)
 	c.state = workerClosed
