--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -107,9 +107,6 @@
 	if w.Assignees > 0 {
 		return max(0, w.AssigneeRank), w.Assignees
 	}
-	index, replicas := d.settings.ReplicaIndex, max(1, d.settings.Replicas)
-	if d.sharing.Replicas > 0 {
-		index, replicas = d.sharing.ReplicaIndex, d.sharing.Replicas
-	}
+	index, replicas := d.replica()
 	return int((uint64(index) + w.ID*hashFactor>>32) % uint64(replicas)), replicas
 }
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -149,6 +149,10 @@
 		}
 	}
 	ended, err := c.receive()
+	if errors.Is(err, errInputDelayed) {
+		c.PauseInput()
+		return
+	}
 	if err == nil {
 		err = c.handleMessages(c.handleMessage)
 	}
@@ -179,6 +183,9 @@
 	if err := c.sendMessageBefore(loop.Clock()+transferTimeout, accept, loop.clients.fd); err != nil {
 		return err
 	}
+	if loop.unstoredCordonCount() > 0 { // else the successor would take the file for newer, should this process die
+		loop.notifyCordoned()
+	}
 	loop.log.Info("successor stands by")
 	loop.shareLimits(true)
 	if loop.onSuccessor != nil {
@@ -211,7 +218,8 @@
 // until then nothing has changed here. Nothing else is done meanwhile: of two processes that act, both would be owners.
 //
 // It returns ErrNoSuccessor if none stands by, and ErrNotSettled if the policy has not heard of all events, an attempt has no
-// connection yet or a file is being written. After any other error this process is still the owner.
+// connection yet or a file is being written; what could not be written the successor writes. After any other error this process is
+// still the owner.
 func (l *Loop) Relinquish() error {
 	role := l.predecessorRole
 	if role == nil || role.protocol.State() != hotrestart.PredecessorPaired {
@@ -219,7 +227,7 @@
 	}
 	l.Requests.AwaitEndpoints(0) // requests that wait for endpoints are handed over too
 	l.workers.endWaitingDials()
-	if !l.Requests.FlushEvents(l.Now()) || l.workers.hasWaitingDials() || l.cordonStore != nil && l.cordonStore.IsWriting() {
+	if !l.Requests.FlushEvents(l.Now()) || l.workers.hasWaitingDials() || !l.fenceCordonStore() {
 		return ErrNotSettled
 	}
 	startedAt := l.Clock()
@@ -228,6 +236,7 @@
 	err := transfer.run()
 	if err != nil && !role.successor.takenOverBeforeShutdown() {
 		role.successor.disconnect(err)
+		l.unfenceCordonStore()
 		return fmt.Errorf("handing over: %w", err)
 	}
 	l.releaseTransferred(transfer)
@@ -238,12 +247,20 @@
 }
 
 // takenOverBeforeShutdown shuts the connection down, and tells whether the successor had said that it has taken over. Nothing
-// that it says later reaches this process, and it finds that out: there are never two owners.
+// that it says later reaches this process, and it finds that out: there are never two owners. It reads all that has come,
+// however long this machine lacks something for that: that nothing was said must be certain.
 func (c *successorConn) takenOverBeforeShutdown() bool {
-	_ = c.loop.Syscalls().Shutdown(c.FD(), unix.SHUT_RDWR)
+	for isMomentary(eventloop.NewCallError(eventloop.CallShutdown, c.loop.Syscalls().Shutdown(c.FD(), unix.SHUT_RDWR))) {
+		time.Sleep(shortageWait)
+	}
 	for {
 		before := len(c.Input())
-		if ended, err := c.receive(); err != nil || ended || len(c.Input()) == before {
+		ended, err := c.receive()
+		if errors.Is(err, errInputDelayed) {
+			time.Sleep(shortageWait)
+			continue
+		}
+		if err != nil || ended || len(c.Input()) == before {
 			break
 		}
 	}
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -13,6 +13,7 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/config"
+	"valvecove/internal/filesystem"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
@@ -245,7 +246,11 @@
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	written := make(chan func(), 1) // what the loop is to run once the file is written
-	predecessor.loop.cordonStore = hotrestart.NewCordonStore(dir, 1, func(finish func()) { written <- finish })
+	predecessor.loop.cordonStore = hotrestart.NewCordonStore(hotrestart.CordonStoreConfig{
+		Files: filesystem.Disk, StateDir: dir, MaxCallbacks: 1,
+		Now:  predecessor.loop.Now,
+		Post: func(finish func()) { written <- finish },
+	})
 	successor := predecessor.startSuccessor(dir, address)
 	var answers []string
 	call := func(workerID string, cordoned bool) {
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -18,6 +18,7 @@
 	"valvecove/internal/clock"
 	"valvecove/internal/config"
 	"valvecove/internal/eventloop"
+	"valvecove/internal/filesystem"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/http1"
 	"valvecove/internal/metrics"
@@ -56,6 +57,7 @@
 
 	predecessorRole *predecessorRole                           // nil: no successor can come
 	successorRole   *successorRole                             // nil: there is nothing to be taken over
+	files           filesystem.FileSystem                      // of the state directory
 	cordonStore     *hotrestart.CordonStore                    // nil: which workers are cordoned is not kept
 	wrapRestored    func(*dispatch.Dispatcher) requests.Policy // wraps a dispatcher from another process; nil: none can go on here
 
@@ -67,7 +69,7 @@
 
 // newLoop returns a loop that has no connections yet. maxEvents is how many descriptors may be ready at once.
 func newLoop(log, connectionLog *slog.Logger, readClock func() time.Duration, maxEvents int, syscalls eventloop.Syscalls) (*Loop, error) {
-	loop := &Loop{log: log, connectionLog: connectionLog, startup: newStartup(readClock), monotonic: clock.Monotonic}
+	loop := &Loop{log: log, connectionLog: connectionLog, startup: newStartup(readClock), monotonic: clock.Monotonic, files: filesystem.Disk}
 	events, err := eventloop.New(eventloop.Config{
 		Clock:     readClock,
 		MaxEvents: maxEvents,
