--- a/internal/link/client_presence_test.go
+++ b/internal/link/client_presence_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"valvecove/dispatch"
+	"valvecove/internal/eventloop"
 	"valvecove/internal/modeltest"
 )
 
@@ -13,18 +14,19 @@
 const latestBegin = 100 * time.Millisecond
 
 // A client may close its connection at the moment from which the process is held up. Wherever that is before the last look at the
-// clock, nothing is written for it once the process goes on, on an idle connection as on one that has just come up.
+// clock, after a reading of it or at a system call, nothing is written for it once the process goes on, on an idle connection as on
+// one that has just come up.
 func TestClientGoneWhileHeldUp(t *testing.T) {
 	for _, isUp := range []bool{false, true} {
 		for how, leave := range map[string]func(*peer){"end": (*peer).close, "reset": (*peer).reset} {
 			t.Run(fmt.Sprintf("idle connection %v, %s", isUp, how), func(t *testing.T) {
-				readings, began := writeAttempt(t, isUp, 0, leave)
-				if readings < 3 || !began {
-					t.Fatalf("%d readings of the clock, begun %v", readings, began)
+				write, began := writeAttempt(t, isUp, 0, leave)
+				if write < 6 || !began {
+					t.Fatalf("%d points up to the write, begun %v", write, began)
 				}
-				for nth := 1; nth < readings; nth++ { // after the last one nothing can be seen any more
+				for nth := 1; nth < write-1; nth++ { // from the last reading on nothing can be seen any more
 					if _, began := writeAttempt(t, isUp, nth, leave); began {
-						t.Errorf("%v after reading %d and its client's close an attempt began", longestHold, nth)
+						t.Errorf("%v after point %d of %d and its client's close an attempt began", longestHold, nth, write)
 					}
 				}
 			})
@@ -32,32 +34,37 @@
 	}
 }
 
-// writeAttempt has an attempt written, and counts the readings of the clock that the loop makes until then. Its client leaves right
-// after the nth of them, from which the process is held up; 0: it stays.
-func writeAttempt(t *testing.T, isUp bool, nth int, leave func(*peer)) (readings int, began bool) {
+// writeAttempt has an attempt written. The points in its course are the readings of the clock and the system calls; it returns which
+// of them the write is. Its client leaves at the nth, from which the process is held up; 0: it stays.
+func writeAttempt(t *testing.T, isUp bool, nth int, leave func(*peer)) (write int, began bool) {
 	t.Helper()
 	w := newHarness(&modeltest.Steps{T: t})
 	w.listen()
 	p, far := w.prepareAttempt(isUp)
-	count := 0
-	w.clock = func() time.Duration {
-		now := w.now
-		if count++; count == nth {
+	points := 0
+	passPoint := func() {
+		if points++; points == nth {
 			leave(p)
 			w.now += longestHold
 		}
+	}
+	w.clock = func() time.Duration {
+		now := w.now
+		passPoint()
 		return now
 	}
-	for range 4 {
-		w.runOnce()
-		if far.read(1 << 12); len(far.received) > 0 && readings == 0 {
-			readings = count - 1 // one more is made once the whole request is written, for its time
+	w.loop.Syscalls().Interceptor = func(call eventloop.Call, _ int) eventloop.Injection {
+		passPoint()
+		if call == eventloop.CallWrite && write == 0 {
+			write = points
 		}
+		return eventloop.Injection{}
 	}
+	w.runIterations()
 	w.now += 2 * probeResponseTime
 	w.runIterations()
 	far.read(1 << 12)
-	return readings, len(far.received) > 0
+	return write, len(far.received) > 0
 }
 
 // prepareAttempt gives a client and a worker's side, with an attempt that the next iteration writes there: on an idle connection, or
