--- a/cmd/valvecove-testbed/demo.go
+++ b/cmd/valvecove-testbed/demo.go
@@ -33,7 +33,7 @@
 		return err
 	}
 	defer remove()
-	fmt.Fprintf(streams.stderr, "%s\n%d worker nodes, %d scheduler, jobs for %s; everything is on 127.0.0.0/8 and ends with this.\n\n",
+	fmt.Fprintf(streams.stderr, "%s\n%d workers, %d scheduler, jobs for %s; everything is on 127.0.0.0/8 and ends with this.\n\n",
 		spec.Description, spec.Fleet.Workers, spec.Schedulers.Count, c.Length)
 	display := newProgressDisplay(streams.stderr)
 	printLine := func(line string) { display.printLine(streams.stderr, line) }
@@ -93,7 +93,7 @@
 
 // demoInstructions are commands to try on a demo that stays up.
 func demoInstructions(addresses *process.Addresses, spec *scenario.Scenario) string {
-	text := "\nIt stays up until you interrupt it (Ctrl-C), and is judged then. Try:\n\n"
+	text := "\nIt stays up until you interrupt it (Ctrl-C), and is checked then. Try:\n\n"
 	if len(addresses.Schedulers) > 0 {
 		address := addresses.Schedulers[0]
 		class := spec.Classes[0]
@@ -122,10 +122,10 @@
 	case trace.FaultEnded:
 		text = "over: " + event.Text
 	case trace.WorkerStopped:
-		text = fmt.Sprintf("worker node w-%d is down", event.Worker)
+		text = fmt.Sprintf("worker w-%d is down", event.Worker)
 	case trace.WorkerStarted:
 		if event.At > time.Second { // not those that start with the run
-			text = fmt.Sprintf("worker node w-%d is up again, cold", event.Worker)
+			text = fmt.Sprintf("worker w-%d is up again, cold", event.Worker)
 		}
 	case trace.DrainNotified:
 		text = fmt.Sprintf("scheduler %d hears that w-%d is gone or drains", event.Scheduler, event.Worker)
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -21,13 +21,14 @@
 // successorRole is the side of a process that is to replace another one: it stands by, and then takes over.
 type successorRole struct {
 	frameChannel
-	protocol       hotrestart.Successor
-	stateDir       string
-	listenAddress  netip.AddrPort
-	listenerFD     int // the socket that clients connect to, from the predecessor; NoDescriptor: not yet
-	received       hotrestart.ReceivedState
-	handshakeTimer *eventloop.Timer
-	startedAt      time.Duration // by the loop's clock
+	protocol        hotrestart.Successor
+	stateDir        string
+	listenAddress   netip.AddrPort
+	listenerFD      int // the socket that clients connect to, from the predecessor; NoDescriptor: not yet
+	received        hotrestart.ReceivedState
+	cordonsNotified bool // the predecessor has told of a change of the cordoned workers, in this session
+	handshakeTimer  *eventloop.Timer
+	startedAt       time.Duration // by the loop's clock
 }
 
 // joinPredecessor tells whether there is a process to take over from; this one stands by then.
@@ -39,7 +40,7 @@
 		startedAt:     l.Now(),
 	}
 	role.loop = l
-	if role.connect() != nil {
+	if l.startup.retry(role.connect) != nil {
 		return false
 	}
 	l.successorRole = role
@@ -139,6 +140,7 @@
 		r.loop.onFail(fmt.Errorf("the process that serves turns this one away: %s", message.Reason))
 	case hotrestart.CordonedWorkers:
 		r.loop.Requests.SetCordoned(message.WorkerIDs)
+		r.cordonsNotified = true
 	case hotrestart.CordonResult:
 		r.pendingCalls.Complete(message)
 	case hotrestart.SetCordon:
@@ -147,6 +149,8 @@
 				_ = r.sendMessage(result)
 			}
 		})
+	case hotrestart.TransferBegin:
+		r.received.SetClocks(message, r.loop.readClocks())
 	default:
 		r.received.Add(message, descriptor)
 	}
@@ -160,6 +164,7 @@
 	r.loop.closeDescriptor(r.listenerFD) // of an earlier session
 	r.listenerFD = listenerFD
 	r.loop.Requests.SetCordoned(accept.CordonedWorkers)
+	r.cordonsNotified = false
 	for _, message := range r.pendingCalls.Messages() {
 		if err := r.sendMessage(message); err != nil {
 			return err
@@ -172,8 +177,8 @@
 // takeOver makes this process the owner of all that has come. It says so first: from here on the predecessor lets go, and
 // nothing below can fail but by ending this process.
 func (r *successorRole) takeOver() error {
-	received := r.received
-	if err := received.Check(); err != nil {
+	received, err := r.received.Finish()
+	if err != nil {
 		return err
 	}
 	if err := r.sendMessage(hotrestart.TakenOver{}); err != nil {
@@ -184,35 +189,49 @@
 	r.loop.restoreState(received)
 	r.startServing()
 	r.loop.log.Info("taken over", "queries", len(received.OpenRequests), "client_links", len(received.ClientConnections),
-		"server_links", len(received.WorkerConnections))
+		"server_links", len(received.WorkerConnections), "clock_ahead", received.ClockAhead)
 	return nil
 }
 
 // startServing takes the predecessor's place: clients connect here from now on, and the next successor does.
 func (r *successorRole) startServing() {
 	loop := r.loop
-	if err := r.openListener(); err != nil {
-		loop.onFail(err)
-		return
-	}
+	r.listen(loop.Now()+startTimeout, minStartBackoff)
 	loop.awaitSuccessor(hotrestart.SocketAddresses(r.stateDir, r.listenAddress))
 	loop.shareLimits(false)
+	loop.ownCordonFile()
+	if loop.cordonStore != nil { // the predecessor may have held what it could not store
+		loop.cordonStore.Keep(loop.Requests.Cordoned())
+	}
 	for _, call := range r.pendingCalls.TakeAll() { // the predecessor may have carried them out, or not
 		loop.setCordoned(call.WorkerID, call.Cordoned, call.Respond)
 	}
 }
 
+// listen has clients connect here. What it has taken over is served meanwhile: where it fails for a moment it is tried again, up
+// to a deadline of the loop's clock.
+func (r *successorRole) listen(deadline, backoff time.Duration) {
+	loop := r.loop
+	err := r.openListener()
+	switch {
+	case err == nil || loop.hasRelinquished():
+	case isMomentary(err) && loop.Now() < deadline:
+		loop.After(backoff, func() { r.listen(deadline, min(2*backoff, maxStartBackoff)) })
+	default:
+		loop.onFail(err)
+	}
+}
+
 // openListener uses the predecessor's socket, or opens one if it has not passed its own.
-func (r *successorRole) openListener() (err error) {
+func (r *successorRole) openListener() error {
 	loop := r.loop
 	if r.listenerFD == hotrestart.NoDescriptor {
-		loop.clients.fd, err = loop.Listen(r.listenAddress, loop.clients, unix.SO_REUSEPORT)
-		return err
+		return loop.listenForClients(r.listenAddress, unix.SO_REUSEPORT)
 	}
-	loop.clients.fd = r.listenerFD
 	if err := loop.Add(r.listenerFD, unix.EPOLLIN, loop.clients); err != nil {
 		return fmt.Errorf("%w: %w", errListenerUnusable, err)
 	}
+	loop.clients.fd = r.listenerFD
 	r.listenerFD = hotrestart.NoDescriptor
 	return nil
 }
@@ -239,22 +258,31 @@
 		r.serveAlone(cause)
 		return
 	}
-	r.closeListener()
+	if !r.isServing() { // else the socket is this process's own, though it may not be added yet
+		r.closeListener()
+	}
 }
 
-// serveAlone goes on without a predecessor's state, except for what is in the file.
+// serveAlone goes on without a predecessor's state, except for the cordoned workers.
 func (r *successorRole) serveAlone(cause error) {
-	loop := r.loop
-	cordoned, err := hotrestart.ReadCordonFile(r.stateDir)
-	if err != nil {
-		loop.log.Error("worker nodes out by hand can't be read", "error", err)
-	} else {
-		loop.Requests.SetCordoned(cordoned)
+	if !r.cordonsNotified {
+		r.readCordons()
 	}
-	loop.log.Warn("the process to be replaced has gone: serving without what it had", "cause", cause)
+	r.loop.log.Warn("the process to be replaced has gone: serving without what it had", "cause", cause)
 	r.startServing()
 }
 
+// readCordons takes the cordoned workers from the file. That may be older than the last change that the predecessor has told
+// of, which it may not have been able to store.
+func (r *successorRole) readCordons() {
+	cordoned, err := hotrestart.LoadCordonFile(r.loop.files, r.stateDir)
+	if err != nil {
+		r.loop.log.Error("worker nodes out by hand can't be read", "error", err)
+		return
+	}
+	r.loop.Requests.SetCordoned(cordoned)
+}
+
 // LeaveStandby has a process that stands by leave the one that serves alone, and tells whether it was one.
 func (l *Loop) LeaveStandby() bool {
 	role := l.successorRole
--- a/internal/link/worker_exchange.go
+++ b/internal/link/worker_exchange.go
@@ -5,6 +5,7 @@
 	"strconv"
 	"time"
 
+	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 )
@@ -15,6 +16,16 @@
 	responseGrace      = time.Second // a connection outlasts its attempt by so long, in case the response still comes
 
 	maxSingleWrite = 4 << 10 // bytes of a payload that any socket's buffer takes whole
+
+	// budgetMargin is taken off the time that a worker is given: what passes unseen on the way from the client and to the worker.
+	// The slack that the rules leave is for a process that is held up after its last look at the clock.
+	budgetMargin = 20 * time.Millisecond
+	// smallWriteTimeout is how long a payload of maxSingleWrite may wait for its socket's buffer all the same, what another
+	// process had begun to write, and a large payload whose connection has taken all the time for one. A repeat has to arrive
+	// within its window, and leaves so much time for it.
+	smallWriteTimeout = 50 * time.Millisecond
+	// maxClockAge is how old a reading of the clock may be when an attempt is written by it.
+	maxClockAge = 5 * time.Millisecond
 )
 
 // exchangeKind says what a connection to a worker is used for.
@@ -45,11 +56,13 @@
 type exchange struct {
 	kind    exchangeKind
 	attempt *requests.Attempt // that is sent or cancelled
+	begunAt time.Duration
 }
 
 // assign gives the connection its exchange.
 func (c *workerConnection) assign(next exchange) {
 	c.exchange = next
+	c.exchange.begunAt = c.pool.loop.Now()
 	c.lastKind = next.kind
 	c.stage = requests.StageNotConnected
 	if next.kind == exchangeAttempt {
@@ -65,7 +78,7 @@
 	}
 }
 
-// writeRequest sends the exchange's request.
+// writeRequest sends the exchange's request, once it is known that somebody waits for it.
 func (c *workerConnection) writeRequest() {
 	loop := c.pool.loop
 	buffer, timeout, ok := c.appendRequest(loop.writeBuffer[:0])
@@ -73,8 +86,12 @@
 		loop.StopTimer(c.timer)
 		return
 	}
-	c.setTimeout(timeout)
 	loop.writeBuffer = buffer
+	c.writeUntil = loop.Clock() + timeout
+	if c.isHeld() { // the last look at the clock before the write
+		return
+	}
+	c.setTimeout(timeout)
 	c.state = workerAwaitingResponse
 	c.setStage(requests.StagePartlyWritten)
 	if err := c.Send(buffer); err != nil {
@@ -84,6 +101,41 @@
 	c.reportIfWritten()
 }
 
+// isHeld holds an attempt for which it is not certain that its client still waits, and reports whether it does, or has ended it.
+func (c *workerConnection) isHeld() bool {
+	if c.exchange.kind != exchangeAttempt {
+		return false
+	}
+	hold := c.pool.loop.attemptHold(c.exchange.attempt)
+	if c.state == workerClosed { // its client turned out to be gone
+		return true
+	}
+	if hold > 0 {
+		c.hold(hold)
+	}
+	return hold > 0
+}
+
+// hold has the request written a moment later.
+func (c *workerConnection) hold(span time.Duration) {
+	c.state = workerHolding
+	c.SetEvents(eventloop.StreamEvents)
+	c.pool.loop.StopTimer(c.timer)
+	c.timer = c.pool.loop.StartTimer(span, c, c.writeRequestLate)
+}
+
+// writeRequestLate sends the request of an exchange that was begun in an earlier iteration. Its worker may have begun to drain
+// since: it gets no attempt then, which says nothing about it.
+func (c *workerConnection) writeRequestLate() {
+	attempt, table := c.exchange.attempt, c.pool.loop.Requests
+	if c.exchange.kind == exchangeAttempt && !table.MayReceive(attempt.Worker) {
+		table.EndAttempt(attempt, nil, &requests.AttemptError{Stage: c.stage, Reason: requests.ReasonNotSent})
+		c.terminate(nil)
+		return
+	}
+	c.writeRequest()
+}
+
 // appendRequest returns how long the exchange may take from now on; ok is false if it is too late for it.
 func (c *workerConnection) appendRequest(buffer []byte) (request []byte, timeout time.Duration, ok bool) {
 	attempt, address := c.exchange.attempt, c.endpoint.address.String()
@@ -102,17 +154,33 @@
 }
 
 // appendAttempt appends the request of an attempt. The time that the worker is given is what remains now, however late the
-// connection came up. A large payload may go in parts: that it takes the time for a connection at most is taken off.
+// connection came up, and also if the process is held up meanwhile.
 func (c *workerConnection) appendAttempt(buffer []byte, attempt *requests.Attempt, address string) (request []byte, timeout time.Duration, ok bool) {
-	remaining := attempt.At - c.pool.loop.Clock()
-	if remaining < time.Millisecond {
-		return nil, 0, false
+	start, loop := len(buffer), c.pool.loop
+	for {
+		now := loop.Clock()
+		remaining := attempt.At - now
+		if remaining < time.Millisecond {
+			return nil, 0, false
+		}
+		buffer, timeout = c.appendAttemptAt(buffer[:start], attempt, address, remaining)
+		if loop.Clock()-now <= maxClockAge {
+			return buffer, timeout, true
+		}
 	}
+}
+
+// appendAttemptAt appends the request of an attempt for which so much time remains. A large payload may go in parts: that it
+// takes what its connection has left of the time for one at most is taken off.
+func (c *workerConnection) appendAttemptAt(buffer []byte, attempt *requests.Attempt, address string, remaining time.Duration) (request []byte, timeout time.Duration) {
 	payload := &attempt.Request.Payload
-	timeout = min(c.pool.connectTimeout, remaining/2)
+	timeout = smallWriteTimeout
 	if len(payload.Body) > maxSingleWrite {
+		connectingFor := c.pool.loop.Now() - c.exchange.begunAt
+		timeout = min(max(c.pool.connectTimeout-connectingFor, smallWriteTimeout), remaining/2)
 		remaining -= timeout
 	}
+	remaining -= min(budgetMargin, remaining/2)
 	buffer = http1.AppendRequestStart(buffer, payload.Method, payload.Path, address)
 	buffer = http1.AppendField(buffer, "X-Call-Id", attempt.Request.CallID)
 	buffer = http1.AppendField(buffer, "Idempotency-Key", payload.IdempotencyKey)
@@ -122,7 +190,7 @@
 	buffer = strconv.AppendInt(buffer, int64(len(payload.Body)), 10)
 	buffer = append(buffer, "\r\n\r\n"...)
 	buffer = append(buffer, payload.Body...)
-	return buffer, timeout, true
+	return buffer, timeout
 }
 
 // reportIfWritten takes in that the last byte was sent, if it was: from there on, an attempt is possibly executed.
--- a/internal/testbed/environment/fault_workers.go
+++ b/internal/testbed/environment/fault_workers.go
@@ -14,103 +14,152 @@
 	slowFactors, errorRates, resetBytes                []float64 // in order of time
 }
 
+// applyToWorker strikes one worker.
 func (x *activeFault) applyToWorker(i int) {
-	n, workerFaults, back := x.timeline.env.workers[i], &x.timeline.workers[i], x.Duration.Std()
+	target := &faultyWorker{activeFault: x, worker: x.timeline.env.workers[i], faults: &x.timeline.workers[i]}
 	x.recordWorkers(trace.WorkerFaultStarted, []int{i})
-	spared := func() { x.recordWorkers(trace.WorkerFaultEnded, []int{i}) }
-	whenBack := func() {
-		if back > 0 {
-			x.timeline.restartWaiters[i] = append(x.timeline.restartWaiters[i], spared, x.end)
-		}
-	}
-	until := func(undo func()) {
-		x.endLater(func() {
-			undo()
-			spared()
-		})
-	}
-	count := func(c *int, set func(on bool)) {
-		*c++
-		set(true)
-		until(func() {
-			*c--
-			set(*c > 0)
-		})
+	switch x.Kind {
+	case "crash", "vanish", "restart", "replace", "early_202_crash":
+		target.endProcess()
+		target.endAtNextStart()
+	case "drain":
+		target.worker.drain()
+	case "gone":
+		target.worker.remove()
+	case "handback":
+		target.worker.returnQueued()
+		target.recordEnd()
+		x.end()
+	case "pause":
+		target.worker.pause(x.Duration.Std())
+		target.endLater(func() {})
+	case "hang", "full", "no_notes", "refuse", "never_up", "slow_read":
+		target.setCondition(target.condition())
+	case "slow", "errors", "reset_at":
+		target.addSize(target.sizes())
+	default:
+		panic("environment: no such fault of a worker: " + x.Kind)
 	}
-	// Of several that hold at once, what applies follows from all of their sizes.
-	list := func(l *[]float64, set func()) {
-		*l = append(*l, x.Size)
-		set()
-		until(func() {
-			at := slices.Index(*l, x.Size)
-			*l = slices.Delete(*l, at, at+1)
-			set()
-		})
+}
+
+// faultyWorker is an active fault at one of the workers that it strikes.
+type faultyWorker struct {
+	*activeFault
+	worker *worker
+	faults *workerFaults // of all faults, on this worker
+}
+
+func (f *faultyWorker) recordEnd() {
+	f.recordWorkers(trace.WorkerFaultEnded, []int{f.worker.number})
+}
+
+// endLater ends the strike after the fault's duration, if it ever ends.
+func (f *faultyWorker) endLater(undo func()) {
+	f.activeFault.endLater(func() {
+		undo()
+		f.recordEnd()
+	})
+}
+
+// endAtNextStart ends the strike when the worker has its next process, if it is to have one.
+func (f *faultyWorker) endAtNextStart() {
+	if f.Duration > 0 {
+		waiters := &f.timeline.restartWaiters[f.worker.number]
+		*waiters = append(*waiters, f.recordEnd, f.end)
 	}
-	switch x.Kind {
+}
+
+// endProcess ends the worker's process, now or once it accepts an attempt.
+func (f *faultyWorker) endProcess() {
+	restartAfter := f.Duration.Std()
+	switch f.Kind {
 	case "crash":
-		n.crash(back)
-		whenBack()
+		f.worker.crash(restartAfter)
 	case "vanish":
-		n.vanish(back)
-		whenBack()
+		f.worker.vanish(restartAfter)
 	case "restart":
-		n.restart(back)
-		whenBack()
+		f.worker.restart(restartAfter)
 	case "replace":
-		n.replace(back)
-		whenBack()
+		f.worker.replace(restartAfter)
 	case "early_202_crash":
-		n.dieAtAccept(back)
-		whenBack()
-	case "drain":
-		n.drain()
-	case "gone":
-		n.remove()
-	case "handback":
-		n.returnQueued()
-		spared()
-		x.end()
-	case "pause":
-		n.pause(back)
-		until(func() {})
+		f.worker.dieAtAccept(restartAfter)
+	}
+}
+
+// condition is what the fault switches on, and the count of the faults that hold it on.
+func (f *faultyWorker) condition() (count *int, set func(on bool)) {
+	switch f.Kind {
 	case "hang":
-		count(&workerFaults.hangs, n.setHang)
+		return &f.faults.hangs, f.worker.setHang
 	case "full":
-		count(&workerFaults.fulls, n.setFull)
+		return &f.faults.fulls, f.worker.setFull
 	case "no_notes":
-		count(&workerFaults.mutes, n.setMute)
+		return &f.faults.mutes, f.worker.setMute
 	case "refuse":
-		count(&workerFaults.refusals, n.setRefusing)
+		return &f.faults.refusals, f.worker.setRefusing
 	case "never_up":
-		count(&workerFaults.silences, n.setSilent)
-	case "slow_read":
-		count(&workerFaults.slowReads, n.setSlowRead)
-	case "slow": // they multiply
-		list(&workerFaults.slowFactors, func() {
-			factor := 1.0
-			for _, by := range workerFaults.slowFactors {
-				factor *= by
-			}
-			n.setSlowFactor(factor)
-		})
-	case "errors": // the largest share
-		list(&workerFaults.errorRates, func() {
-			rate := -1.0
-			for _, r := range workerFaults.errorRates {
-				rate = max(rate, r)
-			}
-			n.setErrorRate(rate)
-		})
-	case "reset_at": // the last
-		list(&workerFaults.resetBytes, func() {
-			bytes := 0
-			if k := len(workerFaults.resetBytes); k > 0 {
-				bytes = int(workerFaults.resetBytes[k-1])
-			}
-			n.setResetBytes(bytes)
-		})
-	default:
-		panic("world: no such fault of a worker node: " + x.Kind)
+		return &f.faults.silences, f.worker.setSilent
+	default: // slow_read
+		return &f.faults.slowReads, f.worker.setSlowRead
+	}
+}
+
+// setCondition switches a condition on, and off again once no fault holds it on any more.
+func (f *faultyWorker) setCondition(count *int, set func(on bool)) {
+	*count++
+	set(true)
+	f.endLater(func() {
+		*count--
+		set(*count > 0)
+	})
+}
+
+// sizes are the sizes of the faults of this kind that hold at once, and apply has the worker follow all of them.
+func (f *faultyWorker) sizes() (sizes *[]float64, apply func()) {
+	switch f.Kind {
+	case "slow":
+		return &f.faults.slowFactors, f.applySlowFactors
+	case "errors":
+		return &f.faults.errorRates, f.applyErrorRates
+	default: // reset_at
+		return &f.faults.resetBytes, f.applyResetBytes
+	}
+}
+
+// addSize adds the fault's size to those that hold, until it ends.
+func (f *faultyWorker) addSize(sizes *[]float64, apply func()) {
+	*sizes = append(*sizes, f.Size)
+	apply()
+	f.endLater(func() {
+		i := slices.Index(*sizes, f.Size)
+		*sizes = slices.Delete(*sizes, i, i+1)
+		apply()
+	})
+}
+
+// applySlowFactors slows the worker down by the product of all factors.
+func (f *faultyWorker) applySlowFactors() {
+	product := 1.0
+	for _, factor := range f.faults.slowFactors {
+		product *= factor
+	}
+	f.worker.setSlowFactor(product)
+}
+
+// applyErrorRates has the worker fail at the largest of all rates.
+func (f *faultyWorker) applyErrorRates() {
+	largest := -1.0
+	for _, rate := range f.faults.errorRates {
+		largest = max(largest, rate)
+	}
+	f.worker.setErrorRate(largest)
+}
+
+// applyResetBytes has the worker reset connections after as many bytes as the latest fault says.
+func (f *faultyWorker) applyResetBytes() {
+	bytes := 0
+	if n := len(f.faults.resetBytes); n > 0 {
+		bytes = int(f.faults.resetBytes[n-1])
 	}
+	f.worker.setResetBytes(bytes)
 }
