--- a/internal/link/client_expiry.go
+++ b/internal/link/client_expiry.go
@@ -139,7 +139,7 @@
 // dismiss shuts down a connection without a request in flight, unless one, or a part of one, has come in.
 func (c *clientConnection) dismiss(waiting *list.List) {
 	element := c.waitingElement
-	c.loop().Protect(c, func() { c.HandleEvents(unix.EPOLLIN) })
+	c.loop().Protect(c, c.readAll)
 	if c.IsOpen() && element != nil && c.waitingElement == element && !c.isAmidRequest() {
 		c.linger(waiting)
 	}
@@ -158,5 +158,13 @@
 	}
 }
 
+// readAll handles all that has come. One read takes less than the largest request.
+func (c *clientConnection) readAll() {
+	for before := -1; c.IsOpen() && c.waitingElement != nil && len(c.Input()) > before; {
+		before = len(c.Input())
+		c.HandleEvents(unix.EPOLLIN)
+	}
+}
+
 // closesAfterResponse reports whether the connection is to end with the responses that are due on it now.
 func (c *clientConnection) closesAfterResponse() bool { return c.listener.closing && !c.sendsCallbacks }
--- a/internal/link/hotrestart_transfer.go
+++ b/internal/link/hotrestart_transfer.go
@@ -121,6 +121,10 @@
 		return err
 	}
 	ended, err := t.successor.receive()
+	if errors.Is(err, errInputDelayed) {
+		time.Sleep(shortageWait) // up to the deadline
+		return nil
+	}
 	if err != nil || ended {
 		return errors.Join(errSuccessorHasClosed, err)
 	}
@@ -367,7 +371,7 @@
 	s.openCount++
 	connection.SetBuffers(received.Input, received.Output)
 	if connection.state == workerIdle {
-		endpoint.idle = append(endpoint.idle, connection)
+		s.addIdle(connection)
 		return
 	}
 	connection.restoreAttempt(attempt)
--- a/internal/link/worker_connection.go
+++ b/internal/link/worker_connection.go
@@ -1,6 +1,7 @@
 package link
 
 import (
+	"container/list"
 	"errors"
 	"fmt"
 	"time"
@@ -66,15 +67,14 @@
 	timer       *eventloop.Timer
 	writeUntil  time.Duration // of the present exchange: what is not written by then never is
 	idleSince   time.Duration
+	idleElement *list.Element // of the pool's list, while it is idle
 	idleBefore  time.Duration // how long it had been idle before the present exchange; 0: it was new
-	dialUntil   time.Duration // while the machine lacks something to open it, it is tried again until then
-	dialDelayed bool          // it has lacked something
+	dialDelayed bool          // this machine has lacked something for the connection, or for the first byte on it
 }
 
 // connect opens the connection. Where this machine lacks something for it, the worker has no part in that, and the lack may be
 // over in a moment: the exchange waits, for half of the time that a connection has to come up. What is left is for that.
 func (c *workerConnection) connect() {
-	c.dialUntil = c.pool.loop.Now() + c.pool.connectTimeout/2
 	c.tryConnect(minDialBackoff)
 }
 
@@ -87,7 +87,7 @@
 	if err == nil {
 		return
 	}
-	if !isLocalShortage(err) || c.pool.loop.Now()+backoff > c.dialUntil {
+	if !isLocalShortage(err) || c.pool.loop.Now()+backoff > c.connectDeadline()-c.pool.connectTimeout/2 {
 		c.terminate(err)
 		return
 	}
@@ -95,12 +95,22 @@
 	c.timer = c.pool.loop.StartTimer(backoff, c, func() { c.tryConnect(2 * backoff) })
 }
 
+// connectDeadline is when the connection is to be up, and the first byte of its exchange taken.
+func (c *workerConnection) connectDeadline() time.Duration {
+	return c.exchange.begunAt + c.pool.connectTimeout
+}
+
 // isWaitingToDial reports whether there is an exchange, and nothing yet to open a connection for it with.
 func (c *workerConnection) isWaitingToDial() bool { return c.state == workerConnecting && !c.IsOpen() }
 
 // isLocalShortage reports whether a connection could not be opened for what this machine lacks: nothing was sent.
 func isLocalShortage(err error) bool { return errors.Is(err, errNoDescriptor) || isMomentary(err) }
 
+// isOwnDelay reports whether a connection may have ended for having been held back by this machine.
+func isOwnDelay(cause error) bool {
+	return errors.Is(cause, errResponseTimeout) || errors.Is(cause, errClosedByWorker)
+}
+
 func (c *workerConnection) dial() error {
 	pool := c.pool
 	if pool.openCount >= pool.maxConnections && !pool.evictIdle() {
@@ -119,7 +129,7 @@
 		return err
 	}
 	pool.openCount++
-	c.setTimeout(c.dialUntil + pool.connectTimeout - pool.connectTimeout/2 - pool.loop.Now())
+	c.setTimeout(c.connectDeadline() - pool.loop.Now())
 	return nil
 }
 
@@ -127,8 +137,12 @@
 // gathered, and a request written to it would end as a reset, and be possibly executed.
 func (c *workerConnection) isAlive() bool {
 	var b [1]byte
-	_, err := c.pool.loop.Syscalls().Recvfrom(c.FD(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-	return errors.Is(err, unix.EAGAIN)
+	for {
+		_, err := c.pool.loop.Syscalls().Recvfrom(c.FD(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		if !errors.Is(err, unix.EINTR) {
+			return errors.Is(err, unix.EAGAIN)
+		}
+	}
 }
 
 // setTimeout ends the connection after a while, in place of an earlier timeout.
@@ -161,7 +175,10 @@
 		c.terminate(err)
 		return
 	}
-	if events&unix.EPOLLOUT != 0 {
+	switch {
+	case c.dialDelayed && events&(unix.EPOLLRDHUP|unix.EPOLLHUP) != 0: // it was up, and has ended while its request was held back
+		c.terminate(errClosedByWorker)
+	case events&unix.EPOLLOUT != 0:
 		c.writeRequestLate()
 	}
 }
@@ -189,7 +206,7 @@
 	c.pool.loop.StopTimer(c.timer)
 	c.state = workerIdle
 	c.idleSince = c.pool.loop.Now()
-	c.endpoint.idle = append(c.endpoint.idle, c)
+	c.pool.addIdle(c)
 }
 
 // terminate closes the connection, whatever its state. Its exchange ends with the stage that it had reached.
@@ -198,7 +215,7 @@
 		return
 	}
 	if c.state == workerIdle {
-		c.endpoint.removeIdle(c)
+		c.pool.removeIdle(c)
 	}
 	wasDropped := c.wasDroppedWhileIdle(cause)
 	c.state = workerClosed
@@ -228,7 +245,7 @@
 	switch {
 	case c.stage >= requests.StageWritten && errors.Is(cause, errResponseTimeout):
 		return requests.ReasonTimeout
-	case c.stage == requests.StageNotConnected && (isLocalShortage(cause) || c.dialDelayed && errors.Is(cause, errResponseTimeout)):
+	case c.stage == requests.StageNotConnected && (isLocalShortage(cause) || c.dialDelayed && isOwnDelay(cause)):
 		return requests.ReasonNotSent
 	case isHealthCheck && (wasDropped || errors.Is(cause, errStrayResponse)):
 		return requests.ReasonNotSent
