--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -13,9 +13,10 @@
 //
 // The mechanism, in the order of a job's life: admission.go makes its entry, with a score from prediction.go; quota.go and
 // objective.go say whether it can still earn in full; queue.go says which job leaves next, and picker.go for which worker,
-// of those that concurrency.go, slowstart.go, outlier.go and cordon.go leave; attempts.go sends it; what its start and its
-// end teach goes into concurrency.go, learning.go and connections.go; retry.go and hedging.go say when it is sent again, and
-// admission.go gives the final answer. reservation.go keeps a worker free for a large job, healthcheck.go checks workers,
-// subscription.go asks for the list of them, and maintenance.go ages what was learnt. These files decide. The others hold
-// the interface, state, indexes and estimates, and decide nothing.
+// of those that concurrency.go, slowstart.go, outlier.go and cordon.go leave, in a large fleet first of those that
+// preference.go puts first; attempts.go sends it; what its start and its end teach goes into concurrency.go, learning.go and
+// connections.go; retry.go and hedging.go say when it is sent again, and admission.go gives the final answer. reservation.go
+// keeps a worker free for a large job, healthcheck.go checks workers, subscription.go asks for the list of them, and
+// maintenance.go ages what was learnt. These files decide. The others hold the interface, state, indexes and estimates, and
+// decide nothing.
 package dispatch
