--- a/internal/eventloop/stream.go
+++ b/internal/eventloop/stream.go
@@ -35,6 +35,9 @@
 	paused uint32        // events of these are not waited for now: the machine lacked memory for what they stand for
 	resume *Timer        // while any are paused
 	pause  time.Duration // the last one, since a read or write went well; 0: there was none
+
+	inputHeldSince time.Duration // the machine lacked memory to read what had come; 0: it did not
+	inputCameAt    time.Duration // what was read last; 0: nothing was read
 }
 
 // OpenStream makes a stream of a socket and adds it, with its owner as the handler. On an error the caller owns the socket.
@@ -98,6 +101,10 @@
 		return true, nil
 	case n > 0:
 		s.AppendInput(s.loop.readBuffer[:n])
+		s.inputCameAt = s.loop.now
+		if s.inputHeldSince > 0 {
+			s.inputCameAt, s.inputHeldSince = s.inputHeldSince, 0
+		}
 	}
 	return false, nil // level-triggered: there is another event for the rest
 }
@@ -156,6 +163,9 @@
 		return
 	}
 	s.paused |= events
+	if call == CallRead && s.inputHeldSince == 0 {
+		s.inputHeldSince = s.loop.now
+	}
 	if s.resume == nil {
 		s.pause = min(max(minTransferPause, 2*s.pause), maxTransferPause)
 		s.resume = s.loop.After(s.pause, s.endPause)
@@ -184,6 +194,10 @@
 	s.loop.Modify(s.fd, s.events&^s.paused|unix.EPOLLET)
 }
 
+// InputCameAt returns when what Fill read last may have come: in the iteration in which it was read, or, where the machine lacked
+// memory for that, in the first one in which it did; 0: nothing was read.
+func (s *Stream) InputCameAt() time.Duration { return s.inputCameAt }
+
 // Consume drops the first n bytes of the input.
 func (s *Stream) Consume(n int) { s.input = dropFront(s.input, n) }
 
--- a/internal/eventloop/stream_fault_test.go
+++ b/internal/eventloop/stream_fault_test.go
@@ -185,3 +185,22 @@
 		t.Errorf("%d timers are left", l.timers.Len())
 	}
 }
+
+// What could not be read when it came counts as come then.
+func TestStreamTellsWhenDelayedInputCame(t *testing.T) {
+	l := newTestLoop(t)
+	owner, peer := openFaultStream(l)
+	l.failCalls(unix.ENOMEM, CallRead)
+	writeAll(t, peer, []byte("late"))
+	l.runFor(time.Millisecond)
+	cameAt := l.Now()
+	l.runFor(30 * time.Millisecond)
+	l.Syscalls().Interceptor = nil
+	if l.runFor(maxTransferPause); string(owner.Input()) != "late" || owner.InputCameAt() != cameAt {
+		t.Errorf("read %q, which came at %v, expected %v", owner.Input(), owner.InputCameAt(), cameAt)
+	}
+	writeAll(t, peer, []byte("!"))
+	if l.runFor(time.Millisecond); owner.InputCameAt() != l.Now() {
+		t.Errorf("what was read at once came at %v, expected %v", owner.InputCameAt(), l.Now())
+	}
+}
--- a/internal/link/client_arrival_time.go
+++ b/internal/link/client_arrival_time.go
@@ -25,7 +25,7 @@
 		c.arrivals[last].bytes += added
 		return
 	}
-	c.arrivals = append(c.arrivals, arrival{bytes: added, at: c.loop().Now()})
+	c.arrivals = append(c.arrivals, arrival{bytes: added, at: c.lastInputTime()})
 }
 
 // arrivalTime returns when the last of the input's first n bytes came.
@@ -36,7 +36,15 @@
 			return known.at
 		}
 	}
-	return c.loop().Now()
+	return c.lastInputTime()
+}
+
+// lastInputTime returns when the end of the input came.
+func (c *clientConnection) lastInputTime() time.Duration {
+	if cameAt := c.InputCameAt(); cameAt > 0 {
+		return cameAt
+	}
+	return c.loop().Now() // by another process, or one that was restored
 }
 
 // Consume drops the first n bytes of the input, and their arrivals.
--- a/internal/link/generated_faults_test.go
+++ b/internal/link/generated_faults_test.go
@@ -18,7 +18,7 @@
 	faultSeedsVariable   = "VALVECOVE_FAULT_SEEDS" // how many seeds are played, in place of so many
 	defaultFaultSeeds    = 20
 	faultSteps           = 150
-	maxStall             = 150 * time.Millisecond // of one call
+	maxStall             = 150 * time.Millisecond // of the calls of a step
 	maxAttemptAfterClose = 100 * time.Millisecond
 	maxLateAnswer        = 500 * time.Millisecond // where calls fail; up to then an answer is one
 	maxBusy              = 250 * time.Millisecond // for which events may be there that nothing is done about
@@ -35,6 +35,7 @@
 	farEnds        map[int]*farEnd // of the connections that a fault may break: those to workers and discovery
 	busySince      time.Duration   // 0: it is not
 	stalled        int             // calls
+	stallLeft      time.Duration   // of maxStall, in this step
 }
 
 // addFaults draws faults of the calls that a scheduler makes while it serves.
@@ -65,7 +66,7 @@
 		{Calls: []eventloop.Call{eventloop.CallEpollControl}, Share: share() / 3, Errnos: []unix.Errno{unix.ENOMEM}},
 		{Calls: []eventloop.Call{eventloop.CallClose}, Share: share(), Errnos: []unix.Errno{unix.EINTR}},
 		{Calls: []eventloop.Call{eventloop.CallSetOption}, Share: share(), Errnos: []unix.Errno{unix.ENOBUFS}},
-		{Calls: transfers, Share: 0.003, Stall: func() { faults.stalled++; d.now += time.Duration(d.rng.Int64N(int64(maxStall))) }},
+		{Calls: transfers, Share: 0.003, Stall: faults.stall},
 		{Calls: transfers, Share: share(), MaxLength: 40},
 	} {
 		faults.injector.Add(rule)
@@ -171,8 +172,17 @@
 	return p, fd, nil
 }
 
+// stall holds the process up in a call, for maxStall at most in one step.
+func (f *systemFaults) stall() {
+	span := min(time.Duration(f.rng.Int64N(int64(maxStall))), f.stallLeft)
+	f.stallLeft -= span
+	f.now += span
+	f.stalled++
+}
+
 // checkRest checks that the loop comes to rest: events that it does nothing about would keep it busy.
 func (f *systemFaults) checkRest() {
+	f.stallLeft = maxStall // in the next step
 	for range 50 {
 		if f.readyDescriptors() == 0 {
 			f.busySince = 0
--- a/internal/link/generated_settings_test.go
+++ b/internal/link/generated_settings_test.go
@@ -69,6 +69,7 @@
 	up     time.Duration
 	try    *attempt // the one that it has not answered
 	answer *attempt // the one that it has answered last
+	served bool     // of discovery: the list
 }
 
 // caller is a client with one connection, on which it asks for one thing at a time.
@@ -421,6 +422,7 @@
 	case f.node == nil:
 		d.Check(strings.HasPrefix(target, "/discovery/hosts?stream=1"), "discovery was asked for %s", target)
 		p.write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
+		f.served = true
 		d.sendSnapshot(p)
 		d.faults.listSent()
 	case string(m.Method) == "DELETE":
@@ -735,7 +737,7 @@
 	d.discovery = slices.DeleteFunc(d.discovery, func(p *peer) bool { return p.closed || p.ended })
 	for _, p := range d.discovery {
 		switch {
-		case d.known[p] == nil || d.known[p].filler > 0:
+		case d.known[p] == nil || !d.known[p].served:
 		case d.rng.IntN(300) == 0:
 			p.close()
 		case changed:
@@ -748,12 +750,17 @@
 		switch {
 		case n.Lifecycle == "up":
 			n.drainingSince = 0
-		case n.drainingSince == 0 && changed && len(d.discovery) == 1:
+		case n.drainingSince == 0 && changed && d.hasOneWatch():
 			n.drainingSince = d.now
 		}
 	}
 }
 
+// hasOneWatch reports whether the list is being sent on one connection, which is up.
+func (d *deployment) hasOneWatch() bool {
+	return len(d.discovery) == 1 && !d.discovery[0].closed && d.known[d.discovery[0]].served
+}
+
 func asDrawn(object) {}
 
 // By whatever settings it runs, a scheduler gives each request one answer, in time, breaks no class's effect, and does
--- a/internal/link/transfer_fault_test.go
+++ b/internal/link/transfer_fault_test.go
@@ -246,3 +246,22 @@
 		_ = unix.Close(collector.fd)
 	}
 }
+
+// The rest of a request that was made for one write is written in what the time that its worker was given has to spare, or never;
+// it was not whole then, and says nothing about the worker.
+func TestRequestPartlyWrittenEndsInTime(t *testing.T) {
+	w := newAttemptHarness(t)
+	w.injectFaults(1,
+		faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Times: 1, MaxLength: 10},
+		faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Errnos: []unix.Errno{unix.ENOBUFS}},
+	)
+	q := w.sendAttempt(0)
+	for range budgetMargin/time.Millisecond - 1 {
+		w.now += time.Millisecond
+		w.runIterations()
+	}
+	w.expect("it waits", q)
+	w.now += 2 * time.Millisecond
+	w.runIterations()
+	w.expect("given up", q, dispatch.NotSent)
+}
--- a/internal/link/worker_connection.go
+++ b/internal/link/worker_connection.go
@@ -245,7 +245,7 @@
 	switch {
 	case c.stage >= requests.StageWritten && errors.Is(cause, errResponseTimeout):
 		return requests.ReasonTimeout
-	case c.stage == requests.StageNotConnected && (isLocalShortage(cause) || c.dialDelayed && isOwnDelay(cause)):
+	case c.stage < requests.StageWritten && (isLocalShortage(cause) || c.dialDelayed && isOwnDelay(cause)):
 		return requests.ReasonNotSent
 	case isHealthCheck && (wasDropped || errors.Is(cause, errStrayResponse)):
 		return requests.ReasonNotSent
--- a/internal/link/worker_exchange.go
+++ b/internal/link/worker_exchange.go
@@ -98,21 +98,29 @@
 		c.terminate(err)
 		return
 	}
-	if len(c.Output()) == len(buffer) && c.IsOutputPaused() {
-		c.deferRequest()
+	if len(c.Output()) > 0 && c.IsOutputPaused() {
+		c.awaitMemory(len(c.Output()) == len(buffer), timeout)
 		return
 	}
 	c.reportIfWritten()
 }
 
-// deferRequest has the request made anew once the machine has memory to write it: the socket has taken nothing, and the time that
-// the worker is told would not be true by then.
-func (c *workerConnection) deferRequest() {
-	c.TakeOutput()
-	c.state = workerConnecting
-	c.setStage(requests.StageNotConnected)
+// awaitMemory sees to a request that the machine lacked memory to write. Of one of which nothing was taken it is made anew once
+// there is some: the time that the worker is told would not be true by then. The rest of another one is written in what that time
+// has to spare, or never, so long as it was made for a single write.
+func (c *workerConnection) awaitMemory(isUntouched bool, timeout time.Duration) {
 	c.dialDelayed = true
-	c.setTimeout(max(0, c.connectDeadline()-c.pool.loop.Now()))
+	if isUntouched {
+		c.TakeOutput()
+		c.state = workerConnecting
+		c.setStage(requests.StageNotConnected)
+		c.setTimeout(max(0, c.connectDeadline()-c.pool.loop.Now()))
+		return
+	}
+	if timeout <= smallWriteTimeout {
+		c.writeUntil -= timeout - budgetMargin
+		c.setTimeout(budgetMargin)
+	}
 }
 
 // isHeld holds an attempt for which it is not certain that its client still waits, and reports whether it does, or has ended it.
