--- a/internal/link/cordon_store_test.go
+++ b/internal/link/cordon_store_test.go
@@ -89,7 +89,7 @@
 		t.Errorf("metrics: %q", got)
 	}
 	text := log.String()
-	if strings.Count(text, "are not kept") != 1 || strings.Count(text, "are kept again") != 1 {
+	if strings.Count(text, "are not stored") != 1 || strings.Count(text, "are stored again") != 1 {
 		t.Errorf("log:\n%s", text)
 	}
 }
