--- a/internal/hotrestart/clocks_test.go
+++ b/internal/hotrestart/clocks_test.go
@@ -11,7 +11,7 @@
 
 // The difference of two processes' clocks is found exactly, however long a message took, and as well as the message was fast
 // where their monotonic clocks can't be compared.
-func TestClockReadings_AheadOf(t *testing.T) {
+func TestClockReadingsAheadOf(t *testing.T) {
 	const took = 7 * time.Millisecond
 	for _, step := range clockSteps {
 		predecessor := ClockReadings{Clock: at, Monotonic: 20 * time.Hour}
@@ -30,7 +30,7 @@
 
 // Clocks that were not stepped count as the same, though their readings are some microseconds apart, and so do those of a
 // build that sends none.
-func TestClockReadings_AheadOfWithoutStep(t *testing.T) {
+func TestClockReadingsAheadOfWithoutStep(t *testing.T) {
 	successor := ClockReadings{Clock: at + 40*time.Microsecond, Monotonic: time.Hour}
 	for _, predecessor := range []ClockReadings{{}, {Clock: at, Monotonic: time.Hour}} {
 		if got := successor.AheadOf(predecessor); got != 0 {
@@ -40,7 +40,7 @@
 }
 
 // All instants that come are moved by the step, those that stand for none stay, and spans do.
-func TestReceivedState_MovesInstants(t *testing.T) {
+func TestReceivedStateMovesInstants(t *testing.T) {
 	for _, step := range clockSteps {
 		var received ReceivedState
 		readings := ClockReadings{Clock: at, Monotonic: time.Hour}
--- a/internal/hotrestart/cordon_retry_test.go
+++ b/internal/hotrestart/cordon_retry_test.go
@@ -14,7 +14,7 @@
 
 // What could not be written is written again with growing delays until it is stored, the newest content only. The change from
 // success to failure is told of once, and so is the one back.
-func TestCordonStore_RetriesUntilStored(t *testing.T) {
+func TestCordonStoreRetriesUntilStored(t *testing.T) {
 	disk, loop := diskWithOldCordons(), newEventLoop()
 	store := loop.newStore(disk, crashStateDir)
 	disk.SetFault(filesystemtest.FailAll(syscall.ENOSPC, filesystemtest.Write))
@@ -61,7 +61,7 @@
 }
 
 // What was saved along with too many others is written too, though nobody is told so.
-func TestCordonStore_StoresBeyondTooManySaves(t *testing.T) {
+func TestCordonStoreStoresBeyondTooManySaves(t *testing.T) {
 	disk, loop := diskWithOldCordons(), newEventLoop()
 	store := loop.newStore(disk, crashStateDir)
 	store.config.MaxCallbacks = 1
@@ -80,7 +80,7 @@
 }
 
 // A fenced store changes the file no more, neither by a write in progress nor by a retry, and goes on once it has it back.
-func TestCordonStore_Fence(t *testing.T) {
+func TestCordonStoreFence(t *testing.T) {
 	disk, loop := diskWithOldCordons(), newEventLoop()
 	store := loop.newStore(disk, crashStateDir)
 	reached, proceed := make(chan struct{}), make(chan struct{})
@@ -118,7 +118,7 @@
 }
 
 // Under any share of failing calls, what was answered without an error is durable, and in the end the newest is.
-func TestCordonStore_UnderRandomFaults(t *testing.T) {
+func TestCordonStoreUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		disk, loop := filesystemtest.New(nil), newEventLoop()
--- a/internal/hotrestart/cordon_store_test.go
+++ b/internal/hotrestart/cordon_store_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestReadCordonFile_ReportsUnusableFile(t *testing.T) {
+func TestReadCordonFileReportsUnusableFile(t *testing.T) {
 	dir := t.TempDir()
 	for _, content := range []string{"", "{", `{"form":2,"out":["s-0"]}`, strings.Repeat(" ", MaxCordonFileSize+1)} {
 		if err := os.WriteFile(filepath.Join(dir, CordonFileName), []byte(content), 0o600); err != nil {
@@ -97,7 +97,7 @@
 }
 
 // Calls are completed once what they saved, or something newer, is in the file.
-func TestCordonStore_Save(t *testing.T) {
+func TestCordonStoreSave(t *testing.T) {
 	dir, loop := t.TempDir(), newEventLoop()
 	store := loop.newStore(filesystem.Disk, dir)
 	var completed []string
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestCordonStore_ReportsFailure(t *testing.T) {
+func TestCordonStoreReportsFailure(t *testing.T) {
 	loop := newEventLoop()
 	store := loop.newStore(filesystem.Disk, filepath.Join(t.TempDir(), "missing"))
 	var got error
--- a/internal/hotrestart/frame_test.go
+++ b/internal/hotrestart/frame_test.go
@@ -64,7 +64,7 @@
 	})
 }
 
-func TestReadFrame_RejectsWhatBreaksTheProtocol(t *testing.T) {
+func TestReadFrameRejectsWhatBreaksTheProtocol(t *testing.T) {
 	for name, header := range map[string][]byte{
 		"body too large":     {0, 0x10, 0, 1, byte(KindHandshake), 0},
 		"kind 0":             {0, 0, 0, 0, 0, 0},
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestAppendMessage_RejectsLargeBody(t *testing.T) {
+func TestAppendMessageRejectsLargeBody(t *testing.T) {
 	buffer := []byte("before")
 	var tooLarge *FrameError
 	got, err := AppendMessage(buffer, SnapshotChunk(make([]byte, MaxBodySize+1)))
@@ -93,7 +93,7 @@
 }
 
 // A successor whose rejection can't be read is rejected all the same.
-func TestFrameMessage_RejectWithoutReason(t *testing.T) {
+func TestFrameMessageRejectWithoutReason(t *testing.T) {
 	frame := Frame{Kind: KindReject, Body: []byte("{")}
 	if message, err := frame.Message(); err != nil || message.Kind() != KindReject {
 		t.Errorf("%v, %v", message, err)
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestFrameKind_String(t *testing.T) {
+func TestFrameKindString(t *testing.T) {
 	seen := map[string]bool{}
 	for kind := KindHandshake; kind < kindLimit; kind++ {
 		if kind.String() == "" || seen[kind.String()] {
--- a/internal/hotrestart/predecessor_test.go
+++ b/internal/hotrestart/predecessor_test.go
@@ -96,7 +96,7 @@
 }
 
 // Each state allows these messages, and no others.
-func TestPredecessor_Transitions(t *testing.T) {
+func TestPredecessorTransitions(t *testing.T) {
 	type step struct {
 		next   PredecessorState
 		action Action
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestPredecessor_Connect(t *testing.T) {
+func TestPredecessorConnect(t *testing.T) {
 	for state, want := range map[PredecessorState]error{
 		PredecessorAlone:        nil,
 		PredecessorHandshaking:  ErrSuccessorPresent,
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestPredecessor_Disconnect(t *testing.T) {
+func TestPredecessorDisconnect(t *testing.T) {
 	for state, want := range map[PredecessorState]PredecessorState{
 		PredecessorAlone:        PredecessorAlone,
 		PredecessorHandshaking:  PredecessorAlone,
@@ -163,7 +163,7 @@
 }
 
 // A successor of another version is told why it is rejected, in the words that all builds send.
-func TestPredecessor_RejectsOtherVersion(t *testing.T) {
+func TestPredecessorRejectsOtherVersion(t *testing.T) {
 	predecessor := predecessorIn(t, PredecessorHandshaking)
 	action, err := predecessor.HandleMessage(Handshake{Version: ProtocolVersion + 1})
 	var other *VersionError
--- a/internal/hotrestart/received_test.go
+++ b/internal/hotrestart/received_test.go
@@ -8,7 +8,7 @@
 	"valvecove/internal/requests"
 )
 
-func TestReceivedState_Add(t *testing.T) {
+func TestReceivedStateAdd(t *testing.T) {
 	var received ReceivedState
 	received.Add(TransferBegin{}, NoDescriptor)
 	received.Add(SnapshotChunk("ab"), NoDescriptor)
@@ -42,7 +42,7 @@
 }
 
 // The received snapshot does not change with the buffer that the frame was read from.
-func TestReceivedState_CopiesSnapshot(t *testing.T) {
+func TestReceivedStateCopiesSnapshot(t *testing.T) {
 	var received ReceivedState
 	buffer := []byte("ab")
 	received.Add(SnapshotChunk(buffer), NoDescriptor)
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestReceivedState_Check(t *testing.T) {
+func TestReceivedStateCheck(t *testing.T) {
 	for _, message := range []Message{ClientConnection{}, WorkerConnection{}} {
 		var received ReceivedState
 		received.Add(message, 10)
--- a/internal/hotrestart/successor_test.go
+++ b/internal/hotrestart/successor_test.go
@@ -112,7 +112,7 @@
 }
 
 // Each state allows these messages, and no others.
-func TestSuccessor_Transitions(t *testing.T) {
+func TestSuccessorTransitions(t *testing.T) {
 	type step struct {
 		next   SuccessorState
 		action Action
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestSuccessor_Disconnect(t *testing.T) {
+func TestSuccessorDisconnect(t *testing.T) {
 	for _, test := range []struct {
 		state, next SuccessorState
 		action      Action
@@ -188,7 +188,7 @@
 }
 
 // Frames that are lost, or too many, make the transfer void.
-func TestSuccessor_CountsFrames(t *testing.T) {
+func TestSuccessorCountsFrames(t *testing.T) {
 	for _, announced := range []int{0, 2} {
 		successor := successorIn(t, SuccessorReceiving)
 		if _, err := successor.HandleMessage(SnapshotChunk{1}); err != nil {
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestSuccessor_LimitsSnapshot(t *testing.T) {
+func TestSuccessorLimitsSnapshot(t *testing.T) {
 	successor := successorIn(t, SuccessorReceiving)
 	chunk := make(SnapshotChunk, SnapshotChunkSize)
 	for range MaxSnapshotSize / SnapshotChunkSize {
--- a/internal/link/client_connection_test.go
+++ b/internal/link/client_connection_test.go
@@ -480,7 +480,7 @@
 }
 
 // The front sends clients to a process once its /up answers 200, so one whose requests would wait for the first list says 503.
-func TestUp_OnlyOnceNothingAwaitsTheFirstEndpointList(t *testing.T) {
+func TestUpOnlyOnceNothingAwaitsTheFirstEndpointList(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
 	p, fd := w.socketPair()
 	w.loop.clients.addConnection(fd, netip.AddrPort{})
--- a/internal/requests/admission_test.go
+++ b/internal/requests/admission_test.go
@@ -11,7 +11,7 @@
 // Requests wait for the first update of the endpoint list, and the policy learns of all of them in one step then, with
 // the remaining time of each; it learns of them in time for their deadlines, once discovery has failed, and once they
 // have waited for long enough. Nothing is sent by a list that may be stale until then.
-func TestAdmit_WaitsForFirstEndpointList(t *testing.T) {
+func TestAdmitWaitsForFirstEndpointList(t *testing.T) {
 	list := EndpointList{Reset: true, Revision: 2, Endpoints: []Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
 	for name, test := range map[string]struct {
 		remaining time.Duration
@@ -74,7 +74,7 @@
 }
 
 // A process whose requests would wait for the first list is not ready yet: clients that go to another are served at once.
-func TestReady_OnlyOnceNothingAwaitsTheFirstEndpointList(t *testing.T) {
+func TestReadyOnlyOnceNothingAwaitsTheFirstEndpointList(t *testing.T) {
 	list := EndpointList{Reset: true, Revision: 2, Endpoints: []Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
 	for name, update := range map[string]func(table *Table){
 		"a list":           func(table *Table) { table.UpdateEndpoints(list) },
--- a/internal/requests/attempterror_test.go
+++ b/internal/requests/attempterror_test.go
@@ -7,7 +7,7 @@
 )
 
 // Whether an attempt is possibly executed follows from how far it came.
-func TestAttemptError_ResultFollowsFromStage(t *testing.T) {
+func TestAttemptErrorResultFollowsFromStage(t *testing.T) {
 	for stage, want := range map[Stage]dispatch.Result{
 		StageNotConnected:  dispatch.ConnectFailed,
 		StagePartlyWritten: dispatch.ConnectFailed,
@@ -22,7 +22,7 @@
 }
 
 // Each reason has its result for the policy and its outcome for the observers.
-func TestAttemptError_ResultAndOutcomeFollowFromReason(t *testing.T) {
+func TestAttemptErrorResultAndOutcomeFollowFromReason(t *testing.T) {
 	for reason, want := range map[Reason]struct {
 		result  dispatch.Result
 		outcome Outcome
--- a/internal/requests/callback_test.go
+++ b/internal/requests/callback_test.go
@@ -10,7 +10,7 @@
 
 // A callback that is repeated must not end the next attempt at the same endpoint: handed back twice, a request that may
 // not run twice would be sent elsewhere while it runs there. So that endpoint gets no further attempt.
-func TestCallback_RepeatedEndsNoLaterAttempt(t *testing.T) {
+func TestCallbackRepeatedEndsNoLaterAttempt(t *testing.T) {
 	for _, state := range []string{CallbackReturned, CallbackFailed, CallbackLost} {
 		t.Run(state, func(t *testing.T) {
 			policy, transport := &modeltest.ScriptedPolicy{}, newRecordingTransport()
@@ -42,7 +42,7 @@
 
 // Callbacks name no attempt. Where an earlier one at the same endpoint may still run, only CallbackDone ends the later
 // one.
-func TestCallback_OfEarlierAttemptEndsLaterOnlyIfDone(t *testing.T) {
+func TestCallbackOfEarlierAttemptEndsLaterOnlyIfDone(t *testing.T) {
 	for name, prepare := range map[string]func(t *testing.T, f *attemptFixture){
 		"same process": func(t *testing.T, _ *attemptFixture) { t.Helper() },
 		"taken over": func(t *testing.T, f *attemptFixture) {
--- a/internal/requests/cancel_test.go
+++ b/internal/requests/cancel_test.go
@@ -10,7 +10,7 @@
 
 // An accepted attempt that is cancelled is in flight until its worker confirms: the policy learns of no end that would
 // have it send the request again, and the worker's own callback counts.
-func TestCancel_EndsOnceWorkerConfirms(t *testing.T) {
+func TestCancelEndsOnceWorkerConfirms(t *testing.T) {
 	callBack := func(state string) func(t *testing.T, f *attemptFixture) {
 		return func(t *testing.T, f *attemptFixture) {
 			t.Helper()
@@ -74,7 +74,7 @@
 }
 
 // An attempt that could not be cancelled may be later.
-func TestCancel_RetriedAfterFailure(t *testing.T) {
+func TestCancelRetriedAfterFailure(t *testing.T) {
 	f := newAttemptFixture(t, 0)
 	f.step(2, dispatch.Cancel{Job: f.request.ID})
 	f.transport.completeCancel(f.table, false)
@@ -90,7 +90,7 @@
 }
 
 // An attempt timeout before the deadline of the request cancels too: another attempt may follow.
-func TestCancel_ByAttemptTimeout(t *testing.T) {
+func TestCancelByAttemptTimeout(t *testing.T) {
 	f := newAttemptFixture(t, time.Millisecond)
 	f.step(2 * time.Millisecond)
 	if got := f.results(); len(got) != 0 || len(f.transport.cancelling) != 1 {
@@ -105,7 +105,7 @@
 
 // A cancellation that one process has begun is completed by the one that takes over; until then the attempt is in
 // flight there too.
-func TestTakeOver_ResumesCancellation(t *testing.T) {
+func TestTakeOverResumesCancellation(t *testing.T) {
 	f := newAttemptFixture(t, 0)
 	f.step(2, dispatch.Cancel{Job: f.request.ID})
 	f.takeOver(t)
--- a/internal/requests/completion_test.go
+++ b/internal/requests/completion_test.go
@@ -11,7 +11,7 @@
 )
 
 // Of two attempts that are both served only the first is the client's; the other ends as served and closed.
-func TestHedgedRequest_FirstResultIsSent(t *testing.T) {
+func TestHedgedRequestFirstResultIsSent(t *testing.T) {
 	policy, responder, transport := &modeltest.ScriptedPolicy{}, &countingResponder{}, newRecordingTransport()
 	table := newTestTable(policy, 2, transport)
 	request := admit(t, table, "c", responder)
@@ -50,7 +50,7 @@
 func (r orderedResponder) RespondFailed()                { r.RespondResult(nil) }
 
 // Where many requests are responded to at once, it is in order of arrival, at every run.
-func TestResponses_KeepOrderOfArrival(t *testing.T) {
+func TestResponsesKeepOrderOfArrival(t *testing.T) {
 	for name, closeAll := range map[string]func(table *Table, policy *modeltest.ScriptedPolicy){
 		"end of process": func(table *Table, _ *modeltest.ScriptedPolicy) { table.CloseSince(0) },
 		"policy panic": func(table *Table, policy *modeltest.ScriptedPolicy) {
--- a/internal/requests/endpoint_test.go
+++ b/internal/requests/endpoint_test.go
@@ -20,7 +20,7 @@
 }
 
 // Schedulers that meet the endpoints in different orders must give them the same numbers, and two endpoints two.
-func TestEndpointNumbers_AgreeBetweenSchedulers(t *testing.T) {
+func TestEndpointNumbersAgreeBetweenSchedulers(t *testing.T) {
 	one := numberEndpoints(hashID, "s-1", "s-2")
 	other := numberEndpoints(hashID, "s-2", "s-3", "s-1")
 	if one["s-1"] != other["s-1"] || one["s-2"] != other["s-2"] {
@@ -33,7 +33,7 @@
 }
 
 // Removed endpoints are not remembered for ever, but for the cordoned ones.
-func TestEndpoints_RemovedAreForgotten(t *testing.T) {
+func TestEndpointsRemovedAreForgotten(t *testing.T) {
 	table := newTestTable(&modeltest.ScriptedPolicy{}, 0, newRecordingTransport())
 	replace := func(id string) {
 		table.UpdateEndpoints(EndpointList{Reset: true, Endpoints: []Endpoint{{ID: id, Lifecycle: "up"}}})
--- a/internal/requests/golden_test.go
+++ b/internal/requests/golden_test.go
@@ -247,18 +247,18 @@
 }
 
 // A table with requests at all stages is handed over in the bytes of the build of form 1.
-func TestGoldenHandOver_IsWritten(t *testing.T) {
+func TestGoldenHandOverIsWritten(t *testing.T) {
 	storedform.CheckGolden(t, goldenFile, writeFrames(t, goldenRequests(t).Table))
 }
 
 // What a build of form 1 has handed over is handed on in the same bytes.
-func TestGoldenHandOver_IsHandedOn(t *testing.T) {
+func TestGoldenHandOverIsHandedOn(t *testing.T) {
 	g, _ := takeOverGolden(t)
 	storedform.CheckGolden(t, goldenFile, writeFrames(t, g.Table))
 }
 
 // The endpoints, the cordons and the revision are taken over.
-func TestGoldenHandOver_KeepsEndpoints(t *testing.T) {
+func TestGoldenHandOverKeepsEndpoints(t *testing.T) {
 	g, _ := takeOverGolden(t)
 	if got := g.Cordoned(); !slices.Equal(got, []string{"s-2"}) {
 		t.Errorf("cordoned are %v", got)
@@ -282,7 +282,7 @@
 }
 
 // Attempts keep their numbers, workers and stages, and requests that were responded to stay closed.
-func TestGoldenHandOver_KeepsAttempts(t *testing.T) {
+func TestGoldenHandOverKeepsAttempts(t *testing.T) {
 	g, _ := takeOverGolden(t)
 	for _, want := range []struct {
 		request    uint64
@@ -309,7 +309,7 @@
 }
 
 // Requests keep their ids, jobs, payloads and responses.
-func TestGoldenHandOver_KeepsRequests(t *testing.T) {
+func TestGoldenHandOverKeepsRequests(t *testing.T) {
 	g, _ := takeOverGolden(t)
 	if g.OpenCount() != 5 {
 		t.Errorf("%d are open", g.OpenCount())
@@ -330,7 +330,7 @@
 }
 
 // What was under way goes on: cancellations, callbacks, the numbers of requests, and what the policy has to learn.
-func TestGoldenHandOver_GoesOn(t *testing.T) {
+func TestGoldenHandOverGoesOn(t *testing.T) {
 	g, responders := takeOverGolden(t)
 	if got := g.transport.cancelled; len(got) != 1 || got[0] != g.InFlightAttempt(6, 0) {
 		t.Errorf("%d cancellations go on", len(got))
@@ -354,6 +354,6 @@
 
 // What reflection writes or reads has its names in tags: renamed in Go, it stays as it is in what is handed over, and
 // as the platform has it.
-func TestStoredTypes_AreTagged(t *testing.T) {
+func TestStoredTypesAreTagged(t *testing.T) {
 	storedform.CheckTags(t, requests.State{}, requests.OpenRequest{}, requests.EndpointList{}, requests.Callback{})
 }
--- a/internal/requests/log_test.go
+++ b/internal/requests/log_test.go
@@ -48,7 +48,7 @@
 
 // A start with 10,000 endpoints logs one line, and so does a second in which many change; no change is lost between two
 // lines, and what changes nothing logs nothing.
-func TestLog_SummarisesEndpointChanges(t *testing.T) {
+func TestLogSummarisesEndpointChanges(t *testing.T) {
 	f := newLogFixture(endpointRange(0, 10_000))
 	f.step(t, 0, `msg="endpoint list changed" added=10000 removed=0 first="s-0 s-1 s-2 s-3 s-4" listed=10000 ready=10000 revision=0`)
 	for n := range 50 {
@@ -68,7 +68,7 @@
 }
 
 // The numbers of 4,000 endpoints of a list are logged for debugging, 100 to a line.
-func TestLog_NumbersOfEndpoints(t *testing.T) {
+func TestLogNumbersOfEndpoints(t *testing.T) {
 	logged := newLogFixture(endpointRange(0, 10_000)).log.String()
 	lines, complete := strings.Count(logged, "\n"), strings.Count(logged, " more=6000\n")
 	if lines != 40 || complete != 40 || !strings.Contains(logged, fmt.Sprintf(" %d=s-1@10.0.0.1:80 ", hashID("s-1"))) {
@@ -77,7 +77,7 @@
 }
 
 // What the policy says of a worker is logged with the endpoint's id.
-func TestLog_NamesWorkersOfPolicyMessages(t *testing.T) {
+func TestLogNamesWorkersOfPolicyMessages(t *testing.T) {
 	f := newLogFixture(endpointRange(0, 2))
 	f.step(t, 0, `msg="endpoint list changed"`)
 	for text, endpoint := range map[string]string{
--- a/internal/requests/starttime_test.go
+++ b/internal/requests/starttime_test.go
@@ -80,7 +80,7 @@
 
 // A worker that is told of while the list is followed is never taken for older than it is, and not for much younger. With a
 // right clock it is as old as it is told to be.
-func TestStartTimes_ListedByChange(t *testing.T) {
+func TestStartTimesListedByChange(t *testing.T) {
 	for _, ahead := range clockErrors {
 		f := newStartTimesFixture(ahead)
 		f.receiveFleet(f.started(0, 0))
@@ -99,7 +99,7 @@
 }
 
 // The first list may be all that a process knows: of ten workers, the one that has just started is cold.
-func TestStartTimes_FirstList(t *testing.T) {
+func TestStartTimesFirstList(t *testing.T) {
 	for _, ahead := range clockErrors {
 		f := newStartTimesFixture(ahead)
 		f.receiveFleet(f.started(0, 300*time.Millisecond))
@@ -113,7 +113,7 @@
 }
 
 // No worker is taken for younger than when it was first told of, and so none is held back for longer than a slow start takes.
-func TestStartTimes_NoneIsHeldBackLong(t *testing.T) {
+func TestStartTimesNoneIsHeldBackLong(t *testing.T) {
 	for _, ahead := range clockErrors {
 		for _, ago := range []time.Duration{time.Millisecond, 2 * time.Second, time.Minute, time.Hour - time.Second, 2 * time.Hour} {
 			f := newStartTimesFixture(ahead)
@@ -130,7 +130,7 @@
 }
 
 // A fleet that has been started together counts as warm, unless our clock shows that it is not.
-func TestStartTimes_FleetStartedTogether(t *testing.T) {
+func TestStartTimesFleetStartedTogether(t *testing.T) {
 	for _, ahead := range clockErrors {
 		f := newStartTimesFixture(ahead)
 		var endpoints []Endpoint
@@ -146,7 +146,7 @@
 
 // What merely repeats a start changes nothing: a list after the watch was lost, a worker that begins to drain, one that comes
 // back after it was removed.
-func TestStartTimes_Repeated(t *testing.T) {
+func TestStartTimesRepeated(t *testing.T) {
 	for _, ahead := range clockErrors {
 		f := newStartTimesFixture(ahead)
 		f.receiveFleet(f.started(0, 0))
@@ -176,7 +176,7 @@
 }
 
 // A start that can't be meant, however far in the future, shows nothing of the other workers.
-func TestStartTimes_Impossible(t *testing.T) {
+func TestStartTimesImpossible(t *testing.T) {
 	for _, startedAtMs := range []int64{math.MaxInt64, 1 << 62, (trueNow + 48*time.Hour).Milliseconds()} {
 		f := newStartTimesFixture(0)
 		f.receiveFleet(f.started(0, 300*time.Millisecond))
@@ -189,7 +189,7 @@
 
 // While the list can't be followed workers start, and are told of later. A clock that may be right is believed, and one that
 // is an hour ahead is not.
-func TestStartTimes_AfterOutage(t *testing.T) {
+func TestStartTimesAfterOutage(t *testing.T) {
 	for _, ahead := range clockErrors {
 		f := newStartTimesFixture(ahead)
 		f.receiveFleet(f.started(0, time.Hour/2))
@@ -209,7 +209,7 @@
 
 // Once a start was listed that shows our clock to be ahead, be it by some seconds, starts during an outage are taken for no
 // older than they are.
-func TestStartTimes_AfterOutageWithClockShownAhead(t *testing.T) {
+func TestStartTimesAfterOutageWithClockShownAhead(t *testing.T) {
 	for _, ahead := range clockErrors {
 		f := newStartTimesFixture(ahead)
 		f.receiveFleet(f.started(0, time.Hour/2))
@@ -224,7 +224,7 @@
 }
 
 // A change that is told late, while the list is followed, holds a worker back for that delay at most.
-func TestStartTimes_ListedLate(t *testing.T) {
+func TestStartTimesListedLate(t *testing.T) {
 	for _, ahead := range clockErrors {
 		f := newStartTimesFixture(ahead)
 		f.receiveFleet(f.started(0, time.Hour/2))
@@ -236,7 +236,7 @@
 }
 
 // A process that takes over knows when workers started, by its own clock, as the one before did, and takes none for restarted.
-func TestStartTimes_HandedOver(t *testing.T) {
+func TestStartTimesHandedOver(t *testing.T) {
 	for _, ahead := range clockErrors {
 		for _, step := range clockErrors {
 			f, successor := newStartTimesFixture(ahead), newStartTimesFixture(ahead+step)
@@ -315,7 +315,7 @@
 
 // One of ten workers has just started: however wrong our clock is, it gets the part of an even share, over 4 s, that it gets
 // with a right clock.
-func TestStartTimes_ShareOfColdWorker(t *testing.T) {
+func TestStartTimesShareOfColdWorker(t *testing.T) {
 	for what, play := range map[string]func(l *loadedFleet){
 		"first list": func(l *loadedFleet) { l.receiveFleet(l.started(0, 0)) },
 		"change": func(l *loadedFleet) {
--- a/internal/requests/state_test.go
+++ b/internal/requests/state_test.go
@@ -6,7 +6,7 @@
 )
 
 // A request leaves each state only for one that may follow, and a closed one is never open again.
-func TestRequest_StateTransitions(t *testing.T) {
+func TestRequestStateTransitions(t *testing.T) {
 	states := []requestState{requestOpen, requestResponded, requestDisconnected, requestEnded}
 	allowed := map[requestState][]requestState{
 		requestOpen:         {requestResponded, requestDisconnected},
@@ -25,7 +25,7 @@
 }
 
 // An attempt leaves each state only for one that may follow, and one that has ended stays so.
-func TestAttempt_StateTransitions(t *testing.T) {
+func TestAttemptStateTransitions(t *testing.T) {
 	states := []attemptState{attemptCreated, attemptInFlight, attemptCancelling, attemptNotStarted, attemptEnded}
 	allowed := map[attemptState][]attemptState{
 		attemptCreated:    {attemptInFlight, attemptNotStarted},
@@ -44,7 +44,7 @@
 }
 
 // The booleans of the stored form stand for the states of requests and attempts.
-func TestSnapshot_KeepsStates(t *testing.T) {
+func TestSnapshotKeepsStates(t *testing.T) {
 	for _, state := range []requestState{requestOpen, requestResponded, requestDisconnected, requestEnded} {
 		stored := (&Request{state: state}).snapshot()
 		if got := stored.state(); got != state {
--- a/internal/testbed/platform/golden_test.go
+++ b/internal/testbed/platform/golden_test.go
@@ -25,12 +25,12 @@
 	}
 }
 
-func TestConfig_GoldenBytes(t *testing.T) {
+func TestConfigGoldenBytes(t *testing.T) {
 	spec, options := goldenScenario()
 	storedform.CheckGolden(t, goldenConfig, Config(spec, 1, options))
 }
 
-func TestConfig_GoldenIsRead(t *testing.T) {
+func TestConfigGoldenIsRead(t *testing.T) {
 	decoded, err := config.Decode(storedform.Golden(t, goldenConfig), environment)
 	if err != nil {
 		t.Fatal(err)
@@ -50,4 +50,4 @@
 }
 
 // The configuration's names in JSON stand in tags.
-func TestConfiguration_IsTagged(t *testing.T) { storedform.CheckTags(t, configuration{}) }
+func TestConfigurationIsTagged(t *testing.T) { storedform.CheckTags(t, configuration{}) }
--- a/internal/testbed/platform/platform_test.go
+++ b/internal/testbed/platform/platform_test.go
@@ -85,7 +85,7 @@
 	})
 }
 
-func TestConfig_Classes(t *testing.T) {
+func TestConfigClasses(t *testing.T) {
 	set := decodeConfig(t, testScenario()).Settings
 	check, payout, credit := set.Classes[0], set.Classes[2], set.Classes[3]
 	checkFields(t, []field{
@@ -104,7 +104,7 @@
 }
 
 // The quotas sum to the part of the capacity that the scenario gives away, in jobs a second.
-func TestConfig_Quotas(t *testing.T) {
+func TestConfigQuotas(t *testing.T) {
 	spec := testScenario()
 	sum := 0.0
 	for _, quota := range decodeConfig(t, spec).Settings.TenantQuota {
@@ -116,7 +116,7 @@
 	}
 }
 
-func TestSettings_AsInConfig(t *testing.T) {
+func TestSettingsAsInConfig(t *testing.T) {
 	spec := testScenario()
 	set, err := Settings(spec, 1)
 	if err != nil {
@@ -128,7 +128,7 @@
 }
 
 // Of kinds that differ, the settings have what holds for all.
-func TestSettings_KindsThatDiffer(t *testing.T) {
+func TestSettingsKindsThatDiffer(t *testing.T) {
 	spec := scenario.Default()
 	spec.Fleet.Kinds[1].OmitsStartNotifications = true
 	spec.Fleet.Kinds[1].WarmUpCapacity = 0.2
--- a/internal/testbed/scenario/capacity_test.go
+++ b/internal/testbed/scenario/capacity_test.go
@@ -7,7 +7,7 @@
 )
 
 // The load, the quotas and the capacity agree.
-func TestScenario_Capacity(t *testing.T) {
+func TestScenarioCapacity(t *testing.T) {
 	s := &Scenario{
 		Fleet: Fleet{Workers: 10, Zones: []string{"a", "b"}, Kinds: []WorkerKind{
 			{Share: 3, Cores: 4, Slots: 4, Speed: 1},
--- a/internal/testbed/scenario/golden_test.go
+++ b/internal/testbed/scenario/golden_test.go
@@ -29,7 +29,7 @@
 	return parsed
 }
 
-func TestEncode_GoldenBytes(t *testing.T) {
+func TestEncodeGoldenBytes(t *testing.T) {
 	for _, name := range goldenScenarios {
 		storedform.CheckGolden(t, name, Encode(goldenScenario(t, name)))
 	}
@@ -51,7 +51,7 @@
 }
 
 // At least one value of each table is checked.
-func TestParse_GoldenIsRead(t *testing.T) {
+func TestParseGoldenIsRead(t *testing.T) {
 	s := goldenScenario(t, goldenSimulation)
 	kind, class, fault := s.Fleet.Kinds[0], s.Classes[0], s.Faults[0]
 	checkFields(t, []field{
@@ -97,7 +97,7 @@
 }
 
 // The golden files have every key of a scenario, and no other.
-func TestParse_GoldenHasEveryKey(t *testing.T) {
+func TestParseGoldenHasEveryKey(t *testing.T) {
 	found := map[string]bool{}
 	for _, name := range goldenScenarios {
 		var table map[string]any
@@ -149,4 +149,4 @@
 }
 
 // Each key stands in a tag, so that renaming a Go field does not change it.
-func TestScenario_IsTagged(t *testing.T) { storedform.CheckTagsBy(t, "toml", Scenario{}) }
+func TestScenarioIsTagged(t *testing.T) { storedform.CheckTagsBy(t, "toml", Scenario{}) }
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -13,7 +13,7 @@
 )
 
 // Errors name the key that is wrong.
-func TestParse_NamesFaultyKeys(t *testing.T) {
+func TestParseNamesFaultyKeys(t *testing.T) {
 	for _, test := range []struct{ text, key string }{
 		{`lenght = "20s"`, "lenght"},
 		{`length = 20`, "length"},
@@ -209,7 +209,7 @@
 }
 
 // Parse reads what Encode writes as the same scenario, whatever its values.
-func TestEncode_RoundTrip(t *testing.T) {
+func TestEncodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Default()
 		mutate(t, "", reflect.ValueOf(s).Elem())
@@ -262,7 +262,7 @@
 }
 
 // An empty file is the default scenario, and that is valid.
-func TestDefault_IsEmptyFile(t *testing.T) {
+func TestDefaultIsEmptyFile(t *testing.T) {
 	s, err := Parse("calm", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -277,7 +277,7 @@
 	}
 }
 
-func TestScenario_Set(t *testing.T) {
+func TestScenarioSet(t *testing.T) {
 	s, err := Parse("x", []byte("[[fault]]\nwhat = \"slow\"\n"))
 	if err != nil {
 		t.Fatal(err)
@@ -319,7 +319,7 @@
 }
 
 // Each kind of fault has its rule, and its line in the package comment.
-func TestFaultKinds_AreDescribed(t *testing.T) {
+func TestFaultKindsAreDescribed(t *testing.T) {
 	page, err := os.ReadFile("doc.go")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/score/model_test.go
+++ b/internal/testbed/score/model_test.go
@@ -322,7 +322,7 @@
 }
 
 // Totals balance whatever happens, while a run goes on and at its end.
-func TestScore_TotalsBalance(t *testing.T) {
+func TestScoreTotalsBalance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{t: t, s: New(spec(90), Options{})}
 		for worker := range modelWorkers {
--- a/internal/testbed/score/process_test.go
+++ b/internal/testbed/score/process_test.go
@@ -8,7 +8,7 @@
 )
 
 // Processes, misbehaving clients and marks.
-func TestScore_Processes(t *testing.T) {
+func TestScoreProcesses(t *testing.T) {
 	s := eventTape{New(spec(10), Options{})}
 	s.at(0, trace.Event{Kind: trace.SchedulerStarted})
 	s.at(500, trace.Event{Kind: trace.ResourceUsage, CPU: 100 * ms, Memory: 10, OpenFiles: 5})
--- a/internal/testbed/score/requests_test.go
+++ b/internal/testbed/score/requests_test.go
@@ -9,7 +9,7 @@
 )
 
 // Work is wasted by how its request ended.
-func TestScore_Waste(t *testing.T) {
+func TestScoreWaste(t *testing.T) {
 	ends := map[string]struct {
 		end  trace.Event
 		late bool // the attempt ends after the client's request
@@ -56,7 +56,7 @@
 
 // An attempt whose result a later request gets by deduplication is useful after all; a request that is sent once more is
 // the same request; and a job that found no scheduler is unanswered.
-func TestScore_RequestsOfOneJob(t *testing.T) {
+func TestScoreRequestsOfOneJob(t *testing.T) {
 	s := eventTape{New(spec(60), Options{})}
 	s.at(0, trace.Event{Kind: trace.JobDue, JobID: 1, Work: 3, Slots: 1, LatencyObjective: time.Minute})
 	for i, call := range []string{"a", "b"} {
--- a/internal/testbed/score/score_test.go
+++ b/internal/testbed/score/score_test.go
@@ -70,7 +70,7 @@
 }
 
 // The mix, its parts, and the value of what a tenant requests over its quota.
-func TestScore_Value(t *testing.T) {
+func TestScoreValue(t *testing.T) {
 	result := valueTape().Result()
 	value := result.Value
 	if value.Worst10At < 4 || value.Worst10At > 10 || value.WorstClass.Name != result.Classes[1].Name || value.Worst10 >= value.Whole {
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestScore_Latency(t *testing.T) {
+func TestScoreLatency(t *testing.T) {
 	result := valueTape().Result()
 	latency := result.Whole.Latency
 	if latency.P50 < 99 || latency.P50 > 101 || latency.Max < 599 || result.Seconds.P99[12] < 590 {
@@ -116,7 +116,7 @@
 }
 
 // Each metric of expectations has a value.
-func TestResult_MetricValue(t *testing.T) {
+func TestResultMetricValue(t *testing.T) {
 	result := valueTape().Result()
 	for _, metric := range scenario.Metrics {
 		if value, reason := result.MetricValue(metric.Name, "", 0); math.IsNaN(value) {
@@ -126,7 +126,7 @@
 }
 
 // A result and its evaluations are valid JSON, which is read back.
-func TestResult_JSON(t *testing.T) {
+func TestResultJSON(t *testing.T) {
 	result := valueTape().Result()
 	text, err := json.Marshal(struct {
 		*Result
--- a/internal/testbed/score/steady_test.go
+++ b/internal/testbed/score/steady_test.go
@@ -53,7 +53,7 @@
 }
 
 // In a steady state nothing is allocated, and what has ended is forgotten.
-func TestScore_SteadyState(t *testing.T) {
+func TestScoreSteadyState(t *testing.T) {
 	p := newSteady(100)
 	for range 3 * maxSettleGrace {
 		p.job()
@@ -66,7 +66,7 @@
 	}
 }
 
-func BenchmarkScore_Observe(b *testing.B) {
+func BenchmarkScoreObserve(b *testing.B) {
 	for _, nodes := range []int{10, 100, 10_000} {
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
 			p := newSteady(nodes)
--- a/internal/testbed/starvation/checker_test.go
+++ b/internal/testbed/starvation/checker_test.go
@@ -140,7 +140,7 @@
 }
 
 // Histories with starvation, and beside each some that are much like it and have none.
-func TestChecker_Histories(t *testing.T) {
+func TestCheckerHistories(t *testing.T) {
 	busy := func(workers ...int) string { // each of them by a job of four slots
 		text := ""
 		for _, n := range workers {
@@ -242,7 +242,7 @@
 }
 
 // Settings of a scenario that excuse what is starvation without them.
-func TestChecker_Scenarios(t *testing.T) {
+func TestCheckerScenarios(t *testing.T) {
 	underestimated := "5 due work=1 objective=1800ms;5.9 response status=503"
 	overestimated := "5 due work=1;5.1 response status=503"
 	ends := func(count int) string { // of the class, one after the other
@@ -310,7 +310,7 @@
 }
 
 // The cost of a request, all its trace events together, among 256 that are in flight at a time on 1,000 workers.
-func BenchmarkChecker_Observe(b *testing.B) {
+func BenchmarkCheckerObserve(b *testing.B) {
 	const inFlight, workers = 256, 1000
 	text := newSpec().Fleet.Kinds[0].Name
 	events := []trace.Event{
--- a/internal/testbed/starvation/model_test.go
+++ b/internal/testbed/starvation/model_test.go
@@ -328,8 +328,8 @@
 	worker       int         // that the step draws
 }
 
-// TestChecker_AgreesWithModel compares the checker with the model, in whatever order things happen.
-func TestChecker_AgreesWithModel(t *testing.T) {
+// TestCheckerAgreesWithModel compares the checker with the model, in whatever order things happen.
+func TestCheckerAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := newSpec()
 		spec.Fleet.Workers = 3
--- a/internal/testbed/starvation/run_test.go
+++ b/internal/testbed/starvation/run_test.go
@@ -37,7 +37,7 @@
 }
 
 // A run of the dispatcher has no starvation. With a faulty policy, all of it is in the class that the fault concerns.
-func TestChecker_SimulatedRun(t *testing.T) {
+func TestCheckerSimulatedRun(t *testing.T) {
 	spec := scenario.Default()
 	spec.Length, spec.Load.CapacityShare = scenario.Duration(12*time.Second), 0.3
 	spec.Fleet.Kinds[0].CallbackLossShare, spec.Fleet.Kinds[1].CallbackLossShare = 0, 0
