--- a/internal/link/worker_attempts_test.go
+++ b/internal/link/worker_attempts_test.go
@@ -351,30 +351,57 @@
 	next.expect("answered", q, dispatch.Cancelled)
 }
 
-// An attempt that was given up before its connection was up, or before it was accepted, is given up by closing that: what comes
-// up late carries nothing.
-func TestAttemptAbandonedBeforeItIsAccepted(t *testing.T) {
-	for name, far := range map[string]func(p *delayedPeer){
-		"not connected": func(*delayedPeer) {},
-		"connected":     (*delayedPeer).release,
-	} {
-		t.Run(name, func(t *testing.T) {
-			w := newAttemptHarness(t)
-			links := w.delayConnections()
-			q := w.sendAttempt(0)
-			p := (*links)[0]
-			far(p)
-			w.runIterations()
-			p.read(1 << 12)
-			sent := len(p.received)
-			w.runActions(dispatch.Cancel{Job: q.ID})
-			w.expect("given up", q, dispatch.Cancelled)
-			p.release()
-			w.runIterations()
-			if p.read(1 << 12); !p.ended || len(p.received) != sent || len(*links) != 1 {
-				t.Errorf("closed %v, and %d more bytes came; %d connections", p.ended, len(p.received)-sent, len(*links))
-			}
-		})
+// An attempt that was given up before its connection was up is given up by closing that: what comes up late carries nothing.
+func TestAttemptAbandonedBeforeItIsWritten(t *testing.T) {
+	w := newAttemptHarness(t)
+	links := w.delayConnections()
+	q := w.sendAttempt(0)
+	p := (*links)[0]
+	w.runActions(dispatch.Cancel{Job: q.ID})
+	w.expect("given up", q, dispatch.Cancelled)
+	p.release()
+	w.runIterations()
+	if p.read(1 << 12); !p.ended || len(p.received) != 0 || len(*links) != 1 {
+		t.Errorf("closed %v, and %d bytes came; %d connections", p.ended, len(p.received), len(*links))
+	}
+}
+
+// An attempt that was written and not accepted yet may have been accepted all the same when its connection is closed. It is given
+// up, and may follow elsewhere, by a DELETE that is answered, once its 202 has come.
+func TestCancelOfAWrittenAttemptWaitsForItsAcceptance(t *testing.T) {
+	w := newAttemptHarness(t)
+	q := w.sendAttempt(0)
+	w.runActions(dispatch.Cancel{Job: q.ID})
+	w.expect("not accepted yet", q)
+	p := w.dialed[0]
+	p.write([]byte("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))
+	w.runIterations()
+	w.expect("accepted", q)
+	deleting := w.dialed[len(w.dialed)-1]
+	if deleting.read(1 << 12); !deleting.hasDelete(q) {
+		t.Fatalf("the worker got %q", deleting.received)
+	}
+	w.respondDelete(deleting)
+	w.expect("answered", q, dispatch.Cancelled)
+	if len(w.loop.workers.cancelTries) != 0 {
+		t.Error("the cancellation is still kept")
+	}
+}
+
+// A worker that does not accept what it was written is taken not to: the attempt is given up by closing its connection.
+func TestCancelOfAWrittenAttemptThatIsNotAccepted(t *testing.T) {
+	w := newAttemptHarness(t)
+	q := w.sendAttempt(0)
+	w.runActions(dispatch.Cancel{Job: q.ID})
+	w.now += acceptanceTimeout - time.Millisecond
+	w.runIterations()
+	w.expect("not accepted yet", q)
+	w.now += time.Millisecond
+	w.runIterations()
+	w.expect("not accepted in time", q, dispatch.Cancelled)
+	p := w.dialed[0]
+	if p.read(1 << 12); !p.ended || len(w.dialed) != 1 || len(w.loop.workers.cancelTries) != 0 {
+		t.Errorf("closed %v, %d connections, %d cancellations", p.ended, len(w.dialed), len(w.loop.workers.cancelTries))
 	}
 }
 
--- a/internal/link/worker_cancel.go
+++ b/internal/link/worker_cancel.go
@@ -7,15 +7,41 @@
 )
 
 const (
-	maxCancelTries   = 4 // connections are tried for a DELETE before it is given up
-	cancelRetryDelay = 50 * time.Millisecond
+	maxCancelTries    = 4 // connections are tried for a DELETE before it is given up
+	cancelRetryDelay  = 50 * time.Millisecond
+	acceptanceTimeout = 100 * time.Millisecond // a worker that has not accepted by then is taken not to: a 202 follows the last byte
 )
 
-// Cancel sends a DELETE for an attempt, unless one is on its way.
+// Cancel sends a DELETE for an attempt, unless one is on its way. For an attempt that is written and not accepted yet it waits a
+// moment: closing the connection gives up nothing if the worker's 202 is on its way.
 func (p *workerPool) Cancel(attempt *requests.Attempt) {
-	if _, isCancelling := p.cancelTries[attempt]; !isCancelling {
+	if _, isCancelling := p.cancelTries[attempt]; isCancelling {
+		return
+	}
+	if attempt.Stage >= requests.StageAccepted {
 		p.tryCancel(attempt)
+		return
+	}
+	p.cancelTries[attempt] = 0
+	p.loop.StartTimer(acceptanceTimeout, p, func() {
+		tries, isWaiting := p.cancelTries[attempt]
+		if isWaiting && tries == 0 && attempt.Stage < requests.StageAccepted {
+			delete(p.cancelTries, attempt)
+			p.loop.Requests.CancelUnaccepted(attempt)
+		}
+	})
+}
+
+// handleAccepted sends the DELETE that has waited for an attempt to be accepted, if one has.
+func (p *workerPool) handleAccepted(attempt *requests.Attempt) {
+	if tries, isWaiting := p.cancelTries[attempt]; !isWaiting || tries > 0 {
+		return
+	}
+	if attempt.EndedByWorker() {
+		delete(p.cancelTries, attempt)
+		return
 	}
+	p.tryCancel(attempt)
 }
 
 func (p *workerPool) tryCancel(attempt *requests.Attempt) {
--- a/internal/link/worker_response.go
+++ b/internal/link/worker_response.go
@@ -87,6 +87,7 @@
 	c.setStage(requests.StageAccepted)
 	delete(c.pool.byAttempt, attempt)
 	c.exchange = exchange{}
+	c.pool.handleAccepted(attempt)
 }
 
 // responseFailure returns what a response says went wrong; nil: nothing did.
--- a/internal/requests/lifecycle.go
+++ b/internal/requests/lifecycle.go
@@ -131,14 +131,15 @@
 	t.transport.Abandon(attempt)
 }
 
-// cancel ends an attempt from this side when its request may be sent elsewhere. If it was accepted, it ends only once
-// its worker has confirmed: an attempt elsewhere before that would be a second execution. Until then it is in flight,
-// and callbacks about it count.
+// cancel ends an attempt from this side when its request may be sent elsewhere. If it was written, it ends only once its
+// worker has confirmed: an attempt elsewhere before that would be a second execution. The worker may have accepted what
+// it was just written: a connection that is closed then withdraws nothing. Until it ends it is in flight, and callbacks
+// about it count.
 func (t *Table) cancel(attempt *Attempt, reason Reason) {
 	if attempt.state == attemptCancelling {
 		return
 	}
-	if attempt.Stage < StageAccepted || attempt.Request.IsClosed() {
+	if attempt.Stage < StageWritten || attempt.Request.IsClosed() {
 		t.abandon(attempt, reason)
 		return
 	}
@@ -148,6 +149,13 @@
 	}
 }
 
+// CancelUnaccepted ends an attempt that is being cancelled, and that its worker has not accepted in time.
+func (t *Table) CancelUnaccepted(attempt *Attempt) {
+	if attempt.state == attemptCancelling {
+		t.abandon(attempt, attempt.cancelReason)
+	}
+}
+
 // CancelCompleted takes the result of Transport.Cancel. If the worker has confirmed, the attempt ends. Else it is in
 // flight as before, until the deadline of its request at most, and may be cancelled again.
 func (t *Table) CancelCompleted(attempt *Attempt, confirmed bool) {
--- a/internal/requests/transport.go
+++ b/internal/requests/transport.go
@@ -9,8 +9,8 @@
 	Start(attempt *Attempt)
 	// Abandon lets the worker know that an attempt has ended here.
 	Abandon(attempt *Attempt)
-	// Cancel asks the worker to stop an accepted attempt, which ends once the worker confirms. CancelCompleted
-	// takes the result.
+	// Cancel asks the worker to stop an attempt that was written, once it has accepted it. The attempt ends when the
+	// worker confirms; CancelCompleted takes the result. One that is not accepted in time is passed to CancelUnaccepted.
 	Cancel(attempt *Attempt)
 	// CheckHealth checks whether a worker can be connected to. HealthChecked takes the result.
 	CheckHealth(worker uint64)
--- a/internal/testbed/simulation/worker_conns.go
+++ b/internal/testbed/simulation/worker_conns.go
@@ -124,6 +124,10 @@
 
 // Cancel sends a DELETE, unless one is on its way.
 func (s *workerConns) Cancel(a *requests.Attempt) {
+	if a.Stage < requests.StageAccepted { // nothing is accepted later than written here
+		s.process.requests.CancelUnaccepted(a)
+		return
+	}
 	if _, is := s.cancellations[a]; !is {
 		s.cancellations[a] = 1
 		s.startTask(a.Worker, connTask{taskCancel, a})
