--- a/dispatch/actions.go
+++ b/dispatch/actions.go
@@ -33,6 +33,11 @@
 	SetTimer struct{ After time.Duration }
 	// Subscribe asks for the list of workers and its changes.
 	Subscribe struct{}
+	// TellPeer sends a message to another dispatcher, by its Settings.ReplicaIndex. It may be lost.
+	TellPeer struct {
+		To      int
+		Message PeerMessage
+	}
 	// Log leaves a line for the operators.
 	Log struct{ Text string }
 )
@@ -45,4 +50,5 @@
 func (CloseIdleConnections) action() {}
 func (SetTimer) action()             {}
 func (Subscribe) action()            {}
+func (TellPeer) action()             {}
 func (Log) action()                  {}
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -3,7 +3,7 @@
 // Attempts: sending a job, and what its start teaches. The design learns from starts whether a worker has
 // room.
 
-func (d *Dispatcher) send(job *jobInfo, worker *workerInfo) {
+func (d *Dispatcher) send(job *jobInfo, worker *workerInfo) *attemptInfo {
 	attempt := d.newAttempt(job, worker, d.now)
 	d.addAttempt(attempt)
 	attempt.limitBound = worker.usedSlots+1 > worker.limit
@@ -19,6 +19,7 @@
 	d.guardConnection(attempt)
 	d.emit(Send{Job: job.ID, Worker: worker.ID})
 	d.setTimer(&attempt.timer, d.dueAt(attempt))
+	return attempt
 }
 
 // onStarted takes in a start. Other attempts of the job, and those of ended jobs, are not cancelled: workers
@@ -36,6 +37,7 @@
 	d.setTimer(&attempt.timer, d.dueAt(attempt))
 	if !job.closed {
 		d.dequeue(job) // no further attempt is needed
+		d.withdrawLeases(job)
 	}
 }
 
@@ -56,6 +58,7 @@
 func (d *Dispatcher) observeStartDelay(attempt *attemptInfo) {
 	delay := d.now - attempt.sentAt
 	isPrompt := delay <= d.promptStart(attempt.job.class)
+	d.reportStart(attempt, isPrompt)
 	d.minStartDelay = min(d.minStartDelay, delay)
 	if !isPrompt && d.spansStall(attempt) {
 		return
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -58,6 +58,9 @@
 	d.queue = newJobQueue(len(d.settings.Classes))
 	d.unstarted.pending = make([][]*attemptInfo, len(d.settings.Classes))
 	d.unstarted.first = make([]int, len(d.settings.Classes))
+	d.directory = newPeerDirectory(&d.settings)
+	d.client = leaseClient{byID: map[LeaseID]*leaseInfo{}, freeSlots: map[Shard]int{}}
+	d.coordinator = newCoordinator()
 }
 
 // Step takes in what happened at now and returns dst with the actions that it calls for appended. It keeps neither slice.
@@ -75,7 +78,9 @@
 	for d.timers.first().at <= d.now { // never empty: maintenance sets its timer anew
 		d.onTimer(d.timers.pop())
 	}
+	d.exchangeLeases()
 	d.dispatchQueued()
+	d.exchangeLeases()
 	if next := d.timers.first().at; d.timerAt == 0 || next < d.timerAt {
 		d.timerAt = next
 		d.emit(SetTimer{After: d.timerAt - d.now})
@@ -120,6 +125,8 @@
 		d.onReplicasChanged(event)
 	case ModelUpdate:
 		d.onModelUpdate(event)
+	case PeerTold:
+		d.onPeerTold(event)
 	case Cordoned:
 		d.cordon(event.Worker)
 	case Uncordoned:
@@ -139,6 +146,8 @@
 		d.onObjectivePassed(fired.job)
 	case attemptOverdue:
 		d.onOverdue(fired.attempt)
+	case leaseOverdue:
+		d.onLeaseOverdue(fired.lease)
 	case workerAvailable:
 		d.markDirty(fired.worker)
 	}
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -136,6 +136,11 @@
 		Age       time.Duration
 		LoadShare float64
 	}
+	// PeerTold brings a message of another dispatcher.
+	PeerTold struct {
+		From    int // its Settings.ReplicaIndex
+		Message PeerMessage
+	}
 )
 
 // PastAttempt is an attempt that a resumed job comes with. A worker that is not known stands in no cell and no zone.
@@ -159,5 +164,6 @@
 func (JobResumed) event()         {}
 func (ReplicasChanged) event()    {}
 func (ModelUpdate) event()        {}
+func (PeerTold) event()           {}
 func (Cordoned) event()           {}
 func (Uncordoned) event()         {}
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -36,6 +36,7 @@
 		return
 	}
 	d.dequeue(j)
+	d.withdrawLeases(j)
 	d.cancelTimer(&j.deadlineTimer)
 	d.cancelTimer(&j.objectiveTimer)
 	d.cancelTimer(&j.checksTimer)
--- /dev/null
+++ b/dispatch/leases.go
@@ -0,0 +1,456 @@
+package dispatch
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// Leases, the side of a dispatcher that asks: a queued job asks the coordinator of a shard for slots at a worker
+// that can start it, and is sent there once they are granted. The design sends a job to the least-occupied worker
+// able to start it; what other dispatchers have sent there is known to the coordinator alone. Where no coordinator
+// answers in time, a job is sent by what this dispatcher knows itself.
+const (
+	leaseAnswerTimeout  = 60 * time.Millisecond  // two messages take up to 32 ms, and a process may be held up
+	leaseTries          = 2                      // that are not answered, and the coordinator is passed over
+	leasePatience       = 250 * time.Millisecond // without any answer: a job is then sent without a lease
+	leaseRefresh        = 300 * time.Millisecond // a request that waits is repeated, as its grant may be lost
+	leaseReportInterval = time.Second            // between reports of the leases in use
+	leaseRequestsPerJob = 2                      // at once, in different shards
+	maxRefusedLeases    = MaxExcluded            // granted workers that a job can't use: it is sent without one then
+)
+
+// The share of the result that messages for leases may cost, and the bytes that a job takes of them.
+const (
+	peerBudget      = 0.02
+	leaseBytesOfJob = 160 // a request, its answers, a start, an end, and its part of reports
+	datagramBytes   = 256 // that Settings.PeerCost is the price of
+)
+
+// leaseInfo is a lease that was asked for, or slots that were taken without one.
+type leaseInfo struct {
+	id       LeaseID
+	shard    Shard
+	peer     int          // the coordinator that it was last asked of, or reported to
+	job      *jobInfo     // that it was asked for; nil: it is in use
+	attempt  *attemptInfo // that uses it
+	demand   float64      // slots
+	worker   uint64
+	askedAt  time.Duration // first
+	tries    int           // since the last answer
+	isQueued bool          // as the coordinator says
+	granted  bool
+	timer    timer // when it is to be asked for again
+}
+
+// leaseClient is what a dispatcher keeps of the leases that it asks for.
+type leaseClient struct {
+	byID      map[LeaseID]*leaseInfo
+	lastID    LeaseID
+	granted   []*leaseInfo // and not used yet
+	freeSlots map[Shard]int
+	reportAt  time.Duration
+}
+
+// usesLeases tells whether slots are leased: alone, or where messages cost more than they may, they are not.
+func (d *Dispatcher) usesLeases() bool {
+	costOfJob := d.settings.PeerCost * leaseBytesOfJob / datagramBytes
+	return d.settings.PeerMessages && d.settings.Replicas > 1 && costOfJob <= peerBudget
+}
+
+// awaitsLease tells whether a job is to wait for slots that it has asked for.
+func (j *jobInfo) awaitsLease() bool { return len(j.leases) > 0 }
+
+// requestLease asks for slots for a queued job, in a shard where it has not asked yet.
+func (d *Dispatcher) requestLease(job *jobInfo) {
+	if !d.usesLeases() || job.withoutLease || len(job.leases) >= leaseRequestsPerJob {
+		return
+	}
+	shard, ok := d.chooseShard(job)
+	if !ok || job.isBoundByAttempts() {
+		job.withoutLease = len(job.leases) == 0
+		return
+	}
+	lease := d.newLease(shard, job.demand)
+	lease.job, lease.askedAt = job, d.now
+	job.leases = append(job.leases, lease)
+	d.askForLease(lease)
+}
+
+func (d *Dispatcher) newLease(shard Shard, demand float64) *leaseInfo {
+	d.client.lastID++
+	lease := &leaseInfo{id: d.client.lastID, shard: shard, demand: demand, peer: noPeer}
+	lease.timer = timer{purpose: leaseOverdue, lease: lease}
+	d.client.byID[lease.id] = lease
+	return lease
+}
+
+// isBoundByAttempts tells whether earlier attempts leave a job only workers that share what they know of its key.
+func (j *jobInfo) isBoundByAttempts() bool {
+	return j.class.Idempotency == IdempotentWithKey && j.class.DeduplicationScope != ScopeAll &&
+		slices.ContainsFunc(j.attempts, (*attemptInfo).possiblyExecuted)
+}
+
+// chooseShard is where a job asks next: of two shards drawn, the one with more free slots as far as is known.
+func (d *Dispatcher) chooseShard(job *jobInfo) (best Shard, ok bool) {
+	zones := d.leaseZones(job)
+	if len(zones) == 0 {
+		return Shard{}, false
+	}
+	for range 2 {
+		drawn := Shard{Zone: zones[d.rng.IntN(len(zones))], Number: d.rng.IntN(d.directory.perZone)}
+		isAsked := slices.ContainsFunc(job.leases, func(lease *leaseInfo) bool { return lease.shard == drawn })
+		_, hasCoordinator := d.directory.coordinatorOf(drawn, d.now)
+		if isAsked || !hasCoordinator {
+			continue
+		}
+		if !ok || d.client.freeSlots[drawn] > d.client.freeSlots[best] {
+			best, ok = drawn, true
+		}
+	}
+	return best, ok
+}
+
+// leaseZones are the zones that a job asks in: its dispatcher's own, or, where that has no worker for it, or is
+// asked already and others cost less than a slot in use, all that have one.
+func (d *Dispatcher) leaseZones(job *jobInfo) []int {
+	var zones []int
+	for _, zone := range d.readyZones {
+		if job.class.allows(anyKind, zone) {
+			zones = append(zones, zone)
+		}
+	}
+	isNearOnly := len(job.leases) == 0 || d.settings.CrossZoneCost >= crossCostPerSlot
+	if isNearOnly && slices.Contains(zones, d.settings.Zone) {
+		return []int{d.settings.Zone}
+	}
+	return zones
+}
+
+// askForLease sends a request, for the first time or again.
+func (d *Dispatcher) askForLease(lease *leaseInfo) {
+	peer, ok := d.directory.coordinatorOf(lease.shard, d.now)
+	if !ok {
+		d.dropLease(lease)
+		return
+	}
+	if peer != lease.peer {
+		lease.tries = 0
+	}
+	lease.peer = peer
+	lease.tries++
+	wait := leaseAnswerTimeout
+	if lease.isQueued {
+		wait = leaseRefresh
+	}
+	d.setTimer(&lease.timer, d.now+wait)
+	d.tell(peer, d.leaseRequest(lease))
+}
+
+func (d *Dispatcher) leaseRequest(lease *leaseInfo) LeaseRequest {
+	job := lease.job
+	excluded := slices.Clone(job.refused)
+	for _, attempt := range job.attempts {
+		excluded = append(excluded, attempt.worker.ID)
+	}
+	return LeaseRequest{
+		ID:         lease.id,
+		Shard:      lease.shard,
+		Class:      job.Class,
+		Demand:     job.demand,
+		Work:       d.warmUpCost(job),
+		LongChance: job.longChance,
+		PromoteIn:  job.promoteAt - d.now,
+		Excluded:   excluded[max(0, len(excluded)-MaxExcluded):],
+	}
+}
+
+// onLeaseOverdue repeats a request. Of a coordinator that does not answer the next one is asked.
+func (d *Dispatcher) onLeaseOverdue(lease *leaseInfo) {
+	if lease.job == nil || lease.granted {
+		return
+	}
+	if lease.isQueued { // its answer to this repetition counts anew
+		lease.isQueued = false
+		lease.tries = 0
+		lease.askedAt = d.now
+		d.askForLease(lease)
+		return
+	}
+	if lease.tries >= leaseTries {
+		d.directory.avoid(lease.peer, d.now)
+	}
+	if d.now-lease.askedAt >= leasePatience {
+		d.sendWithoutLease(lease.job)
+		return
+	}
+	d.askForLease(lease)
+}
+
+// sendWithoutLease has a job leave the queue by what this dispatcher knows itself.
+func (d *Dispatcher) sendWithoutLease(job *jobInfo) {
+	job.withoutLease = true
+	d.withdrawLeases(job)
+}
+
+// withdrawLeases ends what a job has asked for.
+func (d *Dispatcher) withdrawLeases(job *jobInfo) {
+	for len(job.leases) > 0 {
+		lease := job.leases[len(job.leases)-1]
+		d.dropLease(lease)
+		d.tell(lease.peer, LeaseReleased{ID: lease.id, Result: NotSent})
+	}
+}
+
+// dropLease forgets a lease.
+func (d *Dispatcher) dropLease(lease *leaseInfo) {
+	if lease.job != nil {
+		lease.job.removeLease(lease)
+		lease.job = nil
+	}
+	d.cancelTimer(&lease.timer)
+	delete(d.client.byID, lease.id)
+}
+
+func (j *jobInfo) removeLease(lease *leaseInfo) {
+	j.leases = slices.DeleteFunc(j.leases, func(other *leaseInfo) bool { return other == lease })
+}
+
+func (d *Dispatcher) onLeaseGranted(from int, message LeaseGranted) {
+	lease := d.client.byID[message.ID]
+	if lease == nil {
+		d.tell(from, LeaseReleased{ID: message.ID, Result: NotSent})
+		return
+	}
+	d.client.freeSlots[lease.shard] = message.FreeSlots
+	if lease.granted {
+		return
+	}
+	lease.granted = true
+	lease.worker = message.Worker
+	lease.peer = from
+	d.cancelTimer(&lease.timer)
+	d.client.granted = append(d.client.granted, lease)
+}
+
+// onLeaseQueued takes in that a request waits: the job asks in another shard too.
+func (d *Dispatcher) onLeaseQueued(message LeaseQueued) {
+	lease := d.client.byID[message.ID]
+	if lease == nil || lease.granted {
+		return
+	}
+	d.client.freeSlots[lease.shard] = message.FreeSlots
+	lease.isQueued = true
+	d.setTimer(&lease.timer, d.now+leaseRefresh)
+	d.requestLease(lease.job)
+}
+
+// useGrants sends jobs on the leases that were granted.
+func (d *Dispatcher) useGrants() {
+	for _, lease := range d.client.granted {
+		job := lease.job
+		if job == nil {
+			continue // another lease of its job was used first
+		}
+		worker := d.workers[lease.worker]
+		if d.mayUseLease(job, worker) {
+			d.sendOnLease(job, worker, lease)
+		} else {
+			d.refuseLease(job, lease)
+		}
+	}
+	clear(d.client.granted)
+	d.client.granted = d.client.granted[:0]
+}
+
+// mayUseLease tells whether a job may be sent to the worker that a coordinator has chosen. One that this dispatcher
+// does not know is never sent anything.
+func (d *Dispatcher) mayUseLease(job *jobInfo, worker *workerInfo) bool {
+	if worker == nil || !worker.Ready || job.heapIndex < 0 || worker == d.reserved && job != d.reservedFor {
+		return false
+	}
+	return job.class.allows(worker.Kind, worker.Zone) && d.mayAttempt(job, worker) && !d.isEjected(worker) &&
+		d.canEarn(job, worker)
+}
+
+func (d *Dispatcher) sendOnLease(job *jobInfo, worker *workerInfo, lease *leaseInfo) {
+	job.removeLease(lease)
+	lease.job = nil
+	d.dequeue(job)
+	d.withdrawLeases(job)
+	attempt := d.send(job, worker)
+	attempt.lease = lease
+	lease.attempt = attempt
+	d.reindex(worker)
+}
+
+// refuseLease gives back a lease that its job can't use. The job asks again.
+func (d *Dispatcher) refuseLease(job *jobInfo, lease *leaseInfo) {
+	d.dropLease(lease)
+	d.tell(lease.peer, LeaseReleased{ID: lease.id, Result: NotSent})
+	if job.heapIndex < 0 {
+		return
+	}
+	job.refused = append(job.refused, lease.worker)
+	if len(job.refused) >= maxRefusedLeases {
+		d.sendWithoutLease(job)
+	} else {
+		d.requestLease(job)
+	}
+}
+
+// takeSlots has the coordinator told, with the next report, of an attempt that was sent without a lease.
+func (d *Dispatcher) takeSlots(attempt *attemptInfo) {
+	if !d.usesLeases() {
+		return
+	}
+	lease := d.newLease(d.directory.shardOf(attempt.worker), attempt.job.demand)
+	lease.granted = true
+	lease.worker = attempt.worker.ID
+	lease.attempt = attempt
+	if peer, ok := d.directory.coordinatorOf(lease.shard, d.now); ok {
+		lease.peer = peer
+	}
+	attempt.lease = lease
+	d.client.reportAt = d.now
+}
+
+// reportStart tells the coordinator whether an attempt has started promptly.
+func (d *Dispatcher) reportStart(attempt *attemptInfo, isPrompt bool) {
+	if attempt.lease != nil {
+		d.tell(attempt.lease.peer, LeaseStarted{ID: attempt.lease.id, Prompt: isPrompt})
+	}
+}
+
+// releaseLease ends the lease of an attempt that has ended.
+func (d *Dispatcher) releaseLease(attempt *attemptInfo) {
+	lease := attempt.lease
+	if lease == nil {
+		return
+	}
+	attempt.lease = nil
+	d.dropLease(lease)
+	d.tell(lease.peer, LeaseReleased{ID: lease.id, Result: attempt.result})
+}
+
+// reportLeases tells each coordinator, now and then, what is in use of its shards.
+func (d *Dispatcher) reportLeases() {
+	if !d.usesLeases() || d.now < d.client.reportAt {
+		return
+	}
+	d.client.reportAt = d.now + leaseReportInterval
+	reports := map[int][]HeldLease{}
+	var peers []int // in the order in which reports are sent
+	for _, lease := range d.leasesWhere((*leaseInfo).isUsed) {
+		if peer, ok := d.directory.coordinatorOf(lease.shard, d.now); ok {
+			lease.peer = peer
+		}
+		if reports[lease.peer] == nil {
+			peers = append(peers, lease.peer)
+		}
+		held := HeldLease{ID: lease.id, Worker: lease.worker, Demand: lease.demand, Started: lease.attempt.started}
+		reports[lease.peer] = append(reports[lease.peer], held)
+	}
+	for _, peer := range peers {
+		d.sendReport(peer, reports[peer])
+	}
+}
+
+func (l *leaseInfo) isUsed() bool { return l.attempt != nil }
+
+// leasesWhere are some of the leases, by their ids: the order of the map decides nothing.
+func (d *Dispatcher) leasesWhere(isMeant func(lease *leaseInfo) bool) []*leaseInfo {
+	var found []*leaseInfo
+	for _, lease := range d.client.byID {
+		if isMeant(lease) {
+			found = append(found, lease)
+		}
+	}
+	slices.SortFunc(found, func(a, b *leaseInfo) int { return cmp.Compare(a.id, b.id) })
+	return found
+}
+
+func (d *Dispatcher) sendReport(peer int, held []HeldLease) {
+	isComplete := len(held) <= MaxReported
+	for part := range slices.Chunk(held, MaxReported) {
+		d.tell(peer, LeaseReport{Complete: isComplete, Leases: part})
+	}
+}
+
+// onPeerRestarted takes in that a peer is a new process: as a coordinator it knows of no lease, as a client it has
+// none.
+func (d *Dispatcher) onPeerRestarted(peer int) {
+	d.freeLeasesOf(peer)
+	d.client.reportAt = d.now
+	isAsked := func(lease *leaseInfo) bool { return lease.job != nil && !lease.granted && lease.peer == peer }
+	for _, lease := range d.leasesWhere(isAsked) {
+		lease.isQueued = false
+		d.setTimer(&lease.timer, d.now)
+	}
+}
+
+// noPeer is the coordinator of a lease that none is known for.
+const noPeer = -1
+
+// tell sends a message to a peer, or handles it where this dispatcher is its own coordinator.
+func (d *Dispatcher) tell(peer int, message PeerMessage) {
+	switch peer {
+	case noPeer:
+	case d.settings.ReplicaIndex:
+		d.ownMessages = append(d.ownMessages, message)
+	default:
+		d.emit(TellPeer{To: peer, Message: message})
+	}
+}
+
+// deliverOwnMessages handles what this dispatcher has told itself.
+func (d *Dispatcher) deliverOwnMessages() {
+	for len(d.ownMessages) > 0 {
+		message := d.ownMessages[0]
+		d.ownMessages = d.ownMessages[1:]
+		d.handlePeerMessage(d.settings.ReplicaIndex, message)
+	}
+	d.ownMessages = nil
+}
+
+// exchangeLeases grants what waits, and uses what was granted.
+func (d *Dispatcher) exchangeLeases() {
+	for {
+		d.deliverOwnMessages()
+		d.grantWaiting()
+		if len(d.ownMessages) == 0 && len(d.client.granted) == 0 {
+			return
+		}
+		d.deliverOwnMessages()
+		d.useGrants()
+	}
+}
+
+// onPeerTold takes in a message of a peer.
+func (d *Dispatcher) onPeerTold(event PeerTold) {
+	isPeer := event.From >= 0 && event.From < d.settings.Replicas && event.From != d.settings.ReplicaIndex
+	if !d.usesLeases() || !isPeer {
+		return
+	}
+	d.directory.hasAnswered(event.From)
+	d.handlePeerMessage(event.From, event.Message)
+}
+
+func (d *Dispatcher) handlePeerMessage(from int, message PeerMessage) {
+	switch message := message.(type) {
+	case LeaseRequest:
+		d.onLeaseRequest(from, message)
+	case LeaseStarted:
+		d.onLeaseStarted(from, message)
+	case LeaseReleased:
+		d.onLeaseReleased(from, message)
+	case LeaseReport:
+		d.onLeaseReport(from, message)
+	case LeaseGranted:
+		d.onLeaseGranted(from, message)
+	case LeaseQueued:
+		d.onLeaseQueued(message)
+	case PeerRestarted:
+		d.onPeerRestarted(from)
+	}
+}
--- a/dispatch/maintenance.go
+++ b/dispatch/maintenance.go
@@ -17,6 +17,8 @@
 		d.subscription = subscribing
 		d.emit(Subscribe{})
 	}
+	d.reportLeases()
+	d.expireLeases()
 	d.decayEstimates()
 	d.assignLots()
 	fleet := d.summarise()
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -132,6 +132,7 @@
 			d.eject(a.worker, false, "silent")
 		}
 	}
+	d.reportStart(a, false)
 	d.adjustLimit(a, false)
 }
 
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -30,7 +30,8 @@
 	}
 	job.shape = shapeOf(d.placementGroups[job.Class], slotBucket(job), len(job.attempts) > 0)
 	d.queue.push(job)
-	if job.inPromotions { // its entry has stayed
+	defer d.requestLease(job) // once it is known when the job is promoted
+	if job.inPromotions {     // its entry has stayed
 		return
 	}
 	// Valuable jobs are promoted sooner: under overload capacity goes to what earns most.
@@ -90,6 +91,10 @@
 		d.deferJob(job)
 		return
 	}
+	if job.awaitsLease() {
+		d.queue.shapes[job.shape].blocked = true
+		return
+	}
 	worker, lacksCapacity := d.chooseWorker(job)
 	if worker == nil && job.demand > 1 && d.now > job.promoteAt {
 		d.reserveWorker(job)
@@ -97,7 +102,7 @@
 	switch {
 	case worker != nil:
 		d.dequeue(job)
-		d.send(job, worker)
+		d.takeSlots(d.send(job, worker))
 		d.reindex(worker)
 	case lacksCapacity:
 		d.queue.shapes[job.shape].blocked = true
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -29,6 +29,12 @@
 	quotaRefilledAt []time.Duration
 	trialTokens     float64 // jobs that may go though thought out of reach
 
+	directory   peerDirectory
+	client      leaseClient
+	coordinator coordinator
+	ownMessages []PeerMessage // to this dispatcher itself, not handled yet
+	readyZones  []int         // that have ready workers, in ascending order
+
 	workers     map[uint64]*workerInfo
 	workerList  []*workerInfo // all workers: the order of the map decides nothing
 	available   workerIndex   // those that may have capacity
@@ -111,6 +117,9 @@
 	inPromotions   bool // it has an entry in a shape's byPromotion
 	heapIndex      int  // in byScore of its shape; -1: it is not queued
 	shape          int
+	leases         []*leaseInfo // that it waits for
+	refused        []uint64     // workers whose slots were granted and can't be used
+	withoutLease   bool         // it leaves without one
 	deferrals      int // passes over the queue that it was set back by
 	attempts       []*attemptInfo
 	inFlight       int           // attempts
@@ -139,6 +148,7 @@
 	limitBound  bool          // the concurrency limit was what bound the worker when it was sent
 	connIdle    time.Duration // how long its connection had been idle; 0: a new one
 	result      Result
+	lease       *leaseInfo // nil: none
 	expectedRun time.Duration // on this worker
 	timer       timer         // when it should have started, or ended
 }
--- a/dispatch/timers.go
+++ b/dispatch/timers.go
@@ -14,6 +14,7 @@
 	job       *jobInfo
 	attempt   *attemptInfo
 	worker    *workerInfo
+	lease     *leaseInfo
 }
 
 // timerPurpose is what a timer is for. Snapshots hold the numbers.
@@ -26,6 +27,7 @@
 	jobObjective
 	attemptOverdue
 	workerAvailable
+	leaseOverdue // snapshots hold none of these
 )
 
 // setTimer has a timer fire at an instant, in place of when it would have, and not within the present step.
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -1,6 +1,9 @@
 package dispatch
 
-import "math"
+import (
+	"math"
+	"slices"
+)
 
 // applyList takes in the entries of a list. A worker that is removed is forgotten once nothing of ours is in flight there.
 func (d *Dispatcher) applyList(e WorkerList) {
@@ -24,6 +27,19 @@
 		}
 	}
 	d.updateAllCordoned()
+	d.updateReadyZones()
+	d.coordinator.members = nil
+}
+
+// updateReadyZones notes which zones have ready workers.
+func (d *Dispatcher) updateReadyZones() {
+	d.readyZones = d.readyZones[:0]
+	for _, w := range d.workerList {
+		if w.Ready && !slices.Contains(d.readyZones, w.Zone) {
+			d.readyZones = append(d.readyZones, w.Zone)
+		}
+	}
+	slices.Sort(d.readyZones)
 }
 
 // applyEntry takes in one entry of a list, and returns its worker; nil: it is removed and was not known.
