--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -1,11 +1,19 @@
 package dispatch
 
-import "slices"
+import (
+	"slices"
+	"time"
+)
 
 // Retries: when a worker may be sent a job, for the first time or again, and what follows from the end of
 // an attempt. The design is silent on them; they follow from the idempotency of a job's class.
 
-const dedupMarginDivisor = 20 // this part of a deduplication window is left for delays
+// dedupMarginDivisor is the part of a deduplication window that is left for delays, or repeatMargin if that is more.
+const dedupMarginDivisor = 20
+
+// repeatMargin is what may pass between the choice of a worker and the last byte there, besides connecting: the
+// process may be held up for 150 ms, a request goes in parts for 50 ms at most, and the rest is for the way.
+const repeatMargin = 210 * time.Millisecond
 
 // provesNotExecuted are the results of attempts that ran nothing.
 var provesNotExecuted = [...]bool{WorkerFull: true, ConnectFailed: true, NotSent: true}
@@ -34,7 +42,7 @@
 	if scope == ScopeZone && a.zone != w.Zone || scope == ScopeCell && a.cell != w.Cell {
 		return false
 	}
-	margin := max(class.DeduplicationWindow/dedupMarginDivisor, d.settings.ConnectTimeout) // to connect
+	margin := max(class.DeduplicationWindow/dedupMarginDivisor, d.settings.ConnectTimeout+repeatMargin)
 	return d.now-a.sentAt < class.DeduplicationWindow-margin
 }
 
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -34,11 +34,11 @@
 
 // open is Open with the system calls that syscalls makes.
 func open(syscalls eventloop.Syscalls, conf config.Config, ops config.Ops, log *logging.Factory, metricTargets ...metrics.Target) (*Loop, error) {
-	now := clock.SinceEpoch(clock.Now)
-	start := newStartup(now)
+	monotonic := clock.SinceEpoch(clock.Now)
+	start := newStartup(monotonic)
 	var loop *Loop
 	err := start.retry(func() (err error) {
-		loop, err = newLoop(log.NewLogger(), log.NewLogger(), now, conf.Limits.Sockets, syscalls)
+		loop, err = newLoop(log.NewLogger(), log.NewLogger(), monotonic, conf.Limits.Sockets, syscalls)
 		return err
 	})
 	if err != nil {
@@ -115,7 +115,9 @@
 		}
 		return policy
 	}
-	l.Requests = requests.New(conf.Settings.AttemptLimit, conf.Settings.Names, newPolicy, conf.KnownEndpoints, l.workers, decisionLog)
+	known := conf.KnownEndpoints
+	known.Receipt.At = l.Now()
+	l.Requests = requests.New(conf.Settings.AttemptLimit, conf.Settings.Names, newPolicy, known, l.workers, decisionLog)
 	if l.Capture != nil {
 		l.Capture.LookupEndpoint = l.Requests.Endpoint
 		l.Requests.AddObserver(l.Capture)
