--- a/dispatch/coordinator.go
+++ b/dispatch/coordinator.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// The coordinator, the side of a dispatcher that leases the slots of a shard's workers to all dispatchers. It goes
-// by the design's sentences: requests that have waited for over tau are granted first, the oldest of them first;
-// otherwise the lowest score is, ties to the oldest; each gets the ready worker with the fewest slots in use, drawn
-// among equals, of those able to start the job now. Only whose slots are counted differs: those of all dispatchers.
+// The coordinator, the side of a dispatcher that leases the slots of a shard's workers to all dispatchers.
+// It goes by the design's sentences: requests that have waited for over tau are granted first, the oldest
+// of them first; otherwise the lowest score is, ties to the oldest; each gets the ready worker with the
+// fewest slots in use, drawn among equals, of those able to start the job now. Only whose slots are counted
+// differs: those of all dispatchers.
 const (
-	waitingSpan = time.Second     // a request that is not repeated for so long is forgotten
-	leaseSpan   = 4 * time.Second // a lease that is not reported for so long is free: four reports are lost
+	waitingSpan = time.Second            // a request that is not repeated for so long is forgotten
+	leaseSpan   = 4 * time.Second        // a lease that is not reported for so long is free: four reports are lost
 	reportDelay = 250 * time.Millisecond // a complete report may be older than what was granted so long ago
-	maxWaiting  = 4096            // requests; further ones are told that they wait, and are forgotten
-	maxGranted  = 1 << 15         // leases
+	maxWaiting  = 4096                   // requests; further ones are told that they wait, and are forgotten
+	maxGranted  = 1 << 15                // leases
 )
 
 // leaseKey names a lease at its coordinator.
@@ -24,8 +25,8 @@
 	id   LeaseID
 }
 
-// coordinator is what a dispatcher knows of the shards that it coordinates.
-type coordinator struct {
+// slotCoordinator is what a dispatcher knows of the shards that it coordinates.
+type slotCoordinator struct {
 	slots     map[uint64]*workerSlots // by worker
 	leases    map[leaseKey]*grantedLease
 	byGrant   []*grantedLease // all of them; each that goes leaves its place to the last
@@ -40,7 +41,7 @@
 	key      leaseKey
 	worker   uint64
 	demand   float64 // slots
-	position int     // in coordinator.byGrant
+	position int     // in slotCoordinator.byGrant
 	at       time.Duration
 	seenAt   time.Duration // last reported
 	bound    bool          // the limit was what bound the worker when it was granted
@@ -56,31 +57,31 @@
 	seenAt    time.Duration // last repeated
 }
 
-func newCoordinator() coordinator {
-	return coordinator{slots: map[uint64]*workerSlots{}, leases: map[leaseKey]*grantedLease{}}
+func newCoordinator() slotCoordinator {
+	return slotCoordinator{slots: map[uint64]*workerSlots{}, leases: map[leaseKey]*grantedLease{}}
 }
 
 func (d *Dispatcher) onLeaseRequest(from int, message LeaseRequest) {
 	if message.Class < 0 || message.Class >= len(d.settings.Classes) || !(message.Demand > 0) {
 		return
 	}
-	c := &d.coordinator
-	if c.since == 0 {
-		c.since = d.now
+	coordinator := &d.coordinator
+	if coordinator.since == 0 {
+		coordinator.since = d.now
 	}
 	key := leaseKey{peer: from, id: message.ID}
-	if lease := c.leases[key]; lease != nil { // its grant was lost, or is on its way
+	if lease := coordinator.leases[key]; lease != nil { // its grant was lost, or is on its way
 		d.tellGranted(lease, message.Shard)
 		return
 	}
-	if waiting := c.findWaiting(key); waiting != nil {
+	if waiting := coordinator.findWaiting(key); waiting != nil {
 		waiting.seenAt = d.now
 	} else if lease := d.grantLease(key, &message); lease != nil {
 		d.tellGranted(lease, message.Shard)
 		return
-	} else if len(c.waiting) < maxWaiting {
+	} else if len(coordinator.waiting) < maxWaiting {
 		promoteAt := d.now + message.PromoteIn
-		c.waiting = append(c.waiting, &waitingRequest{key: key, request: message, at: d.now, promoteAt: promoteAt, seenAt: d.now})
+		coordinator.waiting = append(coordinator.waiting, &waitingRequest{key: key, request: message, at: d.now, promoteAt: promoteAt, seenAt: d.now})
 	}
 	d.tell(from, LeaseQueued{ID: message.ID, FreeSlots: d.freeSlotsOf(message.Shard)})
 }
@@ -90,7 +91,7 @@
 	d.tell(lease.key.peer, LeaseGranted{ID: lease.key.id, Worker: lease.worker, FreeSlots: free})
 }
 
-func (c *coordinator) findWaiting(key leaseKey) *waitingRequest {
+func (c *slotCoordinator) findWaiting(key leaseKey) *waitingRequest {
 	i := slices.IndexFunc(c.waiting, func(w *waitingRequest) bool { return w.key == key })
 	if i < 0 {
 		return nil
@@ -100,13 +101,13 @@
 
 // grantWaiting grants what waits, in the design's order, as far as slots have become free.
 func (d *Dispatcher) grantWaiting() {
-	c := &d.coordinator
-	if c.unchanged || len(c.waiting) == 0 {
+	coordinator := &d.coordinator
+	if coordinator.unchanged || len(coordinator.waiting) == 0 {
 		return
 	}
-	c.unchanged = true
-	slices.SortStableFunc(c.waiting, d.compareWaiting)
-	c.waiting = slices.DeleteFunc(c.waiting, func(w *waitingRequest) bool {
+	coordinator.unchanged = true
+	slices.SortStableFunc(coordinator.waiting, d.compareWaiting)
+	coordinator.waiting = slices.DeleteFunc(coordinator.waiting, func(w *waitingRequest) bool {
 		if d.now-w.seenAt > waitingSpan {
 			return true
 		}
@@ -135,22 +136,23 @@
 
 // grantLease leases slots of the least-occupied worker that can start a job; nil: there is none.
 func (d *Dispatcher) grantLease(key leaseKey, request *LeaseRequest) *grantedLease {
-	c := &d.coordinator
+	coordinator := &d.coordinator
 	worker := d.chooseLeasedWorker(request)
-	if worker == nil || len(c.leases) >= maxGranted {
+	if worker == nil || len(coordinator.leases) >= maxGranted {
 		return nil
 	}
-	slots := c.slotsOf(worker.ID)
+	slots := coordinator.slotsOf(worker.ID)
 	isBound := slots.used+request.Demand+1 > slots.limit
 	if d.warmUpShare(worker) < 1 {
 		slots.warmUpSpends = append(slots.warmUpSpends, spend{at: d.now, work: request.Work})
 	}
 	lease := &grantedLease{key: key, worker: worker.ID, demand: request.Demand, at: d.now, seenAt: d.now, bound: isBound}
-	c.addLease(lease)
+	coordinator.addLease(lease)
 	return lease
 }
 
-// chooseLeasedWorker is the least-occupied worker of a shard that can start a job now, drawn among equals by speed.
+// chooseLeasedWorker is the least-occupied worker of a shard that can start a job now, drawn among equals
+// by speed.
 func (d *Dispatcher) chooseLeasedWorker(request *LeaseRequest) (chosen *workerInfo) {
 	least, weights := 0.0, 0.0
 	for _, worker := range d.membersOf(request.Shard) {
@@ -184,15 +186,15 @@
 
 // membersOf are the workers of a shard, by the list that this dispatcher has.
 func (d *Dispatcher) membersOf(shard Shard) []*workerInfo {
-	c := &d.coordinator
-	if c.members == nil {
-		c.members = map[Shard][]*workerInfo{}
+	coordinator := &d.coordinator
+	if coordinator.members == nil {
+		coordinator.members = map[Shard][]*workerInfo{}
 		for _, worker := range d.workerList {
 			of := d.directory.shardOf(worker)
-			c.members[of] = append(c.members[of], worker)
+			coordinator.members[of] = append(coordinator.members[of], worker)
 		}
 	}
-	return c.members[shard]
+	return coordinator.members[shard]
 }
 
 // freeSlotsOf are the slots that a shard has free, less those that are waited for.
@@ -228,42 +230,42 @@
 
 // onLeaseReleased frees what a dispatcher does not need any more, and learns from how its attempt ended.
 func (d *Dispatcher) onLeaseReleased(from int, message LeaseReleased) {
-	c := &d.coordinator
+	coordinator := &d.coordinator
 	key := leaseKey{peer: from, id: message.ID}
-	c.waiting = slices.DeleteFunc(c.waiting, func(w *waitingRequest) bool { return w.key == key })
-	lease := c.leases[key]
+	coordinator.waiting = slices.DeleteFunc(coordinator.waiting, func(w *waitingRequest) bool { return w.key == key })
+	lease := coordinator.leases[key]
 	if lease == nil {
 		return
 	}
-	d.leaseHasEnded(lease, c.slotsOf(lease.worker), message.Result)
-	c.freeLease(lease)
+	d.leaseHasEnded(lease, coordinator.slotsOf(lease.worker), message.Result)
+	coordinator.freeLease(lease)
 }
 
-// onLeaseReport brings what is known of a dispatcher's leases in line with what it says. Leases that are not known
-// were granted by an earlier coordinator, or their slots were taken without one.
+// onLeaseReport brings what is known of a dispatcher's leases in line with what it says. Leases that are
+// not known were granted by an earlier coordinator, or their slots were taken without one.
 func (d *Dispatcher) onLeaseReport(from int, message LeaseReport) {
-	c := &d.coordinator
-	if c.since == 0 {
-		c.since = d.now
+	coordinator := &d.coordinator
+	if coordinator.since == 0 {
+		coordinator.since = d.now
 	}
 	for _, held := range message.Leases {
 		key := leaseKey{peer: from, id: held.ID}
-		lease := c.leases[key]
+		lease := coordinator.leases[key]
 		if lease == nil {
-			if len(c.leases) >= maxGranted || !(held.Demand > 0) {
+			if len(coordinator.leases) >= maxGranted || !(held.Demand > 0) {
 				continue
 			}
 			lease = &grantedLease{key: key, worker: held.Worker, demand: held.Demand, at: d.now}
-			c.addLease(lease)
+			coordinator.addLease(lease)
 		}
 		if held.Started && !lease.started {
 			lease.started = true
-			c.slotsOf(lease.worker).running += lease.demand
+			coordinator.slotsOf(lease.worker).running += lease.demand
 		}
 		lease.seenAt = d.now
 	}
 	if message.Complete {
-		c.freeWhere(func(lease *grantedLease) bool {
+		coordinator.freeWhere(func(lease *grantedLease) bool {
 			return lease.key.peer == from && lease.seenAt != d.now && d.now-lease.at > reportDelay
 		})
 	}
@@ -271,32 +273,33 @@
 
 // freeLeasesOf frees all that a dispatcher had.
 func (d *Dispatcher) freeLeasesOf(peer int) {
-	c := &d.coordinator
-	c.waiting = slices.DeleteFunc(c.waiting, func(w *waitingRequest) bool { return w.key.peer == peer })
-	c.freeWhere(func(lease *grantedLease) bool { return lease.key.peer == peer })
+	coordinator := &d.coordinator
+	coordinator.waiting = slices.DeleteFunc(coordinator.waiting, func(w *waitingRequest) bool { return w.key.peer == peer })
+	coordinator.freeWhere(func(lease *grantedLease) bool { return lease.key.peer == peer })
 }
 
-// expireLeases frees what is not reported any more, and forgets workers that are not listed and have no lease.
+// expireLeases frees what is not reported any more, and forgets workers that are not listed and have no
+// lease.
 func (d *Dispatcher) expireLeases() {
-	c := &d.coordinator
-	c.freeWhere(func(lease *grantedLease) bool { return d.now-lease.seenAt > leaseSpan })
-	for id, slots := range c.slots {
+	coordinator := &d.coordinator
+	coordinator.freeWhere(func(lease *grantedLease) bool { return d.now-lease.seenAt > leaseSpan })
+	for id, slots := range coordinator.slots {
 		if slots.used == 0 && d.workers[id] == nil {
-			delete(c.slots, id)
+			delete(coordinator.slots, id)
 		}
 	}
-	c.unchanged = false // workers warm up, and are trusted again
+	coordinator.unchanged = false // workers warm up, and are trusted again
 	d.grantWaiting()
 }
 
-func (c *coordinator) addLease(lease *grantedLease) {
+func (c *slotCoordinator) addLease(lease *grantedLease) {
 	lease.position = len(c.byGrant)
 	c.byGrant = append(c.byGrant, lease)
 	c.leases[lease.key] = lease
 	c.slotsOf(lease.worker).used += lease.demand
 }
 
-func (c *coordinator) freeLease(lease *grantedLease) {
+func (c *slotCoordinator) freeLease(lease *grantedLease) {
 	slots := c.slotsOf(lease.worker)
 	slots.used = max(0, slots.used-lease.demand)
 	if lease.started {
@@ -310,7 +313,7 @@
 	c.unchanged = false
 }
 
-func (c *coordinator) freeWhere(isOver func(lease *grantedLease) bool) {
+func (c *slotCoordinator) freeWhere(isOver func(lease *grantedLease) bool) {
 	for i := len(c.byGrant) - 1; i >= 0; i-- { // the last takes the place of each that goes
 		if lease := c.byGrant[i]; isOver(lease) {
 			c.freeLease(lease)
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -31,18 +31,18 @@
 }
 
 // closeJob ends a job that has had its final answer, or needs none. It is forgotten once nothing is in flight.
-func (d *Dispatcher) closeJob(j *jobInfo) {
-	if j == nil {
+func (d *Dispatcher) closeJob(job *jobInfo) {
+	if job == nil {
 		return
 	}
-	d.dequeue(j)
-	d.withdrawLeases(j)
-	d.cancelTimer(&j.deadlineTimer)
-	d.cancelTimer(&j.objectiveTimer)
-	d.cancelTimer(&j.checksTimer)
-	j.closed = true
-	if j.inFlight == 0 {
-		delete(d.jobs, j.ID)
+	d.dequeue(job)
+	d.withdrawLeases(job)
+	d.cancelTimer(&job.deadlineTimer)
+	d.cancelTimer(&job.objectiveTimer)
+	d.cancelTimer(&job.checksTimer)
+	job.closed = true
+	if job.inFlight == 0 {
+		delete(d.jobs, job.ID)
 	}
 }
 
--- a/dispatch/picker.go
+++ b/dispatch/picker.go
@@ -115,11 +115,9 @@
 	return cost, weight, fresh
 }
 
-// anyKind stands for all kinds of workers.
-const anyKind = -1
-
 // allows binds a class to kinds and zones of workers at every attempt, whatever is down or full.
 func (c *Class) allows(kind, zone int) bool {
-	return (c.Kinds == nil || kind == anyKind || slices.Contains(c.Kinds, kind)) &&
-		(c.Zones == nil || slices.Contains(c.Zones, zone))
+	return (c.Kinds == nil || slices.Contains(c.Kinds, kind)) && c.allowsZone(zone)
 }
+
+func (c *Class) allowsZone(zone int) bool { return c.Zones == nil || slices.Contains(c.Zones, zone) }
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -28,7 +28,8 @@
 	if job.heapIndex >= 0 || job.closed || job.streaming {
 		return
 	}
-	job.shape = shapeOf(d.placementGroups[job.Class], slotBucket(job), len(job.attempts) > 0)
+	isRestricted := len(job.attempts) > 0 || job.withoutLease
+	job.shape = shapeOf(d.placementGroups[job.Class], slotBucket(job), isRestricted)
 	d.queue.push(job)
 	defer d.requestLease(job) // once it is known when the job is promoted
 	if job.inPromotions {     // its entry has stayed
@@ -92,7 +93,7 @@
 		return
 	}
 	if job.awaitsLease() {
-		d.queue.shapes[job.shape].blocked = true
+		d.setAside(job)
 		return
 	}
 	worker, lacksCapacity := d.chooseWorker(job)
@@ -111,6 +112,16 @@
 	}
 }
 
+// setAside passes over a job that awaits a lease, and the jobs of its shape, which do so too. Among jobs
+// that were sent before there are also such as leave without one.
+func (d *Dispatcher) setAside(job *jobInfo) {
+	if len(job.attempts) == 0 {
+		d.queue.shapes[job.shape].blocked = true
+	} else {
+		d.deferJob(job)
+	}
+}
+
 // isSharded tells whether each worker is assigned to a few dispatchers, so that how our own jobs fare there
 // tells of their capacity.
 func (d *Dispatcher) isSharded() bool { return len(d.workerList) > 0 && d.workerList[0].Assignees > 1 }
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -8,11 +8,13 @@
 // Retries: when a worker may be sent a job, for the first time or again, and what follows from the end of
 // an attempt. The design is silent on them; they follow from the idempotency of a job's class.
 
-// dedupMarginDivisor is the part of a deduplication window that is left for delays, or repeatMargin if that is more.
+// dedupMarginDivisor is the part of a deduplication window that is left for delays, or repeatMargin if that
+// is more.
 const dedupMarginDivisor = 20
 
-// repeatMargin is what may pass between the choice of a worker and the last byte there, besides connecting: the
-// process may be held up for 150 ms, a request goes in parts for 50 ms at most, and the rest is for the way.
+// repeatMargin is what may pass between the choice of a worker and the last byte there, besides connecting:
+// the process may be held up for 150 ms, a request goes in parts for 50 ms at most, and the rest is for the
+// way.
 const repeatMargin = 210 * time.Millisecond
 
 // provesNotExecuted are the results of attempts that ran nothing.
--- a/dispatch/shards.go
+++ b/dispatch/shards.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Shards of workers and their coordinators. All dispatchers deal the workers of a zone to the same shards, and
-// rank the same dispatchers for each shard, by rendezvous hashing: the first of them that answers coordinates it.
-// The design is silent on it. Two that disagree for a while grant the same slots twice, which costs a wait at a
-// worker and breaks nothing.
+// Shards of workers and their coordinators. All dispatchers deal the workers of a zone to the same shards,
+// and rank the same dispatchers for each shard, by rendezvous hashing: the first of them that answers
+// coordinates it. The design is silent on it. Two that disagree for a while grant the same slots twice,
+// which costs a wait at a worker and breaks nothing.
 const (
 	replicasPerShard = 20              // dispatchers that share a shard, in the mean: their traffic is one's work
 	maxRanked        = 8               // dispatchers that are ranked for a shard
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -31,7 +31,7 @@
 
 	directory   peerDirectory
 	client      leaseClient
-	coordinator coordinator
+	coordinator slotCoordinator
 	ownMessages []PeerMessage // to this dispatcher itself, not handled yet
 	readyZones  []int         // that have ready workers, in ascending order
 
@@ -120,7 +120,7 @@
 	leases         []*leaseInfo // that it waits for
 	refused        []uint64     // workers whose slots were granted and can't be used
 	withoutLease   bool         // it leaves without one
-	deferrals      int // passes over the queue that it was set back by
+	deferrals      int          // passes over the queue that it was set back by
 	attempts       []*attemptInfo
 	inFlight       int           // attempts
 	warmUpDraw     float64       // above 0 and up to 1, for the lots of warming workers; 0: not drawn yet
@@ -148,7 +148,7 @@
 	limitBound  bool          // the concurrency limit was what bound the worker when it was sent
 	connIdle    time.Duration // how long its connection had been idle; 0: a new one
 	result      Result
-	lease       *leaseInfo // nil: none
+	lease       *leaseInfo    // nil: none
 	expectedRun time.Duration // on this worker
 	timer       timer         // when it should have started, or ended
 }
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -72,6 +72,7 @@
 	w.timer = timer{purpose: workerAvailable, worker: w}
 	d.workers[id] = w
 	d.workerList = append(d.workerList, w)
+	d.coordinator.members = nil
 }
 
 // forgetWorker drops a worker that is not listed any more, once nothing of ours is in flight there.
@@ -80,6 +81,7 @@
 		return
 	}
 	delete(d.workers, w.ID)
+	d.coordinator.members = nil
 	d.available.drop(w)
 	d.cancelTimer(&w.timer)
 	last := d.workerList[len(d.workerList)-1]
--- a/dispatch/workerslots.go
+++ b/dispatch/workerslots.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// The slots of a worker as its coordinator counts them, over all dispatchers, by the design's room rule: each worker
-// starts with room for one job; the limit grows by one when a job that it bounded starts promptly, and halves on a
-// rejection or failure.
+// The slots of a worker as its coordinator counts them, over all dispatchers, by the design's room rule:
+// each worker starts with room for one job; the limit grows by one when a job that it bounded starts
+// promptly, and halves on a rejection or failure.
 
-// warmUpLeaseMargin is the part of a warming worker's budget that leases may take. Two coordinators may do so at once
-// while dispatchers disagree, and what is sent without a lease takes warmUpMargin more.
+// warmUpLeaseMargin is the part of a warming worker's budget that leases may take. Two coordinators may do
+// so at once while dispatchers disagree, and what is sent without a lease takes warmUpMargin more.
 const warmUpLeaseMargin = 0.25
 
 // workerSlots are the slots of a worker that all dispatchers have.
@@ -27,7 +27,7 @@
 }
 
 // slotsOf is what is known of a worker's slots.
-func (c *coordinator) slotsOf(worker uint64) *workerSlots {
+func (c *slotCoordinator) slotsOf(worker uint64) *workerSlots {
 	slots := c.slots[worker]
 	if slots == nil {
 		slots = &workerSlots{limit: 1}
@@ -66,7 +66,8 @@
 	slots.limit = max(1, slots.limit-1)
 }
 
-// leaseHasEnded takes in the end of an attempt. A worker that fails several in a row is left alone for a while.
+// leaseHasEnded takes in the end of an attempt. A worker that fails several in a row is left alone for a
+// while.
 func (d *Dispatcher) leaseHasEnded(lease *grantedLease, slots *workerSlots, result Result) {
 	switch result {
 	case OK:
@@ -86,8 +87,8 @@
 	}
 }
 
-// warmUpLeaseAllows keeps what is leased of a warming worker under the leases' part of its budget. A coordinator that
-// is new does not know yet what others were granted.
+// warmUpLeaseAllows keeps what is leased of a warming worker under the leases' part of its budget. A
+// coordinator that is new does not know yet what others were granted.
 func (d *Dispatcher) warmUpLeaseAllows(request *LeaseRequest, worker *workerInfo, slots *workerSlots) bool {
 	if d.warmUpShare(worker) >= 1 {
 		slots.warmUpSpends = nil
