--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -5,9 +5,13 @@
 	"time"
 
 	"valvecove/dispatch"
+	"valvecove/internal/gossip"
 	"valvecove/internal/simwire"
 )
 
+// incarnationUnit is the unit of the simulator's clock that incarnations count: no instance starts anew within it.
+const incarnationUnit = time.Millisecond
+
 // adapter holds the instances by their numbers.
 type adapter struct {
 	instances map[int]*instance
@@ -18,6 +22,7 @@
 type instance struct {
 	dispatcher *dispatch.Dispatcher // nil: stopped, or not started yet
 	events     []dispatch.Event
+	node       *gossip.Node // its exchanges with other instances
 }
 
 func newAdapter() *adapter { return &adapter{instances: map[int]*instance{}} }
@@ -27,7 +32,7 @@
 func (a *adapter) process(batch simwire.Batch, writer *simwire.Writer) {
 	a.active = a.active[:0]
 	for _, input := range batch.Inputs {
-		a.accept(input)
+		a.accept(batch.Now, input)
 	}
 	for _, number := range a.active {
 		a.instance(number).step(number, batch.Now, writer)
@@ -45,26 +50,45 @@
 }
 
 // accept takes in one input.
-func (a *adapter) accept(input simwire.Input) {
+func (a *adapter) accept(now time.Duration, input simwire.Input) {
 	target := a.instance(input.Instance)
 	switch message := input.Message.(type) {
 	case simwire.Start:
 		target.dispatcher = dispatch.New(message.Settings, message.Seed)
 		target.events = target.events[:0]
+		target.node = gossip.New(gossip.Config{
+			Self:        message.Settings.ReplicaIndex,
+			Peers:       message.Settings.Replicas,
+			Incarnation: uint32(now / incarnationUnit),
+		})
 	case simwire.Stop:
 		target.dispatcher = nil
 		target.events = target.events[:0]
 	case simwire.Event:
+		a.addEvent(input.Instance, message.Event)
+	case simwire.PeerDatagram:
 		if target.dispatcher == nil {
 			return
 		}
-		if len(target.events) == 0 {
-			a.active = append(a.active, input.Instance)
+		messages, _ := target.node.Receive(now, message.From, message.Payload) // one that is faulty is dropped
+		for _, told := range messages {
+			a.addEvent(input.Instance, dispatch.PeerTold{From: message.From, Message: told})
 		}
-		target.events = append(target.events, message.Event)
 	}
 }
 
+// addEvent has an instance act on an event at the end of the batch, if it runs.
+func (a *adapter) addEvent(number int, event dispatch.Event) {
+	target := a.instance(number)
+	if target.dispatcher == nil {
+		return
+	}
+	if len(target.events) == 0 {
+		a.active = append(a.active, number)
+	}
+	target.events = append(target.events, event)
+}
+
 // step lets an instance act on its events. It does nothing if there are none: the instance was stopped, or has acted
 // already where it stands twice among the active ones. A panic is reported in the reply and goes no further.
 func (i *instance) step(number int, now time.Duration, writer *simwire.Writer) {
@@ -78,5 +102,14 @@
 		clear(i.events)
 		i.events = i.events[:0]
 	}()
-	writer.Actions(number, i.dispatcher.Step(now, i.events, nil))
+	actions := i.dispatcher.Step(now, i.events, nil)
+	writer.Actions(number, actions)
+	for _, action := range actions {
+		if told, ok := action.(dispatch.TellPeer); ok {
+			i.node.Queue(told.To, told.Message)
+		}
+	}
+	for _, datagram := range i.node.Flush() {
+		writer.PeerDatagram(number, datagram.To, datagram.Bytes)
+	}
 }
--- a/dispatch/peermessage.go
+++ b/dispatch/peermessage.go
@@ -76,7 +76,7 @@
 // Bounds of the lists in messages.
 const (
 	MaxExcluded = 4
-	MaxReported = 20
+	MaxReported = 16
 )
 
 func (LeaseRequest) peerMessage()  {}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -9,6 +9,7 @@
 	"net/netip"
 	"os"
 	"reflect"
+	"slices"
 
 	"valvecove/internal/requests"
 )
@@ -22,6 +23,10 @@
 	Management netip.AddrPort
 	// StateDir holds what outlives the process, for the one that replaces it: $TMPDIR if Management is valid, else empty.
 	StateDir string
+	// PeerListen is where datagrams of other schedulers arrive, and Peers are the addresses from which they come, by the
+	// schedulers' numbers, this one's included; not valid and nil: schedulers tell each other nothing.
+	PeerListen netip.AddrPort
+	Peers      []netip.AddrPort
 	// Seed is that of all random draws.
 	Seed   uint64
 	Limits Limits
@@ -88,6 +93,8 @@
 		{"name", next.Name != c.Name},
 		{"listen", next.Listen != c.Listen},
 		{"management", next.Management != c.Management},
+		{"peer_listen", next.PeerListen != c.PeerListen},
+		{"peers", !slices.Equal(next.Peers, c.Peers)},
 		{"limits.cores", next.Limits.Cores != c.Limits.Cores},
 		{"settings", !reflect.DeepEqual(next.Settings, c.Settings)},
 	} {
@@ -98,6 +105,8 @@
 	next.Name = c.Name
 	next.Listen = c.Listen
 	next.Management = c.Management
+	next.PeerListen = c.PeerListen
+	next.Peers = c.Peers
 	next.StateDir = c.StateDir
 	next.Seed = c.Seed
 	next.Limits.Cores = c.Limits.Cores
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -34,6 +34,8 @@
 	settingsDecoder                     settingsDecoder
 	hasSettings                         bool
 	listen, discovery, management, seed string
+	peerListen                          string
+	peers                               []string
 }
 
 func newPlatformDecoder(text []byte) *platformDecoder {
@@ -48,13 +50,15 @@
 // read reads the whole text.
 func (d *platformDecoder) read() {
 	d.object(fields{
-		"name":       func() { d.config.Name = d.text() },
-		"listen":     func() { d.listen = d.text() },
-		"discovery":  func() { d.discovery = d.text() },
-		"management": func() { d.management = d.text() },
-		"seed":       func() { d.seed = d.text() },
-		"limits":     func() { d.readLimits(&d.config.Limits) },
-		"known":      func() { d.value(&d.config.KnownEndpoints) },
+		"name":        func() { d.config.Name = d.text() },
+		"listen":      func() { d.listen = d.text() },
+		"discovery":   func() { d.discovery = d.text() },
+		"peer_listen": func() { d.peerListen = d.text() },
+		"peers":       func() { d.peers = d.texts() },
+		"management":  func() { d.management = d.text() },
+		"seed":        func() { d.seed = d.text() },
+		"limits":      func() { d.readLimits(&d.config.Limits) },
+		"known":       func() { d.value(&d.config.KnownEndpoints) },
 		"settings": func() {
 			d.hasSettings = true
 			d.settingsDecoder.read()
@@ -74,6 +78,7 @@
 		d.config.Management = d.address("management", d.management, "PROXY_MANAGEMENT", env)
 		d.config.StateDir = env("TMPDIR")
 	}
+	d.completePeers(env)
 	d.config.Seed = parseSeed(d.seed, d.config.Name)
 	if !d.hasSettings {
 		d.errors.add(newKeyError([]string{"settings"}, &MissingError{}))
@@ -82,6 +87,31 @@
 	d.config.Settings.check(&d.errors, "settings")
 }
 
+// completePeers reads where other schedulers are. Without both keys, or where the settings don't allow it, schedulers tell
+// each other nothing.
+func (d *platformDecoder) completePeers(env func(string) string) {
+	settings := &d.config.Settings
+	isComplete := d.peerListen != "" && len(d.peers) > 0
+	settings.PeerMessages = settings.PeerMessages && isComplete
+	if !settings.PeerMessages {
+		return
+	}
+	if len(d.peers) != settings.Replicas {
+		err := &ValueError{Expected: "an address for each of settings.replicas_of_me", Value: len(d.peers)}
+		d.errors.add(newKeyError([]string{"peers"}, err))
+		return
+	}
+	d.config.PeerListen = d.address("peer_listen", d.peerListen, "", env)
+	for i, text := range d.peers {
+		address, err := netip.ParseAddrPort(text)
+		if err != nil {
+			fault := &ValueError{Expected: "an address and port", Value: text}
+			d.errors.add(newKeyError([]string{"peers", strconv.Itoa(i)}, fault))
+		}
+		d.config.Peers = append(d.config.Peers, address)
+	}
+}
+
 // address parses the value of a key, or that of an environment variable if the value is empty.
 func (d *platformDecoder) address(key, value, variable string, env func(string) string) netip.AddrPort {
 	path := []string{key}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -66,6 +66,7 @@
 
 // combine sets what several keys decide together.
 func (d *settingsDecoder) combine() {
+	d.settings.ZoneCount = len(d.settings.Names.Zones)
 	if d.sendRetryAfter {
 		d.settings.MaxRetryAfter = d.maxRetryAfter
 	}
--- a/internal/config/settings_bounds.go
+++ b/internal/config/settings_bounds.go
@@ -7,6 +7,7 @@
 		"try_limit":       func() { settings.AttemptLimit = d.integer() },
 		"second_copies":   func() { settings.Hedging = d.boolean() },
 		"cancelling":      func() { settings.Cancellation = d.boolean() },
+		"peers":           func() { settings.PeerMessages = d.boolean() },
 		"probes":          func() { settings.HealthChecks = d.boolean() },
 		"retry_after":     func() { d.sendRetryAfter = d.boolean() },
 		"max_retry_after": func() { d.maxRetryAfter = d.duration() },
--- a/internal/config/settings_prices.go
+++ b/internal/config/settings_prices.go
@@ -6,6 +6,7 @@
 	d.object(fields{
 		"probe":      func() { settings.HealthCheckCost = d.number() },
 		"cross_zone": func() { settings.CrossZoneCost = d.number() },
+		"peer":       func() { settings.PeerCost = d.number() },
 		"handshake":  func() { settings.HandshakeCost = d.number() },
 	})
 }
--- a/internal/eventloop/syscalls.go
+++ b/internal/eventloop/syscalls.go
@@ -153,6 +153,23 @@
 	return n, err
 }
 
+// RecvfromAddress is recvfrom(2).
+func (s *Syscalls) RecvfromAddress(fd int, buffer []byte, flags int) (n int, from unix.Sockaddr, err error) {
+	injected := s.intercept(CallReceive, fd)
+	if injected.Errno != 0 {
+		return -1, nil, injected.Errno
+	}
+	return unix.Recvfrom(fd, injected.limit(buffer), flags)
+}
+
+// Sendto is sendto(2).
+func (s *Syscalls) Sendto(fd int, buffer []byte, flags int, to unix.Sockaddr) error {
+	if err := s.fail(CallSendMessage, fd); err != nil {
+		return err
+	}
+	return unix.Sendto(fd, buffer, flags, to)
+}
+
 // Recvmsg is recvmsg(2), without the address.
 func (s *Syscalls) Recvmsg(fd int, buffer, control []byte, flags int) (n, controlSize, receivedFlags int, err error) {
 	injected := s.intercept(CallReceiveMessage, fd)
--- /dev/null
+++ b/internal/gossip/codec.go
@@ -0,0 +1,297 @@
+package gossip
+
+import (
+	"encoding/binary"
+	"errors"
+	"hash/crc32"
+	"math"
+	"time"
+
+	"valvecove/dispatch"
+)
+
+// MaxDatagram is the greatest length of a datagram, in bytes. The platform voids longer ones.
+const MaxDatagram = 256
+
+const (
+	version        = 1
+	checksumOffset = 1
+	checkedOffset  = checksumOffset + 4 // what the checksum is of begins here
+	headerSize     = checkedOffset + 4 + 2
+)
+
+// kind is the first byte of a message.
+type kind byte
+
+// The kinds of messages. They are the wire's: numbers stay.
+const (
+	kindLeaseRequest kind = iota + 1
+	kindLeaseStarted
+	kindLeaseReleased
+	kindLeaseReport
+	kindLeaseGranted
+	kindLeaseQueued
+)
+
+// Resolution of figures on the wire.
+const (
+	slotParts  = 16   // parts of a slot
+	workUnits  = 1000 // of a second of work
+	scoreSteps = math.MaxUint16
+	maxSlots   = 1 << 16
+	maxWork    = 1 << 20 // seconds
+)
+
+// Errors of datagrams that are dropped.
+var (
+	ErrMalformed = errors.New("malformed datagram")
+	ErrVersion   = errors.New("unknown version")
+	ErrChecksum  = errors.New("wrong checksum")
+	ErrTooLong   = errors.New("datagram of over 256 bytes")
+)
+
+var checksumTable = crc32.MakeTable(crc32.Castagnoli)
+
+// header is what a datagram begins with, without version and checksum.
+type header struct {
+	incarnation uint32
+	sequence    uint16
+}
+
+// appendHeader begins a datagram. seal completes it.
+func appendHeader(b []byte, h header) []byte {
+	b = append(b, version, 0, 0, 0, 0)
+	b = binary.LittleEndian.AppendUint32(b, h.incarnation)
+	return binary.LittleEndian.AppendUint16(b, h.sequence)
+}
+
+// seal sets the checksum of a datagram.
+func seal(datagram []byte) {
+	checksum := crc32.Checksum(datagram[checkedOffset:], checksumTable)
+	binary.LittleEndian.PutUint32(datagram[checksumOffset:], checksum)
+}
+
+// parseHeader checks a datagram as a whole, and returns its header and what follows it.
+func parseHeader(datagram []byte) (h header, messages []byte, err error) {
+	switch {
+	case len(datagram) > MaxDatagram:
+		return h, nil, ErrTooLong
+	case len(datagram) < headerSize:
+		return h, nil, ErrMalformed
+	case datagram[0] != version:
+		return h, nil, ErrVersion
+	case binary.LittleEndian.Uint32(datagram[checksumOffset:]) != crc32.Checksum(datagram[checkedOffset:], checksumTable):
+		return h, nil, ErrChecksum
+	}
+	h.incarnation = binary.LittleEndian.Uint32(datagram[checkedOffset:])
+	h.sequence = binary.LittleEndian.Uint16(datagram[checkedOffset+4:])
+	return h, datagram[headerSize:], nil
+}
+
+// appendMessage appends a message. A kind that is not known is a fault of the program, and panics.
+func appendMessage(b []byte, message dispatch.PeerMessage) []byte {
+	switch message := message.(type) {
+	case dispatch.LeaseRequest:
+		return appendLeaseRequest(b, message)
+	case dispatch.LeaseStarted:
+		b = appendID(append(b, byte(kindLeaseStarted)), message.ID)
+		return appendBool(b, message.Prompt)
+	case dispatch.LeaseReleased:
+		b = appendID(append(b, byte(kindLeaseReleased)), message.ID)
+		return append(b, byte(message.Result))
+	case dispatch.LeaseReport:
+		return appendLeaseReport(b, message)
+	case dispatch.LeaseGranted:
+		b = appendID(append(b, byte(kindLeaseGranted)), message.ID)
+		b = binary.LittleEndian.AppendUint64(b, message.Worker)
+		return binary.AppendVarint(b, int64(message.FreeSlots))
+	case dispatch.LeaseQueued:
+		b = appendID(append(b, byte(kindLeaseQueued)), message.ID)
+		return binary.AppendVarint(b, int64(message.FreeSlots))
+	default:
+		panic("gossip: no such message")
+	}
+}
+
+func appendLeaseRequest(b []byte, request dispatch.LeaseRequest) []byte {
+	b = appendID(append(b, byte(kindLeaseRequest)), request.ID)
+	b = binary.AppendUvarint(b, uint64(request.Shard.Zone))
+	b = binary.AppendUvarint(b, uint64(request.Shard.Number))
+	b = binary.AppendUvarint(b, uint64(request.Class))
+	b = appendScaled(b, request.Demand, slotParts, maxSlots)
+	b = appendScaled(b, request.Work, workUnits, maxWork)
+	b = binary.LittleEndian.AppendUint16(b, uint16(min(max(request.LongChance, 0), 1)*scoreSteps))
+	b = binary.AppendVarint(b, request.PromoteIn.Milliseconds())
+	b = append(b, byte(min(len(request.Excluded), dispatch.MaxExcluded)))
+	for _, worker := range request.Excluded[:min(len(request.Excluded), dispatch.MaxExcluded)] {
+		b = binary.LittleEndian.AppendUint64(b, worker)
+	}
+	return b
+}
+
+func appendLeaseReport(b []byte, report dispatch.LeaseReport) []byte {
+	b = appendBool(append(b, byte(kindLeaseReport)), report.Complete)
+	b = append(b, byte(min(len(report.Leases), dispatch.MaxReported)))
+	for _, held := range report.Leases[:min(len(report.Leases), dispatch.MaxReported)] {
+		b = appendID(b, held.ID)
+		b = binary.LittleEndian.AppendUint64(b, held.Worker)
+		b = appendScaled(b, held.Demand, slotParts, maxSlots)
+		b = appendBool(b, held.Started)
+	}
+	return b
+}
+
+func appendID(b []byte, id dispatch.LeaseID) []byte { return binary.AppendUvarint(b, uint64(id)) }
+
+// appendScaled appends a figure as a number of parts, rounded up.
+func appendScaled(b []byte, x float64, parts, limit float64) []byte {
+	if math.IsNaN(x) {
+		x = 0
+	}
+	return binary.AppendUvarint(b, uint64(math.Ceil(min(max(x, 0), limit)*parts)))
+}
+
+func appendBool(b []byte, x bool) []byte {
+	if x {
+		return append(b, 1)
+	}
+	return append(b, 0)
+}
+
+// parseMessages reads all messages of a datagram. One fault voids them all.
+func parseMessages(b []byte) ([]dispatch.PeerMessage, error) {
+	reader := reader{rest: b}
+	var messages []dispatch.PeerMessage
+	for len(reader.rest) > 0 && !reader.failed {
+		messages = append(messages, reader.message())
+	}
+	if reader.failed {
+		return nil, ErrMalformed
+	}
+	return messages, nil
+}
+
+// reader reads fields. After a fault it reads zeros.
+type reader struct {
+	rest   []byte
+	failed bool
+}
+
+func (r *reader) message() dispatch.PeerMessage {
+	switch kind(r.byte()) {
+	case kindLeaseRequest:
+		return r.leaseRequest()
+	case kindLeaseStarted:
+		return dispatch.LeaseStarted{ID: r.id(), Prompt: r.bool()}
+	case kindLeaseReleased:
+		return dispatch.LeaseReleased{ID: r.id(), Result: r.result()}
+	case kindLeaseReport:
+		return r.leaseReport()
+	case kindLeaseGranted:
+		return dispatch.LeaseGranted{ID: r.id(), Worker: r.uint64(), FreeSlots: r.int()}
+	case kindLeaseQueued:
+		return dispatch.LeaseQueued{ID: r.id(), FreeSlots: r.int()}
+	}
+	r.failed = true
+	return nil
+}
+
+func (r *reader) leaseRequest() dispatch.LeaseRequest {
+	request := dispatch.LeaseRequest{
+		ID:         r.id(),
+		Shard:      dispatch.Shard{Zone: r.index(), Number: r.index()},
+		Class:      r.index(),
+		Demand:     r.scaled(slotParts, maxSlots),
+		Work:       r.scaled(workUnits, maxWork),
+		LongChance: float64(r.uint16()) / scoreSteps,
+		PromoteIn:  time.Duration(r.int()) * time.Millisecond,
+	}
+	count := int(r.byte())
+	if count > dispatch.MaxExcluded {
+		r.failed = true
+	}
+	for i := 0; i < count && !r.failed; i++ {
+		request.Excluded = append(request.Excluded, r.uint64())
+	}
+	return request
+}
+
+func (r *reader) leaseReport() dispatch.LeaseReport {
+	report := dispatch.LeaseReport{Complete: r.bool()}
+	count := int(r.byte())
+	if count > dispatch.MaxReported {
+		r.failed = true
+	}
+	for i := 0; i < count && !r.failed; i++ {
+		report.Leases = append(report.Leases, dispatch.HeldLease{
+			ID: r.id(), Worker: r.uint64(), Demand: r.scaled(slotParts, maxSlots), Started: r.bool(),
+		})
+	}
+	return report
+}
+
+// take returns the next bytes.
+func (r *reader) take(count int) []byte {
+	if r.failed || len(r.rest) < count {
+		r.failed = true
+		return make([]byte, count)
+	}
+	taken := r.rest[:count]
+	r.rest = r.rest[count:]
+	return taken
+}
+
+func (r *reader) byte() byte     { return r.take(1)[0] }
+func (r *reader) uint16() uint16 { return binary.LittleEndian.Uint16(r.take(2)) }
+func (r *reader) uint64() uint64 { return binary.LittleEndian.Uint64(r.take(8)) }
+
+func (r *reader) bool() bool {
+	value := r.byte()
+	r.failed = r.failed || value > 1
+	return value == 1
+}
+
+func (r *reader) result() dispatch.Result {
+	result := dispatch.Result(r.byte())
+	r.failed = r.failed || result > dispatch.NotSent
+	return result
+}
+
+func (r *reader) uvarint() uint64 {
+	value, size := binary.Uvarint(r.rest)
+	if r.failed || size <= 0 {
+		r.failed = true
+		return 0
+	}
+	r.rest = r.rest[size:]
+	return value
+}
+
+func (r *reader) id() dispatch.LeaseID {
+	value := r.uvarint()
+	r.failed = r.failed || value > math.MaxUint32
+	return dispatch.LeaseID(value)
+}
+
+// index is a number that counts something from 0.
+func (r *reader) index() int {
+	value := r.uvarint()
+	r.failed = r.failed || value > math.MaxUint16
+	return int(value)
+}
+
+func (r *reader) int() int {
+	value, size := binary.Varint(r.rest)
+	if r.failed || size <= 0 || value < math.MinInt32 || value > math.MaxInt32 {
+		r.failed = true
+		return 0
+	}
+	r.rest = r.rest[size:]
+	return int(value)
+}
+
+func (r *reader) scaled(parts, limit float64) float64 {
+	value := float64(r.uvarint()) / parts
+	r.failed = r.failed || value > limit
+	return value
+}
--- /dev/null
+++ b/internal/gossip/node.go
@@ -0,0 +1,211 @@
+package gossip
+
+import (
+	"errors"
+	"time"
+
+	"valvecove/dispatch"
+)
+
+const (
+	duplicateWindow  = 64              // sequence numbers that are known to have come, or not
+	silenceOfRestart = 2 * time.Second // of the known process: one with a lower incarnation is its successor then
+	maxQueued        = 4096            // messages that wait for Flush; further ones are dropped
+)
+
+// Errors of datagrams that are dropped, besides those of the codec.
+var (
+	ErrStranger  = errors.New("not from a peer")
+	ErrDuplicate = errors.New("repeated, or too late")
+	ErrOutdated  = errors.New("from an earlier process")
+)
+
+// Config is what a node is made of.
+type Config struct {
+	Self        int    // number of this scheduler among its peers, from 0
+	Peers       int    // schedulers, this one included
+	Incarnation uint32 // of this process; each has a greater one than those before, but for a clock that was set back
+}
+
+// Datagram is what is to be sent to a peer.
+type Datagram struct {
+	To    int
+	Bytes []byte
+}
+
+// Node is one scheduler's side of all exchanges.
+type Node struct {
+	config   Config
+	peers    map[int]*peer
+	order    []int // peers with queued messages, the one that has waited longest first
+	queued   int
+	counters Counters
+}
+
+// Counters count since the start.
+type Counters struct {
+	Sent, SentBytes         uint64 // datagrams
+	Received, ReceivedBytes uint64 // datagrams from peers that were good
+	Malformed               uint64 // dropped: header, checksum, version, length or content is wrong
+	Strangers               uint64 // dropped: not from a peer
+	Duplicates              uint64 // dropped: repeated, or too late
+	Outdated                uint64 // dropped: from an earlier process
+	Overflowed              uint64 // messages dropped as too many waited to be sent
+}
+
+// peer is what is known of a peer, and what waits to be sent there.
+type peer struct {
+	isKnown     bool
+	incarnation uint32
+	heardAt     time.Duration
+	newest      uint16 // sequence number
+	seen        uint64 // bit n: newest minus n has come
+	sequence    uint16 // of the next datagram to it
+	outbox      []dispatch.PeerMessage
+}
+
+// New returns a node that has heard of nobody.
+func New(config Config) *Node { return &Node{config: config, peers: map[int]*peer{}} }
+
+// Counters returns the counters.
+func (n *Node) Counters() Counters { return n.counters }
+
+func (n *Node) peer(number int) *peer {
+	known := n.peers[number]
+	if known == nil {
+		known = &peer{}
+		n.peers[number] = known
+	}
+	return known
+}
+
+// Receive returns the messages of a datagram that came from a peer's address. An error says why it was dropped. After a
+// restart of the peer, dispatch.PeerRestarted comes first.
+func (n *Node) Receive(now time.Duration, from int, datagram []byte) ([]dispatch.PeerMessage, error) {
+	messages, err := n.receive(now, from, datagram)
+	switch {
+	case err == nil:
+		n.counters.Received++
+		n.counters.ReceivedBytes += uint64(len(datagram))
+	case errors.Is(err, ErrStranger):
+		n.counters.Strangers++
+	case errors.Is(err, ErrDuplicate):
+		n.counters.Duplicates++
+	case errors.Is(err, ErrOutdated):
+		n.counters.Outdated++
+	default:
+		n.counters.Malformed++
+	}
+	return messages, err
+}
+
+func (n *Node) receive(now time.Duration, from int, datagram []byte) ([]dispatch.PeerMessage, error) {
+	if from < 0 || from >= n.config.Peers || from == n.config.Self {
+		return nil, ErrStranger
+	}
+	header, encoded, err := parseHeader(datagram)
+	if err != nil {
+		return nil, err
+	}
+	messages, err := parseMessages(encoded)
+	if err != nil {
+		return nil, err
+	}
+	sender := n.peer(from)
+	hasRestarted, err := sender.accept(now, header)
+	if err != nil {
+		return nil, err
+	}
+	if hasRestarted {
+		messages = append([]dispatch.PeerMessage{dispatch.PeerRestarted{}}, messages...)
+	}
+	return messages, nil
+}
+
+// accept takes in the header of a good datagram.
+func (p *peer) accept(now time.Duration, h header) (hasRestarted bool, err error) {
+	if !p.isKnown || h.incarnation != p.incarnation {
+		isLater := int32(h.incarnation-p.incarnation) > 0
+		if p.isKnown && !isLater && now-p.heardAt < silenceOfRestart {
+			return false, ErrOutdated
+		}
+		hasRestarted = p.isKnown
+		p.isKnown, p.incarnation = true, h.incarnation
+		p.newest, p.seen = h.sequence, 1
+		p.heardAt = now
+		return hasRestarted, nil
+	}
+	if !p.markSeen(h.sequence) {
+		return false, ErrDuplicate
+	}
+	p.heardAt = now
+	return false, nil
+}
+
+// markSeen reports whether a sequence number comes for the first time, as far as is known.
+func (p *peer) markSeen(sequence uint16) bool {
+	ahead := int16(sequence - p.newest)
+	if ahead > 0 {
+		p.seen = p.seen<<min(ahead, duplicateWindow) | 1
+		p.newest = sequence
+		return true
+	}
+	behind := -int(ahead)
+	if behind >= duplicateWindow || p.seen>>behind&1 == 1 {
+		return false
+	}
+	p.seen |= 1 << behind
+	return true
+}
+
+// Queue has a message sent to a peer with the next Flush. One to a number that is no peer's is dropped.
+func (n *Node) Queue(to int, message dispatch.PeerMessage) {
+	if to < 0 || to >= n.config.Peers || to == n.config.Self {
+		return
+	}
+	if n.queued >= maxQueued {
+		n.counters.Overflowed++
+		return
+	}
+	receiver := n.peer(to)
+	if len(receiver.outbox) == 0 {
+		n.order = append(n.order, to)
+	}
+	receiver.outbox = append(receiver.outbox, message)
+	n.queued++
+}
+
+// Flush returns the datagrams of all queued messages. Bytes are the caller's.
+func (n *Node) Flush() []Datagram {
+	var datagrams []Datagram
+	for _, to := range n.order {
+		receiver := n.peers[to]
+		for len(receiver.outbox) > 0 {
+			datagrams = append(datagrams, Datagram{To: to, Bytes: n.nextDatagram(receiver)})
+		}
+		receiver.outbox = nil
+	}
+	n.order = n.order[:0]
+	n.queued = 0
+	return datagrams
+}
+
+// nextDatagram puts as many of the messages to a peer into a datagram as it holds. Each fits alone.
+func (n *Node) nextDatagram(receiver *peer) []byte {
+	datagram := appendHeader(make([]byte, 0, MaxDatagram), header{n.config.Incarnation, receiver.sequence})
+	receiver.sequence++
+	taken := 0
+	for _, message := range receiver.outbox {
+		longer := appendMessage(datagram, message)
+		if len(longer) > MaxDatagram {
+			break
+		}
+		datagram = longer
+		taken++
+	}
+	receiver.outbox = receiver.outbox[max(taken, 1):] // one that is too long for any datagram is dropped
+	seal(datagram)
+	n.counters.Sent++
+	n.counters.SentBytes += uint64(len(datagram))
+	return datagram
+}
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -46,6 +46,7 @@
 	operators    *operatorListener    // nil: off
 	status       *statusListener      // nil: off
 	exporter     *metrics.Exporter    // nil: off
+	peers        *peerSocket          // nil: schedulers tell each other nothing
 	addressLists *address.AccessLists // nil: off
 	dispatcher   *dispatch.Dispatcher // that decides, in whatever wraps it
 
@@ -75,7 +76,7 @@
 		Syscalls:  syscalls,
 		Hooks: eventloop.Hooks{
 			NextStep:          loop.nextStep,
-			Step:              func(now time.Duration) { loop.Requests.Step(now) },
+			Step:              loop.step,
 			DescriptorsClosed: loop.handleDescriptorsClosed,
 			Woken:             func() { loop.onWake() },
 		},
@@ -88,6 +89,14 @@
 	return loop, nil
 }
 
+// step has the request table step, and sends what its policy has told other schedulers.
+func (l *Loop) step(now time.Duration) {
+	l.Requests.Step(now)
+	if l.peers != nil {
+		l.peers.flush()
+	}
+}
+
 // nextStep returns when the request table is to step next. Once a successor owns it, it never is.
 func (l *Loop) nextStep() (at time.Duration, ok bool) {
 	if l.hasRelinquished() {
--- a/internal/requests/policy.go
+++ b/internal/requests/policy.go
@@ -69,6 +69,13 @@
 	return len(t.pendingEvents) == 0
 }
 
+// AddPeerMessages gives the policy messages of another scheduler, by its number.
+func (t *Table) AddPeerMessages(from int, messages []dispatch.PeerMessage) {
+	for _, message := range messages {
+		t.addEvent(dispatch.PeerTold{From: from, Message: message})
+	}
+}
+
 // addEvent adds an event for the policy's next step.
 func (t *Table) addEvent(event dispatch.Event) { t.pendingEvents = append(t.pendingEvents, event) }
 
@@ -143,6 +150,10 @@
 		t.setPolicyTimer(now + max(action.After, 1))
 	case dispatch.Subscribe:
 		t.WatchEndpoints()
+	case dispatch.TellPeer:
+		if t.TellPeer != nil {
+			t.TellPeer(action.To, action.Message)
+		}
 	case dispatch.Log:
 		t.logPolicyMessage(action.Text)
 	}
--- a/internal/requests/table.go
+++ b/internal/requests/table.go
@@ -10,6 +10,9 @@
 
 // Table is the table of requests and attempts of one scheduler.
 type Table struct {
+	// TellPeer sends a message of the policy to another scheduler, by its number; nil: there is no way to one.
+	TellPeer func(to int, message dispatch.PeerMessage)
+
 	maxAttempts int // of a request
 	names       NameTable
 	transport   Transport
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -43,7 +43,7 @@
 	"FIRST":               decodeResponseStart,
 	"CANCELLED_BY_CLIENT": decodeDisconnect,
 	"WAKEUP":              func(*fields) Message { return Event{dispatch.TimerFired{}} },
-	"PEER_DATA":           func(*fields) Message { return Ignored{} },
+	"PEER_DATA":           decodePeerDatagram,
 }
 
 // decodeInput decodes an event line and, for a worker list, the entries that follow it.
@@ -198,3 +198,7 @@
 	}
 	return worker
 }
+
+func decodePeerDatagram(line *fields) Message {
+	return PeerDatagram{From: int(line.integer("src", required)), Payload: line.bytes("payload")}
+}
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -1,6 +1,7 @@
 package simwire
 
 import (
+	"encoding/base64"
 	"fmt"
 	"math"
 	"strconv"
@@ -53,6 +54,19 @@
 	return value
 }
 
+// bytes returns a required field in base64 with padding; "-" stands for none.
+func (f *fields) bytes(name string) []byte {
+	value, _ := f.find(name)
+	if value == "-" {
+		return nil
+	}
+	decoded, err := base64.StdEncoding.DecodeString(value)
+	if err != nil || value == "" {
+		f.fail(name, "base64", value)
+	}
+	return decoded
+}
+
 func (f *fields) integer(name string, must presence) int64 {
 	value, ok := f.find(name)
 	if !ok && must == optional {
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -36,10 +36,17 @@
 // Event is an event for an instance's dispatch policy.
 type Event struct{ Event dispatch.Event }
 
+// PeerDatagram is a datagram that another instance of the tier has sent.
+type PeerDatagram struct {
+	From    int // its dispatch.Settings.ReplicaIndex
+	Payload []byte
+}
+
 // Ignored is a message of the protocol that the dispatch policy has no use for.
 type Ignored struct{}
 
-func (Start) isMessage()   {}
-func (Stop) isMessage()    {}
-func (Event) isMessage()   {}
-func (Ignored) isMessage() {}
+func (Start) isMessage()        {}
+func (Stop) isMessage()         {}
+func (Event) isMessage()        {}
+func (PeerDatagram) isMessage() {}
+func (Ignored) isMessage()      {}
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"encoding/base64"
 	"fmt"
 	"io"
 	"strconv"
@@ -55,6 +56,11 @@
 	}
 }
 
+// PeerDatagram adds a datagram from an instance to another one of its tier.
+func (w *Writer) PeerDatagram(instance, to int, payload []byte) {
+	fmt.Fprintf(w.output, "MEMO_TO i=%d peer=%d payload=%s\n", instance, to, base64.StdEncoding.EncodeToString(payload))
+}
+
 // Fault adds to the reply that an instance failed.
 func (w *Writer) Fault(instance int, text string) { w.writeText("INTERNAL_ERROR", instance, text) }
 
