--- a/dispatch/coordinator.go
+++ b/dispatch/coordinator.go
@@ -76,6 +76,7 @@
 	}
 	if waiting := coordinator.findWaiting(key); waiting != nil {
 		waiting.seenAt = d.now
+		waiting.request.Demoted = message.Demoted
 	} else if lease := d.grantLease(key, &message); lease != nil {
 		d.tellGranted(lease, message.Shard)
 		return
@@ -122,7 +123,14 @@
 
 // compareWaiting is the order in which requests are granted.
 func (d *Dispatcher) compareWaiting(a, b *waitingRequest) int {
-	isPromoted, isOtherPromoted := a.promoteAt < d.now, b.promoteAt < d.now
+	if a.request.Demoted != b.request.Demoted {
+		if b.request.Demoted {
+			return -1
+		}
+		return 1
+	}
+	isPromoted := a.promoteAt < d.now && !a.request.Demoted
+	isOtherPromoted := b.promoteAt < d.now && !b.request.Demoted
 	switch {
 	case isPromoted && isOtherPromoted:
 		return cmp.Compare(a.promoteAt, b.promoteAt)
--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -52,12 +52,14 @@
 	reportAt  time.Duration
 }
 
-// usesLeases tells whether slots are leased: alone, or where messages cost more than they may, they are not.
-func (d *Dispatcher) usesLeases() bool {
-	costOfJob := d.settings.PeerCost * leaseBytesOfJob / datagramBytes
-	return d.settings.PeerMessages && d.settings.Replicas > 1 && costOfJob <= peerBudget
+// UsesLeases tells whether slots are leased: alone, or where messages cost more than they may, they are not.
+func (s *Settings) UsesLeases() bool {
+	costOfJob := s.PeerCost * leaseBytesOfJob / datagramBytes
+	return s.PeerMessages && s.Replicas > 1 && costOfJob <= peerBudget
 }
 
+func (d *Dispatcher) usesLeases() bool { return d.settings.UsesLeases() }
+
 // awaitsLease tells whether a job is to wait for slots that it has asked for.
 func (j *jobInfo) awaitsLease() bool { return len(j.leases) > 0 }
 
@@ -161,11 +163,21 @@
 		Demand:     job.demand,
 		Work:       d.warmUpCost(job),
 		LongChance: job.longChance,
+		Demoted:    job.demoted(),
 		PromoteIn:  job.promoteAt - d.now,
 		Excluded:   excluded[max(0, len(excluded)-MaxExcluded):],
 	}
 }
 
+// repeatLeaseRequests tells coordinators of what has changed about a job.
+func (d *Dispatcher) repeatLeaseRequests(job *jobInfo) {
+	for _, lease := range slices.Clone(job.leases) {
+		if !lease.granted {
+			d.askForLease(lease)
+		}
+	}
+}
+
 // onLeaseOverdue repeats a request. Of a coordinator that does not answer the next one is asked.
 func (d *Dispatcher) onLeaseOverdue(lease *leaseInfo) {
 	if lease.job == nil || lease.granted {
--- a/dispatch/objective.go
+++ b/dispatch/objective.go
@@ -45,6 +45,7 @@
 	if job.heapIndex >= 0 {
 		job.standing = outOfReach
 		d.queue.reorder(job)
+		d.repeatLeaseRequests(job)
 	}
 	d.setTimer(&job.objectiveTimer, d.now+objectiveRecheck)
 }
--- a/dispatch/peermessage.go
+++ b/dispatch/peermessage.go
@@ -24,6 +24,7 @@
 		Demand     float64       // slots
 		Work       float64       // seconds on a standard core, times slots
 		LongChance float64       // the job's score, from 0 to 1
+		Demoted    bool          // it can't earn in full any more: it is granted after those that can
 		PromoteIn  time.Duration // until the job has been queued for longer than tau; negative: it has been
 		Excluded   []uint64      // workers that the job may not go to, MaxExcluded at most
 	}
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -121,6 +121,7 @@
 	b = appendScaled(b, request.Demand, slotParts, maxSlots)
 	b = appendScaled(b, request.Work, workUnits, maxWork)
 	b = binary.LittleEndian.AppendUint16(b, uint16(min(max(request.LongChance, 0), 1)*scoreSteps))
+	b = appendBool(b, request.Demoted)
 	b = binary.AppendVarint(b, request.PromoteIn.Milliseconds())
 	b = append(b, byte(min(len(request.Excluded), dispatch.MaxExcluded)))
 	for _, worker := range request.Excluded[:min(len(request.Excluded), dispatch.MaxExcluded)] {
@@ -204,6 +205,7 @@
 		Demand:     r.scaled(slotParts, maxSlots),
 		Work:       r.scaled(workUnits, maxWork),
 		LongChance: float64(r.uint16()) / scoreSteps,
+		Demoted:    r.bool(),
 		PromoteIn:  time.Duration(r.int()) * time.Millisecond,
 	}
 	count := int(r.byte())
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -99,7 +99,7 @@
 			return fmt.Errorf("key \"capture.dir\": %w", err)
 		}
 	}
-	hasAperture := ops.Aperture != nil && ops.Aperture.Enabled(conf.Settings.Replicas)
+	hasAperture := ops.Aperture != nil && ops.Aperture.Enabled(conf.Settings.Replicas) && !conf.Settings.UsesLeases()
 	if !hasAperture { // else a state of its own would be missing
 		l.wrapRestored = l.wrapRestoredDispatcher
 	}
--- a/internal/link/peer_socket.go
+++ b/internal/link/peer_socket.go
@@ -52,6 +52,7 @@
 		l.peers.numbers[address] = number
 	}
 	l.Requests.TellPeer = l.peers.node.Queue
+	l.peers.debug()
 	l.peers.open()
 }
 
@@ -118,3 +119,8 @@
 
 // HandlePanic has nothing to end: the socket goes on.
 func (p *peerSocket) HandlePanic() {}
+
+func (p *peerSocket) debug() {
+	p.loop.log.Info("peer counters", "counters", fmt.Sprintf("%+v", p.node.Counters()), "open", p.loop.Requests.OpenCount(), "listen", p.listen, "x", fmt.Sprint(p.loop.dispatcher.Dump()))
+	p.loop.StartTimer(2*time.Second, p, p.debug)
+}
