--- a/internal/link/client_closing_test.go
+++ b/internal/link/client_closing_test.go
@@ -138,18 +138,7 @@
 // A request that was there before its connection is shut is taken, and answered; one that comes on a connection that is shut finds its
 // end, and no reset.
 func TestRequestsThatCrossAClose(t *testing.T) {
-	for name, shut := range map[string]func(w *harness){
-		"told to close": func(w *harness) { w.loop.Close() },
-		"to make room": func(w *harness) {
-			for w.loop.clients.evict() {
-			}
-		},
-		"idle": func(w *harness) { // before the iteration that has an event for what has come
-			w.now += requestReadTimeout + expiryInterval
-			w.loop.UpdateNow()
-			w.loop.clients.closeExpired()
-		},
-	} {
+	for name, shut := range shutters() {
 		t.Run(name, func(t *testing.T) {
 			w := newHarness(&modeltest.Steps{T: t})
 			w.listen()
@@ -395,3 +384,107 @@
 		t.Errorf("ended: the deaf one %v, the slow one %v", deaf.ended, slow.ended)
 	}
 }
+
+// shutters are the ways in which a connection without a request in flight is shut.
+func shutters() map[string]func(w *harness) {
+	return map[string]func(w *harness){
+		"told to close": func(w *harness) { w.loop.Close() },
+		"to make room": func(w *harness) {
+			for w.loop.clients.evict() {
+			}
+		},
+		"idle": func(w *harness) { // before the iteration that has an event for what has come
+			w.now += requestReadTimeout + expiryInterval
+			w.loop.UpdateNow()
+			w.loop.clients.closeExpired()
+		},
+	}
+}
+
+// The largest request that was there whole before its connection is shut is answered, though one read does not take all of it.
+func TestLargeRequestBeforeAClose(t *testing.T) {
+	for name, shut := range shutters() {
+		t.Run(name, func(t *testing.T) {
+			w := newHarness(&modeltest.Steps{T: t})
+			w.listen()
+			p := w.connectClient()
+			w.runIterations()
+			w.now += evictionGrace
+			w.runIterations()
+			request := requestOfSize(1, http1.MaxBodySize)
+			if n, err := unix.Write(p.fd, []byte(request)); n != len(request) {
+				t.Fatalf("%d bytes written, %v", n, err)
+			}
+			shut(w)
+			w.runIterations()
+			w.policy.Next = append(w.policy.Next, dispatch.Fail{Job: 1})
+			w.loop.Requests.Wake()
+			w.runIterations()
+			if got := p.statuses(t); len(got) != 1 {
+				t.Errorf("answered %v, connection ended %v", got, p.ended)
+			}
+		})
+	}
+}
+
+// Of a request that was read in part when its connection is shut, its client is told that nothing was done, also if the rest comes
+// later; where it may be the start of a PROXY header, nothing is written.
+func TestPartOfARequestBeforeAClose(t *testing.T) {
+	for name, shut := range shutters() {
+		t.Run(name, func(t *testing.T) {
+			w := newHarness(&modeltest.Steps{T: t})
+			w.listen()
+			p := w.connectClient()
+			request := requestOfSize(1, 100)
+			p.write([]byte(request[:150]))
+			w.runIterations()
+			w.now += evictionGrace
+			w.runIterations()
+			shut(w)
+			w.runIterations()
+			p.write([]byte(request[150:]))
+			w.runIterations()
+			if err := w.readToEnd(p); err != nil {
+				t.Fatalf("after %q: %v", p.received, err)
+			}
+			got := p.statuses(t)
+			if len(got) != 1 || got[0] != 503 && got[0] != 408 || w.loop.Requests.OpenCount() != 0 {
+				t.Errorf("answered %v, %d requests taken", got, w.loop.Requests.OpenCount())
+			}
+		})
+	}
+}
+
+// A panic while a request is handled costs no client the response to a request that was read, on a connection that is new or has
+// others in flight; the attempts of these end, and the loop goes on.
+func TestPanicLeavesNoRequestUnanswered(t *testing.T) {
+	for _, inFlight := range []int{0, 1, 3} {
+		w := newHarness(&modeltest.Steps{T: t})
+		w.listen()
+		p := w.connectClient()
+		for n := range inFlight {
+			p.write([]byte(requestOfSize(n+1, 0)))
+		}
+		w.runIterations()
+		settings := w.loop.clients.settings
+		w.loop.clients.settings = nil // handling a request reads it
+		p.write([]byte(requestOfSize(9, 0)))
+		w.runIterations()
+		w.loop.clients.settings = settings
+		w.runIterations()
+		got := p.statuses(t)
+		for _, status := range got {
+			if status != 500 {
+				t.Errorf("%d in flight: answered %v", inFlight, got)
+			}
+		}
+		if len(got) != inFlight+1 || !p.ended || w.loop.Requests.OpenCount() != 0 {
+			t.Errorf("%d in flight: answered %v, ended %v, %d requests open", inFlight, got, p.ended, w.loop.Requests.OpenCount())
+		}
+		other := w.connectClient()
+		other.write([]byte("GET /up HTTP/1.1\r\n\r\n"))
+		if w.runIterations(); len(other.statuses(t)) != 1 {
+			t.Error("the loop does not go on")
+		}
+	}
+}
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -150,6 +150,7 @@
 	if err != nil {
 		return err
 	}
+	l.ownCordonFile()
 	l.awaitSuccessor(hotrestart.SocketAddresses(conf.StateDir, conf.Listen))
 	return nil
 }
@@ -165,7 +166,7 @@
 // restoreCordoned cordons the workers that an earlier process had cordoned. Where that can't be read the process serves all
 // the same: a worker that should be cordoned is so again with the operators' next call.
 func (l *Loop) restoreCordoned(stateDir string) {
-	cordoned, err := hotrestart.ReadCordonFile(stateDir)
+	cordoned, err := hotrestart.LoadCordonFile(l.files, stateDir)
 	if err != nil {
 		l.log.Error("worker nodes out by hand can't be read", "error", err)
 	}
--- a/internal/testbed/checker/history.go
+++ b/internal/testbed/checker/history.go
@@ -34,7 +34,7 @@
 	log         []logEntry
 	omitted     int // entries that the log had no room for
 	brokenRules uint32
-	violations  []int // in Judge.found
+	violations  []int // in Checker.violations
 	settled     bool
 }
 
@@ -72,7 +72,6 @@
 	responses    int
 	status       int
 	state        requestState
-	firstOnConn  bool // on its connection
 	resent       bool // it was sent a second time, on another connection
 }
 
