--- a/dispatch/coordinator.go
+++ b/dispatch/coordinator.go
@@ -13,7 +13,7 @@
 // differs: those of all dispatchers.
 const (
 	waitingSpan = time.Second            // a request that is not repeated for so long is forgotten
-	leaseSpan   = 4 * time.Second        // a lease that is not reported for so long is free: four reports are lost
+	leaseSpan   = 4 * time.Second        // a lease that is not reported for so long is free
 	reportDelay = 250 * time.Millisecond // a complete report may be older than what was granted so long ago
 	maxWaiting  = 4096                   // requests; further ones are told that they wait, and are forgotten
 	maxGranted  = 1 << 15                // leases
@@ -81,8 +81,13 @@
 		d.tellGranted(lease, message.Shard)
 		return
 	} else if len(coordinator.waiting) < maxWaiting {
-		promoteAt := d.now + message.PromoteIn
-		coordinator.waiting = append(coordinator.waiting, &waitingRequest{key: key, request: message, at: d.now, promoteAt: promoteAt, seenAt: d.now})
+		coordinator.waiting = append(coordinator.waiting, &waitingRequest{
+			key:       key,
+			request:   message,
+			at:        d.now,
+			promoteAt: d.now + message.PromoteIn,
+			seenAt:    d.now,
+		})
 	}
 	d.tell(from, LeaseQueued{ID: message.ID, FreeSlots: d.freeSlotsOf(message.Shard)})
 }
@@ -154,7 +159,14 @@
 	if d.warmUpShare(worker) < 1 {
 		slots.warmUpSpends = append(slots.warmUpSpends, spend{at: d.now, work: request.Work})
 	}
-	lease := &grantedLease{key: key, worker: worker.ID, demand: request.Demand, at: d.now, seenAt: d.now, bound: isBound}
+	lease := &grantedLease{
+		key:    key,
+		worker: worker.ID,
+		demand: request.Demand,
+		at:     d.now,
+		seenAt: d.now,
+		bound:  isBound,
+	}
 	coordinator.addLease(lease)
 	return lease
 }
@@ -240,7 +252,7 @@
 func (d *Dispatcher) onLeaseReleased(from int, message LeaseReleased) {
 	coordinator := &d.coordinator
 	key := leaseKey{peer: from, id: message.ID}
-	coordinator.waiting = slices.DeleteFunc(coordinator.waiting, func(w *waitingRequest) bool { return w.key == key })
+	coordinator.withdraw(func(waiting *waitingRequest) bool { return waiting.key == key })
 	lease := coordinator.leases[key]
 	if lease == nil {
 		return
@@ -282,7 +294,7 @@
 // freeLeasesOf frees all that a dispatcher had.
 func (d *Dispatcher) freeLeasesOf(peer int) {
 	coordinator := &d.coordinator
-	coordinator.waiting = slices.DeleteFunc(coordinator.waiting, func(w *waitingRequest) bool { return w.key.peer == peer })
+	coordinator.withdraw(func(waiting *waitingRequest) bool { return waiting.key.peer == peer })
 	coordinator.freeWhere(func(lease *grantedLease) bool { return lease.key.peer == peer })
 }
 
@@ -300,6 +312,11 @@
 	d.grantWaiting()
 }
 
+// withdraw forgets requests that wait.
+func (c *slotCoordinator) withdraw(isMeant func(waiting *waitingRequest) bool) {
+	c.waiting = slices.DeleteFunc(c.waiting, isMeant)
+}
+
 func (c *slotCoordinator) addLease(lease *grantedLease) {
 	lease.position = len(c.byGrant)
 	c.byGrant = append(c.byGrant, lease)
--- a/dispatch/leasereports.go
+++ b/dispatch/leasereports.go
@@ -56,7 +56,12 @@
 		if reports[lease.peer] == nil {
 			peers = append(peers, lease.peer)
 		}
-		held := HeldLease{ID: lease.id, Worker: lease.worker, Demand: lease.demand, Started: lease.attempt.started}
+		held := HeldLease{
+			ID:      lease.id,
+			Worker:  lease.worker,
+			Demand:  lease.demand,
+			Started: lease.attempt.started,
+		}
 		reports[lease.peer] = append(reports[lease.peer], held)
 	}
 	for _, peer := range peers {
--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -11,13 +11,13 @@
 // coordinator alone. Where no coordinator answers in time, a job is sent by what this dispatcher knows
 // itself.
 const (
-	leaseAnswerTimeout  = 60 * time.Millisecond  // two messages take up to 32 ms, and a process may be held up
+	leaseAnswerTimeout  = 60 * time.Millisecond  // two messages take up to 32 ms
 	leaseTries          = 2                      // that are not answered, and the coordinator is passed over
 	leasePatience       = 250 * time.Millisecond // without any answer: a job is then sent without a lease
 	leaseRefresh        = 300 * time.Millisecond // a request that waits is repeated, as its grant may be lost
 	leaseReportInterval = time.Second            // between reports of the leases in use
 	leaseRequestsPerJob = 2                      // at once, in different shards
-	maxRefusedLeases    = MaxExcluded            // granted workers that a job can't use: it is sent without one then
+	maxRefusedLeases    = MaxExcluded            // granted workers that a job can't use
 )
 
 // The share of the result that messages for leases may cost, and the bytes that a job takes of them.
@@ -102,7 +102,8 @@
 	}
 	for range 2 {
 		drawn := Shard{Zone: zones[d.rng.IntN(len(zones))], Number: d.rng.IntN(d.directory.perZone)}
-		isAsked := slices.ContainsFunc(job.leases, func(lease *leaseInfo) bool { return lease.shard == drawn })
+		isOfDrawn := func(lease *leaseInfo) bool { return lease.shard == drawn }
+		isAsked := slices.ContainsFunc(job.leases, isOfDrawn)
 		_, hasCoordinator := d.directory.coordinatorOf(drawn, d.now)
 		if isAsked || !hasCoordinator {
 			continue
--- a/dispatch/shards.go
+++ b/dispatch/shards.go
@@ -11,7 +11,7 @@
 // coordinates it. The design is silent on it. Two that disagree for a while grant the same slots twice,
 // which costs a wait at a worker and breaks nothing.
 const (
-	replicasPerShard = 20              // dispatchers that share a shard, in the mean: their traffic is one's work
+	replicasPerShard = 20              // dispatchers that share a shard, in the mean
 	maxRanked        = 8               // dispatchers that are ranked for a shard
 	peerAvoidance    = 3 * time.Second // a peer that has not answered is passed over for so long
 )
