--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -22,9 +22,9 @@
 
 // The share of the result that messages for leases may cost, and the bytes that a job takes of them.
 const (
-	peerBudget      = 0.02
-	leaseBytesOfJob = 160 // a request, its answers, a start, an end, and its part of reports
-	datagramBytes   = 256 // that Settings.PeerCost is the price of
+	defaultPeerBudget = 0.02
+	leaseBytesOfJob   = 160 // a request, its answers, a start, an end, and its part of reports
+	datagramBytes     = 256 // that Settings.PeerCost is the price of
 )
 
 // leaseInfo is a lease that was asked for, or slots that were taken without one.
@@ -54,8 +54,12 @@
 
 // UsesLeases tells whether slots are leased: alone, or where messages cost more than they may, they are not.
 func (s *Settings) UsesLeases() bool {
+	budget := s.PeerBudget
+	if budget == 0 {
+		budget = defaultPeerBudget
+	}
 	costOfJob := s.PeerCost * leaseBytesOfJob / datagramBytes
-	return s.PeerMessages && s.Replicas > 1 && costOfJob <= peerBudget
+	return s.PeerMessages && s.Replicas > 1 && costOfJob <= budget
 }
 
 func (d *Dispatcher) usesLeases() bool { return d.settings.UsesLeases() }
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -62,9 +62,11 @@
 	Zone         int
 	// ZoneCount is how many zones workers may be in; 0: unknown.
 	ZoneCount int
-	// PeerMessages allows TellPeer. PeerCost is the share of the result that is lost by 256 bytes told for each job.
+	// PeerMessages allows TellPeer. PeerCost is the share of the result that is lost by 256 bytes told for each job, and
+	// PeerBudget the share that messages may cost; 0: the default.
 	PeerMessages bool
 	PeerCost     float64
+	PeerBudget   float64
 	Classes      []Class
 	// TenantQuota is by tenant the jobs a second within its quota, over all dispatchers; 0: no limit.
 	TenantQuota []float64
--- a/internal/config/ops.go
+++ b/internal/config/ops.go
@@ -19,6 +19,7 @@
 	Metrics   *Metrics
 	Addresses *Addresses
 	Aperture  *aperture.Config
+	Gossip    *Gossip
 	Replay    *Replay
 }
 
@@ -69,6 +70,7 @@
 	ops.Metrics = decodeSection(file, "figures", decodeMetrics)
 	ops.Addresses = decodeSection(file, "addresses", decodeAddresses)
 	ops.Aperture = decodeSection(file, "aperture", decodeAperture)
+	ops.Gossip = decodeSection(file, "gossip", decodeGossip)
 	ops.Replay = decodeSection(file, "replay", decodeReplay)
 	file.rejectUnread()
 	return ops, errs
@@ -106,8 +108,9 @@
 	return netip.AddrPortFrom(config.Listen.Addr(), o.Status.Port)
 }
 
-// Override decodes recorded settings of the platform, with those of [replay.settings] in place of their own. Errors are
-// *KeyError with the key under replay.settings, except for recorded settings that do not parse.
+// Override decodes recorded settings of the platform, with those of [replay.settings] in place of their own, as ApplyTo has
+// a scheduler use them. Errors are *KeyError with the key under replay.settings, except for recorded settings that do not
+// parse.
 func (o Ops) Override(recorded []byte) (Settings, error) {
 	path := []string{"replay", "settings"}
 	if o.Replay != nil && len(o.Replay.settings) > 0 {
@@ -122,5 +125,6 @@
 	}
 	var errs keyErrors
 	settings.check(&errs, path...)
+	o.ApplyTo(&settings)
 	return settings, errs.first()
 }
--- a/internal/config/ops_test.go
+++ b/internal/config/ops_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"valvecove/dispatch"
 	"valvecove/internal/aperture"
 )
 
@@ -42,6 +43,9 @@
 		"[aperture]\nfrom_schedulers = 1":              `key "aperture.from_schedulers": expected 2 to 1000000, got 1`,
 		"[aperture]\nwiden_at = 0":                     `key "aperture.widen_at": expected 0.01 to 1, got 0`,
 		"[aperture]\nof_fleet = 0.1":                   `key "aperture.of_fleet": not known`,
+		"[gossip]\nbudget = 1.5":                       `key "gossip.budget": expected 0 to 1, got 1.5`,
+		"[gossip]\nbudget = '2%'":                      `key "gossip.budget": expected a number`,
+		"[gossip]\nshare = 0.1":                        `key "gossip.share": not known`,
 		"[replay]\nsetting = 1":                        `key "replay.setting": not known`,
 		"[replay]\nsettings = 1":                       `key "replay.settings": expected a table`,
 		"[stats]\n":                                    `key "stats": not known`,
@@ -72,7 +76,7 @@
 		t.Fatal(err)
 	}
 	ops := decodeValidOps(t, string(text))
-	if err := ops.Check(decodeValid(t)); err != nil || ops.Capture == nil || ops.Status != nil {
+	if err := ops.Check(decodeValid(t)); err != nil || ops.Capture == nil || ops.Status != nil || ops.Gossip == nil {
 		t.Errorf("%+v, %v", ops, err)
 	}
 }
@@ -163,3 +167,49 @@
 		t.Errorf("%+v", addresses)
 	}
 }
+
+// Schedulers tell each other nothing without the section, or where a price is set and the budget is none.
+func TestGossipAppliesToSettings(t *testing.T) {
+	for _, test := range []struct {
+		name, ops         string
+		cost              float64
+		wantMessages      bool
+		wantBudget        float64
+		wantLeasesOfEight bool
+	}{
+		{"no section", "", 0, false, 0, false},
+		{"default", "[gossip]", 0.03, true, 0.02, true},
+		{"price over the default", "[gossip]", 0.04, true, 0.02, false},
+		{"larger budget", "[gossip]\nbudget = 0.1", 0.04, true, 0.1, true},
+		{"no budget", "[gossip]\nbudget = 0", 0.001, false, 0, false},
+		{"no budget, no price", "[gossip]\nbudget = 0", 0, true, 0, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			settings := Settings{Settings: dispatch.Settings{Replicas: 8, PeerMessages: true, PeerCost: test.cost}}
+			decodeValidOps(t, test.ops).ApplyTo(&settings)
+			if settings.PeerMessages != test.wantMessages || settings.PeerBudget != test.wantBudget {
+				t.Errorf("messages %v, budget %v", settings.PeerMessages, settings.PeerBudget)
+			}
+			if got := settings.UsesLeases(); got != test.wantLeasesOfEight {
+				t.Errorf("leases %v, expected %v", got, test.wantLeasesOfEight)
+			}
+		})
+	}
+}
+
+// The section turns on nothing that the platform's settings don't allow, and holds for replays as well.
+func TestGossipOfRecordedSettings(t *testing.T) {
+	for _, test := range []struct {
+		ops, peers string
+		want       bool
+	}{
+		{"", "true", false}, {"[gossip]", "true", true}, {"[gossip]", "false", false},
+	} {
+		recorded := `{"classes":[{"name":"a","promise":1,"give_up":5}],` +
+			`"bounds":{"try_limit":1,"connect_timeout":5,"peers":` + test.peers + `}}`
+		settings, err := decodeValidOps(t, test.ops).Override([]byte(recorded))
+		if err != nil || settings.PeerMessages != test.want {
+			t.Errorf("%q and peers %s: %v, %v", test.ops, test.peers, settings.PeerMessages, err)
+		}
+	}
+}
--- a/internal/link/limits.go
+++ b/internal/link/limits.go
@@ -9,6 +9,7 @@
 	listenerDescriptors  = 2 // of a listener, and of one connection more than its limit, accepted before another makes room
 	metricsDescriptors   = 2 // a socket and a file
 	captureDescriptors   = 2 // two files for a moment
+	gossipDescriptors    = 1 // a socket
 	workerFraction       = 6 // one of so many descriptors is for connections to workers
 	minWorkerConnections = 8
 	minConnections       = 16 // of a process beside another one, however small the machine
@@ -53,6 +54,9 @@
 	if ops.Capture != nil && ops.Capture.Dir != "" {
 		n += captureDescriptors
 	}
+	if c.Settings.PeerMessages && ops.Gossip != nil {
+		n += gossipDescriptors
+	}
 	return n
 }
 
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -55,6 +55,7 @@
 
 // openConnections opens what the configuration asks for, on a loop that has nothing yet.
 func (l *Loop) openConnections(conf config.Config, ops config.Ops, log *logging.Factory, metricTargets []metrics.Target) error {
+	ops.ApplyTo(&conf.Settings)
 	if ops.Addresses != nil {
 		l.addressLists = address.New(*ops.Addresses)
 	}
