--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 )
@@ -109,3 +110,21 @@
 		t.Errorf("%d errors, expected %d", len(errs), maxKeyErrors)
 	}
 }
+
+// The socket between schedulers, and whom it hears, stay as they were at the start.
+func TestReloadKeepsPeers(t *testing.T) {
+	directory := t.TempDir()
+	env := environment(map[string]string{"PROXY_CONFIG": writeFile(t, directory, "config.json", withPeers())})
+	running, err := Load(env)
+	if err != nil {
+		t.Fatal(err)
+	}
+	writeFile(t, directory, "config.json", withPeers(`"127.0.0.1:7946"`, `"127.0.0.1:7947"`, `"127.0.1.1:7946"`, `"127.0.1.9:7946"`))
+	next, kept, err := running.Reload(env)
+	if err != nil || !slices.Equal(kept, []string{"peer_listen", "peers"}) {
+		t.Errorf("kept %v, %v", kept, err)
+	}
+	if next.PeerListen != running.PeerListen || !slices.Equal(next.Peers, running.Peers) {
+		t.Errorf("goes on at %v with %v", next.PeerListen, next.Peers)
+	}
+}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -13,19 +13,33 @@
 	"valvecove/internal/storedform"
 )
 
-// The platform writes this file, and its form is the platform's: the file holds every key that is read, and some that are
-// passed over. It is never regenerated except under a new form number.
-const goldenPlatform = "platform-1.json"
+// The platform writes these files, and their form is the platform's: the newest holds every key that is read, and some that
+// are passed over. They are never regenerated except under a new form number.
+const (
+	goldenPlatform          = "platform-1.json"
+	goldenPlatformWithPeers = "platform-2.json" // and with what concerns messages between schedulers
+)
 
 func TestGoldenPlatformFile(t *testing.T) {
-	text := storedform.Golden(t, goldenPlatform)
-	got, err := Decode(text, noEnvironment)
-	if err != nil {
-		t.Fatal(err)
+	checkGoldenPlatform(t, goldenPlatform, goldenPlatformConfig(), "PeerMessages", "PeerCost", "PeerBudget")
+}
+
+func TestGoldenPlatformFileWithPeers(t *testing.T) {
+	want := goldenPlatformConfig()
+	want.PeerListen = netip.MustParseAddrPort("127.0.0.1:7946")
+	want.Peers = []netip.AddrPort{
+		netip.MustParseAddrPort("127.0.1.1:7946"),
+		netip.MustParseAddrPort("[fd00:5a::2]:7946"),
+		netip.MustParseAddrPort("127.0.1.3:7947"),
 	}
-	platform := got.PlatformSettings
-	got.PlatformSettings = nil
-	want := Config{
+	want.Settings.PeerMessages = true
+	want.Settings.PeerCost = 0.015
+	checkGoldenPlatform(t, goldenPlatformWithPeers, want, "PeerBudget")
+}
+
+// goldenPlatformConfig is what the first golden file holds.
+func goldenPlatformConfig() Config {
+	return Config{
 		Name:       "s-eu-3",
 		Listen:     netip.MustParseAddrPort("127.0.0.1:9000"),
 		Discovery:  netip.MustParseAddrPort("127.0.0.1:8500"),
@@ -42,7 +56,7 @@
 			Zones:        []string{"a", "b"},
 			MachineTypes: []string{"std-4c", "slow-4c", "big-16c"},
 		}, Settings: dispatch.Settings{
-			Replicas: 3, ReplicaIndex: 2, Zone: 1,
+			Replicas: 3, ReplicaIndex: 2, Zone: 1, ZoneCount: 2,
 			Classes: []dispatch.Class{
 				{
 					LatencyObjective: 80 * time.Millisecond, ObjectiveStretch: 2.5, ClientTimeout: 5 * time.Second, Idempotency: dispatch.Idempotent, PriorityWeight: 2,
@@ -69,11 +83,24 @@
 			WarmUp: 8800 * time.Millisecond, WarmUpCapacity: 0.3, OverloadFactor: 3, OverloadWindow: 2 * time.Second,
 		}},
 	}
+}
+
+// checkGoldenPlatform reads a golden file. It expects a value for each setting, but for those of which the file has no key:
+// they came with a later form, or are the operators'.
+func checkGoldenPlatform(t *testing.T, file string, want Config, settingsWithoutKey ...string) {
+	t.Helper()
+	text := storedform.Golden(t, file)
+	got, err := Decode(text, noEnvironment)
+	if err != nil {
+		t.Fatal(err)
+	}
+	platform := got.PlatformSettings
+	got.PlatformSettings = nil
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, expected %+v", got, want)
 	}
-	checkNoneIsZero(t, reflect.ValueOf(got.Settings.Settings))
-	checkNoneIsZero(t, reflect.ValueOf(got.Settings.Classes[0]), reflect.ValueOf(got.Settings.Classes[1]),
+	checkNoneIsZero(t, settingsWithoutKey, reflect.ValueOf(got.Settings.Settings))
+	checkNoneIsZero(t, nil, reflect.ValueOf(got.Settings.Classes[0]), reflect.ValueOf(got.Settings.Classes[1]),
 		reflect.ValueOf(got.Settings.Classes[2]))
 	// A capture keeps the settings as the text has them.
 	if !bytes.Contains(text, platform) {
@@ -86,11 +113,18 @@
 }
 
 // checkNoneIsZero expects that each field has a value in one of the structs at least: each key is in the file. A field that
-// is added gets its key in a file of a further form number.
-func checkNoneIsZero(t *testing.T, structs ...reflect.Value) {
+// is added gets its key in a file of a further form number. Fields that have no key must be zero.
+func checkNoneIsZero(t *testing.T, withoutKey []string, structs ...reflect.Value) {
 	t.Helper()
 	for i, field := range reflect.VisibleFields(structs[0].Type()) {
-		if !slices.ContainsFunc(structs, func(v reflect.Value) bool { return !v.Field(i).IsZero() }) {
+		isGiven := slices.ContainsFunc(structs, func(v reflect.Value) bool { return !v.Field(i).IsZero() })
+		if slices.Contains(withoutKey, field.Name) {
+			if isGiven {
+				t.Errorf("%s has a value without a key", field.Name)
+			}
+			continue
+		}
+		if !isGiven {
 			t.Errorf("no key of the golden file gives %s a value", field.Name)
 		}
 	}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"fmt"
 	"hash/fnv"
 	"net/netip"
 	"strconv"
@@ -101,14 +102,18 @@
 		d.errors.add(newKeyError([]string{"peers"}, err))
 		return
 	}
+	if settings.ReplicaIndex < 0 || settings.ReplicaIndex >= settings.Replicas {
+		err := &ValueError{Expected: fmt.Sprintf("a number from 0 to %d", settings.Replicas-1), Value: settings.ReplicaIndex}
+		d.errors.add(newKeyError([]string{"settings", "me"}, err))
+	}
 	d.config.PeerListen = d.address("peer_listen", d.peerListen, "", env)
 	for i, text := range d.peers {
 		address, err := netip.ParseAddrPort(text)
-		if err != nil {
+		if err != nil || address.Port() == 0 {
 			fault := &ValueError{Expected: "an address and port", Value: text}
 			d.errors.add(newKeyError([]string{"peers", strconv.Itoa(i)}, fault))
 		}
-		d.config.Peers = append(d.config.Peers, address)
+		d.config.Peers = append(d.config.Peers, netip.AddrPortFrom(address.Addr().Unmap(), address.Port()))
 	}
 }
 
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -28,7 +28,7 @@
 				Classes: []string{"a", "b"}, Tenants: []string{"t"}, Zones: []string{"z"}, MachineTypes: []string{"m"},
 			},
 			Settings: dispatch.Settings{
-				Replicas: 2, ReplicaIndex: 1, MustSubscribe: true, StartNotifications: true,
+				Replicas: 2, ReplicaIndex: 1, ZoneCount: 1, MustSubscribe: true, StartNotifications: true,
 				Classes: []dispatch.Class{
 					{
 						LatencyObjective: 80 * time.Millisecond, ObjectiveStretch: 2.5, ClientTimeout: 5 * time.Second,
@@ -126,3 +126,68 @@
 		})
 	}
 }
+
+// peersOfTwo are the keys by which two schedulers may tell each other something, in validPlatform.
+const peersOfTwo = `"peer_listen":"127.0.0.1:7946","peers":["127.0.1.1:7946","127.0.1.2:7946"],"limits":`
+
+func withPeers(replacements ...string) string {
+	text := strings.NewReplacer(`"limits":`, peersOfTwo, `"try_limit":6`, `"try_limit":6,"peers":true`).Replace(validPlatform)
+	return strings.NewReplacer(replacements...).Replace(text)
+}
+
+func TestDecodePeers(t *testing.T) {
+	got, err := Decode([]byte(withPeers()), noEnvironment)
+	if err != nil {
+		t.Fatal(err)
+	}
+	wantPeers := []netip.AddrPort{netip.MustParseAddrPort("127.0.1.1:7946"), netip.MustParseAddrPort("127.0.1.2:7946")}
+	if !got.Settings.PeerMessages || got.PeerListen.String() != "127.0.0.1:7946" || !reflect.DeepEqual(got.Peers, wantPeers) {
+		t.Errorf("messages %v, at %v, peers %v", got.Settings.PeerMessages, got.PeerListen, got.Peers)
+	}
+}
+
+// IPv4 addresses are compared with those of datagrams, whichever way they are written.
+func TestDecodePeersMappedToIPv6(t *testing.T) {
+	got, err := Decode([]byte(withPeers(`"127.0.1.2:7946"`, `"[::ffff:127.0.1.2]:7946"`)), noEnvironment)
+	if err != nil || got.Peers[1] != netip.MustParseAddrPort("127.0.1.2:7946") {
+		t.Errorf("%v, %v", got.Peers, err)
+	}
+}
+
+// Where the settings or one of the keys don't allow messages, there are none, whatever the other keys say.
+func TestDecodeWithoutPeers(t *testing.T) {
+	for name, replacements := range map[string][]string{
+		"not allowed":               {`"peers":true`, `"peers":false`},
+		"not allowed, and faulty":   {`"peers":true`, `"peers":false`, `["127.0.1.1:7946","127.0.1.2:7946"]`, `["here"]`},
+		"not named by the settings": {`"peers":true`, `"others":true`},
+		"no addresses":              {`"peers":[`, `"others":[`},
+		"empty list":                {`["127.0.1.1:7946","127.0.1.2:7946"]`, `[]`},
+		"no own address":            {`"peer_listen"`, `"other_listen"`},
+	} {
+		t.Run(name, func(t *testing.T) {
+			got, err := Decode([]byte(withPeers(replacements...)), noEnvironment)
+			if err != nil || got.Settings.PeerMessages || got.PeerListen.IsValid() || got.Peers != nil {
+				t.Errorf("messages %v, at %v, peers %v, %v", got.Settings.PeerMessages, got.PeerListen, got.Peers, err)
+			}
+		})
+	}
+}
+
+func TestDecodePeersErrorsNameTheKey(t *testing.T) {
+	for _, test := range []struct{ name, old, new, want string }{
+		{"too few", `,"127.0.1.2:7946"`, ``, `key "peers": expected an address for each of settings.replicas_of_me, got 1`},
+		{"too many", `"127.0.1.2:7946"`, `"127.0.1.2:7946","127.0.1.3:7946"`, `key "peers": expected an address for each of`},
+		{"malformed peer", `"127.0.1.2:7946"`, `"n2:7946"`, `key "peers[1]": expected an address and port, got "n2:7946"`},
+		{"peer without port", `"127.0.1.2:7946"`, `"127.0.1.2:0"`, `key "peers[1]": expected an address and port, got "127.0.1.2:0"`},
+		{"malformed own", `"127.0.0.1:7946"`, `"here"`, `key "peer_listen": expected an address and port, got "here"`},
+		{"number for list", `["127.0.1.1:7946","127.0.1.2:7946"]`, `7`, `key "peers": expected a list`},
+		{"own number", `"me":1`, `"me":2`, `key "settings.me": expected a number from 0 to 1, got 2`},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			_, err := Decode([]byte(withPeers(test.old, test.new)), noEnvironment)
+			if err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("%v, expected %s", err, test.want)
+			}
+		})
+	}
+}
