--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -71,8 +71,8 @@
 			return
 		}
 		messages, _ := target.node.Receive(now, message.From, message.Payload) // one that is faulty is dropped
-		for _, told := range messages {
-			a.addEvent(input.Instance, dispatch.PeerTold{From: message.From, Message: told})
+		for _, received := range messages {
+			a.addEvent(input.Instance, dispatch.PeerTold{From: message.From, Message: received})
 		}
 	}
 }
@@ -105,8 +105,8 @@
 	actions := i.dispatcher.Step(now, i.events, nil)
 	writer.Actions(number, actions)
 	for _, action := range actions {
-		if told, ok := action.(dispatch.TellPeer); ok {
-			i.node.Queue(told.To, told.Message)
+		if toPeer, ok := action.(dispatch.TellPeer); ok {
+			i.node.Queue(toPeer.To, toPeer.Message)
 		}
 	}
 	for _, datagram := range i.node.Flush() {
--- a/dispatch/peermessage.go
+++ b/dispatch/peermessage.go
@@ -77,7 +77,7 @@
 // Bounds of the lists in messages.
 const (
 	MaxExcluded = 4
-	MaxReported = 16
+	MaxReported = 14 // with the largest figures a report fits into a datagram
 )
 
 func (LeaseRequest) peerMessage()  {}
--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -33,13 +33,14 @@
 	kindLeaseQueued
 )
 
-// Resolution of figures on the wire.
+// Resolution of figures on the wire. Parts are powers of two: a figure that was received is exact when it is sent on.
 const (
 	slotParts  = 16   // parts of a slot
-	workUnits  = 1000 // of a second of work
+	workParts  = 1024 // of a second of work
 	scoreSteps = math.MaxUint16
 	maxSlots   = 1 << 16
 	maxWork    = 1 << 20 // seconds
+	maxIndex   = math.MaxInt32
 )
 
 // Errors of datagrams that are dropped.
@@ -104,10 +105,10 @@
 	case dispatch.LeaseGranted:
 		b = appendID(append(b, byte(kindLeaseGranted)), message.ID)
 		b = binary.LittleEndian.AppendUint64(b, message.Worker)
-		return binary.AppendVarint(b, int64(message.FreeSlots))
+		return appendInt(b, int64(message.FreeSlots))
 	case dispatch.LeaseQueued:
 		b = appendID(append(b, byte(kindLeaseQueued)), message.ID)
-		return binary.AppendVarint(b, int64(message.FreeSlots))
+		return appendInt(b, int64(message.FreeSlots))
 	default:
 		panic("gossip: no such message")
 	}
@@ -115,14 +116,14 @@
 
 func appendLeaseRequest(b []byte, request dispatch.LeaseRequest) []byte {
 	b = appendID(append(b, byte(kindLeaseRequest)), request.ID)
-	b = binary.AppendUvarint(b, uint64(request.Shard.Zone))
-	b = binary.AppendUvarint(b, uint64(request.Shard.Number))
-	b = binary.AppendUvarint(b, uint64(request.Class))
+	b = appendIndex(b, request.Shard.Zone)
+	b = appendIndex(b, request.Shard.Number)
+	b = appendIndex(b, request.Class)
 	b = appendScaled(b, request.Demand, slotParts, maxSlots)
-	b = appendScaled(b, request.Work, workUnits, maxWork)
-	b = binary.LittleEndian.AppendUint16(b, uint16(min(max(request.LongChance, 0), 1)*scoreSteps))
+	b = appendScaled(b, request.Work, workParts, maxWork)
+	b = binary.LittleEndian.AppendUint16(b, uint16(math.Round(inRange(request.LongChance, 1)*scoreSteps)))
 	b = appendBool(b, request.Demoted)
-	b = binary.AppendVarint(b, request.PromoteIn.Milliseconds())
+	b = appendInt(b, request.PromoteIn.Milliseconds())
 	b = append(b, byte(min(len(request.Excluded), dispatch.MaxExcluded)))
 	for _, worker := range request.Excluded[:min(len(request.Excluded), dispatch.MaxExcluded)] {
 		b = binary.LittleEndian.AppendUint64(b, worker)
@@ -144,12 +145,27 @@
 
 func appendID(b []byte, id dispatch.LeaseID) []byte { return binary.AppendUvarint(b, uint64(id)) }
 
+// appendIndex appends a number that counts something from 0. One that is out of range becomes the nearest that is not.
+func appendIndex(b []byte, index int) []byte {
+	return binary.AppendUvarint(b, uint64(min(max(index, 0), maxIndex)))
+}
+
+// appendInt appends a number of 32 bits with its sign. One that is out of range becomes the nearest that is not.
+func appendInt(b []byte, number int64) []byte {
+	return binary.AppendVarint(b, min(max(number, math.MinInt32), math.MaxInt32))
+}
+
 // appendScaled appends a figure as a number of parts, rounded up.
-func appendScaled(b []byte, x float64, parts, limit float64) []byte {
-	if math.IsNaN(x) {
-		x = 0
+func appendScaled(b []byte, figure float64, parts, limit float64) []byte {
+	return binary.AppendUvarint(b, uint64(math.Ceil(inRange(figure, limit)*parts)))
+}
+
+// inRange returns a figure from 0 to a limit, the nearest to the one given; 0 for NaN.
+func inRange(figure, limit float64) float64 {
+	if math.IsNaN(figure) {
+		return 0
 	}
-	return binary.AppendUvarint(b, uint64(math.Ceil(min(max(x, 0), limit)*parts)))
+	return min(max(figure, 0), limit)
 }
 
 func appendBool(b []byte, x bool) []byte {
@@ -161,9 +177,9 @@
 
 // parseMessages reads all messages of a datagram. One fault voids them all.
 func parseMessages(b []byte) ([]dispatch.PeerMessage, error) {
-	reader := reader{rest: b}
+	reader := reader{unread: b}
 	var messages []dispatch.PeerMessage
-	for len(reader.rest) > 0 && !reader.failed {
+	for len(reader.unread) > 0 && !reader.failed {
 		messages = append(messages, reader.message())
 	}
 	if reader.failed {
@@ -174,7 +190,7 @@
 
 // reader reads fields. After a fault it reads zeros.
 type reader struct {
-	rest   []byte
+	unread []byte
 	failed bool
 }
 
@@ -203,7 +219,7 @@
 		Shard:      dispatch.Shard{Zone: r.index(), Number: r.index()},
 		Class:      r.index(),
 		Demand:     r.scaled(slotParts, maxSlots),
-		Work:       r.scaled(workUnits, maxWork),
+		Work:       r.scaled(workParts, maxWork),
 		LongChance: float64(r.uint16()) / scoreSteps,
 		Demoted:    r.bool(),
 		PromoteIn:  time.Duration(r.int()) * time.Millisecond,
@@ -234,12 +250,12 @@
 
 // take returns the next bytes.
 func (r *reader) take(count int) []byte {
-	if r.failed || len(r.rest) < count {
+	if r.failed || len(r.unread) < count {
 		r.failed = true
 		return make([]byte, count)
 	}
-	taken := r.rest[:count]
-	r.rest = r.rest[count:]
+	taken := r.unread[:count]
+	r.unread = r.unread[count:]
 	return taken
 }
 
@@ -260,12 +276,12 @@
 }
 
 func (r *reader) uvarint() uint64 {
-	value, size := binary.Uvarint(r.rest)
+	value, size := binary.Uvarint(r.unread)
 	if r.failed || size <= 0 {
 		r.failed = true
 		return 0
 	}
-	r.rest = r.rest[size:]
+	r.unread = r.unread[size:]
 	return value
 }
 
@@ -278,22 +294,22 @@
 // index is a number that counts something from 0.
 func (r *reader) index() int {
 	value := r.uvarint()
-	r.failed = r.failed || value > math.MaxUint16
+	r.failed = r.failed || value > maxIndex
 	return int(value)
 }
 
 func (r *reader) int() int {
-	value, size := binary.Varint(r.rest)
+	value, size := binary.Varint(r.unread)
 	if r.failed || size <= 0 || value < math.MinInt32 || value > math.MaxInt32 {
 		r.failed = true
 		return 0
 	}
-	r.rest = r.rest[size:]
+	r.unread = r.unread[size:]
 	return int(value)
 }
 
 func (r *reader) scaled(parts, limit float64) float64 {
-	value := float64(r.uvarint()) / parts
-	r.failed = r.failed || value > limit
-	return value
+	figure := float64(r.uvarint()) / parts
+	r.failed = r.failed || figure > limit
+	return figure
 }
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -1,6 +1,7 @@
 package gossip
 
 import (
+	"bytes"
 	"errors"
 	"time"
 
@@ -11,13 +12,15 @@
 	duplicateWindow  = 64              // sequence numbers that are known to have come, or not
 	silenceOfRestart = 2 * time.Second // of the known process: one with a lower incarnation is its successor then
 	maxQueued        = 4096            // messages that wait for Flush; further ones are dropped
+	maxReusedOutbox  = 64              // messages; a larger outbox is not kept for the next ones
+	encodingBuffer   = 2 * MaxDatagram // a datagram, and the message that does not fit into it any more
 )
 
 // Errors of datagrams that are dropped, besides those of the codec.
 var (
-	ErrStranger  = errors.New("not from a peer")
-	ErrDuplicate = errors.New("repeated, or too late")
-	ErrOutdated  = errors.New("from an earlier process")
+	ErrUnknownSender = errors.New("not from a peer")
+	ErrDuplicate     = errors.New("repeated, or too late")
+	ErrOutdated      = errors.New("from an earlier process")
 )
 
 // Config is what a node is made of.
@@ -37,27 +40,30 @@
 type Node struct {
 	config   Config
 	peers    map[int]*peer
-	order    []int // peers with queued messages, the one that has waited longest first
+	waiting  []int // peers with queued messages, the one that has waited longest first
 	queued   int
+	buffer   []byte // that datagrams are encoded in
 	counters Counters
 }
 
 // Counters count since the start.
 type Counters struct {
 	Sent, SentBytes         uint64 // datagrams
+	Unsent                  uint64 // of these, what could not be sent: see CountUnsent
 	Received, ReceivedBytes uint64 // datagrams from peers that were good
-	Malformed               uint64 // dropped: header, checksum, version, length or content is wrong
-	Strangers               uint64 // dropped: not from a peer
+	Malformed               uint64 // dropped: header, checksum, version or content is wrong
+	TooLong                 uint64 // dropped: over 256 bytes
+	UnknownSenders          uint64 // dropped: not from a peer
 	Duplicates              uint64 // dropped: repeated, or too late
 	Outdated                uint64 // dropped: from an earlier process
-	Overflowed              uint64 // messages dropped as too many waited to be sent
+	Overflowed              uint64 // messages dropped as too many waited to be sent, or one fits no datagram
 }
 
 // peer is what is known of a peer, and what waits to be sent there.
 type peer struct {
 	isKnown     bool
 	incarnation uint32
-	heardAt     time.Duration
+	receivedAt  time.Duration
 	newest      uint16 // sequence number
 	seen        uint64 // bit n: newest minus n has come
 	sequence    uint16 // of the next datagram to it
@@ -65,11 +71,16 @@
 }
 
 // New returns a node that has heard of nobody.
-func New(config Config) *Node { return &Node{config: config, peers: map[int]*peer{}} }
+func New(config Config) *Node {
+	return &Node{config: config, peers: map[int]*peer{}, buffer: make([]byte, 0, encodingBuffer)}
+}
 
 // Counters returns the counters.
 func (n *Node) Counters() Counters { return n.counters }
 
+// CountUnsent counts a datagram of Flush that could not be sent.
+func (n *Node) CountUnsent() { n.counters.Unsent++ }
+
 func (n *Node) peer(number int) *peer {
 	known := n.peers[number]
 	if known == nil {
@@ -87,12 +98,14 @@
 	case err == nil:
 		n.counters.Received++
 		n.counters.ReceivedBytes += uint64(len(datagram))
-	case errors.Is(err, ErrStranger):
-		n.counters.Strangers++
+	case errors.Is(err, ErrUnknownSender):
+		n.counters.UnknownSenders++
 	case errors.Is(err, ErrDuplicate):
 		n.counters.Duplicates++
 	case errors.Is(err, ErrOutdated):
 		n.counters.Outdated++
+	case errors.Is(err, ErrTooLong):
+		n.counters.TooLong++
 	default:
 		n.counters.Malformed++
 	}
@@ -101,7 +114,7 @@
 
 func (n *Node) receive(now time.Duration, from int, datagram []byte) ([]dispatch.PeerMessage, error) {
 	if from < 0 || from >= n.config.Peers || from == n.config.Self {
-		return nil, ErrStranger
+		return nil, ErrUnknownSender
 	}
 	header, encoded, err := parseHeader(datagram)
 	if err != nil {
@@ -123,27 +136,28 @@
 }
 
 // accept takes in the header of a good datagram.
-func (p *peer) accept(now time.Duration, h header) (hasRestarted bool, err error) {
-	if !p.isKnown || h.incarnation != p.incarnation {
-		isLater := int32(h.incarnation-p.incarnation) > 0
-		if p.isKnown && !isLater && now-p.heardAt < silenceOfRestart {
+func (p *peer) accept(now time.Duration, received header) (hasRestarted bool, err error) {
+	if !p.isKnown || received.incarnation != p.incarnation {
+		isLater := int32(received.incarnation-p.incarnation) > 0
+		if p.isKnown && !isLater && now-p.receivedAt < silenceOfRestart {
 			return false, ErrOutdated
 		}
 		hasRestarted = p.isKnown
-		p.isKnown, p.incarnation = true, h.incarnation
-		p.newest, p.seen = h.sequence, 1
-		p.heardAt = now
+		p.isKnown, p.incarnation = true, received.incarnation
+		p.newest, p.seen = received.sequence, 1
+		p.receivedAt = now
 		return hasRestarted, nil
 	}
-	if !p.markSeen(h.sequence) {
+	if !p.markSeen(received.sequence, now-p.receivedAt >= silenceOfRestart) {
 		return false, ErrDuplicate
 	}
-	p.heardAt = now
+	p.receivedAt = now
 	return false, nil
 }
 
-// markSeen reports whether a sequence number comes for the first time, as far as is known.
-func (p *peer) markSeen(sequence uint16) bool {
+// markSeen reports whether a sequence number comes for the first time, as far as is known. After a silence, in which numbers
+// may have gone round, any that is not known to have come is taken for a new one.
+func (p *peer) markSeen(sequence uint16, wasSilent bool) bool {
 	ahead := int16(sequence - p.newest)
 	if ahead > 0 {
 		p.seen = p.seen<<min(ahead, duplicateWindow) | 1
@@ -151,7 +165,11 @@
 		return true
 	}
 	behind := -int(ahead)
-	if behind >= duplicateWindow || p.seen>>behind&1 == 1 {
+	switch {
+	case behind >= duplicateWindow && wasSilent:
+		p.newest, p.seen = sequence, 1
+		return true
+	case behind >= duplicateWindow, p.seen>>behind&1 == 1:
 		return false
 	}
 	p.seen |= 1 << behind
@@ -169,7 +187,7 @@
 	}
 	receiver := n.peer(to)
 	if len(receiver.outbox) == 0 {
-		n.order = append(n.order, to)
+		n.waiting = append(n.waiting, to)
 	}
 	receiver.outbox = append(receiver.outbox, message)
 	n.queued++
@@ -178,34 +196,52 @@
 // Flush returns the datagrams of all queued messages. Bytes are the caller's.
 func (n *Node) Flush() []Datagram {
 	var datagrams []Datagram
-	for _, to := range n.order {
+	for _, to := range n.waiting {
 		receiver := n.peers[to]
-		for len(receiver.outbox) > 0 {
-			datagrams = append(datagrams, Datagram{To: to, Bytes: n.nextDatagram(receiver)})
+		for waiting := receiver.outbox; len(waiting) > 0; {
+			var datagram []byte
+			datagram, waiting = n.nextDatagram(receiver, waiting)
+			if datagram != nil {
+				datagrams = append(datagrams, Datagram{To: to, Bytes: datagram})
+			}
 		}
-		receiver.outbox = nil
+		receiver.emptyOutbox()
 	}
-	n.order = n.order[:0]
+	n.waiting = n.waiting[:0]
 	n.queued = 0
 	return datagrams
 }
 
-// nextDatagram puts as many of the messages to a peer into a datagram as it holds. Each fits alone.
-func (n *Node) nextDatagram(receiver *peer) []byte {
-	datagram := appendHeader(make([]byte, 0, MaxDatagram), header{n.config.Incarnation, receiver.sequence})
-	receiver.sequence++
+// nextDatagram puts as many messages into a datagram as it holds, and returns those that remain. A message that is too long
+// for any is dropped: the datagram is nil if there is no other.
+func (n *Node) nextDatagram(receiver *peer, messages []dispatch.PeerMessage) (datagram []byte, remaining []dispatch.PeerMessage) {
+	buffer := appendHeader(n.buffer[:0], header{n.config.Incarnation, receiver.sequence})
 	taken := 0
-	for _, message := range receiver.outbox {
-		longer := appendMessage(datagram, message)
+	for _, message := range messages {
+		longer := appendMessage(buffer, message)
 		if len(longer) > MaxDatagram {
 			break
 		}
-		datagram = longer
+		buffer = longer
 		taken++
 	}
-	receiver.outbox = receiver.outbox[max(taken, 1):] // one that is too long for any datagram is dropped
-	seal(datagram)
+	if taken == 0 {
+		n.counters.Overflowed++
+		return nil, messages[1:]
+	}
+	receiver.sequence++
+	seal(buffer)
 	n.counters.Sent++
-	n.counters.SentBytes += uint64(len(datagram))
-	return datagram
+	n.counters.SentBytes += uint64(len(buffer))
+	return bytes.Clone(buffer), messages[taken:]
+}
+
+// emptyOutbox forgets the messages, and keeps a small slice for the next ones.
+func (p *peer) emptyOutbox() {
+	if cap(p.outbox) > maxReusedOutbox {
+		p.outbox = nil
+		return
+	}
+	clear(p.outbox)
+	p.outbox = p.outbox[:0]
 }
