--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -16,6 +16,9 @@
 	encodingBuffer   = 2 * MaxDatagram // a datagram, and the message that does not fit into it any more
 )
 
+// UnknownSender is in place of the number of a sender that is no peer.
+const UnknownSender = -1
+
 // Errors of datagrams that are dropped, besides those of the codec.
 var (
 	ErrUnknownSender = errors.New("not from a peer")
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -297,4 +297,7 @@
 	l.clients.fd = hotrestart.NoDescriptor
 	l.Remove(l.predecessorRole.fd)
 	l.predecessorRole.fd = eventloop.NoDescriptor
+	if l.peers != nil {
+		l.peers.close()
+	}
 }
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -203,6 +203,7 @@
 	loop := r.loop
 	r.listen(loop.Now()+startTimeout, minStartBackoff)
 	loop.awaitSuccessor(hotrestart.SocketAddresses(r.stateDir, r.listenAddress))
+	loop.openPeerSocket()
 	loop.shareLimits(false)
 	loop.ownCordonFile()
 	if loop.cordonStore != nil { // the predecessor may have held what it could not store
--- a/internal/link/limits.go
+++ b/internal/link/limits.go
@@ -41,8 +41,8 @@
 }
 
 // countFeatureDescriptors counts the descriptors that features take up.
-func countFeatureDescriptors(c config.Config, ops config.Ops) (n int) {
-	if c.Management.IsValid() {
+func countFeatureDescriptors(conf config.Config, ops config.Ops) (n int) {
+	if conf.Management.IsValid() {
 		n += maxOperatorConnections + listenerDescriptors
 	}
 	if ops.Status != nil {
@@ -54,7 +54,7 @@
 	if ops.Capture != nil && ops.Capture.Dir != "" {
 		n += captureDescriptors
 	}
-	if c.Settings.PeerMessages && ops.Gossip != nil {
+	if conf.Settings.PeerMessages && ops.Gossip != nil {
 		n += gossipDescriptors
 	}
 	return n
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -67,11 +67,12 @@
 	if err := l.openRequestTable(conf, ops, log); err != nil {
 		return err
 	}
-	l.openPeerSocket(conf)
+	l.preparePeerSocket(conf)
 	l.openClientListener(clients, bufferBudget(conf.Limits), &conf.Settings.Settings, conf.Settings.Names)
 	if err := l.listenOrJoin(conf); err != nil {
 		return err
 	}
+	l.openPeerSocket()
 	if err := l.openFeatures(conf, ops, metricTargets); err != nil {
 		return err
 	}
