--- a/internal/link/peer_socket_test.go
+++ b/internal/link/peer_socket_test.go
@@ -178,9 +178,9 @@
 }
 
 // failCalls has the next calls of a kind fail, as many as there are errors.
-func (w *harness) failCalls(call eventloop.Call, errnos ...unix.Errno) {
-	w.loop.Syscalls().Interceptor = func(made eventloop.Call, _ int) (injection eventloop.Injection) {
-		if made == call && len(errnos) > 0 {
+func (w *harness) failCalls(failing eventloop.Call, errnos ...unix.Errno) {
+	w.loop.Syscalls().Interceptor = func(call eventloop.Call, _ int) (injection eventloop.Injection) {
+		if call == failing && len(errnos) > 0 {
 			injection.Errno, errnos = errnos[0], errnos[1:]
 		}
 		return injection
