--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -78,6 +78,17 @@
 	return &Node{config: config, peers: map[int]*peer{}, buffer: make([]byte, 0, encodingBuffer)}
 }
 
+// Restart has the peers know that this scheduler has lost all that it knew, as with a new process. What is queued is dropped.
+func (n *Node) Restart() {
+	n.config.Incarnation++
+	for _, known := range n.peers {
+		known.sequence = 0
+		known.emptyOutbox()
+	}
+	n.waiting = n.waiting[:0]
+	n.queued = 0
+}
+
 // Counters returns the counters.
 func (n *Node) Counters() Counters { return n.counters }
 
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -199,6 +199,20 @@
 	}
 }
 
+// After a restart within its process a scheduler is a new one to its peers, and sends nothing of what it had queued.
+func TestRestartWithinProcess(t *testing.T) {
+	node, other := process(7), newReceiver()
+	late := datagramOf(t, node, numbered(1))
+	expect(t, other, 0, datagramOf(t, node, numbered(2)), nil, numbered(2))
+	node.Queue(receiver, numbered(3))
+	node.Restart()
+	if datagrams := node.Flush(); datagrams != nil {
+		t.Errorf("sent %+v", datagrams)
+	}
+	expect(t, other, 0, datagramOf(t, node, numbered(4)), nil, dispatch.PeerRestarted{}, numbered(4))
+	expect(t, other, 0, late, ErrOutdated)
+}
+
 // Incarnations go round in two years.
 func TestIncarnationsGoRound(t *testing.T) {
 	other := newReceiver()
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -105,9 +105,25 @@
 	if !hasAperture { // else a state of its own would be missing
 		l.wrapRestored = l.wrapRestoredDispatcher
 	}
+	known := conf.KnownEndpoints
+	known.Receipt.At = l.Now()
+	newPolicy := l.policyFactory(conf, ops, hasAperture)
+	l.Requests = requests.New(conf.Settings.AttemptLimit, conf.Settings.Names, newPolicy, known, l.workers, decisionLog)
+	if l.Capture != nil {
+		l.Capture.LookupEndpoint = l.Requests.Endpoint
+		l.Requests.AddObserver(l.Capture)
+	}
+	return nil
+}
+
+// policyFactory returns what makes the policy, and a new one whenever that has failed.
+func (l *Loop) policyFactory(conf config.Config, ops config.Ops, hasAperture bool) func() requests.Policy {
 	seed := conf.Seed
-	newPolicy := func() requests.Policy {
+	return func() requests.Policy {
 		seed++
+		if l.peers != nil { // the policy that has failed knew of leases, and the new one numbers its own anew
+			l.peers.node.Restart()
+		}
 		l.dispatcher = dispatch.New(conf.Settings.Settings, seed)
 		policy := requests.Policy(l.dispatcher)
 		if l.Capture != nil {
@@ -118,14 +134,6 @@
 		}
 		return policy
 	}
-	known := conf.KnownEndpoints
-	known.Receipt.At = l.Now()
-	l.Requests = requests.New(conf.Settings.AttemptLimit, conf.Settings.Names, newPolicy, known, l.workers, decisionLog)
-	if l.Capture != nil {
-		l.Capture.LookupEndpoint = l.Requests.Endpoint
-		l.Requests.AddObserver(l.Capture)
-	}
-	return nil
 }
 
 func (l *Loop) wrapRestoredDispatcher(dispatcher *dispatch.Dispatcher) requests.Policy {
--- a/internal/link/peer_socket_test.go
+++ b/internal/link/peer_socket_test.go
@@ -337,6 +337,27 @@
 	}
 }
 
+// A policy that replaces one that has failed is a new scheduler to its peers: it numbers its leases anew.
+func TestNewPolicyIsNewToPeers(t *testing.T) {
+	w, remote := newPeerPair(t)
+	newPolicy := w.loop.policyFactory(config.Config{}, config.Ops{}, false)
+	expectFirst := func(want dispatch.PeerMessage) {
+		t.Helper()
+		w.tell(1, queued(1))
+		buffer := make([]byte, 2*gossip.MaxDatagram)
+		size, _, err := unix.Recvfrom(remote.fd, buffer, unix.MSG_DONTWAIT)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if messages, err := remote.node.Receive(0, 0, buffer[:size]); err != nil || messages[0] != want {
+			t.Errorf("received %+v, %v, expected %+v first", messages, err, want)
+		}
+	}
+	expectFirst(queued(1))
+	newPolicy()
+	expectFirst(dispatch.PeerRestarted{})
+}
+
 // Without the operators' section there is no socket, and the policy is allowed no message.
 func TestPeerSocketNeedsOperatorsSection(t *testing.T) {
 	own, other := freeAddress(t, "127.0.0.2"), freeAddress(t, "127.0.0.3")
