--- a/dispatch/concurrency.go
+++ b/dispatch/concurrency.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 )
 
@@ -26,16 +27,20 @@
 		worker.usedSlots > 0 && worker.usedSlots+job.demand > min(worker.limit, d.maxSlots(worker)) {
 		return false
 	}
-	promptStart := d.promptStart(job.class)
-	for _, attempt := range worker.inFlight { // one that does not start shows a queue at the worker
-		if !attempt.started && d.now-attempt.sentAt > promptStart && !attempt.mayBeDropped() {
-			return false
-		}
+	if d.showsQueue(worker, d.promptStart(job.class)) {
+		return false
 	}
 	free, fresh := d.reportedFreeSlots(worker)
 	return !fresh || free >= min(job.demand, 1)
 }
 
+// showsQueue tells whether an attempt that has not started in time shows a queue at a worker.
+func (d *Dispatcher) showsQueue(worker *workerInfo, promptStart time.Duration) bool {
+	return slices.ContainsFunc(worker.inFlight, func(attempt *attemptInfo) bool {
+		return !attempt.started && d.now-attempt.sentAt > promptStart && !attempt.mayBeDropped()
+	})
+}
+
 // rejects tells whether a worker has rejected a job as large as this while idle.
 func (w *workerInfo) rejects(j *jobInfo) bool {
 	return w.rejectedDemand > 0 && j.demand >= w.rejectedDemand
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -59,7 +59,7 @@
 	d.unstarted.pending = make([][]*attemptInfo, len(d.settings.Classes))
 	d.unstarted.first = make([]int, len(d.settings.Classes))
 	d.directory = newPeerDirectory(&d.settings)
-	d.client = leaseClient{byID: map[LeaseID]*leaseInfo{}, freeSlots: map[Shard]int{}}
+	d.client = newLeaseClient()
 	d.coordinator = newCoordinator()
 }
 
--- a/dispatch/jobqueue.go
+++ b/dispatch/jobqueue.go
@@ -41,6 +41,9 @@
 	return s
 }
 
+// isRestrictedShape tells whether the jobs of a shape are restricted further than by their class.
+func isRestrictedShape(shape int) bool { return shape%2 == 1 }
+
 // placementGroups gives each class the first one that may go to the same kinds and zones.
 func placementGroups(classes []Class) []int {
 	groups := make([]int, 0, len(classes))
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -71,6 +71,7 @@
 		for queued := &d.queue.shapes[i].byScore; !queued.empty(); {
 			j := queued.first()
 			d.dequeue(j)
+			d.withdrawLeases(j)
 			if j.inFlight == 0 {
 				d.finish(j)
 			}
@@ -83,5 +84,6 @@
 	if a != nil {
 		a.job.streaming = true
 		d.dequeue(a.job)
+		d.withdrawLeases(a.job)
 	}
 }
--- a/dispatch/leasereports.go
+++ b/dispatch/leasereports.go
@@ -30,15 +30,15 @@
 	}
 }
 
-// releaseLease ends the lease of an attempt that has ended.
-func (d *Dispatcher) releaseLease(attempt *attemptInfo) {
+// releaseLease ends the lease of an attempt that takes no slots any more.
+func (d *Dispatcher) releaseLease(attempt *attemptInfo, result Result) {
 	lease := attempt.lease
 	if lease == nil {
 		return
 	}
 	attempt.lease = nil
 	d.dropLease(lease)
-	d.tell(lease.peer, LeaseReleased{ID: lease.id, Result: attempt.result})
+	d.tell(lease.peer, LeaseReleased{ID: lease.id, Result: result})
 }
 
 // reportLeases tells each coordinator, now and then, what is in use of its shards.
@@ -162,7 +162,7 @@
 	case LeaseGranted:
 		d.onLeaseGranted(from, message)
 	case LeaseQueued:
-		d.onLeaseQueued(message)
+		d.onLeaseQueued(from, message)
 	case PeerRestarted:
 		d.onPeerRestarted(from)
 	}
--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -14,10 +14,13 @@
 	leaseAnswerTimeout  = 60 * time.Millisecond  // two messages take up to 32 ms
 	leaseTries          = 2                      // that are not answered, and the coordinator is passed over
 	leasePatience       = 250 * time.Millisecond // without any answer: a job is then sent without a lease
+	retryWaitLimit      = time.Second            // of a job with workers excluded: there may be no other
 	leaseRefresh        = 300 * time.Millisecond // a request that waits is repeated, as its grant may be lost
 	leaseReportInterval = time.Second            // between reports of the leases in use
 	leaseRequestsPerJob = 2                      // at once, in different shards
 	maxRefusedLeases    = MaxExcluded            // granted workers that a job can't use
+	starvationRequests  = 8                      // refused in a row: the coordinator is passed over
+	starvationSpan      = 4 * time.Second        // after this
 )
 
 // The share of the result that messages for leases may cost, and the bytes that a job takes of them.
@@ -36,20 +39,36 @@
 	attempt  *attemptInfo // that uses it
 	demand   float64      // slots
 	worker   uint64
-	askedAt  time.Duration // first
-	tries    int           // since the last answer
-	isQueued bool          // as the coordinator says
+	askedAt  time.Duration // first, since the last answer
+	madeAt   time.Duration
+	tries    int  // since the last answer
+	isQueued bool // as the coordinator says
 	granted  bool
 	timer    timer // when it is to be asked for again
 }
 
 // leaseClient is what a dispatcher keeps of the leases that it asks for.
 type leaseClient struct {
-	byID      map[LeaseID]*leaseInfo
-	lastID    LeaseID
-	granted   []*leaseInfo // and not used yet
-	freeSlots map[Shard]int
-	reportAt  time.Duration
+	byID       map[LeaseID]*leaseInfo
+	lastID     LeaseID
+	granted    []*leaseInfo // and not used yet
+	freeSlots  map[Shard]int
+	starvation map[int]starvation // by coordinator
+	reportAt   time.Duration
+}
+
+func newLeaseClient() leaseClient {
+	return leaseClient{
+		byID:       map[LeaseID]*leaseInfo{},
+		freeSlots:  map[Shard]int{},
+		starvation: map[int]starvation{},
+	}
+}
+
+// starvation counts the requests that a coordinator has had wait since it last granted one.
+type starvation struct {
+	since    time.Duration
+	requests int
 }
 
 // UsesLeases tells whether slots are leased: alone, or where messages cost more than they may, they are not.
@@ -63,20 +82,34 @@
 // awaitsLease tells whether a job is to wait for slots that it has asked for.
 func (j *jobInfo) awaitsLease() bool { return len(j.leases) > 0 }
 
+// requestFirstLease asks for slots for a job that has not asked for any yet.
+func (d *Dispatcher) requestFirstLease(job *jobInfo) {
+	if !job.awaitsLease() {
+		d.requestLease(job)
+	}
+}
+
 // requestLease asks for slots for a queued job, in a shard where it has not asked yet.
 func (d *Dispatcher) requestLease(job *jobInfo) {
+	if lease := d.newRequest(job); lease != nil {
+		d.askForLease(lease)
+	}
+}
+
+// newRequest is a request for slots that is not told yet; nil: the job makes none.
+func (d *Dispatcher) newRequest(job *jobInfo) *leaseInfo {
 	if !d.usesLeases() || job.withoutLease || len(job.leases) >= leaseRequestsPerJob {
-		return
+		return nil
 	}
 	shard, ok := d.chooseShard(job)
 	if !ok || job.isBoundByAttempts() {
-		job.withoutLease = len(job.leases) == 0
-		return
+		d.goOnWithoutLease(job)
+		return nil
 	}
 	lease := d.newLease(shard, job.demand)
-	lease.job, lease.askedAt = job, d.now
+	lease.job, lease.askedAt, lease.madeAt = job, d.now, d.now
 	job.leases = append(job.leases, lease)
-	d.askForLease(lease)
+	return lease
 }
 
 func (d *Dispatcher) newLease(shard Shard, demand float64) *leaseInfo {
@@ -135,7 +168,9 @@
 func (d *Dispatcher) askForLease(lease *leaseInfo) {
 	peer, ok := d.directory.coordinatorOf(lease.shard, d.now)
 	if !ok {
+		job := lease.job
 		d.dropLease(lease)
+		d.goOnWithoutLease(job)
 		return
 	}
 	if peer != lease.peer {
@@ -173,7 +208,7 @@
 // repeatLeaseRequests tells coordinators of what has changed about a job.
 func (d *Dispatcher) repeatLeaseRequests(job *jobInfo) {
 	for _, lease := range slices.Clone(job.leases) {
-		if !lease.granted {
+		if lease.job != nil && !lease.granted {
 			d.askForLease(lease)
 		}
 	}
@@ -184,6 +219,11 @@
 	if lease.job == nil || lease.granted {
 		return
 	}
+	excludesWorkers := len(lease.job.attempts)+len(lease.job.refused) > 0
+	if excludesWorkers && d.now-lease.madeAt >= retryWaitLimit {
+		d.sendWithoutLease(lease.job)
+		return
+	}
 	if lease.isQueued { // its answer to this repetition counts anew
 		lease.isQueued = false
 		lease.tries = 0
@@ -201,12 +241,20 @@
 	d.askForLease(lease)
 }
 
+// goOnWithoutLease has a job that waits for no lease any more leave the queue without one.
+func (d *Dispatcher) goOnWithoutLease(job *jobInfo) {
+	if !job.awaitsLease() {
+		d.sendWithoutLease(job)
+	}
+}
+
 // sendWithoutLease has a job leave the queue by what this dispatcher knows itself.
 func (d *Dispatcher) sendWithoutLease(job *jobInfo) {
 	job.withoutLease = true
 	d.withdrawLeases(job)
-	if job.heapIndex >= 0 { // it stands among other jobs from now on
+	if job.heapIndex >= 0 { // it stands among other jobs from now on, by promotion too
 		d.dequeue(job)
+		job.inPromotions = false
 		d.enqueue(job)
 	}
 }
@@ -236,11 +284,14 @@
 
 func (d *Dispatcher) onLeaseGranted(from int, message LeaseGranted) {
 	lease := d.client.byID[message.ID]
-	if lease == nil {
+	isWanted := lease != nil && d.directory.mayCoordinate(from, lease.shard) &&
+		(!lease.granted || from == lease.peer)
+	if !isWanted { // its job has gone, or has a lease of another coordinator
 		d.tell(from, LeaseReleased{ID: message.ID, Result: NotSent})
 		return
 	}
 	d.client.freeSlots[lease.shard] = message.FreeSlots
+	delete(d.client.starvation, from)
 	if lease.granted {
 		return
 	}
@@ -251,13 +302,35 @@
 	d.client.granted = append(d.client.granted, lease)
 }
 
+// observeRefusal passes over a coordinator that has not granted any of several requests for long: its counts
+// may be wrong, or its knowledge of workers.
+func (d *Dispatcher) observeRefusal(peer int) {
+	record := d.client.starvation[peer]
+	if record.requests == 0 {
+		record.since = d.now
+	}
+	record.requests++
+	d.client.starvation[peer] = record
+	if record.requests >= starvationRequests && d.now-record.since >= starvationSpan {
+		delete(d.client.starvation, peer)
+		d.directory.distrust(peer, d.now)
+	}
+}
+
 // onLeaseQueued takes in that a request waits: the job asks in another shard too.
-func (d *Dispatcher) onLeaseQueued(message LeaseQueued) {
+func (d *Dispatcher) onLeaseQueued(from int, message LeaseQueued) {
 	lease := d.client.byID[message.ID]
-	if lease == nil || lease.granted {
+	if lease == nil {
+		d.tell(from, LeaseReleased{ID: message.ID, Result: NotSent})
+		return
+	}
+	if lease.granted || from != lease.peer {
 		return
 	}
 	d.client.freeSlots[lease.shard] = message.FreeSlots
+	if !lease.isQueued && !lease.job.demoted() {
+		d.observeRefusal(from)
+	}
 	lease.isQueued = true
 	d.setTimer(&lease.timer, d.now+leaseRefresh)
 	d.requestLease(lease.job)
@@ -271,7 +344,7 @@
 			continue // another lease of its job was used first
 		}
 		worker := d.workers[lease.worker]
-		if d.mayUseLease(job, worker) {
+		if d.mayUseLease(job, worker, lease.shard) {
 			d.sendOnLease(job, worker, lease)
 		} else {
 			d.refuseLease(job, lease)
@@ -282,13 +355,17 @@
 }
 
 // mayUseLease tells whether a job may be sent to the worker that a coordinator has chosen. One that this
-// dispatcher does not know is never sent anything.
-func (d *Dispatcher) mayUseLease(job *jobInfo, worker *workerInfo) bool {
+// dispatcher does not know, or knows in another shard, is never sent anything.
+func (d *Dispatcher) mayUseLease(job *jobInfo, worker *workerInfo, shard Shard) bool {
 	if worker == nil || !worker.Ready || job.heapIndex < 0 || worker == d.reserved && job != d.reservedFor {
 		return false
 	}
+	isKnownFull := worker.rejects(job) || d.showsQueue(worker, d.promptStart(job.class))
+	if d.directory.shardOf(worker) != shard || job.wasSentTo(worker) || isKnownFull {
+		return false
+	}
 	return job.class.allows(worker.Kind, worker.Zone) && d.mayAttempt(job, worker) && !d.isEjected(worker) &&
-		d.canEarn(job, worker)
+		d.canEarn(job, worker) && d.ownSpendsAllow(job, worker)
 }
 
 func (d *Dispatcher) sendOnLease(job *jobInfo, worker *workerInfo, lease *leaseInfo) {
--- /dev/null
+++ b/dispatch/leases_test.go
@@ -0,0 +1,214 @@
+package dispatch
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+func leaseSettings() Settings {
+	settings := testSettings()
+	settings.ReportFields, settings.PeerMessages, settings.ZoneCount = nil, true, 1
+	return settings
+}
+
+// leaseHarness is one of several dispatchers, which coordinates nothing. Its peers are the test.
+func leaseHarness(t *testing.T, workers int) (s *harness, coordinators []int) {
+	t.Helper()
+	settings := leaseSettings()
+	settings.Replicas = maxRanked + 1
+	coordinators = New(settings, 1).directory.rank(Shard{})
+	for slices.Contains(coordinators, settings.ReplicaIndex) {
+		settings.ReplicaIndex++
+	}
+	s = newHarness(t, settings)
+	s.workers(workers)
+	s.wait(time.Second)
+	s.take()
+	return s, coordinators
+}
+
+// peerMessages are the messages of one kind, with who they were for.
+func peerMessages[M PeerMessage](actions []Action) (messages []M, peers []int) {
+	for _, action := range actions {
+		if tell, ok := action.(TellPeer); ok {
+			if message, ok := tell.Message.(M); ok {
+				messages, peers = append(messages, message), append(peers, tell.To)
+			}
+		}
+	}
+	return messages, peers
+}
+
+func sends(actions []Action) (found []Send) {
+	for _, action := range actions {
+		if send, ok := action.(Send); ok {
+			found = append(found, send)
+		}
+	}
+	return found
+}
+
+// request has a job arrive, and returns its request.
+func (s *harness) request(job Job) LeaseRequest {
+	s.t.Helper()
+	s.step(job)
+	requests, _ := peerMessages[LeaseRequest](s.take())
+	if len(requests) != 1 {
+		s.t.Fatalf("%d requests for a job", len(requests))
+	}
+	return requests[0]
+}
+
+// Where no coordinator answers, a job is sent without a lease after leasePatience, and its slots are reported.
+func TestJobGoesWithoutAnswer(t *testing.T) {
+	t.Parallel()
+	s, _ := leaseHarness(t, 2)
+	s.request(s.job(1, 0, 100*ms))
+	s.wait(leasePatience - ms)
+	if sent := sends(s.take()); len(sent) > 0 {
+		t.Fatalf("sent %v before its coordinators had their time", sent)
+	}
+	s.wait(leaseAnswerTimeout + ms)
+	sent := sends(s.take())
+	expectJobs(t, sent, 1)
+	s.step(Started{Job: 1, Worker: sent[0].Worker})
+	s.wait(2 * time.Second)
+	reports, _ := peerMessages[LeaseReport](s.take())
+	if len(reports) == 0 || len(reports[0].Leases) != 1 || !reports[0].Complete {
+		t.Fatalf("reported %v", reports)
+	}
+}
+
+// A grant is used once. One of a second coordinator, of a stranger, or for a job that has gone is given back.
+func TestGrantIsUsedOnce(t *testing.T) {
+	t.Parallel()
+	s, coordinators := leaseHarness(t, 3)
+	request := s.request(s.job(1, 0, 100*ms))
+	s.wait(2*leaseAnswerTimeout + ms) // the next one is asked
+	s.take()
+	grant := func(peer int, worker uint64) []Action {
+		s.step(PeerTold{From: coordinators[peer], Message: LeaseGranted{ID: request.ID, Worker: worker}})
+		return s.take()
+	}
+	if sent := sends(grant(0, 2)); len(sent) != 1 || sent[0].Worker != 2 {
+		t.Fatalf("sent %v", sent)
+	}
+	for range 2 {
+		actions := grant(1, 3)
+		released, peers := peerMessages[LeaseReleased](actions)
+		if len(sends(actions)) > 0 || len(released) != 1 || released[0].Result != NotSent || peers[0] != coordinators[1] {
+			t.Fatalf("a second grant was answered by %v", actions)
+		}
+	}
+	if released, _ := peerMessages[LeaseReleased](grant(0, 2)); len(released) > 0 {
+		t.Fatal("a repeated grant was given back, though it is in use")
+	}
+	s.step(Outcome{Job: 1, Worker: 2, Closed: true})
+	if released, _ := peerMessages[LeaseReleased](s.take()); len(released) != 1 || released[0].Result != OK {
+		t.Fatalf("the end of the attempt was told as %v", released)
+	}
+	if released, _ := peerMessages[LeaseReleased](grant(0, 2)); len(released) != 1 {
+		t.Fatal("a grant for a job that has gone was not given back")
+	}
+}
+
+// A worker that no list names, or that the job was sent to, is sent nothing, whatever a coordinator grants.
+func TestGrantOfUnusableWorker(t *testing.T) {
+	t.Parallel()
+	s, coordinators := leaseHarness(t, 2)
+	for try, request := 0, s.request(s.job(1, 0, 100*ms)); try < maxRefusedLeases; try++ {
+		s.step(PeerTold{From: coordinators[0], Message: LeaseGranted{ID: request.ID, Worker: 99}})
+		actions := s.take()
+		if released, _ := peerMessages[LeaseReleased](actions); len(released) != 1 {
+			t.Fatalf("answered by %v", actions)
+		}
+		requests, _ := peerMessages[LeaseRequest](actions)
+		if try == maxRefusedLeases-1 {
+			expectJobs(t, sends(actions), 1) // without one
+			return
+		}
+		if len(requests) != 1 || !slices.Contains(requests[0].Excluded, 99) {
+			t.Fatalf("asked again by %v", requests)
+		}
+		request = requests[0]
+	}
+}
+
+// A hedge that waits for slots ends with the need for it: when the response of the first attempt begins.
+func TestStreamingJobAsksNoMore(t *testing.T) {
+	t.Parallel()
+	s, coordinators := leaseHarness(t, 3)
+	request := s.request(s.job(1, 0, 100*ms))
+	s.step(PeerTold{From: coordinators[0], Message: LeaseGranted{ID: request.ID, Worker: 1}})
+	expectJobs(t, sends(s.take()), 1)
+	for range 100 {
+		s.wait(5 * ms)
+		if requests, peers := peerMessages[LeaseRequest](s.take()); len(requests) > 0 {
+			s.step(ResponseStarted{Job: 1, Worker: 1})
+			if released, _ := peerMessages[LeaseReleased](s.take()); len(released) != 1 || released[0].ID != requests[0].ID {
+				t.Fatalf("of the request to %v only %v is withdrawn", peers, released)
+			}
+			return
+		}
+	}
+	t.Fatal("no hedge asked for slots: the test sees too little")
+}
+
+// Attempts at a worker whose process is gone take no slots any more.
+func TestUncordonReleasesLeases(t *testing.T) {
+	t.Parallel()
+	s, coordinators := leaseHarness(t, 3)
+	request := s.request(s.job(1, 1, 100*ms))
+	s.step(PeerTold{From: coordinators[0], Message: LeaseGranted{ID: request.ID, Worker: 1}})
+	s.step(Started{Job: 1, Worker: 1}, Cordoned{Worker: 1})
+	s.take()
+	s.step(Uncordoned{Worker: 1})
+	if released, _ := peerMessages[LeaseReleased](s.take()); len(released) != 1 || released[0].ID != request.ID {
+		t.Fatalf("released %v", released)
+	}
+	s.step(Outcome{Job: 1, Worker: 1, Result: ConnectionReset, Closed: true})
+	if released, _ := peerMessages[LeaseReleased](s.take()); len(released) > 0 {
+		t.Fatalf("released again: %v", released)
+	}
+}
+
+// A job for which no coordinator is left goes without a lease, and is not held up by those that wait for theirs.
+func TestJobWithoutCoordinatorIsNotHeldUp(t *testing.T) {
+	t.Parallel()
+	s, coordinators := leaseHarness(t, 3)
+	first := s.request(s.job(1, 0, 100*ms))
+	s.step(PeerTold{From: coordinators[0], Message: LeaseQueued{ID: first.ID}})
+	for _, peer := range coordinators {
+		s.d.directory.distrust(peer, s.now)
+	}
+	s.take()
+	s.step(s.job(2, 0, 200*ms))
+	sent := sends(s.take())
+	expectJobs(t, sent, 2)
+	s.step(Started{Job: 2, Worker: sent[0].Worker})
+	s.wait(leaseRefresh + ms) // and the first finds none any more
+	expectJobs(t, sends(s.take()), 1)
+}
+
+// A job whose workers are all excluded does not wait for another one that is not there.
+func TestRetryWithoutOtherWorkers(t *testing.T) {
+	t.Parallel()
+	s, coordinators := leaseHarness(t, 1)
+	request := s.request(s.job(1, 0, 100*ms))
+	s.step(PeerTold{From: coordinators[0], Message: LeaseGranted{ID: request.ID, Worker: 1}})
+	s.step(Outcome{Job: 1, Worker: 1, Result: WorkerFull})
+	s.take()
+	for waited := time.Duration(0); waited < 2*time.Second; waited += 10 * ms {
+		s.wait(10 * ms)
+		actions := s.take()
+		if len(sends(actions)) > 0 {
+			return
+		}
+		requests, peers := peerMessages[LeaseRequest](actions)
+		for i := range requests {
+			s.step(PeerTold{From: peers[i], Message: LeaseQueued{ID: requests[i].ID}})
+		}
+	}
+	t.Fatal("the retry waits for a lease for ever")
+}
--- a/dispatch/objective.go
+++ b/dispatch/objective.go
@@ -43,9 +43,12 @@
 		return
 	}
 	if job.heapIndex >= 0 {
+		isNew := job.standing != outOfReach
 		job.standing = outOfReach
 		d.queue.reorder(job)
-		d.repeatLeaseRequests(job)
+		if isNew {
+			d.repeatLeaseRequests(job)
+		}
 	}
 	d.setTimer(&job.objectiveTimer, d.now+objectiveRecheck)
 }
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -31,8 +31,8 @@
 	isRestricted := len(job.attempts) > 0 || job.withoutLease
 	job.shape = shapeOf(d.placementGroups[job.Class], slotBucket(job), isRestricted)
 	d.queue.push(job)
-	defer d.requestLease(job) // once it is known when the job is promoted
-	if job.inPromotions {     // its entry has stayed
+	defer d.requestFirstLease(job) // once it is known when the job is promoted
+	if job.inPromotions {          // its entry has stayed
 		return
 	}
 	// Valuable jobs are promoted sooner: under overload capacity goes to what earns most.
@@ -115,10 +115,10 @@
 // setAside passes over a job that awaits a lease, and the jobs of its shape, which do so too. Among jobs
 // that were sent before there are also such as leave without one.
 func (d *Dispatcher) setAside(job *jobInfo) {
-	if len(job.attempts) == 0 {
-		d.queue.shapes[job.shape].blocked = true
-	} else {
+	if isRestrictedShape(job.shape) {
 		d.deferJob(job)
+	} else {
+		d.queue.shapes[job.shape].blocked = true
 	}
 }
 
--- a/dispatch/shards.go
+++ b/dispatch/shards.go
@@ -11,9 +11,10 @@
 // coordinates it. The design is silent on it. Two that disagree for a while grant the same slots twice,
 // which costs a wait at a worker and breaks nothing.
 const (
-	replicasPerShard = 20              // dispatchers that share a shard, in the mean
-	maxRanked        = 8               // dispatchers that are ranked for a shard
-	peerAvoidance    = 3 * time.Second // a peer that has not answered is passed over for so long
+	replicasPerShard = 20               // dispatchers that share a shard, in the mean
+	maxRanked        = 8                // dispatchers that are ranked for a shard
+	peerAvoidance    = 3 * time.Second  // a peer that has not answered is passed over for so long
+	peerDistrust     = 10 * time.Second // and one that has granted nothing
 )
 
 // peerDirectory knows which dispatcher coordinates which shard.
@@ -22,6 +23,7 @@
 	perZone      int // shards
 	ranked       map[Shard][]int
 	avoidedUntil map[int]time.Duration // by peer
+	distrusted   map[int]time.Duration // by peer: until when, though it answers
 }
 
 func newPeerDirectory(settings *Settings) peerDirectory {
@@ -32,6 +34,7 @@
 		perZone:      max(1, (shards+zones-1)/zones),
 		ranked:       map[Shard][]int{},
 		avoidedUntil: map[int]time.Duration{},
+		distrusted:   map[int]time.Duration{},
 	}
 }
 
@@ -67,18 +70,28 @@
 // answers.
 func (p *peerDirectory) coordinatorOf(shard Shard, now time.Duration) (peer int, ok bool) {
 	for _, peer := range p.rank(shard) {
-		if p.avoidedUntil[peer] <= now {
+		if p.avoidedUntil[peer] <= now && p.distrusted[peer] <= now {
 			return peer, true
 		}
 	}
 	return 0, false
 }
 
+// mayCoordinate tells whether a dispatcher is one of those ranked for a shard.
+func (p *peerDirectory) mayCoordinate(peer int, shard Shard) bool {
+	return slices.Contains(p.rank(shard), peer)
+}
+
 // avoid passes over a peer that has not answered.
 func (p *peerDirectory) avoid(peer int, now time.Duration) {
 	p.avoidedUntil[peer] = now + peerAvoidance
 }
 
+// distrust passes over a peer that answers, but grants nothing.
+func (p *peerDirectory) distrust(peer int, now time.Duration) {
+	p.distrusted[peer] = now + peerDistrust
+}
+
 // hasAnswered takes in a sign of life of a peer.
 func (p *peerDirectory) hasAnswered(peer int) { delete(p.avoidedUntil, peer) }
 
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -36,6 +36,21 @@
 	return isOwner && d.now-d.bornAt > window && work <= budget/float64(owners)
 }
 
+// ownSpendsAllow bounds what this dispatcher sends a warming worker on leases, whatever its coordinator says:
+// with what it sends without one, to the budget of all.
+func (d *Dispatcher) ownSpendsAllow(job *jobInfo, worker *workerInfo) bool {
+	if d.warmUpShare(worker) >= 1 {
+		return true
+	}
+	work := d.warmUpCost(job)
+	for _, s := range worker.warmUpSpends {
+		if d.now-s.at <= d.settings.OverloadWindow {
+			work += s.work
+		}
+	}
+	return work <= d.warmUpBudget(worker)
+}
+
 // allMayTry tells whether a budget holds a job of such a cost from each dispatcher: a cordon ends at all of
 // them at once, and none knows whether others have tried the worker.
 func (d *Dispatcher) allMayTry(cost, budget float64) bool {
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -119,6 +119,7 @@
 	orphans := w.inFlight
 	for _, a := range orphans {
 		a.orphaned = true
+		d.releaseLease(a, Cancelled)
 		d.usedSlots = max(0, d.usedSlots-a.job.demand)
 	}
 	w.inFlight, w.usedSlots, w.runningSlots, w.connections = nil, 0, 0, 0
