--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"maps"
 	"slices"
 	"time"
 )
@@ -112,6 +113,29 @@
 	return lease
 }
 
+// resumeLeases has a restored dispatcher, which holds no lease, ask anew for what is queued,
+// with its next step, and report what is in flight.
+func (d *Dispatcher) resumeLeases() {
+	d.updateReadyZones()
+	if !d.usesLeases() {
+		return
+	}
+	for _, id := range slices.Sorted(maps.Keys(d.jobs)) {
+		job := d.jobs[id]
+		for _, attempt := range job.attempts {
+			if !attempt.ended && !attempt.orphaned {
+				d.takeSlots(attempt)
+			}
+		}
+		if job.heapIndex < 0 {
+			continue
+		}
+		if lease := d.newRequest(job); lease != nil {
+			d.setTimer(&lease.timer, d.now)
+		}
+	}
+}
+
 func (d *Dispatcher) newLease(shard Shard, demand float64) *leaseInfo {
 	d.client.lastID++
 	lease := &leaseInfo{id: d.client.lastID, shard: shard, demand: demand, peer: noPeer}
@@ -219,6 +243,11 @@
 	if lease.job == nil || lease.granted {
 		return
 	}
+	if lease.peer == noPeer { // it is resumed: the time before does not count
+		lease.askedAt, lease.madeAt = d.now, d.now
+		d.askForLease(lease)
+		return
+	}
 	excludesWorkers := len(lease.job.attempts)+len(lease.job.refused) > 0
 	if excludesWorkers && d.now-lease.madeAt >= retryWaitLimit {
 		d.sendWithoutLease(lease.job)
--- a/dispatch/leases_test.go
+++ b/dispatch/leases_test.go
@@ -212,3 +212,38 @@
 	}
 	t.Fatal("the retry waits for a lease for ever")
 }
+
+// A restored dispatcher asks anew for its queued jobs, and reports the slots of its attempts.
+func TestRestoredDispatcherResumesLeases(t *testing.T) {
+	t.Parallel()
+	s, coordinators := leaseHarness(t, 3)
+	request := s.request(s.job(1, 0, 100*ms))
+	s.step(PeerTold{From: coordinators[0], Message: LeaseGranted{ID: request.ID, Worker: 1}})
+	s.step(Started{Job: 1, Worker: 1})
+	queued := s.request(s.job(2, 0, 100*ms))
+	s.step(PeerTold{From: coordinators[0], Message: LeaseQueued{ID: queued.ID}})
+	s.take()
+	restored, err := Restore(s.d.settings, s.d.Snapshot(nil))
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.d = restored
+	s.now += 200 * ms // nothing was heard meanwhile
+	s.step(TimerFired{})
+	requests, _ := peerMessages[LeaseRequest](s.actions)
+	if len(requests) != 1 || len(sends(s.actions)) > 0 {
+		t.Fatalf("after the restart: %v", s.actions)
+	}
+	s.step(PeerTold{From: coordinators[0], Message: LeaseQueued{ID: requests[0].ID}})
+	s.wait(maintenanceInterval)
+	actions := s.take()
+	reports, _ := peerMessages[LeaseReport](actions)
+	if len(reports) != 1 || len(reports[0].Leases) != 1 || reports[0].Leases[0].Worker != 1 || !reports[0].Leases[0].Started {
+		t.Fatalf("reported %v", reports)
+	}
+	if len(restored.coordinator.leases)+len(restored.coordinator.slots) > 0 {
+		t.Fatal("it coordinates by what was known before")
+	}
+	s.step(PeerTold{From: coordinators[0], Message: LeaseGranted{ID: requests[0].ID, Worker: 2}})
+	expectJobs(t, sends(s.take()), 2)
+}
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -55,6 +55,7 @@
 		return
 	}
 	d.addAttempt(attempt)
+	d.takeSlots(attempt)
 	worker.connections = max(worker.connections, len(worker.inFlight))
 	d.markDirty(worker)
 	if isNotified {
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -8,7 +8,7 @@
 )
 
 // A snapshot holds all that decides what a dispatcher does next, bit by bit: fed the same events, a restored one acts the
-// same. Three things are omitted, as nothing depends on them. Jobs that are closed with nothing in flight stay only as marks
+// same, but for leases of slots: it holds none, and asks its peers anew. Three things are omitted, as nothing depends on them. Jobs that are closed with nothing in flight stay only as marks
 // in heaps. Attempts that have ended are passed over by timers, so these keep just their time. And of the works learnt by key
 // only those of jobs at hand are held, with the number of the others: see RecallKeyWork.
 
@@ -40,6 +40,7 @@
 	if c.invalid || len(c.b) > 0 {
 		return nil, ErrInvalidSnapshot
 	}
+	d.resumeLeases()
 	return d, nil
 }
 
@@ -195,10 +196,12 @@
 	if !c.writing {
 		dispatcher.maintenance.heapIndex = 0 // New has set it
 	}
-	list(c, &dispatcher.timers.items, func(x **timer) { c.timer(dispatcher, x) })
 	if c.writing {
+		held := dispatcher.timersWithoutLeases()
+		list(c, &held, func(x **timer) { c.timer(dispatcher, x) })
 		return
 	}
+	list(c, &dispatcher.timers.items, func(x **timer) { c.timer(dispatcher, x) })
 	for i, x := range dispatcher.timers.items {
 		c.check(x.heapIndex == 0) // else it is twice in the heap
 		x.heapIndex = i + 1
@@ -206,6 +209,21 @@
 	c.check(len(dispatcher.timers.items) > 0)
 }
 
+// timersWithoutLeases is the heap of timers but for those of leases, which no snapshot holds: as it lies, if there are none.
+func (d *Dispatcher) timersWithoutLeases() []*timer {
+	isOfLease := func(x *timer) bool { return x.purpose == leaseOverdue }
+	if !slices.ContainsFunc(d.timers.items, isOfLease) {
+		return d.timers.items
+	}
+	others := minHeap[*timer]{less: d.timers.less}
+	for _, x := range d.timers.items {
+		if !isOfLease(x) {
+			others.push(x)
+		}
+	}
+	return others.items
+}
+
 // timer is a reference to a timer by what it is part of, with its time.
 func (c *codec) timer(dispatcher *Dispatcher, ref **timer) {
 	held := timer{}
