--- a/dispatch/coordinator.go
+++ b/dispatch/coordinator.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"math"
 	"slices"
 	"time"
 )
@@ -16,7 +17,14 @@
 	leaseSpan   = 4 * time.Second        // a lease that is not reported for so long is free
 	reportDelay = 250 * time.Millisecond // a complete report may be older than what was granted so long ago
 	maxWaiting  = 4096                   // requests; further ones are told that they wait, and are forgotten
-	maxGranted  = 1 << 15                // leases
+	maxGranted  = 1 << 17                // leases
+	peersPart   = 8                      // one of many dispatchers takes this part of these tables at most
+
+	maxLeaseDemand = 1 << 10 // slots of one lease
+	maxLeaseWork   = 1e6     // seconds of work of one lease
+	maxPromoteIn   = time.Hour
+
+	freeSlotsAge = 20 * time.Millisecond // the free slots of a shard are counted again after this
 )
 
 // leaseKey names a lease at its coordinator.
@@ -31,11 +39,24 @@
 	leases    map[leaseKey]*grantedLease
 	byGrant   []*grantedLease // all of them; each that goes leaves its place to the last
 	waiting   []*waitingRequest
+	isWaiting map[leaseKey]*waitingRequest
+	waitedFor map[Shard]float64 // slots that waiting requests want
+	peers     map[int]peerUse
+	free      map[Shard]freeSlots
 	members   map[Shard][]*workerInfo // nil: the list has changed
 	since     time.Duration           // when the first message came; 0: none has
 	unchanged bool                    // nothing has become free since waiting requests were last tried
 }
 
+// peerUse counts what a dispatcher has of the coordinator's tables.
+type peerUse struct{ leases, waiting int }
+
+// freeSlots are the slots of a shard that were free at an instant.
+type freeSlots struct {
+	at    time.Duration
+	slots float64
+}
+
 // grantedLease is a lease that a dispatcher has.
 type grantedLease struct {
 	key      leaseKey
@@ -58,11 +79,36 @@
 }
 
 func newCoordinator() slotCoordinator {
-	return slotCoordinator{slots: map[uint64]*workerSlots{}, leases: map[leaseKey]*grantedLease{}}
+	return slotCoordinator{
+		slots:     map[uint64]*workerSlots{},
+		leases:    map[leaseKey]*grantedLease{},
+		isWaiting: map[leaseKey]*waitingRequest{},
+		waitedFor: map[Shard]float64{},
+		peers:     map[int]peerUse{},
+		free:      map[Shard]freeSlots{},
+	}
+}
+
+// isValid tells whether the figures of a request make sense: what a peer says may be anything.
+func (r *LeaseRequest) isValid(settings *Settings) bool {
+	isKnownClass := r.Class >= 0 && r.Class < len(settings.Classes)
+	isWork := r.Work >= 0 && r.Work <= maxLeaseWork
+	return isKnownClass && isLeaseDemand(r.Demand) && isWork && !math.IsNaN(r.LongChance)
+}
+
+func isLeaseDemand(demand float64) bool { return demand > 0 && demand <= maxLeaseDemand }
+
+// mayHold tells whether a dispatcher may have one more of a table that has room for so many in all.
+func (d *Dispatcher) mayHold(own, all, limit int) bool {
+	return all < limit && own < limit/min(max(1, d.settings.Replicas), peersPart)
+}
+
+func (d *Dispatcher) mayHoldLease(peer int) bool {
+	return d.mayHold(d.coordinator.peers[peer].leases, len(d.coordinator.leases), maxGranted)
 }
 
 func (d *Dispatcher) onLeaseRequest(from int, message LeaseRequest) {
-	if message.Class < 0 || message.Class >= len(d.settings.Classes) || !(message.Demand > 0) {
+	if !message.isValid(&d.settings) {
 		return
 	}
 	coordinator := &d.coordinator
@@ -74,35 +120,48 @@
 		d.tellGranted(lease, message.Shard)
 		return
 	}
-	if waiting := coordinator.findWaiting(key); waiting != nil {
+	if waiting := coordinator.isWaiting[key]; waiting != nil {
 		waiting.seenAt = d.now
 		waiting.request.Demoted = message.Demoted
 	} else if lease := d.grantLease(key, &message); lease != nil {
 		d.tellGranted(lease, message.Shard)
 		return
-	} else if len(coordinator.waiting) < maxWaiting {
-		coordinator.waiting = append(coordinator.waiting, &waitingRequest{
-			key:       key,
-			request:   message,
-			at:        d.now,
-			promoteAt: d.now + message.PromoteIn,
-			seenAt:    d.now,
-		})
+	} else {
+		d.holdRequest(key, &message)
 	}
 	d.tell(from, LeaseQueued{ID: message.ID, FreeSlots: d.freeSlotsOf(message.Shard)})
 }
 
-func (d *Dispatcher) tellGranted(lease *grantedLease, shard Shard) {
-	free := d.freeSlotsOf(shard)
-	d.tell(lease.key.peer, LeaseGranted{ID: lease.key.id, Worker: lease.worker, FreeSlots: free})
+// holdRequest has a request wait, if there is room for it and its shard has workers.
+func (d *Dispatcher) holdRequest(key leaseKey, request *LeaseRequest) {
+	coordinator := &d.coordinator
+	hasRoom := d.mayHold(coordinator.peers[key.peer].waiting, len(coordinator.waiting), maxWaiting)
+	if !hasRoom || len(d.membersOf(request.Shard)) == 0 {
+		return
+	}
+	held := &waitingRequest{key: key, request: *request, at: d.now, seenAt: d.now}
+	held.promoteAt = d.now + min(max(request.PromoteIn, -maxPromoteIn), maxPromoteIn)
+	held.request.Excluded = request.Excluded[:min(len(request.Excluded), MaxExcluded)]
+	coordinator.waiting = append(coordinator.waiting, held)
+	coordinator.isWaiting[key] = held
+	coordinator.waitedFor[request.Shard] += request.Demand
+	coordinator.countFor(key.peer, 0, 1)
 }
 
-func (c *slotCoordinator) findWaiting(key leaseKey) *waitingRequest {
-	i := slices.IndexFunc(c.waiting, func(w *waitingRequest) bool { return w.key == key })
-	if i < 0 {
-		return nil
+// countFor counts what a dispatcher has.
+func (c *slotCoordinator) countFor(peer, leases, waiting int) {
+	use := c.peers[peer]
+	use.leases += leases
+	use.waiting += waiting
+	c.peers[peer] = use
+	if use == (peerUse{}) {
+		delete(c.peers, peer)
 	}
-	return c.waiting[i]
+}
+
+func (d *Dispatcher) tellGranted(lease *grantedLease, shard Shard) {
+	free := d.freeSlotsOf(shard)
+	d.tell(lease.key.peer, LeaseGranted{ID: lease.key.id, Worker: lease.worker, FreeSlots: free})
 }
 
 // grantWaiting grants what waits, in the design's order, as far as slots have become free.
@@ -113,45 +172,78 @@
 	}
 	coordinator.unchanged = true
 	slices.SortStableFunc(coordinator.waiting, d.compareWaiting)
-	coordinator.waiting = slices.DeleteFunc(coordinator.waiting, func(w *waitingRequest) bool {
-		if d.now-w.seenAt > waitingSpan {
-			return true
-		}
-		lease := d.grantLease(w.key, &w.request)
-		if lease == nil {
-			return false
-		}
-		d.tellGranted(lease, w.request.Shard)
-		return true
+	ungranted := map[requestShape]LeaseRequest{}
+	coordinator.withdraw(func(waiting *waitingRequest) bool {
+		return d.now-waiting.seenAt > waitingSpan || d.grantHeld(waiting, ungranted)
 	})
 }
 
+// requestShape is what requests have in common that the same workers may be leased for.
+type requestShape struct {
+	shard Shard
+	group int // of classes
+}
+
+// grantHeld grants a request that waits, if it can. ungranted are those that could not be granted since slots
+// became free: one that wants as much as the last of its shape can't be either.
+func (d *Dispatcher) grantHeld(waiting *waitingRequest, ungranted map[requestShape]LeaseRequest) bool {
+	request := &waiting.request
+	shape := requestShape{shard: request.Shard, group: d.placementGroups[request.Class]}
+	last, hasLast := ungranted[shape]
+	if hasLast && request.Demand >= last.Demand && request.Work >= last.Work {
+		return false
+	}
+	lease := d.grantLease(waiting.key, request)
+	if lease == nil {
+		if len(request.Excluded) == 0 && d.mayHoldLease(waiting.key.peer) {
+			ungranted[shape] = *request
+		}
+		return false
+	}
+	d.tellGranted(lease, request.Shard)
+	return true
+}
+
 // compareWaiting is the order in which requests are granted.
 func (d *Dispatcher) compareWaiting(a, b *waitingRequest) int {
-	if a.request.Demoted != b.request.Demoted {
-		if b.request.Demoted {
-			return -1
-		}
-		return 1
+	rank := d.waitingRank(a)
+	if byRank := cmp.Compare(rank, d.waitingRank(b)); byRank != 0 {
+		return byRank
 	}
-	isPromoted := a.promoteAt < d.now && !a.request.Demoted
-	isOtherPromoted := b.promoteAt < d.now && !b.request.Demoted
-	switch {
-	case isPromoted && isOtherPromoted:
+	if rank == rankPromoted {
 		return cmp.Compare(a.promoteAt, b.promoteAt)
-	case isPromoted:
-		return -1
-	case isOtherPromoted:
-		return 1
 	}
 	return cmp.Or(cmp.Compare(a.request.LongChance, b.request.LongChance), cmp.Compare(a.at, b.at))
 }
 
+// waitingRank is the first that decides when a request is granted.
+type waitingRank int
+
+const (
+	rankPromoted waitingRank = iota // it has waited for over tau
+	rankByScore
+	rankDemoted // its job can't earn in full any more
+)
+
+func (d *Dispatcher) waitingRank(waiting *waitingRequest) waitingRank {
+	switch {
+	case waiting.request.Demoted:
+		return rankDemoted
+	case waiting.promoteAt < d.now:
+		return rankPromoted
+	default:
+		return rankByScore
+	}
+}
+
 // grantLease leases slots of the least-occupied worker that can start a job; nil: there is none.
 func (d *Dispatcher) grantLease(key leaseKey, request *LeaseRequest) *grantedLease {
 	coordinator := &d.coordinator
+	if !d.mayHoldLease(key.peer) {
+		return nil
+	}
 	worker := d.chooseLeasedWorker(request)
-	if worker == nil || len(coordinator.leases) >= maxGranted {
+	if worker == nil {
 		return nil
 	}
 	slots := coordinator.slotsOf(worker.ID)
@@ -172,10 +264,13 @@
 }
 
 // chooseLeasedWorker is the least-occupied worker of a shard that can start a job now, drawn among equals
-// by speed.
+// by speed. Of a large shard it is that of a sample.
 func (d *Dispatcher) chooseLeasedWorker(request *LeaseRequest) (chosen *workerInfo) {
 	least, weights := 0.0, 0.0
-	for _, worker := range d.membersOf(request.Shard) {
+	members := d.membersOf(request.Shard)
+	from, count := d.sample(len(members), maxScanned, maxScanned)
+	for i := range count {
+		worker := members[(from+i)%len(members)]
 		slots := d.coordinator.slotsOf(worker.ID)
 		if chosen != nil && slots.used > least || !d.canLease(request, worker, slots) {
 			continue
@@ -209,6 +304,7 @@
 	coordinator := &d.coordinator
 	if coordinator.members == nil {
 		coordinator.members = map[Shard][]*workerInfo{}
+		clear(coordinator.free)
 		for _, worker := range d.workerList {
 			of := d.directory.shardOf(worker)
 			coordinator.members[of] = append(coordinator.members[of], worker)
@@ -219,19 +315,22 @@
 
 // freeSlotsOf are the slots that a shard has free, less those that are waited for.
 func (d *Dispatcher) freeSlotsOf(shard Shard) int {
-	free := 0.0
-	for _, worker := range d.membersOf(shard) {
-		slots := d.coordinator.slotsOf(worker.ID)
-		if worker.Ready && d.now >= slots.suspendedUntil {
-			free += max(0, min(slots.limit, d.maxSlots(worker))-slots.used)
-		}
+	members := d.membersOf(shard)
+	if len(members) == 0 {
+		return 0
 	}
-	for _, waiting := range d.coordinator.waiting {
-		if waiting.request.Shard == shard {
-			free -= waiting.request.Demand
+	counted, isCounted := d.coordinator.free[shard]
+	if !isCounted || d.now-counted.at >= freeSlotsAge {
+		counted = freeSlots{at: d.now}
+		for _, worker := range members {
+			slots := d.coordinator.slotsOf(worker.ID)
+			if worker.Ready && d.now >= slots.suspendedUntil {
+				counted.slots += max(0, min(slots.limit, d.maxSlots(worker))-slots.used)
+			}
 		}
+		d.coordinator.free[shard] = counted
 	}
-	return int(free)
+	return int(counted.slots - d.coordinator.waitedFor[shard])
 }
 
 // onLeaseStarted learns from a start whether a worker has room for more.
@@ -252,12 +351,14 @@
 func (d *Dispatcher) onLeaseReleased(from int, message LeaseReleased) {
 	coordinator := &d.coordinator
 	key := leaseKey{peer: from, id: message.ID}
-	coordinator.withdraw(func(waiting *waitingRequest) bool { return waiting.key == key })
+	if coordinator.isWaiting[key] != nil {
+		coordinator.withdraw(func(waiting *waitingRequest) bool { return waiting.key == key })
+	}
 	lease := coordinator.leases[key]
 	if lease == nil {
 		return
 	}
-	d.leaseHasEnded(lease, coordinator.slotsOf(lease.worker), message.Result)
+	d.leaseHasEnded(lease, message.Result)
 	coordinator.freeLease(lease)
 }
 
@@ -268,11 +369,11 @@
 	if coordinator.since == 0 {
 		coordinator.since = d.now
 	}
-	for _, held := range message.Leases {
+	for _, held := range message.Leases[:min(len(message.Leases), MaxReported)] {
 		key := leaseKey{peer: from, id: held.ID}
 		lease := coordinator.leases[key]
 		if lease == nil {
-			if len(coordinator.leases) >= maxGranted || !(held.Demand > 0) {
+			if !d.mayHoldLease(from) || !isLeaseDemand(held.Demand) {
 				continue
 			}
 			lease = &grantedLease{key: key, worker: held.Worker, demand: held.Demand, at: d.now}
@@ -304,7 +405,7 @@
 	coordinator := &d.coordinator
 	coordinator.freeWhere(func(lease *grantedLease) bool { return d.now-lease.seenAt > leaseSpan })
 	for id, slots := range coordinator.slots {
-		if slots.used == 0 && d.workers[id] == nil {
+		if slots.leases == 0 && d.workers[id] == nil {
 			delete(coordinator.slots, id)
 		}
 	}
@@ -314,22 +415,42 @@
 
 // withdraw forgets requests that wait.
 func (c *slotCoordinator) withdraw(isMeant func(waiting *waitingRequest) bool) {
-	c.waiting = slices.DeleteFunc(c.waiting, isMeant)
+	c.waiting = slices.DeleteFunc(c.waiting, func(waiting *waitingRequest) bool {
+		if !isMeant(waiting) {
+			return false
+		}
+		shard := waiting.request.Shard
+		c.waitedFor[shard] -= waiting.request.Demand
+		if c.waitedFor[shard] <= 0 {
+			delete(c.waitedFor, shard)
+		}
+		delete(c.isWaiting, waiting.key)
+		c.countFor(waiting.key.peer, 0, -1)
+		return true
+	})
 }
 
 func (c *slotCoordinator) addLease(lease *grantedLease) {
 	lease.position = len(c.byGrant)
 	c.byGrant = append(c.byGrant, lease)
 	c.leases[lease.key] = lease
-	c.slotsOf(lease.worker).used += lease.demand
+	c.countFor(lease.key.peer, 1, 0)
+	slots := c.slotsOf(lease.worker)
+	slots.leases++
+	slots.used += lease.demand
 }
 
 func (c *slotCoordinator) freeLease(lease *grantedLease) {
 	slots := c.slotsOf(lease.worker)
+	slots.leases--
 	slots.used = max(0, slots.used-lease.demand)
 	if lease.started {
 		slots.running = max(0, slots.running-lease.demand)
 	}
+	if slots.leases == 0 { // sums leave a remainder
+		slots.used, slots.running = 0, 0
+	}
+	c.countFor(lease.key.peer, -1, 0)
 	last := c.byGrant[len(c.byGrant)-1]
 	c.byGrant[lease.position], last.position = last, lease.position
 	c.byGrant[len(c.byGrant)-1] = nil
--- /dev/null
+++ b/dispatch/coordinator_test.go
@@ -0,0 +1,280 @@
+package dispatch
+
+import (
+	"math/rand/v2"
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+)
+
+// coordinatorHarness is a dispatcher that coordinates the only shard, of so many idle workers. Its peers are the test.
+func coordinatorHarness(tb testing.TB, workers int, change func(*Settings)) *harness {
+	tb.Helper()
+	settings := leaseSettings()
+	settings.Replicas = maxRanked + 1
+	change(&settings)
+	settings.ReplicaIndex = New(settings, 1).directory.rank(Shard{})[0]
+	s := &harness{d: New(settings, 1), now: time.Hour, jobs: map[uint64]*harnessJob{}}
+	if test, ok := tb.(*testing.T); ok {
+		s.t = test
+	}
+	s.workers(workers)
+	return s
+}
+
+func noChange(*Settings) {}
+
+// peer is another dispatcher than the one at hand.
+func (s *harness) peer(number int) int {
+	if number >= s.d.settings.ReplicaIndex {
+		number++
+	}
+	return number
+}
+
+// tell has peers tell something, and returns what they are answered.
+func (s *harness) tell(peer int, messages ...PeerMessage) (granted []LeaseGranted) {
+	var events []Event
+	for _, message := range messages {
+		events = append(events, PeerTold{From: s.peer(peer), Message: message})
+	}
+	s.take()
+	s.step(events...)
+	granted, _ = peerMessages[LeaseGranted](s.take())
+	return granted
+}
+
+func grantedIDs(granted []LeaseGranted) (ids []LeaseID) {
+	for _, grant := range granted {
+		ids = append(ids, grant.ID)
+	}
+	return ids
+}
+
+// Requests that can earn in full go before demoted ones; those over tau first, the oldest of them first, then by score.
+func TestOrderOfGrants(t *testing.T) {
+	t.Parallel()
+	s := coordinatorHarness(t, 1, noChange)
+	if granted := s.tell(0, LeaseRequest{ID: 1, Demand: 1}); len(granted) != 1 || granted[0].Worker != 1 {
+		t.Fatalf("granted %v", granted)
+	}
+	far := time.Hour
+	s.tell(1,
+		LeaseRequest{ID: 11, Demand: 1, Demoted: true, PromoteIn: -time.Second},
+		LeaseRequest{ID: 12, Demand: 1, LongChance: 0.9, PromoteIn: -time.Second},
+		LeaseRequest{ID: 13, Demand: 1, LongChance: 0.95, PromoteIn: -2 * time.Second},
+		LeaseRequest{ID: 14, Demand: 1, LongChance: 0.5, PromoteIn: far},
+		LeaseRequest{ID: 15, Demand: 1, LongChance: 0.2, PromoteIn: far},
+		LeaseRequest{ID: 16, Demand: 1, LongChance: 0.1, PromoteIn: far},
+	)
+	s.tell(1, LeaseRequest{ID: 16, Demand: 1, Demoted: true}) // it has been demoted meanwhile
+	var got []LeaseID
+	holder := LeaseReleased{ID: 1}
+	for peer := 0; len(got) < 6; peer = 1 {
+		ids := grantedIDs(s.tell(peer, holder))
+		if len(ids) != 1 {
+			t.Fatalf("after %v: granted %v", got, ids)
+		}
+		got = append(got, ids...)
+		holder = LeaseReleased{ID: ids[0]}
+	}
+	if want := []LeaseID{13, 12, 15, 14, 11, 16}; !slices.Equal(got, want) {
+		t.Errorf("granted in the order %v, expected %v", got, want)
+	}
+}
+
+// Slots are free again by a release, by a complete report without them, by a restart, and when nothing is told of them.
+func TestSlotsAreFreed(t *testing.T) {
+	t.Parallel()
+	for name, free := range map[string]func(s *harness){
+		"release": func(s *harness) { s.tell(0, LeaseReleased{ID: 1, Result: OK}) },
+		"report":  func(s *harness) { s.tell(0, LeaseReport{Complete: true}) },
+		"restart": func(s *harness) { s.tell(0, PeerRestarted{}) },
+		"silence": func(s *harness) { s.wait(leaseSpan + maintenanceInterval) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			s := coordinatorHarness(t, 1, noChange)
+			s.tell(0, LeaseRequest{ID: 1, Demand: 1.3}, LeaseStarted{ID: 1, Prompt: true})
+			s.wait(reportDelay + ms)
+			held := HeldLease{ID: 1, Worker: 1, Demand: 1.3, Started: true}
+			s.tell(0, LeaseReport{Complete: true, Leases: []HeldLease{held}})
+			if used := s.d.coordinator.slots[1].used; used != 1.3 {
+				t.Fatalf("%v slots in use", used)
+			}
+			s.wait(reportDelay + ms)
+			free(s)
+			if slots := s.d.coordinator.slots[1]; slots.used != 0 || slots.running != 0 || len(s.d.coordinator.peers) > 0 {
+				t.Errorf("%v slots in use, %v running, by %v", slots.used, slots.running, s.d.coordinator.peers)
+			}
+		})
+	}
+}
+
+// Figures that make no sense change nothing, and no peer takes all of a table.
+func TestCoordinatorBoundsPeers(t *testing.T) {
+	t.Parallel()
+	s := coordinatorHarness(t, 4, func(settings *Settings) { settings.ZoneCount = 2 })
+	rng := rand.New(rand.NewPCG(1, 1))
+	for range 20000 {
+		s.step(PeerTold{From: s.peer(rng.IntN(8)), Message: randomPeerMessage(rng)})
+		if rng.IntN(10) == 0 {
+			s.wait(20 * ms)
+		}
+		s.actions = s.actions[:0]
+	}
+	for worker, slots := range s.d.coordinator.slots {
+		if !(slots.used >= 0 && slots.used <= 60*8*maxLeaseDemand) || !(slots.running >= 0 && slots.running <= slots.used) {
+			t.Errorf("worker %d: %v slots in use, %v running", worker, slots.used, slots.running)
+		}
+	}
+	if shards := len(s.d.directory.ranked) + len(s.d.client.freeSlots) + len(s.d.coordinator.free); shards > 6 {
+		t.Errorf("%d shards are known", shards)
+	}
+	for id := range LeaseID(2 * maxWaiting) {
+		s.tell(0, LeaseRequest{ID: 1000 + id, Demand: 1})
+	}
+	if waiting := len(s.d.coordinator.waiting); waiting > maxWaiting/peersPart+8*60 {
+		t.Errorf("%d requests wait, most of one peer", waiting)
+	}
+	s.wait(leaseSpan + time.Second)
+	coordinator := &s.d.coordinator
+	if len(coordinator.leases)+len(coordinator.isWaiting)+len(coordinator.peers)+len(coordinator.waitedFor) > 0 {
+		t.Errorf("after a silence: %d leases, %d requests of %d peers in %d shards", len(coordinator.leases),
+			len(coordinator.isWaiting), len(coordinator.peers), len(coordinator.waitedFor))
+	}
+}
+
+// One peer alone has no worker left alone, however often it tells of failures there.
+func TestOnePeerSuspendsNoWorker(t *testing.T) {
+	t.Parallel()
+	s := coordinatorHarness(t, 1, noChange)
+	fail := func(peer int, id LeaseID) bool {
+		granted := s.tell(peer, LeaseRequest{ID: id, Demand: 1})
+		s.tell(peer, LeaseReleased{ID: id, Result: Failed})
+		return len(granted) == 1
+	}
+	for id := range LeaseID(10) {
+		if !fail(0, id) {
+			t.Fatalf("suspended after %d failures, all told by one peer", id)
+		}
+	}
+	if !fail(1, 1) || fail(2, 1) {
+		t.Error("not suspended after failures told by several")
+	}
+}
+
+// What two coordinators that know nothing of each other lease of a warming worker, and what is sent there without leases, stays
+// under the rule's budget together.
+func TestWarmUpBudgetOverLeases(t *testing.T) {
+	t.Parallel()
+	const work, kindSlots = 0.02, 1.0
+	boot := time.Hour
+	leased := 0.0
+	var s *harness
+	for range 2 {
+		s = coordinatorHarness(t, 0, func(settings *Settings) {
+			settings.WarmUp, settings.WarmUpCapacity = 20*time.Second, 0.1
+			settings.OverloadFactor, settings.OverloadWindow = 3, 2*time.Second
+		})
+		s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 1, Ready: true, BootAt: boot}}})
+		s.tell(0, LeaseReport{})
+		s.wait(s.d.settings.OverloadWindow / 2)
+		if granted := s.tell(0, LeaseRequest{ID: 1, Demand: 1, Work: work}); len(granted) > 0 {
+			t.Fatal("leased by one that does not know yet what others were granted")
+		}
+		s.tell(0, LeaseReleased{ID: 1})
+		s.wait(s.d.settings.OverloadWindow)
+		for id := range LeaseID(1000) {
+			leased += work * float64(len(s.tell(0, LeaseRequest{ID: id, Demand: 1, Work: work})))
+			s.tell(0, LeaseReleased{ID: id, Result: OK})
+		}
+		if granted := s.tell(0, LeaseRequest{ID: 2000, Demand: 1, Work: -1}); len(granted) > 0 {
+			t.Fatal("leased for less than no work")
+		}
+	}
+	worker := s.d.workers[1]
+	share := s.d.warmUpShare(worker)
+	rule := s.d.settings.OverloadFactor * kindSlots * share * s.d.settings.OverloadWindow.Seconds()
+	unleased := s.d.warmUpBudget(worker)
+	t.Logf("leased %.3f, without leases up to %.3f, of %.3f", leased, unleased, rule)
+	if leased == 0 {
+		t.Error("nothing was leased: the test sees too little")
+	}
+	if leased+unleased > rule {
+		t.Errorf("%.3f leased and %.3f without leases, of %.3f", leased, unleased, rule)
+	}
+}
+
+// Without peers, or where messages cost too much, nothing is told, whatever is heard.
+func TestNoMessagesWithoutPeers(t *testing.T) {
+	t.Parallel()
+	for name, change := range map[string]func(*Settings){
+		"not allowed": func(settings *Settings) { settings.PeerMessages = false },
+		"alone":       func(settings *Settings) { settings.Replicas = 1 },
+		"too dear":    func(settings *Settings) { settings.PeerCost = peerBudget * datagramBytes / leaseBytesOfJob * 1.01 },
+	} {
+		settings := leaseSettings()
+		settings.Replicas = 8
+		change(&settings)
+		s := newHarness(t, settings)
+		s.workers(2)
+		s.step(s.job(1, 0, 100*ms), PeerTold{From: 1, Message: LeaseRequest{ID: 1, Demand: 1}})
+		s.wait(3 * time.Second)
+		for _, action := range s.take() {
+			if tell, ok := action.(TellPeer); ok {
+				t.Errorf("%s: told %v", name, tell)
+			}
+		}
+	}
+}
+
+// The rules hold, and each job gets its one answer, among any messages of peers.
+func FuzzRulesAmongPeerMessages(f *testing.F) {
+	for seed := range uint64(40) {
+		f.Add(seed, uint16(200))
+	}
+	f.Fuzz(func(t *testing.T, seed uint64, steps uint16) {
+		run := func() (*ruleChecker, []Action) {
+			rng := rand.New(rand.NewPCG(seed, 9))
+			r, _, log := changedRandomRun(seed, int(steps%500), func(settings *Settings) {
+				settings.PeerMessages, settings.Replicas, settings.ReplicaIndex = true, 2+rng.IntN(5), rng.IntN(2)
+			}, func() (events []Event) {
+				for range rng.IntN(6) {
+					events = append(events, PeerTold{From: rng.IntN(8) - 1, Message: randomPeerMessage(rng)})
+				}
+				return events
+			})
+			return r, log
+		}
+		r, log := run()
+		if len(r.violations) > 0 {
+			t.Fatalf("%d faults, the first: %s", len(r.violations), r.violations[0])
+		}
+		if _, again := run(); !reflect.DeepEqual(log, again) {
+			t.Fatal("two runs differ")
+		}
+	})
+}
+
+// BenchmarkGrantWaiting is a release at a coordinator whose workers are all in use, with so many requests waiting.
+func BenchmarkGrantWaiting(b *testing.B) {
+	s := coordinatorHarness(b, 3200, func(settings *Settings) { settings.Replicas = 900 })
+	held, lastID := []LeaseID{}, LeaseID(0)
+	shard := s.d.directory.shardOf(s.d.workerList[0])
+	for range 2000 {
+		lastID++
+		granted := s.tell(int(lastID)%800, LeaseRequest{ID: lastID, Shard: shard, Demand: 1, LongChance: float64(lastID % 97)})
+		held = append(held, grantedIDs(granted)...)
+	}
+	b.ResetTimer()
+	for b.Loop() {
+		id := held[0]
+		lastID++
+		again := LeaseRequest{ID: lastID, Shard: shard, Demand: 1, LongChance: float64(lastID % 97)}
+		s.tell(int(lastID)%800, again)
+		held = append(held[1:], grantedIDs(s.tell(int(id)%800, LeaseReleased{ID: id, Result: OK}))...)
+	}
+	b.ReportMetric(float64(len(s.d.coordinator.waiting)), "waiting")
+}
--- /dev/null
+++ b/dispatch/leasefleet_test.go
@@ -0,0 +1,394 @@
+package dispatch
+
+import (
+	"container/heap"
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// leaseFleet is a fleet of workers under several dispatchers that lease slots from each other, in virtual time. What
+// they tell each other goes by a bus that delays messages, so that they overtake each other, and may lose or repeat
+// them. The rules are checked at each dispatcher.
+type leaseFleet struct {
+	t           *testing.T
+	settings    Settings
+	slots       int
+	work        time.Duration // mean of a job, which varies by half of that
+	rng         *rand.Rand
+	now         time.Duration
+	events      sharedEvents
+	sequence    int
+	list        WorkerList
+	members     []*leaseMember
+	workers     map[uint64]*leaseWorker
+	lastJob     uint64
+	messages    int                                       // messages
+	loss        float64                                   // share of messages that are lost
+	repeats     float64                                   // share that comes twice
+	isCut       func(from, to int) bool                   // nil: nothing is
+	tamper      func(from int, m PeerMessage) PeerMessage // nil: no peer lies
+	mostAtOnce  int                                       // attempts at one worker, in any moment
+	inWaiting   int                                       // attempts that waited at a worker for a slot
+	sent        int
+	garbageRate float64 // of forged messages, for each that is told
+}
+
+// leaseMember is one dispatcher, with the checker of its rules. A restart makes both anew.
+type leaseMember struct {
+	d        *Dispatcher
+	rules    *ruleChecker
+	process  int // restarts so far
+	timer    int
+	attempts map[uint64]int
+}
+
+type leaseWorker struct {
+	busy  int
+	queue []func()
+	works []spend // work sent, for slow start
+}
+
+// newLeaseFleet has so many dispatchers share so many workers of three slots, listed from the first step.
+func newLeaseFleet(t *testing.T, dispatchers, workers int, settings Settings, seed uint64) *leaseFleet {
+	t.Helper()
+	f := &leaseFleet{
+		t: t, settings: settings, slots: 3, work: 150 * ms, now: time.Hour, workers: map[uint64]*leaseWorker{},
+		rng: rand.New(rand.NewPCG(seed, 7)),
+	}
+	f.list.Kind = ListFull
+	for id := range workers {
+		f.list.Workers = append(f.list.Workers, Worker{ID: uint64(id + 1), Ready: true})
+		f.workers[uint64(id+1)] = &leaseWorker{}
+	}
+	for index := range dispatchers {
+		f.members = append(f.members, &leaseMember{})
+		f.settings.Replicas = dispatchers
+		f.restart(index)
+	}
+	return f
+}
+
+// restart has a new process take the place of a dispatcher. Its peers notice, its jobs are lost with it.
+func (f *leaseFleet) restart(index int) {
+	member := f.members[index]
+	settings := f.settings
+	settings.ReplicaIndex = index
+	member.process++
+	member.d, member.rules = New(settings, uint64(index+1)), newRuleChecker(settings)
+	member.attempts = map[uint64]int{}
+	f.step(index, f.list)
+	for other := range f.members {
+		if isUp := f.members[other].d != nil; isUp && other != index && member.process > 1 {
+			f.step(other, PeerTold{From: index, Message: PeerRestarted{}})
+		}
+	}
+}
+
+func (f *leaseFleet) after(delay time.Duration, act func()) {
+	f.sequence++
+	heap.Push(&f.events, sharedEvent{f.now + delay, f.sequence, act})
+}
+
+// afterFor has a dispatcher get an event later, unless its process has gone by then.
+func (f *leaseFleet) afterFor(index int, delay time.Duration, event Event) {
+	f.afterForProcess(index, f.members[index].process, delay, event)
+}
+
+func (f *leaseFleet) afterForProcess(index, process int, delay time.Duration, event Event) {
+	f.after(delay, func() {
+		if f.members[index].process == process {
+			f.step(index, event)
+		}
+	})
+}
+
+func (f *leaseFleet) step(index int, events ...Event) {
+	member := f.members[index]
+	member.rules.now = f.now
+	member.rules.observe(events)
+	actions := member.d.Step(f.now, events, nil)
+	member.rules.check(actions)
+	for _, action := range actions {
+		switch action := action.(type) {
+		case SetTimer:
+			member.timer++
+			timer, process := member.timer, member.process
+			f.after(action.After, func() {
+				if timer == member.timer && process == member.process {
+					f.step(index, TimerFired{})
+				}
+			})
+		case Send:
+			f.send(index, action)
+		case TellPeer:
+			f.tell(index, action)
+		}
+	}
+}
+
+// tell carries a message, up to 32 ms late.
+func (f *leaseFleet) tell(from int, action TellPeer) {
+	f.messages++
+	message := action.Message
+	if f.tamper != nil {
+		message = f.tamper(from, message)
+	}
+	if f.rng.Float64() < f.garbageRate {
+		f.afterFor(action.To, f.delay(), PeerTold{From: f.rng.IntN(len(f.members)+2) - 1, Message: randomPeerMessage(f.rng)})
+	}
+	isLost := message == nil || f.rng.Float64() < f.loss || f.isCut != nil && f.isCut(from, action.To)
+	if isLost || action.To < 0 || action.To >= len(f.members) {
+		return
+	}
+	f.afterFor(action.To, f.delay(), PeerTold{From: from, Message: message})
+	if f.rng.Float64() < f.repeats {
+		f.afterFor(action.To, f.delay(), PeerTold{From: from, Message: message})
+	}
+}
+
+func (f *leaseFleet) delay() time.Duration { return time.Duration(1 + f.rng.Int64N(int64(16*ms))) }
+
+// send has a worker run an attempt, once it has a slot free.
+func (f *leaseFleet) send(index int, send Send) {
+	member, worker := f.members[index], f.workers[send.Worker]
+	number, process := member.attempts[send.Job], member.process
+	member.attempts[send.Job]++
+	f.sent++
+	work := time.Duration(float64(f.work) * (0.5 + f.rng.Float64()))
+	worker.works = append(worker.works, spend{f.now, work.Seconds()})
+	run := func() {
+		f.afterForProcess(index, process, ms/5, Started{Job: send.Job, Attempt: number, Worker: send.Worker})
+		ended := Outcome{Job: send.Job, Attempt: number, Worker: send.Worker, Result: OK, Closed: true}
+		f.afterForProcess(index, process, work+ms/5, ended)
+		f.after(work, func() {
+			worker.busy--
+			if len(worker.queue) > 0 {
+				next := worker.queue[0]
+				worker.queue = worker.queue[1:]
+				worker.busy++
+				next()
+			}
+		})
+	}
+	f.after(ms/5, func() {
+		if worker.busy >= f.slots {
+			f.inWaiting++
+			worker.queue = append(worker.queue, run)
+		} else {
+			worker.busy++
+			run()
+		}
+		f.mostAtOnce = max(f.mostAtOnce, worker.busy+len(worker.queue))
+	})
+}
+
+// offer has jobs arrive at a dispatcher, as a share of what all workers can do split over all dispatchers.
+func (f *leaseFleet) offer(index int, load float64, until time.Duration) {
+	capacity := float64(f.slots*len(f.workers)) / f.work.Seconds() / float64(len(f.members))
+	next := time.Duration(f.rng.ExpFloat64() / (load * capacity) * float64(time.Second))
+	if f.now+next >= until {
+		return
+	}
+	f.after(next, func() {
+		f.job(index, Job{Class: int(f.lastJob % uint64(len(f.settings.Classes)))})
+		f.offer(index, load, until)
+	})
+}
+
+func (f *leaseFleet) job(index int, job Job) uint64 {
+	f.lastJob++
+	job.ID, job.Remaining, job.Hint, job.Slots = f.lastJob, f.settings.Classes[job.Class].ClientTimeout, f.work, 1
+	f.step(index, job)
+	return f.lastJob
+}
+
+// run lets time pass.
+func (f *leaseFleet) run(span time.Duration) {
+	end := f.now + span
+	for len(f.events) > 0 && f.events[0].at <= end {
+		event := heap.Pop(&f.events).(sharedEvent)
+		f.now = event.at
+		event.act()
+	}
+	f.now = end
+}
+
+// serve offers jobs to all dispatchers for a while, and then waits until all have their answers.
+func (f *leaseFleet) serve(load float64, span time.Duration) {
+	for index := range f.members {
+		f.offer(index, load, f.now+span)
+	}
+	f.run(span)
+}
+
+// finish waits until all jobs have had their time, and checks that nothing is left of them.
+func (f *leaseFleet) finish() {
+	f.t.Helper()
+	f.run(8 * time.Second)
+	for index, member := range f.members {
+		if len(member.rules.violations) > 0 {
+			f.t.Errorf("dispatcher %d: %d faults, the first: %s", index, len(member.rules.violations), member.rules.violations[0])
+		}
+		for id, job := range member.rules.jobs {
+			if !job.closed {
+				f.t.Errorf("dispatcher %d: job %d has no answer", index, id)
+			}
+		}
+		d := member.d
+		if len(d.jobs) > 0 || len(d.client.byID) > 0 || len(d.coordinator.leases) > 0 || len(d.coordinator.waiting) > 0 {
+			f.t.Errorf("dispatcher %d keeps %d jobs, %d leases that it asked for, %d that it granted, and %d requests", index,
+				len(d.jobs), len(d.client.byID), len(d.coordinator.leases), len(d.coordinator.waiting))
+		}
+		for worker, slots := range d.coordinator.slots {
+			if slots.used != 0 || slots.running != 0 {
+				f.t.Errorf("dispatcher %d: worker %d has %v slots in use, %v running", index, worker, slots.used, slots.running)
+			}
+		}
+	}
+}
+
+// randomPeerMessage draws any message, mostly of figures that make no sense.
+func randomPeerMessage(rng *rand.Rand) PeerMessage {
+	id, worker := LeaseID(rng.IntN(60)), uint64(rng.IntN(14))
+	figures := []float64{0, 1, -1, 1e300, -1e300, math.NaN(), math.Inf(1), math.Inf(-1), 0.5, 3}
+	figure := func() float64 { return figures[rng.IntN(len(figures))] }
+	number := func() int { return []int{0, 1, -1, 5, -1 << 63, 1<<63 - 1}[rng.IntN(6)] }
+	switch rng.IntN(8) {
+	case 0:
+		return LeaseRequest{
+			ID: id, Shard: Shard{number(), number()}, Class: number(), Demand: figure(), Work: figure(), LongChance: figure(),
+			Demoted: rng.IntN(2) == 0, PromoteIn: time.Duration(number()), Excluded: make([]uint64, rng.IntN(9)),
+		}
+	case 1:
+		return LeaseStarted{ID: id, Prompt: rng.IntN(2) == 0}
+	case 2:
+		return LeaseReleased{ID: id, Result: Result(number())}
+	case 3:
+		report := LeaseReport{Complete: rng.IntN(2) == 0}
+		for range rng.IntN(20) {
+			held := HeldLease{LeaseID(rng.IntN(60)), uint64(rng.IntN(14)), figure(), rng.IntN(2) == 0}
+			report.Leases = append(report.Leases, held)
+		}
+		return report
+	case 4:
+		return LeaseGranted{ID: id, Worker: worker, FreeSlots: number()}
+	case 5:
+		return LeaseQueued{ID: id, FreeSlots: number()}
+	case 6:
+		return PeerRestarted{}
+	default:
+		return nil
+	}
+}
+
+// Without faults a worker gets no more than the limit rule tries. Its limit grows while starts are prompt, and the ends of
+// jobs are told later than the starts of others: it passes the slots by less than as many. Without leases twice as
+// many attempts wait at workers.
+func TestLeasedSlotsStayWithinLimits(t *testing.T) {
+	t.Parallel()
+	waited := map[bool]float64{}
+	for _, isLeased := range []bool{true, false} {
+		settings := leaseSettings()
+		settings.PeerMessages = isLeased
+		f := newLeaseFleet(t, 8, 6, settings, 1)
+		f.work = 800 * ms // a start that waits for the end of another job is late, by the rule
+		f.serve(0.7, 30*time.Second)
+		f.mostAtOnce, f.inWaiting, f.sent = 0, 0, 0
+		f.serve(0.7, 120*time.Second)
+		waited[isLeased] = float64(f.inWaiting) / float64(f.sent)
+		t.Logf("leased %v: %d of %d attempts waited for a slot, %d messages", isLeased, f.inWaiting, f.sent, f.messages)
+		if isLeased && f.mostAtOnce > 2*f.slots {
+			t.Errorf("%d attempts at once at a worker of %d slots", f.mostAtOnce, f.slots)
+		}
+		if (f.messages > 0) != isLeased {
+			t.Errorf("leased %v: %d messages", isLeased, f.messages)
+		}
+		f.finish()
+	}
+	if waited[true] > waited[false]/2 {
+		t.Errorf("%.2f of attempts waited at a worker, %.2f without leases", waited[true], waited[false])
+	}
+}
+
+// Whatever happens to messages, each job gets its one answer, no rule is broken, and no lease is left over.
+func TestLeasesUnderFaults(t *testing.T) {
+	t.Parallel()
+	for name, fault := range map[string]func(f *leaseFleet){
+		"lost":       func(f *leaseFleet) { f.loss = 0.3 },
+		"repeated":   func(f *leaseFleet) { f.repeats = 0.5 },
+		"forged":     func(f *leaseFleet) { f.garbageRate = 0.5 },
+		"all":        func(f *leaseFleet) { f.loss, f.repeats, f.garbageRate = 0.3, 0.3, 0.3 },
+		"none heard": func(f *leaseFleet) { f.loss = 1 },
+		"partition":  func(f *leaseFleet) { f.isCut = func(from, to int) bool { return (from < 4) != (to < 4) } },
+		"one-way":    func(f *leaseFleet) { f.isCut = func(from, to int) bool { return from < 4 && to >= 4 } },
+		"restart of the coordinator": func(f *leaseFleet) {
+			f.after(2*time.Second, func() { f.restart(f.members[0].d.directory.rank(Shard{})[0]) })
+		},
+		"restart of all": func(f *leaseFleet) {
+			f.after(2*time.Second, func() {
+				for index := range f.members {
+					f.restart(index)
+				}
+			})
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			for seed := range uint64(4) {
+				f := newLeaseFleet(t, 8, 6, leaseSettings(), seed)
+				fault(f)
+				f.serve(0.6, 4*time.Second)
+				f.loss, f.garbageRate, f.isCut = 0, 0, nil
+				f.finish()
+			}
+		})
+	}
+}
+
+// A coordinator that lies does bounded harm: most jobs are answered all the same.
+func TestLyingCoordinator(t *testing.T) {
+	t.Parallel()
+	coordinator := func(f *leaseFleet) int { return f.members[0].d.directory.rank(Shard{})[0] }
+	for name, lie := range map[string]func(m PeerMessage) PeerMessage{
+		"always the same worker": func(m PeerMessage) PeerMessage {
+			if granted, ok := m.(LeaseGranted); ok {
+				granted.Worker = 1
+				return granted
+			}
+			return m
+		},
+		"a worker that is not listed": func(m PeerMessage) PeerMessage {
+			if granted, ok := m.(LeaseGranted); ok {
+				granted.Worker = 999
+				return granted
+			}
+			return m
+		},
+		"never": func(m PeerMessage) PeerMessage {
+			if granted, ok := m.(LeaseGranted); ok {
+				return LeaseQueued{ID: granted.ID, FreeSlots: 1 << 30}
+			}
+			return m
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			f := newLeaseFleet(t, 8, 6, leaseSettings(), 1)
+			f.tamper = func(from int, m PeerMessage) PeerMessage {
+				if from == coordinator(f) {
+					return lie(m)
+				}
+				return m
+			}
+			f.serve(0.3, 30*time.Second)
+			t.Logf("%d of %d jobs were sent", f.sent, f.lastJob)
+			if float64(f.sent) < 0.6*float64(f.lastJob) {
+				t.Errorf("%d of %d jobs were sent", f.sent, f.lastJob)
+			}
+			f.tamper = nil
+			f.finish()
+		})
+	}
+}
--- a/dispatch/rules_test.go
+++ b/dispatch/rules_test.go
@@ -284,9 +284,22 @@
 // observedRandomRunFrom is observedRandomRun on a clock that begins at start.
 func observedRandomRunFrom(
 	start time.Duration, seed uint64, steps int, beside func(*Dispatcher, time.Duration, []Event, []Action),
+) (*ruleChecker, *Dispatcher, []Action) {
+	return randomRunWith(start, seed, steps, beside, func(*Settings) {}, func() []Event { return nil })
+}
+
+// changedRandomRun is randomRun under settings that are changed, with more events in each step.
+func changedRandomRun(seed uint64, steps int, change func(*Settings), more func() []Event) (*ruleChecker, *Dispatcher, []Action) {
+	return randomRunWith(0, seed, steps, func(*Dispatcher, time.Duration, []Event, []Action) {}, change, more)
+}
+
+func randomRunWith(
+	start time.Duration, seed uint64, steps int, beside func(*Dispatcher, time.Duration, []Event, []Action),
+	change func(*Settings), more func() []Event,
 ) (*ruleChecker, *Dispatcher, []Action) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := randomSettings(rng)
+	change(&set)
 	d, r := New(set, seed), newRuleChecker(set)
 	r.now = start + time.Duration(rng.IntN(1e9))
 	var log []Action
@@ -329,6 +342,7 @@
 			events = append(events, ModelUpdate{Snapshot: d.ModelSnapshot(rng.IntN(600), nil), Age: time.Duration(rng.IntN(1e10)), LoadShare: rng.Float64()})
 		}
 		events = append(events, randomOutcomes(rng, r)...)
+		events = append(events, more()...)
 		r.observe(events)
 		beside(d, r.now, events, nil)
 		actions := d.Step(r.now, events, []Action{})
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -31,6 +31,7 @@
 	d.updateReadyZones()
 	d.updatePreferences()
 	d.coordinator.members = nil
+	d.coordinator.unchanged = false
 }
 
 // updateReadyZones notes which zones have ready workers.
--- a/dispatch/workerslots.go
+++ b/dispatch/workerslots.go
@@ -17,10 +17,12 @@
 // workerSlots are the slots of a worker that all dispatchers have.
 type workerSlots struct {
 	limit          float64
+	leases         int
 	used           float64
 	running        float64 // of those used, on which an attempt has started
 	decreasedAt    time.Duration
-	failures       int // in a row
+	failures       int // in a row, each told by another dispatcher than the one before
+	failedPeer     int // that has told the last one
 	suspension     time.Duration
 	suspendedUntil time.Duration
 	warmUpSpends   []spend
@@ -68,7 +70,8 @@
 
 // leaseHasEnded takes in the end of an attempt. A worker that fails several in a row is left alone for a
 // while.
-func (d *Dispatcher) leaseHasEnded(lease *grantedLease, slots *workerSlots, result Result) {
+func (d *Dispatcher) leaseHasEnded(lease *grantedLease, result Result) {
+	slots := d.coordinator.slotsOf(lease.worker)
 	switch result {
 	case OK:
 		slots.failures = 0
@@ -78,7 +81,11 @@
 			slots.decreasedAt = d.now
 			slots.limit = max(1, math.Floor(slots.limit/2))
 		}
+		if slots.failures > 0 && slots.failedPeer == lease.key.peer { // one alone may be at fault itself
+			return
+		}
 		slots.failures++
+		slots.failedPeer = lease.key.peer
 		if slots.failures > maxFailures && d.now >= slots.suspendedUntil {
 			slots.suspension = min(max(minEjection, 2*slots.suspension), maxEjection)
 			slots.suspendedUntil = d.now + slots.suspension
