--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -58,6 +58,9 @@
 	return s.PeerMessages && s.Replicas > 1 && costOfJob <= peerBudget
 }
 
+// AllowsPeerMessages tells whether this dispatcher's settings allow TellPeer.
+func (d *Dispatcher) AllowsPeerMessages() bool { return d.settings.PeerMessages }
+
 func (d *Dispatcher) usesLeases() bool { return d.settings.UsesLeases() }
 
 // awaitsLease tells whether a job is to wait for slots that it has asked for.
--- a/internal/capture/decision.go
+++ b/internal/capture/decision.go
@@ -59,6 +59,8 @@
 		return dispatch.CloseIdleConnections{Worker: l.WorkerNumber}
 	case outputSubscribe:
 		return dispatch.Subscribe{}
+	case outputPeerMessage:
+		return dispatch.TellPeer{To: l.Peer, Message: l.Message.message()}
 	}
 	return nil
 }
@@ -80,6 +82,8 @@
 		return decision{subject: n.worker(action.Worker), what: decidedCloseIdle}, true
 	case dispatch.Subscribe:
 		return decision{subject: subjectEndpointList, what: decidedSubscribe}, true
+	case dispatch.TellPeer:
+		return decision{subject: "scheduler " + strconv.Itoa(action.To), what: "told " + describePeerMessage(action.Message)}, true
 	}
 	return decision{}, false
 }
--- a/internal/capture/golden_test.go
+++ b/internal/capture/golden_test.go
@@ -17,11 +17,14 @@
 const (
 	goldenCapture = "capture-1.jsonl"       // every kind of line but the next file's
 	goldenPanic   = "capture-panic-1.jsonl" // a dispatcher that panicked, and the one after it
+	goldenPeers   = "capture-peers-1.jsonl" // the lines of goldenPeerLines, which are no whole capture
 )
 
+var goldenFiles = []string{goldenCapture, goldenPanic, goldenPeers}
+
 func goldenLines(t *testing.T) (lines []Line) {
 	t.Helper()
-	for _, name := range []string{goldenCapture, goldenPanic} {
+	for _, name := range goldenFiles {
 		for text := range bytes.Lines(storedform.Golden(t, name)) {
 			var line Line
 			if err := json.Unmarshal(text, &line); err != nil {
@@ -46,7 +49,7 @@
 
 // What is read is written again to the same bytes, which it would not be if a field had another name or were not known.
 func TestGoldenCaptureIsWrittenToTheSameBytes(t *testing.T) {
-	for _, name := range []string{goldenCapture, goldenPanic} {
+	for _, name := range goldenFiles {
 		for text := range bytes.Lines(storedform.Golden(t, name)) {
 			var line Line
 			if err := json.Unmarshal(text, &line); err != nil {
--- a/internal/capture/helpers_test.go
+++ b/internal/capture/helpers_test.go
@@ -53,6 +53,14 @@
 
 // newSchedulerOn is newScheduler with a disk and a log of the recorder.
 func newSchedulerOn(tb testing.TB, disk filesystem.FileSystem, log *slog.Logger, seed uint64, capture config.Capture) *scheduler {
+	tb.Helper()
+	return newSchedulerOf(tb, platform, disk, log, seed, capture)
+}
+
+// newSchedulerOf is newSchedulerOn with a text of the platform's file.
+func newSchedulerOf(
+	tb testing.TB, platform string, disk filesystem.FileSystem, log *slog.Logger, seed uint64, capture config.Capture,
+) *scheduler {
 	tb.Helper()
 	start, err := config.Decode([]byte(platform), func(string) string { return "" })
 	if err != nil {
@@ -96,22 +104,26 @@
 // run runs so many steps.
 func (s *scheduler) run(steps int) {
 	for range steps {
-		s.Now += time.Duration(s.random.IntN(30_000_000))
-		for range s.random.IntN(3) {
-			s.admit()
-		}
-		s.callBack()
-		if s.random.IntN(60) == 0 {
-			s.updateEndpoints()
-		}
-		if s.random.IntN(60) == 0 {
-			s.Table.Cordon("s-" + strconv.Itoa(s.random.IntN(9)))
-		}
-		if s.random.IntN(30) == 0 {
-			s.Table.Uncordon("s-" + strconv.Itoa(s.random.IntN(9)))
-		}
-		s.Table.Step(s.Now)
+		s.runStep()
+	}
+}
+
+func (s *scheduler) runStep() {
+	s.Now += time.Duration(s.random.IntN(30_000_000))
+	for range s.random.IntN(3) {
+		s.admit()
+	}
+	s.callBack()
+	if s.random.IntN(60) == 0 {
+		s.updateEndpoints()
+	}
+	if s.random.IntN(60) == 0 {
+		s.Table.Cordon("s-" + strconv.Itoa(s.random.IntN(9)))
+	}
+	if s.random.IntN(30) == 0 {
+		s.Table.Uncordon("s-" + strconv.Itoa(s.random.IntN(9)))
 	}
+	s.Table.Step(s.Now)
 }
 
 // admit admits a request, whose client may disconnect at once.
--- a/internal/capture/line.go
+++ b/internal/capture/line.go
@@ -44,6 +44,8 @@
 	KeyWork          *float64          `json:"past,omitempty"` // what the dispatcher had learnt of the job's key
 	ListKind         dispatch.ListKind `json:"kind,omitempty"`
 	Workers          []listedWorker    `json:"workers,omitempty"`
+	Peer             int               `json:"peer,omitempty"`    // the scheduler that a message is from or to
+	Message          *peerMessage      `json:"message,omitempty"` // between schedulers
 
 	// The opening of a segment.
 	Reason           string              `json:"why,omitempty"`
@@ -52,6 +54,9 @@
 	Settings         jsoniter.RawMessage `json:"settings,omitempty"`
 	Snapshot         []byte              `json:"snapshot,omitempty"` // of the dispatcher
 	CallIDs          map[uint64]string   `json:"calls,omitempty"`    // of the open jobs
+	// PeerMessages tells whether schedulers may tell each other anything. The settings withoutPeers don't decide that: it takes
+	// addresses too.
+	PeerMessages bool `json:"peers,omitempty"`
 }
 
 // listedWorker is one entry of an endpoint list.
@@ -84,6 +89,7 @@
 	inputTimer         = "timer"
 	inputCordoned      = "taken out"
 	inputUncordoned    = "brought back"
+	inputPeerMessage   = "message received"
 	outputSend         = "send"
 	outputReject       = "refuse"
 	outputFail         = "fail"
@@ -91,6 +97,7 @@
 	outputHealthCheck  = "probe"
 	outputCloseIdle    = "free"
 	outputSubscribe    = "watch"
+	outputPeerMessage  = "message sent"
 	outputPanic        = "panic"
 )
 
@@ -107,8 +114,9 @@
 var stepKinds = map[string]bool{
 	inputJob: true, inputOutcome: true, inputStarted: true, inputProgress: true, inputDisconnected: true,
 	inputWorkerList: true, inputHealthChecked: true, inputTimer: true, inputCordoned: true, inputUncordoned: true,
-	outputSend: true, outputReject: true, outputFail: true, outputCancel: true, outputHealthCheck: true,
-	outputCloseIdle: true, outputSubscribe: true, outputPanic: true,
+	inputPeerMessage: true,
+	outputSend:       true, outputReject: true, outputFail: true, outputCancel: true, outputHealthCheck: true,
+	outputCloseIdle: true, outputSubscribe: true, outputPeerMessage: true, outputPanic: true,
 }
 
 // otherKinds are all other kinds of lines.
--- /dev/null
+++ b/internal/capture/peers_test.go
@@ -0,0 +1,203 @@
+package capture
+
+import (
+	"bytes"
+	"fmt"
+	"log/slog"
+	"reflect"
+	"strings"
+	"testing"
+
+	"valvecove/dispatch"
+	"valvecove/internal/config"
+	"valvecove/internal/filesystem"
+	"valvecove/internal/storedform"
+)
+
+// goldenPeerMessages are of all kinds, with a value in each field.
+var goldenPeerMessages = []dispatch.PeerMessage{
+	dispatch.LeaseRequest{
+		ID: 7, Shard: dispatch.Shard{Zone: 1, Number: 2}, Class: 3, Demand: 1.5, Work: 0.1, LongChance: 1.0 / 3, Demoted: true,
+		PromoteIn: -5, Excluded: []uint64{1<<64 - 1, 2},
+	},
+	dispatch.LeaseStarted{ID: 7, Prompt: true},
+	dispatch.LeaseReleased{ID: 1<<32 - 1, Result: dispatch.NotSent},
+	dispatch.LeaseReport{Complete: true, Leases: []dispatch.HeldLease{{ID: 7, Worker: 1<<64 - 1, Demand: 0.0625, Started: true}}},
+	dispatch.LeaseGranted{ID: 7, Worker: 1<<64 - 1, FreeSlots: -3},
+	dispatch.LeaseQueued{ID: 7, FreeSlots: -3},
+	dispatch.PeerRestarted{},
+}
+
+// goldenPeerLines are those of goldenPeers: the opening of a segment, and each message from another scheduler and to one.
+func goldenPeerLines() []Line {
+	recorder := &Recorder{}
+	lines := []Line{{Input: inputStart, Reason: reasonStart, PeerMessages: true}}
+	for _, message := range goldenPeerMessages {
+		lines = append(lines, recorder.eventLine(dispatch.PeerTold{From: 4, Message: message}),
+			recorder.actionLine(dispatch.TellPeer{To: 5, Message: message}))
+	}
+	return lines
+}
+
+func isPeerRestarted(message dispatch.PeerMessage) bool {
+	_, ok := message.(dispatch.PeerRestarted)
+	return ok
+}
+
+// Messages between schedulers are written as the build wrote them that first did, and read exactly as they were.
+func TestGoldenPeerMessages(t *testing.T) {
+	for _, message := range goldenPeerMessages {
+		if unset := storedform.Zero(message); len(unset) > 0 && !isPeerRestarted(message) {
+			t.Errorf("no value in %q", unset)
+		}
+	}
+	recorder := &Recorder{}
+	for _, line := range goldenPeerLines() {
+		recorder.write(line)
+	}
+	storedform.CheckGolden(t, goldenPeers, recorder.lines)
+	var read []dispatch.PeerMessage
+	for text := range bytes.Lines(storedform.Golden(t, goldenPeers)) {
+		var line Line
+		if err := json.Unmarshal(text, &line); err != nil {
+			t.Fatal(err)
+		}
+		switch {
+		case line.Input == inputPeerMessage:
+			read = append(read, line.event().(dispatch.PeerTold).Message)
+		case line.Output == outputPeerMessage && !reflect.DeepEqual(line.action().(dispatch.TellPeer).Message, read[len(read)-1]):
+			t.Errorf("%s is another message than the line before", text)
+		}
+	}
+	if !reflect.DeepEqual(read, goldenPeerMessages) {
+		t.Errorf("read %+v", read)
+	}
+}
+
+// platformOfPeer is the platform's file of one of two schedulers that may tell each other of leases.
+func platformOfPeer(number int) string {
+	return strings.NewReplacer(
+		`"name":"n0"`, fmt.Sprintf(`"name":"n%d","peer_listen":"127.0.0.1:1","peers":["127.0.0.1:1","127.0.0.1:2"]`, number),
+		`"settings":{`, fmt.Sprintf(`"settings":{"replicas_of_me":2,"me":%d,`, number),
+		`"try_limit":6`, `"try_limit":6,"peers":true`,
+	).Replace(platform)
+}
+
+// newPeers returns two schedulers that tell each other of leases: an eighth of their messages is lost, and one of them
+// restarts now and then, as far as the other can tell.
+func newPeers(t *testing.T, seed uint64, capture config.Capture) [2]*scheduler {
+	t.Helper()
+	var peers [2]*scheduler
+	for number := range peers {
+		peers[number] = newSchedulerOf(t, platformOfPeer(number), filesystem.Disk, slog.New(slog.DiscardHandler), seed+uint64(100*number), capture)
+	}
+	for number, sender := range peers {
+		sender.Table.TellPeer = func(to int, message dispatch.PeerMessage) {
+			if to != 1-number {
+				t.Errorf("scheduler %d told %d", number, to)
+			}
+			if sender.random.IntN(8) == 0 {
+				return
+			}
+			messages := []dispatch.PeerMessage{message}
+			if sender.random.IntN(200) == 0 {
+				messages = append([]dispatch.PeerMessage{dispatch.PeerRestarted{}}, messages...)
+			}
+			peers[to].Table.AddPeerMessages(number, messages)
+		}
+	}
+	return peers
+}
+
+// Schedulers that tell each other of leases replay without a difference, whatever they have told.
+func TestReplayOfPeerMessages(t *testing.T) {
+	var text []byte
+	for seed := range uint64(4) {
+		peers := newPeers(t, seed, config.Capture{MemoryKB: 4 << 10})
+		for range 400 {
+			for _, peer := range peers {
+				peer.runStep()
+			}
+		}
+		for _, peer := range peers {
+			dump := peer.recorder.Dump()
+			if sends := checkReplaysSame(t, dump); sends == 0 {
+				t.Error("nothing was sent")
+			}
+			text = append(text, dump...)
+		}
+	}
+	for _, kind := range []string{"request", "started", "released", "report", "granted", "queued"} {
+		part := fmt.Sprintf(`"message":{"%s":`, kind)
+		for _, direction := range []string{`"in":"message received"`, `"out":"message sent"`} {
+			if !hasLine(text, direction, part) {
+				t.Errorf("no message %s in a line with %s", kind, direction)
+			}
+		}
+	}
+	if !hasLine(text, `"in":"message received"`, `"message":{"restarted":`) {
+		t.Error("no restart of a peer")
+	}
+}
+
+// hasLine reports whether one line has all parts.
+func hasLine(text []byte, parts ...string) bool {
+	for line := range bytes.Lines(text) {
+		missing := 0
+		for _, part := range parts {
+			if !bytes.Contains(line, []byte(part)) {
+				missing++
+			}
+		}
+		if missing == 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// A message that goes to another peer, or has another figure, is a difference.
+func TestReplayComparesPeerMessages(t *testing.T) {
+	peers := newPeers(t, 1, config.Capture{MemoryKB: 4 << 10})
+	for range 100 {
+		for _, peer := range peers {
+			peer.runStep()
+		}
+	}
+	text := peers[0].recorder.Dump()
+	for _, part := range []string{`"out":"message sent","peer":1`, `"demand":1,`} {
+		if !bytes.Contains(text, []byte(part)) {
+			t.Fatalf("no %s is recorded", part)
+		}
+	}
+	first := bytes.Index(text, []byte(`"out":"message sent"`))
+	before, after := text[:first], text[first:]
+	for was, now := range map[string]string{`"peer":1`: `"peer":3`, `"id":`: `"id":9`} {
+		changed := append(bytes.Clone(before), bytes.Replace(after, []byte(was), []byte(now), 1)...)
+		if got := replay(t, changed, ""); got.differences == 0 || got.err != nil {
+			t.Errorf("%s in place of %s: %d differences, %v", now, was, got.differences, got.err)
+		}
+	}
+}
+
+// A capture of a scheduler that has no addresses of others replays without messages, whatever its settings allow.
+func TestReplayWithoutPeerAddresses(t *testing.T) {
+	withoutPeers := strings.NewReplacer(`"peer_listen":"127.0.0.1:1",`, "", `"peers":["127.0.0.1:1","127.0.0.1:2"]`, `"unused":0`).Replace(platformOfPeer(1))
+	s := newSchedulerOf(t, withoutPeers, filesystem.Disk, slog.New(slog.DiscardHandler), 1, config.Capture{MemoryKB: 4 << 10})
+	s.run(200)
+	text := s.recorder.Dump()
+	if sends := checkReplaysSame(t, text); sends == 0 || bytes.Contains(text, []byte(`"out":"message sent"`)) {
+		t.Errorf("%d sends, or messages", sends)
+	}
+}
+
+// A line of a message that has none does not replay.
+func TestReplayRejectsLineWithoutMessage(t *testing.T) {
+	text := recordedText(t)
+	for _, line := range []string{`{"t":1,"in":"message received","peer":1}`, `{"t":1,"out":"message sent","peer":1,"message":{}}`} {
+		got := replay(t, append(bytes.Clone(text), line...), "")
+		if got.err == nil || !strings.Contains(got.err.Error(), errNoMessage.Error()) {
+			t.Errorf("%s: %v", line, got.err)
+		}
+	}
+}
--- a/internal/capture/player.go
+++ b/internal/capture/player.go
@@ -27,6 +27,8 @@
 	if err != nil {
 		return err
 	}
+	// Captures of builds before messages between schedulers, and of schedulers without addresses of others, have none.
+	settings.PeerMessages = settings.PeerMessages && line.PeerMessages
 	seed, err := strconv.ParseUint(line.Seed, 16, 64)
 	if err != nil {
 		return fmt.Errorf("seed: %w", err)
--- a/internal/capture/reader.go
+++ b/internal/capture/reader.go
@@ -152,7 +152,11 @@
 	return nil
 }
 
-var errNoJob = errors.New("a job without what arrived")
+// Errors of lines that lack what their kind has.
+var (
+	errNoJob     = errors.New("a job without what arrived")
+	errNoMessage = errors.New("no message")
+)
 
 // takeStepLine adds a line to the step, and has a step that is complete played.
 func (r *reader) takeStepLine(line Line) error {
@@ -164,6 +168,9 @@
 	if line.Input == inputJob && line.ArrivedJob == nil {
 		return errNoJob
 	}
+	if (line.Input == inputPeerMessage || line.Output == outputPeerMessage) && line.Message.message() == nil {
+		return errNoMessage
+	}
 	if r.hasSegment {
 		r.player.names.addListed(line.Workers)
 	}
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -123,6 +123,7 @@
 	r.write(stamped(r.now(), Line{
 		Input: inputStart, Reason: reason, Seed: strconv.FormatUint(r.seed, 16), DispatcherNumber: r.dispatchers,
 		Settings: r.settings, Snapshot: r.current.Snapshot(nil), CallIDs: r.callIDs,
+		PeerMessages: r.current.AllowsPeerMessages(),
 	}))
 	if r.segmentLost = !r.sink.open(r.lines); r.segmentLost {
 		r.beginGap()
--- a/internal/capture/step.go
+++ b/internal/capture/step.go
@@ -116,6 +116,8 @@
 		return r.about(event.Worker, Line{Input: inputCordoned})
 	case dispatch.Uncordoned:
 		return r.about(event.Worker, Line{Input: inputUncordoned})
+	case dispatch.PeerTold:
+		return Line{Input: inputPeerMessage, Peer: event.From, Message: newPeerMessage(event.Message)}
 	case dispatch.WorkerList:
 		return r.workerListLine(event)
 	}
@@ -151,6 +153,8 @@
 		return r.about(action.Worker, Line{Output: outputCloseIdle})
 	case dispatch.Subscribe:
 		return Line{Output: outputSubscribe}
+	case dispatch.TellPeer:
+		return Line{Output: outputPeerMessage, Peer: action.To, Message: newPeerMessage(action.Message)}
 	}
 	return Line{}
 }
@@ -176,6 +180,8 @@
 		return dispatch.Cordoned{Worker: l.WorkerNumber}
 	case inputUncordoned:
 		return dispatch.Uncordoned{Worker: l.WorkerNumber}
+	case inputPeerMessage:
+		return dispatch.PeerTold{From: l.Peer, Message: l.Message.message()}
 	case inputWorkerList:
 		list := dispatch.WorkerList{Kind: l.ListKind}
 		for _, worker := range l.Workers {
