--- /dev/null
+++ b/dispatch/leasesnapshot.go
@@ -0,0 +1,214 @@
+package dispatch
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+)
+
+// Where slots are leased, a snapshot ends with a part on leases: those that the dispatcher has or asks for, and those
+// that it has granted as a coordinator. Without such a part, as in a snapshot of a dispatcher that leased none, it
+// begins with no lease. One that leases none drops the part.
+
+// leasePartVersion begins the part on leases.
+const leasePartVersion = 1
+
+// leasePart walks the part on leases, which follows all else.
+func (c *codec) leasePart(dispatcher *Dispatcher) {
+	isThere := dispatcher.usesLeases()
+	if !c.writing {
+		isThere = len(c.b) > 0
+	}
+	if !isThere {
+		c.endWithoutLeases(dispatcher)
+		return
+	}
+	version := leasePartVersion
+	c.int(&version)
+	c.check(version == leasePartVersion)
+	c.leaseClient(dispatcher)
+	for _, job := range c.jobs {
+		c.jobLeases(dispatcher, job)
+	}
+	c.coordinator(&dispatcher.coordinator, len(dispatcher.settings.Classes))
+	list(c, &dispatcher.readyZones, func(zone *int) { c.int(zone) })
+	sortedMap(c, dispatcher.directory.avoidedUntil, func(peer *int, until *time.Duration) {
+		c.int(peer)
+		c.instant(until)
+	})
+	if !c.writing && !dispatcher.usesLeases() {
+		dispatcher.dropAllLeases()
+	}
+}
+
+func (c *codec) endWithoutLeases(dispatcher *Dispatcher) {
+	if c.writing {
+		return
+	}
+	c.check(len(dispatcher.client.byID) == 0) // else a timer was of a lease
+	dispatcher.updateReadyZones()
+}
+
+// leaseReference is a reference to a lease. Read, the lease may be filled in only later.
+func (c *codec) leaseReference(dispatcher *Dispatcher, lease **leaseInfo) {
+	var id LeaseID
+	if c.writing {
+		id = (*lease).id
+	}
+	c.leaseID(&id)
+	if c.writing {
+		return
+	}
+	known := dispatcher.client.byID[id]
+	if known == nil {
+		known = &leaseInfo{id: id}
+		known.timer = timer{purpose: leaseOverdue, lease: known}
+		dispatcher.client.byID[id] = known
+	}
+	*lease = known
+}
+
+func (c *codec) leaseID(id *LeaseID) {
+	number := int(*id)
+	c.int(&number)
+	*id = LeaseID(number)
+	c.check(int(*id) == number)
+}
+
+func (c *codec) shard(shard *Shard) {
+	c.int(&shard.Zone)
+	c.int(&shard.Number)
+}
+
+// leaseClient walks the leases that the dispatcher has or asks for.
+func (c *codec) leaseClient(dispatcher *Dispatcher) {
+	client := &dispatcher.client
+	c.leaseID(&client.lastID)
+	c.instant(&client.reportAt)
+	var leases []*leaseInfo
+	if c.writing {
+		leases = dispatcher.leasesWhere(func(*leaseInfo) bool { return true })
+	}
+	list(c, &leases, func(lease **leaseInfo) {
+		c.leaseReference(dispatcher, lease)
+		c.leaseFigures(*lease)
+	})
+	c.check(len(leases) == len(client.byID)) // else a timer is of none of them, or one is there twice
+	shards := slices.SortedFunc(maps.Keys(client.freeSlots), compareShards)
+	list(c, &shards, func(shard *Shard) {
+		c.shard(shard)
+		free := client.freeSlots[*shard]
+		c.int(&free)
+		client.freeSlots[*shard] = free
+	})
+}
+
+func compareShards(a, b Shard) int {
+	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Number, b.Number))
+}
+
+// leaseFigures walks a lease: of what it is for, either the job that waits for it, or the attempt that uses it.
+func (c *codec) leaseFigures(lease *leaseInfo) {
+	c.shard(&lease.shard)
+	c.int(&lease.peer)
+	c.int(&lease.tries)
+	c.uint(&lease.worker)
+	c.float(&lease.demand)
+	c.instant(&lease.askedAt)
+	isUsed := lease.isUsed()
+	c.flags(&lease.isQueued, &lease.granted, &isUsed)
+	if !isUsed {
+		c.job(&lease.job)
+		return
+	}
+	c.attempt(&lease.attempt)
+	c.check(!lease.attempt.ended)
+	lease.attempt.lease = lease
+}
+
+// jobLeases walks what a job keeps of leases.
+func (c *codec) jobLeases(dispatcher *Dispatcher, job *jobInfo) {
+	c.flags(&job.withoutLease)
+	list(c, &job.refused, func(worker *uint64) { c.uint(worker) })
+	if len(job.refused) == 0 {
+		job.refused = nil
+	}
+	list(c, &job.leases, func(lease **leaseInfo) {
+		c.leaseReference(dispatcher, lease)
+		c.check((*lease).job == job)
+	})
+}
+
+// coordinator walks what the dispatcher has granted.
+func (c *codec) coordinator(coordinator *slotCoordinator, classes int) {
+	c.instant(&coordinator.since)
+	c.flags(&coordinator.unchanged)
+	sortedMap(c, coordinator.slots, func(worker *uint64, slots **workerSlots) {
+		if !c.writing {
+			*slots = &workerSlots{}
+		}
+		c.uint(worker)
+		c.slotFigures(*slots)
+	})
+	list(c, &coordinator.byGrant, func(lease **grantedLease) {
+		if !c.writing {
+			*lease = &grantedLease{position: len(coordinator.leases)}
+		}
+		c.grantedFigures(*lease)
+		coordinator.leases[(*lease).key] = *lease
+	})
+	c.check(len(coordinator.leases) == len(coordinator.byGrant)) // else one is there twice
+	list(c, &coordinator.waiting, func(waiting **waitingRequest) {
+		if !c.writing {
+			*waiting = &waitingRequest{}
+		}
+		c.leaseKey(&(*waiting).key)
+		c.instant(&(*waiting).at, &(*waiting).promoteAt, &(*waiting).seenAt)
+		c.request(&(*waiting).request)
+		c.check((*waiting).request.Class >= 0 && (*waiting).request.Class < classes)
+	})
+}
+
+func (c *codec) leaseKey(key *leaseKey) {
+	c.int(&key.peer)
+	c.leaseID(&key.id)
+}
+
+func (c *codec) slotFigures(slots *workerSlots) {
+	c.float(&slots.limit, &slots.used, &slots.running)
+	c.instant(&slots.decreasedAt, &slots.suspendedUntil)
+	c.duration(&slots.suspension)
+	c.int(&slots.failures)
+	list(c, &slots.warmUpSpends, c.spend)
+}
+
+func (c *codec) grantedFigures(lease *grantedLease) {
+	c.leaseKey(&lease.key)
+	c.uint(&lease.worker)
+	c.float(&lease.demand)
+	c.instant(&lease.at, &lease.seenAt)
+	c.flags(&lease.bound, &lease.started)
+}
+
+func (c *codec) request(request *LeaseRequest) {
+	c.leaseID(&request.ID)
+	c.shard(&request.Shard)
+	c.int(&request.Class)
+	c.float(&request.Demand, &request.Work, &request.LongChance)
+	c.flags(&request.Demoted)
+	c.duration(&request.PromoteIn)
+	list(c, &request.Excluded, func(worker *uint64) { c.uint(worker) })
+}
+
+// dropAllLeases has all jobs and attempts go on without leases.
+func (d *Dispatcher) dropAllLeases() {
+	for _, lease := range d.leasesWhere(func(*leaseInfo) bool { return true }) {
+		if lease.attempt != nil {
+			lease.attempt.lease = nil
+		}
+		d.dropLease(lease)
+	}
+	without := New(d.settings, 0)
+	d.client, d.coordinator, d.directory = without.client, without.coordinator, without.directory
+}
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -67,6 +67,7 @@
 		c.worker(&dispatcher.reserved)
 		c.job(&dispatcher.reservedFor)
 	}
+	c.leasePart(dispatcher)
 }
 
 // figures walks what is one figure each.
@@ -222,6 +223,8 @@
 		c.attempt(&held.attempt)
 	case workerAvailable:
 		c.worker(&worker)
+	case leaseOverdue:
+		c.leaseReference(dispatcher, &held.lease)
 	case runMaintenance:
 	}
 	if c.writing {
@@ -236,6 +239,8 @@
 		*ref = &job.objectiveTimer
 	case attemptOverdue:
 		*ref = &held.attempt.timer
+	case leaseOverdue:
+		*ref = &held.lease.timer
 	case workerAvailable:
 		*ref = &worker.timer
 	case runMaintenance:
@@ -417,10 +422,12 @@
 	c.int(&worker.connections)
 	c.int(&worker.orphans)
 	list(c, &worker.inFlight, func(a **attemptInfo) { c.attempt(a) })
-	list(c, &worker.warmUpSpends, func(s *spend) {
-		c.instant(&s.at)
-		c.float(&s.work)
-	})
+	list(c, &worker.warmUpSpends, c.spend)
+}
+
+func (c *codec) spend(spent *spend) {
+	c.instant(&spent.at)
+	c.float(&spent.work)
 }
 
 // keys walks what is known of the keys of jobs at hand.
--- a/dispatch/timers.go
+++ b/dispatch/timers.go
@@ -27,7 +27,7 @@
 	jobObjective
 	attemptOverdue
 	workerAvailable
-	leaseOverdue // snapshots hold none of these
+	leaseOverdue
 )
 
 // setTimer has a timer fire at an instant, in place of when it would have, and not within the present step.
