--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -62,8 +62,10 @@
 	return s.PeerMessages && s.Replicas > 1 && costOfJob <= budget
 }
 
-// AllowsPeerMessages tells whether this dispatcher's settings allow TellPeer.
-func (d *Dispatcher) AllowsPeerMessages() bool { return d.settings.PeerMessages }
+// PeerSettings returns whether this dispatcher's settings allow TellPeer, and their PeerBudget.
+func (d *Dispatcher) PeerSettings() (allowed bool, budget float64) {
+	return d.settings.PeerMessages, d.settings.PeerBudget
+}
 
 func (d *Dispatcher) usesLeases() bool { return d.settings.UsesLeases() }
 
--- a/internal/capture/helpers_test.go
+++ b/internal/capture/helpers_test.go
@@ -66,6 +66,9 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
+	if start.Settings.PeerMessages {
+		start.Settings.PeerBudget = 0.5
+	}
 	s := &scheduler{
 		Fixture:  observertest.Fixture{T: tb, Now: 1718000000123456789},
 		random:   rand.New(rand.NewPCG(seed, 3)),
--- a/internal/capture/line.go
+++ b/internal/capture/line.go
@@ -54,9 +54,10 @@
 	Settings         jsoniter.RawMessage `json:"settings,omitempty"`
 	Snapshot         []byte              `json:"snapshot,omitempty"` // of the dispatcher
 	CallIDs          map[uint64]string   `json:"calls,omitempty"`    // of the open jobs
-	// PeerMessages tells whether schedulers may tell each other anything. The settings withoutPeers don't decide that: it takes
-	// addresses too.
-	PeerMessages bool `json:"peers,omitempty"`
+	// PeerMessages and PeerBudget are those of the dispatcher's settings. The platform's alone don't decide them: it takes
+	// the addresses of others, and the operators' file.
+	PeerMessages bool    `json:"peers,omitempty"`
+	PeerBudget   float64 `json:"peer_budget,omitempty"`
 }
 
 // listedWorker is one entry of an endpoint list.
--- a/internal/capture/player.go
+++ b/internal/capture/player.go
@@ -27,8 +27,9 @@
 	if err != nil {
 		return err
 	}
-	// Captures of builds before messages between schedulers, and of schedulers without addresses of others, have none.
+	// Captures of builds before messages between schedulers, and of schedulers that had them off, have none.
 	settings.PeerMessages = settings.PeerMessages && line.PeerMessages
+	settings.PeerBudget = line.PeerBudget
 	seed, err := strconv.ParseUint(line.Seed, 16, 64)
 	if err != nil {
 		return fmt.Errorf("seed: %w", err)
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -120,10 +120,11 @@
 	clear(r.namedWorkers)
 	r.openedAt = r.now()
 	r.lines = r.lines[:0]
+	peerMessages, peerBudget := r.current.PeerSettings()
 	r.write(stamped(r.now(), Line{
 		Input: inputStart, Reason: reason, Seed: strconv.FormatUint(r.seed, 16), DispatcherNumber: r.dispatchers,
 		Settings: r.settings, Snapshot: r.current.Snapshot(nil), CallIDs: r.callIDs,
-		PeerMessages: r.current.AllowsPeerMessages(),
+		PeerMessages: peerMessages, PeerBudget: peerBudget,
 	}))
 	if r.segmentLost = !r.sink.open(r.lines); r.segmentLost {
 		r.beginGap()
--- a/internal/config/ops.go
+++ b/internal/config/ops.go
@@ -108,9 +108,9 @@
 	return netip.AddrPortFrom(config.Listen.Addr(), o.Status.Port)
 }
 
-// Override decodes recorded settings of the platform, with those of [replay.settings] in place of their own, as ApplyTo has
-// a scheduler use them. Errors are *KeyError with the key under replay.settings, except for recorded settings that do not
-// parse.
+// Override decodes recorded settings of the platform, with those of [replay.settings] in place of their own. Errors are
+// *KeyError with the key under replay.settings, except for recorded settings that do not parse. What ApplyTo has decided
+// about them is recorded by itself.
 func (o Ops) Override(recorded []byte) (Settings, error) {
 	path := []string{"replay", "settings"}
 	if o.Replay != nil && len(o.Replay.settings) > 0 {
@@ -125,6 +125,5 @@
 	}
 	var errs keyErrors
 	settings.check(&errs, path...)
-	o.ApplyTo(&settings)
 	return settings, errs.first()
 }
