--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -230,26 +230,35 @@
 	if c.writing {
 		return
 	}
-	switch held.purpose {
+	held.job, held.worker = job, worker
+	*ref = dispatcher.timerLike(&held)
+	c.check(*ref != nil)
+	if *ref == nil {
+		*ref = &timer{}
+	}
+	(*ref).at = held.at
+}
+
+// timerLike returns the timer that is for the same as another one; nil: there is none.
+func (d *Dispatcher) timerLike(other *timer) *timer {
+	switch other.purpose {
 	case reviewQueue:
-		*ref = &job.checksTimer
+		return &other.job.checksTimer
 	case jobDeadline:
-		*ref = &job.deadlineTimer
+		return &other.job.deadlineTimer
 	case jobObjective:
-		*ref = &job.objectiveTimer
+		return &other.job.objectiveTimer
 	case attemptOverdue:
-		*ref = &held.attempt.timer
-	case leaseOverdue:
-		*ref = &held.lease.timer
+		return &other.attempt.timer
 	case workerAvailable:
-		*ref = &worker.timer
+		return &other.worker.timer
+	case leaseOverdue:
+		return &other.lease.timer
 	case runMaintenance:
-		*ref = &dispatcher.maintenance
+		return &d.maintenance
 	default:
-		c.invalid = true
-		*ref = &timer{}
+		return nil
 	}
-	(*ref).at = held.at
 }
 
 func (c *codec) unstarted(d *Dispatcher) {
