--- a/cmd/valvecove/preview.go
+++ b/cmd/valvecove/preview.go
@@ -127,6 +127,7 @@
 	p.line("figures", orDefault(p.metricsFeature(), off))
 	p.line("addresses", orDefault(p.addressesFeature(), off))
 	p.line("aperture", orDefault(p.apertureFeature(), off))
+	p.line("gossip", orDefault(p.gossipFeature(), off))
 }
 
 func (p *preview) statusFeature() string {
@@ -188,6 +189,27 @@
 		"load; fleets under %d whole", aperture.MinWorkers, aperture.Coverage, formatNumber(aperture.MaxWidening), aperture.MinFleet)
 }
 
+// gossipFeature says whether schedulers tell each other of leases, or why not.
+func (p *preview) gossipFeature() string {
+	if p.ops.Gossip == nil {
+		return ""
+	}
+	settings := p.conf.Settings
+	p.ops.ApplyTo(&settings)
+	peers := len(p.conf.Peers) - 1
+	price := fmt.Sprintf("budget %s of the result, price %s for 256 bytes a job", formatNumber(p.ops.Gossip.Budget),
+		formatNumber(settings.PeerCost))
+	switch {
+	case !p.conf.Settings.PeerMessages:
+		return "off, as the platform's file does not allow it, or has no addresses"
+	case settings.Replicas < 2:
+		return "nothing to do, as there is one scheduler"
+	case !settings.UsesLeases():
+		return "off, as messages would cost more than they may: " + price
+	}
+	return fmt.Sprintf("leases of slots, at %v with %d peers, %s", p.conf.PeerListen, peers, price)
+}
+
 // orDefault returns a text, or another one if it is empty.
 func orDefault(text, fallback string) string {
 	if text == "" {
--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -54,12 +54,16 @@
 
 // UsesLeases tells whether slots are leased: alone, or where messages cost more than they may, they are not.
 func (s *Settings) UsesLeases() bool {
+	return s.PeerMessages && s.Replicas > 1 && s.BudgetSpent(leaseBytesOfJob) <= 1
+}
+
+// BudgetSpent is the share of what messages may cost that is spent where each job takes so many bytes of them.
+func (s *Settings) BudgetSpent(bytesPerJob float64) float64 {
 	budget := s.PeerBudget
 	if budget == 0 {
 		budget = defaultPeerBudget
 	}
-	costOfJob := s.PeerCost * leaseBytesOfJob / datagramBytes
-	return s.PeerMessages && s.Replicas > 1 && costOfJob <= budget
+	return s.PeerCost * bytesPerJob / datagramBytes / budget
 }
 
 // PeerSettings returns whether this dispatcher's settings allow TellPeer, and their PeerBudget.
--- a/dispatch/leasesnapshot_test.go
+++ b/dispatch/leasesnapshot_test.go
@@ -209,3 +209,23 @@
 	restored, err := Restore(leasingSettings(0), part)
 	return err == nil && len(restored.client.byID) == 0 && len(part) < len(whole)
 }
+
+// The counts for operators are those of what is used, granted and waited for.
+func TestLeaseCounts(t *testing.T) {
+	pair := newLeasingPair(t, 1, 0)
+	seen := LeaseCounts{}
+	for range 60 {
+		pair.step()
+		for _, dispatcher := range pair.dispatchers {
+			used := dispatcher.leasesWhere((*leaseInfo).isUsed)
+			counts := dispatcher.LeaseCounts()
+			if counts != (LeaseCounts{len(used), len(dispatcher.coordinator.leases), len(dispatcher.coordinator.waiting)}) {
+				t.Fatalf("%+v", counts)
+			}
+			seen = LeaseCounts{max(seen.Held, counts.Held), max(seen.Granted, counts.Granted), max(seen.Waiting, counts.Waiting)}
+		}
+	}
+	if seen.Held == 0 || seen.Granted == 0 || seen.Waiting == 0 {
+		t.Errorf("at most %+v", seen)
+	}
+}
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -200,6 +200,7 @@
 			metricTargets = append(metricTargets, &collectorSocket{syscalls: l.Syscalls(), address: ops.Metrics.UDPTarget, fd: -1})
 		}
 		l.exporter = metrics.NewExporter(*ops.Metrics, counters, l.Now, metricTargets...)
+		l.exporter.PeerCounts = func() metrics.PeerCounts { return l.peerCounts(counters.AttemptsWritten()) }
 		l.Requests.AddObserver(l.exporter)
 		l.exportMetrics()
 	}
--- a/internal/link/operator_calls.go
+++ b/internal/link/operator_calls.go
@@ -84,6 +84,7 @@
 		ListedWorkers:   loop.Requests.ListedCount(),
 		AvoidedWorkers:  loop.avoidedCount(),
 		UnstoredCordons: loop.unstoredCordonCount(),
+		Peers:           loop.peerCounts(listener.counters.AttemptsWritten()),
 	})
 	c.respond(200, "Content-Type: text/plain; charset=utf-8\r\nCache-Control: no-store\r\n", listener.metricsText)
 }
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -95,6 +95,9 @@
 	return tenant, c.names.Classes[index%len(c.names.Classes)]
 }
 
+// AttemptsWritten returns how many attempts were written whole.
+func (c *Counters) AttemptsWritten() uint64 { return c.attemptsWritten }
+
 func outcomeIndex(outcome requests.Outcome) int { return slices.Index(requests.Outcomes[:], outcome) }
 
 func (g *group) countJob(outcome requests.Outcome, response requests.Response) {
--- a/internal/metrics/exporter.go
+++ b/internal/metrics/exporter.go
@@ -15,6 +15,9 @@
 // Exporter writes counters, gauges and timers as statsd or influx lines, and hands them to its targets in batches. It is an
 // observer of the request table, and is used by the goroutine that owns it.
 type Exporter struct {
+	// PeerCounts returns the figures of messages between schedulers; nil: there are none.
+	PeerCounts func() PeerCounts
+
 	conf     config.Metrics
 	counters *Counters
 	now      func() time.Duration
@@ -24,6 +27,7 @@
 	line     []byte // reused
 
 	exportedUnreadable uint64
+	exportedPeers      PeerCounts
 	dropped            uint64 // lines for which there was no room, since the last Gather
 	sendErrors         uint64 // batches that a target did not take, since the last Gather
 }
@@ -114,6 +118,7 @@
 	unreadable := e.counters.unreadable
 	e.addCounter("bad_requests", unreadable-e.exportedUnreadable, nil)
 	e.exportedUnreadable = unreadable
+	e.gatherPeerCounts()
 	e.addOwnCounter("figures_dropped", &e.dropped)
 	e.addOwnCounter("figures_send_errors", &e.sendErrors)
 }
--- a/internal/metrics/operators_text.go
+++ b/internal/metrics/operators_text.go
@@ -23,6 +23,7 @@
 	AvoidedWorkers int // of those, that are cordoned or avoided by the dispatch policy
 	// UnstoredCordons is 1 as long as the last change of the cordoned workers is in memory only.
 	UnstoredCordons int
+	Peers           PeerCounts
 }
 
 // AppendText appends the text of the operators' metrics call to dst, a "name=value" line for each figure, and returns the
@@ -44,7 +45,8 @@
 	dst = appendFigure(dst, "inflight", uint64(gauges.OpenRequests))
 	dst = appendFigure(dst, "hosts_listed", uint64(gauges.ListedWorkers))
 	dst = appendFigure(dst, "hosts_down", uint64(gauges.AvoidedWorkers))
-	return appendFigure(dst, "hosts_out_not_kept", uint64(gauges.UnstoredCordons))
+	dst = appendFigure(dst, "hosts_out_not_kept", uint64(gauges.UnstoredCordons))
+	return appendPeerCounts(dst, gauges.Peers)
 }
 
 func appendFigure(dst []byte, name string, value uint64) []byte {
