--- a/dispatch/leasesnapshot.go
+++ b/dispatch/leasesnapshot.go
@@ -9,7 +9,7 @@
 
 // Where slots are leased, a snapshot ends with a part on leases: those that the dispatcher has or asks for, and those
 // that it has granted as a coordinator. Without such a part, as in a snapshot of a dispatcher that leased none, it
-// begins with no lease. One that leases none drops the part.
+// asks anew for what is queued, and reports what is in flight. One that leases none drops the part.
 
 // leasePartVersion begins the part on leases.
 const leasePartVersion = 1
@@ -31,12 +31,15 @@
 	for _, job := range c.jobs {
 		c.jobLeases(dispatcher, job)
 	}
+	c.members(dispatcher)
 	c.coordinator(&dispatcher.coordinator, len(dispatcher.settings.Classes))
 	list(c, &dispatcher.readyZones, func(zone *int) { c.int(zone) })
-	sortedMap(c, dispatcher.directory.avoidedUntil, func(peer *int, until *time.Duration) {
-		c.int(peer)
-		c.instant(until)
-	})
+	for _, until := range []map[int]time.Duration{dispatcher.directory.avoidedUntil, dispatcher.directory.distrusted} {
+		sortedMap(c, until, func(peer *int, until *time.Duration) {
+			c.int(peer)
+			c.instant(until)
+		})
+	}
 	if !c.writing && !dispatcher.usesLeases() {
 		dispatcher.dropAllLeases()
 	}
@@ -47,7 +50,9 @@
 		return
 	}
 	c.check(len(dispatcher.client.byID) == 0) // else a timer was of a lease
-	dispatcher.updateReadyZones()
+	if !c.invalid {
+		dispatcher.resumeLeases()
+	}
 }
 
 // leaseReference is a reference to a lease. Read, the lease may be filled in only later.
@@ -95,12 +100,24 @@
 		c.leaseFigures(*lease)
 	})
 	c.check(len(leases) == len(client.byID)) // else a timer is of none of them, or one is there twice
-	shards := slices.SortedFunc(maps.Keys(client.freeSlots), compareShards)
+	shardMap(c, client.freeSlots, func(free *int) { c.int(free) })
+	sortedMap(c, client.starvation, func(peer *int, starved *starvation) {
+		c.int(peer)
+		c.instant(&starved.since)
+		c.int(&starved.requests)
+	})
+}
+
+// shardMap walks what is kept by shard.
+func shardMap[V any](c *codec, entries map[Shard]V, value func(value *V)) {
+	shards := slices.SortedFunc(maps.Keys(entries), compareShards)
 	list(c, &shards, func(shard *Shard) {
 		c.shard(shard)
-		free := client.freeSlots[*shard]
-		c.int(&free)
-		client.freeSlots[*shard] = free
+		entry := entries[*shard]
+		value(&entry)
+		if !c.writing {
+			entries[*shard] = entry
+		}
 	})
 }
 
@@ -115,7 +132,7 @@
 	c.int(&lease.tries)
 	c.uint(&lease.worker)
 	c.float(&lease.demand)
-	c.instant(&lease.askedAt)
+	c.instant(&lease.askedAt, &lease.madeAt)
 	isUsed := lease.isUsed()
 	c.flags(&lease.isQueued, &lease.granted, &isUsed)
 	if !isUsed {
@@ -140,6 +157,15 @@
 	})
 }
 
+// members walks whether the shards' workers are known since the list has last changed: with them goes what was counted free.
+func (c *codec) members(dispatcher *Dispatcher) {
+	isKnown := dispatcher.coordinator.members != nil
+	c.flags(&isKnown)
+	if !c.writing && isKnown {
+		dispatcher.membersOf(Shard{})
+	}
+}
+
 // coordinator walks what the dispatcher has granted.
 func (c *codec) coordinator(coordinator *slotCoordinator, classes int) {
 	c.instant(&coordinator.since)
@@ -167,6 +193,18 @@
 		c.instant(&(*waiting).at, &(*waiting).promoteAt, &(*waiting).seenAt)
 		c.request(&(*waiting).request)
 		c.check((*waiting).request.Class >= 0 && (*waiting).request.Class < classes)
+		coordinator.isWaiting[(*waiting).key] = *waiting
+	})
+	c.check(len(coordinator.isWaiting) == len(coordinator.waiting))
+	shardMap(c, coordinator.waitedFor, func(slots *float64) { c.float(slots) })
+	shardMap(c, coordinator.free, func(free *freeSlots) {
+		c.instant(&free.at)
+		c.float(&free.slots)
+	})
+	sortedMap(c, coordinator.peers, func(peer *int, use *peerUse) {
+		c.int(peer)
+		c.int(&use.leases)
+		c.int(&use.waiting)
 	})
 }
 
@@ -180,6 +218,8 @@
 	c.instant(&slots.decreasedAt, &slots.suspendedUntil)
 	c.duration(&slots.suspension)
 	c.int(&slots.failures)
+	c.int(&slots.failedPeer)
+	c.int(&slots.leases)
 	list(c, &slots.warmUpSpends, c.spend)
 }
 
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -31,6 +31,7 @@
 	d.updateReadyZones()
 	d.updatePreferences()
 	d.coordinator.members = nil
+	d.coordinator.unchanged = false
 }
 
 // updateReadyZones notes which zones have ready workers.
@@ -119,6 +120,7 @@
 	orphans := w.inFlight
 	for _, a := range orphans {
 		a.orphaned = true
+		d.releaseLease(a, Cancelled)
 		d.usedSlots = max(0, d.usedSlots-a.job.demand)
 	}
 	w.inFlight, w.usedSlots, w.runningSlots, w.connections = nil, 0, 0, 0
