--- a/dispatch/codec.go
+++ b/dispatch/codec.go
@@ -13,6 +13,7 @@
 type codec struct {
 	b            []byte // written so far, or not read yet
 	writing      bool
+	withLeases   bool
 	invalid      bool          // what was read makes no sense
 	now          time.Duration // instants are held as distances from it
 	clockAhead   time.Duration // of the reader's clock before the writer's
--- a/dispatch/coordinator_test.go
+++ b/dispatch/coordinator_test.go
@@ -213,7 +213,9 @@
 	for name, change := range map[string]func(*Settings){
 		"not allowed": func(settings *Settings) { settings.PeerMessages = false },
 		"alone":       func(settings *Settings) { settings.Replicas = 1 },
-		"too dear":    func(settings *Settings) { settings.PeerCost = peerBudget * datagramBytes / leaseBytesOfJob * 1.01 },
+		"too dear": func(settings *Settings) {
+			settings.PeerCost = defaultPeerBudget * datagramBytes / leaseBytesOfJob * 1.01
+		},
 	} {
 		settings := leaseSettings()
 		settings.Replicas = 8
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -8,16 +8,25 @@
 )
 
 // A snapshot holds all that decides what a dispatcher does next, bit by bit: fed the same events, a restored one acts the
-// same, but for leases of slots: it holds none, and asks its peers anew. Three things are omitted, as nothing depends on them. Jobs that are closed with nothing in flight stay only as marks
+// same, but for leases of slots: it holds none, and its dispatcher asks its peers anew. SnapshotWithLeases holds them too.
+// Three things are omitted, as nothing depends on them. Jobs that are closed with nothing in flight stay only as marks
 // in heaps. Attempts that have ended are passed over by timers, so these keep just their time. And of the works learnt by key
 // only those of jobs at hand are held, with the number of the others: see RecallKeyWork.
 
 // ErrInvalidSnapshot is what Restore says of bytes that are no snapshot for these settings.
 var ErrInvalidSnapshot = errors.New("not a snapshot for these settings")
 
-// Snapshot appends the state between two steps to b.
+// Snapshot appends the state between two steps to b, without leases.
 func (d *Dispatcher) Snapshot(b []byte) []byte {
-	c := &codec{b: b, writing: true}
+	return d.write(&codec{b: b, writing: true})
+}
+
+// SnapshotWithLeases appends the state between two steps to b, for RestoreWithLeases.
+func (d *Dispatcher) SnapshotWithLeases(b []byte) []byte {
+	return d.write(&codec{b: b, writing: true, withLeases: true})
+}
+
+func (d *Dispatcher) write(c *codec) []byte {
 	c.dispatcher(d)
 	return c.b
 }
@@ -28,19 +37,30 @@
 
 // RestoreOnClock is Restore for a process whose clock is ahead of that of the process which took the snapshot: all instants
 // in it move by that much. If it is behind, clockAhead is negative.
-func RestoreOnClock(settings Settings, b []byte, clockAhead time.Duration) (d *Dispatcher, err error) {
+func RestoreOnClock(settings Settings, b []byte, clockAhead time.Duration) (*Dispatcher, error) {
+	d, err := read(settings, &codec{b: b, clockAhead: clockAhead})
+	if err == nil {
+		d.resumeLeases()
+	}
+	return d, err
+}
+
+// RestoreWithLeases is Restore for a snapshot that was taken by SnapshotWithLeases.
+func RestoreWithLeases(settings Settings, b []byte) (*Dispatcher, error) {
+	return read(settings, &codec{b: b, withLeases: true})
+}
+
+func read(settings Settings, c *codec) (d *Dispatcher, err error) {
 	defer func() {
 		if recover() != nil { // no bytes may bring the process down
 			d, err = nil, ErrInvalidSnapshot
 		}
 	}()
-	c := &codec{b: b, clockAhead: clockAhead}
 	d = New(settings, 0)
 	c.dispatcher(d)
 	if c.invalid || len(c.b) > 0 {
 		return nil, ErrInvalidSnapshot
 	}
-	d.resumeLeases()
 	return d, nil
 }
 
@@ -68,6 +88,9 @@
 		c.worker(&dispatcher.reserved)
 		c.job(&dispatcher.reservedFor)
 	}
+	if c.withLeases {
+		c.leases(dispatcher)
+	}
 }
 
 // figures walks what is one figure each.
@@ -197,7 +220,7 @@
 		dispatcher.maintenance.heapIndex = 0 // New has set it
 	}
 	if c.writing {
-		held := dispatcher.timersWithoutLeases()
+		held := c.heldTimers(dispatcher)
 		list(c, &held, func(x **timer) { c.timer(dispatcher, x) })
 		return
 	}
@@ -209,14 +232,14 @@
 	c.check(len(dispatcher.timers.items) > 0)
 }
 
-// timersWithoutLeases is the heap of timers but for those of leases, which no snapshot holds: as it lies, if there are none.
-func (d *Dispatcher) timersWithoutLeases() []*timer {
+// heldTimers is the heap of timers, as it lies if the snapshot holds all of them. Without leases it holds none of theirs.
+func (c *codec) heldTimers(dispatcher *Dispatcher) []*timer {
 	isOfLease := func(x *timer) bool { return x.purpose == leaseOverdue }
-	if !slices.ContainsFunc(d.timers.items, isOfLease) {
-		return d.timers.items
+	if c.withLeases || !slices.ContainsFunc(dispatcher.timers.items, isOfLease) {
+		return dispatcher.timers.items
 	}
-	others := minHeap[*timer]{less: d.timers.less}
-	for _, x := range d.timers.items {
+	others := minHeap[*timer]{less: dispatcher.timers.less}
+	for _, x := range dispatcher.timers.items {
 		if !isOfLease(x) {
 			others.push(x)
 		}
@@ -240,29 +263,43 @@
 		c.attempt(&held.attempt)
 	case workerAvailable:
 		c.worker(&worker)
+	case leaseOverdue:
+		c.check(c.withLeases)
+		c.leaseReference(dispatcher, &held.lease)
 	case runMaintenance:
 	}
 	if c.writing {
 		return
 	}
-	switch held.purpose {
+	held.job, held.worker = job, worker
+	*ref = dispatcher.timerLike(&held)
+	c.check(*ref != nil)
+	if *ref == nil {
+		*ref = &timer{}
+	}
+	(*ref).at = held.at
+}
+
+// timerLike returns the timer that is for the same as another one; nil: there is none.
+func (d *Dispatcher) timerLike(other *timer) *timer {
+	switch other.purpose {
 	case reviewQueue:
-		*ref = &job.checksTimer
+		return &other.job.checksTimer
 	case jobDeadline:
-		*ref = &job.deadlineTimer
+		return &other.job.deadlineTimer
 	case jobObjective:
-		*ref = &job.objectiveTimer
+		return &other.job.objectiveTimer
 	case attemptOverdue:
-		*ref = &held.attempt.timer
+		return &other.attempt.timer
 	case workerAvailable:
-		*ref = &worker.timer
+		return &other.worker.timer
+	case leaseOverdue:
+		return &other.lease.timer
 	case runMaintenance:
-		*ref = &dispatcher.maintenance
+		return &d.maintenance
 	default:
-		c.invalid = true
-		*ref = &timer{}
+		return nil
 	}
-	(*ref).at = held.at
 }
 
 func (c *codec) unstarted(d *Dispatcher) {
@@ -435,10 +472,12 @@
 	c.int(&worker.connections)
 	c.int(&worker.orphans)
 	list(c, &worker.inFlight, func(a **attemptInfo) { c.attempt(a) })
-	list(c, &worker.warmUpSpends, func(s *spend) {
-		c.instant(&s.at)
-		c.float(&s.work)
-	})
+	list(c, &worker.warmUpSpends, c.spend)
+}
+
+func (c *codec) spend(spent *spend) {
+	c.instant(&spent.at)
+	c.float(&spent.work)
 }
 
 // keys walks what is known of the keys of jobs at hand.
--- a/internal/capture/player.go
+++ b/internal/capture/player.go
@@ -27,13 +27,22 @@
 	if err != nil {
 		return err
 	}
+	// Captures of builds before messages between schedulers, and of schedulers that had them off, have none.
+	settings.PeerMessages = settings.PeerMessages && line.PeerMessages
+	settings.PeerBudget = line.PeerBudget
 	seed, err := strconv.ParseUint(line.Seed, 16, 64)
 	if err != nil {
 		return fmt.Errorf("seed: %w", err)
 	}
-	if line.Reason == reasonStart || line.Reason == reasonRestart {
+	switch {
+	case line.Reason == reasonStart || line.Reason == reasonRestart:
 		p.dispatcher = dispatch.New(settings.Settings, seed+line.DispatcherNumber)
-	} else if p.dispatcher, err = dispatch.Restore(settings.Settings, line.Snapshot); err != nil {
+	case line.SnapshotWithLeases != nil:
+		p.dispatcher, err = dispatch.RestoreWithLeases(settings.Settings, line.SnapshotWithLeases)
+	default:
+		p.dispatcher, err = dispatch.Restore(settings.Settings, line.Snapshot)
+	}
+	if err != nil {
 		return err
 	}
 	p.names = newNames(line.CallIDs)
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -120,10 +120,17 @@
 	clear(r.namedWorkers)
 	r.openedAt = r.now()
 	r.lines = r.lines[:0]
-	r.write(stamped(r.now(), Line{
+	peerMessages, peerBudget := r.current.PeerSettings()
+	line := Line{
 		Input: inputStart, Reason: reason, Seed: strconv.FormatUint(r.seed, 16), DispatcherNumber: r.dispatchers,
-		Settings: r.settings, Snapshot: r.current.Snapshot(nil), CallIDs: r.callIDs,
-	}))
+		Settings: r.settings, CallIDs: r.callIDs, PeerMessages: peerMessages, PeerBudget: peerBudget,
+	}
+	if peerMessages {
+		line.SnapshotWithLeases = r.current.SnapshotWithLeases(nil)
+	} else {
+		line.Snapshot = r.current.Snapshot(nil)
+	}
+	r.write(stamped(r.now(), line))
 	if r.segmentLost = !r.sink.open(r.lines); r.segmentLost {
 		r.beginGap()
 	}
