--- a/internal/testbed/environment/environment.go
+++ b/internal/testbed/environment/environment.go
@@ -36,6 +36,7 @@
 	event    trace.Event // reused
 
 	network    *network
+	peers      *peerNetwork
 	schedulers []*scheduler
 	workers    []*worker
 	discovery  *discovery
@@ -52,6 +53,7 @@
 		environment.observer = func(*trace.Event) {}
 	}
 	environment.network = newNetwork(environment)
+	environment.peers = newPeerNetwork(environment)
 	environment.schedulers = newSchedulers(environment)
 	environment.workers = newWorkers(environment)
 	environment.discovery = newDiscovery(environment)
@@ -138,6 +140,8 @@
 		w.workers[message.Worker].cancellationWritten(output.Scheduler, &message)
 	case simapi.WorkerConnClosed:
 		w.workers[message.Worker].schedulerClosed(output.Scheduler, message.Conn)
+	case simapi.DatagramWritten:
+		w.peers.send(output.Scheduler, &message)
 	case simapi.CallbackAnswered:
 		w.workers[message.Worker].applyAck(output.Scheduler, &message)
 	}
--- a/internal/testbed/environment/fault_shared.go
+++ b/internal/testbed/environment/fault_shared.go
@@ -34,6 +34,9 @@
 func (x *activeFault) applyToNetwork() (undo func()) {
 	network := x.timeline.env.network
 	from, target := x.partyGroup(x.Between), x.partyGroup(x.And)
+	if x.Between == "schedulers" && x.And == "schedulers" {
+		target = x.otherSchedulers()
+	}
 	switch x.Kind {
 	case "cut", "cut_one_way":
 		return x.partition(from, target)
--- a/internal/testbed/environment/fault_targets.go
+++ b/internal/testbed/environment/fault_targets.go
@@ -71,6 +71,18 @@
 	return list
 }
 
+// otherSchedulers is the schedulers that the fault does not strike; all, if it strikes them all.
+func (x *activeFault) otherSchedulers() endpointGroup {
+	group := endpointGroup{kind: schedulerEndpoint}
+	if count := x.timeline.env.Spec.Schedulers.Count; len(x.schedulers) < count {
+		group.members = make(map[int]bool, count)
+		for i := range count {
+			group.members[i] = !slices.Contains(x.schedulers, i)
+		}
+	}
+	return group
+}
+
 // drawShare draws a share of those who match, one at least; 0: all.
 func (f *faultTimeline) drawShare(list []int, share float64, fault int) []int {
 	if share <= 0 || len(list) == 0 {
--- a/internal/testbed/experiment/baseline_table.go
+++ b/internal/testbed/experiment/baseline_table.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+	"slices"
 	"strings"
 
 	"valvecove/internal/testbed/scenario"
@@ -23,13 +24,43 @@
 	Scenario string `json:"scenario"`
 	Workers  int    `json:"nodes"`
 	Cells    []Cell `json:"cells"`
+	// Peers has the datagrams between schedulers, in the order of the cells; empty: there were none in the whole row.
+	Peers []PeerTraffic `json:"peers,omitempty"`
+}
+
+// PeerTraffic is what the schedulers of several runs sent each other.
+type PeerTraffic struct {
+	Jobs      int    `json:"jobs"`
+	Datagrams uint64 `json:"datagrams"`
+	Bytes     uint64 `json:"bytes"`
+}
+
+// bytesPerPrice is how many bytes for each job cost the price of messages between schedulers.
+const bytesPerPrice = 256
+
+// add adds a run.
+func (p *PeerTraffic) add(run *RunResult) {
+	p.Jobs += run.Result().Whole.JobsDue
+	if run.Simulation != nil {
+		p.Datagrams += run.Simulation.Peers.Datagrams
+		p.Bytes += run.Simulation.Peers.Bytes
+	}
+}
+
+// PerJob returns the datagrams and the bytes for each job.
+func (p *PeerTraffic) PerJob() (datagrams, bytes float64) {
+	jobs := float64(max(1, p.Jobs))
+	return float64(p.Datagrams) / jobs, float64(p.Bytes) / jobs
 }
 
 // Run simulates each scenario with each policy on all seeds. Unless it is nil, onProgress is called after each run.
 func (b *BaselineTable) Run(ctx context.Context, onProgress func(done, total int)) ([]BaselineRow, error) {
 	table := make([]BaselineRow, len(b.Specs))
 	for i, spec := range b.Specs {
-		table[i] = BaselineRow{Scenario: spec.Name, Workers: spec.Fleet.Workers, Cells: make([]Cell, len(b.Policies))}
+		table[i] = BaselineRow{
+			Scenario: spec.Name, Workers: spec.Fleet.Workers, Cells: make([]Cell, len(b.Policies)),
+			Peers: make([]PeerTraffic, len(b.Policies)),
+		}
 	}
 	jobs := b.jobs()
 	violations := 0
@@ -38,19 +69,26 @@
 		if onProgress != nil {
 			onProgress(i+1, len(jobs))
 		}
+		number := i / len(b.Seeds)
+		line, column := &table[number/len(b.Policies)], number%len(b.Policies)
+		line.Peers[column].add(run)
 		figures = append(figures, b.Metric.ValueOf(run.Result()))
 		violations += run.Violations()
 		if len(figures) < len(b.Seeds) {
 			return nil
 		}
-		number := i / len(b.Seeds)
 		cell := newCell(figures)
 		cell.Violations = violations
-		table[number/len(b.Policies)].Cells[number%len(b.Policies)] = cell
+		line.Cells[column] = cell
 		figures = figures[:0]
 		violations = 0
 		return nil
 	})
+	for i := range table {
+		if !slices.ContainsFunc(table[i].Peers, func(traffic PeerTraffic) bool { return traffic.Datagrams > 0 }) {
+			table[i].Peers = nil
+		}
+	}
 	return table, err
 }
 
@@ -85,5 +123,27 @@
 		}
 		text.WriteString("\n")
 	}
+	b.writePeers(&text, table)
 	return text.String()
 }
+
+// writePeers writes a table of what schedulers sent each other, if they did.
+func (b *BaselineTable) writePeers(text *strings.Builder, table []BaselineRow) {
+	const header = "\n| scenario | policy | datagrams a job | bytes a job | spent of the price |\n| --- | --- | ---: | ---: | ---: |\n"
+	isFirst := true
+	for i := range table {
+		for column := range table[i].Peers {
+			traffic := &table[i].Peers[column]
+			if traffic.Datagrams == 0 {
+				continue
+			}
+			if isFirst {
+				text.WriteString(header)
+				isFirst = false
+			}
+			datagrams, bytes := traffic.PerJob()
+			spent := b.Specs[i].Peers.Price * bytes / bytesPerPrice
+			fmt.Fprintf(text, "| %s | %s | %.2f | %.0f | %.4f |\n", table[i].Scenario, b.Policies[column], datagrams, bytes, spent)
+		}
+	}
+}
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -286,6 +286,29 @@
 	}
 }
 
+// With PeersSuffix, schedulers send each other datagrams, and the table has what they cost.
+func TestBaselineTable_Peers(t *testing.T) {
+	spec := small(t, "schedulers.count=4", "peers.price=0.01")
+	y := BaselineTable{
+		Specs: []*scenario.Scenario{spec}, Policies: []string{PolicyDispatch, PolicyDispatch + PeersSuffix}, Seeds: Seeds(1, 2),
+	}
+	y.Metric = mustHeadline(t, "in_time")
+	table, err := y.Run(context.Background(), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	peers := table[0].Peers
+	if len(peers) != 2 || peers[0].Datagrams != 0 || peers[1].Datagrams == 0 || peers[1].Jobs != peers[0].Jobs {
+		t.Errorf("datagrams: %+v", peers)
+	}
+	if text := y.Markdown(table); strings.Count(text, "| logic+peers |") != 2 {
+		t.Errorf("table:\n%s", text)
+	}
+	if spec.Peers.On {
+		t.Error("the given scenario has changed")
+	}
+}
+
 // Fleets of any size have so many jobs and are as busy.
 func TestScaleFleet(t *testing.T) {
 	for _, n := range []int{3, 100, 3000} {
--- a/internal/testbed/experiment/policy.go
+++ b/internal/testbed/experiment/policy.go
@@ -23,6 +23,9 @@
 // operators' file may follow: "logic+aperture:least=20:cover=3".
 const ApertureSuffix = "+aperture"
 
+// PeersSuffix behind a policy's name has its instances send each other datagrams, as peers.on does.
+const PeersSuffix = "+peers"
+
 // PolicyNames returns the names that Subject.Policy may have.
 func PolicyNames() []string {
 	names := []string{PolicyDispatch}
@@ -63,6 +66,16 @@
 	return options, nil
 }
 
+// withPeers returns the scenario and the policy's name without PeersSuffix. With it, the scenario has peers.
+func withPeers(spec *scenario.Scenario, policy string) (*scenario.Scenario, string, error) {
+	name, hasSuffix := strings.CutSuffix(policy, PeersSuffix)
+	if !hasSuffix {
+		return spec, policy, nil
+	}
+	spec, err := ApplyChanges(spec, []string{"peers.on=true"})
+	return spec, name, err
+}
+
 // applyMutant puts a mutant into options: in front of each scheduler, or in place of its policy.
 func applyMutant(options *simulation.Options, spec *scenario.Scenario, name string) error {
 	all := mutation.All()
--- a/internal/testbed/experiment/run.go
+++ b/internal/testbed/experiment/run.go
@@ -23,7 +23,7 @@
 // Subject is what is put through a run.
 type Subject struct {
 	Name    string
-	Policy  string   // PolicyDispatch (or empty) or a baseline's name, with ApertureSuffix if it has one; simulation only
+	Policy  string   // PolicyDispatch (or empty) or a baseline's name, with ApertureSuffix or PeersSuffix if it has one; simulation only
 	Mutant  string   // name of a mutant to put in front of each scheduler; simulation only; empty: none
 	Set     []string // changes to the scenario, "key=value" with the value as TOML has it
 	Binary  string   // the scheduler's program; process driver only
@@ -104,6 +104,10 @@
 	if err != nil {
 		return nil, err
 	}
+	spec, job.Subject.Policy, err = withPeers(spec, job.Subject.Policy)
+	if err != nil {
+		return nil, err
+	}
 	if !spec.SupportsDriver(job.Driver) {
 		return nil, fmt.Errorf("%s is not for the %s driver", spec.Name, job.Driver)
 	}
--- a/internal/testbed/platform/configuration.go
+++ b/internal/testbed/platform/configuration.go
@@ -14,6 +14,8 @@
 	Name           string                `json:"name"`
 	Listen         string                `json:"listen"`
 	Discovery      string                `json:"discovery"`
+	PeerListen     string                `json:"peer_listen,omitempty"`
+	Peers          []string              `json:"peers,omitempty"`
 	Seed           string                `json:"seed"`
 	Limits         limits                `json:"limits"`
 	KnownEndpoints requests.EndpointList `json:"known"`
--- a/internal/testbed/platform/platform.go
+++ b/internal/testbed/platform/platform.go
@@ -21,6 +21,8 @@
 	Name           string                // default "n" and the scheduler's index
 	Listen         string                // address and port
 	Discovery      string                // address and port
+	PeerListen     string                // address and port for datagrams of other schedulers; empty: none
+	Peers          []string              // where datagrams of each scheduler come from
 	Seed           uint64                // of the scheduler's random draws
 	KnownEndpoints requests.EndpointList // the list that the scheduler starts with; it may be stale
 }
@@ -34,10 +36,12 @@
 		options.KnownEndpoints.Endpoints = []requests.Endpoint{}
 	}
 	return encode(configuration{
-		Name:      options.Name,
-		Listen:    options.Listen,
-		Discovery: options.Discovery,
-		Seed:      fmt.Sprintf("%016x", options.Seed),
+		Name:       options.Name,
+		Listen:     options.Listen,
+		Discovery:  options.Discovery,
+		PeerListen: options.PeerListen,
+		Peers:      options.Peers,
+		Seed:       fmt.Sprintf("%016x", options.Seed),
 		Limits: limits{
 			Cores:    spec.Schedulers.Cores,
 			MemoryMB: spec.Schedulers.MemoryMB,
--- a/internal/testbed/platform/platform_test.go
+++ b/internal/testbed/platform/platform_test.go
@@ -146,3 +146,23 @@
 		{"queue policy", newSettings(spec, 0).Domain.QueueOrder, queueFIFO},
 	})
 }
+
+// Where schedulers are peers, the configuration has their addresses and the price of what they send.
+func TestConfig_Peers(t *testing.T) {
+	spec := testScenario()
+	spec.Peers = scenario.Peers{On: true, Price: 0.02}
+	addresses := []string{"127.0.0.1:7", "127.0.0.2:7", "127.0.0.3:7"}
+	text := Config(spec, 1, Options{
+		Listen: "127.0.0.2:9000", Discovery: "127.0.0.9:1", PeerListen: addresses[1], Peers: addresses,
+	})
+	decoded, err := config.Decode(text, environment)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkFields(t, []field{
+		{"peer messages", decoded.Settings.PeerMessages, true},
+		{"peer cost", decoded.Settings.PeerCost, 0.02},
+		{"peer listen", decoded.PeerListen.String(), addresses[1]},
+		{"peers", len(decoded.Peers), len(addresses)},
+	})
+}
--- a/internal/testbed/platform/settings.go
+++ b/internal/testbed/platform/settings.go
@@ -56,8 +56,8 @@
 		WeightSource:    spec.Fleet.Weights,
 		WeightBy:        "work",
 		OverQuotaWeight: spec.Load.OverQuotaWeight,
-		Bounds:          newBounds(&spec.Schedulers),
-		Prices:          prices{LateFail: lateFailurePrice, HealthCheck: healthCheckPrice, Waste: wastePrice},
+		Bounds:          newBounds(spec),
+		Prices:          prices{LateFail: lateFailurePrice, Peer: spec.Peers.Price, HealthCheck: healthCheckPrice, Waste: wastePrice},
 		Rules:           newRules(&spec.Rules),
 		Goal: goal{
 			Whole:       wholeWeight,
@@ -83,12 +83,14 @@
 }
 
 // newBounds derives what the schedulers of a scenario may do.
-func newBounds(schedulers *scenario.Schedulers) bounds {
+func newBounds(spec *scenario.Scenario) bounds {
+	schedulers := &spec.Schedulers
 	return bounds{
 		AttemptLimit:    schedulers.AttemptLimit,
 		Hedging:         schedulers.Hedging,
 		Cancellation:    schedulers.Cancellation,
 		HealthChecks:    schedulers.HealthChecks,
+		Peers:           spec.Peers.On,
 		RetryAfter:      schedulers.MaxRetryAfter > 0,
 		MaxRetryAfter:   micros(schedulers.MaxRetryAfter),
 		ConnectTimeout:  micros(schedulers.ConnTimeout),
--- a/internal/testbed/process/addresses.go
+++ b/internal/testbed/process/addresses.go
@@ -45,6 +45,9 @@
 
 func (p addressPlan) scheduler(i int) netip.AddrPort { return p.At(0, 1+i) }
 
+// peer is where a scheduler sends datagrams from, and receives those of others. UDP has ports of its own.
+func (p addressPlan) peer(i int) netip.AddrPort { return p.scheduler(i) }
+
 // management is where the n-th process of a scheduler answers operators: neighbours in time have ports of their own.
 func (p addressPlan) management(sched, n int) netip.AddrPort {
 	return netip.AddrPortFrom(p.scheduler(sched).Addr(), p.scheduler(sched).Port()+1+uint16(n%2))
--- a/internal/testbed/process/processes.go
+++ b/internal/testbed/process/processes.go
@@ -108,10 +108,17 @@
 }
 
 func (s *scheduler) configuration(disco int) []byte {
-	return platform.Config(s.driver.spec, s.number, platform.Options{
+	options := platform.Options{
 		Name: s.name, Listen: s.listen.String(),
 		Discovery: s.driver.addresses.discovery(disco, s.number).String(), Seed: s.startOptions.Seed, KnownEndpoints: s.driver.localEndpoints(s.number, s.startOptions.KnownEndpoints),
-	})
+	}
+	if s.driver.spec.Peers.On {
+		options.PeerListen = s.driver.addresses.peer(s.number).String()
+		for i := range s.driver.spec.Schedulers.Count {
+			options.Peers = append(options.Peers, s.driver.addresses.peer(i).String())
+		}
+	}
+	return platform.Config(s.driver.spec, s.number, options)
 }
 
 // start starts a process; the one before it has been killed or has ended.
--- a/internal/testbed/scenario/check.go
+++ b/internal/testbed/scenario/check.go
@@ -8,7 +8,7 @@
 // Bounds that keep a run within what a machine can hold.
 const (
 	maxWorkers       = 100_000
-	maxSchedulers    = 128
+	maxSchedulers    = 1000
 	maxPlanners      = 16
 	maxEntries       = 1000 // of any list
 	maxRate          = 1e7  // jobs a second
@@ -30,6 +30,7 @@
 	s.checkClients(check)
 	s.checkDurations(check)
 	s.checkEnvironment(check)
+	s.checkPeers(check)
 	for i := range s.Faults {
 		s.checkFault(check, entryKey("fault", i), &s.Faults[i])
 	}
--- a/internal/testbed/scenario/check_fault.go
+++ b/internal/testbed/scenario/check_fault.go
@@ -61,6 +61,9 @@
 	if fault.Kind == faultDiscoverySlow && s.Discovery.Capacity == 0 {
 		check.report(key, "discovery.capacity is 0, without limit: there is nothing to slow")
 	}
+	if rule.scope == FaultScopeNetwork && fault.isAmongSchedulers() && !s.Peers.On {
+		check.report(key, "peers.on is false: schedulers send each other nothing")
+	}
 	affectsPlanners := rule.scope == FaultScopePlanner || rule.scope == FaultScopePlannerNetwork
 	if affectsPlanners && s.Planners.Count == 0 {
 		check.report(key, "there are no planners")
@@ -80,6 +83,9 @@
 	if !slices.Contains(pairs, pair) && !slices.Contains(pairs, reversed) {
 		check.report(key, "%q and %q do not speak to each other", fault.Between, fault.And)
 	}
+	if fault.Kind == faultDropIdle && fault.isAmongSchedulers() {
+		check.report(key, "schedulers have no connections to each other")
+	}
 	if fault.Kind == faultDropIdle && fault.isBetween(groupDiscovery) {
 		check.report(key, "discovery keeps no idle connections")
 	}
--- a/internal/testbed/scenario/doc.go
+++ b/internal/testbed/scenario/doc.go
@@ -44,7 +44,9 @@
 //	slow_read        it reads requests so slowly that their last byte arrives a second late
 //
 // The network, between two groups: `between` (default schedulers) and `and` (default nodes); the pairs are schedulers
-// with nodes, discovery or clients, and nodes with discovery. On restricts the workers or schedulers among them.
+// with nodes, discovery or clients, nodes with discovery, and, where they are peers, schedulers with schedulers. On
+// restricts the workers or schedulers among them; between schedulers and schedulers it has those that the fault separates
+// from the others.
 //
 //	cut              nothing passes, in either direction. What was sent meanwhile arrives when it ends; new connections
 //	                 are not established. Discovery regards workers that it is cut off from as silent
--- a/internal/testbed/scenario/fault.go
+++ b/internal/testbed/scenario/fault.go
@@ -159,6 +159,7 @@
 		{groupSchedulers, groupWorkers},
 		{groupSchedulers, groupDiscovery},
 		{groupSchedulers, groupClients},
+		{groupSchedulers, groupSchedulers},
 		{groupWorkers, groupDiscovery},
 	},
 	FaultScopePlannerNetwork: {
@@ -172,6 +173,11 @@
 // isBetween reports whether a network fault has the group on one of its sides.
 func (f *Fault) isBetween(group string) bool { return f.Between == group || f.And == group }
 
+// isAmongSchedulers reports whether a network fault lies between schedulers and schedulers.
+func (f *Fault) isAmongSchedulers() bool {
+	return f.Between == groupSchedulers && f.And == groupSchedulers
+}
+
 // NodeIndex returns the index of the worker that is named w-N in a fleet of a size, and false if there is none.
 func NodeIndex(name string, workers int) (int, bool) {
 	digits, hasPrefix := strings.CutPrefix(name, workerNamePrefix)
--- a/internal/testbed/scenario/golden_test.go
+++ b/internal/testbed/scenario/golden_test.go
@@ -16,9 +16,10 @@
 	goldenSimulation = "scenario-virtual-1.toml" // every key that the simulation driver supports
 	goldenProcess    = "scenario-live-1.toml"    // the keys for the process driver only, and a closed load
 	goldenLoad       = "scenario-load-1.toml"    // a load by its share of the capacity
+	goldenPeers      = "scenario-peers-1.toml"   // schedulers that send each other datagrams; of a later build
 )
 
-var goldenScenarios = []string{goldenSimulation, goldenProcess, goldenLoad}
+var goldenScenarios = []string{goldenSimulation, goldenProcess, goldenLoad, goldenPeers}
 
 func goldenScenario(t *testing.T, name string) *Scenario {
 	t.Helper()
@@ -94,6 +95,11 @@
 	})
 	s = goldenScenario(t, goldenLoad)
 	checkFields(t, []field{{"load.of", s.Load.CapacityShare, 0.85}})
+	s = goldenScenario(t, goldenPeers)
+	checkFields(t, []field{{"peers", s.Peers, Peers{
+		On: true, Price: 0.01, Delay: 5 * millisecond, DelayMax: 20 * millisecond, Loss: 0.1, Duplicate: 0.05,
+		Reorder: 0.2, Torn: 0.02, Forged: 0.03, Liars: []int{0, 2}, Lie: LieFull,
+	}}})
 }
 
 // The golden files have every key of a scenario, and no other.
--- a/internal/testbed/scenario/scenario.go
+++ b/internal/testbed/scenario/scenario.go
@@ -25,6 +25,7 @@
 	LoadBalancer LoadBalancer         `toml:"front"`
 	Schedulers   Schedulers           `toml:"schedulers"`
 	Planners     Planners             `toml:"planners"` // default none
+	Peers        Peers                `toml:"peers"`    // default off
 	Rules        Rules                `toml:"rules"`
 	Faults       []Fault              `toml:"fault"`
 	Expect       []string             `toml:"expect"` // "in_time >= 0.95", "recovered_within <= 5s"
@@ -184,6 +185,27 @@
 	Drops Duration `toml:"drops"` // mean time until a connection of theirs breaks; 0: never by itself
 }
 
+// Words for Peers.Lie.
+const (
+	LieFull       = "full"        // the shard never has a free slot
+	LieSameWorker = "same_worker" // every lease is granted at once, and all at the same worker
+)
+
+// Peers describes the datagrams that schedulers send each other. Shares are of datagrams, each drawn for itself.
+type Peers struct {
+	On        bool     `toml:"on"`        // they may send any
+	Price     float64  `toml:"price"`     // share of the result that 256 bytes for each job cost
+	Delay     Duration `toml:"delay"`     // least further delay of a datagram, besides the network's
+	DelayMax  Duration `toml:"delay_max"` // greatest further delay; drawn evenly
+	Loss      float64  `toml:"loss"`      // share that never arrives
+	Duplicate float64  `toml:"duplicate"` // share that arrives twice
+	Reorder   float64  `toml:"reorder"`   // share that arrives after others that were sent later
+	Torn      float64  `toml:"torn"`      // share that arrives short or with a wrong byte
+	Forged    float64  `toml:"forged"`    // share that arrives once more from an address that is no peer's
+	Liars     []int    `toml:"liars"`     // schedulers, by index, that lie as coordinators; simulation driver only
+	Lie       string   `toml:"lie"`       // one of LieFull, LieSameWorker
+}
+
 // Rules are the parameters of the invariants that the checker checks.
 type Rules struct {
 	Slack               Duration `toml:"slack"`          // by which a response may be late; default 50 ms with processes, 16 ms in simulation
--- a/internal/testbed/scenario/scenario_test.go
+++ b/internal/testbed/scenario/scenario_test.go
@@ -53,6 +53,32 @@
 		name = "swat-society"`, "tenant[2].name"},
 		{`[[class]]
 		name = "x y"`, "class[0].name"},
+		{`[schedulers]
+		count = 1001`, "schedulers.count"},
+		{`[peers]
+		loss = 1.5`, "peers.loss"},
+		{`[peers]
+		liars = [0]`, "peers.lie"},
+		{`[peers]
+		liars = [3]
+		lie = "full"`, "peers.liars[0]"},
+		{`drivers = ["virtual"]
+		[peers]
+		on = true
+		[planners]
+		count = 1`, "peers.on"},
+		{`[[fault]]
+		what = "cut"
+		at = "1s"
+		between = "schedulers"
+		and = "schedulers"`, "fault[0].what"},
+		{`[peers]
+		on = true
+		[[fault]]
+		what = "drop_idle"
+		at = "1s"
+		between = "schedulers"
+		and = "schedulers"`, "fault[0].between"},
 		{`[[tenant]]
 		name = "x"
 		usage = 0`, "tenant"},
--- a/internal/testbed/simapi/input.go
+++ b/internal/testbed/simapi/input.go
@@ -50,6 +50,14 @@
 	BreakConnections struct{}
 )
 
+// DatagramReceived is a datagram of another scheduler. The bytes may be shared, and are not to be changed.
+type DatagramReceived struct {
+	From  int // index of the sender; -1: it is no scheduler
+	Bytes []byte
+}
+
+func (DatagramReceived) inputMessage() {}
+
 // Messages that reach a scheduler's sockets from clients.
 type (
 	// RequestReceived is the last byte of a client's request.
--- a/internal/testbed/simapi/output.go
+++ b/internal/testbed/simapi/output.go
@@ -21,6 +21,14 @@
 	}
 )
 
+// DatagramWritten is a datagram to another scheduler. The bytes are the environment's from then on.
+type DatagramWritten struct {
+	To    int // index of the scheduler
+	Bytes []byte
+}
+
+func (DatagramWritten) outputMessage() {}
+
 // Messages to clients.
 type (
 	// ResponseWritten is the last byte of a response.
--- a/internal/testbed/simulation/process.go
+++ b/internal/testbed/simulation/process.go
@@ -48,6 +48,7 @@
 	rejectsRequests bool              // new requests are rejected
 	finished        bool              // the process exits once no request is open
 	forwarder       *forwarderProcess // nil: there are no planners
+	peers           *peerSocket       // nil: schedulers send each other nothing
 	newRequestIDs   []string          // of the requests admitted since the last step, the first of which is firstRequest
 	firstRequest    uint64
 }
@@ -80,6 +81,9 @@
 	if proc.forwarder != nil {
 		proc.forwarder.join()
 	}
+	if scheduler.settings.PeerMessages {
+		proc.peers = newPeerSocket(proc)
+	}
 	return proc
 }
 
@@ -92,22 +96,16 @@
 		if k := p.clients[message.Conn]; k != nil {
 			k.clientClosed()
 		}
-	case simapi.WorkerConnected:
-		if conn := p.workerConns.conns[message.Conn]; conn != nil {
-			conn.connected()
-		}
-	case simapi.WorkerDisconnected:
-		if conn := p.workerConns.conns[message.Conn]; conn != nil {
-			conn.disconnected(message.Reset)
-		}
-	case simapi.ResponseReceived:
-		if conn := p.workerConns.conns[message.Conn]; conn != nil {
-			conn.responseReceived(&message)
-		}
+	case simapi.WorkerConnected, simapi.WorkerDisconnected, simapi.ResponseReceived:
+		p.workerConns.handleInput(input)
 	case simapi.CallbackReceived:
 		p.callbackReceived(&message)
 	case simapi.ListReceived, simapi.WatchHeartbeat, simapi.WatchConnected, simapi.WatchEnded:
 		p.watchReceived(input)
+	case simapi.DatagramReceived:
+		if p.peers != nil {
+			p.peers.receive(&message)
+		}
 	case simapi.Reload:
 		p.reload(message.Discovery)
 	case simapi.Terminate:
@@ -174,6 +172,9 @@
 	if p.forwarder != nil {
 		p.forwarder.afterStep()
 	}
+	if p.peers != nil {
+		p.peers.flush()
+	}
 	if p.listChanged {
 		p.listChanged = false
 		p.reportReady()
--- a/internal/testbed/simulation/run.go
+++ b/internal/testbed/simulation/run.go
@@ -48,10 +48,17 @@
 	Requests   uint64        // requests that reached a scheduler
 	Responses  uint64        // responses that left one
 	Attempts   uint64        // sent to workers
+	Peers      PeerTraffic   // between schedulers
 	Digest     uint64        // of all inputs and outputs, if Options.Digest is set
 	Levels     LevelCounts   // if the scenario has planners
 }
 
+// PeerTraffic counts the datagrams of schedulers that reached a scheduler.
+type PeerTraffic struct {
+	Datagrams uint64
+	Bytes     uint64
+}
+
 // Run runs a checked scenario to its end. An error means that the scenario could not be run, or loops.
 func Run(spec *scenario.Scenario, seed uint64, opt Options) (*Outcome, error) {
 	sim, err := newRunner(spec, seed, &opt)
@@ -235,14 +242,18 @@
 // distributeInputs gives each scheduler its inputs of this round.
 func (p *runner) distributeInputs() {
 	for i := range p.delivered {
-		in := &p.delivered[i]
-		if _, ok := in.Message.(simapi.RequestReceived); ok {
+		input := &p.delivered[i]
+		switch message := input.Message.(type) {
+		case simapi.RequestReceived:
 			p.outcome.Requests++
+		case simapi.DatagramReceived:
+			p.outcome.Peers.Datagrams++
+			p.outcome.Peers.Bytes += uint64(len(message.Bytes))
 		}
-		if len(p.inputs[in.Scheduler]) == 0 {
-			p.reached = append(p.reached, in.Scheduler)
+		if len(p.inputs[input.Scheduler]) == 0 {
+			p.reached = append(p.reached, input.Scheduler)
 		}
-		p.inputs[in.Scheduler] = append(p.inputs[in.Scheduler], *in)
+		p.inputs[input.Scheduler] = append(p.inputs[input.Scheduler], *input)
 	}
 }
 
--- a/internal/testbed/simulation/scheduler.go
+++ b/internal/testbed/simulation/scheduler.go
@@ -119,6 +119,10 @@
 		switch {
 		case s.process == nil: // what reaches a process that is gone is lost
 		case s.frozen:
+			_, isDatagram := input.(simapi.DatagramReceived)
+			if isDatagram && countDatagrams(s.pendingInputs) >= maxWaitingDatagrams {
+				return
+			}
 			s.pendingInputs = append(s.pendingInputs, input)
 		default:
 			s.process.handleInput(input)
--- a/internal/testbed/simulation/worker_conns.go
+++ b/internal/testbed/simulation/worker_conns.go
@@ -232,3 +232,21 @@
 	}
 	return false
 }
+
+// handleInput processes an input of a connection, if that is still open.
+func (s *workerConns) handleInput(input simapi.InputMessage) {
+	switch message := input.(type) {
+	case simapi.WorkerConnected:
+		if conn := s.conns[message.Conn]; conn != nil {
+			conn.connected()
+		}
+	case simapi.WorkerDisconnected:
+		if conn := s.conns[message.Conn]; conn != nil {
+			conn.disconnected(message.Reset)
+		}
+	case simapi.ResponseReceived:
+		if conn := s.conns[message.Conn]; conn != nil {
+			conn.responseReceived(&message)
+		}
+	}
+}
