--- a/internal/testbed/process/run_test.go
+++ b/internal/testbed/process/run_test.go
@@ -115,8 +115,9 @@
 	refused(Options{}, "descriptors live")
 	spec = testSpec(t, "[net]\ndelay = \"50us\"\n[[fault]]\nwhat = \"cut\"\nat = \"1s\"\nfor = \"1s\"\n")
 	spec.Fleet.Workers = scenario.MaxProcessWorkers + 1
+	spec.Peers.On = true
 	all := strings.Join(Unsupported(spec), "\n")
-	for _, part := range []string{"1001 workers", "net.delay is 50µs", "Fault cut:"} {
+	for _, part := range []string{"1001 workers", "net.delay is 50µs", "Fault cut:", "Datagrams between schedulers"} {
 		if !strings.Contains(all, part) {
 			t.Errorf("not said of what is unseen: %s", part)
 		}
--- a/internal/testbed/process/unsupported.go
+++ b/internal/testbed/process/unsupported.go
@@ -28,6 +28,10 @@
 			all = append(all, fmt.Sprintf("net.%s is %v: below %v sockets hide it.", key, d, minDelay))
 		}
 	}
+	if spec.Peers.On {
+		all = append(all, "Datagrams between schedulers go by the kernel alone: what the scenario says of their delay, loss and"+
+			" content, of coordinators that lie and of partitions between schedulers is left out.")
+	}
 	notified := map[string]bool{}
 	for _, f := range spec.Faults {
 		if why, ok := partlySupportedFaults[f.Kind]; ok && !notified[f.Kind] {
