--- a/internal/testbed/process/run_test.go
+++ b/internal/testbed/process/run_test.go
@@ -12,7 +12,9 @@
 	"testing"
 	"time"
 
+	"valvecove/internal/config"
 	"valvecove/internal/testbed/scenario"
+	"valvecove/internal/testbed/simapi"
 	"valvecove/internal/testbed/trace"
 )
 
@@ -212,3 +214,27 @@
 		}
 	}
 }
+
+// Where schedulers are peers, each is given the addresses of all, its own among them.
+func TestConfiguration_HasPeers(t *testing.T) {
+	addresses, err := findAddresses(2)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer addresses.close()
+	for _, isOn := range []bool{false, true} {
+		spec := testSpec(t, "")
+		spec.Schedulers.Count, spec.Peers.On = 2, isOn
+		driver := &driver{spec: spec, addresses: addresses}
+		started := &scheduler{driver: driver, number: 1, listen: addresses.scheduler(1), startOptions: &simapi.Start{}}
+		decoded, err := config.Decode(started.configuration(0), func(string) string { return "" })
+		switch {
+		case err != nil:
+			t.Error(err)
+		case !isOn && (decoded.PeerListen.IsValid() || decoded.Settings.PeerMessages):
+			t.Errorf("without peers: listens at %v", decoded.PeerListen)
+		case isOn && (len(decoded.Peers) != 2 || decoded.Peers[1] != decoded.PeerListen || decoded.Peers[0] == decoded.Peers[1]):
+			t.Errorf("listens at %v, peers are %v", decoded.PeerListen, decoded.Peers)
+		}
+	}
+}
