--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -72,7 +72,7 @@
 		}
 		messages, _ := target.node.Receive(now, message.From, message.Payload) // one that is faulty is dropped
 		for _, received := range messages {
-			a.addEvent(input.Instance, dispatch.PeerTold{From: message.From, Message: received})
+			a.addEvent(input.Instance, dispatch.PeerMessageReceived{From: message.From, Message: received})
 		}
 	}
 }
--- a/dispatch/coordinator_test.go
+++ b/dispatch/coordinator_test.go
@@ -37,7 +37,7 @@
 func (s *harness) tell(peer int, messages ...PeerMessage) (granted []LeaseGranted) {
 	var events []Event
 	for _, message := range messages {
-		events = append(events, PeerTold{From: s.peer(peer), Message: message})
+		events = append(events, PeerMessageReceived{From: s.peer(peer), Message: message})
 	}
 	s.take()
 	s.step(events...)
@@ -118,7 +118,7 @@
 	s := coordinatorHarness(t, 4, func(settings *Settings) { settings.ZoneCount = 2 })
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 20000 {
-		s.step(PeerTold{From: s.peer(rng.IntN(8)), Message: randomPeerMessage(rng)})
+		s.step(PeerMessageReceived{From: s.peer(rng.IntN(8)), Message: randomPeerMessage(rng)})
 		if rng.IntN(10) == 0 {
 			s.wait(20 * ms)
 		}
@@ -222,7 +222,7 @@
 		change(&settings)
 		s := newHarness(t, settings)
 		s.workers(2)
-		s.step(s.job(1, 0, 100*ms), PeerTold{From: 1, Message: LeaseRequest{ID: 1, Demand: 1}})
+		s.step(s.job(1, 0, 100*ms), PeerMessageReceived{From: 1, Message: LeaseRequest{ID: 1, Demand: 1}})
 		s.wait(3 * time.Second)
 		for _, action := range s.take() {
 			if tell, ok := action.(TellPeer); ok {
@@ -244,7 +244,7 @@
 				settings.PeerMessages, settings.Replicas, settings.ReplicaIndex = true, 2+rng.IntN(5), rng.IntN(2)
 			}, func() (events []Event) {
 				for range rng.IntN(6) {
-					events = append(events, PeerTold{From: rng.IntN(8) - 1, Message: randomPeerMessage(rng)})
+					events = append(events, PeerMessageReceived{From: rng.IntN(8) - 1, Message: randomPeerMessage(rng)})
 				}
 				return events
 			})
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -125,8 +125,8 @@
 		d.onReplicasChanged(event)
 	case ModelUpdate:
 		d.onModelUpdate(event)
-	case PeerTold:
-		d.onPeerTold(event)
+	case PeerMessageReceived:
+		d.onPeerMessage(event)
 	case Cordoned:
 		d.cordon(event.Worker)
 	case Uncordoned:
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -136,8 +136,8 @@
 		Age       time.Duration
 		LoadShare float64
 	}
-	// PeerTold brings a message of another dispatcher.
-	PeerTold struct {
+	// PeerMessageReceived brings a message of another dispatcher.
+	PeerMessageReceived struct {
 		From    int // its Settings.ReplicaIndex
 		Message PeerMessage
 	}
@@ -152,18 +152,18 @@
 	Result     Result // if it has ended
 }
 
-func (WorkerList) event()         {}
-func (Job) event()                {}
-func (Outcome) event()            {}
-func (Started) event()            {}
-func (Progressed) event()         {}
-func (ResponseStarted) event()    {}
-func (ClientDisconnected) event() {}
-func (HealthChecked) event()      {}
-func (TimerFired) event()         {}
-func (JobResumed) event()         {}
-func (ReplicasChanged) event()    {}
-func (ModelUpdate) event()        {}
-func (PeerTold) event()           {}
-func (Cordoned) event()           {}
-func (Uncordoned) event()         {}
+func (WorkerList) event()          {}
+func (Job) event()                 {}
+func (Outcome) event()             {}
+func (Started) event()             {}
+func (Progressed) event()          {}
+func (ResponseStarted) event()     {}
+func (ClientDisconnected) event()  {}
+func (HealthChecked) event()       {}
+func (TimerFired) event()          {}
+func (JobResumed) event()          {}
+func (ReplicasChanged) event()     {}
+func (ModelUpdate) event()         {}
+func (PeerMessageReceived) event() {}
+func (Cordoned) event()            {}
+func (Uncordoned) event()          {}
--- a/dispatch/leasefleet_test.go
+++ b/dispatch/leasefleet_test.go
@@ -81,7 +81,7 @@
 	f.step(index, f.list)
 	for other := range f.members {
 		if isUp := f.members[other].d != nil; isUp && other != index && member.process > 1 {
-			f.step(other, PeerTold{From: index, Message: PeerRestarted{}})
+			f.step(other, PeerMessageReceived{From: index, Message: PeerRestarted{}})
 		}
 	}
 }
@@ -136,15 +136,15 @@
 		message = f.tamper(from, message)
 	}
 	if f.rng.Float64() < f.garbageRate {
-		f.afterFor(action.To, f.delay(), PeerTold{From: f.rng.IntN(len(f.members)+2) - 1, Message: randomPeerMessage(f.rng)})
+		f.afterFor(action.To, f.delay(), PeerMessageReceived{From: f.rng.IntN(len(f.members)+2) - 1, Message: randomPeerMessage(f.rng)})
 	}
 	isLost := message == nil || f.rng.Float64() < f.loss || f.isCut != nil && f.isCut(from, action.To)
 	if isLost || action.To < 0 || action.To >= len(f.members) {
 		return
 	}
-	f.afterFor(action.To, f.delay(), PeerTold{From: from, Message: message})
+	f.afterFor(action.To, f.delay(), PeerMessageReceived{From: from, Message: message})
 	if f.rng.Float64() < f.repeats {
-		f.afterFor(action.To, f.delay(), PeerTold{From: from, Message: message})
+		f.afterFor(action.To, f.delay(), PeerMessageReceived{From: from, Message: message})
 	}
 }
 
--- a/dispatch/leasereports.go
+++ b/dispatch/leasereports.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// onPeerTold takes in a message of a peer.
-func (d *Dispatcher) onPeerTold(event PeerTold) {
+// onPeerMessage takes in a message of a peer.
+func (d *Dispatcher) onPeerMessage(event PeerMessageReceived) {
 	isPeer := event.From >= 0 && event.From < d.settings.Replicas && event.From != d.settings.ReplicaIndex
 	if !d.usesLeases() || !isPeer {
 		return
--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -14,7 +14,7 @@
 const (
 	leaseAnswerTimeout  = 60 * time.Millisecond  // two messages take up to 32 ms
 	leaseTries          = 2                      // that are not answered, and the coordinator is passed over
-	leasePatience       = 250 * time.Millisecond // without any answer: a job is then sent without a lease
+	leaseTimeout        = 250 * time.Millisecond // without any answer: a job is then sent without a lease
 	retryWaitLimit      = time.Second            // of a job with workers excluded: there may be no other
 	leaseRefresh        = 300 * time.Millisecond // a request that waits is repeated, as its grant may be lost
 	leaseReportInterval = time.Second            // between reports of the leases in use
@@ -77,7 +77,8 @@
 	return s.PeerMessages && s.Replicas > 1 && s.BudgetSpent(leaseBytesOfJob) <= 1
 }
 
-// BudgetSpent is the share of what messages may cost that is spent where each job takes so many bytes of them.
+// BudgetSpent is the share of what messages may cost that is spent where each job takes so many bytes of
+// them.
 func (s *Settings) BudgetSpent(bytesPerJob float64) float64 {
 	budget := s.PeerBudget
 	if budget == 0 {
@@ -276,7 +277,7 @@
 	if lease.tries >= leaseTries {
 		d.directory.avoid(lease.peer, d.now)
 	}
-	if d.now-lease.askedAt >= leasePatience {
+	if d.now-lease.askedAt >= leaseTimeout {
 		d.sendWithoutLease(lease.job)
 		return
 	}
--- a/dispatch/leases_test.go
+++ b/dispatch/leases_test.go
@@ -60,12 +60,12 @@
 	return requests[0]
 }
 
-// Where no coordinator answers, a job is sent without a lease after leasePatience, and its slots are reported.
+// Where no coordinator answers, a job is sent without a lease after leaseTimeout, and its slots are reported.
 func TestJobGoesWithoutAnswer(t *testing.T) {
 	t.Parallel()
 	s, _ := leaseHarness(t, 2)
 	s.request(s.job(1, 0, 100*ms))
-	s.wait(leasePatience - ms)
+	s.wait(leaseTimeout - ms)
 	if sent := sends(s.take()); len(sent) > 0 {
 		t.Fatalf("sent %v before its coordinators had their time", sent)
 	}
@@ -88,7 +88,7 @@
 	s.wait(2*leaseAnswerTimeout + ms) // the next one is asked
 	s.take()
 	grant := func(peer int, worker uint64) []Action {
-		s.step(PeerTold{From: coordinators[peer], Message: LeaseGranted{ID: request.ID, Worker: worker}})
+		s.step(PeerMessageReceived{From: coordinators[peer], Message: LeaseGranted{ID: request.ID, Worker: worker}})
 		return s.take()
 	}
 	if sent := sends(grant(0, 2)); len(sent) != 1 || sent[0].Worker != 2 {
@@ -118,7 +118,7 @@
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 2)
 	for try, request := 0, s.request(s.job(1, 0, 100*ms)); try < maxRefusedLeases; try++ {
-		s.step(PeerTold{From: coordinators[0], Message: LeaseGranted{ID: request.ID, Worker: 99}})
+		s.step(PeerMessageReceived{From: coordinators[0], Message: LeaseGranted{ID: request.ID, Worker: 99}})
 		actions := s.take()
 		if released, _ := peerMessages[LeaseReleased](actions); len(released) != 1 {
 			t.Fatalf("answered by %v", actions)
@@ -140,7 +140,7 @@
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 3)
 	request := s.request(s.job(1, 0, 100*ms))
-	s.step(PeerTold{From: coordinators[0], Message: LeaseGranted{ID: request.ID, Worker: 1}})
+	s.step(PeerMessageReceived{From: coordinators[0], Message: LeaseGranted{ID: request.ID, Worker: 1}})
 	expectJobs(t, sends(s.take()), 1)
 	for range 100 {
 		s.wait(5 * ms)
@@ -160,7 +160,7 @@
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 3)
 	request := s.request(s.job(1, 1, 100*ms))
-	s.step(PeerTold{From: coordinators[0], Message: LeaseGranted{ID: request.ID, Worker: 1}})
+	s.step(PeerMessageReceived{From: coordinators[0], Message: LeaseGranted{ID: request.ID, Worker: 1}})
 	s.step(Started{Job: 1, Worker: 1}, Cordoned{Worker: 1})
 	s.take()
 	s.step(Uncordoned{Worker: 1})
@@ -178,7 +178,7 @@
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 3)
 	first := s.request(s.job(1, 0, 100*ms))
-	s.step(PeerTold{From: coordinators[0], Message: LeaseQueued{ID: first.ID}})
+	s.step(PeerMessageReceived{From: coordinators[0], Message: LeaseQueued{ID: first.ID}})
 	for _, peer := range coordinators {
 		s.d.directory.distrust(peer, s.now)
 	}
@@ -196,7 +196,7 @@
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 1)
 	request := s.request(s.job(1, 0, 100*ms))
-	s.step(PeerTold{From: coordinators[0], Message: LeaseGranted{ID: request.ID, Worker: 1}})
+	s.step(PeerMessageReceived{From: coordinators[0], Message: LeaseGranted{ID: request.ID, Worker: 1}})
 	s.step(Outcome{Job: 1, Worker: 1, Result: WorkerFull})
 	s.take()
 	for waited := time.Duration(0); waited < 2*time.Second; waited += 10 * ms {
@@ -207,7 +207,7 @@
 		}
 		requests, peers := peerMessages[LeaseRequest](actions)
 		for i := range requests {
-			s.step(PeerTold{From: peers[i], Message: LeaseQueued{ID: requests[i].ID}})
+			s.step(PeerMessageReceived{From: peers[i], Message: LeaseQueued{ID: requests[i].ID}})
 		}
 	}
 	t.Fatal("the retry waits for a lease for ever")
@@ -218,10 +218,10 @@
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 3)
 	request := s.request(s.job(1, 0, 100*ms))
-	s.step(PeerTold{From: coordinators[0], Message: LeaseGranted{ID: request.ID, Worker: 1}})
+	s.step(PeerMessageReceived{From: coordinators[0], Message: LeaseGranted{ID: request.ID, Worker: 1}})
 	s.step(Started{Job: 1, Worker: 1})
 	queued := s.request(s.job(2, 0, 100*ms))
-	s.step(PeerTold{From: coordinators[0], Message: LeaseQueued{ID: queued.ID}})
+	s.step(PeerMessageReceived{From: coordinators[0], Message: LeaseQueued{ID: queued.ID}})
 	s.take()
 	restored, err := Restore(s.d.settings, s.d.Snapshot(nil))
 	if err != nil {
@@ -234,7 +234,7 @@
 	if len(requests) != 1 || len(sends(s.actions)) > 0 {
 		t.Fatalf("after the restart: %v", s.actions)
 	}
-	s.step(PeerTold{From: coordinators[0], Message: LeaseQueued{ID: requests[0].ID}})
+	s.step(PeerMessageReceived{From: coordinators[0], Message: LeaseQueued{ID: requests[0].ID}})
 	s.wait(maintenanceInterval)
 	actions := s.take()
 	reports, _ := peerMessages[LeaseReport](actions)
@@ -244,6 +244,6 @@
 	if len(restored.coordinator.leases)+len(restored.coordinator.slots) > 0 {
 		t.Fatal("it coordinates by what was known before")
 	}
-	s.step(PeerTold{From: coordinators[0], Message: LeaseGranted{ID: requests[0].ID, Worker: 2}})
+	s.step(PeerMessageReceived{From: coordinators[0], Message: LeaseGranted{ID: requests[0].ID, Worker: 2}})
 	expectJobs(t, sends(s.take()), 2)
 }
--- a/dispatch/leasesnapshot_test.go
+++ b/dispatch/leasesnapshot_test.go
@@ -108,7 +108,7 @@
 	switch action := action.(type) {
 	case TellPeer:
 		if p.rng.IntN(8) > 0 {
-			p.events[action.To] = append(p.events[action.To], PeerTold{From: index, Message: action.Message})
+			p.events[action.To] = append(p.events[action.To], PeerMessageReceived{From: index, Message: action.Message})
 		}
 	case Send:
 		attempt := len(p.dispatchers[index].jobs[action.Job].attempts) - 1
--- a/internal/capture/peers_test.go
+++ b/internal/capture/peers_test.go
@@ -33,7 +33,7 @@
 	recorder := &Recorder{}
 	lines := []Line{{Input: inputStart, Reason: reasonStart, PeerMessages: true, PeerBudget: 0.03, SnapshotWithLeases: []byte{1, 2, 3}}}
 	for _, message := range goldenPeerMessages {
-		lines = append(lines, recorder.eventLine(dispatch.PeerTold{From: 4, Message: message}),
+		lines = append(lines, recorder.eventLine(dispatch.PeerMessageReceived{From: 4, Message: message}),
 			recorder.actionLine(dispatch.TellPeer{To: 5, Message: message}))
 	}
 	return lines
@@ -64,7 +64,7 @@
 		}
 		switch {
 		case line.Input == inputPeerMessage:
-			read = append(read, line.event().(dispatch.PeerTold).Message)
+			read = append(read, line.event().(dispatch.PeerMessageReceived).Message)
 		case line.Output == outputPeerMessage && !reflect.DeepEqual(line.action().(dispatch.TellPeer).Message, read[len(read)-1]):
 			t.Errorf("%s is another message than the line before", text)
 		}
--- a/internal/capture/step.go
+++ b/internal/capture/step.go
@@ -116,7 +116,7 @@
 		return r.about(event.Worker, Line{Input: inputCordoned})
 	case dispatch.Uncordoned:
 		return r.about(event.Worker, Line{Input: inputUncordoned})
-	case dispatch.PeerTold:
+	case dispatch.PeerMessageReceived:
 		return Line{Input: inputPeerMessage, Peer: event.From, Message: newPeerMessage(event.Message)}
 	case dispatch.WorkerList:
 		return r.workerListLine(event)
@@ -181,7 +181,7 @@
 	case inputUncordoned:
 		return dispatch.Uncordoned{Worker: l.WorkerNumber}
 	case inputPeerMessage:
-		return dispatch.PeerTold{From: l.Peer, Message: l.Message.message()}
+		return dispatch.PeerMessageReceived{From: l.Peer, Message: l.Message.message()}
 	case inputWorkerList:
 		list := dispatch.WorkerList{Kind: l.ListKind}
 		for _, worker := range l.Workers {
--- a/internal/link/peer_socket_test.go
+++ b/internal/link/peer_socket_test.go
@@ -62,9 +62,9 @@
 }
 
 // fromPeers are the messages that the policy was given.
-func (w *harness) fromPeers() (received []dispatch.PeerTold) {
+func (w *harness) fromPeers() (received []dispatch.PeerMessageReceived) {
 	for _, event := range w.policy.Received {
-		if message, ok := event.(dispatch.PeerTold); ok {
+		if message, ok := event.(dispatch.PeerMessageReceived); ok {
 			received = append(received, message)
 		}
 	}
@@ -105,14 +105,14 @@
 // queued is a message that can be told from others, and queuedFrom1 the event that it is.
 func queued(id int) dispatch.PeerMessage { return dispatch.LeaseQueued{ID: dispatch.LeaseID(id)} }
 
-func queuedFrom1(ids ...int) (events []dispatch.PeerTold) {
+func queuedFrom1(ids ...int) (events []dispatch.PeerMessageReceived) {
 	for _, id := range ids {
-		events = append(events, dispatch.PeerTold{From: 1, Message: queued(id)})
+		events = append(events, dispatch.PeerMessageReceived{From: 1, Message: queued(id)})
 	}
 	return events
 }
 
-func (w *harness) expectFromPeers(want []dispatch.PeerTold) {
+func (w *harness) expectFromPeers(want []dispatch.PeerMessageReceived) {
 	w.T.Helper()
 	if got := w.fromPeers(); !reflect.DeepEqual(got, want) {
 		w.T.Errorf("received %+v, expected %+v", got, want)
@@ -130,7 +130,7 @@
 	first.expectFromPeers(queuedFrom1(5, 6))
 	first.tell(1, queued(7))
 	second.runIterations()
-	second.expectFromPeers([]dispatch.PeerTold{{From: 0, Message: queued(7)}})
+	second.expectFromPeers([]dispatch.PeerMessageReceived{{From: 0, Message: queued(7)}})
 }
 
 // What comes from elsewhere, or is too long, is dropped and counted. Of a long datagram the first 256 bytes are a good one.
--- a/internal/requests/policy.go
+++ b/internal/requests/policy.go
@@ -72,7 +72,7 @@
 // AddPeerMessages gives the policy messages of another scheduler, by its number.
 func (t *Table) AddPeerMessages(from int, messages []dispatch.PeerMessage) {
 	for _, message := range messages {
-		t.addEvent(dispatch.PeerTold{From: from, Message: message})
+		t.addEvent(dispatch.PeerMessageReceived{From: from, Message: message})
 	}
 }
 
