--- a/internal/testbed/environment/peers_test.go
+++ b/internal/testbed/environment/peers_test.go
@@ -31,7 +31,7 @@
 	return received
 }
 
-func TestPeers_ShareOfDatagrams(t *testing.T) {
+func TestPeersShareOfDatagrams(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		peers scenario.Peers
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestPeers_Delay(t *testing.T) {
+func TestPeersDelay(t *testing.T) {
 	spec := quiet(2, 3)
 	spec.Peers = scenario.Peers{On: true, Delay: scenario.Duration(time.Second), DelayMax: scenario.Duration(2 * time.Second)}
 	f := newFaultHarness(t, spec, 1)
@@ -81,7 +81,7 @@
 }
 
 // What a cut between schedulers or the death of the receiver takes is gone.
-func TestPeers_Faults(t *testing.T) {
+func TestPeersFaults(t *testing.T) {
 	on := scenario.Peers{On: true}
 	cut := func(schedulers ...int) func(f *faultHarness) {
 		return func(f *faultHarness) {
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -287,7 +287,7 @@
 }
 
 // With PeersSuffix, schedulers send each other datagrams, and the table has what they cost.
-func TestBaselineTable_Peers(t *testing.T) {
+func TestBaselineTablePeers(t *testing.T) {
 	spec := small(t, "schedulers.count=4", "peers.price=0.01")
 	y := BaselineTable{
 		Specs: []*scenario.Scenario{spec}, Policies: []string{PolicyDispatch, PolicyDispatch + PeersSuffix}, Seeds: Seeds(1, 2),
--- a/internal/testbed/platform/platform_test.go
+++ b/internal/testbed/platform/platform_test.go
@@ -148,7 +148,7 @@
 }
 
 // Where schedulers are peers, the configuration has their addresses and the price of what they send.
-func TestConfig_Peers(t *testing.T) {
+func TestConfigPeers(t *testing.T) {
 	spec := testScenario()
 	spec.Peers = scenario.Peers{On: true, Price: 0.02}
 	addresses := []string{"127.0.0.1:7", "127.0.0.2:7", "127.0.0.3:7"}
--- a/internal/testbed/process/run_test.go
+++ b/internal/testbed/process/run_test.go
@@ -216,7 +216,7 @@
 }
 
 // Where schedulers are peers, each is given the addresses of all, its own among them.
-func TestConfiguration_HasPeers(t *testing.T) {
+func TestConfigurationHasPeers(t *testing.T) {
 	addresses, err := findAddresses(2)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/simulation/peers_test.go
+++ b/internal/testbed/simulation/peers_test.go
@@ -27,7 +27,7 @@
 }
 
 // Datagrams follow from scenario and seed, too, on any number of cores.
-func TestPeers_AreDeterministic(t *testing.T) {
+func TestPeersAreDeterministic(t *testing.T) {
 	spec := parse(t, manyPeers())
 	play := func(seed uint64) *Outcome {
 		got, err := Run(spec, seed, Options{Digest: true})
@@ -50,7 +50,7 @@
 }
 
 // Without peers.on schedulers send nothing, whatever else the section says.
-func TestPeers_Off(t *testing.T) {
+func TestPeersOff(t *testing.T) {
 	off := strings.Replace(peersOn, "on = true", "on = false", 1)
 	digests := map[uint64]bool{}
 	for _, text := range []string{busyDay, busyDay + off} {
@@ -66,7 +66,7 @@
 }
 
 // A liar answers as its lie has it, and says all else as it is.
-func TestPeers_Lies(t *testing.T) {
+func TestPeersLies(t *testing.T) {
 	grant := func(worker uint64) dispatch.PeerMessage {
 		return dispatch.LeaseGranted{ID: 7, Worker: worker, FreeSlots: 5}
 	}
@@ -92,7 +92,7 @@
 }
 
 // A frozen process has room for so many datagrams, and for whatever else comes.
-func TestPeers_FrozenProcessHasABuffer(t *testing.T) {
+func TestPeersFrozenProcessHasABuffer(t *testing.T) {
 	spec := parse(t, busyDay+peersOn)
 	scheduler, err := NewScheduler(spec, 0, StartTime, Model{}, nil)
 	if err != nil {
