--- a/dispatch/leasesnapshot.go
+++ b/dispatch/leasesnapshot.go
@@ -101,10 +101,10 @@
 	})
 	c.check(len(leases) == len(client.byID)) // else a timer is of none of them, or one is there twice
 	shardMap(c, client.freeSlots, func(free *int) { c.int(free) })
-	sortedMap(c, client.starvation, func(peer *int, starved *starvation) {
+	sortedMap(c, client.starvation, func(peer *int, refused *starvation) {
 		c.int(peer)
-		c.instant(&starved.since)
-		c.int(&starved.requests)
+		c.instant(&refused.since)
+		c.int(&refused.requests)
 	})
 }
 
