--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -136,6 +136,11 @@
 		Age       time.Duration
 		LoadShare float64
 	}
+	// PeerMessageReceived brings a message of another dispatcher.
+	PeerMessageReceived struct {
+		From    int // its Settings.ReplicaIndex
+		Message PeerMessage
+	}
 )
 
 // PastAttempt is an attempt that a resumed job comes with. A worker that is not known stands in no cell and no zone.
@@ -147,17 +152,18 @@
 	Result     Result // if it has ended
 }
 
-func (WorkerList) event()         {}
-func (Job) event()                {}
-func (Outcome) event()            {}
-func (Started) event()            {}
-func (Progressed) event()         {}
-func (ResponseStarted) event()    {}
-func (ClientDisconnected) event() {}
-func (HealthChecked) event()      {}
-func (TimerFired) event()         {}
-func (JobResumed) event()         {}
-func (ReplicasChanged) event()    {}
-func (ModelUpdate) event()        {}
-func (Cordoned) event()           {}
-func (Uncordoned) event()         {}
+func (WorkerList) event()          {}
+func (Job) event()                 {}
+func (Outcome) event()             {}
+func (Started) event()             {}
+func (Progressed) event()          {}
+func (ResponseStarted) event()     {}
+func (ClientDisconnected) event()  {}
+func (HealthChecked) event()       {}
+func (TimerFired) event()          {}
+func (JobResumed) event()          {}
+func (ReplicasChanged) event()     {}
+func (ModelUpdate) event()         {}
+func (PeerMessageReceived) event() {}
+func (Cordoned) event()            {}
+func (Uncordoned) event()          {}
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -28,9 +28,11 @@
 	if job.heapIndex >= 0 || job.closed || job.streaming {
 		return
 	}
-	job.shape = shapeOf(d.placementGroups[job.Class], slotBucket(job), len(job.attempts) > 0)
+	isRestricted := len(job.attempts) > 0 || job.withoutLease
+	job.shape = shapeOf(d.placementGroups[job.Class], slotBucket(job), isRestricted)
 	d.queue.push(job)
-	if job.inPromotions { // its entry has stayed
+	defer d.requestFirstLease(job) // once it is known when the job is promoted
+	if job.inPromotions {          // its entry has stayed
 		return
 	}
 	// Valuable jobs are promoted sooner: under overload capacity goes to what earns most.
@@ -90,6 +92,10 @@
 		d.deferJob(job)
 		return
 	}
+	if job.awaitsLease() {
+		d.setAside(job)
+		return
+	}
 	worker, lacksCapacity := d.chooseWorker(job)
 	if worker == nil && job.demand > 1 && d.now > job.promoteAt {
 		d.reserveWorker(job)
@@ -97,7 +103,7 @@
 	switch {
 	case worker != nil:
 		d.dequeue(job)
-		d.send(job, worker)
+		d.takeSlots(d.send(job, worker))
 		d.reindex(worker)
 	case lacksCapacity:
 		d.queue.shapes[job.shape].blocked = true
@@ -106,6 +112,16 @@
 	}
 }
 
+// setAside passes over a job that awaits a lease, and the jobs of its shape, which do so too. Among jobs
+// that were sent before there are also such as leave without one.
+func (d *Dispatcher) setAside(job *jobInfo) {
+	if isRestrictedShape(job.shape) {
+		d.deferJob(job)
+	} else {
+		d.queue.shapes[job.shape].blocked = true
+	}
+}
+
 // isSharded tells whether each worker is assigned to a few dispatchers, so that how our own jobs fare there
 // tells of their capacity.
 func (d *Dispatcher) isSharded() bool { return len(d.workerList) > 0 && d.workerList[0].Assignees > 1 }
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -67,20 +67,28 @@
 }
 
 func (r *restoredBeside) restore(d *Dispatcher) {
-	state := d.Snapshot(nil)
+	snapshot, restore := (*Dispatcher).Snapshot, RestoreOnClock
+	if d.usesLeases() {
+		snapshot, restore = (*Dispatcher).SnapshotWithLeases, restoreWithLeasesOnClock
+	}
+	state := snapshot(d, nil)
 	var err error
-	if r.restored, err = RestoreOnClock(d.settings, state, r.clockAhead); err != nil {
+	if r.restored, err = restore(d.settings, state, r.clockAhead); err != nil {
 		r.t.Fatal(err)
 	}
-	back, err := RestoreOnClock(d.settings, r.restored.Snapshot(nil), -r.clockAhead)
+	back, err := restore(d.settings, snapshot(r.restored, nil), -r.clockAhead)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	if again := back.Snapshot(nil); !bytes.Equal(again, state) {
+	if again := snapshot(back, nil); !bytes.Equal(again, state) {
 		r.t.Fatalf("step %d: a restored one has another snapshot", r.step)
 	}
 }
 
+func restoreWithLeasesOnClock(settings Settings, b []byte, clockAhead time.Duration) (*Dispatcher, error) {
+	return read(settings, &codec{b: b, withLeases: true, clockAhead: clockAhead})
+}
+
 // onItsClock returns events with their instants as the restored one's clock has them.
 func (r *restoredBeside) onItsClock(events []Event) []Event {
 	events = slices.Clone(events)
