--- a/cmd/valvecove/gossip_preview_test.go
+++ b/cmd/valvecove/gossip_preview_test.go
@@ -11,12 +11,14 @@
 // The preview says whether schedulers tell each other of leases, with how many others, at what budget and price, or why not.
 func TestCheckOfGossip(t *testing.T) {
 	const peers = `"peer_listen":"127.0.0.1:9002","peers":["127.0.0.1:9001","127.0.0.1:9002","127.0.0.1:9003"],`
-	allowed := strings.NewReplacer(`"name":"n0",`, `"name":"n0",`+peers, `"try_limit":6`, `"try_limit":6,"peers":true`,
+	noStarts := strings.NewReplacer(`"name":"n0",`, `"name":"n0",`+peers, `"try_limit":6`, `"try_limit":6,"peers":true`,
 		`"bounds":`, `"prices":{"peer":0.025},"bounds":`).Replace(platformFile)
+	allowed := strings.Replace(noStarts, `"prices":`, `"domain":{"tells_start":true},"prices":`, 1)
 	for _, c := range []struct{ name, platform, ops, want string }{
 		{"on", allowed, "[gossip]", "leases of slots, at 127.0.0.1:9002 with 2 peers, budget 0.02 of the result, price 0.025 for 256 bytes a job"},
 		{"no section", allowed, "", "off"},
 		{"not allowed", platformFile, "[gossip]", "off, as the platform's file does not allow it, or has no addresses"},
+		{"no starts", noStarts, "[gossip]", "off, as workers notify of no starts"},
 		{"too dear", allowed, "[gossip]\nbudget = 0.001", "off, as messages would cost more than they may: budget 0.001 of the result, price 0.025 for 256 bytes a job"},
 		{"no budget", allowed, "[gossip]\nbudget = 0", "off, as messages would cost more than they may: budget 0 of the result, price 0.025 for 256 bytes a job"},
 	} {
--- a/cmd/valvecove/preview.go
+++ b/cmd/valvecove/preview.go
@@ -204,6 +204,8 @@
 		return "off, as the platform's file does not allow it, or has no addresses"
 	case settings.Replicas < 2:
 		return "nothing to do, as there is one scheduler"
+	case !settings.StartNotifications:
+		return "off, as workers notify of no starts"
 	case !settings.UsesLeases():
 		return "off, as messages would cost more than they may: " + price
 	}
--- a/dispatch/coordinator_test.go
+++ b/dispatch/coordinator_test.go
@@ -213,6 +213,7 @@
 	for name, change := range map[string]func(*Settings){
 		"not allowed": func(settings *Settings) { settings.PeerMessages = false },
 		"alone":       func(settings *Settings) { settings.Replicas = 1 },
+		"no starts":   func(settings *Settings) { settings.StartNotifications = false },
 		"too dear": func(settings *Settings) {
 			settings.PeerCost = defaultPeerBudget * datagramBytes / leaseBytesOfJob * 1.01
 		},
--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -72,9 +72,14 @@
 	requests int
 }
 
-// UsesLeases tells whether slots are leased: alone, or where messages cost more than they may, they are not.
+// UsesLeases tells whether slots are leased. Alone, or where messages cost more than they may, they are
+// not, and neither where workers notify of no starts: from these a coordinator learns how many jobs a
+// worker has room for.
 func (s *Settings) UsesLeases() bool {
-	return s.PeerMessages && s.Replicas > 1 && s.BudgetSpent(leaseBytesOfJob) <= 1
+	if !s.PeerMessages || !s.StartNotifications {
+		return false
+	}
+	return s.Replicas > 1 && s.BudgetSpent(leaseBytesOfJob) <= 1
 }
 
 // BudgetSpent is the share of what messages may cost that is spent where each job takes so many bytes of
--- a/internal/config/ops_test.go
+++ b/internal/config/ops_test.go
@@ -188,7 +188,7 @@
 		{"no budget, no price", "[gossip]\nbudget = 0", 0, true, 0, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			settings := Settings{Settings: dispatch.Settings{Replicas: 8, PeerMessages: true, PeerCost: test.cost}}
+			settings := Settings{Settings: dispatch.Settings{Replicas: 8, StartNotifications: true, PeerMessages: true, PeerCost: test.cost}}
 			decodeValidOps(t, test.ops).ApplyTo(&settings)
 			if settings.PeerMessages != test.wantMessages || settings.PeerBudget != test.wantBudget {
 				t.Errorf("messages %v, budget %v", settings.PeerMessages, settings.PeerBudget)
