--- a/internal/link/acceptor_test.go
+++ b/internal/link/acceptor_test.go
@@ -88,7 +88,7 @@
 				w.now += time.Millisecond
 			}
 			// 25 pauses of up to 50 ms, and of each the tries of one event.
-			if calls := injector.Calls(eventloop.CallAccept); calls > 32*maxAcceptTries {
+			if calls := injector.Calls(eventloop.CallAccept); calls > 32*eventloop.MaxAcceptAttempts {
 				t.Errorf("accept was called %d times in a second", calls)
 			}
 			if w.loop.clients.evicted.Len() > 0 != slices.Contains(evicting, errno) {
@@ -96,7 +96,7 @@
 			}
 			injector.Clear()
 			accepted := injector.Calls(eventloop.CallAccept)
-			w.now += maxAcceptBackoff
+			w.now += eventloop.MaxAcceptBackoff
 			w.runUntilQuiet()
 			if injector.Calls(eventloop.CallAccept) == accepted || w.readyDescriptors() != 0 {
 				t.Error("the connection that waits is not accepted")
@@ -111,17 +111,17 @@
 	listeners := map[string]func(w *harness) (listener int, connect func()){
 		"operators": func(w *harness) (int, func()) {
 			w.Check(w.loop.serveOperators(netip.MustParseAddrPort("127.0.0.1:0"), metrics.NewCounters(requests.NameTable{})) == nil, "not served")
-			return w.loop.operators.fd, func() { w.connectTo(w.loop.operators.fd) }
+			return w.loop.operators.acceptor.FD(), func() { w.connectTo(w.loop.operators.acceptor.FD()) }
 		},
 		"status": func(w *harness) (int, func()) {
 			table := status.New(config.Status{Retention: time.Minute, MaxEntries: 1}, requests.NameTable{}, false, w.loop.Now)
 			w.Check(w.loop.serveStatus(netip.MustParseAddrPort("127.0.0.1:0"), table) == nil, "not served")
-			return w.loop.status.fd, func() { w.connectTo(w.loop.status.fd) }
+			return w.loop.status.acceptor.FD(), func() { w.connectTo(w.loop.status.acceptor.FD()) }
 		},
 		"successor": func(w *harness) (int, func()) {
 			addresses := hotrestart.SocketAddresses(w.T.TempDir(), netip.MustParseAddrPort("127.0.0.1:1"))
 			w.loop.awaitSuccessor(addresses)
-			return w.loop.predecessorRole.fd, func() {
+			return w.loop.predecessorRole.acceptor.FD(), func() {
 				fd, err := w.loop.dialPredecessor(addresses)
 				w.Check(err == nil, "not connected: %v", err)
 				w.T.Cleanup(func() { _ = unix.Close(fd) })
@@ -141,12 +141,12 @@
 				w.runOnce()
 				w.now += time.Millisecond
 			}
-			if calls := injector.Calls(eventloop.CallAccept); calls == 0 || calls > 32*maxAcceptTries {
+			if calls := injector.Calls(eventloop.CallAccept); calls == 0 || calls > 32*eventloop.MaxAcceptAttempts {
 				t.Errorf("accept was called %d times in a second", calls)
 			}
 			injector.Clear()
 			failed := injector.Calls(eventloop.CallAccept)
-			w.now += maxAcceptBackoff
+			w.now += eventloop.MaxAcceptBackoff
 			w.runUntilQuiet()
 			if injector.Calls(eventloop.CallAccept) == failed {
 				t.Error("the connection that waits is not accepted")
--- a/internal/link/client_listener.go
+++ b/internal/link/client_listener.go
@@ -21,7 +21,8 @@
 
 // clientListener accepts the connections of clients, and of workers that send callbacks, and keeps account of them.
 type clientListener struct {
-	acceptor         // without a socket while another process has it
+	loop             *Loop
+	acceptor         *eventloop.Acceptor // without a socket while another process has it
 	connections      map[*clientConnection]struct{}
 	maxConnections   int // without those that are evicted
 	maxRequests      int // open at once; fewer than connections, as the callbacks that end requests need connections too
@@ -49,7 +50,8 @@
 // openClientListener makes the listener, which has no socket yet, with limits on descriptors and on bytes of buffers.
 func (l *Loop) openClientListener(connections, bufferBytes int, settings *dispatch.Settings, names requests.NameTable) {
 	l.clients = &clientListener{
-		acceptor:    acceptor{loop: l, fd: eventloop.NoDescriptor},
+		loop:        l,
+		acceptor:    eventloop.NewAcceptor(l.Loop, l.log),
 		connections: map[*clientConnection]struct{}{},
 		settings:    settings,
 		classes:     indexByName(names.Classes),
@@ -93,7 +95,7 @@
 func (l *clientListener) HandleEvents(uint32) {
 	for range maxAcceptsPerEvent {
 		if l.activeCount() >= l.maxConnections && !l.evict() {
-			l.pause(acceptRetryDelay)
+			l.acceptor.Pause(acceptRetryDelay)
 			return
 		}
 		if len(l.connections)+l.loop.ClosingCount() >= l.maxConnections+l.maxEvicted {
@@ -108,11 +110,11 @@
 // acceptOne accepts a connection. more is false if there is none, or it can't be accepted now: of what may be lacking, only
 // descriptors of this process are there again for an eviction.
 func (l *clientListener) acceptOne() (more bool) {
-	socket, from, result := l.accept()
-	if result == acceptNoDescriptor {
+	socket, from, result := l.acceptor.Accept()
+	if result == eventloop.AcceptNoDescriptor {
 		l.evict()
 	}
-	if result != acceptedOne {
+	if result != eventloop.Accepted {
 		return false
 	}
 	if l.loop.admitAddress(socket, from) {
@@ -144,7 +146,7 @@
 
 func (l *clientListener) resumeIfRoom() {
 	if l.activeCount() < l.maxConnections {
-		l.resumeAccepting()
+		l.acceptor.Resume()
 	}
 }
 
--- a/internal/link/cordon_store_test.go
+++ b/internal/link/cordon_store_test.go
@@ -153,7 +153,7 @@
 	successor := startSuccessor()
 	predecessor.runIterations()
 	successor.runIterations()
-	predecessor.loop.Remove(predecessor.loop.predecessorRole.fd)
+	predecessor.loop.Remove(predecessor.loop.predecessorRole.acceptor.FD())
 	predecessor.runIterations()
 	predecessor.loop.predecessorRole.successor.closeWithDescriptors()
 	predecessor.runIterations()
--- a/internal/link/generated_faults_test.go
+++ b/internal/link/generated_faults_test.go
@@ -129,8 +129,8 @@
 
 // listenForClients has the loop accept clients. Its start is not what is tested here.
 func (f *systemFaults) listenForClients(loop *Loop) {
-	loop.clients.fd = f.listen(f.clients)
-	for isMomentary(loop.Add(loop.clients.fd, unix.EPOLLIN, loop.clients)) {
+	socket := f.listen(f.clients)
+	for isMomentary(loop.clients.acceptor.Add(socket, loop.clients)) {
 		f.now += time.Millisecond
 	}
 	f.T.Cleanup(func() { _ = unix.Close(f.workerListener) })
@@ -198,7 +198,7 @@
 
 // sendWhatWaits lets the loop send the last answers, which a call that has failed may have held back.
 func (f *systemFaults) sendWhatWaits() {
-	for range 2 * maxAcceptBackoff / time.Millisecond {
+	for range 2 * eventloop.MaxAcceptBackoff / time.Millisecond {
 		f.now += time.Millisecond
 		f.runUntilSettled()
 	}
--- a/internal/link/harness_tcp_test.go
+++ b/internal/link/harness_tcp_test.go
@@ -15,15 +15,13 @@
 
 // listen has the harness's loop accept TCP connections: only there does an end come as a reset.
 func (w *harness) listen() {
-	fd, err := w.loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients)
-	if err != nil {
+	if err := w.loop.clients.acceptor.Listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients); err != nil {
 		w.T.Fatal(err)
 	}
-	w.loop.clients.fd = fd
 }
 
 // connectClient gives the client's end of a TCP connection, which the loop has yet to accept.
-func (w *harness) connectClient() *peer { return w.connectTo(w.loop.clients.fd) }
+func (w *harness) connectClient() *peer { return w.connectTo(w.loop.clients.acceptor.FD()) }
 
 // connectTo gives the far end of a TCP connection to a listening socket.
 func (w *harness) connectTo(listener int) *peer {
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -30,7 +30,8 @@
 
 // predecessorRole is the side of a process that serves: it awaits a successor.
 type predecessorRole struct {
-	acceptor  // at the Unix socket
+	loop      *Loop
+	acceptor  *eventloop.Acceptor // at the Unix socket
 	protocol  hotrestart.Predecessor
 	successor *successorConn // nil: none is connected
 }
@@ -58,7 +59,7 @@
 // awaitSuccessorWithRetries tries again, so many times, where the address is in use, and for as long as it takes where the
 // machine lacks something.
 func (l *Loop) awaitSuccessorWithRetries(addresses []string, retries int, backoff time.Duration) {
-	role := &predecessorRole{acceptor: acceptor{loop: l, fd: eventloop.NoDescriptor}}
+	role := &predecessorRole{loop: l, acceptor: eventloop.NewAcceptor(l.Loop, l.log)}
 	err := role.listen(addresses)
 	switch {
 	case err == nil:
@@ -77,11 +78,10 @@
 	if err != nil {
 		return err
 	}
-	if err := r.loop.Add(fd, unix.EPOLLIN, r); err != nil {
+	if err := r.acceptor.Add(fd, r); err != nil {
 		_ = r.loop.Syscalls().Close(fd)
 		return err
 	}
-	r.fd = fd
 	return nil
 }
 
@@ -89,8 +89,8 @@
 
 // HandleEvents accepts a successor, or rejects it.
 func (r *predecessorRole) HandleEvents(uint32) {
-	socket, _, result := r.accept()
-	if result != acceptedOne {
+	socket, _, result := r.acceptor.Accept()
+	if result != eventloop.Accepted {
 		return
 	}
 	if present := r.successor; present != nil { // it may have gone just now, perhaps to come again
@@ -180,7 +180,7 @@
 	loop := c.loop
 	loop.StopTimer(c.handshakeTimer)
 	accept := hotrestart.Accept{Version: hotrestart.ProtocolVersion, CordonedWorkers: loop.Requests.Cordoned()}
-	if err := c.sendMessageBefore(loop.Clock()+transferTimeout, accept, loop.clients.fd); err != nil {
+	if err := c.sendMessageBefore(loop.Clock()+transferTimeout, accept, loop.clients.acceptor.FD()); err != nil {
 		return err
 	}
 	if loop.unstoredCordonCount() > 0 { // else the successor would take the file for newer, should this process die
@@ -293,10 +293,8 @@
 	}
 	clear(l.workers.byAttempt)
 	l.watch.stop()
-	l.Remove(l.clients.fd)
-	l.clients.fd = hotrestart.NoDescriptor
-	l.Remove(l.predecessorRole.fd)
-	l.predecessorRole.fd = eventloop.NoDescriptor
+	l.clients.acceptor.Close()
+	l.predecessorRole.acceptor.Close()
 	if l.peers != nil {
 		l.peers.close()
 	}
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -234,10 +234,9 @@
 	if r.listenerFD == hotrestart.NoDescriptor {
 		return loop.listenForClients(r.listenAddress, unix.SO_REUSEPORT)
 	}
-	if err := loop.Add(r.listenerFD, unix.EPOLLIN, loop.clients); err != nil {
+	if err := loop.clients.acceptor.Add(r.listenerFD, loop.clients); err != nil {
 		return fmt.Errorf("%w: %w", errListenerUnusable, err)
 	}
-	loop.clients.fd = r.listenerFD
 	r.listenerFD = hotrestart.NoDescriptor
 	return nil
 }
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -31,8 +31,7 @@
 func newPredecessorHarness(choices *modeltest.Steps, dir string) (*harness, netip.AddrPort) {
 	w := newHarness(choices)
 	w.enableHotRestart()
-	var err error
-	if w.loop.clients.fd, err = w.loop.Listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients); err != nil {
+	if err := w.loop.clients.acceptor.Listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients); err != nil {
 		choices.T.Fatal(err)
 	}
 	w.loop.awaitSuccessor(hotrestart.SocketAddresses(dir, w.loop.Addr()))
@@ -116,7 +115,7 @@
 	if peer.read(1); !peer.ended {
 		t.Error("a socket of the failed transfer is still open")
 	}
-	if successor.loop.Requests.OpenCount() != 0 || len(successor.loop.clients.connections) != 0 || successor.loop.clients.fd >= 0 {
+	if successor.loop.Requests.OpenCount() != 0 || len(successor.loop.clients.connections) != 0 || successor.loop.clients.acceptor.FD() >= 0 {
 		t.Error("the successor has something of a transfer that failed")
 	}
 	if err := predecessor.handOverTo(successor); err != nil || successor.loop.sharesLimits {
@@ -149,7 +148,7 @@
 		predecessor.runIterations()
 		second.runIterations()
 	}
-	if second.loop.predecessorRole != nil || second.loop.clients.fd >= 0 {
+	if second.loop.predecessorRole != nil || second.loop.clients.acceptor.FD() >= 0 {
 		t.Error("the second successor serves, or has the predecessor's place")
 	}
 	if err := predecessor.handOverTo(first); err != nil {
@@ -165,13 +164,13 @@
 	if err := hotrestart.WriteCordonFile(dir, []string{"s-0"}); err != nil {
 		t.Fatal(err)
 	}
-	predecessor.loop.Remove(predecessor.loop.predecessorRole.fd)
+	predecessor.loop.Remove(predecessor.loop.predecessorRole.acceptor.FD())
 	predecessor.runIterations()
 	predecessor.loop.predecessorRole.successor.closeWithDescriptors()
 	predecessor.runIterations()
 	successor.runIterations()
 	cordoned := successor.loop.Requests.Cordoned()
-	if len(cordoned) != 1 || cordoned[0] != "s-0" || successor.loop.clients.fd < 0 || successor.loop.notReadyReason() == "" {
+	if len(cordoned) != 1 || cordoned[0] != "s-0" || successor.loop.clients.acceptor.FD() < 0 || successor.loop.notReadyReason() == "" {
 		t.Errorf("after the predecessor's death: cordoned %v", cordoned)
 	}
 	third := successor.startSuccessor(dir, address)
--- a/internal/link/lifecycle.go
+++ b/internal/link/lifecycle.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"valvecove/internal/config"
-	"valvecove/internal/eventloop"
 )
 
 // OnFail sets what is done when the process can't go on.
@@ -16,11 +15,7 @@
 
 // Addr returns where the loop listens for clients; of a successor that has not taken over, that is not valid.
 func (l *Loop) Addr() netip.AddrPort {
-	if l.clients.fd < 0 { // the process that serves has the socket
-		return netip.AddrPort{}
-	}
-	sockaddr, _ := l.Syscalls().Getsockname(l.clients.fd)
-	return eventloop.AddrPort(sockaddr)
+	return l.clients.acceptor.Addr()
 }
 
 // Reload goes on by another configuration: connections, requests and what the dispatcher knows stay.
--- a/internal/link/management.go
+++ b/internal/link/management.go
@@ -14,10 +14,16 @@
 // managementListener accepts connections at an address beside the clients': few, and each of them timed. It is part of the
 // listener of a kind of connection.
 type managementListener struct {
-	acceptor
+	loop        *Loop
+	acceptor    *eventloop.Acceptor
 	connections list.List // of handlers, in the order in which they are evicted
 }
 
+// newManagementListener returns a listener that has no socket yet.
+func (l *Loop) newManagementListener() managementListener {
+	return managementListener{loop: l, acceptor: eventloop.NewAcceptor(l.Loop, l.log)}
+}
+
 // managementConnection is what such connections have in common.
 type managementConnection struct {
 	eventloop.Stream
@@ -34,8 +40,8 @@
 // acceptAll accepts connections, so many at a time at most. admit closes those that it does not admit; add owns the socket.
 func (l *managementListener) acceptAll(maxConnections int, admit func(socket int, from netip.AddrPort) bool, add func(socket int)) {
 	for range maxConnections {
-		socket, from, result := l.accept()
-		if result != acceptedOne { // none waits, or there is another event once the acceptor goes on
+		socket, from, result := l.acceptor.Accept()
+		if result != eventloop.Accepted { // none waits, or there is another event once the acceptor goes on
 			return
 		}
 		if admit(socket, from) {
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -166,11 +166,7 @@
 }
 
 func (l *Loop) listenForClients(address netip.AddrPort, options ...int) error {
-	fd, err := l.Listen(address, l.clients, options...)
-	if err == nil {
-		l.clients.fd = fd
-	}
-	return err
+	return l.clients.acceptor.Listen(address, l.clients, options...)
 }
 
 // restoreCordoned cordons the workers that an earlier process had cordoned. Where that can't be read the process serves all
--- a/internal/link/operator_connection.go
+++ b/internal/link/operator_connection.go
@@ -59,12 +59,10 @@
 
 // serveOperators serves the operators' calls at their own address.
 func (l *Loop) serveOperators(address netip.AddrPort, counters *metrics.Counters) error {
-	listener := &operatorListener{managementListener: managementListener{acceptor: acceptor{loop: l}}, counters: counters}
-	fd, err := l.Listen(address, listener)
-	if err != nil {
+	listener := &operatorListener{managementListener: l.newManagementListener(), counters: counters}
+	if err := listener.acceptor.Listen(address, listener); err != nil {
 		return err
 	}
-	listener.fd = fd
 	l.operators = listener
 	listener.closeExpired()
 	return nil
--- a/internal/link/status_connection.go
+++ b/internal/link/status_connection.go
@@ -31,12 +31,10 @@
 
 // serveStatus serves the status call.
 func (l *Loop) serveStatus(address netip.AddrPort, table *status.Table) error {
-	listener := &statusListener{managementListener: managementListener{acceptor: acceptor{loop: l}}, table: table}
-	fd, err := l.Listen(address, listener)
-	if err != nil {
+	listener := &statusListener{managementListener: l.newManagementListener(), table: table}
+	if err := listener.acceptor.Listen(address, listener); err != nil {
 		return err
 	}
-	listener.fd = fd
 	l.status = listener
 	listener.closeExpired()
 	return nil
