--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-func (d *Dispatcher) onJob(e Job) {
+func (d *Dispatcher) handleJob(e Job) {
 	if j := d.admit(e, 0); j != nil {
 		d.chargeQuota(j)
 		d.requestChecks(j)
@@ -46,8 +46,8 @@
 // observeArrival takes a job into the means over all jobs.
 func (d *Dispatcher) observeArrival(job *jobInfo) {
 	d.arrivals++
-	costRate := max(meanRate, 1/d.arrivals) // the first ones count in full
-	d.meanWeight += meanRate * (job.class.PriorityWeight - d.meanWeight)
+	costRate := max(slowMeanGain, 1/d.arrivals) // the first ones count in full
+	d.meanWeight += slowMeanGain * (job.class.PriorityWeight - d.meanWeight)
 	d.meanCost += (d.warmUpCost(job) - d.meanCost) * costRate
 }
 
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -99,15 +99,15 @@
 	j.Tenant = 1
 	s.step(j)
 	demoted := 0
-	for _, sh := range s.d.queue.shapes {
+	for _, sh := range s.d.queue.demandClasses {
 		for _, h := range sh.byScore.items {
-			if h.demoted() {
+			if h.isDeprioritized() {
 				demoted++
 			}
 		}
 	}
-	if demoted == 0 || s.d.jobs[50].demoted() {
-		t.Fatalf("%d jobs over their tenant's quota, one of a tenant without a quota demoted: %v", demoted, s.d.jobs[50].demoted())
+	if demoted == 0 || s.d.jobs[50].isDeprioritized() {
+		t.Fatalf("%d jobs over their tenant's quota, one of a tenant without a quota demoted: %v", demoted, s.d.jobs[50].isDeprioritized())
 	}
 }
 
@@ -121,7 +121,7 @@
 	}
 	within := 0
 	for _, j := range s.d.jobs {
-		if !j.demoted() {
+		if !j.isDeprioritized() {
 			within++
 		}
 	}
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -8,7 +8,7 @@
 	d.addAttempt(attempt)
 	attempt.limitBound = worker.usedSlots+1 > worker.limit
 	d.chargeWarmUp(attempt)
-	d.hedgeTokens = min(d.hedgeTokens+hedgeRate, d.maxHedgeTokens())
+	d.hedgeTokens = min(d.hedgeTokens+hedgeTokensPerAttempt, d.maxHedgeTokens())
 	if attempt.number > 0 {
 		d.hedgeTokens -= d.hedgeCost(job)
 	}
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -9,7 +9,7 @@
 
 // What an empty dispatcher assumes before it has observed anything.
 const (
-	initialSpread         = 0.35             // mean log distance of runs from what was expected
+	initialLogError       = 0.35             // mean log distance of runs from what was expected
 	initialHintWeight     = 1.0              // of the logistic model: the chance of running long rises with the hint
 	minInitialSojourn     = 1e-3             // seconds
 	lateStartsPerSojourn  = 3                // the mean late start is this part of the mean objective
@@ -23,7 +23,7 @@
 	dispatcher := &Dispatcher{
 		settings: settings, rng: rand.New(source), source: source, jobs: map[uint64]*jobInfo{}, workers: map[uint64]*workerInfo{},
 		kinds: map[int]*machineInfo{}, cordoned: map[uint64]time.Duration{}, zoneBusy: map[int]float64{},
-		keyWork: map[uint64]float64{}, spread: initialSpread,
+		keyWork: map[uint64]float64{}, spread: initialLogError,
 	}
 	dispatcher.initIndexes()
 	dispatcher.hedgeTokens = dispatcher.maxHedgeTokens()
@@ -70,13 +70,13 @@
 		d.bornAt = d.now // what was sent before is not known: no warming worker gets a job for one window
 	}
 	for _, e := range events {
-		d.onEvent(e)
+		d.handleEvent(e)
 	}
 	if d.timerAt <= d.now {
 		d.timerAt = 0
 	}
 	for d.timers.first().at <= d.now { // never empty: maintenance sets its timer anew
-		d.onTimer(d.timers.pop())
+		d.handleTimer(d.timers.pop())
 	}
 	d.exchangeLeases()
 	d.dispatchQueued()
@@ -91,20 +91,20 @@
 
 func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
-func (d *Dispatcher) onEvent(event Event) {
+func (d *Dispatcher) handleEvent(event Event) {
 	switch event := event.(type) {
 	case WorkerList:
-		d.onWorkerList(event)
+		d.handleWorkerList(event)
 	case Job:
-		d.onJob(event)
+		d.handleJob(event)
 	case Outcome:
-		d.onOutcome(event)
+		d.handleOutcome(event)
 	case Started:
 		d.onStarted(d.findInFlight(event.Job, event.Attempt, event.Worker))
 	case Progressed:
 		d.onProgressed(d.findInFlight(event.Job, event.Attempt, event.Worker))
 	case ResponseStarted:
-		d.onResponseStarted(d.findInFlight(event.Job, event.Attempt, event.Worker))
+		d.handleResponseStarted(d.findInFlight(event.Job, event.Attempt, event.Worker))
 	case ClientDisconnected:
 		d.closeJob(d.jobs[event.Job])
 	case HealthChecked:
@@ -112,19 +112,19 @@
 	case TimerFired:
 		d.measureStall()
 	default:
-		d.onPeerEvent(event)
+		d.handlePeerEvent(event)
 	}
 }
 
-// onPeerEvent takes in what other dispatchers or the operators bring about.
-func (d *Dispatcher) onPeerEvent(event Event) {
+// handlePeerEvent takes in what other dispatchers or the operators bring about.
+func (d *Dispatcher) handlePeerEvent(event Event) {
 	switch event := event.(type) {
 	case JobResumed:
 		d.onJobResumed(event)
 	case ReplicasChanged:
 		d.onReplicasChanged(event)
 	case ModelUpdate:
-		d.onModelUpdate(event)
+		d.handleModelUpdate(event)
 	case PeerMessageReceived:
 		d.onPeerMessage(event)
 	case Cordoned:
@@ -134,8 +134,8 @@
 	}
 }
 
-// onTimer does what a timer is for. Queued jobs are looked at after any.
-func (d *Dispatcher) onTimer(fired *timer) {
+// handleTimer does what a timer is for. Queued jobs are looked at after any.
+func (d *Dispatcher) handleTimer(fired *timer) {
 	switch fired.purpose {
 	case reviewQueue:
 	case runMaintenance:
@@ -143,7 +143,7 @@
 	case jobDeadline:
 		d.finish(fired.job)
 	case jobObjective:
-		d.onObjectivePassed(fired.job)
+		d.handleObjectivePassed(fired.job)
 	case attemptOverdue:
 		d.onOverdue(fired.attempt)
 	case leaseOverdue:
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -50,7 +50,7 @@
 	set := testSettings()
 	set.MustSubscribe = true
 	s := newHarness(t, set)
-	s.wait(objectiveRecheck)
+	s.wait(objectiveRecheckInterval)
 	s.step(WorkerList{Kind: ListFull, Revision: 1}, WorkerList{Kind: ListUnavailable}, WorkerList{Kind: ListDelta, Revision: 2})
 	taken[Subscribe](s)
 	if s.wait(10 * time.Second); len(taken[Subscribe](s)) > 0 {
--- a/dispatch/estimates.go
+++ b/dispatch/estimates.go
@@ -7,15 +7,15 @@
 
 // How estimates follow what is observed.
 const (
-	speedMemory   = 10 * time.Second       // without news a learnt speed drifts back to that of its kind
-	speedGrace    = 50 * time.Millisecond  // news that is younger does not drift
-	overrunMemory = 60 * time.Second       // a class that had far heavier jobs may have more
-	busyRate      = 0.1                    // the chance by zone follows the last ten or so samples
-	minFreeSlots  = 0.5                    // a worker that reports less has no free slot
-	reportMaxAge  = time.Second            // an older load report says nothing about now
-	reportLag     = 200 * time.Millisecond // jobs sent this shortly before a report may be missing from it
-	minExpected   = 1e-3                   // seconds: shorter expectations are outrun easily
-	maxKeys       = 10000                  // keys whose past is known
+	speedDecayTime        = 10 * time.Second       // without news a learnt speed drifts back to that of its kind
+	speedDecayDelay       = 50 * time.Millisecond  // news that is younger does not drift
+	overrunDecayTime      = 60 * time.Second       // a class that had far heavier jobs may have more
+	busyGain              = 0.1                    // the chance by zone follows the last ten or so samples
+	minFreeSlots          = 0.5                    // a worker that reports less has no free slot
+	maxReportAge          = time.Second            // an older load report says nothing about now
+	reportLag             = 200 * time.Millisecond // jobs sent this shortly before a report may be missing from it
+	minExpectedRunSeconds = 1e-3                   // seconds: shorter expectations are outrun easily
+	maxKnownKeys          = 10000                  // keys whose past is known
 )
 
 // machineKind returns what is known of a kind of machine.
@@ -43,7 +43,7 @@
 // rememberKey keeps the work that the run of a job with a key showed. When there are too many keys all are forgotten:
 // those in use are soon learnt again.
 func (d *Dispatcher) rememberKey(key uint64, work float64) {
-	if len(d.keyWork)+d.keysOmitted >= maxKeys {
+	if len(d.keyWork)+d.keysOmitted >= maxKnownKeys {
 		clear(d.keyWork)
 		d.keysOmitted = 0
 	}
@@ -55,15 +55,15 @@
 // observeOverrun remembers for a while by how much a job has outrun its expectation. One far heavier than its hint can
 // overload a warming worker alone: its class is budgeted as if each were.
 func (d *Dispatcher) observeOverrun(a *attemptInfo, run time.Duration) {
-	factor := run.Seconds() / max(a.expectedRun.Seconds(), minExpected)
+	factor := run.Seconds() / max(a.expectedRun.Seconds(), minExpectedRunSeconds)
 	d.overrunFactor[a.job.Class] = max(d.overrunFactor[a.job.Class], factor)
 }
 
 // observeBusy learns by zone how likely a worker has no free slot, as too little is seen of each worker.
 func (d *Dispatcher) observeBusy(w *workerInfo, busy bool) {
-	d.zoneBusy[w.Zone] *= 1 - busyRate
+	d.zoneBusy[w.Zone] *= 1 - busyGain
 	if busy {
-		d.zoneBusy[w.Zone] += busyRate
+		d.zoneBusy[w.Zone] += busyGain
 	}
 }
 
@@ -96,5 +96,5 @@
 			free -= a.job.demand
 		}
 	}
-	return free, d.now-w.reportedAt < reportMaxAge
+	return free, d.now-w.reportedAt < maxReportAge
 }
--- a/dispatch/hedging.go
+++ b/dispatch/hedging.go
@@ -6,10 +6,10 @@
 // cancelled attempt. The design is silent on it; tokens keep hedges from feeding an overload.
 
 const (
-	hedgeRate       = 0.05 // hedges for each attempt, so that they feed no overload
-	hedgeBurst      = 10.0 // saved up, by each of a few dispatchers
-	fleetHedgeBurst = 30.0 // and by all of many
-	slackDivisor    = 3    // unstarted for its slack divided by this, a job is hedged
+	hedgeTokensPerAttempt = 0.05 // hedges for each attempt, so that they feed no overload
+	maxReplicaHedgeTokens = 10.0 // saved up, by each of a few dispatchers
+	maxFleetHedgeTokens   = 30.0 // and by all of many
+	hedgeSlackDivisor     = 3    // unstarted for its slack divided by this, a job is hedged
 )
 
 // dueAt is when an attempt should have ended; before it starts, when waiting endangers its job's objective.
@@ -18,7 +18,7 @@
 		return a.startedAt + d.maxPlausibleRun(a)
 	}
 	slack := a.job.objectiveAt - d.now - a.expectedRun
-	return d.now + max(d.promptStart(a.job.class), slack/slackDivisor)
+	return d.now + max(d.promptStart(a.job.class), slack/hedgeSlackDivisor)
 }
 
 // isStuck tells whether an overdue attempt may be lost. One whose worker gets on with others is queued there,
@@ -38,7 +38,7 @@
 
 // maxHedgeTokens is how many hedges may be saved up: those of all dispatchers together feed an overload too.
 func (d *Dispatcher) maxHedgeTokens() float64 {
-	return max(1, min(hedgeBurst, fleetHedgeBurst*d.quotaShare()))
+	return max(1, min(maxReplicaHedgeTokens, maxFleetHedgeTokens*d.quotaShare()))
 }
 
 // hedgeCost is what a hedge takes of the tokens: with many dispatchers, by its work.
@@ -55,7 +55,7 @@
 		job.class.Idempotency == NonIdempotent || d.hedgeTokens < d.hedgeCost(job) {
 		return
 	}
-	canEarn := !d.lateIsWorthless(job) || d.now+d.fastestRun(job, 0) <= job.objectiveAt
+	canEarn := !d.lateHasNoUtility(job) || d.now+d.fastestRun(job, 0) <= job.objectiveAt
 	switch {
 	case d.settings.Hedging:
 		d.enqueue(job)
--- a/dispatch/jobqueue.go
+++ b/dispatch/jobqueue.go
@@ -5,35 +5,35 @@
 // jobQueue holds queued jobs by shape: those that the same workers can start share one, so that where one of them fits
 // nowhere for want of capacity, the others need not be tried.
 type jobQueue struct {
-	shapes []shape
-	length int
+	demandClasses []demandClass
+	length        int
 }
 
-// shape holds the queued jobs of one shape in two orders.
-type shape struct {
+// demandClass holds the queued jobs of one shape in two orders.
+type demandClass struct {
 	byScore     minHeap[*jobInfo] // by leavesBefore
 	byPromotion minHeap[*jobInfo] // by promotedBefore; may hold jobs that have left
 	blocked     bool              // no worker has capacity for one, in this step
 }
 
 const (
-	slotBuckets    = 4 // 1, 2 and 3, 4 to 7, more
-	shapesPerClass = 2 * slotBuckets
+	slotBuckets           = 4 // 1, 2 and 3, 4 to 7, more
+	demandClassesPerClass = 2 * slotBuckets
 )
 
 func newJobQueue(classes int) jobQueue {
-	q := jobQueue{shapes: make([]shape, shapesPerClass*classes)}
-	for i := range q.shapes {
-		s := &q.shapes[i]
+	q := jobQueue{demandClasses: make([]demandClass, demandClassesPerClass*classes)}
+	for i := range q.demandClasses {
+		s := &q.demandClasses[i]
 		s.byScore.less, s.byScore.moved = leavesBefore, func(j *jobInfo, index int) { j.heapIndex = index }
 		s.byPromotion.less = promotedBefore
 	}
 	return q
 }
 
-// shapeOf is the shape of a job of a class that may go where only the others of its group may. restricted are jobs whose
+// demandClassOf is the shape of a job of a class that may go where only the others of its group may. restricted are jobs whose
 // attempts restrict them further.
-func shapeOf(group, bucket int, restricted bool) int {
+func demandClassOf(group, bucket int, restricted bool) int {
 	s := (group*slotBuckets + bucket) * 2
 	if restricted {
 		s++
@@ -41,8 +41,8 @@
 	return s
 }
 
-// isRestrictedShape tells whether the jobs of a shape are restricted further than by their class.
-func isRestrictedShape(shape int) bool { return shape%2 == 1 }
+// isRestrictedDemandClass tells whether the jobs of a shape are restricted further than by their class.
+func isRestrictedDemandClass(shape int) bool { return shape%2 == 1 }
 
 // placementGroups gives each class the first one that may go to the same kinds and zones.
 func placementGroups(classes []Class) []int {
@@ -58,34 +58,34 @@
 
 // push adds a job to its shape.
 func (q *jobQueue) push(j *jobInfo) {
-	q.shapes[j.shape].byScore.push(j)
+	q.demandClasses[j.demandClass].byScore.push(j)
 	q.length++
 }
 
 // pushPromotion adds a job to its shape by promotion. Its entry stays there when the job leaves.
 func (q *jobQueue) pushPromotion(j *jobInfo) {
 	j.inPromotions = true
-	q.shapes[j.shape].byPromotion.push(j)
+	q.demandClasses[j.demandClass].byPromotion.push(j)
 }
 
 // remove takes out a job that is queued.
 func (q *jobQueue) remove(j *jobInfo) {
-	q.shapes[j.shape].byScore.remove(j.heapIndex)
+	q.demandClasses[j.demandClass].byScore.remove(j.heapIndex)
 	q.length--
 }
 
 // reorder has a queued job stand where it belongs after a change.
-func (q *jobQueue) reorder(j *jobInfo) { q.shapes[j.shape].byScore.fix(j.heapIndex) }
+func (q *jobQueue) reorder(j *jobInfo) { q.demandClasses[j.demandClass].byScore.fix(j.heapIndex) }
 
 // unblock begins a pass: all shapes are tried.
 func (q *jobQueue) unblock() {
-	for i := range q.shapes {
-		q.shapes[i].blocked = false
+	for i := range q.demandClasses {
+		q.demandClasses[i].blocked = false
 	}
 }
 
 // firstByPromotion is the first job by promotion; nil: there is none. Void entries are dropped.
-func (s *shape) firstByPromotion() *jobInfo {
+func (s *demandClass) firstByPromotion() *jobInfo {
 	for !s.byPromotion.empty() {
 		j := s.byPromotion.first()
 		if !j.losesPromotion() {
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -24,10 +24,10 @@
 	}
 }
 
-// deferJob sets a job aside for the rest of this pass over the queue.
-func (d *Dispatcher) deferJob(j *jobInfo) {
+// skipJob sets a job aside for the rest of this pass over the queue.
+func (d *Dispatcher) skipJob(j *jobInfo) {
 	d.dequeue(j)
-	d.deferred = append(d.deferred, j)
+	d.skipped = append(d.skipped, j)
 }
 
 // closeJob ends a job that has had its final answer, or needs none. It is forgotten once nothing is in flight.
@@ -67,8 +67,8 @@
 
 // finishQueued answers all queued jobs that have nothing in flight: there is nobody to send them to.
 func (d *Dispatcher) finishQueued() {
-	for i := range d.queue.shapes {
-		for queued := &d.queue.shapes[i].byScore; !queued.empty(); {
+	for i := range d.queue.demandClasses {
+		for queued := &d.queue.demandClasses[i].byScore; !queued.empty(); {
 			j := queued.first()
 			d.dequeue(j)
 			d.withdrawLeases(j)
@@ -79,8 +79,8 @@
 	}
 }
 
-// onResponseStarted takes in that a response has begun: nothing else can be sent to the client any more.
-func (d *Dispatcher) onResponseStarted(a *attemptInfo) {
+// handleResponseStarted takes in that a response has begun: nothing else can be sent to the client any more.
+func (d *Dispatcher) handleResponseStarted(a *attemptInfo) {
 	if a != nil {
 		a.job.streaming = true
 		d.dequeue(a.job)
--- a/dispatch/learning.go
+++ b/dispatch/learning.go
@@ -10,8 +10,8 @@
 // predictions rest on. Logs are natural.
 
 const (
-	maxMeanSpeed = 0.3 // mean log speed of the fleet: what is beyond counts as size
-	maxRescale   = 0.1 // log, at a time: jobs in flight keep the sizes they came with
+	maxMeanLogSpeed = 0.3 // mean log speed of the fleet: what is beyond counts as size
+	maxLogRescale   = 0.1 // log, at a time: jobs in flight keep the sizes they came with
 )
 
 // learnFromRun takes in a finished run. Sizes are corrected slowly and speeds quickly, so that a slow spell
@@ -25,7 +25,7 @@
 		return
 	}
 	job, worker := attempt.job, attempt.worker
-	runLog := math.Log(max(run.Seconds(), minWork))
+	runLog := math.Log(max(run.Seconds(), minWorkSeconds))
 	// By what is known now: else each of the many in flight would correct the same error once more.
 	expectedLog := math.Log(d.expectedWork(job))
 	d.observeSpread(expectedLog - runLog - worker.logSpeed)
@@ -34,7 +34,7 @@
 	d.learnWeights(job, workLog > d.longCut)
 	d.rememberKey(job.Key, math.Exp(workLog))
 	correction := &d.sizeCorrection[job.Class][slotBucket(job)]
-	*correction += sizeRate * clamp(workLog-expectedLog, maxSizeStep)
+	*correction += sizeCorrectionGain * clamp(workLog-expectedLog, maxLogSizeError)
 	if workLog < d.longCut {
 		d.observeShortSojourn(d.now - job.arrivedAt)
 	}
@@ -43,23 +43,23 @@
 
 // observeSpread takes in by how much, in logs, a run differed from the expected.
 func (d *Dispatcher) observeSpread(distance float64) {
-	d.spread += meanRate * (min(math.Abs(distance), maxFeature) - d.spread)
+	d.spread += slowMeanGain * (min(math.Abs(distance), maxLogFeature) - d.spread)
 }
 
 // observeShortSojourn takes in the sojourn of a short job: only these count for the paper's mu_short.
 func (d *Dispatcher) observeShortSojourn(sojourn time.Duration) {
-	bounded := min(sojourn.Seconds(), maxSojourns*d.muShort)
-	d.muShort += meanRate * (bounded - d.muShort)
+	bounded := min(sojourn.Seconds(), maxSojournMultiple*d.muShort)
+	d.muShort += slowMeanGain * (bounded - d.muShort)
 }
 
 // moveLongCut moves the cut between short and long by one run: the steps up and down balance where
 // longJobShare of the runs lie beyond it.
 func (d *Dispatcher) moveLongCut(workLog float64) {
-	step := cutRate
+	step := longThresholdStep
 	if workLog < d.longCut {
-		step = -step * longJobShare / (1 - longJobShare)
+		step = -step * longRunShare / (1 - longRunShare)
 	}
-	d.longCut += step * (1 - longJobShare)
+	d.longCut += step * (1 - longRunShare)
 }
 
 // learnWeights is one step of gradient ascent on the logistic model.
@@ -70,18 +70,18 @@
 	}
 	hint, slots := d.features(j)
 	n := len(d.settings.Classes)
-	d.weights[j.Class] += modelRate * gradient
-	d.weights[n] = max(minHintWeight, d.weights[n]+modelRate*gradient*hint)
-	d.weights[n+1] += modelRate * gradient * slots
+	d.weights[j.Class] += logisticLearningRate * gradient
+	d.weights[n] = max(minHintWeight, d.weights[n]+logisticLearningRate*gradient*hint)
+	d.weights[n+1] += logisticLearningRate * gradient * slots
 }
 
 // learnSpeed takes in the log speed that a run of a worker showed.
 func (d *Dispatcher) learnSpeed(w *workerInfo, logSpeed float64) {
 	k := d.machineKind(w.Kind)
 	k.runs++
-	k.logSpeed += max(sizeRate, 1/(k.runs+2)) * clamp(logSpeed-k.logSpeed, maxKindStep)
+	k.logSpeed += max(sizeCorrectionGain, 1/(k.runs+2)) * clamp(logSpeed-k.logSpeed, maxLogKindSpeedError)
 	w.runs++
-	w.logSpeed += max(speedRate, 1/(w.runs+2)) * clamp(logSpeed-w.logSpeed, maxSizeStep)
+	w.logSpeed += max(minSpeedGain, 1/(w.runs+2)) * clamp(logSpeed-w.logSpeed, maxLogSizeError)
 	w.speed, w.learnedAt = math.Exp(w.logSpeed), d.now
 }
 
--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -242,7 +242,7 @@
 		Demand:     job.demand,
 		Work:       d.warmUpCost(job),
 		LongChance: job.longChance,
-		Demoted:    job.demoted(),
+		Demoted:    job.isDeprioritized(),
 		PromoteIn:  job.promoteAt - d.now,
 		Excluded:   excluded[max(0, len(excluded)-MaxExcluded):],
 	}
@@ -376,7 +376,7 @@
 		return
 	}
 	d.client.freeSlots[lease.shard] = message.FreeSlots
-	if !lease.isQueued && !lease.job.demoted() {
+	if !lease.isQueued && !lease.job.isDeprioritized() {
 		d.observeRefusal(from)
 	}
 	lease.isQueued = true
@@ -413,7 +413,7 @@
 		return false
 	}
 	return job.class.allows(worker.Kind, worker.Zone) && d.mayAttempt(job, worker) && !d.isEjected(worker) &&
-		d.canEarn(job, worker) && d.ownSpendsAllow(job, worker)
+		d.canMeetObjective(job, worker) && d.ownSpendsAllow(job, worker)
 }
 
 func (d *Dispatcher) sendOnLease(job *jobInfo, worker *workerInfo, lease *leaseInfo) {
--- a/dispatch/maintenance.go
+++ b/dispatch/maintenance.go
@@ -27,8 +27,8 @@
 		d.topSpeed = fleet.topSpeed
 	}
 	// Runs show only the quotient of size and speed: the two must not drift off together.
-	if mean := fleet.speeds / float64(max(1, fleet.ready)); math.Abs(mean) > maxMeanSpeed {
-		d.rescaleSpeeds(clamp(mean-clamp(mean, maxMeanSpeed), maxRescale))
+	if mean := fleet.speeds / float64(max(1, fleet.ready)); math.Abs(mean) > maxMeanLogSpeed {
+		d.rescaleSpeeds(clamp(mean-clamp(mean, maxMeanLogSpeed), maxLogRescale))
 	}
 }
 
@@ -36,20 +36,20 @@
 // by one round of maintenance.
 func (d *Dispatcher) decayEstimates() {
 	for class := range d.overrunFactor {
-		factor := d.overrunFactor[class] * (1 - maintenanceInterval.Seconds()/overrunMemory.Seconds())
+		factor := d.overrunFactor[class] * (1 - maintenanceInterval.Seconds()/overrunDecayTime.Seconds())
 		d.overrunFactor[class] = max(1, factor)
 	}
 	d.decayIdleConnections()
 	for z := range d.zoneBusy {
-		d.zoneBusy[z] *= 1 - maintenanceInterval.Seconds()/speedMemory.Seconds()
+		d.zoneBusy[z] *= 1 - maintenanceInterval.Seconds()/speedDecayTime.Seconds()
 	}
 	for _, w := range d.workerList {
 		was := w.logSpeed
 		if w.learnedAt == 0 {
 			w.logSpeed = w.machine.logSpeed
-		} else if d.now-w.learnedAt > speedGrace {
+		} else if d.now-w.learnedAt > speedDecayDelay {
 			distance := w.machine.logSpeed - w.logSpeed
-			w.logSpeed += distance * maintenanceInterval.Seconds() / speedMemory.Seconds()
+			w.logSpeed += distance * maintenanceInterval.Seconds() / speedDecayTime.Seconds()
 		}
 		if w.logSpeed != was {
 			w.speed = math.Exp(w.logSpeed)
@@ -65,7 +65,7 @@
 }
 
 func (d *Dispatcher) summarise() fleetSummary {
-	fleet := fleetSummary{topSpeed: -maxFeature}
+	fleet := fleetSummary{topSpeed: -maxLogFeature}
 	for _, w := range d.workerList {
 		if !w.Ready {
 			continue
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -153,12 +153,12 @@
 	if slices.ContainsFunc(logs, isWide) || slices.ContainsFunc(d.overrunFactor, isBelowOne) {
 		return false
 	}
-	return d.spread > 0 && d.spread <= maxFeature && d.muShort > 0 && d.meanCost >= 0 &&
+	return d.spread > 0 && d.spread <= maxLogFeature && d.muShort > 0 && d.meanCost >= 0 &&
 		d.meanLateStart > 0 && d.minStartDelay > 0 && d.minCheckDelay > 0
 }
 
-// onModelUpdate takes over a model, whole or not at all.
-func (d *Dispatcher) onModelUpdate(update ModelUpdate) {
+// handleModelUpdate takes over a model, whole or not at all.
+func (d *Dispatcher) handleModelUpdate(update ModelUpdate) {
 	reader := New(d.settings, 0)
 	learnt := reader.model()
 	c := &codec{b: update.Snapshot}
@@ -193,7 +193,7 @@
 		return
 	}
 	if m.runs > 0 {
-		kept := math.Exp(-max(0, e.Age).Seconds() / speedMemory.Seconds())
+		kept := math.Exp(-max(0, e.Age).Seconds() / speedDecayTime.Seconds())
 		w.logSpeed = w.machine.logSpeed + clamp(float64(m.speedOffset)/speedSteps, maxSpeedShift)*kept
 		w.speed, w.runs, w.learnedAt = math.Exp(w.logSpeed), float64(m.runs), d.now
 	}
--- a/dispatch/picker.go
+++ b/dispatch/picker.go
@@ -95,7 +95,7 @@
 		return
 	}
 	search.lacksCapacity = false
-	if !d.canEarn(job, worker) || !d.mayAttempt(job, worker) || !d.healthAllows(job, worker) {
+	if !d.canMeetObjective(job, worker) || !d.mayAttempt(job, worker) || !d.healthAllows(job, worker) {
 		return
 	}
 	search.suitable++
--- a/dispatch/prediction.go
+++ b/dispatch/prediction.go
@@ -10,20 +10,20 @@
 // of prompts. Logs are natural.
 
 const (
-	longJobShare   = 0.3  // of jobs are long: the cut is this learnt quantile
-	cutRate        = 0.02 // of the cut, in logs a run
-	meanRate       = 0.01 // of means over a long window
-	maxSojourns    = 10   // mean sojourns that a single one counts as, at most
-	modelRate      = 0.05 // of the model's weights
-	minHintWeight  = 0.1  // a longer hint never counts as shorter
-	maxFeature     = 4.0  // log, about a factor of fifty
-	sizeRate       = 0.03 // sizes follow many workers, so that no slow one bends them
-	maxSizeStep    = 2.0  // log, before the rate
-	minWork        = 1e-4 // seconds
-	overrunSpreads = 2.5  // a run is too long by this many mean log distances of runs from the expected
-	reachSpreads   = 2.0  // and an objective out of reach that a run shorter by this many would not meet
-	speedRate      = 0.2  // a worker's speed follows its last five or so jobs
-	maxKindStep    = 1.0  // log, of a kind's speed at one job, before its rate
+	longRunShare          = 0.3  // of jobs are long: the cut is this learnt quantile
+	longThresholdStep     = 0.02 // of the cut, in logs a run
+	slowMeanGain          = 0.01 // of means over a long window
+	maxSojournMultiple    = 10   // mean sojourns that a single one counts as, at most
+	logisticLearningRate  = 0.05 // of the model's weights
+	minHintWeight         = 0.1  // a longer hint never counts as shorter
+	maxLogFeature         = 4.0  // log, about a factor of fifty
+	sizeCorrectionGain    = 0.03 // sizes follow many workers, so that no slow one bends them
+	maxLogSizeError       = 2.0  // log, before the rate
+	minWorkSeconds        = 1e-4 // seconds
+	overrunDeviations     = 2.5  // a run is too long by this many mean log distances of runs from the expected
+	unreachableDeviations = 2.0  // and an objective out of reach that a run shorter by this many would not meet
+	minSpeedGain          = 0.2  // a worker's speed follows its last five or so jobs
+	maxLogKindSpeedError  = 1.0  // log, of a kind's speed at one job, before its rate
 )
 
 // longScore is the paper's score of a job: its chance of running long.
@@ -36,7 +36,7 @@
 // features are those of the logistic model: how far a job's work lies beyond the cut, and its slots, both
 // in logs.
 func (d *Dispatcher) features(j *jobInfo) (hint, slots float64) {
-	return clamp(math.Log(j.work)-d.longCut, maxFeature), clamp(math.Log2(j.Slots), maxFeature)
+	return clamp(math.Log(j.work)-d.longCut, maxLogFeature), clamp(math.Log2(j.Slots), maxLogFeature)
 }
 
 func slotBucket(j *jobInfo) int { return min(slotBuckets-1, int(math.Log2(j.Slots))) }
@@ -50,7 +50,7 @@
 	if j.Hint > 0 {
 		guess = j.Hint
 	}
-	work := max(guess.Seconds(), minWork) * math.Exp(d.sizeCorrection[j.Class][slotBucket(j)])
+	work := max(guess.Seconds(), minWorkSeconds) * math.Exp(d.sizeCorrection[j.Class][slotBucket(j)])
 	if past := d.keyWork[j.Key]; past > 0 {
 		work = math.Sqrt(work * past) // the key's past is a second estimate of equal weight
 	}
@@ -69,5 +69,5 @@
 
 // maxPlausibleRun is the longest run that the noise of hints and runs explains.
 func (d *Dispatcher) maxPlausibleRun(a *attemptInfo) time.Duration {
-	return seconds(a.expectedRun.Seconds() * math.Exp(overrunSpreads*d.spread))
+	return seconds(a.expectedRun.Seconds() * math.Exp(overrunDeviations*d.spread))
 }
--- a/dispatch/predictor_test.go
+++ b/dispatch/predictor_test.go
@@ -71,7 +71,7 @@
 				t.Fatalf("%+v: a run is expected to take %.2f times its time", c, math.Exp(deviation))
 			}
 		}
-		if c.length > 8*time.Second && math.Abs(mean) > maxMeanSpeed+0.1 {
+		if c.length > 8*time.Second && math.Abs(mean) > maxMeanLogSpeed+0.1 {
 			t.Errorf("%+v: the mean speed is %.2f", c, math.Exp(mean))
 		}
 	}
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -6,22 +6,22 @@
 import "cmp"
 
 const (
-	tauFactor   = 3.0 // tau is so many mean sojourns of short jobs, as in the paper
-	maxDeferred = 12  // jobs that fit nowhere and are set aside in one pass
+	tauFactor          = 3.0 // tau is so many mean sojourns of short jobs, as in the paper
+	maxSkippedPerCycle = 12  // jobs that fit nowhere and are set aside in one pass
 )
 
 // leavesBefore is the order of queued jobs: first those that can earn in full, by their chance to run long.
 func leavesBefore(a, b *jobInfo) bool {
-	if a.deferrals == b.deferrals && a.demoted() != b.demoted() {
-		return b.demoted()
+	if a.skipCount == b.skipCount && a.isDeprioritized() != b.isDeprioritized() {
+		return b.isDeprioritized()
 	}
-	return cmp.Or(cmp.Compare(a.deferrals, b.deferrals), cmp.Compare(a.longChance, b.longChance),
+	return cmp.Or(cmp.Compare(a.skipCount, b.skipCount), cmp.Compare(a.longChance, b.longChance),
 		cmp.Compare(a.arrivedAt, b.arrivedAt)) < 0
 }
 
 // promotedBefore is the order of jobs queued for longer than tau.
 func promotedBefore(a, b *jobInfo) bool {
-	return cmp.Or(cmp.Compare(a.deferrals, b.deferrals), cmp.Compare(a.promoteAt, b.promoteAt)) < 0
+	return cmp.Or(cmp.Compare(a.skipCount, b.skipCount), cmp.Compare(a.promoteAt, b.promoteAt)) < 0
 }
 
 func (d *Dispatcher) enqueue(job *jobInfo) {
@@ -29,7 +29,7 @@
 		return
 	}
 	isRestricted := len(job.attempts) > 0 || job.withoutLease
-	job.shape = shapeOf(d.placementGroups[job.Class], slotBucket(job), isRestricted)
+	job.demandClass = demandClassOf(d.placementGroups[job.Class], slotBucket(job), isRestricted)
 	d.queue.push(job)
 	defer d.requestFirstLease(job) // once it is known when the job is promoted
 	if job.inPromotions {          // its entry has stayed
@@ -44,28 +44,28 @@
 // dispatchQueued sends queued jobs, in order, while some worker can start them now.
 func (d *Dispatcher) dispatchQueued() {
 	d.prepareDispatch()
-	for len(d.deferred) < maxDeferred && !d.isBackedUp() {
+	for len(d.skipped) < maxSkippedPerCycle && !d.isBackedUp() {
 		j := d.nextJob()
 		if j == nil {
 			break
 		}
-		d.place(j)
+		d.dispatchJob(j)
 	}
-	for i, j := range d.deferred {
-		if len(d.deferred) == maxDeferred { // the next pass tries other jobs first: they may fit
-			j.deferrals++
+	for i, j := range d.skipped {
+		if len(d.skipped) == maxSkippedPerCycle { // the next pass tries other jobs first: they may fit
+			j.skipCount++
 		}
 		d.enqueue(j)
-		d.deferred[i] = nil
+		d.skipped[i] = nil
 	}
-	d.deferred = d.deferred[:0]
+	d.skipped = d.skipped[:0]
 }
 
 // nextJob is the job to leave next: the oldest over tau, else the first by score. Blocked shapes wait.
 func (d *Dispatcher) nextJob() *jobInfo {
 	var first, oldest *jobInfo
-	for i := range d.queue.shapes {
-		s := &d.queue.shapes[i]
+	for i := range d.queue.demandClasses {
+		s := &d.queue.demandClasses[i]
 		if s.blocked || s.byScore.empty() {
 			continue
 		}
@@ -76,24 +76,24 @@
 			oldest = j
 		}
 	}
-	if oldest != nil && d.now > oldest.promoteAt && !d.queue.shapes[oldest.shape].blocked {
+	if oldest != nil && d.now > oldest.promoteAt && !d.queue.demandClasses[oldest.demandClass].blocked {
 		return oldest
 	}
 	return first
 }
 
 // losesPromotion tells whether a job's place by promotion is void: it has left, or cannot earn in full.
-func (j *jobInfo) losesPromotion() bool { return j.heapIndex < 0 || j.demoted() }
+func (j *jobInfo) losesPromotion() bool { return j.heapIndex < 0 || j.isDeprioritized() }
 
-// place sends a job to the worker chosen for it. One that fits nowhere is deferred; where only capacity is
+// dispatchJob sends a job to the worker chosen for it. One that fits nowhere is deferred; where only capacity is
 // missing, no other job of its shape is tried in this pass.
-func (d *Dispatcher) place(job *jobInfo) {
+func (d *Dispatcher) dispatchJob(job *jobInfo) {
 	if d.lateCount > 0 && d.isSharded() && !d.isShort(job) { // our few workers have little capacity
-		d.deferJob(job)
+		d.skipJob(job)
 		return
 	}
 	if job.awaitsLease() {
-		d.setAside(job)
+		d.skipAwaitingLease(job)
 		return
 	}
 	worker, lacksCapacity := d.chooseWorker(job)
@@ -106,19 +106,19 @@
 		d.takeSlots(d.send(job, worker))
 		d.reindex(worker)
 	case lacksCapacity:
-		d.queue.shapes[job.shape].blocked = true
+		d.queue.demandClasses[job.demandClass].blocked = true
 	default:
-		d.deferJob(job)
+		d.skipJob(job)
 	}
 }
 
-// setAside passes over a job that awaits a lease, and the jobs of its shape, which do so too. Among jobs
+// skipAwaitingLease passes over a job that awaits a lease, and the jobs of its shape, which do so too. Among jobs
 // that were sent before there are also such as leave without one.
-func (d *Dispatcher) setAside(job *jobInfo) {
-	if isRestrictedShape(job.shape) {
-		d.deferJob(job)
+func (d *Dispatcher) skipAwaitingLease(job *jobInfo) {
+	if isRestrictedDemandClass(job.demandClass) {
+		d.skipJob(job)
 	} else {
-		d.queue.shapes[job.shape].blocked = true
+		d.queue.demandClasses[job.demandClass].blocked = true
 	}
 }
 
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -82,7 +82,7 @@
 		s.wait(ms)
 	}
 	n := 0
-	for _, sh := range s.d.queue.shapes {
+	for _, sh := range s.d.queue.demandClasses {
 		n += len(sh.byPromotion.items)
 	}
 	if n > 10 {
@@ -166,7 +166,7 @@
 	// It takes short idempotent jobs, as a trial.
 	ejected.ejectionTime, ejected.ejectedUntil, ejected.broken, ejected.aliveAt = time.Second, s.now, true, s.now-time.Minute
 	s.d.markDirty(ejected)
-	for id := uint64(10); id < 10+2*maxDeferred; id++ {
+	for id := uint64(10); id < 10+2*maxSkippedPerCycle; id++ {
 		s.step(s.job(id, 1, 10*ms))
 	}
 	s.step(s.job(50, 0, 40*ms))
--- a/dispatch/quota.go
+++ b/dispatch/quota.go
@@ -6,8 +6,8 @@
 // after the others.
 
 const (
-	quotaBurst     = 8.0 // jobs of a tenant at once, however small our share of its quota
-	quotaBurstSpan = 2   // seconds of a tenant's quota, at once
+	minQuotaBurst     = 8.0 // jobs of a tenant at once, however small our share of its quota
+	quotaBurstSeconds = 2   // seconds of a tenant's quota, at once
 )
 
 // chargeQuota demotes a job whose tenant is beyond this dispatcher's share of its quota.
@@ -17,12 +17,12 @@
 		return
 	}
 	rate := d.settings.TenantQuota[job.Tenant] * d.quotaShare()
-	burst := max(quotaBurstSpan*rate, quotaBurst)
+	burst := max(quotaBurstSeconds*rate, minQuotaBurst)
 	refill := rate * (d.now - d.quotaRefilledAt[job.Tenant]).Seconds()
 	tokens := min(d.quotaTokens[job.Tenant]+refill, burst)
 	d.quotaRefilledAt[job.Tenant] = d.now
 	if tokens < 1 {
-		job.standing = overQuota
+		job.priority = levelOverQuota
 	} else {
 		tokens--
 	}
--- a/dispatch/reservation.go
+++ b/dispatch/reservation.go
@@ -28,7 +28,7 @@
 	if !isUsable || !job.class.allows(worker.Kind, worker.Zone) || !d.mayAttempt(job, worker) {
 		return false
 	}
-	return job.demoted() || d.now+d.expectedRun(job, worker) <= job.objectiveAt
+	return job.isDeprioritized() || d.now+d.expectedRun(job, worker) <= job.objectiveAt
 }
 
 // remainingLoad is what a worker has to finish of ours, in slots at speed 1.
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -8,9 +8,9 @@
 // Retries: when a worker may be sent a job, for the first time or again, and what follows from the end of
 // an attempt. The design is silent on them; they follow from the idempotency of a job's class.
 
-// dedupMarginDivisor is the part of a deduplication window that is left for delays, or repeatMargin if that
+// deduplicationMarginDivisor is the part of a deduplication window that is left for delays, or repeatMargin if that
 // is more.
-const dedupMarginDivisor = 20
+const deduplicationMarginDivisor = 20
 
 // repeatMargin is what may pass between the choice of a worker and the last byte there, besides connecting:
 // the process may be held up for 150 ms, a request goes in parts for 50 ms at most, and the rest is for the
@@ -44,7 +44,7 @@
 	if scope == ScopeZone && a.zone != w.Zone || scope == ScopeCell && a.cell != w.Cell {
 		return false
 	}
-	margin := max(class.DeduplicationWindow/dedupMarginDivisor, d.settings.ConnectTimeout+repeatMargin)
+	margin := max(class.DeduplicationWindow/deduplicationMarginDivisor, d.settings.ConnectTimeout+repeatMargin)
 	return d.now-a.sentAt < class.DeduplicationWindow-margin
 }
 
@@ -59,8 +59,8 @@
 	return len(j.attempts) >= max(1, d.settings.AttemptLimit)
 }
 
-// onOutcome takes in the end of an attempt: its job ends, or is queued for another one.
-func (d *Dispatcher) onOutcome(outcome Outcome) {
+// handleOutcome takes in the end of an attempt: its job ends, or is queued for another one.
+func (d *Dispatcher) handleOutcome(outcome Outcome) {
 	attempt := d.findInFlight(outcome.Job, outcome.Attempt, outcome.Worker)
 	if attempt == nil {
 		return
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -196,20 +196,20 @@
 
 // queue walks the queued jobs. Heaps are held as they lie: jobs of equal rank leave by their place.
 func (c *codec) queue(dispatcher *Dispatcher) {
-	fixedList(c, dispatcher.queue.shapes, func(s *shape) {
+	fixedList(c, dispatcher.queue.demandClasses, func(s *demandClass) {
 		list(c, &s.byScore.items, func(j **jobInfo) { c.job(j) })
 		list(c, &s.byPromotion.items, func(j **jobInfo) {
 			c.job(j)
 			c.instant(&(*j).promoteAt)
-			c.int(&(*j).deferrals)
+			c.int(&(*j).skipCount)
 		})
 	})
 	if c.writing {
 		return
 	}
-	for k := range dispatcher.queue.shapes {
-		for i, j := range dispatcher.queue.shapes[k].byScore.items {
-			j.heapIndex, j.shape = i, k
+	for k := range dispatcher.queue.demandClasses {
+		for i, j := range dispatcher.queue.demandClasses[k].byScore.items {
+			j.heapIndex, j.demandClass = i, k
 			dispatcher.queue.length++
 		}
 	}
@@ -420,26 +420,26 @@
 	c.duration(&job.Remaining, &job.Hint)
 	c.float(&job.Slots, &job.Memory, &job.demand, &job.longChance, &job.work, &job.warmUpDraw)
 	c.instant(&job.arrivedAt, &job.deadline, &job.objectiveAt, &job.promoteAt, &job.checksUntil)
-	demoted, missed := job.demoted(), job.standing == outOfReach
+	demoted, missed := job.isDeprioritized(), job.priority == levelUnreachable
 	c.flags(&job.Retry, &demoted, &missed, &job.closed, &job.streaming, &job.inPromotions, &job.recheckOnEnd)
-	job.standing = standingOf(demoted, missed)
+	job.priority = priorityLevelOf(demoted, missed)
 	c.int(&job.inFlight)
-	c.int(&job.deferrals)
+	c.int(&job.skipCount)
 	if job.Class < 0 || job.Class >= len(dispatcher.settings.Classes) {
 		c.invalid, job.Class = true, 0
 	}
 	job.class = &dispatcher.settings.Classes[job.Class]
 }
 
-// standingOf is a standing by the two flags that hold it.
-func standingOf(demoted, missed bool) standing {
+// priorityLevelOf is a standing by the two flags that hold it.
+func priorityLevelOf(demoted, missed bool) priorityLevel {
 	switch {
 	case missed:
-		return outOfReach
+		return levelUnreachable
 	case demoted:
-		return overQuota
+		return levelOverQuota
 	default:
-		return onTime
+		return levelFull
 	}
 }
 
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -123,7 +123,7 @@
 func TestSnapshotKeys(t *testing.T) {
 	set := testSettings()
 	d := New(set, 1)
-	for key := range uint64(maxKeys) {
+	for key := range uint64(maxKnownKeys) {
 		d.keyWork[key+1] = 1
 	}
 	state := d.Snapshot(nil)
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -24,7 +24,7 @@
 	jobs            map[uint64]*jobInfo
 	queue           jobQueue
 	placementGroups []int      // by class: the first that may go to the same workers
-	deferred        []*jobInfo // of this pass: they fit nowhere
+	skipped         []*jobInfo // of this pass: they fit nowhere
 	quotaTokens     []float64  // by tenant
 	quotaRefilledAt []time.Duration
 	trialTokens     float64 // jobs that may go though thought out of reach
@@ -91,13 +91,13 @@
 	subscribed
 )
 
-// standing is what a job can still earn. Later ones are worth less.
-type standing int
+// priorityLevel is what a job can still earn. Later ones are worth less.
+type priorityLevel int
 
 const (
-	onTime     standing = iota
-	overQuota           // its tenant is over quota
-	outOfReach          // no worker could meet its objective any more
+	levelFull        priorityLevel = iota
+	levelOverQuota                 // its tenant is over quota
+	levelUnreachable               // no worker could meet its objective any more
 )
 
 // jobInfo is a job that is owed a final answer, or whose attempts are still in flight.
@@ -111,17 +111,17 @@
 	deadline       time.Duration
 	objectiveAt    time.Duration // an answer until then earns in full
 	promoteAt      time.Duration // when it is queued for longer than tau
-	standing       standing
+	priority       priorityLevel
 	recheckOnEnd   bool // it was in flight at its objective, and is looked at again when an attempt ends
 	closed         bool // it has had its final answer
 	streaming      bool // its response has begun
 	inPromotions   bool // it has an entry in a shape's byPromotion
 	heapIndex      int  // in byScore of its shape; -1: it is not queued
-	shape          int
+	demandClass    int
 	leases         []*leaseInfo // that it waits for
 	refused        []uint64     // workers whose slots were granted and can't be used
 	withoutLease   bool         // it leaves without one
-	deferrals      int          // passes over the queue that it was set back by
+	skipCount      int          // passes over the queue that it was set back by
 	attempts       []*attemptInfo
 	inFlight       int           // attempts
 	warmUpDraw     float64       // above 0 and up to 1, for the lots of warming workers; 0: not drawn yet
@@ -131,8 +131,8 @@
 	checksTimer    timer
 }
 
-// demoted tells whether a job cannot earn in full any more: it leaves after those that can.
-func (j *jobInfo) demoted() bool { return j.standing != onTime }
+// isDeprioritized tells whether a job cannot earn in full any more: it leaves after those that can.
+func (j *jobInfo) isDeprioritized() bool { return j.priority != levelFull }
 
 // attemptInfo is one attempt of a job.
 type attemptInfo struct {
--- a/dispatch/subscription.go
+++ b/dispatch/subscription.go
@@ -11,7 +11,7 @@
 	replicasPerBackoff = 4  // so many together wait one least backoff more
 )
 
-func (d *Dispatcher) onWorkerList(list WorkerList) {
+func (d *Dispatcher) handleWorkerList(list WorkerList) {
 	switch {
 	case list.Kind == ListUnavailable:
 		least := d.minSubscribeBackoff()
