--- a/cmd/valvecove/preview.go
+++ b/cmd/valvecove/preview.go
@@ -12,7 +12,7 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/internal/link"
+	"valvecove/internal/limits"
 	"valvecove/internal/server"
 )
 
@@ -71,13 +71,13 @@
 // limits says how the scheduler divides its descriptors and memory.
 func (p *preview) limits() {
 	const bytesPerMBShift = 20
-	limits := p.conf.Limits
-	shares := link.SharesOf(p.conf, p.ops)
-	p.line("limits", fmt.Sprintf("%v cores, %d MB, %d descriptors", limits.Cores, limits.MemoryMB, limits.Sockets))
+	configured := p.conf.Limits
+	shares := limits.SharesOf(p.conf, p.ops)
+	p.line("limits", fmt.Sprintf("%v cores, %d MB, %d descriptors", configured.Cores, configured.MemoryMB, configured.Sockets))
 	p.line("descriptors", fmt.Sprintf("%d its own, %d for features, %d worker connections, %d client connections (%d requests at once)",
-		shares.Own, shares.Features, shares.Workers, shares.Clients, shares.Requests))
+		shares.OwnDescriptors, shares.FeatureDescriptors, shares.WorkerConnections, shares.ClientConnections, shares.OpenRequests))
 	p.line("memory", fmt.Sprintf("heap held to %d MB; buffers of client connections %d MB, bodies of requests %d MB",
-		server.HeapLimit(limits)>>bytesPerMBShift, shares.Buffers>>bytesPerMBShift, shares.Buffers>>bytesPerMBShift))
+		server.HeapLimit(configured)>>bytesPerMBShift, shares.BufferBytes>>bytesPerMBShift, shares.BufferBytes>>bytesPerMBShift))
 }
 
 // dispatching says what bounds attempts, the scheduler's place among its replicas, how it stops, and how it logs.
--- /dev/null
+++ b/internal/limits/limits_test.go
@@ -0,0 +1,74 @@
+package limits
+
+import (
+	"net/netip"
+	"testing"
+
+	"valvecove/internal/config"
+)
+
+// A process has all of its limits, or half of them, each process with descriptors of its own and of its features. However low
+// the limits are, workers and clients can connect.
+func TestShares(t *testing.T) {
+	tests := map[string]struct {
+		limits   config.Limits
+		features int
+		halved   bool
+		want     Shares
+	}{
+		"whole": {config.Limits{Sockets: 1024, MemoryMB: 64}, 0, false, Shares{24, 0, 166, 834, 751, 11184810}},
+		"half":  {config.Limits{Sockets: 1024, MemoryMB: 64}, 0, true, Shares{24, 0, 81, 407, 367, 5592405}},
+		"low":   {config.Limits{Sockets: 64, MemoryMB: 16}, 30, false, Shares{24, 30, 8, 2, -6, 2796202}},
+		"half of low limits": {
+			config.Limits{Sockets: 64, MemoryMB: 16},
+			30, true,
+			Shares{24, 30, 8, 8, 0, 1398101},
+		},
+	}
+	for name, test := range tests {
+		t.Run(name, func(t *testing.T) {
+			budget := NewBudget(test.limits, test.features)
+			budget.SetHalved(test.halved)
+			if got := budget.Shares(); got != test.want || budget.IsHalved() != test.halved {
+				t.Errorf("%+v, expected %+v", got, test.want)
+			}
+		})
+	}
+}
+
+// Every change of the limits is reported, also one that leaves the shares as they were; a process that has half of its limits
+// keeps to half of the new ones.
+func TestChangesAreReported(t *testing.T) {
+	budget := NewBudget(config.Limits{Sockets: 1024, MemoryMB: 64}, 0)
+	var reported []int
+	budget.OnChange(func(shares Shares) { reported = append(reported, shares.ClientConnections) })
+	budget.SetHalved(true)
+	budget.SetLimits(config.Limits{Sockets: 512, MemoryMB: 64})
+	budget.SetHalved(false)
+	budget.SetHalved(false)
+	want := []int{407, 194, 407, 407}
+	if len(reported) != len(want) {
+		t.Fatalf("reported %v", reported)
+	}
+	for i := range want {
+		if reported[i] != want[i] {
+			t.Errorf("reported %v, expected %v", reported, want)
+		}
+	}
+}
+
+// Each feature that is on has its descriptors.
+func TestFeatureDescriptors(t *testing.T) {
+	conf := config.Config{}
+	if count := FeatureDescriptors(conf, config.Ops{}); count != 0 {
+		t.Errorf("%d without a feature", count)
+	}
+	conf.Management = netip.MustParseAddrPort("127.0.0.1:1")
+	ops := config.Ops{Status: &config.Status{}, Metrics: &config.Metrics{}}
+	if count := FeatureDescriptors(conf, ops); count != 16+2+8+2+2 {
+		t.Errorf("%d with operators' calls, the status call and metrics", count)
+	}
+	if shares := SharesOf(conf, ops); shares.FeatureDescriptors != 30 {
+		t.Errorf("%+v", shares)
+	}
+}
--- a/internal/link/client_listener.go
+++ b/internal/link/client_listener.go
@@ -7,6 +7,7 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/eventloop"
+	"valvecove/internal/limits"
 	"valvecove/internal/requests"
 )
 
@@ -14,9 +15,7 @@
 	acceptRetryDelay   = 50 * time.Millisecond // while no connection can be evicted
 	maxAcceptsPerEvent = 128                   // in a flood of new connections, the present ones are served too
 
-	evictedFraction            = 32 // one of so many descriptors is for connections that are evicted and not closed yet
-	callbackConnectionFraction = 10 // one of so many is kept free of requests, for the callbacks that end them
-	minCallbackConnections     = 8
+	evictedFraction = 32 // one of so many descriptors is for connections that are evicted and not closed yet
 )
 
 // clientListener accepts the connections of clients, and of workers that send callbacks, and keeps account of them.
@@ -47,8 +46,8 @@
 	tenants  map[string]int
 }
 
-// openClientListener makes the listener, which has no socket yet, with limits on descriptors and on bytes of buffers.
-func (l *Loop) openClientListener(connections, bufferBytes int, settings *dispatch.Settings, names requests.NameTable) {
+// openClientListener makes the listener, which has no socket yet, with its shares of the process's limits.
+func (l *Loop) openClientListener(shares limits.Shares, settings *dispatch.Settings, names requests.NameTable) {
 	l.clients = &clientListener{
 		loop:        l,
 		acceptor:    eventloop.NewAcceptor(l.Loop, l.log),
@@ -57,7 +56,7 @@
 		classes:     indexByName(names.Classes),
 		tenants:     indexByName(names.Tenants),
 	}
-	l.clients.setLimits(connections, bufferBytes)
+	l.clients.setLimits(shares.ClientConnections, shares.BufferBytes)
 	l.clients.closeExpired()
 }
 
@@ -74,7 +73,7 @@
 func (l *clientListener) setLimits(connections, bufferBytes int) {
 	l.maxEvicted = connections / evictedFraction
 	l.maxConnections = connections - l.maxEvicted
-	l.maxRequests = maxRequestsFor(connections)
+	l.maxRequests = limits.MaxRequests(connections)
 	l.maxBufferedBytes = bufferBytes
 	for l.activeCount() > l.maxConnections && l.evict() {
 	}
@@ -85,11 +84,6 @@
 // activeCount counts the connections that are not evicted.
 func (l *clientListener) activeCount() int { return len(l.connections) - l.evicted.Len() }
 
-// maxRequestsFor returns how many requests may be open, given how many connections there may be.
-func maxRequestsFor(connections int) int {
-	return connections - max(minCallbackConnections, connections/callbackConnectionFraction)
-}
-
 // HandleEvents accepts connections. Where descriptors run out, the connection that has been idle longest is evicted; where
 // none is idle, new connections wait in the backlog: rejected there, their requests would be lost.
 func (l *clientListener) HandleEvents(uint32) {
--- a/internal/link/cordon.go
+++ b/internal/link/cordon.go
@@ -6,6 +6,7 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"valvecove/internal/hotrestart"
+	"valvecove/internal/limits"
 )
 
 // openCordonStore has cordoned workers kept in stateDir; without one nothing is kept.
@@ -14,7 +15,7 @@
 		l.cordonStore = hotrestart.NewCordonStore(hotrestart.CordonStoreConfig{
 			Files:        l.files,
 			StateDir:     stateDir,
-			MaxCallbacks: maxOperatorConnections,
+			MaxCallbacks: limits.MaxOperatorConnections,
 			Now:          l.Now,
 			Post:         l.Post,
 			After:        func(delay time.Duration, act func()) { l.After(delay, act) },
--- a/internal/link/generated_settings_test.go
+++ b/internal/link/generated_settings_test.go
@@ -262,16 +262,16 @@
 		*l.Syscalls() = d.faults.syscalls()
 	}
 	c := d.conf
-	servers, clients := splitDescriptors(c.Limits.Sockets, 0)
-	l.limits, l.onWake = c.Limits, func() {}
-	l.openWorkerPool(servers, c.Settings.ConnectTimeout, c.Settings.ConnIdleTimeout)
+	l.openBudget(c.Limits, 0)
+	l.onWake = func() {}
+	l.openWorkerPool(l.budget.Shares().WorkerConnections, c.Settings.ConnectTimeout, c.Settings.ConnIdleTimeout)
 	l.watch = l.newWatchConnection(c.Discovery, discovery.Config{
 		PollInterval: c.Settings.PollInterval, Pushed: !c.Settings.MustSubscribe,
 		Schedulers: c.Settings.Replicas,
 	}, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
 	l.Requests = requests.New(c.Settings.AttemptLimit, c.Settings.Names, func() requests.Policy { return dispatch.New(c.Settings.Settings, c.Seed) },
 		c.KnownEndpoints, l.workers, log)
-	l.openClientListener(clients, bufferBudget(c.Limits), &c.Settings.Settings, c.Settings.Names)
+	l.openClientListener(l.budget.Shares(), &c.Settings.Settings, c.Settings.Names)
 	if d.faults != nil {
 		d.faults.listenForClients(l)
 	}
--- a/internal/link/harness_test.go
+++ b/internal/link/harness_test.go
@@ -12,6 +12,7 @@
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
 	"valvecove/internal/eventloop"
+	"valvecove/internal/limits"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
 )
@@ -58,9 +59,9 @@
 	l.Requests = requests.New(6, names, func() requests.Policy { return w.policy }, requests.EndpointList{Endpoints: []requests.Endpoint{
 		{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
 	}}, l.workers, silent)
-	l.openClientListener(50, 1<<20, &dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: 5 * time.Second}}}, names)
+	l.openClientListener(limits.Shares{ClientConnections: 50, BufferBytes: 1 << 20}, &dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: 5 * time.Second}}}, names)
 	l.onWake = func() {}
-	l.limits = config.Limits{Sockets: 1024, MemoryMB: 64}
+	l.openBudget(config.Limits{Sockets: 1024, MemoryMB: 64}, 0)
 	w.loop = l
 	s.T.Cleanup(l.CloseDescriptors)
 	w.runIterations()
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -132,7 +132,7 @@
 	c.role.successor = nil
 	c.role.protocol.HandleDisconnect()
 	if !c.loop.hasRelinquished() {
-		c.loop.shareLimits(false)
+		c.loop.budget.SetHalved(false)
 	}
 	c.loop.log.Info("successor gone", "cause", cause)
 	for _, call := range c.pendingCalls.TakeAll() {
@@ -187,7 +187,7 @@
 		loop.notifyCordoned()
 	}
 	loop.log.Info("successor stands by")
-	loop.shareLimits(true)
+	loop.budget.SetHalved(true)
 	if loop.onSuccessor != nil {
 		loop.onSuccessor()
 	}
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -44,7 +44,7 @@
 		return false
 	}
 	l.successorRole = role
-	l.shareLimits(true)
+	l.budget.SetHalved(true)
 	// At once: the first call of one scheduler of many may wait a while, and what it is told is needed soon.
 	l.Requests.WatchEndpoints()
 	return true
@@ -204,7 +204,7 @@
 	r.listen(loop.Now()+startTimeout, minStartBackoff)
 	loop.awaitSuccessor(hotrestart.SocketAddresses(r.stateDir, r.listenAddress))
 	loop.openPeerSocket()
-	loop.shareLimits(false)
+	loop.budget.SetHalved(false)
 	loop.ownCordonFile()
 	if loop.cordonStore != nil { // the predecessor may have held what it could not store
 		loop.cordonStore.Keep(loop.Requests.Cordoned())
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -15,6 +15,7 @@
 	"valvecove/internal/config"
 	"valvecove/internal/filesystem"
 	"valvecove/internal/hotrestart"
+	"valvecove/internal/limits"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
 )
@@ -97,7 +98,7 @@
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	client := predecessor.sendRequest(address)
 	successor := predecessor.startSuccessor(dir, address)
-	if both := predecessor.loop.clients.maxConnections + successor.loop.clients.maxConnections; both > 1024-2*ownDescriptors {
+	if both := predecessor.loop.clients.maxConnections + successor.loop.clients.maxConnections; both > 1024-2*limits.SharesOf(config.Config{}, config.Ops{}).OwnDescriptors {
 		t.Errorf("two processes hold %d client connections", both)
 	}
 	role := successor.loop.successorRole
@@ -118,7 +119,7 @@
 	if successor.loop.Requests.OpenCount() != 0 || len(successor.loop.clients.connections) != 0 || successor.loop.clients.acceptor.FD() >= 0 {
 		t.Error("the successor has something of a transfer that failed")
 	}
-	if err := predecessor.handOverTo(successor); err != nil || successor.loop.sharesLimits {
+	if err := predecessor.handOverTo(successor); err != nil || successor.loop.budget.IsHalved() {
 		t.Fatalf("the second time: %v", err)
 	}
 	successor.policy.Next = []dispatch.Action{dispatch.Reject{Job: 1}}
@@ -286,7 +287,7 @@
 	}
 	successor.runIterations()
 	predecessor.runIterations()
-	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) || predecessor.loop.sharesLimits {
+	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) || predecessor.loop.budget.IsHalved() {
 		t.Errorf("handed over to nobody: %v", err)
 	}
 }
--- a/internal/link/lifecycle.go
+++ b/internal/link/lifecycle.go
@@ -20,13 +20,19 @@
 
 // Reload goes on by another configuration: connections, requests and what the dispatcher knows stay.
 func (l *Loop) Reload(c config.Config) {
-	l.limits = c.Limits
-	l.shareLimits(l.sharesLimits)
+	l.budget.SetLimits(c.Limits)
 	if c.Discovery != l.watch.server {
 		l.watch.changeServer(c.Discovery)
 	}
 }
 
+// OnShareLimits sets what is called when the process begins or ceases to have half of its limits, as it shares its machine with
+// another process beside it. It is called at once with whether it does.
+func (l *Loop) OnShareLimits(act func(half bool)) {
+	l.onShareLimits = act
+	act(l.budget.IsHalved())
+}
+
 // Drain has the scheduler say that it is not ready. What comes is still served: clients keep the connections that they have,
 // and may have no other scheduler to go to.
 func (l *Loop) Drain() { l.clients.draining = true }
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -16,11 +16,11 @@
 	"valvecove/internal/address"
 	"valvecove/internal/capture"
 	"valvecove/internal/clock"
-	"valvecove/internal/config"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/filesystem"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/http1"
+	"valvecove/internal/limits"
 	"valvecove/internal/metrics"
 	"valvecove/internal/requests"
 )
@@ -51,10 +51,8 @@
 	addressLists *address.AccessLists // nil: off
 	dispatcher   *dispatch.Dispatcher // that decides, in whatever wraps it
 
-	startup            startup
-	limits             config.Limits
-	featureDescriptors int  // of the limit on descriptors, what features take up
-	sharesLimits       bool // another process runs beside this one, and has half of the limits
+	startup startup
+	budget  *limits.Budget
 
 	predecessorRole *predecessorRole                           // nil: no successor can come
 	successorRole   *successorRole                             // nil: there is nothing to be taken over
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -17,6 +17,7 @@
 	"valvecove/internal/discovery"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
+	"valvecove/internal/limits"
 	"valvecove/internal/logging"
 	"valvecove/internal/metrics"
 	"valvecove/internal/requests"
@@ -59,16 +60,14 @@
 	if ops.Addresses != nil {
 		l.addressLists = address.New(*ops.Addresses)
 	}
-	l.limits = conf.Limits
-	l.featureDescriptors = countFeatureDescriptors(conf, ops)
-	workers, clients := splitDescriptors(conf.Limits.Sockets, l.featureDescriptors)
-	l.openWorkerPool(workers, conf.Settings.ConnectTimeout, conf.Settings.ConnIdleTimeout)
+	l.openBudget(conf.Limits, limits.FeatureDescriptors(conf, ops))
+	l.openWorkerPool(l.budget.Shares().WorkerConnections, conf.Settings.ConnectTimeout, conf.Settings.ConnIdleTimeout)
 	l.openWatch(conf)
 	if err := l.openRequestTable(conf, ops, log); err != nil {
 		return err
 	}
 	l.preparePeerSocket(conf)
-	l.openClientListener(clients, bufferBudget(conf.Limits), &conf.Settings.Settings, conf.Settings.Names)
+	l.openClientListener(l.budget.Shares(), &conf.Settings.Settings, conf.Settings.Names)
 	if err := l.listenOrJoin(conf); err != nil {
 		return err
 	}
@@ -84,6 +83,18 @@
 	return nil
 }
 
+// openBudget makes the budget of descriptors and memory, which the worker pool and the client listener follow from here on.
+func (l *Loop) openBudget(processLimits config.Limits, featureDescriptors int) {
+	l.budget = limits.NewBudget(processLimits, featureDescriptors)
+	l.budget.OnChange(func(shares limits.Shares) {
+		l.workers.SetMaxConnections(shares.WorkerConnections)
+		l.clients.setLimits(shares.ClientConnections, shares.BufferBytes)
+		if l.onShareLimits != nil {
+			l.onShareLimits(l.budget.IsHalved())
+		}
+	})
+}
+
 func (l *Loop) openWatch(conf config.Config) {
 	watch := discovery.Config{
 		PollInterval: conf.Settings.PollInterval,
--- a/internal/link/operator_connection.go
+++ b/internal/link/operator_connection.go
@@ -10,11 +10,11 @@
 
 	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
+	"valvecove/internal/limits"
 	"valvecove/internal/metrics"
 )
 
 const (
-	maxOperatorConnections    = 16
 	operatorCallTimeout       = 2 * time.Second        // for a call to come: a caller waits 1 s, and sends nothing after that
 	operatorResultTimeout     = 600 * time.Millisecond // for what it asks for to be done: later, it is told that it was not
 	operatorConnectionTimeout = 3 * time.Second        // for the response to be taken
@@ -76,12 +76,12 @@
 
 // HandleEvents accepts whoever connects: the address is the operators' alone.
 func (l *operatorListener) HandleEvents(uint32) {
-	l.acceptAll(maxOperatorConnections, func(int, netip.AddrPort) bool { return true }, l.addConnection)
+	l.acceptAll(limits.MaxOperatorConnections, func(int, netip.AddrPort) bool { return true }, l.addConnection)
 }
 
 // addConnection serves a socket, which it owns.
 func (l *operatorListener) addConnection(socket int) {
-	if l.connections.Len() >= maxOperatorConnections {
+	if l.connections.Len() >= limits.MaxOperatorConnections {
 		l.evict()
 	}
 	c := &operatorConnection{listener: l}
--- a/internal/link/operator_connection_test.go
+++ b/internal/link/operator_connection_test.go
@@ -16,6 +16,7 @@
 	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/http1"
+	"valvecove/internal/limits"
 	"valvecove/internal/metrics"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
@@ -90,7 +91,7 @@
 			case what < 2:
 				next := calls[s.Pick(len(calls))]
 				open = append(open, &caller{peer: w.connectOperator(), text: next.text, unsent: next.text, want: next.want, began: w.now})
-				if len(open) > maxOperatorConnections { // the oldest has made room
+				if len(open) > limits.MaxOperatorConnections { // the oldest has made room
 					w.runIterations()
 					open[0].read(1 << 16)
 					s.Check(open[0].ended, "the oldest of too many is held")
--- a/internal/link/peer_socket_test.go
+++ b/internal/link/peer_socket_test.go
@@ -13,6 +13,7 @@
 	"valvecove/internal/config"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/gossip"
+	"valvecove/internal/limits"
 	"valvecove/internal/logging"
 	"valvecove/internal/modeltest"
 )
@@ -381,7 +382,7 @@
 		if isOpen != test.want || (loop.Requests.TellPeer != nil) != test.want {
 			t.Errorf("section %v: open %v", test.ops.Gossip, isOpen)
 		}
-		if features := SharesOf(conf, test.ops).Features; (features == gossipDescriptors) != test.want {
+		if features := limits.SharesOf(conf, test.ops).FeatureDescriptors; (features == 1) != test.want {
 			t.Errorf("section %v: %d descriptors", test.ops.Gossip, features)
 		}
 		loop.CloseDescriptors()
--- a/internal/link/status_connection.go
+++ b/internal/link/status_connection.go
@@ -9,13 +9,11 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/internal/http1"
+	"valvecove/internal/limits"
 	"valvecove/internal/status"
 )
 
-const (
-	maxStatusConnections = 8
-	statusIdleTimeout    = 10 * time.Second
-)
+const statusIdleTimeout = 10 * time.Second
 
 // statusListener accepts those who ask for the status of requests, at an address of their own.
 type statusListener struct {
@@ -42,12 +40,12 @@
 
 // HandleEvents accepts connections.
 func (l *statusListener) HandleEvents(uint32) {
-	l.acceptAll(maxStatusConnections, l.loop.admitAddress, l.addConnection)
+	l.acceptAll(limits.MaxStatusConnections, l.loop.admitAddress, l.addConnection)
 }
 
 // addConnection serves a socket, which it owns. Where there are too many, the one that has been quiet longest is ended.
 func (l *statusListener) addConnection(socket int) {
-	if l.connections.Len() >= maxStatusConnections {
+	if l.connections.Len() >= limits.MaxStatusConnections {
 		l.connections.Front().Value.(*statusConnection).terminate()
 	}
 	c := &statusConnection{listener: l}
--- a/internal/link/status_connection_test.go
+++ b/internal/link/status_connection_test.go
@@ -9,6 +9,7 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/config"
+	"valvecove/internal/limits"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
 	"valvecove/internal/status"
@@ -129,11 +130,11 @@
 func TestStatusConnectionsAreLimited(t *testing.T) {
 	w := newStatusHarness(&modeltest.Steps{T: t})
 	first := w.connectStatus()
-	for range 3 * maxStatusConnections {
+	for range 3 * limits.MaxStatusConnections {
 		w.connectStatus()
 		w.runIterations()
 	}
-	if first.read(1); w.loop.status.connections.Len() != maxStatusConnections || !first.ended {
+	if first.read(1); w.loop.status.connections.Len() != limits.MaxStatusConnections || !first.ended {
 		t.Errorf("%d connections, the quietest ended: %v", w.loop.status.connections.Len(), first.ended)
 	}
 	p := w.connectStatus()
--- a/internal/link/transfer_fault_test.go
+++ b/internal/link/transfer_fault_test.go
@@ -184,7 +184,7 @@
 		predecessor.failTransfers(predecessor.loop.predecessorRole.successor.FD(), errno)
 		successor.loop.successorRole.closeWithDescriptors()
 		predecessor.runIterations()
-		if predecessor.loop.Syscalls().Interceptor = nil; predecessor.loop.predecessorRole.successor != nil || predecessor.loop.sharesLimits {
+		if predecessor.loop.Syscalls().Interceptor = nil; predecessor.loop.predecessorRole.successor != nil || predecessor.loop.budget.IsHalved() {
 			t.Errorf("%v: the successor still counts as connected", errno)
 		}
 		if err := predecessor.handOverTo(predecessor.startSuccessor(dir, address)); err != nil {
--- a/internal/link/worker_pool.go
+++ b/internal/link/worker_pool.go
@@ -56,6 +56,9 @@
 	l.workers.closeExpired()
 }
 
+// SetMaxConnections sets how many connections may be open at once. Those that are open over it stay open.
+func (p *workerPool) SetMaxConnections(limit int) { p.maxConnections = limit }
+
 // HandleEvents has nothing to do: the pool has no descriptor of its own, only timers.
 func (p *workerPool) HandleEvents(uint32) {}
 
