--- a/internal/link/peer_counts.go
+++ b/internal/gossip/socket/counts.go
@@ -1,4 +1,4 @@
-package link
+package socket
 
 import (
 	"math"
@@ -6,21 +6,23 @@
 	"valvecove/internal/metrics"
 )
 
-// percent are the parts of a whole.
+// percent converts a fraction to percent.
 const percent = 100
 
-// peerCounts returns the figures of messages between schedulers. attempts were written so far.
-func (l *Loop) peerCounts(attempts uint64) metrics.PeerCounts {
-	if l.peers == nil {
-		return metrics.PeerCounts{}
-	}
-	counted := l.peers.node.Counters()
+// maxBudgetPercent bounds metrics.PeerCounts.BudgetPercent.
+const maxBudgetPercent = math.MaxInt32
+
+// Counts returns the figures of messages between schedulers since the start of the process. attemptsWritten is the number of
+// attempts that this scheduler has written to workers in that time.
+func (s *Socket) Counts(attemptsWritten uint64) metrics.PeerCounts {
+	counted := s.node.Counters()
 	counts := metrics.PeerCounts{
 		Enabled:       true,
 		Sent:          counted.Sent,
 		SentBytes:     counted.SentBytes,
 		Received:      counted.Received,
 		ReceivedBytes: counted.ReceivedBytes,
+		Leases:        s.config.LeaseCounts(),
 	}
 	counts.Dropped[metrics.DropMalformed] = counted.Malformed
 	counts.Dropped[metrics.DropTooLong] = counted.TooLong
@@ -29,12 +31,9 @@
 	counts.Dropped[metrics.DropDuplicate] = counted.Duplicates
 	counts.Dropped[metrics.DropOutdated] = counted.Outdated
 	counts.Dropped[metrics.DropOverflow] = counted.Overflowed
-	if l.dispatcher != nil {
-		counts.Leases = l.dispatcher.LeaseCounts()
-	}
-	if attempts > 0 {
-		spent := l.clients.settings.BudgetSpent(float64(counted.SentBytes) / float64(attempts))
-		counts.BudgetPercent = int(math.Round(min(spent, math.MaxInt32/percent) * percent))
+	if attemptsWritten > 0 {
+		spent := s.config.BudgetSpent(float64(counted.SentBytes) / float64(attemptsWritten))
+		counts.BudgetPercent = int(math.Round(min(spent, maxBudgetPercent/percent) * percent))
 	}
 	return counts
 }
--- a/internal/link/peer_counts_test.go
+++ b/internal/gossip/socket/counts_test.go
@@ -1,4 +1,4 @@
-package link
+package socket
 
 import (
 	"testing"
@@ -9,17 +9,12 @@
 	"valvecove/internal/metrics"
 )
 
-// Each count of the node has its place among the figures, and bytes are compared with the budget. Without a socket there are
-// no figures.
+// Each counter of the node has its field among the figures, and the bytes are compared with the budget.
 func TestPeerCounts(t *testing.T) {
-	settings := dispatch.Settings{PeerCost: 0.01, PeerBudget: 0.02, Replicas: 3}
-	loop := &Loop{clients: &clientListener{settings: &settings}}
-	if counts := loop.peerCounts(1); counts != (metrics.PeerCounts{}) {
-		t.Errorf("%+v without a socket", counts)
-	}
-	node := gossip.New(gossip.Config{Self: 0, Peers: 3, Incarnation: 1})
-	other := gossip.New(gossip.Config{Self: 1, Peers: 3, Incarnation: 1})
-	loop.peers = &peerSocket{node: node}
+	f, _ := newFixtureWithPeer(t)
+	f.settings = dispatch.Settings{PeerCost: 0.01, PeerBudget: 0.02, Replicas: 2}
+	node := f.socket.node
+	other := gossip.New(gossip.Config{Self: 1, Peers: 2, Incarnation: 1})
 	node.Queue(1, dispatch.LeaseQueued{ID: 1})
 	sent := node.Flush()
 	node.CountUnsent()
@@ -34,12 +29,13 @@
 	}
 	want.Dropped[metrics.DropUnsent], want.Dropped[metrics.DropDuplicate], want.Dropped[metrics.DropMalformed] = 1, 1, 1
 	want.Dropped[metrics.DropTooLong], want.Dropped[metrics.DropUnknownSender] = 1, 1
-	if counts := loop.peerCounts(0); counts != want {
+	if counts := f.socket.Counts(0); counts != want {
 		t.Errorf("%+v, expected %+v", counts, want)
 	}
-	loop.dispatcher = dispatch.New(settings, 1)
+	f.leases = dispatch.LeaseCounts{Held: 1, Granted: 2, Waiting: 3}
+	want.Leases = f.leases
 	want.BudgetPercent = 3 // of 256 bytes a job, which cost half of the budget, 14 are 3%
-	if counts := loop.peerCounts(1); counts.BudgetPercent != want.BudgetPercent {
-		t.Errorf("%d bytes: %d%%, expected %d%%", want.SentBytes, counts.BudgetPercent, want.BudgetPercent)
+	if counts := f.socket.Counts(1); counts != want {
+		t.Errorf("%+v, expected %+v", counts, want)
 	}
 }
--- /dev/null
+++ b/internal/gossip/socket/doc.go
@@ -0,0 +1,8 @@
+// Package socket sends and receives the datagrams of package gossip over UDP, on an event loop.
+//
+// A Socket owns its file descriptor and a gossip.Node. Received messages are passed to the request table; queued messages are
+// sent when Flush is called. Datagrams may be lost: an error of the network or of the machine is never returned to the caller,
+// and a socket that can no longer be used is reopened after a backoff.
+//
+// A Socket is used on the goroutine of its event loop only.
+package socket
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -298,6 +298,6 @@
 	l.Remove(l.predecessorRole.fd)
 	l.predecessorRole.fd = eventloop.NoDescriptor
 	if l.peers != nil {
-		l.peers.close()
+		l.peers.Close()
 	}
 }
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -19,6 +19,7 @@
 	"valvecove/internal/config"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/filesystem"
+	"valvecove/internal/gossip/socket"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/http1"
 	"valvecove/internal/metrics"
@@ -47,7 +48,7 @@
 	operators    *operatorListener    // nil: off
 	status       *statusListener      // nil: off
 	exporter     *metrics.Exporter    // nil: off
-	peers        *peerSocket          // nil: schedulers tell each other nothing
+	peers        *socket.Socket       // nil: schedulers exchange no messages
 	addressLists *address.AccessLists // nil: off
 	dispatcher   *dispatch.Dispatcher // that decides, in whatever wraps it
 
@@ -91,11 +92,11 @@
 	return loop, nil
 }
 
-// step has the request table step, and sends what its policy has told other schedulers.
+// step has the request table step, and sends the messages of its policy to other schedulers.
 func (l *Loop) step(now time.Duration) {
 	l.Requests.Step(now)
 	if l.peers != nil {
-		l.peers.flush()
+		l.peers.Flush()
 	}
 }
 
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -16,6 +16,7 @@
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
 	"valvecove/internal/eventloop"
+	"valvecove/internal/gossip/socket"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/logging"
 	"valvecove/internal/metrics"
@@ -121,8 +122,8 @@
 	seed := conf.Seed
 	return func() requests.Policy {
 		seed++
-		if l.peers != nil { // the policy that has failed knew of leases, and the new one numbers its own anew
-			l.peers.node.Restart()
+		if l.peers != nil { // the failed policy held leases; the new one numbers its own from 1 again
+			l.peers.Restart()
 		}
 		l.dispatcher = dispatch.New(conf.Settings.Settings, seed)
 		policy := requests.Policy(l.dispatcher)
@@ -136,6 +137,50 @@
 	}
 }
 
+// preparePeerSocket makes the socket for messages between schedulers if the settings allow any. openPeerSocket opens it.
+func (l *Loop) preparePeerSocket(conf config.Config) {
+	if !conf.Settings.PeerMessages {
+		return
+	}
+	l.peers = socket.New(l.Loop, socket.Config{
+		Listen:          conf.PeerListen,
+		Peers:           conf.Peers,
+		Self:            conf.Settings.ReplicaIndex,
+		Count:           conf.Settings.Replicas,
+		Receiver:        l.Requests,
+		HasRelinquished: l.hasRelinquished,
+		Log:             l.log,
+		LeaseCounts:     l.leaseCounts,
+		BudgetSpent:     conf.Settings.BudgetSpent,
+	})
+	l.Requests.TellPeer = l.peers.Queue
+}
+
+// openPeerSocket opens the socket for messages between schedulers, unless this process is in standby: a successor opens it once
+// its predecessor has closed its own.
+func (l *Loop) openPeerSocket() {
+	isInStandby := l.successorRole != nil && !l.successorRole.isServing()
+	if l.peers != nil && !isInStandby {
+		l.peers.Open()
+	}
+}
+
+func (l *Loop) leaseCounts() dispatch.LeaseCounts {
+	if l.dispatcher == nil {
+		return dispatch.LeaseCounts{}
+	}
+	return l.dispatcher.LeaseCounts()
+}
+
+// peerCounts returns the figures of messages between schedulers, which are zero if there are none. attemptsWritten counts the
+// attempts that were written to workers.
+func (l *Loop) peerCounts(attemptsWritten uint64) metrics.PeerCounts {
+	if l.peers == nil {
+		return metrics.PeerCounts{}
+	}
+	return l.peers.Counts(attemptsWritten)
+}
+
 func (l *Loop) wrapRestoredDispatcher(dispatcher *dispatch.Dispatcher) requests.Policy {
 	if l.Capture != nil {
 		return l.Capture.Continue(dispatcher)
