--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -296,6 +296,6 @@
 	l.clients.acceptor.Close()
 	l.predecessorRole.acceptor.Close()
 	if l.peers != nil {
-		l.peers.close()
+		l.peers.Close()
 	}
 }
