--- a/internal/address/accesslists.go
+++ b/internal/address/accesslists.go
@@ -1,6 +1,8 @@
 package address
 
 import (
+	"context"
+	"log/slog"
 	"net/netip"
 	"slices"
 
@@ -26,6 +28,19 @@
 	return ""
 }
 
+// Admits reports whether an address may connect. A rejection is logged.
+func (l *AccessLists) Admits(from netip.AddrPort, log *slog.Logger) bool {
+	reason := l.RejectionReason(from.Addr())
+	if reason == "" {
+		return true
+	}
+	if log.Enabled(context.Background(), slog.LevelWarn) {
+		log.LogAttrs(context.Background(), slog.LevelWarn, "connection refused", slog.String("why", reason),
+			slog.String("client", from.String()))
+	}
+	return false
+}
+
 // TrustsProxy tells whether an address may send a PROXY header.
 func (l *AccessLists) TrustsProxy(address netip.Addr) bool {
 	return contains(l.lists.TrustedProxies, address)
--- a/internal/link/acceptor_test.go
+++ b/internal/link/acceptor_test.go
@@ -47,7 +47,7 @@
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
 			w := newHarness(&modeltest.Steps{T: t})
 			w.listen()
-			w.loop.clients.setLimits(2*clients, 1<<20)
+			w.setClientLimits(2 * clients)
 			injector := w.injectFaults(uint64(errno), faultinjection.Rule{
 				Calls: []eventloop.Call{eventloop.CallAccept}, Share: 0.3, Errnos: []unix.Errno{errno},
 			})
--- a/internal/link/client_address.go
+++ b/internal/link/client_address.go
@@ -1,7 +1,6 @@
 package link
 
 import (
-	"context"
 	"errors"
 	"log/slog"
 	"net/netip"
@@ -15,29 +14,12 @@
 	errSecondProxyLine = errors.New("more than one PROXY header")
 )
 
-// admitAddress reports whether a new connection may go on. It closes the socket, unread, of an address that may not connect.
-func (l *Loop) admitAddress(socket int, from netip.AddrPort) bool {
-	if l.addressLists == nil {
-		return true
-	}
-	reason := l.addressLists.RejectionReason(from.Addr())
-	if reason == "" {
-		return true
-	}
-	_ = l.Syscalls().Close(socket)
-	if l.connectionLog.Enabled(context.Background(), slog.LevelWarn) {
-		l.connectionLog.LogAttrs(context.Background(), slog.LevelWarn, "connection refused", slog.String("why", reason),
-			slog.String("client", from.String()))
-	}
-	return false
-}
-
 // readProxyHeader takes a PROXY header that comes first, if one does, and reports whether requests may be read. A header that
 // may not be sent, or makes no sense, ends the connection, and nothing is written.
 func (c *clientConnection) readProxyHeader() bool {
 	for !c.proxyHeaderDone {
 		client, size, err := address.ParseHeader(c.Input())
-		isTrusted := !c.proxyAddress.IsValid() && c.loop().addressLists.TrustsProxy(c.clientAddress.Addr())
+		isTrusted := !c.proxyAddress.IsValid() && c.listener.accessLists.TrustsProxy(c.clientAddress.Addr())
 		switch {
 		case errors.Is(err, address.ErrNoHeader):
 			c.proxyHeaderDone = true
--- a/internal/link/client_address_test.go
+++ b/internal/link/client_address_test.go
@@ -90,9 +90,9 @@
 // newProxyHarness returns a harness that trusts some proxies, and logs about connections.
 func newProxyHarness(s *modeltest.Steps, log *bytes.Buffer) *harness {
 	w := newHarness(s)
-	w.loop.connectionLog = logging.NewFactory(config.Log{}, "n0", log).NewLogger()
-	w.loop.log = w.loop.connectionLog
-	w.loop.addressLists = address.New(config.Addresses{TrustedProxies: []netip.Prefix{netip.MustParsePrefix("10.20.0.0/24")}})
+	w.loop.clients.connectionLog = logging.NewFactory(config.Log{}, "n0", log).NewLogger()
+	w.loop.clients.log = w.loop.clients.connectionLog
+	w.loop.clients.accessLists = address.New(config.Addresses{TrustedProxies: []netip.Prefix{netip.MustParsePrefix("10.20.0.0/24")}})
 	return w
 }
 
--- a/internal/link/client_closing_test.go
+++ b/internal/link/client_closing_test.go
@@ -109,7 +109,7 @@
 	if len(w.loop.clients.connections) != 1 {
 		w.T.Fatal("no connection")
 	}
-	if !w.loop.clients.hasSentAll() {
+	if !w.loop.clients.HasSentAll() {
 		w.T.Fatal("a response has not left")
 	}
 	w.runIterations()
@@ -174,7 +174,7 @@
 			for w.loop.clients.evict() {
 			}
 		}, 503},
-		"limits are lowered": {admitted, func(w *harness) { w.loop.clients.setLimits(0, 1<<20) }, 503},
+		"limits are lowered": {admitted, func(w *harness) { w.setClientLimits(0) }, 503},
 		"idle": {up, func(w *harness) {
 			w.now += requestReadTimeout
 			w.loop.UpdateNow()
@@ -257,7 +257,7 @@
 	w.listen()
 	c := w.loop.clients
 	const links = 64
-	c.setLimits(links, 1<<20)
+	w.setClientLimits(links)
 	request := w.connectClient()
 	request.write([]byte(requestOfSize(1, 0)))
 	w.runIterations()
--- a/internal/link/client_connection.go
+++ b/internal/link/client_connection.go
@@ -87,7 +87,7 @@
 	proxyHeaderDone bool           // it is known whether a PROXY header comes first
 }
 
-func (c *clientConnection) loop() *Loop { return c.listener.loop }
+func (c *clientConnection) loop() *eventloop.Loop { return c.listener.loop }
 
 // isReading reports whether further requests are read.
 func (c *clientConnection) isReading() bool { return c.phase == clientReading }
@@ -182,7 +182,7 @@
 		}
 	}
 	for c.isReading() && len(c.slots) == 0 && len(c.Input()) > 0 && c.readProxyHeader() {
-		request := &c.loop().request
+		request := &c.listener.request
 		size, err := request.Parse(c.Input())
 		if err != nil {
 			break
--- a/internal/link/client_connection_test.go
+++ b/internal/link/client_connection_test.go
@@ -445,7 +445,7 @@
 // Out of descriptors, the loop waits a moment and then accepts again: what came meanwhile is served, not lost.
 func TestAcceptsAgainAfterEMFILE(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
-	if err := w.loop.clients.acceptor.Listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients); err != nil {
+	if err := w.loop.clients.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
 		t.Fatal(err)
 	}
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
--- a/internal/link/client_expiry.go
+++ b/internal/link/client_expiry.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// close closes connections between requests from now on; requests that come all the same are rejected. Connections that
+// Close closes connections between requests from now on; requests that come all the same are rejected. Connections that
 // workers have stay open, as do those that they open: each callback is a response that some client waits for.
-func (l *clientListener) close() {
+func (l *clientListener) Close() {
 	l.closing = true
 	var waiting []*clientConnection // shutting one down may move others from list to list
 	for _, list := range []*list.List{&l.rejectedOnly, &l.silent, &l.idle} {
--- a/internal/link/client_input.go
+++ b/internal/link/client_input.go
@@ -51,7 +51,7 @@
 
 // readRequest handles the first request of the input. more is false if there is none that is whole.
 func (c *clientConnection) readRequest() (more bool) {
-	request := &c.loop().request
+	request := &c.listener.request
 	size, err := request.Parse(c.Input())
 	var parseError *http1.ParseError
 	if errors.As(err, &parseError) {
@@ -116,7 +116,7 @@
 // rejectInput responds to what can't be read any further; the connection ends with that.
 func (c *clientConnection) rejectInput(statusCode int, reason string) {
 	c.leaveWaitingList()
-	c.loop().Requests.ReportRejection(nil, statusCode)
+	c.listener.table.ReportRejection(nil, statusCode)
 	c.reserveSlot(false).respond(statusCode, reason)
 }
 
--- a/internal/link/client_listener.go
+++ b/internal/link/client_listener.go
@@ -2,12 +2,13 @@
 
 import (
 	"container/list"
+	"log/slog"
 	"net/netip"
 	"time"
 
 	"valvecove/dispatch"
 	"valvecove/internal/eventloop"
-	"valvecove/internal/limits"
+	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 )
 
@@ -18,10 +19,65 @@
 	evictedFraction = 32 // one of so many descriptors is for connections that are evicted and not closed yet
 )
 
+// requestTable is what a client listener needs of the request table. *requests.Table implements it.
+type requestTable interface {
+	requestAdmitter
+	callbackHandler
+	// Ready reports whether a new request could be sent to a worker.
+	Ready() bool
+	// ClientDisconnected ends a request whose client no longer waits for the response.
+	ClientDisconnected(request *requests.Request)
+}
+
+// requestAdmitter admits requests, and is notified of those that are rejected before that.
+type requestAdmitter interface {
+	Admit(now time.Duration, arrival requests.Arrival) (*requests.Request, error)
+	ReportRejection(arrival *requests.Arrival, statusCode int)
+	OpenCount() int
+	PayloadBytes() int
+}
+
+// callbackHandler applies what workers report about their attempts.
+type callbackHandler interface {
+	HandleCallback(callback requests.Callback) (known bool, err error)
+}
+
+// accessLists say which addresses may connect, and which are proxies. *address.AccessLists implements it.
+type accessLists interface {
+	// Admits reports whether an address may connect; a rejection is logged.
+	Admits(from netip.AddrPort, log *slog.Logger) bool
+	TrustsProxy(address netip.Addr) bool
+}
+
+// clientListenerConfig is what a client listener is made of.
+type clientListenerConfig struct {
+	loop          *eventloop.Loop
+	table         requestTable
+	accessLists   accessLists // nil: every address may connect, and there are no proxies
+	log           *slog.Logger
+	connectionLog *slog.Logger // lines about single connections and requests, while there are access lists
+	settings      *dispatch.Settings
+	names         requests.NameTable
+	limits        clientLimits
+}
+
+// clientLimits are the limits on what clients use.
+type clientLimits struct {
+	connections int // open at once
+	requests    int // open at once
+	bufferBytes int // of connections; payloads of open requests may take up as much again
+}
+
 // clientListener accepts the connections of clients, and of workers that send callbacks, and keeps account of them.
 type clientListener struct {
-	loop             *Loop
+	loop             *eventloop.Loop
+	table            requestTable
+	accessLists      accessLists // nil: off
+	log              *slog.Logger
+	connectionLog    *slog.Logger
 	acceptor         *eventloop.Acceptor // without a socket while another process has it
+	request          http1.Request       // that was parsed last
+	writeBuffer      []byte              // for the response that is being written
 	connections      map[*clientConnection]struct{}
 	maxConnections   int // without those that are evicted
 	maxRequests      int // open at once; fewer than connections, as the callbacks that end requests need connections too
@@ -46,20 +102,46 @@
 	tenants  map[string]int
 }
 
-// openClientListener makes the listener, which has no socket yet, with its shares of the process's limits.
-func (l *Loop) openClientListener(shares limits.Shares, settings *dispatch.Settings, names requests.NameTable) {
-	l.clients = &clientListener{
-		loop:        l,
-		acceptor:    eventloop.NewAcceptor(l.Loop, l.log),
-		connections: map[*clientConnection]struct{}{},
-		settings:    settings,
-		classes:     indexByName(names.Classes),
-		tenants:     indexByName(names.Tenants),
+// newClientListener returns a listener that has no socket yet.
+func newClientListener(config clientListenerConfig) *clientListener {
+	listener := &clientListener{
+		loop:          config.loop,
+		table:         config.table,
+		accessLists:   config.accessLists,
+		log:           config.log,
+		connectionLog: config.connectionLog,
+		acceptor:      eventloop.NewAcceptor(config.loop, config.log),
+		connections:   map[*clientConnection]struct{}{},
+		settings:      config.settings,
+		classes:       indexByName(config.names.Classes),
+		tenants:       indexByName(config.names.Tenants),
 	}
-	l.clients.setLimits(shares.ClientConnections, shares.BufferBytes)
-	l.clients.closeExpired()
+	listener.SetLimits(config.limits)
+	listener.closeExpired()
+	return listener
 }
 
+// Listen opens a socket for clients to connect to, at an address, with options such as SO_REUSEPORT.
+func (l *clientListener) Listen(address netip.AddrPort, options ...int) error {
+	return l.acceptor.Listen(address, l, options...)
+}
+
+// AddSocket has clients accepted at a socket that listens already. On an error the caller owns the socket.
+func (l *clientListener) AddSocket(fd int) error { return l.acceptor.Add(fd, l) }
+
+// Socket returns the listening socket, which stays the listener's, or eventloop.NoDescriptor.
+func (l *clientListener) Socket() int { return l.acceptor.FD() }
+
+// Addr returns the address that clients connect to; without a socket it is not valid.
+func (l *clientListener) Addr() netip.AddrPort { return l.acceptor.Addr() }
+
+// Drain has /up respond that the scheduler is not ready. Requests are admitted as before: clients keep the connections that
+// they have, and may have no other scheduler to connect to.
+func (l *clientListener) Drain() { l.draining = true }
+
+// IsDraining reports whether Drain was called.
+func (l *clientListener) IsDraining() bool { return l.draining }
+
 func indexByName(names []string) map[string]int {
 	indexes := map[string]int{}
 	for i, name := range names {
@@ -68,17 +150,16 @@
 	return indexes
 }
 
-// setLimits sets how many connections there may be, and how many bytes of buffers. Where there are more connections, idle
-// ones are evicted.
-func (l *clientListener) setLimits(connections, bufferBytes int) {
-	l.maxEvicted = connections / evictedFraction
-	l.maxConnections = connections - l.maxEvicted
-	l.maxRequests = limits.MaxRequests(connections)
-	l.maxBufferedBytes = bufferBytes
+// SetLimits replaces the limits. Where there are more connections, idle ones are evicted.
+func (l *clientListener) SetLimits(limits clientLimits) {
+	l.maxEvicted = limits.connections / evictedFraction
+	l.maxConnections = limits.connections - l.maxEvicted
+	l.maxRequests = limits.requests
+	l.maxBufferedBytes = limits.bufferBytes
 	for l.activeCount() > l.maxConnections && l.evict() {
 	}
 	l.closeExcessEvicted()
-	l.resumeIfRoom()
+	l.HandleDescriptorsClosed()
 }
 
 // activeCount counts the connections that are not evicted.
@@ -111,9 +192,11 @@
 	if result != eventloop.Accepted {
 		return false
 	}
-	if l.loop.admitAddress(socket, from) {
-		l.addConnection(socket, from)
+	if l.accessLists != nil && !l.accessLists.Admits(from, l.connectionLog) {
+		_ = l.loop.Syscalls().Close(socket)
+		return true
 	}
+	l.addConnection(socket, from)
 	return true
 }
 
@@ -123,11 +206,11 @@
 		listener:        l,
 		lastActivity:    l.loop.Now(),
 		clientAddress:   from,
-		proxyHeaderDone: l.loop.addressLists == nil,
+		proxyHeaderDone: l.accessLists == nil,
 	}
 	var err error
 	if connection.Stream, err = l.loop.OpenStream(socket, eventloop.StreamEvents, connection); err != nil {
-		l.loop.log.Error("accepting failed", "error", err)
+		l.log.Error("accepting failed", "error", err)
 		_ = l.loop.Syscalls().Close(socket)
 		return
 	}
@@ -138,14 +221,15 @@
 // HandlePanic has nothing to end: the listener goes on.
 func (l *clientListener) HandlePanic() {}
 
-func (l *clientListener) resumeIfRoom() {
+// HandleDescriptorsClosed accepts again, if there is room for a connection. It is called whenever descriptors were closed.
+func (l *clientListener) HandleDescriptorsClosed() {
 	if l.activeCount() < l.maxConnections {
 		l.acceptor.Resume()
 	}
 }
 
-// hasSentAll reports whether no response waits to be sent.
-func (l *clientListener) hasSentAll() bool {
+// HasSentAll reports whether no response waits to be sent.
+func (l *clientListener) HasSentAll() bool {
 	for c := range l.connections {
 		if len(c.Output()) > 0 {
 			return false
--- a/internal/link/client_log.go
+++ b/internal/link/client_log.go
@@ -7,7 +7,7 @@
 
 // LogAttributes says which client a line of the log is about.
 func (c *clientConnection) LogAttributes() []slog.Attr {
-	if c.loop().addressLists == nil {
+	if c.listener.accessLists == nil {
 		return nil
 	}
 	attrs := []slog.Attr{slog.String("client", c.clientAddress.String())}
@@ -20,10 +20,10 @@
 // isLogEnabled reports whether a line about the connection or its requests is to be written: where addresses are of interest,
 // unless the level is off or too many have been written lately. What the line is made of is worth making only then.
 func (c *clientConnection) isLogEnabled(level slog.Level) bool {
-	return c.loop().addressLists != nil && c.loop().connectionLog.Enabled(context.Background(), level)
+	return c.listener.accessLists != nil && c.listener.connectionLog.Enabled(context.Background(), level)
 }
 
 // logEvent writes such a line.
 func (c *clientConnection) logEvent(level slog.Level, event string, attrs ...slog.Attr) {
-	c.loop().connectionLog.LogAttrs(context.Background(), level, event, append(attrs, c.LogAttributes()...)...)
+	c.listener.connectionLog.LogAttrs(context.Background(), level, event, append(attrs, c.LogAttributes()...)...)
 }
--- a/internal/link/client_presence.go
+++ b/internal/link/client_presence.go
@@ -19,7 +19,7 @@
 const endEvents = unix.EPOLLRDHUP | unix.EPOLLHUP | unix.EPOLLERR
 
 // attemptHold returns how long an attempt that is to be written is held, until it is known whether its client still waits.
-func (l *Loop) attemptHold(attempt *requests.Attempt) time.Duration {
+func clientAttemptHold(attempt *requests.Attempt) time.Duration {
 	slot, ok := attempt.Request.Responder().(*responseSlot)
 	if !ok || !slot.connection.IsOpen() {
 		return 0
--- a/internal/link/client_requests.go
+++ b/internal/link/client_requests.go
@@ -43,7 +43,7 @@
 	switch {
 	case string(request.Method) != "GET":
 		slot.respond(405, "GET only\n")
-	case c.listener.draining || !c.loop().Requests.Ready():
+	case c.listener.draining || !c.listener.table.Ready():
 		slot.respond(503, "not ready\n")
 	default:
 		slot.respond(200, "ready\n")
@@ -68,7 +68,7 @@
 	if err := jsoniter.ConfigDefault.Unmarshal(body, &callback); err != nil {
 		return err
 	}
-	known, err := c.loop().Requests.HandleCallback(callback)
+	known, err := c.listener.table.HandleCallback(callback)
 	if known {
 		c.advanceHistory(historyUsefulRequest)
 		c.sendsCallbacks = true
@@ -96,7 +96,7 @@
 		arrival.Job.Remaining = max(arrival.Job.Remaining-waited, time.Millisecond)
 	}
 	arrival.Responder = slot
-	admitted, err := c.loop().Requests.Admit(c.loop().Now(), arrival)
+	admitted, err := c.listener.table.Admit(c.loop().Now(), arrival)
 	if err != nil {
 		c.reject(slot, &arrival, &rejection{409, "X-Call-Id: " + err.Error()})
 		return
@@ -109,7 +109,7 @@
 // rejectOverload rejects a request if the process takes no more, and reports whether it does. Nothing was sent to a worker,
 // so a retry is harmless: after an overload has passed, or elsewhere if this process stops.
 func (c *clientConnection) rejectOverload(slot *responseSlot, arrival *requests.Arrival) bool {
-	listener, table := c.listener, c.loop().Requests
+	listener, table := c.listener, c.listener.table
 	switch {
 	case listener.closing:
 		table.ReportRejection(arrival, 503)
@@ -126,6 +126,6 @@
 
 // reject responds to a request that was not admitted; the arrival is nil if it could not be parsed.
 func (c *clientConnection) reject(slot *responseSlot, arrival *requests.Arrival, rejected *rejection) {
-	c.loop().Requests.ReportRejection(arrival, rejected.statusCode)
+	c.listener.table.ReportRejection(arrival, rejected.statusCode)
 	slot.respond(rejected.statusCode, rejected.reason+"\n")
 }
--- a/internal/link/client_responses.go
+++ b/internal/link/client_responses.go
@@ -80,7 +80,7 @@
 		c.logEvent(slog.LevelInfo, "request abandoned by its client", slog.String("request", request.CallID))
 	}
 	s.request = nil
-	c.loop().Requests.ClientDisconnected(request)
+	c.listener.table.ClientDisconnected(request)
 }
 
 // failAll responds to all requests that were read, also to one in the midst of which a panic came, and ends the connection.
@@ -142,10 +142,10 @@
 		fields = "Retry-After: " + strconv.FormatFloat(slot.retryAfter.Seconds(), 'f', 3, 64) + "\r\n"
 	}
 	keepAlive := c.isReading() || len(c.slots) > 0
-	buffer := http1.AppendResponse(c.loop().writeBuffer[:0], slot.statusCode, fields, slot.body, keepAlive)
-	c.loop().writeBuffer = buffer[:0]
+	buffer := http1.AppendResponse(c.listener.writeBuffer[:0], slot.statusCode, fields, slot.body, keepAlive)
+	c.listener.writeBuffer = buffer[:0]
 	if cap(buffer) > maxWriteBuffer {
-		c.loop().writeBuffer = nil
+		c.listener.writeBuffer = nil
 	}
 	return c.Send(buffer)
 }
--- a/internal/link/descriptors_test.go
+++ b/internal/link/descriptors_test.go
@@ -15,7 +15,7 @@
 func TestBurstOfClientsGone(t *testing.T) {
 	const clients = 400
 	w := newHarness(&modeltest.Steps{T: t})
-	w.loop.clients.setLimits(2*clients, 1<<20)
+	w.setClientLimits(2 * clients)
 	var peers []*peer
 	for n := range clients {
 		p, fd := w.socketPair()
--- a/internal/link/generated_faults_test.go
+++ b/internal/link/generated_faults_test.go
@@ -130,7 +130,7 @@
 // listenForClients has the loop accept clients. Its start is not what is tested here.
 func (f *systemFaults) listenForClients(loop *Loop) {
 	socket := f.listen(f.clients)
-	for isMomentary(loop.clients.acceptor.Add(socket, loop.clients)) {
+	for isMomentary(loop.clients.AddSocket(socket)) {
 		f.now += time.Millisecond
 	}
 	f.T.Cleanup(func() { _ = unix.Close(f.workerListener) })
--- a/internal/link/generated_settings_test.go
+++ b/internal/link/generated_settings_test.go
@@ -271,7 +271,7 @@
 	}, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
 	l.Requests = requests.New(c.Settings.AttemptLimit, c.Settings.Names, func() requests.Policy { return dispatch.New(c.Settings.Settings, c.Seed) },
 		c.KnownEndpoints, l.workers, log)
-	l.openClientListener(l.budget.Shares(), &c.Settings.Settings, c.Settings.Names)
+	l.openClientListener(clientLimitsOf(l.budget.Shares()), &c.Settings.Settings, c.Settings.Names)
 	if d.faults != nil {
 		d.faults.listenForClients(l)
 	}
--- a/internal/link/harness_test.go
+++ b/internal/link/harness_test.go
@@ -59,7 +59,7 @@
 	l.Requests = requests.New(6, names, func() requests.Policy { return w.policy }, requests.EndpointList{Endpoints: []requests.Endpoint{
 		{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
 	}}, l.workers, silent)
-	l.openClientListener(limits.Shares{ClientConnections: 50, BufferBytes: 1 << 20}, &dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: 5 * time.Second}}}, names)
+	l.openClientListener(testClientLimits(50), &dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: 5 * time.Second}}}, names)
 	l.onWake = func() {}
 	l.openBudget(config.Limits{Sockets: 1024, MemoryMB: 64}, 0)
 	w.loop = l
@@ -68,6 +68,16 @@
 	return w
 }
 
+// testClientLimits returns limits with so many connections.
+func testClientLimits(connections int) clientLimits {
+	return clientLimits{connections: connections, requests: limits.MaxRequests(connections), bufferBytes: 1 << 20}
+}
+
+// setClientLimits changes how many connections clients may have.
+func (w *harness) setClientLimits(connections int) {
+	w.loop.clients.SetLimits(testClientLimits(connections))
+}
+
 // clientConnection finds the client connection of a descriptor.
 func (w *harness) clientConnection(fd int) *clientConnection {
 	for k := range w.loop.clients.connections {
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -180,7 +180,7 @@
 	loop := c.loop
 	loop.StopTimer(c.handshakeTimer)
 	accept := hotrestart.Accept{Version: hotrestart.ProtocolVersion, CordonedWorkers: loop.Requests.Cordoned()}
-	if err := c.sendMessageBefore(loop.Clock()+transferTimeout, accept, loop.clients.acceptor.FD()); err != nil {
+	if err := c.sendMessageBefore(loop.Clock()+transferTimeout, accept, loop.clients.Socket()); err != nil {
 		return err
 	}
 	if loop.unstoredCordonCount() > 0 { // else the successor would take the file for newer, should this process die
@@ -241,7 +241,7 @@
 	}
 	l.releaseTransferred(transfer)
 	took := (l.Clock() - startedAt).Round(10 * time.Microsecond)
-	l.log.Info("handed over", "requests", transfer.requestCount, "client_connections", len(transfer.clientConnections),
+	l.log.Info("handed over", "requests", transfer.requestCount, "client_connections", transfer.clientConnectionCount,
 		"worker_connections", len(transfer.workerConnections), "snapshot_bytes", transfer.snapshotSize, "took", took.String())
 	return nil
 }
@@ -279,13 +279,7 @@
 
 // releaseTransferred lets go of what the successor owns now.
 func (l *Loop) releaseTransferred(transfer *stateTransfer) {
-	for _, client := range transfer.clientConnections {
-		client.leaveWaitingList()
-		client.slots = nil
-		client.Close()
-		client.updateBufferedBytes()
-		delete(l.clients.connections, client)
-	}
+	l.clients.Relinquish()
 	for _, worker := range transfer.workerConnections {
 		l.StopTimer(worker.timer)
 		worker.state = workerClosed
@@ -293,7 +287,7 @@
 	}
 	clear(l.workers.byAttempt)
 	l.watch.stop()
-	l.clients.acceptor.Close()
+	l.clients.CloseSocket()
 	l.predecessorRole.acceptor.Close()
 	if l.peers != nil {
 		l.peers.Close()
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -234,7 +234,7 @@
 	if r.listenerFD == hotrestart.NoDescriptor {
 		return loop.listenForClients(r.listenAddress, unix.SO_REUSEPORT)
 	}
-	if err := loop.clients.acceptor.Add(r.listenerFD, loop.clients); err != nil {
+	if err := loop.clients.AddSocket(r.listenerFD); err != nil {
 		return fmt.Errorf("%w: %w", errListenerUnusable, err)
 	}
 	r.listenerFD = hotrestart.NoDescriptor
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -23,7 +23,7 @@
 // enableHotRestart makes a world one whose process can be replaced, or can replace another. Its policy is scripted, before and
 // after.
 func (w *harness) enableHotRestart() {
-	w.loop.dispatcher = dispatch.New(*w.loop.clients.settings, 1)
+	w.loop.dispatcher = dispatch.New(*w.loop.settings, 1)
 	w.loop.wrapRestored = func(*dispatch.Dispatcher) requests.Policy { return w.policy }
 	w.loop.onFail = func(err error) { w.T.Errorf("a process fails: %v", err) }
 }
@@ -32,7 +32,7 @@
 func newPredecessorHarness(choices *modeltest.Steps, dir string) (*harness, netip.AddrPort) {
 	w := newHarness(choices)
 	w.enableHotRestart()
-	if err := w.loop.clients.acceptor.Listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients); err != nil {
+	if err := w.loop.clients.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
 		choices.T.Fatal(err)
 	}
 	w.loop.awaitSuccessor(hotrestart.SocketAddresses(dir, w.loop.Addr()))
@@ -48,7 +48,7 @@
 func (w *harness) startSuccessorAfterStep(dir string, address netip.AddrPort, step time.Duration) *harness {
 	successor := newHarness(w.Steps)
 	successor.enableHotRestart()
-	successor.now, successor.ahead, successor.loop.clients.settings = w.now+step, w.ahead+step, w.loop.clients.settings
+	successor.now, successor.ahead, successor.loop.settings = w.now+step, w.ahead+step, w.loop.settings
 	w.Check(successor.loop.joinPredecessor(dir, address), "no predecessor")
 	for successor.successorState() == hotrestart.SuccessorJoining {
 		w.runIterations()
@@ -116,7 +116,7 @@
 	if peer.read(1); !peer.ended {
 		t.Error("a socket of the failed transfer is still open")
 	}
-	if successor.loop.Requests.OpenCount() != 0 || len(successor.loop.clients.connections) != 0 || successor.loop.clients.acceptor.FD() >= 0 {
+	if successor.loop.Requests.OpenCount() != 0 || len(successor.loop.clients.connections) != 0 || successor.loop.clients.Socket() >= 0 {
 		t.Error("the successor has something of a transfer that failed")
 	}
 	if err := predecessor.handOverTo(successor); err != nil || successor.loop.budget.IsHalved() {
@@ -149,7 +149,7 @@
 		predecessor.runIterations()
 		second.runIterations()
 	}
-	if second.loop.predecessorRole != nil || second.loop.clients.acceptor.FD() >= 0 {
+	if second.loop.predecessorRole != nil || second.loop.clients.Socket() >= 0 {
 		t.Error("the second successor serves, or has the predecessor's place")
 	}
 	if err := predecessor.handOverTo(first); err != nil {
@@ -171,7 +171,7 @@
 	predecessor.runIterations()
 	successor.runIterations()
 	cordoned := successor.loop.Requests.Cordoned()
-	if len(cordoned) != 1 || cordoned[0] != "s-0" || successor.loop.clients.acceptor.FD() < 0 || successor.loop.notReadyReason() == "" {
+	if len(cordoned) != 1 || cordoned[0] != "s-0" || successor.loop.clients.Socket() < 0 || successor.loop.notReadyReason() == "" {
 		t.Errorf("after the predecessor's death: cordoned %v", cordoned)
 	}
 	third := successor.startSuccessor(dir, address)
@@ -190,9 +190,9 @@
 	predecessor.loop.Requests.Wake()
 	predecessor.runIterations()
 	successor := predecessor.startSuccessor(dir, address)
-	otherSettings := *predecessor.loop.clients.settings
+	otherSettings := *predecessor.loop.settings
 	otherSettings.Classes = append(otherSettings.Classes, otherSettings.Classes[0])
-	successor.loop.clients.settings = &otherSettings
+	successor.loop.settings = &otherSettings
 	if err := predecessor.handOverTo(successor); err != nil {
 		t.Fatal(err)
 	}
@@ -315,7 +315,7 @@
 	for _, lost := range []bool{false, true} {
 		dir := t.TempDir()
 		predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
-		predecessor.loop.clients.settings.MustSubscribe = true // a successor has its predecessor's settings
+		predecessor.loop.settings.MustSubscribe = true // a successor has its predecessor's settings
 		successor := predecessor.startSuccessor(dir, address)
 		if !successor.loop.watch.isOpen() {
 			t.Error("it stands by without a watch")
--- a/internal/link/hotrestart_transfer.go
+++ b/internal/link/hotrestart_transfer.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"net/netip"
 	"time"
 
 	"golang.org/x/sys/unix"
@@ -25,10 +24,10 @@
 	err        error         // the first; nothing is sent after it
 
 	// What was sent.
-	clientConnections []*clientConnection
-	workerConnections []*workerConnection
-	requestCount      int
-	snapshotSize      int // bytes
+	clientConnectionCount int
+	workerConnections     []*workerConnection
+	requestCount          int
+	snapshotSize          int // bytes
 }
 
 // run returns nil once the successor has answered TakenOver.
@@ -79,11 +78,9 @@
 }
 
 func (t *stateTransfer) sendClientConnections() {
-	for client := range t.loop.clients.connections {
-		if client.phase != clientLingering {
-			t.send(client.transferRecord(), client.FD())
-			t.clientConnections = append(t.clientConnections, client)
-		}
+	for _, client := range t.loop.clients.Snapshot() {
+		t.send(client.ClientConnection, client.Descriptor)
+		t.clientConnectionCount++
 	}
 }
 
@@ -131,43 +128,6 @@
 	return nil
 }
 
-func (k *clientConnection) transferRecord() hotrestart.ClientConnection {
-	record := hotrestart.ClientConnection{
-		Input:             k.Input(),
-		Output:            k.Output(),
-		LastRequestRead:   !k.isReading(),
-		InputConsumed:     k.inputEnded,
-		HalfClosed:        k.halfCloseProbed,
-		ContinueSent:      k.continueSent,
-		RequestSeen:       k.history != historyNoRequest,
-		UsefulRequestSeen: k.history == historyUsefulRequest,
-		ProxyHeaderDone:   k.proxyHeaderDone,
-		LastActivity:      k.lastActivity,
-		ClientAddress:     k.clientAddress.String(),
-	}
-	if k.proxyAddress.IsValid() {
-		record.ProxyAddress = k.proxyAddress.String()
-	}
-	for _, slot := range k.slots {
-		record.ResponseSlots = append(record.ResponseSlots, slot.transferRecord())
-	}
-	return record
-}
-
-func (t *responseSlot) transferRecord() hotrestart.ResponseSlot {
-	record := hotrestart.ResponseSlot{
-		KeepAlive:  t.keepAlive,
-		Complete:   t.isComplete,
-		Status:     t.statusCode,
-		Body:       t.body,
-		RetryAfter: t.retryAfter,
-	}
-	if t.request != nil {
-		record.RequestID = t.request.ID
-	}
-	return record
-}
-
 // transferable returns the connections that are handed over: those that carry an attempt, and idle ones.
 func (s *workerPool) transferable() []*workerConnection {
 	var connections []*workerConnection
@@ -218,31 +178,15 @@
 
 // restoreState goes on with all that a predecessor had. It owns the descriptors.
 func (l *Loop) restoreState(received hotrestart.ReceivedState) {
-	var clients []*clientConnection
-	var waiting []waitingSlot
-	for _, connection := range received.ClientConnections {
-		client, slots := l.clients.restore(connection)
-		clients = append(clients, client)
-		waiting = append(waiting, slots...)
-	}
-	responders := map[uint64]requests.Responder{}
-	for _, w := range waiting {
-		responders[w.requestID] = w.slot
-	}
-	l.Requests.TakeOver(l.Now(), received.RequestTable, received.OpenRequests, responders,
+	clients := l.clients.Restore(received.ClientConnections)
+	l.Requests.TakeOver(l.Now(), received.RequestTable, received.OpenRequests, clients.Responders(),
 		func() requests.Policy { return l.restorePolicy(received.PolicySnapshot, received.ClockAhead) })
-	for _, w := range waiting {
-		w.slot.request = l.Requests.Request(w.requestID)
-	}
+	clients.AttachRequests(l.Requests.Request)
 	for _, connection := range received.WorkerConnections {
 		l.workers.restore(connection)
 	}
 	l.Requests.WatchEndpoints() // the policy that goes on relies on it
-	for _, client := range clients {
-		if client.IsOpen() { // what was read before is handled now
-			l.Protect(client, func() { client.HandleEvents(unix.EPOLLIN) })
-		}
-	}
+	clients.HandleInput()
 }
 
 // restorePolicy returns the policy that goes on from a snapshot, or nil if the snapshot is of no use to this build. The clock
@@ -251,7 +195,7 @@
 	if l.wrapRestored == nil {
 		return nil
 	}
-	dispatcher, err := dispatch.RestoreOnClock(*l.clients.settings, snapshot, clockAhead)
+	dispatcher, err := dispatch.RestoreOnClock(*l.settings, snapshot, clockAhead)
 	if err != nil {
 		l.log.Warn("what the process before had learnt is of no use here", "bytes", len(snapshot), "error", err)
 		return nil
@@ -260,82 +204,6 @@
 	return l.wrapRestored(dispatcher)
 }
 
-// waitingSlot is a restored response slot that awaits the outcome of an open request.
-type waitingSlot struct {
-	slot      *responseSlot
-	requestID uint64
-}
-
-// restore goes on with a connection of a client. Where that fails, the connection that it returns is closed.
-func (c *clientListener) restore(received hotrestart.ReceivedClientConnection) (*clientConnection, []waitingSlot) {
-	client := &clientConnection{
-		listener:        c,
-		history:         restoredHistory(received.ClientConnection),
-		inputEnded:      received.InputConsumed,
-		halfClosed:      received.HalfClosed,
-		halfCloseProbed: received.HalfClosed,
-		continueSent:    received.ContinueSent,
-		proxyHeaderDone: received.ProxyHeaderDone,
-		lastActivity:    received.LastActivity,
-	}
-	if received.LastRequestRead {
-		client.advancePhase(clientFinishing)
-	}
-	client.clientAddress, _ = netip.ParseAddrPort(received.ClientAddress)
-	client.proxyAddress, _ = netip.ParseAddrPort(received.ProxyAddress)
-	events := uint32(eventloop.StreamEvents)
-	if client.halfClosed {
-		events = 0 // its end is known; what is left to read is asked for when the connection is first looked at
-	}
-	var err error
-	if client.Stream, err = c.loop.OpenStream(received.Descriptor, events, client); err != nil {
-		c.loop.log.Error("a client connection is lost", "error", err)
-		client.Stream = eventloop.Stream{}
-		_ = c.loop.Syscalls().Close(received.Descriptor)
-		return client, nil
-	}
-	client.SetBuffers(received.Input, received.Output)
-	client.UpdateEvents()
-	c.connections[client] = struct{}{}
-	waiting := client.restoreSlots(received.ResponseSlots)
-	client.updateBufferedBytes()
-	if len(client.slots) == 0 && len(client.Input()) == 0 {
-		client.becomeIdle()
-	}
-	return client, waiting
-}
-
-func restoredHistory(record hotrestart.ClientConnection) requestHistory {
-	switch {
-	case record.UsefulRequestSeen:
-		return historyUsefulRequest
-	case record.RequestSeen:
-		return historyRequest
-	default:
-		return historyNoRequest
-	}
-}
-
-// restoreSlots returns the slots that await the outcome of an open request.
-func (k *clientConnection) restoreSlots(records []hotrestart.ResponseSlot) []waitingSlot {
-	var waiting []waitingSlot
-	for _, record := range records {
-		slot := &responseSlot{
-			connection: k,
-			keepAlive:  record.KeepAlive,
-			isComplete: record.Complete,
-			statusCode: record.Status,
-			body:       record.Body,
-			retryAfter: record.RetryAfter,
-		}
-		k.slots = append(k.slots, slot)
-		if record.RequestID != 0 {
-			waiting = append(waiting, waitingSlot{slot, record.RequestID})
-		}
-	}
-	return waiting
-}
-
 // restore goes on with a connection to a worker; one that is of no use any more is closed.
 func (s *workerPool) restore(received hotrestart.ReceivedWorkerConnection) {
 	worker, known := s.loop.Requests.WorkerNumber(received.WorkerID)
--- a/internal/link/lifecycle.go
+++ b/internal/link/lifecycle.go
@@ -15,7 +15,7 @@
 
 // Addr returns where the loop listens for clients; of a successor that has not taken over, that is not valid.
 func (l *Loop) Addr() netip.AddrPort {
-	return l.clients.acceptor.Addr()
+	return l.clients.Addr()
 }
 
 // Reload goes on by another configuration: connections, requests and what the dispatcher knows stay.
@@ -35,10 +35,10 @@
 
 // Drain has the scheduler say that it is not ready. What comes is still served: clients keep the connections that they have,
 // and may have no other scheduler to go to.
-func (l *Loop) Drain() { l.clients.draining = true }
+func (l *Loop) Drain() { l.clients.Drain() }
 
 // Close admits no request any more. Connections between requests are closed, the others with their responses.
-func (l *Loop) Close() { l.clients.close() }
+func (l *Loop) Close() { l.clients.Close() }
 
 // RejectQueued rejects the requests of which nothing was sent to a worker yet.
 func (l *Loop) RejectQueued() {
@@ -59,5 +59,5 @@
 
 // IsQuiet reports whether every request has its response, and every response is sent.
 func (l *Loop) IsQuiet() bool {
-	return (l.hasRelinquished() || l.Requests.OpenCount() == 0) && l.clients.hasSentAll()
+	return (l.hasRelinquished() || l.Requests.OpenCount() == 0) && l.clients.HasSentAll()
 }
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -51,6 +51,7 @@
 	peers        *socket.Socket       // nil: schedulers exchange no messages
 	addressLists *address.AccessLists // nil: off
 	dispatcher   *dispatch.Dispatcher // that decides, in whatever wraps it
+	settings     *dispatch.Settings
 
 	startup startup
 	budget  *limits.Budget
@@ -108,6 +109,11 @@
 
 func (l *Loop) handleDescriptorsClosed() {
 	if l.clients != nil {
-		l.clients.resumeIfRoom()
+		l.clients.HandleDescriptorsClosed()
 	}
 }
+
+// attemptHold returns how long an attempt that is to be written is held, until it is known whether its client still waits.
+func (l *Loop) attemptHold(attempt *requests.Attempt) time.Duration {
+	return clientAttemptHold(attempt)
+}
--- a/internal/link/management.go
+++ b/internal/link/management.go
@@ -11,6 +11,9 @@
 	"valvecove/internal/http1"
 )
 
+// managementExpiryInterval is the time between two looks for connections that have expired.
+const managementExpiryInterval = 250 * time.Millisecond
+
 // managementListener accepts connections at an address beside the clients': few, and each of them timed. It is part of the
 // listener of a kind of connection.
 type managementListener struct {
@@ -19,6 +22,15 @@
 	connections list.List // of handlers, in the order in which they are evicted
 }
 
+// admitAddress reports whether a new connection may go on. It closes the socket, unread, of an address that may not connect.
+func (l *Loop) admitAddress(socket int, from netip.AddrPort) bool {
+	if l.addressLists == nil || l.addressLists.Admits(from, l.connectionLog) {
+		return true
+	}
+	_ = l.Syscalls().Close(socket)
+	return false
+}
+
 // newManagementListener returns a listener that has no socket yet.
 func (l *Loop) newManagementListener() managementListener {
 	return managementListener{loop: l, acceptor: eventloop.NewAcceptor(l.Loop, l.log)}
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -68,7 +68,7 @@
 		return err
 	}
 	l.preparePeerSocket(conf)
-	l.openClientListener(l.budget.Shares(), &conf.Settings.Settings, conf.Settings.Names)
+	l.openClientListener(clientLimitsOf(l.budget.Shares()), &conf.Settings.Settings, conf.Settings.Names)
 	if err := l.listenOrJoin(conf); err != nil {
 		return err
 	}
@@ -89,13 +89,36 @@
 	l.budget = limits.NewBudget(processLimits, featureDescriptors)
 	l.budget.OnChange(func(shares limits.Shares) {
 		l.workers.SetMaxConnections(shares.WorkerConnections)
-		l.clients.setLimits(shares.ClientConnections, shares.BufferBytes)
+		l.clients.SetLimits(clientLimitsOf(shares))
 		if l.onShareLimits != nil {
 			l.onShareLimits(l.budget.IsHalved())
 		}
 	})
 }
 
+// clientLimitsOf returns the limits of the client listener.
+func clientLimitsOf(shares limits.Shares) clientLimits {
+	return clientLimits{connections: shares.ClientConnections, requests: shares.OpenRequests, bufferBytes: shares.BufferBytes}
+}
+
+// openClientListener makes the client listener, which has no socket yet.
+func (l *Loop) openClientListener(limits clientLimits, settings *dispatch.Settings, names requests.NameTable) {
+	l.settings = settings
+	config := clientListenerConfig{
+		loop:          l.Loop,
+		table:         l.Requests,
+		log:           l.log,
+		connectionLog: l.connectionLog,
+		settings:      settings,
+		names:         names,
+		limits:        limits,
+	}
+	if l.addressLists != nil {
+		config.accessLists = l.addressLists
+	}
+	l.clients = newClientListener(config)
+}
+
 func (l *Loop) openWatch(conf config.Config) {
 	watch := discovery.Config{
 		PollInterval: conf.Settings.PollInterval,
@@ -222,7 +245,7 @@
 }
 
 func (l *Loop) listenForClients(address netip.AddrPort, options ...int) error {
-	return l.clients.acceptor.Listen(address, l.clients, options...)
+	return l.clients.Listen(address, options...)
 }
 
 // restoreCordoned cordons the workers that an earlier process had cordoned. Where that can't be read the process serves all
--- a/internal/link/operator_calls.go
+++ b/internal/link/operator_calls.go
@@ -114,7 +114,7 @@
 	switch {
 	case l.hasRelinquished():
 		return "replaced"
-	case l.clients.draining:
+	case l.clients.IsDraining():
 		return "draining"
 	case l.successorRole != nil && l.successorRole.notReadyReason() != "":
 		return l.successorRole.notReadyReason()
--- a/internal/link/operator_connection.go
+++ b/internal/link/operator_connection.go
@@ -106,7 +106,7 @@
 
 // closeExpired ends connections on which a call does not come, is not done, or its response is not taken, again and again.
 func (l *operatorListener) closeExpired() {
-	l.loop.StartTimer(expiryInterval, l, l.closeExpired)
+	l.loop.StartTimer(managementExpiryInterval, l, l.closeExpired)
 	l.forEach(func(handler any) { handler.(*operatorConnection).closeIfExpired() })
 }
 
--- a/internal/link/operator_connection_test.go
+++ b/internal/link/operator_connection_test.go
@@ -115,7 +115,7 @@
 				age := w.now - c.began
 				if !c.ended {
 					s.Check(c.unsent != "" || len(c.received) > 0, "a whole call has no answer")
-					s.Check(age < operatorConnectionTimeout+expiryInterval, "held for %v", age)
+					s.Check(age < operatorConnectionTimeout+managementExpiryInterval, "held for %v", age)
 					remaining = append(remaining, c)
 					continue
 				}
@@ -177,7 +177,7 @@
 // are still handed out. A call that changes nothing, so that no step is due, is answered as soon.
 func TestCordonIsAnsweredAfterStep(t *testing.T) {
 	w := newOperatorHarness(&modeltest.Steps{T: t})
-	dispatcher := dispatch.New(*w.loop.clients.settings, 1)
+	dispatcher := dispatch.New(*w.loop.settings, 1)
 	w.loop.dispatcher = dispatcher
 	endpoints := requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
 	newPolicy := func() requests.Policy { return dispatcher }
--- a/internal/link/status_connection.go
+++ b/internal/link/status_connection.go
@@ -13,7 +13,10 @@
 	"valvecove/internal/status"
 )
 
-const statusIdleTimeout = 10 * time.Second
+const (
+	statusIdleTimeout    = 10 * time.Second
+	statusRequestTimeout = 2 * time.Second // for a request to come whole, and its response to be taken
+)
 
 // statusListener accepts those who ask for the status of requests, at an address of their own.
 type statusListener struct {
@@ -55,14 +58,14 @@
 // closeExpired ends connections on which a request does not come whole, a response is not taken, or nothing comes, again and
 // again.
 func (l *statusListener) closeExpired() {
-	l.loop.StartTimer(expiryInterval, l, l.closeExpired)
+	l.loop.StartTimer(managementExpiryInterval, l, l.closeExpired)
 	l.forEach(func(handler any) { handler.(*statusConnection).closeIfExpired() })
 }
 
 func (c *statusConnection) closeIfExpired() {
 	quiet := c.listener.loop.Now() - c.lastActivity
 	isBusy := len(c.Input()) > 0 || len(c.Output()) > 0 || c.lastResponse
-	if quiet >= statusIdleTimeout || isBusy && quiet >= requestReadTimeout {
+	if quiet >= statusIdleTimeout || isBusy && quiet >= statusRequestTimeout {
 		c.terminate()
 	}
 }
--- a/internal/link/status_connection_test.go
+++ b/internal/link/status_connection_test.go
@@ -117,12 +117,12 @@
 	isBegun := m.unsent != "" && len(m.unsent) < len(m.call.text)
 	limit := statusIdleTimeout
 	if m.last || isBegun {
-		limit = requestReadTimeout
+		limit = statusRequestTimeout
 	}
 	age := m.now - m.quiet
 	ended := m.peer.ended
 	m.Check(!ended || m.last || age >= limit, "ended after %v", age)
-	m.Check(ended || age < limit+expiryInterval, "still there after %v", age)
+	m.Check(ended || age < limit+managementExpiryInterval, "still there after %v", age)
 	m.Check(!ended || m.loop.status.connections.Len() == 0 || m.last, "a connection is left")
 }
 
