--- a/dispatch/attemptinfo.go
+++ b/dispatch/attemptinfo.go
@@ -100,7 +100,7 @@
 		return 0, false
 	}
 	a := j.attempts[attempt]
-	remaining = d.maxPlausibleRun(a)
+	remaining = d.workload.maxPlausibleRun(a)
 	if a.started {
 		remaining = max(0, remaining-(d.now-a.startedAt))
 	}
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -8,9 +8,9 @@
 	d.addAttempt(attempt)
 	attempt.limitBound = worker.usedSlots+1 > worker.limit
 	d.chargeWarmUp(attempt)
-	d.hedgeTokens = min(d.hedgeTokens+hedgeTokensPerAttempt, d.maxHedgeTokens())
+	d.hedges.add(hedgeTokensPerAttempt, d.maxHedgeTokens())
 	if attempt.number > 0 {
-		d.hedgeTokens -= d.hedgeCost(job)
+		d.hedges.take(d.hedgeCost(job))
 	}
 	if d.isEjected(worker) {
 		d.nextTrialAt = d.now + trialInterval
@@ -22,8 +22,8 @@
 	return attempt
 }
 
-// onStarted takes in a start. Other attempts of the job, and those of ended jobs, are not cancelled: workers
-// go on with what is cancelled but tell nothing of it. We would count capacity that is not there.
+// onStarted takes in a start. Other attempts of the job, and those of ended jobs, are not cancelled:
+// workers go on with what is cancelled but tell nothing of it. We would count capacity that is not there.
 func (d *Dispatcher) onStarted(attempt *attemptInfo) {
 	if attempt == nil || attempt.started {
 		return
@@ -36,7 +36,7 @@
 	d.observeSlots(worker, worker.runningSlots)
 	d.setTimer(&attempt.timer, d.dueAt(attempt))
 	if !job.closed {
-		d.dequeue(job) // no further attempt is needed
+		d.queue.remove(job) // no further attempt is needed
 		d.withdrawLeases(job)
 	}
 }
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -274,8 +274,8 @@
 	for of, want := range map[int]float64{1: 10, 3: 10, 6: 5, 36: 1} {
 		set := testSettings()
 		set.Replicas = of
-		if d := New(set, 1); d.hedgeTokens != want || d.maxHedgeTokens() != want {
-			t.Errorf("of %d: %v hedges at first, %v saved up, expected %v", of, d.hedgeTokens, d.maxHedgeTokens(), want)
+		if d := New(set, 1); d.hedges.tokens != want || d.maxHedgeTokens() != want {
+			t.Errorf("of %d: %v hedges at first, %v saved up, expected %v", of, d.hedges.tokens, d.maxHedgeTokens(), want)
 		}
 	}
 }
--- a/dispatch/concurrency.go
+++ b/dispatch/concurrency.go
@@ -51,17 +51,18 @@
 	return 2*d.minStartDelay + c.LatencyObjective/promptDivisor
 }
 
-// maxSlots is the most of our slots seen running on a worker of the kind, once a few sent beyond have started
-// late. The limit alone drifts past it: where one job ends as the next comes, the next starts promptly.
+// maxSlots is the most of our slots seen running on a worker of the kind, once a few sent beyond have
+// started late. The limit alone drifts past it: where one job ends as the next comes, the next starts
+// promptly.
 func (d *Dispatcher) maxSlots(w *workerInfo) float64 {
-	if k := d.machineKind(w.Kind); k.lateOverflows >= minLateOverflows {
+	if k := d.workload.machineKind(w.Kind); k.lateOverflows >= minLateOverflows {
 		return k.maxSlots
 	}
 	return math.Inf(1)
 }
 
-// adjustLimit answers a start. The paper's design says nothing of a late one; without an answer a limit that
-// has grown too far stays so, and the worker's own queue brings back head-of-line blocking.
+// adjustLimit answers a start. The paper's design says nothing of a late one; without an answer a limit
+// that has grown too far stays so, and the worker's own queue brings back head-of-line blocking.
 func (d *Dispatcher) adjustLimit(attempt *attemptInfo, prompt bool) {
 	worker := attempt.worker
 	d.observeBusy(worker, !prompt)
@@ -76,17 +77,19 @@
 	if attempt.sentAt < worker.decreasedAt { // an older attempt tells nothing new
 		return
 	}
-	if k := d.machineKind(worker.Kind); worker.runningSlots >= k.maxSlots {
+	if k := d.workload.machineKind(worker.Kind); worker.runningSlots >= k.maxSlots {
 		k.lateOverflows++
 	}
-	// One slot for each of several dispatchers is still a queue: back off for as long as this attempt waited.
+	// One slot for each of several dispatchers is still a queue: back off for as long as this attempt
+	// waited.
 	if worker.limit <= 1 && d.settings.Replicas > 1 {
 		d.backOff(worker, d.now-attempt.sentAt)
 	}
 	worker.decreasedAt, worker.limit = d.now, max(1, worker.limit-1)
 }
 
-// halveLimit answers a rejection or failure. What was sent before the last decrease tells of the same event.
+// halveLimit answers a rejection or failure. What was sent before the last decrease tells of the same
+// event.
 func (d *Dispatcher) halveLimit(a *attemptInfo) {
 	if w := a.worker; a.sentAt >= w.decreasedAt {
 		w.decreasedAt, w.limit = d.now, max(1, math.Floor(w.limit/2))
--- a/dispatch/coordinator.go
+++ b/dispatch/coordinator.go
@@ -184,11 +184,11 @@
 	group int // of classes
 }
 
-// grantHeld grants a request that waits, if it can. ungranted are those that could not be granted since slots
-// became free: one that wants as much as the last of its shape can't be either.
+// grantHeld grants a request that waits, if it can. ungranted are those that could not be granted since
+// slots became free: one that wants as much as the last of its shape can't be either.
 func (d *Dispatcher) grantHeld(waiting *waitingRequest, ungranted map[requestShape]LeaseRequest) bool {
 	request := &waiting.request
-	shape := requestShape{shard: request.Shard, group: d.placementGroups[request.Class]}
+	shape := requestShape{shard: request.Shard, group: d.queue.placementGroups[request.Class]}
 	last, hasLast := ungranted[shape]
 	if hasLast && request.Demand >= last.Demand && request.Work >= last.Work {
 		return false
--- a/dispatch/cordon.go
+++ b/dispatch/cordon.go
@@ -38,7 +38,8 @@
 	d.markDirty(worker)
 }
 
-// mayTryUncordoned lets an idempotent job that would be late try a worker that was uncordoned and left idle.
+// mayTryUncordoned lets an idempotent job that would be late try a worker that was uncordoned and left
+// idle.
 func (d *Dispatcher) mayTryUncordoned(j *jobInfo, w *workerInfo) bool {
 	return w.uncordonedAt > 0 && d.now-w.uncordonedAt > uncordonedWait && j.class.Idempotency == Idempotent
 }
--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -741,7 +741,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	for key, work := range p.d.keyWork { // their order decides nothing
+	for key, work := range p.d.workload.keyWork { // their order decides nothing
 		d.RecallKeyWork(key, work)
 	}
 	p.d = d
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -1,89 +1,72 @@
 package dispatch
 
 import (
-	"math"
 	"math/rand/v2"
-	"slices"
 	"time"
 )
 
-// What an empty dispatcher assumes before it has observed anything.
+// What a new dispatcher assumes before it has observed anything.
 const (
-	initialLogError       = 0.35             // mean log distance of runs from what was expected
-	initialHintWeight     = 1.0              // of the logistic model: the chance of running long rises with the hint
-	minInitialSojourn     = 1e-3             // seconds
-	lateStartsPerSojourn  = 3                // the mean late start is this part of the mean objective
-	startDelaysPerConnect = 4                // the least start delay is this part of the connect timeout
-	minInitialStartDelay  = time.Millisecond // or this
+	initialLogError        = 0.35             // mean absolute log error of runs
+	initialHintWeight      = 1.0              // of the logistic model: a longer hint is more likely a long run
+	minInitialSojourn      = 1e-3             // seconds
+	lateStartsPerObjective = 3                // the mean late start is the mean objective divided by this
+	startDelaysPerConnect  = 4                // the least start delay is the connect timeout divided by this
+	minInitialStartDelay   = time.Millisecond // or this
 )
 
 // New returns a dispatcher that knows nothing but its settings. The seed determines all its random draws.
 func New(settings Settings, seed uint64) *Dispatcher {
 	source := rand.NewPCG(seed, 0)
 	dispatcher := &Dispatcher{
-		settings: settings, rng: rand.New(source), source: source, jobs: map[uint64]*jobInfo{}, workers: map[uint64]*workerInfo{},
-		kinds: map[int]*machineInfo{}, cordoned: map[uint64]time.Duration{}, zoneBusy: map[int]float64{},
-		keyWork: map[uint64]float64{}, spread: initialLogError,
+		settings:   settings,
+		rng:        rand.New(source),
+		source:     source,
+		jobs:       map[uint64]*jobInfo{},
+		workers:    map[uint64]*workerInfo{},
+		cordoned:   map[uint64]time.Duration{},
+		zoneBusy:   map[int]float64{},
+		timers:     newTimerQueue(),
+		queue:      newJobQueue(settings.Classes),
+		quotas:     newTenantQuotas(settings.TenantQuota),
+		objectives: newObjectives(settings.Classes),
+		arrivals:   newArrivalStatistics(settings.Classes),
+		workload:   newWorkloadModel(settings.Classes),
+		client:     newLeaseClient(),
 	}
-	dispatcher.initIndexes()
-	dispatcher.hedgeTokens = dispatcher.maxHedgeTokens()
-	classes := len(settings.Classes)
-	objective := 0.0
-	for _, c := range settings.Classes {
-		objective += c.LatencyObjective.Seconds() / float64(classes)
-		dispatcher.sizeCorrection = append(dispatcher.sizeCorrection, [slotBuckets]float64{})
-		dispatcher.overrunFactor = append(dispatcher.overrunFactor, 1)
-		dispatcher.meanWeight += c.PriorityWeight / float64(classes)
-	}
-	dispatcher.muShort = max(objective, minInitialSojourn)
-	dispatcher.longCut = math.Log(dispatcher.muShort)
-	dispatcher.meanLateStart = seconds(objective / lateStartsPerSojourn)
-	dispatcher.fullTimeout = make([]time.Duration, classes)
-	dispatcher.weights = make([]float64, classes+2)
-	dispatcher.weights[classes] = initialHintWeight
+	dispatcher.directory = newPeerDirectory(&dispatcher.settings)
+	dispatcher.coordinator = newCoordinator()
+	dispatcher.unstarted.pending = make([][]*attemptInfo, len(settings.Classes))
+	dispatcher.unstarted.first = make([]int, len(settings.Classes))
+	dispatcher.meanLateStart = seconds(meanObjective(settings.Classes) / lateStartsPerObjective)
 	dispatcher.minStartDelay = max(settings.ConnectTimeout/startDelaysPerConnect, minInitialStartDelay)
 	dispatcher.minCheckDelay = dispatcher.minStartDelay
-	dispatcher.quotaTokens = slices.Clone(settings.TenantQuota)
-	dispatcher.quotaRefilledAt = make([]time.Duration, len(settings.TenantQuota))
+	dispatcher.hedges.tokens = dispatcher.maxHedgeTokens()
+	dispatcher.maintenance.purpose = runMaintenance
 	dispatcher.setTimer(&dispatcher.maintenance, 0)
 	return dispatcher
 }
 
-// initIndexes makes what holds jobs, workers and timers.
-func (d *Dispatcher) initIndexes() {
-	d.maintenance.purpose = runMaintenance
-	d.timers.less = func(a, b *timer) bool { return a.at < b.at }
-	d.timers.moved = func(x *timer, i int) { x.heapIndex = i + 1 }
-	d.placementGroups = placementGroups(d.settings.Classes)
-	d.queue = newJobQueue(len(d.settings.Classes))
-	d.unstarted.pending = make([][]*attemptInfo, len(d.settings.Classes))
-	d.unstarted.first = make([]int, len(d.settings.Classes))
-	d.directory = newPeerDirectory(&d.settings)
-	d.client = newLeaseClient()
-	d.coordinator = newCoordinator()
-}
-
-// Step takes in what happened at now and returns dst with the actions that it calls for appended. It keeps neither slice.
+// Step applies the events that occurred at now, in their order, and returns dst with the resulting actions appended, which
+// the caller carries out in order. It keeps neither slice. An instant before that of the last step counts as that one.
 func (d *Dispatcher) Step(now time.Duration, events []Event, dst []Action) []Action {
-	d.now, d.actions = max(now, d.now), dst
+	d.now = max(now, d.now)
+	d.actions = dst
 	if d.bornAt == 0 {
-		d.bornAt = d.now // what was sent before is not known: no warming worker gets a job for one window
-	}
-	for _, e := range events {
-		d.handleEvent(e)
+		d.bornAt = d.now // what was sent before is unknown: no warming worker gets a job for one window
 	}
-	if d.timerAt <= d.now {
-		d.timerAt = 0
+	for _, event := range events {
+		d.handleEvent(event)
 	}
-	for d.timers.first().at <= d.now { // never empty: maintenance sets its timer anew
-		d.handleTimer(d.timers.pop())
+	d.timers.dropCallerTimer(d.now)
+	for due := d.timers.popDue(d.now); due != nil; due = d.timers.popDue(d.now) {
+		d.handleTimer(due)
 	}
 	d.exchangeLeases()
 	d.dispatchQueued()
 	d.exchangeLeases()
-	if next := d.timers.first().at; d.timerAt == 0 || next < d.timerAt {
-		d.timerAt = next
-		d.emit(SetTimer{After: d.timerAt - d.now})
+	if at, ok := d.timers.nextCallerTimer(); ok {
+		d.emit(SetTimer{After: at - d.now})
 	}
 	dst, d.actions = d.actions, nil
 	return dst
@@ -116,7 +99,7 @@
 	}
 }
 
-// handlePeerEvent takes in what other dispatchers or the operators bring about.
+// handlePeerEvent applies an event caused by other dispatchers or by operators.
 func (d *Dispatcher) handlePeerEvent(event Event) {
 	switch event := event.(type) {
 	case JobResumed:
@@ -134,7 +117,7 @@
 	}
 }
 
-// handleTimer does what a timer is for. Queued jobs are looked at after any.
+// handleTimer does what a timer is for. A dispatch cycle follows any.
 func (d *Dispatcher) handleTimer(fired *timer) {
 	switch fired.purpose {
 	case reviewQueue:
@@ -153,7 +136,7 @@
 	}
 }
 
-// sample draws where to begin among n items, and how many to take: all, or size of more than limit.
+// sample draws which of n items to use: from a first one count items, all of them if there are limit or fewer, else size.
 func (d *Dispatcher) sample(n, limit, size int) (from, count int) {
 	if n > limit {
 		return d.rng.IntN(n), size
@@ -161,7 +144,7 @@
 	return 0, n
 }
 
-// jitter draws a span from zero to most, both included.
-func (d *Dispatcher) jitter(most time.Duration) time.Duration {
-	return time.Duration(d.rng.Int64N(int64(most) + 1))
+// jitter draws a time from 0 to longest, both included.
+func (d *Dispatcher) jitter(longest time.Duration) time.Duration {
+	return time.Duration(d.rng.Int64N(int64(longest) + 1))
 }
--- a/dispatch/golden_test.go
+++ b/dispatch/golden_test.go
@@ -132,7 +132,7 @@
 		now, cordonedAt                       time.Duration
 	}
 	got := figures{
-		jobs: len(d.jobs), queued: d.queue.length, workers: len(d.workers), keys: len(d.keyWork), cordoned: len(d.cordoned),
+		jobs: len(d.jobs), queued: d.queue.length, workers: len(d.workers), keys: len(d.workload.keyWork), cordoned: len(d.cordoned),
 		now: d.now, cordonedAt: d.cordoned[3<<40],
 	}
 	want := figures{
@@ -230,11 +230,11 @@
 	d.Step(time.Hour, []Event{list}, nil)
 	d.Step(time.Hour, []Event{ModelUpdate{Snapshot: storedform.Golden(t, goldenModel), LoadShare: 1}}, nil)
 	j := &jobInfo{Job: Job{Slots: 1, Hint: 100 * ms}, class: &d.settings.Classes[0]}
-	if got, want := d.expectedWork(j), source.expectedWork(j); got != want || got == New(goldenSettings(), 1).expectedWork(j) {
+	if got, want := d.workload.expectedWork(j), source.workload.expectedWork(j); got != want || got == New(goldenSettings(), 1).workload.expectedWork(j) {
 		t.Errorf("it expects %v, the source of its model %v", got, want)
 	}
-	if *d.kinds[0] != *source.kinds[0] || *d.kinds[1] != *source.kinds[1] || d.kinds[1].runs != 47 || d.kinds[1].maxSlots != 5 {
-		t.Errorf("kinds %+v, %+v", d.kinds[0], d.kinds[1])
+	if *d.workload.kinds[0] != *source.workload.kinds[0] || *d.workload.kinds[1] != *source.workload.kinds[1] || d.workload.kinds[1].runs != 47 || d.workload.kinds[1].maxSlots != 5 {
+		t.Errorf("kinds %+v, %+v", d.workload.kinds[0], d.workload.kinds[1])
 	}
 	for _, want := range []struct {
 		worker      uint64
--- a/dispatch/healthcheck.go
+++ b/dispatch/healthcheck.go
@@ -17,26 +17,27 @@
 func (d *Dispatcher) earnCheckTokens() {
 	affordable := healthCheckBudget / max(d.settings.HealthCheckCost, 1e-9)
 	earned := min(checksPerJob, affordable)
-	d.checkTokens = min(d.checkTokens+earned, float64(len(d.workerList)))
+	d.checks.add(earned, float64(len(d.workerList)))
 }
 
 // requestChecks has a few workers checked for a job, which waits a moment for their reports.
 func (d *Dispatcher) requestChecks(j *jobInfo) {
-	for n := 0; n < checksPerJob && d.settings.HealthChecks && d.checkTokens >= 1; n++ {
+	for n := 0; n < checksPerJob && d.settings.HealthChecks && d.checks.has(1); n++ {
 		w := d.chooseCheck(j)
 		if w == nil {
 			return
 		}
 		w.checking, w.checkedAt = true, d.now
-		d.checkTokens--
+		d.checks.take(1)
 		d.emit(HealthCheck{Worker: w.ID})
 		j.checksUntil = d.now + 2*d.minStartDelay + j.class.LatencyObjective/checkWaitDivisor
 		d.setTimer(&j.checksTimer, j.checksUntil)
 	}
 }
 
-// checkCandidates are the workers that one is drawn from to be checked. Where searches go by preference these
-// are such as the next one looks at: a check of any other tells nothing of use, and opens a connection.
+// checkCandidates are the workers that one is drawn from to be checked. Where searches go by preference
+// these are such as the next one looks at: a check of any other tells nothing of use, and opens a
+// connection.
 func (d *Dispatcher) checkCandidates(dst []*workerInfo) []*workerInfo {
 	if !d.available.isOrdered() {
 		return d.workerList
--- a/dispatch/jobqueue.go
+++ b/dispatch/jobqueue.go
@@ -2,97 +2,114 @@
 
 import "slices"
 
-// jobQueue holds queued jobs by shape: those that the same workers can start share one, so that where one of them fits
-// nowhere for want of capacity, the others need not be tried.
+const (
+	slotBuckets            = 4 // 1; 2 and 3; 4 to 7; more
+	demandClassesPerClass  = 2 * slotBuckets
+	demandClassesPerBucket = 2 // of jobs that may go wherever their class may, and of restricted ones
+)
+
+// jobQueue holds queued jobs by demand class: those that the same workers can start share one, so that where one of them
+// finds no capacity, the others need not be tried.
 type jobQueue struct {
-	demandClasses []demandClass
-	length        int
+	demandClasses   []demandClass
+	length          int
+	placementGroups []int      // by class: the first one whose jobs may go to the same workers
+	skipped         []*jobInfo // in this dispatch cycle: they fit no worker
 }
 
-// demandClass holds the queued jobs of one shape in two orders.
+// demandClass holds the queued jobs that the same workers can start, in two orders.
 type demandClass struct {
 	byScore     minHeap[*jobInfo] // by leavesBefore
 	byPromotion minHeap[*jobInfo] // by promotedBefore; may hold jobs that have left
-	blocked     bool              // no worker has capacity for one, in this step
+	blocked     bool              // no worker has capacity for one, in this dispatch cycle
 }
 
-const (
-	slotBuckets           = 4 // 1, 2 and 3, 4 to 7, more
-	demandClassesPerClass = 2 * slotBuckets
-)
-
-func newJobQueue(classes int) jobQueue {
-	q := jobQueue{demandClasses: make([]demandClass, demandClassesPerClass*classes)}
-	for i := range q.demandClasses {
-		s := &q.demandClasses[i]
-		s.byScore.less, s.byScore.moved = leavesBefore, func(j *jobInfo, index int) { j.heapIndex = index }
-		s.byPromotion.less = promotedBefore
+func newJobQueue(classes []Class) jobQueue {
+	queue := jobQueue{
+		demandClasses:   make([]demandClass, demandClassesPerClass*len(classes)),
+		placementGroups: placementGroups(classes),
+	}
+	for i := range queue.demandClasses {
+		class := &queue.demandClasses[i]
+		class.byScore.less = leavesBefore
+		class.byScore.moved = func(job *jobInfo, index int) { job.heapIndex = index }
+		class.byPromotion.less = promotedBefore
 	}
-	return q
+	return queue
 }
 
-// demandClassOf is the shape of a job of a class that may go where only the others of its group may. restricted are jobs whose
-// attempts restrict them further.
+// demandClassOf returns the index of the demand class of jobs of a placement group and a bucket of slots. restricted are jobs
+// whose attempts restrict them further than their class does.
 func demandClassOf(group, bucket int, restricted bool) int {
-	s := (group*slotBuckets + bucket) * 2
+	index := (group*slotBuckets + bucket) * demandClassesPerBucket
 	if restricted {
-		s++
+		index++
 	}
-	return s
+	return index
 }
 
-// isRestrictedDemandClass tells whether the jobs of a shape are restricted further than by their class.
-func isRestrictedDemandClass(shape int) bool { return shape%2 == 1 }
+// isRestrictedDemandClass reports whether the jobs of a demand class are restricted further than by their class.
+func isRestrictedDemandClass(index int) bool { return index%demandClassesPerBucket == 1 }
 
-// placementGroups gives each class the first one that may go to the same kinds and zones.
+// placementGroups returns for each class the first one whose jobs may go to the same kinds and zones.
 func placementGroups(classes []Class) []int {
 	groups := make([]int, 0, len(classes))
-	for _, c := range classes {
-		groups = append(groups, slices.IndexFunc(classes, func(o Class) bool {
-			return slices.Equal(o.Kinds, c.Kinds) && (o.Kinds == nil) == (c.Kinds == nil) &&
-				slices.Equal(o.Zones, c.Zones) && (o.Zones == nil) == (c.Zones == nil)
+	for _, class := range classes {
+		groups = append(groups, slices.IndexFunc(classes, func(other Class) bool {
+			return allowsSame(other.Kinds, class.Kinds) && allowsSame(other.Zones, class.Zones)
 		}))
 	}
 	return groups
 }
 
-// push adds a job to its shape.
-func (q *jobQueue) push(j *jobInfo) {
-	q.demandClasses[j.demandClass].byScore.push(j)
+// allowsSame reports whether two lists of what is allowed are the same. nil allows all, an empty one nothing.
+func allowsSame(a, b []int) bool { return slices.Equal(a, b) && (a == nil) == (b == nil) }
+
+// push adds a job to its demand class.
+func (q *jobQueue) push(job *jobInfo) {
+	q.demandClasses[job.demandClass].byScore.push(job)
 	q.length++
 }
 
-// pushPromotion adds a job to its shape by promotion. Its entry stays there when the job leaves.
-func (q *jobQueue) pushPromotion(j *jobInfo) {
-	j.inPromotions = true
-	q.demandClasses[j.demandClass].byPromotion.push(j)
+// pushPromotion adds a job to the order of promotion of its demand class. Its entry stays there when the job leaves.
+func (q *jobQueue) pushPromotion(job *jobInfo) {
+	job.inPromotions = true
+	q.demandClasses[job.demandClass].byPromotion.push(job)
+}
+
+// remove removes a job from the queue, if it is queued.
+func (q *jobQueue) remove(job *jobInfo) {
+	if job.heapIndex >= 0 {
+		q.demandClasses[job.demandClass].byScore.remove(job.heapIndex)
+		q.length--
+	}
 }
 
-// remove takes out a job that is queued.
-func (q *jobQueue) remove(j *jobInfo) {
-	q.demandClasses[j.demandClass].byScore.remove(j.heapIndex)
-	q.length--
+// skip removes a job from the queue for the rest of this dispatch cycle.
+func (q *jobQueue) skip(job *jobInfo) {
+	q.remove(job)
+	q.skipped = append(q.skipped, job)
 }
 
-// reorder has a queued job stand where it belongs after a change.
-func (q *jobQueue) reorder(j *jobInfo) { q.demandClasses[j.demandClass].byScore.fix(j.heapIndex) }
+// reorder moves a queued job to its place after its priority has changed.
+func (q *jobQueue) reorder(job *jobInfo) { q.demandClasses[job.demandClass].byScore.fix(job.heapIndex) }
 
-// unblock begins a pass: all shapes are tried.
+// unblock begins a dispatch cycle: all demand classes are tried.
 func (q *jobQueue) unblock() {
 	for i := range q.demandClasses {
 		q.demandClasses[i].blocked = false
 	}
 }
 
-// firstByPromotion is the first job by promotion; nil: there is none. Void entries are dropped.
-func (s *demandClass) firstByPromotion() *jobInfo {
-	for !s.byPromotion.empty() {
-		j := s.byPromotion.first()
-		if !j.losesPromotion() {
-			return j
+// firstByPromotion returns the first job by promotion, nil if there is none. It drops void entries.
+func (c *demandClass) firstByPromotion() *jobInfo {
+	for !c.byPromotion.empty() {
+		job := c.byPromotion.first()
+		if !job.losesPromotion() {
+			return job
 		}
-		s.byPromotion.pop()
-		j.inPromotions = false
+		c.byPromotion.pop()
+		job.inPromotions = false
 	}
 	return nil
 }
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -1,41 +1,79 @@
 package dispatch
 
-import "slices"
+import (
+	"slices"
+	"time"
+)
 
-// isRunning tells whether an attempt of a job has started and not ended.
+// priorityLevel says what utility a job's answer may still have. Jobs of later levels leave the queue after those of the first.
+type priorityLevel int
+
+const (
+	levelFull        priorityLevel = iota
+	levelOverQuota                 // its tenant is over quota
+	levelUnreachable               // no worker could meet its objective any more
+)
+
+// jobInfo is a job that is owed a final answer, or whose attempts are still in flight.
+type jobInfo struct {
+	Job
+	class       *Class
+	demand      float64 // slots, or memory where that is more
+	work        float64 // expected seconds on a worker of speed 1
+	longChance  float64 // of running long: the paper's score
+	arrivedAt   time.Duration
+	deadline    time.Duration
+	objectiveAt time.Duration // an answer by then has its full utility
+	priority    priorityLevel
+
+	closed       bool // it has had its final answer, or needs none
+	streaming    bool // its response has begun
+	recheckOnEnd bool // it was in flight when its objective passed, and is looked at again when an attempt ends
+	attempts     []*attemptInfo
+	inFlight     int // attempts
+
+	demandClass  int           // index in the queue
+	heapIndex    int           // in byScore of its demand class; -1: it is not queued
+	inPromotions bool          // it has an entry in byPromotion of its demand class
+	promoteAt    time.Duration // when it has been queued for tau
+	skipCount    int           // dispatch cycles that ended because it and others fitted no worker
+
+	leases       []*leaseInfo // that it waits for
+	refused      []uint64     // workers whose slots were granted and can't be used
+	withoutLease bool         // it leaves the queue without one
+
+	warmUpDraw     float64       // above 0 and up to 1, for the lottery of warming workers; 0: not drawn yet
+	checksUntil    time.Duration // workers checked for it should have answered by then
+	deadlineTimer  timer
+	objectiveTimer timer
+	checksTimer    timer
+}
+
+// isDeprioritized reports whether a job leaves the queue after those that may have their full utility.
+func (j *jobInfo) isDeprioritized() bool { return j.priority != levelFull }
+
+// isRunning reports whether an attempt of a job has started and not ended.
 func (j *jobInfo) isRunning() bool {
 	return slices.ContainsFunc(j.attempts, func(a *attemptInfo) bool { return !a.ended && a.started })
 }
 
-// wasSentTo tells whether a worker was sent the job before.
-func (j *jobInfo) wasSentTo(w *workerInfo) bool {
-	for _, a := range j.attempts {
-		if a.worker == w {
+// wasSentTo reports whether a worker has been sent the job.
+func (j *jobInfo) wasSentTo(worker *workerInfo) bool {
+	for _, attempt := range j.attempts {
+		if attempt.worker == worker {
 			return true
 		}
 	}
 	return false
 }
 
-// dequeue takes a job out of the queue, if it is there.
-func (d *Dispatcher) dequeue(j *jobInfo) {
-	if j.heapIndex >= 0 {
-		d.queue.remove(j)
-	}
-}
-
-// skipJob sets a job aside for the rest of this pass over the queue.
-func (d *Dispatcher) skipJob(j *jobInfo) {
-	d.dequeue(j)
-	d.skipped = append(d.skipped, j)
-}
-
-// closeJob ends a job that has had its final answer, or needs none. It is forgotten once nothing is in flight.
+// closeJob ends a job that has had its final answer, or needs none. It is forgotten once nothing is in flight. A nil job is
+// ignored.
 func (d *Dispatcher) closeJob(job *jobInfo) {
 	if job == nil {
 		return
 	}
-	d.dequeue(job)
+	d.queue.remove(job)
 	d.withdrawLeases(job)
 	d.cancelTimer(&job.deadlineTimer)
 	d.cancelTimer(&job.objectiveTimer)
@@ -46,10 +84,10 @@
 	}
 }
 
-// prepareDispatch brings up to date what a pass over the queue goes by.
+// prepareDispatch updates what a dispatch cycle depends on.
 func (d *Dispatcher) prepareDispatch() {
-	for _, w := range d.dirty {
-		d.reindex(w)
+	for _, worker := range d.dirty {
+		d.reindex(worker)
 	}
 	d.dirty = d.dirty[:0]
 	if d.allCordoned {
@@ -65,25 +103,26 @@
 	d.queue.unblock()
 }
 
-// finishQueued answers all queued jobs that have nothing in flight: there is nobody to send them to.
+// finishQueued answers all queued jobs that have nothing in flight: there is no worker to send them to.
 func (d *Dispatcher) finishQueued() {
 	for i := range d.queue.demandClasses {
 		for queued := &d.queue.demandClasses[i].byScore; !queued.empty(); {
-			j := queued.first()
-			d.dequeue(j)
-			d.withdrawLeases(j)
-			if j.inFlight == 0 {
-				d.finish(j)
+			job := queued.first()
+			d.queue.remove(job)
+			d.withdrawLeases(job)
+			if job.inFlight == 0 {
+				d.finish(job)
 			}
 		}
 	}
 }
 
-// handleResponseStarted takes in that a response has begun: nothing else can be sent to the client any more.
-func (d *Dispatcher) handleResponseStarted(a *attemptInfo) {
-	if a != nil {
-		a.job.streaming = true
-		d.dequeue(a.job)
-		d.withdrawLeases(a.job)
+// handleResponseStarted notes that the response to a job has begun: nothing else can be sent to its client. A nil attempt is
+// ignored.
+func (d *Dispatcher) handleResponseStarted(attempt *attemptInfo) {
+	if attempt != nil {
+		attempt.job.streaming = true
+		d.queue.remove(attempt.job)
+		d.withdrawLeases(attempt.job)
 	}
 }
--- a/dispatch/learning.go
+++ b/dispatch/learning.go
@@ -5,103 +5,101 @@
 	"time"
 )
 
-// Learning from finished runs: the model's weights, the cut beyond which a run is long, mu_short, which
-// is the mean sojourn of short jobs over a long window, and the sizes of jobs and speeds of workers that
-// predictions rest on. Logs are natural.
+// Learning from finished runs, for the design's model: "long means past a cut we choose"; mu_short is
+// "short jobs' mean hold-plus-run time", averaged over a long window. The sizes of jobs and the speeds of
+// workers that predictions rest on are learnt here too. Logs are natural.
 
 const (
-	maxMeanLogSpeed = 0.3 // mean log speed of the fleet: what is beyond counts as size
-	maxLogRescale   = 0.1 // log, at a time: jobs in flight keep the sizes they came with
+	maxMeanLogSpeed = 0.3 // of the fleet's workers: what exceeds it counts as size of the jobs
+	maxLogRescale   = 0.1 // at a time, as jobs in flight keep the sizes that they were admitted with
 )
 
-// learnFromRun takes in a finished run. Sizes are corrected slowly and speeds quickly, so that a slow spell
-// is attributed to the worker. Runs on warming workers teach nothing.
+// learnFromRun learns from a finished run. Sizes are corrected slowly and speeds quickly, so that a slow
+// spell is attributed to the worker. Runs on warming workers say nothing about either.
 func (d *Dispatcher) learnFromRun(attempt *attemptInfo, run time.Duration) {
 	if d.spansStall(attempt) {
 		return
 	}
-	d.observeOverrun(attempt, run)
-	if d.warmUpShare(attempt.worker) < 1 {
+	job, worker := attempt.job, attempt.worker
+	d.workload.observeOverrun(job.Class, run.Seconds(), attempt.expectedRun.Seconds())
+	if d.warmUpShare(worker) < 1 {
 		return
 	}
-	job, worker := attempt.job, attempt.worker
 	runLog := math.Log(max(run.Seconds(), minWorkSeconds))
-	// By what is known now: else each of the many in flight would correct the same error once more.
-	expectedLog := math.Log(d.expectedWork(job))
-	d.observeSpread(expectedLog - runLog - worker.logSpeed)
+	// Expected by what is known now: else each of many attempts in flight would correct the same error
+	// again.
+	expectedLog := math.Log(d.workload.expectedWork(job))
+	d.workload.observeError(expectedLog - runLog - worker.logSpeed)
 	d.learnSpeed(worker, expectedLog-runLog)
 	workLog := runLog + worker.logSpeed // as this run shows it
-	d.learnWeights(job, workLog > d.longCut)
-	d.rememberKey(job.Key, math.Exp(workLog))
-	correction := &d.sizeCorrection[job.Class][slotBucket(job)]
-	*correction += sizeCorrectionGain * clamp(workLog-expectedLog, maxLogSizeError)
-	if workLog < d.longCut {
-		d.observeShortSojourn(d.now - job.arrivedAt)
+	d.workload.learnWeights(job, workLog > d.workload.longWorkThreshold)
+	d.workload.rememberKey(job.Key, math.Exp(workLog))
+	d.workload.correctSize(job, workLog-expectedLog)
+	if workLog < d.workload.longWorkThreshold {
+		d.workload.observeShortSojourn(d.now - job.arrivedAt)
 	}
-	d.moveLongCut(workLog)
+	d.workload.moveThreshold(workLog)
+}
+
+// observeError updates the mean error by that of a run against the expected one, as a difference of logs.
+func (m *workloadModel) observeError(logError float64) {
+	bounded := min(math.Abs(logError), maxLogFeature)
+	m.meanAbsoluteLogError += slowMeanGain * (bounded - m.meanAbsoluteLogError)
 }
 
-// observeSpread takes in by how much, in logs, a run differed from the expected.
-func (d *Dispatcher) observeSpread(distance float64) {
-	d.spread += slowMeanGain * (min(math.Abs(distance), maxLogFeature) - d.spread)
+// correctSize corrects the size of jobs like this one by the error of its expected work, a difference of
+// logs.
+func (m *workloadModel) correctSize(job *jobInfo, logError float64) {
+	m.sizeCorrection[job.Class][slotBucket(job)] += sizeCorrectionGain * clamp(logError, maxLogSizeError)
 }
 
-// observeShortSojourn takes in the sojourn of a short job: only these count for the paper's mu_short.
-func (d *Dispatcher) observeShortSojourn(sojourn time.Duration) {
-	bounded := min(sojourn.Seconds(), maxSojournMultiple*d.muShort)
-	d.muShort += slowMeanGain * (bounded - d.muShort)
+// observeShortSojourn updates the paper's mu_short by the sojourn of a short job.
+func (m *workloadModel) observeShortSojourn(sojourn time.Duration) {
+	bounded := min(sojourn.Seconds(), maxSojournMultiple*m.meanShortSojourn)
+	m.meanShortSojourn += slowMeanGain * (bounded - m.meanShortSojourn)
 }
 
-// moveLongCut moves the cut between short and long by one run: the steps up and down balance where
-// longJobShare of the runs lie beyond it.
-func (d *Dispatcher) moveLongCut(workLog float64) {
+// moveThreshold moves the threshold between short and long by one run. The steps up and down balance where
+// longRunShare of the runs lie beyond it.
+func (m *workloadModel) moveThreshold(workLog float64) {
 	step := longThresholdStep
-	if workLog < d.longCut {
+	if workLog < m.longWorkThreshold {
 		step = -step * longRunShare / (1 - longRunShare)
 	}
-	d.longCut += step * (1 - longRunShare)
+	m.longWorkThreshold += step * (1 - longRunShare)
 }
 
-// learnWeights is one step of gradient ascent on the logistic model.
-func (d *Dispatcher) learnWeights(j *jobInfo, isLong bool) {
-	gradient := -d.longScore(j)
+// learnWeights makes one step of gradient ascent on the logistic model.
+func (m *workloadModel) learnWeights(job *jobInfo, isLong bool) {
+	gradient := -m.longScore(job)
 	if isLong {
 		gradient++
 	}
-	hint, slots := d.features(j)
-	n := len(d.settings.Classes)
-	d.weights[j.Class] += logisticLearningRate * gradient
-	d.weights[n] = max(minHintWeight, d.weights[n]+logisticLearningRate*gradient*hint)
-	d.weights[n+1] += logisticLearningRate * gradient * slots
+	hint, slots := m.features(job)
+	hintWeight := &m.weights[m.hintWeight()]
+	m.weights[job.Class] += logisticLearningRate * gradient
+	*hintWeight = max(minHintWeight, *hintWeight+logisticLearningRate*gradient*hint)
+	m.weights[m.slotsWeight()] += logisticLearningRate * gradient * slots
 }
 
-// learnSpeed takes in the log speed that a run of a worker showed.
-func (d *Dispatcher) learnSpeed(w *workerInfo, logSpeed float64) {
-	k := d.machineKind(w.Kind)
-	k.runs++
-	k.logSpeed += max(sizeCorrectionGain, 1/(k.runs+2)) * clamp(logSpeed-k.logSpeed, maxLogKindSpeedError)
-	w.runs++
-	w.logSpeed += max(minSpeedGain, 1/(w.runs+2)) * clamp(logSpeed-w.logSpeed, maxLogSizeError)
-	w.speed, w.learnedAt = math.Exp(w.logSpeed), d.now
+// learnSpeed updates the speeds of a worker and of its kind by the log speed observed in a run.
+func (d *Dispatcher) learnSpeed(worker *workerInfo, logSpeed float64) {
+	kind := d.workload.machineKind(worker.Kind)
+	kind.runs++
+	kindGain := max(sizeCorrectionGain, 1/(kind.runs+2))
+	kind.logSpeed += kindGain * clamp(logSpeed-kind.logSpeed, maxLogKindSpeedError)
+	worker.runs++
+	gain := max(minSpeedGain, 1/(worker.runs+2))
+	worker.logSpeed += gain * clamp(logSpeed-worker.logSpeed, maxLogSizeError)
+	worker.speed = math.Exp(worker.logSpeed)
+	worker.learnedAt = d.now
 }
 
-// rescaleSpeeds takes so much, in logs, off all speeds and all sizes: expected runs stay what they are.
+// rescaleSpeeds subtracts a shift from the logs of all speeds and all sizes: expected runs stay the same.
 func (d *Dispatcher) rescaleSpeeds(shift float64) {
-	for _, w := range d.workerList {
-		w.logSpeed -= shift
-		w.speed = math.Exp(w.logSpeed)
-	}
-	for _, k := range d.kinds {
-		k.logSpeed -= shift
-	}
-	for class := range d.sizeCorrection {
-		for b := range d.sizeCorrection[class] {
-			d.sizeCorrection[class][b] -= shift
-		}
-	}
-	for key := range d.keyWork {
-		d.keyWork[key] *= math.Exp(-shift)
+	for _, worker := range d.workerList {
+		worker.logSpeed -= shift
+		worker.speed = math.Exp(worker.logSpeed)
 	}
-	d.longCut -= shift
-	d.topSpeed -= shift
+	d.workload.rescale(shift)
 }
--- a/dispatch/leasereports.go
+++ b/dispatch/leasereports.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// What a dispatcher tells coordinators of the leases that it uses, and the exchange of messages about leases.
+// What a dispatcher tells coordinators of the leases that it uses, and the exchange of messages about
+// leases.
 
 // takeSlots has the coordinator told, with the next report, of an attempt that was sent without a lease.
 func (d *Dispatcher) takeSlots(attempt *attemptInfo) {
--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -170,7 +170,8 @@
 		slices.ContainsFunc(j.attempts, (*attemptInfo).possiblyExecuted)
 }
 
-// chooseShard is where a job asks next: of two shards drawn, the one with more free slots as far as is known.
+// chooseShard is where a job asks next: of two shards drawn, the one with more free slots as far as is
+// known.
 func (d *Dispatcher) chooseShard(job *jobInfo) (best Shard, ok bool) {
 	zones := d.leaseZones(job)
 	if len(zones) == 0 {
@@ -301,7 +302,7 @@
 	job.withoutLease = true
 	d.withdrawLeases(job)
 	if job.heapIndex >= 0 { // it stands among other jobs from now on, by promotion too
-		d.dequeue(job)
+		d.queue.remove(job)
 		job.inPromotions = false
 		d.enqueue(job)
 	}
@@ -350,8 +351,8 @@
 	d.client.granted = append(d.client.granted, lease)
 }
 
-// observeRefusal passes over a coordinator that has not granted any of several requests for long: its counts
-// may be wrong, or its knowledge of workers.
+// observeRefusal passes over a coordinator that has not granted any of several requests for long: its
+// counts may be wrong, or its knowledge of workers.
 func (d *Dispatcher) observeRefusal(peer int) {
 	record := d.client.starvation[peer]
 	if record.requests == 0 {
@@ -419,7 +420,7 @@
 func (d *Dispatcher) sendOnLease(job *jobInfo, worker *workerInfo, lease *leaseInfo) {
 	job.removeLease(lease)
 	lease.job = nil
-	d.dequeue(job)
+	d.queue.remove(job)
 	d.withdrawLeases(job)
 	attempt := d.send(job, worker)
 	attempt.lease = lease
--- a/dispatch/leasesnapshot_test.go
+++ b/dispatch/leasesnapshot_test.go
@@ -157,7 +157,7 @@
 			t.Fatal(err)
 		}
 		isOfLease := func(x *timer) bool { return x.purpose == leaseOverdue }
-		if len(off.client.byID)+len(off.coordinator.leases) > 0 || slices.ContainsFunc(off.timers.items, isOfLease) {
+		if len(off.client.byID)+len(off.coordinator.leases) > 0 || slices.ContainsFunc(off.timers.heap.items, isOfLease) {
 			t.Error("leases are left")
 		}
 		on, err := Restore(leasingSettings(index), off.Snapshot(nil))
--- a/dispatch/maintenance.go
+++ b/dispatch/maintenance.go
@@ -5,18 +5,16 @@
 	"time"
 )
 
-// Maintenance, at a fixed interval: the subscription is renewed, estimates age, and what follows from the
-// fleet as a whole is brought up to date.
+// Maintenance, at a fixed interval: the list of workers is requested again where it is due, leases are
+// reported and expire, estimates decay, and figures of the whole fleet are updated. The design does not
+// mention it.
 
 const maintenanceInterval = 250 * time.Millisecond
 
-// maintain renews the subscription and what follows from the fleet as a whole.
+// maintain does what is due at each interval.
 func (d *Dispatcher) maintain() {
 	d.setTimer(&d.maintenance, d.now+maintenanceInterval)
-	if d.settings.MustSubscribe && d.subscription == unsubscribed && d.now >= d.subscribeAt {
-		d.subscription = subscribing
-		d.emit(Subscribe{})
-	}
+	d.requestWorkers()
 	d.reportLeases()
 	d.expireLeases()
 	d.decayEstimates()
@@ -24,21 +22,18 @@
 	fleet := d.summarise()
 	d.mostEjected, d.allBroken = 2*fleet.ejected > fleet.ready, fleet.broken == fleet.ready
 	if fleet.ready > 0 {
-		d.topSpeed = fleet.topSpeed
+		d.workload.maxLogSpeed = fleet.maxLogSpeed
 	}
-	// Runs show only the quotient of size and speed: the two must not drift off together.
-	if mean := fleet.speeds / float64(max(1, fleet.ready)); math.Abs(mean) > maxMeanLogSpeed {
+	// Runs show only the quotient of size and speed: the two must not drift together.
+	if mean := fleet.logSpeeds / float64(max(1, fleet.ready)); math.Abs(mean) > maxMeanLogSpeed {
 		d.rescaleSpeeds(clamp(mean-clamp(mean, maxMeanLogSpeed), maxLogRescale))
 	}
 }
 
-// decayEstimates lets what was learnt of sizes, connections, zones and speeds drift back for want of news,
-// by one round of maintenance.
+// decayEstimates moves the estimates of overruns, connections, zones and speeds towards their defaults, by
+// one interval.
 func (d *Dispatcher) decayEstimates() {
-	for class := range d.overrunFactor {
-		factor := d.overrunFactor[class] * (1 - maintenanceInterval.Seconds()/overrunDecayTime.Seconds())
-		d.overrunFactor[class] = max(1, factor)
-	}
+	d.workload.decayOverruns(maintenanceInterval)
 	d.decayIdleConnections()
 	for z := range d.zoneBusy {
 		d.zoneBusy[z] *= 1 - maintenanceInterval.Seconds()/speedDecayTime.Seconds()
@@ -57,22 +52,22 @@
 	}
 }
 
-// fleetSummary is what maintenance goes by, of the ready workers.
+// fleetSummary counts the ready workers.
 type fleetSummary struct {
 	ready, ejected, broken int
-	speeds                 float64 // sum of their log speeds
-	topSpeed               float64 // the greatest
+	logSpeeds              float64 // sum
+	maxLogSpeed            float64
 }
 
 func (d *Dispatcher) summarise() fleetSummary {
-	fleet := fleetSummary{topSpeed: -maxLogFeature}
+	fleet := fleetSummary{maxLogSpeed: -maxLogFeature}
 	for _, w := range d.workerList {
 		if !w.Ready {
 			continue
 		}
 		fleet.ready++
-		fleet.speeds += w.logSpeed
-		fleet.topSpeed = max(fleet.topSpeed, w.logSpeed)
+		fleet.logSpeeds += w.logSpeed
+		fleet.maxLogSpeed = max(fleet.maxLogSpeed, w.logSpeed)
 		if w.broken {
 			fleet.broken++
 		}
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -18,9 +18,9 @@
 	workerBytes   = 14  // of a worker in a snapshot, at most
 )
 
-// model is what a dispatcher has learnt, but for single jobs and keys.
+// model refers to what a dispatcher has learnt, except about single jobs and keys.
 type model struct {
-	figures   []*float64 // in an order that both sides know
+	figures   []*float64 // in the order of the snapshot
 	durations []*time.Duration
 	kinds     map[int]*machineInfo
 	zoneBusy  map[int]float64
@@ -40,23 +40,26 @@
 // model refers to the learnt figures of a dispatcher, but for those of workers.
 func (d *Dispatcher) model() model {
 	learnt := model{
-		figures:   []*float64{&d.longCut, &d.muShort, &d.meanWeight, &d.meanCost, &d.spread},
+		figures: []*float64{
+			&d.workload.longWorkThreshold, &d.workload.meanShortSojourn, &d.arrivals.meanWeight, &d.arrivals.meanCost,
+			&d.workload.meanAbsoluteLogError,
+		},
 		durations: []*time.Duration{&d.meanLateStart, &d.minStartDelay, &d.minCheckDelay},
-		kinds:     d.kinds,
+		kinds:     d.workload.kinds,
 		zoneBusy:  d.zoneBusy,
 	}
-	for class := range d.sizeCorrection {
-		for bucket := range d.sizeCorrection[class] {
-			learnt.figures = append(learnt.figures, &d.sizeCorrection[class][bucket])
+	for class := range d.workload.sizeCorrection {
+		for bucket := range d.workload.sizeCorrection[class] {
+			learnt.figures = append(learnt.figures, &d.workload.sizeCorrection[class][bucket])
 		}
 	}
-	for _, part := range [][]float64{d.overrunFactor, d.weights} {
+	for _, part := range [][]float64{d.workload.overrunRatio, d.workload.weights} {
 		for i := range part {
 			learnt.figures = append(learnt.figures, &part[i])
 		}
 	}
-	for class := range d.fullTimeout {
-		learnt.durations = append(learnt.durations, &d.fullTimeout[class])
+	for class := range d.objectives.firstTryTimeouts {
+		learnt.durations = append(learnt.durations, &d.objectives.firstTryTimeouts[class])
 	}
 	return learnt
 }
@@ -144,16 +147,17 @@
 
 // hasPlausibleModel tells whether all figures are such as a dispatcher could have learnt itself.
 func (d *Dispatcher) hasPlausibleModel() bool {
-	logs := append([]float64{d.longCut}, d.weights...)
-	for _, corrections := range d.sizeCorrection {
+	logs := append([]float64{d.workload.longWorkThreshold}, d.workload.weights...)
+	for _, corrections := range d.workload.sizeCorrection {
 		logs = append(logs, corrections[:]...)
 	}
 	isWide := func(x float64) bool { return math.Abs(x) > maxModelLog }
 	isBelowOne := func(x float64) bool { return x < 1 }
-	if slices.ContainsFunc(logs, isWide) || slices.ContainsFunc(d.overrunFactor, isBelowOne) {
+	if slices.ContainsFunc(logs, isWide) || slices.ContainsFunc(d.workload.overrunRatio, isBelowOne) {
 		return false
 	}
-	return d.spread > 0 && d.spread <= maxLogFeature && d.muShort > 0 && d.meanCost >= 0 &&
+	hasPlausibleError := d.workload.meanAbsoluteLogError > 0 && d.workload.meanAbsoluteLogError <= maxLogFeature
+	return hasPlausibleError && d.workload.meanShortSojourn > 0 && d.arrivals.meanCost >= 0 &&
 		d.meanLateStart > 0 && d.minStartDelay > 0 && d.minCheckDelay > 0
 }
 
@@ -175,7 +179,7 @@
 		*own.durations[i] = *x
 	}
 	for kind, k := range learnt.kinds {
-		*d.machineKind(kind) = *k
+		*d.workload.machineKind(kind) = *k
 	}
 	for zone, chance := range learnt.zoneBusy {
 		d.zoneBusy[zone] = chance
--- a/dispatch/model_test.go
+++ b/dispatch/model_test.go
@@ -42,7 +42,7 @@
 	}
 	d := fresh(ModelUpdate{Snapshot: snapshot, LoadShare: 0.5})
 	j := &jobInfo{Job: Job{Slots: 1, Hint: 100 * ms}, class: &set.Classes[0]}
-	if got, want := d.expectedWork(j), s.d.expectedWork(j); got != want {
+	if got, want := d.workload.expectedWork(j), s.d.workload.expectedWork(j); got != want {
 		t.Errorf("it expects %v, the source of its model %v", got, want)
 	}
 	for id, w := range s.d.workers {
@@ -52,7 +52,7 @@
 		}
 	}
 	for n := range snapshot {
-		if d := fresh(ModelUpdate{Snapshot: snapshot[:n], LoadShare: 1}); !reflect.DeepEqual(d.sizeCorrection, New(set, 1).sizeCorrection) || len(d.kinds) > 2 {
+		if d := fresh(ModelUpdate{Snapshot: snapshot[:n], LoadShare: 1}); !reflect.DeepEqual(d.workload.sizeCorrection, New(set, 1).workload.sizeCorrection) || len(d.workload.kinds) > 2 {
 			t.Fatalf("%d bytes of %d were taken over", n, len(snapshot))
 		}
 	}
--- a/dispatch/objective.go
+++ b/dispatch/objective.go
@@ -1,87 +1,119 @@
 package dispatch
 
-import "time"
+// Latency objectives. A job that can't meet its objective any more loses priority, so that it leaves the
+// queue after those that can, or is rejected in time where a late answer has no utility. The design does
+// not mention objectives; a rejection is an answer without an attempt.
 
-// Latency objectives. A job that can't meet its objective any more is demoted, so that it leaves after
-// those that can, or rejected in time where a late answer earns nothing. The design is silent on it; a
-// rejection is an answer without an attempt.
+import "time"
 
 const (
-	missCostSlope            = 4                     // the tail's credit falls over so many times the miss budget
-	explorationsPerRejection = 0.2                   // jobs sent though thought out of reach, for each rejected
-	maxExplorationTokens     = 4.0                   // and at once
-	objectiveRecheckInterval = 50 * time.Millisecond // a job that is late is looked at again after this
+	missCostSlope            = 4   // the utility of the tail falls to 0 over so many miss budgets
+	explorationsPerRejection = 0.2 // attempts at a job whose objective is thought unreachable
+	maxExplorationTokens     = 4.0
+	objectiveRecheckInterval = 50 * time.Millisecond // of a queued job that is late
 )
 
-// objectiveOf is the instant until which a job's answer earns in full. A client's retry has the objective
-// of its first try, which had the longest time left that its class has seen.
+// objectives are what the latency objectives of jobs depend on besides the settings.
+type objectives struct {
+	firstTryTimeouts []time.Duration // by class: the longest remaining time seen, which first tries have
+	exploration      tokenBucket     // admits jobs whose predicted completion misses their objective
+}
+
+func newObjectives(classes []Class) objectives {
+	return objectives{firstTryTimeouts: make([]time.Duration, len(classes))}
+}
+
+// firstTryTimeout returns the remaining time of a first try of a class, updated by that of a job at its
+// arrival.
+func (o *objectives) firstTryTimeout(class int, remaining, maxTimeout time.Duration) time.Duration {
+	o.firstTryTimeouts[class] = max(o.firstTryTimeouts[class], min(remaining, maxTimeout))
+	return o.firstTryTimeouts[class]
+}
+
+// explore reports whether a job is attempted although its objective is thought unreachable. What rejects
+// jobs must not prevent the correction of its own estimates.
+func (o *objectives) explore(isAllowed bool) bool {
+	o.exploration.tokens += explorationsPerRejection
+	if isAllowed && o.exploration.has(1) {
+		o.exploration.take(1)
+		return true
+	}
+	o.exploration.tokens = min(o.exploration.tokens, maxExplorationTokens)
+	return false
+}
+
+// objectiveOf returns the instant until which a job's answer has its full utility. A client's retry has the
+// objective of its first try, which had the longest remaining time seen of its class. age is the time since
+// the job's first arrival.
 func (d *Dispatcher) objectiveOf(job *jobInfo, age time.Duration) time.Duration {
-	full := &d.fullTimeout[job.Class]
-	*full = max(*full, min(job.Remaining+age, job.class.ClientTimeout))
-	elapsed := max(0, *full-max(job.Remaining, 0))
+	firstTryTimeout := d.objectives.firstTryTimeout(job.Class, job.Remaining+age, job.class.ClientTimeout)
+	elapsed := max(0, firstTryTimeout-max(job.Remaining, 0))
 	firstTryAt := d.now - elapsed
 	stretch := seconds(job.class.ObjectiveStretch * job.work)
 	return min(firstTryAt+job.class.LatencyObjective+stretch, job.deadline)
 }
 
-// handleObjectivePassed acts when no worker could meet an unstarted job's objective any more. It demotes the job,
-// as all would wait past tau else, or rejects it in time where a late answer is worthless.
+// handleObjectivePassed acts when no worker could meet an unstarted job's objective any more. It lowers the
+// job's priority, or rejects it in time where a late answer has no utility.
 func (d *Dispatcher) handleObjectivePassed(job *jobInfo) {
-	// What runs, or is in flight for one of many dispatchers, goes on: its client would only come again.
+	// What runs, or is in flight for one of many dispatchers, is not rejected: its client would only send
+	// it again.
 	isInFlightForMany := d.settings.Replicas > manyReplicas && job.inFlight > 0
 	job.recheckOnEnd = isInFlightForMany || job.isRunning()
 	if job.closed || job.recheckOnEnd {
 		return
 	}
-	worthless := d.lateHasNoUtility(job)
-	isDemotedForGood := job.priority == levelUnreachable && !worthless
-	if isDemotedForGood {
+	hasNoUtility := d.lateHasNoUtility(job)
+	isLoweredForGood := job.priority == levelUnreachable && !hasNoUtility
+	if isLoweredForGood {
 		return
 	}
-	if worthless && d.mayReject(job) && d.isObjectiveUnreachable(job) && !d.takeExplorationToken(job) {
+	if hasNoUtility && d.mayReject(job) && d.isObjectiveUnreachable(job) && !d.explores(job) {
 		d.finish(job)
 		return
 	}
 	if job.heapIndex >= 0 {
-		isNew := job.priority != levelUnreachable
-		job.priority = levelUnreachable
-		d.queue.reorder(job)
-		if isNew {
-			d.repeatLeaseRequests(job)
-		}
+		d.lowerPriority(job)
 	}
 	d.setTimer(&job.objectiveTimer, d.now+objectiveRecheckInterval)
 }
 
-// isObjectiveUnreachable tells whether a job would be late even if it ran as much shorter as the spread of runs allows.
+// lowerPriority gives a queued job the priority of those whose objective is unreachable.
+func (d *Dispatcher) lowerPriority(job *jobInfo) {
+	isLowered := job.priority != levelUnreachable
+	job.priority = levelUnreachable
+	d.queue.reorder(job)
+	if isLowered {
+		d.repeatLeaseRequests(job)
+	}
+}
+
+// isObjectiveUnreachable reports whether a job would be late even if it ran as much shorter than expected
+// as the error of predictions allows.
 func (d *Dispatcher) isObjectiveUnreachable(job *jobInfo) bool {
-	isDemotedInQueue := job.priority == levelUnreachable && job.inFlight == 0
-	return isDemotedInQueue || d.now+d.fastestRun(job, unreachableDeviations) > job.objectiveAt
+	isLoweredInQueue := job.priority == levelUnreachable && job.inFlight == 0
+	return isLoweredInQueue || d.now+d.workload.fastestRun(job, unreachableDeviations) > job.objectiveAt
 }
 
-// takeExplorationToken lets some go all the same while workers idle: what rejects jobs must not prevent its correction.
-func (d *Dispatcher) takeExplorationToken(job *jobInfo) bool {
-	d.trialTokens += explorationsPerRejection
-	isDue := d.trialTokens >= 1 && d.available.idle > 0
-	if job.priority == levelUnreachable || !isDue {
-		d.trialTokens = min(d.trialTokens, maxExplorationTokens)
-		return false
-	}
-	d.trialTokens--
-	return true
+// explores reports whether a job is attempted although its objective is thought unreachable. One whose
+// priority is lowered already is not, and none is while no worker is idle.
+func (d *Dispatcher) explores(job *jobInfo) bool {
+	return d.objectives.explore(job.priority != levelUnreachable && d.available.idle > 0)
 }
 
-// lateHasNoUtility tells whether a late answer earns less than its miss costs under the miss budget.
+// lateHasNoUtility reports whether a late answer has less utility than its miss costs under the miss
+// budget.
 func (d *Dispatcher) lateHasNoUtility(job *jobInfo) bool {
 	tailShare, lateValue := d.settings.TailShare, job.class.LateValue
 	if lateValue <= 0 {
 		return true
 	}
-	credit := lateValue * (1 - tailShare) * missCostSlope * d.settings.MissBudget
-	return tailShare > 0 && credit <= tailShare
+	utility := lateValue * (1 - tailShare) * missCostSlope * d.settings.MissBudget
+	return tailShare > 0 && utility <= tailShare
 }
 
-// canMeetObjective tells whether a job would meet its objective on a worker, or has no such hope on any.
+// canMeetObjective reports whether a job would meet its objective on a worker. A job whose priority is
+// lowered need not.
 func (d *Dispatcher) canMeetObjective(j *jobInfo, w *workerInfo) bool {
 	return j.isDeprioritized() || d.mayTryUncordoned(j, w) || d.now+d.expectedRun(j, w) <= j.objectiveAt
 }
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -22,13 +22,14 @@
 	return w.ejectionTime > 0 && (w.broken && !d.allBroken || !w.broken && !d.mostEjected)
 }
 
-// healthAllows lets an ejected worker have one short idempotent job once its time is over, one such trial at
-// once: where a whole zone is gone, its empty workers would draw all that is sent.
+// healthAllows lets an ejected worker have one short idempotent job once its time is over, one such trial
+// at once: where a whole zone is gone, its empty workers would draw all that is sent.
 func (d *Dispatcher) healthAllows(j *jobInfo, w *workerInfo) bool {
 	if !d.isEjected(w) {
 		return true
 	}
-	return j.class.Idempotency == Idempotent && d.isShort(j) && d.now >= max(w.ejectedUntil, d.nextTrialAt) &&
+	return j.class.Idempotency == Idempotent && d.workload.isShort(j) &&
+		d.now >= max(w.ejectedUntil, d.nextTrialAt) &&
 		len(w.inFlight) == 0
 }
 
@@ -54,7 +55,7 @@
 		d.markAlive(worker)
 		d.learnFromRun(attempt, d.now-attempt.startedAt)
 		if !d.settings.StartNotifications { // by sizes as known now: with low hints all would look late
-			stretch := seconds(job.class.ObjectiveStretch * d.expectedWork(job) / worker.speed)
+			stretch := seconds(job.class.ObjectiveStretch * d.workload.expectedWork(job) / worker.speed)
 			d.adjustLimit(attempt, d.now-attempt.sentAt <= job.class.LatencyObjective+stretch)
 		}
 	case WorkerFull:
@@ -112,11 +113,11 @@
 	switch run := d.now - attempt.startedAt; {
 	case !attempt.started:
 		d.onLateStart(attempt)
-	case run < d.maxPlausibleRun(attempt): // it started, or the spread grew, since the timer was set
+	case run < d.workload.maxPlausibleRun(attempt): // it started, or the spread grew, since the timer was set
 		return
 	default:
-		d.observeOverrun(attempt, run)
-		shown := math.Log(d.expectedWork(attempt.job) / run.Seconds())
+		d.workload.observeOverrun(attempt.job.Class, run.Seconds(), attempt.expectedRun.Seconds())
+		shown := math.Log(d.workload.expectedWork(attempt.job) / run.Seconds())
 		d.learnSpeed(attempt.worker, min(attempt.worker.logSpeed, shown))
 	}
 	if d.isStuck(attempt) || d.isHedgedEarly(attempt) {
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -67,7 +67,7 @@
 
 // newUnlistedWorker is the worker of a past attempt that no list has named. It is known while the attempt is in flight.
 func (d *Dispatcher) newUnlistedWorker(past PastAttempt) *workerInfo {
-	machine := d.machineKind(unknownKind)
+	machine := d.workload.machineKind(unknownKind)
 	w := &workerInfo{
 		Worker: Worker{ID: past.Worker, Kind: unknownKind, Cell: math.MinInt, Zone: math.MinInt},
 		limit:  1, machine: machine, speed: math.Exp(machine.logSpeed),
--- a/dispatch/peers_test.go
+++ b/dispatch/peers_test.go
@@ -89,7 +89,7 @@
 	s.busy(1)
 	s.d.workers[1].limit = 1
 	s.step(WorkerList{Kind: ListDelta, Workers: []Worker{{ID: 2}}})
-	s.d.muShort = 0.1 // tau 0.3 s
+	s.d.workload.meanShortSojourn = 0.1 // tau 0.3 s
 	late := s.job(9, 1, 300*ms)
 	late.Remaining -= 500 * ms
 	s.jobs[8], s.jobs[9] = &harnessJob{}, &harnessJob{}
@@ -115,15 +115,15 @@
 	set.TenantQuota, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = []float64{1}, time.Minute, 0.2, 1.5, time.Second
 	s := newHarness(t, set)
 	s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 1, Ready: true, BootAt: s.now - time.Second}}})
-	quota := s.d.quotaTokens[0]
+	quota := s.d.quotas.buckets[0].tokens
 	for id := range uint64(20) {
 		s.step(JobResumed{Job: s.job(id+1, 0, 50*ms), Attempts: []PastAttempt{{Worker: 1, SentAgo: 10 * ms, Ended: true, Result: WorkerFull}}})
 		s.step(JobResumed{Job: s.job(id+100, 0, 50*ms), Age: time.Second, QuotaCharged: true})
 	}
-	if s.d.quotaTokens[0] != quota || len(s.d.workers[1].warmUpSpends) != 20 {
-		t.Errorf("quota %v of %v, %d spends at the warming worker", s.d.quotaTokens[0], quota, len(s.d.workers[1].warmUpSpends))
+	if s.d.quotas.buckets[0].tokens != quota || len(s.d.workers[1].warmUpSpends) != 20 {
+		t.Errorf("quota %v of %v, %d spends at the warming worker", s.d.quotas.buckets[0].tokens, quota, len(s.d.workers[1].warmUpSpends))
 	}
-	if s.step(JobResumed{Job: s.job(200, 0, 50*ms), Age: time.Second}); s.d.quotaRefilledAt[0] != s.now {
+	if s.step(JobResumed{Job: s.job(200, 0, 50*ms), Age: time.Second}); s.d.quotas.refilledAt[0] != s.now {
 		t.Error("one that has waited elsewhere is not charged to the quota")
 	}
 }
--- a/dispatch/picker.go
+++ b/dispatch/picker.go
@@ -52,8 +52,8 @@
 	return search.worker, false
 }
 
-// considerPreferred compares the workers of a level that this dispatcher prefers, and tells whether one will
-// do: else others are drawn. One more for each earlier attempt makes up for the worker that had it.
+// considerPreferred compares the workers of a level that this dispatcher prefers, and tells whether one
+// will do: else others are drawn. One more for each earlier attempt makes up for the worker that had it.
 func (d *Dispatcher) considerPreferred(
 	search *choice, job *jobInfo, bucket *bucket, level []*workerInfo, levelCost float64,
 ) bool {
--- a/dispatch/picker_test.go
+++ b/dispatch/picker_test.go
@@ -52,7 +52,7 @@
 		t.Fatalf("the slow worker got %d of 30 jobs that would miss their objective on it", tried[slow])
 	}
 	s.wait(time.Minute)
-	if math.Abs(s.d.workers[slow].logSpeed-s.d.machineKind(0).logSpeed) > 0.1 {
+	if math.Abs(s.d.workers[slow].logSpeed-s.d.workload.machineKind(0).logSpeed) > 0.1 {
 		t.Fatal("a minute without observations has not brought the slow worker back")
 	}
 }
--- a/dispatch/prediction.go
+++ b/dispatch/prediction.go
@@ -5,69 +5,73 @@
 	"time"
 )
 
-// Prediction: the score of a job is its chance of running long, by an online logistic model over the
-// hint, the slots and the class, and the key's past, as the design has it in place of the paper's model
-// of prompts. Logs are natural.
+// Prediction, by the design's sentence: a job's score is its chance of running long, by a small online
+// logistic model over the cost hint, slots asked and class, plus the key's past run time. Logs are natural.
 
 const (
-	longRunShare          = 0.3  // of jobs are long: the cut is this learnt quantile
-	longThresholdStep     = 0.02 // of the cut, in logs a run
-	slowMeanGain          = 0.01 // of means over a long window
-	maxSojournMultiple    = 10   // mean sojourns that a single one counts as, at most
-	logisticLearningRate  = 0.05 // of the model's weights
-	minHintWeight         = 0.1  // a longer hint never counts as shorter
-	maxLogFeature         = 4.0  // log, about a factor of fifty
-	sizeCorrectionGain    = 0.03 // sizes follow many workers, so that no slow one bends them
-	maxLogSizeError       = 2.0  // log, before the rate
-	minWorkSeconds        = 1e-4 // seconds
-	overrunDeviations     = 2.5  // a run is too long by this many mean log distances of runs from the expected
-	unreachableDeviations = 2.0  // and an objective out of reach that a run shorter by this many would not meet
-	minSpeedGain          = 0.2  // a worker's speed follows its last five or so jobs
-	maxLogKindSpeedError  = 1.0  // log, of a kind's speed at one job, before its rate
+	longRunShare         = 0.3  // of jobs are long: the threshold is this quantile of work, as estimated
+	longThresholdStep    = 0.02 // log of work, of the threshold at one run
+	slowMeanGain         = 0.01 // of means over a long window: the part of one observation
+	maxSojournMultiple   = 10   // mean sojourns that a single one counts as, at most
+	logisticLearningRate = 0.05 // of the weights, at one run
+	minHintWeight        = 0.1  // a longer hint never counts as shorter
+	maxLogFeature        = 4.0  // log, about a factor of fifty
+	sizeCorrectionGain   = 0.03 // sizes follow many workers, so that no slow one bends them
+	maxLogSizeError      = 2.0  // log, of one run
+	minWorkSeconds       = 1e-4
+	overrunDeviations    = 2.5 // mean absolute log errors beyond the expected run that are still plausible
+	// unreachableDeviations are the mean absolute log errors by which a run may be shorter than expected:
+	// an objective that it would miss even then is unreachable.
+	unreachableDeviations = 2.0
+	minSpeedGain          = 0.2 // of a worker's speed, which follows its last five or so runs
+	maxLogKindSpeedError  = 1.0 // log, of one run against the speed of its worker's kind
 )
 
-// longScore is the paper's score of a job: its chance of running long.
-func (d *Dispatcher) longScore(j *jobInfo) float64 {
-	hint, slots := d.features(j)
-	n := len(d.settings.Classes)
-	return 1 / (1 + math.Exp(-(d.weights[j.Class] + d.weights[n]*hint + d.weights[n+1]*slots)))
+// longScore returns the paper's score of a job: its chance of running long.
+func (m *workloadModel) longScore(job *jobInfo) float64 {
+	hint, slots := m.features(job)
+	sum := m.weights[job.Class] + m.weights[m.hintWeight()]*hint + m.weights[m.slotsWeight()]*slots
+	return 1 / (1 + math.Exp(-sum))
 }
 
-// features are those of the logistic model: how far a job's work lies beyond the cut, and its slots, both
-// in logs.
-func (d *Dispatcher) features(j *jobInfo) (hint, slots float64) {
-	return clamp(math.Log(j.work)-d.longCut, maxLogFeature), clamp(math.Log2(j.Slots), maxLogFeature)
+// features returns those of the logistic model: how far a job's work lies beyond the threshold of long
+// jobs, and its slots, both in logs.
+func (m *workloadModel) features(job *jobInfo) (hint, slots float64) {
+	hint = clamp(math.Log(job.work)-m.longWorkThreshold, maxLogFeature)
+	slots = clamp(math.Log2(job.Slots), maxLogFeature)
+	return hint, slots
 }
 
-func slotBucket(j *jobInfo) int { return min(slotBuckets-1, int(math.Log2(j.Slots))) }
+func slotBucket(job *jobInfo) int { return min(slotBuckets-1, int(math.Log2(job.Slots))) }
 
-// isShort tells whether a job is expected to run for less than the cut between short and long.
-func (d *Dispatcher) isShort(j *jobInfo) bool { return math.Log(j.work) < d.longCut }
+// isShort reports whether a job's expected work is below the threshold of long jobs.
+func (m *workloadModel) isShort(job *jobInfo) bool { return math.Log(job.work) < m.longWorkThreshold }
 
-// expectedWork is a job's run time on a worker of speed 1, in seconds, by what has been learnt.
-func (d *Dispatcher) expectedWork(j *jobInfo) float64 {
-	guess := j.class.LatencyObjective // without a hint it stands in, and the correction does the rest
-	if j.Hint > 0 {
-		guess = j.Hint
+// expectedWork returns a job's expected run time on a worker of speed 1, in seconds.
+func (m *workloadModel) expectedWork(job *jobInfo) float64 {
+	guess := job.class.LatencyObjective // in place of a hint; the correction does the rest
+	if job.Hint > 0 {
+		guess = job.Hint
 	}
-	work := max(guess.Seconds(), minWorkSeconds) * math.Exp(d.sizeCorrection[j.Class][slotBucket(j)])
-	if past := d.keyWork[j.Key]; past > 0 {
+	work := max(guess.Seconds(), minWorkSeconds) * math.Exp(m.sizeCorrection[job.Class][slotBucket(job)])
+	if past := m.keyWork[job.Key]; past > 0 {
 		work = math.Sqrt(work * past) // the key's past is a second estimate of equal weight
 	}
 	return work
 }
 
-// expectedRun is a job's run time on a worker as it is now.
-func (d *Dispatcher) expectedRun(j *jobInfo, w *workerInfo) time.Duration {
-	return seconds(j.work / (w.speed * d.warmUpShare(w)))
+// fastestRun returns a job's run time on the fastest ready worker, if it is shorter than expected by so
+// many mean absolute log errors.
+func (m *workloadModel) fastestRun(job *jobInfo, deviations float64) time.Duration {
+	return seconds(job.work / math.Exp(m.maxLogSpeed+deviations*m.meanAbsoluteLogError))
 }
 
-// fastestRun is a job's run time on the fastest ready worker, if it runs shorter by so many spreads.
-func (d *Dispatcher) fastestRun(j *jobInfo, spreads float64) time.Duration {
-	return seconds(j.work / math.Exp(d.topSpeed+spreads*d.spread))
+// maxPlausibleRun returns the longest run that the error of hints and runs explains.
+func (m *workloadModel) maxPlausibleRun(attempt *attemptInfo) time.Duration {
+	return seconds(attempt.expectedRun.Seconds() * math.Exp(overrunDeviations*m.meanAbsoluteLogError))
 }
 
-// maxPlausibleRun is the longest run that the noise of hints and runs explains.
-func (d *Dispatcher) maxPlausibleRun(a *attemptInfo) time.Duration {
-	return seconds(a.expectedRun.Seconds() * math.Exp(overrunDeviations*d.spread))
+// expectedRun returns a job's run time on a worker at present.
+func (d *Dispatcher) expectedRun(j *jobInfo, w *workerInfo) time.Duration {
+	return seconds(j.work / (w.speed * d.warmUpShare(w)))
 }
--- a/dispatch/predictor_test.go
+++ b/dispatch/predictor_test.go
@@ -10,14 +10,14 @@
 	d := New(testSettings(), 1)
 	mk := func(class int, hint time.Duration) *jobInfo {
 		j := &jobInfo{Job: Job{Class: class, Hint: hint, Slots: 1}, class: &d.settings.Classes[class]}
-		j.work = d.expectedWork(j)
+		j.work = d.workload.expectedWork(j)
 		return j
 	}
-	if d.longScore(mk(0, 100*ms)) >= d.longScore(mk(0, 200*ms)) {
+	if d.workload.longScore(mk(0, 100*ms)) >= d.workload.longScore(mk(0, 200*ms)) {
 		t.Fatal("untrained, a longer hint does not raise the chance of running long")
 	}
 	for _, hint := range []time.Duration{0, 1, math.MaxInt64} {
-		if p := d.longScore(mk(0, hint)); math.IsNaN(p) || p < 0 || p > 1 {
+		if p := d.workload.longScore(mk(0, hint)); math.IsNaN(p) || p < 0 || p > 1 {
 			t.Fatalf("hint %v gives chance %v", hint, p)
 		}
 	}
@@ -27,7 +27,7 @@
 	keyed.Key = 5
 	d.learnFromRun(&attemptInfo{job: keyed, worker: w}, 5*time.Second)
 	other := mk(0, 0)
-	if keyed.work = d.expectedWork(keyed); d.longScore(keyed) <= d.longScore(other) {
+	if keyed.work = d.workload.expectedWork(keyed); d.workload.longScore(keyed) <= d.workload.longScore(other) {
 		t.Fatal("a key that ran long does not raise the chance of running long")
 	}
 	for range 300 {
@@ -36,7 +36,7 @@
 			d.learnFromRun(a, run)
 		}
 	}
-	if d.longScore(mk(0, 0)) >= d.longScore(mk(1, 0)) {
+	if d.workload.longScore(mk(0, 0)) >= d.workload.longScore(mk(1, 0)) {
 		t.Fatal("without hints the class that runs long is not ranked as long")
 	}
 }
@@ -66,7 +66,7 @@
 		mean := 0.0
 		for _, w := range f.d.workerList {
 			mean += w.logSpeed / float64(len(f.d.workerList))
-			deviation := math.Log(f.d.expectedWork(j)) - w.logSpeed - math.Log(f.run.Seconds())
+			deviation := math.Log(f.d.workload.expectedWork(j)) - w.logSpeed - math.Log(f.run.Seconds())
 			if w.runs >= 5 && math.Abs(deviation) > 1 {
 				t.Fatalf("%+v: a run is expected to take %.2f times its time", c, math.Exp(deviation))
 			}
@@ -84,7 +84,7 @@
 	for _, nodes := range []int{5, 300} {
 		f := newFleet(nodes, scaleSettings())
 		f.serve(nodes, time.Second)
-		for _, k := range f.d.kinds {
+		for _, k := range f.d.workload.kinds {
 			k.logSpeed = -6
 		}
 		for _, w := range f.d.workerList {
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -1,16 +1,20 @@
 package dispatch
 
-// The queue, by the paper's and the design's sentence: at each release jobs held for over tau = 3 x
-// mu_short leave first, the oldest of them first; otherwise the lowest score leaves, ties to the oldest.
+// The queue, by the paper's and the design's sentence: at each release jobs held over tau = 3 x mu_short
+// leave first, oldest first; otherwise the lowest score leaves, ties to the oldest.
 
-import "cmp"
+import (
+	"cmp"
+	"time"
+)
 
 const (
 	tauFactor          = 3.0 // tau is so many mean sojourns of short jobs, as in the paper
-	maxSkippedPerCycle = 12  // jobs that fit nowhere and are set aside in one pass
+	maxSkippedPerCycle = 12  // jobs that fit no worker; a dispatch cycle ends with the last of them
 )
 
-// leavesBefore is the order of queued jobs: first those that can earn in full, by their chance to run long.
+// leavesBefore is the order of queued jobs: first those that may have their full utility, by their chance
+// of running long.
 func leavesBefore(a, b *jobInfo) bool {
 	if a.skipCount == b.skipCount && a.isDeprioritized() != b.isDeprioritized() {
 		return b.isDeprioritized()
@@ -24,72 +28,80 @@
 	return cmp.Or(cmp.Compare(a.skipCount, b.skipCount), cmp.Compare(a.promoteAt, b.promoteAt)) < 0
 }
 
+// next returns the job to leave next, nil if there is none: the oldest queued for longer than tau, else the
+// first by score. Jobs of blocked demand classes stay.
+func (q *jobQueue) next(now time.Duration) *jobInfo {
+	var first, oldest *jobInfo
+	for i := range q.demandClasses {
+		class := &q.demandClasses[i]
+		if class.blocked || class.byScore.empty() {
+			continue
+		}
+		if job := class.byScore.first(); first == nil || leavesBefore(job, first) {
+			first = job
+		}
+		if job := class.firstByPromotion(); job != nil && (oldest == nil || promotedBefore(job, oldest)) {
+			oldest = job
+		}
+	}
+	if oldest != nil && now > oldest.promoteAt && !q.demandClasses[oldest.demandClass].blocked {
+		return oldest
+	}
+	return first
+}
+
+// losesPromotion reports whether a job's place by promotion is void: it has left, or its priority is
+// lowered.
+func (j *jobInfo) losesPromotion() bool { return j.heapIndex < 0 || j.isDeprioritized() }
+
+// enqueue queues a job that is owed an answer and whose response has not begun, if it is not queued.
 func (d *Dispatcher) enqueue(job *jobInfo) {
 	if job.heapIndex >= 0 || job.closed || job.streaming {
 		return
 	}
 	isRestricted := len(job.attempts) > 0 || job.withoutLease
-	job.demandClass = demandClassOf(d.placementGroups[job.Class], slotBucket(job), isRestricted)
+	job.demandClass = demandClassOf(d.queue.placementGroups[job.Class], slotBucket(job), isRestricted)
 	d.queue.push(job)
-	defer d.requestFirstLease(job) // once it is known when the job is promoted
-	if job.inPromotions {          // its entry has stayed
-		return
+	if !job.inPromotions {
+		urgency := d.arrivals.urgency(job.class.PriorityWeight)
+		job.promoteAt = job.arrivedAt + seconds(tauFactor*d.workload.meanShortSojourn*urgency)
+		d.queue.pushPromotion(job)
 	}
-	// Valuable jobs are promoted sooner: under overload capacity goes to what earns most.
-	urgency := min(1, (d.meanWeight+1e-9)/(max(job.class.PriorityWeight, 0)+1e-9))
-	job.promoteAt = job.arrivedAt + seconds(tauFactor*d.muShort*urgency)
-	d.queue.pushPromotion(job)
+	d.requestFirstLease(job)
 }
 
-// dispatchQueued sends queued jobs, in order, while some worker can start them now.
+// dispatchQueued is a dispatch cycle: it sends queued jobs, in order, while some worker can start them now.
 func (d *Dispatcher) dispatchQueued() {
 	d.prepareDispatch()
-	for len(d.skipped) < maxSkippedPerCycle && !d.isBackedUp() {
-		j := d.nextJob()
-		if j == nil {
+	for len(d.queue.skipped) < maxSkippedPerCycle && !d.isBackedUp() {
+		job := d.queue.next(d.now)
+		if job == nil {
 			break
 		}
-		d.dispatchJob(j)
-	}
-	for i, j := range d.skipped {
-		if len(d.skipped) == maxSkippedPerCycle { // the next pass tries other jobs first: they may fit
-			j.skipCount++
-		}
-		d.enqueue(j)
-		d.skipped[i] = nil
+		d.dispatchJob(job)
 	}
-	d.skipped = d.skipped[:0]
+	d.requeueSkipped()
 }
 
-// nextJob is the job to leave next: the oldest over tau, else the first by score. Blocked shapes wait.
-func (d *Dispatcher) nextJob() *jobInfo {
-	var first, oldest *jobInfo
-	for i := range d.queue.demandClasses {
-		s := &d.queue.demandClasses[i]
-		if s.blocked || s.byScore.empty() {
-			continue
-		}
-		if j := s.byScore.first(); first == nil || leavesBefore(j, first) {
-			first = j
+// requeueSkipped queues the jobs that fitted no worker again. If they ended the cycle, the next one tries
+// other jobs first, as these may fit.
+func (d *Dispatcher) requeueSkipped() {
+	haveEndedCycle := len(d.queue.skipped) == maxSkippedPerCycle
+	for i, job := range d.queue.skipped {
+		if haveEndedCycle {
+			job.skipCount++
 		}
-		if j := s.firstByPromotion(); j != nil && (oldest == nil || promotedBefore(j, oldest)) {
-			oldest = j
-		}
-	}
-	if oldest != nil && d.now > oldest.promoteAt && !d.queue.demandClasses[oldest.demandClass].blocked {
-		return oldest
+		d.enqueue(job)
+		d.queue.skipped[i] = nil
 	}
-	return first
+	d.queue.skipped = d.queue.skipped[:0]
 }
 
-// losesPromotion tells whether a job's place by promotion is void: it has left, or cannot earn in full.
-func (j *jobInfo) losesPromotion() bool { return j.heapIndex < 0 || j.isDeprioritized() }
-
-// dispatchJob sends a job to the worker chosen for it. One that fits nowhere is deferred; where only capacity is
-// missing, no other job of its shape is tried in this pass.
+// dispatchJob sends a job to the worker chosen for it. One that fits no worker is skipped; where only
+// capacity is missing, no other job of its demand class is tried in this cycle.
 func (d *Dispatcher) dispatchJob(job *jobInfo) {
-	if d.lateCount > 0 && d.isSharded() && !d.isShort(job) { // our few workers have little capacity
-		d.skipJob(job)
+	if d.lateCount > 0 && d.isSharded() && !d.workload.isShort(job) { // our few workers have little capacity
+		d.queue.skip(job)
 		return
 	}
 	if job.awaitsLease() {
@@ -102,26 +114,26 @@
 	}
 	switch {
 	case worker != nil:
-		d.dequeue(job)
+		d.queue.remove(job)
 		d.takeSlots(d.send(job, worker))
 		d.reindex(worker)
 	case lacksCapacity:
 		d.queue.demandClasses[job.demandClass].blocked = true
 	default:
-		d.skipJob(job)
+		d.queue.skip(job)
 	}
 }
 
-// skipAwaitingLease passes over a job that awaits a lease, and the jobs of its shape, which do so too. Among jobs
-// that were sent before there are also such as leave without one.
+// skipAwaitingLease skips a job that awaits a lease, and the other jobs of its demand class, which do so
+// too. Only among jobs that were sent before there are such as leave without one.
 func (d *Dispatcher) skipAwaitingLease(job *jobInfo) {
 	if isRestrictedDemandClass(job.demandClass) {
-		d.skipJob(job)
+		d.queue.skip(job)
 	} else {
 		d.queue.demandClasses[job.demandClass].blocked = true
 	}
 }
 
-// isSharded tells whether each worker is assigned to a few dispatchers, so that how our own jobs fare there
-// tells of their capacity.
+// isSharded reports whether each worker is assigned to a few dispatchers, so that the delays of this one's
+// jobs show how much capacity a worker has.
 func (d *Dispatcher) isSharded() bool { return len(d.workerList) > 0 && d.workerList[0].Assignees > 1 }
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -23,7 +23,7 @@
 			s.workers(1)
 			s.busy(1)
 			s.d.workers[1].limit = 1
-			s.d.muShort = c.mu
+			s.d.workload.meanShortSojourn = c.mu
 			for n, h := range c.hints {
 				s.now += ms
 				s.step(s.job(uint64(10+n), 1, h))
@@ -60,7 +60,7 @@
 	s := newHarness(t, set)
 	s.workers(1)
 	s.busy(1)
-	s.d.workers[1].limit, s.d.muShort = 1, 0.1 // tau 0.3 s, less than half that where worth is 8
+	s.d.workers[1].limit, s.d.workload.meanShortSojourn = 1, 0.1 // tau 0.3 s, less than half that where worth is 8
 	s.step(s.job(10, 0, 400*ms), s.job(11, 1, 800*ms))
 	s.wait(200 * ms)
 	s.step(s.done(1, 0, 1, OK))
--- a/dispatch/quota.go
+++ b/dispatch/quota.go
@@ -1,35 +1,65 @@
 package dispatch
 
-import "cmp"
+// Quotas of tenants, shared between dispatchers. The design does not mention them: a job over its tenant's
+// quota leaves the queue after the others.
 
-// Quotas of tenants, shared between dispatchers. The design is silent on them: a job over quota leaves
-// after the others.
+import (
+	"cmp"
+	"time"
+)
 
 const (
-	minQuotaBurst     = 8.0 // jobs of a tenant at once, however small our share of its quota
-	quotaBurstSeconds = 2   // seconds of a tenant's quota, at once
+	minQuotaBurst     = 8.0 // jobs of a tenant at once, however small this dispatcher's share of its quota
+	quotaBurstSeconds = 2   // seconds of a tenant's quota that it may use at once
 )
 
-// chargeQuota demotes a job whose tenant is beyond this dispatcher's share of its quota.
-func (d *Dispatcher) chargeQuota(job *jobInfo) {
-	isKnownTenant := job.Tenant >= 0 && job.Tenant < len(d.quotaTokens)
-	if !isKnownTenant || d.settings.TenantQuota[job.Tenant] <= 0 {
-		return
+// tenantQuotas limits the rate of each tenant's jobs by a token bucket.
+type tenantQuotas struct {
+	jobsPerSecond []float64       // by tenant, over all dispatchers; 0: no limit
+	buckets       []tokenBucket   // by tenant
+	refilledAt    []time.Duration // by tenant
+}
+
+// newTenantQuotas returns quotas of which one second's worth may be used at once.
+func newTenantQuotas(jobsPerSecond []float64) tenantQuotas {
+	quotas := tenantQuotas{
+		jobsPerSecond: jobsPerSecond,
+		buckets:       make([]tokenBucket, len(jobsPerSecond)),
+		refilledAt:    make([]time.Duration, len(jobsPerSecond)),
+	}
+	for tenant, rate := range jobsPerSecond {
+		quotas.buckets[tenant].tokens = rate
+	}
+	return quotas
+}
+
+// charge takes a job off a tenant's quota, of which this dispatcher has a share. It reports whether the job
+// is within it. An unknown tenant has no limit.
+func (q *tenantQuotas) charge(tenant int, share float64, now time.Duration) (withinQuota bool) {
+	isKnown := tenant >= 0 && tenant < len(q.buckets)
+	if !isKnown || q.jobsPerSecond[tenant] <= 0 {
+		return true
+	}
+	rate := q.jobsPerSecond[tenant] * share
+	capacity := max(quotaBurstSeconds*rate, minQuotaBurst)
+	bucket := &q.buckets[tenant]
+	bucket.add(rate*(now-q.refilledAt[tenant]).Seconds(), capacity)
+	q.refilledAt[tenant] = now
+	if !bucket.has(1) {
+		return false
 	}
-	rate := d.settings.TenantQuota[job.Tenant] * d.quotaShare()
-	burst := max(quotaBurstSeconds*rate, minQuotaBurst)
-	refill := rate * (d.now - d.quotaRefilledAt[job.Tenant]).Seconds()
-	tokens := min(d.quotaTokens[job.Tenant]+refill, burst)
-	d.quotaRefilledAt[job.Tenant] = d.now
-	if tokens < 1 {
+	bucket.take(1)
+	return true
+}
+
+// chargeQuota lowers the priority of a job whose tenant is over this dispatcher's share of its quota.
+func (d *Dispatcher) chargeQuota(job *jobInfo) {
+	if !d.quotas.charge(job.Tenant, d.quotaShare(), d.now) {
 		job.priority = levelOverQuota
-	} else {
-		tokens--
 	}
-	d.quotaTokens[job.Tenant] = tokens
 }
 
-// quotaShare is this dispatcher's of each tenant's quota.
+// quotaShare returns this dispatcher's share of each tenant's quota.
 func (d *Dispatcher) quotaShare() float64 {
 	if d.sharing.QuotaShare > 0 {
 		return d.sharing.QuotaShare
--- a/dispatch/reservation.go
+++ b/dispatch/reservation.go
@@ -3,8 +3,9 @@
 // Reservations: a worker that is kept free for a large job past tau. The design has jobs past tau leave
 // first, and one that fits nowhere would never leave while smaller ones take each slot.
 
-// reserveWorker keeps the worker with least to finish free for a large job that is over tau and fits nowhere:
-// smaller jobs would backfill it for ever. Sent before it fits, the job would block the worker's own queue.
+// reserveWorker keeps the worker with least to finish free for a large job that is over tau and fits
+// nowhere: smaller jobs would backfill it for ever. Sent before it fits, the job would block the worker's
+// own queue.
 func (d *Dispatcher) reserveWorker(job *jobInfo) {
 	if d.reserved != nil && d.reserved.Ready {
 		return
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -5,16 +5,15 @@
 	"time"
 )
 
-// Retries: when a worker may be sent a job, for the first time or again, and what follows from the end of
-// an attempt. The design is silent on them; they follow from the idempotency of a job's class.
+// Retries: when a worker may be sent a job, for the first time or again, and what follows from the end of an
+// attempt. The design does not mention them; they follow from the idempotency of a job's class.
 
-// deduplicationMarginDivisor is the part of a deduplication window that is left for delays, or repeatMargin if that
-// is more.
-const deduplicationMarginDivisor = 20
+// windowMarginDivisor: a deduplication window divided by this is left for delays, or repeatMargin if that
+// if that is more.
+const windowMarginDivisor = 20
 
-// repeatMargin is what may pass between the choice of a worker and the last byte there, besides connecting:
-// the process may be held up for 150 ms, a request goes in parts for 50 ms at most, and the rest is for the
-// way.
+// repeatMargin is the longest time between the choice of a worker and the arrival of the last byte there, besides
+// connecting: a stall of the process of 150 ms, 50 ms for a request that is written in parts, and transmission.
 const repeatMargin = 210 * time.Millisecond
 
 // provesNotExecuted are the results of attempts that ran nothing.
@@ -24,7 +23,8 @@
 	return !a.ended || int(a.result) >= len(provesNotExecuted) || !provesNotExecuted[a.result]
 }
 
-// mayAttempt is the one place that knows when a worker may be sent a job, for the first time or again.
+// mayAttempt reports whether a worker may be sent a job, for the first time or again. No other function decides
+// this.
 func (d *Dispatcher) mayAttempt(j *jobInfo, w *workerInfo) bool {
 	if j.closed || j.streaming || d.now >= j.deadline || d.isAtLimit(j) ||
 		j.inFlight > 0 && !d.settings.Hedging {
@@ -35,7 +35,7 @@
 	})
 }
 
-// mayRepeat tells whether a worker may be sent the job of an attempt that was possibly executed.
+// mayRepeat reports whether a worker may be sent the job of an attempt that was possibly executed.
 func (d *Dispatcher) mayRepeat(class *Class, a *attemptInfo, w *workerInfo) bool {
 	if class.Idempotency != IdempotentWithKey {
 		return class.Idempotency == Idempotent
@@ -44,11 +44,11 @@
 	if scope == ScopeZone && a.zone != w.Zone || scope == ScopeCell && a.cell != w.Cell {
 		return false
 	}
-	margin := max(class.DeduplicationWindow/deduplicationMarginDivisor, d.settings.ConnectTimeout+repeatMargin)
+	margin := max(class.DeduplicationWindow/windowMarginDivisor, d.settings.ConnectTimeout+repeatMargin)
 	return d.now-a.sentAt < class.DeduplicationWindow-margin
 }
 
-// mayReject tells whether the client may be told that another try is harmless.
+// mayReject reports whether a job may be rejected: that promises the client that sending it again is harmless.
 func (d *Dispatcher) mayReject(j *jobInfo) bool {
 	return j.class.Idempotency == Idempotent ||
 		j.class.Idempotency == IdempotentWithKey && j.class.DeduplicationScope == ScopeAll ||
@@ -59,7 +59,7 @@
 	return len(j.attempts) >= max(1, d.settings.AttemptLimit)
 }
 
-// handleOutcome takes in the end of an attempt: its job ends, or is queued for another one.
+// handleOutcome applies the end of an attempt: its job ends, or is queued for another attempt.
 func (d *Dispatcher) handleOutcome(outcome Outcome) {
 	attempt := d.findInFlight(outcome.Job, outcome.Attempt, outcome.Worker)
 	if attempt == nil {
@@ -67,11 +67,11 @@
 	}
 	job := attempt.job
 	d.endAttempt(attempt, outcome)
-	if !attempt.orphaned { // else it tells of a process that has gone
+	if !attempt.orphaned { // else its worker's process has ended, and the result says nothing of the present one
 		d.onResult(attempt)
 	}
 	d.forgetWorker(attempt.worker)
-	if job.recheckOnEnd && !job.closed { // in flight at its objective, it was not looked at again
+	if job.recheckOnEnd && !job.closed {
 		job.recheckOnEnd = false
 		d.setTimer(&job.objectiveTimer, d.now)
 	}
@@ -82,7 +82,8 @@
 	}
 }
 
-// requeue queues a job for a further attempt, where none is in flight and one may be made.
+// requeue queues a job for a further attempt if none is in flight. A job that may not be attempted again is
+// finished.
 func (d *Dispatcher) requeue(j *jobInfo) {
 	switch {
 	case j.heapIndex >= 0 || j.inFlight > 0:
--- a/dispatch/shards.go
+++ b/dispatch/shards.go
@@ -66,8 +66,8 @@
 	return ranked
 }
 
-// coordinatorOf is the dispatcher that coordinates a shard, as far as is known; not ok: none of those ranked
-// answers.
+// coordinatorOf is the dispatcher that coordinates a shard, as far as is known; not ok: none of those
+// ranked answers.
 func (p *peerDirectory) coordinatorOf(shard Shard, now time.Duration) (peer int, ok bool) {
 	for _, peer := range p.rank(shard) {
 		if p.avoidedUntil[peer] <= now && p.distrusted[peer] <= now {
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -31,13 +31,13 @@
 	budget := d.warmUpBudget(worker)
 	rank, assignees := d.assigneeRank(worker)
 	// Equal parts for many dispatchers would hold no job: all agree on a few owners of each worker.
-	owners := max(1, min(assignees, int(budget/(jobsPerOwner*d.meanCost+1e-9))))
+	owners := max(1, min(assignees, int(budget/(jobsPerOwner*d.arrivals.meanCost+divisionGuard))))
 	isOwner := rank < owners || worker.uncordonedAt > 0 && d.allMayTry(d.warmUpCost(job), budget)
 	return isOwner && d.now-d.bornAt > window && work <= budget/float64(owners)
 }
 
-// ownSpendsAllow bounds what this dispatcher sends a warming worker on leases, whatever its coordinator says:
-// with what it sends without one, to the budget of all.
+// ownSpendsAllow bounds what this dispatcher sends a warming worker on leases, whatever its coordinator
+// says: with what it sends without one, to the budget of all.
 func (d *Dispatcher) ownSpendsAllow(job *jobInfo, worker *workerInfo) bool {
 	if d.warmUpShare(worker) >= 1 {
 		return true
@@ -57,9 +57,10 @@
 	return cost*float64(max(1, cmp.Or(d.sharing.Replicas, d.settings.Replicas))) <= budget
 }
 
-// assignLots gives each warming worker an interval of the numbers from 0 to 1 that jobs draw: its part of an
-// even spread of jobs, or less where its budget allows less. Only jobs that could go elsewhere go by it, so
-// that the sum over dispatchers that know nothing of each other follows what the rest of the fleet is given.
+// assignLots gives each warming worker an interval of the numbers from 0 to 1 that jobs draw: its part of
+// an even spread of jobs, or less where its budget allows less. Only jobs that could go elsewhere go by it,
+// so that the sum over dispatchers that know nothing of each other follows what the rest of the fleet is
+// given.
 func (d *Dispatcher) assignLots() {
 	from, ready := 0.0, d.countReady()
 	for _, w := range d.workerList {
@@ -71,8 +72,8 @@
 	}
 }
 
-// drawsWorker tells whether a job has drawn a warming worker. The heavier the job, the narrower the interval;
-// one that would use up the worker's whole budget never goes.
+// drawsWorker tells whether a job has drawn a warming worker. The heavier the job, the narrower the
+// interval; one that would use up the worker's whole budget never goes.
 func (d *Dispatcher) drawsWorker(j *jobInfo, w *workerInfo) bool {
 	cost := d.warmUpCost(j)
 	if w.lotWidth == 0 || j.wasSentTo(w) || len(w.warmUpSpends) > 0 || cost > d.warmUpBudget(w) {
@@ -82,7 +83,7 @@
 		j.warmUpDraw = 1 - d.rng.Float64()
 	}
 	distance := j.warmUpDraw - w.lotStart
-	return distance > 0 && distance*max(1, cost/(d.meanCost+1e-9)) <= w.lotWidth
+	return distance > 0 && distance*max(1, d.arrivals.relativeCost(cost)) <= w.lotWidth
 }
 
 // chargeWarmUp enters an attempt with what its worker has been sent, if that warms up.
@@ -106,14 +107,14 @@
 // warmUpBudget is the work that all dispatchers may send a warming worker within a window. Its full
 // capacity is estimated from the slots that its kind has been seen to have.
 func (d *Dispatcher) warmUpBudget(w *workerInfo) float64 {
-	k := d.machineKind(w.Kind)
+	k := d.workload.machineKind(w.Kind)
 	capacity := max(1, k.maxSlots) * math.Exp(k.logSpeed) * d.warmUpShare(w)
 	return warmUpMargin * d.settings.OverloadFactor * capacity * d.settings.OverloadWindow.Seconds()
 }
 
 // warmUpCost is what a job takes of such a budget.
 func (d *Dispatcher) warmUpCost(j *jobInfo) float64 {
-	return j.work * j.Slots * d.overrunFactor[j.Class]
+	return j.work * j.Slots * d.workload.overrunRatio[j.Class]
 }
 
 // assigneeRank is this dispatcher's place among those that may send jobs to a warming worker: all agree on
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -95,12 +95,13 @@
 
 // figures walks what is one figure each.
 func (c *codec) figures(d *Dispatcher) {
-	c.instant(&d.bornAt, &d.timerAt, &d.nextTrialAt, &d.subscribeAt, &d.maxIdleSetAt, &d.stalledAt, &d.pilotSentAt)
-	c.duration(&d.minStartDelay, &d.meanLateStart, &d.subscribeBackoff, &d.maxIdle, &d.minCheckDelay, &d.stallLength)
-	c.float(&d.longCut, &d.muShort, &d.meanWeight, &d.meanCost, &d.arrivals, &d.spread, &d.topSpeed, &d.usedSlots,
-		&d.hedgeTokens, &d.checkTokens, &d.trialTokens, &d.lateCount)
+	c.instant(&d.bornAt, &d.timers.callerAt, &d.nextTrialAt, &d.subscription.retryAt, &d.maxIdleSetAt, &d.stalledAt, &d.pilotSentAt)
+	c.duration(&d.minStartDelay, &d.meanLateStart, &d.subscription.backoff, &d.maxIdle, &d.minCheckDelay, &d.stallLength)
+	c.float(&d.workload.longWorkThreshold, &d.workload.meanShortSojourn, &d.arrivals.meanWeight, &d.arrivals.meanCost,
+		&d.arrivals.count, &d.workload.meanAbsoluteLogError, &d.workload.maxLogSpeed, &d.usedSlots,
+		&d.hedges.tokens, &d.checks.tokens, &d.objectives.exploration.tokens, &d.lateCount)
 	c.flags(&d.mostEjected, &d.allBroken)
-	c.subscription(&d.subscription)
+	c.subscriptionState(&d.subscription.state)
 	c.int(&d.sharing.Replicas)
 	c.int(&d.sharing.ReplicaIndex)
 	c.float(&d.sharing.QuotaShare)
@@ -108,13 +109,14 @@
 
 // learnt walks what has been learnt by class, tenant, kind and zone.
 func (c *codec) learnt(d *Dispatcher) {
-	fixedList(c, d.sizeCorrection, func(x *[slotBuckets]float64) { c.float(&x[0], &x[1], &x[2], &x[3]) })
-	for _, part := range [][]float64{d.overrunFactor, d.weights, d.quotaTokens} {
+	fixedList(c, d.workload.sizeCorrection, func(x *[slotBuckets]float64) { c.float(&x[0], &x[1], &x[2], &x[3]) })
+	for _, part := range [][]float64{d.workload.overrunRatio, d.workload.weights} {
 		fixedList(c, part, func(x *float64) { c.float(x) })
 	}
-	fixedList(c, d.fullTimeout, func(x *time.Duration) { c.duration(x) })
-	fixedList(c, d.quotaRefilledAt, func(x *time.Duration) { c.instant(x) })
-	sortedMap(c, d.kinds, c.machine)
+	fixedList(c, d.quotas.buckets, func(b *tokenBucket) { c.float(&b.tokens) })
+	fixedList(c, d.objectives.firstTryTimeouts, func(x *time.Duration) { c.duration(x) })
+	fixedList(c, d.quotas.refilledAt, func(x *time.Duration) { c.instant(x) })
+	sortedMap(c, d.workload.kinds, c.machine)
 	sortedMap(c, d.zoneBusy, func(zone *int, chance *float64) {
 		c.int(zone)
 		c.float(chance)
@@ -130,8 +132,8 @@
 	c.int(&(*k).lateOverflows)
 }
 
-// subscription holds a state as two flags, of which one is set at most.
-func (c *codec) subscription(s *subscription) {
+// subscriptionState holds a state as two flags, of which one is set at most.
+func (c *codec) subscriptionState(s *subscriptionState) {
 	requested, answered := *s == subscribing, *s == subscribed
 	c.flags(&requested, &answered)
 	switch {
@@ -224,22 +226,22 @@
 		list(c, &held, func(x **timer) { c.timer(dispatcher, x) })
 		return
 	}
-	list(c, &dispatcher.timers.items, func(x **timer) { c.timer(dispatcher, x) })
-	for i, x := range dispatcher.timers.items {
+	list(c, &dispatcher.timers.heap.items, func(x **timer) { c.timer(dispatcher, x) })
+	for i, x := range dispatcher.timers.heap.items {
 		c.check(x.heapIndex == 0) // else it is twice in the heap
 		x.heapIndex = i + 1
 	}
-	c.check(len(dispatcher.timers.items) > 0)
+	c.check(len(dispatcher.timers.heap.items) > 0)
 }
 
 // heldTimers is the heap of timers, as it lies if the snapshot holds all of them. Without leases it holds none of theirs.
 func (c *codec) heldTimers(dispatcher *Dispatcher) []*timer {
 	isOfLease := func(x *timer) bool { return x.purpose == leaseOverdue }
-	if c.withLeases || !slices.ContainsFunc(dispatcher.timers.items, isOfLease) {
-		return dispatcher.timers.items
+	if c.withLeases || !slices.ContainsFunc(dispatcher.timers.heap.items, isOfLease) {
+		return dispatcher.timers.heap.items
 	}
-	others := minHeap[*timer]{less: dispatcher.timers.less}
-	for _, x := range dispatcher.timers.items {
+	others := minHeap[*timer]{less: dispatcher.timers.heap.less}
+	for _, x := range dispatcher.timers.heap.items {
 		if !isOfLease(x) {
 			others.push(x)
 		}
@@ -402,7 +404,7 @@
 		c.workerFigures(w)
 		if !c.writing {
 			dispatcher.workers[w.ID] = w
-			w.position, w.machine = i, dispatcher.machineKind(w.Kind)
+			w.position, w.machine = i, dispatcher.workload.machineKind(w.Kind)
 			w.timer = timer{purpose: workerAvailable, worker: w}
 		}
 	}
@@ -484,17 +486,17 @@
 func (c *codec) keys(dispatcher *Dispatcher) {
 	known := map[uint64]float64{}
 	for _, j := range c.jobs {
-		if work, ok := dispatcher.keyWork[j.Key]; ok {
+		if work, ok := dispatcher.workload.keyWork[j.Key]; ok {
 			known[j.Key] = work
 		}
 	}
-	omitted := dispatcher.keysOmitted + len(dispatcher.keyWork) - len(known)
+	omitted := dispatcher.workload.keysOmitted + len(dispatcher.workload.keyWork) - len(known)
 	c.int(&omitted)
 	sortedMap(c, known, func(key *uint64, work *float64) {
 		c.uint(key)
 		c.float(work)
 	})
 	if !c.writing {
-		dispatcher.keyWork, dispatcher.keysOmitted = known, omitted
+		dispatcher.workload.keyWork, dispatcher.workload.keysOmitted = known, omitted
 	}
 }
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -124,7 +124,7 @@
 	set := testSettings()
 	d := New(set, 1)
 	for key := range uint64(maxKnownKeys) {
-		d.keyWork[key+1] = 1
+		d.workload.keyWork[key+1] = 1
 	}
 	state := d.Snapshot(nil)
 	if len(state) > 2000 {
@@ -143,8 +143,8 @@
 		s.step(Job{ID: 1, Key: 9, Remaining: time.Second})
 		s.step(Started{Job: 1, Worker: 1})
 		s.step(Outcome{Job: 1, Worker: 1, Closed: true})
-		if len(d.keyWork)+d.keysOmitted != 1 {
-			t.Errorf("%d keys known and %d away, where the limit was reached", len(d.keyWork), d.keysOmitted)
+		if len(d.workload.keyWork)+d.workload.keysOmitted != 1 {
+			t.Errorf("%d keys known and %d away, where the limit was reached", len(d.workload.keyWork), d.workload.keysOmitted)
 		}
 	}
 }
--- a/dispatch/subscription.go
+++ b/dispatch/subscription.go
@@ -1,37 +1,83 @@
 package dispatch
 
+// The subscription to the list of workers: when it is requested, and how long after a failure it is again.
+// The design does not mention it.
+
 import "time"
 
-// The subscription to the list of workers: when it is asked for, and how long after a failure. The design
-// is silent on it.
+const (
+	minBackoffPollDivisor = 20 // the shortest backoff of a subscription is the poll interval divided by this
+	maxBackoffPollDivisor = 4  // and the longest is the poll interval divided by this
+	replicasPerBackoff    = 4  // for each of so many dispatchers the shortest backoff counts once more
+)
+
+// subscriptionState is the state of the watch on the list of workers.
+type subscriptionState int
 
 const (
-	minBackoffDivisor  = 20 // the least backoff of a subscription, of the poll interval
-	maxBackoffDivisor  = 4  // and the greatest
-	replicasPerBackoff = 4  // so many together wait one least backoff more
+	unsubscribed subscriptionState = iota
+	subscribing                    // requested, and not answered yet
+	subscribed
 )
 
+// endpointSubscription says when the list of workers is requested.
+type endpointSubscription struct {
+	state   subscriptionState
+	retryAt time.Duration // not requested before; 0: at once
+	backoff time.Duration // before the last retry; 0: the last request succeeded
+}
+
+// isDue reports whether the list is to be requested now.
+func (s *endpointSubscription) isDue(now time.Duration) bool {
+	return s.state == unsubscribed && now >= s.retryAt
+}
+
+// succeed notes a list from the watch. It may not have been requested here: whoever has the watch has
+// requested it again.
+func (s *endpointSubscription) succeed() {
+	s.state = subscribed
+	s.backoff = 0
+}
+
+// fail notes that the watch has ended or could not begin. A watch that breaks does not lengthen the backoff
+// of the one after it.
+func (s *endpointSubscription) fail(minBackoff, maxBackoff time.Duration) {
+	if s.state == subscribing || s.backoff == 0 {
+		s.backoff = min(max(minBackoff, 2*s.backoff), maxBackoff)
+	}
+	s.state = unsubscribed
+}
+
+// requestWorkers requests the list of workers where the platform wants that and it is due.
+func (d *Dispatcher) requestWorkers() {
+	if d.settings.MustSubscribe && d.subscription.isDue(d.now) {
+		d.subscription.state = subscribing
+		d.emit(Subscribe{})
+	}
+}
+
 func (d *Dispatcher) handleWorkerList(list WorkerList) {
-	switch {
-	case list.Kind == ListUnavailable:
-		least := d.minSubscribeBackoff()
-		if d.subscription == subscribing || d.subscribeBackoff == 0 { // a broken watch prolongs nothing
-			most := max(least, d.settings.PollInterval/maxBackoffDivisor)
-			d.subscribeBackoff = min(max(least, 2*d.subscribeBackoff), most)
-		}
-		d.subscription = unsubscribed
-		d.subscribeAt = d.now + d.subscribeBackoff/2 + d.jitter(d.subscribeBackoff)
+	if list.Kind == ListUnavailable {
+		minBackoff := d.minSubscribeBackoff()
+		d.subscription.fail(minBackoff, max(minBackoff, d.settings.PollInterval/maxBackoffPollDivisor))
+		d.subscription.retryAt = d.now + d.subscription.backoff/2 + d.jitter(d.subscription.backoff)
 		return
-	case list.Kind != ListCached: // also one that was not requested here: whoever watches has called again
-		d.subscription, d.subscribeBackoff = subscribed, 0
-	case d.subscribeAt == 0 && len(list.Workers) > 0 && d.settings.Replicas > manyReplicas:
-		d.subscribeAt = d.now + d.jitter(d.minSubscribeBackoff())
+	}
+	isOneOfMany := d.settings.Replicas > manyReplicas
+	isFirstList := d.subscription.retryAt == 0 && len(list.Workers) > 0
+	switch {
+	case list.Kind != ListCached:
+		d.subscription.succeed()
+	case isOneOfMany && isFirstList:
+		d.subscription.retryAt = d.now + d.jitter(d.minSubscribeBackoff())
 	}
 	d.applyList(list)
 }
 
-// minSubscribeBackoff spreads the requests of many dispatchers that start at once: one service answers all.
+// minSubscribeBackoff returns the shortest backoff. It grows with the number of dispatchers, so that the
+// requests of many that start at once are spread: one service answers all.
 func (d *Dispatcher) minSubscribeBackoff() time.Duration {
-	least := d.settings.PollInterval / minBackoffDivisor
-	return min(least*time.Duration(max(1, d.settings.Replicas/replicasPerBackoff)), d.settings.PollInterval/2)
+	shortest := d.settings.PollInterval / minBackoffPollDivisor
+	spread := shortest * time.Duration(max(1, d.settings.Replicas/replicasPerBackoff))
+	return min(spread, d.settings.PollInterval/2)
 }
--- a/dispatch/timers.go
+++ b/dispatch/timers.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// minStall is the delay of our own timer from which on this process was stalled: what it timed meanwhile says nothing of
-// workers.
+// minStall is the delay of this dispatcher's own timer from which on the process counts as stalled: what it measured
+// meanwhile says nothing about workers.
 const minStall = 20 * time.Millisecond
 
-// timer is an instant at which the dispatcher acts by itself. Each is part of what it is about, and set once at a time.
+// timer is an instant at which the dispatcher acts without an event. Each is part of what it concerns, and is set once at a
+// time.
 type timer struct {
 	at        time.Duration
 	heapIndex int // in the heap, plus one; 0: not set
@@ -17,11 +18,11 @@
 	lease     *leaseInfo
 }
 
-// timerPurpose is what a timer is for. Snapshots hold the numbers.
+// timerPurpose says what a timer is for. Snapshots hold the numbers.
 type timerPurpose int
 
 const (
-	reviewQueue timerPurpose = iota // nothing but the pass over the queue that ends each step
+	reviewQueue timerPurpose = iota // nothing but the dispatch cycle that ends each step
 	runMaintenance
 	jobDeadline
 	jobObjective
@@ -30,37 +31,82 @@
 	leaseOverdue
 )
 
-// setTimer has a timer fire at an instant, in place of when it would have, and not within the present step.
-func (d *Dispatcher) setTimer(x *timer, at time.Duration) {
-	x.at = max(at, d.now+1)
-	if x.heapIndex > 0 {
-		d.timers.fix(x.heapIndex - 1)
+// timerQueue holds the timers that are set, and the one timer of the caller that stands for the first of them.
+type timerQueue struct {
+	heap     minHeap[*timer]
+	callerAt time.Duration // when the caller's timer is due; 0: it has none
+}
+
+func newTimerQueue() timerQueue {
+	return timerQueue{heap: minHeap[*timer]{
+		less:  func(a, b *timer) bool { return a.at < b.at },
+		moved: func(t *timer, i int) { t.heapIndex = i + 1 },
+	}}
+}
+
+// set sets a timer, or moves one that is set, to an instant after now.
+func (q *timerQueue) set(t *timer, at, now time.Duration) {
+	t.at = max(at, now+1)
+	if t.heapIndex > 0 {
+		q.heap.fix(t.heapIndex - 1)
 	} else {
-		d.timers.push(x)
+		q.heap.push(t)
 	}
 }
 
-func (d *Dispatcher) cancelTimer(x *timer) {
-	if x.heapIndex > 0 {
-		d.timers.remove(x.heapIndex - 1)
+// cancel unsets a timer, if it is set.
+func (q *timerQueue) cancel(t *timer) {
+	if t.heapIndex > 0 {
+		q.heap.remove(t.heapIndex - 1)
 	}
 }
 
-// bindTimers has a job's timers refer to it.
+// popDue removes and returns the first timer if it is due, else nil. The queue must not be empty.
+func (q *timerQueue) popDue(now time.Duration) *timer {
+	if q.heap.first().at > now {
+		return nil
+	}
+	return q.heap.pop()
+}
+
+// dropCallerTimer forgets the caller's timer once it is due.
+func (q *timerQueue) dropCallerTimer(now time.Duration) {
+	if q.callerAt <= now {
+		q.callerAt = 0
+	}
+}
+
+// nextCallerTimer reports whether the caller has to set its timer, and to which instant. The queue must not be empty.
+func (q *timerQueue) nextCallerTimer() (at time.Duration, ok bool) {
+	next := q.heap.first().at
+	if q.callerAt != 0 && next >= q.callerAt {
+		return 0, false
+	}
+	q.callerAt = next
+	return next, true
+}
+
+// setTimer sets a timer, or moves one that is set. It does not fire within this step.
+func (d *Dispatcher) setTimer(t *timer, at time.Duration) { d.timers.set(t, at, d.now) }
+
+func (d *Dispatcher) cancelTimer(t *timer) { d.timers.cancel(t) }
+
+// bindTimers makes a job's timers refer to it.
 func (j *jobInfo) bindTimers() {
 	j.deadlineTimer = timer{purpose: jobDeadline, job: j}
 	j.objectiveTimer = timer{purpose: jobObjective, job: j}
 	j.checksTimer = timer{purpose: reviewQueue, job: j}
 }
 
-// measureStall measures how late this process is for its own timer.
+// measureStall measures how late the caller's timer fired.
 func (d *Dispatcher) measureStall() {
-	if late := d.now - d.timerAt; d.timerAt > 0 && late > minStall {
-		d.stalledAt, d.stallLength = d.now, late
+	if late := d.now - d.timers.callerAt; d.timers.callerAt > 0 && late > minStall {
+		d.stalledAt = d.now
+		d.stallLength = late
 	}
 }
 
-// spansStall tells whether this process was stalled while an attempt was in flight.
-func (d *Dispatcher) spansStall(a *attemptInfo) bool {
-	return a.sentAt < d.stalledAt && d.stalledAt > 0
+// spansStall reports whether this process was stalled while an attempt was in flight.
+func (d *Dispatcher) spansStall(attempt *attemptInfo) bool {
+	return attempt.sentAt < d.stalledAt && d.stalledAt > 0
 }
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -52,7 +52,7 @@
 	case worker == nil && entry.Removed:
 		return nil
 	case worker == nil:
-		logSpeed := d.machineKind(entry.Kind).logSpeed
+		logSpeed := d.workload.machineKind(entry.Kind).logSpeed
 		worker = &workerInfo{limit: 1, logSpeed: logSpeed, speed: math.Exp(logSpeed)}
 		d.addWorker(entry.ID, worker)
 	case entry.BootAt > worker.BootAt && worker.ID != 0: // a new process: what was known of the old one is void
@@ -62,14 +62,14 @@
 	hasMoved := worker.onRing && (worker.Zone != entry.Zone || worker.Kind != entry.Kind)
 	worker.Worker, worker.listed, worker.listedReady = entry, !entry.Removed, entry.Ready && !entry.Removed
 	worker.Ready = worker.listedReady && !d.isCordoned(worker)
-	worker.machine = d.machineKind(entry.Kind)
+	worker.machine = d.workload.machineKind(entry.Kind)
 	if hasMoved {
 		d.rings.reset()
 	}
 	d.rings.update(worker)
 	d.markDirty(worker)
 	if worker.Ready {
-		d.topSpeed = max(d.topSpeed, worker.logSpeed) // known at once: a job thought out of reach is rejected
+		d.workload.maxLogSpeed = max(d.workload.maxLogSpeed, worker.logSpeed) // known at once: a job thought out of reach is rejected
 	}
 	return worker
 }
--- a/dispatch/workerslots.go
+++ b/dispatch/workerslots.go
@@ -60,7 +60,7 @@
 		return
 	}
 	if worker != nil {
-		if machine := d.machineKind(worker.Kind); slots.running >= machine.maxSlots {
+		if machine := d.workload.machineKind(worker.Kind); slots.running >= machine.maxSlots {
 			machine.lateOverflows++
 		}
 	}
