--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -8,8 +8,7 @@
 // Retries: when a worker may be sent a job, for the first time or again, and what follows from the end of an
 // attempt. The design does not mention them; they follow from the idempotency of a job's class.
 
-// windowMarginDivisor: a deduplication window divided by this is left for delays, or repeatMargin if that
-// if that is more.
+// windowMarginDivisor: a deduplication window divided by this is left for delays, or repeatMargin if it is more.
 const windowMarginDivisor = 20
 
 // repeatMargin is the longest time between the choice of a worker and the arrival of the last byte there, besides
