--- a/internal/link/discovery_watch.go
+++ b/internal/link/discovery_watch.go
@@ -49,11 +49,19 @@
 	}
 }
 
+// transport is what the request table reaches workers and discovery by.
+type transport struct {
+	*workerPool
+	loop *Loop
+}
+
 // Watch has the endpoint list followed from now on. A connection that is planned or open goes on.
-func (s *workerPool) Watch(int64) {
-	w := s.loop.watch
-	s.loop.Protect(w, func() {
-		w.machine.Restart(s.loop.Now())
+func (t transport) Watch(int64) { t.loop.watch.restart() }
+
+// restart follows the endpoint list from now on. A connection that is planned or open goes on.
+func (w *watchConnection) restart() {
+	w.loop.Protect(w, func() {
+		w.machine.Restart(w.loop.Now())
 		w.runAction()
 	})
 }
--- a/internal/link/generated_settings_test.go
+++ b/internal/link/generated_settings_test.go
@@ -270,7 +270,8 @@
 		Schedulers: c.Settings.Replicas,
 	}, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
 	l.Requests = requests.New(c.Settings.AttemptLimit, c.Settings.Names, func() requests.Policy { return dispatch.New(c.Settings.Settings, c.Seed) },
-		c.KnownEndpoints, l.workers, log)
+		c.KnownEndpoints, transport{l.workers, l}, log)
+	l.workers.SetTable(l.Requests)
 	l.openClientListener(clients, bufferBudget(c.Limits), &c.Settings.Settings, c.Settings.Names)
 	if d.faults != nil {
 		d.faults.listenForClients(l)
--- a/internal/link/harness_test.go
+++ b/internal/link/harness_test.go
@@ -57,7 +57,8 @@
 	l.watch = l.newWatchConnection(netip.AddrPort{}, discovery.Config{PollInterval: 10 * time.Second}, func(int64) int64 { return 0 })
 	l.Requests = requests.New(6, names, func() requests.Policy { return w.policy }, requests.EndpointList{Endpoints: []requests.Endpoint{
 		{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
-	}}, l.workers, silent)
+	}}, transport{l.workers, l}, silent)
+	l.workers.SetTable(l.Requests)
 	l.openClientListener(50, 1<<20, &dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: 5 * time.Second}}}, names)
 	l.onWake = func() {}
 	l.limits = config.Limits{Sockets: 1024, MemoryMB: 64}
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -226,8 +226,8 @@
 		return ErrNoSuccessor
 	}
 	l.Requests.AwaitEndpoints(0) // requests that wait for endpoints are handed over too
-	l.workers.endWaitingDials()
-	if !l.Requests.FlushEvents(l.Now()) || l.workers.hasWaitingDials() || !l.fenceCordonStore() {
+	l.workers.EndWaitingDials()
+	if !l.Requests.FlushEvents(l.Now()) || l.workers.HasWaitingDials() || !l.fenceCordonStore() {
 		return ErrNotSettled
 	}
 	startedAt := l.Clock()
@@ -242,7 +242,7 @@
 	l.releaseTransferred(transfer)
 	took := (l.Clock() - startedAt).Round(10 * time.Microsecond)
 	l.log.Info("handed over", "requests", transfer.requestCount, "client_connections", len(transfer.clientConnections),
-		"worker_connections", len(transfer.workerConnections), "snapshot_bytes", transfer.snapshotSize, "took", took.String())
+		"worker_connections", transfer.workerConnectionCount, "snapshot_bytes", transfer.snapshotSize, "took", took.String())
 	return nil
 }
 
@@ -286,12 +286,7 @@
 		client.updateBufferedBytes()
 		delete(l.clients.connections, client)
 	}
-	for _, worker := range transfer.workerConnections {
-		l.StopTimer(worker.timer)
-		worker.state = workerClosed
-		worker.Close()
-	}
-	clear(l.workers.byAttempt)
+	l.workers.Relinquish()
 	l.watch.stop()
 	l.Remove(l.clients.fd)
 	l.clients.fd = hotrestart.NoDescriptor
--- a/internal/link/hotrestart_transfer.go
+++ b/internal/link/hotrestart_transfer.go
@@ -25,10 +25,10 @@
 	err        error         // the first; nothing is sent after it
 
 	// What was sent.
-	clientConnections []*clientConnection
-	workerConnections []*workerConnection
-	requestCount      int
-	snapshotSize      int // bytes
+	clientConnections     []*clientConnection
+	workerConnectionCount int
+	requestCount          int
+	snapshotSize          int // bytes
 }
 
 // run returns nil once the successor has answered TakenOver.
@@ -88,9 +88,9 @@
 }
 
 func (t *stateTransfer) sendWorkerConnections() {
-	for _, worker := range t.loop.workers.transferable() {
-		t.send(worker.transferRecord(), worker.FD())
-		t.workerConnections = append(t.workerConnections, worker)
+	for _, connection := range t.loop.workers.Snapshot() {
+		t.send(connection.WorkerConnection, connection.Descriptor)
+		t.workerConnectionCount++
 	}
 }
 
@@ -168,52 +168,6 @@
 	return record
 }
 
-// transferable returns the connections that are handed over: those that carry an attempt, and idle ones.
-func (s *workerPool) transferable() []*workerConnection {
-	var connections []*workerConnection
-	for _, connection := range s.byAttempt {
-		if connection.IsOpen() {
-			connections = append(connections, connection)
-		}
-	}
-	for _, endpoint := range s.endpoints {
-		connections = append(connections, endpoint.idle...)
-	}
-	return connections
-}
-
-func (k *workerConnection) transferRecord() hotrestart.WorkerConnection {
-	record := hotrestart.WorkerConnection{
-		WorkerID:   k.endpoint.id,
-		State:      k.transferredState(),
-		Stage:      k.stage,
-		Input:      k.Input(),
-		Output:     k.Output(),
-		IdleBefore: k.idleBefore,
-		IdleSince:  k.idleSince,
-	}
-	if attempt := k.exchange.attempt; k.exchange.kind == exchangeAttempt && attempt != nil {
-		record.RequestID, record.Attempt = attempt.Request.ID, attempt.Number
-	}
-	return record
-}
-
-// transferredState is the connection's state as it is handed over. Whoever goes on with one that holds its attempt looks anew
-// at whether anybody waits for it.
-func (k *workerConnection) transferredState() hotrestart.WorkerConnectionState {
-	if k.state == workerHolding {
-		return hotrestart.WorkerConnecting
-	}
-	return transferredStates[k.state]
-}
-
-// transferredStates are the states of connections as they are handed over.
-var transferredStates = map[workerConnectionState]hotrestart.WorkerConnectionState{
-	workerConnecting:       hotrestart.WorkerConnecting,
-	workerIdle:             hotrestart.WorkerIdle,
-	workerAwaitingResponse: hotrestart.WorkerAwaitingResponse,
-}
-
 // ---- Restoring ----
 
 // restoreState goes on with all that a predecessor had. It owns the descriptors.
@@ -235,7 +189,7 @@
 		w.slot.request = l.Requests.Request(w.requestID)
 	}
 	for _, connection := range received.WorkerConnections {
-		l.workers.restore(connection)
+		l.workers.Restore(connection)
 	}
 	l.Requests.WatchEndpoints() // the policy that goes on relies on it
 	for _, client := range clients {
@@ -335,70 +289,3 @@
 	}
 	return waiting
 }
-
-// restore goes on with a connection to a worker; one that is of no use any more is closed.
-func (s *workerPool) restore(received hotrestart.ReceivedWorkerConnection) {
-	worker, known := s.loop.Requests.WorkerNumber(received.WorkerID)
-	attempt := s.loop.Requests.InFlightAttempt(received.RequestID, received.Attempt)
-	if !known || received.State != hotrestart.WorkerIdle && attempt == nil {
-		_ = s.loop.Syscalls().Close(received.Descriptor)
-		return
-	}
-	endpoint := s.endpoint(worker)
-	connection := &workerConnection{
-		pool:        s,
-		endpoint:    endpoint,
-		incarnation: endpoint.incarnation,
-		state:       restoredState(received.State),
-		lastKind:    exchangeAttempt,
-		stage:       received.Stage,
-		idleBefore:  received.IdleBefore,
-		idleSince:   received.IdleSince,
-	}
-	events := uint32(eventloop.StreamEvents)
-	if connection.state == workerConnecting {
-		events |= unix.EPOLLOUT
-	}
-	var err error
-	if connection.Stream, err = s.loop.OpenStream(received.Descriptor, events, connection); err != nil {
-		_ = s.loop.Syscalls().Close(received.Descriptor)
-		if attempt != nil {
-			lost := &requests.AttemptError{Stage: received.Stage, Reason: requests.ReasonConnectionLost, Cause: err}
-			s.loop.Requests.EndAttempt(attempt, nil, lost)
-		}
-		return
-	}
-	s.openCount++
-	connection.SetBuffers(received.Input, received.Output)
-	if connection.state == workerIdle {
-		s.addIdle(connection)
-		return
-	}
-	connection.restoreAttempt(attempt)
-}
-
-func (k *workerConnection) restoreAttempt(attempt *requests.Attempt) {
-	k.exchange = exchange{kind: exchangeAttempt, attempt: attempt, begunAt: k.pool.loop.Now()}
-	k.pool.byAttempt[attempt] = k
-	if k.state == workerConnecting {
-		k.setTimeout(k.pool.connectTimeout)
-		return
-	}
-	if k.stage < requests.StageWritten { // what the worker was told of the time is older than is known here
-		k.writeUntil = k.pool.loop.Clock() + smallWriteTimeout
-		k.setTimeout(smallWriteTimeout)
-	} else {
-		k.setTimeout(attempt.At - k.pool.loop.Now() + responseGrace)
-	}
-	k.UpdateEvents()
-}
-
-// restoredState is the reverse of transferredStates.
-func restoredState(state hotrestart.WorkerConnectionState) workerConnectionState {
-	for restored, transferred := range transferredStates {
-		if transferred == state {
-			return restored
-		}
-	}
-	return workerAwaitingResponse
-}
--- a/internal/link/limits.go
+++ b/internal/link/limits.go
@@ -84,7 +84,7 @@
 		buffers /= 2
 	}
 	l.sharesLimits = half
-	l.workers.maxConnections = workers
+	l.workers.SetMaxConnections(workers)
 	l.clients.setLimits(clients, buffers)
 	if l.onShareLimits != nil {
 		l.onShareLimits(half)
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"net/netip"
 	"strings"
+	"time"
 
 	"golang.org/x/sys/unix"
 
@@ -84,6 +85,19 @@
 	return nil
 }
 
+// openWorkerPool makes the pool of connections to workers, which has none yet.
+func (l *Loop) openWorkerPool(maxConnections int, connectTimeout, workerIdleTimeout time.Duration) {
+	l.workers = newWorkerPool(workerPoolConfig{
+		loop:              l.Loop,
+		dial:              func(address netip.AddrPort) (fd int, err error) { return l.dial(address) },
+		attemptHold:       l.attemptHold,
+		hasRelinquished:   l.hasRelinquished,
+		maxConnections:    maxConnections,
+		connectTimeout:    connectTimeout,
+		workerIdleTimeout: workerIdleTimeout,
+	})
+}
+
 func (l *Loop) openWatch(conf config.Config) {
 	watch := discovery.Config{
 		PollInterval: conf.Settings.PollInterval,
@@ -108,7 +122,8 @@
 	known := conf.KnownEndpoints
 	known.Receipt.At = l.Now()
 	newPolicy := l.policyFactory(conf, ops, hasAperture)
-	l.Requests = requests.New(conf.Settings.AttemptLimit, conf.Settings.Names, newPolicy, known, l.workers, decisionLog)
+	l.Requests = requests.New(conf.Settings.AttemptLimit, conf.Settings.Names, newPolicy, known, transport{l.workers, l}, decisionLog)
+	l.workers.SetTable(l.Requests)
 	if l.Capture != nil {
 		l.Capture.LookupEndpoint = l.Requests.Endpoint
 		l.Requests.AddObserver(l.Capture)
--- a/internal/link/operator_connection_test.go
+++ b/internal/link/operator_connection_test.go
@@ -180,7 +180,8 @@
 	w.loop.dispatcher = dispatcher
 	endpoints := requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
 	newPolicy := func() requests.Policy { return dispatcher }
-	w.loop.Requests = requests.New(6, requests.NameTable{}, newPolicy, endpoints, w.loop.workers, slog.New(slog.DiscardHandler))
+	w.loop.Requests = requests.New(6, requests.NameTable{}, newPolicy, endpoints, transport{w.loop.workers, w.loop}, slog.New(slog.DiscardHandler))
+	w.loop.workers.SetTable(w.loop.Requests)
 	w.runIterations()
 	for _, call := range []struct{ action, answer, figure string }{
 		{"suspend", "200 out", "edge_proxy.hosts_down=1\nedge_proxy.hosts_out_not_kept=0"},
--- a/internal/link/worker_cancel.go
+++ b/internal/link/worker_cancel.go
@@ -27,7 +27,7 @@
 		tries, isWaiting := p.cancelTries[attempt]
 		if isWaiting && tries == 0 && attempt.Stage < requests.StageAccepted {
 			delete(p.cancelTries, attempt)
-			p.loop.Requests.CancelUnaccepted(attempt)
+			p.table.CancelUnaccepted(attempt)
 		}
 	})
 }
@@ -62,11 +62,11 @@
 	if !isLost || !isOfUse || attempt.EndedByWorker() || p.cancelTries[attempt] >= maxCancelTries {
 		delete(p.cancelTries, attempt)
 		workerKnows := failure == nil || !isLost && failure.Reason != requests.ReasonTimeout
-		p.loop.Requests.CancelCompleted(attempt, workerKnows)
+		p.table.CancelCompleted(attempt, workerKnows)
 		return
 	}
 	p.loop.StartTimer(cancelRetryDelay, p, func() {
-		if attempt.EndedByWorker() || p.loop.hasRelinquished() {
+		if attempt.EndedByWorker() || p.hasRelinquished() {
 			delete(p.cancelTries, attempt)
 			return
 		}
--- a/internal/link/worker_connection.go
+++ b/internal/link/worker_connection.go
@@ -119,7 +119,7 @@
 	if !c.endpoint.address.IsValid() {
 		return fmt.Errorf("host %q has no address", c.endpoint.id)
 	}
-	socket, err := pool.loop.dial(c.endpoint.address)
+	socket, err := pool.dial(c.endpoint.address)
 	if err != nil {
 		return err
 	}
--- a/internal/link/worker_dial_test.go
+++ b/internal/link/worker_dial_test.go
@@ -138,13 +138,13 @@
 	w := newAttemptHarness(t)
 	w.failDials(1, eventloop.CallSocket, unix.ENFILE)
 	q := w.sendAttempt(0)
-	if !w.loop.workers.hasWaitingDials() {
+	if !w.loop.workers.HasWaitingDials() {
 		t.Fatal("nothing waits")
 	}
-	w.loop.workers.endWaitingDials()
+	w.loop.workers.EndWaitingDials()
 	w.runIterations()
 	w.expect("handed back", q, dispatch.NotSent)
-	if w.loop.workers.hasWaitingDials() {
+	if w.loop.workers.HasWaitingDials() {
 		t.Error("it still waits")
 	}
 }
--- a/internal/link/worker_exchange.go
+++ b/internal/link/worker_exchange.go
@@ -80,13 +80,13 @@
 
 // writeRequest sends the exchange's request, once it is known that somebody waits for it.
 func (c *workerConnection) writeRequest() {
-	loop := c.pool.loop
-	buffer, timeout, ok := c.appendRequest(loop.writeBuffer[:0])
+	pool, loop := c.pool, c.pool.loop
+	buffer, timeout, ok := c.appendRequest(pool.writeBuffer[:0])
 	if !ok { // the request table gives the attempt up in a moment, and the connection ends with it
 		loop.StopTimer(c.timer)
 		return
 	}
-	loop.writeBuffer = buffer
+	pool.writeBuffer = buffer
 	c.writeUntil = loop.Clock() + timeout
 	if c.isHeld() { // the last look at the clock before the write
 		return
@@ -128,7 +128,7 @@
 	if c.exchange.kind != exchangeAttempt {
 		return false
 	}
-	hold := c.pool.loop.attemptHold(c.exchange.attempt)
+	hold := c.pool.attemptHold(c.exchange.attempt)
 	if c.state == workerClosed { // its client turned out to be gone
 		return true
 	}
@@ -149,7 +149,7 @@
 // writeRequestLate sends the request of an exchange that was begun in an earlier iteration. Its worker may have begun to drain
 // since: it gets no attempt then, which says nothing about it.
 func (c *workerConnection) writeRequestLate() {
-	attempt, table := c.exchange.attempt, c.pool.loop.Requests
+	attempt, table := c.exchange.attempt, c.pool.table
 	if c.exchange.kind == exchangeAttempt && !table.MayReceive(attempt.Worker) {
 		table.EndAttempt(attempt, nil, &requests.AttemptError{Stage: c.stage, Reason: requests.ReasonNotSent})
 		c.terminate(nil)
@@ -224,7 +224,7 @@
 	if c.exchange.kind == exchangeAttempt {
 		attempt := c.exchange.attempt
 		c.setTimeout(attempt.At - c.pool.loop.Now() + responseGrace)
-		c.pool.loop.Requests.ReportWritten(attempt)
+		c.pool.table.ReportWritten(attempt)
 	}
 }
 
@@ -246,9 +246,9 @@
 	switch finished.kind {
 	case exchangeAttempt:
 		delete(c.pool.byAttempt, finished.attempt)
-		c.pool.loop.Requests.EndAttempt(finished.attempt, nil, failure)
+		c.pool.table.EndAttempt(finished.attempt, nil, failure)
 	case exchangeHealthCheck:
-		c.pool.loop.Requests.HealthChecked(c.endpoint.worker, failure)
+		c.pool.table.HealthChecked(c.endpoint.worker, failure)
 	case exchangeCancel:
 		c.pool.handleCancelResult(finished.attempt, failure)
 	case exchangeNone:
--- a/internal/link/worker_pool.go
+++ b/internal/link/worker_pool.go
@@ -5,6 +5,8 @@
 	"net/netip"
 	"time"
 
+	"valvecove/internal/eventloop"
+	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 )
 
@@ -16,9 +18,60 @@
 	idleTrustGrowthInterval = 10 * time.Second      // the trust in idle connections doubles when they have done well for so long
 )
 
+// workerTable is what a worker pool needs of the request table. *requests.Table implements it.
+type workerTable interface {
+	endpointList
+	attemptReporter
+	healthReporter
+	cancelReporter
+}
+
+// endpointList tells of the workers that discovery has listed.
+type endpointList interface {
+	Endpoint(worker uint64) requests.Endpoint
+	WorkerNumber(endpointID string) (worker uint64, known bool)
+	MayReceive(worker uint64) bool
+}
+
+// attemptReporter finds attempts, and is notified of what becomes of them.
+type attemptReporter interface {
+	InFlightAttempt(requestID uint64, number int) *requests.Attempt
+	ReportWritten(attempt *requests.Attempt)
+	ReportResponse(attempt *requests.Attempt, status int)
+	EndAttempt(attempt *requests.Attempt, result []byte, failure *requests.AttemptError)
+}
+
+// healthReporter is notified of the results of health checks.
+type healthReporter interface {
+	HealthChecked(worker uint64, failure *requests.AttemptError)
+}
+
+// cancelReporter is notified of how cancellations ended.
+type cancelReporter interface {
+	CancelUnaccepted(attempt *requests.Attempt)
+	CancelCompleted(attempt *requests.Attempt, confirmed bool)
+}
+
+// workerPoolConfig is what a worker pool is made of.
+type workerPoolConfig struct {
+	loop              *eventloop.Loop
+	dial              func(address netip.AddrPort) (fd int, err error)
+	attemptHold       func(attempt *requests.Attempt) time.Duration // before an attempt is written; it may end the attempt
+	hasRelinquished   func() bool                                   // a successor owns the requests
+	maxConnections    int
+	connectTimeout    time.Duration
+	workerIdleTimeout time.Duration // after which workers close an idle connection; 0: never
+}
+
 // workerPool has the connections to workers: it is the request table's carrier.
 type workerPool struct {
-	loop               *Loop
+	loop               *eventloop.Loop
+	table              workerTable
+	dial               func(address netip.AddrPort) (fd int, err error)
+	attemptHold        func(attempt *requests.Attempt) time.Duration
+	hasRelinquished    func() bool
+	writeBuffer        []byte                                  // what is being written
+	response           http1.Response                          // that was parsed last
 	endpoints          map[uint64]*endpointConnections         // by worker
 	byAttempt          map[*requests.Attempt]*workerConnection // until the worker has accepted
 	cancelTries        map[*requests.Attempt]int               // connections tried to cancel an attempt, while it is being cancelled
@@ -41,21 +94,31 @@
 	idle        []*workerConnection // the last one used last
 }
 
-// openWorkerPool makes the pool, which has no connections yet. The worker closes an idle connection at its limit, and a
-// request that crosses the close is lost: the pool keeps well clear of that.
-func (l *Loop) openWorkerPool(maxConnections int, connectTimeout, workerIdleTimeout time.Duration) {
-	l.workers = &workerPool{
-		loop:           l,
-		endpoints:      map[uint64]*endpointConnections{},
-		byAttempt:      map[*requests.Attempt]*workerConnection{},
-		cancelTries:    map[*requests.Attempt]int{},
-		maxConnections: maxConnections,
-		connectTimeout: connectTimeout,
-		idleTimeout:    workerIdleTimeout * 3 / 4,
+// newWorkerPool returns a pool that has no connections yet. The worker closes an idle connection at its limit, and a request
+// that crosses the close is lost: the pool keeps well clear of that.
+func newWorkerPool(config workerPoolConfig) *workerPool {
+	pool := &workerPool{
+		loop:            config.loop,
+		dial:            config.dial,
+		attemptHold:     config.attemptHold,
+		hasRelinquished: config.hasRelinquished,
+		endpoints:       map[uint64]*endpointConnections{},
+		byAttempt:       map[*requests.Attempt]*workerConnection{},
+		cancelTries:     map[*requests.Attempt]int{},
+		maxConnections:  config.maxConnections,
+		connectTimeout:  config.connectTimeout,
+		idleTimeout:     config.workerIdleTimeout * 3 / 4,
 	}
-	l.workers.closeExpired()
+	pool.closeExpired()
+	return pool
 }
 
+// SetTable sets the request table, which is made with the pool as its transport. It is called once, before the table is used.
+func (p *workerPool) SetTable(table workerTable) { p.table = table }
+
+// SetMaxConnections sets how many connections may be open at once. Those that are open over it stay open.
+func (p *workerPool) SetMaxConnections(limit int) { p.maxConnections = limit }
+
 // HandleEvents has nothing to do: the pool has no descriptor of its own, only timers.
 func (p *workerPool) HandleEvents(uint32) {}
 
@@ -98,7 +161,7 @@
 		endpoint = &endpointConnections{worker: worker}
 		p.endpoints[worker] = endpoint
 	}
-	listed := p.loop.Requests.Endpoint(worker)
+	listed := p.table.Endpoint(worker)
 	endpoint.id = listed.ID
 	if listed.Addr != "" && (endpoint.startedAtMs != listed.StartedAtMs || endpoint.address.String() != listed.Addr) {
 		endpoint.address, _ = netip.ParseAddrPort(listed.Addr)
@@ -123,8 +186,8 @@
 	p.loop.Protect(c, c.connect)
 }
 
-// endWaitingDials ends the attempts that have no connection yet, as never sent: there is nothing to be handed over of them.
-func (p *workerPool) endWaitingDials() {
+// EndWaitingDials ends the attempts that have no connection yet, as never sent: there is nothing to be handed over of them.
+func (p *workerPool) EndWaitingDials() {
 	for _, c := range p.byAttempt {
 		if c.isWaitingToDial() {
 			c.terminate(errNoDescriptor)
@@ -132,7 +195,8 @@
 	}
 }
 
-func (p *workerPool) hasWaitingDials() bool {
+// HasWaitingDials reports whether an attempt has no connection yet.
+func (p *workerPool) HasWaitingDials() bool {
 	for _, c := range p.byAttempt {
 		if c.isWaitingToDial() {
 			return true
--- a/internal/link/worker_response.go
+++ b/internal/link/worker_response.go
@@ -18,7 +18,7 @@
 		c.terminate(err)
 		return
 	}
-	response := &c.pool.loop.response
+	response := &c.pool.response
 	size, err := response.Parse(c.Input(), ended)
 	switch {
 	case err == nil:
@@ -75,7 +75,7 @@
 		return
 	}
 	attempt := c.exchange.attempt
-	c.pool.loop.Requests.ReportResponse(attempt, response.StatusCode)
+	c.pool.table.ReportResponse(attempt, response.StatusCode)
 	if c.stage < requests.StageWritten && (failure == nil || failure.Reason == requests.ReasonWorkerError) {
 		// The worker never has all of it, as the connection ends with this response: it can't run, whatever the response says.
 		failure = &requests.AttemptError{Stage: c.stage, Reason: requests.ReasonConnectionLost, Cause: errEarlyResponse}
