--- a/internal/link/client_disconnect_test.go
+++ b/internal/link/client_disconnect_test.go
@@ -234,7 +234,7 @@
 		w.runUntilQuiet()
 	}
 	if far.read(1 << 10); stage == "accepted" {
-		far.write([]byte(workerResponses[0].text))
+		far.write([]byte(acceptedResponse))
 		w.runIterations()
 	}
 	leave(p)
--- a/internal/link/discovery_watch.go
+++ b/internal/link/discovery_watch.go
@@ -14,6 +14,7 @@
 	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
 	"valvecove/internal/requests"
+	"valvecove/internal/worker"
 )
 
 // Why a watch ends. Errors of the network and of the parsers are passed on as they are.
@@ -51,7 +52,7 @@
 
 // transport is what the request table reaches workers and discovery by.
 type transport struct {
-	*workerPool
+	*worker.Pool
 	loop *Loop
 }
 
--- a/internal/link/drain_test.go
+++ b/internal/link/drain_test.go
@@ -7,7 +7,6 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/modeltest"
-	"valvecove/internal/requests"
 )
 
 // callbackRequest is a worker's callback, as it comes in.
@@ -97,40 +96,3 @@
 		t.Errorf("a late callback is answered %v, the clients have %v and %v", got, hangs.statuses(t), held.statuses(t))
 	}
 }
-
-// An attempt whose connection comes up only after its worker was said to drain, or to be gone, or was cordoned, is not written there,
-// however little of the grace is over: the process may be held up before the write. Nothing is held against the worker.
-func TestConnectionComesUpAfterTheDrain(t *testing.T) {
-	const grace = 500 * time.Millisecond // of the settings
-	changes := map[string]func(w *harness){
-		"drains": func(w *harness) {
-			w.loop.Requests.UpdateEndpoints(requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "draining"}}})
-		},
-		"removed": func(w *harness) {
-			w.loop.Requests.UpdateEndpoints(requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Lifecycle: "removed"}}})
-		},
-		"not in a whole list": func(w *harness) { w.loop.Requests.UpdateEndpoints(requests.EndpointList{Reset: true}) },
-		"cordoned":            func(w *harness) { w.loop.Requests.SetCordoned([]string{"s-0"}) },
-		"nothing":             func(*harness) {},
-	}
-	for name, change := range changes {
-		for _, after := range []time.Duration{0, grace - longestHold} {
-			w := newAttemptHarness(t)
-			w.loop.workers.connectTimeout = grace
-			links := w.delayConnections()
-			q := w.sendAttempt(0)
-			change(w.harness)
-			w.now += after
-			(*links)[0].release()
-			w.runIterations()
-			(*links)[0].read(1 << 12)
-			isSent := len((*links)[0].received) > 0
-			if isSent != (name == "nothing") {
-				t.Errorf("%s, %v before its connection was up: sent %v", name, after, isSent)
-			}
-			if !isSent {
-				w.expect(name, q, dispatch.NotSent)
-			}
-		}
-	}
-}
--- /dev/null
+++ b/internal/link/hotrestart_attempt_test.go
@@ -0,0 +1,57 @@
+package link
+
+import (
+	"testing"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/http1"
+	"valvecove/internal/modeltest"
+)
+
+// A process that takes over an attempt in the middle of its writing does not know by when it has to be written: it writes the
+// rest at once, or never.
+func TestRestOfARequestAfterAHotRestart(t *testing.T) {
+	for _, late := range []time.Duration{0, smallWriteTimeout + 1} {
+		s, dir := &modeltest.Steps{T: t}, t.TempDir()
+		base, at := newPredecessorHarness(s, dir)
+		w := &attemptHarness{harness: base}
+		w.sendAttempt(http1.MaxBodySize)
+		next := w.startSuccessor(dir, at)
+		if err := w.handOverTo(next); err != nil {
+			t.Fatal(err)
+		}
+		next.now += late
+		p := w.dialed[len(w.dialed)-1]
+		for range 64 {
+			p.read(1 << 20)
+			next.runIterations()
+		}
+		var m http1.Request
+		if _, err := m.Parse(p.received); (err == nil) != (late == 0) {
+			t.Errorf("%v after the take-over: parsed with %v", late, err)
+		}
+	}
+}
+
+// A DELETE that waits for its connection when a process is replaced is sent by the one that goes on.
+func TestCancelSurvivesHotRestart(t *testing.T) {
+	s := &modeltest.Steps{T: t}
+	dir := t.TempDir()
+	base, at := newPredecessorHarness(s, dir)
+	w := &attemptHarness{harness: base}
+	q := w.acceptedAttempt()
+	w.delayConnections()
+	w.runActions(dispatch.Cancel{Job: q.ID})
+	next := &attemptHarness{harness: w.startSuccessor(dir, at)}
+	if err := w.handOverTo(next.harness); err != nil {
+		t.Fatal(err)
+	}
+	next.runIterations()
+	if p := next.dialed[len(next.dialed)-1]; !p.hasDelete(q) {
+		t.Errorf("the worker got %q", p.received)
+	}
+	next.expect("not answered yet", q)
+	next.respondDelete(next.dialed[len(next.dialed)-1])
+	next.expect("answered", q, dispatch.Cancelled)
+}
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -409,9 +409,9 @@
 			ages.clientSilent = w.now - client.lastActivity
 		}
 	}
-	for _, worker := range w.loop.workers.endpoints {
-		for _, connection := range worker.idle {
-			ages.workerIdle = w.now - connection.idleSince
+	for _, connection := range w.loop.workers.Snapshot() {
+		if connection.State == hotrestart.WorkerIdle {
+			ages.workerIdle = w.now - connection.IdleSince
 		}
 	}
 	return ages
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -24,6 +24,7 @@
 	"valvecove/internal/http1"
 	"valvecove/internal/metrics"
 	"valvecove/internal/requests"
+	"valvecove/internal/worker"
 )
 
 // Loop is the event loop of a scheduler with all its connections. Everything in this package runs on the goroutine that calls
@@ -43,7 +44,7 @@
 	response    http1.Response       // that was parsed last
 
 	clients      *clientListener
-	workers      *workerPool
+	workers      *worker.Pool
 	watch        *watchConnection
 	operators    *operatorListener    // nil: off
 	status       *statusListener      // nil: off
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -23,6 +23,7 @@
 	"valvecove/internal/metrics"
 	"valvecove/internal/requests"
 	"valvecove/internal/status"
+	"valvecove/internal/worker"
 )
 
 // watchSeed keeps the random backoffs of the watch apart from what else is drawn from a scheduler's seed.
@@ -88,14 +89,14 @@
 
 // openWorkerPool makes the pool of connections to workers, which has none yet.
 func (l *Loop) openWorkerPool(maxConnections int, connectTimeout, workerIdleTimeout time.Duration) {
-	l.workers = newWorkerPool(workerPoolConfig{
-		loop:              l.Loop,
-		dial:              func(address netip.AddrPort) (fd int, err error) { return l.dial(address) },
-		attemptHold:       l.attemptHold,
-		hasRelinquished:   l.hasRelinquished,
-		maxConnections:    maxConnections,
-		connectTimeout:    connectTimeout,
-		workerIdleTimeout: workerIdleTimeout,
+	l.workers = worker.New(worker.Config{
+		Loop:              l.Loop,
+		Dial:              func(address netip.AddrPort) (fd int, err error) { return l.dial(address) },
+		AttemptHold:       l.attemptHold,
+		HasRelinquished:   l.hasRelinquished,
+		MaxConnections:    maxConnections,
+		ConnectTimeout:    connectTimeout,
+		WorkerIdleTimeout: workerIdleTimeout,
 	})
 }
 
--- a/internal/link/transfer_fault_test.go
+++ b/internal/link/transfer_fault_test.go
@@ -9,7 +9,6 @@
 
 	"golang.org/x/sys/unix"
 
-	"valvecove/dispatch"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/eventloop/faultinjection"
 	"valvecove/internal/modeltest"
@@ -29,21 +28,6 @@
 	})
 }
 
-// A connection to a worker that breaks after the last byte was written ends its attempt as possibly executed, whatever the
-// errno.
-func TestWorkerConnectionBreaksWithAnyErrno(t *testing.T) {
-	for _, errno := range connectionErrnos {
-		w := newAttemptHarness(t)
-		q := w.sendAttempt(0)
-		for _, connection := range w.loop.workers.byAttempt {
-			w.failTransfers(connection.FD(), errno)
-		}
-		w.dialed[0].write([]byte("HTTP/1.1 202"))
-		w.runIterations()
-		w.expect(errno.Error(), q, dispatch.ConnectionReset)
-	}
-}
-
 // A client whose connection breaks has gone, whatever the errno: nothing is sent of what it asked for.
 func TestClientConnectionBreaksWithAnyErrno(t *testing.T) {
 	for _, errno := range connectionErrnos {
@@ -87,42 +71,6 @@
 	}
 }
 
-// What a machine without memory writes late tells the worker the time that is left then, and is no mark against it.
-func TestRequestWrittenLateTellsTheTimeLeft(t *testing.T) {
-	const late = 120 * time.Millisecond
-	w := newAttemptHarness(t)
-	injector := w.injectFaults(1, faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Errnos: []unix.Errno{unix.ENOBUFS}})
-	q := w.sendAttempt(0)
-	for range late / time.Millisecond {
-		w.now += time.Millisecond
-		w.runIterations()
-	}
-	injector.Clear()
-	for range 50 {
-		w.now += time.Millisecond
-		w.runIterations()
-	}
-	w.expect("under way", q)
-	w.dialed[0].read(1 << 12)
-	_, budget, _ := strings.Cut(string(w.dialed[0].received), "X-Budget-Ms: ")
-	budget, _, _ = strings.Cut(budget, "\r\n")
-	budgetMs, err := strconv.Atoi(budget)
-	if remaining := q.Deadline - w.now; err != nil || time.Duration(budgetMs)*time.Millisecond > remaining+50*time.Millisecond {
-		t.Errorf("a budget of %q, with %v to go: %v", budget, remaining, err)
-	}
-}
-
-func TestRequestNeverWrittenIsNoMarkAgainstItsWorker(t *testing.T) {
-	w := newAttemptHarness(t)
-	w.injectFaults(1, faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Errnos: []unix.Errno{unix.ENOMEM}})
-	q := w.sendAttempt(0)
-	for range w.loop.workers.connectTimeout/time.Millisecond + 1 {
-		w.now += time.Millisecond
-		w.runIterations()
-	}
-	w.expect("given up", q, dispatch.NotSent)
-}
-
 // lackMemoryFor has the next calls of some kinds fail.
 func (w *harness) lackMemoryFor(calls []eventloop.Call) {
 	if len(calls) > 0 {
@@ -246,22 +194,3 @@
 		_ = unix.Close(collector.fd)
 	}
 }
-
-// The rest of a request that was made for one write is written in what the time that its worker was given has to spare, or never;
-// it was not whole then, and says nothing about the worker.
-func TestRequestPartlyWrittenEndsInTime(t *testing.T) {
-	w := newAttemptHarness(t)
-	w.injectFaults(1,
-		faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Times: 1, MaxLength: 10},
-		faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Errnos: []unix.Errno{unix.ENOBUFS}},
-	)
-	q := w.sendAttempt(0)
-	for range budgetMargin/time.Millisecond - 1 {
-		w.now += time.Millisecond
-		w.runIterations()
-	}
-	w.expect("it waits", q)
-	w.now += 2 * time.Millisecond
-	w.runIterations()
-	w.expect("given up", q, dispatch.NotSent)
-}
--- a/internal/link/worker_attempts_test.go
+++ b/internal/worker/attempts_test.go
@@ -1,4 +1,4 @@
-package link
+package worker
 
 import (
 	"errors"
@@ -24,9 +24,9 @@
 }
 
 // delayConnections has connections come up late from now on. It gives those that were opened, in order, of which the last is the newest.
-func (w *harness) delayConnections() *[]*delayedPeer {
+func (w *fixture) delayConnections() *[]*delayedPeer {
 	opened := &[]*delayedPeer{}
-	w.loop.dial = func(at netip.AddrPort) (int, error) {
+	w.dial = func(at netip.AddrPort) (int, error) {
 		p, fd := w.socketPair()
 		p.dialedAddress = at
 		w.dialed = append(w.dialed, p)
@@ -59,28 +59,28 @@
 	}
 }
 
-// attemptHarness is a harness with requests that are sent to its one worker.
-type attemptHarness struct {
-	*harness
+// attemptFixture is a fixture with requests that are sent to its one worker.
+type attemptFixture struct {
+	*fixture
 	requests []*requests.Request
 }
 
-func newAttemptHarness(t *testing.T) *attemptHarness {
+func newAttemptFixture(t *testing.T) *attemptFixture {
 	t.Helper()
-	return &attemptHarness{harness: newHarness(&modeltest.Steps{T: t})}
+	return &attemptFixture{fixture: newFixture(&modeltest.Steps{T: t})}
 }
 
 // runActions has the policy do something in one iteration.
-func (w *attemptHarness) runActions(actions ...dispatch.Action) {
+func (w *attemptFixture) runActions(actions ...dispatch.Action) {
 	w.policy.Next = append(w.policy.Next, actions...)
-	w.loop.Requests.Wake()
+	w.table.Wake()
 	w.runIterations()
 }
 
 // sendAttempt has an attempt made of a new request.
-func (w *attemptHarness) sendAttempt(size int) *requests.Request {
+func (w *attemptFixture) sendAttempt(size int) *requests.Request {
 	w.T.Helper()
-	q, err := w.loop.Requests.Admit(w.now, requests.Arrival{
+	q, err := w.table.Admit(w.now, requests.Arrival{
 		CallID: fmt.Sprint("q", len(w.requests)), Job: dispatch.Job{Remaining: 5 * time.Second},
 		Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: noResponder{},
 	})
@@ -95,7 +95,7 @@
 const acceptedResponse = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
 // acceptedAttempt has an attempt made and accepted, and then loses its connection, so that what follows needs another.
-func (w *attemptHarness) acceptedAttempt() *requests.Request {
+func (w *attemptFixture) acceptedAttempt() *requests.Request {
 	q := w.sendAttempt(0)
 	p := w.dialed[len(w.dialed)-1]
 	p.read(1 << 12)
@@ -107,7 +107,7 @@
 }
 
 // outcomes are the results that the policy has received for a request's attempts.
-func (w *attemptHarness) outcomes(q *requests.Request) (results []dispatch.Result) {
+func (w *attemptFixture) outcomes(q *requests.Request) (results []dispatch.Result) {
 	for _, e := range w.policy.Received {
 		if o, ok := e.(dispatch.Outcome); ok && o.Job == q.ID {
 			results = append(results, o.Result)
@@ -116,17 +116,17 @@
 	return results
 }
 
-func (w *attemptHarness) expect(what string, q *requests.Request, want ...dispatch.Result) {
+func (w *attemptFixture) expect(what string, q *requests.Request, want ...dispatch.Result) {
 	w.T.Helper()
 	if got := w.outcomes(q); !slices.Equal(got, want) {
 		w.T.Errorf("%s: outcomes %v, expected %v", what, got, want)
 	}
 }
 
-func (w *attemptHarness) applyCallback(q *requests.Request, state string) {
+func (w *attemptFixture) applyCallback(q *requests.Request, state string) {
 	w.T.Helper()
 	result := "r"
-	if _, err := w.loop.Requests.HandleCallback(requests.Callback{CallID: q.CallID, EndpointID: "s-0", State: state, Result: &result}); err != nil {
+	if _, err := w.table.HandleCallback(requests.Callback{CallID: q.CallID, EndpointID: "s-0", State: state, Result: &result}); err != nil {
 		w.T.Fatal(err)
 	}
 	w.runIterations()
@@ -139,7 +139,7 @@
 }
 
 // respondDelete has a far end answer a DELETE.
-func (w *attemptHarness) respondDelete(p *peer) {
+func (w *attemptFixture) respondDelete(p *peer) {
 	p.write([]byte("HTTP/1.1 204 No Content\r\n\r\n"))
 	w.runIterations()
 }
@@ -147,7 +147,7 @@
 // While the DELETE waits for a connection, or for its response, the attempt that it cancels is in flight: the policy hears of no
 // end that would have it send another copy.
 func TestCancelWaitsForItsConnection(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	q := w.acceptedAttempt()
 	links := w.delayConnections()
 	w.runActions(dispatch.Cancel{Job: q.ID})
@@ -166,11 +166,11 @@
 
 // A DELETE whose connection does not come up in time is sent on another one.
 func TestCancelIsSentOnAnotherConnection(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	q := w.acceptedAttempt()
 	links := w.delayConnections()
 	w.runActions(dispatch.Cancel{Job: q.ID})
-	w.now += w.loop.workers.connectTimeout
+	w.now += w.pool.connectTimeout
 	w.runIterations()
 	w.now += cancelRetryDelay
 	w.runIterations()
@@ -190,7 +190,7 @@
 
 // A DELETE whose connection is refused, or is reset on its way, is sent again.
 func TestCancelIsSentAgainAfterAReset(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	q := w.acceptedAttempt()
 	links := w.delayConnections()
 	w.runActions(dispatch.Cancel{Job: q.ID})
@@ -221,7 +221,7 @@
 
 // A worker that does not respond to a DELETE may be cut off, and run the attempt up to its timeout.
 func TestCancelWithoutResponse(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	q := w.acceptedAttempt()
 	links := w.delayConnections()
 	w.runActions(dispatch.Cancel{Job: q.ID})
@@ -238,19 +238,19 @@
 
 // A DELETE is given up after some connections, and the attempt runs up to its timeout.
 func TestCancelThatIsNeverWritten(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	q := w.acceptedAttempt()
 	links := w.delayConnections()
 	w.runActions(dispatch.Cancel{Job: q.ID})
 	for range 2 * maxCancelTries {
-		w.now += w.loop.workers.connectTimeout
+		w.now += w.pool.connectTimeout
 		w.runIterations()
 		w.now += cancelRetryDelay
 		w.runIterations()
 	}
 	w.expect("as before", q)
-	if len(*links) != maxCancelTries || w.loop.workers.openCount != 0 || len(w.loop.workers.cancelTries) != 0 {
-		t.Errorf("%d connections, %d open, %d withdrawals", len(*links), w.loop.workers.openCount, len(w.loop.workers.cancelTries))
+	if len(*links) != maxCancelTries || w.pool.openCount != 0 || len(w.pool.cancelTries) != 0 {
+		t.Errorf("%d connections, %d open, %d withdrawals", len(*links), w.pool.openCount, len(w.pool.cancelTries))
 	}
 	w.runActions(dispatch.Cancel{Job: q.ID}) // which may be asked for again
 	if len(*links) != maxCancelTries+1 {
@@ -263,13 +263,13 @@
 
 // A DELETE waits for a descriptor.
 func TestCancelWithoutDescriptor(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	q := w.acceptedAttempt()
-	most := w.loop.workers.maxConnections
-	w.loop.workers.maxConnections = 0
+	most := w.pool.maxConnections
+	w.pool.maxConnections = 0
 	w.runActions(dispatch.Cancel{Job: q.ID})
 	w.expect("no descriptor left", q)
-	w.loop.workers.maxConnections = most
+	w.pool.maxConnections = most
 	w.now += cancelRetryDelay
 	if w.runIterations(); !w.dialed[len(w.dialed)-1].hasDelete(q) {
 		t.Error("nothing is written once there is a descriptor")
@@ -281,7 +281,7 @@
 
 // A DELETE is not written once the worker has said that the attempt is done.
 func TestCancelOfAnAttemptThatIsDone(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	q := w.acceptedAttempt()
 	links := w.delayConnections()
 	w.runActions(dispatch.Cancel{Job: q.ID})
@@ -291,14 +291,14 @@
 	if w.runIterations(); (*links)[0].hasDelete(q) || !(*links)[0].ended {
 		t.Errorf("a worker that is done got %q", (*links)[0].received)
 	}
-	if len(w.loop.workers.cancelTries) != 0 {
+	if len(w.pool.cancelTries) != 0 {
 		t.Error("the withdrawal is still kept")
 	}
 }
 
 // A DELETE is written though the attempt has timed out meanwhile: it may still be in a queue there.
 func TestCancelUpToTheDeadline(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	q := w.acceptedAttempt()
 	w.now = q.Deadline - 10*time.Millisecond
 	links := w.delayConnections()
@@ -314,11 +314,11 @@
 
 // A DELETE is written though the client has left meanwhile.
 func TestCancelOfADisconnectedClient(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	q := w.acceptedAttempt()
 	links := w.delayConnections()
 	w.runActions(dispatch.Cancel{Job: q.ID})
-	w.loop.Requests.ClientDisconnected(q)
+	w.table.ClientDisconnected(q)
 	w.runIterations()
 	(*links)[0].release()
 	if w.runIterations(); !(*links)[0].hasDelete(q) {
@@ -329,31 +329,9 @@
 	w.expect("answered", q, dispatch.Cancelled)
 }
 
-// A DELETE that waits for its connection when a process is replaced is sent by the one that goes on.
-func TestCancelSurvivesHotRestart(t *testing.T) {
-	s := &modeltest.Steps{T: t}
-	dir := t.TempDir()
-	base, at := newPredecessorHarness(s, dir)
-	w := &attemptHarness{harness: base}
-	q := w.acceptedAttempt()
-	w.delayConnections()
-	w.runActions(dispatch.Cancel{Job: q.ID})
-	next := &attemptHarness{harness: w.startSuccessor(dir, at)}
-	if err := w.handOverTo(next.harness); err != nil {
-		t.Fatal(err)
-	}
-	next.runIterations()
-	if p := next.dialed[len(next.dialed)-1]; !p.hasDelete(q) {
-		t.Errorf("the worker got %q", p.received)
-	}
-	next.expect("not answered yet", q)
-	next.respondDelete(next.dialed[len(next.dialed)-1])
-	next.expect("answered", q, dispatch.Cancelled)
-}
-
 // An attempt that was given up before its connection was up is given up by closing that: what comes up late carries nothing.
 func TestAttemptAbandonedBeforeItIsWritten(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	links := w.delayConnections()
 	q := w.sendAttempt(0)
 	p := (*links)[0]
@@ -369,7 +347,7 @@
 // An attempt that was written and not accepted yet may have been accepted all the same when its connection is closed. It is given
 // up, and may follow elsewhere, by a DELETE that is answered, once its 202 has come.
 func TestCancelOfAWrittenAttemptWaitsForItsAcceptance(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	q := w.sendAttempt(0)
 	w.runActions(dispatch.Cancel{Job: q.ID})
 	w.expect("not accepted yet", q)
@@ -383,14 +361,14 @@
 	}
 	w.respondDelete(deleting)
 	w.expect("answered", q, dispatch.Cancelled)
-	if len(w.loop.workers.cancelTries) != 0 {
+	if len(w.pool.cancelTries) != 0 {
 		t.Error("the cancellation is still kept")
 	}
 }
 
 // A worker that does not accept what it was written is taken not to: the attempt is given up by closing its connection.
 func TestCancelOfAWrittenAttemptThatIsNotAccepted(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	q := w.sendAttempt(0)
 	w.runActions(dispatch.Cancel{Job: q.ID})
 	w.now += acceptanceTimeout - time.Millisecond
@@ -400,14 +378,14 @@
 	w.runIterations()
 	w.expect("not accepted in time", q, dispatch.Cancelled)
 	p := w.dialed[0]
-	if p.read(1 << 12); !p.ended || len(w.dialed) != 1 || len(w.loop.workers.cancelTries) != 0 {
-		t.Errorf("closed %v, %d connections, %d cancellations", p.ended, len(w.dialed), len(w.loop.workers.cancelTries))
+	if p.read(1 << 12); !p.ended || len(w.dialed) != 1 || len(w.pool.cancelTries) != 0 {
+		t.Errorf("closed %v, %d connections, %d cancellations", p.ended, len(w.dialed), len(w.pool.cancelTries))
 	}
 }
 
 // A worker that has an attempt which has neither ended nor been given up gets no second one, whatever the policy wants.
 func TestOneAttemptAtOneWorker(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	q := w.sendAttempt(0)
 	p := w.dialed[0]
 	again := dispatch.Send{Job: q.ID, Worker: w.workerNumber()}
@@ -452,10 +430,10 @@
 
 // A worker is given at most the time that remains when the attempt is sent, however late the connection comes up.
 func TestBudgetIsRemainingTime(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	links := w.delayConnections()
 	q := w.sendAttempt(0)
-	w.now += w.loop.workers.connectTimeout - time.Millisecond
+	w.now += w.pool.connectTimeout - time.Millisecond
 	(*links)[0].release()
 	w.runIterations()
 	(*links)[0].read(1 << 12)
@@ -466,7 +444,7 @@
 
 // The time that an iteration takes is off the budget.
 func TestBudgetInALongIteration(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	links := w.delayConnections()
 	q := w.sendAttempt(0)
 	(*links)[0].release()
@@ -486,11 +464,11 @@
 
 // With no time remaining nothing is sent.
 func TestNothingIsSentWithoutBudget(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	links := w.delayConnections()
 	q := w.sendAttempt(0)
 	p := (*links)[0]
-	w.loop.workers.byAttempt[w.loop.Requests.InFlightAttempt(q.ID, 0)].setTimeout(time.Hour) // a connection may take as long as a request
+	w.pool.byAttempt[w.table.InFlightAttempt(q.ID, 0)].setTimeout(time.Hour) // a connection may take as long as a request
 	w.now = q.Deadline
 	p.release()
 	w.runIterations()
@@ -502,10 +480,10 @@
 
 // The time in which a request goes in parts is off the budget.
 func TestBudgetOfARequestInParts(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	q := w.sendAttempt(http1.MaxBodySize)
 	p := w.dialed[0]
-	w.now += w.loop.workers.connectTimeout - time.Millisecond
+	w.now += w.pool.connectTimeout - time.Millisecond
 	for range 64 {
 		w.runIterations()
 		p.read(1 << 20)
@@ -521,12 +499,12 @@
 
 // A request that does not go whole within the time for a connection is not sent.
 func TestRequestThatStaysInParts(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	q := w.sendAttempt(http1.MaxBodySize)
 	p := w.dialed[0]
 	p.read(50)
 	w.runIterations()
-	w.now += w.loop.workers.connectTimeout
+	w.now += w.pool.connectTimeout
 	for range 64 {
 		w.runIterations()
 		p.read(1 << 20)
@@ -542,22 +520,22 @@
 func TestResetAroundTheLastByte(t *testing.T) {
 	for name, x := range map[string]struct {
 		size int
-		far  func(w *attemptHarness, q *requests.Request, p *peer)
+		far  func(w *attemptFixture, q *requests.Request, p *peer)
 		want []dispatch.Result
 	}{
-		"before it": {http1.MaxBodySize, func(_ *attemptHarness, _ *requests.Request, p *peer) { p.read(4000); p.close() }, []dispatch.Result{dispatch.ConnectFailed}},
-		"after it":  {0, func(_ *attemptHarness, _ *requests.Request, p *peer) { p.read(4000); p.close() }, []dispatch.Result{dispatch.ConnectionReset}},
-		"in the answer": {0, func(_ *attemptHarness, _ *requests.Request, p *peer) {
+		"before it": {http1.MaxBodySize, func(_ *attemptFixture, _ *requests.Request, p *peer) { p.read(4000); p.close() }, []dispatch.Result{dispatch.ConnectFailed}},
+		"after it":  {0, func(_ *attemptFixture, _ *requests.Request, p *peer) { p.read(4000); p.close() }, []dispatch.Result{dispatch.ConnectionReset}},
+		"in the answer": {0, func(_ *attemptFixture, _ *requests.Request, p *peer) {
 			p.read(4000)
 			p.write([]byte(acceptedResponse[:20]))
 			p.close()
 		}, []dispatch.Result{dispatch.ConnectionReset}},
-		"behind the 202": {0, func(_ *attemptHarness, _ *requests.Request, p *peer) {
+		"behind the 202": {0, func(_ *attemptFixture, _ *requests.Request, p *peer) {
 			p.read(4000)
 			p.write([]byte(acceptedResponse))
 			p.close()
 		}, nil},
-		"behind the 202, told as lost": {0, func(w *attemptHarness, q *requests.Request, p *peer) {
+		"behind the 202, told as lost": {0, func(w *attemptFixture, q *requests.Request, p *peer) {
 			p.read(4000)
 			p.write([]byte(acceptedResponse))
 			p.close()
@@ -566,12 +544,12 @@
 		}, []dispatch.Result{dispatch.ConnectionReset}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newAttemptHarness(t)
+			w := newAttemptFixture(t)
 			q := w.sendAttempt(x.size)
 			x.far(w, q, w.dialed[0])
 			w.runIterations()
 			w.expect(name, q, x.want...)
-			if w.loop.workers.openCount != 0 {
+			if w.pool.openCount != 0 {
 				t.Error("the connection is still kept")
 			}
 		})
@@ -582,7 +560,7 @@
 func TestCallbackBeforeTheAcceptance(t *testing.T) {
 	for state, want := range map[string]dispatch.Result{"done": dispatch.OK, "returned": dispatch.WorkerFull, "failed": dispatch.Failed, "lost": dispatch.ConnectionReset} {
 		t.Run(state, func(t *testing.T) {
-			w := newAttemptHarness(t)
+			w := newAttemptFixture(t)
 			q := w.sendAttempt(0)
 			w.applyCallback(q, state)
 			w.applyCallback(q, state)
@@ -606,38 +584,38 @@
 // A second answer is never that of the next request, wherever it comes: its connection ends, or does not carry until none is due.
 func TestStrayResponse(t *testing.T) {
 	const refused = "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
-	for name, far := range map[string]func(w *attemptHarness, p *peer){
-		"right behind the first": func(w *attemptHarness, p *peer) {
+	for name, far := range map[string]func(w *attemptFixture, p *peer){
+		"right behind the first": func(w *attemptFixture, p *peer) {
 			p.write([]byte(acceptedResponse + refused))
 			w.runIterations()
 			w.now += reuseDelay
 		},
-		"half of one behind it": func(w *attemptHarness, p *peer) {
+		"half of one behind it": func(w *attemptFixture, p *peer) {
 			p.write([]byte(acceptedResponse + refused[:5]))
 			w.runIterations()
 			w.now += reuseDelay
 		},
-		"at rest": func(w *attemptHarness, p *peer) {
+		"at rest": func(w *attemptFixture, p *peer) {
 			p.write([]byte(acceptedResponse))
 			w.runIterations()
 			w.now += reuseDelay
 			p.write([]byte(refused))
 			w.runIterations()
 		},
-		"between what is gathered and what is written": func(w *attemptHarness, p *peer) {
+		"between what is gathered and what is written": func(w *attemptFixture, p *peer) {
 			p.write([]byte(acceptedResponse))
 			w.runIterations()
 			w.now += reuseDelay
 			w.loop.UpdateNow()
-			q, _ := w.loop.Requests.Admit(w.now, requests.Arrival{
+			q, _ := w.table.Admit(w.now, requests.Arrival{
 				CallID: "between", Job: dispatch.Job{Remaining: 5 * time.Second},
 				Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: noResponder{},
 			})
 			w.policy.Next = append(w.policy.Next, dispatch.Send{Job: q.ID, Worker: w.workerNumber()})
 			p.write([]byte(refused))
-			w.loop.Requests.Step(w.now)
+			w.table.Step(w.now)
 		},
-		"some milliseconds later": func(w *attemptHarness, p *peer) {
+		"some milliseconds later": func(w *attemptFixture, p *peer) {
 			p.write([]byte(acceptedResponse))
 			w.runIterations()
 			w.now += reuseDelay - time.Millisecond
@@ -647,7 +625,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newAttemptHarness(t)
+			w := newAttemptFixture(t)
 			q := w.sendAttempt(0)
 			p := w.dialed[0]
 			p.read(1 << 12)
@@ -673,7 +651,7 @@
 	}
 	// What a connection was used for before has a word of its own, so its second answer is known for what it is.
 	t.Run("to a probe", func(t *testing.T) {
-		w := newAttemptHarness(t)
+		w := newAttemptFixture(t)
 		const alive = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 		w.runActions(dispatch.HealthCheck{Worker: w.workerNumber()})
 		p := w.dialed[0]
@@ -692,7 +670,7 @@
 		}
 	})
 	t.Run("of a request, to a probe", func(t *testing.T) {
-		w := newAttemptHarness(t)
+		w := newAttemptFixture(t)
 		w.sendAttempt(0)
 		p := w.dialed[0]
 		p.read(1 << 12)
@@ -723,7 +701,7 @@
 		"HTTP/1.1 202 Accepted\r\n\r\nuntil the cl":                          nil,
 		"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\n\r\nuntil the cl":             {dispatch.WorkerFull},
 	} {
-		w := newAttemptHarness(t)
+		w := newAttemptFixture(t)
 		q := w.sendAttempt(0)
 		p := w.dialed[0]
 		p.read(1 << 12)
@@ -733,7 +711,7 @@
 		p.close()
 		w.runIterations()
 		w.expect(fmt.Sprintf("%q, closed", text), q, want...)
-		if w.loop.workers.openCount != 0 || len(w.loop.workers.byAttempt) != 0 {
+		if w.pool.openCount != 0 || len(w.pool.byAttempt) != 0 {
 			t.Errorf("%q: the connection is still kept", text)
 		}
 	}
@@ -751,12 +729,12 @@
 		"a chunk's line":         {"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n", "00000000"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newAttemptHarness(t)
+			w := newAttemptFixture(t)
 			q := w.sendAttempt(0)
 			p := w.dialed[0]
 			p.read(1 << 12)
 			p.write([]byte(x.header))
-			k := w.loop.workers.byAttempt[w.loop.Requests.InFlightAttempt(q.ID, 0)]
+			k := w.pool.byAttempt[w.table.InFlightAttempt(q.ID, 0)]
 			piece, most := strings.Repeat(x.again, 4096/len(x.again)), 0
 			for n := 0; n < 4*maxResponseSize && !p.ended; n += len(piece) {
 				p.write([]byte(piece))
@@ -787,7 +765,7 @@
 		"HTTP/1.1 413 Too large\r\nContent-Length: 0\r\n\r\n":             dispatch.NotSent,
 		"garbage\r\n\r\n": dispatch.ConnectFailed,
 	} {
-		w := newAttemptHarness(t)
+		w := newAttemptFixture(t)
 		q := w.sendAttempt(http1.MaxBodySize)
 		p := w.dialed[0]
 		p.read(1000)
--- a/internal/link/budget_test.go
+++ b/internal/worker/budget_test.go
@@ -1,11 +1,10 @@
-package link
+package worker
 
 import (
 	"testing"
 	"time"
 
 	"valvecove/internal/http1"
-	"valvecove/internal/modeltest"
 )
 
 // The rules on the time that a worker is given: it is at most what is left to the client, with this slack. A process may be held
@@ -17,7 +16,7 @@
 )
 
 // stallAfterReading has the process held up right after the nth reading of its clock from here on.
-func (w *harness) stallAfterReading(nth int) (readings *int) {
+func (w *fixture) stallAfterReading(nth int) (readings *int) {
 	readings = new(int)
 	w.clock = func() time.Duration {
 		now := w.now
@@ -33,7 +32,7 @@
 // what passes on the way.
 func TestBudgetHoldsThroughAStall(t *testing.T) {
 	for nth := 1; ; nth++ {
-		w := newAttemptHarness(t)
+		w := newAttemptFixture(t)
 		links := w.delayConnections()
 		q := w.sendAttempt(0)
 		w.now = q.Deadline - 400*time.Millisecond
@@ -59,7 +58,7 @@
 // where the event that there is room comes together with the end of that time.
 func TestBudgetOfASmallRequestThatWaits(t *testing.T) {
 	for _, late := range []time.Duration{smallWriteTimeout - time.Millisecond, smallWriteTimeout, smallWriteTimeout + 1, longestHold, time.Second} {
-		w := newAttemptHarness(t)
+		w := newAttemptFixture(t)
 		first := w.sendAttempt(0)
 		worker := &delayedPeer{peer: w.dialed[0]}
 		worker.read(1 << 12)
@@ -68,7 +67,7 @@
 		w.applyCallback(first, "done")
 		w.now += reuseDelay
 		worker.received = nil
-		worker.filledBytes = fillSocket(w.loop.workers.endpoint(w.workerNumber()).idle[0].FD())
+		worker.filledBytes = fillSocket(w.pool.endpoint(w.workerNumber()).idle[0].FD())
 		q := w.sendAttempt(0)
 		w.now += late
 		worker.release()
@@ -84,39 +83,14 @@
 	}
 }
 
-// A process that takes over an attempt in the middle of its writing does not know by when it has to be written: it writes the
-// rest at once, or never.
-func TestRestOfARequestAfterAHotRestart(t *testing.T) {
-	for _, late := range []time.Duration{0, smallWriteTimeout + 1} {
-		s, dir := &modeltest.Steps{T: t}, t.TempDir()
-		base, at := newPredecessorHarness(s, dir)
-		w := &attemptHarness{harness: base}
-		w.sendAttempt(http1.MaxBodySize)
-		next := w.startSuccessor(dir, at)
-		if err := w.handOverTo(next); err != nil {
-			t.Fatal(err)
-		}
-		next.now += late
-		p := w.dialed[len(w.dialed)-1]
-		for range 64 {
-			p.read(1 << 20)
-			next.runIterations()
-		}
-		var m http1.Request
-		if _, err := m.Parse(p.received); (err == nil) != (late == 0) {
-			t.Errorf("%v after the take-over: parsed with %v", late, err)
-		}
-	}
-}
-
 // A large request whose connection has taken its time is written within the time for a connection and little more, or never: a
 // repeat has to arrive within its window.
 func TestLargeRequestOnALateConnection(t *testing.T) {
 	for _, late := range []time.Duration{smallWriteTimeout - 1, smallWriteTimeout} {
-		w := newAttemptHarness(t)
+		w := newAttemptFixture(t)
 		links := w.delayConnections()
 		w.sendAttempt(http1.MaxBodySize)
-		w.now += w.loop.workers.connectTimeout
+		w.now += w.pool.connectTimeout
 		p := (*links)[0]
 		p.release()
 		w.runOnce()
--- a/internal/link/worker_cancel.go
+++ b/internal/worker/cancel.go
@@ -1,4 +1,4 @@
-package link
+package worker
 
 import (
 	"time"
@@ -14,7 +14,7 @@
 
 // Cancel sends a DELETE for an attempt, unless one is on its way. For an attempt that is written and not accepted yet it waits a
 // moment: closing the connection gives up nothing if the worker's 202 is on its way.
-func (p *workerPool) Cancel(attempt *requests.Attempt) {
+func (p *Pool) Cancel(attempt *requests.Attempt) {
 	if _, isCancelling := p.cancelTries[attempt]; isCancelling {
 		return
 	}
@@ -33,7 +33,7 @@
 }
 
 // handleAccepted sends the DELETE that has waited for an attempt to be accepted, if one has.
-func (p *workerPool) handleAccepted(attempt *requests.Attempt) {
+func (p *Pool) handleAccepted(attempt *requests.Attempt) {
 	if tries, isWaiting := p.cancelTries[attempt]; !isWaiting || tries > 0 {
 		return
 	}
@@ -44,7 +44,7 @@
 	p.tryCancel(attempt)
 }
 
-func (p *workerPool) tryCancel(attempt *requests.Attempt) {
+func (p *Pool) tryCancel(attempt *requests.Attempt) {
 	p.cancelTries[attempt]++
 	p.startExchange(attempt.Worker, exchange{kind: exchangeCancel, attempt: attempt})
 }
@@ -52,7 +52,7 @@
 // handleCancelResult takes in how a DELETE ended. Where its connection was lost it is sent again, on another one: the first may
 // not have come up in time, or was reset or dropped unseen, and the DELETE with it. A worker that responds knows. One that
 // does not may be cut off, and go on with the attempt, which then ends by its timeout.
-func (p *workerPool) handleCancelResult(attempt *requests.Attempt, failure *requests.AttemptError) {
+func (p *Pool) handleCancelResult(attempt *requests.Attempt, failure *requests.AttemptError) {
 	neverSent := failure != nil && failure.Reason == requests.ReasonNotSent // this machine lacked something: that passes
 	isLost := failure != nil && failure.Reason == requests.ReasonConnectionLost || neverSent
 	if neverSent {
--- a/internal/link/worker_connection.go
+++ b/internal/worker/connection.go
@@ -1,4 +1,4 @@
-package link
+package worker
 
 import (
 	"container/list"
@@ -12,31 +12,31 @@
 	"valvecove/internal/requests"
 )
 
-// workerConnectionState says what a connection to a worker is doing.
-type workerConnectionState int
+// connectionState says what a connection to a worker is doing.
+type connectionState int
 
 const (
-	workerConnecting workerConnectionState = iota
-	workerIdle
-	workerHolding          // it is up, and its attempt is held for a moment
-	workerAwaitingResponse // a request is written, or being written
-	workerClosed
+	stateConnecting connectionState = iota
+	stateIdle
+	stateHolding          // it is up, and its attempt is held for a moment
+	stateAwaitingResponse // a request is written, or being written
+	stateClosed
 )
 
-func (s workerConnectionState) String() string {
+func (s connectionState) String() string {
 	switch s {
-	case workerConnecting:
+	case stateConnecting:
 		return "connecting"
-	case workerIdle:
+	case stateIdle:
 		return "idle"
-	case workerHolding:
+	case stateHolding:
 		return "holding"
-	case workerAwaitingResponse:
+	case stateAwaitingResponse:
 		return "awaiting response"
-	case workerClosed:
+	case stateClosed:
 		return "closed"
 	}
-	return fmt.Sprintf("workerConnectionState(%d)", int(s))
+	return fmt.Sprintf("connectionState(%d)", int(s))
 }
 
 // Why a connection to a worker ends, or is not opened. Errors of the network and of the parser are passed on as they are.
@@ -54,13 +54,13 @@
 // twice as long.
 const minDialBackoff = time.Millisecond
 
-// workerConnection is a connection to a worker. It has one exchange at a time.
-type workerConnection struct {
+// connection is a connection to a worker. It has one exchange at a time.
+type connection struct {
 	eventloop.Stream
-	pool        *workerPool
+	pool        *Pool
 	endpoint    *endpointConnections
 	incarnation int // of the worker's process when the connection was opened
-	state       workerConnectionState
+	state       connectionState
 	exchange    exchange
 	lastKind    exchangeKind   // of the present exchange, or the last one
 	stage       requests.Stage // of the present exchange
@@ -74,11 +74,11 @@
 
 // connect opens the connection. Where this machine lacks something for it, the worker has no part in that, and the lack may be
 // over in a moment: the exchange waits, for half of the time that a connection has to come up. What is left is for that.
-func (c *workerConnection) connect() {
+func (c *connection) connect() {
 	c.tryConnect(minDialBackoff)
 }
 
-func (c *workerConnection) tryConnect(backoff time.Duration) {
+func (c *connection) tryConnect(backoff time.Duration) {
 	if c.isObsolete() {
 		c.terminate(nil)
 		return
@@ -96,22 +96,24 @@
 }
 
 // connectDeadline is when the connection is to be up, and the first byte of its exchange taken.
-func (c *workerConnection) connectDeadline() time.Duration {
+func (c *connection) connectDeadline() time.Duration {
 	return c.exchange.begunAt + c.pool.connectTimeout
 }
 
 // isWaitingToDial reports whether there is an exchange, and nothing yet to open a connection for it with.
-func (c *workerConnection) isWaitingToDial() bool { return c.state == workerConnecting && !c.IsOpen() }
+func (c *connection) isWaitingToDial() bool { return c.state == stateConnecting && !c.IsOpen() }
 
 // isLocalShortage reports whether a connection could not be opened for what this machine lacks: nothing was sent.
-func isLocalShortage(err error) bool { return errors.Is(err, errNoDescriptor) || isMomentary(err) }
+func isLocalShortage(err error) bool {
+	return errors.Is(err, errNoDescriptor) || eventloop.ClassOf(err).IsMomentary()
+}
 
 // isOwnDelay reports whether a connection may have ended for having been held back by this machine.
 func isOwnDelay(cause error) bool {
 	return errors.Is(cause, errResponseTimeout) || errors.Is(cause, errClosedByWorker)
 }
 
-func (c *workerConnection) dial() error {
+func (c *connection) dial() error {
 	pool := c.pool
 	if pool.openCount >= pool.maxConnections && !pool.evictIdle() {
 		return errNoDescriptor
@@ -135,7 +137,7 @@
 
 // isAlive looks whether an idle connection still is: there is no event yet for a close that came after this iteration's were
 // gathered, and a request written to it would end as a reset, and be possibly executed.
-func (c *workerConnection) isAlive() bool {
+func (c *connection) isAlive() bool {
 	var b [1]byte
 	for {
 		_, err := c.pool.loop.Syscalls().Recvfrom(c.FD(), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -146,31 +148,31 @@
 }
 
 // setTimeout ends the connection after a while, in place of an earlier timeout.
-func (c *workerConnection) setTimeout(timeout time.Duration) {
+func (c *connection) setTimeout(timeout time.Duration) {
 	c.pool.loop.StopTimer(c.timer)
 	c.timer = c.pool.loop.StartTimer(timeout, c, func() { c.terminate(errResponseTimeout) })
 }
 
 // HandleEvents goes on with the exchange.
-func (c *workerConnection) HandleEvents(events uint32) {
-	if c.state != workerClosed && c.isObsolete() {
+func (c *connection) HandleEvents(events uint32) {
+	if c.state != stateClosed && c.isObsolete() {
 		c.terminate(nil)
 		return
 	}
 	switch c.state {
-	case workerConnecting:
+	case stateConnecting:
 		c.completeConnect(events)
-	case workerIdle, workerHolding: // it was closed, or something comes that nobody asked for
+	case stateIdle, stateHolding: // it was closed, or something comes that nobody asked for
 		c.terminate(nil)
-	case workerClosed, workerAwaitingResponse:
+	case stateClosed, stateAwaitingResponse:
 	}
-	if c.state == workerAwaitingResponse {
+	if c.state == stateAwaitingResponse {
 		c.continueExchange(events)
 	}
 }
 
 // completeConnect sends the request once the connection is up.
-func (c *workerConnection) completeConnect(events uint32) {
+func (c *connection) completeConnect(events uint32) {
 	if err := c.ConnectError(); err != nil {
 		c.terminate(err)
 		return
@@ -184,7 +186,7 @@
 }
 
 // continueExchange sends what waits of the request, and reads what has come of the response.
-func (c *workerConnection) continueExchange(events uint32) {
+func (c *connection) continueExchange(events uint32) {
 	if events&unix.EPOLLOUT != 0 && len(c.Output()) > 0 {
 		if c.pool.loop.Clock() > c.writeUntil { // an event comes before the timer that is due with it
 			c.terminate(errResponseTimeout)
@@ -202,23 +204,23 @@
 }
 
 // becomeIdle keeps the connection for the next exchange.
-func (c *workerConnection) becomeIdle() {
+func (c *connection) becomeIdle() {
 	c.pool.loop.StopTimer(c.timer)
-	c.state = workerIdle
+	c.state = stateIdle
 	c.idleSince = c.pool.loop.Now()
 	c.pool.addIdle(c)
 }
 
 // terminate closes the connection, whatever its state. Its exchange ends with the stage that it had reached.
-func (c *workerConnection) terminate(cause error) {
-	if c.state == workerClosed {
+func (c *connection) terminate(cause error) {
+	if c.state == stateClosed {
 		return
 	}
-	if c.state == workerIdle {
+	if c.state == stateIdle {
 		c.pool.removeIdle(c)
 	}
 	wasDropped := c.wasDroppedWhileIdle(cause)
-	c.state = workerClosed
+	c.state = stateClosed
 	c.pool.loop.StopTimer(c.timer)
 	if c.IsOpen() {
 		c.Close()
@@ -231,8 +233,8 @@
 }
 
 // wasDroppedWhileIdle reports whether a connection that ends now, and was idle before its exchange, got no byte of a response.
-func (c *workerConnection) wasDroppedWhileIdle(cause error) bool {
-	return c.state == workerAwaitingResponse && c.idleBefore > 0 && len(c.Input()) == 0 &&
+func (c *connection) wasDroppedWhileIdle(cause error) bool {
+	return c.state == stateAwaitingResponse && c.idleBefore > 0 && len(c.Input()) == 0 &&
 		cause != nil && !errors.Is(cause, errResponseTimeout)
 }
 
@@ -240,7 +242,7 @@
 // connection, or got a stray response, it says nothing about the worker. Nor does a connection that this machine could not open,
 // or opened so late that it had not all its time to come up. One that was begun and then could not reach the worker is the
 // worker's, whatever errno says so: that is what a worker looks like that has been cut off.
-func (c *workerConnection) failureReason(cause error, wasDropped bool) requests.Reason {
+func (c *connection) failureReason(cause error, wasDropped bool) requests.Reason {
 	isHealthCheck := c.exchange.kind == exchangeHealthCheck
 	switch {
 	case c.stage >= requests.StageWritten && errors.Is(cause, errResponseTimeout):
@@ -255,4 +257,4 @@
 }
 
 // HandlePanic ends the connection.
-func (c *workerConnection) HandlePanic() { c.terminate(errWorkerPanicked) }
+func (c *connection) HandlePanic() { c.terminate(errWorkerPanicked) }
--- a/internal/link/worker_connection_test.go
+++ b/internal/worker/connection_test.go
@@ -1,4 +1,4 @@
-package link
+package worker
 
 import (
 	"bytes"
@@ -47,7 +47,7 @@
 
 // workerModel is the one worker, and what it knows of the attempts that were sent to it.
 type workerModel struct {
-	*harness
+	*fixture
 	jobs         []uint64 // in the order of their requests
 	attempts     map[string]*sentAttempt
 	delayed      map[*peer]*delayedPeer
@@ -55,9 +55,9 @@
 }
 
 func runWorkerConnection(s *modeltest.Steps) {
-	w := newHarness(s)
-	m := &workerModel{harness: w, attempts: map[string]*sentAttempt{}, delayed: map[*peer]*delayedPeer{}}
-	w.loop.dial = m.dial
+	w := newFixture(s)
+	m := &workerModel{fixture: w, attempts: map[string]*sentAttempt{}, delayed: map[*peer]*delayedPeer{}}
+	w.dial = m.dial
 	for s.More() {
 		if m.act(s.Pick(10)) {
 			w.runIterations()
@@ -99,11 +99,11 @@
 		}
 	case what == 6 && len(m.jobs) > 0:
 		m.policy.Next = append(m.policy.Next, dispatch.Cancel{Job: m.jobs[m.Pick(len(m.jobs))]})
-		m.loop.Requests.DiscoveryFailed()
+		m.table.DiscoveryFailed()
 		m.Record("cancel")
 	case what == 7:
 		m.policy.Next = append(m.policy.Next, dispatch.HealthCheck{Worker: m.workerNumber()})
-		m.loop.Requests.DiscoveryFailed()
+		m.table.DiscoveryFailed()
 		m.healthChecks++
 		m.Record("probe")
 	case what == 8:
@@ -117,7 +117,7 @@
 func (m *workerModel) sendAttempt() {
 	sizes := []int{0, 100, http1.MaxBodySize}
 	id := fmt.Sprint("q", len(m.jobs))
-	q, err := m.loop.Requests.Admit(m.now, requests.Arrival{
+	q, err := m.table.Admit(m.now, requests.Arrival{
 		CallID: id, Job: dispatch.Job{Remaining: 5 * time.Second},
 		Payload: requests.Payload{Method: "POST", Path: "/a", Body: bytes.Repeat([]byte{'x'}, sizes[m.Pick(3)])}, Responder: noResponder{},
 	})
@@ -195,8 +195,8 @@
 }
 
 // isSending tells whether an attempt of a request is on its way.
-func (w *harness) isSending(call string) bool {
-	for a := range w.loop.workers.byAttempt {
+func (w *fixture) isSending(call string) bool {
+	for a := range w.pool.byAttempt {
 		if a.Request.CallID == call && !a.HasEnded() {
 			return true
 		}
@@ -220,9 +220,9 @@
 		m.Check(len(results[job]) == 1, "outcomes %v for one attempt", results[job])
 		m.checkOutcome(m.attempts[fmt.Sprint("q", n)], results[job][0])
 	}
-	m.Check(len(m.loop.workers.byAttempt) == 0, "an attempt is still carried")
-	for _, endpoint := range m.loop.workers.endpoints {
-		m.Check(m.loop.workers.openCount == len(endpoint.idle), "%d connections open, %d idle", m.loop.workers.openCount, len(endpoint.idle))
+	m.Check(len(m.pool.byAttempt) == 0, "an attempt is still carried")
+	for _, endpoint := range m.pool.endpoints {
+		m.Check(m.pool.openCount == len(endpoint.idle), "%d connections open, %d idle", m.pool.openCount, len(endpoint.idle))
 	}
 }
 
@@ -249,13 +249,13 @@
 // A connection that breaks after it was idle says nothing of its worker. From then on connections are not used again when
 // they have been idle for nearly as long, until all has gone well for a while.
 func TestTrustInIdleConnections(t *testing.T) {
-	w := newHarness(&modeltest.Steps{T: t})
+	w := newFixture(&modeltest.Steps{T: t})
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	probe := func(idle time.Duration, answer string, wantLinks int, want dispatch.Result) {
 		t.Helper()
 		w.now += idle
 		w.policy.Next = append(w.policy.Next, dispatch.HealthCheck{Worker: w.workerNumber()})
-		w.loop.Requests.DiscoveryFailed()
+		w.table.DiscoveryFailed()
 		w.runIterations()
 		if len(w.dialed) != wantLinks {
 			t.Errorf("%d connections opened, expected %d", len(w.dialed), wantLinks)
@@ -290,12 +290,12 @@
 // A connection to a process that has been replaced is not used again, nor one that is about to be closed as idle; an
 // attempt given up after it was accepted is withdrawn by name.
 func TestIdleConnectionsExpire(t *testing.T) {
-	w := newHarness(&modeltest.Steps{T: t})
+	w := newFixture(&modeltest.Steps{T: t})
 	endpoint := requests.Endpoint{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up", StartedAtMs: 5}
 	sent := 0
 	send := func() *peer {
 		sent++
-		q, err := w.loop.Requests.Admit(w.now, requests.Arrival{
+		q, err := w.table.Admit(w.now, requests.Arrival{
 			CallID: fmt.Sprint("q", sent), Job: dispatch.Job{Remaining: 5 * time.Second},
 			Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: noResponder{},
 		})
@@ -317,7 +317,7 @@
 		t.Fatal("a connection that was free was not used")
 	}
 	w.policy.Next = append(w.policy.Next, dispatch.Cancel{Job: 2})
-	w.loop.Requests.UpdateEndpoints(requests.EndpointList{Endpoints: []requests.Endpoint{endpoint}})
+	w.table.UpdateEndpoints(requests.EndpointList{Endpoints: []requests.Endpoint{endpoint}})
 	w.runIterations()
 	last := w.dialed[len(w.dialed)-1]
 	if last.read(1 << 12); last == first || !strings.HasPrefix(string(last.received), "DELETE /jobs/q2 ") {
@@ -334,17 +334,17 @@
 	idle, links := send(), len(w.dialed)
 	idle.close()
 	w.policy.Next = append(w.policy.Next, dispatch.HealthCheck{Worker: w.workerNumber()})
-	w.loop.Requests.DiscoveryFailed()
-	if w.loop.Requests.Step(w.now); len(w.dialed) != links+1 {
+	w.table.DiscoveryFailed()
+	if w.table.Step(w.now); len(w.dialed) != links+1 {
 		t.Error("a connection that had just been closed was used")
 	}
 }
 
 // startSending begins an attempt of request "q" at each worker that is listed, of which only a part is written if its body is
 // large.
-func (w *attemptHarness) startSending(size int) *requests.Request {
+func (w *attemptFixture) startSending(size int) *requests.Request {
 	w.T.Helper()
-	q, err := w.loop.Requests.Admit(w.now, requests.Arrival{
+	q, err := w.table.Admit(w.now, requests.Arrival{
 		CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
 		Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: noResponder{},
 	})
@@ -360,7 +360,7 @@
 	for _, worker := range listed {
 		w.policy.Next = append(w.policy.Next, dispatch.Send{Job: q.ID, Worker: worker.ID})
 	}
-	w.loop.Requests.Step(w.now)
+	w.table.Step(w.now)
 	if size > 0 {
 		w.runIterations()
 	}
@@ -368,7 +368,7 @@
 }
 
 // expectNeverWhole expects that no worker gets a whole request, and that its connection is closed.
-func (w *attemptHarness) expectNeverWhole() {
+func (w *attemptFixture) expectNeverWhole() {
 	w.T.Helper()
 	for i, p := range w.dialed {
 		for range 64 {
@@ -380,8 +380,8 @@
 			w.T.Errorf("connection %d: %d bytes came, whole %v, and it is closed %v", i, len(p.received), err == nil, p.ended)
 		}
 	}
-	if len(w.dialed) == 0 || len(w.loop.workers.byAttempt) != 0 || w.loop.workers.openCount != 0 {
-		w.T.Errorf("%d connections were opened, %d are still kept", len(w.dialed), w.loop.workers.openCount)
+	if len(w.dialed) == 0 || len(w.pool.byAttempt) != 0 || w.pool.openCount != 0 {
+		w.T.Errorf("%d connections were opened, %d are still kept", len(w.dialed), w.pool.openCount)
 	}
 }
 
@@ -390,9 +390,9 @@
 func TestLateCallbackStopsTheSend(t *testing.T) {
 	for name, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize} {
 		t.Run(name, func(t *testing.T) {
-			w := newAttemptHarness(t)
+			w := newAttemptFixture(t)
 			w.startSending(size)
-			known, err := w.loop.Requests.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "returned"})
+			known, err := w.table.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "returned"})
 			if !known || err != nil {
 				t.Fatalf("the callback is known %v, %v", known, err)
 			}
@@ -405,30 +405,30 @@
 // not up yet or has taken a part, and whoever ended the request.
 func TestFinishedRequestIsNotSent(t *testing.T) {
 	result := "r"
-	ends := map[string]func(w *harness, q *requests.Request){
-		"client left": func(w *harness, q *requests.Request) { w.loop.Requests.ClientDisconnected(q) },
-		"served by another copy": func(w *harness, _ *requests.Request) {
-			if known, err := w.loop.Requests.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-1", State: "done", Result: &result}); !known || err != nil {
+	ends := map[string]func(w *fixture, q *requests.Request){
+		"client left": func(w *fixture, q *requests.Request) { w.table.ClientDisconnected(q) },
+		"served by another copy": func(w *fixture, _ *requests.Request) {
+			if known, err := w.table.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-1", State: "done", Result: &result}); !known || err != nil {
 				t.Errorf("the callback is known %v, %v", known, err)
 			}
 		},
-		"refused": func(w *harness, q *requests.Request) {
+		"refused": func(w *fixture, q *requests.Request) {
 			w.policy.Next = append(w.policy.Next, dispatch.Reject{Job: q.ID})
-			w.loop.Requests.Wake()
-			w.loop.Requests.Step(w.now)
+			w.table.Wake()
+			w.table.Step(w.now)
 		},
-		"finished": func(w *harness, _ *requests.Request) { w.loop.Requests.CloseSince(0) },
+		"finished": func(w *fixture, _ *requests.Request) { w.table.CloseSince(0) },
 	}
 	for name, end := range ends {
 		for stage, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize} {
 			t.Run(name+", "+stage, func(t *testing.T) {
-				w := newAttemptHarness(t)
-				w.loop.Requests.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
+				w := newAttemptFixture(t)
+				w.table.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
 					{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
 					{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"},
 				}})
 				w.runIterations()
-				end(w.harness, w.startSending(size))
+				end(w.fixture, w.startSending(size))
 				w.expectNeverWhole()
 			})
 		}
--- a/internal/link/worker_dial_test.go
+++ b/internal/worker/dial_test.go
@@ -1,4 +1,4 @@
-package link
+package worker
 
 import (
 	"fmt"
@@ -15,9 +15,9 @@
 )
 
 // failDials has the next dials fail, so many of them, with an errno of a call.
-func (w *harness) failDials(times int, call eventloop.Call, errno unix.Errno) {
-	dial := w.loop.dial
-	w.loop.dial = func(at netip.AddrPort) (int, error) {
+func (w *fixture) failDials(times int, call eventloop.Call, errno unix.Errno) {
+	dial := w.dial
+	w.dial = func(at netip.AddrPort) (int, error) {
 		if times > 0 {
 			times--
 			return eventloop.NoDescriptor, fmt.Errorf("dial: %w", eventloop.NewCallError(call, errno))
@@ -45,7 +45,7 @@
 func TestDialWaitsOutAMomentaryShortage(t *testing.T) {
 	for _, shortage := range localShortages {
 		t.Run(fmt.Sprint(shortage.call, " ", unix.ErrnoName(shortage.errno)), func(t *testing.T) {
-			w := newAttemptHarness(t)
+			w := newAttemptFixture(t)
 			w.failDials(4, shortage.call, shortage.errno)
 			q := w.sendAttempt(0)
 			for range 20 {
@@ -68,14 +68,14 @@
 func TestDialGivesUpALastingShortage(t *testing.T) {
 	for _, shortage := range localShortages {
 		t.Run(fmt.Sprint(shortage.call, " ", unix.ErrnoName(shortage.errno)), func(t *testing.T) {
-			w := newAttemptHarness(t)
+			w := newAttemptFixture(t)
 			dials := 0
-			w.loop.dial = func(netip.AddrPort) (int, error) {
+			w.dial = func(netip.AddrPort) (int, error) {
 				dials++
 				return eventloop.NoDescriptor, eventloop.NewCallError(shortage.call, shortage.errno)
 			}
 			q := w.sendAttempt(0)
-			for range w.loop.workers.connectTimeout / time.Millisecond {
+			for range w.pool.connectTimeout / time.Millisecond {
 				w.now += time.Millisecond
 				w.runIterations()
 			}
@@ -89,12 +89,12 @@
 
 // Without a descriptor of those for workers an attempt waits as well, and gets the first that is free.
 func TestDialWaitsForADescriptor(t *testing.T) {
-	w := newAttemptHarness(t)
-	most := w.loop.workers.maxConnections
-	w.loop.workers.maxConnections = 0
+	w := newAttemptFixture(t)
+	most := w.pool.maxConnections
+	w.pool.maxConnections = 0
 	q := w.sendAttempt(0)
 	w.expect("it waits", q)
-	w.loop.workers.maxConnections = most
+	w.pool.maxConnections = most
 	w.now += minDialBackoff
 	w.runIterations()
 	if len(w.dialed) != 1 {
@@ -106,20 +106,20 @@
 // What is the peer's is told of the worker at once, be it that connect says so or, for one in progress, SO_ERROR.
 func TestDialFailureOfTheWorker(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ETIMEDOUT, unix.EACCES} {
-		w := newAttemptHarness(t)
+		w := newAttemptFixture(t)
 		w.failDials(1, eventloop.CallConnect, errno)
 		w.expect(errno.Error(), w.sendAttempt(0), dispatch.ConnectFailed)
 	}
 	for _, errno := range []unix.Errno{unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ETIMEDOUT, unix.ENETUNREACH} {
-		w := newAttemptHarness(t)
-		w.injectFaults(1, faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallGetOption}, Errnos: []unix.Errno{errno}})
+		w := newAttemptFixture(t)
+		w.injectFaults(faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallGetOption}, Errnos: []unix.Errno{errno}})
 		w.expect("in progress, "+errno.Error(), w.sendAttempt(0), dispatch.ConnectFailed)
 	}
 }
 
 // A DELETE that was never sent is no word of the worker's: the attempt runs on, and the DELETE is sent once it can be.
 func TestCancelOutlastsAShortage(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	q := w.acceptedAttempt()
 	w.failDials(100, eventloop.CallSocket, unix.ENFILE)
 	w.runActions(dispatch.Cancel{Job: q.ID})
@@ -135,16 +135,16 @@
 
 // What has no connection yet is no part of a hand-over: it ends as never sent, for the policy to send again.
 func TestWaitingDialsEndBeforeHandover(t *testing.T) {
-	w := newAttemptHarness(t)
+	w := newAttemptFixture(t)
 	w.failDials(1, eventloop.CallSocket, unix.ENFILE)
 	q := w.sendAttempt(0)
-	if !w.loop.workers.HasWaitingDials() {
+	if !w.pool.HasWaitingDials() {
 		t.Fatal("nothing waits")
 	}
-	w.loop.workers.EndWaitingDials()
+	w.pool.EndWaitingDials()
 	w.runIterations()
 	w.expect("handed back", q, dispatch.NotSent)
-	if w.loop.workers.HasWaitingDials() {
+	if w.pool.HasWaitingDials() {
 		t.Error("it still waits")
 	}
 }
--- a/internal/link/worker_exchange.go
+++ b/internal/worker/exchange.go
@@ -1,4 +1,4 @@
-package link
+package worker
 
 import (
 	"fmt"
@@ -60,7 +60,7 @@
 }
 
 // assign gives the connection its exchange.
-func (c *workerConnection) assign(next exchange) {
+func (c *connection) assign(next exchange) {
 	c.exchange = next
 	c.exchange.begunAt = c.pool.loop.Now()
 	c.lastKind = next.kind
@@ -71,7 +71,7 @@
 }
 
 // setStage sets how far the exchange has come, and the attempt with it.
-func (c *workerConnection) setStage(stage requests.Stage) {
+func (c *connection) setStage(stage requests.Stage) {
 	c.stage = stage
 	if c.exchange.kind == exchangeAttempt {
 		c.exchange.attempt.Stage = stage
@@ -79,7 +79,7 @@
 }
 
 // writeRequest sends the exchange's request, once it is known that somebody waits for it.
-func (c *workerConnection) writeRequest() {
+func (c *connection) writeRequest() {
 	pool, loop := c.pool, c.pool.loop
 	buffer, timeout, ok := c.appendRequest(pool.writeBuffer[:0])
 	if !ok { // the request table gives the attempt up in a moment, and the connection ends with it
@@ -92,7 +92,7 @@
 		return
 	}
 	c.setTimeout(timeout)
-	c.state = workerAwaitingResponse
+	c.state = stateAwaitingResponse
 	c.setStage(requests.StagePartlyWritten)
 	if err := c.Send(buffer); err != nil {
 		c.terminate(err)
@@ -108,11 +108,11 @@
 // awaitMemory sees to a request that the machine lacked memory to write. Of one of which nothing was taken it is made anew once
 // there is some: the time that the worker is told would not be true by then. The rest of another one is written in what that time
 // has to spare, or never, so long as it was made for a single write.
-func (c *workerConnection) awaitMemory(isUntouched bool, timeout time.Duration) {
+func (c *connection) awaitMemory(isUntouched bool, timeout time.Duration) {
 	c.dialDelayed = true
 	if isUntouched {
 		c.TakeOutput()
-		c.state = workerConnecting
+		c.state = stateConnecting
 		c.setStage(requests.StageNotConnected)
 		c.setTimeout(max(0, c.connectDeadline()-c.pool.loop.Now()))
 		return
@@ -124,12 +124,12 @@
 }
 
 // isHeld holds an attempt for which it is not certain that its client still waits, and reports whether it does, or has ended it.
-func (c *workerConnection) isHeld() bool {
+func (c *connection) isHeld() bool {
 	if c.exchange.kind != exchangeAttempt {
 		return false
 	}
 	hold := c.pool.attemptHold(c.exchange.attempt)
-	if c.state == workerClosed { // its client turned out to be gone
+	if c.state == stateClosed { // its client turned out to be gone
 		return true
 	}
 	if hold > 0 {
@@ -139,8 +139,8 @@
 }
 
 // hold has the request written a moment later.
-func (c *workerConnection) hold(span time.Duration) {
-	c.state = workerHolding
+func (c *connection) hold(span time.Duration) {
+	c.state = stateHolding
 	c.SetEvents(eventloop.StreamEvents)
 	c.pool.loop.StopTimer(c.timer)
 	c.timer = c.pool.loop.StartTimer(span, c, c.writeRequestLate)
@@ -148,7 +148,7 @@
 
 // writeRequestLate sends the request of an exchange that was begun in an earlier iteration. Its worker may have begun to drain
 // since: it gets no attempt then, which says nothing about it.
-func (c *workerConnection) writeRequestLate() {
+func (c *connection) writeRequestLate() {
 	attempt, table := c.exchange.attempt, c.pool.table
 	if c.exchange.kind == exchangeAttempt && !table.MayReceive(attempt.Worker) {
 		table.EndAttempt(attempt, nil, &requests.AttemptError{Stage: c.stage, Reason: requests.ReasonNotSent})
@@ -159,7 +159,7 @@
 }
 
 // appendRequest returns how long the exchange may take from now on; ok is false if it is too late for it.
-func (c *workerConnection) appendRequest(buffer []byte) (request []byte, timeout time.Duration, ok bool) {
+func (c *connection) appendRequest(buffer []byte) (request []byte, timeout time.Duration, ok bool) {
 	attempt, address := c.exchange.attempt, c.endpoint.address.String()
 	switch c.exchange.kind {
 	case exchangeAttempt:
@@ -177,7 +177,7 @@
 
 // appendAttempt appends the request of an attempt. The time that the worker is given is what remains now, however late the
 // connection came up, and also if the process is held up meanwhile.
-func (c *workerConnection) appendAttempt(buffer []byte, attempt *requests.Attempt, address string) (request []byte, timeout time.Duration, ok bool) {
+func (c *connection) appendAttempt(buffer []byte, attempt *requests.Attempt, address string) (request []byte, timeout time.Duration, ok bool) {
 	start, loop := len(buffer), c.pool.loop
 	for {
 		now := loop.Clock()
@@ -194,7 +194,7 @@
 
 // appendAttemptAt appends the request of an attempt for which so much time remains. A large payload may go in parts: that it
 // takes what its connection has left of the time for one at most is taken off.
-func (c *workerConnection) appendAttemptAt(buffer []byte, attempt *requests.Attempt, address string, remaining time.Duration) (request []byte, timeout time.Duration) {
+func (c *connection) appendAttemptAt(buffer []byte, attempt *requests.Attempt, address string, remaining time.Duration) (request []byte, timeout time.Duration) {
 	payload := &attempt.Request.Payload
 	timeout = smallWriteTimeout
 	if len(payload.Body) > maxSingleWrite {
@@ -216,7 +216,7 @@
 }
 
 // reportIfWritten takes in that the last byte was sent, if it was: from there on, an attempt is possibly executed.
-func (c *workerConnection) reportIfWritten() {
+func (c *connection) reportIfWritten() {
 	if len(c.Output()) > 0 || c.stage >= requests.StageWritten {
 		return
 	}
@@ -231,7 +231,7 @@
 // isObsolete reports whether the exchange is of no use any more before its request was wholly written. An attempt may have
 // ended meanwhile, by a late callback of an earlier one: written on, it would run after the request was over, or be one more
 // than the dispatcher knows of. Nor is a DELETE of any use once the worker has said how the attempt ended.
-func (c *workerConnection) isObsolete() bool {
+func (c *connection) isObsolete() bool {
 	attempt := c.exchange.attempt
 	if attempt == nil || c.stage >= requests.StageWritten {
 		return false
@@ -240,7 +240,7 @@
 }
 
 // finishExchange ends the exchange; the failure is nil if it went well.
-func (c *workerConnection) finishExchange(failure *requests.AttemptError) {
+func (c *connection) finishExchange(failure *requests.AttemptError) {
 	finished := c.exchange
 	c.exchange = exchange{}
 	switch finished.kind {
--- a/internal/link/worker_pool.go
+++ b/internal/worker/pool.go
@@ -1,4 +1,4 @@
-package link
+package worker
 
 import (
 	"container/list"
@@ -18,69 +18,69 @@
 	idleTrustGrowthInterval = 10 * time.Second      // the trust in idle connections doubles when they have done well for so long
 )
 
-// workerTable is what a worker pool needs of the request table. *requests.Table implements it.
-type workerTable interface {
-	endpointList
-	attemptReporter
-	healthReporter
-	cancelReporter
+// RequestTable is what a worker pool needs of the request table. *requests.Table implements it.
+type RequestTable interface {
+	EndpointList
+	AttemptReporter
+	HealthReporter
+	CancelReporter
 }
 
-// endpointList tells of the workers that discovery has listed.
-type endpointList interface {
+// EndpointList tells of the workers that discovery has listed.
+type EndpointList interface {
 	Endpoint(worker uint64) requests.Endpoint
 	WorkerNumber(endpointID string) (worker uint64, known bool)
 	MayReceive(worker uint64) bool
 }
 
-// attemptReporter finds attempts, and is notified of what becomes of them.
-type attemptReporter interface {
+// AttemptReporter finds attempts, and is notified of what becomes of them.
+type AttemptReporter interface {
 	InFlightAttempt(requestID uint64, number int) *requests.Attempt
 	ReportWritten(attempt *requests.Attempt)
 	ReportResponse(attempt *requests.Attempt, status int)
 	EndAttempt(attempt *requests.Attempt, result []byte, failure *requests.AttemptError)
 }
 
-// healthReporter is notified of the results of health checks.
-type healthReporter interface {
+// HealthReporter is notified of the results of health checks.
+type HealthReporter interface {
 	HealthChecked(worker uint64, failure *requests.AttemptError)
 }
 
-// cancelReporter is notified of how cancellations ended.
-type cancelReporter interface {
+// CancelReporter is notified of how cancellations ended.
+type CancelReporter interface {
 	CancelUnaccepted(attempt *requests.Attempt)
 	CancelCompleted(attempt *requests.Attempt, confirmed bool)
 }
 
-// workerPoolConfig is what a worker pool is made of.
-type workerPoolConfig struct {
-	loop              *eventloop.Loop
-	dial              func(address netip.AddrPort) (fd int, err error)
-	attemptHold       func(attempt *requests.Attempt) time.Duration // before an attempt is written; it may end the attempt
-	hasRelinquished   func() bool                                   // a successor owns the requests
-	maxConnections    int
-	connectTimeout    time.Duration
-	workerIdleTimeout time.Duration // after which workers close an idle connection; 0: never
+// Config is what a worker pool is made of.
+type Config struct {
+	Loop              *eventloop.Loop
+	Dial              func(address netip.AddrPort) (fd int, err error)
+	AttemptHold       func(attempt *requests.Attempt) time.Duration // before an attempt is written; it may end the attempt
+	HasRelinquished   func() bool                                   // a successor owns the requests
+	MaxConnections    int
+	ConnectTimeout    time.Duration
+	WorkerIdleTimeout time.Duration // after which workers close an idle connection; 0: never
 }
 
-// workerPool has the connections to workers: it is the request table's carrier.
-type workerPool struct {
+// Pool has the connections to workers: it is the request table's carrier.
+type Pool struct {
 	loop               *eventloop.Loop
-	table              workerTable
+	table              RequestTable
 	dial               func(address netip.AddrPort) (fd int, err error)
 	attemptHold        func(attempt *requests.Attempt) time.Duration
 	hasRelinquished    func() bool
-	writeBuffer        []byte                                  // what is being written
-	response           http1.Response                          // that was parsed last
-	endpoints          map[uint64]*endpointConnections         // by worker
-	byAttempt          map[*requests.Attempt]*workerConnection // until the worker has accepted
-	cancelTries        map[*requests.Attempt]int               // connections tried to cancel an attempt, while it is being cancelled
-	openCount          int                                     // of connections
-	idle               list.List                               // connections to all workers, the one that has been idle longest first
-	maxConnections     int                                     // open at once
-	connectTimeout     time.Duration                           // for a connection to come up
-	idleTimeout        time.Duration                           // for which a connection is kept idle; 0: for ever
-	idleTrust          time.Duration                           // for which idle connections have lately gone well; 0: without limit
+	writeBuffer        []byte                            // what is being written
+	response           http1.Response                    // that was parsed last
+	endpoints          map[uint64]*endpointConnections   // by worker
+	byAttempt          map[*requests.Attempt]*connection // until the worker has accepted
+	cancelTries        map[*requests.Attempt]int         // connections tried to cancel an attempt, while it is being cancelled
+	openCount          int                               // of connections
+	idle               list.List                         // connections to all workers, the one that has been idle longest first
+	maxConnections     int                               // open at once
+	connectTimeout     time.Duration                     // for a connection to come up
+	idleTimeout        time.Duration                     // for which a connection is kept idle; 0: for ever
+	idleTrust          time.Duration                     // for which idle connections have lately gone well; 0: without limit
 	idleTrustChangedAt time.Duration
 }
 
@@ -90,49 +90,49 @@
 	id          string
 	address     netip.AddrPort
 	startedAtMs int64
-	incarnation int                 // counts the worker's processes: a connection to an earlier one is of no use
-	idle        []*workerConnection // the last one used last
+	incarnation int           // counts the worker's processes: a connection to an earlier one is of no use
+	idle        []*connection // the last one used last
 }
 
-// newWorkerPool returns a pool that has no connections yet. The worker closes an idle connection at its limit, and a request
+// New returns a pool that has no connections yet. The worker closes an idle connection at its limit, and a request
 // that crosses the close is lost: the pool keeps well clear of that.
-func newWorkerPool(config workerPoolConfig) *workerPool {
-	pool := &workerPool{
-		loop:            config.loop,
-		dial:            config.dial,
-		attemptHold:     config.attemptHold,
-		hasRelinquished: config.hasRelinquished,
+func New(config Config) *Pool {
+	pool := &Pool{
+		loop:            config.Loop,
+		dial:            config.Dial,
+		attemptHold:     config.AttemptHold,
+		hasRelinquished: config.HasRelinquished,
 		endpoints:       map[uint64]*endpointConnections{},
-		byAttempt:       map[*requests.Attempt]*workerConnection{},
+		byAttempt:       map[*requests.Attempt]*connection{},
 		cancelTries:     map[*requests.Attempt]int{},
-		maxConnections:  config.maxConnections,
-		connectTimeout:  config.connectTimeout,
-		idleTimeout:     config.workerIdleTimeout * 3 / 4,
+		maxConnections:  config.MaxConnections,
+		connectTimeout:  config.ConnectTimeout,
+		idleTimeout:     config.WorkerIdleTimeout * 3 / 4,
 	}
 	pool.closeExpired()
 	return pool
 }
 
 // SetTable sets the request table, which is made with the pool as its transport. It is called once, before the table is used.
-func (p *workerPool) SetTable(table workerTable) { p.table = table }
+func (p *Pool) SetTable(table RequestTable) { p.table = table }
 
 // SetMaxConnections sets how many connections may be open at once. Those that are open over it stay open.
-func (p *workerPool) SetMaxConnections(limit int) { p.maxConnections = limit }
+func (p *Pool) SetMaxConnections(limit int) { p.maxConnections = limit }
 
 // HandleEvents has nothing to do: the pool has no descriptor of its own, only timers.
-func (p *workerPool) HandleEvents(uint32) {}
+func (p *Pool) HandleEvents(uint32) {}
 
 // HandlePanic has nothing to end: the pool goes on.
-func (p *workerPool) HandlePanic() {}
+func (p *Pool) HandlePanic() {}
 
 // Start sends an attempt to its worker.
-func (p *workerPool) Start(attempt *requests.Attempt) {
+func (p *Pool) Start(attempt *requests.Attempt) {
 	p.startExchange(attempt.Worker, exchange{kind: exchangeAttempt, attempt: attempt})
 }
 
 // Abandon lets the worker know that an attempt is given up: before it has accepted by closing the connection, after that by a
 // DELETE.
-func (p *workerPool) Abandon(attempt *requests.Attempt) {
+func (p *Pool) Abandon(attempt *requests.Attempt) {
 	if c := p.byAttempt[attempt]; c != nil {
 		c.terminate(nil)
 	} else if attempt.Stage == requests.StageAccepted {
@@ -141,12 +141,12 @@
 }
 
 // CheckHealth asks a worker whether it is alive.
-func (p *workerPool) CheckHealth(worker uint64) {
+func (p *Pool) CheckHealth(worker uint64) {
 	p.startExchange(worker, exchange{kind: exchangeHealthCheck})
 }
 
 // CloseIdleConnections closes a worker's connections that are idle.
-func (p *workerPool) CloseIdleConnections(worker uint64) {
+func (p *Pool) CloseIdleConnections(worker uint64) {
 	if endpoint := p.endpoints[worker]; endpoint != nil {
 		for len(endpoint.idle) > 0 {
 			endpoint.idle[0].terminate(nil)
@@ -155,7 +155,7 @@
 }
 
 // endpoint returns the connections to a worker, without idle ones to a process of it that was replaced.
-func (p *workerPool) endpoint(worker uint64) *endpointConnections {
+func (p *Pool) endpoint(worker uint64) *endpointConnections {
 	endpoint := p.endpoints[worker]
 	if endpoint == nil {
 		endpoint = &endpointConnections{worker: worker}
@@ -173,7 +173,7 @@
 }
 
 // startExchange begins an exchange on the idle connection that was used last, or on a new one.
-func (p *workerPool) startExchange(worker uint64, next exchange) {
+func (p *Pool) startExchange(worker uint64, next exchange) {
 	endpoint := p.endpoint(worker)
 	if c := p.takeIdle(endpoint, next.kind); c != nil {
 		c.idleBefore = max(p.loop.Now()-c.idleSince, 1)
@@ -181,13 +181,13 @@
 		p.loop.Protect(c, c.writeRequest)
 		return
 	}
-	c := &workerConnection{pool: p, endpoint: endpoint, incarnation: endpoint.incarnation, state: workerConnecting}
+	c := &connection{pool: p, endpoint: endpoint, incarnation: endpoint.incarnation, state: stateConnecting}
 	c.assign(next)
 	p.loop.Protect(c, c.connect)
 }
 
 // EndWaitingDials ends the attempts that have no connection yet, as never sent: there is nothing to be handed over of them.
-func (p *workerPool) EndWaitingDials() {
+func (p *Pool) EndWaitingDials() {
 	for _, c := range p.byAttempt {
 		if c.isWaitingToDial() {
 			c.terminate(errNoDescriptor)
@@ -196,7 +196,7 @@
 }
 
 // HasWaitingDials reports whether an attempt has no connection yet.
-func (p *workerPool) HasWaitingDials() bool {
+func (p *Pool) HasWaitingDials() bool {
 	for _, c := range p.byAttempt {
 		if c.isWaitingToDial() {
 			return true
@@ -207,7 +207,7 @@
 
 // takeIdle takes the idle connection that was used last and may be used for a kind of exchange; nil: there is none. It closes
 // those that it finds unusable.
-func (p *workerPool) takeIdle(endpoint *endpointConnections, next exchangeKind) *workerConnection {
+func (p *Pool) takeIdle(endpoint *endpointConnections, next exchangeKind) *connection {
 	for i := len(endpoint.idle) - 1; i >= 0; i-- {
 		c := endpoint.idle[i]
 		if p.isStale(c) || !c.isAlive() {
@@ -224,25 +224,25 @@
 }
 
 // addIdle takes a connection among the idle. Those that a predecessor hands over come in the order of their workers.
-func (p *workerPool) addIdle(connection *workerConnection) {
+func (p *Pool) addIdle(conn *connection) {
 	earlier := p.idle.Back()
-	for earlier != nil && earlier.Value.(*workerConnection).idleSince > connection.idleSince {
+	for earlier != nil && earlier.Value.(*connection).idleSince > conn.idleSince {
 		earlier = earlier.Prev()
 	}
 	if earlier == nil {
-		connection.idleElement = p.idle.PushFront(connection)
+		conn.idleElement = p.idle.PushFront(conn)
 	} else {
-		connection.idleElement = p.idle.InsertAfter(connection, earlier)
+		conn.idleElement = p.idle.InsertAfter(conn, earlier)
 	}
-	connection.endpoint.idle = append(connection.endpoint.idle, connection)
+	conn.endpoint.idle = append(conn.endpoint.idle, conn)
 }
 
 // removeIdle takes a connection from among the idle.
-func (p *workerPool) removeIdle(connection *workerConnection) {
-	endpoint := connection.endpoint
-	p.idle.Remove(connection.idleElement)
+func (p *Pool) removeIdle(conn *connection) {
+	endpoint := conn.endpoint
+	p.idle.Remove(conn.idleElement)
 	for i, idle := range endpoint.idle {
-		if idle == connection {
+		if idle == conn {
 			endpoint.idle = append(endpoint.idle[:i], endpoint.idle[i+1:]...)
 			return
 		}
@@ -251,17 +251,17 @@
 
 // evictIdle closes the connection that has been idle longest, to any worker, and reports whether there was one. The others
 // are the likelier to be used again.
-func (p *workerPool) evictIdle() bool {
+func (p *Pool) evictIdle() bool {
 	oldest := p.idle.Front()
 	if oldest == nil {
 		return false
 	}
-	oldest.Value.(*workerConnection).terminate(nil)
+	oldest.Value.(*connection).terminate(nil)
 	return true
 }
 
 // closeExpired closes connections that have been idle for too long, again and again.
-func (p *workerPool) closeExpired() {
+func (p *Pool) closeExpired() {
 	p.loop.StartTimer(poolExpiryInterval, p, p.closeExpired)
 	p.growIdleTrust()
 	for _, endpoint := range p.endpoints {
@@ -271,13 +271,13 @@
 	}
 }
 
-func (p *workerPool) isStale(connection *workerConnection) bool {
-	idle := p.loop.Now() - connection.idleSince
+func (p *Pool) isStale(conn *connection) bool {
+	idle := p.loop.Now() - conn.idleSince
 	return p.idleTimeout > 0 && idle >= p.idleTimeout || p.idleTrust > 0 && idle >= p.idleTrust
 }
 
 // growIdleTrust doubles the trust in idle connections once they have done well for long enough.
-func (p *workerPool) growIdleTrust() {
+func (p *Pool) growIdleTrust() {
 	if p.idleTrust == 0 || p.loop.Now()-p.idleTrustChangedAt < idleTrustGrowthInterval {
 		return
 	}
@@ -291,7 +291,7 @@
 // reduceIdleTrust takes in that a connection broke which had been idle for so long and then got no response. Something on the
 // way, or the workers themselves, drop idle connections unseen: a request that was written to one is possibly executed, so
 // one that is not idempotent is lost by it. A new connection costs far less.
-func (p *workerPool) reduceIdleTrust(idle time.Duration) {
+func (p *Pool) reduceIdleTrust(idle time.Duration) {
 	if p.idleTrust == 0 || idle < p.idleTrust {
 		p.idleTrust = max(idle/2, minIdleTrust)
 	}
--- a/internal/link/worker_pool_test.go
+++ b/internal/worker/pool_test.go
@@ -1,4 +1,4 @@
-package link
+package worker
 
 import (
 	"fmt"
@@ -11,16 +11,16 @@
 	"valvecove/internal/requests"
 )
 
-// poolHarness has several workers, each with an address of its own. All answer health checks at once.
-type poolHarness struct {
-	*harness
+// poolFixture has several workers, each with an address of its own. All answer health checks at once.
+type poolFixture struct {
+	*fixture
 	workers []uint64
 	opened  map[uint64]int // connections, by worker
 }
 
-func newPoolHarness(t *testing.T, count, maxConnections int) *poolHarness {
+func newPoolFixture(t *testing.T, count, maxConnections int) *poolFixture {
 	t.Helper()
-	w := &poolHarness{harness: newHarness(&modeltest.Steps{T: t}), opened: map[uint64]int{}}
+	w := &poolFixture{fixture: newFixture(&modeltest.Steps{T: t}), opened: map[uint64]int{}}
 	list := requests.EndpointList{Reset: true}
 	for n := range count {
 		list.Endpoints = append(list.Endpoints, requests.Endpoint{
@@ -28,7 +28,7 @@
 		})
 	}
 	w.policy.Received = nil
-	w.loop.Requests.UpdateEndpoints(list)
+	w.table.UpdateEndpoints(list)
 	w.runIterations()
 	for _, event := range w.policy.Received {
 		if list, ok := event.(dispatch.WorkerList); ok {
@@ -42,18 +42,18 @@
 	if len(w.workers) != count {
 		t.Fatalf("%d workers are known, expected %d", len(w.workers), count)
 	}
-	w.loop.workers.maxConnections = maxConnections
+	w.pool.maxConnections = maxConnections
 	return w
 }
 
 // use has an exchange with a worker, and time pass.
-func (w *poolHarness) use(worker int) {
+func (w *poolFixture) use(worker int) {
 	id := w.workers[worker]
 	before := len(w.dialed)
-	w.loop.workers.CheckHealth(id)
+	w.pool.CheckHealth(id)
 	w.runIterations()
 	w.opened[id] += len(w.dialed) - before
-	address := w.loop.workers.endpoints[id].address
+	address := w.pool.endpoints[id].address
 	for _, p := range w.dialed {
 		if p.dialedAddress == address {
 			p.read(1 << 20)
@@ -65,14 +65,14 @@
 }
 
 // openTo counts the idle connections to a worker.
-func (w *poolHarness) openTo(worker int) int {
-	return len(w.loop.workers.endpoints[w.workers[worker]].idle)
+func (w *poolFixture) openTo(worker int) int {
+	return len(w.pool.endpoints[w.workers[worker]].idle)
 }
 
 // Where no more connections may be open, the one that has been idle longest is closed for another: workers that are in use keep theirs.
 func TestLongestIdleConnectionIsEvicted(t *testing.T) {
 	const workers, inUse, capacity = 40, 3, 5
-	w := newPoolHarness(t, workers, capacity)
+	w := newPoolFixture(t, workers, capacity)
 	for round := range workers - inUse {
 		for worker := range inUse {
 			w.use(worker)
@@ -84,21 +84,21 @@
 			t.Errorf("worker %d, in use all the time: %d connections opened, %d open", worker, opened, w.openTo(worker))
 		}
 	}
-	if pool := w.loop.workers; pool.openCount != capacity || pool.idle.Len() != capacity {
+	if pool := w.pool; pool.openCount != capacity || pool.idle.Len() != capacity {
 		t.Errorf("%d connections open, %d idle, expected %d", pool.openCount, pool.idle.Len(), capacity)
 	}
 }
 
 // Connections that come in another order than that in which they became idle are evicted in the latter.
 func TestRestoredConnectionsAreEvictedByTheirIdleTimes(t *testing.T) {
-	w := newHarness(&modeltest.Steps{T: t})
-	pool := w.loop.workers
+	w := newFixture(&modeltest.Steps{T: t})
+	pool := w.pool
 	for _, idleSince := range []time.Duration{3, 1, 4, 2} {
 		endpoint := &endpointConnections{address: netip.AddrPort{}}
-		pool.addIdle(&workerConnection{pool: pool, endpoint: endpoint, state: workerIdle, idleSince: idleSince})
+		pool.addIdle(&connection{pool: pool, endpoint: endpoint, state: stateIdle, idleSince: idleSince})
 	}
 	for want := time.Duration(1); want <= 4; want++ {
-		if got := pool.idle.Front().Value.(*workerConnection).idleSince; got != want {
+		if got := pool.idle.Front().Value.(*connection).idleSince; got != want {
 			t.Errorf("evicted the one that is idle since %d, expected %d", got, want)
 		}
 		pool.evictIdle()
--- a/internal/link/worker_response.go
+++ b/internal/worker/response.go
@@ -1,4 +1,4 @@
-package link
+package worker
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 const maxResponseSize = 2 * (http1.MaxHeaderSize + http1.MaxBodySize)
 
 // readResponse reads what has come of the response, and ends the exchange if that is all of it.
-func (c *workerConnection) readResponse() {
+func (c *connection) readResponse() {
 	ended, err := c.Fill()
 	if err != nil {
 		c.terminate(err)
@@ -34,7 +34,7 @@
 }
 
 // completeExchange takes in a whole response. The connection goes on only to the worker's present process.
-func (c *workerConnection) completeExchange(response *http1.Response, size int, keepAlive bool) {
+func (c *connection) completeExchange(response *http1.Response, size int, keepAlive bool) {
 	if c.isStrayResponse(response.StatusCode) {
 		c.terminate(errStrayResponse)
 		return
@@ -53,7 +53,7 @@
 
 // isStrayResponse reports whether a successful response is a second one to the connection's last exchange: each kind has a
 // status of its own for success. On a new connection any is taken as it is meant.
-func (c *workerConnection) isStrayResponse(statusCode int) bool {
+func (c *connection) isStrayResponse(statusCode int) bool {
 	if c.idleBefore == 0 || statusCode/100 != 2 {
 		return false
 	}
@@ -68,7 +68,7 @@
 }
 
 // handleResponse ends the exchange by the response's status. An accepted attempt goes on without the connection.
-func (c *workerConnection) handleResponse(response *http1.Response) {
+func (c *connection) handleResponse(response *http1.Response) {
 	failure := c.responseFailure(response)
 	if c.exchange.kind != exchangeAttempt {
 		c.finishExchange(failure)
@@ -91,7 +91,7 @@
 }
 
 // responseFailure returns what a response says went wrong; nil: nothing did.
-func (c *workerConnection) responseFailure(response *http1.Response) *requests.AttemptError {
+func (c *connection) responseFailure(response *http1.Response) *requests.AttemptError {
 	statusCode := response.StatusCode
 	if statusCode/100 == 2 {
 		return nil
--- a/internal/link/worker_transfer.go
+++ b/internal/worker/transfer.go
@@ -1,4 +1,4 @@
-package link
+package worker
 
 import (
 	"golang.org/x/sys/unix"
@@ -8,37 +8,37 @@
 	"valvecove/internal/requests"
 )
 
-// workerSnapshot is a connection to a worker as it is handed over.
-type workerSnapshot struct {
+// ConnectionSnapshot is a connection to a worker as it is handed over.
+type ConnectionSnapshot struct {
 	hotrestart.WorkerConnection
 	Descriptor int // the connection's own, which it keeps until Relinquish
 }
 
 // Snapshot returns the connections that are handed over: those that carry an attempt, and idle ones.
-func (p *workerPool) Snapshot() []workerSnapshot {
-	var snapshots []workerSnapshot
-	for _, connection := range p.transferable() {
-		snapshots = append(snapshots, workerSnapshot{connection.transferRecord(), connection.FD()})
+func (p *Pool) Snapshot() []ConnectionSnapshot {
+	var snapshots []ConnectionSnapshot
+	for _, conn := range p.transferable() {
+		snapshots = append(snapshots, ConnectionSnapshot{conn.transferRecord(), conn.FD()})
 	}
 	return snapshots
 }
 
 // Relinquish closes the connections that Snapshot returns, which a successor owns now. Their attempts do not end here.
-func (p *workerPool) Relinquish() {
-	for _, connection := range p.transferable() {
-		p.loop.StopTimer(connection.timer)
-		connection.state = workerClosed
-		connection.Close()
+func (p *Pool) Relinquish() {
+	for _, conn := range p.transferable() {
+		p.loop.StopTimer(conn.timer)
+		conn.state = stateClosed
+		conn.Close()
 	}
 	clear(p.byAttempt)
 }
 
 // transferable returns the connections that are handed over: those that carry an attempt, and idle ones.
-func (p *workerPool) transferable() []*workerConnection {
-	var connections []*workerConnection
-	for _, connection := range p.byAttempt {
-		if connection.IsOpen() {
-			connections = append(connections, connection)
+func (p *Pool) transferable() []*connection {
+	var connections []*connection
+	for _, conn := range p.byAttempt {
+		if conn.IsOpen() {
+			connections = append(connections, conn)
 		}
 	}
 	for _, endpoint := range p.endpoints {
@@ -47,7 +47,7 @@
 	return connections
 }
 
-func (c *workerConnection) transferRecord() hotrestart.WorkerConnection {
+func (c *connection) transferRecord() hotrestart.WorkerConnection {
 	record := hotrestart.WorkerConnection{
 		WorkerID:   c.endpoint.id,
 		State:      c.transferredState(),
@@ -65,22 +65,22 @@
 
 // transferredState is the connection's state as it is handed over. Whoever goes on with one that holds its attempt looks anew
 // at whether anybody waits for it.
-func (c *workerConnection) transferredState() hotrestart.WorkerConnectionState {
-	if c.state == workerHolding {
+func (c *connection) transferredState() hotrestart.WorkerConnectionState {
+	if c.state == stateHolding {
 		return hotrestart.WorkerConnecting
 	}
 	return transferredStates[c.state]
 }
 
 // transferredStates are the states of connections as they are handed over.
-var transferredStates = map[workerConnectionState]hotrestart.WorkerConnectionState{
-	workerConnecting:       hotrestart.WorkerConnecting,
-	workerIdle:             hotrestart.WorkerIdle,
-	workerAwaitingResponse: hotrestart.WorkerAwaitingResponse,
+var transferredStates = map[connectionState]hotrestart.WorkerConnectionState{
+	stateConnecting:       hotrestart.WorkerConnecting,
+	stateIdle:             hotrestart.WorkerIdle,
+	stateAwaitingResponse: hotrestart.WorkerAwaitingResponse,
 }
 
 // Restore goes on with a connection to a worker; one that is of no use any more is closed.
-func (p *workerPool) Restore(received hotrestart.ReceivedWorkerConnection) {
+func (p *Pool) Restore(received hotrestart.ReceivedWorkerConnection) {
 	worker, known := p.table.WorkerNumber(received.WorkerID)
 	attempt := p.table.InFlightAttempt(received.RequestID, received.Attempt)
 	if !known || received.State != hotrestart.WorkerIdle && attempt == nil {
@@ -88,7 +88,7 @@
 		return
 	}
 	endpoint := p.endpoint(worker)
-	connection := &workerConnection{
+	conn := &connection{
 		pool:        p,
 		endpoint:    endpoint,
 		incarnation: endpoint.incarnation,
@@ -99,11 +99,11 @@
 		idleSince:   received.IdleSince,
 	}
 	events := uint32(eventloop.StreamEvents)
-	if connection.state == workerConnecting {
+	if conn.state == stateConnecting {
 		events |= unix.EPOLLOUT
 	}
 	var err error
-	if connection.Stream, err = p.loop.OpenStream(received.Descriptor, events, connection); err != nil {
+	if conn.Stream, err = p.loop.OpenStream(received.Descriptor, events, conn); err != nil {
 		_ = p.loop.Syscalls().Close(received.Descriptor)
 		if attempt != nil {
 			lost := &requests.AttemptError{Stage: received.Stage, Reason: requests.ReasonConnectionLost, Cause: err}
@@ -112,18 +112,18 @@
 		return
 	}
 	p.openCount++
-	connection.SetBuffers(received.Input, received.Output)
-	if connection.state == workerIdle {
-		p.addIdle(connection)
+	conn.SetBuffers(received.Input, received.Output)
+	if conn.state == stateIdle {
+		p.addIdle(conn)
 		return
 	}
-	connection.restoreAttempt(attempt)
+	conn.restoreAttempt(attempt)
 }
 
-func (c *workerConnection) restoreAttempt(attempt *requests.Attempt) {
+func (c *connection) restoreAttempt(attempt *requests.Attempt) {
 	c.exchange = exchange{kind: exchangeAttempt, attempt: attempt, begunAt: c.pool.loop.Now()}
 	c.pool.byAttempt[attempt] = c
-	if c.state == workerConnecting {
+	if c.state == stateConnecting {
 		c.setTimeout(c.pool.connectTimeout)
 		return
 	}
@@ -137,11 +137,11 @@
 }
 
 // restoredState is the reverse of transferredStates.
-func restoredState(state hotrestart.WorkerConnectionState) workerConnectionState {
+func restoredState(state hotrestart.WorkerConnectionState) connectionState {
 	for restored, transferred := range transferredStates {
 		if transferred == state {
 			return restored
 		}
 	}
-	return workerAwaitingResponse
+	return stateAwaitingResponse
 }
