--- a/internal/link/lifecycle.go
+++ b/internal/link/lifecycle.go
@@ -60,3 +60,10 @@
 func (l *Loop) IsQuiet() bool {
 	return (l.hasRelinquished() || l.Requests.OpenCount() == 0) && l.clients.hasSentAll()
 }
+
+// FlushMetrics gathers and sends all metrics, at the end of the process.
+func (l *Loop) FlushMetrics() {
+	if l.metrics != nil {
+		l.metrics.Flush()
+	}
+}
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -22,7 +22,7 @@
 	"valvecove/internal/gossip/socket"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/http1"
-	"valvecove/internal/metrics"
+	"valvecove/internal/metrics/push"
 	"valvecove/internal/requests"
 )
 
@@ -47,7 +47,7 @@
 	watch        *watchConnection
 	operators    *operatorListener    // nil: off
 	status       *statusListener      // nil: off
-	exporter     *metrics.Exporter    // nil: off
+	metrics      *push.Pusher         // nil: off
 	peers        *socket.Socket       // nil: schedulers exchange no messages
 	addressLists *address.AccessLists // nil: off
 	dispatcher   *dispatch.Dispatcher // that decides, in whatever wraps it
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -20,6 +20,7 @@
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/logging"
 	"valvecove/internal/metrics"
+	"valvecove/internal/metrics/push"
 	"valvecove/internal/requests"
 	"valvecove/internal/status"
 )
@@ -251,12 +252,12 @@
 	}
 	if ops.Metrics != nil {
 		if ops.Metrics.UDPTarget.IsValid() {
-			metricTargets = append(metricTargets, &collectorSocket{syscalls: l.Syscalls(), address: ops.Metrics.UDPTarget, fd: -1})
+			metricTargets = append(metricTargets, push.NewCollector(l.Syscalls(), ops.Metrics.UDPTarget))
 		}
-		l.exporter = metrics.NewExporter(*ops.Metrics, counters, l.Now, metricTargets...)
-		l.exporter.PeerCounts = func() metrics.PeerCounts { return l.peerCounts(counters.AttemptsWritten()) }
-		l.Requests.AddObserver(l.exporter)
-		l.exportMetrics()
+		exporter := metrics.NewExporter(*ops.Metrics, counters, l.Now, metricTargets...)
+		exporter.PeerCounts = func() metrics.PeerCounts { return l.peerCounts(counters.AttemptsWritten()) }
+		l.Requests.AddObserver(exporter)
+		l.metrics = push.Start(l.Loop, exporter)
 	}
 	return nil
 }
--- a/internal/link/transfer_fault_test.go
+++ b/internal/link/transfer_fault_test.go
@@ -213,40 +213,6 @@
 	}
 }
 
-// Metrics that can't be sent for what this machine lacks are dropped, and later ones are sent.
-func TestCollectorSocketOutlastsShortages(t *testing.T) {
-	receiver, err := unix.Socket(unix.AF_INET, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = unix.Close(receiver) })
-	if err := unix.Bind(receiver, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
-	}
-	bound, err := unix.Getsockname(receiver)
-	if err != nil {
-		t.Fatal(err)
-	}
-	injector := faultinjection.New(1, nil)
-	syscalls := injector.Syscalls()
-	for _, call := range []eventloop.Call{eventloop.CallSocket, eventloop.CallConnect, eventloop.CallSendMessage} {
-		collector := &collectorSocket{syscalls: &syscalls, address: eventloop.AddrPort(bound), fd: eventloop.NoDescriptor}
-		injector.Add(faultinjection.Rule{Calls: []eventloop.Call{call}, Errnos: []unix.Errno{unix.ENOBUFS}})
-		if collector.Send([]byte("lost\n")) == nil {
-			t.Errorf("%v failed, and nothing is said of it", call)
-		}
-		injector.Clear()
-		if err := collector.Send([]byte("sent\n")); err != nil {
-			t.Errorf("after %v had failed: %v", call, err)
-		}
-		buffer := make([]byte, 64)
-		if n, err := unix.Read(receiver, buffer); err != nil || string(buffer[:n]) != "sent" {
-			t.Errorf("received %q: %v", buffer[:max(n, 0)], err)
-		}
-		_ = unix.Close(collector.fd)
-	}
-}
-
 // The rest of a request that was made for one write is written in what the time that its worker was given has to spare, or never;
 // it was not whole then, and says nothing about the worker.
 func TestRequestPartlyWrittenEndsInTime(t *testing.T) {
