--- a/cmd/simadapter/adapter.go
+++ b/cmd/simadapter/adapter.go
@@ -105,7 +105,7 @@
 	actions := i.dispatcher.Step(now, i.events, nil)
 	writer.Actions(number, actions)
 	for _, action := range actions {
-		if toPeer, ok := action.(dispatch.TellPeer); ok {
+		if toPeer, ok := action.(dispatch.SendPeerMessage); ok {
 			i.node.Queue(toPeer.To, toPeer.Message)
 		}
 	}
--- a/dispatch/actions.go
+++ b/dispatch/actions.go
@@ -33,8 +33,8 @@
 	SetTimer struct{ After time.Duration }
 	// Subscribe asks for the list of workers and its changes.
 	Subscribe struct{}
-	// TellPeer sends a message to another dispatcher, by its Settings.ReplicaIndex. It may be lost.
-	TellPeer struct {
+	// SendPeerMessage sends a message to another dispatcher, by its Settings.ReplicaIndex. It may be lost.
+	SendPeerMessage struct {
 		To      int
 		Message PeerMessage
 	}
@@ -50,5 +50,5 @@
 func (CloseIdleConnections) action() {}
 func (SetTimer) action()             {}
 func (Subscribe) action()            {}
-func (TellPeer) action()             {}
+func (SendPeerMessage) action()      {}
 func (Log) action()                  {}
--- a/dispatch/coordinator.go
+++ b/dispatch/coordinator.go
@@ -13,18 +13,18 @@
 // fewest slots in use, drawn among equals, of those able to start the job now. Only whose slots are counted
 // differs: those of all dispatchers.
 const (
-	waitingSpan = time.Second            // a request that is not repeated for so long is forgotten
-	leaseSpan   = 4 * time.Second        // a lease that is not reported for so long is free
-	reportDelay = 250 * time.Millisecond // a complete report may be older than what was granted so long ago
-	maxWaiting  = 4096                   // requests; further ones are told that they wait, and are forgotten
-	maxGranted  = 1 << 17                // leases
-	peersPart   = 8                      // one of many dispatchers takes this part of these tables at most
-
-	maxLeaseDemand = 1 << 10 // slots of one lease
-	maxLeaseWork   = 1e6     // seconds of work of one lease
-	maxPromoteIn   = time.Hour
-
-	freeSlotsAge = 20 * time.Millisecond // the free slots of a shard are counted again after this
+	waitingRequestExpiry = time.Second            // a request that is not repeated for so long is forgotten
+	leaseExpiry          = 4 * time.Second        // a lease that is not reported for so long is free
+	reportDelay          = 250 * time.Millisecond // a complete report may predate such a grant
+	maxWaiting           = 4096                   // requests; further ones are forgotten
+	maxGranted           = 1 << 17                // leases
+	minPeersPerTable     = 8                      // the part of one dispatcher is 1/8 at most
+
+	maxLeaseSlots       = 1 << 10 // slots of one lease
+	maxLeaseWorkSeconds = 1e6     // seconds of work of one lease
+	maxPromoteIn        = time.Hour
+
+	freeSlotsMaxAge = 20 * time.Millisecond // the free slots of a shard are counted again after this
 )
 
 // leaseKey names a lease at its coordinator.
@@ -33,19 +33,19 @@
 	id   LeaseID
 }
 
-// slotCoordinator is what a dispatcher knows of the shards that it coordinates.
-type slotCoordinator struct {
-	slots     map[uint64]*workerSlots // by worker
-	leases    map[leaseKey]*grantedLease
-	byGrant   []*grantedLease // all of them; each that goes leaves its place to the last
-	waiting   []*waitingRequest
-	isWaiting map[leaseKey]*waitingRequest
-	waitedFor map[Shard]float64 // slots that waiting requests want
-	peers     map[int]peerUse
-	free      map[Shard]freeSlots
-	members   map[Shard][]*workerInfo // nil: the list has changed
-	since     time.Duration           // when the first message came; 0: none has
-	unchanged bool                    // nothing has become free since waiting requests were last tried
+// leaseCoordinator is what a dispatcher knows of the shards that it coordinates.
+type leaseCoordinator struct {
+	slots          map[uint64]*workerSlots // by worker
+	leases         map[leaseKey]*grantedLease
+	grants         []*grantedLease // all of them; each that goes leaves its place to the last
+	waiting        []*waitingRequest
+	waitingByKey   map[leaseKey]*waitingRequest
+	requestedSlots map[Shard]float64 // slots that waiting requests want
+	peers          map[int]peerUse
+	free           map[Shard]freeSlots
+	members        map[Shard][]*workerInfo // nil: the list has changed
+	since          time.Duration           // when the first message came; 0: none has
+	nothingFreed   bool                    // nothing has become free since waiting requests were last tried
 }
 
 // peerUse counts what a dispatcher has of the coordinator's tables.
@@ -53,54 +53,54 @@
 
 // freeSlots are the slots of a shard that were free at an instant.
 type freeSlots struct {
-	at    time.Duration
-	slots float64
+	countedAt time.Duration
+	slots     float64
 }
 
 // grantedLease is a lease that a dispatcher has.
 type grantedLease struct {
-	key      leaseKey
-	worker   uint64
-	demand   float64 // slots
-	position int     // in slotCoordinator.byGrant
-	at       time.Duration
-	seenAt   time.Duration // last reported
-	bound    bool          // the limit was what bound the worker when it was granted
-	started  bool
+	key          leaseKey
+	worker       uint64
+	demand       float64 // slots
+	position     int     // in slotCoordinator.byGrant
+	grantedAt    time.Duration
+	reportedAt   time.Duration // last reported
+	isLimitBound bool          // the limit was what bound the worker when it was granted
+	isStarted    bool
 }
 
 // waitingRequest is a request that no worker could be found for.
 type waitingRequest struct {
-	key       leaseKey
-	request   LeaseRequest
-	at        time.Duration
-	promoteAt time.Duration
-	seenAt    time.Duration // last repeated
+	key        leaseKey
+	request    LeaseRequest
+	receivedAt time.Duration
+	promoteAt  time.Duration
+	repeatedAt time.Duration // last repeated
 }
 
-func newCoordinator() slotCoordinator {
-	return slotCoordinator{
-		slots:     map[uint64]*workerSlots{},
-		leases:    map[leaseKey]*grantedLease{},
-		isWaiting: map[leaseKey]*waitingRequest{},
-		waitedFor: map[Shard]float64{},
-		peers:     map[int]peerUse{},
-		free:      map[Shard]freeSlots{},
+func newCoordinator() leaseCoordinator {
+	return leaseCoordinator{
+		slots:          map[uint64]*workerSlots{},
+		leases:         map[leaseKey]*grantedLease{},
+		waitingByKey:   map[leaseKey]*waitingRequest{},
+		requestedSlots: map[Shard]float64{},
+		peers:          map[int]peerUse{},
+		free:           map[Shard]freeSlots{},
 	}
 }
 
 // isValid tells whether the figures of a request make sense: what a peer says may be anything.
 func (r *LeaseRequest) isValid(settings *Settings) bool {
 	isKnownClass := r.Class >= 0 && r.Class < len(settings.Classes)
-	isWork := r.Work >= 0 && r.Work <= maxLeaseWork
+	isWork := r.Work >= 0 && r.Work <= maxLeaseWorkSeconds
 	return isKnownClass && isLeaseDemand(r.Demand) && isWork && !math.IsNaN(r.LongChance)
 }
 
-func isLeaseDemand(demand float64) bool { return demand > 0 && demand <= maxLeaseDemand }
+func isLeaseDemand(demand float64) bool { return demand > 0 && demand <= maxLeaseSlots }
 
 // mayHold tells whether a dispatcher may have one more of a table that has room for so many in all.
 func (d *Dispatcher) mayHold(own, all, limit int) bool {
-	return all < limit && own < limit/min(max(1, d.settings.Replicas), peersPart)
+	return all < limit && own < limit/min(max(1, d.settings.Replicas), minPeersPerTable)
 }
 
 func (d *Dispatcher) mayHoldLease(peer int) bool {
@@ -120,8 +120,8 @@
 		d.tellGranted(lease, message.Shard)
 		return
 	}
-	if waiting := coordinator.isWaiting[key]; waiting != nil {
-		waiting.seenAt = d.now
+	if waiting := coordinator.waitingByKey[key]; waiting != nil {
+		waiting.repeatedAt = d.now
 		waiting.request.Demoted = message.Demoted
 	} else if lease := d.grantLease(key, &message); lease != nil {
 		d.tellGranted(lease, message.Shard)
@@ -139,17 +139,17 @@
 	if !hasRoom || len(d.membersOf(request.Shard)) == 0 {
 		return
 	}
-	held := &waitingRequest{key: key, request: *request, at: d.now, seenAt: d.now}
+	held := &waitingRequest{key: key, request: *request, receivedAt: d.now, repeatedAt: d.now}
 	held.promoteAt = d.now + min(max(request.PromoteIn, -maxPromoteIn), maxPromoteIn)
 	held.request.Excluded = request.Excluded[:min(len(request.Excluded), MaxExcluded)]
 	coordinator.waiting = append(coordinator.waiting, held)
-	coordinator.isWaiting[key] = held
-	coordinator.waitedFor[request.Shard] += request.Demand
+	coordinator.waitingByKey[key] = held
+	coordinator.requestedSlots[request.Shard] += request.Demand
 	coordinator.countFor(key.peer, 0, 1)
 }
 
 // countFor counts what a dispatcher has.
-func (c *slotCoordinator) countFor(peer, leases, waiting int) {
+func (c *leaseCoordinator) countFor(peer, leases, waiting int) {
 	use := c.peers[peer]
 	use.leases += leases
 	use.waiting += waiting
@@ -167,14 +167,14 @@
 // grantWaiting grants what waits, in the design's order, as far as slots have become free.
 func (d *Dispatcher) grantWaiting() {
 	coordinator := &d.coordinator
-	if coordinator.unchanged || len(coordinator.waiting) == 0 {
+	if coordinator.nothingFreed || len(coordinator.waiting) == 0 {
 		return
 	}
-	coordinator.unchanged = true
+	coordinator.nothingFreed = true
 	slices.SortStableFunc(coordinator.waiting, d.compareWaiting)
 	ungranted := map[requestShape]LeaseRequest{}
 	coordinator.withdraw(func(waiting *waitingRequest) bool {
-		return d.now-waiting.seenAt > waitingSpan || d.grantHeld(waiting, ungranted)
+		return d.now-waiting.repeatedAt > waitingRequestExpiry || d.grantHeld(waiting, ungranted)
 	})
 }
 
@@ -213,7 +213,10 @@
 	if rank == rankPromoted {
 		return cmp.Compare(a.promoteAt, b.promoteAt)
 	}
-	return cmp.Or(cmp.Compare(a.request.LongChance, b.request.LongChance), cmp.Compare(a.at, b.at))
+	return cmp.Or(
+		cmp.Compare(a.request.LongChance, b.request.LongChance),
+		cmp.Compare(a.receivedAt, b.receivedAt),
+	)
 }
 
 // waitingRank is the first that decides when a request is granted.
@@ -252,12 +255,12 @@
 		slots.warmUpSpends = append(slots.warmUpSpends, spend{at: d.now, work: request.Work})
 	}
 	lease := &grantedLease{
-		key:    key,
-		worker: worker.ID,
-		demand: request.Demand,
-		at:     d.now,
-		seenAt: d.now,
-		bound:  isBound,
+		key:          key,
+		worker:       worker.ID,
+		demand:       request.Demand,
+		grantedAt:    d.now,
+		reportedAt:   d.now,
+		isLimitBound: isBound,
 	}
 	coordinator.addLease(lease)
 	return lease
@@ -320,8 +323,8 @@
 		return 0
 	}
 	counted, isCounted := d.coordinator.free[shard]
-	if !isCounted || d.now-counted.at >= freeSlotsAge {
-		counted = freeSlots{at: d.now}
+	if !isCounted || d.now-counted.countedAt >= freeSlotsMaxAge {
+		counted = freeSlots{countedAt: d.now}
 		for _, worker := range members {
 			slots := d.coordinator.slotsOf(worker.ID)
 			if worker.Ready && d.now >= slots.suspendedUntil {
@@ -330,7 +333,7 @@
 		}
 		d.coordinator.free[shard] = counted
 	}
-	return int(counted.slots - d.coordinator.waitedFor[shard])
+	return int(counted.slots - d.coordinator.requestedSlots[shard])
 }
 
 // onLeaseStarted learns from a start whether a worker has room for more.
@@ -351,7 +354,7 @@
 func (d *Dispatcher) onLeaseReleased(from int, message LeaseReleased) {
 	coordinator := &d.coordinator
 	key := leaseKey{peer: from, id: message.ID}
-	if coordinator.isWaiting[key] != nil {
+	if coordinator.waitingByKey[key] != nil {
 		coordinator.withdraw(func(waiting *waitingRequest) bool { return waiting.key == key })
 	}
 	lease := coordinator.leases[key]
@@ -376,18 +379,18 @@
 			if !d.mayHoldLease(from) || !isLeaseDemand(held.Demand) {
 				continue
 			}
-			lease = &grantedLease{key: key, worker: held.Worker, demand: held.Demand, at: d.now}
+			lease = &grantedLease{key: key, worker: held.Worker, demand: held.Demand, grantedAt: d.now}
 			coordinator.addLease(lease)
 		}
-		if held.Started && !lease.started {
-			lease.started = true
+		if held.Started && !lease.isStarted {
+			lease.isStarted = true
 			coordinator.slotsOf(lease.worker).running += lease.demand
 		}
-		lease.seenAt = d.now
+		lease.reportedAt = d.now
 	}
 	if message.Complete {
 		coordinator.freeWhere(func(lease *grantedLease) bool {
-			return lease.key.peer == from && lease.seenAt != d.now && d.now-lease.at > reportDelay
+			return lease.key.peer == from && lease.reportedAt != d.now && d.now-lease.grantedAt > reportDelay
 		})
 	}
 }
@@ -403,36 +406,36 @@
 // lease.
 func (d *Dispatcher) expireLeases() {
 	coordinator := &d.coordinator
-	coordinator.freeWhere(func(lease *grantedLease) bool { return d.now-lease.seenAt > leaseSpan })
+	coordinator.freeWhere(func(lease *grantedLease) bool { return d.now-lease.reportedAt > leaseExpiry })
 	for id, slots := range coordinator.slots {
 		if slots.leases == 0 && d.workers[id] == nil {
 			delete(coordinator.slots, id)
 		}
 	}
-	coordinator.unchanged = false // workers warm up, and are trusted again
+	coordinator.nothingFreed = false // workers warm up, and are trusted again
 	d.grantWaiting()
 }
 
 // withdraw forgets requests that wait.
-func (c *slotCoordinator) withdraw(isMeant func(waiting *waitingRequest) bool) {
+func (c *leaseCoordinator) withdraw(isMeant func(waiting *waitingRequest) bool) {
 	c.waiting = slices.DeleteFunc(c.waiting, func(waiting *waitingRequest) bool {
 		if !isMeant(waiting) {
 			return false
 		}
 		shard := waiting.request.Shard
-		c.waitedFor[shard] -= waiting.request.Demand
-		if c.waitedFor[shard] <= 0 {
-			delete(c.waitedFor, shard)
+		c.requestedSlots[shard] -= waiting.request.Demand
+		if c.requestedSlots[shard] <= 0 {
+			delete(c.requestedSlots, shard)
 		}
-		delete(c.isWaiting, waiting.key)
+		delete(c.waitingByKey, waiting.key)
 		c.countFor(waiting.key.peer, 0, -1)
 		return true
 	})
 }
 
-func (c *slotCoordinator) addLease(lease *grantedLease) {
-	lease.position = len(c.byGrant)
-	c.byGrant = append(c.byGrant, lease)
+func (c *leaseCoordinator) addLease(lease *grantedLease) {
+	lease.position = len(c.grants)
+	c.grants = append(c.grants, lease)
 	c.leases[lease.key] = lease
 	c.countFor(lease.key.peer, 1, 0)
 	slots := c.slotsOf(lease.worker)
@@ -440,28 +443,28 @@
 	slots.used += lease.demand
 }
 
-func (c *slotCoordinator) freeLease(lease *grantedLease) {
+func (c *leaseCoordinator) freeLease(lease *grantedLease) {
 	slots := c.slotsOf(lease.worker)
 	slots.leases--
 	slots.used = max(0, slots.used-lease.demand)
-	if lease.started {
+	if lease.isStarted {
 		slots.running = max(0, slots.running-lease.demand)
 	}
 	if slots.leases == 0 { // sums leave a remainder
 		slots.used, slots.running = 0, 0
 	}
 	c.countFor(lease.key.peer, -1, 0)
-	last := c.byGrant[len(c.byGrant)-1]
-	c.byGrant[lease.position], last.position = last, lease.position
-	c.byGrant[len(c.byGrant)-1] = nil
-	c.byGrant = c.byGrant[:len(c.byGrant)-1]
+	last := c.grants[len(c.grants)-1]
+	c.grants[lease.position], last.position = last, lease.position
+	c.grants[len(c.grants)-1] = nil
+	c.grants = c.grants[:len(c.grants)-1]
 	delete(c.leases, lease.key)
-	c.unchanged = false
+	c.nothingFreed = false
 }
 
-func (c *slotCoordinator) freeWhere(isOver func(lease *grantedLease) bool) {
-	for i := len(c.byGrant) - 1; i >= 0; i-- { // the last takes the place of each that goes
-		if lease := c.byGrant[i]; isOver(lease) {
+func (c *leaseCoordinator) freeWhere(isOver func(lease *grantedLease) bool) {
+	for i := len(c.grants) - 1; i >= 0; i-- { // the last takes the place of each that goes
+		if lease := c.grants[i]; isOver(lease) {
 			c.freeLease(lease)
 		}
 	}
--- a/dispatch/coordinator_test.go
+++ b/dispatch/coordinator_test.go
@@ -91,7 +91,7 @@
 		"release": func(s *harness) { s.tell(0, LeaseReleased{ID: 1, Result: OK}) },
 		"report":  func(s *harness) { s.tell(0, LeaseReport{Complete: true}) },
 		"restart": func(s *harness) { s.tell(0, PeerRestarted{}) },
-		"silence": func(s *harness) { s.wait(leaseSpan + maintenanceInterval) },
+		"silence": func(s *harness) { s.wait(leaseExpiry + maintenanceInterval) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -125,7 +125,7 @@
 		s.actions = s.actions[:0]
 	}
 	for worker, slots := range s.d.coordinator.slots {
-		if !(slots.used >= 0 && slots.used <= 60*8*maxLeaseDemand) || !(slots.running >= 0 && slots.running <= slots.used) {
+		if !(slots.used >= 0 && slots.used <= 60*8*maxLeaseSlots) || !(slots.running >= 0 && slots.running <= slots.used) {
 			t.Errorf("worker %d: %v slots in use, %v running", worker, slots.used, slots.running)
 		}
 	}
@@ -135,14 +135,14 @@
 	for id := range LeaseID(2 * maxWaiting) {
 		s.tell(0, LeaseRequest{ID: 1000 + id, Demand: 1})
 	}
-	if waiting := len(s.d.coordinator.waiting); waiting > maxWaiting/peersPart+8*60 {
+	if waiting := len(s.d.coordinator.waiting); waiting > maxWaiting/minPeersPerTable+8*60 {
 		t.Errorf("%d requests wait, most of one peer", waiting)
 	}
-	s.wait(leaseSpan + time.Second)
+	s.wait(leaseExpiry + time.Second)
 	coordinator := &s.d.coordinator
-	if len(coordinator.leases)+len(coordinator.isWaiting)+len(coordinator.peers)+len(coordinator.waitedFor) > 0 {
+	if len(coordinator.leases)+len(coordinator.waitingByKey)+len(coordinator.peers)+len(coordinator.requestedSlots) > 0 {
 		t.Errorf("after a silence: %d leases, %d requests of %d peers in %d shards", len(coordinator.leases),
-			len(coordinator.isWaiting), len(coordinator.peers), len(coordinator.waitedFor))
+			len(coordinator.waitingByKey), len(coordinator.peers), len(coordinator.requestedSlots))
 	}
 }
 
@@ -215,7 +215,7 @@
 		"alone":       func(settings *Settings) { settings.Replicas = 1 },
 		"no starts":   func(settings *Settings) { settings.StartNotifications = false },
 		"too dear": func(settings *Settings) {
-			settings.PeerCost = defaultPeerBudget * datagramBytes / leaseBytesOfJob * 1.01
+			settings.PeerCost = defaultPeerBudget * peerCostBytes / leaseBytesPerJob * 1.01
 		},
 	} {
 		settings := leaseSettings()
@@ -226,7 +226,7 @@
 		s.step(s.job(1, 0, 100*ms), PeerMessageReceived{From: 1, Message: LeaseRequest{ID: 1, Demand: 1}})
 		s.wait(3 * time.Second)
 		for _, action := range s.take() {
-			if tell, ok := action.(TellPeer); ok {
+			if tell, ok := action.(SendPeerMessage); ok {
 				t.Errorf("%s: told %v", name, tell)
 			}
 		}
--- a/dispatch/leasefleet_test.go
+++ b/dispatch/leasefleet_test.go
@@ -122,14 +122,14 @@
 			})
 		case Send:
 			f.send(index, action)
-		case TellPeer:
+		case SendPeerMessage:
 			f.tell(index, action)
 		}
 	}
 }
 
 // tell carries a message, up to 32 ms late.
-func (f *leaseFleet) tell(from int, action TellPeer) {
+func (f *leaseFleet) tell(from int, action SendPeerMessage) {
 	f.messages++
 	message := action.Message
 	if f.tamper != nil {
--- a/dispatch/leasereports.go
+++ b/dispatch/leasereports.go
@@ -13,7 +13,7 @@
 		return
 	}
 	lease := d.newLease(d.directory.shardOf(attempt.worker), attempt.job.demand)
-	lease.granted = true
+	lease.isGranted = true
 	lease.worker = attempt.worker.ID
 	lease.attempt = attempt
 	if peer, ok := d.directory.coordinatorOf(lease.shard, d.now); ok {
@@ -95,7 +95,9 @@
 func (d *Dispatcher) onPeerRestarted(peer int) {
 	d.freeLeasesOf(peer)
 	d.client.reportAt = d.now
-	isAsked := func(lease *leaseInfo) bool { return lease.job != nil && !lease.granted && lease.peer == peer }
+	isAsked := func(lease *leaseInfo) bool {
+		return lease.job != nil && !lease.isGranted && lease.peer == peer
+	}
 	for _, lease := range d.leasesWhere(isAsked) {
 		lease.isQueued = false
 		d.setTimer(&lease.timer, d.now)
@@ -112,7 +114,7 @@
 	case d.settings.ReplicaIndex:
 		d.ownMessages = append(d.ownMessages, message)
 	default:
-		d.emit(TellPeer{To: peer, Message: message})
+		d.emit(SendPeerMessage{To: peer, Message: message})
 	}
 }
 
--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -12,64 +12,64 @@
 // coordinator alone. Where no coordinator answers in time, a job is sent by what this dispatcher knows
 // itself.
 const (
-	leaseAnswerTimeout  = 60 * time.Millisecond  // two messages take up to 32 ms
-	leaseTries          = 2                      // that are not answered, and the coordinator is passed over
-	leaseTimeout        = 250 * time.Millisecond // without any answer: a job is then sent without a lease
-	retryWaitLimit      = time.Second            // of a job with workers excluded: there may be no other
-	leaseRefresh        = 300 * time.Millisecond // a request that waits is repeated, as its grant may be lost
-	leaseReportInterval = time.Second            // between reports of the leases in use
-	leaseRequestsPerJob = 2                      // at once, in different shards
-	maxRefusedLeases    = MaxExcluded            // granted workers that a job can't use
-	starvationRequests  = 8                      // refused in a row: the coordinator is passed over
-	starvationSpan      = 4 * time.Second        // after this
+	leaseAnswerTimeout     = 60 * time.Millisecond  // two messages take up to 32 ms
+	unansweredRequestLimit = 2                      // then another coordinator is asked
+	leaseWaitLimit         = 250 * time.Millisecond // without any answer: a job is then sent without a lease
+	retryWaitLimit         = time.Second            // of a job with workers excluded: there may be no other
+	queuedRequestInterval  = 300 * time.Millisecond // between repetitions of a queued request
+	leaseReportInterval    = time.Second            // between reports of the leases in use
+	leaseRequestsPerJob    = 2                      // at once, in different shards
+	maxUnusableGrants      = MaxExcluded            // granted workers that a job can't use
+	maxDeniedRequests      = 8                      // refused in a row: the coordinator is passed over
+	deniedRequestsSpan     = 4 * time.Second        // after this
 )
 
 // The share of the result that messages for leases may cost, and the bytes that a job takes of them.
 const (
 	defaultPeerBudget = 0.02
-	leaseBytesOfJob   = 160 // a request, its answers, a start, an end, and its part of reports
-	datagramBytes     = 256 // that Settings.PeerCost is the price of
+	leaseBytesPerJob  = 160 // a request, its answers, a start, an end, and its part of reports
+	peerCostBytes     = 256 // that Settings.PeerCost is the price of
 )
 
 // leaseInfo is a lease that was asked for, or slots that were taken without one.
 type leaseInfo struct {
-	id       LeaseID
-	shard    Shard
-	peer     int          // the coordinator that it was last asked of, or reported to
-	job      *jobInfo     // that it was asked for; nil: it is in use
-	attempt  *attemptInfo // that uses it
-	demand   float64      // slots
-	worker   uint64
-	askedAt  time.Duration // first, since the last answer
-	madeAt   time.Duration
-	tries    int  // since the last answer
-	isQueued bool // as the coordinator says
-	granted  bool
-	timer    timer // when it is to be asked for again
+	id              LeaseID
+	shard           Shard
+	peer            int          // the coordinator that it was last asked of, or reported to
+	job             *jobInfo     // that it was asked for; nil: it is in use
+	attempt         *attemptInfo // that uses it
+	demand          float64      // slots
+	worker          uint64
+	requestedAt     time.Duration // first, since the last answer
+	createdAt       time.Duration
+	requestAttempts int  // since the last answer
+	isQueued        bool // as the coordinator says
+	isGranted       bool
+	timer           timer // when it is to be asked for again
 }
 
 // leaseClient is what a dispatcher keeps of the leases that it asks for.
 type leaseClient struct {
-	byID       map[LeaseID]*leaseInfo
-	lastID     LeaseID
-	granted    []*leaseInfo // and not used yet
-	freeSlots  map[Shard]int
-	starvation map[int]starvation // by coordinator
-	reportAt   time.Duration
+	byID      map[LeaseID]*leaseInfo
+	lastID    LeaseID
+	granted   []*leaseInfo // and not used yet
+	freeSlots map[Shard]int
+	denied    map[int]deniedRequests // by coordinator
+	reportAt  time.Duration
 }
 
 func newLeaseClient() leaseClient {
 	return leaseClient{
-		byID:       map[LeaseID]*leaseInfo{},
-		freeSlots:  map[Shard]int{},
-		starvation: map[int]starvation{},
+		byID:      map[LeaseID]*leaseInfo{},
+		freeSlots: map[Shard]int{},
+		denied:    map[int]deniedRequests{},
 	}
 }
 
-// starvation counts the requests that a coordinator has had wait since it last granted one.
-type starvation struct {
-	since    time.Duration
-	requests int
+// deniedRequests counts the requests that a coordinator has had wait since it last granted one.
+type deniedRequests struct {
+	since time.Duration
+	count int
 }
 
 // UsesLeases tells whether slots are leased. Alone, or where messages cost more than they may, they are
@@ -79,7 +79,7 @@
 	if !s.PeerMessages || !s.StartNotifications {
 		return false
 	}
-	return s.Replicas > 1 && s.BudgetSpent(leaseBytesOfJob) <= 1
+	return s.Replicas > 1 && s.BudgetSpent(leaseBytesPerJob) <= 1
 }
 
 // BudgetSpent is the share of what messages may cost that is spent where each job takes so many bytes of
@@ -89,10 +89,10 @@
 	if budget == 0 {
 		budget = defaultPeerBudget
 	}
-	return s.PeerCost * bytesPerJob / datagramBytes / budget
+	return s.PeerCost * bytesPerJob / peerCostBytes / budget
 }
 
-// PeerSettings returns whether this dispatcher's settings allow TellPeer, and their PeerBudget.
+// PeerSettings returns whether this dispatcher's settings allow SendPeerMessage, and their PeerBudget.
 func (d *Dispatcher) PeerSettings() (allowed bool, budget float64) {
 	return d.settings.PeerMessages, d.settings.PeerBudget
 }
@@ -127,7 +127,7 @@
 		return nil
 	}
 	lease := d.newLease(shard, job.demand)
-	lease.job, lease.askedAt, lease.madeAt = job, d.now, d.now
+	lease.job, lease.requestedAt, lease.createdAt = job, d.now, d.now
 	job.leases = append(job.leases, lease)
 	return lease
 }
@@ -177,7 +177,7 @@
 		return Shard{}, false
 	}
 	for range 2 {
-		drawn := Shard{Zone: zones[d.rng.IntN(len(zones))], Number: d.rng.IntN(d.directory.perZone)}
+		drawn := Shard{Zone: zones[d.rng.IntN(len(zones))], Number: d.rng.IntN(d.directory.shardsPerZone)}
 		isOfDrawn := func(lease *leaseInfo) bool { return lease.shard == drawn }
 		isAsked := slices.ContainsFunc(job.leases, isOfDrawn)
 		_, hasCoordinator := d.directory.coordinatorOf(drawn, d.now)
@@ -217,13 +217,13 @@
 		return
 	}
 	if peer != lease.peer {
-		lease.tries = 0
+		lease.requestAttempts = 0
 	}
 	lease.peer = peer
-	lease.tries++
+	lease.requestAttempts++
 	wait := leaseAnswerTimeout
 	if lease.isQueued {
-		wait = leaseRefresh
+		wait = queuedRequestInterval
 	}
 	d.setTimer(&lease.timer, d.now+wait)
 	d.tell(peer, d.leaseRequest(lease))
@@ -231,7 +231,7 @@
 
 func (d *Dispatcher) leaseRequest(lease *leaseInfo) LeaseRequest {
 	job := lease.job
-	excluded := slices.Clone(job.refused)
+	excluded := slices.Clone(job.unusableWorkers)
 	for _, attempt := range job.attempts {
 		excluded = append(excluded, attempt.worker.ID)
 	}
@@ -251,7 +251,7 @@
 // repeatLeaseRequests tells coordinators of what has changed about a job.
 func (d *Dispatcher) repeatLeaseRequests(job *jobInfo) {
 	for _, lease := range slices.Clone(job.leases) {
-		if lease.job != nil && !lease.granted {
+		if lease.job != nil && !lease.isGranted {
 			d.askForLease(lease)
 		}
 	}
@@ -259,30 +259,30 @@
 
 // onLeaseOverdue repeats a request. Of a coordinator that does not answer the next one is asked.
 func (d *Dispatcher) onLeaseOverdue(lease *leaseInfo) {
-	if lease.job == nil || lease.granted {
+	if lease.job == nil || lease.isGranted {
 		return
 	}
 	if lease.peer == noPeer { // it is resumed: the time before does not count
-		lease.askedAt, lease.madeAt = d.now, d.now
+		lease.requestedAt, lease.createdAt = d.now, d.now
 		d.askForLease(lease)
 		return
 	}
-	excludesWorkers := len(lease.job.attempts)+len(lease.job.refused) > 0
-	if excludesWorkers && d.now-lease.madeAt >= retryWaitLimit {
+	excludesWorkers := len(lease.job.attempts)+len(lease.job.unusableWorkers) > 0
+	if excludesWorkers && d.now-lease.createdAt >= retryWaitLimit {
 		d.sendWithoutLease(lease.job)
 		return
 	}
 	if lease.isQueued { // its answer to this repetition counts anew
 		lease.isQueued = false
-		lease.tries = 0
-		lease.askedAt = d.now
+		lease.requestAttempts = 0
+		lease.requestedAt = d.now
 		d.askForLease(lease)
 		return
 	}
-	if lease.tries >= leaseTries {
+	if lease.requestAttempts >= unansweredRequestLimit {
 		d.directory.avoid(lease.peer, d.now)
 	}
-	if d.now-lease.askedAt >= leaseTimeout {
+	if d.now-lease.requestedAt >= leaseWaitLimit {
 		d.sendWithoutLease(lease.job)
 		return
 	}
@@ -333,17 +333,17 @@
 func (d *Dispatcher) onLeaseGranted(from int, message LeaseGranted) {
 	lease := d.client.byID[message.ID]
 	isWanted := lease != nil && d.directory.mayCoordinate(from, lease.shard) &&
-		(!lease.granted || from == lease.peer)
+		(!lease.isGranted || from == lease.peer)
 	if !isWanted { // its job has gone, or has a lease of another coordinator
 		d.tell(from, LeaseReleased{ID: message.ID, Result: NotSent})
 		return
 	}
 	d.client.freeSlots[lease.shard] = message.FreeSlots
-	delete(d.client.starvation, from)
-	if lease.granted {
+	delete(d.client.denied, from)
+	if lease.isGranted {
 		return
 	}
-	lease.granted = true
+	lease.isGranted = true
 	lease.worker = message.Worker
 	lease.peer = from
 	d.cancelTimer(&lease.timer)
@@ -353,14 +353,14 @@
 // observeRefusal passes over a coordinator that has not granted any of several requests for long: its counts
 // may be wrong, or its knowledge of workers.
 func (d *Dispatcher) observeRefusal(peer int) {
-	record := d.client.starvation[peer]
-	if record.requests == 0 {
+	record := d.client.denied[peer]
+	if record.count == 0 {
 		record.since = d.now
 	}
-	record.requests++
-	d.client.starvation[peer] = record
-	if record.requests >= starvationRequests && d.now-record.since >= starvationSpan {
-		delete(d.client.starvation, peer)
+	record.count++
+	d.client.denied[peer] = record
+	if record.count >= maxDeniedRequests && d.now-record.since >= deniedRequestsSpan {
+		delete(d.client.denied, peer)
 		d.directory.distrust(peer, d.now)
 	}
 }
@@ -372,7 +372,7 @@
 		d.tell(from, LeaseReleased{ID: message.ID, Result: NotSent})
 		return
 	}
-	if lease.granted || from != lease.peer {
+	if lease.isGranted || from != lease.peer {
 		return
 	}
 	d.client.freeSlots[lease.shard] = message.FreeSlots
@@ -380,7 +380,7 @@
 		d.observeRefusal(from)
 	}
 	lease.isQueued = true
-	d.setTimer(&lease.timer, d.now+leaseRefresh)
+	d.setTimer(&lease.timer, d.now+queuedRequestInterval)
 	d.requestLease(lease.job)
 }
 
@@ -434,8 +434,8 @@
 	if job.heapIndex < 0 {
 		return
 	}
-	job.refused = append(job.refused, lease.worker)
-	if len(job.refused) >= maxRefusedLeases {
+	job.unusableWorkers = append(job.unusableWorkers, lease.worker)
+	if len(job.unusableWorkers) >= maxUnusableGrants {
 		d.sendWithoutLease(job)
 	} else {
 		d.requestLease(job)
--- a/dispatch/leases_test.go
+++ b/dispatch/leases_test.go
@@ -31,7 +31,7 @@
 // peerMessages are the messages of one kind, with who they were for.
 func peerMessages[M PeerMessage](actions []Action) (messages []M, peers []int) {
 	for _, action := range actions {
-		if tell, ok := action.(TellPeer); ok {
+		if tell, ok := action.(SendPeerMessage); ok {
 			if message, ok := tell.Message.(M); ok {
 				messages, peers = append(messages, message), append(peers, tell.To)
 			}
@@ -65,7 +65,7 @@
 	t.Parallel()
 	s, _ := leaseHarness(t, 2)
 	s.request(s.job(1, 0, 100*ms))
-	s.wait(leaseTimeout - ms)
+	s.wait(leaseWaitLimit - ms)
 	if sent := sends(s.take()); len(sent) > 0 {
 		t.Fatalf("sent %v before its coordinators had their time", sent)
 	}
@@ -117,14 +117,14 @@
 func TestGrantOfUnusableWorker(t *testing.T) {
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 2)
-	for try, request := 0, s.request(s.job(1, 0, 100*ms)); try < maxRefusedLeases; try++ {
+	for try, request := 0, s.request(s.job(1, 0, 100*ms)); try < maxUnusableGrants; try++ {
 		s.step(PeerMessageReceived{From: coordinators[0], Message: LeaseGranted{ID: request.ID, Worker: 99}})
 		actions := s.take()
 		if released, _ := peerMessages[LeaseReleased](actions); len(released) != 1 {
 			t.Fatalf("answered by %v", actions)
 		}
 		requests, _ := peerMessages[LeaseRequest](actions)
-		if try == maxRefusedLeases-1 {
+		if try == maxUnusableGrants-1 {
 			expectJobs(t, sends(actions), 1) // without one
 			return
 		}
@@ -187,7 +187,7 @@
 	sent := sends(s.take())
 	expectJobs(t, sent, 2)
 	s.step(Started{Job: 2, Worker: sent[0].Worker})
-	s.wait(leaseRefresh + ms) // and the first finds none any more
+	s.wait(queuedRequestInterval + ms) // and the first finds none any more
 	expectJobs(t, sends(s.take()), 1)
 }
 
--- a/dispatch/leasesnapshot.go
+++ b/dispatch/leasesnapshot.go
@@ -25,7 +25,7 @@
 	c.members(dispatcher)
 	c.coordinator(&dispatcher.coordinator, len(dispatcher.settings.Classes))
 	list(c, &dispatcher.readyZones, func(zone *int) { c.int(zone) })
-	for _, until := range []map[int]time.Duration{dispatcher.directory.avoidedUntil, dispatcher.directory.distrusted} {
+	for _, until := range []map[int]time.Duration{dispatcher.directory.avoidedUntil, dispatcher.directory.distrustedUntil} {
 		sortedMap(c, until, func(peer *int, until *time.Duration) {
 			c.int(peer)
 			c.instant(until)
@@ -82,10 +82,10 @@
 	})
 	c.check(len(leases) == len(client.byID)) // else a timer is of none of them, or one is there twice
 	shardMap(c, client.freeSlots, func(free *int) { c.int(free) })
-	sortedMap(c, client.starvation, func(peer *int, refused *starvation) {
+	sortedMap(c, client.denied, func(peer *int, refused *deniedRequests) {
 		c.int(peer)
 		c.instant(&refused.since)
-		c.int(&refused.requests)
+		c.int(&refused.count)
 	})
 }
 
@@ -110,12 +110,12 @@
 func (c *codec) leaseFigures(lease *leaseInfo) {
 	c.shard(&lease.shard)
 	c.int(&lease.peer)
-	c.int(&lease.tries)
+	c.int(&lease.requestAttempts)
 	c.uint(&lease.worker)
 	c.float(&lease.demand)
-	c.instant(&lease.askedAt, &lease.madeAt)
+	c.instant(&lease.requestedAt, &lease.createdAt)
 	isUsed := lease.isUsed()
-	c.flags(&lease.isQueued, &lease.granted, &isUsed)
+	c.flags(&lease.isQueued, &lease.isGranted, &isUsed)
 	if !isUsed {
 		c.job(&lease.job)
 		return
@@ -128,9 +128,9 @@
 // jobLeases walks what a job keeps of leases.
 func (c *codec) jobLeases(dispatcher *Dispatcher, job *jobInfo) {
 	c.flags(&job.withoutLease)
-	list(c, &job.refused, func(worker *uint64) { c.uint(worker) })
-	if len(job.refused) == 0 {
-		job.refused = nil
+	list(c, &job.unusableWorkers, func(worker *uint64) { c.uint(worker) })
+	if len(job.unusableWorkers) == 0 {
+		job.unusableWorkers = nil
 	}
 	list(c, &job.leases, func(lease **leaseInfo) {
 		c.leaseReference(dispatcher, lease)
@@ -148,9 +148,9 @@
 }
 
 // coordinator walks what the dispatcher has granted.
-func (c *codec) coordinator(coordinator *slotCoordinator, classes int) {
+func (c *codec) coordinator(coordinator *leaseCoordinator, classes int) {
 	c.instant(&coordinator.since)
-	c.flags(&coordinator.unchanged)
+	c.flags(&coordinator.nothingFreed)
 	sortedMap(c, coordinator.slots, func(worker *uint64, slots **workerSlots) {
 		if !c.writing {
 			*slots = &workerSlots{}
@@ -158,28 +158,28 @@
 		c.uint(worker)
 		c.slotFigures(*slots)
 	})
-	list(c, &coordinator.byGrant, func(lease **grantedLease) {
+	list(c, &coordinator.grants, func(lease **grantedLease) {
 		if !c.writing {
 			*lease = &grantedLease{position: len(coordinator.leases)}
 		}
 		c.grantedFigures(*lease)
 		coordinator.leases[(*lease).key] = *lease
 	})
-	c.check(len(coordinator.leases) == len(coordinator.byGrant)) // else one is there twice
+	c.check(len(coordinator.leases) == len(coordinator.grants)) // else one is there twice
 	list(c, &coordinator.waiting, func(waiting **waitingRequest) {
 		if !c.writing {
 			*waiting = &waitingRequest{}
 		}
 		c.leaseKey(&(*waiting).key)
-		c.instant(&(*waiting).at, &(*waiting).promoteAt, &(*waiting).seenAt)
+		c.instant(&(*waiting).receivedAt, &(*waiting).promoteAt, &(*waiting).repeatedAt)
 		c.request(&(*waiting).request)
 		c.check((*waiting).request.Class >= 0 && (*waiting).request.Class < classes)
-		coordinator.isWaiting[(*waiting).key] = *waiting
+		coordinator.waitingByKey[(*waiting).key] = *waiting
 	})
-	c.check(len(coordinator.isWaiting) == len(coordinator.waiting))
-	shardMap(c, coordinator.waitedFor, func(slots *float64) { c.float(slots) })
+	c.check(len(coordinator.waitingByKey) == len(coordinator.waiting))
+	shardMap(c, coordinator.requestedSlots, func(slots *float64) { c.float(slots) })
 	shardMap(c, coordinator.free, func(free *freeSlots) {
-		c.instant(&free.at)
+		c.instant(&free.countedAt)
 		c.float(&free.slots)
 	})
 	sortedMap(c, coordinator.peers, func(peer *int, use *peerUse) {
@@ -199,7 +199,7 @@
 	c.instant(&slots.decreasedAt, &slots.suspendedUntil)
 	c.duration(&slots.suspension)
 	c.int(&slots.failures)
-	c.int(&slots.failedPeer)
+	c.int(&slots.lastFailedPeer)
 	c.int(&slots.leases)
 	list(c, &slots.warmUpSpends, c.spend)
 }
@@ -208,8 +208,8 @@
 	c.leaseKey(&lease.key)
 	c.uint(&lease.worker)
 	c.float(&lease.demand)
-	c.instant(&lease.at, &lease.seenAt)
-	c.flags(&lease.bound, &lease.started)
+	c.instant(&lease.grantedAt, &lease.reportedAt)
+	c.flags(&lease.isLimitBound, &lease.isStarted)
 }
 
 func (c *codec) request(request *LeaseRequest) {
--- a/dispatch/leasesnapshot_test.go
+++ b/dispatch/leasesnapshot_test.go
@@ -106,7 +106,7 @@
 // take does what an action calls for. Of the attempts most end, some after a start, and some are never heard of again.
 func (p *leasingPair) take(index int, action Action) {
 	switch action := action.(type) {
-	case TellPeer:
+	case SendPeerMessage:
 		if p.rng.IntN(8) > 0 {
 			p.events[action.To] = append(p.events[action.To], PeerMessageReceived{From: index, Message: action.Message})
 		}
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -62,7 +62,7 @@
 	Zone         int
 	// ZoneCount is how many zones workers may be in; 0: unknown.
 	ZoneCount int
-	// PeerMessages allows TellPeer. PeerCost is the share of the result that is lost by 256 bytes told for each job, and
+	// PeerMessages allows SendPeerMessage. PeerCost is the share of the result that is lost by 256 bytes told for each job, and
 	// PeerBudget the share that messages may cost; 0: the default.
 	PeerMessages bool
 	PeerCost     float64
--- a/dispatch/shards.go
+++ b/dispatch/shards.go
@@ -19,28 +19,28 @@
 
 // peerDirectory knows which dispatcher coordinates which shard.
 type peerDirectory struct {
-	replicas     int
-	perZone      int // shards
-	ranked       map[Shard][]int
-	avoidedUntil map[int]time.Duration // by peer
-	distrusted   map[int]time.Duration // by peer: until when, though it answers
+	replicas        int
+	shardsPerZone   int // shards
+	ranked          map[Shard][]int
+	avoidedUntil    map[int]time.Duration // by peer
+	distrustedUntil map[int]time.Duration // by peer: until when, though it answers
 }
 
 func newPeerDirectory(settings *Settings) peerDirectory {
 	zones := max(1, settings.ZoneCount)
 	shards := (settings.Replicas + replicasPerShard - 1) / replicasPerShard
 	return peerDirectory{
-		replicas:     settings.Replicas,
-		perZone:      max(1, (shards+zones-1)/zones),
-		ranked:       map[Shard][]int{},
-		avoidedUntil: map[int]time.Duration{},
-		distrusted:   map[int]time.Duration{},
+		replicas:        settings.Replicas,
+		shardsPerZone:   max(1, (shards+zones-1)/zones),
+		ranked:          map[Shard][]int{},
+		avoidedUntil:    map[int]time.Duration{},
+		distrustedUntil: map[int]time.Duration{},
 	}
 }
 
 // shardOf is the shard that a worker belongs to.
 func (p *peerDirectory) shardOf(w *workerInfo) Shard {
-	return Shard{Zone: w.Zone, Number: int(mixHash(w.ID) % uint64(p.perZone))}
+	return Shard{Zone: w.Zone, Number: int(mixHash(w.ID) % uint64(p.shardsPerZone))}
 }
 
 // rank is the order in which dispatchers are to coordinate a shard.
@@ -70,7 +70,7 @@
 // answers.
 func (p *peerDirectory) coordinatorOf(shard Shard, now time.Duration) (peer int, ok bool) {
 	for _, peer := range p.rank(shard) {
-		if p.avoidedUntil[peer] <= now && p.distrusted[peer] <= now {
+		if p.avoidedUntil[peer] <= now && p.distrustedUntil[peer] <= now {
 			return peer, true
 		}
 	}
@@ -89,7 +89,7 @@
 
 // distrust passes over a peer that answers, but grants nothing.
 func (p *peerDirectory) distrust(peer int, now time.Duration) {
-	p.distrusted[peer] = now + peerDistrust
+	p.distrustedUntil[peer] = now + peerDistrust
 }
 
 // hasAnswered takes in a sign of life of a peer.
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -31,7 +31,7 @@
 	d.updateReadyZones()
 	d.updatePreferences()
 	d.coordinator.members = nil
-	d.coordinator.unchanged = false
+	d.coordinator.nothingFreed = false
 }
 
 // updateReadyZones notes which zones have ready workers.
--- a/dispatch/workerslots.go
+++ b/dispatch/workerslots.go
@@ -22,14 +22,14 @@
 	running        float64 // of those used, on which an attempt has started
 	decreasedAt    time.Duration
 	failures       int // in a row, each told by another dispatcher than the one before
-	failedPeer     int // that has told the last one
+	lastFailedPeer int // that has told the last one
 	suspension     time.Duration
 	suspendedUntil time.Duration
 	warmUpSpends   []spend
 }
 
 // slotsOf is what is known of a worker's slots.
-func (c *slotCoordinator) slotsOf(worker uint64) *workerSlots {
+func (c *leaseCoordinator) slotsOf(worker uint64) *workerSlots {
 	slots := c.slots[worker]
 	if slots == nil {
 		slots = &workerSlots{limit: 1}
@@ -40,23 +40,23 @@
 
 // leaseStarted takes in a prompt start.
 func (d *Dispatcher) leaseStarted(lease *grantedLease, slots *workerSlots, worker *workerInfo) {
-	if lease.started {
+	if lease.isStarted {
 		return
 	}
-	lease.started = true
+	lease.isStarted = true
 	slots.running += lease.demand
 	if worker != nil {
 		d.observeSlots(worker, slots.running)
 	}
-	if lease.bound {
+	if lease.isLimitBound {
 		slots.limit = max(slots.limit, slots.running+lease.demand) + 1
-		d.coordinator.unchanged = false
+		d.coordinator.nothingFreed = false
 	}
 }
 
 // leaseIsLate takes in that an attempt has not started promptly: it waits behind others at the worker.
 func (d *Dispatcher) leaseIsLate(lease *grantedLease, slots *workerSlots, worker *workerInfo) {
-	if lease.at < slots.decreasedAt { // an older one tells nothing new
+	if lease.grantedAt < slots.decreasedAt { // an older one tells nothing new
 		return
 	}
 	if worker != nil {
@@ -77,15 +77,15 @@
 		slots.failures = 0
 		slots.suspension = 0
 	case WorkerFull, Failed, TimedOut, ConnectFailed, ConnectionReset:
-		if lease.at >= slots.decreasedAt {
+		if lease.grantedAt >= slots.decreasedAt {
 			slots.decreasedAt = d.now
 			slots.limit = max(1, math.Floor(slots.limit/2))
 		}
-		if slots.failures > 0 && slots.failedPeer == lease.key.peer { // one alone may be at fault itself
+		if slots.failures > 0 && slots.lastFailedPeer == lease.key.peer { // one alone may be at fault itself
 			return
 		}
 		slots.failures++
-		slots.failedPeer = lease.key.peer
+		slots.lastFailedPeer = lease.key.peer
 		if slots.failures > maxFailures && d.now >= slots.suspendedUntil {
 			slots.suspension = min(max(minEjection, 2*slots.suspension), maxEjection)
 			slots.suspendedUntil = d.now + slots.suspension
--- a/internal/capture/decision.go
+++ b/internal/capture/decision.go
@@ -60,7 +60,7 @@
 	case outputSubscribe:
 		return dispatch.Subscribe{}
 	case outputPeerMessage:
-		return dispatch.TellPeer{To: l.Peer, Message: l.Message.message()}
+		return dispatch.SendPeerMessage{To: l.Peer, Message: l.Message.message()}
 	}
 	return nil
 }
@@ -82,7 +82,7 @@
 		return decision{subject: n.worker(action.Worker), what: decidedCloseIdle}, true
 	case dispatch.Subscribe:
 		return decision{subject: subjectEndpointList, what: decidedSubscribe}, true
-	case dispatch.TellPeer:
+	case dispatch.SendPeerMessage:
 		return decision{subject: "scheduler " + strconv.Itoa(action.To), what: "told " + describePeerMessage(action.Message)}, true
 	}
 	return decision{}, false
--- a/internal/capture/peers_test.go
+++ b/internal/capture/peers_test.go
@@ -34,7 +34,7 @@
 	lines := []Line{{Input: inputStart, Reason: reasonStart, PeerMessages: true, PeerBudget: 0.03, SnapshotWithLeases: []byte{1, 2, 3}}}
 	for _, message := range goldenPeerMessages {
 		lines = append(lines, recorder.eventLine(dispatch.PeerMessageReceived{From: 4, Message: message}),
-			recorder.actionLine(dispatch.TellPeer{To: 5, Message: message}))
+			recorder.actionLine(dispatch.SendPeerMessage{To: 5, Message: message}))
 	}
 	return lines
 }
@@ -65,7 +65,7 @@
 		switch {
 		case line.Input == inputPeerMessage:
 			read = append(read, line.event().(dispatch.PeerMessageReceived).Message)
-		case line.Output == outputPeerMessage && !reflect.DeepEqual(line.action().(dispatch.TellPeer).Message, read[len(read)-1]):
+		case line.Output == outputPeerMessage && !reflect.DeepEqual(line.action().(dispatch.SendPeerMessage).Message, read[len(read)-1]):
 			t.Errorf("%s is another message than the line before", text)
 		}
 	}
--- a/internal/capture/step.go
+++ b/internal/capture/step.go
@@ -153,7 +153,7 @@
 		return r.about(action.Worker, Line{Output: outputCloseIdle})
 	case dispatch.Subscribe:
 		return Line{Output: outputSubscribe}
-	case dispatch.TellPeer:
+	case dispatch.SendPeerMessage:
 		return Line{Output: outputPeerMessage, Peer: action.To, Message: newPeerMessage(action.Message)}
 	}
 	return Line{}
--- a/internal/link/peer_socket_test.go
+++ b/internal/link/peer_socket_test.go
@@ -56,7 +56,7 @@
 
 // tell has the policy tell a peer something.
 func (w *harness) tell(to int, message dispatch.PeerMessage) {
-	w.policy.Next = append(w.policy.Next, dispatch.TellPeer{To: to, Message: message})
+	w.policy.Next = append(w.policy.Next, dispatch.SendPeerMessage{To: to, Message: message})
 	w.loop.Requests.Wake()
 	w.runIterations()
 }
--- a/internal/requests/policy.go
+++ b/internal/requests/policy.go
@@ -150,7 +150,7 @@
 		t.setPolicyTimer(now + max(action.After, 1))
 	case dispatch.Subscribe:
 		t.WatchEndpoints()
-	case dispatch.TellPeer:
+	case dispatch.SendPeerMessage:
 		if t.TellPeer != nil {
 			t.TellPeer(action.To, action.Message)
 		}
