--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -32,7 +32,7 @@
 
 	directory   peerDirectory
 	client      leaseClient
-	coordinator slotCoordinator
+	coordinator leaseCoordinator
 	ownMessages []PeerMessage // to this dispatcher itself, not handled yet
 	readyZones  []int         // that have ready workers, in ascending order
 
