--- a/internal/link/discovery_watch.go
+++ b/internal/link/discovery_watch.go
@@ -14,6 +14,7 @@
 	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
 	"valvecove/internal/requests"
+	"valvecove/internal/worker"
 )
 
 // Why a watch ends. Errors of the network and of the parsers are passed on as they are.
@@ -49,11 +50,19 @@
 	}
 }
 
+// transport is what the request table reaches workers and discovery by.
+type transport struct {
+	*worker.Pool
+	loop *Loop
+}
+
 // Watch has the endpoint list followed from now on. A connection that is planned or open goes on.
-func (s *workerPool) Watch(int64) {
-	w := s.loop.watch
-	s.loop.Protect(w, func() {
-		w.machine.Restart(s.loop.Now())
+func (t transport) Watch(int64) { t.loop.watch.restart() }
+
+// restart follows the endpoint list from now on. A connection that is planned or open goes on.
+func (w *watchConnection) restart() {
+	w.loop.Protect(w, func() {
+		w.machine.Restart(w.loop.Now())
 		w.runAction()
 	})
 }
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -22,8 +22,9 @@
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/http1"
 	"valvecove/internal/limits"
-	"valvecove/internal/metrics"
+	"valvecove/internal/metrics/push"
 	"valvecove/internal/requests"
+	"valvecove/internal/worker"
 )
 
 // Loop is the event loop of a scheduler with all its connections. Everything in this package runs on the goroutine that calls
@@ -43,11 +44,11 @@
 	response    http1.Response       // that was parsed last
 
 	clients      *clientListener
-	workers      *workerPool
+	workers      *worker.Pool
 	watch        *watchConnection
 	operators    *operatorListener    // nil: off
 	status       *statusListener      // nil: off
-	exporter     *metrics.Exporter    // nil: off
+	metrics      *push.Pusher         // nil: off
 	peers        *socket.Socket       // nil: schedulers exchange no messages
 	addressLists *address.AccessLists // nil: off
 	dispatcher   *dispatch.Dispatcher // that decides, in whatever wraps it
