--- /dev/null
+++ b/internal/client/accept_test.go
@@ -0,0 +1,90 @@
+package client
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/internal/eventloop"
+	"valvecove/internal/eventloop/faultinjection"
+	"valvecove/internal/modeltest"
+)
+
+// awaitConnections runs the loop until so many clients are connected, for so long at most.
+func (f *fixture) awaitConnections(want int, timeout time.Duration) {
+	f.T.Helper()
+	for end := f.Time + timeout; len(f.listener.connections) < want && f.Time < end; f.Time += time.Millisecond {
+		f.runOnce()
+	}
+	if len(f.listener.connections) != want {
+		f.T.Fatalf("%d connections, expected %d", len(f.listener.connections), want)
+	}
+}
+
+// Where 3 of 10 accepts fail for a moment, connections are taken in as fast as without: nearly all in the iteration in which
+// they come, all within a few milliseconds, and none that was idle goes for them.
+func TestMomentaryAcceptFailuresCostNothing(t *testing.T) {
+	const clients = 400
+	for _, errno := range []unix.Errno{unix.ECONNABORTED, unix.ENFILE, unix.ENOBUFS, unix.ENETUNREACH, unix.EPROTO, unix.EINTR} {
+		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
+			f := newFixture(&modeltest.Steps{T: t})
+			f.listen()
+			f.listener.SetLimits(testLimits(2 * clients))
+			injector := f.injectFaults(uint64(errno), faultinjection.Rule{
+				Calls: []eventloop.Call{eventloop.CallAccept}, Share: 0.3, Errnos: []unix.Errno{errno},
+			})
+			atOnce := 0
+			for n := range clients {
+				f.connect()
+				f.runOnce()
+				if len(f.listener.connections) == n+1 {
+					atOnce++
+				}
+				f.awaitConnections(n+1, 20*time.Millisecond)
+			}
+			if injector.Injected(eventloop.CallAccept) < clients/4 || atOnce < clients*95/100 || f.listener.evicted.Len() != 0 {
+				t.Errorf("%d accepts failed, %d of %d connections were taken in at once, %d evicted",
+					injector.Injected(eventloop.CallAccept), atOnce, clients, f.listener.evicted.Len())
+			}
+		})
+	}
+}
+
+// While accepting fails, a connection that waits does not keep the loop busy, and only a want of descriptors costs an idle
+// connection. Once it works again, what waits is served soon.
+func TestLastingAcceptFailure(t *testing.T) {
+	const idle = 3
+	evicting := []unix.Errno{unix.EMFILE}
+	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOMEM, unix.ECONNABORTED, unix.EINVAL} {
+		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
+			f := newFixture(&modeltest.Steps{T: t})
+			f.listen()
+			for range idle {
+				f.connect()
+			}
+			f.runUntilQuiet()
+			injector := f.injectFaults(1, faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallAccept}, Errnos: []unix.Errno{errno}})
+			f.connect()
+			for range 1000 {
+				f.runOnce()
+				f.Time += time.Millisecond
+			}
+			// 25 pauses of up to 50 ms, and of each the tries of one event.
+			if calls := injector.Calls(eventloop.CallAccept); calls > 32*eventloop.MaxAcceptAttempts {
+				t.Errorf("accept was called %d times in a second", calls)
+			}
+			if f.listener.evicted.Len() > 0 != slices.Contains(evicting, errno) {
+				t.Errorf("%d connections evicted", f.listener.evicted.Len())
+			}
+			injector.Clear()
+			accepted := injector.Calls(eventloop.CallAccept)
+			f.Time += eventloop.MaxAcceptBackoff
+			f.runUntilQuiet()
+			if injector.Calls(eventloop.CallAccept) == accepted || f.ReadyDescriptors() != 0 {
+				t.Error("the connection that waits is not accepted")
+			}
+		})
+	}
+}
--- a/internal/link/client_arrival_time.go
+++ b/internal/client/arrivaltime.go
@@ -1,4 +1,4 @@
-package link
+package client
 
 import "time"
 
@@ -12,7 +12,7 @@
 }
 
 // recordArrival remembers when the end of the input came; what came shortly after other bytes counts as come with them.
-func (c *clientConnection) recordArrival() {
+func (c *connection) recordArrival() {
 	added := len(c.Input())
 	for _, known := range c.arrivals {
 		added -= known.bytes
@@ -29,7 +29,7 @@
 }
 
 // arrivalTime returns when the last of the input's first n bytes came.
-func (c *clientConnection) arrivalTime(n int) time.Duration {
+func (c *connection) arrivalTime(n int) time.Duration {
 	for _, known := range c.arrivals {
 		n -= known.bytes
 		if n <= 0 {
@@ -40,7 +40,7 @@
 }
 
 // lastInputTime returns when the end of the input came.
-func (c *clientConnection) lastInputTime() time.Duration {
+func (c *connection) lastInputTime() time.Duration {
 	if cameAt := c.InputCameAt(); cameAt > 0 {
 		return cameAt
 	}
@@ -48,7 +48,7 @@
 }
 
 // Consume drops the first n bytes of the input, and their arrivals.
-func (c *clientConnection) Consume(n int) {
+func (c *connection) Consume(n int) {
 	c.Stream.Consume(n)
 	for len(c.arrivals) > 0 && c.arrivals[0].bytes <= n {
 		n -= c.arrivals[0].bytes
--- /dev/null
+++ b/internal/client/closing_test.go
@@ -0,0 +1,460 @@
+package client
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"net/netip"
+	"slices"
+	"strings"
+	"testing"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/dispatch"
+	"valvecove/internal/eventloop"
+	"valvecove/internal/eventloop/eventlooptest"
+	"valvecove/internal/http1"
+	"valvecove/internal/modeltest"
+	"valvecove/internal/requests"
+)
+
+// connectSlowReader gives a client that takes that is not connected yet take in little at a time, so that answers wait in the loop's kernel.
+func (f *fixture) connectSlowReader() *eventlooptest.Peer {
+	_, sa := eventloop.Sockaddr(f.listener.Addr())
+	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	if err == nil {
+		_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_RCVBUF, 2<<10)
+		err = unix.Connect(fd, sa)
+	}
+	if err == nil {
+		err = unix.SetNonblock(fd, true)
+	}
+	if err != nil {
+		f.T.Fatal(err)
+	}
+	p := &eventlooptest.Peer{FD: fd}
+	f.T.Cleanup(p.Close)
+	return p
+}
+
+// readToEnd takes in all up to the end of the connection, a little at a time; a reset is an error.
+func (f *fixture) readToEnd(p *eventlooptest.Peer) error {
+	b := make([]byte, 1<<10)
+	for range 100_000 {
+		n, err := unix.Read(p.FD, b)
+		switch {
+		case errors.Is(err, unix.EAGAIN):
+			f.runOnce()
+		case err != nil:
+			return err
+		case n == 0:
+			p.Ended = true
+			return nil
+		default:
+			p.Received = append(p.Received, b[:n]...)
+		}
+	}
+	return errors.New("no end comes")
+}
+
+// completeRequest answers request 1 with so many bytes.
+func (f *fixture) completeRequest(id string, size int) {
+	f.T.Helper()
+	f.act(dispatch.Send{Job: 1, Worker: f.workerNumber()})
+	f.RunIterations()
+	result := strings.Repeat("r", size)
+	if known, err := f.table.HandleCallback(requests.Callback{CallID: id, EndpointID: "s-0", State: "done", Result: &result}); !known || err != nil {
+		f.T.Fatalf("the callback is known %v, %v", known, err)
+	}
+}
+
+// A connection is closed in such a way that its last answer gets there whole, though it waits with the kernel yet and a request
+// crosses the close; and that request is not taken, as its client asks again. So it is whatever closes the connection.
+func TestResponsesOutliveTheClose(t *testing.T) {
+	for name, c := range map[string]struct {
+		request string
+		close   func(f *fixture, p *eventlooptest.Peer) // p has its answer, though unread
+	}{
+		"to make room":           {requestOfSize(1, 0), func(f *fixture, _ *eventlooptest.Peer) { f.listener.evict() }},
+		"told to close":          {requestOfSize(1, 0), func(f *fixture, _ *eventlooptest.Peer) { f.listener.Close() }},
+		"by Connection: close":   {strings.Replace(requestOfSize(1, 0), "\r\n", "\r\nConnection: close\r\n", 1), func(*fixture, *eventlooptest.Peer) {}},
+		"with another behind":    {strings.Replace(requestOfSize(1, 0), "\r\n", "\r\nConnection: close\r\n", 1) + requestOfSize(2, 0), func(*fixture, *eventlooptest.Peer) {}},
+		"for what is no request": {requestOfSize(1, 0), func(f *fixture, p *eventlooptest.Peer) { p.Write([]byte("no request\r\n\r\n")); f.RunIterations() }},
+		"for one that stalls": {requestOfSize(1, 0), func(f *fixture, p *eventlooptest.Peer) {
+			p.Write([]byte("POST /a HTT"))
+			f.RunIterations()
+			f.Time += requestReadTimeout + expiryInterval
+			f.RunIterations()
+		}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f := newFixture(&modeltest.Steps{T: t})
+			f.listen()
+			f.closeWithUnreadResponse(c.request, c.close)
+		})
+	}
+}
+
+// closeWithUnreadResponse has a client's connection closed while a response waits with the kernel, and a request crosses the
+// close. It expects the response to get there, and the request not to be admitted.
+func (f *fixture) closeWithUnreadResponse(request string, closeConnection func(f *fixture, p *eventlooptest.Peer)) {
+	const size = 60 << 10
+	p := f.connectSlowReader()
+	p.Write([]byte(request))
+	f.RunIterations()
+	f.completeRequest("1", size)
+	f.RunIterations()
+	f.Time += evictionGrace
+	if len(f.listener.connections) != 1 {
+		f.T.Fatal("no connection")
+	}
+	if !f.listener.HasSentAll() {
+		f.T.Fatal("a response has not left")
+	}
+	f.RunIterations()
+	closeConnection(f, p)
+	p.Write([]byte(requestOfSize(9, 0))) // nobody has read it when the connection is shut
+	f.RunIterations()
+	if err := f.readToEnd(p); err != nil {
+		f.T.Errorf("after %d bytes: %v", len(p.Received), err)
+	}
+	var m http1.Response
+	if _, err := m.Parse(p.Received, true); err != nil || m.StatusCode != 200 || len(m.Body) != size {
+		f.T.Errorf("of the answer %d bytes came (%v)", len(p.Received), err)
+	}
+	for _, e := range f.policy.Received {
+		if j, ok := e.(dispatch.Job); ok && j.ID > 1 {
+			f.T.Error("a request that crossed the close was taken")
+		}
+	}
+	p.Close()
+	f.RunIterations()
+	if len(f.listener.connections) != 0 || f.listener.bufferedBytes != 0 {
+		f.T.Errorf("%d connections left with %d bytes", len(f.listener.connections), f.listener.bufferedBytes)
+	}
+}
+
+// A request that was there before its connection is shut is taken, and answered; one that comes on a connection that is shut finds its
+// end, and no reset.
+func TestRequestsThatCrossAClose(t *testing.T) {
+	for name, shut := range shutters() {
+		t.Run(name, func(t *testing.T) {
+			f := newFixture(&modeltest.Steps{T: t})
+			f.listen()
+			before, after := f.connect(), f.connect()
+			f.RunIterations()
+			f.Time += evictionGrace
+			f.RunIterations()
+			before.Write([]byte(numberedRequest(clientRequests[6].text, 1)))
+			shut(f)
+			after.Write([]byte(requestOfSize(2, 0)))
+			f.RunIterations()
+			if got := statuses(t, before); len(got) != 1 || got[0] != 200 {
+				t.Errorf("answered %v", got)
+			}
+			if err := f.readToEnd(after); err != nil || len(after.Received) > 0 || f.table.OpenCount() != 0 {
+				t.Errorf("got %q, %v, %d requests taken", after.Received, err, f.table.OpenCount())
+			}
+		})
+	}
+}
+
+// A request of which a part has been read when its connection would be closed gets its response: where the scheduler is told to
+// close, or the connection was silent until then, the rest may still come; where room is made, it is rejected.
+func TestHalfARequestAtTheClose(t *testing.T) {
+	admitted, up := clientRequests[0].text, clientRequests[6].text
+	for name, c := range map[string]struct {
+		request string
+		shut    func(f *fixture)
+		want    int
+	}{
+		"told to close": {admitted, func(f *fixture) { f.listener.Close() }, 503},
+		"to make room": {admitted, func(f *fixture) {
+			for f.listener.evict() {
+			}
+		}, 503},
+		"limits are lowered": {admitted, func(f *fixture) { f.listener.SetLimits(testLimits(0)) }, 503},
+		"idle": {up, func(f *fixture) {
+			f.Time += requestReadTimeout
+			f.UpdateNow()
+			f.listener.closeExpired()
+		}, 200},
+	} {
+		for read, isRead := range map[string]bool{"read": true, "unread": false} {
+			for client, first := range map[string]string{"new": "", "known": numberedRequest(up, 1)} {
+				if name == "idle" && (isRead || first != "") {
+					continue // it had its time, or has as much anew
+				}
+				t.Run(name+", "+read+", "+client, func(t *testing.T) {
+					f := newFixture(&modeltest.Steps{T: t})
+					f.listen()
+					f.checkHalfRequest(first, numberedRequest(c.request, 2), isRead, c.shut, c.want)
+				})
+			}
+		}
+	}
+}
+
+// checkHalfRequest has a client send a request in two halves, and its connection closed in between.
+func (f *fixture) checkHalfRequest(first, request string, isRead bool, shut func(f *fixture), want int) {
+	p := f.connect()
+	p.Write([]byte(first))
+	f.RunIterations()
+	f.Time += evictionGrace
+	f.RunIterations()
+	statuses(f.T, p)
+	p.Received = nil
+	p.Write([]byte(request[:len(request)/2]))
+	if isRead {
+		f.RunIterations()
+	}
+	shut(f)
+	p.Write([]byte(request[len(request)/2:]))
+	f.RunIterations()
+	if got := statuses(f.T, p); !slices.Equal(got, []int{want}) {
+		f.T.Errorf("answered %v, expected %d; ended %v", got, want, p.Ended)
+	}
+}
+
+// Told to close, a scheduler answers all that it has read, each request once and the last with the word that the connection
+// ends, however many had been sent ahead.
+func TestCloseRespondsToWhatWasRead(t *testing.T) {
+	const requests = maxResponseSlots + 5
+	f := newFixture(&modeltest.Steps{T: t})
+	f.listen()
+	p := f.connect()
+	f.RunIterations()
+	for n := range requests {
+		p.Write([]byte(requestOfSize(n, 0)))
+	}
+	f.runUntilQuiet()
+	f.listener.Close()
+	f.RunIterations()
+	for n := range maxResponseSlots {
+		f.policy.Next = append(f.policy.Next, dispatch.Fail{Job: uint64(n + 1)})
+	}
+	f.table.Wake()
+	f.runUntilQuiet()
+	got := statuses(t, p)
+	for n, status := range got {
+		if want := map[bool]int{true: 500, false: 503}[n < maxResponseSlots]; status != want {
+			t.Errorf("answer %d is %d, expected %d", n, status, want)
+		}
+	}
+	if p.Read(1); len(got) != requests || !p.Ended || bytes.Count(p.Received, []byte("Connection: close")) != 1 {
+		t.Errorf("%d answers to %d requests, ended %v: %q", len(got), requests, p.Ended, p.Received)
+	}
+	if !f.isQuiet() {
+		t.Error("not quiet once all is answered")
+	}
+}
+
+// Whatever connects and stays silent, the connections never hold more descriptors than they may, not even within an iteration; each that
+// comes is let in within a few iterations, so that a request, a callback and a question after readiness get through.
+func TestIdleClientsFillTheDescriptors(t *testing.T) {
+	f := newFixture(&modeltest.Steps{T: t})
+	f.listen()
+	c := f.listener
+	const links = 64
+	f.listener.SetLimits(testLimits(links))
+	request := f.connect()
+	request.Write([]byte(requestOfSize(1, 0)))
+	f.RunIterations()
+	f.act(dispatch.Send{Job: 1, Worker: f.workerNumber()})
+	f.RunIterations()
+	full := false
+	iterations := func(n int) {
+		t.Helper()
+		for range n {
+			if held := f.descriptorsHeldInIteration(); held > links {
+				t.Fatalf("%d descriptors held, %d allowed", held, links)
+			}
+			full = full || c.activeCount() >= c.maxConnections
+		}
+	}
+	var idle []*eventlooptest.Peer
+	flood := func() {
+		for range 3 * links {
+			idle = append(idle, f.connect())
+		}
+		for n := 0; n < len(idle); n += 2 {
+			idle[n].Write([]byte(numberedRequest(clientRequests[6].text, n)))
+		}
+	}
+	flood()
+	for range 8 {
+		iterations(4)
+		f.Time += evictionGrace / 4
+	}
+	if !full {
+		t.Fatalf("%d connections only", c.activeCount())
+	}
+	up, callback := f.connect(), f.connect()
+	up.Write([]byte(numberedRequest(clientRequests[6].text, 1)))
+	body := `{"id":"1","from":"s-0","state":"done","result":"r"}`
+	callback.Write(fmt.Appendf(nil, "POST /v1/job-events HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+	flood()
+	for range 8 {
+		iterations(links)
+		f.Time += evictionGrace
+	}
+	for name, p := range map[string]*eventlooptest.Peer{"readiness": up, "query": request} {
+		if got := statuses(t, p); len(got) != 1 || got[0] != 200 {
+			t.Errorf("%s: answered %v", name, got)
+		}
+	}
+	if got := statuses(t, callback); len(got) != 1 || got[0] != 204 {
+		t.Errorf("callback: answered %v", got)
+	}
+}
+
+// descriptorsHeldInIteration runs an iteration and counts the client connections that were open in it.
+func (f *fixture) descriptorsHeldInIteration() int {
+	connections := f.listener.connections
+	before := map[*connection]bool{}
+	for k := range connections {
+		before[k] = true
+	}
+	f.runOnce()
+	held := len(before)
+	for k := range connections {
+		if !before[k] { // opened while those that ended in the same iteration were there still
+			held++
+		}
+	}
+	return held
+}
+
+// An answer of which a client takes nothing for a while ends its connection; one that it takes slowly does not.
+func TestUnreadResponsesEndTheConnection(t *testing.T) {
+	f := newFixture(&modeltest.Steps{T: t})
+	var peers []*eventlooptest.Peer
+	for range 2 {
+		p, fd := f.openDescriptor(netip.AddrPort{})
+		for range 8 {
+			p.Write([]byte(strings.Repeat(numberedRequest(clientRequests[7].text, 1), 100)))
+			f.RunIterations()
+		}
+		if k := f.connection(fd); len(k.Output()) == 0 || len(k.Input()) > 0 {
+			t.Fatalf("%d bytes wait to be read, %d to be looked at", len(k.Output()), len(k.Input()))
+		}
+		peers = append(peers, p)
+	}
+	slow, deaf := peers[0], peers[1]
+	for f.listener.bufferedBytes > 0 && len(f.listener.connections) == 2 {
+		f.Time += responseUnreadTimeout / 2
+		slow.Read(6 << 10)
+		f.RunIterations()
+	}
+	for range 4 {
+		slow.Read(1 << 20)
+		f.RunIterations()
+	}
+	if deaf.Read(1 << 20); !deaf.Ended || slow.Ended || len(f.listener.connections) != 1 {
+		t.Errorf("ended: the deaf one %v, the slow one %v", deaf.Ended, slow.Ended)
+	}
+}
+
+// shutters are the ways in which a connection without a request in flight is shut.
+func shutters() map[string]func(f *fixture) {
+	return map[string]func(f *fixture){
+		"told to close": func(f *fixture) { f.listener.Close() },
+		"to make room": func(f *fixture) {
+			for f.listener.evict() {
+			}
+		},
+		"idle": func(f *fixture) { // before the iteration that has an event for what has come
+			f.Time += requestReadTimeout + expiryInterval
+			f.UpdateNow()
+			f.listener.closeExpired()
+		},
+	}
+}
+
+// The largest request that was there whole before its connection is shut is answered, though one read does not take all of it.
+func TestLargeRequestBeforeAClose(t *testing.T) {
+	for name, shut := range shutters() {
+		t.Run(name, func(t *testing.T) {
+			f := newFixture(&modeltest.Steps{T: t})
+			f.listen()
+			p := f.connect()
+			f.RunIterations()
+			f.Time += evictionGrace
+			f.RunIterations()
+			request := requestOfSize(1, http1.MaxBodySize)
+			if n, err := unix.Write(p.FD, []byte(request)); n != len(request) {
+				t.Fatalf("%d bytes written, %v", n, err)
+			}
+			shut(f)
+			f.RunIterations()
+			f.act(dispatch.Fail{Job: 1})
+			f.RunIterations()
+			if got := statuses(t, p); len(got) != 1 {
+				t.Errorf("answered %v, connection ended %v", got, p.Ended)
+			}
+		})
+	}
+}
+
+// Of a request that was read in part when its connection is shut, its client is told that nothing was done, also if the rest comes
+// later; where it may be the start of a PROXY header, nothing is written.
+func TestPartOfARequestBeforeAClose(t *testing.T) {
+	for name, shut := range shutters() {
+		t.Run(name, func(t *testing.T) {
+			f := newFixture(&modeltest.Steps{T: t})
+			f.listen()
+			p := f.connect()
+			request := requestOfSize(1, 100)
+			p.Write([]byte(request[:150]))
+			f.RunIterations()
+			f.Time += evictionGrace
+			f.RunIterations()
+			shut(f)
+			f.RunIterations()
+			p.Write([]byte(request[150:]))
+			f.RunIterations()
+			if err := f.readToEnd(p); err != nil {
+				t.Fatalf("after %q: %v", p.Received, err)
+			}
+			got := statuses(t, p)
+			if len(got) != 1 || got[0] != 503 && got[0] != 408 || f.table.OpenCount() != 0 {
+				t.Errorf("answered %v, %d requests taken", got, f.table.OpenCount())
+			}
+		})
+	}
+}
+
+// A panic while a request is handled costs no client the response to a request that was read, on a connection that is new or has
+// others in flight; the attempts of these end, and the loop goes on.
+func TestPanicLeavesNoRequestUnanswered(t *testing.T) {
+	for _, inFlight := range []int{0, 1, 3} {
+		f := newFixture(&modeltest.Steps{T: t})
+		f.listen()
+		p := f.connect()
+		for n := range inFlight {
+			p.Write([]byte(requestOfSize(n+1, 0)))
+		}
+		f.RunIterations()
+		settings := f.listener.settings
+		f.listener.settings = nil // handling a request reads it
+		p.Write([]byte(requestOfSize(9, 0)))
+		f.RunIterations()
+		f.listener.settings = settings
+		f.RunIterations()
+		got := statuses(t, p)
+		for _, status := range got {
+			if status != 500 {
+				t.Errorf("%d in flight: answered %v", inFlight, got)
+			}
+		}
+		if len(got) != inFlight+1 || !p.Ended || f.table.OpenCount() != 0 {
+			t.Errorf("%d in flight: answered %v, ended %v, %d requests open", inFlight, got, p.Ended, f.table.OpenCount())
+		}
+		other := f.connect()
+		other.Write([]byte("GET /up HTTP/1.1\r\n\r\n"))
+		if f.RunIterations(); len(statuses(t, other)) != 1 {
+			t.Error("the loop does not go on")
+		}
+	}
+}
--- a/internal/link/client_connection.go
+++ b/internal/client/connection.go
@@ -1,4 +1,4 @@
-package link
+package client
 
 import (
 	"bytes"
@@ -13,22 +13,22 @@
 	"valvecove/internal/http1"
 )
 
-// clientPhase says what is still to come of a client connection that is open. It only ever advances.
-type clientPhase int
+// phase says what is still to come of a client connection that is open. It only ever advances.
+type phase int
 
 const (
-	clientReading   clientPhase = iota // requests are read
-	clientFinishing                    // no further request is read; the connection ends with its last response
-	clientLingering                    // all responses are sent, and what the peer still sends is discarded
+	phaseReading   phase = iota // requests are read
+	phaseFinishing              // no further request is read; the connection ends with its last response
+	phaseLingering              // all responses are sent, and what the peer still sends is discarded
 )
 
-func (p clientPhase) String() string {
+func (p phase) String() string {
 	switch p {
-	case clientReading:
+	case phaseReading:
 		return "reading"
-	case clientFinishing:
+	case phaseFinishing:
 		return "finishing"
-	case clientLingering:
+	case phaseLingering:
 		return "lingering"
 	}
 	return fmt.Sprintf("clientPhase(%d)", int(p))
@@ -55,11 +55,11 @@
 	return fmt.Sprintf("requestHistory(%d)", int(h))
 }
 
-// clientConnection is one accepted connection. Its requests are answered in the order in which they came.
-type clientConnection struct {
+// connection is one accepted connection. Its requests are answered in the order in which they came.
+type connection struct {
 	eventloop.Stream
-	listener       *clientListener
-	phase          clientPhase
+	listener       *Listener
+	phase          phase
 	history        requestHistory
 	slots          []*responseSlot // of requests without a response, the first one first
 	sendsCallbacks bool            // the last useful request was a callback: the peer is a worker
@@ -87,25 +87,25 @@
 	proxyHeaderDone bool           // it is known whether a PROXY header comes first
 }
 
-func (c *clientConnection) loop() *eventloop.Loop { return c.listener.loop }
+func (c *connection) loop() *eventloop.Loop { return c.listener.loop }
 
 // isReading reports whether further requests are read.
-func (c *clientConnection) isReading() bool { return c.phase == clientReading }
+func (c *connection) isReading() bool { return c.phase == phaseReading }
 
 // advancePhase goes on to a phase, unless the connection is past it.
-func (c *clientConnection) advancePhase(phase clientPhase) { c.phase = max(c.phase, phase) }
+func (c *connection) advancePhase(phase phase) { c.phase = max(c.phase, phase) }
 
 // advanceHistory takes in that a request has come.
-func (c *clientConnection) advanceHistory(history requestHistory) {
+func (c *connection) advanceHistory(history requestHistory) {
 	c.history = max(c.history, history)
 }
 
 // Priority puts the events of clients before those of workers. A client that has left is known before a connection that has
 // just come up is written to, and what a worker says of an attempt before the end of the connection that carried it.
-func (c *clientConnection) Priority() eventloop.Priority { return eventloop.PriorityHigh }
+func (c *connection) Priority() eventloop.Priority { return eventloop.PriorityHigh }
 
 // HandlePanic ends the connection, with a response to each request that was read. A second panic ends it at once.
-func (c *clientConnection) HandlePanic() {
+func (c *connection) HandlePanic() {
 	if c.panicked {
 		c.terminate()
 		return
@@ -115,8 +115,8 @@
 }
 
 // HandleEvents sends and reads what can be, and handles requests.
-func (c *clientConnection) HandleEvents(events uint32) {
-	if events&(unix.EPOLLHUP|unix.EPOLLERR) != 0 && c.phase != clientLingering {
+func (c *connection) HandleEvents(events uint32) {
+	if events&(unix.EPOLLHUP|unix.EPOLLERR) != 0 && c.phase != phaseLingering {
 		c.handleReset()
 		return
 	}
@@ -137,7 +137,7 @@
 	c.readRequests()
 }
 
-func (c *clientConnection) flushOutput() error {
+func (c *connection) flushOutput() error {
 	before := len(c.Output())
 	if err := c.Flush(); err != nil {
 		return err
@@ -148,7 +148,7 @@
 	return nil
 }
 
-func (c *clientConnection) readInput() error {
+func (c *connection) readInput() error {
 	read := c.Fill
 	if !c.isReading() || c.inputOverrun {
 		read = c.discardInput
@@ -164,7 +164,7 @@
 }
 
 // discardInput reads what nobody needs: closed over unread bytes, the connection would be reset, and the response lost.
-func (c *clientConnection) discardInput() (ended bool, err error) {
+func (c *connection) discardInput() (ended bool, err error) {
 	n, ended, err := c.Discard()
 	if n > 0 {
 		c.lastActivity = c.loop().Now()
@@ -174,7 +174,7 @@
 
 // handleReset ends a connection that is gone both ways. Nobody waits for a response, so no request is admitted of what came
 // before that; callbacks are applied all the same.
-func (c *clientConnection) handleReset() {
+func (c *connection) handleReset() {
 	for c.isReading() && len(c.slots) == 0 && len(c.Input()) <= maxReadAhead {
 		before := len(c.Input())
 		if _, err := c.Fill(); err != nil || len(c.Input()) == before {
@@ -200,14 +200,14 @@
 // one that has only finished writing still waits, and both look alike until something is written: a closed connection answers
 // an interim response with a reset, and any client must skip one. Where the reset is there at once, the connection ends
 // before its request is sent to a worker.
-func (c *clientConnection) probeHalfClosed() {
+func (c *connection) probeHalfClosed() {
 	if c.halfCloseProbed {
 		return
 	}
 	c.probe()
 }
 
-func (c *clientConnection) probe() {
+func (c *connection) probe() {
 	c.halfCloseProbed = true
 	c.probedAt = c.loop().Clock()
 	if c.Send([]byte(http1.ContinueResponse)) != nil || c.ConnectError() != nil {
@@ -217,7 +217,7 @@
 
 // updateInputEvents asks epoll for what matters now. A client is read from up to its end, as that lies behind all that it has
 // sent; there are events for that end for as long as they are asked for, and for a reset always.
-func (c *clientConnection) updateInputEvents() {
+func (c *connection) updateInputEvents() {
 	events := c.Events() &^ eventloop.StreamEvents
 	if !c.halfClosed {
 		events |= unix.EPOLLRDHUP
@@ -229,7 +229,7 @@
 }
 
 // updateBufferedBytes keeps the listener's count right.
-func (c *clientConnection) updateBufferedBytes() {
+func (c *connection) updateBufferedBytes() {
 	size := c.BufferSize()
 	c.listener.bufferedBytes += size - c.countedBytes
 	c.countedBytes = size
@@ -237,9 +237,9 @@
 
 // linger ends this side of the connection, and puts it on a list. What the peer still sends is discarded up to its own end,
 // for a while: closed over unread bytes, a connection is reset, and the peer loses what it has not read of the responses.
-func (c *clientConnection) linger(waiting *list.List) {
-	if c.phase != clientLingering {
-		c.advancePhase(clientLingering)
+func (c *connection) linger(waiting *list.List) {
+	if c.phase != phaseLingering {
+		c.advancePhase(phaseLingering)
 		c.DropInput()
 		c.lingerStart = c.loop().Now()
 		c.lastActivity = c.loop().Now()
@@ -251,7 +251,7 @@
 }
 
 // terminate closes the connection; the requests on it have lost their client.
-func (c *clientConnection) terminate() {
+func (c *connection) terminate() {
 	if !c.IsOpen() {
 		return
 	}
--- a/internal/link/client_connection_test.go
+++ b/internal/client/connection_test.go
@@ -1,4 +1,4 @@
-package link
+package client
 
 import (
 	"errors"
@@ -12,6 +12,7 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/eventloop"
+	"valvecove/internal/eventloop/eventlooptest"
 	"valvecove/internal/http1"
 	"valvecove/internal/modeltest"
 )
@@ -51,8 +52,8 @@
 
 // clientModel is a client with one connection, and the responses that it expects.
 type clientModel struct {
-	*harness
-	peer     *peer
+	*fixture
+	peer     *eventlooptest.Peer
 	unsent   string // of the request that is being written
 	next     clientRequest
 	expected []expectedResponse
@@ -60,25 +61,24 @@
 }
 
 func runClientConnection(s *modeltest.Steps) {
-	w := newHarness(s)
-	p, fd := w.socketPair()
-	w.loop.clients.addConnection(fd, netip.AddrPort{})
-	m := &clientModel{harness: w, peer: p, next: clientRequests[0]}
-	for n := 0; s.More() && !p.closed; n++ {
+	f := newFixture(s)
+	p := f.openConnection()
+	m := &clientModel{fixture: f, peer: p, next: clientRequests[0]}
+	for n := 0; s.More() && !p.Closed; n++ {
 		m.act(n, s.Pick(12))
-		w.now += time.Millisecond
-		before := len(w.policy.Received)
-		w.runIterations()
-		m.matchJobs(w.policy.Received[before:])
-		p.read(1 << 20)
-		m.expected = w.checkResponses(p, m.expected)
+		f.Time += time.Millisecond
+		before := len(f.policy.Received)
+		f.RunIterations()
+		m.matchJobs(f.policy.Received[before:])
+		p.Read(1 << 20)
+		m.expected = f.checkResponses(p, m.expected)
 	}
 	m.checkDisconnected()
-	w.now += lingerIdleTimeout + expiryInterval
-	if m.last && len(m.expected) == 0 && !p.closed {
-		w.runIterations()
-		p.read(1)
-		s.Check(p.ended && len(w.loop.clients.connections) == 0, "not closed after the last answer")
+	f.Time += lingerIdleTimeout + expiryInterval
+	if m.last && len(m.expected) == 0 && !p.Closed {
+		f.RunIterations()
+		p.Read(1)
+		s.Check(p.Ended && len(f.listener.connections) == 0, "not closed after the last answer")
 	}
 }
 
@@ -94,18 +94,18 @@
 	case what < 10 && len(m.expected) > 0:
 		m.respond()
 	case what == 10 && m.unsent == "" && !m.last && m.Pick(4) == 0:
-		m.peer.closeWrite() // it still listens, so it is still owed its answers
+		m.peer.CloseWrite() // it still listens, so it is still owed its answers
 		m.last = true
 		m.Record("half-close")
 	case what == 11 && m.Pick(6) == 0:
-		m.peer.close()
+		m.peer.Close()
 		m.Record("close")
 	}
 }
 
 func (m *clientModel) writePart() {
 	size := min(len(m.unsent), 1+m.Pick(60))
-	m.peer.write([]byte(m.unsent[:size]))
+	m.peer.Write([]byte(m.unsent[:size]))
 	m.unsent = m.unsent[size:]
 	if m.unsent == "" {
 		m.last = m.next.closes
@@ -123,7 +123,7 @@
 		m.policy.Next = append(m.policy.Next, dispatch.Fail{Job: d.job})
 		d.status = 500
 	}
-	m.loop.Requests.DiscoveryFailed() // something to step for
+	m.table.DiscoveryFailed() // something to step for
 	m.Record("answer")
 }
 
@@ -151,7 +151,7 @@
 			open++
 		}
 	}
-	closed := m.peer.closed
+	closed := m.peer.Closed
 	m.Check(!closed && disconnected == 0 || closed && disconnected == open, "told gone %d times, %d requests open, closed %v", disconnected, open, closed)
 }
 
@@ -162,62 +162,61 @@
 }
 
 // checkResponses expects exactly the answers that are due by now, in order, and returns what is owed still.
-func (w *harness) checkResponses(p *peer, expected []expectedResponse) []expectedResponse {
-	for !p.closed && len(p.received) > 0 {
-		if strings.HasPrefix(string(p.received), http1.ContinueResponse) {
-			p.received = p.received[len(http1.ContinueResponse):]
+func (f *fixture) checkResponses(p *eventlooptest.Peer, expected []expectedResponse) []expectedResponse {
+	for !p.Closed && len(p.Received) > 0 {
+		if strings.HasPrefix(string(p.Received), http1.ContinueResponse) {
+			p.Received = p.Received[len(http1.ContinueResponse):]
 			continue
 		}
 		var m http1.Response
-		n, err := m.Parse(p.received, p.ended)
-		w.Check(err == nil && len(expected) > 0, "answer %q (%v), expected %v", p.received, err, expected)
-		w.Check(m.StatusCode == expected[0].status, "status %d, expected %d", m.StatusCode, expected[0].status)
-		w.Check(m.StatusCode != 503 || string(m.Get("Retry-After")) == "1.000", "no Retry-After")
-		expected, p.received = expected[1:], p.received[n:]
+		n, err := m.Parse(p.Received, p.Ended)
+		f.Check(err == nil && len(expected) > 0, "answer %q (%v), expected %v", p.Received, err, expected)
+		f.Check(m.StatusCode == expected[0].status, "status %d, expected %d", m.StatusCode, expected[0].status)
+		f.Check(m.StatusCode != 503 || string(m.Get("Retry-After")) == "1.000", "no Retry-After")
+		expected, p.Received = expected[1:], p.Received[n:]
 	}
-	w.Check(p.closed || len(expected) == 0 || expected[0].status == 0, "no answer yet, expected %v", expected)
+	f.Check(p.Closed || len(expected) == 0 || expected[0].status == 0, "no answer yet, expected %v", expected)
 	return expected
 }
 
 // What is half sent, or never begun, or not read holds a descriptor: it does not for long. Who awaits an answer, or
 // has had one and rests, is let be for as long as it takes.
 func TestStalledConnectionsEnd(t *testing.T) {
-	w := newHarness(&modeltest.Steps{T: t})
+	f := newFixture(&modeltest.Steps{T: t})
 	texts := map[string]string{
 		"mute": "", "half": "POST /a HTTP/1.1\r\n", "bad": "\x00\r\n\r\n",
 		"waiting": numberedRequest(clientRequests[0].text, 1), "resting": numberedRequest(clientRequests[6].text, 1), "again": numberedRequest(clientRequests[6].text, 1) + "GET /up",
 	}
-	peers := map[string]*peer{}
+	peers := map[string]*eventlooptest.Peer{}
 	for name, text := range texts {
-		p, fd := w.socketPair()
-		w.loop.clients.addConnection(fd, netip.AddrPort{})
-		p.write([]byte(text))
+		p := f.openConnection()
+		p.Write([]byte(text))
 		peers[name] = p
 	}
-	w.runIterations()
-	w.now += requestReadTimeout + expiryInterval
-	w.runIterations()
+	f.RunIterations()
+	f.Time += requestReadTimeout + expiryInterval
+	f.RunIterations()
 	for name, want := range map[string]string{
 		"mute": "", "half": "HTTP/1.1 408 ", "bad": "HTTP/1.1 400 ",
 		"waiting": "", "resting": "HTTP/1.1 200 ", "again": "HTTP/1.1 200 ",
 	} {
 		p := peers[name]
-		p.read(1 << 10)
+		p.Read(1 << 10)
 		lives := name == "waiting" || name == "resting"
-		if !strings.HasPrefix(string(p.received), want) || p.ended == lives || name == "again" && !strings.Contains(string(p.received), " 408 ") {
-			t.Errorf("%s: got %q, ended %v", name, p.received, p.ended)
+		if !strings.HasPrefix(string(p.Received), want) || p.Ended == lives || name == "again" && !strings.Contains(string(p.Received), " 408 ") {
+			t.Errorf("%s: got %q, ended %v", name, p.Received, p.Ended)
 		}
 	}
-	w.now += maxLingerTime
-	w.runIterations()
-	peers["resting"].write([]byte("GET /up")) // another request begins
-	w.runIterations()
-	w.now += expiryInterval
-	w.runIterations()
-	if peers["resting"].read(1 << 10); strings.Contains(string(peers["resting"].received), " 408 ") {
+	f.Time += maxLingerTime
+	f.RunIterations()
+	peers["resting"].Write([]byte("GET /up")) // another request begins
+	f.RunIterations()
+	f.Time += expiryInterval
+	f.RunIterations()
+	if peers["resting"].Read(1 << 10); strings.Contains(string(peers["resting"].Received), " 408 ") {
 		t.Error("a request that has just begun was given up")
 	}
-	if remaining := len(w.loop.clients.connections); remaining != 2 {
+	if remaining := len(f.listener.connections); remaining != 2 {
 		t.Errorf("%d connections left, expected those of who waits and who rests", remaining)
 	}
 }
@@ -225,25 +224,24 @@
 // A refused peer that sends on must not have its answer swallowed by a reset: what it sends is taken in, unread, for
 // a while, and costs no memory.
 func TestInputAfterRejectionIsDiscarded(t *testing.T) {
-	w := newHarness(&modeltest.Steps{T: t})
-	p, fd := w.socketPair()
-	w.loop.clients.addConnection(fd, netip.AddrPort{})
-	p.write([]byte("POST /a HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n"))
+	f := newFixture(&modeltest.Steps{T: t})
+	p := f.openConnection()
+	p.Write([]byte("POST /a HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n"))
 	chunk := make([]byte, 4<<10)
-	for began := w.now; w.now-began < maxLingerTime-expiryInterval; w.now += lingerIdleTimeout / 2 {
-		w.runIterations()
+	for began := f.Time; f.Time-began < maxLingerTime-expiryInterval; f.Time += lingerIdleTimeout / 2 {
+		f.RunIterations()
 		for range 20 {
-			if _, err := unix.Write(p.fd, chunk); err != nil {
-				t.Fatalf("cut after %v while sending: %v", w.now-began, err)
+			if _, err := unix.Write(p.FD, chunk); err != nil {
+				t.Fatalf("cut after %v while sending: %v", f.Time-began, err)
 			}
-			w.runIterations()
+			f.RunIterations()
 		}
 	}
-	if p.read(1 << 10); !strings.HasPrefix(string(p.received), "HTTP/1.1 413 ") || w.loop.clients.bufferedBytes > 2*eventloop.MaxIdleBuffer {
-		t.Errorf("got %q, %d bytes held", p.received, w.loop.clients.bufferedBytes)
+	if p.Read(1 << 10); !strings.HasPrefix(string(p.Received), "HTTP/1.1 413 ") || f.listener.bufferedBytes > 2*eventloop.MaxIdleBuffer {
+		t.Errorf("got %q, %d bytes held", p.Received, f.listener.bufferedBytes)
 	}
-	w.now += lingerIdleTimeout + expiryInterval
-	if w.runIterations(); len(w.loop.clients.connections) != 0 {
+	f.Time += lingerIdleTimeout + expiryInterval
+	if f.RunIterations(); len(f.listener.connections) != 0 {
 		t.Error("lingers on")
 	}
 }
@@ -251,31 +249,28 @@
 // However many half requests come, and however much is answered that nobody reads, buffers stay within their
 // budget, and a usual request is served.
 func TestBuffersStayWithinBudget(t *testing.T) {
-	w := newHarness(&modeltest.Steps{T: t})
-	c := w.loop.clients
+	f := newFixture(&modeltest.Steps{T: t})
+	c := f.listener
 	c.maxBufferedBytes = 300 << 10
 	for range 20 {
-		p, fd := w.socketPair()
-		c.addConnection(fd, netip.AddrPort{})
-		p.write([]byte("POST /a HTTP/1.1\r\nContent-Length: 65000\r\n\r\n"))
+		p := f.openConnection()
+		p.Write([]byte("POST /a HTTP/1.1\r\nContent-Length: 65000\r\n\r\n"))
 		for range 12 {
-			p.write(make([]byte, 5000))
-			w.runIterations()
+			p.Write(make([]byte, 5000))
+			f.RunIterations()
 		}
 	}
-	deaf, fd := w.socketPair()
-	c.addConnection(fd, netip.AddrPort{})
+	deaf := f.openConnection()
 	for range 400 {
-		deaf.write([]byte(strings.Repeat(numberedRequest(clientRequests[7].text, 1), 100)))
-		w.runIterations()
+		deaf.Write([]byte(strings.Repeat(numberedRequest(clientRequests[7].text, 1), 100)))
+		f.RunIterations()
 	}
 	if most := c.maxBufferedBytes + 6*http1.MaxBodySize; c.bufferedBytes > most {
 		t.Errorf("%d bytes held, %d allowed", c.bufferedBytes, most)
 	}
-	usual, fd := w.socketPair()
-	c.addConnection(fd, netip.AddrPort{})
-	usual.write([]byte(numberedRequest(clientRequests[0].text, 1)))
-	if w.runIterations(); w.loop.Requests.OpenCount() != 1 {
+	usual := f.openConnection()
+	usual.Write([]byte(numberedRequest(clientRequests[0].text, 1)))
+	if f.RunIterations(); f.table.OpenCount() != 1 {
 		t.Error("a usual request is not taken")
 	}
 	sum := 0
@@ -289,60 +284,57 @@
 
 // A panic ends its connection and no other.
 func TestPanicEndsItsConnection(t *testing.T) {
-	w := newHarness(&modeltest.Steps{T: t})
-	good, fd := w.socketPair()
-	w.loop.clients.addConnection(fd, netip.AddrPort{})
-	bad, fd := w.socketPair()
-	w.loop.clients.addConnection(fd, netip.AddrPort{})
+	f := newFixture(&modeltest.Steps{T: t})
+	good := f.openConnection()
+	bad, fd := f.openDescriptor(netip.AddrPort{})
 	request := numberedRequest(clientRequests[0].text, 1)
-	bad.write([]byte(request))
-	w.runIterations()
-	w.loop.Protect(w.clientConnection(fd), func() { panic("scripted") })
-	w.runIterations()
-	good.write([]byte(numberedRequest(clientRequests[6].text, 2)))
-	w.runIterations()
-	good.read(1 << 10)
-	if bad.read(1 << 10); !bad.ended || !strings.HasPrefix(string(good.received), "HTTP/1.1 200 ") {
-		t.Errorf("after a panic: its connection ended %v, another got %q", bad.ended, good.received)
-	}
-	if got := bad.statuses(t); len(got) != 1 || got[0] != 500 {
+	bad.Write([]byte(request))
+	f.RunIterations()
+	f.Protect(f.connection(fd), func() { panic("scripted") })
+	f.RunIterations()
+	good.Write([]byte(numberedRequest(clientRequests[6].text, 2)))
+	f.RunIterations()
+	good.Read(1 << 10)
+	if bad.Read(1 << 10); !bad.Ended || !strings.HasPrefix(string(good.Received), "HTTP/1.1 200 ") {
+		t.Errorf("after a panic: its connection ended %v, another got %q", bad.Ended, good.Received)
+	}
+	if got := statuses(t, bad); len(got) != 1 || got[0] != 500 {
 		t.Errorf("after a panic its client was answered %v", got)
 	}
-	if last := w.policy.Received[len(w.policy.Received)-1]; last != (dispatch.ClientDisconnected{Job: 1}) {
+	if last := f.policy.Received[len(f.policy.Received)-1]; last != (dispatch.ClientDisconnected{Job: 1}) {
 		t.Errorf("after a panic the policy heard %v last", last)
 	}
 }
 
 // Where descriptors run out, those make room first that never brought anything of use.
 func TestUselessConnectionsAreEvictedFirst(t *testing.T) {
-	w := newHarness(&modeltest.Steps{T: t})
-	var peers []*peer
+	f := newFixture(&modeltest.Steps{T: t})
+	var peers []*eventlooptest.Peer
 	for _, text := range []string{
 		numberedRequest(clientRequests[0].text, 1), numberedRequest(clientRequests[0].text, 2), numberedRequest(clientRequests[6].text, 1),
 		numberedRequest(clientRequests[9].text, 1), numberedRequest(clientRequests[2].text, 1), "", "POST",
 	} {
-		p, fd := w.socketPair()
-		w.loop.clients.addConnection(fd, netip.AddrPort{})
-		p.write([]byte(text))
-		w.runIterations()
+		p := f.openConnection()
+		p.Write([]byte(text))
+		f.RunIterations()
 		peers = append(peers, p)
 	}
-	w.policy.Next = append(w.policy.Next, dispatch.Fail{Job: 1}, dispatch.Fail{Job: 2})
-	w.loop.Requests.DiscoveryFailed()
-	w.runIterations()
+	f.policy.Next = append(f.policy.Next, dispatch.Fail{Job: 1}, dispatch.Fail{Job: 2})
+	f.table.DiscoveryFailed()
+	f.RunIterations()
 	for n := range peers {
 		if n == 1 { // a connection that has just begun may be a usual client's
-			w.now += evictionGrace
-			w.runIterations()
+			f.Time += evictionGrace
+			f.RunIterations()
 		}
-		if !w.loop.clients.evict() {
+		if !f.listener.evict() {
 			t.Fatal("nothing made room")
 		}
-		w.runIterations()
+		f.RunIterations()
 		for i, p := range peers {
-			p.read(1 << 10)
-			if want := i >= 2 && i-2 <= n || i < 2 && n >= 5+i; p.ended != want {
-				t.Errorf("after %d evictions connection %d ended %v", n+1, i, p.ended)
+			p.Read(1 << 10)
+			if want := i >= 2 && i-2 <= n || i < 2 && n >= 5+i; p.Ended != want {
+				t.Errorf("after %d evictions connection %d ended %v", n+1, i, p.Ended)
 			}
 		}
 	}
@@ -350,110 +342,53 @@
 
 // Where descriptors run out, an idle connection makes room, and one on which a request has just come is served first.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
-	w := newHarness(&modeltest.Steps{T: t})
-	asking, fd := w.socketPair()
-	w.loop.clients.addConnection(fd, netip.AddrPort{})
-	resting, fd := w.socketPair()
-	w.loop.clients.addConnection(fd, netip.AddrPort{})
-	w.now += evictionGrace
-	w.runIterations()
-	asking.write([]byte(numberedRequest(clientRequests[0].text, 1)))
-	if !w.loop.clients.evict() || w.loop.clients.evict() {
+	f := newFixture(&modeltest.Steps{T: t})
+	asking := f.openConnection()
+	resting := f.openConnection()
+	f.Time += evictionGrace
+	f.RunIterations()
+	asking.Write([]byte(numberedRequest(clientRequests[0].text, 1)))
+	if !f.listener.evict() || f.listener.evict() {
 		t.Error("expected one connection to make room, and one only")
 	}
-	w.runIterations()
-	asking.read(1)
-	if resting.read(1); asking.ended || !resting.ended {
-		t.Errorf("closed: asking %v, resting %v", asking.ended, resting.ended)
-	}
-}
-
-// Told to drain, a scheduler serves on, on the connections that clients have. Told to close, it ends connections between requests,
-// answers what is in hand on connections that then end, and refuses what comes. Quiet tells when all is out. What came late
-// and is still open is answered when time is up; what came before that has its time.
-func TestDrain(t *testing.T) {
-	w := newHarness(&modeltest.Steps{T: t})
-	connect := func(text string) *peer {
-		p, fd := w.socketPair()
-		w.loop.clients.addConnection(fd, netip.AddrPort{})
-		p.write([]byte(text))
-		w.runIterations()
-		return p
-	}
-	answered := func(p *peer, status int, closes bool) {
-		t.Helper()
-		var m http1.Response
-		p.read(1 << 10)
-		if _, err := m.Parse(p.received, true); err != nil || m.StatusCode != status || m.KeepAlive == closes {
-			t.Errorf("answered %q (%v)", p.received, err)
-		}
-		p.received = nil
-	}
-	resting := connect(numberedRequest(clientRequests[6].text, 1))
-	answered(resting, 200, false)
-	early := connect(numberedRequest(clientRequests[0].text, 1))
-	w.loop.Drain()
-	w.now += time.Second
-	w.runIterations()
-	resting.write([]byte(numberedRequest(clientRequests[0].text, 2)))
-	w.runIterations()
-	w.policy.Next = append(w.policy.Next, dispatch.Reject{Job: 2, RetryAfter: time.Second})
-	w.loop.Requests.DiscoveryFailed()
-	w.runIterations()
-	answered(resting, 503, false)
-	answered(connect(numberedRequest(clientRequests[6].text, 1)), 503, false)
-	late := connect(numberedRequest(clientRequests[0].text, 3))
-	w.loop.Close()
-	w.runIterations()
-	if resting.read(1); !resting.ended || w.loop.IsQuiet() {
-		t.Errorf("resting connection ended %v, quiet %v", resting.ended, w.loop.IsQuiet())
-	}
-	answered(connect(numberedRequest(clientRequests[0].text, 4)), 503, true)
-	w.loop.FinishRequestsSince(time.Second / 2)
-	w.runIterations()
-	answered(late, 503, true)
-	if early.read(1); len(early.received) > 0 || w.loop.IsQuiet() {
-		t.Errorf("an early request got %q, quiet %v", early.received, w.loop.IsQuiet())
-	}
-	w.loop.FinishRequestsSince(2 * time.Second)
-	w.runIterations()
-	if answered(early, 503, true); !w.loop.IsQuiet() {
-		t.Error("not quiet once all is answered")
+	f.RunIterations()
+	asking.Read(1)
+	if resting.Read(1); asking.Ended || !resting.Ended {
+		t.Errorf("closed: asking %v, resting %v", asking.Ended, resting.Ended)
 	}
 }
 
 // Callbacks end requests, so requests may not take up every connection: one too many is refused, and a callback still comes in.
 func TestCallbacksComeInWhenFull(t *testing.T) {
-	w := newHarness(&modeltest.Steps{T: t})
-	var peers []*peer
-	for n := range w.loop.clients.maxRequests + 1 {
-		p, fd := w.socketPair()
-		w.loop.clients.addConnection(fd, netip.AddrPort{})
-		p.write([]byte(numberedRequest(clientRequests[0].text, n)))
+	f := newFixture(&modeltest.Steps{T: t})
+	var peers []*eventlooptest.Peer
+	for n := range f.listener.maxRequests + 1 {
+		p := f.openConnection()
+		p.Write([]byte(numberedRequest(clientRequests[0].text, n)))
 		peers = append(peers, p)
-		w.runIterations()
+		f.RunIterations()
 	}
 	last, first := peers[len(peers)-1], peers[0]
-	if last.read(1 << 10); !strings.HasPrefix(string(last.received), "HTTP/1.1 503 ") {
-		t.Errorf("one request too many got %q", last.received)
+	if last.Read(1 << 10); !strings.HasPrefix(string(last.Received), "HTTP/1.1 503 ") {
+		t.Errorf("one request too many got %q", last.Received)
 	}
-	if first.read(1); len(first.received) > 0 || w.loop.clients.maxRequests >= w.loop.clients.maxConnections {
-		t.Errorf("a request in hand got %q", first.received)
+	if first.Read(1); len(first.Received) > 0 || f.listener.maxRequests >= f.listener.maxConnections {
+		t.Errorf("a request in hand got %q", first.Received)
 	}
 }
 
 // Out of descriptors, the loop waits a moment and then accepts again: what came meanwhile is served, not lost.
 func TestAcceptsAgainAfterEMFILE(t *testing.T) {
-	w := newHarness(&modeltest.Steps{T: t})
-	if err := w.loop.clients.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
+	f := newFixture(&modeltest.Steps{T: t})
+	if err := f.listener.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
 		t.Fatal(err)
 	}
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{fd: fd}
-	defer p.close()
+	p := &eventlooptest.Peer{FD: fd}
+	defer p.Close()
 	var old unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
@@ -461,40 +396,19 @@
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 3, Max: old.Max}); err != nil {
 		t.Fatal(err)
 	}
-	_, sa := eventloop.Sockaddr(w.loop.Addr())
+	_, sa := eventloop.Sockaddr(f.listener.Addr())
 	connecting := unix.Connect(fd, sa)
-	w.runIterations()
-	held := len(w.loop.clients.connections)
+	f.RunIterations()
+	held := len(f.listener.connections)
 	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &old); err != nil {
 		t.Fatal(err)
 	}
 	if connecting != nil && !errors.Is(connecting, unix.EINPROGRESS) || held != 0 {
 		t.Fatalf("connecting: %v, %d connections without descriptors", connecting, held)
 	}
-	w.now += acceptRetryDelay
-	w.runIterations()
-	if len(w.loop.clients.connections) != 1 {
-		t.Errorf("%d connections once there are descriptors again", len(w.loop.clients.connections))
-	}
-}
-
-// The front sends clients to a process once its /up answers 200, so one whose requests would wait for the first list says 503.
-func TestUpOnlyOnceNothingAwaitsTheFirstEndpointList(t *testing.T) {
-	w := newHarness(&modeltest.Steps{T: t})
-	p, fd := w.socketPair()
-	w.loop.clients.addConnection(fd, netip.AddrPort{})
-	up := func(status, unready string) {
-		t.Helper()
-		p.received = nil
-		p.write([]byte("GET /up HTTP/1.1\r\n\r\n"))
-		w.runIterations()
-		if p.read(4096); !strings.HasPrefix(string(p.received), "HTTP/1.1 "+status) || w.loop.notReadyReason() != unready {
-			t.Errorf("%q, unready %q, expected %s, %q", p.received, w.loop.notReadyReason(), status, unready)
-		}
+	f.Time += acceptRetryDelay
+	f.RunIterations()
+	if len(f.listener.connections) != 1 {
+		t.Errorf("%d connections once there are descriptors again", len(f.listener.connections))
 	}
-	up("200", "")
-	w.loop.Requests.AwaitEndpoints(w.loop.Now() + time.Hour)
-	up("503", "no word from discovery yet")
-	w.loop.Requests.DiscoveryFailed()
-	up("200", "")
 }
--- /dev/null
+++ b/internal/client/disconnect_test.go
@@ -0,0 +1,257 @@
+package client
+
+import (
+	"fmt"
+	"net/netip"
+	"strings"
+	"testing"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/eventloop/eventlooptest"
+	"valvecove/internal/modeltest"
+)
+
+// A client that leaves is gone for the policy before that iteration's sends, wherever its requests are by then: nothing of
+// them is sent on, and its connection is closed. What it leaves by is all the same, an end or a reset.
+func TestClientGoneBeforeTheSends(t *testing.T) {
+	many := func(n, size int) (text string) {
+		for i := range n {
+			text += requestOfSize(i, size)
+		}
+		return text
+	}
+	cases := map[string]struct {
+		before string // read, and taken if whole, before the client leaves
+		last   string // written in the moment in which it leaves
+		taken  int    // of before
+	}{
+		"with its request, unread":           {"", requestOfSize(0, 0), 0},
+		"in its request":                     {requestOfSize(0, 50)[:100], "", 0},
+		"in its request, unread":             {"", requestOfSize(0, 50)[:100], 0},
+		"held":                               {requestOfSize(0, 0), "", 1},
+		"held, with another begun":           {requestOfSize(0, 0), requestOfSize(1, 50)[:100], 1},
+		"held, with another unread":          {requestOfSize(0, 0), requestOfSize(1, 0), 1},
+		"all turns in use":                   {many(maxResponseSlots, 0), "", maxResponseSlots},
+		"all turns in use, and more unread":  {many(maxResponseSlots, 0), many(2*maxResponseSlots, 0)[len(many(maxResponseSlots, 0)):], maxResponseSlots},
+		"all turns in use, and much more":    {many(maxResponseSlots+12, 8<<10), "", maxResponseSlots},
+		"all turns in use, and far too much": {many(maxResponseSlots+12, 60<<10), "", maxResponseSlots},
+		"behind Connection: close":           {strings.Replace(requestOfSize(0, 0), "\r\n", "\r\nConnection: close\r\n", 1), requestOfSize(1, 0), 1},
+	}
+	for name, c := range cases {
+		for how, leave := range map[string]func(*eventlooptest.Peer){"end": (*eventlooptest.Peer).Close, "reset": (*eventlooptest.Peer).Reset} {
+			t.Run(name+", "+how, func(t *testing.T) {
+				f := newFixture(&modeltest.Steps{T: t})
+				f.listen()
+				f.leaveBeforeTheSends(c.before, c.last, c.taken, leave)
+			})
+		}
+	}
+}
+
+// leaveBeforeTheSends has a client leave in the iteration in which the policy sends its requests. It writes one text before,
+// of which so many requests are admitted, and another with leaving.
+func (f *fixture) leaveBeforeTheSends(before, last string, admitted int, leave func(*eventlooptest.Peer)) {
+	p := f.connect()
+	f.RunIterations()
+	f.writeAll(p, []byte(before))
+	f.runUntilQuiet()
+	if open := f.table.OpenCount(); open != admitted {
+		f.T.Fatalf("%d requests taken, expected %d", open, admitted)
+	}
+	p.Write([]byte(last))
+	leave(p)
+	for id := range uint64(admitted + 2*maxResponseSlots) {
+		f.policy.Next = append(f.policy.Next, dispatch.Send{Job: id + 1, Worker: f.workerNumber()})
+	}
+	f.table.Wake()
+	f.runOnce()
+	if len(f.transport.started) != 0 || f.table.OpenCount() != 0 {
+		f.T.Errorf("%d attempts begun, %d requests open", len(f.transport.started), f.table.OpenCount())
+	}
+	jobs, disconnected := 0, 0
+	for _, e := range f.policy.Received {
+		switch e.(type) {
+		case dispatch.Job:
+			jobs++
+		case dispatch.ClientDisconnected:
+			disconnected++
+		}
+	}
+	f.RunIterations()
+	if jobs != disconnected || len(f.listener.connections) != 0 || f.listener.bufferedBytes != 0 {
+		f.T.Errorf("%d requests, %d told as gone, %d connections left with %d bytes", jobs, disconnected,
+			len(f.listener.connections), f.listener.bufferedBytes)
+	}
+}
+
+// A worker's callback that came before its connection broke is applied; a request that did is not admitted.
+func TestCallbackBeforeAReset(t *testing.T) {
+	f := newFixture(&modeltest.Steps{T: t})
+	f.listen()
+	client, worker := f.connect(), f.connect()
+	client.Write([]byte(requestOfSize(7, 0)))
+	f.RunIterations()
+	f.act(dispatch.Send{Job: 1, Worker: f.workerNumber()})
+	f.RunIterations()
+	body := `{"id":"7","from":"s-0","state":"done","result":"r"}`
+	worker.Write(fmt.Appendf(nil, "POST /v1/job-events HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s%s", len(body), body, requestOfSize(8, 0)))
+	worker.Reset()
+	f.RunIterations()
+	if got := statuses(t, client); len(got) != 1 || got[0] != 200 || f.table.OpenCount() != 0 {
+		t.Errorf("answered %v, %d requests open", got, f.table.OpenCount())
+	}
+}
+
+// A client that has only finished writing gets the answer to each request that it wrote, in order, and with their bytes
+// unharmed, also to those that were not looked at yet, or not even read, when it did; and then the end.
+func TestHalfClosedClientsAreAnswered(t *testing.T) {
+	for _, size := range []int{0, 2 << 10, 8 << 10} {
+		t.Run(fmt.Sprint(size), func(t *testing.T) {
+			f := newFixture(&modeltest.Steps{T: t})
+			f.listen()
+			f.closeWriteAfterRequests(size)
+		})
+	}
+}
+
+// closeWriteAfterRequests has a client write more requests than are read at once, with bodies of a size, and end its side. It
+// expects a response to each.
+func (f *fixture) closeWriteAfterRequests(size int) {
+	const requests = 3 * maxResponseSlots
+	p := f.connect()
+	f.RunIterations()
+	for n := range requests {
+		f.writeAll(p, []byte(requestOfSize(n, size)))
+	}
+	p.CloseWrite()
+	f.runUntilQuiet()
+	for n := range requests {
+		if open := f.table.OpenCount(); open != min(maxResponseSlots, requests-n) {
+			f.T.Fatalf("%d requests open after %d answers", open, n)
+		}
+		f.act(dispatch.Reject{Job: uint64(n + 1)})
+		f.runUntilQuiet()
+	}
+	got := statuses(f.T, p)
+	for _, status := range got {
+		if status != 503 {
+			f.T.Errorf("answered %v", got)
+		}
+	}
+	p.Read(1)
+	if len(got) != requests || !p.Ended || len(f.listener.connections) != 0 {
+		f.T.Errorf("%d answers to %d requests, connection closed %v", len(got), requests, p.Ended)
+	}
+}
+
+// A client that sends more ahead of its answers than is kept is read from all the same: what is kept whole is answered,
+// one more is refused, and the connection ends. Buffers stay bounded.
+func TestExcessReadAheadIsRejected(t *testing.T) {
+	f := newFixture(&modeltest.Steps{T: t})
+	f.listen()
+	p := f.connect()
+	f.RunIterations()
+	const size = 60 << 10
+	for n := range 3 * maxResponseSlots {
+		f.writeAll(p, []byte(requestOfSize(n, size)))
+		if f.runUntilQuiet(); f.listener.bufferedBytes > 2*maxReadAheadWithMemory {
+			held := f.listener.bufferedBytes
+			t.Fatalf("%d bytes held", held)
+		}
+	}
+	answered := 0
+	for ; f.table.OpenCount() > 0; answered++ {
+		f.act(dispatch.Fail{Job: uint64(answered + 1)})
+		f.runUntilQuiet()
+	}
+	got := statuses(t, p)
+	if answered <= maxResponseSlots || len(got) != answered+1 || got[answered] != 503 || got[answered-1] != 500 {
+		t.Errorf("%d requests answered, the client has %v", answered, got)
+	}
+	if p.Read(1); !p.Ended {
+		t.Error("the connection goes on")
+	}
+}
+
+// What has ended and still has answers to take leaves the loop in peace: there are no further events for the end.
+func TestEndOfInputWakesTheLoopOnce(t *testing.T) {
+	f := newFixture(&modeltest.Steps{T: t})
+	p, fd := f.openDescriptor(netip.AddrPort{})
+	for range 40 {
+		p.Write([]byte(strings.Repeat(numberedRequest(clientRequests[7].text, 1), 100)))
+		f.RunIterations()
+	}
+	p.CloseWrite()
+	f.RunIterations()
+	k := f.connection(fd)
+	if len(k.Output()) == 0 {
+		t.Fatal("nothing waits to be read")
+	}
+	if n := f.ReadyDescriptors(); n != 0 {
+		t.Errorf("%d descriptors are told as ready, with nothing to be done", n)
+	}
+}
+
+// The time of a request counts from when its last byte came, also if it had to wait for the requests before it on its connection.
+func TestTimeCountsFromArrival(t *testing.T) {
+	f := newFixture(&modeltest.Steps{T: t})
+	f.listen()
+	p := f.connect()
+	f.RunIterations()
+	for n := range maxResponseSlots + 2 {
+		p.Write([]byte(requestOfSize(n, 0)))
+	}
+	late := requestOfSize(99, 0)
+	p.Write([]byte(late[:40]))
+	f.runUntilQuiet()
+	f.Time += time.Second
+	p.Write([]byte(late[40:]))
+	f.runUntilQuiet()
+	f.Time += time.Second
+	p.Write([]byte(requestOfSize(100, 0)))
+	for n := range 4 {
+		f.policy.Next = append(f.policy.Next, dispatch.Fail{Job: uint64(n + 1)})
+	}
+	f.table.Wake()
+	f.runUntilQuiet()
+	const all = 5 * time.Second // of the class
+	remaining := map[uint64]time.Duration{}
+	for _, e := range f.policy.Received {
+		if j, ok := e.(dispatch.Job); ok {
+			remaining[j.ID] = j.Remaining
+		}
+	}
+	for id, want := range map[uint64]time.Duration{
+		1: all, 16: all, 17: all - 2*time.Second, 18: all - 2*time.Second,
+		19: all - time.Second, 20: all,
+	} {
+		if remaining[id] != want {
+			t.Errorf("request %d has %v left, expected %v", id, remaining[id], want)
+		}
+	}
+}
+
+// A burst of clients that leave is taken in whole before the iteration's sends, however many they are.
+func TestBurstOfClientsGone(t *testing.T) {
+	const clients = 400
+	f := newFixture(&modeltest.Steps{T: t})
+	f.listener.SetLimits(testLimits(2 * clients))
+	var peers []*eventlooptest.Peer
+	for n := range clients {
+		p := f.openConnection()
+		p.Write([]byte(requestOfSize(n, 0)))
+		peers = append(peers, p)
+	}
+	f.RunIterations()
+	if open := f.table.OpenCount(); open != clients {
+		t.Fatalf("%d requests taken", open)
+	}
+	for n, p := range peers {
+		p.Close()
+		f.policy.Next = append(f.policy.Next, dispatch.Send{Job: uint64(n + 1), Worker: f.workerNumber()})
+	}
+	if f.runOnce(); len(f.transport.started) != 0 || f.table.OpenCount() != 0 {
+		t.Errorf("%d attempts begun, %d requests open", len(f.transport.started), f.table.OpenCount())
+	}
+}
--- a/internal/link/client_expiry.go
+++ b/internal/client/expiry.go
@@ -1,4 +1,4 @@
-package link
+package client
 
 import (
 	"container/list"
@@ -18,7 +18,7 @@
 
 // closeExpired ends connections on which nothing goes on that should, again and again: each takes up a descriptor, and some
 // a buffer.
-func (l *clientListener) closeExpired() {
+func (l *Listener) closeExpired() {
 	l.loop.StartTimer(expiryInterval, l, l.closeExpired)
 	for c := range l.connections {
 		c.closeIfExpired()
@@ -27,11 +27,11 @@
 
 // closeIfExpired ends the connection if it has been waited for long enough. One that awaits a response, or had one of use and
 // is idle, may wait for ever.
-func (c *clientConnection) closeIfExpired() {
+func (c *connection) closeIfExpired() {
 	now := c.loop().Now()
 	quiet := now - c.lastActivity
 	switch {
-	case c.phase == clientLingering:
+	case c.phase == phaseLingering:
 		if quiet >= lingerIdleTimeout || now-c.lingerStart >= maxLingerTime {
 			c.terminate()
 		}
@@ -45,11 +45,11 @@
 }
 
 // closeUnlessIdle ends a connection that has no response to wait for, unless it is idle after a request of use.
-func (c *clientConnection) closeUnlessIdle() {
+func (c *connection) closeUnlessIdle() {
 	switch {
 	case len(c.Input()) > 0 && !c.proxyHeaderDone: // it may be the start of a PROXY header, so nothing is written
 		c.linger(&c.listener.finished)
-	case len(c.Input()) > 0 && c.phase == clientReading:
+	case len(c.Input()) > 0 && c.phase == phaseReading:
 		c.rejectInput(408, "request not whole\n")
 	case len(c.Input()) == 0 && c.history == historyUsefulRequest:
 	case c.history == historyNoRequest:
@@ -61,11 +61,11 @@
 // on it is handled first; what comes later its client sends again elsewhere. A connection that is new, or just had its last
 // response, is spared: it may be a usual client's or a worker's, whose request is on its way. A request of which a part has
 // come is rejected.
-func (l *clientListener) evict() bool {
+func (l *Listener) evict() bool {
 	for _, waiting := range []*list.List{&l.rejectedOnly, &l.finished, &l.silent, &l.idle} {
 		hasGrace := waiting == &l.finished || waiting == &l.silent
 		for first := waiting.Front(); first != nil; first = waiting.Front() {
-			c := first.Value.(*clientConnection)
+			c := first.Value.(*connection)
 			if hasGrace && l.loop.Now()-c.lastActivity < evictionGrace {
 				break
 			}
@@ -83,20 +83,20 @@
 }
 
 // closeExcessEvicted closes evicted connections where there are too many, the first ones first.
-func (l *clientListener) closeExcessEvicted() {
+func (l *Listener) closeExcessEvicted() {
 	for l.evicted.Len() > l.maxEvicted {
-		l.evicted.Front().Value.(*clientConnection).terminate()
+		l.evicted.Front().Value.(*connection).terminate()
 	}
 }
 
 // Close closes connections between requests from now on; requests that come all the same are rejected. Connections that
 // workers have stay open, as do those that they open: each callback is a response that some client waits for.
-func (l *clientListener) Close() {
+func (l *Listener) Close() {
 	l.closing = true
-	var waiting []*clientConnection // shutting one down may move others from list to list
+	var waiting []*connection // shutting one down may move others from list to list
 	for _, list := range []*list.List{&l.rejectedOnly, &l.silent, &l.idle} {
 		for element := list.Front(); element != nil; element = element.Next() {
-			waiting = append(waiting, element.Value.(*clientConnection))
+			waiting = append(waiting, element.Value.(*connection))
 		}
 	}
 	for _, c := range waiting {
@@ -107,7 +107,7 @@
 }
 
 // becomeIdle puts the connection on the list that it belongs to between requests.
-func (c *clientConnection) becomeIdle() {
+func (c *connection) becomeIdle() {
 	switch c.history {
 	case historyUsefulRequest:
 		c.enterWaitingList(&c.listener.idle)
@@ -119,7 +119,7 @@
 }
 
 // enterWaitingList puts the connection last on a list; it is on one at most.
-func (c *clientConnection) enterWaitingList(waiting *list.List) {
+func (c *connection) enterWaitingList(waiting *list.List) {
 	if !c.IsOpen() || c.waitingList == waiting {
 		return
 	}
@@ -129,7 +129,7 @@
 }
 
 // leaveWaitingList takes the connection off its list, if it is on one.
-func (c *clientConnection) leaveWaitingList() {
+func (c *connection) leaveWaitingList() {
 	if c.waitingElement != nil {
 		c.waitingList.Remove(c.waitingElement)
 		c.waitingList, c.waitingElement = nil, nil
@@ -137,7 +137,7 @@
 }
 
 // dismiss shuts down a connection without a request in flight, unless one, or a part of one, has come in.
-func (c *clientConnection) dismiss(waiting *list.List) {
+func (c *connection) dismiss(waiting *list.List) {
 	element := c.waitingElement
 	c.loop().Protect(c, c.readAll)
 	if c.IsOpen() && element != nil && c.waitingElement == element && !c.isAmidRequest() {
@@ -146,12 +146,12 @@
 }
 
 // isAmidRequest reports whether the connection is between requests but for a part of one.
-func (c *clientConnection) isAmidRequest() bool {
+func (c *connection) isAmidRequest() bool {
 	return c.IsOpen() && c.isReading() && c.proxyHeaderDone && len(c.slots) == 0 && len(c.Input()) > 0
 }
 
 // rejectForRoom rejects a request of which a part has come, and evicts the connection if it takes the response at once.
-func (c *clientConnection) rejectForRoom() {
+func (c *connection) rejectForRoom() {
 	c.rejectInput(503, "no room for the connection\n")
 	if c.IsOpen() && len(c.slots) == 0 && len(c.Output()) == 0 {
 		c.linger(&c.listener.evicted)
@@ -159,7 +159,7 @@
 }
 
 // readAll handles all that has come. One read takes less than the largest request.
-func (c *clientConnection) readAll() {
+func (c *connection) readAll() {
 	for before := -1; c.IsOpen() && c.waitingElement != nil && len(c.Input()) > before; {
 		before = len(c.Input())
 		c.HandleEvents(unix.EPOLLIN)
@@ -167,4 +167,4 @@
 }
 
 // closesAfterResponse reports whether the connection is to end with the responses that are due on it now.
-func (c *clientConnection) closesAfterResponse() bool { return c.listener.closing && !c.sendsCallbacks }
+func (c *connection) closesAfterResponse() bool { return c.listener.closing && !c.sendsCallbacks }
--- a/internal/link/client_input.go
+++ b/internal/client/input.go
@@ -1,4 +1,4 @@
-package link
+package client
 
 import (
 	"errors"
@@ -17,7 +17,7 @@
 )
 
 // readRequests handles what there is of whole requests, and then sees to what is to become of the connection.
-func (c *clientConnection) readRequests() {
+func (c *connection) readRequests() {
 	for c.canReadRequest() && c.readProxyHeader() {
 		if more := c.readRequest(); !more {
 			break
@@ -45,12 +45,12 @@
 	c.finishOrBecomeIdle()
 }
 
-func (c *clientConnection) canReadRequest() bool {
+func (c *connection) canReadRequest() bool {
 	return c.isReading() && c.IsOpen() && len(c.slots) < maxResponseSlots && len(c.Output()) <= maxUnreadOutput && len(c.Input()) > 0
 }
 
 // readRequest handles the first request of the input. more is false if there is none that is whole.
-func (c *clientConnection) readRequest() (more bool) {
+func (c *connection) readRequest() (more bool) {
 	request := &c.listener.request
 	size, err := request.Parse(c.Input())
 	var parseError *http1.ParseError
@@ -80,7 +80,7 @@
 }
 
 // awaitRest sees to a request of which the rest is to come.
-func (c *clientConnection) awaitRest(request *http1.Request) {
+func (c *connection) awaitRest(request *http1.Request) {
 	if c.history == historyUsefulRequest {
 		c.leaveWaitingList()
 	}
@@ -96,13 +96,13 @@
 }
 
 // finishOrBecomeIdle ends a connection on which nothing is to come any more, or puts it among those between requests.
-func (c *clientConnection) finishOrBecomeIdle() {
+func (c *connection) finishOrBecomeIdle() {
 	switch {
 	case len(c.slots) > 0 || len(c.Output()) > 0:
 	case c.inputEnded:
 		c.terminate()
 		return
-	case c.phase == clientFinishing:
+	case c.phase == phaseFinishing:
 		c.linger(&c.listener.finished)
 	case c.isReading() && len(c.Input()) == 0:
 		c.becomeIdle()
@@ -114,16 +114,16 @@
 }
 
 // rejectInput responds to what can't be read any further; the connection ends with that.
-func (c *clientConnection) rejectInput(statusCode int, reason string) {
+func (c *connection) rejectInput(statusCode int, reason string) {
 	c.leaveWaitingList()
 	c.listener.table.ReportRejection(nil, statusCode)
 	c.reserveSlot(false).respond(statusCode, reason)
 }
 
-func (c *clientConnection) rejectOverrun() { c.rejectInput(503, "too much sent ahead of answers\n") }
+func (c *connection) rejectOverrun() { c.rejectInput(503, "too much sent ahead of answers\n") }
 
 // exceedsReadAhead reports whether more was read ahead of responses than is kept.
-func (c *clientConnection) exceedsReadAhead() bool {
+func (c *connection) exceedsReadAhead() bool {
 	size := len(c.Input())
 	buffered, limit := c.listener.bufferedBytes, c.listener.maxBufferedBytes
 	switch {
--- a/internal/link/client_log.go
+++ b/internal/client/log.go
@@ -1,4 +1,4 @@
-package link
+package client
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 )
 
 // LogAttributes says which client a line of the log is about.
-func (c *clientConnection) LogAttributes() []slog.Attr {
+func (c *connection) LogAttributes() []slog.Attr {
 	if c.listener.accessLists == nil {
 		return nil
 	}
@@ -19,11 +19,11 @@
 
 // isLogEnabled reports whether a line about the connection or its requests is to be written: where addresses are of interest,
 // unless the level is off or too many have been written lately. What the line is made of is worth making only then.
-func (c *clientConnection) isLogEnabled(level slog.Level) bool {
+func (c *connection) isLogEnabled(level slog.Level) bool {
 	return c.listener.accessLists != nil && c.listener.connectionLog.Enabled(context.Background(), level)
 }
 
 // logEvent writes such a line.
-func (c *clientConnection) logEvent(level slog.Level, event string, attrs ...slog.Attr) {
+func (c *connection) logEvent(level slog.Level, event string, attrs ...slog.Attr) {
 	c.listener.connectionLog.LogAttrs(context.Background(), level, event, append(attrs, c.LogAttributes()...)...)
 }
--- a/internal/link/client_arrival.go
+++ b/internal/client/parse.go
@@ -1,4 +1,4 @@
-package link
+package client
 
 import (
 	"bytes"
@@ -25,7 +25,7 @@
 }
 
 // findClass returns the class of a request, which its path and a field name.
-func (l *clientListener) findClass(request *http1.Request, pathClass []byte) (int, *rejection) {
+func (l *Listener) findClass(request *http1.Request, pathClass []byte) (int, *rejection) {
 	name := request.Get("X-Call-Class")
 	class, known := l.classes[string(name)]
 	_, pathKnown := l.classes[string(pathClass)]
@@ -44,7 +44,7 @@
 
 // parseArrival makes an arrival of a request of a class. It has no responder yet. pathRest is what follows the class in the
 // path.
-func (l *clientListener) parseArrival(request *http1.Request, class int, pathRest []byte) (requests.Arrival, *rejection) {
+func (l *Listener) parseArrival(request *http1.Request, class int, pathRest []byte) (requests.Arrival, *rejection) {
 	for _, name := range uniqueFields {
 		if request.Count(name) > 1 {
 			return requests.Arrival{}, &rejection{400, name + ": given more than once"}
@@ -75,7 +75,7 @@
 }
 
 // isIdempotencyKeyValid accepts no key only where the class needs none: without one, repeats would not be dropped.
-func (l *clientListener) isIdempotencyKeyValid(key []byte, class int) bool {
+func (l *Listener) isIdempotencyKeyValid(key []byte, class int) bool {
 	if key == nil {
 		return l.settings.Classes[class].Idempotency != dispatch.IdempotentWithKey
 	}
@@ -83,7 +83,7 @@
 }
 
 // parseJob reads what the dispatcher goes by.
-func (l *clientListener) parseJob(request *http1.Request, class int) (dispatch.Job, *rejection) {
+func (l *Listener) parseJob(request *http1.Request, class int) (dispatch.Job, *rejection) {
 	tenant, known := l.tenants[string(request.Get("X-Caller"))]
 	if !known && len(l.tenants) > 0 {
 		return dispatch.Job{}, &rejection{400, "X-Caller: not a tenant"}
--- a/internal/link/client_presence.go
+++ b/internal/client/presence.go
@@ -1,4 +1,4 @@
-package link
+package client
 
 import (
 	"time"
@@ -18,8 +18,8 @@
 
 const endEvents = unix.EPOLLRDHUP | unix.EPOLLHUP | unix.EPOLLERR
 
-// attemptHold returns how long an attempt that is to be written is held, until it is known whether its client still waits.
-func clientAttemptHold(attempt *requests.Attempt) time.Duration {
+// AttemptHold returns how long an attempt that is to be written is held, until it is known whether its client still waits.
+func AttemptHold(attempt *requests.Attempt) time.Duration {
 	slot, ok := attempt.Request.Responder().(*responseSlot)
 	if !ok || !slot.connection.IsOpen() {
 		return 0
@@ -27,7 +27,7 @@
 	return slot.connection.attemptHold()
 }
 
-func (c *clientConnection) attemptHold() time.Duration {
+func (c *connection) attemptHold() time.Duration {
 	loop := c.loop()
 	now := loop.Clock()
 	switch {
--- a/internal/link/client_address.go
+++ b/internal/client/proxy.go
@@ -1,4 +1,4 @@
-package link
+package client
 
 import (
 	"errors"
@@ -16,7 +16,7 @@
 
 // readProxyHeader takes a PROXY header that comes first, if one does, and reports whether requests may be read. A header that
 // may not be sent, or makes no sense, ends the connection, and nothing is written.
-func (c *clientConnection) readProxyHeader() bool {
+func (c *connection) readProxyHeader() bool {
 	for !c.proxyHeaderDone {
 		client, size, err := address.ParseHeader(c.Input())
 		isTrusted := !c.proxyAddress.IsValid() && c.listener.accessLists.TrustsProxy(c.clientAddress.Addr())
@@ -40,7 +40,7 @@
 }
 
 // setProxiedClient takes in that the peer is a proxy, and whom it speaks for; of a proxy's own connection that is nobody.
-func (c *clientConnection) setProxiedClient(client netip.AddrPort) {
+func (c *connection) setProxiedClient(client netip.AddrPort) {
 	c.proxyAddress = c.clientAddress
 	if client.IsValid() {
 		c.clientAddress = client
@@ -48,7 +48,7 @@
 }
 
 // closeForProxyHeader ends the connection for a header that may not be sent, or, by the parser's error, makes no sense.
-func (c *clientConnection) closeForProxyHeader(parseError error) {
+func (c *connection) closeForProxyHeader(parseError error) {
 	reason := parseError
 	if parseError == nil || errors.Is(parseError, address.ErrIncomplete) {
 		reason = errUntrustedProxy
--- a/internal/link/client_address_test.go
+++ b/internal/client/proxy_test.go
@@ -1,4 +1,4 @@
-package link
+package client
 
 import (
 	"bytes"
@@ -10,6 +10,7 @@
 
 	"valvecove/internal/address"
 	"valvecove/internal/config"
+	"valvecove/internal/eventloop/eventlooptest"
 	"valvecove/internal/logging"
 	"valvecove/internal/modeltest"
 )
@@ -40,27 +41,26 @@
 func FuzzProxyHeader(f *testing.F) {
 	modeltest.Fuzz(f, func(s *modeltest.Steps) {
 		var log bytes.Buffer
-		w := newProxyHarness(s, &log)
+		f := newProxyFixture(s, &log)
 		start := starts[s.Pick(len(starts))]
 		from, trusted := frontAddr, s.Pick(3) > 0
 		if !trusted {
 			from = "192.0.2.1:40000"
 		}
-		p, fd := w.socketPair()
-		w.loop.clients.addConnection(fd, netip.MustParseAddrPort(from))
-		began := w.now
+		p := f.openConnectionFrom(netip.MustParseAddrPort(from))
+		began := f.Time
 		const request = "GET /up HTTP/1.1\r\n\r\n"
 		unsent := start.text + request + request
 		s.Record(fmt.Sprintf("from %s, %q", from, unsent))
 		refused := start.header && (!trusted || start.client == "")
-		unsent = w.writeParts(p, unsent)
+		unsent = f.writeParts(p, unsent)
 		requestBytes := 2*len(request) - len(unsent) // bytes of requests that have come; less than 0: not even the header has
-		whole, answered := max(0, requestBytes)/len(request), p.countOK()
-		s.Check(!refused || len(p.received) == 0 && (unsent != "" || p.ended), "refused, but got %q, ended %v", p.received, p.ended)
-		s.Check(refused || requestBytes < 0 || answered == whole && !p.ended, "%d answers, expected %d", answered, whole)
+		whole, answered := max(0, requestBytes)/len(request), countOK(p)
+		s.Check(!refused || len(p.Received) == 0 && (unsent != "" || p.Ended), "refused, but got %q, ended %v", p.Received, p.Ended)
+		s.Check(refused || requestBytes < 0 || answered == whole && !p.Ended, "%d answers, expected %d", answered, whole)
 		if whole == 0 { // of the first request not all has come: whatever has is given up in time
-			w.now = max(w.now, began+requestReadTimeout+expiryInterval)
-			w.expectGivenUp(p, refused || requestBytes < 0)
+			f.Time = max(f.Time, began+requestReadTimeout+expiryInterval)
+			f.expectGivenUp(p, refused || requestBytes < 0)
 		}
 		whose := " client=" + from
 		if start.header && !refused {
@@ -72,9 +72,9 @@
 }
 
 // countOK reads what has come, and counts the responses that say yes.
-func (p *peer) countOK() int {
-	p.read(1 << 16)
-	return strings.Count(string(p.received), "HTTP/1.1 200 ")
+func countOK(p *eventlooptest.Peer) int {
+	p.Read(1 << 16)
+	return strings.Count(string(p.Received), "HTTP/1.1 200 ")
 }
 
 // checkWhoseLines expects each line of a log to say whose connection it is about.
@@ -87,31 +87,31 @@
 	}
 }
 
-// newProxyHarness returns a harness that trusts some proxies, and logs about connections.
-func newProxyHarness(s *modeltest.Steps, log *bytes.Buffer) *harness {
-	w := newHarness(s)
-	w.loop.clients.connectionLog = logging.NewFactory(config.Log{}, "n0", log).NewLogger()
-	w.loop.clients.log = w.loop.clients.connectionLog
-	w.loop.clients.accessLists = address.New(config.Addresses{TrustedProxies: []netip.Prefix{netip.MustParsePrefix("10.20.0.0/24")}})
-	return w
+// newProxyFixture returns a fixture that trusts some proxies, and logs about connections.
+func newProxyFixture(s *modeltest.Steps, log *bytes.Buffer) *fixture {
+	return newFixtureWith(s, func(listenerConfig *Config) {
+		listenerConfig.ConnectionLog = logging.NewFactory(config.Log{}, "n0", log).NewLogger()
+		listenerConfig.Log = listenerConfig.ConnectionLog
+		listenerConfig.AccessLists = address.New(config.Addresses{TrustedProxies: []netip.Prefix{netip.MustParsePrefix("10.20.0.0/24")}})
+	})
 }
 
 // writeParts writes a text in parts for as long as there are steps, and returns what is left of it.
-func (w *harness) writeParts(p *peer, unsent string) string {
-	for w.More() && unsent != "" {
-		n := min(len(unsent), 1+w.Pick(60))
-		p.write([]byte(unsent[:n]))
-		w.now += time.Duration(w.Pick(40)) * time.Millisecond
-		w.runIterations()
-		w.Record(fmt.Sprint("write ", n))
+func (f *fixture) writeParts(p *eventlooptest.Peer, unsent string) string {
+	for f.More() && unsent != "" {
+		n := min(len(unsent), 1+f.Pick(60))
+		p.Write([]byte(unsent[:n]))
+		f.Time += time.Duration(f.Pick(40)) * time.Millisecond
+		f.RunIterations()
+		f.Record(fmt.Sprint("write ", n))
 		unsent = unsent[n:]
 	}
 	return unsent
 }
 
 // expectGivenUp runs the loop, and expects the connection of a client to end with nothing written, if it must.
-func (w *harness) expectGivenUp(p *peer, must bool) {
-	w.runIterations()
-	p.countOK()
-	w.Check(!must || p.ended && len(p.received) == 0, "a header that was not whole: got %q, ended %v", p.received, p.ended)
+func (f *fixture) expectGivenUp(p *eventlooptest.Peer, must bool) {
+	f.RunIterations()
+	countOK(p)
+	f.Check(!must || p.Ended && len(p.Received) == 0, "a header that was not whole: got %q, ended %v", p.Received, p.Ended)
 }
--- a/internal/link/client_requests.go
+++ b/internal/client/request.go
@@ -1,4 +1,4 @@
-package link
+package client
 
 import (
 	"bytes"
@@ -26,7 +26,7 @@
 }
 
 // handleRequest answers a request, or admits it.
-func (c *clientConnection) handleRequest(request *http1.Request, slot *responseSlot) {
+func (c *connection) handleRequest(request *http1.Request, slot *responseSlot) {
 	path, _, _ := bytes.Cut(request.Target, []byte("?"))
 	switch string(path) {
 	case pathUp:
@@ -39,7 +39,7 @@
 }
 
 // handleUp tells a load balancer whether this process is to be sent requests.
-func (c *clientConnection) handleUp(request *http1.Request, slot *responseSlot) {
+func (c *connection) handleUp(request *http1.Request, slot *responseSlot) {
 	switch {
 	case string(request.Method) != "GET":
 		slot.respond(405, "GET only\n")
@@ -51,7 +51,7 @@
 }
 
 // handleCallback takes in what a worker says of an attempt.
-func (c *clientConnection) handleCallback(request *http1.Request, slot *responseSlot) {
+func (c *connection) handleCallback(request *http1.Request, slot *responseSlot) {
 	if string(request.Method) != "POST" {
 		slot.respond(405, "POST only\n")
 		return
@@ -63,7 +63,7 @@
 	slot.respond(204, "")
 }
 
-func (c *clientConnection) applyCallback(body []byte) error {
+func (c *connection) applyCallback(body []byte) error {
 	var callback requests.Callback
 	if err := jsoniter.ConfigDefault.Unmarshal(body, &callback); err != nil {
 		return err
@@ -77,7 +77,7 @@
 }
 
 // admitRequest admits a request of a class, or rejects it.
-func (c *clientConnection) admitRequest(request *http1.Request, path []byte, slot *responseSlot) {
+func (c *connection) admitRequest(request *http1.Request, path []byte, slot *responseSlot) {
 	pathClass, pathRest, _ := bytes.Cut(bytes.TrimPrefix(path, []byte("/")), []byte("/"))
 	class, rejected := c.listener.findClass(request, pathClass)
 	if rejected != nil {
@@ -108,7 +108,7 @@
 
 // rejectOverload rejects a request if the process takes no more, and reports whether it does. Nothing was sent to a worker,
 // so a retry is harmless: after an overload has passed, or elsewhere if this process stops.
-func (c *clientConnection) rejectOverload(slot *responseSlot, arrival *requests.Arrival) bool {
+func (c *connection) rejectOverload(slot *responseSlot, arrival *requests.Arrival) bool {
 	listener, table := c.listener, c.listener.table
 	switch {
 	case listener.closing:
@@ -125,7 +125,7 @@
 }
 
 // reject responds to a request that was not admitted; the arrival is nil if it could not be parsed.
-func (c *clientConnection) reject(slot *responseSlot, arrival *requests.Arrival, rejected *rejection) {
+func (c *connection) reject(slot *responseSlot, arrival *requests.Arrival, rejected *rejection) {
 	c.listener.table.ReportRejection(arrival, rejected.statusCode)
 	slot.respond(rejected.statusCode, rejected.reason+"\n")
 }
--- a/internal/link/client_responses.go
+++ b/internal/client/response.go
@@ -1,4 +1,4 @@
-package link
+package client
 
 import (
 	"log/slog"
@@ -21,7 +21,7 @@
 
 // responseSlot is a request's place in the order of a connection's responses. It is the responder of an admitted request.
 type responseSlot struct {
-	connection *clientConnection
+	connection *connection
 	request    *requests.Request // while it is served; nil: it was not admitted, or is over
 	keepAlive  bool              // by the request, the connection may go on
 	isComplete bool              // what follows is set
@@ -31,11 +31,11 @@
 }
 
 // reserveSlot gives a request the next slot; one that does not keep the connection alive is the last.
-func (c *clientConnection) reserveSlot(keepAlive bool) *responseSlot {
+func (c *connection) reserveSlot(keepAlive bool) *responseSlot {
 	slot := &responseSlot{connection: c, keepAlive: keepAlive}
 	c.slots = append(c.slots, slot)
 	if !keepAlive {
-		c.advancePhase(clientFinishing)
+		c.advancePhase(phaseFinishing)
 	}
 	return slot
 }
@@ -54,19 +54,19 @@
 
 // complete sets the response, and sends what is next in order.
 func (s *responseSlot) complete(statusCode int, body []byte, retryAfter time.Duration) {
-	connection := s.connection
-	if s.request != nil && connection.isLogEnabled(slog.LevelInfo) {
-		connection.logEvent(slog.LevelInfo, "request answered", slog.String("request", s.request.CallID), slog.Int("status", statusCode))
+	conn := s.connection
+	if s.request != nil && conn.isLogEnabled(slog.LevelInfo) {
+		conn.logEvent(slog.LevelInfo, "request answered", slog.String("request", s.request.CallID), slog.Int("status", statusCode))
 	}
 	s.request = nil
-	if s.isComplete || !connection.IsOpen() {
+	if s.isComplete || !conn.IsOpen() {
 		return
 	}
 	s.isComplete = true
 	s.statusCode = statusCode
 	s.body = body
 	s.retryAfter = retryAfter
-	connection.loop().Protect(connection, connection.sendResponses)
+	conn.loop().Protect(conn, conn.sendResponses)
 }
 
 // abandon takes in that the client is gone.
@@ -84,8 +84,8 @@
 }
 
 // failAll responds to all requests that were read, also to one in the midst of which a panic came, and ends the connection.
-func (c *clientConnection) failAll() {
-	if !c.IsOpen() || c.phase == clientLingering {
+func (c *connection) failAll() {
+	if !c.IsOpen() || c.phase == phaseLingering {
 		c.terminate()
 		return
 	}
@@ -94,7 +94,7 @@
 	}
 	unsent := c.slots
 	c.slots = nil
-	c.advancePhase(clientFinishing)
+	c.advancePhase(phaseFinishing)
 	for i, slot := range unsent {
 		c.slots = unsent[i+1:] // the last response says that the connection ends
 		if !slot.isComplete {
@@ -113,7 +113,7 @@
 }
 
 // sendResponses sends the responses that are next in order and complete.
-func (c *clientConnection) sendResponses() {
+func (c *connection) sendResponses() {
 	for c.IsOpen() && len(c.slots) > 0 && c.slots[0].isComplete {
 		slot := c.slots[0]
 		c.slots = c.slots[1:]
@@ -123,7 +123,7 @@
 		c.lastActivity = c.loop().Now()
 		// A connection that ends says so with its last response.
 		if c.closesAfterResponse() && len(c.slots) == 0 && len(c.Input()) == c.currentRequestSize {
-			c.advancePhase(clientFinishing)
+			c.advancePhase(phaseFinishing)
 		}
 		if err := c.sendResponse(slot); err != nil {
 			c.terminate()
@@ -136,7 +136,7 @@
 	}
 }
 
-func (c *clientConnection) sendResponse(slot *responseSlot) error {
+func (c *connection) sendResponse(slot *responseSlot) error {
 	fields := ""
 	if slot.retryAfter > 0 {
 		fields = "Retry-After: " + strconv.FormatFloat(slot.retryAfter.Seconds(), 'f', 3, 64) + "\r\n"
--- a/internal/link/client_stalled_test.go
+++ b/internal/client/stalled_test.go
@@ -1,4 +1,4 @@
-package link
+package client
 
 import (
 	"bytes"
@@ -8,6 +8,7 @@
 	"time"
 
 	"valvecove/dispatch"
+	"valvecove/internal/eventloop/eventlooptest"
 	"valvecove/internal/http1"
 	"valvecove/internal/modeltest"
 )
@@ -43,85 +44,87 @@
 // first.
 func TestStalledRequestsEndInTime(t *testing.T) {
 	for where, text := range stalledRequests {
-		for name, stall := range map[string]func(w *harness, p *peer, text string){
-			"new": func(w *harness, p *peer, text string) { w.writeAll(p, []byte(text)) },
-			"in pieces": func(w *harness, p *peer, text string) {
+		for name, stall := range map[string]func(f *fixture, p *eventlooptest.Peer, text string){
+			"new": func(f *fixture, p *eventlooptest.Peer, text string) { f.writeAll(p, []byte(text)) },
+			"in pieces": func(f *fixture, p *eventlooptest.Peer, text string) {
 				for piece := range strings.SplitAfterSeq(text, "\n") {
-					w.writeAll(p, []byte(piece))
-					w.runUntilQuiet()
+					f.writeAll(p, []byte(piece))
+					f.runUntilQuiet()
 				}
 			},
-			"idle before":       stallAfterIdle,
-			"behind a request":  stallBehindRequest,
-			"after a response":  stallAfterResponse,
-			"amid the shutdown": func(w *harness, p *peer, text string) { w.writeAll(p, []byte(text)); w.loop.Drain(); w.loop.Close() },
+			"idle before":      stallAfterIdle,
+			"behind a request": stallBehindRequest,
+			"after a response": stallAfterResponse,
+			"amid the shutdown": func(f *fixture, p *eventlooptest.Peer, text string) {
+				f.writeAll(p, []byte(text))
+				f.listener.Drain()
+				f.listener.Close()
+			},
 		} {
 			if strings.HasPrefix(where, "PROXY") && (name == "behind a request" || name == "after a response") {
 				continue // a PROXY header comes first on its connection
 			}
 			t.Run(where+", "+name, func(t *testing.T) {
 				var log bytes.Buffer
-				w := newProxyHarness(&modeltest.Steps{T: t}, &log)
-				p, fd := w.socketPair()
-				w.loop.clients.addConnection(fd, netip.MustParseAddrPort(frontAddr))
-				stall(w, p, text)
-				w.expectEndInTime(p)
+				f := newProxyFixture(&modeltest.Steps{T: t}, &log)
+				p := f.openConnectionFrom(netip.MustParseAddrPort(frontAddr))
+				stall(f, p, text)
+				f.expectEndInTime(p)
 			})
 		}
 	}
 }
 
 // stallAfterIdle stalls on a connection that has been silent for nearly as long as one may be.
-func stallAfterIdle(w *harness, p *peer, text string) {
-	w.now += requestReadTimeout - time.Millisecond
-	w.runUntilQuiet()
-	w.writeAll(p, []byte(text))
+func stallAfterIdle(f *fixture, p *eventlooptest.Peer, text string) {
+	f.Time += requestReadTimeout - time.Millisecond
+	f.runUntilQuiet()
+	f.writeAll(p, []byte(text))
 }
 
 // stallAfterResponse stalls on a connection that is idle after a request of use.
-func stallAfterResponse(w *harness, p *peer, text string) {
-	stallBehindRequest(w, p, "")
-	w.now += time.Hour
-	w.runUntilQuiet()
-	w.writeAll(p, []byte(text))
+func stallAfterResponse(f *fixture, p *eventlooptest.Peer, text string) {
+	stallBehindRequest(f, p, "")
+	f.Time += time.Hour
+	f.runUntilQuiet()
+	f.writeAll(p, []byte(text))
 }
 
 // stallBehindRequest stalls while a request is in flight, which is then served.
-func stallBehindRequest(w *harness, p *peer, text string) {
-	w.writeAll(p, []byte(requestOfSize(1, 0)))
-	w.runUntilQuiet()
-	w.writeAll(p, []byte(text))
-	w.runUntilQuiet()
-	w.now += 4 * time.Second
-	w.runUntilQuiet()
-	w.policy.Next = append(w.policy.Next, dispatch.Fail{Job: 1})
-	w.loop.Requests.Wake()
-	w.runUntilQuiet()
-	p.read(1 << 10)
-	if !strings.Contains(string(p.received), "HTTP/1.1 500 ") || strings.Contains(string(p.received), " 408 ") || p.ended {
-		w.T.Fatalf("the request in flight got %q, ended %v", p.received, p.ended)
+func stallBehindRequest(f *fixture, p *eventlooptest.Peer, text string) {
+	f.writeAll(p, []byte(requestOfSize(1, 0)))
+	f.runUntilQuiet()
+	f.writeAll(p, []byte(text))
+	f.runUntilQuiet()
+	f.Time += 4 * time.Second
+	f.runUntilQuiet()
+	f.act(dispatch.Fail{Job: 1})
+	f.runUntilQuiet()
+	p.Read(1 << 10)
+	if !strings.Contains(string(p.Received), "HTTP/1.1 500 ") || strings.Contains(string(p.Received), " 408 ") || p.Ended {
+		f.T.Fatalf("the request in flight got %q, ended %v", p.Received, p.Ended)
 	}
-	p.received = nil
+	p.Received = nil
 }
 
 // expectEndInTime expects an error, or the end of a connection, and that no descriptor is left a while later.
-func (w *harness) expectEndInTime(p *peer) {
-	w.T.Helper()
-	stalledAt := w.now
+func (f *fixture) expectEndInTime(p *eventlooptest.Peer) {
+	f.T.Helper()
+	stalledAt := f.Time
 	answered := func() bool {
-		w.runUntilQuiet()
-		p.read(1 << 12)
-		text := strings.ReplaceAll(string(p.received), http1.ContinueResponse, "")
-		return p.ended || strings.HasPrefix(text, "HTTP/1.1 4") || strings.HasPrefix(text, "HTTP/1.1 5")
+		f.runUntilQuiet()
+		p.Read(1 << 12)
+		text := strings.ReplaceAll(string(p.Received), http1.ContinueResponse, "")
+		return p.Ended || strings.HasPrefix(text, "HTTP/1.1 4") || strings.HasPrefix(text, "HTTP/1.1 5")
 	}
 	for !answered() {
-		if w.now += stalledClientStep; w.now-stalledAt > stalledClientLimit {
-			w.T.Fatalf("%v after it stopped it has %q, ended %v", w.now-stalledAt, p.received, p.ended)
+		if f.Time += stalledClientStep; f.Time-stalledAt > stalledClientLimit {
+			f.T.Fatalf("%v after it stopped it has %q, ended %v", f.Time-stalledAt, p.Received, p.Ended)
 		}
 	}
-	w.now += maxLingerTime + expiryInterval
-	w.runUntilQuiet()
-	if connections := len(w.loop.clients.connections); connections != 0 {
-		w.T.Errorf("%d connections are left", connections)
+	f.Time += maxLingerTime + expiryInterval
+	f.runUntilQuiet()
+	if connections := len(f.listener.connections); connections != 0 {
+		f.T.Errorf("%d connections are left", connections)
 	}
 }
--- a/internal/link/client_transfer.go
+++ b/internal/client/transfer.go
@@ -1,4 +1,4 @@
-package link
+package client
 
 import (
 	"net/netip"
@@ -10,36 +10,36 @@
 	"valvecove/internal/requests"
 )
 
-// clientConnectionSnapshot is a client connection as it is handed over to a successor.
-type clientConnectionSnapshot struct {
+// ConnectionSnapshot is a client connection as it is handed over to a successor.
+type ConnectionSnapshot struct {
 	hotrestart.ClientConnection
 	Descriptor int // stays the connection's until Relinquish
 }
 
 // Snapshot returns the connections that a successor goes on with: all but those that linger.
-func (l *clientListener) Snapshot() []clientConnectionSnapshot {
-	var snapshots []clientConnectionSnapshot
+func (l *Listener) Snapshot() []ConnectionSnapshot {
+	var snapshots []ConnectionSnapshot
 	for c := range l.connections {
-		if c.phase != clientLingering {
-			snapshots = append(snapshots, clientConnectionSnapshot{c.transferRecord(), c.FD()})
+		if c.phase != phaseLingering {
+			snapshots = append(snapshots, ConnectionSnapshot{c.transferRecord(), c.FD()})
 		}
 	}
 	return snapshots
 }
 
 // Relinquish closes the connections that Snapshot returns, which a successor owns now. Their requests are not abandoned.
-func (l *clientListener) Relinquish() {
+func (l *Listener) Relinquish() {
 	for c := range l.connections {
-		if c.phase != clientLingering {
+		if c.phase != phaseLingering {
 			c.relinquish()
 		}
 	}
 }
 
 // CloseSocket closes the listening socket; connections stay.
-func (l *clientListener) CloseSocket() { l.acceptor.Close() }
+func (l *Listener) CloseSocket() { l.acceptor.Close() }
 
-func (c *clientConnection) relinquish() {
+func (c *connection) relinquish() {
 	c.leaveWaitingList()
 	c.slots = nil
 	c.Close()
@@ -47,7 +47,7 @@
 	delete(c.listener.connections, c)
 }
 
-func (c *clientConnection) transferRecord() hotrestart.ClientConnection {
+func (c *connection) transferRecord() hotrestart.ClientConnection {
 	record := hotrestart.ClientConnection{
 		Input:             c.Input(),
 		Output:            c.Output(),
@@ -84,11 +84,11 @@
 	return record
 }
 
-// restoredClients are connections that Restore has made. The caller calls Responders, AttachRequests and HandleInput, in this
+// RestoredConnections are connections that Restore has made. The caller calls Responders, AttachRequests and HandleInput, in this
 // order.
-type restoredClients struct {
+type RestoredConnections struct {
 	loop        *eventloop.Loop
-	connections []*clientConnection
+	connections []*connection
 	waiting     []waitingSlot
 }
 
@@ -100,10 +100,10 @@
 
 // Restore makes connections of those that a predecessor has handed over, and owns their descriptors. One that can't be made is
 // closed.
-func (l *clientListener) Restore(received []hotrestart.ReceivedClientConnection) *restoredClients {
-	restored := &restoredClients{loop: l.loop}
-	for _, connection := range received {
-		client, waiting := l.restore(connection)
+func (l *Listener) Restore(received []hotrestart.ReceivedClientConnection) *RestoredConnections {
+	restored := &RestoredConnections{loop: l.loop}
+	for _, record := range received {
+		client, waiting := l.restore(record)
 		restored.connections = append(restored.connections, client)
 		restored.waiting = append(restored.waiting, waiting...)
 	}
@@ -111,7 +111,7 @@
 }
 
 // Responders returns the responders of requests that are open, by request ID.
-func (r *restoredClients) Responders() map[uint64]requests.Responder {
+func (r *RestoredConnections) Responders() map[uint64]requests.Responder {
 	responders := map[uint64]requests.Responder{}
 	for _, waiting := range r.waiting {
 		responders[waiting.requestID] = waiting.slot
@@ -120,24 +120,24 @@
 }
 
 // AttachRequests gives the responders their requests, which find returns by ID.
-func (r *restoredClients) AttachRequests(find func(requestID uint64) *requests.Request) {
+func (r *RestoredConnections) AttachRequests(find func(requestID uint64) *requests.Request) {
 	for _, waiting := range r.waiting {
 		waiting.slot.request = find(waiting.requestID)
 	}
 }
 
 // HandleInput handles what the predecessor had read.
-func (r *restoredClients) HandleInput() {
-	for _, connection := range r.connections {
-		if connection.IsOpen() {
-			r.loop.Protect(connection, func() { connection.HandleEvents(unix.EPOLLIN) })
+func (r *RestoredConnections) HandleInput() {
+	for _, c := range r.connections {
+		if c.IsOpen() {
+			r.loop.Protect(c, func() { c.HandleEvents(unix.EPOLLIN) })
 		}
 	}
 }
 
 // restore goes on with a connection of a client. Where that fails, the connection that it returns is closed.
-func (l *clientListener) restore(received hotrestart.ReceivedClientConnection) (*clientConnection, []waitingSlot) {
-	client := &clientConnection{
+func (l *Listener) restore(received hotrestart.ReceivedClientConnection) (*connection, []waitingSlot) {
+	client := &connection{
 		listener:        l,
 		history:         restoredHistory(received.ClientConnection),
 		inputEnded:      received.InputConsumed,
@@ -148,7 +148,7 @@
 		lastActivity:    received.LastActivity,
 	}
 	if received.LastRequestRead {
-		client.advancePhase(clientFinishing)
+		client.advancePhase(phaseFinishing)
 	}
 	client.clientAddress, _ = netip.ParseAddrPort(received.ClientAddress)
 	client.proxyAddress, _ = netip.ParseAddrPort(received.ProxyAddress)
@@ -186,7 +186,7 @@
 }
 
 // restoreSlots returns the slots that await the outcome of an open request.
-func (c *clientConnection) restoreSlots(records []hotrestart.ResponseSlot) []waitingSlot {
+func (c *connection) restoreSlots(records []hotrestart.ResponseSlot) []waitingSlot {
 	var waiting []waitingSlot
 	for _, record := range records {
 		slot := &responseSlot{
--- a/internal/link/client_presence_test.go
+++ b/internal/link/client_presence_test.go
@@ -10,8 +10,10 @@
 	"valvecove/internal/modeltest"
 )
 
-// latestBegin is how long after its client's close an attempt may begin.
-const latestBegin = 100 * time.Millisecond
+const (
+	latestBegin       = 100 * time.Millisecond // after its client's close an attempt may begin until then
+	probeResponseTime = 10 * time.Millisecond  // for which an attempt is held while its client is probed
+)
 
 // A client may close its connection at the moment from which the process is held up. Wherever that is before the last look at the
 // clock, after a reading of it or at a system call, nothing is written for it once the process goes on, on an idle connection as on
--- a/internal/link/generated_settings_test.go
+++ b/internal/link/generated_settings_test.go
@@ -293,7 +293,7 @@
 		return d.faults.connectClient()
 	}
 	p, fd := d.socketPair()
-	d.loop.clients.addConnection(fd, netip.AddrPort{})
+	d.loop.clients.AddConnection(fd, netip.AddrPort{})
 	return p
 }
 
--- a/internal/link/harness_tcp_test.go
+++ b/internal/link/harness_tcp_test.go
@@ -117,3 +117,23 @@
 	return fmt.Sprintf("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: %d\r\nX-Caller: t\r\nContent-Length: %d\r\n\r\n%s",
 		n, size, strings.Repeat("x", size))
 }
+
+// readToEnd takes in all up to the end of the connection, a little at a time; a reset is an error.
+func (w *harness) readToEnd(p *peer) error {
+	b := make([]byte, 1<<10)
+	for range 100_000 {
+		n, err := unix.Read(p.fd, b)
+		switch {
+		case errors.Is(err, unix.EAGAIN):
+			w.runOnce()
+		case err != nil:
+			return err
+		case n == 0:
+			p.ended = true
+			return nil
+		default:
+			p.received = append(p.received, b[:n]...)
+		}
+	}
+	return errors.New("no end comes")
+}
--- a/internal/link/harness_test.go
+++ b/internal/link/harness_test.go
@@ -9,6 +9,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/dispatch"
+	"valvecove/internal/client"
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
 	"valvecove/internal/eventloop"
@@ -70,24 +71,8 @@
 }
 
 // testClientLimits returns limits with so many connections.
-func testClientLimits(connections int) clientLimits {
-	return clientLimits{connections: connections, requests: limits.MaxRequests(connections), bufferBytes: 1 << 20}
-}
-
-// setClientLimits changes how many connections clients may have.
-func (w *harness) setClientLimits(connections int) {
-	w.loop.clients.SetLimits(testClientLimits(connections))
-}
-
-// clientConnection finds the client connection of a descriptor.
-func (w *harness) clientConnection(fd int) *clientConnection {
-	for k := range w.loop.clients.connections {
-		if k.FD() == fd {
-			return k
-		}
-	}
-	w.T.Fatalf("no client connection has descriptor %d", fd)
-	return nil
+func testClientLimits(connections int) client.Limits {
+	return client.Limits{Connections: connections, Requests: limits.MaxRequests(connections), BufferBytes: 1 << 20}
 }
 
 // readyDescriptors counts descriptors for which epoll has events, and hands out none.
--- a/internal/link/hotrestart_fuzz_test.go
+++ b/internal/link/hotrestart_fuzz_test.go
@@ -58,7 +58,7 @@
 	model.workerID = model.workerNumber()
 	client, socket := model.socketPair()
 	model.client = client
-	model.loop.clients.addConnection(socket, netip.MustParseAddrPort("127.0.0.1:9"))
+	model.loop.clients.AddConnection(socket, netip.MustParseAddrPort("127.0.0.1:9"))
 	return model
 }
 
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -239,7 +239,7 @@
 		l.unfenceCordonStore()
 		return fmt.Errorf("handing over: %w", err)
 	}
-	l.releaseTransferred(transfer)
+	l.releaseTransferred()
 	took := (l.Clock() - startedAt).Round(10 * time.Microsecond)
 	l.log.Info("handed over", "requests", transfer.requestCount, "client_connections", transfer.clientConnectionCount,
 		"worker_connections", transfer.workerConnectionCount, "snapshot_bytes", transfer.snapshotSize, "took", took.String())
@@ -278,7 +278,7 @@
 }
 
 // releaseTransferred lets go of what the successor owns now.
-func (l *Loop) releaseTransferred(transfer *stateTransfer) {
+func (l *Loop) releaseTransferred() {
 	l.clients.Relinquish()
 	l.workers.Relinquish()
 	l.watch.stop()
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -85,7 +85,7 @@
 // sendRequest has a client of the world send request "q", on a connection of its own.
 func (w *harness) sendRequest(at netip.AddrPort) *peer {
 	client, fd := w.socketPair()
-	w.loop.clients.addConnection(fd, at)
+	w.loop.clients.AddConnection(fd, at)
 	client.write([]byte("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: q\r\nX-Caller: t\r\nContent-Length: 0\r\n\r\n"))
 	w.runIterations()
 	return client
@@ -98,7 +98,7 @@
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	client := predecessor.sendRequest(address)
 	successor := predecessor.startSuccessor(dir, address)
-	if both := predecessor.loop.clients.maxConnections + successor.loop.clients.maxConnections; both > 1024-2*limits.SharesOf(config.Config{}, config.Ops{}).OwnDescriptors {
+	if both := predecessor.loop.clients.Limits().Connections + successor.loop.clients.Limits().Connections; both > 1024-2*limits.SharesOf(config.Config{}, config.Ops{}).OwnDescriptors {
 		t.Errorf("two processes hold %d client connections", both)
 	}
 	role := successor.loop.successorRole
@@ -116,7 +116,7 @@
 	if peer.read(1); !peer.ended {
 		t.Error("a socket of the failed transfer is still open")
 	}
-	if successor.loop.Requests.OpenCount() != 0 || len(successor.loop.clients.connections) != 0 || successor.loop.clients.Socket() >= 0 {
+	if successor.loop.Requests.OpenCount() != 0 || successor.loop.clients.ConnectionCount() != 0 || successor.loop.clients.Socket() >= 0 {
 		t.Error("the successor has something of a transfer that failed")
 	}
 	if err := predecessor.handOverTo(successor); err != nil || successor.loop.budget.IsHalved() {
@@ -327,12 +327,12 @@
 		conf := config.Config{Discovery: netip.MustParseAddrPort("127.0.0.1:8"), Limits: config.Limits{Sockets: 512, MemoryMB: 64}}
 		predecessor.loop.Reload(conf)
 		successor.loop.Reload(conf)
-		half := successor.loop.clients.maxConnections
+		half := successor.loop.clients.Limits().Connections
 		err := predecessor.handOverTo(successor)
 		watch := successor.loop.watch
-		if err != nil || !watch.isOpen() || watch.server != conf.Discovery || successor.loop.clients.maxConnections < 2*half {
+		if err != nil || !watch.isOpen() || watch.server != conf.Discovery || successor.loop.clients.Limits().Connections < 2*half {
 			t.Errorf("lost %v: %v, watched %v at %v, %d client connections, %d before", lost, err, watch.isOpen(), watch.server,
-				successor.loop.clients.maxConnections, half)
+				successor.loop.clients.Limits().Connections, half)
 		}
 	}
 }
@@ -347,7 +347,7 @@
 		dir := t.TempDir()
 		predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 		_, silentClient := predecessor.socketPair()
-		predecessor.loop.clients.addConnection(silentClient, address)
+		predecessor.loop.clients.AddConnection(silentClient, address)
 		client := predecessor.sendRequest(address)
 		predecessor.policy.Next = []dispatch.Action{dispatch.Send{Job: 1, Worker: predecessor.workerNumber()}}
 		predecessor.loop.Requests.Wake()
@@ -405,9 +405,9 @@
 		untilDeadline: request.Deadline - w.now, untilAttemptExpires: attempt.At - w.now,
 		sinceArrival: w.now - request.ArrivedAt, sinceSent: w.now - request.FirstSentAt,
 	}
-	for client := range w.loop.clients.connections {
-		if client.history == historyNoRequest {
-			ages.clientSilent = w.now - client.lastActivity
+	for _, client := range w.loop.clients.Snapshot() {
+		if !client.RequestSeen {
+			ages.clientSilent = w.now - client.LastActivity
 		}
 	}
 	for _, connection := range w.loop.workers.Snapshot() {
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -15,6 +15,7 @@
 	"valvecove/dispatch"
 	"valvecove/internal/address"
 	"valvecove/internal/capture"
+	"valvecove/internal/client"
 	"valvecove/internal/clock"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/filesystem"
@@ -37,13 +38,12 @@
 	log           *slog.Logger
 	connectionLog *slog.Logger // about client connections, whose lines must not crowd out the others
 
-	dial        func(address netip.AddrPort) (fd int, err error)
-	monotonic   func() time.Duration // the clock that all processes of the machine share
-	writeBuffer []byte               // what is being written
-	request     http1.Request        // that was parsed last
-	response    http1.Response       // that was parsed last
+	dial      func(address netip.AddrPort) (fd int, err error)
+	monotonic func() time.Duration // the clock that all processes of the machine share
+	request   http1.Request        // that was parsed last
+	response  http1.Response       // that was parsed last
 
-	clients      *clientListener
+	clients      *client.Listener
 	workers      *worker.Pool
 	watch        *watchConnection
 	operators    *operatorListener    // nil: off
@@ -116,5 +116,5 @@
 
 // attemptHold returns how long an attempt that is to be written is held, until it is known whether its client still waits.
 func (l *Loop) attemptHold(attempt *requests.Attempt) time.Duration {
-	return clientAttemptHold(attempt)
+	return client.AttemptHold(attempt)
 }
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -13,6 +13,7 @@
 	"valvecove/internal/address"
 	"valvecove/internal/aperture"
 	"valvecove/internal/capture"
+	"valvecove/internal/client"
 	"valvecove/internal/clock"
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
@@ -100,26 +101,26 @@
 }
 
 // clientLimitsOf returns the limits of the client listener.
-func clientLimitsOf(shares limits.Shares) clientLimits {
-	return clientLimits{connections: shares.ClientConnections, requests: shares.OpenRequests, bufferBytes: shares.BufferBytes}
+func clientLimitsOf(shares limits.Shares) client.Limits {
+	return client.Limits{Connections: shares.ClientConnections, Requests: shares.OpenRequests, BufferBytes: shares.BufferBytes}
 }
 
 // openClientListener makes the client listener, which has no socket yet.
-func (l *Loop) openClientListener(limits clientLimits, settings *dispatch.Settings, names requests.NameTable) {
+func (l *Loop) openClientListener(limits client.Limits, settings *dispatch.Settings, names requests.NameTable) {
 	l.settings = settings
-	config := clientListenerConfig{
-		loop:          l.Loop,
-		table:         l.Requests,
-		log:           l.log,
-		connectionLog: l.connectionLog,
-		settings:      settings,
-		names:         names,
-		limits:        limits,
+	config := client.Config{
+		Loop:          l.Loop,
+		Table:         l.Requests,
+		Log:           l.log,
+		ConnectionLog: l.connectionLog,
+		Settings:      settings,
+		Names:         names,
+		Limits:        limits,
 	}
 	if l.addressLists != nil {
-		config.accessLists = l.addressLists
+		config.AccessLists = l.addressLists
 	}
-	l.clients = newClientListener(config)
+	l.clients = client.NewListener(config)
 }
 
 // openWorkerPool makes the pool of connections to workers, which has none yet.
--- a/internal/link/operator_connection_test.go
+++ b/internal/link/operator_connection_test.go
@@ -139,7 +139,7 @@
 		t.Errorf("at first %q", got)
 	}
 	client, fd := w.socketPair() // at the clients' address these calls are not there
-	w.loop.clients.addConnection(fd, netip.MustParseAddrPort("127.0.0.1:9"))
+	w.loop.clients.AddConnection(fd, netip.MustParseAddrPort("127.0.0.1:9"))
 	client.write([]byte("GET /v1/metrics HTTP/1.1\r\n\r\n"))
 	w.runIterations()
 	if client.read(1 << 16); !strings.HasPrefix(string(client.received), "HTTP/1.1 404 ") {
--- a/internal/link/startup_test.go
+++ b/internal/link/startup_test.go
@@ -171,7 +171,7 @@
 		t.Errorf("%d calls failed; it listens at %v, expected %v", injector.TotalInjected(), successor.loop.Addr(), address)
 	}
 	successor.connectClient()
-	if successor.runUntilQuiet(); len(successor.loop.clients.connections) != 1 {
+	if successor.runUntilQuiet(); successor.loop.clients.ConnectionCount() != 1 {
 		t.Error("a client is not accepted")
 	}
 }
--- a/internal/link/transfer_fault_test.go
+++ b/internal/link/transfer_fault_test.go
@@ -33,7 +33,7 @@
 	for _, errno := range connectionErrnos {
 		w := newHarness(&modeltest.Steps{T: t})
 		p, fd := w.socketPair()
-		w.loop.clients.addConnection(fd, netip.AddrPort{})
+		w.loop.clients.AddConnection(fd, netip.AddrPort{})
 		p.write([]byte(requestOfSize(1, 0)))
 		w.runIterations()
 		if open := w.loop.Requests.OpenCount(); open != 1 {
@@ -42,8 +42,8 @@
 		w.failTransfers(fd, errno)
 		p.write([]byte("more"))
 		w.runIterations()
-		if w.loop.Requests.OpenCount() != 0 || len(w.loop.clients.connections) != 0 {
-			t.Errorf("%v: %d requests open, %d connections", errno, w.loop.Requests.OpenCount(), len(w.loop.clients.connections))
+		if w.loop.Requests.OpenCount() != 0 || w.loop.clients.ConnectionCount() != 0 {
+			t.Errorf("%v: %d requests open, %d connections", errno, w.loop.Requests.OpenCount(), w.loop.clients.ConnectionCount())
 		}
 	}
 }
