--- a/dispatch/codec.go
+++ b/dispatch/codec.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// codec writes what it is shown, or reads into it: one walk over the state serves both ways.
+// codec writes values to bytes, or reads them: the same calls in the same order serve both ways.
 type codec struct {
-	b            []byte // written so far, or not read yet
+	b            []byte // written so far, or left to read
 	writing      bool
 	withLeases   bool
-	invalid      bool          // what was read makes no sense
-	now          time.Duration // instants are held as distances from it
-	clockAhead   time.Duration // of the reader's clock before the writer's
+	invalid      bool          // the bytes read are no valid snapshot
+	now          time.Duration // instants are stored relative to it
+	clockAhead   time.Duration // by which the reader's clock is ahead of the writer's
 	jobs         []*jobInfo    // by their place in the snapshot
 	jobPlaces    map[*jobInfo]int
 	workers      []*workerInfo
 	workerPlaces map[*workerInfo]int
 }
 
-// check notes what must hold of what was read.
+// check marks the bytes as invalid unless a condition on the values read is met.
 func (c *codec) check(ok bool) { c.invalid = c.invalid || !ok }
 
 func (c *codec) int64(x *int64) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// instant holds instants. Those that never were stand apart, as they lie far from now.
+// instant handles instants, relative to now. 0, which stands for none, is stored as a value of its own.
 func (c *codec) instant(xs ...*time.Duration) {
 	for _, x := range xs {
 		v := int64(*x - c.now)
@@ -89,7 +89,7 @@
 	}
 }
 
-// clockReading holds an instant as it is, and reads it as the reader's clock has it.
+// clockReading handles an instant of the writer's clock, which becomes one of the reader's.
 func (c *codec) clockReading(x *time.Duration) {
 	c.duration(x)
 	if !c.writing {
@@ -108,7 +108,7 @@
 	}
 }
 
-// size is a length; no more can be read than there are bytes.
+// size handles a length. One that is read is at most the number of bytes left.
 func (c *codec) size(n int) int {
 	c.int(&n)
 	if !c.writing && (n < 0 || n > len(c.b)) {
@@ -118,7 +118,7 @@
 	return n
 }
 
-// list walks a slice. Read, it has the length that was written.
+// list handles a slice of any length.
 func list[T any](c *codec, xs *[]T, item func(x *T)) {
 	n := c.size(len(*xs))
 	if !c.writing {
@@ -129,7 +129,7 @@
 	}
 }
 
-// fixedList walks a slice whose length follows from the settings.
+// fixedList handles a slice whose length follows from the settings.
 func fixedList[T any](c *codec, xs []T, item func(x *T)) {
 	if n := c.size(len(xs)); n != len(xs) {
 		c.invalid = true
@@ -140,7 +140,7 @@
 	}
 }
 
-// sortedMap walks a map in the order of its keys.
+// sortedMap handles a map in the order of its keys.
 func sortedMap[K cmp.Ordered, V any](c *codec, entries map[K]V, entry func(k *K, v *V)) {
 	keys := slices.Sorted(maps.Keys(entries))
 	n := c.size(len(keys))
--- a/dispatch/heap.go
+++ b/dispatch/heap.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// minHeap is a binary heap by less. moved, where set, is told where in it each item stands, and -1 when it leaves. It is
-// written out, as the library's heap boxes each item that it takes or gives.
+// minHeap is a binary heap ordered by less. moved, if set, is called with the index of each item that moves, and with -1 for
+// one that is removed. It stands in for container/heap, which allocates for each item that is pushed or popped.
 type minHeap[T any] struct {
 	items []T
 	less  func(a, b T) bool
@@ -12,7 +12,7 @@
 
 func (h *minHeap[T]) empty() bool { return len(h.items) == 0 }
 
-// first is the least item. The heap must not be empty.
+// first returns the least item. The heap must not be empty.
 func (h *minHeap[T]) first() T { return h.items[0] }
 
 func (h *minHeap[T]) push(item T) {
@@ -33,8 +33,8 @@
 	if i != last {
 		h.swap(i, last)
 	}
-	var none T
-	h.items[last] = none // the heap must not keep alive what has left it
+	var zero T
+	h.items[last] = zero // the heap must not keep a removed item alive
 	h.items = h.items[:last]
 	if h.moved != nil {
 		h.moved(item, -1)
@@ -44,7 +44,7 @@
 	}
 }
 
-// fix has an item stand where it belongs after a change.
+// fix restores the order after the item at an index has changed.
 func (h *minHeap[T]) fix(i int) {
 	if !h.down(i) {
 		h.up(i)
@@ -91,14 +91,15 @@
 	}
 }
 
-// removeUnordered takes an item out of a list whose order means nothing: the last takes its place.
+// removeUnordered removes an item from a list whose order has no meaning: the last item replaces it.
 func removeUnordered[T comparable](items []T, item T) []T {
 	i := slices.Index(items, item)
 	if i < 0 {
 		return items
 	}
-	var none T
+	var zero T
 	last := len(items) - 1
-	items[i], items[last] = items[last], none
+	items[i] = items[last]
+	items[last] = zero
 	return items[:last]
 }
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	modelVersion  = 1   // of what ModelSnapshot gives
-	speedSteps    = 64  // of a worker's speed, in one unit of its log
-	maxModelLimit = 256 // concurrency limit that a model holds
-	maxModelRuns  = 3   // runs that a worker's speed counts as learnt from, at most
-	maxModelLog   = 20  // absolute value of a figure that is a logarithm
-	maxModelValue = 1e9 // absolute value of any figure
+	modelVersion  = 1   // of the bytes of ModelSnapshot
+	speedSteps    = 64  // that a worker's speed is stored in, in one unit of its log
+	maxModelLimit = 256 // concurrency limit of a worker that a model holds, at most
+	maxModelRuns  = 3   // that a worker's speed counts as estimated from, at most
+	maxModelLog   = 20  // absolute value of a figure that is a logarithm, at most
+	maxModelValue = 1e9 // absolute value of any figure, at most
 	maxModelSpan  = 1e6 * time.Second
-	maxSpeedShift = 8.0 // log, of a worker's speed against its kind
-	workerBytes   = 14  // of a worker in a snapshot, at most
+	maxSpeedShift = 8.0 // log of a worker's speed against its kind's, at most
+	workerBytes   = 14  // that a worker takes up in a snapshot, at most
 )
 
 // model refers to what a dispatcher has learnt, except about single jobs and keys.
@@ -34,10 +34,10 @@
 	limit       int
 }
 
-// rank orders workers by what is known of them.
+// rank orders workers by how much is known of them.
 func (m *workerModel) rank() int { return m.runs*(maxModelLimit+1) + m.limit }
 
-// model refers to the learnt figures of a dispatcher, but for those of workers.
+// model refers to the estimates of a dispatcher, except those of workers.
 func (d *Dispatcher) model() model {
 	learnt := model{
 		figures: []*float64{
@@ -64,8 +64,9 @@
 	return learnt
 }
 
-// ModelSnapshot appends what this dispatcher has learnt of sizes, kinds of machines and workers to b, in size bytes or little
-// more: of too many workers those that it knows best. ModelUpdate brings it to another dispatcher.
+// ModelSnapshot appends the estimates of this dispatcher to b: of the sizes of jobs, of kinds of machines and of workers. It
+// takes up size bytes or little more; of too many workers those are left out of which least is known. The event ModelUpdate
+// applies it to another dispatcher.
 func (d *Dispatcher) ModelSnapshot(size int, b []byte) []byte {
 	learnt := d.model()
 	from := len(b)
@@ -87,8 +88,8 @@
 	return writer.b
 }
 
-// keepBest keeps so many workers, those that most is known of. It counts them by rank: sorting thousands would hold up a
-// planner for milliseconds.
+// keepBest keeps at most count workers, those of which most is known. It counts them by rank, as sorting thousands would take
+// milliseconds.
 func (m *model) keepBest(count int) {
 	if len(m.workers) <= count {
 		return
@@ -142,10 +143,10 @@
 	})
 }
 
-// isPlausible tells a figure that may have been learnt from one that cannot.
+// isPlausible reports whether a figure may be an estimate of a dispatcher.
 func isPlausible(x float64) bool { return math.Abs(x) <= maxModelValue }
 
-// hasPlausibleModel tells whether all figures are such as a dispatcher could have learnt itself.
+// hasPlausibleModel reports whether all figures are such as a dispatcher could have estimated itself.
 func (d *Dispatcher) hasPlausibleModel() bool {
 	logs := append([]float64{d.workload.longWorkThreshold}, d.workload.weights...)
 	for _, corrections := range d.workload.sizeCorrection {
@@ -161,7 +162,7 @@
 		d.meanLateStart > 0 && d.minStartDelay > 0 && d.minCheckDelay > 0
 }
 
-// handleModelUpdate takes over a model, whole or not at all.
+// handleModelUpdate applies a model of another dispatcher. An invalid one changes nothing.
 func (d *Dispatcher) handleModelUpdate(update ModelUpdate) {
 	reader := New(d.settings, 0)
 	learnt := reader.model()
@@ -189,8 +190,8 @@
 	}
 }
 
-// applyWorkerModel takes over what a model says of a worker. Its speed has drifted by now as it would have here, and its
-// limit is shared like the load.
+// applyWorkerModel applies the part of a model about a worker of which nothing is known here. Its speed has decayed by the
+// model's age, and its limit is this dispatcher's share of the load.
 func (d *Dispatcher) applyWorkerModel(m *workerModel, e ModelUpdate) {
 	w := d.workers[m.id]
 	if w == nil || w.runs > 0 || m.runs < 0 || m.runs > maxModelRuns {
--- a/dispatch/settings.go
+++ b/dispatch/settings.go
@@ -34,7 +34,7 @@
 // Class describes one class of jobs.
 type Class struct {
 	// LatencyObjective and ObjectiveStretch: an answer within LatencyObjective + ObjectiveStretch x the job's own work
-	// earns its full worth.
+	// has its full utility.
 	LatencyObjective time.Duration
 	ObjectiveStretch float64
 	// ClientTimeout is the client's whole wait, over all its tries.
@@ -44,9 +44,9 @@
 	// They are for classes that are IdempotentWithKey.
 	DeduplicationScope  DeduplicationScope
 	DeduplicationWindow time.Duration
-	// LateValue is the share of the worth, from 0 to 1, that a late answer still earns.
+	// LateValue is the part of the utility, from 0 to 1, that a late answer has.
 	LateValue float64
-	// PriorityWeight is the worth of an answer, relative to other classes.
+	// PriorityWeight is the utility of an answer, relative to other classes.
 	PriorityWeight float64
 	// Kinds and Zones are the only machine kinds and zones that a job may go to; nil: any.
 	Kinds []int
@@ -62,7 +62,7 @@
 	Zone         int
 	// ZoneCount is how many zones workers may be in; 0: unknown.
 	ZoneCount int
-	// PeerMessages allows SendPeerMessage. PeerCost is the share of the result that is lost by 256 bytes told for each job, and
+	// PeerMessages allows SendPeerMessage. PeerCost is the share of the result that is lost by 256 bytes of messages for each job, and
 	// PeerBudget the share that messages may cost; 0: the default.
 	PeerMessages bool
 	PeerCost     float64
@@ -70,7 +70,7 @@
 	Classes      []Class
 	// TenantQuota is by tenant the jobs a second within its quota, over all dispatchers; 0: no limit.
 	TenantQuota []float64
-	// MustSubscribe tells that the list of workers has to be requested, by Subscribe.
+	// MustSubscribe: the list of workers has to be requested, by Subscribe.
 	MustSubscribe bool
 	// AttemptLimit bounds the attempts of a job; less than 1 counts as 1.
 	AttemptLimit int
@@ -78,11 +78,11 @@
 	Hedging      bool
 	Cancellation bool
 	HealthChecks bool
-	// StartNotifications tells that workers notify of starts. Else an attempt counts as started when it is sent.
+	// StartNotifications: workers notify of starts. Otherwise an attempt counts as started when it is sent.
 	StartNotifications bool
 	// ProgressInterval is how often workers notify of progress; 0: never.
 	ProgressInterval time.Duration
-	// MaxRetryAfter bounds Reject.RetryAfter; 0: clients follow no such advice.
+	// MaxRetryAfter bounds Reject.RetryAfter; 0: clients ignore it.
 	MaxRetryAfter time.Duration
 	// ReportFields are the meanings of the figures of a load report, in its order.
 	ReportFields []ReportField
