--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -92,7 +92,7 @@
 	l.workers = worker.New(worker.Config{
 		Loop:              l.Loop,
 		Dial:              func(address netip.AddrPort) (fd int, err error) { return l.dial(address) },
-		AttemptHold:       l.attemptHold,
+		WriteDelay:        l.attemptHold,
 		HasRelinquished:   l.hasRelinquished,
 		MaxConnections:    maxConnections,
 		ConnectTimeout:    connectTimeout,
--- a/internal/worker/attempts_test.go
+++ b/internal/worker/attempts_test.go
@@ -13,7 +13,6 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/http1"
-	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
 )
 
@@ -24,12 +23,12 @@
 }
 
 // delayConnections has connections come up late from now on. It gives those that were opened, in order, of which the last is the newest.
-func (w *fixture) delayConnections() *[]*delayedPeer {
+func (f *fixture) delayConnections() *[]*delayedPeer {
 	opened := &[]*delayedPeer{}
-	w.dial = func(at netip.AddrPort) (int, error) {
-		p, fd := w.socketPair()
+	f.dial = func(at netip.AddrPort) (int, error) {
+		p, fd := f.socketPair()
 		p.dialedAddress = at
-		w.dialed = append(w.dialed, p)
+		f.dialed = append(f.dialed, p)
 		*opened = append(*opened, &delayedPeer{p, fillSocket(fd)})
 		return fd, nil
 	}
@@ -59,56 +58,45 @@
 	}
 }
 
-// attemptFixture is a fixture with requests that are sent to its one worker.
-type attemptFixture struct {
-	*fixture
-	requests []*requests.Request
-}
-
-func newAttemptFixture(t *testing.T) *attemptFixture {
-	t.Helper()
-	return &attemptFixture{fixture: newFixture(&modeltest.Steps{T: t})}
-}
-
 // runActions has the policy do something in one iteration.
-func (w *attemptFixture) runActions(actions ...dispatch.Action) {
-	w.policy.Next = append(w.policy.Next, actions...)
-	w.table.Wake()
-	w.runIterations()
+func (f *fixture) runActions(actions ...dispatch.Action) {
+	f.policy.Next = append(f.policy.Next, actions...)
+	f.table.Wake()
+	f.runIterations()
 }
 
 // sendAttempt has an attempt made of a new request.
-func (w *attemptFixture) sendAttempt(size int) *requests.Request {
-	w.T.Helper()
-	q, err := w.table.Admit(w.now, requests.Arrival{
-		CallID: fmt.Sprint("q", len(w.requests)), Job: dispatch.Job{Remaining: 5 * time.Second},
+func (f *fixture) sendAttempt(size int) *requests.Request {
+	f.tb.Helper()
+	q, err := f.table.Admit(f.now, requests.Arrival{
+		CallID: fmt.Sprint("q", len(f.requests)), Job: dispatch.Job{Remaining: 5 * time.Second},
 		Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: noResponder{},
 	})
 	if err != nil {
-		w.T.Fatal(err)
+		f.tb.Fatal(err)
 	}
-	w.requests = append(w.requests, q)
-	w.runActions(dispatch.Send{Job: q.ID, Worker: w.workerNumber()})
+	f.requests = append(f.requests, q)
+	f.runActions(dispatch.Send{Job: q.ID, Worker: f.workerNumber()})
 	return q
 }
 
 const acceptedResponse = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
 // acceptedAttempt has an attempt made and accepted, and then loses its connection, so that what follows needs another.
-func (w *attemptFixture) acceptedAttempt() *requests.Request {
-	q := w.sendAttempt(0)
-	p := w.dialed[len(w.dialed)-1]
+func (f *fixture) acceptedAttempt() *requests.Request {
+	q := f.sendAttempt(0)
+	p := f.dialed[len(f.dialed)-1]
 	p.read(1 << 12)
 	p.write([]byte(acceptedResponse))
-	w.runIterations()
+	f.runIterations()
 	p.close()
-	w.runIterations()
+	f.runIterations()
 	return q
 }
 
 // outcomes are the results that the policy has received for a request's attempts.
-func (w *attemptFixture) outcomes(q *requests.Request) (results []dispatch.Result) {
-	for _, e := range w.policy.Received {
+func (f *fixture) outcomes(q *requests.Request) (results []dispatch.Result) {
+	for _, e := range f.policy.Received {
 		if o, ok := e.(dispatch.Outcome); ok && o.Job == q.ID {
 			results = append(results, o.Result)
 		}
@@ -116,20 +104,20 @@
 	return results
 }
 
-func (w *attemptFixture) expect(what string, q *requests.Request, want ...dispatch.Result) {
-	w.T.Helper()
-	if got := w.outcomes(q); !slices.Equal(got, want) {
-		w.T.Errorf("%s: outcomes %v, expected %v", what, got, want)
+func (f *fixture) expect(what string, q *requests.Request, want ...dispatch.Result) {
+	f.tb.Helper()
+	if got := f.outcomes(q); !slices.Equal(got, want) {
+		f.tb.Errorf("%s: outcomes %v, expected %v", what, got, want)
 	}
 }
 
-func (w *attemptFixture) applyCallback(q *requests.Request, state string) {
-	w.T.Helper()
+func (f *fixture) applyCallback(q *requests.Request, state string) {
+	f.tb.Helper()
 	result := "r"
-	if _, err := w.table.HandleCallback(requests.Callback{CallID: q.CallID, EndpointID: "s-0", State: state, Result: &result}); err != nil {
-		w.T.Fatal(err)
+	if _, err := f.table.HandleCallback(requests.Callback{CallID: q.CallID, EndpointID: "s-0", State: state, Result: &result}); err != nil {
+		f.tb.Fatal(err)
 	}
-	w.runIterations()
+	f.runIterations()
 }
 
 // hasDelete tells whether a far end got a DELETE for a request.
@@ -139,206 +127,206 @@
 }
 
 // respondDelete has a far end answer a DELETE.
-func (w *attemptFixture) respondDelete(p *peer) {
+func (f *fixture) respondDelete(p *peer) {
 	p.write([]byte("HTTP/1.1 204 No Content\r\n\r\n"))
-	w.runIterations()
+	f.runIterations()
 }
 
 // While the DELETE waits for a connection, or for its response, the attempt that it cancels is in flight: the policy hears of no
 // end that would have it send another copy.
 func TestCancelWaitsForItsConnection(t *testing.T) {
-	w := newAttemptFixture(t)
-	q := w.acceptedAttempt()
-	links := w.delayConnections()
-	w.runActions(dispatch.Cancel{Job: q.ID})
-	w.expect("not written yet", q)
+	f := newFixture(t)
+	q := f.acceptedAttempt()
+	links := f.delayConnections()
+	f.runActions(dispatch.Cancel{Job: q.ID})
+	f.expect("not written yet", q)
 	if len(*links) != 1 {
 		t.Fatalf("%d connections for a DELETE", len(*links))
 	}
 	(*links)[0].release()
-	if w.runIterations(); !(*links)[0].hasDelete(q) {
+	if f.runIterations(); !(*links)[0].hasDelete(q) {
 		t.Fatalf("the worker got %q", (*links)[0].received)
 	}
-	w.expect("not answered yet", q)
-	w.respondDelete((*links)[0].peer)
-	w.expect("answered", q, dispatch.Cancelled)
+	f.expect("not answered yet", q)
+	f.respondDelete((*links)[0].peer)
+	f.expect("answered", q, dispatch.Cancelled)
 }
 
 // A DELETE whose connection does not come up in time is sent on another one.
 func TestCancelIsSentOnAnotherConnection(t *testing.T) {
-	w := newAttemptFixture(t)
-	q := w.acceptedAttempt()
-	links := w.delayConnections()
-	w.runActions(dispatch.Cancel{Job: q.ID})
-	w.now += w.pool.connectTimeout
-	w.runIterations()
-	w.now += cancelRetryDelay
-	w.runIterations()
-	w.expect("the first connection was late", q)
+	f := newFixture(t)
+	q := f.acceptedAttempt()
+	links := f.delayConnections()
+	f.runActions(dispatch.Cancel{Job: q.ID})
+	f.now += f.pool.connectTimeout
+	f.runIterations()
+	f.now += cancelRetryDelay
+	f.runIterations()
+	f.expect("the first connection was late", q)
 	if len(*links) != 2 {
 		t.Fatalf("%d connections for a DELETE", len(*links))
 	}
 	(*links)[0].release()
 	(*links)[1].release()
-	if w.runIterations(); (*links)[0].hasDelete(q) || !(*links)[1].hasDelete(q) {
+	if f.runIterations(); (*links)[0].hasDelete(q) || !(*links)[1].hasDelete(q) {
 		t.Errorf("the worker got %q and %q", (*links)[0].received, (*links)[1].received)
 	}
-	w.expect("not answered yet", q)
-	w.respondDelete((*links)[1].peer)
-	w.expect("answered", q, dispatch.Cancelled)
+	f.expect("not answered yet", q)
+	f.respondDelete((*links)[1].peer)
+	f.expect("answered", q, dispatch.Cancelled)
 }
 
 // A DELETE whose connection is refused, or is reset on its way, is sent again.
 func TestCancelIsSentAgainAfterAReset(t *testing.T) {
-	w := newAttemptFixture(t)
-	q := w.acceptedAttempt()
-	links := w.delayConnections()
-	w.runActions(dispatch.Cancel{Job: q.ID})
+	f := newFixture(t)
+	q := f.acceptedAttempt()
+	links := f.delayConnections()
+	f.runActions(dispatch.Cancel{Job: q.ID})
 	(*links)[0].close()
-	w.runIterations()
-	w.expect("reset before its last byte", q)
-	w.now += cancelRetryDelay
-	w.runIterations()
+	f.runIterations()
+	f.expect("reset before its last byte", q)
+	f.now += cancelRetryDelay
+	f.runIterations()
 	(*links)[1].release()
-	w.runIterations()
-	w.expect("written", q)
+	f.runIterations()
+	f.expect("written", q)
 	(*links)[1].read(1 << 12)
 	(*links)[1].close() // without an answer: it may not have come
-	w.runIterations()
-	w.now += cancelRetryDelay
-	w.runIterations()
+	f.runIterations()
+	f.now += cancelRetryDelay
+	f.runIterations()
 	if len(*links) != 3 {
 		t.Fatalf("%d connections for a DELETE", len(*links))
 	}
 	(*links)[2].release()
-	if w.runIterations(); !(*links)[2].hasDelete(q) {
+	if f.runIterations(); !(*links)[2].hasDelete(q) {
 		t.Errorf("the worker got %q", (*links)[2].received)
 	}
-	w.expect("written again", q)
-	w.respondDelete((*links)[2].peer)
-	w.expect("at the end", q, dispatch.Cancelled)
+	f.expect("written again", q)
+	f.respondDelete((*links)[2].peer)
+	f.expect("at the end", q, dispatch.Cancelled)
 }
 
 // A worker that does not respond to a DELETE may be cut off, and run the attempt up to its timeout.
 func TestCancelWithoutResponse(t *testing.T) {
-	w := newAttemptFixture(t)
-	q := w.acceptedAttempt()
-	links := w.delayConnections()
-	w.runActions(dispatch.Cancel{Job: q.ID})
+	f := newFixture(t)
+	q := f.acceptedAttempt()
+	links := f.delayConnections()
+	f.runActions(dispatch.Cancel{Job: q.ID})
 	(*links)[0].release()
-	w.runIterations()
-	w.expect("not answered yet", q)
-	w.now += cancelTimeout
-	w.runIterations()
-	w.expect("it may be cut off, and run it", q)
-	w.now = q.Deadline
-	w.runIterations()
-	w.expect("at the deadline", q, dispatch.TimedOut)
+	f.runIterations()
+	f.expect("not answered yet", q)
+	f.now += cancelTimeout
+	f.runIterations()
+	f.expect("it may be cut off, and run it", q)
+	f.now = q.Deadline
+	f.runIterations()
+	f.expect("at the deadline", q, dispatch.TimedOut)
 }
 
 // A DELETE is given up after some connections, and the attempt runs up to its timeout.
 func TestCancelThatIsNeverWritten(t *testing.T) {
-	w := newAttemptFixture(t)
-	q := w.acceptedAttempt()
-	links := w.delayConnections()
-	w.runActions(dispatch.Cancel{Job: q.ID})
-	for range 2 * maxCancelTries {
-		w.now += w.pool.connectTimeout
-		w.runIterations()
-		w.now += cancelRetryDelay
-		w.runIterations()
-	}
-	w.expect("as before", q)
-	if len(*links) != maxCancelTries || w.pool.openCount != 0 || len(w.pool.cancelTries) != 0 {
-		t.Errorf("%d connections, %d open, %d withdrawals", len(*links), w.pool.openCount, len(w.pool.cancelTries))
-	}
-	w.runActions(dispatch.Cancel{Job: q.ID}) // which may be asked for again
-	if len(*links) != maxCancelTries+1 {
+	f := newFixture(t)
+	q := f.acceptedAttempt()
+	links := f.delayConnections()
+	f.runActions(dispatch.Cancel{Job: q.ID})
+	for range 2 * maxCancelAttempts {
+		f.now += f.pool.connectTimeout
+		f.runIterations()
+		f.now += cancelRetryDelay
+		f.runIterations()
+	}
+	f.expect("as before", q)
+	if len(*links) != maxCancelAttempts || f.pool.openCount != 0 || len(f.pool.cancelAttempts) != 0 {
+		t.Errorf("%d connections, %d open, %d withdrawals", len(*links), f.pool.openCount, len(f.pool.cancelAttempts))
+	}
+	f.runActions(dispatch.Cancel{Job: q.ID}) // which may be asked for again
+	if len(*links) != maxCancelAttempts+1 {
 		t.Error("it is not withdrawn again")
 	}
-	w.now += 5 * time.Second
-	w.runIterations()
-	w.expect("at its deadline", q, dispatch.TimedOut)
+	f.now += 5 * time.Second
+	f.runIterations()
+	f.expect("at its deadline", q, dispatch.TimedOut)
 }
 
 // A DELETE waits for a descriptor.
 func TestCancelWithoutDescriptor(t *testing.T) {
-	w := newAttemptFixture(t)
-	q := w.acceptedAttempt()
-	most := w.pool.maxConnections
-	w.pool.maxConnections = 0
-	w.runActions(dispatch.Cancel{Job: q.ID})
-	w.expect("no descriptor left", q)
-	w.pool.maxConnections = most
-	w.now += cancelRetryDelay
-	if w.runIterations(); !w.dialed[len(w.dialed)-1].hasDelete(q) {
+	f := newFixture(t)
+	q := f.acceptedAttempt()
+	most := f.pool.maxConnections
+	f.pool.SetMaxConnections(0)
+	f.runActions(dispatch.Cancel{Job: q.ID})
+	f.expect("no descriptor left", q)
+	f.pool.SetMaxConnections(most)
+	f.now += cancelRetryDelay
+	if f.runIterations(); !f.dialed[len(f.dialed)-1].hasDelete(q) {
 		t.Error("nothing is written once there is a descriptor")
 	}
-	w.expect("not answered yet", q)
-	w.respondDelete(w.dialed[len(w.dialed)-1])
-	w.expect("answered", q, dispatch.Cancelled)
+	f.expect("not answered yet", q)
+	f.respondDelete(f.dialed[len(f.dialed)-1])
+	f.expect("answered", q, dispatch.Cancelled)
 }
 
 // A DELETE is not written once the worker has said that the attempt is done.
 func TestCancelOfAnAttemptThatIsDone(t *testing.T) {
-	w := newAttemptFixture(t)
-	q := w.acceptedAttempt()
-	links := w.delayConnections()
-	w.runActions(dispatch.Cancel{Job: q.ID})
-	w.applyCallback(q, "done")
-	w.expect("done", q, dispatch.OK)
+	f := newFixture(t)
+	q := f.acceptedAttempt()
+	links := f.delayConnections()
+	f.runActions(dispatch.Cancel{Job: q.ID})
+	f.applyCallback(q, "done")
+	f.expect("done", q, dispatch.OK)
 	(*links)[0].release()
-	if w.runIterations(); (*links)[0].hasDelete(q) || !(*links)[0].ended {
+	if f.runIterations(); (*links)[0].hasDelete(q) || !(*links)[0].ended {
 		t.Errorf("a worker that is done got %q", (*links)[0].received)
 	}
-	if len(w.pool.cancelTries) != 0 {
+	if len(f.pool.cancelAttempts) != 0 {
 		t.Error("the withdrawal is still kept")
 	}
 }
 
 // A DELETE is written though the attempt has timed out meanwhile: it may still be in a queue there.
 func TestCancelUpToTheDeadline(t *testing.T) {
-	w := newAttemptFixture(t)
-	q := w.acceptedAttempt()
-	w.now = q.Deadline - 10*time.Millisecond
-	links := w.delayConnections()
-	w.runActions(dispatch.Cancel{Job: q.ID})
-	w.now = q.Deadline
-	w.runIterations()
-	w.expect("its time is over", q, dispatch.TimedOut)
+	f := newFixture(t)
+	q := f.acceptedAttempt()
+	f.now = q.Deadline - 10*time.Millisecond
+	links := f.delayConnections()
+	f.runActions(dispatch.Cancel{Job: q.ID})
+	f.now = q.Deadline
+	f.runIterations()
+	f.expect("its time is over", q, dispatch.TimedOut)
 	(*links)[0].release()
-	if w.runIterations(); len(*links) != 1 || !(*links)[0].hasDelete(q) { // it may still be in a queue there
+	if f.runIterations(); len(*links) != 1 || !(*links)[0].hasDelete(q) { // it may still be in a queue there
 		t.Errorf("%d connections, the worker got %q", len(*links), (*links)[0].received)
 	}
 }
 
 // A DELETE is written though the client has left meanwhile.
 func TestCancelOfADisconnectedClient(t *testing.T) {
-	w := newAttemptFixture(t)
-	q := w.acceptedAttempt()
-	links := w.delayConnections()
-	w.runActions(dispatch.Cancel{Job: q.ID})
-	w.table.ClientDisconnected(q)
-	w.runIterations()
+	f := newFixture(t)
+	q := f.acceptedAttempt()
+	links := f.delayConnections()
+	f.runActions(dispatch.Cancel{Job: q.ID})
+	f.table.ClientDisconnected(q)
+	f.runIterations()
 	(*links)[0].release()
-	if w.runIterations(); !(*links)[0].hasDelete(q) {
+	if f.runIterations(); !(*links)[0].hasDelete(q) {
 		t.Errorf("the worker got %q", (*links)[0].received)
 	}
-	w.expect("not answered yet", q)
-	w.respondDelete((*links)[0].peer)
-	w.expect("answered", q, dispatch.Cancelled)
+	f.expect("not answered yet", q)
+	f.respondDelete((*links)[0].peer)
+	f.expect("answered", q, dispatch.Cancelled)
 }
 
 // An attempt that was given up before its connection was up is given up by closing that: what comes up late carries nothing.
 func TestAttemptAbandonedBeforeItIsWritten(t *testing.T) {
-	w := newAttemptFixture(t)
-	links := w.delayConnections()
-	q := w.sendAttempt(0)
+	f := newFixture(t)
+	links := f.delayConnections()
+	q := f.sendAttempt(0)
 	p := (*links)[0]
-	w.runActions(dispatch.Cancel{Job: q.ID})
-	w.expect("given up", q, dispatch.Cancelled)
+	f.runActions(dispatch.Cancel{Job: q.ID})
+	f.expect("given up", q, dispatch.Cancelled)
 	p.release()
-	w.runIterations()
+	f.runIterations()
 	if p.read(1 << 12); !p.ended || len(p.received) != 0 || len(*links) != 1 {
 		t.Errorf("closed %v, and %d bytes came; %d connections", p.ended, len(p.received), len(*links))
 	}
@@ -347,71 +335,71 @@
 // An attempt that was written and not accepted yet may have been accepted all the same when its connection is closed. It is given
 // up, and may follow elsewhere, by a DELETE that is answered, once its 202 has come.
 func TestCancelOfAWrittenAttemptWaitsForItsAcceptance(t *testing.T) {
-	w := newAttemptFixture(t)
-	q := w.sendAttempt(0)
-	w.runActions(dispatch.Cancel{Job: q.ID})
-	w.expect("not accepted yet", q)
-	p := w.dialed[0]
+	f := newFixture(t)
+	q := f.sendAttempt(0)
+	f.runActions(dispatch.Cancel{Job: q.ID})
+	f.expect("not accepted yet", q)
+	p := f.dialed[0]
 	p.write([]byte("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))
-	w.runIterations()
-	w.expect("accepted", q)
-	deleting := w.dialed[len(w.dialed)-1]
+	f.runIterations()
+	f.expect("accepted", q)
+	deleting := f.dialed[len(f.dialed)-1]
 	if deleting.read(1 << 12); !deleting.hasDelete(q) {
 		t.Fatalf("the worker got %q", deleting.received)
 	}
-	w.respondDelete(deleting)
-	w.expect("answered", q, dispatch.Cancelled)
-	if len(w.pool.cancelTries) != 0 {
+	f.respondDelete(deleting)
+	f.expect("answered", q, dispatch.Cancelled)
+	if len(f.pool.cancelAttempts) != 0 {
 		t.Error("the cancellation is still kept")
 	}
 }
 
 // A worker that does not accept what it was written is taken not to: the attempt is given up by closing its connection.
 func TestCancelOfAWrittenAttemptThatIsNotAccepted(t *testing.T) {
-	w := newAttemptFixture(t)
-	q := w.sendAttempt(0)
-	w.runActions(dispatch.Cancel{Job: q.ID})
-	w.now += acceptanceTimeout - time.Millisecond
-	w.runIterations()
-	w.expect("not accepted yet", q)
-	w.now += time.Millisecond
-	w.runIterations()
-	w.expect("not accepted in time", q, dispatch.Cancelled)
-	p := w.dialed[0]
-	if p.read(1 << 12); !p.ended || len(w.dialed) != 1 || len(w.pool.cancelTries) != 0 {
-		t.Errorf("closed %v, %d connections, %d cancellations", p.ended, len(w.dialed), len(w.pool.cancelTries))
+	f := newFixture(t)
+	q := f.sendAttempt(0)
+	f.runActions(dispatch.Cancel{Job: q.ID})
+	f.now += acceptanceTimeout - time.Millisecond
+	f.runIterations()
+	f.expect("not accepted yet", q)
+	f.now += time.Millisecond
+	f.runIterations()
+	f.expect("not accepted in time", q, dispatch.Cancelled)
+	p := f.dialed[0]
+	if p.read(1 << 12); !p.ended || len(f.dialed) != 1 || len(f.pool.cancelAttempts) != 0 {
+		t.Errorf("closed %v, %d connections, %d cancellations", p.ended, len(f.dialed), len(f.pool.cancelAttempts))
 	}
 }
 
 // A worker that has an attempt which has neither ended nor been given up gets no second one, whatever the policy wants.
 func TestOneAttemptAtOneWorker(t *testing.T) {
-	w := newAttemptFixture(t)
-	q := w.sendAttempt(0)
-	p := w.dialed[0]
-	again := dispatch.Send{Job: q.ID, Worker: w.workerNumber()}
-	w.runActions(again)
-	w.expect("before the 202", q, dispatch.NotSent)
+	f := newFixture(t)
+	q := f.sendAttempt(0)
+	p := f.dialed[0]
+	again := dispatch.Send{Job: q.ID, Worker: f.workerNumber()}
+	f.runActions(again)
+	f.expect("before the 202", q, dispatch.NotSent)
 	p.read(1 << 12)
 	p.write([]byte(acceptedResponse))
-	w.runIterations()
-	w.runActions(again)
-	links := w.delayConnections()
+	f.runIterations()
+	f.runActions(again)
+	links := f.delayConnections()
 	p.close()
-	w.runActions(dispatch.Cancel{Job: q.ID}, again)
-	w.expect("while it is withdrawn", q, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)
+	f.runActions(dispatch.Cancel{Job: q.ID}, again)
+	f.expect("while it is withdrawn", q, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)
 	if len(*links) != 1 {
 		t.Fatalf("%d connections", len(*links))
 	}
 	(*links)[0].release()
-	w.runIterations()
+	f.runIterations()
 	(*links)[0].read(1 << 12)
-	w.runActions(again)
-	w.expect("not answered yet", q, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)
-	w.respondDelete((*links)[0].peer)
+	f.runActions(again)
+	f.expect("not answered yet", q, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent)
+	f.respondDelete((*links)[0].peer)
 	(*links)[0].close()
-	w.runIterations()
-	w.runActions(again)
-	w.expect("once it is withdrawn", q, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent, dispatch.Cancelled)
+	f.runIterations()
+	f.runActions(again)
+	f.expect("once it is withdrawn", q, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent, dispatch.NotSent, dispatch.Cancelled)
 	if len(*links) != 2 {
 		t.Errorf("%d connections: it is not sent again", len(*links))
 	}
@@ -430,126 +418,126 @@
 
 // A worker is given at most the time that remains when the attempt is sent, however late the connection comes up.
 func TestBudgetIsRemainingTime(t *testing.T) {
-	w := newAttemptFixture(t)
-	links := w.delayConnections()
-	q := w.sendAttempt(0)
-	w.now += w.pool.connectTimeout - time.Millisecond
+	f := newFixture(t)
+	links := f.delayConnections()
+	q := f.sendAttempt(0)
+	f.now += f.pool.connectTimeout - time.Millisecond
 	(*links)[0].release()
-	w.runIterations()
+	f.runIterations()
 	(*links)[0].read(1 << 12)
-	if got, remaining := (*links)[0].budgetSent(t), q.Deadline-w.now-budgetMargin; got > remaining || got < remaining-time.Millisecond {
+	if got, remaining := (*links)[0].budgetSent(t), q.Deadline-f.now-budgetMargin; got > remaining || got < remaining-time.Millisecond {
 		t.Errorf("told %v, %v are left", got, remaining)
 	}
 }
 
 // The time that an iteration takes is off the budget.
 func TestBudgetInALongIteration(t *testing.T) {
-	w := newAttemptFixture(t)
-	links := w.delayConnections()
-	q := w.sendAttempt(0)
+	f := newFixture(t)
+	links := f.delayConnections()
+	q := f.sendAttempt(0)
 	(*links)[0].release()
 	reads := 0
-	w.clock = func() time.Duration { // from the start of the iteration on
+	f.clock = func() time.Duration { // from the start of the iteration on
 		if reads++; reads > 1 {
-			return w.now + 300*time.Millisecond
+			return f.now + 300*time.Millisecond
 		}
-		return w.now
+		return f.now
 	}
-	w.runIterations()
+	f.runIterations()
 	(*links)[0].read(1 << 12)
-	if got, remaining := (*links)[0].budgetSent(t), q.Deadline-w.now-300*time.Millisecond; got > remaining {
+	if got, remaining := (*links)[0].budgetSent(t), q.Deadline-f.now-300*time.Millisecond; got > remaining {
 		t.Errorf("told %v, %v are left", got, remaining)
 	}
 }
 
 // With no time remaining nothing is sent.
 func TestNothingIsSentWithoutBudget(t *testing.T) {
-	w := newAttemptFixture(t)
-	links := w.delayConnections()
-	q := w.sendAttempt(0)
+	f := newFixture(t)
+	links := f.delayConnections()
+	q := f.sendAttempt(0)
 	p := (*links)[0]
-	w.pool.byAttempt[w.table.InFlightAttempt(q.ID, 0)].setTimeout(time.Hour) // a connection may take as long as a request
-	w.now = q.Deadline
+	f.pool.byAttempt[f.table.InFlightAttempt(q.ID, 0)].setTimeout(time.Hour) // a connection may take as long as a request
+	f.now = q.Deadline
 	p.release()
-	w.runIterations()
+	f.runIterations()
 	if p.read(1 << 12); len(p.received) > 0 || !p.ended {
 		t.Errorf("with no time left %q was sent, closed %v", p.received, p.ended)
 	}
-	w.expect("out of time", q, dispatch.TimedOut)
+	f.expect("out of time", q, dispatch.TimedOut)
 }
 
 // The time in which a request goes in parts is off the budget.
 func TestBudgetOfARequestInParts(t *testing.T) {
-	w := newAttemptFixture(t)
-	q := w.sendAttempt(http1.MaxBodySize)
-	p := w.dialed[0]
-	w.now += w.pool.connectTimeout - time.Millisecond
+	f := newFixture(t)
+	q := f.sendAttempt(http1.MaxBodySize)
+	p := f.dialed[0]
+	f.now += f.pool.connectTimeout - time.Millisecond
 	for range 64 {
-		w.runIterations()
+		f.runIterations()
 		p.read(1 << 20)
 	}
 	var m http1.Request
 	if _, err := m.Parse(p.received); err != nil {
 		t.Fatalf("%d bytes came: %v", len(p.received), err)
 	}
-	if got, remaining := p.budgetSent(t), q.Deadline-w.now; got > remaining {
+	if got, remaining := p.budgetSent(t), q.Deadline-f.now; got > remaining {
 		t.Errorf("told %v, %v were left with the last byte", got, remaining)
 	}
 }
 
 // A request that does not go whole within the time for a connection is not sent.
 func TestRequestThatStaysInParts(t *testing.T) {
-	w := newAttemptFixture(t)
-	q := w.sendAttempt(http1.MaxBodySize)
-	p := w.dialed[0]
+	f := newFixture(t)
+	q := f.sendAttempt(http1.MaxBodySize)
+	p := f.dialed[0]
 	p.read(50)
-	w.runIterations()
-	w.now += w.pool.connectTimeout
+	f.runIterations()
+	f.now += f.pool.connectTimeout
 	for range 64 {
-		w.runIterations()
+		f.runIterations()
 		p.read(1 << 20)
 	}
 	var m http1.Request
 	if _, err := m.Parse(p.received); err == nil || !p.ended {
 		t.Errorf("the rest came too, closed %v", p.ended)
 	}
-	w.expect("never whole", q, dispatch.ConnectFailed)
+	f.expect("never whole", q, dispatch.ConnectFailed)
 }
 
 // 'Has it run?' follows from the last byte, also where the connection is reset in the very moment.
 func TestResetAroundTheLastByte(t *testing.T) {
 	for name, x := range map[string]struct {
 		size int
-		far  func(w *attemptFixture, q *requests.Request, p *peer)
+		far  func(f *fixture, q *requests.Request, p *peer)
 		want []dispatch.Result
 	}{
-		"before it": {http1.MaxBodySize, func(_ *attemptFixture, _ *requests.Request, p *peer) { p.read(4000); p.close() }, []dispatch.Result{dispatch.ConnectFailed}},
-		"after it":  {0, func(_ *attemptFixture, _ *requests.Request, p *peer) { p.read(4000); p.close() }, []dispatch.Result{dispatch.ConnectionReset}},
-		"in the answer": {0, func(_ *attemptFixture, _ *requests.Request, p *peer) {
+		"before it": {http1.MaxBodySize, func(_ *fixture, _ *requests.Request, p *peer) { p.read(4000); p.close() }, []dispatch.Result{dispatch.ConnectFailed}},
+		"after it":  {0, func(_ *fixture, _ *requests.Request, p *peer) { p.read(4000); p.close() }, []dispatch.Result{dispatch.ConnectionReset}},
+		"in the answer": {0, func(_ *fixture, _ *requests.Request, p *peer) {
 			p.read(4000)
 			p.write([]byte(acceptedResponse[:20]))
 			p.close()
 		}, []dispatch.Result{dispatch.ConnectionReset}},
-		"behind the 202": {0, func(_ *attemptFixture, _ *requests.Request, p *peer) {
+		"behind the 202": {0, func(_ *fixture, _ *requests.Request, p *peer) {
 			p.read(4000)
 			p.write([]byte(acceptedResponse))
 			p.close()
 		}, nil},
-		"behind the 202, told as lost": {0, func(w *attemptFixture, q *requests.Request, p *peer) {
+		"behind the 202, told as lost": {0, func(f *fixture, q *requests.Request, p *peer) {
 			p.read(4000)
 			p.write([]byte(acceptedResponse))
 			p.close()
-			w.runIterations()
-			w.applyCallback(q, "lost")
+			f.runIterations()
+			f.applyCallback(q, "lost")
 		}, []dispatch.Result{dispatch.ConnectionReset}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newAttemptFixture(t)
-			q := w.sendAttempt(x.size)
-			x.far(w, q, w.dialed[0])
-			w.runIterations()
-			w.expect(name, q, x.want...)
-			if w.pool.openCount != 0 {
+			f := newFixture(t)
+			q := f.sendAttempt(x.size)
+			x.far(f, q, f.dialed[0])
+			f.runIterations()
+			f.expect(name, q, x.want...)
+			if f.pool.openCount != 0 {
 				t.Error("the connection is still kept")
 			}
 		})
@@ -560,23 +548,23 @@
 func TestCallbackBeforeTheAcceptance(t *testing.T) {
 	for state, want := range map[string]dispatch.Result{"done": dispatch.OK, "returned": dispatch.WorkerFull, "failed": dispatch.Failed, "lost": dispatch.ConnectionReset} {
 		t.Run(state, func(t *testing.T) {
-			w := newAttemptFixture(t)
-			q := w.sendAttempt(0)
-			w.applyCallback(q, state)
-			w.applyCallback(q, state)
-			w.expect("told twice", q, want)
-			p := w.dialed[0]
+			f := newFixture(t)
+			q := f.sendAttempt(0)
+			f.applyCallback(q, state)
+			f.applyCallback(q, state)
+			f.expect("told twice", q, want)
+			p := f.dialed[0]
 			p.read(1 << 12)
 			p.received = nil
 			p.write([]byte(acceptedResponse))
-			w.runIterations()
-			w.expect("and accepted", q, want)
-			w.now += reuseDelay
-			next := w.sendAttempt(0)
-			if p.read(1 << 12); len(w.dialed) != 1 || !strings.Contains(string(p.received), "X-Call-Id: "+next.CallID+"\r\n") {
-				t.Errorf("%d connections, the free one carries %q", len(w.dialed), p.received)
+			f.runIterations()
+			f.expect("and accepted", q, want)
+			f.now += reuseDelay
+			next := f.sendAttempt(0)
+			if p.read(1 << 12); len(f.dialed) != 1 || !strings.Contains(string(p.received), "X-Call-Id: "+next.CallID+"\r\n") {
+				t.Errorf("%d connections, the free one carries %q", len(f.dialed), p.received)
 			}
-			w.expect("of the next", next)
+			f.expect("of the next", next)
 		})
 	}
 }
@@ -584,103 +572,103 @@
 // A second answer is never that of the next request, wherever it comes: its connection ends, or does not carry until none is due.
 func TestStrayResponse(t *testing.T) {
 	const refused = "HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
-	for name, far := range map[string]func(w *attemptFixture, p *peer){
-		"right behind the first": func(w *attemptFixture, p *peer) {
+	for name, far := range map[string]func(f *fixture, p *peer){
+		"right behind the first": func(f *fixture, p *peer) {
 			p.write([]byte(acceptedResponse + refused))
-			w.runIterations()
-			w.now += reuseDelay
+			f.runIterations()
+			f.now += reuseDelay
 		},
-		"half of one behind it": func(w *attemptFixture, p *peer) {
+		"half of one behind it": func(f *fixture, p *peer) {
 			p.write([]byte(acceptedResponse + refused[:5]))
-			w.runIterations()
-			w.now += reuseDelay
+			f.runIterations()
+			f.now += reuseDelay
 		},
-		"at rest": func(w *attemptFixture, p *peer) {
+		"at rest": func(f *fixture, p *peer) {
 			p.write([]byte(acceptedResponse))
-			w.runIterations()
-			w.now += reuseDelay
+			f.runIterations()
+			f.now += reuseDelay
 			p.write([]byte(refused))
-			w.runIterations()
+			f.runIterations()
 		},
-		"between what is gathered and what is written": func(w *attemptFixture, p *peer) {
+		"between what is gathered and what is written": func(f *fixture, p *peer) {
 			p.write([]byte(acceptedResponse))
-			w.runIterations()
-			w.now += reuseDelay
-			w.loop.UpdateNow()
-			q, _ := w.table.Admit(w.now, requests.Arrival{
+			f.runIterations()
+			f.now += reuseDelay
+			f.loop.UpdateNow()
+			q, _ := f.table.Admit(f.now, requests.Arrival{
 				CallID: "between", Job: dispatch.Job{Remaining: 5 * time.Second},
 				Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: noResponder{},
 			})
-			w.policy.Next = append(w.policy.Next, dispatch.Send{Job: q.ID, Worker: w.workerNumber()})
+			f.policy.Next = append(f.policy.Next, dispatch.Send{Job: q.ID, Worker: f.workerNumber()})
 			p.write([]byte(refused))
-			w.table.Step(w.now)
+			f.table.Step(f.now)
 		},
-		"some milliseconds later": func(w *attemptFixture, p *peer) {
+		"some milliseconds later": func(f *fixture, p *peer) {
 			p.write([]byte(acceptedResponse))
-			w.runIterations()
-			w.now += reuseDelay - time.Millisecond
-			w.sendAttempt(0)
+			f.runIterations()
+			f.now += reuseDelay - time.Millisecond
+			f.sendAttempt(0)
 			p.write([]byte(refused))
-			w.runIterations()
+			f.runIterations()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newAttemptFixture(t)
-			q := w.sendAttempt(0)
-			p := w.dialed[0]
+			f := newFixture(t)
+			q := f.sendAttempt(0)
+			p := f.dialed[0]
 			p.read(1 << 12)
 			p.received = nil
-			far(w, p)
-			next := w.sendAttempt(0)
+			far(f, p)
+			next := f.sendAttempt(0)
 			if p.read(1 << 12); len(p.received) > 0 {
 				t.Errorf("the connection carries %.60q", p.received)
 			}
-			w.expect("the first", q)
-			w.expect("the next", next)
+			f.expect("the first", q)
+			f.expect("the next", next)
 			if !p.ended {
 				t.Error("the connection goes on")
 			}
-			last := w.dialed[len(w.dialed)-1]
+			last := f.dialed[len(f.dialed)-1]
 			if last.read(1 << 12); !strings.Contains(string(last.received), "X-Call-Id: "+next.CallID+"\r\n") {
 				t.Errorf("the next went as %q", last.received)
 			}
 			last.write([]byte("HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"))
-			w.runIterations()
-			w.expect("the next by its own answer", next, dispatch.Failed)
+			f.runIterations()
+			f.expect("the next by its own answer", next, dispatch.Failed)
 		})
 	}
 	// What a connection was used for before has a word of its own, so its second answer is known for what it is.
 	t.Run("to a probe", func(t *testing.T) {
-		w := newAttemptFixture(t)
+		f := newFixture(t)
 		const alive = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-		w.runActions(dispatch.HealthCheck{Worker: w.workerNumber()})
-		p := w.dialed[0]
+		f.runActions(dispatch.HealthCheck{Worker: f.workerNumber()})
+		p := f.dialed[0]
 		p.read(1 << 12)
 		p.write([]byte(alive))
-		w.runIterations()
-		q := w.sendAttempt(0)
-		if len(w.dialed) != 1 {
+		f.runIterations()
+		q := f.sendAttempt(0)
+		if len(f.dialed) != 1 {
 			t.Fatal("the connection of a probe does not carry")
 		}
 		p.write([]byte(alive))
-		w.runIterations()
-		w.expect("no word of its own", q, dispatch.ConnectionReset)
+		f.runIterations()
+		f.expect("no word of its own", q, dispatch.ConnectionReset)
 		if p.read(1 << 12); !p.ended {
 			t.Error("the connection goes on")
 		}
 	})
 	t.Run("of a request, to a probe", func(t *testing.T) {
-		w := newAttemptFixture(t)
-		w.sendAttempt(0)
-		p := w.dialed[0]
+		f := newFixture(t)
+		f.sendAttempt(0)
+		p := f.dialed[0]
 		p.read(1 << 12)
 		p.write([]byte(acceptedResponse))
-		w.runIterations()
-		w.runActions(dispatch.HealthCheck{Worker: w.workerNumber()})
+		f.runIterations()
+		f.runActions(dispatch.HealthCheck{Worker: f.workerNumber()})
 		p.write([]byte(acceptedResponse))
-		w.runIterations()
-		if got, _ := w.policy.Received[len(w.policy.Received)-1].(dispatch.HealthChecked); got.Result != dispatch.NotSent || len(w.dialed) != 1 {
-			t.Errorf("the probe ended as %v on %d connections", got.Result, len(w.dialed))
+		f.runIterations()
+		if got, _ := f.policy.Received[len(f.policy.Received)-1].(dispatch.HealthChecked); got.Result != dispatch.NotSent || len(f.dialed) != 1 {
+			t.Errorf("the probe ended as %v on %d connections", got.Result, len(f.dialed))
 		}
 	})
 }
@@ -701,17 +689,17 @@
 		"HTTP/1.1 202 Accepted\r\n\r\nuntil the cl":                          nil,
 		"HTTP/1.1 503 Full\r\nX-Rejected: 1\r\n\r\nuntil the cl":             {dispatch.WorkerFull},
 	} {
-		w := newAttemptFixture(t)
-		q := w.sendAttempt(0)
-		p := w.dialed[0]
+		f := newFixture(t)
+		q := f.sendAttempt(0)
+		p := f.dialed[0]
 		p.read(1 << 12)
 		p.write([]byte(text))
-		w.runIterations()
-		w.expect(fmt.Sprintf("%q, and no more yet", text), q)
+		f.runIterations()
+		f.expect(fmt.Sprintf("%q, and no more yet", text), q)
 		p.close()
-		w.runIterations()
-		w.expect(fmt.Sprintf("%q, closed", text), q, want...)
-		if w.pool.openCount != 0 || len(w.pool.byAttempt) != 0 {
+		f.runIterations()
+		f.expect(fmt.Sprintf("%q, closed", text), q, want...)
+		if f.pool.openCount != 0 || len(f.pool.byAttempt) != 0 {
 			t.Errorf("%q: the connection is still kept", text)
 		}
 	}
@@ -729,29 +717,29 @@
 		"a chunk's line":         {"HTTP/1.1 202 Accepted\r\nTransfer-Encoding: chunked\r\n\r\n", "00000000"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newAttemptFixture(t)
-			q := w.sendAttempt(0)
-			p := w.dialed[0]
+			f := newFixture(t)
+			q := f.sendAttempt(0)
+			p := f.dialed[0]
 			p.read(1 << 12)
 			p.write([]byte(x.header))
-			k := w.pool.byAttempt[w.table.InFlightAttempt(q.ID, 0)]
+			k := f.pool.byAttempt[f.table.InFlightAttempt(q.ID, 0)]
 			piece, most := strings.Repeat(x.again, 4096/len(x.again)), 0
 			for n := 0; n < 4*maxResponseSize && !p.ended; n += len(piece) {
 				p.write([]byte(piece))
-				w.runIterations()
+				f.runIterations()
 				most = max(most, len(k.Input()))
 				p.read(1)
 			}
 			if !p.ended || most > maxResponseSize+64<<10 {
 				t.Fatalf("ended %v, %d bytes were kept", p.ended, most)
 			}
-			w.expect("spoilt", q, dispatch.ConnectionReset)
-			next := w.sendAttempt(0)
-			last := w.dialed[len(w.dialed)-1]
+			f.expect("spoilt", q, dispatch.ConnectionReset)
+			next := f.sendAttempt(0)
+			last := f.dialed[len(f.dialed)-1]
 			last.read(1 << 12)
 			last.write([]byte("HTTP/1.1 503 Full\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"))
-			w.runIterations()
-			w.expect("the next", next, dispatch.WorkerFull)
+			f.runIterations()
+			f.expect("the next", next, dispatch.WorkerFull)
 		})
 	}
 }
@@ -765,19 +753,19 @@
 		"HTTP/1.1 413 Too large\r\nContent-Length: 0\r\n\r\n":             dispatch.NotSent,
 		"garbage\r\n\r\n": dispatch.ConnectFailed,
 	} {
-		w := newAttemptFixture(t)
-		q := w.sendAttempt(http1.MaxBodySize)
-		p := w.dialed[0]
+		f := newFixture(t)
+		q := f.sendAttempt(http1.MaxBodySize)
+		p := f.dialed[0]
 		p.read(1000)
 		p.write([]byte(text))
 		for range 64 {
-			w.runIterations()
+			f.runIterations()
 			p.read(1 << 20)
 		}
 		var m http1.Request
 		if _, err := m.Parse(p.received); err == nil || !p.ended {
 			t.Errorf("%.20q: the rest came too, closed %v", text, p.ended)
 		}
-		w.expect(fmt.Sprintf("%.12q", text), q, want)
+		f.expect(fmt.Sprintf("%.12q", text), q, want)
 	}
 }
--- a/internal/worker/budget_test.go
+++ b/internal/worker/budget_test.go
@@ -16,12 +16,12 @@
 )
 
 // stallAfterReading has the process held up right after the nth reading of its clock from here on.
-func (w *fixture) stallAfterReading(nth int) (readings *int) {
+func (f *fixture) stallAfterReading(nth int) (readings *int) {
 	readings = new(int)
-	w.clock = func() time.Duration {
-		now := w.now
+	f.clock = func() time.Duration {
+		now := f.now
 		if *readings++; *readings == nth {
-			w.now += longestHold
+			f.now += longestHold
 		}
 		return now
 	}
@@ -32,13 +32,13 @@
 // what passes on the way.
 func TestBudgetHoldsThroughAStall(t *testing.T) {
 	for nth := 1; ; nth++ {
-		w := newAttemptFixture(t)
-		links := w.delayConnections()
-		q := w.sendAttempt(0)
-		w.now = q.Deadline - 400*time.Millisecond
+		f := newFixture(t)
+		links := f.delayConnections()
+		q := f.sendAttempt(0)
+		f.now = q.Deadline - 400*time.Millisecond
 		(*links)[0].release()
-		readings := w.stallAfterReading(nth)
-		w.runOnce()
+		readings := f.stallAfterReading(nth)
+		f.runOnce()
 		if *readings < nth { // the iteration reads its clock fewer times
 			if nth < 4 {
 				t.Errorf("only %d readings were tried", nth-1)
@@ -46,7 +46,7 @@
 			return
 		}
 		(*links)[0].read(1 << 12)
-		if sent, remaining := (*links)[0].budgetSent(t), q.Deadline-w.now-longestWay; sent > remaining+budgetSlack {
+		if sent, remaining := (*links)[0].budgetSent(t), q.Deadline-f.now-longestWay; sent > remaining+budgetSlack {
 			t.Errorf("held up after reading %d: told %v, %v are left", nth, sent, remaining)
 		} else if nth <= 2 && sent > remaining { // the clock is read again before the write
 			t.Errorf("held up after reading %d, which is not the last: told %v, %v are left", nth, sent, remaining)
@@ -58,27 +58,27 @@
 // where the event that there is room comes together with the end of that time.
 func TestBudgetOfASmallRequestThatWaits(t *testing.T) {
 	for _, late := range []time.Duration{smallWriteTimeout - time.Millisecond, smallWriteTimeout, smallWriteTimeout + 1, longestHold, time.Second} {
-		w := newAttemptFixture(t)
-		first := w.sendAttempt(0)
-		worker := &delayedPeer{peer: w.dialed[0]}
+		f := newFixture(t)
+		first := f.sendAttempt(0)
+		worker := &delayedPeer{peer: f.dialed[0]}
 		worker.read(1 << 12)
 		worker.write([]byte(acceptedResponse))
-		w.runIterations()
-		w.applyCallback(first, "done")
-		w.now += reuseDelay
+		f.runIterations()
+		f.applyCallback(first, "done")
+		f.now += reuseDelay
 		worker.received = nil
-		worker.filledBytes = fillSocket(w.pool.endpoint(w.workerNumber()).idle[0].FD())
-		q := w.sendAttempt(0)
-		w.now += late
+		worker.filledBytes = fillSocket(f.pool.updateEndpoint(f.workerNumber()).idle[0].FD())
+		q := f.sendAttempt(0)
+		f.now += late
 		worker.release()
-		w.runIterations()
+		f.runIterations()
 		worker.read(1 << 12)
 		var m http1.Request
 		_, err := m.Parse(worker.received)
-		if whole := err == nil; whole != (late <= smallWriteTimeout) || len(w.dialed) != 1 {
-			t.Fatalf("%v late: whole %v, %d connections", late, whole, len(w.dialed))
-		} else if whole && worker.budgetSent(t) > q.Deadline-w.now-longestWay+budgetSlack-longestHold+smallWriteTimeout {
-			t.Errorf("%v late: told %v, %v are left", late, worker.budgetSent(t), q.Deadline-w.now)
+		if whole := err == nil; whole != (late <= smallWriteTimeout) || len(f.dialed) != 1 {
+			t.Fatalf("%v late: whole %v, %d connections", late, whole, len(f.dialed))
+		} else if whole && worker.budgetSent(t) > q.Deadline-f.now-longestWay+budgetSlack-longestHold+smallWriteTimeout {
+			t.Errorf("%v late: told %v, %v are left", late, worker.budgetSent(t), q.Deadline-f.now)
 		}
 	}
 }
@@ -87,17 +87,17 @@
 // repeat has to arrive within its window.
 func TestLargeRequestOnALateConnection(t *testing.T) {
 	for _, late := range []time.Duration{smallWriteTimeout - 1, smallWriteTimeout} {
-		w := newAttemptFixture(t)
-		links := w.delayConnections()
-		w.sendAttempt(http1.MaxBodySize)
-		w.now += w.pool.connectTimeout
+		f := newFixture(t)
+		links := f.delayConnections()
+		f.sendAttempt(http1.MaxBodySize)
+		f.now += f.pool.connectTimeout
 		p := (*links)[0]
 		p.release()
-		w.runOnce()
-		w.now += late
+		f.runOnce()
+		f.now += late
 		for range 64 {
 			p.read(1 << 20)
-			w.runIterations()
+			f.runIterations()
 		}
 		var m http1.Request
 		if _, err := m.Parse(p.received); (err == nil) != (late < smallWriteTimeout) {
--- a/internal/worker/cancel.go
+++ b/internal/worker/cancel.go
@@ -7,69 +7,82 @@
 )
 
 const (
-	maxCancelTries    = 4 // connections are tried for a DELETE before it is given up
+	maxCancelAttempts = 4 // connections on which a DELETE is sent
 	cancelRetryDelay  = 50 * time.Millisecond
-	acceptanceTimeout = 100 * time.Millisecond // a worker that has not accepted by then is taken not to: a 202 follows the last byte
+	acceptanceTimeout = 100 * time.Millisecond // a worker that has not accepted a written attempt by then is assumed not to
 )
 
-// Cancel sends a DELETE for an attempt, unless one is on its way. For an attempt that is written and not accepted yet it waits a
-// moment: closing the connection gives up nothing if the worker's 202 is on its way.
+// Cancel sends a DELETE for an attempt, unless the attempt is being cancelled already. One that is written and not accepted is
+// given up to acceptanceTimeout to be accepted: the 202 may be on its way, and closing the connection would not cancel it then.
+// The result is passed to CancelCompleted of the table, or to CancelUnaccepted if the attempt is not accepted in time.
 func (p *Pool) Cancel(attempt *requests.Attempt) {
-	if _, isCancelling := p.cancelTries[attempt]; isCancelling {
+	if _, isCancelling := p.cancelAttempts[attempt]; isCancelling {
 		return
 	}
 	if attempt.Stage >= requests.StageAccepted {
-		p.tryCancel(attempt)
+		p.sendCancel(attempt)
 		return
 	}
-	p.cancelTries[attempt] = 0
-	p.loop.StartTimer(acceptanceTimeout, p, func() {
-		tries, isWaiting := p.cancelTries[attempt]
-		if isWaiting && tries == 0 && attempt.Stage < requests.StageAccepted {
-			delete(p.cancelTries, attempt)
-			p.table.CancelUnaccepted(attempt)
-		}
-	})
+	p.cancelAttempts[attempt] = 0
+	p.loop.StartTimer(acceptanceTimeout, p, func() { p.handleAcceptanceTimeout(attempt) })
 }
 
-// handleAccepted sends the DELETE that has waited for an attempt to be accepted, if one has.
+// handleAcceptanceTimeout gives up a cancellation that still waits for its attempt to be accepted.
+func (p *Pool) handleAcceptanceTimeout(attempt *requests.Attempt) {
+	if p.isCancelWaiting(attempt) && attempt.Stage < requests.StageAccepted {
+		delete(p.cancelAttempts, attempt)
+		p.table.CancelUnaccepted(attempt)
+	}
+}
+
+// handleAccepted sends the DELETE that waited for an attempt to be accepted, if there is one.
 func (p *Pool) handleAccepted(attempt *requests.Attempt) {
-	if tries, isWaiting := p.cancelTries[attempt]; !isWaiting || tries > 0 {
+	if !p.isCancelWaiting(attempt) {
 		return
 	}
 	if attempt.EndedByWorker() {
-		delete(p.cancelTries, attempt)
+		delete(p.cancelAttempts, attempt)
 		return
 	}
-	p.tryCancel(attempt)
+	p.sendCancel(attempt)
+}
+
+// isCancelWaiting reports whether an attempt is being cancelled and no DELETE was sent yet.
+func (p *Pool) isCancelWaiting(attempt *requests.Attempt) bool {
+	count, isCancelling := p.cancelAttempts[attempt]
+	return isCancelling && count == 0
 }
 
-func (p *Pool) tryCancel(attempt *requests.Attempt) {
-	p.cancelTries[attempt]++
+// sendCancel sends a DELETE for an attempt.
+func (p *Pool) sendCancel(attempt *requests.Attempt) {
+	p.cancelAttempts[attempt]++
 	p.startExchange(attempt.Worker, exchange{kind: exchangeCancel, attempt: attempt})
 }
 
-// handleCancelResult takes in how a DELETE ended. Where its connection was lost it is sent again, on another one: the first may
-// not have come up in time, or was reset or dropped unseen, and the DELETE with it. A worker that responds knows. One that
-// does not may be cut off, and go on with the attempt, which then ends by its timeout.
+// handleCancelResult ends a cancellation by the result of its DELETE. Any response confirms the cancellation. A DELETE whose
+// connection was lost may not have reached the worker, and is sent again on another one. A worker that does not respond in time may
+// be partitioned and still execute the attempt, so nothing is confirmed, and the attempt ends by its timeout.
 func (p *Pool) handleCancelResult(attempt *requests.Attempt, failure *requests.AttemptError) {
-	neverSent := failure != nil && failure.Reason == requests.ReasonNotSent // this machine lacked something: that passes
-	isLost := failure != nil && failure.Reason == requests.ReasonConnectionLost || neverSent
-	if neverSent {
-		p.cancelTries[attempt]--
+	isNotSent := failure != nil && failure.Reason == requests.ReasonNotSent
+	isLost := isNotSent || failure != nil && failure.Reason == requests.ReasonConnectionLost
+	if isNotSent { // for lack of local resources, which does not count as a use of a connection
+		p.cancelAttempts[attempt]--
 	}
-	isOfUse := !attempt.HasEnded() || failure != nil && failure.Stage >= requests.StageWritten
-	if !isLost || !isOfUse || attempt.EndedByWorker() || p.cancelTries[attempt] >= maxCancelTries {
-		delete(p.cancelTries, attempt)
-		workerKnows := failure == nil || !isLost && failure.Reason != requests.ReasonTimeout
-		p.table.CancelCompleted(attempt, workerKnows)
+	isNeeded := !attempt.HasEnded() || failure != nil && failure.Stage >= requests.StageWritten
+	if !isLost || !isNeeded || attempt.EndedByWorker() || p.cancelAttempts[attempt] >= maxCancelAttempts {
+		delete(p.cancelAttempts, attempt)
+		isConfirmed := failure == nil || !isLost && failure.Reason != requests.ReasonTimeout
+		p.table.CancelCompleted(attempt, isConfirmed)
+		return
+	}
+	p.loop.StartTimer(cancelRetryDelay, p, func() { p.retryCancel(attempt) })
+}
+
+// retryCancel sends a DELETE again, unless the worker has ended the attempt meanwhile or a successor owns it.
+func (p *Pool) retryCancel(attempt *requests.Attempt) {
+	if attempt.EndedByWorker() || p.hasRelinquished() {
+		delete(p.cancelAttempts, attempt)
 		return
 	}
-	p.loop.StartTimer(cancelRetryDelay, p, func() {
-		if attempt.EndedByWorker() || p.hasRelinquished() {
-			delete(p.cancelTries, attempt)
-			return
-		}
-		p.tryCancel(attempt)
-	})
+	p.sendCancel(attempt)
 }
--- a/internal/worker/connection.go
+++ b/internal/worker/connection.go
@@ -12,14 +12,14 @@
 	"valvecove/internal/requests"
 )
 
-// connectionState says what a connection to a worker is doing.
+// connectionState is the state of a connection to a worker.
 type connectionState int
 
 const (
-	stateConnecting connectionState = iota
-	stateIdle
-	stateHolding          // it is up, and its attempt is held for a moment
-	stateAwaitingResponse // a request is written, or being written
+	stateConnecting       connectionState = iota // not up yet, or not dialed yet
+	stateIdle                                    // kept for another exchange
+	stateDelayed                                 // up, and its attempt is not written before a delay
+	stateAwaitingResponse                        // a request is written, or partly written
 	stateClosed
 )
 
@@ -29,8 +29,8 @@
 		return "connecting"
 	case stateIdle:
 		return "idle"
-	case stateHolding:
-		return "holding"
+	case stateDelayed:
+		return "delayed"
 	case stateAwaitingResponse:
 		return "awaiting response"
 	case stateClosed:
@@ -39,46 +39,47 @@
 	return fmt.Sprintf("connectionState(%d)", int(s))
 }
 
-// Why a connection to a worker ends, or is not opened. Errors of the network and of the parser are passed on as they are.
+// Why a connection ends, or can't be opened. Errors of system calls and of the HTTP parser are passed on as they are.
 var (
 	errNoDescriptor     = errors.New("no descriptor left for a worker connection")
 	errClosedByWorker   = errors.New("closed by the worker")
-	errResponseTimeout  = errors.New("no answer in time")
-	errResponseTooLarge = errors.New("an answer without end")
-	errStrayResponse    = errors.New("a response to an earlier request")
-	errEarlyResponse    = errors.New("an answer before the last byte was written")
-	errWorkerPanicked   = errors.New("panic")
+	errTimeout          = errors.New("timed out")
+	errResponseTooLarge = errors.New("response too large")
+	errStrayResponse    = errors.New("response to an earlier request")
+	errEarlyResponse    = errors.New("response before the last byte of the request was written")
+	errPanicked         = errors.New("panic")
 )
 
-// minDialBackoff is how long a connection waits that this machine lacked something to open; each time that it does it waits for
-// twice as long.
+// minDialBackoff is the time before the first retry of a dial that failed for lack of local resources. It doubles with each retry.
 const minDialBackoff = time.Millisecond
 
-// connection is a connection to a worker. It has one exchange at a time.
+// connection is a connection to a worker. It carries one exchange at a time.
 type connection struct {
 	eventloop.Stream
 	pool        *Pool
 	endpoint    *endpointConnections
-	incarnation int // of the worker's process when the connection was opened
+	incarnation int // of the endpoint when the connection was opened
 	state       connectionState
-	exchange    exchange
-	lastKind    exchangeKind   // of the present exchange, or the last one
-	stage       requests.Stage // of the present exchange
-	timer       *eventloop.Timer
-	writeUntil  time.Duration // of the present exchange: what is not written by then never is
-	idleSince   time.Duration
-	idleElement *list.Element // of the pool's list, while it is idle
-	idleBefore  time.Duration // how long it had been idle before the present exchange; 0: it was new
-	dialDelayed bool          // this machine has lacked something for the connection, or for the first byte on it
-}
+	timer       *eventloop.Timer // of the present state: a dial's retry, a timeout, or the end of a delay
+
+	// The present exchange, or none.
+	exchange       exchange
+	stage          requests.Stage
+	writeDeadline  time.Duration // what is not written by then is not written
+	idleBefore     time.Duration // how long the connection had been idle before; 0: it was new
+	delayedLocally bool          // the dial, or the first byte, was delayed for lack of local resources
 
-// connect opens the connection. Where this machine lacks something for it, the worker has no part in that, and the lack may be
-// over in a moment: the exchange waits, for half of the time that a connection has to come up. What is left is for that.
-func (c *connection) connect() {
-	c.tryConnect(minDialBackoff)
+	lastKind    exchangeKind  // of the present exchange or, if there is none, of the last one
+	idleSince   time.Duration // the end of the last exchange
+	idleElement *list.Element // in Pool.idle, while the connection is idle
 }
 
-func (c *connection) tryConnect(backoff time.Duration) {
+// connect dials the worker.
+func (c *connection) connect() { c.dialWithBackoff(minDialBackoff) }
+
+// dialWithBackoff dials the worker. Where local resources are lacking it retries after the backoff, which says nothing about the
+// worker. Half of the time to connect is left for the connection itself.
+func (c *connection) dialWithBackoff(backoff time.Duration) {
 	if c.isObsolete() {
 		c.terminate(nil)
 		return
@@ -87,39 +88,41 @@
 	if err == nil {
 		return
 	}
-	if !isLocalShortage(err) || c.pool.loop.Now()+backoff > c.connectDeadline()-c.pool.connectTimeout/2 {
+	lastRetryAt := c.connectDeadline() - c.pool.connectTimeout/2
+	if !isLocalShortage(err) || c.pool.loop.Now()+backoff > lastRetryAt {
 		c.terminate(err)
 		return
 	}
-	c.dialDelayed = true
-	c.timer = c.pool.loop.StartTimer(backoff, c, func() { c.tryConnect(2 * backoff) })
+	c.delayedLocally = true
+	c.timer = c.pool.loop.StartTimer(backoff, c, func() { c.dialWithBackoff(2 * backoff) })
 }
 
-// connectDeadline is when the connection is to be up, and the first byte of its exchange taken.
+// connectDeadline returns by when the connection must be up, and the first byte of its exchange written.
 func (c *connection) connectDeadline() time.Duration {
-	return c.exchange.begunAt + c.pool.connectTimeout
+	return c.exchange.startedAt + c.pool.connectTimeout
 }
 
-// isWaitingToDial reports whether there is an exchange, and nothing yet to open a connection for it with.
+// isWaitingToDial reports whether the connection could not be dialed yet for lack of local resources.
 func (c *connection) isWaitingToDial() bool { return c.state == stateConnecting && !c.IsOpen() }
 
-// isLocalShortage reports whether a connection could not be opened for what this machine lacks: nothing was sent.
+// isLocalShortage reports whether a connection could not be opened for lack of local resources. Nothing was sent then.
 func isLocalShortage(err error) bool {
 	return errors.Is(err, errNoDescriptor) || eventloop.ClassOf(err).IsMomentary()
 }
 
-// isOwnDelay reports whether a connection may have ended for having been held back by this machine.
-func isOwnDelay(cause error) bool {
-	return errors.Is(cause, errResponseTimeout) || errors.Is(cause, errClosedByWorker)
+// isDelayConsequence reports whether a connection may have ended because its request was written too late.
+func isDelayConsequence(cause error) bool {
+	return errors.Is(cause, errTimeout) || errors.Is(cause, errClosedByWorker)
 }
 
+// dial opens the socket and starts to connect. If all connections are in use it first evicts an idle one.
 func (c *connection) dial() error {
 	pool := c.pool
 	if pool.openCount >= pool.maxConnections && !pool.evictIdle() {
 		return errNoDescriptor
 	}
 	if !c.endpoint.address.IsValid() {
-		return fmt.Errorf("host %q has no address", c.endpoint.id)
+		return fmt.Errorf("endpoint %q has no address", c.endpoint.id)
 	}
 	socket, err := pool.dial(c.endpoint.address)
 	if err != nil {
@@ -135,8 +138,8 @@
 	return nil
 }
 
-// isAlive looks whether an idle connection still is: there is no event yet for a close that came after this iteration's were
-// gathered, and a request written to it would end as a reset, and be possibly executed.
+// isAlive reports whether an idle connection is still open and silent. The loop has no event yet for a close that happened after
+// the events of this iteration were gathered. A request that is written to a closed connection ends as possibly executed.
 func (c *connection) isAlive() bool {
 	var b [1]byte
 	for {
@@ -147,13 +150,13 @@
 	}
 }
 
-// setTimeout ends the connection after a while, in place of an earlier timeout.
+// setTimeout replaces the timer by one that ends the connection.
 func (c *connection) setTimeout(timeout time.Duration) {
 	c.pool.loop.StopTimer(c.timer)
-	c.timer = c.pool.loop.StartTimer(timeout, c, func() { c.terminate(errResponseTimeout) })
+	c.timer = c.pool.loop.StartTimer(timeout, c, func() { c.terminate(errTimeout) })
 }
 
-// HandleEvents goes on with the exchange.
+// HandleEvents continues the exchange. An idle connection ends: it was closed, or received what no exchange waits for.
 func (c *connection) HandleEvents(events uint32) {
 	if c.state != stateClosed && c.isObsolete() {
 		c.terminate(nil)
@@ -162,7 +165,7 @@
 	switch c.state {
 	case stateConnecting:
 		c.completeConnect(events)
-	case stateIdle, stateHolding: // it was closed, or something comes that nobody asked for
+	case stateIdle, stateDelayed:
 		c.terminate(nil)
 	case stateClosed, stateAwaitingResponse:
 	}
@@ -171,25 +174,26 @@
 	}
 }
 
-// completeConnect sends the request once the connection is up.
+// completeConnect writes the request once the connection is up.
 func (c *connection) completeConnect(events uint32) {
 	if err := c.ConnectError(); err != nil {
 		c.terminate(err)
 		return
 	}
+	hasEnded := events&(unix.EPOLLRDHUP|unix.EPOLLHUP) != 0
 	switch {
-	case c.dialDelayed && events&(unix.EPOLLRDHUP|unix.EPOLLHUP) != 0: // it was up, and has ended while its request was held back
+	case c.delayedLocally && hasEnded:
 		c.terminate(errClosedByWorker)
 	case events&unix.EPOLLOUT != 0:
-		c.writeRequestLate()
+		c.writeDelayedRequest()
 	}
 }
 
-// continueExchange sends what waits of the request, and reads what has come of the response.
+// continueExchange writes what is left of the request and reads what was received of the response.
 func (c *connection) continueExchange(events uint32) {
 	if events&unix.EPOLLOUT != 0 && len(c.Output()) > 0 {
-		if c.pool.loop.Clock() > c.writeUntil { // an event comes before the timer that is due with it
-			c.terminate(errResponseTimeout)
+		if c.pool.loop.Clock() > c.writeDeadline { // events are handled before the timer of the same iteration
+			c.terminate(errTimeout)
 			return
 		}
 		if err := c.Flush(); err != nil {
@@ -203,7 +207,7 @@
 	}
 }
 
-// becomeIdle keeps the connection for the next exchange.
+// becomeIdle keeps the connection for another exchange.
 func (c *connection) becomeIdle() {
 	c.pool.loop.StopTimer(c.timer)
 	c.state = stateIdle
@@ -211,7 +215,8 @@
 	c.pool.addIdle(c)
 }
 
-// terminate closes the connection, whatever its state. Its exchange ends with the stage that it had reached.
+// terminate closes the connection in any state; closing twice does nothing. The exchange, if there is one, fails with the stage
+// that it has reached. cause is nil if the connection is no longer needed.
 func (c *connection) terminate(cause error) {
 	if c.state == stateClosed {
 		return
@@ -227,27 +232,30 @@
 		c.pool.openCount--
 	}
 	if wasDropped {
-		c.pool.reduceIdleTrust(c.idleBefore)
+		c.pool.lowerReuseLimit(c.idleBefore)
 	}
 	c.finishExchange(&requests.AttemptError{Stage: c.stage, Reason: c.failureReason(cause, wasDropped), Cause: cause})
 }
 
-// wasDroppedWhileIdle reports whether a connection that ends now, and was idle before its exchange, got no byte of a response.
+// wasDroppedWhileIdle reports whether a connection that ends by cause may have been dropped while it was idle: it was reused, and
+// received no byte of a response.
 func (c *connection) wasDroppedWhileIdle(cause error) bool {
-	return c.state == stateAwaitingResponse && c.idleBefore > 0 && len(c.Input()) == 0 &&
-		cause != nil && !errors.Is(cause, errResponseTimeout)
+	isReused := c.state == stateAwaitingResponse && c.idleBefore > 0
+	isLost := cause != nil && !errors.Is(cause, errTimeout)
+	return isReused && isLost && len(c.Input()) == 0
 }
 
-// failureReason returns what the end of the connection says of the exchange. Of a health check that was lost with an idle
-// connection, or got a stray response, it says nothing about the worker. Nor does a connection that this machine could not open,
-// or opened so late that it had not all its time to come up. One that was begun and then could not reach the worker is the
-// worker's, whatever errno says so: that is what a worker looks like that has been cut off.
+// failureReason returns the reason why the exchange fails with a connection that ends by cause. ReasonNotSent says nothing about
+// the worker: the exchange was not written for lack of local resources, or is a health check that was sent on a connection that
+// had been dropped or got a stray response. Any other failure before the last byte is the worker's, whatever the errno: a
+// partitioned worker looks like that.
 func (c *connection) failureReason(cause error, wasDropped bool) requests.Reason {
+	isWritten := c.stage >= requests.StageWritten
 	isHealthCheck := c.exchange.kind == exchangeHealthCheck
 	switch {
-	case c.stage >= requests.StageWritten && errors.Is(cause, errResponseTimeout):
+	case isWritten && errors.Is(cause, errTimeout):
 		return requests.ReasonTimeout
-	case c.stage < requests.StageWritten && (isLocalShortage(cause) || c.dialDelayed && isOwnDelay(cause)):
+	case !isWritten && (isLocalShortage(cause) || c.delayedLocally && isDelayConsequence(cause)):
 		return requests.ReasonNotSent
 	case isHealthCheck && (wasDropped || errors.Is(cause, errStrayResponse)):
 		return requests.ReasonNotSent
@@ -256,5 +264,5 @@
 	}
 }
 
-// HandlePanic ends the connection.
-func (c *connection) HandlePanic() { c.terminate(errWorkerPanicked) }
+// HandlePanic closes the connection.
+func (c *connection) HandlePanic() { c.terminate(errPanicked) }
--- a/internal/worker/connection_test.go
+++ b/internal/worker/connection_test.go
@@ -47,6 +47,7 @@
 
 // workerModel is the one worker, and what it knows of the attempts that were sent to it.
 type workerModel struct {
+	*modeltest.Steps
 	*fixture
 	jobs         []uint64 // in the order of their requests
 	attempts     map[string]*sentAttempt
@@ -55,19 +56,19 @@
 }
 
 func runWorkerConnection(s *modeltest.Steps) {
-	w := newFixture(s)
-	m := &workerModel{fixture: w, attempts: map[string]*sentAttempt{}, delayed: map[*peer]*delayedPeer{}}
-	w.dial = m.dial
+	f := newFixture(s.T)
+	m := &workerModel{Steps: s, fixture: f, attempts: map[string]*sentAttempt{}, delayed: map[*peer]*delayedPeer{}}
+	f.dial = m.dial
 	for s.More() {
 		if m.act(s.Pick(10)) {
-			w.runIterations()
+			f.runIterations()
 		}
 	}
-	for range 2 + 2*maxCancelTries { // past all timeouts, and then past those of what this called for: a DELETE that is tried again
-		w.now += 10 * time.Second
-		w.runIterations()
+	for range 2 + 2*maxCancelAttempts { // past all timeouts, and then past those of what this called for: a DELETE that is tried again
+		f.now += 10 * time.Second
+		f.runIterations()
 	}
-	for _, p := range w.dialed {
+	for _, p := range f.dialed {
 		m.delayed[p].release()
 		p.read(1 << 20)
 		p.recordDelete(m.attempts)
@@ -195,8 +196,8 @@
 }
 
 // isSending tells whether an attempt of a request is on its way.
-func (w *fixture) isSending(call string) bool {
-	for a := range w.pool.byAttempt {
+func (f *fixture) isSending(call string) bool {
+	for a := range f.pool.byAttempt {
 		if a.Request.CallID == call && !a.HasEnded() {
 			return true
 		}
@@ -249,139 +250,139 @@
 // A connection that breaks after it was idle says nothing of its worker. From then on connections are not used again when
 // they have been idle for nearly as long, until all has gone well for a while.
 func TestTrustInIdleConnections(t *testing.T) {
-	w := newFixture(&modeltest.Steps{T: t})
+	f := newFixture(t)
 	const ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 	probe := func(idle time.Duration, answer string, wantLinks int, want dispatch.Result) {
 		t.Helper()
-		w.now += idle
-		w.policy.Next = append(w.policy.Next, dispatch.HealthCheck{Worker: w.workerNumber()})
-		w.table.DiscoveryFailed()
-		w.runIterations()
-		if len(w.dialed) != wantLinks {
-			t.Errorf("%d connections opened, expected %d", len(w.dialed), wantLinks)
+		f.now += idle
+		f.policy.Next = append(f.policy.Next, dispatch.HealthCheck{Worker: f.workerNumber()})
+		f.table.DiscoveryFailed()
+		f.runIterations()
+		if len(f.dialed) != wantLinks {
+			t.Errorf("%d connections opened, expected %d", len(f.dialed), wantLinks)
 		}
-		p := w.dialed[len(w.dialed)-1]
+		p := f.dialed[len(f.dialed)-1]
 		if p.read(1 << 10); answer == "" {
 			p.close()
 		} else {
 			p.write([]byte(answer))
 		}
-		w.runIterations()
-		if got, _ := w.policy.Received[len(w.policy.Received)-1].(dispatch.HealthChecked); got.Result != want {
+		f.runIterations()
+		if got, _ := f.policy.Received[len(f.policy.Received)-1].(dispatch.HealthChecked); got.Result != want {
 			t.Errorf("probe ended as %v, expected %v", got.Result, want)
 		}
 	}
 	probe(0, ok, 1, dispatch.OK)
-	probe(4*minIdleTrust, ok, 1, dispatch.OK)
-	probe(4*minIdleTrust, "", 1, dispatch.NotSent)
+	probe(4*minReuseLimit, ok, 1, dispatch.OK)
+	probe(4*minReuseLimit, "", 1, dispatch.NotSent)
 	probe(0, ok, 2, dispatch.OK)
-	probe(minIdleTrust, ok, 2, dispatch.OK)
-	probe(3*minIdleTrust, ok, 3, dispatch.OK)
+	probe(minReuseLimit, ok, 2, dispatch.OK)
+	probe(3*minReuseLimit, ok, 3, dispatch.OK)
 	probe(0, ok, 3, dispatch.OK)
 	for range 3 {
-		w.now += idleTrustGrowthInterval
-		w.runIterations()
+		f.now += reuseLimitRaiseInterval
+		f.runIterations()
 	}
 	probe(0, ok, 4, dispatch.OK)
-	probe(3*minIdleTrust, ok, 4, dispatch.OK)
-	probe(idleTrustGrowthInterval*100, "", 5, dispatch.ConnectionReset) // a new one does say something
+	probe(3*minReuseLimit, ok, 4, dispatch.OK)
+	probe(reuseLimitRaiseInterval*100, "", 5, dispatch.ConnectionReset) // a new one does say something
 }
 
 // A connection to a process that has been replaced is not used again, nor one that is about to be closed as idle; an
 // attempt given up after it was accepted is withdrawn by name.
 func TestIdleConnectionsExpire(t *testing.T) {
-	w := newFixture(&modeltest.Steps{T: t})
+	f := newFixture(t)
 	endpoint := requests.Endpoint{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up", StartedAtMs: 5}
 	sent := 0
 	send := func() *peer {
 		sent++
-		q, err := w.table.Admit(w.now, requests.Arrival{
+		q, err := f.table.Admit(f.now, requests.Arrival{
 			CallID: fmt.Sprint("q", sent), Job: dispatch.Job{Remaining: 5 * time.Second},
 			Payload: requests.Payload{Method: "POST", Path: "/a"}, Responder: noResponder{},
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.policy.Next = append(w.policy.Next, dispatch.Send{Job: q.ID, Worker: w.workerNumber()})
-		w.runIterations()
-		p := w.dialed[len(w.dialed)-1]
+		f.policy.Next = append(f.policy.Next, dispatch.Send{Job: q.ID, Worker: f.workerNumber()})
+		f.runIterations()
+		p := f.dialed[len(f.dialed)-1]
 		p.read(1 << 12)
 		p.received = nil
 		p.write([]byte(workerResponses[0].text))
-		w.runIterations()
+		f.runIterations()
 		return p
 	}
 	first := send()
-	w.now += reuseDelay
+	f.now += reuseDelay
 	if second := send(); second != first {
 		t.Fatal("a connection that was free was not used")
 	}
-	w.policy.Next = append(w.policy.Next, dispatch.Cancel{Job: 2})
-	w.table.UpdateEndpoints(requests.EndpointList{Endpoints: []requests.Endpoint{endpoint}})
-	w.runIterations()
-	last := w.dialed[len(w.dialed)-1]
+	f.policy.Next = append(f.policy.Next, dispatch.Cancel{Job: 2})
+	f.table.UpdateEndpoints(requests.EndpointList{Endpoints: []requests.Endpoint{endpoint}})
+	f.runIterations()
+	last := f.dialed[len(f.dialed)-1]
 	if last.read(1 << 12); last == first || !strings.HasPrefix(string(last.received), "DELETE /jobs/q2 ") {
 		t.Errorf("withdrew by %q, on the old connection %v", last.received, last == first)
 	}
 	last.write([]byte(workerResponses[0].text))
-	w.runIterations()
-	w.now += 50 * time.Second
-	w.runIterations()
+	f.runIterations()
+	f.now += 50 * time.Second
+	f.runIterations()
 	if last.read(1); !last.ended {
 		t.Error("a connection was kept close to the idle limit")
 	}
 	// Closed since the iteration's events were gathered: nothing may be written to it.
-	idle, links := send(), len(w.dialed)
+	idle, links := send(), len(f.dialed)
 	idle.close()
-	w.policy.Next = append(w.policy.Next, dispatch.HealthCheck{Worker: w.workerNumber()})
-	w.table.DiscoveryFailed()
-	if w.table.Step(w.now); len(w.dialed) != links+1 {
+	f.policy.Next = append(f.policy.Next, dispatch.HealthCheck{Worker: f.workerNumber()})
+	f.table.DiscoveryFailed()
+	if f.table.Step(f.now); len(f.dialed) != links+1 {
 		t.Error("a connection that had just been closed was used")
 	}
 }
 
 // startSending begins an attempt of request "q" at each worker that is listed, of which only a part is written if its body is
 // large.
-func (w *attemptFixture) startSending(size int) *requests.Request {
-	w.T.Helper()
-	q, err := w.table.Admit(w.now, requests.Arrival{
+func (f *fixture) startSending(size int) *requests.Request {
+	f.tb.Helper()
+	q, err := f.table.Admit(f.now, requests.Arrival{
 		CallID: "q", Job: dispatch.Job{Remaining: 5 * time.Second},
 		Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: noResponder{},
 	})
 	if err != nil {
-		w.T.Fatal(err)
+		f.tb.Fatal(err)
 	}
 	var listed []dispatch.Worker
-	for _, e := range w.policy.Received {
+	for _, e := range f.policy.Received {
 		if list, ok := e.(dispatch.WorkerList); ok {
 			listed = list.Workers
 		}
 	}
 	for _, worker := range listed {
-		w.policy.Next = append(w.policy.Next, dispatch.Send{Job: q.ID, Worker: worker.ID})
+		f.policy.Next = append(f.policy.Next, dispatch.Send{Job: q.ID, Worker: worker.ID})
 	}
-	w.table.Step(w.now)
+	f.table.Step(f.now)
 	if size > 0 {
-		w.runIterations()
+		f.runIterations()
 	}
 	return q
 }
 
 // expectNeverWhole expects that no worker gets a whole request, and that its connection is closed.
-func (w *attemptFixture) expectNeverWhole() {
-	w.T.Helper()
-	for i, p := range w.dialed {
+func (f *fixture) expectNeverWhole() {
+	f.tb.Helper()
+	for i, p := range f.dialed {
 		for range 64 {
-			w.runIterations()
+			f.runIterations()
 			p.read(1 << 20)
 		}
 		m := http1.Request{}
 		if _, err := m.Parse(p.received); err == nil || !p.ended {
-			w.T.Errorf("connection %d: %d bytes came, whole %v, and it is closed %v", i, len(p.received), err == nil, p.ended)
+			f.tb.Errorf("connection %d: %d bytes came, whole %v, and it is closed %v", i, len(p.received), err == nil, p.ended)
 		}
 	}
-	if len(w.dialed) == 0 || len(w.pool.byAttempt) != 0 || w.pool.openCount != 0 {
-		w.T.Errorf("%d connections were opened, %d are still kept", len(w.dialed), w.pool.openCount)
+	if len(f.dialed) == 0 || len(f.pool.byAttempt) != 0 || f.pool.openCount != 0 {
+		f.tb.Errorf("%d connections were opened, %d are still kept", len(f.dialed), f.pool.openCount)
 	}
 }
 
@@ -390,13 +391,13 @@
 func TestLateCallbackStopsTheSend(t *testing.T) {
 	for name, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize} {
 		t.Run(name, func(t *testing.T) {
-			w := newAttemptFixture(t)
-			w.startSending(size)
-			known, err := w.table.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "returned"})
+			f := newFixture(t)
+			f.startSending(size)
+			known, err := f.table.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "returned"})
 			if !known || err != nil {
 				t.Fatalf("the callback is known %v, %v", known, err)
 			}
-			w.expectNeverWhole()
+			f.expectNeverWhole()
 		})
 	}
 }
@@ -405,31 +406,31 @@
 // not up yet or has taken a part, and whoever ended the request.
 func TestFinishedRequestIsNotSent(t *testing.T) {
 	result := "r"
-	ends := map[string]func(w *fixture, q *requests.Request){
-		"client left": func(w *fixture, q *requests.Request) { w.table.ClientDisconnected(q) },
-		"served by another copy": func(w *fixture, _ *requests.Request) {
-			if known, err := w.table.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-1", State: "done", Result: &result}); !known || err != nil {
+	ends := map[string]func(f *fixture, q *requests.Request){
+		"client left": func(f *fixture, q *requests.Request) { f.table.ClientDisconnected(q) },
+		"served by another copy": func(f *fixture, _ *requests.Request) {
+			if known, err := f.table.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-1", State: "done", Result: &result}); !known || err != nil {
 				t.Errorf("the callback is known %v, %v", known, err)
 			}
 		},
-		"refused": func(w *fixture, q *requests.Request) {
-			w.policy.Next = append(w.policy.Next, dispatch.Reject{Job: q.ID})
-			w.table.Wake()
-			w.table.Step(w.now)
+		"refused": func(f *fixture, q *requests.Request) {
+			f.policy.Next = append(f.policy.Next, dispatch.Reject{Job: q.ID})
+			f.table.Wake()
+			f.table.Step(f.now)
 		},
-		"finished": func(w *fixture, _ *requests.Request) { w.table.CloseSince(0) },
+		"finished": func(f *fixture, _ *requests.Request) { f.table.CloseSince(0) },
 	}
 	for name, end := range ends {
 		for stage, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize} {
 			t.Run(name+", "+stage, func(t *testing.T) {
-				w := newAttemptFixture(t)
-				w.table.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
+				f := newFixture(t)
+				f.table.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
 					{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
 					{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"},
 				}})
-				w.runIterations()
-				end(w.fixture, w.startSending(size))
-				w.expectNeverWhole()
+				f.runIterations()
+				end(f, f.startSending(size))
+				f.expectNeverWhole()
 			})
 		}
 	}
--- a/internal/worker/dial_test.go
+++ b/internal/worker/dial_test.go
@@ -15,9 +15,9 @@
 )
 
 // failDials has the next dials fail, so many of them, with an errno of a call.
-func (w *fixture) failDials(times int, call eventloop.Call, errno unix.Errno) {
-	dial := w.dial
-	w.dial = func(at netip.AddrPort) (int, error) {
+func (f *fixture) failDials(times int, call eventloop.Call, errno unix.Errno) {
+	dial := f.dial
+	f.dial = func(at netip.AddrPort) (int, error) {
 		if times > 0 {
 			times--
 			return eventloop.NoDescriptor, fmt.Errorf("dial: %w", eventloop.NewCallError(call, errno))
@@ -45,19 +45,19 @@
 func TestDialWaitsOutAMomentaryShortage(t *testing.T) {
 	for _, shortage := range localShortages {
 		t.Run(fmt.Sprint(shortage.call, " ", unix.ErrnoName(shortage.errno)), func(t *testing.T) {
-			w := newAttemptFixture(t)
-			w.failDials(4, shortage.call, shortage.errno)
-			q := w.sendAttempt(0)
+			f := newFixture(t)
+			f.failDials(4, shortage.call, shortage.errno)
+			q := f.sendAttempt(0)
 			for range 20 {
-				w.now += time.Millisecond
-				w.runIterations()
+				f.now += time.Millisecond
+				f.runIterations()
 			}
-			w.expect("it is under way", q)
-			if len(w.dialed) != 1 {
-				t.Fatalf("%d connections", len(w.dialed))
+			f.expect("it is under way", q)
+			if len(f.dialed) != 1 {
+				t.Fatalf("%d connections", len(f.dialed))
 			}
-			if w.dialed[0].read(1 << 12); !strings.HasPrefix(string(w.dialed[0].received), "POST /a ") {
-				t.Errorf("the worker got %q", w.dialed[0].received)
+			if f.dialed[0].read(1 << 12); !strings.HasPrefix(string(f.dialed[0].received), "POST /a ") {
+				t.Errorf("the worker got %q", f.dialed[0].received)
 			}
 		})
 	}
@@ -68,18 +68,18 @@
 func TestDialGivesUpALastingShortage(t *testing.T) {
 	for _, shortage := range localShortages {
 		t.Run(fmt.Sprint(shortage.call, " ", unix.ErrnoName(shortage.errno)), func(t *testing.T) {
-			w := newAttemptFixture(t)
+			f := newFixture(t)
 			dials := 0
-			w.dial = func(netip.AddrPort) (int, error) {
+			f.dial = func(netip.AddrPort) (int, error) {
 				dials++
 				return eventloop.NoDescriptor, eventloop.NewCallError(shortage.call, shortage.errno)
 			}
-			q := w.sendAttempt(0)
-			for range w.pool.connectTimeout / time.Millisecond {
-				w.now += time.Millisecond
-				w.runIterations()
+			q := f.sendAttempt(0)
+			for range f.pool.connectTimeout / time.Millisecond {
+				f.now += time.Millisecond
+				f.runIterations()
 			}
-			w.expect("given up", q, dispatch.NotSent)
+			f.expect("given up", q, dispatch.NotSent)
 			if dials < 4 || dials > 10 {
 				t.Errorf("%d dials", dials)
 			}
@@ -89,62 +89,62 @@
 
 // Without a descriptor of those for workers an attempt waits as well, and gets the first that is free.
 func TestDialWaitsForADescriptor(t *testing.T) {
-	w := newAttemptFixture(t)
-	most := w.pool.maxConnections
-	w.pool.maxConnections = 0
-	q := w.sendAttempt(0)
-	w.expect("it waits", q)
-	w.pool.maxConnections = most
-	w.now += minDialBackoff
-	w.runIterations()
-	if len(w.dialed) != 1 {
-		t.Errorf("%d connections", len(w.dialed))
+	f := newFixture(t)
+	most := f.pool.maxConnections
+	f.pool.SetMaxConnections(0)
+	q := f.sendAttempt(0)
+	f.expect("it waits", q)
+	f.pool.SetMaxConnections(most)
+	f.now += minDialBackoff
+	f.runIterations()
+	if len(f.dialed) != 1 {
+		t.Errorf("%d connections", len(f.dialed))
 	}
-	w.expect("it is under way", q)
+	f.expect("it is under way", q)
 }
 
 // What is the peer's is told of the worker at once, be it that connect says so or, for one in progress, SO_ERROR.
 func TestDialFailureOfTheWorker(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ETIMEDOUT, unix.EACCES} {
-		w := newAttemptFixture(t)
-		w.failDials(1, eventloop.CallConnect, errno)
-		w.expect(errno.Error(), w.sendAttempt(0), dispatch.ConnectFailed)
+		f := newFixture(t)
+		f.failDials(1, eventloop.CallConnect, errno)
+		f.expect(errno.Error(), f.sendAttempt(0), dispatch.ConnectFailed)
 	}
 	for _, errno := range []unix.Errno{unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ETIMEDOUT, unix.ENETUNREACH} {
-		w := newAttemptFixture(t)
-		w.injectFaults(faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallGetOption}, Errnos: []unix.Errno{errno}})
-		w.expect("in progress, "+errno.Error(), w.sendAttempt(0), dispatch.ConnectFailed)
+		f := newFixture(t)
+		f.injectFaults(faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallGetOption}, Errnos: []unix.Errno{errno}})
+		f.expect("in progress, "+errno.Error(), f.sendAttempt(0), dispatch.ConnectFailed)
 	}
 }
 
 // A DELETE that was never sent is no word of the worker's: the attempt runs on, and the DELETE is sent once it can be.
 func TestCancelOutlastsAShortage(t *testing.T) {
-	w := newAttemptFixture(t)
-	q := w.acceptedAttempt()
-	w.failDials(100, eventloop.CallSocket, unix.ENFILE)
-	w.runActions(dispatch.Cancel{Job: q.ID})
+	f := newFixture(t)
+	q := f.acceptedAttempt()
+	f.failDials(100, eventloop.CallSocket, unix.ENFILE)
+	f.runActions(dispatch.Cancel{Job: q.ID})
 	for range 2000 {
-		w.now += time.Millisecond
-		w.runIterations()
+		f.now += time.Millisecond
+		f.runIterations()
 	}
-	w.expect("never sent", q)
-	if p := w.dialed[len(w.dialed)-1]; !p.hasDelete(q) {
+	f.expect("never sent", q)
+	if p := f.dialed[len(f.dialed)-1]; !p.hasDelete(q) {
 		t.Error("it is not sent once it can be")
 	}
 }
 
 // What has no connection yet is no part of a hand-over: it ends as never sent, for the policy to send again.
 func TestWaitingDialsEndBeforeHandover(t *testing.T) {
-	w := newAttemptFixture(t)
-	w.failDials(1, eventloop.CallSocket, unix.ENFILE)
-	q := w.sendAttempt(0)
-	if !w.pool.HasWaitingDials() {
+	f := newFixture(t)
+	f.failDials(1, eventloop.CallSocket, unix.ENFILE)
+	q := f.sendAttempt(0)
+	if !f.pool.HasWaitingDials() {
 		t.Fatal("nothing waits")
 	}
-	w.pool.EndWaitingDials()
-	w.runIterations()
-	w.expect("handed back", q, dispatch.NotSent)
-	if w.pool.HasWaitingDials() {
+	f.pool.EndWaitingDials()
+	f.runIterations()
+	f.expect("handed back", q, dispatch.NotSent)
+	if f.pool.HasWaitingDials() {
 		t.Error("it still waits")
 	}
 }
--- a/internal/worker/drain_test.go
+++ b/internal/worker/drain_test.go
@@ -12,34 +12,34 @@
 // however little of the grace is over: the process may be held up before the write. Nothing is held against the worker.
 func TestConnectionComesUpAfterTheDrain(t *testing.T) {
 	const grace = 500 * time.Millisecond // of the settings
-	changes := map[string]func(w *fixture){
-		"drains": func(w *fixture) {
-			w.table.UpdateEndpoints(requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "draining"}}})
+	changes := map[string]func(f *fixture){
+		"drains": func(f *fixture) {
+			f.table.UpdateEndpoints(requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "draining"}}})
 		},
-		"removed": func(w *fixture) {
-			w.table.UpdateEndpoints(requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Lifecycle: "removed"}}})
+		"removed": func(f *fixture) {
+			f.table.UpdateEndpoints(requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Lifecycle: "removed"}}})
 		},
-		"not in a whole list": func(w *fixture) { w.table.UpdateEndpoints(requests.EndpointList{Reset: true}) },
-		"cordoned":            func(w *fixture) { w.table.SetCordoned([]string{"s-0"}) },
+		"not in a whole list": func(f *fixture) { f.table.UpdateEndpoints(requests.EndpointList{Reset: true}) },
+		"cordoned":            func(f *fixture) { f.table.SetCordoned([]string{"s-0"}) },
 		"nothing":             func(*fixture) {},
 	}
 	for name, change := range changes {
 		for _, after := range []time.Duration{0, grace - longestHold} {
-			w := newAttemptFixture(t)
-			w.pool.connectTimeout = grace
-			links := w.delayConnections()
-			q := w.sendAttempt(0)
-			change(w.fixture)
-			w.now += after
+			f := newFixture(t)
+			f.pool.connectTimeout = grace
+			links := f.delayConnections()
+			q := f.sendAttempt(0)
+			change(f)
+			f.now += after
 			(*links)[0].release()
-			w.runIterations()
+			f.runIterations()
 			(*links)[0].read(1 << 12)
 			isSent := len((*links)[0].received) > 0
 			if isSent != (name == "nothing") {
 				t.Errorf("%s, %v before its connection was up: sent %v", name, after, isSent)
 			}
 			if !isSent {
-				w.expect(name, q, dispatch.NotSent)
+				f.expect(name, q, dispatch.NotSent)
 			}
 		}
 	}
--- a/internal/worker/exchange.go
+++ b/internal/worker/exchange.go
@@ -2,40 +2,23 @@
 
 import (
 	"fmt"
-	"strconv"
 	"time"
 
 	"valvecove/internal/eventloop"
-	"valvecove/internal/http1"
 	"valvecove/internal/requests"
 )
 
-const (
-	healthCheckTimeout = 500 * time.Millisecond // a response to a health check is worth nothing later
-	cancelTimeout      = time.Second
-	responseGrace      = time.Second // a connection outlasts its attempt by so long, in case the response still comes
-
-	maxSingleWrite = 4 << 10 // bytes of a payload that any socket's buffer takes whole
+// responseGrace is how long a connection is kept after its attempt has expired, in case the response still arrives.
+const responseGrace = time.Second
 
-	// budgetMargin is taken off the time that a worker is given: what passes unseen on the way from the client and to the worker.
-	// The slack that the rules leave is for a process that is held up after its last look at the clock.
-	budgetMargin = 20 * time.Millisecond
-	// smallWriteTimeout is how long a payload of maxSingleWrite may wait for its socket's buffer all the same, what another
-	// process had begun to write, and a large payload whose connection has taken all the time for one. A repeat has to arrive
-	// within its window, and leaves so much time for it.
-	smallWriteTimeout = 50 * time.Millisecond
-	// maxClockAge is how old a reading of the clock may be when an attempt is written by it.
-	maxClockAge = 5 * time.Millisecond
-)
-
-// exchangeKind says what a connection to a worker is used for.
+// exchangeKind is the purpose of an exchange.
 type exchangeKind int
 
 const (
 	exchangeNone        exchangeKind = iota
-	exchangeAttempt                  // a request of a client is sent
-	exchangeHealthCheck              // the worker is asked whether it is alive
-	exchangeCancel                   // an attempt that the worker has accepted is cancelled
+	exchangeAttempt                  // sends an attempt
+	exchangeHealthCheck              // asks the worker whether it is alive
+	exchangeCancel                   // cancels an attempt that the worker has accepted
 )
 
 func (k exchangeKind) String() string {
@@ -54,15 +37,15 @@
 
 // exchange is a request to a worker and its response.
 type exchange struct {
-	kind    exchangeKind
-	attempt *requests.Attempt // that is sent or cancelled
-	begunAt time.Duration
+	kind      exchangeKind
+	attempt   *requests.Attempt // that is sent or cancelled; nil for a health check
+	startedAt time.Duration
 }
 
-// assign gives the connection its exchange.
+// assign starts an exchange on the connection. Nothing is written yet.
 func (c *connection) assign(next exchange) {
 	c.exchange = next
-	c.exchange.begunAt = c.pool.loop.Now()
+	c.exchange.startedAt = c.pool.loop.Now()
 	c.lastKind = next.kind
 	c.stage = requests.StageNotConnected
 	if next.kind == exchangeAttempt {
@@ -70,7 +53,7 @@
 	}
 }
 
-// setStage sets how far the exchange has come, and the attempt with it.
+// setStage sets the stage of the exchange and of the attempt that it sends.
 func (c *connection) setStage(stage requests.Stage) {
 	c.stage = stage
 	if c.exchange.kind == exchangeAttempt {
@@ -78,17 +61,17 @@
 	}
 }
 
-// writeRequest sends the exchange's request, once it is known that somebody waits for it.
+// writeRequest writes the request of the exchange, unless it is too late for it or the write has to be delayed.
 func (c *connection) writeRequest() {
 	pool, loop := c.pool, c.pool.loop
 	buffer, timeout, ok := c.appendRequest(pool.writeBuffer[:0])
-	if !ok { // the request table gives the attempt up in a moment, and the connection ends with it
+	if !ok { // the request table ends the attempt at its deadline, and the connection with it
 		loop.StopTimer(c.timer)
 		return
 	}
 	pool.writeBuffer = buffer
-	c.writeUntil = loop.Clock() + timeout
-	if c.isHeld() { // the last look at the clock before the write
+	c.writeDeadline = loop.Clock() + timeout
+	if c.delayWrite() { // after the last reading of the clock before the write
 		return
 	}
 	c.setTimeout(timeout)
@@ -99,17 +82,18 @@
 		return
 	}
 	if len(c.Output()) > 0 && c.IsOutputPaused() {
-		c.awaitMemory(len(c.Output()) == len(buffer), timeout)
+		isUntouched := len(c.Output()) == len(buffer)
+		c.handleMemoryShortage(isUntouched, timeout)
 		return
 	}
 	c.reportIfWritten()
 }
 
-// awaitMemory sees to a request that the machine lacked memory to write. Of one of which nothing was taken it is made anew once
-// there is some: the time that the worker is told would not be true by then. The rest of another one is written in what that time
-// has to spare, or never, so long as it was made for a single write.
-func (c *connection) awaitMemory(isUntouched bool, timeout time.Duration) {
-	c.dialDelayed = true
+// handleMemoryShortage handles a request that could not be written, or only in part, as the machine lacked memory. If it is
+// untouched, it is formatted again and written once there is memory: its time budget would be outdated. Else the rest is written
+// within the margin of its budget, unless the budget allows for writing in parts already.
+func (c *connection) handleMemoryShortage(isUntouched bool, timeout time.Duration) {
+	c.delayedLocally = true
 	if isUntouched {
 		c.TakeOutput()
 		c.state = stateConnecting
@@ -118,37 +102,34 @@
 		return
 	}
 	if timeout <= smallWriteTimeout {
-		c.writeUntil -= timeout - budgetMargin
+		c.writeDeadline -= timeout - budgetMargin
 		c.setTimeout(budgetMargin)
 	}
 }
 
-// isHeld holds an attempt for which it is not certain that its client still waits, and reports whether it does, or has ended it.
-func (c *connection) isHeld() bool {
+// delayWrite delays the write of an attempt if Config.WriteDelay says so. It reports whether the request must not be written now:
+// it is delayed, or the connection was closed as the attempt has ended.
+func (c *connection) delayWrite() bool {
 	if c.exchange.kind != exchangeAttempt {
 		return false
 	}
-	hold := c.pool.attemptHold(c.exchange.attempt)
-	if c.state == stateClosed { // its client turned out to be gone
+	delay := c.pool.writeDelay(c.exchange.attempt)
+	if c.state == stateClosed {
 		return true
 	}
-	if hold > 0 {
-		c.hold(hold)
+	if delay <= 0 {
+		return false
 	}
-	return hold > 0
-}
-
-// hold has the request written a moment later.
-func (c *connection) hold(span time.Duration) {
-	c.state = stateHolding
+	c.state = stateDelayed
 	c.SetEvents(eventloop.StreamEvents)
 	c.pool.loop.StopTimer(c.timer)
-	c.timer = c.pool.loop.StartTimer(span, c, c.writeRequestLate)
+	c.timer = c.pool.loop.StartTimer(delay, c, c.writeDelayedRequest)
+	return true
 }
 
-// writeRequestLate sends the request of an exchange that was begun in an earlier iteration. Its worker may have begun to drain
-// since: it gets no attempt then, which says nothing about it.
-func (c *connection) writeRequestLate() {
+// writeDelayedRequest writes the request of an exchange that was started in an earlier iteration. If the worker may not receive
+// attempts any more, the attempt ends as not sent.
+func (c *connection) writeDelayedRequest() {
 	attempt, table := c.exchange.attempt, c.pool.table
 	if c.exchange.kind == exchangeAttempt && !table.MayReceive(attempt.Worker) {
 		table.EndAttempt(attempt, nil, &requests.AttemptError{Stage: c.stage, Reason: requests.ReasonNotSent})
@@ -158,64 +139,7 @@
 	c.writeRequest()
 }
 
-// appendRequest returns how long the exchange may take from now on; ok is false if it is too late for it.
-func (c *connection) appendRequest(buffer []byte) (request []byte, timeout time.Duration, ok bool) {
-	attempt, address := c.exchange.attempt, c.endpoint.address.String()
-	switch c.exchange.kind {
-	case exchangeAttempt:
-		return c.appendAttempt(buffer, attempt, address)
-	case exchangeHealthCheck:
-		buffer = http1.AppendRequestStart(buffer, "GET", "/alive", address)
-		return append(buffer, "\r\n"...), healthCheckTimeout, true
-	case exchangeCancel:
-		buffer = http1.AppendRequestStart(buffer, "DELETE", "/jobs/"+attempt.Request.CallID, address)
-		return append(buffer, "\r\n"...), cancelTimeout, true
-	case exchangeNone:
-	}
-	return nil, 0, false
-}
-
-// appendAttempt appends the request of an attempt. The time that the worker is given is what remains now, however late the
-// connection came up, and also if the process is held up meanwhile.
-func (c *connection) appendAttempt(buffer []byte, attempt *requests.Attempt, address string) (request []byte, timeout time.Duration, ok bool) {
-	start, loop := len(buffer), c.pool.loop
-	for {
-		now := loop.Clock()
-		remaining := attempt.At - now
-		if remaining < time.Millisecond {
-			return nil, 0, false
-		}
-		buffer, timeout = c.appendAttemptAt(buffer[:start], attempt, address, remaining)
-		if loop.Clock()-now <= maxClockAge {
-			return buffer, timeout, true
-		}
-	}
-}
-
-// appendAttemptAt appends the request of an attempt for which so much time remains. A large payload may go in parts: that it
-// takes what its connection has left of the time for one at most is taken off.
-func (c *connection) appendAttemptAt(buffer []byte, attempt *requests.Attempt, address string, remaining time.Duration) (request []byte, timeout time.Duration) {
-	payload := &attempt.Request.Payload
-	timeout = smallWriteTimeout
-	if len(payload.Body) > maxSingleWrite {
-		connectingFor := c.pool.loop.Now() - c.exchange.begunAt
-		timeout = min(max(c.pool.connectTimeout-connectingFor, smallWriteTimeout), remaining/2)
-		remaining -= timeout
-	}
-	remaining -= min(budgetMargin, remaining/2)
-	buffer = http1.AppendRequestStart(buffer, payload.Method, payload.Path, address)
-	buffer = http1.AppendField(buffer, "X-Call-Id", attempt.Request.CallID)
-	buffer = http1.AppendField(buffer, "Idempotency-Key", payload.IdempotencyKey)
-	buffer = append(buffer, "X-Budget-Ms: "...)
-	buffer = strconv.AppendInt(buffer, max(1, remaining.Milliseconds()), 10)
-	buffer = append(buffer, "\r\nContent-Length: "...)
-	buffer = strconv.AppendInt(buffer, int64(len(payload.Body)), 10)
-	buffer = append(buffer, "\r\n\r\n"...)
-	buffer = append(buffer, payload.Body...)
-	return buffer, timeout
-}
-
-// reportIfWritten takes in that the last byte was sent, if it was: from there on, an attempt is possibly executed.
+// reportIfWritten reports an attempt as written, once its last byte is. It is possibly executed from then on.
 func (c *connection) reportIfWritten() {
 	if len(c.Output()) > 0 || c.stage >= requests.StageWritten {
 		return
@@ -228,18 +152,20 @@
 	}
 }
 
-// isObsolete reports whether the exchange is of no use any more before its request was wholly written. An attempt may have
-// ended meanwhile, by a late callback of an earlier one: written on, it would run after the request was over, or be one more
-// than the dispatcher knows of. Nor is a DELETE of any use once the worker has said how the attempt ended.
+// isObsolete reports whether the rest of the request must not be written: its attempt has ended, for instance by a late callback
+// about an earlier attempt, or the attempt that it cancels was ended by its worker. Written on, an ended attempt could be executed
+// after its request is closed, and without the policy's knowledge.
 func (c *connection) isObsolete() bool {
 	attempt := c.exchange.attempt
 	if attempt == nil || c.stage >= requests.StageWritten {
 		return false
 	}
-	return c.exchange.kind == exchangeAttempt && attempt.HasEnded() || attempt.EndedByWorker()
+	isEndedAttempt := c.exchange.kind == exchangeAttempt && attempt.HasEnded()
+	return isEndedAttempt || attempt.EndedByWorker()
 }
 
-// finishExchange ends the exchange; the failure is nil if it went well.
+// finishExchange ends the exchange and reports its result; failure is nil if it succeeded. An attempt that was accepted is not
+// ended here.
 func (c *connection) finishExchange(failure *requests.AttemptError) {
 	finished := c.exchange
 	c.exchange = exchange{}
--- a/internal/worker/fault_test.go
+++ b/internal/worker/fault_test.go
@@ -14,8 +14,8 @@
 )
 
 // failTransfers has reads and writes of one descriptor fail.
-func (w *fixture) failTransfers(fd int, errno unix.Errno) {
-	w.injectFaults(faultinjection.Rule{
+func (f *fixture) failTransfers(fd int, errno unix.Errno) {
+	f.injectFaults(faultinjection.Rule{
 		Calls: []eventloop.Call{
 			eventloop.CallRead, eventloop.CallReceive, eventloop.CallReceiveMessage, eventloop.CallWrite, eventloop.CallSendMessage,
 		},
@@ -31,68 +31,68 @@
 // errno.
 func TestWorkerConnectionBreaksWithAnyErrno(t *testing.T) {
 	for _, errno := range connectionErrnos {
-		w := newAttemptFixture(t)
-		q := w.sendAttempt(0)
-		for _, connection := range w.pool.byAttempt {
-			w.failTransfers(connection.FD(), errno)
+		f := newFixture(t)
+		q := f.sendAttempt(0)
+		for _, connection := range f.pool.byAttempt {
+			f.failTransfers(connection.FD(), errno)
 		}
-		w.dialed[0].write([]byte("HTTP/1.1 202"))
-		w.runIterations()
-		w.expect(errno.Error(), q, dispatch.ConnectionReset)
+		f.dialed[0].write([]byte("HTTP/1.1 202"))
+		f.runIterations()
+		f.expect(errno.Error(), q, dispatch.ConnectionReset)
 	}
 }
 
 // What a machine without memory writes late tells the worker the time that is left then, and is no mark against it.
 func TestRequestWrittenLateTellsTheTimeLeft(t *testing.T) {
 	const late = 120 * time.Millisecond
-	w := newAttemptFixture(t)
-	injector := w.injectFaults(faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Errnos: []unix.Errno{unix.ENOBUFS}})
-	q := w.sendAttempt(0)
+	f := newFixture(t)
+	injector := f.injectFaults(faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Errnos: []unix.Errno{unix.ENOBUFS}})
+	q := f.sendAttempt(0)
 	for range late / time.Millisecond {
-		w.now += time.Millisecond
-		w.runIterations()
+		f.now += time.Millisecond
+		f.runIterations()
 	}
 	injector.Clear()
 	for range 50 {
-		w.now += time.Millisecond
-		w.runIterations()
+		f.now += time.Millisecond
+		f.runIterations()
 	}
-	w.expect("under way", q)
-	w.dialed[0].read(1 << 12)
-	_, budget, _ := strings.Cut(string(w.dialed[0].received), "X-Budget-Ms: ")
+	f.expect("under way", q)
+	f.dialed[0].read(1 << 12)
+	_, budget, _ := strings.Cut(string(f.dialed[0].received), "X-Budget-Ms: ")
 	budget, _, _ = strings.Cut(budget, "\r\n")
 	budgetMs, err := strconv.Atoi(budget)
-	if remaining := q.Deadline - w.now; err != nil || time.Duration(budgetMs)*time.Millisecond > remaining+50*time.Millisecond {
+	if remaining := q.Deadline - f.now; err != nil || time.Duration(budgetMs)*time.Millisecond > remaining+50*time.Millisecond {
 		t.Errorf("a budget of %q, with %v to go: %v", budget, remaining, err)
 	}
 }
 
 func TestRequestNeverWrittenIsNoMarkAgainstItsWorker(t *testing.T) {
-	w := newAttemptFixture(t)
-	w.injectFaults(faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Errnos: []unix.Errno{unix.ENOMEM}})
-	q := w.sendAttempt(0)
-	for range w.pool.connectTimeout/time.Millisecond + 1 {
-		w.now += time.Millisecond
-		w.runIterations()
+	f := newFixture(t)
+	f.injectFaults(faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Errnos: []unix.Errno{unix.ENOMEM}})
+	q := f.sendAttempt(0)
+	for range f.pool.connectTimeout/time.Millisecond + 1 {
+		f.now += time.Millisecond
+		f.runIterations()
 	}
-	w.expect("given up", q, dispatch.NotSent)
+	f.expect("given up", q, dispatch.NotSent)
 }
 
 // The rest of a request that was made for one write is written in what the time that its worker was given has to spare, or never;
 // it was not whole then, and says nothing about the worker.
 func TestRequestPartlyWrittenEndsInTime(t *testing.T) {
-	w := newAttemptFixture(t)
-	w.injectFaults(
+	f := newFixture(t)
+	f.injectFaults(
 		faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Times: 1, MaxLength: 10},
 		faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Errnos: []unix.Errno{unix.ENOBUFS}},
 	)
-	q := w.sendAttempt(0)
+	q := f.sendAttempt(0)
 	for range budgetMargin/time.Millisecond - 1 {
-		w.now += time.Millisecond
-		w.runIterations()
+		f.now += time.Millisecond
+		f.runIterations()
 	}
-	w.expect("it waits", q)
-	w.now += 2 * time.Millisecond
-	w.runIterations()
-	w.expect("given up", q, dispatch.NotSent)
+	f.expect("it waits", q)
+	f.now += 2 * time.Millisecond
+	f.runIterations()
+	f.expect("given up", q, dispatch.NotSent)
 }
--- a/internal/worker/fixture_test.go
+++ b/internal/worker/fixture_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"log/slog"
 	"net/netip"
+	"testing"
 	"time"
 
 	"golang.org/x/sys/unix"
@@ -18,16 +19,17 @@
 // fixture is a pool with an event loop, a request table and a scripted policy. Its connections lead to the test: their remote
 // ends are sockets that the test reads and writes between iterations, on a clock that it moves.
 type fixture struct {
-	*modeltest.Steps
-	loop   *eventloop.Loop
-	pool   *Pool
-	table  *requests.Table
-	policy *modeltest.ScriptedPolicy
-	now    time.Duration
-	clock  func() time.Duration                                 // what the loop reads; returns now
-	dial   func(address netip.AddrPort) (fd int, err error)     // opens a connection to a peer
-	hold   func(attempt *requests.Attempt) (hold time.Duration) // before an attempt is written; none
-	dialed []*peer                                              // remote ends of connections, in the order of their opening
+	tb         testing.TB
+	loop       *eventloop.Loop
+	pool       *Pool
+	table      *requests.Table
+	policy     *modeltest.ScriptedPolicy
+	now        time.Duration
+	clock      func() time.Duration                             // what the loop reads; returns now
+	dial       func(address netip.AddrPort) (fd int, err error) // opens a connection to a peer
+	writeDelay func(attempt *requests.Attempt) time.Duration    // none, unless a test sets it
+	dialed     []*peer                                          // remote ends of connections, in the order of their opening
+	requests   []*requests.Request                              // of sendAttempt, in order
 }
 
 // peer is the remote end of a connection.
@@ -45,21 +47,22 @@
 func (testTransport) Watch(int64) {}
 
 // newFixture returns a fixture with one worker, "s-0".
-func newFixture(steps *modeltest.Steps) *fixture {
-	w := &fixture{Steps: steps, policy: &modeltest.ScriptedPolicy{}, now: 1000 * time.Hour}
-	w.clock = func() time.Duration { return w.now }
-	w.hold = func(*requests.Attempt) time.Duration { return 0 }
-	w.dial = func(address netip.AddrPort) (int, error) {
-		p, fd := w.socketPair()
+func newFixture(tb testing.TB) *fixture {
+	tb.Helper()
+	f := &fixture{tb: tb, policy: &modeltest.ScriptedPolicy{}, now: 1000 * time.Hour}
+	f.clock = func() time.Duration { return f.now }
+	f.writeDelay = func(*requests.Attempt) time.Duration { return 0 }
+	f.dial = func(address netip.AddrPort) (int, error) {
+		p, fd := f.socketPair()
 		p.dialedAddress = address
-		w.dialed = append(w.dialed, p)
+		f.dialed = append(f.dialed, p)
 		return fd, nil
 	}
-	w.openLoop()
-	w.pool = New(Config{
-		Loop:              w.loop,
-		Dial:              func(address netip.AddrPort) (int, error) { return w.dial(address) },
-		AttemptHold:       func(attempt *requests.Attempt) time.Duration { return w.hold(attempt) },
+	f.openLoop()
+	f.pool = New(Config{
+		Loop:              f.loop,
+		Dial:              func(address netip.AddrPort) (int, error) { return f.dial(address) },
+		WriteDelay:        func(attempt *requests.Attempt) time.Duration { return f.writeDelay(attempt) },
 		HasRelinquished:   func() bool { return false },
 		MaxConnections:    50,
 		ConnectTimeout:    250 * time.Millisecond,
@@ -67,74 +70,74 @@
 	})
 	names := requests.NameTable{Classes: []string{"a"}, Tenants: []string{"t"}}
 	endpoints := requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
-	newPolicy := func() requests.Policy { return w.policy }
-	w.table = requests.New(6, names, newPolicy, endpoints, testTransport{w.pool}, slog.New(slog.DiscardHandler))
-	w.pool.SetTable(w.table)
-	w.runIterations()
-	return w
+	newPolicy := func() requests.Policy { return f.policy }
+	f.table = requests.New(6, names, newPolicy, endpoints, testTransport{f.pool}, slog.New(slog.DiscardHandler))
+	f.pool.SetTable(f.table)
+	f.runIterations()
+	return f
 }
 
 // openLoop makes the loop, which is closed at the end of the test.
-func (w *fixture) openLoop() {
+func (f *fixture) openLoop() {
 	loop, err := eventloop.New(eventloop.Config{
-		Clock: func() time.Duration { return w.clock() },
+		Clock: func() time.Duration { return f.clock() },
 		Log:   slog.New(slog.DiscardHandler),
 		Hooks: eventloop.Hooks{
-			NextStep: func() (time.Duration, bool) { return w.table.NextStep() },
-			Step:     func(now time.Duration) { w.table.Step(now) },
+			NextStep: func() (time.Duration, bool) { return f.table.NextStep() },
+			Step:     func(now time.Duration) { f.table.Step(now) },
 		},
 	})
 	if err != nil {
-		w.T.Fatal(err)
+		f.tb.Fatal(err)
 	}
-	w.T.Cleanup(loop.CloseDescriptors)
-	w.loop = loop
+	f.tb.Cleanup(loop.CloseDescriptors)
+	f.loop = loop
 }
 
 // injectFaults applies rules to the system calls of the loop from now on.
-func (w *fixture) injectFaults(rules ...faultinjection.Rule) *faultinjection.Injector {
-	injector := faultinjection.New(1, func() time.Duration { return w.now })
+func (f *fixture) injectFaults(rules ...faultinjection.Rule) *faultinjection.Injector {
+	injector := faultinjection.New(1, func() time.Duration { return f.now })
 	for _, rule := range rules {
 		injector.Add(rule)
 	}
-	*w.loop.Syscalls() = injector.Syscalls()
+	*f.loop.Syscalls() = injector.Syscalls()
 	return injector
 }
 
 // socketPair returns a connection: a peer, and the descriptor for the loop.
-func (w *fixture) socketPair() (*peer, int) {
+func (f *fixture) socketPair() (*peer, int) {
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
 	if err != nil {
-		w.T.Fatal(err)
+		f.tb.Fatal(err)
 	}
 	_ = unix.SetsockoptInt(fds[1], unix.SOL_SOCKET, unix.SO_SNDBUF, 8<<10) // so that large requests are written in parts
 	p := &peer{fd: fds[0]}
-	w.T.Cleanup(p.close)
+	f.tb.Cleanup(p.close)
 	return p, fds[1]
 }
 
 // runOnce runs a single iteration of the loop, with a single step at most.
-func (w *fixture) runOnce() {
-	if err := w.loop.RunOnce(0); err != nil {
-		w.T.Fatal(err)
+func (f *fixture) runOnce() {
+	if err := f.loop.RunOnce(0); err != nil {
+		f.tb.Fatal(err)
 	}
 }
 
 // runIterations lets the loop do all that it can do now.
-func (w *fixture) runIterations() {
+func (f *fixture) runIterations() {
 	for range 4 {
-		w.runOnce()
+		f.runOnce()
 	}
 }
 
 // workerNumber returns the number of the worker that was listed first.
-func (w *fixture) workerNumber() uint64 {
-	for _, event := range w.policy.Received {
+func (f *fixture) workerNumber() uint64 {
+	for _, event := range f.policy.Received {
 		if list, ok := event.(dispatch.WorkerList); ok {
 			return list.Workers[0].ID
 		}
 	}
-	w.T.Fatal("no worker")
+	f.tb.Fatal("no worker")
 	return 0
 }
 
--- a/internal/worker/response.go
+++ b/internal/worker/response.go
@@ -8,10 +8,10 @@
 	"valvecove/internal/requests"
 )
 
-// maxResponseSize is how much of a response is read, with interim ones and with what frames chunks.
+// maxResponseSize is the largest response that is read, in bytes, with its interim responses and the framing of chunks.
 const maxResponseSize = 2 * (http1.MaxHeaderSize + http1.MaxBodySize)
 
-// readResponse reads what has come of the response, and ends the exchange if that is all of it.
+// readResponse reads what was received of the response, and ends the exchange once it is complete.
 func (c *connection) readResponse() {
 	ended, err := c.Fill()
 	if err != nil {
@@ -33,7 +33,8 @@
 	}
 }
 
-// completeExchange takes in a whole response. The connection goes on only to the worker's present process.
+// completeExchange handles a complete response of size bytes. The connection is kept if keepAlive allows it and the worker's
+// process has not been replaced.
 func (c *connection) completeExchange(response *http1.Response, size int, keepAlive bool) {
 	if c.isStrayResponse(response.StatusCode) {
 		c.terminate(errStrayResponse)
@@ -44,17 +45,17 @@
 		return
 	}
 	c.Consume(size)
-	if keepAlive && c.incarnation == c.pool.endpoint(c.endpoint.worker).incarnation {
+	if keepAlive && c.incarnation == c.pool.updateEndpoint(c.endpoint.worker).incarnation {
 		c.becomeIdle()
 		return
 	}
 	c.terminate(nil)
 }
 
-// isStrayResponse reports whether a successful response is a second one to the connection's last exchange: each kind has a
-// status of its own for success. On a new connection any is taken as it is meant.
+// isStrayResponse reports whether a successful response is a second one to the last exchange of the connection: attempts and health
+// checks succeed by different status codes. On a new connection there was no such exchange.
 func (c *connection) isStrayResponse(statusCode int) bool {
-	if c.idleBefore == 0 || statusCode/100 != 2 {
+	if c.idleBefore == 0 || !isSuccess(statusCode) {
 		return false
 	}
 	switch c.exchange.kind {
@@ -67,7 +68,11 @@
 	}
 }
 
-// handleResponse ends the exchange by the response's status. An accepted attempt goes on without the connection.
+// isSuccess reports whether a status code is one of success.
+func isSuccess(statusCode int) bool { return statusCode/100 == 2 }
+
+// handleResponse ends the exchange by the status code of the response. An attempt that was accepted stays in flight, without the
+// connection.
 func (c *connection) handleResponse(response *http1.Response) {
 	failure := c.responseFailure(response)
 	if c.exchange.kind != exchangeAttempt {
@@ -76,8 +81,9 @@
 	}
 	attempt := c.exchange.attempt
 	c.pool.table.ReportResponse(attempt, response.StatusCode)
-	if c.stage < requests.StageWritten && (failure == nil || failure.Reason == requests.ReasonWorkerError) {
-		// The worker never has all of it, as the connection ends with this response: it can't run, whatever the response says.
+	isWorkerError := failure != nil && failure.Reason == requests.ReasonWorkerError
+	if c.stage < requests.StageWritten && (failure == nil || isWorkerError) {
+		// The connection is closed with this response, so the worker never receives the rest and can't execute the attempt.
 		failure = &requests.AttemptError{Stage: c.stage, Reason: requests.ReasonConnectionLost, Cause: errEarlyResponse}
 	}
 	if failure != nil {
@@ -90,10 +96,10 @@
 	c.pool.handleAccepted(attempt)
 }
 
-// responseFailure returns what a response says went wrong; nil: nothing did.
+// responseFailure returns the failure that a response reports, or nil.
 func (c *connection) responseFailure(response *http1.Response) *requests.AttemptError {
 	statusCode := response.StatusCode
-	if statusCode/100 == 2 {
+	if isSuccess(statusCode) {
 		return nil
 	}
 	failure := &requests.AttemptError{
--- a/internal/worker/transfer.go
+++ b/internal/worker/transfer.go
@@ -8,22 +8,24 @@
 	"valvecove/internal/requests"
 )
 
-// ConnectionSnapshot is a connection to a worker as it is handed over.
+// ConnectionSnapshot is a connection as it is transferred to the successor of a hot restart.
 type ConnectionSnapshot struct {
-	hotrestart.WorkerConnection
-	Descriptor int // the connection's own, which it keeps until Relinquish
+	hotrestart.WorkerConnection     // its buffers are those of the connection, valid until the loop's next iteration
+	Descriptor                  int // owned by the pool until Relinquish closes it
 }
 
-// Snapshot returns the connections that are handed over: those that carry an attempt, and idle ones.
+// Snapshot returns the connections that a successor needs: those that carry an attempt, and the idle ones. Nothing changes in the
+// pool. HasWaitingDials must be false, or else the attempts that it reports are missing.
 func (p *Pool) Snapshot() []ConnectionSnapshot {
 	var snapshots []ConnectionSnapshot
 	for _, conn := range p.transferable() {
-		snapshots = append(snapshots, ConnectionSnapshot{conn.transferRecord(), conn.FD()})
+		snapshots = append(snapshots, ConnectionSnapshot{conn.snapshot(), conn.FD()})
 	}
 	return snapshots
 }
 
-// Relinquish closes the connections that Snapshot returns, which a successor owns now. Their attempts do not end here.
+// Relinquish closes this process's descriptors of the connections that Snapshot returned, once a successor owns them. It is called
+// in the same iteration as Snapshot. The attempts do not end.
 func (p *Pool) Relinquish() {
 	for _, conn := range p.transferable() {
 		p.loop.StopTimer(conn.timer)
@@ -33,7 +35,7 @@
 	clear(p.byAttempt)
 }
 
-// transferable returns the connections that are handed over: those that carry an attempt, and idle ones.
+// transferable returns the connections that are transferred to a successor.
 func (p *Pool) transferable() []*connection {
 	var connections []*connection
 	for _, conn := range p.byAttempt {
@@ -47,10 +49,11 @@
 	return connections
 }
 
-func (c *connection) transferRecord() hotrestart.WorkerConnection {
-	record := hotrestart.WorkerConnection{
+// snapshot returns the connection in the form in which it is transferred.
+func (c *connection) snapshot() hotrestart.WorkerConnection {
+	snapshot := hotrestart.WorkerConnection{
 		WorkerID:   c.endpoint.id,
-		State:      c.transferredState(),
+		State:      transferredState(c.state),
 		Stage:      c.stage,
 		Input:      c.Input(),
 		Output:     c.Output(),
@@ -58,36 +61,49 @@
 		IdleSince:  c.idleSince,
 	}
 	if attempt := c.exchange.attempt; c.exchange.kind == exchangeAttempt && attempt != nil {
-		record.RequestID, record.Attempt = attempt.Request.ID, attempt.Number
+		snapshot.RequestID = attempt.Request.ID
+		snapshot.Attempt = attempt.Number
 	}
-	return record
+	return snapshot
 }
 
-// transferredState is the connection's state as it is handed over. Whoever goes on with one that holds its attempt looks anew
-// at whether anybody waits for it.
-func (c *connection) transferredState() hotrestart.WorkerConnectionState {
-	if c.state == stateHolding {
+// transferredState returns the state that a connection is transferred with. A successor asks again whether the write of an attempt
+// is delayed, so such a connection is transferred as one that is not up yet.
+func transferredState(state connectionState) hotrestart.WorkerConnectionState {
+	switch state {
+	case stateIdle:
+		return hotrestart.WorkerIdle
+	case stateAwaitingResponse:
+		return hotrestart.WorkerAwaitingResponse
+	default:
 		return hotrestart.WorkerConnecting
 	}
-	return transferredStates[c.state]
 }
 
-// transferredStates are the states of connections as they are handed over.
-var transferredStates = map[connectionState]hotrestart.WorkerConnectionState{
-	stateConnecting:       hotrestart.WorkerConnecting,
-	stateIdle:             hotrestart.WorkerIdle,
-	stateAwaitingResponse: hotrestart.WorkerAwaitingResponse,
+// restoredState returns the state of a connection that was transferred with a state.
+func restoredState(state hotrestart.WorkerConnectionState) connectionState {
+	switch state {
+	case hotrestart.WorkerConnecting:
+		return stateConnecting
+	case hotrestart.WorkerIdle:
+		return stateIdle
+	default:
+		return stateAwaitingResponse
+	}
 }
 
-// Restore goes on with a connection to a worker; one that is of no use any more is closed.
+// Restore adds a connection that a predecessor has transferred, and resumes its attempt. The pool owns the descriptor, and closes it
+// if the worker is unknown or the attempt is no longer in flight. The table must have its requests already. An attempt whose
+// connection can't be restored ends as lost.
 func (p *Pool) Restore(received hotrestart.ReceivedWorkerConnection) {
-	worker, known := p.table.WorkerNumber(received.WorkerID)
+	worker, isKnown := p.table.WorkerNumber(received.WorkerID)
 	attempt := p.table.InFlightAttempt(received.RequestID, received.Attempt)
-	if !known || received.State != hotrestart.WorkerIdle && attempt == nil {
+	isUsable := received.State == hotrestart.WorkerIdle || attempt != nil
+	if !isKnown || !isUsable {
 		_ = p.loop.Syscalls().Close(received.Descriptor)
 		return
 	}
-	endpoint := p.endpoint(worker)
+	endpoint := p.updateEndpoint(worker)
 	conn := &connection{
 		pool:        p,
 		endpoint:    endpoint,
@@ -98,12 +114,7 @@
 		idleBefore:  received.IdleBefore,
 		idleSince:   received.IdleSince,
 	}
-	events := uint32(eventloop.StreamEvents)
-	if conn.state == stateConnecting {
-		events |= unix.EPOLLOUT
-	}
-	var err error
-	if conn.Stream, err = p.loop.OpenStream(received.Descriptor, events, conn); err != nil {
+	if err := conn.openTransferred(received.Descriptor); err != nil {
 		_ = p.loop.Syscalls().Close(received.Descriptor)
 		if attempt != nil {
 			lost := &requests.AttemptError{Stage: received.Stage, Reason: requests.ReasonConnectionLost, Cause: err}
@@ -117,31 +128,37 @@
 		p.addIdle(conn)
 		return
 	}
-	conn.restoreAttempt(attempt)
+	conn.resumeAttempt(attempt)
 }
 
-func (c *connection) restoreAttempt(attempt *requests.Attempt) {
-	c.exchange = exchange{kind: exchangeAttempt, attempt: attempt, begunAt: c.pool.loop.Now()}
-	c.pool.byAttempt[attempt] = c
+// openTransferred adds the socket of a transferred connection to the loop. On an error the caller owns the socket.
+func (c *connection) openTransferred(socket int) error {
+	events := uint32(eventloop.StreamEvents)
 	if c.state == stateConnecting {
-		c.setTimeout(c.pool.connectTimeout)
-		return
+		events |= unix.EPOLLOUT
 	}
-	if c.stage < requests.StageWritten { // what the worker was told of the time is older than is known here
-		c.writeUntil = c.pool.loop.Clock() + smallWriteTimeout
-		c.setTimeout(smallWriteTimeout)
-	} else {
-		c.setTimeout(attempt.At - c.pool.loop.Now() + responseGrace)
+	stream, err := c.pool.loop.OpenStream(socket, events, c)
+	if err != nil {
+		return err
 	}
-	c.UpdateEvents()
+	c.Stream = stream
+	return nil
 }
 
-// restoredState is the reverse of transferredStates.
-func restoredState(state hotrestart.WorkerConnectionState) connectionState {
-	for restored, transferred := range transferredStates {
-		if transferred == state {
-			return restored
-		}
+// resumeAttempt continues the attempt of a transferred connection.
+func (c *connection) resumeAttempt(attempt *requests.Attempt) {
+	loop := c.pool.loop
+	c.exchange = exchange{kind: exchangeAttempt, attempt: attempt, startedAt: loop.Now()}
+	c.pool.byAttempt[attempt] = c
+	switch {
+	case c.state == stateConnecting:
+		c.setTimeout(c.pool.connectTimeout)
+		return
+	case c.stage < requests.StageWritten: // the deadline for the rest of the request is not transferred
+		c.writeDeadline = loop.Clock() + smallWriteTimeout
+		c.setTimeout(smallWriteTimeout)
+	default:
+		c.setTimeout(attempt.At - loop.Now() + responseGrace)
 	}
-	return stateAwaitingResponse
+	c.UpdateEvents()
 }
