--- /dev/null
+++ b/internal/worker/delay_test.go
@@ -0,0 +1,62 @@
+package worker
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/requests"
+)
+
+// An attempt whose write is delayed is written after the delay, unless it is delayed again.
+func TestDelayedAttemptIsWrittenAfterTheDelay(t *testing.T) {
+	const delay = 10 * time.Millisecond
+	f := newFixture(t)
+	delays := []time.Duration{delay, delay, 0}
+	f.writeDelay = func(*requests.Attempt) time.Duration {
+		next := delays[0]
+		delays = delays[1:]
+		return next
+	}
+	request := f.sendAttempt(0)
+	remote := f.dialed[0]
+	for range 2 {
+		f.now += delay - time.Millisecond
+		f.runIterations()
+		if remote.read(1 << 12); len(remote.received) > 0 {
+			t.Fatalf("%q was written too early", remote.received)
+		}
+		f.now += time.Millisecond
+		f.runIterations()
+	}
+	if remote.read(1 << 12); !strings.HasPrefix(string(remote.received), "POST /a ") || len(delays) > 0 {
+		t.Errorf("the worker got %q, %d delays are left", remote.received, len(delays))
+	}
+	f.expect("written", request)
+}
+
+// An attempt whose client turns out to have disconnected right before the write is not written.
+func TestAttemptEndedBeforeTheWriteIsNotWritten(t *testing.T) {
+	f := newFixture(t)
+	f.writeDelay = func(attempt *requests.Attempt) time.Duration {
+		f.table.ClientDisconnected(attempt.Request)
+		return 0
+	}
+	f.sendAttempt(0)
+	if remote := f.dialed[0]; f.pool.openCount != 0 || len(f.pool.byAttempt) != 0 {
+		t.Error("the connection is still open")
+	} else if remote.read(1 << 12); len(remote.received) > 0 || !remote.ended {
+		t.Errorf("%q was written, closed %v", remote.received, remote.ended)
+	}
+}
+
+// A connection that ends while the write is delayed ends its attempt as not executed.
+func TestConnectionEndsDuringTheDelay(t *testing.T) {
+	f := newFixture(t)
+	f.writeDelay = func(*requests.Attempt) time.Duration { return time.Second }
+	request := f.sendAttempt(0)
+	f.dialed[0].close()
+	f.runIterations()
+	f.expect("lost before the write", request, dispatch.ConnectFailed)
+}
--- /dev/null
+++ b/internal/worker/transfer_test.go
@@ -0,0 +1,65 @@
+package worker
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/dispatch"
+	"valvecove/internal/hotrestart"
+)
+
+// transferIdle opens an idle connection in a predecessor, and returns what a successor receives of it.
+func transferIdle(t *testing.T) (remote *peer, received hotrestart.ReceivedWorkerConnection) {
+	t.Helper()
+	predecessor := newFixture(t)
+	predecessor.runActions(dispatch.HealthCheck{Worker: predecessor.workerNumber()})
+	remote = predecessor.dialed[0]
+	remote.read(1 << 12)
+	remote.received = nil
+	remote.write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+	predecessor.runIterations()
+	snapshots := predecessor.pool.Snapshot()
+	if len(snapshots) != 1 || snapshots[0].State != hotrestart.WorkerIdle {
+		t.Fatalf("transferred: %+v", snapshots)
+	}
+	descriptor, err := unix.Dup(snapshots[0].Descriptor)
+	if err != nil {
+		t.Fatal(err)
+	}
+	predecessor.pool.Relinquish()
+	return remote, hotrestart.ReceivedWorkerConnection{WorkerConnection: snapshots[0].WorkerConnection, Descriptor: descriptor}
+}
+
+// An idle connection survives a hot restart, and is reused by the successor.
+func TestRestoredIdleConnectionIsReused(t *testing.T) {
+	remote, received := transferIdle(t)
+	successor := newFixture(t)
+	successor.pool.Restore(received)
+	successor.now += time.Millisecond
+	successor.runActions(dispatch.HealthCheck{Worker: successor.workerNumber()})
+	if remote.read(1 << 12); len(remote.received) == 0 || len(successor.dialed) != 0 {
+		t.Errorf("the worker got %q, %d connections were opened", remote.received, len(successor.dialed))
+	}
+}
+
+// A connection that the successor has no use for is closed: its worker was never listed, or its attempt has ended.
+func TestUnusableTransferredConnectionIsClosed(t *testing.T) {
+	for name, change := range map[string]func(*hotrestart.WorkerConnection){
+		"unknown worker":  func(c *hotrestart.WorkerConnection) { c.WorkerID = "s-9" },
+		"unknown attempt": func(c *hotrestart.WorkerConnection) { c.State = hotrestart.WorkerAwaitingResponse },
+	} {
+		t.Run(name, func(t *testing.T) {
+			remote, received := transferIdle(t)
+			change(&received.WorkerConnection)
+			successor := newFixture(t)
+			successor.pool.Restore(received)
+			_, err := unix.FcntlInt(uintptr(received.Descriptor), unix.F_GETFD, 0)
+			if remote.read(1 << 12); !errors.Is(err, unix.EBADF) || !remote.ended || successor.pool.openCount != 0 {
+				t.Errorf("closed %v (%v), %d connections", remote.ended, err, successor.pool.openCount)
+			}
+		})
+	}
+}
