--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -38,9 +38,9 @@
 	promoteAt    time.Duration // when it has been queued for tau
 	skipCount    int           // dispatch cycles that ended because it and others fitted no worker
 
-	leases       []*leaseInfo // that it waits for
-	refused      []uint64     // workers whose slots were granted and can't be used
-	withoutLease bool         // it leaves the queue without one
+	leases          []*leaseInfo // that it waits for
+	unusableWorkers []uint64     // workers whose slots were granted and can't be used
+	withoutLease    bool         // it leaves the queue without one
 
 	warmUpDraw     float64       // above 0 and up to 1, for the lottery of warming workers; 0: not drawn yet
 	checksUntil    time.Duration // workers checked for it should have answered by then
