--- /dev/null
+++ b/internal/discovery/watch/connection.go
@@ -0,0 +1,226 @@
+// Package watch is the HTTP connection on which the discovery service sends the changes of the endpoint list.
+//
+// It carries out what the state machine of package discovery decides (when to connect, when to give up a connection), parses
+// the response and passes each watch event to the request table. It keeps no endpoint list itself. A Connection is used on the
+// goroutine of its event loop only.
+package watch
+
+import (
+	"errors"
+	"log/slog"
+	"net/netip"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/internal/discovery"
+	"valvecove/internal/eventloop"
+	"valvecove/internal/http1"
+	"valvecove/internal/requests"
+)
+
+// Reasons for the end of a connection. Errors of the network and of the parsers are logged as they are.
+var (
+	errTimedOut = errors.New("nothing received in time")
+	errClosed   = errors.New("closed by the discovery service")
+	errRejected = errors.New("watch rejected")
+	errPanicked = errors.New("panic")
+)
+
+// EndpointTable is what the watch needs of the request table. *requests.Table implements it.
+type EndpointTable interface {
+	// Revision returns the revision of the current endpoint list.
+	Revision() int64
+	// ResetRevision forgets the revision: the next list is accepted whatever its revision is.
+	ResetRevision()
+	// UpdateEndpoints applies a watch event.
+	UpdateEndpoints(list requests.EndpointList)
+	// DiscoveryFailed reports that a connection was lost or could not be opened.
+	DiscoveryFailed()
+}
+
+// Config configures a Connection.
+type Config struct {
+	Server    netip.AddrPort // of the discovery service
+	Discovery discovery.Config
+	Random    func(n int64) int64 // returns a random number in [0, n)
+	Table     EndpointTable
+	Log       *slog.Logger
+
+	// Dial starts a non-blocking connection. The caller owns the descriptor.
+	Dial func(address netip.AddrPort) (descriptor int, err error)
+}
+
+// Connection watches the endpoint list of one server at a time. It reconnects whenever its state machine asks for it, until Stop.
+type Connection struct {
+	eventloop.Stream // closed unless the state machine's state is open
+
+	loop    *eventloop.Loop
+	config  Config
+	server  netip.AddrPort
+	machine *discovery.Watch
+	timer   *eventloop.Timer // for the state machine's next deadline
+
+	requestedRevision int64 // the list of this connection follows this revision
+	isStreaming       bool  // the response header was read
+	hasReceivedEvent  bool  // since the connection was opened
+	response          http1.Response
+	body              http1.ChunkDecoder
+	scanner           discovery.EventScanner
+
+	lastLineAt     time.Duration // when a line was last received, on any connection; 0: never
+	previousLineAt time.Duration // the latest time before lastLineAt at which one was; 0: never
+}
+
+// New returns a connection that is not open yet, and for which none is planned.
+func New(loop *eventloop.Loop, config Config) *Connection {
+	return &Connection{
+		loop:    loop,
+		config:  config,
+		server:  config.Server,
+		machine: discovery.New(config.Discovery, config.Random, loop.Now()),
+	}
+}
+
+// Start plans the first connection of the process. hasList reports that the process has a list to serve with until then.
+func (c *Connection) Start(hasList bool) {
+	c.machine.Start(c.loop.Now(), hasList)
+	c.resetTimer()
+}
+
+// Restart opens a connection at once, unless one is open or planned.
+func (c *Connection) Restart() {
+	c.loop.Protect(c, func() {
+		c.machine.Restart(c.loop.Now())
+		c.runAction()
+	})
+}
+
+// Stop closes the connection and plans no other.
+func (c *Connection) Stop() {
+	c.Close()
+	c.machine.Stop()
+	c.resetTimer()
+}
+
+// ChangeServer watches the list of another server from now on. The connection to the previous server is closed at once, so that
+// neither its end nor later input is attributed to the new one. Revisions of the two servers are unrelated, so the new server is
+// asked from revision 0 on, for its whole list.
+func (c *Connection) ChangeServer(server netip.AddrPort) {
+	c.server = server
+	c.config.Table.ResetRevision()
+	c.loop.Protect(c, func() {
+		c.Close()
+		c.machine.ChangeServer(c.loop.Now())
+		c.runAction()
+	})
+}
+
+// Server returns the address of the server whose list is watched.
+func (c *Connection) Server() netip.AddrPort { return c.server }
+
+// IsOpen reports whether there is a connection, which may not be established yet.
+func (c *Connection) IsOpen() bool { return c.machine.State().IsOpen() }
+
+// HasReceivedEvent reports whether an event was received since the last connection was opened.
+func (c *Connection) HasReceivedEvent() bool { return c.hasReceivedEvent }
+
+// InitialWait returns how long a new process should wait for its first list.
+func (c *Connection) InitialWait() time.Duration { return c.machine.InitialWait() }
+
+// resetTimer sets the timer to the state machine's next deadline.
+func (c *Connection) resetTimer() {
+	c.loop.StopTimer(c.timer)
+	if at, ok := c.machine.NextDeadline(); ok {
+		c.timer = c.loop.StartTimer(at-c.loop.Now(), c, c.runAction)
+	}
+}
+
+// runAction carries out what the state machine has due.
+func (c *Connection) runAction() {
+	switch c.machine.NextAction(c.loop.Now()) {
+	case discovery.ActionConnect:
+		c.connect()
+	case discovery.ActionAbort:
+		c.end(errTimedOut)
+	case discovery.ActionNone:
+		c.resetTimer()
+	}
+}
+
+// connect opens a connection, for the changes since the current list.
+func (c *Connection) connect() {
+	c.machine.Connect(c.loop.Now())
+	c.resetTimer()
+	c.requestedRevision = c.config.Table.Revision()
+	c.isStreaming = false
+	c.hasReceivedEvent = false
+	c.body = http1.ChunkDecoder{}
+	c.scanner = discovery.EventScanner{}
+	if err := c.dial(); err != nil {
+		c.Stream = eventloop.Stream{}
+		c.end(err)
+	}
+}
+
+func (c *Connection) dial() error {
+	descriptor, err := c.config.Dial(c.server)
+	if err != nil {
+		return err
+	}
+	c.Stream, err = c.loop.OpenStream(descriptor, eventloop.StreamEvents|unix.EPOLLOUT, c)
+	if err != nil {
+		_ = c.loop.Syscalls().Close(descriptor)
+	}
+	return err
+}
+
+// end closes the connection and plans the next one.
+func (c *Connection) end(reason error) {
+	if !c.IsOpen() {
+		return
+	}
+	c.Close()
+	now := c.loop.Now()
+	staleAt := c.machine.StalenessDeadline()
+	c.machine.Ended(now, errors.Is(reason, errTimedOut))
+	c.resetTimer()
+	retryAt, _ := c.machine.NextDeadline()
+	c.config.Log.Warn("watch lost", "discovery", c.server.String(), "error", reason, "stale_in", staleAt-now, "retry_in", retryAt-now)
+	c.config.Table.DiscoveryFailed()
+}
+
+// HandlePanic ends the connection.
+func (c *Connection) HandlePanic() {
+	c.end(errPanicked)
+	c.resetTimer()
+}
+
+// HandleEvents sends the request and reads the response.
+func (c *Connection) HandleEvents(events uint32) {
+	if err := c.handleEvents(events); err != nil {
+		c.end(err)
+	}
+}
+
+func (c *Connection) handleEvents(events uint32) error {
+	if c.machine.State() == discovery.Connecting {
+		return c.completeConnect(events)
+	}
+	if events&unix.EPOLLOUT != 0 {
+		if err := c.Flush(); err != nil {
+			return err
+		}
+	}
+	hasEnded, err := c.Fill()
+	if err != nil {
+		return err
+	}
+	if err := c.readResponse(); err != nil {
+		return err
+	}
+	if hasEnded {
+		return errClosed
+	}
+	return nil
+}
--- a/internal/link/discovery_watch_model_test.go
+++ b/internal/discovery/watch/model_test.go
@@ -1,4 +1,4 @@
-package link
+package watch
 
 import (
 	"fmt"
@@ -8,14 +8,14 @@
 	"time"
 
 	"valvecove/dispatch"
-	"valvecove/internal/config"
+	"valvecove/internal/discovery"
 	"valvecove/internal/modeltest"
 )
 
 // watchModel is a discovery service that one loop watches, and what it has sent.
 type watchModel struct {
-	*harness
-	server  *peer
+	*fixture
+	server  *server
 	unsent  string
 	sent    []int // revisions of the events sent or to be sent, and not checked yet
 	lost    bool  // the watch has been broken
@@ -23,13 +23,13 @@
 }
 
 func newWatchModel(choices *modeltest.Steps) *watchModel {
-	model := &watchModel{harness: newHarness(choices), unsent: watchResponse}
+	model := &watchModel{fixture: newFixture(choices, discovery.Config{PollInterval: 10 * time.Second}, minRandom), unsent: watchResponse}
 	model.policy.Next = append(model.policy.Next, dispatch.Subscribe{})
-	model.loop.Requests.DiscoveryFailed()
-	model.runIterations()
+	model.table.DiscoveryFailed()
+	model.RunIterations()
 	model.server = model.dialed[0]
-	model.server.read(1 << 12)
-	request := model.server.received
+	model.server.Read(1 << 12)
+	request := model.server.Received
 	model.Check(strings.HasPrefix(string(request), "GET /discovery/hosts?stream=1&index=0 "), "requested %q", request)
 	model.ignored = len(model.policy.Received)
 	return model
@@ -51,8 +51,8 @@
 	case 6:
 		m.changeServer()
 	}
-	m.now += time.Millisecond
-	m.runIterations()
+	m.Time += time.Millisecond
+	m.RunIterations()
 }
 
 // queueEvent has the next event sent, in two chunks.
@@ -69,53 +69,53 @@
 
 // sendAll sends all and an empty line: while lines come in time, a watch lives on.
 func (m *watchModel) sendAll() {
-	m.server.write([]byte(m.unsent + chunk("\n")))
+	m.server.Write([]byte(m.unsent + chunk("\n")))
 	m.unsent = ""
-	m.runIterations()
-	m.now += 2 * time.Second
+	m.RunIterations()
+	m.Time += 2 * time.Second
 }
 
 func (m *watchModel) sendPart() {
 	size := min(len(m.unsent), m.Pick(90))
-	m.server.write([]byte(m.unsent[:size]))
+	m.server.Write([]byte(m.unsent[:size]))
 	m.unsent = m.unsent[size:]
 }
 
 // breakWatch ends the watch by silence, by the end of the connection, or by what can't be read.
 func (m *watchModel) breakWatch() {
-	m.server.write([]byte(m.unsent))
+	m.server.Write([]byte(m.unsent))
 	m.unsent = ""
-	m.runIterations()
+	m.RunIterations()
 	switch m.Pick(3) {
 	case 0:
-		m.server.write([]byte(chunk("\n")))
-		m.runIterations()
-		m.now += 3 * time.Second // a line is due every 2 s
+		m.server.Write([]byte(chunk("\n")))
+		m.RunIterations()
+		m.Time += 3 * time.Second // a line is due every 2 s
 	case 1:
-		m.server.close()
+		m.server.Close()
 	default:
-		m.server.write([]byte(chunk("}") + chunk("\n"))) // a brace that opens might be an indented list
+		m.server.Write([]byte(chunk("}") + chunk("\n"))) // a brace that opens might be an indented list
 	}
 }
 
 // changeServer has another service watched: whatever the one before still does or sends is not the new one's.
 func (m *watchModel) changeServer() {
-	m.server.write([]byte(m.unsent))
-	m.runIterations()
+	m.server.Write([]byte(m.unsent))
+	m.RunIterations()
 	previous := m.server
 	address := netip.AddrPortFrom(netip.IPv4Unspecified(), uint16(len(m.dialed)))
-	m.loop.Reload(config.Config{Discovery: address, Limits: config.Limits{Sockets: 100}})
-	previous.write([]byte(chunk("{") + chunk("\n")))
+	m.watch.ChangeServer(address)
+	previous.Write([]byte(chunk("{") + chunk("\n")))
 	if m.Pick(2) == 0 {
-		previous.close()
+		previous.Close()
 	}
-	m.runIterations()
+	m.RunIterations()
 	m.server = m.dialed[len(m.dialed)-1]
-	m.server.read(1 << 12)
-	previous.read(1 << 12)
-	m.Check(m.server != previous && m.server.dialedAddress == address && strings.Contains(string(m.server.received), "&index=0 "),
-		"moved to %v, requested %q", m.server.dialedAddress, m.server.received)
-	m.Check(previous.closed || previous.ended, "the connection to the previous server goes on")
+	m.server.Read(1 << 12)
+	previous.Read(1 << 12)
+	m.Check(m.server != previous && m.server.address == address && strings.Contains(string(m.server.Received), "&index=0 "),
+		"moved to %v, requested %q", m.server.address, m.server.Received)
+	m.Check(previous.Closed || previous.Ended, "the connection to the previous server goes on")
 	m.unsent = watchResponse
 }
 
@@ -130,7 +130,7 @@
 			continue
 		}
 		m.Check(len(unseen) > 0, "an update that was not sent")
-		if m.loop.Requests.Endpoint(list.Workers[0].ID).ID == fmt.Sprint("s-", unseen[0]) {
+		if m.table.Endpoint(list.Workers[0].ID).ID == fmt.Sprint("s-", unseen[0]) {
 			unseen = unseen[1:]
 		}
 	}
@@ -145,8 +145,8 @@
 		for choices.More() && !model.lost {
 			model.step()
 		}
-		model.server.write([]byte(model.unsent))
-		model.runIterations()
+		model.server.Write([]byte(model.unsent))
+		model.RunIterations()
 		model.check()
 	})
 }
--- a/internal/link/generated_settings_test.go
+++ b/internal/link/generated_settings_test.go
@@ -20,7 +20,6 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/internal/discovery"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
 	"valvecove/internal/modeltest"
@@ -265,18 +264,15 @@
 	servers, clients := splitDescriptors(c.Limits.Sockets, 0)
 	l.limits, l.onWake = c.Limits, func() {}
 	l.openWorkerPool(servers, c.Settings.ConnectTimeout, c.Settings.ConnIdleTimeout)
-	l.watch = l.newWatchConnection(c.Discovery, discovery.Config{
-		PollInterval: c.Settings.PollInterval, Pushed: !c.Settings.MustSubscribe,
-		Schedulers: c.Settings.Replicas,
-	}, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
 	l.Requests = requests.New(c.Settings.AttemptLimit, c.Settings.Names, func() requests.Policy { return dispatch.New(c.Settings.Settings, c.Seed) },
 		c.KnownEndpoints, transport{l.workers, l}, log)
 	l.workers.SetTable(l.Requests)
+	l.prepareWatch(c, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
 	l.openClientListener(clients, bufferBudget(c.Limits), &c.Settings.Settings, c.Settings.Names)
 	if d.faults != nil {
 		d.faults.listenForClients(l)
 	}
-	l.watch.start(len(c.KnownEndpoints.Endpoints) > 0)
+	l.watch.Start(len(c.KnownEndpoints.Endpoints) > 0)
 	d.T.Cleanup(l.CloseDescriptors)
 	for range 2 {
 		d.callbackPeers = append(d.callbackPeers, d.connect())
--- a/internal/link/harness_test.go
+++ b/internal/link/harness_test.go
@@ -10,7 +10,6 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/config"
-	"valvecove/internal/discovery"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
@@ -54,11 +53,12 @@
 	}
 	names := requests.NameTable{Classes: []string{"a"}, Tenants: []string{"t"}}
 	l.openWorkerPool(50, 250*time.Millisecond, time.Minute)
-	l.watch = l.newWatchConnection(netip.AddrPort{}, discovery.Config{PollInterval: 10 * time.Second}, func(int64) int64 { return 0 })
 	l.Requests = requests.New(6, names, func() requests.Policy { return w.policy }, requests.EndpointList{Endpoints: []requests.Endpoint{
 		{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
 	}}, transport{l.workers, l}, silent)
 	l.workers.SetTable(l.Requests)
+	watched := config.Settings{Settings: dispatch.Settings{PollInterval: 10 * time.Second, MustSubscribe: true}}
+	l.prepareWatch(config.Config{Settings: watched}, func(int64) int64 { return 0 })
 	l.openClientListener(50, 1<<20, &dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: 5 * time.Second}}}, names)
 	l.onWake = func() {}
 	l.limits = config.Limits{Sockets: 1024, MemoryMB: 64}
--- a/internal/link/hotrestart_fuzz_test.go
+++ b/internal/link/hotrestart_fuzz_test.go
@@ -168,7 +168,7 @@
 	cordoned := m.loop.Requests.Cordoned()
 	m.Check((len(cordoned) == 1) == m.cordoned, "cordoned %v", cordoned)
 	for _, connection := range m.dialed {
-		if connection.dialedAddress != m.loop.watch.server { // a process that takes over connects to discovery too
+		if connection.dialedAddress != m.loop.watch.Server() { // a process that takes over connects to discovery too
 			m.workers = append(m.workers, connection)
 		}
 	}
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -287,7 +287,7 @@
 		delete(l.clients.connections, client)
 	}
 	l.workers.Relinquish()
-	l.watch.stop()
+	l.watch.Stop()
 	l.clients.acceptor.Close()
 	l.predecessorRole.acceptor.Close()
 	if l.peers != nil {
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -84,7 +84,7 @@
 	case hotrestart.SuccessorJoining:
 		return "the process to be replaced has not answered"
 	case hotrestart.SuccessorStandby:
-		if !r.loop.watch.receivedEvent && r.loop.Now()-r.startedAt < endpointListTimeout {
+		if !r.loop.watch.HasReceivedEvent() && r.loop.Now()-r.startedAt < endpointListTimeout {
 			return "no word from discovery yet"
 		}
 	}
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -316,11 +316,11 @@
 		predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 		predecessor.loop.clients.settings.MustSubscribe = true // a successor has its predecessor's settings
 		successor := predecessor.startSuccessor(dir, address)
-		if !successor.loop.watch.isOpen() {
+		if !successor.loop.watch.IsOpen() {
 			t.Error("it stands by without a watch")
 		}
 		if lost {
-			successor.loop.watch.stop()
+			successor.loop.watch.Stop()
 		}
 		// Both are told to read their configuration, which names another discovery and other limits.
 		conf := config.Config{Discovery: netip.MustParseAddrPort("127.0.0.1:8"), Limits: config.Limits{Sockets: 512, MemoryMB: 64}}
@@ -329,8 +329,8 @@
 		half := successor.loop.clients.maxConnections
 		err := predecessor.handOverTo(successor)
 		watch := successor.loop.watch
-		if err != nil || !watch.isOpen() || watch.server != conf.Discovery || successor.loop.clients.maxConnections < 2*half {
-			t.Errorf("lost %v: %v, watched %v at %v, %d client connections, %d before", lost, err, watch.isOpen(), watch.server,
+		if err != nil || !watch.IsOpen() || watch.Server() != conf.Discovery || successor.loop.clients.maxConnections < 2*half {
+			t.Errorf("lost %v: %v, watched %v at %v, %d client connections, %d before", lost, err, watch.IsOpen(), watch.Server(),
 				successor.loop.clients.maxConnections, half)
 		}
 	}
--- a/internal/link/lifecycle.go
+++ b/internal/link/lifecycle.go
@@ -22,8 +22,8 @@
 func (l *Loop) Reload(c config.Config) {
 	l.limits = c.Limits
 	l.shareLimits(l.sharesLimits)
-	if c.Discovery != l.watch.server {
-		l.watch.changeServer(c.Discovery)
+	if c.Discovery != l.watch.Server() {
+		l.watch.ChangeServer(c.Discovery)
 	}
 }
 
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -17,6 +17,7 @@
 	"valvecove/internal/capture"
 	"valvecove/internal/clock"
 	"valvecove/internal/config"
+	"valvecove/internal/discovery/watch"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/filesystem"
 	"valvecove/internal/gossip/socket"
@@ -40,11 +41,10 @@
 	monotonic   func() time.Duration // the clock that all processes of the machine share
 	writeBuffer []byte               // what is being written
 	request     http1.Request        // that was parsed last
-	response    http1.Response       // that was parsed last
 
 	clients      *clientListener
 	workers      *workerPool
-	watch        *watchConnection
+	watch        *watch.Connection
 	operators    *operatorListener    // nil: off
 	status       *statusListener      // nil: off
 	metrics      *push.Pusher         // nil: off
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -16,6 +16,7 @@
 	"valvecove/internal/clock"
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
+	"valvecove/internal/discovery/watch"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/gossip/socket"
 	"valvecove/internal/hotrestart"
@@ -26,7 +27,7 @@
 	"valvecove/internal/status"
 )
 
-// watchSeed keeps the random backoffs of the watch apart from what else is drawn from a scheduler's seed.
+// watchSeed separates the random backoffs of the watch from the other random numbers of a scheduler's seed.
 const watchSeed = 0x66726573
 
 // Open returns a loop that listens and is ready to run, with the features that are on. metricTargets are targets of metrics
@@ -66,10 +67,10 @@
 	l.featureDescriptors = countFeatureDescriptors(conf, ops)
 	workers, clients := splitDescriptors(conf.Limits.Sockets, l.featureDescriptors)
 	l.openWorkerPool(workers, conf.Settings.ConnectTimeout, conf.Settings.ConnIdleTimeout)
-	l.openWatch(conf)
 	if err := l.openRequestTable(conf, ops, log); err != nil {
 		return err
 	}
+	l.prepareWatch(conf, rand.New(rand.NewPCG(conf.Seed, watchSeed)).Int64N)
 	l.preparePeerSocket(conf)
 	l.openClientListener(clients, bufferBudget(conf.Limits), &conf.Settings.Settings, conf.Settings.Names)
 	if err := l.listenOrJoin(conf); err != nil {
@@ -80,8 +81,8 @@
 		return err
 	}
 	l.UpdateNow() // a start may take a while
-	l.watch.start(len(conf.KnownEndpoints.Endpoints) > 0)
-	if wait := l.watch.machine.InitialWait(); wait > 0 && l.Requests.HasReadyWorker() {
+	l.watch.Start(len(conf.KnownEndpoints.Endpoints) > 0)
+	if wait := l.watch.InitialWait(); wait > 0 && l.Requests.HasReadyWorker() {
 		l.Requests.AwaitEndpoints(l.Now() + wait)
 	}
 	return nil
@@ -100,15 +101,31 @@
 	})
 }
 
-func (l *Loop) openWatch(conf config.Config) {
-	watch := discovery.Config{
-		PollInterval: conf.Settings.PollInterval,
-		Pushed:       !conf.Settings.MustSubscribe,
-		Schedulers:   conf.Settings.Replicas,
-	}
-	l.watch = l.newWatchConnection(conf.Discovery, watch, rand.New(rand.NewPCG(conf.Seed, watchSeed)).Int64N)
+// prepareWatch makes the watch of the endpoint list, without a connection. random returns a random number in [0, n).
+func (l *Loop) prepareWatch(conf config.Config, random func(n int64) int64) {
+	l.watch = watch.New(l.Loop, watch.Config{
+		Server: conf.Discovery,
+		Discovery: discovery.Config{
+			PollInterval: conf.Settings.PollInterval,
+			Pushed:       !conf.Settings.MustSubscribe,
+			Schedulers:   conf.Settings.Replicas,
+		},
+		Random: random,
+		Table:  l.Requests,
+		Log:    l.log,
+		Dial:   func(address netip.AddrPort) (descriptor int, err error) { return l.dial(address) },
+	})
 }
 
+// transport is what the request table reaches workers and discovery by.
+type transport struct {
+	*workerPool
+	loop *Loop
+}
+
+// Watch watches the endpoint list from now on. A connection that is planned or open is kept.
+func (t transport) Watch(int64) { t.loop.watch.Restart() }
+
 // openRequestTable makes the request table with the policy that decides.
 func (l *Loop) openRequestTable(conf config.Config, ops config.Ops, log *logging.Factory) (err error) {
 	decisionLog := log.NewLogger()
--- a/internal/link/transfer_fault_test.go
+++ b/internal/link/transfer_fault_test.go
@@ -64,29 +64,6 @@
 	}
 }
 
-// A watch that breaks is opened anew, whatever the errno.
-func TestWatchBreaksWithAnyErrno(t *testing.T) {
-	for _, errno := range connectionErrnos {
-		w := newHarness(&modeltest.Steps{T: t})
-		w.loop.Requests.WatchEndpoints()
-		w.runIterations()
-		if !w.loop.watch.isOpen() || len(w.dialed) != 1 {
-			t.Fatalf("%d connections", len(w.dialed))
-		}
-		w.failTransfers(w.loop.watch.FD(), errno)
-		w.dialed[0].write([]byte("HTTP/1.1 200"))
-		w.runIterations()
-		if w.loop.watch.isOpen() {
-			t.Errorf("%v: still open", errno)
-		}
-		w.loop.Syscalls().Interceptor = nil
-		w.now += time.Minute
-		if w.runIterations(); !w.loop.watch.isOpen() || len(w.dialed) != 2 {
-			t.Errorf("%v: not opened anew", errno)
-		}
-	}
-}
-
 // What a machine without memory writes late tells the worker the time that is left then, and is no mark against it.
 func TestRequestWrittenLateTellsTheTimeLeft(t *testing.T) {
 	const late = 120 * time.Millisecond
@@ -193,26 +170,6 @@
 	}
 }
 
-// A watch that can't be opened for what this machine lacks is opened later, and serving goes on.
-func TestWatchIsOpenedOnceItCanBe(t *testing.T) {
-	for _, shortage := range localShortages {
-		w := newAttemptHarness(t)
-		w.failDials(2, shortage.call, shortage.errno)
-		w.loop.Requests.WatchEndpoints()
-		w.runIterations()
-		if len(w.dialed) != 0 || w.loop.watch.isOpen() {
-			t.Fatalf("%v: opened", shortage.errno)
-		}
-		for range 60 {
-			w.now += time.Second
-			w.runIterations()
-		}
-		if len(w.dialed) == 0 {
-			t.Errorf("%v: not opened later", shortage.errno)
-		}
-	}
-}
-
 // The rest of a request that was made for one write is written in what the time that its worker was given has to spare, or never;
 // it was not whole then, and says nothing about the worker.
 func TestRequestPartlyWrittenEndsInTime(t *testing.T) {
