--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -25,6 +25,7 @@
 	"valvecove/internal/http1"
 	"valvecove/internal/metrics/push"
 	"valvecove/internal/requests"
+	"valvecove/internal/worker"
 )
 
 // Loop is the event loop of a scheduler with all its connections. Everything in this package runs on the goroutine that calls
@@ -43,7 +44,7 @@
 	request     http1.Request        // that was parsed last
 
 	clients      *clientListener
-	workers      *workerPool
+	workers      *worker.Pool
 	watch        *watch.Connection
 	operators    *operatorListener    // nil: off
 	status       *statusListener      // nil: off
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -25,6 +25,7 @@
 	"valvecove/internal/metrics/push"
 	"valvecove/internal/requests"
 	"valvecove/internal/status"
+	"valvecove/internal/worker"
 )
 
 // watchSeed separates the random backoffs of the watch from the other random numbers of a scheduler's seed.
@@ -90,14 +91,14 @@
 
 // openWorkerPool makes the pool of connections to workers, which has none yet.
 func (l *Loop) openWorkerPool(maxConnections int, connectTimeout, workerIdleTimeout time.Duration) {
-	l.workers = newWorkerPool(workerPoolConfig{
-		loop:              l.Loop,
-		dial:              func(address netip.AddrPort) (fd int, err error) { return l.dial(address) },
-		attemptHold:       l.attemptHold,
-		hasRelinquished:   l.hasRelinquished,
-		maxConnections:    maxConnections,
-		connectTimeout:    connectTimeout,
-		workerIdleTimeout: workerIdleTimeout,
+	l.workers = worker.New(worker.Config{
+		Loop:              l.Loop,
+		Dial:              func(address netip.AddrPort) (fd int, err error) { return l.dial(address) },
+		AttemptHold:       l.attemptHold,
+		HasRelinquished:   l.hasRelinquished,
+		MaxConnections:    maxConnections,
+		ConnectTimeout:    connectTimeout,
+		WorkerIdleTimeout: workerIdleTimeout,
 	})
 }
 
@@ -119,7 +120,7 @@
 
 // transport is what the request table reaches workers and discovery by.
 type transport struct {
-	*workerPool
+	*worker.Pool
 	loop *Loop
 }
 
