--- a/dispatch/attemptinfo.go
+++ b/dispatch/attemptinfo.go
@@ -32,7 +32,7 @@
 func (d *Dispatcher) endAttempt(attempt *attemptInfo, outcome Outcome) {
 	job, worker := attempt.job, attempt.worker
 	attempt.ended, attempt.result = true, outcome.Result
-	d.releaseLease(attempt, outcome.Result)
+	d.leases.client.endAttempt(attempt, outcome.Result)
 	job.inFlight--
 	worker.lastEndAt = d.now
 	if attempt.orphaned {
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -37,7 +37,7 @@
 	d.setTimer(&attempt.timer, d.dueAt(attempt))
 	if !job.closed {
 		d.dequeue(job) // no further attempt is needed
-		d.withdrawLeases(job)
+		d.leases.client.withdraw(job)
 	}
 }
 
@@ -58,7 +58,7 @@
 func (d *Dispatcher) observeStartDelay(attempt *attemptInfo) {
 	delay := d.now - attempt.sentAt
 	isPrompt := delay <= d.promptStart(attempt.job.class)
-	d.reportStart(attempt, isPrompt)
+	d.leases.client.reportStart(attempt, isPrompt)
 	d.minStartDelay = min(d.minStartDelay, delay)
 	if !isPrompt && d.spansStall(attempt) {
 		return
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -58,9 +58,7 @@
 	d.queue = newJobQueue(len(d.settings.Classes))
 	d.unstarted.pending = make([][]*attemptInfo, len(d.settings.Classes))
 	d.unstarted.first = make([]int, len(d.settings.Classes))
-	d.directory = newPeerDirectory(&d.settings)
-	d.client = newLeaseClient()
-	d.coordinator = newCoordinator()
+	d.leases = newLeaseExchange(&d.settings, d.rng, &leaseAdapter{dispatcher: d})
 }
 
 // Step takes in what happened at now and returns dst with the actions that it calls for appended. It keeps neither slice.
@@ -78,9 +76,9 @@
 	for d.timers.first().at <= d.now { // never empty: maintenance sets its timer anew
 		d.handleTimer(d.timers.pop())
 	}
-	d.exchangeLeases()
+	d.leases.exchange(d.now)
 	d.dispatchQueued()
-	d.exchangeLeases()
+	d.leases.exchange(d.now)
 	if next := d.timers.first().at; d.timerAt == 0 || next < d.timerAt {
 		d.timerAt = next
 		d.emit(SetTimer{After: d.timerAt - d.now})
@@ -126,7 +124,7 @@
 	case ModelUpdate:
 		d.handleModelUpdate(event)
 	case PeerMessageReceived:
-		d.onPeerMessage(event)
+		d.leases.handleMessage(d.now, event)
 	case Cordoned:
 		d.cordon(event.Worker)
 	case Uncordoned:
@@ -147,7 +145,7 @@
 	case attemptOverdue:
 		d.onOverdue(fired.attempt)
 	case leaseOverdue:
-		d.onLeaseOverdue(fired.lease)
+		d.leases.client.handleTimer(d.now, fired.lease)
 	case workerAvailable:
 		d.markDirty(fired.worker)
 	}
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -7,6 +7,9 @@
 	return slices.ContainsFunc(j.attempts, func(a *attemptInfo) bool { return !a.ended && a.started })
 }
 
+// isQueued reports whether a job is in the queue.
+func (j *jobInfo) isQueued() bool { return j.heapIndex >= 0 }
+
 // wasSentTo tells whether a worker was sent the job before.
 func (j *jobInfo) wasSentTo(w *workerInfo) bool {
 	for _, a := range j.attempts {
@@ -36,7 +39,7 @@
 		return
 	}
 	d.dequeue(job)
-	d.withdrawLeases(job)
+	d.leases.client.withdraw(job)
 	d.cancelTimer(&job.deadlineTimer)
 	d.cancelTimer(&job.objectiveTimer)
 	d.cancelTimer(&job.checksTimer)
@@ -71,7 +74,7 @@
 		for queued := &d.queue.demandClasses[i].byScore; !queued.empty(); {
 			j := queued.first()
 			d.dequeue(j)
-			d.withdrawLeases(j)
+			d.leases.client.withdraw(j)
 			if j.inFlight == 0 {
 				d.finish(j)
 			}
@@ -84,6 +87,6 @@
 	if a != nil {
 		a.job.streaming = true
 		d.dequeue(a.job)
-		d.withdrawLeases(a.job)
+		d.leases.client.withdraw(a.job)
 	}
 }
--- /dev/null
+++ b/dispatch/leaseadapter.go
@@ -0,0 +1,61 @@
+package dispatch
+
+// leaseAdapter gives the lease client and the coordinator what they need of their dispatcher's queue, rules
+// and fleet: it implements leasedJobs and coordinatedFleet. It holds no state and decides nothing;
+// usableWorker is in leasegrants.go.
+type leaseAdapter struct{ dispatcher *Dispatcher }
+
+// sendOnLease implements leasedJobs.
+func (l *leaseAdapter) sendOnLease(job *jobInfo, worker *workerInfo) *attemptInfo {
+	l.dispatcher.dequeue(job)
+	attempt := l.dispatcher.send(job, worker)
+	l.dispatcher.reindex(worker)
+	return attempt
+}
+
+// requeue implements leasedJobs. The job gets a new entry by its promotion, too.
+func (l *leaseAdapter) requeue(job *jobInfo) {
+	if !job.isQueued() {
+		return
+	}
+	l.dispatcher.dequeue(job)
+	job.inPromotions = false
+	l.dispatcher.enqueue(job)
+}
+
+// warmUpWork implements leasedJobs.
+func (l *leaseAdapter) warmUpWork(job *jobInfo) float64 { return l.dispatcher.warmUpCost(job) }
+
+// allWorkers implements workerLookup.
+func (l *leaseAdapter) allWorkers() []*workerInfo { return l.dispatcher.workerList }
+
+// findWorker implements workerLookup.
+func (l *leaseAdapter) findWorker(id uint64) *workerInfo { return l.dispatcher.workers[id] }
+
+// isEjected implements workerCapacity.
+func (l *leaseAdapter) isEjected(worker *workerInfo) bool { return l.dispatcher.isEjected(worker) }
+
+// maxSlots implements workerCapacity.
+func (l *leaseAdapter) maxSlots(worker *workerInfo) float64 { return l.dispatcher.maxSlots(worker) }
+
+// isWarmingUp implements workerCapacity.
+func (l *leaseAdapter) isWarmingUp(worker *workerInfo) bool {
+	return l.dispatcher.warmUpShare(worker) < 1
+}
+
+// warmUpLeaseBudget implements workerCapacity.
+func (l *leaseAdapter) warmUpLeaseBudget(worker *workerInfo) float64 {
+	return l.dispatcher.warmUpBudget(worker) * warmUpLeaseMargin / warmUpMargin
+}
+
+// observePromptSlots implements slotObserver.
+func (l *leaseAdapter) observePromptSlots(worker *workerInfo, running float64) {
+	l.dispatcher.observeSlots(worker, running)
+}
+
+// observeLateSlots implements slotObserver.
+func (l *leaseAdapter) observeLateSlots(worker *workerInfo, running float64) {
+	if machine := l.dispatcher.machineKind(worker.Kind); running >= machine.maxSlots {
+		machine.lateOverflows++
+	}
+}
--- /dev/null
+++ b/dispatch/leaseclient.go
@@ -0,0 +1,362 @@
+package dispatch
+
+import (
+	"cmp"
+	"math/rand/v2"
+	"slices"
+	"time"
+)
+
+// The client requests leases for queued jobs, and sends a job once slots are granted. This carries out
+// DESIGN's choice of a worker ("the ready worker with the fewest of this dispatcher's slots in use, random
+// among ties, among those able to start the job now"): the coordinator of a shard knows the slots of all
+// dispatchers and makes the choice. If no coordinator answers in time, the dispatcher chooses by what it
+// knows itself, as it does without leases.
+const (
+	leaseAnswerTimeout     = 60 * time.Millisecond  // a request and its answer take up to 32 ms
+	unansweredRequestLimit = 2                      // then another coordinator is asked
+	leaseWaitLimit         = 250 * time.Millisecond // without any answer; then no lease is used
+	retryWaitLimit         = time.Second            // of a job with excluded workers: there may be no other
+	queuedRequestInterval  = 300 * time.Millisecond // between repetitions of a queued request
+	leaseReportInterval    = time.Second            // between reports of the leases in use
+	leaseRequestsPerJob    = 2                      // at the same time, in different shards
+	shardsDrawn            = 2                      // for one request
+	maxUnusableGrants      = MaxExcluded            // of one job; then it is sent without a lease
+	maxDeniedRequests      = 8                      // consecutive ones, after which a coordinator is skipped
+	deniedRequestsSpan     = 4 * time.Second        // if they span at least this
+)
+
+// noPeer is the coordinator of a lease that none is known for.
+const noPeer = -1
+
+// leaseInfo is a lease that was requested, or slots that were taken without one.
+type leaseInfo struct {
+	id              LeaseID
+	shard           Shard
+	peer            int          // coordinator of the last request or report; noPeer: none
+	job             *jobInfo     // that it was requested for; nil: it is in use
+	attempt         *attemptInfo // that uses it
+	demand          float64      // slots
+	worker          uint64
+	requestedAt     time.Duration // the first request since the last answer
+	createdAt       time.Duration
+	requestAttempts int  // since the last answer
+	isQueued        bool // the coordinator has answered that the request waits
+	isGranted       bool
+	timer           timer // when it is to be requested again
+}
+
+func (l *leaseInfo) isUsed() bool { return l.attempt != nil }
+
+// jobLeases are the leases of a queued job.
+type jobLeases struct {
+	requested       []*leaseInfo
+	unusableWorkers []uint64 // workers whose slots were granted and can't be used
+	isDisabled      bool     // the job is sent without a lease
+}
+
+// isAwaited reports whether a job waits for slots that were requested for it.
+func (j *jobLeases) isAwaited() bool { return len(j.requested) > 0 }
+
+func (j *jobLeases) remove(lease *leaseInfo) {
+	isLease := func(other *leaseInfo) bool { return other == lease }
+	j.requested = slices.DeleteFunc(j.requested, isLease)
+}
+
+// deniedRequests counts the consecutive requests that a coordinator has answered as queued.
+type deniedRequests struct {
+	since time.Duration
+	count int
+}
+
+// leaseTimers sets the timers of leases.
+type leaseTimers interface {
+	setTimer(timer *timer, at time.Duration)
+	cancelTimer(timer *timer)
+}
+
+// leasedJobs is what a lease client needs of the queue, and of the rules for sending a job.
+type leasedJobs interface {
+	// usableWorker returns the worker that a coordinator has granted slots of; nil: the job must not be sent
+	// there.
+	usableWorker(job *jobInfo, worker uint64, shard Shard) *workerInfo
+	// sendOnLease removes a job from the queue and sends it.
+	sendOnLease(job *jobInfo, worker *workerInfo) *attemptInfo
+	// requeue moves a queued job among those that wait for no lease.
+	requeue(job *jobInfo)
+	// warmUpWork returns the work that a job takes of a warming worker's budget.
+	warmUpWork(job *jobInfo) float64
+}
+
+// messageSender sends a message to a dispatcher. Messages may be lost.
+type messageSender interface {
+	send(to int, message PeerMessage)
+}
+
+// leaseClient holds the leases that a dispatcher has requested or uses.
+type leaseClient struct {
+	settings  *Settings
+	rng       *rand.Rand
+	directory *peerDirectory
+	timers    leaseTimers
+	jobs      leasedJobs
+	peers     messageSender
+
+	byID       map[LeaseID]*leaseInfo
+	lastID     LeaseID
+	granted    []*leaseInfo           // and not used yet
+	freeSlots  map[Shard]int          // as coordinators last answered
+	denied     map[int]deniedRequests // by coordinator
+	reportAt   time.Duration
+	readyZones []int // zones that have ready workers, in ascending order
+}
+
+// clear forgets all leases.
+func (l *leaseClient) clear() {
+	l.byID = map[LeaseID]*leaseInfo{}
+	l.lastID = 0
+	l.granted = nil
+	l.freeSlots = map[Shard]int{}
+	l.denied = map[int]deniedRequests{}
+	l.reportAt = 0
+}
+
+// updateReadyZones determines which zones have ready workers.
+func (l *leaseClient) updateReadyZones(workers []*workerInfo) {
+	l.readyZones = l.readyZones[:0]
+	for _, worker := range workers {
+		if worker.Ready && !slices.Contains(l.readyZones, worker.Zone) {
+			l.readyZones = append(l.readyZones, worker.Zone)
+		}
+	}
+	slices.Sort(l.readyZones)
+}
+
+// requestFirst requests slots for a job that no slots are requested for yet.
+func (l *leaseClient) requestFirst(now time.Duration, job *jobInfo) {
+	if !job.leases.isAwaited() {
+		l.request(now, job)
+	}
+}
+
+// request requests slots for a queued job, in a shard where none are requested for it yet.
+func (l *leaseClient) request(now time.Duration, job *jobInfo) {
+	if lease := l.newRequest(now, job); lease != nil {
+		l.sendRequest(now, lease)
+	}
+}
+
+// requestOnTimer requests slots for a job of a restored dispatcher, when its timers next fire.
+func (l *leaseClient) requestOnTimer(now time.Duration, job *jobInfo) {
+	if lease := l.newRequest(now, job); lease != nil {
+		l.timers.setTimer(&lease.timer, now)
+	}
+}
+
+// newRequest returns a request for a job that is not sent yet; nil: none is to be made.
+func (l *leaseClient) newRequest(now time.Duration, job *jobInfo) *leaseInfo {
+	isEnough := len(job.leases.requested) >= leaseRequestsPerJob
+	if !l.settings.UsesLeases() || job.leases.isDisabled || isEnough {
+		return nil
+	}
+	shard, ok := l.chooseShard(now, job)
+	if !ok || job.isBoundByAttempts() {
+		l.goOnWithoutLease(job)
+		return nil
+	}
+	lease := l.newLease(shard, job.demand)
+	lease.job = job
+	lease.requestedAt = now
+	lease.createdAt = now
+	job.leases.requested = append(job.leases.requested, lease)
+	return lease
+}
+
+func (l *leaseClient) newLease(shard Shard, demand float64) *leaseInfo {
+	l.lastID++
+	lease := &leaseInfo{id: l.lastID, shard: shard, demand: demand, peer: noPeer}
+	lease.timer = timer{purpose: leaseOverdue, lease: lease}
+	l.byID[lease.id] = lease
+	return lease
+}
+
+// isBoundByAttempts reports whether earlier attempts leave a job only workers that share its idempotency key.
+// A request can't name these.
+func (j *jobInfo) isBoundByAttempts() bool {
+	return j.class.Idempotency == IdempotentWithKey && j.class.DeduplicationScope != ScopeAll &&
+		slices.ContainsFunc(j.attempts, (*attemptInfo).possiblyExecuted)
+}
+
+// chooseShard returns the shard for a job's next request: of two drawn at random, the one with more free
+// slots. ok is false if no shard is left.
+func (l *leaseClient) chooseShard(now time.Duration, job *jobInfo) (best Shard, ok bool) {
+	zones := l.requestZones(job)
+	if len(zones) == 0 {
+		return Shard{}, false
+	}
+	for range shardsDrawn {
+		zone := zones[l.rng.IntN(len(zones))]
+		drawn := Shard{Zone: zone, Number: l.rng.IntN(l.directory.shardsPerZone)}
+		isOfDrawn := func(lease *leaseInfo) bool { return lease.shard == drawn }
+		isRequested := slices.ContainsFunc(job.leases.requested, isOfDrawn)
+		_, hasCoordinator := l.directory.coordinatorOf(drawn, now)
+		if isRequested || !hasCoordinator {
+			continue
+		}
+		if !ok || l.freeSlots[drawn] > l.freeSlots[best] {
+			best, ok = drawn, true
+		}
+	}
+	return best, ok
+}
+
+// requestZones returns the zones to request slots in: the dispatcher's own for the first request, and where
+// another zone costs more than a slot in use. Otherwise, or if its own has no worker for the job, all that
+// have one.
+func (l *leaseClient) requestZones(job *jobInfo) []int {
+	var zones []int
+	for _, zone := range l.readyZones {
+		if job.class.allowsZone(zone) {
+			zones = append(zones, zone)
+		}
+	}
+	isOwnPreferred := !job.leases.isAwaited() || l.settings.CrossZoneCost >= crossCostPerSlot
+	if isOwnPreferred && slices.Contains(zones, l.settings.Zone) {
+		return []int{l.settings.Zone}
+	}
+	return zones
+}
+
+// sendRequest sends a request, for the first time or again.
+func (l *leaseClient) sendRequest(now time.Duration, lease *leaseInfo) {
+	peer, ok := l.directory.coordinatorOf(lease.shard, now)
+	if !ok {
+		job := lease.job
+		l.drop(lease)
+		l.goOnWithoutLease(job)
+		return
+	}
+	if peer != lease.peer {
+		lease.requestAttempts = 0
+	}
+	lease.peer = peer
+	lease.requestAttempts++
+	wait := leaseAnswerTimeout
+	if lease.isQueued {
+		wait = queuedRequestInterval
+	}
+	l.timers.setTimer(&lease.timer, now+wait)
+	l.peers.send(peer, l.requestMessage(now, lease))
+}
+
+func (l *leaseClient) requestMessage(now time.Duration, lease *leaseInfo) LeaseRequest {
+	job := lease.job
+	excluded := slices.Clone(job.leases.unusableWorkers)
+	for _, attempt := range job.attempts {
+		excluded = append(excluded, attempt.worker.ID)
+	}
+	return LeaseRequest{
+		ID:         lease.id,
+		Shard:      lease.shard,
+		Class:      job.Class,
+		Demand:     job.demand,
+		Work:       l.jobs.warmUpWork(job),
+		LongChance: job.longChance,
+		Demoted:    job.isDeprioritized(),
+		PromoteIn:  job.promoteAt - now,
+		Excluded:   excluded[max(0, len(excluded)-MaxExcluded):],
+	}
+}
+
+// repeatRequests sends a job's requests again, with what has changed about it.
+func (l *leaseClient) repeatRequests(now time.Duration, job *jobInfo) {
+	for _, lease := range slices.Clone(job.leases.requested) {
+		if lease.job != nil && !lease.isGranted {
+			l.sendRequest(now, lease)
+		}
+	}
+}
+
+// handleTimer repeats a request. A coordinator that has not answered unansweredRequestLimit requests is
+// skipped.
+func (l *leaseClient) handleTimer(now time.Duration, lease *leaseInfo) {
+	if lease.job == nil || lease.isGranted {
+		return
+	}
+	if lease.peer == noPeer { // set by requestOnTimer: the time before does not count
+		lease.requestedAt = now
+		lease.createdAt = now
+		l.sendRequest(now, lease)
+		return
+	}
+	excludesWorkers := len(lease.job.attempts)+len(lease.job.leases.unusableWorkers) > 0
+	if excludesWorkers && now-lease.createdAt >= retryWaitLimit {
+		l.dispatchWithoutLease(lease.job)
+		return
+	}
+	if lease.isQueued { // the timeouts start again with this repetition
+		lease.isQueued = false
+		lease.requestAttempts = 0
+		lease.requestedAt = now
+		l.sendRequest(now, lease)
+		return
+	}
+	if lease.requestAttempts >= unansweredRequestLimit {
+		l.directory.avoid(lease.peer, now)
+	}
+	if now-lease.requestedAt >= leaseWaitLimit {
+		l.dispatchWithoutLease(lease.job)
+		return
+	}
+	l.sendRequest(now, lease)
+}
+
+// goOnWithoutLease has a job sent without a lease, unless other requests for it are open.
+func (l *leaseClient) goOnWithoutLease(job *jobInfo) {
+	if !job.leases.isAwaited() {
+		l.dispatchWithoutLease(job)
+	}
+}
+
+// dispatchWithoutLease has a job sent to a worker that this dispatcher chooses itself.
+func (l *leaseClient) dispatchWithoutLease(job *jobInfo) {
+	job.leases.isDisabled = true
+	l.withdraw(job)
+	l.jobs.requeue(job)
+}
+
+// withdraw releases all that was requested for a job.
+func (l *leaseClient) withdraw(job *jobInfo) {
+	for job.leases.isAwaited() {
+		lease := job.leases.requested[len(job.leases.requested)-1]
+		l.drop(lease)
+		l.release(lease, NotSent)
+	}
+}
+
+// drop forgets a lease. Its coordinator is not notified.
+func (l *leaseClient) drop(lease *leaseInfo) {
+	if lease.job != nil {
+		lease.job.leases.remove(lease)
+		lease.job = nil
+	}
+	l.timers.cancelTimer(&lease.timer)
+	delete(l.byID, lease.id)
+}
+
+// release notifies the coordinator of a lease that it is not used any more.
+func (l *leaseClient) release(lease *leaseInfo, result Result) {
+	l.peers.send(lease.peer, LeaseReleased{ID: lease.id, Result: result})
+}
+
+// where returns the leases that a predicate holds of, in the order of their IDs.
+func (l *leaseClient) where(matches func(lease *leaseInfo) bool) []*leaseInfo {
+	var found []*leaseInfo
+	for _, lease := range l.byID {
+		if matches(lease) {
+			found = append(found, lease)
+		}
+	}
+	slices.SortFunc(found, func(a, b *leaseInfo) int { return cmp.Compare(a.id, b.id) })
+	return found
+}
--- a/dispatch/leases_test.go
+++ b/dispatch/leaseclient_test.go
@@ -16,8 +16,8 @@
 func leaseHarness(t *testing.T, workers int) (s *harness, coordinators []int) {
 	t.Helper()
 	settings := leaseSettings()
-	settings.Replicas = maxRanked + 1
-	coordinators = New(settings, 1).directory.rank(Shard{})
+	settings.Replicas = coordinatorCandidates + 1
+	coordinators = New(settings, 1).leases.directory.rank(Shard{})
 	for slices.Contains(coordinators, settings.ReplicaIndex) {
 		settings.ReplicaIndex++
 	}
@@ -180,7 +180,7 @@
 	first := s.request(s.job(1, 0, 100*ms))
 	s.step(PeerMessageReceived{From: coordinators[0], Message: LeaseQueued{ID: first.ID}})
 	for _, peer := range coordinators {
-		s.d.directory.distrust(peer, s.now)
+		s.d.leases.directory.distrust(peer, s.now)
 	}
 	s.take()
 	s.step(s.job(2, 0, 200*ms))
@@ -241,7 +241,7 @@
 	if len(reports) != 1 || len(reports[0].Leases) != 1 || reports[0].Leases[0].Worker != 1 || !reports[0].Leases[0].Started {
 		t.Fatalf("reported %v", reports)
 	}
-	if len(restored.coordinator.leases)+len(restored.coordinator.slots) > 0 {
+	if len(restored.leases.coordinator.leases)+len(restored.leases.coordinator.slots) > 0 {
 		t.Fatal("it coordinates by what was known before")
 	}
 	s.step(PeerMessageReceived{From: coordinators[0], Message: LeaseGranted{ID: requests[0].ID, Worker: 2}})
--- a/dispatch/coordinator_test.go
+++ b/dispatch/leasecoordinator_test.go
@@ -12,9 +12,9 @@
 func coordinatorHarness(tb testing.TB, workers int, change func(*Settings)) *harness {
 	tb.Helper()
 	settings := leaseSettings()
-	settings.Replicas = maxRanked + 1
+	settings.Replicas = coordinatorCandidates + 1
 	change(&settings)
-	settings.ReplicaIndex = New(settings, 1).directory.rank(Shard{})[0]
+	settings.ReplicaIndex = New(settings, 1).leases.directory.rank(Shard{})[0]
 	s := &harness{d: New(settings, 1), now: time.Hour, jobs: map[uint64]*harnessJob{}}
 	if test, ok := tb.(*testing.T); ok {
 		s.t = test
@@ -97,16 +97,16 @@
 			t.Parallel()
 			s := coordinatorHarness(t, 1, noChange)
 			s.tell(0, LeaseRequest{ID: 1, Demand: 1.3}, LeaseStarted{ID: 1, Prompt: true})
-			s.wait(reportDelay + ms)
+			s.wait(reportMaxDelay + ms)
 			held := HeldLease{ID: 1, Worker: 1, Demand: 1.3, Started: true}
 			s.tell(0, LeaseReport{Complete: true, Leases: []HeldLease{held}})
-			if used := s.d.coordinator.slots[1].used; used != 1.3 {
+			if used := s.d.leases.coordinator.slots[1].used; used != 1.3 {
 				t.Fatalf("%v slots in use", used)
 			}
-			s.wait(reportDelay + ms)
+			s.wait(reportMaxDelay + ms)
 			free(s)
-			if slots := s.d.coordinator.slots[1]; slots.used != 0 || slots.running != 0 || len(s.d.coordinator.peers) > 0 {
-				t.Errorf("%v slots in use, %v running, by %v", slots.used, slots.running, s.d.coordinator.peers)
+			if slots := s.d.leases.coordinator.slots[1]; slots.used != 0 || slots.running != 0 || len(s.d.leases.coordinator.peers) > 0 {
+				t.Errorf("%v slots in use, %v running, by %v", slots.used, slots.running, s.d.leases.coordinator.peers)
 			}
 		})
 	}
@@ -124,22 +124,22 @@
 		}
 		s.actions = s.actions[:0]
 	}
-	for worker, slots := range s.d.coordinator.slots {
+	for worker, slots := range s.d.leases.coordinator.slots {
 		if !(slots.used >= 0 && slots.used <= 60*8*maxLeaseSlots) || !(slots.running >= 0 && slots.running <= slots.used) {
 			t.Errorf("worker %d: %v slots in use, %v running", worker, slots.used, slots.running)
 		}
 	}
-	if shards := len(s.d.directory.ranked) + len(s.d.client.freeSlots) + len(s.d.coordinator.free); shards > 6 {
+	if shards := len(s.d.leases.directory.ranked) + len(s.d.leases.client.freeSlots) + len(s.d.leases.coordinator.free); shards > 6 {
 		t.Errorf("%d shards are known", shards)
 	}
 	for id := range LeaseID(2 * maxWaiting) {
 		s.tell(0, LeaseRequest{ID: 1000 + id, Demand: 1})
 	}
-	if waiting := len(s.d.coordinator.waiting); waiting > maxWaiting/minPeersPerTable+8*60 {
+	if waiting := len(s.d.leases.coordinator.waiting); waiting > maxWaiting/minPeersPerTable+8*60 {
 		t.Errorf("%d requests wait, most of one peer", waiting)
 	}
 	s.wait(leaseExpiry + time.Second)
-	coordinator := &s.d.coordinator
+	coordinator := &s.d.leases.coordinator
 	if len(coordinator.leases)+len(coordinator.waitingByKey)+len(coordinator.peers)+len(coordinator.requestedSlots) > 0 {
 		t.Errorf("after a silence: %d leases, %d requests of %d peers in %d shards", len(coordinator.leases),
 			len(coordinator.waitingByKey), len(coordinator.peers), len(coordinator.requestedSlots))
@@ -265,7 +265,7 @@
 func BenchmarkGrantWaiting(b *testing.B) {
 	s := coordinatorHarness(b, 3200, func(settings *Settings) { settings.Replicas = 900 })
 	held, lastID := []LeaseID{}, LeaseID(0)
-	shard := s.d.directory.shardOf(s.d.workerList[0])
+	shard := s.d.leases.directory.shardOf(&s.d.workerList[0].Worker)
 	for range 2000 {
 		lastID++
 		granted := s.tell(int(lastID)%800, LeaseRequest{ID: lastID, Shard: shard, Demand: 1, LongChance: float64(lastID % 97)})
@@ -279,5 +279,5 @@
 		s.tell(int(lastID)%800, again)
 		held = append(held[1:], grantedIDs(s.tell(int(id)%800, LeaseReleased{ID: id, Result: OK}))...)
 	}
-	b.ReportMetric(float64(len(s.d.coordinator.waiting)), "waiting")
+	b.ReportMetric(float64(len(s.d.leases.coordinator.waiting)), "waiting")
 }
--- a/dispatch/leasefleet_test.go
+++ b/dispatch/leasefleet_test.go
@@ -237,11 +237,11 @@
 			}
 		}
 		d := member.d
-		if len(d.jobs) > 0 || len(d.client.byID) > 0 || len(d.coordinator.leases) > 0 || len(d.coordinator.waiting) > 0 {
+		if len(d.jobs) > 0 || len(d.leases.client.byID) > 0 || len(d.leases.coordinator.leases) > 0 || len(d.leases.coordinator.waiting) > 0 {
 			f.t.Errorf("dispatcher %d keeps %d jobs, %d leases that it asked for, %d that it granted, and %d requests", index,
-				len(d.jobs), len(d.client.byID), len(d.coordinator.leases), len(d.coordinator.waiting))
+				len(d.jobs), len(d.leases.client.byID), len(d.leases.coordinator.leases), len(d.leases.coordinator.waiting))
 		}
-		for worker, slots := range d.coordinator.slots {
+		for worker, slots := range d.leases.coordinator.slots {
 			if slots.used != 0 || slots.running != 0 {
 				f.t.Errorf("dispatcher %d: worker %d has %v slots in use, %v running", index, worker, slots.used, slots.running)
 			}
@@ -324,7 +324,7 @@
 		"partition":  func(f *leaseFleet) { f.isCut = func(from, to int) bool { return (from < 4) != (to < 4) } },
 		"one-way":    func(f *leaseFleet) { f.isCut = func(from, to int) bool { return from < 4 && to >= 4 } },
 		"restart of the coordinator": func(f *leaseFleet) {
-			f.after(2*time.Second, func() { f.restart(f.members[0].d.directory.rank(Shard{})[0]) })
+			f.after(2*time.Second, func() { f.restart(f.members[0].d.leases.directory.rank(Shard{})[0]) })
 		},
 		"restart of all": func(f *leaseFleet) {
 			f.after(2*time.Second, func() {
@@ -350,7 +350,7 @@
 // A coordinator that lies does bounded harm: most jobs are answered all the same.
 func TestLyingCoordinator(t *testing.T) {
 	t.Parallel()
-	coordinator := func(f *leaseFleet) int { return f.members[0].d.directory.rank(Shard{})[0] }
+	coordinator := func(f *leaseFleet) int { return f.members[0].d.leases.directory.rank(Shard{})[0] }
 	for name, lie := range map[string]func(m PeerMessage) PeerMessage{
 		"always the same worker": func(m PeerMessage) PeerMessage {
 			if granted, ok := m.(LeaseGranted); ok {
--- /dev/null
+++ b/dispatch/leasegrants.go
@@ -0,0 +1,132 @@
+package dispatch
+
+import "time"
+
+// How the client handles a coordinator's answers, and the use of what was granted. This carries out DESIGN's
+// "among those able to start the job now": a grant is used only if this dispatcher's own rules allow the
+// worker too.
+
+// handleGranted notes a granted lease for use. One that can't be used is released: its job is finished, or
+// has a lease of another coordinator.
+func (l *leaseClient) handleGranted(from int, message LeaseGranted) {
+	lease := l.byID[message.ID]
+	isWanted := lease != nil && l.directory.canCoordinate(from, lease.shard) &&
+		(!lease.isGranted || from == lease.peer)
+	if !isWanted {
+		l.peers.send(from, LeaseReleased{ID: message.ID, Result: NotSent})
+		return
+	}
+	l.freeSlots[lease.shard] = message.FreeSlots
+	delete(l.denied, from)
+	if lease.isGranted {
+		return
+	}
+	lease.isGranted = true
+	lease.worker = message.Worker
+	lease.peer = from
+	l.timers.cancelTimer(&lease.timer)
+	l.granted = append(l.granted, lease)
+}
+
+// handleQueued requests slots for the job in another shard too.
+func (l *leaseClient) handleQueued(now time.Duration, from int, message LeaseQueued) {
+	lease := l.byID[message.ID]
+	if lease == nil {
+		l.peers.send(from, LeaseReleased{ID: message.ID, Result: NotSent})
+		return
+	}
+	if lease.isGranted || from != lease.peer {
+		return
+	}
+	l.freeSlots[lease.shard] = message.FreeSlots
+	if !lease.isQueued && !lease.job.isDeprioritized() {
+		l.recordDenied(now, from)
+	}
+	lease.isQueued = true
+	l.timers.setTimer(&lease.timer, now+queuedRequestInterval)
+	l.request(now, lease.job)
+}
+
+// recordDenied counts a request that a coordinator did not grant. After maxDeniedRequests consecutive ones
+// the coordinator is skipped: its slot counts, or its list of workers, may be wrong.
+func (l *leaseClient) recordDenied(now time.Duration, peer int) {
+	denied := l.denied[peer]
+	if denied.count == 0 {
+		denied.since = now
+	}
+	denied.count++
+	l.denied[peer] = denied
+	if denied.count >= maxDeniedRequests && now-denied.since >= deniedRequestsSpan {
+		delete(l.denied, peer)
+		l.directory.distrust(peer, now)
+	}
+}
+
+// useGrants sends jobs on the leases that were granted.
+func (l *leaseClient) useGrants(now time.Duration) {
+	for _, lease := range l.granted {
+		if lease.job != nil { // else another lease of its job was used first
+			l.useGrant(now, lease)
+		}
+	}
+	clear(l.granted)
+	l.granted = l.granted[:0]
+}
+
+func (l *leaseClient) useGrant(now time.Duration, lease *leaseInfo) {
+	job := lease.job
+	worker := l.jobs.usableWorker(job, lease.worker, lease.shard)
+	if worker == nil {
+		l.rejectGrant(now, lease)
+		return
+	}
+	job.leases.remove(lease)
+	lease.job = nil
+	l.withdraw(job)
+	lease.attempt = l.jobs.sendOnLease(job, worker)
+	lease.attempt.lease = lease
+}
+
+// rejectGrant releases a granted lease that its job can't use, and requests another one.
+func (l *leaseClient) rejectGrant(now time.Duration, lease *leaseInfo) {
+	job := lease.job
+	l.drop(lease)
+	l.release(lease, NotSent)
+	if !job.isQueued() {
+		return
+	}
+	job.leases.unusableWorkers = append(job.leases.unusableWorkers, lease.worker)
+	if len(job.leases.unusableWorkers) >= maxUnusableGrants {
+		l.dispatchWithoutLease(job)
+	} else {
+		l.request(now, job)
+	}
+}
+
+// usableWorker implements leasedJobs. A worker that this dispatcher does not know, or knows in another shard,
+// is never sent anything.
+func (l *leaseAdapter) usableWorker(job *jobInfo, id uint64, shard Shard) *workerInfo {
+	worker := l.dispatcher.workers[id]
+	if worker == nil || !worker.Ready || !job.isQueued() || l.isReservedForOther(job, worker) {
+		return nil
+	}
+	if l.dispatcher.leases.directory.shardOf(&worker.Worker) != shard || !l.canSend(job, worker) {
+		return nil
+	}
+	return worker
+}
+
+func (l *leaseAdapter) isReservedForOther(job *jobInfo, worker *workerInfo) bool {
+	return worker == l.dispatcher.reserved && job != l.dispatcher.reservedFor
+}
+
+// canSend reports whether the rules for the worker, the job and the class allow an attempt.
+func (l *leaseAdapter) canSend(job *jobInfo, worker *workerInfo) bool {
+	dispatcher := l.dispatcher
+	isFull := worker.rejects(job) || dispatcher.showsQueue(worker, dispatcher.promptStart(job.class))
+	if isFull || job.wasSentTo(worker) || !job.class.allows(worker.Kind, worker.Zone) {
+		return false
+	}
+	return dispatcher.mayAttempt(job, worker) && !dispatcher.isEjected(worker) &&
+		dispatcher.canMeetObjective(job, worker) && dispatcher.ownSpendsAllow(job, worker)
+}
--- /dev/null
+++ b/dispatch/leasemessages.go
@@ -0,0 +1,96 @@
+package dispatch
+
+import "time"
+
+// LeaseID identifies a lease, or a request for one, among those of the dispatcher that requests it.
+type LeaseID uint32
+
+// Shard is a part of the workers of a zone. One dispatcher, the shard's coordinator, leases their slots to
+// all dispatchers.
+type Shard struct {
+	Zone   int `json:"zone"`
+	Number int `json:"number"` // from 0, in its zone
+}
+
+// PeerMessage is a message about leases between two dispatchers. It may be lost, delayed, repeated or
+// reordered. Captures store messages under the names in the tags.
+type PeerMessage interface{ peerMessage() }
+
+// The messages of a dispatcher to a coordinator.
+type (
+	// LeaseRequest requests slots at any worker of a shard, for one job. It is repeated, with the same ID,
+	// until it is granted.
+	LeaseRequest struct {
+		ID         LeaseID `json:"id"`
+		Shard      Shard   `json:"shard"`
+		Class      int     `json:"class"`  // index into Settings.Classes
+		Demand     float64 `json:"demand"` // slots
+		Work       float64 `json:"work"`   // seconds on a standard core, times slots
+		LongChance float64 `json:"score"`  // the job's score, from 0 to 1
+		// Demoted: the job can't earn in full any more. It is granted after those that can.
+		Demoted bool `json:"demoted"`
+		// PromoteIn is the time until the job has been queued for longer than tau; negative if it has been.
+		PromoteIn time.Duration `json:"promote_ns"`
+		Excluded  []uint64      `json:"excluded,omitempty"` // workers not to be granted, MaxExcluded at most
+	}
+	// LeaseStarted reports the start of the attempt on a lease. If it is not Prompt, the attempt is late and
+	// may not have started yet.
+	LeaseStarted struct {
+		ID     LeaseID `json:"id"`
+		Prompt bool    `json:"prompt"`
+	}
+	// LeaseReleased ends a lease, or withdraws a request. Result is that of the attempt; NotSent: there was
+	// none.
+	LeaseReleased struct {
+		ID     LeaseID `json:"id"`
+		Result Result  `json:"result"`
+	}
+	// LeaseReport lists the leases in use, and slots in use that were taken without a lease. If it is
+	// Complete, the sender uses no others.
+	LeaseReport struct {
+		Complete bool        `json:"complete"`
+		Leases   []HeldLease `json:"leases,omitempty"` // MaxReported at most
+	}
+)
+
+// The messages of a coordinator answer a request, by its ID. FreeSlots are the free slots of its shard less
+// those that waiting requests want.
+type (
+	// LeaseGranted grants slots at a worker.
+	LeaseGranted struct {
+		ID        LeaseID `json:"id"`
+		Worker    uint64  `json:"number"`
+		FreeSlots int     `json:"free"`
+	}
+	// LeaseQueued says that no worker of the shard can start the job now. The request waits.
+	LeaseQueued struct {
+		ID        LeaseID `json:"id"`
+		FreeSlots int     `json:"free"`
+	}
+)
+
+// PeerRestarted is delivered in place of a message: the peer is a new process, without the state of the
+// previous one.
+type PeerRestarted struct{}
+
+// HeldLease is a lease in use.
+type HeldLease struct {
+	ID      LeaseID `json:"id"`
+	Worker  uint64  `json:"number"`
+	Demand  float64 `json:"demand"` // slots
+	Started bool    `json:"started"`
+}
+
+// Bounds of the lists in messages.
+const (
+	MaxExcluded = 4
+	MaxReported = 14 // leases; with the largest figures a report fits into a datagram
+)
+
+func (LeaseRequest) peerMessage()  {}
+func (LeaseStarted) peerMessage()  {}
+func (LeaseReleased) peerMessage() {}
+func (LeaseReport) peerMessage()   {}
+func (LeaseGranted) peerMessage()  {}
+func (LeaseQueued) peerMessage()   {}
+func (PeerRestarted) peerMessage() {}
--- /dev/null
+++ b/dispatch/leaseslots.go
@@ -0,0 +1,120 @@
+package dispatch
+
+import (
+	"math"
+	"slices"
+	"time"
+)
+
+// The slots of a worker as its coordinator counts them, over all dispatchers. This carries out the
+// concurrency limit of DESIGN ("Each worker starts with room for one job. Room grows by one when a job starts
+// promptly and halves on 'full' or failure"): a limit starts at 1 slot, grows by one with each prompt start
+// that it bounded, and halves on a rejection or failure.
+const (
+	// warmUpLeaseMargin is the share of a warming worker's budget that one coordinator leases. Two
+	// coordinators may do so at once, and jobs without a lease take warmUpMargin of the budget besides.
+	warmUpLeaseMargin = 0.25
+
+	minSuspension     = 500 * time.Millisecond // doubles with each further failure
+	maxSuspension     = 8 * time.Second
+	toleratedFailures = 1 // consecutive failures that suspend no worker
+)
+
+// workerSlots are the slots of one worker, with what its coordinator has observed of its starts and failures.
+type workerSlots struct {
+	limit          float64 // slots, at least 1
+	leases         int
+	used           float64 // slots of leases
+	running        float64 // slots of leases whose attempt has started
+	decreasedAt    time.Duration
+	failures       int // consecutive ones, each reported by another dispatcher than the one before
+	lastFailedPeer int // dispatcher that reported the last failure
+	suspension     time.Duration
+	suspendedUntil time.Duration
+	warmUpSpends   []spend
+}
+
+// observePromptStart counts a lease's attempt as running, and raises the limit if it was what bounded the
+// worker. It reports whether the limit may have grown.
+func (w *workerSlots) observePromptStart(lease *grantedLease) (raised bool) {
+	lease.isStarted = true
+	w.running += lease.demand
+	if !lease.isLimitBound {
+		return false
+	}
+	w.limit = max(w.limit, w.running+lease.demand) + 1
+	return true
+}
+
+// predatesDecrease reports whether a lease is older than the last decrease of the limit: what happens to it
+// says nothing about the present limit.
+func (w *workerSlots) predatesDecrease(lease *grantedLease) bool {
+	return lease.grantedAt < w.decreasedAt
+}
+
+// observeLateStart lowers the limit by one: an attempt that has not started promptly is queued at the worker.
+func (w *workerSlots) observeLateStart(now time.Duration) {
+	w.decreasedAt = now
+	w.limit = max(1, w.limit-1)
+}
+
+// observeEnd adjusts the limit by the result of a lease's attempt. Consecutive failures that several
+// dispatchers report suspend the worker.
+func (w *workerSlots) observeEnd(now time.Duration, lease *grantedLease, result Result) {
+	switch result {
+	case OK:
+		w.failures = 0
+		w.suspension = 0
+	case WorkerFull, Failed, TimedOut, ConnectFailed, ConnectionReset:
+		if !w.predatesDecrease(lease) {
+			w.decreasedAt = now
+			w.limit = max(1, math.Floor(w.limit/2))
+		}
+		w.recordFailure(now, lease.key.peer)
+	case Cancelled, NotSent:
+	}
+}
+
+// recordFailure counts a failure reported by a dispatcher. Consecutive reports by the same one count once, as
+// the fault may be its own.
+func (w *workerSlots) recordFailure(now time.Duration, dispatcher int) {
+	if w.failures > 0 && w.lastFailedPeer == dispatcher {
+		return
+	}
+	w.failures++
+	w.lastFailedPeer = dispatcher
+	if w.failures > toleratedFailures && now >= w.suspendedUntil {
+		w.suspension = min(max(minSuspension, 2*w.suspension), maxSuspension)
+		w.suspendedUntil = now + w.suspension
+	}
+}
+
+// add counts a lease.
+func (w *workerSlots) add(lease *grantedLease) {
+	w.leases++
+	w.used += lease.demand
+}
+
+// remove reverses add.
+func (w *workerSlots) remove(lease *grantedLease) {
+	w.leases--
+	w.used = max(0, w.used-lease.demand)
+	if lease.isStarted {
+		w.running = max(0, w.running-lease.demand)
+	}
+	if w.leases == 0 { // clears the rounding error of the sums
+		w.used = 0
+		w.running = 0
+	}
+}
+
+// warmUpWork returns work plus what was leased of a warming worker within the window that ends now, in
+// seconds on a standard core, times slots.
+func (w *workerSlots) warmUpWork(now, window time.Duration, work float64) float64 {
+	isPast := func(spent spend) bool { return now-spent.at > window }
+	w.warmUpSpends = slices.DeleteFunc(w.warmUpSpends, isPast)
+	for _, spent := range w.warmUpSpends {
+		work += spent.work
+	}
+	return work
+}
--- a/dispatch/leasesnapshot.go
+++ b/dispatch/leasesnapshot.go
@@ -7,229 +7,231 @@
 	"time"
 )
 
-// A snapshot with leases ends with a part on them: those that the dispatcher has or asks for, and those that it has granted
-// as a coordinator. A dispatcher that leases none drops the part.
-
-// leasePartVersion begins the part on leases.
-const leasePartVersion = 1
-
-// leases walks the part on leases, which follows all else.
-func (c *codec) leases(dispatcher *Dispatcher) {
-	version := leasePartVersion
-	c.int(&version)
-	c.check(version == leasePartVersion)
-	c.leaseClient(dispatcher)
-	for _, job := range c.jobs {
-		c.jobLeases(dispatcher, job)
+// The section on leases of a snapshot, which follows all others: each type writes and reads its own part. A
+// dispatcher that does not lease slots drops what it has read.
+
+// leaseSectionVersion begins the section on leases.
+const leaseSectionVersion = 1
+
+// walk writes or reads the section on leases.
+func (l *leaseExchange) walk(codec *codec) {
+	version := leaseSectionVersion
+	codec.int(&version)
+	codec.check(version == leaseSectionVersion)
+	l.client.walk(codec)
+	for _, job := range codec.jobs {
+		job.leases.walk(codec, job, &l.client)
 	}
-	c.members(dispatcher)
-	c.coordinator(&dispatcher.coordinator, len(dispatcher.settings.Classes))
-	list(c, &dispatcher.readyZones, func(zone *int) { c.int(zone) })
-	for _, until := range []map[int]time.Duration{dispatcher.directory.avoidedUntil, dispatcher.directory.distrustedUntil} {
-		sortedMap(c, until, func(peer *int, until *time.Duration) {
-			c.int(peer)
-			c.instant(until)
+	l.coordinator.walkMembers(codec)
+	l.coordinator.walk(codec)
+	l.client.walkReadyZones(codec)
+	l.directory.walk(codec)
+	if !codec.writing && !l.settings.UsesLeases() {
+		l.dropAll()
+	}
+}
+
+// walk writes or reads the dispatchers that are skipped.
+func (p *peerDirectory) walk(codec *codec) {
+	for _, until := range []map[int]time.Duration{p.avoidedUntil, p.distrustedUntil} {
+		sortedMap(codec, until, func(dispatcher *int, until *time.Duration) {
+			codec.int(dispatcher)
+			codec.instant(until)
 		})
 	}
-	if !c.writing && !dispatcher.usesLeases() {
-		dispatcher.dropAllLeases()
+}
+
+// walk writes or reads the leases that the dispatcher has or has requested.
+func (l *leaseClient) walk(codec *codec) {
+	codec.leaseID(&l.lastID)
+	codec.instant(&l.reportAt)
+	var leases []*leaseInfo
+	if codec.writing {
+		leases = l.where(func(*leaseInfo) bool { return true })
 	}
+	list(codec, &leases, func(lease **leaseInfo) {
+		l.walkReference(codec, lease)
+		(*lease).walk(codec)
+	})
+	codec.check(len(leases) == len(l.byID)) // else a timer belongs to none of them, or an ID occurs twice
+	shardMap(codec, l.freeSlots, func(free *int) { codec.int(free) })
+	sortedMap(codec, l.denied, func(peer *int, denied *deniedRequests) {
+		codec.int(peer)
+		codec.instant(&denied.since)
+		codec.int(&denied.count)
+	})
 }
 
-// leaseReference is a reference to a lease. Read, the lease may be filled in only later.
-func (c *codec) leaseReference(dispatcher *Dispatcher, lease **leaseInfo) {
+func (l *leaseClient) walkReadyZones(codec *codec) {
+	list(codec, &l.readyZones, func(zone *int) { codec.int(zone) })
+}
+
+// walkReference writes or reads a reference to a lease. One that is read may precede the lease itself, which
+// is then filled in later.
+func (l *leaseClient) walkReference(codec *codec, lease **leaseInfo) {
 	var id LeaseID
-	if c.writing {
+	if codec.writing {
 		id = (*lease).id
 	}
-	c.leaseID(&id)
-	if c.writing {
+	codec.leaseID(&id)
+	if codec.writing {
 		return
 	}
-	known := dispatcher.client.byID[id]
+	known := l.byID[id]
 	if known == nil {
 		known = &leaseInfo{id: id}
 		known.timer = timer{purpose: leaseOverdue, lease: known}
-		dispatcher.client.byID[id] = known
+		l.byID[id] = known
 	}
 	*lease = known
 }
 
-func (c *codec) leaseID(id *LeaseID) {
-	number := int(*id)
-	c.int(&number)
-	*id = LeaseID(number)
-	c.check(int(*id) == number)
-}
-
-func (c *codec) shard(shard *Shard) {
-	c.int(&shard.Zone)
-	c.int(&shard.Number)
-}
-
-// leaseClient walks the leases that the dispatcher has or asks for.
-func (c *codec) leaseClient(dispatcher *Dispatcher) {
-	client := &dispatcher.client
-	c.leaseID(&client.lastID)
-	c.instant(&client.reportAt)
-	var leases []*leaseInfo
-	if c.writing {
-		leases = dispatcher.leasesWhere(func(*leaseInfo) bool { return true })
-	}
-	list(c, &leases, func(lease **leaseInfo) {
-		c.leaseReference(dispatcher, lease)
-		c.leaseFigures(*lease)
-	})
-	c.check(len(leases) == len(client.byID)) // else a timer is of none of them, or one is there twice
-	shardMap(c, client.freeSlots, func(free *int) { c.int(free) })
-	sortedMap(c, client.denied, func(peer *int, refused *deniedRequests) {
-		c.int(peer)
-		c.instant(&refused.since)
-		c.int(&refused.count)
-	})
-}
-
-// shardMap walks what is kept by shard.
-func shardMap[V any](c *codec, entries map[Shard]V, value func(value *V)) {
-	shards := slices.SortedFunc(maps.Keys(entries), compareShards)
-	list(c, &shards, func(shard *Shard) {
-		c.shard(shard)
-		entry := entries[*shard]
-		value(&entry)
-		if !c.writing {
-			entries[*shard] = entry
-		}
-	})
-}
-
-func compareShards(a, b Shard) int {
-	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Number, b.Number))
-}
-
-// leaseFigures walks a lease: of what it is for, either the job that waits for it, or the attempt that uses it.
-func (c *codec) leaseFigures(lease *leaseInfo) {
-	c.shard(&lease.shard)
-	c.int(&lease.peer)
-	c.int(&lease.requestAttempts)
-	c.uint(&lease.worker)
-	c.float(&lease.demand)
-	c.instant(&lease.requestedAt, &lease.createdAt)
-	isUsed := lease.isUsed()
-	c.flags(&lease.isQueued, &lease.isGranted, &isUsed)
+// walk writes or reads a lease, with a reference to the job that waits for it or to the attempt that uses it.
+func (l *leaseInfo) walk(codec *codec) {
+	codec.shard(&l.shard)
+	codec.int(&l.peer)
+	codec.int(&l.requestAttempts)
+	codec.uint(&l.worker)
+	codec.float(&l.demand)
+	codec.instant(&l.requestedAt, &l.createdAt)
+	isUsed := l.isUsed()
+	codec.flags(&l.isQueued, &l.isGranted, &isUsed)
 	if !isUsed {
-		c.job(&lease.job)
+		codec.job(&l.job)
 		return
 	}
-	c.attempt(&lease.attempt)
-	c.check(!lease.attempt.ended)
-	lease.attempt.lease = lease
+	codec.attempt(&l.attempt)
+	codec.check(!l.attempt.ended)
+	l.attempt.lease = l
 }
 
-// jobLeases walks what a job keeps of leases.
-func (c *codec) jobLeases(dispatcher *Dispatcher, job *jobInfo) {
-	c.flags(&job.withoutLease)
-	list(c, &job.unusableWorkers, func(worker *uint64) { c.uint(worker) })
-	if len(job.unusableWorkers) == 0 {
-		job.unusableWorkers = nil
+// walk writes or reads the leases of a job.
+func (j *jobLeases) walk(codec *codec, job *jobInfo, client *leaseClient) {
+	codec.flags(&j.isDisabled)
+	list(codec, &j.unusableWorkers, func(worker *uint64) { codec.uint(worker) })
+	if len(j.unusableWorkers) == 0 {
+		j.unusableWorkers = nil
 	}
-	list(c, &job.leases, func(lease **leaseInfo) {
-		c.leaseReference(dispatcher, lease)
-		c.check((*lease).job == job)
+	list(codec, &j.requested, func(lease **leaseInfo) {
+		client.walkReference(codec, lease)
+		codec.check((*lease).job == job)
 	})
 }
 
-// members walks whether the shards' workers are known since the list has last changed: with them goes what was counted free.
-func (c *codec) members(dispatcher *Dispatcher) {
-	isKnown := dispatcher.coordinator.members != nil
-	c.flags(&isKnown)
-	if !c.writing && isKnown {
-		dispatcher.membersOf(Shard{})
+// walkMembers writes or reads whether the shards' workers have been determined since the list last changed.
+// Determining them discards the counts of free slots, so that it comes before these.
+func (l *leaseCoordinator) walkMembers(codec *codec) {
+	isKnown := l.members != nil
+	codec.flags(&isKnown)
+	if !codec.writing && isKnown {
+		l.membersOf(Shard{})
 	}
 }
 
-// coordinator walks what the dispatcher has granted.
-func (c *codec) coordinator(coordinator *leaseCoordinator, classes int) {
-	c.instant(&coordinator.since)
-	c.flags(&coordinator.nothingFreed)
-	sortedMap(c, coordinator.slots, func(worker *uint64, slots **workerSlots) {
-		if !c.writing {
+// walk writes or reads the granted leases, the waiting requests and what is counted of both.
+func (l *leaseCoordinator) walk(codec *codec) {
+	codec.instant(&l.since)
+	codec.flags(&l.nothingFreed)
+	sortedMap(codec, l.slots, func(worker *uint64, slots **workerSlots) {
+		if !codec.writing {
 			*slots = &workerSlots{}
 		}
-		c.uint(worker)
-		c.slotFigures(*slots)
+		codec.uint(worker)
+		(*slots).walk(codec)
 	})
-	list(c, &coordinator.grants, func(lease **grantedLease) {
-		if !c.writing {
-			*lease = &grantedLease{position: len(coordinator.leases)}
+	list(codec, &l.grants, func(lease **grantedLease) {
+		if !codec.writing {
+			*lease = &grantedLease{position: len(l.leases)}
 		}
-		c.grantedFigures(*lease)
-		coordinator.leases[(*lease).key] = *lease
+		(*lease).walk(codec)
+		l.leases[(*lease).key] = *lease
 	})
-	c.check(len(coordinator.leases) == len(coordinator.grants)) // else one is there twice
-	list(c, &coordinator.waiting, func(waiting **waitingRequest) {
-		if !c.writing {
+	codec.check(len(l.leases) == len(l.grants)) // else a key occurs twice
+	list(codec, &l.waiting, func(waiting **waitingRequest) {
+		if !codec.writing {
 			*waiting = &waitingRequest{}
 		}
-		c.leaseKey(&(*waiting).key)
-		c.instant(&(*waiting).receivedAt, &(*waiting).promoteAt, &(*waiting).repeatedAt)
-		c.request(&(*waiting).request)
-		c.check((*waiting).request.Class >= 0 && (*waiting).request.Class < classes)
-		coordinator.waitingByKey[(*waiting).key] = *waiting
+		(*waiting).walk(codec)
+		codec.check((*waiting).request.Class >= 0 && (*waiting).request.Class < len(l.settings.Classes))
+		l.waitingByKey[(*waiting).key] = *waiting
 	})
-	c.check(len(coordinator.waitingByKey) == len(coordinator.waiting))
-	shardMap(c, coordinator.requestedSlots, func(slots *float64) { c.float(slots) })
-	shardMap(c, coordinator.free, func(free *freeSlots) {
-		c.instant(&free.countedAt)
-		c.float(&free.slots)
+	codec.check(len(l.waitingByKey) == len(l.waiting))
+	shardMap(codec, l.requestedSlots, func(slots *float64) { codec.float(slots) })
+	shardMap(codec, l.free, func(free *freeSlots) {
+		codec.instant(&free.countedAt)
+		codec.float(&free.slots)
 	})
-	sortedMap(c, coordinator.peers, func(peer *int, use *peerUse) {
-		c.int(peer)
-		c.int(&use.leases)
-		c.int(&use.waiting)
+	sortedMap(codec, l.peers, func(peer *int, use *peerUse) {
+		codec.int(peer)
+		codec.int(&use.leases)
+		codec.int(&use.waiting)
 	})
 }
 
-func (c *codec) leaseKey(key *leaseKey) {
-	c.int(&key.peer)
-	c.leaseID(&key.id)
+func (w *workerSlots) walk(codec *codec) {
+	codec.float(&w.limit, &w.used, &w.running)
+	codec.instant(&w.decreasedAt, &w.suspendedUntil)
+	codec.duration(&w.suspension)
+	codec.int(&w.failures)
+	codec.int(&w.lastFailedPeer)
+	codec.int(&w.leases)
+	list(codec, &w.warmUpSpends, codec.spend)
 }
 
-func (c *codec) slotFigures(slots *workerSlots) {
-	c.float(&slots.limit, &slots.used, &slots.running)
-	c.instant(&slots.decreasedAt, &slots.suspendedUntil)
-	c.duration(&slots.suspension)
-	c.int(&slots.failures)
-	c.int(&slots.lastFailedPeer)
-	c.int(&slots.leases)
-	list(c, &slots.warmUpSpends, c.spend)
+func (g *grantedLease) walk(codec *codec) {
+	g.key.walk(codec)
+	codec.uint(&g.worker)
+	codec.float(&g.demand)
+	codec.instant(&g.grantedAt, &g.reportedAt)
+	codec.flags(&g.isLimitBound, &g.isStarted)
 }
 
-func (c *codec) grantedFigures(lease *grantedLease) {
-	c.leaseKey(&lease.key)
-	c.uint(&lease.worker)
-	c.float(&lease.demand)
-	c.instant(&lease.grantedAt, &lease.reportedAt)
-	c.flags(&lease.isLimitBound, &lease.isStarted)
+func (w *waitingRequest) walk(codec *codec) {
+	w.key.walk(codec)
+	codec.instant(&w.receivedAt, &w.promoteAt, &w.repeatedAt)
+	w.request.walk(codec)
 }
 
-func (c *codec) request(request *LeaseRequest) {
-	c.leaseID(&request.ID)
-	c.shard(&request.Shard)
-	c.int(&request.Class)
-	c.float(&request.Demand, &request.Work, &request.LongChance)
-	c.flags(&request.Demoted)
-	c.duration(&request.PromoteIn)
-	list(c, &request.Excluded, func(worker *uint64) { c.uint(worker) })
+func (l *leaseKey) walk(codec *codec) {
+	codec.int(&l.peer)
+	codec.leaseID(&l.id)
 }
 
-// dropAllLeases has all jobs and attempts go on without leases.
-func (d *Dispatcher) dropAllLeases() {
-	for _, lease := range d.leasesWhere(func(*leaseInfo) bool { return true }) {
-		if lease.attempt != nil {
-			lease.attempt.lease = nil
+func (l *LeaseRequest) walk(codec *codec) {
+	codec.leaseID(&l.ID)
+	codec.shard(&l.Shard)
+	codec.int(&l.Class)
+	codec.float(&l.Demand, &l.Work, &l.LongChance)
+	codec.flags(&l.Demoted)
+	codec.duration(&l.PromoteIn)
+	list(codec, &l.Excluded, func(worker *uint64) { codec.uint(worker) })
+}
+
+func (c *codec) leaseID(id *LeaseID) {
+	number := int(*id)
+	c.int(&number)
+	*id = LeaseID(number)
+	c.check(int(*id) == number)
+}
+
+func (c *codec) shard(shard *Shard) {
+	c.int(&shard.Zone)
+	c.int(&shard.Number)
+}
+
+// shardMap writes or reads a map by shard, in the order of the shards.
+func shardMap[V any](c *codec, entries map[Shard]V, walkValue func(value *V)) {
+	shards := slices.SortedFunc(maps.Keys(entries), compareShards)
+	list(c, &shards, func(shard *Shard) {
+		c.shard(shard)
+		value := entries[*shard]
+		walkValue(&value)
+		if !c.writing {
+			entries[*shard] = value
 		}
-		d.dropLease(lease)
-	}
-	without := New(d.settings, 0)
-	d.client, d.coordinator, d.directory = without.client, without.coordinator, without.directory
+	})
+}
+
+func compareShards(a, b Shard) int {
+	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Number, b.Number))
 }
--- a/dispatch/leasesnapshot_test.go
+++ b/dispatch/leasesnapshot_test.go
@@ -92,9 +92,9 @@
 }
 
 func (p *leasingPair) observe(dispatcher *Dispatcher) {
-	p.observed["waiting"] += len(dispatcher.coordinator.waiting)
-	p.observed["granted"] += len(dispatcher.coordinator.leases)
-	for _, lease := range dispatcher.client.byID {
+	p.observed["waiting"] += len(dispatcher.leases.coordinator.waiting)
+	p.observed["granted"] += len(dispatcher.leases.coordinator.leases)
+	for _, lease := range dispatcher.leases.client.byID {
 		if lease.isUsed() {
 			p.observed["used"]++
 		} else {
@@ -157,7 +157,7 @@
 			t.Fatal(err)
 		}
 		isOfLease := func(x *timer) bool { return x.purpose == leaseOverdue }
-		if len(off.client.byID)+len(off.coordinator.leases) > 0 || slices.ContainsFunc(off.timers.items, isOfLease) {
+		if len(off.leases.client.byID)+len(off.leases.coordinator.leases) > 0 || slices.ContainsFunc(off.timers.items, isOfLease) {
 			t.Error("leases are left")
 		}
 		on, err := Restore(leasingSettings(index), off.Snapshot(nil))
@@ -226,9 +226,9 @@
 	for range 60 {
 		pair.step()
 		for _, dispatcher := range pair.dispatchers {
-			used := dispatcher.leasesWhere((*leaseInfo).isUsed)
+			used := dispatcher.leases.client.where((*leaseInfo).isUsed)
 			counts := dispatcher.LeaseCounts()
-			if counts != (LeaseCounts{len(used), len(dispatcher.coordinator.leases), len(dispatcher.coordinator.waiting)}) {
+			if counts != (LeaseCounts{len(used), len(dispatcher.leases.coordinator.leases), len(dispatcher.leases.coordinator.waiting)}) {
 				t.Fatalf("%+v", counts)
 			}
 			seen = LeaseCounts{max(seen.Held, counts.Held), max(seen.Granted, counts.Granted), max(seen.Waiting, counts.Waiting)}
--- /dev/null
+++ b/dispatch/leasewaiting.go
@@ -0,0 +1,146 @@
+package dispatch
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// The requests that wait at a coordinator. This carries out DESIGN's order of the queue ("At each release
+// jobs held over tau = 3 × mu_short leave first, oldest first; otherwise the lowest score leaves, ties to the
+// oldest") over the jobs of all dispatchers.
+const (
+	waitingRequestExpiry = time.Second // since it was last repeated
+	maxWaiting           = 4096        // requests; further ones are answered as queued and forgotten
+	maxPromoteIn         = time.Hour
+)
+
+// waitingRequest is a request that no worker was found for.
+type waitingRequest struct {
+	key        leaseKey
+	request    LeaseRequest
+	receivedAt time.Duration
+	promoteAt  time.Duration // when its job has been queued for longer than tau
+	repeatedAt time.Duration // last time
+}
+
+// requestShape is what requests have in common that the same workers may be leased for.
+type requestShape struct {
+	shard Shard
+	group int // of classes
+}
+
+// addressedMessage is a message to another dispatcher.
+type addressedMessage struct {
+	to      int
+	message PeerMessage
+}
+
+// addWaiting has a request wait, if there is room for it and its shard has workers.
+func (l *leaseCoordinator) addWaiting(now time.Duration, key leaseKey, request *LeaseRequest) {
+	hasRoom := l.hasRoom(l.peers[key.peer].waiting, len(l.waiting), maxWaiting)
+	if !hasRoom || len(l.membersOf(request.Shard)) == 0 {
+		return
+	}
+	waiting := &waitingRequest{key: key, request: *request, receivedAt: now, repeatedAt: now}
+	waiting.promoteAt = now + min(max(request.PromoteIn, -maxPromoteIn), maxPromoteIn)
+	waiting.request.Excluded = request.Excluded[:min(len(request.Excluded), MaxExcluded)]
+	l.waiting = append(l.waiting, waiting)
+	l.waitingByKey[key] = waiting
+	l.requestedSlots[request.Shard] += request.Demand
+	l.countUse(key.peer, 0, 1)
+}
+
+// withdraw forgets the waiting requests that a predicate holds of.
+func (l *leaseCoordinator) withdraw(matches func(waiting *waitingRequest) bool) {
+	l.waiting = slices.DeleteFunc(l.waiting, func(waiting *waitingRequest) bool {
+		if !matches(waiting) {
+			return false
+		}
+		shard := waiting.request.Shard
+		l.requestedSlots[shard] -= waiting.request.Demand
+		if l.requestedSlots[shard] <= 0 {
+			delete(l.requestedSlots, shard)
+		}
+		delete(l.waitingByKey, waiting.key)
+		l.countUse(waiting.key.peer, 0, -1)
+		return true
+	})
+}
+
+// grantWaiting grants waiting requests, in their order, and returns the grants to send. It evaluates them
+// only if slots may have become free.
+func (l *leaseCoordinator) grantWaiting(now time.Duration) (granted []addressedMessage) {
+	if l.nothingFreed || len(l.waiting) == 0 {
+		return nil
+	}
+	l.nothingFreed = true
+	slices.SortStableFunc(l.waiting, func(a, b *waitingRequest) int { return compareWaiting(now, a, b) })
+	ungranted := map[requestShape]LeaseRequest{}
+	l.withdraw(func(waiting *waitingRequest) bool {
+		if now-waiting.repeatedAt > waitingRequestExpiry {
+			return true
+		}
+		lease := l.grantWaitingRequest(now, waiting, ungranted)
+		if lease == nil {
+			return false
+		}
+		answer := l.grantedAnswer(now, lease, waiting.request.Shard)
+		granted = append(granted, addressedMessage{to: lease.key.peer, message: answer})
+		return true
+	})
+	return granted
+}
+
+// grantWaitingRequest grants a waiting request; nil: it can't. ungranted has, by shape, the last request that
+// could not be granted since slots became free: one that wants at least as much can't be granted either.
+func (l *leaseCoordinator) grantWaitingRequest(
+	now time.Duration, waiting *waitingRequest, ungranted map[requestShape]LeaseRequest,
+) *grantedLease {
+	request := &waiting.request
+	shape := requestShape{shard: request.Shard, group: l.placementGroups[request.Class]}
+	last, hasLast := ungranted[shape]
+	if hasLast && request.Demand >= last.Demand && request.Work >= last.Work {
+		return nil
+	}
+	lease := l.grant(now, waiting.key, request)
+	if lease == nil && len(request.Excluded) == 0 && l.hasRoomForLease(waiting.key.peer) {
+		ungranted[shape] = *request
+	}
+	return lease
+}
+
+// compareWaiting is the order in which requests are granted.
+func compareWaiting(now time.Duration, a, b *waitingRequest) int {
+	rank := a.rank(now)
+	if byRank := cmp.Compare(rank, b.rank(now)); byRank != 0 {
+		return byRank
+	}
+	if rank == rankPromoted {
+		return cmp.Compare(a.promoteAt, b.promoteAt)
+	}
+	return cmp.Or(
+		cmp.Compare(a.request.LongChance, b.request.LongChance),
+		cmp.Compare(a.receivedAt, b.receivedAt),
+	)
+}
+
+// waitingRank orders requests before their score does.
+type waitingRank int
+
+const (
+	rankPromoted waitingRank = iota // its job has been queued for longer than tau
+	rankByScore
+	rankDemoted // its job can't earn in full any more
+)
+
+func (w *waitingRequest) rank(now time.Duration) waitingRank {
+	switch {
+	case w.request.Demoted:
+		return rankDemoted
+	case w.promoteAt < now:
+		return rankPromoted
+	default:
+		return rankByScore
+	}
+}
--- a/dispatch/maintenance.go
+++ b/dispatch/maintenance.go
@@ -17,8 +17,7 @@
 		d.subscription = subscribing
 		d.emit(Subscribe{})
 	}
-	d.reportLeases()
-	d.expireLeases()
+	d.leases.maintain(d.now)
 	d.decayEstimates()
 	d.assignLots()
 	fleet := d.summarise()
--- a/dispatch/objective.go
+++ b/dispatch/objective.go
@@ -47,7 +47,7 @@
 		job.priority = levelUnreachable
 		d.queue.reorder(job)
 		if isNew {
-			d.repeatLeaseRequests(job)
+			d.leases.client.repeatRequests(d.now, job)
 		}
 	}
 	d.setTimer(&job.objectiveTimer, d.now+objectiveRecheckInterval)
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -135,7 +135,7 @@
 			d.eject(a.worker, false, "silent")
 		}
 	}
-	d.reportStart(a, false)
+	d.leases.client.reportStart(a, false)
 	d.adjustLimit(a, false)
 }
 
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -28,11 +28,11 @@
 	if job.heapIndex >= 0 || job.closed || job.streaming {
 		return
 	}
-	isRestricted := len(job.attempts) > 0 || job.withoutLease
+	isRestricted := len(job.attempts) > 0 || job.leases.isDisabled
 	job.demandClass = demandClassOf(d.placementGroups[job.Class], slotBucket(job), isRestricted)
 	d.queue.push(job)
-	defer d.requestFirstLease(job) // once it is known when the job is promoted
-	if job.inPromotions {          // its entry has stayed
+	defer d.leases.client.requestFirst(d.now, job) // once it is known when the job is promoted
+	if job.inPromotions {                          // its entry has stayed
 		return
 	}
 	// Valuable jobs are promoted sooner: under overload capacity goes to what earns most.
@@ -92,7 +92,7 @@
 		d.skipJob(job)
 		return
 	}
-	if job.awaitsLease() {
+	if job.leases.isAwaited() {
 		d.skipAwaitingLease(job)
 		return
 	}
@@ -103,7 +103,7 @@
 	switch {
 	case worker != nil:
 		d.dequeue(job)
-		d.takeSlots(d.send(job, worker))
+		d.leases.client.takeSlots(d.now, d.send(job, worker))
 		d.reindex(worker)
 	case lacksCapacity:
 		d.queue.demandClasses[job.demandClass].blocked = true
--- a/dispatch/peers.go
+++ b/dispatch/resume.go
@@ -4,10 +4,8 @@
 	"math"
 )
 
-const (
-	hashFactor  = 0x9e3779b97f4a7c15 // golden ratio in 64 bits: spreads ids
-	unknownKind = -1                 // of the worker of a past attempt that is not listed
-)
+// unknownKind is the kind of the worker of a past attempt that is not listed.
+const unknownKind = -1
 
 func (d *Dispatcher) onReplicasChanged(e ReplicasChanged) {
 	d.sharing = ReplicasChanged{
@@ -34,8 +32,8 @@
 	d.requeue(j)
 }
 
-// adoptAttempt enters an attempt that another dispatcher has made. Its notifications so far went there; whether it is late,
-// or lost, counts from now on.
+// adoptAttempt enters an attempt that another dispatcher has made. Its notifications so far went there;
+// whether it is late, or lost, counts from now on.
 func (d *Dispatcher) adoptAttempt(job *jobInfo, past PastAttempt) {
 	worker := d.workers[past.Worker]
 	if worker == nil {
@@ -55,7 +53,7 @@
 		return
 	}
 	d.addAttempt(attempt)
-	d.takeSlots(attempt)
+	d.leases.client.takeSlots(d.now, attempt)
 	worker.connections = max(worker.connections, len(worker.inFlight))
 	d.markDirty(worker)
 	if isNotified {
@@ -65,7 +63,8 @@
 	d.setTimer(&attempt.timer, d.dueAt(attempt))
 }
 
-// newUnlistedWorker is the worker of a past attempt that no list has named. It is known while the attempt is in flight.
+// newUnlistedWorker is the worker of a past attempt that no list has named. It is known while the attempt is
+// in flight.
 func (d *Dispatcher) newUnlistedWorker(past PastAttempt) *workerInfo {
 	machine := d.machineKind(unknownKind)
 	w := &workerInfo{
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -40,7 +40,7 @@
 func RestoreOnClock(settings Settings, b []byte, clockAhead time.Duration) (*Dispatcher, error) {
 	d, err := read(settings, &codec{b: b, clockAhead: clockAhead})
 	if err == nil {
-		d.resumeLeases()
+		d.leases.resume(d.now, d.workerList, d.jobs)
 	}
 	return d, err
 }
@@ -89,7 +89,7 @@
 		c.job(&dispatcher.reservedFor)
 	}
 	if c.withLeases {
-		c.leases(dispatcher)
+		dispatcher.leases.walk(c)
 	}
 }
 
@@ -265,7 +265,7 @@
 		c.worker(&worker)
 	case leaseOverdue:
 		c.check(c.withLeases)
-		c.leaseReference(dispatcher, &held.lease)
+		dispatcher.leases.client.walkReference(c, &held.lease)
 	case runMaintenance:
 	}
 	if c.writing {
--- a/dispatch/snapshot_test.go
+++ b/dispatch/snapshot_test.go
@@ -68,7 +68,7 @@
 
 func (r *restoredBeside) restore(d *Dispatcher) {
 	snapshot, restore := (*Dispatcher).Snapshot, RestoreOnClock
-	if d.usesLeases() {
+	if d.settings.UsesLeases() {
 		snapshot, restore = (*Dispatcher).SnapshotWithLeases, restoreWithLeasesOnClock
 	}
 	state := snapshot(d, nil)
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -29,11 +29,7 @@
 	quotaRefilledAt []time.Duration
 	trialTokens     float64 // jobs that may go though thought out of reach
 
-	directory   peerDirectory
-	client      leaseClient
-	coordinator leaseCoordinator
-	ownMessages []PeerMessage // to this dispatcher itself, not handled yet
-	readyZones  []int         // that have ready workers, in ascending order
+	leases *leaseExchange
 
 	workers     map[uint64]*workerInfo
 	workerList  []*workerInfo // all workers: the order of the map decides nothing
@@ -103,32 +99,30 @@
 // jobInfo is a job that is owed a final answer, or whose attempts are still in flight.
 type jobInfo struct {
 	Job
-	class           *Class
-	demand          float64 // slots, or memory where that is more
-	work            float64 // expected seconds on a worker of speed 1
-	longChance      float64 // of running long: the paper's score
-	arrivedAt       time.Duration
-	deadline        time.Duration
-	objectiveAt     time.Duration // an answer until then earns in full
-	promoteAt       time.Duration // when it is queued for longer than tau
-	priority        priorityLevel
-	recheckOnEnd    bool // it was in flight at its objective, and is looked at again when an attempt ends
-	closed          bool // it has had its final answer
-	streaming       bool // its response has begun
-	inPromotions    bool // it has an entry in a shape's byPromotion
-	heapIndex       int  // in byScore of its shape; -1: it is not queued
-	demandClass     int
-	leases          []*leaseInfo // that it waits for
-	unusableWorkers []uint64     // workers whose slots were granted and can't be used
-	withoutLease    bool         // it leaves without one
-	skipCount       int          // passes over the queue that it was set back by
-	attempts        []*attemptInfo
-	inFlight        int           // attempts
-	warmUpDraw      float64       // above 0 and up to 1, for the lots of warming workers; 0: not drawn yet
-	checksUntil     time.Duration // workers checked for it should have answered by then
-	deadlineTimer   timer
-	objectiveTimer  timer
-	checksTimer     timer
+	class          *Class
+	demand         float64 // slots, or memory where that is more
+	work           float64 // expected seconds on a worker of speed 1
+	longChance     float64 // of running long: the paper's score
+	arrivedAt      time.Duration
+	deadline       time.Duration
+	objectiveAt    time.Duration // an answer until then earns in full
+	promoteAt      time.Duration // when it is queued for longer than tau
+	priority       priorityLevel
+	recheckOnEnd   bool // it was in flight at its objective, and is looked at again when an attempt ends
+	closed         bool // it has had its final answer
+	streaming      bool // its response has begun
+	inPromotions   bool // it has an entry in a shape's byPromotion
+	heapIndex      int  // in byScore of its shape; -1: it is not queued
+	demandClass    int
+	leases         jobLeases
+	skipCount      int // passes over the queue that it was set back by
+	attempts       []*attemptInfo
+	inFlight       int           // attempts
+	warmUpDraw     float64       // above 0 and up to 1, for the lots of warming workers; 0: not drawn yet
+	checksUntil    time.Duration // workers checked for it should have answered by then
+	deadlineTimer  timer
+	objectiveTimer timer
+	checksTimer    timer
 }
 
 // isDeprioritized tells whether a job cannot earn in full any more: it leaves after those that can.
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"slices"
 )
 
 // applyList takes in the entries of a list. A worker that is removed is forgotten once nothing of ours is in flight there.
@@ -28,21 +27,8 @@
 		}
 	}
 	d.updateAllCordoned()
-	d.updateReadyZones()
 	d.updatePreferences()
-	d.coordinator.members = nil
-	d.coordinator.nothingFreed = false
-}
-
-// updateReadyZones notes which zones have ready workers.
-func (d *Dispatcher) updateReadyZones() {
-	d.readyZones = d.readyZones[:0]
-	for _, w := range d.workerList {
-		if w.Ready && !slices.Contains(d.readyZones, w.Zone) {
-			d.readyZones = append(d.readyZones, w.Zone)
-		}
-	}
-	slices.Sort(d.readyZones)
+	d.leases.handleWorkerList(d.workerList)
 }
 
 // applyEntry takes in one entry of a list, and returns its worker; nil: it is removed and was not known.
@@ -80,7 +66,7 @@
 	w.timer = timer{purpose: workerAvailable, worker: w}
 	d.workers[id] = w
 	d.workerList = append(d.workerList, w)
-	d.coordinator.members = nil
+	d.leases.coordinator.forgetMembers()
 }
 
 // forgetWorker drops a worker that is not listed any more, once nothing of ours is in flight there.
@@ -89,7 +75,7 @@
 		return
 	}
 	delete(d.workers, w.ID)
-	d.coordinator.members = nil
+	d.leases.coordinator.forgetMembers()
 	d.available.drop(w)
 	d.cancelTimer(&w.timer)
 	last := d.workerList[len(d.workerList)-1]
@@ -120,7 +106,7 @@
 	orphans := w.inFlight
 	for _, a := range orphans {
 		a.orphaned = true
-		d.releaseLease(a, Cancelled)
+		d.leases.client.endAttempt(a, Cancelled)
 		d.usedSlots = max(0, d.usedSlots-a.job.demand)
 	}
 	w.inFlight, w.usedSlots, w.runningSlots, w.connections = nil, 0, 0, 0
