--- a/dispatch/leaseadapter.go
+++ b/dispatch/leaseadapter.go
@@ -7,7 +7,7 @@
 
 // sendOnLease implements leasedJobs.
 func (l *leaseAdapter) sendOnLease(job *jobInfo, worker *workerInfo) *attemptInfo {
-	l.dispatcher.dequeue(job)
+	l.dispatcher.queue.remove(job)
 	attempt := l.dispatcher.send(job, worker)
 	l.dispatcher.reindex(worker)
 	return attempt
@@ -18,7 +18,7 @@
 	if !job.isQueued() {
 		return
 	}
-	l.dispatcher.dequeue(job)
+	l.dispatcher.queue.remove(job)
 	job.inPromotions = false
 	l.dispatcher.enqueue(job)
 }
@@ -55,7 +55,7 @@
 
 // observeLateSlots implements slotObserver.
 func (l *leaseAdapter) observeLateSlots(worker *workerInfo, running float64) {
-	if machine := l.dispatcher.machineKind(worker.Kind); running >= machine.maxSlots {
+	if machine := l.dispatcher.workload.machineKind(worker.Kind); running >= machine.maxSlots {
 		machine.lateOverflows++
 	}
 }
--- a/dispatch/leaseclient.go
+++ b/dispatch/leaseclient.go
@@ -69,12 +69,6 @@
 	count int
 }
 
-// leaseTimers sets the timers of leases.
-type leaseTimers interface {
-	setTimer(timer *timer, at time.Duration)
-	cancelTimer(timer *timer)
-}
-
 // leasedJobs is what a lease client needs of the queue, and of the rules for sending a job.
 type leasedJobs interface {
 	// usableWorker returns the worker that a coordinator has granted slots of; nil: the job must not be sent
@@ -98,7 +92,7 @@
 	settings  *Settings
 	rng       *rand.Rand
 	directory *peerDirectory
-	timers    leaseTimers
+	timers    *timerQueue
 	jobs      leasedJobs
 	peers     messageSender
 
@@ -149,7 +143,7 @@
 // requestOnTimer requests slots for a job of a restored dispatcher, when its timers next fire.
 func (l *leaseClient) requestOnTimer(now time.Duration, job *jobInfo) {
 	if lease := l.newRequest(now, job); lease != nil {
-		l.timers.setTimer(&lease.timer, now)
+		l.timers.set(&lease.timer, now, now)
 	}
 }
 
@@ -245,7 +239,7 @@
 	if lease.isQueued {
 		wait = queuedRequestInterval
 	}
-	l.timers.setTimer(&lease.timer, now+wait)
+	l.timers.set(&lease.timer, now+wait, now)
 	l.peers.send(peer, l.requestMessage(now, lease))
 }
 
@@ -340,7 +334,7 @@
 		lease.job.leases.remove(lease)
 		lease.job = nil
 	}
-	l.timers.cancelTimer(&lease.timer)
+	l.timers.cancel(&lease.timer)
 	delete(l.byID, lease.id)
 }
 
--- a/dispatch/leaseexchange.go
+++ b/dispatch/leaseexchange.go
@@ -33,13 +33,15 @@
 	emit(action Action)
 }
 
-func newLeaseExchange(settings *Settings, rng *rand.Rand, adapter *leaseAdapter) *leaseExchange {
+func newLeaseExchange(
+	settings *Settings, rng *rand.Rand, timers *timerQueue, adapter *leaseAdapter,
+) *leaseExchange {
 	exchange := &leaseExchange{settings: settings, actions: adapter.dispatcher}
 	exchange.client = leaseClient{
 		settings:  settings,
 		rng:       rng,
 		directory: &exchange.directory,
-		timers:    adapter.dispatcher,
+		timers:    timers,
 		jobs:      adapter,
 		peers:     exchange,
 	}
--- a/dispatch/leasegrants.go
+++ b/dispatch/leasegrants.go
@@ -24,7 +24,7 @@
 	lease.isGranted = true
 	lease.worker = message.Worker
 	lease.peer = from
-	l.timers.cancelTimer(&lease.timer)
+	l.timers.cancel(&lease.timer)
 	l.granted = append(l.granted, lease)
 }
 
@@ -43,7 +43,7 @@
 		l.recordDenied(now, from)
 	}
 	lease.isQueued = true
-	l.timers.setTimer(&lease.timer, now+queuedRequestInterval)
+	l.timers.set(&lease.timer, now+queuedRequestInterval, now)
 	l.request(now, lease.job)
 }
 
--- a/dispatch/leasereports.go
+++ b/dispatch/leasereports.go
@@ -87,6 +87,6 @@
 	}
 	for _, lease := range l.where(isLost) {
 		lease.isQueued = false
-		l.timers.setTimer(&lease.timer, now)
+		l.timers.set(&lease.timer, now, now)
 	}
 }
--- a/internal/link/worker_cancel.go
+++ b/internal/worker/cancel.go
@@ -1,4 +1,4 @@
-package link
+package worker
 
 import (
 	"time"
@@ -14,7 +14,7 @@
 
 // Cancel sends a DELETE for an attempt, unless one is on its way. For an attempt that is written and not accepted yet it waits a
 // moment: closing the connection gives up nothing if the worker's 202 is on its way.
-func (p *workerPool) Cancel(attempt *requests.Attempt) {
+func (p *Pool) Cancel(attempt *requests.Attempt) {
 	if _, isCancelling := p.cancelTries[attempt]; isCancelling {
 		return
 	}
@@ -27,13 +27,13 @@
 		tries, isWaiting := p.cancelTries[attempt]
 		if isWaiting && tries == 0 && attempt.Stage < requests.StageAccepted {
 			delete(p.cancelTries, attempt)
-			p.loop.Requests.CancelUnaccepted(attempt)
+			p.table.CancelUnaccepted(attempt)
 		}
 	})
 }
 
 // handleAccepted sends the DELETE that has waited for an attempt to be accepted, if one has.
-func (p *workerPool) handleAccepted(attempt *requests.Attempt) {
+func (p *Pool) handleAccepted(attempt *requests.Attempt) {
 	if tries, isWaiting := p.cancelTries[attempt]; !isWaiting || tries > 0 {
 		return
 	}
@@ -44,7 +44,7 @@
 	p.tryCancel(attempt)
 }
 
-func (p *workerPool) tryCancel(attempt *requests.Attempt) {
+func (p *Pool) tryCancel(attempt *requests.Attempt) {
 	p.cancelTries[attempt]++
 	p.startExchange(attempt.Worker, exchange{kind: exchangeCancel, attempt: attempt})
 }
@@ -52,7 +52,7 @@
 // handleCancelResult takes in how a DELETE ended. Where its connection was lost it is sent again, on another one: the first may
 // not have come up in time, or was reset or dropped unseen, and the DELETE with it. A worker that responds knows. One that
 // does not may be cut off, and go on with the attempt, which then ends by its timeout.
-func (p *workerPool) handleCancelResult(attempt *requests.Attempt, failure *requests.AttemptError) {
+func (p *Pool) handleCancelResult(attempt *requests.Attempt, failure *requests.AttemptError) {
 	neverSent := failure != nil && failure.Reason == requests.ReasonNotSent // this machine lacked something: that passes
 	isLost := failure != nil && failure.Reason == requests.ReasonConnectionLost || neverSent
 	if neverSent {
@@ -62,11 +62,11 @@
 	if !isLost || !isOfUse || attempt.EndedByWorker() || p.cancelTries[attempt] >= maxCancelTries {
 		delete(p.cancelTries, attempt)
 		workerKnows := failure == nil || !isLost && failure.Reason != requests.ReasonTimeout
-		p.loop.Requests.CancelCompleted(attempt, workerKnows)
+		p.table.CancelCompleted(attempt, workerKnows)
 		return
 	}
 	p.loop.StartTimer(cancelRetryDelay, p, func() {
-		if attempt.EndedByWorker() || p.loop.hasRelinquished() {
+		if attempt.EndedByWorker() || p.hasRelinquished() {
 			delete(p.cancelTries, attempt)
 			return
 		}
