--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -59,7 +59,7 @@
 	if job.heapIndex >= 0 || job.closed || job.streaming {
 		return
 	}
-	isRestricted := len(job.attempts) > 0 || job.withoutLease
+	isRestricted := len(job.attempts) > 0 || job.leases.isDisabled
 	job.demandClass = demandClassOf(d.queue.placementGroups[job.Class], slotBucket(job), isRestricted)
 	d.queue.push(job)
 	if !job.inPromotions {
@@ -67,7 +67,7 @@
 		job.promoteAt = job.arrivedAt + seconds(tauFactor*d.workload.meanShortSojourn*urgency)
 		d.queue.pushPromotion(job)
 	}
-	d.requestFirstLease(job)
+	d.leases.client.requestFirst(d.now, job)
 }
 
 // dispatchQueued is a dispatch cycle: it sends queued jobs, in order, while some worker can start them now.
@@ -104,7 +104,7 @@
 		d.queue.skip(job)
 		return
 	}
-	if job.awaitsLease() {
+	if job.leases.isAwaited() {
 		d.skipAwaitingLease(job)
 		return
 	}
@@ -115,7 +115,7 @@
 	switch {
 	case worker != nil:
 		d.queue.remove(job)
-		d.takeSlots(d.send(job, worker))
+		d.leases.client.takeSlots(d.now, d.send(job, worker))
 		d.reindex(worker)
 	case lacksCapacity:
 		d.queue.demandClasses[job.demandClass].blocked = true
