--- a/cmd/valvecove-testbed/baselines.go
+++ b/cmd/valvecove-testbed/baselines.go
@@ -38,7 +38,7 @@
 		policies = experiment.PolicyNames()
 	}
 	table := experiment.BaselineTable{Specs: specs, Policies: policies, Seeds: c.list(), Metric: metric, Parallelism: c.Parallelism}
-	results, err := table.Run(ctx, newProgressCounter(streams.stderr, "yardsticks"))
+	results, err := table.Run(ctx, newProgressCounter(streams.stderr, "baselines"))
 	if err != nil {
 		return err
 	}
--- a/cmd/valvecove-testbed/compare.go
+++ b/cmd/valvecove-testbed/compare.go
@@ -19,8 +19,8 @@
 	B         string   `name:"b" help:"The other side; the same kinds." default:""`
 	ASet      []string `name:"a-set" help:"Change a key of the scenario for A." sep:"none" placeholder:"KEY=VALUE"`
 	BSet      []string `name:"b-set" help:"Change a key of the scenario for B." sep:"none" placeholder:"KEY=VALUE"`
-	ATestbed  string   `name:"a-lab" help:"A is run by another build's valvecove-testbed." type:"existingfile"`
-	BTestbed  string   `name:"b-lab" help:"B is run by another build's valvecove-testbed." type:"existingfile"`
+	ATestbed  string   `name:"a-testbed" aliases:"a-lab" help:"A is run by another build's valvecove-testbed." type:"existingfile"`
+	BTestbed  string   `name:"b-testbed" aliases:"b-lab" help:"B is run by another build's valvecove-testbed." type:"existingfile"`
 	JSON      string   `name:"json" help:"Write all as JSON to a file, or to standard output for -." placeholder:"FILE"`
 	Report    string   `name:"report" help:"Write a page of HTML for each scenario into this folder." type:"path" placeholder:"DIR"`
 	seedFlags
@@ -69,7 +69,7 @@
 	a := c.subject("A", nameA, c.ASet, c.ATestbed)
 	b := c.subject("B", nameB, c.BSet, c.BTestbed)
 	if a.Name == b.Name && a.Testbed == b.Testbed {
-		return nil, fmt.Errorf("both sides are %q: change one with --b, --b-set or --b-lab", a.Name)
+		return nil, fmt.Errorf("both sides are %q: change one with --b, --b-set or --b-testbed", a.Name)
 	}
 	return []experiment.Subject{a, b}, nil
 }
--- a/cmd/valvecove-testbed/fleet.go
+++ b/cmd/valvecove-testbed/fleet.go
@@ -27,7 +27,7 @@
 	Notices   []string      `name:"notices" help:"Whether workers notify the scheduler of starts." enum:"on,off" default:"on,off"`
 	Hints     []string      `name:"hints" help:"Factors that hints of the work are wrong by: 1, 1/30, 30; none: no hints." default:"1,1/30,30"`
 	Binary    []string      `name:"binary" help:"The scheduler's program, as PATH or NAME=PATH; may be given again. Default: valvecove beside this one, or else built." sep:"none" placeholder:"NAME=PATH"`
-	Baselines []string      `name:"yardsticks" help:"Also measured at each number of workers: the reverse proxy, and clients that call workers directly. none: neither." enum:"proxy,direct,none" default:"proxy,direct"`
+	Baselines []string      `name:"baselines" aliases:"yardsticks" help:"Also measured at each number of workers: the reverse proxy, and clients that call workers directly. none: neither." enum:"proxy,direct,none" default:"proxy,direct"`
 	For       time.Duration `name:"for" help:"How long is measured." default:"10s"`
 	WarmUp    time.Duration `name:"warm" help:"Warm-up before that." default:"3s"`
 	Runs      int           `name:"runs" help:"Measurements of each configuration." default:"1"`
--- a/cmd/valvecove-testbed/main.go
+++ b/cmd/valvecove-testbed/main.go
@@ -35,7 +35,7 @@
 	Variation variationCommand `cmd:"" name:"sweep" help:"Run a scenario with one key, or two, taking several values."`
 	Search    searchCommand    `cmd:"" name:"hunt" help:"Draw scenarios and faults at random, and keep the worst runs, minimised."`
 	Agreement agreementCommand `cmd:"" name:"agree" help:"Run scenarios with both drivers, and set their figures side by side."`
-	Baselines baselinesCommand `cmd:"" name:"yardsticks" help:"Compare the dispatch policy with the baseline policies, scenario by scenario."`
+	Baselines baselinesCommand `cmd:"" name:"baselines" help:"Compare the dispatch policy with the baseline policies, scenario by scenario."`
 	Speed     speedCommand     `cmd:"" name:"speed" help:"Measure how fast the simulation runs on one core, by fleet size."`
 	Load      loadCommand      `cmd:"" name:"load" help:"Put an open load on an address, or on a responder of the testbed's own."`
 	Fleet     fleetCommand     `cmd:"" name:"fleet" help:"Measure a scheduler in front of large fleets on sockets, beside the standard library's reverse proxy."`
@@ -44,6 +44,9 @@
 	List      listCommand      `cmd:"" name:"list" help:"List the scenarios of the library."`
 	Check     checkCommand     `cmd:"" name:"check" help:"Check scenario files."`
 	Version   versionCommand   `cmd:"" name:"version" help:"Print which build this is."`
+
+	// FormerBaselines is the name of Baselines up to December 2026, accepted for one release.
+	FormerBaselines baselinesCommand `hidden:"" cmd:"" name:"yardsticks"`
 }
 
 const programDescription = `The testbed of valvecove. SCENARIO is a name of the library ("valvecove-testbed list"), a file, or - for standard input.
--- a/cmd/valvecove-testbed/main_test.go
+++ b/cmd/valvecove-testbed/main_test.go
@@ -59,6 +59,12 @@
 		{"", "mutants answers-twice drain-late", 0, "found", ""},
 		{"", "hunt --most 2 --at 1 --top logic --for 1m --out " + dir, 0, "2 runs", ""},
 		{"", "compare calm rude_words", 2, "", "virtual"},
+		{tinyScenario, "baselines - --seeds 1", 0, "least-outstanding", ""},
+		{tinyScenario, "play - --starvation", 0, "No rule broken", ""},
+		// Former names, accepted for one release.
+		{tinyScenario, "yardsticks - --seeds 1", 0, "least-outstanding", ""},
+		{tinyScenario, "play - --starve", 0, "No rule broken", ""},
+		{tinyScenario, "compare - --b-lab none_such", 2, "", "none_such"},
 	} {
 		t.Run(c.args, func(t *testing.T) {
 			code, stdout, stderr := runCommandLine(t, c.stdin, strings.Fields(c.args)...)
--- a/cmd/valvecove-testbed/play.go
+++ b/cmd/valvecove-testbed/play.go
@@ -17,7 +17,7 @@
 	Driver     string `name:"driver" help:"virtual (simulated time) or live (real processes)." enum:"virtual,live" default:"virtual"`
 	Seed       uint64 `name:"seed" help:"Seed; 0: that of the scenario, or else 1." default:"0"`
 	Mutant     string `name:"mutant" help:"Put a mutant in front of each scheduler; virtual only. See valvecove-testbed mutants."`
-	Starvation bool   `name:"starve" help:"Look for attempts that wait or are rejected while workers are idle."`
+	Starvation bool   `name:"starvation" aliases:"starve" help:"Look for attempts that wait or are rejected while workers are idle."`
 	Quiet      bool   `name:"quiet" short:"q" help:"No progress."`
 	Logs       string `name:"logs" help:"Keep the schedulers' configuration and logs in this folder; live only." type:"path"`
 	subjectFlags
--- a/cmd/valvecove-testbed/search.go
+++ b/cmd/valvecove-testbed/search.go
@@ -18,7 +18,7 @@
 	Parallelism int           `name:"at" help:"Runs at once; 0: as many as there are processors." default:"0"`
 	Policy      string        `name:"policy" help:"Policy under test." default:"logic"`
 	Baseline    string        `name:"top" help:"Baseline policy that it is compared with." default:"all-seeing"`
-	Starvation  bool          `name:"starve" help:"Look for attempts that wait or are rejected while workers are idle; no baseline is run."`
+	Starvation  bool          `name:"starvation" aliases:"starve" help:"Look for attempts that wait or are rejected while workers are idle; no baseline is run."`
 }
 
 // Run searches.
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -27,7 +27,7 @@
 	return string(text)
 }
 
-// referenceRows are how the reference in lab.md has to begin for each key of a table: its name, and what it is if left out.
+// referenceRows returns how the rows of the scenarios' reference have to begin for the keys of a table: name and default.
 func referenceRows(under string, v reflect.Value, dst []string) []string {
 	for i := range v.NumField() {
 		f, key := v.Field(i), v.Type().Field(i).Tag.Get("toml")
@@ -100,27 +100,46 @@
 	return referenceRows("tenant", reflect.ValueOf(tenant), all)
 }
 
-// Every key of a scenario stands in lab.md with its default, and no key does that there is not.
+// testbedPages returns the pages of the testbed, one after the other.
+func testbedPages(t *testing.T) string {
+	t.Helper()
+	paths, err := filepath.Glob("testbed/*.md")
+	if err != nil || len(paths) == 0 {
+		t.Fatal(paths, err)
+	}
+	var text strings.Builder
+	for _, path := range paths {
+		text.WriteString(page(t, path))
+	}
+	return text.String()
+}
+
+// The testbed's pages have every key of a scenario with its default, once, and no other key.
 func TestEveryKeyIsInThePage(t *testing.T) {
-	text, keys := page(t, "lab.md"), map[string]bool{}
+	text, keys := testbedPages(t), map[string]bool{}
 	for _, wantedRow := range wanted(t) {
 		keys[strings.Split(wantedRow, "`")[1]] = true
 		if n := strings.Count(text, "\n"+wantedRow+" "); n != 1 {
-			t.Errorf("lab.md has %d lines that begin as this one has to:\n%s", n, wantedRow)
+			t.Errorf("the testbed's pages have %d lines that begin as this one has to:\n%s", n, wantedRow)
 		}
 	}
-	_, reference, _ := strings.Cut(text, "\n## Reference")
-	reference, _, _ = strings.Cut(reference, "\n## ")
-	for _, m := range regexp.MustCompile("(?m)^\\| `([a-z_.]+)` \\|").FindAllStringSubmatch(reference, -1) {
-		if !keys[m[1]] {
-			t.Errorf("lab.md has the key %s, and there is none", m[1])
+	for _, heading := range []string{"\n## Reference", "\n## A fault's keys"} {
+		_, reference, found := strings.Cut(text, heading)
+		if !found {
+			t.Errorf("the testbed's pages lack the heading %s", strings.TrimSpace(heading))
+		}
+		reference, _, _ = strings.Cut(reference, "\n## ")
+		for _, m := range regexp.MustCompile("(?m)^\\| `([a-z_.]+)` \\|").FindAllStringSubmatch(reference, -1) {
+			if !keys[m[1]] {
+				t.Errorf("the testbed's pages have the key %s, and there is none", m[1])
+			}
 		}
 	}
 }
 
-// What is known by name stands in lab.md: faults, misbehaving clients, figures, rules, baseline policies, the library.
+// The testbed's pages have all names: of faults, misbehaving clients, figures, rules, baseline policies and the library.
 func TestEveryNameIsInThePage(t *testing.T) {
-	text := page(t, "lab.md")
+	text := testbedPages(t)
 	names := append([]string{}, scenario.MisbehaviorKinds...)
 	for kind := range scenario.FaultKinds {
 		names = append(names, kind)
@@ -139,14 +158,14 @@
 	}
 	for _, name := range append(names, scenarios.Names()...) {
 		if !strings.Contains(text, "`"+name+"`") {
-			t.Errorf("lab.md does not name `%s`", name)
+			t.Errorf("the testbed's pages do not name `%s`", name)
 		}
 	}
 }
 
-// Commands of valvecove-testbed: each has its own heading.
+// Each command of valvecove-testbed has a heading of its own.
 func TestEveryCommandIsInThePage(t *testing.T) {
-	text, source := page(t, "lab.md"), page(t, "../cmd/valvecove-testbed/main.go")
+	text, source := page(t, "testbed/commands.md"), page(t, "../cmd/valvecove-testbed/main.go")
 	_, source, _ = strings.Cut(source, "type commands struct {")
 	source, _, _ = strings.Cut(source, "\n}")
 	found := regexp.MustCompile(`(?m)^\t[A-Z]\w+ +\w+ +.cmd:""(?: name:"([a-z]+)")?`).FindAllStringSubmatch(source, -1)
@@ -154,8 +173,8 @@
 		t.Fatalf("%d commands found", len(found))
 	}
 	for _, m := range found {
-		if name := m[1]; name == "" || !strings.Contains(text, "\n### valvecove-testbed "+name+"\n") {
-			t.Errorf("lab.md has no part on valvecove-testbed %s", name)
+		if name := m[1]; name == "" || !strings.Contains(text, "\n## valvecove-testbed "+name+"\n") {
+			t.Errorf("commands.md has no part on valvecove-testbed %s", name)
 		}
 	}
 }
@@ -165,7 +184,7 @@
 	examples = regexp.MustCompile("(?s)```toml\n(.*?)```")
 )
 
-// Links between pages lead somewhere, and whole scenarios shown in them are sound.
+// Links between pages lead to files, and whole scenarios shown in them are valid.
 func TestPagesHoldTogether(t *testing.T) {
 	pages, err := filepath.Glob("*.md")
 	if err != nil || len(pages) == 0 {
