--- a/internal/worker/benchmark_test.go
+++ b/internal/worker/benchmark_test.go
@@ -29,7 +29,7 @@
 		}
 		f.policy.Next = append(f.policy.Next, dispatch.Send{Job: request.ID, Worker: worker})
 		f.runOnce()
-		remote := f.dialed[len(f.dialed)-1].fd
+		remote := f.dialed[len(f.dialed)-1].FD
 		if len(f.pool.endpoints[worker].idle) > 0 {
 			b.Fatal("the request was not sent")
 		}
--- a/internal/worker/delay_test.go
+++ b/internal/worker/delay_test.go
@@ -24,14 +24,14 @@
 	for range 2 {
 		f.now += delay - time.Millisecond
 		f.runIterations()
-		if remote.read(1 << 12); len(remote.received) > 0 {
-			t.Fatalf("%q was written too early", remote.received)
+		if remote.Read(1 << 12); len(remote.Received) > 0 {
+			t.Fatalf("%q was written too early", remote.Received)
 		}
 		f.now += time.Millisecond
 		f.runIterations()
 	}
-	if remote.read(1 << 12); !strings.HasPrefix(string(remote.received), "POST /a ") || len(delays) > 0 {
-		t.Errorf("the worker got %q, %d delays are left", remote.received, len(delays))
+	if remote.Read(1 << 12); !strings.HasPrefix(string(remote.Received), "POST /a ") || len(delays) > 0 {
+		t.Errorf("the worker got %q, %d delays are left", remote.Received, len(delays))
 	}
 	f.expect("written", request)
 }
@@ -46,8 +46,8 @@
 	f.sendAttempt(0)
 	if remote := f.dialed[0]; f.pool.openCount != 0 || len(f.pool.byAttempt) != 0 {
 		t.Error("the connection is still open")
-	} else if remote.read(1 << 12); len(remote.received) > 0 || !remote.ended {
-		t.Errorf("%q was written, closed %v", remote.received, remote.ended)
+	} else if remote.Read(1 << 12); len(remote.Received) > 0 || !remote.Ended {
+		t.Errorf("%q was written, closed %v", remote.Received, remote.Ended)
 	}
 }
 
@@ -56,7 +56,7 @@
 	f := newFixture(t)
 	f.writeDelay = func(*requests.Attempt) time.Duration { return time.Second }
 	request := f.sendAttempt(0)
-	f.dialed[0].close()
+	f.dialed[0].Close()
 	f.runIterations()
 	f.expect("lost before the write", request, dispatch.ConnectFailed)
 }
--- a/internal/worker/dial_test.go
+++ b/internal/worker/dial_test.go
@@ -14,7 +14,7 @@
 	"valvecove/internal/eventloop/faultinjection"
 )
 
-// failDials has the next dials fail, so many of them, with an errno of a call.
+// failDials lets the next dials fail with an errno of a call, times of them.
 func (f *fixture) failDials(times int, call eventloop.Call, errno unix.Errno) {
 	dial := f.dial
 	f.dial = func(at netip.AddrPort) (int, error) {
@@ -26,7 +26,7 @@
 	}
 }
 
-// localShortages are the errors of a dial that are this machine's.
+// localShortages are the errors of a dial that show a lack of local resources.
 var localShortages = []struct {
 	call  eventloop.Call
 	errno unix.Errno
@@ -41,30 +41,30 @@
 	{eventloop.CallConnect, unix.ENOBUFS},
 }
 
-// An attempt waits for what this machine lacks for a moment, and is then sent.
+// An attempt waits while local resources are lacking for a moment, and is then sent.
 func TestDialWaitsOutAMomentaryShortage(t *testing.T) {
 	for _, shortage := range localShortages {
 		t.Run(fmt.Sprint(shortage.call, " ", unix.ErrnoName(shortage.errno)), func(t *testing.T) {
 			f := newFixture(t)
 			f.failDials(4, shortage.call, shortage.errno)
-			q := f.sendAttempt(0)
+			request := f.sendAttempt(0)
 			for range 20 {
 				f.now += time.Millisecond
 				f.runIterations()
 			}
-			f.expect("it is under way", q)
+			f.expect("in flight", request)
 			if len(f.dialed) != 1 {
 				t.Fatalf("%d connections", len(f.dialed))
 			}
-			if f.dialed[0].read(1 << 12); !strings.HasPrefix(string(f.dialed[0].received), "POST /a ") {
-				t.Errorf("the worker got %q", f.dialed[0].received)
+			if f.dialed[0].Read(1 << 12); !strings.HasPrefix(string(f.dialed[0].Received), "POST /a ") {
+				t.Errorf("the worker got %q", f.dialed[0].Received)
 			}
 		})
 	}
 }
 
-// One that can't be sent for long ends as never sent, which is no mark against its worker, and in time for another one; it
-// does not keep the loop busy meanwhile.
+// An attempt that can't be sent for lack of local resources ends as not sent, in time for another one. Its dial is retried with a
+// growing backoff.
 func TestDialGivesUpALastingShortage(t *testing.T) {
 	for _, shortage := range localShortages {
 		t.Run(fmt.Sprint(shortage.call, " ", unix.ErrnoName(shortage.errno)), func(t *testing.T) {
@@ -74,12 +74,12 @@
 				dials++
 				return eventloop.NoDescriptor, eventloop.NewCallError(shortage.call, shortage.errno)
 			}
-			q := f.sendAttempt(0)
+			request := f.sendAttempt(0)
 			for range f.pool.connectTimeout / time.Millisecond {
 				f.now += time.Millisecond
 				f.runIterations()
 			}
-			f.expect("given up", q, dispatch.NotSent)
+			f.expect("not sent in time", request, dispatch.NotSent)
 			if dials < 4 || dials > 10 {
 				t.Errorf("%d dials", dials)
 			}
@@ -87,23 +87,23 @@
 	}
 }
 
-// Without a descriptor of those for workers an attempt waits as well, and gets the first that is free.
+// At the limit of connections an attempt waits, and is sent as soon as there is a free one.
 func TestDialWaitsForADescriptor(t *testing.T) {
 	f := newFixture(t)
 	most := f.pool.maxConnections
 	f.pool.SetMaxConnections(0)
-	q := f.sendAttempt(0)
-	f.expect("it waits", q)
+	request := f.sendAttempt(0)
+	f.expect("waiting", request)
 	f.pool.SetMaxConnections(most)
 	f.now += minDialBackoff
 	f.runIterations()
 	if len(f.dialed) != 1 {
 		t.Errorf("%d connections", len(f.dialed))
 	}
-	f.expect("it is under way", q)
+	f.expect("in flight", request)
 }
 
-// What is the peer's is told of the worker at once, be it that connect says so or, for one in progress, SO_ERROR.
+// An error of the worker's side is reported at once as a failure to connect, whether connect returns it or SO_ERROR.
 func TestDialFailureOfTheWorker(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ETIMEDOUT, unix.EACCES} {
 		f := newFixture(t)
@@ -117,34 +117,34 @@
 	}
 }
 
-// A DELETE that was never sent is no word of the worker's: the attempt runs on, and the DELETE is sent once it can be.
+// A DELETE that can't be sent for lack of local resources confirms nothing: the attempt stays in flight, and the DELETE is sent later.
 func TestCancelOutlastsAShortage(t *testing.T) {
 	f := newFixture(t)
-	q := f.acceptedAttempt()
+	request := f.acceptedAttempt()
 	f.failDials(100, eventloop.CallSocket, unix.ENFILE)
-	f.runActions(dispatch.Cancel{Job: q.ID})
+	f.runActions(dispatch.Cancel{Job: request.ID})
 	for range 2000 {
 		f.now += time.Millisecond
 		f.runIterations()
 	}
-	f.expect("never sent", q)
-	if p := f.dialed[len(f.dialed)-1]; !p.hasDelete(q) {
-		t.Error("it is not sent once it can be")
+	f.expect("not sent yet", request)
+	if remote := f.dialed[len(f.dialed)-1]; !remote.hasDelete(request) {
+		t.Error("not sent once it can be")
 	}
 }
 
-// What has no connection yet is no part of a hand-over: it ends as never sent, for the policy to send again.
+// An attempt that waits to dial is not transferred: it ends as not sent, and the policy may start it again.
 func TestWaitingDialsEndBeforeHandover(t *testing.T) {
 	f := newFixture(t)
 	f.failDials(1, eventloop.CallSocket, unix.ENFILE)
-	q := f.sendAttempt(0)
+	request := f.sendAttempt(0)
 	if !f.pool.HasWaitingDials() {
-		t.Fatal("nothing waits")
+		t.Fatal("no dial waits")
 	}
 	f.pool.EndWaitingDials()
 	f.runIterations()
-	f.expect("handed back", q, dispatch.NotSent)
+	f.expect("ended", request, dispatch.NotSent)
 	if f.pool.HasWaitingDials() {
-		t.Error("it still waits")
+		t.Error("a dial still waits")
 	}
 }
--- a/internal/worker/drain_test.go
+++ b/internal/worker/drain_test.go
@@ -8,8 +8,8 @@
 	"valvecove/internal/requests"
 )
 
-// An attempt whose connection comes up only after its worker was said to drain, or to be gone, or was cordoned, is not written there,
-// however little of the grace is over: the process may be held up before the write. Nothing is held against the worker.
+// An attempt is not written if its worker was listed as draining or removed, or was cordoned, before the connection was up, however
+// short the time since: the process may be suspended before the write. The attempt ends as not sent.
 func TestConnectionComesUpAfterTheDrain(t *testing.T) {
 	const grace = 500 * time.Millisecond // of the settings
 	changes := map[string]func(f *fixture){
@@ -19,27 +19,27 @@
 		"removed": func(f *fixture) {
 			f.table.UpdateEndpoints(requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Lifecycle: "removed"}}})
 		},
-		"not in a whole list": func(f *fixture) { f.table.UpdateEndpoints(requests.EndpointList{Reset: true}) },
-		"cordoned":            func(f *fixture) { f.table.SetCordoned([]string{"s-0"}) },
-		"nothing":             func(*fixture) {},
+		"not in a snapshot": func(f *fixture) { f.table.UpdateEndpoints(requests.EndpointList{Reset: true}) },
+		"cordoned":          func(f *fixture) { f.table.SetCordoned([]string{"s-0"}) },
+		"nothing":           func(*fixture) {},
 	}
 	for name, change := range changes {
 		for _, after := range []time.Duration{0, grace - longestHold} {
 			f := newFixture(t)
 			f.pool.connectTimeout = grace
-			links := f.delayConnections()
-			q := f.sendAttempt(0)
+			opened := f.delayConnections()
+			request := f.sendAttempt(0)
 			change(f)
 			f.now += after
-			(*links)[0].release()
+			(*opened)[0].release()
 			f.runIterations()
-			(*links)[0].read(1 << 12)
-			isSent := len((*links)[0].received) > 0
+			(*opened)[0].Read(1 << 12)
+			isSent := len((*opened)[0].Received) > 0
 			if isSent != (name == "nothing") {
 				t.Errorf("%s, %v before its connection was up: sent %v", name, after, isSent)
 			}
 			if !isSent {
-				f.expect(name, q, dispatch.NotSent)
+				f.expect(name, request, dispatch.NotSent)
 			}
 		}
 	}
--- a/internal/worker/fault_test.go
+++ b/internal/worker/fault_test.go
@@ -13,7 +13,7 @@
 	"valvecove/internal/eventloop/faultinjection"
 )
 
-// failTransfers has reads and writes of one descriptor fail.
+// failTransfers lets reads and writes of one descriptor fail.
 func (f *fixture) failTransfers(fd int, errno unix.Errno) {
 	f.injectFaults(faultinjection.Rule{
 		Calls: []eventloop.Call{
@@ -24,30 +24,29 @@
 	})
 }
 
-// connectionErrnos are what a broken connection may show.
+// connectionErrnos are the errnos that a broken connection may show.
 var connectionErrnos = []unix.Errno{unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.EPIPE}
 
-// A connection to a worker that breaks after the last byte was written ends its attempt as possibly executed, whatever the
-// errno.
+// A connection that breaks after the last byte was written ends its attempt as possibly executed, whatever the errno.
 func TestWorkerConnectionBreaksWithAnyErrno(t *testing.T) {
 	for _, errno := range connectionErrnos {
 		f := newFixture(t)
-		q := f.sendAttempt(0)
+		request := f.sendAttempt(0)
 		for _, connection := range f.pool.byAttempt {
 			f.failTransfers(connection.FD(), errno)
 		}
-		f.dialed[0].write([]byte("HTTP/1.1 202"))
+		f.dialed[0].Write([]byte("HTTP/1.1 202"))
 		f.runIterations()
-		f.expect(errno.Error(), q, dispatch.ConnectionReset)
+		f.expect(errno.Error(), request, dispatch.ConnectionReset)
 	}
 }
 
-// What a machine without memory writes late tells the worker the time that is left then, and is no mark against it.
+// A request that is written late for lack of memory has the time budget of the moment of the write.
 func TestRequestWrittenLateTellsTheTimeLeft(t *testing.T) {
 	const late = 120 * time.Millisecond
 	f := newFixture(t)
 	injector := f.injectFaults(faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Errnos: []unix.Errno{unix.ENOBUFS}})
-	q := f.sendAttempt(0)
+	request := f.sendAttempt(0)
 	for range late / time.Millisecond {
 		f.now += time.Millisecond
 		f.runIterations()
@@ -57,42 +56,42 @@
 		f.now += time.Millisecond
 		f.runIterations()
 	}
-	f.expect("under way", q)
-	f.dialed[0].read(1 << 12)
-	_, budget, _ := strings.Cut(string(f.dialed[0].received), "X-Budget-Ms: ")
+	f.expect("in flight", request)
+	f.dialed[0].Read(1 << 12)
+	_, budget, _ := strings.Cut(string(f.dialed[0].Received), "X-Budget-Ms: ")
 	budget, _, _ = strings.Cut(budget, "\r\n")
 	budgetMs, err := strconv.Atoi(budget)
-	if remaining := q.Deadline - f.now; err != nil || time.Duration(budgetMs)*time.Millisecond > remaining+50*time.Millisecond {
-		t.Errorf("a budget of %q, with %v to go: %v", budget, remaining, err)
+	if remaining := request.Deadline - f.now; err != nil || time.Duration(budgetMs)*time.Millisecond > remaining+50*time.Millisecond {
+		t.Errorf("budget %q, remaining %v: %v", budget, remaining, err)
 	}
 }
 
 func TestRequestNeverWrittenIsNoMarkAgainstItsWorker(t *testing.T) {
 	f := newFixture(t)
 	f.injectFaults(faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Errnos: []unix.Errno{unix.ENOMEM}})
-	q := f.sendAttempt(0)
+	request := f.sendAttempt(0)
 	for range f.pool.connectTimeout/time.Millisecond + 1 {
 		f.now += time.Millisecond
 		f.runIterations()
 	}
-	f.expect("given up", q, dispatch.NotSent)
+	f.expect("not sent in time", request, dispatch.NotSent)
 }
 
-// The rest of a request that was made for one write is written in what the time that its worker was given has to spare, or never;
-// it was not whole then, and says nothing about the worker.
+// The rest of a small request, of which a part was written before memory was lacking, is written within the margin of its time budget,
+// or never. It is not executed then, and its end says nothing about the worker.
 func TestRequestPartlyWrittenEndsInTime(t *testing.T) {
 	f := newFixture(t)
 	f.injectFaults(
 		faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Times: 1, MaxLength: 10},
 		faultinjection.Rule{Calls: []eventloop.Call{eventloop.CallWrite}, Errnos: []unix.Errno{unix.ENOBUFS}},
 	)
-	q := f.sendAttempt(0)
+	request := f.sendAttempt(0)
 	for range budgetMargin/time.Millisecond - 1 {
 		f.now += time.Millisecond
 		f.runIterations()
 	}
-	f.expect("it waits", q)
+	f.expect("waiting", request)
 	f.now += 2 * time.Millisecond
 	f.runIterations()
-	f.expect("given up", q, dispatch.NotSent)
+	f.expect("not sent in time", request, dispatch.NotSent)
 }
--- a/internal/worker/transfer_test.go
+++ b/internal/worker/transfer_test.go
@@ -17,9 +17,9 @@
 	predecessor := newFixture(t)
 	predecessor.runActions(dispatch.HealthCheck{Worker: predecessor.workerNumber()})
 	remote = predecessor.dialed[0]
-	remote.read(1 << 12)
-	remote.received = nil
-	remote.write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+	remote.Read(1 << 12)
+	remote.Received = nil
+	remote.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 	predecessor.runIterations()
 	snapshots := predecessor.pool.Snapshot()
 	if len(snapshots) != 1 || snapshots[0].State != hotrestart.WorkerIdle {
@@ -40,8 +40,8 @@
 	successor.pool.Restore(received)
 	successor.now += time.Millisecond
 	successor.runActions(dispatch.HealthCheck{Worker: successor.workerNumber()})
-	if remote.read(1 << 12); len(remote.received) == 0 || len(successor.dialed) != 0 {
-		t.Errorf("the worker got %q, %d connections were opened", remote.received, len(successor.dialed))
+	if remote.Read(1 << 12); len(remote.Received) == 0 || len(successor.dialed) != 0 {
+		t.Errorf("the worker got %q, %d connections were opened", remote.Received, len(successor.dialed))
 	}
 }
 
@@ -57,8 +57,8 @@
 			successor := newFixture(t)
 			successor.pool.Restore(received)
 			_, err := unix.FcntlInt(uintptr(received.Descriptor), unix.F_GETFD, 0)
-			if remote.read(1 << 12); !errors.Is(err, unix.EBADF) || !remote.ended || successor.pool.openCount != 0 {
-				t.Errorf("closed %v (%v), %d connections", remote.ended, err, successor.pool.openCount)
+			if remote.Read(1 << 12); !errors.Is(err, unix.EBADF) || !remote.Ended || successor.pool.openCount != 0 {
+				t.Errorf("closed %v (%v), %d connections", remote.Ended, err, successor.pool.openCount)
 			}
 		})
 	}
