--- a/internal/link/harness_worker_test.go
+++ b/internal/link/harness_worker_test.go
@@ -6,14 +6,11 @@
 	"net/netip"
 	"slices"
 	"strings"
-	"testing"
 	"time"
 
 	"golang.org/x/sys/unix"
 
 	"valvecove/dispatch"
-	"valvecove/internal/eventloop"
-	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
 )
 
@@ -80,11 +77,6 @@
 	requests []*requests.Request
 }
 
-func newAttemptHarness(t *testing.T) *attemptHarness {
-	t.Helper()
-	return &attemptHarness{harness: newHarness(&modeltest.Steps{T: t})}
-}
-
 // runActions has the policy do something in one iteration.
 func (w *attemptHarness) runActions(actions ...dispatch.Action) {
 	w.policy.Next = append(w.policy.Next, actions...)
@@ -149,30 +141,3 @@
 	p.write([]byte("HTTP/1.1 204 No Content\r\n\r\n"))
 	w.runIterations()
 }
-
-// failDials has the next dials fail, so many of them, with an errno of a call.
-func (w *harness) failDials(times int, call eventloop.Call, errno unix.Errno) {
-	dial := w.loop.dial
-	w.loop.dial = func(at netip.AddrPort) (int, error) {
-		if times > 0 {
-			times--
-			return eventloop.NoDescriptor, fmt.Errorf("dial: %w", eventloop.NewCallError(call, errno))
-		}
-		return dial(at)
-	}
-}
-
-// localShortages are the errors of a dial that are this machine's.
-var localShortages = []struct {
-	call  eventloop.Call
-	errno unix.Errno
-}{
-	{eventloop.CallSocket, unix.EMFILE},
-	{eventloop.CallSocket, unix.ENFILE},
-	{eventloop.CallSocket, unix.ENOBUFS},
-	{eventloop.CallSocket, unix.ENOMEM},
-	{eventloop.CallConnect, unix.EADDRNOTAVAIL},
-	{eventloop.CallConnect, unix.EAGAIN},
-	{eventloop.CallConnect, unix.ENETUNREACH},
-	{eventloop.CallConnect, unix.ENOBUFS},
-}
