--- a/internal/worker/budget_test.go
+++ b/internal/worker/budget_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"valvecove/dispatch"
+	"valvecove/internal/eventloop/eventlooptest"
 	"valvecove/internal/http1"
 )
 
@@ -67,7 +68,7 @@
 		f.applyCallback(first, "done")
 		f.now += reuseDelay
 		worker.Received = nil
-		worker.filledBytes = fillSocket(f.pool.updateEndpoint(f.workerNumber()).idle[0].FD())
+		worker.filledBytes = eventlooptest.FillSocket(f.pool.updateEndpoint(f.workerNumber()).idle[0].FD())
 		request := f.sendAttempt(0)
 		f.now += late
 		worker.release()
--- a/internal/worker/fixture_test.go
+++ b/internal/worker/fixture_test.go
@@ -1,7 +1,6 @@
 package worker
 
 import (
-	"errors"
 	"fmt"
 	"log/slog"
 	"net/netip"
@@ -14,14 +13,15 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/eventloop"
+	"valvecove/internal/eventloop/eventlooptest"
 	"valvecove/internal/eventloop/faultinjection"
 	"valvecove/internal/http1"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
 )
 
-// fixture is a pool with an event loop, a request table and a scripted policy. Its connections lead to the test: their remote
-// ends are sockets that the test reads and writes between iterations, on a clock that it moves.
+// fixture is a pool with an event loop, a request table and a scripted policy. The test holds the remote ends of its connections,
+// which it reads and writes between iterations, and the clock.
 type fixture struct {
 	tb         testing.TB
 	loop       *eventloop.Loop
@@ -29,21 +29,18 @@
 	table      *requests.Table
 	policy     *modeltest.ScriptedPolicy
 	now        time.Duration
-	clock      func() time.Duration                             // what the loop reads; returns now
-	dial       func(address netip.AddrPort) (fd int, err error) // opens a connection to a peer
-	writeDelay func(attempt *requests.Attempt) time.Duration    // none, unless a test sets it
-	dialed     []*peer                                          // remote ends of connections, in the order of their opening
-	requests   []*requests.Request                              // of sendAttempt, in order
+	clock      func() time.Duration                                 // what the loop reads; returns now
+	dial       func(address netip.AddrPort) (socket int, err error) // opens a connection to a peer
+	writeDelay func(attempt *requests.Attempt) time.Duration        // none, unless a test sets it
+	dialed     []*peer                                              // remote ends of connections, in the order of their opening
+	requests   []*requests.Request                                  // of sendAttempt, in order
 }
 
 // peer is the remote end of a connection.
 type peer struct {
-	FD            int
-	dialedAddress netip.AddrPort // what was dialed
-	Received      []byte
-	Ended         bool // by the loop's side
-	Closed        bool // by this side
-	filledBytes   int  // that the loop's side can't write past until release
+	*eventlooptest.Peer
+	dialedAddress netip.AddrPort
+	filledBytes   int // in the send buffer of the loop's end, until release
 }
 
 // testTransport is the pool as the transport of a request table without discovery.
@@ -58,10 +55,10 @@
 	f.clock = func() time.Duration { return f.now }
 	f.writeDelay = func(*requests.Attempt) time.Duration { return 0 }
 	f.dial = func(address netip.AddrPort) (int, error) {
-		p, fd := f.socketPair()
-		p.dialedAddress = address
-		f.dialed = append(f.dialed, p)
-		return fd, nil
+		remote, socket := f.socketPair()
+		remote.dialedAddress = address
+		f.dialed = append(f.dialed, remote)
+		return socket, nil
 	}
 	f.openLoop()
 	f.pool = New(Config{
@@ -110,15 +107,9 @@
 }
 
 // socketPair returns a connection: a peer, and the descriptor for the loop.
-func (f *fixture) socketPair() (*peer, int) {
-	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK, 0)
-	if err != nil {
-		f.tb.Fatal(err)
-	}
-	_ = unix.SetsockoptInt(fds[1], unix.SOL_SOCKET, unix.SO_SNDBUF, 8<<10) // so that large requests are written in parts
-	p := &peer{FD: fds[0]}
-	f.tb.Cleanup(p.Close)
-	return p, fds[1]
+func (f *fixture) socketPair() (remote *peer, descriptor int) {
+	end, descriptor := eventlooptest.SocketPair(f.tb)
+	return &peer{Peer: end}, descriptor
 }
 
 // runOnce runs a single iteration of the loop, with a single step at most.
@@ -146,105 +137,80 @@
 	return 0
 }
 
-func (p *peer) Close() {
-	if !p.Closed {
-		p.Closed = true
-		_ = unix.Close(p.FD)
-	}
-}
-
-// read reads at most limit bytes of what was received.
-func (p *peer) Read(limit int) {
-	b := make([]byte, limit)
-	for !p.Closed && !p.Ended && len(b) > 0 {
-		n, err := unix.Read(p.FD, b)
-		if errors.Is(err, unix.EAGAIN) {
-			return
-		}
-		if p.Ended = n <= 0; !p.Ended {
-			p.Received = append(p.Received, b[:n]...)
-			b = b[n:]
-		}
-	}
-}
-
-func (p *peer) Write(b []byte) {
-	if !p.Closed {
-		_, _ = unix.Write(p.FD, b) // the loop may have closed its side
-	}
-}
-
-// runActions has the policy do something in one iteration.
+// runActions lets the policy take actions in one step.
 func (f *fixture) runActions(actions ...dispatch.Action) {
 	f.policy.Next = append(f.policy.Next, actions...)
 	f.table.Wake()
 	f.runIterations()
 }
 
-// sendAttempt has an attempt made of a new request.
+// sendAttempt admits a request with a payload of size bytes, and lets the policy send an attempt of it to the worker.
 func (f *fixture) sendAttempt(size int) *requests.Request {
 	f.tb.Helper()
-	q, err := f.table.Admit(f.now, requests.Arrival{
+	request, err := f.table.Admit(f.now, requests.Arrival{
 		CallID: fmt.Sprint("q", len(f.requests)), Job: dispatch.Job{Remaining: 5 * time.Second},
 		Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: noResponder{},
 	})
 	if err != nil {
 		f.tb.Fatal(err)
 	}
-	f.requests = append(f.requests, q)
-	f.runActions(dispatch.Send{Job: q.ID, Worker: f.workerNumber()})
-	return q
+	f.requests = append(f.requests, request)
+	f.runActions(dispatch.Send{Job: request.ID, Worker: f.workerNumber()})
+	return request
 }
 
+// acceptedResponse accepts an attempt.
 const acceptedResponse = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 
-// acceptedAttempt has an attempt made and accepted, and then loses its connection, so that what follows needs another.
+// acceptedAttempt sends an attempt that the worker accepts, and then closes the connection, so that the next exchange opens another.
 func (f *fixture) acceptedAttempt() *requests.Request {
-	q := f.sendAttempt(0)
-	p := f.dialed[len(f.dialed)-1]
-	p.Read(1 << 12)
-	p.Write([]byte(acceptedResponse))
+	request := f.sendAttempt(0)
+	remote := f.dialed[len(f.dialed)-1]
+	remote.Read(1 << 12)
+	remote.Write([]byte(acceptedResponse))
 	f.runIterations()
-	p.Close()
+	remote.Close()
 	f.runIterations()
-	return q
+	return request
 }
 
-// outcomes are the results that the policy has received for a request's attempts.
-func (f *fixture) outcomes(q *requests.Request) (results []dispatch.Result) {
+// outcomes returns the results that the policy has received for the attempts of a request.
+func (f *fixture) outcomes(request *requests.Request) (results []dispatch.Result) {
 	for _, e := range f.policy.Received {
-		if o, ok := e.(dispatch.Outcome); ok && o.Job == q.ID {
+		if o, ok := e.(dispatch.Outcome); ok && o.Job == request.ID {
 			results = append(results, o.Result)
 		}
 	}
 	return results
 }
 
-func (f *fixture) expect(what string, q *requests.Request, want ...dispatch.Result) {
+// expect checks the results that the policy has received for the attempts of a request.
+func (f *fixture) expect(what string, request *requests.Request, want ...dispatch.Result) {
 	f.tb.Helper()
-	if got := f.outcomes(q); !slices.Equal(got, want) {
+	if got := f.outcomes(request); !slices.Equal(got, want) {
 		f.tb.Errorf("%s: outcomes %v, expected %v", what, got, want)
 	}
 }
 
-func (f *fixture) applyCallback(q *requests.Request, state string) {
+// applyCallback applies a callback of the worker about a request.
+func (f *fixture) applyCallback(request *requests.Request, state string) {
 	f.tb.Helper()
 	result := "r"
-	if _, err := f.table.HandleCallback(requests.Callback{CallID: q.CallID, EndpointID: "s-0", State: state, Result: &result}); err != nil {
+	if _, err := f.table.HandleCallback(requests.Callback{CallID: request.CallID, EndpointID: "s-0", State: state, Result: &result}); err != nil {
 		f.tb.Fatal(err)
 	}
 	f.runIterations()
 }
 
-// hasDelete tells whether a far end got a DELETE for a request.
-func (p *peer) hasDelete(q *requests.Request) bool {
+// hasDelete reports whether a DELETE for a request was received.
+func (p *peer) hasDelete(request *requests.Request) bool {
 	p.Read(1 << 12)
-	return strings.HasPrefix(string(p.Received), "DELETE /jobs/"+q.CallID+" ")
+	return strings.HasPrefix(string(p.Received), "DELETE /jobs/"+request.CallID+" ")
 }
 
-// respondDelete has a far end answer a DELETE.
-func (f *fixture) respondDelete(p *peer) {
-	p.Write([]byte("HTTP/1.1 204 No Content\r\n\r\n"))
+// respondDelete responds to a DELETE.
+func (f *fixture) respondDelete(remote *peer) {
+	remote.Write([]byte("HTTP/1.1 204 No Content\r\n\r\n"))
 	f.runIterations()
 }
 
@@ -253,29 +219,17 @@
 func (f *fixture) delayConnections() *[]*peer {
 	opened := &[]*peer{}
 	f.dial = func(address netip.AddrPort) (int, error) {
-		p, socket := f.socketPair()
-		p.dialedAddress = address
-		p.filledBytes = fillSocket(socket)
-		f.dialed = append(f.dialed, p)
-		*opened = append(*opened, p)
+		remote, socket := f.socketPair()
+		remote.dialedAddress = address
+		remote.filledBytes = eventlooptest.FillSocket(socket)
+		f.dialed = append(f.dialed, remote)
+		*opened = append(*opened, remote)
 		return socket, nil
 	}
 	return opened
 }
 
-// fillSocket fills a socket's buffer, so that nothing more can be written to it, and returns the number of bytes.
-func fillSocket(socket int) (size int) {
-	b := make([]byte, 512)
-	for {
-		n, err := unix.Write(socket, b)
-		if errors.Is(err, unix.EAGAIN) {
-			return size
-		}
-		size += n
-	}
-}
-
-// release reads what fillSocket has written, so that the connection can be written to.
+// release reads what FillSocket has written, so that the connection can be written to.
 func (p *peer) release() {
 	for b := make([]byte, 4096); p.filledBytes > 0; {
 		n, err := unix.Read(p.FD, b[:min(len(b), p.filledBytes)])
@@ -286,6 +240,7 @@
 	}
 }
 
+// budgetSent returns the time budget of the request that was received.
 func (p *peer) budgetSent(t *testing.T) time.Duration {
 	t.Helper()
 	_, text, ok := strings.Cut(string(p.Received), "X-Budget-Ms: ")
@@ -297,6 +252,7 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
+// noResponder drops the responses to a request.
 type noResponder struct{}
 
 func (noResponder) RespondResult([]byte)          {}
--- a/internal/worker/model_test.go
+++ b/internal/worker/model_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"valvecove/dispatch"
+	"valvecove/internal/eventloop/eventlooptest"
 	"valvecove/internal/http1"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
@@ -78,7 +79,7 @@
 	p, fd := m.socketPair()
 	m.dialed = append(m.dialed, p)
 	if m.Pick(4) == 0 {
-		p.filledBytes = fillSocket(fd)
+		p.filledBytes = eventlooptest.FillSocket(fd)
 	}
 	return fd, nil
 }
