--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -32,10 +32,8 @@
 		objectives: newObjectives(settings.Classes),
 		arrivals:   newArrivalStatistics(settings.Classes),
 		workload:   newWorkloadModel(settings.Classes),
-		client:     newLeaseClient(),
 	}
-	dispatcher.directory = newPeerDirectory(&dispatcher.settings)
-	dispatcher.coordinator = newCoordinator()
+	dispatcher.leases = newLeaseExchange(&dispatcher.settings, dispatcher.rng, &dispatcher.timers, &leaseAdapter{dispatcher})
 	dispatcher.unstarted.pending = make([][]*attemptInfo, len(settings.Classes))
 	dispatcher.unstarted.first = make([]int, len(settings.Classes))
 	dispatcher.meanLateStart = seconds(meanObjective(settings.Classes) / lateStartsPerObjective)
@@ -62,9 +60,9 @@
 	for due := d.timers.popDue(d.now); due != nil; due = d.timers.popDue(d.now) {
 		d.handleTimer(due)
 	}
-	d.exchangeLeases()
+	d.leases.exchange(d.now)
 	d.dispatchQueued()
-	d.exchangeLeases()
+	d.leases.exchange(d.now)
 	if at, ok := d.timers.nextCallerTimer(); ok {
 		d.emit(SetTimer{After: at - d.now})
 	}
@@ -109,7 +107,7 @@
 	case ModelUpdate:
 		d.handleModelUpdate(event)
 	case PeerMessageReceived:
-		d.onPeerMessage(event)
+		d.leases.handleMessage(d.now, event)
 	case Cordoned:
 		d.cordon(event.Worker)
 	case Uncordoned:
@@ -130,7 +128,7 @@
 	case attemptOverdue:
 		d.onOverdue(fired.attempt)
 	case leaseOverdue:
-		d.onLeaseOverdue(fired.lease)
+		d.leases.client.handleTimer(d.now, fired.lease)
 	case workerAvailable:
 		d.markDirty(fired.worker)
 	}
--- a/dispatch/maintenance.go
+++ b/dispatch/maintenance.go
@@ -15,8 +15,7 @@
 func (d *Dispatcher) maintain() {
 	d.setTimer(&d.maintenance, d.now+maintenanceInterval)
 	d.requestWorkers()
-	d.reportLeases()
-	d.expireLeases()
+	d.leases.maintain(d.now)
 	d.decayEstimates()
 	d.assignLots()
 	fleet := d.summarise()
