--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -101,9 +101,9 @@
 func (d *Dispatcher) handlePeerEvent(event Event) {
 	switch event := event.(type) {
 	case JobResumed:
-		d.onJobResumed(event)
+		d.handleJobResumed(event)
 	case ReplicasChanged:
-		d.onReplicasChanged(event)
+		d.handleReplicasChanged(event)
 	case ModelUpdate:
 		d.handleModelUpdate(event)
 	case PeerMessageReceived:
--- a/dispatch/leaseclient_test.go
+++ b/dispatch/leaseclient_test.go
@@ -12,7 +12,7 @@
 	return settings
 }
 
-// leaseHarness is one of several dispatchers, which coordinates nothing. Its peers are the test.
+// leaseHarness is one of several dispatchers, which coordinates no shard. The test plays its peers.
 func leaseHarness(t *testing.T, workers int) (s *harness, coordinators []int) {
 	t.Helper()
 	settings := leaseSettings()
@@ -28,12 +28,13 @@
 	return s, coordinators
 }
 
-// peerMessages are the messages of one kind, with who they were for.
+// peerMessages returns the messages of one kind, and their recipients.
 func peerMessages[M PeerMessage](actions []Action) (messages []M, peers []int) {
 	for _, action := range actions {
-		if tell, ok := action.(SendPeerMessage); ok {
-			if message, ok := tell.Message.(M); ok {
-				messages, peers = append(messages, message), append(peers, tell.To)
+		if sent, ok := action.(SendPeerMessage); ok {
+			if message, ok := sent.Message.(M); ok {
+				messages = append(messages, message)
+				peers = append(peers, sent.To)
 			}
 		}
 	}
@@ -49,7 +50,7 @@
 	return found
 }
 
-// request has a job arrive, and returns its request.
+// request adds a job, and returns its request.
 func (s *harness) request(job Job) LeaseRequest {
 	s.t.Helper()
 	s.step(job)
@@ -60,7 +61,7 @@
 	return requests[0]
 }
 
-// Where no coordinator answers, a job is sent without a lease after leaseTimeout, and its slots are reported.
+// If no coordinator answers, a job is sent without a lease after leaseWaitLimit, and its slots are reported.
 func TestJobGoesWithoutAnswer(t *testing.T) {
 	t.Parallel()
 	s, _ := leaseHarness(t, 2)
@@ -80,12 +81,12 @@
 	}
 }
 
-// A grant is used once. One of a second coordinator, of a stranger, or for a job that has gone is given back.
+// A grant is used once. A grant by a second coordinator, or for a job that is finished, is released.
 func TestGrantIsUsedOnce(t *testing.T) {
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 3)
 	request := s.request(s.job(1, 0, 100*ms))
-	s.wait(2*leaseAnswerTimeout + ms) // the next one is asked
+	s.wait(2*leaseAnswerTimeout + ms) // the next coordinator gets the request
 	s.take()
 	grant := func(peer int, worker uint64) []Action {
 		s.step(PeerMessageReceived{From: coordinators[peer], Message: LeaseGranted{ID: request.ID, Worker: worker}})
@@ -102,18 +103,18 @@
 		}
 	}
 	if released, _ := peerMessages[LeaseReleased](grant(0, 2)); len(released) > 0 {
-		t.Fatal("a repeated grant was given back, though it is in use")
+		t.Fatal("a repeated grant was released, though it is in use")
 	}
 	s.step(Outcome{Job: 1, Worker: 2, Closed: true})
 	if released, _ := peerMessages[LeaseReleased](s.take()); len(released) != 1 || released[0].Result != OK {
-		t.Fatalf("the end of the attempt was told as %v", released)
+		t.Fatalf("the end of the attempt was reported as %v", released)
 	}
 	if released, _ := peerMessages[LeaseReleased](grant(0, 2)); len(released) != 1 {
-		t.Fatal("a grant for a job that has gone was not given back")
+		t.Fatal("a grant for a finished job was not released")
 	}
 }
 
-// A worker that no list names, or that the job was sent to, is sent nothing, whatever a coordinator grants.
+// An unlisted worker is sent nothing, whatever a coordinator grants.
 func TestGrantOfUnusableWorker(t *testing.T) {
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 2)
@@ -125,17 +126,17 @@
 		}
 		requests, _ := peerMessages[LeaseRequest](actions)
 		if try == maxUnusableGrants-1 {
-			expectJobs(t, sends(actions), 1) // without one
+			expectJobs(t, sends(actions), 1) // without a lease
 			return
 		}
 		if len(requests) != 1 || !slices.Contains(requests[0].Excluded, 99) {
-			t.Fatalf("asked again by %v", requests)
+			t.Fatalf("requested again by %v", requests)
 		}
 		request = requests[0]
 	}
 }
 
-// A hedge that waits for slots ends with the need for it: when the response of the first attempt begins.
+// The request of a hedge is withdrawn when the response of the first attempt begins.
 func TestStreamingJobAsksNoMore(t *testing.T) {
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 3)
@@ -152,10 +153,10 @@
 			return
 		}
 	}
-	t.Fatal("no hedge asked for slots: the test sees too little")
+	t.Fatal("no hedge requested slots: the test covers nothing")
 }
 
-// Attempts at a worker whose process is gone take no slots any more.
+// Attempts at a worker whose process has ended take no slots any more.
 func TestUncordonReleasesLeases(t *testing.T) {
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 3)
@@ -173,7 +174,7 @@
 	}
 }
 
-// A job for which no coordinator is left goes without a lease, and is not held up by those that wait for theirs.
+// A job for which no coordinator is left is sent without a lease, and is not delayed by jobs that wait for theirs.
 func TestJobWithoutCoordinatorIsNotHeldUp(t *testing.T) {
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 3)
@@ -187,11 +188,11 @@
 	sent := sends(s.take())
 	expectJobs(t, sent, 2)
 	s.step(Started{Job: 2, Worker: sent[0].Worker})
-	s.wait(queuedRequestInterval + ms) // and the first finds none any more
+	s.wait(queuedRequestInterval + ms) // and the first finds no coordinator
 	expectJobs(t, sends(s.take()), 1)
 }
 
-// A job whose workers are all excluded does not wait for another one that is not there.
+// A job whose workers are all excluded does not wait for one that does not exist.
 func TestRetryWithoutOtherWorkers(t *testing.T) {
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 1)
@@ -210,10 +211,10 @@
 			s.step(PeerMessageReceived{From: peers[i], Message: LeaseQueued{ID: requests[i].ID}})
 		}
 	}
-	t.Fatal("the retry waits for a lease for ever")
+	t.Fatal("the retry waits for a lease forever")
 }
 
-// A restored dispatcher asks anew for its queued jobs, and reports the slots of its attempts.
+// A restored dispatcher requests slots for its queued jobs again, and reports the slots of its attempts.
 func TestRestoredDispatcherResumesLeases(t *testing.T) {
 	t.Parallel()
 	s, coordinators := leaseHarness(t, 3)
@@ -228,7 +229,7 @@
 		t.Fatal(err)
 	}
 	s.d = restored
-	s.now += 200 * ms // nothing was heard meanwhile
+	s.now += 200 * ms // no message was received meanwhile
 	s.step(TimerFired{})
 	requests, _ := peerMessages[LeaseRequest](s.actions)
 	if len(requests) != 1 || len(sends(s.actions)) > 0 {
@@ -242,7 +243,7 @@
 		t.Fatalf("reported %v", reports)
 	}
 	if len(restored.leases.coordinator.leases)+len(restored.leases.coordinator.slots) > 0 {
-		t.Fatal("it coordinates by what was known before")
+		t.Fatal("it has kept what it granted before")
 	}
 	s.step(PeerMessageReceived{From: coordinators[0], Message: LeaseGranted{ID: requests[0].ID, Worker: 2}})
 	expectJobs(t, sends(s.take()), 2)
--- a/dispatch/leasecoordinator_test.go
+++ b/dispatch/leasecoordinator_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// coordinatorHarness is a dispatcher that coordinates the only shard, of so many idle workers. Its peers are the test.
+// coordinatorHarness is a dispatcher that coordinates the only shard, whose workers are idle. The test plays its peers.
 func coordinatorHarness(tb testing.TB, workers int, change func(*Settings)) *harness {
 	tb.Helper()
 	settings := leaseSettings()
@@ -25,7 +25,7 @@
 
 func noChange(*Settings) {}
 
-// peer is another dispatcher than the one at hand.
+// peer returns the index of another dispatcher than the tested one.
 func (s *harness) peer(number int) int {
 	if number >= s.d.settings.ReplicaIndex {
 		number++
@@ -33,8 +33,8 @@
 	return number
 }
 
-// tell has peers tell something, and returns what they are answered.
-func (s *harness) tell(peer int, messages ...PeerMessage) (granted []LeaseGranted) {
+// receive delivers messages of a peer, and returns what is granted.
+func (s *harness) receive(peer int, messages ...PeerMessage) (granted []LeaseGranted) {
 	var events []Event
 	for _, message := range messages {
 		events = append(events, PeerMessageReceived{From: s.peer(peer), Message: message})
@@ -52,15 +52,15 @@
 	return ids
 }
 
-// Requests that can earn in full go before demoted ones; those over tau first, the oldest of them first, then by score.
+// Requests that can earn in full are granted before demoted ones; those over tau first, the oldest first, then by score.
 func TestOrderOfGrants(t *testing.T) {
 	t.Parallel()
 	s := coordinatorHarness(t, 1, noChange)
-	if granted := s.tell(0, LeaseRequest{ID: 1, Demand: 1}); len(granted) != 1 || granted[0].Worker != 1 {
+	if granted := s.receive(0, LeaseRequest{ID: 1, Demand: 1}); len(granted) != 1 || granted[0].Worker != 1 {
 		t.Fatalf("granted %v", granted)
 	}
 	far := time.Hour
-	s.tell(1,
+	s.receive(1,
 		LeaseRequest{ID: 11, Demand: 1, Demoted: true, PromoteIn: -time.Second},
 		LeaseRequest{ID: 12, Demand: 1, LongChance: 0.9, PromoteIn: -time.Second},
 		LeaseRequest{ID: 13, Demand: 1, LongChance: 0.95, PromoteIn: -2 * time.Second},
@@ -68,11 +68,11 @@
 		LeaseRequest{ID: 15, Demand: 1, LongChance: 0.2, PromoteIn: far},
 		LeaseRequest{ID: 16, Demand: 1, LongChance: 0.1, PromoteIn: far},
 	)
-	s.tell(1, LeaseRequest{ID: 16, Demand: 1, Demoted: true}) // it has been demoted meanwhile
+	s.receive(1, LeaseRequest{ID: 16, Demand: 1, Demoted: true}) // it has been demoted meanwhile
 	var got []LeaseID
 	holder := LeaseReleased{ID: 1}
 	for peer := 0; len(got) < 6; peer = 1 {
-		ids := grantedIDs(s.tell(peer, holder))
+		ids := grantedIDs(s.receive(peer, holder))
 		if len(ids) != 1 {
 			t.Fatalf("after %v: granted %v", got, ids)
 		}
@@ -84,22 +84,22 @@
 	}
 }
 
-// Slots are free again by a release, by a complete report without them, by a restart, and when nothing is told of them.
+// Slots are freed by a release, by a complete report without them, by a restart of the peer, and by expiry.
 func TestSlotsAreFreed(t *testing.T) {
 	t.Parallel()
 	for name, free := range map[string]func(s *harness){
-		"release": func(s *harness) { s.tell(0, LeaseReleased{ID: 1, Result: OK}) },
-		"report":  func(s *harness) { s.tell(0, LeaseReport{Complete: true}) },
-		"restart": func(s *harness) { s.tell(0, PeerRestarted{}) },
+		"release": func(s *harness) { s.receive(0, LeaseReleased{ID: 1, Result: OK}) },
+		"report":  func(s *harness) { s.receive(0, LeaseReport{Complete: true}) },
+		"restart": func(s *harness) { s.receive(0, PeerRestarted{}) },
 		"silence": func(s *harness) { s.wait(leaseExpiry + maintenanceInterval) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := coordinatorHarness(t, 1, noChange)
-			s.tell(0, LeaseRequest{ID: 1, Demand: 1.3}, LeaseStarted{ID: 1, Prompt: true})
+			s.receive(0, LeaseRequest{ID: 1, Demand: 1.3}, LeaseStarted{ID: 1, Prompt: true})
 			s.wait(reportMaxDelay + ms)
 			held := HeldLease{ID: 1, Worker: 1, Demand: 1.3, Started: true}
-			s.tell(0, LeaseReport{Complete: true, Leases: []HeldLease{held}})
+			s.receive(0, LeaseReport{Complete: true, Leases: []HeldLease{held}})
 			if used := s.d.leases.coordinator.slots[1].used; used != 1.3 {
 				t.Fatalf("%v slots in use", used)
 			}
@@ -112,7 +112,7 @@
 	}
 }
 
-// Figures that make no sense change nothing, and no peer takes all of a table.
+// Figures out of bounds change nothing, and no peer fills a table.
 func TestCoordinatorBoundsPeers(t *testing.T) {
 	t.Parallel()
 	s := coordinatorHarness(t, 4, func(settings *Settings) { settings.ZoneCount = 2 })
@@ -133,7 +133,7 @@
 		t.Errorf("%d shards are known", shards)
 	}
 	for id := range LeaseID(2 * maxWaiting) {
-		s.tell(0, LeaseRequest{ID: 1000 + id, Demand: 1})
+		s.receive(0, LeaseRequest{ID: 1000 + id, Demand: 1})
 	}
 	if waiting := len(s.d.leases.coordinator.waiting); waiting > maxWaiting/minPeersPerTable+8*60 {
 		t.Errorf("%d requests wait, most of one peer", waiting)
@@ -141,32 +141,32 @@
 	s.wait(leaseExpiry + time.Second)
 	coordinator := &s.d.leases.coordinator
 	if len(coordinator.leases)+len(coordinator.waitingByKey)+len(coordinator.peers)+len(coordinator.requestedSlots) > 0 {
-		t.Errorf("after a silence: %d leases, %d requests of %d peers in %d shards", len(coordinator.leases),
+		t.Errorf("after leases have expired: %d leases, %d requests of %d peers in %d shards", len(coordinator.leases),
 			len(coordinator.waitingByKey), len(coordinator.peers), len(coordinator.requestedSlots))
 	}
 }
 
-// One peer alone has no worker left alone, however often it tells of failures there.
+// One peer alone suspends no worker, however many failures it reports.
 func TestOnePeerSuspendsNoWorker(t *testing.T) {
 	t.Parallel()
 	s := coordinatorHarness(t, 1, noChange)
 	fail := func(peer int, id LeaseID) bool {
-		granted := s.tell(peer, LeaseRequest{ID: id, Demand: 1})
-		s.tell(peer, LeaseReleased{ID: id, Result: Failed})
+		granted := s.receive(peer, LeaseRequest{ID: id, Demand: 1})
+		s.receive(peer, LeaseReleased{ID: id, Result: Failed})
 		return len(granted) == 1
 	}
 	for id := range LeaseID(10) {
 		if !fail(0, id) {
-			t.Fatalf("suspended after %d failures, all told by one peer", id)
+			t.Fatalf("suspended after %d failures, all reported by one peer", id)
 		}
 	}
 	if !fail(1, 1) || fail(2, 1) {
-		t.Error("not suspended after failures told by several")
+		t.Error("not suspended after failures reported by several")
 	}
 }
 
-// What two coordinators that know nothing of each other lease of a warming worker, and what is sent there without leases, stays
-// under the rule's budget together.
+// What two coordinators that don't know of each other lease of a warming worker, and what is sent there without leases, stays
+// within the budget of the rule in sum.
 func TestWarmUpBudgetOverLeases(t *testing.T) {
 	t.Parallel()
 	const work, kindSlots = 0.02, 1.0
@@ -179,18 +179,18 @@
 			settings.OverloadFactor, settings.OverloadWindow = 3, 2*time.Second
 		})
 		s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 1, Ready: true, BootAt: boot}}})
-		s.tell(0, LeaseReport{})
+		s.receive(0, LeaseReport{})
 		s.wait(s.d.settings.OverloadWindow / 2)
-		if granted := s.tell(0, LeaseRequest{ID: 1, Demand: 1, Work: work}); len(granted) > 0 {
+		if granted := s.receive(0, LeaseRequest{ID: 1, Demand: 1, Work: work}); len(granted) > 0 {
 			t.Fatal("leased by one that does not know yet what others were granted")
 		}
-		s.tell(0, LeaseReleased{ID: 1})
+		s.receive(0, LeaseReleased{ID: 1})
 		s.wait(s.d.settings.OverloadWindow)
 		for id := range LeaseID(1000) {
-			leased += work * float64(len(s.tell(0, LeaseRequest{ID: id, Demand: 1, Work: work})))
-			s.tell(0, LeaseReleased{ID: id, Result: OK})
+			leased += work * float64(len(s.receive(0, LeaseRequest{ID: id, Demand: 1, Work: work})))
+			s.receive(0, LeaseReleased{ID: id, Result: OK})
 		}
-		if granted := s.tell(0, LeaseRequest{ID: 2000, Demand: 1, Work: -1}); len(granted) > 0 {
+		if granted := s.receive(0, LeaseRequest{ID: 2000, Demand: 1, Work: -1}); len(granted) > 0 {
 			t.Fatal("leased for less than no work")
 		}
 	}
@@ -200,14 +200,14 @@
 	unleased := s.d.warmUpBudget(worker)
 	t.Logf("leased %.3f, without leases up to %.3f, of %.3f", leased, unleased, rule)
 	if leased == 0 {
-		t.Error("nothing was leased: the test sees too little")
+		t.Error("nothing was leased: the test covers nothing")
 	}
 	if leased+unleased > rule {
 		t.Errorf("%.3f leased and %.3f without leases, of %.3f", leased, unleased, rule)
 	}
 }
 
-// Without peers, or where messages cost too much, nothing is told, whatever is heard.
+// Without peers, or if messages cost too much, no message is sent, whatever is received.
 func TestNoMessagesWithoutPeers(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(*Settings){
@@ -226,14 +226,14 @@
 		s.step(s.job(1, 0, 100*ms), PeerMessageReceived{From: 1, Message: LeaseRequest{ID: 1, Demand: 1}})
 		s.wait(3 * time.Second)
 		for _, action := range s.take() {
-			if tell, ok := action.(SendPeerMessage); ok {
-				t.Errorf("%s: told %v", name, tell)
+			if sent, ok := action.(SendPeerMessage); ok {
+				t.Errorf("%s: sent %v", name, sent)
 			}
 		}
 	}
 }
 
-// The rules hold, and each job gets its one answer, among any messages of peers.
+// The rules hold, and each job gets exactly one answer, whatever messages peers send.
 func FuzzRulesAmongPeerMessages(f *testing.F) {
 	for seed := range uint64(40) {
 		f.Add(seed, uint16(200))
@@ -261,14 +261,14 @@
 	})
 }
 
-// BenchmarkGrantWaiting is a release at a coordinator whose workers are all in use, with so many requests waiting.
+// BenchmarkGrantWaiting measures a release at a coordinator whose workers are all in use, with requests waiting.
 func BenchmarkGrantWaiting(b *testing.B) {
 	s := coordinatorHarness(b, 3200, func(settings *Settings) { settings.Replicas = 900 })
 	held, lastID := []LeaseID{}, LeaseID(0)
 	shard := s.d.leases.directory.shardOf(&s.d.workerList[0].Worker)
 	for range 2000 {
 		lastID++
-		granted := s.tell(int(lastID)%800, LeaseRequest{ID: lastID, Shard: shard, Demand: 1, LongChance: float64(lastID % 97)})
+		granted := s.receive(int(lastID)%800, LeaseRequest{ID: lastID, Shard: shard, Demand: 1, LongChance: float64(lastID % 97)})
 		held = append(held, grantedIDs(granted)...)
 	}
 	b.ResetTimer()
@@ -276,8 +276,8 @@
 		id := held[0]
 		lastID++
 		again := LeaseRequest{ID: lastID, Shard: shard, Demand: 1, LongChance: float64(lastID % 97)}
-		s.tell(int(lastID)%800, again)
-		held = append(held[1:], grantedIDs(s.tell(int(id)%800, LeaseReleased{ID: id, Result: OK}))...)
+		s.receive(int(lastID)%800, again)
+		held = append(held[1:], grantedIDs(s.receive(int(id)%800, LeaseReleased{ID: id, Result: OK}))...)
 	}
 	b.ReportMetric(float64(len(s.d.leases.coordinator.waiting)), "waiting")
 }
--- a/dispatch/leasefleet_test.go
+++ b/dispatch/leasefleet_test.go
@@ -8,9 +8,8 @@
 	"time"
 )
 
-// leaseFleet is a fleet of workers under several dispatchers that lease slots from each other, in virtual time. What
-// they tell each other goes by a bus that delays messages, so that they overtake each other, and may lose or repeat
-// them. The rules are checked at each dispatcher.
+// leaseFleet is a fleet of workers under several dispatchers that lease slots from each other, in virtual time. Its
+// network delays and reorders messages, and may lose or repeat them. The rules are checked at each dispatcher.
 type leaseFleet struct {
 	t           *testing.T
 	settings    Settings
@@ -26,13 +25,13 @@
 	lastJob     uint64
 	messages    int                                       // messages
 	loss        float64                                   // share of messages that are lost
-	repeats     float64                                   // share that comes twice
-	isCut       func(from, to int) bool                   // nil: nothing is
-	tamper      func(from int, m PeerMessage) PeerMessage // nil: no peer lies
+	repeats     float64                                   // share of messages that are delivered twice
+	isCut       func(from, to int) bool                   // nil: no connection is
+	tamper      func(from int, m PeerMessage) PeerMessage // changes messages; nil: none
 	mostAtOnce  int                                       // attempts at one worker, in any moment
 	inWaiting   int                                       // attempts that waited at a worker for a slot
 	sent        int
-	garbageRate float64 // of forged messages, for each that is told
+	garbageRate float64 // forged messages for each one sent
 }
 
 // leaseMember is one dispatcher, with the checker of its rules. A restart makes both anew.
@@ -50,7 +49,7 @@
 	works []spend // work sent, for slow start
 }
 
-// newLeaseFleet has so many dispatchers share so many workers of three slots, listed from the first step.
+// newLeaseFleet returns a fleet of workers with three slots each, listed from the first step.
 func newLeaseFleet(t *testing.T, dispatchers, workers int, settings Settings, seed uint64) *leaseFleet {
 	t.Helper()
 	f := &leaseFleet{
@@ -70,7 +69,7 @@
 	return f
 }
 
-// restart has a new process take the place of a dispatcher. Its peers notice, its jobs are lost with it.
+// restart replaces the process of a dispatcher, whose jobs are lost, and notifies its peers.
 func (f *leaseFleet) restart(index int) {
 	member := f.members[index]
 	settings := f.settings
@@ -91,7 +90,7 @@
 	heap.Push(&f.events, sharedEvent{f.now + delay, f.sequence, act})
 }
 
-// afterFor has a dispatcher get an event later, unless its process has gone by then.
+// afterFor delivers an event to a dispatcher after a delay, unless its process has ended by then.
 func (f *leaseFleet) afterFor(index int, delay time.Duration, event Event) {
 	f.afterForProcess(index, f.members[index].process, delay, event)
 }
@@ -123,13 +122,13 @@
 		case Send:
 			f.send(index, action)
 		case SendPeerMessage:
-			f.tell(index, action)
+			f.sendMessage(index, action)
 		}
 	}
 }
 
-// tell carries a message, up to 32 ms late.
-func (f *leaseFleet) tell(from int, action SendPeerMessage) {
+// sendMessage delivers a message to another dispatcher after a random delay.
+func (f *leaseFleet) sendMessage(from int, action SendPeerMessage) {
 	f.messages++
 	message := action.Message
 	if f.tamper != nil {
@@ -150,7 +149,7 @@
 
 func (f *leaseFleet) delay() time.Duration { return time.Duration(1 + f.rng.Int64N(int64(16*ms))) }
 
-// send has a worker run an attempt, once it has a slot free.
+// send has a worker run an attempt once it has a free slot.
 func (f *leaseFleet) send(index int, send Send) {
 	member, worker := f.members[index], f.workers[send.Worker]
 	number, process := member.attempts[send.Job], member.process
@@ -204,7 +203,7 @@
 	return f.lastJob
 }
 
-// run lets time pass.
+// run advances the time by span.
 func (f *leaseFleet) run(span time.Duration) {
 	end := f.now + span
 	for len(f.events) > 0 && f.events[0].at <= end {
@@ -215,7 +214,7 @@
 	f.now = end
 }
 
-// serve offers jobs to all dispatchers for a while, and then waits until all have their answers.
+// serve offers jobs to all dispatchers for span.
 func (f *leaseFleet) serve(load float64, span time.Duration) {
 	for index := range f.members {
 		f.offer(index, load, f.now+span)
@@ -223,7 +222,7 @@
 	f.run(span)
 }
 
-// finish waits until all jobs have had their time, and checks that nothing is left of them.
+// finish waits until all jobs are past their deadlines, and checks that no state of them is left.
 func (f *leaseFleet) finish() {
 	f.t.Helper()
 	f.run(8 * time.Second)
@@ -238,7 +237,7 @@
 		}
 		d := member.d
 		if len(d.jobs) > 0 || len(d.leases.client.byID) > 0 || len(d.leases.coordinator.leases) > 0 || len(d.leases.coordinator.waiting) > 0 {
-			f.t.Errorf("dispatcher %d keeps %d jobs, %d leases that it asked for, %d that it granted, and %d requests", index,
+			f.t.Errorf("dispatcher %d keeps %d jobs, %d leases that it requested, %d that it granted, and %d requests", index,
 				len(d.jobs), len(d.leases.client.byID), len(d.leases.coordinator.leases), len(d.leases.coordinator.waiting))
 		}
 		for worker, slots := range d.leases.coordinator.slots {
@@ -249,7 +248,7 @@
 	}
 }
 
-// randomPeerMessage draws any message, mostly of figures that make no sense.
+// randomPeerMessage draws a message, mostly with figures out of bounds.
 func randomPeerMessage(rng *rand.Rand) PeerMessage {
 	id, worker := LeaseID(rng.IntN(60)), uint64(rng.IntN(14))
 	figures := []float64{0, 1, -1, 1e300, -1e300, math.NaN(), math.Inf(1), math.Inf(-1), 0.5, 3}
@@ -283,9 +282,9 @@
 	}
 }
 
-// Without faults a worker gets no more than the limit rule tries. Its limit grows while starts are prompt, and the ends of
-// jobs are told later than the starts of others: it passes the slots by less than as many. Without leases twice as
-// many attempts wait at workers.
+// Without faults a worker gets no more attempts than its limit. The limit grows while starts are prompt, and the ends of
+// jobs are notified later than the starts of others: it exceeds the slots by less than their number. Without leases at
+// least twice as many attempts wait at workers.
 func TestLeasedSlotsStayWithinLimits(t *testing.T) {
 	t.Parallel()
 	waited := map[bool]float64{}
@@ -312,17 +311,17 @@
 	}
 }
 
-// Whatever happens to messages, each job gets its one answer, no rule is broken, and no lease is left over.
+// Whatever happens to messages, each job gets exactly one answer, no rule is broken, and no lease is left.
 func TestLeasesUnderFaults(t *testing.T) {
 	t.Parallel()
 	for name, fault := range map[string]func(f *leaseFleet){
-		"lost":       func(f *leaseFleet) { f.loss = 0.3 },
-		"repeated":   func(f *leaseFleet) { f.repeats = 0.5 },
-		"forged":     func(f *leaseFleet) { f.garbageRate = 0.5 },
-		"all":        func(f *leaseFleet) { f.loss, f.repeats, f.garbageRate = 0.3, 0.3, 0.3 },
-		"none heard": func(f *leaseFleet) { f.loss = 1 },
-		"partition":  func(f *leaseFleet) { f.isCut = func(from, to int) bool { return (from < 4) != (to < 4) } },
-		"one-way":    func(f *leaseFleet) { f.isCut = func(from, to int) bool { return from < 4 && to >= 4 } },
+		"lost":          func(f *leaseFleet) { f.loss = 0.3 },
+		"repeated":      func(f *leaseFleet) { f.repeats = 0.5 },
+		"forged":        func(f *leaseFleet) { f.garbageRate = 0.5 },
+		"all":           func(f *leaseFleet) { f.loss, f.repeats, f.garbageRate = 0.3, 0.3, 0.3 },
+		"none received": func(f *leaseFleet) { f.loss = 1 },
+		"partition":     func(f *leaseFleet) { f.isCut = func(from, to int) bool { return (from < 4) != (to < 4) } },
+		"one-way":       func(f *leaseFleet) { f.isCut = func(from, to int) bool { return from < 4 && to >= 4 } },
 		"restart of the coordinator": func(f *leaseFleet) {
 			f.after(2*time.Second, func() { f.restart(f.members[0].d.leases.directory.rank(Shard{})[0]) })
 		},
@@ -347,7 +346,7 @@
 	}
 }
 
-// A coordinator that lies does bounded harm: most jobs are answered all the same.
+// A coordinator that sends false grants does bounded harm: most jobs are still sent.
 func TestLyingCoordinator(t *testing.T) {
 	t.Parallel()
 	coordinator := func(f *leaseFleet) int { return f.members[0].d.leases.directory.rank(Shard{})[0] }
--- a/dispatch/leasesnapshot_test.go
+++ b/dispatch/leasesnapshot_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// step has both dispatchers step. Their messages arrive with the next one, but for an eighth that is lost.
+// step steps both dispatchers. Messages are delivered with the next step, but an eighth is lost.
 func (p *leasingPair) step() {
 	p.now += time.Duration(p.rng.Int64N(int64(30 * ms)))
 	if p.rng.IntN(50) == 0 {
@@ -81,7 +81,7 @@
 	}
 }
 
-// hotRestart has another process go on, which asks anew for leases.
+// hotRestart replaces a dispatcher by one restored without leases, which requests them again.
 func (p *leasingPair) hotRestart(index int) {
 	restored, err := Restore(leasingSettings(index), p.dispatchers[index].Snapshot(nil))
 	if err != nil {
@@ -98,12 +98,12 @@
 		if lease.isUsed() {
 			p.observed["used"]++
 		} else {
-			p.observed["asked for"]++
+			p.observed["requested"]++
 		}
 	}
 }
 
-// take does what an action calls for. Of the attempts most end, some after a start, and some are never heard of again.
+// take carries out an action. Most attempts end, some of them after a start; of the others nothing is notified.
 func (p *leasingPair) take(index int, action Action) {
 	switch action := action.(type) {
 	case SendPeerMessage:
@@ -124,8 +124,8 @@
 	}
 }
 
-// A dispatcher that is restored while leases are asked for, granted and in use acts as the one that it was taken from, also
-// on another clock, and has the same snapshot.
+// A dispatcher that is restored while leases are requested, granted and in use acts as the original one, also on another
+// clock, and has the same snapshot.
 func TestSnapshotWithLeases(t *testing.T) {
 	for _, clockAhead := range []time.Duration{0, -time.Hour, 3 * time.Second} {
 		for seed := range uint64(3) {
@@ -133,7 +133,7 @@
 			for range 150 {
 				pair.step()
 			}
-			for _, kind := range []string{"waiting", "granted", "used", "asked for", "restarts"} {
+			for _, kind := range []string{"waiting", "granted", "used", "requested", "restarts"} {
 				if pair.observed[kind] == 0 {
 					t.Errorf("seed %d: nothing is counted as %s", seed, kind)
 				}
@@ -142,8 +142,8 @@
 	}
 }
 
-// What was leased is dropped by a dispatcher whose settings allow no messages: its jobs leave by what it knows itself. One
-// that may lease goes on from a snapshot of one that did not.
+// A dispatcher whose settings allow no messages drops the leases of its snapshot and sends its jobs without. One that leases
+// slots starts from a snapshot without leases.
 func TestSnapshotWithLeasesTurnedOffAndOn(t *testing.T) {
 	pair := newLeasingPair(t, 1, 0)
 	for range 100 {
@@ -169,7 +169,7 @@
 	}
 }
 
-// checkServes has all that is in flight end, and expects that each open job is sent or has its final answer.
+// checkServes ends all attempts in flight, and expects that each open job is sent or has its final answer.
 func checkServes(t *testing.T, dispatcher *Dispatcher, now time.Duration) {
 	t.Helper()
 	var events []Event
@@ -219,7 +219,7 @@
 	})
 }
 
-// The counts for operators are those of what is used, granted and waited for.
+// LeaseCounts has the leases in use, those granted and the waiting requests.
 func TestLeaseCounts(t *testing.T) {
 	pair := newLeasingPair(t, 1, 0)
 	seen := LeaseCounts{}
--- a/dispatch/resume.go
+++ b/dispatch/resume.go
@@ -1,49 +1,41 @@
 package dispatch
 
-import (
-	"math"
-)
+import "math"
 
-// unknownKind is the kind of the worker of a past attempt that is not listed.
+// unknownKind is the machine kind of an unlisted worker.
 const unknownKind = -1
 
-func (d *Dispatcher) onReplicasChanged(e ReplicasChanged) {
-	d.sharing = ReplicasChanged{
-		Replicas:     max(1, e.Replicas),
-		ReplicaIndex: max(0, e.ReplicaIndex),
-		QuotaShare:   clamp(finite(e.QuotaShare), 1),
-	}
-	d.rings.changed = true
-	d.updatePreferences()
-}
-
-// onJobResumed takes in a job with its attempts so far.
-func (d *Dispatcher) onJobResumed(e JobResumed) {
-	j := d.admit(e.Job, max(0, e.Age))
-	if j == nil {
+// handleJobResumed admits a job of another dispatcher, with its attempts so far, and queues it unless one is in flight.
+// A job whose ID is in use is ignored.
+func (d *Dispatcher) handleJobResumed(event JobResumed) {
+	job := d.admit(event.Job, max(0, event.Age))
+	if job == nil {
 		return
 	}
-	for _, past := range e.Attempts {
-		d.adoptAttempt(j, past)
+	for _, past := range event.Attempts {
+		d.adoptAttempt(job, past)
 	}
-	if len(e.Attempts) == 0 && !e.QuotaCharged {
-		d.chargeQuota(j)
+	if len(event.Attempts) == 0 && !event.QuotaCharged {
+		d.chargeQuota(job)
 	}
-	d.requeue(j)
+	d.requeue(job)
 }
 
-// adoptAttempt enters an attempt that another dispatcher has made. Its notifications so far went there;
-// whether it is late, or lost, counts from now on.
+// adoptAttempt adds an attempt that another dispatcher has sent to a job. The other dispatcher received its notifications
+// so far: the times after which it counts as late or lost begin now.
 func (d *Dispatcher) adoptAttempt(job *jobInfo, past PastAttempt) {
 	worker := d.workers[past.Worker]
 	if worker == nil {
 		worker = d.newUnlistedWorker(past)
 	}
 	attempt := d.newAttempt(job, worker, d.now-max(0, past.SentAgo))
-	attempt.ended, attempt.result = past.Ended, past.Result
-	isNotified := past.StartedAgo > 0
-	if isNotified {
-		attempt.started, attempt.startedAt, attempt.progressAt = true, max(attempt.sentAt, d.now-past.StartedAgo), d.now
+	attempt.ended = past.Ended
+	attempt.result = past.Result
+	isStartNotified := past.StartedAgo > 0
+	if isStartNotified {
+		attempt.started = true
+		attempt.startedAt = max(attempt.sentAt, d.now-past.StartedAgo)
+		attempt.progressAt = d.now
 		worker.aliveAt = max(worker.aliveAt, attempt.startedAt)
 		worker.progressAt = max(worker.progressAt, attempt.startedAt)
 	}
@@ -56,23 +48,25 @@
 	d.leases.client.takeSlots(d.now, attempt)
 	worker.connections = max(worker.connections, len(worker.inFlight))
 	d.markDirty(worker)
-	if isNotified {
+	if isStartNotified {
 		worker.runningSlots += job.Slots
 		d.observeSlots(worker, worker.runningSlots)
 	}
 	d.setTimer(&attempt.timer, d.dueAt(attempt))
 }
 
-// newUnlistedWorker is the worker of a past attempt that no list has named. It is known while the attempt is
-// in flight.
+// newUnlistedWorker returns the worker of a past attempt that is in no list. It is known as long as the attempt is in
+// flight, and matches no cell or zone.
 func (d *Dispatcher) newUnlistedWorker(past PastAttempt) *workerInfo {
 	machine := d.workload.machineKind(unknownKind)
-	w := &workerInfo{
-		Worker: Worker{ID: past.Worker, Kind: unknownKind, Cell: math.MinInt, Zone: math.MinInt},
-		limit:  1, machine: machine, speed: math.Exp(machine.logSpeed),
+	worker := &workerInfo{
+		Worker:  Worker{ID: past.Worker, Kind: unknownKind, Cell: math.MinInt, Zone: math.MinInt},
+		limit:   1,
+		machine: machine,
+		speed:   math.Exp(machine.logSpeed),
 	}
 	if !past.Ended {
-		d.addWorker(w.ID, w)
+		d.addWorker(worker.ID, worker)
 	}
-	return w
+	return worker
 }
--- a/dispatch/resume_test.go
+++ b/dispatch/resume_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A resumed job goes on as it would have where it was: one that is in flight is not sent again, its outcome is known by
-// its number, and one that was possibly executed goes only where the retry rules let it.
+// A resumed job is treated as at its first dispatcher: one in flight is not sent again, its outcome is matched by the
+// attempt's number, and one that was possibly executed is sent only where the retry rules allow it.
 func TestJobResumed(t *testing.T) {
 	inFlight := PastAttempt{Worker: 1, SentAgo: 100 * ms}
 	running := PastAttempt{Worker: 1, SentAgo: 100 * ms, StartedAgo: 90 * ms}
@@ -66,7 +66,7 @@
 	}
 }
 
-// decisionAbout is what was decided last about the only job.
+// decisionAbout returns the last decision about the only job.
 func decisionAbout(s *harness) (decision string) {
 	for _, a := range s.take() {
 		switch a := a.(type) {
@@ -81,8 +81,8 @@
 	return decision
 }
 
-// What came to another dispatcher long ago keeps its place in the queue: it leaves before what comes now, and its objective is
-// that of its first try. An attempt that hangs is found lost here too.
+// A job that arrived at another dispatcher earlier keeps its place in the queue: it leaves before new ones, and its
+// objective counts from its first arrival. An attempt that hangs is detected as lost here too.
 func TestResumedJobKeepsItsQueuePosition(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(2)
@@ -128,8 +128,8 @@
 	}
 }
 
-// Who may send jobs to a warming worker follows from its entry where that says so, else from the number of dispatchers; and so
-// does the share of a quota.
+// The assignees of a warming worker follow from its list entry if that has any, else from the number of dispatchers. So does
+// the share of a quota.
 func TestReplicasChanged(t *testing.T) {
 	set := testSettings()
 	set.Replicas, set.ReplicaIndex, set.TenantQuota = 4, 1, []float64{8}
