--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -38,9 +38,7 @@
 	promoteAt    time.Duration // when it has been queued for tau
 	skipCount    int           // dispatch cycles that ended because it and others fitted no worker
 
-	leases          []*leaseInfo // that it waits for
-	unusableWorkers []uint64     // workers whose slots were granted and can't be used
-	withoutLease    bool         // it leaves the queue without one
+	leases jobLeases
 
 	warmUpDraw     float64       // above 0 and up to 1, for the lottery of warming workers; 0: not drawn yet
 	checksUntil    time.Duration // workers checked for it should have answered by then
@@ -52,6 +50,9 @@
 // isDeprioritized reports whether a job leaves the queue after those that may have their full utility.
 func (j *jobInfo) isDeprioritized() bool { return j.priority != levelFull }
 
+// isQueued reports whether a job is in the queue.
+func (j *jobInfo) isQueued() bool { return j.heapIndex >= 0 }
+
 // isRunning reports whether an attempt of a job has started and not ended.
 func (j *jobInfo) isRunning() bool {
 	return slices.ContainsFunc(j.attempts, func(a *attemptInfo) bool { return !a.ended && a.started })
@@ -74,7 +75,7 @@
 		return
 	}
 	d.queue.remove(job)
-	d.withdrawLeases(job)
+	d.leases.client.withdraw(job)
 	d.cancelTimer(&job.deadlineTimer)
 	d.cancelTimer(&job.objectiveTimer)
 	d.cancelTimer(&job.checksTimer)
@@ -109,7 +110,7 @@
 		for queued := &d.queue.demandClasses[i].byScore; !queued.empty(); {
 			job := queued.first()
 			d.queue.remove(job)
-			d.withdrawLeases(job)
+			d.leases.client.withdraw(job)
 			if job.inFlight == 0 {
 				d.finish(job)
 			}
@@ -123,6 +124,6 @@
 	if attempt != nil {
 		attempt.job.streaming = true
 		d.queue.remove(attempt.job)
-		d.withdrawLeases(attempt.job)
+		d.leases.client.withdraw(attempt.job)
 	}
 }
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -30,11 +30,7 @@
 	hedges       tokenBucket // one token for each hedged request, or less by its work
 	checks       tokenBucket // one token for each health check
 
-	directory   peerDirectory
-	client      leaseClient
-	coordinator leaseCoordinator
-	ownMessages []PeerMessage // to this dispatcher itself, not handled yet
-	readyZones  []int         // that have ready workers, in ascending order
+	leases *leaseExchange
 
 	workers     map[uint64]*workerInfo
 	workerList  []*workerInfo // all workers: the order of the map decides nothing
--- a/internal/link/harness_test.go
+++ b/internal/link/harness_test.go
@@ -11,7 +11,6 @@
 	"valvecove/dispatch"
 	"valvecove/internal/client"
 	"valvecove/internal/config"
-	"valvecove/internal/discovery"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/limits"
 	"valvecove/internal/modeltest"
@@ -56,20 +55,24 @@
 	}
 	names := requests.NameTable{Classes: []string{"a"}, Tenants: []string{"t"}}
 	l.openWorkerPool(50, 250*time.Millisecond, time.Minute)
-	l.watch = l.newWatchConnection(netip.AddrPort{}, discovery.Config{PollInterval: 10 * time.Second}, func(int64) int64 { return 0 })
 	l.Requests = requests.New(6, names, func() requests.Policy { return w.policy }, requests.EndpointList{Endpoints: []requests.Endpoint{
 		{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
 	}}, transport{l.workers, l}, silent)
 	l.workers.SetTable(l.Requests)
+	watched := config.Settings{Settings: dispatch.Settings{PollInterval: 10 * time.Second, MustSubscribe: true}}
+	l.prepareWatch(config.Config{Settings: watched}, func(int64) int64 { return 0 })
 	l.openClientListener(testClientLimits(50), &dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: 5 * time.Second}}}, names)
 	l.onWake = func() {}
-	l.openBudget(config.Limits{Sockets: 1024, MemoryMB: 64}, 0)
+	l.openBudget(harnessLimits, 0)
 	w.loop = l
 	s.T.Cleanup(l.CloseDescriptors)
 	w.runIterations()
 	return w
 }
 
+// harnessLimits are the limits of a harness's process.
+var harnessLimits = config.Limits{Sockets: 1024, MemoryMB: 64}
+
 // testClientLimits returns limits with so many connections.
 func testClientLimits(connections int) client.Limits {
 	return client.Limits{Connections: connections, Requests: limits.MaxRequests(connections), BufferBytes: 1 << 20}
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -281,7 +281,7 @@
 func (l *Loop) releaseTransferred() {
 	l.clients.Relinquish()
 	l.workers.Relinquish()
-	l.watch.stop()
+	l.watch.Stop()
 	l.clients.CloseSocket()
 	l.predecessorRole.acceptor.Close()
 	if l.peers != nil {
--- a/internal/link/lifecycle.go
+++ b/internal/link/lifecycle.go
@@ -21,8 +21,8 @@
 // Reload goes on by another configuration: connections, requests and what the dispatcher knows stay.
 func (l *Loop) Reload(c config.Config) {
 	l.budget.SetLimits(c.Limits)
-	if c.Discovery != l.watch.server {
-		l.watch.changeServer(c.Discovery)
+	if c.Discovery != l.watch.Server() {
+		l.watch.ChangeServer(c.Discovery)
 	}
 }
 
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -17,6 +17,7 @@
 	"valvecove/internal/capture"
 	"valvecove/internal/client"
 	"valvecove/internal/clock"
+	"valvecove/internal/discovery/watch"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/filesystem"
 	"valvecove/internal/gossip/socket"
@@ -41,11 +42,10 @@
 	dial      func(address netip.AddrPort) (fd int, err error)
 	monotonic func() time.Duration // the clock that all processes of the machine share
 	request   http1.Request        // that was parsed last
-	response  http1.Response       // that was parsed last
 
 	clients      *client.Listener
 	workers      *worker.Pool
-	watch        *watchConnection
+	watch        *watch.Connection
 	operators    *operatorListener    // nil: off
 	status       *statusListener      // nil: off
 	metrics      *push.Pusher         // nil: off
