--- a/internal/worker/connection.go
+++ b/internal/worker/connection.go
@@ -39,9 +39,11 @@
 	return fmt.Sprintf("connectionState(%d)", int(s))
 }
 
-// Why a connection ends, or can't be opened. Errors of system calls and of the HTTP parser are passed on as they are.
+// Causes of the end of a connection, or why it can't be opened. Errors of system calls and of the HTTP parser are passed on as they
+// are.
 var (
 	errNoDescriptor     = errors.New("no descriptor left for a worker connection")
+	errNoAddress        = errors.New("endpoint has no valid address")
 	errClosedByWorker   = errors.New("closed by the worker")
 	errTimeout          = errors.New("timed out")
 	errResponseTooLarge = errors.New("response too large")
@@ -122,7 +124,7 @@
 		return errNoDescriptor
 	}
 	if !c.endpoint.address.IsValid() {
-		return fmt.Errorf("endpoint %q has no address", c.endpoint.id)
+		return fmt.Errorf("%w: %q", errNoAddress, c.endpoint.id)
 	}
 	socket, err := pool.dial(c.endpoint.address)
 	if err != nil {
--- a/internal/worker/pool.go
+++ b/internal/worker/pool.go
@@ -28,7 +28,8 @@
 	WorkerIdleTimeout time.Duration
 }
 
-// Pool is the connections to all workers. Together with a watch on the endpoint list it is a requests.Transport.
+// Pool opens, reuses and closes the connections to all workers, and runs the exchanges on them. Together with a watch on the
+// endpoint list it is a requests.Transport. It is used on the goroutine of its loop alone.
 type Pool struct {
 	loop            *eventloop.Loop
 	dial            func(address netip.AddrPort) (socket int, err error)
@@ -47,7 +48,7 @@
 
 	idle                      list.List     // idle connections to all workers, the one that has been idle longest first
 	maxReuseIdleTime          time.Duration // connections that were idle for longer are not reused; 0: no limit
-	maxReuseIdleTimeChangedAt time.Duration // or confirmed by another lost connection
+	maxReuseIdleTimeChangedAt time.Duration // when it was changed, or a lost connection confirmed it
 
 	writeBuffer []byte         // reused for the bytes of a request, which are void after the write
 	response    http1.Response // reused for each response, which is void once it is handled
@@ -62,7 +63,7 @@
 		hasRelinquished: config.HasRelinquished,
 		maxConnections:  config.MaxConnections,
 		connectTimeout:  config.ConnectTimeout,
-		idleTimeout:     config.WorkerIdleTimeout * 3 / 4, // a request that crosses the worker's close would be lost
+		idleTimeout:     config.WorkerIdleTimeout * 3 / 4, // well before the worker closes it: a request that crosses that is lost
 		endpoints:       map[uint64]*endpointConnections{},
 		byAttempt:       map[*requests.Attempt]*connection{},
 		cancelAttempts:  map[*requests.Attempt]int{},
--- a/internal/worker/response.go
+++ b/internal/worker/response.go
@@ -96,6 +96,11 @@
 	c.pool.handleAccepted(attempt)
 }
 
+// statusError is the status code of a response that is none of success.
+type statusError int
+
+func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
+
 // responseFailure returns the failure that a response reports, or nil.
 func (c *connection) responseFailure(response *http1.Response) *requests.AttemptError {
 	statusCode := response.StatusCode
@@ -105,7 +110,7 @@
 	failure := &requests.AttemptError{
 		Stage:  c.stage,
 		Reason: requests.ReasonWorkerError,
-		Cause:  fmt.Errorf("status %d", statusCode),
+		Cause:  statusError(statusCode),
 	}
 	mayReject := statusCode == 503 || statusCode == 504
 	switch {
