--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -90,7 +90,7 @@
 	s := newHarness(t, set)
 	s.workers(1)
 	s.busy(1)
-	s.d.workers[1].limit = 1
+	s.d.fleet.byID[1].slots.limit = 1
 	for id := uint64(10); id < 20; id++ {
 		j := s.job(id, 1, 100*ms)
 		s.step(j)
--- a/dispatch/attemptinfo.go
+++ b/dispatch/attemptinfo.go
@@ -21,10 +21,10 @@
 	j.attempts = append(j.attempts, a)
 	j.inFlight++
 	w.inFlight = append(w.inFlight, a)
-	w.usedSlots += j.demand
-	d.usedSlots += j.demand
+	w.slots.used += j.demand
+	d.starts.usedSlots += j.demand
 	if !a.started {
-		d.unstarted.add(j.Class, a)
+		d.starts.unstarted.add(j.Class, a)
 	}
 }
 
@@ -34,11 +34,11 @@
 	attempt.ended, attempt.result = true, outcome.Result
 	d.releaseLease(attempt, outcome.Result)
 	job.inFlight--
-	worker.lastEndAt = d.now
+	worker.connections.lastUsedAt = d.now
 	if attempt.orphaned {
 		worker.orphans--
 	} else {
-		worker.usedSlots, d.usedSlots = max(0, worker.usedSlots-job.demand), max(0, d.usedSlots-job.demand)
+		worker.slots.used, d.starts.usedSlots = max(0, worker.slots.used-job.demand), max(0, d.starts.usedSlots-job.demand)
 		worker.inFlight = removeUnordered(worker.inFlight, attempt)
 	}
 	d.cancelTimer(&attempt.timer)
@@ -46,8 +46,8 @@
 	// The report is older than the end that it comes with: the slots that this frees are not in it yet.
 	d.applyReport(worker, outcome.Report)
 	if attempt.started && !attempt.orphaned {
-		worker.freeSlots += job.demand
-		worker.runningSlots -= job.Slots
+		worker.report.freeSlots += job.demand
+		worker.slots.running -= job.Slots
 	}
 }
 
@@ -76,7 +76,7 @@
 func (d *Dispatcher) onProgressed(a *attemptInfo) {
 	if a != nil {
 		d.onStarted(a)
-		a.progressAt, a.worker.progressAt = d.now, d.now
+		a.progressAt, a.worker.activity.progressAt = d.now, d.now
 	}
 }
 
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -6,16 +6,16 @@
 func (d *Dispatcher) send(job *jobInfo, worker *workerInfo) *attemptInfo {
 	attempt := d.newAttempt(job, worker, d.now)
 	d.addAttempt(attempt)
-	attempt.limitBound = worker.usedSlots+1 > worker.limit
+	attempt.limitBound = worker.slots.used+1 > worker.slots.limit
 	d.chargeWarmUp(attempt)
 	d.hedgeTokens = min(d.hedgeTokens+hedgeRate, d.maxHedgeTokens())
 	if attempt.number > 0 {
 		d.hedgeTokens -= d.hedgeCost(job)
 	}
 	if d.isEjected(worker) {
-		d.nextTrialAt = d.now + trialInterval
+		d.outliers.nextProbeAt = d.now + trialInterval
 	}
-	d.pilotSentAt, worker.uncordonedAt = d.now, 0
+	d.starts.lastSentAt, worker.uncordonedAt = d.now, 0
 	d.guardConnection(attempt)
 	d.emit(Send{Job: job.ID, Worker: worker.ID})
 	d.setTimer(&attempt.timer, d.dueAt(attempt))
@@ -32,8 +32,8 @@
 	d.markStarted(attempt)
 	d.observeIdleConnection(attempt, true)
 	d.observeStartDelay(attempt)
-	worker.runningSlots += job.Slots
-	d.observeSlots(worker, worker.runningSlots)
+	worker.slots.running += job.Slots
+	d.observeSlots(worker, worker.slots.running)
 	d.setTimer(&attempt.timer, d.dueAt(attempt))
 	if !job.closed {
 		d.dequeue(job) // no further attempt is needed
@@ -47,9 +47,9 @@
 	attempt.startedAt = d.now
 	d.markAlive(attempt.worker)
 	attempt.progressAt = d.now
-	attempt.worker.progressAt = d.now
-	if attempt.sentAt == d.pilotSentAt {
-		d.pilotSentAt = 0
+	attempt.worker.activity.progressAt = d.now
+	if attempt.sentAt == d.starts.lastSentAt {
+		d.starts.lastSentAt = 0
 	}
 }
 
@@ -59,12 +59,12 @@
 	delay := d.now - attempt.sentAt
 	isPrompt := delay <= d.promptStart(attempt.job.class)
 	d.reportStart(attempt, isPrompt)
-	d.minStartDelay = min(d.minStartDelay, delay)
+	d.starts.minDelay = min(d.starts.minDelay, delay)
 	if !isPrompt && d.spansStall(attempt) {
 		return
 	}
 	d.adjustLimit(attempt, isPrompt)
 	if !isPrompt {
-		d.meanLateStart += (delay - d.meanLateStart) / lateStartDivisor
+		d.starts.meanLateDelay += (delay - d.starts.meanLateDelay) / lateStartDivisor
 	}
 }
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -206,7 +206,7 @@
 		other := taken[Send](s)
 		for range 8 { // whoever has the first gets on with others
 			s.step(Progressed{Job: 2, Worker: other[0].Worker, Share: 0.1})
-			s.d.workers[w].progressAt = s.d.now
+			s.d.fleet.byID[w].activity.progressAt = s.d.now
 			s.wait(50 * ms)
 		}
 		hedged := false
@@ -225,10 +225,10 @@
 	for _, works := range []bool{true, false} {
 		s := newHarness(t, testSettings())
 		s.workers(2)
-		s.d.backOff(s.d.workers[2], 200*ms)
+		s.d.backOff(s.d.fleet.byID[2], 200*ms)
 		s.busy(1)
-		s.d.workers[1].limit = 5
-		s.d.markDirty(s.d.workers[1])
+		s.d.fleet.byID[1].slots.limit = 5
+		s.d.markDirty(s.d.fleet.byID[1])
 		s.step(s.job(2, 0, 300*ms))
 		expectJobs(t, taken[Send](s), 2)
 		s.wait(100 * ms)
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -10,7 +10,7 @@
 	s.workers(1)
 	expectLimit := func(want float64) {
 		t.Helper()
-		if got := s.d.workers[1].limit; got != want {
+		if got := s.d.fleet.byID[1].slots.limit; got != want {
 			t.Fatalf("limit %v, expected %v", got, want)
 		}
 	}
@@ -33,7 +33,7 @@
 	s.step(s.job(2, 1, 300*ms))
 	s.wait(400 * ms)
 	s.step(Started{Job: 2, Worker: 1})
-	if got := s.d.workers[1].limit; got != 1 {
+	if got := s.d.fleet.byID[1].slots.limit; got != 1 {
 		t.Fatalf("limit %v after a late start, expected 1", got)
 	}
 }
@@ -76,7 +76,7 @@
 func TestNoSendBehindAnUnstartedAttempt(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
-	s.d.workers[1].limit = 8
+	s.d.fleet.byID[1].slots.limit = 8
 	s.step(s.job(1, 1, 100*ms))
 	s.wait(300 * ms)
 	s.take()
@@ -112,13 +112,13 @@
 func TestLimitIsBoundedByObservedSlots(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
-	w := s.d.workers[1]
-	w.limit = 9
+	w := s.d.fleet.byID[1]
+	w.slots.limit = 9
 	for id := uint64(1); id <= 4; id++ {
 		s.busy(id)
 	}
 	for late := range uint64(minLateOverflows) {
-		if w.backoffUntil, w.limit = 0, 9; s.d.maxSlots(w) < 9 {
+		if w.backoff.until, w.slots.limit = 0, 9; s.d.maxSlots(w) < 9 {
 			t.Fatalf("the limit ends at %v before anything was late", s.d.maxSlots(w))
 		}
 		s.step(s.job(10+late, 1, 20*ms))
@@ -187,8 +187,8 @@
 	f.run, f.hint = 400*ms, 1.0/20
 	served, _ := f.serve(15, 6*time.Second)
 	backedOff := 0
-	for _, w := range f.d.workerList {
-		if w.backoffUntil > f.now {
+	for _, w := range f.d.fleet.workers {
+		if w.backoff.until > f.now {
 			backedOff++
 		}
 	}
@@ -228,7 +228,7 @@
 	set.Classes[1].Idempotency, set.Classes[1].DeduplicationScope, set.Classes[1].DeduplicationWindow = IdempotentWithKey, ScopeAll, 20*time.Second
 	s := newHarness(t, set)
 	s.workers(2)
-	s.d.workers[1].limit, s.d.workers[2].limit = 4, 4
+	s.d.fleet.byID[1].slots.limit, s.d.fleet.byID[2].slots.limit = 4, 4
 	s.step(s.job(1, 1, 100*ms))
 	hung := taken[Send](s)[0].Worker
 	s.wait(600 * ms)
--- a/dispatch/concurrency.go
+++ b/dispatch/concurrency.go
@@ -21,10 +21,25 @@
 	manyReplicas     = 8   // more dispatchers than these are many: most have little work each
 )
 
+// slotLimit counts the slots that this dispatcher uses at a worker, against its own concurrency limit.
+type slotLimit struct {
+	used           float64 // by attempts in flight
+	running        float64 // by attempts that have started
+	limit          float64
+	decreasedAt    time.Duration // the latest decrease of the limit
+	rejectedDemand float64       // the worker has rejected a job of this demand while idle; 0: none
+}
+
+// backoffState is how long a worker is sent nothing after a rejection.
+type backoffState struct {
+	delay time.Duration // doubles with each rejection; 0: the latest attempt started promptly
+	until time.Duration
+}
+
 // hasCapacity tells whether a worker can start a job now, as far as is known.
 func (d *Dispatcher) hasCapacity(job *jobInfo, worker *workerInfo) bool {
-	if worker.rejects(job) || worker == d.reserved && job != d.reservedFor ||
-		worker.usedSlots > 0 && worker.usedSlots+job.demand > min(worker.limit, d.maxSlots(worker)) {
+	if worker.rejects(job) || worker == d.reservation.worker && job != d.reservation.job ||
+		worker.slots.used > 0 && worker.slots.used+job.demand > min(worker.slots.limit, d.maxSlots(worker)) {
 		return false
 	}
 	if d.showsQueue(worker, d.promptStart(job.class)) {
@@ -43,12 +58,12 @@
 
 // rejects tells whether a worker has rejected a job as large as this while idle.
 func (w *workerInfo) rejects(j *jobInfo) bool {
-	return w.rejectedDemand > 0 && j.demand >= w.rejectedDemand
+	return w.slots.rejectedDemand > 0 && j.demand >= w.slots.rejectedDemand
 }
 
 // promptStart is how soon a start comes where there is capacity, by the least delay: a mean follows queues.
 func (d *Dispatcher) promptStart(c *Class) time.Duration {
-	return 2*d.minStartDelay + c.LatencyObjective/promptDivisor
+	return 2*d.starts.minDelay + c.LatencyObjective/promptDivisor
 }
 
 // maxSlots is the most of our slots seen running on a worker of the kind, once a few sent beyond have started
@@ -67,50 +82,50 @@
 	d.observeBusy(worker, !prompt)
 	d.markDirty(worker)
 	if prompt {
-		worker.backoff = 0
+		worker.backoff.delay = 0
 		if attempt.limitBound {
-			worker.limit = max(worker.limit, worker.runningSlots+attempt.job.demand) + 1
+			worker.slots.limit = max(worker.slots.limit, worker.slots.running+attempt.job.demand) + 1
 		}
 		return
 	}
-	if attempt.sentAt < worker.decreasedAt { // an older attempt tells nothing new
+	if attempt.sentAt < worker.slots.decreasedAt { // an older attempt tells nothing new
 		return
 	}
-	if k := d.machineKind(worker.Kind); worker.runningSlots >= k.maxSlots {
+	if k := d.machineKind(worker.Kind); worker.slots.running >= k.maxSlots {
 		k.lateOverflows++
 	}
 	// One slot for each of several dispatchers is still a queue: back off for as long as this attempt waited.
-	if worker.limit <= 1 && d.settings.Replicas > 1 {
+	if worker.slots.limit <= 1 && d.settings.Replicas > 1 {
 		d.backOff(worker, d.now-attempt.sentAt)
 	}
-	worker.decreasedAt, worker.limit = d.now, max(1, worker.limit-1)
+	worker.slots.decreasedAt, worker.slots.limit = d.now, max(1, worker.slots.limit-1)
 }
 
 // halveLimit answers a rejection or failure. What was sent before the last decrease tells of the same event.
 func (d *Dispatcher) halveLimit(a *attemptInfo) {
-	if w := a.worker; a.sentAt >= w.decreasedAt {
-		w.decreasedAt, w.limit = d.now, max(1, math.Floor(w.limit/2))
+	if w := a.worker; a.sentAt >= w.slots.decreasedAt {
+		w.slots.decreasedAt, w.slots.limit = d.now, max(1, math.Floor(w.slots.limit/2))
 		d.markDirty(w)
 	}
 }
 
 // backOff leaves a worker alone, longer each time until an attempt starts promptly there.
 func (d *Dispatcher) backOff(w *workerInfo, least time.Duration) {
-	w.backoff = min(max(least, 2*w.backoff), maxBackoff)
-	w.backoffUntil = d.now + w.backoff
+	w.backoff.delay = min(max(least, 2*w.backoff.delay), maxBackoff)
+	w.backoff.until = d.now + w.backoff.delay
 	d.markDirty(w)
 }
 
 // isBackedUp is the limit of the fleet: several dispatchers with few jobs each fill all queues though every
 // limit is one. A pilot goes all the same, and the next when that has started or is as late as others are.
 func (d *Dispatcher) isBackedUp() bool {
-	return d.settings.Replicas <= manyReplicas && d.lateCount > maxLateShare*(d.usedSlots-d.lateCount) &&
-		d.now-d.pilotSentAt < d.meanLateStart
+	return d.settings.Replicas <= manyReplicas && d.starts.lateCount > maxLateShare*(d.starts.usedSlots-d.starts.lateCount) &&
+		d.now-d.starts.lastSentAt < d.starts.meanLateDelay
 }
 
 // mayHaveCapacity tells whether searches need to see a worker.
 func (d *Dispatcher) mayHaveCapacity(w *workerInfo) bool {
-	return w.Ready && d.now >= w.backoffUntil && (w.usedSlots == 0 || w.usedSlots+1 <= w.limit)
+	return w.Ready && d.now >= w.backoff.until && (w.slots.used == 0 || w.slots.used+1 <= w.slots.limit)
 }
 
 // countLateAttempts counts the attempts that start late, one for each job: a wide job waits more often than
@@ -120,14 +135,14 @@
 		return d.now-a.sentAt > d.promptStart(&d.settings.Classes[class])
 	}
 	isOver := func(a *attemptInfo) bool {
-		return a.started || a.ended || d.now-a.sentAt >= silenceFactor*d.meanLateStart
+		return a.started || a.ended || d.now-a.sentAt >= silenceFactor*d.starts.meanLateDelay
 	}
-	d.unstarted.update(isLate, isOver)
-	d.lateCount = 0
-	for _, a := range d.unstarted.late {
+	d.starts.unstarted.update(isLate, isOver)
+	d.starts.lateCount = 0
+	for _, a := range d.starts.unstarted.late {
 		isLatest := a.number == len(a.job.attempts)-1
 		if a.job.heapIndex < 0 && !a.job.closed && isLatest && !a.mayBeDropped() {
-			d.lateCount++
+			d.starts.lateCount++
 		}
 	}
 }
--- a/dispatch/connections.go
+++ b/dispatch/connections.go
@@ -16,6 +16,19 @@
 	careDivisor    = 4                // jobs not safe to repeat trust connections for this part of the time
 )
 
+// connectionHistory bounds the idle time of connections by how attempts on idle connections have fared.
+type connectionHistory struct {
+	maxIdle      time.Duration // connections idle for longer are closed before use; 0: no bound
+	maxIdleSetAt time.Duration
+	outcomes     idleHistory
+}
+
+// connectionState is what is known of the connections to a worker.
+type connectionState struct {
+	open       int           // connections of this dispatcher, idle or in use
+	lastUsedAt time.Duration // the latest end of an attempt
+}
+
 // idleHistory counts how attempts fared by how long their connections had been idle: bucket n is from 2^n
 // to 2^(n+1) milliseconds.
 type idleHistory [idleBuckets]outcomeCounts
@@ -62,14 +75,14 @@
 		return
 	}
 	bucket := idleBucket(a.connIdle)
-	d.idleOutcomes[bucket].add(success)
+	d.idleConnections.outcomes[bucket].add(success)
 	if success {
 		return
 	}
 	for ; bucket >= 0; bucket-- {
-		sum := d.idleOutcomes.sumFrom(bucket)
+		sum := d.idleConnections.outcomes.sumFrom(bucket)
 		if sum.failed > minIdleFailing && sum.failed > sum.succeeded {
-			d.maxIdle, d.maxIdleSetAt = minIdleOf(bucket), d.now
+			d.idleConnections.maxIdle, d.idleConnections.maxIdleSetAt = minIdleOf(bucket), d.now
 			return
 		}
 	}
@@ -77,29 +90,29 @@
 
 // decayIdleConnections forgets by and by what was observed of them.
 func (d *Dispatcher) decayIdleConnections() {
-	d.idleOutcomes.decay(1 - maintenanceInterval.Seconds()/idleMemory.Seconds())
-	if d.maxIdle > 0 && d.now-d.maxIdleSetAt > maxIdleSpan {
-		d.maxIdle, d.maxIdleSetAt = 2*d.maxIdle, d.now
+	d.idleConnections.outcomes.decay(1 - maintenanceInterval.Seconds()/idleMemory.Seconds())
+	if d.idleConnections.maxIdle > 0 && d.now-d.idleConnections.maxIdleSetAt > maxIdleSpan {
+		d.idleConnections.maxIdle, d.idleConnections.maxIdleSetAt = 2*d.idleConnections.maxIdle, d.now
 	}
 }
 
 // guardConnection guards against connections dropped unseen while idle: what is sent on one is lost. Those
 // idle for longer than has lately gone well are closed first.
 func (d *Dispatcher) guardConnection(attempt *attemptInfo) {
-	worker, maxIdle, idle := attempt.worker, d.maxIdle, d.now-attempt.worker.lastEndAt
+	worker, maxIdle, idle := attempt.worker, d.idleConnections.maxIdle, d.now-attempt.worker.connections.lastUsedAt
 	if attempt.job.class.Idempotency != Idempotent {
 		maxIdle /= careDivisor
 	}
 	if d.settings.ConnIdleTimeout > 0 && idle >= d.settings.ConnIdleTimeout {
-		worker.connections = min(worker.connections, len(worker.inFlight)-1)
+		worker.connections.open = min(worker.connections.open, len(worker.inFlight)-1)
 	}
-	if worker.connections < len(worker.inFlight) { // a new one is opened
-		worker.connections = len(worker.inFlight)
+	if worker.connections.open < len(worker.inFlight) { // a new one is opened
+		worker.connections.open = len(worker.inFlight)
 		return
 	}
 	attempt.connIdle = idle
-	if d.maxIdle > 0 && idle > maxIdle {
+	if d.idleConnections.maxIdle > 0 && idle > maxIdle {
 		d.emit(CloseIdleConnections{Worker: worker.ID})
-		attempt.connIdle, worker.connections = 0, len(worker.inFlight)
+		attempt.connIdle, worker.connections.open = 0, len(worker.inFlight)
 	}
 }
--- a/dispatch/coordinator.go
+++ b/dispatch/coordinator.go
@@ -249,7 +249,7 @@
 	slots := coordinator.slotsOf(worker.ID)
 	isBound := slots.used+request.Demand+1 > slots.limit
 	if d.warmUpShare(worker) < 1 {
-		slots.warmUpSpends = append(slots.warmUpSpends, spend{at: d.now, work: request.Work})
+		slots.warmUpSpends = append(slots.warmUpSpends, workSample{at: d.now, work: request.Work})
 	}
 	lease := &grantedLease{
 		key:    key,
@@ -278,8 +278,8 @@
 		if chosen == nil || slots.used < least {
 			least, weights = slots.used, 0
 		}
-		weights += worker.speed
-		if d.rng.Float64()*weights < worker.speed {
+		weights += worker.speed.factor
+		if d.rng.Float64()*weights < worker.speed.factor {
 			chosen = worker
 		}
 	}
@@ -305,7 +305,7 @@
 	if coordinator.members == nil {
 		coordinator.members = map[Shard][]*workerInfo{}
 		clear(coordinator.free)
-		for _, worker := range d.workerList {
+		for _, worker := range d.fleet.workers {
 			of := d.directory.shardOf(worker)
 			coordinator.members[of] = append(coordinator.members[of], worker)
 		}
@@ -339,7 +339,7 @@
 	if lease == nil {
 		return
 	}
-	slots, worker := d.coordinator.slotsOf(lease.worker), d.workers[lease.worker]
+	slots, worker := d.coordinator.slotsOf(lease.worker), d.fleet.byID[lease.worker]
 	if message.Prompt {
 		d.leaseStarted(lease, slots, worker)
 	} else {
@@ -405,7 +405,7 @@
 	coordinator := &d.coordinator
 	coordinator.freeWhere(func(lease *grantedLease) bool { return d.now-lease.seenAt > leaseSpan })
 	for id, slots := range coordinator.slots {
-		if slots.leases == 0 && d.workers[id] == nil {
+		if slots.leases == 0 && d.fleet.byID[id] == nil {
 			delete(coordinator.slots, id)
 		}
 	}
--- a/dispatch/coordinator_test.go
+++ b/dispatch/coordinator_test.go
@@ -194,7 +194,7 @@
 			t.Fatal("leased for less than no work")
 		}
 	}
-	worker := s.d.workers[1]
+	worker := s.d.fleet.byID[1]
 	share := s.d.warmUpShare(worker)
 	rule := s.d.settings.OverloadFactor * kindSlots * share * s.d.settings.OverloadWindow.Seconds()
 	unleased := s.d.warmUpBudget(worker)
@@ -265,7 +265,7 @@
 func BenchmarkGrantWaiting(b *testing.B) {
 	s := coordinatorHarness(b, 3200, func(settings *Settings) { settings.Replicas = 900 })
 	held, lastID := []LeaseID{}, LeaseID(0)
-	shard := s.d.directory.shardOf(s.d.workerList[0])
+	shard := s.d.directory.shardOf(s.d.fleet.workers[0])
 	for range 2000 {
 		lastID++
 		granted := s.tell(int(lastID)%800, LeaseRequest{ID: lastID, Shard: shard, Demand: 1, LongChance: float64(lastID % 97)})
--- a/dispatch/cordon.go
+++ b/dispatch/cordon.go
@@ -4,14 +4,22 @@
 
 // Cordons: workers that operators keep from new jobs. The design is silent on them.
 
+// cordons are the workers that operators have cordoned, listed or not.
+type cordons struct {
+	since      map[uint64]time.Duration // by worker: when it was cordoned
+	coverFleet bool                     // all listed workers are cordoned
+}
+
+func newCordons() cordons { return cordons{since: map[uint64]time.Duration{}} }
+
 const uncordonedWait = 2 * time.Second // idle for this, an uncordoned worker gets late jobs too
 
 // cordon keeps all new jobs from a worker; what is in flight goes on.
 func (d *Dispatcher) cordon(id uint64) {
-	if _, isCordoned := d.cordoned[id]; !isCordoned {
-		d.cordoned[id] = d.now
+	if _, isCordoned := d.cordons.since[id]; !isCordoned {
+		d.cordons.since[id] = d.now
 	}
-	if w := d.workers[id]; w != nil {
+	if w := d.fleet.byID[id]; w != nil {
 		w.Ready = false
 		d.markDirty(w)
 	}
@@ -20,16 +28,16 @@
 
 // uncordon ends that. The worker counts as restarted: it warms up, and what was in flight there is lost.
 func (d *Dispatcher) uncordon(id uint64) {
-	since, wasCordoned := d.cordoned[id]
-	delete(d.cordoned, id)
+	since, wasCordoned := d.cordons.since[id]
+	delete(d.cordons.since, id)
 	d.updateAllCordoned()
-	worker := d.workers[id]
+	worker := d.fleet.byID[id]
 	if worker == nil || !wasCordoned {
 		return
 	}
 	worker.forgetFaults()
 	if worker.BootAt <= since {
-		worker.returnedAt = d.now
+		worker.slowStart.restartedAt = d.now
 	}
 	worker.Ready, worker.uncordonedAt = worker.listedReady, d.now
 	for _, a := range d.orphanAttempts(worker) {
@@ -45,14 +53,14 @@
 
 // isCordoned tells whether a worker is kept from jobs by the operators.
 func (d *Dispatcher) isCordoned(w *workerInfo) bool {
-	_, is := d.cordoned[w.ID]
+	_, is := d.cordons.since[w.ID]
 	return is
 }
 
 // updateAllCordoned notes whether all listed workers are cordoned.
 func (d *Dispatcher) updateAllCordoned() {
-	d.allCordoned = len(d.cordoned) > 0 && len(d.workerList) > 0
-	for _, w := range d.workerList {
-		d.allCordoned = d.allCordoned && (!w.listed || d.isCordoned(w))
+	d.cordons.coverFleet = len(d.cordons.since) > 0 && len(d.fleet.workers) > 0
+	for _, w := range d.fleet.workers {
+		d.cordons.coverFleet = d.cordons.coverFleet && (!w.listed || d.isCordoned(w))
 	}
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -21,8 +21,8 @@
 func New(settings Settings, seed uint64) *Dispatcher {
 	source := rand.NewPCG(seed, 0)
 	dispatcher := &Dispatcher{
-		settings: settings, rng: rand.New(source), source: source, jobs: map[uint64]*jobInfo{}, workers: map[uint64]*workerInfo{},
-		kinds: map[int]*machineInfo{}, cordoned: map[uint64]time.Duration{}, zoneBusy: map[int]float64{},
+		settings: settings, rng: rand.New(source), source: source, jobs: map[uint64]*jobInfo{},
+		fleet: newWorkerFleet(), cordons: newCordons(), kinds: map[int]*machineInfo{},
 		keyWork: map[uint64]float64{}, spread: initialSpread,
 	}
 	dispatcher.initIndexes()
@@ -37,12 +37,12 @@
 	}
 	dispatcher.muShort = max(objective, minInitialSojourn)
 	dispatcher.longCut = math.Log(dispatcher.muShort)
-	dispatcher.meanLateStart = seconds(objective / lateStartsPerSojourn)
+	dispatcher.starts.meanLateDelay = seconds(objective / lateStartsPerSojourn)
 	dispatcher.fullTimeout = make([]time.Duration, classes)
 	dispatcher.weights = make([]float64, classes+2)
 	dispatcher.weights[classes] = initialHintWeight
-	dispatcher.minStartDelay = max(settings.ConnectTimeout/startDelaysPerConnect, minInitialStartDelay)
-	dispatcher.minCheckDelay = dispatcher.minStartDelay
+	dispatcher.starts.minDelay = max(settings.ConnectTimeout/startDelaysPerConnect, minInitialStartDelay)
+	dispatcher.checks.minDelay = dispatcher.starts.minDelay
 	dispatcher.quotaTokens = slices.Clone(settings.TenantQuota)
 	dispatcher.quotaRefilledAt = make([]time.Duration, len(settings.TenantQuota))
 	dispatcher.setTimer(&dispatcher.maintenance, 0)
@@ -56,8 +56,8 @@
 	d.timers.moved = func(x *timer, i int) { x.heapIndex = i + 1 }
 	d.placementGroups = placementGroups(d.settings.Classes)
 	d.queue = newJobQueue(len(d.settings.Classes))
-	d.unstarted.pending = make([][]*attemptInfo, len(d.settings.Classes))
-	d.unstarted.first = make([]int, len(d.settings.Classes))
+	d.starts.unstarted.pending = make([][]*attemptInfo, len(d.settings.Classes))
+	d.starts.unstarted.first = make([]int, len(d.settings.Classes))
 	d.directory = newPeerDirectory(&d.settings)
 	d.client = newLeaseClient()
 	d.coordinator = newCoordinator()
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -25,8 +25,8 @@
 		{ID: 2, Ready: true},
 		{ID: 9, Removed: true},
 	}})
-	if len(s.d.workerList) != 2 {
-		t.Fatalf("%d workers known, expected 2", len(s.d.workerList))
+	if len(s.d.fleet.workers) != 2 {
+		t.Fatalf("%d workers known, expected 2", len(s.d.fleet.workers))
 	}
 	s.now -= time.Minute // the clock steps back
 	s.step()
--- a/dispatch/estimates.go
+++ b/dispatch/estimates.go
@@ -61,9 +61,9 @@
 
 // observeBusy learns by zone how likely a worker has no free slot, as too little is seen of each worker.
 func (d *Dispatcher) observeBusy(w *workerInfo, busy bool) {
-	d.zoneBusy[w.Zone] *= 1 - busyRate
+	d.fleet.zoneBusy[w.Zone] *= 1 - busyRate
 	if busy {
-		d.zoneBusy[w.Zone] += busyRate
+		d.fleet.zoneBusy[w.Zone] += busyRate
 	}
 }
 
@@ -78,23 +78,23 @@
 func (d *Dispatcher) applyReport(w *workerInfo, report []float64) {
 	for i, field := range d.settings.ReportFields {
 		if field == ReportFieldFreeSlots && i < len(report) && !math.IsNaN(report[i]) {
-			w.freeSlots, w.reportedAt = max(0, report[i]), d.now
-			d.observeBusy(w, w.freeSlots < minFreeSlots)
-			d.observeSlots(w, math.Floor(w.freeSlots))
+			w.report.freeSlots, w.report.receivedAt = max(0, report[i]), d.now
+			d.observeBusy(w, w.report.freeSlots < minFreeSlots)
+			d.observeSlots(w, math.Floor(w.report.freeSlots))
 		}
 	}
 }
 
 // reportedFreeSlots is what a worker's last report leaves after what was sent since, and whether the report is fresh.
 func (d *Dispatcher) reportedFreeSlots(w *workerInfo) (free float64, fresh bool) {
-	if w.reportedAt == 0 {
+	if w.report.receivedAt == 0 {
 		return 0, false
 	}
-	free = w.freeSlots
+	free = w.report.freeSlots
 	for _, a := range w.inFlight {
-		if a.sentAt > w.reportedAt-reportLag {
+		if a.sentAt > w.report.receivedAt-reportLag {
 			free -= a.job.demand
 		}
 	}
-	return free, d.now-w.reportedAt < reportMaxAge
+	return free, d.now-w.report.receivedAt < reportMaxAge
 }
--- a/dispatch/golden_test.go
+++ b/dispatch/golden_test.go
@@ -132,8 +132,8 @@
 		now, cordonedAt                       time.Duration
 	}
 	got := figures{
-		jobs: len(d.jobs), queued: d.queue.length, workers: len(d.workers), keys: len(d.keyWork), cordoned: len(d.cordoned),
-		now: d.now, cordonedAt: d.cordoned[3<<40],
+		jobs: len(d.jobs), queued: d.queue.length, workers: len(d.fleet.byID), keys: len(d.keyWork), cordoned: len(d.cordons.since),
+		now: d.now, cordonedAt: d.cordons.since[3<<40],
 	}
 	want := figures{
 		jobs: 68, queued: 59, workers: 9, keys: 4, cordoned: 1, now: time.Hour + 1270*ms, cordonedAt: time.Hour,
@@ -144,8 +144,8 @@
 	if want := (ReplicasChanged{Replicas: 3, ReplicaIndex: 1, QuotaShare: 0.4}); d.sharing != want {
 		t.Errorf("shared by %+v, expected %+v", d.sharing, want)
 	}
-	if d.reserved == nil || d.reserved.ID != 1<<40 || d.reservedFor.ID != 11 || d.reservedFor.Slots != 2 {
-		t.Errorf("reserved %+v for %+v", d.reserved, d.reservedFor)
+	if d.reservation.worker == nil || d.reservation.worker.ID != 1<<40 || d.reservation.job.ID != 11 || d.reservation.job.Slots != 2 {
+		t.Errorf("reserved %+v for %+v", d.reservation.worker, d.reservation.job)
 	}
 }
 
@@ -184,14 +184,14 @@
 		{ready: true, limit: 5.5, size: 3, spends: 4},
 		{ready: true, limit: 1, size: 4},
 	} {
-		w := d.workers[uint64(i+1)<<40]
+		w := d.fleet.byID[uint64(i+1)<<40]
 		if w == nil {
 			t.Errorf("worker %d is not known", i+1)
 			continue
 		}
 		got := figures{
-			ready: w.Ready, backedOff: w.backoffUntil > d.now, limit: w.limit, used: w.usedSlots, runs: w.runs, size: w.Size,
-			inFlight: len(w.inFlight), spends: len(w.warmUpSpends),
+			ready: w.Ready, backedOff: w.backoff.until > d.now, limit: w.slots.limit, used: w.slots.used, runs: w.speed.samples, size: w.Size,
+			inFlight: len(w.inFlight), spends: len(w.slowStart.sent),
 		}
 		if got != want {
 			t.Errorf("worker %d: %+v, expected %+v", i+1, got, want)
@@ -240,9 +240,9 @@
 		worker      uint64
 		seen, limit float64
 	}{{1, 3, 2}, {2, 3, 5}, {3, 0, 1}, {4, 3, 2}, {5, 3, 5}, {6, 3, 4}, {7, 0, 1}, {8, 0, 5}} {
-		w := d.workers[want.worker<<40]
-		if off := math.Abs(w.logSpeed - source.workers[w.ID].logSpeed); want.seen > 0 && off > 1.0/speedSteps || w.runs != want.seen || w.limit != want.limit {
-			t.Errorf("worker %d: speed off by %v, %v runs, limit %v", want.worker, off, w.runs, w.limit)
+		w := d.fleet.byID[want.worker<<40]
+		if off := math.Abs(w.speed.log - source.fleet.byID[w.ID].speed.log); want.seen > 0 && off > 1.0/speedSteps || w.speed.samples != want.seen || w.slots.limit != want.limit {
+			t.Errorf("worker %d: speed off by %v, %v runs, limit %v", want.worker, off, w.speed.samples, w.slots.limit)
 		}
 	}
 }
--- a/dispatch/hedging.go
+++ b/dispatch/hedging.go
@@ -25,7 +25,7 @@
 // one that tells of progress is long: hedging them would add to the load that made them late.
 func (d *Dispatcher) isStuck(a *attemptInfo) bool {
 	if !a.started {
-		return a.worker.progressAt <= a.sentAt
+		return a.worker.activity.progressAt <= a.sentAt
 	}
 	return d.now >= a.silentAt(&d.settings)
 }
--- a/dispatch/index.go
+++ b/dispatch/index.go
@@ -24,6 +24,15 @@
 	warmingUp, ejected bool
 }
 
+// indexEntry is the place of a worker in the index of available workers.
+type indexEntry struct {
+	dirty       bool    // the worker is in workerFleet.dirty, to be reindexed
+	bucket      *bucket // nil: it is not in the index
+	level, slot int     // its place in the bucket
+	preference  int     // its place in the order in which this dispatcher prefers equal workers, from 0
+	onRing      bool    // it is in the preference rings
+}
+
 const maxLevels = 64
 
 // isSteady tells whether a bucket's workers neither warm up nor are ejected. The lots of those that warm up, and the trials of
@@ -47,8 +56,8 @@
 
 // put has a worker stand in the level of its slots in use, and nowhere else.
 func (x *workerIndex) put(worker *workerInfo, key bucketKey) {
-	level := min(int(worker.usedSlots), maxLevels-1)
-	if worker.bucket != nil && worker.level == level && worker.bucket.bucketKey == key {
+	level := min(int(worker.slots.used), maxLevels-1)
+	if worker.index.bucket != nil && worker.index.level == level && worker.index.bucket.bucketKey == key {
 		return
 	}
 	x.drop(worker)
@@ -56,14 +65,14 @@
 	for len(b.levels) <= level {
 		b.levels = append(b.levels, nil)
 	}
-	worker.bucket, worker.level, worker.slot = b, level, len(b.levels[level])
+	worker.index.bucket, worker.index.level, worker.index.slot = b, level, len(b.levels[level])
 	b.levels[level] = append(b.levels[level], worker)
 	wasOrdered := x.isOrdered()
 	x.count(worker, 1)
 	switch {
 	case !x.isOrdered() || !b.isSteady():
 	case wasOrdered:
-		byPreference(b.levels[level]).up(worker.slot)
+		byPreference(b.levels[level]).up(worker.index.slot)
 	default:
 		x.reorder()
 	}
@@ -71,28 +80,28 @@
 
 // drop takes a worker out, if it is there. The last of its level takes its place.
 func (x *workerIndex) drop(worker *workerInfo) {
-	if worker.bucket == nil {
+	if worker.index.bucket == nil {
 		return
 	}
 	x.count(worker, -1)
-	level := worker.bucket.levels[worker.level]
+	level := worker.index.bucket.levels[worker.index.level]
 	last := level[len(level)-1]
-	level[worker.slot], last.slot = last, worker.slot
+	level[worker.index.slot], last.index.slot = last, worker.index.slot
 	level[len(level)-1] = nil
 	level = level[:len(level)-1]
-	worker.bucket.levels[worker.level] = level
-	if x.isOrdered() && worker.bucket.isSteady() && last != worker {
-		byPreference(level).fix(last.slot)
+	worker.index.bucket.levels[worker.index.level] = level
+	if x.isOrdered() && worker.index.bucket.isSteady() && last != worker {
+		byPreference(level).fix(last.index.slot)
 	}
-	worker.bucket = nil
+	worker.index.bucket = nil
 }
 
 // byPreference is a level as a heap, the most preferred worker first.
 func byPreference(level []*workerInfo) *minHeap[*workerInfo] {
 	return &minHeap[*workerInfo]{
 		items: level,
-		less:  func(a, b *workerInfo) bool { return a.preference < b.preference },
-		moved: func(worker *workerInfo, slot int) { worker.slot = slot },
+		less:  func(a, b *workerInfo) bool { return a.index.preference < b.index.preference },
+		moved: func(worker *workerInfo, slot int) { worker.index.slot = slot },
 	}
 }
 
@@ -112,12 +121,12 @@
 }
 
 func (x *workerIndex) count(w *workerInfo, n int) {
-	w.bucket.size += n
-	if !w.bucket.isSteady() {
+	w.index.bucket.size += n
+	if !w.index.bucket.isSteady() {
 		return
 	}
 	x.steady += n
-	if w.level == 0 {
+	if w.index.level == 0 {
 		x.idle += n
 	}
 }
@@ -149,15 +158,15 @@
 
 // reindex has a worker stand where searches find it, if it may have capacity, and wakes it when that may change.
 func (d *Dispatcher) reindex(worker *workerInfo) {
-	worker.dirty = false
+	worker.index.dirty = false
 	warmingUp := d.warmUpShare(worker) < 1
-	if d.workers[worker.ID] == worker && d.mayHaveCapacity(worker) {
-		d.available.put(worker, bucketKey{worker.Zone, worker.Kind, warmingUp, worker.ejectionTime > 0})
+	if d.fleet.byID[worker.ID] == worker && d.mayHaveCapacity(worker) {
+		d.fleet.available.put(worker, bucketKey{worker.Zone, worker.Kind, warmingUp, worker.outlier.ejectionTime > 0})
 	} else {
-		d.available.drop(worker)
+		d.fleet.available.drop(worker)
 	}
-	wakeAt := worker.backoffUntil
-	warmAt := max(worker.BootAt, worker.returnedAt) + d.settings.WarmUp
+	wakeAt := worker.backoff.until
+	warmAt := max(worker.BootAt, worker.slowStart.restartedAt) + d.settings.WarmUp
 	if warmingUp && (wakeAt <= d.now || warmAt < wakeAt) {
 		wakeAt = warmAt
 	}
@@ -168,9 +177,9 @@
 
 // markDirty has a worker reindexed before the next choice.
 func (d *Dispatcher) markDirty(w *workerInfo) {
-	if !w.dirty {
-		w.dirty = true
-		d.dirty = append(d.dirty, w)
+	if !w.index.dirty {
+		w.index.dirty = true
+		d.fleet.dirty = append(d.fleet.dirty, w)
 	}
 }
 
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -48,19 +48,19 @@
 
 // prepareDispatch brings up to date what a pass over the queue goes by.
 func (d *Dispatcher) prepareDispatch() {
-	for _, w := range d.dirty {
+	for _, w := range d.fleet.dirty {
 		d.reindex(w)
 	}
-	d.dirty = d.dirty[:0]
-	if d.allCordoned {
+	d.fleet.dirty = d.fleet.dirty[:0]
+	if d.cordons.coverFleet {
 		d.finishQueued()
 	}
 	if d.queue.length == 0 {
 		return
 	}
 	d.countLateAttempts()
-	if d.reserved != nil && d.reservedFor.heapIndex < 0 {
-		d.reserved, d.reservedFor = nil, nil
+	if d.reservation.worker != nil && d.reservation.job.heapIndex < 0 {
+		d.reservation.worker, d.reservation.job = nil, nil
 	}
 	d.queue.unblock()
 }
--- a/dispatch/learning.go
+++ b/dispatch/learning.go
@@ -28,9 +28,9 @@
 	runLog := math.Log(max(run.Seconds(), minWork))
 	// By what is known now: else each of the many in flight would correct the same error once more.
 	expectedLog := math.Log(d.expectedWork(job))
-	d.observeSpread(expectedLog - runLog - worker.logSpeed)
+	d.observeSpread(expectedLog - runLog - worker.speed.log)
 	d.learnSpeed(worker, expectedLog-runLog)
-	workLog := runLog + worker.logSpeed // as this run shows it
+	workLog := runLog + worker.speed.log // as this run shows it
 	d.learnWeights(job, workLog > d.longCut)
 	d.rememberKey(job.Key, math.Exp(workLog))
 	correction := &d.sizeCorrection[job.Class][slotBucket(job)]
@@ -80,16 +80,16 @@
 	k := d.machineKind(w.Kind)
 	k.runs++
 	k.logSpeed += max(sizeRate, 1/(k.runs+2)) * clamp(logSpeed-k.logSpeed, maxKindStep)
-	w.runs++
-	w.logSpeed += max(speedRate, 1/(w.runs+2)) * clamp(logSpeed-w.logSpeed, maxSizeStep)
-	w.speed, w.learnedAt = math.Exp(w.logSpeed), d.now
+	w.speed.samples++
+	w.speed.log += max(speedRate, 1/(w.speed.samples+2)) * clamp(logSpeed-w.speed.log, maxSizeStep)
+	w.speed.factor, w.speed.observedAt = math.Exp(w.speed.log), d.now
 }
 
 // rescaleSpeeds takes so much, in logs, off all speeds and all sizes: expected runs stay what they are.
 func (d *Dispatcher) rescaleSpeeds(shift float64) {
-	for _, w := range d.workerList {
-		w.logSpeed -= shift
-		w.speed = math.Exp(w.logSpeed)
+	for _, w := range d.fleet.workers {
+		w.speed.log -= shift
+		w.speed.factor = math.Exp(w.speed.log)
 	}
 	for _, k := range d.kinds {
 		k.logSpeed -= shift
--- a/dispatch/leasefleet_test.go
+++ b/dispatch/leasefleet_test.go
@@ -47,7 +47,7 @@
 type leaseWorker struct {
 	busy  int
 	queue []func()
-	works []spend // work sent, for slow start
+	works []workSample // work sent, for slow start
 }
 
 // newLeaseFleet has so many dispatchers share so many workers of three slots, listed from the first step.
@@ -157,7 +157,7 @@
 	member.attempts[send.Job]++
 	f.sent++
 	work := time.Duration(float64(f.work) * (0.5 + f.rng.Float64()))
-	worker.works = append(worker.works, spend{f.now, work.Seconds()})
+	worker.works = append(worker.works, workSample{f.now, work.Seconds()})
 	run := func() {
 		f.afterForProcess(index, process, ms/5, Started{Job: send.Job, Attempt: number, Worker: send.Worker})
 		ended := Outcome{Job: send.Job, Attempt: number, Worker: send.Worker, Result: OK, Closed: true}
--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -195,7 +195,7 @@
 // or is asked already and others cost less than a slot in use, all that have one.
 func (d *Dispatcher) leaseZones(job *jobInfo) []int {
 	var zones []int
-	for _, zone := range d.readyZones {
+	for _, zone := range d.fleet.readyZones {
 		if job.class.allowsZone(zone) {
 			zones = append(zones, zone)
 		}
@@ -391,7 +391,7 @@
 		if job == nil {
 			continue // another lease of its job was used first
 		}
-		worker := d.workers[lease.worker]
+		worker := d.fleet.byID[lease.worker]
 		if d.mayUseLease(job, worker, lease.shard) {
 			d.sendOnLease(job, worker, lease)
 		} else {
@@ -405,7 +405,7 @@
 // mayUseLease tells whether a job may be sent to the worker that a coordinator has chosen. One that this
 // dispatcher does not know, or knows in another shard, is never sent anything.
 func (d *Dispatcher) mayUseLease(job *jobInfo, worker *workerInfo, shard Shard) bool {
-	if worker == nil || !worker.Ready || job.heapIndex < 0 || worker == d.reserved && job != d.reservedFor {
+	if worker == nil || !worker.Ready || job.heapIndex < 0 || worker == d.reservation.worker && job != d.reservation.job {
 		return false
 	}
 	isKnownFull := worker.rejects(job) || d.showsQueue(worker, d.promptStart(job.class))
--- a/dispatch/leasesnapshot.go
+++ b/dispatch/leasesnapshot.go
@@ -24,7 +24,7 @@
 	}
 	c.members(dispatcher)
 	c.coordinator(&dispatcher.coordinator, len(dispatcher.settings.Classes))
-	list(c, &dispatcher.readyZones, func(zone *int) { c.int(zone) })
+	list(c, &dispatcher.fleet.readyZones, func(zone *int) { c.int(zone) })
 	for _, until := range []map[int]time.Duration{dispatcher.directory.avoidedUntil, dispatcher.directory.distrusted} {
 		sortedMap(c, until, func(peer *int, until *time.Duration) {
 			c.int(peer)
--- a/dispatch/maintenance.go
+++ b/dispatch/maintenance.go
@@ -22,7 +22,7 @@
 	d.decayEstimates()
 	d.assignLots()
 	fleet := d.summarise()
-	d.mostEjected, d.allBroken = 2*fleet.ejected > fleet.ready, fleet.broken == fleet.ready
+	d.outliers.silencePanic, d.outliers.failurePanic = 2*fleet.ejected > fleet.ready, fleet.broken == fleet.ready
 	if fleet.ready > 0 {
 		d.topSpeed = fleet.topSpeed
 	}
@@ -40,19 +40,19 @@
 		d.overrunFactor[class] = max(1, factor)
 	}
 	d.decayIdleConnections()
-	for z := range d.zoneBusy {
-		d.zoneBusy[z] *= 1 - maintenanceInterval.Seconds()/speedMemory.Seconds()
+	for z := range d.fleet.zoneBusy {
+		d.fleet.zoneBusy[z] *= 1 - maintenanceInterval.Seconds()/speedMemory.Seconds()
 	}
-	for _, w := range d.workerList {
-		was := w.logSpeed
-		if w.learnedAt == 0 {
-			w.logSpeed = w.machine.logSpeed
-		} else if d.now-w.learnedAt > speedGrace {
-			distance := w.machine.logSpeed - w.logSpeed
-			w.logSpeed += distance * maintenanceInterval.Seconds() / speedMemory.Seconds()
+	for _, w := range d.fleet.workers {
+		was := w.speed.log
+		if w.speed.observedAt == 0 {
+			w.speed.log = w.machine.logSpeed
+		} else if d.now-w.speed.observedAt > speedGrace {
+			distance := w.machine.logSpeed - w.speed.log
+			w.speed.log += distance * maintenanceInterval.Seconds() / speedMemory.Seconds()
 		}
-		if w.logSpeed != was {
-			w.speed = math.Exp(w.logSpeed)
+		if w.speed.log != was {
+			w.speed.factor = math.Exp(w.speed.log)
 		}
 	}
 }
@@ -66,17 +66,17 @@
 
 func (d *Dispatcher) summarise() fleetSummary {
 	fleet := fleetSummary{topSpeed: -maxFeature}
-	for _, w := range d.workerList {
+	for _, w := range d.fleet.workers {
 		if !w.Ready {
 			continue
 		}
 		fleet.ready++
-		fleet.speeds += w.logSpeed
-		fleet.topSpeed = max(fleet.topSpeed, w.logSpeed)
-		if w.broken {
+		fleet.speeds += w.speed.log
+		fleet.topSpeed = max(fleet.topSpeed, w.speed.log)
+		if w.outlier.failing {
 			fleet.broken++
 		}
-		if w.ejectionTime > 0 {
+		if w.outlier.ejectionTime > 0 {
 			fleet.ejected++
 		}
 	}
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -41,9 +41,9 @@
 func (d *Dispatcher) model() model {
 	learnt := model{
 		figures:   []*float64{&d.longCut, &d.muShort, &d.meanWeight, &d.meanCost, &d.spread},
-		durations: []*time.Duration{&d.meanLateStart, &d.minStartDelay, &d.minCheckDelay},
+		durations: []*time.Duration{&d.starts.meanLateDelay, &d.starts.minDelay, &d.checks.minDelay},
 		kinds:     d.kinds,
-		zoneBusy:  d.zoneBusy,
+		zoneBusy:  d.fleet.zoneBusy,
 	}
 	for class := range d.sizeCorrection {
 		for bucket := range d.sizeCorrection[class] {
@@ -68,12 +68,12 @@
 	from := len(b)
 	writer := &codec{b: b, writing: true}
 	writer.model(&learnt)
-	for _, w := range d.workerList {
+	for _, w := range d.fleet.workers {
 		known := workerModel{
 			id:          w.ID,
-			speedOffset: int(math.Round((w.logSpeed - w.machine.logSpeed) * speedSteps)),
-			runs:        int(min(w.runs, maxModelRuns)),
-			limit:       int(min(w.limit, maxModelLimit)),
+			speedOffset: int(math.Round((w.speed.log - w.machine.logSpeed) * speedSteps)),
+			runs:        int(min(w.speed.samples, maxModelRuns)),
+			limit:       int(min(w.slots.limit, maxModelLimit)),
 		}
 		if w.listed && (known.runs > 0 || known.limit > 1) {
 			learnt.workers = append(learnt.workers, known)
@@ -154,7 +154,7 @@
 		return false
 	}
 	return d.spread > 0 && d.spread <= maxFeature && d.muShort > 0 && d.meanCost >= 0 &&
-		d.meanLateStart > 0 && d.minStartDelay > 0 && d.minCheckDelay > 0
+		d.starts.meanLateDelay > 0 && d.starts.minDelay > 0 && d.checks.minDelay > 0
 }
 
 // onModelUpdate takes over a model, whole or not at all.
@@ -178,7 +178,7 @@
 		*d.machineKind(kind) = *k
 	}
 	for zone, chance := range learnt.zoneBusy {
-		d.zoneBusy[zone] = chance
+		d.fleet.zoneBusy[zone] = chance
 	}
 	for i := range learnt.workers {
 		d.applyWorkerModel(&learnt.workers[i], update)
@@ -188,15 +188,15 @@
 // applyWorkerModel takes over what a model says of a worker. Its speed has drifted by now as it would have here, and its
 // limit is shared like the load.
 func (d *Dispatcher) applyWorkerModel(m *workerModel, e ModelUpdate) {
-	w := d.workers[m.id]
-	if w == nil || w.runs > 0 || m.runs < 0 || m.runs > maxModelRuns {
+	w := d.fleet.byID[m.id]
+	if w == nil || w.speed.samples > 0 || m.runs < 0 || m.runs > maxModelRuns {
 		return
 	}
 	if m.runs > 0 {
 		kept := math.Exp(-max(0, e.Age).Seconds() / speedMemory.Seconds())
-		w.logSpeed = w.machine.logSpeed + clamp(float64(m.speedOffset)/speedSteps, maxSpeedShift)*kept
-		w.speed, w.runs, w.learnedAt = math.Exp(w.logSpeed), float64(m.runs), d.now
+		w.speed.log = w.machine.logSpeed + clamp(float64(m.speedOffset)/speedSteps, maxSpeedShift)*kept
+		w.speed.factor, w.speed.samples, w.speed.observedAt = math.Exp(w.speed.log), float64(m.runs), d.now
 	}
-	w.limit = max(w.limit, math.Floor(min(float64(m.limit), maxModelLimit)*clamp(finite(e.LoadShare), 1)))
+	w.slots.limit = max(w.slots.limit, math.Floor(min(float64(m.limit), maxModelLimit)*clamp(finite(e.LoadShare), 1)))
 	d.markDirty(w)
 }
--- a/dispatch/model_test.go
+++ b/dispatch/model_test.go
@@ -45,10 +45,10 @@
 	if got, want := d.expectedWork(j), s.d.expectedWork(j); got != want {
 		t.Errorf("it expects %v, the source of its model %v", got, want)
 	}
-	for id, w := range s.d.workers {
-		x := d.workers[id]
-		if off := math.Abs(w.logSpeed - x.logSpeed); w.runs > 0 && off > 2.0/speedSteps || x.limit != max(1, math.Floor(w.limit/2)) {
-			t.Errorf("worker %d: speed off by %v, limit %v of %v", id, off, x.limit, w.limit)
+	for id, w := range s.d.fleet.byID {
+		x := d.fleet.byID[id]
+		if off := math.Abs(w.speed.log - x.speed.log); w.speed.samples > 0 && off > 2.0/speedSteps || x.slots.limit != max(1, math.Floor(w.slots.limit/2)) {
+			t.Errorf("worker %d: speed off by %v, limit %v of %v", id, off, x.slots.limit, w.slots.limit)
 		}
 	}
 	for n := range snapshot {
@@ -76,9 +76,9 @@
 		}
 		d.Step(time.Hour, []Event{list, ModelUpdate{b, time.Duration(age), part}}, nil)
 		d.Step(time.Hour+time.Second, []Event{Job{ID: 1, Remaining: time.Second, Slots: 1}, TimerFired{}}, nil)
-		for _, w := range d.workerList {
-			if !(w.limit >= 1 && w.limit <= maxModelLimit) || !isPlausible(w.logSpeed) || !isPlausible(w.speed) {
-				t.Fatalf("worker %d: limit %v, speed %v", w.ID, w.limit, w.logSpeed)
+		for _, w := range d.fleet.workers {
+			if !(w.slots.limit >= 1 && w.slots.limit <= maxModelLimit) || !isPlausible(w.speed.log) || !isPlausible(w.speed.factor) {
+				t.Fatalf("worker %d: limit %v, speed %v", w.ID, w.slots.limit, w.speed.log)
 			}
 		}
 	})
--- a/dispatch/objective.go
+++ b/dispatch/objective.go
@@ -62,7 +62,7 @@
 // takeTrial lets some go all the same while workers idle: what rejects jobs must not prevent its correction.
 func (d *Dispatcher) takeTrial(job *jobInfo) bool {
 	d.trialTokens += trialRate
-	isDue := d.trialTokens >= 1 && d.available.idle > 0
+	isDue := d.trialTokens >= 1 && d.fleet.available.idle > 0
 	if job.standing == outOfReach || !isDue {
 		d.trialTokens = min(d.trialTokens, trialBurst)
 		return false
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -16,10 +16,29 @@
 	maxFailures   = 1                      // in a row, of jobs or connections, that eject no worker
 )
 
+// outlierDetector holds what outlier ejection needs besides the state of each worker.
+type outlierDetector struct {
+	stalledAt    time.Duration // when this process last noticed that it had been stalled; 0: never
+	stallLength  time.Duration
+	nextProbeAt  time.Duration // no ejected worker gets a recovery probe before
+	silencePanic bool          // most ready workers are ejected: ejections for silence alone are disregarded
+	failurePanic bool          // all ready workers are failing: ejections of failing workers are disregarded
+}
+
+// outlierState is what outlier ejection keeps of a worker.
+type outlierState struct {
+	ejectionTime       time.Duration // mean time until the first recovery probe; 0: not ejected
+	ejectedUntil       time.Duration
+	failing            bool // ejected for failures, not for silence alone
+	failures           int  // of attempts, in a row
+	connectionFailures int  // in a row
+	connectionLost     bool // its connections were reset, and it has not answered since
+}
+
 // isEjected tells whether a worker is to be avoided. Where most are suspect, the load or this process is at
 // fault, and silence proves nothing; a broken connection still does, unless it is so everywhere.
 func (d *Dispatcher) isEjected(w *workerInfo) bool {
-	return w.ejectionTime > 0 && (w.broken && !d.allBroken || !w.broken && !d.mostEjected)
+	return w.outlier.ejectionTime > 0 && (w.outlier.failing && !d.outliers.failurePanic || !w.outlier.failing && !d.outliers.silencePanic)
 }
 
 // healthAllows lets an ejected worker have one short idempotent job once its time is over, one such trial at
@@ -28,21 +47,21 @@
 	if !d.isEjected(w) {
 		return true
 	}
-	return j.class.Idempotency == Idempotent && d.isShort(j) && d.now >= max(w.ejectedUntil, d.nextTrialAt) &&
+	return j.class.Idempotency == Idempotent && d.isShort(j) && d.now >= max(w.outlier.ejectedUntil, d.outliers.nextProbeAt) &&
 		len(w.inFlight) == 0
 }
 
 // eject avoids a worker for about twice as long as last time. broken: it is suspected on more than silence.
 func (d *Dispatcher) eject(w *workerInfo, broken bool, reason string) {
-	w.broken = w.broken || broken
-	if d.now < w.ejectedUntil {
+	w.outlier.failing = w.outlier.failing || broken
+	if d.now < w.outlier.ejectedUntil {
 		return
 	}
-	w.ejectionTime = min(max(minEjection, 2*w.ejectionTime), maxEjection)
-	w.ejectedUntil = d.now + w.ejectionTime/2 + time.Duration(d.rng.Int64N(int64(w.ejectionTime)))
-	d.setTimer(&w.timer, w.ejectedUntil)
+	w.outlier.ejectionTime = min(max(minEjection, 2*w.outlier.ejectionTime), maxEjection)
+	w.outlier.ejectedUntil = d.now + w.outlier.ejectionTime/2 + time.Duration(d.rng.Int64N(int64(w.outlier.ejectionTime)))
+	d.setTimer(&w.timer, w.outlier.ejectedUntil)
 	d.markDirty(w)
-	d.emit(Log{fmt.Sprintf("worker %d %s: set aside for about %v", w.ID, reason, w.ejectionTime)})
+	d.emit(Log{fmt.Sprintf("worker %d %s: set aside for about %v", w.ID, reason, w.outlier.ejectionTime)})
 }
 
 // onResult judges a worker by the end of an attempt there.
@@ -50,27 +69,27 @@
 	job, worker := attempt.job, attempt.worker
 	switch attempt.result {
 	case OK:
-		worker.failures, worker.progressAt = 0, d.now
+		worker.outlier.failures, worker.activity.progressAt = 0, d.now
 		d.markAlive(worker)
 		d.learnFromRun(attempt, d.now-attempt.startedAt)
 		if !d.settings.StartNotifications { // by sizes as known now: with low hints all would look late
-			stretch := seconds(job.class.ObjectiveStretch * d.expectedWork(job) / worker.speed)
+			stretch := seconds(job.class.ObjectiveStretch * d.expectedWork(job) / worker.speed.factor)
 			d.adjustLimit(attempt, d.now-attempt.sentAt <= job.class.LatencyObjective+stretch)
 		}
 	case WorkerFull:
-		worker.aliveAt = d.now
+		worker.activity.aliveAt = d.now
 		d.observeBusy(worker, true)
 		d.halveLimit(attempt)
 		d.backOff(worker, minBackoff)
-		if worker.usedSlots == 0 && job.demand > 1 {
-			worker.rejectedDemand = job.demand // it may never be able to run this
+		if worker.slots.used == 0 && job.demand > 1 {
+			worker.slots.rejectedDemand = job.demand // it may never be able to run this
 		}
 	case Failed:
-		worker.aliveAt = d.now
+		worker.activity.aliveAt = d.now
 		d.halveLimit(attempt)
 		// A worker that fails fast looks empty and would attract all jobs.
-		worker.failures++
-		if worker.failures > maxFailures {
+		worker.outlier.failures++
+		if worker.outlier.failures > maxFailures {
 			d.eject(worker, true, "fails")
 		}
 	case ConnectFailed, ConnectionReset:
@@ -86,16 +105,16 @@
 // onConnectionFailure first blames the connection, if it was idle, and then the network, for one failure.
 func (d *Dispatcher) onConnectionFailure(attempt *attemptInfo) {
 	worker := attempt.worker
-	worker.connections = len(worker.inFlight)
+	worker.connections.open = len(worker.inFlight)
 	if attempt.connIdle > 0 && !attempt.started {
 		d.observeIdleConnection(attempt, false)
 		return
 	}
-	worker.connFailures++
-	if worker.connFailures <= maxFailures && !attempt.started {
+	worker.outlier.connectionFailures++
+	if worker.outlier.connectionFailures <= maxFailures && !attempt.started {
 		return
 	}
-	worker.connLost = worker.connLost || attempt.result == ConnectionReset
+	worker.outlier.connectionLost = worker.outlier.connectionLost || attempt.result == ConnectionReset
 	d.halveLimit(attempt)
 	d.eject(worker, true, "is unreachable")
 }
@@ -105,8 +124,8 @@
 	if attempt.ended || attempt.orphaned || !attempt.started && attempt.mayBeDropped() {
 		return
 	}
-	if d.stalledAt == d.now { // its notification may have come meanwhile, and be read in a moment
-		d.setTimer(&attempt.timer, d.now+min(d.stallLength, maintenanceInterval))
+	if d.outliers.stalledAt == d.now { // its notification may have come meanwhile, and be read in a moment
+		d.setTimer(&attempt.timer, d.now+min(d.outliers.stallLength, maintenanceInterval))
 		return
 	}
 	switch run := d.now - attempt.startedAt; {
@@ -117,7 +136,7 @@
 	default:
 		d.observeOverrun(attempt, run)
 		shown := math.Log(d.expectedWork(attempt.job) / run.Seconds())
-		d.learnSpeed(attempt.worker, min(attempt.worker.logSpeed, shown))
+		d.learnSpeed(attempt.worker, min(attempt.worker.speed.log, shown))
 	}
 	if d.isStuck(attempt) || d.isHedgedEarly(attempt) {
 		d.retryElsewhere(attempt.job)
@@ -127,11 +146,11 @@
 }
 
 func (d *Dispatcher) onLateStart(a *attemptInfo) {
-	if silentAt := a.sentAt + silenceFactor*d.meanLateStart; d.now < silentAt {
+	if silentAt := a.sentAt + silenceFactor*d.starts.meanLateDelay; d.now < silentAt {
 		d.setTimer(&a.timer, silentAt)
 	} else {
 		d.observeIdleConnection(a, false)
-		if a.worker.aliveAt < a.sentAt {
+		if a.worker.activity.aliveAt < a.sentAt {
 			d.eject(a.worker, false, "silent")
 		}
 	}
@@ -141,13 +160,13 @@
 
 // markAlive takes in a sign of life.
 func (d *Dispatcher) markAlive(w *workerInfo) {
-	w.aliveAt, w.connFailures = d.now, 0
+	w.activity.aliveAt, w.outlier.connectionFailures = d.now, 0
 	// A worker that was lost and answers again has most likely restarted, though no list has said so yet.
-	if w.connLost {
-		w.connLost, w.returnedAt = false, d.now
+	if w.outlier.connectionLost {
+		w.outlier.connectionLost, w.slowStart.restartedAt = false, d.now
 	}
-	if w.failures == 0 && w.ejectionTime > 0 {
-		w.ejectionTime, w.ejectedUntil, w.broken = 0, 0, false
+	if w.outlier.failures == 0 && w.outlier.ejectionTime > 0 {
+		w.outlier.ejectionTime, w.outlier.ejectedUntil, w.outlier.failing = 0, 0, false
 	}
 	d.markDirty(w)
 }
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -49,7 +49,7 @@
 		s := newHarness(t, testSettings())
 		s.workers(1)
 		s.step(s.job(1, 0, 10*ms))
-		if c.outcomes(s); s.d.workers[1].ejectionTime > 0 != c.ejected {
+		if c.outcomes(s); s.d.fleet.byID[1].outlier.ejectionTime > 0 != c.ejected {
 			t.Errorf("ejected %v, expected %v", !c.ejected, c.ejected)
 		}
 	}
@@ -63,7 +63,7 @@
 		for class := range testSettings().Classes {
 			s := newHarness(t, testSettings())
 			s.workers(1)
-			s.d.workers[1].limit = limit
+			s.d.fleet.byID[1].slots.limit = limit
 			sent := 0
 			for id := uint64(1); id <= 20; id++ {
 				job := s.job(id, class, 0)
@@ -73,15 +73,15 @@
 				s.wait(remaining)
 				s.step(Outcome{Job: id, Worker: 1, Result: TimedOut, Closed: true})
 			}
-			if w := s.d.workers[1]; sent == 0 || w.limit != limit || w.ejectionTime > 0 || w.backoffUntil > s.now {
+			if w := s.d.fleet.byID[1]; sent == 0 || w.slots.limit != limit || w.outlier.ejectionTime > 0 || w.backoff.until > s.now {
 				t.Errorf("%v left, class %d: %d sent, limit %v, ejected for %v, backed off %v",
-					remaining, class, sent, w.limit, w.ejectionTime, w.backoffUntil > s.now)
+					remaining, class, sent, w.slots.limit, w.outlier.ejectionTime, w.backoff.until > s.now)
 			}
 			s.step(s.job(100, class, 0))
 			s.wait(5 * time.Second)
 			s.step(Outcome{Job: 100, Worker: 1, Result: TimedOut, Closed: true})
-			if s.d.workers[1].limit >= limit {
-				t.Errorf("class %d: a job that was silent for all its time left the limit at %v", class, s.d.workers[1].limit)
+			if s.d.fleet.byID[1].slots.limit >= limit {
+				t.Errorf("class %d: a job that was silent for all its time left the limit at %v", class, s.d.fleet.byID[1].slots.limit)
 			}
 		}
 	}
@@ -92,10 +92,10 @@
 	s := newHarness(t, testSettings())
 	s.workers(4)
 	for id := uint64(1); id <= 4; id++ {
-		s.d.eject(s.d.workers[id], id == 1, "test")
+		s.d.eject(s.d.fleet.byID[id], id == 1, "test")
 	}
 	s.wait(300 * ms)
-	if !s.d.isEjected(s.d.workers[1]) || s.d.isEjected(s.d.workers[2]) {
+	if !s.d.isEjected(s.d.fleet.byID[1]) || s.d.isEjected(s.d.fleet.byID[2]) {
 		t.Fatal("expected only the broken worker to stay ejected")
 	}
 }
@@ -145,8 +145,8 @@
 		a := &attemptInfo{connIdle: 8 * ms}
 		f.d.observeIdleConnection(a, false)
 	}
-	if f.d.maxIdle != 0 {
-		t.Fatalf("connections are trusted for %v", f.d.maxIdle)
+	if f.d.idleConnections.maxIdle != 0 {
+		t.Fatalf("connections are trusted for %v", f.d.idleConnections.maxIdle)
 	}
 }
 
@@ -154,7 +154,7 @@
 func TestOwnStallsSayNothingAboutWorkers(t *testing.T) {
 	f := newFleet(20, scaleSettings())
 	f.serve(40, 2*time.Second)
-	before := f.d.workerList[3].logSpeed
+	before := f.d.fleet.workers[3].speed.log
 	f.now += 2 * time.Second // stalled: what came meanwhile is read late, with our own timer
 	events := []Event{TimerFired{}}
 	for i := range f.events[:2] {
@@ -163,9 +163,9 @@
 		}
 	}
 	f.step(events...)
-	for _, w := range f.d.workerList {
-		if math.Abs(w.logSpeed-before) > 0.5 || w.ejectionTime > 0 || w.limit < 2 {
-			t.Fatalf("worker %d: speed %.2f (%.2f before), ejected for %v, limit %.0f", w.ID, w.logSpeed, before, w.ejectionTime, w.limit)
+	for _, w := range f.d.fleet.workers {
+		if math.Abs(w.speed.log-before) > 0.5 || w.outlier.ejectionTime > 0 || w.slots.limit < 2 {
+			t.Fatalf("worker %d: speed %.2f (%.2f before), ejected for %v, limit %.0f", w.ID, w.speed.log, before, w.outlier.ejectionTime, w.slots.limit)
 		}
 	}
 }
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -15,7 +15,7 @@
 		ReplicaIndex: max(0, e.ReplicaIndex),
 		QuotaShare:   clamp(finite(e.QuotaShare), 1),
 	}
-	d.rings.changed = true
+	d.fleet.rings.changed = true
 	d.updatePreferences()
 }
 
@@ -37,7 +37,7 @@
 // adoptAttempt enters an attempt that another dispatcher has made. Its notifications so far went there; whether it is late,
 // or lost, counts from now on.
 func (d *Dispatcher) adoptAttempt(job *jobInfo, past PastAttempt) {
-	worker := d.workers[past.Worker]
+	worker := d.fleet.byID[past.Worker]
 	if worker == nil {
 		worker = d.newUnlistedWorker(past)
 	}
@@ -46,8 +46,8 @@
 	isNotified := past.StartedAgo > 0
 	if isNotified {
 		attempt.started, attempt.startedAt, attempt.progressAt = true, max(attempt.sentAt, d.now-past.StartedAgo), d.now
-		worker.aliveAt = max(worker.aliveAt, attempt.startedAt)
-		worker.progressAt = max(worker.progressAt, attempt.startedAt)
+		worker.activity.aliveAt = max(worker.activity.aliveAt, attempt.startedAt)
+		worker.activity.progressAt = max(worker.activity.progressAt, attempt.startedAt)
 	}
 	d.chargeWarmUp(attempt)
 	if attempt.ended {
@@ -56,11 +56,11 @@
 	}
 	d.addAttempt(attempt)
 	d.takeSlots(attempt)
-	worker.connections = max(worker.connections, len(worker.inFlight))
+	worker.connections.open = max(worker.connections.open, len(worker.inFlight))
 	d.markDirty(worker)
 	if isNotified {
-		worker.runningSlots += job.Slots
-		d.observeSlots(worker, worker.runningSlots)
+		worker.slots.running += job.Slots
+		d.observeSlots(worker, worker.slots.running)
 	}
 	d.setTimer(&attempt.timer, d.dueAt(attempt))
 }
@@ -69,8 +69,8 @@
 func (d *Dispatcher) newUnlistedWorker(past PastAttempt) *workerInfo {
 	machine := d.machineKind(unknownKind)
 	w := &workerInfo{
-		Worker: Worker{ID: past.Worker, Kind: unknownKind, Cell: math.MinInt, Zone: math.MinInt},
-		limit:  1, machine: machine, speed: math.Exp(machine.logSpeed),
+		Worker:  Worker{ID: past.Worker, Kind: unknownKind, Cell: math.MinInt, Zone: math.MinInt},
+		machine: machine, slots: slotLimit{limit: 1}, speed: relativeSpeed{factor: math.Exp(machine.logSpeed)},
 	}
 	if !past.Ended {
 		d.addWorker(w.ID, w)
--- a/dispatch/peers_test.go
+++ b/dispatch/peers_test.go
@@ -47,8 +47,8 @@
 			s.jobs[9] = &harnessJob{Job: job}
 			s.step(JobResumed{Job: job, Age: 200 * ms, Attempts: c.attempts})
 			got := decisionAbout(s)
-			if got != c.want || s.d.usedSlots != c.used {
-				t.Fatalf("%q with %v in use, expected %q with %v", got, s.d.usedSlots, c.want, c.used)
+			if got != c.want || s.d.starts.usedSlots != c.used {
+				t.Fatalf("%q with %v in use, expected %q with %v", got, s.d.starts.usedSlots, c.want, c.used)
 			}
 			n := len(c.attempts)
 			switch {
@@ -59,8 +59,8 @@
 			default:
 				s.step(ClientDisconnected{Job: 9})
 			}
-			if s.d.usedSlots != 0 || len(s.d.jobs) != 0 || len(s.d.workers) != 2 {
-				t.Errorf("in the end %v in use, %d jobs, %d workers", s.d.usedSlots, len(s.d.jobs), len(s.d.workers))
+			if s.d.starts.usedSlots != 0 || len(s.d.jobs) != 0 || len(s.d.fleet.byID) != 2 {
+				t.Errorf("in the end %v in use, %d jobs, %d workers", s.d.starts.usedSlots, len(s.d.jobs), len(s.d.fleet.byID))
 			}
 		})
 	}
@@ -87,7 +87,7 @@
 	s := newHarness(t, testSettings())
 	s.workers(2)
 	s.busy(1)
-	s.d.workers[1].limit = 1
+	s.d.fleet.byID[1].slots.limit = 1
 	s.step(WorkerList{Kind: ListDelta, Workers: []Worker{{ID: 2}}})
 	s.d.muShort = 0.1 // tau 0.3 s
 	late := s.job(9, 1, 300*ms)
@@ -120,8 +120,8 @@
 		s.step(JobResumed{Job: s.job(id+1, 0, 50*ms), Attempts: []PastAttempt{{Worker: 1, SentAgo: 10 * ms, Ended: true, Result: WorkerFull}}})
 		s.step(JobResumed{Job: s.job(id+100, 0, 50*ms), Age: time.Second, QuotaCharged: true})
 	}
-	if s.d.quotaTokens[0] != quota || len(s.d.workers[1].warmUpSpends) != 20 {
-		t.Errorf("quota %v of %v, %d spends at the warming worker", s.d.quotaTokens[0], quota, len(s.d.workers[1].warmUpSpends))
+	if s.d.quotaTokens[0] != quota || len(s.d.fleet.byID[1].slowStart.sent) != 20 {
+		t.Errorf("quota %v of %v, %d spends at the warming worker", s.d.quotaTokens[0], quota, len(s.d.fleet.byID[1].slowStart.sent))
 	}
 	if s.step(JobResumed{Job: s.job(200, 0, 50*ms), Age: time.Second}); s.d.quotaRefilledAt[0] != s.now {
 		t.Error("one that has waited elsewhere is not charged to the quota")
--- a/dispatch/picker.go
+++ b/dispatch/picker.go
@@ -27,11 +27,11 @@
 	search := choice{cost: math.Inf(1), lacksCapacity: true}
 	d.priceBuckets(job)
 	for search.scanned < maxScanned {
-		bucket, level, levelCost := d.available.cheapest()
+		bucket, level, levelCost := d.fleet.available.cheapest()
 		if bucket == nil || levelCost > search.cost { // no other level holds a better one
 			break
 		}
-		isOrdered := d.available.isOrdered() && bucket.isSteady()
+		isOrdered := d.fleet.available.isOrdered() && bucket.isSteady()
 		if isOrdered && d.considerPreferred(&search, job, bucket, level, levelCost) {
 			continue
 		}
@@ -59,7 +59,7 @@
 ) bool {
 	var buffer [preferredWorkers]*workerInfo
 	before := search.suitable
-	count := min(d.available.preferredCount(bucket)+len(job.attempts), preferredWorkers)
+	count := min(d.fleet.available.preferredCount(bucket)+len(job.attempts), preferredWorkers)
 	preferred := appendPreferred(buffer[:0], level, count)
 	for _, worker := range preferred {
 		d.consider(search, job, worker, levelCost)
@@ -70,7 +70,7 @@
 
 // priceBuckets prices what the workers of a bucket have in common, and leaves out those barred to the job.
 func (d *Dispatcher) priceBuckets(j *jobInfo) {
-	for _, b := range d.available.buckets {
+	for _, b := range d.fleet.available.buckets {
 		b.nextLevel, b.baseCost = 0, 0
 		if !j.class.allows(b.kind, b.zone) {
 			b.baseCost = math.Inf(1)
@@ -80,7 +80,7 @@
 			b.baseCost = d.settings.CrossZoneCost / crossCostPerSlot
 		}
 		if len(d.settings.ReportFields) == 0 {
-			b.baseCost += busyZoneCost * d.zoneBusy[b.zone]
+			b.baseCost += busyZoneCost * d.fleet.zoneBusy[b.zone]
 		}
 	}
 }
@@ -120,9 +120,9 @@
 
 // price is the cost of a worker, its weight among equals, and whether its load report is fresh.
 func (d *Dispatcher) price(worker *workerInfo, base float64) (cost, weight float64, fresh bool) {
-	cost = base - math.Floor(worker.usedSlots) + worker.usedSlots
-	weight = cmp.Or(finite(worker.Size), 1) * worker.speed
-	if len(worker.inFlight) >= worker.connections { // none is idle
+	cost = base - math.Floor(worker.slots.used) + worker.slots.used
+	weight = cmp.Or(finite(worker.Size), 1) * worker.speed.factor
+	if len(worker.inFlight) >= worker.connections.open { // none is idle
 		cost += d.settings.HandshakeCost / handshakeCostPerSlot
 	}
 	if len(d.settings.ReportFields) > 0 {
@@ -130,7 +130,7 @@
 		if free, fresh = d.reportedFreeSlots(worker); fresh {
 			weight *= max(free, 1)
 		} else {
-			cost += busyZoneCost * d.zoneBusy[worker.Zone]
+			cost += busyZoneCost * d.fleet.zoneBusy[worker.Zone]
 		}
 	}
 	return cost, weight, fresh
--- a/dispatch/picker_test.go
+++ b/dispatch/picker_test.go
@@ -31,9 +31,9 @@
 	s.now += ms
 	s.step(Started{Job: 1, Worker: slow})
 	s.wait(5 * time.Second)
-	before := s.d.workers[slow].logSpeed
+	before := s.d.fleet.byID[slow].speed.log
 	for range 4 {
-		s.d.learnFromRun(&attemptInfo{job: s.d.jobs[1], worker: s.d.workers[slow], expectedRun: 500 * ms}, 2500*ms)
+		s.d.learnFromRun(&attemptInfo{job: s.d.jobs[1], worker: s.d.fleet.byID[slow], expectedRun: 500 * ms}, 2500*ms)
 	}
 	if before >= 0 {
 		t.Fatal("a run far too long did not show before it ended")
@@ -52,7 +52,7 @@
 		t.Fatalf("the slow worker got %d of 30 jobs that would miss their objective on it", tried[slow])
 	}
 	s.wait(time.Minute)
-	if math.Abs(s.d.workers[slow].logSpeed-s.d.machineKind(0).logSpeed) > 0.1 {
+	if math.Abs(s.d.fleet.byID[slow].speed.log-s.d.machineKind(0).logSpeed) > 0.1 {
 		t.Fatal("a minute without observations has not brought the slow worker back")
 	}
 }
@@ -61,7 +61,7 @@
 func TestLargeJobIsNotBackfilledForEver(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
-	s.d.workers[1].limit = 4
+	s.d.fleet.byID[1].slots.limit = 4
 	big := s.job(1, 1, 2*time.Second)
 	big.Slots = 4
 	next := uint64(100)
@@ -91,7 +91,7 @@
 	s := newHarness(t, testSettings())
 	s.workers(2)
 	for id := uint64(1); id <= 2; id++ {
-		s.d.workers[id].limit = 4
+		s.d.fleet.byID[id].slots.limit = 4
 		s.step(s.job(id, 1, 300*ms))
 		at := taken[Send](s)[0].Worker
 		s.step(Started{Job: id, Worker: at})
@@ -105,11 +105,11 @@
 		s.step(s.job(id, 0, 20*ms))
 	}
 	for _, a := range taken[Send](s) {
-		if s.d.workers[a.Worker] == s.d.reserved {
+		if s.d.fleet.byID[a.Worker] == s.d.reservation.worker {
 			t.Fatalf("job %d went to the worker reserved for the large one", a.Job)
 		}
 	}
-	for _, a := range slices.Clone(s.d.reserved.inFlight) {
+	for _, a := range slices.Clone(s.d.reservation.worker.inFlight) {
 		s.step(s.done(a.job.ID, a.number, a.worker.ID, OK))
 	}
 	if sends := taken[Send](s); len(sends) == 0 || sends[0].Job != 3 {
@@ -156,8 +156,8 @@
 	s := newHarness(t, testSettings())
 	s.workers(2)
 	s.step(s.job(1, 1, 300*ms)) // non-idempotent: never hedged
-	slow := s.d.workers[3-taken[Send](s)[0].Worker]
-	slow.logSpeed, slow.speed, slow.learnedAt = -2, 0.13, s.now+time.Minute
+	slow := s.d.fleet.byID[3-taken[Send](s)[0].Worker]
+	slow.speed.log, slow.speed.factor, slow.speed.observedAt = -2, 0.13, s.now+time.Minute
 	big := s.job(2, 1, 1500*ms)
 	big.Slots = 4
 	s.step(big)
--- a/dispatch/prediction.go
+++ b/dispatch/prediction.go
@@ -59,7 +59,7 @@
 
 // expectedRun is a job's run time on a worker as it is now.
 func (d *Dispatcher) expectedRun(j *jobInfo, w *workerInfo) time.Duration {
-	return seconds(j.work / (w.speed * d.warmUpShare(w)))
+	return seconds(j.work / (w.speed.factor * d.warmUpShare(w)))
 }
 
 // fastestRun is a job's run time on the fastest ready worker, if it runs shorter by so many spreads.
--- a/dispatch/predictor_test.go
+++ b/dispatch/predictor_test.go
@@ -64,10 +64,10 @@
 		f.serve(c.inFlight, c.length)
 		j := &jobInfo{Job: Job{Hint: time.Duration(float64(f.run) * c.hint), Slots: 1}, class: &f.d.settings.Classes[0]}
 		mean := 0.0
-		for _, w := range f.d.workerList {
-			mean += w.logSpeed / float64(len(f.d.workerList))
-			deviation := math.Log(f.d.expectedWork(j)) - w.logSpeed - math.Log(f.run.Seconds())
-			if w.runs >= 5 && math.Abs(deviation) > 1 {
+		for _, w := range f.d.fleet.workers {
+			mean += w.speed.log / float64(len(f.d.fleet.workers))
+			deviation := math.Log(f.d.expectedWork(j)) - w.speed.log - math.Log(f.run.Seconds())
+			if w.speed.samples >= 5 && math.Abs(deviation) > 1 {
 				t.Fatalf("%+v: a run is expected to take %.2f times its time", c, math.Exp(deviation))
 			}
 		}
@@ -87,8 +87,8 @@
 		for _, k := range f.d.kinds {
 			k.logSpeed = -6
 		}
-		for _, w := range f.d.workerList {
-			w.logSpeed, w.learnedAt = -6, f.now
+		for _, w := range f.d.fleet.workers {
+			w.speed.log, w.speed.observedAt = -6, f.now
 		}
 		f.serve(nodes, time.Second)
 		if served, _ := f.serve(nodes, 2*time.Second); float64(served) < 0.95*float64(nodes)/(f.run+2*f.delay).Seconds() {
--- a/dispatch/preference.go
+++ b/dispatch/preference.go
@@ -31,12 +31,12 @@
 
 // update takes in whether a worker is listed.
 func (r *preferenceRings) update(w *workerInfo) {
-	if w.listed == w.onRing {
+	if w.listed == w.index.onRing {
 		return
 	}
 	r.changed = true
 	if w.listed {
-		w.onRing = true
+		w.index.onRing = true
 		r.added = append(r.added, w)
 	}
 }
@@ -50,7 +50,7 @@
 // merge brings the rings up to date.
 func (r *preferenceRings) merge() {
 	hasLeft := func(w *workerInfo) bool {
-		w.onRing = w.listed
+		w.index.onRing = w.listed
 		return !w.listed
 	}
 	earlier, added := slices.DeleteFunc(r.sorted, hasLeft), slices.DeleteFunc(r.added, hasLeft)
@@ -68,26 +68,26 @@
 // updatePreferences sets the order after a list, or after this dispatcher's place among the others has
 // changed. In a fleet of which all workers are looked at there is none.
 func (d *Dispatcher) updatePreferences() {
-	if !d.rings.changed {
+	if !d.fleet.rings.changed {
 		return
 	}
-	d.rings.merge()
-	if len(d.rings.sorted) <= maxLevelScan {
+	d.fleet.rings.merge()
+	if len(d.fleet.rings.sorted) <= maxLevelScan {
 		return
 	}
 	index, replicas := d.replica()
-	for ring := d.rings.sorted; len(ring) > 0; {
+	for ring := d.fleet.rings.sorted; len(ring) > 0; {
 		size := 1
 		for size < len(ring) && ring[size].Zone == ring[0].Zone && ring[size].Kind == ring[0].Kind {
 			size++
 		}
 		start := index % replicas * size / replicas
 		for i, w := range ring[:size] {
-			w.preference = (i + size - start) % size
+			w.index.preference = (i + size - start) % size
 		}
 		ring = ring[size:]
 	}
-	d.available.reorder()
+	d.fleet.available.reorder()
 }
 
 // replica is this dispatcher's number among those that share the workers, from 0, and how many these are.
@@ -120,7 +120,7 @@
 
 // insertEntry puts a worker in its place among entries, of which the last is the most preferred.
 func insertEntry(entries []heapEntry, level []*workerInfo, slot int) []heapEntry {
-	entry := heapEntry(level[slot].preference)<<32 | heapEntry(slot)
+	entry := heapEntry(level[slot].index.preference)<<32 | heapEntry(slot)
 	entries = append(entries, entry)
 	i := len(entries) - 1
 	for ; i > 0 && entries[i-1] < entry; i-- {
--- a/dispatch/preference_test.go
+++ b/dispatch/preference_test.go
@@ -123,11 +123,11 @@
 		fresh := New(d.settings, 1)
 		fresh.Step(time.Hour, []Event{wholeList(workers)}, nil)
 		for id, worker := range workers {
-			place, size := d.workers[id].preference, sizes[worker.Kind]
-			if want := fresh.workers[id].preference; place != want {
+			place, size := d.fleet.byID[id].index.preference, sizes[worker.Kind]
+			if want := fresh.fleet.byID[id].index.preference; place != want {
 				t.Fatalf("worker %d has place %d, and %d by the whole list", id, place, want)
 			}
-			if at, want := dispatchers[0].workers[id].preference, index*size/len(dispatchers); place == 0 && at != want {
+			if at, want := dispatchers[0].fleet.byID[id].index.preference, index*size/len(dispatchers); place == 0 && at != want {
 				t.Fatalf("dispatcher %d begins at place %d of %d, expected %d", index, at, size, want)
 			}
 		}
@@ -136,8 +136,8 @@
 
 // preferredOf are the workers that a dispatcher prefers most.
 func preferredOf(d *Dispatcher) []*workerInfo {
-	workers := slices.Clone(d.workerList)
-	slices.SortFunc(workers, func(a, b *workerInfo) int { return a.preference - b.preference })
+	workers := slices.Clone(d.fleet.workers)
+	slices.SortFunc(workers, func(a, b *workerInfo) int { return a.index.preference - b.index.preference })
 	return workers[:preferredWorkers]
 }
 
@@ -147,11 +147,11 @@
 	h.workers(400)
 	slow := preferredOf(h.d)
 	for _, worker := range slow {
-		worker.logSpeed, worker.speed = -4, 0.018
+		worker.speed.log, worker.speed.factor = -4, 0.018
 	}
 	h.step(h.job(1, 0, 300*ms))
 	sends := taken[Send](h)
-	if len(sends) != 1 || slices.Contains(slow, h.d.workers[sends[0].Worker]) {
+	if len(sends) != 1 || slices.Contains(slow, h.d.fleet.byID[sends[0].Worker]) {
 		t.Fatalf("sent %v, expected a worker that would meet the objective", sends)
 	}
 }
@@ -164,7 +164,7 @@
 	first := taken[Send](h)[0].Worker
 	h.step(h.done(1, 0, first, ConnectFailed))
 	second := taken[Send](h)
-	if len(second) != 1 || second[0].Worker == first || !slices.Contains(preferredOf(h.d), h.d.workers[second[0].Worker]) {
+	if len(second) != 1 || second[0].Worker == first || !slices.Contains(preferredOf(h.d), h.d.fleet.byID[second[0].Worker]) {
 		t.Fatalf("sent to %d and then %v", first, second)
 	}
 }
@@ -208,8 +208,8 @@
 		orderedSteps := 0
 		for range 3000 {
 			run.step()
-			checkIndex(t, &run.d.available)
-			if run.d.available.isOrdered() {
+			checkIndex(t, &run.d.fleet.available)
+			if run.d.fleet.available.isOrdered() {
 				orderedSteps++
 			}
 		}
@@ -303,7 +303,7 @@
 func checkLevel(t *testing.T, level []*workerInfo, b *bucket, number int) {
 	t.Helper()
 	for slot, worker := range level {
-		if worker.bucket != b || worker.level != number || worker.slot != slot {
+		if worker.index.bucket != b || worker.index.level != number || worker.index.slot != slot {
 			t.Fatalf("worker %d stands elsewhere than it says", worker.ID)
 		}
 	}
@@ -315,12 +315,12 @@
 		return
 	}
 	for slot, worker := range level[1:] {
-		if parent := level[slot/2]; parent.preference > worker.preference {
+		if parent := level[slot/2]; parent.index.preference > worker.index.preference {
 			t.Fatalf("worker %d stands above one that is preferred", parent.ID)
 		}
 	}
 	sorted := slices.Clone(level)
-	slices.SortFunc(sorted, func(a, b *workerInfo) int { return a.preference - b.preference })
+	slices.SortFunc(sorted, func(a, b *workerInfo) int { return a.index.preference - b.index.preference })
 	count := min(len(level), preferredWorkers)
 	if preferred := appendPreferred(nil, level, count); !slices.Equal(preferred, sorted[:count]) {
 		t.Fatal("the preferred workers are not the first by preference")
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -88,7 +88,7 @@
 // place sends a job to the worker chosen for it. One that fits nowhere is deferred; where only capacity is
 // missing, no other job of its shape is tried in this pass.
 func (d *Dispatcher) place(job *jobInfo) {
-	if d.lateCount > 0 && d.isSharded() && !d.isShort(job) { // our few workers have little capacity
+	if d.starts.lateCount > 0 && d.isSharded() && !d.isShort(job) { // our few workers have little capacity
 		d.deferJob(job)
 		return
 	}
@@ -124,4 +124,6 @@
 
 // isSharded tells whether each worker is assigned to a few dispatchers, so that how our own jobs fare there
 // tells of their capacity.
-func (d *Dispatcher) isSharded() bool { return len(d.workerList) > 0 && d.workerList[0].Assignees > 1 }
+func (d *Dispatcher) isSharded() bool {
+	return len(d.fleet.workers) > 0 && d.fleet.workers[0].Assignees > 1
+}
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -22,7 +22,7 @@
 			s := newHarness(t, testSettings())
 			s.workers(1)
 			s.busy(1)
-			s.d.workers[1].limit = 1
+			s.d.fleet.byID[1].slots.limit = 1
 			s.d.muShort = c.mu
 			for n, h := range c.hints {
 				s.now += ms
@@ -43,7 +43,7 @@
 	s := newHarness(t, testSettings())
 	s.workers(1)
 	s.busy(1)
-	s.d.workers[1].limit = 1
+	s.d.fleet.byID[1].slots.limit = 1
 	s.step(s.job(10, 1, 100*ms))
 	s.wait(2 * time.Second)
 	s.step(s.job(11, 1, 200*ms))
@@ -60,7 +60,7 @@
 	s := newHarness(t, set)
 	s.workers(1)
 	s.busy(1)
-	s.d.workers[1].limit, s.d.muShort = 1, 0.1 // tau 0.3 s, less than half that where worth is 8
+	s.d.fleet.byID[1].slots.limit, s.d.muShort = 1, 0.1 // tau 0.3 s, less than half that where worth is 8
 	s.step(s.job(10, 0, 400*ms), s.job(11, 1, 800*ms))
 	s.wait(200 * ms)
 	s.step(s.done(1, 0, 1, OK))
@@ -74,7 +74,7 @@
 	s := newHarness(t, testSettings())
 	s.workers(1)
 	s.busy(1)
-	s.d.workers[1].limit = 1
+	s.d.fleet.byID[1].slots.limit = 1
 	for id := uint64(10); id < 20; id++ {
 		s.step(s.job(id, 0, 100*ms))
 	}
@@ -162,9 +162,9 @@
 	s := newHarness(t, set)
 	s.workers(3)
 	s.step(s.job(1, 0, 300*ms), s.job(2, 0, 300*ms)) // and are not known to have started, so that no more go there
-	ejected := s.d.workers[6-s.d.jobs[1].attempts[0].worker.ID-s.d.jobs[2].attempts[0].worker.ID]
+	ejected := s.d.fleet.byID[6-s.d.jobs[1].attempts[0].worker.ID-s.d.jobs[2].attempts[0].worker.ID]
 	// It takes short idempotent jobs, as a trial.
-	ejected.ejectionTime, ejected.ejectedUntil, ejected.broken, ejected.aliveAt = time.Second, s.now, true, s.now-time.Minute
+	ejected.outlier.ejectionTime, ejected.outlier.ejectedUntil, ejected.outlier.failing, ejected.activity.aliveAt = time.Second, s.now, true, s.now-time.Minute
 	s.d.markDirty(ejected)
 	for id := uint64(10); id < 10+2*maxDeferred; id++ {
 		s.step(s.job(id, 1, 10*ms))
--- a/dispatch/reservation.go
+++ b/dispatch/reservation.go
@@ -3,21 +3,27 @@
 // Reservations: a worker that is kept free for a large job past tau. The design has jobs past tau leave
 // first, and one that fits nowhere would never leave while smaller ones take each slot.
 
+// reservation keeps a worker free for one large job.
+type reservation struct {
+	worker *workerInfo // nil: none is reserved
+	job    *jobInfo
+}
+
 // reserveWorker keeps the worker with least to finish free for a large job that is over tau and fits nowhere:
 // smaller jobs would backfill it for ever. Sent before it fits, the job would block the worker's own queue.
 func (d *Dispatcher) reserveWorker(job *jobInfo) {
-	if d.reserved != nil && d.reserved.Ready {
+	if d.reservation.worker != nil && d.reservation.worker.Ready {
 		return
 	}
-	d.reserved, d.reservedFor = nil, job
-	from, count := d.sample(len(d.workerList), maxScanned, maxScanned)
+	d.reservation.worker, d.reservation.job = nil, job
+	from, count := d.sample(len(d.fleet.workers), maxScanned, maxScanned)
 	for i := range count {
-		worker := d.workerList[(from+i)%len(d.workerList)]
+		worker := d.fleet.workers[(from+i)%len(d.fleet.workers)]
 		if !d.mayReserve(job, worker) {
 			continue
 		}
-		if d.reserved == nil || worker.remainingLoad() < d.reserved.remainingLoad() {
-			d.reserved = worker
+		if d.reservation.worker == nil || worker.remainingLoad() < d.reservation.worker.remainingLoad() {
+			d.reservation.worker = worker
 		}
 	}
 }
@@ -32,4 +38,4 @@
 }
 
 // remainingLoad is what a worker has to finish of ours, in slots at speed 1.
-func (w *workerInfo) remainingLoad() float64 { return w.usedSlots / w.speed }
+func (w *workerInfo) remainingLoad() float64 { return w.slots.used / w.speed.factor }
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -7,6 +7,7 @@
 	"cmp"
 	"math"
 	"slices"
+	"time"
 )
 
 const (
@@ -15,17 +16,31 @@
 	minWarmUp    = 0.01 // share of its capacity that a worker has at least
 )
 
+// slowStartState is the slow start of a worker.
+type slowStartState struct {
+	restartedAt time.Duration // counts as its start, where later than BootAt: it answered again after a loss, or was uncordoned
+	sent        []workSample  // in the latest Settings.OverloadWindow, while warming up
+	ticketStart float64       // jobs whose lottery draw lies within ticketWidth above this are drawn to the worker
+	ticketWidth float64       // 0: the worker does not take part in the lottery
+}
+
+// workSample is work sent to a warming worker at an instant.
+type workSample struct {
+	at   time.Duration
+	work float64 // seconds on a standard core, times slots
+}
+
 // warmUpAllows keeps what was sent to a warming worker, rejected jobs too, under our part of its budget.
 func (d *Dispatcher) warmUpAllows(job *jobInfo, worker *workerInfo) bool {
 	if d.warmUpShare(worker) >= 1 {
-		worker.warmUpSpends = nil
+		worker.slowStart.sent = nil
 		return true
 	}
 	window := d.settings.OverloadWindow
-	isPast := func(s spend) bool { return d.now-s.at > window }
-	worker.warmUpSpends = slices.DeleteFunc(worker.warmUpSpends, isPast)
+	isPast := func(s workSample) bool { return d.now-s.at > window }
+	worker.slowStart.sent = slices.DeleteFunc(worker.slowStart.sent, isPast)
 	work := d.warmUpCost(job)
-	for _, s := range worker.warmUpSpends {
+	for _, s := range worker.slowStart.sent {
 		work += s.work
 	}
 	budget := d.warmUpBudget(worker)
@@ -43,7 +58,7 @@
 		return true
 	}
 	work := d.warmUpCost(job)
-	for _, s := range worker.warmUpSpends {
+	for _, s := range worker.slowStart.sent {
 		if d.now-s.at <= d.settings.OverloadWindow {
 			work += s.work
 		}
@@ -62,12 +77,12 @@
 // that the sum over dispatchers that know nothing of each other follows what the rest of the fleet is given.
 func (d *Dispatcher) assignLots() {
 	from, ready := 0.0, d.countReady()
-	for _, w := range d.workerList {
-		w.lotStart, w.lotWidth = from, 0
+	for _, w := range d.fleet.workers {
+		w.slowStart.ticketStart, w.slowStart.ticketWidth = from, 0
 		if share := d.warmUpShare(w); w.Ready && share < 1 && w.Assignees == 0 && d.settings.Replicas > 1 {
-			w.lotWidth = min(1, warmUpMargin*d.settings.OverloadFactor) * share / float64(ready)
+			w.slowStart.ticketWidth = min(1, warmUpMargin*d.settings.OverloadFactor) * share / float64(ready)
 		}
-		from += w.lotWidth
+		from += w.slowStart.ticketWidth
 	}
 }
 
@@ -75,26 +90,26 @@
 // one that would use up the worker's whole budget never goes.
 func (d *Dispatcher) drawsWorker(j *jobInfo, w *workerInfo) bool {
 	cost := d.warmUpCost(j)
-	if w.lotWidth == 0 || j.wasSentTo(w) || len(w.warmUpSpends) > 0 || cost > d.warmUpBudget(w) {
+	if w.slowStart.ticketWidth == 0 || j.wasSentTo(w) || len(w.slowStart.sent) > 0 || cost > d.warmUpBudget(w) {
 		return false
 	}
-	if j.warmUpDraw == 0 {
-		j.warmUpDraw = 1 - d.rng.Float64()
+	if j.lotteryDraw == 0 {
+		j.lotteryDraw = 1 - d.rng.Float64()
 	}
-	distance := j.warmUpDraw - w.lotStart
-	return distance > 0 && distance*max(1, cost/(d.meanCost+1e-9)) <= w.lotWidth
+	distance := j.lotteryDraw - w.slowStart.ticketStart
+	return distance > 0 && distance*max(1, cost/(d.meanCost+1e-9)) <= w.slowStart.ticketWidth
 }
 
 // chargeWarmUp enters an attempt with what its worker has been sent, if that warms up.
 func (d *Dispatcher) chargeWarmUp(a *attemptInfo) {
 	if d.warmUpShare(a.worker) < 1 {
-		a.worker.warmUpSpends = append(a.worker.warmUpSpends, spend{a.sentAt, d.warmUpCost(a.job)})
+		a.worker.slowStart.sent = append(a.worker.slowStart.sent, workSample{a.sentAt, d.warmUpCost(a.job)})
 	}
 }
 
 // warmUpShare is the least part of its capacity that a worker has, by when it started; 1: it is warm.
 func (d *Dispatcher) warmUpShare(w *workerInfo) float64 {
-	boot := max(w.BootAt, w.returnedAt)
+	boot := max(w.BootAt, w.slowStart.restartedAt)
 	if boot <= 0 || d.settings.WarmUp <= 0 || d.now-boot >= d.settings.WarmUp {
 		return 1
 	}
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -41,17 +41,17 @@
 	s.step(s.done(1, 0, 1, ConnectionReset))
 	s.wait(6 * time.Second)
 	s.step(HealthChecked{Worker: 1, Result: OK})
-	if got := s.d.warmUpShare(s.d.workers[1]); got > 0.21 {
+	if got := s.d.warmUpShare(s.d.fleet.byID[1]); got > 0.21 {
 		t.Fatalf("a worker that came back is taken to have %v of its capacity", got)
 	}
 	s.wait(21 * time.Second)
-	if got := s.d.warmUpShare(s.d.workers[1]); got != 1 {
+	if got := s.d.warmUpShare(s.d.fleet.byID[1]); got != 1 {
 		t.Fatalf("it is taken to have %v of its capacity after the warm-up", got)
 	}
 }
 
 // workWithin is the work of what was sent within the window that ends now.
-func workWithin(spends []spend, now, window time.Duration) float64 {
+func workWithin(spends []workSample, now, window time.Duration) float64 {
 	sum := 0.0
 	for _, s := range spends {
 		if now-s.at <= window {
@@ -67,7 +67,7 @@
 	*harness
 	rng     *rand.Rand
 	boot    map[uint64]time.Duration // of the workers that warm up
-	spent   map[uint64][]spend
+	spent   map[uint64][]workSample
 	running map[uint64]float64
 	slots   float64 // the most that the dispatcher could see a worker run at once
 	ends    []scheduledEvent
@@ -80,7 +80,7 @@
 	set.Replicas, set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 3, 20*time.Second, 0.1, 3, 2*time.Second
 	c := &budgetChecker{
 		harness: newHarness(t, set), rng: rand.New(rand.NewPCG(seed, 2)), boot: map[uint64]time.Duration{},
-		spent: map[uint64][]spend{}, running: map[uint64]float64{}, slots: 3,
+		spent: map[uint64][]workSample{}, running: map[uint64]float64{}, slots: 3,
 	}
 	list := WorkerList{Kind: ListFull}
 	for id := uint64(1); id <= 6; id++ {
@@ -121,7 +121,7 @@
 	if !warmsUp || age >= c.d.settings.WarmUp {
 		return
 	}
-	c.spent[send.Worker] = append(c.spent[send.Worker], spend{c.now, j.Hint.Seconds()})
+	c.spent[send.Worker] = append(c.spent[send.Worker], workSample{c.now, j.Hint.Seconds()})
 	sum := workWithin(c.spent[send.Worker], c.now, c.d.settings.OverloadWindow)
 	share := 0.1 + 0.9*max(0, age).Seconds()/20
 	if most := 3 * c.slots * share * 2 / 3; sum > most {
@@ -160,7 +160,7 @@
 	all   []*Dispatcher
 	list  WorkerList
 	start time.Duration
-	spent []spend
+	spent []workSample
 	ends  []runEnd
 	sent  int
 	jobs  uint64
@@ -218,7 +218,7 @@
 			continue // a job queued from before ends soon without it
 		}
 		// The run takes twice its hint.
-		m.spent = append(m.spent, spend{now, 2 * hint.Seconds()})
+		m.spent = append(m.spent, workSample{now, 2 * hint.Seconds()})
 		m.sent++
 		m.all[i].Step(now+time.Millisecond, []Event{Started{Job: id, Worker: 77}}, nil)
 		m.ends = append(m.ends, runEnd{now + 2*hint, i, id})
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -70,23 +70,23 @@
 	c.random(dispatcher)
 	c.figures(dispatcher)
 	c.learnt(dispatcher)
-	sortedMap(c, dispatcher.cordoned, func(id *uint64, since *time.Duration) {
+	sortedMap(c, dispatcher.cordons.since, func(id *uint64, since *time.Duration) {
 		c.uint(id)
 		c.clockReading(since)
 	})
-	c.flags(&dispatcher.allCordoned)
+	c.flags(&dispatcher.cordons.coverFleet)
 	c.population(dispatcher)
 	c.keys(dispatcher)
-	fixedList(c, dispatcher.idleOutcomes[:], func(n *outcomeCounts) { c.float(&n.succeeded, &n.failed) })
+	fixedList(c, dispatcher.idleConnections.outcomes[:], func(n *outcomeCounts) { c.float(&n.succeeded, &n.failed) })
 	c.available(dispatcher)
 	c.queue(dispatcher)
 	c.timers(dispatcher)
 	c.unstarted(dispatcher)
-	isReserved := dispatcher.reserved != nil
+	isReserved := dispatcher.reservation.worker != nil
 	c.flags(&isReserved)
 	if isReserved {
-		c.worker(&dispatcher.reserved)
-		c.job(&dispatcher.reservedFor)
+		c.worker(&dispatcher.reservation.worker)
+		c.job(&dispatcher.reservation.job)
 	}
 	if c.withLeases {
 		c.leases(dispatcher)
@@ -95,11 +95,11 @@
 
 // figures walks what is one figure each.
 func (c *codec) figures(d *Dispatcher) {
-	c.instant(&d.bornAt, &d.timerAt, &d.nextTrialAt, &d.subscribeAt, &d.maxIdleSetAt, &d.stalledAt, &d.pilotSentAt)
-	c.duration(&d.minStartDelay, &d.meanLateStart, &d.subscribeBackoff, &d.maxIdle, &d.minCheckDelay, &d.stallLength)
-	c.float(&d.longCut, &d.muShort, &d.meanWeight, &d.meanCost, &d.arrivals, &d.spread, &d.topSpeed, &d.usedSlots,
-		&d.hedgeTokens, &d.checkTokens, &d.trialTokens, &d.lateCount)
-	c.flags(&d.mostEjected, &d.allBroken)
+	c.instant(&d.bornAt, &d.timerAt, &d.outliers.nextProbeAt, &d.subscribeAt, &d.idleConnections.maxIdleSetAt, &d.outliers.stalledAt, &d.starts.lastSentAt)
+	c.duration(&d.starts.minDelay, &d.starts.meanLateDelay, &d.subscribeBackoff, &d.idleConnections.maxIdle, &d.checks.minDelay, &d.outliers.stallLength)
+	c.float(&d.longCut, &d.muShort, &d.meanWeight, &d.meanCost, &d.arrivals, &d.spread, &d.topSpeed, &d.starts.usedSlots,
+		&d.hedgeTokens, &d.checks.tokens, &d.trialTokens, &d.starts.lateCount)
+	c.flags(&d.outliers.silencePanic, &d.outliers.failurePanic)
 	c.subscription(&d.subscription)
 	c.int(&d.sharing.Replicas)
 	c.int(&d.sharing.ReplicaIndex)
@@ -115,7 +115,7 @@
 	fixedList(c, d.fullTimeout, func(x *time.Duration) { c.duration(x) })
 	fixedList(c, d.quotaRefilledAt, func(x *time.Duration) { c.instant(x) })
 	sortedMap(c, d.kinds, c.machine)
-	sortedMap(c, d.zoneBusy, func(zone *int, chance *float64) {
+	sortedMap(c, d.fleet.zoneBusy, func(zone *int, chance *float64) {
 		c.int(zone)
 		c.float(chance)
 	})
@@ -160,7 +160,7 @@
 
 // available walks the workers that may have capacity, level by level as they lie: draws go by their place.
 func (c *codec) available(dispatcher *Dispatcher) {
-	list(c, &dispatcher.available.buckets, func(b **bucket) {
+	list(c, &dispatcher.fleet.available.buckets, func(b **bucket) {
 		if !c.writing {
 			*b = &bucket{}
 		}
@@ -174,10 +174,10 @@
 			c.place(dispatcher, *b)
 		}
 	})
-	list(c, &dispatcher.dirty, func(w **workerInfo) { c.worker(w) })
+	list(c, &dispatcher.fleet.dirty, func(w **workerInfo) { c.worker(w) })
 	if !c.writing {
-		for _, w := range dispatcher.workerList {
-			dispatcher.rings.update(w)
+		for _, w := range dispatcher.fleet.workers {
+			dispatcher.fleet.rings.update(w)
 		}
 		dispatcher.updatePreferences()
 	}
@@ -187,9 +187,9 @@
 func (c *codec) place(d *Dispatcher, b *bucket) {
 	for i, level := range b.levels {
 		for slot, w := range level {
-			c.check(w.bucket == nil)
-			w.bucket, w.level, w.slot = b, i, slot
-			d.available.count(w, 1)
+			c.check(w.index.bucket == nil)
+			w.index.bucket, w.index.level, w.index.slot = b, i, slot
+			d.fleet.available.count(w, 1)
 		}
 	}
 }
@@ -303,12 +303,12 @@
 }
 
 func (c *codec) unstarted(d *Dispatcher) {
-	for class := range d.unstarted.pending {
-		pending := d.unstarted.pending[class][d.unstarted.first[class]:]
+	for class := range d.starts.unstarted.pending {
+		pending := d.starts.unstarted.pending[class][d.starts.unstarted.first[class]:]
 		list(c, &pending, func(a **attemptInfo) { c.attempt(a) })
-		d.unstarted.pending[class], d.unstarted.first[class] = pending, 0
+		d.starts.unstarted.pending[class], d.starts.unstarted.first[class] = pending, 0
 	}
-	list(c, &d.unstarted.late, func(a **attemptInfo) { c.attempt(a) })
+	list(c, &d.starts.unstarted.late, func(a **attemptInfo) { c.attempt(a) })
 }
 
 // job is a reference to a job; one that is forgotten comes back as a closed one.
@@ -370,10 +370,10 @@
 // population walks workers and jobs: first that they are there, then what they are, as each refers to others.
 func (c *codec) population(dispatcher *Dispatcher) {
 	c.workerPlaces, c.jobPlaces = map[*workerInfo]int{}, map[*jobInfo]int{}
-	for i, w := range dispatcher.workerList {
+	for i, w := range dispatcher.fleet.workers {
 		c.workerPlaces[w] = i
 	}
-	list(c, &dispatcher.workerList, func(w **workerInfo) {
+	list(c, &dispatcher.fleet.workers, func(w **workerInfo) {
 		if !c.writing {
 			*w = &workerInfo{}
 		}
@@ -388,7 +388,7 @@
 		}
 		c.jobFigures(dispatcher, *j)
 	})
-	c.workers = dispatcher.workerList
+	c.workers = dispatcher.fleet.workers
 	for _, j := range c.jobs {
 		list(c, &j.attempts, func(a **attemptInfo) {
 			if !c.writing {
@@ -398,10 +398,10 @@
 			c.attemptFigures(*a)
 		})
 	}
-	for i, w := range dispatcher.workerList {
+	for i, w := range dispatcher.fleet.workers {
 		c.workerFigures(w)
 		if !c.writing {
-			dispatcher.workers[w.ID] = w
+			dispatcher.fleet.byID[w.ID] = w
 			w.position, w.machine = i, dispatcher.machineKind(w.Kind)
 			w.timer = timer{purpose: workerAvailable, worker: w}
 		}
@@ -418,7 +418,7 @@
 	c.int(&job.Tenant)
 	c.uint(&job.Key)
 	c.duration(&job.Remaining, &job.Hint)
-	c.float(&job.Slots, &job.Memory, &job.demand, &job.longChance, &job.work, &job.warmUpDraw)
+	c.float(&job.Slots, &job.Memory, &job.demand, &job.longChance, &job.work, &job.lotteryDraw)
 	c.instant(&job.arrivedAt, &job.deadline, &job.objectiveAt, &job.promoteAt, &job.checksUntil)
 	demoted, missed := job.demoted(), job.standing == outOfReach
 	c.flags(&job.Retry, &demoted, &missed, &job.closed, &job.streaming, &job.inPromotions, &job.recheckOnEnd)
@@ -461,21 +461,21 @@
 	c.int(&worker.Zone)
 	c.int(&worker.AssigneeRank)
 	c.int(&worker.Assignees)
-	c.flags(&worker.Ready, &worker.Removed, &worker.listed, &worker.listedReady, &worker.connLost, &worker.checking, &worker.broken, &worker.dirty)
-	c.float(&worker.Size, &worker.usedSlots, &worker.limit, &worker.logSpeed, &worker.speed, &worker.runs, &worker.freeSlots, &worker.runningSlots,
-		&worker.rejectedDemand, &worker.lotStart, &worker.lotWidth)
-	c.instant(&worker.BootAt, &worker.aliveAt, &worker.learnedAt, &worker.decreasedAt, &worker.backoffUntil, &worker.ejectedUntil, &worker.returnedAt,
-		&worker.reportedAt, &worker.checkedAt, &worker.lastEndAt, &worker.progressAt, &worker.uncordonedAt)
-	c.duration(&worker.backoff, &worker.ejectionTime)
-	c.int(&worker.failures)
-	c.int(&worker.connFailures)
-	c.int(&worker.connections)
+	c.flags(&worker.Ready, &worker.Removed, &worker.listed, &worker.listedReady, &worker.outlier.connectionLost, &worker.check.inProgress, &worker.outlier.failing, &worker.index.dirty)
+	c.float(&worker.Size, &worker.slots.used, &worker.slots.limit, &worker.speed.log, &worker.speed.factor, &worker.speed.samples, &worker.report.freeSlots, &worker.slots.running,
+		&worker.slots.rejectedDemand, &worker.slowStart.ticketStart, &worker.slowStart.ticketWidth)
+	c.instant(&worker.BootAt, &worker.activity.aliveAt, &worker.speed.observedAt, &worker.slots.decreasedAt, &worker.backoff.until, &worker.outlier.ejectedUntil, &worker.slowStart.restartedAt,
+		&worker.report.receivedAt, &worker.check.startedAt, &worker.connections.lastUsedAt, &worker.activity.progressAt, &worker.uncordonedAt)
+	c.duration(&worker.backoff.delay, &worker.outlier.ejectionTime)
+	c.int(&worker.outlier.failures)
+	c.int(&worker.outlier.connectionFailures)
+	c.int(&worker.connections.open)
 	c.int(&worker.orphans)
 	list(c, &worker.inFlight, func(a **attemptInfo) { c.attempt(a) })
-	list(c, &worker.warmUpSpends, c.spend)
+	list(c, &worker.slowStart.sent, c.spend)
 }
 
-func (c *codec) spend(spent *spend) {
+func (c *codec) spend(spent *workSample) {
 	c.instant(&spent.at)
 	c.float(&spent.work)
 }
--- a/dispatch/starttracker.go
+++ b/dispatch/starttracker.go
@@ -1,9 +1,22 @@
 package dispatch
 
-import "slices"
+import (
+	"slices"
+	"time"
+)
 
 // The attempts that have not started, and those of them that are late. Nothing is decided here.
 
+// startMonitor watches how soon attempts start.
+type startMonitor struct {
+	unstarted     startTracker  // attempts in flight that have not started
+	lateCount     float64       // of these, the late ones, as of the latest dispatch cycle
+	usedSlots     float64       // of this dispatcher, at all workers
+	lastSentAt    time.Duration // when the latest attempt was sent; 0: it has started
+	meanLateDelay time.Duration // mean start delay of the attempts that started late
+	minDelay      time.Duration // least start delay of all attempts: the round trip of a notification
+}
+
 // startTracker keeps the attempts that have not started, and those of them that are late by now.
 type startTracker struct {
 	pending [][]*attemptInfo // by class, oldest first; may hold attempts that have started or ended
--- a/dispatch/timers.go
+++ b/dispatch/timers.go
@@ -56,11 +56,11 @@
 // measureStall measures how late this process is for its own timer.
 func (d *Dispatcher) measureStall() {
 	if late := d.now - d.timerAt; d.timerAt > 0 && late > minStall {
-		d.stalledAt, d.stallLength = d.now, late
+		d.outliers.stalledAt, d.outliers.stallLength = d.now, late
 	}
 }
 
 // spansStall tells whether this process was stalled while an attempt was in flight.
 func (d *Dispatcher) spansStall(a *attemptInfo) bool {
-	return a.sentAt < d.stalledAt && d.stalledAt > 0
+	return a.sentAt < d.outliers.stalledAt && d.outliers.stalledAt > 0
 }
--- /dev/null
+++ b/dispatch/workerinfo.go
@@ -0,0 +1,55 @@
+package dispatch
+
+import (
+	"math"
+	"time"
+)
+
+// workerInfo is the state of one worker as this dispatcher sees it.
+type workerInfo struct {
+	Worker
+	machine      *machineInfo  // of its kind
+	listed       bool          // by the latest list
+	listedReady  bool          // by the list; Ready is false for cordoned workers too
+	position     int           // in workerFleet.workers
+	uncordonedAt time.Duration // 0: never, or it has been sent a job since
+	inFlight     []*attemptInfo
+	orphans      int   // attempts in flight whose worker process is gone
+	timer        timer // fires when the worker may have capacity again without any event, or has warmed up
+
+	index       indexEntry
+	slots       slotLimit
+	backoff     backoffState
+	report      loadReport
+	speed       relativeSpeed
+	activity    workerActivity
+	outlier     outlierState
+	connections connectionState
+	check       checkState
+	slowStart   slowStartState
+}
+
+// loadReport is the part of a worker's latest load report that is used.
+type loadReport struct {
+	freeSlots  float64       // as reported, plus the slots that attempts have released since
+	receivedAt time.Duration // 0: none since the worker's process started
+}
+
+// relativeSpeed is the estimated speed of a worker against a standard core.
+type relativeSpeed struct {
+	log        float64       // natural logarithm of the speed
+	factor     float64       // the speed itself: exp(log)
+	samples    float64       // runs that it is estimated from
+	observedAt time.Duration // the latest sample; 0: none since the worker's process started
+}
+
+// newRelativeSpeed returns the speed of a worker without samples, from the log speed of its kind.
+func newRelativeSpeed(logSpeed float64) relativeSpeed {
+	return relativeSpeed{log: logSpeed, factor: math.Exp(logSpeed)}
+}
+
+// workerActivity is when a worker has last been heard of.
+type workerActivity struct {
+	aliveAt    time.Duration // the latest response or notification of any kind
+	progressAt time.Duration // the latest start, progress or successful end of an attempt
+}
--- a/dispatch/workerslots.go
+++ b/dispatch/workerslots.go
@@ -25,7 +25,7 @@
 	failedPeer     int // that has told the last one
 	suspension     time.Duration
 	suspendedUntil time.Duration
-	warmUpSpends   []spend
+	warmUpSpends   []workSample
 }
 
 // slotsOf is what is known of a worker's slots.
@@ -105,7 +105,7 @@
 	if d.now-d.coordinator.since <= window {
 		return false
 	}
-	isPast := func(s spend) bool { return d.now-s.at > window }
+	isPast := func(s workSample) bool { return d.now-s.at > window }
 	slots.warmUpSpends = slices.DeleteFunc(slots.warmUpSpends, isPast)
 	work := request.Work
 	for _, s := range slots.warmUpSpends {
