--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -8,7 +8,7 @@
 	d.addAttempt(attempt)
 	attempt.limitBound = worker.slots.used+1 > worker.slots.limit
 	d.chargeWarmUp(attempt)
-	d.hedgeTokens = min(d.hedgeTokens+hedgeRate, d.maxHedgeTokens())
+	d.hedgeTokens = min(d.hedgeTokens+hedgeTokensPerAttempt, d.maxHedgeTokens())
 	if attempt.number > 0 {
 		d.hedgeTokens -= d.hedgeCost(job)
 	}
