--- a/dispatch/decisions_test.go
+++ b/dispatch/decisions_test.go
@@ -128,6 +128,9 @@
 		case Log:
 			h.add("log")
 			h.sum.Write([]byte(a.Text))
+		case WorkerEjected:
+			h.add("log")
+			h.sum.Write([]byte(a.Text()))
 		}
 	}
 }
--- a/internal/control/forwarder/localcommand.go
+++ b/internal/control/forwarder/localcommand.go
@@ -24,7 +24,7 @@
 	case dispatch.SetTimer:
 		f.local.setTimer(f.now + max(action.After, time.Nanosecond))
 	case dispatch.Subscribe: // the watch is the forwarder's, whoever decides
-	default: // dispatch.CloseIdleConnections, dispatch.Log
+	default: // dispatch.CloseIdleConnections, dispatch.Log, dispatch.WorkerEjected
 		f.emit(action)
 	}
 }
--- a/internal/control/planner/command.go
+++ b/internal/control/planner/command.go
@@ -28,6 +28,8 @@
 			p.emit(WatchEndpoints{Revision: p.workers.revision})
 		case dispatch.Log:
 			p.log(action.Text)
+		case dispatch.WorkerEjected:
+			p.log("worker ejected", "worker", action.Worker, "reason", action.Reason, "ejection_time", action.EjectionTime)
 		}
 	}
 	clear(actions)
--- a/internal/requests/log.go
+++ b/internal/requests/log.go
@@ -103,6 +103,16 @@
 	*changes = endpointChanges{loggedAt: now}
 }
 
+// logPolicyAction logs an action that is for the operators alone.
+func (t *Table) logPolicyAction(action dispatch.Action) {
+	switch action := action.(type) {
+	case dispatch.Log:
+		t.logPolicyMessage(action.Text)
+	case dispatch.WorkerEjected:
+		t.logWorkerEjected(action)
+	}
+}
+
 // logPolicyMessage logs a message of the policy. The policy knows workers by number: the endpoint ids of those that it
 // names are added.
 func (t *Table) logPolicyMessage(text string) {
@@ -116,6 +126,16 @@
 	t.logger.LogAttrs(context.Background(), slog.LevelInfo, "dispatcher", attrs...)
 }
 
+// logWorkerEjected logs an ejection with the endpoint id of the worker, or with its number if it is not listed any more.
+func (t *Table) logWorkerEjected(ejected dispatch.WorkerEjected) {
+	worker := t.endpoints.byNumber[ejected.Worker].ID
+	if worker == "" {
+		worker = strconv.FormatUint(ejected.Worker, 10)
+	}
+	t.logger.Info("worker ejected", "worker", worker, "reason", ejected.Reason.String(),
+		"ejection_time", ejected.EjectionTime)
+}
+
 // endpointsNamedIn returns the ids of the workers that a text names as "worker N", in order.
 func (t *Table) endpointsNamedIn(text string) []string {
 	var ids []string
--- a/internal/requests/log_test.go
+++ b/internal/requests/log_test.go
@@ -91,3 +91,16 @@
 		f.step(t, 0, fmt.Sprintf("msg=dispatcher text=%q%s\n", text, endpoint))
 	}
 }
+
+// An ejection is logged with the endpoint's id, or with the number of a worker that is not listed.
+func TestLogWorkerEjected(t *testing.T) {
+	f := newLogFixture(endpointRange(0, 2))
+	f.step(t, 0, `msg="endpoint list changed"`)
+	for worker, name := range map[uint64]string{hashID("s-1"): "s-1", 17: "17"} {
+		f.policy.Next = append(f.policy.Next, dispatch.WorkerEjected{
+			Worker: worker, Reason: dispatch.EjectedForFailures, EjectionTime: 2 * time.Second,
+		})
+		f.table.DiscoveryFailed()
+		f.step(t, 0, fmt.Sprintf("msg=\"worker ejected\" worker=%s reason=\"consecutive failures\" ejection_time=2s\n", name))
+	}
+}
--- a/internal/requests/policy.go
+++ b/internal/requests/policy.go
@@ -154,8 +154,8 @@
 		if t.TellPeer != nil {
 			t.TellPeer(action.To, action.Message)
 		}
-	case dispatch.Log:
-		t.logPolicyMessage(action.Text)
+	case dispatch.Log, dispatch.WorkerEjected:
+		t.logPolicyAction(action)
 	}
 }
 
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -53,6 +53,8 @@
 		w.writeLine("SUBSCRIBE", instance, field{"on", 1})
 	case dispatch.Log:
 		w.writeText("LOG", instance, action.Text)
+	case dispatch.WorkerEjected:
+		w.writeText("LOG", instance, action.Text())
 	}
 }
 
