--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -22,7 +22,7 @@
 	job := d.newJob(arrival, age)
 	d.observeArrival(job)
 	d.jobs[arrival.ID] = job
-	d.earnCheckTokens()
+	d.checks.earn(d.settings.HealthCheckCost, len(d.fleet.workers))
 	job.bindTimers()
 	d.setTimer(&job.deadlineTimer, job.deadline)
 	d.setTimer(&job.objectiveTimer, job.objectiveAt-d.fastestRun(job, 0))
--- a/dispatch/attemptinfo.go
+++ b/dispatch/attemptinfo.go
@@ -1,49 +1,75 @@
 package dispatch
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
-// newAttempt is the next attempt of a job, sent to a worker at an instant.
-func (d *Dispatcher) newAttempt(j *jobInfo, w *workerInfo, sentAt time.Duration) *attemptInfo {
-	a := &attemptInfo{
-		job: j, number: len(j.attempts), worker: w, zone: w.Zone, cell: w.Cell, sentAt: sentAt, startedAt: sentAt,
-		expectedRun: d.expectedRun(j, w), started: !d.settings.StartNotifications,
+// attemptInfo is the state of one attempt of a job.
+type attemptInfo struct {
+	job         *jobInfo
+	number      int // from 0, by job
+	worker      *workerInfo
+	zone, cell  int // of the worker when it was sent
+	sentAt      time.Duration
+	startedAt   time.Duration
+	progressAt  time.Duration // last notification
+	started     bool
+	ended       bool
+	orphaned    bool          // the worker's process is gone: the attempt uses no slots there any more
+	limitBound  bool          // the concurrency limit bound the worker when it was sent
+	connIdle    time.Duration // how long its connection had been idle; 0: a new one
+	result      Result
+	lease       *leaseInfo    // nil: none
+	expectedRun time.Duration // on this worker
+	timer       timer         // when it should have started, or ended
+}
+
+// newAttempt returns the next attempt of a job, sent to a worker at an instant. It is not yet in flight.
+func (d *Dispatcher) newAttempt(job *jobInfo, worker *workerInfo, sentAt time.Duration) *attemptInfo {
+	attempt := &attemptInfo{
+		job:         job,
+		number:      len(job.attempts),
+		worker:      worker,
+		zone:        worker.Zone,
+		cell:        worker.Cell,
+		sentAt:      sentAt,
+		startedAt:   sentAt,
+		expectedRun: d.expectedRun(job, worker),
+		started:     !d.settings.StartNotifications,
 	}
-	a.timer = timer{purpose: attemptOverdue, attempt: a}
-	return a
+	attempt.timer = timer{purpose: attemptOverdue, attempt: attempt}
+	return attempt
 }
 
-// addAttempt enters an attempt that is in flight with its job and its worker.
-func (d *Dispatcher) addAttempt(a *attemptInfo) {
-	j, w := a.job, a.worker
-	j.attempts = append(j.attempts, a)
-	j.inFlight++
-	w.inFlight = append(w.inFlight, a)
-	w.slots.used += j.demand
-	d.starts.usedSlots += j.demand
-	if !a.started {
-		d.starts.unstarted.add(j.Class, a)
+// addAttempt counts an attempt that is in flight at its job and its worker.
+func (d *Dispatcher) addAttempt(attempt *attemptInfo) {
+	job, worker := attempt.job, attempt.worker
+	job.attempts = append(job.attempts, attempt)
+	job.inFlight++
+	worker.inFlight = append(worker.inFlight, attempt)
+	worker.slots.used += job.demand
+	d.starts.useSlots(job.demand)
+	if !attempt.started {
+		d.starts.unstarted.add(job.Class, attempt)
 	}
 }
 
-// endAttempt enters the end of an attempt with its job and its worker.
+// endAttempt updates an attempt, its job and its worker by the attempt's outcome.
 func (d *Dispatcher) endAttempt(attempt *attemptInfo, outcome Outcome) {
 	job, worker := attempt.job, attempt.worker
-	attempt.ended, attempt.result = true, outcome.Result
+	attempt.ended = true
+	attempt.result = outcome.Result
 	d.releaseLease(attempt, outcome.Result)
 	job.inFlight--
 	worker.connections.lastUsedAt = d.now
 	if attempt.orphaned {
 		worker.orphans--
 	} else {
-		worker.slots.used, d.starts.usedSlots = max(0, worker.slots.used-job.demand), max(0, d.starts.usedSlots-job.demand)
+		worker.slots.used = max(0, worker.slots.used-job.demand)
+		d.starts.releaseSlots(job.demand)
 		worker.inFlight = removeUnordered(worker.inFlight, attempt)
 	}
 	d.cancelTimer(&attempt.timer)
-	d.markDirty(worker)
-	// The report is older than the end that it comes with: the slots that this frees are not in it yet.
+	d.fleet.markDirty(worker)
+	// The report is older than the end that it arrives with: it does not count the slots that this releases.
 	d.applyReport(worker, outcome.Report)
 	if attempt.started && !attempt.orphaned {
 		worker.report.freeSlots += job.demand
@@ -51,58 +77,38 @@
 	}
 }
 
-// findInFlight returns an attempt that is in flight; nil: an event about it is void.
+// findInFlight returns an attempt that is in flight, or nil: an event about another one is ignored.
 func (d *Dispatcher) findInFlight(job uint64, number int, worker uint64) *attemptInfo {
 	j := d.jobs[job]
 	if j == nil || number < 0 || number >= len(j.attempts) {
 		return nil
 	}
-	if a := j.attempts[number]; !a.ended && a.worker.ID == worker {
-		return a
+	if attempt := j.attempts[number]; !attempt.ended && attempt.worker.ID == worker {
+		return attempt
 	}
 	return nil
 }
 
-// cancelAttempts cancels what is in flight of a job.
-func (d *Dispatcher) cancelAttempts(j *jobInfo) {
-	for _, a := range j.attempts {
-		if !a.ended {
-			d.emit(Cancel{Job: j.ID, Attempt: a.number})
+// cancelAttempts cancels the attempts of a job that are in flight.
+func (d *Dispatcher) cancelAttempts(job *jobInfo) {
+	for _, attempt := range job.attempts {
+		if !attempt.ended {
+			d.emit(Cancel{Job: job.ID, Attempt: attempt.number})
 		}
 	}
 }
 
-// onProgressed takes in that an attempt progresses. The notification of its start may have been lost.
-func (d *Dispatcher) onProgressed(a *attemptInfo) {
-	if a != nil {
-		d.onStarted(a)
-		a.progressAt, a.worker.activity.progressAt = d.now, d.now
-	}
-}
-
-// mayBeDropped tells whether its worker may drop an attempt as a repeat: no start is notified then, as it waits for the
-// run of another one.
-func (a *attemptInfo) mayBeDropped() bool {
-	return a.job.class.Idempotency == IdempotentWithKey &&
-		slices.ContainsFunc(a.job.attempts[:a.number], (*attemptInfo).possiblyExecuted)
-}
-
-// silentAt is when a running attempt has been silent for too long: for one and a half intervals of progress.
-func (a *attemptInfo) silentAt(settings *Settings) time.Duration {
-	return a.progressAt + settings.ProgressInterval*3/2
-}
-
-// TimeUntilOverdue is how much longer an attempt may take before it is overlong by what was expected of its job; not ok:
-// it is not in flight.
+// TimeUntilOverdue returns how much longer an attempt may take before it is overdue by what was expected of its job. ok
+// is false if it is not in flight.
 func (d *Dispatcher) TimeUntilOverdue(job uint64, attempt int) (remaining time.Duration, ok bool) {
 	j := d.jobs[job]
 	if j == nil || attempt < 0 || attempt >= len(j.attempts) || j.attempts[attempt].ended {
 		return 0, false
 	}
-	a := j.attempts[attempt]
-	remaining = d.maxPlausibleRun(a)
-	if a.started {
-		remaining = max(0, remaining-(d.now-a.startedAt))
+	inFlight := j.attempts[attempt]
+	remaining = d.maxPlausibleRun(inFlight)
+	if inFlight.started {
+		remaining = max(0, remaining-(d.now-inFlight.startedAt))
 	}
 	return remaining, true
 }
--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -228,7 +228,7 @@
 		s.d.backOff(s.d.fleet.byID[2], 200*ms)
 		s.busy(1)
 		s.d.fleet.byID[1].slots.limit = 5
-		s.d.markDirty(s.d.fleet.byID[1])
+		s.d.fleet.markDirty(s.d.fleet.byID[1])
 		s.step(s.job(2, 0, 300*ms))
 		expectJobs(t, taken[Send](s), 2)
 		s.wait(100 * ms)
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -50,7 +50,7 @@
 		s.step(Started{Job: id, Worker: 1}, s.done(id, 0, 1, OK))
 		delay += delay / 5
 	}
-	if got := s.d.promptStart(&s.d.settings.Classes[1]); got > 120*ms {
+	if got := s.d.starts.promptStart(&s.d.settings.Classes[1]); got > 120*ms {
 		t.Fatalf("a start within %v counts as prompt", got)
 	}
 }
--- a/dispatch/concurrency.go
+++ b/dispatch/concurrency.go
@@ -1,24 +1,19 @@
 package dispatch
 
+// Concurrency limits, by the design's sentence: each worker starts with room for one job; room grows by
+// one when a job starts promptly, and halves on a rejection or failure. Halves are rounded down, and
+// one is the least. In addition a limit falls by one on a late start.
+
 import (
 	"math"
 	"slices"
 	"time"
 )
 
-// Concurrency limits, the design's room rule: each worker starts with room for one job; the limit grows
-// by one when a job that it bounded starts promptly, and halves on a rejection or failure. Halves are
-// rounded down, and one is the least.
-
 const (
-	promptDivisor    = 4                      // a start within the objective divided by this is prompt
-	minLateOverflows = 2                      // late starts with as many slots running as a kind ever had
-	silenceFactor    = 3                      // unstarted for so many mean late starts: lost, not queued
-	lateStartDivisor = 10                     // the mean of late starts follows the last ten or so
+	minLateOverflows = 2                      // late starts beyond the most slots seen: these are a bound then
 	minBackoff       = 500 * time.Millisecond // after a rejection
 	maxBackoff       = 8 * time.Second
-	maxLateShare     = 0.5 // late attempts in the fleet, as a part of our other slots in use
-	manyReplicas     = 8   // more dispatchers than these are many: most have little work each
 )
 
 // slotLimit counts the slots that this dispatcher uses at a worker, against its own concurrency limit.
@@ -30,119 +25,134 @@
 	rejectedDemand float64       // the worker has rejected a job of this demand while idle; 0: none
 }
 
+// isExceededBy tells whether a further demand would exceed the limit or a bound.
+func (s *slotLimit) isExceededBy(demand, bound float64) bool {
+	return s.used+demand > min(s.limit, bound)
+}
+
+// rejects tells whether the worker has rejected this demand, or a smaller one, while idle.
+func (s *slotLimit) rejects(demand float64) bool {
+	return s.rejectedDemand > 0 && demand >= s.rejectedDemand
+}
+
+// increase answers the prompt start of an attempt that the limit had bound.
+func (s *slotLimit) increase(demand float64) {
+	s.limit = max(s.limit, s.running+demand) + 1
+}
+
+// decrease answers a late start.
+func (s *slotLimit) decrease(now time.Duration) {
+	s.decreasedAt = now
+	s.limit = max(1, s.limit-1)
+}
+
+// halve answers a rejection or failure.
+func (s *slotLimit) halve(now time.Duration) {
+	s.decreasedAt = now
+	s.limit = max(1, math.Floor(s.limit/2))
+}
+
+// predates tells whether an attempt was sent before the latest decrease: its outcome is due to the same
+// event.
+func (s *slotLimit) predates(attempt *attemptInfo) bool { return attempt.sentAt < s.decreasedAt }
+
 // backoffState is how long a worker is sent nothing after a rejection.
 type backoffState struct {
 	delay time.Duration // doubles with each rejection; 0: the latest attempt started promptly
 	until time.Duration
 }
 
+// extend begins a backoff of at least the given delay, and of twice the latest one.
+func (b *backoffState) extend(minDelay, now time.Duration) {
+	b.delay = min(max(minDelay, 2*b.delay), maxBackoff)
+	b.until = now + b.delay
+}
+
+// mayHaveCapacity tells whether a selection needs to see the worker.
+func (w *workerInfo) mayHaveCapacity(now time.Duration) bool {
+	hasSlot := w.slots.used == 0 || w.slots.used+1 <= w.slots.limit
+	return w.Ready && now >= w.backoff.until && hasSlot
+}
+
 // hasCapacity tells whether a worker can start a job now, as far as is known.
 func (d *Dispatcher) hasCapacity(job *jobInfo, worker *workerInfo) bool {
-	if worker.rejects(job) || worker == d.reservation.worker && job != d.reservation.job ||
-		worker.slots.used > 0 && worker.slots.used+job.demand > min(worker.slots.limit, d.maxSlots(worker)) {
+	if worker.slots.rejects(job.demand) || d.reservation.excludes(job, worker) {
 		return false
 	}
-	if d.showsQueue(worker, d.promptStart(job.class)) {
+	isIdle := worker.slots.used <= 0 // an idle worker may be sent a job of any demand
+	if !isIdle && worker.slots.isExceededBy(job.demand, d.maxSlots(worker)) {
 		return false
 	}
-	free, fresh := d.reportedFreeSlots(worker)
+	if worker.showsQueue(d.starts.promptStart(job.class), d.now) {
+		return false
+	}
+	free, fresh := worker.reportedFreeSlots(d.now)
 	return !fresh || free >= min(job.demand, 1)
 }
 
-// showsQueue tells whether an attempt that has not started in time shows a queue at a worker.
-func (d *Dispatcher) showsQueue(worker *workerInfo, promptStart time.Duration) bool {
-	return slices.ContainsFunc(worker.inFlight, func(attempt *attemptInfo) bool {
-		return !attempt.started && d.now-attempt.sentAt > promptStart && !attempt.mayBeDropped()
+// showsQueue tells whether an attempt that has not started in time shows a queue at the worker.
+func (w *workerInfo) showsQueue(promptStart, now time.Duration) bool {
+	return slices.ContainsFunc(w.inFlight, func(attempt *attemptInfo) bool {
+		return !attempt.started && now-attempt.sentAt > promptStart && !attempt.mayBeDropped()
 	})
 }
 
-// rejects tells whether a worker has rejected a job as large as this while idle.
-func (w *workerInfo) rejects(j *jobInfo) bool {
-	return w.slots.rejectedDemand > 0 && j.demand >= w.slots.rejectedDemand
-}
-
-// promptStart is how soon a start comes where there is capacity, by the least delay: a mean follows queues.
-func (d *Dispatcher) promptStart(c *Class) time.Duration {
-	return 2*d.starts.minDelay + c.LatencyObjective/promptDivisor
-}
-
-// maxSlots is the most of our slots seen running on a worker of the kind, once a few sent beyond have started
-// late. The limit alone drifts past it: where one job ends as the next comes, the next starts promptly.
-func (d *Dispatcher) maxSlots(w *workerInfo) float64 {
-	if k := d.machineKind(w.Kind); k.lateOverflows >= minLateOverflows {
-		return k.maxSlots
+// maxSlots returns the greatest number of this dispatcher's slots seen running on a worker of the kind,
+// once a few attempts beyond it have started late; infinity until then. The limit alone would grow past
+// it: an attempt sent just as another one ends starts promptly.
+func (d *Dispatcher) maxSlots(worker *workerInfo) float64 {
+	if kind := d.machineKind(worker.Kind); kind.lateOverflows >= minLateOverflows {
+		return kind.maxSlots
 	}
 	return math.Inf(1)
 }
 
-// adjustLimit answers a start. The paper's design says nothing of a late one; without an answer a limit that
-// has grown too far stays so, and the worker's own queue brings back head-of-line blocking.
-func (d *Dispatcher) adjustLimit(attempt *attemptInfo, prompt bool) {
+// adjustLimit answers the start of an attempt, or that it is late. The design names no answer to a late
+// start; without one a limit that has grown too far would stay, and the worker's own queue would block
+// short jobs behind long ones.
+func (d *Dispatcher) adjustLimit(attempt *attemptInfo, isPrompt bool) {
 	worker := attempt.worker
-	d.observeBusy(worker, !prompt)
-	d.markDirty(worker)
-	if prompt {
+	d.fleet.observeBusy(worker.Zone, !isPrompt)
+	d.fleet.markDirty(worker)
+	if isPrompt {
 		worker.backoff.delay = 0
 		if attempt.limitBound {
-			worker.slots.limit = max(worker.slots.limit, worker.slots.running+attempt.job.demand) + 1
+			worker.slots.increase(attempt.job.demand)
 		}
 		return
 	}
-	if attempt.sentAt < worker.slots.decreasedAt { // an older attempt tells nothing new
+	if worker.slots.predates(attempt) {
 		return
 	}
-	if k := d.machineKind(worker.Kind); worker.slots.running >= k.maxSlots {
-		k.lateOverflows++
+	if kind := d.machineKind(worker.Kind); worker.slots.running >= kind.maxSlots {
+		kind.lateOverflows++
 	}
-	// One slot for each of several dispatchers is still a queue: back off for as long as this attempt waited.
+	// One slot for each of several dispatchers is still a queue: back off for as long as this attempt
+	// waited.
 	if worker.slots.limit <= 1 && d.settings.Replicas > 1 {
-		d.backOff(worker, d.now-attempt.sentAt)
+		worker.backoff.extend(d.now-attempt.sentAt, d.now)
 	}
-	worker.slots.decreasedAt, worker.slots.limit = d.now, max(1, worker.slots.limit-1)
+	worker.slots.decrease(d.now)
 }
 
-// halveLimit answers a rejection or failure. What was sent before the last decrease tells of the same event.
-func (d *Dispatcher) halveLimit(a *attemptInfo) {
-	if w := a.worker; a.sentAt >= w.slots.decreasedAt {
-		w.slots.decreasedAt, w.slots.limit = d.now, max(1, math.Floor(w.slots.limit/2))
-		d.markDirty(w)
+// halveLimit answers a rejection or failure.
+func (d *Dispatcher) halveLimit(attempt *attemptInfo) {
+	worker := attempt.worker
+	if worker.slots.predates(attempt) {
+		return
 	}
+	worker.slots.halve(d.now)
+	d.fleet.markDirty(worker)
 }
 
-// backOff leaves a worker alone, longer each time until an attempt starts promptly there.
-func (d *Dispatcher) backOff(w *workerInfo, least time.Duration) {
-	w.backoff.delay = min(max(least, 2*w.backoff.delay), maxBackoff)
-	w.backoff.until = d.now + w.backoff.delay
-	d.markDirty(w)
+// backOff sends nothing to a worker for a while, longer each time until an attempt starts promptly there.
+func (d *Dispatcher) backOff(worker *workerInfo, minDelay time.Duration) {
+	worker.backoff.extend(minDelay, d.now)
+	d.fleet.markDirty(worker)
 }
 
-// isBackedUp is the limit of the fleet: several dispatchers with few jobs each fill all queues though every
-// limit is one. A pilot goes all the same, and the next when that has started or is as late as others are.
+// isBackedUp tells whether no more jobs may be sent in this cycle but one now and then; see
+// startMonitor. Many dispatchers with little work each do not bound themselves.
 func (d *Dispatcher) isBackedUp() bool {
-	return d.settings.Replicas <= manyReplicas && d.starts.lateCount > maxLateShare*(d.starts.usedSlots-d.starts.lateCount) &&
-		d.now-d.starts.lastSentAt < d.starts.meanLateDelay
-}
-
-// mayHaveCapacity tells whether searches need to see a worker.
-func (d *Dispatcher) mayHaveCapacity(w *workerInfo) bool {
-	return w.Ready && d.now >= w.backoff.until && (w.slots.used == 0 || w.slots.used+1 <= w.slots.limit)
-}
-
-// countLateAttempts counts the attempts that start late, one for each job: a wide job waits more often than
-// others.
-func (d *Dispatcher) countLateAttempts() {
-	isLate := func(class int, a *attemptInfo) bool {
-		return d.now-a.sentAt > d.promptStart(&d.settings.Classes[class])
-	}
-	isOver := func(a *attemptInfo) bool {
-		return a.started || a.ended || d.now-a.sentAt >= silenceFactor*d.starts.meanLateDelay
-	}
-	d.starts.unstarted.update(isLate, isOver)
-	d.starts.lateCount = 0
-	for _, a := range d.starts.unstarted.late {
-		isLatest := a.number == len(a.job.attempts)-1
-		if a.job.heapIndex < 0 && !a.job.closed && isLatest && !a.mayBeDropped() {
-			d.starts.lateCount++
-		}
-	}
+	return d.settings.Replicas <= manyReplicas && d.starts.isBackedUp(d.now)
 }
--- a/dispatch/connections.go
+++ b/dispatch/connections.go
@@ -1,7 +1,8 @@
 package dispatch
 
-// Idle connections: how long one may have been idle to be trusted with an attempt. The design is silent
-// on it; what is lost on a connection that was dropped unseen was possibly executed.
+// Idle connections: for how long a connection may have been idle to be reused for an attempt. A
+// connection that was dropped unnoticed loses the attempt, which was then possibly executed. The design
+// does not cover this.
 
 import (
 	"math/bits"
@@ -9,11 +10,11 @@
 )
 
 const (
-	idleBuckets    = 20               // of idle times
-	idleMemory     = 10 * time.Second // outcomes on idle connections are forgotten after this
-	maxIdleSpan    = 10 * time.Second // after this a bound on idle times is doubled
-	minIdleFailing = 1.5              // recent failures: two, less what is forgotten of them
-	careDivisor    = 4                // jobs not safe to repeat trust connections for this part of the time
+	idleBuckets              = 20               // of idle times
+	idleOutcomeDecayTime     = 10 * time.Second // time constant of the decay of counted outcomes
+	maxIdleDoublingInterval  = 10 * time.Second // a bound on idle times is doubled each time this has passed
+	minIdleFailures          = 1.5              // that set a bound: two recent ones, less their decay
+	nonIdempotentIdleDivisor = 4                // of the bound, for jobs that are not idempotent
 )
 
 // connectionHistory bounds the idle time of connections by how attempts on idle connections have fared.
@@ -29,23 +30,24 @@
 	lastUsedAt time.Duration // the latest end of an attempt
 }
 
-// idleHistory counts how attempts fared by how long their connections had been idle: bucket n is from 2^n
-// to 2^(n+1) milliseconds.
-type idleHistory [idleBuckets]outcomeCounts
+// idleHistory counts the outcomes of attempts by how long their connections had been idle. Bucket n is
+// from 2^n to 2^(n+1) milliseconds.
+type idleHistory [idleBuckets]idleOutcomes
 
-type outcomeCounts struct{ succeeded, failed float64 }
+// idleOutcomes are decaying counts.
+type idleOutcomes struct{ succeeded, failed float64 }
 
-func (c *outcomeCounts) add(success bool) {
+func (o *idleOutcomes) add(success bool) {
 	if success {
-		c.succeeded++
+		o.succeeded++
 	} else {
-		c.failed++
+		o.failed++
 	}
 }
 
-// sumFrom is the sum over a bucket and all that are longer.
-func (h *idleHistory) sumFrom(bucket int) outcomeCounts {
-	var sum outcomeCounts
+// sumFrom returns the sum over a bucket and all of longer idle times.
+func (h *idleHistory) sumFrom(bucket int) idleOutcomes {
+	var sum idleOutcomes
 	for _, counts := range h[bucket:] {
 		sum.succeeded += counts.succeeded
 		sum.failed += counts.failed
@@ -60,59 +62,72 @@
 	}
 }
 
-// idleBucket is the bucket of an idle time, and minIdleOf the least that a bucket stands for.
+// idleBucket returns the bucket of an idle time.
 func idleBucket(idle time.Duration) int {
 	return min(max(bits.Len64(uint64(idle/time.Millisecond))-1, 0), idleBuckets-1)
 }
 
+// minIdleOf returns the least idle time of a bucket.
 func minIdleOf(bucket int) time.Duration { return time.Millisecond << bucket }
 
-// observeIdleConnection takes in how an attempt on an idle connection went. Where of connections idle for
-// so long or longer two have failed of late, and more than succeeded, the connections are at fault and not
-// the workers: a rack that is silent has but its part of them.
-func (d *Dispatcher) observeIdleConnection(a *attemptInfo, success bool) {
-	if a.connIdle == 0 {
+// observe counts the outcome of an attempt on a connection that had been idle; idle 0 is a new
+// connection, and not counted. A failure bounds idle times by the longest one from which on there were
+// at least two recent failures, and more than successes: then the connections are at fault and not the
+// workers, as the workers of one silent rack have only a part of the idle connections.
+func (c *connectionHistory) observe(idle time.Duration, success bool, now time.Duration) {
+	if idle == 0 {
 		return
 	}
-	bucket := idleBucket(a.connIdle)
-	d.idleConnections.outcomes[bucket].add(success)
+	bucket := idleBucket(idle)
+	c.outcomes[bucket].add(success)
 	if success {
 		return
 	}
 	for ; bucket >= 0; bucket-- {
-		sum := d.idleConnections.outcomes.sumFrom(bucket)
-		if sum.failed > minIdleFailing && sum.failed > sum.succeeded {
-			d.idleConnections.maxIdle, d.idleConnections.maxIdleSetAt = minIdleOf(bucket), d.now
+		sum := c.outcomes.sumFrom(bucket)
+		if sum.failed > minIdleFailures && sum.failed > sum.succeeded {
+			c.maxIdle = minIdleOf(bucket)
+			c.maxIdleSetAt = now
 			return
 		}
 	}
 }
 
-// decayIdleConnections forgets by and by what was observed of them.
-func (d *Dispatcher) decayIdleConnections() {
-	d.idleConnections.outcomes.decay(1 - maintenanceInterval.Seconds()/idleMemory.Seconds())
-	if d.idleConnections.maxIdle > 0 && d.now-d.idleConnections.maxIdleSetAt > maxIdleSpan {
-		d.idleConnections.maxIdle, d.idleConnections.maxIdleSetAt = 2*d.idleConnections.maxIdle, d.now
+// decay reduces the counts by one maintenance interval, and doubles the bound when it is due.
+func (c *connectionHistory) decay(now time.Duration) {
+	c.outcomes.decay(1 - maintenanceInterval.Seconds()/idleOutcomeDecayTime.Seconds())
+	if c.maxIdle > 0 && now-c.maxIdleSetAt > maxIdleDoublingInterval {
+		c.maxIdle *= 2
+		c.maxIdleSetAt = now
 	}
 }
 
-// guardConnection guards against connections dropped unseen while idle: what is sent on one is lost. Those
-// idle for longer than has lately gone well are closed first.
-func (d *Dispatcher) guardConnection(attempt *attemptInfo) {
-	worker, maxIdle, idle := attempt.worker, d.idleConnections.maxIdle, d.now-attempt.worker.connections.lastUsedAt
-	if attempt.job.class.Idempotency != Idempotent {
-		maxIdle /= careDivisor
+// allows tells whether a connection that has been idle for some time may be used for a job of a class.
+func (c *connectionHistory) allows(idle time.Duration, class *Class) bool {
+	maxIdle := c.maxIdle
+	if class.Idempotency != Idempotent {
+		maxIdle /= nonIdempotentIdleDivisor
 	}
+	return c.maxIdle <= 0 || idle <= maxIdle
+}
+
+// prepareConnection determines the connection of a new attempt: a new one if none is idle, else an idle
+// one. If the idle ones have been so for too long they are closed first, and a new one is opened.
+func (d *Dispatcher) prepareConnection(attempt *attemptInfo) {
+	worker := attempt.worker
+	connections := &worker.connections
+	idle := d.now - connections.lastUsedAt
 	if d.settings.ConnIdleTimeout > 0 && idle >= d.settings.ConnIdleTimeout {
-		worker.connections.open = min(worker.connections.open, len(worker.inFlight)-1)
+		connections.open = min(connections.open, len(worker.inFlight)-1)
 	}
-	if worker.connections.open < len(worker.inFlight) { // a new one is opened
-		worker.connections.open = len(worker.inFlight)
+	if connections.open < len(worker.inFlight) {
+		connections.open = len(worker.inFlight)
 		return
 	}
-	attempt.connIdle = idle
-	if d.idleConnections.maxIdle > 0 && idle > maxIdle {
+	if !d.idleConnections.allows(idle, attempt.job.class) {
 		d.emit(CloseIdleConnections{Worker: worker.ID})
-		attempt.connIdle, worker.connections.open = 0, len(worker.inFlight)
+		connections.open = len(worker.inFlight)
+		return
 	}
+	attempt.connIdle = idle
 }
--- a/dispatch/coordinator.go
+++ b/dispatch/coordinator.go
@@ -249,7 +249,7 @@
 	slots := coordinator.slotsOf(worker.ID)
 	isBound := slots.used+request.Demand+1 > slots.limit
 	if d.warmUpShare(worker) < 1 {
-		slots.warmUpSpends = append(slots.warmUpSpends, workSample{at: d.now, work: request.Work})
+		slots.warmUpWork = append(slots.warmUpWork, workSample{at: d.now, work: request.Work})
 	}
 	lease := &grantedLease{
 		key:    key,
@@ -289,7 +289,7 @@
 // canLease tells whether a worker may be leased for a job, as far as its coordinator knows.
 func (d *Dispatcher) canLease(request *LeaseRequest, worker *workerInfo, slots *workerSlots) bool {
 	class := &d.settings.Classes[request.Class]
-	if !worker.Ready || d.isEjected(worker) || d.now < slots.suspendedUntil {
+	if !worker.Ready || d.outliers.isEjected(worker) || d.now < slots.suspendedUntil {
 		return false
 	}
 	if !class.allows(worker.Kind, worker.Zone) || slices.Contains(request.Excluded, worker.ID) {
--- a/dispatch/cordon.go
+++ b/dispatch/cordon.go
@@ -1,8 +1,12 @@
 package dispatch
 
+// Cordons: workers that operators keep new jobs from. The design does not cover them; its "ready
+// worker" is one that is ready by the list and not cordoned.
+
 import "time"
 
-// Cordons: workers that operators keep from new jobs. The design is silent on them.
+// uncordonedIdleDelay is how long an uncordoned worker must be idle before it is sent late jobs too.
+const uncordonedIdleDelay = 2 * time.Second
 
 // cordons are the workers that operators have cordoned, listed or not.
 type cordons struct {
@@ -12,55 +16,67 @@
 
 func newCordons() cordons { return cordons{since: map[uint64]time.Duration{}} }
 
-const uncordonedWait = 2 * time.Second // idle for this, an uncordoned worker gets late jobs too
+// add cordons a worker. One that is cordoned already keeps its instant.
+func (c *cordons) add(worker uint64, now time.Duration) {
+	if !c.contains(worker) {
+		c.since[worker] = now
+	}
+}
+
+// remove uncordons a worker, and returns since when it was cordoned. ok is false if it was not.
+func (c *cordons) remove(worker uint64) (since time.Duration, ok bool) {
+	since, ok = c.since[worker]
+	delete(c.since, worker)
+	return since, ok
+}
+
+func (c *cordons) contains(worker uint64) bool {
+	_, ok := c.since[worker]
+	return ok
+}
 
-// cordon keeps all new jobs from a worker; what is in flight goes on.
-func (d *Dispatcher) cordon(id uint64) {
-	if _, isCordoned := d.cordons.since[id]; !isCordoned {
-		d.cordons.since[id] = d.now
+// updateCoverage recomputes coverFleet. Call it after a change of the cordons or of the list.
+func (c *cordons) updateCoverage(workers []*workerInfo) {
+	c.coverFleet = len(c.since) > 0 && len(workers) > 0
+	for _, w := range workers {
+		c.coverFleet = c.coverFleet && (!w.listed || c.contains(w.ID))
 	}
+}
+
+// handleCordoned keeps all new jobs from a worker. Attempts in flight there are not cancelled.
+func (d *Dispatcher) handleCordoned(id uint64) {
+	d.cordons.add(id, d.now)
 	if w := d.fleet.byID[id]; w != nil {
 		w.Ready = false
-		d.markDirty(w)
+		d.fleet.markDirty(w)
 	}
-	d.updateAllCordoned()
+	d.cordons.updateCoverage(d.fleet.workers)
 }
 
-// uncordon ends that. The worker counts as restarted: it warms up, and what was in flight there is lost.
-func (d *Dispatcher) uncordon(id uint64) {
-	since, wasCordoned := d.cordons.since[id]
-	delete(d.cordons.since, id)
-	d.updateAllCordoned()
+// handleUncordoned ends a cordon. The worker counts as restarted: it warms up, and its attempts in
+// flight are given up.
+func (d *Dispatcher) handleUncordoned(id uint64) {
+	since, wasCordoned := d.cordons.remove(id)
+	d.cordons.updateCoverage(d.fleet.workers)
 	worker := d.fleet.byID[id]
 	if worker == nil || !wasCordoned {
 		return
 	}
-	worker.forgetFaults()
+	worker.clearFaults()
 	if worker.BootAt <= since {
 		worker.slowStart.restartedAt = d.now
 	}
-	worker.Ready, worker.uncordonedAt = worker.listedReady, d.now
+	worker.Ready = worker.listedReady
+	worker.uncordonedAt = d.now
 	for _, a := range d.orphanAttempts(worker) {
 		d.retryElsewhere(a.job)
 	}
-	d.markDirty(worker)
-}
-
-// mayTryUncordoned lets an idempotent job that would be late try a worker that was uncordoned and left idle.
-func (d *Dispatcher) mayTryUncordoned(j *jobInfo, w *workerInfo) bool {
-	return w.uncordonedAt > 0 && d.now-w.uncordonedAt > uncordonedWait && j.class.Idempotency == Idempotent
+	d.fleet.markDirty(worker)
 }
 
-// isCordoned tells whether a worker is kept from jobs by the operators.
-func (d *Dispatcher) isCordoned(w *workerInfo) bool {
-	_, is := d.cordons.since[w.ID]
-	return is
-}
-
-// updateAllCordoned notes whether all listed workers are cordoned.
-func (d *Dispatcher) updateAllCordoned() {
-	d.cordons.coverFleet = len(d.cordons.since) > 0 && len(d.fleet.workers) > 0
-	for _, w := range d.fleet.workers {
-		d.cordons.coverFleet = d.cordons.coverFleet && (!w.listed || d.isCordoned(w))
-	}
+// acceptsLate tells whether a worker may be sent a job although it would be late there: an idempotent
+// job may try a worker that was uncordoned and has been sent nothing since.
+func (w *workerInfo) acceptsLate(job *jobInfo, now time.Duration) bool {
+	isIdle := w.uncordonedAt > 0 && now-w.uncordonedAt > uncordonedIdleDelay
+	return isIdle && job.class.Idempotency == Idempotent
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -56,8 +56,7 @@
 	d.timers.moved = func(x *timer, i int) { x.heapIndex = i + 1 }
 	d.placementGroups = placementGroups(d.settings.Classes)
 	d.queue = newJobQueue(len(d.settings.Classes))
-	d.starts.unstarted.pending = make([][]*attemptInfo, len(d.settings.Classes))
-	d.starts.unstarted.first = make([]int, len(d.settings.Classes))
+	d.starts.unstarted = newStartTracker(len(d.settings.Classes))
 	d.directory = newPeerDirectory(&d.settings)
 	d.client = newLeaseClient()
 	d.coordinator = newCoordinator()
@@ -100,17 +99,17 @@
 	case Outcome:
 		d.handleOutcome(event)
 	case Started:
-		d.onStarted(d.findInFlight(event.Job, event.Attempt, event.Worker))
+		d.handleStarted(d.findInFlight(event.Job, event.Attempt, event.Worker))
 	case Progressed:
-		d.onProgressed(d.findInFlight(event.Job, event.Attempt, event.Worker))
+		d.handleProgressed(d.findInFlight(event.Job, event.Attempt, event.Worker))
 	case ResponseStarted:
 		d.handleResponseStarted(d.findInFlight(event.Job, event.Attempt, event.Worker))
 	case ClientDisconnected:
 		d.closeJob(d.jobs[event.Job])
 	case HealthChecked:
-		d.onHealthChecked(event)
+		d.handleHealthChecked(event)
 	case TimerFired:
-		d.measureStall()
+		d.stalls.handleTimer(d.timerAt, d.now)
 	default:
 		d.handlePeerEvent(event)
 	}
@@ -128,9 +127,9 @@
 	case PeerMessageReceived:
 		d.onPeerMessage(event)
 	case Cordoned:
-		d.cordon(event.Worker)
+		d.handleCordoned(event.Worker)
 	case Uncordoned:
-		d.uncordon(event.Worker)
+		d.handleUncordoned(event.Worker)
 	}
 }
 
@@ -145,11 +144,11 @@
 	case jobObjective:
 		d.handleObjectivePassed(fired.job)
 	case attemptOverdue:
-		d.onOverdue(fired.attempt)
+		d.handleOverdue(fired.attempt)
 	case leaseOverdue:
 		d.onLeaseOverdue(fired.lease)
 	case workerAvailable:
-		d.markDirty(fired.worker)
+		d.fleet.markDirty(fired.worker)
 	}
 }
 
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -110,7 +110,7 @@
 		s.wait(3 * time.Second)
 		s.step(Cordoned{Worker: 1})
 		s.step(Uncordoned{Worker: 1})
-		s.wait(uncordonedWait + 10*ms)
+		s.wait(uncordonedIdleDelay + 10*ms)
 		s.take()
 		s.step(s.job(1, 0, 300*ms)) // far too long for its objective on a warming worker
 		expectJobs(t, taken[Send](s), 1)
--- a/dispatch/estimates.go
+++ b/dispatch/estimates.go
@@ -59,14 +59,6 @@
 	d.overrunFactor[a.job.Class] = max(d.overrunFactor[a.job.Class], factor)
 }
 
-// observeBusy learns by zone how likely a worker has no free slot, as too little is seen of each worker.
-func (d *Dispatcher) observeBusy(w *workerInfo, busy bool) {
-	d.fleet.zoneBusy[w.Zone] *= 1 - busyGain
-	if busy {
-		d.fleet.zoneBusy[w.Zone] += busyGain
-	}
-}
-
 // observeSlots takes in that so many slots of a worker were free or running at once.
 func (d *Dispatcher) observeSlots(w *workerInfo, slots float64) {
 	if k := d.machineKind(w.Kind); d.warmUpShare(w) == 1 && slots > k.maxSlots {
@@ -79,22 +71,8 @@
 	for i, field := range d.settings.ReportFields {
 		if field == ReportFieldFreeSlots && i < len(report) && !math.IsNaN(report[i]) {
 			w.report.freeSlots, w.report.receivedAt = max(0, report[i]), d.now
-			d.observeBusy(w, w.report.freeSlots < minFreeSlots)
+			d.fleet.observeBusy(w.Zone, w.report.freeSlots < minFreeSlots)
 			d.observeSlots(w, math.Floor(w.report.freeSlots))
 		}
 	}
 }
-
-// reportedFreeSlots is what a worker's last report leaves after what was sent since, and whether the report is fresh.
-func (d *Dispatcher) reportedFreeSlots(w *workerInfo) (free float64, fresh bool) {
-	if w.report.receivedAt == 0 {
-		return 0, false
-	}
-	free = w.report.freeSlots
-	for _, a := range w.inFlight {
-		if a.sentAt > w.report.receivedAt-reportLag {
-			free -= a.job.demand
-		}
-	}
-	return free, d.now-w.report.receivedAt < maxReportAge
-}
--- a/dispatch/healthcheck.go
+++ b/dispatch/healthcheck.go
@@ -1,16 +1,17 @@
 package dispatch
 
-import "time"
+// Health checks of workers before a choice, where settings allow them. The design chooses among the
+// workers able to start the job now; a check's load report shows whether one is. It does not cover
+// checks themselves.
 
-// Health checks of workers before a choice, where settings allow them and at a bounded price. The design
-// is silent on them.
+import "time"
 
 const (
-	healthCheckBudget = 0.006                  // part of the result that health checks may cost
-	checksPerJob      = 3                      // workers checked for a job
-	checkSamples      = 8                      // workers drawn to find one of them
-	minCheckInterval  = 100 * time.Millisecond // between two checks of a worker
-	checkWaitDivisor  = 16                     // a job waits for answers for this part of its objective
+	healthCheckBudget   = 0.006                  // fraction of the result that health checks may cost
+	checksPerJob        = 3                      // workers checked for a job, at most
+	checkSampleSize     = 8                      // workers drawn to choose one of them
+	minCheckInterval    = 100 * time.Millisecond // between two checks of a worker
+	checkTimeoutDivisor = 16                     // of the objective: a job waits for this, and a round trip
 )
 
 // healthChecker holds the budget of health checks and their fastest answer.
@@ -25,78 +26,88 @@
 	startedAt  time.Duration
 }
 
-// earnCheckTokens adds what one job pays for health checks: as many as their budget allows at their price.
-func (d *Dispatcher) earnCheckTokens() {
-	affordable := healthCheckBudget / max(d.settings.HealthCheckCost, 1e-9)
+// earn adds the checks that one job pays for: as many as their budget allows at the given cost of a
+// check. No more are saved up than there are workers.
+func (h *healthChecker) earn(cost float64, workers int) {
+	affordable := healthCheckBudget / max(cost, 1e-9)
 	earned := min(checksPerJob, affordable)
-	d.checks.tokens = min(d.checks.tokens+earned, float64(len(d.fleet.workers)))
+	h.tokens = min(h.tokens+earned, float64(workers))
 }
 
-// requestChecks has a few workers checked for a job, which waits a moment for their reports.
-func (d *Dispatcher) requestChecks(j *jobInfo) {
+// requestChecks checks a few workers for a new job, which then waits for a moment for their reports.
+func (d *Dispatcher) requestChecks(job *jobInfo) {
 	for n := 0; n < checksPerJob && d.settings.HealthChecks && d.checks.tokens >= 1; n++ {
-		w := d.chooseCheck(j)
-		if w == nil {
+		worker := d.chooseCheck(job)
+		if worker == nil {
 			return
 		}
-		w.check.inProgress, w.check.startedAt = true, d.now
+		worker.check = checkState{inProgress: true, startedAt: d.now}
 		d.checks.tokens--
-		d.emit(HealthCheck{Worker: w.ID})
-		j.checksUntil = d.now + 2*d.starts.minDelay + j.class.LatencyObjective/checkWaitDivisor
-		d.setTimer(&j.checksTimer, j.checksUntil)
+		d.emit(HealthCheck{Worker: worker.ID})
+		job.checksUntil = d.now + 2*d.starts.minDelay + job.class.LatencyObjective/checkTimeoutDivisor
+		d.setTimer(&job.checksTimer, job.checksUntil)
 	}
 }
 
-// checkCandidates are the workers that one is drawn from to be checked. Where searches go by preference these
-// are such as the next one looks at: a check of any other tells nothing of use, and opens a connection.
+// checkCandidates returns the workers that one to be checked is drawn from, in dst if that is large
+// enough. In a large fleet these are preferred workers: a check of any other opens a connection, and
+// its report is not used.
 func (d *Dispatcher) checkCandidates(dst []*workerInfo) []*workerInfo {
+	workers := d.fleet.workers
 	if !d.fleet.available.isOrdered() {
-		return d.fleet.workers
+		return workers
 	}
-	bucket := d.fleet.workers[d.rng.IntN(len(d.fleet.workers))].index.bucket
+	bucket := workers[d.rng.IntN(len(workers))].index.bucket
 	if bucket == nil || !bucket.isSteady() || len(bucket.levels[0]) == 0 {
-		return d.fleet.workers
+		return workers
 	}
 	return appendPreferred(dst, bucket.levels[0], d.fleet.available.preferredCount(bucket))
 }
 
-// chooseCheck is the worker not checked for longest, of some drawn at random, so that not all dispatchers
-// check the same ones. Those of other zones are checked as far as our own is the busier.
-func (d *Dispatcher) chooseCheck(j *jobInfo) (oldest *workerInfo) {
-	own := d.settings.Zone
+// chooseCheck returns the worker whose latest check is the oldest, of some drawn at random, so that not
+// all dispatchers check the same ones. Those of other zones are drawn by how much busier this
+// dispatcher's own is. It returns nil if none is due.
+func (d *Dispatcher) chooseCheck(job *jobInfo) (oldest *workerInfo) {
+	zoneBusy, own := d.fleet.zoneBusy, d.settings.Zone
 	var buffer [preferredWorkers]*workerInfo
 	candidates := d.checkCandidates(buffer[:0])
-	for range min(len(candidates), checkSamples) {
-		w := candidates[d.rng.IntN(len(candidates))]
-		isNear := w.Zone == own || d.rng.Float64() < d.fleet.zoneBusy[own]*(1-d.fleet.zoneBusy[w.Zone])
-		isDue := w.Ready && !w.check.inProgress && d.now-w.check.startedAt >= minCheckInterval
-		if isDue && j.class.allows(w.Kind, w.Zone) && (isNear || d.settings.CrossZoneCost == 0) &&
-			(oldest == nil || w.check.startedAt < oldest.check.startedAt) {
-			oldest = w
+	for range min(len(candidates), checkSampleSize) {
+		worker := candidates[d.rng.IntN(len(candidates))]
+		isNear := worker.Zone == own || d.rng.Float64() < zoneBusy[own]*(1-zoneBusy[worker.Zone])
+		isInReach := isNear || d.settings.CrossZoneCost == 0
+		if !worker.isCheckDue(d.now) || !job.class.allows(worker.Kind, worker.Zone) || !isInReach {
+			continue
+		}
+		if oldest == nil || worker.check.startedAt < oldest.check.startedAt {
+			oldest = worker
 		}
 	}
 	return oldest
 }
 
+func (w *workerInfo) isCheckDue(now time.Duration) bool {
+	return w.Ready && !w.check.inProgress && now-w.check.startedAt >= minCheckInterval
+}
+
 // awaitsCheck tells whether a worker is being checked and has given no sign of life since.
 func (w *workerInfo) awaitsCheck() bool {
 	return w.check.inProgress && w.activity.aliveAt < w.check.startedAt
 }
 
-// onHealthChecked takes in the end of a health check.
-func (d *Dispatcher) onHealthChecked(e HealthChecked) {
-	worker := d.fleet.byID[e.Worker]
+// handleHealthChecked processes the result of a health check.
+func (d *Dispatcher) handleHealthChecked(event HealthChecked) {
+	worker := d.fleet.byID[event.Worker]
 	if worker == nil {
 		return
 	}
 	worker.check.inProgress = false
-	switch e.Result {
+	switch event.Result {
 	case OK:
 		d.checks.minDelay = min(d.checks.minDelay, d.now-worker.check.startedAt)
 		d.markAlive(worker)
-		d.applyReport(worker, e.Report)
-	case WorkerFull, NotSent: // it tells nothing of the worker's health
+		d.applyReport(worker, event.Report)
+	case WorkerFull, NotSent: // says nothing of the worker's health
 	default:
-		d.eject(worker, true, "does not answer a probe")
+		d.eject(worker, true, EjectedForHealthCheck)
 	}
 }
--- a/dispatch/hedging.go
+++ b/dispatch/hedging.go
@@ -18,7 +18,7 @@
 		return a.startedAt + d.maxPlausibleRun(a)
 	}
 	slack := a.job.objectiveAt - d.now - a.expectedRun
-	return d.now + max(d.promptStart(a.job.class), slack/hedgeSlackDivisor)
+	return d.now + max(d.starts.promptStart(a.job.class), slack/hedgeSlackDivisor)
 }
 
 // isStuck tells whether an overdue attempt may be lost. One whose worker gets on with others is queued there,
@@ -49,6 +49,14 @@
 	return min(1, d.warmUpCost(j)/(d.meanCost+1e-9))
 }
 
+// chargeHedge earns tokens for an attempt, and takes them for one that is not the first of its job.
+func (d *Dispatcher) chargeHedge(attempt *attemptInfo) {
+	d.hedgeTokens = min(d.hedgeTokens+hedgeTokensPerAttempt, d.maxHedgeTokens())
+	if attempt.number > 0 {
+		d.hedgeTokens -= d.hedgeCost(attempt.job)
+	}
+}
+
 // retryElsewhere hedges a job that is stuck on one worker or, where hedging is off, cancels its attempt.
 func (d *Dispatcher) retryElsewhere(job *jobInfo) {
 	if job.closed || job.inFlight > 1 || len(job.attempts) >= max(2, d.settings.AttemptLimit-1) ||
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -58,10 +58,8 @@
 	if d.queue.length == 0 {
 		return
 	}
-	d.countLateAttempts()
-	if d.reservation.worker != nil && d.reservation.job.heapIndex < 0 {
-		d.reservation.worker, d.reservation.job = nil, nil
-	}
+	d.starts.updateLateCount(d.settings.Classes, d.now)
+	d.reservation.expire()
 	d.queue.unblock()
 }
 
--- a/dispatch/learning.go
+++ b/dispatch/learning.go
@@ -17,7 +17,7 @@
 // learnFromRun takes in a finished run. Sizes are corrected slowly and speeds quickly, so that a slow spell
 // is attributed to the worker. Runs on warming workers teach nothing.
 func (d *Dispatcher) learnFromRun(attempt *attemptInfo, run time.Duration) {
-	if d.spansStall(attempt) {
+	if d.stalls.spans(attempt) {
 		return
 	}
 	d.observeOverrun(attempt, run)
--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -135,7 +135,7 @@
 // resumeLeases has a restored dispatcher, which holds no lease, ask anew for what is queued,
 // with its next step, and report what is in flight.
 func (d *Dispatcher) resumeLeases() {
-	d.updateReadyZones()
+	d.fleet.updateReadyZones()
 	if !d.usesLeases() {
 		return
 	}
@@ -200,7 +200,7 @@
 			zones = append(zones, zone)
 		}
 	}
-	isNearOnly := len(job.leases) == 0 || d.settings.CrossZoneCost >= crossCostPerSlot
+	isNearOnly := len(job.leases) == 0 || d.settings.CrossZoneCost >= crossZoneCostPerSlot
 	if isNearOnly && slices.Contains(zones, d.settings.Zone) {
 		return []int{d.settings.Zone}
 	}
@@ -405,15 +405,16 @@
 // mayUseLease tells whether a job may be sent to the worker that a coordinator has chosen. One that this
 // dispatcher does not know, or knows in another shard, is never sent anything.
 func (d *Dispatcher) mayUseLease(job *jobInfo, worker *workerInfo, shard Shard) bool {
-	if worker == nil || !worker.Ready || job.heapIndex < 0 || worker == d.reservation.worker && job != d.reservation.job {
+	if worker == nil || !worker.Ready || job.heapIndex < 0 || d.reservation.excludes(job, worker) {
 		return false
 	}
-	isKnownFull := worker.rejects(job) || d.showsQueue(worker, d.promptStart(job.class))
+	showsQueue := worker.showsQueue(d.starts.promptStart(job.class), d.now)
+	isKnownFull := worker.slots.rejects(job.demand) || showsQueue
 	if d.directory.shardOf(worker) != shard || job.wasSentTo(worker) || isKnownFull {
 		return false
 	}
-	return job.class.allows(worker.Kind, worker.Zone) && d.mayAttempt(job, worker) && !d.isEjected(worker) &&
-		d.canMeetObjective(job, worker) && d.ownSpendsAllow(job, worker)
+	return job.class.allows(worker.Kind, worker.Zone) && d.mayAttempt(job, worker) &&
+		!d.outliers.isEjected(worker) && d.canMeetObjective(job, worker) && d.warmUpAllowsLease(job, worker)
 }
 
 func (d *Dispatcher) sendOnLease(job *jobInfo, worker *workerInfo, lease *leaseInfo) {
--- a/dispatch/leasesnapshot.go
+++ b/dispatch/leasesnapshot.go
@@ -201,7 +201,7 @@
 	c.int(&slots.failures)
 	c.int(&slots.failedPeer)
 	c.int(&slots.leases)
-	list(c, &slots.warmUpSpends, c.spend)
+	c.workWindow(&slots.warmUpWork)
 }
 
 func (c *codec) grantedFigures(lease *grantedLease) {
--- a/dispatch/maintenance.go
+++ b/dispatch/maintenance.go
@@ -20,9 +20,9 @@
 	d.reportLeases()
 	d.expireLeases()
 	d.decayEstimates()
-	d.assignLots()
+	d.assignTickets()
 	fleet := d.summarise()
-	d.outliers.silencePanic, d.outliers.failurePanic = 2*fleet.ejected > fleet.ready, fleet.broken == fleet.ready
+	d.outliers.updatePanic(fleet.ready, fleet.ejected, fleet.broken)
 	if fleet.ready > 0 {
 		d.topSpeed = fleet.topSpeed
 	}
@@ -39,7 +39,7 @@
 		factor := d.overrunFactor[class] * (1 - maintenanceInterval.Seconds()/overrunDecayTime.Seconds())
 		d.overrunFactor[class] = max(1, factor)
 	}
-	d.decayIdleConnections()
+	d.idleConnections.decay(d.now)
 	for z := range d.fleet.zoneBusy {
 		d.fleet.zoneBusy[z] *= 1 - maintenanceInterval.Seconds()/speedDecayTime.Seconds()
 	}
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -198,5 +198,5 @@
 		w.speed.factor, w.speed.samples, w.speed.observedAt = math.Exp(w.speed.log), float64(m.runs), d.now
 	}
 	w.slots.limit = max(w.slots.limit, math.Floor(min(float64(m.limit), maxModelLimit)*clamp(finite(e.LoadShare), 1)))
-	d.markDirty(w)
+	d.fleet.markDirty(w)
 }
--- a/dispatch/objective.go
+++ b/dispatch/objective.go
@@ -62,7 +62,7 @@
 // takeExplorationToken lets some go all the same while workers idle: what rejects jobs must not prevent its correction.
 func (d *Dispatcher) takeExplorationToken(job *jobInfo) bool {
 	d.trialTokens += explorationsPerRejection
-	isDue := d.trialTokens >= 1 && d.fleet.available.idle > 0
+	isDue := d.trialTokens >= 1 && d.fleet.available.idleCount > 0
 	if job.priority == levelUnreachable || !isDue {
 		d.trialTokens = min(d.trialTokens, maxExplorationTokens)
 		return false
@@ -83,5 +83,5 @@
 
 // canMeetObjective tells whether a job would meet its objective on a worker, or has no such hope on any.
 func (d *Dispatcher) canMeetObjective(j *jobInfo, w *workerInfo) bool {
-	return j.isDeprioritized() || d.mayTryUncordoned(j, w) || d.now+d.expectedRun(j, w) <= j.objectiveAt
+	return j.isDeprioritized() || w.acceptsLate(j, d.now) || d.now+d.expectedRun(j, w) <= j.objectiveAt
 }
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -1,25 +1,24 @@
 package dispatch
 
-// Outlier ejection: silence, failure and slowness of workers, told apart by symptom. The design is silent
-// on it: it is for what is not the ordinary path.
+// Outlier ejection: silent, failing and unreachable workers are sent nothing but recovery probes. The
+// design covers the ordinary path alone, and counts every ready worker as able to start a job; this
+// file defines which are not.
 
 import (
-	"fmt"
 	"math"
+	"math/rand/v2"
 	"time"
 )
 
 const (
-	minEjection   = 500 * time.Millisecond // doubles with each failed trial
-	maxEjection   = 8 * time.Second
-	trialInterval = 500 * time.Millisecond // between trials of ejected workers, over the fleet
-	maxFailures   = 1                      // in a row, of jobs or connections, that eject no worker
+	minEjectionTime        = 500 * time.Millisecond // doubles with each failed recovery probe
+	maxEjectionTime        = 8 * time.Second
+	recoveryProbeInterval  = 500 * time.Millisecond // between recovery probes, over the fleet
+	maxConsecutiveFailures = 1                      // of attempts or connections, that eject no worker
 )
 
 // outlierDetector holds what outlier ejection needs besides the state of each worker.
 type outlierDetector struct {
-	stalledAt    time.Duration // when this process last noticed that it had been stalled; 0: never
-	stallLength  time.Duration
 	nextProbeAt  time.Duration // no ejected worker gets a recovery probe before
 	silencePanic bool          // most ready workers are ejected: ejections for silence alone are disregarded
 	failurePanic bool          // all ready workers are failing: ejections of failing workers are disregarded
@@ -35,108 +34,168 @@
 	connectionLost     bool // its connections were reset, and it has not answered since
 }
 
-// isEjected tells whether a worker is to be avoided. Where most are suspect, the load or this process is at
-// fault, and silence proves nothing; a broken connection still does, unless it is so everywhere.
-func (d *Dispatcher) isEjected(w *workerInfo) bool {
-	return w.outlier.ejectionTime > 0 && (w.outlier.failing && !d.outliers.failurePanic || !w.outlier.failing && !d.outliers.silencePanic)
+// isEjected tells whether a worker is to be avoided. Beyond the panic thresholds the load or this
+// process is at fault: where most workers are ejected silence shows nothing of one worker, and failures
+// show nothing where all are failing.
+func (o *outlierDetector) isEjected(worker *workerInfo) bool {
+	switch {
+	case worker.outlier.ejectionTime <= 0:
+		return false
+	case worker.outlier.failing:
+		return !o.failurePanic
+	default:
+		return !o.silencePanic
+	}
+}
+
+// updatePanic recomputes the panic thresholds from the counts of ready, ejected and failing workers.
+func (o *outlierDetector) updatePanic(ready, ejected, failing int) {
+	o.silencePanic = 2*ejected > ready
+	o.failurePanic = failing == ready
 }
 
-// healthAllows lets an ejected worker have one short idempotent job once its time is over, one such trial at
-// once: where a whole zone is gone, its empty workers would draw all that is sent.
-func (d *Dispatcher) healthAllows(j *jobInfo, w *workerInfo) bool {
-	if !d.isEjected(w) {
+// handleSent counts an attempt as a recovery probe if its worker is ejected. Probes are limited over
+// the fleet, as otherwise the empty workers of a zone that has failed would attract all jobs.
+func (o *outlierDetector) handleSent(worker *workerInfo, now time.Duration) {
+	if o.isEjected(worker) {
+		o.nextProbeAt = now + recoveryProbeInterval
+	}
+}
+
+// mayProbe tells whether an ejected worker may be sent a recovery probe: one at a time, once its
+// ejection is over.
+func (o *outlierDetector) mayProbe(worker *workerInfo, now time.Duration) bool {
+	return now >= max(worker.outlier.ejectedUntil, o.nextProbeAt) && len(worker.inFlight) == 0
+}
+
+// eject begins an ejection of about twice the latest ejection time, drawn at random. It returns false
+// if the worker is still ejected: nothing is drawn then.
+func (o *outlierState) eject(now time.Duration, rng *rand.Rand) bool {
+	if now < o.ejectedUntil {
+		return false
+	}
+	o.ejectionTime = min(max(minEjectionTime, 2*o.ejectionTime), maxEjectionTime)
+	o.ejectedUntil = now + o.ejectionTime/2 + time.Duration(rng.Int64N(int64(o.ejectionTime)))
+	return true
+}
+
+// endEjection ends the ejection of a worker that has shown that it works.
+func (o *outlierState) endEjection() {
+	o.ejectionTime = 0
+	o.ejectedUntil = 0
+	o.failing = false
+}
+
+// allowsOutlier tells whether outlier ejection allows sending a job to a worker: an ejected one gets
+// only recovery probes, which are short and idempotent.
+func (d *Dispatcher) allowsOutlier(job *jobInfo, worker *workerInfo) bool {
+	if !d.outliers.isEjected(worker) {
 		return true
 	}
-	return j.class.Idempotency == Idempotent && d.isShort(j) && d.now >= max(w.outlier.ejectedUntil, d.outliers.nextProbeAt) &&
-		len(w.inFlight) == 0
+	isProbe := job.class.Idempotency == Idempotent && d.isShort(job)
+	return isProbe && d.outliers.mayProbe(worker, d.now)
 }
 
-// eject avoids a worker for about twice as long as last time. broken: it is suspected on more than silence.
-func (d *Dispatcher) eject(w *workerInfo, broken bool, reason string) {
-	w.outlier.failing = w.outlier.failing || broken
-	if d.now < w.outlier.ejectedUntil {
+// eject ejects a worker, and has the operators notified. failing is false if silence is the only evidence.
+func (d *Dispatcher) eject(worker *workerInfo, failing bool, reason EjectionReason) {
+	worker.outlier.failing = worker.outlier.failing || failing
+	if !worker.outlier.eject(d.now, d.rng) {
 		return
 	}
-	w.outlier.ejectionTime = min(max(minEjection, 2*w.outlier.ejectionTime), maxEjection)
-	w.outlier.ejectedUntil = d.now + w.outlier.ejectionTime/2 + time.Duration(d.rng.Int64N(int64(w.outlier.ejectionTime)))
-	d.setTimer(&w.timer, w.outlier.ejectedUntil)
-	d.markDirty(w)
-	d.emit(Log{fmt.Sprintf("worker %d %s: set aside for about %v", w.ID, reason, w.outlier.ejectionTime)})
+	d.setTimer(&worker.timer, worker.outlier.ejectedUntil)
+	d.fleet.markDirty(worker)
+	d.emit(WorkerEjected{Worker: worker.ID, Reason: reason, EjectionTime: worker.outlier.ejectionTime})
 }
 
-// onResult judges a worker by the end of an attempt there.
-func (d *Dispatcher) onResult(attempt *attemptInfo) {
-	job, worker := attempt.job, attempt.worker
+// handleResult updates what is known of a worker by the end of an attempt there.
+func (d *Dispatcher) handleResult(attempt *attemptInfo) {
+	worker := attempt.worker
 	switch attempt.result {
 	case OK:
-		worker.outlier.failures, worker.activity.progressAt = 0, d.now
-		d.markAlive(worker)
-		d.learnFromRun(attempt, d.now-attempt.startedAt)
-		if !d.settings.StartNotifications { // by sizes as known now: with low hints all would look late
-			stretch := seconds(job.class.ObjectiveStretch * d.expectedWork(job) / worker.speed.factor)
-			d.adjustLimit(attempt, d.now-attempt.sentAt <= job.class.LatencyObjective+stretch)
-		}
+		d.handleSuccess(attempt)
 	case WorkerFull:
-		worker.activity.aliveAt = d.now
-		d.observeBusy(worker, true)
-		d.halveLimit(attempt)
-		d.backOff(worker, minBackoff)
-		if worker.slots.used == 0 && job.demand > 1 {
-			worker.slots.rejectedDemand = job.demand // it may never be able to run this
-		}
+		d.handleWorkerFull(attempt)
 	case Failed:
 		worker.activity.aliveAt = d.now
 		d.halveLimit(attempt)
-		// A worker that fails fast looks empty and would attract all jobs.
+		// A worker that fails fast looks idle, and would attract all jobs.
 		worker.outlier.failures++
-		if worker.outlier.failures > maxFailures {
-			d.eject(worker, true, "fails")
+		if worker.outlier.failures > maxConsecutiveFailures {
+			d.eject(worker, true, EjectedForFailures)
 		}
 	case ConnectFailed, ConnectionReset:
-		d.onConnectionFailure(attempt)
+		d.handleConnectionFailure(attempt)
 	case TimedOut:
-		hadTime := job.deadline-attempt.sentAt >= d.promptStart(job.class)
-		if hadTime { // else it tells nothing of a queue
+		hadTime := attempt.job.deadline-attempt.sentAt >= d.starts.promptStart(attempt.job.class)
+		if hadTime { // else the timeout shows no queue
 			d.halveLimit(attempt)
 		}
 	}
 }
 
-// onConnectionFailure first blames the connection, if it was idle, and then the network, for one failure.
-func (d *Dispatcher) onConnectionFailure(attempt *attemptInfo) {
+func (d *Dispatcher) handleSuccess(attempt *attemptInfo) {
+	job, worker := attempt.job, attempt.worker
+	worker.outlier.failures = 0
+	worker.activity.progressAt = d.now
+	d.markAlive(worker)
+	d.learnFromRun(attempt, d.now-attempt.startedAt)
+	if d.settings.StartNotifications {
+		return
+	}
+	// Without notifications of starts an end within the objective counts as a prompt start, by the size
+	// as estimated now: with hints that are too low all would look late.
+	stretch := seconds(job.class.ObjectiveStretch * d.expectedWork(job) / worker.speed.factor)
+	d.adjustLimit(attempt, d.now-attempt.sentAt <= job.class.LatencyObjective+stretch)
+}
+
+func (d *Dispatcher) handleWorkerFull(attempt *attemptInfo) {
+	demand, worker := attempt.job.demand, attempt.worker
+	worker.activity.aliveAt = d.now
+	d.fleet.observeBusy(worker.Zone, true)
+	d.halveLimit(attempt)
+	d.backOff(worker, minBackoff)
+	if worker.slots.used == 0 && demand > 1 {
+		worker.slots.rejectedDemand = demand // it may never be able to run this
+	}
+}
+
+// handleConnectionFailure attributes a failure to the connection, if it was idle before, then once to
+// the network, and only then to the worker.
+func (d *Dispatcher) handleConnectionFailure(attempt *attemptInfo) {
 	worker := attempt.worker
 	worker.connections.open = len(worker.inFlight)
 	if attempt.connIdle > 0 && !attempt.started {
-		d.observeIdleConnection(attempt, false)
+		d.idleConnections.observe(attempt.connIdle, false, d.now)
 		return
 	}
 	worker.outlier.connectionFailures++
-	if worker.outlier.connectionFailures <= maxFailures && !attempt.started {
+	if worker.outlier.connectionFailures <= maxConsecutiveFailures && !attempt.started {
 		return
 	}
 	worker.outlier.connectionLost = worker.outlier.connectionLost || attempt.result == ConnectionReset
 	d.halveLimit(attempt)
-	d.eject(worker, true, "is unreachable")
+	d.eject(worker, true, EjectedAsUnreachable)
 }
 
-// onOverdue looks at an attempt that has not started or ended when it should, also where its job has ended.
-func (d *Dispatcher) onOverdue(attempt *attemptInfo) {
+// handleOverdue acts on an attempt that has not started or ended when it should have, also if its job
+// has ended.
+func (d *Dispatcher) handleOverdue(attempt *attemptInfo) {
 	if attempt.ended || attempt.orphaned || !attempt.started && attempt.mayBeDropped() {
 		return
 	}
-	if d.outliers.stalledAt == d.now { // its notification may have come meanwhile, and be read in a moment
-		d.setTimer(&attempt.timer, d.now+min(d.outliers.stallLength, maintenanceInterval))
+	if d.stalls.isEnding(d.now) { // its notification may have arrived meanwhile, and not have been read yet
+		d.setTimer(&attempt.timer, d.now+min(d.stalls.length, maintenanceInterval))
 		return
 	}
 	switch run := d.now - attempt.startedAt; {
 	case !attempt.started:
-		d.onLateStart(attempt)
-	case run < d.maxPlausibleRun(attempt): // it started, or the spread grew, since the timer was set
+		d.handleLateStart(attempt)
+	case run < d.maxPlausibleRun(attempt): // it has started, or runs vary more, since the timer was set
 		return
 	default:
 		d.observeOverrun(attempt, run)
-		shown := math.Log(d.expectedWork(attempt.job) / run.Seconds())
-		d.learnSpeed(attempt.worker, min(attempt.worker.speed.log, shown))
+		logSpeed := math.Log(d.expectedWork(attempt.job) / run.Seconds())
+		d.learnSpeed(attempt.worker, min(attempt.worker.speed.log, logSpeed))
 	}
 	if d.isStuck(attempt) || d.isHedgedEarly(attempt) {
 		d.retryElsewhere(attempt.job)
@@ -145,28 +204,35 @@
 	}
 }
 
-func (d *Dispatcher) onLateStart(a *attemptInfo) {
-	if silentAt := a.sentAt + silenceFactor*d.starts.meanLateDelay; d.now < silentAt {
-		d.setTimer(&a.timer, silentAt)
+// handleLateStart acts on an attempt that has not started in time. Once it has been unstarted for so
+// long that it is taken for lost, its connection or, if it has been silent since, its worker is at
+// fault.
+func (d *Dispatcher) handleLateStart(attempt *attemptInfo) {
+	worker := attempt.worker
+	if lostAt := attempt.sentAt + d.starts.lostAfter(); d.now < lostAt {
+		d.setTimer(&attempt.timer, lostAt)
 	} else {
-		d.observeIdleConnection(a, false)
-		if a.worker.activity.aliveAt < a.sentAt {
-			d.eject(a.worker, false, "silent")
+		d.idleConnections.observe(attempt.connIdle, false, d.now)
+		if worker.activity.aliveAt < attempt.sentAt {
+			d.eject(worker, false, EjectedForSilence)
 		}
 	}
-	d.reportStart(a, false)
-	d.adjustLimit(a, false)
+	d.reportStart(attempt, false)
+	d.adjustLimit(attempt, false)
 }
 
-// markAlive takes in a sign of life.
-func (d *Dispatcher) markAlive(w *workerInfo) {
-	w.activity.aliveAt, w.outlier.connectionFailures = d.now, 0
-	// A worker that was lost and answers again has most likely restarted, though no list has said so yet.
-	if w.outlier.connectionLost {
-		w.outlier.connectionLost, w.slowStart.restartedAt = false, d.now
+// markAlive updates a worker that has given a sign of life.
+func (d *Dispatcher) markAlive(worker *workerInfo) {
+	worker.activity.aliveAt = d.now
+	worker.outlier.connectionFailures = 0
+	// A worker that was lost and answers again has most likely restarted, though no list has notified
+	// of it yet.
+	if worker.outlier.connectionLost {
+		worker.outlier.connectionLost = false
+		worker.slowStart.restartedAt = d.now
 	}
-	if w.outlier.failures == 0 && w.outlier.ejectionTime > 0 {
-		w.outlier.ejectionTime, w.outlier.ejectedUntil, w.outlier.failing = 0, 0, false
+	if worker.outlier.failures == 0 && worker.outlier.ejectionTime > 0 {
+		worker.outlier.endEjection()
 	}
-	d.markDirty(w)
+	d.fleet.markDirty(worker)
 }
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -92,10 +92,10 @@
 	s := newHarness(t, testSettings())
 	s.workers(4)
 	for id := uint64(1); id <= 4; id++ {
-		s.d.eject(s.d.fleet.byID[id], id == 1, "test")
+		s.d.eject(s.d.fleet.byID[id], id == 1, EjectedForSilence)
 	}
 	s.wait(300 * ms)
-	if !s.d.isEjected(s.d.fleet.byID[1]) || s.d.isEjected(s.d.fleet.byID[2]) {
+	if !s.d.outliers.isEjected(s.d.fleet.byID[1]) || s.d.outliers.isEjected(s.d.fleet.byID[2]) {
 		t.Fatal("expected only the broken worker to stay ejected")
 	}
 }
@@ -143,7 +143,7 @@
 	f.serve(100, time.Second)
 	for range 30 {
 		a := &attemptInfo{connIdle: 8 * ms}
-		f.d.observeIdleConnection(a, false)
+		f.d.idleConnections.observe(a.connIdle, false, f.d.now)
 	}
 	if f.d.idleConnections.maxIdle != 0 {
 		t.Fatalf("connections are trusted for %v", f.d.idleConnections.maxIdle)
--- a/dispatch/peers.go
+++ b/dispatch/peers.go
@@ -49,7 +49,7 @@
 		worker.activity.aliveAt = max(worker.activity.aliveAt, attempt.startedAt)
 		worker.activity.progressAt = max(worker.activity.progressAt, attempt.startedAt)
 	}
-	d.chargeWarmUp(attempt)
+	d.recordWarmUpWork(attempt)
 	if attempt.ended {
 		job.attempts = append(job.attempts, attempt)
 		return
@@ -57,7 +57,7 @@
 	d.addAttempt(attempt)
 	d.takeSlots(attempt)
 	worker.connections.open = max(worker.connections.open, len(worker.inFlight))
-	d.markDirty(worker)
+	d.fleet.markDirty(worker)
 	if isNotified {
 		worker.slots.running += job.Slots
 		d.observeSlots(worker, worker.slots.running)
--- a/dispatch/picker.go
+++ b/dispatch/picker.go
@@ -1,7 +1,8 @@
 package dispatch
 
 // The picker, by the design's sentence: the ready worker with the fewest of this dispatcher's slots in
-// use, of those able to start the job now, drawn among equals.
+// use, random among ties, among those able to start the job now. Each worker has a score in slots in
+// use, the lowest is chosen, and what else speaks against a worker adds to its score.
 
 import (
 	"cmp"
@@ -9,134 +10,168 @@
 	"slices"
 )
 
-// Costs of a worker, in slots in use: the fewest of ours decide, and what else speaks against it adds.
+// Terms of a score, in slots in use.
 const (
-	busyZoneCost         = 3.0    // times the chance in its zone that a worker has no free slot
-	retriedWorkerCost    = 1000.0 // of a worker that was sent the job before: it comes last
-	uncordonedBonus      = 0.5    // off for an uncordoned worker: among equals it is tried first
-	crossCostPerSlot     = 0.05   // this much of Settings.CrossZoneCost weighs like one slot
-	handshakeCostPerSlot = 0.2    // so does this much of Settings.HandshakeCost
-	maxLevelScan         = 48     // workers of one level of the index that are all looked at
-	levelSample          = 16     // and of a longer one, as a random sample is as good
-	maxScanned           = 256    // and in one search
+	busyZonePenalty      = 3.0    // times the probability in its zone that a worker has no free slot
+	retriedWorkerPenalty = 1000.0 // for a worker that was sent the job before: it is chosen last
+	uncordonedBonus      = 0.5    // off for an uncordoned worker: among equals it is chosen first
+	crossZoneCostPerSlot = 0.05   // Settings.CrossZoneCost that counts as one slot
+	handshakeCostPerSlot = 0.2    // Settings.HandshakeCost that counts as one slot
 )
 
-// chooseWorker picks the ready worker with the lowest cost of those that can start the job now, drawn among
-// equals by strength. lacksCapacity: it has looked at all, and nothing but capacity is missing.
+// Bounds of one selection, in workers.
+const (
+	maxLevelScan = 48  // a level of the index with no more than these is scanned whole
+	levelSample  = 16  // scanned of a larger level, from a random one on
+	maxScanned   = 256 // in all
+)
+
+// selection is the state of one choice of a worker for a job.
+type selection struct {
+	score         float64     // of the best candidate so far
+	totalWeight   float64     // of the candidates with that score
+	worker        *workerInfo // drawn among them by weight
+	isInformed    bool        // its load is known as well as a health check could show it
+	warmingUp     *workerInfo // a worker in slow start whose ticket the job has drawn
+	scanned       int
+	suitable      int  // of those scanned: they could be sent the job
+	lacksCapacity bool // all that were scanned lack capacity
+}
+
+// chooseWorker returns the worker that a job is sent to now, or nil. lacksCapacity tells that all
+// available workers were scanned and each lacks capacity: no job with the same demand can be sent now.
 func (d *Dispatcher) chooseWorker(job *jobInfo) (worker *workerInfo, lacksCapacity bool) {
-	search := choice{cost: math.Inf(1), lacksCapacity: true}
-	d.priceBuckets(job)
-	for search.scanned < maxScanned {
-		bucket, level, levelCost := d.fleet.available.cheapest()
-		if bucket == nil || levelCost > search.cost { // no other level holds a better one
+	selected := selection{score: math.Inf(1), lacksCapacity: true}
+	d.scoreBuckets(job)
+	for selected.scanned < maxScanned {
+		bucket, level, minScore := d.fleet.available.nextLevel()
+		if bucket == nil || minScore > selected.score { // no other level holds a better candidate
 			break
 		}
-		isOrdered := d.fleet.available.isOrdered() && bucket.isSteady()
-		if isOrdered && d.considerPreferred(&search, job, bucket, level, levelCost) {
-			continue
-		}
-		from, n := d.sample(len(level), maxLevelScan, levelSample)
-		for i := range n {
-			d.consider(&search, job, level[(from+i)%len(level)], levelCost)
-		}
-		search.scanned += n
+		d.scanLevel(&selected, job, bucket, level, minScore)
 	}
 	switch {
-	case search.worker == nil:
-		return nil, search.lacksCapacity && search.scanned < maxScanned
-	case search.warming != nil: // it takes its part only of jobs that could go elsewhere now
-		return search.warming, false
-	case d.now < job.checksUntil && !search.isInformed: // the workers checked for the job may answer yet
+	case selected.worker == nil:
+		return nil, selected.lacksCapacity && selected.scanned < maxScanned
+	case selected.warmingUp != nil: // it is sent only jobs that could be sent elsewhere now
+		return selected.warmingUp, false
+	case d.now < job.checksUntil && !selected.isInformed: // workers checked for the job may still answer
 		return nil, false
 	}
-	return search.worker, false
+	return selected.worker, false
 }
 
-// considerPreferred compares the workers of a level that this dispatcher prefers, and tells whether one will
-// do: else others are drawn. One more for each earlier attempt makes up for the worker that had it.
-func (d *Dispatcher) considerPreferred(
-	search *choice, job *jobInfo, bucket *bucket, level []*workerInfo, levelCost float64,
+// scanLevel evaluates the workers of a level of the index, or of a large one those that this dispatcher
+// prefers and, if none of them is suitable, a sample.
+func (d *Dispatcher) scanLevel(
+	selected *selection, job *jobInfo, bucket *bucket, level []*workerInfo, minScore float64,
+) {
+	isOrdered := d.fleet.available.isOrdered() && bucket.isSteady()
+	if isOrdered && d.scanPreferred(selected, job, bucket, level, minScore) {
+		return
+	}
+	from, count := d.sample(len(level), maxLevelScan, levelSample)
+	for i := range count {
+		d.evaluateCandidate(selected, job, level[(from+i)%len(level)], minScore)
+	}
+	selected.scanned += count
+}
+
+// scanPreferred evaluates the workers of a level that this dispatcher prefers, and tells whether one is
+// suitable. It evaluates one more for each earlier attempt, in place of the worker that had it.
+func (d *Dispatcher) scanPreferred(
+	selected *selection, job *jobInfo, bucket *bucket, level []*workerInfo, minScore float64,
 ) bool {
 	var buffer [preferredWorkers]*workerInfo
-	before := search.suitable
+	suitableBefore := selected.suitable
 	count := min(d.fleet.available.preferredCount(bucket)+len(job.attempts), preferredWorkers)
 	preferred := appendPreferred(buffer[:0], level, count)
 	for _, worker := range preferred {
-		d.consider(search, job, worker, levelCost)
+		d.evaluateCandidate(selected, job, worker, minScore)
 	}
-	search.scanned += len(preferred)
-	return search.suitable > before
+	selected.scanned += len(preferred)
+	return selected.suitable > suitableBefore
 }
 
-// priceBuckets prices what the workers of a bucket have in common, and leaves out those barred to the job.
-func (d *Dispatcher) priceBuckets(j *jobInfo) {
+// scoreBuckets sets the part of the score that the workers of a bucket have in common, and excludes the
+// buckets that the job's class does not allow.
+func (d *Dispatcher) scoreBuckets(job *jobInfo) {
 	for _, b := range d.fleet.available.buckets {
-		b.nextLevel, b.baseCost = 0, 0
-		if !j.class.allows(b.kind, b.zone) {
-			b.baseCost = math.Inf(1)
+		b.nextLevel = 0
+		b.baseScore = 0
+		if !job.class.allows(b.kind, b.zone) {
+			b.baseScore = math.Inf(1)
 			continue
 		}
 		if b.zone != d.settings.Zone {
-			b.baseCost = d.settings.CrossZoneCost / crossCostPerSlot
+			b.baseScore = d.settings.CrossZoneCost / crossZoneCostPerSlot
 		}
 		if len(d.settings.ReportFields) == 0 {
-			b.baseCost += busyZoneCost * d.fleet.zoneBusy[b.zone]
+			b.baseScore += busyZonePenalty * d.fleet.zoneBusy[b.zone]
 		}
 	}
 }
 
-// consider compares one candidate with the best so far: cost, filters, draw.
-func (d *Dispatcher) consider(search *choice, job *jobInfo, worker *workerInfo, levelCost float64) {
-	cost, weight, fresh := d.price(worker, levelCost)
+// evaluateCandidate compares a worker with the best candidate so far: by its score, then whether it can
+// be sent the job, then by a draw among equals.
+func (d *Dispatcher) evaluateCandidate(
+	selected *selection, job *jobInfo, worker *workerInfo, minScore float64,
+) {
+	score, weight, isFresh := d.scoreWorker(worker, minScore)
 	if job.wasSentTo(worker) {
-		cost += retriedWorkerCost
+		score += retriedWorkerPenalty
 	}
-	if cost > search.cost || !d.hasCapacity(job, worker) {
+	if score > selected.score || !d.hasCapacity(job, worker) {
 		return
 	}
-	search.lacksCapacity = false
-	if !d.canMeetObjective(job, worker) || !d.mayAttempt(job, worker) || !d.healthAllows(job, worker) {
+	selected.lacksCapacity = false
+	if !d.canMeetObjective(job, worker) || !d.mayAttempt(job, worker) || !d.allowsOutlier(job, worker) {
 		return
 	}
-	search.suitable++
+	selected.suitable++
 	if !d.warmUpAllows(job, worker) {
-		if d.drawsWorker(job, worker) {
-			search.warming = worker
+		if d.drawsTicketOf(worker, job) {
+			selected.warmingUp = worker
 		}
 		return
 	}
 	if worker.uncordonedAt > 0 {
-		cost -= uncordonedBonus
+		score -= uncordonedBonus
 	}
-	if cost < search.cost {
-		search.cost, search.weights = cost, 0
+	if score < selected.score {
+		selected.score = score
+		selected.totalWeight = 0
 	}
-	search.weights += weight
-	if d.rng.Float64()*search.weights < weight {
-		search.worker = worker
-		search.isInformed = fresh || len(d.settings.ReportFields) == 0 && !worker.awaitsCheck()
+	selected.totalWeight += weight
+	if d.rng.Float64()*selected.totalWeight < weight {
+		selected.worker = worker
+		selected.isInformed = isFresh || len(d.settings.ReportFields) == 0 && !worker.awaitsCheck()
 	}
 }
 
-// price is the cost of a worker, its weight among equals, and whether its load report is fresh.
-func (d *Dispatcher) price(worker *workerInfo, base float64) (cost, weight float64, fresh bool) {
-	cost = base - math.Floor(worker.slots.used) + worker.slots.used
+// scoreWorker returns the score of a worker, its weight among equals, which follows its size and speed,
+// and whether its load report is fresh. minScore is the least score of its level.
+func (d *Dispatcher) scoreWorker(worker *workerInfo, minScore float64) (score, weight float64, isFresh bool) {
+	score = minScore - math.Floor(worker.slots.used) + worker.slots.used
 	weight = cmp.Or(finite(worker.Size), 1) * worker.speed.factor
-	if len(worker.inFlight) >= worker.connections.open { // none is idle
-		cost += d.settings.HandshakeCost / handshakeCostPerSlot
-	}
-	if len(d.settings.ReportFields) > 0 {
-		var free float64
-		if free, fresh = d.reportedFreeSlots(worker); fresh {
-			weight *= max(free, 1)
-		} else {
-			cost += busyZoneCost * d.fleet.zoneBusy[worker.Zone]
-		}
+	hasIdleConnection := len(worker.inFlight) < worker.connections.open
+	if !hasIdleConnection {
+		score += d.settings.HandshakeCost / handshakeCostPerSlot
+	}
+	if len(d.settings.ReportFields) == 0 {
+		return score, weight, false
+	}
+	free, isFresh := worker.reportedFreeSlots(d.now)
+	if isFresh {
+		weight *= max(free, 1)
+	} else {
+		score += busyZonePenalty * d.fleet.zoneBusy[worker.Zone]
 	}
-	return cost, weight, fresh
+	return score, weight, isFresh
 }
 
-// allows binds a class to kinds and zones of workers at every attempt, whatever is down or full.
+// allows tells whether the jobs of a class may be sent to workers of a kind and zone. It binds each
+// attempt, whatever else has failed or is full.
 func (c *Class) allows(kind, zone int) bool {
 	return (c.Kinds == nil || slices.Contains(c.Kinds, kind)) && c.allowsZone(zone)
 }
--- a/dispatch/preference.go
+++ b/dispatch/preference.go
@@ -1,25 +1,26 @@
 package dispatch
 
+// The order in which a dispatcher prefers workers of a large fleet that are equal by their scores. The
+// design draws among ties; drawn from a large fleet, nearly each job would open a connection. The
+// listed workers of one zone and kind are on a ring, ordered by a hash of their ids that is the same
+// for all dispatchers. Each dispatcher prefers them from a start of its own on, and these starts are at
+// equal distances, counted in workers: so all dispatchers together prefer all workers alike.
+
 import (
 	"cmp"
 	"slices"
 )
 
-// The order in which a dispatcher prefers workers of a large fleet that are equal by all else. Spread over
-// all of them, nearly each job would open a connection. The listed workers of one zone and kind lie round a
-// ring, by a hash of their ids, the same for all dispatchers. Each dispatcher goes round it from a place of
-// its own, and these are at even distances, counted in workers: together they prefer all workers alike.
-
-// preferredWorkers of those that are equally good are looked at first. A dispatcher's connections are to
-// about as many workers, and to those that its jobs keep busy beside them. Fewer would make the load less
-// even where one dispatcher has several times the traffic of another.
+// preferredWorkers is how many equal workers are scanned first. A dispatcher has connections to about
+// these, and to those beyond them that its jobs keep busy. Fewer would distribute the load less evenly
+// where one dispatcher has several times the traffic of another.
 const preferredWorkers = 24
 
 // preferenceRings are the listed workers, ring by ring.
 type preferenceRings struct {
 	sorted  []*workerInfo // by zone, kind and hash
-	added   []*workerInfo // not among them yet
-	changed bool
+	added   []*workerInfo // not in sorted yet
+	changed bool          // since the latest merge
 }
 
 func compareOnRings(a, b *workerInfo) int {
@@ -29,54 +30,60 @@
 
 func ringHash(worker uint64) uint32 { return uint32(worker * hashFactor >> 32) }
 
-// update takes in whether a worker is listed.
-func (r *preferenceRings) update(w *workerInfo) {
-	if w.listed == w.index.onRing {
+// update adds a worker that has become listed, or notes that one is not listed any more.
+func (p *preferenceRings) update(worker *workerInfo) {
+	if worker.listed == worker.index.onRing {
 		return
 	}
-	r.changed = true
-	if w.listed {
-		w.index.onRing = true
-		r.added = append(r.added, w)
+	p.changed = true
+	if worker.listed {
+		worker.index.onRing = true
+		p.added = append(p.added, worker)
 	}
 }
 
-// reset has all rings made anew, as workers have changed their places.
-func (r *preferenceRings) reset() {
-	r.added = append(r.added, r.sorted...)
-	r.sorted, r.changed = nil, true
+// reset has all rings sorted anew with the next merge, as a worker has changed its zone or kind.
+func (p *preferenceRings) reset() {
+	p.added = append(p.added, p.sorted...)
+	p.sorted = nil
+	p.changed = true
 }
 
-// merge brings the rings up to date.
-func (r *preferenceRings) merge() {
-	hasLeft := func(w *workerInfo) bool {
+// merge adds the workers that were added since the latest merge, and removes those that are not listed
+// any more.
+func (p *preferenceRings) merge() {
+	isUnlisted := func(w *workerInfo) bool {
 		w.index.onRing = w.listed
 		return !w.listed
 	}
-	earlier, added := slices.DeleteFunc(r.sorted, hasLeft), slices.DeleteFunc(r.added, hasLeft)
+	earlier := slices.DeleteFunc(p.sorted, isUnlisted)
+	added := slices.DeleteFunc(p.added, isUnlisted)
 	slices.SortFunc(added, compareOnRings)
 	merged := make([]*workerInfo, 0, len(earlier)+len(added))
 	for _, w := range added {
 		next, _ := slices.BinarySearchFunc(earlier, w, compareOnRings)
-		merged = append(append(merged, earlier[:next]...), w)
+		merged = append(merged, earlier[:next]...)
+		merged = append(merged, w)
 		earlier = earlier[next:]
 	}
 	merged = append(merged, earlier...)
-	r.sorted, r.added, r.changed = merged, nil, false
+	p.sorted = merged
+	p.added = nil
+	p.changed = false
 }
 
-// updatePreferences sets the order after a list, or after this dispatcher's place among the others has
-// changed. In a fleet of which all workers are looked at there is none.
-func (d *Dispatcher) updatePreferences() {
-	if !d.fleet.rings.changed {
+// updatePreferences sets the order of preference of all listed workers after a change of the rings, for
+// the dispatcher with an index among a number of replicas. A fleet that a selection can scan whole has
+// none.
+func (f *workerFleet) updatePreferences(index, replicas int) {
+	if !f.rings.changed {
 		return
 	}
-	d.fleet.rings.merge()
-	if len(d.fleet.rings.sorted) <= maxLevelScan {
+	f.rings.merge()
+	if len(f.rings.sorted) <= maxLevelScan {
 		return
 	}
-	index, replicas := d.replica()
-	for ring := d.fleet.rings.sorted; len(ring) > 0; {
+	for ring := f.rings.sorted; len(ring) > 0; {
 		size := 1
 		for size < len(ring) && ring[size].Zone == ring[0].Zone && ring[size].Kind == ring[0].Kind {
 			size++
@@ -87,10 +94,14 @@
 		}
 		ring = ring[size:]
 	}
-	d.fleet.available.reorder()
+	f.available.rebuildHeaps()
 }
 
-// replica is this dispatcher's number among those that share the workers, from 0, and how many these are.
+// updatePreferences sets the order of preference after a list, or after a change of this dispatcher's
+// index.
+func (d *Dispatcher) updatePreferences() { d.fleet.updatePreferences(d.replica()) }
+
+// replica returns this dispatcher's index, from 0, among those that share the workers, and their number.
 func (d *Dispatcher) replica() (index, replicas int) {
 	if d.sharing.Replicas > 0 {
 		return d.sharing.ReplicaIndex, d.sharing.Replicas
@@ -98,27 +109,27 @@
 	return d.settings.ReplicaIndex, max(1, d.settings.Replicas)
 }
 
-// appendPreferred appends the most preferred workers of a level that is a heap, in order.
+// appendPreferred appends up to count of the most preferred workers of a level that is a heap, in order.
 func appendPreferred(dst, level []*workerInfo, count int) []*workerInfo {
 	var buffer [preferredWorkers + 2]heapEntry
-	open := insertEntry(buffer[:0], level, 0) // those of which each may be next, the last one first
-	for len(dst) < count && len(open) > 0 {
-		next := open[len(open)-1]
-		open = open[:len(open)-1]
+	frontier := insertEntry(buffer[:0], level, 0) // each of these may be next; the last one is
+	for len(dst) < count && len(frontier) > 0 {
+		next := frontier[len(frontier)-1]
+		frontier = frontier[:len(frontier)-1]
 		dst = append(dst, level[next.slot()])
 		for child := 2*next.slot() + 1; child <= 2*next.slot()+2 && child < len(level); child++ {
-			open = insertEntry(open, level, child)
+			frontier = insertEntry(frontier, level, child)
 		}
 	}
 	return dst
 }
 
-// heapEntry is a worker's preference, and then its slot in its level.
+// heapEntry is a worker's preference in the upper 32 bits, and its slot in its level in the lower ones.
 type heapEntry uint64
 
-func (e heapEntry) slot() int { return int(uint32(e)) }
+func (h heapEntry) slot() int { return int(uint32(h)) }
 
-// insertEntry puts a worker in its place among entries, of which the last is the most preferred.
+// insertEntry inserts a worker into entries that are sorted, the most preferred last.
 func insertEntry(entries []heapEntry, level []*workerInfo, slot int) []heapEntry {
 	entry := heapEntry(level[slot].index.preference)<<32 | heapEntry(slot)
 	entries = append(entries, entry)
--- a/dispatch/preference_test.go
+++ b/dispatch/preference_test.go
@@ -295,8 +295,8 @@
 			steady, idle = steady+size, idle+len(b.levels[0])
 		}
 	}
-	if steady != index.steady || idle != index.idle {
-		t.Fatalf("%d steady workers and %d idle ones, counted %d and %d", steady, idle, index.steady, index.idle)
+	if steady != index.steadyCount || idle != index.idleCount {
+		t.Fatalf("%d steady workers and %d idle ones, counted %d and %d", steady, idle, index.steadyCount, index.idleCount)
 	}
 }
 
--- a/dispatch/queue_test.go
+++ b/dispatch/queue_test.go
@@ -165,7 +165,7 @@
 	ejected := s.d.fleet.byID[6-s.d.jobs[1].attempts[0].worker.ID-s.d.jobs[2].attempts[0].worker.ID]
 	// It takes short idempotent jobs, as a trial.
 	ejected.outlier.ejectionTime, ejected.outlier.ejectedUntil, ejected.outlier.failing, ejected.activity.aliveAt = time.Second, s.now, true, s.now-time.Minute
-	s.d.markDirty(ejected)
+	s.d.fleet.markDirty(ejected)
 	for id := uint64(10); id < 10+2*maxSkippedPerCycle; id++ {
 		s.step(s.job(id, 1, 10*ms))
 	}
--- a/dispatch/reservation.go
+++ b/dispatch/reservation.go
@@ -1,41 +1,63 @@
 package dispatch
 
-// Reservations: a worker that is kept free for a large job past tau. The design has jobs past tau leave
-// first, and one that fits nowhere would never leave while smaller ones take each slot.
+// Reservations. By the paper and the design jobs held for over tau leave first, the oldest first. A
+// large one that fits nowhere would never leave while smaller jobs take each slot that becomes free: a
+// worker is reserved for it. The design does not cover this.
 
-// reservation keeps a worker free for one large job.
+// reservation keeps a worker free for one large job. At most one is held at a time.
 type reservation struct {
 	worker *workerInfo // nil: none is reserved
 	job    *jobInfo
 }
 
-// reserveWorker keeps the worker with least to finish free for a large job that is over tau and fits nowhere:
-// smaller jobs would backfill it for ever. Sent before it fits, the job would block the worker's own queue.
+// isActive tells whether a worker is reserved that can still be sent jobs.
+func (r *reservation) isActive() bool { return r.worker != nil && r.worker.Ready }
+
+// excludes tells whether a worker is reserved for another job.
+func (r *reservation) excludes(job *jobInfo, worker *workerInfo) bool {
+	return worker == r.worker && job != r.job
+}
+
+// propose reserves a worker if it has less left to finish than the one reserved so far.
+func (r *reservation) propose(worker *workerInfo) {
+	if r.worker == nil || worker.remainingLoad() < r.worker.remainingLoad() {
+		r.worker = worker
+	}
+}
+
+// expire ends the reservation if its job is not queued any more.
+func (r *reservation) expire() {
+	if r.worker != nil && r.job.heapIndex < 0 {
+		*r = reservation{}
+	}
+}
+
+// reserveWorker reserves the worker with the least left to finish, of all or of a sample, for a large
+// job that has been queued for over tau and fits nowhere. The job is not sent before it fits: it would
+// block the worker's own queue.
 func (d *Dispatcher) reserveWorker(job *jobInfo) {
-	if d.reservation.worker != nil && d.reservation.worker.Ready {
+	if d.reservation.isActive() {
 		return
 	}
-	d.reservation.worker, d.reservation.job = nil, job
-	from, count := d.sample(len(d.fleet.workers), maxScanned, maxScanned)
+	d.reservation = reservation{job: job}
+	workers := d.fleet.workers
+	from, count := d.sample(len(workers), maxScanned, maxScanned)
 	for i := range count {
-		worker := d.fleet.workers[(from+i)%len(d.fleet.workers)]
-		if !d.mayReserve(job, worker) {
-			continue
-		}
-		if d.reservation.worker == nil || worker.remainingLoad() < d.reservation.worker.remainingLoad() {
-			d.reservation.worker = worker
+		worker := workers[(from+i)%len(workers)]
+		if d.mayReserve(job, worker) {
+			d.reservation.propose(worker)
 		}
 	}
 }
 
-// mayReserve tells whether a worker could run a job in time, once it has room.
+// mayReserve tells whether a worker could run a job in time once enough slots are free.
 func (d *Dispatcher) mayReserve(job *jobInfo, worker *workerInfo) bool {
-	isUsable := worker.Ready && !worker.rejects(job) && !d.isEjected(worker)
+	isUsable := worker.Ready && !worker.slots.rejects(job.demand) && !d.outliers.isEjected(worker)
 	if !isUsable || !job.class.allows(worker.Kind, worker.Zone) || !d.mayAttempt(job, worker) {
 		return false
 	}
 	return job.isDeprioritized() || d.now+d.expectedRun(job, worker) <= job.objectiveAt
 }
 
-// remainingLoad is what a worker has to finish of ours, in slots at speed 1.
+// remainingLoad is the load of this dispatcher's attempts on a worker, in slots at speed 1.
 func (w *workerInfo) remainingLoad() float64 { return w.slots.used / w.speed.factor }
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -68,7 +68,7 @@
 	job := attempt.job
 	d.endAttempt(attempt, outcome)
 	if !attempt.orphaned { // else it tells of a process that has gone
-		d.onResult(attempt)
+		d.handleResult(attempt)
 	}
 	d.forgetWorker(attempt.worker)
 	if job.recheckOnEnd && !job.closed { // in flight at its objective, it was not looked at again
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -1,7 +1,8 @@
 package dispatch
 
-// Slow start: what a worker that warms up may be sent within Settings.OverloadWindow, by all dispatchers
-// together. The design is silent on it; the platform's rule on recovering workers bounds it.
+// Slow start: how much work a worker that warms up may be sent within Settings.OverloadWindow, by all
+// dispatchers together. The design counts every ready worker as able to start a job; the platform's
+// rule on recovering workers bounds what these are sent.
 
 import (
 	"cmp"
@@ -11,132 +12,161 @@
 )
 
 const (
-	warmUpMargin = 0.4  // of the budget is used, as sizes have heavy tails
-	jobsPerOwner = 2.0  // mean jobs that one owner's part of a budget holds
-	minWarmUp    = 0.01 // share of its capacity that a worker has at least
+	warmUpBudgetFraction = 0.4  // of the budget is used, as the sizes of jobs have heavy tails
+	meanJobsPerAssignee  = 2.0  // that the part of a budget of one assignee holds
+	minWarmUpShare       = 0.01 // of its full capacity, that a worker has at least
+	minMeanCost          = 1e-9 // seconds; keeps quotients by the mean cost finite
 )
 
 // slowStartState is the slow start of a worker.
 type slowStartState struct {
-	restartedAt time.Duration // counts as its start, where later than BootAt: it answered again after a loss, or was uncordoned
-	sent        []workSample  // in the latest Settings.OverloadWindow, while warming up
-	ticketStart float64       // jobs whose lottery draw lies within ticketWidth above this are drawn to the worker
+	restartedAt time.Duration // its start if later than BootAt: it answered after a loss, or was uncordoned
+	sent        workWindow    // while warming up
+	ticketStart float64       // a draw within ticketWidth above this is the worker's
 	ticketWidth float64       // 0: the worker does not take part in the lottery
 }
 
+// workWindow is the work sent to a warming worker within the latest Settings.OverloadWindow, oldest
+// first. It may hold older samples until the next call of expire.
+type workWindow []workSample
+
 // workSample is work sent to a warming worker at an instant.
 type workSample struct {
 	at   time.Duration
 	work float64 // seconds on a standard core, times slots
 }
 
-// warmUpAllows keeps what was sent to a warming worker, rejected jobs too, under our part of its budget.
+// expire removes the samples that are older than a span.
+func (w *workWindow) expire(span, now time.Duration) {
+	*w = slices.DeleteFunc(*w, func(s workSample) bool { return now-s.at > span })
+}
+
+// plus returns a work plus that of all samples within a span.
+func (w *workWindow) plus(work float64, span, now time.Duration) float64 {
+	for _, s := range *w {
+		if now-s.at <= span {
+			work += s.work
+		}
+	}
+	return work
+}
+
+// warmUpAllows tells whether a worker may be sent a job by its slow start: what is sent to a warming
+// worker, rejected jobs too, stays within this dispatcher's part of the worker's budget.
 func (d *Dispatcher) warmUpAllows(job *jobInfo, worker *workerInfo) bool {
 	if d.warmUpShare(worker) >= 1 {
 		worker.slowStart.sent = nil
 		return true
 	}
 	window := d.settings.OverloadWindow
-	isPast := func(s workSample) bool { return d.now-s.at > window }
-	worker.slowStart.sent = slices.DeleteFunc(worker.slowStart.sent, isPast)
-	work := d.warmUpCost(job)
-	for _, s := range worker.slowStart.sent {
-		work += s.work
-	}
+	worker.slowStart.sent.expire(window, d.now)
+	cost := d.warmUpCost(job)
+	work := worker.slowStart.sent.plus(cost, window, d.now)
 	budget := d.warmUpBudget(worker)
 	rank, assignees := d.assigneeRank(worker)
-	// Equal parts for many dispatchers would hold no job: all agree on a few owners of each worker.
-	owners := max(1, min(assignees, int(budget/(jobsPerOwner*d.meanCost+1e-9))))
-	isOwner := rank < owners || worker.uncordonedAt > 0 && d.allMayTry(d.warmUpCost(job), budget)
-	return isOwner && d.now-d.bornAt > window && work <= budget/float64(owners)
+	// Equal parts for many dispatchers would hold no job: all dispatchers choose the same few of them
+	// for a worker.
+	chosen := max(1, min(assignees, int(budget/(meanJobsPerAssignee*d.meanCost+minMeanCost))))
+	mayTry := rank < chosen || worker.uncordonedAt > 0 && d.allMayTry(cost, budget)
+	return mayTry && d.now-d.bornAt > window && work <= budget/float64(chosen)
 }
 
-// ownSpendsAllow bounds what this dispatcher sends a warming worker on leases, whatever its coordinator says:
-// with what it sends without one, to the budget of all.
-func (d *Dispatcher) ownSpendsAllow(job *jobInfo, worker *workerInfo) bool {
+// warmUpAllowsLease tells whether a job may be sent to a worker on a lease. It bounds what this
+// dispatcher sends a warming worker on leases and without, whatever its coordinator grants, to the
+// budget of all dispatchers.
+func (d *Dispatcher) warmUpAllowsLease(job *jobInfo, worker *workerInfo) bool {
 	if d.warmUpShare(worker) >= 1 {
 		return true
 	}
-	work := d.warmUpCost(job)
-	for _, s := range worker.slowStart.sent {
-		if d.now-s.at <= d.settings.OverloadWindow {
-			work += s.work
-		}
-	}
+	work := worker.slowStart.sent.plus(d.warmUpCost(job), d.settings.OverloadWindow, d.now)
 	return work <= d.warmUpBudget(worker)
 }
 
-// allMayTry tells whether a budget holds a job of such a cost from each dispatcher: a cordon ends at all of
-// them at once, and none knows whether others have tried the worker.
+// allMayTry tells whether a budget holds a job of a cost from each dispatcher. A cordon ends at all of
+// them at once, and none can see whether others have tried the worker.
 func (d *Dispatcher) allMayTry(cost, budget float64) bool {
 	return cost*float64(max(1, cmp.Or(d.sharing.Replicas, d.settings.Replicas))) <= budget
 }
 
-// assignLots gives each warming worker an interval of the numbers from 0 to 1 that jobs draw: its part of an
-// even spread of jobs, or less where its budget allows less. Only jobs that could go elsewhere go by it, so
-// that the sum over dispatchers that know nothing of each other follows what the rest of the fleet is given.
-func (d *Dispatcher) assignLots() {
-	from, ready := 0.0, d.countReady()
-	for _, w := range d.fleet.workers {
-		w.slowStart.ticketStart, w.slowStart.ticketWidth = from, 0
-		if share := d.warmUpShare(w); w.Ready && share < 1 && w.Assignees == 0 && d.settings.Replicas > 1 {
-			w.slowStart.ticketWidth = min(1, warmUpMargin*d.settings.OverloadFactor) * share / float64(ready)
+// assignTickets gives each warming worker its tickets of the lottery that jobs draw in, an interval of
+// the numbers from 0 to 1. Its width is the worker's part of an even distribution of jobs, or less
+// where its budget allows less. Only jobs that could be sent elsewhere draw: so the sum over
+// dispatchers that do not see each other follows what the rest of the fleet is sent.
+func (d *Dispatcher) assignTickets() {
+	start, ready := 0.0, d.fleet.countReady()
+	for _, worker := range d.fleet.workers {
+		worker.slowStart.ticketStart = start
+		worker.slowStart.ticketWidth = 0
+		share := d.warmUpShare(worker)
+		if worker.Ready && share < 1 && worker.Assignees == 0 && d.settings.Replicas > 1 {
+			fraction := min(1, warmUpBudgetFraction*d.settings.OverloadFactor)
+			worker.slowStart.ticketWidth = fraction * share / float64(ready)
 		}
-		from += w.slowStart.ticketWidth
+		start += worker.slowStart.ticketWidth
 	}
 }
 
-// drawsWorker tells whether a job has drawn a warming worker. The heavier the job, the narrower the interval;
-// one that would use up the worker's whole budget never goes.
-func (d *Dispatcher) drawsWorker(j *jobInfo, w *workerInfo) bool {
-	cost := d.warmUpCost(j)
-	if w.slowStart.ticketWidth == 0 || j.wasSentTo(w) || len(w.slowStart.sent) > 0 || cost > d.warmUpBudget(w) {
+// drawsTicketOf tells whether a job has drawn a ticket of a warming worker. The greater the job's cost,
+// the fewer tickets count; a job that would use up the worker's whole budget has no chance. A job draws
+// once.
+func (d *Dispatcher) drawsTicketOf(worker *workerInfo, job *jobInfo) bool {
+	cost := d.warmUpCost(job)
+	tickets := &worker.slowStart
+	takesPart := tickets.ticketWidth != 0 && !job.wasSentTo(worker) && len(tickets.sent) == 0
+	if !takesPart || cost > d.warmUpBudget(worker) {
 		return false
 	}
-	if j.lotteryDraw == 0 {
-		j.lotteryDraw = 1 - d.rng.Float64()
+	if job.lotteryDraw == 0 {
+		job.lotteryDraw = 1 - d.rng.Float64()
 	}
-	distance := j.lotteryDraw - w.slowStart.ticketStart
-	return distance > 0 && distance*max(1, cost/(d.meanCost+1e-9)) <= w.slowStart.ticketWidth
+	distance := job.lotteryDraw - tickets.ticketStart
+	return distance > 0 && distance*max(1, cost/(d.meanCost+minMeanCost)) <= tickets.ticketWidth
 }
 
-// chargeWarmUp enters an attempt with what its worker has been sent, if that warms up.
-func (d *Dispatcher) chargeWarmUp(a *attemptInfo) {
-	if d.warmUpShare(a.worker) < 1 {
-		a.worker.slowStart.sent = append(a.worker.slowStart.sent, workSample{a.sentAt, d.warmUpCost(a.job)})
+// recordWarmUpWork adds an attempt to the work that its worker has been sent, if that is warming up.
+func (d *Dispatcher) recordWarmUpWork(attempt *attemptInfo) {
+	worker := attempt.worker
+	if d.warmUpShare(worker) < 1 {
+		sample := workSample{at: attempt.sentAt, work: d.warmUpCost(attempt.job)}
+		worker.slowStart.sent = append(worker.slowStart.sent, sample)
 	}
 }
 
-// warmUpShare is the least part of its capacity that a worker has, by when it started; 1: it is warm.
-func (d *Dispatcher) warmUpShare(w *workerInfo) float64 {
-	boot := max(w.BootAt, w.slowStart.restartedAt)
-	if boot <= 0 || d.settings.WarmUp <= 0 || d.now-boot >= d.settings.WarmUp {
+// warmUpStart returns the instant from which a worker warms up.
+func (w *workerInfo) warmUpStart() time.Duration { return max(w.BootAt, w.slowStart.restartedAt) }
+
+// warmUpShare returns the least fraction of its full capacity that a worker has, by the time since its
+// start; 1 if it has warmed up.
+func (d *Dispatcher) warmUpShare(worker *workerInfo) float64 {
+	start := worker.warmUpStart()
+	if start <= 0 || d.settings.WarmUp <= 0 || d.now-start >= d.settings.WarmUp {
 		return 1
 	}
-	age := max(0, (d.now - boot).Seconds())
+	age := max(0, (d.now - start).Seconds())
 	share := d.settings.WarmUpCapacity + (1-d.settings.WarmUpCapacity)*age/d.settings.WarmUp.Seconds()
-	return max(minWarmUp, share)
+	return max(minWarmUpShare, share)
 }
 
-// warmUpBudget is the work that all dispatchers may send a warming worker within a window. Its full
-// capacity is estimated from the slots that its kind has been seen to have.
-func (d *Dispatcher) warmUpBudget(w *workerInfo) float64 {
-	k := d.machineKind(w.Kind)
-	capacity := max(1, k.maxSlots) * math.Exp(k.logSpeed) * d.warmUpShare(w)
-	return warmUpMargin * d.settings.OverloadFactor * capacity * d.settings.OverloadWindow.Seconds()
+// warmUpBudget returns the work that all dispatchers may send a warming worker within a window, in
+// seconds on a standard core times slots. The worker's full capacity is estimated from the greatest
+// number of slots seen on its kind.
+func (d *Dispatcher) warmUpBudget(worker *workerInfo) float64 {
+	kind := d.machineKind(worker.Kind)
+	capacity := max(1, kind.maxSlots) * math.Exp(kind.logSpeed) * d.warmUpShare(worker)
+	return warmUpBudgetFraction * d.settings.OverloadFactor * capacity * d.settings.OverloadWindow.Seconds()
 }
 
-// warmUpCost is what a job takes of such a budget.
-func (d *Dispatcher) warmUpCost(j *jobInfo) float64 {
-	return j.work * j.Slots * d.overrunFactor[j.Class]
+// warmUpCost returns what a job counts against such a budget.
+func (d *Dispatcher) warmUpCost(job *jobInfo) float64 {
+	return job.work * job.Slots * d.overrunFactor[job.Class]
 }
 
-// assigneeRank is this dispatcher's place among those that may send jobs to a warming worker: all agree on
-// it.
-func (d *Dispatcher) assigneeRank(w *workerInfo) (rank, assignees int) {
-	if w.Assignees > 0 {
-		return max(0, w.AssigneeRank), w.Assignees
+// assigneeRank returns this dispatcher's place, from 0, among those that may send jobs to a warming
+// worker. All dispatchers compute the same order.
+func (d *Dispatcher) assigneeRank(worker *workerInfo) (rank, assignees int) {
+	if worker.Assignees > 0 {
+		return max(0, worker.AssigneeRank), worker.Assignees
 	}
 	index, replicas := d.replica()
-	return int((uint64(index) + w.ID*hashFactor>>32) % uint64(replicas)), replicas
+	return int((uint64(index) + worker.ID*hashFactor>>32) % uint64(replicas)), replicas
 }
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -77,7 +77,7 @@
 	c.flags(&dispatcher.cordons.coverFleet)
 	c.population(dispatcher)
 	c.keys(dispatcher)
-	fixedList(c, dispatcher.idleConnections.outcomes[:], func(n *outcomeCounts) { c.float(&n.succeeded, &n.failed) })
+	fixedList(c, dispatcher.idleConnections.outcomes[:], func(n *idleOutcomes) { c.float(&n.succeeded, &n.failed) })
 	c.available(dispatcher)
 	c.queue(dispatcher)
 	c.timers(dispatcher)
@@ -95,8 +95,8 @@
 
 // figures walks what is one figure each.
 func (c *codec) figures(d *Dispatcher) {
-	c.instant(&d.bornAt, &d.timerAt, &d.outliers.nextProbeAt, &d.subscribeAt, &d.idleConnections.maxIdleSetAt, &d.outliers.stalledAt, &d.starts.lastSentAt)
-	c.duration(&d.starts.minDelay, &d.starts.meanLateDelay, &d.subscribeBackoff, &d.idleConnections.maxIdle, &d.checks.minDelay, &d.outliers.stallLength)
+	c.instant(&d.bornAt, &d.timerAt, &d.outliers.nextProbeAt, &d.subscribeAt, &d.idleConnections.maxIdleSetAt, &d.stalls.endedAt, &d.starts.lastSentAt)
+	c.duration(&d.starts.minDelay, &d.starts.meanLateDelay, &d.subscribeBackoff, &d.idleConnections.maxIdle, &d.checks.minDelay, &d.stalls.length)
 	c.float(&d.longCut, &d.muShort, &d.meanWeight, &d.meanCost, &d.arrivals, &d.spread, &d.topSpeed, &d.starts.usedSlots,
 		&d.hedgeTokens, &d.checks.tokens, &d.trialTokens, &d.starts.lateCount)
 	c.flags(&d.outliers.silencePanic, &d.outliers.failurePanic)
@@ -189,7 +189,7 @@
 		for slot, w := range level {
 			c.check(w.index.bucket == nil)
 			w.index.bucket, w.index.level, w.index.slot = b, i, slot
-			d.fleet.available.count(w, 1)
+			d.fleet.available.count(&w.index, 1)
 		}
 	}
 }
@@ -472,12 +472,14 @@
 	c.int(&worker.connections.open)
 	c.int(&worker.orphans)
 	list(c, &worker.inFlight, func(a **attemptInfo) { c.attempt(a) })
-	list(c, &worker.slowStart.sent, c.spend)
+	c.workWindow(&worker.slowStart.sent)
 }
 
-func (c *codec) spend(spent *workSample) {
-	c.instant(&spent.at)
-	c.float(&spent.work)
+func (c *codec) workWindow(window *workWindow) {
+	list(c, (*[]workSample)(window), func(sample *workSample) {
+		c.instant(&sample.at)
+		c.float(&sample.work)
+	})
 }
 
 // keys walks what is known of the keys of jobs at hand.
--- a/dispatch/starttracker.go
+++ b/dispatch/starttracker.go
@@ -1,62 +1,57 @@
 package dispatch
 
-import (
-	"slices"
-	"time"
-)
+import "slices"
 
-// The attempts that have not started, and those of them that are late. Nothing is decided here.
-
-// startMonitor watches how soon attempts start.
-type startMonitor struct {
-	unstarted     startTracker  // attempts in flight that have not started
-	lateCount     float64       // of these, the late ones, as of the latest dispatch cycle
-	usedSlots     float64       // of this dispatcher, at all workers
-	lastSentAt    time.Duration // when the latest attempt was sent; 0: it has started
-	meanLateDelay time.Duration // mean start delay of the attempts that started late
-	minDelay      time.Duration // least start delay of all attempts: the round trip of a notification
-}
-
-// startTracker keeps the attempts that have not started, and those of them that are late by now.
+// startTracker holds the attempts that have not started, and those of them that are late. It decides nothing.
 type startTracker struct {
 	pending [][]*attemptInfo // by class, oldest first; may hold attempts that have started or ended
-	first   []int            // where each begins
+	first   []int            // by class: the first used element of pending
 	late    []*attemptInfo
 }
 
-// add keeps an attempt in its place by when it was sent.
-func (t *startTracker) add(class int, a *attemptInfo) {
-	pending := append(t.pending[class], a) //nolint:gocritic // it goes back below
+func newStartTracker(classes int) startTracker {
+	return startTracker{pending: make([][]*attemptInfo, classes), first: make([]int, classes)}
+}
+
+// add inserts an attempt by when it was sent.
+func (s *startTracker) add(class int, attempt *attemptInfo) {
+	pending := append(s.pending[class], attempt) //nolint:gocritic // stored back below
 	i := len(pending) - 1
-	for ; i > t.first[class] && pending[i-1].sentAt > a.sentAt; i-- {
+	for ; i > s.first[class] && pending[i-1].sentAt > attempt.sentAt; i-- {
 		pending[i] = pending[i-1]
 	}
-	pending[i] = a
-	t.pending[class] = pending
+	pending[i] = attempt
+	s.pending[class] = pending
 }
 
-// update moves what is late by the limit of its class to the late ones, and drops those of them that are over.
-func (t *startTracker) update(isLate func(class int, a *attemptInfo) bool, isOver func(a *attemptInfo) bool) {
-	for class := range t.pending {
-		pending, i := t.pending[class], t.first[class]
-		for ; i < len(pending); i++ {
-			a := pending[i]
-			if a.started || a.ended {
-				pending[i] = nil
-				continue
-			}
-			if !isLate(class, a) {
-				break
-			}
-			t.late = append(t.late, a)
-			pending[i] = nil
+// update moves the attempts that are late to the late ones, and removes from these the ones that are over.
+func (s *startTracker) update(isLate func(class int, a *attemptInfo) bool, isOver func(a *attemptInfo) bool) {
+	for class := range s.pending {
+		s.moveLate(class, isLate)
+	}
+	s.late = slices.DeleteFunc(s.late, isOver)
+}
+
+// moveLate moves the late attempts of a class, and removes those that have started or ended before the first
+// that is not late.
+func (s *startTracker) moveLate(class int, isLate func(class int, a *attemptInfo) bool) {
+	pending, i := s.pending[class], s.first[class]
+	for ; i < len(pending); i++ {
+		attempt := pending[i]
+		isPending := !attempt.started && !attempt.ended
+		if isPending && !isLate(class, attempt) {
+			break
 		}
-		if i > len(pending)/2 {
-			n := copy(pending, pending[i:])
-			clear(pending[n:])
-			t.pending[class], i = pending[:n], 0
+		if isPending {
+			s.late = append(s.late, attempt)
 		}
-		t.first[class] = i
+		pending[i] = nil
+	}
+	if i > len(pending)/2 {
+		n := copy(pending, pending[i:])
+		clear(pending[n:])
+		s.pending[class] = pending[:n]
+		i = 0
 	}
-	t.late = slices.DeleteFunc(t.late, isOver)
+	s.first[class] = i
 }
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -37,6 +37,7 @@
 	reservation     reservation
 	starts          startMonitor
 	outliers        outlierDetector
+	stalls          stallDetector
 	checks          healthChecker
 	idleConnections connectionHistory
 
@@ -114,26 +115,6 @@
 // isDeprioritized tells whether a job cannot earn in full any more: it leaves after those that can.
 func (j *jobInfo) isDeprioritized() bool { return j.priority != levelFull }
 
-// attemptInfo is one attempt of a job.
-type attemptInfo struct {
-	job         *jobInfo
-	number      int
-	worker      *workerInfo
-	zone, cell  int // of the worker when it was sent
-	sentAt      time.Duration
-	startedAt   time.Duration
-	progressAt  time.Duration // last notification
-	started     bool
-	ended       bool
-	orphaned    bool          // its worker's process is gone: it takes no slots there any more
-	limitBound  bool          // the concurrency limit was what bound the worker when it was sent
-	connIdle    time.Duration // how long its connection had been idle; 0: a new one
-	result      Result
-	lease       *leaseInfo    // nil: none
-	expectedRun time.Duration // on this worker
-	timer       timer         // when it should have started, or ended
-}
-
 // machineInfo is what is known of one kind of machine.
 type machineInfo struct {
 	logSpeed      float64 // of its workers, against a standard core
--- a/dispatch/timers.go
+++ b/dispatch/timers.go
@@ -2,10 +2,6 @@
 
 import "time"
 
-// minStall is the delay of our own timer from which on this process was stalled: what it timed meanwhile says nothing of
-// workers.
-const minStall = 20 * time.Millisecond
-
 // timer is an instant at which the dispatcher acts by itself. Each is part of what it is about, and set once at a time.
 type timer struct {
 	at        time.Duration
@@ -52,15 +48,3 @@
 	j.objectiveTimer = timer{purpose: jobObjective, job: j}
 	j.checksTimer = timer{purpose: reviewQueue, job: j}
 }
-
-// measureStall measures how late this process is for its own timer.
-func (d *Dispatcher) measureStall() {
-	if late := d.now - d.timerAt; d.timerAt > 0 && late > minStall {
-		d.outliers.stalledAt, d.outliers.stallLength = d.now, late
-	}
-}
-
-// spansStall tells whether this process was stalled while an attempt was in flight.
-func (d *Dispatcher) spansStall(a *attemptInfo) bool {
-	return a.sentAt < d.outliers.stalledAt && d.outliers.stalledAt > 0
-}
--- a/dispatch/workerinfo.go
+++ b/dispatch/workerinfo.go
@@ -53,3 +53,43 @@
 	aliveAt    time.Duration // the latest response or notification of any kind
 	progressAt time.Duration // the latest start, progress or successful end of an attempt
 }
+
+// newWorkerInfo returns a worker of a kind of machine, without any observation.
+func newWorkerInfo(kind *machineInfo) *workerInfo {
+	return &workerInfo{machine: kind, slots: slotLimit{limit: 1}, speed: newRelativeSpeed(kind.logSpeed)}
+}
+
+// resetProcess clears what is known of the worker's process. Its backoff stays.
+func (w *workerInfo) resetProcess() {
+	w.slots.limit = 1
+	w.slots.rejectedDemand = 0
+	w.outlier.ejectionTime = 0
+	w.outlier.ejectedUntil = 0
+	w.outlier.failures = 0
+	w.outlier.connectionLost = false
+	w.report.receivedAt = 0
+	w.speed.observedAt = 0
+}
+
+// clearFaults clears what is known of the worker's process, and all that keeps jobs from it.
+func (w *workerInfo) clearFaults() {
+	w.resetProcess()
+	w.outlier.failing = false
+	w.backoff = backoffState{}
+	w.slowStart.restartedAt = 0
+}
+
+// reportedFreeSlots returns the free slots by the worker's latest load report, less those that were sent since, and
+// whether the report is fresh.
+func (w *workerInfo) reportedFreeSlots(now time.Duration) (free float64, fresh bool) {
+	if w.report.receivedAt == 0 {
+		return 0, false
+	}
+	free = w.report.freeSlots
+	for _, attempt := range w.inFlight {
+		if attempt.sentAt > w.report.receivedAt-reportLag {
+			free -= attempt.job.demand
+		}
+	}
+	return free, now-w.report.receivedAt < maxReportAge
+}
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -4,10 +4,10 @@
 	"slices"
 )
 
-// workerFleet holds the workers, listed or with attempts in flight, and the indexes over them.
+// workerFleet holds the workers that are listed or have attempts in flight, and the indexes over them.
 type workerFleet struct {
 	byID       map[uint64]*workerInfo
-	workers    []*workerInfo // all workers, in an order that is the same in each run
+	workers    []*workerInfo // all workers: they are never iterated over by the map, whose order is random
 	available  workerIndex   // those that may have capacity
 	rings      preferenceRings
 	dirty      []*workerInfo   // to be reindexed before the next choice
@@ -19,156 +19,214 @@
 	return workerFleet{byID: map[uint64]*workerInfo{}, zoneBusy: map[int]float64{}}
 }
 
-// applyList takes in the entries of a list. A worker that is removed is forgotten once nothing of ours is in flight there.
-func (d *Dispatcher) applyList(e WorkerList) {
-	isDelta := e.Kind == ListDelta
+// add adds a worker under an id that is not in use.
+func (f *workerFleet) add(id uint64, worker *workerInfo) {
+	worker.position = len(f.workers)
+	worker.timer = timer{purpose: workerAvailable, worker: worker}
+	f.byID[id] = worker
+	f.workers = append(f.workers, worker)
+}
+
+// contains tells whether a worker is part of the fleet, and not one that has been removed since.
+func (f *workerFleet) contains(worker *workerInfo) bool { return f.byID[worker.ID] == worker }
+
+// remove removes a worker of the fleet. The last of all workers takes its position.
+func (f *workerFleet) remove(worker *workerInfo) {
+	delete(f.byID, worker.ID)
+	f.available.remove(worker)
+	last := f.workers[len(f.workers)-1]
+	f.workers[worker.position] = last
+	last.position = worker.position
+	f.workers[len(f.workers)-1] = nil
+	f.workers = f.workers[:len(f.workers)-1]
+}
+
+// markDirty has a worker reindexed before the next choice.
+func (f *workerFleet) markDirty(worker *workerInfo) {
+	if !worker.index.dirty {
+		worker.index.dirty = true
+		f.dirty = append(f.dirty, worker)
+	}
+}
+
+// updateReadyZones recomputes which zones have ready workers.
+func (f *workerFleet) updateReadyZones() {
+	f.readyZones = f.readyZones[:0]
+	for _, w := range f.workers {
+		if w.Ready && !slices.Contains(f.readyZones, w.Zone) {
+			f.readyZones = append(f.readyZones, w.Zone)
+		}
+	}
+	slices.Sort(f.readyZones)
+}
+
+// countReady returns the number of workers that may be sent jobs.
+func (f *workerFleet) countReady() int {
+	ready := 0
+	for _, w := range f.workers {
+		if w.Ready {
+			ready++
+		}
+	}
+	return ready
+}
+
+// observeBusy updates the estimate of a zone by whether one of its workers had no free slot. It is kept by zone, as
+// there are too few samples of each worker.
+func (f *workerFleet) observeBusy(zone int, busy bool) {
+	f.zoneBusy[zone] *= 1 - busyGain
+	if busy {
+		f.zoneBusy[zone] += busyGain
+	}
+}
+
+// applyList applies the entries of a list. A worker that is removed from the list is forgotten once nothing of this
+// dispatcher is in flight there.
+func (d *Dispatcher) applyList(list WorkerList) {
+	isDelta := list.Kind == ListDelta
 	if !isDelta {
 		for _, w := range d.fleet.workers {
 			w.listed = false
 		}
 	}
-	for _, entry := range e.Workers {
-		w := d.applyEntry(entry)
-		if w != nil && isDelta {
-			d.forgetWorker(w)
+	for _, entry := range list.Workers {
+		worker := d.applyEntry(entry)
+		if worker != nil && isDelta {
+			d.forgetWorker(worker)
 		}
 	}
-	for i := len(d.fleet.workers) - 1; i >= 0 && !isDelta; i-- { // each that goes leaves its place to the last
-		if w := d.fleet.workers[i]; !w.listed {
-			w.Ready, w.listedReady = false, false
-			d.fleet.rings.update(w)
-			d.markDirty(w)
-			d.forgetWorker(w)
-		}
+	if !isDelta {
+		d.removeUnlisted()
 	}
-	d.updateAllCordoned()
-	d.updateReadyZones()
+	d.cordons.updateCoverage(d.fleet.workers)
+	d.fleet.updateReadyZones()
 	d.updatePreferences()
 	d.coordinator.members = nil
 	d.coordinator.unchanged = false
 }
 
-// updateReadyZones notes which zones have ready workers.
-func (d *Dispatcher) updateReadyZones() {
-	d.fleet.readyZones = d.fleet.readyZones[:0]
-	for _, w := range d.fleet.workers {
-		if w.Ready && !slices.Contains(d.fleet.readyZones, w.Zone) {
-			d.fleet.readyZones = append(d.fleet.readyZones, w.Zone)
+// removeUnlisted removes the workers that are not on a full list.
+func (d *Dispatcher) removeUnlisted() {
+	for i := len(d.fleet.workers) - 1; i >= 0; i-- { // backwards, as the last worker takes the place of a removed one
+		worker := d.fleet.workers[i]
+		if worker.listed {
+			continue
 		}
+		worker.Ready = false
+		worker.listedReady = false
+		d.fleet.rings.update(worker)
+		d.fleet.markDirty(worker)
+		d.forgetWorker(worker)
 	}
-	slices.Sort(d.fleet.readyZones)
 }
 
-// applyEntry takes in one entry of a list, and returns its worker; nil: it is removed and was not known.
+// applyEntry applies one entry of a list, and returns its worker. It returns nil if the entry removes a worker that is
+// not known.
 func (d *Dispatcher) applyEntry(entry Worker) *workerInfo {
 	worker := d.fleet.byID[entry.ID]
 	switch {
 	case worker == nil && entry.Removed:
 		return nil
 	case worker == nil:
-		logSpeed := d.machineKind(entry.Kind).logSpeed
-		worker = &workerInfo{slots: slotLimit{limit: 1}, speed: newRelativeSpeed(logSpeed)}
+		worker = newWorkerInfo(d.machineKind(entry.Kind))
 		d.addWorker(entry.ID, worker)
-	case entry.BootAt > worker.BootAt && worker.ID != 0: // a new process: what was known of the old one is void
+	case entry.BootAt > worker.BootAt && worker.ID != 0: // a new process: the state of the old one is void
 		worker.resetProcess()
 		worker.slowStart.restartedAt = 0
 	}
 	hasMoved := worker.index.onRing && (worker.Zone != entry.Zone || worker.Kind != entry.Kind)
-	worker.Worker, worker.listed, worker.listedReady = entry, !entry.Removed, entry.Ready && !entry.Removed
-	worker.Ready = worker.listedReady && !d.isCordoned(worker)
+	worker.Worker = entry
+	worker.listed = !entry.Removed
+	worker.listedReady = entry.Ready && !entry.Removed
+	worker.Ready = worker.listedReady && !d.cordons.contains(worker.ID)
 	worker.machine = d.machineKind(entry.Kind)
 	if hasMoved {
 		d.fleet.rings.reset()
 	}
 	d.fleet.rings.update(worker)
-	d.markDirty(worker)
+	d.fleet.markDirty(worker)
 	if worker.Ready {
-		d.topSpeed = max(d.topSpeed, worker.speed.log) // known at once: a job thought out of reach is rejected
+		d.topSpeed = max(d.topSpeed, worker.speed.log) // at once: a job whose objective seems unreachable is rejected
 	}
 	return worker
 }
 
-// addWorker has a worker known by an id.
-func (d *Dispatcher) addWorker(id uint64, w *workerInfo) {
-	w.position = len(d.fleet.workers)
-	w.timer = timer{purpose: workerAvailable, worker: w}
-	d.fleet.byID[id] = w
-	d.fleet.workers = append(d.fleet.workers, w)
+// addWorker adds a worker under an id that is not in use.
+func (d *Dispatcher) addWorker(id uint64, worker *workerInfo) {
+	d.fleet.add(id, worker)
 	d.coordinator.members = nil
 }
 
-// forgetWorker drops a worker that is not listed any more, once nothing of ours is in flight there.
-func (d *Dispatcher) forgetWorker(w *workerInfo) {
-	if w.listed || len(w.inFlight)+w.orphans > 0 || d.fleet.byID[w.ID] != w {
+// forgetWorker removes a worker that is not listed any more, once nothing of this dispatcher is in flight there.
+func (d *Dispatcher) forgetWorker(worker *workerInfo) {
+	if worker.listed || len(worker.inFlight)+worker.orphans > 0 || !d.fleet.contains(worker) {
 		return
 	}
-	delete(d.fleet.byID, w.ID)
+	d.fleet.remove(worker)
 	d.coordinator.members = nil
-	d.fleet.available.drop(w)
-	d.cancelTimer(&w.timer)
-	last := d.fleet.workers[len(d.fleet.workers)-1]
-	d.fleet.workers[w.position], last.position = last, w.position
-	d.fleet.workers[len(d.fleet.workers)-1] = nil
-	d.fleet.workers = d.fleet.workers[:len(d.fleet.workers)-1]
-}
-
-// resetProcess forgets what was known of a worker's process.
-func (w *workerInfo) resetProcess() {
-	w.slots.limit, w.slots.rejectedDemand = 1, 0
-	w.outlier.ejectionTime, w.outlier.ejectedUntil = 0, 0
-	w.outlier.failures, w.outlier.connectionLost = 0, false
-	w.report.receivedAt, w.speed.observedAt = 0, 0
-}
-
-// forgetFaults forgets what was known of a worker's process, and whatever kept jobs from it.
-func (w *workerInfo) forgetFaults() {
-	w.resetProcess()
-	w.outlier.failing = false
-	w.backoff.delay, w.backoff.until = 0, 0
-	w.slowStart.restartedAt = 0
-}
-
-// orphanAttempts frees the slots of what is in flight at a worker whose process is gone, and returns it. The attempts are
-// still in flight: their outcomes are yet to come.
-func (d *Dispatcher) orphanAttempts(w *workerInfo) []*attemptInfo {
-	orphans := w.inFlight
-	for _, a := range orphans {
-		a.orphaned = true
-		d.releaseLease(a, Cancelled)
-		d.starts.usedSlots = max(0, d.starts.usedSlots-a.job.demand)
-	}
-	w.inFlight, w.slots.used, w.slots.running, w.connections.open = nil, 0, 0, 0
-	w.orphans += len(orphans)
-	return orphans
+	d.cancelTimer(&worker.timer)
 }
 
-// countReady counts the workers that may be sent jobs.
-func (d *Dispatcher) countReady() int {
-	ready := 0
-	for _, w := range d.fleet.workers {
-		if w.Ready {
-			ready++
+// reindex updates the place of a worker in the index of available workers, and sets its timer if it becomes available
+// without any event.
+func (d *Dispatcher) reindex(worker *workerInfo) {
+	worker.index.dirty = false
+	warmingUp := d.warmUpShare(worker) < 1
+	if d.fleet.contains(worker) && worker.mayHaveCapacity(d.now) {
+		key := bucketKey{
+			zone:      worker.Zone,
+			kind:      worker.Kind,
+			warmingUp: warmingUp,
+			ejected:   worker.outlier.ejectionTime > 0,
 		}
+		d.fleet.available.insert(worker, key)
+	} else {
+		d.fleet.available.remove(worker)
 	}
-	return ready
+	wakeAt := worker.backoff.until
+	warmAt := worker.warmUpStart() + d.settings.WarmUp
+	if warmingUp && (wakeAt <= d.now || warmAt < wakeAt) {
+		wakeAt = warmAt
+	}
+	if wakeAt > d.now && worker.Ready {
+		d.setTimer(&worker.timer, wakeAt)
+	}
+}
+
+// orphanAttempts releases the slots of the attempts at a worker whose process is gone, and returns the attempts. They
+// stay in flight until their outcomes arrive.
+func (d *Dispatcher) orphanAttempts(worker *workerInfo) []*attemptInfo {
+	orphans := worker.inFlight
+	for _, attempt := range orphans {
+		attempt.orphaned = true
+		d.releaseLease(attempt, Cancelled)
+		d.starts.releaseSlots(attempt.job.demand)
+	}
+	worker.inFlight = nil
+	worker.slots.used = 0
+	worker.slots.running = 0
+	worker.connections.open = 0
+	worker.orphans += len(orphans)
+	return orphans
 }
 
-// AvoidedWorkers counts the listed workers that this dispatcher avoids now, as cordoned or as ejected.
+// AvoidedWorkers returns the number of listed workers that this dispatcher avoids now, as cordoned or as ejected.
 func (d *Dispatcher) AvoidedWorkers() int {
 	avoided := 0
 	for _, w := range d.fleet.workers {
-		if w.listed && (d.isCordoned(w) || w.Ready && d.isEjected(w)) {
+		isAvoided := d.cordons.contains(w.ID) || w.Ready && d.outliers.isEjected(w)
+		if w.listed && isAvoided {
 			avoided++
 		}
 	}
 	return avoided
 }
 
-// AvailableSlots is how many slots of ours workers could start now, as far as is known.
+// AvailableSlots returns how many slots of this dispatcher the workers could start now, as far as is known.
 func (d *Dispatcher) AvailableSlots() float64 {
 	slots := 0.0
 	for _, w := range d.fleet.workers {
-		if w.Ready && d.now >= w.backoff.until && !d.isEjected(w) {
+		if w.Ready && d.now >= w.backoff.until && !d.outliers.isEjected(w) {
 			slots += max(0, min(w.slots.limit, d.maxSlots(w))*d.warmUpShare(w)-w.slots.used)
 		}
 	}
--- a/dispatch/workerslots.go
+++ b/dispatch/workerslots.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"slices"
 	"time"
 )
 
@@ -25,7 +24,7 @@
 	failedPeer     int // that has told the last one
 	suspension     time.Duration
 	suspendedUntil time.Duration
-	warmUpSpends   []workSample
+	warmUpWork     workWindow // leased while the worker is warming up
 }
 
 // slotsOf is what is known of a worker's slots.
@@ -86,8 +85,8 @@
 		}
 		slots.failures++
 		slots.failedPeer = lease.key.peer
-		if slots.failures > maxFailures && d.now >= slots.suspendedUntil {
-			slots.suspension = min(max(minEjection, 2*slots.suspension), maxEjection)
+		if slots.failures > maxConsecutiveFailures && d.now >= slots.suspendedUntil {
+			slots.suspension = min(max(minEjectionTime, 2*slots.suspension), maxEjectionTime)
 			slots.suspendedUntil = d.now + slots.suspension
 		}
 	case Cancelled, NotSent:
@@ -98,18 +97,14 @@
 // coordinator that is new does not know yet what others were granted.
 func (d *Dispatcher) warmUpLeaseAllows(request *LeaseRequest, worker *workerInfo, slots *workerSlots) bool {
 	if d.warmUpShare(worker) >= 1 {
-		slots.warmUpSpends = nil
+		slots.warmUpWork = nil
 		return true
 	}
 	window := d.settings.OverloadWindow
 	if d.now-d.coordinator.since <= window {
 		return false
 	}
-	isPast := func(s workSample) bool { return d.now-s.at > window }
-	slots.warmUpSpends = slices.DeleteFunc(slots.warmUpSpends, isPast)
-	work := request.Work
-	for _, s := range slots.warmUpSpends {
-		work += s.work
-	}
-	return work <= d.warmUpBudget(worker)*warmUpLeaseMargin/warmUpMargin
+	slots.warmUpWork.expire(window, d.now)
+	work := slots.warmUpWork.plus(request.Work, window, d.now)
+	return work <= d.warmUpBudget(worker)*warmUpLeaseMargin/warmUpBudgetFraction
 }
