--- a/dispatch/attemptinfo.go
+++ b/dispatch/attemptinfo.go
@@ -106,7 +106,7 @@
 		return 0, false
 	}
 	inFlight := j.attempts[attempt]
-	remaining = d.maxPlausibleRun(inFlight)
+	remaining = d.workload.maxPlausibleRun(inFlight)
 	if inFlight.started {
 		remaining = max(0, remaining-(d.now-inFlight.startedAt))
 	}
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -39,7 +39,7 @@
 	d.observeSlots(worker, worker.slots.running)
 	d.setTimer(&attempt.timer, d.dueAt(attempt))
 	if !job.closed {
-		d.dequeue(job) // no further attempt is needed
+		d.queue.remove(job) // no further attempt is needed
 		d.withdrawLeases(job)
 	}
 }
--- a/dispatch/concurrency.go
+++ b/dispatch/concurrency.go
@@ -101,7 +101,7 @@
 // once a few attempts beyond it have started late; infinity until then. The limit alone would grow past
 // it: an attempt sent just as another one ends starts promptly.
 func (d *Dispatcher) maxSlots(worker *workerInfo) float64 {
-	if kind := d.machineKind(worker.Kind); kind.lateOverflows >= minLateOverflows {
+	if kind := d.workload.machineKind(worker.Kind); kind.lateOverflows >= minLateOverflows {
 		return kind.maxSlots
 	}
 	return math.Inf(1)
@@ -124,7 +124,7 @@
 	if worker.slots.predates(attempt) {
 		return
 	}
-	if kind := d.machineKind(worker.Kind); worker.slots.running >= kind.maxSlots {
+	if kind := d.workload.machineKind(worker.Kind); worker.slots.running >= kind.maxSlots {
 		kind.lateOverflows++
 	}
 	// One slot for each of several dispatchers is still a queue: back off for as long as this attempt
--- a/dispatch/healthcheck.go
+++ b/dispatch/healthcheck.go
@@ -16,7 +16,7 @@
 
 // healthChecker holds the budget of health checks and their fastest answer.
 type healthChecker struct {
-	tokens   float64       // checks that may be sent
+	tokens   tokenBucket   // one for each check that may be sent
 	minDelay time.Duration // least delay of any answer
 }
 
@@ -31,18 +31,18 @@
 func (h *healthChecker) earn(cost float64, workers int) {
 	affordable := healthCheckBudget / max(cost, 1e-9)
 	earned := min(checksPerJob, affordable)
-	h.tokens = min(h.tokens+earned, float64(workers))
+	h.tokens.add(earned, float64(workers))
 }
 
 // requestChecks checks a few workers for a new job, which then waits for a moment for their reports.
 func (d *Dispatcher) requestChecks(job *jobInfo) {
-	for n := 0; n < checksPerJob && d.settings.HealthChecks && d.checks.tokens >= 1; n++ {
+	for n := 0; n < checksPerJob && d.settings.HealthChecks && d.checks.tokens.has(1); n++ {
 		worker := d.chooseCheck(job)
 		if worker == nil {
 			return
 		}
 		worker.check = checkState{inProgress: true, startedAt: d.now}
-		d.checks.tokens--
+		d.checks.tokens.take(1)
 		d.emit(HealthCheck{Worker: worker.ID})
 		job.checksUntil = d.now + 2*d.starts.minDelay + job.class.LatencyObjective/checkTimeoutDivisor
 		d.setTimer(&job.checksTimer, job.checksUntil)
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -92,7 +92,7 @@
 	if !d.outliers.isEjected(worker) {
 		return true
 	}
-	isProbe := job.class.Idempotency == Idempotent && d.isShort(job)
+	isProbe := job.class.Idempotency == Idempotent && d.workload.isShort(job)
 	return isProbe && d.outliers.mayProbe(worker, d.now)
 }
 
@@ -144,7 +144,7 @@
 	}
 	// Without notifications of starts an end within the objective counts as a prompt start, by the size
 	// as estimated now: with hints that are too low all would look late.
-	stretch := seconds(job.class.ObjectiveStretch * d.expectedWork(job) / worker.speed.factor)
+	stretch := seconds(job.class.ObjectiveStretch * d.workload.expectedWork(job) / worker.speed.factor)
 	d.adjustLimit(attempt, d.now-attempt.sentAt <= job.class.LatencyObjective+stretch)
 }
 
@@ -190,11 +190,11 @@
 	switch run := d.now - attempt.startedAt; {
 	case !attempt.started:
 		d.handleLateStart(attempt)
-	case run < d.maxPlausibleRun(attempt): // it has started, or runs vary more, since the timer was set
+	case run < d.workload.maxPlausibleRun(attempt): // it has started, or runs vary more, since the timer was set
 		return
 	default:
-		d.observeOverrun(attempt, run)
-		logSpeed := math.Log(d.expectedWork(attempt.job) / run.Seconds())
+		d.workload.observeOverrun(attempt.job.Class, run.Seconds(), attempt.expectedRun.Seconds())
+		logSpeed := math.Log(d.workload.expectedWork(attempt.job) / run.Seconds())
 		d.learnSpeed(attempt.worker, min(attempt.worker.speed.log, logSpeed))
 	}
 	if d.isStuck(attempt) || d.isHedgedEarly(attempt) {
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -15,7 +15,6 @@
 	warmUpBudgetFraction = 0.4  // of the budget is used, as the sizes of jobs have heavy tails
 	meanJobsPerAssignee  = 2.0  // that the part of a budget of one assignee holds
 	minWarmUpShare       = 0.01 // of its full capacity, that a worker has at least
-	minMeanCost          = 1e-9 // seconds; keeps quotients by the mean cost finite
 )
 
 // slowStartState is the slow start of a worker.
@@ -66,7 +65,7 @@
 	rank, assignees := d.assigneeRank(worker)
 	// Equal parts for many dispatchers would hold no job: all dispatchers choose the same few of them
 	// for a worker.
-	chosen := max(1, min(assignees, int(budget/(meanJobsPerAssignee*d.meanCost+minMeanCost))))
+	chosen := max(1, min(assignees, int(budget/(meanJobsPerAssignee*d.arrivals.meanCost+divisionGuard))))
 	mayTry := rank < chosen || worker.uncordonedAt > 0 && d.allMayTry(cost, budget)
 	return mayTry && d.now-d.bornAt > window && work <= budget/float64(chosen)
 }
@@ -120,7 +119,7 @@
 		job.lotteryDraw = 1 - d.rng.Float64()
 	}
 	distance := job.lotteryDraw - tickets.ticketStart
-	return distance > 0 && distance*max(1, cost/(d.meanCost+minMeanCost)) <= tickets.ticketWidth
+	return distance > 0 && distance*max(1, d.arrivals.relativeCost(cost)) <= tickets.ticketWidth
 }
 
 // recordWarmUpWork adds an attempt to the work that its worker has been sent, if that is warming up.
@@ -151,14 +150,14 @@
 // seconds on a standard core times slots. The worker's full capacity is estimated from the greatest
 // number of slots seen on its kind.
 func (d *Dispatcher) warmUpBudget(worker *workerInfo) float64 {
-	kind := d.machineKind(worker.Kind)
+	kind := d.workload.machineKind(worker.Kind)
 	capacity := max(1, kind.maxSlots) * math.Exp(kind.logSpeed) * d.warmUpShare(worker)
 	return warmUpBudgetFraction * d.settings.OverloadFactor * capacity * d.settings.OverloadWindow.Seconds()
 }
 
 // warmUpCost returns what a job counts against such a budget.
 func (d *Dispatcher) warmUpCost(job *jobInfo) float64 {
-	return job.work * job.Slots * d.overrunFactor[job.Class]
+	return job.work * job.Slots * d.workload.overrunRatio[job.Class]
 }
 
 // assigneeRank returns this dispatcher's place, from 0, among those that may send jobs to a warming
--- a/dispatch/startmonitor.go
+++ b/dispatch/startmonitor.go
@@ -14,6 +14,13 @@
 	manyReplicas           = 8   // with more dispatchers than these most have little work each
 )
 
+// What is assumed before any start has been observed.
+const (
+	lateStartsPerObjective = 3                // mean late delays in the mean objective
+	startDelaysPerConnect  = 4                // least start delays in the connect timeout
+	minInitialStartDelay   = time.Millisecond // the least delay is assumed to be no less
+)
+
 // startMonitor watches how soon attempts start.
 type startMonitor struct {
 	unstarted     startTracker  // attempts in flight that have not started
@@ -24,6 +31,15 @@
 	minDelay      time.Duration // least start delay of all attempts: the round trip of a notification
 }
 
+// newStartMonitor returns a monitor that has observed no start, with assumptions from the settings.
+func newStartMonitor(settings *Settings) startMonitor {
+	return startMonitor{
+		unstarted:     newStartTracker(len(settings.Classes)),
+		meanLateDelay: seconds(meanObjective(settings.Classes) / lateStartsPerObjective),
+		minDelay:      max(settings.ConnectTimeout/startDelaysPerConnect, minInitialStartDelay),
+	}
+}
+
 // promptStart returns the greatest start delay that shows no queue at the worker. It is measured from
 // the least delay, as a mean would grow with the queues.
 func (s *startMonitor) promptStart(class *Class) time.Duration {
--- a/dispatch/workerinfo.go
+++ b/dispatch/workerinfo.go
@@ -48,6 +48,33 @@
 	return relativeSpeed{log: logSpeed, factor: math.Exp(logSpeed)}
 }
 
+// set sets the logarithm of the speed.
+func (r *relativeSpeed) set(log float64) {
+	r.log = log
+	r.factor = math.Exp(log)
+}
+
+// observe updates the speed by the log speed observed in a run.
+func (r *relativeSpeed) observe(logSpeed float64, now time.Duration) {
+	r.samples++
+	gain := max(minSpeedGain, 1/(r.samples+2))
+	r.set(r.log + gain*clamp(logSpeed-r.log, maxLogSizeError))
+	r.observedAt = now
+}
+
+// decay moves the speed towards that of the worker's kind by a time that has passed. One without samples is set to it.
+func (r *relativeSpeed) decay(kindLogSpeed float64, elapsed, now time.Duration) {
+	log := r.log
+	if r.observedAt == 0 {
+		log = kindLogSpeed
+	} else if now-r.observedAt > speedDecayDelay {
+		log += (kindLogSpeed - r.log) * elapsed.Seconds() / speedDecayTime.Seconds()
+	}
+	if log != r.log {
+		r.set(log)
+	}
+}
+
 // workerActivity is when a worker has last been heard of.
 type workerActivity struct {
 	aliveAt    time.Duration // the latest response or notification of any kind
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"time"
 )
 
 // workerFleet holds the workers that are listed or have attempts in flight, and the indexes over them.
@@ -80,6 +81,39 @@
 	}
 }
 
+// decayBusy moves the estimates of all zones towards 0 by a time that has passed.
+func (f *workerFleet) decayBusy(elapsed time.Duration) {
+	for zone := range f.zoneBusy {
+		f.zoneBusy[zone] *= 1 - elapsed.Seconds()/speedDecayTime.Seconds()
+	}
+}
+
+// fleetSummary counts the ready workers.
+type fleetSummary struct {
+	ready, ejected, failing int
+	logSpeeds               float64 // sum
+	maxLogSpeed             float64
+}
+
+func (f *workerFleet) summarise() fleetSummary {
+	summary := fleetSummary{maxLogSpeed: -maxLogFeature}
+	for _, w := range f.workers {
+		if !w.Ready {
+			continue
+		}
+		summary.ready++
+		summary.logSpeeds += w.speed.log
+		summary.maxLogSpeed = max(summary.maxLogSpeed, w.speed.log)
+		if w.outlier.failing {
+			summary.failing++
+		}
+		if w.outlier.ejectionTime > 0 {
+			summary.ejected++
+		}
+	}
+	return summary
+}
+
 // applyList applies the entries of a list. A worker that is removed from the list is forgotten once nothing of this
 // dispatcher is in flight there.
 func (d *Dispatcher) applyList(list WorkerList) {
@@ -102,7 +136,7 @@
 	d.fleet.updateReadyZones()
 	d.updatePreferences()
 	d.coordinator.members = nil
-	d.coordinator.unchanged = false
+	d.coordinator.nothingFreed = false
 }
 
 // removeUnlisted removes the workers that are not on a full list.
@@ -128,7 +162,7 @@
 	case worker == nil && entry.Removed:
 		return nil
 	case worker == nil:
-		worker = newWorkerInfo(d.machineKind(entry.Kind))
+		worker = newWorkerInfo(d.workload.machineKind(entry.Kind))
 		d.addWorker(entry.ID, worker)
 	case entry.BootAt > worker.BootAt && worker.ID != 0: // a new process: the state of the old one is void
 		worker.resetProcess()
@@ -139,14 +173,15 @@
 	worker.listed = !entry.Removed
 	worker.listedReady = entry.Ready && !entry.Removed
 	worker.Ready = worker.listedReady && !d.cordons.contains(worker.ID)
-	worker.machine = d.machineKind(entry.Kind)
+	worker.machine = d.workload.machineKind(entry.Kind)
 	if hasMoved {
 		d.fleet.rings.reset()
 	}
 	d.fleet.rings.update(worker)
 	d.fleet.markDirty(worker)
 	if worker.Ready {
-		d.topSpeed = max(d.topSpeed, worker.speed.log) // at once: a job whose objective seems unreachable is rejected
+		// At once: a job whose objective seems unreachable is rejected.
+		d.workload.maxLogSpeed = max(d.workload.maxLogSpeed, worker.speed.log)
 	}
 	return worker
 }
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"net/netip"
 	"strings"
+	"time"
 
 	"golang.org/x/sys/unix"
 
@@ -20,8 +21,10 @@
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/logging"
 	"valvecove/internal/metrics"
+	"valvecove/internal/metrics/push"
 	"valvecove/internal/requests"
 	"valvecove/internal/status"
+	"valvecove/internal/worker"
 )
 
 // watchSeed keeps the random backoffs of the watch apart from what else is drawn from a scheduler's seed.
@@ -85,6 +88,19 @@
 	return nil
 }
 
+// openWorkerPool makes the pool of connections to workers, which has none yet.
+func (l *Loop) openWorkerPool(maxConnections int, connectTimeout, workerIdleTimeout time.Duration) {
+	l.workers = worker.New(worker.Config{
+		Loop:              l.Loop,
+		Dial:              func(address netip.AddrPort) (fd int, err error) { return l.dial(address) },
+		AttemptHold:       l.attemptHold,
+		HasRelinquished:   l.hasRelinquished,
+		MaxConnections:    maxConnections,
+		ConnectTimeout:    connectTimeout,
+		WorkerIdleTimeout: workerIdleTimeout,
+	})
+}
+
 func (l *Loop) openWatch(conf config.Config) {
 	watch := discovery.Config{
 		PollInterval: conf.Settings.PollInterval,
@@ -109,7 +125,8 @@
 	known := conf.KnownEndpoints
 	known.Receipt.At = l.Now()
 	newPolicy := l.policyFactory(conf, ops, hasAperture)
-	l.Requests = requests.New(conf.Settings.AttemptLimit, conf.Settings.Names, newPolicy, known, l.workers, decisionLog)
+	l.Requests = requests.New(conf.Settings.AttemptLimit, conf.Settings.Names, newPolicy, known, transport{l.workers, l}, decisionLog)
+	l.workers.SetTable(l.Requests)
 	if l.Capture != nil {
 		l.Capture.LookupEndpoint = l.Requests.Endpoint
 		l.Requests.AddObserver(l.Capture)
@@ -247,12 +264,12 @@
 	}
 	if ops.Metrics != nil {
 		if ops.Metrics.UDPTarget.IsValid() {
-			metricTargets = append(metricTargets, &collectorSocket{syscalls: l.Syscalls(), address: ops.Metrics.UDPTarget, fd: -1})
+			metricTargets = append(metricTargets, push.NewCollector(l.Syscalls(), ops.Metrics.UDPTarget))
 		}
-		l.exporter = metrics.NewExporter(*ops.Metrics, counters, l.Now, metricTargets...)
-		l.exporter.PeerCounts = func() metrics.PeerCounts { return l.peerCounts(counters.AttemptsWritten()) }
-		l.Requests.AddObserver(l.exporter)
-		l.exportMetrics()
+		exporter := metrics.NewExporter(*ops.Metrics, counters, l.Now, metricTargets...)
+		exporter.PeerCounts = func() metrics.PeerCounts { return l.peerCounts(counters.AttemptsWritten()) }
+		l.Requests.AddObserver(exporter)
+		l.metrics = push.Start(l.Loop, exporter)
 	}
 	return nil
 }
