--- a/dispatch/concurrency.go
+++ b/dispatch/concurrency.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	minLateOverflows = 2                      // late starts beyond the most slots seen: these are a bound then
+	minLateOverflows = 2                      // late starts beyond the most slots seen that make it a bound
 	minBackoff       = 500 * time.Millisecond // after a rejection
 	maxBackoff       = 8 * time.Second
 )
--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -414,8 +414,8 @@
 	if d.directory.shardOf(worker) != shard || job.wasSentTo(worker) || isKnownFull {
 		return false
 	}
-	return job.class.allows(worker.Kind, worker.Zone) && d.mayAttempt(job, worker) && !d.outliers.isEjected(worker) &&
-		d.canMeetObjective(job, worker) && d.warmUpAllowsLease(job, worker)
+	return job.class.allows(worker.Kind, worker.Zone) && d.mayAttempt(job, worker) &&
+		!d.outliers.isEjected(worker) && d.canMeetObjective(job, worker) && d.warmUpAllowsLease(job, worker)
 }
 
 func (d *Dispatcher) sendOnLease(job *jobInfo, worker *workerInfo, lease *leaseInfo) {
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -190,7 +190,7 @@
 	switch run := d.now - attempt.startedAt; {
 	case !attempt.started:
 		d.handleLateStart(attempt)
-	case run < d.workload.maxPlausibleRun(attempt): // it has started, or runs vary more, since the timer was set
+	case run < d.workload.maxPlausibleRun(attempt): // it started, or the error of runs grew, since
 		return
 	default:
 		d.workload.observeOverrun(attempt.job.Class, run.Seconds(), attempt.expectedRun.Seconds())
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -100,7 +100,8 @@
 // dispatchJob sends a job to the worker chosen for it. One that fits no worker is skipped; where only
 // capacity is missing, no other job of its demand class is tried in this cycle.
 func (d *Dispatcher) dispatchJob(job *jobInfo) {
-	if d.starts.lateCount > 0 && d.isSharded() && !d.workload.isShort(job) { // our few workers have little capacity
+	// The few workers assigned to this dispatcher have little capacity for long jobs while some are late.
+	if d.starts.lateCount > 0 && d.isSharded() && !d.workload.isShort(job) {
 		d.queue.skip(job)
 		return
 	}
