--- a/dispatch/attemptinfo.go
+++ b/dispatch/attemptinfo.go
@@ -57,7 +57,7 @@
 	job, worker := attempt.job, attempt.worker
 	attempt.ended = true
 	attempt.result = outcome.Result
-	d.releaseLease(attempt, outcome.Result)
+	d.leases.client.endAttempt(attempt, outcome.Result)
 	job.inFlight--
 	worker.connections.lastUsedAt = d.now
 	if attempt.orphaned {
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -40,7 +40,7 @@
 	d.setTimer(&attempt.timer, d.dueAt(attempt))
 	if !job.closed {
 		d.queue.remove(job) // no further attempt is needed
-		d.withdrawLeases(job)
+		d.leases.client.withdraw(job)
 	}
 }
 
@@ -59,7 +59,7 @@
 func (d *Dispatcher) observeStartDelay(attempt *attemptInfo) {
 	delay := d.now - attempt.sentAt
 	isPrompt := delay <= d.starts.promptStart(attempt.job.class)
-	d.reportStart(attempt, isPrompt)
+	d.leases.client.reportStart(attempt, isPrompt)
 	d.starts.observeDelay(delay)
 	if !isPrompt && d.stalls.spans(attempt) {
 		return
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -217,7 +217,7 @@
 			d.eject(worker, false, EjectedForSilence)
 		}
 	}
-	d.reportStart(attempt, false)
+	d.leases.client.reportStart(attempt, false)
 	d.adjustLimit(attempt, false)
 }
 
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -27,11 +27,7 @@
 	subscription endpointSubscription
 	hedges       tokenBucket // one token for each hedged request, or less by its work
 
-	directory   peerDirectory
-	client      leaseClient
-	coordinator leaseCoordinator
-	ownMessages []PeerMessage // to this dispatcher itself, not handled yet
-
+	leases          *leaseExchange
 	fleet           workerFleet
 	cordons         cordons
 	reservation     reservation
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -1,19 +1,15 @@
 package dispatch
 
-import (
-	"slices"
-	"time"
-)
+import "time"
 
 // workerFleet holds the workers that are listed or have attempts in flight, and the indexes over them.
 type workerFleet struct {
-	byID       map[uint64]*workerInfo
-	workers    []*workerInfo // all workers: they are never iterated over by the map, whose order is random
-	available  workerIndex   // those that may have capacity
-	rings      preferenceRings
-	dirty      []*workerInfo   // to be reindexed before the next choice
-	readyZones []int           // that have ready workers, ascending
-	zoneBusy   map[int]float64 // by zone: the estimated probability that a worker has no free slot
+	byID      map[uint64]*workerInfo
+	workers   []*workerInfo // all workers: they are never iterated over by the map, whose order is random
+	available workerIndex   // those that may have capacity
+	rings     preferenceRings
+	dirty     []*workerInfo   // to be reindexed before the next choice
+	zoneBusy  map[int]float64 // by zone: the estimated probability that a worker has no free slot
 }
 
 func newWorkerFleet() workerFleet {
@@ -50,17 +46,6 @@
 	}
 }
 
-// updateReadyZones recomputes which zones have ready workers.
-func (f *workerFleet) updateReadyZones() {
-	f.readyZones = f.readyZones[:0]
-	for _, w := range f.workers {
-		if w.Ready && !slices.Contains(f.readyZones, w.Zone) {
-			f.readyZones = append(f.readyZones, w.Zone)
-		}
-	}
-	slices.Sort(f.readyZones)
-}
-
 // countReady returns the number of workers that may be sent jobs.
 func (f *workerFleet) countReady() int {
 	ready := 0
@@ -133,10 +118,8 @@
 		d.removeUnlisted()
 	}
 	d.cordons.updateCoverage(d.fleet.workers)
-	d.fleet.updateReadyZones()
 	d.updatePreferences()
-	d.coordinator.members = nil
-	d.coordinator.nothingFreed = false
+	d.leases.handleWorkerList(d.fleet.workers)
 }
 
 // removeUnlisted removes the workers that are not on a full list.
@@ -189,7 +172,7 @@
 // addWorker adds a worker under an id that is not in use.
 func (d *Dispatcher) addWorker(id uint64, worker *workerInfo) {
 	d.fleet.add(id, worker)
-	d.coordinator.members = nil
+	d.leases.coordinator.forgetMembers()
 }
 
 // forgetWorker removes a worker that is not listed any more, once nothing of this dispatcher is in flight there.
@@ -198,7 +181,7 @@
 		return
 	}
 	d.fleet.remove(worker)
-	d.coordinator.members = nil
+	d.leases.coordinator.forgetMembers()
 	d.cancelTimer(&worker.timer)
 }
 
@@ -234,7 +217,7 @@
 	orphans := worker.inFlight
 	for _, attempt := range orphans {
 		attempt.orphaned = true
-		d.releaseLease(attempt, Cancelled)
+		d.leases.client.endAttempt(attempt, Cancelled)
 		d.starts.releaseSlots(attempt.job.demand)
 	}
 	worker.inFlight = nil
