--- a/dispatch/estimates.go
+++ b/dispatch/estimates.go
@@ -18,15 +18,6 @@
 	maxKnownKeys          = 10000                  // keys whose past work is known
 )
 
-// observeBusy updates the chance that a worker of a zone has no free slot. It is kept by zone, as there are too few samples
-// of each worker.
-func (d *Dispatcher) observeBusy(w *workerInfo, busy bool) {
-	d.zoneBusy[w.Zone] *= 1 - busyGain
-	if busy {
-		d.zoneBusy[w.Zone] += busyGain
-	}
-}
-
 // observeSlots notes that so many slots of a worker were free or running at once.
 func (d *Dispatcher) observeSlots(w *workerInfo, slots float64) {
 	kind := d.workload.machineKind(w.Kind)
@@ -40,25 +31,10 @@
 func (d *Dispatcher) applyReport(w *workerInfo, report []float64) {
 	for i, field := range d.settings.ReportFields {
 		if field == ReportFieldFreeSlots && i < len(report) && !math.IsNaN(report[i]) {
-			w.freeSlots = max(0, report[i])
-			w.reportedAt = d.now
-			d.observeBusy(w, w.freeSlots < minFreeSlots)
-			d.observeSlots(w, math.Floor(w.freeSlots))
-		}
-	}
-}
-
-// reportedFreeSlots returns the free slots of a worker's last report, less what was sent since, and whether the report is
-// recent.
-func (d *Dispatcher) reportedFreeSlots(w *workerInfo) (free float64, recent bool) {
-	if w.reportedAt == 0 {
-		return 0, false
-	}
-	free = w.freeSlots
-	for _, attempt := range w.inFlight {
-		if attempt.sentAt > w.reportedAt-reportLag {
-			free -= attempt.job.demand
+			w.report.freeSlots = max(0, report[i])
+			w.report.receivedAt = d.now
+			d.fleet.observeBusy(w.Zone, w.report.freeSlots < minFreeSlots)
+			d.observeSlots(w, math.Floor(w.report.freeSlots))
 		}
 	}
-	return free, d.now-w.reportedAt < maxReportAge
 }
--- a/dispatch/leasecoordinator.go
+++ b/dispatch/leasecoordinator.go
@@ -210,7 +210,7 @@
 	slots := l.slotsOf(worker.ID)
 	isLimitBound := slots.used+request.Demand+1 > slots.limit
 	if l.fleet.isWarmingUp(worker) {
-		slots.warmUpSpends = append(slots.warmUpSpends, spend{at: now, work: request.Work})
+		slots.leasedWork = append(slots.leasedWork, workSample{at: now, work: request.Work})
 	}
 	lease := &grantedLease{
 		key:          key,
@@ -243,8 +243,8 @@
 			leastUsed = slots.used
 			weights = 0
 		}
-		weights += worker.speed
-		if l.rng.Float64()*weights < worker.speed {
+		weights += worker.speed.factor
+		if l.rng.Float64()*weights < worker.speed.factor {
 			chosen = worker
 		}
 	}
@@ -273,7 +273,7 @@
 	now time.Duration, request *LeaseRequest, worker *workerInfo, slots *workerSlots,
 ) bool {
 	if !l.fleet.isWarmingUp(worker) {
-		slots.warmUpSpends = nil
+		slots.leasedWork = nil
 		return true
 	}
 	window := l.settings.OverloadWindow
--- a/dispatch/leasegrants.go
+++ b/dispatch/leasegrants.go
@@ -106,8 +106,8 @@
 // usableWorker implements leasedJobs. A worker that this dispatcher does not know, or knows in another shard,
 // is never sent anything.
 func (l *leaseAdapter) usableWorker(job *jobInfo, id uint64, shard Shard) *workerInfo {
-	worker := l.dispatcher.workers[id]
-	if worker == nil || !worker.Ready || !job.isQueued() || l.isReservedForOther(job, worker) {
+	worker := l.dispatcher.fleet.byID[id]
+	if worker == nil || !worker.Ready || !job.isQueued() || l.dispatcher.reservation.excludes(job, worker) {
 		return nil
 	}
 	if l.dispatcher.leases.directory.shardOf(&worker.Worker) != shard || !l.canSend(job, worker) {
@@ -116,17 +116,14 @@
 	return worker
 }
 
-func (l *leaseAdapter) isReservedForOther(job *jobInfo, worker *workerInfo) bool {
-	return worker == l.dispatcher.reserved && job != l.dispatcher.reservedFor
-}
-
 // canSend reports whether the rules for the worker, the job and the class allow an attempt.
 func (l *leaseAdapter) canSend(job *jobInfo, worker *workerInfo) bool {
 	dispatcher := l.dispatcher
-	isFull := worker.rejects(job) || dispatcher.showsQueue(worker, dispatcher.promptStart(job.class))
+	promptStart := dispatcher.starts.promptStart(job.class)
+	isFull := worker.slots.rejects(job.demand) || worker.showsQueue(promptStart, dispatcher.now)
 	if isFull || job.wasSentTo(worker) || !job.class.allows(worker.Kind, worker.Zone) {
 		return false
 	}
-	return dispatcher.mayAttempt(job, worker) && !dispatcher.isEjected(worker) &&
-		dispatcher.canMeetObjective(job, worker) && dispatcher.ownSpendsAllow(job, worker)
+	return dispatcher.mayAttempt(job, worker) && !dispatcher.outliers.isEjected(worker) &&
+		dispatcher.canMeetObjective(job, worker) && dispatcher.warmUpAllowsLease(job, worker)
 }
--- a/dispatch/leaseslots.go
+++ b/dispatch/leaseslots.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"slices"
 	"time"
 )
 
@@ -31,7 +30,7 @@
 	lastFailedPeer int // dispatcher that reported the last failure
 	suspension     time.Duration
 	suspendedUntil time.Duration
-	warmUpSpends   []spend
+	leasedWork     workWindow // while the worker is warming up
 }
 
 // observePromptStart counts a lease's attempt as running, and raises the limit if it was what bounded the
@@ -111,10 +110,6 @@
 // warmUpWork returns work plus what was leased of a warming worker within the window that ends now, in
 // seconds on a standard core, times slots.
 func (w *workerSlots) warmUpWork(now, window time.Duration, work float64) float64 {
-	isPast := func(spent spend) bool { return now-spent.at > window }
-	w.warmUpSpends = slices.DeleteFunc(w.warmUpSpends, isPast)
-	for _, spent := range w.warmUpSpends {
-		work += spent.work
-	}
-	return work
+	w.leasedWork.expire(window, now)
+	return w.leasedWork.plus(work, window, now)
 }
--- a/dispatch/maintenance.go
+++ b/dispatch/maintenance.go
@@ -17,9 +17,9 @@
 	d.requestWorkers()
 	d.leases.maintain(d.now)
 	d.decayEstimates()
-	d.assignLots()
-	fleet := d.summarise()
-	d.mostEjected, d.allBroken = 2*fleet.ejected > fleet.ready, fleet.broken == fleet.ready
+	d.assignTickets()
+	fleet := d.fleet.summarise()
+	d.outliers.updatePanic(fleet.ready, fleet.ejected, fleet.failing)
 	if fleet.ready > 0 {
 		d.workload.maxLogSpeed = fleet.maxLogSpeed
 	}
@@ -33,46 +33,9 @@
 // one interval.
 func (d *Dispatcher) decayEstimates() {
 	d.workload.decayOverruns(maintenanceInterval)
-	d.decayIdleConnections()
-	for z := range d.zoneBusy {
-		d.zoneBusy[z] *= 1 - maintenanceInterval.Seconds()/speedDecayTime.Seconds()
+	d.idleConnections.decay(d.now)
+	d.fleet.decayBusy(maintenanceInterval)
+	for _, w := range d.fleet.workers {
+		w.speed.decay(w.machine.logSpeed, maintenanceInterval, d.now)
 	}
-	for _, w := range d.workerList {
-		was := w.logSpeed
-		if w.learnedAt == 0 {
-			w.logSpeed = w.machine.logSpeed
-		} else if d.now-w.learnedAt > speedDecayDelay {
-			distance := w.machine.logSpeed - w.logSpeed
-			w.logSpeed += distance * maintenanceInterval.Seconds() / speedDecayTime.Seconds()
-		}
-		if w.logSpeed != was {
-			w.speed = math.Exp(w.logSpeed)
-		}
-	}
-}
-
-// fleetSummary counts the ready workers.
-type fleetSummary struct {
-	ready, ejected, broken int
-	logSpeeds              float64 // sum
-	maxLogSpeed            float64
-}
-
-func (d *Dispatcher) summarise() fleetSummary {
-	fleet := fleetSummary{maxLogSpeed: -maxLogFeature}
-	for _, w := range d.workerList {
-		if !w.Ready {
-			continue
-		}
-		fleet.ready++
-		fleet.logSpeeds += w.logSpeed
-		fleet.maxLogSpeed = max(fleet.maxLogSpeed, w.logSpeed)
-		if w.broken {
-			fleet.broken++
-		}
-		if w.ejectionTime > 0 {
-			fleet.ejected++
-		}
-	}
-	return fleet
 }
