--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -50,8 +50,8 @@
 		d.handleEvent(event)
 	}
 	d.timers.dropCallerTimer(d.now)
-	for due := d.timers.popDue(d.now); due != nil; due = d.timers.popDue(d.now) {
-		d.handleTimer(due)
+	for next := d.timers.popDue(d.now); next != nil; next = d.timers.popDue(d.now) {
+		d.handleTimer(next)
 	}
 	d.leases.exchange(d.now)
 	d.dispatchQueued()
--- a/dispatch/leasesnapshot.go
+++ b/dispatch/leasesnapshot.go
@@ -175,7 +175,7 @@
 	codec.int(&w.failures)
 	codec.int(&w.lastFailedPeer)
 	codec.int(&w.leases)
-	codec.workWindow(&w.leasedWork)
+	w.leasedWork.walk(codec)
 }
 
 func (g *grantedLease) walk(codec *codec) {
--- /dev/null
+++ b/dispatch/snapshotjobs.go
@@ -0,0 +1,181 @@
+package dispatch
+
+import (
+	"maps"
+	"slices"
+)
+
+// The parts of a snapshot on jobs, attempts, and what refers to them.
+
+// walkPopulation writes or reads the workers and jobs with their attempts: first how many workers and which jobs there are, then
+// the rest, as each refers to others.
+func (d *Dispatcher) walkPopulation(codec *codec) {
+	codec.workerPlaces = map[*workerInfo]int{}
+	codec.jobPlaces = map[*jobInfo]int{}
+	for i, worker := range d.fleet.workers {
+		codec.workerPlaces[worker] = i
+	}
+	list(codec, &d.fleet.workers, func(worker **workerInfo) {
+		if !codec.writing {
+			*worker = &workerInfo{}
+		}
+	})
+	codec.workers = d.fleet.workers
+	d.walkJobs(codec)
+	for _, job := range codec.jobs {
+		list(codec, &job.attempts, func(attempt **attemptInfo) {
+			if !codec.writing {
+				*attempt = &attemptInfo{job: job}
+				(*attempt).timer = timer{purpose: attemptOverdue, attempt: *attempt}
+			}
+			(*attempt).walk(codec)
+		})
+	}
+	d.walkWorkers(codec)
+}
+
+// walkJobs writes or reads the jobs, without their attempts.
+func (d *Dispatcher) walkJobs(codec *codec) {
+	for _, id := range slices.Sorted(maps.Keys(d.jobs)) {
+		codec.jobPlaces[d.jobs[id]] = len(codec.jobs)
+		codec.jobs = append(codec.jobs, d.jobs[id])
+	}
+	list(codec, &codec.jobs, func(job **jobInfo) {
+		if codec.writing {
+			(*job).walk(codec, d.settings.Classes)
+			return
+		}
+		*job = &jobInfo{heapIndex: -1}
+		(*job).bindTimers()
+		(*job).walk(codec, d.settings.Classes)
+		d.jobs[(*job).ID] = *job
+	})
+}
+
+// walk writes or reads a job without its attempts and leases.
+func (j *jobInfo) walk(codec *codec, classes []Class) {
+	codec.uint(&j.ID)
+	codec.int(&j.Class)
+	codec.int(&j.Tenant)
+	codec.uint(&j.Key)
+	codec.duration(&j.Remaining, &j.Hint)
+	codec.float(&j.Slots, &j.Memory, &j.demand, &j.longChance, &j.work, &j.lotteryDraw)
+	codec.instant(&j.arrivedAt, &j.deadline, &j.objectiveAt, &j.promoteAt, &j.checksUntil)
+	isDeprioritized := j.isDeprioritized()
+	isUnreachable := j.priority == levelUnreachable
+	codec.flags(&j.Retry, &isDeprioritized, &isUnreachable, &j.closed, &j.streaming, &j.inPromotions, &j.recheckOnEnd)
+	j.priority = priorityLevelOf(isDeprioritized, isUnreachable)
+	codec.int(&j.inFlight)
+	codec.int(&j.skipCount)
+	if j.Class < 0 || j.Class >= len(classes) {
+		codec.invalid = true
+		j.Class = 0
+	}
+	j.class = &classes[j.Class]
+}
+
+// priorityLevelOf returns the priority that two flags stand for.
+func priorityLevelOf(isDeprioritized, isUnreachable bool) priorityLevel {
+	switch {
+	case isUnreachable:
+		return levelUnreachable
+	case isDeprioritized:
+		return levelOverQuota
+	default:
+		return levelFull
+	}
+}
+
+// walk writes or reads an attempt.
+func (a *attemptInfo) walk(codec *codec) {
+	codec.int(&a.number)
+	codec.worker(&a.worker)
+	codec.int(&a.zone)
+	codec.int(&a.cell)
+	codec.instant(&a.sentAt, &a.startedAt, &a.progressAt)
+	codec.flags(&a.started, &a.ended, &a.limitBound, &a.orphaned)
+	codec.duration(&a.connIdle, &a.expectedRun)
+	codec.int((*int)(&a.result))
+}
+
+// walk writes or reads the queued jobs. The order within each heap is kept, as jobs of equal rank leave by it.
+func (q *jobQueue) walk(codec *codec) {
+	fixedList(codec, q.demandClasses, func(class *demandClass) {
+		list(codec, &class.byScore.items, func(job **jobInfo) { codec.job(job) })
+		list(codec, &class.byPromotion.items, func(job **jobInfo) {
+			codec.job(job)
+			codec.instant(&(*job).promoteAt)
+			codec.int(&(*job).skipCount)
+		})
+	})
+	if codec.writing {
+		return
+	}
+	for index := range q.demandClasses {
+		for i, job := range q.demandClasses[index].byScore.items {
+			job.heapIndex = i
+			job.demandClass = index
+			q.length++
+		}
+	}
+}
+
+// walk writes or reads the attempts that have not started.
+func (s *startTracker) walk(codec *codec) {
+	for class := range s.pending {
+		pending := s.pending[class][s.first[class]:]
+		list(codec, &pending, func(attempt **attemptInfo) { codec.attempt(attempt) })
+		s.pending[class] = pending
+		s.first[class] = 0
+	}
+	list(codec, &s.late, func(attempt **attemptInfo) { codec.attempt(attempt) })
+}
+
+// walk writes or reads the reservation, if there is one.
+func (r *reservation) walk(codec *codec) {
+	isReserved := r.worker != nil
+	codec.flags(&isReserved)
+	if isReserved {
+		codec.worker(&r.worker)
+		codec.job(&r.job)
+	}
+}
+
+// job writes or reads a reference to a job. One that is forgotten is read as a closed job.
+func (c *codec) job(job **jobInfo) {
+	place := -1
+	if at, ok := c.jobPlaces[*job]; ok {
+		place = at
+	}
+	c.int(&place)
+	if c.writing {
+		return
+	}
+	if place >= 0 && place < len(c.jobs) {
+		*job = c.jobs[place]
+		return
+	}
+	*job = &jobInfo{heapIndex: -1, closed: true, class: &Class{}}
+	(*job).bindTimers()
+}
+
+// attempt writes or reads a reference to an attempt. One that has ended is read as an ended attempt without a worker.
+func (c *codec) attempt(attempt **attemptInfo) {
+	var job *jobInfo
+	number := -1
+	if c.writing && !(*attempt).ended {
+		job = (*attempt).job
+		number = (*attempt).number
+	}
+	c.job(&job)
+	c.int(&number)
+	if c.writing {
+		return
+	}
+	if number >= 0 && number < len(job.attempts) {
+		*attempt = job.attempts[number]
+		return
+	}
+	*attempt = &attemptInfo{job: job, ended: true, worker: &workerInfo{}}
+	(*attempt).timer = timer{purpose: attemptOverdue, attempt: *attempt}
+}
