--- a/internal/worker/transfer_test.go
+++ b/internal/worker/transfer_test.go
@@ -11,16 +11,23 @@
 	"valvecove/internal/hotrestart"
 )
 
-// transferIdle opens an idle connection in a predecessor, and returns what a successor receives of it.
-func transferIdle(t *testing.T) (remote *peer, received hotrestart.ReceivedWorkerConnection) {
+// newPredecessorWithIdle returns a predecessor with an idle connection, and the remote end of that.
+func newPredecessorWithIdle(t *testing.T) (predecessor *fixture, remote *peer) {
 	t.Helper()
-	predecessor := newFixture(t)
+	predecessor = newFixture(t)
 	predecessor.runActions(dispatch.HealthCheck{Worker: predecessor.workerNumber()})
 	remote = predecessor.dialed[0]
 	remote.Read(1 << 12)
 	remote.Received = nil
 	remote.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 	predecessor.runIterations()
+	return predecessor, remote
+}
+
+// transferIdle opens an idle connection in a predecessor, and returns what a successor receives of it.
+func transferIdle(t *testing.T) (remote *peer, received hotrestart.ReceivedWorkerConnection) {
+	t.Helper()
+	predecessor, remote := newPredecessorWithIdle(t)
 	snapshots := predecessor.pool.Snapshot()
 	if len(snapshots) != 1 || snapshots[0].State != hotrestart.WorkerIdle {
 		t.Fatalf("transferred: %+v", snapshots)
@@ -33,6 +40,20 @@
 	return remote, hotrestart.ReceivedWorkerConnection{WorkerConnection: snapshots[0].WorkerConnection, Descriptor: descriptor}
 }
 
+// The idle connections that a successor owns are removed from the pool. Those that stayed listed would be closed as expired over
+// and over: a closed connection is not removed by terminate, so closeExpired would not return. The test therefore doesn't run it.
+func TestRelinquishedPoolListsNoIdleConnection(t *testing.T) {
+	predecessor, _ := newPredecessorWithIdle(t)
+	endpoint := predecessor.pool.endpoints[predecessor.workerNumber()]
+	if len(endpoint.idle) != 1 || predecessor.pool.idle.Len() != 1 {
+		t.Fatalf("idle before: %d of the worker, %d of the pool", len(endpoint.idle), predecessor.pool.idle.Len())
+	}
+	predecessor.pool.Relinquish()
+	if len(endpoint.idle) != 0 || predecessor.pool.idle.Len() != 0 {
+		t.Errorf("idle after: %d of the worker, %d of the pool, expected none", len(endpoint.idle), predecessor.pool.idle.Len())
+	}
+}
+
 // An idle connection survives a hot restart, and is reused by the successor.
 func TestRestoredIdleConnectionIsReused(t *testing.T) {
 	remote, received := transferIdle(t)
