--- a/internal/testbed/checker/fleet_events.go
+++ b/internal/testbed/checker/fleet_events.go
@@ -70,19 +70,22 @@
 }
 
 // start begins the history of a new process.
-func (c *scheduler) start() {
-	if c.up || c.exits[c.incarnation].exitedAt > 0 {
-		c.exits = append(c.exits, processExit{})
-		c.incarnation++
+func (s *scheduler) start() {
+	if s.up || s.exits[s.incarnation].exitedAt > 0 {
+		s.exits = append(s.exits, processExit{})
+		s.incarnation++
 	}
-	c.up, c.terminatedAt, c.overLimits = true, 0, false
-	clear(c.drainNotifiedAt)
+	s.up = true
+	s.terminatedAt = 0
+	s.overLimits = false
+	clear(s.drainNotifiedAt)
 }
 
-func (c *scheduler) end(e processExit) {
-	if c.exits[c.incarnation].exitedAt == 0 {
-		c.exits[c.incarnation] = e
+// end ends the history of the present process.
+func (s *scheduler) end(exit processExit) {
+	if s.exits[s.incarnation].exitedAt == 0 {
+		s.exits[s.incarnation] = exit
 	}
-	c.up = false
-	c.thaw(e.exitedAt)
+	s.up = false
+	s.thaw(exit.exitedAt)
 }
--- a/internal/testbed/mutation/mutation_test.go
+++ b/internal/testbed/mutation/mutation_test.go
@@ -19,7 +19,7 @@
 	"valvecove/scenarios"
 )
 
-// go test -run Honest ./internal/testbed/mutation -args -plays 200 -library 20
+// For more runs: go test -run Honest ./internal/testbed/mutation -args -plays 200 -library 20.
 var (
 	plays   = flag.Int("plays", 10, "plays of the honest program")
 	first   = flag.Uint64("first", 1, "seed of the first of them")
