--- a/dispatch/actions.go
+++ b/dispatch/actions.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// Action is something that the dispatcher wants done.
+// Action is an instruction to the caller of Dispatcher.Step. Actions are carried out in the order in which they are returned.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// Send starts an attempt; a job's attempts count up from 0. AttemptTimeout 0: it lasts until the client gives up.
+	// Send starts an attempt. The attempts of a job are numbered from 0, in the order of their Sends. If AttemptTimeout is
+	// 0, the attempt has no timeout but the client's.
 	Send struct {
 		Job            uint64
 		Worker         uint64
 		AttemptTimeout time.Duration
 	}
-	// Reject is a final answer: the job was not executed, or may be repeated, and may be tried again.
+	// Reject answers a job finally: it was not executed, or may be executed again. The client may repeat it.
 	Reject struct {
 		Job        uint64
-		RetryAfter time.Duration // advice on when to return; 0: none
+		RetryAfter time.Duration // earliest time for a repetition, as advice; 0: none
 	}
-	// Fail is a final answer that promises nothing: the job was possibly executed.
+	// Fail answers a job finally as possibly executed.
 	Fail struct{ Job uint64 }
-	// Cancel withdraws one attempt.
+	// Cancel withdraws one attempt. Its Outcome is still expected.
 	Cancel struct {
 		Job     uint64
 		Attempt int
 	}
-	// HealthCheck asks a worker for a sign of life and a load report.
+	// HealthCheck requests a response and a load report from a worker. HealthChecked is the answer.
 	HealthCheck struct{ Worker uint64 }
 	// CloseIdleConnections closes the idle connections to a worker.
 	CloseIdleConnections struct{ Worker uint64 }
-	// SetTimer asks for TimerFired after a span, in place of any that was set before.
+	// SetTimer requests a TimerFired after a span. It replaces the timer set before.
 	SetTimer struct{ After time.Duration }
-	// Subscribe asks for the list of workers and its changes.
+	// Subscribe requests the list of workers and its updates. WorkerList is the answer.
 	Subscribe struct{}
-	// SendPeerMessage sends a message to another dispatcher, by its Settings.ReplicaIndex. It may be lost.
+	// SendPeerMessage sends a message to another dispatcher. The message may be lost.
 	SendPeerMessage struct {
-		To      int
+		To      int // its Settings.ReplicaIndex
 		Message PeerMessage
 	}
-	// Log leaves a line for the operators.
+	// Log writes a line to the log.
 	Log struct{ Text string }
 )
 
--- a/dispatch/events.go
+++ b/dispatch/events.go
@@ -2,75 +2,75 @@
 
 import "time"
 
-// Event is something that the dispatcher is notified of.
+// Event is an input of Dispatcher.Step.
 type Event interface{ event() }
 
-// Worker is one entry of a list of workers. Captures hold it under the names in the tags.
+// Worker is an entry of the list of workers. Captures store it under the names in the tags.
 type Worker struct {
 	ID      uint64        `json:"ID"`
-	Kind    int           `json:"Kind"`  // of machine
+	Kind    int           `json:"Kind"`  // machine kind
 	Ready   bool          `json:"Ready"` // false: draining
 	Removed bool          `json:"Gone"`
-	Size    float64       `json:"Size"` // for comparison with other workers' figures; 0: unknown
+	Size    float64       `json:"Size"` // capacity relative to other workers; 0: unknown
 	Cell    int           `json:"Cell"`
 	Zone    int           `json:"Zone"`
-	BootAt  time.Duration `json:"BootAt"` // latest start; 0: long past
-	// AssigneeRank is this dispatcher's place, from 0, among the Assignees that may send the worker jobs while it warms
-	// up. Few may where jobs are large, those of the lowest ranks, and one whose rank is Assignees or more may not at
-	// all. Assignees 0: all that share the workers may, in an order that follows from the worker's id.
+	BootAt  time.Duration `json:"BootAt"` // latest start of its process; 0: long ago
+	// Assignees is the number of dispatchers that may send the worker jobs while it warms up, and AssigneeRank the rank
+	// of this one among them, from 0. If jobs are large, only those with the lowest ranks may. A dispatcher whose rank is
+	// Assignees or more may not. If Assignees is 0, all dispatchers may, ranked by the worker's ID.
 	AssigneeRank int `json:"Rank"`
 	Assignees    int `json:"Of"`
 }
 
-// ListKind says what a WorkerList holds.
+// ListKind says what a WorkerList contains.
 type ListKind int
 
 // The kinds of worker list.
 const (
-	ListDelta       ListKind = iota // changed entries only
+	ListDelta       ListKind = iota // the entries that have changed
 	ListFull                        // every worker
-	ListCached                      // every worker as once known, perhaps outdated
-	ListUnavailable                 // a request failed or the watch broke; no entries
+	ListCached                      // every worker by an earlier list, which may be outdated
+	ListUnavailable                 // no entries: a request failed, or the watch was disconnected
 )
 
-// Result is how an attempt or a health check ended.
+// Result is the result of an attempt or a health check.
 type Result int
 
 // The results of attempts and health checks.
 const (
 	OK              Result = iota
-	Failed                 // the worker answered with an error; possibly executed
-	WorkerFull             // rejected unseen; not executed
-	TimedOut               // possibly executed, perhaps still running
+	Failed                 // possibly executed: the worker responded with an error
+	WorkerFull             // not executed: the worker rejected it
+	TimedOut               // possibly executed, and possibly still running
 	ConnectFailed          // not executed
 	ConnectionReset        // possibly executed
 	Cancelled              // possibly executed
-	NotSent                // not executed: closed, out of time or over the attempt limit
+	NotSent                // not executed: the job was closed, out of time or over the attempt limit
 )
 
 // The events.
 type (
-	// WorkerList brings workers that have changed, or all of them. Revision is the list's own; 0: unknown.
+	// WorkerList has the workers that have changed, or all of them.
 	WorkerList struct {
 		Kind     ListKind
 		Workers  []Worker
-		Revision int64
+		Revision int64 // of the list; 0: unknown
 	}
-	// Job arrives and is owed exactly one final answer within Remaining. Captures and hot restarts hold it under the
-	// names in the tags.
+	// Job is a new job. It is owed exactly one final answer, within Remaining. Captures and hot restarts store it under
+	// the names in the tags.
 	Job struct {
 		ID        uint64        `json:"ID"`
 		Class     int           `json:"Class"`  // index into Settings.Classes
-		Tenant    int           `json:"Tenant"` // index into Settings.TenantQuota; any other has no quota
-		Key       uint64        `json:"Key"`    // 0: none
-		Remaining time.Duration `json:"Left"`
-		Hint      time.Duration `json:"Hint"` // expected work on a standard core; 0: unknown
+		Tenant    int           `json:"Tenant"` // index into Settings.TenantQuota; out of its range: no quota
+		Key       uint64        `json:"Key"`    // identifies jobs of similar work; 0: none
+		Remaining time.Duration `json:"Left"`   // until the client gives up
+		Hint      time.Duration `json:"Hint"`   // expected work on a standard core; 0: unknown
 		Slots     float64       `json:"Slots"`
 		Memory    float64       `json:"Memory"` // in units of one slot's memory
-		Retry     bool          `json:"Retry"`
+		Retry     bool          `json:"Retry"`  // the client has sent it before
 	}
-	// Outcome ends one attempt. Closed is set once the job has had its final answer. Report is in the order of
-	// Settings.ReportFields, and older than the end of the attempt.
+	// Outcome ends an attempt. Closed: the job has had its final answer. Report is the worker's load report, with the
+	// figures of Settings.ReportFields in their order. It is older than the end of the attempt.
 	Outcome struct {
 		Job     uint64
 		Attempt int
@@ -79,21 +79,21 @@
 		Closed  bool
 		Report  []float64
 	}
-	// Started notifies that a worker has started an attempt.
+	// Started says that a worker has started an attempt.
 	Started struct {
 		Job     uint64
 		Attempt int
 		Worker  uint64
 	}
-	// Progressed notifies of the share of an attempt that is done.
+	// Progressed says that a worker is executing an attempt, of which Share, from 0 to 1, is done.
 	Progressed struct {
 		Job     uint64
 		Attempt int
 		Worker  uint64
 		Share   float64
 	}
-	// ResponseStarted notifies that an attempt's response has begun to reach the client. The job has no deadline, and
-	// gets no other answer, from then on.
+	// ResponseStarted says that the response of an attempt is being sent to the client. From then on the job has no
+	// deadline and gets no other answer.
 	ResponseStarted struct {
 		Job     uint64
 		Attempt int
@@ -107,47 +107,46 @@
 		Result Result
 		Report []float64
 	}
-	// TimerFired tells that the span of the latest SetTimer is over.
+	// TimerFired says that the span of the last SetTimer has passed.
 	TimerFired struct{}
-	// JobResumed is a job that another dispatcher has had, or this one under another id. It comes with its attempts so
-	// far, and further ones count on from these. Those that have not ended are in flight, and their outcomes come by
-	// their numbers.
+	// JobResumed is a job that another dispatcher has admitted, or this one under another ID. Its further attempts are
+	// numbered after Attempts. Those of Attempts that have not ended are in flight: their Outcomes have their indexes.
 	JobResumed struct {
 		Job          Job
-		Age          time.Duration // since it first arrived
-		QuotaCharged bool          // its tenant's quota has been charged for it, as for any that comes with attempts
+		Age          time.Duration // since its first arrival
+		QuotaCharged bool          // to its tenant; implied if there are Attempts
 		Attempts     []PastAttempt
 	}
-	// ReplicasChanged replaces Settings.Replicas and Settings.ReplicaIndex. QuotaShare is this dispatcher's of each
-	// tenant's quota; 0: an equal one.
+	// ReplicasChanged replaces Settings.Replicas and Settings.ReplicaIndex. QuotaShare is this dispatcher's share of each
+	// tenant's quota; 0: an equal share.
 	ReplicasChanged struct {
 		Replicas, ReplicaIndex int
 		QuotaShare             float64
 	}
-	// Cordoned keeps new attempts from a worker, listed or not, until Uncordoned, whatever lists say.
+	// Cordoned keeps new attempts from a worker until Uncordoned, whatever lists say. It may precede the worker's entry.
 	Cordoned struct{ Worker uint64 }
-	// Uncordoned ends that, however often the worker was cordoned. Its process counts as started at this moment.
+	// Uncordoned reverses any number of Cordoned. The worker's process counts as started now.
 	Uncordoned struct{ Worker uint64 }
-	// ModelUpdate brings what another dispatcher had learnt so long ago, as Dispatcher.ModelSnapshot gives it. It is for
-	// one that has learnt nothing yet but has the list of workers, and sends LoadShare of what the other sent. A snapshot
-	// that cannot be read, or is of other classes, is ignored.
+	// ModelUpdate has the estimates that another dispatcher had Age ago, as written by Dispatcher.ModelSnapshot. It is for
+	// a dispatcher without observations of its own, which has the list of workers and gets LoadShare of the other's load.
+	// A snapshot that is malformed, or of other classes, is ignored.
 	ModelUpdate struct {
 		Snapshot  []byte
 		Age       time.Duration
 		LoadShare float64
 	}
-	// PeerMessageReceived brings a message of another dispatcher.
+	// PeerMessageReceived is a message of another dispatcher.
 	PeerMessageReceived struct {
 		From    int // its Settings.ReplicaIndex
 		Message PeerMessage
 	}
 )
 
-// PastAttempt is an attempt that a resumed job comes with. A worker that is not known stands in no cell and no zone.
+// PastAttempt is an earlier attempt of a resumed job. A worker that is in no list matches no cell and no zone.
 type PastAttempt struct {
 	Worker     uint64
 	SentAgo    time.Duration
-	StartedAgo time.Duration // 0: no start was notified
+	StartedAgo time.Duration // 0: no start notification was received
 	Ended      bool
 	Result     Result // if it has ended
 }
--- a/dispatch/leasebudget.go
+++ b/dispatch/leasebudget.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// Whether slots are leased at all, by what the messages for it cost. PAPER and DESIGN have no sentence on
-// this: the cost of messages is a figure of the platform.
+// Whether slots are leased at all, by what the messages for it cost. The paper and the design have no
+// sentence on this: the cost of messages is a figure of the platform.
 const (
 	defaultPeerBudget = 0.02 // share of the result that messages may cost
 	leaseBytesPerJob  = 160  // bytes: a request, its answers, a start, an end, and a part of the reports
--- a/dispatch/leaseclient.go
+++ b/dispatch/leaseclient.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The client requests leases for queued jobs, and sends a job once slots are granted. This carries out
-// DESIGN's choice of a worker ("the ready worker with the fewest of this dispatcher's slots in use, random
+// The client requests leases for queued jobs, and sends a job once slots are granted. This carries out the
+// design's choice of a worker ("the ready worker with the fewest of this dispatcher's slots in use, random
 // among ties, among those able to start the job now"): the coordinator of a shard knows the slots of all
 // dispatchers and makes the choice. If no coordinator answers in time, the dispatcher chooses by what it
 // knows itself, as it does without leases.
@@ -26,43 +26,6 @@
 	deniedRequestsSpan     = 4 * time.Second        // if they span at least this
 )
 
-// noPeer is the coordinator of a lease that none is known for.
-const noPeer = -1
-
-// leaseInfo is a lease that was requested, or slots that were taken without one.
-type leaseInfo struct {
-	id              LeaseID
-	shard           Shard
-	peer            int          // coordinator of the last request or report; noPeer: none
-	job             *jobInfo     // that it was requested for; nil: it is in use
-	attempt         *attemptInfo // that uses it
-	demand          float64      // slots
-	worker          uint64
-	requestedAt     time.Duration // the first request since the last answer
-	createdAt       time.Duration
-	requestAttempts int  // since the last answer
-	isQueued        bool // the coordinator has answered that the request waits
-	isGranted       bool
-	timer           timer // when it is to be requested again
-}
-
-func (l *leaseInfo) isUsed() bool { return l.attempt != nil }
-
-// jobLeases are the leases of a queued job.
-type jobLeases struct {
-	requested       []*leaseInfo
-	unusableWorkers []uint64 // workers whose slots were granted and can't be used
-	isDisabled      bool     // the job is sent without a lease
-}
-
-// isAwaited reports whether a job waits for slots that were requested for it.
-func (j *jobLeases) isAwaited() bool { return len(j.requested) > 0 }
-
-func (j *jobLeases) remove(lease *leaseInfo) {
-	isLease := func(other *leaseInfo) bool { return other == lease }
-	j.requested = slices.DeleteFunc(j.requested, isLease)
-}
-
 // deniedRequests counts the consecutive requests that a coordinator has answered as queued.
 type deniedRequests struct {
 	since time.Duration
@@ -189,8 +152,7 @@
 		return Shard{}, false
 	}
 	for range shardsDrawn {
-		zone := zones[l.rng.IntN(len(zones))]
-		drawn := Shard{Zone: zone, Number: l.rng.IntN(l.directory.shardsPerZone)}
+		drawn := l.directory.drawShard(l.rng, zones)
 		isOfDrawn := func(lease *leaseInfo) bool { return lease.shard == drawn }
 		isRequested := slices.ContainsFunc(job.leases.requested, isOfDrawn)
 		_, hasCoordinator := l.directory.coordinatorOf(drawn, now)
@@ -354,3 +316,14 @@
 	slices.SortFunc(found, func(a, b *leaseInfo) int { return cmp.Compare(a.id, b.id) })
 	return found
 }
+
+// countUsed returns the number of leases in use.
+func (l *leaseClient) countUsed() int {
+	used := 0
+	for _, lease := range l.byID {
+		if lease.isUsed() {
+			used++
+		}
+	}
+	return used
+}
--- a/dispatch/leasecoordinator.go
+++ b/dispatch/leasecoordinator.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// The coordinator leases the slots of a shard's workers to all dispatchers. This carries out DESIGN's choice
-// of a worker ("the ready worker with the fewest of this dispatcher's slots in use, random among ties, among
-// those able to start the job now"), with the slots in use of all dispatchers in place of one's own.
+// The coordinator leases the slots of a shard's workers to all dispatchers. This carries out the design's
+// choice of a worker ("the ready worker with the fewest of this dispatcher's slots in use, random among ties,
+// among those able to start the job now"), with the slots in use of all dispatchers in place of one's own.
 const (
 	leaseExpiry    = 4 * time.Second        // since a lease was last reported
 	reportMaxDelay = 250 * time.Millisecond // a complete report says nothing of leases granted within this
@@ -129,6 +129,15 @@
 // forgetMembers has the shards' workers determined anew. It is called when a worker is added or removed.
 func (l *leaseCoordinator) forgetMembers() { l.members = nil }
 
+// handleWorkerList updates what depends on the list of workers.
+func (l *leaseCoordinator) handleWorkerList() {
+	l.forgetMembers()
+	l.nothingFreed = false
+}
+
+// counts returns the numbers of granted leases and of waiting requests.
+func (l *leaseCoordinator) counts() (granted, waiting int) { return len(l.leases), len(l.waiting) }
+
 // handleRequest grants a request, or has it wait. It returns the answer; nil: the request is invalid.
 func (l *leaseCoordinator) handleRequest(
 	now time.Duration, from int, request LeaseRequest,
@@ -208,7 +217,7 @@
 		return nil
 	}
 	slots := l.slotsOf(worker.ID)
-	isLimitBound := slots.used+request.Demand+1 > slots.limit
+	isLimitBound := slots.isLimitBound(request.Demand)
 	if l.fleet.isWarmingUp(worker) {
 		slots.warmUpSpends = append(slots.warmUpSpends, spend{at: now, work: request.Work})
 	}
@@ -256,13 +265,13 @@
 	now time.Duration, request *LeaseRequest, worker *workerInfo, slots *workerSlots,
 ) bool {
 	class := &l.settings.Classes[request.Class]
-	if !worker.Ready || l.fleet.isEjected(worker) || now < slots.suspendedUntil {
+	if !worker.Ready || l.fleet.isEjected(worker) || slots.isSuspended(now) {
 		return false
 	}
 	if !class.allows(worker.Kind, worker.Zone) || slices.Contains(request.Excluded, worker.ID) {
 		return false
 	}
-	hasRoom := slots.used == 0 || slots.used+request.Demand <= min(slots.limit, l.fleet.maxSlots(worker))
+	hasRoom := slots.hasRoom(request.Demand, l.fleet.maxSlots(worker))
 	return hasRoom && l.warmUpAllows(now, request, worker, slots)
 }
 
@@ -323,8 +332,8 @@
 func (l *leaseCoordinator) countFreeSlots(now time.Duration, members []*workerInfo) (free float64) {
 	for _, worker := range members {
 		slots := l.slotsOf(worker.ID)
-		if worker.Ready && now >= slots.suspendedUntil {
-			free += max(0, min(slots.limit, l.fleet.maxSlots(worker))-slots.used)
+		if worker.Ready && !slots.isSuspended(now) {
+			free += slots.free(l.fleet.maxSlots(worker))
 		}
 	}
 	return free
@@ -395,8 +404,7 @@
 		l.add(lease)
 	}
 	if held.Started && !lease.isStarted {
-		lease.isStarted = true
-		l.slotsOf(lease.worker).running += lease.demand
+		l.slotsOf(lease.worker).start(lease)
 	}
 	lease.reportedAt = now
 }
--- a/dispatch/leasedirectory.go
+++ b/dispatch/leasedirectory.go
@@ -2,14 +2,15 @@
 
 import (
 	"cmp"
+	"math/rand/v2"
 	"slices"
 	"time"
 )
 
-// The directory assigns workers to shards and shards to coordinators. PAPER and DESIGN know one dispatcher
-// only and have no sentence on this. Each dispatcher computes the same assignment by rendezvous hashing,
-// without messages. While two dispatchers disagree on the coordinator of a shard, the same slots may be
-// granted twice: that costs waiting time at a worker, and breaks no rule.
+// The directory assigns workers to shards and shards to coordinators. The paper and the design know one
+// dispatcher only and have no sentence on this. Each dispatcher computes the same assignment by rendezvous
+// hashing, without messages. While two dispatchers disagree on the coordinator of a shard, the same slots may
+// be granted twice: that costs waiting time at a worker, and breaks no rule.
 const (
 	dispatchersPerShard   = 20 // mean number of dispatchers that share a shard
 	coordinatorCandidates = 8  // dispatchers ranked per shard
@@ -44,6 +45,12 @@
 	return Shard{Zone: worker.Zone, Number: int(mixHash(worker.ID) % uint64(p.shardsPerZone))}
 }
 
+// drawShard draws a shard of one of the zones. zones must not be empty.
+func (p *peerDirectory) drawShard(rng *rand.Rand, zones []int) Shard {
+	zone := zones[rng.IntN(len(zones))]
+	return Shard{Zone: zone, Number: rng.IntN(p.shardsPerZone)}
+}
+
 // rank returns the dispatchers that may coordinate a shard, the preferred one first. The caller must not
 // change the slice.
 func (p *peerDirectory) rank(shard Shard) []int {
--- a/dispatch/leaseexchange.go
+++ b/dispatch/leaseexchange.go
@@ -66,8 +66,7 @@
 // handleWorkerList updates what depends on the list of workers.
 func (l *leaseExchange) handleWorkerList(workers []*workerInfo) {
 	l.client.updateReadyZones(workers)
-	l.coordinator.forgetMembers()
-	l.coordinator.nothingFreed = false
+	l.coordinator.handleWorkerList()
 }
 
 // handleMessage handles a message of another dispatcher. One that claims to be of this dispatcher or of none
@@ -120,7 +119,7 @@
 	for {
 		l.deliverOwnMessages(now)
 		l.grantWaiting(now)
-		if len(l.ownMessages) == 0 && len(l.client.granted) == 0 {
+		if len(l.ownMessages) == 0 && !l.client.hasGrants() {
 			return
 		}
 		l.deliverOwnMessages(now)
@@ -182,14 +181,7 @@
 }
 
 func (l *leaseExchange) counts() LeaseCounts {
-	counts := LeaseCounts{
-		Granted: len(l.coordinator.leases),
-		Waiting: len(l.coordinator.waiting),
-	}
-	for _, lease := range l.client.byID {
-		if lease.isUsed() {
-			counts.Held++
-		}
-	}
+	counts := LeaseCounts{Held: l.client.countUsed()}
+	counts.Granted, counts.Waiting = l.coordinator.counts()
 	return counts
 }
--- a/dispatch/leasegrants.go
+++ b/dispatch/leasegrants.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// How the client handles a coordinator's answers, and the use of what was granted. This carries out DESIGN's
-// "among those able to start the job now": a grant is used only if this dispatcher's own rules allow the
-// worker too.
+// How the client handles a coordinator's answers, and the use of what was granted. This carries out the
+// design's "among those able to start the job now": a grant is used only if this dispatcher's own rules allow
+// the worker too.
 
 // handleGranted notes a granted lease for use. One that can't be used is released: its job is finished, or
 // has a lease of another coordinator.
@@ -62,6 +62,9 @@
 	}
 }
 
+// hasGrants reports whether leases were granted that are not used yet.
+func (l *leaseClient) hasGrants() bool { return len(l.granted) > 0 }
+
 // useGrants sends jobs on the leases that were granted.
 func (l *leaseClient) useGrants(now time.Duration) {
 	for _, lease := range l.granted {
--- /dev/null
+++ b/dispatch/leaseinfo.go
@@ -0,0 +1,43 @@
+package dispatch
+
+import (
+	"slices"
+	"time"
+)
+
+// noPeer is the coordinator of a lease that none is known for.
+const noPeer = -1
+
+// leaseInfo is a lease that was requested, or slots that were taken without one.
+type leaseInfo struct {
+	id              LeaseID
+	shard           Shard
+	peer            int          // coordinator of the last request or report; noPeer: none
+	job             *jobInfo     // that it was requested for; nil: it is in use
+	attempt         *attemptInfo // that uses it
+	demand          float64      // slots
+	worker          uint64
+	requestedAt     time.Duration // the first request since the last answer
+	createdAt       time.Duration
+	requestAttempts int  // since the last answer
+	isQueued        bool // the coordinator has answered that the request waits
+	isGranted       bool
+	timer           timer // when it is to be requested again
+}
+
+func (l *leaseInfo) isUsed() bool { return l.attempt != nil }
+
+// jobLeases are the leases of a queued job.
+type jobLeases struct {
+	requested       []*leaseInfo
+	unusableWorkers []uint64 // workers whose slots were granted and can't be used
+	isDisabled      bool     // the job is sent without a lease
+}
+
+// isAwaited reports whether a job waits for slots that were requested for it.
+func (j *jobLeases) isAwaited() bool { return len(j.requested) > 0 }
+
+func (j *jobLeases) remove(lease *leaseInfo) {
+	isLease := func(other *leaseInfo) bool { return other == lease }
+	j.requested = slices.DeleteFunc(j.requested, isLease)
+}
--- a/dispatch/leasereports.go
+++ b/dispatch/leasereports.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// What the client reports of the leases in use: DESIGN's limit of a worker "grows by one when a job starts
-// promptly and halves on 'full' or failure", so that a coordinator has to know of starts and results. Reports
-// repeat what it may have missed.
+// What the client reports of the leases in use: the design's limit of a worker "grows by one when a job
+// starts promptly and halves on 'full' or failure", so that a coordinator has to know of starts and results.
+// Reports repeat what it may have missed.
 
 // takeSlots records an attempt that was sent without a lease. The next report has it.
 func (l *leaseClient) takeSlots(now time.Duration, attempt *attemptInfo) {
--- a/dispatch/leaseslots.go
+++ b/dispatch/leaseslots.go
@@ -7,9 +7,9 @@
 )
 
 // The slots of a worker as its coordinator counts them, over all dispatchers. This carries out the
-// concurrency limit of DESIGN ("Each worker starts with room for one job. Room grows by one when a job starts
-// promptly and halves on 'full' or failure"): a limit starts at 1 slot, grows by one with each prompt start
-// that it bounded, and halves on a rejection or failure.
+// concurrency limit of the design ("Each worker starts with room for one job. Room grows by one when a job
+// starts promptly and halves on 'full' or failure"): a limit starts at 1 slot, grows by one with each prompt
+// start that it bounded, and halves on a rejection or failure.
 const (
 	// warmUpLeaseMargin is the share of a warming worker's budget that one coordinator leases. Two
 	// coordinators may do so at once, and jobs without a lease take warmUpMargin of the budget besides.
@@ -34,11 +34,32 @@
 	warmUpSpends   []spend
 }
 
+// isSuspended reports whether consecutive failures keep leases from the worker.
+func (w *workerSlots) isSuspended(now time.Duration) bool { return now < w.suspendedUntil }
+
+// hasRoom reports whether the worker can start a job of so many slots. maxSlots bounds it besides the limit.
+// An idle worker has room for a job of any size.
+func (w *workerSlots) hasRoom(demand, maxSlots float64) bool {
+	return w.used == 0 || w.used+demand <= min(w.limit, maxSlots)
+}
+
+// isLimitBound reports whether the limit would allow less than one further slot after a lease of so many
+// slots.
+func (w *workerSlots) isLimitBound(demand float64) bool { return w.used+demand+1 > w.limit }
+
+// free returns the slots that can be leased; maxSlots bounds them besides the limit.
+func (w *workerSlots) free(maxSlots float64) float64 { return max(0, min(w.limit, maxSlots)-w.used) }
+
+// start counts a lease's attempt as running.
+func (w *workerSlots) start(lease *grantedLease) {
+	lease.isStarted = true
+	w.running += lease.demand
+}
+
 // observePromptStart counts a lease's attempt as running, and raises the limit if it was what bounded the
 // worker. It reports whether the limit may have grown.
 func (w *workerSlots) observePromptStart(lease *grantedLease) (raised bool) {
-	lease.isStarted = true
-	w.running += lease.demand
+	w.start(lease)
 	if !lease.isLimitBound {
 		return false
 	}
--- a/dispatch/leasewaiting.go
+++ b/dispatch/leasewaiting.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The requests that wait at a coordinator. This carries out DESIGN's order of the queue ("At each release
+// The requests that wait at a coordinator. This carries out the design's order of the queue ("At each release
 // jobs held over tau = 3 × mu_short leave first, oldest first; otherwise the lowest score leaves, ties to the
 // oldest") over the jobs of all dispatchers.
 const (
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -30,7 +30,7 @@
 	hedges       tokenBucket // one token for each hedged request, or less by its work
 	checks       tokenBucket // one token for each health check
 
-	leases *leaseExchange
+	leases *leaseExchange // slots leased from other dispatchers and to them
 
 	workers     map[uint64]*workerInfo
 	workerList  []*workerInfo // all workers: the order of the map decides nothing
