--- a/dispatch/leasecoordinator.go
+++ b/dispatch/leasecoordinator.go
@@ -82,9 +82,9 @@
 	grants         []*grantedLease // all of leases; one that is removed is replaced by the last
 	waiting        []*waitingRequest
 	waitingByKey   map[leaseKey]*waitingRequest
-	requestedSlots map[Shard]float64 // sum over waiting
-	peers          map[int]peerUse
-	free           map[Shard]freeSlots
+	requestedSlots map[Shard]float64       // sum over waiting
+	peers          map[int]peerUse         // by dispatcher
+	free           map[Shard]freeSlots     // counted at most every freeSlotsMaxAge
 	members        map[Shard][]*workerInfo // nil: the list of workers has changed
 	since          time.Duration           // when the first message was received; 0: none was
 	nothingFreed   bool                    // since waiting requests were last evaluated
