--- a/dispatch/leaseadapter.go
+++ b/dispatch/leaseadapter.go
@@ -27,13 +27,15 @@
 func (l *leaseAdapter) warmUpWork(job *jobInfo) float64 { return l.dispatcher.warmUpCost(job) }
 
 // allWorkers implements workerLookup.
-func (l *leaseAdapter) allWorkers() []*workerInfo { return l.dispatcher.workerList }
+func (l *leaseAdapter) allWorkers() []*workerInfo { return l.dispatcher.fleet.workers }
 
 // findWorker implements workerLookup.
-func (l *leaseAdapter) findWorker(id uint64) *workerInfo { return l.dispatcher.workers[id] }
+func (l *leaseAdapter) findWorker(id uint64) *workerInfo { return l.dispatcher.fleet.byID[id] }
 
 // isEjected implements workerCapacity.
-func (l *leaseAdapter) isEjected(worker *workerInfo) bool { return l.dispatcher.isEjected(worker) }
+func (l *leaseAdapter) isEjected(worker *workerInfo) bool {
+	return l.dispatcher.outliers.isEjected(worker)
+}
 
 // maxSlots implements workerCapacity.
 func (l *leaseAdapter) maxSlots(worker *workerInfo) float64 { return l.dispatcher.maxSlots(worker) }
@@ -45,7 +47,7 @@
 
 // warmUpLeaseBudget implements workerCapacity.
 func (l *leaseAdapter) warmUpLeaseBudget(worker *workerInfo) float64 {
-	return l.dispatcher.warmUpBudget(worker) * warmUpLeaseMargin / warmUpMargin
+	return l.dispatcher.warmUpBudget(worker) * warmUpLeaseMargin / warmUpBudgetFraction
 }
 
 // observePromptSlots implements slotObserver.
--- a/dispatch/leaseclient.go
+++ b/dispatch/leaseclient.go
@@ -176,7 +176,7 @@
 			zones = append(zones, zone)
 		}
 	}
-	isOwnPreferred := !job.leases.isAwaited() || l.settings.CrossZoneCost >= crossCostPerSlot
+	isOwnPreferred := !job.leases.isAwaited() || l.settings.CrossZoneCost >= crossZoneCostPerSlot
 	if isOwnPreferred && slices.Contains(zones, l.settings.Zone) {
 		return []int{l.settings.Zone}
 	}
--- a/dispatch/leasecoordinator.go
+++ b/dispatch/leasecoordinator.go
@@ -219,7 +219,7 @@
 	slots := l.slotsOf(worker.ID)
 	isLimitBound := slots.isLimitBound(request.Demand)
 	if l.fleet.isWarmingUp(worker) {
-		slots.warmUpSpends = append(slots.warmUpSpends, spend{at: now, work: request.Work})
+		slots.leasedWork = append(slots.leasedWork, workSample{at: now, work: request.Work})
 	}
 	lease := &grantedLease{
 		key:          key,
@@ -252,8 +252,8 @@
 			leastUsed = slots.used
 			weights = 0
 		}
-		weights += worker.speed
-		if l.rng.Float64()*weights < worker.speed {
+		weights += worker.speed.factor
+		if l.rng.Float64()*weights < worker.speed.factor {
 			chosen = worker
 		}
 	}
@@ -282,7 +282,7 @@
 	now time.Duration, request *LeaseRequest, worker *workerInfo, slots *workerSlots,
 ) bool {
 	if !l.fleet.isWarmingUp(worker) {
-		slots.warmUpSpends = nil
+		slots.leasedWork = nil
 		return true
 	}
 	window := l.settings.OverloadWindow
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -44,9 +44,9 @@
 			&d.workload.longWorkThreshold, &d.workload.meanShortSojourn, &d.arrivals.meanWeight, &d.arrivals.meanCost,
 			&d.workload.meanAbsoluteLogError,
 		},
-		durations: []*time.Duration{&d.meanLateStart, &d.minStartDelay, &d.minCheckDelay},
+		durations: []*time.Duration{&d.starts.meanLateDelay, &d.starts.minDelay, &d.checks.minDelay},
 		kinds:     d.workload.kinds,
-		zoneBusy:  d.zoneBusy,
+		zoneBusy:  d.fleet.zoneBusy,
 	}
 	for class := range d.workload.sizeCorrection {
 		for bucket := range d.workload.sizeCorrection[class] {
@@ -72,12 +72,12 @@
 	from := len(b)
 	writer := &codec{b: b, writing: true}
 	writer.model(&learnt)
-	for _, w := range d.workerList {
+	for _, w := range d.fleet.workers {
 		known := workerModel{
 			id:          w.ID,
-			speedOffset: int(math.Round((w.logSpeed - w.machine.logSpeed) * speedSteps)),
-			runs:        int(min(w.runs, maxModelRuns)),
-			limit:       int(min(w.limit, maxModelLimit)),
+			speedOffset: int(math.Round((w.speed.log - w.machine.logSpeed) * speedSteps)),
+			runs:        int(min(w.speed.samples, maxModelRuns)),
+			limit:       int(min(w.slots.limit, maxModelLimit)),
 		}
 		if w.listed && (known.runs > 0 || known.limit > 1) {
 			learnt.workers = append(learnt.workers, known)
@@ -159,7 +159,7 @@
 	}
 	hasPlausibleError := d.workload.meanAbsoluteLogError > 0 && d.workload.meanAbsoluteLogError <= maxLogFeature
 	return hasPlausibleError && d.workload.meanShortSojourn > 0 && d.arrivals.meanCost >= 0 &&
-		d.meanLateStart > 0 && d.minStartDelay > 0 && d.minCheckDelay > 0
+		d.starts.meanLateDelay > 0 && d.starts.minDelay > 0 && d.checks.minDelay > 0
 }
 
 // handleModelUpdate applies a model of another dispatcher. An invalid one changes nothing.
@@ -183,7 +183,7 @@
 		*d.workload.machineKind(kind) = *k
 	}
 	for zone, chance := range learnt.zoneBusy {
-		d.zoneBusy[zone] = chance
+		d.fleet.zoneBusy[zone] = chance
 	}
 	for i := range learnt.workers {
 		d.applyWorkerModel(&learnt.workers[i], update)
@@ -192,16 +192,17 @@
 
 // applyWorkerModel applies the part of a model about a worker of which nothing is known here. Its speed has decayed by the
 // model's age, and its limit is this dispatcher's share of the load.
-func (d *Dispatcher) applyWorkerModel(m *workerModel, e ModelUpdate) {
-	w := d.workers[m.id]
-	if w == nil || w.runs > 0 || m.runs < 0 || m.runs > maxModelRuns {
+func (d *Dispatcher) applyWorkerModel(known *workerModel, update ModelUpdate) {
+	worker := d.fleet.byID[known.id]
+	if worker == nil || worker.speed.samples > 0 || known.runs < 0 || known.runs > maxModelRuns {
 		return
 	}
-	if m.runs > 0 {
-		kept := math.Exp(-max(0, e.Age).Seconds() / speedDecayTime.Seconds())
-		w.logSpeed = w.machine.logSpeed + clamp(float64(m.speedOffset)/speedSteps, maxSpeedShift)*kept
-		w.speed, w.runs, w.learnedAt = math.Exp(w.logSpeed), float64(m.runs), d.now
+	if known.runs > 0 {
+		kept := math.Exp(-max(0, update.Age).Seconds() / speedDecayTime.Seconds())
+		worker.speed.set(worker.machine.logSpeed + clamp(float64(known.speedOffset)/speedSteps, maxSpeedShift)*kept)
+		worker.speed.samples = float64(known.runs)
+		worker.speed.observedAt = d.now
 	}
-	w.limit = max(w.limit, math.Floor(min(float64(m.limit), maxModelLimit)*clamp(finite(e.LoadShare), 1)))
-	d.markDirty(w)
+	worker.slots.limit = max(worker.slots.limit, math.Floor(min(float64(known.limit), maxModelLimit)*clamp(finite(update.LoadShare), 1)))
+	d.fleet.markDirty(worker)
 }
--- a/dispatch/resume.go
+++ b/dispatch/resume.go
@@ -24,7 +24,7 @@
 // adoptAttempt adds an attempt that another dispatcher has sent to a job. The other dispatcher received its notifications
 // so far: the times after which it counts as late or lost begin now.
 func (d *Dispatcher) adoptAttempt(job *jobInfo, past PastAttempt) {
-	worker := d.workers[past.Worker]
+	worker := d.fleet.byID[past.Worker]
 	if worker == nil {
 		worker = d.newUnlistedWorker(past)
 	}
@@ -36,21 +36,21 @@
 		attempt.started = true
 		attempt.startedAt = max(attempt.sentAt, d.now-past.StartedAgo)
 		attempt.progressAt = d.now
-		worker.aliveAt = max(worker.aliveAt, attempt.startedAt)
-		worker.progressAt = max(worker.progressAt, attempt.startedAt)
+		worker.activity.aliveAt = max(worker.activity.aliveAt, attempt.startedAt)
+		worker.activity.progressAt = max(worker.activity.progressAt, attempt.startedAt)
 	}
-	d.chargeWarmUp(attempt)
+	d.recordWarmUpWork(attempt)
 	if attempt.ended {
 		job.attempts = append(job.attempts, attempt)
 		return
 	}
 	d.addAttempt(attempt)
 	d.leases.client.takeSlots(d.now, attempt)
-	worker.connections = max(worker.connections, len(worker.inFlight))
-	d.markDirty(worker)
+	worker.connections.open = max(worker.connections.open, len(worker.inFlight))
+	d.fleet.markDirty(worker)
 	if isStartNotified {
-		worker.runningSlots += job.Slots
-		d.observeSlots(worker, worker.runningSlots)
+		worker.slots.running += job.Slots
+		d.observeSlots(worker, worker.slots.running)
 	}
 	d.setTimer(&attempt.timer, d.dueAt(attempt))
 }
@@ -61,9 +61,9 @@
 	machine := d.workload.machineKind(unknownKind)
 	worker := &workerInfo{
 		Worker:  Worker{ID: past.Worker, Kind: unknownKind, Cell: math.MinInt, Zone: math.MinInt},
-		limit:   1,
 		machine: machine,
-		speed:   math.Exp(machine.logSpeed),
+		slots:   slotLimit{limit: 1},
+		speed:   relativeSpeed{factor: math.Exp(machine.logSpeed)},
 	}
 	if !past.Ended {
 		d.addWorker(worker.ID, worker)
--- a/internal/link/harness_test.go
+++ b/internal/link/harness_test.go
@@ -9,8 +9,10 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/dispatch"
+	"valvecove/internal/client"
 	"valvecove/internal/config"
 	"valvecove/internal/eventloop"
+	"valvecove/internal/limits"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
 )
@@ -59,24 +61,21 @@
 	l.workers.SetTable(l.Requests)
 	watched := config.Settings{Settings: dispatch.Settings{PollInterval: 10 * time.Second, MustSubscribe: true}}
 	l.prepareWatch(config.Config{Settings: watched}, func(int64) int64 { return 0 })
-	l.openClientListener(50, 1<<20, &dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: 5 * time.Second}}}, names)
+	l.openClientListener(testClientLimits(50), &dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: 5 * time.Second}}}, names)
 	l.onWake = func() {}
-	l.limits = config.Limits{Sockets: 1024, MemoryMB: 64}
+	l.openBudget(harnessLimits, 0)
 	w.loop = l
 	s.T.Cleanup(l.CloseDescriptors)
 	w.runIterations()
 	return w
 }
 
-// clientConnection finds the client connection of a descriptor.
-func (w *harness) clientConnection(fd int) *clientConnection {
-	for k := range w.loop.clients.connections {
-		if k.FD() == fd {
-			return k
-		}
-	}
-	w.T.Fatalf("no client connection has descriptor %d", fd)
-	return nil
+// harnessLimits are the limits of a harness's process.
+var harnessLimits = config.Limits{Sockets: 1024, MemoryMB: 64}
+
+// testClientLimits returns limits with so many connections.
+func testClientLimits(connections int) client.Limits {
+	return client.Limits{Connections: connections, Requests: limits.MaxRequests(connections), BufferBytes: 1 << 20}
 }
 
 // readyDescriptors counts descriptors for which epoll has events, and hands out none.
--- a/internal/link/operator_connection_test.go
+++ b/internal/link/operator_connection_test.go
@@ -16,6 +16,7 @@
 	"valvecove/internal/eventloop"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/http1"
+	"valvecove/internal/limits"
 	"valvecove/internal/metrics"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
@@ -90,7 +91,7 @@
 			case what < 2:
 				next := calls[s.Pick(len(calls))]
 				open = append(open, &caller{peer: w.connectOperator(), text: next.text, unsent: next.text, want: next.want, began: w.now})
-				if len(open) > maxOperatorConnections { // the oldest has made room
+				if len(open) > limits.MaxOperatorConnections { // the oldest has made room
 					w.runIterations()
 					open[0].read(1 << 16)
 					s.Check(open[0].ended, "the oldest of too many is held")
@@ -114,7 +115,7 @@
 				age := w.now - c.began
 				if !c.ended {
 					s.Check(c.unsent != "" || len(c.received) > 0, "a whole call has no answer")
-					s.Check(age < operatorConnectionTimeout+expiryInterval, "held for %v", age)
+					s.Check(age < operatorConnectionTimeout+managementExpiryInterval, "held for %v", age)
 					remaining = append(remaining, c)
 					continue
 				}
@@ -138,7 +139,7 @@
 		t.Errorf("at first %q", got)
 	}
 	client, fd := w.socketPair() // at the clients' address these calls are not there
-	w.loop.clients.addConnection(fd, netip.MustParseAddrPort("127.0.0.1:9"))
+	w.loop.clients.AddConnection(fd, netip.MustParseAddrPort("127.0.0.1:9"))
 	client.write([]byte("GET /v1/metrics HTTP/1.1\r\n\r\n"))
 	w.runIterations()
 	if client.read(1 << 16); !strings.HasPrefix(string(client.received), "HTTP/1.1 404 ") {
@@ -176,7 +177,7 @@
 // are still handed out. A call that changes nothing, so that no step is due, is answered as soon.
 func TestCordonIsAnsweredAfterStep(t *testing.T) {
 	w := newOperatorHarness(&modeltest.Steps{T: t})
-	dispatcher := dispatch.New(*w.loop.clients.settings, 1)
+	dispatcher := dispatch.New(*w.loop.settings, 1)
 	w.loop.dispatcher = dispatcher
 	endpoints := requests.EndpointList{Endpoints: []requests.Endpoint{{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"}}}
 	newPolicy := func() requests.Policy { return dispatcher }
--- a/internal/link/reload_test.go
+++ b/internal/link/reload_test.go
@@ -14,7 +14,7 @@
 	w := newHarness(&modeltest.Steps{T: t})
 	w.loop.Requests.WatchEndpoints()
 	w.runIterations()
-	conf := config.Config{Discovery: netip.MustParseAddrPort("127.0.0.1:100"), Limits: w.loop.limits}
+	conf := config.Config{Discovery: netip.MustParseAddrPort("127.0.0.1:100"), Limits: harnessLimits}
 	for range 2 {
 		w.loop.Reload(conf)
 		w.runIterations()
--- a/internal/link/status_connection.go
+++ b/internal/link/status_connection.go
@@ -9,12 +9,13 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/internal/http1"
+	"valvecove/internal/limits"
 	"valvecove/internal/status"
 )
 
 const (
-	maxStatusConnections = 8
 	statusIdleTimeout    = 10 * time.Second
+	statusRequestTimeout = 2 * time.Second // for a request to come whole, and its response to be taken
 )
 
 // statusListener accepts those who ask for the status of requests, at an address of their own.
@@ -42,12 +43,12 @@
 
 // HandleEvents accepts connections.
 func (l *statusListener) HandleEvents(uint32) {
-	l.acceptAll(maxStatusConnections, l.loop.admitAddress, l.addConnection)
+	l.acceptAll(limits.MaxStatusConnections, l.loop.admitAddress, l.addConnection)
 }
 
 // addConnection serves a socket, which it owns. Where there are too many, the one that has been quiet longest is ended.
 func (l *statusListener) addConnection(socket int) {
-	if l.connections.Len() >= maxStatusConnections {
+	if l.connections.Len() >= limits.MaxStatusConnections {
 		l.connections.Front().Value.(*statusConnection).terminate()
 	}
 	c := &statusConnection{listener: l}
@@ -57,14 +58,14 @@
 // closeExpired ends connections on which a request does not come whole, a response is not taken, or nothing comes, again and
 // again.
 func (l *statusListener) closeExpired() {
-	l.loop.StartTimer(expiryInterval, l, l.closeExpired)
+	l.loop.StartTimer(managementExpiryInterval, l, l.closeExpired)
 	l.forEach(func(handler any) { handler.(*statusConnection).closeIfExpired() })
 }
 
 func (c *statusConnection) closeIfExpired() {
 	quiet := c.listener.loop.Now() - c.lastActivity
 	isBusy := len(c.Input()) > 0 || len(c.Output()) > 0 || c.lastResponse
-	if quiet >= statusIdleTimeout || isBusy && quiet >= requestReadTimeout {
+	if quiet >= statusIdleTimeout || isBusy && quiet >= statusRequestTimeout {
 		c.terminate()
 	}
 }
--- a/internal/link/status_connection_test.go
+++ b/internal/link/status_connection_test.go
@@ -1,6 +1,7 @@
 package link
 
 import (
+	"bytes"
 	"fmt"
 	"net/netip"
 	"strings"
@@ -9,6 +10,7 @@
 
 	"valvecove/dispatch"
 	"valvecove/internal/config"
+	"valvecove/internal/limits"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
 	"valvecove/internal/status"
@@ -116,12 +118,12 @@
 	isBegun := m.unsent != "" && len(m.unsent) < len(m.call.text)
 	limit := statusIdleTimeout
 	if m.last || isBegun {
-		limit = requestReadTimeout
+		limit = statusRequestTimeout
 	}
 	age := m.now - m.quiet
 	ended := m.peer.ended
 	m.Check(!ended || m.last || age >= limit, "ended after %v", age)
-	m.Check(ended || age < limit+expiryInterval, "still there after %v", age)
+	m.Check(ended || age < limit+managementExpiryInterval, "still there after %v", age)
 	m.Check(!ended || m.loop.status.connections.Len() == 0 || m.last, "a connection is left")
 }
 
@@ -129,11 +131,11 @@
 func TestStatusConnectionsAreLimited(t *testing.T) {
 	w := newStatusHarness(&modeltest.Steps{T: t})
 	first := w.connectStatus()
-	for range 3 * maxStatusConnections {
+	for range 3 * limits.MaxStatusConnections {
 		w.connectStatus()
 		w.runIterations()
 	}
-	if first.read(1); w.loop.status.connections.Len() != maxStatusConnections || !first.ended {
+	if first.read(1); w.loop.status.connections.Len() != limits.MaxStatusConnections || !first.ended {
 		t.Errorf("%d connections, the quietest ended: %v", w.loop.status.connections.Len(), first.ended)
 	}
 	p := w.connectStatus()
@@ -143,3 +145,30 @@
 		t.Errorf("in a crowd: %q", p.received)
 	}
 }
+
+// A management connection that its peer has ended, and that still has an answer to take, leaves the loop in peace, and ends with that
+// answer.
+func TestManagementConnectionsEndOnce(t *testing.T) {
+	w := newStatusHarness(&modeltest.Steps{T: t})
+	p := w.connectStatus()
+	for range 40 {
+		p.write([]byte(strings.Repeat("GET /status/a HTTP/1.1\r\n\r\n", 20)))
+		w.runIterations()
+	}
+	k := w.loop.status.connections.Front().Value.(*statusConnection)
+	if p.closeWrite(); len(k.Output()) == 0 {
+		t.Fatal("nothing waits to be read")
+	}
+	for range 100 { // up to where nobody reads on
+		w.runIterations()
+	}
+	if n := w.readyDescriptors(); n != 0 {
+		t.Errorf("%d descriptors are told as ready, with nothing to be done", n)
+	}
+	if err := w.readToEnd(p); err != nil || w.loop.status.connections.Len() != 0 {
+		t.Errorf("read to the end: %v, %d connections left", err, w.loop.status.connections.Len())
+	}
+	if n := bytes.Count(p.received, []byte("HTTP/1.1 200 ")); n != 800 {
+		t.Errorf("%d answers to 800 requests", n)
+	}
+}
