--- a/internal/requests/attempterror.go
+++ b/internal/requests/attempterror.go
@@ -6,19 +6,19 @@
 	"valvecove/dispatch"
 )
 
-// Stage is how far an attempt has come on its way to its worker. What ends before StageWritten is not executed; from
-// there on it is possibly executed.
+// Stage is the progress of an attempt on its connection. An attempt that ends before StageWritten is not executed; from then on
+// it is possibly executed.
 type Stage int
 
 // Stages, in order.
 const (
-	StageNotConnected  Stage = iota // there is no connection yet
+	StageNotConnected  Stage = iota // the connection is not established
 	StagePartlyWritten              // some of its bytes may have been sent
-	StageWritten                    // its last byte was written
-	StageAccepted                   // its worker has accepted it
+	StageWritten                    // the last byte was written
+	StageAccepted                   // the worker has accepted it
 )
 
-// String names the stage.
+// String returns the name of the stage.
 func (s Stage) String() string {
 	switch s {
 	case StageNotConnected:
@@ -39,15 +39,15 @@
 // Reasons.
 const (
 	ReasonConnectionLost Reason = iota // the connection failed or broke, or the worker lost the job
-	ReasonRejected                     // the worker rejected it, or handed it back unstarted
-	ReasonInvalidRequest               // the worker rejected it as a request that no worker can execute
+	ReasonRejected                     // the worker rejected it, or returned it unstarted
+	ReasonInvalidRequest               // the worker rejected the request as one that no worker can execute
 	ReasonWorkerError                  // the worker responded with an error
-	ReasonTimeout                      // nothing came before its timeout
+	ReasonTimeout                      // it expired
 	ReasonCancelled                    // the policy cancelled it
 	ReasonNotSent                      // it was not started, or was abandoned before its last byte was written
 )
 
-// String names the reason.
+// String returns the name of the reason.
 func (r Reason) String() string {
 	switch r {
 	case ReasonConnectionLost:
@@ -68,14 +68,14 @@
 	return fmt.Sprintf("Reason(%d)", int(r))
 }
 
-// AttemptError is why an attempt, or a health check, ended without a result. A nil *AttemptError stands for success.
+// AttemptError is the error of an attempt, or of a health check, that ended without a result. A nil *AttemptError means success.
 type AttemptError struct {
-	Stage  Stage // how far the attempt had come
+	Stage  Stage // of the attempt when it ended
 	Reason Reason
-	Cause  error // what the transport met; may be nil
+	Cause  error // the error of the transport; may be nil
 }
 
-// Error names the reason, the stage and the cause.
+// Error returns the reason, the stage and the cause, if there is one.
 func (e *AttemptError) Error() string {
 	if e.Cause != nil {
 		return fmt.Sprintf("%s, %s: %v", e.Reason, e.Stage, e.Cause)
@@ -83,7 +83,7 @@
 	return fmt.Sprintf("%s, %s", e.Reason, e.Stage)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, or nil.
 func (e *AttemptError) Unwrap() error { return e.Cause }
 
 // isConnectFailure reports whether the connection failed before the last byte was written: the attempt is not executed.
@@ -91,7 +91,7 @@
 	return e.Reason == ReasonConnectionLost && e.Stage < StageWritten
 }
 
-// Outcome is the outcome of an attempt that ended so, or of one that was served if e is nil.
+// Outcome returns the outcome of an attempt that ended with the error, or OutcomeServed if e is nil.
 func (e *AttemptError) Outcome() Outcome {
 	switch {
 	case e == nil:
@@ -108,7 +108,7 @@
 	return OutcomeTimedOut
 }
 
-// result is the policy's term for an attempt that ended so, or for one that was served if e is nil.
+// result returns the policy's result of an attempt that ended with the error, or dispatch.OK if e is nil.
 func (e *AttemptError) result() dispatch.Result {
 	switch {
 	case e == nil:
--- a/internal/requests/clockdifference.go
+++ b/internal/requests/clockdifference.go
@@ -5,10 +5,8 @@
 	"time"
 )
 
-// What another process hands over has instants of its own clock. Here they become those of a clock that is ahead of it, or
-// behind if ahead is negative; 0 stands for no instant, and stays.
-
-// MoveInstant returns an instant as a clock has it that is ahead of the one that it is of.
+// MoveInstant converts an instant of one process's clock to the clock of another process, which is ahead by the given difference,
+// or behind if that is negative. 0 means no instant, and is returned unchanged.
 func MoveInstant(at, ahead time.Duration) time.Duration {
 	if at == 0 {
 		return 0
@@ -16,7 +14,7 @@
 	return at + ahead
 }
 
-// OnClock returns the state with its instants moved.
+// OnClock returns the state with all instants converted by MoveInstant.
 func (s State) OnClock(ahead time.Duration) State {
 	s.PolicyTimer = MoveInstant(s.PolicyTimer, ahead)
 	s.LeastAge = MoveInstant(s.LeastAge, ahead)
@@ -29,7 +27,7 @@
 	return s
 }
 
-// OnClock returns the request with its instants moved.
+// OnClock returns the request with all instants converted by MoveInstant.
 func (o OpenRequest) OnClock(ahead time.Duration) OpenRequest {
 	o.Deadline = MoveInstant(o.Deadline, ahead)
 	o.ArrivedAt = MoveInstant(o.ArrivedAt, ahead)
--- a/internal/requests/outcome.go
+++ b/internal/requests/outcome.go
@@ -1,9 +1,9 @@
 package requests
 
-// Outcome is how an attempt or a request ended, in the words that the metrics and the status call use.
+// Outcome is how an attempt or a request ended. Its text is the name in metrics and in the status call.
 type Outcome string
 
-// The outcomes.
+// Outcomes of attempts and requests.
 const (
 	OutcomeServed         Outcome = "served"
 	OutcomeError          Outcome = "error"
@@ -13,14 +13,14 @@
 	OutcomeTimedOut       Outcome = "timed out"
 )
 
-// Outcomes lists all outcomes.
+// Outcomes contains all outcomes.
 var Outcomes = [...]Outcome{
 	OutcomeServed, OutcomeError, OutcomeRejected, OutcomeConnectFailed, OutcomeConnectionLost,
 	OutcomeTimedOut,
 }
 
-// isNotExecuted reports whether an outcome shows that nothing was executed. The zero Outcome does: there was no
-// attempt.
+// isNotExecuted reports whether nothing was executed by an attempt with the outcome. The zero Outcome is that of a request without
+// attempts.
 func (o Outcome) isNotExecuted() bool {
 	return o == "" || o == OutcomeRejected || o == OutcomeConnectFailed
 }
--- a/internal/requests/request.go
+++ b/internal/requests/request.go
@@ -8,7 +8,7 @@
 	"valvecove/dispatch"
 )
 
-// Payload is what a worker is sent for a request, as the client sent it. Its body is not copied and must not be
+// Payload is the part of a client's request that is sent to workers unchanged. The body is shared, not copied, and must not be
 // changed.
 type Payload struct {
 	Method         string `json:"Verb"`
@@ -17,21 +17,21 @@
 	Body           []byte `json:"Body"`
 }
 
-// Responder is the frontend's side of a request. Exactly one of its methods is called, once, unless the client
-// disconnects first; then none is.
+// Responder sends the response to a request to its client. The table calls exactly one of its methods, once, or none if the client
+// disconnects first.
 type Responder interface {
-	// RespondResult passes on a worker's result.
+	// RespondResult sends a worker's result.
 	RespondResult(result []byte)
-	// RespondRejected tells the client that the request was not executed, and may be retried after that time.
+	// RespondRejected responds that the request was not executed, and may be retried after the given time.
 	RespondRejected(retryAfter time.Duration)
-	// RespondFailed tells the client that the request failed; it is possibly executed.
+	// RespondFailed responds that the request has failed. It is possibly executed.
 	RespondFailed()
 }
 
-// Response is the kind of final response that a request got.
+// Response is the kind of final response to a request.
 type Response int
 
-// The kinds of response. A request that is open, or whose client disconnected, has none.
+// Kinds of response. A request that is open, or whose client disconnected, has ResponseNone.
 const (
 	ResponseNone Response = iota
 	ResponseResult
@@ -43,13 +43,13 @@
 type requestState uint8
 
 const (
-	requestOpen         requestState = iota // it is owed a response
-	requestResponded                        // it has its response, and the observers do not know yet
+	requestOpen         requestState = iota // its client waits for the response
+	requestResponded                        // its response was given, and the observers are not notified yet
 	requestDisconnected                     // its client has disconnected, and an attempt may still be in flight
-	requestEnded                            // the observers know; an attempt may still be in flight
+	requestEnded                            // the observers were notified; an attempt may still be in flight
 )
 
-// String names the state.
+// String returns the name of the state.
 func (s requestState) String() string {
 	switch s {
 	case requestOpen:
@@ -64,7 +64,7 @@
 	return fmt.Sprintf("requestState(%d)", uint8(s))
 }
 
-// canBecome reports whether a request may go from this state to the next one.
+// canBecome reports whether the transition from this state to the next one is valid.
 func (s requestState) canBecome(next requestState) bool {
 	switch s {
 	case requestOpen:
@@ -77,31 +77,31 @@
 
 // Request is a client's request. Its exported fields are set at admission, except FirstSentAt.
 type Request struct {
-	ID          uint64 // in this table; never used twice, also not after a hot restart
-	CallID      string // the client's id for it
+	ID          uint64 // unique in this table, also across hot restarts
+	CallID      string // the client's ID for it
 	Payload     Payload
 	Job         dispatch.Job
 	Deadline    time.Duration
 	ArrivedAt   time.Duration
-	FirstSentAt time.Duration // 0: no attempt was handed to the transport
+	FirstSentAt time.Duration // 0: no attempt was passed to the transport
 
 	state           requestState
 	responder       Responder
 	response        Response
 	attempts        []*Attempt // by Attempt.Number
 	inFlight        int        // attempts that have not ended
-	endedByCallback []string   // endpoints whose callback ended an attempt without a result
-	outcome         Outcome    // of its attempts so far
+	endedByCallback []string   // IDs of endpoints whose callback ended an attempt without a result
+	outcome         Outcome    // of the attempts so far; see mergeOutcome
 }
 
-// IsClosed reports whether nobody waits for the response: it was given, or the client has disconnected.
+// IsClosed reports whether the response was given or the client has disconnected.
 func (r *Request) IsClosed() bool { return r.state != requestOpen }
 
-// Response is the kind of response that the request got.
+// Response returns the kind of response that was given.
 func (r *Request) Response() Response { return r.response }
 
-// Outcome returns how a closed request ended. One that was closed while an attempt was in flight has timed out, as
-// nobody waits for that attempt any more; one of which nothing was ever sent counts as rejected.
+// Outcome returns how a closed request ended. A request that was closed while an attempt was in flight has timed out; one without
+// any started attempt counts as rejected.
 func (r *Request) Outcome() Outcome {
 	switch {
 	case r.outcome == OutcomeServed:
@@ -114,10 +114,10 @@
 	return r.outcome
 }
 
-// Responder is the frontend's side of the request, as it was given at admission.
+// Responder returns the responder that was given at admission.
 func (r *Request) Responder() Responder { return r.responder }
 
-// become makes the transition to a state, and reports whether it is one that may follow. If not, nothing changes.
+// become makes the transition to a state, and reports whether it is valid. If it is not, nothing changes.
 func (r *Request) become(next requestState) bool {
 	if !r.state.canBecome(next) {
 		return false
@@ -126,14 +126,15 @@
 	return true
 }
 
-// mergeOutcome takes in how an attempt ended. An attempt that is possibly executed outweighs a later one that is not.
+// mergeOutcome updates the outcome of the request by that of an attempt that has ended. The outcome of an attempt that is possibly
+// executed is not replaced by that of a later one that is not executed, and OutcomeServed is never replaced.
 func (r *Request) mergeOutcome(outcome Outcome) {
 	if r.outcome != OutcomeServed && (r.outcome.isNotExecuted() || !outcome.isNotExecuted()) {
 		r.outcome = outcome
 	}
 }
 
-// inFlightAttempt returns the attempt of a number, or nil if there is none or it has ended.
+// inFlightAttempt returns the attempt with a number, or nil if there is none or it has ended.
 func (r *Request) inFlightAttempt(number int) *Attempt {
 	if number < 0 || number >= len(r.attempts) || r.attempts[number].HasEnded() {
 		return nil
@@ -141,7 +142,7 @@
 	return r.attempts[number]
 }
 
-// hasAmbiguousCallbacks reports whether a callback from the endpoint of an attempt may be about an earlier one there.
+// hasAmbiguousCallbacks reports whether a callback of the endpoint of an attempt may be about an earlier attempt there.
 func (r *Request) hasAmbiguousCallbacks(attempt *Attempt) bool {
 	return slices.ContainsFunc(r.attempts[:attempt.Number], func(earlier *Attempt) bool {
 		return earlier.EndpointID == attempt.EndpointID && earlier.mayStillCallBack()
--- a/internal/requests/starttime.go
+++ b/internal/requests/starttime.go
@@ -7,61 +7,61 @@
 	"time"
 )
 
-// Start times of workers are told as Unix time, and the policy compares them with the process's clock, which counts from what
-// the wall clock said at the process's start. That may have been wrong, by seconds or by an hour, and then a start would look
-// older than it is, or lie in the future. What is known of the error follows from the lists alone: no start lies after it was
-// told, so that the least time seen between the two bounds by how much our clock is ahead.
+// Discovery lists the start times of workers as Unix time, and the policy compares them with the process's clock, which continues
+// from the wall clock at the process's start. The wall clock may have been wrong then, by seconds or by an hour. The age of a
+// worker would be too high or negative as a result. The error is estimated from the lists alone: no worker starts after its start
+// is listed, so the least age of a worker at that time is an upper bound for how far the process's clock is ahead.
 
 const (
-	// promptNotice is a usual time between the start of a worker and the list that tells it. A clock that is ahead by less
-	// is as good as right.
+	// promptNotice is a usual time between the start of a worker and the first list that contains it. A clock that is ahead by less
+	// is not corrected.
 	promptNotice = time.Second
 
-	// longestSlowStart is how long no slow start takes: of workers that started further apart, one is warm.
+	// longestSlowStart is an upper bound for the duration of a slow start. Of two workers that started further apart, one is warm.
 	longestSlowStart = time.Minute
 
-	// maxClockError is how far off clocks may be. A start that shows more is a mistake, and shows nothing of other starts.
+	// maxClockError bounds the error of clocks. A start time with a greater error is invalid, and not used for the estimate.
 	maxClockError = 24 * time.Hour
 
-	// Of a first list, so few workers are taken for cold on the suspicion that our clock is ahead: one in ten, or a single one
-	// of four or more. If more started together, that was more likely a while ago than our clock is wrong, and a process that
-	// took them for cold would reject what they can serve.
+	// At most this part of the workers of a first list is assumed to be cold because the process's clock may be ahead: one in
+	// ten, or a single one of four or more. If more workers started together, they are assumed to be warm: if they were assumed
+	// to be cold, requests would be rejected that they can serve.
 	possiblyColdDivisor = 10
-	leastFleetWithOne   = 4
+	minFleetWithOne     = 4
 )
 
-// Receipt says when a list of endpoints was received, by the process's clock.
+// Receipt contains the instants of the receipt of an endpoint list, by the process's clock.
 type Receipt struct {
-	At         time.Duration // 0: not known; start times are taken as told
-	LastViewAt time.Duration // until when all changes before had been received; 0: there was no list before
+	At         time.Duration // 0: not known; start times are used as listed
+	LastViewAt time.Duration // when the previous list was up to date; 0: there was none
 }
 
-// startTime is when a worker started.
+// startTime is the start time of a worker.
 type startTime struct {
-	listedMs int64         // as it was told
+	listedMs int64         // as listed by discovery, Unix time in milliseconds
 	at       time.Duration // by the process's clock
 }
 
-// startTimes has the start times of workers by the process's clock. Each is worked out when it is first told, and stays as
-// long as discovery tells the same. None lies after it was told, so that no worker is held back longer than its slow start
-// takes.
+// startTimes converts the start times of workers to the process's clock. Each is converted when it is first listed, and changes
+// only when discovery lists another one. None is later than the receipt of that list, so that the slow start of a worker is not
+// prolonged.
 type startTimes struct {
 	byWorker map[uint64]startTime
-	// leastAge is the least age, by the process's clock, at which a start was told. That clock is ahead of the workers' by
-	// at most this much; if it is negative, the clock is behind, by at least this much.
+	// leastAge is the least age of a worker, by the process's clock, when its start was listed. The clock is ahead of those of the
+	// workers by at most this much; if it is negative, the clock is behind by at least its absolute value.
 	leastAge   time.Duration
-	anyListed  bool // leastAge is known
-	seemsAhead bool // a start looked older than the list before it allows
+	hasAge     bool // leastAge is known
+	seemsAhead bool // a start was listed too late for a clock that is right: it precedes the previous list
 
-	receipt      Receipt // of the list that is being taken in
-	startedAsOne bool    // more of its workers started together than are taken for cold on a suspicion
+	receipt      Receipt // of the list that was observed last
+	startedAsOne bool    // see EndpointList.startedAsOne, of the same list
 }
 
 func newStartTimes() startTimes { return startTimes{byWorker: map[uint64]startTime{}} }
 
-// observe takes in how old the starts in a list are, before any of them is worked out. known is how many workers were listed
-// before.
-func (s *startTimes) observe(list EndpointList, known int) {
+// observe updates leastAge by the start times in a list. It is called before startedAt for the workers of the list. listedBefore
+// is the number of workers that were listed before.
+func (s *startTimes) observe(list EndpointList, listedBefore int) {
 	s.receipt = list.Receipt
 	if s.receipt.At == 0 {
 		return
@@ -72,16 +72,18 @@
 			s.observeAge(age)
 		}
 	}
-	s.startedAsOne = list.startedAsOne(known)
+	s.startedAsOne = list.startedAsOne(listedBefore)
 }
 
+// observeAge updates leastAge by the age of a worker whose start was listed.
 func (s *startTimes) observeAge(age time.Duration) {
-	if !s.anyListed || age < s.leastAge {
-		s.leastAge, s.anyListed = age, true
+	if !s.hasAge || age < s.leastAge {
+		s.leastAge, s.hasAge = age, true
 	}
 }
 
-// startedAt returns when a worker started, by the process's clock, as the list says that was observed last; 0: long ago.
+// startedAt returns the start time of a worker by the process's clock. listedMs is the one in the list that was observed last. 0
+// means that it is not known; the worker is warm then.
 func (s *startTimes) startedAt(worker uint64, listedMs int64) time.Duration {
 	if listedMs <= 0 {
 		return 0
@@ -98,45 +100,46 @@
 	return at
 }
 
-// correction is what a start that is told now, and was not before, has to be moved by: nothing, if our clock may be right.
+// correction returns the difference to add to a start time that is listed for the first time: 0 if the process's clock may be
+// right.
 func (s *startTimes) correction(listed time.Duration) time.Duration {
 	lastViewAt := s.receipt.LastViewAt
 	switch {
-	case s.leastAge < -promptNotice: // our clock is behind
+	case s.leastAge < -promptNotice: // the process's clock is behind
 		return s.leastAge
 	case s.leastAge <= promptNotice: // it is not ahead
 		return 0
 	case lastViewAt == 0 && s.startedAsOne:
 		return 0
-	case lastViewAt > 0 && !s.seemsAhead && listed >= lastViewAt-promptNotice: // it started since the list before
+	case lastViewAt > 0 && !s.seemsAhead && listed >= lastViewAt-promptNotice: // it started after the previous list
 		return 0
-	default: // our clock may be ahead: the newest worker may have started just now, and others so much earlier
+	default: // the process's clock may be ahead by leastAge, which assumes that the newest worker started just now
 		s.seemsAhead = s.seemsAhead || lastViewAt > 0
 		return s.leastAge
 	}
 }
 
-// startedAsOne tells whether more workers than are taken for cold on a suspicion started about when the last one of the list did.
-// known is how many were listed before.
-func (l *EndpointList) startedAsOne(known int) bool {
+// startedAsOne reports whether too many workers of the list started together with the newest one to be assumed cold; see
+// possiblyColdDivisor. listedBefore is the number of workers that were listed before.
+func (e *EndpointList) startedAsOne(listedBefore int) bool {
 	newest := int64(0)
-	for i := range l.Endpoints {
-		newest = max(newest, l.Endpoints[i].StartedAtMs)
+	for i := range e.Endpoints {
+		newest = max(newest, e.Endpoints[i].StartedAtMs)
 	}
 	together := 0
-	for i := range l.Endpoints {
-		if l.Endpoints[i].StartedAtMs > newest-longestSlowStart.Milliseconds() {
+	for i := range e.Endpoints {
+		if e.Endpoints[i].StartedAtMs > newest-longestSlowStart.Milliseconds() {
 			together++
 		}
 	}
-	all := len(l.Endpoints)
-	if !l.Reset {
-		all = max(all, known)
+	all := len(e.Endpoints)
+	if !e.Reset {
+		all = max(all, listedBefore)
 	}
-	return together > max(all/possiblyColdDivisor, min(1, all/leastFleetWithOne))
+	return together > max(all/possiblyColdDivisor, min(1, all/minFleetWithOne))
 }
 
-// snapshot returns the start times, by the ids of workers, that are not as they were told.
+// snapshot returns the start times that differ from the listed ones, in order of the workers' numbers.
 func (s *startTimes) snapshot(endpoints map[uint64]Endpoint) (starts []WorkerStart) {
 	for _, worker := range slices.Sorted(maps.Keys(s.byWorker)) {
 		start := s.byWorker[worker]
@@ -147,7 +150,8 @@
 	return starts
 }
 
-// restore takes in the start times of another process, which has known the workers for longer. What was told here later stays.
+// restore replaces start times by those of another process, which observed the workers for longer, unless a later start was listed
+// here.
 func (s *startTimes) restore(state State, numbers map[string]uint64) {
 	for _, start := range state.allStarts() {
 		worker, known := numbers[start.EndpointID]
@@ -160,7 +164,7 @@
 	}
 }
 
-// allStarts returns when all workers started: those in Starts, and the others as they were told.
+// allStarts returns the start times of all workers: those in Starts, and the others as they were listed.
 func (s *State) allStarts() []WorkerStart {
 	starts := slices.Clone(s.Starts)
 	isKnown := map[string]bool{}
@@ -176,7 +180,7 @@
 	return starts
 }
 
-// unixInstant is a Unix time as the process's clock has it, if that is right.
+// unixInstant returns the instant of a Unix time in milliseconds, by a clock that is right.
 func unixInstant(ms int64) time.Duration {
 	const latest = math.MaxInt64 / int64(time.Millisecond)
 	return time.Duration(min(ms, latest)) * time.Millisecond
