--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -11,14 +11,14 @@
 type attemptState uint8
 
 const (
-	attemptCreated    attemptState = iota // numbered, and not handed to the transport
-	attemptInFlight                       // the transport has it
-	attemptCancelling                     // accepted, and its worker is asked to stop; it may run until the worker confirms
-	attemptNotStarted                     // it has ended, and was never handed to the transport
-	attemptEnded                          // it has ended
+	attemptCreated    attemptState = iota // numbered, and not passed to the transport
+	attemptInFlight                       // passed to the transport
+	attemptCancelling                     // a cancellation is requested; it may still run until its worker confirms
+	attemptNotStarted                     // ended without being passed to the transport
+	attemptEnded                          // ended after it was passed to the transport
 )
 
-// String names the state.
+// String returns the name of the state.
 func (s attemptState) String() string {
 	switch s {
 	case attemptCreated:
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("attemptState(%d)", uint8(s))
 }
 
-// canBecome reports whether an attempt may go from this state to the next one.
+// canBecome reports whether the transition from this state to the next one is valid.
 func (s attemptState) canBecome(next attemptState) bool {
 	switch s {
 	case attemptCreated:
@@ -48,37 +48,36 @@
 	return false
 }
 
-// Attempt is one attempt to have a request executed by a worker.
+// Attempt is one attempt to have a request executed by a worker. All fields but Stage are read only outside of the table.
 type Attempt struct {
-	// Item.At is when the table stops waiting for the attempt. It is changed by the table alone.
+	// Item.At is when the attempt expires.
 	deadline.Item
 	Request    *Request
 	Number     int    // among the attempts of its request, from 0
 	Worker     uint64 // the policy's number for the endpoint
-	EndpointID string // discovery's id for the endpoint
-	Stage      Stage  // set by the transport; it only grows
+	EndpointID string // discovery's ID of the endpoint
+	Stage      Stage  // set by the transport; it never decreases
 
 	state              attemptState
 	result             dispatch.Result // once it has ended
 	cancelReason       Reason          // while it is being cancelled
-	ambiguousCallbacks bool            // a callback from its endpoint may be about an earlier attempt there: callbacks name none
+	ambiguousCallbacks bool            // a callback of its endpoint may be about an earlier attempt there; callbacks have no attempt number
 }
 
-// HasEnded reports whether the attempt has its outcome. A late callback about an earlier attempt at the same endpoint
-// can end this one before the transport has written all of it. The transport must then write no more: the request may
-// be closed, or in flight at another endpoint.
+// HasEnded reports whether the attempt has an outcome. A late callback about an earlier attempt at the same endpoint can end this
+// one before the transport has written all of it. The transport must not write the rest then: the request may be closed, or in
+// flight at another endpoint.
 func (a *Attempt) HasEnded() bool {
 	return a.state == attemptNotStarted || a.state == attemptEnded
 }
 
-// EndedByWorker reports whether the attempt has ended other than by a timeout or a cancellation: there is nothing at
-// its worker that could be cancelled.
+// EndedByWorker reports whether the attempt has ended other than by a timeout or a cancellation, so that its worker has nothing to
+// cancel.
 func (a *Attempt) EndedByWorker() bool {
 	return a.HasEnded() && a.result != dispatch.TimedOut && a.result != dispatch.Cancelled
 }
 
-// mayStillCallBack reports whether the attempt has ended here without its worker having ended it, and may still run
-// there.
+// mayStillCallBack reports whether the worker may still execute the attempt although it has ended here.
 func (a *Attempt) mayStillCallBack() bool {
 	if !a.HasEnded() || a.Stage < StageWritten {
 		return false
@@ -86,7 +85,7 @@
 	return a.result == dispatch.ConnectionReset || a.result == dispatch.TimedOut || a.result == dispatch.Cancelled
 }
 
-// become makes the transition to a state, and reports whether it is one that may follow. If not, nothing changes.
+// become makes the transition to a state, and reports whether it is valid. If it is not, nothing changes.
 func (a *Attempt) become(next attemptState) bool {
 	if !a.state.canBecome(next) {
 		return false
@@ -95,16 +94,10 @@
 	return true
 }
 
-// end makes the transition to the end, and reports whether the attempt had not ended before.
+// end makes the transition to a final state, and reports whether the attempt had not ended before.
 func (a *Attempt) end() bool {
 	if a.state == attemptCreated {
 		return a.become(attemptNotStarted)
 	}
 	return a.become(attemptEnded)
 }
-
-// attemptKey identifies an attempt in flight by what a callback says about it.
-type attemptKey struct{ callID, endpointID string }
-
-// key returns the key of the attempt.
-func (a *Attempt) key() attemptKey { return attemptKey{a.Request.CallID, a.EndpointID} }
--- a/internal/requests/callback.go
+++ b/internal/requests/callback.go
@@ -6,14 +6,14 @@
 	"valvecove/dispatch"
 )
 
-// Callback is a worker's message about the attempt that it has of a call. It names no attempt, and the worker repeats
-// it until it is answered.
+// Callback is a worker's message about an attempt. It identifies the attempt by call ID and endpoint ID only, so attempts of one
+// request at the same endpoint can't be distinguished. The worker repeats it until it is responded to.
 type Callback struct {
 	CallID     string  `json:"id"`
 	EndpointID string  `json:"from"`
 	State      string  `json:"state"`
-	Progress   float64 `json:"share"`  // from 0 to 1, of the state CallbackRunning
-	Result     *string `json:"result"` // of the state CallbackDone
+	Progress   float64 `json:"share"`  // from 0 to 1, if the state is CallbackRunning
+	Result     *string `json:"result"` // if the state is CallbackDone, else nil
 }
 
 // States of a callback.
@@ -22,15 +22,15 @@
 	CallbackRunning  = "running"
 	CallbackDone     = "done"
 	CallbackFailed   = "failed"
-	CallbackReturned = "returned" // handed back unstarted
-	CallbackLost     = "lost"     // the worker has lost it, possibly executed
+	CallbackReturned = "returned" // not executed
+	CallbackLost     = "lost"     // possibly executed
 )
 
-// ErrInvalidCallback rejects a callback that lacks a field or has an unknown state.
+// ErrInvalidCallback is returned for a callback that lacks a required field or has an unknown state.
 var ErrInvalidCallback = errors.New("invalid callback: needs id, from, a known state and, once done, a result")
 
-// isValid reports whether the callback is complete. Only a worker's own result may be passed on to a client, so a
-// callback that is done without one is not valid.
+// isValid reports whether all required fields are set. Only a worker's own result may be sent to a client, so the state
+// CallbackDone requires one.
 func (c *Callback) isValid() bool {
 	if c.CallID == "" || c.EndpointID == "" {
 		return false
@@ -44,24 +44,24 @@
 	return false
 }
 
-// HandleCallback takes a worker's callback. known is false if it is about no attempt in flight; that is not an error:
-// it was repeated, or belongs to an earlier process of this scheduler. A callback may come before the worker has
+// HandleCallback handles a worker's callback. known is false if it is about no attempt in flight, which is not an error: it was
+// repeated, or is about an attempt of an earlier process of this scheduler. A callback may be received before the worker has
 // accepted the attempt. The error is ErrInvalidCallback or nil.
 func (t *Table) HandleCallback(callback Callback) (known bool, err error) {
 	if !callback.isValid() {
 		return false, ErrInvalidCallback
 	}
-	attempt := t.inFlight[attemptKey{callback.CallID, callback.EndpointID}]
-	t.notify(Notification{Kind: CallbackReceived, Attempt: attempt, Callback: &callback})
+	attempt := t.attempts.find(attemptKey{callback.CallID, callback.EndpointID})
+	t.observers.notify(Notification{Kind: CallbackReceived, Attempt: attempt, Callback: &callback})
 	if attempt == nil {
 		return false, nil
 	}
-	job, number, worker := attempt.Request.ID, attempt.Number, attempt.Worker
+	job := attempt.Request.ID
 	switch callback.State {
 	case CallbackStarted:
-		t.addEvent(dispatch.Started{Job: job, Attempt: number, Worker: worker})
+		t.policy.addEvent(dispatch.Started{Job: job, Attempt: attempt.Number, Worker: attempt.Worker})
 	case CallbackRunning:
-		t.addEvent(dispatch.Progressed{Job: job, Attempt: number, Worker: worker, Share: callback.Progress})
+		t.policy.addEvent(dispatch.Progressed{Job: job, Attempt: attempt.Number, Worker: attempt.Worker, Share: callback.Progress})
 	case CallbackDone:
 		t.EndAttempt(attempt, []byte(*callback.Result), nil)
 	case CallbackFailed:
@@ -74,9 +74,8 @@
 	return true, nil
 }
 
-// endByCallback ends an attempt without a result, as its worker says. Where the callback may be about an earlier
-// attempt at the same endpoint, it is ignored: this one may still run, and the request would be sent elsewhere
-// meanwhile.
+// endByCallback ends an attempt without a result because of a callback. If the callback may be about an earlier attempt at the same
+// endpoint, it is ignored: this attempt may still run, and the request would be sent to another worker meanwhile.
 func (t *Table) endByCallback(attempt *Attempt, reason Reason) {
 	if attempt.ambiguousCallbacks {
 		return
--- a/internal/requests/completion.go
+++ b/internal/requests/completion.go
@@ -1,47 +1,43 @@
 package requests
 
 import (
-	"cmp"
-	"maps"
-	"slices"
 	"time"
 
 	"valvecove/dispatch"
 )
 
-// ClientDisconnected closes a request whose client has disconnected. It gets no response. A closed request stays as it
-// is.
+// ClientDisconnected closes a request whose client has disconnected, without a response. It does nothing for a closed request.
 func (t *Table) ClientDisconnected(request *Request) {
 	if request.IsClosed() {
 		return
 	}
-	t.addEvent(dispatch.ClientDisconnected{Job: request.ID})
+	t.policy.addEvent(dispatch.ClientDisconnected{Job: request.ID})
 	t.closeRequest(request, requestDisconnected)
 }
 
-// CloseSince gives each open request that arrived at an instant or later its final response: rejected if it has no
-// attempts, else failed. It is for a process that ends.
+// CloseSince gives each open request that arrived at or after an instant its final response: rejected if it has no attempts, else
+// failed. It is called when the process ends.
 func (t *Table) CloseSince(since time.Duration) {
 	t.closeMatching(func(request *Request) bool { return request.ArrivedAt >= since })
 }
 
-// RejectQueued rejects each open request that has no attempts. It is for a process that is about to end.
+// RejectQueued rejects each open request that has no attempts. It is called when the process is about to end.
 func (t *Table) RejectQueued() {
 	t.closeMatching(func(request *Request) bool { return len(request.attempts) == 0 })
 }
 
-// closeMatching closes the open requests that match. The policy learns of it as of clients that disconnect.
+// closeMatching closes the open requests that match. To the policy, their clients have disconnected.
 func (t *Table) closeMatching(matches func(*Request) bool) {
-	for _, request := range t.inAdmissionOrder() {
+	for _, request := range t.requests.inAdmissionOrder() {
 		if request.IsClosed() || !matches(request) {
 			continue
 		}
-		t.addEvent(dispatch.ClientDisconnected{Job: request.ID})
+		t.policy.addEvent(dispatch.ClientDisconnected{Job: request.ID})
 		t.closeWithoutPolicy(request)
 	}
 }
 
-// closeWithoutPolicy gives an open request a final response that follows from its attempts alone.
+// closeWithoutPolicy gives an open request a final response that depends on its attempts only.
 func (t *Table) closeWithoutPolicy(request *Request) {
 	if len(request.attempts) == 0 {
 		t.reject(request, 0) // not executed, so the client may retry at once
@@ -50,29 +46,29 @@
 	t.fail(request)
 }
 
-// serve gives a request a worker's result, unless it is closed.
+// serve responds to a request with a worker's result, unless it is closed.
 func (t *Table) serve(request *Request, result []byte) {
 	if t.conclude(request, ResponseResult) {
 		request.responder.RespondResult(result)
 	}
 }
 
-// reject gives a request the response that it was not executed, unless it is closed.
+// reject responds to a request that it was not executed, unless it is closed.
 func (t *Table) reject(request *Request, retryAfter time.Duration) {
 	if t.conclude(request, ResponseRejected) {
 		request.responder.RespondRejected(retryAfter)
 	}
 }
 
-// fail gives a request the response that it failed, unless it is closed.
+// fail responds to a request that it has failed, unless it is closed.
 func (t *Table) fail(request *Request) {
 	if t.conclude(request, ResponseFailed) {
 		request.responder.RespondFailed()
 	}
 }
 
-// conclude closes an open request with a kind of response, and reports whether it was open: each request is responded
-// to once.
+// conclude closes an open request with a kind of response, and reports whether it was open. It is called before each response, so
+// that a request gets one at most.
 func (t *Table) conclude(request *Request, response Response) bool {
 	if request.IsClosed() {
 		return false
@@ -82,12 +78,10 @@
 	return true
 }
 
-// closeRequest closes an open request. It stays in the table for as long as attempts are in flight.
+// closeRequest closes an open request. It stays in the table while attempts of it are in flight.
 func (t *Table) closeRequest(request *Request, next requestState) {
 	request.become(next)
-	if t.openByCallID[request.CallID] == request {
-		delete(t.openByCallID, request.CallID)
-	}
+	t.requests.removeOpen(request)
 	t.abandonUnwritten(request)
 	if request.state == requestResponded {
 		t.reportEnded(request)
@@ -97,23 +91,17 @@
 
 // forgetIfDone removes a closed request that has no attempts in flight.
 func (t *Table) forgetIfDone(request *Request) {
-	if !request.IsClosed() || request.inFlight > 0 || t.requests[request.ID] != request {
+	if !request.IsClosed() || request.inFlight > 0 || !t.requests.contains(request) {
 		return
 	}
-	delete(t.requests, request.ID)
-	t.payloadBytes -= len(request.Payload.Body)
+	t.requests.remove(request)
 	t.reportEnded(request)
-	t.notify(Notification{Kind: RequestForgotten, Request: request})
+	t.observers.notify(Notification{Kind: RequestForgotten, Request: request})
 }
 
-// reportEnded notifies the observers once that a closed request has ended.
+// reportEnded notifies the observers that a closed request has ended, unless they were notified before.
 func (t *Table) reportEnded(request *Request) {
 	if request.become(requestEnded) {
-		t.notify(Notification{Kind: RequestEnded, Request: request})
+		t.observers.notify(Notification{Kind: RequestEnded, Request: request})
 	}
 }
-
-// inAdmissionOrder returns all requests in order of admission, so that nothing depends on the order of a map.
-func (t *Table) inAdmissionOrder() []*Request {
-	return slices.SortedFunc(maps.Values(t.requests), func(a, b *Request) int { return cmp.Compare(a.ID, b.ID) })
-}
--- a/internal/requests/cordon.go
+++ b/internal/requests/cordon.go
@@ -1,53 +1,76 @@
 package requests
 
 import (
+	"maps"
 	"slices"
 
 	"valvecove/dispatch"
 )
 
-// maxCordoned bounds the endpoints that are cordoned at once. A cordon is never dropped to make room for another.
+// maxCordoned bounds the number of cordoned endpoints. A cordon is never dropped to make room for another one.
 const maxCordoned = 4096
 
-// Cordon has no attempt start at an endpoint until Uncordon, whatever the endpoint list says. known is false if the
-// endpoint was never listed, full is true if too many are cordoned; neither changes anything.
+// cordonSet is the set of cordoned workers, by number.
+type cordonSet map[uint64]struct{}
+
+// contains reports whether a worker is cordoned.
+func (c cordonSet) contains(worker uint64) bool {
+	_, isCordoned := c[worker]
+	return isCordoned
+}
+
+// isFull reports whether no further worker can be cordoned.
+func (c cordonSet) isFull() bool { return len(c) >= maxCordoned }
+
+// add cordons a worker.
+func (c cordonSet) add(worker uint64) { c[worker] = struct{}{} }
+
+// remove uncordons a worker.
+func (c cordonSet) remove(worker uint64) { delete(c, worker) }
+
+// sorted returns the numbers of the cordoned workers in ascending order.
+func (c cordonSet) sorted() []uint64 { return slices.Sorted(maps.Keys(c)) }
+
+// Cordon prevents attempts from being started at an endpoint until Uncordon, whatever the endpoint list contains. Attempts in
+// flight continue. known is false if the endpoint was never listed, and full is true if maxCordoned endpoints are cordoned; in
+// both cases nothing changes. A cordoned endpoint stays cordoned.
 func (t *Table) Cordon(endpointID string) (known, full bool) {
-	worker, known := t.endpoints.numbers[endpointID]
-	if !known || t.cordoned[worker] {
+	worker, known := t.WorkerNumber(endpointID)
+	if !known || t.cordons.contains(worker) {
 		return known, false
 	}
-	if len(t.cordoned) >= maxCordoned {
+	if t.cordons.isFull() {
 		return true, true
 	}
-	t.cordoned[worker] = true
-	t.addEvent(dispatch.Cordoned{Worker: worker})
+	t.cordons.add(worker)
+	t.policy.addEvent(dispatch.Cordoned{Worker: worker})
 	return true, false
 }
 
-// Uncordon ends a cordon, however often it was asked for. An endpoint that is not cordoned stays as it is. known is
-// false if the endpoint was never listed.
+// Uncordon ends a cordon, however often Cordon was called. An endpoint that is not cordoned stays as it is. known is false if the
+// endpoint was never listed.
 func (t *Table) Uncordon(endpointID string) (known bool) {
-	worker, known := t.endpoints.numbers[endpointID]
-	if known && t.cordoned[worker] {
-		delete(t.cordoned, worker)
-		t.addEvent(dispatch.Uncordoned{Worker: worker})
-		t.transport.CloseIdleConnections(worker) // they lead to a process that has gone
+	worker, known := t.WorkerNumber(endpointID)
+	if known && t.cordons.contains(worker) {
+		t.cordons.remove(worker)
+		t.policy.addEvent(dispatch.Uncordoned{Worker: worker})
+		t.transport.CloseIdleConnections(worker) // the worker may have been restarted meanwhile
 	}
 	return known
 }
 
-// Cordoned returns the ids of the cordoned endpoints, sorted.
+// Cordoned returns the IDs of the cordoned endpoints, sorted.
 func (t *Table) Cordoned() []string {
 	var ids []string
-	for worker := range t.cordoned {
-		ids = append(ids, t.endpoints.byNumber[worker].ID)
+	for worker := range t.cordons {
+		ids = append(ids, t.Endpoint(worker).ID)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// SetCordoned makes these endpoints the cordoned ones, and no others, whether they were ever listed or not. Those
-// beyond the limit are skipped.
+// SetCordoned cordons the given endpoints, which need not have been listed, and uncordons all others. IDs beyond maxCordoned are
+// skipped.
 func (t *Table) SetCordoned(endpointIDs []string) {
 	wanted := map[uint64]bool{}
 	for _, id := range endpointIDs {
@@ -56,7 +79,7 @@
 		}
 	}
 	for _, id := range t.Cordoned() {
-		if !wanted[t.endpoints.numbers[id]] {
+		if worker, _ := t.WorkerNumber(id); !wanted[worker] {
 			t.Uncordon(id)
 		}
 	}
--- a/internal/requests/doc.go
+++ b/internal/requests/doc.go
@@ -1,19 +1,19 @@
 // Package requests holds a scheduler's table of open requests and of their attempts at workers.
 //
-// It owns the requests from admission to the end of their last attempt, the deadlines of both, the list of endpoints as
-// discovery gave it last, and the set of cordoned endpoints. It feeds a dispatch policy with events and carries out the
-// actions that the policy returns.
+// A Table owns the requests from admission to the end of their last attempt (requestIndex), the attempts in flight with their
+// timeouts (attemptIndex), the endpoint list as discovery last listed it (endpointSet), the cordoned endpoints (cordonSet), and
+// the observers (observerList). It passes events to a dispatch policy (policyRunner), and executes the actions that the policy
+// returns.
 //
-// Two rules hold whatever a policy, a transport or a worker does:
+// Two invariants do not depend on the policy, the transport or the workers:
 //
 //   - A request gets exactly one response, or none if its client disconnects first.
-//   - A request has at most one attempt in flight at a worker. While an accepted attempt is being cancelled it stays in
-//     flight until its worker confirms or calls back, or until the deadline of the request: the policy does not learn of
-//     an end that would allow another attempt meanwhile.
+//   - A request has at most one attempt in flight at a worker. An attempt that was written and is being cancelled stays in flight
+//     until its worker confirms or calls back, or until the deadline of the request: the policy is not notified of an end before
+//     that, which would allow another attempt.
 //
-// The package does no I/O, reads no clock and knows no protocol. A frontend admits requests and is answered through
-// Responder; whatever reaches the workers implements Transport. It decides nothing about where or when a request runs:
-// that is the policy's.
+// The package does no I/O, reads no clock and implements no protocol. A frontend admits requests and receives responses through
+// Responder. The connections to workers implement Transport. The policy decides where and when a request is sent.
 //
-// A Table and all that belongs to it is used by one goroutine. Instants are durations since the Unix epoch.
+// A Table, its requests and their attempts are used on one goroutine. Instants are durations since the Unix epoch.
 package requests
--- a/internal/requests/endpoint_test.go
+++ b/internal/requests/endpoint_test.go
@@ -43,7 +43,7 @@
 	for n := range 3 * maxRemovedEndpoints {
 		replace("s-" + strconv.Itoa(n))
 	}
-	remembered, numbers := len(table.endpoints.byNumber), len(table.endpoints.numbers)
+	remembered, numbers := len(table.endpoints.remembered.byNumber), len(table.endpoints.remembered.numbers)
 	if remembered > 2*maxRemovedEndpoints || remembered != numbers {
 		t.Errorf("%d endpoints are remembered, %d numbers", remembered, numbers)
 	}
--- a/internal/requests/lifecycle.go
+++ b/internal/requests/lifecycle.go
@@ -7,21 +7,19 @@
 	"valvecove/dispatch"
 )
 
-// Attempts are started, cancelled and ended here.
-
-// startAttempt carries out the policy's wish to send a request to a worker. Each such wish leads to one outcome, also
-// if it may not be followed.
+// startAttempt executes the policy's action to send a request to a worker. Each such action results in one outcome, also if the
+// attempt is not allowed.
 func (t *Table) startAttempt(now time.Duration, send dispatch.Send) {
-	request := t.requests[send.Job]
-	if request == nil { // it has ended with nothing in flight
-		t.addEvent(dispatch.Outcome{Job: send.Job, Worker: send.Worker, Result: dispatch.NotSent, Closed: true})
+	request := t.Request(send.Job)
+	if request == nil { // closed, without attempts in flight
+		t.policy.addEvent(dispatch.Outcome{Job: send.Job, Worker: send.Worker, Result: dispatch.NotSent, Closed: true})
 		return
 	}
 	attempt := &Attempt{
 		Request:    request,
 		Number:     len(request.attempts),
 		Worker:     send.Worker,
-		EndpointID: t.endpoints.byNumber[send.Worker].ID,
+		EndpointID: t.Endpoint(send.Worker).ID,
 	}
 	request.attempts = append(request.attempts, attempt)
 	request.inFlight++
@@ -37,34 +35,33 @@
 		t.EndAttempt(attempt, nil, &AttemptError{Reason: ReasonTimeout})
 		return
 	}
-	t.inFlight[attempt.key()] = attempt
-	t.timeouts.Add(attempt)
+	t.attempts.add(attempt)
 	if request.FirstSentAt == 0 {
 		request.FirstSentAt = now
 	}
 	attempt.become(attemptInFlight)
 	attempt.ambiguousCallbacks = request.hasAmbiguousCallbacks(attempt)
-	t.notify(Notification{Kind: AttemptStarted, Request: request, Attempt: attempt})
+	t.observers.notify(Notification{Kind: AttemptStarted, Request: request, Attempt: attempt})
 	t.transport.Start(attempt)
 }
 
-// mayStart reports whether the rules allow an attempt. Its request must be open, with time and attempts remaining, and
-// its endpoint must not be cordoned. An endpoint that has an attempt of the request in flight gets no second one. Nor
-// does one whose callback has ended an earlier attempt: callbacks are repeated and name no attempt, so a repeated one
-// would end this one, and the request would be sent elsewhere while it runs.
+// mayStart reports whether an attempt is allowed. Its request must be open, with time and attempts remaining, and its endpoint
+// must not be cordoned. An endpoint gets no second attempt of a request while one is in flight there, nor after one was ended by
+// a callback: a repeated callback has no attempt number, so it would end the new attempt, and the request would be sent to
+// another worker while it still runs.
 func (t *Table) mayStart(now time.Duration, attempt *Attempt) bool {
 	request := attempt.Request
 	if request.IsClosed() || now >= request.Deadline || attempt.Number >= t.maxAttempts {
 		return false
 	}
-	if t.inFlight[attempt.key()] != nil || t.cordoned[attempt.Worker] {
+	if t.attempts.find(attempt.key()) != nil || t.cordons.contains(attempt.Worker) {
 		return false
 	}
 	return !slices.Contains(request.endedByCallback, attempt.EndpointID)
 }
 
-// EndAttempt ends an attempt. failure is nil if it was served: the first result of a request is its response, and
-// result is then passed on. An attempt ends once; a later call has no effect.
+// EndAttempt ends an attempt. failure is nil if it was served; result is then the response to its request, unless that is closed.
+// It has no effect on an attempt that has ended.
 func (t *Table) EndAttempt(attempt *Attempt, result []byte, failure *AttemptError) {
 	if !attempt.end() {
 		return
@@ -72,23 +69,20 @@
 	request := attempt.Request
 	attempt.result = failure.result()
 	request.inFlight--
-	t.timeouts.Remove(attempt)
-	if key := attempt.key(); t.inFlight[key] == attempt {
-		delete(t.inFlight, key)
-	}
+	t.attempts.remove(attempt)
 	if attempt.state == attemptEnded {
 		request.mergeOutcome(failure.Outcome())
-		t.notify(Notification{Kind: AttemptEnded, Request: request, Attempt: attempt, Err: failure})
+		t.observers.notify(Notification{Kind: AttemptEnded, Request: request, Attempt: attempt, Err: failure})
 	}
 	switch {
 	case failure == nil:
 		t.serve(request, result)
 	case failure.Reason == ReasonInvalidRequest && request.inFlight == 0:
-		// No other worker could execute it either, and each would look as if it failed. The policy
-		// gets a result that says nothing about the worker.
+		// No other worker could execute the request either, and each would be counted as failing. The policy gets a result that
+		// has no effect on its estimate of the worker.
 		t.fail(request)
 	}
-	t.addEvent(dispatch.Outcome{
+	t.policy.addEvent(dispatch.Outcome{
 		Job:     request.ID,
 		Attempt: attempt.Number,
 		Worker:  attempt.Worker,
@@ -98,25 +92,22 @@
 	t.forgetIfDone(request)
 }
 
-// expireAttempts ends the attempts whose requests are past their deadline, and cancels those that are past their own
-// timeout only: another attempt may follow them.
+// expireAttempts ends the attempts of requests that are past their deadline. It cancels those that have exceeded the attempt
+// timeout only, as another attempt may follow them.
 func (t *Table) expireAttempts(now time.Duration) {
-	for t.timeouts.Len() > 0 && t.timeouts.First().At <= now {
-		attempt := t.timeouts.First()
+	for attempt := t.attempts.firstExpired(now); attempt != nil; attempt = t.attempts.firstExpired(now) {
 		deadline := attempt.Request.Deadline
 		if now >= deadline {
 			t.abandon(attempt, ReasonTimeout)
 			continue
 		}
-		t.timeouts.Remove(attempt)
-		attempt.At = deadline
-		t.timeouts.Add(attempt)
+		t.attempts.postpone(attempt, deadline)
 		t.cancel(attempt, ReasonTimeout)
 	}
 }
 
-// abandonUnwritten ends the attempts of a closed request that are not completely written, so that nothing is sent for
-// which nobody waits.
+// abandonUnwritten ends the attempts of a closed request that are not completely written, so that they are not executed for
+// nothing.
 func (t *Table) abandonUnwritten(request *Request) {
 	for _, attempt := range request.attempts {
 		if !attempt.HasEnded() && attempt.Stage < StageWritten {
@@ -125,16 +116,16 @@
 	}
 }
 
-// abandon ends an attempt from this side, and lets its worker know.
+// abandon ends an attempt at once, and has the transport notify its worker.
 func (t *Table) abandon(attempt *Attempt, reason Reason) {
 	t.EndAttempt(attempt, nil, &AttemptError{Stage: attempt.Stage, Reason: reason})
 	t.transport.Abandon(attempt)
 }
 
-// cancel ends an attempt from this side when its request may be sent elsewhere. If it was written, it ends only once its
-// worker has confirmed: an attempt elsewhere before that would be a second execution. The worker may have accepted what
-// it was just written: a connection that is closed then withdraws nothing. Until it ends it is in flight, and callbacks
-// about it count.
+// cancel ends an attempt whose request may be sent to another worker afterwards. An attempt that was written ends only once its
+// worker has confirmed: another attempt before that could be a second execution. This includes an attempt that is not accepted
+// yet, as the worker may have received it, and closing the connection does not cancel it then. Until it ends it is in flight, and
+// callbacks about it are handled.
 func (t *Table) cancel(attempt *Attempt, reason Reason) {
 	if attempt.state == attemptCancelling {
 		return
@@ -149,15 +140,15 @@
 	}
 }
 
-// CancelUnaccepted ends an attempt that is being cancelled, and that its worker has not accepted in time.
+// CancelUnaccepted ends an attempt that is being cancelled and that its worker has not accepted in time.
 func (t *Table) CancelUnaccepted(attempt *Attempt) {
 	if attempt.state == attemptCancelling {
 		t.abandon(attempt, attempt.cancelReason)
 	}
 }
 
-// CancelCompleted takes the result of Transport.Cancel. If the worker has confirmed, the attempt ends. Else it is in
-// flight as before, until the deadline of its request at most, and may be cancelled again.
+// CancelCompleted handles the result of Transport.Cancel. If the worker has confirmed, the attempt ends. Otherwise it stays in
+// flight, until the deadline of its request at most, and may be cancelled again.
 func (t *Table) CancelCompleted(attempt *Attempt, confirmed bool) {
 	if attempt.state != attemptCancelling {
 		return
--- a/internal/requests/observer.go
+++ b/internal/requests/observer.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"runtime/debug"
 )
 
@@ -11,17 +12,17 @@
 // Kinds of notifications.
 const (
 	RequestAdmitted  NotificationKind = iota // a request was admitted
-	RequestRejected                          // a request was rejected at admission, with Status; Request is nil if unreadable
+	RequestRejected                          // a request was rejected with Status; Request is nil if it could not be read
 	AttemptStarted                           // an attempt was handed to the transport
 	ResponseReceived                         // the worker has responded to the attempt, with Status
-	CallbackReceived                         // a worker has called back; Attempt is nil if it is about none in flight
+	CallbackReceived                         // a callback was received; Attempt is nil if it is about none in flight
 	AttemptEnded                             // an attempt that was started has ended; Err is nil if it was served
-	RequestEnded                             // a request has its response, or no client and no attempt in flight
+	RequestEnded                             // a request was responded to, or has neither a client nor an attempt in flight
 	AttemptWritten                           // the last byte of an attempt was written
 	RequestForgotten                         // a request was removed from the table: its ID is not used again
 )
 
-// Notification is one event of the table. What it points to may be read only until Observe returns.
+// Notification is one event of the table. Its pointers may be used for reading, until Observe returns.
 type Notification struct {
 	Kind     NotificationKind
 	Request  *Request
@@ -31,16 +32,16 @@
 	Status   int // HTTP status
 }
 
-// Observer is notified of what happens, in order. It decides nothing and must not block.
+// Observer is notified of all events of a table, in order. It must not block, and must not call or change the table.
 type Observer interface {
 	Observe(notification Notification)
 }
 
 // AddObserver adds an observer, which is notified from now on.
-func (t *Table) AddObserver(observer Observer) { t.observers = append(t.observers, observer) }
+func (t *Table) AddObserver(observer Observer) { t.observers.add(observer) }
 
-// ReportRejection notifies the observers of a request that a frontend rejected with an HTTP status instead of admitting
-// it. arrival is nil if the request could not be read.
+// ReportRejection notifies the observers of a request that a frontend rejected with an HTTP status instead of admitting it.
+// arrival is nil if the request could not be read.
 func (t *Table) ReportRejection(arrival *Arrival, status int) {
 	notification := Notification{Kind: RequestRejected, Status: status}
 	if arrival != nil {
@@ -51,35 +52,44 @@
 			outcome: OutcomeRejected,
 		}
 	}
-	t.notify(notification)
+	t.observers.notify(notification)
 }
 
 // ReportResponse notifies the observers of the HTTP status that a worker responded to an attempt with.
 func (t *Table) ReportResponse(attempt *Attempt, status int) {
-	t.notify(Notification{Kind: ResponseReceived, Request: attempt.Request, Attempt: attempt, Status: status})
+	t.observers.notify(Notification{Kind: ResponseReceived, Request: attempt.Request, Attempt: attempt, Status: status})
 }
 
 // ReportWritten notifies the observers that the last byte of an attempt was written.
 func (t *Table) ReportWritten(attempt *Attempt) {
-	t.notify(Notification{Kind: AttemptWritten, Request: attempt.Request, Attempt: attempt})
+	t.observers.notify(Notification{Kind: AttemptWritten, Request: attempt.Request, Attempt: attempt})
 }
 
-// notify hands a notification to each observer. One that panics is removed.
-func (t *Table) notify(notification Notification) {
-	for i := 0; i < len(t.observers); i++ {
-		if t.notifyOne(t.observers[i], notification) {
+// observerList is the observers of a table, in the order in which they were added.
+type observerList struct {
+	observers []Observer
+	logger    *slog.Logger
+}
+
+// add adds an observer, which is notified from now on.
+func (o *observerList) add(observer Observer) { o.observers = append(o.observers, observer) }
+
+// notify notifies each observer. One that panics is removed.
+func (o *observerList) notify(notification Notification) {
+	for i := 0; i < len(o.observers); i++ {
+		if o.notifyOne(o.observers[i], notification) {
 			continue
 		}
-		t.observers = append(t.observers[:i:i], t.observers[i+1:]...)
+		o.observers = append(o.observers[:i:i], o.observers[i+1:]...)
 		i--
 	}
 }
 
 // notifyOne notifies one observer, and reports whether it did not panic.
-func (t *Table) notifyOne(observer Observer, notification Notification) (ok bool) {
+func (o *observerList) notifyOne(observer Observer, notification Notification) (ok bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			t.logger.Error("observer panic: observer removed", "observer", fmt.Sprintf("%T", observer),
+			o.logger.Error("observer panic: observer removed", "observer", fmt.Sprintf("%T", observer),
 				"panic", fmt.Sprint(cause), "stack", string(debug.Stack()))
 		}
 	}()
--- a/internal/requests/policy.go
+++ b/internal/requests/policy.go
@@ -10,158 +10,112 @@
 
 // Policy decides where and when requests are sent. *dispatch.Dispatcher is one. A policy that panics is replaced.
 type Policy interface {
-	// Step takes the events since the step before, in order, and appends the actions that follow to dst. It retains
-	// neither slice.
+	// Step handles the events since the previous step, in order, and appends the resulting actions to dst. It retains neither
+	// slice.
 	Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action
 }
 
-// maxFlushSteps bounds the steps of FlushEvents: a policy could answer each step with an action that leads to an event.
-const maxFlushSteps = 16
+// policyRunner runs the policy: it collects the events of the next step, and has the policy's timer.
+type policyRunner struct {
+	newPolicy    func() Policy
+	policy       Policy
+	timer        time.Duration // when the policy wants to be woken; 0: not set
+	pending      []dispatch.Event
+	eventBuffer  []dispatch.Event  // the events of the previous step, reused for pending events
+	actionBuffer []dispatch.Action // reused from step to step
+}
 
-// NextStep returns by when Step has to be called. ok is false if no call is necessary until something happens.
-func (t *Table) NextStep() (at time.Duration, ok bool) {
-	if t.awaitUntil > 0 {
-		return t.awaitUntil, true
-	}
-	if len(t.pendingEvents) > 0 {
-		return 0, true
-	}
-	at = t.policyTimer
-	if t.timeouts.Len() > 0 && (at == 0 || t.timeouts.First().At < at) {
-		at = t.timeouts.First().At
-	}
-	return at, at > 0
+// policyPanic is a panic of the policy.
+type policyPanic struct {
+	cause any
+	stack []byte
 }
 
-// Wake has the next Step run the policy even if the table has no event for it. It is for a policy that has learned
-// something by another way.
-func (t *Table) Wake() { t.addEvent(dispatch.TimerFired{}) }
+// addEvent adds an event for the policy's next step.
+func (p *policyRunner) addEvent(event dispatch.Event) { p.pending = append(p.pending, event) }
 
-// Step ends attempts that are past their time, hands the policy the pending events, and carries out its actions in
-// order. An event that an action leads to at once, as a connection that fails, waits for the next Step. While requests
-// wait for the endpoint list, Step does nothing.
-func (t *Table) Step(now time.Duration) {
-	if t.awaitUntil > now {
-		return
-	}
-	t.awaitUntil = 0
-	t.deductWaitTime(now)
-	t.logChanges(now)
-	t.expireAttempts(now)
-	if t.policyTimer > 0 && t.policyTimer <= now {
-		t.policyTimer = 0
-		t.addEvent(dispatch.TimerFired{})
-	}
-	if len(t.pendingEvents) > 0 {
-		t.runPolicy(now)
-	}
-}
+// addEvents adds events for the policy's next step.
+func (p *policyRunner) addEvents(events []dispatch.Event) { p.pending = append(p.pending, events...) }
+
+// hasEvents reports whether events are pending.
+func (p *policyRunner) hasEvents() bool { return len(p.pending) > 0 }
+
+// discardEvents drops the pending events.
+func (p *policyRunner) discardEvents() { p.pending = p.pending[:0] }
 
-// FlushEvents runs the policy until it knows all events, and reports whether it does: a pending event is no part of a
-// snapshot, and would be lost with a hot restart.
-func (t *Table) FlushEvents(now time.Duration) bool {
-	for range maxFlushSteps {
-		if len(t.pendingEvents) == 0 {
-			return true
+// deductWaitTime reduces the remaining time of the jobs that are pending by the time that their requests have waited.
+func (p *policyRunner) deductWaitTime(now time.Duration, requests *requestIndex) {
+	for i, event := range p.pending {
+		job, isJob := event.(dispatch.Job)
+		if !isJob {
+			continue
+		}
+		if request := requests.find(job.ID); request != nil && request.ArrivedAt < now {
+			job.Remaining = request.Deadline - now
+			p.pending[i] = job
 		}
-		t.Step(now)
 	}
-	return len(t.pendingEvents) == 0
 }
 
-// AddPeerMessages gives the policy messages of another scheduler, by its number.
-func (t *Table) AddPeerMessages(from int, messages []dispatch.PeerMessage) {
-	for _, message := range messages {
-		t.addEvent(dispatch.PeerMessageReceived{From: from, Message: message})
+// setTimer has the policy woken at an instant, unless it is woken before.
+func (p *policyRunner) setTimer(at time.Duration) {
+	if p.timer == 0 || at < p.timer {
+		p.timer = at
 	}
 }
 
-// addEvent adds an event for the policy's next step.
-func (t *Table) addEvent(event dispatch.Event) { t.pendingEvents = append(t.pendingEvents, event) }
+// restoreTimer replaces the timer; 0 clears it.
+func (p *policyRunner) restoreTimer(at time.Duration) { p.timer = at }
 
-// runPolicy hands the policy the pending events and carries out its actions.
-func (t *Table) runPolicy(now time.Duration) {
-	events := t.pendingEvents
-	t.pendingEvents = t.eventBuffer[:0]
-	actions, ok := t.decide(now, events)
-	clear(events)
-	t.eventBuffer = events[:0]
-	if !ok {
+// fireTimer clears the timer and adds its event, if it is due.
+func (p *policyRunner) fireTimer(now time.Duration) {
+	if p.timer == 0 || p.timer > now {
 		return
 	}
-	for _, action := range actions {
-		t.execute(now, action)
-	}
-	clear(actions)
-	t.actionBuffer = actions[:0]
+	p.timer = 0
+	p.addEvent(dispatch.TimerFired{})
+}
+
+// decide passes the pending events to the policy, and returns its actions, which are valid until recycle. Events that are added
+// from now on are pending for the next step. After a panic there are no actions, and the policy must be restarted.
+func (p *policyRunner) decide(now time.Duration) (actions []dispatch.Action, panicked *policyPanic) {
+	events := p.pending
+	p.pending = p.eventBuffer[:0]
+	actions, panicked = p.step(now, events)
+	clear(events)
+	p.eventBuffer = events[:0]
+	return actions, panicked
 }
 
-// decide returns the policy's actions. ok is false if the policy has panicked; it is replaced then.
-func (t *Table) decide(now time.Duration, events []dispatch.Event) (actions []dispatch.Action, ok bool) {
+// step calls the policy, and recovers from a panic.
+func (p *policyRunner) step(now time.Duration, events []dispatch.Event) (actions []dispatch.Action, panicked *policyPanic) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			t.logger.Error("policy panic: policy restarted", "panic", fmt.Sprint(cause), "failed", len(t.openByCallID),
-				"stack", string(debug.Stack()))
-			t.restartPolicy()
+			panicked = &policyPanic{cause: cause, stack: debug.Stack()}
 		}
 	}()
-	return t.policy.Step(now, events, t.actionBuffer[:0]), true
+	return p.policy.Step(now, events, p.actionBuffer[:0]), nil
 }
 
-// restartPolicy replaces a policy whose state can't be trusted any more. All attempts are abandoned, each open request
-// gets its final response, and the new policy begins with the endpoint list that the table has.
-func (t *Table) restartPolicy() {
-	for _, request := range t.inAdmissionOrder() {
-		for _, attempt := range request.attempts {
-			if !attempt.HasEnded() {
-				t.abandon(attempt, ReasonCancelled)
-			}
-		}
-		t.closeWithoutPolicy(request)
-	}
-	t.policy = t.newPolicy()
-	t.policyTimer = 0
-	t.actionBuffer = nil
-	t.pendingEvents = append(t.pendingEvents[:0], t.knownState()...)
+// recycle releases actions that decide has returned, and keeps their memory for the next step.
+func (p *policyRunner) recycle(actions []dispatch.Action) {
+	clear(actions)
+	p.actionBuffer = actions[:0]
 }
 
-// execute carries out one action of the policy. One about a request or an attempt that has ended has no effect.
-func (t *Table) execute(now time.Duration, action dispatch.Action) {
-	switch action := action.(type) {
-	case dispatch.Send:
-		t.startAttempt(now, action)
-	case dispatch.Reject:
-		if request := t.requests[action.Job]; request != nil {
-			t.reject(request, action.RetryAfter)
-		}
-	case dispatch.Fail:
-		if request := t.requests[action.Job]; request != nil {
-			t.fail(request)
-		}
-	case dispatch.Cancel:
-		if attempt := t.InFlightAttempt(action.Job, action.Attempt); attempt != nil {
-			t.cancel(attempt, ReasonCancelled)
-		}
-	case dispatch.HealthCheck:
-		t.transport.CheckHealth(action.Worker)
-	case dispatch.CloseIdleConnections:
-		t.transport.CloseIdleConnections(action.Worker)
-	case dispatch.SetTimer:
-		t.setPolicyTimer(now + max(action.After, 1))
-	case dispatch.Subscribe:
-		t.WatchEndpoints()
-	case dispatch.SendPeerMessage:
-		if t.TellPeer != nil {
-			t.TellPeer(action.To, action.Message)
-		}
-	case dispatch.Log, dispatch.WorkerEjected:
-		t.logPolicyAction(action)
-	}
+// replace replaces the policy by one that was restored. The timer and the pending events stay.
+func (p *policyRunner) replace(policy Policy) { p.policy = policy }
+
+// restart replaces the policy by a new one, which has no timer and no pending events.
+func (p *policyRunner) restart() {
+	p.policy = p.newPolicy()
+	p.timer = 0
+	p.actionBuffer = nil
+	p.discardEvents()
 }
 
-// setPolicyTimer has the policy woken at an instant, unless it is woken before.
-func (t *Table) setPolicyTimer(at time.Duration) {
-	if t.policyTimer == 0 || at < t.policyTimer {
-		t.policyTimer = at
-	}
+// logPanic logs a panic of the policy. openRequests is how many requests fail because of it.
+func (t *Table) logPanic(panicked *policyPanic, openRequests int) {
+	t.logger.Error("policy panic: policy restarted", "panic", fmt.Sprint(panicked.cause), "failed", openRequests,
+		"stack", string(panicked.stack))
 }
--- /dev/null
+++ b/internal/requests/requestindex.go
@@ -0,0 +1,67 @@
+package requests
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+)
+
+// requestIndex holds the requests of a table, and finds them by ID and, while they are open, by call ID.
+type requestIndex struct {
+	lastID       uint64 // highest ID that was used, here or in the predecessor of a hot restart
+	payloadBytes int    // of the bodies of all requests
+	byID         map[uint64]*Request
+	openByCallID map[string]*Request
+}
+
+func newRequestIndex() requestIndex {
+	return requestIndex{byID: map[uint64]*Request{}, openByCallID: map[string]*Request{}}
+}
+
+// nextID returns an ID that no request has had.
+func (r *requestIndex) nextID() uint64 {
+	r.lastID++
+	return r.lastID
+}
+
+// reserveIDs has nextID skip the IDs up to lastID.
+func (r *requestIndex) reserveIDs(lastID uint64) { r.lastID = max(r.lastID, lastID) }
+
+// find returns the request with an ID, or nil.
+func (r *requestIndex) find(id uint64) *Request { return r.byID[id] }
+
+// findOpen returns the open request with a call ID, or nil.
+func (r *requestIndex) findOpen(callID string) *Request { return r.openByCallID[callID] }
+
+// openCount returns the number of open requests.
+func (r *requestIndex) openCount() int { return len(r.openByCallID) }
+
+// add adds a request, which may be open or closed.
+func (r *requestIndex) add(request *Request) {
+	r.byID[request.ID] = request
+	r.payloadBytes += len(request.Payload.Body)
+	if !request.IsClosed() {
+		r.openByCallID[request.CallID] = request
+	}
+}
+
+// removeOpen removes a request that has been closed from the open ones.
+func (r *requestIndex) removeOpen(request *Request) {
+	if r.openByCallID[request.CallID] == request {
+		delete(r.openByCallID, request.CallID)
+	}
+}
+
+// contains reports whether a request was added and not removed.
+func (r *requestIndex) contains(request *Request) bool { return r.byID[request.ID] == request }
+
+// remove removes a closed request.
+func (r *requestIndex) remove(request *Request) {
+	delete(r.byID, request.ID)
+	r.payloadBytes -= len(request.Payload.Body)
+}
+
+// inAdmissionOrder returns all requests in order of admission, so that nothing depends on the iteration order of a map.
+func (r *requestIndex) inAdmissionOrder() []*Request {
+	return slices.SortedFunc(maps.Values(r.byID), func(a, b *Request) int { return cmp.Compare(a.ID, b.ID) })
+}
--- a/internal/requests/snapshot.go
+++ b/internal/requests/snapshot.go
@@ -1,40 +1,38 @@
 package requests
 
 import (
-	"maps"
-	"slices"
 	"time"
 
 	"valvecove/dispatch"
 )
 
-// The types of this file, Payload and Endpoint are handed to processes of other builds: the names in their tags and the
-// order of their fields are part of that form.
+// The types of this file, Payload and Endpoint are transferred to processes of other builds: the names in their tags and the
+// order of their fields are part of the stored form.
 
 // State is a table's serialisable state, without its requests.
 type State struct {
 	LastID      uint64        `json:"LastID"` // of the requests
 	PolicyTimer time.Duration `json:"Timer"`  // 0: none
 	Revision    int64         `json:"Generation"`
-	Endpoints   []Endpoint    `json:"Hosts"`  // all that are remembered
-	ListedIDs   []string      `json:"Listed"` // those that are in the endpoint list
+	Endpoints   []Endpoint    `json:"Hosts"`  // all remembered ones
+	ListedIDs   []string      `json:"Listed"` // those in the endpoint list
 	CordonedIDs []string      `json:"Out"`
 
-	// What follows is missing from builds that take start times as they are told, and is ignored by them.
+	// Builds that use start times as they are listed neither write nor read the following fields.
 
-	Starts   []WorkerStart `json:"Starts,omitempty"`   // that are not as they were told
-	LeastAge time.Duration `json:"LeastAge,omitempty"` // at which a start was told, by the process's clock; 0: not known
+	Starts   []WorkerStart `json:"Starts,omitempty"`   // those that differ from the listed time
+	LeastAge time.Duration `json:"LeastAge,omitempty"` // of a worker when its start was first listed, by the process's clock; 0: not known
 }
 
 // WorkerStart is when a worker started.
 type WorkerStart struct {
 	EndpointID string        `json:"Host"`
-	ListedMs   int64         `json:"Listed"` // by discovery, as Unix time in milliseconds
+	ListedMs   int64         `json:"Listed"` // as listed by discovery, Unix time in milliseconds
 	At         time.Duration `json:"At"`     // by the process's clock
 }
 
-// OpenRequest is the serialisable state of a request that is owed a response or has attempts in flight. Its booleans
-// and Response stand for the state of the request.
+// OpenRequest is the serialisable state of a request that is open or has attempts in flight. The state of the request is encoded by
+// its booleans and Response.
 type OpenRequest struct {
 	ID              uint64        `json:"ID"`
 	CallID          string        `json:"Call"`
@@ -45,14 +43,14 @@
 	FirstSentAt     time.Duration `json:"Sent"` // 0: none of its attempts was started
 	Attempts        []OpenAttempt `json:"Attempts"`
 	EndedByCallback []string      `json:"Noted"`
-	Closed          bool          `json:"Closed"` // it is owed no response
+	Closed          bool          `json:"Closed"` // not open
 	ClientLeft      bool          `json:"Left"`
-	Reported        bool          `json:"Over"` // the observers know that it has ended
+	Reported        bool          `json:"Over"` // the observers were notified that it has ended
 	Outcome         Outcome       `json:"Outcome"`
 	Response        Response      `json:"Answer"`
 }
 
-// OpenAttempt is the serialisable state of an attempt of an open request. Its number is its place.
+// OpenAttempt is the serialisable state of an attempt of an OpenRequest. Its number is its index there.
 type OpenAttempt struct {
 	Worker     uint64          `json:"Worker"`
 	EndpointID string          `json:"From"`
@@ -64,31 +62,23 @@
 	Result     dispatch.Result `json:"Outcome"`     // if it has ended
 }
 
-// Snapshot returns the state with which another process goes on, by TakeOver. Pending events are no part of it:
-// FlushEvents must have returned true. The payloads are shared with the table.
+// Snapshot returns the state that another process restores by TakeOver, and the requests in order of admission. FlushEvents must
+// have returned true, as pending events are not included. The payloads are shared with the table.
 func (t *Table) Snapshot() (State, []OpenRequest) {
 	state := State{
-		LastID:      t.lastID,
-		PolicyTimer: t.policyTimer,
-		Revision:    t.revision,
+		LastID:      t.requests.lastID,
+		PolicyTimer: t.policy.timer,
 		CordonedIDs: t.Cordoned(),
-		Starts:      t.endpoints.starts.snapshot(t.endpoints.byNumber),
-		LeastAge:    t.endpoints.starts.leastAge,
-	}
-	for _, worker := range slices.Sorted(maps.Keys(t.endpoints.byNumber)) {
-		endpoint := t.endpoints.byNumber[worker]
-		state.Endpoints = append(state.Endpoints, endpoint)
-		if _, isListed := t.listed[worker]; isListed {
-			state.ListedIDs = append(state.ListedIDs, endpoint.ID)
-		}
 	}
+	t.endpoints.addToState(&state)
 	var open []OpenRequest
-	for _, request := range t.inAdmissionOrder() {
+	for _, request := range t.requests.inAdmissionOrder() {
 		open = append(open, request.snapshot())
 	}
 	return state, open
 }
 
+// snapshot returns the serialisable state of the request.
 func (r *Request) snapshot() OpenRequest {
 	open := OpenRequest{
 		ID:              r.ID,
@@ -111,6 +101,7 @@
 	return open
 }
 
+// snapshot returns the serialisable state of the attempt.
 func (a *Attempt) snapshot() OpenAttempt {
 	return OpenAttempt{
 		Worker:     a.Worker,
@@ -124,7 +115,7 @@
 	}
 }
 
-// state is the state that the booleans of an open request stand for.
+// state returns the state of the request that is encoded by the booleans.
 func (o *OpenRequest) state() requestState {
 	switch {
 	case !o.Closed:
@@ -137,7 +128,7 @@
 	return requestResponded
 }
 
-// state is the state that the booleans of an open attempt stand for.
+// state returns the state of the attempt that is encoded by the booleans.
 func (o *OpenAttempt) state() attemptState {
 	switch {
 	case o.Ended && o.Started:
--- a/internal/requests/starttime_test.go
+++ b/internal/requests/starttime_test.go
@@ -63,7 +63,7 @@
 
 // age is how old the policy takes a worker to be; negative: it is known as started long ago.
 func (f *startTimesFixture) age(number int) time.Duration {
-	worker := f.table.listed[hashID(fmt.Sprint("s-", number))]
+	worker := f.table.endpoints.listed[hashID(fmt.Sprint("s-", number))]
 	if worker.BootAt == 0 {
 		return -1
 	}
@@ -153,7 +153,7 @@
 		f.wait(time.Second)
 		joined := f.started(10, 100*time.Millisecond)
 		f.receive(false, joined)
-		before := f.table.listed[hashID("s-10")].BootAt
+		before := f.table.endpoints.listed[hashID("s-10")].BootAt
 		draining := joined
 		draining.Lifecycle = "draining"
 		for what, repeat := range map[string]func(){
@@ -168,7 +168,7 @@
 			f.wait(10 * time.Second)
 			f.now += 5 * time.Second // the watch was lost
 			repeat()
-			if at := f.table.listed[hashID("s-10")].BootAt; at != before {
+			if at := f.table.endpoints.listed[hashID("s-10")].BootAt; at != before {
 				t.Errorf("clock ahead by %v, %s: started %v later", ahead, what, at-before)
 			}
 		}
--- a/internal/requests/table_test.go
+++ b/internal/requests/table_test.go
@@ -47,7 +47,7 @@
 	model.checkOutcomes()
 	model.Check(!model.transport.hasTwoAtOneWorker, "a worker had two attempts of a request at once")
 	table := model.table
-	remaining := len(table.requests) + len(table.openByCallID) + len(table.inFlight) + table.timeouts.Len()
+	remaining := len(table.requests.byID) + len(table.requests.openByCallID) + len(table.attempts.byKey) + table.attempts.timeouts.Len()
 	model.Check(remaining == 0, "the table is not empty")
 }
 
--- a/internal/requests/takeover.go
+++ b/internal/requests/takeover.go
@@ -6,71 +6,45 @@
 	"valvecove/dispatch"
 )
 
-// TakeOver goes on with what Snapshot gave in another process; the table must have no requests of its own. responders
-// has those of the open requests by ID: a request without one has lost its client's connection, and its response is
-// dropped.
+// TakeOver restores a snapshot of another process, whose instants are those of this process's clock; see OnClock. The table must
+// have no requests. responders contains the responders of the open requests by ID: a request without one has lost its client's
+// connection, and its response is dropped.
 //
-// newPolicy makes the policy that goes on, and is called once the observers know the requests. If it returns nil, the
-// policy that the table has goes on, and gets the requests and their attempts as events.
+// newPolicy returns the policy that is restored from the same process, and is called after the observers were notified of the
+// requests. If it returns nil, the current policy is kept, and receives the requests and their attempts as events.
 func (t *Table) TakeOver(
 	now time.Duration, state State, open []OpenRequest, responders map[uint64]Responder, newPolicy func() Policy,
 ) {
 	t.awaitUntil = 0
 	t.restoreEndpoints(state)
-	t.restoreStarts(state)
 	t.SetCordoned(state.CordonedIDs)
-	t.lastID = max(t.lastID, state.LastID)
+	t.requests.reserveIDs(state.LastID)
 	for i := range open {
 		t.restoreRequest(&open[i], responders[open[i].ID])
 	}
-	t.policyTimer = state.PolicyTimer
-	t.pendingEvents = t.pendingEvents[:0]
+	t.policy.restoreTimer(state.PolicyTimer)
+	t.policy.discardEvents()
 	policy := newPolicy()
-	t.pendingEvents = append(t.pendingEvents, t.knownState()...)
+	t.policy.addEvents(t.initialEvents())
 	if policy != nil {
-		t.policy = policy
+		t.policy.replace(policy)
 	} else {
-		t.policyTimer = max(1, now) // the policy may have asked for a timer: it is woken too early rather than never
-		t.pendingEvents = append(t.pendingEvents, t.resumedJobs(now)...)
+		t.policy.restoreTimer(max(1, now)) // the current policy may have set a timer: it is woken too early rather than never
+		t.policy.addEvents(t.resumedJobs(now))
 	}
 	t.resumeCancellations()
 }
 
-// restoreEndpoints enters the endpoints that another process knew. Its list holds here too if it is newer.
+// restoreEndpoints adds the endpoints of another process, and applies its endpoint list if that is newer.
 func (t *Table) restoreEndpoints(state State) {
-	isListed := map[string]bool{}
-	for _, id := range state.ListedIDs {
-		isListed[id] = true
-	}
-	list := EndpointList{Revision: state.Revision, Reset: true}
-	for _, endpoint := range state.Endpoints {
-		if endpoint.ID == "" {
-			continue
-		}
-		if _, known := t.endpoints.numbers[endpoint.ID]; !known {
-			t.endpoints.byNumber[t.endpoints.assignNumber(endpoint.ID)] = endpoint
-		}
-		if isListed[endpoint.ID] {
-			list.Endpoints = append(list.Endpoints, endpoint)
-		}
-	}
-	if state.Revision > t.revision {
+	list := t.endpoints.restore(state)
+	if state.Revision > t.Revision() {
 		t.applyEndpoints(list, dispatch.ListFull)
 	}
+	t.endpoints.restoreStarts(state)
 }
 
-// restoreStarts has the workers started when another process found that they did: its policy, which may go on here, knows them
-// so.
-func (t *Table) restoreStarts(state State) {
-	starts := &t.endpoints.starts
-	starts.restore(state, t.endpoints.numbers)
-	for number, worker := range t.listed {
-		worker.BootAt = starts.startedAt(number, t.endpoints.byNumber[number].StartedAtMs)
-		t.listed[number] = worker
-	}
-}
-
-// restoreRequest enters a request of another process, and notifies the observers as if it had been admitted here.
+// restoreRequest adds a request of another process, and notifies the observers as if it had been admitted here.
 func (t *Table) restoreRequest(open *OpenRequest, responder Responder) {
 	if responder == nil {
 		responder = absentClient{}
@@ -89,18 +63,16 @@
 		endedByCallback: open.EndedByCallback,
 		outcome:         open.Outcome,
 	}
-	t.requests[request.ID] = request
-	t.payloadBytes += len(request.Payload.Body)
+	t.requests.add(request)
 	if !request.IsClosed() {
-		t.openByCallID[request.CallID] = request
-		t.notify(Notification{Kind: RequestAdmitted, Request: request})
+		t.observers.notify(Notification{Kind: RequestAdmitted, Request: request})
 	}
 	for i := range open.Attempts {
 		t.restoreAttempt(request, &open.Attempts[i])
 	}
 }
 
-// restoreAttempt enters the next attempt of a request.
+// restoreAttempt adds the next attempt of a request.
 func (t *Table) restoreAttempt(request *Request, open *OpenAttempt) {
 	attempt := &Attempt{
 		Request:      request,
@@ -119,17 +91,16 @@
 		return
 	}
 	request.inFlight++
-	t.inFlight[attempt.key()] = attempt
-	t.timeouts.Add(attempt)
+	t.attempts.add(attempt)
 	if attempt.state != attemptCreated {
-		t.notify(Notification{Kind: AttemptStarted, Request: request, Attempt: attempt})
+		t.observers.notify(Notification{Kind: AttemptStarted, Request: request, Attempt: attempt})
 	}
 }
 
-// resumedJobs has the events by which a policy learns of the open requests of another process and of their attempts.
+// resumedJobs returns the events by which a policy receives the open requests of another process, with their attempts.
 func (t *Table) resumedJobs(now time.Duration) []dispatch.Event {
 	var events []dispatch.Event
-	for _, request := range t.inAdmissionOrder() {
+	for _, request := range t.requests.inAdmissionOrder() {
 		if request.IsClosed() {
 			continue
 		}
@@ -149,9 +120,9 @@
 	return events
 }
 
-// resumeCancellations goes on with the cancellations that the other process had begun.
+// resumeCancellations repeats the cancellations that the other process had started and not completed.
 func (t *Table) resumeCancellations() {
-	for _, request := range t.inAdmissionOrder() {
+	for _, request := range t.requests.inAdmissionOrder() {
 		for _, attempt := range request.attempts {
 			if attempt.state == attemptCancelling {
 				t.transport.Cancel(attempt)
@@ -160,7 +131,7 @@
 	}
 }
 
-// absentClient is the responder of a request whose client can't be reached.
+// absentClient is the responder of a request whose client is disconnected. It drops the response.
 type absentClient struct{}
 
 func (absentClient) RespondResult([]byte)          {}
--- a/internal/requests/transport.go
+++ b/internal/requests/transport.go
@@ -2,26 +2,27 @@
 
 import "valvecove/dispatch"
 
-// Transport reaches the workers and discovery. Its methods do not block; they may call the table back at once.
+// Transport connects the table to the workers and to discovery. Its methods do not block. They may call the table before they
+// return.
 type Transport interface {
-	// Start sends an attempt to its worker and sets its stage as it goes on. Its end is passed to EndAttempt, or comes
-	// with a callback.
+	// Start sends an attempt to its worker and updates its stage. It calls EndAttempt when the attempt ends, unless a callback has
+	// ended it.
 	Start(attempt *Attempt)
-	// Abandon lets the worker know that an attempt has ended here.
+	// Abandon notifies the worker that an attempt has ended here.
 	Abandon(attempt *Attempt)
-	// Cancel asks the worker to stop an attempt that was written, once it has accepted it. The attempt ends when the
-	// worker confirms; CancelCompleted takes the result. One that is not accepted in time is passed to CancelUnaccepted.
+	// Cancel requests the worker to stop an attempt that was written, once the worker has accepted it. It calls CancelCompleted
+	// with the result, or CancelUnaccepted if the worker does not accept the attempt in time.
 	Cancel(attempt *Attempt)
-	// CheckHealth checks whether a worker can be connected to. HealthChecked takes the result.
+	// CheckHealth checks whether a worker can be connected to. It calls HealthChecked with the result.
 	CheckHealth(worker uint64)
 	// CloseIdleConnections closes the idle connections to a worker.
 	CloseIdleConnections(worker uint64)
-	// Watch follows the changes of the endpoint list after a revision. They are passed to UpdateEndpoints, a failure
-	// to DiscoveryFailed.
+	// Watch watches the endpoint list for changes after a revision. It calls UpdateEndpoints with each, and DiscoveryFailed on a
+	// failure.
 	Watch(after int64)
 }
 
-// HealthChecked takes the result of Transport.CheckHealth; failure is nil if the worker is healthy.
+// HealthChecked passes the result of Transport.CheckHealth to the policy. failure is nil if the worker is healthy.
 func (t *Table) HealthChecked(worker uint64, failure *AttemptError) {
-	t.addEvent(dispatch.HealthChecked{Worker: worker, Result: failure.result()})
+	t.policy.addEvent(dispatch.HealthChecked{Worker: worker, Result: failure.result()})
 }
