--- a/internal/eventloop/eventlooptest/peer.go
+++ b/internal/eventloop/eventlooptest/peer.go
@@ -97,3 +97,6 @@
 		size += n
 	}
 }
+
+// CloseWrite ends what this end sends; it still receives.
+func (p *Peer) CloseWrite() { _ = unix.Shutdown(p.FD, unix.SHUT_WR) }
--- a/internal/link/client_address.go
+++ b/internal/link/client_address.go
@@ -17,6 +17,15 @@
 
 // admitAddress reports whether a new connection may go on. It closes the socket, unread, of an address that may not connect.
 func (l *Loop) admitAddress(socket int, from netip.AddrPort) bool {
+	if l.isAllowed(from) {
+		return true
+	}
+	_ = l.Syscalls().Close(socket)
+	return false
+}
+
+// isAllowed reports whether an address may connect, and logs one that may not.
+func (l *Loop) isAllowed(from netip.AddrPort) bool {
 	if l.addressLists == nil {
 		return true
 	}
@@ -24,7 +33,6 @@
 	if reason == "" {
 		return true
 	}
-	_ = l.Syscalls().Close(socket)
 	if l.connectionLog.Enabled(context.Background(), slog.LevelWarn) {
 		l.connectionLog.LogAttrs(context.Background(), slog.LevelWarn, "connection refused", slog.String("why", reason),
 			slog.String("client", from.String()))
--- a/internal/link/client_closing_test.go
+++ b/internal/link/client_closing_test.go
@@ -327,33 +327,6 @@
 	return held
 }
 
-// A management connection that its peer has ended, and that still has an answer to take, leaves the loop in peace, and ends with that
-// answer.
-func TestManagementConnectionsEndOnce(t *testing.T) {
-	w := newStatusHarness(&modeltest.Steps{T: t})
-	p := w.connectStatus()
-	for range 40 {
-		p.write([]byte(strings.Repeat("GET /status/a HTTP/1.1\r\n\r\n", 20)))
-		w.runIterations()
-	}
-	k := w.loop.status.connections.Front().Value.(*statusConnection)
-	if p.closeWrite(); len(k.Output()) == 0 {
-		t.Fatal("nothing waits to be read")
-	}
-	for range 100 { // up to where nobody reads on
-		w.runIterations()
-	}
-	if n := w.readyDescriptors(); n != 0 {
-		t.Errorf("%d descriptors are told as ready, with nothing to be done", n)
-	}
-	if err := w.readToEnd(p); err != nil || w.loop.status.connections.Len() != 0 {
-		t.Errorf("read to the end: %v, %d connections left", err, w.loop.status.connections.Len())
-	}
-	if n := bytes.Count(p.received, []byte("HTTP/1.1 200 ")); n != 800 {
-		t.Errorf("%d answers to 800 requests", n)
-	}
-}
-
 // An answer of which a client takes nothing for a while ends its connection; one that it takes slowly does not.
 func TestUnreadResponsesEndTheConnection(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
--- a/internal/link/harness_tcp_test.go
+++ b/internal/link/harness_tcp_test.go
@@ -29,9 +29,14 @@
 	if err != nil {
 		w.T.Fatal(err)
 	}
+	return w.connectToAddress(sa)
+}
+
+// connectToAddress gives the far end of a TCP connection.
+func (w *harness) connectToAddress(sockaddr unix.Sockaddr) *peer {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
-		err = unix.Connect(fd, sa)
+		err = unix.Connect(fd, sockaddr)
 	}
 	if err == nil {
 		err = unix.SetNonblock(fd, true)
--- a/internal/link/harness_test.go
+++ b/internal/link/harness_test.go
@@ -11,6 +11,7 @@
 	"valvecove/dispatch"
 	"valvecove/internal/config"
 	"valvecove/internal/eventloop"
+	"valvecove/internal/hotrestart"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
 )
@@ -19,12 +20,14 @@
 // between iterations, on a clock of its own.
 type harness struct {
 	*modeltest.Steps
-	loop   *Loop
-	policy *modeltest.ScriptedPolicy
-	now    time.Duration
-	clock  func() time.Duration // what the loop reads; returns now
-	ahead  time.Duration        // of now before the monotonic clock that all processes share
-	dialed []*peer              // the far ends of connections to workers and watches, in the order of their opening
+	loop            *Loop
+	policy          *modeltest.ScriptedPolicy
+	now             time.Duration
+	clock           func() time.Duration    // what the loop reads; returns now
+	ahead           time.Duration           // of now before the monotonic clock that all processes share
+	operatorAddress netip.AddrPort          // of newOperatorHarness
+	cordonStore     *hotrestart.CordonStore // nil: cordons are not stored
+	dialed          []*peer                 // the far ends of connections to workers and watches, in the order of their opening
 }
 
 // peer is the far end of a connection.
@@ -61,6 +64,7 @@
 	l.prepareWatch(config.Config{Settings: watched}, func(int64) int64 { return 0 })
 	l.openClientListener(50, 1<<20, &dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: 5 * time.Second}}}, names)
 	l.onWake = func() {}
+	l.prepareCordons("", nil)
 	l.limits = config.Limits{Sockets: 1024, MemoryMB: 64}
 	w.loop = l
 	s.T.Cleanup(l.CloseDescriptors)
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -183,7 +183,7 @@
 	if err := c.sendMessageBefore(loop.Clock()+transferTimeout, accept, loop.clients.acceptor.FD()); err != nil {
 		return err
 	}
-	if loop.unstoredCordonCount() > 0 { // else the successor would take the file for newer, should this process die
+	if loop.cordons.UnstoredCount() > 0 { // else the successor would take the file for newer, should this process die
 		loop.notifyCordoned()
 	}
 	loop.log.Info("successor stands by")
@@ -197,7 +197,7 @@
 func (c *successorConn) apply(message hotrestart.Message) {
 	switch message := message.(type) {
 	case hotrestart.SetCordon:
-		c.loop.applyForwardedCordon(message, func(result hotrestart.CordonResult) {
+		c.loop.cordons.Apply(message, func(result hotrestart.CordonResult) {
 			if c.IsOpen() && c.sendMessage(result) != nil {
 				c.disconnect(errPeerNotListening)
 			}
@@ -227,7 +227,7 @@
 	}
 	l.Requests.AwaitEndpoints(0) // requests that wait for endpoints are handed over too
 	l.workers.EndWaitingDials()
-	if !l.Requests.FlushEvents(l.Now()) || l.workers.HasWaitingDials() || !l.fenceCordonStore() {
+	if !l.Requests.FlushEvents(l.Now()) || l.workers.HasWaitingDials() || !l.cordons.Fence() {
 		return ErrNotSettled
 	}
 	startedAt := l.Clock()
@@ -236,7 +236,7 @@
 	err := transfer.run()
 	if err != nil && !role.successor.takenOverBeforeShutdown() {
 		role.successor.disconnect(err)
-		l.unfenceCordonStore()
+		l.cordons.Unfence()
 		return fmt.Errorf("handing over: %w", err)
 	}
 	l.releaseTransferred(transfer)
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -75,6 +75,9 @@
 	return nil
 }
 
+// isStandby reports whether this process waits to take over from a predecessor, which owns the requests.
+func (l *Loop) isStandby() bool { return l.successorRole != nil && !l.successorRole.isServing() }
+
 // isServing tells whether this process owns the requests.
 func (r *successorRole) isServing() bool { return r.protocol.State() == hotrestart.SuccessorServing }
 
@@ -148,7 +151,7 @@
 	case hotrestart.CordonResult:
 		r.pendingCalls.Complete(message)
 	case hotrestart.SetCordon:
-		r.loop.applyForwardedCordon(message, func(result hotrestart.CordonResult) {
+		r.loop.cordons.Apply(message, func(result hotrestart.CordonResult) {
 			if r.IsOpen() {
 				_ = r.sendMessage(result)
 			}
@@ -205,12 +208,10 @@
 	loop.awaitSuccessor(hotrestart.SocketAddresses(r.stateDir, r.listenAddress))
 	loop.openPeerSocket()
 	loop.shareLimits(false)
-	loop.ownCordonFile()
-	if loop.cordonStore != nil { // the predecessor may have held what it could not store
-		loop.cordonStore.Keep(loop.Requests.Cordoned())
-	}
+	loop.cordons.OwnFile()
+	loop.cordons.Store()                            // the predecessor may have failed to
 	for _, call := range r.pendingCalls.TakeAll() { // the predecessor may have carried them out, or not
-		loop.setCordoned(call.WorkerID, call.Cordoned, call.Respond)
+		loop.cordons.Set(call.WorkerID, call.Cordoned, call.Respond)
 	}
 }
 
@@ -270,24 +271,13 @@
 
 // serveAlone goes on without a predecessor's state, except for the cordoned workers.
 func (r *successorRole) serveAlone(cause error) {
-	if !r.cordonsNotified {
-		r.readCordons()
+	if !r.cordonsNotified { // else the file may be older than the last change, which the predecessor may have failed to store
+		r.loop.cordons.Reload()
 	}
 	r.loop.log.Warn("the process to be replaced has gone: serving without what it had", "cause", cause)
 	r.startServing()
 }
 
-// readCordons takes the cordoned workers from the file. That may be older than the last change that the predecessor has told
-// of, which it may not have been able to store.
-func (r *successorRole) readCordons() {
-	cordoned, err := hotrestart.LoadCordonFile(r.loop.files, r.stateDir)
-	if err != nil {
-		r.loop.log.Error("cordoned workers can't be read", "error", err)
-		return
-	}
-	r.loop.Requests.SetCordoned(cordoned)
-}
-
 // LeaveStandby has a process that stands by leave the one that serves alone, and tells whether it was one.
 func (l *Loop) LeaveStandby() bool {
 	role := l.successorRole
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -48,6 +48,7 @@
 	successor := newHarness(w.Steps)
 	successor.enableHotRestart()
 	successor.now, successor.ahead, successor.loop.clients.settings = w.now+step, w.ahead+step, w.loop.clients.settings
+	successor.loop.prepareCordons(dir, nil)
 	w.Check(successor.loop.joinPredecessor(dir, address), "no predecessor")
 	for successor.successorState() == hotrestart.SuccessorJoining {
 		w.runIterations()
@@ -221,7 +222,7 @@
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	successor := predecessor.startSuccessor(dir, address)
 	statusCode := 0
-	successor.loop.setCordoned("s-0", true, func(got int, _ string) { statusCode = got })
+	successor.loop.cordons.Set("s-0", true, func(got int, _ string) { statusCode = got })
 	if err := predecessor.handOverTo(successor); err != nil || statusCode != 200 || len(successor.loop.Requests.Cordoned()) != 1 {
 		t.Errorf("%v, answered %d, cordoned %v", err, statusCode, successor.loop.Requests.Cordoned())
 	}
@@ -245,15 +246,15 @@
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	written := make(chan func(), 1) // what the loop is to run once the file is written
-	predecessor.loop.cordonStore = hotrestart.NewCordonStore(hotrestart.CordonStoreConfig{
+	predecessor.loop.prepareCordons(dir, hotrestart.NewCordonStore(hotrestart.CordonStoreConfig{
 		Files: filesystem.Disk, StateDir: dir, MaxCallbacks: 1,
 		Now:  predecessor.loop.Now,
 		Post: func(finish func()) { written <- finish },
-	})
+	}))
 	successor := predecessor.startSuccessor(dir, address)
 	var answers []string
 	call := func(workerID string, cordoned bool) {
-		successor.loop.setCordoned(workerID, cordoned, func(statusCode int, message string) {
+		successor.loop.cordons.Set(workerID, cordoned, func(statusCode int, message string) {
 			answers = append(answers, fmt.Sprint(workerID, " ", statusCode, " ", message))
 		})
 	}
--- a/internal/link/limits.go
+++ b/internal/link/limits.go
@@ -1,6 +1,9 @@
 package link
 
-import "valvecove/internal/config"
+import (
+	"valvecove/internal/config"
+	"valvecove/internal/management"
+)
 
 const (
 	// ownDescriptors are besides connections: standard ones, epoll, eventfd, listener, watch, and what the runtime opens.
@@ -43,10 +46,10 @@
 // countFeatureDescriptors counts the descriptors that features take up.
 func countFeatureDescriptors(conf config.Config, ops config.Ops) (n int) {
 	if conf.Management.IsValid() {
-		n += maxOperatorConnections + listenerDescriptors
+		n += management.MaxOperatorConnections + listenerDescriptors
 	}
 	if ops.Status != nil {
-		n += maxStatusConnections + listenerDescriptors
+		n += management.MaxStatusConnections + listenerDescriptors
 	}
 	if ops.Metrics != nil {
 		n += metricsDescriptors
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -21,8 +21,8 @@
 	"valvecove/internal/eventloop"
 	"valvecove/internal/filesystem"
 	"valvecove/internal/gossip/socket"
-	"valvecove/internal/hotrestart"
 	"valvecove/internal/http1"
+	"valvecove/internal/management"
 	"valvecove/internal/metrics/push"
 	"valvecove/internal/requests"
 	"valvecove/internal/worker"
@@ -46,8 +46,7 @@
 	clients      *clientListener
 	workers      *worker.Pool
 	watch        *watch.Connection
-	operators    *operatorListener    // nil: off
-	status       *statusListener      // nil: off
+	cordons      *management.Cordons
 	metrics      *push.Pusher         // nil: off
 	peers        *socket.Socket       // nil: schedulers exchange no messages
 	addressLists *address.AccessLists // nil: off
@@ -61,7 +60,6 @@
 	predecessorRole *predecessorRole                           // nil: no successor can come
 	successorRole   *successorRole                             // nil: there is nothing to be taken over
 	files           filesystem.FileSystem                      // of the state directory
-	cordonStore     *hotrestart.CordonStore                    // nil: which workers are cordoned is not kept
 	wrapRestored    func(*dispatch.Dispatcher) requests.Policy // wraps a dispatcher from another process; nil: none can go on here
 
 	onWake        func()
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
-	"strings"
 	"time"
 
 	"golang.org/x/sys/unix"
@@ -21,6 +20,7 @@
 	"valvecove/internal/gossip/socket"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/logging"
+	"valvecove/internal/management"
 	"valvecove/internal/metrics"
 	"valvecove/internal/metrics/push"
 	"valvecove/internal/requests"
@@ -193,8 +193,7 @@
 // openPeerSocket opens the socket for messages between schedulers, unless this process is in standby: a successor opens it once
 // its predecessor has closed its own.
 func (l *Loop) openPeerSocket() {
-	isInStandby := l.successorRole != nil && !l.successorRole.isServing()
-	if l.peers != nil && !isInStandby {
+	if l.peers != nil && !l.isStandby() {
 		l.peers.Open()
 	}
 }
@@ -215,6 +214,33 @@
 	return l.peers.Counts(attemptsWritten)
 }
 
+// newCordonStore returns the store of the cordoned workers in a directory; nil if that is empty.
+func (l *Loop) newCordonStore(stateDir string) *hotrestart.CordonStore {
+	if stateDir == "" {
+		return nil
+	}
+	return hotrestart.NewCordonStore(hotrestart.CordonStoreConfig{
+		Files:        l.files,
+		StateDir:     stateDir,
+		MaxCallbacks: management.MaxOperatorConnections,
+		Now:          l.Now,
+		Post:         l.Post,
+		After:        func(delay time.Duration, act func()) { l.After(delay, act) },
+		Changed:      management.LogStoreChanges(l.log),
+	})
+}
+
+// prepareCordons makes what applies the operators' cordons. store may be nil: cordons are not stored.
+func (l *Loop) prepareCordons(stateDir string, store *hotrestart.CordonStore) {
+	l.cordons = management.NewCordons(l.Loop, management.CordonsConfig{
+		Table:    l.Requests,
+		Role:     cordonRole{l},
+		Store:    store,
+		Log:      l.log,
+		LoadFile: func() (workerIDs []string, err error) { return hotrestart.LoadCordonFile(l.files, stateDir) },
+	})
+}
+
 func (l *Loop) wrapRestoredDispatcher(dispatcher *dispatch.Dispatcher) requests.Policy {
 	if l.Capture != nil {
 		return l.Capture.Continue(dispatcher)
@@ -227,11 +253,12 @@
 // successor can be replaced too.
 func (l *Loop) listenOrJoin(conf config.Config) error {
 	if !conf.Management.IsValid() {
+		l.prepareCordons("", nil)
 		return l.startup.retry(func() error { return l.listenForClients(conf.Listen) })
 	}
 	l.onFail = func(err error) { l.log.Error("can't go on", "error", err) }
-	l.restoreCordoned(conf.StateDir)
-	l.openCordonStore(conf.StateDir)
+	l.prepareCordons(conf.StateDir, l.newCordonStore(conf.StateDir))
+	l.cordons.Restore()
 	if l.joinPredecessor(conf.StateDir, conf.Listen) {
 		return nil
 	}
@@ -239,7 +266,7 @@
 	if err != nil {
 		return err
 	}
-	l.ownCordonFile()
+	l.cordons.OwnFile()
 	l.awaitSuccessor(hotrestart.SocketAddresses(conf.StateDir, conf.Listen))
 	return nil
 }
@@ -248,19 +275,6 @@
 	return l.clients.acceptor.Listen(address, l.clients, options...)
 }
 
-// restoreCordoned cordons the workers that an earlier process had cordoned. Where that can't be read the process serves all
-// the same: a worker that should be cordoned is so again with the operators' next call.
-func (l *Loop) restoreCordoned(stateDir string) {
-	cordoned, err := hotrestart.LoadCordonFile(l.files, stateDir)
-	if err != nil {
-		l.log.Error("cordoned workers can't be read", "error", err)
-	}
-	l.Requests.SetCordoned(cordoned)
-	if len(cordoned) > 0 {
-		l.log.Info("cordoned workers", "workers", strings.Join(cordoned, " "))
-	}
-}
-
 // openFeatures opens the operators' calls, the status call and metrics, where they are on.
 func (l *Loop) openFeatures(conf config.Config, ops config.Ops, metricTargets []metrics.Target) error {
 	counters := metrics.NewCounters(conf.Settings.Names)
@@ -268,7 +282,11 @@
 		l.Requests.AddObserver(counters)
 	}
 	if conf.Management.IsValid() {
-		if err := l.startup.retry(func() error { return l.serveOperators(conf.Management, counters) }); err != nil {
+		err := l.startup.retry(func() error {
+			_, err := l.serveOperators(conf.Management, counters)
+			return err
+		})
+		if err != nil {
 			return fmt.Errorf("key \"management\": %w", err)
 		}
 	}
@@ -290,3 +308,19 @@
 	}
 	return nil
 }
+
+// serveOperators serves the operators' calls.
+func (l *Loop) serveOperators(address netip.AddrPort, counters *metrics.Counters) (*management.Operators, error) {
+	return management.ServeOperators(l.Loop, address, management.OperatorsConfig{
+		Scheduler: operatorView{l, counters},
+		Cordons:   l.cordons,
+		Counters:  counters,
+		Log:       l.log,
+	})
+}
+
+// serveStatus serves the status call.
+func (l *Loop) serveStatus(address netip.AddrPort, table *status.Table) error {
+	_, err := management.ServeStatus(l.Loop, address, management.StatusConfig{Table: table, Log: l.log, IsAllowed: l.isAllowed})
+	return err
+}
--- /dev/null
+++ b/internal/link/operators_test.go
@@ -0,0 +1,95 @@
+package link
+
+import (
+	"net/netip"
+	"strings"
+	"testing"
+
+	"valvecove/internal/eventloop"
+	"valvecove/internal/metrics"
+	"valvecove/internal/modeltest"
+	"valvecove/internal/requests"
+)
+
+// newOperatorHarness is a harness with a management address.
+func newOperatorHarness(s *modeltest.Steps) *harness {
+	w := newHarness(s)
+	counters := metrics.NewCounters(requests.NameTable{Classes: []string{"a"}})
+	operators, err := w.loop.serveOperators(netip.MustParseAddrPort("127.0.0.1:0"), counters)
+	if err != nil {
+		s.T.Fatal(err)
+	}
+	w.operatorAddress = operators.Addr()
+	w.loop.Requests.AddObserver(counters)
+	return w
+}
+
+// connectOperator connects to the management address.
+func (w *harness) connectOperator() *peer {
+	_, sockaddr := eventloop.Sockaddr(w.operatorAddress)
+	return w.connectToAddress(sockaddr)
+}
+
+// callOperator makes one call and gives the answer's status and body.
+func (w *harness) callOperator(text string) string {
+	p := w.connectOperator()
+	p.write([]byte(text))
+	w.runIterations()
+	p.read(1 << 16)
+	return statusAndBody(string(p.received))
+}
+
+func statusAndBody(answer string) string {
+	header, body, _ := strings.Cut(answer, "\r\n\r\n")
+	if !strings.Contains(header, "\r\nConnection: close") {
+		return "no close in " + answer
+	}
+	return strings.Split(header, " ")[1] + " " + strings.TrimSpace(body)
+}
+
+const metricsAtFirst = "edge_proxy.success.a=0\nedge_proxy.busy.a=0\nedge_proxy.failure.a=0\nedge_proxy.backend_calls=0\n" +
+	"edge_proxy.inflight=0\nedge_proxy.hosts_listed=1\nedge_proxy.hosts_down=0\nedge_proxy.hosts_out_not_kept=0"
+
+// Operators are served at their own address only, with the figures and the readiness of the scheduler, and before clients.
+func TestOperatorBeforeClients(t *testing.T) {
+	s := &modeltest.Steps{T: t}
+	w := newOperatorHarness(s)
+	if got := w.callOperator("GET /v1/metrics HTTP/1.1\r\n\r\n"); got != "200 "+metricsAtFirst {
+		t.Errorf("at first %q", got)
+	}
+	client, fd := w.socketPair() // at the clients' address these calls are not there
+	w.loop.clients.addConnection(fd, netip.MustParseAddrPort("127.0.0.1:9"))
+	client.write([]byte("GET /v1/metrics HTTP/1.1\r\n\r\n"))
+	w.runIterations()
+	if client.read(1 << 16); !strings.HasPrefix(string(client.received), "HTTP/1.1 404 ") {
+		t.Errorf("a client gets %q", client.received)
+	}
+	if got := w.callOperator("GET /v1/readyz HTTP/1.1\r\n\r\n"); got != "200 ready" {
+		t.Errorf("serving: %q", got)
+	}
+	w.loop.Drain()
+	if got := w.callOperator("GET /v1/readyz HTTP/1.1\r\n\r\n"); got != "503 draining" {
+		t.Errorf("draining: %q", got)
+	}
+	// A client connection that is ready in the same iteration, and by a lower descriptor, is looked at later.
+	var calls []string
+	first := func(what string) eventloop.Handler { return probeHandler{func() { calls = append(calls, what) }} }
+	a, fdA := w.socketPair()
+	b, fdB := w.socketPair()
+	_ = w.loop.Add(fdA, eventloop.StreamEvents, first("client"))
+	_ = w.loop.Add(fdB, eventloop.StreamEvents, urgentHandler{first("operator")})
+	a.write([]byte("x"))
+	b.write([]byte("x"))
+	if err := w.loop.RunOnce(0); err != nil || strings.Join(calls, " ") != "operator client" {
+		t.Errorf("order of an iteration: %v, %v", calls, err)
+	}
+}
+
+type probeHandler struct{ act func() }
+
+func (p probeHandler) HandleEvents(uint32) { p.act() }
+func (p probeHandler) HandlePanic()        {}
+
+type urgentHandler struct{ eventloop.Handler }
+
+func (urgentHandler) Priority() eventloop.Priority { return eventloop.PriorityUrgent }
--- a/internal/link/transfer_fault_test.go
+++ b/internal/link/transfer_fault_test.go
@@ -3,7 +3,6 @@
 import (
 	"net/netip"
 	"strconv"
-	"strings"
 	"testing"
 	"time"
 
@@ -87,22 +86,9 @@
 	}
 }
 
-// A connection beside the clients' that breaks is closed, whatever the errno, and the next one is served.
-func TestConnectionsBesideClientsBreakWithAnyErrno(t *testing.T) {
+// A successor's connection that is lost is closed, whatever the error, and the next successor takes over.
+func TestSuccessorConnectionBreaksWithAnyErrno(t *testing.T) {
 	for _, errno := range connectionErrnos {
-		w := newOperatorHarness(&modeltest.Steps{T: t})
-		p := w.connectOperator()
-		w.failTransfers(w.loop.operators.connections.Front().Value.(*operatorConnection).FD(), errno)
-		p.write([]byte("GET "))
-		w.runIterations()
-		w.loop.Syscalls().Interceptor = nil
-		if open := w.loop.operators.connections.Len(); open != 0 {
-			t.Errorf("%v: %d operators' connections", errno, open)
-		}
-		if answer := w.callOperator("GET " + pathReady + " HTTP/1.1\r\n\r\n"); !strings.HasPrefix(answer, "200 ") {
-			t.Errorf("%v: the next operator got %q", errno, answer)
-		}
-
 		dir := t.TempDir()
 		predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 		successor := predecessor.startSuccessor(dir, address)
--- a/internal/link/operator_calls.go
+++ b/internal/management/calls.go
@@ -1,10 +1,8 @@
-package link
+package management
 
 import (
 	"net/url"
 	"strings"
-
-	"valvecove/internal/metrics"
 )
 
 // Paths of the operators' calls.
@@ -21,11 +19,17 @@
 	actionUncordon = "resume"
 )
 
-// handleCall does what an operator asks for.
+// Header lines of responses.
+const (
+	plainText = "Content-Type: text/plain; charset=utf-8\r\nCache-Control: no-store\r\n"
+	jsonText  = "Content-Type: application/json\r\nCache-Control: no-store\r\n"
+)
+
+// handleCall carries out a call.
 func (c *operatorConnection) handleCall(method, target string) {
 	c.state = callPending
 	c.DropInput()
-	c.lastActivity = c.listener.loop.Now()
+	c.lastActivity = c.operators.loop.Now()
 	path, _, _ := strings.Cut(target, "?")
 	workerID, action, isWorkerCall := parseWorkerPath(path)
 	switch {
@@ -50,7 +54,7 @@
 	}
 }
 
-// parseWorkerPath returns the worker and the action that a path names; ok is false if it names none.
+// parseWorkerPath returns the worker ID and the action of a path; ok is false for a path of another form.
 func parseWorkerPath(path string) (workerID, action string, ok bool) {
 	suffix, isWorkerPath := strings.CutPrefix(path, pathWorkers)
 	escapedID, action, _ := strings.Cut(suffix, "/")
@@ -61,7 +65,7 @@
 	return workerID, action, true
 }
 
-// checkMethod responds to a call with another method than the allowed one, and reports whether it has that one.
+// checkMethod reports whether a call has the allowed method. If not, the call is answered.
 func (c *operatorConnection) checkMethod(method, allowed string) bool {
 	if method != allowed {
 		c.respond(405, "Allow: "+allowed+"\r\n", []byte(allowed+" only\n"))
@@ -70,7 +74,7 @@
 }
 
 func (c *operatorConnection) respondReady() {
-	if reason := c.listener.loop.notReadyReason(); reason != "" {
+	if reason := c.operators.config.Scheduler.NotReadyReason(); reason != "" {
 		c.respond(503, "", []byte(reason+"\n"))
 		return
 	}
@@ -78,66 +82,27 @@
 }
 
 func (c *operatorConnection) respondMetrics() {
-	listener, loop := c.listener, c.listener.loop
-	listener.metricsText = listener.counters.AppendText(listener.metricsText[:0], metrics.Gauges{
-		OpenRequests:    loop.inFlightCount(),
-		ListedWorkers:   loop.Requests.ListedCount(),
-		AvoidedWorkers:  loop.avoidedCount(),
-		UnstoredCordons: loop.unstoredCordonCount(),
-		Peers:           loop.peerCounts(listener.counters.AttemptsWritten()),
-	})
-	c.respond(200, "Content-Type: text/plain; charset=utf-8\r\nCache-Control: no-store\r\n", listener.metricsText)
+	operators := c.operators
+	operators.metricsText = operators.config.Counters.AppendText(operators.metricsText[:0], operators.config.Scheduler.Gauges())
+	c.respond(200, plainText, operators.metricsText)
 }
 
-// respondCordons responds with the cordoned workers, and whether they are stored. Only the process that owns them knows.
+// respondCordons responds with the cordoned workers, and whether they are stored. Only the process that owns the requests knows.
 func (c *operatorConnection) respondCordons() {
-	loop := c.listener.loop
+	cordons := c.operators.config.Cordons
 	switch {
-	case loop.hasRelinquished():
+	case cordons.config.Role.HasRelinquished():
 		c.respond(503, "", []byte("this process has been replaced\n"))
-	case loop.successorRole != nil && !loop.successorRole.isServing():
+	case cordons.config.Role.IsStandby():
 		c.respond(503, "", []byte("this process stands by\n"))
 	default:
-		c.respond(200, "Content-Type: application/json\r\nCache-Control: no-store\r\n", loop.cordonReport())
+		c.respond(200, jsonText, cordons.report())
 	}
 }
 
-// setCordoned cordons or uncordons a worker, and responds once that holds and is stored.
+// setCordoned cordons or uncordons a worker, and responds once the change is in effect and stored.
 func (c *operatorConnection) setCordoned(workerID string, cordoned bool) {
-	c.listener.loop.setCordoned(workerID, cordoned, func(statusCode int, message string) {
+	c.operators.config.Cordons.Set(workerID, cordoned, func(statusCode int, message string) {
 		c.respond(statusCode, "", []byte(message+"\n"))
 	})
 }
-
-// notReadyReason returns why this process is not ready to serve; empty: it is.
-func (l *Loop) notReadyReason() string {
-	switch {
-	case l.hasRelinquished():
-		return "replaced"
-	case l.clients.draining:
-		return "draining"
-	case l.successorRole != nil && l.successorRole.notReadyReason() != "":
-		return l.successorRole.notReadyReason()
-	case l.Requests.AwaitsEndpoints():
-		return "no word from discovery yet"
-	case !l.Requests.HasReadyWorker():
-		return "no worker node known"
-	}
-	return ""
-}
-
-// avoidedCount counts the listed workers that the dispatcher avoids.
-func (l *Loop) avoidedCount() int {
-	if l.dispatcher == nil {
-		return 0
-	}
-	return l.dispatcher.AvoidedWorkers()
-}
-
-// inFlightCount counts the requests that this process has admitted and that are not over.
-func (l *Loop) inFlightCount() int {
-	if l.hasRelinquished() {
-		return 0
-	}
-	return l.Requests.OpenCount()
-}
--- /dev/null
+++ b/internal/management/operators.go
@@ -0,0 +1,178 @@
+package management
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"net/netip"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/internal/eventloop"
+	"valvecove/internal/http1"
+	"valvecove/internal/metrics"
+)
+
+const (
+	callReadTimeout           = 2 * time.Second        // a caller waits for 1 s, and sends nothing after that
+	callResultTimeout         = 600 * time.Millisecond // for a cordon to be stored, or applied by the other process
+	operatorConnectionTimeout = 3 * time.Second        // for the caller to read the response
+)
+
+// Scheduler is what the operators' calls report of the scheduler.
+type Scheduler interface {
+	// NotReadyReason returns why this process is not ready to serve; an empty string if it is.
+	NotReadyReason() string
+	// Gauges returns the gauges of the metrics call.
+	Gauges() metrics.Gauges
+}
+
+// OperatorsConfig configures Operators.
+type OperatorsConfig struct {
+	Scheduler Scheduler
+	Cordons   *Cordons
+	Counters  *metrics.Counters
+	Log       *slog.Logger
+}
+
+// Operators serves the operators' calls at the management address. Its events have the highest priority, so that an operator gets a
+// response however busy the scheduler is.
+type Operators struct {
+	listener    // the oldest connection first
+	config      OperatorsConfig
+	metricsText []byte // scratch buffer of the metrics call
+}
+
+// ServeOperators serves the operators' calls from now on.
+func ServeOperators(loop *eventloop.Loop, address netip.AddrPort, config OperatorsConfig) (*Operators, error) {
+	operators := &Operators{listener: newListener(loop, config.Log), config: config}
+	if err := operators.acceptor.Listen(address, operators); err != nil {
+		return nil, err
+	}
+	operators.closeExpired()
+	return operators, nil
+}
+
+// Priority implements eventloop.Prioritized.
+func (o *Operators) Priority() eventloop.Priority { return eventloop.PriorityUrgent }
+
+// HandleEvents accepts connections from any address: the management address is not reachable for clients.
+func (o *Operators) HandleEvents(uint32) {
+	o.acceptAll(MaxOperatorConnections, nil, o.addConnection)
+}
+
+// addConnection serves a socket, which it owns.
+func (o *Operators) addConnection(socket int) {
+	if o.connections.Len() >= MaxOperatorConnections {
+		o.evict()
+	}
+	c := &operatorConnection{operators: o}
+	if o.open(socket, &c.connection, c) {
+		// The call has most likely arrived with the connection, and the next iteration may be late.
+		o.loop.Protect(c, func() { c.HandleEvents(unix.EPOLLIN) })
+	}
+}
+
+// evict ends the oldest connection whose call is not pending, or the oldest of all if every call is: a caller that stalls never
+// keeps out another.
+func (o *Operators) evict() {
+	evicted := o.connections.Front().Value.(*operatorConnection)
+	for element := o.connections.Front(); element != nil; element = element.Next() {
+		if c := element.Value.(*operatorConnection); c.state != callPending {
+			evicted = c
+			break
+		}
+	}
+	evicted.terminate()
+}
+
+// closeExpired ends, at each expiryInterval, the connections whose call, result or end is late.
+func (o *Operators) closeExpired() {
+	o.loop.StartTimer(expiryInterval, o, o.closeExpired)
+	o.forEach(func(handler any) { handler.(*operatorConnection).closeIfExpired() })
+}
+
+// callState is the progress of an operator's call. It only ever advances.
+type callState int
+
+const (
+	callReading  callState = iota
+	callPending            // it was read, and is being carried out
+	callAnswered           // its response was sent, or is being sent
+)
+
+func (s callState) String() string {
+	switch s {
+	case callReading:
+		return "reading"
+	case callPending:
+		return "pending"
+	case callAnswered:
+		return "answered"
+	}
+	return fmt.Sprintf("callState(%d)", int(s))
+}
+
+// operatorConnection carries one call.
+type operatorConnection struct {
+	connection
+	operators    *Operators
+	state        callState
+	continueSent bool
+}
+
+// Priority implements eventloop.Prioritized.
+func (c *operatorConnection) Priority() eventloop.Priority { return eventloop.PriorityUrgent }
+
+func (c *operatorConnection) closeIfExpired() {
+	age := c.operators.loop.Now() - c.lastActivity
+	switch {
+	case c.state == callReading && age >= callReadTimeout:
+		c.respond(408, "", []byte("call not whole\n"))
+	case c.state == callPending && age >= callResultTimeout:
+		c.respond(503, "", []byte("not done in time\n"))
+	case age >= operatorConnectionTimeout:
+		c.terminate()
+	}
+}
+
+// HandleEvents reads the call and sends its response.
+func (c *operatorConnection) HandleEvents(events uint32) {
+	hasEnded, ok := c.transfer(events)
+	if !ok {
+		return
+	}
+	switch {
+	case c.state != callReading:
+		c.DropInput() // a connection carries one call
+	case len(c.Input()) > 0:
+		c.readCall(hasEnded)
+	}
+	if hasEnded && len(c.Output()) == 0 && c.state != callPending {
+		c.terminate()
+	}
+}
+
+func (c *operatorConnection) readCall(hasInputEnded bool) {
+	request := &c.operators.request
+	_, err := request.Parse(c.Input())
+	var parseError *http1.ParseError
+	switch {
+	case errors.As(err, &parseError):
+		c.respond(parseError.StatusCode, "", []byte(parseError.Reason+"\n"))
+	case err == nil:
+		c.handleCall(string(request.Method), string(request.Target))
+	case request.ExpectContinue && !hasInputEnded && !c.continueSent:
+		c.continueSent = true
+		_ = c.Send([]byte(http1.ContinueResponse))
+	}
+}
+
+// respond answers the call. It does nothing if the call was answered already or the connection has ended.
+func (c *operatorConnection) respond(statusCode int, fields string, body []byte) {
+	if c.IsOpen() && c.state != callAnswered {
+		c.state = callAnswered
+		c.sendResponse(statusCode, fields, body, false)
+	}
+}
--- a/internal/link/status_connection_test.go
+++ b/internal/management/status_test.go
@@ -1,40 +1,16 @@
-package link
+package management
 
 import (
+	"bytes"
 	"fmt"
-	"net/netip"
 	"strings"
 	"testing"
 	"time"
 
-	"valvecove/dispatch"
-	"valvecove/internal/config"
+	"valvecove/internal/eventloop/eventlooptest"
 	"valvecove/internal/modeltest"
-	"valvecove/internal/requests"
-	"valvecove/internal/status"
 )
 
-// newStatusHarness is a world with a status call that knows one job, "a".
-func newStatusHarness(s *modeltest.Steps) *harness {
-	w := newHarness(s)
-	table := status.New(config.Status{Retention: time.Minute, MaxEntries: 10}, requests.NameTable{Classes: []string{"a"}}, true, w.loop.Now)
-	if err := w.loop.serveStatus(netip.MustParseAddrPort("127.0.0.1:0"), table); err != nil {
-		s.T.Fatal(err)
-	}
-	w.loop.Requests.AddObserver(table)
-	if _, err := w.loop.Requests.Admit(w.now, requests.Arrival{CallID: "a", Job: dispatch.Job{Remaining: time.Hour}}); err != nil {
-		s.T.Fatal(err)
-	}
-	return w
-}
-
-// connectStatus connects to the status call.
-func (w *harness) connectStatus() *peer {
-	p, fd := w.socketPair()
-	w.loop.status.addConnection(fd)
-	return p
-}
-
 // statusCall is what may be asked at the status call.
 type statusCall struct {
 	text, want string
@@ -43,8 +19,8 @@
 
 // statusModel is a client of the status call with one connection.
 type statusModel struct {
-	*harness
-	peer   *peer
+	*fixture
+	peer   *eventlooptest.Peer
 	call   statusCall // the last one
 	unsent string     // of it
 	want   string     // all that is to come
@@ -65,14 +41,14 @@
 		{"nonsense\r\n\r\n", "400 not a request line", true},
 	}
 	modeltest.Fuzz(f, func(s *modeltest.Steps) {
-		w := newStatusHarness(s)
-		m := &statusModel{harness: w, peer: w.connectStatus(), call: calls[0]}
-		w.runIterations()
-		m.quiet = w.now
-		for s.More() && !m.peer.ended {
+		f := newStatusFixture(s)
+		m := &statusModel{fixture: f, peer: f.connectStatus(), call: calls[0]}
+		f.RunIterations()
+		m.quiet = f.Time
+		for s.More() && !m.peer.Ended {
 			m.act(calls)
-			w.runIterations()
-			m.peer.read(1 << 16)
+			f.RunIterations()
+			m.peer.Read(1 << 16)
 			m.check()
 		}
 	})
@@ -86,20 +62,20 @@
 	case what < 6 && m.unsent != "":
 		m.writePart()
 	case what == 6:
-		m.now += time.Duration(m.Pick(8)) * 250 * time.Millisecond
+		m.Time += time.Duration(m.Pick(8)) * 250 * time.Millisecond
 		m.Record("wait")
 	}
 }
 
 func (m *statusModel) writePart() {
 	size := min(len(m.unsent), 1+m.Pick(40))
-	m.peer.write([]byte(m.unsent[:size]))
+	m.peer.Write([]byte(m.unsent[:size]))
 	if len(m.unsent) == len(m.call.text) {
-		m.quiet = m.now
+		m.quiet = m.Time
 	}
 	m.unsent = m.unsent[size:]
 	if m.unsent == "" {
-		m.quiet, m.last = m.now, m.call.closes
+		m.quiet, m.last = m.Time, m.call.closes
 		m.want += m.call.want + "\n"
 	}
 	m.Record(fmt.Sprint("write ", size, " of ", m.call.text))
@@ -108,7 +84,7 @@
 // check expects all responses that are due, and the connection's end in time.
 func (m *statusModel) check() {
 	got := ""
-	for _, part := range strings.Split(string(m.peer.received), "HTTP/1.1 ")[1:] {
+	for _, part := range strings.Split(string(m.peer.Received), "HTTP/1.1 ")[1:] {
 		header, body, _ := strings.Cut(part, "\r\n\r\n")
 		got += header[:4] + body
 	}
@@ -116,30 +92,57 @@
 	isBegun := m.unsent != "" && len(m.unsent) < len(m.call.text)
 	limit := statusIdleTimeout
 	if m.last || isBegun {
-		limit = requestReadTimeout
+		limit = statusRequestTimeout
 	}
-	age := m.now - m.quiet
-	ended := m.peer.ended
+	age := m.Time - m.quiet
+	ended := m.peer.Ended
 	m.Check(!ended || m.last || age >= limit, "ended after %v", age)
 	m.Check(ended || age < limit+expiryInterval, "still there after %v", age)
-	m.Check(!ended || m.loop.status.connections.Len() == 0 || m.last, "a connection is left")
+	m.Check(!ended || m.status.connections.Len() == 0 || m.last, "a connection is left")
 }
 
 // A crowd at the status call takes a few descriptors, and the one who asks gets an answer all the same.
 func TestStatusConnectionsAreLimited(t *testing.T) {
-	w := newStatusHarness(&modeltest.Steps{T: t})
-	first := w.connectStatus()
-	for range 3 * maxStatusConnections {
-		w.connectStatus()
-		w.runIterations()
+	f := newStatusFixture(&modeltest.Steps{T: t})
+	first := f.connectStatus()
+	for range 3 * MaxStatusConnections {
+		f.connectStatus()
+		f.RunIterations()
+	}
+	if first.Read(1); f.status.connections.Len() != MaxStatusConnections || !first.Ended {
+		t.Errorf("%d connections, the quietest ended: %v", f.status.connections.Len(), first.Ended)
+	}
+	p := f.connectStatus()
+	p.Write([]byte("GET /status/a HTTP/1.1\r\n\r\n"))
+	f.RunIterations()
+	if p.Read(1 << 10); !strings.HasPrefix(string(p.Received), "HTTP/1.1 200 ") {
+		t.Errorf("in a crowd: %q", p.Received)
+	}
+}
+
+// A connection whose peer has closed its side, and whose responses are not read yet, does not keep the loop busy, and ends with the
+// last response.
+func TestManagementConnectionsEndOnce(t *testing.T) {
+	f := newStatusFixture(&modeltest.Steps{T: t})
+	p := f.connectStatus()
+	for range 40 {
+		p.Write([]byte(strings.Repeat("GET /status/a HTTP/1.1\r\n\r\n", 20)))
+		f.RunIterations()
+	}
+	k := f.status.connections.Front().Value.(*statusConnection)
+	if p.CloseWrite(); len(k.Output()) == 0 {
+		t.Fatal("nothing waits to be read")
+	}
+	for range 100 { // up to where nobody reads on
+		f.RunIterations()
+	}
+	if n := f.ReadyDescriptors(); n != 0 {
+		t.Errorf("%d descriptors are told as ready, with nothing to be done", n)
 	}
-	if first.read(1); w.loop.status.connections.Len() != maxStatusConnections || !first.ended {
-		t.Errorf("%d connections, the quietest ended: %v", w.loop.status.connections.Len(), first.ended)
+	if err := f.readToEnd(t, p); err != nil || f.status.connections.Len() != 0 {
+		t.Errorf("read to the end: %v, %d connections left", err, f.status.connections.Len())
 	}
-	p := w.connectStatus()
-	p.write([]byte("GET /status/a HTTP/1.1\r\n\r\n"))
-	w.runIterations()
-	if p.read(1 << 10); !strings.HasPrefix(string(p.received), "HTTP/1.1 200 ") {
-		t.Errorf("in a crowd: %q", p.received)
+	if n := bytes.Count(p.Received, []byte("HTTP/1.1 200 ")); n != 800 {
+		t.Errorf("%d answers to 800 requests", n)
 	}
 }
