--- a/dispatch/objective.go
+++ b/dispatch/objective.go
@@ -84,7 +84,7 @@
 	job.priority = levelUnreachable
 	d.queue.reorder(job)
 	if isLowered {
-		d.repeatLeaseRequests(job)
+		d.leases.client.repeatRequests(d.now, job)
 	}
 }
 
