--- a/internal/link/client_address.go
+++ b/internal/client/proxy.go
@@ -1,7 +1,6 @@
-package link
+package client
 
 import (
-	"context"
 	"errors"
 	"log/slog"
 	"net/netip"
@@ -15,37 +14,12 @@
 	errSecondProxyLine = errors.New("more than one PROXY header")
 )
 
-// admitAddress reports whether a new connection may go on. It closes the socket, unread, of an address that may not connect.
-func (l *Loop) admitAddress(socket int, from netip.AddrPort) bool {
-	if l.isAllowed(from) {
-		return true
-	}
-	_ = l.Syscalls().Close(socket)
-	return false
-}
-
-// isAllowed reports whether an address may connect, and logs one that may not.
-func (l *Loop) isAllowed(from netip.AddrPort) bool {
-	if l.addressLists == nil {
-		return true
-	}
-	reason := l.addressLists.RejectionReason(from.Addr())
-	if reason == "" {
-		return true
-	}
-	if l.connectionLog.Enabled(context.Background(), slog.LevelWarn) {
-		l.connectionLog.LogAttrs(context.Background(), slog.LevelWarn, "connection refused", slog.String("why", reason),
-			slog.String("client", from.String()))
-	}
-	return false
-}
-
 // readProxyHeader takes a PROXY header that comes first, if one does, and reports whether requests may be read. A header that
 // may not be sent, or makes no sense, ends the connection, and nothing is written.
-func (c *clientConnection) readProxyHeader() bool {
+func (c *connection) readProxyHeader() bool {
 	for !c.proxyHeaderDone {
 		client, size, err := address.ParseHeader(c.Input())
-		isTrusted := !c.proxyAddress.IsValid() && c.loop().addressLists.TrustsProxy(c.clientAddress.Addr())
+		isTrusted := !c.proxyAddress.IsValid() && c.listener.accessLists.TrustsProxy(c.clientAddress.Addr())
 		switch {
 		case errors.Is(err, address.ErrNoHeader):
 			c.proxyHeaderDone = true
@@ -66,7 +40,7 @@
 }
 
 // setProxiedClient takes in that the peer is a proxy, and whom it speaks for; of a proxy's own connection that is nobody.
-func (c *clientConnection) setProxiedClient(client netip.AddrPort) {
+func (c *connection) setProxiedClient(client netip.AddrPort) {
 	c.proxyAddress = c.clientAddress
 	if client.IsValid() {
 		c.clientAddress = client
@@ -74,7 +48,7 @@
 }
 
 // closeForProxyHeader ends the connection for a header that may not be sent, or, by the parser's error, makes no sense.
-func (c *clientConnection) closeForProxyHeader(parseError error) {
+func (c *connection) closeForProxyHeader(parseError error) {
 	reason := parseError
 	if parseError == nil || errors.Is(parseError, address.ErrIncomplete) {
 		reason = errUntrustedProxy
--- a/internal/link/generated_settings_test.go
+++ b/internal/link/generated_settings_test.go
@@ -261,14 +261,14 @@
 		*l.Syscalls() = d.faults.syscalls()
 	}
 	c := d.conf
-	servers, clients := splitDescriptors(c.Limits.Sockets, 0)
-	l.limits, l.onWake = c.Limits, func() {}
-	l.openWorkerPool(servers, c.Settings.ConnectTimeout, c.Settings.ConnIdleTimeout)
+	l.openBudget(c.Limits, 0)
+	l.onWake = func() {}
+	l.openWorkerPool(l.budget.Shares().WorkerConnections, c.Settings.ConnectTimeout, c.Settings.ConnIdleTimeout)
 	l.Requests = requests.New(c.Settings.AttemptLimit, c.Settings.Names, func() requests.Policy { return dispatch.New(c.Settings.Settings, c.Seed) },
 		c.KnownEndpoints, transport{l.workers, l}, log)
 	l.workers.SetTable(l.Requests)
 	l.prepareWatch(c, rand.New(rand.NewPCG(c.Seed, watchSeed)).Int64N)
-	l.openClientListener(clients, bufferBudget(c.Limits), &c.Settings.Settings, c.Settings.Names)
+	l.openClientListener(clientLimitsOf(l.budget.Shares()), &c.Settings.Settings, c.Settings.Names)
 	if d.faults != nil {
 		d.faults.listenForClients(l)
 	}
@@ -289,7 +289,7 @@
 		return d.faults.connectClient()
 	}
 	p, fd := d.socketPair()
-	d.loop.clients.addConnection(fd, netip.AddrPort{})
+	d.loop.clients.AddConnection(fd, netip.AddrPort{})
 	return p
 }
 
--- a/internal/link/hotrestart_predecessor.go
+++ b/internal/link/hotrestart_predecessor.go
@@ -132,7 +132,7 @@
 	c.role.successor = nil
 	c.role.protocol.HandleDisconnect()
 	if !c.loop.hasRelinquished() {
-		c.loop.shareLimits(false)
+		c.loop.budget.SetHalved(false)
 	}
 	c.loop.log.Info("successor gone", "cause", cause)
 	for _, call := range c.pendingCalls.TakeAll() {
@@ -180,14 +180,14 @@
 	loop := c.loop
 	loop.StopTimer(c.handshakeTimer)
 	accept := hotrestart.Accept{Version: hotrestart.ProtocolVersion, CordonedWorkers: loop.Requests.Cordoned()}
-	if err := c.sendMessageBefore(loop.Clock()+transferTimeout, accept, loop.clients.acceptor.FD()); err != nil {
+	if err := c.sendMessageBefore(loop.Clock()+transferTimeout, accept, loop.clients.Socket()); err != nil {
 		return err
 	}
 	if loop.cordons.UnstoredCount() > 0 { // else the successor would take the file for newer, should this process die
 		loop.notifyCordoned()
 	}
 	loop.log.Info("successor stands by")
-	loop.shareLimits(true)
+	loop.budget.SetHalved(true)
 	if loop.onSuccessor != nil {
 		loop.onSuccessor()
 	}
@@ -239,9 +239,9 @@
 		l.cordons.Unfence()
 		return fmt.Errorf("handing over: %w", err)
 	}
-	l.releaseTransferred(transfer)
+	l.releaseTransferred()
 	took := (l.Clock() - startedAt).Round(10 * time.Microsecond)
-	l.log.Info("handed over", "requests", transfer.requestCount, "client_connections", len(transfer.clientConnections),
+	l.log.Info("handed over", "requests", transfer.requestCount, "client_connections", transfer.clientConnectionCount,
 		"worker_connections", transfer.workerConnectionCount, "snapshot_bytes", transfer.snapshotSize, "took", took.String())
 	return nil
 }
@@ -278,17 +278,11 @@
 }
 
 // releaseTransferred lets go of what the successor owns now.
-func (l *Loop) releaseTransferred(transfer *stateTransfer) {
-	for _, client := range transfer.clientConnections {
-		client.leaveWaitingList()
-		client.slots = nil
-		client.Close()
-		client.updateBufferedBytes()
-		delete(l.clients.connections, client)
-	}
+func (l *Loop) releaseTransferred() {
+	l.clients.Relinquish()
 	l.workers.Relinquish()
 	l.watch.Stop()
-	l.clients.acceptor.Close()
+	l.clients.CloseSocket()
 	l.predecessorRole.acceptor.Close()
 	if l.peers != nil {
 		l.peers.Close()
--- a/internal/link/hotrestart_successor.go
+++ b/internal/link/hotrestart_successor.go
@@ -44,7 +44,7 @@
 		return false
 	}
 	l.successorRole = role
-	l.shareLimits(true)
+	l.budget.SetHalved(true)
 	// At once: the first call of one scheduler of many may wait a while, and what it is told is needed soon.
 	l.Requests.WatchEndpoints()
 	return true
@@ -207,7 +207,7 @@
 	r.listen(loop.Now()+startTimeout, minStartBackoff)
 	loop.awaitSuccessor(hotrestart.SocketAddresses(r.stateDir, r.listenAddress))
 	loop.openPeerSocket()
-	loop.shareLimits(false)
+	loop.budget.SetHalved(false)
 	loop.cordons.OwnFile()
 	loop.cordons.Store()                            // the predecessor may have failed to
 	for _, call := range r.pendingCalls.TakeAll() { // the predecessor may have carried them out, or not
@@ -235,7 +235,7 @@
 	if r.listenerFD == hotrestart.NoDescriptor {
 		return loop.listenForClients(r.listenAddress, unix.SO_REUSEPORT)
 	}
-	if err := loop.clients.acceptor.Add(r.listenerFD, loop.clients); err != nil {
+	if err := loop.clients.AddSocket(r.listenerFD); err != nil {
 		return fmt.Errorf("%w: %w", errListenerUnusable, err)
 	}
 	r.listenerFD = hotrestart.NoDescriptor
--- a/internal/link/hotrestart_test.go
+++ b/internal/link/hotrestart_test.go
@@ -15,6 +15,7 @@
 	"valvecove/internal/config"
 	"valvecove/internal/filesystem"
 	"valvecove/internal/hotrestart"
+	"valvecove/internal/limits"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
 )
@@ -22,7 +23,7 @@
 // enableHotRestart makes a world one whose process can be replaced, or can replace another. Its policy is scripted, before and
 // after.
 func (w *harness) enableHotRestart() {
-	w.loop.dispatcher = dispatch.New(*w.loop.clients.settings, 1)
+	w.loop.dispatcher = dispatch.New(*w.loop.settings, 1)
 	w.loop.wrapRestored = func(*dispatch.Dispatcher) requests.Policy { return w.policy }
 	w.loop.onFail = func(err error) { w.T.Errorf("a process fails: %v", err) }
 }
@@ -31,7 +32,7 @@
 func newPredecessorHarness(choices *modeltest.Steps, dir string) (*harness, netip.AddrPort) {
 	w := newHarness(choices)
 	w.enableHotRestart()
-	if err := w.loop.clients.acceptor.Listen(netip.MustParseAddrPort("127.0.0.1:0"), w.loop.clients); err != nil {
+	if err := w.loop.clients.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
 		choices.T.Fatal(err)
 	}
 	w.loop.awaitSuccessor(hotrestart.SocketAddresses(dir, w.loop.Addr()))
@@ -47,7 +48,7 @@
 func (w *harness) startSuccessorAfterStep(dir string, address netip.AddrPort, step time.Duration) *harness {
 	successor := newHarness(w.Steps)
 	successor.enableHotRestart()
-	successor.now, successor.ahead, successor.loop.clients.settings = w.now+step, w.ahead+step, w.loop.clients.settings
+	successor.now, successor.ahead, successor.loop.settings = w.now+step, w.ahead+step, w.loop.settings
 	successor.loop.prepareCordons(dir, nil)
 	w.Check(successor.loop.joinPredecessor(dir, address), "no predecessor")
 	for successor.successorState() == hotrestart.SuccessorJoining {
@@ -85,7 +86,7 @@
 // sendRequest has a client of the world send request "q", on a connection of its own.
 func (w *harness) sendRequest(at netip.AddrPort) *peer {
 	client, fd := w.socketPair()
-	w.loop.clients.addConnection(fd, at)
+	w.loop.clients.AddConnection(fd, at)
 	client.write([]byte("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: q\r\nX-Caller: t\r\nContent-Length: 0\r\n\r\n"))
 	w.runIterations()
 	return client
@@ -98,7 +99,7 @@
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	client := predecessor.sendRequest(address)
 	successor := predecessor.startSuccessor(dir, address)
-	if both := predecessor.loop.clients.maxConnections + successor.loop.clients.maxConnections; both > 1024-2*ownDescriptors {
+	if both := predecessor.loop.clients.Limits().Connections + successor.loop.clients.Limits().Connections; both > 1024-2*limits.SharesOf(config.Config{}, config.Ops{}).OwnDescriptors {
 		t.Errorf("two processes hold %d client connections", both)
 	}
 	role := successor.loop.successorRole
@@ -116,10 +117,10 @@
 	if peer.read(1); !peer.ended {
 		t.Error("a socket of the failed transfer is still open")
 	}
-	if successor.loop.Requests.OpenCount() != 0 || len(successor.loop.clients.connections) != 0 || successor.loop.clients.acceptor.FD() >= 0 {
+	if successor.loop.Requests.OpenCount() != 0 || successor.loop.clients.ConnectionCount() != 0 || successor.loop.clients.Socket() >= 0 {
 		t.Error("the successor has something of a transfer that failed")
 	}
-	if err := predecessor.handOverTo(successor); err != nil || successor.loop.sharesLimits {
+	if err := predecessor.handOverTo(successor); err != nil || successor.loop.budget.IsHalved() {
 		t.Fatalf("the second time: %v", err)
 	}
 	successor.policy.Next = []dispatch.Action{dispatch.Reject{Job: 1}}
@@ -149,7 +150,7 @@
 		predecessor.runIterations()
 		second.runIterations()
 	}
-	if second.loop.predecessorRole != nil || second.loop.clients.acceptor.FD() >= 0 {
+	if second.loop.predecessorRole != nil || second.loop.clients.Socket() >= 0 {
 		t.Error("the second successor serves, or has the predecessor's place")
 	}
 	if err := predecessor.handOverTo(first); err != nil {
@@ -171,7 +172,7 @@
 	predecessor.runIterations()
 	successor.runIterations()
 	cordoned := successor.loop.Requests.Cordoned()
-	if len(cordoned) != 1 || cordoned[0] != "s-0" || successor.loop.clients.acceptor.FD() < 0 || successor.loop.notReadyReason() == "" {
+	if len(cordoned) != 1 || cordoned[0] != "s-0" || successor.loop.clients.Socket() < 0 || successor.loop.notReadyReason() == "" {
 		t.Errorf("after the predecessor's death: cordoned %v", cordoned)
 	}
 	third := successor.startSuccessor(dir, address)
@@ -190,9 +191,9 @@
 	predecessor.loop.Requests.Wake()
 	predecessor.runIterations()
 	successor := predecessor.startSuccessor(dir, address)
-	otherSettings := *predecessor.loop.clients.settings
+	otherSettings := *predecessor.loop.settings
 	otherSettings.Classes = append(otherSettings.Classes, otherSettings.Classes[0])
-	successor.loop.clients.settings = &otherSettings
+	successor.loop.settings = &otherSettings
 	if err := predecessor.handOverTo(successor); err != nil {
 		t.Fatal(err)
 	}
@@ -287,7 +288,7 @@
 	}
 	successor.runIterations()
 	predecessor.runIterations()
-	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) || predecessor.loop.sharesLimits {
+	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) || predecessor.loop.budget.IsHalved() {
 		t.Errorf("handed over to nobody: %v", err)
 	}
 }
@@ -315,7 +316,7 @@
 	for _, lost := range []bool{false, true} {
 		dir := t.TempDir()
 		predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
-		predecessor.loop.clients.settings.MustSubscribe = true // a successor has its predecessor's settings
+		predecessor.loop.settings.MustSubscribe = true // a successor has its predecessor's settings
 		successor := predecessor.startSuccessor(dir, address)
 		if !successor.loop.watch.IsOpen() {
 			t.Error("it stands by without a watch")
@@ -327,12 +328,12 @@
 		conf := config.Config{Discovery: netip.MustParseAddrPort("127.0.0.1:8"), Limits: config.Limits{Sockets: 512, MemoryMB: 64}}
 		predecessor.loop.Reload(conf)
 		successor.loop.Reload(conf)
-		half := successor.loop.clients.maxConnections
+		half := successor.loop.clients.Limits().Connections
 		err := predecessor.handOverTo(successor)
 		watch := successor.loop.watch
-		if err != nil || !watch.IsOpen() || watch.Server() != conf.Discovery || successor.loop.clients.maxConnections < 2*half {
+		if err != nil || !watch.IsOpen() || watch.Server() != conf.Discovery || successor.loop.clients.Limits().Connections < 2*half {
 			t.Errorf("lost %v: %v, watched %v at %v, %d client connections, %d before", lost, err, watch.IsOpen(), watch.Server(),
-				successor.loop.clients.maxConnections, half)
+				successor.loop.clients.Limits().Connections, half)
 		}
 	}
 }
@@ -347,7 +348,7 @@
 		dir := t.TempDir()
 		predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 		_, silentClient := predecessor.socketPair()
-		predecessor.loop.clients.addConnection(silentClient, address)
+		predecessor.loop.clients.AddConnection(silentClient, address)
 		client := predecessor.sendRequest(address)
 		predecessor.policy.Next = []dispatch.Action{dispatch.Send{Job: 1, Worker: predecessor.workerNumber()}}
 		predecessor.loop.Requests.Wake()
@@ -405,9 +406,9 @@
 		untilDeadline: request.Deadline - w.now, untilAttemptExpires: attempt.At - w.now,
 		sinceArrival: w.now - request.ArrivedAt, sinceSent: w.now - request.FirstSentAt,
 	}
-	for client := range w.loop.clients.connections {
-		if client.history == historyNoRequest {
-			ages.clientSilent = w.now - client.lastActivity
+	for _, client := range w.loop.clients.Snapshot() {
+		if !client.RequestSeen {
+			ages.clientSilent = w.now - client.LastActivity
 		}
 	}
 	for _, connection := range w.loop.workers.Snapshot() {
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -15,13 +15,13 @@
 	"valvecove/dispatch"
 	"valvecove/internal/address"
 	"valvecove/internal/capture"
+	"valvecove/internal/client"
 	"valvecove/internal/clock"
-	"valvecove/internal/config"
 	"valvecove/internal/discovery/watch"
 	"valvecove/internal/eventloop"
 	"valvecove/internal/filesystem"
 	"valvecove/internal/gossip/socket"
-	"valvecove/internal/http1"
+	"valvecove/internal/limits"
 	"valvecove/internal/management"
 	"valvecove/internal/metrics/push"
 	"valvecove/internal/requests"
@@ -38,12 +38,10 @@
 	log           *slog.Logger
 	connectionLog *slog.Logger // about client connections, whose lines must not crowd out the others
 
-	dial        func(address netip.AddrPort) (fd int, err error)
-	monotonic   func() time.Duration // the clock that all processes of the machine share
-	writeBuffer []byte               // what is being written
-	request     http1.Request        // that was parsed last
+	dial      func(address netip.AddrPort) (fd int, err error)
+	monotonic func() time.Duration // the clock that all processes of the machine share
 
-	clients      *clientListener
+	clients      *client.Listener
 	workers      *worker.Pool
 	watch        *watch.Connection
 	cordons      *management.Cordons
@@ -51,11 +49,10 @@
 	peers        *socket.Socket       // nil: schedulers exchange no messages
 	addressLists *address.AccessLists // nil: off
 	dispatcher   *dispatch.Dispatcher // that decides, in whatever wraps it
+	settings     *dispatch.Settings
 
-	startup            startup
-	limits             config.Limits
-	featureDescriptors int  // of the limit on descriptors, what features take up
-	sharesLimits       bool // another process runs beside this one, and has half of the limits
+	startup startup
+	budget  *limits.Budget
 
 	predecessorRole *predecessorRole                           // nil: no successor can come
 	successorRole   *successorRole                             // nil: there is nothing to be taken over
@@ -109,6 +106,11 @@
 
 func (l *Loop) handleDescriptorsClosed() {
 	if l.clients != nil {
-		l.clients.resumeIfRoom()
+		l.clients.HandleDescriptorsClosed()
 	}
 }
+
+// attemptHold returns how long an attempt that is to be written is held, until it is known whether its client still waits.
+func (l *Loop) attemptHold(attempt *requests.Attempt) time.Duration {
+	return client.AttemptHold(attempt)
+}
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -12,6 +12,7 @@
 	"valvecove/internal/address"
 	"valvecove/internal/aperture"
 	"valvecove/internal/capture"
+	"valvecove/internal/client"
 	"valvecove/internal/clock"
 	"valvecove/internal/config"
 	"valvecove/internal/discovery"
@@ -19,6 +20,7 @@
 	"valvecove/internal/eventloop"
 	"valvecove/internal/gossip/socket"
 	"valvecove/internal/hotrestart"
+	"valvecove/internal/limits"
 	"valvecove/internal/logging"
 	"valvecove/internal/management"
 	"valvecove/internal/metrics"
@@ -64,16 +66,14 @@
 	if ops.Addresses != nil {
 		l.addressLists = address.New(*ops.Addresses)
 	}
-	l.limits = conf.Limits
-	l.featureDescriptors = countFeatureDescriptors(conf, ops)
-	workers, clients := splitDescriptors(conf.Limits.Sockets, l.featureDescriptors)
-	l.openWorkerPool(workers, conf.Settings.ConnectTimeout, conf.Settings.ConnIdleTimeout)
+	l.openBudget(conf.Limits, limits.FeatureDescriptors(conf, ops))
+	l.openWorkerPool(l.budget.Shares().WorkerConnections, conf.Settings.ConnectTimeout, conf.Settings.ConnIdleTimeout)
 	if err := l.openRequestTable(conf, ops, log); err != nil {
 		return err
 	}
 	l.prepareWatch(conf, rand.New(rand.NewPCG(conf.Seed, watchSeed)).Int64N)
 	l.preparePeerSocket(conf)
-	l.openClientListener(clients, bufferBudget(conf.Limits), &conf.Settings.Settings, conf.Settings.Names)
+	l.openClientListener(clientLimitsOf(l.budget.Shares()), &conf.Settings.Settings, conf.Settings.Names)
 	if err := l.listenOrJoin(conf); err != nil {
 		return err
 	}
@@ -89,6 +89,41 @@
 	return nil
 }
 
+// openBudget makes the budget of descriptors and memory, which the worker pool and the client listener follow from here on.
+func (l *Loop) openBudget(processLimits config.Limits, featureDescriptors int) {
+	l.budget = limits.NewBudget(processLimits, featureDescriptors)
+	l.budget.OnChange(func(shares limits.Shares) {
+		l.workers.SetMaxConnections(shares.WorkerConnections)
+		l.clients.SetLimits(clientLimitsOf(shares))
+		if l.onShareLimits != nil {
+			l.onShareLimits(l.budget.IsHalved())
+		}
+	})
+}
+
+// clientLimitsOf returns the limits of the client listener.
+func clientLimitsOf(shares limits.Shares) client.Limits {
+	return client.Limits{Connections: shares.ClientConnections, Requests: shares.OpenRequests, BufferBytes: shares.BufferBytes}
+}
+
+// openClientListener makes the client listener, which has no socket yet.
+func (l *Loop) openClientListener(limits client.Limits, settings *dispatch.Settings, names requests.NameTable) {
+	l.settings = settings
+	config := client.Config{
+		Loop:          l.Loop,
+		Table:         l.Requests,
+		Log:           l.log,
+		ConnectionLog: l.connectionLog,
+		Settings:      settings,
+		Names:         names,
+		Limits:        limits,
+	}
+	if l.addressLists != nil {
+		config.AccessLists = l.addressLists
+	}
+	l.clients = client.NewListener(config)
+}
+
 // openWorkerPool makes the pool of connections to workers, which has none yet.
 func (l *Loop) openWorkerPool(maxConnections int, connectTimeout, workerIdleTimeout time.Duration) {
 	l.workers = worker.New(worker.Config{
@@ -222,7 +257,7 @@
 	return hotrestart.NewCordonStore(hotrestart.CordonStoreConfig{
 		Files:        l.files,
 		StateDir:     stateDir,
-		MaxCallbacks: management.MaxOperatorConnections,
+		MaxCallbacks: limits.MaxOperatorConnections,
 		Now:          l.Now,
 		Post:         l.Post,
 		After:        func(delay time.Duration, act func()) { l.After(delay, act) },
@@ -272,7 +307,7 @@
 }
 
 func (l *Loop) listenForClients(address netip.AddrPort, options ...int) error {
-	return l.clients.acceptor.Listen(address, l.clients, options...)
+	return l.clients.Listen(address, options...)
 }
 
 // openFeatures opens the operators' calls, the status call and metrics, where they are on.
@@ -321,6 +356,10 @@
 
 // serveStatus serves the status call.
 func (l *Loop) serveStatus(address netip.AddrPort, table *status.Table) error {
-	_, err := management.ServeStatus(l.Loop, address, management.StatusConfig{Table: table, Log: l.log, IsAllowed: l.isAllowed})
+	config := management.StatusConfig{Table: table, Log: l.log}
+	if l.addressLists != nil {
+		config.IsAllowed = func(from netip.AddrPort) bool { return l.addressLists.Admits(from, l.connectionLog) }
+	}
+	_, err := management.ServeStatus(l.Loop, address, config)
 	return err
 }
--- a/internal/management/fixture_test.go
+++ b/internal/management/fixture_test.go
@@ -16,6 +16,7 @@
 	"valvecove/internal/eventloop/eventlooptest"
 	"valvecove/internal/filesystem"
 	"valvecove/internal/hotrestart"
+	"valvecove/internal/limits"
 	"valvecove/internal/metrics"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
@@ -86,7 +87,7 @@
 	store := hotrestart.NewCordonStore(hotrestart.CordonStoreConfig{
 		Files:        files,
 		StateDir:     stateDir,
-		MaxCallbacks: MaxOperatorConnections,
+		MaxCallbacks: limits.MaxOperatorConnections,
 		Now:          f.Now,
 		Post:         f.Post,
 		After:        func(delay time.Duration, act func()) { f.After(delay, act) },
--- a/internal/management/operators.go
+++ b/internal/management/operators.go
@@ -11,6 +11,7 @@
 
 	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
+	"valvecove/internal/limits"
 	"valvecove/internal/metrics"
 )
 
@@ -59,12 +60,12 @@
 
 // HandleEvents accepts connections from any address: the management address is not reachable for clients.
 func (o *Operators) HandleEvents(uint32) {
-	o.acceptAll(MaxOperatorConnections, nil, o.addConnection)
+	o.acceptAll(limits.MaxOperatorConnections, nil, o.addConnection)
 }
 
 // addConnection serves a socket, which it owns.
 func (o *Operators) addConnection(socket int) {
-	if o.connections.Len() >= MaxOperatorConnections {
+	if o.connections.Len() >= limits.MaxOperatorConnections {
 		o.evict()
 	}
 	c := &operatorConnection{operators: o}
--- a/internal/management/operators_test.go
+++ b/internal/management/operators_test.go
@@ -17,6 +17,7 @@
 	"valvecove/internal/filesystem"
 	"valvecove/internal/hotrestart"
 	"valvecove/internal/http1"
+	"valvecove/internal/limits"
 	"valvecove/internal/modeltest"
 )
 
@@ -54,7 +55,7 @@
 			case what < 2:
 				next := calls[s.Pick(len(calls))]
 				open = append(open, &caller{Peer: f.connectOperator(), text: next.text, unsent: next.text, want: next.want, began: f.Time})
-				if len(open) > MaxOperatorConnections { // the oldest has made room
+				if len(open) > limits.MaxOperatorConnections { // the oldest has made room
 					f.RunIterations()
 					open[0].Read(1 << 16)
 					s.Check(open[0].Ended, "the oldest of too many is held")
--- a/internal/management/status.go
+++ b/internal/management/status.go
@@ -11,6 +11,7 @@
 
 	"valvecove/internal/eventloop"
 	"valvecove/internal/http1"
+	"valvecove/internal/limits"
 	"valvecove/internal/status"
 )
 
@@ -46,12 +47,12 @@
 
 // HandleEvents accepts connections.
 func (s *Status) HandleEvents(uint32) {
-	s.acceptAll(MaxStatusConnections, s.config.IsAllowed, s.addConnection)
+	s.acceptAll(limits.MaxStatusConnections, s.config.IsAllowed, s.addConnection)
 }
 
 // addConnection serves a socket, which it owns. If there are too many connections, the one that has been idle longest is ended.
 func (s *Status) addConnection(socket int) {
-	if s.connections.Len() >= MaxStatusConnections {
+	if s.connections.Len() >= limits.MaxStatusConnections {
 		s.connections.Front().Value.(*statusConnection).terminate()
 	}
 	c := &statusConnection{status: s}
--- a/internal/management/status_test.go
+++ b/internal/management/status_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"valvecove/internal/eventloop/eventlooptest"
+	"valvecove/internal/limits"
 	"valvecove/internal/modeltest"
 )
 
@@ -105,11 +106,11 @@
 func TestStatusConnectionsAreLimited(t *testing.T) {
 	f := newStatusFixture(&modeltest.Steps{T: t})
 	first := f.connectStatus()
-	for range 3 * MaxStatusConnections {
+	for range 3 * limits.MaxStatusConnections {
 		f.connectStatus()
 		f.RunIterations()
 	}
-	if first.Read(1); f.status.connections.Len() != MaxStatusConnections || !first.Ended {
+	if first.Read(1); f.status.connections.Len() != limits.MaxStatusConnections || !first.Ended {
 		t.Errorf("%d connections, the quietest ended: %v", f.status.connections.Len(), first.Ended)
 	}
 	p := f.connectStatus()
