--- a/internal/link/harness_test.go
+++ b/internal/link/harness_test.go
@@ -67,13 +67,16 @@
 	l.openClientListener(testClientLimits(50), &dispatch.Settings{Classes: []dispatch.Class{{ClientTimeout: 5 * time.Second}}}, names)
 	l.onWake = func() {}
 	l.prepareCordons("", nil)
-	l.openBudget(config.Limits{Sockets: 1024, MemoryMB: 64}, 0)
+	l.openBudget(harnessLimits, 0)
 	w.loop = l
 	s.T.Cleanup(l.CloseDescriptors)
 	w.runIterations()
 	return w
 }
 
+// harnessLimits are the limits of a harness's process.
+var harnessLimits = config.Limits{Sockets: 1024, MemoryMB: 64}
+
 // testClientLimits returns limits with so many connections.
 func testClientLimits(connections int) client.Limits {
 	return client.Limits{Connections: connections, Requests: limits.MaxRequests(connections), BufferBytes: 1 << 20}
