--- a/dispatch/learning.go
+++ b/dispatch/learning.go
@@ -17,7 +17,7 @@
 // learnFromRun learns from a finished run. Sizes are corrected slowly and speeds quickly, so that a slow
 // spell is attributed to the worker. Runs on warming workers say nothing about either.
 func (d *Dispatcher) learnFromRun(attempt *attemptInfo, run time.Duration) {
-	if d.spansStall(attempt) {
+	if d.stalls.spans(attempt) {
 		return
 	}
 	job, worker := attempt.job, attempt.worker
@@ -29,9 +29,9 @@
 	// Expected by what is known now: else each of many attempts in flight would correct the same error
 	// again.
 	expectedLog := math.Log(d.workload.expectedWork(job))
-	d.workload.observeError(expectedLog - runLog - worker.logSpeed)
+	d.workload.observeError(expectedLog - runLog - worker.speed.log)
 	d.learnSpeed(worker, expectedLog-runLog)
-	workLog := runLog + worker.logSpeed // as this run shows it
+	workLog := runLog + worker.speed.log // as this run shows it
 	d.workload.learnWeights(job, workLog > d.workload.longWorkThreshold)
 	d.workload.rememberKey(job.Key, math.Exp(workLog))
 	d.workload.correctSize(job, workLog-expectedLog)
@@ -88,18 +88,13 @@
 	kind.runs++
 	kindGain := max(sizeCorrectionGain, 1/(kind.runs+2))
 	kind.logSpeed += kindGain * clamp(logSpeed-kind.logSpeed, maxLogKindSpeedError)
-	worker.runs++
-	gain := max(minSpeedGain, 1/(worker.runs+2))
-	worker.logSpeed += gain * clamp(logSpeed-worker.logSpeed, maxLogSizeError)
-	worker.speed = math.Exp(worker.logSpeed)
-	worker.learnedAt = d.now
+	worker.speed.observe(logSpeed, d.now)
 }
 
 // rescaleSpeeds subtracts a shift from the logs of all speeds and all sizes: expected runs stay the same.
 func (d *Dispatcher) rescaleSpeeds(shift float64) {
-	for _, worker := range d.workerList {
-		worker.logSpeed -= shift
-		worker.speed = math.Exp(worker.logSpeed)
+	for _, worker := range d.fleet.workers {
+		worker.speed.set(worker.speed.log - shift)
 	}
 	d.workload.rescale(shift)
 }
--- a/dispatch/leasesnapshot.go
+++ b/dispatch/leasesnapshot.go
@@ -175,7 +175,7 @@
 	codec.int(&w.failures)
 	codec.int(&w.lastFailedPeer)
 	codec.int(&w.leases)
-	list(codec, &w.warmUpSpends, codec.spend)
+	codec.workWindow(&w.leasedWork)
 }
 
 func (g *grantedLease) walk(codec *codec) {
--- a/dispatch/queue.go
+++ b/dispatch/queue.go
@@ -100,7 +100,8 @@
 // dispatchJob sends a job to the worker chosen for it. One that fits no worker is skipped; where only
 // capacity is missing, no other job of its demand class is tried in this cycle.
 func (d *Dispatcher) dispatchJob(job *jobInfo) {
-	if d.lateCount > 0 && d.isSharded() && !d.workload.isShort(job) { // our few workers have little capacity
+	// The few workers assigned to this dispatcher have little capacity for long jobs while some are late.
+	if d.starts.lateCount > 0 && d.isSharded() && !d.workload.isShort(job) {
 		d.queue.skip(job)
 		return
 	}
@@ -136,4 +137,6 @@
 
 // isSharded reports whether each worker is assigned to a few dispatchers, so that the delays of this one's
 // jobs show how much capacity a worker has.
-func (d *Dispatcher) isSharded() bool { return len(d.workerList) > 0 && d.workerList[0].Assignees > 1 }
+func (d *Dispatcher) isSharded() bool {
+	return len(d.fleet.workers) > 0 && d.fleet.workers[0].Assignees > 1
+}
--- a/dispatch/replicas.go
+++ b/dispatch/replicas.go
@@ -8,6 +8,6 @@
 		ReplicaIndex: max(0, event.ReplicaIndex),
 		QuotaShare:   clamp(finite(event.QuotaShare), 1),
 	}
-	d.rings.changed = true
+	d.fleet.rings.changed = true
 	d.updatePreferences()
 }
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -67,7 +67,7 @@
 	job := attempt.job
 	d.endAttempt(attempt, outcome)
 	if !attempt.orphaned { // else its worker's process has ended, and the result says nothing of the present one
-		d.onResult(attempt)
+		d.handleResult(attempt)
 	}
 	d.forgetWorker(attempt.worker)
 	if job.recheckOnEnd && !job.closed {
--- a/dispatch/timers.go
+++ b/dispatch/timers.go
@@ -2,10 +2,6 @@
 
 import "time"
 
-// minStall is the delay of this dispatcher's own timer from which on the process counts as stalled: what it measured
-// meanwhile says nothing about workers.
-const minStall = 20 * time.Millisecond
-
 // timer is an instant at which the dispatcher acts without an event. Each is part of what it concerns, and is set once at a
 // time.
 type timer struct {
@@ -97,16 +93,3 @@
 	j.objectiveTimer = timer{purpose: jobObjective, job: j}
 	j.checksTimer = timer{purpose: reviewQueue, job: j}
 }
-
-// measureStall measures how late the caller's timer fired.
-func (d *Dispatcher) measureStall() {
-	if late := d.now - d.timers.callerAt; d.timers.callerAt > 0 && late > minStall {
-		d.stalledAt = d.now
-		d.stallLength = late
-	}
-}
-
-// spansStall reports whether this process was stalled while an attempt was in flight.
-func (d *Dispatcher) spansStall(attempt *attemptInfo) bool {
-	return attempt.sentAt < d.stalledAt && d.stalledAt > 0
-}
