--- a/internal/tools/wordcheck/main.go
+++ b/internal/tools/wordcheck/main.go
@@ -10,7 +10,8 @@
 //	word PATTERN     no identifier has it as one of its words (heldJobs has held and jobs), and no text has it
 //	name PATTERN     no identifier has it as one of its words; texts may use it
 //	whole PATTERN    no identifier is exactly that, in any case
-//	allow PATTERN    texts may hold this phrase although it contains a word
+//	phrase PATTERN   no comment or log message has this phrase, also not over several lines
+//	allow PATTERN    texts may hold this phrase although it contains a word or phrase
 //
 // A pattern is a regular expression in lower case that has to match the whole word, identifier or phrase. Tests and the
 // folders testdata are searched too. The exit code is 0 if nothing is found, 1 if something is, 2 if it could not search.
@@ -74,12 +75,13 @@
 // rules are the patterns of a list. Each matches a whole word, identifier or phrase in lower case.
 type rules struct {
 	textWords   *regexp.Regexp // in identifiers and texts
+	phrases     *regexp.Regexp // in texts only
 	nameWords   *regexp.Regexp // in identifiers only
 	wholeNames  *regexp.Regexp
 	allowedText *regexp.Regexp
 }
 
-// ruleError tells which line of a list can't be read.
+// ruleError is an error in a line of a list.
 type ruleError struct {
 	file string
 	line int
@@ -87,7 +89,7 @@
 }
 
 func (e *ruleError) Error() string {
-	return fmt.Sprintf("%s:%d: expected 'word', 'name', 'whole' or 'allow' and a pattern, got %q", e.file, e.line, e.text)
+	return fmt.Sprintf("%s:%d: expected 'word', 'name', 'whole', 'phrase' or 'allow' and a pattern, got %q", e.file, e.line, e.text)
 }
 
 func readRules(path string) (*rules, error) {
@@ -117,7 +119,7 @@
 
 func isKind(kind string) bool {
 	switch kind {
-	case "word", "name", "whole", "allow":
+	case "word", "name", "whole", "phrase", "allow":
 		return true
 	}
 	return false
@@ -137,6 +139,7 @@
 		textWords:   compile("^", patterns["word"], "$"),
 		nameWords:   compile("^", append(patterns["name"], patterns["word"]...), "$"),
 		wholeNames:  compile("^", patterns["whole"], "$"),
+		phrases:     compile(`\b`, patterns["phrase"], `\b`),
 		allowedText: compile(`\b`, patterns["allow"], `\b`),
 	}
 	return compiled, errors.Join(failures...)
@@ -181,6 +184,7 @@
 		for _, comment := range group.List {
 			check.text(comment.Pos(), "comment", comment.Text)
 		}
+		check.phrase(group.Pos(), "comment", group.Text())
 	}
 	ast.Inspect(file, check.node)
 	return check.findings, nil
@@ -264,6 +268,7 @@
 	}
 	if message, ok := call.Args[0].(*ast.BasicLit); ok && message.Kind == token.STRING {
 		c.text(message.Pos(), "log message", message.Value)
+		c.phrase(message.Pos(), "log message", strings.Trim(message.Value, "\"`"))
 	}
 }
 
@@ -272,13 +277,27 @@
 	quotedText = regexp.MustCompile("`[^`]*`|\"[^\"]*\"")
 )
 
-// text checks prose word by word. What stands in quotes is a name on the wire or in a setting, and passes.
-func (c *fileCheck) text(pos token.Pos, what, text string) {
+// prose returns a text in lower case, without what is allowed. In comments, what is in quotes is a name on the wire or in a
+// setting, and is left out too.
+func (c *fileCheck) prose(what, text string) string {
 	prose := strings.ToLower(text)
 	if what == "comment" {
 		prose = quotedText.ReplaceAllString(prose, " ")
 	}
-	prose = c.rules.allowedText.ReplaceAllString(prose, " ")
+	return c.rules.allowedText.ReplaceAllString(prose, " ")
+}
+
+// phrase checks a text for phrases. White space in it counts as one blank.
+func (c *fileCheck) phrase(pos token.Pos, what, text string) {
+	prose := strings.Join(strings.Fields(c.prose(what, text)), " ")
+	if phrase := c.rules.phrases.FindString(prose); phrase != "" {
+		c.report(pos, what, firstLine(text), phrase)
+	}
+}
+
+// text checks a text word by word.
+func (c *fileCheck) text(pos token.Pos, what, text string) {
+	prose := c.prose(what, text)
 	for _, word := range textWord.FindAllString(prose, -1) {
 		if c.rules.textWords.MatchString(word) {
 			c.report(pos, what, firstLine(text), word)
@@ -317,7 +336,7 @@
 	return words
 }
 
-// beginsWord tells whether the capital at i begins a word: it follows a small letter, or a small letter follows it.
+// beginsWord reports whether the capital at i begins a word: it follows a small letter, or a small letter follows it.
 func beginsWord(runes []rune, i int) bool {
 	followsSmall := i > 0 && unicode.IsLower(runes[i-1])
 	precedesSmall := i+1 < len(runes) && unicode.IsLower(runes[i+1])
--- a/internal/tools/wordcheck/main_test.go
+++ b/internal/tools/wordcheck/main_test.go
@@ -13,6 +13,8 @@
 name head
 whole left
 allow heir apparent
+phrase takes? in
+allow takes in laundry
 `
 
 func writeFile(t *testing.T, path, text string) {
@@ -38,6 +40,10 @@
 		{"range", "package a\n\nfunc f(x []int) {\n\tfor heir := range x {\n\t\t_ = heir\n\t}\n}\n", "identifier heir"},
 		{"comment", "package a\n\n// It is the heir.\n", "comment // It is the heir."},
 		{"log message", "package a\n\nfunc f(log interface{ Info(string) }) { log.Info(\"the heir\") }\n", "log message"},
+		{"phrase", "package a\n\n// It takes in a job.\nvar x int\n", `"takes in" is withdrawn`},
+		{"phrase over two lines", "package a\n\n// It takes\n// in a job.\nvar x int\n", `"takes in" is withdrawn`},
+		{"phrase of a log message", "package a\n\nfunc f(log interface{ Info(string) }) { log.Info(\"jobs take in\") }\n", `"take in" is withdrawn`},
+		{"part of a phrase", "package a\n\n// It takes inputs, \"takes in\" on the wire, and takes in laundry.\nvar takesIn int\n", ""},
 		{"other literal", "package a\n\nvar s = \"the heir\"\n", ""},
 		{"use of another's name", "package a\n\nimport \"x\"\n\nvar s = x.Heir\n", ""},
 	}
