--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -17,7 +17,8 @@
 //   - queue.go decides which job leaves the queue next. reservation.go keeps a worker free for a large job.
 //   - picker.go chooses its worker, of those that concurrency.go, slowstart.go, outlier.go and cordon.go admit. In a large
 //     fleet preference.go says which of them are evaluated first. healthcheck.go checks workers before a choice.
-//   - attempts.go sends the job. concurrency.go, learning.go and connections.go observe its start and its end.
+//   - attempts.go sends the job. startmonitor.go says whether it starts promptly, and concurrency.go, learning.go and
+//     connections.go observe its start and its end.
 //   - retry.go and hedging.go decide when it is sent again. admission.go gives the final answer.
 //   - maintenance.go updates estimates at a fixed interval. subscription.go requests the list of workers.
 //
@@ -26,9 +27,9 @@
 //
 // # Leases
 //
-// Where several dispatchers share the workers and may exchange messages (Settings.UsesLeases), slots of workers are leased,
-// so that a job is sent to the worker that is least occupied by all dispatchers. All of it is in the files lease*.go, which
-// a reader of a single dispatcher can skip: a job without a lease takes the path above. Three types own their state:
+// Where several dispatchers share the workers and may exchange messages (leasebudget.go), slots of workers are leased, so
+// that a job is sent to the worker that is least occupied by all dispatchers. All of it is in the files lease*.go, which a
+// reader of a single dispatcher can skip: a job without a lease takes the path above. Three types own their state:
 //
 //   - leaseClient requests slots for queued jobs, uses what is granted and reports it (leaseclient.go, leasegrants.go,
 //     leasereports.go);
--- a/dispatch/leaseslots.go
+++ b/dispatch/leaseslots.go
@@ -10,9 +10,9 @@
 // starts promptly and halves on 'full' or failure"): a limit starts at 1 slot, grows by one with each prompt
 // start that it bounded, and halves on a rejection or failure.
 const (
-	// warmUpLeaseMargin is the share of a warming worker's budget that one coordinator leases. Two
-	// coordinators may do so at once, and jobs without a lease take warmUpMargin of the budget besides.
-	warmUpLeaseMargin = 0.25
+	// warmUpLeaseFraction is the fraction of the work that overloads a warming worker which one coordinator
+	// leases. Two may do so at the same time, and jobs without a lease take warmUpBudgetFraction besides.
+	warmUpLeaseFraction = 0.25
 
 	minSuspension     = 500 * time.Millisecond // doubles with each further failure
 	maxSuspension     = 8 * time.Second
