--- a/internal/link/harness_tcp_test.go
+++ b/internal/link/harness_tcp_test.go
@@ -29,9 +29,14 @@
 	if err != nil {
 		w.T.Fatal(err)
 	}
+	return w.connectToAddress(sa)
+}
+
+// connectToAddress gives the far end of a TCP connection.
+func (w *harness) connectToAddress(sockaddr unix.Sockaddr) *peer {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
-		err = unix.Connect(fd, sa)
+		err = unix.Connect(fd, sockaddr)
 	}
 	if err == nil {
 		err = unix.SetNonblock(fd, true)
@@ -117,23 +122,3 @@
 	return fmt.Sprintf("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: %d\r\nX-Caller: t\r\nContent-Length: %d\r\n\r\n%s",
 		n, size, strings.Repeat("x", size))
 }
-
-// readToEnd takes in all up to the end of the connection, a little at a time; a reset is an error.
-func (w *harness) readToEnd(p *peer) error {
-	b := make([]byte, 1<<10)
-	for range 100_000 {
-		n, err := unix.Read(p.fd, b)
-		switch {
-		case errors.Is(err, unix.EAGAIN):
-			w.runOnce()
-		case err != nil:
-			return err
-		case n == 0:
-			p.ended = true
-			return nil
-		default:
-			p.received = append(p.received, b[:n]...)
-		}
-	}
-	return errors.New("no end comes")
-}
