--- a/dispatch/leaseexchange.go
+++ b/dispatch/leaseexchange.go
@@ -25,7 +25,8 @@
 	client      leaseClient
 	coordinator leaseCoordinator
 	directory   peerDirectory
-	ownMessages []PeerMessage // to this dispatcher itself, not handled yet
+	ownMessages []PeerMessage      // to this dispatcher itself, not handled yet
+	grants      []addressedMessage // buffer of grantWaiting
 }
 
 // actionEmitter appends an action to those of the present step.
@@ -137,9 +138,11 @@
 }
 
 func (l *leaseExchange) grantWaiting(now time.Duration) {
-	for _, grant := range l.coordinator.grantWaiting(now) {
+	l.grants = l.coordinator.grantWaiting(now, l.grants[:0])
+	for _, grant := range l.grants {
 		l.send(grant.to, grant.message)
 	}
+	clear(l.grants)
 }
 
 // maintain sends reports that are due and frees expired leases. It is called every maintenanceInterval.
--- a/dispatch/leasewaiting.go
+++ b/dispatch/leasewaiting.go
@@ -68,11 +68,11 @@
 	})
 }
 
-// grantWaiting grants waiting requests, in their order, and returns the grants to send. It evaluates them
-// only if slots may have become free.
-func (l *leaseCoordinator) grantWaiting(now time.Duration) (granted []addressedMessage) {
+// grantWaiting grants waiting requests, in their order, and returns dst with the grants to send appended. It
+// evaluates them only if slots may have become free.
+func (l *leaseCoordinator) grantWaiting(now time.Duration, dst []addressedMessage) []addressedMessage {
 	if l.nothingFreed || len(l.waiting) == 0 {
-		return nil
+		return dst
 	}
 	l.nothingFreed = true
 	slices.SortStableFunc(l.waiting, func(a, b *waitingRequest) int { return compareWaiting(now, a, b) })
@@ -86,10 +86,10 @@
 			return false
 		}
 		answer := l.grantedAnswer(now, lease, waiting.request.Shard)
-		granted = append(granted, addressedMessage{to: lease.key.peer, message: answer})
+		dst = append(dst, addressedMessage{to: lease.key.peer, message: answer})
 		return true
 	})
-	return granted
+	return dst
 }
 
 // grantWaitingRequest grants a waiting request; nil: it can't. ungranted has, by shape, the last request that
