--- a/internal/requests/attempt.go
+++ b/internal/requests/attempt.go
@@ -61,7 +61,7 @@
 	state              attemptState
 	result             dispatch.Result // once it has ended
 	cancelReason       Reason          // while it is being cancelled
-	ambiguousCallbacks bool            // a callback of its endpoint may be about an earlier attempt there; callbacks have no attempt number
+	ambiguousCallbacks bool            // a callback of its endpoint may be about an earlier attempt there; callbacks have no number
 }
 
 // HasEnded reports whether the attempt has an outcome. A late callback about an earlier attempt at the same endpoint can end this
--- a/internal/requests/policy.go
+++ b/internal/requests/policy.go
@@ -1,7 +1,6 @@
 package requests
 
 import (
-	"fmt"
 	"runtime/debug"
 	"time"
 
@@ -113,9 +112,3 @@
 	p.actionBuffer = nil
 	p.discardEvents()
 }
-
-// logPanic logs a panic of the policy. openRequests is how many requests fail because of it.
-func (t *Table) logPanic(panicked *policyPanic, openRequests int) {
-	t.logger.Error("policy panic: policy restarted", "panic", fmt.Sprint(panicked.cause), "failed", openRequests,
-		"stack", string(panicked.stack))
-}
--- a/internal/requests/requestindex.go
+++ b/internal/requests/requestindex.go
@@ -4,6 +4,9 @@
 	"cmp"
 	"maps"
 	"slices"
+	"time"
+
+	"valvecove/dispatch"
 )
 
 // requestIndex holds the requests of a table, and finds them by ID and, while they are open, by call ID.
@@ -65,3 +68,26 @@
 func (r *requestIndex) inAdmissionOrder() []*Request {
 	return slices.SortedFunc(maps.Values(r.byID), func(a, b *Request) int { return cmp.Compare(a.ID, b.ID) })
 }
+
+// resumedJobs returns the events by which a policy receives the open requests of another process, with their attempts.
+func (r *requestIndex) resumedJobs(now time.Duration) []dispatch.Event {
+	var events []dispatch.Event
+	for _, request := range r.inAdmissionOrder() {
+		if request.IsClosed() {
+			continue
+		}
+		job := request.Job
+		job.Remaining = max(0, request.Deadline-now)
+		resumed := dispatch.JobResumed{Job: job, Age: now - request.ArrivedAt, QuotaCharged: true}
+		for _, attempt := range request.attempts {
+			resumed.Attempts = append(resumed.Attempts, dispatch.PastAttempt{
+				Worker:  attempt.Worker,
+				SentAgo: now - max(request.ArrivedAt, request.FirstSentAt),
+				Ended:   attempt.HasEnded(),
+				Result:  attempt.result,
+			})
+		}
+		events = append(events, resumed)
+	}
+	return events
+}
--- a/internal/requests/step.go
+++ b/internal/requests/step.go
@@ -68,7 +68,7 @@
 func (t *Table) runPolicy(now time.Duration) {
 	actions, panicked := t.policy.decide(now)
 	if panicked != nil {
-		t.logPanic(panicked, t.OpenCount())
+		t.policyLog.logPanic(panicked, t.OpenCount())
 		t.restartPolicy()
 		return
 	}
@@ -132,6 +132,6 @@
 			t.TellPeer(action.To, action.Message)
 		}
 	case dispatch.Log, dispatch.WorkerEjected:
-		t.logPolicyAction(action)
+		t.policyLog.logAction(action)
 	}
 }
--- a/internal/requests/table.go
+++ b/internal/requests/table.go
@@ -17,12 +17,12 @@
 
 	maxAttempts int // of a request
 	transport   Transport
-	logger      *slog.Logger
 	observers   observerList
 
 	requests   requestIndex
 	attempts   attemptIndex
 	policy     policyRunner
+	policyLog  policyLog
 	endpoints  endpointSet
 	cordons    cordonSet
 	awaitUntil time.Duration // the policy waits for the endpoint list until then; 0: it doesn't
@@ -37,7 +37,6 @@
 	table := &Table{
 		maxAttempts: maxAttempts,
 		transport:   transport,
-		logger:      logger,
 		observers:   observerList{logger: logger},
 		requests:    newRequestIndex(),
 		attempts:    newAttemptIndex(),
@@ -45,6 +44,7 @@
 		endpoints:   newEndpointSet(names, logger),
 		cordons:     cordonSet{},
 	}
+	table.policyLog = policyLog{logger: logger, endpoints: &table.endpoints}
 	known.Reset = true
 	table.applyEndpoints(known, dispatch.ListCached)
 	return table
--- a/internal/requests/takeover.go
+++ b/internal/requests/takeover.go
@@ -30,7 +30,7 @@
 		t.policy.replace(policy)
 	} else {
 		t.policy.restoreTimer(max(1, now)) // the current policy may have set a timer: it is woken too early rather than never
-		t.policy.addEvents(t.resumedJobs(now))
+		t.policy.addEvents(t.requests.resumedJobs(now))
 	}
 	t.resumeCancellations()
 }
@@ -97,29 +97,6 @@
 	}
 }
 
-// resumedJobs returns the events by which a policy receives the open requests of another process, with their attempts.
-func (t *Table) resumedJobs(now time.Duration) []dispatch.Event {
-	var events []dispatch.Event
-	for _, request := range t.requests.inAdmissionOrder() {
-		if request.IsClosed() {
-			continue
-		}
-		job := request.Job
-		job.Remaining = max(0, request.Deadline-now)
-		resumed := dispatch.JobResumed{Job: job, Age: now - request.ArrivedAt, QuotaCharged: true}
-		for _, attempt := range request.attempts {
-			resumed.Attempts = append(resumed.Attempts, dispatch.PastAttempt{
-				Worker:  attempt.Worker,
-				SentAgo: now - max(request.ArrivedAt, request.FirstSentAt),
-				Ended:   attempt.HasEnded(),
-				Result:  attempt.result,
-			})
-		}
-		events = append(events, resumed)
-	}
-	return events
-}
-
 // resumeCancellations repeats the cancellations that the other process had started and not completed.
 func (t *Table) resumeCancellations() {
 	for _, request := range t.requests.inAdmissionOrder() {
