--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -24,7 +24,7 @@
 		return nil
 	}
 	job := d.newJob(arrival, age)
-	d.arrivals.observe(job.class.PriorityWeight, d.warmUpCost(job))
+	d.arrivals.observe(job.class.PriorityWeight, d.workload.warmUpCost(job))
 	d.jobs[arrival.ID] = job
 	d.checks.earn(d.settings.HealthCheckCost, len(d.fleet.workers))
 	job.bindTimers()
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -75,7 +75,7 @@
 		}
 		s.take()
 		s.step(Uncordoned{Worker: 1})
-		share := s.d.warmUpShare(s.d.fleet.byID[1])
+		share := s.d.fleet.byID[1].warmUpShare(&s.d.settings, s.d.now)
 		if isListed && (share < 0.35 || share > 0.37) || !isListed && share > 0.21 {
 			t.Errorf("its start is listed: %v; taken to have %v of its capacity", isListed, share)
 		}
--- a/dispatch/estimates.go
+++ b/dispatch/estimates.go
@@ -21,7 +21,7 @@
 // observeSlots notes that so many slots of a worker were free or running at once.
 func (d *Dispatcher) observeSlots(w *workerInfo, slots float64) {
 	kind := d.workload.machineKind(w.Kind)
-	if d.warmUpShare(w) == 1 && slots > kind.maxSlots {
+	if w.warmUpShare(&d.settings, d.now) == 1 && slots > kind.maxSlots {
 		kind.maxSlots = slots
 		kind.lateOverflows = 0
 	}
--- a/dispatch/hedging.go
+++ b/dispatch/hedging.go
@@ -50,7 +50,7 @@
 	if d.settings.Replicas <= manyReplicas {
 		return 1
 	}
-	return min(1, d.arrivals.relativeCost(d.warmUpCost(j)))
+	return min(1, d.arrivals.relativeCost(d.workload.warmUpCost(j)))
 }
 
 // chargeHedge adds tokens for an attempt, and takes those of a hedge or retry for one that is not its
--- a/dispatch/learning.go
+++ b/dispatch/learning.go
@@ -22,7 +22,7 @@
 	}
 	job, worker := attempt.job, attempt.worker
 	d.workload.observeOverrun(job.Class, run.Seconds(), attempt.expectedRun.Seconds())
-	if d.warmUpShare(worker) < 1 {
+	if worker.warmUpShare(&d.settings, d.now) < 1 {
 		return
 	}
 	runLog := math.Log(max(run.Seconds(), minWorkSeconds))
--- a/dispatch/leaseadapter.go
+++ b/dispatch/leaseadapter.go
@@ -24,7 +24,7 @@
 }
 
 // warmUpWork implements leasedJobs.
-func (l *leaseAdapter) warmUpWork(job *jobInfo) float64 { return l.dispatcher.warmUpCost(job) }
+func (l *leaseAdapter) warmUpWork(job *jobInfo) float64 { return l.dispatcher.workload.warmUpCost(job) }
 
 // allWorkers implements workerLookup.
 func (l *leaseAdapter) allWorkers() []*workerInfo { return l.dispatcher.fleet.workers }
@@ -42,7 +42,7 @@
 
 // isWarmingUp implements workerCapacity.
 func (l *leaseAdapter) isWarmingUp(worker *workerInfo) bool {
-	return l.dispatcher.warmUpShare(worker) < 1
+	return worker.warmUpShare(&l.dispatcher.settings, l.dispatcher.now) < 1
 }
 
 // warmUpLeaseBudget implements workerCapacity.
--- a/dispatch/leasecoordinator_test.go
+++ b/dispatch/leasecoordinator_test.go
@@ -195,7 +195,7 @@
 		}
 	}
 	worker := s.d.fleet.byID[1]
-	share := s.d.warmUpShare(worker)
+	share := worker.warmUpShare(&s.d.settings, s.d.now)
 	rule := s.d.settings.OverloadFactor * kindSlots * share * s.d.settings.OverloadWindow.Seconds()
 	unleased := s.d.warmUpBudget(worker)
 	t.Logf("leased %.3f, without leases up to %.3f, of %.3f", leased, unleased, rule)
--- a/dispatch/prediction.go
+++ b/dispatch/prediction.go
@@ -73,5 +73,5 @@
 
 // expectedRun returns a job's run time on a worker at present.
 func (d *Dispatcher) expectedRun(j *jobInfo, w *workerInfo) time.Duration {
-	return seconds(j.work / (w.speed.factor * d.warmUpShare(w)))
+	return seconds(j.work / (w.speed.factor * w.warmUpShare(&d.settings, d.now)))
 }
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -53,13 +53,13 @@
 // warmUpAllows tells whether a worker may be sent a job by its slow start: what is sent to a warming
 // worker, rejected jobs too, stays within this dispatcher's part of the worker's budget.
 func (d *Dispatcher) warmUpAllows(job *jobInfo, worker *workerInfo) bool {
-	if d.warmUpShare(worker) >= 1 {
+	if worker.warmUpShare(&d.settings, d.now) >= 1 {
 		worker.slowStart.sent = nil
 		return true
 	}
 	window := d.settings.OverloadWindow
 	worker.slowStart.sent.expire(window, d.now)
-	cost := d.warmUpCost(job)
+	cost := d.workload.warmUpCost(job)
 	work := worker.slowStart.sent.plus(cost, window, d.now)
 	budget := d.warmUpBudget(worker)
 	rank, assignees := d.assigneeRank(worker)
@@ -74,10 +74,10 @@
 // dispatcher sends a warming worker on leases and without, whatever its coordinator grants, to the
 // budget of all dispatchers.
 func (d *Dispatcher) warmUpAllowsLease(job *jobInfo, worker *workerInfo) bool {
-	if d.warmUpShare(worker) >= 1 {
+	if worker.warmUpShare(&d.settings, d.now) >= 1 {
 		return true
 	}
-	work := worker.slowStart.sent.plus(d.warmUpCost(job), d.settings.OverloadWindow, d.now)
+	work := worker.slowStart.sent.plus(d.workload.warmUpCost(job), d.settings.OverloadWindow, d.now)
 	return work <= d.warmUpBudget(worker)
 }
 
@@ -96,7 +96,7 @@
 	for _, worker := range d.fleet.workers {
 		worker.slowStart.ticketStart = start
 		worker.slowStart.ticketWidth = 0
-		share := d.warmUpShare(worker)
+		share := worker.warmUpShare(&d.settings, d.now)
 		if worker.Ready && share < 1 && worker.Assignees == 0 && d.settings.Replicas > 1 {
 			fraction := min(1, warmUpBudgetFraction*d.settings.OverloadFactor)
 			worker.slowStart.ticketWidth = fraction * share / float64(ready)
@@ -109,7 +109,7 @@
 // the fewer tickets count; a job that would use up the worker's whole budget has no chance. A job draws
 // once.
 func (d *Dispatcher) drawsTicketOf(worker *workerInfo, job *jobInfo) bool {
-	cost := d.warmUpCost(job)
+	cost := d.workload.warmUpCost(job)
 	tickets := &worker.slowStart
 	takesPart := tickets.ticketWidth != 0 && !job.wasSentTo(worker) && len(tickets.sent) == 0
 	if !takesPart || cost > d.warmUpBudget(worker) {
@@ -125,8 +125,8 @@
 // recordWarmUpWork adds an attempt to the work that its worker has been sent, if that is warming up.
 func (d *Dispatcher) recordWarmUpWork(attempt *attemptInfo) {
 	worker := attempt.worker
-	if d.warmUpShare(worker) < 1 {
-		sample := workSample{at: attempt.sentAt, work: d.warmUpCost(attempt.job)}
+	if worker.warmUpShare(&d.settings, d.now) < 1 {
+		sample := workSample{at: attempt.sentAt, work: d.workload.warmUpCost(attempt.job)}
 		worker.slowStart.sent = append(worker.slowStart.sent, sample)
 	}
 }
@@ -136,13 +136,13 @@
 
 // warmUpShare returns the least fraction of its full capacity that a worker has, by the time since its
 // start; 1 if it has warmed up.
-func (d *Dispatcher) warmUpShare(worker *workerInfo) float64 {
-	start := worker.warmUpStart()
-	if start <= 0 || d.settings.WarmUp <= 0 || d.now-start >= d.settings.WarmUp {
+func (w *workerInfo) warmUpShare(settings *Settings, now time.Duration) float64 {
+	start := w.warmUpStart()
+	if start <= 0 || settings.WarmUp <= 0 || now-start >= settings.WarmUp {
 		return 1
 	}
-	age := max(0, (d.now - start).Seconds())
-	share := d.settings.WarmUpCapacity + (1-d.settings.WarmUpCapacity)*age/d.settings.WarmUp.Seconds()
+	age := max(0, (now - start).Seconds())
+	share := settings.WarmUpCapacity + (1-settings.WarmUpCapacity)*age/settings.WarmUp.Seconds()
 	return max(minWarmUpShare, share)
 }
 
@@ -151,13 +151,13 @@
 // number of slots seen on its kind.
 func (d *Dispatcher) warmUpBudget(worker *workerInfo) float64 {
 	kind := d.workload.machineKind(worker.Kind)
-	capacity := max(1, kind.maxSlots) * math.Exp(kind.logSpeed) * d.warmUpShare(worker)
+	capacity := max(1, kind.maxSlots) * math.Exp(kind.logSpeed) * worker.warmUpShare(&d.settings, d.now)
 	return warmUpBudgetFraction * d.settings.OverloadFactor * capacity * d.settings.OverloadWindow.Seconds()
 }
 
 // warmUpCost returns what a job counts against such a budget.
-func (d *Dispatcher) warmUpCost(job *jobInfo) float64 {
-	return job.work * job.Slots * d.workload.overrunRatio[job.Class]
+func (m *workloadModel) warmUpCost(job *jobInfo) float64 {
+	return job.work * job.Slots * m.overrunRatio[job.Class]
 }
 
 // assigneeRank returns this dispatcher's place, from 0, among those that may send jobs to a warming
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -41,11 +41,11 @@
 	s.step(s.done(1, 0, 1, ConnectionReset))
 	s.wait(6 * time.Second)
 	s.step(HealthChecked{Worker: 1, Result: OK})
-	if got := s.d.warmUpShare(s.d.fleet.byID[1]); got > 0.21 {
+	if got := s.d.fleet.byID[1].warmUpShare(&s.d.settings, s.d.now); got > 0.21 {
 		t.Fatalf("a worker that came back is taken to have %v of its capacity", got)
 	}
 	s.wait(21 * time.Second)
-	if got := s.d.warmUpShare(s.d.fleet.byID[1]); got != 1 {
+	if got := s.d.fleet.byID[1].warmUpShare(&s.d.settings, s.d.now); got != 1 {
 		t.Fatalf("it is taken to have %v of its capacity after the warm-up", got)
 	}
 }
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -189,7 +189,7 @@
 // without any event.
 func (d *Dispatcher) reindex(worker *workerInfo) {
 	worker.index.dirty = false
-	warmingUp := d.warmUpShare(worker) < 1
+	warmingUp := worker.warmUpShare(&d.settings, d.now) < 1
 	if d.fleet.contains(worker) && worker.mayHaveCapacity(d.now) {
 		key := bucketKey{
 			zone:      worker.Zone,
@@ -245,7 +245,7 @@
 	slots := 0.0
 	for _, w := range d.fleet.workers {
 		if w.Ready && d.now >= w.backoff.until && !d.outliers.isEjected(w) {
-			slots += max(0, min(w.slots.limit, d.maxSlots(w))*d.warmUpShare(w)-w.slots.used)
+			slots += max(0, min(w.slots.limit, d.maxSlots(w))*w.warmUpShare(&d.settings, d.now)-w.slots.used)
 		}
 	}
 	return slots
