--- a/dispatch/attempts_test.go
+++ b/dispatch/attempts_test.go
@@ -19,7 +19,7 @@
 		t.Fatalf("expected one hedge on the other worker, got %v", moved)
 	}
 	s.step(Started{Job: 1, Attempt: 1, Worker: moved[0].Worker})
-	// Incident: the waiting attempt was cancelled and forgotten, while the worker went on with it. The next job went behind it.
+	// Incident: the waiting attempt was cancelled and forgotten, while the worker went on with it. The next job was queued behind it.
 	s.step(s.done(1, 1, moved[0].Worker, OK), s.job(2, 0, 600*ms), s.job(3, 0, 600*ms))
 	for _, a := range s.take() {
 		if c, ok := a.(Cancel); ok {
@@ -138,8 +138,8 @@
 	}
 }
 
-// A repeat arrives within the window, to the last instant at which it is chosen: its connection may take the whole time for one,
-// the process may be held up, and the request may go in parts.
+// A repetition reaches its worker within the deduplication window even if it is chosen at the last instant: opening the
+// connection may take its whole timeout, the process may stall, and the request may be written in parts.
 func TestRepeatArrivesWithinItsWindow(t *testing.T) {
 	const inParts = 50 * ms
 	for _, window := range []time.Duration{500 * ms, time.Second, 2 * time.Second, 20 * time.Second} {
@@ -157,14 +157,14 @@
 		if latest+set.ConnectTimeout+longestHold+inParts >= window {
 			t.Errorf("window %v: chosen %v after the first attempt", window, latest)
 		}
-		if least := window/2 - set.ConnectTimeout; latest < least { // no more of it is given away than has to be
+		if least := window/2 - set.ConnectTimeout; latest < least { // the margin is no greater than it has to be
 			t.Errorf("window %v: given up after %v", window, latest)
 		}
 	}
 }
 
-// Of many dispatchers none rejects what is in flight and unstarted past its objective: it runs all the same, and its client would
-// come again at another. It ends by its deadline, or once its attempt has ended.
+// One of many dispatchers does not reject a job that is in flight and unstarted after its objective has passed: it runs all
+// the same, and its client would retry at another. It is closed at its deadline, or when its attempt has ended.
 func TestManyReplicasKeepAttemptsInFlight(t *testing.T) {
 	for _, full := range []bool{false, true} {
 		set := testSettings()
@@ -188,8 +188,8 @@
 	}
 }
 
-// Of many dispatchers, a short idempotent job is hedged when its start is late, also where its worker gets on with others: nobody
-// knows what others have queued there. A long one is not, and a non-idempotent one never is.
+// With many dispatchers a short idempotent job is hedged when its start is late, also if its worker progresses with other jobs:
+// no dispatcher sees what the others have queued there. A long one is not, and a non-idempotent one never is.
 func TestShortJobsAreHedgedWithManyReplicas(t *testing.T) {
 	for _, c := range []struct {
 		class  int
@@ -204,7 +204,7 @@
 		w := taken[Send](s)[0].Worker
 		s.step(s.job(2, c.class, c.hint))
 		other := taken[Send](s)
-		for range 8 { // whoever has the first gets on with others
+		for range 8 { // the worker of the first progresses with other jobs
 			s.step(Progressed{Job: 2, Worker: other[0].Worker, Share: 0.1})
 			s.d.fleet.byID[w].activity.progressAt = s.d.now
 			s.wait(50 * ms)
@@ -219,8 +219,8 @@
 	}
 }
 
-// A job that waits at a worker which gets on with others is queued there, not lost: it is not hedged, however late.
-// Only where the worker has given no sign of work since is it sent elsewhere.
+// A job that waits at a worker which progresses with other jobs is queued there, not lost: it is not hedged, however late.
+// It is sent to another worker only if its own has shown no progress since.
 func TestAttemptQueuedAtABusyWorkerIsNotHedged(t *testing.T) {
 	for _, works := range []bool{true, false} {
 		s := newHarness(t, testSettings())
@@ -248,7 +248,7 @@
 	}
 }
 
-// A run that takes longer than expected and notifies of its progress is only long; one that falls silent is hedged.
+// A run that takes longer than expected and notifies of its progress is only long; one that becomes silent is hedged.
 func TestLongRunIsNotHedged(t *testing.T) {
 	for _, notifies := range []bool{true, false} {
 		set := testSettings()
@@ -269,7 +269,7 @@
 	}
 }
 
-// The hedges saved up by many dispatchers together are no more than those of a few: they would feed an overload else.
+// The hedges saved up by many dispatchers together are no more than those of a few: otherwise they would add to an overload.
 func TestHedgeTokensOfManyReplicas(t *testing.T) {
 	for of, want := range map[int]float64{1: 10, 3: 10, 6: 5, 36: 1} {
 		set := testSettings()
@@ -280,8 +280,8 @@
 	}
 }
 
-// Found by a search: where hedging is off, a job that ran for too long was cancelled so that it could move, and rejected in the
-// same instant, as its objective had passed. It goes on instead.
+// Found by randomised search: with hedging off, a job that ran for too long was cancelled in order to be sent to another worker, and
+// rejected at the same instant, as its objective had passed. Now it goes on.
 func TestRunningJobPastItsObjectiveIsNotGivenUp(t *testing.T) {
 	set := testSettings()
 	set.Hedging = false
--- a/dispatch/capacity_test.go
+++ b/dispatch/capacity_test.go
@@ -16,7 +16,7 @@
 	}
 	expectLimit(1)
 	s.busy(1)
-	expectLimit(2) // a prompt start, and the limit was what bound us
+	expectLimit(2) // a prompt start of an attempt that the limit had bound
 	s.busy(2)
 	expectLimit(3)
 	s.busy(3)
@@ -38,7 +38,7 @@
 	}
 }
 
-// Incident: a mean of start delays rose with the queues it was to show, so that no start ever counted as late.
+// Incident: the prompt start followed a mean of start delays. The mean rose with the queues, so that no start counted as late.
 func TestPromptStartBoundDoesNotRiseWithDelays(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -72,7 +72,7 @@
 	expectJobs(t, taken[Send](s), 2)
 }
 
-// A worker that leaves an attempt of ours unstarted has a queue.
+// A worker that does not start an attempt in time has a queue.
 func TestNoSendBehindAnUnstartedAttempt(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -84,7 +84,8 @@
 	expectJobs(t, taken[Send](s))
 }
 
-// Incident: a report that rides on an outcome predates it, and the freed slot read as taken blocked the worker.
+// Incident: the load report of an outcome is older than the outcome. The slot that was released counted as used, and the worker
+// was sent nothing.
 func TestLoadReportPredatesTheOutcomeItComesWith(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -103,12 +104,12 @@
 	s.workers(1)
 	s.step(HealthChecked{Worker: 1, Result: OK, Report: []float64{0}}, s.job(1, 0, 100*ms))
 	expectJobs(t, taken[Send](s))
-	s.wait(2 * time.Second) // the report has grown old
+	s.wait(2 * time.Second) // the report is not fresh any more
 	expectJobs(t, taken[Send](s), 1)
 }
 
-// Where one job ends as the next comes, the next starts promptly though no slot was free when it was sent: the
-// limit drifted past what a worker can run, and jobs waited behind long ones.
+// An attempt that is sent just as another one ends starts promptly, though no slot was free when it was sent: the limit
+// grew past what the worker can run, and jobs waited behind long ones.
 func TestLimitIsBoundedByObservedSlots(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -131,7 +132,8 @@
 	}
 }
 
-// While many of our jobs wait at workers no more are sent; those out of reach are rejected where late answers are worthless.
+// While many jobs of the dispatcher wait at workers no more are sent. Those whose objective is unreachable are rejected where
+// late answers have no utility.
 func TestJobsDoNotQueueAtWorkers(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(30)
@@ -158,9 +160,9 @@
 	}
 }
 
-// Found by a search: of 351 workers five hung. The jobs in flight there were more than half of all that ran, which looked like a
-// fleet whose queues are full, and for a second nothing was sent to the others. One goes all the same, and the next once that
-// has started.
+// Found by randomised search: five of 351 workers hung. The jobs in flight there were more than half of all that ran, which looked like a
+// fleet whose queues are full, and for a second nothing was sent to the other workers. Now one job is sent all the same, and
+// the next once that has started.
 func TestFewFaultyWorkersDoNotStopTheFleet(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(20)
@@ -178,8 +180,8 @@
 	expectJobs(t, taken[Send](s), 6)
 }
 
-// Found by a search: where starts are not notified, an answer later than the objective by its hint counted as late, so that with
-// hints that were too low all were, and each worker was backed off from for longer each time.
+// Found by randomised search: without notifications of starts, an answer later than the objective by the hint counted as late. With hints that
+// were too low all did, and the backoff of each worker grew each time.
 func TestLowHintsCauseNoBackoff(t *testing.T) {
 	set := scaleSettings()
 	set.StartNotifications = false
@@ -197,7 +199,7 @@
 	}
 }
 
-// Found by a search: a first job of two slots left a worker with a limit of two, and nothing more was sent there until it ended.
+// Found by randomised search: a first job of two slots left a worker with a limit of two, and nothing more was sent there until it ended.
 func TestLimitGrowsBeyondRunningSlots(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -208,7 +210,7 @@
 	expectJobs(t, taken[Send](s), 1, 2)
 }
 
-// Found by a search: one job of four slots that waited at a worker stopped all sends, as if most of what was in flight did.
+// Found by randomised search: one job of four slots that waited at a worker stopped all dispatch, as if most attempts in flight were waiting.
 func TestLateWideJobCountsOnce(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(10)
@@ -221,8 +223,9 @@
 	expectJobs(t, taken[Send](s), 3, 4)
 }
 
-// Found by a search: hedges of jobs with a key were dropped as repeats by the cells that had the first attempts, and no start was
-// notified. Each looked like a queue, and its worker was sent nothing more: in a cell with one worker that hung, all others idled.
+// Found by randomised search: hedges of jobs with a key were dropped as repetitions by the cells that had the first attempts, and no start was
+// notified. Each looked like a queue, and its worker was sent nothing more: in a cell with one worker that hung, all other
+// workers were idle.
 func TestDeduplicatedAttemptIsNoSignOfAQueue(t *testing.T) {
 	set := testSettings()
 	set.Classes[1].Idempotency, set.Classes[1].DeduplicationScope, set.Classes[1].DeduplicationWindow = IdempotentWithKey, ScopeAll, 20*time.Second
@@ -243,8 +246,8 @@
 	}
 }
 
-// Found by a search: the only dispatcher of a fleet backed off from an idle worker for seconds after a late start, though nobody
-// else's jobs can have been in its way.
+// Found by randomised search: the only dispatcher of a fleet backed off from an idle worker for seconds after a late start, though no other
+// dispatcher's jobs can have delayed it.
 func TestSingleDispatcherNeverBacksOff(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
--- a/dispatch/endpoints_test.go
+++ b/dispatch/endpoints_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// A list that comes though it was not requested anew is from a watch that goes on: none is requested beside it.
+// A list that arrives without a new request is from a watch that is still open: no second one is requested.
 func TestUnsolicitedList(t *testing.T) {
 	set := testSettings()
 	set.MustSubscribe = true
@@ -58,8 +58,8 @@
 	}
 }
 
-// An uncordoned worker warms up from then on, if the list has no later start, and what was in flight there takes none of its
-// slots: else it would stay unused until that has timed out.
+// An uncordoned worker warms up from that instant on, unless the list has a later start, and the attempts that were in flight
+// there use none of its slots: otherwise it would stay unused until they have timed out.
 func TestUncordonedWorkerWarmsUpAndIsUsed(t *testing.T) {
 	for _, isListed := range []bool{false, true} {
 		set := testSettings()
@@ -79,13 +79,13 @@
 		if isListed && (share < 0.35 || share > 0.37) || !isListed && share > 0.21 {
 			t.Errorf("its start is listed: %v; taken to have %v of its capacity", isListed, share)
 		}
-		s.wait(3 * time.Second) // past the window in which nothing of ours is known to have been sent
+		s.wait(3 * time.Second) // past the window in which what was sent before is unknown
 		s.step(s.job(7, 0, 10*ms))
 		expectJobs(t, taken[Send](s), 7)
 	}
 }
 
-// With every listed worker cordoned there is none to wait for: a job is rejected at once, and served again after an uncordon.
+// With every listed worker cordoned a job is rejected at once, and served again after one is uncordoned.
 func TestAllWorkersCordoned(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(2)
@@ -97,8 +97,8 @@
 	expectJobs(t, taken[Send](s), 2)
 }
 
-// An uncordoned worker is used soon, also by a dispatcher that is not among the owners of its warm-up budget, and by a job that
-// would be late there if no other comes.
+// An uncordoned worker is used soon, also by a dispatcher that is not among the assignees of its warm-up budget, and by a job that
+// would be late there if no other arrives.
 func TestUncordonedWorkerIsNotLeftIdle(t *testing.T) {
 	set := testSettings()
 	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
@@ -120,11 +120,11 @@
 	}
 }
 
-// Many dispatchers that start together with a cached list, or lose it together, do not all request it at once: the service that
-// answers in turn would have all of them wait too long. A few dispatchers do, and so does one without any list.
+// Many dispatchers that start together with a cached list, or lose it together, do not all request it at once: the service answers
+// in turn, and all of them would wait too long. A few dispatchers do, and so does one without any list.
 func TestManyReplicasSubscribeAtDifferentTimes(t *testing.T) {
 	for _, c := range []struct {
-		of, soon int // of 40 dispatchers so many subscribe within half a second, at most
+		of, soon int // dispatchers, and how many of 40 subscribe within half a second at most
 		list     []Worker
 	}{{40, 12, []Worker{{ID: 1, Ready: true}}}, {2, 40, []Worker{{ID: 1, Ready: true}}}, {40, 40, nil}} {
 		set := testSettings()
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// fleet is a fleet of workers in which every job takes the same time, and the dispatcher that serves it. Its queue is
-// a ring of instants: the model must cost next to nothing beside what it drives.
+// fleet simulates workers on which every job takes the same time, with the dispatcher that sends them jobs. Its events are in
+// queues by kind, so that the simulation costs little beside the dispatcher.
 type fleet struct {
 	d           *Dispatcher
 	now         time.Duration
 	run         time.Duration // of a job
-	noise       float64       // runs vary evenly by so much, as a part of it
+	noise       float64       // runs vary evenly by this fraction
 	rng         *rand.Rand
-	hint        float64      // what is hinted, as a multiple of it
+	hint        float64      // as a multiple of the run time
 	notice      bool         // starts are notified
 	events      [3]eventLine // starts, ends, and the rest: each in order of time, or nearly
 	acts        []Action
@@ -90,7 +90,7 @@
 	}
 }
 
-// next lets time pass to what is due next, and has the dispatcher notified. Where a job ended it returns the worker.
+// next advances to the next event and notifies the dispatcher of it. If it is the end of a job its worker is returned.
 func (f *fleet) next() (worker uint64) {
 	var q *eventLine
 	for i := range f.events {
@@ -98,7 +98,7 @@
 			q = o
 		}
 	}
-	if q == nil { // nothing but time passes
+	if q == nil { // no event is due
 		f.now += 10 * ms
 		f.step(TimerFired{})
 		return 0
@@ -134,7 +134,7 @@
 	f.step(Job{ID: f.lastID, Class: 0, Remaining: 5 * time.Second, Hint: time.Duration(float64(f.run) * f.hint), Slots: 1})
 }
 
-// BenchmarkStep is the whole life of one job: it comes, goes, starts and ends. A tenth of the fleet's slots are in use.
+// BenchmarkStep measures the whole life of one job: arrival, dispatch, start and end. A tenth of the fleet's slots are in use.
 func BenchmarkStep(b *testing.B) {
 	for _, nodes := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -172,7 +172,7 @@
 	}
 }
 
-// BenchmarkDelta is a change of one worker of many.
+// BenchmarkDelta measures the change of one worker of many.
 func BenchmarkDelta(b *testing.B) {
 	for _, nodes := range []int{10, 10000} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -186,7 +186,7 @@
 	}
 }
 
-// pass lets one job end, and another come in its place.
+// pass has one job end, and another arrive in its place.
 func (f *fleet) pass() {
 	for n := f.done; n == f.done; {
 		f.next()
@@ -194,8 +194,8 @@
 	f.job()
 }
 
-// serve has clients that each wait for their answer and send the next job at once, 10 ms later if they were rejected. It runs for
-// so long, and counts from the first second on.
+// serve runs a number of clients for a time. Each waits for its answer and sends the next job at once, or 10 ms later after a
+// rejection. Counts begin after the first second.
 func (f *fleet) serve(clients int, length time.Duration) (served int, perWorker map[uint64]int) {
 	perWorker = map[uint64]int{}
 	end, from := f.now+length, f.now+time.Second
--- a/dispatch/jobs.go
+++ b/dispatch/jobs.go
@@ -29,14 +29,14 @@
 	closed       bool // it has had its final answer, or needs none
 	streaming    bool // its response has begun
 	recheckOnEnd bool // it was in flight when its objective passed, and is looked at again when an attempt ends
-	inPromotions bool          // it has an entry in byPromotion of its demand class
+	inPromotions bool // it has an entry in byPromotion of its demand class
 	attempts     []*attemptInfo
 	inFlight     int // attempts
 
-	demandClass  int           // index in the queue
-	heapIndex    int           // in byScore of its demand class; -1: it is not queued
-	promoteAt    time.Duration // when it has been queued for tau
-	skipCount    int           // dispatch cycles that ended because it and others fitted no worker
+	demandClass int           // index in the queue
+	heapIndex   int           // in byScore of its demand class; -1: it is not queued
+	promoteAt   time.Duration // when it has been queued for tau
+	skipCount   int           // dispatch cycles that ended because it and others fitted no worker
 
 	leases jobLeases
 
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Where connections break now and then, a worker is not ejected for one of them, nor for a health check that a stale connection
-// lost; two in a row, or one under a job that had started, are its own.
+// A worker is not ejected for one broken connection, nor for a health check that was lost on a stale connection. It is for two
+// in a row, or for one that breaks after a job has started on it.
 func TestSingleConnectionFailureEjectsNoWorker(t *testing.T) {
 	for _, c := range []struct {
 		outcomes func(s *harness)
@@ -55,8 +55,8 @@
 	}
 }
 
-// Workers may drop a job with very little time left without a word. That is no sign of a queue: such jobs among others leave
-// a worker's limit as it is, and those that have time are sent as before. One that had time and is silent is such a sign.
+// Workers may drop a job with very little remaining time without a notification. That shows no queue: such jobs leave a
+// worker's limit unchanged, and jobs that have time are sent as before. A job that had time and stays silent does show one.
 func TestDroppedJobWithLittleTimeTellsNothing(t *testing.T) {
 	const limit = 8
 	for _, remaining := range []time.Duration{ms, 2 * ms, 5 * ms} {
@@ -87,7 +87,7 @@
 	}
 }
 
-// Incident: late starts had most workers ejected, so that the dead ones counted as healthy too and drew all work.
+// Incident: most workers were ejected for late starts, so that the dead ones counted as healthy too and attracted all jobs.
 func TestBrokenWorkerStaysEjectedWhenMostAre(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(4)
@@ -100,7 +100,8 @@
 	}
 }
 
-// Connections dropped unseen while idle: two jobs that got no answer on idle ones are enough, and others are closed first.
+// Connections were dropped unnoticed while idle: after two jobs without an answer on idle connections the other idle ones are
+// closed before use.
 func TestIdleConnectionsThatLoseRequestsAreClosed(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(3)
@@ -137,7 +138,7 @@
 	}
 }
 
-// A part of the fleet that falls silent at once says nothing of idle connections, as those to the others do well.
+// If a part of the fleet becomes silent at once, idle connections are not at fault, as those to the other workers succeed.
 func TestSilentRackIsNotBlamedOnConnections(t *testing.T) {
 	f := newFleet(100, scaleSettings())
 	f.serve(100, time.Second)
@@ -150,12 +151,12 @@
 	}
 }
 
-// A process that was stalled learns nothing about workers from that time, and ejects none for it.
+// A process that was stalled updates no estimates of workers from that time, and ejects none.
 func TestOwnStallsSayNothingAboutWorkers(t *testing.T) {
 	f := newFleet(20, scaleSettings())
 	f.serve(40, 2*time.Second)
 	before := f.d.fleet.workers[3].speed.log
-	f.now += 2 * time.Second // stalled: what came meanwhile is read late, with our own timer
+	f.now += 2 * time.Second // stalled: the events of this time are read late, together with the caller's timer
 	events := []Event{TimerFired{}}
 	for i := range f.events[:2] {
 		for q := &f.events[i]; q.first < len(q.events); q.first++ {
--- a/dispatch/picker_test.go
+++ b/dispatch/picker_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// A slow worker is avoided while its runs would miss their objectives, and tried again once what is known of it is old.
+// A slow worker is avoided while runs there would miss their objectives, and tried again once its estimated speed has decayed.
 func TestSlowWorkerIsAvoided(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(4)
@@ -57,7 +57,7 @@
 	}
 }
 
-// A job of many slots over tau must not wait for ever while small ones backfill.
+// A job of many slots that has been queued for over tau is sent at some time, though small jobs would take each free slot.
 func TestLargeJobIsNotBackfilledForEver(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(1)
@@ -86,7 +86,7 @@
 }
 
 // Incident: a job of four slots, over tau, was sent to a worker with capacity for one. It waited at the head of
-// that worker's queue and blocked all behind it. Now a worker is reserved for it, and others go elsewhere meanwhile.
+// that worker's queue and blocked all behind it. Now a worker is reserved for it, and other jobs are sent elsewhere meanwhile.
 func TestLargeJobWaitsForCapacity(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(2)
@@ -99,7 +99,7 @@
 	big := s.job(3, 1, 2*time.Second)
 	big.Slots = 4
 	s.step(big)
-	s.wait(4 * time.Second) // far over tau
+	s.wait(4 * time.Second) // much longer than tau
 	expectJobs(t, taken[Send](s))
 	for id := uint64(10); id < 14; id++ {
 		s.step(s.job(id, 0, 20*ms))
@@ -117,7 +117,7 @@
 	}
 }
 
-// A zone with more traffic than its workers can start is left for another, though crossing has a cost.
+// A dispatcher whose zone has more traffic than its workers can start sends jobs to another zone, though crossing has a cost.
 func TestBusyZoneIsAvoided(t *testing.T) {
 	set := testSettings()
 	set.CrossZoneCost = 0.05
@@ -150,8 +150,8 @@
 	}
 }
 
-// Found by a search: a worker was reserved for a large job that waited for a faster one, and idled for seconds while small ones
-// were queued.
+// Found by randomised search: a worker was reserved for a large job that waited for a faster one, and was idle for seconds while small
+// jobs were queued.
 func TestNoTooSlowWorkerIsReserved(t *testing.T) {
 	s := newHarness(t, testSettings())
 	s.workers(2)
@@ -166,7 +166,7 @@
 	expectJobs(t, taken[Send](s), 3)
 }
 
-// A class bound to kinds or zones goes nowhere else, and is closed in time where nothing is open to it.
+// A class restricted to kinds or zones is sent to no other workers, and its jobs are closed in time if there are none.
 func TestPlacement(t *testing.T) {
 	cases := []struct {
 		name         string
@@ -192,7 +192,7 @@
 				{ID: 4, Ready: true, Kind: 1, Zone: 1},
 			}})
 			for id := uint64(1); id <= 8; id++ {
-				s.step(s.job(id, 0, 200*ms)) // nothing starts: retries and hedges follow
+				s.step(s.job(id, 0, 200*ms)) // no attempt starts: retries and hedges follow
 				s.wait(100 * ms)
 			}
 			s.wait(6 * time.Second)
--- a/dispatch/preference_test.go
+++ b/dispatch/preference_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// Health checks go to workers that searches look at, and open no connections to others.
+// Health checks are sent to workers that selections scan, and open no connections to others.
 func TestHealthChecksFollowTheTraffic(t *testing.T) {
 	settings := sharedSettings()
 	settings.HealthChecks, settings.HealthCheckCost = true, 0.004
@@ -43,7 +43,8 @@
 	}
 }
 
-// Dispatchers that prefer some workers each use all alike together, and meet at a worker less often than if each used them all.
+// Dispatchers that prefer some workers each use all workers alike together, and collide at a worker less often than if each
+// used them all.
 // Before there were preferences the busiest worker had 1.15 times the mean here, and 0.20 of the attempts waited for a slot where
 // the load was 0.56.
 func TestDispatchersTogetherUseAllWorkersAlike(t *testing.T) {
@@ -69,8 +70,8 @@
 	}
 }
 
-// The place of each worker in the order follows from the list alone, however it came about, and dispatchers begin at even
-// distances.
+// The place of each worker in the order follows from the latest list alone, not from earlier ones, and dispatchers begin at
+// equal distances.
 func TestPreferencesFollowFromTheList(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	settings := testSettings()
@@ -141,7 +142,7 @@
 	return workers[:preferredWorkers]
 }
 
-// Where none of the preferred workers will do, the job goes to another.
+// If none of the preferred workers is suitable, the job is sent to another.
 func TestOtherWorkersAreFoundWhereNoPreferredOneWillDo(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.workers(400)
@@ -156,7 +157,7 @@
 	}
 }
 
-// A retry goes to a worker that has not had the job, though few are preferred.
+// A retry is sent to a worker that has not had the job, though few are preferred.
 func TestRetryGoesToAnotherPreferredWorker(t *testing.T) {
 	h := newHarness(t, testSettings())
 	h.workers(400)
@@ -195,8 +196,8 @@
 	}
 }
 
-// Whatever happens to a large fleet, the index holds each worker where it says, its levels of steady workers are heaps once
-// searches go by them, and the preferred are the first by preference.
+// After random events on a large fleet the index holds each worker at the place that its entry names, the levels of steady
+// workers are heaps where they are ordered, and the preferred workers are the first by preference.
 func TestIndexStaysOrdered(t *testing.T) {
 	for seed := range uint64(6) {
 		run := &indexRun{t: t, rng: rand.New(rand.NewPCG(seed, 3)), now: time.Hour}
--- a/dispatch/shared_fleet_test.go
+++ b/dispatch/shared_fleet_test.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// sharedFleet is a fleet of workers under several dispatchers that know nothing of each other, in virtual time. It keeps the
-// connections that each has open to each worker, as a pool does that opens one where none is idle and closes those idle for
-// too long.
+// sharedFleet simulates workers under several dispatchers that do not communicate. It models the connections of each dispatcher
+// to each worker, as a pool that opens one when none is idle and closes those that have been idle for too long.
 type sharedFleet struct {
 	settings    Settings
 	slots       int
@@ -31,7 +30,7 @@
 type sharedDispatcher struct {
 	d           *Dispatcher
 	actions     []Action
-	timer       int // counts the timers set: an earlier one that comes due is void
+	timer       int // number of timers set: an earlier one that fires is ignored
 	attempts    map[uint64]int
 	closed      map[uint64]bool
 	connections map[uint64][]time.Duration // by worker: since when each that is open has been idle
@@ -126,7 +125,7 @@
 	}
 }
 
-// connect takes an idle connection, or opens one.
+// connect uses an idle connection, or opens one.
 func (f *sharedFleet) connect(s *sharedDispatcher, worker uint64) {
 	idle := s.connections[worker]
 	for len(idle) > 0 && f.idleTimeout > 0 && f.now-idle[0] >= f.idleTimeout {
@@ -144,7 +143,7 @@
 	s.connections[worker] = append(s.connections[worker], f.now)
 }
 
-// send carries an attempt out: the worker accepts it, and has it wait where all slots are taken.
+// send executes an attempt: the worker accepts it, and queues it if all slots are in use.
 func (f *sharedFleet) send(s *sharedDispatcher, send Send) {
 	number := s.attempts[send.Job]
 	s.attempts[send.Job]++
@@ -181,7 +180,7 @@
 	})
 }
 
-// serve has jobs arrive at each dispatcher at a rate of its own, evenly but for chance, for a while.
+// serve has jobs arrive at each dispatcher for a time, at a rate of its own and at random.
 func (f *sharedFleet) serve(rates func(scheduler int) float64, span time.Duration) {
 	end := f.now + span
 	for index, s := range f.dispatchers {
--- a/dispatch/slowstart_test.go
+++ b/dispatch/slowstart_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Incident: jobs far heavier than their hint overloaded a warming worker; their class is budgeted by what they did.
+// Incident: jobs far heavier than their hint overloaded a warming worker; their class is budgeted by its overrun ratio.
 func TestHeavyClassAvoidsWarmingWorkers(t *testing.T) {
 	set := testSettings()
 	set.WarmUp, set.WarmUpCapacity, set.OverloadFactor, set.OverloadWindow = 20*time.Second, 0.2, 3, 2*time.Second
@@ -18,7 +18,7 @@
 		s.step(WorkerList{Kind: ListFull, Workers: []Worker{{ID: 2, Ready: true, BootAt: boot}}}, s.job(id, 1, 100*ms))
 		return len(taken[Send](s)) == 1
 	}
-	s.step() // a dispatcher spends no warm-up budget in its first window
+	s.step() // a dispatcher sends warming workers nothing in its first window
 	s.now += 10 * time.Second
 	if !warming(1) {
 		t.Fatal("a short job was not sent to a worker half warm")
@@ -61,12 +61,11 @@
 	return sum
 }
 
-// budgetChecker keeps an account of its own of what warming workers of three slots are sent, whose runs take just what was
-// hinted.
+// budgetChecker sums independently what warming workers of three slots are sent. Runs take exactly as long as hinted.
 type budgetChecker struct {
 	*harness
 	rng     *rand.Rand
-	boot    map[uint64]time.Duration // of the workers that warm up
+	boot    map[uint64]time.Duration // of the warming workers
 	spent   map[uint64][]workSample
 	running map[uint64]float64
 	slots   float64 // the most that the dispatcher could see a worker run at once
@@ -95,7 +94,7 @@
 	return c
 }
 
-// endRuns takes in the runs that are over.
+// endRuns ends the runs that are over.
 func (c *budgetChecker) endRuns() {
 	c.ends = slices.DeleteFunc(c.ends, func(x scheduledEvent) bool {
 		isOver := x.at <= c.now
@@ -106,7 +105,7 @@
 	})
 }
 
-// start has an attempt run, and checks what its worker has been sent if that warms up.
+// start runs an attempt, and checks what its worker has been sent if that is warming up.
 func (c *budgetChecker) start(send Send) {
 	j := c.jobs[send.Job]
 	c.running[send.Worker]++
@@ -130,7 +129,7 @@
 	c.checked++
 }
 
-// The budget of warming workers, by an account of the test's own.
+// What warming workers are sent stays within their budget, by an independent sum.
 func TestWarmUpBudget(t *testing.T) {
 	t.Parallel()
 	checked := 0
@@ -152,7 +151,7 @@
 	}
 }
 
-// manyDispatchers share one warming worker. Each restarts at random, and knows nothing then of what it has sent.
+// manyDispatchers share one warming worker. Each restarts at random, without any state.
 type manyDispatchers struct {
 	t     *testing.T
 	set   Settings
@@ -193,7 +192,7 @@
 	m.all[i] = New(own, uint64(i))
 }
 
-// endRuns has the runs end that are over. A dispatcher that restarted ignores them.
+// endRuns ends the runs that are over. A dispatcher that has restarted ignores their outcomes.
 func (m *manyDispatchers) endRuns(now time.Duration) {
 	for _, e := range m.ends {
 		if e.at <= now {
@@ -203,7 +202,7 @@
 	m.ends = slices.DeleteFunc(m.ends, func(e runEnd) bool { return e.at <= now })
 }
 
-// arrive has a job come to a random dispatcher, and checks what the worker has been sent by all.
+// arrive has a job arrive at a random dispatcher, and checks what the worker has been sent by all of them.
 func (m *manyDispatchers) arrive(now time.Duration) {
 	i := m.rng.IntN(len(m.all))
 	if m.rng.IntN(1500) < len(m.all) {
@@ -248,8 +247,7 @@
 	}
 }
 
-// lottery is a fleet with some warming workers, of which hundreds of dispatchers draw, and whose other workers are offered more
-// than they can do.
+// lottery simulates a fleet with some warming workers under hundreds of dispatchers. The other workers are overloaded.
 type lottery struct {
 	t       *testing.T
 	set     Settings
@@ -259,7 +257,7 @@
 	all     []*Dispatcher
 	numbers []map[uint64]int // by dispatcher: the attempts of its jobs
 	runs    []lotteryRun
-	free    []time.Duration // by slot of each worker: when it is
+	free    []time.Duration // by slot of each worker: when it becomes free
 	sent    []int           // by worker
 	spent   [][]time.Duration
 	jobs    uint64
@@ -312,7 +310,7 @@
 	l.all[i].Step(l.start-time.Second, []Event{l.list}, nil)
 }
 
-// step has a dispatcher step, and its attempts run at the first free slot of their workers.
+// step has a dispatcher step, and runs its attempts at the first free slot of their workers.
 func (l *lottery) step(i int, now time.Duration, events ...Event) {
 	for _, a := range l.all[i].Step(now, events, nil) {
 		s, ok := a.(Send)
@@ -334,7 +332,7 @@
 	}
 }
 
-// advance has the runs start and end that do so by now.
+// advance processes the starts and ends of runs that are due.
 func (l *lottery) advance(now time.Duration) {
 	pending := l.runs
 	l.runs = nil
@@ -350,7 +348,7 @@
 	}
 }
 
-// restart has a dispatcher restart now and then. It knows nothing of what it has sent.
+// restart has a dispatcher restart now and then, without any state.
 func (l *lottery) restart() {
 	if i := l.rng.IntN(len(l.all)); l.rng.IntN(30*300) < len(l.all) {
 		l.begin(i)
@@ -358,7 +356,7 @@
 	}
 }
 
-// arrive has so many jobs come on average; some dispatchers get several times the mean.
+// arrive has a number of jobs arrive on average. Some dispatchers get several times the mean.
 func (l *lottery) arrive(now time.Duration, mean float64) {
 	for n := l.rng.Float64() * 2 * mean; n > 0; n-- {
 		i := int(float64(len(l.all)) * l.rng.Float64() * l.rng.Float64())
@@ -367,7 +365,7 @@
 	}
 }
 
-// checkBudgets checks what each warming worker has been sent within a window, against what makes it fall.
+// checkBudgets checks what each warming worker has been sent within a window, against what would overload it.
 func (l *lottery) checkBudgets(now time.Duration) {
 	for w := range l.spent {
 		l.spent[w] = slices.DeleteFunc(l.spent[w], func(at time.Duration) bool { return now-at > l.set.OverloadWindow })
@@ -379,7 +377,7 @@
 	}
 }
 
-// fallsAt is how many jobs of mean work a cold worker stands within a window in which n are allowed.
+// fallsAt returns how many jobs of mean work overload a cold worker within a window in which n are allowed.
 func fallsAt(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -387,9 +385,9 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// Hundreds of dispatchers draw lots for the warming workers of a fleet whose other workers are offered more than they can do:
-// each warming worker gets its share of what the others get, in any window no more than the budget with what chance adds to it,
-// and none is left unused. The budget holds for few dispatchers as for many, and while each worker may have few jobs only.
+// Hundreds of dispatchers draw in the lottery for the warming workers of an overloaded fleet: each warming worker gets its share
+// of what the others get, in any window no more than the budget plus random variation, and none is left unused. The budget holds
+// for few dispatchers as for many, and also if each worker may have few jobs only.
 func TestWarmingWorkersAreChosenByLottery(t *testing.T) {
 	t.Parallel()
 	for _, replicas := range []int{1, 2, 3, 8, 9, 40, 300} {
@@ -417,8 +415,8 @@
 	}
 }
 
-// The operators end a cordon at all dispatchers at once: the worker, which counts as restarted, is used at once by those that together
-// stay within what it stands, however many they are.
+// The operators end a cordon at all dispatchers at once: the worker, which counts as restarted, is used at once, and what
+// all of them send it stays within its capacity, however many they are.
 func TestUncordonByAllStaysWithinTheBudget(t *testing.T) {
 	const run = 100 * ms
 	for _, replicas := range []int{1, 2, 3, 8, 40, 300} {
