--- a/dispatch/attemptinfo.go
+++ b/dispatch/attemptinfo.go
@@ -4,22 +4,22 @@
 
 // attemptInfo is the state of one attempt of a job.
 type attemptInfo struct {
-	job         *jobInfo
-	number      int // from 0, by job
-	worker      *workerInfo
-	zone, cell  int // of the worker when it was sent
-	sentAt      time.Duration
-	startedAt   time.Duration
-	progressAt  time.Duration // last notification
-	started     bool
-	ended       bool
-	orphaned    bool          // the worker's process is gone: the attempt uses no slots there any more
-	limitBound  bool          // the concurrency limit bound the worker when it was sent
-	connIdle    time.Duration // how long its connection had been idle; 0: a new one
-	result      Result
-	lease       *leaseInfo    // nil: none
-	expectedRun time.Duration // on this worker
-	timer       timer         // when it should have started, or ended
+	job            *jobInfo
+	number         int // from 0, by job
+	worker         *workerInfo
+	zone, cell     int // of the worker when it was sent
+	sentAt         time.Duration
+	startedAt      time.Duration
+	progressAt     time.Duration // last notification
+	started        bool
+	ended          bool
+	orphaned       bool          // the worker's process is gone: the attempt uses no slots there any more
+	limitBound     bool          // the concurrency limit bound the worker when it was sent
+	connectionIdle time.Duration // how long its connection had been idle; 0: a new one
+	result         Result
+	lease          *leaseInfo    // nil: none
+	expectedRun    time.Duration // on this worker
+	timer          timer         // when it should have started, or ended
 }
 
 // newAttempt returns the next attempt of a job, sent to a worker at an instant. It is not yet in flight.
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -33,7 +33,7 @@
 	}
 	job, worker := attempt.job, attempt.worker
 	d.markStarted(attempt)
-	d.idleConnections.observe(attempt.connIdle, true, d.now)
+	d.idleConnections.observe(attempt.connectionIdle, true, d.now)
 	d.observeStartDelay(attempt)
 	worker.slots.running += job.Slots
 	d.observeSlots(worker, worker.slots.running)
--- a/dispatch/connections.go
+++ b/dispatch/connections.go
@@ -129,5 +129,5 @@
 		connections.open = len(worker.inFlight)
 		return
 	}
-	attempt.connIdle = idle
+	attempt.connectionIdle = idle
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -50,8 +50,8 @@
 		d.handleEvent(event)
 	}
 	d.timers.dropCallerTimer(d.now)
-	for due := d.timers.popDue(d.now); due != nil; due = d.timers.popDue(d.now) {
-		d.handleTimer(due)
+	for fired := d.timers.popDue(d.now); fired != nil; fired = d.timers.popDue(d.now) {
+		d.handleTimer(fired)
 	}
 	d.leases.exchange(d.now)
 	d.dispatchQueued()
--- a/dispatch/healthcheck.go
+++ b/dispatch/healthcheck.go
@@ -108,6 +108,6 @@
 		d.applyReport(worker, event.Report)
 	case WorkerFull, NotSent: // says nothing of the worker's health
 	default:
-		d.eject(worker, true, EjectedForHealthCheck)
+		d.eject(worker, EjectedForHealthCheck)
 	}
 }
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -96,9 +96,9 @@
 	return isProbe && d.outliers.mayProbe(worker, d.now)
 }
 
-// eject ejects a worker, and has the operators notified. failing is false if silence is the only evidence.
-func (d *Dispatcher) eject(worker *workerInfo, failing bool, reason EjectionReason) {
-	worker.outlier.failing = worker.outlier.failing || failing
+// eject ejects a worker, and has the operators notified.
+func (d *Dispatcher) eject(worker *workerInfo, reason EjectionReason) {
+	worker.outlier.failing = worker.outlier.failing || reason != EjectedForSilence
 	if !worker.outlier.eject(d.now, d.rng) {
 		return
 	}
@@ -121,7 +121,7 @@
 		// A worker that fails fast looks idle, and would attract all jobs.
 		worker.outlier.failures++
 		if worker.outlier.failures > maxConsecutiveFailures {
-			d.eject(worker, true, EjectedForFailures)
+			d.eject(worker, EjectedForFailures)
 		}
 	case ConnectFailed, ConnectionReset:
 		d.handleConnectionFailure(attempt)
@@ -164,8 +164,8 @@
 func (d *Dispatcher) handleConnectionFailure(attempt *attemptInfo) {
 	worker := attempt.worker
 	worker.connections.open = len(worker.inFlight)
-	if attempt.connIdle > 0 && !attempt.started {
-		d.idleConnections.observe(attempt.connIdle, false, d.now)
+	if attempt.connectionIdle > 0 && !attempt.started {
+		d.idleConnections.observe(attempt.connectionIdle, false, d.now)
 		return
 	}
 	worker.outlier.connectionFailures++
@@ -174,7 +174,7 @@
 	}
 	worker.outlier.connectionLost = worker.outlier.connectionLost || attempt.result == ConnectionReset
 	d.halveLimit(attempt)
-	d.eject(worker, true, EjectedAsUnreachable)
+	d.eject(worker, EjectedAsUnreachable)
 }
 
 // handleOverdue acts on an attempt that has not started or ended when it should have, also if its job
@@ -212,9 +212,9 @@
 	if lostAt := attempt.sentAt + d.starts.lostAfter(); d.now < lostAt {
 		d.setTimer(&attempt.timer, lostAt)
 	} else {
-		d.idleConnections.observe(attempt.connIdle, false, d.now)
+		d.idleConnections.observe(attempt.connectionIdle, false, d.now)
 		if worker.activity.aliveAt < attempt.sentAt {
-			d.eject(worker, false, EjectedForSilence)
+			d.eject(worker, EjectedForSilence)
 		}
 	}
 	d.leases.client.reportStart(attempt, false)
--- a/dispatch/outlier_test.go
+++ b/dispatch/outlier_test.go
@@ -92,7 +92,11 @@
 	s := newHarness(t, testSettings())
 	s.workers(4)
 	for id := uint64(1); id <= 4; id++ {
-		s.d.eject(s.d.fleet.byID[id], id == 1, EjectedForSilence)
+		reason := EjectedForSilence
+		if id == 1 {
+			reason = EjectedForFailures
+		}
+		s.d.eject(s.d.fleet.byID[id], reason)
 	}
 	s.wait(300 * ms)
 	if !s.d.outliers.isEjected(s.d.fleet.byID[1]) || s.d.outliers.isEjected(s.d.fleet.byID[2]) {
@@ -143,8 +147,8 @@
 	f := newFleet(100, scaleSettings())
 	f.serve(100, time.Second)
 	for range 30 {
-		a := &attemptInfo{connIdle: 8 * ms}
-		f.d.idleConnections.observe(a.connIdle, false, f.d.now)
+		a := &attemptInfo{connectionIdle: 8 * ms}
+		f.d.idleConnections.observe(a.connectionIdle, false, f.d.now)
 	}
 	if f.d.idleConnections.maxIdle != 0 {
 		t.Fatalf("connections are trusted for %v", f.d.idleConnections.maxIdle)
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -452,7 +452,7 @@
 	c.int(&a.cell)
 	c.instant(&a.sentAt, &a.startedAt, &a.progressAt)
 	c.flags(&a.started, &a.ended, &a.limitBound, &a.orphaned)
-	c.duration(&a.connIdle, &a.expectedRun)
+	c.duration(&a.connectionIdle, &a.expectedRun)
 	c.int((*int)(&a.result))
 }
 
--- a/dispatch/workerinfo.go
+++ b/dispatch/workerinfo.go
@@ -5,6 +5,11 @@
 	"time"
 )
 
+const (
+	speedDecayTime  = 10 * time.Second      // time constant of a speed's decay towards that of its kind
+	speedDecayDelay = 50 * time.Millisecond // a speed starts to decay this long after its latest sample
+)
+
 // workerInfo is the state of one worker as this dispatcher sees it.
 type workerInfo struct {
 	Worker
@@ -29,12 +34,6 @@
 	slowStart   slowStartState
 }
 
-// loadReport is the part of a worker's latest load report that is used.
-type loadReport struct {
-	freeSlots  float64       // as reported, plus the slots that attempts have released since
-	receivedAt time.Duration // 0: none since the worker's process started
-}
-
 // relativeSpeed is the estimated speed of a worker against a standard core.
 type relativeSpeed struct {
 	log        float64       // natural logarithm of the speed
@@ -105,18 +104,3 @@
 	w.backoff = backoffState{}
 	w.slowStart.restartedAt = 0
 }
-
-// reportedFreeSlots returns the free slots by the worker's latest load report, less those that were sent since, and
-// whether the report is fresh.
-func (w *workerInfo) reportedFreeSlots(now time.Duration) (free float64, fresh bool) {
-	if w.report.receivedAt == 0 {
-		return 0, false
-	}
-	free = w.report.freeSlots
-	for _, attempt := range w.inFlight {
-		if attempt.sentAt > w.report.receivedAt-reportLag {
-			free -= attempt.job.demand
-		}
-	}
-	return free, now-w.report.receivedAt < maxReportAge
-}
--- a/dispatch/workload.go
+++ b/dispatch/workload.go
@@ -5,6 +5,12 @@
 	"time"
 )
 
+const (
+	overrunDecayTime      = 60 * time.Second // time constant of the decay of a class's overrun ratio
+	minExpectedRunSeconds = 1e-3             // the shortest expected run that an overrun is measured against
+	maxKnownKeys          = 10000            // keys whose past work is known
+)
+
 // workloadModel is what has been learnt of how long jobs run: a correction of their hints, how far runs differ from what was
 // expected, and the logistic model that gives a job its score. Work is in seconds on a worker of speed 1; logs are natural.
 type workloadModel struct {
