--- a/dispatch/attemptinfo.go
+++ b/dispatch/attemptinfo.go
@@ -13,7 +13,7 @@
 	progressAt     time.Duration // last notification
 	started        bool
 	ended          bool
-	orphaned       bool          // the worker's process is gone: the attempt uses no slots there any more
+	orphaned       bool          // the worker's process has ended: the attempt uses no slots there any more
 	limitBound     bool          // the concurrency limit bound the worker when it was sent
 	connectionIdle time.Duration // how long its connection had been idle; 0: a new one
 	result         Result
--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -80,7 +80,7 @@
 	attempt.worker.activity.progressAt = d.now
 }
 
-// mayBeDropped tells whether the worker may drop an attempt as a repetition: no start is notified then,
+// mayBeDropped reports whether the worker may drop an attempt as a repetition: no start is notified then,
 // as the attempt waits for the result of the run of an earlier one.
 func (a *attemptInfo) mayBeDropped() bool {
 	return a.job.class.Idempotency == IdempotentWithKey &&
--- a/dispatch/concurrency.go
+++ b/dispatch/concurrency.go
@@ -11,9 +11,8 @@
 )
 
 const (
-	minLateOverflows = 2                      // late starts beyond the most slots seen that make it a bound
-	minBackoff       = 500 * time.Millisecond // after a rejection
-	maxBackoff       = 8 * time.Second
+	minBackoff = 500 * time.Millisecond // after a rejection
+	maxBackoff = 8 * time.Second
 )
 
 // slotLimit counts the slots that this dispatcher uses at a worker, against its own concurrency limit.
@@ -25,12 +24,12 @@
 	rejectedDemand float64       // the worker has rejected a job of this demand while idle; 0: none
 }
 
-// isExceededBy tells whether a further demand would exceed the limit or a bound.
+// isExceededBy reports whether a further demand would exceed the limit or a bound.
 func (s *slotLimit) isExceededBy(demand, bound float64) bool {
 	return s.used+demand > min(s.limit, bound)
 }
 
-// rejects tells whether the worker has rejected this demand, or a smaller one, while idle.
+// rejects reports whether the worker has rejected this demand, or a smaller one, while idle.
 func (s *slotLimit) rejects(demand float64) bool {
 	return s.rejectedDemand > 0 && demand >= s.rejectedDemand
 }
@@ -52,7 +51,7 @@
 	s.limit = max(1, math.Floor(s.limit/2))
 }
 
-// predates tells whether an attempt was sent before the latest decrease: its outcome is due to the same
+// predates reports whether an attempt was sent before the latest decrease: its outcome is due to the same
 // event.
 func (s *slotLimit) predates(attempt *attemptInfo) bool { return attempt.sentAt < s.decreasedAt }
 
@@ -68,13 +67,13 @@
 	b.until = now + b.delay
 }
 
-// mayHaveCapacity tells whether a selection needs to see the worker.
+// mayHaveCapacity reports whether a selection needs to see the worker.
 func (w *workerInfo) mayHaveCapacity(now time.Duration) bool {
 	hasSlot := w.slots.used == 0 || w.slots.used+1 <= w.slots.limit
 	return w.Ready && now >= w.backoff.until && hasSlot
 }
 
-// hasCapacity tells whether a worker can start a job now, as far as is known.
+// hasCapacity reports whether a worker can start a job now, as far as is known.
 func (d *Dispatcher) hasCapacity(job *jobInfo, worker *workerInfo) bool {
 	if worker.slots.rejects(job.demand) || d.reservation.excludes(job, worker) {
 		return false
@@ -90,21 +89,17 @@
 	return !fresh || free >= min(job.demand, 1)
 }
 
-// showsQueue tells whether an attempt that has not started in time shows a queue at the worker.
+// showsQueue reports whether an attempt that has not started in time shows a queue at the worker.
 func (w *workerInfo) showsQueue(promptStart, now time.Duration) bool {
 	return slices.ContainsFunc(w.inFlight, func(attempt *attemptInfo) bool {
 		return !attempt.started && now-attempt.sentAt > promptStart && !attempt.mayBeDropped()
 	})
 }
 
-// maxSlots returns the greatest number of this dispatcher's slots seen running on a worker of the kind,
-// once a few attempts beyond it have started late; infinity until then. The limit alone would grow past
-// it: an attempt sent just as another one ends starts promptly.
+// maxSlots returns the bound on the slots of a worker that its kind of machine sets; infinity if none
+// is known.
 func (d *Dispatcher) maxSlots(worker *workerInfo) float64 {
-	if kind := d.workload.machineKind(worker.Kind); kind.lateOverflows >= minLateOverflows {
-		return kind.maxSlots
-	}
-	return math.Inf(1)
+	return d.workload.machineKind(worker.Kind).slotBound()
 }
 
 // adjustLimit answers the start of an attempt, or that it is late. The design names no answer to a late
@@ -124,9 +119,7 @@
 	if worker.slots.predates(attempt) {
 		return
 	}
-	if kind := d.workload.machineKind(worker.Kind); worker.slots.running >= kind.maxSlots {
-		kind.lateOverflows++
-	}
+	d.workload.machineKind(worker.Kind).observeLateStart(worker.slots.running)
 	// One slot for each of several dispatchers is still a queue: back off for as long as this attempt
 	// waited.
 	if worker.slots.limit <= 1 && d.settings.Replicas > 1 {
@@ -151,7 +144,7 @@
 	d.fleet.markDirty(worker)
 }
 
-// isBackedUp tells whether no more jobs may be sent in this cycle but one now and then; see
+// isBackedUp reports whether no more jobs may be sent in this cycle but one now and then; see
 // startMonitor. Many dispatchers with little work each do not bound themselves.
 func (d *Dispatcher) isBackedUp() bool {
 	return d.settings.Replicas <= manyReplicas && d.starts.isBackedUp(d.now)
--- a/dispatch/connections.go
+++ b/dispatch/connections.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// allows tells whether a connection that has been idle for some time may be used for a job of a class.
+// allows reports whether a connection that has been idle for some time may be used for a job of a class.
 func (c *connectionHistory) allows(idle time.Duration, class *Class) bool {
 	maxIdle := c.maxIdle
 	if class.Idempotency != Idempotent {
--- a/dispatch/cordon.go
+++ b/dispatch/cordon.go
@@ -74,7 +74,7 @@
 	d.fleet.markDirty(worker)
 }
 
-// acceptsLate tells whether a worker may be sent a job although it would be late there: an idempotent
+// acceptsLate reports whether a worker may be sent a job although it would be late there: an idempotent
 // job may try a worker that was uncordoned and has been sent nothing since.
 func (w *workerInfo) acceptsLate(job *jobInfo, now time.Duration) bool {
 	isIdle := w.uncordonedAt > 0 && now-w.uncordonedAt > uncordonedIdleDelay
--- a/dispatch/fleet.go
+++ b/dispatch/fleet.go
@@ -27,7 +27,7 @@
 	f.workers = append(f.workers, worker)
 }
 
-// contains tells whether a worker is part of the fleet, and not one that has been removed since.
+// contains reports whether a worker is part of the fleet, and not one that has been removed since.
 func (f *workerFleet) contains(worker *workerInfo) bool { return f.byID[worker.ID] == worker }
 
 // remove removes a worker of the fleet. The last of all workers takes its position.
--- a/dispatch/golden_test.go
+++ b/dispatch/golden_test.go
@@ -233,7 +233,7 @@
 	if got, want := d.workload.expectedWork(j), source.workload.expectedWork(j); got != want || got == New(goldenSettings(), 1).workload.expectedWork(j) {
 		t.Errorf("it expects %v, the source of its model %v", got, want)
 	}
-	if *d.workload.kinds[0] != *source.workload.kinds[0] || *d.workload.kinds[1] != *source.workload.kinds[1] || d.workload.kinds[1].runs != 47 || d.workload.kinds[1].maxSlots != 5 {
+	if *d.workload.kinds[0] != *source.workload.kinds[0] || *d.workload.kinds[1] != *source.workload.kinds[1] || d.workload.kinds[1].samples != 47 || d.workload.kinds[1].maxSlots != 5 {
 		t.Errorf("kinds %+v, %+v", d.workload.kinds[0], d.workload.kinds[1])
 	}
 	for _, want := range []struct {
--- a/dispatch/healthcheck.go
+++ b/dispatch/healthcheck.go
@@ -89,7 +89,7 @@
 	return w.Ready && !w.check.inProgress && now-w.check.startedAt >= minCheckInterval
 }
 
-// awaitsCheck tells whether a worker is being checked and has given no sign of life since.
+// awaitsCheck reports whether a worker is being checked and has given no sign of life since.
 func (w *workerInfo) awaitsCheck() bool {
 	return w.check.inProgress && w.activity.aliveAt < w.check.startedAt
 }
--- a/dispatch/index.go
+++ b/dispatch/index.go
@@ -35,11 +35,11 @@
 
 const maxLevels = 64
 
-// isSteady tells whether a bucket's workers are neither warming up nor ejected. The tickets of those that are warming
+// isSteady reports whether a bucket's workers are neither warming up nor ejected. The tickets of those that are warming
 // up, and the recovery probes of the ejected, are distributed over all of them.
 func (b bucketKey) isSteady() bool { return !b.warmingUp && !b.ejected }
 
-// isOrdered tells whether there are more steady workers than one selection scans. Each of their levels is then a heap
+// isOrdered reports whether there are more steady workers than one selection scans. Each of their levels is then a heap
 // by preference.
 func (w *workerIndex) isOrdered() bool { return w.steadyCount > maxLevelScan }
 
--- a/dispatch/learning.go
+++ b/dispatch/learning.go
@@ -85,8 +85,8 @@
 // learnSpeed updates the speeds of a worker and of its kind by the log speed observed in a run.
 func (d *Dispatcher) learnSpeed(worker *workerInfo, logSpeed float64) {
 	kind := d.workload.machineKind(worker.Kind)
-	kind.runs++
-	kindGain := max(sizeCorrectionGain, 1/(kind.runs+2))
+	kind.samples++
+	kindGain := max(sizeCorrectionGain, 1/(kind.samples+2))
 	kind.logSpeed += kindGain * clamp(logSpeed-kind.logSpeed, maxLogKindSpeedError)
 	worker.speed.observe(logSpeed, d.now)
 }
--- a/dispatch/leaseadapter.go
+++ b/dispatch/leaseadapter.go
@@ -57,7 +57,5 @@
 
 // observeLateSlots implements slotObserver.
 func (l *leaseAdapter) observeLateSlots(worker *workerInfo, running float64) {
-	if machine := l.dispatcher.workload.machineKind(worker.Kind); running >= machine.maxSlots {
-		machine.lateOverflows++
-	}
+	l.dispatcher.workload.machineKind(worker.Kind).observeLateStart(running)
 }
--- a/dispatch/loadreport.go
+++ b/dispatch/loadreport.go
@@ -34,9 +34,8 @@
 // that is warming up shows less than its capacity.
 func (d *Dispatcher) observeSlots(worker *workerInfo, slots float64) {
 	kind := d.workload.machineKind(worker.Kind)
-	if worker.warmUpShare(&d.settings, d.now) == 1 && slots > kind.maxSlots {
-		kind.maxSlots = slots
-		kind.lateOverflows = 0
+	if worker.warmUpShare(&d.settings, d.now) == 1 {
+		kind.observeSlots(slots)
 	}
 }
 
--- a/dispatch/model.go
+++ b/dispatch/model.go
@@ -118,7 +118,7 @@
 	fixedList(c, learnt.durations, func(x **time.Duration) { c.duration(*x) })
 	sortedMap(c, learnt.kinds, func(kind *int, k **machineInfo) {
 		c.machine(kind, k)
-		c.check(isPlausible((*k).runs) && isPlausible((*k).maxSlots) && math.Abs((*k).logSpeed) <= maxModelLog)
+		c.check(isPlausible((*k).samples) && isPlausible((*k).maxSlots) && math.Abs((*k).logSpeed) <= maxModelLog)
 	})
 	sortedMap(c, learnt.zoneBusy, func(zone *int, chance *float64) {
 		c.int(zone)
--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -34,7 +34,7 @@
 	connectionLost     bool // its connections were reset, and it has not answered since
 }
 
-// isEjected tells whether a worker is to be avoided. Beyond the panic thresholds the load or this
+// isEjected reports whether a worker is to be avoided. Beyond the panic thresholds the load or this
 // process is at fault: where most workers are ejected silence shows nothing of one worker, and failures
 // show nothing where all are failing.
 func (o *outlierDetector) isEjected(worker *workerInfo) bool {
@@ -62,7 +62,7 @@
 	}
 }
 
-// mayProbe tells whether an ejected worker may be sent a recovery probe: one at a time, once its
+// mayProbe reports whether an ejected worker may be sent a recovery probe: one at a time, once its
 // ejection is over.
 func (o *outlierDetector) mayProbe(worker *workerInfo, now time.Duration) bool {
 	return now >= max(worker.outlier.ejectedUntil, o.nextProbeAt) && len(worker.inFlight) == 0
@@ -86,7 +86,7 @@
 	o.failing = false
 }
 
-// allowsOutlier tells whether outlier ejection allows sending a job to a worker: an ejected one gets
+// allowsOutlier reports whether outlier ejection allows sending a job to a worker: an ejected one gets
 // only recovery probes, which are short and idempotent.
 func (d *Dispatcher) allowsOutlier(job *jobInfo, worker *workerInfo) bool {
 	if !d.outliers.isEjected(worker) {
--- a/dispatch/picker.go
+++ b/dispatch/picker.go
@@ -38,7 +38,7 @@
 	lacksCapacity bool // all that were scanned lack capacity
 }
 
-// chooseWorker returns the worker that a job is sent to now, or nil. lacksCapacity tells that all
+// chooseWorker returns the worker that a job is sent to now, or nil. lacksCapacity reports that all
 // available workers were scanned and each lacks capacity: no job with the same demand can be sent now.
 func (d *Dispatcher) chooseWorker(job *jobInfo) (worker *workerInfo, lacksCapacity bool) {
 	selected := selection{score: math.Inf(1), lacksCapacity: true}
@@ -77,7 +77,7 @@
 	selected.scanned += count
 }
 
-// scanPreferred evaluates the workers of a level that this dispatcher prefers, and tells whether one is
+// scanPreferred evaluates the workers of a level that this dispatcher prefers, and reports whether one is
 // suitable. It evaluates one more for each earlier attempt, in place of the worker that had it.
 func (d *Dispatcher) scanPreferred(
 	selected *selection, job *jobInfo, bucket *bucket, level []*workerInfo, minScore float64,
@@ -170,7 +170,7 @@
 	return score, weight, isFresh
 }
 
-// allows tells whether the jobs of a class may be sent to workers of a kind and zone. It binds each
+// allows reports whether the jobs of a class may be sent to workers of a kind and zone. It binds each
 // attempt, whatever else has failed or is full.
 func (c *Class) allows(kind, zone int) bool {
 	return (c.Kinds == nil || slices.Contains(c.Kinds, kind)) && c.allowsZone(zone)
--- a/dispatch/reservation.go
+++ b/dispatch/reservation.go
@@ -10,10 +10,10 @@
 	job    *jobInfo
 }
 
-// isActive tells whether a worker is reserved that can still be sent jobs.
+// isActive reports whether a worker is reserved that can still be sent jobs.
 func (r *reservation) isActive() bool { return r.worker != nil && r.worker.Ready }
 
-// excludes tells whether a worker is reserved for another job.
+// excludes reports whether a worker is reserved for another job.
 func (r *reservation) excludes(job *jobInfo, worker *workerInfo) bool {
 	return worker == r.worker && job != r.job
 }
@@ -50,7 +50,7 @@
 	}
 }
 
-// mayReserve tells whether a worker could run a job in time once enough slots are free.
+// mayReserve reports whether a worker could run a job in time once enough slots are free.
 func (d *Dispatcher) mayReserve(job *jobInfo, worker *workerInfo) bool {
 	isUsable := worker.Ready && !worker.slots.rejects(job.demand) && !d.outliers.isEjected(worker)
 	if !isUsable || !job.class.allows(worker.Kind, worker.Zone) || !d.mayAttempt(job, worker) {
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -50,7 +50,7 @@
 	return work
 }
 
-// warmUpAllows tells whether a worker may be sent a job by its slow start: what is sent to a warming
+// warmUpAllows reports whether a worker may be sent a job by its slow start: what is sent to a warming
 // worker, rejected jobs too, stays within this dispatcher's part of the worker's budget.
 func (d *Dispatcher) warmUpAllows(job *jobInfo, worker *workerInfo) bool {
 	if worker.warmUpShare(&d.settings, d.now) >= 1 {
@@ -70,7 +70,7 @@
 	return mayTry && d.now-d.bornAt > window && work <= budget/float64(chosen)
 }
 
-// warmUpAllowsLease tells whether a job may be sent to a worker on a lease. It bounds what this
+// warmUpAllowsLease reports whether a job may be sent to a worker on a lease. It bounds what this
 // dispatcher sends a warming worker on leases and without, whatever its coordinator grants, to the
 // budget of all dispatchers.
 func (d *Dispatcher) warmUpAllowsLease(job *jobInfo, worker *workerInfo) bool {
@@ -81,7 +81,7 @@
 	return work <= d.warmUpBudget(worker)
 }
 
-// allMayTry tells whether a budget holds a job of a cost from each dispatcher. A cordon ends at all of
+// allMayTry reports whether a budget holds a job of a cost from each dispatcher. A cordon ends at all of
 // them at once, and none can see whether others have tried the worker.
 func (d *Dispatcher) allMayTry(cost, budget float64) bool {
 	return cost*float64(max(1, cmp.Or(d.sharing.Replicas, d.settings.Replicas))) <= budget
@@ -105,7 +105,7 @@
 	}
 }
 
-// drawsTicketOf tells whether a job has drawn a ticket of a warming worker. The greater the job's cost,
+// drawsTicketOf reports whether a job has drawn a ticket of a warming worker. The greater the job's cost,
 // the fewer tickets count; a job that would use up the worker's whole budget has no chance. A job draws
 // once.
 func (d *Dispatcher) drawsTicketOf(worker *workerInfo, job *jobInfo) bool {
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -128,7 +128,7 @@
 		*k = &machineInfo{}
 	}
 	c.int(kind)
-	c.float(&(*k).logSpeed, &(*k).runs, &(*k).maxSlots)
+	c.float(&(*k).logSpeed, &(*k).samples, &(*k).maxSlots)
 	c.int(&(*k).lateOverflows)
 }
 
--- a/dispatch/stall.go
+++ b/dispatch/stall.go
@@ -20,11 +20,11 @@
 	}
 }
 
-// isEnding tells whether the latest stall was noticed at this instant: events that occurred meanwhile may not
+// isEnding reports whether the latest stall was noticed at this instant: events that occurred meanwhile may not
 // have been read yet.
 func (s *stallDetector) isEnding(now time.Duration) bool { return s.endedAt == now }
 
-// spans tells whether this process was stalled while an attempt was in flight.
+// spans reports whether this process was stalled while an attempt was in flight.
 func (s *stallDetector) spans(attempt *attemptInfo) bool {
 	return attempt.sentAt < s.endedAt && s.endedAt > 0
 }
--- a/dispatch/startmonitor.go
+++ b/dispatch/startmonitor.go
@@ -68,7 +68,7 @@
 func (s *startMonitor) useSlots(slots float64)     { s.usedSlots += slots }
 func (s *startMonitor) releaseSlots(slots float64) { s.usedSlots = max(0, s.usedSlots-slots) }
 
-// isBackedUp tells whether the queues of the workers are full: several dispatchers with few jobs each
+// isBackedUp reports whether the queues of the workers are full: several dispatchers with few jobs each
 // can fill all of them though every limit is one. One job is sent all the same each time the latest
 // attempt has started or is as late as others are.
 func (s *startMonitor) isBackedUp(now time.Duration) bool {
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -37,11 +37,3 @@
 	checks          healthChecker
 	idleConnections connectionHistory
 }
-
-// machineInfo is what is known of one kind of machine.
-type machineInfo struct {
-	logSpeed      float64 // of its workers, against a standard core
-	runs          float64 // that it was learnt from
-	maxSlots      float64 // the most seen free or running on one
-	lateOverflows int     // late starts with as many running
-}
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// orphanAttempts releases the slots of the attempts at a worker whose process is gone, and returns the attempts. They
+// orphanAttempts releases the slots of the attempts at a worker whose process has ended, and returns the attempts. They
 // stay in flight until their outcomes arrive.
 func (d *Dispatcher) orphanAttempts(worker *workerInfo) []*attemptInfo {
 	orphans := worker.inFlight
