--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -27,7 +27,7 @@
 	subscription endpointSubscription
 	hedges       tokenBucket // one token for each hedged request, or less by its work
 
-	leases          *leaseExchange
+	leases          *leaseExchange // slots leased from other dispatchers and to them
 	fleet           workerFleet
 	cordons         cordons
 	reservation     reservation
