--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -13,7 +13,7 @@
 	attempt := d.newAttempt(job, worker, d.now)
 	d.addAttempt(attempt)
 	attempt.limitBound = worker.slots.used+1 > worker.slots.limit
-	d.recordWarmUpWork(attempt)
+	d.slowStart.handleSent(attempt, d.now)
 	d.chargeHedge(attempt)
 	d.outliers.handleSent(worker, d.now)
 	d.starts.handleSent(d.now)
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -31,6 +31,12 @@
 		workload:   newWorkloadModel(settings.Classes),
 	}
 	dispatcher.leases = newLeaseExchange(&dispatcher.settings, dispatcher.rng, &dispatcher.timers, &leaseAdapter{dispatcher})
+	dispatcher.slowStart = slowStart{
+		settings: &dispatcher.settings,
+		rng:      dispatcher.rng,
+		workload: &dispatcher.workload,
+		arrivals: &dispatcher.arrivals,
+	}
 	dispatcher.checks.minDelay = dispatcher.starts.minDelay
 	dispatcher.hedges.tokens = dispatcher.maxHedgeTokens()
 	dispatcher.maintenance.purpose = runMaintenance
@@ -43,9 +49,7 @@
 func (d *Dispatcher) Step(now time.Duration, events []Event, dst []Action) []Action {
 	d.now = max(now, d.now)
 	d.actions = dst
-	if d.bornAt == 0 {
-		d.bornAt = d.now // what was sent before is unknown: no warming worker gets a job for one window
-	}
+	d.slowStart.begin(d.now)
 	for _, event := range events {
 		d.handleEvent(event)
 	}
--- a/dispatch/leaseadapter.go
+++ b/dispatch/leaseadapter.go
@@ -47,7 +47,7 @@
 
 // warmUpLeaseBudget implements workerCapacity.
 func (l *leaseAdapter) warmUpLeaseBudget(worker *workerInfo) float64 {
-	return l.dispatcher.warmUpBudget(worker) * warmUpLeaseMargin / warmUpBudgetFraction
+	return l.dispatcher.slowStart.budget(worker, l.dispatcher.now) * warmUpLeaseMargin / warmUpBudgetFraction
 }
 
 // observePromptSlots implements slotObserver.
--- a/dispatch/leasecoordinator_test.go
+++ b/dispatch/leasecoordinator_test.go
@@ -197,7 +197,7 @@
 	worker := s.d.fleet.byID[1]
 	share := worker.warmUpShare(&s.d.settings, s.d.now)
 	rule := s.d.settings.OverloadFactor * kindSlots * share * s.d.settings.OverloadWindow.Seconds()
-	unleased := s.d.warmUpBudget(worker)
+	unleased := s.d.slowStart.budget(worker, s.d.now)
 	t.Logf("leased %.3f, without leases up to %.3f, of %.3f", leased, unleased, rule)
 	if leased == 0 {
 		t.Error("nothing was leased: the test covers nothing")
--- a/dispatch/leasegrants.go
+++ b/dispatch/leasegrants.go
@@ -128,5 +128,6 @@
 		return false
 	}
 	return dispatcher.mayAttempt(job, worker) && !dispatcher.outliers.isEjected(worker) &&
-		dispatcher.canMeetObjective(job, worker) && dispatcher.warmUpAllowsLease(job, worker)
+		dispatcher.canMeetObjective(job, worker) &&
+		dispatcher.slowStart.allowsLease(job, worker, dispatcher.now)
 }
--- a/dispatch/maintenance.go
+++ b/dispatch/maintenance.go
@@ -17,7 +17,7 @@
 	d.requestWorkers()
 	d.leases.maintain(d.now)
 	d.decayEstimates()
-	d.assignTickets()
+	d.slowStart.assignTickets(&d.fleet, d.now)
 	fleet := d.fleet.summarise()
 	d.outliers.updatePanic(fleet.ready, fleet.ejected, fleet.failing)
 	if fleet.ready > 0 {
--- a/dispatch/picker.go
+++ b/dispatch/picker.go
@@ -129,8 +129,8 @@
 		return
 	}
 	selected.suitable++
-	if !d.warmUpAllows(job, worker) {
-		if d.drawsTicketOf(worker, job) {
+	if !d.slowStart.allows(job, worker, d.replicaGroup(), d.now) {
+		if d.slowStart.drawsTicketOf(worker, job, d.now) {
 			selected.warmingUp = worker
 		}
 		return
--- a/dispatch/preference.go
+++ b/dispatch/preference.go
@@ -72,10 +72,9 @@
 	p.changed = false
 }
 
-// updatePreferences sets the order of preference of all listed workers after a change of the rings, for
-// the dispatcher with an index among a number of replicas. A fleet that a selection can scan whole has
-// none.
-func (f *workerFleet) updatePreferences(index, replicas int) {
+// updatePreferences sets the order of preference of all listed workers after a change of the rings, for one
+// dispatcher of a group. A fleet that a selection can scan whole has none.
+func (f *workerFleet) updatePreferences(group replicaGroup) {
 	if !f.rings.changed {
 		return
 	}
@@ -88,7 +87,7 @@
 		for size < len(ring) && ring[size].Zone == ring[0].Zone && ring[size].Kind == ring[0].Kind {
 			size++
 		}
-		start := index % replicas * size / replicas
+		start := group.index % group.count * size / group.count
 		for i, w := range ring[:size] {
 			w.index.preference = (i + size - start) % size
 		}
@@ -99,15 +98,7 @@
 
 // updatePreferences sets the order of preference after a list, or after a change of this dispatcher's
 // index.
-func (d *Dispatcher) updatePreferences() { d.fleet.updatePreferences(d.replica()) }
-
-// replica returns this dispatcher's index, from 0, among those that share the workers, and their number.
-func (d *Dispatcher) replica() (index, replicas int) {
-	if d.sharing.Replicas > 0 {
-		return d.sharing.ReplicaIndex, d.sharing.Replicas
-	}
-	return d.settings.ReplicaIndex, max(1, d.settings.Replicas)
-}
+func (d *Dispatcher) updatePreferences() { d.fleet.updatePreferences(d.replicaGroup()) }
 
 // appendPreferred appends up to count of the most preferred workers of a level that is a heap, in order.
 func appendPreferred(dst, level []*workerInfo, count int) []*workerInfo {
--- a/dispatch/resume.go
+++ b/dispatch/resume.go
@@ -39,7 +39,7 @@
 		worker.activity.aliveAt = max(worker.activity.aliveAt, attempt.startedAt)
 		worker.activity.progressAt = max(worker.activity.progressAt, attempt.startedAt)
 	}
-	d.recordWarmUpWork(attempt)
+	d.slowStart.handleSent(attempt, d.now)
 	if attempt.ended {
 		job.attempts = append(job.attempts, attempt)
 		return
--- a/dispatch/resume_test.go
+++ b/dispatch/resume_test.go
@@ -136,7 +136,7 @@
 	s := newHarness(t, set)
 	check := func(w Worker, rank, of int, part float64) {
 		t.Helper()
-		if r, o := s.d.assigneeRank(&workerInfo{Worker: w}); r != rank || o != of || s.d.quotaShare() != part {
+		if r, o := s.d.replicaGroup().assigneeRank(&workerInfo{Worker: w}); r != rank || o != of || s.d.quotaShare() != part {
 			t.Errorf("rank %d of %d, share %v, expected %d of %d and %v", r, o, s.d.quotaShare(), rank, of, part)
 		}
 	}
--- a/dispatch/slowstart.go
+++ b/dispatch/slowstart.go
@@ -5,8 +5,8 @@
 // rule on recovering workers bounds what these are sent.
 
 import (
-	"cmp"
 	"math"
+	"math/rand/v2"
 	"slices"
 	"time"
 )
@@ -17,6 +17,23 @@
 	minWarmUpShare       = 0.01 // of its full capacity, that a worker has at least
 )
 
+// slowStart bounds and distributes what warming workers are sent. It reads the settings and the
+// estimates of its dispatcher, and draws from its random source.
+type slowStart struct {
+	settings *Settings
+	rng      *rand.Rand
+	workload *workloadModel
+	arrivals *arrivalStatistics
+	beganAt  time.Duration // the first step: what this dispatcher sent before is unknown; 0: no step yet
+}
+
+// begin notes the first step. Later calls change nothing.
+func (s *slowStart) begin(now time.Duration) {
+	if s.beganAt == 0 {
+		s.beganAt = now
+	}
+}
+
 // slowStartState is the slow start of a worker.
 type slowStartState struct {
 	restartedAt time.Duration // its start if later than BootAt: it answered after a loss, or was uncordoned
@@ -50,55 +67,54 @@
 	return work
 }
 
-// warmUpAllows reports whether a worker may be sent a job by its slow start: what is sent to a warming
-// worker, rejected jobs too, stays within this dispatcher's part of the worker's budget.
-func (d *Dispatcher) warmUpAllows(job *jobInfo, worker *workerInfo) bool {
-	if worker.warmUpShare(&d.settings, d.now) >= 1 {
+// allows reports whether a worker may be sent a job by its slow start: what is sent to a warming
+// worker, rejected jobs too, stays within the part of the worker's budget that this dispatcher of a
+// group has. A new dispatcher sends warming workers nothing for one window, as it may have sent them
+// work before.
+func (s *slowStart) allows(job *jobInfo, worker *workerInfo, group replicaGroup, now time.Duration) bool {
+	if worker.warmUpShare(s.settings, now) >= 1 {
 		worker.slowStart.sent = nil
 		return true
 	}
-	window := d.settings.OverloadWindow
-	worker.slowStart.sent.expire(window, d.now)
-	cost := d.workload.warmUpCost(job)
-	work := worker.slowStart.sent.plus(cost, window, d.now)
-	budget := d.warmUpBudget(worker)
-	rank, assignees := d.assigneeRank(worker)
+	window := s.settings.OverloadWindow
+	worker.slowStart.sent.expire(window, now)
+	cost := s.workload.warmUpCost(job)
+	work := worker.slowStart.sent.plus(cost, window, now)
+	budget := s.budget(worker, now)
+	rank, assignees := group.assigneeRank(worker)
 	// Equal parts for many dispatchers would hold no job: all dispatchers choose the same few of them
 	// for a worker.
-	chosen := max(1, min(assignees, int(budget/(meanJobsPerAssignee*d.arrivals.meanCost+divisionGuard))))
-	mayTry := rank < chosen || worker.uncordonedAt > 0 && d.allMayTry(cost, budget)
-	return mayTry && d.now-d.bornAt > window && work <= budget/float64(chosen)
+	chosen := max(1, min(assignees, int(budget/(meanJobsPerAssignee*s.arrivals.meanCost+divisionGuard))))
+	// A cordon ends at all dispatchers at once, and none can see whether others have tried the worker:
+	// all may where the budget holds such a job from each.
+	allMayTry := worker.uncordonedAt > 0 && cost*float64(group.count) <= budget
+	mayTry := rank < chosen || allMayTry
+	return mayTry && now-s.beganAt > window && work <= budget/float64(chosen)
 }
 
-// warmUpAllowsLease reports whether a job may be sent to a worker on a lease. It bounds what this
+// allowsLease reports whether a job may be sent to a worker on a lease. It bounds what this
 // dispatcher sends a warming worker on leases and without, whatever its coordinator grants, to the
 // budget of all dispatchers.
-func (d *Dispatcher) warmUpAllowsLease(job *jobInfo, worker *workerInfo) bool {
-	if worker.warmUpShare(&d.settings, d.now) >= 1 {
+func (s *slowStart) allowsLease(job *jobInfo, worker *workerInfo, now time.Duration) bool {
+	if worker.warmUpShare(s.settings, now) >= 1 {
 		return true
 	}
-	work := worker.slowStart.sent.plus(d.workload.warmUpCost(job), d.settings.OverloadWindow, d.now)
-	return work <= d.warmUpBudget(worker)
-}
-
-// allMayTry reports whether a budget holds a job of a cost from each dispatcher. A cordon ends at all of
-// them at once, and none can see whether others have tried the worker.
-func (d *Dispatcher) allMayTry(cost, budget float64) bool {
-	return cost*float64(max(1, cmp.Or(d.sharing.Replicas, d.settings.Replicas))) <= budget
+	work := worker.slowStart.sent.plus(s.workload.warmUpCost(job), s.settings.OverloadWindow, now)
+	return work <= s.budget(worker, now)
 }
 
 // assignTickets gives each warming worker its tickets of the lottery that jobs draw in, an interval of
 // the numbers from 0 to 1. Its width is the worker's part of an even distribution of jobs, or less
 // where its budget allows less. Only jobs that could be sent elsewhere draw: so the sum over
 // dispatchers that do not see each other follows what the rest of the fleet is sent.
-func (d *Dispatcher) assignTickets() {
-	start, ready := 0.0, d.fleet.countReady()
-	for _, worker := range d.fleet.workers {
+func (s *slowStart) assignTickets(fleet *workerFleet, now time.Duration) {
+	start, ready := 0.0, fleet.countReady()
+	for _, worker := range fleet.workers {
 		worker.slowStart.ticketStart = start
 		worker.slowStart.ticketWidth = 0
-		share := worker.warmUpShare(&d.settings, d.now)
-		if worker.Ready && share < 1 && worker.Assignees == 0 && d.settings.Replicas > 1 {
-			fraction := min(1, warmUpBudgetFraction*d.settings.OverloadFactor)
+		share := worker.warmUpShare(s.settings, now)
+		if worker.Ready && share < 1 && worker.Assignees == 0 && s.settings.Replicas > 1 {
+			fraction := min(1, warmUpBudgetFraction*s.settings.OverloadFactor)
 			worker.slowStart.ticketWidth = fraction * share / float64(ready)
 		}
 		start += worker.slowStart.ticketWidth
@@ -108,25 +124,25 @@
 // drawsTicketOf reports whether a job has drawn a ticket of a warming worker. The greater the job's cost,
 // the fewer tickets count; a job that would use up the worker's whole budget has no chance. A job draws
 // once.
-func (d *Dispatcher) drawsTicketOf(worker *workerInfo, job *jobInfo) bool {
-	cost := d.workload.warmUpCost(job)
+func (s *slowStart) drawsTicketOf(worker *workerInfo, job *jobInfo, now time.Duration) bool {
+	cost := s.workload.warmUpCost(job)
 	tickets := &worker.slowStart
 	takesPart := tickets.ticketWidth != 0 && !job.wasSentTo(worker) && len(tickets.sent) == 0
-	if !takesPart || cost > d.warmUpBudget(worker) {
+	if !takesPart || cost > s.budget(worker, now) {
 		return false
 	}
 	if job.lotteryDraw == 0 {
-		job.lotteryDraw = 1 - d.rng.Float64()
+		job.lotteryDraw = 1 - s.rng.Float64()
 	}
 	distance := job.lotteryDraw - tickets.ticketStart
-	return distance > 0 && distance*max(1, d.arrivals.relativeCost(cost)) <= tickets.ticketWidth
+	return distance > 0 && distance*max(1, s.arrivals.relativeCost(cost)) <= tickets.ticketWidth
 }
 
-// recordWarmUpWork adds an attempt to the work that its worker has been sent, if that is warming up.
-func (d *Dispatcher) recordWarmUpWork(attempt *attemptInfo) {
+// handleSent adds an attempt to the work that its worker has been sent, if that is warming up.
+func (s *slowStart) handleSent(attempt *attemptInfo, now time.Duration) {
 	worker := attempt.worker
-	if worker.warmUpShare(&d.settings, d.now) < 1 {
-		sample := workSample{at: attempt.sentAt, work: d.workload.warmUpCost(attempt.job)}
+	if worker.warmUpShare(s.settings, now) < 1 {
+		sample := workSample{at: attempt.sentAt, work: s.workload.warmUpCost(attempt.job)}
 		worker.slowStart.sent = append(worker.slowStart.sent, sample)
 	}
 }
@@ -146,13 +162,13 @@
 	return max(minWarmUpShare, share)
 }
 
-// warmUpBudget returns the work that all dispatchers may send a warming worker within a window, in
+// budget returns the work that all dispatchers may send a warming worker within a window, in
 // seconds on a standard core times slots. The worker's full capacity is estimated from the greatest
 // number of slots seen on its kind.
-func (d *Dispatcher) warmUpBudget(worker *workerInfo) float64 {
-	kind := d.workload.machineKind(worker.Kind)
-	capacity := max(1, kind.maxSlots) * math.Exp(kind.logSpeed) * worker.warmUpShare(&d.settings, d.now)
-	return warmUpBudgetFraction * d.settings.OverloadFactor * capacity * d.settings.OverloadWindow.Seconds()
+func (s *slowStart) budget(worker *workerInfo, now time.Duration) float64 {
+	kind := s.workload.machineKind(worker.Kind)
+	capacity := max(1, kind.maxSlots) * math.Exp(kind.logSpeed) * worker.warmUpShare(s.settings, now)
+	return warmUpBudgetFraction * s.settings.OverloadFactor * capacity * s.settings.OverloadWindow.Seconds()
 }
 
 // warmUpCost returns what a job counts against such a budget.
@@ -160,12 +176,11 @@
 	return job.work * job.Slots * m.overrunRatio[job.Class]
 }
 
-// assigneeRank returns this dispatcher's place, from 0, among those that may send jobs to a warming
+// assigneeRank returns the place, from 0, of a dispatcher among those that may send jobs to a warming
 // worker. All dispatchers compute the same order.
-func (d *Dispatcher) assigneeRank(worker *workerInfo) (rank, assignees int) {
+func (r replicaGroup) assigneeRank(worker *workerInfo) (rank, assignees int) {
 	if worker.Assignees > 0 {
 		return max(0, worker.AssigneeRank), worker.Assignees
 	}
-	index, replicas := d.replica()
-	return int((uint64(index) + worker.ID*hashFactor>>32) % uint64(replicas)), replicas
+	return int((uint64(r.index) + worker.ID*hashFactor>>32) % uint64(r.count)), r.count
 }
--- a/dispatch/snapshot.go
+++ b/dispatch/snapshot.go
@@ -89,7 +89,7 @@
 // walkFigures writes or reads the single figures of all types.
 func (d *Dispatcher) walkFigures(codec *codec) {
 	codec.instant(
-		&d.bornAt, &d.timers.callerAt, &d.outliers.nextProbeAt, &d.subscription.retryAt,
+		&d.slowStart.beganAt, &d.timers.callerAt, &d.outliers.nextProbeAt, &d.subscription.retryAt,
 		&d.idleConnections.maxIdleSetAt, &d.stalls.endedAt, &d.starts.lastSentAt,
 	)
 	codec.duration(
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -12,7 +12,6 @@
 	rng      *rand.Rand
 	source   *rand.PCG     // of rng: all of its state
 	now      time.Duration // of this step
-	bornAt   time.Duration // the first step
 	actions  []Action      // of this step
 
 	timers      timerQueue
@@ -34,6 +33,7 @@
 	starts          startMonitor
 	stalls          stallDetector
 	outliers        outlierDetector
+	slowStart       slowStart
 	checks          healthChecker
 	idleConnections connectionHistory
 }
