--- a/dispatch/outlier.go
+++ b/dispatch/outlier.go
@@ -5,7 +5,6 @@
 // file defines which are not.
 
 import (
-	"math"
 	"math/rand/v2"
 	"time"
 )
@@ -107,120 +106,6 @@
 	d.emit(WorkerEjected{Worker: worker.ID, Reason: reason, EjectionTime: worker.outlier.ejectionTime})
 }
 
-// handleResult updates what is known of a worker by the end of an attempt there.
-func (d *Dispatcher) handleResult(attempt *attemptInfo) {
-	worker := attempt.worker
-	switch attempt.result {
-	case OK:
-		d.handleSuccess(attempt)
-	case WorkerFull:
-		d.handleWorkerFull(attempt)
-	case Failed:
-		worker.activity.aliveAt = d.now
-		d.halveLimit(attempt)
-		// A worker that fails fast looks idle, and would attract all jobs.
-		worker.outlier.failures++
-		if worker.outlier.failures > maxConsecutiveFailures {
-			d.eject(worker, EjectedForFailures)
-		}
-	case ConnectFailed, ConnectionReset:
-		d.handleConnectionFailure(attempt)
-	case TimedOut:
-		hadTime := attempt.job.deadline-attempt.sentAt >= d.starts.promptStart(attempt.job.class)
-		if hadTime { // else the timeout shows no queue
-			d.halveLimit(attempt)
-		}
-	}
-}
-
-func (d *Dispatcher) handleSuccess(attempt *attemptInfo) {
-	job, worker := attempt.job, attempt.worker
-	worker.outlier.failures = 0
-	worker.activity.progressAt = d.now
-	d.markAlive(worker)
-	d.learnFromRun(attempt, d.now-attempt.startedAt)
-	if d.settings.StartNotifications {
-		return
-	}
-	// Without notifications of starts an end within the objective counts as a prompt start, by the size
-	// as estimated now: with hints that are too low all would look late.
-	stretch := seconds(job.class.ObjectiveStretch * d.workload.expectedWork(job) / worker.speed.factor)
-	d.adjustLimit(attempt, d.now-attempt.sentAt <= job.class.LatencyObjective+stretch)
-}
-
-func (d *Dispatcher) handleWorkerFull(attempt *attemptInfo) {
-	demand, worker := attempt.job.demand, attempt.worker
-	worker.activity.aliveAt = d.now
-	d.fleet.observeBusy(worker.Zone, true)
-	d.halveLimit(attempt)
-	d.backOff(worker, minBackoff)
-	if worker.slots.used == 0 && demand > 1 {
-		worker.slots.rejectedDemand = demand // it may never be able to run this
-	}
-}
-
-// handleConnectionFailure attributes a failure to the connection, if it was idle before, then once to
-// the network, and only then to the worker.
-func (d *Dispatcher) handleConnectionFailure(attempt *attemptInfo) {
-	worker := attempt.worker
-	worker.connections.open = len(worker.inFlight)
-	if attempt.connectionIdle > 0 && !attempt.started {
-		d.idleConnections.observe(attempt.connectionIdle, false, d.now)
-		return
-	}
-	worker.outlier.connectionFailures++
-	if worker.outlier.connectionFailures <= maxConsecutiveFailures && !attempt.started {
-		return
-	}
-	worker.outlier.connectionLost = worker.outlier.connectionLost || attempt.result == ConnectionReset
-	d.halveLimit(attempt)
-	d.eject(worker, EjectedAsUnreachable)
-}
-
-// handleOverdue acts on an attempt that has not started or ended when it should have, also if its job
-// has ended.
-func (d *Dispatcher) handleOverdue(attempt *attemptInfo) {
-	if attempt.ended || attempt.orphaned || !attempt.started && attempt.mayBeDropped() {
-		return
-	}
-	if d.stalls.isEnding(d.now) { // its notification may have arrived meanwhile, and not have been read yet
-		d.setTimer(&attempt.timer, d.now+min(d.stalls.length, maintenanceInterval))
-		return
-	}
-	switch run := d.now - attempt.startedAt; {
-	case !attempt.started:
-		d.handleLateStart(attempt)
-	case run < d.workload.maxPlausibleRun(attempt): // it started, or the error of runs grew, since
-		return
-	default:
-		d.workload.observeOverrun(attempt.job.Class, run.Seconds(), attempt.expectedRun.Seconds())
-		logSpeed := math.Log(d.workload.expectedWork(attempt.job) / run.Seconds())
-		d.learnSpeed(attempt.worker, min(attempt.worker.speed.log, logSpeed))
-	}
-	if d.isStuck(attempt) || d.isHedgedEarly(attempt) {
-		d.retryElsewhere(attempt.job)
-	} else if attempt.started {
-		d.setTimer(&attempt.timer, attempt.silentAt(&d.settings))
-	}
-}
-
-// handleLateStart acts on an attempt that has not started in time. Once it has been unstarted for so
-// long that it is taken for lost, its connection or, if it has been silent since, its worker is at
-// fault.
-func (d *Dispatcher) handleLateStart(attempt *attemptInfo) {
-	worker := attempt.worker
-	if lostAt := attempt.sentAt + d.starts.lostAfter(); d.now < lostAt {
-		d.setTimer(&attempt.timer, lostAt)
-	} else {
-		d.idleConnections.observe(attempt.connectionIdle, false, d.now)
-		if worker.activity.aliveAt < attempt.sentAt {
-			d.eject(worker, EjectedForSilence)
-		}
-	}
-	d.leases.client.reportStart(attempt, false)
-	d.adjustLimit(attempt, false)
-}
-
 // markAlive updates a worker that has given a sign of life.
 func (d *Dispatcher) markAlive(worker *workerInfo) {
 	worker.activity.aliveAt = d.now
--- /dev/null
+++ b/dispatch/results.go
@@ -0,0 +1,75 @@
+package dispatch
+
+// Results of attempts: what the end of an attempt shows of its worker. By the design room halves on
+// "full" (not accepted) or failure (error, timeout or reset), and without notifications of starts it
+// grows when a job ends within its class's objective.
+
+// handleResult updates what is known of a worker by the end of an attempt there.
+func (d *Dispatcher) handleResult(attempt *attemptInfo) {
+	worker := attempt.worker
+	switch attempt.result {
+	case OK:
+		d.handleSuccess(attempt)
+	case WorkerFull:
+		d.handleWorkerFull(attempt)
+	case Failed:
+		worker.activity.aliveAt = d.now
+		d.halveLimit(attempt)
+		// A worker that fails fast looks idle, and would attract all jobs.
+		worker.outlier.failures++
+		if worker.outlier.failures > maxConsecutiveFailures {
+			d.eject(worker, EjectedForFailures)
+		}
+	case ConnectFailed, ConnectionReset:
+		d.handleConnectionFailure(attempt)
+	case TimedOut:
+		hadTime := attempt.job.deadline-attempt.sentAt >= d.starts.promptStart(attempt.job.class)
+		if hadTime { // else the timeout shows no queue
+			d.halveLimit(attempt)
+		}
+	}
+}
+
+func (d *Dispatcher) handleSuccess(attempt *attemptInfo) {
+	job, worker := attempt.job, attempt.worker
+	worker.outlier.failures = 0
+	worker.activity.progressAt = d.now
+	d.markAlive(worker)
+	d.learnFromRun(attempt, d.now-attempt.startedAt)
+	if d.settings.StartNotifications {
+		return
+	}
+	// Without notifications of starts an end within the objective counts as a prompt start, by the size
+	// as estimated now: with hints that are too low all would look late.
+	stretch := seconds(job.class.ObjectiveStretch * d.workload.expectedWork(job) / worker.speed.factor)
+	d.adjustLimit(attempt, d.now-attempt.sentAt <= job.class.LatencyObjective+stretch)
+}
+
+func (d *Dispatcher) handleWorkerFull(attempt *attemptInfo) {
+	demand, worker := attempt.job.demand, attempt.worker
+	worker.activity.aliveAt = d.now
+	d.fleet.observeBusy(worker.Zone, true)
+	d.halveLimit(attempt)
+	d.backOff(worker, minBackoff)
+	if worker.slots.used == 0 && demand > 1 {
+		worker.slots.rejectedDemand = demand // it may never be able to run this
+	}
+}
+
+// handleConnectionFailure attributes a failure to the connection, if it was idle before, then once to
+// the network, and only then to the worker.
+func (d *Dispatcher) handleConnectionFailure(attempt *attemptInfo) {
+	worker := attempt.worker
+	worker.connections.open = len(worker.inFlight)
+	if attempt.connectionIdle > 0 && !attempt.started {
+		d.idleConnections.observe(attempt.connectionIdle, false, d.now)
+		return
+	}
+	worker.outlier.connectionFailures++
+	if worker.outlier.connectionFailures <= maxConsecutiveFailures && !attempt.started {
+		return
+	}
+	worker.outlier.connectionLost = worker.outlier.connectionLost || attempt.result == ConnectionReset
+	d.halveLimit(attempt)
+	d.eject(worker, EjectedAsUnreachable)
+}
