--- a/dispatch/leaseadapter.go
+++ b/dispatch/leaseadapter.go
@@ -47,7 +47,8 @@
 
 // warmUpLeaseBudget implements workerCapacity.
 func (l *leaseAdapter) warmUpLeaseBudget(worker *workerInfo) float64 {
-	return l.dispatcher.slowStart.budget(worker, l.dispatcher.now) * warmUpLeaseMargin / warmUpBudgetFraction
+	budget := l.dispatcher.slowStart.budget(worker, l.dispatcher.now)
+	return budget * warmUpLeaseFraction / warmUpBudgetFraction
 }
 
 // observePromptSlots implements slotObserver.
