--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -17,8 +17,8 @@
 //   - queue.go decides which job leaves the queue next. reservation.go keeps a worker free for a large job.
 //   - picker.go chooses its worker, of those that concurrency.go, slowstart.go, outlier.go and cordon.go admit. In a large
 //     fleet preference.go says which of them are evaluated first. healthcheck.go checks workers before a choice.
-//   - attempts.go sends the job. startmonitor.go says whether it starts promptly, and concurrency.go, learning.go and
-//     connections.go observe its start and its end.
+//   - attempts.go sends the job. startmonitor.go says whether it starts promptly, overdue.go acts on attempts that are late,
+//     and results.go on the result of each: concurrency.go, learning.go, machine.go and connections.go are updated by these.
 //   - retry.go and hedging.go decide when it is sent again. admission.go gives the final answer.
 //   - maintenance.go updates estimates at a fixed interval. subscription.go requests the list of workers.
 //
