--- a/internal/link/hotrestart_channel.go
+++ b/internal/hotrestart/transport/channel.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"errors"
@@ -11,35 +11,35 @@
 )
 
 const (
-	controlBufferSize = 256                    // for descriptors that come with one read
-	shortageWait      = 100 * time.Microsecond // before another try, while too many descriptors are on their way, or memory lacks
+	controlBufferSize = 256                    // bytes, for the descriptors of one read
+	shortageWait      = 100 * time.Microsecond // before a retry, while too many descriptors are in flight or memory is short
 )
 
 // Errors of a channel.
 var (
-	errDescriptorLost     = errors.New("a descriptor was lost: this process has no room for it")
-	errOutputPending      = errors.New("earlier messages are not sent yet")
-	errPeerNotReading     = errors.New("the peer does not read")
-	errPeerNotResponding  = errors.New("the peer does not respond in time")
+	errDescriptorLost     = errors.New("descriptor lost: this process has too many open")
+	errOutputPending      = errors.New("earlier messages not sent yet")
+	errPeerNotReading     = errors.New("peer does not read")
+	errPeerNotResponding  = errors.New("peer does not respond in time")
 	errHandshakeTimeout   = errors.New("no handshake in time")
 	errHandlerPanicked    = errors.New("panic")
-	errPeerNotListening   = errors.New("a message could not be sent")
+	errSendFailed         = errors.New("message could not be sent")
 	errInputDelayed       = errors.New("no memory to receive a message")
-	errSuccessorHasClosed = errors.New("the successor has closed its connection")
+	errSuccessorHasClosed = errors.New("successor has closed its connection")
 )
 
-// frameChannel is one end of the Unix socket between a predecessor and a successor: a stream of frames, some of which come
-// with a descriptor.
-type frameChannel struct {
+// channel is one end of the Unix socket between a predecessor and a successor: a stream of frames, some of which carry a file
+// descriptor.
+type channel struct {
 	eventloop.Stream
-	loop         *Loop
-	descriptors  []int                   // received, of frames that have not been handled yet
+	roles        *Roles
+	descriptors  []int                   // received, of frames that are not handled yet
 	pendingCalls hotrestart.PendingCalls // cordon calls that were forwarded to the peer
 }
 
-// receive reads what has come, with the descriptors; one scratch buffer of it at most. ended tells that no more will come. After
-// errInputDelayed it is to be tried again in a moment.
-func (c *frameChannel) receive() (ended bool, err error) {
+// receive reads input and descriptors, at most one read buffer of input. ended reports that the peer sends no more. After
+// errInputDelayed the caller retries in a moment.
+func (c *channel) receive() (ended bool, err error) {
 	var control [controlBufferSize]byte
 	n, controlSize, flags, err := c.receiveMessage(control[:])
 	switch {
@@ -59,13 +59,13 @@
 	if n == 0 {
 		return true, nil
 	}
-	c.AppendInput(c.loop.ReadBuffer()[:n])
+	c.AppendInput(c.roles.loop.ReadBuffer()[:n])
 	return false, nil
 }
 
-func (c *frameChannel) receiveMessage(control []byte) (n, controlSize, flags int, err error) {
+func (c *channel) receiveMessage(control []byte) (n, controlSize, flags int, err error) {
 	for {
-		n, controlSize, flags, err = c.loop.Syscalls().Recvmsg(c.FD(), c.loop.ReadBuffer(), control,
+		n, controlSize, flags, err = c.roles.loop.Syscalls().Recvmsg(c.FD(), c.roles.loop.ReadBuffer(), control,
 			unix.MSG_CMSG_CLOEXEC|unix.MSG_DONTWAIT)
 		if !errors.Is(err, unix.EINTR) {
 			return n, controlSize, flags, err
@@ -73,7 +73,7 @@
 	}
 }
 
-func (c *frameChannel) keepDescriptors(control []byte) error {
+func (c *channel) keepDescriptors(control []byte) error {
 	if len(control) == 0 {
 		return nil
 	}
@@ -89,18 +89,18 @@
 	return nil
 }
 
-// closeWithDescriptors closes the channel, and the descriptors of frames that were not handled.
-func (c *frameChannel) closeWithDescriptors() {
+// closeWithDescriptors closes the channel and the descriptors of frames that were not handled.
+func (c *channel) closeWithDescriptors() {
 	for _, descriptor := range c.descriptors {
-		_ = c.loop.Syscalls().Close(descriptor)
+		_ = c.roles.loop.Syscalls().Close(descriptor)
 	}
 	c.descriptors = nil
 	c.Close()
 }
 
-// handleMessages calls handle for each whole message that has come, until it fails or the channel is closed. handle owns the
+// handleMessages calls handle for each complete message of the input, until it fails or the channel is closed. handle owns the
 // descriptor.
-func (c *frameChannel) handleMessages(handle func(message hotrestart.Message, descriptor int) error) error {
+func (c *channel) handleMessages(handle func(message hotrestart.Message, descriptor int) error) error {
 	offset := 0
 	for {
 		message, descriptor, size, err := c.nextMessage(offset)
@@ -118,9 +118,9 @@
 	}
 }
 
-// nextMessage decodes the message at an offset of what has come. size is that of its frame. The caller owns the descriptor,
-// which is NoDescriptor if none comes with the message.
-func (c *frameChannel) nextMessage(offset int) (message hotrestart.Message, descriptor, size int, err error) {
+// nextMessage decodes the message at an offset of the input. size is that of its frame. The caller owns the descriptor, which is
+// NoDescriptor if the message carries none. The error is hotrestart.ErrIncomplete if the message is not complete yet.
+func (c *channel) nextMessage(offset int) (message hotrestart.Message, descriptor, size int, err error) {
 	frame, size, err := hotrestart.ReadFrame(c.Input()[offset:])
 	if err != nil {
 		return nil, hotrestart.NoDescriptor, 0, err
@@ -134,14 +134,14 @@
 	}
 	message, err = frame.Message()
 	if err != nil {
-		c.loop.closeDescriptor(descriptor)
+		c.roles.closeDescriptor(descriptor)
 		return nil, hotrestart.NoDescriptor, 0, err
 	}
 	return message, descriptor, size, nil
 }
 
-// sendMessage sends a message that carries no descriptor. What the socket does not take now is sent later.
-func (c *frameChannel) sendMessage(message hotrestart.Message) error {
+// sendMessage sends a message that carries no descriptor. What does not fit into the socket's buffer is sent later.
+func (c *channel) sendMessage(message hotrestart.Message) error {
 	encoded, err := hotrestart.AppendMessage(nil, message)
 	if err != nil {
 		return err
@@ -149,9 +149,9 @@
 	return c.Send(encoded)
 }
 
-// sendMessageBefore sends a message, with a descriptor unless that is NoDescriptor, and waits until the socket has taken all
-// of it, to a deadline of the loop's clock. Only a process that does nothing else meanwhile calls it.
-func (c *frameChannel) sendMessageBefore(deadline time.Duration, message hotrestart.Message, descriptor int) error {
+// sendMessageBefore sends a message, with a descriptor unless that is NoDescriptor, and blocks until the socket has accepted all of
+// it or the deadline, on the loop's clock, has passed. It is called only while the process must do nothing else.
+func (c *channel) sendMessageBefore(deadline time.Duration, message hotrestart.Message, descriptor int) error {
 	encoded, err := hotrestart.AppendMessage(nil, message)
 	if err != nil {
 		return err
@@ -167,7 +167,7 @@
 		rights = unix.UnixRights(descriptor)
 	}
 	for len(encoded) > 0 {
-		n, err := c.loop.Syscalls().SendmsgN(c.FD(), encoded, rights, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
+		n, err := c.roles.loop.Syscalls().SendmsgN(c.FD(), encoded, rights, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
 		if err == nil {
 			encoded, rights = encoded[n:], nil // the descriptor goes with the first byte
 			continue
@@ -179,16 +179,16 @@
 	return nil
 }
 
-// waitAfterSendError waits until sending may be tried again after an error; it returns an error if that is of no use.
-func (c *frameChannel) waitAfterSendError(deadline time.Duration, err error) error {
+// waitAfterSendError blocks until sending can be retried after an error. It returns an error if it can't be.
+func (c *channel) waitAfterSendError(deadline time.Duration, err error) error {
 	switch {
 	case errors.Is(err, unix.EINTR):
 		return nil
 	case errors.Is(err, unix.EAGAIN):
 		return c.waitUntilReady(deadline, unix.POLLOUT)
-	case eventloop.Classify(eventloop.CallSendMessage, err).IsShortage(): // as of descriptors that the peer has not read yet
+	case eventloop.Classify(eventloop.CallSendMessage, err).IsShortage(): // for example, descriptors that the peer has not read
 		time.Sleep(shortageWait)
-		if c.loop.Clock() >= deadline {
+		if c.roles.loop.Clock() >= deadline {
 			return errPeerNotReading
 		}
 		return nil
@@ -197,15 +197,15 @@
 	}
 }
 
-// waitUntilReady waits until the socket has one of the events of poll(2), to a deadline of the loop's clock.
-func (c *frameChannel) waitUntilReady(deadline time.Duration, events int16) error {
+// waitUntilReady blocks until the socket has one of the events of poll(2) or the deadline, on the loop's clock, has passed.
+func (c *channel) waitUntilReady(deadline time.Duration, events int16) error {
 	for {
-		remaining := deadline - c.loop.Clock()
+		remaining := deadline - c.roles.loop.Clock()
 		if remaining <= 0 {
 			return errPeerNotResponding
 		}
 		polled := unix.PollFd{Fd: int32(c.FD()), Events: events}
-		n, err := c.loop.Syscalls().Poll(&polled, int((remaining+time.Millisecond-1)/time.Millisecond))
+		n, err := c.roles.loop.Syscalls().Poll(&polled, int((remaining+time.Millisecond-1)/time.Millisecond))
 		switch class := eventloop.Classify(eventloop.CallPoll, err); {
 		case err == nil || class == eventloop.ErrorRetry:
 		case class.IsShortage():
@@ -219,8 +219,8 @@
 	}
 }
 
-// forwardCordon has the peer cordon or uncordon a worker. respond is called with its answer.
-func (c *frameChannel) forwardCordon(workerID string, cordoned bool, respond func(statusCode int, message string)) error {
+// sendCordon has the peer cordon or uncordon a worker. respond is called with its answer.
+func (c *channel) sendCordon(workerID string, cordoned bool, respond func(statusCode int, message string)) error {
 	call := hotrestart.CordonCall{WorkerID: workerID, Cordoned: cordoned, Respond: respond}
 	return c.sendMessage(c.pendingCalls.Add(call))
 }
--- /dev/null
+++ b/internal/hotrestart/transport/predecessor.go
@@ -0,0 +1,268 @@
+package transport
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/internal/eventloop"
+	"valvecove/internal/hotrestart"
+)
+
+const (
+	handshakeTimeout = 3 * time.Second        // for the first message of the peer
+	transferTimeout  = 600 * time.Millisecond // nobody is served during a transfer
+	tookRounding     = 10 * time.Microsecond  // of the duration of a transfer, in the log
+)
+
+// Retries of AwaitSuccessor. An abstract socket name becomes free some time after its last owner has closed the socket.
+const (
+	addressInUseBackoff    = 20 * time.Millisecond
+	maxAddressInUseRetries = 100
+	maxListenBackoff       = time.Second // while the machine lacks something; it doubles up to this
+)
+
+// predecessor is the role of a process that serves: it accepts a successor, and transfers all state to it.
+type predecessor struct {
+	roles      *Roles
+	acceptor   *eventloop.Acceptor // of the Unix socket
+	protocol   hotrestart.Predecessor
+	connection *successorConnection // nil: no successor is connected
+}
+
+// successorConnection is a predecessor's connection to its successor.
+type successorConnection struct {
+	channel
+	role           *predecessor
+	handshakeTimer *eventloop.Timer
+}
+
+// AwaitSuccessor listens for a successor at the first of the addresses that can be bound. If none can, it retries: for a bounded time
+// if the address is in use, and without limit if the machine lacks something. After any other error, which is logged, this process
+// can be replaced only by a drain.
+func (r *Roles) AwaitSuccessor(addresses []string) {
+	r.awaitSuccessor(addresses, maxAddressInUseRetries, addressInUseBackoff)
+}
+
+func (r *Roles) awaitSuccessor(addresses []string, retries int, backoff time.Duration) {
+	role := &predecessor{roles: r, acceptor: eventloop.NewAcceptor(r.loop, r.config.Log)}
+	err := role.listen(addresses)
+	switch {
+	case err == nil:
+		r.predecessor = role
+	case errors.Is(err, unix.EADDRINUSE) && retries > 0:
+		r.loop.After(addressInUseBackoff, func() { r.awaitSuccessor(addresses, retries-1, backoff) })
+	case isMomentary(err):
+		r.loop.After(backoff, func() { r.awaitSuccessor(addresses, retries, min(2*backoff, maxListenBackoff)) })
+	default:
+		r.config.Log.Warn("successor socket open failed", "error", err)
+	}
+}
+
+func (p *predecessor) listen(addresses []string) error {
+	descriptor, err := p.roles.unixSockets().listen(addresses)
+	if err != nil {
+		return err
+	}
+	if err := p.acceptor.Add(descriptor, p); err != nil {
+		_ = p.roles.loop.Syscalls().Close(descriptor)
+		return err
+	}
+	return nil
+}
+
+// HandlePanic does nothing: the socket remains in use.
+func (p *predecessor) HandlePanic() {}
+
+// HandleEvents accepts a successor or rejects it.
+func (p *predecessor) HandleEvents(uint32) {
+	loop := p.roles.loop
+	socket, _, result := p.acceptor.Accept()
+	if result != eventloop.Accepted {
+		return
+	}
+	if present := p.connection; present != nil { // it may have just disconnected, to connect again
+		loop.Protect(present, func() { present.HandleEvents(unix.EPOLLIN) })
+	}
+	connecting := &successorConnection{channel: channel{roles: p.roles}, role: p}
+	var err error
+	if connecting.Stream, err = loop.OpenStream(socket, eventloop.StreamEvents, connecting); err != nil {
+		_ = loop.Syscalls().Close(socket)
+		return
+	}
+	if reason := p.protocol.HandleConnect(p.roles.unixSockets().isPeerOwnUser(socket)); reason != nil {
+		p.roles.config.Log.Warn("successor rejected", "reason", reason)
+		_ = connecting.sendMessage(hotrestart.Reject{Reason: reason.Error()})
+		connecting.closeWithDescriptors()
+		return
+	}
+	p.connection = connecting
+	connecting.handshakeTimer = loop.StartTimer(handshakeTimeout, connecting, func() { connecting.disconnect(errHandshakeTimeout) })
+}
+
+// HandlePanic ends the connection.
+func (c *successorConnection) HandlePanic() { c.disconnect(errHandlerPanicked) }
+
+// disconnect ends the connection. This process continues to serve, unless it has relinquished. err is nil if the successor has closed
+// the connection.
+func (c *successorConnection) disconnect(err error) {
+	if !c.IsOpen() {
+		return
+	}
+	c.roles.loop.StopTimer(c.handshakeTimer)
+	c.role.connection = nil
+	c.role.protocol.HandleDisconnect()
+	if !c.roles.HasRelinquished() {
+		c.roles.config.SetHalved(false)
+	}
+	c.roles.config.Log.Info("successor disconnected", "error", err)
+	for _, call := range c.pendingCalls.TakeAll() {
+		call.Respond(http.StatusServiceUnavailable, "the process that serves has gone")
+	}
+	c.closeWithDescriptors()
+}
+
+// HandleEvents sends queued output and handles the successor's messages.
+func (c *successorConnection) HandleEvents(events uint32) {
+	if events&unix.EPOLLOUT != 0 {
+		if err := c.Flush(); err != nil {
+			c.disconnect(err)
+			return
+		}
+	}
+	hasEnded, err := c.receive()
+	if errors.Is(err, errInputDelayed) {
+		c.PauseInput()
+		return
+	}
+	if err == nil {
+		err = c.handleMessages(c.handleMessage)
+	}
+	if err != nil || hasEnded {
+		c.disconnect(err)
+	}
+}
+
+func (c *successorConnection) handleMessage(message hotrestart.Message, descriptor int) error {
+	c.roles.closeDescriptor(descriptor) // a successor passes none
+	action, err := c.role.protocol.HandleMessage(message)
+	switch action {
+	case hotrestart.ActionReject:
+		_ = c.sendMessage(hotrestart.Reject{Reason: err.Error()})
+	case hotrestart.ActionAccept:
+		return c.accept()
+	case hotrestart.ActionApply:
+		c.apply(message)
+	}
+	return err
+}
+
+// accept lets the successor enter standby, and passes it the socket that clients connect to.
+func (c *successorConnection) accept() error {
+	config := &c.roles.config
+	c.roles.loop.StopTimer(c.handshakeTimer)
+	accept := hotrestart.Accept{Version: hotrestart.ProtocolVersion, CordonedWorkers: config.Cordoned.Cordoned()}
+	if err := c.sendMessageBefore(c.roles.loop.Clock()+transferTimeout, accept, config.Clients.Socket()); err != nil {
+		return err
+	}
+	if c.roles.cordons.UnstoredCount() > 0 { // else the successor would prefer the file, should this process die
+		c.roles.CordonsChanged()
+	}
+	config.Log.Info("successor in standby")
+	config.SetHalved(true)
+	config.OnStandby()
+	return nil
+}
+
+func (c *successorConnection) apply(message hotrestart.Message) {
+	switch message := message.(type) {
+	case hotrestart.SetCordon:
+		c.roles.cordons.Apply(message, func(result hotrestart.CordonResult) {
+			if c.IsOpen() && c.sendMessage(result) != nil {
+				c.disconnect(errSendFailed)
+			}
+		})
+	case hotrestart.CordonResult:
+		c.pendingCalls.Complete(message)
+	}
+}
+
+// forwardCordon forwards a cordon call to the successor, which owns the requests.
+func (c *successorConnection) forwardCordon(workerID string, cordoned bool, respond func(statusCode int, message string)) {
+	if c.sendCordon(workerID, cordoned, respond) != nil {
+		c.disconnect(errSendFailed)
+	}
+}
+
+// Relinquish transfers all state to the successor, in one step that blocks for at most transferTimeout. The successor owns the state
+// once it has sent TakenOver; until then nothing changes here. The process does nothing else meanwhile, as a state with two owners
+// would be acted on twice.
+//
+// It returns ErrNoSuccessor if none is in standby, and ErrNotSettled if the policy has not received all events, an attempt has no
+// connection yet or the file of cordoned workers is being written. After any other error this process still owns the state.
+func (r *Roles) Relinquish() error {
+	role := r.predecessor
+	if role == nil || role.protocol.State() != hotrestart.PredecessorPaired {
+		return ErrNoSuccessor
+	}
+	if !r.config.State.Settle() || !r.cordons.Fence() {
+		return ErrNotSettled
+	}
+	startedAt := r.loop.Clock()
+	role.protocol.BeginTransfer()
+	transfer := &transfer{roles: r, connection: role.connection, deadline: startedAt + transferTimeout}
+	err := transfer.run()
+	if err != nil && !role.connection.takenOverBeforeShutdown() {
+		role.connection.disconnect(err)
+		r.cordons.Unfence()
+		return fmt.Errorf("transfer to the successor: %w", err)
+	}
+	r.config.State.Release()
+	role.acceptor.Close()
+	r.config.Peers.Close()
+	took := (r.loop.Clock() - startedAt).Round(tookRounding)
+	sent := &transfer.snapshot
+	r.config.Log.Info("handed over", "requests", len(sent.OpenRequests), "client_connections", len(sent.ClientConnections),
+		"worker_connections", len(sent.WorkerConnections), "snapshot_bytes", len(sent.Policy), "took", took.String())
+	return nil
+}
+
+// takenOverBeforeShutdown shuts the connection down, and reports whether the successor had sent TakenOver before. Nothing that it
+// sends later arrives here, and it is notified of that by an error: there are never two owners. All input is read, however long the
+// machine lacks something for that, as the result must be certain.
+func (c *successorConnection) takenOverBeforeShutdown() bool {
+	syscalls := c.roles.loop.Syscalls()
+	for isMomentary(eventloop.NewCallError(eventloop.CallShutdown, syscalls.Shutdown(c.FD(), unix.SHUT_RDWR))) {
+		time.Sleep(shortageWait)
+	}
+	c.receiveAll()
+	for offset := 0; ; {
+		frame, size, err := hotrestart.ReadFrame(c.Input()[offset:])
+		if err != nil {
+			return false
+		}
+		if frame.Kind == hotrestart.KindTakenOver {
+			_, _ = c.role.protocol.HandleMessage(hotrestart.TakenOver{})
+			return true
+		}
+		offset += size
+	}
+}
+
+// receiveAll reads all input of a connection that was shut down.
+func (c *successorConnection) receiveAll() {
+	for {
+		before := len(c.Input())
+		hasEnded, err := c.receive()
+		if errors.Is(err, errInputDelayed) {
+			time.Sleep(shortageWait)
+			continue
+		}
+		if err != nil || hasEnded || len(c.Input()) == before {
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/hotrestart/transport/successor.go
@@ -0,0 +1,324 @@
+package transport
+
+import (
+	"errors"
+	"fmt"
+	"net/netip"
+	"strings"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/internal/eventloop"
+	"valvecove/internal/hotrestart"
+)
+
+// endpointListTimeout is how long a successor waits for an endpoint list of its own before it reports that it is ready.
+const endpointListTimeout = 2 * time.Second
+
+// Retries of opening the socket that clients connect to, after a take-over.
+const (
+	listenTimeout          = 9 * time.Second
+	minClientListenBackoff = 5 * time.Millisecond // doubles with each failure
+	maxClientListenBackoff = 200 * time.Millisecond
+)
+
+var errListenerUnusable = errors.New("the predecessor's listening socket can't be used")
+
+// successor is the role of a process that is to replace another one: it is in standby, and then takes over.
+type successor struct {
+	channel
+	protocol        hotrestart.Successor
+	stateDir        string
+	listenAddress   netip.AddrPort
+	listener        int // the predecessor's listening socket; hotrestart.NoDescriptor: not received
+	received        hotrestart.ReceivedState
+	cordonsNotified bool // the predecessor has notified of a change of the cordoned workers, in this session
+	handshakeTimer  *eventloop.Timer
+	startedAt       time.Duration // on the loop's clock
+}
+
+// Join connects to the process that serves at an address with a state directory, if there is one. It reports whether there is; this
+// process enters standby then.
+func (r *Roles) Join(stateDir string, listenAddress netip.AddrPort) bool {
+	role := &successor{
+		channel:       channel{roles: r},
+		stateDir:      stateDir,
+		listenAddress: listenAddress,
+		listener:      hotrestart.NoDescriptor,
+		startedAt:     r.loop.Now(),
+	}
+	if r.config.Retry(role.connect) != nil {
+		return false
+	}
+	r.successor = role
+	r.config.SetHalved(true)
+	// At once: the first connection of one scheduler of many may be delayed, and the list is needed soon.
+	r.config.Watch.WatchEndpoints()
+	return true
+}
+
+// LeaveStandby disconnects a process in standby from its predecessor, which continues to serve. It reports whether this process was
+// in standby.
+func (r *Roles) LeaveStandby() bool {
+	if !r.IsStandby() {
+		return false
+	}
+	role := r.successor
+	r.loop.StopTimer(role.handshakeTimer)
+	role.closeWithDescriptors()
+	role.discardReceived()
+	role.closeListener()
+	r.successor = nil
+	return true
+}
+
+func (r *Roles) unixSockets() unixSockets { return unixSockets{r.loop.Syscalls()} }
+
+// connect opens a session with the predecessor.
+func (s *successor) connect() error {
+	loop := s.roles.loop
+	sockets := s.roles.unixSockets()
+	socket, err := sockets.dial(hotrestart.SocketAddresses(s.stateDir, s.listenAddress))
+	if err != nil {
+		return err
+	}
+	if !sockets.isPeerOwnUser(socket) {
+		_ = loop.Syscalls().Close(socket)
+		s.roles.config.Log.Warn("predecessor ignored, it runs as another user")
+		return unix.EPERM
+	}
+	if s.Stream, err = loop.OpenStream(socket, eventloop.StreamEvents, s); err != nil {
+		s.Stream = eventloop.Stream{}
+		_ = loop.Syscalls().Close(socket)
+		return err
+	}
+	if err := s.sendMessage(hotrestart.Handshake{Version: hotrestart.ProtocolVersion}); err != nil {
+		s.closeWithDescriptors()
+		return err
+	}
+	s.handshakeTimer = loop.StartTimer(handshakeTimeout, s, func() { s.handleDisconnect(errHandshakeTimeout) })
+	return nil
+}
+
+// isServing reports whether this process owns the requests.
+func (s *successor) isServing() bool { return s.protocol.State() == hotrestart.SuccessorServing }
+
+// notReadyReason returns what this process waits for before it can take over; an empty string if it is ready.
+func (s *successor) notReadyReason() string {
+	switch s.protocol.State() {
+	case hotrestart.SuccessorJoining:
+		return "the process to be replaced has not answered"
+	case hotrestart.SuccessorStandby:
+		if !s.roles.config.Watch.HasReceivedEndpoints() && s.roles.loop.Now()-s.startedAt < endpointListTimeout {
+			return "no word from discovery yet"
+		}
+	}
+	return ""
+}
+
+// HandlePanic ends the session.
+func (s *successor) HandlePanic() { s.handleDisconnect(errHandlerPanicked) }
+
+// HandleEvents sends queued output and handles all input at once: nobody is served during a transfer.
+func (s *successor) HandleEvents(events uint32) {
+	if events&unix.EPOLLOUT != 0 {
+		if err := s.Flush(); err != nil {
+			s.handleDisconnect(err)
+			return
+		}
+	}
+	for more := true; more; {
+		more = s.receiveAndHandle()
+	}
+}
+
+// receiveAndHandle reads and handles input once. It reports whether there may be more.
+func (s *successor) receiveAndHandle() (more bool) {
+	before := len(s.Input())
+	hasEnded, err := s.receive()
+	if errors.Is(err, errInputDelayed) {
+		s.PauseInput()
+		return false
+	}
+	hasReceived := len(s.Input()) > before
+	if err == nil {
+		err = s.handleMessages(s.handleMessage)
+	}
+	if !s.IsOpen() {
+		return false
+	}
+	if err != nil || hasEnded {
+		s.handleDisconnect(err)
+		return false
+	}
+	return hasReceived
+}
+
+func (s *successor) handleMessage(message hotrestart.Message, descriptor int) error {
+	action, err := s.protocol.HandleMessage(message)
+	if err != nil {
+		s.roles.closeDescriptor(descriptor)
+		return err
+	}
+	if action == hotrestart.ActionTakeOver {
+		return s.takeOver()
+	}
+	switch message := message.(type) {
+	case hotrestart.Accept:
+		return s.handleAccept(message, descriptor)
+	case hotrestart.Reject:
+		s.roles.config.OnFail(fmt.Errorf("rejected by the predecessor: %s", message.Reason))
+	case hotrestart.CordonedWorkers:
+		s.roles.config.Cordoned.SetCordoned(message.WorkerIDs)
+		s.cordonsNotified = true
+	case hotrestart.CordonResult:
+		s.pendingCalls.Complete(message)
+	case hotrestart.SetCordon:
+		s.roles.cordons.Apply(message, func(result hotrestart.CordonResult) {
+			if s.IsOpen() {
+				_ = s.sendMessage(result)
+			}
+		})
+	case hotrestart.TransferBegin:
+		s.received.SetClocks(message, s.roles.readClocks())
+	default:
+		s.received.Add(message, descriptor)
+	}
+	return nil
+}
+
+// handleAccept enters standby. Cordon calls that an earlier session has not answered are forwarded again.
+func (s *successor) handleAccept(accept hotrestart.Accept, listener int) error {
+	s.roles.loop.StopTimer(s.handshakeTimer)
+	s.discardReceived()
+	s.roles.closeDescriptor(s.listener) // of an earlier session
+	s.listener = listener
+	s.roles.config.Cordoned.SetCordoned(accept.CordonedWorkers)
+	s.cordonsNotified = false
+	for _, message := range s.pendingCalls.Messages() {
+		if err := s.sendMessage(message); err != nil {
+			return err
+		}
+	}
+	s.roles.config.Log.Info("entered standby", "cordoned", strings.Join(accept.CordonedWorkers, " "))
+	return nil
+}
+
+// takeOver makes this process the owner of the received state. It sends TakenOver first, and continues once the kernel has accepted
+// all of that message: from there on the predecessor releases its state, and a failure below ends this process. Before that the
+// predecessor may close the connection and stay the owner.
+func (s *successor) takeOver() error {
+	received, err := s.received.Finish()
+	if err != nil {
+		return err
+	}
+	deadline := s.roles.loop.Clock() + transferTimeout
+	if err := s.sendMessageBefore(deadline, hotrestart.TakenOver{}, hotrestart.NoDescriptor); err != nil {
+		return err
+	}
+	s.protocol.TookOver()
+	s.received = hotrestart.ReceivedState{}
+	s.roles.config.State.Restore(received)
+	s.startServing()
+	s.roles.config.Log.Info("taken over", "requests", len(received.OpenRequests), "client_connections", len(received.ClientConnections),
+		"worker_connections", len(received.WorkerConnections), "clock_ahead", received.ClockAhead)
+	return nil
+}
+
+// startServing has clients, and the next successor, connect to this process.
+func (s *successor) startServing() {
+	roles := s.roles
+	s.listen(roles.loop.Now()+listenTimeout, minClientListenBackoff)
+	roles.AwaitSuccessor(hotrestart.SocketAddresses(s.stateDir, s.listenAddress))
+	roles.config.Peers.Open()
+	roles.config.SetHalved(false)
+	roles.cordons.OwnFile()
+	roles.cordons.Store()                           // the predecessor may have failed to
+	for _, call := range s.pendingCalls.TakeAll() { // the predecessor may have applied them, or not
+		roles.cordons.Set(call.WorkerID, call.Cordoned, call.Respond)
+	}
+}
+
+// listen opens the socket that clients connect to. A momentary failure is retried up to a deadline on the loop's clock; the state that
+// was taken over is served meanwhile.
+func (s *successor) listen(deadline, backoff time.Duration) {
+	roles := s.roles
+	err := s.openListener()
+	switch {
+	case err == nil || roles.HasRelinquished():
+	case isMomentary(err) && roles.loop.Now() < deadline:
+		roles.loop.After(backoff, func() { s.listen(deadline, min(2*backoff, maxClientListenBackoff)) })
+	default:
+		roles.config.OnFail(err)
+	}
+}
+
+// openListener uses the predecessor's listening socket, or opens one if there is none.
+func (s *successor) openListener() error {
+	if s.listener == hotrestart.NoDescriptor {
+		return s.roles.config.Clients.Listen(s.listenAddress, unix.SO_REUSEPORT)
+	}
+	if err := s.roles.config.Clients.AddSocket(s.listener); err != nil {
+		return fmt.Errorf("%w: %w", errListenerUnusable, err)
+	}
+	s.listener = hotrestart.NoDescriptor
+	return nil
+}
+
+// handleDisconnect ends the session, after the predecessor has closed it, has broken the protocol or can't be reached. reason is nil
+// if the predecessor has closed it.
+func (s *successor) handleDisconnect(reason error) {
+	if !s.IsOpen() {
+		return
+	}
+	roles := s.roles
+	roles.loop.StopTimer(s.handshakeTimer)
+	action := s.protocol.HandleDisconnect()
+	s.discardReceived()
+	s.closeWithDescriptors()
+	if action == hotrestart.ActionReconnect {
+		if s.connect() == nil {
+			roles.config.Log.Warn("predecessor session lost, reconnecting", "error", reason)
+			return
+		}
+		action = s.protocol.HandleDisconnect()
+	}
+	roles.successor = nil
+	if action == hotrestart.ActionServeAlone {
+		s.serveAlone(reason)
+		return
+	}
+	if !s.isServing() { // else the listening socket is in use, or will be
+		s.closeListener()
+	}
+}
+
+// serveAlone begins to serve without a predecessor's state, but for the cordoned workers.
+func (s *successor) serveAlone(reason error) {
+	if !s.cordonsNotified { // else the file may be older than the last change, which the predecessor may have failed to store
+		s.roles.cordons.Reload()
+	}
+	s.roles.config.Log.Warn("predecessor lost, serving without its state", "error", reason)
+	s.startServing()
+}
+
+// discardReceived closes the received part of a predecessor's state.
+func (s *successor) discardReceived() {
+	for _, descriptor := range s.received.Descriptors() {
+		s.roles.closeDescriptor(descriptor)
+	}
+	s.received = hotrestart.ReceivedState{}
+}
+
+func (s *successor) closeListener() {
+	s.roles.closeDescriptor(s.listener)
+	s.listener = hotrestart.NoDescriptor
+}
+
+// forwardCordon forwards a cordon call to the predecessor, which owns the requests.
+func (s *successor) forwardCordon(workerID string, cordoned bool, respond func(statusCode int, message string)) {
+	if s.sendCordon(workerID, cordoned, respond) != nil {
+		s.handleDisconnect(errSendFailed)
+	}
+}
--- a/internal/link/loop.go
+++ b/internal/link/loop.go
@@ -21,6 +21,7 @@
 	"valvecove/internal/eventloop"
 	"valvecove/internal/filesystem"
 	"valvecove/internal/gossip/socket"
+	"valvecove/internal/hotrestart/transport"
 	"valvecove/internal/limits"
 	"valvecove/internal/management"
 	"valvecove/internal/metrics/push"
@@ -54,10 +55,9 @@
 	startup startup
 	budget  *limits.Budget
 
-	predecessorRole *predecessorRole                           // nil: no successor can come
-	successorRole   *successorRole                             // nil: there is nothing to be taken over
-	files           filesystem.FileSystem                      // of the state directory
-	wrapRestored    func(*dispatch.Dispatcher) requests.Policy // wraps a dispatcher from another process; nil: none can go on here
+	restart      *transport.Roles                           // in hot restarts
+	files        filesystem.FileSystem                      // of the state directory
+	wrapRestored func(*dispatch.Dispatcher) requests.Policy // wraps a dispatcher from another process; nil: none can go on here
 
 	onWake        func()
 	onShareLimits func(half bool) // has the memory limit follow
--- a/internal/link/open.go
+++ b/internal/link/open.go
@@ -74,6 +74,7 @@
 	l.prepareWatch(conf, rand.New(rand.NewPCG(conf.Seed, watchSeed)).Int64N)
 	l.preparePeerSocket(conf)
 	l.openClientListener(clientLimitsOf(l.budget.Shares()), &conf.Settings.Settings, conf.Settings.Names)
+	l.prepareHotRestart(transferState{l})
 	if err := l.listenOrJoin(conf); err != nil {
 		return err
 	}
@@ -153,14 +154,14 @@
 	})
 }
 
-// transport is what the request table reaches workers and discovery by.
-type transport struct {
+// workerTransport is how the request table reaches workers and discovery.
+type workerTransport struct {
 	*worker.Pool
 	loop *Loop
 }
 
 // Watch watches the endpoint list from now on. A connection that is planned or open is kept.
-func (t transport) Watch(int64) { t.loop.watch.Restart() }
+func (t workerTransport) Watch(int64) { t.loop.watch.Restart() }
 
 // openRequestTable makes the request table with the policy that decides.
 func (l *Loop) openRequestTable(conf config.Config, ops config.Ops, log *logging.Factory) (err error) {
@@ -177,7 +178,7 @@
 	known := conf.KnownEndpoints
 	known.Receipt.At = l.Now()
 	newPolicy := l.policyFactory(conf, ops, hasAperture)
-	l.Requests = requests.New(conf.Settings.AttemptLimit, conf.Settings.Names, newPolicy, known, transport{l.workers, l}, decisionLog)
+	l.Requests = requests.New(conf.Settings.AttemptLimit, conf.Settings.Names, newPolicy, known, workerTransport{l.workers, l}, decisionLog)
 	l.workers.SetTable(l.Requests)
 	if l.Capture != nil {
 		l.Capture.LookupEndpoint = l.Requests.Endpoint
@@ -228,7 +229,7 @@
 // openPeerSocket opens the socket for messages between schedulers, unless this process is in standby: a successor opens it once
 // its predecessor has closed its own.
 func (l *Loop) openPeerSocket() {
-	if l.peers != nil && !l.isStandby() {
+	if l.peers != nil && !l.restart.IsStandby() {
 		l.peers.Open()
 	}
 }
@@ -269,11 +270,12 @@
 func (l *Loop) prepareCordons(stateDir string, store *hotrestart.CordonStore) {
 	l.cordons = management.NewCordons(l.Loop, management.CordonsConfig{
 		Table:    l.Requests,
-		Role:     cordonRole{l},
+		Role:     l.restart,
 		Store:    store,
 		Log:      l.log,
 		LoadFile: func() (workerIDs []string, err error) { return hotrestart.LoadCordonFile(l.files, stateDir) },
 	})
+	l.restart.SetCordons(l.cordons)
 }
 
 func (l *Loop) wrapRestoredDispatcher(dispatcher *dispatch.Dispatcher) requests.Policy {
@@ -283,18 +285,18 @@
 	return dispatcher
 }
 
-// listenOrJoin listens for clients. With a management address it takes the place of the process that serves here, or, if there
-// is none, serves at once: several processes may listen at the clients' address then, so that one that can't be reached by its
-// successor can be replaced too.
+// listenOrJoin listens for clients. With a management address it first looks for a process that serves at the same address, and
+// enters standby if there is one. Several processes may listen at the clients' address then, so that one that can't be reached by
+// its successor can be replaced too.
 func (l *Loop) listenOrJoin(conf config.Config) error {
 	if !conf.Management.IsValid() {
 		l.prepareCordons("", nil)
 		return l.startup.retry(func() error { return l.listenForClients(conf.Listen) })
 	}
-	l.onFail = func(err error) { l.log.Error("can't go on", "error", err) }
+	l.onFail = func(err error) { l.log.Error("scheduler failed", "error", err) }
 	l.prepareCordons(conf.StateDir, l.newCordonStore(conf.StateDir))
 	l.cordons.Restore()
-	if l.joinPredecessor(conf.StateDir, conf.Listen) {
+	if l.restart.Join(conf.StateDir, conf.Listen) {
 		return nil
 	}
 	err := l.startup.retry(func() error { return l.listenForClients(conf.Listen, unix.SO_REUSEPORT) })
@@ -302,7 +304,7 @@
 		return err
 	}
 	l.cordons.OwnFile()
-	l.awaitSuccessor(hotrestart.SocketAddresses(conf.StateDir, conf.Listen))
+	l.restart.AwaitSuccessor(hotrestart.SocketAddresses(conf.StateDir, conf.Listen))
 	return nil
 }
 
--- a/internal/link/operators.go
+++ b/internal/link/operators.go
@@ -1,9 +1,6 @@
 package link
 
 import (
-	"net/http"
-
-	"valvecove/internal/management"
 	"valvecove/internal/metrics"
 )
 
@@ -33,8 +30,8 @@
 		return "replaced"
 	case l.clients.IsDraining():
 		return "draining"
-	case l.successorRole != nil && l.successorRole.notReadyReason() != "":
-		return l.successorRole.notReadyReason()
+	case l.restart.NotReadyReason() != "":
+		return l.restart.NotReadyReason()
 	case l.Requests.AwaitsEndpoints():
 		return "no word from discovery yet"
 	case !l.Requests.HasReadyWorker():
@@ -58,31 +55,3 @@
 	}
 	return l.Requests.OpenCount()
 }
-
-// cordonRole is the part of a scheduler in a hot restart, as cordons see it.
-type cordonRole struct{ loop *Loop }
-
-var _ management.Role = cordonRole{}
-
-// HasRelinquished reports whether a successor owns the requests.
-func (r cordonRole) HasRelinquished() bool { return r.loop.hasRelinquished() }
-
-// IsStandby reports whether a predecessor owns the requests.
-func (r cordonRole) IsStandby() bool { return r.loop.isStandby() }
-
-// ForwardCordon forwards a call to the process that owns the requests.
-func (r cordonRole) ForwardCordon(workerID string, cordoned bool, respond management.RespondFunc) {
-	if !r.loop.hasRelinquished() {
-		r.loop.successorRole.forwardCordonToPredecessor(workerID, cordoned, respond)
-		return
-	}
-	successor := r.loop.predecessorRole.successor
-	if successor == nil {
-		respond(http.StatusServiceUnavailable, "this process has been replaced")
-		return
-	}
-	successor.forwardCordonToSuccessor(workerID, cordoned, respond)
-}
-
-// CordonsChanged notifies a successor in standby of the cordoned workers.
-func (r cordonRole) CordonsChanged() { r.loop.notifyCordoned() }
--- a/internal/link/startup.go
+++ b/internal/link/startup.go
@@ -11,7 +11,6 @@
 	addressInUseTimeout = 3 * time.Second // for an address to become free that an earlier process has just let go of
 	minStartBackoff     = 5 * time.Millisecond
 	maxStartBackoff     = 200 * time.Millisecond
-	maxReopenBackoff    = time.Second // between two tries while requests are served
 )
 
 // isMomentary reports whether what failed may succeed in a moment.
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -62,14 +62,14 @@
 	return delay
 }
 
-// stop begins to drain, or ends a process that only stands by. It does so once: a second SIGTERM must not begin the drain
+// stop begins to drain, or ends a process in standby. It does so once: a second SIGTERM must not begin the drain
 // anew.
 func (s *server) stop() {
 	if !s.advance(draining) {
 		return
 	}
 	if s.loop.LeaveStandby() {
-		s.logger.Info("standing down")
+		s.logger.Info("left standby")
 		s.advance(finished)
 		return
 	}
@@ -113,7 +113,7 @@
 // finish has the loop end once it is quiet.
 func (s *server) finish() { s.advance(finished) }
 
-// handOver gives all state to the process that is to replace this one, if one stands by. Should it fail, this one drains on.
+// handOver gives all state to the process that is to replace this one, if one is in standby. If the transfer fails, this process continues to drain.
 func (s *server) handOver() {
 	err := s.loop.Relinquish()
 	switch {
@@ -122,6 +122,6 @@
 	case errors.Is(err, link.ErrNotSettled):
 		s.loop.After(handOverRetryDelay, s.handOver)
 	case !errors.Is(err, link.ErrNoSuccessor):
-		s.logger.Error("still the owner", "error", err)
+		s.logger.Error("transfer to successor failed", "error", err)
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -130,7 +130,7 @@
 	if address := loop.Addr(); address.IsValid() {
 		s.logger.Info("listening", "addr", address.String())
 	} else {
-		s.logger.Info("another process serves here, and is to be replaced")
+		s.logger.Info("predecessor found")
 	}
 	return nil
 }
