--- a/dispatch/healthcheck.go
+++ b/dispatch/healthcheck.go
@@ -89,7 +89,7 @@
 	return w.Ready && !w.check.inProgress && now-w.check.startedAt >= minCheckInterval
 }
 
-// awaitsCheck tells whether a worker is being checked and has given no sign of life since.
+// awaitsCheck reports whether a worker is being checked and has given no sign of life since.
 func (w *workerInfo) awaitsCheck() bool {
 	return w.check.inProgress && w.activity.aliveAt < w.check.startedAt
 }
@@ -108,6 +108,6 @@
 		d.applyReport(worker, event.Report)
 	case WorkerFull, NotSent: // says nothing of the worker's health
 	default:
-		d.eject(worker, true, EjectedForHealthCheck)
+		d.eject(worker, EjectedForHealthCheck)
 	}
 }
--- a/dispatch/snapshotworkers.go
+++ b/dispatch/snapshotworkers.go
@@ -61,7 +61,7 @@
 		*machine = &machineInfo{}
 	}
 	c.int(kind)
-	c.float(&(*machine).logSpeed, &(*machine).runs, &(*machine).maxSlots)
+	c.float(&(*machine).logSpeed, &(*machine).samples, &(*machine).maxSlots)
 	c.int(&(*machine).lateOverflows)
 }
 
--- a/dispatch/state.go
+++ b/dispatch/state.go
@@ -12,7 +12,6 @@
 	rng      *rand.Rand
 	source   *rand.PCG     // of rng: all of its state
 	now      time.Duration // of this step
-	bornAt   time.Duration // the first step
 	actions  []Action      // of this step
 
 	timers      timerQueue
@@ -34,14 +33,7 @@
 	starts          startMonitor
 	stalls          stallDetector
 	outliers        outlierDetector
+	slowStart       slowStart
 	checks          healthChecker
 	idleConnections connectionHistory
 }
-
-// machineInfo is what is known of one kind of machine.
-type machineInfo struct {
-	logSpeed      float64 // of its workers, against a standard core
-	runs          float64 // that it was learnt from
-	maxSlots      float64 // the most seen free or running on one
-	lateOverflows int     // late starts with as many running
-}
--- a/dispatch/workers.go
+++ b/dispatch/workers.go
@@ -1,104 +1,5 @@
 package dispatch
 
-import "time"
-
-// workerFleet holds the workers that are listed or have attempts in flight, and the indexes over them.
-type workerFleet struct {
-	byID      map[uint64]*workerInfo
-	workers   []*workerInfo // all workers: they are never iterated over by the map, whose order is random
-	available workerIndex   // those that may have capacity
-	rings     preferenceRings
-	dirty     []*workerInfo   // to be reindexed before the next choice
-	zoneBusy  map[int]float64 // by zone: the estimated probability that a worker has no free slot
-}
-
-func newWorkerFleet() workerFleet {
-	return workerFleet{byID: map[uint64]*workerInfo{}, zoneBusy: map[int]float64{}}
-}
-
-// add adds a worker under an id that is not in use.
-func (f *workerFleet) add(id uint64, worker *workerInfo) {
-	worker.position = len(f.workers)
-	worker.timer = timer{purpose: workerAvailable, worker: worker}
-	f.byID[id] = worker
-	f.workers = append(f.workers, worker)
-}
-
-// contains tells whether a worker is part of the fleet, and not one that has been removed since.
-func (f *workerFleet) contains(worker *workerInfo) bool { return f.byID[worker.ID] == worker }
-
-// remove removes a worker of the fleet. The last of all workers takes its position.
-func (f *workerFleet) remove(worker *workerInfo) {
-	delete(f.byID, worker.ID)
-	f.available.remove(worker)
-	last := f.workers[len(f.workers)-1]
-	f.workers[worker.position] = last
-	last.position = worker.position
-	f.workers[len(f.workers)-1] = nil
-	f.workers = f.workers[:len(f.workers)-1]
-}
-
-// markDirty has a worker reindexed before the next choice.
-func (f *workerFleet) markDirty(worker *workerInfo) {
-	if !worker.index.dirty {
-		worker.index.dirty = true
-		f.dirty = append(f.dirty, worker)
-	}
-}
-
-// countReady returns the number of workers that may be sent jobs.
-func (f *workerFleet) countReady() int {
-	ready := 0
-	for _, w := range f.workers {
-		if w.Ready {
-			ready++
-		}
-	}
-	return ready
-}
-
-// observeBusy updates the estimate of a zone by whether one of its workers had no free slot. It is kept by zone, as
-// there are too few samples of each worker.
-func (f *workerFleet) observeBusy(zone int, busy bool) {
-	f.zoneBusy[zone] *= 1 - busyGain
-	if busy {
-		f.zoneBusy[zone] += busyGain
-	}
-}
-
-// decayBusy moves the estimates of all zones towards 0 by a time that has passed.
-func (f *workerFleet) decayBusy(elapsed time.Duration) {
-	for zone := range f.zoneBusy {
-		f.zoneBusy[zone] *= 1 - elapsed.Seconds()/speedDecayTime.Seconds()
-	}
-}
-
-// fleetSummary counts the ready workers.
-type fleetSummary struct {
-	ready, ejected, failing int
-	logSpeeds               float64 // sum
-	maxLogSpeed             float64
-}
-
-func (f *workerFleet) summarise() fleetSummary {
-	summary := fleetSummary{maxLogSpeed: -maxLogFeature}
-	for _, w := range f.workers {
-		if !w.Ready {
-			continue
-		}
-		summary.ready++
-		summary.logSpeeds += w.speed.log
-		summary.maxLogSpeed = max(summary.maxLogSpeed, w.speed.log)
-		if w.outlier.failing {
-			summary.failing++
-		}
-		if w.outlier.ejectionTime > 0 {
-			summary.ejected++
-		}
-	}
-	return summary
-}
-
 // applyList applies the entries of a list. A worker that is removed from the list is forgotten once nothing of this
 // dispatcher is in flight there.
 func (d *Dispatcher) applyList(list WorkerList) {
@@ -189,7 +90,7 @@
 // without any event.
 func (d *Dispatcher) reindex(worker *workerInfo) {
 	worker.index.dirty = false
-	warmingUp := d.warmUpShare(worker) < 1
+	warmingUp := worker.warmUpShare(&d.settings, d.now) < 1
 	if d.fleet.contains(worker) && worker.mayHaveCapacity(d.now) {
 		key := bucketKey{
 			zone:      worker.Zone,
@@ -211,7 +112,7 @@
 	}
 }
 
-// orphanAttempts releases the slots of the attempts at a worker whose process is gone, and returns the attempts. They
+// orphanAttempts releases the slots of the attempts at a worker whose process has ended, and returns the attempts. They
 // stay in flight until their outcomes arrive.
 func (d *Dispatcher) orphanAttempts(worker *workerInfo) []*attemptInfo {
 	orphans := worker.inFlight
@@ -245,7 +146,7 @@
 	slots := 0.0
 	for _, w := range d.fleet.workers {
 		if w.Ready && d.now >= w.backoff.until && !d.outliers.isEjected(w) {
-			slots += max(0, min(w.slots.limit, d.maxSlots(w))*d.warmUpShare(w)-w.slots.used)
+			slots += max(0, min(w.slots.limit, d.maxSlots(w))*w.warmUpShare(&d.settings, d.now)-w.slots.used)
 		}
 	}
 	return slots
