--- a/internal/hotrestart/addresses.go
+++ b/internal/hotrestart/addresses.go
@@ -11,9 +11,9 @@
 	abstractNamePrefix = "@valvecove/"
 )
 
-// SocketAddresses returns the addresses of the Unix socket at which the process that serves at listen awaits its successor,
-// the preferred one first: a file in the state directory, unless that is empty, and an abstract name, which needs no
-// directory, ends with its socket, and is seen by all processes of the machine.
+// SocketAddresses returns the addresses of the Unix socket at which the process that serves at listen accepts its successor, the
+// preferred one first: a file in the state directory, unless stateDir is empty, and an abstract name. An abstract name needs no
+// directory, is removed with its socket, and is visible to all processes of the network namespace.
 func SocketAddresses(stateDir string, listen netip.AddrPort) []string {
 	abstract := abstractNamePrefix + listen.String()
 	if stateDir == "" {
@@ -22,5 +22,5 @@
 	return []string{filepath.Join(stateDir, socketFileName), abstract}
 }
 
-// IsAbstract tells whether an address of a Unix socket is an abstract name, and no file.
+// IsAbstract reports whether an address of a Unix socket is an abstract name, not a file.
 func IsAbstract(address string) bool { return strings.HasPrefix(address, "@") }
--- a/internal/hotrestart/calls.go
+++ b/internal/hotrestart/calls.go
@@ -6,23 +6,26 @@
 type CordonCall struct {
 	WorkerID string
 	Cordoned bool
-	// Respond answers the caller. It is called once.
+	// Respond sends the response to the caller. It is called once.
 	Respond func(statusCode int, message string)
 }
 
-// PendingCalls are the cordon calls that were forwarded to the other process and are not answered yet, in order.
+// PendingCalls holds the cordon calls that were forwarded to the other process and have no result yet, in order of arrival. The
+// zero value is empty.
 type PendingCalls struct {
 	lastSequence uint64
 	calls        []pendingCall
 }
 
+// pendingCall is a call and the sequence number of its SetCordon.
 type pendingCall struct {
 	sequence uint64
 	CordonCall
 }
 
-func (c pendingCall) message() SetCordon {
-	return SetCordon{Sequence: c.sequence, WorkerID: c.WorkerID, Cordoned: c.Cordoned}
+// message returns the message that forwards the call.
+func (p pendingCall) message() SetCordon {
+	return SetCordon{Sequence: p.sequence, WorkerID: p.WorkerID, Cordoned: p.Cordoned}
 }
 
 // Add appends a call, and returns the message that forwards it.
@@ -33,7 +36,7 @@
 	return pending.message()
 }
 
-// Messages returns the messages that forward all pending calls anew.
+// Messages returns the messages that forward all pending calls again, to another process or in another session.
 func (p *PendingCalls) Messages() []SetCordon {
 	var messages []SetCordon
 	for _, call := range p.calls {
@@ -42,8 +45,9 @@
 	return messages
 }
 
-// Complete answers the call that the result is for, whichever came before it: a call that is rejected has its result at
-// once, and one that is carried out only when the file is written. A result for no pending call is ignored.
+// Complete responds to the call with the sequence number of the result, and removes it. Results need not be in order of the
+// calls: a rejected call has its result at once, and another one only when the file is written. A result for no pending call is
+// ignored.
 func (p *PendingCalls) Complete(result CordonResult) {
 	i := slices.IndexFunc(p.calls, func(call pendingCall) bool { return call.sequence == result.Sequence })
 	if i < 0 {
--- a/internal/hotrestart/cordon_crash_test.go
+++ b/internal/hotrestart/cordon_crash_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// Two processes that take each other for gone write at the same time: neither renames what the other has half written.
+// Two processes that each assume that the other has ended write at the same time: neither renames an incomplete file of the other.
 func TestCordonFileOfTwoWriters(t *testing.T) {
 	disk := diskWithOldCordons()
 	first, second := newCordonFileWriter(disk, crashStateDir), newCordonFileWriter(disk, crashStateDir)
--- a/internal/hotrestart/cordon_file.go
+++ b/internal/hotrestart/cordon_file.go
@@ -10,29 +10,30 @@
 	"valvecove/internal/filesystem"
 )
 
-// The file of cordoned workers, in the state directory.
+// Constants of the file of cordoned workers, in the state directory.
 const (
 	// CordonFileName is the name of the file.
 	CordonFileName = "worker-nodes-out.json"
 
-	// MaxCordonFileSize is the largest file that is read, in bytes.
+	// MaxCordonFileSize is the maximum size in bytes of a file that is read.
 	MaxCordonFileSize = 1 << 20
 
 	cordonFileVersion = 1
 )
 
+// cordonFile is the content of the file, in its JSON form.
 type cordonFile struct {
 	Version   int      `json:"form"`
 	WorkerIDs []string `json:"out"`
 }
 
-// CordonFileError reports a file of cordoned workers that can't be used.
+// CordonFileError is the error of a file of cordoned workers that can't be read or written.
 type CordonFileError struct {
 	Path string
 	Err  error
 }
 
-// Error names the file and the cause.
+// Error returns the path and the cause.
 func (e *CordonFileError) Error() string {
 	return fmt.Sprintf("cordoned workers in %s: %v", e.Path, e.Err)
 }
@@ -40,13 +41,13 @@
 // Unwrap returns the cause.
 func (e *CordonFileError) Unwrap() error { return e.Err }
 
-// ReadCordonFile is LoadCordonFile from the disk.
+// ReadCordonFile calls LoadCordonFile with the file system of the machine.
 func ReadCordonFile(stateDir string) ([]string, error) {
 	return LoadCordonFile(filesystem.Disk, stateDir)
 }
 
-// LoadCordonFile returns the ids of the workers that an earlier process has cordoned. Without a file, or with an empty
-// stateDir, there are none. Any error is a *CordonFileError.
+// LoadCordonFile returns the IDs of the workers that an earlier process has cordoned, or none if there is no file or stateDir is
+// empty. Any error is a *CordonFileError.
 func LoadCordonFile(files filesystem.FileSystem, stateDir string) ([]string, error) {
 	if stateDir == "" {
 		return nil, nil
@@ -70,6 +71,7 @@
 	return workerIDs, nil
 }
 
+// readLimited returns the content of a file of limit bytes at most.
 func readLimited(files filesystem.FileSystem, path string, limit int64) ([]byte, error) {
 	file, err := files.OpenReader(path)
 	if err != nil {
@@ -86,6 +88,7 @@
 	return content, nil
 }
 
+// decodeCordonFile returns the worker IDs in the content of a file.
 func decodeCordonFile(content []byte) ([]string, error) {
 	var file cordonFile
 	if err := json.Unmarshal(content, &file); err != nil {
@@ -97,8 +100,8 @@
 	return file.WorkerIDs, nil
 }
 
-// WriteCordonFile replaces the file of cordoned workers in stateDir as a whole: a reader finds the old content or the new
-// one. Any error is a *CordonFileError.
+// WriteCordonFile replaces the file of cordoned workers in stateDir atomically: a reader finds the old content or the new one.
+// Any error is a *CordonFileError.
 func WriteCordonFile(stateDir string, workerIDs []string) error {
 	return newCordonFileWriter(filesystem.Disk, stateDir).write(workerIDs)
 }
--- a/internal/hotrestart/cordon_file_writer.go
+++ b/internal/hotrestart/cordon_file_writer.go
@@ -15,22 +15,23 @@
 const (
 	cordonFileMode = 0o600
 
-	// temporarySuffix ends the names of files of cordoned workers that are not in place yet.
+	// temporarySuffix is the suffix of a temporary file, which is renamed when it is complete.
 	temporarySuffix = ".new"
 )
 
-// errFenced means that the file was not replaced, as another process is to write it.
+// errFenced is returned by a write after the fence was closed. The file is not replaced.
 var errFenced = errors.New("another process writes the file from now on")
 
-// cordonFileWriter replaces the file of cordoned workers. All but its fence is for one goroutine.
+// cordonFileWriter replaces the file of cordoned workers. It is used on one goroutine, except for its fence.
 type cordonFileWriter struct {
 	files         filesystem.FileSystem
 	stateDir      string
 	path          string
-	temporaryPath string // of this writer alone: another process may write the file at the same time
+	temporaryPath string // unique to this writer: another process may write the file at the same time
 	fence         renameFence
 }
 
+// newCordonFileWriter returns a writer of the file in stateDir, which it does not access yet.
 func newCordonFileWriter(files filesystem.FileSystem, stateDir string) *cordonFileWriter {
 	path := filepath.Join(stateDir, CordonFileName)
 	return &cordonFileWriter{
@@ -41,36 +42,37 @@
 	}
 }
 
-// write replaces the file as a whole. Once it returns nil, the new content outlives a kill and a power failure; before that,
-// and after an error, either of them leaves the old content or the new one. Any error is a *CordonFileError.
-func (w *cordonFileWriter) write(workerIDs []string) error {
+// write replaces the file atomically. Once it returns nil, the new content is durable. If the process or the machine stops before
+// that, or after an error, the file has the old content or the new one. Any error is a *CordonFileError.
+func (c *cordonFileWriter) write(workerIDs []string) error {
 	content, err := json.Marshal(cordonFile{cordonFileVersion, workerIDs})
 	if err == nil {
-		err = w.replace(append(content, '\n'))
+		err = c.replace(append(content, '\n'))
 	}
 	if err != nil {
-		return &CordonFileError{w.path, err}
+		return &CordonFileError{c.path, err}
 	}
 	return nil
 }
 
-func (w *cordonFileWriter) replace(content []byte) error {
-	err := w.writeTemporary(content)
+// replace writes the content to the temporary file, renames that to the file, and syncs the directory.
+func (c *cordonFileWriter) replace(content []byte) error {
+	err := c.writeTemporary(content)
 	if err == nil {
-		err = w.renameTemporary()
+		err = c.renameTemporary()
 	}
 	if err != nil {
-		_ = w.files.Remove(w.temporaryPath) // what stays there is overwritten by the next write
+		_ = c.files.Remove(c.temporaryPath) // if this fails, the next write overwrites it
 		return err
 	}
-	return filesystem.RetryInterrupted(func() error { return w.files.SyncDirectory(w.stateDir) })
+	return filesystem.RetryInterrupted(func() error { return c.files.SyncDirectory(c.stateDir) })
 }
 
-// writeTemporary makes the content durable beside the file.
-func (w *cordonFileWriter) writeTemporary(content []byte) error {
+// writeTemporary writes the content to the temporary file, and syncs it.
+func (c *cordonFileWriter) writeTemporary(content []byte) error {
 	var file filesystem.File
 	err := filesystem.RetryInterrupted(func() (err error) {
-		file, err = w.files.OpenFile(w.temporaryPath, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, cordonFileMode)
+		file, err = c.files.OpenFile(c.temporaryPath, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, cordonFileMode)
 		return err
 	})
 	if err != nil {
@@ -86,26 +88,27 @@
 	return err
 }
 
-func (w *cordonFileWriter) renameTemporary() error {
-	if !w.fence.beginRename() {
+// renameTemporary replaces the file by the temporary one, unless the fence is closed.
+func (c *cordonFileWriter) renameTemporary() error {
+	if !c.fence.beginRename() {
 		return errFenced
 	}
-	defer w.fence.endRename()
-	return filesystem.RetryInterrupted(func() error { return w.files.Rename(w.temporaryPath, w.path) })
+	defer c.fence.endRename()
+	return filesystem.RetryInterrupted(func() error { return c.files.Rename(c.temporaryPath, c.path) })
 }
 
-// removeStrayFiles removes what killed processes have left half done. A process that writes at this moment loses its
-// temporary file by that, and has to write again.
-func (w *cordonFileWriter) removeStrayFiles() {
-	names, _ := w.files.ListNames(w.stateDir) // else they stay until the next start
+// removeStrayFiles removes the temporary files of killed processes. The temporary file of a process that writes at the same time is
+// removed too; its write fails, and is retried.
+func (c *cordonFileWriter) removeStrayFiles() {
+	names, _ := c.files.ListNames(c.stateDir) // on an error they stay until the next start
 	for _, name := range names {
 		if strings.HasPrefix(name, CordonFileName+".") && strings.HasSuffix(name, temporarySuffix) {
-			_ = w.files.Remove(filepath.Join(w.stateDir, name))
+			_ = c.files.Remove(filepath.Join(c.stateDir, name))
 		}
 	}
 }
 
-// renameFence keeps a process from replacing the file once another one does. Safe for concurrent use.
+// renameFence prevents a process from replacing the file once another process owns it. It is safe for concurrent use.
 type renameFence struct{ state atomic.Int32 }
 
 // States of a renameFence.
@@ -115,14 +118,16 @@
 	fenceClosed
 )
 
-// beginRename reports whether a rename may begin. endRename is to follow then.
-func (f *renameFence) beginRename() bool { return f.state.CompareAndSwap(fenceOpen, fenceRenaming) }
+// beginRename reports whether a rename may begin. If so, endRename must be called after it.
+func (r *renameFence) beginRename() bool { return r.state.CompareAndSwap(fenceOpen, fenceRenaming) }
 
-func (f *renameFence) endRename() { f.state.Store(fenceOpen) }
+// endRename ends the rename that beginRename has allowed.
+func (r *renameFence) endRename() { r.state.Store(fenceOpen) }
 
-// close has no rename begin until open. It returns false, and changes nothing, while one is in progress.
-func (f *renameFence) close() bool {
-	return f.state.CompareAndSwap(fenceOpen, fenceClosed) || f.state.Load() == fenceClosed
+// close prevents renames from beginning until open is called. While a rename is in progress it returns false and changes nothing.
+func (r *renameFence) close() bool {
+	return r.state.CompareAndSwap(fenceOpen, fenceClosed) || r.state.Load() == fenceClosed
 }
 
-func (f *renameFence) open() { f.state.CompareAndSwap(fenceClosed, fenceOpen) }
+// open allows renames again after close.
+func (r *renameFence) open() { r.state.CompareAndSwap(fenceClosed, fenceOpen) }
--- a/internal/hotrestart/cordon_retry_test.go
+++ b/internal/hotrestart/cordon_retry_test.go
@@ -13,7 +13,7 @@
 )
 
 // What could not be written is written again with growing delays until it is stored, the newest content only. The change from
-// success to failure is told of once, and so is the one back.
+// success to failure is reported once, and so is the one back.
 func TestCordonStoreRetriesUntilStored(t *testing.T) {
 	disk, loop := diskWithOldCordons(), newEventLoop()
 	store := loop.newStore(disk, crashStateDir)
@@ -60,7 +60,7 @@
 	}
 }
 
-// What was saved along with too many others is written too, though nobody is told so.
+// IDs that were saved with ErrTooManySaves are written too.
 func TestCordonStoreStoresBeyondTooManySaves(t *testing.T) {
 	disk, loop := diskWithOldCordons(), newEventLoop()
 	store := loop.newStore(disk, crashStateDir)
@@ -79,7 +79,7 @@
 	}
 }
 
-// A fenced store changes the file no more, neither by a write in progress nor by a retry, and goes on once it has it back.
+// A fenced store does not change the file, neither by a write in progress nor by a retry, until it is unfenced.
 func TestCordonStoreFence(t *testing.T) {
 	disk, loop := diskWithOldCordons(), newEventLoop()
 	store := loop.newStore(disk, crashStateDir)
--- a/internal/hotrestart/cordon_store.go
+++ b/internal/hotrestart/cordon_store.go
@@ -7,62 +7,62 @@
 	"valvecove/internal/filesystem"
 )
 
-// ErrTooManySaves means that the state directory does not keep up with the calls.
+// ErrTooManySaves is passed to the callback of a Save while CordonStoreConfig.MaxCallbacks earlier ones wait for the disk.
 var ErrTooManySaves = errors.New("too many calls wait for the directory")
 
-// Waits of a CordonStore.
+// Delays of a CordonStore.
 const (
-	// minWriteRetryDelay is how long after a failed write the next one begins. The delay doubles with each failure in a row.
+	// minWriteRetryDelay is the delay between the first failed write and the next one. It doubles with each consecutive failure,
+	// up to maxWriteRetryDelay.
 	minWriteRetryDelay = 100 * time.Millisecond
 	maxWriteRetryDelay = 5 * time.Second
 
-	// fenceDelay is how long a write in progress keeps the file from being left to another process.
+	// fenceDelay is how long Fence waits for a write in progress, from the start of that write.
 	fenceDelay = 250 * time.Millisecond
 )
 
-// CordonStoreConfig says where a CordonStore writes, and how it is tied to the event loop.
+// CordonStoreConfig configures a CordonStore. All fields are required.
 type CordonStoreConfig struct {
 	Files    filesystem.FileSystem
 	StateDir string
-	// MaxCallbacks is how many calls of Save may wait at a time.
+	// MaxCallbacks is the maximum number of calls of Save that wait at a time.
 	MaxCallbacks int
 	// Now returns the time of the event loop.
 	Now func() time.Duration
-	// Post is called by the store's goroutine, and must have its argument run on the event loop.
+	// Post runs its argument on the event loop. It is called on the store's goroutine.
 	Post func(func())
-	// After has its argument run on the event loop once the delay has passed.
+	// After runs its argument on the event loop after a delay.
 	After func(delay time.Duration, act func())
-	// Changed is called on the event loop with the error when writes begin to fail, and with nil once what was saved is
-	// stored again.
+	// Changed is called on the event loop with the error of the first failed write, and with nil after the next successful one.
 	Changed func(error)
 }
 
-// CordonStoreState tells whether what was saved last is on the disk.
+// CordonStoreState is the state of a CordonStore, for the status call.
 type CordonStoreState struct {
-	Stored      bool
-	UnsavedFrom time.Duration // since when it is not, by the loop's clock
+	Stored      bool          // the IDs that were saved last are on the disk
+	UnsavedFrom time.Duration // instant of the first change that is not on the disk, by the loop's clock
 	LastError   error         // of the last write, if that failed
 }
 
-// CordonStore keeps the file of cordoned workers. A goroutine of its own writes the file, so that the event loop waits for
-// no disk. What is saved during a write is written next, the newest only. What could not be written is written again, with
-// exponential backoff, until it is stored. All use of it is on the event loop.
+// CordonStore writes the file of cordoned workers, on a goroutine of its own, so that the event loop does not wait for the disk.
+// If IDs are saved during a write, the newest ones are written after it. A failed write is retried with exponential backoff until
+// it succeeds. All methods are called on the event loop.
 type CordonStore struct {
 	config           CordonStoreConfig
 	writer           *cordonFileWriter
-	tasks            chan func() // of the goroutine; holds a write and a removal of stray files at most
+	tasks            chan func() // run by the goroutine; at most a write and a removal of stray files
 	writing          bool
 	writeStartedAt   time.Duration
-	newest           []string
-	unsaved          bool // newest is not stored
-	changed          bool // newest was set after the write in progress began
+	newest           []string // the IDs that were saved last
+	unsaved          bool     // newest is not stored
+	changed          bool     // newest was set after the write in progress began
 	unsavedFrom      time.Duration
 	retryDelay       time.Duration // of the next failure
-	retryPending     bool
-	fenced           bool
-	lastError        error
+	retryPending     bool          // After was called for the next write
+	fenced           bool          // another process owns the file
+	lastError        error         // of the last write; nil if it succeeded
 	callbacks        []func(error) // of Save, in order
-	callbacksOfWrite int           // how many of them, from the first, the write in progress completes
+	callbacksOfWrite int           // number of them, from the first, that the write in progress completes
 }
 
 // NewCordonStore returns a store whose goroutine runs as long as the process.
@@ -77,120 +77,128 @@
 	return store
 }
 
-func (s *CordonStore) run() {
-	for task := range s.tasks {
+// run runs tasks on the store's goroutine.
+func (c *CordonStore) run() {
+	for task := range c.tasks {
 		task()
 	}
 }
 
-// State tells whether what was saved last is stored.
-func (s *CordonStore) State() CordonStoreState {
-	return CordonStoreState{Stored: !s.unsaved, UnsavedFrom: s.unsavedFrom, LastError: s.lastError}
+// State returns whether the IDs that were saved last are on the disk.
+func (c *CordonStore) State() CordonStoreState {
+	return CordonStoreState{Stored: !c.unsaved, UnsavedFrom: c.unsavedFrom, LastError: c.lastError}
 }
 
-// IsWriting tells whether a write is in progress.
-func (s *CordonStore) IsWriting() bool { return s.writing }
+// IsWriting reports whether a write is in progress.
+func (c *CordonStore) IsWriting() bool { return c.writing }
 
-// RemoveStrayFiles removes what killed processes have left half done. It is to be called once, by the process that owns the
-// file.
-func (s *CordonStore) RemoveStrayFiles() { s.tasks <- s.writer.removeStrayFiles }
+// RemoveStrayFiles removes the temporary files of killed processes. It is called once, by the process that owns the file.
+func (c *CordonStore) RemoveStrayFiles() { c.tasks <- c.writer.removeStrayFiles }
 
-// Save has the ids written. done is called on the event loop once they are, or something newer, or with the error; at once
-// with ErrTooManySaves if too many calls wait. Whatever the error, the ids are written as soon as that is possible.
-func (s *CordonStore) Save(workerIDs []string, done func(error)) {
-	s.setNewest(workerIDs)
-	if len(s.callbacks) >= s.config.MaxCallbacks {
+// Save starts a write of the IDs. done is called on the event loop once they, or IDs that were saved later, are on the disk, or
+// with the error of the write. It is called at once with ErrTooManySaves if too many calls wait. After any error the IDs are
+// still written when that is possible.
+func (c *CordonStore) Save(workerIDs []string, done func(error)) {
+	c.setNewest(workerIDs)
+	if len(c.callbacks) >= c.config.MaxCallbacks {
 		done(ErrTooManySaves)
 		return
 	}
-	s.callbacks = append(s.callbacks, done)
-	s.startWrite()
+	c.callbacks = append(c.callbacks, done)
+	c.startWrite()
 }
 
-// Keep is Save for ids that nobody waits for.
-func (s *CordonStore) Keep(workerIDs []string) {
-	s.setNewest(workerIDs)
-	s.startWrite()
+// Keep is Save without a callback.
+func (c *CordonStore) Keep(workerIDs []string) {
+	c.setNewest(workerIDs)
+	c.startWrite()
 }
 
-func (s *CordonStore) setNewest(workerIDs []string) {
-	if !s.unsaved {
-		s.unsavedFrom = s.config.Now()
+// setNewest replaces the IDs to write.
+func (c *CordonStore) setNewest(workerIDs []string) {
+	if !c.unsaved {
+		c.unsavedFrom = c.config.Now()
 	}
-	s.newest, s.unsaved, s.changed = workerIDs, true, true
+	c.newest = workerIDs
+	c.unsaved = true
+	c.changed = true
 }
 
-func (s *CordonStore) startWrite() {
-	if s.writing || s.fenced || !s.unsaved {
+// startWrite starts a write of the newest IDs if that is necessary and allowed.
+func (c *CordonStore) startWrite() {
+	if c.writing || c.fenced || !c.unsaved {
 		return
 	}
-	s.writing = true
-	s.changed = false
-	s.writeStartedAt = s.config.Now()
-	s.callbacksOfWrite = len(s.callbacks)
-	workerIDs := s.newest
-	s.tasks <- func() {
-		err := s.writer.write(workerIDs)
-		s.config.Post(func() { s.writeFinished(err) })
+	c.writing = true
+	c.changed = false
+	c.writeStartedAt = c.config.Now()
+	c.callbacksOfWrite = len(c.callbacks)
+	workerIDs := c.newest
+	c.tasks <- func() {
+		err := c.writer.write(workerIDs)
+		c.config.Post(func() { c.writeFinished(err) })
 	}
 }
 
-func (s *CordonStore) writeFinished(err error) {
-	s.writing = false
+// writeFinished handles the result of a write, and starts or schedules the next one.
+func (c *CordonStore) writeFinished(err error) {
+	c.writing = false
 	if !errors.Is(err, errFenced) {
-		s.recordResult(err)
+		c.recordResult(err)
 	}
-	completed := s.callbacks[:s.callbacksOfWrite:s.callbacksOfWrite]
-	s.callbacks = s.callbacks[s.callbacksOfWrite:]
+	completed := c.callbacks[:c.callbacksOfWrite:c.callbacksOfWrite]
+	c.callbacks = c.callbacks[c.callbacksOfWrite:]
 	for _, done := range completed {
 		done(err)
 	}
-	if err == nil || len(s.callbacks) > 0 {
-		s.startWrite()
+	if err == nil || len(c.callbacks) > 0 {
+		c.startWrite()
 		return
 	}
-	s.retryLater()
+	c.retryLater()
 }
 
-// recordResult takes in how a write has ended, and tells of a change from success to failure or back.
-func (s *CordonStore) recordResult(err error) {
-	hadFailed := s.lastError != nil
-	s.lastError = err
+// recordResult updates the state by the result of a write, and reports a change from success to failure or back.
+func (c *CordonStore) recordResult(err error) {
+	hadFailed := c.lastError != nil
+	c.lastError = err
 	if err == nil {
-		s.unsaved = s.changed
-		s.unsavedFrom = s.writeStartedAt
-		s.retryDelay = minWriteRetryDelay
+		c.unsaved = c.changed
+		c.unsavedFrom = c.writeStartedAt
+		c.retryDelay = minWriteRetryDelay
 	}
 	if hadFailed != (err != nil) {
-		s.config.Changed(err)
+		c.config.Changed(err)
 	}
 }
 
-func (s *CordonStore) retryLater() {
-	if s.retryPending || s.fenced {
+// retryLater schedules the next write after a failed one.
+func (c *CordonStore) retryLater() {
+	if c.retryPending || c.fenced {
 		return
 	}
-	s.retryPending = true
-	s.config.After(s.retryDelay, func() {
-		s.retryPending = false
-		s.startWrite()
+	c.retryPending = true
+	c.config.After(c.retryDelay, func() {
+		c.retryPending = false
+		c.startWrite()
 	})
-	s.retryDelay = min(2*s.retryDelay, maxWriteRetryDelay)
+	c.retryDelay = min(2*c.retryDelay, maxWriteRetryDelay)
 }
 
-// Fence leaves the file to another process: this one changes it no more. It returns false, and changes nothing, while a write
-// is in progress that may still be waited for. What is not stored is for the other process to write.
-func (s *CordonStore) Fence() bool {
-	if s.writing && s.config.Now()-s.writeStartedAt < fenceDelay || !s.writer.fence.close() {
+// Fence ends this process's ownership of the file: it is not changed until Unfence. Fence returns false and changes nothing
+// during a write that started less than fenceDelay ago, and during the rename of any write. IDs that are not on the disk yet must
+// be written by the other process.
+func (c *CordonStore) Fence() bool {
+	if c.writing && c.config.Now()-c.writeStartedAt < fenceDelay || !c.writer.fence.close() {
 		return false
 	}
-	s.fenced = true
+	c.fenced = true
 	return true
 }
 
-// Unfence takes the file back, as the other process did not take over.
-func (s *CordonStore) Unfence() {
-	s.fenced = false
-	s.writer.fence.open()
-	s.startWrite()
+// Unfence restores the ownership of the file after the other process has failed to take over.
+func (c *CordonStore) Unfence() {
+	c.fenced = false
+	c.writer.fence.open()
+	c.startWrite()
 }
--- a/internal/hotrestart/cordon_store_test.go
+++ b/internal/hotrestart/cordon_store_test.go
@@ -77,7 +77,7 @@
 
 func (l *eventLoop) runOne() { (<-l.posted)() }
 
-// finishWrite takes in the end of a write, if one is in progress.
+// finishWrite handles the end of a write, if one is in progress.
 func (l *eventLoop) finishWrite(store *CordonStore) {
 	if store.IsWriting() {
 		l.runOne()
--- a/internal/hotrestart/frame.go
+++ b/internal/hotrestart/frame.go
@@ -6,16 +6,15 @@
 	"fmt"
 )
 
-// ProtocolVersion is the version of frames and messages. Processes of different versions do not hand over to each other: the
-// predecessor rejects the successor.
+// ProtocolVersion is the version of frames and messages. A predecessor rejects a successor with another version.
 const ProtocolVersion = 1
 
 // Limits of frames.
 const (
-	// MaxBodySize is the largest body of a frame, in bytes. A client connection with full buffers, as JSON, fits into it.
+	// MaxBodySize is the maximum size of a frame's body, in bytes. A client connection with full buffers, as JSON, is smaller.
 	MaxBodySize = 1 << 20
 
-	// SnapshotChunkSize is how many bytes of the policy's snapshot a predecessor sends in one frame, at most.
+	// SnapshotChunkSize is the maximum number of bytes of the policy's snapshot in one frame.
 	SnapshotChunkSize = 256 << 10
 )
 
@@ -27,10 +26,10 @@
 	headerDescriptorOffset = 5
 )
 
-// FrameKind says which message a frame carries. The numbers are part of the protocol.
+// FrameKind is the kind of the message in a frame. The numbers are part of the protocol.
 type FrameKind byte
 
-// Kinds of frames, by number. The names of the message types are those of the kinds.
+// Kinds of frames. The message types have the same names.
 const (
 	KindHandshake FrameKind = 1 + iota
 	KindAccept
@@ -49,6 +48,7 @@
 	kindLimit // one more than the last kind
 )
 
+// frameKindNames contains the names of the kinds, for logs and errors.
 var frameKindNames = [kindLimit]string{
 	KindHandshake:        "handshake",
 	KindAccept:           "accept",
@@ -67,40 +67,41 @@
 }
 
 // String returns the name of the kind, for logs and errors.
-func (k FrameKind) String() string {
-	if !k.isValid() {
-		return fmt.Sprintf("kind %d", byte(k))
+func (f FrameKind) String() string {
+	if !f.isValid() {
+		return fmt.Sprintf("kind %d", byte(f))
 	}
-	return frameKindNames[k]
+	return frameKindNames[f]
 }
 
-func (k FrameKind) isValid() bool { return k >= KindHandshake && k < kindLimit }
+// isValid reports whether the kind is a known one.
+func (f FrameKind) isValid() bool { return f >= KindHandshake && f < kindLimit }
 
-// CarriesDescriptor tells whether a file descriptor is passed along with frames of this kind.
-func (k FrameKind) CarriesDescriptor() bool {
-	return k == KindAccept || k == KindClientConnection || k == KindWorkerConnection
+// CarriesDescriptor reports whether a file descriptor is passed along with frames of this kind.
+func (f FrameKind) CarriesDescriptor() bool {
+	return f == KindAccept || f == KindClientConnection || f == KindWorkerConnection
 }
 
-// isState tells whether frames of this kind carry a part of the predecessor's state.
-func (k FrameKind) isState() bool { return k >= KindSnapshotChunk && k <= KindWorkerConnection }
+// isState reports whether frames of this kind contain a part of the predecessor's state.
+func (f FrameKind) isState() bool { return f >= KindSnapshotChunk && f <= KindWorkerConnection }
 
-// Frame is one frame as it was read. Body is a part of the buffer that it was read from.
+// Frame is one frame as it was read. Body is a slice of the buffer that it was read from.
 type Frame struct {
 	Kind            FrameKind
 	DescriptorCount int // 0 or 1
 	Body            []byte
 }
 
-// ErrIncomplete means that the buffer ends before the frame does: more is to be read first.
+// ErrIncomplete is returned if the buffer ends before the frame does.
 var ErrIncomplete = errors.New("incomplete frame")
 
-// FrameError reports a frame that breaks the protocol.
+// FrameError is the error of a frame that violates the protocol.
 type FrameError struct {
 	Kind   FrameKind
 	Reason string
 }
 
-// Error names the kind of the frame and what is wrong with it.
+// Error returns the kind of the frame and the reason.
 func (e *FrameError) Error() string { return fmt.Sprintf("invalid frame (%v): %s", e.Kind, e.Reason) }
 
 // ReadFrame returns the frame at the start of buffer and its size in bytes, header included. The error is ErrIncomplete or a
@@ -122,6 +123,7 @@
 	return frame, size, nil
 }
 
+// checkHeader returns a *FrameError unless the header is valid.
 func (f Frame) checkHeader(bodySize uint32) error {
 	switch {
 	case bodySize > MaxBodySize:
@@ -134,14 +136,15 @@
 	return nil
 }
 
-func (k FrameKind) descriptorCount() int {
-	if k.CarriesDescriptor() {
+// descriptorCount returns the number of descriptors that are passed along with a frame of this kind.
+func (f FrameKind) descriptorCount() int {
+	if f.CarriesDescriptor() {
 		return 1
 	}
 	return 0
 }
 
-// appendFrame appends a frame to buffer.
+// appendFrame appends a frame to buffer. On an error it returns buffer unchanged.
 func appendFrame(buffer []byte, kind FrameKind, body []byte) ([]byte, error) {
 	if len(body) > MaxBodySize {
 		return buffer, bodySizeError(kind, len(body))
@@ -151,6 +154,7 @@
 	return append(buffer, body...), nil
 }
 
+// bodySizeError returns the error of a body that is too large.
 func bodySizeError(kind FrameKind, size int) error {
 	return &FrameError{kind, fmt.Sprintf("body of %d bytes, at most %d allowed", size, MaxBodySize)}
 }
--- a/internal/hotrestart/frame_test.go
+++ b/internal/hotrestart/frame_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// pickMessage returns a message of any kind, mostly one that comes next in a hot restart. Its announced number of frames is
+// pickMessage returns a message of any kind, mostly one that is expected next in a hot restart. Its announced number of frames is
 // wrong now and then.
 func pickMessage(choices *modeltest.Steps, framesSent int) Message {
 	kind := FrameKind(1 + choices.Pick(int(kindLimit)-1))
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -9,13 +9,13 @@
 	"valvecove/internal/requests"
 )
 
-// The other process may be of another build: the names in the tags, and the order of the fields, are part of the protocol.
-// Bodies are JSON, except that SnapshotChunk is sent as it is, and that TakenOver has none. TransferBegin has none from builds
-// that send no clocks, and those builds ignore the body that others send.
+// The other process may be of another build: the names in the tags, and the order of the fields, are part of the protocol. Bodies
+// are JSON, except that SnapshotChunk is sent unencoded, and that TakenOver has no body. Builds that send no clock readings send
+// TransferBegin without a body, and ignore the body that others send.
 
-// Message is what one frame says. Each type of this file that has a Kind method is one.
+// Message is the content of one frame. It is implemented by the types of this file.
 type Message interface {
-	// Kind is the kind of the frame that carries the message.
+	// Kind returns the kind of the frame that contains the message.
 	Kind() FrameKind
 }
 
@@ -24,40 +24,40 @@
 	Version int `json:"Form"` // ProtocolVersion of the successor
 }
 
-// Accept is the predecessor's answer to a Handshake. The socket that clients connect to comes with it.
+// Accept is the predecessor's positive response to a Handshake. The listening socket for clients is passed along with it.
 type Accept struct {
 	Version         int      `json:"Form"` // ProtocolVersion of the predecessor
-	CordonedWorkers []string `json:"Out"`  // ids
+	CordonedWorkers []string `json:"Out"`  // IDs
 }
 
-// Reject is the predecessor's answer to a successor that it does not hand over to.
+// Reject is the predecessor's negative response to a connection or a Handshake.
 type Reject struct {
 	Reason string `json:"Why"`
 }
 
-// SetCordon forwards an operator's call to the process that serves: the worker is to be cordoned or uncordoned.
+// SetCordon forwards an operator's call to the process that serves, to cordon or uncordon a worker.
 type SetCordon struct {
-	Sequence uint64 `json:"Seq"` // names the call in its CordonResult
+	Sequence uint64 `json:"Seq"` // identifies the call in its CordonResult
 	WorkerID string `json:"ID"`
 	Cordoned bool   `json:"Out"`
 }
 
-// CordonResult says how the caller of a SetCordon is to be answered.
+// CordonResult contains the response to the caller of a SetCordon.
 type CordonResult struct {
 	Sequence   uint64 `json:"Seq"`
-	StatusCode int    `json:"Code"` // of HTTP
+	StatusCode int    `json:"Code"` // HTTP status
 	Message    string `json:"What"`
 }
 
-// CordonedWorkers tells a successor in standby all workers that are cordoned by now.
+// CordonedWorkers contains all cordoned workers. It is sent to a successor in standby after each change.
 type CordonedWorkers struct {
 	WorkerIDs []string `json:"Out"`
 }
 
-// TransferBegin opens the transfer of the predecessor's state. All instants in it are of the predecessor's clock.
+// TransferBegin starts the transfer of the predecessor's state. All instants in the transfer are of the predecessor's clock.
 type TransferBegin ClockReadings
 
-// SnapshotChunk is a piece of the dispatch policy's snapshot, which comes in order.
+// SnapshotChunk is a part of the dispatch policy's snapshot. The chunks are sent in order.
 type SnapshotChunk []byte
 
 // RequestTable is the state of the request table without its open requests.
@@ -66,27 +66,27 @@
 // OpenRequest is one open request.
 type OpenRequest requests.OpenRequest
 
-// ClientConnection is a client's connection. Its socket comes with it.
+// ClientConnection is the state of a client's connection. Its socket is passed along with it.
 type ClientConnection struct {
-	Input             []byte         `json:"In"`         // read from the socket and not yet consumed
-	Output            []byte         `json:"Out"`        // still to be written
-	ResponseSlots     []ResponseSlot `json:"Turns"`      // of the requests not answered yet, in order
-	LastRequestRead   bool           `json:"Last"`       // the connection ends with its last response
-	InputConsumed     bool           `json:"Ended"`      // the client has ended its side, and all that it sent is consumed
-	HalfClosed        bool           `json:"Half"`       // the client has ended its side
-	ContinueSent      bool           `json:"Continued"`  // 100 Continue was sent for the request that is being read
-	RequestSeen       bool           `json:"Spoke"`      // a whole request has come
-	UsefulRequestSeen bool           `json:"Useful"`     // and one that was not a mere readiness check
-	ProxyHeaderDone   bool           `json:"Introduced"` // it is known whether a PROXY header comes first
+	Input             []byte         `json:"In"`         // received and not processed yet
+	Output            []byte         `json:"Out"`        // not written yet
+	ResponseSlots     []ResponseSlot `json:"Turns"`      // of the requests that are not responded to yet, in order
+	LastRequestRead   bool           `json:"Last"`       // the connection is closed after its last response
+	InputConsumed     bool           `json:"Ended"`      // the client has closed its side, and all its bytes are processed
+	HalfClosed        bool           `json:"Half"`       // the client has closed its side
+	ContinueSent      bool           `json:"Continued"`  // 100 Continue was sent for the request that is being received
+	RequestSeen       bool           `json:"Spoke"`      // a complete request was received
+	UsefulRequestSeen bool           `json:"Useful"`     // a complete request other than a readiness check was received
+	ProxyHeaderDone   bool           `json:"Introduced"` // the PROXY header was processed, or its absence detected
 	LastActivity      time.Duration  `json:"Since"`      // since the Unix epoch
 	ClientAddress     string         `json:"Client"`     // address and port; empty: none
 	ProxyAddress      string         `json:"Via"`        // address and port of the load balancer; empty: none
 }
 
-// ResponseSlot is the place of a pipelined request's response on its connection.
+// ResponseSlot is the slot of a pipelined request's response on its connection.
 type ResponseSlot struct {
 	RequestID  uint64        `json:"Query"` // 0: no open request
-	KeepAlive  bool          `json:"Keep"`  // the connection lives on after the response
+	KeepAlive  bool          `json:"Keep"`  // the connection stays open after the response
 	Complete   bool          `json:"Done"`  // the fields below are set
 	Status     int           `json:"Status"`
 	Body       []byte        `json:"Body"`
@@ -103,25 +103,25 @@
 	WorkerAwaitingResponse WorkerConnectionState = 2
 )
 
-// WorkerConnection is a connection to a worker, idle or with an attempt. Its socket comes with it.
+// WorkerConnection is the state of a connection to a worker, idle or with an attempt. Its socket is passed along with it.
 type WorkerConnection struct {
 	WorkerID   string                `json:"Host"`
 	State      WorkerConnectionState `json:"State"`
 	RequestID  uint64                `json:"Query"`   // of the attempt; 0: none
-	Attempt    int                   `json:"Attempt"` // by number within the request
+	Attempt    int                   `json:"Attempt"` // number of the attempt within the request
 	Stage      requests.Stage        `json:"Stage"`
-	Input      []byte                `json:"In"`     // read from the socket and not yet consumed
-	Output     []byte                `json:"Out"`    // still to be written
-	IdleBefore time.Duration         `json:"Rested"` // how long the connection was idle before the attempt; 0: it is new
+	Input      []byte                `json:"In"`     // received and not processed yet
+	Output     []byte                `json:"Out"`    // not written yet
+	IdleBefore time.Duration         `json:"Rested"` // idle time of the connection before the attempt; 0: it is new
 	IdleSince  time.Duration         `json:"IdleAt"` // since the Unix epoch
 }
 
-// TransferEnd closes the transfer.
+// TransferEnd ends the transfer.
 type TransferEnd struct {
 	FrameCount int `json:"Frames"` // frames between TransferBegin and this one
 }
 
-// TakenOver is the successor's answer to TransferEnd: it owns everything from here on.
+// TakenOver is the successor's response to TransferEnd. The successor owns everything from then on.
 type TakenOver struct{}
 
 // Kind implements Message.
@@ -168,8 +168,8 @@
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// AppendMessage appends a frame that carries the message to buffer. On an error buffer is returned as it was; a body over
-// MaxBodySize is a *FrameError.
+// AppendMessage appends a frame with the message to buffer. On an error it returns buffer unchanged. A body over MaxBodySize is a
+// *FrameError.
 func AppendMessage(buffer []byte, message Message) ([]byte, error) {
 	body, err := encodeBody(message)
 	if err != nil {
@@ -178,6 +178,7 @@
 	return appendFrame(buffer, message.Kind(), body)
 }
 
+// encodeBody returns the body of the frame with a message.
 func encodeBody(message Message) ([]byte, error) {
 	switch message := message.(type) {
 	case TakenOver:
@@ -194,7 +195,7 @@
 	}
 }
 
-// decoders decode the body of each kind of frame.
+// decoders contains a function for each kind of frame that decodes its body.
 var decoders = [kindLimit]func(body []byte) (Message, error){
 	KindHandshake:        decodeJSON[Handshake],
 	KindAccept:           decodeJSON[Accept],
@@ -212,7 +213,7 @@
 	KindTakenOver:        func([]byte) (Message, error) { return TakenOver{}, nil },
 }
 
-// Message decodes the frame's body. Only a SnapshotChunk keeps a reference to the frame's buffer.
+// Message decodes the frame's body. Only a SnapshotChunk references the frame's buffer afterwards.
 func (f Frame) Message() (Message, error) {
 	if !f.Kind.isValid() {
 		return nil, &FrameError{f.Kind, "unknown kind"}
@@ -224,12 +225,14 @@
 	return message, nil
 }
 
+// decodeJSON decodes a body as JSON.
 func decodeJSON[M Message](body []byte) (Message, error) {
 	var message M
 	err := json.Unmarshal(body, &message)
 	return message, err
 }
 
+// decodeTransferBegin decodes a body that may be empty.
 func decodeTransferBegin(body []byte) (Message, error) {
 	if len(body) == 0 {
 		return TransferBegin{}, nil
@@ -237,7 +240,7 @@
 	return decodeJSON[TransferBegin](body)
 }
 
-// decodeReject ignores errors: a successor whose rejection can't be read is rejected all the same.
+// decodeReject ignores errors: a rejection is valid without a reason.
 func decodeReject(body []byte) (Message, error) {
 	var reject Reject
 	_ = json.Unmarshal(body, &reject)
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -5,15 +5,15 @@
 	"fmt"
 )
 
-// PredecessorState is where the process that serves stands with its successor.
+// PredecessorState is the state of the process that serves with regard to its successor.
 type PredecessorState int
 
 // States of a predecessor.
 const (
 	PredecessorAlone        PredecessorState = iota // no successor is connected
-	PredecessorHandshaking                          // one is connected, and has not sent its handshake
-	PredecessorPaired                               // one stands by
-	PredecessorTransferring                         // the state is on its way
+	PredecessorHandshaking                          // a successor is connected, and has not sent its handshake
+	PredecessorPaired                               // a successor is in standby
+	PredecessorTransferring                         // the state is being sent
 	PredecessorRelinquished                         // the successor owns everything, and is connected
 	PredecessorReplaced                             // the successor owns everything, and its connection has ended
 )
@@ -38,29 +38,29 @@
 	}
 }
 
-// Why a successor is rejected. The texts are sent to it.
+// Reasons for rejecting a successor. Their texts are sent to it.
 var (
 	ErrOtherUser        = errors.New("another user's process")
 	ErrSuccessorPresent = errors.New("another process is to be the successor")
 	ErrReplaced         = errors.New("this process has a successor")
 )
 
-// Predecessor is the state machine of the process that serves. It starts in PredecessorAlone. There is one successor at a
-// time: of two, both would expect to take over.
+// Predecessor is the state machine of the process that serves. The zero value is in PredecessorAlone. There is one successor at a
+// time at most.
 type Predecessor struct {
 	state PredecessorState
 }
 
-// State returns the present state.
+// State returns the current state.
 func (p *Predecessor) State() PredecessorState { return p.state }
 
-// HasRelinquished tells whether a successor owns all that this process had.
+// HasRelinquished reports whether a successor owns the state of this process.
 func (p *Predecessor) HasRelinquished() bool {
 	return p.state == PredecessorRelinquished || p.state == PredecessorReplaced
 }
 
-// HandleConnect takes in a connection; sameUser tells whether the peer runs as the user of this process. An error is the
-// reason for rejecting it, and changes nothing.
+// HandleConnect handles a new connection. sameUser is whether the peer runs as the user of this process. An error is the reason for
+// rejecting the connection, and the state is unchanged then.
 func (p *Predecessor) HandleConnect(sameUser bool) error {
 	if !sameUser {
 		return ErrOtherUser
@@ -74,8 +74,8 @@
 	return ErrSuccessorPresent
 }
 
-// HandleMessage takes in a message of the successor. After an error the connection is to be closed, and HandleDisconnect
-// called.
+// HandleMessage handles a message of the successor, and returns what the caller must do. After an error the caller must close the
+// connection and call HandleDisconnect.
 func (p *Predecessor) HandleMessage(message Message) (Action, error) {
 	handshake, ok := message.(Handshake)
 	if ok && p.state == PredecessorHandshaking && handshake.Version != ProtocolVersion {
@@ -88,16 +88,16 @@
 	return action, nil
 }
 
-// BeginTransfer tells that the state is about to be sent. It returns false, and changes nothing, if no successor stands by.
+// BeginTransfer is called before the state is sent. It returns false and changes nothing if no successor is in standby.
 func (p *Predecessor) BeginTransfer() bool {
 	_, ok := p.transition(predecessorTransferBegun)
 	return ok
 }
 
-// HandleDisconnect takes in that the connection has ended.
+// HandleDisconnect handles the end of the connection.
 func (p *Predecessor) HandleDisconnect() { p.transition(predecessorDisconnected) }
 
-// predecessorEvent is the kind of a message that has come, or one of the events below.
+// predecessorEvent is the kind of a received message, or one of the events below.
 type predecessorEvent int
 
 const (
@@ -106,14 +106,14 @@
 	predecessorDisconnected
 )
 
-// transition is the only place where the state changes. ok is false, and the state stays, if the event is not allowed in it.
+// transition applies an event to the state. ok is false, and the state unchanged, if the event is not allowed in it.
 func (p *Predecessor) transition(event predecessorEvent) (action Action, ok bool) {
 	next, action, ok := p.next(event)
 	p.state = next
 	return action, ok
 }
 
-// next is the table of transitions.
+// next returns the state after an event, and the action to execute.
 func (p *Predecessor) next(event predecessorEvent) (next PredecessorState, action Action, ok bool) {
 	if event == predecessorDisconnected {
 		return p.afterDisconnect(), ActionNone, true
@@ -136,7 +136,7 @@
 		}
 	case PredecessorTransferring:
 		switch event {
-		case predecessorEvent(KindSetCordon): // the new owner carries it out
+		case predecessorEvent(KindSetCordon): // the new owner executes it
 			return p.state, ActionNone, true
 		case predecessorEvent(KindTakenOver):
 			return PredecessorRelinquished, ActionRelinquish, true
@@ -149,6 +149,7 @@
 	return p.state, ActionNone, false
 }
 
+// afterDisconnect returns the state after the end of the connection.
 func (p *Predecessor) afterDisconnect() PredecessorState {
 	if p.HasRelinquished() {
 		return PredecessorReplaced
--- a/internal/hotrestart/predecessor_test.go
+++ b/internal/hotrestart/predecessor_test.go
@@ -7,7 +7,7 @@
 	"valvecove/internal/modeltest"
 )
 
-// Whatever comes in whatever order, a predecessor is the owner until a successor that it has accepted says, during a
+// With any events in any order, a predecessor is the owner until a successor that it has accepted reports, during a
 // transfer, that it has taken over; then it never is again.
 func FuzzPredecessor(f *testing.F) {
 	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
@@ -162,7 +162,7 @@
 	}
 }
 
-// A successor of another version is told why it is rejected, in the words that all builds send.
+// A successor of another version receives the reason of its rejection, in the form that all builds send.
 func TestPredecessorRejectsOtherVersion(t *testing.T) {
 	predecessor := predecessorIn(t, PredecessorHandshaking)
 	action, err := predecessor.HandleMessage(Handshake{Version: ProtocolVersion + 1})
--- a/internal/hotrestart/received.go
+++ b/internal/hotrestart/received.go
@@ -7,14 +7,14 @@
 	"valvecove/internal/requests"
 )
 
-// NoDescriptor stands for no file descriptor.
+// NoDescriptor is the value of a descriptor that was not received.
 const NoDescriptor = -1
 
-// ReceivedState is what a successor has received of its predecessor's state. It owns the descriptors in it until the caller
-// restores the connections, or closes them (see Descriptors).
+// ReceivedState is the part of the predecessor's state that a successor has received. It owns the descriptors in it until the
+// caller restores the connections, or closes the descriptors; see Descriptors.
 type ReceivedState struct {
-	// ClockAhead is by how much this process's clock is ahead of the predecessor's, as SetClocks found. The instants in
-	// PolicySnapshot are the predecessor's; all others are moved by Finish.
+	// ClockAhead is how far this process's clock is ahead of the predecessor's; see SetClocks. The instants in PolicySnapshot are
+	// of the predecessor's clock; Finish converts all others.
 	ClockAhead        time.Duration
 	PolicySnapshot    []byte
 	RequestTable      requests.State
@@ -35,56 +35,56 @@
 	Descriptor int
 }
 
-// Add adds what a message says and the descriptor that came with it. Messages that carry no state are ignored.
-func (s *ReceivedState) Add(message Message, descriptor int) {
+// Add adds the content of a message, and the descriptor that was passed along with it or NoDescriptor. Messages without state are
+// ignored.
+func (r *ReceivedState) Add(message Message, descriptor int) {
 	switch message := message.(type) {
 	case SnapshotChunk:
-		s.PolicySnapshot = append(s.PolicySnapshot, message...)
+		r.PolicySnapshot = append(r.PolicySnapshot, message...)
 	case RequestTable:
-		s.RequestTable = requests.State(message)
+		r.RequestTable = requests.State(message)
 	case OpenRequest:
-		s.OpenRequests = append(s.OpenRequests, requests.OpenRequest(message))
+		r.OpenRequests = append(r.OpenRequests, requests.OpenRequest(message))
 	case ClientConnection:
-		s.ClientConnections = append(s.ClientConnections, ReceivedClientConnection{message, descriptor})
+		r.ClientConnections = append(r.ClientConnections, ReceivedClientConnection{message, descriptor})
 	case WorkerConnection:
-		s.WorkerConnections = append(s.WorkerConnections, ReceivedWorkerConnection{message, descriptor})
+		r.WorkerConnections = append(r.WorkerConnections, ReceivedWorkerConnection{message, descriptor})
 	}
 }
 
-// MissingDescriptorError reports a connection that has come without its socket.
+// MissingDescriptorError is the error of a connection that was received without its socket.
 type MissingDescriptorError struct {
 	Kind FrameKind
 }
 
-// Error names the kind of connection.
+// Error returns the kind of the connection.
 func (e *MissingDescriptorError) Error() string {
 	return fmt.Sprintf("%v without its descriptor", e.Kind)
 }
 
-// SetClocks compares what the predecessor's clocks said, which has just come, with what this process's clocks say now.
-func (s *ReceivedState) SetClocks(predecessor TransferBegin, now ClockReadings) {
-	s.ClockAhead = now.AheadOf(ClockReadings(predecessor))
+// SetClocks sets ClockAhead. predecessor was just received, and now are this process's readings.
+func (r *ReceivedState) SetClocks(predecessor TransferBegin, now ClockReadings) {
+	r.ClockAhead = now.AheadOf(ClockReadings(predecessor))
 }
 
-// Finish returns the state, once all of it has come, with its instants as this process's clock has them. The error is that of
-// Check.
-func (s *ReceivedState) Finish() (ReceivedState, error) {
-	if err := s.Check(); err != nil {
+// Finish returns the complete state with its instants converted to this process's clock. The error is that of Check.
+func (r *ReceivedState) Finish() (ReceivedState, error) {
+	if err := r.Check(); err != nil {
 		return ReceivedState{}, err
 	}
-	finished := *s
-	finished.moveClock(s.ClockAhead)
+	finished := *r
+	finished.moveClock(r.ClockAhead)
 	return finished, nil
 }
 
-// Check returns a *MissingDescriptorError unless each connection has its socket.
-func (s *ReceivedState) Check() error {
-	for _, connection := range s.ClientConnections {
+// Check returns a *MissingDescriptorError if a connection has no socket.
+func (r *ReceivedState) Check() error {
+	for _, connection := range r.ClientConnections {
 		if connection.Descriptor == NoDescriptor {
 			return &MissingDescriptorError{KindClientConnection}
 		}
 	}
-	for _, connection := range s.WorkerConnections {
+	for _, connection := range r.WorkerConnections {
 		if connection.Descriptor == NoDescriptor {
 			return &MissingDescriptorError{KindWorkerConnection}
 		}
@@ -93,12 +93,12 @@
 }
 
 // Descriptors returns the sockets of all connections.
-func (s *ReceivedState) Descriptors() []int {
+func (r *ReceivedState) Descriptors() []int {
 	var descriptors []int
-	for _, connection := range s.ClientConnections {
+	for _, connection := range r.ClientConnections {
 		descriptors = append(descriptors, connection.Descriptor)
 	}
-	for _, connection := range s.WorkerConnections {
+	for _, connection := range r.WorkerConnections {
 		descriptors = append(descriptors, connection.Descriptor)
 	}
 	return descriptors
--- a/internal/hotrestart/successor.go
+++ b/internal/hotrestart/successor.go
@@ -5,16 +5,16 @@
 	"fmt"
 )
 
-// SuccessorState is where a successor stands with its predecessor.
+// SuccessorState is the state of a successor with regard to its predecessor.
 type SuccessorState int
 
 // States of a successor.
 const (
-	SuccessorJoining   SuccessorState = iota // it has sent its handshake
-	SuccessorStandby                         // it was accepted, and the predecessor serves
-	SuccessorReceiving                       // the predecessor's state is coming
-	SuccessorServing                         // it is the owner
-	SuccessorRejected                        // the predecessor does not hand over to it
+	SuccessorJoining   SuccessorState = iota // its handshake is sent
+	SuccessorStandby                         // the predecessor has accepted it, and serves
+	SuccessorReceiving                       // the predecessor's state is being received
+	SuccessorServing                         // it owns the state, and serves
+	SuccessorRejected                        // the predecessor has rejected it
 )
 
 // String returns the name of the state, for logs and errors.
@@ -35,69 +35,70 @@
 	}
 }
 
-// Action is what the owner of a state machine has to do next.
+// Action is what the caller of a state machine must do next.
 type Action int
 
-// Actions of both sides, of a successor, and of a predecessor.
+// Actions of both sides, then those of a successor, then those of a predecessor.
 const (
-	ActionNone  Action = iota // nothing: the message or the end of the connection has no effect
-	ActionApply               // do what the message says
+	ActionNone  Action = iota // nothing
+	ActionApply               // execute the message
 
-	ActionTakeOver   // all state has come: send TakenOver, call TookOver, and serve with it
-	ActionServeAlone // the predecessor has gone: discard what has come of its state, and serve without it
-	ActionGiveUp     // the predecessor rejects this process: end it
-	ActionReconnect  // the connection is lost: discard what has come, and connect again; if that fails, call HandleDisconnect
+	ActionTakeOver   // the state is complete: send TakenOver, call TookOver, and serve with the state
+	ActionServeAlone // the predecessor has ended: discard the received state, and serve without it
+	ActionGiveUp     // the predecessor has rejected this process: exit
+	ActionReconnect  // the connection is lost: discard the received state, and reconnect; if that fails, call HandleDisconnect
 
 	ActionAccept     // send Accept
 	ActionReject     // send Reject with the error's text, and close the connection
-	ActionRelinquish // the successor owns everything: let go of it
+	ActionRelinquish // the successor owns everything: release the requests and the connections
 )
 
-// maxSessions is how many times a successor connects at most. A predecessor that lives on keeps its state, and of two
-// processes that serve side by side one would get callbacks that are meant for the other.
+// maxSessions is the maximum number of connections of a successor to its predecessor. It reconnects because a predecessor that
+// still runs keeps its state: if both processes served, one would receive callbacks for attempts of the other.
 const maxSessions = 3
 
-// MaxSnapshotSize is the largest snapshot of a dispatch policy that a successor accepts, in bytes.
+// MaxSnapshotSize is the maximum size in bytes of a dispatch policy's snapshot that a successor accepts.
 const MaxSnapshotSize = 64 << 20
 
-// ErrSnapshotTooLarge means that the chunks of the policy's snapshot add up to more than MaxSnapshotSize.
+// ErrSnapshotTooLarge is returned if the chunks of the policy's snapshot are larger than MaxSnapshotSize in total.
 var ErrSnapshotTooLarge = errors.New("the policy's snapshot is too large")
 
-// UnexpectedMessageError reports a message that is not allowed in the state of the process that received it.
+// UnexpectedMessageError is the error of a message that is not allowed in the state of its receiver.
 type UnexpectedMessageError struct {
 	Kind  FrameKind
 	State fmt.Stringer // a SuccessorState or a PredecessorState
 }
 
-// Error names the message and the state.
+// Error returns the message's kind and the state.
 func (e *UnexpectedMessageError) Error() string {
 	return fmt.Sprintf("unexpected message %q in state %q", e.Kind, e.State)
 }
 
-// VersionError reports that the other process speaks another version of the protocol.
+// VersionError is the error of a process with another ProtocolVersion.
 type VersionError struct {
 	Version int // of the other process
 }
 
-// Error is also the reason that a Reject gives, which processes of all builds send in this form.
+// Error returns the text that is also the reason in a Reject. All builds send it in this form.
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("form %d, expected %d", e.Version, ProtocolVersion)
 }
 
-// MissingFramesError reports that frames are lost, or too many, between TransferBegin and TransferEnd.
+// MissingFramesError is the error of a transfer with too few or too many frames between TransferBegin and TransferEnd.
 type MissingFramesError struct {
 	Received, Announced int
 }
 
-// Error gives both numbers.
+// Error returns both numbers.
 func (e *MissingFramesError) Error() string {
 	return fmt.Sprintf("%d frames received, %d announced", e.Received, e.Announced)
 }
 
-// Successor is the state machine of the process that takes over. It starts in SuccessorJoining, once the handshake is sent.
+// Successor is the state machine of the process that takes over. The zero value is in SuccessorJoining, which is the state once the
+// handshake is sent.
 //
-// It decides who the owner is. Until all state has come, the successor owns nothing: what has come in part is void if no
-// more comes, as the predecessor then still has it, or has died with it.
+// It decides which process owns the state. Until the transfer is complete, the successor owns nothing: an incomplete transfer is
+// discarded, as the predecessor still owns the state, or has ended.
 type Successor struct {
 	state          SuccessorState
 	sessionsLost   int
@@ -105,11 +106,11 @@
 	snapshotSize   int // bytes received since TransferBegin
 }
 
-// State returns the present state.
+// State returns the current state.
 func (s *Successor) State() SuccessorState { return s.state }
 
-// HandleMessage takes in a message of the predecessor. After an error the connection is to be closed, and HandleDisconnect
-// called.
+// HandleMessage handles a message of the predecessor, and returns what the caller must do. After an error the caller must close the
+// connection and call HandleDisconnect.
 func (s *Successor) HandleMessage(message Message) (Action, error) {
 	if err := s.check(message); err != nil {
 		return ActionNone, err
@@ -122,17 +123,17 @@
 	return action, nil
 }
 
-// TookOver makes this process the owner: it has answered ActionTakeOver by sending TakenOver.
+// TookOver makes this process the owner. It is called after TakenOver was sent because of ActionTakeOver.
 func (s *Successor) TookOver() { s.transition(successorTookOver) }
 
-// HandleDisconnect takes in that the connection has ended, or that the predecessor can't be reached again.
+// HandleDisconnect handles the end of the connection, or a failed attempt to reconnect.
 func (s *Successor) HandleDisconnect() Action {
 	s.sessionsLost++
 	action, _ := s.transition(successorDisconnected)
 	return action
 }
 
-// check compares what a message says with what has come before.
+// check returns an error if the content of a message contradicts the protocol or the previous messages.
 func (s *Successor) check(message Message) error {
 	switch message := message.(type) {
 	case Accept:
@@ -151,10 +152,11 @@
 	return nil
 }
 
-// count adds up what has come of a transfer.
+// count counts the frames and the snapshot bytes of a transfer.
 func (s *Successor) count(message Message) {
 	if message.Kind() == KindTransferBegin {
-		s.framesReceived, s.snapshotSize = 0, 0
+		s.framesReceived = 0
+		s.snapshotSize = 0
 	}
 	if message.Kind().isState() {
 		s.framesReceived++
@@ -164,7 +166,7 @@
 	}
 }
 
-// successorEvent is the kind of a message that has come, or one of the events below.
+// successorEvent is the kind of a received message, or one of the events below.
 type successorEvent int
 
 const (
@@ -172,14 +174,14 @@
 	successorDisconnected
 )
 
-// transition is the only place where the state changes. ok is false, and the state stays, if the event is not allowed in it.
+// transition applies an event to the state. ok is false, and the state unchanged, if the event is not allowed in it.
 func (s *Successor) transition(event successorEvent) (action Action, ok bool) {
 	next, action, ok := s.next(event)
 	s.state = next
 	return action, ok
 }
 
-// next is the table of transitions.
+// next returns the state after an event, and the action to execute.
 func (s *Successor) next(event successorEvent) (next SuccessorState, action Action, ok bool) {
 	if event == successorDisconnected {
 		next, action = s.afterDisconnect()
@@ -211,14 +213,15 @@
 			return s.state, ActionApply, true
 		}
 	case SuccessorServing:
-		if event == successorEvent(KindSetCordon) { // the predecessor was called after it had handed over
+		if event == successorEvent(KindSetCordon) { // the predecessor was called after the transfer
 			return s.state, ActionApply, true
 		}
 	}
-	// A result may come at any time after the first handshake: calls stay open across sessions.
+	// A result may be received at any time after the first handshake: calls stay pending across sessions.
 	return s.state, ActionApply, event == successorEvent(KindCordonResult)
 }
 
+// afterDisconnect returns the state after the end of the connection, and the action to execute.
 func (s *Successor) afterDisconnect() (SuccessorState, Action) {
 	switch s.state {
 	case SuccessorServing, SuccessorRejected:
--- a/internal/hotrestart/successor_test.go
+++ b/internal/hotrestart/successor_test.go
@@ -7,8 +7,8 @@
 	"valvecove/internal/modeltest"
 )
 
-// Whatever comes in whatever order, a successor is the owner only after all that was announced has come, or once the
-// predecessor has gone; then it owns nothing of what had come in part.
+// With any events in any order, a successor is the owner only after it has received all announced frames, or after the
+// predecessor has ended; then it discards an incomplete transfer.
 func FuzzSuccessor(f *testing.F) {
 	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := successorModel{Steps: choices}
@@ -33,7 +33,7 @@
 	lost            int // connections
 }
 
-// disconnect tells whether the successor goes on.
+// disconnect reports whether the successor continues.
 func (m *successorModel) disconnect() bool {
 	action := m.successor.HandleDisconnect()
 	m.Check((action == ActionNone) == m.owner, "disconnected as the owner %v: action %d", m.owner, action)
@@ -43,11 +43,11 @@
 		return false
 	}
 	m.Check(m.accepted && m.lost < maxSessions, "it connects again for ever")
-	m.accepted, m.begun, m.frames = false, false, 0 // what has come in part is void
+	m.accepted, m.begun, m.frames = false, false, 0 // an incomplete transfer is discarded
 	return true
 }
 
-// receive tells whether the successor goes on.
+// receive reports whether the successor continues.
 func (m *successorModel) receive(message Message) bool {
 	action, err := m.successor.HandleMessage(message)
 	m.Record(message.Kind().String())
--- a/internal/requests/golden_test.go
+++ b/internal/requests/golden_test.go
@@ -40,7 +40,7 @@
 func (r *recordingResponder) RespondRejected(time.Duration) { r.got += "rejected" }
 func (r *recordingResponder) RespondFailed()                { r.got += "failed" }
 
-// goldenTable is a table that is brought to where the golden file was written, or goes on from there.
+// goldenTable is a table in the state in which the golden file was written, or one that is restored from it.
 type goldenTable struct {
 	*requests.Table
 	policy    *modeltest.ScriptedPolicy
@@ -120,7 +120,7 @@
 	g.now += 10 * time.Millisecond
 }
 
-// send starts an attempt, which comes to a stage.
+// send starts an attempt and sets its stage.
 func (g *goldenTable) send(request *requests.Request, endpointID string, stage requests.Stage) {
 	worker, _ := g.WorkerNumber(endpointID)
 	g.step(dispatch.Send{Job: request.ID, Worker: worker, AttemptTimeout: 700 * time.Millisecond})
@@ -329,7 +329,7 @@
 	}
 }
 
-// What was under way goes on: cancellations, callbacks, the numbers of requests, and what the policy has to learn.
+// Cancellations, callbacks and the sequence of request IDs continue, and the policy receives the events that it needs.
 func TestGoldenHandOverGoesOn(t *testing.T) {
 	g, responders := takeOverGolden(t)
 	if got := g.transport.cancelled; len(got) != 1 || got[0] != g.InFlightAttempt(6, 0) {
--- a/internal/requests/helpers_test.go
+++ b/internal/requests/helpers_test.go
@@ -18,7 +18,7 @@
 func (r *countingResponder) RespondFailed()                { r.failed++ }
 func (r *countingResponder) total() int                    { return r.results + r.rejected + r.failed }
 
-// recordingTransport remembers what it is asked for, and does nothing.
+// recordingTransport records its calls, and does nothing.
 type recordingTransport struct {
 	started           []*Attempt
 	abandoned         map[*Attempt]bool
@@ -102,7 +102,7 @@
 	return request
 }
 
-// step has the policy act, and learn what comes of it.
+// step has the policy return actions, and then receive the resulting events.
 func (f *attemptFixture) step(now time.Duration, actions ...dispatch.Action) {
 	f.policy.Next = actions
 	f.table.Wake()
@@ -131,7 +131,7 @@
 	return known
 }
 
-// takeOver goes on in the table of another process.
+// takeOver replaces the table by one of another process that is restored from its snapshot.
 func (f *attemptFixture) takeOver(t *testing.T) {
 	t.Helper()
 	if !f.table.FlushEvents(5) {
--- a/internal/requests/starttime_test.go
+++ b/internal/requests/starttime_test.go
@@ -37,13 +37,13 @@
 	f.lastViewAt = f.now + f.clockAhead
 }
 
-// receive takes in a list.
+// receive applies a list.
 func (f *startTimesFixture) receive(isReset bool, endpoints ...Endpoint) {
 	receipt := Receipt{At: f.now + f.clockAhead, LastViewAt: f.lastViewAt}
 	f.table.UpdateEndpoints(EndpointList{Reset: isReset, Endpoints: endpoints, Receipt: receipt})
 }
 
-// receiveFleet takes in ten workers that started long ago or at different times, but for s-0.
+// receiveFleet applies a list of ten workers that started long ago or at different times, except s-0.
 func (f *startTimesFixture) receiveFleet(newest Endpoint) {
 	endpoints := []Endpoint{newest}
 	for n := 1; n < 10; n++ {
@@ -78,8 +78,8 @@
 	}
 }
 
-// A worker that is told of while the list is followed is never taken for older than it is, and not for much younger. With a
-// right clock it is as old as it is told to be.
+// The age of a worker that is listed while the watch is open is never overestimated, and not underestimated by much. With a right
+// clock it is the listed one.
 func TestStartTimesListedByChange(t *testing.T) {
 	for _, ahead := range clockErrors {
 		f := newStartTimesFixture(ahead)
@@ -112,7 +112,7 @@
 	}
 }
 
-// No worker is taken for younger than when it was first told of, and so none is held back for longer than a slow start takes.
+// No worker starts later than it was first listed, so that its slow start is not prolonged.
 func TestStartTimesNoneIsHeldBackLong(t *testing.T) {
 	for _, ahead := range clockErrors {
 		for _, ago := range []time.Duration{time.Millisecond, 2 * time.Second, time.Minute, time.Hour - time.Second, 2 * time.Hour} {
@@ -207,7 +207,7 @@
 	}
 }
 
-// Once a start was listed that shows our clock to be ahead, be it by some seconds, starts during an outage are taken for no
+// Once a start was listed that shows our clock to be ahead, be it by some seconds, starts during an outage are converted to no
 // older than they are.
 func TestStartTimesAfterOutageWithClockShownAhead(t *testing.T) {
 	for _, ahead := range clockErrors {
@@ -223,7 +223,7 @@
 	}
 }
 
-// A change that is told late, while the list is followed, holds a worker back for that delay at most.
+// A change that is listed late while the watch is open prolongs a slow start by that delay at most.
 func TestStartTimesListedLate(t *testing.T) {
 	for _, ahead := range clockErrors {
 		f := newStartTimesFixture(ahead)
