--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -2,66 +2,68 @@
 
 import "time"
 
-// How connections are spread.
+// Delays of first connections, by which many schedulers spread their connections.
 const (
-	maxSimultaneousSchedulers = 8                      // so many may connect together; more spread their connections
-	maxFirstConnectDelay      = 750 * time.Millisecond // of a process among many that start together; its requests wait
-	maxServerChangeDelay      = time.Second            // of the first connection to another server
-	minServerChangeDelay      = 250 * time.Millisecond // the longest one left where servers change again and again
-	serverChangeAllowance     = 2 * time.Second        // from the first change that has brought no list to the connection
+	maxSimultaneousSchedulers = 8                      // a larger number of schedulers spreads its connections
+	maxFirstConnectDelay      = 750 * time.Millisecond // of a process among many that start together; its requests wait meanwhile
+	maxServerChangeDelay      = time.Second            // bounds the delay of the first connection to another server
+	minServerChangeDelay      = 250 * time.Millisecond // lower limit of that bound when the server is changed repeatedly
+	serverChangeAllowance     = 2 * time.Second        // time from the first change of the server without a list to the connection
 )
 
-// What a connection to a healthy server takes.
+// Time that a connection to a healthy server needs.
 const (
-	attemptAllowance     = time.Second             // at most, with one failed attempt before
-	firstAnswerAllowance = 1500 * time.Millisecond // of a process among many that start together, whose request is queued
+	attemptAllowance       = time.Second             // maximum, including one failed attempt before
+	firstResponseAllowance = 1500 * time.Millisecond // for a process among many that start together, whose request is queued
 )
 
-// How long a connection is put off after a failure.
+// Backoff after a failed or lost connection.
 const (
-	firstBackoffPerMille  = 75  // of the poll interval: the longest first backoff of a scheduler among few
-	pushedBackoffPerMille = 50  // of the staleness limit: the longest backoff where the list is pushed
-	minBackoffPerMille    = 250 // of the wanted backoff: what is kept of it even past the deadline
-	maxBackoffDoublings   = 8   // by failures of a scheduler among few
-	backoffRange          = 3   // a backoff is drawn between the longest one divided by this, and the longest
+	firstBackoffPerMille  = 75  // of the poll interval: maximum first backoff if connections are not spread
+	pushedBackoffPerMille = 50  // of the staleness limit: maximum backoff if the list is pushed
+	minBackoffPerMille    = 250 // of the unbounded backoff: minimum of the maximum backoff, also past the deadline
+	maxBackoffDoublings   = 8   // by consecutive failures, if connections are not spread
+	backoffRange          = 3   // ratio of the maximum to the minimum of a random backoff
 )
 
-// InitialWait is how long a process that has a list had better wait for a newer one before it serves by what it has. It is
-// 0 where the first connection is made at once.
+// InitialWait returns how long a process that has a list should wait for a newer one before it serves with its own. It is 0 if
+// the first connection is opened at once.
 func (w *Watch) InitialWait() time.Duration {
 	if !w.spreadsConnections() {
 		return 0
 	}
-	return w.maxFirstDelay() + firstAnswerAllowance
+	return w.maxFirstDelay() + firstResponseAllowance
 }
 
-// spreadsConnections reports whether so many schedulers connect to one server that they must not do so together.
+// spreadsConnections reports whether too many schedulers connect to one server to do so at the same time.
 func (w *Watch) spreadsConnections() bool {
 	return !w.config.Pushed && w.config.Schedulers > maxSimultaneousSchedulers
 }
 
+// maxFirstDelay returns the maximum delay of the first connection of the process.
 func (w *Watch) maxFirstDelay() time.Duration { return min(maxFirstConnectDelay, w.maxBackoff()) }
 
-// serverChangeDelay is the longest delay of the first connection to another server. It shrinks while one change follows the
-// other and none brings a list: put off in full each time, the connection would never be made.
+// serverChangeDelay returns the maximum delay of the first connection to another server. It decreases if the server is changed
+// again before a list was received, as otherwise repeated changes could delay the connection without limit.
 func (w *Watch) serverChangeDelay(now time.Duration) time.Duration {
 	remaining := w.staleness.serverChangedAt + serverChangeAllowance - now
 	return min(maxServerChangeDelay, max(minServerChangeDelay, remaining))
 }
 
-// backoff draws how long the next connection is put off. It grows with failures, so that an overloaded server gets fewer,
-// and is bounded so that a change is still received in time. A part of it is kept even where that time is past.
+// backoff returns the random delay of the next connection. It increases with consecutive failures, to reduce the load of the
+// server. It is bounded by the recovery deadline, so that a change is still received in time, except for minBackoffPerMille of
+// it.
 func (w *Watch) backoff(now time.Duration) time.Duration {
-	wanted := w.wantedBackoff()
+	unbounded := w.unboundedBackoff()
 	inTime := w.recoveryDeadline() - attemptAllowance - now
-	longest := max(perMille(wanted, minBackoffPerMille), min(wanted, inTime))
+	longest := max(perMille(unbounded, minBackoffPerMille), min(unbounded, inTime))
 	shortest := longest / backoffRange
 	return shortest + w.randomUpTo(longest-shortest)
 }
 
-// wantedBackoff is the longest backoff if there were no deadline.
-func (w *Watch) wantedBackoff() time.Duration {
-	if w.config.Pushed { // what the server has at its return counts at once, and each scheduler has a server of its own
+// unboundedBackoff returns the maximum backoff regardless of the recovery deadline.
+func (w *Watch) unboundedBackoff() time.Duration {
+	if w.config.Pushed { // the list is effective as soon as the server is back, and each scheduler has its own server
 		return perMille(w.config.maxStaleness(), pushedBackoffPerMille)
 	}
 	if w.spreadsConnections() {
@@ -71,8 +73,8 @@
 	return min(w.maxBackoff(), perMille(w.config.pollInterval(), firstBackoffPerMille)<<doublings)
 }
 
-// recoveryDeadline is the instant by which the next connection must have received the list. A server that refused the last
-// one was down, and only what it learns from then on is at stake.
+// recoveryDeadline returns the instant by which the next connection should have received the list. A server that refused the last
+// connection was not reachable then, so the staleness limit of a change starts after that at the earliest.
 func (w *Watch) recoveryDeadline() time.Duration {
 	deadline := w.StalenessDeadline()
 	if !w.staleness.missedLines && w.refusedAt > 0 {
@@ -81,18 +83,18 @@
 	return deadline
 }
 
-// maxBackoff is the longest backoff after which a connection that takes all the time it may still brings a change in time.
+// maxBackoff returns the maximum backoff after which a connection within its time limits still receives a change in time.
 func (w *Watch) maxBackoff() time.Duration {
 	limit := w.config.maxStaleness()
 	return max(limit-firstLineTimeout, perMille(limit, pushedBackoffPerMille))
 }
 
-// randomUpTo draws a span between 0 and longest.
+// randomUpTo returns a random duration between 0 and longest, inclusive.
 func (w *Watch) randomUpTo(longest time.Duration) time.Duration {
 	return time.Duration(w.random(int64(max(longest, 0)) + 1))
 }
 
-// perMille returns so many thousandths of a span.
+// perMille returns a number of thousandths of a duration.
 func perMille(span time.Duration, thousandths int64) time.Duration {
 	return span * time.Duration(thousandths) / 1000
 }
--- a/internal/discovery/model_test.go
+++ b/internal/discovery/model_test.go
@@ -7,22 +7,22 @@
 	"valvecove/internal/modeltest"
 )
 
-// Short units for tables of instants.
+// Short names of units, for tables of instants.
 const (
 	msec = time.Millisecond
 	sec  = time.Second
 )
 
-// The figures of the protocol's page, stated once more and apart from the code under test.
+// The limits of the protocol's page, independent of the code under test.
 const (
 	specStaleness             = 6 * sec    // "counts as told 6 s after discovery had it and could be reached"
 	specServerChangeStaleness = 4 * sec    // "After SIGHUP it counts 4 s later"
-	specStopGrace             = 500 * msec // the least time to stop sending that any settings give
+	specStopGrace             = 500 * msec // minimum of the setting for the time to stop sending
 )
 
 const (
-	maxDelayAfterRecovery       = 2500 * msec // what is known already is received so soon after the server can be reached again
-	maxDelayAfterRecoveryPushed = 500 * msec  // and where lists are pushed, and count at once: the time to stop sending
+	maxDelayAfterRecovery       = 2500 * msec // until a change is received that is due before the server is reachable again
+	maxDelayAfterRecoveryPushed = 500 * msec  // the same if lists are pushed: the time to stop sending
 	serverTimeout               = 3 * sec     // a request that is queued at the server for longer fails there
 	never                       = time.Duration(1) << 62
 	startTime                   = 1000 * time.Hour
@@ -32,14 +32,14 @@
 // listChange is a change of the list at the server.
 type listChange struct {
 	madeAt          time.Duration
-	reachableAt     time.Duration // when the server had it and could be reached first; never: not yet
-	recoveredAt     time.Duration // when it could be reached again last
-	silentAt        time.Duration // when the watch fell silent that missed it; never: none did
-	serverChangedAt time.Duration // when another server was named, after it; never: none was
-	queueDelay      time.Duration // how long requests have been queued at the server since
+	reachableAt     time.Duration // when the server first had it and was reachable; never: not yet
+	recoveredAt     time.Duration // when the server last became reachable again
+	silentAt        time.Duration // when the watch that missed it became silent; never: none did
+	serverChangedAt time.Duration // when the server was changed after it; never: it was not
+	queueDelay      time.Duration // time that requests were queued at the server since
 }
 
-// stalenessDeadline is the deadline of the change by the protocol, by what has happened so far.
+// stalenessDeadline returns the deadline of the change according to the protocol.
 func (c listChange) stalenessDeadline(config Config) time.Duration {
 	limit := specStaleness
 	if config.PollInterval > 0 {
@@ -61,22 +61,22 @@
 	return deadline
 }
 
-// discoveryModel is a model of the server, of the network, and of one scheduler that follows the list.
+// discoveryModel is a model of the server, of the network, and of one scheduler that watches the list.
 type discoveryModel struct {
 	*modeltest.Steps
 	config      Config
 	watch       *Watch
 	now         time.Duration
 	down        bool // the server refuses connections
-	partitioned bool // nothing passes
+	partitioned bool // no packet is delivered
 	silentAt    time.Duration
-	watching    bool // lines are sent, unless it has fallen silent
+	watching    bool // lines are sent, unless the watch is silent
 	lastLine    time.Duration
 	connecting  bool
 	connected   bool
-	unanswered  bool          // the present connection never comes up, as it was begun while nothing passed
+	unanswered  bool          // the current connection is never established, as it was started during a partition
 	queueDelay  time.Duration // of the next request
-	answerAt    time.Duration // of the present request
+	answerAt    time.Duration // of the current request
 	pending     []listChange  // not received yet
 	connects    []time.Duration
 }
@@ -89,7 +89,7 @@
 		Schedulers:   []int{1, 6, 300}[choices.Pick(3)],
 	}
 	model.watch = New(model.config, model.random, model.now)
-	if model.config.PollInterval == 10*sec { // longer than the limit of the protocol, which holds then
+	if model.config.PollInterval == 10*sec { // longer than the limit of the protocol, which applies then
 		model.config.PollInterval = 0
 	}
 	model.watch.Start(model.now, choices.Pick(2) == 0)
@@ -102,7 +102,7 @@
 
 func (d *discoveryModel) isReachable() bool { return !d.down && !d.partitioned }
 
-// runActions carries out what is due.
+// runActions executes the actions that are due.
 func (d *discoveryModel) runActions() {
 	for range 3 {
 		switch d.watch.NextAction(d.now) {
@@ -165,7 +165,7 @@
 	}
 }
 
-// advanceRequest lets the request of a new watch come up, be queued, and be answered.
+// advanceRequest establishes the connection of a new watch, queues its request, and responds to it.
 func (d *discoveryModel) advanceRequest() {
 	if d.connecting && !d.connected && d.isReachable() && !d.unanswered {
 		d.connected = true
@@ -194,7 +194,7 @@
 	d.pending = d.pending[:0]
 }
 
-// checkDeadlines compares the staleness deadline, and when changes are received, with the protocol.
+// checkDeadlines compares the staleness deadline, and the times at which changes are received, with the protocol.
 func (d *discoveryModel) checkDeadlines() {
 	for _, change := range d.pending {
 		deadline := change.stalenessDeadline(d.config)
@@ -238,7 +238,7 @@
 	}
 }
 
-// fallSilent has the server send nothing more.
+// fallSilent has the server stop sending on the watch.
 func (d *discoveryModel) fallSilent() {
 	if d.watching && d.silentAt == never {
 		d.silentAt = d.now
@@ -273,7 +273,7 @@
 	d.watch.ChangeServer(d.now)
 }
 
-// step does one thing at random.
+// step executes one random step.
 func (d *discoveryModel) step() {
 	switch d.Pick(12) {
 	case 0, 1:
@@ -306,9 +306,8 @@
 	d.checkDeadlines()
 }
 
-// Whatever happens to the server and the network, the staleness deadline is never later than the protocol's; and whenever
-// the server can be reached, and requests are not queued there, every change is received by then and the time to stop
-// sending.
+// With any faults of the server and the network, the staleness deadline is never later than the protocol's. If the server is
+// reachable and requests are not queued there, every change is received by that deadline plus the time to stop sending.
 func FuzzStalenessDeadline(f *testing.F) {
 	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := newDiscoveryModel(choices)
@@ -322,7 +321,7 @@
 		if len(model.pending) > 0 {
 			model.markRecovered()
 		}
-		model.advance(10 * sec) // in reach to the end: all is received
+		model.advance(10 * sec) // reachable until the end: all changes are received
 		choices.Check(len(model.pending) == 0 || model.config.PollInterval > 0, "never received: %v", model.pending)
 		choices.Check(model.watch.State() == Watching, "it is %v at the end", model.watch.State())
 	})
--- a/internal/discovery/scanner.go
+++ b/internal/discovery/scanner.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// MaxEventSize bounds, in bytes, how much of an unfinished event is kept.
+// MaxEventSize is the maximum number of bytes of an incomplete event that is buffered.
 const MaxEventSize = 4 << 20
 
 // Errors of EventScanner.Scan.
@@ -11,32 +11,32 @@
 	ErrEventTooLarge = errors.New("watch event: too large")
 )
 
-// TokenKind is what Scan has found.
+// TokenKind is the kind of a Token.
 type TokenKind uint8
 
 // Kinds of tokens.
 const (
-	TokenNone    TokenKind = iota // the data ends within an event or between two
+	TokenNone    TokenKind = iota // none: the data ends within an event or between two events
 	TokenLineEnd                  // a line end outside of an event
 	TokenEvent                    // a whole event
 )
 
-// Token is a piece of a watch's response body.
+// Token is a part of a watch's response body.
 type Token struct {
 	Kind  TokenKind
 	Event []byte // the JSON object of TokenEvent, valid until the next Scan
 }
 
-// EventScanner finds the events in the body of a watch's response: JSON objects, each complete with its last brace, be it
-// indented over many lines or on one, with space and line ends between them. It checks braces and strings only, and leaves
-// the rest to a JSON decoder. The zero value is ready for the beginning of a body.
+// EventScanner finds the events in the body of a watch's response: JSON objects on one line or indented over many, with spaces
+// and line ends between them. An event is complete with its last brace. The scanner checks braces and strings only; a JSON
+// decoder must check the rest. The zero value is ready for the start of a body.
 type EventScanner struct {
-	event    []byte // what has come of the present one
+	event    []byte // the received part of the current event
 	depth    int    // open braces and brackets
 	position lexicalPosition
 }
 
-// lexicalPosition is where in a JSON text the scanner is.
+// lexicalPosition is the position of the scanner with regard to JSON strings.
 type lexicalPosition uint8
 
 const (
@@ -45,7 +45,8 @@
 	afterBackslash
 )
 
-// Scan takes data up to the end of the next event or line end, and returns how many bytes that took. An error is final.
+// Scan reads data up to the end of the next event or line end, and returns the number of bytes read. After an error the scanner
+// must not be used.
 func (s *EventScanner) Scan(data []byte) (token Token, consumed int, err error) {
 	if s.depth == 0 {
 		s.event = s.event[:0]
@@ -71,10 +72,10 @@
 	return Token{}, len(data), nil
 }
 
-// Buffered is how many bytes are kept of an unfinished event.
+// Buffered returns the number of buffered bytes of an incomplete event.
 func (s *EventScanner) Buffered() int { return len(s.event) }
 
-// scanByte takes one byte, and returns the token that it completes.
+// scanByte reads one byte, and returns the kind of the token that it completes.
 func (s *EventScanner) scanByte(char byte) (TokenKind, error) {
 	switch s.position {
 	case afterBackslash:
@@ -96,7 +97,7 @@
 	return s.scanStructure(char), nil
 }
 
-// scanBetweenEvents takes a byte where no event is open.
+// scanBetweenEvents reads a byte outside of events.
 func (s *EventScanner) scanBetweenEvents(char byte) (TokenKind, error) {
 	switch char {
 	case '\n':
@@ -111,7 +112,7 @@
 	}
 }
 
-// scanStructure takes a byte within an event, outside of strings.
+// scanStructure reads a byte within an event, outside of strings.
 func (s *EventScanner) scanStructure(char byte) TokenKind {
 	switch char {
 	case '"':
--- a/internal/discovery/scanner_test.go
+++ b/internal/discovery/scanner_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// scanAll scans a text that comes in pieces of a size, and returns its events and the line ends between them.
+// scanAll scans a text in pieces of a size, and returns its events and the line ends between them.
 func scanAll(text string, size int) (tokens []string, err error) {
 	var scanner EventScanner
 	for from := 0; from < len(text); from += size {
@@ -30,7 +30,7 @@
 	return tokens, nil
 }
 
-// Events are found whatever stands between them and however they come in pieces; braces in strings count for nothing.
+// Events are found with any whitespace between them and in pieces of any size; braces in strings are ignored.
 func TestScannerFindsEvents(t *testing.T) {
 	const tricky = `{"id":"}{\"]\\","list":[{"a":1}]}`
 	for text, want := range map[string][]string{
@@ -50,7 +50,7 @@
 	}
 }
 
-// What is no object is an error; so is one that does not end, and no more of it is kept than the limit and one piece.
+// A text that is not an object is an error, and so is an object without end, of which at most the limit and one piece are buffered.
 func TestScannerErrors(t *testing.T) {
 	for _, text := range []string{"}", "word", "[]", "{}1"} {
 		if _, err := scanAll(text, 1); !errors.Is(err, ErrNotAnEvent) {
--- a/internal/discovery/state.go
+++ b/internal/discovery/state.go
@@ -2,22 +2,22 @@
 
 import "fmt"
 
-// State is what a watch is doing.
+// State is the state of a Watch.
 type State uint8
 
-// States, in the order in which a connection passes through them.
+// States of a Watch, in the order of a successful connection.
 const (
-	Disconnected      State = iota // no connection, and none is planned
-	BackingOff                     // no connection; the next one is planned
-	Connecting                     // the connection is not up yet
-	AwaitingFirstLine              // it is up, and nothing has been received
+	Disconnected      State = iota // no connection, and none is scheduled
+	BackingOff                     // no connection; the next one is scheduled
+	Connecting                     // the connection is not established yet
+	AwaitingFirstLine              // the connection is established, and nothing was received
 	Watching                       // lines are received
 )
 
-// IsOpen reports whether there is a connection, be it one that is not up yet.
+// IsOpen reports whether there is a connection, which may not be established yet.
 func (s State) IsOpen() bool { return s >= Connecting }
 
-// String returns the state for logs and tests.
+// String returns the name of the state.
 func (s State) String() string {
 	switch s {
 	case Disconnected:
@@ -35,21 +35,20 @@
 	}
 }
 
-// event is what changes the state.
+// event is an event that changes the state.
 type event uint8
 
 const (
-	eventStart        event = iota // the list is to be followed
-	eventStop                      // it is to be followed no longer
-	eventChangeServer              // by another server from now on
+	eventStart        event = iota // the watch is started or restarted
+	eventStop                      // the watch is stopped
+	eventChangeServer              // another server is watched from now on
 	eventConnect                   // a connection is being opened
-	eventConnected                 // it is up
-	eventReceived                  // a line has come
+	eventConnected                 // the connection is established
+	eventReceived                  // a line was received
 	eventEnd                       // the connection has ended
 )
 
-// transition changes the state for an event. It reports false, and changes nothing, where the event has no meaning in the
-// present state.
+// transition applies an event to the state. It returns false and changes nothing if the event is not valid in the current state.
 func (w *Watch) transition(e event) bool {
 	next, valid := w.state.after(e)
 	if valid {
@@ -58,7 +57,7 @@
 	return valid
 }
 
-// after returns the state that follows s on an event.
+// after returns the state after an event, and whether the event is valid in s.
 func (s State) after(e event) (next State, valid bool) {
 	switch e {
 	case eventStart:
@@ -80,17 +79,17 @@
 	}
 }
 
-// Action is what the caller is to do.
+// Action is what the caller of a Watch must do.
 type Action uint8
 
 // Actions.
 const (
 	ActionNone    Action = iota
 	ActionConnect        // open a connection, and report Connect
-	ActionAbort          // close the connection, whose time is up, and report Ended
+	ActionAbort          // close the connection, which has timed out, and report Ended
 )
 
-// String returns the action for logs and tests.
+// String returns the name of the action.
 func (a Action) String() string {
 	switch a {
 	case ActionNone:
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -1,30 +1,29 @@
-// Package discovery follows the endpoint list of the discovery service.
+// Package discovery decides how the endpoint list of the discovery service is watched.
 //
-// It owns the state machine of the watch (when to connect, how long each step may take, how long to back off), the
-// staleness deadline of the list at hand, and the scanner that finds watch events in a response body. It opens no
-// connection, reads no clock and starts no goroutine: the caller reports what happened and when, and carries out the
-// actions that are due. Instants are offsets from one origin of the caller's choice, later than zero.
+// It contains the state machine of the watch (when to connect, the time limit of each step, the backoff), the staleness deadline
+// of the current list, and the scanner that finds watch events in a response body. It opens no connection, reads no clock and
+// starts no goroutine: the caller reports events with their time, and executes the actions that are due. Package watch is that
+// caller. Instants are positive offsets from one origin of the caller's choice.
 package discovery
 
 import "time"
 
 // Time limits of one connection.
 const (
-	connectTimeout        = 500 * time.Millisecond  // short, so that one that does not come up leaves time for another attempt
-	patientConnectTimeout = 1500 * time.Millisecond // for every second one that does not: the server may be slow to accept
-	pushedConnectTimeout  = 400 * time.Millisecond  // to a server of one's own, whose list counts at once when it is back
-	firstLineTimeout      = 4 * time.Second         // the request may be queued at the server
-	lineTimeout           = 3 * time.Second         // the server sends a line, empty or not, every 2 s
+	connectTimeout       = 500 * time.Millisecond  // short enough for another attempt within the staleness limit
+	longConnectTimeout   = 1500 * time.Millisecond // of every second attempt: the server may be slow to accept
+	pushedConnectTimeout = 400 * time.Millisecond  // if the list is pushed: it is effective as soon as the server is back
+	firstLineTimeout     = 4 * time.Second         // the request may be queued at the server
+	lineTimeout          = 3 * time.Second         // the server sends a line, empty or not, every 2 s
 )
 
-// Config describes the endpoint list and who follows it.
+// Config configures a Watch.
 type Config struct {
-	// PollInterval is the longest time for which a list that is neither watched nor polled counts as current; 0: only the
-	// limit of the protocol holds.
+	// PollInterval is the maximum age of a list that is neither watched nor polled. 0 means the limit of the protocol.
 	PollInterval time.Duration
-	// Pushed reports that the list is pushed to the server: whatever it has counts as known here, watched or not.
+	// Pushed means that the list is pushed to the server: a change is expected to be applied as soon as the server has it.
 	Pushed bool
-	// Schedulers is how many schedulers connect to the same server.
+	// Schedulers is the number of schedulers that connect to the same server.
 	Schedulers int
 }
 
@@ -33,27 +32,26 @@
 	config   Config
 	random   func(n int64) int64 // a random number in [0, n)
 	state    State
-	deadline time.Duration // of the next connection, or of what the open one has to do next
+	deadline time.Duration // of the next connection, or of the next progress of the open one
 
 	connectedAt time.Duration // start of the current connection attempt
-	failures    int           // connections in a row that received nothing
-	refusedAt   time.Duration // last connection that failed at once; 0: none since a line was received
-	patient     bool          // the next connection has more time to come up
+	failures    int           // consecutive connections without a received line
+	refusedAt   time.Duration // end of the last connection that failed within attemptAllowance; 0: none since a line was received
+	isLong      bool          // the next connection attempt has longConnectTimeout
 
 	staleness stalenessClock
 }
 
-// New returns a watch that is disconnected, over a list that was current at now. random returns a number in [0, n) and
-// spreads the connections of many schedulers.
+// New returns a disconnected watch of a list that was current at now. random returns a random number in [0, n).
 func New(config Config, random func(n int64) int64, now time.Duration) *Watch {
 	return &Watch{config: config, random: random, staleness: stalenessClock{lastReceived: now, watchEndedAt: now}}
 }
 
-// State returns the present state.
+// State returns the current state.
 func (w *Watch) State() State { return w.state }
 
-// Start plans the first connection of a process, if the watch is disconnected. It is due at once, unless many schedulers
-// may start together and this one has a list to serve by.
+// Start schedules the first connection of the process, if the watch is disconnected. The connection is due at once, unless many
+// schedulers may start together and this one has a list to serve with.
 func (w *Watch) Start(now time.Duration, hasList bool) {
 	if !w.transition(eventStart) {
 		return
@@ -64,17 +62,17 @@
 	}
 }
 
-// Restart plans a connection for now, if the watch is disconnected.
+// Restart schedules a connection at once, if the watch is disconnected.
 func (w *Watch) Restart(now time.Duration) {
 	if w.transition(eventStart) {
 		w.deadline = now
 	}
 }
 
-// Stop disconnects the watch: nothing is planned any more. The caller closes an open connection.
+// Stop disconnects the watch. The caller must close an open connection.
 func (w *Watch) Stop() { w.transition(eventStop) }
 
-// ChangeServer plans a connection to another server, from whatever state. The caller has closed an open connection.
+// ChangeServer schedules a connection to another server, in any state. The caller must have closed an open connection.
 func (w *Watch) ChangeServer(now time.Duration) {
 	if w.state == Watching {
 		w.staleness.watchEndedAt = now
@@ -82,7 +80,7 @@
 	w.transition(eventChangeServer)
 	w.failures = 0
 	w.refusedAt = 0
-	w.patient = false
+	w.isLong = false
 	if w.staleness.serverChangedAt == 0 {
 		w.staleness.serverChangedAt = now
 	}
@@ -92,7 +90,7 @@
 	}
 }
 
-// Connect reports that the caller has begun to connect, as ActionConnect asks for.
+// Connect is called when the caller has started to connect because of ActionConnect.
 func (w *Watch) Connect(now time.Duration) {
 	if w.transition(eventConnect) {
 		w.connectedAt = now
@@ -100,14 +98,14 @@
 	}
 }
 
-// Connected reports that the connection is up and the request is being sent.
+// Connected is called when the connection is established and the request is being sent.
 func (w *Watch) Connected(now time.Duration) {
 	if w.transition(eventConnected) {
 		w.deadline = now + firstLineTimeout
 	}
 }
 
-// Received reports a complete line, be it empty or an event: every change up to now is known.
+// Received is called for each complete line, which is empty or an event: all changes up to now are known.
 func (w *Watch) Received(now time.Duration) {
 	if !w.transition(eventReceived) {
 		return
@@ -118,8 +116,8 @@
 	w.staleness.received(now)
 }
 
-// Ended reports that the open connection has ended, and plans the next one. timedOut reports that the caller has closed it
-// for ActionAbort.
+// Ended is called when the open connection has ended, and schedules the next one. timedOut means that the caller has closed it
+// because of ActionAbort.
 func (w *Watch) Ended(now time.Duration, timedOut bool) {
 	previous := w.state
 	if !w.transition(eventEnd) {
@@ -136,37 +134,37 @@
 	}
 	w.deadline = now + w.backoff(now)
 	if previous == Connecting && timedOut {
-		w.patient = !w.patient
-		if w.config.Pushed { // the time that it had was backoff enough
+		w.isLong = !w.isLong
+		if w.config.Pushed { // the timeout has served as backoff
 			w.deadline = now
 		}
 	}
 }
 
-// connectTimeout is how long the present connection may take to come up.
+// connectTimeout returns the time limit for establishing the current connection.
 func (w *Watch) connectTimeout() time.Duration {
 	switch {
 	case w.config.Pushed:
 		return pushedConnectTimeout
-	case w.patient:
-		return patientConnectTimeout
+	case w.isLong:
+		return longConnectTimeout
 	default:
 		return connectTimeout
 	}
 }
 
-// StalenessDeadline is the instant from which a change that has not been received may count as known here; none does
-// earlier. While lines are received it moves on with each.
+// StalenessDeadline returns the instant from which the scheduler may be expected to have applied a change that it has not
+// received. It advances with each received line.
 func (w *Watch) StalenessDeadline() time.Duration {
 	return w.staleness.deadline(&w.config, w.state == Watching)
 }
 
-// NextDeadline returns when NextAction has something to do; ok is false while the watch is disconnected.
+// NextDeadline returns when an action of NextAction is due. ok is false while the watch is disconnected.
 func (w *Watch) NextDeadline() (at time.Duration, ok bool) {
 	return w.deadline, w.state != Disconnected
 }
 
-// NextAction returns what is due at now.
+// NextAction returns the action that is due at now.
 func (w *Watch) NextAction(now time.Duration) Action {
 	switch {
 	case w.state == Disconnected || now < w.deadline:
--- a/internal/discovery/watch/connection.go
+++ b/internal/discovery/watch/connection.go
@@ -1,6 +1,6 @@
 // Package watch is the HTTP connection on which the discovery service sends the changes of the endpoint list.
 //
-// It carries out what the state machine of package discovery decides (when to connect, when to give up a connection), parses
+// It executes the actions of the state machine of package discovery (when to connect, when to abort a connection), parses
 // the response and passes each watch event to the request table. It keeps no endpoint list itself. A Connection is used on the
 // goroutine of its event loop only.
 package watch
@@ -27,7 +27,7 @@
 	errPanicked = errors.New("panic")
 )
 
-// EndpointTable is what the watch needs of the request table. *requests.Table implements it.
+// EndpointTable is the endpoint list that the watch updates. *requests.Table implements it.
 type EndpointTable interface {
 	// Revision returns the revision of the current endpoint list.
 	Revision() int64
@@ -39,7 +39,7 @@
 	DiscoveryFailed()
 }
 
-// Config configures a Connection.
+// Config configures a Connection. All fields are required.
 type Config struct {
 	Server    netip.AddrPort // of the discovery service
 	Discovery discovery.Config
@@ -51,7 +51,7 @@
 	Dial func(address netip.AddrPort) (descriptor int, err error)
 }
 
-// Connection watches the endpoint list of one server at a time. It reconnects whenever its state machine asks for it, until Stop.
+// Connection watches the endpoint list of one server at a time. It reconnects when its state machine requires it, until Stop.
 type Connection struct {
 	eventloop.Stream // closed unless the state machine's state is open
 
@@ -72,7 +72,7 @@
 	previousLineAt time.Duration // the latest time before lastLineAt at which one was; 0: never
 }
 
-// New returns a connection that is not open yet, and for which none is planned.
+// New returns a connection that is not open, and not scheduled to be opened.
 func New(loop *eventloop.Loop, config Config) *Connection {
 	return &Connection{
 		loop:    loop,
@@ -82,13 +82,13 @@
 	}
 }
 
-// Start plans the first connection of the process. hasList reports that the process has a list to serve with until then.
+// Start schedules the first connection of the process. hasList reports that the process has a list to serve with until then.
 func (c *Connection) Start(hasList bool) {
 	c.machine.Start(c.loop.Now(), hasList)
 	c.resetTimer()
 }
 
-// Restart opens a connection at once, unless one is open or planned.
+// Restart opens a connection at once, unless one is open or scheduled.
 func (c *Connection) Restart() {
 	c.loop.Protect(c, func() {
 		c.machine.Restart(c.loop.Now())
@@ -96,7 +96,7 @@
 	})
 }
 
-// Stop closes the connection and plans no other.
+// Stop closes the connection and schedules no other one.
 func (c *Connection) Stop() {
 	c.Close()
 	c.machine.Stop()
@@ -136,7 +136,7 @@
 	}
 }
 
-// runAction carries out what the state machine has due.
+// runAction executes the action of the state machine that is due.
 func (c *Connection) runAction() {
 	switch c.machine.NextAction(c.loop.Now()) {
 	case discovery.ActionConnect:
@@ -163,6 +163,7 @@
 	}
 }
 
+// dial starts to connect to the server.
 func (c *Connection) dial() error {
 	descriptor, err := c.config.Dial(c.server)
 	if err != nil {
@@ -175,7 +176,7 @@
 	return err
 }
 
-// end closes the connection and plans the next one.
+// end closes the connection and schedules the next one.
 func (c *Connection) end(reason error) {
 	if !c.IsOpen() {
 		return
@@ -203,6 +204,7 @@
 	}
 }
 
+// handleEvents returns the reason if the connection ends.
 func (c *Connection) handleEvents(events uint32) error {
 	if c.machine.State() == discovery.Connecting {
 		return c.completeConnect(events)
--- a/internal/discovery/watch/exchange.go
+++ b/internal/discovery/watch/exchange.go
@@ -13,7 +13,7 @@
 	"valvecove/internal/requests"
 )
 
-// watchPath is followed by the revision after which changes are sent.
+// watchPath is the start of the request target. The revision after which changes are requested is appended.
 const watchPath = "/discovery/hosts?stream=1&index="
 
 const statusOK = 200
@@ -64,6 +64,7 @@
 	return true, nil
 }
 
+// readBody decodes the received chunks of the response body.
 func (c *Connection) readBody() error {
 	consumed := 0
 	for {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// drawMax is the source of the latest instants that may be drawn, and drawMin of the earliest.
+// drawMax always returns the greatest random number, and drawMin the least.
 func drawMax(n int64) int64 { return n - 1 }
 func drawMin(int64) int64   { return 0 }
 
@@ -20,7 +20,7 @@
 	return w
 }
 
-// refuse has the next connections fail at once, and returns when the last one did.
+// refuse has the next connections fail at once, and returns the time of the last failure.
 func refuse(w *Watch, times int) (last time.Duration) {
 	for range times {
 		last, _ = w.NextDeadline()
@@ -30,13 +30,13 @@
 	return last
 }
 
-// However a watch is lost, at the worst draw the next connection is so early that its answer, waited for as long as one ever
-// is, still comes before a change counts as known; or, after silence, that one more connection has time.
+// After any loss of the watch, the next connection is early enough that its response, within its time limits, is received before
+// the staleness deadline, even with the greatest random backoff; after silence, early enough for one more connection.
 func TestWorstCaseBackoff(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		lose   func(w *Watch) (since time.Duration)
-		within time.Duration // from then, to the next connection
+		within time.Duration // maximum time to the next connection
 	}{
 		{"reset", func(w *Watch) time.Duration { w.Ended(startTime+sec, false); return startTime }, 3 * sec},
 		{"silent", func(w *Watch) time.Duration { w.Ended(startTime+3*sec, true); return startTime }, 5 * sec},
@@ -44,7 +44,7 @@
 			w.Ended(startTime, false)
 			return refuse(w, 12)
 		}, 2 * sec},
-		{"silent, then refused", func(w *Watch) time.Duration { // what was missed counts whether or not the server is up
+		{"silent, then refused", func(w *Watch) time.Duration { // missed changes have their deadline whether or not the server is up
 			w.Ended(startTime+3*sec, true)
 			return refuse(w, 1)
 		}, 750 * msec},
@@ -114,7 +114,8 @@
 	}
 }
 
-// A process without any list connects at once, however many others do; so does one whose list is pushed to its server.
+// A process without a list connects at once, regardless of the number of schedulers; so does one whose list is pushed to its
+// server.
 func TestFirstConnection(t *testing.T) {
 	for _, test := range []struct {
 		config  Config
@@ -134,8 +135,8 @@
 	}
 }
 
-// Where many connect one after the other, each has its first list within its initial wait: its connection, put off as long as
-// it may be, and an answer that comes at once.
+// If connections are spread, each process has its first list within its initial wait, with the maximum delay and an immediate
+// response.
 func TestInitialWait(t *testing.T) {
 	for _, test := range []struct {
 		config Config
@@ -155,8 +156,7 @@
 	}
 }
 
-// A server that is slow to accept connections is reached all the same: those that come up too late are followed by one that
-// has more time.
+// A server that is slow to accept connections is still reached: every second attempt has a longer timeout.
 func TestSlowServerIsReached(t *testing.T) {
 	const within = 5 * sec
 	for _, acceptDelay := range []time.Duration{300 * msec, 700 * msec, 1200 * msec} {
@@ -180,8 +180,8 @@
 	}
 }
 
-// However fast one server is named after the other, a connection is made in the time in which the first change counts as
-// known, though each may be put off.
+// With changes of the server at any intervals, a connection is opened before the staleness deadline of the first one, though each
+// change may delay it.
 func TestServerChangesInARow(t *testing.T) {
 	for _, interval := range []time.Duration{msec, 100 * msec, 300 * msec, 600 * msec, 900 * msec} {
 		w := newWatching(Config{PollInterval: 10 * sec, Schedulers: 300}, drawMax)
@@ -200,7 +200,7 @@
 	}
 }
 
-// The states that follow each other, and the events that have no meaning in one.
+// The valid transitions, and the events that are not valid in a state.
 func TestTransitions(t *testing.T) {
 	const invalid = State(99)
 	for occurrence, want := range map[event][Watching + 1]State{ // by state: Disconnected, BackingOff, Connecting, AwaitingFirstLine, Watching
