--- a/dispatch/concurrency.go
+++ b/dispatch/concurrency.go
@@ -15,24 +15,21 @@
 	maxBackoff = 8 * time.Second
 )
 
-// slotLimit counts the slots that this dispatcher uses at a worker, against its own concurrency limit.
+// slotLimit counts the slots in use at a worker against a concurrency limit, which follows the outcomes of
+// attempts there. A dispatcher has one for its own slots, and a coordinator of leases one for those of all
+// dispatchers.
 type slotLimit struct {
-	used           float64 // by attempts in flight
-	running        float64 // by attempts that have started
-	limit          float64
-	decreasedAt    time.Duration // the latest decrease of the limit
-	rejectedDemand float64       // the worker has rejected a job of this demand while idle; 0: none
+	used        float64 // by attempts in flight
+	running     float64 // by attempts that have started
+	limit       float64 // at least 1
+	decreasedAt time.Duration
 }
 
-// isExceededBy reports whether a further demand would exceed the limit or a bound.
-func (s *slotLimit) isExceededBy(demand, bound float64) bool {
-	return s.used+demand > min(s.limit, bound)
-}
+// newSlotLimit returns the limit of a worker without observations.
+func newSlotLimit() slotLimit { return slotLimit{limit: 1} }
 
-// rejects reports whether the worker has rejected this demand, or a smaller one, while idle.
-func (s *slotLimit) rejects(demand float64) bool {
-	return s.rejectedDemand > 0 && demand >= s.rejectedDemand
-}
+// fits reports whether a further demand is within the limit and a bound.
+func (s *slotLimit) fits(demand, bound float64) bool { return s.used+demand <= min(s.limit, bound) }
 
 // increase answers the prompt start of an attempt that the limit had bound.
 func (s *slotLimit) increase(demand float64) {
@@ -51,9 +48,9 @@
 	s.limit = max(1, math.Floor(s.limit/2))
 }
 
-// predates reports whether an attempt was sent before the latest decrease: its outcome is due to the same
-// event.
-func (s *slotLimit) predates(attempt *attemptInfo) bool { return attempt.sentAt < s.decreasedAt }
+// predatesDecrease reports whether an attempt was sent before the latest decrease: its outcome is due to the
+// same event, and changes nothing.
+func (s *slotLimit) predatesDecrease(sentAt time.Duration) bool { return sentAt < s.decreasedAt }
 
 // backoffState is how long a worker is sent nothing after a rejection.
 type backoffState struct {
@@ -73,13 +70,18 @@
 	return w.Ready && now >= w.backoff.until && hasSlot
 }
 
+// rejects reports whether the worker has rejected this demand, or a smaller one, while idle.
+func (w *workerInfo) rejects(demand float64) bool {
+	return w.rejectedDemand > 0 && demand >= w.rejectedDemand
+}
+
 // hasCapacity reports whether a worker can start a job now, as far as is known.
 func (d *Dispatcher) hasCapacity(job *jobInfo, worker *workerInfo) bool {
-	if worker.slots.rejects(job.demand) || d.reservation.excludes(job, worker) {
+	if worker.rejects(job.demand) || d.reservation.excludes(job, worker) {
 		return false
 	}
 	isIdle := worker.slots.used <= 0 // an idle worker may be sent a job of any demand
-	if !isIdle && worker.slots.isExceededBy(job.demand, d.maxSlots(worker)) {
+	if !isIdle && !worker.slots.fits(job.demand, d.maxSlots(worker)) {
 		return false
 	}
 	if worker.showsQueue(d.starts.promptStart(job.class), d.now) {
@@ -116,7 +118,7 @@
 		}
 		return
 	}
-	if worker.slots.predates(attempt) {
+	if worker.slots.predatesDecrease(attempt.sentAt) {
 		return
 	}
 	d.workload.machineKind(worker.Kind).observeLateStart(worker.slots.running)
@@ -131,7 +133,7 @@
 // halveLimit answers a rejection or failure.
 func (d *Dispatcher) halveLimit(attempt *attemptInfo) {
 	worker := attempt.worker
-	if worker.slots.predates(attempt) {
+	if worker.slots.predatesDecrease(attempt.sentAt) {
 		return
 	}
 	worker.slots.halve(d.now)
--- a/dispatch/golden_test.go
+++ b/dispatch/golden_test.go
@@ -171,7 +171,7 @@
 	type figures struct {
 		ready, backedOff        bool
 		limit, used, runs, size float64
-		inFlight, spends        int
+		inFlight, samples        int
 	}
 	for i, want := range []figures{
 		{ready: true, backedOff: true, limit: 2, runs: 12, size: 2},
@@ -181,7 +181,7 @@
 		{ready: true, limit: 5, used: 4.5, runs: 9, size: 3, inFlight: 3},
 		{ready: true, limit: 4, used: 3, runs: 24, size: 4, inFlight: 2},
 		{limit: 1, size: 2},
-		{ready: true, limit: 5.5, size: 3, spends: 4},
+		{ready: true, limit: 5.5, size: 3, samples: 4},
 		{ready: true, limit: 1, size: 4},
 	} {
 		w := d.fleet.byID[uint64(i+1)<<40]
@@ -191,7 +191,7 @@
 		}
 		got := figures{
 			ready: w.Ready, backedOff: w.backoff.until > d.now, limit: w.slots.limit, used: w.slots.used, runs: w.speed.samples, size: w.Size,
-			inFlight: len(w.inFlight), spends: len(w.slowStart.sent),
+			inFlight: len(w.inFlight), samples: len(w.slowStart.sent),
 		}
 		if got != want {
 			t.Errorf("worker %d: %+v, expected %+v", i+1, got, want)
--- a/dispatch/leasecoordinator.go
+++ b/dispatch/leasecoordinator.go
@@ -296,7 +296,7 @@
 func (l *leaseCoordinator) slotsOf(worker uint64) *workerSlots {
 	slots := l.slots[worker]
 	if slots == nil {
-		slots = &workerSlots{limit: 1}
+		slots = &workerSlots{slotLimit: newSlotLimit()}
 		l.slots[worker] = slots
 	}
 	return slots
@@ -355,7 +355,7 @@
 		if worker != nil {
 			l.fleet.observePromptSlots(worker, slots.running)
 		}
-	case !message.Prompt && !slots.predatesDecrease(lease):
+	case !message.Prompt && !slots.predatesDecrease(lease.grantedAt):
 		if worker != nil {
 			l.fleet.observeLateSlots(worker, slots.running)
 		}
--- a/dispatch/leaseslots.go
+++ b/dispatch/leaseslots.go
@@ -1,9 +1,6 @@
 package dispatch
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
 // The slots of a worker as its coordinator counts them, over all dispatchers. This carries out the
 // concurrency limit of the design ("Each worker starts with room for one job. Room grows by one when a job
@@ -21,11 +18,8 @@
 
 // workerSlots are the slots of one worker, with what its coordinator has observed of its starts and failures.
 type workerSlots struct {
-	limit          float64 // slots, at least 1
+	slotLimit      // of the slots that are leased
 	leases         int
-	used           float64 // slots of leases
-	running        float64 // slots of leases whose attempt has started
-	decreasedAt    time.Duration
 	failures       int // consecutive ones, each reported by another dispatcher than the one before
 	lastFailedPeer int // dispatcher that reported the last failure
 	suspension     time.Duration
@@ -39,7 +33,7 @@
 // hasRoom reports whether the worker can start a job of so many slots. maxSlots bounds it besides the limit.
 // An idle worker has room for a job of any size.
 func (w *workerSlots) hasRoom(demand, maxSlots float64) bool {
-	return w.used == 0 || w.used+demand <= min(w.limit, maxSlots)
+	return w.used == 0 || w.fits(demand, maxSlots)
 }
 
 // isLimitBound reports whether the limit would allow less than one further slot after a lease of so many
@@ -62,20 +56,13 @@
 	if !lease.isLimitBound {
 		return false
 	}
-	w.limit = max(w.limit, w.running+lease.demand) + 1
+	w.increase(lease.demand)
 	return true
 }
 
-// predatesDecrease reports whether a lease is older than the last decrease of the limit: what happens to it
-// says nothing about the present limit.
-func (w *workerSlots) predatesDecrease(lease *grantedLease) bool {
-	return lease.grantedAt < w.decreasedAt
-}
-
 // observeLateStart lowers the limit by one: an attempt that has not started promptly is queued at the worker.
 func (w *workerSlots) observeLateStart(now time.Duration) {
-	w.decreasedAt = now
-	w.limit = max(1, w.limit-1)
+	w.decrease(now)
 }
 
 // observeEnd adjusts the limit by the result of a lease's attempt. Consecutive failures that several
@@ -86,9 +73,8 @@
 		w.failures = 0
 		w.suspension = 0
 	case WorkerFull, Failed, TimedOut, ConnectFailed, ConnectionReset:
-		if !w.predatesDecrease(lease) {
-			w.decreasedAt = now
-			w.limit = max(1, math.Floor(w.limit/2))
+		if !w.predatesDecrease(lease.grantedAt) {
+			w.halve(now)
 		}
 		w.recordFailure(now, lease.key.peer)
 	case Cancelled, NotSent:
--- a/dispatch/results.go
+++ b/dispatch/results.go
@@ -52,7 +52,7 @@
 	d.halveLimit(attempt)
 	d.backOff(worker, minBackoff)
 	if worker.slots.used == 0 && demand > 1 {
-		worker.slots.rejectedDemand = demand // it may never be able to run this
+		worker.rejectedDemand = demand // it may never be able to run this
 	}
 }
 
--- a/dispatch/resume.go
+++ b/dispatch/resume.go
@@ -62,7 +62,7 @@
 	worker := &workerInfo{
 		Worker:  Worker{ID: past.Worker, Kind: unknownKind, Cell: math.MinInt, Zone: math.MinInt},
 		machine: machine,
-		slots:   slotLimit{limit: 1},
+		slots:   newSlotLimit(),
 		speed:   relativeSpeed{factor: math.Exp(machine.logSpeed)},
 	}
 	if !past.Ended {
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -5,14 +5,16 @@
 	"time"
 )
 
-// Retries: when a worker may be sent a job, for the first time or again, and what follows from the end of an
-// attempt. The design does not mention them; they follow from the idempotency of a job's class.
+// Retries: when a worker may be sent a job, for the first time or again, and what follows from the end
+// of an attempt. The design does not mention them; they follow from the idempotency of a job's class.
 
-// windowMarginDivisor: a deduplication window divided by this is left for delays, or repeatMargin if it is more.
+// windowMarginDivisor: a deduplication window divided by this is left for delays, or repeatMargin if it
+// is more.
 const windowMarginDivisor = 20
 
-// repeatMargin is the longest time between the choice of a worker and the arrival of the last byte there, besides
-// connecting: a stall of the process of 150 ms, 50 ms for a request that is written in parts, and transmission.
+// repeatMargin is the longest time between the choice of a worker and the arrival of the last byte
+// there, besides connecting: a stall of the process of 150 ms, 50 ms for a request that is written in
+// parts, and transmission.
 const repeatMargin = 210 * time.Millisecond
 
 // provesNotExecuted are the results of attempts that ran nothing.
@@ -22,8 +24,8 @@
 	return !a.ended || int(a.result) >= len(provesNotExecuted) || !provesNotExecuted[a.result]
 }
 
-// mayAttempt reports whether a worker may be sent a job, for the first time or again. No other function decides
-// this.
+// mayAttempt reports whether a worker may be sent a job, for the first time or again. No other function
+// decides this.
 func (d *Dispatcher) mayAttempt(j *jobInfo, w *workerInfo) bool {
 	if j.closed || j.streaming || d.now >= j.deadline || d.isAtLimit(j) ||
 		j.inFlight > 0 && !d.settings.Hedging {
@@ -47,7 +49,8 @@
 	return d.now-a.sentAt < class.DeduplicationWindow-margin
 }
 
-// mayReject reports whether a job may be rejected: that promises the client that sending it again is harmless.
+// mayReject reports whether a job may be rejected: that promises the client that sending it again is
+// harmless.
 func (d *Dispatcher) mayReject(j *jobInfo) bool {
 	return j.class.Idempotency == Idempotent ||
 		j.class.Idempotency == IdempotentWithKey && j.class.DeduplicationScope == ScopeAll ||
@@ -66,7 +69,7 @@
 	}
 	job := attempt.job
 	d.endAttempt(attempt, outcome)
-	if !attempt.orphaned { // else its worker's process has ended, and the result says nothing of the present one
+	if !attempt.orphaned { // else the result is of a process that has ended, not of the present one
 		d.handleResult(attempt)
 	}
 	d.forgetWorker(attempt.worker)
--- a/dispatch/snapshotworkers.go
+++ b/dispatch/snapshotworkers.go
@@ -30,7 +30,7 @@
 	)
 	codec.float(
 		&w.Size, &w.slots.used, &w.slots.limit, &w.speed.log, &w.speed.factor, &w.speed.samples,
-		&w.report.freeSlots, &w.slots.running, &w.slots.rejectedDemand,
+		&w.report.freeSlots, &w.slots.running, &w.rejectedDemand,
 		&w.slowStart.ticketStart, &w.slowStart.ticketWidth,
 	)
 	codec.instant(
--- a/dispatch/workerinfo.go
+++ b/dispatch/workerinfo.go
@@ -13,14 +13,15 @@
 // workerInfo is the state of one worker as this dispatcher sees it.
 type workerInfo struct {
 	Worker
-	machine      *machineInfo  // of its kind
-	listed       bool          // by the latest list
-	listedReady  bool          // by the list; Ready is false for cordoned workers too
-	position     int           // in workerFleet.workers
-	uncordonedAt time.Duration // 0: never, or it has been sent a job since
-	inFlight     []*attemptInfo
-	orphans      int   // attempts in flight whose worker process is gone
-	timer        timer // fires when the worker may have capacity again without any event, or has warmed up
+	machine        *machineInfo  // of its kind
+	listed         bool          // by the latest list
+	listedReady    bool          // by the list; Ready is false for cordoned workers too
+	position       int           // in workerFleet.workers
+	rejectedDemand float64       // it has rejected a job of this demand while idle; 0: none
+	uncordonedAt   time.Duration // 0: never, or it has been sent a job since
+	inFlight       []*attemptInfo
+	orphans        int   // attempts in flight whose worker process is gone
+	timer          timer // fires when the worker may have capacity again without any event, or has warmed up
 
 	index       indexEntry
 	slots       slotLimit
@@ -82,13 +83,13 @@
 
 // newWorkerInfo returns a worker of a kind of machine, without any observation.
 func newWorkerInfo(kind *machineInfo) *workerInfo {
-	return &workerInfo{machine: kind, slots: slotLimit{limit: 1}, speed: newRelativeSpeed(kind.logSpeed)}
+	return &workerInfo{machine: kind, slots: newSlotLimit(), speed: newRelativeSpeed(kind.logSpeed)}
 }
 
 // resetProcess clears what is known of the worker's process. Its backoff stays.
 func (w *workerInfo) resetProcess() {
 	w.slots.limit = 1
-	w.slots.rejectedDemand = 0
+	w.rejectedDemand = 0
 	w.outlier.ejectionTime = 0
 	w.outlier.ejectedUntil = 0
 	w.outlier.failures = 0
