--- a/dispatch/golden_test.go
+++ b/dispatch/golden_test.go
@@ -171,7 +171,7 @@
 	type figures struct {
 		ready, backedOff        bool
 		limit, used, runs, size float64
-		inFlight, samples        int
+		inFlight, samples       int
 	}
 	for i, want := range []figures{
 		{ready: true, backedOff: true, limit: 2, runs: 12, size: 2},
