--- a/internal/gossip/codec.go
+++ b/internal/gossip/codec.go
@@ -10,20 +10,20 @@
 	"valvecove/dispatch"
 )
 
-// MaxDatagram is the greatest length of a datagram, in bytes. The platform voids longer ones.
+// MaxDatagram is the maximum length of a datagram, in bytes. The platform drops longer ones.
 const MaxDatagram = 256
 
 const (
 	version        = 1
 	checksumOffset = 1
-	checkedOffset  = checksumOffset + 4 // what the checksum is of begins here
+	checkedOffset  = checksumOffset + 4 // start of the bytes that the checksum covers
 	headerSize     = checkedOffset + 4 + 2
 )
 
-// kind is the first byte of a message.
+// kind is the kind of a message, its first byte.
 type kind byte
 
-// The kinds of messages. They are the wire's: numbers stay.
+// Kinds of messages. The numbers are part of the wire format.
 const (
 	kindLeaseRequest kind = iota + 1
 	kindLeaseStarted
@@ -33,7 +33,8 @@
 	kindLeaseQueued
 )
 
-// Resolution of figures on the wire. Parts are powers of two: a figure that was received is exact when it is sent on.
+// Resolution of numbers on the wire. The numbers of parts are powers of two, so that a received number is encoded again without
+// error.
 const (
 	slotParts  = 16   // parts of a slot
 	workParts  = 1024 // of a second of work
@@ -43,7 +44,7 @@
 	maxIndex   = math.MaxInt32
 )
 
-// Errors of datagrams that are dropped.
+// Errors of invalid datagrams.
 var (
 	ErrMalformed = errors.New("malformed datagram")
 	ErrVersion   = errors.New("unknown version")
@@ -53,13 +54,13 @@
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// header is what a datagram begins with, without version and checksum.
+// header is the header of a datagram, without version and checksum.
 type header struct {
 	incarnation uint32
 	sequence    uint16
 }
 
-// appendHeader begins a datagram. seal completes it.
+// appendHeader appends the header of a datagram, with a checksum of 0 that seal replaces.
 func appendHeader(b []byte, h header) []byte {
 	b = append(b, version, 0, 0, 0, 0)
 	b = binary.LittleEndian.AppendUint32(b, h.incarnation)
@@ -72,7 +73,7 @@
 	binary.LittleEndian.PutUint32(datagram[checksumOffset:], checksum)
 }
 
-// parseHeader checks a datagram as a whole, and returns its header and what follows it.
+// parseHeader checks the length, the version and the checksum of a datagram, and returns its header and its encoded messages.
 func parseHeader(datagram []byte) (h header, messages []byte, err error) {
 	switch {
 	case len(datagram) > MaxDatagram:
@@ -89,7 +90,7 @@
 	return h, datagram[headerSize:], nil
 }
 
-// appendMessage appends a message. A kind that is not known is a fault of the program, and panics.
+// appendMessage appends a message. It panics if the type is unknown, which is a programming error.
 func appendMessage(b []byte, message dispatch.PeerMessage) []byte {
 	switch message := message.(type) {
 	case dispatch.LeaseRequest:
@@ -114,6 +115,7 @@
 	}
 }
 
+// appendLeaseRequest appends the message, with the first MaxExcluded excluded workers.
 func appendLeaseRequest(b []byte, request dispatch.LeaseRequest) []byte {
 	b = appendID(append(b, byte(kindLeaseRequest)), request.ID)
 	b = appendIndex(b, request.Shard.Zone)
@@ -131,6 +133,7 @@
 	return b
 }
 
+// appendLeaseReport appends the message, with the first MaxReported leases.
 func appendLeaseReport(b []byte, report dispatch.LeaseReport) []byte {
 	b = appendBool(append(b, byte(kindLeaseReport)), report.Complete)
 	b = append(b, byte(min(len(report.Leases), dispatch.MaxReported)))
@@ -143,39 +146,41 @@
 	return b
 }
 
+// appendID appends the ID of a lease.
 func appendID(b []byte, id dispatch.LeaseID) []byte { return binary.AppendUvarint(b, uint64(id)) }
 
-// appendIndex appends a number that counts something from 0. One that is out of range becomes the nearest that is not.
+// appendIndex appends an index, limited to the range from 0 to maxIndex.
 func appendIndex(b []byte, index int) []byte {
 	return binary.AppendUvarint(b, uint64(min(max(index, 0), maxIndex)))
 }
 
-// appendInt appends a number of 32 bits with its sign. One that is out of range becomes the nearest that is not.
+// appendInt appends a signed number, limited to the range of 32 bits.
 func appendInt(b []byte, number int64) []byte {
 	return binary.AppendVarint(b, min(max(number, math.MinInt32), math.MaxInt32))
 }
 
-// appendScaled appends a figure as a number of parts, rounded up.
-func appendScaled(b []byte, figure float64, parts, limit float64) []byte {
-	return binary.AppendUvarint(b, uint64(math.Ceil(inRange(figure, limit)*parts)))
+// appendScaled appends a number as a multiple of 1/parts, rounded up, limited to the range from 0 to limit.
+func appendScaled(b []byte, number float64, parts, limit float64) []byte {
+	return binary.AppendUvarint(b, uint64(math.Ceil(inRange(number, limit)*parts)))
 }
 
-// inRange returns a figure from 0 to a limit, the nearest to the one given; 0 for NaN.
-func inRange(figure, limit float64) float64 {
-	if math.IsNaN(figure) {
+// inRange returns a number limited to the range from 0 to limit; 0 for NaN.
+func inRange(number, limit float64) float64 {
+	if math.IsNaN(number) {
 		return 0
 	}
-	return min(max(figure, 0), limit)
+	return min(max(number, 0), limit)
 }
 
-func appendBool(b []byte, x bool) []byte {
-	if x {
+// appendBool appends 1 for true and 0 for false.
+func appendBool(b []byte, value bool) []byte {
+	if value {
 		return append(b, 1)
 	}
 	return append(b, 0)
 }
 
-// parseMessages reads all messages of a datagram. One fault voids them all.
+// parseMessages decodes all messages of a datagram. If one is malformed, it returns none.
 func parseMessages(b []byte) ([]dispatch.PeerMessage, error) {
 	reader := reader{unread: b}
 	var messages []dispatch.PeerMessage
@@ -188,12 +193,13 @@
 	return messages, nil
 }
 
-// reader reads fields. After a fault it reads zeros.
+// reader decodes fields. After an error, failed is set and all fields are zero.
 type reader struct {
 	unread []byte
 	failed bool
 }
 
+// message decodes a message with its kind.
 func (r *reader) message() dispatch.PeerMessage {
 	switch kind(r.byte()) {
 	case kindLeaseRequest:
@@ -213,6 +219,7 @@
 	return nil
 }
 
+// leaseRequest decodes the fields that appendLeaseRequest encodes.
 func (r *reader) leaseRequest() dispatch.LeaseRequest {
 	request := dispatch.LeaseRequest{
 		ID:         r.id(),
@@ -234,6 +241,7 @@
 	return request
 }
 
+// leaseReport decodes the fields that appendLeaseReport encodes.
 func (r *reader) leaseReport() dispatch.LeaseReport {
 	report := dispatch.LeaseReport{Complete: r.bool()}
 	count := int(r.byte())
@@ -248,7 +256,7 @@
 	return report
 }
 
-// take returns the next bytes.
+// take returns the next count bytes, or zeros if there are fewer.
 func (r *reader) take(count int) []byte {
 	if r.failed || len(r.unread) < count {
 		r.failed = true
@@ -263,18 +271,21 @@
 func (r *reader) uint16() uint16 { return binary.LittleEndian.Uint16(r.take(2)) }
 func (r *reader) uint64() uint64 { return binary.LittleEndian.Uint64(r.take(8)) }
 
+// bool decodes a value of appendBool.
 func (r *reader) bool() bool {
 	value := r.byte()
 	r.failed = r.failed || value > 1
 	return value == 1
 }
 
+// result decodes the result of an attempt.
 func (r *reader) result() dispatch.Result {
 	result := dispatch.Result(r.byte())
 	r.failed = r.failed || result > dispatch.NotSent
 	return result
 }
 
+// uvarint decodes an unsigned number of variable length.
 func (r *reader) uvarint() uint64 {
 	value, size := binary.Uvarint(r.unread)
 	if r.failed || size <= 0 {
@@ -285,19 +296,21 @@
 	return value
 }
 
+// id decodes the ID of a lease.
 func (r *reader) id() dispatch.LeaseID {
 	value := r.uvarint()
 	r.failed = r.failed || value > math.MaxUint32
 	return dispatch.LeaseID(value)
 }
 
-// index is a number that counts something from 0.
+// index decodes a number of appendIndex.
 func (r *reader) index() int {
 	value := r.uvarint()
 	r.failed = r.failed || value > maxIndex
 	return int(value)
 }
 
+// int decodes a number of appendInt.
 func (r *reader) int() int {
 	value, size := binary.Varint(r.unread)
 	if r.failed || size <= 0 || value < math.MinInt32 || value > math.MaxInt32 {
@@ -308,8 +321,9 @@
 	return int(value)
 }
 
+// scaled decodes a number of appendScaled.
 func (r *reader) scaled(parts, limit float64) float64 {
-	figure := float64(r.uvarint()) / parts
-	r.failed = r.failed || figure > limit
-	return figure
+	number := float64(r.uvarint()) / parts
+	r.failed = r.failed || number > limit
+	return number
 }
--- a/internal/gossip/codec_test.go
+++ b/internal/gossip/codec_test.go
@@ -13,7 +13,7 @@
 	"valvecove/internal/storedform"
 )
 
-// encode is a datagram of messages.
+// encode returns a datagram with messages.
 func encode(h header, messages ...dispatch.PeerMessage) []byte {
 	datagram := appendHeader(nil, h)
 	for _, message := range messages {
@@ -32,7 +32,7 @@
 	return h, messages, err
 }
 
-// The bytes of each message are those that schedulers of earlier builds understand.
+// The encoding of each message is that of earlier builds.
 func TestGoldenDatagrams(t *testing.T) {
 	h := header{incarnation: 0x01020304, sequence: 0x0506}
 	for name, message := range sampleMessages() {
@@ -63,7 +63,7 @@
 	}
 }
 
-// Any message fits into a datagram of its own, and is read as it was sent.
+// Any message fits into a datagram, and is decoded without change.
 func TestLargestMessagesFit(t *testing.T) {
 	for _, message := range largestMessages() {
 		datagram := encode(header{math.MaxUint32, math.MaxUint16}, message)
@@ -76,7 +76,7 @@
 	}
 }
 
-// What the wire can't express becomes the nearest that it can: it never voids the datagram.
+// A value outside of the range of the encoding is limited to that range, so that the datagram stays valid.
 func TestFiguresOutOfRange(t *testing.T) {
 	for _, test := range []struct{ sent, want dispatch.PeerMessage }{
 		{
@@ -101,7 +101,7 @@
 	}
 }
 
-// A datagram that was cut off or changed on its way is void as a whole.
+// A truncated or changed datagram is dropped as a whole.
 func TestTornDatagrams(t *testing.T) {
 	whole := encode(header{7, 8}, dispatch.LeaseStarted{ID: 5, Prompt: true}, dispatch.LeaseQueued{ID: 6})
 	for size := range whole {
@@ -124,7 +124,7 @@
 	}
 	newer := sealed()
 	newer[0] = version + 1
-	var held []byte // a report of one more than may be
+	var held []byte // a report with one lease more than allowed
 	for range dispatch.MaxReported + 1 {
 		held = append(held, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0)
 	}
--- a/internal/gossip/helpers_test.go
+++ b/internal/gossip/helpers_test.go
@@ -8,7 +8,7 @@
 	"valvecove/dispatch"
 )
 
-// sampleMessages are one message of each kind, as the golden files have them.
+// sampleMessages contains one message of each kind, as in the golden files.
 func sampleMessages() map[string]dispatch.PeerMessage {
 	return map[string]dispatch.PeerMessage{
 		"lease-request": dispatch.LeaseRequest{
@@ -26,7 +26,7 @@
 	}
 }
 
-// largestMessages have the largest figures of each kind.
+// largestMessages contains one message of each kind with the largest values.
 func largestMessages() []dispatch.PeerMessage {
 	report := dispatch.LeaseReport{Complete: true}
 	for range dispatch.MaxReported {
@@ -51,7 +51,7 @@
 	}
 }
 
-// drawMessage draws a message whose figures the wire has exactly.
+// drawMessage returns a random message whose values are encoded exactly.
 func drawMessage(rng *rand.Rand) dispatch.PeerMessage {
 	id := dispatch.LeaseID(rng.Uint32() >> rng.IntN(32))
 	slots := float64(rng.IntN(maxSlots*slotParts+1)) / slotParts
--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -9,76 +9,76 @@
 )
 
 const (
-	duplicateWindow  = 64              // sequence numbers that are known to have come, or not
-	silenceOfRestart = 2 * time.Second // of the known process: one with a lower incarnation is its successor then
-	maxQueued        = 4096            // messages that wait for Flush; further ones are dropped
-	maxReusedOutbox  = 64              // messages; a larger outbox is not kept for the next ones
-	encodingBuffer   = 2 * MaxDatagram // a datagram, and the message that does not fit into it any more
+	duplicateWindow  = 64              // number of latest sequence numbers for which duplicates are detected
+	silenceOfRestart = 2 * time.Second // after this silence of a peer, a lower incarnation is accepted as a restart of it
+	maxQueued        = 4096            // messages queued until Flush; further ones are dropped
+	maxReusedOutbox  = 64              // capacity in messages; a larger outbox is not reused
+	encodingBuffer   = 2 * MaxDatagram // bytes: a datagram, and the message that exceeds it
 )
 
-// UnknownSender is in place of the number of a sender that is no peer.
+// UnknownSender is the number to pass to Receive for a sender that is not a peer.
 const UnknownSender = -1
 
-// Errors of datagrams that are dropped, besides those of the codec.
+// Errors of dropped datagrams, besides those of the codec.
 var (
 	ErrUnknownSender = errors.New("not from a peer")
 	ErrDuplicate     = errors.New("repeated, or too late")
 	ErrOutdated      = errors.New("from an earlier process")
 )
 
-// Config is what a node is made of.
+// Config configures a Node.
 type Config struct {
-	Self        int    // number of this scheduler among its peers, from 0
-	Peers       int    // schedulers, this one included
-	Incarnation uint32 // of this process; each has a greater one than those before, but for a clock that was set back
+	Self        int    // number of this scheduler, from 0
+	Peers       int    // number of schedulers, including this one
+	Incarnation uint32 // of this process; greater than that of any earlier process, unless the clock was set back
 }
 
-// Datagram is what is to be sent to a peer.
+// Datagram is a datagram to send to a peer.
 type Datagram struct {
-	To    int
+	To    int // number of the peer
 	Bytes []byte
 }
 
-// Node is one scheduler's side of all exchanges.
+// Node encodes and decodes the datagrams of one scheduler. It is not safe for concurrent use.
 type Node struct {
 	config   Config
 	peers    map[int]*peer
-	waiting  []int // peers with queued messages, the one that has waited longest first
-	queued   int
-	buffer   []byte // that datagrams are encoded in
+	waiting  []int  // peers with queued messages, in the order of their first message
+	queued   int    // number of queued messages
+	buffer   []byte // reused to encode datagrams
 	counters Counters
 }
 
-// Counters count since the start.
+// Counters contains counts since the start of the process.
 type Counters struct {
 	Sent, SentBytes         uint64 // datagrams
-	Unsent                  uint64 // of these, what could not be sent: see CountUnsent
-	Received, ReceivedBytes uint64 // datagrams from peers that were good
-	Malformed               uint64 // dropped: header, checksum, version or content is wrong
+	Unsent                  uint64 // sent datagrams that the network or the machine rejected: see CountUnsent
+	Received, ReceivedBytes uint64 // valid datagrams
+	Malformed               uint64 // dropped: header, checksum, version or content is invalid
 	TooLong                 uint64 // dropped: over 256 bytes
 	UnknownSenders          uint64 // dropped: not from a peer
 	Duplicates              uint64 // dropped: repeated, or too late
 	Outdated                uint64 // dropped: from an earlier process
-	Overflowed              uint64 // messages dropped as too many waited to be sent, or one fits no datagram
+	Overflowed              uint64 // messages dropped: too many were queued, or one was longer than a datagram
 }
 
-// peer is what is known of a peer, and what waits to be sent there.
+// peer is the state of a peer, and the messages queued for it.
 type peer struct {
-	isKnown     bool
-	incarnation uint32
-	receivedAt  time.Duration
-	newest      uint16 // sequence number
-	seen        uint64 // bit n: newest minus n has come
-	sequence    uint16 // of the next datagram to it
+	isKnown     bool          // a datagram was received
+	incarnation uint32        // of the last accepted datagram
+	receivedAt  time.Duration // of the last accepted datagram
+	newest      uint16        // highest received sequence number
+	seen        uint64        // bit n: newest minus n was received
+	sequence    uint16        // of the next datagram to send
 	outbox      []dispatch.PeerMessage
 }
 
-// New returns a node that has heard of nobody.
+// New returns a node that has received no datagram.
 func New(config Config) *Node {
 	return &Node{config: config, peers: map[int]*peer{}, buffer: make([]byte, 0, encodingBuffer)}
 }
 
-// Restart has the peers know that this scheduler has lost all that it knew, as with a new process. What is queued is dropped.
+// Restart makes the peers see a new incarnation, because this scheduler has lost its state. Queued messages are dropped.
 func (n *Node) Restart() {
 	n.config.Incarnation++
 	for _, known := range n.peers {
@@ -92,9 +92,10 @@
 // Counters returns the counters.
 func (n *Node) Counters() Counters { return n.counters }
 
-// CountUnsent counts a datagram of Flush that could not be sent.
+// CountUnsent counts a datagram of Flush that the caller could not send.
 func (n *Node) CountUnsent() { n.counters.Unsent++ }
 
+// peer returns the state of a peer, which is created if necessary.
 func (n *Node) peer(number int) *peer {
 	known := n.peers[number]
 	if known == nil {
@@ -104,8 +105,8 @@
 	return known
 }
 
-// Receive returns the messages of a datagram that came from a peer's address. An error says why it was dropped. After a
-// restart of the peer, dispatch.PeerRestarted comes first.
+// Receive returns the messages of a datagram from a peer, or the reason for dropping it. After a restart of the peer, the first
+// message is dispatch.PeerRestarted.
 func (n *Node) Receive(now time.Duration, from int, datagram []byte) ([]dispatch.PeerMessage, error) {
 	messages, err := n.receive(now, from, datagram)
 	switch {
@@ -126,6 +127,7 @@
 	return messages, err
 }
 
+// receive is Receive without the counters.
 func (n *Node) receive(now time.Duration, from int, datagram []byte) ([]dispatch.PeerMessage, error) {
 	if from < 0 || from >= n.config.Peers || from == n.config.Self {
 		return nil, ErrUnknownSender
@@ -149,7 +151,7 @@
 	return messages, nil
 }
 
-// accept takes in the header of a good datagram.
+// accept updates the state of the peer by the header of a valid datagram, or returns the reason for dropping the datagram.
 func (p *peer) accept(now time.Duration, received header) (hasRestarted bool, err error) {
 	if !p.isKnown || received.incarnation != p.incarnation {
 		isLater := int32(received.incarnation-p.incarnation) > 0
@@ -157,8 +159,9 @@
 			return false, ErrOutdated
 		}
 		hasRestarted = p.isKnown
-		p.isKnown, p.incarnation = true, received.incarnation
-		p.newest, p.seen = received.sequence, 1
+		p.isKnown = true
+		p.incarnation = received.incarnation
+		p.restartSequence(received.sequence)
 		p.receivedAt = now
 		return hasRestarted, nil
 	}
@@ -169,8 +172,14 @@
 	return false, nil
 }
 
-// markSeen reports whether a sequence number comes for the first time, as far as is known. After a silence, in which numbers
-// may have gone round, any that is not known to have come is taken for a new one.
+// restartSequence resets the duplicate detection to one received sequence number.
+func (p *peer) restartSequence(sequence uint16) {
+	p.newest = sequence
+	p.seen = 1
+}
+
+// markSeen records a sequence number, and reports whether it is new. One that precedes the duplicate window is not new, except
+// after a silence, in which the numbers may have wrapped around.
 func (p *peer) markSeen(sequence uint16, wasSilent bool) bool {
 	ahead := int16(sequence - p.newest)
 	if ahead > 0 {
@@ -181,7 +190,7 @@
 	behind := -int(ahead)
 	switch {
 	case behind >= duplicateWindow && wasSilent:
-		p.newest, p.seen = sequence, 1
+		p.restartSequence(sequence)
 		return true
 	case behind >= duplicateWindow, p.seen>>behind&1 == 1:
 		return false
@@ -190,7 +199,7 @@
 	return true
 }
 
-// Queue has a message sent to a peer with the next Flush. One to a number that is no peer's is dropped.
+// Queue queues a message for a peer until the next Flush. A message to a number that is not a peer's is dropped.
 func (n *Node) Queue(to int, message dispatch.PeerMessage) {
 	if to < 0 || to >= n.config.Peers || to == n.config.Self {
 		return
@@ -207,7 +216,7 @@
 	n.queued++
 }
 
-// Flush returns the datagrams of all queued messages. Bytes are the caller's.
+// Flush returns the datagrams with all queued messages. The caller owns their bytes.
 func (n *Node) Flush() []Datagram {
 	var datagrams []Datagram
 	for _, to := range n.waiting {
@@ -226,20 +235,20 @@
 	return datagrams
 }
 
-// nextDatagram puts as many messages into a datagram as it holds, and returns those that remain. A message that is too long
-// for any is dropped: the datagram is nil if there is no other.
+// nextDatagram encodes as many messages into a datagram as fit, and returns the remaining ones. If the first message is longer
+// than a datagram, it is dropped and the datagram is nil.
 func (n *Node) nextDatagram(receiver *peer, messages []dispatch.PeerMessage) (datagram []byte, remaining []dispatch.PeerMessage) {
 	buffer := appendHeader(n.buffer[:0], header{n.config.Incarnation, receiver.sequence})
-	taken := 0
+	encodedCount := 0
 	for _, message := range messages {
 		longer := appendMessage(buffer, message)
 		if len(longer) > MaxDatagram {
 			break
 		}
 		buffer = longer
-		taken++
+		encodedCount++
 	}
-	if taken == 0 {
+	if encodedCount == 0 {
 		n.counters.Overflowed++
 		return nil, messages[1:]
 	}
@@ -247,10 +256,10 @@
 	seal(buffer)
 	n.counters.Sent++
 	n.counters.SentBytes += uint64(len(buffer))
-	return bytes.Clone(buffer), messages[taken:]
+	return bytes.Clone(buffer), messages[encodedCount:]
 }
 
-// emptyOutbox forgets the messages, and keeps a small slice for the next ones.
+// emptyOutbox removes all messages, and keeps the memory for the next ones if it is small.
 func (p *peer) emptyOutbox() {
 	if cap(p.outbox) > maxReusedOutbox {
 		p.outbox = nil
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -17,14 +17,14 @@
 	peers    = 3
 )
 
-// process returns the node of the sender's process of an incarnation.
+// process returns the node of the sender's process with an incarnation.
 func process(incarnation uint32) *Node {
 	return New(Config{Self: sender, Peers: peers, Incarnation: incarnation})
 }
 
 func newReceiver() *Node { return New(Config{Self: receiver, Peers: peers, Incarnation: 50}) }
 
-// datagramOf has a node send messages to the receiver in one datagram.
+// datagramOf returns the datagram of a node with messages to the receiver.
 func datagramOf(t *testing.T, node *Node, messages ...dispatch.PeerMessage) []byte {
 	t.Helper()
 	for _, message := range messages {
@@ -37,10 +37,10 @@
 	return datagrams[0].Bytes
 }
 
-// numbered is a message that can be told from others.
+// numbered returns a message that is identified by a number.
 func numbered(n int) dispatch.PeerMessage { return dispatch.LeaseQueued{ID: dispatch.LeaseID(n)} }
 
-// expect checks what a node makes of a datagram of the sender.
+// expect checks the result of receiving a datagram of the sender.
 func expect(t *testing.T, node *Node, now time.Duration, datagram []byte, wantErr error, want ...dispatch.PeerMessage) {
 	t.Helper()
 	messages, err := node.Receive(now, sender, datagram)
@@ -83,7 +83,7 @@
 	}
 }
 
-// However messages follow each other, each is sent once, in order, in datagrams that are not too long.
+// In any sequence of messages, each is sent once, in order, in datagrams of the allowed length.
 func TestBatchesOfAnyMessages(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	node, other := process(1), newReceiver()
@@ -152,9 +152,9 @@
 	}
 	last := duplicateWindow + 1
 	expect(t, other, 0, datagrams[last], nil, numbered(last))
-	expect(t, other, 0, datagrams[2], nil, numbered(2)) // late, as late as may be
+	expect(t, other, 0, datagrams[2], nil, numbered(2)) // the oldest sequence number in the window
 	expect(t, other, 0, datagrams[2], ErrDuplicate)
-	expect(t, other, 0, datagrams[1], ErrDuplicate) // too late to be known
+	expect(t, other, 0, datagrams[1], ErrDuplicate) // before the window
 	expect(t, other, 0, datagrams[last], ErrDuplicate)
 	for n := 3; n < last; n++ {
 		expect(t, other, 0, datagrams[n], nil, numbered(n))
@@ -167,7 +167,7 @@
 	}
 }
 
-// Of a long loss the sequence numbers go round. Each datagram is taken once, whichever came last before.
+// During a long loss the sequence numbers wrap around. Each datagram is accepted once, whichever was received last before.
 func TestSequenceNumbersGoRound(t *testing.T) {
 	for _, lost := range []int{1, duplicateWindow, 1<<15 - 1, 1 << 15, 1<<16 - duplicateWindow - 1, 1 << 16, 1<<16 + 1} {
 		node, other := process(1), newReceiver()
@@ -199,7 +199,7 @@
 	}
 }
 
-// After a restart within its process a scheduler is a new one to its peers, and sends nothing of what it had queued.
+// After Restart a scheduler has a new incarnation for its peers, and does not send the messages that were queued.
 func TestRestartWithinProcess(t *testing.T) {
 	node, other := process(7), newReceiver()
 	late := datagramOf(t, node, numbered(1))
@@ -213,7 +213,7 @@
 	expect(t, other, 0, late, ErrOutdated)
 }
 
-// Incarnations go round in two years.
+// Incarnations wrap around after two years.
 func TestIncarnationsGoRound(t *testing.T) {
 	other := newReceiver()
 	expect(t, other, 0, datagramOf(t, process(1<<32-1), numbered(1)), nil, numbered(1))
@@ -221,8 +221,8 @@
 	expect(t, other, 0, datagramOf(t, process(1<<32-1), numbered(1)), ErrOutdated)
 }
 
-// A process whose wall clock was stepped back has a lower incarnation than the one before. It is heard once that has been
-// silent for a while, however much it has sent meanwhile.
+// A process whose wall clock was stepped back has a lower incarnation than the one before. Its datagrams are accepted
+// after silenceOfRestart, however many it has sent meanwhile.
 func TestRestartWithLowerIncarnation(t *testing.T) {
 	before, after, other := process(1000), process(3), newReceiver()
 	expect(t, other, 0, datagramOf(t, before, numbered(1)), nil, numbered(1))
@@ -233,7 +233,7 @@
 	expect(t, other, silenceOfRestart+1, datagramOf(t, after, numbered(4)), nil, numbered(4))
 }
 
-// UnknownSenders, forgeries and faults change nothing of what is known of a peer.
+// Datagrams of unknown senders, forged ones and malformed ones do not change the state of a peer.
 func TestDroppedDatagramsChangeNothing(t *testing.T) {
 	node, other := process(5), newReceiver()
 	first, second := datagramOf(t, node, numbered(1)), datagramOf(t, node, numbered(2))
@@ -268,7 +268,7 @@
 	}
 }
 
-// A node with 900 peers takes in a datagram, and sends one, with a few allocations.
+// A node with 900 peers receives a datagram, and sends one, with a few allocations.
 func TestAllocationsOfDatagrams(t *testing.T) {
 	node, other := process(1), newReceiver()
 	const rounds = 1000
@@ -288,7 +288,7 @@
 	}
 }
 
-// Whatever comes from a peer's address, a node takes in no number twice, and its counters have every datagram.
+// With any datagrams from a peer's address, a node accepts no sequence number twice, and its counters include every datagram.
 func FuzzReceive(f *testing.F) {
 	node := process(9)
 	for _, message := range sampleMessages() {
--- a/internal/gossip/socket/counts_test.go
+++ b/internal/gossip/socket/counts_test.go
@@ -9,7 +9,7 @@
 	"valvecove/internal/metrics"
 )
 
-// Each counter of the node has its field among the figures, and the bytes are compared with the budget.
+// Each counter of the node has its field in the counts, and the bytes are compared with the budget.
 func TestPeerCounts(t *testing.T) {
 	f, _ := newFixtureWithPeer(t)
 	f.settings = dispatch.Settings{PeerCost: 0.01, PeerBudget: 0.02, Replicas: 2}
--- a/internal/gossip/socket/fixture_test.go
+++ b/internal/gossip/socket/fixture_test.go
@@ -14,7 +14,7 @@
 	"valvecove/internal/gossip"
 )
 
-// fixture is a socket on an event loop, and what it has received.
+// fixture is a socket on an event loop, and the messages that it has received.
 type fixture struct {
 	*eventlooptest.Loop
 	t          *testing.T
@@ -42,7 +42,7 @@
 	return f
 }
 
-// AddPeerMessages keeps the messages.
+// AddPeerMessages records the messages.
 func (f *fixture) AddPeerMessages(from int, messages []dispatch.PeerMessage) {
 	for _, message := range messages {
 		f.received = append(f.received, dispatch.PeerMessageReceived{From: from, Message: message})
@@ -71,7 +71,7 @@
 	}
 }
 
-// failCalls has the next calls of a kind fail, as many as there are errors.
+// failCalls has the next calls of a kind fail with the given errors.
 func (f *fixture) failCalls(failing eventloop.Call, errnos ...unix.Errno) {
 	f.Syscalls().Interceptor = func(call eventloop.Call, _ int) (injection eventloop.Injection) {
 		if call == failing && len(errnos) > 0 {
--- a/internal/gossip/socket/socket.go
+++ b/internal/gossip/socket/socket.go
@@ -104,6 +104,7 @@
 	s.reopenBackoff = 0
 }
 
+// tryOpen opens the socket and adds it to the loop.
 func (s *Socket) tryOpen() error {
 	syscalls := s.loop.Syscalls()
 	family, sockaddr := eventloop.Sockaddr(s.config.Listen)
@@ -122,6 +123,7 @@
 	return nil
 }
 
+// scheduleOpen calls Open after a backoff.
 func (s *Socket) scheduleOpen(backoff time.Duration) {
 	s.reopenBackoff = backoff
 	s.timer = s.loop.StartTimer(backoff, s, s.Open)
@@ -182,6 +184,7 @@
 	return class == eventloop.ErrorRetry || class == eventloop.ErrorConnectionLost
 }
 
+// receive passes the messages of a datagram to the receiver.
 func (s *Socket) receive(from netip.AddrPort, datagram []byte) {
 	number, ok := s.numbers[from]
 	if !ok {
@@ -214,6 +217,7 @@
 	return err == nil
 }
 
+// sendOnce sends a datagram without blocking.
 func (s *Socket) sendOnce(datagram gossip.Datagram) error {
 	const flags = unix.MSG_DONTWAIT | unix.MSG_NOSIGNAL
 	return s.loop.Syscalls().Sendto(s.descriptor, datagram.Bytes, flags, s.targets[datagram.To])
--- a/internal/gossip/socket/socket_test.go
+++ b/internal/gossip/socket/socket_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// Whatever error receiving fails with, the loop does not spin, and the waiting datagram is received shortly after.
+// With any error of receiving, the loop does not spin, and the waiting datagram is received shortly after.
 func TestReceiveFailures(t *testing.T) {
 	for name, test := range map[string]struct {
 		errnos   []unix.Errno
@@ -87,7 +87,7 @@
 	}
 }
 
-// A socket that is of no use any more is opened anef.
+// An unusable socket is reopened.
 func TestLostPeerSocketIsReopened(t *testing.T) {
 	f, remote := newFixtureWithPeer(t)
 	f.sendFrom(remote.fd, remote.datagram(queued(1)))
