--- a/internal/capture/decision.go
+++ b/internal/capture/decision.go
@@ -8,13 +8,13 @@
 	"valvecove/dispatch"
 )
 
-// decision says what was decided on a subject, such as a job or a worker.
+// decision is a decision on a subject, such as a job or a worker, in the words of the replay's output.
 type decision struct {
 	subject, what string
-	line          int // of the capture; 0 if it is not recorded
+	line          int // number of the line in the capture; 0 if it is not recorded
 }
 
-// Subjects that are not jobs or workers, and what can be decided.
+// Subjects that are not jobs or workers, and texts of decisions.
 const (
 	subjectDispatcher   = "the module"
 	subjectEndpointList = "the host group"
@@ -27,8 +27,10 @@
 	decidedSubscribe   = "watched"
 )
 
+// panicDecision is a panic of the dispatcher.
 var panicDecision = decision{subject: subjectDispatcher, what: decidedPanic}
 
+// isPanic reports whether the decision is a panic of the dispatcher.
 func (d decision) isPanic() bool { return d.what == decidedPanic }
 
 // decisionOfLine returns the decision that a line records.
@@ -41,7 +43,7 @@
 	return recorded
 }
 
-// action returns the action of a line; nil for a panic. Recorder.actionLine is its inverse.
+// action returns the action of a line, or nil for a panic. Recorder.actionLine is its inverse.
 func (l *Line) action() dispatch.Action {
 	delay := time.Duration(l.DelayNanoseconds)
 	switch l.Output {
@@ -65,7 +67,7 @@
 	return nil
 }
 
-// decisionOf returns the decision of an action. Timers and log lines are none.
+// decisionOf returns the decision of an action. ok is false for an action that is not recorded, such as a timer or a log line.
 func (n *names) decisionOf(action dispatch.Action) (taken decision, ok bool) {
 	switch action := action.(type) {
 	case dispatch.Send:
@@ -88,7 +90,7 @@
 	return decision{}, false
 }
 
-// suffixFor says for how long; it is empty for no time.
+// suffixFor returns the text for a duration of a decision, which is empty for 0.
 func suffixFor(duration time.Duration) string {
 	if duration == 0 {
 		return ""
--- a/internal/capture/disk_test.go
+++ b/internal/capture/disk_test.go
@@ -39,8 +39,9 @@
 	return text
 }
 
-// While the disk is full the capture tells of it once, counts what is lost, and removes no kept file for files that hold nothing.
-// Once there is room again it goes on, and says so. Each file replays, and all in a row tell of the gap.
+// While the disk is full, the gap is logged once, losses are counted, and no earlier file is removed in favour of empty ones.
+// Once there is space again, recording continues, which is logged. Each file can be replayed, and a replay of all of them warns
+// of the gap.
 func TestFilesThroughFullDisk(t *testing.T) {
 	disk := filesystemtest.New(map[string]string{"/dir/n0-00000007.jsonl": "kept\n"})
 	var log bytes.Buffer
@@ -66,7 +67,7 @@
 	if s.recorder.Lost() < 6 || s.recorder.LostLines() == 0 {
 		t.Errorf("%d pieces and %d lines lost", s.recorder.Lost(), s.recorder.LostLines())
 	}
-	if text := log.String(); strings.Count(text, "the capture has a gap") != 1 || strings.Count(text, "the capture goes on") != 1 {
+	if text := log.String(); strings.Count(text, "capture gap started") != 1 || strings.Count(text, "capture gap ended") != 1 {
 		t.Errorf("log:\n%s", text)
 	}
 	contents := disk.Files()
--- a/internal/capture/files.go
+++ b/internal/capture/files.go
@@ -22,36 +22,36 @@
 	fileNumberDigits = 8
 	filePermissions  = 0o640
 	megabyte         = 1 << 20
-	// maxPendingBytes is how many bytes may wait for the disk.
+	// maxPendingBytes is the maximum number of bytes that wait for the disk.
 	maxPendingBytes = megabyte
-	// maxTakenNumbers bounds the numbers in a row that are skipped as another process has files with them.
+	// maxTakenNumbers is the maximum number of consecutive file numbers that are skipped because another process has used them.
 	maxTakenNumbers = 100
 )
 
-// files keeps segments on a disk, one a file. The disk is touched by the queue's goroutine only, which owns the fields so
-// marked.
+// files is a sink that writes each segment to a file of its own. After newFiles, the disk is accessed on the queue's goroutine
+// only.
 type files struct {
 	*asyncwriter.Queue
 	disk          filesystem.FileSystem
 	pathPrefix    string // of all files, before their number
 	maxFileBytes  int
 	maxFiles      int
-	segment       int64 // counts them
-	segmentBytes  int
-	segmentLost   bool         // a part of the segment could not be kept
-	failedSegment atomic.Int64 // in which the disk failed
-	keptSegment   atomic.Int64 // the last one whose opening line is in a file
-
-	// The queue's:
-	file       filesystem.File // nil: none is open
+	segment       int64        // number of the current segment, from 1
+	segmentBytes  int          // size of the current segment
+	segmentLost   bool         // a part of the current segment was lost
+	failedSegment atomic.Int64 // number of the last segment in which a write failed
+	keptSegment   atomic.Int64 // number of the last segment whose first line is in a file
+
+	// The fields below are used on the queue's goroutine only.
+	file       filesystem.File // nil: no file is open
 	filePath   string
-	fileBytes  int64
-	fileNumber int
-	strayPath  string // of a file that holds nothing and could not be removed; empty: none
+	fileBytes  int64  // size of the file
+	fileNumber int    // of the last file that was opened
+	strayPath  string // path of a file without a segment that could not be removed; empty: none
 }
 
-// newFiles opens the first file at once: a directory that can't be written to is an error of the start, unless it is the disk
-// that fails or is full, which may pass.
+// newFiles returns a sink whose first file is open, or the error of the directory. An error of the disk that may be temporary,
+// such as a full disk, is not returned; the file is opened with the first segment then.
 func newFiles(disk filesystem.FileSystem, capture config.Capture, schedulerName string) (*files, error) {
 	f := &files{
 		disk:         disk,
@@ -73,7 +73,7 @@
 	return f, nil
 }
 
-// fileNameOf replaces what may have a meaning in a path.
+// fileNameOf replaces the characters of a name that are not letters, digits, '-' or '_' by '_'.
 func fileNameOf(schedulerName string) string {
 	return strings.Map(func(char rune) rune {
 		switch {
@@ -101,6 +101,7 @@
 	return paths, nil
 }
 
+// isFileName reports whether a name has the prefix, a number and the suffix of a capture file.
 func isFileName(name, prefix string) bool {
 	name, hasPrefix := strings.CutPrefix(name, prefix)
 	number, hasSuffix := strings.CutSuffix(name, fileSuffix)
@@ -114,7 +115,7 @@
 	return number
 }
 
-// openNextFile closes the file and opens another.
+// openNextFile closes the file and opens the next one.
 func (f *files) openNextFile() error {
 	f.closeFile()
 	if f.strayPath != "" {
@@ -134,18 +135,22 @@
 	return err
 }
 
+// openFile opens a file as the current one.
 func (f *files) openFile(path string, flags int) error {
 	return filesystem.RetryInterrupted(func() error {
 		file, err := f.disk.OpenFile(path, flags, filePermissions)
 		if err != nil {
 			return err
 		}
-		f.file, f.filePath, f.fileBytes = file, path, 0
+		f.file = file
+		f.filePath = path
+		f.fileBytes = 0
 		f.strayPath = ""
 		return nil
 	})
 }
 
+// closeFile closes the current file, if there is one.
 func (f *files) closeFile() {
 	if f.file != nil {
 		_ = f.file.Close()
@@ -153,8 +158,8 @@
 	}
 }
 
-// discardFile removes a file that holds no whole segment. One that can't be removed is used for the next segment: while the
-// disk fails no files gather, in whose place kept ones would have to go.
+// discardFile removes the current file, which contains no segment. If it can't be removed, it is used for the next segment, so
+// that empty files do not replace earlier captures while the disk fails.
 func (f *files) discardFile() {
 	f.closeFile()
 	remove := func() error { return f.disk.Remove(f.filePath) }
@@ -163,7 +168,7 @@
 	}
 }
 
-// removeOldest removes the oldest files beyond maxFiles. What the disk keeps from being removed goes after the next segment.
+// removeOldest removes the oldest files beyond maxFiles. A file that can't be removed is removed after the next segment.
 func (f *files) removeOldest() {
 	paths, _ := f.list()
 	for len(paths) > f.maxFiles {
@@ -172,8 +177,8 @@
 	}
 }
 
-// write appends lines to the file of a segment. Of a write that fails nothing stays, or where it can't be cut away a part at the
-// end of the file; and nothing is written after it: no line is missing in between, and none is glued to a part of another.
+// write appends lines to the file of a segment. A failed write is truncated, and no more lines of the segment are written, so
+// that no line is missing in between. If the truncation fails too, the file ends with an incomplete line.
 func (f *files) write(segment int64, lines []byte) error {
 	if f.failedSegment.Load() == segment {
 		return os.ErrClosed
@@ -188,9 +193,9 @@
 	return nil
 }
 
-// writeOpening writes the opening line of a segment to a file of its own.
+// writeOpening writes the first line of a segment to a new file.
 func (f *files) writeOpening(segment int64, line []byte) error {
-	if segment > 1 || f.file == nil { // else the file is open since the start
+	if segment > 1 || f.file == nil { // otherwise newFiles has opened the file
 		if err := f.openNextFile(); err != nil {
 			f.failedSegment.Store(segment)
 			return err
@@ -205,6 +210,7 @@
 	return nil
 }
 
+// open implements sink.
 func (f *files) open(line []byte) bool {
 	line = slices.Clone(line)
 	f.segment++
@@ -214,6 +220,7 @@
 	return f.enqueue(len(line), func() error { return f.writeOpening(segment, line) })
 }
 
+// add implements sink.
 func (f *files) add(lines []byte) bool {
 	lines = slices.Clone(lines)
 	f.segmentBytes += len(lines)
@@ -221,7 +228,7 @@
 	return f.enqueue(len(lines), func() error { return f.write(segment, lines) })
 }
 
-// enqueue has the queue write to the segment, unless that has lost something.
+// enqueue adds a write to the queue. It returns false if a part of the segment is lost, now or before.
 func (f *files) enqueue(size int, write func() error) bool {
 	if !f.segmentLost {
 		f.segmentLost = f.failedSegment.Load() == f.segment || !f.Enqueue(size, write)
--- a/internal/capture/files_test.go
+++ b/internal/capture/files_test.go
@@ -10,7 +10,7 @@
 	"valvecove/internal/filesystem"
 )
 
-// Each file replays without a difference. A second process keeps no more files than the first, and goes on numbering.
+// Each file replays without a difference. A second process has the same limit of files, and continues the numbers.
 func TestFilesReplaySame(t *testing.T) {
 	directory := t.TempDir()
 	for process := range 2 {
@@ -36,7 +36,8 @@
 	}
 }
 
-// A disk that fails leaves whole lines and is counted. Once it works again a new segment goes on, which replays.
+// A failing disk leaves complete lines, and the losses are counted. Once it works again, a new segment is started, which can be
+// replayed.
 func TestFilesAfterDiskFailure(t *testing.T) {
 	directory := t.TempDir()
 	s := newScheduler(t, 1, config.Capture{Dir: directory, FileMB: 1, Files: 3})
--- a/internal/capture/golden_test.go
+++ b/internal/capture/golden_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// The outcomes of requests are the protocol's, which the golden files have.
+// The outcomes of requests are those of the protocol, as in the golden files.
 func TestGoldenCapturesHaveKnownOutcomes(t *testing.T) {
 	if want := [...]requests.Outcome{"served", "error", "turned away", "could not connect", "reset", "timed out"}; requests.Outcomes != want {
 		t.Errorf("outcomes are %q, expected %q", requests.Outcomes, want)
--- a/internal/capture/helpers_test.go
+++ b/internal/capture/helpers_test.go
@@ -164,7 +164,7 @@
 	}
 }
 
-// replayed is what a replay returned and wrote.
+// replayed contains the results and the output of a replay.
 type replayed struct {
 	differences      int
 	output, warnings string
--- a/internal/capture/line.go
+++ b/internal/capture/line.go
@@ -6,18 +6,18 @@
 	"valvecove/dispatch"
 )
 
-// Line is one line of a capture. Input says what came in, or Output what was decided; the other one is empty. Which of the
-// fields after them are set depends on that. The names and the order of the tags are the stored form.
+// Line is one line of a capture. Either Input is the kind of a received event, or Output the kind of a decision; the other one is
+// empty. The kind determines which further fields are set. The names and the order of the tags are the stored form.
 type Line struct {
 	Milliseconds int64 `json:"t"`            // Unix time
-	Nanoseconds  int64 `json:"ns,omitempty"` // beyond the milliseconds, on the first line of a step
-	// StepLines counts the lines of a step of several, on the first of them, itself included.
+	Nanoseconds  int64 `json:"ns,omitempty"` // remainder of the time, on the first line of a step
+	// StepLines is the number of lines of a step, on its first line. It is 0 for a step with one line.
 	StepLines int    `json:"of,omitempty"`
 	Input     string `json:"in,omitempty"`
 	Output    string `json:"out,omitempty"`
 	CallID    string `json:"id,omitempty"` // the client's, from X-Call-Id
 
-	// A request's header, and what became of the request.
+	// The header of a request, and the outcome.
 	Method         string  `json:"method,omitempty"`
 	Path           string  `json:"path,omitempty"`
 	Class          string  `json:"class,omitempty"`
@@ -25,15 +25,15 @@
 	IdempotencyKey string  `json:"key,omitempty"`
 	BodyBytes      int     `json:"length,omitempty"`
 	Status         int     `json:"status,omitempty"` // HTTP status
-	State          string  `json:"state,omitempty"`  // of the job, by a callback
+	State          string  `json:"state,omitempty"`  // of a callback
 	Outcome        string  `json:"outcome,omitempty"`
-	UnknownAttempt bool    `json:"unknown,omitempty"` // a callback is about no attempt in flight
-	Skipped        int     `json:"skipped,omitempty"` // lines of this kind that were left out before it, to bound their rate
+	UnknownAttempt bool    `json:"unknown,omitempty"` // the callback is about no attempt in flight
+	Skipped        int     `json:"skipped,omitempty"` // number of lines of this kind that were omitted before it to limit their rate
 	Progress       float64 `json:"share,omitempty"`   // from 0 to 1
 
 	// The dispatcher's events and actions.
-	Worker           string            `json:"worker,omitempty"` // the endpoint's id
-	WorkerNumber     uint64            `json:"number,omitempty"` // the dispatcher's, where a segment first names the worker
+	Worker           string            `json:"worker,omitempty"` // ID of the endpoint
+	WorkerNumber     uint64            `json:"number,omitempty"` // the dispatcher's number, on the first line of a segment about the worker
 	Job              uint64            `json:"job,omitempty"`    // the job's number
 	Attempt          int               `json:"attempt,omitempty"`
 	Result           dispatch.Result   `json:"result,omitempty"`
@@ -41,24 +41,24 @@
 	Report           []float64         `json:"report,omitempty"`
 	DelayNanoseconds int64             `json:"after_ns,omitempty"` // attempt timeout of a send, Retry-After of a rejection
 	ArrivedJob       *dispatch.Job     `json:"arrived,omitempty"`
-	KeyWork          *float64          `json:"past,omitempty"` // what the dispatcher had learnt of the job's key
+	KeyWork          *float64          `json:"past,omitempty"` // the dispatcher's estimate of the work for the job's key, in seconds
 	ListKind         dispatch.ListKind `json:"kind,omitempty"`
 	Workers          []listedWorker    `json:"workers,omitempty"`
 	Peer             int               `json:"peer,omitempty"`    // the scheduler that a message is from or to
 	Message          *peerMessage      `json:"message,omitempty"` // between schedulers
 
-	// The opening of a segment.
+	// The first line of a segment.
 	Reason           string              `json:"why,omitempty"`
-	Seed             string              `json:"seed,omitempty"`   // of the scheduler's start, in hexadecimal
-	DispatcherNumber uint64              `json:"module,omitempty"` // counts the dispatchers since the start
+	Seed             string              `json:"seed,omitempty"`   // random seed of the process, in hexadecimal
+	DispatcherNumber uint64              `json:"module,omitempty"` // number of the dispatcher in the process, from 1
 	Settings         jsoniter.RawMessage `json:"settings,omitempty"`
 	Snapshot         []byte              `json:"snapshot,omitempty"` // of the dispatcher
 	CallIDs          map[uint64]string   `json:"calls,omitempty"`    // of the open jobs
-	// PeerMessages and PeerBudget are those of the dispatcher's settings. The platform's alone don't decide them: it takes
-	// the addresses of others, and the operators' file.
+	// PeerMessages and PeerBudget are those of the dispatcher's settings. They are recorded because they depend on the addresses of
+	// the peers and on the operators' file too, not on the platform's settings alone.
 	PeerMessages bool    `json:"peers,omitempty"`
 	PeerBudget   float64 `json:"peer_budget,omitempty"`
-	// SnapshotWithLeases takes the place of Snapshot where schedulers exchange messages.
+	// SnapshotWithLeases is set instead of Snapshot if schedulers exchange messages.
 	SnapshotWithLeases []byte `json:"snapshot_with_leases,omitempty"`
 }
 
@@ -67,12 +67,12 @@
 	Name   string          `json:"instanceId"`
 	Addr   string          `json:"hostPort,omitempty"`
 	State  string          `json:"lifecycle,omitempty"`
-	Worker dispatch.Worker `json:"as"` // as the dispatcher was given it
+	Worker dispatch.Worker `json:"as"` // the event's entry
 }
 
-// Kinds of lines that are no part of a step.
+// Kinds of lines that are not part of a step.
 const (
-	inputStart     = "start" // opens a segment
+	inputStart     = "start" // first line of a segment
 	inputRequest   = "head"
 	inputResponse  = "answer"
 	inputCallback  = "event"
@@ -80,7 +80,7 @@
 	outputEnded    = "over"
 )
 
-// Kinds of lines of a step: the events that it was given, and the actions that it took.
+// Kinds of lines of a step: events and actions.
 const (
 	inputJob           = "job"
 	inputOutcome       = "outcome"
@@ -104,16 +104,16 @@
 	outputPanic        = "panic"
 )
 
-// Reasons for which a segment is opened.
+// Reasons for starting a segment.
 const (
 	reasonStart       = "start"
-	reasonRestart     = "restart"     // another dispatcher, after a panic of the one before
-	reasonTakenOver   = "taken over"  // from the state of another process
-	reasonSegmentFull = "goes on"     // the segment before was full
-	reasonGap         = "after a gap" // the rest of the segment before was lost
+	reasonRestart     = "restart"     // a new dispatcher, after a panic of the previous one
+	reasonTakenOver   = "taken over"  // a dispatcher that is restored from the state of another process
+	reasonSegmentFull = "goes on"     // the previous segment was full
+	reasonGap         = "after a gap" // the rest of the previous segment was lost
 )
 
-// stepKinds are the kinds of lines that belong to a step.
+// stepKinds contains the kinds of lines of a step.
 var stepKinds = map[string]bool{
 	inputJob: true, inputOutcome: true, inputStarted: true, inputProgress: true, inputDisconnected: true,
 	inputWorkerList: true, inputHealthChecked: true, inputTimer: true, inputCordoned: true, inputUncordoned: true,
@@ -122,10 +122,10 @@
 	outputCloseIdle: true, outputSubscribe: true, outputPeerMessage: true, outputPanic: true,
 }
 
-// otherKinds are all other kinds of lines.
+// otherKinds contains all other kinds of lines.
 var otherKinds = map[string]bool{
 	inputStart: true, inputRequest: true, inputResponse: true, inputCallback: true, outputRejected: true, outputEnded: true,
 }
 
-// json writes and reads lines as encoding/json does.
+// json encodes and decodes lines like encoding/json.
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
--- a/internal/capture/names.go
+++ b/internal/capture/names.go
@@ -5,14 +5,14 @@
 	"strconv"
 )
 
-// names are those by which a segment refers to workers and jobs.
+// names maps the numbers of workers and jobs in a segment to endpoint IDs and call IDs.
 type names struct {
 	workerNumbers map[string]uint64
 	workerNames   map[uint64]string
-	callIDs       map[uint64]string // by the job's number
+	callIDs       map[uint64]string // by job number
 }
 
-// newNames returns the names of a segment that opens with these call ids.
+// newNames returns the names of a segment whose first line has the given call IDs.
 func newNames(callIDs map[uint64]string) names {
 	if callIDs == nil {
 		callIDs = map[uint64]string{}
@@ -20,7 +20,7 @@
 	return names{workerNumbers: map[string]uint64{}, workerNames: map[uint64]string{}, callIDs: callIDs}
 }
 
-// resolve learns the names of a line's job and worker. It sets the worker's number where an earlier line gave it.
+// resolve adds the names of a line's job and worker. If the line has no worker number, it sets the one of an earlier line.
 func (n *names) resolve(line *Line) error {
 	if line.Job != 0 && line.CallID != "" {
 		n.callIDs[line.Job] = line.CallID
@@ -39,12 +39,14 @@
 	return nil
 }
 
+// addListed adds the workers of an endpoint list.
 func (n *names) addListed(workers []listedWorker) {
 	for _, worker := range workers {
 		n.addWorker(worker.Name, worker.Worker.ID)
 	}
 }
 
+// addWorker adds a worker, unless its name is empty.
 func (n *names) addWorker(name string, number uint64) {
 	if name == "" {
 		return
@@ -53,7 +55,7 @@
 	n.workerNames[number] = name
 }
 
-// job returns the call id of a job, or its number if that is not known.
+// job returns the call ID of a job, or its number if the call ID is not known.
 func (n *names) job(number uint64) string {
 	if id := n.callIDs[number]; id != "" {
 		return id
@@ -61,7 +63,7 @@
 	return "job " + strconv.FormatUint(number, 10)
 }
 
-// worker returns the name of a worker, or its number if that is not known.
+// worker returns the endpoint ID of a worker, or its number if the ID is not known.
 func (n *names) worker(number uint64) string {
 	if name := n.workerNames[number]; name != "" {
 		return name
--- a/internal/capture/observer.go
+++ b/internal/capture/observer.go
@@ -6,14 +6,15 @@
 	"valvecove/internal/requests"
 )
 
-// maxTextBytes bounds the paths and ids that a line holds.
+// maxTextBytes is the maximum length of a path or an ID in a line.
 const maxTextBytes = 512
 
-// Observe records what the dispatcher does not see, or not as the clients said it.
+// Observe implements requests.Observer. It records what is not part of the dispatcher's events.
 func (r *Recorder) Observe(notification requests.Notification) {
 	r.protect(func() { r.observe(notification) })
 }
 
+// observe is Observe without protection against panics.
 func (r *Recorder) observe(notification requests.Notification) {
 	switch notification.Kind {
 	case requests.RequestForgotten:
@@ -38,13 +39,14 @@
 	}
 }
 
-// record writes a line that belongs to no step.
+// record writes a line that is not part of a step.
 func (r *Recorder) record(line Line) {
 	line.Milliseconds = r.now().Milliseconds()
 	r.write(line)
 	r.flush()
 }
 
+// recordRejection records a request that was rejected at admission, at a limited rate.
 func (r *Recorder) recordRejection(notification requests.Notification) {
 	if !r.limiter.allow(r.now()) {
 		return
@@ -59,6 +61,7 @@
 	r.record(line)
 }
 
+// recordCallback records a callback, at a limited rate if it is about no attempt in flight.
 func (r *Recorder) recordCallback(notification requests.Notification) {
 	isUnknown := notification.Attempt == nil
 	if isUnknown && !r.limiter.allow(r.now()) {
@@ -78,7 +81,7 @@
 	r.record(line)
 }
 
-// requestLine describes a request, without its payload.
+// requestLine returns a line with the header of a request.
 func (r *Recorder) requestLine(request *requests.Request) Line {
 	line := Line{
 		CallID: request.CallID, Method: request.Payload.Method, Path: truncate(request.Payload.Path),
@@ -93,37 +96,38 @@
 	return line
 }
 
+// truncate returns at most maxTextBytes of a text.
 func truncate(text string) string { return text[:min(len(text), maxTextBytes)] }
 
 const (
-	floodBurst         = 100 // lines at once
-	floodRatePerSecond = 20  // lines, after a burst
+	floodBurst         = 100 // lines
+	floodRatePerSecond = 20  // lines per second, after a burst
 )
 
-// floodLimiter is a token bucket for lines that anybody can cause, so that they don't displace all others.
+// floodLimiter is a token bucket for lines that any client or worker can cause, so that they do not displace all others.
 type floodLimiter struct {
 	tokens    float64
 	updatedAt time.Duration
-	skipped   int // lines that were not allowed, not yet reported
+	skipped   int // lines that were not allowed since takeSkipped
 }
 
 func newFloodLimiter() floodLimiter { return floodLimiter{tokens: floodBurst} }
 
-// allow takes a token; without one it counts the line as skipped.
-func (l *floodLimiter) allow(now time.Duration) bool {
-	l.tokens = min(floodBurst, l.tokens+floodRatePerSecond*(now-l.updatedAt).Seconds())
-	l.updatedAt = now
-	if l.tokens < 1 {
-		l.skipped++
+// allow reports whether a line may be written, and removes a token for it. Otherwise it counts the line as skipped.
+func (f *floodLimiter) allow(now time.Duration) bool {
+	f.tokens = min(floodBurst, f.tokens+floodRatePerSecond*(now-f.updatedAt).Seconds())
+	f.updatedAt = now
+	if f.tokens < 1 {
+		f.skipped++
 		return false
 	}
-	l.tokens--
+	f.tokens--
 	return true
 }
 
-// takeSkipped returns how many lines were skipped since it was last called.
-func (l *floodLimiter) takeSkipped() int {
-	skipped := l.skipped
-	l.skipped = 0
+// takeSkipped returns the number of lines that were skipped since its last call.
+func (f *floodLimiter) takeSkipped() int {
+	skipped := f.skipped
+	f.skipped = 0
 	return skipped
 }
--- a/internal/capture/peermessage.go
+++ b/internal/capture/peermessage.go
@@ -6,7 +6,7 @@
 	"valvecove/dispatch"
 )
 
-// peerMessage is the stored form of a dispatch.PeerMessage: the one field that is set says of which kind it is.
+// peerMessage is the stored form of a dispatch.PeerMessage. One field is set, according to the type of the message.
 type peerMessage struct {
 	LeaseRequest  *dispatch.LeaseRequest  `json:"request,omitempty"`
 	LeaseStarted  *dispatch.LeaseStarted  `json:"started,omitempty"`
@@ -38,7 +38,7 @@
 	panic(fmt.Sprintf("a message that is not known: %T", message))
 }
 
-// message returns the message; nil if there is none.
+// message returns the message, or nil if there is none.
 func (p *peerMessage) message() dispatch.PeerMessage {
 	switch {
 	case p == nil:
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// describePeerMessage returns a message in its stored form, which has each figure exactly.
+// describePeerMessage returns a message in its stored form, in which all numbers are exact.
 func describePeerMessage(message dispatch.PeerMessage) string {
 	text, err := json.MarshalToString(newPeerMessage(message))
 	if err != nil {
--- a/internal/capture/peers_test.go
+++ b/internal/capture/peers_test.go
@@ -110,7 +110,7 @@
 	return peers
 }
 
-// Schedulers that tell each other of leases replay without a difference, whatever they have told.
+// Captures of schedulers that exchange messages about leases replay without a difference.
 func TestReplayOfPeerMessages(t *testing.T) {
 	var text []byte
 	for seed := range uint64(2) {
@@ -175,7 +175,7 @@
 	return false
 }
 
-// A message that goes to another peer, or has another figure, is a difference.
+// A message to another peer, or with another value, is a difference.
 func TestReplayComparesPeerMessages(t *testing.T) {
 	peers := newPeers(t, 1, config.Capture{MemoryKB: 4 << 10})
 	for range 100 {
@@ -199,7 +199,7 @@
 	}
 }
 
-// A capture of a scheduler that has no addresses of others replays without messages, whatever its settings allow.
+// A capture of a scheduler without addresses of peers is replayed without messages, also if the settings allow them.
 func TestReplayWithoutPeerAddresses(t *testing.T) {
 	withoutPeers := strings.NewReplacer(`"peer_listen":"127.0.0.1:1",`, "", `"peers":["127.0.0.1:1","127.0.0.1:2"]`, `"unused":0`).Replace(platformOfPeer(1))
 	s := newSchedulerOf(t, withoutPeers, filesystem.Disk, slog.New(slog.DiscardHandler), 1, config.Capture{MemoryKB: 4 << 10})
--- a/internal/capture/player.go
+++ b/internal/capture/player.go
@@ -10,24 +10,24 @@
 	"valvecove/internal/config"
 )
 
-// player gives the steps of a capture to a dispatcher, and compares what that decides with what was recorded.
+// player replays the steps of a capture on a dispatcher, and compares its decisions with the recorded ones.
 type player struct {
-	ops         config.Ops // whose replay settings replace recorded ones
-	output      io.Writer  // gets a line for each decision that differs
+	ops         config.Ops // its replay settings replace recorded ones
+	output      io.Writer  // a line is written for each decision that differs
 	differences int
 
 	dispatcher *dispatch.Dispatcher // nil before the first segment, and after a panic
 	names      names
 }
 
-// startSegment makes the segment's dispatcher. The first one of a scheduler begins anew rather than from the recorded state,
-// so that other settings hold from its start on.
+// startSegment creates the segment's dispatcher. If the segment is the first one of a dispatcher, that is created anew and not
+// from the recorded state, so that replaced settings have an effect from its start.
 func (p *player) startSegment(line Line) error {
 	settings, err := p.ops.Override(line.Settings)
 	if err != nil {
 		return err
 	}
-	// Captures of builds before messages between schedulers, and of schedulers that had them off, have none.
+	// Captures of builds without messages between schedulers, and of schedulers with them disabled, contain none.
 	settings.PeerMessages = settings.PeerMessages && line.PeerMessages
 	settings.PeerBudget = line.PeerBudget
 	seed, err := strconv.ParseUint(line.Seed, 16, 64)
@@ -75,25 +75,26 @@
 	}
 	wasPanic := len(recorded) > 0 && recorded[len(recorded)-1].isPanic()
 	if panicked || wasPanic {
-		p.dispatcher = nil // its state is of no use: the next segment is another dispatcher's
+		p.dispatcher = nil // its state is invalid; the next segment starts with a new dispatcher
 	}
 	p.compare(step[0].number, recorded, decided)
 }
 
-// run has the dispatcher step. What that does after a decision that differed may be more than it can take.
+// run calls the dispatcher's Step, and recovers from a panic: recorded events may be invalid after a decision that differs.
 func (p *player) run(now time.Duration, events []dispatch.Event) (actions []dispatch.Action, panicked bool) {
 	defer func() {
 		if recover() != nil {
-			actions, panicked = nil, true
+			actions = nil
+			panicked = true
 		}
 	}()
 	return p.dispatcher.Step(now, events, nil), false
 }
 
-// noDecision stands in for the decision on a subject that there was none on.
+// noDecision is the text for a subject without a decision.
 const noDecision = "nothing"
 
-// compare reports each decision on a subject that is not as recorded, in the order of the record.
+// compare reports each decision that differs from the recorded one on the same subject, in the order of the record.
 func (p *player) compare(firstLine int, recorded, decided []decision) {
 	remaining := map[string][]string{}
 	for _, now := range decided {
@@ -115,6 +116,7 @@
 	}
 }
 
+// report writes a line if two decisions on a subject differ.
 func (p *player) report(line int, subject, was, now string) {
 	if was == now {
 		return
--- a/internal/capture/reader.go
+++ b/internal/capture/reader.go
@@ -8,25 +8,26 @@
 	"io"
 )
 
-// reader reads a capture line by line and gives its segments and steps to a player.
+// reader reads a capture line by line and passes its segments and steps to a player.
 type reader struct {
 	player   player
 	warnings io.Writer
 
 	lineNumber   int
-	cut          *LineError     // the line before, if that is malformed
+	cut          *LineError     // the previous line, if it is malformed
 	step         []numberedLine // the lines of the step that is being read
 	hasSegment   bool
-	skippedSteps int // those without a dispatcher to take them
+	skippedSteps int // steps that were not replayed for lack of a dispatcher
 }
 
+// numberedLine is a line and its number, from 1.
 type numberedLine struct {
 	Line
 	number int
 }
 
-// read reads a whole capture. A malformed line that is the last one, or is followed by the start of a segment, was cut off;
-// any other is an error.
+// read reads a complete capture. A malformed line at the end, or before the start of a segment, is assumed to be cut off; any other
+// malformed line is an error.
 func (r *reader) read(from *bufio.Reader) error {
 	for ended := false; !ended; {
 		text, err := from.ReadBytes('\n')
@@ -60,14 +61,14 @@
 	if !isLine {
 		return nil
 	}
-	if err := r.take(line); err != nil {
+	if err := r.handle(line); err != nil {
 		return &LineError{r.lineNumber, err}
 	}
 	return nil
 }
 
-// readMalformed reads a line that is none. It may be one that was cut off by a failing disk or a kill, with the start of the
-// next segment glued to it.
+// readMalformed handles a malformed line. It may have been cut off by a failing disk or a kill, and continue with the first line
+// of the next segment.
 func (r *reader) readMalformed(text []byte, malformed *LineError) error {
 	if r.cut != nil {
 		return r.cut
@@ -81,7 +82,7 @@
 		offset += found
 		var line Line
 		if json.Unmarshal(text[offset:], &line) == nil && line.Input == inputStart {
-			if err := r.take(line); err != nil {
+			if err := r.handle(line); err != nil {
 				return &LineError{r.lineNumber, err}
 			}
 			return nil
@@ -90,16 +91,16 @@
 	}
 }
 
-// lineStart begins each line of a capture.
+// lineStart is the start of each line of a capture.
 var lineStart = []byte(`{"t":`)
 
-// logPrefix begins each line of a log in JSON; no line of a capture has such a field.
+// logPrefix is the start of each line of a log in JSON. Lines of a capture have no such field.
 var logPrefix = []byte(`{"time":`)
 
-// isCaptureLine tells lines of a capture from those of a log that it was written into.
+// isCaptureLine reports whether a line belongs to a capture, not to a log that the capture was written into.
 func isCaptureLine(text []byte) bool { return text[0] == '{' && !bytes.HasPrefix(text, logPrefix) }
 
-// skipCut warns of a line that was cut off, and of the step that it was of.
+// skipCut writes warnings about a line that was cut off and about its step, and discards both.
 func (r *reader) skipCut() {
 	if r.cut != nil {
 		r.warn("line %d is cut short and skipped: %v", r.cut.Line, r.cut.Err)
@@ -107,10 +108,11 @@
 	if len(r.step) > 0 {
 		r.warn("the step from line %d on is cut short and skipped", r.step[0].number)
 	}
-	r.cut, r.step = nil, nil
+	r.cut = nil
+	r.step = nil
 }
 
-// finish warns of what was skipped.
+// finish writes warnings about skipped parts, and returns ErrNoCapture if there was no segment.
 func (r *reader) finish() error {
 	r.skipCut()
 	if r.skippedSteps > 0 {
@@ -122,18 +124,20 @@
 	return nil
 }
 
+// warn writes a warning.
 func (r *reader) warn(format string, args ...any) {
 	fmt.Fprintf(r.warnings, "warning: "+format+"\n", args...)
 }
 
-func (r *reader) take(line Line) error {
+// handle handles a well-formed line.
+func (r *reader) handle(line Line) error {
 	kind := line.Input + line.Output
 	isStepLine := stepKinds[kind]
 	if line.Input != "" && line.Output != "" || !isStepLine && !otherKinds[kind] {
 		return fmt.Errorf("not a line of a capture: in %q, out %q", line.Input, line.Output)
 	}
 	if isStepLine {
-		return r.takeStepLine(line)
+		return r.addStepLine(line)
 	}
 	if kind != inputStart {
 		if len(r.step) > 0 {
@@ -152,14 +156,14 @@
 	return nil
 }
 
-// Errors of lines that lack what their kind has.
+// Errors of lines without a field that their kind requires.
 var (
 	errNoJob     = errors.New("a job without what arrived")
 	errNoMessage = errors.New("no message")
 )
 
-// takeStepLine adds a line to the step, and has a step that is complete played.
-func (r *reader) takeStepLine(line Line) error {
+// addStepLine adds a line to the current step, and replays the step if it is complete.
+func (r *reader) addStepLine(line Line) error {
 	if r.hasSegment {
 		if err := r.player.names.resolve(&line); err != nil {
 			return err
--- a/internal/capture/reader_cut_test.go
+++ b/internal/capture/reader_cut_test.go
@@ -9,8 +9,8 @@
 	"valvecove/internal/config"
 )
 
-// Wherever the capture of a process is cut, at any byte of its first steps, and whether the next process's capture stands in the next
-// line or is glued to the cut one: both replay without a false difference, and what is skipped is named.
+// A capture that is cut at any byte of its first steps, with the next process's capture on the next line or on the same one, is
+// replayed without a false difference, and warnings name the skipped parts.
 func TestReplayOfCutCaptureFollowedByAnother(t *testing.T) {
 	first, second := newScheduler(t, 1, config.Capture{MemoryKB: 512}), newScheduler(t, 2, config.Capture{MemoryKB: 512})
 	first.run(30)
--- a/internal/capture/recorder.go
+++ b/internal/capture/recorder.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// segmentRetryInterval is how long after a segment that could not be kept another one is opened.
+	// segmentRetryInterval is the time between the loss of a segment and the start of the next one.
 	segmentRetryInterval = 5 * time.Second
-	// maxKeptBuffer is the largest buffer of lines, in bytes, that is kept for the next ones.
+	// maxKeptBuffer is the maximum capacity in bytes of a buffer of lines that is reused.
 	maxKeptBuffer = 256 << 10
 	kilobyte      = 1 << 10
 )
 
-// Recorder writes a capture. It observes the request table and wraps its dispatchers, and is for the goroutine of the table
-// only.
+// Recorder writes a capture. It is an observer of the request table and wraps its dispatchers. It is used on the goroutine of the
+// table only.
 type Recorder struct {
-	// LookupEndpoint returns the endpoint of a worker's number. It is to be set before the first step; until then workers
-	// have no names.
+	// LookupEndpoint returns the endpoint of a worker's number. It must be set before the first step; until then workers are
+	// recorded without IDs.
 	LookupEndpoint func(worker uint64) requests.Endpoint
 
 	sink     sink
@@ -37,29 +37,30 @@
 	log      *slog.Logger
 	seed     uint64
 	settings jsoniter.RawMessage
-	disabled bool // by a panic of the recorder itself
+	disabled bool // after a panic of the recorder
 
-	dispatchers uint64              // since the start
-	current     *recordedDispatcher // the one that runs
+	dispatchers uint64              // number of dispatchers since the start of the process
+	current     *recordedDispatcher // the current one
 	callIDs     map[uint64]string   // of the open jobs
 	forgotten   []uint64            // jobs to remove from callIDs after the next step
-	keyWork     []*float64          // of the jobs of the step that is being recorded
-
-	namedWorkers map[uint64]bool // those that the segment has named
-	segmentLost  bool            // nothing more of the segment can be kept
-	inGap        bool            // the log tells of a loss, and not yet that the capture goes on
-	lostLines    uint64          // that were not handed to the sink, as their segment was lost
-	openedAt     time.Duration   // when a segment was last opened, or was lost
-	lines        []byte          // those to hand to the sink together
+	keyWork     []*float64          // estimates for the keys of the jobs of the current step; nil: unknown
+
+	namedWorkers map[uint64]bool // workers whose ID and number are in the segment
+	segmentLost  bool            // a part of the segment was lost, so the rest is not written
+	inGap        bool            // a loss was logged, and its end was not
+	lostLines    uint64          // lines that were not passed to the sink because their segment was lost
+	openedAt     time.Duration   // when a segment was last started or lost
+	lines        []byte          // lines that are passed to the sink together
 	limiter      floodLimiter
 }
 
-// New returns a recorder of the scheduler that starts with a configuration. now is the Unix time. An error means that the
+// New returns a recorder for a scheduler that is started with a configuration. now returns the Unix time. An error means that the
 // directory of the capture can't be used, or that the configuration has no valid settings.
 func New(capture config.Capture, start config.Config, now func() time.Duration, log *slog.Logger) (*Recorder, error) {
 	return newRecorder(filesystem.Disk, capture, start, now, log)
 }
 
+// newRecorder is New for any file system.
 func newRecorder(
 	disk filesystem.FileSystem, capture config.Capture, start config.Config, now func() time.Duration, log *slog.Logger,
 ) (*Recorder, error) {
@@ -81,7 +82,7 @@
 	return recorder, nil
 }
 
-// compactSettings puts settings on one line. Each number stays as it was written.
+// compactSettings returns JSON settings on one line. Numbers keep their text.
 func compactSettings(text []byte) (jsoniter.RawMessage, error) {
 	var tree any
 	if err := (jsoniter.Config{UseNumber: true, SortMapKeys: true}).Froze().Unmarshal(text, &tree); err != nil {
@@ -90,24 +91,24 @@
 	return json.Marshal(tree)
 }
 
-// Dump returns a copy of what is in memory; nil if the capture is in files.
+// Dump returns a copy of the capture in memory, or nil if the capture is in files.
 func (r *Recorder) Dump() []byte { return r.sink.dump() }
 
-// Lost counts the segments, or pieces of them, that could not be kept.
+// Lost returns the number of segments, or parts of them, that were lost.
 func (r *Recorder) Lost() uint64 { return r.sink.lost() }
 
-// LostLines counts the lines that were not even tried to be kept, as a part of their segment before them was lost.
+// LostLines returns the number of lines that were not written because an earlier part of their segment was lost.
 func (r *Recorder) LostLines() uint64 { return r.lostLines }
 
-// Close writes what still waits for a disk, and gives up after the timeout.
+// Close waits until all pending lines are on the disk, or until the timeout.
 func (r *Recorder) Close(timeout time.Duration) { r.sink.close(timeout) }
 
-// protect runs a part of the recorder. A panic of it disables the recorder, and is not taken for one of the dispatcher.
+// protect runs a function of the recorder. A panic of it disables the recorder, and does not reach the dispatcher's caller.
 func (r *Recorder) protect(record func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			r.disabled = true
-			r.log.Error("panic in the capture, which ends", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
+			r.log.Error("capture panic, recording stopped", "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
 		}
 	}()
 	if !r.disabled {
@@ -115,7 +116,7 @@
 	}
 }
 
-// openSegment begins a segment with the dispatcher's state.
+// openSegment starts a segment with the dispatcher's state.
 func (r *Recorder) openSegment(reason string) {
 	clear(r.namedWorkers)
 	r.openedAt = r.now()
@@ -131,29 +132,30 @@
 		line.Snapshot = r.current.Snapshot(nil)
 	}
 	r.write(stamped(r.now(), line))
-	if r.segmentLost = !r.sink.open(r.lines); r.segmentLost {
+	r.segmentLost = !r.sink.open(r.lines)
+	if r.segmentLost {
 		r.beginGap()
 	}
 	r.lines = r.lines[:0]
 }
 
-// beginGap tells once that something is lost.
+// beginGap logs the start of a gap, unless it was logged before.
 func (r *Recorder) beginGap() {
 	if !r.inGap {
 		r.inGap = true
-		r.log.Warn("the capture has a gap", "pieces_lost", r.Lost())
+		r.log.Warn("capture gap started", "pieces_lost", r.Lost())
 	}
 }
 
-// endGapIfKept tells that the capture goes on.
+// endGapIfKept logs the end of a gap once a segment is being stored again.
 func (r *Recorder) endGapIfKept() {
 	if r.inGap && !r.segmentLost && r.sink.kept() {
 		r.inGap = false
-		r.log.Info("the capture goes on", "pieces_lost", r.Lost(), "lines_lost", r.lostLines)
+		r.log.Info("capture gap ended", "pieces_lost", r.Lost(), "lines_lost", r.lostLines)
 	}
 }
 
-// openSegmentIfDue begins a segment where the one before is full, or was lost some time ago.
+// openSegmentIfDue starts a segment if the current one is full, or was lost segmentRetryInterval ago.
 func (r *Recorder) openSegmentIfDue(now time.Duration) {
 	r.endGapIfKept()
 	switch {
@@ -164,7 +166,7 @@
 	}
 }
 
-// write adds a line to those that are handed to the sink together.
+// write adds a line to those that flush passes to the sink.
 func (r *Recorder) write(line Line) {
 	text, err := json.Marshal(line)
 	if err != nil {
@@ -174,7 +176,7 @@
 	r.lines = append(r.lines, '\n')
 }
 
-// flush hands the lines to the sink.
+// flush passes the lines to the sink.
 func (r *Recorder) flush() {
 	if !r.segmentLost && len(r.lines) > 0 && !r.sink.add(r.lines) {
 		r.segmentLost = true
@@ -190,14 +192,14 @@
 	}
 }
 
-// stamped sets a line's time.
+// stamped returns a line with its time.
 func stamped(now time.Duration, line Line) Line {
 	line.Milliseconds = now.Milliseconds()
 	line.Nanoseconds = int64(now % time.Millisecond)
 	return line
 }
 
-// endpoint returns the endpoint of a worker; the zero one if it is not known.
+// endpoint returns the endpoint of a worker, or the zero Endpoint if it is unknown.
 func (r *Recorder) endpoint(worker uint64) requests.Endpoint {
 	if r.LookupEndpoint == nil {
 		return requests.Endpoint{}
@@ -205,7 +207,8 @@
 	return r.LookupEndpoint(worker)
 }
 
-// about names the worker of a line, with its number the first time in a segment and as long as it has no name.
+// about returns a line with the ID of its worker. The worker's number is added on the first such line of a segment, and if the ID
+// is unknown.
 func (r *Recorder) about(worker uint64, line Line) Line {
 	line.Worker = r.endpoint(worker).ID
 	if line.Worker == "" || !r.namedWorkers[worker] {
@@ -215,7 +218,7 @@
 	return line
 }
 
-// Wrap returns a dispatcher that records its steps. Its state is that of its start.
+// Wrap returns a policy that runs a new dispatcher and records its steps.
 func (r *Recorder) Wrap(dispatcher *dispatch.Dispatcher) requests.Policy {
 	if r.dispatchers == 0 {
 		return r.begin(dispatcher, reasonStart)
@@ -223,11 +226,12 @@
 	return r.begin(dispatcher, reasonRestart)
 }
 
-// Continue is Wrap for a dispatcher that goes on from the state of another process.
+// Continue is Wrap for a dispatcher that was restored from the state of another process.
 func (r *Recorder) Continue(dispatcher *dispatch.Dispatcher) requests.Policy {
 	return r.begin(dispatcher, reasonTakenOver)
 }
 
+// begin makes a dispatcher the current one, and starts a segment.
 func (r *Recorder) begin(dispatcher *dispatch.Dispatcher, reason string) requests.Policy {
 	r.dispatchers++
 	r.current = &recordedDispatcher{dispatcher, r}
--- a/internal/capture/replay.go
+++ b/internal/capture/replay.go
@@ -10,26 +10,27 @@
 	"valvecove/internal/filesystem"
 )
 
-// LineError reports a line that can't be replayed.
+// LineError is the error of a line that can't be replayed.
 type LineError struct {
-	Line int // from 1 on
+	Line int // number of the line, from 1
 	Err  error
 }
 
-func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
+// Error returns the line's number and the cause.
+func (l *LineError) Error() string { return fmt.Sprintf("line %d: %v", l.Line, l.Err) }
 
-// Unwrap returns what is wrong with the line.
-func (e *LineError) Unwrap() error { return e.Err }
+// Unwrap returns the cause.
+func (l *LineError) Unwrap() error { return l.Err }
 
-// ErrNoCapture reports a text without a segment.
+// ErrNoCapture is returned for a text without a segment.
 var ErrNoCapture = errors.New("no capture in it: no line opens a segment")
 
 // readBufferBytes is the size of the buffer through which a capture is read.
 const readBufferBytes = 1 << 16
 
-// Replay gives a capture's events to a dispatcher again, with the settings that the operators' file replaces. It writes a
-// line to output for each decision that differs from the recorded one, and goes on with the recorded events. It returns
-// how many decisions differ. What it skips is named in warnings. The error is a *LineError, ErrNoCapture or one of reading.
+// Replay replays the events of a capture on a dispatcher. ops may replace recorded settings. Replay writes a line to output for
+// each decision that differs from the recorded one, continues with the recorded events, and returns the number of differences. It
+// writes a line to warnings for each skipped part. The error is a *LineError, ErrNoCapture or an error of reading.
 func Replay(capture io.Reader, ops config.Ops, output, warnings io.Writer) (differences int, err error) {
 	reader := reader{player: player{ops: ops, output: output}, warnings: warnings}
 	err = reader.read(bufio.NewReaderSize(capture, readBufferBytes))
@@ -43,8 +44,8 @@
 	exitFailed    = 2
 )
 
-// ReplayCommand is `valvecove replay`. It returns the exit code: 0 if no decision differs, 1 if one does, 2 if the capture
-// could not be replayed.
+// ReplayCommand is the command `valvecove replay`. It returns the exit code: 0 if no decision differs, 1 if one does, 2 if the
+// capture could not be replayed.
 func ReplayCommand(path string, ops config.Ops, output, warnings io.Writer) int {
 	file, err := filesystem.Disk.OpenReader(path)
 	if err != nil {
--- a/internal/capture/replay_test.go
+++ b/internal/capture/replay_test.go
@@ -13,7 +13,7 @@
 	"valvecove/internal/requests"
 )
 
-// A process that goes on from the state of another one records that from its first step on, and it replays.
+// A process that is restored from the state of another one records from its first step on, and its capture can be replayed.
 func TestReplayAfterTakeOver(t *testing.T) {
 	for seed := range uint64(6) {
 		predecessor := newScheduler(t, seed, config.Capture{MemoryKB: 512})
--- a/internal/capture/ring.go
+++ b/internal/capture/ring.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// ringSegments is about how many segments a ring holds.
+// ringSegments is the approximate number of segments in a ring.
 const ringSegments = 4
 
-// ring keeps the latest segments in memory. It is bounded but for the last step.
+// ring is a sink that stores the latest segments in memory. Its size exceeds maxBytes by one step at most.
 type ring struct {
 	maxBytes     int
 	segments     [][]byte // oldest first
 	bytes        int      // of all segments
-	openingBytes int      // of the opening line of the last one
+	openingBytes int      // of the first line of the last segment
 	lostSegments uint64
 }
 
-// segmentBytes is when a segment is full: at a part of the ring, or of half a part after an opening line larger than that,
-// so that the ring does not consist of opening lines.
+// segmentBytes returns the size at which a segment is full: 1/ringSegments of the ring, but at least half of that more than its
+// first line, so that the ring does not consist of first lines only.
 func (r *ring) segmentBytes(openingBytes int) int {
 	return max(r.maxBytes/ringSegments, openingBytes+r.maxBytes/(2*ringSegments))
 }
 
-// open refuses an opening line of over half the ring.
+// open implements sink. A first line larger than half of the ring is lost.
 func (r *ring) open(line []byte) bool {
 	if len(line) > r.maxBytes/2 {
 		r.lostSegments++
@@ -37,6 +37,7 @@
 	return true
 }
 
+// add implements sink.
 func (r *ring) add(lines []byte) bool {
 	last := len(r.segments) - 1
 	r.segments[last] = append(r.segments[last], lines...)
@@ -45,7 +46,7 @@
 	return true
 }
 
-// trim removes the oldest segments while there are too many bytes, but for the last.
+// trim removes the oldest segments, except the last one, while the ring is too large.
 func (r *ring) trim() {
 	for r.bytes > r.maxBytes && len(r.segments) > 1 {
 		r.bytes -= len(r.segments[0])
@@ -53,12 +54,13 @@
 	}
 }
 
+// full implements sink.
 func (r *ring) full() bool {
 	last := r.segments[len(r.segments)-1]
 	return r.bytes > r.maxBytes || len(last) >= r.segmentBytes(r.openingBytes)
 }
 
-// dump is not nil, even if there is nothing in memory.
+// dump implements sink. The result is not nil, even if the ring is empty.
 func (r *ring) dump() []byte {
 	all := make([]byte, 0, r.bytes)
 	for _, segment := range r.segments {
--- a/internal/capture/ring_test.go
+++ b/internal/capture/ring_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// A state too large for the ring is counted and left out; the ring stays bounded, and what it has replays.
+// A state that is too large for the ring is counted as lost; the ring stays bounded, and its content can be replayed.
 func TestRingTooSmallForState(t *testing.T) {
 	for _, kb := range []int{1, 10} { // too little for any opening line; for that of a busy dispatcher
 		s := newScheduler(t, 1, config.Capture{MemoryKB: kb})
--- a/internal/capture/sink.go
+++ b/internal/capture/sink.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// sink keeps segments. What it is given is copied.
+// sink stores segments. It copies its arguments.
 type sink interface {
-	// open begins a segment with its opening line. It returns false if it can't now.
+	// open starts a segment with its first line. It returns false if the segment is lost.
 	open(line []byte) bool
-	// add adds lines to the segment. It returns false if they are lost, as is then all that follows in the segment.
+	// add adds lines to the segment. It returns false if they, and with them the rest of the segment, are lost.
 	add(lines []byte) bool
-	// kept tells whether the segment has begun to be kept: a disk may still fail with what it was given.
+	// kept reports whether the first line of the segment is stored. Later lines may still be lost.
 	kept() bool
-	// full tells whether it is time for another segment.
+	// full reports whether the next segment should be started.
 	full() bool
-	// dump returns a copy of what is in memory; nil if the sink keeps nothing there.
+	// dump returns a copy of all segments in memory, or nil if the sink stores none there.
 	dump() []byte
-	// lost counts what could not be kept.
+	// lost returns the number of segments, or parts of them, that were lost.
 	lost() uint64
-	// close writes what waits, and gives up after the timeout.
+	// close waits until all pending lines are stored, or until the timeout.
 	close(timeout time.Duration)
 }
--- a/internal/capture/step.go
+++ b/internal/capture/step.go
@@ -7,15 +7,15 @@
 	"valvecove/dispatch"
 )
 
-// recordedDispatcher is a dispatcher whose steps are recorded.
+// recordedDispatcher is a policy that records the steps of its dispatcher.
 type recordedDispatcher struct {
 	*dispatch.Dispatcher
 	recorder *Recorder
 }
 
-// Step has the dispatcher step, and records that. A step in which it panics is recorded too.
-func (d *recordedDispatcher) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
-	recorder := d.recorder
+// Step calls the dispatcher's Step and records it, also if it panics.
+func (r *recordedDispatcher) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
+	recorder := r.recorder
 	recorder.protect(func() { recorder.beforeStep(now, events) })
 	before := len(dst)
 	hasReturned := false
@@ -24,14 +24,14 @@
 			recorder.protect(func() { recorder.recordStep(now, events, nil, true) })
 		}
 	}()
-	dst = d.Dispatcher.Step(now, events, dst)
+	dst = r.Dispatcher.Step(now, events, dst)
 	hasReturned = true
 	recorder.protect(func() { recorder.recordStep(now, events, dst[before:], false) })
 	return dst
 }
 
-// beforeStep opens a segment if it is time to, and keeps what the dispatcher has learnt of the keys of new jobs, before the
-// step changes that.
+// beforeStep starts a segment if one is due, and stores the dispatcher's estimates for the keys of new jobs, which the step may
+// change.
 func (r *Recorder) beforeStep(now time.Duration, events []dispatch.Event) {
 	r.openSegmentIfDue(now)
 	r.keyWork = r.keyWork[:0]
@@ -48,7 +48,7 @@
 	}
 }
 
-// recordStep writes a step: the events that the dispatcher was given, and what it decided.
+// recordStep writes the events and the decisions of a step.
 func (r *Recorder) recordStep(now time.Duration, events []dispatch.Event, actions []dispatch.Action, panicked bool) {
 	lines := r.stepLines(events, actions)
 	if panicked {
@@ -73,7 +73,7 @@
 	r.forgotten = r.forgotten[:0]
 }
 
-// stepLines returns the lines of a step, without time and call ids.
+// stepLines returns the lines of a step, without time and call IDs.
 func (r *Recorder) stepLines(events []dispatch.Event, actions []dispatch.Action) []Line {
 	lines := make([]Line, 0, len(events)+len(actions))
 	keyWork := r.keyWork
@@ -124,6 +124,7 @@
 	panic(fmt.Sprintf("an event that is not known: %T", event))
 }
 
+// workerListLine returns the line of an endpoint list.
 func (r *Recorder) workerListLine(list dispatch.WorkerList) Line {
 	line := Line{Input: inputWorkerList, ListKind: list.Kind}
 	for _, worker := range list.Workers {
@@ -136,7 +137,7 @@
 	return line
 }
 
-// actionLine returns the line of a decision. Other actions, such as timers and log lines, have none.
+// actionLine returns the line of an action. The Output is empty for an action that is not recorded, such as a timer or a log line.
 func (r *Recorder) actionLine(action dispatch.Action) Line {
 	switch action := action.(type) {
 	case dispatch.Send:
