--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -1,7 +1,6 @@
-// Package metrics counts what becomes of jobs and attempts, and writes the counts in the two forms that are documented:
-// statsd or influx lines for a collector (Exporter), and the text of the operators' metrics call (Counters.AppendText).
-// Each count is kept once, in Counters. The package observes the request table and decides nothing. Tags are names from the
-// settings and the outcomes of the protocol, never what a client wrote.
+// Package metrics counts jobs and attempts by their outcome, and writes the counts in two forms: statsd or influx lines for a
+// collector (Exporter), and the text of the operators' metrics call (Counters.AppendText). Each count is stored once, in
+// Counters, which observes the request table. Tags are names from the settings and outcomes, never text of a client.
 package metrics
 
 import (
@@ -10,35 +9,35 @@
 	"valvecove/internal/requests"
 )
 
-// responseKinds is how many kinds of requests.Response there are.
+// responseKinds is the number of kinds of requests.Response.
 const responseKinds = int(requests.ResponseFailed) + 1
 
-// Counters are the counts from the start of the process on, by tenant and class. They are an observer of the request table,
-// and are used by the goroutine that owns it.
+// Counters contains the counts since the start of the process, by tenant and class. It is an observer of the request table, and
+// is used on the goroutine of that table.
 type Counters struct {
 	names           requests.NameTable
-	groups          []group // by tenant and then class; the last is of requests whose class has no name
+	groups          []group // by tenant and then class; the last one is for requests whose class has no name
 	attemptsWritten uint64  // attempts whose last byte was written
 	unreadable      uint64  // messages that could not be read as a request
 }
 
-// group holds the counts of one tenant and class.
+// group contains the counts of one tenant and class.
 type group struct {
-	active           bool // has had a request
+	active           bool // there was a request
 	openRequests     int
 	attemptsInFlight int
 	jobs             [len(requests.Outcomes)][responseKinds]uint64 // ended
 	attempts         [len(requests.Outcomes)]uint64                // ended
 }
 
-// NewCounters returns counters that are all 0, for the tenants and classes of a name table.
+// NewCounters returns counters for the tenants and classes of a name table.
 func NewCounters(names requests.NameTable) *Counters {
 	named := max(1, len(names.Tenants)) * len(names.Classes)
 	return &Counters{names: names, groups: make([]group, named+1)}
 }
 
-// Observe counts what a notification reports. A request rejected at admission for lack of capacity counts as a job with
-// the response "rejected"; what could not be read as a request counts as no job.
+// Observe implements requests.Observer. A request that was rejected at admission for lack of capacity is counted as a job with
+// requests.ResponseRejected. An unreadable request is not counted as a job.
 func (c *Counters) Observe(notification requests.Notification) {
 	request := notification.Request
 	switch notification.Kind {
@@ -67,7 +66,7 @@
 	}
 }
 
-// isRejectedJob reports whether a RequestRejected notification is about a readable request that found no capacity.
+// isRejectedJob reports whether a RequestRejected notification is about a readable request that was rejected for lack of capacity.
 func isRejectedJob(notification requests.Notification) bool {
 	return notification.Request != nil && notification.Status == 503
 }
@@ -75,7 +74,7 @@
 // group returns the counts of a request's tenant and class.
 func (c *Counters) group(request *requests.Request) *group { return &c.groups[c.groupIndex(request)] }
 
-// groupIndex returns the index of a request's group. A tenant without a name counts with the nearest that has one.
+// groupIndex returns the index of a request's group. The index of a tenant without a name is limited to the range of the names.
 func (c *Counters) groupIndex(request *requests.Request) int {
 	if request.Job.Class < 0 || request.Job.Class >= len(c.names.Classes) {
 		return len(c.groups) - 1
@@ -95,16 +94,18 @@
 	return tenant, c.names.Classes[index%len(c.names.Classes)]
 }
 
-// AttemptsWritten returns how many attempts were written whole.
+// AttemptsWritten returns the number of attempts whose last byte was written.
 func (c *Counters) AttemptsWritten() uint64 { return c.attemptsWritten }
 
+// outcomeIndex returns the index of an outcome in requests.Outcomes.
 func outcomeIndex(outcome requests.Outcome) int { return slices.Index(requests.Outcomes[:], outcome) }
 
+// countJob counts a job that has ended.
 func (g *group) countJob(outcome requests.Outcome, response requests.Response) {
 	g.jobs[outcomeIndex(outcome)][response]++
 }
 
-// jobsByOutcome returns how many jobs have ended with an outcome, whatever their response.
+// jobsByOutcome returns the number of jobs that have ended with an outcome, for all responses.
 func (g *group) jobsByOutcome(outcome int) (total uint64) {
 	for _, count := range g.jobs[outcome] {
 		total += count
@@ -112,7 +113,7 @@
 	return total
 }
 
-// jobsByResponse returns how many jobs have ended with a response, whatever their outcome.
+// jobsByResponse returns the number of jobs that have ended with a response, for all outcomes.
 func (g *group) jobsByResponse(response requests.Response) (total uint64) {
 	for outcome := range g.jobs {
 		total += g.jobs[outcome][response]
@@ -120,7 +121,7 @@
 	return total
 }
 
-// Responses returns how many jobs of a class, of all tenants, have ended with a response.
+// Responses returns the number of jobs of a class, of all tenants, that have ended with a response.
 func (c *Counters) Responses(response requests.Response, class int) (total uint64) {
 	for index := class; index < len(c.groups)-1; index += len(c.names.Classes) {
 		total += c.groups[index].jobsByResponse(response)
--- a/internal/metrics/exporter.go
+++ b/internal/metrics/exporter.go
@@ -8,14 +8,14 @@
 	"valvecove/internal/requests"
 )
 
-// Target takes batches of lines. Send must not block: what it can't take at once is an error. It may keep the batch until it
-// returns only.
+// Target sends batches of lines. Send must not block; it returns an error if it can't send the batch at once. It must not use the
+// batch after it has returned.
 type Target interface{ Send(batch []byte) error }
 
-// Exporter writes counters, gauges and timers as statsd or influx lines, and hands them to its targets in batches. It is an
-// observer of the request table, and is used by the goroutine that owns it.
+// Exporter writes counters, gauges and timers as statsd or influx lines, and sends them to its targets in batches. It is an
+// observer of the request table, and is used on the goroutine of that table.
 type Exporter struct {
-	// PeerCounts returns the figures of messages between schedulers; nil: there are none.
+	// PeerCounts returns the counts of messages between schedulers. If it is nil, none are exported.
 	PeerCounts func() PeerCounts
 
 	conf     config.Metrics
@@ -28,11 +28,11 @@
 
 	exportedUnreadable uint64
 	exportedPeers      PeerCounts
-	dropped            uint64 // lines for which there was no room, since the last Gather
-	sendErrors         uint64 // batches that a target did not take, since the last Gather
+	dropped            uint64 // lines dropped for lack of space since the last Gather
+	sendErrors         uint64 // batches that a target could not send since the last Gather
 }
 
-// exportedCounts are the counts of a group that were written already: a line has what was counted since.
+// exportedCounts contains the counts of a group at the last Gather. A line contains the difference since.
 type exportedCounts struct {
 	jobs, attempts [len(requests.Outcomes)]uint64
 }
@@ -49,7 +49,7 @@
 	}
 }
 
-// Interval is how often Gather and Send are to be called.
+// Interval returns the interval at which Gather and Send must be called.
 func (e *Exporter) Interval() time.Duration { return e.conf.FlushInterval }
 
 // Observe writes the timers of a request that has ended.
@@ -64,9 +64,10 @@
 	}
 }
 
+// addTimer writes a timer of a request.
 func (e *Exporter) addTimer(name string, request *requests.Request, duration time.Duration) {
 	milliseconds := float64(duration) / float64(time.Millisecond)
-	e.add(figure{
+	e.add(metric{
 		name:  name,
 		kind:  timer,
 		value: strconv.FormatFloat(milliseconds, 'f', 3, 64),
@@ -80,28 +81,29 @@
 	return []tag{{"tenant", tenant}, {"class", class}, {"outcome", string(outcome)}}
 }
 
-// add puts a line among those that wait to be sent.
-func (e *Exporter) add(line figure) {
+// add writes a metric as a line to the buffer.
+func (e *Exporter) add(written metric) {
 	if e.conf.Format == "influx" {
-		e.line = appendInflux(e.line[:0], line, e.now())
+		e.line = appendInflux(e.line[:0], written, e.now())
 	} else {
-		e.line = appendStatsd(e.line[:0], line)
+		e.line = appendStatsd(e.line[:0], written)
 	}
 	e.dropped += e.buffer.add(e.line)
 }
 
-// addCounter writes a counter unless nothing was counted.
+// addCounter writes a counter unless it is 0.
 func (e *Exporter) addCounter(name string, count uint64, tags []tag) {
 	if count > 0 {
-		e.add(figure{name: name, kind: counter, value: strconv.FormatUint(count, 10), tags: tags})
+		e.add(metric{name: name, kind: counter, value: strconv.FormatUint(count, 10), tags: tags})
 	}
 }
 
+// addGauge writes a gauge.
 func (e *Exporter) addGauge(name string, value int, tags []tag) {
-	e.add(figure{name: name, kind: gauge, value: strconv.Itoa(value), tags: tags})
+	e.add(metric{name: name, kind: gauge, value: strconv.Itoa(value), tags: tags})
 }
 
-// Gather writes what was counted since the last call, and the gauges as they are now.
+// Gather writes the counters since its last call, and the current gauges, to the buffer.
 func (e *Exporter) Gather() {
 	for index := range e.exported {
 		e.gatherCounts(index)
@@ -123,7 +125,7 @@
 	e.addOwnCounter("figures_send_errors", &e.sendErrors)
 }
 
-// gatherCounts writes what a group has counted since the last call.
+// gatherCounts writes the counters of a group since the last Gather.
 func (e *Exporter) gatherCounts(index int) {
 	group := &e.counters.groups[index]
 	exported := &e.exported[index]
@@ -141,15 +143,15 @@
 	}
 }
 
-// addOwnCounter writes a counter of the exporter's own and sets it to 0 first: writing the line may count again.
+// addOwnCounter writes a counter of the exporter itself. It resets the counter before, as writing the line may increment it.
 func (e *Exporter) addOwnCounter(name string, count *uint64) {
 	value := *count
 	*count = 0
 	e.addCounter(name, value, nil)
 }
 
-// Send hands at most maxBatches batches to the targets, and reports whether more lines wait. A batch that a target does
-// not take is counted, and is not sent there again.
+// Send sends at most maxBatches batches to the targets, and reports whether more lines are pending. A batch that a target can't
+// send is counted, and is not sent to it again.
 func (e *Exporter) Send(maxBatches int) (more bool) {
 	for range maxBatches {
 		if len(e.buffer.pending()) == 0 {
--- a/internal/metrics/line.go
+++ b/internal/metrics/line.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// figureKind is the kind of a figure.
-type figureKind int
+// metricKind is the kind of a metric.
+type metricKind int
 
-// Kinds of figures.
+// Kinds of metrics.
 const (
-	counter figureKind = iota // what was counted since the last line of that name and tags
-	gauge                     // a value as it is now
+	counter metricKind = iota // the difference since the last line with the same name and tags
+	gauge                     // the current value
 	timer                     // one duration, in milliseconds
 )
 
-// figure is one line to be written.
-type figure struct {
+// metric is the content of one line.
+type metric struct {
 	name  string
-	kind  figureKind
+	kind  metricKind
 	value string
 	tags  []tag
 }
 
-// tag is a name and a value. One with an empty value is not written.
+// tag is a name and a value. A tag with an empty value is not written.
 type tag struct{ name, value string }
 
-// lineNamePrefix begins the name of each figure.
+// lineNamePrefix is the prefix of each metric's name.
 const lineNamePrefix = "valvecove."
 
-// maxTagBytes is how much of a tag's value is written.
+// maxTagBytes is the maximum length of a tag's value. The rest is not written.
 const maxTagBytes = 128
 
-// statsdKinds are the marks of the kinds in statsd lines, and influxFields the names of the value in influx lines.
+// statsdKinds contains the symbols of the kinds in statsd lines, and influxFields the names of the value in influx lines.
 var (
 	statsdKinds  = [...]string{counter: "c", gauge: "g", timer: "ms"}
 	influxFields = [...]string{counter: "count", gauge: "value", timer: "ms"}
 )
 
-// appendStatsd appends a statsd line with its tags behind "|#". That form has no escapes: characters that have a meaning in
-// it, and those that are not visible, become underscores.
-func appendStatsd(dst []byte, line figure) []byte {
+// appendStatsd appends a statsd line, with its tags after "|#". The form has no escape sequences: reserved and invisible
+// characters are replaced by underscores.
+func appendStatsd(dst []byte, line metric) []byte {
 	dst = append(dst, lineNamePrefix...)
 	dst = append(dst, line.name...)
 	dst = append(dst, ':')
@@ -62,11 +62,12 @@
 	return append(dst, '\n')
 }
 
+// influxTagEscaper escapes reserved characters of tags in influx lines.
 var influxTagEscaper = strings.NewReplacer(",", `\,`, " ", `\ `, "=", `\=`)
 
-// appendInflux appends an influx line with a time in nanoseconds. Commas, spaces and equals signs are escaped in it. A
-// backslash becomes an underscore: at the end of a tag it would escape what follows.
-func appendInflux(dst []byte, line figure, now time.Duration) []byte {
+// appendInflux appends an influx line with a time in nanoseconds. Commas, spaces and equals signs are escaped. A backslash is
+// replaced by an underscore, as at the end of a tag it would escape the next character.
+func appendInflux(dst []byte, line metric, now time.Duration) []byte {
 	dst = append(dst, lineNamePrefix...)
 	dst = append(dst, line.name...)
 	for _, tag := range line.tags {
@@ -83,15 +84,14 @@
 	dst = append(dst, '=')
 	dst = append(dst, line.value...)
 	if line.kind != timer {
-		dst = append(dst, 'i') // a whole number
+		dst = append(dst, 'i') // integer
 	}
 	dst = append(dst, ' ')
 	dst = strconv.AppendInt(dst, int64(now), 10)
 	return append(dst, '\n')
 }
 
-// sanitise cuts text to maxTagBytes and replaces each character that is not visible, not valid or in reserved by an
-// underscore.
+// sanitise truncates text to maxTagBytes, and replaces each character that is invisible, invalid or in reserved by an underscore.
 func sanitise(text, reserved string) string {
 	return strings.Map(func(char rune) rune {
 		if char < ' ' || char == 0x7f || char == 0xfffd || strings.ContainsRune(reserved, char) {
--- a/internal/metrics/line_buffer.go
+++ b/internal/metrics/line_buffer.go
@@ -2,19 +2,19 @@
 
 import "bytes"
 
-// maxPendingBytes bounds the lines that wait to be sent.
+// maxPendingBytes is the maximum size of the pending lines.
 const maxPendingBytes = 256 << 10
 
-// lineBuffer holds whole lines, oldest first, in at most maxPendingBytes bytes but for a line that is longer by itself.
+// lineBuffer contains complete lines, oldest first, in at most maxPendingBytes bytes, except for a single line that is longer.
 type lineBuffer struct {
 	lines []byte
-	start int // where the oldest line begins; what stands before it was sent or dropped
+	start int // offset of the oldest pending line; earlier ones were sent or dropped
 }
 
-// pending returns the lines that were not taken yet.
+// pending returns the lines that were neither taken nor dropped.
 func (b *lineBuffer) pending() []byte { return b.lines[b.start:] }
 
-// add appends a line, and drops the oldest ones where there is no room for it. It returns how many were dropped.
+// add appends a line, and drops the oldest ones if the buffer is full. It returns the number of dropped lines.
 func (b *lineBuffer) add(line []byte) (dropped uint64) {
 	for len(b.pending())+len(line) > maxPendingBytes && len(b.pending()) > 0 {
 		b.start += bytes.IndexByte(b.pending(), '\n') + 1
@@ -29,8 +29,8 @@
 	return dropped
 }
 
-// take removes the oldest lines, as many as stay below maxBytes but one at least, and returns them. There must be a
-// pending line. What it returns holds until the next call of add.
+// take removes and returns the oldest lines: at least one, and as many as fit into maxBytes. There must be a pending line. The
+// result is valid until the next call of add.
 func (b *lineBuffer) take(maxBytes int) []byte {
 	pending := b.pending()
 	size := bytes.IndexByte(pending, '\n') + 1
@@ -45,7 +45,7 @@
 	return pending[:size]
 }
 
-// reset forgets an empty buffer's sent lines, and gives up the memory of a large one.
+// reset discards the sent lines of a buffer without pending ones, and releases the memory if it is large.
 func (b *lineBuffer) reset() {
 	b.lines = b.lines[:0]
 	b.start = 0
--- a/internal/metrics/peers.go
+++ b/internal/metrics/peers.go
@@ -2,31 +2,31 @@
 
 import "valvecove/dispatch"
 
-// PeerCounts are the figures of what schedulers tell each other. Datagrams and bytes count from the start of the process.
+// PeerCounts contains the counts of messages between schedulers. Datagrams and bytes are counted since the start of the process.
 type PeerCounts struct {
-	Enabled                 bool // else there are no figures
+	Enabled                 bool // false: no messages are exchanged, and all fields are 0
 	Sent, SentBytes         uint64
 	Received, ReceivedBytes uint64
 	Dropped                 [len(dropReasons)]uint64 // by reason
 	Leases                  dispatch.LeaseCounts
-	BudgetPercent           int // share that is spent of what messages may cost, in percent
+	BudgetPercent           int // used part of the budget for messages, in percent
 }
 
-// DropReason says why a datagram, or a message, was dropped.
+// DropReason is the reason for dropping a datagram or a message.
 type DropReason int
 
-// The reasons.
+// Reasons for dropping a datagram or a message.
 const (
-	DropMalformed     DropReason = iota // a header, checksum, version or content that is wrong
+	DropMalformed     DropReason = iota // invalid header, checksum, version or content
 	DropTooLong                         // over 256 bytes
-	DropUnknownSender                   // from an address that is no peer's
+	DropUnknownSender                   // from an address that is not a peer's
 	DropDuplicate                       // repeated, or too late
 	DropOutdated                        // from an earlier process
-	DropOverflow                        // messages of our own, as too many waited to be sent
-	DropUnsent                          // datagrams of our own that could not be sent
+	DropOverflow                        // messages that were not sent because too many were queued
+	DropUnsent                          // datagrams that could not be sent
 )
 
-// dropReasons are the names of the reasons.
+// dropReasons contains the names of the reasons.
 var dropReasons = [...]string{
 	DropMalformed:     "malformed",
 	DropTooLong:       "too_long",
@@ -42,32 +42,34 @@
 	if !counts.Enabled {
 		return dst
 	}
-	dst = appendFigure(dst, "peer_datagrams_sent", counts.Sent)
-	dst = appendFigure(dst, "peer_bytes_sent", counts.SentBytes)
-	dst = appendFigure(dst, "peer_datagrams_received", counts.Received)
-	dst = appendFigure(dst, "peer_bytes_received", counts.ReceivedBytes)
+	dst = appendLine(dst, "peer_datagrams_sent", counts.Sent)
+	dst = appendLine(dst, "peer_bytes_sent", counts.SentBytes)
+	dst = appendLine(dst, "peer_datagrams_received", counts.Received)
+	dst = appendLine(dst, "peer_bytes_received", counts.ReceivedBytes)
 	for reason, name := range dropReasons {
 		dst = append(dst, namePrefix...)
 		dst = append(dst, "peer_dropped."...)
 		dst = append(dst, name...)
 		dst = appendValue(dst, counts.Dropped[reason])
 	}
-	dst = appendFigure(dst, "peer_budget_percent", uint64(counts.BudgetPercent))
-	dst = appendFigure(dst, "leases_held", uint64(counts.Leases.Held))
-	dst = appendFigure(dst, "leases_granted", uint64(counts.Leases.Granted))
-	return appendFigure(dst, "lease_requests_waiting", uint64(counts.Leases.Waiting))
+	dst = appendLine(dst, "peer_budget_percent", uint64(counts.BudgetPercent))
+	dst = appendLine(dst, "leases_held", uint64(counts.Leases.Held))
+	dst = appendLine(dst, "leases_granted", uint64(counts.Leases.Granted))
+	return appendLine(dst, "lease_requests_waiting", uint64(counts.Leases.Waiting))
 }
 
-// gatherPeerCounts writes what was counted since the last call, and the gauges as they are now.
+// gatherPeerCounts writes the counters of messages between schedulers since the last Gather, and the current gauges.
 func (e *Exporter) gatherPeerCounts() {
 	if e.PeerCounts == nil {
 		return
 	}
-	counts, exported := e.PeerCounts(), &e.exportedPeers
+	counts := e.PeerCounts()
 	if !counts.Enabled {
 		return
 	}
-	sent, received := []tag{{"direction", "sent"}}, []tag{{"direction", "received"}}
+	exported := &e.exportedPeers
+	sent := []tag{{"direction", "sent"}}
+	received := []tag{{"direction", "received"}}
 	e.addCounter("peer_datagrams", counts.Sent-exported.Sent, sent)
 	e.addCounter("peer_datagrams", counts.Received-exported.Received, received)
 	e.addCounter("peer_bytes", counts.SentBytes-exported.SentBytes, sent)
--- a/internal/metrics/push/pusher.go
+++ b/internal/metrics/push/pusher.go
@@ -1,5 +1,5 @@
-// Package push sends metrics to their targets at the exporter's interval, on an event loop. It has the UDP socket to a
-// collector; what is sent is up to package metrics.
+// Package push sends metrics to their targets at the exporter's interval, on an event loop. It contains the
+// UDP socket to a collector. The content is that of package metrics.
 //
 // Everything in this package is used on the goroutine of the event loop.
 package push
@@ -9,7 +9,8 @@
 	"valvecove/internal/metrics"
 )
 
-// maxBatchesPerIteration bounds the batches that are sent in one iteration of the loop, so that connections are served too.
+// maxBatchesPerIteration is the maximum number of batches that are sent in one iteration of the loop, so that connections are not
+// delayed.
 const maxBatchesPerIteration = 16
 
 // Pusher gathers the metrics of an exporter and sends them, once per interval of the exporter.
@@ -25,6 +26,7 @@
 	return pusher
 }
 
+// schedule sets the timer for the next interval.
 func (p *Pusher) schedule() {
 	p.loop.After(p.exporter.Interval(), func() {
 		p.schedule()
@@ -40,7 +42,7 @@
 	}
 }
 
-// Flush gathers and sends all metrics at once. It is meant for the end of the process.
+// Flush gathers and sends all metrics at once. It is called at the end of the process.
 func (p *Pusher) Flush() {
 	p.exporter.Gather()
 	for p.exporter.Send(maxBatchesPerIteration) {
--- a/internal/status/entry.go
+++ b/internal/status/entry.go
@@ -8,14 +8,14 @@
 	"valvecove/internal/requests"
 )
 
-// State is how far a request has come.
+// State is the state of a request in the status call.
 type State string
 
-// The states.
+// States of a request.
 const (
-	StateWaiting State = "waiting" // no attempt is known to run
-	StateRunning State = "running" // an attempt runs
-	StateEnded   State = "ended"   // it has its outcome
+	StateWaiting State = "waiting" // no attempt is running, as far as is known
+	StateRunning State = "running" // an attempt is running
+	StateEnded   State = "ended"   // it has an outcome
 )
 
 // Report is the JSON of the status call.
@@ -25,21 +25,21 @@
 	Tenant  string           `json:"tenant,omitempty"`
 	State   State            `json:"state"`
 	Worker  string           `json:"worker,omitempty"`
-	Share   *float64         `json:"share,omitempty"` // of the work, 0 to 1; nil if no progress is known
+	Share   *float64         `json:"share,omitempty"` // progress of the work, from 0 to 1; nil: unknown
 	Outcome requests.Outcome `json:"outcome,omitempty"`
 }
 
-// entry is what is known of one request.
+// entry is the state of one request.
 type entry struct {
 	callID    string
-	requestID uint64 // 0 if it was rejected at admission
+	requestID uint64 // 0: it was rejected at admission
 	class     int
 	tenant    int
 	attempts  []attempt        // in flight, in the order of their start
-	worker    string           // of the last attempt that has ended, or was in flight when the request ended
+	worker    string           // endpoint ID of the last attempt that has ended, or was in flight when the request ended
 	outcome   requests.Outcome // empty while it is open
 	endedAt   time.Duration
-	element   *list.Element // of the table's list that the entry is in
+	element   *list.Element // of Table.open or Table.ended
 }
 
 // attempt is an attempt that is in flight.
@@ -47,27 +47,32 @@
 	number   int
 	worker   string
 	running  bool
-	progress *float64 // nil if none is known
+	progress *float64 // from 0 to 1; nil: unknown
 }
 
+// hasEnded reports whether the request has an outcome.
 func (e *entry) hasEnded() bool { return e.outcome != "" }
 
+// startAttempt adds an attempt in flight.
 func (e *entry) startAttempt(started *requests.Attempt) {
 	e.attempts = append(e.attempts, attempt{number: started.Number, worker: started.EndpointID})
 }
 
+// endAttempt removes an attempt.
 func (e *entry) endAttempt(ended *requests.Attempt) {
 	e.worker = ended.EndpointID
 	e.attempts = slices.DeleteFunc(e.attempts, func(known attempt) bool { return known.number == ended.Number })
 }
 
+// markRunning records that an attempt in flight is running.
 func (e *entry) markRunning(accepted *requests.Attempt) {
 	if known := e.attempt(accepted.Number); known != nil {
 		known.running = true
 	}
 }
 
-// applyCallback records a worker's callback on an attempt. One on an end changes nothing: AttemptEnded follows it.
+// applyCallback records a worker's callback about an attempt in flight. A callback about the end of the attempt changes nothing, as
+// AttemptEnded follows.
 func (e *entry) applyCallback(reported *requests.Attempt, callback *requests.Callback) {
 	known := e.attempt(reported.Number)
 	if known == nil {
@@ -83,7 +88,7 @@
 	}
 }
 
-// attempt returns the attempt of a number, or nil if it is not in flight.
+// attempt returns the attempt with a number, or nil if it is not in flight.
 func (e *entry) attempt(number int) *attempt {
 	for i := range e.attempts {
 		if e.attempts[i].number == number {
@@ -93,7 +98,7 @@
 	return nil
 }
 
-// end records the outcome. Attempts that are still in flight are not shown any more.
+// end records the outcome. Attempts that are still in flight are removed.
 func (e *entry) end(outcome requests.Outcome, now time.Duration) {
 	if len(e.attempts) > 0 {
 		e.worker = e.mostAdvanced().worker
@@ -103,7 +108,7 @@
 	e.endedAt = now
 }
 
-// mostAdvanced returns the running attempt that has come furthest, or the last attempt if none runs. There must be an
+// mostAdvanced returns the running attempt with the most progress, or the last attempt if none is running. There must be an
 // attempt in flight.
 func (e *entry) mostAdvanced() *attempt {
 	best := &e.attempts[len(e.attempts)-1]
@@ -116,7 +121,7 @@
 	return best
 }
 
-// progressOrUnknown returns the progress, or a value below any progress if none is known.
+// progressOrUnknown returns the progress, or a negative value if it is unknown.
 func (a *attempt) progressOrUnknown() float64 {
 	if a.progress == nil {
 		return -1
@@ -124,7 +129,7 @@
 	return *a.progress
 }
 
-// report returns what the status call tells of the request.
+// report returns the response of the status call.
 func (e *entry) report(names requests.NameTable) Report {
 	report := Report{ID: e.callID, State: StateWaiting, Outcome: e.outcome}
 	if e.class < len(names.Classes) {
--- a/internal/status/model_test.go
+++ b/internal/status/model_test.go
@@ -12,16 +12,16 @@
 	"valvecove/internal/requests"
 )
 
-// modelRetention is how long ended entries are kept in the model test.
+// modelRetention is the retention time of ended entries in the model test.
 const modelRetention = 20 * time.Second
 
-// tableModel is a status table, and what is expected of it.
+// tableModel is a status table with its expected entries.
 type tableModel struct {
 	*fixture
 	jobs map[string]*modelJob // by id
 }
 
-// modelJob is what the status table should say of one job.
+// modelJob is the expected entry of one job.
 type modelJob struct {
 	request      *requests.Request
 	open         bool
@@ -31,10 +31,10 @@
 	endedAt      time.Duration
 }
 
-// outcomesByCallback are the outcomes of attempts by the callback that ends them.
+// outcomesByCallback contains the outcomes of attempts by the callback that ends them.
 var outcomesByCallback = map[string]string{"done": "served", "failed": "error", "returned": "turned away", "lost": "reset"}
 
-// step takes one random step.
+// step executes one random step.
 func (m *tableModel) step() {
 	m.Now += time.Duration(m.Pick(100)) * 10 * time.Millisecond
 	id := strconv.Itoa(m.Pick(8))
@@ -85,7 +85,7 @@
 	}
 }
 
-// endAttempt expects what the end of an attempt makes of its job.
+// endAttempt updates the expectation by the end of an attempt.
 func (j *modelJob) endAttempt(callback string, now time.Duration) {
 	if !j.open {
 		return
@@ -99,7 +99,7 @@
 	}
 }
 
-// giveUp expects what the policy's last word makes of a job.
+// giveUp updates the expectation by a rejection or a failure.
 func (j *modelJob) giveUp(now time.Duration) {
 	switch {
 	case !j.open || j.disconnected:
@@ -131,7 +131,7 @@
 	j.endedAt = now
 }
 
-// expected returns the state of a job, and the progress that is shown of it, if any.
+// expected returns the state of a job, and its progress in the report, if any.
 func (j *modelJob) expected() (state State, progress string) {
 	if !j.open {
 		return StateEnded, ""
@@ -171,8 +171,8 @@
 	}
 }
 
-// A job is waiting until its worker notifies that it runs, and again once that attempt has ended without a result; it ends
-// once, by the outcome that says most of whether it was executed.
+// A job is waiting until its worker reports that it is running, and again after that attempt has ended without a result. It ends
+// once, with the outcome of the attempt that was possibly executed, if there is one.
 func FuzzTable(f *testing.F) {
 	modeltest.Fuzz(f, func(steps *modeltest.Steps) {
 		conf := config.Status{Retention: modelRetention, MaxEntries: 1000}
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -21,7 +21,7 @@
 	status *Table
 }
 
-// failingLog is a log in which nothing may come.
+// failingLog is a log that fails the test on any message.
 type failingLog struct{ *modeltest.Steps }
 
 func (f failingLog) Write(line []byte) (int, error) {
@@ -46,8 +46,8 @@
 	return report, ok
 }
 
-// Where all entries are open the oldest makes room, else the one that ended first; notifications of a request whose entry
-// was dropped, or is a later request's, change nothing.
+// If the table is full, the entry that ended first is dropped, or the oldest one if all are open. Notifications of a request
+// whose entry was dropped or replaced change nothing.
 func TestFullTable(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t}, config.Status{Retention: time.Minute, MaxEntries: 3})
 	checkKnown := func(want string) {
@@ -77,8 +77,8 @@
 	checkKnown("a:endedturned away d:waiting e:waiting ")
 }
 
-// An id that comes again after its request has ended is a new entry; the attempt of the earlier request that is still in
-// flight says nothing of it.
+// A call ID that is reused after its request has ended has a new entry, which an attempt of the earlier request that is still in
+// flight does not change.
 func TestReusedID(t *testing.T) {
 	f := newFixture(&modeltest.Steps{T: t}, config.Status{Retention: time.Minute, MaxEntries: 3})
 	first := f.Admit("a", 0, 0)
--- a/internal/status/table.go
+++ b/internal/status/table.go
@@ -1,6 +1,6 @@
-// Package status is the table behind the status call: what became of each request, by the id that its client gave it. It
-// observes the request table and decides nothing. It is bounded in entries and in the time for which it keeps them; it
-// holds no payload and no result.
+// Package status implements the status call: the state and the outcome of each request, by the call ID that its client has
+// assigned. Its Table observes the request table. The number of entries and their retention after the end of the request are
+// bounded. Payloads and results are not stored.
 package status
 
 import (
@@ -15,22 +15,22 @@
 	"valvecove/internal/requests"
 )
 
-// Path is the path of the status call. The client's id for the request follows it.
+// Path is the path of the status call. The call ID follows it.
 const Path = "/status/"
 
-// Table holds an entry for each open request and for each that ended lately. It is an observer of the request table, and is
-// used by the goroutine that owns it.
+// Table contains an entry for each open request, and for each request that has ended within the retention time. It is an observer
+// of the request table, and is used on the goroutine of that table.
 type Table struct {
 	conf               config.Status
 	names              requests.NameTable
 	startNotifications bool
 	now                func() time.Duration
-	entries            map[string]*entry // by the client's id
-	open, ended        list.List         // of *entry, oldest first: by admission, and by end
+	entries            map[string]*entry // by call ID
+	open, ended        list.List         // of *entry, in order of admission, and of the end
 }
 
-// New returns an empty table. startNotifications says whether workers notify of the start of a job. Where they don't, a job
-// counts as running once its worker has accepted it.
+// New returns an empty table. startNotifications is whether workers send a callback at the start of a job. Otherwise a job is
+// assumed to run once its worker has accepted it. now returns the current time.
 func New(conf config.Status, names requests.NameTable, startNotifications bool, now func() time.Duration) *Table {
 	return &Table{
 		conf:               conf,
@@ -41,7 +41,7 @@
 	}
 }
 
-// Observe records what a notification reports.
+// Observe implements requests.Observer.
 func (t *Table) Observe(notification requests.Notification) {
 	switch notification.Kind {
 	case requests.RequestAdmitted:
@@ -57,8 +57,8 @@
 	}
 }
 
-// addRejected records a request that was rejected at admission for lack of capacity. One with the id of a known request
-// changes nothing of that one's entry.
+// addRejected records a request that was rejected at admission for lack of capacity. If there is an
+// entry with the same call ID, that is not changed.
 func (t *Table) addRejected(notification requests.Notification) {
 	request := notification.Request
 	if request != nil && notification.Status == 503 && t.entries[request.CallID] == nil {
@@ -66,8 +66,8 @@
 	}
 }
 
-// update records what happened to an open request. It does nothing if the request's entry was dropped, replaced by a later
-// request's, or ended.
+// update updates the entry of an open request by a notification. It does nothing if the entry was dropped, has ended, or was
+// replaced by that of a later request with the same call ID.
 func (t *Table) update(request *requests.Request, notification requests.Notification) {
 	found := t.entries[request.CallID]
 	if found == nil || found.requestID != request.ID || found.hasEnded() {
@@ -89,8 +89,8 @@
 	}
 }
 
-// add makes an entry for a request, in place of one for an earlier request with the same id. Where there is no room the
-// entry that ended first is dropped, or else the oldest open one.
+// add adds an entry for a request, and drops that of an earlier request with the same call ID. If the table is full, it drops the
+// entry that ended first, or the oldest open one if none has ended.
 func (t *Table) add(request *requests.Request) *entry {
 	t.drop(t.entries[request.CallID])
 	t.expire()
@@ -112,6 +112,7 @@
 	return added
 }
 
+// end records the outcome of an entry.
 func (t *Table) end(ending *entry, outcome requests.Outcome) {
 	t.open.Remove(ending.element)
 	ending.end(outcome, t.now())
@@ -132,7 +133,7 @@
 	}
 }
 
-// expire drops the entries that have been kept for long enough since their end.
+// expire drops the entries that ended at least the retention time ago.
 func (t *Table) expire() {
 	for oldest := t.ended.Front(); oldest != nil; oldest = t.ended.Front() {
 		ended := oldest.Value.(*entry)
@@ -143,8 +144,8 @@
 	}
 }
 
-// Find returns what is known of a request as a line of JSON. target is the client's id, plain or percent-encoded, and may
-// have a query string, which is ignored. It returns false if nothing is known.
+// Find returns the Report of a request as a line of JSON. target is the call ID, plain or percent-encoded. A query string after
+// it is ignored. ok is false if there is no entry.
 func (t *Table) Find(target string) (body []byte, ok bool) {
 	t.expire()
 	callID, _, _ := strings.Cut(target, "?")
