--- a/dispatch/purity_test.go
+++ b/dispatch/purity_test.go
@@ -51,7 +51,7 @@
 func TestImpuritiesAreFound(t *testing.T) {
 	for source, want := range map[string]string{
 		`import "os"; var _ = os.Args`:                              "imports os",
-		`import "valvecove/internal/link"; var _ link.Loop`:         "imports valvecove/internal/link",
+		`import "valvecove/internal/scheduler"; var _ scheduler.Scheduler`:         "imports valvecove/internal/scheduler",
 		`import "time"; var _ = time.Now()`:                         "uses time.Now",
 		`import "time"; var since = time.Since`:                     "uses time.Since",
 		`import clock "time"; var _ = clock.Now()`:                  "imports time under another name",
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -72,7 +72,7 @@
 	if _, err := toml.DecodeFile(filepath.Join(root, "deploy/balancer.toml"), &deploy); err != nil {
 		t.Fatal(err)
 	}
-	if !slices.Contains(deploy.Node, "internal/clock") || !slices.Contains(deploy.Node, "internal/link") {
+	if !slices.Contains(deploy.Node, "internal/clock") || !slices.Contains(deploy.Node, "internal/scheduler") {
 		t.Fatalf("packages of the scheduler: %q", deploy.Node)
 	}
 	files := 0
--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -13,5 +13,5 @@
 // cordoned workers, which outlives the processes (CordonStore).
 //
 // It opens no socket, reads no clock, touches no other file, and never changes the request table. The event loop that carries
-// the frames and restores the connections is in package link. Types are not safe for concurrent use unless they say so.
+// the frames and restores the connections is in package transport. Types are not safe for concurrent use unless they say so.
 package hotrestart
--- a/internal/link/client_presence_test.go
+++ b/internal/scheduler/client_presence_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"fmt"
@@ -55,7 +55,7 @@
 		passPoint()
 		return now
 	}
-	w.loop.Syscalls().Interceptor = func(call eventloop.Call, _ int) eventloop.Injection {
+	w.scheduler.Syscalls().Interceptor = func(call eventloop.Call, _ int) eventloop.Injection {
 		passPoint()
 		if call == eventloop.CallWrite && write == 0 {
 			write = points
@@ -82,7 +82,7 @@
 	w.runIterations()
 	links := w.delayConnections()
 	w.policy.Next = append(w.policy.Next, dispatch.Send{Job: job, Worker: w.workerNumber()})
-	w.loop.Requests.Wake()
+	w.scheduler.Requests.Wake()
 	if !isUp {
 		w.runIterations()
 		(*links)[0].release()
@@ -128,7 +128,7 @@
 				t.Errorf("an attempt began %v after the close", since)
 			}
 		}
-		if open := w.loop.Requests.OpenCount(); open != 0 {
+		if open := w.scheduler.Requests.OpenCount(); open != 0 {
 			t.Errorf("%d requests are open", open)
 		}
 	}
--- a/internal/link/clients_test.go
+++ b/internal/scheduler/clients_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"net/netip"
@@ -22,7 +22,7 @@
 	w := newHarness(&modeltest.Steps{T: t})
 	connect := func(text string) *peer {
 		p, fd := w.socketPair()
-		w.loop.clients.AddConnection(fd, netip.AddrPort{})
+		w.scheduler.clients.AddConnection(fd, netip.AddrPort{})
 		p.write([]byte(text))
 		w.runIterations()
 		return p
@@ -39,32 +39,32 @@
 	resting := connect(upRequest)
 	answered(resting, 200, false)
 	early := connect(requestOfSize(1, 5))
-	w.loop.Drain()
+	w.scheduler.Drain()
 	w.now += time.Second
 	w.runIterations()
 	resting.write([]byte(requestOfSize(2, 5)))
 	w.runIterations()
 	w.policy.Next = append(w.policy.Next, dispatch.Reject{Job: 2, RetryAfter: time.Second})
-	w.loop.Requests.DiscoveryFailed()
+	w.scheduler.Requests.DiscoveryFailed()
 	w.runIterations()
 	answered(resting, 503, false)
 	answered(connect(upRequest), 503, false)
 	late := connect(requestOfSize(3, 5))
-	w.loop.Close()
+	w.scheduler.Close()
 	w.runIterations()
-	if resting.read(1); !resting.ended || w.loop.IsQuiet() {
-		t.Errorf("resting connection ended %v, quiet %v", resting.ended, w.loop.IsQuiet())
+	if resting.read(1); !resting.ended || w.scheduler.IsQuiet() {
+		t.Errorf("resting connection ended %v, quiet %v", resting.ended, w.scheduler.IsQuiet())
 	}
 	answered(connect(requestOfSize(4, 5)), 503, true)
-	w.loop.FinishRequestsSince(time.Second / 2)
+	w.scheduler.FinishRequestsSince(time.Second / 2)
 	w.runIterations()
 	answered(late, 503, true)
-	if early.read(1); len(early.received) > 0 || w.loop.IsQuiet() {
-		t.Errorf("an early request got %q, quiet %v", early.received, w.loop.IsQuiet())
+	if early.read(1); len(early.received) > 0 || w.scheduler.IsQuiet() {
+		t.Errorf("an early request got %q, quiet %v", early.received, w.scheduler.IsQuiet())
 	}
-	w.loop.FinishRequestsSince(2 * time.Second)
+	w.scheduler.FinishRequestsSince(2 * time.Second)
 	w.runIterations()
-	if answered(early, 503, true); !w.loop.IsQuiet() {
+	if answered(early, 503, true); !w.scheduler.IsQuiet() {
 		t.Error("not quiet once all is answered")
 	}
 }
@@ -73,20 +73,20 @@
 func TestUpOnlyOnceNothingAwaitsTheFirstEndpointList(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
 	p, fd := w.socketPair()
-	w.loop.clients.AddConnection(fd, netip.AddrPort{})
+	w.scheduler.clients.AddConnection(fd, netip.AddrPort{})
 	up := func(status, unready string) {
 		t.Helper()
 		p.received = nil
 		p.write([]byte(upRequest))
 		w.runIterations()
-		if p.read(4096); !strings.HasPrefix(string(p.received), "HTTP/1.1 "+status) || w.loop.notReadyReason() != unready {
-			t.Errorf("%q, unready %q, expected %s, %q", p.received, w.loop.notReadyReason(), status, unready)
+		if p.read(4096); !strings.HasPrefix(string(p.received), "HTTP/1.1 "+status) || w.scheduler.notReadyReason() != unready {
+			t.Errorf("%q, unready %q, expected %s, %q", p.received, w.scheduler.notReadyReason(), status, unready)
 		}
 	}
 	up("200", "")
-	w.loop.Requests.AwaitEndpoints(w.loop.Now() + time.Hour)
+	w.scheduler.Requests.AwaitEndpoints(w.scheduler.Now() + time.Hour)
 	up("503", "no word from discovery yet")
-	w.loop.Requests.DiscoveryFailed()
+	w.scheduler.Requests.DiscoveryFailed()
 	up("200", "")
 }
 
@@ -106,7 +106,7 @@
 
 // leaveWhileAttemptIs has a client leave while the attempt of its request is connecting, partly written or accepted.
 func (w *harness) leaveWhileAttemptIs(stage string, size int, leave func(*peer)) {
-	w.loop.Requests.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
+	w.scheduler.Requests.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
 		{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
 		{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"},
 	}})
@@ -116,7 +116,7 @@
 	w.runUntilQuiet()
 	workers := w.policy.Received[1].(dispatch.WorkerList).Workers
 	w.policy.Next = append(w.policy.Next, dispatch.Send{Job: 1, Worker: workers[0].ID})
-	w.loop.Requests.Wake()
+	w.scheduler.Requests.Wake()
 	w.runOnce()
 	if len(w.dialed) != 1 {
 		w.T.Fatal("not sent")
@@ -131,7 +131,7 @@
 	}
 	leave(p)
 	w.policy.Next = append(w.policy.Next, dispatch.Send{Job: 1, Worker: workers[1].ID})
-	w.loop.Requests.Wake()
+	w.scheduler.Requests.Wake()
 	w.runUntilQuiet()
 	far.read(1 << 20)
 	var m http1.Request
--- /dev/null
+++ b/internal/scheduler/connections.go
@@ -0,0 +1,135 @@
+package scheduler
+
+import (
+	"net/netip"
+	"time"
+
+	"valvecove/dispatch"
+	"valvecove/internal/client"
+	"valvecove/internal/config"
+	"valvecove/internal/discovery"
+	"valvecove/internal/discovery/watch"
+	"valvecove/internal/gossip/socket"
+	"valvecove/internal/limits"
+	"valvecove/internal/metrics"
+	"valvecove/internal/requests"
+	"valvecove/internal/worker"
+)
+
+// openBudget makes the budget of descriptors and memory. The worker pool and the client listener follow its changes.
+func (s *Scheduler) openBudget(processLimits config.Limits, featureDescriptors int) {
+	s.budget = limits.NewBudget(processLimits, featureDescriptors)
+	s.budget.OnChange(func(shares limits.Shares) {
+		s.workers.SetMaxConnections(shares.WorkerConnections)
+		s.clients.SetLimits(clientLimitsOf(shares))
+		if s.onShareLimits != nil {
+			s.onShareLimits(s.budget.IsHalved())
+		}
+	})
+}
+
+// clientLimitsOf returns the limits of the client listener.
+func clientLimitsOf(shares limits.Shares) client.Limits {
+	return client.Limits{Connections: shares.ClientConnections, Requests: shares.OpenRequests, BufferBytes: shares.BufferBytes}
+}
+
+// openClientListener makes the client listener, without a socket.
+func (s *Scheduler) openClientListener(limits client.Limits, settings *dispatch.Settings, names requests.NameTable) {
+	s.settings = settings
+	config := client.Config{
+		Loop:          s.Loop,
+		Table:         s.Requests,
+		Log:           s.log,
+		ConnectionLog: s.connectionLog,
+		Settings:      settings,
+		Names:         names,
+		Limits:        limits,
+	}
+	if s.addressLists != nil {
+		config.AccessLists = s.addressLists
+	}
+	s.clients = client.NewListener(config)
+}
+
+// openWorkerPool makes the pool of connections to workers, without a connection. The request table is set later.
+func (s *Scheduler) openWorkerPool(maxConnections int, connectTimeout, workerIdleTimeout time.Duration) {
+	s.workers = worker.New(worker.Config{
+		Loop:              s.Loop,
+		Dial:              func(address netip.AddrPort) (descriptor int, err error) { return s.dial(address) },
+		WriteDelay:        client.AttemptHold,
+		HasRelinquished:   s.hasRelinquished,
+		MaxConnections:    maxConnections,
+		ConnectTimeout:    connectTimeout,
+		WorkerIdleTimeout: workerIdleTimeout,
+	})
+}
+
+// prepareWatch makes the watch on the endpoint list, without a connection. random returns a random number in [0, n).
+func (s *Scheduler) prepareWatch(conf config.Config, random func(n int64) int64) {
+	s.watch = watch.New(s.Loop, watch.Config{
+		Server: conf.Discovery,
+		Discovery: discovery.Config{
+			PollInterval: conf.Settings.PollInterval,
+			Pushed:       !conf.Settings.MustSubscribe,
+			Schedulers:   conf.Settings.Replicas,
+		},
+		Random: random,
+		Table:  s.Requests,
+		Log:    s.log,
+		Dial:   func(address netip.AddrPort) (descriptor int, err error) { return s.dial(address) },
+	})
+}
+
+// startWatch plans the first connection of the watch. Requests wait for its first list for a moment if many schedulers may have
+// started with an old one. hasList reports that the configuration has a list.
+func (s *Scheduler) startWatch(hasList bool) {
+	s.watch.Start(hasList)
+	if wait := s.watch.InitialWait(); wait > 0 && s.Requests.HasReadyWorker() {
+		s.Requests.AwaitEndpoints(s.Now() + wait)
+	}
+}
+
+// workerTransport is how the request table reaches workers and discovery.
+type workerTransport struct {
+	*worker.Pool
+	scheduler *Scheduler
+}
+
+// Watch watches the endpoint list from now on. A connection that is planned or open is kept.
+func (t workerTransport) Watch(int64) { t.scheduler.watch.Restart() }
+
+// preparePeerSocket makes the socket for messages between schedulers if the settings allow any. openPeerSocket opens it.
+func (s *Scheduler) preparePeerSocket(conf config.Config) {
+	if !conf.Settings.PeerMessages {
+		return
+	}
+	s.peers = socket.New(s.Loop, socket.Config{
+		Listen:          conf.PeerListen,
+		Peers:           conf.Peers,
+		Self:            conf.Settings.ReplicaIndex,
+		Count:           conf.Settings.Replicas,
+		Receiver:        s.Requests,
+		HasRelinquished: s.hasRelinquished,
+		Log:             s.log,
+		LeaseCounts:     s.leaseCounts,
+		BudgetSpent:     conf.Settings.BudgetSpent,
+	})
+	s.Requests.TellPeer = s.peers.Queue
+}
+
+// openPeerSocket opens the socket for messages between schedulers, unless this process is in standby: a successor opens it once
+// its predecessor has closed its own.
+func (s *Scheduler) openPeerSocket() {
+	if s.peers != nil && !s.restart.IsStandby() {
+		s.peers.Open()
+	}
+}
+
+// peerCounts returns the figures of messages between schedulers, which are zero if there are none. attemptsWritten is the number of
+// attempts that were written to workers.
+func (s *Scheduler) peerCounts(attemptsWritten uint64) metrics.PeerCounts {
+	if s.peers == nil {
+		return metrics.PeerCounts{}
+	}
+	return s.peers.Counts(attemptsWritten)
+}
--- a/internal/link/cordon_store_test.go
+++ b/internal/scheduler/cordon_store_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"path/filepath"
@@ -14,9 +14,9 @@
 
 // keepCordonsOn has the cordoned workers kept on a disk of the test.
 func (w *harness) keepCordonsOn(disk *filesystemtest.Disk, stateDir string) {
-	w.loop.files = disk
-	w.cordonStore = w.loop.newCordonStore(stateDir)
-	w.loop.prepareCordons(stateDir, w.cordonStore)
+	w.scheduler.files = disk
+	w.cordonStore = w.scheduler.newCordonStore(stateDir)
+	w.scheduler.prepareCordons(stateDir, w.cordonStore)
 }
 
 // storeCordons moves the clock on and runs the loop until what is cordoned is stored.
@@ -26,10 +26,10 @@
 			w.T.Fatal("never stored")
 		}
 		if w.cordonStore.IsWriting() {
-			_ = w.loop.RunOnce(1000) // the goroutine of the store wakes the loop
+			_ = w.scheduler.RunOnce(1000) // the goroutine of the store wakes the loop
 		} else {
 			w.now += 5 * time.Second
-			_ = w.loop.RunOnce(0)
+			_ = w.scheduler.RunOnce(0)
 		}
 	}
 }
@@ -42,9 +42,9 @@
 	disk.SetFault(filesystemtest.FailAll(syscall.EIO, filesystemtest.Sync))
 	predecessor.keepCordonsOn(disk, dir)
 	status := 0
-	predecessor.loop.cordons.Set("s-0", true, func(got int, _ string) { status = got })
+	predecessor.scheduler.cordons.Set("s-0", true, func(got int, _ string) { status = got })
 	for status == 0 {
-		_ = predecessor.loop.RunOnce(1000)
+		_ = predecessor.scheduler.RunOnce(1000)
 	}
 	if status != 503 {
 		t.Errorf("answered %d", status)
@@ -93,7 +93,7 @@
 	successor := startSuccessor()
 	predecessor.runIterations()
 	successor.runIterations()
-	predecessor.loop.restart.Close()
+	predecessor.scheduler.restart.Close()
 	predecessor.runIterations()
 	successor.runIterations()
 	checkStoredBy(t, successor, disk, dir)
--- a/internal/link/descriptors_test.go
+++ b/internal/scheduler/descriptors_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"errors"
@@ -16,14 +16,14 @@
 func TestDescriptorsAreFreeBeforeTheSends(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
 	stays, fd := w.socketPair()
-	w.loop.clients.AddConnection(fd, netip.AddrPort{})
+	w.scheduler.clients.AddConnection(fd, netip.AddrPort{})
 	stays.write([]byte(requestOfSize(1, 0)))
 	leaves, leavingFD := w.socketPair()
-	w.loop.clients.AddConnection(leavingFD, netip.AddrPort{})
+	w.scheduler.clients.AddConnection(leavingFD, netip.AddrPort{})
 	w.runIterations()
 	leaves.close()
-	dial, dialed := w.loop.dial, false
-	w.loop.dial = func(at netip.AddrPort) (int, error) {
+	dial, dialed := w.scheduler.dial, false
+	w.scheduler.dial = func(at netip.AddrPort) (int, error) {
 		_, err := unix.FcntlInt(uintptr(leavingFD), unix.F_GETFD, 0)
 		if dialed = true; !errors.Is(err, unix.EBADF) {
 			t.Errorf("the descriptor of the connection that has ended is still held (%v)", err)
@@ -31,7 +31,7 @@
 		return dial(at)
 	}
 	w.policy.Next = append(w.policy.Next, dispatch.Send{Job: 1, Worker: w.workerNumber()})
-	w.loop.Requests.Wake()
+	w.scheduler.Requests.Wake()
 	if w.runOnce(); !dialed {
 		t.Error("nothing was sent")
 	}
--- a/internal/link/drain_test.go
+++ b/internal/scheduler/drain_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"fmt"
@@ -18,7 +18,7 @@
 // sendJob has the policy send a request to the one worker.
 func (w *harness) sendJob(job uint64) {
 	w.policy.Next = append(w.policy.Next, dispatch.Send{Job: job, Worker: w.workerNumber()})
-	w.loop.Requests.Wake()
+	w.scheduler.Requests.Wake()
 	w.runIterations()
 }
 
@@ -40,7 +40,7 @@
 	resting.write(callbackRequest("2"))
 	w.runIterations()
 	worker.write(callbackRequest("3")) // nobody has read it when the others are shut
-	w.loop.Close()
+	w.scheduler.Close()
 	w.runIterations()
 	worker.write(callbackRequest("4"))
 	resting.write(callbackRequest("5"))
@@ -60,8 +60,8 @@
 	}
 	worker.write([]byte(requestOfSize(9, 0))) // it is no worker, then
 	w.runIterations()
-	if got := worker.statuses(t); got[len(got)-1] != 503 || !w.loop.IsQuiet() {
-		t.Errorf("answered %v, quiet %v", got, w.loop.IsQuiet())
+	if got := worker.statuses(t); got[len(got)-1] != 503 || !w.scheduler.IsQuiet() {
+		t.Errorf("answered %v, quiet %v", got, w.scheduler.IsQuiet())
 	}
 }
 
@@ -76,18 +76,18 @@
 	w.sendJob(1)
 	held.write([]byte(requestOfSize(2, 0)))
 	w.runIterations()
-	w.loop.Drain()
-	w.loop.Close()
+	w.scheduler.Drain()
+	w.scheduler.Close()
 	w.now += time.Second
-	w.loop.RejectQueued()
+	w.scheduler.RejectQueued()
 	w.runIterations()
-	if got := held.statuses(t); len(got) != 1 || got[0] != 503 || len(hangs.statuses(t)) != 0 || w.loop.IsQuiet() {
-		t.Errorf("held answered %v, sent %v, quiet %v", got, hangs.statuses(t), w.loop.IsQuiet())
+	if got := held.statuses(t); len(got) != 1 || got[0] != 503 || len(hangs.statuses(t)) != 0 || w.scheduler.IsQuiet() {
+		t.Errorf("held answered %v, sent %v, quiet %v", got, hangs.statuses(t), w.scheduler.IsQuiet())
 	}
-	w.loop.FinishAllRequests()
+	w.scheduler.FinishAllRequests()
 	w.runIterations()
-	if got := hangs.statuses(t); len(got) != 1 || got[0] != 500 || !hangs.ended || !w.loop.IsQuiet() {
-		t.Errorf("sent answered %v, ended %v, quiet %v", got, hangs.ended, w.loop.IsQuiet())
+	if got := hangs.statuses(t); len(got) != 1 || got[0] != 500 || !hangs.ended || !w.scheduler.IsQuiet() {
+		t.Errorf("sent answered %v, ended %v, quiet %v", got, hangs.ended, w.scheduler.IsQuiet())
 	}
 	worker := w.connectClient()
 	worker.write(callbackRequest("1"))
--- a/internal/link/generated_faults_test.go
+++ b/internal/scheduler/generated_faults_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"errors"
@@ -128,9 +128,9 @@
 }
 
 // listenForClients has the loop accept clients. Its start is not what is tested here.
-func (f *systemFaults) listenForClients(loop *Loop) {
+func (f *systemFaults) listenForClients(loop *Scheduler) {
 	socket := f.listen(f.clients)
-	for isMomentary(loop.clients.AddSocket(socket)) {
+	for eventloop.ClassOf(loop.clients.AddSocket(socket)).IsMomentary() {
 		f.now += time.Millisecond
 	}
 	f.T.Cleanup(func() { _ = unix.Close(f.workerListener) })
@@ -152,7 +152,7 @@
 
 // dial is eventloop.Loop.Dial by Unix sockets, with the far end.
 func (f *systemFaults) dial(far *farEnd) (p *peer, fd int, err error) {
-	syscalls := f.loop.Syscalls()
+	syscalls := f.scheduler.Syscalls()
 	fd, err = syscalls.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, -1, eventloop.NewCallError(eventloop.CallSocket, err)
@@ -202,7 +202,7 @@
 		f.now += time.Millisecond
 		f.runUntilSettled()
 	}
-	f.Check(f.loop.IsQuiet(), "answers are not sent")
+	f.Check(f.scheduler.IsQuiet(), "answers are not sent")
 }
 
 // stalls is how much later than without faults something may be.
--- a/internal/link/generated_settings_test.go
+++ b/internal/scheduler/generated_settings_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"bytes"
@@ -251,12 +251,12 @@
 // open is Open, but that the loop is on the test's clock and its connections lead to the test.
 func (d *deployment) open() {
 	log := slog.New(loud{d.T})
-	l, err := newLoop(log, log, func() time.Duration { return d.now }, 0, eventloop.Syscalls{})
+	l, err := newScheduler(log, log, func() time.Duration { return d.now }, 0, eventloop.Syscalls{})
 	if err != nil {
 		d.T.Fatal(err)
 	}
 	l.dial = d.dial
-	d.loop = l
+	d.scheduler = l
 	if d.faults != nil {
 		*l.Syscalls() = d.faults.syscalls()
 	}
@@ -290,7 +290,7 @@
 		return d.faults.connectClient()
 	}
 	p, fd := d.socketPair()
-	d.loop.clients.AddConnection(fd, netip.AddrPort{})
+	d.scheduler.clients.AddConnection(fd, netip.AddrPort{})
 	return p
 }
 
@@ -704,13 +704,13 @@
 			again++
 		}
 	}
-	d.Check(d.loop.Requests.OpenCount() == 0 && d.loop.Requests.PayloadBytes() == 0, "%d requests open, with %d bytes", d.loop.Requests.OpenCount(), d.loop.Requests.PayloadBytes())
+	d.Check(d.scheduler.Requests.OpenCount() == 0 && d.scheduler.Requests.PayloadBytes() == 0, "%d requests open, with %d bytes", d.scheduler.Requests.OpenCount(), d.scheduler.Requests.PayloadBytes())
 	d.T.Logf("%d requests, %d with a result, %d with further attempts", len(d.requests), served, again)
 }
 
 // runToTheEnd lets all requests end, and all attempts.
 func (d *deployment) runToTheEnd() {
-	for d.loop.Requests.OpenCount() > 0 {
+	for d.scheduler.Requests.OpenCount() > 0 {
 		d.now += 25 * time.Millisecond
 		d.sendCallbacks()
 		d.runUntilSettled()
--- a/internal/link/harness_tcp_test.go
+++ b/internal/scheduler/harness_tcp_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"bytes"
@@ -15,13 +15,13 @@
 
 // listen has the harness's loop accept TCP connections: only there does an end come as a reset.
 func (w *harness) listen() {
-	if err := w.loop.clients.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
+	if err := w.scheduler.clients.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
 		w.T.Fatal(err)
 	}
 }
 
 // connectClient gives the client's end of a TCP connection, which the loop has yet to accept.
-func (w *harness) connectClient() *peer { return w.connectTo(w.loop.clients.Socket()) }
+func (w *harness) connectClient() *peer { return w.connectTo(w.scheduler.clients.Socket()) }
 
 // connectTo gives the far end of a TCP connection to a listening socket.
 func (w *harness) connectTo(listener int) *peer {
@@ -92,7 +92,7 @@
 
 // runOnce is a single iteration of the loop, with a single step at most.
 func (w *harness) runOnce() {
-	if err := w.loop.RunOnce(0); err != nil {
+	if err := w.scheduler.RunOnce(0); err != nil {
 		w.T.Fatal(err)
 	}
 }
--- a/internal/link/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"errors"
@@ -24,7 +24,7 @@
 // between iterations, on a clock of its own.
 type harness struct {
 	*modeltest.Steps
-	loop            *Loop
+	scheduler       *Scheduler
 	policy          *modeltest.ScriptedPolicy
 	now             time.Duration
 	clock           func() time.Duration // what the loop reads; returns now
@@ -63,7 +63,7 @@
 	w := &harness{Steps: s, policy: &modeltest.ScriptedPolicy{}, now: 1000 * time.Hour}
 	w.clock = func() time.Duration { return w.now }
 	silent := slog.New(slog.DiscardHandler)
-	l, err := newLoop(silent, silent, func() time.Duration { return w.clock() }, 0, eventloop.Syscalls{})
+	l, err := newScheduler(silent, silent, func() time.Duration { return w.clock() }, 0, eventloop.Syscalls{})
 	if err != nil {
 		s.T.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 	w.state.transferState = transferState{l}
 	l.prepareHotRestart(&w.state)
 	l.prepareCordons("", nil)
-	w.loop = l
+	w.scheduler = l
 	s.T.Cleanup(l.CloseDescriptors)
 	w.runIterations()
 	return w
@@ -104,7 +104,7 @@
 
 // readyDescriptors counts descriptors for which epoll has events, and hands out none.
 func (w *harness) readyDescriptors() int {
-	n, err := unix.EpollWait(w.loop.EpollFD(), make([]unix.EpollEvent, 64), 0)
+	n, err := unix.EpollWait(w.scheduler.EpollFD(), make([]unix.EpollEvent, 64), 0)
 	if err != nil {
 		w.T.Fatal(err)
 	}
@@ -126,7 +126,7 @@
 // runIterations lets the loop do all that it can do now.
 func (w *harness) runIterations() {
 	for range 4 {
-		if err := w.loop.RunOnce(0); err != nil {
+		if err := w.scheduler.RunOnce(0); err != nil {
 			w.T.Fatal(err)
 		}
 	}
@@ -177,6 +177,6 @@
 	for _, rule := range rules {
 		injector.Add(rule)
 	}
-	*w.loop.Syscalls() = injector.Syscalls()
+	*w.scheduler.Syscalls() = injector.Syscalls()
 	return injector
 }
--- a/internal/link/harness_worker_test.go
+++ b/internal/scheduler/harness_worker_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"errors"
@@ -38,7 +38,7 @@
 // delayConnections has connections come up late from now on. It gives those that were opened, in order, of which the last is the newest.
 func (w *harness) delayConnections() *[]*delayedPeer {
 	opened := &[]*delayedPeer{}
-	w.loop.dial = func(at netip.AddrPort) (int, error) {
+	w.scheduler.dial = func(at netip.AddrPort) (int, error) {
 		p, fd := w.socketPair()
 		p.dialedAddress = at
 		w.dialed = append(w.dialed, p)
@@ -80,14 +80,14 @@
 // runActions has the policy do something in one iteration.
 func (w *attemptHarness) runActions(actions ...dispatch.Action) {
 	w.policy.Next = append(w.policy.Next, actions...)
-	w.loop.Requests.Wake()
+	w.scheduler.Requests.Wake()
 	w.runIterations()
 }
 
 // sendAttempt has an attempt made of a new request.
 func (w *attemptHarness) sendAttempt(size int) *requests.Request {
 	w.T.Helper()
-	q, err := w.loop.Requests.Admit(w.now, requests.Arrival{
+	q, err := w.scheduler.Requests.Admit(w.now, requests.Arrival{
 		CallID: fmt.Sprint("q", len(w.requests)), Job: dispatch.Job{Remaining: 5 * time.Second},
 		Payload: requests.Payload{Method: "POST", Path: "/a", Body: make([]byte, size)}, Responder: noResponder{},
 	})
--- /dev/null
+++ b/internal/scheduler/hotrestart.go
@@ -0,0 +1,126 @@
+package scheduler
+
+import (
+	"time"
+
+	"valvecove/internal/hotrestart"
+	"valvecove/internal/hotrestart/transport"
+	"valvecove/internal/requests"
+)
+
+// Errors of Relinquish.
+var (
+	ErrNoSuccessor = transport.ErrNoSuccessor
+	ErrNotSettled  = transport.ErrNotSettled
+)
+
+// prepareHotRestart makes the roles of this process in hot restarts. It is in standby after restart.Join, and can be replaced after
+// restart.AwaitSuccessor.
+func (s *Scheduler) prepareHotRestart(state transport.State) {
+	s.restart = transport.New(s.Loop, transport.Config{
+		State:     state,
+		Watch:     endpointWatch{s},
+		Clients:   s.clients,
+		Peers:     peerSocket{s},
+		Cordoned:  s.Requests,
+		Log:       s.log,
+		Monotonic: func() time.Duration { return s.monotonic() },
+		Retry:     func(open func() error) error { return s.startup.retry(open) },
+		SetHalved: s.budget.SetHalved,
+		OnStandby: s.handleStandby,
+		OnFail:    func(err error) { s.onFail(err) },
+	})
+}
+
+func (s *Scheduler) handleStandby() {
+	if s.onSuccessor != nil {
+		s.onSuccessor()
+	}
+}
+
+// OnSuccessor sets what is called when a successor has entered standby.
+func (s *Scheduler) OnSuccessor(act func()) { s.onSuccessor = act }
+
+// Relinquish transfers all state to the successor in standby; see transport.Roles.
+func (s *Scheduler) Relinquish() error { return s.restart.Relinquish() }
+
+// LeaveStandby disconnects a process in standby from its predecessor. It reports whether this process was in standby.
+func (s *Scheduler) LeaveStandby() bool { return s.restart.LeaveStandby() }
+
+// hasRelinquished reports whether a successor owns all that this process had.
+func (s *Scheduler) hasRelinquished() bool { return s.restart.HasRelinquished() }
+
+// transferState is the state of a scheduler that a hot restart transfers.
+type transferState struct{ scheduler *Scheduler }
+
+// Settle prepares the state for Snapshot. It returns false while the policy has not received all events, or an attempt has no
+// connection yet.
+func (s transferState) Settle() bool {
+	s.scheduler.Requests.AwaitEndpoints(0) // requests that wait for endpoints are transferred too
+	s.scheduler.workers.EndWaitingDials()
+	return s.scheduler.Requests.FlushEvents(s.scheduler.Now()) && !s.scheduler.workers.HasWaitingDials()
+}
+
+// Snapshot returns the state.
+func (s transferState) Snapshot() transport.Snapshot {
+	snapshot := transport.Snapshot{Policy: s.scheduler.dispatcher.Snapshot(nil)}
+	table, openRequests := s.scheduler.Requests.Snapshot()
+	snapshot.RequestTable = hotrestart.RequestTable(table)
+	for _, request := range openRequests {
+		snapshot.OpenRequests = append(snapshot.OpenRequests, hotrestart.OpenRequest(request))
+	}
+	for _, c := range s.scheduler.clients.Snapshot() {
+		connection := transport.ClientConnection{Record: c.ClientConnection, Descriptor: c.Descriptor}
+		snapshot.ClientConnections = append(snapshot.ClientConnections, connection)
+	}
+	for _, c := range s.scheduler.workers.Snapshot() {
+		connection := transport.WorkerConnection{Record: c.WorkerConnection, Descriptor: c.Descriptor}
+		snapshot.WorkerConnections = append(snapshot.WorkerConnections, connection)
+	}
+	return snapshot
+}
+
+// Release closes what a successor owns: the connections, the watch and the socket that clients connect to.
+func (s transferState) Release() {
+	s.scheduler.clients.Relinquish()
+	s.scheduler.workers.Relinquish()
+	s.scheduler.watch.Stop()
+	s.scheduler.clients.CloseSocket()
+}
+
+// Restore adds the state of a predecessor. The order matters: requests refer to client connections, and worker connections to
+// requests.
+func (s transferState) Restore(received hotrestart.ReceivedState) {
+	scheduler := s.scheduler
+	clients := scheduler.clients.Restore(received.ClientConnections)
+	scheduler.Requests.TakeOver(scheduler.Now(), received.RequestTable, received.OpenRequests, clients.Responders(),
+		func() requests.Policy { return scheduler.restorePolicy(received.PolicySnapshot, received.ClockAhead) })
+	clients.AttachRequests(scheduler.Requests.Request)
+	for _, connection := range received.WorkerConnections {
+		scheduler.workers.Restore(connection)
+	}
+	scheduler.Requests.WatchEndpoints() // the restored policy relies on it
+	clients.HandleInput()
+}
+
+// endpointWatch is the watch on the endpoint list, for a hot restart.
+type endpointWatch struct{ scheduler *Scheduler }
+
+// WatchEndpoints opens the watch, unless it is open or planned.
+func (w endpointWatch) WatchEndpoints() { w.scheduler.Requests.WatchEndpoints() }
+
+// HasReceivedEndpoints reports whether a list was received since the watch was last opened.
+func (w endpointWatch) HasReceivedEndpoints() bool { return w.scheduler.watch.HasReceivedEvent() }
+
+// peerSocket is the socket for messages between schedulers, for a hot restart. There may be none.
+type peerSocket struct{ scheduler *Scheduler }
+
+// Open opens the socket, once its previous owner has closed its own.
+func (s peerSocket) Open() { s.scheduler.openPeerSocket() }
+
+// Close closes the socket, for a successor to open its own.
+func (s peerSocket) Close() {
+	if s.scheduler.peers != nil {
+		s.scheduler.peers.Close()
+	}
+}
--- a/internal/link/hotrestart_fuzz_test.go
+++ b/internal/scheduler/hotrestart_fuzz_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"fmt"
@@ -27,7 +27,7 @@
 			model.exchange(1 << 16)
 		}
 		choices.Check(!model.inFlight || model.attempts == model.requested, "an attempt did not come whole")
-		lost := model.unsent == "" && model.requested != model.answered && model.loop.Requests.OpenCount() != 1
+		lost := model.unsent == "" && model.requested != model.answered && model.scheduler.Requests.OpenCount() != 1
 		choices.Check(!lost, "a request is lost")
 	})
 }
@@ -58,7 +58,7 @@
 	model.workerID = model.workerNumber()
 	client, socket := model.socketPair()
 	model.client = client
-	model.loop.clients.AddConnection(socket, netip.MustParseAddrPort("127.0.0.1:9"))
+	model.scheduler.clients.AddConnection(socket, netip.MustParseAddrPort("127.0.0.1:9"))
 	return model
 }
 
@@ -89,7 +89,7 @@
 }
 
 func (m *hotRestartModel) canSend() bool {
-	return m.attempts < m.requested && !m.inFlight && !m.cordoned && m.loop.Requests.OpenCount() == 1
+	return m.attempts < m.requested && !m.inFlight && !m.cordoned && m.scheduler.Requests.OpenCount() == 1
 }
 
 func (m *hotRestartModel) canComplete() bool {
@@ -101,7 +101,7 @@
 	m.restarts++
 	err := m.handOverTo(successor)
 	m.Check(err == nil, "hot restart: %v", err)
-	m.Check(m.loop.hasRelinquished() && successor.loop.restart.AwaitsSuccessor(), "not replaced")
+	m.Check(m.scheduler.hasRelinquished() && successor.scheduler.restart.AwaitsSuccessor(), "not replaced")
 	m.harness = successor
 	m.Record("restart")
 }
@@ -128,9 +128,9 @@
 
 func (m *hotRestartModel) sendAttempt() {
 	id := uint64(m.requested)
-	m.Check(m.loop.Requests.Request(id) != nil, "request %d has another number", id)
+	m.Check(m.scheduler.Requests.Request(id) != nil, "request %d has another number", id)
 	m.policy.Next = []dispatch.Action{dispatch.Send{Job: id, Worker: m.workerID}}
-	m.loop.Requests.Wake()
+	m.scheduler.Requests.Wake()
 	m.inFlight = true
 	m.Record("send")
 }
@@ -145,7 +145,7 @@
 func (m *hotRestartModel) complete() {
 	result := "made of " + m.callID()
 	callback := requests.Callback{CallID: m.callID(), EndpointID: "s-0", State: "done", Result: &result}
-	_, _ = m.loop.Requests.HandleCallback(callback)
+	_, _ = m.scheduler.Requests.HandleCallback(callback)
 	m.received += fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(result), result)
 	m.inFlight = false
 	m.answered++
@@ -155,9 +155,9 @@
 func (m *hotRestartModel) toggleCordon() {
 	m.cordoned = !m.cordoned
 	if m.cordoned {
-		m.loop.Requests.Cordon("s-0")
+		m.scheduler.Requests.Cordon("s-0")
 	} else {
-		m.loop.Requests.Uncordon("s-0")
+		m.scheduler.Requests.Uncordon("s-0")
 	}
 	m.Record("cordon or uncordon")
 }
@@ -165,10 +165,10 @@
 // exchange runs the loop, and reads what has come to the worker, at most so many bytes of a connection, and to the client.
 func (m *hotRestartModel) exchange(readSize int) {
 	m.runIterations()
-	cordoned := m.loop.Requests.Cordoned()
+	cordoned := m.scheduler.Requests.Cordoned()
 	m.Check((len(cordoned) == 1) == m.cordoned, "cordoned %v", cordoned)
 	for _, connection := range m.dialed {
-		if connection.dialedAddress != m.loop.watch.Server() { // a process that takes over connects to discovery too
+		if connection.dialedAddress != m.scheduler.watch.Server() { // a process that takes over connects to discovery too
 			m.workers = append(m.workers, connection)
 		}
 	}
--- a/internal/link/hotrestart_test.go
+++ b/internal/scheduler/hotrestart_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"errors"
@@ -24,20 +24,20 @@
 // enableHotRestart makes a world one whose process can be replaced, or can replace another. Its policy is scripted, before and
 // after.
 func (w *harness) enableHotRestart() {
-	w.loop.dispatcher = dispatch.New(*w.loop.settings, 1)
-	w.loop.wrapRestored = func(*dispatch.Dispatcher) requests.Policy { return w.policy }
-	w.loop.onFail = func(err error) { w.T.Errorf("a process fails: %v", err) }
+	w.scheduler.dispatcher = dispatch.New(*w.scheduler.settings, 1)
+	w.scheduler.wrapRestored = func(*dispatch.Dispatcher) requests.Policy { return w.policy }
+	w.scheduler.onFail = func(err error) { w.T.Errorf("a process fails: %v", err) }
 }
 
 // newPredecessorHarness returns a world that serves and awaits a successor, and the address that clients connect to.
 func newPredecessorHarness(choices *modeltest.Steps, dir string) (*harness, netip.AddrPort) {
 	w := newHarness(choices)
 	w.enableHotRestart()
-	if err := w.loop.clients.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
+	if err := w.scheduler.clients.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
 		choices.T.Fatal(err)
 	}
-	w.loop.restart.AwaitSuccessor(hotrestart.SocketAddresses(dir, w.loop.Addr()))
-	return w, w.loop.Addr()
+	w.scheduler.restart.AwaitSuccessor(hotrestart.SocketAddresses(dir, w.scheduler.Addr()))
+	return w, w.scheduler.Addr()
 }
 
 // startSuccessor returns a new world that stands by to replace this one.
@@ -49,9 +49,9 @@
 func (w *harness) startSuccessorAfterStep(dir string, address netip.AddrPort, step time.Duration) *harness {
 	successor := newHarness(w.Steps)
 	successor.enableHotRestart()
-	successor.now, successor.ahead, successor.loop.settings = w.now+step, w.ahead+step, w.loop.settings
-	successor.loop.prepareCordons(dir, nil)
-	w.Check(successor.loop.restart.Join(dir, address), "no predecessor")
+	successor.now, successor.ahead, successor.scheduler.settings = w.now+step, w.ahead+step, w.scheduler.settings
+	successor.scheduler.prepareCordons(dir, nil)
+	w.Check(successor.scheduler.restart.Join(dir, address), "no predecessor")
 	for successor.successorState() == hotrestart.SuccessorJoining {
 		w.runIterations()
 		successor.runIterations()
@@ -60,7 +60,7 @@
 }
 
 func (w *harness) successorState() hotrestart.SuccessorState {
-	state, isSuccessor := w.loop.restart.SuccessorState()
+	state, isSuccessor := w.scheduler.restart.SuccessorState()
 	if !isSuccessor {
 		return hotrestart.SuccessorServing
 	}
@@ -74,12 +74,12 @@
 	go func() {
 		defer close(ended)
 		for successor.successorState() == hotrestart.SuccessorStandby || successor.successorState() == hotrestart.SuccessorReceiving {
-			_ = successor.loop.RunOnce(1000)
+			_ = successor.scheduler.RunOnce(1000)
 		}
 	}()
-	err := w.loop.Relinquish()
+	err := w.scheduler.Relinquish()
 	if err != nil { // the connection is closed with the end of the iteration
-		_ = w.loop.RunOnce(0)
+		_ = w.scheduler.RunOnce(0)
 	}
 	<-ended
 	w.runIterations()
@@ -90,7 +90,7 @@
 // sendRequest has a client of the world send request "q", on a connection of its own.
 func (w *harness) sendRequest(at netip.AddrPort) *peer {
 	client, fd := w.socketPair()
-	w.loop.clients.AddConnection(fd, at)
+	w.scheduler.clients.AddConnection(fd, at)
 	client.write([]byte("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: q\r\nX-Caller: t\r\nContent-Length: 0\r\n\r\n"))
 	w.runIterations()
 	return client
@@ -109,7 +109,7 @@
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	client := predecessor.sendRequest(address)
 	successor := predecessor.startSuccessor(dir, address)
-	if both := predecessor.loop.clients.Limits().Connections + successor.loop.clients.Limits().Connections; both > 1024-2*limits.SharesOf(config.Config{}, config.Ops{}).OwnDescriptors {
+	if both := predecessor.scheduler.clients.Limits().Connections + successor.scheduler.clients.Limits().Connections; both > 1024-2*limits.SharesOf(config.Config{}, config.Ops{}).OwnDescriptors {
 		t.Errorf("two processes hold %d client connections", both)
 	}
 	peer, socket := predecessor.socketPair()
@@ -117,26 +117,26 @@
 		snapshot.ClientConnections = append(snapshot.ClientConnections, transport.ClientConnection{Descriptor: socket})
 		addBrokenConnection(snapshot)
 	}
-	if err := predecessor.handOverTo(successor); err == nil || predecessor.loop.hasRelinquished() || predecessor.loop.Requests.OpenCount() != 1 {
+	if err := predecessor.handOverTo(successor); err == nil || predecessor.scheduler.hasRelinquished() || predecessor.scheduler.Requests.OpenCount() != 1 {
 		t.Fatalf("handed over to one that did not take it: %v", err)
 	}
 	_ = unix.Close(socket)
 	predecessor.state.alter = nil
-	for successor.successorState() == hotrestart.SuccessorJoining || !predecessor.loop.restart.HasSuccessor() {
+	for successor.successorState() == hotrestart.SuccessorJoining || !predecessor.scheduler.restart.HasSuccessor() {
 		predecessor.runIterations()
 		successor.runIterations()
 	}
 	if peer.read(1); !peer.ended {
 		t.Error("a socket of the failed transfer is still open")
 	}
-	if successor.loop.Requests.OpenCount() != 0 || successor.loop.clients.ConnectionCount() != 0 || successor.loop.clients.Socket() >= 0 {
+	if successor.scheduler.Requests.OpenCount() != 0 || successor.scheduler.clients.ConnectionCount() != 0 || successor.scheduler.clients.Socket() >= 0 {
 		t.Error("the successor has something of a transfer that failed")
 	}
-	if err := predecessor.handOverTo(successor); err != nil || successor.loop.budget.IsHalved() {
+	if err := predecessor.handOverTo(successor); err != nil || successor.scheduler.budget.IsHalved() {
 		t.Fatalf("the second time: %v", err)
 	}
 	successor.policy.Next = []dispatch.Action{dispatch.Reject{Job: 1}}
-	successor.loop.Requests.Wake()
+	successor.scheduler.Requests.Wake()
 	successor.runIterations()
 	if client.read(1 << 16); !strings.HasPrefix(string(client.received), "HTTP/1.1 503 ") {
 		t.Errorf("the client got %q", client.received)
@@ -147,22 +147,22 @@
 func TestSecondSuccessorIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
-	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) {
+	if err := predecessor.scheduler.Relinquish(); !errors.Is(err, ErrNoSuccessor) {
 		t.Errorf("without a successor: %v", err)
 	}
 	first := predecessor.startSuccessor(dir, address)
 	second := newHarness(predecessor.Steps)
 	second.enableHotRestart()
 	rejected := false
-	second.loop.onFail = func(error) { rejected = true }
-	if !second.loop.restart.Join(dir, address) {
+	second.scheduler.onFail = func(error) { rejected = true }
+	if !second.scheduler.restart.Join(dir, address) {
 		t.Error("the second successor finds no predecessor")
 	}
 	for !rejected {
 		predecessor.runIterations()
 		second.runIterations()
 	}
-	if second.loop.restart.AwaitsSuccessor() || second.loop.clients.Socket() >= 0 {
+	if second.scheduler.restart.AwaitsSuccessor() || second.scheduler.clients.Socket() >= 0 {
 		t.Error("the second successor serves, or has the predecessor's place")
 	}
 	if err := predecessor.handOverTo(first); err != nil {
@@ -178,15 +178,15 @@
 	if err := hotrestart.WriteCordonFile(dir, []string{"s-0"}); err != nil {
 		t.Fatal(err)
 	}
-	predecessor.loop.restart.Close()
+	predecessor.scheduler.restart.Close()
 	predecessor.runIterations()
 	successor.runIterations()
-	cordoned := successor.loop.Requests.Cordoned()
-	if len(cordoned) != 1 || cordoned[0] != "s-0" || successor.loop.clients.Socket() < 0 || successor.loop.notReadyReason() == "" {
+	cordoned := successor.scheduler.Requests.Cordoned()
+	if len(cordoned) != 1 || cordoned[0] != "s-0" || successor.scheduler.clients.Socket() < 0 || successor.scheduler.notReadyReason() == "" {
 		t.Errorf("after the predecessor's death: cordoned %v", cordoned)
 	}
 	third := successor.startSuccessor(dir, address)
-	if err := successor.handOverTo(third); err != nil || len(third.loop.Requests.Cordoned()) != 1 {
+	if err := successor.handOverTo(third); err != nil || len(third.scheduler.Requests.Cordoned()) != 1 {
 		t.Errorf("the next one: %v", err)
 	}
 }
@@ -198,12 +198,12 @@
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	client := predecessor.sendRequest(address)
 	predecessor.policy.Next = []dispatch.Action{dispatch.Send{Job: 1, Worker: predecessor.workerNumber()}}
-	predecessor.loop.Requests.Wake()
+	predecessor.scheduler.Requests.Wake()
 	predecessor.runIterations()
 	successor := predecessor.startSuccessor(dir, address)
-	otherSettings := *predecessor.loop.settings
+	otherSettings := *predecessor.scheduler.settings
 	otherSettings.Classes = append(otherSettings.Classes, otherSettings.Classes[0])
-	successor.loop.settings = &otherSettings
+	successor.scheduler.settings = &otherSettings
 	if err := predecessor.handOverTo(successor); err != nil {
 		t.Fatal(err)
 	}
@@ -219,7 +219,7 @@
 	}
 	result := "made"
 	callback := requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result}
-	_, _ = successor.loop.Requests.HandleCallback(callback)
+	_, _ = successor.scheduler.Requests.HandleCallback(callback)
 	successor.runIterations()
 	if client.read(1 << 16); !strings.HasSuffix(string(client.received), "made") {
 		t.Errorf("the client got %q", client.received)
@@ -232,9 +232,9 @@
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	successor := predecessor.startSuccessor(dir, address)
 	statusCode := 0
-	successor.loop.cordons.Set("s-0", true, func(got int, _ string) { statusCode = got })
-	if err := predecessor.handOverTo(successor); err != nil || statusCode != 200 || len(successor.loop.Requests.Cordoned()) != 1 {
-		t.Errorf("%v, answered %d, cordoned %v", err, statusCode, successor.loop.Requests.Cordoned())
+	successor.scheduler.cordons.Set("s-0", true, func(got int, _ string) { statusCode = got })
+	if err := predecessor.handOverTo(successor); err != nil || statusCode != 200 || len(successor.scheduler.Requests.Cordoned()) != 1 {
+		t.Errorf("%v, answered %d, cordoned %v", err, statusCode, successor.scheduler.Requests.Cordoned())
 	}
 }
 
@@ -244,15 +244,15 @@
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	written := make(chan func(), 1) // what the loop is to run once the file is written
-	predecessor.loop.prepareCordons(dir, hotrestart.NewCordonStore(hotrestart.CordonStoreConfig{
+	predecessor.scheduler.prepareCordons(dir, hotrestart.NewCordonStore(hotrestart.CordonStoreConfig{
 		Files: filesystem.Disk, StateDir: dir, MaxCallbacks: 1,
-		Now:  predecessor.loop.Now,
+		Now:  predecessor.scheduler.Now,
 		Post: func(finish func()) { written <- finish },
 	}))
 	successor := predecessor.startSuccessor(dir, address)
 	var answers []string
 	call := func(workerID string, cordoned bool) {
-		successor.loop.cordons.Set(workerID, cordoned, func(statusCode int, message string) {
+		successor.scheduler.cordons.Set(workerID, cordoned, func(statusCode int, message string) {
 			answers = append(answers, fmt.Sprint(workerID, " ", statusCode, " ", message))
 		})
 	}
@@ -280,12 +280,12 @@
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	successor := predecessor.startSuccessor(dir, address)
-	if predecessor.loop.LeaveStandby() || !successor.loop.LeaveStandby() || successor.loop.LeaveStandby() {
+	if predecessor.scheduler.LeaveStandby() || !successor.scheduler.LeaveStandby() || successor.scheduler.LeaveStandby() {
 		t.Error("one that serves leaves the standby, or one that stands by does not, or does twice")
 	}
 	successor.runIterations()
 	predecessor.runIterations()
-	if err := predecessor.loop.Relinquish(); !errors.Is(err, ErrNoSuccessor) || predecessor.loop.budget.IsHalved() {
+	if err := predecessor.scheduler.Relinquish(); !errors.Is(err, ErrNoSuccessor) || predecessor.scheduler.budget.IsHalved() {
 		t.Errorf("handed over to nobody: %v", err)
 	}
 }
@@ -296,24 +296,24 @@
 	for _, lost := range []bool{false, true} {
 		dir := t.TempDir()
 		predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
-		predecessor.loop.settings.MustSubscribe = true // a successor has its predecessor's settings
+		predecessor.scheduler.settings.MustSubscribe = true // a successor has its predecessor's settings
 		successor := predecessor.startSuccessor(dir, address)
-		if !successor.loop.watch.IsOpen() {
+		if !successor.scheduler.watch.IsOpen() {
 			t.Error("it stands by without a watch")
 		}
 		if lost {
-			successor.loop.watch.Stop()
+			successor.scheduler.watch.Stop()
 		}
 		// Both are told to read their configuration, which names another discovery and other limits.
 		conf := config.Config{Discovery: netip.MustParseAddrPort("127.0.0.1:8"), Limits: config.Limits{Sockets: 512, MemoryMB: 64}}
-		predecessor.loop.Reload(conf)
-		successor.loop.Reload(conf)
-		half := successor.loop.clients.Limits().Connections
+		predecessor.scheduler.Reload(conf)
+		successor.scheduler.Reload(conf)
+		half := successor.scheduler.clients.Limits().Connections
 		err := predecessor.handOverTo(successor)
-		watch := successor.loop.watch
-		if err != nil || !watch.IsOpen() || watch.Server() != conf.Discovery || successor.loop.clients.Limits().Connections < 2*half {
+		watch := successor.scheduler.watch
+		if err != nil || !watch.IsOpen() || watch.Server() != conf.Discovery || successor.scheduler.clients.Limits().Connections < 2*half {
 			t.Errorf("lost %v: %v, watched %v at %v, %d client connections, %d before", lost, err, watch.IsOpen(), watch.Server(),
-				successor.loop.clients.Limits().Connections, half)
+				successor.scheduler.clients.Limits().Connections, half)
 		}
 	}
 }
@@ -328,17 +328,17 @@
 		dir := t.TempDir()
 		predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 		_, silentClient := predecessor.socketPair()
-		predecessor.loop.clients.AddConnection(silentClient, address)
+		predecessor.scheduler.clients.AddConnection(silentClient, address)
 		client := predecessor.sendRequest(address)
 		predecessor.policy.Next = []dispatch.Action{dispatch.Send{Job: 1, Worker: predecessor.workerNumber()}}
-		predecessor.loop.Requests.Wake()
+		predecessor.scheduler.Requests.Wake()
 		predecessor.runIterations()
 		predecessor.dialed[0].write([]byte("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))
 		predecessor.runIterations()
 		predecessor.now += time.Second
 		predecessor.runIterations()
 		successor := predecessor.startSuccessorAfterStep(dir, address, step)
-		predecessor.loop.dispatcher.Step(predecessor.now, nil, nil) // its next maintenance is due in 250 ms
+		predecessor.scheduler.dispatcher.Step(predecessor.now, nil, nil) // its next maintenance is due in 250 ms
 		before := predecessor.agesOfState()
 		want := stateAges{4 * time.Second, 4 * time.Second, time.Second, time.Second, time.Second, time.Second}
 		if before != want {
@@ -350,8 +350,8 @@
 		if after := successor.agesOfState(); after != before {
 			t.Errorf("stepped by %v: %+v, before %+v", step, after, before)
 		}
-		early := successor.loop.dispatcher.Step(successor.now+249*time.Millisecond, nil, nil)
-		onTime := successor.loop.dispatcher.Step(successor.now+250*time.Millisecond, nil, nil)
+		early := successor.scheduler.dispatcher.Step(successor.now+249*time.Millisecond, nil, nil)
+		onTime := successor.scheduler.dispatcher.Step(successor.now+250*time.Millisecond, nil, nil)
 		if len(early) != 0 || len(onTime) != 1 || onTime[0] != (dispatch.SetTimer{After: 250 * time.Millisecond}) {
 			t.Errorf("stepped by %v: the dispatcher acts too early or late: %v, then %v", step, early, onTime)
 		}
@@ -361,7 +361,7 @@
 			t.Errorf("stepped by %v: answered before the deadline: %q", step, client.received)
 		}
 		result := "made"
-		_, _ = successor.loop.Requests.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result})
+		_, _ = successor.scheduler.Requests.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result})
 		successor.runIterations()
 		if client.read(1 << 16); !strings.HasSuffix(string(client.received), "made") {
 			t.Errorf("stepped by %v: the client got %q", step, client.received)
@@ -377,8 +377,8 @@
 // agesOfState returns the spans of request 1, of its attempt, of the client that has sent nothing, and of the idle connection
 // to the worker.
 func (w *harness) agesOfState() stateAges {
-	request := w.loop.Requests.Request(1)
-	attempt := w.loop.Requests.InFlightAttempt(1, 0)
+	request := w.scheduler.Requests.Request(1)
+	attempt := w.scheduler.Requests.InFlightAttempt(1, 0)
 	if request == nil || attempt == nil {
 		return stateAges{}
 	}
@@ -386,12 +386,12 @@
 		untilDeadline: request.Deadline - w.now, untilAttemptExpires: attempt.At - w.now,
 		sinceArrival: w.now - request.ArrivedAt, sinceSent: w.now - request.FirstSentAt,
 	}
-	for _, client := range w.loop.clients.Snapshot() {
+	for _, client := range w.scheduler.clients.Snapshot() {
 		if !client.RequestSeen {
 			ages.clientSilent = w.now - client.LastActivity
 		}
 	}
-	for _, connection := range w.loop.workers.Snapshot() {
+	for _, connection := range w.scheduler.workers.Snapshot() {
 		if connection.State == hotrestart.WorkerIdle {
 			ages.workerIdle = w.now - connection.IdleSince
 		}
--- /dev/null
+++ b/internal/scheduler/lifecycle.go
@@ -0,0 +1,69 @@
+package scheduler
+
+import (
+	"net/netip"
+	"time"
+
+	"valvecove/internal/config"
+)
+
+// OnFail sets what is called when the process can't continue.
+func (s *Scheduler) OnFail(act func(error)) { s.onFail = act }
+
+// OnWake sets what is called in the iteration after a call of Wake.
+func (s *Scheduler) OnWake(act func()) { s.onWake = act }
+
+// OnShareLimits sets what is called when the process begins or ceases to use half of its limits only, as another process runs beside
+// it. It is called at once with the present state.
+func (s *Scheduler) OnShareLimits(act func(half bool)) {
+	s.onShareLimits = act
+	act(s.budget.IsHalved())
+}
+
+// Addr returns the address that clients connect to. It is not valid for a successor that has not taken over.
+func (s *Scheduler) Addr() netip.AddrPort { return s.clients.Addr() }
+
+// Reload applies another configuration: its limits and its discovery address. Connections, requests and the state of the dispatcher
+// are kept.
+func (s *Scheduler) Reload(conf config.Config) {
+	s.budget.SetLimits(conf.Limits)
+	if conf.Discovery != s.watch.Server() {
+		s.watch.ChangeServer(conf.Discovery)
+	}
+}
+
+// Drain has the scheduler report that it is not ready. New requests are still served: clients keep their connections, and may have no
+// other scheduler to connect to.
+func (s *Scheduler) Drain() { s.clients.Drain() }
+
+// Close stops admitting requests. Idle connections are closed at once, the others with their responses.
+func (s *Scheduler) Close() { s.clients.Close() }
+
+// RejectQueued rejects the requests of which nothing was sent to a worker yet.
+func (s *Scheduler) RejectQueued() {
+	if !s.hasRelinquished() {
+		s.Requests.RejectQueued()
+	}
+}
+
+// FinishAllRequests responds to all open requests.
+func (s *Scheduler) FinishAllRequests() { s.FinishRequestsSince(s.Now()) }
+
+// FinishRequestsSince responds to the open requests that arrived within the last span of time.
+func (s *Scheduler) FinishRequestsSince(span time.Duration) {
+	if !s.hasRelinquished() {
+		s.Requests.CloseSince(s.Now() - span)
+	}
+}
+
+// IsQuiet reports whether every request has its response, and every response is sent.
+func (s *Scheduler) IsQuiet() bool {
+	return (s.hasRelinquished() || s.Requests.OpenCount() == 0) && s.clients.HasSentAll()
+}
+
+// FlushMetrics gathers and sends all metrics, at the end of the process.
+func (s *Scheduler) FlushMetrics() {
+	if s.metrics != nil {
+		s.metrics.Flush()
+	}
+}
--- /dev/null
+++ b/internal/scheduler/open.go
@@ -0,0 +1,126 @@
+package scheduler
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net/netip"
+
+	"golang.org/x/sys/unix"
+
+	"valvecove/internal/address"
+	"valvecove/internal/clock"
+	"valvecove/internal/config"
+	"valvecove/internal/eventloop"
+	"valvecove/internal/hotrestart"
+	"valvecove/internal/limits"
+	"valvecove/internal/logging"
+	"valvecove/internal/metrics"
+)
+
+// watchSeed separates the random backoffs of the watch from the other random numbers of a scheduler's seed.
+const watchSeed = 0x66726573
+
+// Open returns a scheduler that listens and is ready to run, with the features that are on. metricTargets are targets of metrics
+// besides a collector. An error names the key of the configuration that is at fault.
+func Open(conf config.Config, ops config.Ops, log *logging.Factory, metricTargets ...metrics.Target) (*Scheduler, error) {
+	return open(eventloop.Syscalls{}, conf, ops, log, metricTargets...)
+}
+
+// open is Open with the given system calls.
+func open(
+	syscalls eventloop.Syscalls, conf config.Config, ops config.Ops, log *logging.Factory, metricTargets ...metrics.Target,
+) (*Scheduler, error) {
+	monotonic := clock.SinceEpoch(clock.Now)
+	start := newStartup(monotonic)
+	var scheduler *Scheduler
+	err := start.retry(func() (err error) {
+		scheduler, err = newScheduler(log.NewLogger(), log.NewLogger(), monotonic, conf.Limits.Sockets, syscalls)
+		return err
+	})
+	if err != nil {
+		return nil, err
+	}
+	scheduler.startup = start
+	scheduler.UpdateNow()
+	if err := scheduler.openParts(conf, ops, log, metricTargets); err != nil {
+		scheduler.CloseDescriptors()
+		return nil, err
+	}
+	return scheduler, nil
+}
+
+// openParts makes all parts, in the order in which they need each other, and opens their sockets.
+func (s *Scheduler) openParts(conf config.Config, ops config.Ops, log *logging.Factory, metricTargets []metrics.Target) error {
+	ops.ApplyTo(&conf.Settings)
+	if ops.Addresses != nil {
+		s.addressLists = address.New(*ops.Addresses)
+	}
+	s.openBudget(conf.Limits, limits.FeatureDescriptors(conf, ops))
+	s.openWorkerPool(s.budget.Shares().WorkerConnections, conf.Settings.ConnectTimeout, conf.Settings.ConnIdleTimeout)
+	if err := s.openRequestTable(conf, ops, log); err != nil {
+		return err
+	}
+	s.prepareWatch(conf, rand.New(rand.NewPCG(conf.Seed, watchSeed)).Int64N)
+	s.preparePeerSocket(conf)
+	s.openClientListener(clientLimitsOf(s.budget.Shares()), &conf.Settings.Settings, conf.Settings.Names)
+	s.prepareHotRestart(transferState{s})
+	if err := s.listenOrJoin(conf); err != nil {
+		return err
+	}
+	s.openPeerSocket()
+	if err := s.openFeatures(conf, ops, metricTargets); err != nil {
+		return err
+	}
+	s.UpdateNow() // a start may take a while
+	s.startWatch(len(conf.KnownEndpoints.Endpoints) > 0)
+	return nil
+}
+
+// listenOrJoin listens for clients. With a management address it first looks for a process that serves at the same address, and
+// enters standby if there is one. Several processes may listen at the clients' address then, so that one that can't be reached by
+// its successor can be replaced too.
+func (s *Scheduler) listenOrJoin(conf config.Config) error {
+	if !conf.Management.IsValid() {
+		s.prepareCordons("", nil)
+		return s.startup.retry(func() error { return s.listenForClients(conf.Listen) })
+	}
+	s.onFail = func(err error) { s.log.Error("scheduler failed", "error", err) }
+	s.prepareCordons(conf.StateDir, s.newCordonStore(conf.StateDir))
+	s.cordons.Restore()
+	if s.restart.Join(conf.StateDir, conf.Listen) {
+		return nil
+	}
+	err := s.startup.retry(func() error { return s.listenForClients(conf.Listen, unix.SO_REUSEPORT) })
+	if err != nil {
+		return err
+	}
+	s.cordons.OwnFile()
+	s.restart.AwaitSuccessor(hotrestart.SocketAddresses(conf.StateDir, conf.Listen))
+	return nil
+}
+
+func (s *Scheduler) listenForClients(address netip.AddrPort, options ...int) error {
+	return s.clients.Listen(address, options...)
+}
+
+// openFeatures opens the operators' calls, the status call and metrics, where they are on.
+func (s *Scheduler) openFeatures(conf config.Config, ops config.Ops, metricTargets []metrics.Target) error {
+	counters := metrics.NewCounters(conf.Settings.Names)
+	if conf.Management.IsValid() || ops.Metrics != nil {
+		s.Requests.AddObserver(counters)
+	}
+	if conf.Management.IsValid() {
+		if err := s.startup.retry(func() error { return s.openOperators(conf.Management, counters) }); err != nil {
+			return fmt.Errorf("key \"management\": %w", err)
+		}
+	}
+	if ops.Status != nil {
+		if err := s.openStatus(conf, ops); err != nil {
+			return fmt.Errorf("key \"status.listen_port\": %w", err)
+		}
+	}
+	if ops.Metrics != nil {
+		s.openMetrics(*ops.Metrics, counters, metricTargets)
+	}
+	return nil
+}
--- a/internal/link/operators_test.go
+++ b/internal/scheduler/operators_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"net/netip"
@@ -15,12 +15,12 @@
 func newOperatorHarness(s *modeltest.Steps) *harness {
 	w := newHarness(s)
 	counters := metrics.NewCounters(requests.NameTable{Classes: []string{"a"}})
-	operators, err := w.loop.serveOperators(netip.MustParseAddrPort("127.0.0.1:0"), counters)
+	operators, err := w.scheduler.serveOperators(netip.MustParseAddrPort("127.0.0.1:0"), counters)
 	if err != nil {
 		s.T.Fatal(err)
 	}
 	w.operatorAddress = operators.Addr()
-	w.loop.Requests.AddObserver(counters)
+	w.scheduler.Requests.AddObserver(counters)
 	return w
 }
 
@@ -58,7 +58,7 @@
 		t.Errorf("at first %q", got)
 	}
 	client, fd := w.socketPair() // at the clients' address these calls are not there
-	w.loop.clients.AddConnection(fd, netip.MustParseAddrPort("127.0.0.1:9"))
+	w.scheduler.clients.AddConnection(fd, netip.MustParseAddrPort("127.0.0.1:9"))
 	client.write([]byte("GET /v1/metrics HTTP/1.1\r\n\r\n"))
 	w.runIterations()
 	if client.read(1 << 16); !strings.HasPrefix(string(client.received), "HTTP/1.1 404 ") {
@@ -67,7 +67,7 @@
 	if got := w.callOperator("GET /v1/readyz HTTP/1.1\r\n\r\n"); got != "200 ready" {
 		t.Errorf("serving: %q", got)
 	}
-	w.loop.Drain()
+	w.scheduler.Drain()
 	if got := w.callOperator("GET /v1/readyz HTTP/1.1\r\n\r\n"); got != "503 draining" {
 		t.Errorf("draining: %q", got)
 	}
@@ -76,11 +76,11 @@
 	first := func(what string) eventloop.Handler { return probeHandler{func() { calls = append(calls, what) }} }
 	a, fdA := w.socketPair()
 	b, fdB := w.socketPair()
-	_ = w.loop.Add(fdA, eventloop.StreamEvents, first("client"))
-	_ = w.loop.Add(fdB, eventloop.StreamEvents, urgentHandler{first("operator")})
+	_ = w.scheduler.Add(fdA, eventloop.StreamEvents, first("client"))
+	_ = w.scheduler.Add(fdB, eventloop.StreamEvents, urgentHandler{first("operator")})
 	a.write([]byte("x"))
 	b.write([]byte("x"))
-	if err := w.loop.RunOnce(0); err != nil || strings.Join(calls, " ") != "operator client" {
+	if err := w.scheduler.RunOnce(0); err != nil || strings.Join(calls, " ") != "operator client" {
 		t.Errorf("order of an iteration: %v, %v", calls, err)
 	}
 }
--- a/internal/link/outage_test.go
+++ b/internal/scheduler/outage_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"fmt"
@@ -86,7 +86,7 @@
 // answerAll lets all requests come to their answers.
 func (d *deployment) answerAll() {
 	for range 2000 {
-		if d.loop.Requests.OpenCount() == 0 {
+		if d.scheduler.Requests.OpenCount() == 0 {
 			break
 		}
 		d.passTime(promptRun, promptRun, false)
--- a/internal/link/peers_test.go
+++ b/internal/scheduler/peers_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"io"
@@ -27,18 +27,18 @@
 // preparePeers gives a loop the number of a scheduler among its peers.
 func (w *harness) preparePeers(number int, peers ...netip.AddrPort) {
 	settings := config.Settings{Settings: dispatch.Settings{Replicas: len(peers), ReplicaIndex: number, PeerMessages: true}}
-	w.loop.preparePeerSocket(config.Config{PeerListen: peers[number], Peers: peers, Settings: settings})
+	w.scheduler.preparePeerSocket(config.Config{PeerListen: peers[number], Peers: peers, Settings: settings})
 }
 
 func (w *harness) openPeers(number int, peers ...netip.AddrPort) {
 	w.preparePeers(number, peers...)
-	w.loop.openPeerSocket()
+	w.scheduler.openPeerSocket()
 }
 
 // tell has the policy send a message to a peer.
 func (w *harness) tell(to int, message dispatch.PeerMessage) {
 	w.policy.Next = append(w.policy.Next, dispatch.SendPeerMessage{To: to, Message: message})
-	w.loop.Requests.Wake()
+	w.scheduler.Requests.Wake()
 	w.runIterations()
 }
 
@@ -71,14 +71,14 @@
 
 // countCalls returns how many calls of a kind the loop makes during act.
 func (w *harness) countCalls(counted eventloop.Call, act func()) (calls int) {
-	w.loop.Syscalls().Interceptor = func(call eventloop.Call, _ int) eventloop.Injection {
+	w.scheduler.Syscalls().Interceptor = func(call eventloop.Call, _ int) eventloop.Injection {
 		if call == counted {
 			calls++
 		}
 		return eventloop.Injection{}
 	}
 	act()
-	w.loop.Syscalls().Interceptor = nil
+	w.scheduler.Syscalls().Interceptor = nil
 	return calls
 }
 
@@ -136,13 +136,13 @@
 	predecessor.openPeers(0, own, remote.address)
 	successor := predecessor.startSuccessor(dir, address)
 	opened := successor.countCalls(eventloop.CallSocket, func() { successor.openPeers(0, own, remote.address) })
-	if successor.loop.peers.IsOpen() || opened > 0 {
+	if successor.scheduler.peers.IsOpen() || opened > 0 {
 		t.Error("a successor in standby opens the socket")
 	}
 	if err := predecessor.handOverTo(successor); err != nil {
 		t.Fatal(err)
 	}
-	if predecessor.loop.peers.IsOpen() {
+	if predecessor.scheduler.peers.IsOpen() {
 		t.Error("the predecessor keeps the socket")
 	}
 	successor.now += peerReopenTime // the predecessor's socket may have been open at the first attempt
@@ -159,7 +159,7 @@
 // A policy that replaces one that has failed is a new scheduler to its peers: it numbers its leases anew.
 func TestNewPolicyIsNewToPeers(t *testing.T) {
 	w, remote := newPeerPair(t)
-	newPolicy := w.loop.policyFactory(config.Config{}, config.Ops{}, false)
+	newPolicy := w.scheduler.policyFactory(config.Config{}, config.Ops{}, false)
 	expectFirst := func(want dispatch.PeerMessage) {
 		t.Helper()
 		w.tell(1, queued(1))
@@ -211,17 +211,17 @@
 // is made.
 func TestPeerCountsOfLoop(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
-	if counts := w.loop.peerCounts(1); counts != (metrics.PeerCounts{}) {
+	if counts := w.scheduler.peerCounts(1); counts != (metrics.PeerCounts{}) {
 		t.Errorf("%+v without a socket", counts)
 	}
 	w, _ = newPeerPair(t)
 	w.tell(1, queued(1))
-	before := w.loop.peerCounts(0)
+	before := w.scheduler.peerCounts(0)
 	if !before.Enabled || before.Sent != 1 {
 		t.Errorf("%+v after a datagram", before)
 	}
-	w.loop.dispatcher = dispatch.New(dispatch.Settings{}, 1)
-	if counts := w.loop.peerCounts(0); counts != before {
+	w.scheduler.dispatcher = dispatch.New(dispatch.Settings{}, 1)
+	if counts := w.scheduler.peerCounts(0); counts != before {
 		t.Errorf("%+v, expected %+v", counts, before)
 	}
 }
--- a/internal/link/reload_test.go
+++ b/internal/scheduler/reload_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"net/netip"
@@ -12,14 +12,14 @@
 // open. One with the same address leaves the watch as it is.
 func TestReloadChangesDiscoveryServer(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
-	w.loop.Requests.WatchEndpoints()
+	w.scheduler.Requests.WatchEndpoints()
 	w.runIterations()
 	conf := config.Config{Discovery: netip.MustParseAddrPort("127.0.0.1:100"), Limits: harnessLimits}
 	for range 2 {
-		w.loop.Reload(conf)
+		w.scheduler.Reload(conf)
 		w.runIterations()
-		if len(w.dialed) != 2 || w.dialed[1].dialedAddress != conf.Discovery || !w.loop.watch.IsOpen() {
-			t.Fatalf("%d connections, watched %v", len(w.dialed), w.loop.watch.Server())
+		if len(w.dialed) != 2 || w.dialed[1].dialedAddress != conf.Discovery || !w.scheduler.watch.IsOpen() {
+			t.Fatalf("%d connections, watched %v", len(w.dialed), w.scheduler.watch.Server())
 		}
 	}
 	if w.dialed[0].read(1 << 12); !w.dialed[0].ended {
--- a/internal/link/startup_test.go
+++ b/internal/scheduler/startup_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"errors"
@@ -30,7 +30,7 @@
 }
 
 // openWithFaults opens a loop while the rules apply. Times of rules count from now.
-func openWithFaults(t *testing.T, rules ...faultinjection.Rule) (*Loop, error) {
+func openWithFaults(t *testing.T, rules ...faultinjection.Rule) (*Scheduler, error) {
 	t.Helper()
 	conf, err := config.Decode([]byte(startConfig), func(string) string { return "" })
 	if err != nil {
@@ -122,7 +122,7 @@
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	successor := predecessor.startSuccessor(dir, address)
-	successor.loop.OnFail(func(err error) { t.Errorf("the process ends: %v", err) })
+	successor.scheduler.OnFail(func(err error) { t.Errorf("the process ends: %v", err) })
 	injector := successor.injectFaults(1, faultinjection.Rule{
 		Calls: []eventloop.Call{eventloop.CallEpollControl}, Times: 5, Errnos: []unix.Errno{unix.ENOMEM},
 		Descriptor: func(descriptor int) bool { return localAddress(descriptor) == address },
@@ -134,11 +134,11 @@
 		successor.now += maxStartBackoff
 		successor.runIterations()
 	}
-	if injector.TotalInjected() != 5 || successor.loop.Addr() != address {
-		t.Errorf("%d calls failed; it listens at %v, expected %v", injector.TotalInjected(), successor.loop.Addr(), address)
+	if injector.TotalInjected() != 5 || successor.scheduler.Addr() != address {
+		t.Errorf("%d calls failed; it listens at %v, expected %v", injector.TotalInjected(), successor.scheduler.Addr(), address)
 	}
 	successor.connectClient()
-	if successor.runUntilQuiet(); successor.loop.clients.ConnectionCount() != 1 {
+	if successor.runUntilQuiet(); successor.scheduler.clients.ConnectionCount() != 1 {
 		t.Error("a client is not accepted")
 	}
 }
--- a/internal/link/tags_test.go
+++ b/internal/scheduler/tags_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"testing"
--- a/internal/link/transfer_fault_test.go
+++ b/internal/scheduler/transfer_fault_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"net/netip"
@@ -33,17 +33,17 @@
 	for _, errno := range connectionErrnos {
 		w := newHarness(&modeltest.Steps{T: t})
 		p, fd := w.socketPair()
-		w.loop.clients.AddConnection(fd, netip.AddrPort{})
+		w.scheduler.clients.AddConnection(fd, netip.AddrPort{})
 		p.write([]byte(requestOfSize(1, 0)))
 		w.runIterations()
-		if open := w.loop.Requests.OpenCount(); open != 1 {
+		if open := w.scheduler.Requests.OpenCount(); open != 1 {
 			t.Fatalf("%d requests open", open)
 		}
 		w.failTransfers(fd, errno)
 		p.write([]byte("more"))
 		w.runIterations()
-		if w.loop.Requests.OpenCount() != 0 || w.loop.clients.ConnectionCount() != 0 {
-			t.Errorf("%v: %d requests open, %d connections", errno, w.loop.Requests.OpenCount(), w.loop.clients.ConnectionCount())
+		if w.scheduler.Requests.OpenCount() != 0 || w.scheduler.clients.ConnectionCount() != 0 {
+			t.Errorf("%v: %d requests open, %d connections", errno, w.scheduler.Requests.OpenCount(), w.scheduler.clients.ConnectionCount())
 		}
 	}
 }
@@ -77,8 +77,8 @@
 					}
 				}
 				err := predecessor.handOverTo(successor)
-				isOwner := successor.successorState() == hotrestart.SuccessorServing && successor.loop.restart.AwaitsSuccessor()
-				hasOwner := !predecessor.loop.hasRelinquished()
+				isOwner := successor.successorState() == hotrestart.SuccessorServing && successor.scheduler.restart.AwaitsSuccessor()
+				hasOwner := !predecessor.scheduler.hasRelinquished()
 				if isOwner == hasOwner || (err == nil) != isOwner {
 					t.Errorf("the successor serves: %v, the predecessor: %v (%v)", isOwner, hasOwner, err)
 				}
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -6,7 +6,7 @@
 
 	"valvecove/internal/config"
 	"valvecove/internal/eventloop"
-	"valvecove/internal/link"
+	"valvecove/internal/scheduler"
 )
 
 // After SIGTERM new connections still come for a moment, and clients keep using those that they have. SIGKILL comes no
@@ -68,7 +68,7 @@
 	if !s.advance(draining) {
 		return
 	}
-	if s.loop.LeaveStandby() {
+	if s.scheduler.LeaveStandby() {
 		s.logger.Info("left standby")
 		s.advance(finished)
 		return
@@ -79,9 +79,9 @@
 }
 
 // drain serves on for as long as there is time to, and sees to it that nothing is left unanswered.
-func (s *server) drain() { newDrainSchedule(s.conf.Settings).run(s.loop, s.finish) }
+func (s *server) drain() { newDrainSchedule(s.conf.Settings).run(s.scheduler, s.finish) }
 
-// drainable is what a drain does with a loop. *link.Loop is one.
+// drainable is what a drain needs of a scheduler. *scheduler.Scheduler implements it.
 type drainable interface {
 	After(span time.Duration, act func()) *eventloop.Timer
 	Drain()
@@ -92,22 +92,22 @@
 }
 
 // run takes the steps, the first one at once.
-func (d drainSchedule) run(loop drainable, end func()) {
-	loop.Drain()
-	loop.After(d.closeAt, loop.Close)
-	loop.After(d.rejectQueuedAt, func() {
+func (d drainSchedule) run(drained drainable, end func()) {
+	drained.Drain()
+	drained.After(d.closeAt, drained.Close)
+	drained.After(d.rejectQueuedAt, func() {
 		if late := d.rejectQueuedAt - d.lateSince; late > 0 {
-			loop.FinishRequestsSince(late)
+			drained.FinishRequestsSince(late)
 		}
-		loop.RejectQueued()
+		drained.RejectQueued()
 	})
-	loop.After(d.finishAllAt, func() {
-		loop.FinishAllRequests()
-		loop.Close() // of connections that have come since, too: what comes on one that stays open may meet SIGKILL
+	drained.After(d.finishAllAt, func() {
+		drained.FinishAllRequests()
+		drained.Close() // of connections that have come since, too: what comes on one that stays open may meet SIGKILL
 	})
 	// Until then it stays even with nothing in flight. One that has ended looks like one that has died: the load balancer
 	// takes seconds to notice, and clients go on to try it. One that is there answers 503.
-	loop.After(d.endAt, end)
+	drained.After(d.endAt, end)
 }
 
 // finish has the loop end once it is quiet.
@@ -115,13 +115,13 @@
 
 // handOver gives all state to the process that is to replace this one, if one is in standby. If the transfer fails, this process continues to drain.
 func (s *server) handOver() {
-	err := s.loop.Relinquish()
+	err := s.scheduler.Relinquish()
 	switch {
 	case err == nil:
-		s.loop.After(handOverLinger, s.finish)
-	case errors.Is(err, link.ErrNotSettled):
-		s.loop.After(handOverRetryDelay, s.handOver)
-	case !errors.Is(err, link.ErrNoSuccessor):
+		s.scheduler.After(handOverLinger, s.finish)
+	case errors.Is(err, scheduler.ErrNotSettled):
+		s.scheduler.After(handOverRetryDelay, s.handOver)
+	case !errors.Is(err, scheduler.ErrNoSuccessor):
 		s.logger.Error("transfer to successor failed", "error", err)
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -16,8 +16,8 @@
 	"valvecove/internal/asyncwriter"
 	"valvecove/internal/config"
 	"valvecove/internal/filesystem"
-	"valvecove/internal/link"
 	"valvecove/internal/logging"
+	"valvecove/internal/scheduler"
 )
 
 // flushTimeout is how long, at the end, a log or a disk is given to take what is pending.
@@ -30,9 +30,9 @@
 type server struct {
 	getenv    func(string) string
 	conf      config.Config
-	loop      *link.Loop
+	scheduler *scheduler.Scheduler
 	state     state
-	failure   error // of the loop; nil: none
+	failure   error // of the scheduler; nil: none
 	logWriter *asyncwriter.Writer
 	logger    *slog.Logger
 	files     filesystem.FileSystem // of metrics
@@ -60,7 +60,7 @@
 }
 
 // Run runs a scheduler until it was told to stop and has drained, or has been replaced. opsPath names the operators' file;
-// without one no feature is on. An error is a fault of the start, or one that the loop can't go on with.
+// without one no feature is on. An error is a fault of the start, or one that the scheduler can't continue after.
 func Run(getenv func(string) string, opsPath string, log io.Writer) error {
 	// From the first moment on: by default SIGHUP ends a process, and with it all that it has admitted.
 	signals := make(chan os.Signal, 16)
@@ -87,7 +87,7 @@
 	}
 	defer instance.close()
 	defer instance.forwardSignals(signals)()
-	err = instance.loop.Run(instance.hasEnded)
+	err = instance.scheduler.Run(instance.hasEnded)
 	return cmp.Or(err, instance.failure)
 }
 
@@ -111,23 +111,23 @@
 	})
 }
 
-// open opens the loop.
+// open opens the scheduler.
 func (s *server) open(ops config.Ops, targets metricTargets) error {
 	loggers := logging.NewFactory(ops.Log, s.conf.Name, s.logWriter)
 	s.logger = loggers.NewLogger()
-	loop, err := link.Open(s.conf, ops, loggers, targets.targets...)
+	opened, err := scheduler.Open(s.conf, ops, loggers, targets.targets...)
 	if err != nil {
 		return err
 	}
-	s.loop = loop
-	loop.OnShareLimits(s.shareMemory)
-	loop.OnFail(func(err error) { s.failure = err })
-	loop.OnSuccessor(func() {
+	s.scheduler = opened
+	opened.OnShareLimits(s.shareMemory)
+	opened.OnFail(func(err error) { s.failure = err })
+	opened.OnSuccessor(func() {
 		if s.state != serving { // it has come late, but not too late
-			s.loop.After(0, s.handOver)
+			s.scheduler.After(0, s.handOver)
 		}
 	})
-	if address := loop.Addr(); address.IsValid() {
+	if address := opened.Addr(); address.IsValid() {
 		s.logger.Info("listening", "addr", address.String())
 	} else {
 		s.logger.Info("predecessor found")
@@ -137,15 +137,15 @@
 
 // close writes out what the features hold.
 func (s *server) close() {
-	s.loop.FlushMetrics()
-	if s.loop.Capture != nil {
-		s.loop.Capture.Close(flushTimeout)
+	s.scheduler.FlushMetrics()
+	if s.scheduler.Capture != nil {
+		s.scheduler.Capture.Close(flushTimeout)
 	}
 }
 
 // hasEnded reports whether the loop is to end.
 func (s *server) hasEnded() bool {
-	return s.state == finished && s.loop.IsQuiet() || s.failure != nil
+	return s.state == finished && s.scheduler.IsQuiet() || s.failure != nil
 }
 
 // shareMemory limits memory to half of what is configured while another process shares it.
--- a/internal/server/signals.go
+++ b/internal/server/signals.go
@@ -38,7 +38,7 @@
 func (s *server) forwardSignals(signals <-chan os.Signal) (stop func()) {
 	var pending pendingSignals
 	stopped := make(chan struct{})
-	s.loop.OnWake(func() {
+	s.scheduler.OnWake(func() {
 		for _, received := range pending.take() {
 			s.handleSignal(received)
 		}
@@ -48,7 +48,7 @@
 			select {
 			case received := <-signals:
 				pending.add(received)
-				s.loop.Wake()
+				s.scheduler.Wake()
 			case <-stopped:
 				return
 			}
@@ -78,7 +78,7 @@
 		return
 	}
 	applyLimits(next.Limits)
-	s.loop.Reload(next)
+	s.scheduler.Reload(next)
 	s.conf = next
 	s.logger.Info("configuration read anew", "discovery", next.Discovery.String())
 	if len(kept) > 0 {
@@ -88,7 +88,7 @@
 
 // dumpCapture writes a copy of what the capture holds to the log, in one piece.
 func (s *server) dumpCapture() {
-	capture := s.loop.Capture
+	capture := s.scheduler.Capture
 	text := capture.Dump()
 	switch {
 	case text == nil:
--- a/internal/testbed/simulation/peers.go
+++ b/internal/testbed/simulation/peers.go
@@ -10,7 +10,7 @@
 	"valvecove/internal/testbed/simapi"
 )
 
-// Constants of the real process (internal/link), and of the kernel's buffer of a socket for small datagrams.
+// Constants of the real process (internal/gossip/socket), and of the kernel's buffer of a socket for small datagrams.
 const (
 	incarnationUnit     = 16 * time.Millisecond
 	maxWaitingDatagrams = 256 // while the process is frozen; further ones are lost
--- a/internal/testbed/simulation/process.go
+++ b/internal/testbed/simulation/process.go
@@ -12,7 +12,7 @@
 )
 
 // Constants of the real process: the shutdown of internal/server, and the descriptors, memory and discovery timeouts of
-// internal/link.
+// internal/scheduler.
 const (
 	stopTimeout         = 3 * time.Second
 	stopMargin          = 700 * time.Millisecond
--- a/internal/testbed/simulation/scheduler.go
+++ b/internal/testbed/simulation/scheduler.go
@@ -1,6 +1,6 @@
 // Package simulation runs a scenario in simulated time. It owns the clock, and steps one environment and its schedulers in
 // turn on one goroutine. A simulated scheduler consists of the request table and the policy of the real program, and of
-// models of its connections (internal/link) and of its reaction to signals (internal/server). A scenario and a seed
+// models of its connections (internal/client, internal/worker) and of its reaction to signals (internal/server). A scenario and a seed
 // determine a run byte for byte, on any machine.
 //
 // If a scenario has planners, its schedulers are forwarders: their policy is package forwarder, and each planner runs
--- a/internal/testbed/simulation/worker_conns.go
+++ b/internal/testbed/simulation/worker_conns.go
@@ -13,7 +13,7 @@
 // This file holds a simulated scheduler's connections to all workers: which of them carries an attempt, and when an
 // idle one is closed.
 
-// Constants of the connections to workers, as in internal/link.
+// Constants of the connections to workers, as in internal/worker.
 const (
 	healthCheckTimeout = 500 * time.Millisecond
 	cancelTimeout      = time.Second
@@ -39,7 +39,7 @@
 	errStatus       = errors.New("status")
 )
 
-// workerConns models the connections to workers of internal/link. The request table starts attempts through it. Writing
+// workerConns models the connections to workers of internal/worker. The request table starts attempts through it. Writing
 // takes no simulated time: a request is written whole as soon as its connection is up.
 type workerConns struct {
 	process      *process
