--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -13,7 +13,7 @@
 	attempt := d.newAttempt(job, worker, d.now)
 	d.addAttempt(attempt)
 	attempt.limitBound = worker.slots.used+1 > worker.slots.limit
-	d.recordWarmUpWork(attempt)
+	d.slowStart.handleSent(attempt, d.now)
 	d.chargeHedge(attempt)
 	d.outliers.handleSent(worker, d.now)
 	d.starts.handleSent(d.now)
@@ -33,7 +33,7 @@
 	}
 	job, worker := attempt.job, attempt.worker
 	d.markStarted(attempt)
-	d.idleConnections.observe(attempt.connIdle, true, d.now)
+	d.idleConnections.observe(attempt.connectionIdle, true, d.now)
 	d.observeStartDelay(attempt)
 	worker.slots.running += job.Slots
 	d.observeSlots(worker, worker.slots.running)
@@ -80,7 +80,7 @@
 	attempt.worker.activity.progressAt = d.now
 }
 
-// mayBeDropped tells whether the worker may drop an attempt as a repetition: no start is notified then,
+// mayBeDropped reports whether the worker may drop an attempt as a repetition: no start is notified then,
 // as the attempt waits for the result of the run of an earlier one.
 func (a *attemptInfo) mayBeDropped() bool {
 	return a.job.class.Idempotency == IdempotentWithKey &&
--- a/dispatch/leaseadapter.go
+++ b/dispatch/leaseadapter.go
@@ -24,7 +24,7 @@
 }
 
 // warmUpWork implements leasedJobs.
-func (l *leaseAdapter) warmUpWork(job *jobInfo) float64 { return l.dispatcher.warmUpCost(job) }
+func (l *leaseAdapter) warmUpWork(job *jobInfo) float64 { return l.dispatcher.workload.warmUpCost(job) }
 
 // allWorkers implements workerLookup.
 func (l *leaseAdapter) allWorkers() []*workerInfo { return l.dispatcher.fleet.workers }
@@ -42,12 +42,13 @@
 
 // isWarmingUp implements workerCapacity.
 func (l *leaseAdapter) isWarmingUp(worker *workerInfo) bool {
-	return l.dispatcher.warmUpShare(worker) < 1
+	return worker.warmUpShare(&l.dispatcher.settings, l.dispatcher.now) < 1
 }
 
 // warmUpLeaseBudget implements workerCapacity.
 func (l *leaseAdapter) warmUpLeaseBudget(worker *workerInfo) float64 {
-	return l.dispatcher.warmUpBudget(worker) * warmUpLeaseFraction / warmUpBudgetFraction
+	budget := l.dispatcher.slowStart.budget(worker, l.dispatcher.now)
+	return budget * warmUpLeaseFraction / warmUpBudgetFraction
 }
 
 // observePromptSlots implements slotObserver.
@@ -57,7 +58,5 @@
 
 // observeLateSlots implements slotObserver.
 func (l *leaseAdapter) observeLateSlots(worker *workerInfo, running float64) {
-	if machine := l.dispatcher.workload.machineKind(worker.Kind); running >= machine.maxSlots {
-		machine.lateOverflows++
-	}
+	l.dispatcher.workload.machineKind(worker.Kind).observeLateStart(running)
 }
--- a/dispatch/snapshotjobs.go
+++ b/dispatch/snapshotjobs.go
@@ -94,7 +94,7 @@
 	codec.int(&a.cell)
 	codec.instant(&a.sentAt, &a.startedAt, &a.progressAt)
 	codec.flags(&a.started, &a.ended, &a.limitBound, &a.orphaned)
-	codec.duration(&a.connIdle, &a.expectedRun)
+	codec.duration(&a.connectionIdle, &a.expectedRun)
 	codec.int((*int)(&a.result))
 }
 
