--- a/internal/gossip/node.go
+++ b/internal/gossip/node.go
@@ -73,7 +73,7 @@
 	outbox      []dispatch.PeerMessage
 }
 
-// New returns a node that has heard of nobody.
+// New returns a node that has received nothing.
 func New(config Config) *Node {
 	return &Node{config: config, peers: map[int]*peer{}, buffer: make([]byte, 0, encodingBuffer)}
 }
@@ -149,7 +149,7 @@
 	return messages, nil
 }
 
-// accept takes in the header of a good datagram.
+// accept handles the header of a valid datagram. It returns an error if the datagram is a duplicate or outdated.
 func (p *peer) accept(now time.Duration, received header) (hasRestarted bool, err error) {
 	if !p.isKnown || received.incarnation != p.incarnation {
 		isLater := int32(received.incarnation-p.incarnation) > 0
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -268,7 +268,7 @@
 	}
 }
 
-// A node with 900 peers takes in a datagram, and sends one, with a few allocations.
+// A node with 900 peers receives a datagram, and sends one, with a few allocations.
 func TestAllocationsOfDatagrams(t *testing.T) {
 	node, other := process(1), newReceiver()
 	const rounds = 1000
@@ -288,7 +288,7 @@
 	}
 }
 
-// Whatever comes from a peer's address, a node takes in no number twice, and its counters have every datagram.
+// Whatever arrives from a peer's address, a node accepts no sequence number twice, and its counters include every datagram.
 func FuzzReceive(f *testing.F) {
 	node := process(9)
 	for _, message := range sampleMessages() {
--- a/internal/hotrestart/addresses.go
+++ b/internal/hotrestart/addresses.go
@@ -22,5 +22,5 @@
 	return []string{filepath.Join(stateDir, socketFileName), abstract}
 }
 
-// IsAbstract tells whether an address of a Unix socket is an abstract name, and no file.
+// IsAbstract reports whether an address of a Unix socket is an abstract name rather than a file.
 func IsAbstract(address string) bool { return strings.HasPrefix(address, "@") }
--- a/internal/hotrestart/cordon_retry_test.go
+++ b/internal/hotrestart/cordon_retry_test.go
@@ -12,8 +12,8 @@
 	"valvecove/internal/filesystem/filesystemtest"
 )
 
-// What could not be written is written again with growing delays until it is stored, the newest content only. The change from
-// success to failure is told of once, and so is the one back.
+// A failed write is retried with growing delays until it succeeds, with the newest content only. The change from success to failure is
+// reported once, and so is the one back.
 func TestCordonStoreRetriesUntilStored(t *testing.T) {
 	disk, loop := diskWithOldCordons(), newEventLoop()
 	store := loop.newStore(disk, crashStateDir)
@@ -60,7 +60,7 @@
 	}
 }
 
-// What was saved along with too many others is written too, though nobody is told so.
+// A save beyond the limit of callbacks is written too, though its callback receives an error.
 func TestCordonStoreStoresBeyondTooManySaves(t *testing.T) {
 	disk, loop := diskWithOldCordons(), newEventLoop()
 	store := loop.newStore(disk, crashStateDir)
--- a/internal/hotrestart/cordon_store.go
+++ b/internal/hotrestart/cordon_store.go
@@ -37,16 +37,16 @@
 	Changed func(error)
 }
 
-// CordonStoreState tells whether what was saved last is on the disk.
+// CordonStoreState says whether the content of the last save is on the disk.
 type CordonStoreState struct {
 	Stored      bool
 	UnsavedFrom time.Duration // since when it is not, by the loop's clock
 	LastError   error         // of the last write, if that failed
 }
 
-// CordonStore keeps the file of cordoned workers. A goroutine of its own writes the file, so that the event loop waits for
-// no disk. What is saved during a write is written next, the newest only. What could not be written is written again, with
-// exponential backoff, until it is stored. All use of it is on the event loop.
+// CordonStore writes the file of cordoned workers on a goroutine of its own, so that the event loop never waits for the disk. Of the
+// saves during a write only the newest is written next. A failed write is retried with exponential backoff until it succeeds. The
+// methods are called on the event loop.
 type CordonStore struct {
 	config           CordonStoreConfig
 	writer           *cordonFileWriter
@@ -83,20 +83,19 @@
 	}
 }
 
-// State tells whether what was saved last is stored.
+// State returns whether the content of the last save is stored.
 func (s *CordonStore) State() CordonStoreState {
 	return CordonStoreState{Stored: !s.unsaved, UnsavedFrom: s.unsavedFrom, LastError: s.lastError}
 }
 
-// IsWriting tells whether a write is in progress.
+// IsWriting reports whether a write is in progress.
 func (s *CordonStore) IsWriting() bool { return s.writing }
 
-// RemoveStrayFiles removes what killed processes have left half done. It is to be called once, by the process that owns the
-// file.
+// RemoveStrayFiles removes the partly written files of killed processes. It is called once, by the process that owns the file.
 func (s *CordonStore) RemoveStrayFiles() { s.tasks <- s.writer.removeStrayFiles }
 
-// Save has the ids written. done is called on the event loop once they are, or something newer, or with the error; at once
-// with ErrTooManySaves if too many calls wait. Whatever the error, the ids are written as soon as that is possible.
+// Save writes the IDs. done is called on the event loop once they, or newer ones, are written, or with the error of the write; at once
+// with ErrTooManySaves if too many calls wait. Whatever the error is, the write is retried.
 func (s *CordonStore) Save(workerIDs []string, done func(error)) {
 	s.setNewest(workerIDs)
 	if len(s.callbacks) >= s.config.MaxCallbacks {
@@ -107,7 +106,7 @@
 	s.startWrite()
 }
 
-// Keep is Save for ids that nobody waits for.
+// Keep is Save without a callback.
 func (s *CordonStore) Keep(workerIDs []string) {
 	s.setNewest(workerIDs)
 	s.startWrite()
@@ -152,7 +151,7 @@
 	s.retryLater()
 }
 
-// recordResult takes in how a write has ended, and tells of a change from success to failure or back.
+// recordResult records the result of a write, and reports a change from success to failure or back.
 func (s *CordonStore) recordResult(err error) {
 	hadFailed := s.lastError != nil
 	s.lastError = err
--- a/internal/hotrestart/cordon_store_test.go
+++ b/internal/hotrestart/cordon_store_test.go
@@ -54,7 +54,7 @@
 	posted  chan func()
 	now     time.Duration
 	timers  []loopTimer
-	changes []error // that the store has told of
+	changes []error // that the store has reported
 }
 
 type loopTimer struct {
@@ -77,7 +77,7 @@
 
 func (l *eventLoop) runOne() { (<-l.posted)() }
 
-// finishWrite takes in the end of a write, if one is in progress.
+// finishWrite waits for the end of a write, if one is in progress.
 func (l *eventLoop) finishWrite(store *CordonStore) {
 	if store.IsWriting() {
 		l.runOne()
--- a/internal/hotrestart/frame.go
+++ b/internal/hotrestart/frame.go
@@ -76,12 +76,12 @@
 
 func (k FrameKind) isValid() bool { return k >= KindHandshake && k < kindLimit }
 
-// CarriesDescriptor tells whether a file descriptor is passed along with frames of this kind.
+// CarriesDescriptor reports whether frames of this kind carry a file descriptor.
 func (k FrameKind) CarriesDescriptor() bool {
 	return k == KindAccept || k == KindClientConnection || k == KindWorkerConnection
 }
 
-// isState tells whether frames of this kind carry a part of the predecessor's state.
+// isState reports whether frames of this kind carry a part of the predecessor's state.
 func (k FrameKind) isState() bool { return k >= KindSnapshotChunk && k <= KindWorkerConnection }
 
 // Frame is one frame as it was read. Body is a part of the buffer that it was read from.
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// hasFields tells whether the body of a message is written by reflection.
+// hasFields reports whether the body of a message is written by reflection.
 func hasFields(message Message) bool {
 	return reflect.TypeOf(message).Kind() == reflect.Struct && reflect.TypeOf(message).NumField() > 0
 }
--- a/internal/hotrestart/message.go
+++ b/internal/hotrestart/message.go
@@ -13,7 +13,7 @@
 // Bodies are JSON, except that SnapshotChunk is sent as it is, and that TakenOver has none. TransferBegin has none from builds
 // that send no clocks, and those builds ignore the body that others send.
 
-// Message is what one frame says. Each type of this file that has a Kind method is one.
+// Message is the content of one frame. Each type of this file that has a Kind method is one.
 type Message interface {
 	// Kind is the kind of the frame that carries the message.
 	Kind() FrameKind
@@ -24,13 +24,13 @@
 	Version int `json:"Form"` // ProtocolVersion of the successor
 }
 
-// Accept is the predecessor's answer to a Handshake. The socket that clients connect to comes with it.
+// Accept is the predecessor's answer to a Handshake. It carries the socket that clients connect to.
 type Accept struct {
 	Version         int      `json:"Form"` // ProtocolVersion of the predecessor
 	CordonedWorkers []string `json:"Out"`  // ids
 }
 
-// Reject is the predecessor's answer to a successor that it does not hand over to.
+// Reject is the predecessor's answer to a successor that it does not accept.
 type Reject struct {
 	Reason string `json:"Why"`
 }
@@ -42,14 +42,14 @@
 	Cordoned bool   `json:"Out"`
 }
 
-// CordonResult says how the caller of a SetCordon is to be answered.
+// CordonResult is the answer to the caller of a SetCordon.
 type CordonResult struct {
 	Sequence   uint64 `json:"Seq"`
 	StatusCode int    `json:"Code"` // of HTTP
 	Message    string `json:"What"`
 }
 
-// CordonedWorkers tells a successor in standby all workers that are cordoned by now.
+// CordonedWorkers notifies a successor in standby of all cordoned workers.
 type CordonedWorkers struct {
 	WorkerIDs []string `json:"Out"`
 }
@@ -57,7 +57,7 @@
 // TransferBegin opens the transfer of the predecessor's state. All instants in it are of the predecessor's clock.
 type TransferBegin ClockReadings
 
-// SnapshotChunk is a piece of the dispatch policy's snapshot, which comes in order.
+// SnapshotChunk is a piece of the dispatch policy's snapshot. The pieces are sent in order.
 type SnapshotChunk []byte
 
 // RequestTable is the state of the request table without its open requests.
@@ -66,7 +66,7 @@
 // OpenRequest is one open request.
 type OpenRequest requests.OpenRequest
 
-// ClientConnection is a client's connection. Its socket comes with it.
+// ClientConnection is a client's connection. It carries the socket.
 type ClientConnection struct {
 	Input             []byte         `json:"In"`         // read from the socket and not yet consumed
 	Output            []byte         `json:"Out"`        // still to be written
@@ -103,7 +103,7 @@
 	WorkerAwaitingResponse WorkerConnectionState = 2
 )
 
-// WorkerConnection is a connection to a worker, idle or with an attempt. Its socket comes with it.
+// WorkerConnection is a connection to a worker, idle or with an attempt. It carries the socket.
 type WorkerConnection struct {
 	WorkerID   string                `json:"Host"`
 	State      WorkerConnectionState `json:"State"`
@@ -121,7 +121,7 @@
 	FrameCount int `json:"Frames"` // frames between TransferBegin and this one
 }
 
-// TakenOver is the successor's answer to TransferEnd: it owns everything from here on.
+// TakenOver is the successor's answer to TransferEnd: it owns all state from here on.
 type TakenOver struct{}
 
 // Kind implements Message.
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -5,15 +5,15 @@
 	"fmt"
 )
 
-// PredecessorState is where the process that serves stands with its successor.
+// PredecessorState is the state of the process that serves, towards its successor.
 type PredecessorState int
 
 // States of a predecessor.
 const (
 	PredecessorAlone        PredecessorState = iota // no successor is connected
 	PredecessorHandshaking                          // one is connected, and has not sent its handshake
-	PredecessorPaired                               // one stands by
-	PredecessorTransferring                         // the state is on its way
+	PredecessorPaired                               // one is in standby
+	PredecessorTransferring                         // the state is being sent
 	PredecessorRelinquished                         // the successor owns everything, and is connected
 	PredecessorReplaced                             // the successor owns everything, and its connection has ended
 )
@@ -54,13 +54,13 @@
 // State returns the present state.
 func (p *Predecessor) State() PredecessorState { return p.state }
 
-// HasRelinquished tells whether a successor owns all that this process had.
+// HasRelinquished reports whether a successor owns all that this process had.
 func (p *Predecessor) HasRelinquished() bool {
 	return p.state == PredecessorRelinquished || p.state == PredecessorReplaced
 }
 
-// HandleConnect takes in a connection; sameUser tells whether the peer runs as the user of this process. An error is the
-// reason for rejecting it, and changes nothing.
+// HandleConnect handles a new connection. sameUser reports whether the peer runs as the user of this process. An error is the reason
+// for rejecting the connection, and changes nothing.
 func (p *Predecessor) HandleConnect(sameUser bool) error {
 	if !sameUser {
 		return ErrOtherUser
@@ -74,8 +74,7 @@
 	return ErrSuccessorPresent
 }
 
-// HandleMessage takes in a message of the successor. After an error the connection is to be closed, and HandleDisconnect
-// called.
+// HandleMessage handles a message of the successor. After an error the caller closes the connection and calls HandleDisconnect.
 func (p *Predecessor) HandleMessage(message Message) (Action, error) {
 	handshake, ok := message.(Handshake)
 	if ok && p.state == PredecessorHandshaking && handshake.Version != ProtocolVersion {
@@ -88,16 +87,16 @@
 	return action, nil
 }
 
-// BeginTransfer tells that the state is about to be sent. It returns false, and changes nothing, if no successor stands by.
+// BeginTransfer begins the transfer of the state. It returns false, and changes nothing, if no successor is in standby.
 func (p *Predecessor) BeginTransfer() bool {
 	_, ok := p.transition(predecessorTransferBegun)
 	return ok
 }
 
-// HandleDisconnect takes in that the connection has ended.
+// HandleDisconnect handles the end of the connection.
 func (p *Predecessor) HandleDisconnect() { p.transition(predecessorDisconnected) }
 
-// predecessorEvent is the kind of a message that has come, or one of the events below.
+// predecessorEvent is the kind of a received message, or one of the events below.
 type predecessorEvent int
 
 const (
--- a/internal/hotrestart/predecessor_test.go
+++ b/internal/hotrestart/predecessor_test.go
@@ -162,7 +162,7 @@
 	}
 }
 
-// A successor of another version is told why it is rejected, in the words that all builds send.
+// A successor of another version is rejected with a reason, in the words that all builds send.
 func TestPredecessorRejectsOtherVersion(t *testing.T) {
 	predecessor := predecessorIn(t, PredecessorHandshaking)
 	action, err := predecessor.HandleMessage(Handshake{Version: ProtocolVersion + 1})
--- a/internal/hotrestart/successor.go
+++ b/internal/hotrestart/successor.go
@@ -5,16 +5,16 @@
 	"fmt"
 )
 
-// SuccessorState is where a successor stands with its predecessor.
+// SuccessorState is the state of a successor towards its predecessor.
 type SuccessorState int
 
 // States of a successor.
 const (
 	SuccessorJoining   SuccessorState = iota // it has sent its handshake
 	SuccessorStandby                         // it was accepted, and the predecessor serves
-	SuccessorReceiving                       // the predecessor's state is coming
+	SuccessorReceiving                       // the predecessor's state is being received
 	SuccessorServing                         // it is the owner
-	SuccessorRejected                        // the predecessor does not hand over to it
+	SuccessorRejected                        // the predecessor has rejected it
 )
 
 // String returns the name of the state, for logs and errors.
@@ -35,26 +35,26 @@
 	}
 }
 
-// Action is what the owner of a state machine has to do next.
+// Action is what the caller of a state machine must do next.
 type Action int
 
 // Actions of both sides, of a successor, and of a predecessor.
 const (
-	ActionNone  Action = iota // nothing: the message or the end of the connection has no effect
-	ActionApply               // do what the message says
+	ActionNone  Action = iota // nothing
+	ActionApply               // apply the message
 
-	ActionTakeOver   // all state has come: send TakenOver, call TookOver, and serve with it
-	ActionServeAlone // the predecessor has gone: discard what has come of its state, and serve without it
+	ActionTakeOver   // all state was received: send TakenOver, call TookOver, and serve with it
+	ActionServeAlone // the predecessor is lost: discard what was received of its state, and serve without it
 	ActionGiveUp     // the predecessor rejects this process: end it
-	ActionReconnect  // the connection is lost: discard what has come, and connect again; if that fails, call HandleDisconnect
+	ActionReconnect  // the connection is lost: discard what was received, and connect again; if that fails, call HandleDisconnect
 
 	ActionAccept     // send Accept
 	ActionReject     // send Reject with the error's text, and close the connection
-	ActionRelinquish // the successor owns everything: let go of it
+	ActionRelinquish // the successor owns all state: release it
 )
 
-// maxSessions is how many times a successor connects at most. A predecessor that lives on keeps its state, and of two
-// processes that serve side by side one would get callbacks that are meant for the other.
+// maxSessions is the largest number of connections to one predecessor. A predecessor that is not lost keeps its state; if both
+// processes served, each would receive callbacks for requests of the other.
 const maxSessions = 3
 
 // MaxSnapshotSize is the largest snapshot of a dispatch policy that a successor accepts, in bytes.
@@ -96,8 +96,8 @@
 
 // Successor is the state machine of the process that takes over. It starts in SuccessorJoining, once the handshake is sent.
 //
-// It decides who the owner is. Until all state has come, the successor owns nothing: what has come in part is void if no
-// more comes, as the predecessor then still has it, or has died with it.
+// It decides who owns the state. Until all of it was received, the successor owns nothing: a part is discarded if the rest does not
+// arrive, as the predecessor then still owns the state, or has died with it.
 type Successor struct {
 	state          SuccessorState
 	sessionsLost   int
@@ -108,8 +108,7 @@
 // State returns the present state.
 func (s *Successor) State() SuccessorState { return s.state }
 
-// HandleMessage takes in a message of the predecessor. After an error the connection is to be closed, and HandleDisconnect
-// called.
+// HandleMessage handles a message of the predecessor. After an error the caller closes the connection and calls HandleDisconnect.
 func (s *Successor) HandleMessage(message Message) (Action, error) {
 	if err := s.check(message); err != nil {
 		return ActionNone, err
@@ -125,14 +124,14 @@
 // TookOver makes this process the owner: it has answered ActionTakeOver by sending TakenOver.
 func (s *Successor) TookOver() { s.transition(successorTookOver) }
 
-// HandleDisconnect takes in that the connection has ended, or that the predecessor can't be reached again.
+// HandleDisconnect handles the end of the connection, or a failed attempt to connect again.
 func (s *Successor) HandleDisconnect() Action {
 	s.sessionsLost++
 	action, _ := s.transition(successorDisconnected)
 	return action
 }
 
-// check compares what a message says with what has come before.
+// check compares a message with those before it.
 func (s *Successor) check(message Message) error {
 	switch message := message.(type) {
 	case Accept:
@@ -164,7 +163,7 @@
 	}
 }
 
-// successorEvent is the kind of a message that has come, or one of the events below.
+// successorEvent is the kind of a received message, or one of the events below.
 type successorEvent int
 
 const (
--- a/internal/hotrestart/successor_test.go
+++ b/internal/hotrestart/successor_test.go
@@ -7,8 +7,8 @@
 	"valvecove/internal/modeltest"
 )
 
-// Whatever comes in whatever order, a successor is the owner only after all that was announced has come, or once the
-// predecessor has gone; then it owns nothing of what had come in part.
+// Whatever messages arrive in whatever order, a successor becomes the owner only once all announced state was received, or the
+// predecessor is lost; in that case it owns nothing of what was received in part.
 func FuzzSuccessor(f *testing.F) {
 	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := successorModel{Steps: choices}
@@ -33,7 +33,7 @@
 	lost            int // connections
 }
 
-// disconnect tells whether the successor goes on.
+// disconnect reports whether the successor continues.
 func (m *successorModel) disconnect() bool {
 	action := m.successor.HandleDisconnect()
 	m.Check((action == ActionNone) == m.owner, "disconnected as the owner %v: action %d", m.owner, action)
@@ -47,7 +47,7 @@
 	return true
 }
 
-// receive tells whether the successor goes on.
+// receive reports whether the successor continues.
 func (m *successorModel) receive(message Message) bool {
 	action, err := m.successor.HandleMessage(message)
 	m.Record(message.Kind().String())
--- a/internal/management/operators_test.go
+++ b/internal/management/operators_test.go
@@ -86,7 +86,7 @@
 				c.Close()
 				f.RunIterations()
 				got := statusAndBody(string(c.Received))
-				// One that stalled is told so; of one cut short nothing more can be said.
+				// A caller that stalled gets 408.
 				s.Check(got == c.want || c.unsent != "" && age >= callReadTimeout && got == "408 call not whole",
 					"%q gets %q, expected %q", c.text, got, c.want)
 			}
--- a/internal/metrics/exporter_test.go
+++ b/internal/metrics/exporter_test.go
@@ -142,7 +142,7 @@
 	m.expected["valvecove.openg|#"+tags]--
 }
 
-// sum takes in what was sent, and checks the size of the batches.
+// sum adds up what was sent, and checks the size of the batches.
 func (m *exporterModel) sum() {
 	for _, batch := range m.target.batches {
 		m.Check(len(batch) < m.maxBatchBytes || strings.Count(batch, "\n") == 1, "a batch of %d, under %d", len(batch), m.maxBatchBytes)
--- a/internal/scheduler/clients_test.go
+++ b/internal/scheduler/clients_test.go
@@ -15,9 +15,9 @@
 // upRequest asks whether the scheduler is ready.
 const upRequest = "GET /up HTTP/1.1\r\n\r\n"
 
-// Told to drain, a scheduler serves on, on the connections that clients have. Told to close, it ends connections between requests,
-// answers what is in hand on connections that then end, and refuses what comes. Quiet tells when all is out. What came late
-// and is still open is answered when time is up; what came before that has its time.
+// A draining scheduler continues to serve the connections that clients have. Close ends idle connections, responds to the requests
+// in flight, whose connections end then, and admits no other. IsQuiet reports when all responses are sent. FinishRequestsSince
+// responds to the requests that arrived within a span and are still open; those that arrived earlier stay open.
 func TestDrain(t *testing.T) {
 	w := newHarness(&modeltest.Steps{T: t})
 	connect := func(text string) *peer {
--- a/internal/scheduler/cordon_store_test.go
+++ b/internal/scheduler/cordon_store_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// checkStoredBy expects a successor to store the cordon of its predecessor, and to remove what stands beside the file.
+// checkStoredBy expects a successor to store the cordon of its predecessor, and to remove other files beside it.
 func checkStoredBy(t *testing.T, successor *harness, disk *filesystemtest.Disk, dir string) {
 	t.Helper()
 	disk.SetFault(nil)
@@ -67,7 +67,7 @@
 	}
 }
 
-// What a predecessor could not store its successor stores, and the predecessor touches the file no more.
+// A cordon that a predecessor could not store is stored by its successor, and the predecessor no longer writes the file.
 func TestUnstoredCordonOutlivesHotRestart(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, disk, startSuccessor := newFailingPredecessor(t, dir)
@@ -86,7 +86,7 @@
 	}
 }
 
-// What a predecessor could not store outlives its death too, if a successor had been told of it, before or after they met.
+// A cordon that a predecessor could not store outlives its death, if a successor was notified of it, with the handshake or later.
 func TestUnstoredCordonOutlivesPredecessor(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, disk, startSuccessor := newFailingPredecessor(t, dir)
@@ -99,14 +99,14 @@
 	checkStoredBy(t, successor, disk, dir)
 }
 
-// A hand-over that fails leaves the file with the predecessor, which goes on storing.
+// After a transfer that fails the predecessor still owns the file, and continues to store.
 func TestFailedTransferKeepsCordonFile(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, disk, startSuccessor := newFailingPredecessor(t, dir)
 	successor := startSuccessor()
 	predecessor.state.alter = addBrokenConnection
 	if err := predecessor.handOverTo(successor); err == nil {
-		t.Fatal("handed over to one that did not take it")
+		t.Fatal("relinquished to a successor that did not take over")
 	}
 	disk.SetFault(nil)
 	predecessor.storeCordons()
--- a/internal/scheduler/generated_faults_test.go
+++ b/internal/scheduler/generated_faults_test.go
@@ -87,8 +87,8 @@
 	}}
 }
 
-// loseAnswer takes in that a connection breaks over what was not read: what its worker has answered ends as a reset, and what
-// discovery has said is known once it is said again.
+// loseAnswer records that a connection is lost with unread input: a worker's response on it ends as a reset, and a list update of
+// discovery arrives when it is sent again.
 func (f *systemFaults) loseAnswer(descriptor int) {
 	unread, err := unix.IoctlGetInt(descriptor, unix.TIOCINQ)
 	far := f.farEnds[descriptor]
@@ -103,7 +103,7 @@
 	}
 }
 
-// listSent takes in that a new watch was sent the whole list.
+// listSent records that the whole list was sent on a new watch.
 func (f *systemFaults) listSent() {
 	if f == nil {
 		return
@@ -127,7 +127,7 @@
 	return fd
 }
 
-// listenForClients has the loop accept clients. Its start is not what is tested here.
+// listenForClients has the scheduler accept clients. Its start is tested elsewhere.
 func (f *systemFaults) listenForClients(loop *Scheduler) {
 	socket := f.listen(f.clients)
 	for eventloop.ClassOf(loop.clients.AddSocket(socket)).IsMomentary() {
--- a/internal/scheduler/generated_settings_test.go
+++ b/internal/scheduler/generated_settings_test.go
@@ -35,8 +35,8 @@
 	nodes         []*workerNode
 	callers       []*caller
 	requests      map[string]*issuedRequest
-	running       []*attempt // of which workers have something to tell
-	callbackPeers []*peer    // connections by which workers tell of their jobs
+	running       []*attempt // for which workers have callbacks to send
+	callbackPeers []*peer    // connections by which workers send callbacks
 	discovery     []*peer    // watches
 	revision      int        // of discovery's list: its generation
 	dials         int        // of discovery
@@ -56,11 +56,11 @@
 	requests.Endpoint
 	at            netip.AddrPort
 	zone, kind    int
-	drainingSince time.Duration // told so; 0: it does not drain
+	drainingSince time.Duration // as the list says; 0: it does not drain
 	down          time.Duration // its process has died, and comes back then
 }
 
-// farEnd is what a test knows of the other end of a connection of the loop's.
+// farEnd is the test's state of the remote end of a connection.
 type farEnd struct {
 	node   *workerNode // nil: discovery
 	filler int         // bytes that hold the connection up, not taken out yet
@@ -97,15 +97,15 @@
 	node     *workerNode
 	at       time.Duration
 	accepted bool
-	ended    bool // the scheduler has been told so
+	ended    bool // the scheduler was notified of it
 	never    bool // and that it never ran
 	givenUp  bool
-	ends     time.Duration // when the worker tells how it ended; 0: never
-	state    string        // and with which word
-	start    time.Duration // when it tells of the start; 0: never
+	ends     time.Duration // when the worker notifies of its end; 0: never
+	state    string        // that it notifies of then
+	start    time.Duration // when the worker notifies of its start; 0: never
 }
 
-// loud fails a test on a line of the log that tells of a fault within.
+// loud fails a test on a log line about an internal fault.
 type loud struct{ *testing.T }
 
 func (l loud) Enabled(_ context.Context, level slog.Level) bool { return level >= slog.LevelError }
@@ -141,7 +141,7 @@
 // never is an instant that does not come.
 const never = time.Duration(math.MaxInt64)
 
-// generated draws a whole configuration as the platform tells it; set may then set some of the settings.
+// generated draws a whole configuration in the form of the platform. set may then change some of the settings.
 func generated(rng *rand.Rand, nodes []*workerNode, zones, kinds []string, set func(settings object)) []byte {
 	flip := func() bool { return rng.IntN(2) == 0 }
 	us := func(least, most time.Duration) int64 {
@@ -346,8 +346,8 @@
 	return p, fd, nil
 }
 
-// runUntilSettled lets the loop do all that it can do now, and everybody else take in what has come. Of what came in one go, what was
-// given up counts before what began.
+// runUntilSettled runs the loop until nothing is left to do now, and has clients and workers read what they have received. Of
+// messages that arrive together, cancellations are handled before new attempts.
 func (d *deployment) runUntilSettled() {
 	for more := true; more; {
 		d.runIterations()
@@ -566,7 +566,7 @@
 	}
 }
 
-// sendCallbacks has workers tell what is due.
+// sendCallbacks has workers send the callbacks that are due.
 func (d *deployment) sendCallbacks() {
 	for _, t := range d.running {
 		if t.start > 0 && t.start <= d.now && t.start < t.ends {
@@ -583,7 +583,7 @@
 			result = fmt.Sprintf("%s by %s, %d", t.of.id, t.node.ID, len(t.of.results))
 			t.of.results = append(t.of.results, result)
 		}
-		for range 1 + d.rng.IntN(8)/7 { // some are told twice
+		for range 1 + d.rng.IntN(8)/7 { // some are sent twice
 			d.sendCallback(t, t.state, result)
 		}
 	}
@@ -598,7 +598,7 @@
 	d.callbackPeers[d.rng.IntN(len(d.callbackPeers))].write(fmt.Appendf(nil, "POST /v1/job-events HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 }
 
-// sendSnapshot tells the whole list on a watch.
+// sendSnapshot sends the whole list on a watch.
 func (d *deployment) sendSnapshot(p *peer) {
 	g := requests.EndpointList{Revision: int64(d.revision), Reset: true}
 	for _, n := range d.nodes {
@@ -641,7 +641,7 @@
 	c.request, d.requests[q.id] = q, q
 }
 
-// readResponses takes in what a client has been answered.
+// readResponses reads the responses to a client.
 func (d *deployment) readResponses(c *caller) {
 	p := c.peer
 	p.read(16 << 10)
@@ -769,9 +769,9 @@
 	}
 }
 
-// The same where connections to workers come up late, also those by which attempts are withdrawn: until an attempt has
-// ended, or its worker has been told that it is given up, there is no other where copies are not allowed, and none at
-// that worker anywhere; and a keyed request is repeated within its window, however late the connection is.
+// The same where connections to workers are established late, also those for cancellations: until an attempt has ended, or its worker
+// was notified of its cancellation, there is no other one if hedging is not allowed, and never another one at that worker; and a
+// request with an idempotency key is retried within its window only, however late the connection is.
 func TestGeneratedSettingsWithLateConnections(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
@@ -789,8 +789,8 @@
 	}
 }
 
-// However discovery is said to tell of changes, a process hears of them only by a watch: it opens one within a second of its
-// start, and again when one has ended.
+// Whatever the settings say about discovery, a process receives changes only by a watch: it opens one within a second of its start,
+// and another one when that has ended.
 func TestListIsWatched(t *testing.T) {
 	for _, how := range []string{"subscribe", "automatic"} {
 		t.Run(how, func(t *testing.T) {
--- a/internal/scheduler/harness_tcp_test.go
+++ b/internal/scheduler/harness_tcp_test.go
@@ -50,7 +50,7 @@
 	return p
 }
 
-// reset closes the peer's end so that it tells a reset and no end.
+// reset closes the peer's end with a reset in place of an end.
 func (p *peer) reset() {
 	_ = unix.SetsockoptLinger(p.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	p.close()
--- a/internal/scheduler/harness_worker_test.go
+++ b/internal/scheduler/harness_worker_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// hasDelete tells whether a far end got a DELETE for a request.
+// hasDelete reports whether the remote end has received a DELETE for a request.
 func (p *peer) hasDelete(q *requests.Request) bool {
 	p.read(1 << 12)
 	return strings.HasPrefix(string(p.received), "DELETE /jobs/"+q.CallID+" ")
--- a/internal/scheduler/hotrestart_test.go
+++ b/internal/scheduler/hotrestart_test.go
@@ -21,15 +21,14 @@
 	"valvecove/internal/requests"
 )
 
-// enableHotRestart makes a world one whose process can be replaced, or can replace another. Its policy is scripted, before and
-// after.
+// enableHotRestart lets the scheduler be replaced, or replace another one. Its policy is scripted, before and after.
 func (w *harness) enableHotRestart() {
 	w.scheduler.dispatcher = dispatch.New(*w.scheduler.settings, 1)
 	w.scheduler.wrapRestored = func(*dispatch.Dispatcher) requests.Policy { return w.policy }
 	w.scheduler.onFail = func(err error) { w.T.Errorf("a process fails: %v", err) }
 }
 
-// newPredecessorHarness returns a world that serves and awaits a successor, and the address that clients connect to.
+// newPredecessorHarness returns a scheduler that serves and awaits a successor, and the address that clients connect to.
 func newPredecessorHarness(choices *modeltest.Steps, dir string) (*harness, netip.AddrPort) {
 	w := newHarness(choices)
 	w.enableHotRestart()
@@ -40,7 +39,7 @@
 	return w, w.scheduler.Addr()
 }
 
-// startSuccessor returns a new world that stands by to replace this one.
+// startSuccessor returns a successor in standby.
 func (w *harness) startSuccessor(dir string, address netip.AddrPort) *harness {
 	return w.startSuccessorAfterStep(dir, address, 0)
 }
@@ -67,8 +66,8 @@
 	return state
 }
 
-// handOverTo hands over to a successor that stands by. The predecessor does nothing else meanwhile, so the successor's loop
-// runs on another goroutine.
+// handOverTo transfers the state to a successor in standby. The predecessor does nothing else meanwhile, so the successor's loop runs
+// on another goroutine.
 func (w *harness) handOverTo(successor *harness) error {
 	ended := make(chan struct{})
 	go func() {
@@ -87,7 +86,7 @@
 	return err
 }
 
-// sendRequest has a client of the world send request "q", on a connection of its own.
+// sendRequest has a client send request "q", on a connection of its own.
 func (w *harness) sendRequest(at netip.AddrPort) *peer {
 	client, fd := w.socketPair()
 	w.scheduler.clients.AddConnection(fd, at)
@@ -102,8 +101,8 @@
 	snapshot.WorkerConnections = append(snapshot.WorkerConnections, broken)
 }
 
-// A transfer that fails changes nothing: the predecessor is still the owner, and serves; the successor keeps nothing of it, and
-// connects again, so that the next transfer succeeds.
+// A transfer that fails changes nothing: the predecessor still owns the state, and serves; the successor discards what it has
+// received, and connects again, so that the next transfer succeeds.
 func TestFailedTransferChangesNothing(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
@@ -143,7 +142,7 @@
 	}
 }
 
-// Without a successor there is nothing to hand over to. A second successor is rejected, and takes nobody's place by that.
+// Without a successor, Relinquish fails. A second successor is rejected, and does not serve then.
 func TestSecondSuccessorIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
@@ -170,7 +169,7 @@
 	}
 }
 
-// A predecessor that dies leaves its cordoned workers, in the file; what is left at the path of its socket is in nobody's way.
+// A predecessor that dies leaves its cordoned workers in the file. The file of its socket does not hinder the next process.
 func TestPredecessorDies(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
@@ -191,8 +190,8 @@
 	}
 }
 
-// A snapshot that is of no use to the next build costs what was learnt, and no request: its policy is told of each request and
-// what became of its attempts.
+// A snapshot that the next build can't restore costs the estimates in it, and no request: the new policy is notified of each request
+// and of the state of its attempts.
 func TestIncompatibleSnapshotKeepsRequests(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
@@ -215,7 +214,7 @@
 		}
 	}
 	if len(resumed) != 1 || resumed[0].Job.ID != 1 || len(resumed[0].Attempts) != 1 || resumed[0].Attempts[0].Ended {
-		t.Fatalf("told of %+v", resumed)
+		t.Fatalf("resumed %+v", resumed)
 	}
 	result := "made"
 	callback := requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result}
@@ -226,7 +225,7 @@
 	}
 }
 
-// A cordon call that was forwarded, and that the predecessor had not read when it handed over, is carried out by the new owner.
+// A cordon call that was forwarded, and that the predecessor had not read at the take-over, is carried out by the new owner.
 func TestCordonCallCrossesTransfer(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
@@ -275,23 +274,23 @@
 	expect("s-9 404 no such worker node", "s-0 200 out", "s-0 200 serving")
 }
 
-// A process that is told to end while it stands by takes nothing along, and the next can stand by.
+// A process that leaves standby takes nothing over, and another one can enter standby.
 func TestLeaveStandby(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	successor := predecessor.startSuccessor(dir, address)
 	if predecessor.scheduler.LeaveStandby() || !successor.scheduler.LeaveStandby() || successor.scheduler.LeaveStandby() {
-		t.Error("one that serves leaves the standby, or one that stands by does not, or does twice")
+		t.Error("a process that serves leaves standby, or one in standby does not, or does twice")
 	}
 	successor.runIterations()
 	predecessor.runIterations()
 	if err := predecessor.scheduler.Relinquish(); !errors.Is(err, ErrNoSuccessor) || predecessor.scheduler.budget.IsHalved() {
-		t.Errorf("handed over to nobody: %v", err)
+		t.Errorf("relinquished to nobody: %v", err)
 	}
 }
 
-// A process that takes over watches the endpoint list itself, from before it says that it is ready, and goes on to if the watch
-// had just ended.
+// A successor watches the endpoint list itself, from before it reports that it is ready, and still does after the take-over if its
+// watch had just ended.
 func TestSuccessorWatchesEndpoints(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		dir := t.TempDir()
@@ -299,12 +298,12 @@
 		predecessor.scheduler.settings.MustSubscribe = true // a successor has its predecessor's settings
 		successor := predecessor.startSuccessor(dir, address)
 		if !successor.scheduler.watch.IsOpen() {
-			t.Error("it stands by without a watch")
+			t.Error("in standby without a watch")
 		}
 		if lost {
 			successor.scheduler.watch.Stop()
 		}
-		// Both are told to read their configuration, which names another discovery and other limits.
+		// Both reload their configuration, with another discovery address and other limits.
 		conf := config.Config{Discovery: netip.MustParseAddrPort("127.0.0.1:8"), Limits: config.Limits{Sockets: 512, MemoryMB: 64}}
 		predecessor.scheduler.Reload(conf)
 		successor.scheduler.Reload(conf)
@@ -321,8 +320,8 @@
 // clockSteps are steps of the wall clock between the starts of two processes.
 var clockSteps = []time.Duration{-time.Hour, -3 * time.Second, 0, 3 * time.Second, time.Hour}
 
-// The wall clock may be stepped between the starts of two processes: what is handed over lives as long as it would have, and
-// has been idle for as long as it was. An attempt that ends in its last millisecond is still answered.
+// The wall clock may be stepped between the starts of two processes: deadlines and idle times of the transferred state are the same
+// spans as before. An attempt that ends in its last millisecond is still answered.
 func TestHotRestartAfterClockStep(t *testing.T) {
 	for _, step := range clockSteps {
 		dir := t.TempDir()
@@ -369,7 +368,7 @@
 	}
 }
 
-// stateAges are the spans of what is handed over, by the clock of the process that has it.
+// stateAges are the spans of the transferred state, by the clock of the process that owns it.
 type stateAges struct {
 	untilDeadline, untilAttemptExpires, sinceArrival, sinceSent, clientSilent, workerIdle time.Duration
 }
--- a/internal/scheduler/outage_test.go
+++ b/internal/scheduler/outage_test.go
@@ -112,8 +112,8 @@
 	return served
 }
 
-// After a long quiet time, in which workers have closed all idle connections and what was learnt has aged, the first burst is
-// served as any other.
+// After a long quiet time, in which workers have closed all idle connections and estimates have decayed, the first burst is served as
+// any other.
 func TestFirstBurstAfterAQuietTime(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/scheduler/startup_test.go
+++ b/internal/scheduler/startup_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// A start that can't do ends with its message: at once, where waiting is of no use, after a while, where an address is in use,
-// and else before a start has to be over. It leaves no descriptor behind.
+// A start that fails returns its error: at once if a retry can't help, after addressInUseTimeout if an address is in use, and else
+// after startTimeout. It leaves no descriptor open.
 func TestStartThatFails(t *testing.T) {
 	tests := map[string]struct {
 		call    eventloop.Call
@@ -117,7 +117,7 @@
 	return fd
 }
 
-// A process that has taken over goes on with what it has while the socket that clients connect to can't be used for a moment.
+// A process that has taken over continues to serve while the socket that clients connect to can't be used for a moment.
 func TestTakeOverOutlastsFailures(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
--- a/internal/scheduler/transfer_fault_test.go
+++ b/internal/scheduler/transfer_fault_test.go
@@ -28,7 +28,7 @@
 	})
 }
 
-// A client whose connection breaks has gone, whatever the errno: nothing is sent of what it asked for.
+// A client whose connection is lost counts as disconnected, whatever the error: its queued request is abandoned.
 func TestClientConnectionBreaksWithAnyErrno(t *testing.T) {
 	for _, errno := range connectionErrnos {
 		w := newHarness(&modeltest.Steps{T: t})
@@ -55,7 +55,7 @@
 	}
 }
 
-// There is one owner, whatever either process lacks while the successor says that it has taken over, and however long.
+// There is one owner, whatever resource either process lacks while TakenOver is sent and received, and however long.
 func TestOneOwnerThroughShortagesDuringTransfer(t *testing.T) {
 	for name, faults := range map[string]struct{ predecessor, successor []eventloop.Call }{
 		"saying so":  {nil, []eventloop.Call{eventloop.CallWrite, eventloop.CallSendMessage}},
--- a/internal/server/capture_test.go
+++ b/internal/server/capture_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// A log that nobody takes in holds up neither the jobs nor the end, whatever is on.
+// A log that nobody reads delays neither the jobs nor the end, whatever features are on.
 func TestLogStuck(t *testing.T) {
 	t.Run("capture", func(t *testing.T) { testStuckLog(t, "[capture]") })
 	t.Run("no feature", func(t *testing.T) { testStuckLog(t, "[log]\nlevel = 'debug'") })
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -38,12 +38,12 @@
 	files     filesystem.FileSystem // of metrics
 }
 
-// state is how far a server has come.
+// state is the state of a server. It only ever advances.
 type state int
 
 const (
 	serving  state = iota
-	draining       // was told to stop
+	draining       // has received SIGTERM
 	finished       // stays only until its last responses are written
 )
 
@@ -59,7 +59,7 @@
 	return true
 }
 
-// Run runs a scheduler until it was told to stop and has drained, or has been replaced. opsPath names the operators' file;
+// Run runs a scheduler until it has drained after SIGTERM, or was replaced. opsPath names the operators' file;
 // without one no feature is on. An error is a fault of the start, or one that the scheduler can't continue after.
 func Run(getenv func(string) string, opsPath string, log io.Writer) error {
 	// From the first moment on: by default SIGHUP ends a process, and with it all that it has admitted.
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -181,8 +181,8 @@
 	}
 }
 
-// While the loop is held up, by reading a configuration that is slow to come, many more are named, and the process is told
-// to stop. It goes on by the last of them, and stops.
+// While the loop is blocked by reading a configuration from a slow file, many more reloads and a SIGTERM arrive. The process applies
+// the last configuration, and stops.
 func TestManySignalsWhileTheLoopIsHeldUp(t *testing.T) {
 	const reloads = 64
 	last := listen(t)
--- a/internal/server/signals.go
+++ b/internal/server/signals.go
@@ -15,7 +15,7 @@
 // what has to be done once, after the last of them. So however many come while the loop is held up, none is lost.
 type pendingSignals [len(signalKinds)]atomic.Bool
 
-// add takes in a signal, from any goroutine.
+// add adds a signal. It may be called from any goroutine.
 func (p *pendingSignals) add(received os.Signal) {
 	for i, kind := range signalKinds {
 		if kind == received {
--- a/internal/status/entry.go
+++ b/internal/status/entry.go
@@ -124,7 +124,7 @@
 	return *a.progress
 }
 
-// report returns what the status call tells of the request.
+// report returns the response of the status call about the request.
 func (e *entry) report(names requests.NameTable) Report {
 	report := Report{ID: e.callID, State: StateWaiting, Outcome: e.outcome}
 	if e.class < len(names.Classes) {
