--- a/internal/hotrestart/successor_test.go
+++ b/internal/hotrestart/successor_test.go
@@ -7,8 +7,8 @@
 	"valvecove/internal/modeltest"
 )
 
-// Whatever messages arrive in whatever order, a successor becomes the owner only once all announced state was received, or the
-// predecessor is lost; in that case it owns nothing of what was received in part.
+// With any events in any order, a successor is the owner only after it has received all announced frames, or after the
+// predecessor has ended; then it discards an incomplete transfer.
 func FuzzSuccessor(f *testing.F) {
 	modeltest.Fuzz(f, func(choices *modeltest.Steps) {
 		model := successorModel{Steps: choices}
@@ -43,7 +43,7 @@
 		return false
 	}
 	m.Check(m.accepted && m.lost < maxSessions, "it connects again for ever")
-	m.accepted, m.begun, m.frames = false, false, 0 // what has come in part is void
+	m.accepted, m.begun, m.frames = false, false, 0 // an incomplete transfer is discarded
 	return true
 }
 
