--- a/internal/eventloop/eventlooptest/peer.go
+++ b/internal/eventloop/eventlooptest/peer.go
@@ -2,9 +2,12 @@
 
 import (
 	"errors"
+	"net/netip"
 	"testing"
 
 	"golang.org/x/sys/unix"
+
+	"valvecove/internal/eventloop"
 )
 
 // sendBufferSize is that of a loop's end of a connection, in bytes: small, so that long messages are sent in parts.
@@ -39,9 +42,16 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	descriptor, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	return ConnectToAddress(tb, eventloop.AddrPort(address))
+}
+
+// ConnectToAddress returns the remote end of a TCP connection to an address. It is closed at the end of the test.
+func ConnectToAddress(tb testing.TB, address netip.AddrPort) *Peer {
+	tb.Helper()
+	family, sockaddr := eventloop.Sockaddr(address)
+	descriptor, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
-		err = unix.Connect(descriptor, address)
+		err = unix.Connect(descriptor, sockaddr)
 	}
 	if err == nil {
 		err = unix.SetNonblock(descriptor, true)
--- a/internal/scheduler/client_presence_test.go
+++ b/internal/scheduler/client_presence_test.go
@@ -20,7 +20,7 @@
 // one that has just come up.
 func TestClientGoneWhileHeldUp(t *testing.T) {
 	for _, isUp := range []bool{false, true} {
-		for how, leave := range map[string]func(*peer){"end": (*peer).close, "reset": (*peer).reset} {
+		for how, leave := range map[string]func(*peer){"end": (*peer).Close, "reset": (*peer).Reset} {
 			t.Run(fmt.Sprintf("idle connection %v, %s", isUp, how), func(t *testing.T) {
 				write, began := writeAttempt(t, isUp, 0, leave)
 				if write < 6 || !began {
@@ -40,95 +40,95 @@
 // of them the write is. Its client leaves at the nth, from which the process is held up; 0: it stays.
 func writeAttempt(t *testing.T, isUp bool, nth int, leave func(*peer)) (write int, began bool) {
 	t.Helper()
-	w := newHarness(&modeltest.Steps{T: t})
-	w.listen()
-	p, far := w.prepareAttempt(isUp)
+	h := newHarness(&modeltest.Steps{T: t})
+	h.listen()
+	p, far := h.prepareAttempt(isUp)
 	points := 0
 	passPoint := func() {
 		if points++; points == nth {
 			leave(p)
-			w.now += longestHold
+			h.now += longestHold
 		}
 	}
-	w.clock = func() time.Duration {
-		now := w.now
+	h.clock = func() time.Duration {
+		now := h.now
 		passPoint()
 		return now
 	}
-	w.scheduler.Syscalls().Interceptor = func(call eventloop.Call, _ int) eventloop.Injection {
+	h.scheduler.Syscalls().Interceptor = func(call eventloop.Call, _ int) eventloop.Injection {
 		passPoint()
 		if call == eventloop.CallWrite && write == 0 {
 			write = points
 		}
 		return eventloop.Injection{}
 	}
-	w.runIterations()
-	w.now += 2 * probeResponseTime
-	w.runIterations()
-	far.read(1 << 12)
-	return write, len(far.received) > 0
+	h.runIterations()
+	h.now += 2 * probeResponseTime
+	h.runIterations()
+	far.Read(1 << 12)
+	return write, len(far.Received) > 0
 }
 
 // prepareAttempt gives a client and a worker's side, with an attempt that the next iteration writes there: on an idle connection, or
 // on one that comes up.
-func (w *harness) prepareAttempt(isUp bool) (client, worker *peer) {
+func (h *harness) prepareAttempt(isUp bool) (client, worker *peer) {
 	job := uint64(1)
 	if isUp {
-		w.openIdleConnection()
+		h.openIdleConnection()
 		job++
 	}
-	p := w.connectClient()
-	p.write([]byte(requestOfSize(7, 0)))
-	w.runIterations()
-	links := w.delayConnections()
-	w.policy.Next = append(w.policy.Next, dispatch.Send{Job: job, Worker: w.workerNumber()})
-	w.scheduler.Requests.Wake()
+	p := h.connectClient()
+	p.Write([]byte(requestOfSize(7, 0)))
+	h.runIterations()
+	links := h.delayConnections()
+	h.policy.Next = append(h.policy.Next, dispatch.Send{Job: job, Worker: h.workerNumber()})
+	h.scheduler.Requests.Wake()
 	if !isUp {
-		w.runIterations()
+		h.runIterations()
 		(*links)[0].release()
 	}
-	far := w.dialed[len(w.dialed)-1]
-	far.received = nil
+	far := h.dialed[len(h.dialed)-1]
+	far.Received = nil
 	return p, far
 }
 
 // openIdleConnection has a first request served, and its connection to the worker kept.
-func (w *harness) openIdleConnection() {
-	p := w.connectClient()
-	p.write([]byte(requestOfSize(1, 0)))
-	w.runIterations()
-	w.sendJob(1)
-	w.dialed[0].read(1 << 12)
-	w.dialed[0].write([]byte(acceptedResponse))
-	w.runIterations()
-	p.write(callbackRequest("1"))
-	w.runIterations()
-	w.now += reuseDelay
+func (h *harness) openIdleConnection() {
+	p := h.connectClient()
+	p.Write([]byte(requestOfSize(1, 0)))
+	h.runIterations()
+	h.sendJob(1)
+	h.dialed[0].Read(1 << 12)
+	h.dialed[0].Write([]byte(acceptedResponse))
+	h.runIterations()
+	p.Write(callbackRequest("1"))
+	h.runIterations()
+	h.now += reuseDelay
 }
 
 // A client that has ended its side, has read the interim response to that, and then closes is noticed before its next attempt.
 func TestHalfClosedClientLeaves(t *testing.T) {
 	for _, since := range []time.Duration{latestBegin, time.Second} {
-		w := newHarness(&modeltest.Steps{T: t})
-		w.listen()
-		p := w.connectClient()
-		p.write([]byte(requestOfSize(1, 0)))
-		w.runIterations()
-		p.closeWrite()
-		w.runIterations()
-		p.read(1 << 10)
-		w.now += time.Second
-		p.close()
-		w.now += since
-		w.sendJob(1)
-		w.now += probeResponseTime
-		w.runIterations()
-		for _, far := range w.dialed {
-			if far.read(1 << 12); len(far.received) > 0 {
+		h := newHarness(&modeltest.Steps{T: t})
+		h.listen()
+		p := h.connectClient()
+		p.Write([]byte(requestOfSize(1, 0)))
+		h.runIterations()
+		p.CloseWrite()
+		h.runIterations()
+		p.Read(1 << 10)
+		h.now += time.Second
+		p.Close()
+		h.now += since
+		h.sendJob(1)
+		h.now += probeResponseTime
+		h.runIterations()
+		for _, far := range h.dialed {
+			if far.Read(1 << 12); len(far.Received) > 0 {
 				t.Errorf("an attempt began %v after the close", since)
 			}
 		}
-		if open := w.scheduler.Requests.OpenCount(); open != 0 {
+		if open := h.scheduler.Requests.OpenCount(); open != 0 {
 			t.Errorf("%d requests are open", open)
 		}
 	}
@@ -136,24 +136,24 @@
 
 // A client that has only ended its side is served, however late its attempt begins: it is probed once more before that.
 func TestHalfClosedClientIsServedLate(t *testing.T) {
-	w := newHarness(&modeltest.Steps{T: t})
-	w.listen()
-	p := w.connectClient()
-	p.write([]byte(requestOfSize(1, 0)))
-	w.runIterations()
-	p.closeWrite()
-	w.runIterations()
-	w.now += time.Second
-	w.sendJob(1)
-	w.now += probeResponseTime
-	w.runIterations()
-	if w.dialed[0].read(1 << 12); len(w.dialed[0].received) == 0 {
+	h := newHarness(&modeltest.Steps{T: t})
+	h.listen()
+	p := h.connectClient()
+	p.Write([]byte(requestOfSize(1, 0)))
+	h.runIterations()
+	p.CloseWrite()
+	h.runIterations()
+	h.now += time.Second
+	h.sendJob(1)
+	h.now += probeResponseTime
+	h.runIterations()
+	if h.dialed[0].Read(1 << 12); len(h.dialed[0].Received) == 0 {
 		t.Fatal("nothing was sent")
 	}
-	worker := w.connectClient()
-	worker.write(callbackRequest("1"))
-	w.runIterations()
-	if got := p.statuses(t); len(got) != 1 || got[0] != 200 || !p.ended {
-		t.Errorf("answered %v, connection ended %v", got, p.ended)
+	worker := h.connectClient()
+	worker.Write(callbackRequest("1"))
+	h.runIterations()
+	if got := p.statuses(t); len(got) != 1 || got[0] != 200 || !p.Ended {
+		t.Errorf("answered %v, connection ended %v", got, p.Ended)
 	}
 }
--- a/internal/scheduler/clients_test.go
+++ b/internal/scheduler/clients_test.go
@@ -19,74 +19,74 @@
 // in flight, whose connections end then, and admits no other. IsQuiet reports when all responses are sent. FinishRequestsSince
 // responds to the requests that arrived within a span and are still open; those that arrived earlier stay open.
 func TestDrain(t *testing.T) {
-	w := newHarness(&modeltest.Steps{T: t})
+	h := newHarness(&modeltest.Steps{T: t})
 	connect := func(text string) *peer {
-		p, fd := w.socketPair()
-		w.scheduler.clients.AddConnection(fd, netip.AddrPort{})
-		p.write([]byte(text))
-		w.runIterations()
+		p, fd := h.socketPair()
+		h.scheduler.clients.AddConnection(fd, netip.AddrPort{})
+		p.Write([]byte(text))
+		h.runIterations()
 		return p
 	}
 	answered := func(p *peer, status int, closes bool) {
 		t.Helper()
 		var m http1.Response
-		p.read(1 << 10)
-		if _, err := m.Parse(p.received, true); err != nil || m.StatusCode != status || m.KeepAlive == closes {
-			t.Errorf("answered %q (%v)", p.received, err)
+		p.Read(1 << 10)
+		if _, err := m.Parse(p.Received, true); err != nil || m.StatusCode != status || m.KeepAlive == closes {
+			t.Errorf("answered %q (%v)", p.Received, err)
 		}
-		p.received = nil
+		p.Received = nil
 	}
 	resting := connect(upRequest)
 	answered(resting, 200, false)
 	early := connect(requestOfSize(1, 5))
-	w.scheduler.Drain()
-	w.now += time.Second
-	w.runIterations()
-	resting.write([]byte(requestOfSize(2, 5)))
-	w.runIterations()
-	w.policy.Next = append(w.policy.Next, dispatch.Reject{Job: 2, RetryAfter: time.Second})
-	w.scheduler.Requests.DiscoveryFailed()
-	w.runIterations()
+	h.scheduler.Drain()
+	h.now += time.Second
+	h.runIterations()
+	resting.Write([]byte(requestOfSize(2, 5)))
+	h.runIterations()
+	h.policy.Next = append(h.policy.Next, dispatch.Reject{Job: 2, RetryAfter: time.Second})
+	h.scheduler.Requests.DiscoveryFailed()
+	h.runIterations()
 	answered(resting, 503, false)
 	answered(connect(upRequest), 503, false)
 	late := connect(requestOfSize(3, 5))
-	w.scheduler.Close()
-	w.runIterations()
-	if resting.read(1); !resting.ended || w.scheduler.IsQuiet() {
-		t.Errorf("resting connection ended %v, quiet %v", resting.ended, w.scheduler.IsQuiet())
+	h.scheduler.Close()
+	h.runIterations()
+	if resting.Read(1); !resting.Ended || h.scheduler.IsQuiet() {
+		t.Errorf("resting connection ended %v, quiet %v", resting.Ended, h.scheduler.IsQuiet())
 	}
 	answered(connect(requestOfSize(4, 5)), 503, true)
-	w.scheduler.FinishRequestsSince(time.Second / 2)
-	w.runIterations()
+	h.scheduler.FinishRequestsSince(time.Second / 2)
+	h.runIterations()
 	answered(late, 503, true)
-	if early.read(1); len(early.received) > 0 || w.scheduler.IsQuiet() {
-		t.Errorf("an early request got %q, quiet %v", early.received, w.scheduler.IsQuiet())
+	if early.Read(1); len(early.Received) > 0 || h.scheduler.IsQuiet() {
+		t.Errorf("an early request got %q, quiet %v", early.Received, h.scheduler.IsQuiet())
 	}
-	w.scheduler.FinishRequestsSince(2 * time.Second)
-	w.runIterations()
-	if answered(early, 503, true); !w.scheduler.IsQuiet() {
+	h.scheduler.FinishRequestsSince(2 * time.Second)
+	h.runIterations()
+	if answered(early, 503, true); !h.scheduler.IsQuiet() {
 		t.Error("not quiet once all is answered")
 	}
 }
 
 // The front sends clients to a process once its /up answers 200, so one whose requests would wait for the first list says 503.
 func TestUpOnlyOnceNothingAwaitsTheFirstEndpointList(t *testing.T) {
-	w := newHarness(&modeltest.Steps{T: t})
-	p, fd := w.socketPair()
-	w.scheduler.clients.AddConnection(fd, netip.AddrPort{})
+	h := newHarness(&modeltest.Steps{T: t})
+	p, fd := h.socketPair()
+	h.scheduler.clients.AddConnection(fd, netip.AddrPort{})
 	up := func(status, unready string) {
 		t.Helper()
-		p.received = nil
-		p.write([]byte(upRequest))
-		w.runIterations()
-		if p.read(4096); !strings.HasPrefix(string(p.received), "HTTP/1.1 "+status) || w.scheduler.notReadyReason() != unready {
-			t.Errorf("%q, unready %q, expected %s, %q", p.received, w.scheduler.notReadyReason(), status, unready)
+		p.Received = nil
+		p.Write([]byte(upRequest))
+		h.runIterations()
+		if p.Read(4096); !strings.HasPrefix(string(p.Received), "HTTP/1.1 "+status) || h.scheduler.notReadyReason() != unready {
+			t.Errorf("%q, unready %q, expected %s, %q", p.Received, h.scheduler.notReadyReason(), status, unready)
 		}
 	}
 	up("200", "")
-	w.scheduler.Requests.AwaitEndpoints(w.scheduler.Now() + time.Hour)
+	h.scheduler.Requests.AwaitEndpoints(h.scheduler.Now() + time.Hour)
 	up("503", "no word from discovery yet")
-	w.scheduler.Requests.DiscoveryFailed()
+	h.scheduler.Requests.DiscoveryFailed()
 	up("200", "")
 }
 
@@ -94,52 +94,52 @@
 // connection there comes up in the same iteration. What was accepted runs on, and no copy of it is sent.
 func TestClientGoneOnTheWay(t *testing.T) {
 	for stage, size := range map[string]int{"connecting": 0, "partly written": http1.MaxBodySize, "accepted": 0} {
-		for how, leave := range map[string]func(*peer){"end": (*peer).close, "reset": (*peer).reset} {
+		for how, leave := range map[string]func(*peer){"end": (*peer).Close, "reset": (*peer).Reset} {
 			t.Run(stage+", "+how, func(t *testing.T) {
-				w := newHarness(&modeltest.Steps{T: t})
-				w.listen()
-				w.leaveWhileAttemptIs(stage, size, leave)
+				h := newHarness(&modeltest.Steps{T: t})
+				h.listen()
+				h.leaveWhileAttemptIs(stage, size, leave)
 			})
 		}
 	}
 }
 
 // leaveWhileAttemptIs has a client leave while the attempt of its request is connecting, partly written or accepted.
-func (w *harness) leaveWhileAttemptIs(stage string, size int, leave func(*peer)) {
-	w.scheduler.Requests.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
+func (h *harness) leaveWhileAttemptIs(stage string, size int, leave func(*peer)) {
+	h.scheduler.Requests.UpdateEndpoints(requests.EndpointList{Reset: true, Endpoints: []requests.Endpoint{
 		{ID: "s-0", Addr: "127.0.0.1:1", Lifecycle: "up"},
 		{ID: "s-1", Addr: "127.0.0.1:2", Lifecycle: "up"},
 	}})
-	p := w.connectClient()
-	w.runIterations()
-	w.writeAll(p, []byte(requestOfSize(1, size)))
-	w.runUntilQuiet()
-	workers := w.policy.Received[1].(dispatch.WorkerList).Workers
-	w.policy.Next = append(w.policy.Next, dispatch.Send{Job: 1, Worker: workers[0].ID})
-	w.scheduler.Requests.Wake()
-	w.runOnce()
-	if len(w.dialed) != 1 {
-		w.T.Fatal("not sent")
+	p := h.connectClient()
+	h.runIterations()
+	h.writeAll(p, []byte(requestOfSize(1, size)))
+	h.runUntilQuiet()
+	workers := h.policy.Received[1].(dispatch.WorkerList).Workers
+	h.policy.Next = append(h.policy.Next, dispatch.Send{Job: 1, Worker: workers[0].ID})
+	h.scheduler.Requests.Wake()
+	h.runOnce()
+	if len(h.dialed) != 1 {
+		h.T.Fatal("not sent")
 	}
-	far := w.dialed[0]
+	far := h.dialed[0]
 	if stage != "connecting" {
-		w.runUntilQuiet()
+		h.runUntilQuiet()
 	}
-	if far.read(1 << 10); stage == "accepted" {
-		far.write([]byte(acceptedResponse))
-		w.runIterations()
+	if far.Read(1 << 10); stage == "accepted" {
+		far.Write([]byte(acceptedResponse))
+		h.runIterations()
 	}
 	leave(p)
-	w.policy.Next = append(w.policy.Next, dispatch.Send{Job: 1, Worker: workers[1].ID})
-	w.scheduler.Requests.Wake()
-	w.runUntilQuiet()
-	far.read(1 << 20)
+	h.policy.Next = append(h.policy.Next, dispatch.Send{Job: 1, Worker: workers[1].ID})
+	h.scheduler.Requests.Wake()
+	h.runUntilQuiet()
+	far.Read(1 << 20)
 	var m http1.Request
-	_, err := m.Parse(far.received)
-	if whole := err == nil; whole != (stage == "accepted") || len(w.dialed) != 1 || stage == "connecting" && len(far.received) > 0 {
-		w.T.Errorf("%d bytes came, whole %v, and %d connections were opened", len(far.received), whole, len(w.dialed))
+	_, err := m.Parse(far.Received)
+	if whole := err == nil; whole != (stage == "accepted") || len(h.dialed) != 1 || stage == "connecting" && len(far.Received) > 0 {
+		h.T.Errorf("%d bytes came, whole %v, and %d connections were opened", len(far.Received), whole, len(h.dialed))
 	}
-	if far.ended == (stage == "accepted") {
-		w.T.Errorf("its connection has ended %v", far.ended)
+	if far.Ended == (stage == "accepted") {
+		h.T.Errorf("its connection has ended %v", far.Ended)
 	}
 }
--- a/internal/scheduler/cordon_store_test.go
+++ b/internal/scheduler/cordon_store_test.go
@@ -13,23 +13,23 @@
 )
 
 // keepCordonsOn has the cordoned workers kept on a disk of the test.
-func (w *harness) keepCordonsOn(disk *filesystemtest.Disk, stateDir string) {
-	w.scheduler.files = disk
-	w.cordonStore = w.scheduler.newCordonStore(stateDir)
-	w.scheduler.prepareCordons(stateDir, w.cordonStore)
+func (h *harness) keepCordonsOn(disk *filesystemtest.Disk, stateDir string) {
+	h.scheduler.files = disk
+	h.cordonStore = h.scheduler.newCordonStore(stateDir)
+	h.scheduler.prepareCordons(stateDir, h.cordonStore)
 }
 
 // storeCordons moves the clock on and runs the loop until what is cordoned is stored.
-func (w *harness) storeCordons() {
-	for tries := 0; !w.cordonStore.State().Stored; tries++ {
+func (h *harness) storeCordons() {
+	for tries := 0; !h.cordonStore.State().Stored; tries++ {
 		if tries > 100 {
-			w.T.Fatal("never stored")
+			h.T.Fatal("never stored")
 		}
-		if w.cordonStore.IsWriting() {
-			_ = w.scheduler.RunOnce(1000) // the goroutine of the store wakes the loop
+		if h.cordonStore.IsWriting() {
+			_ = h.scheduler.RunOnce(1000) // the goroutine of the store wakes the loop
 		} else {
-			w.now += 5 * time.Second
-			_ = w.scheduler.RunOnce(0)
+			h.now += 5 * time.Second
+			_ = h.scheduler.RunOnce(0)
 		}
 	}
 }
--- a/internal/scheduler/generated_faults_test.go
+++ b/internal/scheduler/generated_faults_test.go
@@ -11,6 +11,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/internal/eventloop"
+	"valvecove/internal/eventloop/eventlooptest"
 	"valvecove/internal/eventloop/faultinjection"
 )
 
@@ -145,8 +146,8 @@
 	if err != nil {
 		f.T.Fatal(err)
 	}
-	p := &peer{fd: fd}
-	f.T.Cleanup(p.close)
+	p := &peer{Peer: &eventlooptest.Peer{FD: fd}}
+	f.T.Cleanup(p.Close)
 	return p
 }
 
@@ -166,8 +167,8 @@
 	if err != nil {
 		f.T.Fatal(err)
 	}
-	p = &peer{fd: accepted}
-	f.T.Cleanup(p.close)
+	p = &peer{Peer: &eventlooptest.Peer{FD: accepted}}
+	f.T.Cleanup(p.Close)
 	f.farEnds[fd] = far
 	return p, fd, nil
 }
--- a/internal/scheduler/generated_settings_test.go
+++ b/internal/scheduler/generated_settings_test.go
@@ -21,6 +21,7 @@
 	"valvecove/dispatch"
 	"valvecove/internal/config"
 	"valvecove/internal/eventloop"
+	"valvecove/internal/eventloop/eventlooptest"
 	"valvecove/internal/http1"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
@@ -224,8 +225,8 @@
 func drawDeployment(t *testing.T, seed uint64, late bool, set func(settings object)) *deployment {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 21))
-	w := &harness{Steps: &modeltest.Steps{T: t}, now: 1000 * time.Hour}
-	d := &deployment{harness: w, rng: rng, requests: map[string]*issuedRequest{}, known: map[*peer]*farEnd{}, revision: 1, late: late}
+	h := &harness{Steps: &modeltest.Steps{T: t}, now: 1000 * time.Hour}
+	d := &deployment{harness: h, rng: rng, requests: map[string]*issuedRequest{}, known: map[*peer]*farEnd{}, revision: 1, late: late}
 	zones, kinds := names(rng, 1+rng.IntN(5)), names(rng, 1+rng.IntN(3))
 	for i := range 2 + rng.IntN(7) {
 		n := &workerNode{zone: rng.IntN(len(zones)), kind: rng.IntN(len(kinds))}
@@ -235,7 +236,7 @@
 			Cell: rng.IntN(3), Lifecycle: "up", Weight: float64(rng.IntN(3)),
 		}
 		if rng.IntN(3) == 0 {
-			n.StartedAtMs = (w.now - time.Duration(rng.IntN(int(20*time.Second)))).Milliseconds()
+			n.StartedAtMs = (h.now - time.Duration(rng.IntN(int(20*time.Second)))).Milliseconds()
 		}
 		d.nodes = append(d.nodes, n)
 	}
@@ -320,7 +321,7 @@
 		d.discovery = append(d.discovery, p)
 		d.dials++
 		if d.neverUp {
-			f.filler, f.up = fillSocket(fd), never
+			f.filler, f.up = eventlooptest.FillSocket(fd), never
 		}
 	} else if d.late && d.rng.IntN(3) == 0 { // what fills it up is no byte of the loop's
 		for zeros := make([]byte, 64<<10); ; {
@@ -365,11 +366,11 @@
 		}
 		d.readCallbackResponses()
 		d.dialed = slices.DeleteFunc(d.dialed, func(p *peer) bool {
-			if p.ended || p.closed {
-				p.close()
+			if p.Ended || p.Closed {
+				p.Close()
 				delete(d.known, p)
 			}
-			return p.closed
+			return p.Closed
 		})
 	}
 }
@@ -377,10 +378,10 @@
 // readCallbackResponses drops what workers are answered. A connection that was silent for long is followed by another.
 func (d *deployment) readCallbackResponses() {
 	for i, p := range d.callbackPeers {
-		p.read(16 << 10)
-		p.received = p.received[:0]
-		if p.ended {
-			p.close()
+		p.Read(16 << 10)
+		p.Received = p.Received[:0]
+		if p.Ended {
+			p.Close()
 			d.callbackPeers[i] = d.connect()
 		}
 	}
@@ -388,15 +389,15 @@
 
 // readFarEnd reads what has come on a connection, and reports whether anything has.
 func (d *deployment) readFarEnd(p *peer) (more bool) {
-	before, f := len(p.received), d.known[p]
-	if f.filler == 0 || f.up <= d.now || p.ended {
-		p.read(16 << 10)
-		take := min(f.filler, len(p.received))
-		p.received, f.filler = p.received[take:], f.filler-take
+	before, f := len(p.Received), d.known[p]
+	if f.filler == 0 || f.up <= d.now || p.Ended {
+		p.Read(16 << 10)
+		take := min(f.filler, len(p.Received))
+		p.Received, f.filler = p.Received[take:], f.filler-take
 		more = take > 0
 	}
-	more = more || len(p.received) > before
-	if t := f.try; p.ended && t != nil {
+	more = more || len(p.Received) > before
+	if t := f.try; p.Ended && t != nil {
 		f.try = nil
 		t.givenUp = t.givenUp || !t.accepted
 	}
@@ -407,19 +408,19 @@
 func (d *deployment) handleRequest(p *peer, begins bool) bool {
 	f := d.known[p]
 	var m http1.Request
-	n, err := m.Parse(p.received)
+	n, err := m.Parse(p.Received)
 	if err != nil || f.filler > 0 || (string(m.Method) == "POST") != begins {
 		if err != nil && !errors.Is(err, http1.ErrIncomplete) {
-			d.T.Fatalf("%v in %.100q", err, p.received)
+			d.T.Fatalf("%v in %.100q", err, p.Received)
 		}
 		return false
 	}
 	target := string(m.Target)
-	p.received = bytes.Clone(p.received[n:])
+	p.Received = bytes.Clone(p.Received[n:])
 	switch {
 	case f.node == nil:
 		d.Check(strings.HasPrefix(target, "/discovery/hosts?stream=1"), "discovery was asked for %s", target)
-		p.write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
+		p.Write([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"))
 		f.served = true
 		d.sendSnapshot(p)
 		d.faults.listSent()
@@ -432,14 +433,14 @@
 				}
 			}
 		}
-		p.write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+		p.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 	case string(m.Method) == "GET":
 		d.Check(d.conf.Settings.HealthChecks, "a probe, and the settings allow none")
 		if d.rng.IntN(4) > 0 {
-			p.write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+			p.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 		}
 	default:
-		d.Check(len(p.received) == 0 && f.try == nil, "a second request on a connection before the first was answered")
+		d.Check(len(p.Received) == 0 && f.try == nil, "a second request on a connection before the first was answered")
 		d.beginAttempt(p, f, &m)
 	}
 	return true
@@ -466,7 +467,7 @@
 	t := &attempt{of: q, node: n, at: d.now}
 	q.tries, d.running = append(q.tries, t), append(d.running, t)
 	d.Check(len(q.tries) <= set.AttemptLimit, "%s has %d attempts", q.id, len(q.tries))
-	if p.ended { // given up as soon as it was written
+	if p.Ended { // given up as soon as it was written
 		t.givenUp = true
 		return
 	}
@@ -509,7 +510,7 @@
 		t.ended = true
 	case 2:
 		f.try, t.ended = nil, true
-		p.close()
+		p.Close()
 	case 3: // silent
 	case 5: // of no use to any worker
 		d.respond(p, f, "HTTP/1.1 400 Bad\r\nContent-Length: 0\r\n\r\n")
@@ -533,11 +534,11 @@
 func (d *deployment) respond(p *peer, f *farEnd, text string) {
 	f.try, f.answer = nil, f.try
 	if d.late && d.rng.IntN(2) == 0 {
-		p.write([]byte(strings.Replace(text, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)))
-		p.close()
+		p.Write([]byte(strings.Replace(text, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)))
+		p.Close()
 		return
 	}
-	p.write([]byte(text))
+	p.Write([]byte(text))
 }
 
 // crash has a worker's process die: its connections are reset, and what it had is over. Of some of that its machine
@@ -551,7 +552,7 @@
 	for _, p := range d.dialed {
 		if f := d.known[p]; f.node == n {
 			f.try, f.filler = nil, 0
-			p.close()
+			p.Close()
 		}
 	}
 	for _, q := range d.requests {
@@ -595,7 +596,7 @@
 	if err != nil {
 		d.T.Fatal(err)
 	}
-	d.callbackPeers[d.rng.IntN(len(d.callbackPeers))].write(fmt.Appendf(nil, "POST /v1/job-events HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
+	d.callbackPeers[d.rng.IntN(len(d.callbackPeers))].Write(fmt.Appendf(nil, "POST /v1/job-events HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s", len(body), body))
 }
 
 // sendSnapshot sends the whole list on a watch.
@@ -608,7 +609,7 @@
 	if err != nil {
 		d.T.Fatal(err)
 	}
-	p.write(fmt.Appendf(nil, "%x\r\n%s\n\r\n", len(text)+1, text))
+	p.Write(fmt.Appendf(nil, "%x\r\n%s\n\r\n", len(text)+1, text))
 }
 
 // sendRequest has a client ask for something, with all the headers that the protocol has.
@@ -637,17 +638,17 @@
 		header += "X-Again: 1\r\n"
 	}
 	body := bytes.Repeat([]byte{'b'}, d.rng.IntN(200))
-	c.peer.write(fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", header, len(body), body))
+	c.peer.Write(fmt.Appendf(nil, "%sContent-Length: %d\r\n\r\n%s", header, len(body), body))
 	c.request, d.requests[q.id] = q, q
 }
 
 // readResponses reads the responses to a client.
 func (d *deployment) readResponses(c *caller) {
 	p := c.peer
-	p.read(16 << 10)
-	for len(p.received) > 0 {
+	p.Read(16 << 10)
+	for len(p.Received) > 0 {
 		var m http1.Response
-		n, err := m.Parse(p.received, p.ended)
+		n, err := m.Parse(p.Received, p.Ended)
 		if err != nil {
 			break
 		}
@@ -661,11 +662,11 @@
 			d.Check(m.StatusCode == 200 || m.StatusCode == 500 || m.StatusCode == 503, "%s was answered %d", q.id, m.StatusCode)
 			d.Check(m.StatusCode != 200 || slices.Contains(q.results, string(m.Body)), "%s was served with %q, of %q", q.id, m.Body, q.results)
 		}
-		p.received = bytes.Clone(p.received[n:])
+		p.Received = bytes.Clone(p.Received[n:])
 	}
-	if p.ended || p.closed { // idle for long, or after an answer that said so
-		d.Check(c.request == nil || p.closed, "%s lost its connection", "a request")
-		p.close()
+	if p.Ended || p.Closed { // idle for long, or after an answer that said so
+		d.Check(c.request == nil || p.Closed, "%s lost its connection", "a request")
+		p.Close()
 		c.peer, c.request = d.connect(), nil
 	}
 }
@@ -680,7 +681,7 @@
 				d.sendRequest(c)
 			case c.request != nil && d.rng.IntN(150) == 0:
 				c.request.clientLeft, c.request.leftAt = true, d.now
-				c.peer.close()
+				c.peer.Close()
 			}
 		}
 		if d.rng.IntN(50) == 0 {
@@ -732,16 +733,16 @@
 			n.Lifecycle, n.StartedAtMs = "up", d.now.Milliseconds()
 		}
 	}
-	d.discovery = slices.DeleteFunc(d.discovery, func(p *peer) bool { return p.closed || p.ended })
+	d.discovery = slices.DeleteFunc(d.discovery, func(p *peer) bool { return p.Closed || p.Ended })
 	for _, p := range d.discovery {
 		switch {
 		case d.known[p] == nil || !d.known[p].served:
 		case d.rng.IntN(300) == 0:
-			p.close()
+			p.Close()
 		case changed:
 			d.sendSnapshot(p)
 		case d.rng.IntN(20) == 0:
-			p.write([]byte("1\r\n\n\r\n"))
+			p.Write([]byte("1\r\n\n\r\n"))
 		}
 	}
 	for _, n := range d.nodes { // told only where a watch is open
@@ -756,7 +757,7 @@
 
 // hasOneWatch reports whether the list is being sent on one connection, which is up.
 func (d *deployment) hasOneWatch() bool {
-	return len(d.discovery) == 1 && !d.discovery[0].closed && d.known[d.discovery[0]].served
+	return len(d.discovery) == 1 && !d.discovery[0].Closed && d.known[d.discovery[0]].served
 }
 
 func asDrawn(object) {}
@@ -803,7 +804,7 @@
 					d.runUntilSettled()
 				}
 				d.Check(d.dials == dials+1 && len(d.discovery) > 0, "discovery was called %d times, expected %d", d.dials, dials+1)
-				d.discovery[len(d.discovery)-1].close()
+				d.discovery[len(d.discovery)-1].Close()
 			}
 		})
 	}
--- a/internal/scheduler/hotrestart_attempt_test.go
+++ b/internal/scheduler/hotrestart_attempt_test.go
@@ -15,20 +15,20 @@
 	for _, late := range []time.Duration{0, smallWriteTimeout + 1} {
 		s, dir := &modeltest.Steps{T: t}, t.TempDir()
 		base, at := newPredecessorHarness(s, dir)
-		w := &attemptHarness{harness: base}
-		w.sendAttempt(http1.MaxBodySize)
-		next := w.startSuccessor(dir, at)
-		if err := w.handOverTo(next); err != nil {
+		h := &attemptHarness{harness: base}
+		h.sendAttempt(http1.MaxBodySize)
+		next := h.startSuccessor(dir, at)
+		if err := h.handOverTo(next); err != nil {
 			t.Fatal(err)
 		}
 		next.now += late
-		p := w.dialed[len(w.dialed)-1]
+		p := h.dialed[len(h.dialed)-1]
 		for range 64 {
-			p.read(1 << 20)
+			p.Read(1 << 20)
 			next.runIterations()
 		}
 		var m http1.Request
-		if _, err := m.Parse(p.received); (err == nil) != (late == 0) {
+		if _, err := m.Parse(p.Received); (err == nil) != (late == 0) {
 			t.Errorf("%v after the take-over: parsed with %v", late, err)
 		}
 	}
@@ -39,17 +39,17 @@
 	s := &modeltest.Steps{T: t}
 	dir := t.TempDir()
 	base, at := newPredecessorHarness(s, dir)
-	w := &attemptHarness{harness: base}
-	q := w.acceptedAttempt()
-	w.delayConnections()
-	w.runActions(dispatch.Cancel{Job: q.ID})
-	next := &attemptHarness{harness: w.startSuccessor(dir, at)}
-	if err := w.handOverTo(next.harness); err != nil {
+	h := &attemptHarness{harness: base}
+	q := h.acceptedAttempt()
+	h.delayConnections()
+	h.runActions(dispatch.Cancel{Job: q.ID})
+	next := &attemptHarness{harness: h.startSuccessor(dir, at)}
+	if err := h.handOverTo(next.harness); err != nil {
 		t.Fatal(err)
 	}
 	next.runIterations()
 	if p := next.dialed[len(next.dialed)-1]; !p.hasDelete(q) {
-		t.Errorf("the worker got %q", p.received)
+		t.Errorf("the worker got %q", p.Received)
 	}
 	next.expect("not answered yet", q)
 	next.respondDelete(next.dialed[len(next.dialed)-1])
--- a/internal/scheduler/hotrestart_fuzz_test.go
+++ b/internal/scheduler/hotrestart_fuzz_test.go
@@ -121,7 +121,7 @@
 
 func (m *hotRestartModel) writeRequest() {
 	size := min(len(m.unsent), 1+m.Pick(8)*m.Pick(200)*30)
-	m.client.write([]byte(m.unsent[:size]))
+	m.client.Write([]byte(m.unsent[:size]))
 	m.unsent = m.unsent[size:]
 	m.Record(fmt.Sprint("write ", size))
 }
@@ -137,7 +137,7 @@
 
 func (m *hotRestartModel) writeResponse() {
 	size := min(len(m.response), 1+m.Pick(len(m.response)))
-	m.workers[len(m.workers)-1].write([]byte(m.response[:size]))
+	m.workers[len(m.workers)-1].Write([]byte(m.response[:size]))
 	m.response = m.response[size:]
 	m.Record("respond")
 }
@@ -174,23 +174,23 @@
 	}
 	m.dialed = nil
 	m.readAttempt(readSize)
-	m.client.read(1 << 16)
-	m.Check(string(m.client.received) == m.received && !m.client.ended, "the client has %q, expected %q", m.client.received, m.received)
+	m.client.Read(1 << 16)
+	m.Check(string(m.client.Received) == m.received && !m.client.Ended, "the client has %q, expected %q", m.client.Received, m.received)
 }
 
 // readAttempt reads worker connections until one has brought a whole attempt.
 func (m *hotRestartModel) readAttempt(readSize int) {
 	last := len(m.workers) - 1
 	for i, connection := range m.workers {
-		connection.read(readSize)
+		connection.Read(readSize)
 		var message http1.Request
-		size, err := message.Parse(connection.received)
+		size, err := message.Parse(connection.Received)
 		if err != nil {
 			continue
 		}
-		whole := string(message.Get("X-Call-Id")) == m.callID() && len(message.Body) == m.bodySize() && size == len(connection.received)
-		m.Check(whole, "attempt %q", connection.received)
-		connection.received = nil
+		whole := string(message.Get("X-Call-Id")) == m.callID() && len(message.Body) == m.bodySize() && size == len(connection.Received)
+		m.Check(whole, "attempt %q", connection.Received)
+		connection.Received = nil
 		m.attempts++
 		m.Check(m.attempts == m.requested, "%d attempts of %d requests", m.attempts, m.requested)
 		m.workers[i], m.workers[last] = m.workers[last], m.workers[i]
--- a/internal/scheduler/hotrestart_test.go
+++ b/internal/scheduler/hotrestart_test.go
@@ -22,44 +22,44 @@
 )
 
 // enableHotRestart lets the scheduler be replaced, or replace another one. Its policy is scripted, before and after.
-func (w *harness) enableHotRestart() {
-	w.scheduler.dispatcher = dispatch.New(*w.scheduler.settings, 1)
-	w.scheduler.wrapRestored = func(*dispatch.Dispatcher) requests.Policy { return w.policy }
-	w.scheduler.onFail = func(err error) { w.T.Errorf("a process fails: %v", err) }
+func (h *harness) enableHotRestart() {
+	h.scheduler.dispatcher = dispatch.New(*h.scheduler.settings, 1)
+	h.scheduler.wrapRestored = func(*dispatch.Dispatcher) requests.Policy { return h.policy }
+	h.scheduler.onFail = func(err error) { h.T.Errorf("a process fails: %v", err) }
 }
 
 // newPredecessorHarness returns a scheduler that serves and awaits a successor, and the address that clients connect to.
 func newPredecessorHarness(choices *modeltest.Steps, dir string) (*harness, netip.AddrPort) {
-	w := newHarness(choices)
-	w.enableHotRestart()
-	if err := w.scheduler.clients.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
+	h := newHarness(choices)
+	h.enableHotRestart()
+	if err := h.scheduler.clients.Listen(netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
 		choices.T.Fatal(err)
 	}
-	w.scheduler.restart.AwaitSuccessor(hotrestart.SocketAddresses(dir, w.scheduler.Addr()))
-	return w, w.scheduler.Addr()
+	h.scheduler.restart.AwaitSuccessor(hotrestart.SocketAddresses(dir, h.scheduler.Addr()))
+	return h, h.scheduler.Addr()
 }
 
 // startSuccessor returns a successor in standby.
-func (w *harness) startSuccessor(dir string, address netip.AddrPort) *harness {
-	return w.startSuccessorAfterStep(dir, address, 0)
+func (h *harness) startSuccessor(dir string, address netip.AddrPort) *harness {
+	return h.startSuccessorAfterStep(dir, address, 0)
 }
 
 // startSuccessorAfterStep is startSuccessor where the wall clock was stepped between the starts of the two processes.
-func (w *harness) startSuccessorAfterStep(dir string, address netip.AddrPort, step time.Duration) *harness {
-	successor := newHarness(w.Steps)
+func (h *harness) startSuccessorAfterStep(dir string, address netip.AddrPort, step time.Duration) *harness {
+	successor := newHarness(h.Steps)
 	successor.enableHotRestart()
-	successor.now, successor.ahead, successor.scheduler.settings = w.now+step, w.ahead+step, w.scheduler.settings
+	successor.now, successor.ahead, successor.scheduler.settings = h.now+step, h.ahead+step, h.scheduler.settings
 	successor.scheduler.prepareCordons(dir, nil)
-	w.Check(successor.scheduler.restart.Join(dir, address), "no predecessor")
+	h.Check(successor.scheduler.restart.Join(dir, address), "no predecessor")
 	for successor.successorState() == hotrestart.SuccessorJoining {
-		w.runIterations()
+		h.runIterations()
 		successor.runIterations()
 	}
 	return successor
 }
 
-func (w *harness) successorState() hotrestart.SuccessorState {
-	state, isSuccessor := w.scheduler.restart.SuccessorState()
+func (h *harness) successorState() hotrestart.SuccessorState {
+	state, isSuccessor := h.scheduler.restart.SuccessorState()
 	if !isSuccessor {
 		return hotrestart.SuccessorServing
 	}
@@ -68,7 +68,7 @@
 
 // handOverTo transfers the state to a successor in standby. The predecessor does nothing else meanwhile, so the successor's loop runs
 // on another goroutine.
-func (w *harness) handOverTo(successor *harness) error {
+func (h *harness) handOverTo(successor *harness) error {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -76,22 +76,22 @@
 			_ = successor.scheduler.RunOnce(1000)
 		}
 	}()
-	err := w.scheduler.Relinquish()
+	err := h.scheduler.Relinquish()
 	if err != nil { // the connection is closed with the end of the iteration
-		_ = w.scheduler.RunOnce(0)
+		_ = h.scheduler.RunOnce(0)
 	}
 	<-ended
-	w.runIterations()
+	h.runIterations()
 	successor.runIterations()
 	return err
 }
 
 // sendRequest has a client send request "q", on a connection of its own.
-func (w *harness) sendRequest(at netip.AddrPort) *peer {
-	client, fd := w.socketPair()
-	w.scheduler.clients.AddConnection(fd, at)
-	client.write([]byte("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: q\r\nX-Caller: t\r\nContent-Length: 0\r\n\r\n"))
-	w.runIterations()
+func (h *harness) sendRequest(at netip.AddrPort) *peer {
+	client, fd := h.socketPair()
+	h.scheduler.clients.AddConnection(fd, at)
+	client.Write([]byte("POST /a HTTP/1.1\r\nX-Call-Class: a\r\nX-Call-Id: q\r\nX-Caller: t\r\nContent-Length: 0\r\n\r\n"))
+	h.runIterations()
 	return client
 }
 
@@ -125,7 +125,7 @@
 		predecessor.runIterations()
 		successor.runIterations()
 	}
-	if peer.read(1); !peer.ended {
+	if peer.Read(1); !peer.Ended {
 		t.Error("a socket of the failed transfer is still open")
 	}
 	if successor.scheduler.Requests.OpenCount() != 0 || successor.scheduler.clients.ConnectionCount() != 0 || successor.scheduler.clients.Socket() >= 0 {
@@ -137,8 +137,8 @@
 	successor.policy.Next = []dispatch.Action{dispatch.Reject{Job: 1}}
 	successor.scheduler.Requests.Wake()
 	successor.runIterations()
-	if client.read(1 << 16); !strings.HasPrefix(string(client.received), "HTTP/1.1 503 ") {
-		t.Errorf("the client got %q", client.received)
+	if client.Read(1 << 16); !strings.HasPrefix(string(client.Received), "HTTP/1.1 503 ") {
+		t.Errorf("the client got %q", client.Received)
 	}
 }
 
@@ -220,8 +220,8 @@
 	callback := requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result}
 	_, _ = successor.scheduler.Requests.HandleCallback(callback)
 	successor.runIterations()
-	if client.read(1 << 16); !strings.HasSuffix(string(client.received), "made") {
-		t.Errorf("the client got %q", client.received)
+	if client.Read(1 << 16); !strings.HasSuffix(string(client.Received), "made") {
+		t.Errorf("the client got %q", client.Received)
 	}
 }
 
@@ -332,7 +332,7 @@
 		predecessor.policy.Next = []dispatch.Action{dispatch.Send{Job: 1, Worker: predecessor.workerNumber()}}
 		predecessor.scheduler.Requests.Wake()
 		predecessor.runIterations()
-		predecessor.dialed[0].write([]byte("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))
+		predecessor.dialed[0].Write([]byte("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"))
 		predecessor.runIterations()
 		predecessor.now += time.Second
 		predecessor.runIterations()
@@ -356,14 +356,14 @@
 		}
 		successor.now += before.untilDeadline - time.Millisecond
 		successor.runIterations()
-		if client.read(1 << 16); len(client.received) > 0 || client.ended {
-			t.Errorf("stepped by %v: answered before the deadline: %q", step, client.received)
+		if client.Read(1 << 16); len(client.Received) > 0 || client.Ended {
+			t.Errorf("stepped by %v: answered before the deadline: %q", step, client.Received)
 		}
 		result := "made"
 		_, _ = successor.scheduler.Requests.HandleCallback(requests.Callback{CallID: "q", EndpointID: "s-0", State: "done", Result: &result})
 		successor.runIterations()
-		if client.read(1 << 16); !strings.HasSuffix(string(client.received), "made") {
-			t.Errorf("stepped by %v: the client got %q", step, client.received)
+		if client.Read(1 << 16); !strings.HasSuffix(string(client.Received), "made") {
+			t.Errorf("stepped by %v: the client got %q", step, client.Received)
 		}
 	}
 }
@@ -375,24 +375,24 @@
 
 // agesOfState returns the spans of request 1, of its attempt, of the client that has sent nothing, and of the idle connection
 // to the worker.
-func (w *harness) agesOfState() stateAges {
-	request := w.scheduler.Requests.Request(1)
-	attempt := w.scheduler.Requests.InFlightAttempt(1, 0)
+func (h *harness) agesOfState() stateAges {
+	request := h.scheduler.Requests.Request(1)
+	attempt := h.scheduler.Requests.InFlightAttempt(1, 0)
 	if request == nil || attempt == nil {
 		return stateAges{}
 	}
 	ages := stateAges{
-		untilDeadline: request.Deadline - w.now, untilAttemptExpires: attempt.At - w.now,
-		sinceArrival: w.now - request.ArrivedAt, sinceSent: w.now - request.FirstSentAt,
+		untilDeadline: request.Deadline - h.now, untilAttemptExpires: attempt.At - h.now,
+		sinceArrival: h.now - request.ArrivedAt, sinceSent: h.now - request.FirstSentAt,
 	}
-	for _, client := range w.scheduler.clients.Snapshot() {
+	for _, client := range h.scheduler.clients.Snapshot() {
 		if !client.RequestSeen {
-			ages.clientSilent = w.now - client.LastActivity
+			ages.clientSilent = h.now - client.LastActivity
 		}
 	}
-	for _, connection := range w.scheduler.workers.Snapshot() {
+	for _, connection := range h.scheduler.workers.Snapshot() {
 		if connection.State == hotrestart.WorkerIdle {
-			ages.workerIdle = w.now - connection.IdleSince
+			ages.workerIdle = h.now - connection.IdleSince
 		}
 	}
 	return ages
--- a/internal/scheduler/operators_test.go
+++ b/internal/scheduler/operators_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"valvecove/internal/eventloop"
+	"valvecove/internal/eventloop/eventlooptest"
 	"valvecove/internal/metrics"
 	"valvecove/internal/modeltest"
 	"valvecove/internal/requests"
@@ -13,30 +14,29 @@
 
 // newOperatorHarness is a harness with a management address.
 func newOperatorHarness(s *modeltest.Steps) *harness {
-	w := newHarness(s)
+	h := newHarness(s)
 	counters := metrics.NewCounters(requests.NameTable{Classes: []string{"a"}})
-	operators, err := w.scheduler.serveOperators(netip.MustParseAddrPort("127.0.0.1:0"), counters)
+	operators, err := h.scheduler.serveOperators(netip.MustParseAddrPort("127.0.0.1:0"), counters)
 	if err != nil {
 		s.T.Fatal(err)
 	}
-	w.operatorAddress = operators.Addr()
-	w.scheduler.Requests.AddObserver(counters)
-	return w
+	h.operatorAddress = operators.Addr()
+	h.scheduler.Requests.AddObserver(counters)
+	return h
 }
 
 // connectOperator connects to the management address.
-func (w *harness) connectOperator() *peer {
-	_, sockaddr := eventloop.Sockaddr(w.operatorAddress)
-	return w.connectToAddress(sockaddr)
+func (h *harness) connectOperator() *peer {
+	return &peer{Peer: eventlooptest.ConnectToAddress(h.T, h.operatorAddress)}
 }
 
 // callOperator makes one call and gives the answer's status and body.
-func (w *harness) callOperator(text string) string {
-	p := w.connectOperator()
-	p.write([]byte(text))
-	w.runIterations()
-	p.read(1 << 16)
-	return statusAndBody(string(p.received))
+func (h *harness) callOperator(text string) string {
+	p := h.connectOperator()
+	p.Write([]byte(text))
+	h.runIterations()
+	p.Read(1 << 16)
+	return statusAndBody(string(p.Received))
 }
 
 func statusAndBody(answer string) string {
@@ -53,34 +53,34 @@
 // Operators are served at their own address only, with the figures and the readiness of the scheduler, and before clients.
 func TestOperatorBeforeClients(t *testing.T) {
 	s := &modeltest.Steps{T: t}
-	w := newOperatorHarness(s)
-	if got := w.callOperator("GET /v1/metrics HTTP/1.1\r\n\r\n"); got != "200 "+metricsAtFirst {
+	h := newOperatorHarness(s)
+	if got := h.callOperator("GET /v1/metrics HTTP/1.1\r\n\r\n"); got != "200 "+metricsAtFirst {
 		t.Errorf("at first %q", got)
 	}
-	client, fd := w.socketPair() // at the clients' address these calls are not there
-	w.scheduler.clients.AddConnection(fd, netip.MustParseAddrPort("127.0.0.1:9"))
-	client.write([]byte("GET /v1/metrics HTTP/1.1\r\n\r\n"))
-	w.runIterations()
-	if client.read(1 << 16); !strings.HasPrefix(string(client.received), "HTTP/1.1 404 ") {
-		t.Errorf("a client gets %q", client.received)
+	client, fd := h.socketPair() // at the clients' address these calls are not there
+	h.scheduler.clients.AddConnection(fd, netip.MustParseAddrPort("127.0.0.1:9"))
+	client.Write([]byte("GET /v1/metrics HTTP/1.1\r\n\r\n"))
+	h.runIterations()
+	if client.Read(1 << 16); !strings.HasPrefix(string(client.Received), "HTTP/1.1 404 ") {
+		t.Errorf("a client gets %q", client.Received)
 	}
-	if got := w.callOperator("GET /v1/readyz HTTP/1.1\r\n\r\n"); got != "200 ready" {
+	if got := h.callOperator("GET /v1/readyz HTTP/1.1\r\n\r\n"); got != "200 ready" {
 		t.Errorf("serving: %q", got)
 	}
-	w.scheduler.Drain()
-	if got := w.callOperator("GET /v1/readyz HTTP/1.1\r\n\r\n"); got != "503 draining" {
+	h.scheduler.Drain()
+	if got := h.callOperator("GET /v1/readyz HTTP/1.1\r\n\r\n"); got != "503 draining" {
 		t.Errorf("draining: %q", got)
 	}
 	// A client connection that is ready in the same iteration, and by a lower descriptor, is looked at later.
 	var calls []string
 	first := func(what string) eventloop.Handler { return probeHandler{func() { calls = append(calls, what) }} }
-	a, fdA := w.socketPair()
-	b, fdB := w.socketPair()
-	_ = w.scheduler.Add(fdA, eventloop.StreamEvents, first("client"))
-	_ = w.scheduler.Add(fdB, eventloop.StreamEvents, urgentHandler{first("operator")})
-	a.write([]byte("x"))
-	b.write([]byte("x"))
-	if err := w.scheduler.RunOnce(0); err != nil || strings.Join(calls, " ") != "operator client" {
+	a, fdA := h.socketPair()
+	b, fdB := h.socketPair()
+	_ = h.scheduler.Add(fdA, eventloop.StreamEvents, first("client"))
+	_ = h.scheduler.Add(fdB, eventloop.StreamEvents, urgentHandler{first("operator")})
+	a.Write([]byte("x"))
+	b.Write([]byte("x"))
+	if err := h.scheduler.RunOnce(0); err != nil || strings.Join(calls, " ") != "operator client" {
 		t.Errorf("order of an iteration: %v, %v", calls, err)
 	}
 }
--- a/internal/scheduler/outage_test.go
+++ b/internal/scheduler/outage_test.go
@@ -64,7 +64,7 @@
 	d.lastLine = d.now
 	for _, p := range d.discovery {
 		if f := d.known[p]; f != nil && f.filler == 0 && !f.silent {
-			p.write([]byte(emptyLine))
+			p.Write([]byte(emptyLine))
 		}
 	}
 }
@@ -76,7 +76,7 @@
 		d.sendEmptyLines()
 		for p, f := range d.known {
 			if f.node != nil && f.try == nil && d.now > until-span/2 {
-				p.close()
+				p.Close()
 			}
 		}
 		d.runUntilSettled()
@@ -205,7 +205,7 @@
 		if f := d.known[p]; fault.silent && f != nil {
 			f.silent = true
 		} else {
-			p.close()
+			p.Close()
 		}
 	}
 	if fault.dial != nil {
@@ -219,7 +219,7 @@
 	d.neverUp = false
 	for _, p := range d.discovery {
 		if d.rng.IntN(2) == 0 {
-			p.close()
+			p.Close()
 		}
 	}
 }
@@ -299,7 +299,7 @@
 	for name, forget := range map[string]func(p *peer, f *farEnd, t *attempt){
 		"reset": func(p *peer, f *farEnd, t *attempt) {
 			f.try, t.ended = nil, true
-			p.reset()
+			p.Reset()
 		},
 		"black hole": func(*peer, *farEnd, *attempt) {},
 	} {
--- a/internal/scheduler/peers_test.go
+++ b/internal/scheduler/peers_test.go
@@ -25,26 +25,26 @@
 const peerReopenTime = 500 * time.Millisecond
 
 // preparePeers gives a loop the number of a scheduler among its peers.
-func (w *harness) preparePeers(number int, peers ...netip.AddrPort) {
+func (h *harness) preparePeers(number int, peers ...netip.AddrPort) {
 	settings := config.Settings{Settings: dispatch.Settings{Replicas: len(peers), ReplicaIndex: number, PeerMessages: true}}
-	w.scheduler.preparePeerSocket(config.Config{PeerListen: peers[number], Peers: peers, Settings: settings})
+	h.scheduler.preparePeerSocket(config.Config{PeerListen: peers[number], Peers: peers, Settings: settings})
 }
 
-func (w *harness) openPeers(number int, peers ...netip.AddrPort) {
-	w.preparePeers(number, peers...)
-	w.scheduler.openPeerSocket()
+func (h *harness) openPeers(number int, peers ...netip.AddrPort) {
+	h.preparePeers(number, peers...)
+	h.scheduler.openPeerSocket()
 }
 
 // tell has the policy send a message to a peer.
-func (w *harness) tell(to int, message dispatch.PeerMessage) {
-	w.policy.Next = append(w.policy.Next, dispatch.SendPeerMessage{To: to, Message: message})
-	w.scheduler.Requests.Wake()
-	w.runIterations()
+func (h *harness) tell(to int, message dispatch.PeerMessage) {
+	h.policy.Next = append(h.policy.Next, dispatch.SendPeerMessage{To: to, Message: message})
+	h.scheduler.Requests.Wake()
+	h.runIterations()
 }
 
 // fromPeers returns the messages that the policy has received.
-func (w *harness) fromPeers() (received []dispatch.PeerMessageReceived) {
-	for _, event := range w.policy.Received {
+func (h *harness) fromPeers() (received []dispatch.PeerMessageReceived) {
+	for _, event := range h.policy.Received {
 		if message, ok := event.(dispatch.PeerMessageReceived); ok {
 			received = append(received, message)
 		}
@@ -70,27 +70,27 @@
 }
 
 // countCalls returns how many calls of a kind the loop makes during act.
-func (w *harness) countCalls(counted eventloop.Call, act func()) (calls int) {
-	w.scheduler.Syscalls().Interceptor = func(call eventloop.Call, _ int) eventloop.Injection {
+func (h *harness) countCalls(counted eventloop.Call, act func()) (calls int) {
+	h.scheduler.Syscalls().Interceptor = func(call eventloop.Call, _ int) eventloop.Injection {
 		if call == counted {
 			calls++
 		}
 		return eventloop.Injection{}
 	}
 	act()
-	w.scheduler.Syscalls().Interceptor = nil
+	h.scheduler.Syscalls().Interceptor = nil
 	return calls
 }
 
 // newPeerPair returns a loop that is number 0 of two schedulers, and the other one.
 func newPeerPair(t *testing.T) (*harness, *remotePeer) {
 	t.Helper()
-	w := newHarness(&modeltest.Steps{T: t})
+	h := newHarness(&modeltest.Steps{T: t})
 	remote := &remotePeer{node: gossip.New(gossip.Config{Self: 1, Peers: 2, Incarnation: 1})}
 	remote.fd, remote.address = eventlooptest.OpenDatagramSocket(t, "127.0.0.3")
 	t.Cleanup(func() { _ = unix.Close(remote.fd) })
-	w.openPeers(0, eventlooptest.FreeDatagramAddress(t, "127.0.0.2"), remote.address)
-	return w, remote
+	h.openPeers(0, eventlooptest.FreeDatagramAddress(t, "127.0.0.2"), remote.address)
+	return h, remote
 }
 
 // queued is a message that can be told from others, and queuedFrom1 the event that it is.
@@ -103,10 +103,10 @@
 	return events
 }
 
-func (w *harness) expectFromPeers(want []dispatch.PeerMessageReceived) {
-	w.T.Helper()
-	if got := w.fromPeers(); !reflect.DeepEqual(got, want) {
-		w.T.Errorf("received %+v, expected %+v", got, want)
+func (h *harness) expectFromPeers(want []dispatch.PeerMessageReceived) {
+	h.T.Helper()
+	if got := h.fromPeers(); !reflect.DeepEqual(got, want) {
+		h.T.Errorf("received %+v, expected %+v", got, want)
 	}
 }
 
@@ -158,11 +158,11 @@
 
 // A policy that replaces one that has failed is a new scheduler to its peers: it numbers its leases anew.
 func TestNewPolicyIsNewToPeers(t *testing.T) {
-	w, remote := newPeerPair(t)
-	newPolicy := w.scheduler.policyFactory(config.Config{}, config.Ops{}, false)
+	h, remote := newPeerPair(t)
+	newPolicy := h.scheduler.policyFactory(config.Config{}, config.Ops{}, false)
 	expectFirst := func(want dispatch.PeerMessage) {
 		t.Helper()
-		w.tell(1, queued(1))
+		h.tell(1, queued(1))
 		buffer := make([]byte, 2*gossip.MaxDatagram)
 		size, _, err := unix.Recvfrom(remote.fd, buffer, unix.MSG_DONTWAIT)
 		if err != nil {
@@ -210,18 +210,18 @@
 // Without a socket there are no figures of messages; with one there are those of the socket and of the dispatcher, also before it
 // is made.
 func TestPeerCountsOfLoop(t *testing.T) {
-	w := newHarness(&modeltest.Steps{T: t})
-	if counts := w.scheduler.peerCounts(1); counts != (metrics.PeerCounts{}) {
+	h := newHarness(&modeltest.Steps{T: t})
+	if counts := h.scheduler.peerCounts(1); counts != (metrics.PeerCounts{}) {
 		t.Errorf("%+v without a socket", counts)
 	}
-	w, _ = newPeerPair(t)
-	w.tell(1, queued(1))
-	before := w.scheduler.peerCounts(0)
+	h, _ = newPeerPair(t)
+	h.tell(1, queued(1))
+	before := h.scheduler.peerCounts(0)
 	if !before.Enabled || before.Sent != 1 {
 		t.Errorf("%+v after a datagram", before)
 	}
-	w.scheduler.dispatcher = dispatch.New(dispatch.Settings{}, 1)
-	if counts := w.scheduler.peerCounts(0); counts != before {
+	h.scheduler.dispatcher = dispatch.New(dispatch.Settings{}, 1)
+	if counts := h.scheduler.peerCounts(0); counts != before {
 		t.Errorf("%+v, expected %+v", counts, before)
 	}
 }
--- a/internal/scheduler/transfer_fault_test.go
+++ b/internal/scheduler/transfer_fault_test.go
@@ -18,8 +18,8 @@
 var connectionErrnos = []unix.Errno{unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.ENETUNREACH, unix.EPIPE}
 
 // failTransfers has reads and writes of one descriptor fail.
-func (w *harness) failTransfers(fd int, errno unix.Errno) {
-	w.injectFaults(1, faultinjection.Rule{
+func (h *harness) failTransfers(fd int, errno unix.Errno) {
+	h.injectFaults(1, faultinjection.Rule{
 		Calls: []eventloop.Call{
 			eventloop.CallRead, eventloop.CallReceive, eventloop.CallReceiveMessage, eventloop.CallWrite, eventloop.CallSendMessage,
 		},
@@ -31,27 +31,27 @@
 // A client whose connection is lost counts as disconnected, whatever the error: its queued request is abandoned.
 func TestClientConnectionBreaksWithAnyErrno(t *testing.T) {
 	for _, errno := range connectionErrnos {
-		w := newHarness(&modeltest.Steps{T: t})
-		p, fd := w.socketPair()
-		w.scheduler.clients.AddConnection(fd, netip.AddrPort{})
-		p.write([]byte(requestOfSize(1, 0)))
-		w.runIterations()
-		if open := w.scheduler.Requests.OpenCount(); open != 1 {
+		h := newHarness(&modeltest.Steps{T: t})
+		p, fd := h.socketPair()
+		h.scheduler.clients.AddConnection(fd, netip.AddrPort{})
+		p.Write([]byte(requestOfSize(1, 0)))
+		h.runIterations()
+		if open := h.scheduler.Requests.OpenCount(); open != 1 {
 			t.Fatalf("%d requests open", open)
 		}
-		w.failTransfers(fd, errno)
-		p.write([]byte("more"))
-		w.runIterations()
-		if w.scheduler.Requests.OpenCount() != 0 || w.scheduler.clients.ConnectionCount() != 0 {
-			t.Errorf("%v: %d requests open, %d connections", errno, w.scheduler.Requests.OpenCount(), w.scheduler.clients.ConnectionCount())
+		h.failTransfers(fd, errno)
+		p.Write([]byte("more"))
+		h.runIterations()
+		if h.scheduler.Requests.OpenCount() != 0 || h.scheduler.clients.ConnectionCount() != 0 {
+			t.Errorf("%v: %d requests open, %d connections", errno, h.scheduler.Requests.OpenCount(), h.scheduler.clients.ConnectionCount())
 		}
 	}
 }
 
 // lackMemoryFor has the next calls of some kinds fail.
-func (w *harness) lackMemoryFor(calls []eventloop.Call) {
+func (h *harness) lackMemoryFor(calls []eventloop.Call) {
 	if len(calls) > 0 {
-		w.injectFaults(1, faultinjection.Rule{Calls: calls, Times: 20, Errnos: []unix.Errno{unix.ENOBUFS, unix.ENOMEM, unix.EINTR}})
+		h.injectFaults(1, faultinjection.Rule{Calls: calls, Times: 20, Errnos: []unix.Errno{unix.ENOBUFS, unix.ENOMEM, unix.EINTR}})
 	}
 }
 
