--- a/dispatch/attempts.go
+++ b/dispatch/attempts.go
@@ -18,7 +18,9 @@
 	d.outliers.handleSent(worker, d.now)
 	d.starts.handleSent(d.now)
 	worker.uncordonedAt = 0
-	d.prepareConnection(attempt)
+	if d.idleConnections.prepare(attempt, d.settings.ConnIdleTimeout, d.now) {
+		d.emit(CloseIdleConnections{Worker: worker.ID})
+	}
 	d.emit(Send{Job: job.ID, Worker: worker.ID})
 	d.setTimer(&attempt.timer, d.dueAt(attempt))
 	return attempt
--- a/dispatch/connections.go
+++ b/dispatch/connections.go
@@ -111,23 +111,27 @@
 	return c.maxIdle <= 0 || idle <= maxIdle
 }
 
-// prepareConnection determines the connection of a new attempt: a new one if none is idle, else an idle
-// one. If the idle ones have been so for too long they are closed first, and a new one is opened.
-func (d *Dispatcher) prepareConnection(attempt *attemptInfo) {
-	worker := attempt.worker
-	connections := &worker.connections
-	idle := d.now - connections.lastUsedAt
-	if d.settings.ConnIdleTimeout > 0 && idle >= d.settings.ConnIdleTimeout {
-		connections.open = min(connections.open, len(worker.inFlight)-1)
+// prepare determines the connection of a new attempt, which counts as in flight already: a new one if
+// none is idle, else an idle one. Idle connections close by themselves after idleTimeout; 0: never.
+// closeIdle reports that they have been idle for too long: they have to be closed first, and a new one
+// is opened.
+func (c *connectionHistory) prepare(
+	attempt *attemptInfo, idleTimeout, now time.Duration,
+) (closeIdle bool) {
+	inFlight := len(attempt.worker.inFlight)
+	connections := &attempt.worker.connections
+	idle := now - connections.lastUsedAt
+	if idleTimeout > 0 && idle >= idleTimeout {
+		connections.open = min(connections.open, inFlight-1)
 	}
-	if connections.open < len(worker.inFlight) {
-		connections.open = len(worker.inFlight)
-		return
+	if connections.open < inFlight {
+		connections.open = inFlight
+		return false
 	}
-	if !d.idleConnections.allows(idle, attempt.job.class) {
-		d.emit(CloseIdleConnections{Worker: worker.ID})
-		connections.open = len(worker.inFlight)
-		return
+	if !c.allows(idle, attempt.job.class) {
+		connections.open = inFlight
+		return true
 	}
 	attempt.connectionIdle = idle
+	return false
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -37,7 +37,11 @@
 		workload: &dispatcher.workload,
 		arrivals: &dispatcher.arrivals,
 	}
-	dispatcher.checks.minDelay = dispatcher.starts.minDelay
+	dispatcher.checks = healthChecker{
+		settings: &dispatcher.settings,
+		rng:      dispatcher.rng,
+		minDelay: dispatcher.starts.minDelay,
+	}
 	dispatcher.hedges.tokens = dispatcher.maxHedgeTokens()
 	dispatcher.maintenance.purpose = runMaintenance
 	dispatcher.setTimer(&dispatcher.maintenance, 0)
--- a/dispatch/healthcheck.go
+++ b/dispatch/healthcheck.go
@@ -4,7 +4,10 @@
 // workers able to start the job now; a check's load report shows whether one is. It does not cover
 // checks themselves.
 
-import "time"
+import (
+	"math/rand/v2"
+	"time"
+)
 
 const (
 	healthCheckBudget   = 0.006                  // fraction of the result that health checks may cost
@@ -14,8 +17,11 @@
 	checkTimeoutDivisor = 16                     // of the objective: a job waits for this, and a round trip
 )
 
-// healthChecker holds the budget of health checks and their fastest answer.
+// healthChecker holds the budget of health checks and their fastest answer, and chooses the workers to
+// check.
 type healthChecker struct {
+	settings *Settings
+	rng      *rand.Rand
 	tokens   tokenBucket   // one for each check that may be sent
 	minDelay time.Duration // least delay of any answer
 }
@@ -26,10 +32,10 @@
 	startedAt  time.Duration
 }
 
-// earn adds the checks that one job pays for: as many as their budget allows at the given cost of a
-// check. No more are saved up than there are workers.
-func (h *healthChecker) earn(cost float64, workers int) {
-	affordable := healthCheckBudget / max(cost, 1e-9)
+// earn adds the checks that one job pays for: as many as their budget allows at the cost of a check. No
+// more are saved up than there are workers.
+func (h *healthChecker) earn(workers int) {
+	affordable := healthCheckBudget / max(h.settings.HealthCheckCost, divisionGuard)
 	earned := min(checksPerJob, affordable)
 	h.tokens.add(earned, float64(workers))
 }
@@ -37,7 +43,7 @@
 // requestChecks checks a few workers for a new job, which then waits for a moment for their reports.
 func (d *Dispatcher) requestChecks(job *jobInfo) {
 	for n := 0; n < checksPerJob && d.settings.HealthChecks && d.checks.tokens.has(1); n++ {
-		worker := d.chooseCheck(job)
+		worker := d.checks.choose(job, &d.fleet, d.now)
 		if worker == nil {
 			return
 		}
@@ -49,33 +55,32 @@
 	}
 }
 
-// checkCandidates returns the workers that one to be checked is drawn from, in dst if that is large
-// enough. In a large fleet these are preferred workers: a check of any other opens a connection, and
-// its report is not used.
-func (d *Dispatcher) checkCandidates(dst []*workerInfo) []*workerInfo {
-	workers := d.fleet.workers
-	if !d.fleet.available.isOrdered() {
-		return workers
+// candidates returns the workers that one to be checked is drawn from, in dst if that is large enough.
+// In a large fleet these are preferred workers: a check of any other opens a connection, and its report
+// is not used.
+func (h *healthChecker) candidates(dst []*workerInfo, fleet *workerFleet) []*workerInfo {
+	if !fleet.available.isOrdered() {
+		return fleet.workers
 	}
-	bucket := workers[d.rng.IntN(len(workers))].index.bucket
+	bucket := fleet.workers[h.rng.IntN(len(fleet.workers))].index.bucket
 	if bucket == nil || !bucket.isSteady() || len(bucket.levels[0]) == 0 {
-		return workers
+		return fleet.workers
 	}
-	return appendPreferred(dst, bucket.levels[0], d.fleet.available.preferredCount(bucket))
+	return appendPreferred(dst, bucket.levels[0], fleet.available.preferredCount(bucket))
 }
 
-// chooseCheck returns the worker whose latest check is the oldest, of some drawn at random, so that not
-// all dispatchers check the same ones. Those of other zones are drawn by how much busier this
-// dispatcher's own is. It returns nil if none is due.
-func (d *Dispatcher) chooseCheck(job *jobInfo) (oldest *workerInfo) {
-	zoneBusy, own := d.fleet.zoneBusy, d.settings.Zone
+// choose returns the worker whose latest check is the oldest, of some drawn at random, so that not all
+// dispatchers check the same ones. Those of other zones are drawn by how much busier this dispatcher's own
+// is. It returns nil if none is due.
+func (h *healthChecker) choose(job *jobInfo, fleet *workerFleet, now time.Duration) (oldest *workerInfo) {
+	zoneBusy, own := fleet.zoneBusy, h.settings.Zone
 	var buffer [preferredWorkers]*workerInfo
-	candidates := d.checkCandidates(buffer[:0])
+	candidates := h.candidates(buffer[:0], fleet)
 	for range min(len(candidates), checkSampleSize) {
-		worker := candidates[d.rng.IntN(len(candidates))]
-		isNear := worker.Zone == own || d.rng.Float64() < zoneBusy[own]*(1-zoneBusy[worker.Zone])
-		isInReach := isNear || d.settings.CrossZoneCost == 0
-		if !worker.isCheckDue(d.now) || !job.class.allows(worker.Kind, worker.Zone) || !isInReach {
+		worker := candidates[h.rng.IntN(len(candidates))]
+		isNear := worker.Zone == own || h.rng.Float64() < zoneBusy[own]*(1-zoneBusy[worker.Zone])
+		isInReach := isNear || h.settings.CrossZoneCost == 0
+		if !worker.isCheckDue(now) || !job.class.allows(worker.Kind, worker.Zone) || !isInReach {
 			continue
 		}
 		if oldest == nil || worker.check.startedAt < oldest.check.startedAt {
