--- a/internal/control/forwarder/commands.go
+++ b/internal/control/forwarder/commands.go
@@ -7,130 +7,140 @@
 	"valvecove/internal/control/message"
 )
 
-const (
-	// A request that is transferred more often than maxImmediateTransfers waits before it is offered again, for
-	// transferBackoff at first and twice as long each further time: its planners do not agree on whose it is.
-	transferBackoff       = 20 * time.Millisecond
-	maxImmediateTransfers = 2
-	maxTransferDoublings  = 6
-	// convertedReject stands for the attempt's number in the AttemptEnded that tells a planner that its reject command was
-	// turned into a failure.
-	convertedReject = -1
-)
+// convertedReject is the attempt's number in the AttemptEnded by which a planner is notified that its reject command was
+// converted to a failure.
+const convertedReject = -1
+
+// commandValidator decides which commands may be executed.
+type commandValidator interface {
+	Validate(now time.Duration, epoch message.Epoch, command message.Message) message.RejectReason
+	BlockingStatus(workerID uint64) (status message.WorkerStatus, ok bool)
+	AttemptIndex(id uint64, commandNumber int) (index int, ok bool)
+}
 
-// execute executes a planner's command, if it is valid.
-func (f *Forwarder) execute(session *plannerSession, command message.Command) {
-	f.stats.Commands++
-	if reason := f.validator.Validate(f.now, session.epoch, command); reason != message.ReasonNone {
-		f.rejectCommand(session, command, reason)
+// commandExecutor executes the commands of planners.
+type commandExecutor struct {
+	step         *step
+	stats        *Stats
+	validator    commandValidator
+	requests     *openRequests
+	checks       *checkSchedule
+	assignments  *assignments
+	responder    *responder
+	healthChecks *healthChecker
+}
+
+// execute executes a planner's command if it is valid. Else the planner is notified.
+func (c *commandExecutor) execute(session *plannerSession, command message.Command) {
+	c.stats.Commands++
+	if reason := c.validator.Validate(c.step.now(), session.epoch, command); reason != message.ReasonNone {
+		c.rejectCommand(session, command, reason)
 		return
 	}
 	switch command := command.(type) {
 	case *message.HealthCheckCommand:
-		if !f.checkHealth(command.WorkerID, session.epoch) {
-			f.send(session, &message.HealthCheckResult{WorkerID: command.WorkerID, Result: dispatch.NotSent})
-		}
+		c.checkHealth(session, command)
 	case *message.CloseIdleCommand:
-		f.emit(dispatch.CloseIdleConnections{Worker: command.WorkerID})
+		c.step.emit(dispatch.CloseIdleConnections{Worker: command.WorkerID})
 	case *message.SendCommand:
-		f.sendAttempt(f.commandedRequest(command.RequestID), command.WorkerID, command.Timeout)
+		c.responder.sendAttempt(c.commandedRequest(command.RequestID), command.WorkerID, command.Timeout)
 	case *message.RejectCommand:
-		request := f.commandedRequest(command.RequestID)
-		f.respond(dispatch.Reject{Job: command.RequestID, RetryAfter: f.boundRetryAfter(command.RetryAfter)})
-		f.closeRequest(request, ownerKnows)
+		request := c.commandedRequest(command.RequestID)
+		c.responder.reject(request, command.RetryAfter)
+		c.responder.closeRequest(request, ownerKnows)
 	case *message.FailCommand:
-		request := f.commandedRequest(command.RequestID)
-		f.respond(dispatch.Fail{Job: command.RequestID})
-		f.closeRequest(request, ownerKnows)
+		request := c.commandedRequest(command.RequestID)
+		c.responder.fail(request)
+		c.responder.closeRequest(request, ownerKnows)
 	case *message.CancelCommand:
-		f.commandedRequest(command.RequestID)
-		if index, ok := f.validator.AttemptIndex(command.RequestID, command.Attempt); ok {
-			f.emit(dispatch.Cancel{Job: command.RequestID, Attempt: index})
-		}
+		c.cancel(command)
 	case *message.TransferCommand:
-		f.transfer(f.commandedRequest(command.RequestID), session, command.Planner)
+		c.transfer(c.commandedRequest(command.RequestID), session, command.Planner)
 	}
 }
 
-// commandedRequest returns the request of a valid command, and notes that its planner has decided on it.
-func (f *Forwarder) commandedRequest(id uint64) *openRequest {
-	request := f.requests[id]
-	request.command.given = true
-	request.command.dueAt = 0
+// commandedRequest returns the request of a valid command, and records the command.
+func (c *commandExecutor) commandedRequest(id uint64) *openRequest {
+	request := c.requests.find(id)
+	request.recordCommand()
 	return request
 }
 
-// sendAttempt has a request sent to a worker. A timeout that is negative, or beyond the deadline, stands for the deadline:
-// what is sent may run, and whether it does is worth knowing.
-func (f *Forwarder) sendAttempt(request *openRequest, worker uint64, timeout time.Duration) {
-	if timeout < 0 || timeout >= request.deadline-f.now {
-		timeout = 0
+// checkHealth starts a health check. If there are too many, the planner is notified.
+func (c *commandExecutor) checkHealth(session *plannerSession, command *message.HealthCheckCommand) {
+	if !c.healthChecks.start(command.WorkerID, session.epoch) {
+		c.reportUncheckedHealth(session, command)
 	}
-	f.respond(dispatch.Send{Job: request.job.ID, Worker: worker, AttemptTimeout: timeout})
-	f.stats.Sent++
-	f.scheduleCheck(request)
 }
 
-// transfer offers a request to another planner. Without a name of one, the request has made the sender's policy panic.
-func (f *Forwarder) transfer(request *openRequest, session *plannerSession, target string) {
-	f.unassign(request)
-	f.stats.Transfers++
+func (c *commandExecutor) reportUncheckedHealth(session *plannerSession, command *message.HealthCheckCommand) {
+	c.step.send(session, &message.HealthCheckResult{WorkerID: command.WorkerID, Result: dispatch.NotSent})
+}
+
+// cancel cancels an attempt.
+func (c *commandExecutor) cancel(command *message.CancelCommand) {
+	c.commandedRequest(command.RequestID)
+	if index, ok := c.validator.AttemptIndex(command.RequestID, command.Attempt); ok {
+		c.step.emit(dispatch.Cancel{Job: command.RequestID, Attempt: index})
+	}
+}
+
+// transfer enqueues a request for another planner. An empty target reports that the sender's policy panicked on the request.
+func (c *commandExecutor) transfer(request *openRequest, sender *plannerSession, target string) {
+	c.assignments.unassign(request)
+	c.stats.Transfers++
 	if target == "" {
-		f.recordFailure(request, session)
+		c.responder.recordFailure(request, sender)
 		return
 	}
-	request.transfers++
-	request.transferredBy = session
-	request.transferTarget = target
-	if doublings := request.transfers - maxImmediateTransfers - 1; doublings >= 0 {
-		request.notBefore = f.now + transferBackoff<<min(doublings, maxTransferDoublings)
-	}
-	f.enqueue(request)
+	request.recordTransfer(c.step.now(), sender, target)
+	c.assignments.enqueue(request)
 }
 
-// rejectCommand tells a planner that its command was not executed.
-func (f *Forwarder) rejectCommand(session *plannerSession, command message.Command, reason message.RejectReason) {
+// rejectCommand notifies a planner that its command was not executed.
+func (c *commandExecutor) rejectCommand(session *plannerSession, command message.Command, reason message.RejectReason) {
 	session.rejections.add(reason)
 	switch command := command.(type) {
 	case *message.SendCommand:
-		if reason != message.ReasonDuplicateCommand { // the attempt of that number has its end, or will have it
-			f.rejectSend(session, command, reason)
+		if reason != message.ReasonDuplicateCommand { // the planner is notified of the end of that attempt anyway
+			c.rejectSend(session, command, reason)
 		}
 	case *message.RejectCommand:
 		if reason == message.ReasonUnsafeRejection {
-			f.failInsteadOfReject(session, command.RequestID)
+			c.failInsteadOfReject(session, command.RequestID)
 		}
 	case *message.HealthCheckCommand:
-		f.send(session, &message.HealthCheckResult{WorkerID: command.WorkerID, Result: dispatch.NotSent})
+		c.reportUncheckedHealth(session, command)
 	}
 }
 
-// rejectSend tells a planner that an attempt was not sent, and of the status of its worker if that is why.
-func (f *Forwarder) rejectSend(session *plannerSession, command *message.SendCommand, reason message.RejectReason) {
-	if status, ok := f.validator.BlockingStatus(command.WorkerID); ok && reason == message.ReasonWorkerDraining {
-		f.send(session, &status)
+// rejectSend notifies a planner that an attempt was not sent, and of the worker's status if that is the cause.
+func (c *commandExecutor) rejectSend(session *plannerSession, command *message.SendCommand, reason message.RejectReason) {
+	if status, ok := c.validator.BlockingStatus(command.WorkerID); ok && reason == message.ReasonWorkerDraining {
+		c.step.send(session, &status)
 	}
-	f.send(session, &message.AttemptEnded{
+	c.step.send(session, &message.AttemptEnded{
 		RequestID: command.RequestID,
 		Attempt:   command.Attempt,
 		Result:    dispatch.NotSent,
 		Reason:    reason,
 	})
-	request := f.requests[command.RequestID]
-	if request.isOfferedTo(session) && f.validator.InFlight(command.RequestID) == 0 {
-		f.awaitCommand(request)
+	request := c.requests.find(command.RequestID)
+	if request.isOfferedTo(session) && !c.checks.hasAttempts(request) {
+		c.checks.awaitCommand(request)
 	}
 }
 
 // failInsteadOfReject responds with a failure in place of a rejection, which would promise that the request was not
-// executed. A failure promises nothing. To the planner the request is closed.
-func (f *Forwarder) failInsteadOfReject(session *plannerSession, id uint64) {
-	f.send(session, &message.AttemptEnded{
+// executed. For the planner the request is closed.
+func (c *commandExecutor) failInsteadOfReject(session *plannerSession, id uint64) {
+	c.step.send(session, &message.AttemptEnded{
 		RequestID: id,
 		Attempt:   convertedReject,
 		Result:    dispatch.NotSent,
 		Reason:    message.ReasonUnsafeRejection,
 	})
-	f.respond(dispatch.Fail{Job: id})
-	f.closeRequest(f.requests[id], ownerKnows)
+	request := c.requests.find(id)
+	c.responder.fail(request)
+	c.responder.closeRequest(request, ownerKnows)
 }
--- a/internal/control/forwarder/environment_test.go
+++ b/internal/control/forwarder/environment_test.go
@@ -170,15 +170,15 @@
 	open := env.table.OpenCount()
 	validated := forwarder.validator.RequestCount()
 	if open != 0 || stats.Open+stats.Waiting+stats.Local != 0 || validated != 0 ||
-		forwarder.checks.Len()+forwarder.returning.Len() != 0 {
+		forwarder.checks.queue.Len()+forwarder.queues.returning.Len() != 0 {
 		env.violation("something is left: %+v, %d in the request table, %d in the validator", stats, open, validated)
 	}
-	for _, session := range forwarder.sessions {
+	for _, session := range forwarder.planners.all() {
 		if len(session.requests) > 0 || session.poisonCandidate != nil {
 			env.violation("%s still has %d requests", session.planner, len(session.requests))
 		}
 	}
-	if forwarder.local.policy != nil && forwarder.mode != modeStandalone {
+	if forwarder.local.policy != nil && forwarder.mode.mode != modeStandalone {
 		env.violation("the local policy is kept without a request")
 	}
 }
--- a/internal/control/forwarder/forwarder.go
+++ b/internal/control/forwarder/forwarder.go
@@ -2,187 +2,258 @@
 
 import (
 	"math"
-	"math/rand/v2"
 	"time"
 
 	"valvecove/dispatch"
 	"valvecove/internal/control/message"
 	"valvecove/internal/control/validator"
-	"valvecove/internal/deadline"
 )
 
-// maxOwnTimerLag is how late a forwarder may be for its own timer and still judge planners by the time that they take.
-const maxOwnTimerLag = 20 * time.Millisecond
+// noEpoch is the epoch of no session.
+const noEpoch = message.Epoch(math.MaxUint64)
 
-// Policy makes the decisions in standalone mode.
-type Policy interface {
-	// Step takes in what has happened by now, and returns dst with its decisions appended.
-	Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action
+// Forwarder is the decision module of one forwarder. It is used by one goroutine.
+type Forwarder struct {
+	step      step
+	timer     stepTimer
+	inputs    inputQueue
+	stats     Stats
+	validator *validator.Validator
+
+	planners   plannerSet
+	sessions   sessionLifecycle
+	heartbeats heartbeats
+	rejections rejectionLog
+
+	requests    openRequests
+	queues      requestQueues
+	checks      checkSchedule
+	placer      placer
+	assignments assignments
+	timeouts    requestTimeouts
+
+	commands     commandExecutor
+	attempts     attemptReporter
+	responder    responder
+	healthChecks healthChecker
+	workers      workers
+
+	mode          modeController
+	local         localPolicy
+	localRunner   localRunner
+	localCommands localCommands
+	snapshot      modelSnapshot
 }
 
-// Outgoing is a message for a planner.
-type Outgoing struct {
-	Planner string // its name
-	message.Envelope
+// LastEpoch returns the epoch of the newest session. A forwarder that replaces one that has panicked numbers its sessions
+// from there (Config.LastEpoch), and needs a SessionChanged for each connection.
+func (f *Forwarder) LastEpoch() message.Epoch { return f.sessions.lastEpoch }
+
+// Outbox returns the messages of the last Step, in order. They are valid until the next Step.
+func (f *Forwarder) Outbox() []Outgoing { return f.step.outbox }
+
+// HasPending reports whether the next Step has inputs to process besides the events of the request table.
+func (f *Forwarder) HasPending() bool { return !f.inputs.isEmpty() }
+
+// DrainingPlanners returns the names of the planners that shut down. They have no request of this forwarder; the
+// connections to them are to be closed.
+func (f *Forwarder) DrainingPlanners() (names []string) { return f.planners.draining() }
+
+// SetPlanners records the names of all known planners. The forwarder is to have a connection to each of them.
+func (f *Forwarder) SetPlanners(names []string) { f.inputs.addNames(names) }
+
+// SessionChanged records that a connection to a planner is established, or lost.
+func (f *Forwarder) SessionChanged(planner string, connected bool) {
+	f.inputs.addConnection(planner, connectionChange(connected))
 }
 
-// Forwarder is the decision module of one forwarder. It is used by one goroutine.
-type Forwarder struct {
-	config    Config
-	settings  dispatch.Settings
-	selector  PlannerSelector
-	validator *validator.Validator
-	rng       *rand.Rand
-
-	now        time.Duration // of the present step
-	started    bool          // there has been a step
-	actions    []dispatch.Action
-	timerAt    time.Duration // when the request table's timer fires; 0: it is not set
-	lastLateAt time.Duration // when this forwarder was last late for its own timer
-
-	inputs []input
-	// sessionInputsPending tells that some inputs may begin or end a session.
-	sessionInputsPending bool
-	outbox               []Outgoing
-	offers               offerPool
-
-	sessions      []*plannerSession // by name of the planner
-	preferred     []*plannerSession // the same, the best planner first
-	orderNames    []string          // of planners, as the selector has them
-	orderStale    bool              // preferred is to be computed anew
-	lastEpoch     message.Epoch
-	knownPlanners int  // planners of the last SetPlanners
-	hadPlanner    bool // a planner has accepted a session
-
-	requests         map[uint64]*openRequest // by ID
-	freeRequests     []*openRequest
-	checks           deadline.Queue[*openRequest] // requests by when checkRequest is due
-	waiting          requestQueue                 // requests that wait for credit, or for a planner
-	poisonCandidates requestQueue                 // the same, of those that may have ended a planner's session
-	returning        requestQueue                 // requests that go back from the local policy to planners
-	retryPlacementAt time.Duration                // when waiting requests are looked at again though nothing has happened; 0: not
-	reofferTokens    float64                      // requests that may be revoked from planners that reply
-
-	mode             mode
-	plannerAvailable bool          // a planner accepts requests
-	availableSince   time.Duration // when plannerAvailable last changed
-	local            localPolicy
-	snapshot         modelSnapshot
-	position         position
-
-	endpoints    endpointList
-	subscription subscription
-	healthChecks pendingHealthChecks
-
-	nextRejectionLogAt time.Duration
-	stats              Stats
+// SetForwarderIndex sets the index of this forwarder, from 0, among a count of forwarders. In standalone mode they share
+// the workers by that, without communication.
+func (f *Forwarder) SetForwarderIndex(index, count int) {
+	f.localRunner.setPosition(position{index, count})
 }
 
-// New returns a forwarder without planners, workers or requests. newPolicy makes a policy for standalone mode, which knows
-// nothing yet.
-func New(settings dispatch.Settings, config Config, selector PlannerSelector, newPolicy func() Policy) *Forwarder {
-	config = config.withDefaults()
-	return &Forwarder{
-		config:        config,
-		settings:      settings,
-		selector:      selector,
-		validator:     validator.New(settings),
-		rng:           rand.New(rand.NewPCG(config.Seed, 0)),
-		lastEpoch:     max(message.Epoch(config.Incarnation), config.LastEpoch),
-		requests:      map[uint64]*openRequest{},
-		reofferTokens: maxReofferTokens,
-		local:         localPolicy{newPolicy: newPolicy},
-		endpoints:     endpointList{workers: map[uint64]dispatch.Worker{}},
-		subscription:  newSubscription(settings),
-		healthChecks:  pendingHealthChecks{requesters: map[uint64][]message.Epoch{}},
+// Receive records a message of a planner. It keeps no reference to what the envelope points to.
+func (f *Forwarder) Receive(now time.Duration, planner string, envelope message.Envelope) {
+	if f.inputs.isFull() {
+		// No working planner sends so many messages between two steps. The session has lost one, so that it is to be reset.
+		f.stats.Overruns++
+		if session := f.planners.find(planner); session != nil {
+			session.overrun = true
+		}
+		return
+	}
+	if snapshot, ok := envelope.Message.(*message.ModelSnapshot); ok {
+		f.receiveSnapshot(now, planner, envelope.Epoch, snapshot)
+		return
 	}
+	f.inputs.addMessage(now, planner, envelope)
 }
 
-// LastEpoch returns the epoch of the newest session. A forwarder that takes the place of one that has panicked numbers its
-// sessions from there (Config.LastEpoch), and is to be told of all connections anew.
-func (f *Forwarder) LastEpoch() message.Epoch { return f.lastEpoch }
-
-// Outbox returns the messages of the last Step, in order. They are valid until the next Step.
-func (f *Forwarder) Outbox() []Outgoing { return f.outbox }
+// receiveSnapshot keeps a planner's model snapshot for the local policy, if it is newer than the present one.
+func (f *Forwarder) receiveSnapshot(now time.Duration, planner string, epoch message.Epoch, snapshot *message.ModelSnapshot) {
+	session := f.planners.find(planner)
+	isValid := session != nil && session.isAccepted() && session.epoch == epoch
+	if !isValid || !f.snapshot.keep(now-max(0, snapshot.Age), snapshot.Data) {
+		f.stats.StrayMessages++
+	}
+}
 
-// Step takes in the events of the request table and the recorded inputs, and returns dst with the actions that they call
-// for appended.
+// Step processes the events of the request table, then the recorded inputs, then what is due at the instant. It returns dst
+// with the resulting actions appended.
 func (f *Forwarder) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	f.beginStep(now, dst)
 	for _, event := range events {
 		f.observe(event)
 	}
 	f.processInputs()
-	f.checkSessions()
-	f.updateMode()
-	f.placeWaiting() // before checkRequests gives up what nobody takes in time
-	f.checkRequests()
-	if f.subscription.start(f.now) {
-		f.emit(dispatch.Subscribe{})
-	}
+	f.sessions.check()
+	f.mode.update()
+	f.placeWaiting() // before the timeouts, which give up requests that are not placed
+	f.timeouts.run()
+	f.workers.subscribe()
 	f.placeWaiting()
-	f.runLocalPolicy()
-	f.sendHeartbeats()
-	f.logRejections()
+	f.localRunner.run()
+	f.heartbeats.send()
+	f.rejections.write()
 	f.setTimer()
-	dst, f.actions = f.actions, nil
-	return dst
+	return f.step.finish()
 }
 
 func (f *Forwarder) beginStep(now time.Duration, dst []dispatch.Action) {
-	f.now = max(now, f.now)
-	f.actions = dst
-	clear(f.outbox)
-	f.outbox = f.outbox[:0]
-	f.offers.reset()
-	if !f.started {
-		f.started = true
-		f.availableSince = f.now
-	}
-	f.detectOwnLag()
+	f.step.begin(now, dst)
+	f.assignments.beginStep()
+	f.mode.begin()
+	if late := f.timer.begin(f.step.now()); late {
+		f.heartbeats.restartWaits()
+	}
 }
 
-func (f *Forwarder) emit(action dispatch.Action) { f.actions = append(f.actions, action) }
+// observe processes an event of the request table.
+func (f *Forwarder) observe(event dispatch.Event) {
+	switch event := event.(type) {
+	case dispatch.Job:
+		f.validator.Observe(f.step.now(), event)
+		f.admit(event)
+	case dispatch.Started:
+		f.attempts.started(event)
+	case dispatch.Progressed:
+		f.attempts.progressed(event)
+	case dispatch.ResponseStarted:
+		f.attempts.responseStarted(event)
+	case dispatch.Outcome:
+		f.attempts.ended(event)
+	case dispatch.ClientDisconnected:
+		f.attempts.clientDisconnected(event)
+	case dispatch.HealthChecked:
+		f.healthChecks.finish(event)
+	case dispatch.WorkerList:
+		f.workers.listChanged(event)
+	case dispatch.TimerFired: // each part finds out by the instant whether anything is due
+	}
+}
 
-// detectOwnLag finds out whether this forwarder was late for its own timer. What planners have sent meanwhile is yet to be
-// read, so their time to reply begins now.
-func (f *Forwarder) detectOwnLag() {
-	if f.timerAt == 0 || f.now < f.timerAt {
+// admit admits a request.
+func (f *Forwarder) admit(job dispatch.Job) {
+	request := f.requests.add(f.step.now(), job)
+	if request == nil {
 		return
 	}
-	if f.now-f.timerAt > maxOwnTimerLag {
-		f.lastLateAt = f.now
-		for _, session := range f.sessions {
-			session.heartbeat.restartWait(f.now)
-		}
+	f.stats.Requests++
+	if f.mode.isStandalone() {
+		f.localRunner.admit(request)
+		return
+	}
+	if !f.placer.admit(request, f.inputs.sessionsPending) {
+		f.stats.QueueFull++
+		f.responder.giveUp(request)
 	}
-	f.timerAt = 0
 }
 
-// setTimer asks for a timer for whatever is due next.
-func (f *Forwarder) setTimer() {
-	const never = time.Duration(math.MaxInt64)
-	next := never
-	consider := func(at time.Duration) {
-		if at > 0 {
-			next = min(next, at)
+// processInputs processes the recorded inputs in their order.
+func (f *Forwarder) processInputs() {
+	for i := range f.inputs.inputs {
+		recorded := &f.inputs.inputs[i]
+		switch body := recorded.body.(type) {
+		case message.Message:
+			f.receive(recorded, body)
+		case connectionChange:
+			f.connectionChanged(recorded.planner, body)
+		case plannerNames:
+			f.planners.setKnown(f.step.now(), body)
 		}
 	}
-	if f.checks.Len() > 0 {
-		consider(f.checks.First().At)
+	f.inputs.clear()
+}
+
+func (f *Forwarder) connectionChanged(planner string, established connectionChange) {
+	if established {
+		f.sessions.connected(planner)
+	} else {
+		f.sessions.disconnected(planner)
+	}
+}
+
+// receive processes a message of a planner. It is void if it is not of the present session, or if the session is not
+// accepted yet.
+func (f *Forwarder) receive(recorded *input, received message.Message) {
+	session := f.planners.find(recorded.planner)
+	if session == nil || !session.expects(recorded.epoch, received) {
+		f.receiveStray(received)
+		return
+	}
+	if session.overrun { // a message before this one was lost, which may change what this one means
+		return
+	}
+	switch received := received.(type) {
+	case *message.HandshakeAccept:
+		f.sessions.accept(session, received)
+	case *message.CreditUpdate:
+		session.setCredit(received.Credit)
+	case *message.HeartbeatReply:
+		f.heartbeats.replied(session, recorded.receivedAt, received)
+	case *message.Goodbye:
+		f.sessions.drain(session)
+	case *message.WorkerStatus:
+		f.workers.statusReceived(session, *received)
+	case message.Command:
+		f.commands.execute(session, received)
+	default:
+		f.stats.StrayMessages++
+	}
+}
+
+// receiveStray counts a message that is not of a present session.
+func (f *Forwarder) receiveStray(received message.Message) {
+	if command, ok := received.(message.Command); ok {
+		f.validator.Validate(f.step.now(), noEpoch, command) // rejects it, and counts that
+	} else {
+		f.stats.StrayMessages++
 	}
-	for _, session := range f.sessions {
-		consider(f.nextSessionCheck(session))
+}
+
+// placeWaiting assigns the requests that wait to planners, or in standalone mode to the local policy.
+func (f *Forwarder) placeWaiting() {
+	if f.mode.isStandalone() {
+		f.localRunner.placeWaiting()
+	} else {
+		f.placer.placeWaiting()
 	}
-	consider(f.retryPlacementAt)
-	if at := f.selector.Next(); at > f.now {
-		consider(at)
+}
+
+// setTimer sets the request table's timer to the earliest instant at which any part has something to do.
+func (f *Forwarder) setTimer() {
+	next := newEarliest()
+	next.consider(f.checks.next())
+	for _, session := range f.planners.all() {
+		next.consider(f.heartbeats.nextCheck(session))
 	}
-	consider(f.nextModeCheck())
-	consider(f.subscription.nextStart())
-	next = max(next, f.now+1)
-	if next < never && (f.timerAt == 0 || next < f.timerAt) {
-		f.timerAt = next
-		f.emit(dispatch.SetTimer{After: next - f.now})
+	next.consider(f.placer.retryAt)
+	next.consider(f.planners.nextOrderChange(f.step.now()))
+	next.consider(f.mode.nextCheck())
+	next.consider(f.workers.subscription.nextStart())
+	at, ok := next.after(f.step.now())
+	if ok && f.timer.set(at) {
+		f.step.emit(dispatch.SetTimer{After: at - f.step.now()})
 	}
 }
--- a/internal/control/forwarder/harness_test.go
+++ b/internal/control/forwarder/harness_test.go
@@ -21,6 +21,7 @@
 type harness struct {
 	now          time.Duration
 	forwarder    *Forwarder
+	attemptLimit int // of a request
 	table        *requests.Table
 	events       eventQueue
 	lastSequence uint64
@@ -39,14 +40,18 @@
 func newHarness(settings dispatch.Settings, config Config, selector PlannerSelector, newPolicy func() Policy) *harness {
 	config.Name = "f"
 	config.Incarnation = 1000
-	return &harness{now: startTime, forwarder: New(settings, config, selector, newPolicy)}
+	return &harness{
+		now:          startTime,
+		forwarder:    New(settings, config, selector, newPolicy),
+		attemptLimit: settings.AttemptLimit,
+	}
 }
 
 // start makes the request table, once all functions are set.
 func (h *harness) start(known requests.EndpointList) {
 	names := requests.NameTable{Zones: []string{"z0", "z1", "z2"}, MachineTypes: []string{"k0", "k1", "k2"}}
 	newPolicy := func() requests.Policy { return recordingPolicy{h} }
-	attempts := max(1, h.forwarder.settings.AttemptLimit)
+	attempts := max(1, h.attemptLimit)
 	h.table = requests.New(attempts, names, newPolicy, known, h, slog.New(slog.DiscardHandler))
 }
 
--- a/internal/control/forwarder/healthcheck.go
+++ b/internal/control/forwarder/healthcheck.go
@@ -6,7 +6,8 @@
 	"valvecove/internal/control/validator"
 )
 
-const maxHealthChecks = 4096 // in flight
+// maxHealthChecks is how many health checks may be in flight.
+const maxHealthChecks = 4096
 
 // pendingHealthChecks are the health checks that have no result yet.
 type pendingHealthChecks struct {
@@ -14,7 +15,7 @@
 	count      int
 }
 
-// add notes a health check. It returns false if there are too many.
+// add records a health check. It returns false if there are too many.
 func (p *pendingHealthChecks) add(worker uint64, requester message.Epoch) bool {
 	if p.count >= maxHealthChecks {
 		return false
@@ -24,7 +25,7 @@
 	return true
 }
 
-// take returns who commanded the oldest health check of a worker, and forgets it.
+// take removes the oldest health check of a worker, and returns the session that commanded it.
 func (p *pendingHealthChecks) take(worker uint64) (requester message.Epoch, ok bool) {
 	requesters := p.requesters[worker]
 	if len(requesters) == 0 {
@@ -41,27 +42,34 @@
 	return requester, true
 }
 
-// checkHealth has the health of a worker checked for a session, or for the local policy. It returns false if there are too
-// many checks.
-func (f *Forwarder) checkHealth(worker uint64, requester message.Epoch) bool {
-	if !f.healthChecks.add(worker, requester) {
+// healthChecker starts health checks, and reports each result to the planner or local policy that commanded the check.
+type healthChecker struct {
+	step     *step
+	planners *plannerSet
+	local    *localPolicy
+	pending  pendingHealthChecks
+}
+
+// start starts a health check of a worker for a session, or for the local policy. It returns false if there are too many.
+func (h *healthChecker) start(worker uint64, requester message.Epoch) bool {
+	if !h.pending.add(worker, requester) {
 		return false
 	}
-	f.emit(dispatch.HealthCheck{Worker: worker})
+	h.step.emit(dispatch.HealthCheck{Worker: worker})
 	return true
 }
 
-// healthChecked tells whoever commanded a health check of its result.
-func (f *Forwarder) healthChecked(event dispatch.HealthChecked) {
-	requester, ok := f.healthChecks.take(event.Worker)
+// finish processes the result of a health check.
+func (h *healthChecker) finish(event dispatch.HealthChecked) {
+	requester, ok := h.pending.take(event.Worker)
 	if !ok {
 		return
 	}
 	if requester == validator.LocalEpoch {
-		f.notifyLocal(event)
+		h.local.notify(event)
 		return
 	}
-	if session := f.sessionByEpoch(requester); session != nil {
-		f.send(session, &message.HealthCheckResult{WorkerID: event.Worker, Result: event.Result})
+	if session := h.planners.findByEpoch(requester); session != nil {
+		h.step.send(session, &message.HealthCheckResult{WorkerID: event.Worker, Result: event.Result})
 	}
 }
--- a/internal/control/forwarder/heartbeat.go
+++ b/internal/control/forwarder/heartbeat.go
@@ -3,42 +3,32 @@
 import (
 	"fmt"
 	"time"
-
-	"valvecove/internal/control/message"
 )
 
-const (
-	// confirmHeartbeatDelay is the time between two heartbeats while there are offers that the planner has not confirmed
-	// with a reply.
-	confirmHeartbeatDelay = 10 * time.Millisecond
-	// latencyDecayDivisor is the part of a new measurement that enters the mean latency.
-	latencyDecayDivisor = 4
-	// Both timeouts are at least these multiples of the planner's mean latency.
-	suspicionLatencies    = 4
-	unresponsiveLatencies = 8
-)
+// latencyDecayDivisor is the decay of the mean latency: each sample moves it by this fraction of their difference.
+const latencyDecayDivisor = 4
 
-// heartbeat checks whether a planner replies, and by that, how much it has read of what was sent: a reply shows that
-// everything before its heartbeat was read.
+// heartbeat is the state of the heartbeats to one planner. A reply shows that the planner has read every message that was
+// sent before the heartbeat.
 type heartbeat struct {
 	state         heartbeatState
 	sequence      uint64        // of the last heartbeat sent
 	acknowledged  uint64        // of the last heartbeat that was replied to
 	sentAt        time.Duration // when the last one was sent, or the session began
 	awaitedSince  time.Duration // when the wait for the reply began
-	ignoreLatency bool          // the reply says nothing of the planner's latency: the forwarder was late itself
+	ignoreLatency bool          // the reply is no sample of the planner's latency, as the forwarder was late itself
 	offersSent    bool          // the planner was offered requests since the last heartbeat
 	latency       time.Duration // mean time to a reply, over all sessions
 	minLatency    time.Duration // shortest time to a reply in this session; 0: there was no reply
 }
 
-// heartbeatState is whether a reply is awaited.
+// heartbeatState is the state of the wait for a reply.
 type heartbeatState uint8
 
 const (
 	heartbeatIdle     heartbeatState = iota // no reply is awaited
 	heartbeatAwaiting                       // a reply is awaited
-	heartbeatOverdue                        // it has been awaited for so long that the planner is under suspicion
+	heartbeatOverdue                        // it has been awaited for the suspicion timeout: the planner is suspected
 )
 
 // String returns the state's name.
@@ -87,12 +77,12 @@
 	return valid
 }
 
-// reset begins a new session. What is known of the planner's latency stays.
+// reset starts a new session. The mean latency is kept.
 func (h *heartbeat) reset(now time.Duration) {
 	*h = heartbeat{sentAt: now, latency: h.latency}
 }
 
-// recordSent notes that a heartbeat is sent, and returns its sequence number.
+// recordSent records that a heartbeat is sent, and returns its sequence number.
 func (h *heartbeat) recordSent(now time.Duration) (sequence uint64) {
 	h.transition(eventHeartbeatSent)
 	h.sequence++
@@ -103,7 +93,7 @@
 	return h.sequence
 }
 
-// restartWait gives the planner its time for the reply anew.
+// restartWait restarts the wait for a reply, if one is awaited.
 func (h *heartbeat) restartWait(now time.Duration) {
 	if h.state != heartbeatIdle {
 		h.awaitedSince = now
@@ -111,8 +101,8 @@
 	}
 }
 
-// recordReply notes a reply that was received at an instant, and returns how long it took. It is not valid if it is not the
-// reply that is awaited.
+// recordReply processes a reply that was received at an instant, and returns the time since the wait for it was started. It
+// is not valid if it is not the reply that is awaited.
 func (h *heartbeat) recordReply(receivedAt time.Duration, sequence uint64) (latency time.Duration, valid bool) {
 	if sequence != h.sequence || !h.transition(eventReplyReceived) {
 		return 0, false
@@ -128,67 +118,3 @@
 	}
 	return latency, true
 }
-
-// isSuspected reports whether the planner's reply is overdue.
-func (s *plannerSession) isSuspected() bool { return s.heartbeat.state == heartbeatOverdue }
-
-func (f *Forwarder) suspicionTimeout(h *heartbeat) time.Duration {
-	return max(f.config.SuspicionTimeout, suspicionLatencies*h.latency)
-}
-
-func (f *Forwarder) unresponsiveTimeout(h *heartbeat) time.Duration {
-	return max(f.config.UnresponsiveTimeout, unresponsiveLatencies*h.latency)
-}
-
-// sendHeartbeats sends the heartbeats that are due.
-func (f *Forwarder) sendHeartbeats() {
-	for _, session := range f.sessions {
-		if session.isAccepted() && session.heartbeat.state == heartbeatIdle && f.now >= f.nextHeartbeat(session) {
-			f.send(session, &message.Heartbeat{Sequence: session.heartbeat.recordSent(f.now)})
-		}
-	}
-}
-
-// nextHeartbeat returns when a planner is to be sent the next heartbeat, if no reply is awaited.
-func (f *Forwarder) nextHeartbeat(session *plannerSession) time.Duration {
-	heartbeat := &session.heartbeat
-	switch candidate := session.poisonCandidate; {
-	case candidate != nil && candidate.offeredSequence > heartbeat.sequence:
-		return f.now
-	case heartbeat.offersSent:
-		return heartbeat.sentAt + min(confirmHeartbeatDelay, f.config.HeartbeatInterval)
-	}
-	return heartbeat.sentAt + f.config.HeartbeatInterval
-}
-
-// nextSessionCheck returns when something is due for a session; 0: nothing is.
-func (f *Forwarder) nextSessionCheck(session *plannerSession) time.Duration {
-	if !session.isAccepted() {
-		return 0
-	}
-	heartbeat := &session.heartbeat
-	switch heartbeat.state {
-	case heartbeatAwaiting:
-		return heartbeat.awaitedSince + f.suspicionTimeout(heartbeat)
-	case heartbeatOverdue:
-		return heartbeat.awaitedSince + f.unresponsiveTimeout(heartbeat)
-	default:
-		return max(f.nextHeartbeat(session), 1)
-	}
-}
-
-// heartbeatReplied processes a reply that was received at an instant.
-func (f *Forwarder) heartbeatReplied(session *plannerSession, receivedAt time.Duration, reply *message.HeartbeatReply) {
-	heartbeat := &session.heartbeat
-	latency, valid := heartbeat.recordReply(receivedAt, reply.Sequence)
-	if !valid {
-		return
-	}
-	if !heartbeat.ignoreLatency {
-		f.selector.ReplyReceived(f.now, session.planner, latency, max(0, reply.TimerLag))
-		f.orderStale = true
-	}
-	if session.poisonCandidate != nil && session.poisonCandidate.offeredSequence <= heartbeat.acknowledged {
-		session.poisonCandidate = nil
-	}
-}
--- a/internal/control/forwarder/input.go
+++ b/internal/control/forwarder/input.go
@@ -7,12 +7,10 @@
 	"valvecove/internal/control/message"
 )
 
-const (
-	maxPlanners = 64
-	maxInputs   = 1 << 16 // recorded between two steps
-)
+// maxInputs is how many inputs are recorded between two steps.
+const maxInputs = 1 << 16
 
-// input is something that was recorded for the next step.
+// input is an event that was recorded for the next step.
 type input struct {
 	receivedAt time.Duration
 	planner    string
@@ -20,63 +18,49 @@
 	body       any           // a message.Message, a connectionChange or a plannerNames
 }
 
-// connectionChange tells whether a connection has been established, or else lost.
+// connectionChange is whether a connection was established (true) or lost.
 type connectionChange bool
 
 // plannerNames are the names of all known planners, in order.
 type plannerNames []string
 
-// Receive records a message of a planner. It keeps nothing that the envelope points to.
-func (f *Forwarder) Receive(now time.Duration, planner string, envelope message.Envelope) {
-	if len(f.inputs) >= maxInputs {
-		// No working planner sends so much between two steps. The session has lost a message and can't be relied on.
-		f.stats.Overruns++
-		if session := f.findSession(planner); session != nil {
-			session.overrun = true
-		}
-		return
-	}
-	switch body := envelope.Message.(type) {
-	case *message.ModelSnapshot:
-		f.keepSnapshot(now, planner, envelope.Epoch, body)
-		return
-	case *message.Goodbye:
-		f.sessionInputsPending = true
+// inputQueue holds the inputs for the next step in the order in which they were recorded.
+type inputQueue struct {
+	inputs          []input
+	sessionsPending bool // some inputs may start or end a session
+}
+
+// isFull reports whether no more messages may be recorded.
+func (i *inputQueue) isFull() bool { return len(i.inputs) >= maxInputs }
+
+// isEmpty reports whether nothing is recorded.
+func (i *inputQueue) isEmpty() bool { return len(i.inputs) == 0 }
+
+// addMessage records a message of a planner. It keeps no reference to what the envelope points to.
+func (i *inputQueue) addMessage(now time.Duration, planner string, envelope message.Envelope) {
+	if _, isGoodbye := envelope.Message.(*message.Goodbye); isGoodbye {
+		i.sessionsPending = true
 	}
 	envelope = envelope.Clone()
-	f.inputs = append(f.inputs, input{receivedAt: now, planner: planner, epoch: envelope.Epoch, body: envelope.Message})
+	i.inputs = append(i.inputs, input{receivedAt: now, planner: planner, epoch: envelope.Epoch, body: envelope.Message})
 }
 
-// SessionChanged records that a connection to a planner is established, or lost.
-func (f *Forwarder) SessionChanged(planner string, connected bool) {
-	f.inputs = append(f.inputs, input{planner: planner, body: connectionChange(connected)})
-	f.sessionInputsPending = true
+// addConnection records a change of the connection to a planner.
+func (i *inputQueue) addConnection(planner string, change connectionChange) {
+	i.inputs = append(i.inputs, input{planner: planner, body: change})
+	i.sessionsPending = true
 }
 
-// SetPlanners records the names of all known planners. The forwarder is to have a connection to each of them.
-func (f *Forwarder) SetPlanners(names []string) {
+// addNames records the names of all known planners, of which there are at most maxPlanners.
+func (i *inputQueue) addNames(names []string) {
 	names = slices.Clone(names[:min(len(names), maxPlanners)])
 	slices.Sort(names)
-	f.inputs = append(f.inputs, input{body: plannerNames(slices.Compact(names))})
+	i.inputs = append(i.inputs, input{body: plannerNames(slices.Compact(names))})
 }
 
-// HasPending reports whether the next Step has inputs to process besides the events of the request table.
-func (f *Forwarder) HasPending() bool { return len(f.inputs) > 0 }
-
-// processInputs processes the recorded inputs in their order.
-func (f *Forwarder) processInputs() {
-	for i := range f.inputs {
-		recorded := &f.inputs[i]
-		switch body := recorded.body.(type) {
-		case message.Message:
-			f.receive(recorded, body)
-		case connectionChange:
-			f.connectionChanged(recorded.planner, bool(body))
-		case plannerNames:
-			f.plannersChanged(body)
-		}
-	}
-	clear(f.inputs)
-	f.inputs = f.inputs[:0]
-	f.sessionInputsPending = false
+// clear removes the recorded inputs.
+func (i *inputQueue) clear() {
+	clear(i.inputs)
+	i.inputs = i.inputs[:0]
+	i.sessionsPending = false
 }
--- a/internal/control/forwarder/localpolicy.go
+++ b/internal/control/forwarder/localpolicy.go
@@ -1,254 +1,208 @@
 package forwarder
 
 import (
-	"maps"
 	"runtime/debug"
 	"slices"
 	"strings"
 	"time"
 
 	"valvecove/dispatch"
-	"valvecove/internal/control/validator"
 )
 
 const (
-	maxPolicyIterations = 4 // of the local policy in one step
-	panicWindow         = time.Second
-	maxPanics           = 3 // of the local policy within panicWindow; after that its requests are given up
-	maxLoggedStack      = 600
+	panicWindow    = time.Second
+	maxPanics      = 3 // of the local policy, each within panicWindow of the one before; then its requests are given up
+	maxLoggedStack = 600
 )
 
-// localPolicy is the policy of standalone mode, with what it has not been told yet.
+// Policy makes the decisions in standalone mode.
+type Policy interface {
+	// Step processes events, and returns dst with its decisions as of the instant appended.
+	Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action
+}
+
+// subsetPolicy is a policy that uses a subset of the workers, by which of the schedulers this one is. An aperture.Aperture
+// is one.
+type subsetPolicy interface {
+	SetSchedulers(index, count int)
+}
+
+// localPolicy is the policy of standalone mode, with the events that it is yet to process.
 type localPolicy struct {
 	newPolicy func() Policy
 	policy    Policy            // nil: there is none
-	requests  int               // requests that it was told of and that are open, or have attempts in flight
+	requests  int               // requests that it was notified of and that are open, or have attempts in flight
 	timerAt   time.Duration     // when its timer fires; 0: it is not set
-	events    []dispatch.Event  // that it was not told of yet
+	events    []dispatch.Event  // of its next step
 	delivered []dispatch.Event  // memory of the events of its last step
 	actions   []dispatch.Action // memory of the actions of its last step
-	recent    []*openRequest    // that are assigned to it with those events
-	isolating bool              // there is only one, which may have ended a session or a policy
+	recent    []*openRequest    // that are assigned to it since its last step
+	isolating bool              // the only recent one may have ended a session or a policy
 
 	panics     int // each within panicWindow of the one before
 	panickedAt time.Duration
 }
 
+// isRunning reports whether there is a policy.
+func (l *localPolicy) isRunning() bool { return l.policy != nil }
+
 // isIdle reports whether the policy may be stopped.
 func (l *localPolicy) isIdle() bool {
 	return l.policy == nil || l.requests == 0 && len(l.events) == 0
 }
 
+// start makes a new policy.
+func (l *localPolicy) start() {
+	l.policy = l.newPolicy()
+	l.timerAt = 0
+}
+
 // stop drops the policy.
 func (l *localPolicy) stop() {
 	l.policy = nil
 	l.timerAt = 0
 }
 
-// earlierTimer returns an instant, or that of the policy's timer if it is earlier.
-func (l *localPolicy) earlierTimer(at time.Duration) time.Duration {
-	if l.timerAt > 0 {
-		return min(at, l.timerAt)
+// notify adds an event to the policy's next step, if there is a policy.
+func (l *localPolicy) notify(event dispatch.Event) {
+	if l.policy != nil {
+		l.events = append(l.events, event)
 	}
-	return at
 }
 
-// setTimer sets the policy's timer, unless it is set for sooner.
-func (l *localPolicy) setTimer(at time.Duration) {
-	if l.timerAt == 0 || at < l.timerAt {
-		l.timerAt = at
+// setSchedulers notifies the policy of the index of this forwarder among a count of forwarders.
+func (l *localPolicy) setSchedulers(index, count int) {
+	l.notify(dispatch.ReplicasChanged{Replicas: count, ReplicaIndex: index})
+	if subset, ok := l.policy.(subsetPolicy); ok {
+		subset.SetSchedulers(index, count)
 	}
 }
 
-// takeEvents returns the events of the policy's next step.
-func (l *localPolicy) takeEvents(now time.Duration) []dispatch.Event {
-	if l.timerAt > 0 && l.timerAt <= now {
-		l.timerAt = 0
-		l.events = append(l.events, dispatch.TimerFired{})
+// addRequest records that a request is assigned to the policy.
+func (l *localPolicy) addRequest(request *openRequest) {
+	if !request.knownLocally {
+		request.knownLocally = true
+		l.requests++
 	}
-	l.events, l.delivered = l.delivered[:0], l.events
-	return l.delivered
+	l.recent = append(l.recent, request)
 }
 
-// recordPanic counts a panic of the policy, and reports whether there have been too many.
-func (l *localPolicy) recordPanic(now time.Duration) (tooMany bool) {
-	if now-l.panickedAt > panicWindow {
-		l.panics = 0
+// removeRequest records that a request has ended for the policy.
+func (l *localPolicy) removeRequest(request *openRequest) {
+	if request.knownLocally {
+		request.knownLocally = false
+		l.requests--
 	}
-	l.panics++
-	l.panickedAt = now
-	return l.panics >= maxPanics
 }
 
-// startLocalPolicy makes a policy, if there is none, and tells it the state of things.
-func (f *Forwarder) startLocalPolicy() {
-	if f.local.policy != nil {
-		return
-	}
-	f.local.policy = f.local.newPolicy()
-	f.local.timerAt = 0
-	f.notifyLocal(dispatch.WorkerList{
-		Kind:     dispatch.ListCached,
-		Workers:  f.withBlocked(f.endpoints.list()),
-		Revision: f.endpoints.revision,
-	})
-	f.updateLocalShare()
-	if len(f.snapshot.data) > 0 {
-		f.notifyLocal(dispatch.ModelUpdate{
-			Snapshot:  f.snapshot.data,
-			Age:       f.now - f.snapshot.takenAt,
-			LoadShare: f.loadShare(),
-		})
-	}
-}
+// requestCount returns how many requests the policy has: they are open, or have attempts in flight.
+func (l *localPolicy) requestCount() int { return l.requests }
 
-// notifyLocal has the local policy, if there is one, told of an event.
-func (f *Forwarder) notifyLocal(event dispatch.Event) {
-	if f.local.policy != nil {
-		f.local.events = append(f.local.events, event)
-	}
-}
+// hasRequests reports whether the policy has requests.
+func (l *localPolicy) hasRequests() bool { return l.requests > 0 }
 
-// placeLocally assigns the requests that wait to the local policy. One that may have ended a session or a policy comes
-// alone in a step of the policy, so that no other is taken for the cause.
-func (f *Forwarder) placeLocally() {
-	for f.waiting.Len() > 0 && !f.local.isolating {
-		f.resumeLocally(f.waiting.first())
-	}
-	if f.poisonCandidates.Len() > 0 && len(f.local.recent) == 0 {
-		f.local.isolating = true
-		f.resumeLocally(f.poisonCandidates.first())
-	}
-}
+// hasEvents reports whether there are events for the policy's next step.
+func (l *localPolicy) hasEvents() bool { return len(l.events) > 0 }
+
+// isIsolating reports whether no more requests may be added before the policy's next step.
+func (l *localPolicy) isIsolating() bool { return l.isolating }
+
+// isolate lets one more request be added before the policy's next step.
+func (l *localPolicy) isolate() { l.isolating = true }
 
-// resumeLocally assigns a request to the local policy that came before, and may have had attempts.
-func (f *Forwarder) resumeLocally(request *openRequest) {
-	f.assignLocally(request)
-	job := request.job
-	job.Remaining = request.deadline - f.now
-	var attempts []dispatch.PastAttempt
-	for _, past := range f.validator.AppendAttempts(f.now, job.ID, nil) {
-		attempts = append(attempts, dispatch.PastAttempt{
-			Worker:     past.WorkerID,
-			SentAgo:    past.SentAgo,
-			StartedAgo: past.StartedAgo,
-			Ended:      past.Ended,
-			Result:     past.Result,
-		})
+// mayIsolate reports whether a request that may have ended a session or a policy can be the only new one of the next step.
+func (l *localPolicy) mayIsolate() bool { return len(l.recent) == 0 }
+
+// nextTimer returns when the policy's timer fires; 0: it is not set.
+func (l *localPolicy) nextTimer() time.Duration { return l.timerAt }
+
+// earlierTimer returns an instant, or that of the policy's timer if it is earlier.
+func (l *localPolicy) earlierTimer(at time.Duration) time.Duration {
+	if l.timerAt > 0 {
+		return min(at, l.timerAt)
 	}
-	f.notifyLocal(dispatch.JobResumed{Job: job, Age: f.now - request.arrivedAt, Attempts: attempts})
+	return at
 }
 
-// assignLocally assigns a waiting request to the local policy, which is yet to be told of it.
-func (f *Forwarder) assignLocally(request *openRequest) {
-	f.dequeue(request)
-	f.startLocalPolicy()
-	f.validator.Assign(request.job.ID, validator.LocalEpoch)
-	request.transition(eventAssignedLocal)
-	request.session = nil
-	if !request.knownLocally {
-		request.knownLocally = true
-		f.local.requests++
+// setTimer sets the policy's timer, unless it is set to an earlier instant.
+func (l *localPolicy) setTimer(at time.Duration) {
+	if l.timerAt == 0 || at < l.timerAt {
+		l.timerAt = at
 	}
-	f.local.recent = append(f.local.recent, request)
-	f.scheduleCheck(request)
 }
 
-// reclaimFromLocal takes a request without attempts in flight from the local policy.
-func (f *Forwarder) reclaimFromLocal(request *openRequest) {
-	f.notifyLocal(dispatch.ClientDisconnected{Job: request.job.ID})
-	f.unassignLocally(request)
+// isDue reports whether the policy has events, or its timer has fired.
+func (l *localPolicy) isDue(now time.Duration) bool {
+	return l.policy != nil && (len(l.events) > 0 || l.timerFired(now))
 }
 
-// unassignLocally leaves a request of the local policy with nobody.
-func (f *Forwarder) unassignLocally(request *openRequest) {
-	f.validator.Unassign(request.job.ID)
-	f.forgetLocally(request)
-	request.transition(eventUnassigned)
-}
+func (l *localPolicy) timerFired(now time.Duration) bool { return l.timerAt > 0 && l.timerAt <= now }
 
-// forgetLocally notes that the local policy does not know a request any more.
-func (f *Forwarder) forgetLocally(request *openRequest) {
-	if request.knownLocally {
-		request.knownLocally = false
-		f.local.requests--
+// takeEvents returns the events of the policy's next step.
+func (l *localPolicy) takeEvents(now time.Duration) []dispatch.Event {
+	if l.timerFired(now) {
+		l.timerAt = 0
+		l.events = append(l.events, dispatch.TimerFired{})
 	}
+	l.events, l.delivered = l.delivered[:0], l.events
+	return l.delivered
 }
 
-// runLocalPolicy has the local policy decide. It is told which of its commands are rejected, and may decide anew.
-func (f *Forwarder) runLocalPolicy() {
-	local := &f.local
-	for range maxPolicyIterations {
-		timerDue := local.timerAt > 0 && local.timerAt <= f.now
-		if local.policy == nil || len(local.events) == 0 && !timerDue {
-			return
-		}
-		actions, ok := f.stepLocalPolicy(local.takeEvents(f.now))
-		if !ok {
-			return
-		}
-		local.recent = local.recent[:0]
-		local.isolating = false
-		for _, action := range actions {
-			f.executeLocal(action)
-		}
-		clear(actions)
-		local.actions = actions[:0]
-		if f.mode == modeStandalone {
-			f.placeWaiting()
-		}
-	}
+// policyPanic describes a panic of the local policy.
+type policyPanic struct {
+	cause any
+	stack string // its first maxLoggedStack bytes
 }
 
-// stepLocalPolicy steps the local policy. If it panics it is replaced, and ok is false.
-func (f *Forwarder) stepLocalPolicy(events []dispatch.Event) (actions []dispatch.Action, ok bool) {
+// step steps the policy, and returns its actions. If it panics there are none, and it must be replaced.
+func (l *localPolicy) step(now time.Duration) (actions []dispatch.Action, failure *policyPanic) {
+	events := l.takeEvents(now)
 	defer clear(events)
 	defer func() {
 		if cause := recover(); cause != nil {
-			f.log("local policy panicked and is replaced", "panic", cause, "stack", shortStack(debug.Stack()))
-			f.replaceLocalPolicy()
+			failure = &policyPanic{cause: cause, stack: shortStack(debug.Stack())}
 		}
 	}()
-	return f.local.policy.Step(f.now, events, f.local.actions[:0]), true
+	actions = l.policy.Step(now, events, l.actions[:0])
+	l.clearRecent()
+	return actions, nil
 }
 
-// shortStack returns the beginning of a stack in one line.
+// shortStack returns the first bytes of a stack in one line.
 func shortStack(stack []byte) string {
 	text, _, _ := strings.Cut(string(stack), "created by")
 	return strings.Join(strings.Fields(text[:min(len(text), maxLoggedStack)]), " ")
 }
 
-// replaceLocalPolicy drops a local policy that has panicked. Its requests wait for a new one, but those that came in the
-// step of the panic: one of them may be the cause, as with a planner.
-func (f *Forwarder) replaceLocalPolicy() {
-	local := &f.local
-	f.stats.Panics++
-	tooMany := local.recordPanic(f.now)
-	suspicious := slices.Clone(local.recent)
-	local.recent = local.recent[:0]
-	local.isolating = false
-	local.stop()
-	local.events = local.events[:0]
-	local.actions = nil
-	f.transition(eventLocalFinished)
-	for _, id := range slices.Sorted(maps.Keys(f.requests)) {
-		request := f.requests[id]
-		if !request.knownLocally {
-			continue
-		}
-		f.forgetLocally(request)
-		if request.state != requestLocal {
-			continue
-		}
-		f.dequeue(request)
-		f.unassignLocally(request)
-		switch {
-		case tooMany:
-			f.giveUp(request)
-		case slices.Contains(suspicious, request):
-			f.recordFailure(request, nil)
-		default:
-			f.enqueue(request)
-		}
+// recycle takes back the actions of the last step, once they are executed.
+func (l *localPolicy) recycle(actions []dispatch.Action) {
+	clear(actions)
+	l.actions = actions[:0]
+}
+
+// discard drops a policy that has panicked, with its events. It returns the requests of the step of the panic, one of which
+// may be the cause, and whether there have been too many panics.
+func (l *localPolicy) discard(now time.Duration) (suspicious []*openRequest, tooMany bool) {
+	tooMany = l.recordPanic(now)
+	suspicious = slices.Clone(l.recent)
+	l.clearRecent()
+	l.stop()
+	l.events = l.events[:0]
+	l.actions = nil
+	return suspicious, tooMany
+}
+
+func (l *localPolicy) clearRecent() {
+	l.recent = l.recent[:0]
+	l.isolating = false
+}
+
+// recordPanic counts a panic of the policy, and reports whether there have been too many.
+func (l *localPolicy) recordPanic(now time.Duration) (tooMany bool) {
+	if now-l.panickedAt > panicWindow {
+		l.panics = 0
 	}
+	l.panics++
+	l.panickedAt = now
+	return l.panics >= maxPanics
 }
--- a/internal/control/forwarder/queue.go
+++ b/internal/control/forwarder/queue.go
@@ -6,7 +6,7 @@
 	"valvecove/internal/deadline"
 )
 
-// requestQueue holds requests in the order in which they came, which is that of their IDs.
+// requestQueue holds requests in the order of their arrival, which is that of their IDs.
 type requestQueue struct {
 	deadline.Queue[*queueEntry]
 }
@@ -18,36 +18,42 @@
 	queue   *requestQueue // nil: it is in none
 }
 
-// first returns the request that came first. The queue must not be empty.
+// first returns the request that arrived first. The queue must not be empty.
 func (q *requestQueue) first() *openRequest { return q.First().request }
 
-// enqueue puts a request that nobody has among those that wait for a planner.
-func (f *Forwarder) enqueue(request *openRequest) {
-	f.enqueueIn(request, f.waitingQueue(request))
-	f.scheduleCheck(request)
+// add puts a request into the queue, and removes it from the queue in which it is.
+func (q *requestQueue) add(request *openRequest) {
+	dequeue(request)
+	request.queued.At = time.Duration(request.job.ID)
+	request.queued.queue = q
+	q.Add(&request.queued)
 }
 
-// waitingQueue returns the queue in which a request waits for a planner.
-func (f *Forwarder) waitingQueue(request *openRequest) *requestQueue {
-	if request.failures > 0 {
-		return &f.poisonCandidates
+// dequeue removes a request from the queue in which it is, if it is in one.
+func dequeue(request *openRequest) {
+	if request.queued.queue != nil {
+		request.queued.queue.Remove(&request.queued)
+		request.queued.queue = nil
 	}
-	return &f.waiting
 }
 
-func (f *Forwarder) enqueueIn(request *openRequest, queue *requestQueue) {
-	f.dequeue(request)
-	request.queued.At = time.Duration(request.job.ID)
-	request.queued.queue = queue
-	queue.Add(&request.queued)
+// requestQueues are the queues of requests that are to be placed. A request is in one of them at most.
+type requestQueues struct {
+	waiting          requestQueue // requests that wait for a planner, or for its credit
+	poisonCandidates requestQueue // the same, of requests that may have ended a planner's session
+	returning        requestQueue // requests of the local policy that are to be offered to planners
 }
 
-func (f *Forwarder) dequeue(request *openRequest) {
-	if request.queued.queue != nil {
-		request.queued.queue.Remove(&request.queued)
-		request.queued.queue = nil
+// enqueue puts a request that is assigned to nobody among those that wait for a planner.
+func (q *requestQueues) enqueue(request *openRequest) { q.waitingQueue(request).add(request) }
+
+// waitingQueue returns the queue in which a request waits for a planner.
+func (q *requestQueues) waitingQueue(request *openRequest) *requestQueue {
+	if request.failures > 0 {
+		return &q.poisonCandidates
 	}
+	return &q.waiting
 }
 
 // countWaiting counts the requests that wait for a planner.
-func (f *Forwarder) countWaiting() int { return f.waiting.Len() + f.poisonCandidates.Len() }
+func (q *requestQueues) countWaiting() int { return q.waiting.Len() + q.poisonCandidates.Len() }
--- a/internal/control/forwarder/realplanner_test.go
+++ b/internal/control/forwarder/realplanner_test.go
@@ -82,7 +82,7 @@
 func (c *cluster) allowTime() {
 	c.arrivalInterval = 30 * millisecond
 	c.minRemaining = 1500 * millisecond
-	c.forwarder.config.MaxWaiting = 1000
+	c.forwarder.placer.maxWaiting = 1000
 	for i := range c.settings.Classes {
 		class := &c.settings.Classes[i]
 		class.LatencyObjective = time.Second
--- /dev/null
+++ b/internal/control/forwarder/rejectionlog.go
@@ -0,0 +1,59 @@
+package forwarder
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	"valvecove/internal/control/message"
+)
+
+// rejectionLogInterval is the time between two log lines about rejected commands.
+const rejectionLogInterval = time.Second
+
+// rejections counts the commands of a planner that were rejected since they were last logged.
+type rejections struct {
+	byReason [message.ReasonCount]int
+	total    int
+}
+
+// add counts a rejected command.
+func (r *rejections) add(reason message.RejectReason) {
+	r.byReason[reason]++
+	r.total++
+}
+
+// String lists the reasons with their counts.
+func (r *rejections) String() string {
+	var parts []string
+	for reason := range message.ReasonCount {
+		if count := r.byReason[reason]; count > 0 {
+			parts = append(parts, fmt.Sprintf("%s %d", reason, count))
+		}
+	}
+	return strings.Join(parts, ", ")
+}
+
+// rejectionLog logs rejected commands of planners, summed up over rejectionLogInterval.
+type rejectionLog struct {
+	step     *step
+	planners *plannerSet
+	nextAt   time.Duration // when the next lines may be written
+}
+
+// write logs the rejected commands of each planner, if the interval has passed.
+func (r *rejectionLog) write() {
+	now := r.step.now()
+	if now < r.nextAt {
+		return
+	}
+	for _, session := range r.planners.all() {
+		rejected := &session.rejections
+		if rejected.total == 0 {
+			continue
+		}
+		r.nextAt = now + rejectionLogInterval
+		r.step.log("commands of a planner rejected", "planner", session.planner, "commands", rejected.total, "by_reason", rejected)
+		*rejected = rejections{}
+	}
+}
--- a/internal/control/forwarder/request.go
+++ b/internal/control/forwarder/request.go
@@ -9,17 +9,25 @@
 	"valvecove/internal/deadline"
 )
 
+const (
+	// A request that is transferred more than maxImmediateTransfers times waits before it is offered again, for
+	// transferBackoff at first and twice as long each further time: its planners do not agree on its assignment.
+	transferBackoff       = 20 * time.Millisecond
+	maxImmediateTransfers = 2
+	maxTransferDoublings  = 6
+)
+
 // openRequest is a request that has no response yet, or has attempts in flight.
 type openRequest struct {
-	deadline.Item        // when checkRequest is due
-	scheduled       bool // it is among the checks
+	deadline.Item        // when the next check of checkSchedule is due
+	scheduled       bool // checkSchedule has a check of it
 	queued          queueEntry
 	job             dispatch.Job
 	arrivedAt       time.Duration
 	deadline        time.Duration
-	objective       time.Duration // until then it should have been sent
+	objective       time.Duration // the instant by which it should have been sent
 	state           requestState
-	objectiveWaived bool // the objective has passed while there was no planner, so it waits until the deadline
+	objectiveWaived bool // the objective was missed while there was no planner, so it waits until the deadline
 
 	// The planner that has the request, or had it when it was closed, for as long as attempts are in flight; else nil.
 	session         *plannerSession
@@ -28,7 +36,7 @@
 	offeredSequence uint64        // a reply to the heartbeat of this number shows that the planner has read the offer
 	command         awaitedCommand
 
-	knownLocally   bool            // the local policy was told of it
+	knownLocally   bool            // the local policy was notified of it
 	revokedEpochs  []message.Epoch // sessions from which it was revoked
 	transferredBy  *plannerSession // the planner that transferred it last, or whose session failed on it
 	transferTarget string          // the planner that it was transferred to
@@ -39,12 +47,12 @@
 
 // awaitedCommand is the wait for a planner's command for a request.
 type awaitedCommand struct {
-	given        bool          // the planner has given one since the wait began
-	awaitedSince time.Duration // when the wait began
-	dueAt        time.Duration // when the planner has been silent for too long; 0: it may be silent
+	given        bool          // the planner has given one since the start of the wait
+	awaitedSince time.Duration // when the wait was started
+	dueAt        time.Duration // when the wait times out; 0: never
 }
 
-// requestState is who has a request.
+// requestState is to whom a request is assigned.
 type requestState uint8
 
 const (
@@ -105,7 +113,7 @@
 	return valid
 }
 
-// isOfferedTo reports whether a planner has the request. It may be nil: nobody has it then.
+// isOfferedTo reports whether the request is assigned to a planner. A nil request is assigned to nobody.
 func (r *openRequest) isOfferedTo(session *plannerSession) bool {
 	return r != nil && r.state == requestOffered && r.session == session
 }
@@ -119,3 +127,33 @@
 	}
 	return false
 }
+
+// recordCommand records that the request's planner has given a command for it.
+func (r *openRequest) recordCommand() {
+	r.command.given = true
+	r.command.dueAt = 0
+}
+
+// recordTransfer records that a planner has transferred the request to another one.
+func (r *openRequest) recordTransfer(now time.Duration, sender *plannerSession, target string) {
+	r.transfers++
+	r.transferredBy = sender
+	r.transferTarget = target
+	if doublings := r.transfers - maxImmediateTransfers - 1; doublings >= 0 {
+		r.notBefore = now + transferBackoff<<min(doublings, maxTransferDoublings)
+	}
+}
+
+// objectiveAtRisk returns when the request, if it is not sent, starts to risk its objective: halfway to it.
+func (r *openRequest) objectiveAtRisk(now time.Duration) time.Duration {
+	return max(now, r.objective-(r.objective-r.arrivedAt)/2)
+}
+
+// mayHaveEndedSession reports whether the request may be the cause of the end of its planner's session: the planner has not
+// confirmed that it read the offer, and has had half its shortest reply time to read it, which is the earliest that an end
+// caused by the offer can be seen.
+func (r *openRequest) mayHaveEndedSession(now time.Duration) bool {
+	heartbeat := &r.session.heartbeat
+	return r.offeredSequence > heartbeat.acknowledged && !r.command.given &&
+		now-r.command.awaitedSince >= heartbeat.minLatency/2
+}
--- /dev/null
+++ b/internal/control/forwarder/requesttimeouts.go
@@ -0,0 +1,89 @@
+package forwarder
+
+import "time"
+
+// plannerAvailability reports whether a planner accepts requests.
+type plannerAvailability interface{ hasPlanner() bool }
+
+// requestTimeouts decides on requests that have reached their deadline, that were not placed by their objective, or for
+// which their planner gives no command.
+type requestTimeouts struct {
+	step        *step
+	stats       *Stats
+	timer       *stepTimer
+	checks      *checkSchedule
+	placer      *placer
+	assignments *assignments
+	responder   *responder
+	mode        plannerAvailability
+
+	commandTimeout time.Duration
+	retryDelay     time.Duration // to the next check, where the planner can't be judged or replaced now
+}
+
+// run checks the requests whose check is due.
+func (r *requestTimeouts) run() {
+	for {
+		request := r.checks.takeDue(r.step.now())
+		if request == nil {
+			return
+		}
+		r.check(request)
+		if request.state != requestClosed {
+			r.checks.schedule(request)
+		}
+	}
+}
+
+// check does what is due for a request.
+func (r *requestTimeouts) check(request *openRequest) {
+	now := r.step.now()
+	switch {
+	case now >= request.deadline:
+		r.stats.Expired++
+		r.responder.giveUp(request)
+	case request.state == requestWaiting && now >= request.objective && !r.checks.hasAttempts(request):
+		r.objectiveMissed(request)
+	case request.state == requestOffered && request.command.dueAt > 0 && now >= request.command.dueAt:
+		r.commandOverdue(request)
+	}
+}
+
+// objectiveMissed decides on a request that was not placed by its objective. If there are planners, none has capacity: the
+// request is given up in favour of those that wait behind it. Else it waits for a planner.
+func (r *requestTimeouts) objectiveMissed(request *openRequest) {
+	if r.mode.hasPlanner() {
+		r.stats.Unplaced++
+		r.responder.giveUp(request)
+		return
+	}
+	request.objectiveWaived = true
+}
+
+// commandOverdue decides on a request for which its planner has given no command in time. From a suspected planner the
+// request is revoked if there is another planner for it. From a planner that replies only a few requests are revoked: it may
+// have a reason to queue them, and the other planners would get that load too.
+func (r *requestTimeouts) commandOverdue(request *openRequest) {
+	now := r.step.now()
+	session := request.session
+	request.command.dueAt = 0
+	switch timeoutAt := request.command.awaitedSince + r.commandTimeout; {
+	case request.command.given || r.checks.hasAttempts(request):
+		return
+	case !session.isSuspected() && now < timeoutAt:
+		request.command.dueAt = timeoutAt
+		return
+	case r.timer.isLate(now): // there may be a message of the planner that is not read yet
+		request.command.dueAt = now + r.retryDelay
+		return
+	case !session.isSuspected() && !r.assignments.mayReoffer():
+		return
+	}
+	next := r.placer.selectPlanner(request, session)
+	switch {
+	case next != nil:
+		r.assignments.reoffer(request, next)
+	case session.isSuspected(): // checked again until the session is reset, or another planner has credit
+		request.command.dueAt = now + r.retryDelay
+	}
+}
--- a/internal/control/forwarder/response.go
+++ b/internal/control/forwarder/response.go
@@ -7,88 +7,117 @@
 	"valvecove/internal/control/message"
 )
 
-// maxSessionFailures is how many sessions or policies of planners may fail on a request before it is given up.
+// maxSessionFailures is how many sessions or policies may fail on a request before it is given up.
 const maxSessionFailures = 2
 
-// recordFailure notes that a planner's session or policy has failed, perhaps because of a request; without a planner, that
-// the local policy has. After the second failure the request is given up.
-func (f *Forwarder) recordFailure(request *openRequest, session *plannerSession) {
+// responseValidator knows whether a rejection of a request is safe, and is notified of the sends and responses that are
+// executed.
+type responseValidator interface {
+	Apply(now time.Duration, action dispatch.Action)
+	CanReject(id uint64) bool
+}
+
+// responder executes sends and responses, closes requests, and gives up the requests that nobody decides on.
+type responder struct {
+	step          *step
+	stats         *Stats
+	validator     responseValidator
+	requests      *openRequests
+	checks        *checkSchedule
+	assignments   *assignments
+	local         *localPolicy
+	maxRetryAfter time.Duration
+}
+
+// execute has an attempt sent or a response given, and notifies the validator.
+func (r *responder) execute(action dispatch.Action) {
+	r.step.emit(action)
+	r.validator.Apply(r.step.now(), action)
+}
+
+// sendAttempt has a request sent to a worker. A timeout that is negative or beyond the deadline is replaced by the
+// deadline: the attempt may still be executed after it, which is to be reported.
+func (r *responder) sendAttempt(request *openRequest, worker uint64, timeout time.Duration) {
+	if timeout < 0 || timeout >= request.deadline-r.step.now() {
+		timeout = 0
+	}
+	r.execute(dispatch.Send{Job: request.job.ID, Worker: worker, AttemptTimeout: timeout})
+	r.stats.Sent++
+	r.checks.schedule(request)
+}
+
+// recordFailure processes that a planner's session or policy has failed, perhaps because of a request; a nil session: that
+// the local policy has panicked. The request is enqueued, or given up after maxSessionFailures failures.
+func (r *responder) recordFailure(request *openRequest, session *plannerSession) {
 	request.failures++
 	if request.failures < maxSessionFailures {
 		request.transferredBy = session
-		f.enqueue(request)
+		r.assignments.enqueue(request)
 		return
 	}
-	f.stats.Poison++
-	f.log("request given up as sessions or policies fail on it", "request", request.job.ID, "class", request.job.Class,
+	r.stats.Poison++
+	r.step.log("request given up as sessions or policies fail on it", "request", request.job.ID, "class", request.job.Class,
 		"failures", request.failures)
-	f.giveUp(request)
+	r.giveUp(request)
 }
 
 // giveUp responds to a request that nobody decides on: with a rejection if that is safe, else with a failure.
-func (f *Forwarder) giveUp(request *openRequest) {
-	id := request.job.ID
-	if f.validator.CanReject(id) {
-		f.stats.Rejected++
-		f.respond(dispatch.Reject{Job: id, RetryAfter: f.boundRetryAfter(request.deadline - f.now)})
+func (r *responder) giveUp(request *openRequest) {
+	if r.validator.CanReject(request.job.ID) {
+		r.stats.Rejected++
+		r.reject(request, request.deadline-r.step.now())
 	} else {
-		f.stats.Failed++
-		f.respond(dispatch.Fail{Job: id})
+		r.stats.Failed++
+		r.fail(request)
 	}
-	f.closeRequest(request, ownerNotified)
+	r.closeRequest(request, ownerNotified)
 }
 
-// boundRetryAfter limits a Retry-After to what the settings allow.
-func (f *Forwarder) boundRetryAfter(retryAfter time.Duration) time.Duration {
-	return min(max(0, retryAfter), f.settings.MaxRetryAfter)
+// reject responds with a rejection. The Retry-After is limited to what the settings allow.
+func (r *responder) reject(request *openRequest, retryAfter time.Duration) {
+	r.execute(dispatch.Reject{Job: request.job.ID, RetryAfter: min(max(0, retryAfter), r.maxRetryAfter)})
 }
 
-// respond has an attempt sent or a response given, and has the validator know.
-func (f *Forwarder) respond(action dispatch.Action) {
-	f.emit(action)
-	f.validator.Apply(f.now, action)
-}
+// fail responds with a failure, which does not say whether the request was executed.
+func (r *responder) fail(request *openRequest) { r.execute(dispatch.Fail{Job: request.job.ID}) }
 
-// ownerNotice says whether whoever has a request is to be told that it is closed.
+// ownerNotice says whether the planner or policy that a request is assigned to is notified of its end.
 type ownerNotice bool
 
 const (
-	ownerKnows    ownerNotice = false // it closes by the owner's command, or by what the owner is told anyway
+	ownerKnows    ownerNotice = false // it gave the command that closes the request, or is notified of its cause
 	ownerNotified ownerNotice = true
 )
 
 // closeRequest closes a request: it has its response, or its client has disconnected.
-func (f *Forwarder) closeRequest(request *openRequest, notify ownerNotice) {
+func (r *responder) closeRequest(request *openRequest, notify ownerNotice) {
 	owner := request.state
 	if !request.transition(eventClosed) {
 		return
 	}
-	f.dequeue(request)
+	dequeue(request)
 	switch owner {
 	case requestOffered:
-		f.removeFromSession(request)
+		request.session.removeRequest(request)
 		if notify == ownerNotified {
-			f.send(request.session, &message.RequestClosed{RequestID: request.job.ID})
+			r.step.send(request.session, &message.RequestClosed{RequestID: request.job.ID})
 		}
 	case requestLocal:
 		if notify == ownerNotified {
-			f.notifyLocal(dispatch.ClientDisconnected{Job: request.job.ID})
+			r.local.notify(dispatch.ClientDisconnected{Job: request.job.ID})
 		}
 	case requestWaiting:
 		request.session = nil
 	}
-	f.scheduleCheck(request)
-	f.releaseRequest(request)
+	r.checks.schedule(request)
+	r.releaseRequest(request)
 }
 
-// releaseRequest forgets a closed request once no attempt of it is in flight.
-func (f *Forwarder) releaseRequest(request *openRequest) {
-	id := request.job.ID
-	if request.state != requestClosed || f.validator.InFlight(id) > 0 || f.requests[id] != request {
+// releaseRequest removes a closed request if no attempt of it is in flight.
+func (r *responder) releaseRequest(request *openRequest) {
+	if request.state != requestClosed || r.checks.hasAttempts(request) || r.requests.find(request.job.ID) != request {
 		return
 	}
-	delete(f.requests, id)
-	f.forgetLocally(request)
-	request.session = nil
-	f.freeRequests = append(f.freeRequests, request)
+	r.local.removeRequest(request)
+	r.requests.remove(request)
 }
--- a/internal/control/forwarder/snapshot.go
+++ b/internal/control/forwarder/snapshot.go
@@ -3,27 +3,29 @@
 import (
 	"time"
 
-	"valvecove/internal/control/message"
+	"valvecove/dispatch"
 )
 
 // modelSnapshot is the newest model snapshot of a planner.
 type modelSnapshot struct {
-	data    []byte
-	takenAt time.Duration
+	maxBytes int
+	data     []byte
+	takenAt  time.Duration
 }
 
-// keepSnapshot keeps a planner's model snapshot for the local policy, if it is newer than the one that there is.
-func (f *Forwarder) keepSnapshot(now time.Duration, planner string, epoch message.Epoch, received *message.ModelSnapshot) {
-	session := f.findSession(planner)
-	takenAt := now - max(0, received.Age)
-	current := &f.snapshot
-	switch {
-	case session == nil || !session.isAccepted() || session.epoch != epoch,
-		len(received.Data) > f.config.MaxSnapshotBytes,
-		len(current.data) > 0 && takenAt < current.takenAt:
-		f.stats.StrayMessages++
-		return
+// keep copies a snapshot that was taken at an instant. It returns false if the snapshot is too large, or older than the one
+// that is kept.
+func (m *modelSnapshot) keep(takenAt time.Duration, data []byte) bool {
+	if len(data) > m.maxBytes || len(m.data) > 0 && takenAt < m.takenAt {
+		return false
 	}
-	current.data = append(current.data[:0], received.Data...)
-	current.takenAt = takenAt
+	m.data = append(m.data[:0], data...)
+	m.takenAt = takenAt
+	return true
+}
+
+// update returns the event that gives the snapshot to a policy, or false if there is no snapshot.
+func (m *modelSnapshot) update(now time.Duration, loadShare float64) (dispatch.ModelUpdate, bool) {
+	update := dispatch.ModelUpdate{Snapshot: m.data, Age: now - m.takenAt, LoadShare: loadShare}
+	return update, len(m.data) > 0
 }
--- a/internal/control/forwarder/stats.go
+++ b/internal/control/forwarder/stats.go
@@ -18,7 +18,7 @@
 	Failed        int // and failures
 	Unresponsive  int // sessions reset, as the planner did not reply or a message was lost
 	StrayMessages int // messages of no session, or of a kind that is not for a forwarder
-	Overruns      int // messages dropped as too many came between two steps
+	Overruns      int // messages dropped as too many were received between two steps
 	Standalone    int // times that standalone mode was entered
 	Panics        int // of the local policy
 
@@ -31,9 +31,9 @@
 // Stats returns the counts.
 func (f *Forwarder) Stats() Stats {
 	stats := f.stats
-	stats.Open = len(f.requests)
-	stats.Waiting = f.countWaiting()
-	stats.Local = f.local.requests
+	stats.Open = f.requests.count()
+	stats.Waiting = f.queues.countWaiting()
+	stats.Local = f.local.requestCount()
 	for reason := range message.ReasonCount {
 		stats.ByReason[reason] = f.validator.RejectedCount(reason)
 	}
