--- a/internal/control/forwarder/forwarder.go
+++ b/internal/control/forwarder/forwarder.go
@@ -50,7 +50,7 @@
 func (f *Forwarder) LastEpoch() message.Epoch { return f.sessions.lastEpoch }
 
 // Outbox returns the messages of the last Step, in order. They are valid until the next Step.
-func (f *Forwarder) Outbox() []Outgoing { return f.step.outbox }
+func (f *Forwarder) Outbox() []Outgoing { return f.step.messages() }
 
 // HasPending reports whether the next Step has inputs to process besides the events of the request table.
 func (f *Forwarder) HasPending() bool { return !f.inputs.isEmpty() }
@@ -79,7 +79,7 @@
 		// No working planner sends so many messages between two steps. The session has lost one, so that it is to be reset.
 		f.stats.Overruns++
 		if session := f.planners.find(planner); session != nil {
-			session.overrun = true
+			session.markOverrun()
 		}
 		return
 	}
@@ -164,7 +164,7 @@
 		f.localRunner.admit(request)
 		return
 	}
-	if !f.placer.admit(request, f.inputs.sessionsPending) {
+	if !f.placer.admit(request, f.inputs.mayChangeSessions()) {
 		f.stats.QueueFull++
 		f.responder.giveUp(request)
 	}
@@ -172,8 +172,9 @@
 
 // processInputs processes the recorded inputs in their order.
 func (f *Forwarder) processInputs() {
-	for i := range f.inputs.inputs {
-		recorded := &f.inputs.inputs[i]
+	inputs := f.inputs.all()
+	for i := range inputs {
+		recorded := &inputs[i]
 		switch body := recorded.body.(type) {
 		case message.Message:
 			f.receive(recorded, body)
@@ -248,10 +249,10 @@
 	for _, session := range f.planners.all() {
 		next.consider(f.heartbeats.nextCheck(session))
 	}
-	next.consider(f.placer.retryAt)
+	next.consider(f.placer.nextRetry())
 	next.consider(f.planners.nextOrderChange(f.step.now()))
 	next.consider(f.mode.nextCheck())
-	next.consider(f.workers.subscription.nextStart())
+	next.consider(f.workers.nextSubscription())
 	at, ok := next.after(f.step.now())
 	if ok && f.timer.set(at) {
 		f.step.emit(dispatch.SetTimer{After: at - f.step.now()})
--- a/internal/control/forwarder/input.go
+++ b/internal/control/forwarder/input.go
@@ -33,6 +33,9 @@
 // isFull reports whether no more messages may be recorded.
 func (i *inputQueue) isFull() bool { return len(i.inputs) >= maxInputs }
 
+// mayChangeSessions reports whether some inputs may start or end a session.
+func (i *inputQueue) mayChangeSessions() bool { return i.sessionsPending }
+
 // isEmpty reports whether nothing is recorded.
 func (i *inputQueue) isEmpty() bool { return len(i.inputs) == 0 }
 
@@ -58,6 +61,9 @@
 	i.inputs = append(i.inputs, input{body: plannerNames(slices.Compact(names))})
 }
 
+// all returns the recorded inputs. The slice is valid until the next add or clear.
+func (i *inputQueue) all() []input { return i.inputs }
+
 // clear removes the recorded inputs.
 func (i *inputQueue) clear() {
 	clear(i.inputs)
--- a/internal/control/forwarder/placement.go
+++ b/internal/control/forwarder/placement.go
@@ -110,6 +110,9 @@
 	return true
 }
 
+// nextRetry returns when waiting requests are to be placed again; 0: not by time.
+func (p *placer) nextRetry() time.Duration { return p.retryAt }
+
 // retryBy has waiting requests placed again at an instant, or earlier.
 func (p *placer) retryBy(at time.Duration) {
 	if p.retryAt == 0 || at < p.retryAt {
--- a/internal/control/forwarder/session.go
+++ b/internal/control/forwarder/session.go
@@ -10,7 +10,7 @@
 // plannerSession is the connection to one planner, and the session on it. When the session ends while the connection is
 // kept, the next session starts on it at once, with a new epoch.
 type plannerSession struct {
-	planner         string        // its name
+	planner         string        // name of the planner
 	epoch           message.Epoch // of the session; 0: there is none
 	state           sessionState
 	overrun         bool           // a message of the planner was dropped
@@ -105,6 +105,9 @@
 // hasCredit reports whether the planner accepts a request now.
 func (s *plannerSession) hasCredit() bool { return s.acceptsRequests() && len(s.requests) < s.credit }
 
+// markOverrun records that a message of the planner was dropped: the session is to be reset.
+func (s *plannerSession) markOverrun() { s.overrun = true }
+
 // setCredit sets how many requests may be assigned to the planner. Requests beyond a smaller credit stay assigned.
 func (s *plannerSession) setCredit(credit int) { s.credit = max(0, credit) }
 
--- a/internal/control/forwarder/step.go
+++ b/internal/control/forwarder/step.go
@@ -39,6 +39,9 @@
 // now returns the instant of the present step.
 func (s *step) now() time.Duration { return s.instant }
 
+// messages returns the messages of the step, in order. They are valid until the next step.
+func (s *step) messages() []Outgoing { return s.outbox }
+
 // emit appends an action for the request table.
 func (s *step) emit(action dispatch.Action) { s.actions = append(s.actions, action) }
 
--- a/internal/control/forwarder/workers.go
+++ b/internal/control/forwarder/workers.go
@@ -115,6 +115,9 @@
 	}
 }
 
+// nextSubscription returns when a subscription to the endpoint list is due; 0: not by time.
+func (w *workers) nextSubscription() time.Duration { return w.subscription.nextStart() }
+
 // subscribe subscribes to the endpoint list, if that is due.
 func (w *workers) subscribe() {
 	if w.subscription.start(w.step.now()) {
