--- a/internal/control/forwarder/checks_test.go
+++ b/internal/control/forwarder/checks_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// checkResponse checks what a client is told.
+// checkResponse checks the response to a client.
 func (env *environment) checkResponse(respondent *client, response string, _ time.Duration) {
 	request := env.requestsByCall[respondent.name]
 	if request == nil { // it is within admit
@@ -108,7 +108,7 @@
 	}
 }
 
-// canReject reports whether the client may be told to try again.
+// canReject reports whether the request may be rejected, after which the client may retry it.
 func (r *checkedRequest) canReject() bool {
 	switch class := r.class; class.Idempotency {
 	case dispatch.Idempotent:
@@ -134,7 +134,7 @@
 	}
 }
 
-// checkAttemptEnded checks that a planner is told once of the end of an attempt.
+// checkAttemptEnded checks that a planner is notified once of the end of an attempt.
 func (env *environment) checkAttemptEnded(conn *connection, epoch message.Epoch, ended *message.AttemptEnded) {
 	request := env.requestsByID[ended.RequestID]
 	isStray := ended.Reason == message.ReasonUnknownRequest || ended.Reason == message.ReasonNotOwner
@@ -152,7 +152,7 @@
 	}
 }
 
-// checkOffers checks what the offers of a step tell of earlier attempts, once the step's actions are executed.
+// checkOffers checks the earlier attempts that the offers of a step list, once the step's actions are executed.
 func (env *environment) checkOffers() {
 	for _, outgoing := range env.offers {
 		offer := outgoing.Message.(*message.RequestOffer)
@@ -161,24 +161,24 @@
 	env.offers = env.offers[:0]
 }
 
-// checkPastAttempts checks what a planner is told of the attempts of a request: all that were sent, in their order, and between
-// them those that the request table did not send.
+// checkPastAttempts checks the list of attempts in the offer of a request: all that were sent, in their order, and between them
+// those that the request table did not send.
 func (env *environment) checkPastAttempts(planner string, request *checkedRequest, listed []message.PastAttempt) {
 	sent := request.attempts
 	for i, past := range listed {
 		if len(sent) == 0 || past.WorkerID != sent[0].worker || past.SentAgo != env.now-sent[0].sentAt {
 			if !isUnsent(past, listed[:i]) {
-				env.violation("%s is told %+v of %s, which was not sent", planner, past, request.name)
+				env.violation("%s is notified of %+v of %s, which was not sent", planner, past, request.name)
 			}
 			continue
 		}
 		if past.PossiblyExecuted == sent[0].notExecuted {
-			env.violation("%s is told %+v of %s, which is %+v", planner, past, request.name, sent[0])
+			env.violation("%s is notified of %+v of %s, which is %+v", planner, past, request.name, sent[0])
 		}
 		sent = sent[1:]
 	}
 	if len(sent) > 0 {
-		env.violation("%s is told of %d attempts of %s, and not of %+v", planner, len(listed), request.name, sent[0])
+		env.violation("%s is notified of %d attempts of %s, and not of %+v", planner, len(listed), request.name, sent[0])
 	}
 }
 
--- a/internal/control/forwarder/config.go
+++ b/internal/control/forwarder/config.go
@@ -7,25 +7,25 @@
 	"valvecove/internal/control/message"
 )
 
-// Config is how a forwarder works. Where a duration or a count is zero, that of DefaultConfig holds.
+// Config configures a forwarder. A duration or a count of zero is replaced by that of DefaultConfig.
 type Config struct {
 	Name        string        // of the forwarder
-	Incarnation uint64        // when its process started, Unix time in ns
+	Incarnation uint64        // start of its process, Unix time in ns
 	Version     int           // of the protocol: major version << 8 | minor version; planners of another major version are not used
 	Seed        uint64        // of all random draws
 	LastEpoch   message.Epoch // sessions are numbered from here, or from Incarnation if that is greater; see Forwarder.LastEpoch
 
-	StandaloneAfter     time.Duration // without a planner for this long, the forwarder enters standalone mode
-	SettleTime          time.Duration // with a planner for this long, it leaves standalone mode
-	HeartbeatInterval   time.Duration // between two heartbeats to a planner
-	SuspicionTimeout    time.Duration // a planner that has not replied for this long gets new requests only if there is no other
-	UnresponsiveTimeout time.Duration // a planner that has not replied for this long loses all its requests
-	CommandTimeout      time.Duration // without a command for a request for this long, the planner may have lost it
-	MaxWaiting          int           // requests for which no planner has credit
-	MaxSnapshotBytes    int           // size of a model snapshot
+	StandaloneAfter     time.Duration // without a planner, the forwarder enters standalone mode after this time
+	SettleTime          time.Duration // with a planner, it leaves standalone mode after this time
+	HeartbeatInterval   time.Duration // time between two heartbeats to a planner
+	SuspicionTimeout    time.Duration // without a reply for this time, a planner is offered requests only if there is no other
+	UnresponsiveTimeout time.Duration // without a reply for this time, the session with a planner is reset
+	CommandTimeout      time.Duration // without a command for a request for this time, the request may be revoked
+	MaxWaiting          int           // max. requests that wait for a planner's credit
+	MaxSnapshotBytes    int           // max. size of a model snapshot
 }
 
-// DefaultConfig returns the durations and counts that hold where a Config has none.
+// DefaultConfig returns the default durations and counts.
 func DefaultConfig() Config {
 	return Config{
 		StandaloneAfter:     time.Second,
--- a/internal/control/forwarder/connection_test.go
+++ b/internal/control/forwarder/connection_test.go
@@ -22,9 +22,9 @@
 	newestEpoch  message.Epoch           // of the newest handshake on this connection
 	accepted     bool                    // that handshake was
 	maxCredit    int                     // that the forwarder was given
-	reportedEnds map[uint64]map[int]bool // attempts that the planner was told have ended, by request, since its offer
+	reportedEnds map[uint64]map[int]bool // attempts whose end the planner was notified of, by request, since its offer
 	frozen       bool
-	inbox        []message.Envelope // that came while it was frozen
+	inbox        []message.Envelope // received while it was frozen
 }
 
 func (c *connection) connect() {
@@ -47,7 +47,7 @@
 	c.env.forwarder.SessionChanged(c.name, false)
 }
 
-// deliver takes a message of the forwarder to the planner.
+// deliver delivers a message of the forwarder to the planner.
 func (c *connection) deliver(envelope message.Envelope) {
 	if _, ok := envelope.Message.(*message.Handshake); ok {
 		c.openEpoch = envelope.Epoch
@@ -67,7 +67,7 @@
 	})
 }
 
-// send takes a message of the planner to the forwarder.
+// send delivers a message of the planner to the forwarder.
 func (c *connection) send(envelope message.Envelope) {
 	generation := c.generation
 	c.env.after(transitTime, func() {
@@ -77,7 +77,7 @@
 	})
 }
 
-// endAssignments notes that the planner has no request any more.
+// endAssignments records that no request is assigned to the planner any more.
 func (c *connection) endAssignments() {
 	for _, request := range c.env.requestsByID {
 		if request.assignedEpoch == c.openEpoch && c.openEpoch != 0 {
@@ -87,8 +87,7 @@
 	c.openEpoch = 0
 }
 
-// release notes that the planner wants to have nothing to do with a request any more. Whether it has it, the forwarder
-// knows best.
+// release records that the planner has given up its assignment of a request. The forwarder may have revoked it before.
 func (c *connection) release(epoch message.Epoch, id uint64) {
 	if request := c.env.requestsByID[id]; request != nil && request.assignedEpoch == epoch && epoch == c.openEpoch {
 		request.assignedEpoch = 0
--- a/internal/control/forwarder/environment_test.go
+++ b/internal/control/forwarder/environment_test.go
@@ -14,23 +14,23 @@
 	"valvecove/internal/requests"
 )
 
-// settlingTime is how long a run goes on after its last event, for all requests to end.
+// settlingTime is the time between the last event of a run and its end, in which all requests end.
 const settlingTime = 4 * time.Second
 
 // environment is a forwarder among planners, workers and clients that behave at random. It checks the rules from outside: by
-// what is sent, what ends, and what clients are told.
+// what is sent, what ends, and the responses to clients.
 type environment struct {
 	*harness
 	rng      *rand.Rand
 	settings dispatch.Settings
-	stopped  bool // nothing more is to happen of itself
+	stopped  bool // no more events are scheduled
 
 	workers   []requests.Endpoint
 	revision  int64                           // of the endpoint list
-	listed    map[uint64]requests.Endpoint    // the list that the forwarder was told
+	listed    map[uint64]requests.Endpoint    // the list that the forwarder has
 	statuses  map[uint64]message.WorkerStatus // the newest that planners sent
 	statusAt  map[uint64]time.Duration        // and when
-	faultless bool                            // workers and clients do what they ought to, and stay
+	faultless bool                            // workers and clients have no faults, and none disconnects
 
 	requestsByCall  map[string]*checkedRequest
 	requestsByID    map[uint64]*checkedRequest
@@ -142,7 +142,7 @@
 	}
 }
 
-// run lets time pass, in small steps, then has all requests end, and checks that nothing is left of them.
+// run advances the time in small steps, then has all requests end, and checks that nothing is left of them.
 func (env *environment) run(duration time.Duration) {
 	end := env.now + duration
 	for env.now < end && len(env.violations) == 0 {
--- a/internal/control/forwarder/harness_test.go
+++ b/internal/control/forwarder/harness_test.go
@@ -21,7 +21,7 @@
 type harness struct {
 	now          time.Duration
 	forwarder    *Forwarder
-	attemptLimit int // of a request
+	attemptLimit int // attempts of a request
 	table        *requests.Table
 	events       eventQueue
 	lastSequence uint64
@@ -81,7 +81,7 @@
 func (h *harness) CloseIdleConnections(worker uint64) { h.onCloseIdle(worker) }
 func (h *harness) Watch(revision int64)               { h.onWatch(revision) }
 
-// Cancel withdraws an attempt, which its worker hears at once.
+// Cancel cancels an attempt, of which its worker is notified at once.
 func (h *harness) Cancel(attempt *requests.Attempt) {
 	h.table.CancelCompleted(attempt, true)
 	h.onAbandon(attempt)
@@ -105,7 +105,7 @@
 	panic("no end at one instant")
 }
 
-// runUntil lets time pass, and does what is due meanwhile.
+// runUntil advances the time to an instant, and does what is due until then.
 func (h *harness) runUntil(end time.Duration) {
 	h.settle()
 	for {
@@ -136,7 +136,7 @@
 // scheduledEvent is something to be done at an instant.
 type scheduledEvent struct {
 	at       time.Duration
-	sequence uint64 // of two events at one instant, the one of the lesser number comes first
+	sequence uint64 // of two events at one instant, the one with the lower number is due first
 	act      func()
 }
 
--- a/internal/control/forwarder/localpolicy.go
+++ b/internal/control/forwarder/localpolicy.go
@@ -174,7 +174,7 @@
 	return strings.Join(strings.Fields(text[:min(len(text), maxLoggedStack)]), " ")
 }
 
-// recycle takes back the actions of the last step, once they are executed.
+// recycle makes the memory of the last step's actions available again, once they are executed.
 func (l *localPolicy) recycle(actions []dispatch.Action) {
 	clear(actions)
 	l.actions = actions[:0]
--- a/internal/control/forwarder/offerpool.go
+++ b/internal/control/forwarder/offerpool.go
@@ -5,13 +5,13 @@
 // offerBatch is how many offers are allocated at once.
 const offerBatch = 64
 
-// offerPool holds the offers of a step's outgoing messages, with their lists of attempts, for use again in the next step.
+// offerPool allocates the offers of a step's outgoing messages. It reuses their memory in the next step.
 type offerPool struct {
 	batches [][]message.RequestOffer
 	used    int
 }
 
-// reset takes all offers back.
+// reset makes the memory of all offers available again.
 func (p *offerPool) reset() { p.used = 0 }
 
 // next returns an offer that is zero but for the capacity of its list of attempts.
--- a/internal/control/forwarder/realplanner_test.go
+++ b/internal/control/forwarder/realplanner_test.go
@@ -14,7 +14,7 @@
 	"valvecove/internal/requests"
 )
 
-// cluster is a forwarder with planners as they are, and the membership by which it selects one.
+// cluster is a forwarder with real planners, and the membership by which it selects one.
 type cluster struct {
 	*environment
 	planners        []*plannerProcess
@@ -23,14 +23,14 @@
 	seed            uint64
 }
 
-// plannerProcess is a planner that may die and start again.
+// plannerProcess is a planner that may die and restart.
 type plannerProcess struct {
 	connection
 	cluster    *cluster
 	planner    *planner.Planner // nil: it is dead
 	changes    int              // counts starts and deaths
 	sessionID  planner.SessionID
-	heldEvents []planner.Event // that came while it was frozen
+	heldEvents []planner.Event // received while it was frozen
 	peers      map[string]bool // that it is connected to
 }
 
@@ -47,7 +47,7 @@
 	for i := range planners {
 		c.addPlanner("p" + strconv.Itoa(i))
 	}
-	c.onWorkerChanged = c.tellPlanners
+	c.onWorkerChanged = c.notifyPlanners
 	return c
 }
 
@@ -64,8 +64,8 @@
 	c.connections = append(c.connections, &process.connection)
 }
 
-// tellPlanners has planners hear of a change of a worker, each after a time of its own.
-func (c *cluster) tellPlanners(endpoint requests.Endpoint) {
+// notifyPlanners notifies planners of a change of a worker, each after a random delay.
+func (c *cluster) notifyPlanners(endpoint requests.Endpoint) {
 	for _, process := range c.planners {
 		list := dispatch.WorkerList{
 			Kind:     dispatch.ListDelta,
@@ -78,7 +78,7 @@
 	}
 }
 
-// allowTime leaves time enough to serve all requests.
+// allowTime sets deadlines that leave enough time to serve all requests.
 func (c *cluster) allowTime() {
 	c.arrivalInterval = 30 * millisecond
 	c.minRemaining = 1500 * millisecond
@@ -125,7 +125,7 @@
 	}
 }
 
-// maintain steps the membership from time to time, and closes connections to planners that shut down.
+// maintain steps the membership periodically, and closes connections to planners that shut down.
 func (c *cluster) maintain() {
 	c.stepMembership()
 	for _, name := range c.forwarder.DrainingPlanners() {
@@ -142,7 +142,7 @@
 	})
 }
 
-// announceMembers tells all planners which of them are alive, and divides the cells among these.
+// announceMembers notifies all planners of those that are alive, and divides the cells among these.
 func (c *cluster) announceMembers() {
 	alive := []string{}
 	for _, process := range c.planners {
@@ -160,7 +160,7 @@
 	}
 }
 
-// updatePeers tells a planner which planners are alive.
+// updatePeers notifies a planner of the planners that are alive.
 func (p *plannerProcess) updatePeers(alive []string) {
 	for _, other := range p.cluster.planners {
 		isAlive := other.planner != nil
--- a/internal/control/forwarder/subscription.go
+++ b/internal/control/forwarder/subscription.go
@@ -9,29 +9,30 @@
 )
 
 const (
-	// The backoff between two subscriptions that fail, as parts of the poll interval, and at least minSubscribeBackoff.
+	// The backoff between two subscriptions that fail is the poll interval divided by firstBackoffDivisor at first, and by
+	// maxBackoffDivisor at most, but not less than minSubscribeBackoff.
 	firstBackoffDivisor = 20
 	maxBackoffDivisor   = 4
 	minSubscribeBackoff = 10 * time.Millisecond
 )
 
-// subscription is the forwarder's subscription to the endpoint list, where the platform asks for one. It is the forwarder's
-// own, whoever decides, as the validator needs the list.
+// subscription is the forwarder's subscription to the endpoint list, if the platform requires one. It exists in every mode,
+// as the validator needs the list.
 type subscription struct {
 	required     bool
 	pollInterval time.Duration
 	state        subscriptionState
-	startAt      time.Duration // when to subscribe
+	startAt      time.Duration // when the next subscription is due
 	backoff      time.Duration
 }
 
-// subscriptionState is how far a subscription has come.
+// subscriptionState is the state of a subscription.
 type subscriptionState uint8
 
 const (
-	subscriptionNone    subscriptionState = iota // there is none; the next one is planned
-	subscriptionPending                          // it was asked for
-	subscriptionActive                           // there has been a list since
+	subscriptionNone    subscriptionState = iota // there is none; the next one is scheduled
+	subscriptionPending                          // it was requested
+	subscriptionActive                           // a list was received
 )
 
 // String returns the state's name.
@@ -84,7 +85,7 @@
 	return subscription{required: settings.MustSubscribe, pollInterval: settings.PollInterval}
 }
 
-// observe takes in that there is an update of the list, or that the list is lost.
+// observe processes an update of the list, or the loss of the list.
 func (s *subscription) observe(now time.Duration, kind dispatch.ListKind, rng *rand.Rand) {
 	switch kind {
 	case dispatch.ListUnavailable:
@@ -97,7 +98,7 @@
 	}
 }
 
-// lost plans the next subscription. The backoff grows as long as subscriptions fail.
+// lost schedules the next subscription. The backoff grows as long as subscriptions fail.
 func (s *subscription) lost(now time.Duration, rng *rand.Rand) {
 	if s.state == subscriptionPending || s.backoff == 0 {
 		longest := max(s.pollInterval/maxBackoffDivisor, minSubscribeBackoff)
@@ -107,7 +108,7 @@
 	s.startAt = now + s.backoff/2 + time.Duration(rng.Int64N(int64(s.backoff)+1))
 }
 
-// start reports whether to subscribe now, and notes that it is done.
+// start reports whether to subscribe now, and if so, records that it is done.
 func (s *subscription) start(now time.Duration) bool {
 	return s.required && now >= s.startAt && s.transition(eventSubscribeSent)
 }
--- a/internal/control/forwarder/transcript_test.go
+++ b/internal/control/forwarder/transcript_test.go
@@ -238,7 +238,7 @@
 	s.harness.forwarder.Receive(s.harness.now, planner, message.Envelope{Epoch: epoch, Message: body})
 }
 
-// localPolicyNotified writes an event that the local policy is told of.
+// localPolicyNotified writes an event that the local policy is notified of.
 func (s *transcript) localPolicyNotified(event dispatch.Event) {
 	switch event := event.(type) {
 	case dispatch.Job:
--- a/internal/control/forwarder/workers_test.go
+++ b/internal/control/forwarder/workers_test.go
@@ -31,7 +31,7 @@
 	env.runAttempt(checked, endpoint.ID)
 }
 
-// runAttempt draws what becomes of an attempt at its worker.
+// runAttempt draws the course of an attempt at its worker.
 func (env *environment) runAttempt(checked *checkedAttempt, endpointID string) {
 	const connectFails, connectionLost, rejected, silent, sometimesInvalid, outcomes = 0, 1, 2, 3, 4, 9
 	attempt := checked.attempt
@@ -112,7 +112,7 @@
 	}
 }
 
-// attemptAbandoned notes that an attempt is given up by the request table. It may be running still.
+// attemptAbandoned records that the request table has abandoned an attempt. The worker may still be executing it.
 func (env *environment) attemptAbandoned(attempt *requests.Attempt) {
 	for _, checked := range env.requestsByID[attempt.Request.ID].attempts {
 		if checked.attempt == attempt {
