--- a/internal/link/generated_faults_test.go
+++ b/internal/scheduler/generated_faults_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"errors"
@@ -11,6 +11,7 @@
 	"golang.org/x/sys/unix"
 
 	"valvecove/internal/eventloop"
+	"valvecove/internal/eventloop/eventlooptest"
 	"valvecove/internal/eventloop/faultinjection"
 )
 
@@ -87,8 +88,8 @@
 	}}
 }
 
-// loseAnswer takes in that a connection breaks over what was not read: what its worker has answered ends as a reset, and what
-// discovery has said is known once it is said again.
+// loseAnswer records that a connection is lost with unread input: a worker's response on it ends as a reset, and a list update of
+// discovery arrives when it is sent again.
 func (f *systemFaults) loseAnswer(descriptor int) {
 	unread, err := unix.IoctlGetInt(descriptor, unix.TIOCINQ)
 	far := f.farEnds[descriptor]
@@ -103,7 +104,7 @@
 	}
 }
 
-// listSent takes in that a new watch was sent the whole list.
+// listSent records that the whole list was sent on a new watch.
 func (f *systemFaults) listSent() {
 	if f == nil {
 		return
@@ -127,10 +128,10 @@
 	return fd
 }
 
-// listenForClients has the loop accept clients. Its start is not what is tested here.
-func (f *systemFaults) listenForClients(loop *Loop) {
+// listenForClients has the scheduler accept clients. Its start is tested elsewhere.
+func (f *systemFaults) listenForClients(loop *Scheduler) {
 	socket := f.listen(f.clients)
-	for isMomentary(loop.clients.AddSocket(socket)) {
+	for eventloop.ClassOf(loop.clients.AddSocket(socket)).IsMomentary() {
 		f.now += time.Millisecond
 	}
 	f.T.Cleanup(func() { _ = unix.Close(f.workerListener) })
@@ -145,14 +146,14 @@
 	if err != nil {
 		f.T.Fatal(err)
 	}
-	p := &peer{fd: fd}
-	f.T.Cleanup(p.close)
+	p := &peer{Peer: &eventlooptest.Peer{FD: fd}}
+	f.T.Cleanup(p.Close)
 	return p
 }
 
 // dial is eventloop.Loop.Dial by Unix sockets, with the far end.
 func (f *systemFaults) dial(far *farEnd) (p *peer, fd int, err error) {
-	syscalls := f.loop.Syscalls()
+	syscalls := f.scheduler.Syscalls()
 	fd, err = syscalls.Socket(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, -1, eventloop.NewCallError(eventloop.CallSocket, err)
@@ -166,8 +167,8 @@
 	if err != nil {
 		f.T.Fatal(err)
 	}
-	p = &peer{fd: accepted}
-	f.T.Cleanup(p.close)
+	p = &peer{Peer: &eventlooptest.Peer{FD: accepted}}
+	f.T.Cleanup(p.Close)
 	f.farEnds[fd] = far
 	return p, fd, nil
 }
@@ -202,7 +203,7 @@
 		f.now += time.Millisecond
 		f.runUntilSettled()
 	}
-	f.Check(f.loop.IsQuiet(), "answers are not sent")
+	f.Check(f.scheduler.IsQuiet(), "answers are not sent")
 }
 
 // stalls is how much later than without faults something may be.
--- a/internal/link/startup_test.go
+++ b/internal/scheduler/startup_test.go
@@ -1,4 +1,4 @@
-package link
+package scheduler
 
 import (
 	"errors"
@@ -30,7 +30,7 @@
 }
 
 // openWithFaults opens a loop while the rules apply. Times of rules count from now.
-func openWithFaults(t *testing.T, rules ...faultinjection.Rule) (*Loop, error) {
+func openWithFaults(t *testing.T, rules ...faultinjection.Rule) (*Scheduler, error) {
 	t.Helper()
 	conf, err := config.Decode([]byte(startConfig), func(string) string { return "" })
 	if err != nil {
@@ -69,8 +69,8 @@
 	}
 }
 
-// A start that can't do ends with its message: at once, where waiting is of no use, after a while, where an address is in use,
-// and else before a start has to be over. It leaves no descriptor behind.
+// A start that fails returns its error: at once if a retry can't help, after addressInUseTimeout if an address is in use, and else
+// after startTimeout. It leaves no descriptor open.
 func TestStartThatFails(t *testing.T) {
 	tests := map[string]struct {
 		call    eventloop.Call
@@ -117,12 +117,12 @@
 	return fd
 }
 
-// A process that has taken over goes on with what it has while the socket that clients connect to can't be used for a moment.
+// A process that has taken over continues to serve while the socket that clients connect to can't be used for a moment.
 func TestTakeOverOutlastsFailures(t *testing.T) {
 	dir := t.TempDir()
 	predecessor, address := newPredecessorHarness(&modeltest.Steps{T: t}, dir)
 	successor := predecessor.startSuccessor(dir, address)
-	successor.loop.OnFail(func(err error) { t.Errorf("the process ends: %v", err) })
+	successor.scheduler.OnFail(func(err error) { t.Errorf("the process ends: %v", err) })
 	injector := successor.injectFaults(1, faultinjection.Rule{
 		Calls: []eventloop.Call{eventloop.CallEpollControl}, Times: 5, Errnos: []unix.Errno{unix.ENOMEM},
 		Descriptor: func(descriptor int) bool { return localAddress(descriptor) == address },
@@ -134,11 +134,11 @@
 		successor.now += maxStartBackoff
 		successor.runIterations()
 	}
-	if injector.TotalInjected() != 5 || successor.loop.Addr() != address {
-		t.Errorf("%d calls failed; it listens at %v, expected %v", injector.TotalInjected(), successor.loop.Addr(), address)
+	if injector.TotalInjected() != 5 || successor.scheduler.Addr() != address {
+		t.Errorf("%d calls failed; it listens at %v, expected %v", injector.TotalInjected(), successor.scheduler.Addr(), address)
 	}
 	successor.connectClient()
-	if successor.runUntilQuiet(); successor.loop.clients.ConnectionCount() != 1 {
+	if successor.runUntilQuiet(); successor.scheduler.clients.ConnectionCount() != 1 {
 		t.Error("a client is not accepted")
 	}
 }
