--- a/internal/aperture/aperture.go
+++ b/internal/aperture/aperture.go
@@ -1,18 +1,17 @@
-// Package aperture gives one scheduler a subset of a large fleet by deterministic subsetting, so that with many schedulers
-// and thousands of workers not every scheduler is connected to every worker.
+// Package aperture assigns a subset of a large fleet to one scheduler by deterministic subsetting, so that with many schedulers and
+// thousands of workers not every scheduler is connected to every worker.
 //
-// It owns the choice of the subset and its width, and which workers count as unresponsive. It stands between the request
-// table and the dispatch policy, as a policy of its own: events in, actions out. It does no I/O, reads no clock, draws no
-// random numbers and never decides about a job. The policy behind it sees the workers of the subset only, as an endpoint
-// list that follows the rules of any other.
+// It selects the subset and its size, and detects unresponsive workers. An Aperture is a policy between the request table and the
+// dispatch policy: it receives events and returns actions. It does no I/O, reads no clock, uses no random numbers and never
+// decides about a job. The policy behind it receives an endpoint list with the workers of the subset only.
 //
-// Schedulers agree on who has which workers without talking to each other: it follows from the endpoint list, the number of
-// schedulers and the scheduler's index among them. docs/design/aperture.md has the choice and its reasons.
+// Schedulers need no messages to agree on their subsets, which depend on the endpoint list, the number of schedulers and the
+// index of the scheduler only. docs/design/aperture.md describes the selection and the reasons for it.
 //
-// What may be relied on: the policy sees a worker in the subset as discovery lists it. One that leaves the subset it sees as
-// not ready, and then as removed once no attempt of this scheduler is in flight there. It sees no other worker. Each list
-// update of discovery brings the policy one of the same kind, be it empty. Jobs, outcomes and actions pass unchanged, but
-// for timers, of which the earlier of two is set.
+// The policy receives a worker in the subset as discovery lists it. A worker that is removed from the subset is reported as not
+// ready, and as removed once no attempt of this scheduler is in flight there. Other workers are not reported. For each list
+// update of discovery the policy receives one of the same kind, which may be empty. Jobs, outcomes and actions are passed on
+// unchanged, except for timers: the earlier one of the policy's and the aperture's is set.
 package aperture
 
 import (
@@ -22,38 +21,38 @@
 )
 
 const (
-	evaluationInterval = 250 * time.Millisecond // between two looks at load, responses and what is to be released
-	refreshInterval    = 50 * time.Millisecond  // the subset is selected anew at most so often, however many changes come
+	evaluationInterval = 250 * time.Millisecond // interval at which load and responses are evaluated, and workers released
+	refreshInterval    = 50 * time.Millisecond  // minimum interval between two selections of the subset
 )
 
-// Policy decides about jobs. The aperture narrows what it sees of the fleet.
+// Policy is the policy behind an Aperture; see requests.Policy.
 type Policy interface {
 	Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action
 }
 
-// Aperture is the subset of one scheduler, in front of its policy. It is not safe for concurrent use.
+// Aperture passes events to a policy that concern its subset of the fleet. It is not safe for concurrent use.
 type Aperture struct {
 	policy   Policy
 	config   Config
-	notifies bool // workers notify of the start of a job
+	notifies bool // workers send a callback at the start of a job
 	now      time.Duration
 	fleet    fleet
 	load     loadMonitor
 	widening widening
 
-	awaitingList  bool // the list is lost, or requested, and nothing has come since
-	allSelected   bool // every ready worker is desired
-	refreshedAt   time.Duration
-	evaluateAt    time.Duration
+	awaitingList  bool              // no list was received since discovery failed or the policy has subscribed
+	allSelected   bool              // every ready worker is desired
+	refreshedAt   time.Duration     // of the last selection of the subset
+	evaluateAt    time.Duration     // of the next evaluation
 	timerAt       time.Duration     // the timer that is set; 0: none
 	policyTimerAt time.Duration     // the policy's timer; 0: none
-	events        []dispatch.Event  // of a step, as the policy sees them
-	updates       []dispatch.Worker // of the subset, which the policy has not seen yet
-	deselected    []uint64          // workers removed from the policy's view
+	events        []dispatch.Event  // events of a step for the policy
+	updates       []dispatch.Worker // changes of the subset that were not passed to the policy yet
+	deselected    []uint64          // workers that were removed from the policy's list in this step
 	log           sizeLog
 }
 
-// New returns an aperture in front of a policy that knows no workers. Both are to be made from the same settings.
+// New returns an aperture in front of a policy that has no workers. Both must have the same settings.
 func New(policy Policy, settings dispatch.Settings, config Config) *Aperture {
 	config.Coverage = max(ringCount, config.Coverage)
 	return &Aperture{
@@ -68,12 +67,12 @@
 	}
 }
 
-// SetSchedulers changes the number of schedulers, and the index of this one among them, from 0. It takes effect with
-// the next step, for the subset and for who may warm up workers, and for no other setting. A new scheduler should take the next
-// index, and the last one that of a scheduler that leaves: that moves the fewest workers.
-func (a *Aperture) SetSchedulers(index, count int) { a.fleet.setSeat(newSeat(index, count)) }
+// SetSchedulers changes the number of schedulers, and the index of this one among them, from 0. It takes effect with the next
+// step, for the subset and for the schedulers that may send to a worker during its slow start. The fewest workers change their
+// subset if a new scheduler gets the next index, and if the last scheduler gets the index of one that is removed.
+func (a *Aperture) SetSchedulers(index, count int) { a.fleet.setReplica(newReplica(index, count)) }
 
-// Step has the policy step on what it sees of the events, and appends its actions and the aperture's own to dst.
+// Step passes the visible events to the policy, and appends the policy's actions and the aperture's own to dst.
 func (a *Aperture) Step(now time.Duration, events []dispatch.Event, dst []dispatch.Action) []dispatch.Action {
 	a.now = max(now, a.now)
 	visible := a.observeEvents(events)
@@ -91,12 +90,12 @@
 	clear(visible)
 	a.events = visible[:0]
 	dst = a.observeActions(dst, first)
-	dst = a.appendFreedLinks(dst)
+	dst = a.appendConnectionCloses(dst)
 	dst = a.appendLog(dst)
 	return a.appendTimer(dst)
 }
 
-// observeEvents takes in the events of a step, and returns what the policy sees of them.
+// observeEvents handles the events of a step, and returns those for the policy.
 func (a *Aperture) observeEvents(events []dispatch.Event) []dispatch.Event {
 	policyTimerDue := a.policyTimerAt > 0 && a.policyTimerAt <= a.now
 	if policyTimerDue {
@@ -108,7 +107,7 @@
 	visible := a.events[:0]
 	for _, event := range events {
 		if _, fired := event.(dispatch.TimerFired); fired {
-			if !policyTimerDue { // it was the timer of the aperture
+			if !policyTimerDue { // it was the aperture's timer
 				continue
 			}
 			policyTimerDue = false
@@ -118,7 +117,7 @@
 	return visible
 }
 
-// observeEvent takes in one event, and appends what the policy sees of it.
+// observeEvent handles one event, and appends the events for the policy that result from it.
 func (a *Aperture) observeEvent(event dispatch.Event, visible []dispatch.Event) []dispatch.Event {
 	switch typed := event.(type) {
 	case dispatch.WorkerList:
@@ -148,7 +147,8 @@
 	return append(visible, event)
 }
 
-// observeActions takes in the policy's actions, which are those of dst from first on. Its timers are kept back.
+// observeActions handles the policy's actions, which are those of dst from first on. It removes the policy's timers; see
+// appendTimer.
 func (a *Aperture) observeActions(dst []dispatch.Action, first int) []dispatch.Action {
 	kept := dst[:first]
 	for _, action := range dst[first:] {
@@ -178,9 +178,9 @@
 	return kept
 }
 
-// appendFreedLinks closes the idle connections that lead to workers outside of the subset. A worker may be in use again by
-// now: it has come back at once, or another attempt there was resumed.
-func (a *Aperture) appendFreedLinks(dst []dispatch.Action) []dispatch.Action {
+// appendConnectionCloses closes the idle connections to workers that were removed from the subset. A worker may be in use again
+// in the same step, because it was selected again or an attempt there was resumed.
+func (a *Aperture) appendConnectionCloses(dst []dispatch.Action) []dispatch.Action {
 	for _, id := range a.deselected {
 		worker := a.fleet.workers[id]
 		isInUse := worker != nil && (worker.reported || worker.inFlight > 0)
@@ -192,7 +192,7 @@
 	return dst
 }
 
-// appendTimer sets a timer to what is due next, the policy's or the aperture's.
+// appendTimer sets a timer for the next step that the policy or the aperture needs.
 func (a *Aperture) appendTimer(dst []dispatch.Action) []dispatch.Action {
 	next := a.evaluateAt
 	if a.fleet.needsRefresh {
@@ -208,15 +208,15 @@
 	return dst
 }
 
-// evaluate looks at load and responses, and releases what has not been desired for the retention time.
+// evaluate evaluates load and responses, and releases the units that have not been desired for the retention time.
 func (a *Aperture) evaluate() {
-	// A process that was late itself can't know who was: everybody has the time to respond again.
+	// If this process was not running in time, late responses are not the workers' fault: all have the full time again.
 	late := a.evaluateAt > 0 && a.now-a.evaluateAt >= evaluationInterval
 	a.evaluateAt = a.now + evaluationInterval
 	a.fleet.checkResponses(a.now, late)
 	a.load.expireJobs(a.now, late)
 	a.adjustWidening()
-	if a.fleet.needsRefresh { // what is desired again is not released
+	if a.fleet.needsRefresh { // a unit that is desired again is not released
 		a.refresh()
 	}
 	for _, u := range a.fleet.units {
@@ -225,12 +225,12 @@
 			a.reportWorkers(u.workers)
 		}
 	}
-	a.noticeSize()
+	a.checkSize()
 }
 
-// adjustWidening widens or narrows the subset by the load.
+// adjustWidening widens or narrows the subset according to the load.
 func (a *Aperture) adjustWidening() {
-	delayed := a.load.delayedShare()
+	delayed := a.load.delayedFraction()
 	a.load.decay()
 	if a.coversFleet() {
 		a.widening.reset(a.now)
--- a/internal/aperture/attempts.go
+++ b/internal/aperture/attempts.go
@@ -2,7 +2,7 @@
 
 import "valvecove/dispatch"
 
-// attemptStarted takes in an attempt, which ends the wait of its job if it is the first.
+// attemptStarted handles the start of an attempt. The first attempt ends the wait of its job.
 func (a *Aperture) attemptStarted(send dispatch.Send) {
 	if worker := a.fleet.workers[send.Worker]; worker != nil {
 		worker.inFlight++
@@ -13,9 +13,8 @@
 	a.load.jobSent(send.Job, a.now)
 }
 
-// jobResumed takes in a job that comes with attempts at workers, be these in the subset or not. The policy must know the
-// cells and zones of all of them before it sees the job. Those outside of the subset are returned, to be reported again
-// afterwards.
+// jobResumed handles a job with attempts at workers that may be outside of the subset. The policy must have received the cells
+// and zones of all of them before the job. Those outside of the subset are returned, and must be reported again after the job.
 func (a *Aperture) jobResumed(resumed dispatch.JobResumed) (hidden []*worker) {
 	for _, attempt := range resumed.Attempts {
 		if attempt.Ended && a.fleet.workers[attempt.Worker] == nil {
@@ -33,7 +32,7 @@
 	return hidden
 }
 
-// attemptEnded takes in the end of an attempt.
+// attemptEnded handles the end of an attempt.
 func (a *Aperture) attemptEnded(outcome dispatch.Outcome) {
 	worker := a.fleet.workers[outcome.Worker]
 	if worker != nil && worker.inFlight > 0 {
@@ -57,7 +56,7 @@
 	}
 }
 
-// healthChecked takes in the end of a health check.
+// healthChecked handles the end of a health check.
 func (a *Aperture) healthChecked(check dispatch.HealthChecked) {
 	switch check.Result {
 	case dispatch.NotSent, dispatch.Cancelled:
--- a/internal/aperture/bench_test.go
+++ b/internal/aperture/bench_test.go
@@ -20,7 +20,7 @@
 	return dst
 }
 
-// benchmark is one of 100 schedulers, over a fleet.
+// benchmark is the aperture of one of 100 schedulers of a fleet.
 type benchmark struct {
 	settings dispatch.Settings
 	list     []dispatch.Worker
@@ -67,8 +67,8 @@
 	b.step(0, dispatch.Outcome{Job: id, Worker: b.policy.worker, Closed: true})
 }
 
-// What an aperture costs one of 100 schedulers: a first list and a further one, a change (the subset is selected anew at most
-// every 50 ms, which pass here between any two), an evaluation every 250 ms, and a job from its arrival to its end.
+// The cost of an aperture at one of 100 schedulers: a first list and a further one, a change (the subset is selected every 50 ms at
+// most, which is the time between two changes here), an evaluation every 250 ms, and a job from its arrival to its end.
 func BenchmarkStep(b *testing.B) {
 	for _, workers := range []int{100, 1000, 10000} {
 		for cellSize, settings := range map[int]dispatch.Settings{20: cellSettings(7, 100), 1: workerSettings(7, 100)} {
--- a/internal/aperture/changes_test.go
+++ b/internal/aperture/changes_test.go
@@ -9,7 +9,7 @@
 	"valvecove/dispatch"
 )
 
-// expectMoves applies changes of the list, and checks how many workers they move in all, and at one scheduler.
+// expectMoves applies changes of the list, and checks the number of workers that move in total and at one scheduler.
 func (d *deployment) expectMoves(t *testing.T, what string, maxTotal, maxAtOne int, changed ...dispatch.Worker) {
 	t.Helper()
 	before := d.desiredUnits()
@@ -20,8 +20,8 @@
 	}
 }
 
-// Restarts within cells move nothing; a cell, or a worker where cells don't count, moves one of its size at each end of a
-// subset.
+// Restarts within cells move no worker. A change of a cell, or of a worker if units are not cells, moves one unit of that size at
+// each end of a subset.
 func TestChangesOfTheListMoveFewWorkers(t *testing.T) {
 	const cellSize = 20
 	var cell []dispatch.Worker
@@ -41,8 +41,8 @@
 	d.expectMoves(t, "a new worker", 40*2, 4, cell[0])
 }
 
-// A scheduler that joins moves the workers on its ring, by half a segment on the mean; one that takes the index of another
-// has what that one had.
+// A scheduler that is added moves the workers on its ring, by half a segment on average. One that gets the index of another has
+// the same subset.
 func TestNewSchedulerMovesFewWorkers(t *testing.T) {
 	const cellSize = 20
 	deployed := deploy(t, 40, 1, cellSettings, testConfig, testFleet(1000, cellSize))
@@ -64,7 +64,7 @@
 	}
 }
 
-// lossTest is one scheduler of a deployment, which loses some cells of its subset.
+// lossTest is a scheduler that loses some cells of its subset.
 type lossTest struct {
 	*deployment
 	aperture *Aperture
@@ -88,7 +88,7 @@
 
 func (l *lossTest) isLost(worker *dispatch.Worker) bool { return l.lost[worker.Cell] }
 
-// expectRestored checks that the subset is as large as before, a retention time after the return.
+// expectRestored checks that the subset has its previous size one retention time after the return of the cells.
 func (l *lossTest) expectRestored(t *testing.T, what string) {
 	t.Helper()
 	l.advance(testConfig.Retention + time.Second)
@@ -97,7 +97,7 @@
 	}
 }
 
-// healthCheck has health checks of the lost workers end with a result.
+// healthCheck ends health checks of the lost workers with a result.
 func (l *lossTest) healthCheck(result dispatch.Result, times int) {
 	var events []dispatch.Event
 	for range times {
@@ -110,8 +110,8 @@
 	l.aperture.Step(l.now, events, nil)
 }
 
-// Lost workers are replaced at once, and what replaces them is released a retention time after their return, however they
-// were lost and whatever was lost before. Of a fleet that isDrained but for three workers, each scheduler has these.
+// Lost workers are replaced at once, and the replacements are released one retention time after their return, for any cause of
+// the loss and after earlier losses. If all workers but three are draining, each scheduler has these three.
 func TestLostWorkersAreReplaced(t *testing.T) {
 	test := newLossTest(t)
 	for what, lose := range map[string]func(worker *dispatch.Worker){
@@ -126,7 +126,7 @@
 	test.expectLastReadySelected(t)
 }
 
-// expectReplaced loses the workers, lists them again, and checks what comes in their place.
+// expectReplaced removes the workers, lists them again, and checks their replacements.
 func (l *lossTest) expectReplaced(t *testing.T, what string, lose func(worker *dispatch.Worker)) {
 	t.Helper()
 	l.applyChange(l.isLost, lose)
@@ -140,7 +140,7 @@
 	}
 }
 
-// expectUnresponsiveReplaced has the workers not respond for a while, and checks that others come in addition.
+// expectUnresponsiveReplaced has the workers not respond, and checks that others are added.
 func (l *lossTest) expectUnresponsiveReplaced(t *testing.T) {
 	t.Helper()
 	l.healthCheck(dispatch.TimedOut, maxFailures)
@@ -152,7 +152,7 @@
 	l.healthCheck(dispatch.OK, 1)
 }
 
-// expectLastReadySelected isDrained all workers but three.
+// expectLastReadySelected drains all workers but three, and checks that these are selected.
 func (l *lossTest) expectLastReadySelected(t *testing.T) {
 	t.Helper()
 	isDrained := func(worker *dispatch.Worker) bool {
@@ -165,8 +165,8 @@
 	}
 }
 
-// A worker that has left the subset, and whose last attempt ends in the step in which it comes into a cell of the subset, is
-// there.
+// A worker that was removed from the subset, and whose last attempt ends in the step in which it moves to a cell of the subset,
+// is in the policy's list.
 func TestReturnWithinOneStep(t *testing.T) {
 	deployed := deploy(t, 40, 40, cellSettings, testConfig, testFleet(1000, 20))
 	aperture := deployed.apertures[0]
@@ -185,8 +185,8 @@
 	}
 }
 
-// A worker that leaves the subset with the end of a resumed attempt, and the list, and has another resumed attempt, all in one
-// step, keeps its connections: an attempt is in flight there. Without that other attempt they are closed.
+// The idle connections to a worker stay open if, in one step, its resumed attempt ends, it is removed from the list, and another
+// attempt there is resumed. Without that other attempt they are closed.
 func TestConnectionsOfResumedAttemptStay(t *testing.T) {
 	for _, isResumedAgain := range []bool{false, true} {
 		deployed := deploy(t, 40, 40, cellSettings, testConfig, testFleet(1000, 20))
@@ -212,8 +212,8 @@
 	}
 }
 
-// What the aperture changes before discovery has sent anything, and while its list is lost, is reported as the list that was
-// known: taken for an update of discovery, it would have the policy believe that it follows the list, and not subscribe.
+// Changes of the aperture before the first list of discovery, and while the list is lost, are reported as a cached list: the
+// policy would take an update for one of discovery, and not subscribe.
 func TestOwnUpdatesAreNotListUpdates(t *testing.T) {
 	settings := dispatch.Settings{ReplicaIndex: 0, Replicas: 4, MustSubscribe: true, PollInterval: 10 * time.Second}
 	policy := newRecordingPolicy(t)
--- a/internal/aperture/config.go
+++ b/internal/aperture/config.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Config says how wide the subset is. All schedulers of a deployment should have the same.
+// Config configures the size of the subset. All schedulers of a deployment should have the same.
 type Config struct {
-	MinWorkers     int           // ready workers of a scheduler, at least; a tenth of it for each constrained class
-	Coverage       int           // schedulers for each worker, on the mean, at least; less than 2 counts as 2
-	MinFleet       int           // a fleet of fewer workers is covered whole
-	MinSchedulers  int           // and so is any by fewer schedulers than this, without an aperture
-	MaxWidening    float64       // by how much load widens the subset at most
-	WidenThreshold float64       // the part of jobs that find no capacity in time from which it does
-	Retention      time.Duration // how long workers that are not desired any more stay in the subset
+	MinWorkers     int           // minimum of ready workers in the subset; constrainedPercent of it for each constrained class
+	Coverage       int           // minimum of schedulers per worker on average; at least 2
+	MinFleet       int           // a smaller fleet is covered completely
+	MinSchedulers  int           // with fewer schedulers there is no aperture
+	MaxWidening    float64       // maximum factor by which load widens the subset
+	WidenThreshold float64       // fraction of jobs without capacity in time from which it is widened
+	Retention      time.Duration // time that workers stay in the subset after they are no longer desired
 }
 
-// DefaultConfig returns the configuration that applies where nothing else is set.
+// DefaultConfig returns the configuration for keys that are not set.
 func DefaultConfig() Config {
 	return Config{
 		MinWorkers:     20,
@@ -26,6 +26,5 @@
 	}
 }
 
-// Enabled reports whether so many schedulers have an aperture at all. Where they have none, the policy is to be used
-// alone.
+// Enabled reports whether a number of schedulers requires an aperture. If not, the policy must be used without one.
 func (c Config) Enabled(schedulers int) bool { return schedulers >= max(2, c.MinSchedulers) }
--- a/internal/aperture/coverage_test.go
+++ b/internal/aperture/coverage_test.go
@@ -9,20 +9,20 @@
 	"valvecove/dispatch"
 )
 
-// coverageTest is a deployment of which each scheduler's subset is looked at.
+// coverageTest is a deployment whose subsets are checked at each scheduler.
 type coverageTest struct {
 	workers, cellSize, schedulers, coverage int
 	ragged                                  bool
 }
 
-// want is how many workers each subset is to have, and how many at most.
+// want returns the expected and the maximum number of workers of each subset.
 func (c coverageTest) want() (want, most int) {
 	want = min(c.workers, max(testConfig.MinWorkers, (c.coverage*c.workers+c.schedulers-1)/c.schedulers))
-	// The one seat that an odd number leaves out makes the segments on its ring longer.
+	// With an odd number of schedulers, the segments on the ring with fewer of them are longer.
 	return want, max(want, c.workers/(c.schedulers/ringCount)) + c.tolerance()
 }
 
-// tolerance is half a cell, as cells are whole.
+// tolerance returns half a cell, as a subset contains cells completely.
 func (c coverageTest) tolerance() int { return (c.cellSize + 1) / 2 }
 
 func (c coverageTest) deploy(t *testing.T) *deployment {
@@ -40,7 +40,7 @@
 	return deploy(t, c.schedulers, 1, settings, config, list)
 }
 
-// coverage is what a worker finds among the schedulers.
+// coverage contains the schedulers of a worker.
 type coverage struct {
 	schedulers int
 	ranks      []int // of those that may warm it up
@@ -67,8 +67,8 @@
 	return byWorker
 }
 
-// Every scheduler has as many workers, to the nearest cell; every worker is at as many schedulers, give or take one on each
-// ring; cells are whole; and of those that may warm a worker up there is one of each rank.
+// Every scheduler has the same number of workers, to the nearest cell. Every worker has the same number of schedulers, plus or
+// minus one on each ring. Subsets contain cells completely, and each worker has one scheduler of each rank.
 func TestEvenCoverage(t *testing.T) {
 	for _, test := range []coverageTest{
 		{100, 1, 2, 2, false},
@@ -91,7 +91,7 @@
 	}
 }
 
-// checkSubsets checks the size of each scheduler's subset, and that its units are whole.
+// checkSubsets checks the size of each scheduler's subset, and that it contains units completely.
 func checkSubsets(t *testing.T, test coverageTest, d *deployment) {
 	t.Helper()
 	want, most := test.want()
@@ -110,7 +110,7 @@
 	}
 }
 
-// checkWorkers checks at how many schedulers each worker is, and who may warm it up.
+// checkWorkers checks the number of schedulers of each worker, and their ranks.
 func checkWorkers(t *testing.T, test coverageTest, d *deployment) {
 	t.Helper()
 	want, _ := test.want()
@@ -139,7 +139,7 @@
 	}
 }
 
-// checkOverlap checks that a scheduler shares workers with many others: else what one has too much of could go to few.
+// checkOverlap checks that a scheduler shares workers with many others, so that an overload is distributed over many.
 func checkOverlap(t *testing.T, test coverageTest, d *deployment) {
 	t.Helper()
 	if test.workers != 10000 {
@@ -157,8 +157,8 @@
 	}
 }
 
-// A class that only one kind of workers may run, which is 1% of the fleet, finds a tenth of the least; where crossings have
-// a price, the own zone has as many as the whole would.
+// For a class that only 1% of the fleet can run, the subset contains a tenth of the minimum. With a cost of crossing zones, it
+// contains as many workers of the own zone as it has otherwise in total.
 func TestConstrainedClasses(t *testing.T) {
 	list := testFleet(10000, 1)
 	for i := range list {
@@ -174,7 +174,7 @@
 	config := testConfig
 	config.MinWorkers = 100
 	for _, a := range deploy(t, 100, 17, settings, config, list).apertures {
-		index := a.fleet.seat.index
+		index := a.fleet.replica.index
 		workers := policyOf(a).workers
 		ofKind, inZone := 0, 0
 		for _, worker := range workers {
--- a/internal/aperture/fleet.go
+++ b/internal/aperture/fleet.go
@@ -6,14 +6,14 @@
 	"valvecove/dispatch"
 )
 
-// allJobs is the index of the requirement for all jobs, which every worker meets.
+// allJobs is the index of the requirement of all jobs, which every worker meets.
 const allJobs = 0
 
-// requirement is for whom a subset must have workers: for all jobs, for those of a constrained class, or for those that had
-// better stay in their zone.
+// requirement describes the workers that a subset must contain: for all jobs, for the jobs of a constrained class, or for jobs
+// that should stay in their zone.
 type requirement struct {
 	kinds, zones []int        // of the workers that meet it; nil: any
-	constrained  bool         // jobs of a class can go to no other workers
+	constrained  bool         // jobs of a class can be sent to no other workers
 	total        workerCounts // in the fleet
 }
 
@@ -22,27 +22,28 @@
 	return (r.kinds == nil || slices.Contains(r.kinds, worker.Kind)) && (r.zones == nil || slices.Contains(r.zones, worker.Zone))
 }
 
-// fleet is the workers that discovery lists, in units on the ring of this scheduler.
+// fleet contains the workers that discovery lists, in units on the ring of this scheduler.
 type fleet struct {
-	seat         seat
-	groupsCells  bool // units are cells
+	replica      replica
+	groupsCells  bool // each unit is a cell
 	requirements []requirement
 	workers      map[uint64]*worker // listed, or with attempts in flight
-	unitsByCell  map[uint64]*unit   // where units are cells
-	units        []*unit            // in the order of the ring unless unsorted
+	unitsByCell  map[uint64]*unit   // if units are cells
+	units        []*unit            // in order of the ring, unless unsorted
 	unsorted     bool
-	listVersion  uint64 // counts the updates of the list
-	needsRefresh bool   // the subset is to be selected anew
-	awaited      []*worker
+	listVersion  uint64    // number of updates of the list
+	needsRefresh bool      // the subset must be selected again
+	awaited      []*worker // see worker.awaited
 
 	workerSlab slab[worker]
 	unitSlab   slab[unit]
 	countsSlab slab[workerCounts]
 }
 
+// newFleet returns a fleet without workers.
 func newFleet(settings dispatch.Settings) fleet {
 	f := fleet{
-		seat:         newSeat(settings.ReplicaIndex, settings.Replicas),
+		replica:      newReplica(settings.ReplicaIndex, settings.Replicas),
 		requirements: []requirement{allJobs: {}},
 		workers:      map[uint64]*worker{},
 		unitsByCell:  map[uint64]*unit{},
@@ -71,17 +72,17 @@
 	}
 }
 
-// setSeat puts the units on the ring of another seat.
-func (f *fleet) setSeat(s seat) {
-	f.seat = s
+// setReplica changes the scheduler's replica, and moves the units to the ring of that.
+func (f *fleet) setReplica(changed replica) {
+	f.replica = changed
 	for _, u := range f.units {
-		u.position = s.positionOf(u.id)
+		u.position = changed.positionOf(u.id)
 	}
 	f.unsorted = true
 	f.needsRefresh = true
 }
 
-// worker returns the worker of that id, a new one if it is not known.
+// worker returns the worker with an ID, and adds it if it is unknown.
 func (f *fleet) worker(id uint64) *worker {
 	known := f.workers[id]
 	if known == nil {
@@ -92,9 +93,7 @@
 	return known
 }
 
-// ---- List updates ----
-
-// update takes in the status of a worker that discovery lists.
+// update applies the status of a worker that discovery lists.
 func (f *fleet) update(status dispatch.Worker) {
 	known := f.worker(status.ID)
 	if known.unit != nil {
@@ -117,15 +116,14 @@
 	f.count(known, 1)
 }
 
-// unlist takes a worker out of the list.
+// unlist removes a worker from the list.
 func (f *fleet) unlist(w *worker) {
 	f.count(w, -1)
 	f.leaveUnit(w)
 	w.resetResponses()
 }
 
-// forget notes that the policy does not know a worker any more. It is dropped, unless it is listed or has attempts in
-// flight.
+// forget records that a worker is not in the policy's list any more. It is dropped unless it is listed or has attempts in flight.
 func (f *fleet) forget(w *worker) {
 	w.reported = false
 	if w.unit == nil && w.inFlight == 0 {
@@ -133,7 +131,7 @@
 	}
 }
 
-// count adds a listed worker to the counts of its unit and the fleet, so many times.
+// count adds a listed worker to the counts of its unit and of the fleet, multiplied by times, which is 1 or -1.
 func (f *fleet) count(w *worker, times int) {
 	counts := w.counts()
 	for i := range f.requirements {
@@ -143,80 +141,3 @@
 		}
 	}
 }
-
-// ---- Units ----
-
-func (f *fleet) unitOf(status *dispatch.Worker) uint64 {
-	if f.groupsCells {
-		return uint64(status.Cell)
-	}
-	return status.ID
-}
-
-// assign puts a worker into a unit.
-func (f *fleet) assign(w *worker, unitID uint64) {
-	f.leaveUnit(w)
-	u := f.unitsByCell[unitID]
-	if u == nil {
-		u = f.addUnit(unitID)
-	}
-	u.workers = append(u.workers, w)
-	w.unit = u
-}
-
-func (f *fleet) addUnit(id uint64) *unit {
-	u := f.unitSlab.allocate()
-	u.id = id
-	u.position = f.seat.positionOf(id)
-	u.workers = u.single[:0]
-	u.counts = f.countsSlab.allocateMany(len(f.requirements))
-	if f.groupsCells {
-		f.unitsByCell[id] = u
-	}
-	f.units = append(f.units, u)
-	f.unsorted = true
-	return u
-}
-
-// leaveUnit takes a worker out of its unit, if it has one.
-func (f *fleet) leaveUnit(w *worker) {
-	if w.unit != nil {
-		w.unit.remove(w)
-	}
-	w.unit = nil
-	f.needsRefresh = true
-}
-
-// arrangeUnits drops the units without workers, and puts the others in the order of the ring.
-func (f *fleet) arrangeUnits() {
-	f.units = slices.DeleteFunc(f.units, func(u *unit) bool {
-		if len(u.workers) > 0 {
-			return false
-		}
-		delete(f.unitsByCell, u.id)
-		return true
-	})
-	if f.unsorted {
-		f.units = sortUnits(f.units)
-		f.unsorted = false
-	}
-}
-
-// ---- Allocation ----
-
-// slabSize is how many values a slab makes at a time.
-const slabSize = 100
-
-// slab allocates many values at a time: a first list of thousands must not stall the loop.
-type slab[T any] struct{ free []T }
-
-func (s *slab[T]) allocate() *T { return &s.allocateMany(1)[0] }
-
-func (s *slab[T]) allocateMany(n int) []T {
-	if len(s.free) < n {
-		s.free = make([]T, max(n, slabSize))
-	}
-	allocated := s.free[:n:n]
-	s.free = s.free[n:]
-	return allocated
-}
--- a/internal/aperture/helpers_test.go
+++ b/internal/aperture/helpers_test.go
@@ -8,12 +8,12 @@
 	"valvecove/dispatch"
 )
 
-// errorReporter is what the tests of this package share: rapid's T is no testing.TB.
+// errorReporter is implemented by testing.TB and by rapid's T.
 type errorReporter interface {
 	Errorf(format string, args ...any)
 }
 
-// recordingPolicy keeps the workers that are reported to it, by the rules of the dispatch policy, and acts as a test wants.
+// recordingPolicy records the workers in its list like the dispatch policy, and returns the actions of a test.
 type recordingPolicy struct {
 	reporter   errorReporter
 	workers    map[uint64]dispatch.Worker
@@ -100,7 +100,7 @@
 // settingsFunc returns the settings of one scheduler.
 type settingsFunc func(index, schedulers int) dispatch.Settings
 
-// cellSettings are settings under which cells stay whole; under workerSettings they need not.
+// cellSettings are settings with cells as units, and workerSettings with workers as units.
 func cellSettings(index, schedulers int) dispatch.Settings {
 	return dispatch.Settings{Replicas: schedulers, ReplicaIndex: index, Classes: classes, StartNotifications: true}
 }
@@ -133,14 +133,14 @@
 	return list
 }
 
-// deployment is the apertures of some of the schedulers over one list.
+// deployment contains the apertures of some schedulers with the same endpoint list.
 type deployment struct {
 	apertures []*Aperture
 	now       time.Duration
 	list      []dispatch.Worker
 }
 
-// deploy returns every n-th of the apertures of so many schedulers.
+// deploy returns every n-th aperture of a number of schedulers.
 func deploy(tb testing.TB, schedulers, every int, settings settingsFunc, config Config, list []dispatch.Worker) *deployment {
 	tb.Helper()
 	d := &deployment{now: time.Minute, list: list}
@@ -166,7 +166,7 @@
 	}
 }
 
-// applyChange has discovery report the workers that are affected, as they are after the change.
+// applyChange lists the changed workers with their status after the change.
 func (d *deployment) applyChange(isAffected func(worker *dispatch.Worker) bool, change func(worker *dispatch.Worker)) {
 	var changed []dispatch.Worker
 	for _, worker := range d.list {
@@ -192,7 +192,8 @@
 	return sizes
 }
 
-// countMoves counts the workers that enter and leave subsets between two states, and the most at one scheduler.
+// countMoves returns the number of workers that are added to or removed from subsets between two states, and the maximum at one
+// scheduler.
 func countMoves(before, after []map[uint64]int) (total, maxAtOne int) {
 	for i := range after {
 		moved := sizeWithout(after[i], before[i]) + sizeWithout(before[i], after[i])
@@ -202,7 +203,7 @@
 	return total, maxAtOne
 }
 
-// sizeWithout is the size of the units that are not among the others.
+// sizeWithout returns the size of the units that are not among the others.
 func sizeWithout(units, others map[uint64]int) (total int) {
 	for id, size := range units {
 		if others[id] == 0 {
--- a/internal/aperture/load.go
+++ b/internal/aperture/load.go
@@ -8,34 +8,35 @@
 )
 
 const (
-	promptPercent = 25          // of its class's latency objective: a job that is queued for longer finds no capacity
-	loadWindow    = time.Second // time constant by which samples fade
-	minSamples    = 8           // fewer say nothing
+	promptPercent = 25          // of its class's latency objective: a job that is queued for longer is delayed
+	loadWindow    = time.Second // time constant of the decay of samples
+	minSamples    = 8           // with fewer samples the delayed fraction is 0
 )
 
-// sampleDecay is what remains of the samples from one evaluation to the next.
+// sampleDecay is the factor by which samples decay from one evaluation to the next.
 var sampleDecay = math.Exp(-evaluationInterval.Seconds() / loadWindow.Seconds())
 
-// loadMonitor observes whether jobs find capacity: whether the policy queues them for long, or workers reject them. Late starts
-// say nothing of the kind. They come of schedulers that meet at a worker, which they do the more often, the wider their
-// subsets are.
+// loadMonitor measures which fraction of jobs is delayed for lack of capacity: jobs that the policy queues for long, or that
+// workers reject. Late starts at a worker are not counted. They are caused by several schedulers that send to the same worker,
+// which happens more often with wider subsets.
 type loadMonitor struct {
-	waiting      map[uint64]*waitingJob // not sent yet, by job
+	waiting      map[uint64]*waitingJob // not sent yet, by job ID
 	queues       []jobQueue             // by class, in the order of arrival
 	promptDelays []time.Duration        // by class
 	free         []*waitingJob          // for reuse
-	delayed      float64                // jobs that found no capacity in time; fades
-	samples      float64                // all jobs; fades
+	delayed      float64                // number of delayed jobs, which decays
+	samples      float64                // number of jobs, which decays
 }
 
-// waitingJob is a job of which it is to be seen whether it finds capacity in time.
+// waitingJob is a job that was not sent yet, or was decided and is still in its queue.
 type waitingJob struct {
 	id        uint64
 	class     int
 	arrivedAt time.Duration
-	decided   bool // that is known; it is only kept in its queue
+	decided   bool // its sample was taken, or none is needed
 }
 
+// newLoadMonitor returns a monitor without samples.
 func newLoadMonitor(settings dispatch.Settings) loadMonitor {
 	monitor := loadMonitor{
 		waiting: map[uint64]*waitingJob{},
@@ -47,116 +48,120 @@
 	return monitor
 }
 
-// jobArrived begins the wait of a job.
-func (m *loadMonitor) jobArrived(arrived dispatch.Job, now time.Duration) {
-	if m.waiting[arrived.ID] != nil || arrived.Class < 0 || arrived.Class >= len(m.queues) {
+// jobArrived starts the wait of a job.
+func (l *loadMonitor) jobArrived(arrived dispatch.Job, now time.Duration) {
+	if l.waiting[arrived.ID] != nil || arrived.Class < 0 || arrived.Class >= len(l.queues) {
 		return
 	}
-	job := m.allocate()
+	job := l.allocate()
 	*job = waitingJob{id: arrived.ID, class: arrived.Class, arrivedAt: now}
-	m.waiting[arrived.ID] = job
-	m.queues[arrived.Class].push(job)
+	l.waiting[arrived.ID] = job
+	l.queues[arrived.Class].push(job)
 }
 
-func (m *loadMonitor) allocate() *waitingJob {
-	last := len(m.free) - 1
+// allocate returns a waitingJob for reuse, or a new one.
+func (l *loadMonitor) allocate() *waitingJob {
+	last := len(l.free) - 1
 	if last < 0 {
 		return &waitingJob{}
 	}
-	job := m.free[last]
-	m.free = m.free[:last]
+	job := l.free[last]
+	l.free = l.free[:last]
 	return job
 }
 
-// jobSent ends the wait of a job with its first attempt.
-func (m *loadMonitor) jobSent(id uint64, now time.Duration) {
-	if job := m.waiting[id]; job != nil {
-		m.decide(job)
-		m.addSample(now-job.arrivedAt > m.promptDelays[job.class])
+// jobSent ends the wait of a job with its first attempt, and takes a sample.
+func (l *loadMonitor) jobSent(id uint64, now time.Duration) {
+	if job := l.waiting[id]; job != nil {
+		l.decide(job)
+		l.addSample(now-job.arrivedAt > l.promptDelays[job.class])
 	}
 }
 
-// jobClosed ends the wait of a job without a sample: it is closed at once, or the sample was taken before.
-func (m *loadMonitor) jobClosed(id uint64) {
-	if job := m.waiting[id]; job != nil {
-		m.decide(job)
+// jobClosed ends the wait of a job without a sample.
+func (l *loadMonitor) jobClosed(id uint64) {
+	if job := l.waiting[id]; job != nil {
+		l.decide(job)
 	}
 }
 
-func (m *loadMonitor) decide(job *waitingJob) {
-	delete(m.waiting, job.id)
+// decide ends the wait of a job.
+func (l *loadMonitor) decide(job *waitingJob) {
+	delete(l.waiting, job.id)
 	job.decided = true
 }
 
-// expireJobs takes the jobs for delayed that have waited for too long. late reports that this process was not running in
-// time, so that nothing could have been sent: no sample is taken then.
-func (m *loadMonitor) expireJobs(now time.Duration, late bool) {
-	for class := range m.queues {
-		queue := &m.queues[class]
+// expireJobs ends the wait of jobs that are delayed, and takes their samples. late means that this process was not running in
+// time and could not have sent them; no samples are taken then.
+func (l *loadMonitor) expireJobs(now time.Duration, late bool) {
+	for class := range l.queues {
+		queue := &l.queues[class]
 		for {
 			job := queue.first()
-			if job == nil || now-job.arrivedAt <= m.promptDelays[class] {
+			if job == nil || now-job.arrivedAt <= l.promptDelays[class] {
 				break
 			}
 			queue.pop()
 			if !job.decided {
-				m.decide(job)
+				l.decide(job)
 				if !late {
-					m.addSample(true)
+					l.addSample(true)
 				}
 			}
-			m.free = append(m.free, job)
+			l.free = append(l.free, job)
 		}
 	}
 }
 
-func (m *loadMonitor) addSample(delayed bool) {
-	m.samples++
+// addSample counts a job.
+func (l *loadMonitor) addSample(delayed bool) {
+	l.samples++
 	if delayed {
-		m.delayed++
+		l.delayed++
 	}
 }
 
-// delayedShare is the part of recent jobs that found no capacity in time; 0 if there were too few.
-func (m *loadMonitor) delayedShare() float64 {
-	if m.samples < minSamples {
+// delayedFraction returns the fraction of recent jobs that were delayed, or 0 if there were too few.
+func (l *loadMonitor) delayedFraction() float64 {
+	if l.samples < minSamples {
 		return 0
 	}
-	return m.delayed / m.samples
+	return l.delayed / l.samples
 }
 
-// decay lets the samples fade by one evaluation interval.
-func (m *loadMonitor) decay() {
-	m.delayed *= sampleDecay
-	m.samples *= sampleDecay
+// decay reduces the weight of the samples by one evaluation interval.
+func (l *loadMonitor) decay() {
+	l.delayed *= sampleDecay
+	l.samples *= sampleDecay
 }
 
-// jobQueue has jobs in the order of arrival.
+// jobQueue is a queue of jobs in order of arrival.
 type jobQueue struct {
 	jobs  []*waitingJob
-	start int // of the queue in jobs; what comes before is nil
+	start int // index of the first job; earlier elements are nil
 }
 
-func (q *jobQueue) push(job *waitingJob) {
-	if q.start > len(q.jobs)/2 {
-		remaining := copy(q.jobs, q.jobs[q.start:])
-		clear(q.jobs[remaining:])
-		q.jobs = q.jobs[:remaining]
-		q.start = 0
+// push adds a job.
+func (j *jobQueue) push(job *waitingJob) {
+	if j.start > len(j.jobs)/2 {
+		remaining := copy(j.jobs, j.jobs[j.start:])
+		clear(j.jobs[remaining:])
+		j.jobs = j.jobs[:remaining]
+		j.start = 0
 	}
-	q.jobs = append(q.jobs, job)
+	j.jobs = append(j.jobs, job)
 }
 
-// first returns the job that arrived first; nil: there is none.
-func (q *jobQueue) first() *waitingJob {
-	if q.start == len(q.jobs) {
+// first returns the job that arrived first, or nil if the queue is empty.
+func (j *jobQueue) first() *waitingJob {
+	if j.start == len(j.jobs) {
 		return nil
 	}
-	return q.jobs[q.start]
+	return j.jobs[j.start]
 }
 
-// pop drops the first job.
-func (q *jobQueue) pop() {
-	q.jobs[q.start] = nil
-	q.start++
+// pop removes the first job.
+func (j *jobQueue) pop() {
+	j.jobs[j.start] = nil
+	j.start++
 }
--- a/internal/aperture/model_test.go
+++ b/internal/aperture/model_test.go
@@ -12,10 +12,10 @@
 	"valvecove/dispatch"
 )
 
-// maxModelID is the highest id of a worker in the model.
+// maxModelID is the highest ID of a worker in the model.
 const maxModelID = 60
 
-// model is a request table and a fleet round an aperture, and a second aperture that must do the same.
+// model is a request table and a fleet of an aperture, and a second aperture that must return the same.
 type model struct {
 	*rapid.T
 	aperture, twin *Aperture
@@ -49,7 +49,7 @@
 	return rapid.IntRange(least, most).Draw(m.T, what)
 }
 
-// act is the policy.
+// act implements the policy.
 func (m *model) act(events []dispatch.Event) []dispatch.Action {
 	m.actions = nil
 	fired := slices.Contains(events, dispatch.Event(dispatch.TimerFired{}))
@@ -81,7 +81,7 @@
 	}
 }
 
-// actBesides does what has nothing to do with jobs.
+// actBesides returns random actions that do not concern jobs.
 func (m *model) actBesides(ready []uint64) {
 	switch besides := m.pick(0, 9, "besides"); {
 	case besides == 0 && !m.policy.subscribed:
@@ -99,8 +99,6 @@
 	}
 }
 
-// ---- Events ----
-
 func (m *model) add(event dispatch.Event) { m.batch = append(m.batch, event) }
 
 func (m *model) worker(id uint64) dispatch.Worker {
@@ -181,9 +179,7 @@
 	m.add(dispatch.ReplicasChanged{ReplicaIndex: schedulers / 2, Replicas: schedulers})
 }
 
-// ---- Steps ----
-
-// run lets time pass, and steps on the batch or leaves it to grow.
+// run advances the time, and passes the batch on or leaves it for the next step.
 func (m *model) run(t *rapid.T) {
 	m.T = t
 	if len(m.batch) == 0 || m.pick(0, 2, "now") == 0 {
@@ -194,7 +190,7 @@
 	}
 }
 
-// step passes the batch through, as the request table would, and looks at what has come of it.
+// step passes the batch to both apertures like the request table, and checks the results.
 func (m *model) step() {
 	events := m.batch
 	m.batch = nil
@@ -236,8 +232,6 @@
 	}
 }
 
-// ---- Checks ----
-
 func (m *model) checkTimer() {
 	if m.policyTimerAt > 0 && (m.timerAt == 0 || m.timerAt > max(m.policyTimerAt, m.now+1)) {
 		m.Fatalf("the policy's timer at %v is lost, the next is at %v", m.policyTimerAt, m.timerAt)
@@ -250,8 +244,8 @@
 	}
 }
 
-// checkView checks that the policy knows the workers of the subset as they are, those with attempts in flight as not ready,
-// and no others.
+// checkView checks that the policy's list contains the workers of the subset with their status, other workers with attempts in
+// flight as not ready, and no others.
 func (m *model) checkView() {
 	knownReady := 0
 	for id, listed := range m.unfiltered.workers {
@@ -291,7 +285,7 @@
 	}
 }
 
-// checkMemory checks that nothing is kept of workers that are neither listed nor in use.
+// checkMemory checks that no state is kept of workers that are neither listed nor in use.
 func (m *model) checkMemory() {
 	for id := range m.aperture.fleet.workers {
 		if !m.unfiltered.knows(id) && m.policy.inFlight[id] == 0 {
@@ -300,8 +294,8 @@
 	}
 }
 
-// Whatever lists, load and outcomes come, in whatever batches: the policy's view is that of the subset, nothing is sent
-// outside of it, and no worker vanishes while something is in flight there.
+// With any lists, load and outcomes in any batches, the policy's list is that of the subset, nothing is sent to other workers,
+// and no worker is removed while an attempt is in flight there.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tested := newModel(t)
--- a/internal/aperture/report.go
+++ b/internal/aperture/report.go
@@ -2,7 +2,7 @@
 
 import "valvecove/dispatch"
 
-// applyList takes in an update of the list, and returns what the policy sees of it.
+// applyList applies an update of the list, and returns the one for the policy.
 func (a *Aperture) applyList(list dispatch.WorkerList) dispatch.WorkerList {
 	if list.Kind == dispatch.ListUnavailable {
 		a.awaitingList = true
@@ -28,11 +28,12 @@
 	for _, u := range a.fleet.units {
 		a.reportWorkers(u.workers)
 	}
-	a.updates = a.updates[:0] // all of them are in the list
+	a.updates = a.updates[:0] // the list contains all of them
 	visible.Workers = a.reportedWorkers()
 	return visible
 }
 
+// applyStatus applies one entry of a list.
 func (a *Aperture) applyStatus(status dispatch.Worker) {
 	if !status.Removed {
 		a.fleet.update(status)
@@ -48,7 +49,7 @@
 	}
 }
 
-// visibleChanges is what the policy sees of the workers that have changed.
+// visibleChanges returns the changes for the policy of the workers that have changed.
 func (a *Aperture) visibleChanges(changed []dispatch.Worker) (visible []dispatch.Worker) {
 	for _, status := range changed {
 		if w := a.fleet.workers[status.ID]; w != nil {
@@ -58,10 +59,10 @@
 	return visible
 }
 
-// unlistMissing takes out the workers that are not in a complete list.
+// unlistMissing removes the workers that are not in the full list that was applied last.
 func (a *Aperture) unlistMissing() {
 	for _, u := range a.fleet.units {
-		for i := len(u.workers) - 1; i >= 0; i-- { // backwards, as the last takes the place of one that leaves
+		for i := len(u.workers) - 1; i >= 0; i-- { // backwards, as unit.remove moves the last worker
 			w := u.workers[i]
 			if w.listVersion != a.fleet.listVersion {
 				a.fleet.unlist(w)
@@ -71,20 +72,20 @@
 	}
 }
 
-// reportWorkers adds to the updates what has changed of workers for the policy.
+// reportWorkers adds the status of workers to the updates for the policy, if it has changed.
 func (a *Aperture) reportWorkers(workers []*worker) {
 	for _, w := range workers {
 		a.updates = a.appendStatus(w, a.updates)
 	}
 }
 
-// appendStatus appends the status of a worker if that has changed for the policy.
+// appendStatus appends the status of a worker for the policy, if it has changed.
 func (a *Aperture) appendStatus(known *worker, dst []dispatch.Worker) []dispatch.Worker {
 	var ready bool
 	switch {
 	case known.unit != nil && known.unit.selected:
 		ready = known.Ready
-	case known.unit != nil && known.inFlight > 0: // it is outside of the subset, and stays visible for its attempts
+	case known.unit != nil && known.inFlight > 0: // outside of the subset, and reported as not ready while it has attempts
 	case known.reported:
 		return append(dst, a.hide(known))
 	default:
@@ -96,20 +97,20 @@
 	return dst
 }
 
-// hide removes a worker from the policy's list, and returns the status that says so.
+// hide removes a worker from the policy's list, and returns the status for that.
 func (a *Aperture) hide(w *worker) dispatch.Worker {
 	status := w.Worker
 	status.Ready = false
 	status.Removed = true
 	if w.unit != nil {
 		a.deselected = append(a.deselected, w.ID)
-		a.fleet.clearResponses(w) // it will not respond, and is as good as another
+		a.fleet.clearResponses(w) // no response is expected any more
 	}
 	a.fleet.forget(w)
 	return status
 }
 
-// reportedWorkers is the policy's list.
+// reportedWorkers returns the policy's full list.
 func (a *Aperture) reportedWorkers() []dispatch.Worker {
 	selected := 0
 	for _, u := range a.fleet.units {
@@ -128,8 +129,8 @@
 	return list
 }
 
-// appendOwnUpdate appends a list update with what the aperture itself has changed, if anything. While the policy awaits a
-// list it would take changes for it, so it gets the whole list as it was known.
+// appendOwnUpdate appends a list update with the changes that the aperture has made, if there are any. A policy that awaits a
+// list would take an update for that list, so it receives the full list as a cached one instead.
 func (a *Aperture) appendOwnUpdate(visible []dispatch.Event) []dispatch.Event {
 	if len(a.updates) == 0 {
 		return visible
--- a/internal/aperture/responses.go
+++ b/internal/aperture/responses.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	responseTimeout = time.Second // a worker that does not respond for so long is unresponsive
-	maxFailures     = 2           // and so is one that could not be reached so often in a row
+	responseTimeout = time.Second // a worker that does not respond in this time is unresponsive
+	maxFailures     = 2           // consecutive failures to reach a worker, after which it is unresponsive
 )
 
-// expectResponse notes that a worker has been sent something that it has to respond to.
+// expectResponse records that a response of a worker is due from now on.
 func (f *fleet) expectResponse(w *worker, now time.Duration) {
 	if w.awaitingSince > 0 || w.unit == nil {
 		return
@@ -19,21 +19,21 @@
 	}
 }
 
-// responseReceived notes a response of a worker.
+// responseReceived records a response of a worker.
 func (f *fleet) responseReceived(id uint64) {
 	if w := f.workers[id]; w != nil {
 		f.clearResponses(w)
 	}
 }
 
-// clearResponses takes a worker for responsive.
+// clearResponses marks a worker as responsive, with no response due.
 func (f *fleet) clearResponses(w *worker) {
 	w.awaitingSince = 0
 	w.failures = 0
 	f.setUnresponsive(w, false)
 }
 
-// failureObserved notes that a worker could not be reached.
+// failureObserved records that a worker could not be reached.
 func (f *fleet) failureObserved(id uint64) {
 	w := f.workers[id]
 	if w == nil || !w.reported {
@@ -45,8 +45,8 @@
 	}
 }
 
-// setUnresponsive enters whether a worker is unresponsive. One that is stays in the subset, so that it can respond again,
-// and others come in addition.
+// setUnresponsive sets whether a worker is unresponsive. An unresponsive worker stays in the subset, so that it can respond
+// again, and others are selected in addition.
 func (f *fleet) setUnresponsive(w *worker, unresponsive bool) {
 	if w.unit == nil || w.unresponsive == unresponsive {
 		return
@@ -57,8 +57,8 @@
 	f.needsRefresh = true
 }
 
-// checkResponses finds the workers that have not responded in time. late reports that this process was not running in time:
-// then all have the time to respond again.
+// checkResponses marks the workers that have not responded in time as unresponsive. late means that this process was not running
+// in time; all workers have the full time again then.
 func (f *fleet) checkResponses(now time.Duration, late bool) {
 	awaited := f.awaited[:0]
 	for _, w := range f.awaited {
--- a/internal/aperture/ring.go
+++ b/internal/aperture/ring.go
@@ -1,32 +1,33 @@
 package aperture
 
-// ringCount is how many rings there are. Schedulers take turns on them, and units have an order of their own on each.
+// ringCount is the number of rings. Schedulers are assigned to the rings in turn, and the order of units is different on each.
 const ringCount = 2
 
-// seat is the place of a scheduler among the schedulers of a deployment.
-type seat struct {
+// replica identifies a scheduler among the schedulers of a deployment.
+type replica struct {
 	index      int // of this scheduler, from 0
 	schedulers int // 1 or more
 }
 
-// newSeat returns the seat of a scheduler, whose index is taken modulo the number of schedulers.
-func newSeat(index, schedulers int) seat {
+// newReplica returns the replica with an index, which is taken modulo the number of schedulers.
+func newReplica(index, schedulers int) replica {
 	schedulers = max(1, schedulers)
-	return seat{index: (index%schedulers + schedulers) % schedulers, schedulers: schedulers}
+	return replica{index: (index%schedulers + schedulers) % schedulers, schedulers: schedulers}
 }
 
-// ring is the ring that the scheduler is on.
-func (s seat) ring() int { return s.index % ringCount }
+// ring returns the number of the scheduler's ring.
+func (r replica) ring() int { return r.index % ringCount }
 
-// segment is the number of the scheduler's segment among those of its ring, which are as many as the schedulers on it.
-func (s seat) segment() (number, segments int) {
-	return s.index / ringCount, (s.schedulers - s.ring() + ringCount - 1) / ringCount
+// segment returns the number of the scheduler's segment of its ring, and the number of segments, one for each scheduler on the
+// ring.
+func (r replica) segment() (number, segments int) {
+	return r.index / ringCount, (r.schedulers - r.ring() + ringCount - 1) / ringCount
 }
 
-// positionOf is the position of a unit on the scheduler's ring.
-func (s seat) positionOf(unitID uint64) uint64 { return hash(hash(unitID) + uint64(s.ring())) }
+// positionOf returns the position of a unit on the scheduler's ring.
+func (r replica) positionOf(unitID uint64) uint64 { return hash(hash(unitID) + uint64(r.ring())) }
 
-// hash spreads the bits of a number, by the finalizer of splitmix64.
+// hash is the finalizer of splitmix64.
 func hash(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -34,8 +35,8 @@
 	return x ^ x>>31
 }
 
-// slowStartRank says which scheduler may send to a worker that is warming up: any, or on each ring the one of this rank,
-// from 1, or others than this one.
+// slowStartRank is the rank of this scheduler among those that may send to a worker during its slow start, from 1: one on each
+// ring. It is anyScheduler if all may, and otherSchedulers if this one may not.
 type slowStartRank uint8
 
 const (
@@ -43,7 +44,7 @@
 	otherSchedulers slowStartRank = ringCount + 1
 )
 
-// rankIn is the rank of the scheduler for a unit in its segment. Neither ring is the first for all units.
-func (s seat) rankIn(unitID uint64) slowStartRank {
-	return 1 + slowStartRank(uint64(s.ring())^hash(^unitID)&1)
+// rankIn returns the rank of the scheduler for a unit in its segment. Which ring has rank 1 depends on the unit.
+func (r replica) rankIn(unitID uint64) slowStartRank {
+	return 1 + slowStartRank(uint64(r.ring())^hash(^unitID)&1)
 }
--- a/internal/aperture/selection.go
+++ b/internal/aperture/selection.go
@@ -2,16 +2,15 @@
 
 import "math"
 
-// constrainedPercent is the part of Config.MinWorkers that each constrained class finds in the subset.
+// constrainedPercent is the percentage of Config.MinWorkers that the subset contains for each constrained class at least.
 const constrainedPercent = 10
 
-// coversFleet reports whether the subset is the whole fleet.
+// coversFleet reports whether the subset must be the whole fleet.
 func (a *Aperture) coversFleet() bool {
-	return a.fleet.seat.schedulers < 2 || a.fleet.requirements[allJobs].total.listed < a.config.MinFleet
+	return a.fleet.replica.schedulers < 2 || a.fleet.requirements[allJobs].total.listed < a.config.MinFleet
 }
 
-// refresh selects the subset anew. Units that are desired come in at once; those that are not desired any more are released
-// later, by evaluate.
+// refresh selects the subset. Units that are desired are added at once; evaluate releases those that are no longer desired later.
 func (a *Aperture) refresh() {
 	a.fleet.needsRefresh = false
 	a.refreshedAt = a.now
@@ -36,19 +35,19 @@
 	}
 }
 
-// rankOf is who may send to the unit's workers while they warm up.
+// rankOf returns this scheduler's rank for the slow start of a unit's workers. whole is the result of coversFleet.
 func (a *Aperture) rankOf(u *unit, whole bool) slowStartRank {
 	switch {
 	case whole:
 		return anyScheduler
 	case u.inSegment:
-		return a.fleet.seat.rankIn(u.id)
+		return a.fleet.replica.rankIn(u.id)
 	default:
 		return otherSchedulers
 	}
 }
 
-// updateUnit has a unit in the subset if it is desired, and reports it if that or the rank has changed.
+// updateUnit adds a unit to the subset if it is desired, and reports its workers if that or the rank has changed.
 func (a *Aperture) updateUnit(u *unit, rank slowStartRank) {
 	isCurrent := u.selected && u.rank == rank
 	u.selected = u.selected || u.desired
@@ -58,20 +57,20 @@
 	}
 }
 
-// selectUnits marks the units as desired that meet the requirements.
+// selectUnits marks units as desired until all requirements are met.
 func (a *Aperture) selectUnits() {
 	fleetSize := a.fleet.requirements[allJobs].total.listed
 	for i := range a.fleet.requirements {
-		// A requirement that every worker meets is that of all jobs.
+		// A requirement that every worker meets is covered by that of all jobs.
 		if i == allJobs || a.fleet.requirements[i].total.listed < fleetSize {
 			a.selectFor(i)
 		}
 	}
 }
 
-// selectFor goes round the ring from this scheduler's segment on until a requirement is met. Segments are of equal length,
-// in the weight of the units that meet it. For all jobs the own segment is desired in any case, so that each worker is in
-// the subset of at least one scheduler on each ring.
+// selectFor marks units as desired along the ring, from this scheduler's segment on, until a requirement is met. Segments have
+// equal lengths, in weights of the units that meet the requirement. For all jobs, all units of the scheduler's own segment are
+// desired, so that each worker is in the subset of at least one scheduler on each ring.
 func (a *Aperture) selectFor(index int) {
 	ring := a.ringFor(index)
 	if ring.length == 0 {
@@ -80,7 +79,7 @@
 	target := a.targetFor(index)
 	first, start := ring.ownStart()
 	units := a.fleet.units
-	offset := start // on the ring, of the next unit; beyond its length once round
+	offset := start // position of the next unit on the ring; it exceeds the length after a whole round
 	var found workerCounts
 	for i := range units {
 		candidate := units[(first+i)%len(units)]
@@ -104,29 +103,31 @@
 	}
 }
 
-// ring is the ring of this scheduler as it is for one requirement.
+// ring is the ring of this scheduler with the weights for one requirement.
 type ring struct {
 	units             []*unit
-	requirement       int
-	length            int // the weight of all units
-	segment, segments int // this scheduler's, of so many
+	requirement       int // index
+	length            int // total weight of the units
+	segment, segments int // number of this scheduler's segment, and of all
 }
 
+// ringFor returns the ring for a requirement.
 func (a *Aperture) ringFor(requirement int) ring {
 	r := ring{units: a.fleet.units, requirement: requirement}
 	for _, u := range r.units {
 		r.length += u.weight(requirement)
 	}
-	r.segment, r.segments = a.fleet.seat.segment()
+	r.segment, r.segments = a.fleet.replica.segment()
 	return r
 }
 
-// segmentOf is the segment that the middle of a unit at that offset is in.
+// segmentOf returns the segment that contains the middle of a unit at an offset.
 func (r *ring) segmentOf(u *unit, offset int) int {
 	return (2*offset + u.weight(r.requirement)) * r.segments / (2 * r.length)
 }
 
-// ownStart finds the first unit of this scheduler's segment, or behind it if that has none, and its offset.
+// ownStart returns the index and the offset of the first unit of this scheduler's segment, or of the next one if the segment is
+// empty.
 func (r *ring) ownStart() (first, offset int) {
 	for _, u := range r.units {
 		weight := u.weight(r.requirement)
@@ -139,13 +140,14 @@
 	return first, offset
 }
 
-// target is how many workers meet a requirement.
+// target is the number of workers with which a requirement is met.
 type target struct {
-	responsive  int  // so many responsive ones are enough
-	maxReady    int  // and so many ready ones, should all be unresponsive
-	constrained bool // no fewer will do
+	responsive  int  // number of responsive workers
+	maxReady    int  // limit of ready workers, if many are unresponsive
+	constrained bool // fewer are not accepted
 }
 
+// targetFor returns the target of a requirement.
 func (a *Aperture) targetFor(index int) target {
 	required := &a.fleet.requirements[index]
 	ready := a.fleet.requirements[allJobs].total.ready
@@ -154,7 +156,7 @@
 		ready = required.total.ready
 		minWorkers = (minWorkers*constrainedPercent + 99) / 100
 	}
-	schedulers := a.fleet.seat.schedulers
+	schedulers := a.fleet.replica.schedulers
 	covered := (a.config.Coverage*ready + schedulers - 1) / schedulers
 	base := float64(max(minWorkers, covered))
 	return target{
@@ -164,8 +166,8 @@
 	}
 }
 
-// isMetBy reports whether the workers found are enough, so that a unit with those of next is not to be added. Units are
-// added whole, so to the nearest; only a constrained class must have its part.
+// isMetBy reports whether the workers found are enough, so that a unit with those of next is not added. As units are added
+// completely, the nearest number is accepted, except for a constrained class.
 func (t target) isMetBy(found, next workerCounts) bool {
 	missing := t.responsive - found.responsive
 	if missing <= 0 || found.ready >= t.maxReady {
@@ -174,5 +176,5 @@
 	return !t.constrained && found.responsive > 0 && 2*missing <= next.responsive
 }
 
-// ceil rounds up to an int of 32 bits.
-func ceil(x float64) int { return int(math.Ceil(min(x, math.MaxInt32))) }
+// ceil returns a number rounded up, limited to 32 bits.
+func ceil(number float64) int { return int(math.Ceil(min(number, math.MaxInt32))) }
--- a/internal/aperture/size.go
+++ b/internal/aperture/size.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	logInterval         = time.Second // the size is logged at most so often
-	loggedChangePercent = 10          // and only for a change of more than this part of the subset
+	logInterval         = time.Second // minimum between two log lines
+	loggedChangePercent = 10          // minimum change of the subset that is logged
 )
 
-// Size is how large the fleet is, and the subset of it.
+// Size contains the sizes of the fleet and of the subset.
 type Size struct {
 	Listed        int     // workers that discovery lists
-	Ready         int     // the ready ones among them
+	Ready         int     // ready ones of Listed
 	Selected      int     // listed workers in the subset
-	SelectedReady int     // the ready ones among them
+	SelectedReady int     // ready ones of Selected
 	Unresponsive  int     // ready workers in the subset that have not responded in time
-	Whole         bool    // the subset is the whole fleet, which is small or has one scheduler
-	Widening      float64 // by which load has widened the subset; 1: not at all
+	Whole         bool    // the subset is the whole fleet, because that is small or has one scheduler
+	Widening      float64 // factor by which load has widened the subset, from 1
 }
 
-// Size counts the workers.
+// Size returns the current sizes.
 func (a *Aperture) Size() Size {
 	size := Size{Whole: a.coversFleet(), Widening: a.widening.factor}
 	for _, u := range a.fleet.units {
@@ -39,7 +39,7 @@
 	return size
 }
 
-// differsFrom reports whether the size is far from another one.
+// differsFrom reports whether the difference to another size is worth a log line.
 func (s Size) differsFrom(other Size) bool {
 	if s.Whole || other.Whole {
 		return s.Whole != other.Whole
@@ -48,7 +48,7 @@
 	return 100*change > loggedChangePercent*other.Selected
 }
 
-// String is the line that is logged.
+// String returns the text of the log line.
 func (s Size) String() string {
 	if s.Whole {
 		return fmt.Sprintf("the whole fleet, %d listed, %d ready", s.Listed, s.Ready)
@@ -57,15 +57,15 @@
 		s.Selected, s.Listed, s.SelectedReady, s.Ready, s.Unresponsive, s.Widening)
 }
 
-// sizeLog is what is to be logged of the size, and what was last.
+// sizeLog is the state of the log of sizes.
 type sizeLog struct {
-	reason   string // for the next line; empty: none is due
+	reason   string // reason for the next line; empty: none is due
 	last     Size
 	loggedAt time.Duration
 }
 
-// noticeSize has the size logged if it is far from what was logged last.
-func (a *Aperture) noticeSize() {
+// checkSize requests a log line if the size differs from the one that was logged last.
+func (a *Aperture) checkSize() {
 	if a.log.reason != "" {
 		return
 	}
@@ -74,7 +74,7 @@
 	}
 }
 
-// appendLog logs how wide the subset is, and why, if there is a reason to.
+// appendLog logs the size and the reason, if a line is due.
 func (a *Aperture) appendLog(dst []dispatch.Action) []dispatch.Action {
 	if a.log.reason == "" || a.now < a.log.loggedAt+logInterval {
 		return dst
--- a/internal/aperture/unit.go
+++ b/internal/aperture/unit.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// unit is what a subset has whole or not at all: a cell, where there are jobs whose duplicates only their cell can
-// recognise, else one worker.
+// unit is a group of workers that a subset contains completely or not at all: a cell if there are jobs whose duplicates are
+// detected within a cell only, else one worker.
 type unit struct {
 	id       uint64         // of the cell or the worker
 	position uint64         // on this scheduler's ring
-	workers  []*worker      // in no order
+	workers  []*worker      // in any order
 	counts   []workerCounts // by requirement
-	single   [1]*worker     // backs workers where units are no cells
+	single   [1]*worker     // memory of workers, if units are not cells
 
-	inSegment   bool // it is in this scheduler's own segment
-	desired     bool // it is in the subset as that should be now
-	selected    bool // it is in the subset
+	inSegment   bool // in this scheduler's own segment
+	desired     bool // selected by the last refresh
+	selected    bool // in the subset: desired, or not released yet
 	rank        slowStartRank
-	lastDesired time.Duration // the last refresh at which it was desired, if it is not now
+	lastDesired time.Duration // time of the last refresh at which it was still desired
 }
 
-// weight is the unit's length on the ring for a requirement: its workers, rounded up to a power of two, so that restarts
-// within a cell move nothing.
+// weight returns the unit's length on the ring for a requirement: the number of its workers, rounded up to a power of two, so
+// that restarts within a cell do not move other units.
 func (u *unit) weight(requirementIndex int) int {
 	if listed := u.counts[requirementIndex].listed; listed > 0 {
 		return 1 << bits.Len(uint(listed-1))
@@ -31,12 +31,12 @@
 	return 0
 }
 
-// isBefore reports whether the unit comes before another one on the ring.
+// isBefore reports whether the unit precedes another one on the ring.
 func (u *unit) isBefore(other *unit) bool {
 	return u.position < other.position || u.position == other.position && u.id < other.id
 }
 
-// remove takes a worker out of the unit.
+// remove removes a worker from the unit. The last worker is moved to its index.
 func (u *unit) remove(leaving *worker) {
 	i := slices.Index(u.workers, leaving)
 	last := len(u.workers) - 1
@@ -45,12 +45,12 @@
 	u.workers = u.workers[:last]
 }
 
-// sortUnits returns the units in the order of the ring. Positions are spread evenly, so that each unit is near its place
-// once it is in its bucket, and the whole takes linear time.
+// sortUnits returns the units in order of the ring. It is a bucket sort with a final insertion sort, in linear time, as positions
+// are distributed evenly.
 func sortUnits(units []*unit) []*unit {
 	width := bits.Len(uint(len(units)))
 	bucketOf := func(u *unit) uint64 { return u.position >> (64 - width) }
-	next := make([]int, 1<<width+1) // by bucket: where its next unit goes
+	next := make([]int, 1<<width+1) // index of the next unit, by bucket
 	for _, u := range units {
 		next[bucketOf(u)+1]++
 	}
--- a/internal/aperture/widening.go
+++ b/internal/aperture/widening.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	wideningStep     = 1.5         // factor of one widening, or narrowing
-	wideningInterval = time.Second // each widening shows its effect first
-	calmFraction     = 0.25        // of Config.WidenThreshold, under which there is no load to speak of
-	maxRetentions    = 8           // of calm before a narrowing, where earlier ones were undone
-	undoneRetentions = 4           // a widening within so many of these waits undoes a narrowing
+	wideningStep     = 1.5         // factor of one widening or narrowing
+	wideningInterval = time.Second // minimum between two widenings, so that the first one takes effect
+	calmFraction     = 0.25        // of Config.WidenThreshold; below it, load is low
+	maxRetentions    = 8           // maximum of widening.retentions
+	undoneRetentions = 4           // a widening within this number of waits after a narrowing has undone it
 )
 
 // widening is the factor by which load widens the subset.
@@ -15,11 +15,11 @@
 	factor     float64
 	widenedAt  time.Duration // the last widening; 0: none
 	narrowedAt time.Duration // the last narrowing; 0: none
-	calmSince  time.Duration // the last load to speak of
-	retentions float64       // calm before a narrowing, in times of Config.Retention
+	calmSince  time.Duration // last time at which load was not low
+	retentions float64       // low load required before a narrowing, in multiples of Config.Retention
 }
 
-// wideningChange is what adjust has done.
+// wideningChange is the result of adjust.
 type wideningChange uint8
 
 const (
@@ -28,15 +28,15 @@
 	narrowed
 )
 
-// reset is for a subset that is the whole fleet.
+// reset resets the factor. It is called while the subset is the whole fleet.
 func (w *widening) reset(now time.Duration) {
 	w.factor = 1
 	w.calmSince = now
 }
 
-// adjust widens where the share of delayed jobs has come to the threshold, and narrows after a time of calm. That grows
-// each time that a narrowing had to be undone: where load hovers about the threshold, the subset stays wide. allSelected
-// reports that widening has nothing to add.
+// adjust increases the factor if the fraction of delayed jobs has reached the threshold, and decreases it after a period of low
+// load. That period doubles each time that a narrowing is undone, so that the subset stays wide if the load is near the
+// threshold. allSelected means that all ready workers are selected.
 func (w *widening) adjust(now time.Duration, delayed float64, allSelected bool, config *Config) wideningChange {
 	wait := time.Duration(w.retentions * float64(config.Retention))
 	calm := now - w.calmSince
@@ -57,6 +57,7 @@
 	return unchanged
 }
 
+// widen increases the factor if that is possible.
 func (w *widening) widen(now, wait time.Duration, allSelected bool, config *Config) wideningChange {
 	tooSoon := w.widenedAt > 0 && now-w.widenedAt < wideningInterval
 	if allSelected || tooSoon || w.factor >= config.MaxWidening {
--- a/internal/aperture/widening_test.go
+++ b/internal/aperture/widening_test.go
@@ -7,8 +7,8 @@
 	"valvecove/dispatch"
 )
 
-// A load that hovers about the threshold, so that a narrow subset does not carry it and a wide one does, does not have it
-// oscillate: each time that a narrowing is undone the next one waits longer.
+// The subset does not oscillate with a load near the threshold, for which a wide subset is sufficient and a narrow one is not:
+// each time that a narrowing is undone, the next one waits longer.
 func TestWideningDoesNotOscillate(t *testing.T) {
 	const (
 		stepInterval = 50 * time.Millisecond
@@ -51,7 +51,7 @@
 	}
 }
 
-// One scheduler never has an aperture, and as many as are configured or more do.
+// There is no aperture with one scheduler, and one from the configured number of schedulers on.
 func TestEnabledFromMinSchedulers(t *testing.T) {
 	config := DefaultConfig()
 	for schedulers, want := range map[int]bool{0: false, 1: false, 2: true, 300: true} {
--- a/internal/aperture/worker.go
+++ b/internal/aperture/worker.go
@@ -6,34 +6,34 @@
 	"valvecove/dispatch"
 )
 
-// worker is what is known of a worker that is listed, or has attempts of this scheduler in flight.
+// worker is the state of a worker that is listed, or has attempts of this scheduler in flight.
 type worker struct {
-	dispatch.Worker       // as discovery lists it
-	unit            *unit // nil: it is not listed
-	listVersion     uint64
-	inFlight        int // attempts of this scheduler
+	dispatch.Worker        // as discovery lists it
+	unit            *unit  // nil: it is not listed
+	listVersion     uint64 // fleet.listVersion of the last list that contained it
+	inFlight        int    // attempts of this scheduler
 
-	// What the policy knows.
+	// The status that the policy has received.
 	reported      bool // it is in the policy's list
 	reportedReady bool
 	reportedRank  slowStartRank
-	changed       bool // discovery has reported a change since
+	changed       bool // discovery has listed a change since
 
-	// Its responses.
-	awaitingSince time.Duration // 0: none is awaited
-	awaited       bool          // it is among fleet.awaited
-	failures      int           // to reach it, in a row
+	// Responses.
+	awaitingSince time.Duration // since when a response is due; 0: none is due
+	awaited       bool          // it is in fleet.awaited
+	failures      int           // consecutive failures to reach it
 	unresponsive  bool
 }
 
-// resetResponses forgets what was seen of its responses.
+// resetResponses resets the state of its responses.
 func (w *worker) resetResponses() {
 	w.awaitingSince = 0
 	w.failures = 0
 	w.unresponsive = false
 }
 
-// report returns the status of a listed worker, which is in the policy's list from now on.
+// report returns the status of a listed worker for the policy, and records that it is in the policy's list.
 func (w *worker) report(ready bool) dispatch.Worker {
 	w.reported = true
 	w.reportedReady = ready
@@ -42,11 +42,12 @@
 	return w.status()
 }
 
-// status is the worker as the policy knows it.
+// status returns the status that the policy has received.
 func (w *worker) status() dispatch.Worker {
 	status := w.Worker
 	status.Ready = w.reportedReady
-	status.AssigneeRank, status.Assignees = 0, 0
+	status.AssigneeRank = 0
+	status.Assignees = 0
 	if w.reportedRank != anyScheduler {
 		status.AssigneeRank = int(w.reportedRank) - 1
 		status.Assignees = ringCount
@@ -54,7 +55,7 @@
 	return status
 }
 
-// counts returns what the worker adds to the counts of its unit.
+// counts returns the contribution of the worker to the counts of its unit.
 func (w *worker) counts() workerCounts {
 	counts := workerCounts{listed: 1}
 	if w.Ready {
@@ -66,16 +67,16 @@
 	return counts
 }
 
-// workerCounts counts workers.
+// workerCounts contains numbers of workers.
 type workerCounts struct {
 	listed     int
-	ready      int // of the listed ones
-	responsive int // of the ready ones
+	ready      int // ready ones of listed
+	responsive int // responsive ones of ready
 }
 
-// add adds other so many times.
-func (c *workerCounts) add(other workerCounts, times int) {
-	c.listed += times * other.listed
-	c.ready += times * other.ready
-	c.responsive += times * other.responsive
+// add adds other, multiplied by times.
+func (w *workerCounts) add(other workerCounts, times int) {
+	w.listed += times * other.listed
+	w.ready += times * other.ready
+	w.responsive += times * other.responsive
 }
